--- /dev/null
+++ b/internal/fleet/recorded_test.go
@@ -0,0 +1,119 @@
+package fleet
+
+import (
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/testkit"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// checkRecorded reads a file of testdata/recorded, compares the value with want, and
+// compares the encoding of want with the file byte for byte.
+func checkRecorded[T any](t *testing.T, file string, want T) {
+	t.Helper()
+	path := filepath.Join("testdata", "recorded", file)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got T
+	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
+	}
+	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
+		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
+	}
+}
+
+// fullRequest returns a hire with every field set.
+func fullRequest() wire.HireRequest {
+	return wire.HireRequest{Name: "r-12-1", Type: "large", Zone: "z1", Spot: true, Number: 50}
+}
+
+func machineTypes() []wire.MachineType {
+	return []wire.MachineType{
+		{Name: "large", CPUs: 64, GPUs: 8, MemoryGB: 128.5, CacheGB: 100, FetchGBPerS: 1.25, Price: 4, SpotPrice: 1.3, BootS: 40, Zones: []string{"z1", "z2"}},
+		{Name: "none"},
+	}
+}
+
+// Controllers of different versions share the records, so their form must not change.
+func TestRecordedForms(t *testing.T) {
+	checkRecorded(t, "hire.json", hireRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123, AnsweredMs: 1700000004567, Machines: []string{"m-1", "m-2"}})
+	checkRecorded(t, "hire_least.json", hireRecord{})
+	checkRecorded(t, "types.json", machineTypes())
+	checkRecorded(t, "types_least.json", []wire.MachineType(nil))
+	record := hireRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123}
+	planned := &hire{req: fullRequest(), made: time.UnixMilli(1700000000123)}
+	if !reflect.DeepEqual(planned.record(), record) {
+		t.Errorf("recorded as %+v, want %+v", planned.record(), record)
+	}
+	checkRecorded(t, "hire_planned.json", record)
+}
+
+func TestRecordedKeys(t *testing.T) {
+	if hireKey != "fleet/hire/" || typesKey != "fleet/types" {
+		t.Errorf("keys %q, %q", hireKey, typesKey)
+	}
+}
+
+// The cloud's text for what is not to be had.
+func TestRecordedProblem(t *testing.T) {
+	if text := errNoCapacity.Error(); text != "no capacity" {
+		t.Errorf("%q", text)
+	}
+}
+
+// leader owns shard 0 as of a version of its key.
+type leader struct{ version uint64 }
+
+func (l leader) Term() uint64              { return 12 }
+func (l leader) Claimed() map[int]uint64   { return map[int]uint64{0: l.version} }
+func (l leader) ShardKey(shard int) string { return "c/shard/000" }
+
+// What the fleet writes, as the state service has it: a hire before the cloud is asked and
+// after it has answered, and the machine types.
+func TestRecordedByFleet(t *testing.T) {
+	store := testkit.NewStore()
+	view := &testkit.View{Store: store}
+	version, err := view.Txn(t.Context(), nil, wire.Op{Put: "c/shard/000", Value: 0})
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	catalog := NewCatalog(nil, view, log)
+	fleet := New(&config.Platform{}, &config.Operator{}, nil, catalog, view, leader{version}, nil, nil, log)
+	planned := &hire{req: fullRequest(), made: time.UnixMilli(1700000000123)}
+	if err := fleet.write(t.Context(), planned); err != nil {
+		t.Fatal(err)
+	}
+	checkText(t, store, "fleet/hire/r-12-1", "hire_planned.json")
+	answered := planned.record()
+	answered.AnsweredMs, answered.Machines = 1700000004567, []string{"m-1", "m-2"}
+	fleet.answered["r-12-1"] = &answeredHire{record: answered, until: time.Now().Add(time.Hour)}
+	fleet.recordAnswers(t.Context())
+	checkText(t, store, "fleet/hire/r-12-1", "hire.json")
+	catalog.keep(t.Context(), machineTypes())
+	checkText(t, store, "fleet/types", "types.json")
+}
+
+// checkText compares what is stored under a key with a file of testdata/recorded.
+func checkText(t *testing.T, store *testkit.Store, key, file string) {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := store.Text(key); got+"\n" != string(text) {
+		t.Errorf("%s is stored as %s, want %s", key, got, text)
+	}
+}
--- /dev/null
+++ b/internal/jobid/recorded_test.go
@@ -0,0 +1,71 @@
+package jobid
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/testkit"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// checkRecorded reads a file of testdata/recorded, compares the value with want, and
+// compares the encoding of want with the file byte for byte.
+func checkRecorded[T any](t *testing.T, file string, want T) {
+	t.Helper()
+	path := filepath.Join("testdata", "recorded", file)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got T
+	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
+	}
+	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
+		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
+	}
+}
+
+// Controllers of different versions share the records, so their form must not change.
+func TestRecordedForms(t *testing.T) {
+	checkRecorded(t, "counter.json", counter{Next: 9007199254740993})
+	checkRecorded(t, "counter_least.json", counter{})
+	checkRecorded(t, "job.json", Job{UID: "j-1", First: 1001, Tasks: 40})
+	checkRecorded(t, "job_least.json", Job{})
+}
+
+func TestRecordedKeys(t *testing.T) {
+	for got, want := range map[string]string{
+		counterKey: "numbers", key: "number/", keyOf(0): "number/00000000000000",
+		Key(1001, 40): "number/00000000001040", Key(1001, 0): "number/00000000001001",
+		Key(99999999999998, 1): "number/99999999999998",
+	} {
+		if got != want {
+			t.Errorf("key %q, want %q", got, want)
+		}
+	}
+}
+
+// What an allocator writes, as the state service has it, and what it finds there.
+func TestRecordedByAllocator(t *testing.T) {
+	store := testkit.NewStore()
+	view := &testkit.View{Store: store}
+	allocator := New(view)
+	if first, err := allocator.Take(t.Context(), 3); err != nil || first != 1 || store.Text("numbers") != `{"next":10001}` {
+		t.Errorf("took %d, %v; stored %s", first, err, store.Text("numbers"))
+	}
+	if first, err := allocator.Next(t.Context(), 2); err != nil || first != 10001 || store.Text("numbers") != `{"next":10003}` {
+		t.Errorf("next %d, %v; stored %s", first, err, store.Text("numbers"))
+	}
+	stored := json.RawMessage(`{"uid":"j-1","first":1001,"tasks":40}`)
+	if _, err := view.Txn(t.Context(), nil, wire.Op{Put: "number/00000000001040", Value: stored}); err != nil {
+		t.Fatal(err)
+	}
+	if job, err := allocator.Find(t.Context(), 1030); err != nil || job != (Job{UID: "j-1", First: 1001, Tasks: 40}) {
+		t.Errorf("found %+v, %v", job, err)
+	}
+}
--- /dev/null
+++ b/internal/lending/recorded_test.go
@@ -0,0 +1,77 @@
+package lending_test
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/lending"
+)
+
+// checkRecorded reads a file of testdata/recorded, compares the value with want, and
+// compares the encoding of want with the file byte for byte.
+func checkRecorded[T any](t *testing.T, file string, want T) {
+	t.Helper()
+	path := filepath.Join("testdata", "recorded", file)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got T
+	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
+	}
+	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
+		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
+	}
+}
+
+// Controllers of different versions share the records, so their form must not change. An
+// entry is an array of numbers, without the zeros at its end.
+func TestRecordedForms(t *testing.T) {
+	record := lending.Record{Rows: []lending.Row{
+		{Shard: 0, Term: 41, Teams: map[string]lending.Entry{
+			"risk":    {Part: lending.Amount{8000, 1000}, Want: lending.Amount{64500, 8000}, Unit: lending.Amount{500, 250}},
+			"pricing": {Part: lending.Amount{2000, 0}, Want: lending.Amount{4000, 0}, Unit: lending.Amount{1000, 0}},
+		}},
+		{Shard: 3, Term: 9007199254740993, Teams: map[string]lending.Entry{
+			"gpus": {Part: lending.Amount{0, 2000}},
+			"none": {},
+			"part": {Part: lending.Amount{2000, 0}},
+			"want": {Want: lending.Amount{1, 0}},
+		}},
+		{Shard: 4, Term: 42},
+	}}
+	checkRecorded(t, "lent.json", record)
+	checkRecorded(t, "lent_least.json", lending.Record{})
+	checkRecorded(t, "lent_no_rows.json", lending.Record{Rows: []lending.Row{}})
+	text, err := json.Marshal(record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if parsed, err := lending.Parse(text, 5); err != nil || !reflect.DeepEqual(parsed, record) {
+		t.Errorf("parsed as %+v, %v; want %+v", parsed, err, record)
+	}
+}
+
+// A team whose record moved would be lent twice.
+func TestRecordedKeys(t *testing.T) {
+	if lending.Prefix != "lent/" || lending.Key(0) != "lent/00" || lending.Key(15) != "lent/15" || lending.Records != 16 {
+		t.Errorf("prefix %q, keys %q to %q, %d records", lending.Prefix, lending.Key(0), lending.Key(15), lending.Records)
+	}
+	for team, want := range map[string]int{"": 5, "risk": 10, "pricing": 13, "équipe": 9} {
+		if got := lending.RecordOf(team); got != want {
+			t.Errorf("team %q is in record %d, want %d", team, got, want)
+		}
+	}
+}
+
+// Amounts are recorded in thousandths: CPUs first, then GPUs.
+func TestRecordedAmounts(t *testing.T) {
+	if used, limit := lending.AmountOf(1.2345, 2), lending.LimitOf(1.2345, 2); used != (lending.Amount{1235, 2000}) || limit != (lending.Amount{1234, 2000}) {
+		t.Errorf("1.2345 CPUs and 2 GPUs: in use %v, as a limit %v", used, limit)
+	}
+}
--- /dev/null
+++ b/internal/membership/recorded_test.go
@@ -0,0 +1,115 @@
+package membership
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/testkit"
+)
+
+// checkRecorded reads a file of testdata/recorded, compares the value with want, and
+// compares the encoding of want with the file byte for byte.
+func checkRecorded[T any](t *testing.T, file string, want T) {
+	t.Helper()
+	path := filepath.Join("testdata", "recorded", file)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got T
+	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
+	}
+	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
+		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
+	}
+}
+
+// Controllers of different versions share the records, so their form must not change.
+func TestRecordedForms(t *testing.T) {
+	checkRecorded(t, "node.json", nodeRecord{Lease: 7, Term: 12, Joined: 1700000000123, Short: 2})
+	checkRecorded(t, "node_least.json", nodeRecord{Lease: 7, Term: 12})
+	checkRecorded(t, "shard.json", shardRecord{Node: "a", Term: 12, Lease: 7})
+	checkRecorded(t, "shard_least.json", shardRecord{})
+	checkRecorded(t, "term.json", termRecord{N: 8200, Low: 12, Floor: 4109, First: 8199})
+	checkRecorded(t, "term_least.json", termRecord{N: 12})
+	checkRecorded(t, "moves.json", movesRecord{At: []int64{1700000000123, 1700000060456}})
+	checkRecorded(t, "moves_least.json", movesRecord{})
+}
+
+func TestRecordedKeys(t *testing.T) {
+	for got, want := range map[string]string{
+		prefix: "c/", termKey: "c/term", nodeKey: "c/node/", shardKey: "c/shard/", linkKey: "c/link/", movesKey: "c/moves",
+		keyOf(0): "c/shard/000", keyOf(17): "c/shard/017", keyOf(1234): "c/shard/1234", (*Member)(nil).ShardKey(5): "c/shard/005",
+	} {
+		if got != want {
+			t.Errorf("key %q, want %q", got, want)
+		}
+	}
+	if shard, ok := shardOf("c/shard/017"); shard != 17 || !ok {
+		t.Errorf("c/shard/017 is read as %d, %v", shard, ok)
+	}
+}
+
+// What controllers write when they join, claim shards, reserve terms, announce links and
+// hand over, as the state service has it.
+func TestRecordedByControllers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		store := testkit.NewStore()
+		start := func(name string) (*Member, <-chan error) {
+			member := New(&testkit.View{Store: store}, name, 7*time.Second, 2, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			ended := make(chan error, 1)
+			go func() { ended <- member.Run(ctx) }()
+			time.Sleep(time.Second)
+			return member, ended
+		}
+		a, aEnded := start("a")
+		_, bEnded := start("b")
+		if err := a.Announce(ctx, map[string]int{"out": 3}); err != nil {
+			t.Error(err)
+		}
+		want := map[string]string{
+			"c/link/a":    `{"out":3}`,
+			"c/node/a":    `{"lease":1,"term":1,"joined":946684800000}`,
+			"c/node/b":    `{"lease":2,"term":2,"joined":946684801000}`,
+			"c/shard/000": `{"node":"a","term":1,"lease":1}`,
+			"c/shard/001": `{"node":"a","term":1,"lease":1}`,
+			"c/term":      `{"n":4098,"low":2,"floor":4098,"first":4098}`,
+		}
+		checkStored(t, store, want)
+		if err := a.HandOver(ctx, "b"); err != nil {
+			t.Error(err)
+		}
+		time.Sleep(time.Second)
+		want["c/moves"] = `{"at":[946684802000]}`
+		want["c/shard/000"] = `{"node":"b","term":2,"lease":2}`
+		want["c/shard/001"] = `{"node":"b","term":2,"lease":2}`
+		want["c/term"] = `{"n":4099,"low":2,"floor":4098,"first":4099}`
+		checkStored(t, store, want)
+		cancel()
+		<-aEnded
+		<-bEnded
+	})
+}
+
+// checkStored compares all that is stored with want, by key.
+func checkStored(t *testing.T, store *testkit.Store, want map[string]string) {
+	t.Helper()
+	got := map[string]string{}
+	for _, key := range store.Keys("") {
+		got[key] = store.Text(key)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("stored %q, want %q", got, want)
+	}
+}
--- /dev/null
+++ b/internal/statestore/recorded_test.go
@@ -0,0 +1,97 @@
+package statestore_test
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// checkRecorded reads a file of testdata/recorded, compares the value with want, and
+// compares the encoding of want with the file byte for byte.
+func checkRecorded[T any](t *testing.T, file string, want T) {
+	t.Helper()
+	path := filepath.Join("testdata", "recorded", file)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got T
+	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
+	}
+	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
+		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
+	}
+}
+
+// Controllers of different versions pass requests on for each other, so the messages' form
+// must not change.
+func TestRecordedForms(t *testing.T) {
+	checkRecorded(t, "passed.json", statestore.Passed{
+		Method: "POST", Path: "/txn", Body: []byte(`{"apply":[{"set":"c/term","data":{"n":12}}]}`), Writes: 1, Lane: statestore.Lookup,
+	})
+	checkRecorded(t, "passed_least.json", statestore.Passed{Method: "GET", Path: "/store/c/term"})
+	checkRecorded(t, "passed_list.json", statestore.Passed{Method: "GET", Path: "/store?limit=1000&starts=c%2F", Lane: statestore.Urgent})
+	checkRecorded(t, "answered.json", statestore.Answered{Status: 200, Body: []byte("{\"revision\":5}\xff\x00")})
+	checkRecorded(t, "answered_least.json", statestore.Answered{Status: 503})
+}
+
+func TestRecordedLanes(t *testing.T) {
+	if statestore.Ordinary != 0 || statestore.Urgent != 1 || statestore.Lookup != 2 {
+		t.Errorf("lanes %d, %d, %d; want 0, 1, 2", statestore.Ordinary, statestore.Urgent, statestore.Lookup)
+	}
+}
+
+// The state service's text for a write that named a lease that has ended.
+func TestRecordedProblem(t *testing.T) {
+	if text := statestore.ErrNoLease.Error(); text != "no such lease" {
+		t.Errorf("%q", text)
+	}
+}
+
+// The requests that the client makes, as the state service gets them.
+func TestRecordedRequests(t *testing.T) {
+	var requests []string
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body)
+		requests = append(requests, strings.TrimSpace(r.Method+" "+r.URL.String()+" "+string(body)))
+		w.WriteHeader(http.StatusNotFound)
+	}))
+	defer server.Close()
+	client := statestore.New(strings.TrimPrefix(server.URL, "http://"), 1000, 1000, 100)
+	ctx := context.Background()
+	_, _ = client.Get(ctx, "c/term") // every answer is not found: only the requests matter
+	_, _, _ = client.List(ctx, "c/")
+	_, _, _ = client.Page(ctx, "number/", "number/00000000000004", 1)
+	_, _ = client.Txn(ctx, []wire.Guard{{Key: "c/shard/000", Version: 3}, {Key: "k"}},
+		wire.Op{Put: "k", Value: map[string]int{"n": 1}, Lease: 7}, wire.Op{Delete: "d"})
+	_, _ = client.Grant(ctx, 7*time.Second)
+	_ = client.Touch(ctx, 7)
+	_ = client.Revoke(ctx, 7)
+	_, _ = client.Follow(ctx, "c/", 12, 20*time.Second)
+	want := []string{
+		"GET /store/c/term",
+		"GET /store?limit=1000&starts=c%2F",
+		"GET /store?after=number%2F00000000000004&limit=1&starts=number%2F",
+		`POST /txn {"guards":[{"path":"c/shard/000","stamp":3},{"path":"k","stamp":0}],"apply":[{"set":"k","data":{"n":1},"permit":7},{"drop":"d"}]}`,
+		`POST /grants {"lifeMs":7000}`,
+		"POST /grants/7/touch",
+		"DELETE /grants/7",
+		"GET /follow?after=12&holdMs=20000&starts=c%2F",
+	}
+	if !reflect.DeepEqual(requests, want) {
+		t.Errorf("requests\n%s\nwant\n%s", strings.Join(requests, "\n"), strings.Join(want, "\n"))
+	}
+}
