--- a/internal/fleet/catalog.go
+++ b/internal/fleet/catalog.go
@@ -15,8 +15,6 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-const typesKey = "fleet/types"
-
 // Store is what the fleet needs of the state service.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, error)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,7 +15,6 @@
 )
 
 const (
-	hireKey      = "fleet/hire/"
 	minimumS     = 60 // a machine costs at least so many seconds
 	maxHire      = 50 // machines in one request
 	maxRelease   = 100
