--- a/internal/fleet/recorded_test.go
+++ b/internal/fleet/recorded_test.go
@@ -1,11 +1,15 @@
 package fleet
 
 import (
+	"errors"
 	"io"
 	"log/slog"
+	"net/http"
+	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"reflect"
+	"strings"
 	"testing"
 	"time"
 
@@ -117,3 +121,35 @@
 		t.Errorf("%s is stored as %s, want %s", key, got, text)
 	}
 }
+
+// The requests that the cloud's client makes, as the cloud gets them.
+func TestRecordedRequests(t *testing.T) {
+	var requests []string
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body)
+		requests = append(requests, strings.TrimSpace(r.Method+" "+r.URL.String()+" "+string(body)))
+		if r.URL.Path == "/hosts" && r.Method == http.MethodGet && !r.URL.Query().Has("after") {
+			_ = json.NewEncoder(w).Encode(wire.MachineList{Machines: []wire.ListedMachine{{Name: "m-1"}}, More: true})
+			return
+		}
+		_, _ = io.WriteString(w, "{}")
+	}))
+	defer server.Close()
+	cloud := NewCloud(strings.TrimPrefix(server.URL, "http://"), 1000)
+	_, typesErr := cloud.types(t.Context())
+	_, hireErr := cloud.hire(t.Context(), fullRequest())
+	releaseErr := cloud.release(t.Context(), []string{"m-1", "m-2"})
+	_, listErr := cloud.list(t.Context())
+	if err := errors.Join(typesErr, hireErr, releaseErr, listErr); err != nil {
+		t.Error(err)
+	}
+	if want := []string{
+		"GET /machine_types",
+		`POST /hosts {"hire":"r-12-1","build":"large","yard":"z1","loaners":true,"number":50}`,
+		`POST /hosts/release {"benches":["m-1","m-2"]}`,
+		"GET /hosts?limit=500",
+		"GET /hosts?after=m-1&limit=500",
+	}; !reflect.DeepEqual(requests, want) {
+		t.Errorf("requests\n%s\nwant\n%s", strings.Join(requests, "\n"), strings.Join(want, "\n"))
+	}
+}
