--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -291,7 +291,18 @@
 
 // Stats are counters for operators.
 type Stats struct {
-	Placed, Duplicates, Granted, Refused, Lost, Done, Errors, Preempted, Evacuated, Expiring, Takeovers, LentRefused int
+	Placed      int `json:"Placed"`
+	Duplicates  int `json:"Duplicates"`
+	Granted     int `json:"Granted"`
+	Refused     int `json:"Refused"`
+	Lost        int `json:"Lost"`
+	Done        int `json:"Done"`
+	Errors      int `json:"Errors"`
+	Preempted   int `json:"Preempted"`
+	Evacuated   int `json:"Evacuated"`
+	Expiring    int `json:"Expiring"`
+	Takeovers   int `json:"Takeovers"`
+	LentRefused int `json:"LentRefused"`
 }
 
 // New returns an owner of nothing yet.
--- /dev/null
+++ b/internal/owner/recorded_test.go
@@ -0,0 +1,162 @@
+package owner
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/lending"
+	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// fullJob is a job with a value in each field; the state service refuses no such record,
+// although no one job is both together and apart.
+func fullJob() wire.Job {
+	zone, due := "eu-1", 900.5
+	return wire.Job{UID: "j-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: "urgent", Tasks: 16,
+		CPUs: 8, GPUs: 1, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g16"}, Zone: &zone,
+		OneZone: true, Spread: true, Spot: true, Estimate: 240, MarkS: 30, SaveS: 4, DueS: &due}
+}
+
+func fullTerms() *terms.Terms {
+	return &terms.Terms{Number: 4100, Name: "tips <a&b>", User: "erin", Array: "0-30:2", Most: 4, Held: true,
+		BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, Final: true, Any: true,
+		After:     []terms.Dep{{Kind: terms.After, Job: "j-7", Number: 70, DelayS: 60}},
+		KillNever: true, Dropped: "3,7-9", Why: terms.Deadline}
+}
+
+func fullEnding() *terms.Ending {
+	return &terms.Ending{Number: 4100, State: terms.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000}
+}
+
+// What an owner stores keeps its form: a successor of any version reads it.
+func TestStoredRecordsKeepTheirBytes(t *testing.T) {
+	recorded.CheckFull(t, "live-full", liveRecord{Job: fullJob(), Shard: 5, AtMs: 1_796_000_000_123, Cancelled: true, Terms: fullTerms()})
+	recorded.Check(t, "live-none", liveRecord{})
+	recorded.CheckFull(t, "final-full", finalRecord{Stage: wire.StageDone, Done: 14, Ending: fullEnding()})
+	recorded.Check(t, "final-none", finalRecord{})
+	recorded.CheckFull(t, "chunk-full", chunkRecord{Seq: 9, Done: []byte{0x83, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80}, Next: 12,
+		Machines: []string{"n-000001", "n-000002"}, Places: []uint64{2, 10, 1, 3, 11, 0}, Failed: []uint64{1, 1, 7, 7, 2, 0}})
+	recorded.Check(t, "chunk-none", chunkRecord{})
+	recorded.CheckFull(t, "log-full", logRecord{Seq: 77, Machines: []string{"n-000001", "n-000002"},
+		Jobs: []jobEntry{
+			{UID: "j-000412", Places: []uint64{0, 1, 0, 1, 2, 1}, Gone: []uint64{3, 4}, Done: []uint64{5, 6}, Failed: []uint64{7, 1, 255}},
+			{UID: "j-2", Done: []uint64{0}},
+		}, lendMark: lendMark{Lends: true, Unborrowed: 4321}})
+	recorded.Check(t, "log-none", logRecord{})
+}
+
+// What a user submitted is stored as the job's part of its record.
+func TestSubmissionIsStoredAsItWasSent(t *testing.T) {
+	recorded.CheckFull(t, "job-full", fullJob())
+	recorded.Check(t, "job-none", wire.Job{})
+}
+
+// The rows of lent limits, as an owner writes them.
+func TestLentLimitsKeepTheirBytes(t *testing.T) {
+	recorded.CheckFull(t, "lent-full", lending.Record{Rows: []lending.Row{{Shard: 3, Term: 99,
+		Teams: map[string]lending.Entry{"vision": {Part: lending.Amount{8000, 1000}, Want: lending.Amount{16000, 2000}, Unit: lending.Amount{500, 250}}}}}})
+	recorded.Check(t, "lent-none", lending.Record{Rows: []lending.Row{{Shard: 0, Term: 1}}})
+	if first, last := lending.Key(0), lending.Key(lending.Records-1); lending.Prefix != "lent/" || first != "lent/00" || last != "lent/15" {
+		t.Errorf("keys %s to %s", first, last)
+	}
+	if entry := lendMarkBytes(t, lendMark{}); entry != `{}` {
+		t.Errorf("a log record of an owner that does not lend is marked %s", entry)
+	}
+}
+
+func lendMarkBytes(t *testing.T, m lendMark) string {
+	t.Helper()
+	data, err := json.Marshal(m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(data)
+}
+
+// acceptance is the transaction that accepts a job, as it is sent.
+type acceptance struct {
+	Guards []wire.Guard `json:"guards"`
+	Apply  []struct {
+		Put   string          `json:"set"`
+		Value json.RawMessage `json:"data"`
+	} `json:"apply"`
+}
+
+func TestAcceptanceKeepsItsBytes(t *testing.T) {
+	job := fullJob()
+	for name, given := range map[string]*terms.Terms{"accept-full": fullTerms(), "accept-none": nil} {
+		guards, ops := AcceptTxn(&job, given, 5, 1_796_000_000_123)
+		data, err := json.Marshal(wire.Txn{If: guards, Then: ops})
+		if err != nil {
+			t.Fatal(err)
+		}
+		var want acceptance
+		if err := json.Unmarshal(data, &want); err != nil {
+			t.Fatal(err)
+		}
+		recorded.Check(t, name, want)
+	}
+	recorded.CheckFull(t, "number-full", jobid.Job{UID: "j-000412", First: 4100, Tasks: 16})
+	recorded.Check(t, "number-none", jobid.Job{})
+}
+
+// What operators read of an owner.
+func TestCountersKeepTheirNames(t *testing.T) {
+	recorded.CheckFull(t, "counters-full", Stats{Placed: 1, Duplicates: 2, Granted: 3, Refused: 4, Lost: 5, Done: 6, Errors: 7, Preempted: 8,
+		Evacuated: 9, Expiring: 10, Takeovers: 11, LentRefused: 12})
+	recorded.Check(t, "counters-none", Stats{})
+	recorded.CheckFull(t, "served-full", Served{Offered: 5, Begun: 4, InTime: 3, Ended: 2, Waiting: 1})
+	recorded.Check(t, "served-none", Served{})
+}
+
+// The names of an owner's keys, in full.
+func TestKeysOfRecords(t *testing.T) {
+	job := &wire.Job{UID: "j-1", Tasks: 3}
+	guards, ops := AcceptTxn(job, &terms.Terms{Number: 40}, 0, 0)
+	got := []string{liveKey, finalKey, taskKey, logKey, slotKey(7, 12), slotKey(1000, 100_000), chunkKey("j-1", 0), chunkKey("j-1", 1041)}
+	for _, g := range guards {
+		got = append(got, g.Key)
+	}
+	for _, op := range ops {
+		got = append(got, op.Put)
+	}
+	want := []string{"live/", "final/", "task/", "log/", "log/007/00012", "log/1000/100000", "task/j-1/00000", "task/j-1/01041",
+		"live/j-1", "final/j-1", "number/00000000000042", "live/j-1", "number/00000000000042"}
+	if !slices.Equal(got, want) {
+		t.Errorf("keys %q, want %q", got, want)
+	}
+	if shard, n, err := parseSlotKey("log/007/00012"); shard != 7 || n != 12 || err != nil {
+		t.Errorf("the log's key is read as %d, %d, %v", shard, n, err)
+	}
+}
+
+// A record tells by numbers which tasks a chunk has, how a task ended, and, by a hash, where
+// a job belongs: they are a part of its form.
+func TestNumbersInRecords(t *testing.T) {
+	if chunkSize != 96 || howFailed != 1 || howTimeout != 2 || howCancelled != 3 {
+		t.Errorf("chunks of %d tasks; ends %d, %d, %d", chunkSize, howFailed, howTimeout, howCancelled)
+	}
+	for code, state := range []string{"COMPLETED", "FAILED", "TIMEOUT", "CANCELLED"} {
+		if got := how(code).state(); got != state {
+			t.Errorf("end %d is %s, want %s", code, got, state)
+		}
+	}
+	if got := (failure{howTimeout, 9}).triple(4); !slices.Equal(got, []uint64{4, 2, 9}) {
+		t.Errorf("a failed task is recorded as %v", got)
+	}
+	teams := []config.Team{{Name: "vision", CPUsMax: 8}, {Name: "free"}}
+	for _, c := range []struct {
+		uid, team string
+		shard     int
+	}{{"j-1", "free", 19}, {"j-000412", "free", 31}, {"j-000412", "vision", 41}, {"j-1", "vision", 41}} {
+		if got := ShardOf(&wire.Job{UID: c.uid, Team: c.team}, teams, 64); got != c.shard {
+			t.Errorf("%s of team %s belongs to shard %d, want %d", c.uid, c.team, got, c.shard)
+		}
+	}
+}
