--- a/internal/description/client.go
+++ b/internal/description/client.go
@@ -62,7 +62,7 @@
 }
 
 func (c *Client) do(ctx context.Context, method, job string, body []byte) (int, []byte, error) {
-	req, err := http.NewRequestWithContext(ctx, method, c.Base+"/descriptions/"+job, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.Base+pathPrefix+job, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, fmt.Errorf("description of %s: %w", job, err)
 	}
--- a/internal/description/description.go
+++ b/internal/description/description.go
@@ -15,6 +15,9 @@
 // MaxBytes bounds a description, script included.
 const MaxBytes = 1 << 20
 
+// pathPrefix begins the paths of descriptions; the job's id follows.
+const pathPrefix = "/descriptions/"
+
 var (
 	// ErrNotFound: no description was uploaded for the job.
 	ErrNotFound = errors.New("no such description")
--- a/internal/description/server.go
+++ b/internal/description/server.go
@@ -23,7 +23,7 @@
 // Handler serves PUT and GET /descriptions/JOB.
 func Handler(s Store) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT /descriptions/{job}", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("PUT "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) {
 		job := r.PathValue("job")
 		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBytes))
 		var d Description
@@ -58,7 +58,7 @@
 			w.WriteHeader(http.StatusNoContent)
 		}
 	})
-	mux.HandleFunc("GET /descriptions/{job}", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) {
 		data, err := s.Get(r.PathValue("job"))
 		switch {
 		case err != nil:
