--- /dev/null
+++ b/internal/owner/recorded_shard_test.go
@@ -0,0 +1,190 @@
+package owner_test
+
+import (
+	"os"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/listing"
+	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// recordedShard reads a shard as an owner wrote it that was set to write its log over after
+// two records. Of j-1, tasks 0 and 3 are done, the latter as the log alone says, task 1
+// failed for good with exit code 7, task 2 ran, 4 to 6 were placed, the last as the log alone
+// says. j-2 is done.
+func recordedShard(t *testing.T) []wire.Item {
+	t.Helper()
+	data, err := os.ReadFile("testdata/recorded/shard.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var shard wire.Items
+	if err := json.Unmarshal(data, &shard); err != nil {
+		t.Fatal(err)
+	}
+	return shard.Items
+}
+
+// byPrefix sorts items by what their keys begin with, as they are listed.
+func byPrefix(items []wire.Item) map[string][]wire.Item {
+	sorted := map[string][]wire.Item{}
+	for _, item := range items {
+		prefix, _, _ := strings.Cut(item.Key, "/")
+		sorted[prefix+"/"] = append(sorted[prefix+"/"], item)
+	}
+	return sorted
+}
+
+// successor returns an owner that has taken over the recorded shard, with its store.
+func successor(t *testing.T) (*owner.Owner, *scriptedStore) {
+	t.Helper()
+	o, store := scripted(t)
+	store.items = byPrefix(recordedShard(t))
+	byKey := map[string]wire.Item{}
+	for _, item := range recordedShard(t) {
+		byKey[item.Key] = item
+	}
+	store.listed = 18
+	store.get = func(key string) (wire.Item, error) {
+		item, there := byKey[key]
+		if !there {
+			return item, statestore.ErrNotFound
+		}
+		return item, nil
+	}
+	if err := o.Load(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	return o, store
+}
+
+// A shard that was recorded is taken over as it was: its jobs' tasks are done, failed and
+// placed as they were, and a report shows what runs.
+func TestRecordedShardIsTakenOver(t *testing.T) {
+	o, store := successor(t)
+	if s, ok := o.Known("j-1"); !ok || s != (wire.JobState{UID: "j-1", Stage: wire.StageQueued, Done: 2}) {
+		t.Errorf("the living job is %+v, %v", s, ok)
+	}
+	var places []string
+	for _, ref := range o.PlacesOf("j-1") {
+		places = append(places, ref.Task+" "+ref.Machine+" "+string(rune('0'+ref.Attempt)))
+	}
+	slices.Sort(places)
+	if want := []string{"j-1/2 n-000000 3", "j-1/4 n-000000 5", "j-1/5 n-000000 6", "j-1/6 n-000000 7"}; !slices.Equal(places, want) {
+		t.Errorf("placed at %q, want %q", places, want)
+	}
+	o.Observe(machine.View{Name: "n-000000", Type: "m", Zone: "z", Spot: true, Session: 1, Seq: 1, Token: 7, Holder: "a",
+		Tasks: []machine.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3, State: wire.TaskRunning}}}})
+	if s, ok := o.Known("j-1"); !ok || s != (wire.JobState{UID: "j-1", Stage: wire.StageRunning, Done: 2, Running: 1}) {
+		t.Errorf("with a task that runs it is %+v, %v", s, ok)
+	}
+	info, ok := o.InfoHere("j-1")
+	if !ok || info.Failed != 1 || info.Done != 2 || info.Waiting != "4-6" || len(info.On) != 1 || info.On[0].Task != 2 || info.On[0].Attempt != 3 {
+		t.Errorf("it is listed as %+v, %v", info, ok)
+	}
+	if want := (&terms.Terms{Number: 100, Name: "tips", User: "erin", Array: "0-6", Most: 4, Final: true}); !reflect.DeepEqual(info.Terms, want) || info.AtMs != 946_684_806_000 {
+		t.Errorf("its terms are %+v, accepted at %d; want %+v", info.Terms, info.AtMs, want)
+	}
+	if s, err := owner.Stored(t.Context(), store, "j-2"); err != nil || s != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
+		t.Errorf("the ended job is %+v, %v", s, err)
+	}
+	want := listing.Info{Job: wire.Job{UID: "j-2"}, Stage: wire.StageDone, Done: 1,
+		Ending: &terms.Ending{Number: 90, State: terms.Completed, StartMs: 946_684_802_000, EndMs: 946_684_805_000}}
+	if got, err := owner.StoredInfo(t.Context(), store, "j-2"); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("the ended job is listed as %+v, %v", got, err)
+	}
+}
+
+// The recorded shard's accounting page has a row for each attempt that ended, and for the
+// job that did.
+func TestRecordedShardsAccountingIsRead(t *testing.T) {
+	reader, err := accounting.NewReader()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer reader.Close()
+	var got []string
+	for _, item := range recordedShard(t) {
+		if !strings.HasPrefix(item.Key, "acct/20000101/") {
+			continue
+		}
+		var text string
+		if err := json.Unmarshal(item.Value, &text); err != nil {
+			t.Fatal(err)
+		}
+		if err := reader.Unpack(text, func(r *accounting.Row) {
+			got = append(got, strings.Join([]string{r.UID, string(rune('0' + r.Task)), r.State, r.Name, r.Machine}, " "))
+		}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want := []string{"j-2 0 COMPLETED  n-000000", "j-2 0 COMPLETED first ", "j-1 0 COMPLETED  n-000000", "j-1 1 FAILED  n-000000", "j-1 3 COMPLETED  n-000000"}
+	if !slices.Equal(got, want) {
+		t.Errorf("rows %q, want %q", got, want)
+	}
+}
+
+// A new owner goes on with a recorded shard as its predecessor would have: it writes over
+// the log's oldest record that is not needed any more, saves a chunk that the oldest one is
+// needed for, and deletes, at the job's end, what it had of the job.
+func TestSuccessorGoesOnWithTheRecordedShard(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFleet(t, 1, 0)
+		f.owner.KeepSlots = 3
+		f.items = byPrefix(recordedShard(t))
+		f.owner.Unload()
+		if err := f.owner.Load(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		var got []string
+		f.sent = func(ops []wire.Op) {
+			for _, op := range ops {
+				data, err := json.Marshal(op)
+				if err != nil {
+					t.Fatal(err)
+				}
+				got = append(got, string(data))
+			}
+		}
+		tasks := []machine.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3}}, {Task: wire.Task{Task: "j-1/4", Attempt: 5}},
+			{Task: wire.Task{Task: "j-1/5", Attempt: 6}}, {Task: wire.Task{Task: "j-1/6", Attempt: 7}}}
+		for i := range tasks {
+			tasks[i].State = wire.TaskRunning
+		}
+		for i := range tasks {
+			tasks[i].State, tasks[i].Cause = wire.TaskExited, wire.CauseDone
+			f.show(0, 0, tasks...)
+			if err := f.owner.Record(t.Context()); err != nil {
+				t.Fatal(err)
+			}
+		}
+		f.show(0, 0) // its worker has forgotten the tasks
+		if err := f.owner.Record(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		want := []string{
+			`{"set":"log/000/00001","data":{"seq":6,"j":[{"u":"j-1","d":[2]}]}}`,
+			`{"set":"log/000/00002","data":{"seq":7,"j":[{"u":"j-1","d":[4]}]}}`,
+			`{"set":"task/j-1/00000","data":{"seq":8,"done":"PwAAAAAAAAAAAAAA","next":8,"machines":["n-000000"],"places":[6,7,0],"failed":[1,1,7]}}`,
+			`{"set":"log/000/00003","data":{"seq":8,"j":[{"u":"j-1","d":[5]}]}}`,
+			`{"set":"log/000/00000","data":{"seq":9,"j":[{"u":"j-1","d":[6]}]}}`,
+			`{"set":"final/j-1","data":{"stage":"cancelled","done":6,"end":{"n":100,"s":"FAILED","x":7,"f":1,"b":946684800000,"e":946684800000}}}`,
+			`{"drop":"live/j-1"}`,
+			`{"drop":"task/j-1/00000"}`,
+		}
+		if !slices.Equal(got, want) {
+			t.Errorf("written:\n%s\nwant:\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		}
+	})
+}
--- a/internal/owner/recorded_test.go
+++ b/internal/owner/recorded_test.go
@@ -1,7 +1,9 @@
 package owner
 
 import (
+	"os"
 	"slices"
+	"strings"
 	"testing"
 
 	"github.com/goccy/go-json"
@@ -51,6 +53,36 @@
 	recorded.Check(t, "log-none", logRecord{})
 }
 
+// Each record of a shard that an owner wrote is read, and written again as it was.
+func TestRecordedShardIsWrittenAgain(t *testing.T) {
+	data, err := os.ReadFile("testdata/recorded/shard.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var shard wire.Items
+	if err := json.Unmarshal(data, &shard); err != nil {
+		t.Fatal(err)
+	}
+	written := map[string]int{}
+	for _, item := range shard.Items {
+		prefix, _, _ := strings.Cut(item.Key, "/")
+		record := map[string]any{"live": &liveRecord{}, "final": &finalRecord{}, "task": &chunkRecord{}, "log": &logRecord{}, "number": &jobid.Job{}}[prefix]
+		if record == nil {
+			continue // accounting, which is not JSON within
+		}
+		if err := json.Unmarshal(item.Value, record); err != nil {
+			t.Errorf("%s: %v", item.Key, err)
+		}
+		if again, err := json.Marshal(record); err != nil || string(again) != string(item.Value) {
+			t.Errorf("%s: written as %s, %v; want %s", item.Key, again, err, item.Value)
+		}
+		written[prefix]++
+	}
+	if written["live"] != 1 || written["final"] != 1 || written["task"] != 1 || written["log"] != 3 || written["number"] != 2 {
+		t.Errorf("records %v", written)
+	}
+}
+
 // What a user submitted is stored as the job's part of its record.
 func TestSubmissionIsStoredAsItWasSent(t *testing.T) {
 	recorded.CheckFull(t, "job-full", fullJob())
