--- a/internal/owner/recorded_test.go
+++ b/internal/owner/recorded_test.go
@@ -1,6 +1,7 @@
 package owner
 
 import (
+	"context"
 	"os"
 	"slices"
 	"strings"
@@ -83,6 +84,26 @@
 	}
 }
 
+// listed is what a listing of the state service gives.
+type listed []wire.Item
+
+func (l listed) List(context.Context, string) ([]wire.Item, uint64, error) { return l, 0, nil }
+
+// Cancels are found in recorded jobs without reading all of them in full.
+func TestRecordedCancelsAreFound(t *testing.T) {
+	var items listed
+	for _, name := range []string{"live-full", "live-none"} {
+		data, err := os.ReadFile("testdata/recorded/" + name + ".json")
+		if err != nil {
+			t.Fatal(err)
+		}
+		items = append(items, wire.Item{Key: "live/" + name, Value: data})
+	}
+	if uids, err := Cancelled(t.Context(), items); err != nil || !slices.Equal(uids, []string{"j-000412"}) {
+		t.Errorf("cancelled are %q, %v", uids, err)
+	}
+}
+
 // What a user submitted is stored as the job's part of its record.
 func TestSubmissionIsStoredAsItWasSent(t *testing.T) {
 	recorded.CheckFull(t, "job-full", fullJob())
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
+	"regexp"
 	"sort"
 	"strconv"
 	"strings"
@@ -203,3 +204,30 @@
 		})
 	}
 }
+
+// Answers to clients in full: lists with their lines, numbers, refusals.
+func TestAnswersKeepTheirBytes(t *testing.T) {
+	s := &site{jobs: []listing.Info{{Job: wire.Job{UID: "j-1"}, Terms: &terms.Terms{Number: 4}, Stage: wire.StageQueued}}}
+	s.keys, s.pages = []string{"acct/20261130/7-1"}, map[string]string{"acct/20261130/7-1": "1:AAAA"}
+	h := s.handler(1000)
+	const job = `{"job":{"uid":"j-1","docket":"","crew":"","sort":"","urgency":"","pieces":0,"cpus":0,"cards":0,"memoryGb":0,"kit":"","pullGb":0,"reckonS":0},` +
+		`"terms":{"n":4},"at":0,"stage":"queued","queued":0,"running":0,"done":0}`
+	for _, c := range []struct{ method, path, body, want string }{
+		{"GET", "/slurm/jobs", "", "{\"jobs\":[\n" + job + "\n],\"next\":null,\"now\":NOW}\n"},
+		{"GET", "/accounting/20261130", "", "{\"pages\":[\n\"1:AAAA\"\n],\"next\":\"\"}\n"},
+		{"POST", "/slurm/numbers", `{"count":3}`, `{"uid":"","first":1,"tasks":3}`},
+		{"GET", "/slurm/jobs/j-2", "", `{"error":"no such job"}`},
+		{"POST", "/slurm/jobs/j-1/drop", `{"tasks":"0-3"}`, `{"error":"can't be done"}`},
+		{"GET", "/slurm/site", "", `{"cluster":"c","accounting":false,"partition":"","account":"","partitions":null,"accounts":null,"zones":null,"types":null}`},
+	} {
+		w := httptest.NewRecorder()
+		h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+		got := nowOf.ReplaceAllString(w.Body.String(), `"now":NOW`)
+		got = strings.Replace(got, `"now":NOW,"next":null`, `"next":null,"now":NOW`, 1) // their order is free
+		if got != c.want {
+			t.Errorf("%s %s %s: %q, want %q", c.method, c.path, c.body, got, c.want)
+		}
+	}
+}
+
+var nowOf = regexp.MustCompile(`"now":[0-9]+`)
