--- /dev/null
+++ b/internal/machine/recorded_test.go
@@ -0,0 +1,82 @@
+package machine_test
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// checkRecorded checks that a message that was recorded reads as want, and that want is
+// still written with the very bytes that were recorded.
+func checkRecorded[T any](t *testing.T, file string, want T) {
+	t.Helper()
+	recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got T
+	if err := json.Unmarshal(recorded, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%s reads as %+v, %v; it was %+v", file, got, err, want)
+	}
+	if data, err := json.Marshal(want); err != nil || string(data)+"\n" != string(recorded) {
+		t.Errorf("%s is written as\n%s, %v; it was\n%s", file, data, err, recorded)
+	}
+}
+
+// Directions to holders, grants and views keep the form in which controllers send them.
+func TestRecorded(t *testing.T) {
+	ref := machine.Ref{Machine: "n-000231", Task: "j-000400/7", Attempt: 3}
+	shape := placement.Shape{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
+	checkRecorded(t, "direction_full.json", machine.Direction{
+		From:       "c1",
+		Assign:     []machine.Entry{{Ref: ref, Owner: "c1", Shape: shape, Run: 900.5, Fetch: 18.25, Rank: 2, DueAt: 1234.5, Listed: true}},
+		Halt:       []machine.Halt{{Ref: ref, GraceS: 12.5}},
+		Clear:      []machine.Clear{{Ref: ref, Token: 41}},
+		RaiseAbove: 42,
+	})
+	checkRecorded(t, "direction_empty.json", machine.Direction{})
+	checkRecorded(t, "entry_empty.json", machine.Entry{})
+	checkRecorded(t, "halt_empty.json", machine.Halt{})
+	checkRecorded(t, "clear_empty.json", machine.Clear{})
+	checkRecorded(t, "unlaunched_full.json", machine.Unlaunched{Refs: []machine.Ref{ref}, Token: 41})
+	checkRecorded(t, "unlaunched_empty.json", machine.Unlaunched{})
+	checkRecorded(t, "grant_requests_full.json", []machine.GrantRequest{{Ref: ref, Holder: "c2", Token: 41, Session: 2}})
+	checkRecorded(t, "grant_requests_empty.json", []machine.GrantRequest{{}})
+	checkRecorded(t, "grant_replies_full.json", []machine.GrantReply{{OK: true, Drop: true}})
+	checkRecorded(t, "grant_replies_empty.json", []machine.GrantReply{{}})
+}
+
+// A view keeps its form; what it says of sameness stays here.
+func TestRecordedView(t *testing.T) {
+	notice, exit := 30.5, 137
+	view := machine.View{
+		Name: "n-000231", Type: "g8", Zone: "a", Spot: true, Session: 2, Seq: 1088, Token: 41, Holder: "c2", Endpoint: "10.1.0.232:9000",
+		AgeS: 0.5, UnansweredS: 1.25, NoticeS: &notice, Draining: true, Asked: true,
+		Tasks: []machine.TaskView{{
+			Task: wire.Task{Task: "j-000400/7", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseError, Saved: true, Exit: &exit},
+			ForS: 7.75, Unknown: true,
+		}},
+		Queue:  []machine.QueueView{{Ref: machine.Ref{Machine: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
+		Matrix: placement.Matrix{{Wait: 20.5, Free: placement.Shape{CPUs: 4, GPUs: 1, MemoryGB: 8.25}}},
+	}
+	checkRecorded(t, "view_full.json", view)
+	checkRecorded(t, "view_empty.json", machine.View{})
+	checkRecorded(t, "task_view_empty.json", machine.TaskView{})
+	checkRecorded(t, "queue_view_empty.json", machine.QueueView{})
+	same := view
+	same.Same = true
+	plain, err := json.Marshal(view)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if data, err := json.Marshal(same); err != nil || string(data) != string(plain) {
+		t.Errorf("sameness is sent: %s, %v", data, err)
+	}
+}
