--- /dev/null
+++ b/cmd/wallrack/recorded_test.go
@@ -0,0 +1,241 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/goccy/go-json"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/description"
+	"github.com/wallrack/wallrack/internal/intake"
+	"github.com/wallrack/wallrack/internal/links"
+	"github.com/wallrack/wallrack/internal/listing"
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/slurmapi"
+	"github.com/wallrack/wallrack/internal/slurmtask"
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// checkRecorded checks that a message that was recorded reads as want, and that want is
+// still written with the very bytes that were recorded.
+func checkRecorded[T any](t *testing.T, file string, want T) {
+	t.Helper()
+	recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got T
+	if err := json.Unmarshal(recorded, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%s reads as %+v, %v; it was %+v", file, got, err, want)
+	}
+	if data, err := json.Marshal(want); err != nil || string(data)+"\n" != string(recorded) {
+		t.Errorf("%s is written as\n%s, %v; it was\n%s", file, data, err, recorded)
+	}
+}
+
+// The mesh's methods keep the names under which other controllers call them.
+func TestRecordedMethods(t *testing.T) {
+	for _, method := range []struct{ is, was string }{
+		{methodPing, "Ping"}, {methodForward, "Forward"}, {methodStore, "Store"}, {methodSeen, "Seen"}, {methodPublish, "Views"},
+		{methodDirect, "Direct"}, {methodGrants, "Grants"}, {methodUser, "User"}, {methodVouch, "Vouch"}, {methodCancels, "Cancels"},
+		{methodDemand, "Demand"}, {methodGone, "Gone"}, {methodList, "Machines"},
+		{methodSlurm, "Desk"}, {methodFacts, "Facts"}, {methodEarlier, "Earlier"}, {methodRollouts, "Rollouts"},
+	} {
+		if method.is != method.was {
+			t.Errorf("the method %q is called %q", method.was, method.is)
+		}
+	}
+}
+
+// A controller with all that can be switched on serves every method by its recorded name:
+// a message that can't be read is refused for that, not for want of the method.
+func TestRecordedMethodsServed(t *testing.T) {
+	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	here := lis.Addr().String()
+	_ = lis.Close()
+	m, err := mesh.New(map[string]string{"here": here})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer m.Close()
+	log := slog.New(slog.DiscardHandler)
+	n := &node{cfg: &config.Platform{}, mesh: m, owner: &owner.Owner{}, intake: &intake.Intake{}, log: log}
+	n.handle()
+	n.handleDemand()
+	n.slurm(&slurmapi.Settings{}, nil, http.NewServeMux())
+	n.newRollouts(&rollout.Settings{})
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+	served := make(chan struct{})
+	go func() { defer close(served); _ = m.Serve(ctx, here) }()
+	defer func() { cancel(); <-served }()
+	answer := func(method string) codes.Code {
+		for {
+			unreadable := 5 // no message is a number
+			_, err := mesh.Call[int, json.RawMessage](ctx, m, "here", method, &unreadable)
+			if refused, _ := mesh.Unanswered(err); !refused || ctx.Err() != nil {
+				return status.Code(err)
+			}
+			time.Sleep(10 * time.Millisecond) // it does not listen yet
+		}
+	}
+	if code := answer("NoSuch"); code != codes.Unimplemented {
+		t.Fatalf("a method that is not served: %v", code)
+	}
+	for _, method := range []string{"Ping", "Forward", "Store", "Seen", "Views", "Direct", "Grants", "User", "Vouch", "Cancels",
+		"Demand", "Gone", "Machines", "Desk", "Facts", "Earlier", "Rollouts"} {
+		if code := answer(method); code != codes.Internal {
+			t.Errorf("%s: %v", method, code)
+		}
+	}
+}
+
+func fullCancels() cancels.Message {
+	return cancels.Message{
+		Life: 9001, Stamp: 65000123, EchoLife: 9002, Echo: 64000123, Armed: true, Ack: 7, First: 5, News: []string{"j-000400", "j-000401"}, More: true,
+	}
+}
+
+func fullRow() links.Row {
+	return links.Row{
+		Node: "c1", Born: 1700000000123, Seq: 77, State: true, Held: true, Owns: true, Chief: "c2", Cloud: true,
+		Reports: 120, Expected: 130.5, Lacks: []string{"c3"}, Sample: []string{"10.1.0.232:9000"}, Tried: true, Reaches: 0.75,
+		Seats: []links.Seat{{Node: "c2", Share: 400.5}}, Room: 900, Here: 850, Heard: links.NewNames([]string{"n-000231", "n-000232"}, 64),
+	}
+}
+
+// What controllers tell each other of links, machines and cancels keeps its form.
+func TestRecordedLinks(t *testing.T) {
+	told := fullCancels()
+	checkRecorded(t, "ping_full.json", pingMessage{Row: fullRow(), Cancels: &told, Passed: []links.Relayed{{Row: fullRow(), AgeS: 1.25}}})
+	checkRecorded(t, "ping_empty.json", pingMessage{})
+	checkRecorded(t, "forward_full.json", forwardMessage{To: "c2", Method: "Gone", Body: json.RawMessage(`{"machines":["n-000231"]}`)})
+	checkRecorded(t, "forward_empty.json", forwardMessage{Body: json.RawMessage("null")})
+	checkRecorded(t, "seen_full.json", seenMessage{Machine: "n-000231", Endpoint: "10.1.0.232:9000", Deaf: true})
+	checkRecorded(t, "seen_empty.json", seenMessage{})
+	checkRecorded(t, "seen_reply_full.json", seenReply{Lives: true})
+	checkRecorded(t, "seen_reply_empty.json", seenReply{})
+	checkRecorded(t, "vouch_full.json", vouchMessage{Machines: []string{"n-000231", "n-000232"}})
+	checkRecorded(t, "vouch_empty.json", vouchMessage{})
+	checkRecorded(t, "vouch_reply_full.json", vouchReply{Unanswered: []float64{50.25, 61.5}})
+	checkRecorded(t, "vouch_reply_empty.json", vouchReply{})
+	checkRecorded(t, "gone_full.json", goneMessage{Machines: []string{"n-000231", "n-000232"}})
+	checkRecorded(t, "gone_empty.json", goneMessage{})
+	checkRecorded(t, "nothing.json", nothing{})
+	checkRecorded(t, "cancels_full.json", cancelsMessage{From: "c1", Message: told})
+	checkRecorded(t, "cancels_empty.json", cancelsMessage{})
+	checkRecorded(t, "cancels_reply_full.json", told)
+	checkRecorded(t, "cancels_reply_empty.json", cancels.Message{})
+}
+
+// What is passed on to the state service, and its answer, keep their form.
+func TestRecordedStore(t *testing.T) {
+	checkRecorded(t, "store_full.json", statestore.Passed{Method: "POST", Path: "/store/txn", Body: []byte(`{"guards":[]}`), Writes: 3, Lane: statestore.Urgent})
+	checkRecorded(t, "store_empty.json", statestore.Passed{})
+	checkRecorded(t, "store_reply_full.json", statestore.Answered{Status: 200, Body: []byte(`{"ledger":99}`)})
+	checkRecorded(t, "store_reply_empty.json", statestore.Answered{})
+}
+
+func fullJob() wire.Job {
+	zone, due := "b", 3600.5
+	return wire.Job{
+		UID: "j-000400", Class: "batch", Team: "vision", Kind: wire.KindGang, Priority: "urgent", Tasks: 8,
+		CPUs: 2.5, GPUs: 1, MemoryGB: 12.25, Image: "trainer:7", ImageGB: 4.5, Types: []string{"g8", "g16"}, Zone: &zone,
+		OneZone: true, Spread: true, Spot: true, Estimate: 900.25, MarkS: 60, SaveS: 7.5, DueS: &due,
+	}
+}
+
+// What owners tell of the work that waits, and of machines, keeps its form.
+func TestRecordedDemand(t *testing.T) {
+	job, shape := fullJob(), placement.Shape{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
+	checkRecorded(t, "demand_full.json", demandMessage{Boot: 90.5})
+	checkRecorded(t, "demand_empty.json", demandMessage{})
+	checkRecorded(t, "demand_reply_full.json", demandReply{
+		Demand: []owner.Demand{{Shape: shape, Job: &job, Count: 5, Run: 900.25, Rank: 2, Slack: 30.5}},
+		Loads: []owner.Load{{
+			Name: "n-000231", Type: "g8", Zone: "a", Spot: true, Notice: true, Faulty: true,
+			Matrix: placement.Matrix{{Wait: 20.5, Free: placement.Shape{CPUs: 4, GPUs: 2, MemoryGB: 8.25}}}, Used: shape,
+			Heard: time.Date(2026, 3, 4, 5, 6, 7, 123456789, time.UTC), Existed: time.Date(2026, 3, 4, 5, 6, 8, 0, time.UTC), Places: 3,
+		}},
+		Suspects: map[string]string{"n-000232": "silent"}, Admitted: 12345.5,
+	})
+	checkRecorded(t, "demand_reply_empty.json", demandReply{})
+	checkRecorded(t, "demand_reply_plain.json", demandReply{Demand: []owner.Demand{{}}, Loads: []owner.Load{{}}, Suspects: map[string]string{}})
+	checkRecorded(t, "machines_full.json", []wire.MachineInfo{{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, HeardS: 1.25}})
+	checkRecorded(t, "machines_empty.json", []wire.MachineInfo{})
+}
+
+func fullTerms() *terms.Terms {
+	return &terms.Terms{
+		Number: 4001, Name: "train", User: "ada", Array: "0-15:2", Most: 4, Held: true, BeginMs: 1700000000123, DeadlineMs: 1700000600123,
+		LimitS: 900.5, Final: true, Any: true, After: []terms.Dep{{Kind: "after", Job: "j-000399", Number: 3990, DelayS: 60}},
+		KillNever: true, Dropped: "3,5", Why: "TIMEOUT",
+	}
+}
+
+// What owners tell for Slurm-style clients keeps its form.
+func TestRecordedSlurm(t *testing.T) {
+	checkRecorded(t, "facts_full.json", factsMessage{UID: "j-000400", Name: "train", User: "ada", Number: 4001})
+	checkRecorded(t, "facts_empty.json", factsMessage{})
+	checkRecorded(t, "facts_reply_full.json", factsReply{
+		Known: true, Facts: terms.Facts{Started: true, StartedMs: 1700000000123, Over: true, OK: true}, Earlier: true,
+	})
+	checkRecorded(t, "facts_reply_empty.json", factsReply{})
+	cursor := listing.Cursor{Number: 4001, On: 20, Task: 7}
+	checkRecorded(t, "desk_full.json", slurmapi.Request{Verb: "drop", UID: "j-000400", From: cursor, Tasks: "3,5"})
+	checkRecorded(t, "desk_empty.json", slurmapi.Request{})
+	checkRecorded(t, "desk_reply_full.json", slurmapi.Reply{
+		Status: 200, Why: "no such job is waiting or running", Next: &cursor,
+		Jobs: []listing.Info{{
+			Job: fullJob(), Terms: fullTerms(), AtMs: 1700000000123, Stage: wire.StageRunning, Reason: "Resources", Eligible: 1700000001123,
+			StartMs: 1700000002123, Waiting: "4-7", Queued: 4, On: []listing.On{{Task: 3, Attempt: 2, Machine: "n-000231", StartMs: 1700000003123, Ending: true}},
+			Running: 1, Done: 2, Failed: 6, Ending: &terms.Ending{Number: 4001, State: "FAILED", Exit: 137, Failed: 6, StartMs: 1700000002123, EndMs: 1700000009123},
+		}},
+	})
+	checkRecorded(t, "desk_reply_empty.json", slurmapi.Reply{})
+}
+
+// What the leading controller tells of roll-outs keeps its form.
+func TestRecordedRollouts(t *testing.T) {
+	version := rollout.Version{Name: "v7", Desc: description.Description{
+		Argv: []string{"serve"}, Env: map[string]string{"MODE": "fast"}, Dir: "/srv", Script: "#!/bin/sh", Args: []string{"-v"},
+		CPUs: 2.5, GPUs: 1, MemoryGB: 12.25,
+		Slurm: &slurmtask.Context{Number: 4001, Tasks: 8, Array: "0-7", Name: "train", User: "ada", Output: "o-%j", Error: "e-%j", Step: true, Cluster: "north"},
+	}}
+	batches := func(uid string) []rollout.Batch { return []rollout.Batch{{UID: uid, Replicas: 3, Version: "v7"}} }
+	checkRecorded(t, "rollouts_full.json", []rollout.Status{{
+		Service: rollout.Service{Name: "front", Replicas: 6, Template: fullJob(), Version: version, Batches: batches("j-000500")},
+		Run: &rollout.Run{
+			ID: 2,
+			Spec: rollout.Spec{
+				Service: "front", To: version, Steps: []string{"1", "50%"},
+				Check: rollout.Check{HTTP: "/up", TCP: true, EveryS: 2.5, TimeoutS: 1.5, Healthy: 2, Unhealthy: 3, Tries: 4},
+				SoakS: 30.5, PlaceS: 120.5, OnFail: rollout.OnFailPause, Anytime: true, Template: fullJob(), Replicas: 7,
+			},
+			From: version, Targets: []int{1, 3}, Step: 1, Phase: rollout.Paused, Resume: rollout.Soaking, Why: "by an operator", Outcome: rollout.Restored,
+			New: batches("j-000501"), Old: batches("j-000502"), Restore: batches("j-000503"), Drop: batches("j-000504"),
+			Lost: 1, Seq: 9, Since: 1700000000123, Verdict: 1700000001123, Begun: 1700000002123, Ended: 1700000003123,
+		},
+		Jobs: map[string]rollout.JobSeen{"j-000501": {Gone: true, Running: 3, Healthy: 2, Unhealthy: "j-000501/1", Hung: "j-000501/2"}},
+	}})
+	checkRecorded(t, "rollouts_plain.json", []rollout.Status{{}})
+	checkRecorded(t, "rollouts_empty.json", []rollout.Status{})
+}
--- /dev/null
+++ b/internal/mesh/recorded_test.go
@@ -0,0 +1,105 @@
+package mesh_test
+
+import (
+	"context"
+	"net"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/grpc/metadata"
+
+	"github.com/wallrack/wallrack/internal/mesh"
+)
+
+// rawCodec carries messages as the bytes that they are.
+type rawCodec struct{}
+
+func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
+func (rawCodec) Unmarshal(data []byte, v any) error {
+	*v.(*[]byte) = append([]byte(nil), data...)
+	return nil
+}
+func (rawCodec) Name() string { return "json" }
+
+const (
+	recordedMethod  = "/wallrack.Mesh/Shout"
+	recordedContent = "application/grpc+json"
+	recordedRequest = `{"text":"hey \u003cyou\u003e"}`
+	recordedReply   = `{"text":"HEY"}`
+)
+
+// A call is sent under the names, and in the bytes, that other controllers know.
+func TestRecordedCall(t *testing.T) {
+	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var method, content, request string
+	srv := grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(func(_ any, stream grpc.ServerStream) error {
+		method, _ = grpc.MethodFromServerStream(stream)
+		if md, _ := metadata.FromIncomingContext(stream.Context()); len(md["content-type"]) > 0 {
+			content = md["content-type"][0]
+		}
+		var body []byte
+		if err := stream.RecvMsg(&body); err != nil {
+			return err
+		}
+		request, body = string(body), []byte(recordedReply)
+		return stream.SendMsg(&body)
+	}))
+	go func() { _ = srv.Serve(lis) }() // until it is stopped
+	defer srv.Stop()
+	m, err := mesh.New(map[string]string{"a": lis.Addr().String()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer m.Close()
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	defer cancel()
+	reply, err := mesh.Call[note, note](ctx, m, "a", "Shout", &note{"hey <you>"})
+	if err != nil || reply.Text != "HEY" {
+		t.Fatalf("%+v, %v", reply, err)
+	}
+	if method != recordedMethod || content != recordedContent || request != recordedRequest {
+		t.Errorf("sent as %s, %s: %s", method, content, request)
+	}
+}
+
+// A call by the names, and in the bytes, that other controllers send is answered in those
+// that they know.
+func TestRecordedAnswer(t *testing.T) {
+	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	here := lis.Addr().String()
+	_ = lis.Close()
+	m, err := mesh.New(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer m.Close()
+	var got string
+	mesh.Handle(m, "Shout", func(_ context.Context, n *note) (*note, error) {
+		got = n.Text
+		return &note{"HEY"}, nil
+	})
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	served := make(chan struct{})
+	go func() { defer close(served); _ = m.Serve(ctx, here) }()
+	defer func() { cancel(); <-served }()
+	conn, err := grpc.NewClient("passthrough:///"+here, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	request, reply := []byte(recordedRequest), []byte(nil)
+	if err := conn.Invoke(ctx, recordedMethod, &request, &reply, grpc.ForceCodec(rawCodec{}), grpc.WaitForReady(true)); err != nil {
+		t.Fatal(err)
+	}
+	if got != "hey <you>" || string(reply) != recordedReply {
+		t.Errorf("read as %q, answered by %s", got, reply)
+	}
+}
--- /dev/null
+++ b/internal/worker/recorded_test.go
@@ -0,0 +1,155 @@
+package worker_test
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/description"
+	"github.com/wallrack/wallrack/internal/wire"
+	"github.com/wallrack/wallrack/internal/worker"
+)
+
+// checkRecorded checks that a message that was recorded reads as want, and that want is
+// still written with the very bytes that were recorded.
+func checkRecorded[T any](t *testing.T, file string, want T) {
+	t.Helper()
+	recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got T
+	if err := json.Unmarshal(recorded, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%s reads as %+v, %v; it was %+v", file, got, err, want)
+	}
+	if data, err := json.Marshal(want); err != nil || string(data)+"\n" != string(recorded) {
+		t.Errorf("%s is written as\n%s, %v; it was\n%s", file, data, err, recorded)
+	}
+}
+
+func recordedMachine() *worker.Machine {
+	id := worker.Ident{Name: "n-000231", Endpoint: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Lease: time.Hour}
+	return worker.New(id, &site{}, &site{}, func() {}, quiet)
+}
+
+// A worker's reports keep their form.
+func TestRecordedReport(t *testing.T) {
+	m := recordedMachine()
+	defer m.Close()
+	checkRecorded(t, "report_idle.json", *m.Report())
+	checkRecorded(t, "report_task.json", wire.Report{
+		Machine: "n-000231", Endpoint: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Seq: 2, Token: 41,
+		Tasks: []wire.Task{{Task: "odd", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseUnknown}},
+	})
+}
+
+// A worker understands the recorded requests, and answers by the recorded bytes.
+func TestRecordedRequests(t *testing.T) {
+	m := recordedMachine()
+	defer m.Close()
+	m.Report() // number 1, see report_idle.json
+	handler := (&worker.Agent{Machine: m, Log: quiet}).Handler()
+	for _, c := range []struct {
+		method, path, body string
+		status             int
+		answer             string
+	}{
+		{"POST", "/orders", `{"baton":41,"stint":1,"orders":[{"verb":"launch","piece":"odd","try":3}]}`, http.StatusOK, "report_task.json"},
+		{"POST", "/orders", `{"baton":40,"stint":1,"orders":[]}`, http.StatusConflict, "report_refused.json"},
+		{"POST", "/orders", `{"baton":41,"stint":1,"orders":[{"verb":"clear","piece":"odd","try":3}]}`, http.StatusOK, "report_cleared.json"},
+		{"GET", "/show", "", http.StatusOK, "report_shown.json"},
+		{"POST", "/orders", `{"orders":[]}`, http.StatusBadRequest, "orders_malformed.json"},
+		{"GET", "/check/j-1/0/3?timeoutMs=100&tcp=1", "", http.StatusNotFound, "check_no_ports.json"},
+		{"GET", "/check/j-1/0/3?timeoutMs=100", "", http.StatusBadRequest, "check_malformed.json"},
+	} {
+		w := httptest.NewRecorder()
+		handler.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+		recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", c.answer))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if w.Code != c.status || w.Body.String()+"\n" != string(recorded) || w.Header().Get("Content-Type") != "application/json" {
+			t.Errorf("%s %s %s: %d %s; it was %d %s", c.method, c.path, c.body, w.Code, w.Body, c.status, recorded)
+		}
+	}
+}
+
+// A check of a task that runs is answered by the recorded bytes; nothing listens at its port.
+func TestRecordedCheck(t *testing.T) {
+	p := processes(t, t.TempDir())
+	if _, err := p.Start("j-1/0", 3, &description.Description{Argv: []string{"sleep", "600"}, CPUs: 1}, func(int) {}); err != nil {
+		t.Fatal(err)
+	}
+	handler := (&worker.Agent{Machine: recordedMachine(), Processes: p, Log: quiet}).Handler()
+	w := httptest.NewRecorder()
+	handler.ServeHTTP(w, httptest.NewRequest("GET", "/check/j-1/0/3?timeoutMs=5000&http=/up", nil))
+	if w.Code != http.StatusOK || w.Body.String() != `{"outcome":"unhealthy"}` {
+		t.Errorf("answered %d %s", w.Code, w.Body)
+	}
+}
+
+// A worker sends its report by the recorded request, and does what the recorded answers say:
+// here to report to another controller, and there to begin a task.
+func TestRecordedExchange(t *testing.T) {
+	reports := make(chan string, 1)
+	there := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body) // the check below says it
+		select {
+		case reports <- r.Method + " " + r.URL.Path + " " + r.Header.Get("Content-Type") + " " + string(body):
+		default:
+		}
+		_, _ = io.WriteString(w, `{"baton":41,"orders":[{"verb":"launch","piece":"odd","try":3}]}`)
+	}))
+	defer there.Close()
+	here := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusMisdirectedRequest)
+		_, _ = io.WriteString(w, `{"foreman":"there"}`)
+	}))
+	defer here.Close()
+	m := recordedMachine()
+	defer m.Close()
+	agent := &worker.Agent{Machine: m, ReportEvery: time.Hour, Log: quiet, Controllers: []worker.Controller{
+		{Name: "here", Addr: here.Listener.Addr().String()}, {Name: "there", Addr: there.Listener.Addr().String()}}}
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() { ended <- agent.Run(ctx) }()
+	defer func() { cancel(); <-ended }()
+	report := regexp.MustCompile(`^POST /v1/report application/json ` +
+		`\{"bench":"n-000231","endpoint":"10\.1\.0\.232:9000","build":"g8","yard":"a","loaners":true,"stint":1,"tally":[12],"baton":0,"warningS":null,"pieces":\[\]\}$`)
+	select {
+	case got := <-reports:
+		if !report.MatchString(got) {
+			t.Errorf("reported %s", got)
+		}
+	case <-time.After(20 * time.Second):
+		t.Fatal("no report")
+	}
+	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+		if r := m.Report(); r.Token == 41 && len(r.Tasks) == 1 && r.Tasks[0].Task == "odd" && r.Tasks[0].Attempt == 3 {
+			return
+		} else if time.Since(start) > 20*time.Second {
+			t.Fatalf("the recorded answer was not carried out: %+v", r)
+		}
+	}
+}
+
+// The outcomes of checks are part of their answer's form.
+func TestRecordedOutcomes(t *testing.T) {
+	for _, words := range []struct{ is, was string }{
+		{worker.CheckHealthy, "healthy"}, {worker.CheckUnhealthy, "unhealthy"}, {worker.CheckHung, "hung"},
+	} {
+		if words.is != words.was {
+			t.Errorf("the outcome %q is sent as %q", words.was, words.is)
+		}
+	}
+}
