--- a/internal/owner/demand.go
+++ b/internal/owner/demand.go
@@ -10,12 +10,12 @@
 
 // Demand is work that waits.
 type Demand struct {
-	Shape placement.Shape
-	Job   *wire.Job
-	Count int
-	Run   float64
-	Rank  int
-	Slack float64 // how long it may wait and still meet an aim that a new machine can help with
+	Shape placement.Shape `json:"Shape"`
+	Job   *wire.Job       `json:"Job"`
+	Count int             `json:"Count"`
+	Run   float64         `json:"Run"`
+	Rank  int             `json:"Rank"`
+	Slack float64         `json:"Slack"` // how long it may wait and still meet an aim that a new machine can help with
 }
 
 // demandKey is what makes waiting work alike for planning.
@@ -166,13 +166,17 @@
 
 // Load is a machine as fleet planning sees it.
 type Load struct {
-	Name, Type, Zone     string
-	Spot, Notice, Faulty bool
-	Matrix               placement.Matrix
-	Used                 placement.Shape
-	Heard                time.Time
-	Existed              time.Time // when it was last heard, or when this owner took over what it knows of it
-	Places               int
+	Name    string           `json:"Name"`
+	Type    string           `json:"Type"`
+	Zone    string           `json:"Zone"`
+	Spot    bool             `json:"Spot"`
+	Notice  bool             `json:"Notice"`
+	Faulty  bool             `json:"Faulty"`
+	Matrix  placement.Matrix `json:"Matrix"`
+	Used    placement.Shape  `json:"Used"`
+	Heard   time.Time        `json:"Heard"`
+	Existed time.Time        `json:"Existed"` // when it was last heard, or when this owner took over what it knows of it
+	Places  int              `json:"Places"`
 }
 
 // Leads reports whether this owner leads the fleet: it owns the first shard.
