--- /dev/null
+++ b/internal/config/testdata/recorded/out-of-range.sexp
@@ -0,0 +1,1 @@
+(wallrack (lease-s 1))
--- a/internal/lowerbound/lowerbound.go
+++ b/internal/lowerbound/lowerbound.go
@@ -29,8 +29,26 @@
 // Work is what the job needs, in CPU-seconds.
 func (j *Job) Work() float64 { return float64(j.Tasks) * j.CPUs * j.Run }
 
+// The message and the keys that are read of a controller's log, where an owner writes
+// them of each job that ended. Logs are kept for long: if the owner's words change, lines
+// with these are to be read still.
+const (
+	messageEnded = "job ended"
+	keyJob       = "job"
+	keyClass     = "class"
+	keyStage     = "stage"
+	keyArrived   = "arrived_s"
+	keyTook      = "took_s"
+	keyRun       = "run_s"
+	keyLimit     = "limit_s"
+	keyTasks     = "tasks"
+	keyCPUs      = "cpus"
+
+	stageDone = "done"
+)
+
 var (
-	line  = regexp.MustCompile(`msg="job ended"`)
+	line  = regexp.MustCompile(`msg="` + messageEnded + `"`)
 	field = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
 )
 
@@ -49,10 +67,10 @@
 		for _, m := range field.FindAllStringSubmatch(in.Text(), -1) {
 			at[m[1]] = m[2]
 		}
-		if seen[at["job"]] || at["stage"] != "done" {
+		if seen[at[keyJob]] || at[keyStage] != stageDone {
 			continue
 		}
-		seen[at["job"]] = true
+		seen[at[keyJob]] = true
 		var bad error
 		num := func(key string) float64 {
 			v, err := strconv.ParseFloat(at[key], 64)
@@ -61,7 +79,7 @@
 			}
 			return v
 		}
-		j := Job{Class: at["class"], Arrived: num("arrived_s"), Took: num("took_s"), Run: num("run_s"), Limit: num("limit_s"), CPUs: num("cpus"), Tasks: int(num("tasks"))}
+		j := Job{Class: at[keyClass], Arrived: num(keyArrived), Took: num(keyTook), Run: num(keyRun), Limit: num(keyLimit), CPUs: num(keyCPUs), Tasks: int(num(keyTasks))}
 		if bad != nil {
 			return nil, bad
 		}
--- /dev/null
+++ b/internal/lowerbound/recorded_test.go
@@ -0,0 +1,28 @@
+package lowerbound_test
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/wallrack/wallrack/internal/lowerbound"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
+)
+
+// A log of a local site, with limits put in, a class of two words, and one line told by
+// a second owner too: such logs are kept, and are to give what they gave.
+func TestRecordedLog(t *testing.T) {
+	jobs, err := lowerbound.Read(bytes.NewReader(recorded.Read(t, "debug.log")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var text strings.Builder
+	for _, job := range jobs {
+		fmt.Fprintf(&text, "class %s arrived %v took %v run %v limit %v CPUs %v tasks %d\n", job.Class, job.Arrived, job.Took, job.Run, job.Limit, job.CPUs, job.Tasks)
+	}
+	recorded.Compare(t, "jobs.txt", []byte(text.String()))
+	r := lowerbound.Of(jobs, 2, 3)
+	got := fmt.Sprintf("jobs %d work %.3f dear %.3f price %.4f late %v on cheap capacity %v busiest %.3f\n", r.Jobs, r.Work, r.Dear, r.Price, r.Late, r.LateCheap, r.BusiestCPUs)
+	recorded.Compare(t, "bound.txt", []byte(got))
+}
--- /dev/null
+++ b/internal/rollout/testdata/recorded/without-site.sexp
@@ -0,0 +1,1 @@
+(rollouts (slot-class "a"))
--- /dev/null
+++ b/internal/scale/testdata/recorded/out-of-range.sexp
@@ -0,0 +1,1 @@
+(scale (workers 30000))
