--- /dev/null
+++ b/cmd/wallrack/recorded_test.go
@@ -0,0 +1,242 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/alert"
+	"github.com/wallrack/wallrack/internal/client"
+	"github.com/wallrack/wallrack/internal/description"
+	"github.com/wallrack/wallrack/internal/links"
+	"github.com/wallrack/wallrack/internal/lowerbound"
+	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
+	"github.com/wallrack/wallrack/internal/usage"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+func compareAnswer[T any](t *testing.T, name string) {
+	t.Helper()
+	recorded.CompareJSON[T](t, filepath.Join("answers", name), json.Marshal, func(data []byte, v any) error { return json.Unmarshal(data, v) })
+}
+
+// What operators are answered, with every field there.
+func TestRecordedAnswers(t *testing.T) {
+	compareAnswer[alert.Alert](t, "alert.json")
+	compareAnswer[links.Shown](t, "links.json")
+	compareAnswer[[]wire.MachineInfo](t, "machines.json")
+	compareAnswer[owner.Stats](t, "counters.json")
+	compareAnswer[owner.Served](t, "served.json")
+	compareAnswer[usage.Reading](t, "usage.json")
+	compareAnswer[rollout.JobSeen](t, "rollout-job.json")
+	compareAnswer[wire.JobState](t, "job-state.json")
+	compareAnswer[wire.Problem](t, "problem.json")
+}
+
+func TestRecordedRolloutAnswers(t *testing.T) {
+	compareAnswer[[]rollout.Status](t, "rollouts.json")
+	compareAnswer[[]rollout.Run](t, "rollout-history.json")
+}
+
+// A path of the operators' interface and the form of its answers.
+type recordedPath struct {
+	sample string
+	path   string
+	free   []string // objects whose names are not of the form
+}
+
+var recordedPaths = []recordedPath{
+	{"stats.txt", "/ops/stats", []string{"served.class", "served.team", "served.largest", "recovery"}},
+	{"alerts.txt", "/ops/alerts", nil},
+	{"machines.txt", "/ops/machines", nil},
+	{"links.txt", "/ops/links", nil},
+	{"rollouts.txt", "/ops/rollouts", []string{"[].jobs"}},
+	{"rollout.txt", "/ops/rollouts/tips", []string{"jobs"}},
+	{"rollout-history.txt", "/ops/rollouts/tips/history", nil},
+}
+
+// seenShape gathers the lines of a path's answers until all recorded ones were seen. A
+// recorded line that begins with "sometimes" need not be.
+func seenShape(ctx context.Context, t *testing.T, c *client.Client, p recordedPath, wanted []string) (seen []string) {
+	for start := time.Now(); time.Since(start) < 20*time.Second; time.Sleep(100 * time.Millisecond) {
+		answer, err := c.Raw(ctx, p.path)
+		if err != nil {
+			t.Fatalf("%s: %v", p.path, err)
+		}
+		for line := range strings.Lines(string(recorded.Shape(t, answer, p.free...))) {
+			if line = strings.TrimSuffix(line, "\n"); !slices.Contains(seen, line) {
+				seen = append(seen, line)
+			}
+		}
+		if !slices.ContainsFunc(wanted, func(line string) bool { return !optional(line) && !slices.Contains(seen, line) }) {
+			break
+		}
+	}
+	return seen
+}
+
+const sometimes = "sometimes "
+
+func optional(line string) bool { return strings.HasPrefix(line, sometimes) }
+
+func checkShape(ctx context.Context, t *testing.T, c *client.Client, p recordedPath) {
+	t.Helper()
+	wanted := strings.Split(strings.TrimSuffix(string(recorded.Read(t, filepath.Join("paths", p.sample))), "\n"), "\n")
+	seen := seenShape(ctx, t, c, p, wanted)
+	for _, line := range wanted {
+		if !optional(line) && !slices.Contains(seen, line) {
+			t.Errorf("%s: %q is gone", p.path, line)
+		}
+	}
+	for _, line := range seen {
+		if !slices.Contains(wanted, line) && !slices.Contains(wanted, sometimes+line) {
+			t.Errorf("%s: %q is not recorded", p.path, line)
+		}
+	}
+}
+
+// rollOut has a service of one replica rolled out, and waits until it is.
+func rollOut(ctx context.Context, t *testing.T, c *client.Client) {
+	t.Helper()
+	spec := rollout.Spec{Service: "tips", Steps: []string{"100%"}, SoakS: 1, Replicas: 1, Check: rollout.Check{TCP: true, EveryS: 0.3, TimeoutS: 1},
+		Template: wire.Job{Class: "service", Team: "default", Priority: "production", Image: "none"},
+		To:       rollout.Version{Name: "v1", Desc: description.Description{Argv: []string{os.Args[0]}, Env: map[string]string{"TEST_SERVICE": "good"}, CPUs: 1}}}
+	body, err := json.Marshal(spec)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Send(ctx, http.MethodPost, "/ops/rollouts", body); err != nil {
+		t.Fatal(err)
+	}
+	for {
+		var s rollout.Status
+		out, err := c.Raw(ctx, "/ops/rollouts/tips")
+		if err != nil || json.Unmarshal(out, &s) != nil {
+			t.Fatalf("%s, %v", out, err)
+		}
+		if s.Run.Phase == rollout.Done {
+			return
+		}
+		time.Sleep(200 * time.Millisecond)
+	}
+}
+
+// refusals records what is answered to requests that can't be done, and to paths that
+// are none.
+func refusals(t *testing.T, base string) string {
+	t.Helper()
+	var text strings.Builder
+	for _, request := range []string{"GET /ops", "GET /ops/nothing", "POST /ops/stats", "POST /ops/alerts", "POST /ops/machines", "POST /ops/links", "POST /ops/rollouts",
+		"GET /ops/rollouts/none", "GET /ops/rollouts/none/history", "POST /ops/rollouts/none/pause", "POST /ops/rollouts/tips/pause", "POST /ops/rollouts/tips/resume",
+		"POST /ops/rollouts/tips/abort", "POST /ops/rollouts/tips/stop"} {
+		method, path, _ := strings.Cut(request, " ")
+		req, err := http.NewRequestWithContext(t.Context(), method, base+path, strings.NewReader("{}"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp, err := http.DefaultClient.Do(req)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := io.ReadAll(resp.Body)
+		if err := resp.Body.Close(); err != nil {
+			t.Error(err)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&text, "%s\n\t%d %s\n", request, resp.StatusCode, bytes.TrimSpace(body))
+	}
+	return text.String()
+}
+
+// logTo has the site's log written to a file until the test ends.
+func logTo(t *testing.T, path string) {
+	t.Helper()
+	f, err := os.Create(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	before := os.Stderr
+	os.Stderr = f
+	t.Setenv("LOG_LEVEL", "debug")
+	t.Cleanup(func() {
+		os.Stderr = before
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+// A running site answers operators on the recorded paths, in the recorded forms, and
+// logs jobs so that wallrack bound reads them.
+func TestRecordedPaths(t *testing.T) {
+	if testing.Short() {
+		t.Skip("runs real processes")
+	}
+	dir := t.TempDir()
+	log := filepath.Join(dir, "log")
+	logTo(t, log)
+	c, stop := site(t, filepath.Join(dir, "site"))
+	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
+	defer cancel()
+	job := wire.Job{UID: "j-three", Class: "adhoc", Team: "default", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 0.1, Image: "none", Estimate: 1}
+	if _, err := c.Submit(ctx, &job, &description.Description{Argv: []string{"true"}, CPUs: 1}); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Wait(ctx, job.UID); err != nil {
+		t.Fatal(err)
+	}
+	rollOut(ctx, t, c)
+	for _, p := range recordedPaths {
+		checkShape(ctx, t, c, p)
+	}
+	recorded.Compare(t, "refusals.txt", []byte(refusals(t, c.Base)))
+	stop()
+	checkBound(t, log)
+}
+
+func checkBound(t *testing.T, log string) {
+	t.Helper()
+	f, err := os.Open(log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	jobs, err := lowerbound.Read(f)
+	if err != nil || len(jobs) != 1 || jobs[0].Class != "adhoc" || jobs[0].Tasks != 3 || jobs[0].CPUs != 1 || jobs[0].Arrived < 1e9 || jobs[0].Took <= 0 || jobs[0].Run <= 0 {
+		t.Errorf("%+v, %v", jobs, err)
+	}
+}
+
+// wallrack bound prints what it did of a log that was kept.
+func TestRecordedBound(t *testing.T) {
+	var text strings.Builder
+	for _, args := range [][]string{
+		{"bound", "../../internal/lowerbound/testdata/recorded/debug.log", "--cheap-cpus", "2", "--dear", "3"},
+		{"bound", "../../internal/lowerbound/testdata/recorded/debug.log"},
+		{"bound", "missing.log", "--cheap-cpus", "2"},
+		{"bound", "testdata/recorded/empty.log", "--cheap-cpus", "2"},
+	} {
+		cmd := command()
+		cmd.SetOut(&text)
+		cmd.SetArgs(args)
+		if err := cmd.Execute(); err != nil {
+			fmt.Fprintln(&text, err)
+		}
+		fmt.Fprintln(&text)
+	}
+	recorded.Compare(t, "bound.txt", []byte(text.String()))
+}
--- a/internal/rollout/engine.go
+++ b/internal/rollout/engine.go
@@ -15,11 +15,11 @@
 
 // JobSeen is what is known of a batch's job now.
 type JobSeen struct {
-	Gone      bool // it is cancelled, or was never accepted and never will be
-	Running   int
-	Healthy   int
-	Unhealthy string // a replica found unhealthy, or ""
-	Hung      string // a replica whose checks hang, or ""
+	Gone      bool   `json:"Gone"` // it is cancelled, or was never accepted and never will be
+	Running   int    `json:"Running"`
+	Healthy   int    `json:"Healthy"`
+	Unhealthy string `json:"Unhealthy"` // a replica found unhealthy, or ""
+	Hung      string `json:"Hung"`      // a replica whose checks hang, or ""
 }
 
 // Seen is what is known now.
