--- /dev/null
+++ b/internal/client/recorded_test.go
@@ -0,0 +1,82 @@
+package client_test
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/client"
+	"github.com/wallrack/wallrack/internal/description"
+	"github.com/wallrack/wallrack/internal/listing"
+	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// requests notes what it is asked, and answers with an object that suits all.
+type requests struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (r *requests) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	body, _ := io.ReadAll(req.Body) // what came is compared
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	fmt.Fprintf(&r.text, "%s %s\n\t%s\n", req.Method, req.RequestURI, body)
+	_, _ = io.WriteString(w, `{"uid":"j-1","stage":"done","first":7}`) // a client that left sees nothing
+}
+
+// The paths, query and bodies of all that a client asks.
+func TestRecordedRequests(t *testing.T) {
+	r := &requests{}
+	srv := httptest.NewServer(r)
+	defer srv.Close()
+	c, ctx := client.New(srv.URL), t.Context()
+	var job wire.Job
+	var with terms.Terms
+	var what description.Description
+	recorded.Fill(&job)
+	recorded.Fill(&with)
+	recorded.Fill(&what)
+	job.UID = "j-1"
+	check := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Error(err)
+		}
+	}
+	_, err := c.Submit(ctx, &job, &what)
+	check(err)
+	_, err = c.SubmitWith(ctx, &job, &with, &what, false)
+	check(err)
+	_, err = c.SubmitWith(ctx, &job, &with, &what, true)
+	check(err)
+	_, err = c.SubmitDescribed(ctx, &wire.Job{UID: "j-plain"})
+	check(err)
+	_, err = c.Status(ctx, "j-1")
+	check(err)
+	_, err = c.Cancel(ctx, "j-1")
+	check(err)
+	_, err = c.Raw(ctx, "/ops/stats")
+	check(err)
+	_, err = c.Site(ctx)
+	check(err)
+	_, err = c.Numbers(ctx, 3)
+	check(err)
+	_, err = c.Find(ctx, 7)
+	check(err)
+	_, err = c.Info(ctx, "j-1")
+	check(err)
+	check(c.Jobs(ctx, func(*listing.Page) error { return nil }))
+	check(c.Order(ctx, "j-1", "hold"))
+	check(c.Drop(ctx, "j-1", terms.RangesOf([]int{0, 1, 4})))
+	check(c.Accounts(ctx, time.Date(2026, 7, 3, 12, 0, 0, 0, time.UTC), func(*accounting.Row) {}))
+	recorded.Compare(t, "requests.txt", []byte(r.text.String()))
+}
