--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -221,22 +221,30 @@
 	}
 }
 
-// wallrack bound prints what it did of a log that was kept.
-func TestRecordedBound(t *testing.T) {
+// What the commands that end at once print, and the exit codes of those that fail. The
+// log that bound reads was kept.
+func TestRecordedOutcomes(t *testing.T) {
+	const (
+		log      = "../../internal/lowerbound/testdata/recorded/debug.log"
+		platform = "../../internal/config/testdata/recorded/"
+	)
+	t.Setenv("LOG_LEVEL", "loud") // the settings are looked at before
 	var text strings.Builder
-	for _, args := range [][]string{
-		{"bound", "../../internal/lowerbound/testdata/recorded/debug.log", "--cheap-cpus", "2", "--dear", "3"},
-		{"bound", "../../internal/lowerbound/testdata/recorded/debug.log"},
-		{"bound", "missing.log", "--cheap-cpus", "2"},
-		{"bound", "testdata/recorded/empty.log", "--cheap-cpus", "2"},
+	for _, args := range []string{
+		"bound " + log + " --cheap-cpus 2 --dear 3", "bound " + log, "bound missing.log --cheap-cpus 2", "bound testdata/recorded/empty.log --cheap-cpus 2",
+		"check", "check --config " + platform + "platform.toml", "check --config " + platform + "without-node.toml",
+		"check --config " + platform + "platform.toml --operator " + platform + "out-of-range.sexp",
+		"--unknown", "--config missing.toml", "--config " + platform + "platform.toml",
+		"scale", "scale --config ../../internal/scale/testdata/recorded/out-of-range.sexp", "local",
 	} {
+		fmt.Fprintf(&text, "$ wallrack %s\n", args)
 		cmd := command()
 		cmd.SetOut(&text)
-		cmd.SetArgs(args)
+		cmd.SetErr(&text)
+		cmd.SetArgs(strings.Fields(args))
 		if err := cmd.Execute(); err != nil {
-			fmt.Fprintln(&text, err)
+			fmt.Fprintf(&text, "%v\nexit code %d\n", err, exitCode(err))
 		}
-		fmt.Fprintln(&text)
 	}
-	recorded.Compare(t, "bound.txt", []byte(text.String()))
+	recorded.Compare(t, "outcomes.txt", []byte(text.String()))
 }
--- a/internal/slurm/recorded_test.go
+++ b/internal/slurm/recorded_test.go
@@ -1,14 +1,18 @@
 package slurm_test
 
 import (
+	"strings"
 	"testing"
 	"time"
 
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/slurm"
+	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
+	"github.com/wallrack/wallrack/internal/wire"
 )
 
 func unmarshal(data []byte, value any) error { return json.Unmarshal(data, value) }
@@ -47,3 +51,38 @@
 		t.Errorf("%v, not %s", err, want)
 	}
 }
+
+// A row of squeue for each kind of task, in the usual layout, with all columns and as
+// JSON.
+func TestRecordedQueue(t *testing.T) {
+	i := &listing.Info{
+		Job: wire.Job{UID: "j-1", Class: "quick", Team: "brew", Priority: "urgent", Tasks: 5, CPUs: 2, GPUs: 1, MemoryGB: 4},
+		Terms: &terms.Terms{Number: 40, Name: "night", User: "mo", Array: "1-9:2", Most: 2, LimitS: 7200, BeginMs: 1_000_000,
+			After: []terms.Dep{{Kind: "afterok", Number: 7}, {Kind: "after", Number: 8, DelayS: 120}}},
+		AtMs: 500_000, Stage: wire.StageQueued, Reason: "Dependency", Eligible: 1_000_000, Waiting: "3-4", Queued: 2, Running: 3,
+		On: []listing.On{{Task: 0, Machine: "m-1", StartMs: 1_100_000}, {Task: 1, Machine: "m-2"}, {Task: 2, Machine: "m-3", StartMs: 1_200_000, Ending: true}},
+	}
+	names := slurm.QueueFieldNames()
+	var text strings.Builder
+	text.WriteString(names + "\n" + slurm.AcctFieldNames() + "\n")
+	for _, each := range []bool{false, true} {
+		for _, long := range []string{"", strings.Join(strings.Fields(names), ",")} {
+			table, err := slurm.QueueTable("", long, false)
+			if err != nil {
+				t.Fatal(err)
+			}
+			text.WriteString(table.Header())
+			for _, row := range slurm.Queue(i, each, 1_260_000, time.UTC) {
+				text.WriteString(table.Row(&row))
+			}
+		}
+	}
+	for _, row := range slurm.Queue(i, false, 1_260_000, time.UTC) {
+		data, err := json.Marshal(row.JSON())
+		if err != nil {
+			t.Fatal(err)
+		}
+		text.WriteString(string(data) + "\n")
+	}
+	recorded.Compare(t, "queue.txt", []byte(text.String()))
+}
