--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -142,17 +142,17 @@
 }
 
 func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
-	var submission listing.Submission
+	var parsed listing.Submission
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
-	if err != nil || json.Unmarshal(data, &submission) != nil || submission.Terms == nil {
+	if err != nil || json.Unmarshal(data, &parsed) != nil || parsed.Terms == nil {
 		refuse(w, http.StatusBadRequest, 0, "job and terms are needed, in no more than 64 KiB")
 		return
 	}
 	verb := intake.VerbSubmit
-	if submission.Test {
+	if parsed.Test {
 		verb = intake.VerbCheck
 	}
-	rep := s.intake.Submit(r.Context(), intake.Request{Verb: verb, Body: submission.Job, Terms: submission.Terms})
+	rep := s.intake.Submit(r.Context(), intake.Request{Verb: verb, Body: parsed.Job, Terms: parsed.Terms})
 	switch {
 	case rep.Status/100 == 2:
 		httpjson.Write(w, rep.Status, rep.State)
--- a/internal/testkit/answers_observer_test.go
+++ b/internal/testkit/answers_observer_test.go
@@ -9,9 +9,9 @@
 
 // Kinds of users' requests.
 const (
-	submission   = "submission"
-	question     = "question"
-	cancellation = "cancellation"
+	submitRequest = "submission"
+	stateRequest  = "question"
+	cancelRequest = "cancellation"
 )
 
 // heardAnswer is an HTTP answer as a user received it, and when.
@@ -169,10 +169,10 @@
 	case stage == "done" && (h.ended.IsZero() || h.ended.After(a.arrived)):
 		o.failLocked(a, "its last task has not ended")
 	}
-	if a.kind == cancellation && stage != "done" && stage != "cancelled" {
+	if a.kind == cancelRequest && stage != "done" && stage != "cancelled" {
 		o.failLocked(a, "no answer to a cancellation")
 	}
-	if a.status == 201 && (a.kind != submission || before(h.accepted)) {
+	if a.status == 201 && (a.kind != submitRequest || before(h.accepted)) {
 		o.failLocked(a, "accepted anew")
 	}
 }
--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -98,17 +98,17 @@
 				r.betweenAsks++
 			}
 			r.mu.Unlock()
-			r.send(question, any(), job, 0)
+			r.send(stateRequest, any(), job, 0)
 		})
 	}
-	at(func() { r.send(submission, any(), job, r.want[job]) })
+	at(func() { r.send(submitRequest, any(), job, r.want[job]) })
 	if r.draw(4) == 0 {
 		return // it is done
 	}
 	at(func() {
 		for range 20 {
 			sent, recorded := time.Now(), r.store.Text("final/"+job) != ""
-			stage := r.send(cancellation, any(), job, 0)
+			stage := r.send(cancelRequest, any(), job, 0)
 			if stage == "" {
 				time.Sleep(time.Second)
 				continue
--- a/internal/testkit/close_questions_test.go
+++ b/internal/testkit/close_questions_test.go
@@ -85,9 +85,9 @@
 func (u *closeUsers) send(kind, name, job string, tasks int) (stage string) {
 	method, path, body := http.MethodGet, "/api/jobs/"+job, ""
 	switch kind {
-	case submission:
+	case submitRequest:
 		method, path, body = http.MethodPost, "/api/jobs", submissionBody(job, tasks)
-	case cancellation:
+	case cancelRequest:
 		method, path = http.MethodPost, path+"/cancel"
 		u.seen.cancelSent(job)
 	}
@@ -100,7 +100,7 @@
 	if down {
 		return ""
 	}
-	if kind == question {
+	if kind == stateRequest {
 		u.countUnheard(n, job)
 	}
 	rec := httptest.NewRecorder()
@@ -152,14 +152,14 @@
 func (u *closeUsers) look(job string, tasks int) {
 	for i := range 3 {
 		for _, name := range u.names {
-			u.pending.Go(func() { u.send(question, name, job, 0) })
+			u.pending.Go(func() { u.send(stateRequest, name, job, 0) })
 		}
 		if i != 1 {
 			u.pending.Go(func() {
 				if h := u.seen.history(job); !h.done.IsZero() || !h.cancelled.IsZero() {
 					u.repeated.Add(1)
 				}
-				u.send(submission, u.names[u.draw(len(u.names))], job, tasks)
+				u.send(submitRequest, u.names[u.draw(len(u.names))], job, tasks)
 			})
 		}
 		time.Sleep(time.Duration(500+u.draw(4000)) * time.Microsecond)
@@ -172,7 +172,7 @@
 	u.submitted(job, tasks)
 	until := time.Now().Add(patience)
 	any := func() string { return u.names[u.draw(len(u.names))] }
-	for u.send(submission, any(), job, tasks) == "" {
+	for u.send(submitRequest, any(), job, tasks) == "" {
 		if time.Now().After(until) {
 			return
 		}
@@ -183,7 +183,7 @@
 		u.pending.Go(func() {
 			time.Sleep(cancelAfter)
 			for {
-				if stage := u.send(cancellation, any(), job, 0); stage != "" {
+				if stage := u.send(cancelRequest, any(), job, 0); stage != "" {
 					u.look(job, tasks)
 					return
 				}
@@ -195,7 +195,7 @@
 		})
 	}
 	for time.Now().Before(until) {
-		if stage := u.send(question, any(), job, 0); stage == "done" || stage == "cancelled" {
+		if stage := u.send(stateRequest, any(), job, 0); stage == "done" || stage == "cancelled" {
 			u.look(job, tasks)
 			for range u.later { // and later, by when lagging watches tell of the past
 				time.Sleep(time.Duration(200+u.draw(2000)) * time.Millisecond)
