--- a/internal/fleet/catalog.go
+++ b/internal/fleet/catalog.go
@@ -10,7 +10,7 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -58,8 +58,8 @@
 }
 
 // Size is a machine type's size.
-func Size(t wire.MachineType) placement.Shape {
-	return placement.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+func Size(t wire.MachineType) matching.Shape {
+	return matching.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
 func (c *Catalog) set(types []wire.MachineType) {
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -5,8 +5,8 @@
 	"sort"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/owner"
-	"github.com/wallrack/wallrack/internal/placement"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -14,7 +14,7 @@
 // rented.
 type sim struct {
 	offer  offer
-	matrix placement.Matrix
+	matrix matching.Matrix
 	boot   float64
 	box    *box
 }
@@ -57,13 +57,13 @@
 			}
 		case b.heard.IsZero() && b.stage != wire.MachineFailed:
 			left := bootLeft(t.BootS, now.Sub(b.hired).Seconds())
-			sims = append(sims, &sim{offer: b.offer, matrix: placement.Matrix{{Wait: 0, Free: Size(t)}}, boot: left})
+			sims = append(sims, &sim{offer: b.offer, matrix: matching.Matrix{{Wait: 0, Free: Size(t)}}, boot: left})
 		}
 	}
 	for _, h := range f.hires {
 		if t, ok := f.catalog.Type(h.req.Type); ok {
 			for i := 0; i < h.req.Number; i++ {
-				sims = append(sims, &sim{offer: offer{h.req.Type, h.req.Zone, h.req.Spot}, matrix: placement.Matrix{{Wait: 0, Free: Size(t)}}, boot: t.BootS})
+				sims = append(sims, &sim{offer: offer{h.req.Type, h.req.Zone, h.req.Spot}, matrix: matching.Matrix{{Wait: 0, Free: Size(t)}}, boot: t.BootS})
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 				if wants[o]++; wants[o] == 1 {
 					first = append(first, o)
 				}
-				s := &sim{offer: o, matrix: placement.Matrix{{Wait: 0, Free: Size(t)}}, boot: t.BootS}
+				s := &sim{offer: o, matrix: matching.Matrix{{Wait: 0, Free: Size(t)}}, boot: t.BootS}
 				sims = append(sims, s)
 				left := f.fillOne(d, s, n, patience+t.BootS)
 				if left == n {
@@ -271,7 +271,7 @@
 }
 
 // tasksIn is how many tasks a machine of that size runs side by side, at least one.
-func tasksIn(s, size placement.Shape) int { return max(1, s.Times(size, 1e6)) }
+func tasksIn(s, size matching.Shape) int { return max(1, s.Times(size, 1e6)) }
 
 // capacity is the CPUs of all machines in the plan.
 func (f *Fleet) capacity(sims []*sim) float64 {
--- a/internal/machine/capacity_test.go
+++ b/internal/machine/capacity_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/wallrack/wallrack/internal/capacity"
 	"github.com/wallrack/wallrack/internal/machine"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/sockets"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -50,7 +50,7 @@
 			task := wire.TaskName(fmt.Sprintf("j-%06d", i), t)
 			r.Tasks = append(r.Tasks, wire.Task{Task: task, Attempt: 20, State: wire.TaskRunning})
 			d.Assign = append(d.Assign, machine.Entry{Ref: machine.Ref{Machine: r.Machine, Task: task, Attempt: 20}, Owner: "a",
-				Shape: placement.Shape{CPUs: 0.1, MemoryGB: 0.1}, Run: 30, Listed: true})
+				Shape: matching.Shape{CPUs: 0.1, MemoryGB: 0.1}, Run: 30, Listed: true})
 		}
 		h.reports = append(h.reports, r)
 		h.report(tb, i)
--- a/internal/machine/holder.go
+++ b/internal/machine/holder.go
@@ -12,7 +12,7 @@
 
 	"github.com/wallrack/wallrack/internal/gather"
 	"github.com/wallrack/wallrack/internal/httpjson"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/recent"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -109,8 +109,8 @@
 	forgotAt time.Time       // when machines were last forgotten
 	nextSeq  uint64
 	raising  bool
-	ended    bool            // Wait was called after the context had ended
-	uses     []placement.Use // see occupied
+	ended    bool           // Wait was called after the context had ended
+	uses     []matching.Use // see occupied
 	arrivals arrivals
 }
 
--- a/internal/machine/holder_test.go
+++ b/internal/machine/holder_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/wallrack/wallrack/internal/machine"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -115,7 +115,7 @@
 }
 
 func entry(attempt uint64) machine.Entry {
-	return machine.Entry{Ref: machine.Ref{Machine: "n-1", Task: "j-1/0", Attempt: attempt}, Owner: "a", Shape: placement.Shape{CPUs: 1, MemoryGB: 1}, Run: 5}
+	return machine.Entry{Ref: machine.Ref{Machine: "n-1", Task: "j-1/0", Attempt: attempt}, Owner: "a", Shape: matching.Shape{CPUs: 1, MemoryGB: 1}, Run: 5}
 }
 
 func verbs(body any, verb string) (n int) {
--- a/internal/machine/recorded_test.go
+++ b/internal/machine/recorded_test.go
@@ -9,7 +9,7 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/machine"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -33,7 +33,7 @@
 // Directions to holders, grants and views keep the form in which controllers send them.
 func TestRecorded(t *testing.T) {
 	ref := machine.Ref{Machine: "n-000231", Task: "j-000400/7", Attempt: 3}
-	shape := placement.Shape{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
+	shape := matching.Shape{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
 	checkRecorded(t, "direction_full.json", machine.Direction{
 		From:       "c1",
 		Assign:     []machine.Entry{{Ref: ref, Owner: "c1", Shape: shape, Run: 900.5, Fetch: 18.25, Rank: 2, DueAt: 1234.5, Listed: true}},
@@ -64,7 +64,7 @@
 			ForS: 7.75, Unknown: true,
 		}},
 		Queue:  []machine.QueueView{{Ref: machine.Ref{Machine: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
-		Matrix: placement.Matrix{{Wait: 20.5, Free: placement.Shape{CPUs: 4, GPUs: 1, MemoryGB: 8.25}}},
+		Matrix: matching.Matrix{{Wait: 20.5, Free: matching.Shape{CPUs: 4, GPUs: 1, MemoryGB: 8.25}}},
 	}
 	checkRecorded(t, "view_full.json", view)
 	checkRecorded(t, "view_empty.json", machine.View{})
--- a/internal/machine/view.go
+++ b/internal/machine/view.go
@@ -4,41 +4,41 @@
 	"math"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // total is the machine's size, if its type is known.
-func (h *Holder) total(s *held) (placement.Shape, bool) {
+func (h *Holder) total(s *held) (matching.Shape, bool) {
 	t, ok := h.types.Type(s.report.Type)
-	return placement.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, ok
+	return matching.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, ok
 }
 
 // occupied lists what holds resources now: reported tasks that have not
 // exited, and starts that may be under way.
 // The result is good until the next call.
-func (h *Holder) occupied(s *held, total placement.Shape, now time.Time) []placement.Use {
+func (h *Holder) occupied(s *held, total matching.Shape, now time.Time) []matching.Use {
 	uses := h.uses[:0]
 	for _, l := range s.tasks {
 		switch {
 		case l.state == wire.TaskExited:
 		case l.entry == nil:
 			// Nobody told yet what it takes: count the whole machine.
-			uses = append(uses, placement.Use{Shape: total, Left: 3})
+			uses = append(uses, matching.Use{Shape: total, Left: 3})
 		default:
 			left := l.entry.Run
 			elapsed := now.Sub(l.since).Seconds()
 			if l.state == wire.TaskFetching {
 				left += math.Max(0.5, l.entry.Fetch-elapsed)
 			} else {
-				left = placement.RestOfRun(left, elapsed)
+				left = matching.RestOfRun(left, elapsed)
 			}
-			uses = append(uses, placement.Use{Shape: l.entry.Shape, Left: left})
+			uses = append(uses, matching.Use{Shape: l.entry.Shape, Left: left})
 		}
 	}
 	for _, q := range s.queue {
 		if q.sent || q.granted {
-			uses = append(uses, placement.Use{Shape: q.Shape, Left: q.Fetch + q.Run})
+			uses = append(uses, matching.Use{Shape: q.Shape, Left: q.Fetch + q.Run})
 		}
 	}
 	h.uses = uses
@@ -59,7 +59,7 @@
 	if !ok {
 		return v
 	}
-	v.Matrix = placement.NewMatrix(total, h.occupied(s, total, now), nil)
+	v.Matrix = matching.NewMatrix(total, h.occupied(s, total, now), nil)
 	for _, q := range s.queue {
 		if q.sent || q.granted {
 			v.Queue = append(v.Queue, QueueView{Ref: q.Ref, Unsent: !q.sent})
--- a/internal/placement/match.go
+++ b/internal/matching/match.go
@@ -1,4 +1,4 @@
-package placement
+package matching
 
 import (
 	"math"
--- a/internal/placement/matrix.go
+++ b/internal/matching/matrix.go
@@ -1,7 +1,7 @@
-// Package placement holds the pure decisions of the design: wait-time
+// Package matching holds the pure decisions of the design: wait-time
 // matrices, the cost C of a machine for a task, batch matching, and when a
 // queued task is to look elsewhere.
-package placement
+package matching
 
 import (
 	"cmp"
--- a/internal/placement/placement_test.go
+++ b/internal/matching/placement_test.go
@@ -1,4 +1,4 @@
-package placement_test
+package matching_test
 
 import (
 	"math"
@@ -6,26 +6,26 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 )
 
-var shapes = rapid.Custom(func(t *rapid.T) placement.Shape {
-	return placement.Shape{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
+var shapes = rapid.Custom(func(t *rapid.T) matching.Shape {
+	return matching.Shape{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
 		MemoryGB: float64(rapid.IntRange(1, 6).Draw(t, "memory"))}
 })
 
-var uses = rapid.Custom(func(t *rapid.T) placement.Use {
-	return placement.Use{Shape: shapes.Draw(t, "shape"), Left: float64(rapid.IntRange(1, 30).Draw(t, "left"))}
+var uses = rapid.Custom(func(t *rapid.T) matching.Use {
+	return matching.Use{Shape: shapes.Draw(t, "shape"), Left: float64(rapid.IntRange(1, 30).Draw(t, "left"))}
 })
 
 // span is a use from a start to an end.
 type span struct {
-	placement.Use
+	matching.Use
 	from float64
 }
 
 // naive looks for the first whole second at which a task fits throughout.
-func naive(total placement.Shape, spans []span, s placement.Shape, run float64) float64 {
+func naive(total matching.Shape, spans []span, s matching.Shape, run float64) float64 {
 	fits := func(at float64) bool {
 		free := total
 		for _, x := range spans {
@@ -50,8 +50,8 @@
 // A matrix says the same wait as a simulation second by second, GPUs included.
 func TestMatrixAgainstSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		total := placement.Shape{CPUs: 8, GPUs: 2, MemoryGB: 12}
-		var running []placement.Use
+		total := matching.Shape{CPUs: 8, GPUs: 2, MemoryGB: 12}
+		var running []matching.Use
 		var spans []span
 		free := total
 		for _, u := range rapid.SliceOfN(uses, 0, 6).Draw(t, "running") {
@@ -62,7 +62,7 @@
 			}
 		}
 		queued := rapid.SliceOfN(uses, 0, 5).Draw(t, "queued")
-		m := placement.NewMatrix(total, running, queued)
+		m := matching.NewMatrix(total, running, queued)
 		for _, q := range queued {
 			spans = append(spans, span{q, naive(total, spans, q.Shape, q.Left)})
 		}
@@ -84,14 +84,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		nt, nm := rapid.IntRange(1, 5).Draw(t, "tasks"), rapid.IntRange(1, 5).Draw(t, "machines")
 		cost := make([][]float64, nt)
-		options := make([][]placement.Option, nt)
+		options := make([][]matching.Option, nt)
 		for i := range cost {
 			cost[i] = rapid.Permutation([]float64{1, 2, 4, 8, 16}[:nm]).Draw(t, "costs")
 			for m, c := range cost[i] {
-				options[i] = append(options[i], placement.Option{Machine: m, Cost: c, Wait: c})
+				options[i] = append(options[i], matching.Option{Machine: m, Cost: c, Wait: c})
 			}
 		}
-		pairs := placement.Match(options, 10)
+		pairs := matching.Match(options, 10)
 		machineOf, taskOf := map[int]int{}, map[int]int{}
 		for k, p := range pairs {
 			if _, twice := taskOf[p.Machine]; twice {
@@ -117,7 +117,7 @@
 }
 
 func TestCost(t *testing.T) {
-	if got := placement.Cost(1, 2, 7, 0.9, 4); math.Abs(got-13) > 1e-9 {
+	if got := matching.Cost(1, 2, 7, 0.9, 4); math.Abs(got-13) > 1e-9 {
 		t.Errorf("C = %v, want 0.9*10 + 4*0.1*10", got)
 	}
 }
@@ -132,7 +132,7 @@
 		{9, 1, 8, 2, true},  // above the stage's average
 		{90, 8, 0, 2, true}, // waited longer than the average
 	} {
-		if got := placement.LookAgain(c.planned, c.elapsed, c.expected, c.average, 4); got != c.want {
+		if got := matching.LookAgain(c.planned, c.elapsed, c.expected, c.average, 4); got != c.want {
 			t.Errorf("%+v: got %v", c, got)
 		}
 	}
--- a/internal/placement/recorded_test.go
+++ b/internal/matching/recorded_test.go
@@ -1,4 +1,4 @@
-package placement_test
+package matching_test
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 )
 
 // checkRecorded checks that a message that was recorded reads as want, and that want is
@@ -30,12 +30,12 @@
 
 // Shapes and matrices keep the form in which controllers tell them to one another.
 func TestRecorded(t *testing.T) {
-	checkRecorded(t, "shape_full.json", placement.Shape{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25})
-	checkRecorded(t, "shape_empty.json", placement.Shape{})
-	checkRecorded(t, "matrix_full.json", placement.Matrix{
-		{Wait: 0, Free: placement.Shape{CPUs: 1.5, MemoryGB: 3}},
-		{Wait: 20.5, Free: placement.Shape{CPUs: 4, GPUs: 1, MemoryGB: 8.25}},
+	checkRecorded(t, "shape_full.json", matching.Shape{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25})
+	checkRecorded(t, "shape_empty.json", matching.Shape{})
+	checkRecorded(t, "matrix_full.json", matching.Matrix{
+		{Wait: 0, Free: matching.Shape{CPUs: 1.5, MemoryGB: 3}},
+		{Wait: 20.5, Free: matching.Shape{CPUs: 4, GPUs: 1, MemoryGB: 8.25}},
 	})
-	checkRecorded(t, "matrix_empty.json", placement.Matrix{})
-	checkRecorded(t, "matrix_none.json", placement.Matrix(nil))
+	checkRecorded(t, "matrix_empty.json", matching.Matrix{})
+	checkRecorded(t, "matrix_none.json", matching.Matrix(nil))
 }
--- a/internal/placement/rest.go
+++ b/internal/matching/rest.go
@@ -1,4 +1,4 @@
-package placement
+package matching
 
 const (
 	leastRest      = 1.0  // seconds that a running task still takes, at least
--- a/internal/placement/seed_test.go
+++ b/internal/matching/seed_test.go
@@ -1,4 +1,4 @@
-package placement_test
+package matching_test
 
 import "flag"
 
--- a/internal/owner/batch.go
+++ b/internal/owner/batch.go
@@ -4,13 +4,13 @@
 	"math"
 	"math/rand/v2"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 )
 
 // batch matches up to limit tasks of the jobs and dispatches the matches that
 // wait no longer than the horizon.
 func (o *Owner) batch(jobs []*job, open []*mach, limit int) map[*job]int {
-	var options [][]placement.Option
+	var options [][]matching.Option
 	var of []*job
 	arena, opts := o.arena[:0], o.options
 	defer func() { o.arena, o.options = arena, opts }()
@@ -21,7 +21,7 @@
 		opts = opts[:0]
 		for _, m := range o.candidates(j, o.roomFor(j, open)) {
 			if e, ok := o.estimate(j, m); ok && e.wait <= o.op.HorizonS {
-				opts = append(opts, placement.Option{Machine: m.index, Wait: e.wait, Cost: e.cost})
+				opts = append(opts, matching.Option{Machine: m.index, Wait: e.wait, Cost: e.cost})
 			}
 		}
 		if len(opts) == 0 {
@@ -40,7 +40,7 @@
 		}
 	}
 	placed := map[*job]int{}
-	for _, pair := range placement.Match(options, matchRounds) {
+	for _, pair := range matching.Match(options, matchRounds) {
 		j := of[pair.Task]
 		m := o.byIndex[pair.Machine]
 		if !o.roomInLimit(j, 1) || !o.zoneFits(j, m) {
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/owner"
-	"github.com/wallrack/wallrack/internal/placement"
 	"github.com/wallrack/wallrack/internal/slurm"
 	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -124,10 +124,10 @@
 		b.Fatal(err)
 	}
 	for i := range machines {
-		total := placement.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}
-		use := []placement.Use{{Shape: placement.Shape{CPUs: 12, MemoryGB: 12}, Left: 20}}
+		total := matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}
+		use := []matching.Use{{Shape: matching.Shape{CPUs: 12, MemoryGB: 12}, Left: 20}}
 		f.views = append(f.views, machine.View{Name: fmt.Sprintf("n-%06d", i), Type: "m", Zone: "z", Spot: i%3 > 0, Session: 1, Seq: 1,
-			Token: 7, Holder: "a", Matrix: placement.NewMatrix(total, use, nil)})
+			Token: 7, Holder: "a", Matrix: matching.NewMatrix(total, use, nil)})
 		f.owner.Observe(f.views[i])
 	}
 	for i := range jobs {
@@ -142,14 +142,14 @@
 // show observes a report of the i-th machine, which is full for so long, has these tasks,
 // and has queued what j-1 has placed there.
 func (f *fleet) show(i int, full float64, tasks ...machine.TaskView) {
-	total := placement.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}
-	var uses []placement.Use
+	total := matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}
+	var uses []matching.Use
 	if full > 0 {
-		uses = []placement.Use{{Shape: total, Left: full}}
+		uses = []matching.Use{{Shape: total, Left: full}}
 	}
 	v := &f.views[i]
 	v.Seq++
-	v.Tasks, v.Queue, v.Matrix = tasks, nil, placement.NewMatrix(total, uses, nil)
+	v.Tasks, v.Queue, v.Matrix = tasks, nil, matching.NewMatrix(total, uses, nil)
 	for _, ref := range f.owner.PlacesOf("j-1") {
 		if ref.Machine == v.Name {
 			v.Queue = append(v.Queue, machine.QueueView{Ref: ref, WaitS: full})
--- a/internal/owner/candidates.go
+++ b/internal/owner/candidates.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"strings"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 )
 
 // openMachines lists the machines that may take work, in order of their index.
@@ -22,7 +22,7 @@
 // roomKey is what a job asks of a machine, image apart: jobs alike in it have room
 // on the same machines.
 type roomKey struct {
-	shape       placement.Shape
+	shape       matching.Shape
 	zone, types string
 	spot        bool
 }
--- a/internal/owner/capacity_test.go
+++ b/internal/owner/capacity_test.go
@@ -12,8 +12,8 @@
 	"github.com/wallrack/wallrack/internal/capacity"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/owner"
-	"github.com/wallrack/wallrack/internal/placement"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -41,7 +41,7 @@
 func (f *fleet) see(i int, tasks ...machine.TaskView) {
 	v := &f.views[i]
 	v.Seq++
-	v.Tasks, v.Matrix = tasks, placement.NewMatrix(placement.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
+	v.Tasks, v.Matrix = tasks, matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
 	f.owner.Observe(*v)
 }
 
--- a/internal/owner/closing_test.go
+++ b/internal/owner/closing_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/machine"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -46,8 +46,8 @@
 					v := &f.views[0]
 					v.Seq++
 					v.Tasks = []machine.TaskView{{Task: wire.Task{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskRunning}}}
-					v.Matrix = placement.NewMatrix(placement.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB},
-						[]placement.Use{{Shape: placement.Shape{CPUs: 8, MemoryGB: 1}, Left: c.occupied}}, nil)
+					v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB},
+						[]matching.Use{{Shape: matching.Shape{CPUs: 8, MemoryGB: 1}, Left: c.occupied}}, nil)
 					f.owner.Observe(*v)
 				}
 				show()
--- a/internal/owner/cost.go
+++ b/internal/owner/cost.go
@@ -3,11 +3,11 @@
 import (
 	"math"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 )
 
 // wait looks a wait up; an older matrix is read at a larger cell.
-func (o *Owner) wait(m *mach, s placement.Shape, run float64) float64 {
+func (o *Owner) wait(m *mach, s matching.Shape, run float64) float64 {
 	age := o.now.Sub(m.at).Seconds()
 	if over := age - 1.5*o.cfg.Params.Workers.ReportS; over > 0 {
 		s = s.Scale(1 + min(0.5, 0.05*over))
@@ -35,7 +35,7 @@
 	if math.IsInf(w, 1) {
 		return estimate{}, false
 	}
-	c := placement.Cost(fetch, w, run, o.success(m), o.op.KFail)
+	c := matching.Cost(fetch, w, run, o.success(m), o.op.KFail)
 	if o.startLate(j, w+fetch) {
 		c += o.op.LateS
 	}
--- a/internal/owner/evacuate.go
+++ b/internal/owner/evacuate.go
@@ -4,7 +4,7 @@
 	"math"
 	"sort"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 )
 
 const (
@@ -86,7 +86,7 @@
 		e := evacuee{p: p, left: p.job.runEstimate()}
 		if !p.running.IsZero() {
 			elapsed := o.now.Sub(p.running).Seconds()
-			e.left = placement.RestOfRun(e.left, elapsed)
+			e.left = matching.RestOfRun(e.left, elapsed)
 		}
 		e.loss, e.ok = o.evacuable(p)
 		all = append(all, e)
--- a/internal/owner/gang.go
+++ b/internal/owner/gang.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 )
 
 // gang places all waiting tasks of a gang, or none: the first would only wait
@@ -53,7 +53,7 @@
 
 // gangPicks finds a machine for each of n tasks, in one zone unless it is "".
 func (o *Owner) gangPicks(j *job, open []*mach, zone string, n int) []gangPick {
-	saved := map[*mach]placement.Matrix{}
+	saved := map[*mach]matching.Matrix{}
 	defer func() {
 		for m, mx := range saved {
 			m.matrix = mx
--- a/internal/owner/holders_test.go
+++ b/internal/owner/holders_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/machine"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -47,7 +47,7 @@
 			v := &f.views[0]
 			v.Seq++
 			v.Holder = "b"
-			v.Matrix = placement.NewMatrix(placement.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
+			v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
 			f.owner.Observe(*v)
 		}
 		submit := func(uid string) {
--- a/internal/owner/lease.go
+++ b/internal/owner/lease.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 )
 
 // A worker that reaches no controller loses its lease and all its tasks, although
@@ -183,7 +183,7 @@
 			a.rest += o.fetchTime(j, m)
 		} else {
 			a.elapsed = now.Sub(p.running).Seconds()
-			a.rest = placement.RestOfRun(a.rest, a.elapsed)
+			a.rest = matching.RestOfRun(a.rest, a.elapsed)
 			a.counted = len(j.class.starts) > 0 && a.elapsed < countedStart
 		}
 		if j.spec.MarkS > 0 {
--- a/internal/owner/lend.go
+++ b/internal/owner/lend.go
@@ -13,7 +13,7 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/lending"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -72,21 +72,21 @@
 type lentTeam struct {
 	name string
 	side *lending.Borrower
-	use  map[int]placement.Shape // of all that may be on, by shard
+	use  map[int]matching.Shape // of all that may be on, by shard
 }
 
-func (t *lentTeam) count(shard int, shape placement.Shape, sign float64) {
+func (t *lentTeam) count(shard int, shape matching.Shape, sign float64) {
 	t.use[shard] = t.use[shard].Add(shape, sign)
 }
 
-func amountOf(s placement.Shape) lending.Amount { return lending.AmountOf(s.CPUs, s.GPUs) }
+func amountOf(s matching.Shape) lending.Amount { return lending.AmountOf(s.CPUs, s.GPUs) }
 
 // allows reports whether the tasks of a shard may use so much.
-func (t *team) allows(shard int, use placement.Shape) bool { return t.short(shard, use) == "" }
+func (t *team) allows(shard int, use matching.Shape) bool { return t.short(shard, use) == "" }
 
 // short says which kind of the team's limit does not let the tasks of a shard use so much,
 // or "".
-func (t *team) short(shard int, use placement.Shape) string {
+func (t *team) short(shard int, use matching.Shape) string {
 	a, c := amountOf(use), t.lent.side.Ceiling(shard, t.lent.name)
 	for kind, limit := range limitOf(t.Team) {
 		if limit > 0 && a[kind] > c[kind] {
@@ -136,7 +136,7 @@
 	}
 	for name, t := range teams {
 		if lends(t.Team) {
-			t.lent = &lentTeam{name: name, side: l.sides[lending.RecordOf(name)], use: map[int]placement.Shape{}}
+			t.lent = &lentTeam{name: name, side: l.sides[lending.RecordOf(name)], use: map[int]matching.Shape{}}
 		}
 	}
 	return l
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -12,7 +12,7 @@
 	"github.com/wallrack/wallrack/internal/accounting"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/machine"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/recent"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -142,7 +142,7 @@
 	places    map[int][]*place
 	done      int
 	running   int
-	shape     placement.Shape
+	shape     matching.Shape
 	key       roomKey // once it was asked for
 	class     *class
 	team      *team
@@ -176,8 +176,8 @@
 // team is a team's use.
 type team struct {
 	config.Team
-	use  placement.Shape // of all that may be on
-	lent *lentTeam       // nil: the whole limit is this owner's
+	use  matching.Shape // of all that may be on
+	lent *lentTeam      // nil: the whole limit is this owner's
 }
 
 type cached struct {
@@ -199,7 +199,7 @@
 	unanswered       int
 	renewedIn        uint64    // the session in which it was
 	reported         time.Time // when its worker last reported by itself
-	matrix           placement.Matrix
+	matrix           matching.Matrix
 	held             bool // the matrix holds room for this pass only
 	places           map[*place]struct{}
 	tokens           uint64 // the highest that a start command for it may carry by a grant from here
@@ -266,8 +266,8 @@
 	rooms     map[roomKey][]*mach  // see roomFor
 	cachers   map[cacheKey][]*mach // see caching
 	views     uint64               // counts views, to tell which places one lists
-	arena     []placement.Option   // see batch
-	options   []placement.Option
+	arena     []matching.Option    // see batch
+	options   []matching.Option
 	images    wire.Index
 	classes   map[string]*class
 	logs      map[int]*shardLog
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/machine"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -336,17 +336,17 @@
 		now := time.Now().UnixMilli()
 		f.owner.Accepted(&wire.Job{UID: "j-1", Class: "study", Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 2, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 1)
 		v := &f.views[0]
-		full := []placement.Use{{Shape: placement.Shape{CPUs: 16, MemoryGB: 1}, Left: 300}}
+		full := []matching.Use{{Shape: matching.Shape{CPUs: 16, MemoryGB: 1}, Left: 300}}
 		show := func() {
 			v.Seq++
-			v.Matrix = placement.NewMatrix(placement.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, full, nil)
+			v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, full, nil)
 			v.Tasks = nil
 			for i := range 2 {
 				v.Tasks = append(v.Tasks, machine.TaskView{Task: wire.Task{Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1), State: wire.TaskRunning}})
 			}
 			f.owner.Observe(*v)
 		}
-		v.Matrix = placement.NewMatrix(placement.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
+		v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
 		v.Seq++
 		f.owner.Observe(*v)
 		f.owner.Pass()
--- a/internal/owner/sweep.go
+++ b/internal/owner/sweep.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 )
 
 // lookAgain re-places queued tasks that wait much longer than planned, with a
@@ -67,14 +67,14 @@
 			p, current := ps[0], math.Inf(1)
 			for _, x := range ps {
 				w, known := waits[x]
-				if x.state != placeRecorded || !known || !placement.LookAgain(x.planned, now.Sub(x.made).Seconds(), w, max(avg, x.planned), o.op.ReplaceS) {
+				if x.state != placeRecorded || !known || !matching.LookAgain(x.planned, now.Sub(x.made).Seconds(), w, max(avg, x.planned), o.op.ReplaceS) {
 					p = nil
 					break
 				}
 				if w > waits[p] {
 					p = x
 				}
-				current = min(current, placement.Cost(o.fetchTime(j, x.mach), w, j.runEstimate(), o.success(x.mach), o.op.KFail))
+				current = min(current, matching.Cost(o.fetchTime(j, x.mach), w, j.runEstimate(), o.success(x.mach), o.op.KFail))
 			}
 			if p == nil {
 				continue
--- a/internal/owner/takeover.go
+++ b/internal/owner/takeover.go
@@ -10,7 +10,7 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/accounting"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -173,7 +173,7 @@
 		spec: &spec, shard: r.Shard, version: version, atMs: r.AtMs, cancelled: r.Cancelled,
 		accepted: time.Now().Add(-max(0, time.Since(time.UnixMilli(r.AtMs)))),
 		places:   map[int][]*place{}, avoid: map[int]time.Time{}, zones: map[string]int{},
-		shape: placement.Shape{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB},
+		shape: matching.Shape{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB},
 		class: o.classOf(spec.Class), team: o.teams[spec.Team],
 	}
 	if r.Terms != nil {
--- a/internal/owner/triage.go
+++ b/internal/owner/triage.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/triage"
 )
 
@@ -43,11 +43,11 @@
 		}
 		a.sum = a.admitted
 	}
-	var fleet placement.Shape
+	var fleet matching.Shape
 	fresh := seconds(3*o.cfg.Params.Workers.ReportS + 1)
 	for _, m := range o.machines {
 		if t := o.typeOf(m); !m.gone && !m.view.Draining && now.Sub(m.heard) < fresh {
-			fleet = fleet.Add(placement.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, 1)
+			fleet = fleet.Add(matching.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, 1)
 		}
 	}
 	if fleet.CPUs <= 0 {
@@ -112,7 +112,7 @@
 }
 
 // toTriage is what is left of a job, with its work in seconds of the whole fleet.
-func (o *Owner) toTriage(j *job, now time.Time, fleet placement.Shape) triage.Job {
+func (o *Owner) toTriage(j *job, now time.Time, fleet matching.Shape) triage.Job {
 	part := j.shape.CPUs / fleet.CPUs
 	if fleet.GPUs > 0 {
 		part = max(part, j.shape.GPUs/fleet.GPUs)
--- a/internal/views/stream_test.go
+++ b/internal/views/stream_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/wallrack/wallrack/internal/machine"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -162,7 +162,7 @@
 	}) {
 		return fmt.Errorf("tasks")
 	}
-	if !slices.Equal(a.Queue, b.Queue) || !slices.EqualFunc(a.Matrix, b.Matrix, func(x, y placement.Row) bool {
+	if !slices.Equal(a.Queue, b.Queue) || !slices.EqualFunc(a.Matrix, b.Matrix, func(x, y matching.Row) bool {
 		return x.Free == y.Free && math.Abs(x.Wait-y.Wait) <= slack
 	}) {
 		return fmt.Errorf("queue or matrix")
@@ -217,7 +217,7 @@
 	}
 	v.Matrix = nil
 	for _, ms := range slices.Sorted(slices.Values(waits.Draw(t, "waits"))) {
-		v.Matrix = append(v.Matrix, placement.Row{Wait: float64(ms) / 1000, Free: placement.Shape{CPUs: float64(few.Draw(t, "free"))}})
+		v.Matrix = append(v.Matrix, matching.Row{Wait: float64(ms) / 1000, Free: matching.Shape{CPUs: float64(few.Draw(t, "free"))}})
 	}
 	return v
 }
@@ -349,7 +349,7 @@
 		e, d := NewEncoder("h"), NewDecoder()
 		e.stream, d.stream = 5, 3
 		v := machine.View{Name: "n-1", Type: "m", Session: 1, Seq: 4, Token: 2, Tasks: []machine.TaskView{{Task: wire.Task{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}},
-			Matrix: placement.Matrix{{Free: placement.Shape{CPUs: 1}}, {Wait: 3, Free: placement.Shape{CPUs: 2}}}}
+			Matrix: matching.Matrix{{Free: matching.Shape{CPUs: 1}}, {Wait: 3, Free: matching.Shape{CPUs: 2}}}}
 		e.after = d.stream
 		_, r, err := d.Take(e.Next(0, oneView{v}))
 		if err != nil {
@@ -360,7 +360,7 @@
 	}
 	e, d := known()
 	v := d.states["n-1"].view
-	v.Seq, v.Tasks, v.Matrix = 5, nil, placement.Matrix{{Free: placement.Shape{CPUs: 2}}}
+	v.Seq, v.Tasks, v.Matrix = 5, nil, matching.Matrix{{Free: matching.Shape{CPUs: 2}}}
 	e.Note(100, []machine.View{v}, nil)
 	for _, m := range []*Message{e.Next(200, nil), {Stream: d.stream, Seq: d.seq, Machines: 1}} {
 		data, err := json.Marshal(m)
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/description"
-	"github.com/wallrack/wallrack/internal/placement"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/recent"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -45,7 +45,7 @@
 type Ident struct {
 	Name, Endpoint, Type, Zone string
 	Spot                       bool
-	Size                       placement.Shape
+	Size                       matching.Shape
 	Lease                      time.Duration
 }
 
@@ -56,7 +56,7 @@
 
 type task struct {
 	wire.Task
-	size   placement.Shape
+	size   matching.Shape
 	proc   Process
 	cancel context.CancelFunc // ends the fetch
 	halted bool
@@ -273,7 +273,7 @@
 		m.exitLocked(t, wire.CauseDone) // its result is kept
 		return
 	}
-	t.size = placement.Shape{CPUs: d.CPUs, GPUs: d.GPUs, MemoryGB: d.MemoryGB}
+	t.size = matching.Shape{CPUs: d.CPUs, GPUs: d.GPUs, MemoryGB: d.MemoryGB}
 	free := m.id.Size
 	for _, o := range m.tasks {
 		if o != t && o.State != wire.TaskExited {
