--- a/cmd/wallctl/scancel.go
+++ b/cmd/wallctl/scancel.go
@@ -12,9 +12,9 @@
 	"github.com/spf13/pflag"
 
 	"github.com/wallrack/wallrack/internal/client"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/slurm"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -101,7 +101,7 @@
 		if m.all {
 			c.note(name, cancelJob(ctx, c.cl, uid))
 		} else {
-			c.note(name, c.cl.Drop(ctx, uid, terms.RangesOf(m.tasks)))
+			c.note(name, c.cl.Drop(ctx, uid, jobspec.RangesOf(m.tasks)))
 		}
 	}
 	return nil
@@ -149,7 +149,7 @@
 	if t.All && t.Number == found.First {
 		return cancelJob(ctx, cl, found.UID)
 	}
-	tasks := terms.RangesOf([]int{int(t.Number - found.First)})
+	tasks := jobspec.RangesOf([]int{int(t.Number - found.First)})
 	if !t.All {
 		info, err := cl.Info(ctx, found.UID)
 		if err != nil {
--- a/cmd/wallctl/scancel_test.go
+++ b/cmd/wallctl/scancel_test.go
@@ -9,8 +9,8 @@
 	"testing"
 
 	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -18,7 +18,7 @@
 // the listing breaks off, nothing is cancelled.
 func TestFilteredCancelTakesWhatTheWholeListingMatches(t *testing.T) {
 	job := func(uid string, number uint64, tasks int, waiting string, on ...listing.On) listing.Info {
-		return listing.Info{Job: wire.Job{UID: uid, Tasks: tasks}, Terms: &terms.Terms{Number: number}, Stage: wire.StageQueued, Waiting: waiting, On: on}
+		return listing.Info{Job: wire.Job{UID: uid, Tasks: tasks}, Terms: &jobspec.Terms{Number: number}, Stage: wire.StageQueued, Waiting: waiting, On: on}
 	}
 	running := listing.On{Task: 0, Attempt: 1, Machine: "m", StartMs: 5}
 	first := listing.Page{Next: &listing.Cursor{Number: 40}, NowMs: 1000,
--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 
 	"github.com/wallrack/wallrack/internal/client"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/slurm"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -114,7 +114,7 @@
 		return fmt.Errorf("job %d is over, but how is not known: %w", r.Terms.Number, err)
 	}
 	switch {
-	case i.Ending == nil && i.Stage == wire.StageDone, i.Ending != nil && i.Ending.State == terms.Completed:
+	case i.Ending == nil && i.Stage == wire.StageDone, i.Ending != nil && i.Ending.State == jobspec.Completed:
 		return nil
 	case i.Ending != nil && i.Ending.Exit > 0:
 		return &exitError{i.Ending.Exit}
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -19,6 +19,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/intake"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/links"
 	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/matching"
@@ -28,7 +29,6 @@
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/slurmtask"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -183,10 +183,10 @@
 	checkRecorded(t, "machines_empty.json", []wire.MachineInfo{})
 }
 
-func fullTerms() *terms.Terms {
-	return &terms.Terms{
+func fullTerms() *jobspec.Terms {
+	return &jobspec.Terms{
 		Number: 4001, Name: "train", User: "ada", Array: "0-15:2", Most: 4, Held: true, BeginMs: 1700000000123, DeadlineMs: 1700000600123,
-		LimitS: 900.5, Final: true, Any: true, After: []terms.Dep{{Kind: "after", Job: "j-000399", Number: 3990, DelayS: 60}},
+		LimitS: 900.5, Final: true, Any: true, After: []jobspec.Dep{{Kind: "after", Job: "j-000399", Number: 3990, DelayS: 60}},
 		KillNever: true, Dropped: "3,5", Why: "TIMEOUT",
 	}
 }
@@ -196,7 +196,7 @@
 	checkRecorded(t, "facts_full.json", factsMessage{UID: "j-000400", Name: "train", User: "ada", Number: 4001})
 	checkRecorded(t, "facts_empty.json", factsMessage{})
 	checkRecorded(t, "facts_reply_full.json", factsReply{
-		Known: true, Facts: terms.Facts{Started: true, StartedMs: 1700000000123, Over: true, OK: true}, Earlier: true,
+		Known: true, Facts: jobspec.Facts{Started: true, StartedMs: 1700000000123, Over: true, OK: true}, Earlier: true,
 	})
 	checkRecorded(t, "facts_reply_empty.json", factsReply{})
 	cursor := listing.Cursor{Number: 4001, On: 20, Task: 7}
@@ -207,7 +207,7 @@
 		Jobs: []listing.Info{{
 			Job: fullJob(), Terms: fullTerms(), AtMs: 1700000000123, Stage: wire.StageRunning, Reason: "Resources", Eligible: 1700000001123,
 			StartMs: 1700000002123, Waiting: "4-7", Queued: 4, On: []listing.On{{Task: 3, Attempt: 2, Machine: "n-000231", StartMs: 1700000003123, Ending: true}},
-			Running: 1, Done: 2, Failed: 6, Ending: &terms.Ending{Number: 4001, State: "FAILED", Exit: 137, Failed: 6, StartMs: 1700000002123, EndMs: 1700000009123},
+			Running: 1, Done: 2, Failed: 6, Ending: &jobspec.Ending{Number: 4001, State: "FAILED", Exit: 137, Failed: 6, StartMs: 1700000002123, EndMs: 1700000009123},
 		}},
 	})
 	checkRecorded(t, "desk_reply_empty.json", slurmapi.Reply{})
--- a/cmd/wallrack/rollouts.go
+++ b/cmd/wallrack/rollouts.go
@@ -12,11 +12,11 @@
 
 	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -45,13 +45,13 @@
 	}
 	shard := owner.HomeOf(job, c.n.cfg.Params.Teams, c.n.op)
 	at := time.Now().UnixMilli()
-	var t *terms.Terms
+	var t *jobspec.Terms
 	if book := c.n.intake.Numbers; book != nil {
 		number, err := book.Take(ctx, job.Tasks)
 		if err != nil {
 			return err
 		}
-		t = &terms.Terms{Number: number, Name: job.Class}
+		t = &jobspec.Terms{Number: number, Name: job.Class}
 	}
 	accept, ops := owner.AcceptTxn(job, t, shard, at)
 	rev, err := c.n.store.Txn(ctx, append(accept, guards...), ops...)
--- a/cmd/wallrack/slurm.go
+++ b/cmd/wallrack/slurm.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/slurmapi"
-	"github.com/wallrack/wallrack/internal/terms"
 )
 
 // Methods of the mesh for Slurm-style clients.
@@ -27,9 +27,9 @@
 }
 
 type factsReply struct {
-	Known   bool        `json:"known"`
-	Facts   terms.Facts `json:"facts"`
-	Earlier bool        `json:"earlier"`
+	Known   bool          `json:"known"`
+	Facts   jobspec.Facts `json:"facts"`
+	Earlier bool          `json:"earlier"`
 }
 
 const factsWithin = 700 * time.Millisecond
@@ -68,7 +68,7 @@
 }
 
 // Facts says how far a job is: its owner knows, or the store how it ended.
-func (n *node) Facts(ctx context.Context, uid string) (terms.Facts, error) {
+func (n *node) Facts(ctx context.Context, uid string) (jobspec.Facts, error) {
 	for _, p := range n.Owners() {
 		actx, cancel := context.WithTimeout(ctx, factsWithin)
 		rep, err := mesh.Call[factsMessage, factsReply](actx, n.mesh, p, methodFacts, &factsMessage{UID: uid})
--- a/internal/client/slurm.go
+++ b/internal/client/slurm.go
@@ -15,8 +15,8 @@
 	"github.com/wallrack/wallrack/internal/accounting"
 	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -57,7 +57,7 @@
 
 // SubmitWith submits a job with terms, as Submit does. With test it is checked
 // only.
-func (c *Client) SubmitWith(ctx context.Context, job *wire.Job, t *terms.Terms, d *description.Description, test bool) (*wire.JobState, error) {
+func (c *Client) SubmitWith(ctx context.Context, job *wire.Job, t *jobspec.Terms, d *description.Description, test bool) (*wire.JobState, error) {
 	if !test {
 		if err := c.describe(ctx, job.UID, d); err != nil {
 			return nil, err
@@ -112,7 +112,7 @@
 }
 
 // Drop cancels tasks of a living job alone.
-func (c *Client) Drop(ctx context.Context, uid string, tasks terms.Ranges) error {
+func (c *Client) Drop(ctx context.Context, uid string, tasks jobspec.Ranges) error {
 	body, err := json.Marshal(map[string]string{"tasks": tasks.String()})
 	if err != nil {
 		return fmt.Errorf("encode tasks: %w", err)
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -16,9 +16,9 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -41,7 +41,7 @@
 type Jobs interface {
 	Known(uid string) (wire.JobState, bool)
 	Refined(stored wire.JobState) wire.JobState
-	Accepted(job *wire.Job, t *terms.Terms, shard int, atMs int64, version uint64)
+	Accepted(job *wire.Job, t *jobspec.Terms, shard int, atMs int64, version uint64)
 	Cancel(ctx context.Context, uid string) (wire.JobState, error)
 }
 
@@ -58,7 +58,7 @@
 
 	UIDs []string `json:"uids,omitempty"` // of gathered polls
 
-	Terms *terms.Terms `json:"terms,omitempty"` // of a submission
+	Terms *jobspec.Terms `json:"terms,omitempty"` // of a submission
 }
 
 // Reply is its answer; status 0 means that the peer can't tell either.
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -14,8 +14,8 @@
 	"github.com/wallrack/wallrack/internal/cancels"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/intake"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -28,13 +28,13 @@
 	up    bool
 }
 
-func (s *stub) Known(string) (wire.JobState, bool)                   { return wire.JobState{}, false }
-func (s *stub) Refined(stored wire.JobState) wire.JobState           { return stored }
-func (s *stub) Accepted(*wire.Job, *terms.Terms, int, int64, uint64) {}
-func (s *stub) All() []wire.MachineType                              { return s.types }
-func (s *stub) Owners() []string                                     { return nil }
-func (s *stub) Served() []string                                     { return []string{"b"} }
-func (s *stub) Up() bool                                             { return s.up }
+func (s *stub) Known(string) (wire.JobState, bool)                     { return wire.JobState{}, false }
+func (s *stub) Refined(stored wire.JobState) wire.JobState             { return stored }
+func (s *stub) Accepted(*wire.Job, *jobspec.Terms, int, int64, uint64) {}
+func (s *stub) All() []wire.MachineType                                { return s.types }
+func (s *stub) Owners() []string                                       { return nil }
+func (s *stub) Served() []string                                       { return []string{"b"} }
+func (s *stub) Up() bool                                               { return s.up }
 func (s *stub) Cancel(context.Context, string) (wire.JobState, error) {
 	return wire.JobState{}, statestore.ErrUnavailable
 }
--- a/internal/intake/submission.go
+++ b/internal/intake/submission.go
@@ -8,16 +8,16 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // accept records a submission. A known id is answered with its state,
 // whatever the body says.
-func (in *Intake) accept(ctx context.Context, body []byte, asked *terms.Terms) Reply {
+func (in *Intake) accept(ctx context.Context, body []byte, asked *jobspec.Terms) Reply {
 	job, bad := wire.ParseJob(body)
 	status, reason := http.StatusBadRequest, ""
 	if bad == nil {
@@ -137,8 +137,8 @@
 
 // terms checks a submission's terms, and finds the jobs that it depends on. Where
 // jobs have numbers, one without terms gets a number.
-func (in *Intake) terms(ctx context.Context, job *wire.Job, asked *terms.Terms) (t *terms.Terms, status int, reason string) {
-	unsure := func(err error) (*terms.Terms, int, string) {
+func (in *Intake) terms(ctx context.Context, job *wire.Job, asked *jobspec.Terms) (t *jobspec.Terms, status int, reason string) {
+	unsure := func(err error) (*jobspec.Terms, int, string) {
 		in.log.Debug("numbers can't be told", "err", err)
 		return nil, http.StatusServiceUnavailable, "can't tell numbers now"
 	}
@@ -152,7 +152,7 @@
 		if err != nil {
 			return unsure(err)
 		}
-		return &terms.Terms{Number: n}, 0, ""
+		return &jobspec.Terms{Number: n}, 0, ""
 	}
 	if err := asked.Check(job.Tasks, job.Gang(), job.Service(), time.Now()); err != nil {
 		return nil, http.StatusUnprocessableEntity, err.Error()
@@ -164,7 +164,7 @@
 	}
 	for i := range asked.After {
 		d := &asked.After[i]
-		if d.Kind == terms.Singleton {
+		if d.Kind == jobspec.Singleton {
 			continue
 		}
 		found, err := in.Numbers.Find(ctx, d.Number)
--- a/internal/terms/ranges.go
+++ b/internal/jobspec/ranges.go
@@ -1,4 +1,4 @@
-package terms
+package jobspec
 
 import (
 	"errors"
--- a/internal/terms/seed_test.go
+++ b/internal/jobspec/seed_test.go
@@ -1,4 +1,4 @@
-package terms_test
+package jobspec_test
 
 import "flag"
 
--- a/internal/terms/terms.go
+++ b/internal/jobspec/terms.go
@@ -1,7 +1,7 @@
-// Package terms says when and how a job's tasks may start beyond what every job
+// Package jobspec says when and how a job's tasks may start beyond what every job
 // says of itself: holds, begin times, dependencies, throttles, time limits. They
 // are recorded with the job and decided by its owner. The package is pure.
-package terms
+package jobspec
 
 import (
 	"errors"
--- a/internal/terms/terms_test.go
+++ b/internal/jobspec/terms_test.go
@@ -1,4 +1,4 @@
-package terms_test
+package jobspec_test
 
 import (
 	"slices"
@@ -7,15 +7,15 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
 // What is written is what was read, and places and numbers find one another.
 func TestRangesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ns := rapid.SliceOfNDistinct(rapid.IntRange(0, 900), 1, 60, rapid.ID[int]).Draw(t, "numbers")
-		r := terms.RangesOf(slices.Clone(ns))
-		again, err := terms.ParseRanges(r.String())
+		r := jobspec.RangesOf(slices.Clone(ns))
+		again, err := jobspec.ParseRanges(r.String())
 		if err != nil {
 			t.Fatalf("%s: %v", r.String(), err)
 		}
@@ -38,7 +38,7 @@
 func TestRangesAsSlurmWritesThem(t *testing.T) {
 	for text, n := range map[string]int{"0-15:2,20": 9, "7": 1, "1-10:3": 4, "0-8:2,1-9:2": 10, "5,3": 2,
 		"": -1, "1-": -1, "3-1": -1, "1:2": -1, "1-5:0": -1, "0-4,2": -1, "0-8:2,4": -1, "-1": -1, "+1": -1, "1-9999999": -1, "a": -1} {
-		r, err := terms.ParseRanges(text)
+		r, err := jobspec.ParseRanges(text)
 		if n < 0 && err == nil || n >= 0 && (err != nil || r.Len() != n) {
 			t.Errorf("%q: %d numbers, %v", text, r.Len(), err)
 		}
@@ -50,11 +50,11 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		r, err := terms.ParseRanges(text)
+		r, err := jobspec.ParseRanges(text)
 		if err != nil {
 			return
 		}
-		again, err := terms.ParseRanges(r.String())
+		again, err := jobspec.ParseRanges(r.String())
 		if err != nil || again.Len() != r.Len() {
 			t.Fatalf("%q is written %q: %v", text, r.String(), err)
 		}
@@ -63,37 +63,37 @@
 
 // Dependencies: what is over decides for good, what is not is open.
 func TestDependencies(t *testing.T) {
-	over, failed, runs := terms.Facts{Over: true, OK: true}, terms.Facts{Over: true}, terms.Facts{Started: true, StartedMs: 1000}
+	over, failed, runs := jobspec.Facts{Over: true, OK: true}, jobspec.Facts{Over: true}, jobspec.Facts{Started: true, StartedMs: 1000}
 	for _, c := range []struct {
 		kind  string
 		delay int64
-		f     terms.Facts
-		want  terms.Outcome
+		f     jobspec.Facts
+		want  jobspec.Outcome
 	}{
-		{terms.After, 0, terms.Facts{}, terms.Open}, {terms.After, 0, runs, terms.Met}, {terms.After, 5, runs, terms.Open}, {terms.After, 0, failed, terms.Met},
-		{terms.AfterAny, 0, runs, terms.Open}, {terms.AfterAny, 0, failed, terms.Met}, {terms.AfterAny, 0, over, terms.Met},
-		{terms.AfterOK, 0, runs, terms.Open}, {terms.AfterOK, 0, over, terms.Met}, {terms.AfterOK, 0, failed, terms.Never},
-		{terms.AfterNotOK, 0, over, terms.Never}, {terms.AfterNotOK, 0, failed, terms.Met}, {terms.Singleton, 0, terms.Facts{}, terms.Open}, {terms.Singleton, 0, over, terms.Met},
+		{jobspec.After, 0, jobspec.Facts{}, jobspec.Open}, {jobspec.After, 0, runs, jobspec.Met}, {jobspec.After, 5, runs, jobspec.Open}, {jobspec.After, 0, failed, jobspec.Met},
+		{jobspec.AfterAny, 0, runs, jobspec.Open}, {jobspec.AfterAny, 0, failed, jobspec.Met}, {jobspec.AfterAny, 0, over, jobspec.Met},
+		{jobspec.AfterOK, 0, runs, jobspec.Open}, {jobspec.AfterOK, 0, over, jobspec.Met}, {jobspec.AfterOK, 0, failed, jobspec.Never},
+		{jobspec.AfterNotOK, 0, over, jobspec.Never}, {jobspec.AfterNotOK, 0, failed, jobspec.Met}, {jobspec.Singleton, 0, jobspec.Facts{}, jobspec.Open}, {jobspec.Singleton, 0, over, jobspec.Met},
 	} {
-		if got := (terms.Dep{Kind: c.kind, DelayS: c.delay}).Judge(c.f, 2000); got != c.want {
+		if got := (jobspec.Dep{Kind: c.kind, DelayS: c.delay}).Judge(c.f, 2000); got != c.want {
 			t.Errorf("%s+%d, %+v: %d, not %d", c.kind, c.delay, c.f, got, c.want)
 		}
 	}
-	all, any := &terms.Terms{}, &terms.Terms{Any: true}
-	o, m, n := terms.Open, terms.Met, terms.Never
+	all, any := &jobspec.Terms{}, &jobspec.Terms{Any: true}
+	o, m, n := jobspec.Open, jobspec.Met, jobspec.Never
 	for _, c := range []struct {
-		each     []terms.Outcome
-		all, any terms.Outcome
-	}{{nil, m, m}, {[]terms.Outcome{m, m}, m, m}, {[]terms.Outcome{o, m}, o, m}, {[]terms.Outcome{n, m}, n, m}, {[]terms.Outcome{n, o}, n, o}, {[]terms.Outcome{n, n}, n, n}} {
+		each     []jobspec.Outcome
+		all, any jobspec.Outcome
+	}{{nil, m, m}, {[]jobspec.Outcome{m, m}, m, m}, {[]jobspec.Outcome{o, m}, o, m}, {[]jobspec.Outcome{n, m}, n, m}, {[]jobspec.Outcome{n, o}, n, o}, {[]jobspec.Outcome{n, n}, n, n}} {
 		if a, b := all.Join(c.each), any.Join(c.each); a != c.all || b != c.any {
 			t.Errorf("%v: all %d, any %d", c.each, a, b)
 		}
 	}
-	held := &terms.Terms{Number: 1, Held: true, BeginMs: 5}
-	if why := held.Waits(terms.Met, 1); why != terms.ReasonHeld {
+	held := &jobspec.Terms{Number: 1, Held: true, BeginMs: 5}
+	if why := held.Waits(jobspec.Met, 1); why != jobspec.ReasonHeld {
 		t.Error(why)
 	}
-	if err := (&terms.Terms{Number: 1, After: []terms.Dep{{Kind: "later"}}}).Check(1, false, false, time.Now()); err == nil {
+	if err := (&jobspec.Terms{Number: 1, After: []jobspec.Dep{{Kind: "later"}}}).Check(1, false, false, time.Now()); err == nil {
 		t.Error("an unknown kind of dependency is taken")
 	}
 }
--- a/internal/owner/accept.go
+++ b/internal/owner/accept.go
@@ -6,8 +6,8 @@
 
 	"github.com/goccy/go-json"
 
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -104,7 +104,7 @@
 
 // Accepted adds a job, with its terms if it has any, that this process has just
 // recorded.
-func (o *Owner) Accepted(spec *wire.Job, t *terms.Terms, shard int, atMs int64, version uint64) {
+func (o *Owner) Accepted(spec *wire.Job, t *jobspec.Terms, shard int, atMs int64, version uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.jobs[spec.UID] == nil {
--- a/internal/owner/amend.go
+++ b/internal/owner/amend.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 )
 
 // Hold holds a job's tasks that have not started, or releases them.
@@ -22,11 +22,11 @@
 var ErrInput = errors.New("can't be done")
 
 // Drop cancels tasks of a job alone. Those that are over stay as they are.
-func (o *Owner) Drop(ctx context.Context, uid string, tasks terms.Ranges) error {
+func (o *Owner) Drop(ctx context.Context, uid string, tasks jobspec.Ranges) error {
 	return o.amend(ctx, uid, func(r *liveRecord) (bool, error) {
 		var all []int
 		if r.Terms.Dropped != "" {
-			old, err := terms.ParseRanges(r.Terms.Dropped)
+			old, err := jobspec.ParseRanges(r.Terms.Dropped)
 			if err != nil {
 				return false, err
 			}
@@ -49,8 +49,8 @@
 		if len(all) == 0 {
 			return false, nil
 		}
-		text := terms.RangesOf(all).String()
-		if _, err := terms.ParseRanges(text); err != nil || len(text) > terms.MaxArray {
+		text := jobspec.RangesOf(all).String()
+		if _, err := jobspec.ParseRanges(text); err != nil || len(text) > jobspec.MaxArray {
 			return false, fmt.Errorf("%w: too many single tasks of this job were cancelled; cancel the job, or ranges of tasks", ErrInput)
 		}
 		changed := r.Terms.Dropped != text
@@ -124,7 +124,7 @@
 	if j.asked == nil || j.asked.Dropped == "" {
 		return
 	}
-	r, err := terms.ParseRanges(j.asked.Dropped)
+	r, err := jobspec.ParseRanges(j.asked.Dropped)
 	if err != nil {
 		o.log.Error("unreadable terms of a job", "job", j.spec.UID, "err", err)
 		return
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -11,12 +11,12 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/slurm"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -218,7 +218,7 @@
 	for b.Loop() {
 		f := newFleet(b, 50, 0)
 		f.owner.Accepted(&wire.Job{UID: "j-big", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 100_000, CPUs: 1, Estimate: 30, Spot: true},
-			&terms.Terms{Number: 1, Array: "0-99999", Most: 20}, 0, time.Now().UnixMilli(), 1)
+			&jobspec.Terms{Number: 1, Array: "0-99999", Most: 20}, 0, time.Now().UnixMilli(), 1)
 		f.owner.Pass()
 		tasks, pages := 0, 0
 		for from := (listing.Cursor{}); ; pages++ {
--- a/internal/owner/dependencies.go
+++ b/internal/owner/dependencies.go
@@ -4,14 +4,14 @@
 	"context"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // Others answers for jobs that this owner does not have.
 type Others interface {
 	// Facts says how far a job is, wherever it is.
-	Facts(ctx context.Context, uid string) (terms.Facts, error)
+	Facts(ctx context.Context, uid string) (jobspec.Facts, error)
 	// Earlier reports whether an owner elsewhere has an unfinished job of the
 	// name and user with a lower number.
 	Earlier(ctx context.Context, name, user string, number uint64) (bool, error)
@@ -72,7 +72,7 @@
 		was := a.deps
 		q := query{j: j}
 		for i, d := range a.After {
-			if a.each[i] != terms.Open {
+			if a.each[i] != jobspec.Open {
 				continue
 			}
 			if f, known := o.facts(j, d); known {
@@ -96,9 +96,9 @@
 		why := ""
 		switch {
 		case a.DeadlineMs > 0 && now.UnixMilli() > a.DeadlineMs:
-			why = terms.Deadline
-		case a.deps == terms.Never && a.KillNever:
-			why = terms.Cancelled
+			why = jobspec.Deadline
+		case a.deps == jobspec.Never && a.KillNever:
+			why = jobspec.Cancelled
 		}
 		if why != "" {
 			if end == nil {
@@ -111,18 +111,18 @@
 }
 
 // facts says what this owner knows for sure of what a job depends on.
-func (o *Owner) facts(j *job, d terms.Dep) (terms.Facts, bool) {
-	if d.Kind == terms.Singleton {
+func (o *Owner) facts(j *job, d jobspec.Dep) (jobspec.Facts, bool) {
+	if d.Kind == jobspec.Singleton {
 		if o.earlier(j.asked.Name, j.asked.User, j.asked.Number) {
-			return terms.Facts{}, true
+			return jobspec.Facts{}, true
 		}
-		return terms.Facts{Over: true, OK: true}, len(o.loaded) == o.op.Shards
+		return jobspec.Facts{Over: true, OK: true}, len(o.loaded) == o.op.Shards
 	}
 	return o.factsOf(d.Job)
 }
 
-func (f finalRecord) facts() terms.Facts {
-	out := terms.Facts{Over: true, OK: f.Stage == wire.StageDone, Started: f.Stage == wire.StageDone}
+func (f finalRecord) facts() jobspec.Facts {
+	out := jobspec.Facts{Over: true, OK: f.Stage == wire.StageDone, Started: f.Stage == wire.StageDone}
 	if f.Ending != nil {
 		out.StartedMs = f.Ending.StartMs
 	}
@@ -138,9 +138,9 @@
 	return false
 }
 
-func (o *Owner) factsOf(uid string) (terms.Facts, bool) {
+func (o *Owner) factsOf(uid string) (jobspec.Facts, bool) {
 	if x := o.jobs[uid]; x != nil {
-		f := terms.Facts{Started: x.started > 0 || x.done > 0}
+		f := jobspec.Facts{Started: x.started > 0 || x.done > 0}
 		if x.asked != nil {
 			f.StartedMs = x.asked.startMs
 		}
@@ -149,15 +149,15 @@
 	if f, over := o.final[uid]; over {
 		return f.facts(), true
 	}
-	return terms.Facts{}, false
+	return jobspec.Facts{}, false
 }
 
 // FactsHere says how far a job is that this owner has, or had.
-func (o *Owner) FactsHere(uid string) (terms.Facts, bool) {
+func (o *Owner) FactsHere(uid string) (jobspec.Facts, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.member.Held() <= 0 {
-		return terms.Facts{}, false
+		return jobspec.Facts{}, false
 	}
 	return o.factsOf(uid)
 }
@@ -172,10 +172,10 @@
 
 // StoredFacts reads from the store how a job ended; a living one is only known to
 // its owner.
-func StoredFacts(ctx context.Context, store Reader, uid string) (terms.Facts, error) {
+func StoredFacts(ctx context.Context, store Reader, uid string) (jobspec.Facts, error) {
 	f, err := readFinal(ctx, store, uid)
 	if err != nil {
-		return terms.Facts{}, err
+		return jobspec.Facts{}, err
 	}
 	return f.facts(), nil
 }
@@ -187,12 +187,12 @@
 	a := q.j.asked
 	for _, i := range q.open {
 		d := a.After[i]
-		var f terms.Facts
+		var f jobspec.Facts
 		var err error
-		if d.Kind == terms.Singleton {
+		if d.Kind == jobspec.Singleton {
 			var left bool
 			left, err = o.Others.Earlier(ctx, a.Name, a.User, a.Number)
-			f = terms.Facts{Over: !left, OK: true}
+			f = jobspec.Facts{Over: !left, OK: true}
 		} else {
 			f, err = o.Others.Facts(ctx, d.Job)
 		}
--- a/internal/owner/lend.go
+++ b/internal/owner/lend.go
@@ -12,10 +12,10 @@
 	"golang.org/x/time/rate"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/lending"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -90,7 +90,7 @@
 	a, c := amountOf(use), t.lent.side.Ceiling(shard, t.lent.name)
 	for kind, limit := range limitOf(t.Team) {
 		if limit > 0 && a[kind] > c[kind] {
-			return [...]string{terms.ReasonLimitCPU, terms.ReasonLimitGPU}[kind]
+			return [...]string{jobspec.ReasonLimitCPU, jobspec.ReasonLimitGPU}[kind]
 		}
 	}
 	return ""
--- a/internal/owner/listing.go
+++ b/internal/owner/listing.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -79,7 +79,7 @@
 // ones that do not fit begin.
 func (s shot) info() (i listing.Info, task int) {
 	if len(s.waiting) > 0 {
-		r := terms.RangesOf(s.waiting)
+		r := jobspec.RangesOf(s.waiting)
 		task = r.Cut()
 		s.Waiting = r.String()
 	}
@@ -158,15 +158,15 @@
 	case j.team.lent != nil && !o.underLimit(j):
 		return j.team.short(j.shard, j.team.lent.use[j.shard].Add(j.shape, 1))
 	case j.asked.Most > 0 && j.busy(false, -1) >= j.asked.Most:
-		return terms.ReasonThrottle
+		return jobspec.ReasonThrottle
 	case j.team.CPUsMax > 0 && use.CPUs > j.team.CPUsMax+tiny:
-		return terms.ReasonLimitCPU
+		return jobspec.ReasonLimitCPU
 	case j.team.GPUsMax > 0 && use.GPUs > j.team.GPUsMax+tiny:
-		return terms.ReasonLimitGPU
+		return jobspec.ReasonLimitGPU
 	case first != nil && first != j:
-		return terms.ReasonPriority
+		return jobspec.ReasonPriority
 	}
-	return terms.ReasonResources
+	return jobspec.ReasonResources
 }
 
 // InfoHere shows a living job that is surely this owner's.
--- a/internal/owner/outcome.go
+++ b/internal/owner/outcome.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/machine"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -18,7 +18,7 @@
 )
 
 func (h how) state() string {
-	return [...]string{terms.Completed, terms.Failed, terms.Timeout, terms.Cancelled}[h&3]
+	return [...]string{jobspec.Completed, jobspec.Failed, jobspec.Timeout, jobspec.Cancelled}[h&3]
 }
 
 type failure struct {
@@ -77,7 +77,7 @@
 }
 
 // ending is how a job with terms ended.
-func (o *Owner) ending(j *job) *terms.Ending {
+func (o *Owner) ending(j *job) *jobspec.Ending {
 	a := j.asked
 	if a == nil {
 		return nil
@@ -85,7 +85,7 @@
 	if a.endMs == 0 {
 		a.endMs = time.Now().UnixMilli()
 	}
-	e := &terms.Ending{Number: a.Number, State: terms.Completed, Failed: j.over - j.done, StartMs: a.startMs, EndMs: a.endMs}
+	e := &jobspec.Ending{Number: a.Number, State: jobspec.Completed, Failed: j.over - j.done, StartMs: a.startMs, EndMs: a.endMs}
 	worst := how(0)
 	for _, c := range j.chunks {
 		for _, f := range c.failed {
@@ -100,7 +100,7 @@
 	case a.Why != "":
 		e.State = a.Why
 	case j.cancelled:
-		e.State = terms.Cancelled
+		e.State = jobspec.Cancelled
 	default:
 		e.State = worst.state()
 	}
--- a/internal/owner/recorded_shard_test.go
+++ b/internal/owner/recorded_shard_test.go
@@ -11,11 +11,11 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -93,14 +93,14 @@
 	if !ok || info.Failed != 1 || info.Done != 2 || info.Waiting != "4-6" || len(info.On) != 1 || info.On[0].Task != 2 || info.On[0].Attempt != 3 {
 		t.Errorf("it is listed as %+v, %v", info, ok)
 	}
-	if want := (&terms.Terms{Number: 100, Name: "tips", User: "erin", Array: "0-6", Most: 4, Final: true}); !reflect.DeepEqual(info.Terms, want) || info.AtMs != 946_684_806_000 {
+	if want := (&jobspec.Terms{Number: 100, Name: "tips", User: "erin", Array: "0-6", Most: 4, Final: true}); !reflect.DeepEqual(info.Terms, want) || info.AtMs != 946_684_806_000 {
 		t.Errorf("its terms are %+v, accepted at %d; want %+v", info.Terms, info.AtMs, want)
 	}
 	if s, err := owner.Stored(t.Context(), store, "j-2"); err != nil || s != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
 		t.Errorf("the ended job is %+v, %v", s, err)
 	}
 	want := listing.Info{Job: wire.Job{UID: "j-2"}, Stage: wire.StageDone, Done: 1,
-		Ending: &terms.Ending{Number: 90, State: terms.Completed, StartMs: 946_684_802_000, EndMs: 946_684_805_000}}
+		Ending: &jobspec.Ending{Number: 90, State: jobspec.Completed, StartMs: 946_684_802_000, EndMs: 946_684_805_000}}
 	if got, err := owner.StoredInfo(t.Context(), store, "j-2"); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("the ended job is listed as %+v, %v", got, err)
 	}
--- a/internal/owner/recorded_test.go
+++ b/internal/owner/recorded_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/lending"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -26,15 +26,15 @@
 		OneZone: true, Spread: true, Spot: true, Estimate: 240, MarkS: 30, SaveS: 4, DueS: &due}
 }
 
-func fullTerms() *terms.Terms {
-	return &terms.Terms{Number: 4100, Name: "tips <a&b>", User: "erin", Array: "0-30:2", Most: 4, Held: true,
+func fullTerms() *jobspec.Terms {
+	return &jobspec.Terms{Number: 4100, Name: "tips <a&b>", User: "erin", Array: "0-30:2", Most: 4, Held: true,
 		BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, Final: true, Any: true,
-		After:     []terms.Dep{{Kind: terms.After, Job: "j-7", Number: 70, DelayS: 60}},
-		KillNever: true, Dropped: "3,7-9", Why: terms.Deadline}
+		After:     []jobspec.Dep{{Kind: jobspec.After, Job: "j-7", Number: 70, DelayS: 60}},
+		KillNever: true, Dropped: "3,7-9", Why: jobspec.Deadline}
 }
 
-func fullEnding() *terms.Ending {
-	return &terms.Ending{Number: 4100, State: terms.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000}
+func fullEnding() *jobspec.Ending {
+	return &jobspec.Ending{Number: 4100, State: jobspec.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000}
 }
 
 // What an owner stores keeps its form: a successor of any version reads it.
@@ -143,7 +143,7 @@
 
 func TestAcceptanceKeepsItsBytes(t *testing.T) {
 	job := fullJob()
-	for name, given := range map[string]*terms.Terms{"accept-full": fullTerms(), "accept-none": nil} {
+	for name, given := range map[string]*jobspec.Terms{"accept-full": fullTerms(), "accept-none": nil} {
 		guards, ops := AcceptTxn(&job, given, 5, 1_796_000_000_123)
 		data, err := json.Marshal(wire.Txn{If: guards, Then: ops})
 		if err != nil {
@@ -171,7 +171,7 @@
 // The names of an owner's keys, in full.
 func TestKeysOfRecords(t *testing.T) {
 	job := &wire.Job{UID: "j-1", Tasks: 3}
-	guards, ops := AcceptTxn(job, &terms.Terms{Number: 40}, 0, 0)
+	guards, ops := AcceptTxn(job, &jobspec.Terms{Number: 40}, 0, 0)
 	got := []string{liveKey, finalKey, taskKey, logKey, slotKey(7, 12), slotKey(1000, 100_000), chunkKey("j-1", 0), chunkKey("j-1", 1041)}
 	for _, g := range guards {
 		got = append(got, g.Key)
--- a/internal/owner/records.go
+++ b/internal/owner/records.go
@@ -11,7 +11,7 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/jobid"
-	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -35,7 +35,7 @@
 	AtMs      int64    `json:"at"` // time of day of the acceptance
 	Cancelled bool     `json:"cancelled,omitempty"`
 
-	Terms *terms.Terms `json:"terms,omitempty"`
+	Terms *jobspec.Terms `json:"terms,omitempty"`
 }
 
 // finalRecord is how a job ended.
@@ -43,7 +43,7 @@
 	Stage string `json:"stage"`
 	Done  int    `json:"done"`
 
-	Ending *terms.Ending `json:"end,omitempty"` // of a job with terms
+	Ending *jobspec.Ending `json:"end,omitempty"` // of a job with terms
 }
 
 // chunkRecord is the tasks of a chunk: which are done, and on which machines
@@ -120,7 +120,7 @@
 
 // AcceptTxn is the transaction that accepts a job, with its terms if it has any:
 // it fails if the job is known, living or ended, or its number belongs to another.
-func AcceptTxn(job *wire.Job, t *terms.Terms, shard int, atMs int64) ([]wire.Guard, []wire.Op) {
+func AcceptTxn(job *wire.Job, t *jobspec.Terms, shard int, atMs int64) ([]wire.Guard, []wire.Op) {
 	guards := []wire.Guard{{Key: liveKey + job.UID}, {Key: finalKey + job.UID}}
 	ops := []wire.Op{{Put: liveKey + job.UID, Value: liveRecord{Job: *job, Shard: shard, AtMs: atMs, Terms: t}}}
 	if t != nil {
--- a/internal/owner/rows.go
+++ b/internal/owner/rows.go
@@ -4,17 +4,17 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/accounting"
-	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // jobRow is a job's accounting row.
 func (o *Owner) jobRow(j *job) accounting.Row {
 	s := j.spec
-	r := accounting.Row{Kind: accounting.RowJob, UID: s.UID, State: terms.Completed, Submit: j.atMs, Team: s.Team, Class: s.Class, Priority: s.Priority,
+	r := accounting.Row{Kind: accounting.RowJob, UID: s.UID, State: jobspec.Completed, Submit: j.atMs, Team: s.Team, Class: s.Class, Priority: s.Priority,
 		Tasks: uint32(s.Tasks), Done: uint32(j.done), End: time.Now().UnixMilli(), CPUs: float32(s.CPUs), GPUs: float32(s.GPUs), MemoryGB: float32(s.MemoryGB)}
 	if j.ended != wire.StageDone {
-		r.State = terms.Cancelled
+		r.State = jobspec.Cancelled
 	}
 	if a := j.asked; a != nil {
 		e := o.ending(j)
@@ -47,15 +47,15 @@
 	case failed:
 		r.State = f.how.state()
 	case p.chunk.isDone(p.task) && p.cause == wire.CauseDone:
-		r.State, r.Useful = terms.Completed, true
+		r.State, r.Useful = jobspec.Completed, true
 	case j.cancelled:
-		r.State = terms.Cancelled
+		r.State = jobspec.Cancelled
 	case p.cause == wire.CauseError:
-		r.State = terms.Failed
+		r.State = jobspec.Failed
 	case p.cause != "" || !p.halted.IsZero():
-		r.State = terms.Preempted
+		r.State = jobspec.Preempted
 	default:
-		r.State = terms.NodeFail
+		r.State = jobspec.NodeFail
 	}
 	t := o.typeOf(m)
 	price := t.Price
--- a/internal/owner/terms.go
+++ b/internal/owner/terms.go
@@ -3,22 +3,22 @@
 import (
 	"time"
 
-	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
 // asked is what a job's terms ask and what has become of it.
 type asked struct {
-	*terms.Terms
-	each     []terms.Outcome // of its dependencies
-	deps     terms.Outcome
+	*jobspec.Terms
+	each     []jobspec.Outcome // of its dependencies
+	deps     jobspec.Outcome
 	looked   time.Time // when its dependencies were last asked about elsewhere
 	startMs  int64     // of its first task, as far as this owner knows
 	eligible int64     // since when nothing but room keeps it from starting
 	endMs    int64
 }
 
-func newAsked(t *terms.Terms) *asked {
-	a := &asked{Terms: t, each: make([]terms.Outcome, len(t.After))}
+func newAsked(t *jobspec.Terms) *asked {
+	a := &asked{Terms: t, each: make([]jobspec.Outcome, len(t.After))}
 	a.deps = t.Join(a.each)
 	return a
 }
--- a/internal/slurm/account_lines.go
+++ b/internal/slurm/account_lines.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/accounting"
-	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
 // AcctRow is a line of sacct: a job, a task of an array, or a step of one.
@@ -72,8 +72,8 @@
 	record  *Record
 	options AcctOptions
 	tasks   int
-	indices terms.Ranges // of the tasks, if it is an array
-	base    AcctRow      // what all lines have in common
+	indices jobspec.Ranges // of the tasks, if it is an array
+	base    AcctRow        // what all lines have in common
 }
 
 func (l *liner) array() bool { return l.tasks > 1 || l.record.Job.Array != "" }
@@ -94,7 +94,7 @@
 			steps = append(steps, s)
 		}
 	}
-	if row.State == terms.Preempted || row.State == terms.NodeFail {
+	if row.State == jobspec.Preempted || row.State == jobspec.NodeFail {
 		// The task runs again, or ended with its job.
 		row.State, row.End = job.State, job.End
 		if l.record.Living {
@@ -139,7 +139,7 @@
 				rest = append(rest, l.indices.At(t))
 			}
 		}
-		row.ID += "_[" + terms.RangesOf(rest).String() + "]"
+		row.ID += "_[" + jobspec.RangesOf(rest).String() + "]"
 	}
 	if l.record.Living && len(ran) > 0 {
 		row.State = "PENDING"
--- a/internal/slurm/queue.go
+++ b/internal/slurm/queue.go
@@ -7,14 +7,14 @@
 	"strings"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // Short names of states, as squeue shows them.
-var compact = map[string]string{"PENDING": "PD", "RUNNING": "R", "COMPLETING": "CG", "CONFIGURING": "CF", terms.Completed: "CD", terms.Cancelled: "CA",
-	terms.Failed: "F", terms.Timeout: "TO", terms.Deadline: "DL", terms.NodeFail: "NF", terms.Preempted: "PR"}
+var compact = map[string]string{"PENDING": "PD", "RUNNING": "R", "COMPLETING": "CG", "CONFIGURING": "CF", jobspec.Completed: "CD", jobspec.Cancelled: "CA",
+	jobspec.Failed: "F", jobspec.Timeout: "TO", jobspec.Deadline: "DL", jobspec.NodeFail: "NF", jobspec.Preempted: "PR"}
 
 // StateName reads a state by either of its names.
 func StateName(s string) (string, bool) {
@@ -43,20 +43,20 @@
 }
 
 // isArray reports whether a job's tasks are named one by one.
-func isArray(tasks int, t *terms.Terms) bool { return tasks > 1 || t.Array != "" }
+func isArray(tasks int, t *jobspec.Terms) bool { return tasks > 1 || t.Array != "" }
 
 // indices are the names of a job's tasks. A native job of many tasks looks like an
 // array from 0.
-func indices(tasks int, array string) terms.Ranges {
+func indices(tasks int, array string) jobspec.Ranges {
 	if array == "" {
 		array = "0-" + strconv.Itoa(tasks-1)
 		if tasks <= 1 {
 			array = "0"
 		}
 	}
-	r, err := terms.ParseRanges(array)
+	r, err := jobspec.ParseRanges(array)
 	if err != nil {
-		return terms.Ranges{} // it was checked when the job came
+		return jobspec.Ranges{} // it was checked when the job came
 	}
 	return r
 }
@@ -78,7 +78,7 @@
 		return r
 	}
 	if i.Waiting != "" {
-		waiting, err := terms.ParseRanges(i.Waiting)
+		waiting, err := jobspec.ParseRanges(i.Waiting)
 		if err != nil {
 			return nil
 		}
@@ -92,7 +92,7 @@
 				ns = append(ns, names.At(t))
 			}
 			r := base
-			r.Index, r.Tasks = terms.RangesOf(ns).String(), len(ns)
+			r.Index, r.Tasks = jobspec.RangesOf(ns).String(), len(ns)
 			if i.Terms.Most > 0 {
 				r.Index += "%" + strconv.Itoa(i.Terms.Most)
 			}
@@ -161,15 +161,15 @@
 	if r.Machine != "" {
 		return r.Machine
 	}
-	return "(" + dash(r.Why, terms.ReasonNone) + ")"
+	return "(" + dash(r.Why, jobspec.ReasonNone) + ")"
 }
 
 // dependency writes a job's dependencies as --dependency has them.
-func dependency(t *terms.Terms) string {
+func dependency(t *jobspec.Terms) string {
 	var out []string
 	for _, d := range t.After {
 		s := d.Kind
-		if d.Kind != terms.Singleton {
+		if d.Kind != jobspec.Singleton {
 			s += ":" + strconv.FormatUint(d.Number, 10)
 		}
 		if d.DelayS > 0 {
@@ -211,7 +211,7 @@
 	{'q', "QOS", "QOS", 20, func(r *QueueRow) string { return r.Job.Priority }},
 	{'Q', "PriorityLong", "PRIORITY", 20, func(r *QueueRow) string { return strconv.Itoa(r.Job.Rank()) }},
 	{'R', "ReasonList", "NODELIST(REASON)", 20, (*QueueRow).reasonOrNode},
-	{'r', "Reason", "REASON", 20, func(r *QueueRow) string { return dash(r.Why, terms.ReasonNone) }},
+	{'r', "Reason", "REASON", 20, func(r *QueueRow) string { return dash(r.Why, jobspec.ReasonNone) }},
 	{'N', "NodeList", "NODELIST", 20, func(r *QueueRow) string { return r.Machine }},
 	{'B', "BatchHost", "EXEC_HOST", 20, func(r *QueueRow) string { return dash(r.Machine, "n/a") }},
 	{'S', "StartTime", "START_TIME", 20, func(r *QueueRow) string { return stamp(r.expectedStart(), "N/A", r.Zone) }},
@@ -247,7 +247,7 @@
 // Target is what a number on a command line means: a job, or tasks of its array.
 type Target struct {
 	Number  uint64
-	Indices terms.Ranges // none: all of it
+	Indices jobspec.Ranges // none: all of it
 	All     bool
 }
 
@@ -268,7 +268,7 @@
 				return Target{}, invalidID(s)
 			}
 		}
-		if t.Indices, err = terms.ParseRanges(inner); err != nil {
+		if t.Indices, err = jobspec.ParseRanges(inner); err != nil {
 			return Target{}, &Usage{Why: fmt.Sprintf("Invalid job id %.60s: %v", s, err)}
 		}
 	}
@@ -276,17 +276,17 @@
 }
 
 // Tasks turns an array's indices into the numbers of the job's tasks.
-func Tasks(indexOf terms.Ranges, tasks int, array string) (terms.Ranges, error) {
+func Tasks(indexOf jobspec.Ranges, tasks int, array string) (jobspec.Ranges, error) {
 	all := indices(tasks, array)
 	var ns []int
 	for x := range indexOf.All() {
 		k := all.Find(x)
 		if k < 0 {
-			return terms.Ranges{}, fmt.Errorf("the array has no task %d", x)
+			return jobspec.Ranges{}, fmt.Errorf("the array has no task %d", x)
 		}
 		ns = append(ns, k)
 	}
-	return terms.RangesOf(ns), nil
+	return jobspec.RangesOf(ns), nil
 }
 
 // Filter says which rows squeue and scancel mean. Empty lists mean all.
@@ -350,5 +350,5 @@
 // JSON returns a row's JSON form; times are in seconds since 1970.
 func (r *QueueRow) JSON() QueueJSON {
 	return QueueJSON{r.RawID, r.Terms.Number, r.Index, dash(r.Terms.Name, r.Job.Class), r.Terms.User, r.Job.Team, r.Job.Class, r.Job.Priority, []string{r.State},
-		dash(r.Why, terms.ReasonNone), r.Machine, r.Job.CPUs, r.Job.MemoryGB * 1024, dependency(r.Terms), r.AtMs / 1000, r.expectedStart() / 1000, r.Eligible / 1000, r.Terms.LimitS / 60, r.Job.UID}
+		dash(r.Why, jobspec.ReasonNone), r.Machine, r.Job.CPUs, r.Job.MemoryGB * 1024, dependency(r.Terms), r.AtMs / 1000, r.expectedStart() / 1000, r.Eligible / 1000, r.Terms.LimitS / 60, r.Job.UID}
 }
--- a/internal/slurm/show.go
+++ b/internal/slurm/show.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -18,8 +18,8 @@
 		// It is over: its final state is kept for ever, all else is accounting's.
 		e := i.Ending
 		if e == nil {
-			e = &terms.Ending{State: map[string]string{wire.StageDone: terms.Completed}[i.Stage]}
-			e.State = dash(e.State, terms.Cancelled)
+			e = &jobspec.Ending{State: map[string]string{wire.StageDone: jobspec.Completed}[i.Stage]}
+			e.State = dash(e.State, jobspec.Cancelled)
 		}
 		p("JobId=%d WallrackUID=%s\n   JobState=%s Reason=None ExitCode=%s\n   StartTime=%s EndTime=%s\n   DoneTasks=%d FailedTasks=%d\n\n",
 			e.Number, i.Job.UID, e.State, exitCode(e.Exit), stamp(e.StartMs, "Unknown", zone), stamp(e.EndMs, "Unknown", zone), i.Done, e.Failed)
@@ -29,13 +29,13 @@
 	state := "PENDING"
 	switch {
 	case i.Stage == wire.StageCancelled:
-		state = terms.Cancelled
+		state = jobspec.Cancelled
 	case i.Running > 0:
 		state = "RUNNING"
 	}
 	p("JobId=%d JobName=%s WallrackUID=%s\n", t.Number, dash(t.Name, j.Class), j.UID)
 	p("   UserId=%s Account=%s QOS=%s Priority=%d\n", dash(t.User, "-"), j.Team, j.Priority, j.Rank())
-	p("   JobState=%s Reason=%s Dependency=%s\n", state, dash(i.Reason, terms.ReasonNone), dash(dependency(t), "(null)"))
+	p("   JobState=%s Reason=%s Dependency=%s\n", state, dash(i.Reason, jobspec.ReasonNone), dash(dependency(t), "(null)"))
 	if isArray(j.Tasks, t) {
 		array := indices(j.Tasks, t.Array).String()
 		if t.Most > 0 {
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -9,16 +9,16 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/description"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/slurmtask"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // Request is a submission in wallrack's own words.
 type Request struct {
 	Job         wire.Job
-	Terms       terms.Terms
+	Terms       jobspec.Terms
 	Description description.Description
 }
 
@@ -175,7 +175,7 @@
 	if cmd == Sbatch {
 		tasks = o.Tasks
 		if o.Array != "" {
-			indices, err := terms.ParseRanges(o.Array)
+			indices, err := jobspec.ParseRanges(o.Array)
 			if err != nil {
 				return &Usage{Option: "array", Why: err.Error()}
 			}
--- a/internal/slurm/values.go
+++ b/internal/slurm/values.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
 // ParseMemoryMB reads an amount of memory: megabytes, or with K, M, G or T.
@@ -164,7 +164,7 @@
 		}
 		o.Most = n
 	}
-	if _, err := terms.ParseRanges(spec); err != nil {
+	if _, err := jobspec.ParseRanges(spec); err != nil {
 		return fmt.Errorf("invalid job array specification: %w", err)
 	}
 	o.Array = spec
@@ -275,7 +275,7 @@
 }
 
 // parseDependency reads a dependency list; any tells that one is enough.
-func parseDependency(v string) (deps []terms.Dep, any bool, err error) {
+func parseDependency(v string) (deps []jobspec.Dep, any bool, err error) {
 	sep := ","
 	if strings.Contains(v, "?") {
 		if strings.Contains(v, ",") {
@@ -285,12 +285,12 @@
 	}
 	for _, part := range strings.Split(v, sep) {
 		if part == "singleton" {
-			deps = append(deps, terms.Dep{Kind: terms.Singleton})
+			deps = append(deps, jobspec.Dep{Kind: jobspec.Singleton})
 			continue
 		}
 		kind, list, _ := strings.Cut(part, ":")
 		switch kind {
-		case terms.After, terms.AfterAny, terms.AfterOK, terms.AfterNotOK:
+		case jobspec.After, jobspec.AfterAny, jobspec.AfterOK, jobspec.AfterNotOK:
 		case "aftercorr", "afterburstbuffer", "expand":
 			return nil, false, fmt.Errorf("%s is not supported by wallrack", kind)
 		default:
@@ -301,13 +301,13 @@
 			if strings.Contains(num, "_") {
 				return nil, false, fmt.Errorf("%.40q: dependencies on single tasks of an array are not supported by wallrack", id)
 			}
-			d := terms.Dep{Kind: kind}
+			d := jobspec.Dep{Kind: kind}
 			if d.Number, err = strconv.ParseUint(num, 10, 47); err != nil || d.Number == 0 {
 				return nil, false, fmt.Errorf("%.40q is not a job's number", id)
 			}
 			if delayed {
 				minutes, err := strconv.ParseUint(delay, 10, 24)
-				if err != nil || kind != terms.After {
+				if err != nil || kind != jobspec.After {
 					return nil, false, fmt.Errorf("%.40q: minutes go with after only", id)
 				}
 				d.DelayS = int64(minutes) * 60
@@ -315,8 +315,8 @@
 			deps = append(deps, d)
 		}
 	}
-	if len(deps) > terms.MaxDeps {
-		return nil, false, fmt.Errorf("more than %d dependencies", terms.MaxDeps)
+	if len(deps) > jobspec.MaxDeps {
+		return nil, false, fmt.Errorf("more than %d dependencies", jobspec.MaxDeps)
 	}
 	return deps, any, nil
 }
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -11,9 +11,9 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/owner"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -79,7 +79,7 @@
 				refuse(w, http.StatusBadRequest, 0, "tasks: ranges of numbers are needed")
 				return
 			}
-			if _, err := terms.ParseRanges(ask.Tasks); err != nil {
+			if _, err := jobspec.ParseRanges(ask.Tasks); err != nil {
 				refuse(w, http.StatusBadRequest, 0, "tasks: "+err.Error())
 				return
 			}
--- a/internal/slurmapi/messages.go
+++ b/internal/slurmapi/messages.go
@@ -5,10 +5,10 @@
 	"errors"
 	"net/http"
 
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 )
 
 // Request is what one controller asks of another that owns jobs.
@@ -64,8 +64,8 @@
 	case verbHold, verbRelease:
 		err = s.jobs.Hold(ctx, r.UID, r.Verb == verbHold)
 	case verbDrop:
-		var tasks terms.Ranges
-		if tasks, err = terms.ParseRanges(r.Tasks); err == nil {
+		var tasks jobspec.Ranges
+		if tasks, err = jobspec.ParseRanges(r.Tasks); err == nil {
 			err = s.jobs.Drop(ctx, r.UID, tasks)
 		}
 	default:
--- a/internal/slurmapi/recorded_test.go
+++ b/internal/slurmapi/recorded_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/goccy/go-json"
 
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -19,12 +19,12 @@
 		Job: wire.Job{UID: "j-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: "urgent", Tasks: 16,
 			CPUs: 8, GPUs: 1, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g16"}, Zone: &zone,
 			OneZone: true, Spread: true, Spot: true, Estimate: 240, MarkS: 30, SaveS: 4, DueS: &due},
-		Terms: &terms.Terms{Number: 4100, Name: "tips", User: "erin", Array: "0-30:2", Most: 4, Held: true,
+		Terms: &jobspec.Terms{Number: 4100, Name: "tips", User: "erin", Array: "0-30:2", Most: 4, Held: true,
 			BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, Final: true, Any: true,
-			After: []terms.Dep{{Kind: terms.After, Job: "j-7", Number: 70, DelayS: 60}}, KillNever: true, Dropped: "3,7-9", Why: terms.Deadline},
-		AtMs: 1_796_000_000_123, Stage: wire.StageRunning, Reason: terms.ReasonThrottle, Eligible: 1_796_000_000_500, StartMs: 1_796_000_001_000,
+			After: []jobspec.Dep{{Kind: jobspec.After, Job: "j-7", Number: 70, DelayS: 60}}, KillNever: true, Dropped: "3,7-9", Why: jobspec.Deadline},
+		AtMs: 1_796_000_000_123, Stage: wire.StageRunning, Reason: jobspec.ReasonThrottle, Eligible: 1_796_000_000_500, StartMs: 1_796_000_001_000,
 		Waiting: "4-9", Queued: 6, On: []listing.On{fullOn()}, Running: 1, Done: 2, Failed: 3,
-		Ending: &terms.Ending{Number: 4100, State: terms.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000}}
+		Ending: &jobspec.Ending{Number: 4100, State: jobspec.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000}}
 }
 
 func fullOn() listing.On {
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -17,8 +17,8 @@
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -42,7 +42,7 @@
 	Listing(from listing.Cursor, most int) ([]listing.Info, *listing.Cursor)
 	InfoHere(uid string) (listing.Info, bool)
 	Hold(ctx context.Context, uid string, held bool) error
-	Drop(ctx context.Context, uid string, tasks terms.Ranges) error
+	Drop(ctx context.Context, uid string, tasks jobspec.Ranges) error
 }
 
 // Peers are the other controllers.
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -22,11 +22,11 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -60,7 +60,7 @@
 }
 func (s *site) InfoHere(string) (listing.Info, bool)                { return listing.Info{}, false }
 func (s *site) Hold(context.Context, string, bool) error            { return statestore.ErrUnknown }
-func (s *site) Drop(context.Context, string, terms.Ranges) error    { return owner.ErrInput }
+func (s *site) Drop(context.Context, string, jobspec.Ranges) error  { return owner.ErrInput }
 func (s *site) Owns() bool                                          { return s.owns }
 func (s *site) Owners() []string                                    { return nil }
 func (s *site) All() []wire.MachineType                             { return nil }
@@ -207,7 +207,7 @@
 
 // Answers to clients in full: lists with their lines, numbers, refusals.
 func TestAnswersKeepTheirBytes(t *testing.T) {
-	s := &site{jobs: []listing.Info{{Job: wire.Job{UID: "j-1"}, Terms: &terms.Terms{Number: 4}, Stage: wire.StageQueued}}}
+	s := &site{jobs: []listing.Info{{Job: wire.Job{UID: "j-1"}, Terms: &jobspec.Terms{Number: 4}, Stage: wire.StageQueued}}}
 	s.keys, s.pages = []string{"acct/20261130/7-1"}, map[string]string{"acct/20261130/7-1": "1:AAAA"}
 	h := s.handler(1000)
 	const job = `{"job":{"uid":"j-1","docket":"","crew":"","sort":"","urgency":"","pieces":0,"cpus":0,"cards":0,"memoryGb":0,"kit":"","pullGb":0,"reckonS":0},` +
--- a/internal/slurmtask/slurmtask.go
+++ b/internal/slurmtask/slurmtask.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"github.com/wallrack/wallrack/internal/terms"
+	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
 // Context is what a job's description says for this.
@@ -31,14 +31,14 @@
 	attempt uint64
 	machine string
 	index   int // of an array, or -1
-	array   terms.Ranges
+	array   jobspec.Ranges
 }
 
 // Of returns the task n of a job.
 func (c *Context) Of(n int, attempt uint64, machine string) (*Task, error) {
 	t := &Task{Context: c, n: n, attempt: attempt, machine: machine, index: -1}
 	if c.Array != "" {
-		r, err := terms.ParseRanges(c.Array)
+		r, err := jobspec.ParseRanges(c.Array)
 		if err != nil {
 			return nil, fmt.Errorf("array: %w", err)
 		}
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -20,10 +20,10 @@
 	"github.com/wallrack/wallrack/internal/cancels"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/intake"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/owner"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/views"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -345,12 +345,12 @@
 		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 4, Spot: true}
 }
 
-func (w *cluster) submitWith(uid string, tasks int, t *terms.Terms) {
+func (w *cluster) submitWith(uid string, tasks int, t *jobspec.Terms) {
 	w.submitJob(arrayJob(uid, tasks), t)
 }
 
 // submitJob records an accepted job.
-func (w *cluster) submitJob(job *wire.Job, t *terms.Terms) {
+func (w *cluster) submitJob(job *wire.Job, t *jobspec.Terms) {
 	w.mu.Lock()
 	w.specs[job.UID] = job
 	w.mu.Unlock()
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/owner"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -148,7 +148,7 @@
 }
 
 // Facts reads how a job that the owner does not know ended.
-func (n *node) Facts(ctx context.Context, uid string) (terms.Facts, error) {
+func (n *node) Facts(ctx context.Context, uid string) (jobspec.Facts, error) {
 	return owner.StoredFacts(ctx, n.view, uid)
 }
 
--- a/internal/testkit/terms_test.go
+++ b/internal/testkit/terms_test.go
@@ -11,8 +11,8 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/owner"
-	"github.com/wallrack/wallrack/internal/terms"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -88,24 +88,24 @@
 	}
 	time.Sleep(2 * time.Second)
 	now := time.Now()
-	dep := func(kind, uid string) []terms.Dep { return []terms.Dep{{Kind: kind, Job: uid}} }
+	dep := func(kind, uid string) []jobspec.Dep { return []jobspec.Dep{{Kind: kind, Job: uid}} }
 	jobs := []struct {
 		uid   string
 		tasks int
-		t     terms.Terms
+		t     jobspec.Terms
 		state string
 	}{
-		{"j-most", 9, terms.Terms{Most: 2}, terms.Completed},
-		{"j-fails", 5, terms.Terms{Final: true}, terms.Failed},
-		{"j-afterok", 2, terms.Terms{After: dep(terms.AfterOK, "j-most")}, terms.Completed},
-		{"j-afternotok", 2, terms.Terms{After: dep(terms.AfterNotOK, "j-fails")}, terms.Completed},
-		{"j-never", 2, terms.Terms{After: dep(terms.AfterOK, "j-fails"), KillNever: true}, terms.Cancelled},
-		{"j-slow", 2, terms.Terms{LimitS: 1}, terms.Timeout},
-		{"j-begin", 2, terms.Terms{BeginMs: now.Add(70 * time.Second).UnixMilli()}, terms.Completed},
-		{"j-deadline", 2, terms.Terms{Held: true, DeadlineMs: now.Add(90 * time.Second).UnixMilli()}, terms.Deadline},
-		{"j-drop", 6, terms.Terms{Most: 1}, terms.Cancelled},
-		{"j-single1", 2, terms.Terms{Name: "s", User: "u"}, terms.Completed},
-		{"j-single2", 2, terms.Terms{Name: "s", User: "u", After: []terms.Dep{{Kind: terms.Singleton}}}, terms.Completed},
+		{"j-most", 9, jobspec.Terms{Most: 2}, jobspec.Completed},
+		{"j-fails", 5, jobspec.Terms{Final: true}, jobspec.Failed},
+		{"j-afterok", 2, jobspec.Terms{After: dep(jobspec.AfterOK, "j-most")}, jobspec.Completed},
+		{"j-afternotok", 2, jobspec.Terms{After: dep(jobspec.AfterNotOK, "j-fails")}, jobspec.Completed},
+		{"j-never", 2, jobspec.Terms{After: dep(jobspec.AfterOK, "j-fails"), KillNever: true}, jobspec.Cancelled},
+		{"j-slow", 2, jobspec.Terms{LimitS: 1}, jobspec.Timeout},
+		{"j-begin", 2, jobspec.Terms{BeginMs: now.Add(70 * time.Second).UnixMilli()}, jobspec.Completed},
+		{"j-deadline", 2, jobspec.Terms{Held: true, DeadlineMs: now.Add(90 * time.Second).UnixMilli()}, jobspec.Deadline},
+		{"j-drop", 6, jobspec.Terms{Most: 1}, jobspec.Cancelled},
+		{"j-single1", 2, jobspec.Terms{Name: "s", User: "u"}, jobspec.Completed},
+		{"j-single2", 2, jobspec.Terms{Name: "s", User: "u", After: []jobspec.Dep{{Kind: jobspec.Singleton}}}, jobspec.Completed},
 	}
 	for i := range jobs {
 		jobs[i].t.Number = uint64(100 * (i + 1))
@@ -136,7 +136,7 @@
 		if !dropped {
 			// Until an owner has taken it for sure.
 			for _, n := range w.nodes {
-				tasks, _ := terms.ParseRanges("2-4")
+				tasks, _ := jobspec.ParseRanges("2-4")
 				if !n.down && n.owner.Drop(context.Background(), "j-drop", tasks) == nil {
 					dropped = true
 					break
@@ -160,7 +160,7 @@
 		if err != nil || i.Ending == nil || i.Ending.State != j.state || i.Ending.Number != j.t.Number {
 			t.Errorf("%s: %+v, %v", j.uid, i.Ending, err)
 		}
-		if (i.Stage == wire.StageDone) != (j.state == terms.Completed) {
+		if (i.Stage == wire.StageDone) != (j.state == jobspec.Completed) {
 			t.Errorf("%s: stage %s with state %s", j.uid, i.Stage, j.state)
 		}
 		if r := rows[j.uid]; r.State != j.state || r.Number != j.t.Number || int(r.Tasks) != j.tasks || int(r.Done) != i.Done {
@@ -227,7 +227,7 @@
 		for end := time.Now().Add(5 * time.Minute); len(w.store.Keys("final/")) < 6; {
 			if came < 6 && len(w.store.Keys("live/")) == 0 { // one wave after the other
 				for range 2 {
-					w.submitWith(fmt.Sprintf("j-%d", came), 2, &terms.Terms{Number: uint64(10 * (came + 1))})
+					w.submitWith(fmt.Sprintf("j-%d", came), 2, &jobspec.Terms{Number: uint64(10 * (came + 1))})
 					came++
 				}
 			}
