--- a/cmd/wallctl/accounting.go
+++ b/cmd/wallctl/accounting.go
@@ -17,7 +17,7 @@
 
 	"github.com/wallrack/wallrack/internal/accounting/export"
 	"github.com/wallrack/wallrack/internal/client"
-	"github.com/wallrack/wallrack/internal/listing"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
@@ -37,7 +37,7 @@
 			return nil, fmt.Errorf("accounting of %s: %w", day.Format(time.DateOnly), err)
 		}
 	}
-	if err := cl.Jobs(ctx, func(p *listing.Page) error {
+	if err := cl.Jobs(ctx, func(p *jobquery.Page) error {
 		for i := range p.Jobs {
 			c.AddLiving(&p.Jobs[i])
 		}
--- a/cmd/wallctl/scancel.go
+++ b/cmd/wallctl/scancel.go
@@ -12,8 +12,8 @@
 	"github.com/spf13/pflag"
 
 	"github.com/wallrack/wallrack/internal/client"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/slurm"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -85,7 +85,7 @@
 // listing while it is read.
 func (c *cancels) matching(ctx context.Context, f *slurm.Filter) error {
 	var found []match
-	err := c.cl.Jobs(ctx, func(p *listing.Page) error {
+	err := c.cl.Jobs(ctx, func(p *jobquery.Page) error {
 		for i := range p.Jobs {
 			if m := matchJob(f, &p.Jobs[i], p.NowMs); len(m.tasks) > 0 {
 				found = append(found, m)
@@ -109,12 +109,12 @@
 
 // match is what a filter matches of a job.
 type match struct {
-	info  *listing.Info
+	info  *jobquery.Info
 	all   bool  // all tasks that are waiting or running
 	tasks []int // the tasks that it matches
 }
 
-func matchJob(f *slurm.Filter, info *listing.Info, nowMs int64) match {
+func matchJob(f *slurm.Filter, info *jobquery.Info, nowMs int64) match {
 	m := match{info: info, all: true}
 	for _, r := range slurm.Queue(info, true, nowMs, time.Local) {
 		if f.Has(&r) {
--- a/cmd/wallctl/scancel_test.go
+++ b/cmd/wallctl/scancel_test.go
@@ -9,21 +9,21 @@
 	"testing"
 
 	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // A filter cancels a job as a whole if all its tasks match, else the tasks that do; if
 // the listing breaks off, nothing is cancelled.
 func TestFilteredCancelTakesWhatTheWholeListingMatches(t *testing.T) {
-	job := func(uid string, number uint64, tasks int, waiting string, on ...listing.On) listing.Info {
-		return listing.Info{Job: wire.Job{UID: uid, Tasks: tasks}, Terms: &jobspec.Terms{Number: number}, Stage: wire.StageQueued, Waiting: waiting, On: on}
+	job := func(uid string, number uint64, tasks int, waiting string, on ...jobquery.On) jobquery.Info {
+		return jobquery.Info{Job: wire.Job{UID: uid, Tasks: tasks}, Terms: &jobspec.Terms{Number: number}, Stage: wire.StageQueued, Waiting: waiting, On: on}
 	}
-	running := listing.On{Task: 0, Attempt: 1, Machine: "m", StartMs: 5}
-	first := listing.Page{Next: &listing.Cursor{Number: 40}, NowMs: 1000,
-		Jobs: []listing.Info{job("j-all", 10, 1, "0"), job("j-part", 20, 3, "1-2", running), job("j-none", 30, 1, "", running)}}
-	last := listing.Page{NowMs: 1000, Jobs: []listing.Info{job("j-last", 40, 1, "0")}}
+	running := jobquery.On{Task: 0, Attempt: 1, Machine: "m", StartMs: 5}
+	first := jobquery.Page{Next: &jobquery.Cursor{Number: 40}, NowMs: 1000,
+		Jobs: []jobquery.Info{job("j-all", 10, 1, "0"), job("j-part", 20, 3, "1-2", running), job("j-none", 30, 1, "", running)}}
+	last := jobquery.Page{NowMs: 1000, Jobs: []jobquery.Info{job("j-last", 40, 1, "0")}}
 	breaks := false
 	var asked []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/wallctl/scontrol.go
+++ b/cmd/wallctl/scontrol.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/wallrack/wallrack/internal/client"
-	"github.com/wallrack/wallrack/internal/listing"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/slurm"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -76,7 +76,7 @@
 
 func showJobs(ctx context.Context, out io.Writer, cl *client.Client, args []string) error {
 	if len(args) == 0 {
-		return cl.Jobs(ctx, func(p *listing.Page) error {
+		return cl.Jobs(ctx, func(p *jobquery.Page) error {
 			for i := range p.Jobs {
 				fmt.Fprint(out, slurm.ShowJob(&p.Jobs[i], time.Local))
 			}
--- a/cmd/wallctl/squeue.go
+++ b/cmd/wallctl/squeue.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/pflag"
 
 	"github.com/wallrack/wallrack/internal/client"
-	"github.com/wallrack/wallrack/internal/listing"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
@@ -49,7 +49,7 @@
 	if !*noHeader && !*asJSON {
 		fmt.Fprint(out, t.Header())
 	}
-	err = cl.Jobs(cmd.Context(), func(p *listing.Page) error {
+	err = cl.Jobs(cmd.Context(), func(p *jobquery.Page) error {
 		for i := range p.Jobs {
 			rows := slurm.Queue(&p.Jobs[i], *each, p.NowMs, time.Local)
 			for k := range rows {
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -19,9 +19,9 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/intake"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/links"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
@@ -199,14 +199,14 @@
 		Known: true, Facts: jobspec.Facts{Started: true, StartedMs: 1700000000123, Over: true, OK: true}, Earlier: true,
 	})
 	checkRecorded(t, "facts_reply_empty.json", factsReply{})
-	cursor := listing.Cursor{Number: 4001, On: 20, Task: 7}
+	cursor := jobquery.Cursor{Number: 4001, On: 20, Task: 7}
 	checkRecorded(t, "desk_full.json", slurmapi.Request{Verb: "drop", UID: "j-000400", From: cursor, Tasks: "3,5"})
 	checkRecorded(t, "desk_empty.json", slurmapi.Request{})
 	checkRecorded(t, "desk_reply_full.json", slurmapi.Reply{
 		Status: 200, Why: "no such job is waiting or running", Next: &cursor,
-		Jobs: []listing.Info{{
+		Jobs: []jobquery.Info{{
 			Job: fullJob(), Terms: fullTerms(), AtMs: 1700000000123, Stage: wire.StageRunning, Reason: "Resources", Eligible: 1700000001123,
-			StartMs: 1700000002123, Waiting: "4-7", Queued: 4, On: []listing.On{{Task: 3, Attempt: 2, Machine: "n-000231", StartMs: 1700000003123, Ending: true}},
+			StartMs: 1700000002123, Waiting: "4-7", Queued: 4, On: []jobquery.On{{Task: 3, Attempt: 2, Machine: "n-000231", StartMs: 1700000003123, Ending: true}},
 			Running: 1, Done: 2, Failed: 6, Ending: &jobspec.Ending{Number: 4001, State: "FAILED", Exit: 137, Failed: 6, StartMs: 1700000002123, EndMs: 1700000009123},
 		}},
 	})
--- a/internal/client/recorded_test.go
+++ b/internal/client/recorded_test.go
@@ -13,8 +13,8 @@
 	"github.com/wallrack/wallrack/internal/accounting"
 	"github.com/wallrack/wallrack/internal/client"
 	"github.com/wallrack/wallrack/internal/description"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -74,7 +74,7 @@
 	check(err)
 	_, err = c.Info(ctx, "j-1")
 	check(err)
-	check(c.Jobs(ctx, func(*listing.Page) error { return nil }))
+	check(c.Jobs(ctx, func(*jobquery.Page) error { return nil }))
 	check(c.Order(ctx, "j-1", "hold"))
 	check(c.Drop(ctx, "j-1", jobspec.RangesOf([]int{0, 1, 4})))
 	check(c.Accounts(ctx, time.Date(2026, 7, 3, 12, 0, 0, 0, time.UTC), func(*accounting.Row) {}))
--- a/internal/client/slurm.go
+++ b/internal/client/slurm.go
@@ -15,8 +15,8 @@
 	"github.com/wallrack/wallrack/internal/accounting"
 	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -33,8 +33,8 @@
 }
 
 // Site asks what Slurm-style clients need to know of the site.
-func (c *Client) Site(ctx context.Context) (*listing.Site, error) {
-	var s listing.Site
+func (c *Client) Site(ctx context.Context) (*jobquery.Site, error) {
+	var s jobquery.Site
 	err := c.get(ctx, "/slurm/site", &s)
 	if errors.Is(err, ErrNotFound) {
 		return nil, fmt.Errorf("%w: Slurm-style clients are switched off at this site", ErrRefused)
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode job: %w", err)
 	}
-	body, err := json.Marshal(listing.Submission{Job: data, Terms: t, Test: test})
+	body, err := json.Marshal(jobquery.Submission{Job: data, Terms: t, Test: test})
 	if err != nil {
 		return nil, fmt.Errorf("encode job: %w", err)
 	}
@@ -81,17 +81,17 @@
 }
 
 // Info shows a job, living or over.
-func (c *Client) Info(ctx context.Context, uid string) (*listing.Info, error) {
-	var i listing.Info
+func (c *Client) Info(ctx context.Context, uid string) (*jobquery.Info, error) {
+	var i jobquery.Info
 	return &i, c.get(ctx, "/slurm/jobs/"+url.PathEscape(uid), &i)
 }
 
 // Jobs lists the living jobs, a page at a time. A page that does not come is asked
 // for again, of whichever controller answers.
-func (c *Client) Jobs(ctx context.Context, each func(p *listing.Page) error) error {
-	var from listing.Cursor
+func (c *Client) Jobs(ctx context.Context, each func(p *jobquery.Page) error) error {
+	var from jobquery.Cursor
 	for {
-		var p listing.Page
+		var p jobquery.Page
 		if err := c.get(ctx, fmt.Sprintf("/slurm/jobs?number=%d&on=%d&task=%d", from.Number, from.On, from.Task), &p); err != nil {
 			return err
 		}
@@ -136,7 +136,7 @@
 		defer close(answers)
 		path := "/accounting/" + accounting.Day(day)
 		for after := ""; ; {
-			var rows listing.Rows
+			var rows jobquery.Rows
 			if err := c.get(ctx, path+"?after="+url.QueryEscape(after), &rows); err != nil {
 				return err
 			}
--- a/internal/listing/listing.go
+++ b/internal/jobquery/listing.go
@@ -1,6 +1,6 @@
-// Package listing has the messages in which controllers list jobs to clients and
+// Package jobquery has the messages in which controllers list jobs to clients and
 // to one another.
-package listing
+package jobquery
 
 import (
 	"github.com/goccy/go-json"
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/owner"
@@ -221,7 +221,7 @@
 			&jobspec.Terms{Number: 1, Array: "0-99999", Most: 20}, 0, time.Now().UnixMilli(), 1)
 		f.owner.Pass()
 		tasks, pages := 0, 0
-		for from := (listing.Cursor{}); ; pages++ {
+		for from := (jobquery.Cursor{}); ; pages++ {
 			jobs, next := f.owner.Listing(from, 500)
 			for i := range jobs {
 				tasks += len(slurm.Queue(&jobs[i], true, 0, time.UTC))
--- a/internal/owner/listing.go
+++ b/internal/owner/listing.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -16,13 +16,13 @@
 // shot is what a listing takes of a job under the lock; the rest is made of it
 // when the lock is free again.
 type shot struct {
-	listing.Info
+	jobquery.Info
 	waiting []int
 }
 
 // Listing lists the living jobs with numbers, in their order, from a cursor on:
 // at most so many jobs and tasks that are on together. next is nil at the end.
-func (o *Owner) Listing(from listing.Cursor, most int) (jobs []listing.Info, next *listing.Cursor) {
+func (o *Owner) Listing(from jobquery.Cursor, most int) (jobs []jobquery.Info, next *jobquery.Cursor) {
 	o.mu.Lock()
 	all := make([]*job, 0, len(o.order))
 	for _, j := range o.order {
@@ -36,7 +36,7 @@
 	rows := 0
 	for _, j := range all {
 		if rows >= most {
-			next = &listing.Cursor{Number: j.asked.Number}
+			next = &jobquery.Cursor{Number: j.asked.Number}
 			break
 		}
 		skip, task := 0, 0
@@ -48,7 +48,7 @@
 		s.On = on[min(skip, len(on)):]
 		if left := most - rows - 1; len(s.On) > left {
 			s.On = s.On[:left]
-			next = &listing.Cursor{Number: j.asked.Number, On: skip + left, Task: wire.MaxTasks}
+			next = &jobquery.Cursor{Number: j.asked.Number, On: skip + left, Task: wire.MaxTasks}
 		}
 		rows += 1 + len(s.On)
 		shots = append(shots, s)
@@ -64,7 +64,7 @@
 			continue
 		}
 		if i < len(shots)-1 || next == nil || next.Number != info.Terms.Number {
-			next = &listing.Cursor{Number: info.Terms.Number, On: len(info.On)}
+			next = &jobquery.Cursor{Number: info.Terms.Number, On: len(info.On)}
 			if info.Terms.Number == from.Number {
 				next.On += from.On
 			}
@@ -77,7 +77,7 @@
 
 // info makes the texts of a listing. A task other than 0 is where the waiting
 // ones that do not fit begin.
-func (s shot) info() (i listing.Info, task int) {
+func (s shot) info() (i jobquery.Info, task int) {
 	if len(s.waiting) > 0 {
 		r := jobspec.RangesOf(s.waiting)
 		task = r.Cut()
@@ -106,7 +106,7 @@
 func (o *Owner) shot(j *job, first *job, from int) shot {
 	st := j.state()
 	t := *j.asked.Terms
-	s := shot{Info: listing.Info{Job: *j.spec, Terms: &t, AtMs: j.atMs, Stage: st.Stage, Eligible: j.asked.eligible, StartMs: j.asked.startMs,
+	s := shot{Info: jobquery.Info{Job: *j.spec, Terms: &t, AtMs: j.atMs, Stage: st.Stage, Eligible: j.asked.eligible, StartMs: j.asked.startMs,
 		Running: j.running, Done: j.done, Failed: j.over - j.done}}
 	for task, ps := range j.places {
 		waits := true
@@ -119,7 +119,7 @@
 				continue
 			}
 			waits = false
-			on := listing.On{Task: task, Attempt: p.attempt, Machine: p.mach.name, Ending: !p.halted.IsZero()}
+			on := jobquery.On{Task: task, Attempt: p.attempt, Machine: p.mach.name, Ending: !p.halted.IsZero()}
 			if !p.running.IsZero() {
 				on.StartMs = p.running.UnixMilli()
 			}
@@ -138,7 +138,7 @@
 			s.waiting = append(s.waiting, t)
 		}
 	}
-	slices.SortFunc(s.On, func(a, b listing.On) int {
+	slices.SortFunc(s.On, func(a, b jobquery.On) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
 	if s.Queued > 0 && !j.cancelled {
@@ -170,12 +170,12 @@
 }
 
 // InfoHere shows a living job that is surely this owner's.
-func (o *Owner) InfoHere(uid string) (listing.Info, bool) {
+func (o *Owner) InfoHere(uid string) (jobquery.Info, bool) {
 	o.mu.Lock()
 	j := o.jobs[uid]
 	if j == nil || j.asked == nil || !o.sure(j) {
 		o.mu.Unlock()
-		return listing.Info{}, false
+		return jobquery.Info{}, false
 	}
 	s := o.shot(j, o.firstWaiting(), 0)
 	o.mu.Unlock()
@@ -185,21 +185,21 @@
 
 // StoredInfo shows what the store has of a job: of a living one only what was
 // submitted.
-func StoredInfo(ctx context.Context, store Reader, uid string) (listing.Info, error) {
+func StoredInfo(ctx context.Context, store Reader, uid string) (jobquery.Info, error) {
 	r, _, err := readLive(ctx, store, uid)
 	if err == nil {
-		i := listing.Info{Job: r.Job, Terms: r.Terms, AtMs: r.AtMs, Stage: wire.StageQueued}
+		i := jobquery.Info{Job: r.Job, Terms: r.Terms, AtMs: r.AtMs, Stage: wire.StageQueued}
 		if r.Cancelled {
 			i.Stage = wire.StageCancelled
 		}
 		return i, nil
 	}
 	if !errors.Is(err, statestore.ErrNotFound) {
-		return listing.Info{}, err
+		return jobquery.Info{}, err
 	}
 	f, err := readFinal(ctx, store, uid)
 	if err != nil {
-		return listing.Info{}, err
+		return jobquery.Info{}, err
 	}
-	return listing.Info{Job: wire.Job{UID: uid}, Stage: f.Stage, Done: f.Done, Ending: f.Ending}, nil
+	return jobquery.Info{Job: wire.Job{UID: uid}, Stage: f.Stage, Done: f.Done, Ending: f.Ending}, nil
 }
--- a/internal/owner/recorded_shard_test.go
+++ b/internal/owner/recorded_shard_test.go
@@ -11,8 +11,8 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/statestore"
@@ -99,7 +99,7 @@
 	if s, err := owner.Stored(t.Context(), store, "j-2"); err != nil || s != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
 		t.Errorf("the ended job is %+v, %v", s, err)
 	}
-	want := listing.Info{Job: wire.Job{UID: "j-2"}, Stage: wire.StageDone, Done: 1,
+	want := jobquery.Info{Job: wire.Job{UID: "j-2"}, Stage: wire.StageDone, Done: 1,
 		Ending: &jobspec.Ending{Number: 90, State: jobspec.Completed, StartMs: 946_684_802_000, EndMs: 946_684_805_000}}
 	if got, err := owner.StoredInfo(t.Context(), store, "j-2"); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("the ended job is listed as %+v, %v", got, err)
--- a/internal/slurm/account.go
+++ b/internal/slurm/account.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"github.com/wallrack/wallrack/internal/accounting"
-	"github.com/wallrack/wallrack/internal/listing"
+	"github.com/wallrack/wallrack/internal/jobquery"
 )
 
 // Record is a job as sacct shows it, with the attempts of its tasks. A living job
@@ -50,7 +50,7 @@
 }
 
 // AddLiving takes a job that is not over; what accounting has of it stands.
-func (c *Collector) AddLiving(i *listing.Info) {
+func (c *Collector) AddLiving(i *jobquery.Info) {
 	rec := c.jobs[i.Job.UID]
 	if rec != nil && !rec.Living {
 		return
--- a/internal/slurm/nodes.go
+++ b/internal/slurm/nodes.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strconv"
 
-	"github.com/wallrack/wallrack/internal/listing"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -73,7 +73,7 @@
 
 // Nodes makes sinfo's lines: one a machine (-N), or one for the machines of a type
 // in a state.
-func Nodes(ms []wire.MachineInfo, site *listing.Site, each bool) []NodeRow {
+func Nodes(ms []wire.MachineInfo, site *jobquery.Site, each bool) []NodeRow {
 	var out []NodeRow
 	for _, p := range site.Classes {
 		name := p
--- a/internal/slurm/queue.go
+++ b/internal/slurm/queue.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -29,7 +29,7 @@
 
 // QueueRow is a line of squeue: a job's waiting tasks together, or one task.
 type QueueRow struct {
-	*listing.Info
+	*jobquery.Info
 	ID      string // as squeue shows it
 	RawID   uint64
 	Index   string // of an array's tasks
@@ -63,7 +63,7 @@
 
 // Queue makes squeue's rows of a listed job; each tells whether waiting tasks of an
 // array stand each for itself.
-func Queue(i *listing.Info, each bool, nowMs int64, zone *time.Location) []QueueRow {
+func Queue(i *jobquery.Info, each bool, nowMs int64, zone *time.Location) []QueueRow {
 	var rows []QueueRow
 	array := isArray(i.Job.Tasks, i.Terms)
 	names := indices(i.Job.Tasks, i.Terms.Array)
--- a/internal/slurm/recorded_test.go
+++ b/internal/slurm/recorded_test.go
@@ -8,8 +8,8 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/slurm"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -55,12 +55,12 @@
 // A row of squeue for each kind of task, in the usual layout, with all columns and as
 // JSON.
 func TestRecordedQueue(t *testing.T) {
-	i := &listing.Info{
+	i := &jobquery.Info{
 		Job: wire.Job{UID: "j-1", Class: "quick", Team: "brew", Priority: "urgent", Tasks: 5, CPUs: 2, GPUs: 1, MemoryGB: 4},
 		Terms: &jobspec.Terms{Number: 40, Name: "night", User: "mo", Array: "1-9:2", Most: 2, LimitS: 7200, BeginMs: 1_000_000,
 			After: []jobspec.Dep{{Kind: "afterok", Number: 7}, {Kind: "after", Number: 8, DelayS: 120}}},
 		AtMs: 500_000, Stage: wire.StageQueued, Reason: "Dependency", Eligible: 1_000_000, Waiting: "3-4", Queued: 2, Running: 3,
-		On: []listing.On{{Task: 0, Machine: "m-1", StartMs: 1_100_000}, {Task: 1, Machine: "m-2"}, {Task: 2, Machine: "m-3", StartMs: 1_200_000, Ending: true}},
+		On: []jobquery.On{{Task: 0, Machine: "m-1", StartMs: 1_100_000}, {Task: 1, Machine: "m-2"}, {Task: 2, Machine: "m-3", StartMs: 1_200_000, Ending: true}},
 	}
 	names := slurm.QueueFieldNames()
 	var text strings.Builder
--- a/internal/slurm/show.go
+++ b/internal/slurm/show.go
@@ -5,13 +5,13 @@
 	"strings"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // ShowJob writes a job as scontrol show job does, as far as it is known.
-func ShowJob(i *listing.Info, zone *time.Location) string {
+func ShowJob(i *jobquery.Info, zone *time.Location) string {
 	var b strings.Builder
 	p := func(format string, args ...any) { fmt.Fprintf(&b, format, args...) }
 	if i.Terms == nil {
--- a/internal/slurm/slurm_test.go
+++ b/internal/slurm/slurm_test.go
@@ -11,15 +11,15 @@
 	"pgregory.net/rapid"
 
 	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/slurm"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 var (
 	now  = time.Date(2026, 12, 1, 15, 30, 0, 0, time.UTC)
-	here = &listing.Site{Cluster: "c", Class: "adhoc", Team: "ops", Classes: []string{"adhoc", "quote"}, Teams: []string{"ops", "lab"}, Zones: []string{"a", "b", "c"},
+	here = &jobquery.Site{Cluster: "c", Class: "adhoc", Team: "ops", Classes: []string{"adhoc", "quote"}, Teams: []string{"ops", "lab"}, Zones: []string{"a", "b", "c"},
 		Types: []wire.MachineType{{Name: "m8"}, {Name: "m64"}, {Name: "g8"}}}
 )
 
@@ -159,11 +159,11 @@
 	}
 }
 
-func jobs() []listing.Info {
+func jobs() []jobquery.Info {
 	ms := func(s int) int64 { return now.Add(time.Duration(s) * time.Second).UnixMilli() }
-	return []listing.Info{
+	return []jobquery.Info{
 		{Job: wire.Job{UID: "j-a", Class: "quote", Team: "ops", Priority: "urgent", Tasks: 6, CPUs: 2, MemoryGB: 1}, Terms: &jobspec.Terms{Number: 100, Name: "snow-quotes", User: "erin", Array: "0-10:2", Most: 2, LimitS: 3600},
-			AtMs: ms(-600), Stage: "running", Reason: "JobArrayTaskLimit", Waiting: "2-5", Queued: 4, Running: 2, On: []listing.On{{Task: 0, Attempt: 1, Machine: "n-1", StartMs: ms(-95)}, {Task: 1, Attempt: 2, Machine: "n-2"}}},
+			AtMs: ms(-600), Stage: "running", Reason: "JobArrayTaskLimit", Waiting: "2-5", Queued: 4, Running: 2, On: []jobquery.On{{Task: 0, Attempt: 1, Machine: "n-1", StartMs: ms(-95)}, {Task: 1, Attempt: 2, Machine: "n-2"}}},
 		{Job: wire.Job{UID: "j-b", Class: "adhoc", Team: "lab", Priority: "low", Tasks: 1, CPUs: 1, MemoryGB: 0.5}, Terms: &jobspec.Terms{Number: 106, Name: "study", User: "wren", After: []jobspec.Dep{{Kind: "afterok", Number: 100}}},
 			AtMs: ms(-60), Stage: "queued", Reason: "Dependency", Waiting: "0", Queued: 1},
 	}
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/description"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/slurmtask"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -42,7 +42,7 @@
 
 // Translate makes a job of what was asked. The job's id and number are the caller's
 // to fill in.
-func Translate(cmd Command, o *Options, w *Work, site *listing.Site, now time.Time) (*Request, error) {
+func Translate(cmd Command, o *Options, w *Work, site *jobquery.Site, now time.Time) (*Request, error) {
 	r := &Request{}
 	j := &r.Job
 	j.Kind, j.Image, j.Tasks, j.Estimate, j.Spot = wire.KindArray, "none", 1, defaultEstimate, o.Spot
@@ -114,7 +114,7 @@
 }
 
 // places reads the lists of machine types and zones.
-func places(o *Options, j *wire.Job, site *listing.Site) error {
+func places(o *Options, j *wire.Job, site *jobquery.Site) error {
 	var types []string
 	for _, t := range site.Types {
 		types = append(types, t.Name)
@@ -213,7 +213,7 @@
 }
 
 // describe says what runs.
-func (r *Request) describe(cmd Command, o *Options, w *Work, site *listing.Site) {
+func (r *Request) describe(cmd Command, o *Options, w *Work, site *jobquery.Site) {
 	j, t, d := &r.Job, &r.Terms, &r.Description
 	d.CPUs, d.GPUs, d.MemoryGB = j.CPUs, j.GPUs, j.MemoryGB
 	d.Dir = w.Dir
--- a/internal/slurmapi/accounting.go
+++ b/internal/slurmapi/accounting.go
@@ -7,7 +7,7 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/accounting"
-	"github.com/wallrack/wallrack/internal/listing"
+	"github.com/wallrack/wallrack/internal/jobquery"
 )
 
 // accounts hands on a part of a day's pages as they are: unpacking them is the
@@ -29,7 +29,7 @@
 		s.writeError(w, err)
 		return
 	}
-	out := listing.Rows{Pages: []string{}}
+	out := jobquery.Rows{Pages: []string{}}
 	for _, it := range items {
 		var text string
 		if err := json.Unmarshal(it.Value, &text); err != nil {
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -11,8 +11,8 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -21,13 +21,13 @@
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
 	defer cancel()
-	var from listing.Cursor
+	var from jobquery.Cursor
 	q := r.URL.Query()
 	from.Number, _ = strconv.ParseUint(q.Get("number"), 10, 64) // from the beginning if it is none
 	from.On, _ = strconv.Atoi(q.Get("on"))
 	from.Task, _ = strconv.Atoi(q.Get("task"))
 	from.On, from.Task = max(0, from.On), max(0, from.Task)
-	page := listing.Page{Jobs: []listing.Info{}, NowMs: time.Now().UnixMilli()}
+	page := jobquery.Page{Jobs: []jobquery.Info{}, NowMs: time.Now().UnixMilli()}
 	owners := s.peers.Owners()
 	add := func(rep Reply) {
 		page.Jobs = append(page.Jobs, rep.Jobs...)
@@ -51,10 +51,10 @@
 		add(rep)
 	}
 	if len(owners) > 0 {
-		slices.SortStableFunc(page.Jobs, func(a, b listing.Info) int { return int(int64(a.Terms.Number) - int64(b.Terms.Number)) })
+		slices.SortStableFunc(page.Jobs, func(a, b jobquery.Info) int { return int(int64(a.Terms.Number) - int64(b.Terms.Number)) })
 		if page.Next != nil {
 			// Beyond where the first owner's part ends, others' jobs come again.
-			page.Jobs = slices.DeleteFunc(page.Jobs, func(i listing.Info) bool {
+			page.Jobs = slices.DeleteFunc(page.Jobs, func(i jobquery.Info) bool {
 				return i.Terms.Number > page.Next.Number || i.Terms.Number == page.Next.Number && page.Next.On+page.Next.Task == 0
 			})
 		}
@@ -103,7 +103,7 @@
 				s.writeError(w, err)
 				return
 			}
-			rep = Reply{Status: http.StatusOK, Jobs: []listing.Info{i}}
+			rep = Reply{Status: http.StatusOK, Jobs: []jobquery.Info{i}}
 		}
 		switch {
 		case rep.Status == 0:
--- a/internal/slurmapi/messages.go
+++ b/internal/slurmapi/messages.go
@@ -5,18 +5,18 @@
 	"errors"
 	"net/http"
 
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
 // Request is what one controller asks of another that owns jobs.
 type Request struct {
-	Verb  string         `json:"verb"`
-	UID   string         `json:"uid,omitempty"`
-	From  listing.Cursor `json:"from"`
-	Tasks string         `json:"tasks,omitempty"`
+	Verb  string          `json:"verb"`
+	UID   string          `json:"uid,omitempty"`
+	From  jobquery.Cursor `json:"from"`
+	Tasks string          `json:"tasks,omitempty"`
 }
 
 // Verbs of a Request.
@@ -31,10 +31,10 @@
 // Reply is the answer to a Request. Status 0 means that the peer does not know the
 // outcome either.
 type Reply struct {
-	Status int             `json:"status"`
-	Why    string          `json:"why,omitempty"`
-	Jobs   []listing.Info  `json:"jobs,omitempty"`
-	Next   *listing.Cursor `json:"next,omitempty"`
+	Status int              `json:"status"`
+	Why    string           `json:"why,omitempty"`
+	Jobs   []jobquery.Info  `json:"jobs,omitempty"`
+	Next   *jobquery.Cursor `json:"next,omitempty"`
 }
 
 func (s *Server) ask(ctx context.Context, peer string, req Request) (Reply, bool) {
@@ -60,7 +60,7 @@
 		if !ok {
 			return Reply{}
 		}
-		return Reply{Status: http.StatusOK, Jobs: []listing.Info{i}}
+		return Reply{Status: http.StatusOK, Jobs: []jobquery.Info{i}}
 	case verbHold, verbRelease:
 		err = s.jobs.Hold(ctx, r.UID, r.Verb == verbHold)
 	case verbDrop:
--- a/internal/slurmapi/recorded_test.go
+++ b/internal/slurmapi/recorded_test.go
@@ -7,15 +7,15 @@
 
 	"github.com/goccy/go-json"
 
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-func fullInfo() listing.Info {
+func fullInfo() jobquery.Info {
 	zone, due := "eu-1", 900.5
-	return listing.Info{
+	return jobquery.Info{
 		Job: wire.Job{UID: "j-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: "urgent", Tasks: 16,
 			CPUs: 8, GPUs: 1, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g16"}, Zone: &zone,
 			OneZone: true, Spread: true, Spot: true, Estimate: 240, MarkS: 30, SaveS: 4, DueS: &due},
@@ -23,19 +23,19 @@
 			BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, Final: true, Any: true,
 			After: []jobspec.Dep{{Kind: jobspec.After, Job: "j-7", Number: 70, DelayS: 60}}, KillNever: true, Dropped: "3,7-9", Why: jobspec.Deadline},
 		AtMs: 1_796_000_000_123, Stage: wire.StageRunning, Reason: jobspec.ReasonThrottle, Eligible: 1_796_000_000_500, StartMs: 1_796_000_001_000,
-		Waiting: "4-9", Queued: 6, On: []listing.On{fullOn()}, Running: 1, Done: 2, Failed: 3,
+		Waiting: "4-9", Queued: 6, On: []jobquery.On{fullOn()}, Running: 1, Done: 2, Failed: 3,
 		Ending: &jobspec.Ending{Number: 4100, State: jobspec.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000}}
 }
 
-func fullOn() listing.On {
-	return listing.On{Task: 3, Attempt: 2, Machine: "n-000001", StartMs: 1_796_000_001_000, Ending: true}
+func fullOn() jobquery.On {
+	return jobquery.On{Task: 3, Attempt: 2, Machine: "n-000001", StartMs: 1_796_000_001_000, Ending: true}
 }
 
 // What controllers ask of one another on behalf of Slurm-style clients.
 func TestRequestsAndRepliesKeepTheirBytes(t *testing.T) {
-	recorded.CheckFull(t, "request-full", Request{Verb: verbDrop, UID: "j-000412", From: listing.Cursor{Number: 4100, On: 5, Task: 9}, Tasks: "3,7-9"})
+	recorded.CheckFull(t, "request-full", Request{Verb: verbDrop, UID: "j-000412", From: jobquery.Cursor{Number: 4100, On: 5, Task: 9}, Tasks: "3,7-9"})
 	recorded.Check(t, "request-none", Request{Verb: verbList})
-	recorded.CheckFull(t, "reply-full", Reply{Status: 200, Why: "can't be done", Jobs: []listing.Info{fullInfo()}, Next: &listing.Cursor{Number: 4101, On: 5, Task: 9}})
+	recorded.CheckFull(t, "reply-full", Reply{Status: 200, Why: "can't be done", Jobs: []jobquery.Info{fullInfo()}, Next: &jobquery.Cursor{Number: 4101, On: 5, Task: 9}})
 	recorded.Check(t, "reply-none", Reply{})
 	if got := []string{verbList, verbInfo, verbHold, verbRelease, verbDrop}; !slices.Equal(got, []string{"list", "info", "hold", "release", "drop"}) {
 		t.Errorf("verbs %q", got)
@@ -45,31 +45,31 @@
 // What requests, replies and answers to clients carry.
 func TestListingsKeepTheirBytes(t *testing.T) {
 	recorded.CheckFull(t, "info-full", fullInfo())
-	recorded.Check(t, "info-none", listing.Info{})
+	recorded.Check(t, "info-none", jobquery.Info{})
 	recorded.CheckFull(t, "on-full", fullOn())
-	recorded.Check(t, "on-none", listing.On{})
-	recorded.CheckFull(t, "cursor-full", listing.Cursor{Number: 4101, On: 5, Task: 9})
-	recorded.Check(t, "cursor-none", listing.Cursor{})
-	recorded.CheckFull(t, "page-full", listing.Page{Jobs: []listing.Info{fullInfo()}, Next: &listing.Cursor{Number: 4101, On: 5, Task: 9}, NowMs: 1_796_000_003_000})
-	recorded.Check(t, "page-none", listing.Page{Jobs: []listing.Info{}})
-	recorded.CheckFull(t, "submission-full", listing.Submission{Job: json.RawMessage(`{"uid":"j-000412"}`), Terms: fullInfo().Terms, Test: true})
-	recorded.Check(t, "submission-none", listing.Submission{Job: json.RawMessage(`{}`)})
-	recorded.CheckFull(t, "site-full", listing.Site{Cluster: "main", Accounts: true, Class: "adhoc", Team: "vision", Classes: []string{"adhoc", "train"},
+	recorded.Check(t, "on-none", jobquery.On{})
+	recorded.CheckFull(t, "cursor-full", jobquery.Cursor{Number: 4101, On: 5, Task: 9})
+	recorded.Check(t, "cursor-none", jobquery.Cursor{})
+	recorded.CheckFull(t, "page-full", jobquery.Page{Jobs: []jobquery.Info{fullInfo()}, Next: &jobquery.Cursor{Number: 4101, On: 5, Task: 9}, NowMs: 1_796_000_003_000})
+	recorded.Check(t, "page-none", jobquery.Page{Jobs: []jobquery.Info{}})
+	recorded.CheckFull(t, "submission-full", jobquery.Submission{Job: json.RawMessage(`{"uid":"j-000412"}`), Terms: fullInfo().Terms, Test: true})
+	recorded.Check(t, "submission-none", jobquery.Submission{Job: json.RawMessage(`{}`)})
+	recorded.CheckFull(t, "site-full", jobquery.Site{Cluster: "main", Accounts: true, Class: "adhoc", Team: "vision", Classes: []string{"adhoc", "train"},
 		Teams: []string{"vision"}, Zones: []string{"eu-1"}, Types: []wire.MachineType{{Name: "g8", CPUs: 8, GPUs: 1, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 0.5,
 			Price: 2.5, SpotPrice: 0.75, BootS: 40, Zones: []string{"eu-1"}}}})
-	recorded.Check(t, "site-none", listing.Site{})
-	recorded.CheckFull(t, "rows-full", listing.Rows{Pages: []string{"1:AAAA"}, Next: "0000000000000ab7-000001"})
-	recorded.Check(t, "rows-none", listing.Rows{Pages: []string{}})
+	recorded.Check(t, "site-none", jobquery.Site{})
+	recorded.CheckFull(t, "rows-full", jobquery.Rows{Pages: []string{"1:AAAA"}, Next: "0000000000000ab7-000001"})
+	recorded.Check(t, "rows-none", jobquery.Rows{Pages: []string{}})
 }
 
 // A listing has a line for each of its jobs, however long the list.
 func TestListsHaveALineForEachItem(t *testing.T) {
-	for want, items := range map[string][]listing.Cursor{
+	for want, items := range map[string][]jobquery.Cursor{
 		"{\"jobs\":[\n],\"next\":null}\n": nil,
 		"{\"jobs\":[\n{\"number\":1},\n{\"number\":2,\"on\":3,\"task\":4}\n],\"next\":null}\n": {{Number: 1}, {Number: 2, On: 3, Task: 4}},
 	} {
 		w := httptest.NewRecorder()
-		writeLines(w, "jobs", items, map[string]any{"next": (*listing.Cursor)(nil)})
+		writeLines(w, "jobs", items, map[string]any{"next": (*jobquery.Cursor)(nil)})
 		if got := w.Body.String(); got != want {
 			t.Errorf("written as %q, want %q", got, want)
 		}
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -17,8 +17,8 @@
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -39,8 +39,8 @@
 
 // Jobs is the owner in this process.
 type Jobs interface {
-	Listing(from listing.Cursor, most int) ([]listing.Info, *listing.Cursor)
-	InfoHere(uid string) (listing.Info, bool)
+	Listing(from jobquery.Cursor, most int) ([]jobquery.Info, *jobquery.Cursor)
+	InfoHere(uid string) (jobquery.Info, bool)
 	Hold(ctx context.Context, uid string, held bool) error
 	Drop(ctx context.Context, uid string, tasks jobspec.Ranges) error
 }
@@ -120,7 +120,7 @@
 }
 
 func (s *Server) site(w http.ResponseWriter, _ *http.Request) {
-	site := listing.Site{Cluster: s.set.Cluster, Accounts: s.set.Accounts, Class: s.set.Class, Team: s.set.Team, Zones: s.cfg.Params.Zones, Types: s.catalog.All()}
+	site := jobquery.Site{Cluster: s.set.Cluster, Accounts: s.set.Accounts, Class: s.set.Class, Team: s.set.Team, Zones: s.cfg.Params.Zones, Types: s.catalog.All()}
 	for _, t := range s.cfg.Params.Teams {
 		site.Teams = append(site.Teams, t.Name)
 	}
@@ -142,7 +142,7 @@
 }
 
 func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
-	var parsed listing.Submission
+	var parsed jobquery.Submission
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 	if err != nil || json.Unmarshal(data, &parsed) != nil || parsed.Terms == nil {
 		refuse(w, http.StatusBadRequest, 0, "job and terms are needed, in no more than 64 KiB")
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -22,8 +22,8 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/statestore"
@@ -35,7 +35,7 @@
 	keys  []string // of accounting, in order
 	pages map[string]string
 	most  int // pages that one answer of the store held
-	jobs  []listing.Info
+	jobs  []jobquery.Info
 	lists int
 	owns  bool
 }
@@ -54,11 +54,11 @@
 	s.most = max(s.most, len(out))
 	return out, at < len(s.keys) && strings.HasPrefix(s.keys[at], prefix), nil
 }
-func (s *site) Listing(from listing.Cursor, most int) ([]listing.Info, *listing.Cursor) {
+func (s *site) Listing(from jobquery.Cursor, most int) ([]jobquery.Info, *jobquery.Cursor) {
 	s.lists++
 	return s.jobs, nil
 }
-func (s *site) InfoHere(string) (listing.Info, bool)                { return listing.Info{}, false }
+func (s *site) InfoHere(string) (jobquery.Info, bool)               { return jobquery.Info{}, false }
 func (s *site) Hold(context.Context, string, bool) error            { return statestore.ErrUnknown }
 func (s *site) Drop(context.Context, string, jobspec.Ranges) error  { return owner.ErrInput }
 func (s *site) Owns() bool                                          { return s.owns }
@@ -207,7 +207,7 @@
 
 // Answers to clients in full: lists with their lines, numbers, refusals.
 func TestAnswersKeepTheirBytes(t *testing.T) {
-	s := &site{jobs: []listing.Info{{Job: wire.Job{UID: "j-1"}, Terms: &jobspec.Terms{Number: 4}, Stage: wire.StageQueued}}}
+	s := &site{jobs: []jobquery.Info{{Job: wire.Job{UID: "j-1"}, Terms: &jobspec.Terms{Number: 4}, Stage: wire.StageQueued}}}
 	s.keys, s.pages = []string{"acct/20261130/7-1"}, map[string]string{"acct/20261130/7-1": "1:AAAA"}
 	h := s.handler(1000)
 	const job = `{"job":{"uid":"j-1","docket":"","crew":"","sort":"","urgency":"","pieces":0,"cpus":0,"cards":0,"memoryGb":0,"kit":"","pullGb":0,"reckonS":0},` +
--- a/internal/testkit/alike_test.go
+++ b/internal/testkit/alike_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/listing"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/slurm"
 	"github.com/wallrack/wallrack/internal/testkit"
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	site := &listing.Site{Classes: []string{"tips", "study"}, Teams: []string{"t", "lab"}}
+	site := &jobquery.Site{Classes: []string{"tips", "study"}, Teams: []string{"t", "lab"}}
 	r, err := slurm.Translate(slurm.Sbatch, o, &slurm.Work{Script: "#!/bin/sh\n", File: "s"}, site, time.Now())
 	if err != nil {
 		t.Fatal(err)
