--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -17,11 +17,11 @@
 	"github.com/wallrack/wallrack/internal/alert"
 	"github.com/wallrack/wallrack/internal/cancels"
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/fleet"
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/links"
-	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
@@ -82,9 +82,9 @@
 	n.owner = owner.New(p, op, store, member, n, catalog, log)
 	inbound := &door{}
 	budget := sockets.Budget{Limit: p.Params.Limits.Sockets, Peers: len(p.Peers), Accepted: inbound.count}
-	orders := machine.NewHTTPOrderer(budget)
+	orders := dispatch.NewHTTPOrderer(budget)
 	inbound.share(budget, orders)
-	n.holder = machine.New(ctx, p.Node, config.Seconds(p.Params.Workers.LeaseS), n, member, catalog, n, orders, log)
+	n.holder = dispatch.New(ctx, p.Node, config.Seconds(p.Params.Workers.LeaseS), n, member, catalog, n, orders, log)
 	n.published, n.pictures = views.NewPublisher(p.Node, n.holder), views.NewReceiver(n.owner, slices.Collect(maps.Keys(addrs)))
 	n.intake = intake.New(p, op, store, n.owner, catalog, n, log)
 	n.owner.Cancels, n.holder.Cancels, n.intake.Cancels = n.cancels, n.cancels, n.cancels
--- a/cmd/wallrack/listen.go
+++ b/cmd/wallrack/listen.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/sockets"
 	"github.com/wallrack/wallrack/internal/usage"
 )
@@ -25,7 +25,7 @@
 
 // share bounds the connections by the budget, and closes idle ones for orders when those
 // that are accepted need their sockets.
-func (d *door) share(budget sockets.Budget, orders *machine.HTTPOrderer) {
+func (d *door) share(budget sockets.Budget, orders *dispatch.HTTPOrderer) {
 	d.most, d.admitted = int64(budget.MaxAccepted()), orders.Trim
 }
 
--- a/cmd/wallrack/listen_test.go
+++ b/cmd/wallrack/listen_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/sockets"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -86,7 +86,7 @@
 	defer lis.Close()
 	d := &door{Listener: lis}
 	budget := sockets.Budget{Limit: 200, Peers: 2, Accepted: d.count}
-	orders := machine.NewHTTPOrderer(budget)
+	orders := dispatch.NewHTTPOrderer(budget)
 	d.share(budget, orders)
 	own := budget.Limit - budget.MaxAccepted() - budget.OrdersAtOnce()
 
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -8,9 +8,9 @@
 
 	"github.com/wallrack/wallrack/internal/cancels"
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/fleet"
 	"github.com/wallrack/wallrack/internal/intake"
-	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
@@ -59,7 +59,7 @@
 	mesh   *mesh.Mesh
 	log    *slog.Logger
 	owner  *owner.Owner
-	holder *machine.Holder
+	holder *dispatch.Holder
 	intake *intake.Intake
 	times  *recovery.Timeline
 
@@ -77,11 +77,11 @@
 	n.handleLinks()
 	n.handleCancels()
 	n.handleViews()
-	mesh.Handle(n.mesh, methodDirect, func(_ context.Context, d *machine.Direction) (*machine.Unlaunched, error) {
+	mesh.Handle(n.mesh, methodDirect, func(_ context.Context, d *dispatch.Direction) (*dispatch.Unlaunched, error) {
 		un := n.holder.Direct(*d)
 		return &un, nil
 	})
-	mesh.Handle(n.mesh, methodGrants, func(_ context.Context, requests *[]machine.GrantRequest) (*[]machine.GrantReply, error) {
+	mesh.Handle(n.mesh, methodGrants, func(_ context.Context, requests *[]dispatch.GrantRequest) (*[]dispatch.GrantReply, error) {
 		replies := n.owner.GrantAll(*requests)
 		return &replies, nil
 	})
@@ -137,7 +137,7 @@
 
 // Observe hands a view to the owner in this process; peers get theirs by
 // publish.
-func (n *node) Observe(v machine.View) {
+func (n *node) Observe(v dispatch.View) {
 	n.times.Mark(recovery.Heard)
 	if v.Asked && n.links.spreading.Load() {
 		// The worker reports to its own holder, which is to command it: two that took
@@ -148,7 +148,7 @@
 }
 
 // GrantHere asks the owner in this process.
-func (n *node) GrantHere(r machine.GrantRequest) machine.GrantReply {
+func (n *node) GrantHere(r dispatch.GrantRequest) dispatch.GrantReply {
 	rep := n.owner.GrantHere(r)
 	if rep.OK {
 		n.times.Mark(recovery.Granted)
@@ -158,8 +158,8 @@
 }
 
 // GrantThere asks an owner elsewhere.
-func (n *node) GrantThere(ctx context.Context, at string, requests []machine.GrantRequest) ([]machine.GrantReply, error) {
-	replies, err := call[[]machine.GrantRequest, []machine.GrantReply](ctx, n, at, methodGrants, &requests)
+func (n *node) GrantThere(ctx context.Context, at string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
+	replies, err := call[[]dispatch.GrantRequest, []dispatch.GrantReply](ctx, n, at, methodGrants, &requests)
 	if err != nil {
 		return nil, err
 	}
@@ -167,13 +167,13 @@
 }
 
 // Direct carries an owner's directions to a holder.
-func (n *node) Direct(ctx context.Context, holder string, d machine.Direction) (machine.Unlaunched, error) {
+func (n *node) Direct(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error) {
 	if holder == n.cfg.Node {
 		return n.holder.Direct(d), nil
 	}
-	rep, err := call[machine.Direction, machine.Unlaunched](ctx, n, holder, methodDirect, &d)
+	rep, err := call[dispatch.Direction, dispatch.Unlaunched](ctx, n, holder, methodDirect, &d)
 	if err != nil {
-		return machine.Unlaunched{}, err
+		return dispatch.Unlaunched{}, err
 	}
 	return *rep, nil
 }
@@ -227,7 +227,7 @@
 		if len(m.Machines) == 0 {
 			continue
 		}
-		a, all := machine.NewAttestation(time.Now(), n.unanswered(m).Unanswered), true
+		a, all := dispatch.NewAttestation(time.Now(), n.unanswered(m).Unanswered), true
 		for _, s := range n.cfg.Peers {
 			pctx, cancel := context.WithTimeout(ctx, time.Second)
 			rep, err := call[vouchMessage, vouchReply](pctx, n, s.Node, methodVouch, m)
--- a/cmd/wallrack/silent_machines.go
+++ b/cmd/wallrack/silent_machines.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/links"
-	"github.com/wallrack/wallrack/internal/machine"
 )
 
 // try finds out whether this controller reaches machines that another one, or this
@@ -31,7 +31,7 @@
 func (n *node) doubt(ctx context.Context) {
 	s := &n.links
 	s.mu.Lock()
-	perSecond := s.expects / machine.ArrivalWindow.Seconds()
+	perSecond := s.expects / dispatch.ArrivalWindow.Seconds()
 	was := len(s.sample) > 0
 	s.mu.Unlock()
 	in := len(n.member.Own()) > 0 && links.Doubts(perSecond, n.holder.Quiet()) && s.ears().Late < lookEvery
@@ -117,5 +117,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reports, s.names = heard, names
-	s.expects = float64(machines) / n.cfg.Params.Workers.ReportS * machine.ArrivalWindow.Seconds()
+	s.expects = float64(machines) / n.cfg.Params.Workers.ReportS * dispatch.ArrivalWindow.Seconds()
 }
--- a/internal/machine/arrivals.go
+++ b/internal/dispatch/arrivals.go
@@ -1,4 +1,4 @@
-package machine
+package dispatch
 
 import (
 	"context"
--- a/internal/machine/asks_test.go
+++ b/internal/dispatch/asks_test.go
@@ -1,4 +1,4 @@
-package machine_test
+package dispatch_test
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/sockets"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -26,7 +26,7 @@
 // reports, however many those are.
 func TestOrdersDoNotWaitForSilentMachines(t *testing.T) {
 	budget := sockets.Budget{Limit: 200, Accepted: func() int { return 0 }}
-	orderer := machine.NewHTTPOrderer(budget)
+	orderer := dispatch.NewHTTPOrderer(budget)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	done := make(chan struct{})
--- a/internal/machine/attest_test.go
+++ b/internal/dispatch/attest_test.go
@@ -1,10 +1,10 @@
-package machine_test
+package dispatch_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
 // A worker whose lease lasts 10 s is answered by one controller, and 9.7 s later by another
@@ -14,7 +14,7 @@
 	const lease = 10.5
 	asked := time.Now()
 	sinceAnswer := 9.7 // of the first, when the other attests
-	a := machine.NewAttestation(asked, []float64{30, 30})
+	a := dispatch.NewAttestation(asked, []float64{30, 30})
 	if !a.Add([]float64{25, 25}) || !a.Add([]float64{sinceAnswer + 0.9, 25}) {
 		t.Fatal("figures of the same machines are refused")
 	}
--- a/internal/machine/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -1,4 +1,4 @@
-package machine_test
+package dispatch_test
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/capacity"
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/sockets"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -24,7 +24,7 @@
 
 // heldMachines is a holder of machines that run so many tasks each.
 type heldMachines struct {
-	holder  *machine.Holder
+	holder  *dispatch.Holder
 	reports []*wire.Report
 }
 
@@ -38,18 +38,18 @@
 // discard is a stub that keeps no views.
 type discard struct{ *stub }
 
-func (discard) Observe(machine.View) {}
+func (discard) Observe(dispatch.View) {}
 
 func holdMachines(tb testing.TB, machines, tasks int) *heldMachines {
 	s := discard{&stub{term: 7}}
-	h := &heldMachines{holder: machine.New(context.Background(), "a", 44*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))}
+	h := &heldMachines{holder: dispatch.New(context.Background(), "a", 44*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))}
 	for i := range machines {
 		r := &wire.Report{Machine: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z", Session: 1, Token: 7}
-		var d machine.Direction
+		var d dispatch.Direction
 		for t := range tasks {
 			task := wire.TaskName(fmt.Sprintf("j-%06d", i), t)
 			r.Tasks = append(r.Tasks, wire.Task{Task: task, Attempt: 20, State: wire.TaskRunning})
-			d.Assign = append(d.Assign, machine.Entry{Ref: machine.Ref{Machine: r.Machine, Task: task, Attempt: 20}, Owner: "a",
+			d.Assign = append(d.Assign, dispatch.Entry{Ref: dispatch.Ref{Machine: r.Machine, Task: task, Attempt: 20}, Owner: "a",
 				Shape: matching.Shape{CPUs: 0.1, MemoryGB: 0.1}, Run: 30, Listed: true})
 		}
 		h.reports = append(h.reports, r)
@@ -78,7 +78,7 @@
 // orderOf is the processor time of a direct order to one of so many workers, each with an
 // address of its own, which next picks; the workers' end is in it.
 func orderOf(tb testing.TB, workers int, next func() int) float64 {
-	orders, w := machine.NewHTTPOrderer(largeSite(workers)), newOrderedWorkers(tb, workers)
+	orders, w := dispatch.NewHTTPOrderer(largeSite(workers)), newOrderedWorkers(tb, workers)
 	order := wire.Orders{Token: 7, Session: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000400/10", Attempt: 20}}}
 	for worker := range workers {
 		w.order(tb, orders, worker) // first ones are always dialled
@@ -108,7 +108,7 @@
 		tb.Fatal(err)
 	}
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
-	orders := machine.NewHTTPOrderer(largeSite(connections))
+	orders := dispatch.NewHTTPOrderer(largeSite(connections))
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC() // what other series left is gone after the second
--- a/internal/machine/grants_test.go
+++ b/internal/dispatch/grants_test.go
@@ -1,4 +1,4 @@
-package machine_test
+package dispatch_test
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -18,13 +18,13 @@
 	for _, short := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			var asked []int
-			s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, machine.ErrNotSent }}
-			s.there = func(requests []machine.GrantRequest) []machine.GrantReply {
+			s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+			s.there = func(requests []dispatch.GrantRequest) []dispatch.GrantReply {
 				asked = append(asked, len(requests))
 				time.Sleep(roundTrip)
-				replies := make([]machine.GrantReply, len(requests))
+				replies := make([]dispatch.GrantReply, len(requests))
 				for i, r := range requests {
-					replies[i] = machine.GrantReply{OK: r.Attempt != 2, Drop: r.Attempt == 2}
+					replies[i] = dispatch.GrantReply{OK: r.Attempt != 2, Drop: r.Attempt == 2}
 				}
 				if short {
 					return replies[1:]
@@ -37,7 +37,7 @@
 			for attempt := range uint64(4) {
 				e := entry(attempt + 1)
 				e.Owner = "b"
-				h.Direct(machine.Direction{From: "b", Assign: []machine.Entry{e}})
+				h.Direct(dispatch.Direction{From: "b", Assign: []dispatch.Entry{e}})
 				if attempt == 0 {
 					synctest.Wait() // the first is under way when the others come
 				}
--- a/internal/machine/holder_test.go
+++ b/internal/dispatch/holder_test.go
@@ -1,4 +1,4 @@
-package machine_test
+package dispatch_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -25,21 +25,21 @@
 	raises bool
 	order  func(wire.Orders) (*wire.Report, bool, error)
 	sent   []wire.Orders
-	views  []machine.View
+	views  []dispatch.View
 	alone  bool
 	barred bool // may not answer workers
 
 	connect func() // is waited for before an order leaves; nil: nothing
 
 	foreman string
-	there   func([]machine.GrantRequest) []machine.GrantReply // an owner elsewhere; nil: none
+	there   func([]dispatch.GrantRequest) []dispatch.GrantReply // an owner elsewhere; nil: none
 }
 
-func (s *stub) Observe(v machine.View) { s.views = append(s.views, v) }
-func (s *stub) GrantHere(machine.GrantRequest) machine.GrantReply {
-	return machine.GrantReply{OK: true}
+func (s *stub) Observe(v dispatch.View) { s.views = append(s.views, v) }
+func (s *stub) GrantHere(dispatch.GrantRequest) dispatch.GrantReply {
+	return dispatch.GrantReply{OK: true}
 }
-func (s *stub) GrantThere(_ context.Context, _ string, requests []machine.GrantRequest) ([]machine.GrantReply, error) {
+func (s *stub) GrantThere(_ context.Context, _ string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
 	if s.there != nil {
 		return s.there(requests), nil
 	}
@@ -88,21 +88,21 @@
 	return report(9, s.Term()), nil
 }
 
-func holder(ctx context.Context, s *stub) *machine.Holder {
-	return machine.New(ctx, "a", 10*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+func holder(ctx context.Context, s *stub) *dispatch.Holder {
+	return dispatch.New(ctx, "a", 10*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
 // A peer's direction comes when the holder's process ends: nothing is sent that nobody waits
 // for.
 func TestNothingIsSentOnceTheHolderHasEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, machine.ErrNotSent }}
+		s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 		ctx, end := context.WithCancel(t.Context())
 		h := holder(ctx, s)
 		h.Report(ctx, report(1, 5))
 		end()
 		h.Wait()
-		h.Direct(machine.Direction{From: "a", Assign: []machine.Entry{entry(1)}})
+		h.Direct(dispatch.Direction{From: "a", Assign: []dispatch.Entry{entry(1)}})
 		synctest.Wait()
 		if len(s.sent) > 0 {
 			t.Errorf("sent %+v", s.sent)
@@ -114,8 +114,8 @@
 	return &wire.Report{Machine: "n-1", Endpoint: "e", Type: "m", Zone: "z", Session: 1, Seq: seq, Token: token, Tasks: tasks}
 }
 
-func entry(attempt uint64) machine.Entry {
-	return machine.Entry{Ref: machine.Ref{Machine: "n-1", Task: "j-1/0", Attempt: attempt}, Owner: "a", Shape: matching.Shape{CPUs: 1, MemoryGB: 1}, Run: 5}
+func entry(attempt uint64) dispatch.Entry {
+	return dispatch.Entry{Ref: dispatch.Ref{Machine: "n-1", Task: "j-1/0", Attempt: attempt}, Owner: "a", Shape: matching.Shape{CPUs: 1, MemoryGB: 1}, Run: 5}
 }
 
 func verbs(body any, verb string) (n int) {
@@ -138,14 +138,14 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		h := holder(ctx, s)
 		h.Report(ctx, report(1, 5))
-		h.Direct(machine.Direction{From: "a", Assign: []machine.Entry{entry(1)}})
+		h.Direct(dispatch.Direction{From: "a", Assign: []dispatch.Entry{entry(1)}})
 		synctest.Wait()
 		if len(s.sent) != 1 || s.sent[0].Commands[0].Verb != wire.VerbStart {
 			t.Fatalf("sent %+v", s.sent)
 		}
 		exited := wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseNoRoom}
 		h.Report(ctx, report(2, 5, exited))
-		h.Direct(machine.Direction{From: "a", Clear: []machine.Clear{{Ref: entry(1).Ref, Token: 5}}})
+		h.Direct(dispatch.Direction{From: "a", Clear: []dispatch.Clear{{Ref: entry(1).Ref, Token: 5}}})
 		synctest.Wait()
 		if _, body := h.Report(ctx, report(3, 5, exited)); verbs(body, wire.VerbForget) != 0 {
 			t.Error("cleared while the order may still arrive")
@@ -170,7 +170,7 @@
 		h := holder(ctx, s)
 		exited := wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}
 		h.Report(ctx, report(1, 5, exited))
-		h.Direct(machine.Direction{From: "a", Clear: []machine.Clear{{Ref: entry(1).Ref, Token: 9}}})
+		h.Direct(dispatch.Direction{From: "a", Clear: []dispatch.Clear{{Ref: entry(1).Ref, Token: 9}}})
 		if _, body := h.Report(ctx, report(2, 5, exited)); verbs(body, wire.VerbForget) != 0 {
 			t.Error("cleared while the other's order may still start it")
 		}
@@ -264,7 +264,7 @@
 			if len(s.views) != views || h.Seen("n-1") < seen || h.Unanswered("n-1") < unanswered {
 				wrong = "a copy counted"
 			}
-			if n, _ := h.Arrivals(); n > 0 && wait > machine.ArrivalWindow+time.Second {
+			if n, _ := h.Arrivals(); n > 0 && wait > dispatch.ArrivalWindow+time.Second {
 				wrong = "a copy counted as an arrival"
 			}
 		})
@@ -313,12 +313,12 @@
 // A clear in a direct order could arrive before a start in the answer to a
 // report, which would then start the attempt again.
 func TestClearsGoOnlyInAnswers(t *testing.T) {
-	s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, machine.ErrNotSent }}
+	s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	h := holder(t.Context(), s)
 	exited := wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseNoRoom}
 	h.Report(t.Context(), report(1, 5, exited))
 	next := entry(2)
-	h.Direct(machine.Direction{From: "a", Clear: []machine.Clear{{Ref: entry(1).Ref, Token: 5}}, Assign: []machine.Entry{next}})
+	h.Direct(dispatch.Direction{From: "a", Clear: []dispatch.Clear{{Ref: entry(1).Ref, Token: 5}}, Assign: []dispatch.Entry{next}})
 	h.Wait()
 	if len(s.sent) != 1 || len(s.sent[0].Commands) != 1 || s.sent[0].Commands[0].Verb != wire.VerbStart {
 		t.Errorf("sent %+v", s.sent)
@@ -345,16 +345,16 @@
 // Starts keep within the machine, and a start is repeated until the worker
 // shows it.
 func TestStartsWhatFits(t *testing.T) {
-	s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, machine.ErrNotSent }}
+	s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	h := holder(t.Context(), s)
 	h.Report(t.Context(), report(1, 5))
-	var entries []machine.Entry
+	var entries []dispatch.Entry
 	for i := uint64(0); i < 9; i++ {
 		e := entry(i + 1)
 		e.Task = wire.TaskName("j-1", int(i))
 		entries = append(entries, e)
 	}
-	h.Direct(machine.Direction{From: "a", Assign: entries})
+	h.Direct(dispatch.Direction{From: "a", Assign: entries})
 	h.Wait()
 	for seq := uint64(2); seq < 4; seq++ {
 		if _, body := h.Report(t.Context(), report(seq, 5)); verbs(body, wire.VerbStart) != 4 {
--- a/internal/machine/messages.go
+++ b/internal/dispatch/messages.go
@@ -1,7 +1,7 @@
-// Package machine is the holder's side of the design: the controller that
+// Package dispatch is the holder's side of the design: the controller that
 // hears a worker holds that machine's queue, writes its wait-time matrix and
 // gives it commands. A task starts only after its owner granted it.
-package machine
+package dispatch
 
 import (
 	"context"
--- a/internal/machine/orders_test.go
+++ b/internal/dispatch/orders_test.go
@@ -1,4 +1,4 @@
-package machine_test
+package dispatch_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/sockets"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -56,7 +56,7 @@
 func TestOrderIsCheckedWhenItsConnectionIsThere(t *testing.T) {
 	for _, valid := range []bool{true, false} {
 		b := newBusyWorker(t)
-		orderer, endpoint := machine.NewHTTPOrderer(sockets.Budget{Limit: 100, Accepted: func() int { return 0 }}), b.Listener.Addr().String()
+		orderer, endpoint := dispatch.NewHTTPOrderer(sockets.Budget{Limit: 100, Accepted: func() int { return 0 }}), b.Listener.Addr().String()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		shown := make(chan error, 1)
 		go func() {
@@ -105,7 +105,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cancelled := cancelledJobs{}
-				s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, machine.ErrNotSent }}
+				s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 				waits := 0
 				s.connect = func() {
 					if waits++; waits == 1 {
@@ -117,7 +117,7 @@
 				h.Report(t.Context(), report(1, 5))
 				other := entry(1)
 				other.Task = "j-2/0"
-				h.Direct(machine.Direction{From: "a", Assign: []machine.Entry{entry(1), other}})
+				h.Direct(dispatch.Direction{From: "a", Assign: []dispatch.Entry{entry(1), other}})
 				h.Wait()
 				if waits != 2 || len(s.sent) != 1 {
 					t.Fatalf("%d orders were made, and sent were %+v", waits, s.sent)
@@ -136,11 +136,11 @@
 
 // A controller that may not answer workers any more sends no order that waited.
 func TestNothingIsSentByWhoMayNotAnswer(t *testing.T) {
-	s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, machine.ErrNotSent }}
+	s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	s.connect = func() { s.barred = true }
 	h := holder(t.Context(), s)
 	h.Report(t.Context(), report(1, 5))
-	h.Direct(machine.Direction{From: "a", Assign: []machine.Entry{entry(1)}})
+	h.Direct(dispatch.Direction{From: "a", Assign: []dispatch.Entry{entry(1)}})
 	h.Wait()
 	if !s.barred || len(s.sent) > 0 {
 		t.Errorf("barred %v, sent %+v", s.barred, s.sent)
--- a/internal/machine/recorded_test.go
+++ b/internal/dispatch/recorded_test.go
@@ -1,4 +1,4 @@
-package machine_test
+package dispatch_test
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -32,44 +32,44 @@
 
 // Directions to holders, grants and views keep the form in which controllers send them.
 func TestRecorded(t *testing.T) {
-	ref := machine.Ref{Machine: "n-000231", Task: "j-000400/7", Attempt: 3}
+	ref := dispatch.Ref{Machine: "n-000231", Task: "j-000400/7", Attempt: 3}
 	shape := matching.Shape{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
-	checkRecorded(t, "direction_full.json", machine.Direction{
+	checkRecorded(t, "direction_full.json", dispatch.Direction{
 		From:       "c1",
-		Assign:     []machine.Entry{{Ref: ref, Owner: "c1", Shape: shape, Run: 900.5, Fetch: 18.25, Rank: 2, DueAt: 1234.5, Listed: true}},
-		Halt:       []machine.Halt{{Ref: ref, GraceS: 12.5}},
-		Clear:      []machine.Clear{{Ref: ref, Token: 41}},
+		Assign:     []dispatch.Entry{{Ref: ref, Owner: "c1", Shape: shape, Run: 900.5, Fetch: 18.25, Rank: 2, DueAt: 1234.5, Listed: true}},
+		Halt:       []dispatch.Halt{{Ref: ref, GraceS: 12.5}},
+		Clear:      []dispatch.Clear{{Ref: ref, Token: 41}},
 		RaiseAbove: 42,
 	})
-	checkRecorded(t, "direction_empty.json", machine.Direction{})
-	checkRecorded(t, "entry_empty.json", machine.Entry{})
-	checkRecorded(t, "halt_empty.json", machine.Halt{})
-	checkRecorded(t, "clear_empty.json", machine.Clear{})
-	checkRecorded(t, "unlaunched_full.json", machine.Unlaunched{Refs: []machine.Ref{ref}, Token: 41})
-	checkRecorded(t, "unlaunched_empty.json", machine.Unlaunched{})
-	checkRecorded(t, "grant_requests_full.json", []machine.GrantRequest{{Ref: ref, Holder: "c2", Token: 41, Session: 2}})
-	checkRecorded(t, "grant_requests_empty.json", []machine.GrantRequest{{}})
-	checkRecorded(t, "grant_replies_full.json", []machine.GrantReply{{OK: true, Drop: true}})
-	checkRecorded(t, "grant_replies_empty.json", []machine.GrantReply{{}})
+	checkRecorded(t, "direction_empty.json", dispatch.Direction{})
+	checkRecorded(t, "entry_empty.json", dispatch.Entry{})
+	checkRecorded(t, "halt_empty.json", dispatch.Halt{})
+	checkRecorded(t, "clear_empty.json", dispatch.Clear{})
+	checkRecorded(t, "unlaunched_full.json", dispatch.Unlaunched{Refs: []dispatch.Ref{ref}, Token: 41})
+	checkRecorded(t, "unlaunched_empty.json", dispatch.Unlaunched{})
+	checkRecorded(t, "grant_requests_full.json", []dispatch.GrantRequest{{Ref: ref, Holder: "c2", Token: 41, Session: 2}})
+	checkRecorded(t, "grant_requests_empty.json", []dispatch.GrantRequest{{}})
+	checkRecorded(t, "grant_replies_full.json", []dispatch.GrantReply{{OK: true, Drop: true}})
+	checkRecorded(t, "grant_replies_empty.json", []dispatch.GrantReply{{}})
 }
 
 // A view keeps its form; what it says of sameness stays here.
 func TestRecordedView(t *testing.T) {
 	notice, exit := 30.5, 137
-	view := machine.View{
+	view := dispatch.View{
 		Name: "n-000231", Type: "g8", Zone: "a", Spot: true, Session: 2, Seq: 1088, Token: 41, Holder: "c2", Endpoint: "10.1.0.232:9000",
 		AgeS: 0.5, UnansweredS: 1.25, NoticeS: &notice, Draining: true, Asked: true,
-		Tasks: []machine.TaskView{{
+		Tasks: []dispatch.TaskView{{
 			Task: wire.Task{Task: "j-000400/7", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseError, Saved: true, Exit: &exit},
 			ForS: 7.75, Unknown: true,
 		}},
-		Queue:  []machine.QueueView{{Ref: machine.Ref{Machine: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
+		Queue:  []dispatch.QueueView{{Ref: dispatch.Ref{Machine: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
 		Matrix: matching.Matrix{{Wait: 20.5, Free: matching.Shape{CPUs: 4, GPUs: 1, MemoryGB: 8.25}}},
 	}
 	checkRecorded(t, "view_full.json", view)
-	checkRecorded(t, "view_empty.json", machine.View{})
-	checkRecorded(t, "task_view_empty.json", machine.TaskView{})
-	checkRecorded(t, "queue_view_empty.json", machine.QueueView{})
+	checkRecorded(t, "view_empty.json", dispatch.View{})
+	checkRecorded(t, "task_view_empty.json", dispatch.TaskView{})
+	checkRecorded(t, "queue_view_empty.json", dispatch.QueueView{})
 	same := view
 	same.Same = true
 	plain, err := json.Marshal(view)
--- a/internal/machine/seed_test.go
+++ b/internal/dispatch/seed_test.go
@@ -1,4 +1,4 @@
-package machine_test
+package dispatch_test
 
 import "flag"
 
--- a/internal/machine/slow_links_test.go
+++ b/internal/dispatch/slow_links_test.go
@@ -1,4 +1,4 @@
-package machine_test
+package dispatch_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -28,11 +28,11 @@
 	}
 }
 
-func (s *slowLinks) GrantThere(ctx context.Context, _ string, requests []machine.GrantRequest) ([]machine.GrantReply, error) {
+func (s *slowLinks) GrantThere(ctx context.Context, _ string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
 	if err := s.wait(ctx); err != nil {
 		return nil, err
 	}
-	replies := make([]machine.GrantReply, len(requests))
+	replies := make([]dispatch.GrantReply, len(requests))
 	for i := range replies {
 		replies[i].OK = true
 	}
@@ -53,11 +53,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &slowLinks{&stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return report(2, 5), true, nil }}, 2900 * time.Millisecond}
 		ctx, cancel := context.WithCancel(context.Background())
-		h := machine.New(ctx, "a", 10*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		h := dispatch.New(ctx, "a", 10*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		h.Report(ctx, report(1, 5))
 		e := entry(1)
 		e.Owner = "b"
-		h.Direct(machine.Direction{From: "b", Assign: []machine.Entry{e}})
+		h.Direct(dispatch.Direction{From: "b", Assign: []dispatch.Entry{e}})
 		if q := h.Views()[0].Queue; len(q) != 1 || !q[0].Unsent {
 			t.Errorf("queue %+v before the grant", q)
 		}
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/slurm"
@@ -25,7 +25,7 @@
 type fleet struct {
 	owner *owner.Owner
 	cfg   *config.Platform
-	views []machine.View
+	views []dispatch.View
 	rev   uint64
 	held  time.Duration
 	raise uint64                 // the highest token that a direction asked to be beyond
@@ -36,7 +36,7 @@
 	none  atomic.Bool            // it has no jobs, as far as Claimed says
 	told  atomic.Int64           // entries for listed tasks that directions had
 
-	unlaunched machine.Unlaunched // how every direction with halts is answered
+	unlaunched dispatch.Unlaunched // how every direction with halts is answered
 }
 
 var size = wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []string{"z"}}
@@ -70,7 +70,7 @@
 	return 7, nil
 }
 func (f *fleet) ShardKey(int) string { return "c/shard/000" }
-func (f *fleet) Direct(_ context.Context, _ string, d machine.Direction) (machine.Unlaunched, error) {
+func (f *fleet) Direct(_ context.Context, _ string, d dispatch.Direction) (dispatch.Unlaunched, error) {
 	f.raise = max(f.raise, d.RaiseAbove)
 	for _, e := range d.Assign {
 		if e.Listed {
@@ -78,7 +78,7 @@
 		}
 	}
 	if len(d.Halt) == 0 {
-		return machine.Unlaunched{}, nil
+		return dispatch.Unlaunched{}, nil
 	}
 	return f.unlaunched, nil
 }
@@ -126,7 +126,7 @@
 	for i := range machines {
 		total := matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}
 		use := []matching.Use{{Shape: matching.Shape{CPUs: 12, MemoryGB: 12}, Left: 20}}
-		f.views = append(f.views, machine.View{Name: fmt.Sprintf("n-%06d", i), Type: "m", Zone: "z", Spot: i%3 > 0, Session: 1, Seq: 1,
+		f.views = append(f.views, dispatch.View{Name: fmt.Sprintf("n-%06d", i), Type: "m", Zone: "z", Spot: i%3 > 0, Session: 1, Seq: 1,
 			Token: 7, Holder: "a", Matrix: matching.NewMatrix(total, use, nil)})
 		f.owner.Observe(f.views[i])
 	}
@@ -141,7 +141,7 @@
 
 // show observes a report of the i-th machine, which is full for so long, has these tasks,
 // and has queued what j-1 has placed there.
-func (f *fleet) show(i int, full float64, tasks ...machine.TaskView) {
+func (f *fleet) show(i int, full float64, tasks ...dispatch.TaskView) {
 	total := matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}
 	var uses []matching.Use
 	if full > 0 {
@@ -152,7 +152,7 @@
 	v.Tasks, v.Queue, v.Matrix = tasks, nil, matching.NewMatrix(total, uses, nil)
 	for _, ref := range f.owner.PlacesOf("j-1") {
 		if ref.Machine == v.Name {
-			v.Queue = append(v.Queue, machine.QueueView{Ref: ref, WaitS: full})
+			v.Queue = append(v.Queue, dispatch.QueueView{Ref: ref, WaitS: full})
 		}
 	}
 	f.owner.Observe(*v)
--- a/internal/owner/books.go
+++ b/internal/owner/books.go
@@ -1,7 +1,7 @@
 package owner
 
 import (
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -37,7 +37,7 @@
 }
 
 func (o *Owner) attach(p *place) {
-	p.ref = machine.Ref{Machine: p.mach.name, Task: wire.TaskName(p.job.spec.UID, p.task), Attempt: p.attempt}
+	p.ref = dispatch.Ref{Machine: p.mach.name, Task: wire.TaskName(p.job.spec.UID, p.task), Attempt: p.attempt}
 	p.job.places[p.task] = append(p.job.places[p.task], p)
 	p.chunk.places = append(p.chunk.places, p)
 	p.mach.places[p] = struct{}{}
--- a/internal/owner/capacity_test.go
+++ b/internal/owner/capacity_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/wallrack/wallrack/internal/capacity"
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -38,7 +38,7 @@
 }
 
 // see has the owner see a report of the i-th machine, which has room and these tasks.
-func (f *fleet) see(i int, tasks ...machine.TaskView) {
+func (f *fleet) see(i int, tasks ...dispatch.TaskView) {
 	v := &f.views[i]
 	v.Seq++
 	v.Tasks, v.Matrix = tasks, matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
@@ -120,10 +120,10 @@
 	if err := f.owner.Record(context.Background()); err != nil {
 		tb.Fatal(err)
 	}
-	done := map[string][]machine.TaskView{}
+	done := map[string][]dispatch.TaskView{}
 	for i := range jobs {
 		for _, ref := range f.owner.PlacesOf(fmt.Sprintf("j-%06d", i)) {
-			done[ref.Machine] = append(done[ref.Machine], machine.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskExited, Cause: wire.CauseDone}})
+			done[ref.Machine] = append(done[ref.Machine], dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskExited, Cause: wire.CauseDone}})
 		}
 	}
 	for i := range f.views {
--- a/internal/owner/closing_test.go
+++ b/internal/owner/closing_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -39,13 +39,13 @@
 				if len(first) != 1 {
 					t.Fatalf("the occupying task is placed at %v", first)
 				}
-				if !f.owner.GrantHere(machine.GrantRequest{Ref: first[0], Holder: "a", Token: 7, Session: 1}).OK {
+				if !f.owner.GrantHere(dispatch.GrantRequest{Ref: first[0], Holder: "a", Token: 7, Session: 1}).OK {
 					t.Fatal("not granted")
 				}
 				show := func() {
 					v := &f.views[0]
 					v.Seq++
-					v.Tasks = []machine.TaskView{{Task: wire.Task{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskRunning}}}
+					v.Tasks = []dispatch.TaskView{{Task: wire.Task{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskRunning}}}
 					v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB},
 						[]matching.Use{{Shape: matching.Shape{CPUs: 8, MemoryGB: 1}, Left: c.occupied}}, nil)
 					f.owner.Observe(*v)
--- a/internal/owner/commit.go
+++ b/internal/owner/commit.go
@@ -8,7 +8,7 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -108,9 +108,9 @@
 		for _, p := range ps {
 			d := o.direction(p.mach.view.Holder)
 			if p.exited {
-				d.Clear = append(d.Clear, machine.Clear{Ref: p.ref, Token: p.token})
+				d.Clear = append(d.Clear, dispatch.Clear{Ref: p.ref, Token: p.token})
 			} else {
-				d.Halt = append(d.Halt, machine.Halt{Ref: p.ref})
+				d.Halt = append(d.Halt, dispatch.Halt{Ref: p.ref})
 			}
 		}
 	}
--- a/internal/owner/direct.go
+++ b/internal/owner/direct.go
@@ -4,16 +4,16 @@
 	"context"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/gather"
-	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // direction returns what is to be told to a holder next.
-func (o *Owner) direction(holder string) *machine.Direction {
+func (o *Owner) direction(holder string) *dispatch.Direction {
 	d := o.pend[holder]
 	if d == nil {
-		d = &machine.Direction{From: o.member.Name()}
+		d = &dispatch.Direction{From: o.member.Name()}
 		o.pend[holder] = d
 	}
 	return d
@@ -28,7 +28,7 @@
 	}
 	p.sentTo, p.sentAt = m.view.Holder, time.Now()
 	d := o.direction(m.view.Holder)
-	d.Assign = append(d.Assign, machine.Entry{
+	d.Assign = append(d.Assign, dispatch.Entry{
 		Ref: p.ref, Owner: o.member.Name(), Shape: j.shape, Run: j.runEstimate(), Fetch: o.fetchTime(j, m),
 		Rank: j.spec.Rank(), DueAt: j.dueAt(), Listed: isListed,
 	})
@@ -52,7 +52,7 @@
 		return
 	}
 	d := o.direction(p.mach.view.Holder)
-	d.Halt = append(d.Halt, machine.Halt{Ref: p.ref, GraceS: grace})
+	d.Halt = append(d.Halt, dispatch.Halt{Ref: p.ref, GraceS: grace})
 	poke(o.out)
 }
 
@@ -61,7 +61,7 @@
 func (o *Owner) unqueue(p *place) {
 	if p.sentTo != "" {
 		d := o.direction(p.sentTo)
-		d.Halt = append(d.Halt, machine.Halt{Ref: p.ref})
+		d.Halt = append(d.Halt, dispatch.Halt{Ref: p.ref})
 		poke(o.out)
 	}
 	o.detach(p)
@@ -78,7 +78,7 @@
 
 // direct sends what was gathered for the holders: to those elsewhere in batches.
 func (o *Owner) direct(ctx context.Context) {
-	elsewhere := gather.Sender[*machine.Direction]{Send: func(holder string, ds []*machine.Direction) {
+	elsewhere := gather.Sender[*dispatch.Direction]{Send: func(holder string, ds []*dispatch.Direction) {
 		o.sendDirection(ctx, holder, joined(ds)) // bounded by its time limit
 	}}
 	for ctx.Err() == nil {
@@ -89,7 +89,7 @@
 		}
 		o.mu.Lock()
 		pend := o.pend
-		o.pend = map[string]*machine.Direction{}
+		o.pend = map[string]*dispatch.Direction{}
 		o.mu.Unlock()
 		for holder, d := range pend {
 			switch holder {
@@ -104,7 +104,7 @@
 }
 
 // joined makes one direction of several, in their order.
-func joined(ds []*machine.Direction) *machine.Direction {
+func joined(ds []*dispatch.Direction) *dispatch.Direction {
 	all := *ds[0]
 	for _, d := range ds[1:] {
 		all.Assign = append(all.Assign, d.Assign...)
@@ -115,7 +115,7 @@
 	return &all
 }
 
-func (o *Owner) sendDirection(ctx context.Context, holder string, d *machine.Direction) {
+func (o *Owner) sendDirection(ctx context.Context, holder string, d *dispatch.Direction) {
 	dctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	un, err := o.holders.Direct(dctx, holder, *d)
--- a/internal/owner/ended_chunks_test.go
+++ b/internal/owner/ended_chunks_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -34,7 +34,7 @@
 	v := f.views[0]
 	v.Seq, v.Token = v.Seq+1, 7
 	for _, task := range []string{"j-1/0", "j-2/0"} {
-		v.Tasks = append(v.Tasks, machine.TaskView{Task: wire.Task{Task: task, Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}})
+		v.Tasks = append(v.Tasks, dispatch.TaskView{Task: wire.Task{Task: task, Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}})
 	}
 	f.owner.Observe(v)
 	if err := f.owner.Record(t.Context()); err != nil {
--- a/internal/owner/export_test.go
+++ b/internal/owner/export_test.go
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -28,7 +28,7 @@
 }
 
 // PlacesOf lists the places of a job's tasks.
-func (o *Owner) PlacesOf(uid string) (refs []machine.Ref) {
+func (o *Owner) PlacesOf(uid string) (refs []dispatch.Ref) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, ps := range o.jobs[uid].places {
--- a/internal/owner/grant.go
+++ b/internal/owner/grant.go
@@ -3,32 +3,32 @@
 import (
 	"time"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // GrantHere decides whether a task may start now. One place of a task is
 // granted at a time; quota, place and kind are checked against everything
 // that may still be on.
-func (o *Owner) GrantHere(r machine.GrantRequest) machine.GrantReply {
+func (o *Owner) GrantHere(r dispatch.GrantRequest) dispatch.GrantReply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.grant(r)
 }
 
 // GrantAll decides a holder's gathered requests at once.
-func (o *Owner) GrantAll(requests []machine.GrantRequest) []machine.GrantReply {
+func (o *Owner) GrantAll(requests []dispatch.GrantRequest) []dispatch.GrantReply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	replies := make([]machine.GrantReply, len(requests))
+	replies := make([]dispatch.GrantReply, len(requests))
 	for i, r := range requests {
 		replies[i] = o.grant(r)
 	}
 	return replies
 }
 
-func (o *Owner) grant(r machine.GrantRequest) machine.GrantReply {
-	no, drop := machine.GrantReply{}, machine.GrantReply{Drop: true}
+func (o *Owner) grant(r dispatch.GrantRequest) dispatch.GrantReply {
+	no, drop := dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
 	if o.member.Held() < 200*time.Millisecond || len(o.loaded) == 0 {
 		return no
 	}
@@ -38,7 +38,7 @@
 	}
 	j := o.jobs[uid]
 	if j == nil {
-		return machine.GrantReply{Drop: len(o.loaded) == o.op.Shards}
+		return dispatch.GrantReply{Drop: len(o.loaded) == o.op.Shards}
 	}
 	if !o.owns(j) {
 		return no
@@ -93,7 +93,7 @@
 			o.unqueue(x)
 		}
 	}
-	return machine.GrantReply{OK: true}
+	return dispatch.GrantReply{OK: true}
 }
 
 // allowed reports whether the job may run on that machine at all.
--- a/internal/owner/observe.go
+++ b/internal/owner/observe.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -23,7 +23,7 @@
 const grantedLong = 10 * time.Second
 
 // Observe takes a holder's view of a machine and settles what it shows.
-func (o *Owner) Observe(v machine.View) {
+func (o *Owner) Observe(v dispatch.View) {
 	if v.Same {
 		if !o.mu.TryLock() {
 			o.keep(v)
@@ -39,13 +39,13 @@
 
 // keptView is a view that came while this owner was busy.
 type keptView struct {
-	view machine.View
+	view dispatch.View
 	at   time.Time
 }
 
 // keep has a view observed later that tells nothing but that its machine was heard: the
 // worker's answer must not wait for a pass.
-func (o *Owner) keep(v machine.View) {
+func (o *Owner) keep(v dispatch.View) {
 	o.keptMu.Lock()
 	defer o.keptMu.Unlock()
 	o.kept = append(o.kept, keptView{v, time.Now()})
@@ -66,7 +66,7 @@
 	}
 }
 
-func (o *Owner) observe(v machine.View) {
+func (o *Owner) observe(v dispatch.View) {
 	if len(o.loaded) == 0 || o.returned.Has(v.Name) {
 		return
 	}
@@ -119,7 +119,7 @@
 	o.views++
 	for i := range v.Tasks {
 		t := &v.Tasks[i]
-		o.shown(m, machine.Ref{Machine: v.Name, Task: t.Task.Task, Attempt: t.Attempt}, t)
+		o.shown(m, dispatch.Ref{Machine: v.Name, Task: t.Task.Task, Attempt: t.Attempt}, t)
 	}
 	for p := range m.places {
 		// What a predecessor had queued, or was seen to run, is settled by the worker's
@@ -142,7 +142,7 @@
 	poke(o.wake)
 }
 
-func queued(queue []machine.QueueView, ref machine.Ref) bool {
+func queued(queue []dispatch.QueueView, ref dispatch.Ref) bool {
 	for i := range queue {
 		if queue[i].Attempt == ref.Attempt && queue[i].Ref == ref {
 			return true
@@ -152,7 +152,7 @@
 }
 
 // unsent reports whether a holder has a place queued and has sent no start command for it.
-func unsent(queue []machine.QueueView, ref machine.Ref) bool {
+func unsent(queue []dispatch.QueueView, ref dispatch.Ref) bool {
 	for i := range queue {
 		if queue[i].Attempt == ref.Attempt && queue[i].Ref == ref {
 			return queue[i].Unsent
@@ -193,7 +193,7 @@
 }
 
 // shown handles a task that the worker reported.
-func (o *Owner) shown(m *mach, ref machine.Ref, t *machine.TaskView) {
+func (o *Owner) shown(m *mach, ref dispatch.Ref, t *dispatch.TaskView) {
 	uid, n, err := wire.ParseTask(ref.Task)
 	if err != nil {
 		return
@@ -261,7 +261,7 @@
 
 // checkQueued takes an entry that has no place in the books out of its machine's
 // queue. Nobody would ever grant it, but it would keep its room.
-func (o *Owner) checkQueued(m *mach, ref machine.Ref) {
+func (o *Owner) checkQueued(m *mach, ref dispatch.Ref) {
 	for p := range m.places {
 		if p.attempt == ref.Attempt && p.ref == ref {
 			return
@@ -272,7 +272,7 @@
 		return
 	}
 	d := o.direction(m.view.Holder)
-	d.Halt = append(d.Halt, machine.Halt{Ref: ref})
+	d.Halt = append(d.Halt, dispatch.Halt{Ref: ref})
 	poke(o.out)
 }
 
@@ -287,20 +287,20 @@
 }
 
 // stray handles a task that has no place in the books: a leftover.
-func (o *Owner) stray(m *mach, ref machine.Ref, t *machine.TaskView) {
+func (o *Owner) stray(m *mach, ref dispatch.Ref, t *dispatch.TaskView) {
 	d := o.direction(m.view.Holder)
 	if t.State == wire.TaskExited {
 		// Its place is gone, and with it what its starts may carry: a clear whose
 		// message was lost is repeated here, and a start that was held up came later.
-		d.Clear = append(d.Clear, machine.Clear{Ref: ref, Token: max(m.tokens, o.fence)})
+		d.Clear = append(d.Clear, dispatch.Clear{Ref: ref, Token: max(m.tokens, o.fence)})
 	} else {
-		d.Halt = append(d.Halt, machine.Halt{Ref: ref})
+		d.Halt = append(d.Halt, dispatch.Halt{Ref: ref})
 	}
 	poke(o.out)
 }
 
 // exited handles the end of an attempt.
-func (o *Owner) exited(m *mach, p *place, t *machine.TaskView) {
+func (o *Owner) exited(m *mach, p *place, t *dispatch.TaskView) {
 	j := p.job
 	p.cause = t.Cause
 	if t.Cause == wire.CauseDone {
@@ -379,7 +379,7 @@
 func (o *Owner) clear(p *place) {
 	o.detach(p)
 	d := o.direction(p.mach.view.Holder)
-	d.Clear = append(d.Clear, machine.Clear{Ref: p.ref, Token: p.token})
+	d.Clear = append(d.Clear, dispatch.Clear{Ref: p.ref, Token: p.token})
 	poke(o.out)
 }
 
@@ -438,7 +438,7 @@
 		d.RaiseAbove = max(d.RaiseAbove, p.token)
 		if (p.job.cancelled || !p.haltAt.IsZero()) && time.Since(p.haltAt) > time.Second {
 			p.haltAt = time.Now()
-			d.Halt = append(d.Halt, machine.Halt{Ref: p.ref})
+			d.Halt = append(d.Halt, dispatch.Halt{Ref: p.ref})
 		}
 		poke(o.out)
 	}
--- a/internal/owner/outcome.go
+++ b/internal/owner/outcome.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -40,7 +40,7 @@
 }
 
 // forGood says how an exit ends its task for good, or 0.
-func (j *job) forGood(p *place, t *machine.TaskView) how {
+func (j *job) forGood(p *place, t *dispatch.TaskView) how {
 	if t.Exit != nil {
 		p.exit = *t.Exit & 0xff
 	}
--- a/internal/owner/own_write_test.go
+++ b/internal/owner/own_write_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -37,8 +37,8 @@
 			if err := o.Load(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			o.Observe(machine.View{Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Holder: "a",
-				Tasks: []machine.TaskView{{Task: wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}},
+			o.Observe(dispatch.View{Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Holder: "a",
+				Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}},
 					{Task: wire.Task{Task: "j-2/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}}}})
 			if err := o.WriteOnce(t.Context()); err == nil {
 				t.Fatal("the first write has an answer")
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -11,7 +11,7 @@
 
 	"github.com/wallrack/wallrack/internal/accounting"
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/recent"
 	"github.com/wallrack/wallrack/internal/usage"
@@ -52,7 +52,7 @@
 
 // Holders carries directions to the holder of a machine.
 type Holders interface {
-	Direct(ctx context.Context, holder string, d machine.Direction) (machine.Unlaunched, error)
+	Direct(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error)
 }
 
 // Types knows the cloud's machine types.
@@ -78,7 +78,7 @@
 	task      int
 	attempt   uint64
 	mach      *mach
-	ref       machine.Ref
+	ref       dispatch.Ref
 	state     placeState
 	token     uint64 // highest token a start command may carry
 	least     uint64 // lowest token for which the start was granted
@@ -189,7 +189,7 @@
 type mach struct {
 	index int
 	name  string
-	view  machine.View
+	view  dispatch.View
 	at    time.Time // when the view came; zero if none did
 	heard time.Time // when the report in it came to its holder
 	since time.Time // when this owner first knew of it
@@ -275,7 +275,7 @@
 	final     map[string]finalRecord // of jobs that ended here, for answers
 	finalQ    []string
 	garbage   []string // chunk keys of ended jobs
-	pend      map[string]*machine.Direction
+	pend      map[string]*dispatch.Direction
 	admitted  float64              // CPU-seconds of work
 	arriving  map[string]*arriving // by class
 	triagedAt time.Time
@@ -313,7 +313,7 @@
 		teams: map[string]*team{},
 		wake:  make(chan struct{}, 1), flush: make(chan struct{}, 1), out: make(chan struct{}, 1),
 		loaded: map[int]uint64{}, listed: map[int]uint64{}, jobs: map[string]*job{}, machines: map[string]*mach{}, returned: recent.NewSet(maxGone), classes: map[string]*class{},
-		rooms: map[roomKey][]*mach{}, cachers: map[cacheKey][]*mach{}, logs: map[int]*shardLog{}, final: map[string]finalRecord{}, arriving: map[string]*arriving{}, over: tally{}, flood: map[int]bool{}, pend: map[string]*machine.Direction{},
+		rooms: map[roomKey][]*mach{}, cachers: map[cacheKey][]*mach{}, logs: map[int]*shardLog{}, final: map[string]finalRecord{}, arriving: map[string]*arriving{}, over: tally{}, flood: map[int]bool{}, pend: map[string]*dispatch.Direction{},
 	}
 	for _, t := range cfg.Params.Teams {
 		o.teams[t.Name] = &team{Team: t}
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -24,7 +24,7 @@
 		show := func(state, cause string) {
 			v := &f.views[0]
 			v.Seq++
-			v.Tasks = []machine.TaskView{{Task: wire.Task{Task: "j-9/0", Attempt: 1, State: state, Cause: cause}}}
+			v.Tasks = []dispatch.TaskView{{Task: wire.Task{Task: "j-9/0", Attempt: 1, State: state, Cause: cause}}}
 			f.owner.Observe(*v)
 		}
 		f.held = 0
@@ -52,7 +52,7 @@
 		look := func(left ...float64) {
 			for i, s := range left {
 				if i == len(f.views) {
-					f.views = append(f.views, machine.View{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 7, Holder: "a"})
+					f.views = append(f.views, dispatch.View{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 7, Holder: "a"})
 				}
 				f.show(i, s)
 			}
@@ -100,7 +100,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 1, 0)
 			stop := f.run()
-			show := func(i int, full float64, tasks ...machine.TaskView) {
+			show := func(i int, full float64, tasks ...dispatch.TaskView) {
 				f.show(i, full, tasks...)
 				time.Sleep(time.Second)
 				f.owner.Pass()
@@ -109,19 +109,19 @@
 			show(0, 0.2)
 			show(0, 0.2)
 			ref := f.owner.PlacesOf("j-1")[0]
-			if !f.owner.GrantHere(machine.GrantRequest{Ref: ref, Holder: "a", Token: 7, Session: 1}).OK {
+			if !f.owner.GrantHere(dispatch.GrantRequest{Ref: ref, Holder: "a", Token: 7, Session: 1}).OK {
 				t.Fatal("not granted")
 			}
 			f.views[0].Holder = "b"
 			if ran {
-				show(0, 5, machine.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskRunning}})
+				show(0, 5, dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskRunning}})
 				f.views[0].Session++
 			}
 			f.views[0].Holder = "a"
 			if c.raised {
 				f.views[0].Token = 9
 			} // else it is asked for, after a while
-			f.views = append(f.views, machine.View{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 9, Holder: "a"})
+			f.views = append(f.views, dispatch.View{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 9, Holder: "a"})
 			for range 24 {
 				show(0, 600)
 				if f.raise > 0 {
@@ -166,11 +166,11 @@
 				}
 				ref := f.owner.PlacesOf("j-1")[0]
 				for _, token := range []uint64{c.granted, c.again} {
-					if token > 0 && !f.owner.GrantHere(machine.GrantRequest{Ref: ref, Holder: "a", Token: token, Session: 1}).OK {
+					if token > 0 && !f.owner.GrantHere(dispatch.GrantRequest{Ref: ref, Holder: "a", Token: token, Session: 1}).OK {
 						t.Fatal("not granted")
 					}
 				}
-				f.unlaunched = machine.Unlaunched{Refs: []machine.Ref{ref}, Token: c.holder}
+				f.unlaunched = dispatch.Unlaunched{Refs: []dispatch.Ref{ref}, Token: c.holder}
 				f.owner.CancelRecorded("j-1")
 				time.Sleep(3 * time.Second)
 				if used := f.owner.TeamUse("t"); (used > 0) != c.counts {
@@ -199,13 +199,13 @@
 		}
 		f.owner.LimitTeam("t", 3)
 		grant := func(i int) bool {
-			return f.owner.GrantHere(machine.GrantRequest{Ref: refs[i], Holder: "a", Token: 7, Session: 1}).OK
+			return f.owner.GrantHere(dispatch.GrantRequest{Ref: refs[i], Holder: "a", Token: 7, Session: 1}).OK
 		}
 		if !grant(0) || grant(1) || !grant(0) {
 			t.Error("the limit lets one task start, which may be granted again")
 		}
 		task := wire.Task{Task: refs[0].Task, Attempt: refs[0].Attempt, State: wire.TaskExited, Cause: wire.CauseDone}
-		f.show(0, 0, machine.TaskView{Task: task})
+		f.show(0, 0, dispatch.TaskView{Task: task})
 		if !grant(1) {
 			t.Error("refused although the other task is off")
 		}
@@ -260,7 +260,7 @@
 		t.Fatal(err)
 	}
 	v := f.views[0]
-	v.Queue = []machine.QueueView{{Ref: machine.Ref{Machine: v.Name, Task: "j-1/0", Attempt: 1}}}
+	v.Queue = []dispatch.QueueView{{Ref: dispatch.Ref{Machine: v.Name, Task: "j-1/0", Attempt: 1}}}
 	report := func(token uint64) (pending, halts int) {
 		v.Seq, v.Token = v.Seq+1, token
 		f.owner.Observe(v)
@@ -342,7 +342,7 @@
 			v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, full, nil)
 			v.Tasks = nil
 			for i := range 2 {
-				v.Tasks = append(v.Tasks, machine.TaskView{Task: wire.Task{Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1), State: wire.TaskRunning}})
+				v.Tasks = append(v.Tasks, dispatch.TaskView{Task: wire.Task{Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1), State: wire.TaskRunning}})
 			}
 			f.owner.Observe(*v)
 		}
@@ -351,7 +351,7 @@
 		f.owner.Observe(*v)
 		f.owner.Pass()
 		for i := range 2 {
-			f.owner.GrantHere(machine.GrantRequest{Ref: machine.Ref{Machine: v.Name, Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1)}, Token: 7, Session: 1})
+			f.owner.GrantHere(dispatch.GrantRequest{Ref: dispatch.Ref{Machine: v.Name, Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1)}, Token: 7, Session: 1})
 		}
 		show()
 		f.owner.Accepted(&wire.Job{UID: "j-2", Class: "quote", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 2)
--- a/internal/owner/recorded_shard_test.go
+++ b/internal/owner/recorded_shard_test.go
@@ -11,9 +11,9 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -84,8 +84,8 @@
 	if want := []string{"j-1/2 n-000000 3", "j-1/4 n-000000 5", "j-1/5 n-000000 6", "j-1/6 n-000000 7"}; !slices.Equal(places, want) {
 		t.Errorf("placed at %q, want %q", places, want)
 	}
-	o.Observe(machine.View{Name: "n-000000", Type: "m", Zone: "z", Spot: true, Session: 1, Seq: 1, Token: 7, Holder: "a",
-		Tasks: []machine.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3, State: wire.TaskRunning}}}})
+	o.Observe(dispatch.View{Name: "n-000000", Type: "m", Zone: "z", Spot: true, Session: 1, Seq: 1, Token: 7, Holder: "a",
+		Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3, State: wire.TaskRunning}}}})
 	if s, ok := o.Known("j-1"); !ok || s != (wire.JobState{UID: "j-1", Stage: wire.StageRunning, Done: 2, Running: 1}) {
 		t.Errorf("with a task that runs it is %+v, %v", s, ok)
 	}
@@ -157,7 +157,7 @@
 				got = append(got, string(data))
 			}
 		}
-		tasks := []machine.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3}}, {Task: wire.Task{Task: "j-1/4", Attempt: 5}},
+		tasks := []dispatch.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3}}, {Task: wire.Task{Task: "j-1/4", Attempt: 5}},
 			{Task: wire.Task{Task: "j-1/5", Attempt: 6}}, {Task: wire.Task{Task: "j-1/6", Attempt: 7}}}
 		for i := range tasks {
 			tasks[i].State = wire.TaskRunning
--- a/internal/owner/told_again_test.go
+++ b/internal/owner/told_again_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -22,10 +22,10 @@
 			time.Sleep(time.Second)
 		}
 		ref := f.owner.PlacesOf("j-1")[0]
-		if !f.owner.GrantHere(machine.GrantRequest{Ref: ref, Holder: "a", Token: 7, Session: 1}).OK {
+		if !f.owner.GrantHere(dispatch.GrantRequest{Ref: ref, Holder: "a", Token: 7, Session: 1}).OK {
 			t.Fatal("not granted")
 		}
-		running := machine.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskRunning}}
+		running := dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskRunning}}
 		told := func(unknown bool) int64 {
 			before := f.told.Load()
 			running.Unknown = unknown
--- a/internal/owner/unsent_grant_test.go
+++ b/internal/owner/unsent_grant_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
 // A start was granted to a holder that has it queued still, since the grant is long under
@@ -17,13 +17,13 @@
 			f := newFleet(t, 2, 0)
 			stop := f.run()
 			f.acceptArray(1)
-			var ref machine.Ref
+			var ref dispatch.Ref
 			show := func() {
 				for i := range f.views {
 					v := &f.views[i]
 					v.Seq, v.Holder, v.Queue = v.Seq+1, "b", nil
 					if v.Asked = v.Name != ref.Machine; !v.Asked {
-						v.Queue = []machine.QueueView{{Ref: ref, Unsent: unsent}}
+						v.Queue = []dispatch.QueueView{{Ref: ref, Unsent: unsent}}
 					}
 					f.owner.Observe(*v)
 				}
@@ -34,7 +34,7 @@
 				time.Sleep(time.Second)
 			}
 			ref = f.owner.PlacesOf("j-1")[0]
-			if !f.owner.GrantHere(machine.GrantRequest{Ref: ref, Holder: "b", Token: 7, Session: 1}).OK {
+			if !f.owner.GrantHere(dispatch.GrantRequest{Ref: ref, Holder: "b", Token: 7, Session: 1}).OK {
 				t.Fatal("not granted")
 			}
 			deaf := false
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -19,9 +19,9 @@
 
 	"github.com/wallrack/wallrack/internal/cancels"
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/testkit"
@@ -91,7 +91,7 @@
 	cancels map[string]time.Time // jobs, by when their user first heard that they are cancelled
 
 	accounts bool                                 // whether accounting rows are written
-	directed func(d machine.Direction)            // sees what owners tell holders, before it is on its way; nil: nobody
+	directed func(d dispatch.Direction)           // sees what owners tell holders, before it is on its way; nil: nobody
 	ordering func(endpoint string, o wire.Orders) // sees a direct order before it is on its way; nil: nobody
 
 	beside     func(n *node) []func(context.Context) error            // what else a controller runs; nil: nothing
@@ -121,7 +121,7 @@
 	view     *testkit.View
 	member   *membership.Member
 	owner    *owner.Owner
-	holder   *machine.Holder
+	holder   *dispatch.Holder
 	stop     context.CancelFunc
 	done     chan struct{}
 	down     bool // crashed
@@ -182,7 +182,7 @@
 	n.owner = owner.New(&cfg, op, n.view, n.member, n, w.size, log)
 	n.owner.KeepSlots = 4 // so that records are written over, and chunks saved
 	n.owner.Accounts, n.owner.Others = w.accounts, n
-	n.holder = machine.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
+	n.holder = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
 	n.started, n.published, n.pictures = time.Now(), views.NewPublisher(name, n.holder), views.NewReceiver(n.owner, w.others(name))
 	n.reg = cancels.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.Held)
 	n.reg.Fresh = func(uids []string) { n.knows.learn(uids); go n.holder.Recall() }
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/views"
 )
@@ -193,7 +193,7 @@
 	_, silent := n.owner.Silent(workerLease)
 	for i := range silent {
 		name, all := silent[i].Name, true
-		a := machine.NewAttestation(time.Now(), []float64{n.holder.Unanswered(name).Seconds()})
+		a := dispatch.NewAttestation(time.Now(), []float64{n.holder.Unanswered(name).Seconds()})
 		for _, peer := range w.names {
 			if peer == n.name {
 				continue
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -4,24 +4,24 @@
 	"context"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // Observe hands a view to the owner here, as cmd/wallrack does.
-func (n *node) Observe(v machine.View) {
+func (n *node) Observe(v dispatch.View) {
 	if seen := n.linksSeen(); v.Asked && seen.Spreading() {
 		v.Holder = n.Foreman(v.Name)
 	}
 	n.owner.Observe(v)
 }
 
-func (n *node) GrantHere(r machine.GrantRequest) machine.GrantReply { return n.owner.GrantHere(r) }
-func (n *node) GrantThere(ctx context.Context, at string, requests []machine.GrantRequest) ([]machine.GrantReply, error) {
-	return overPeerLink(ctx, n.w, func() ([]machine.GrantReply, error) {
+func (n *node) GrantHere(r dispatch.GrantRequest) dispatch.GrantReply { return n.owner.GrantHere(r) }
+func (n *node) GrantThere(ctx context.Context, at string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
+	return overPeerLink(ctx, n.w, func() ([]dispatch.GrantReply, error) {
 		to, err := n.peer(at)
 		if err != nil {
 			return nil, err
@@ -30,17 +30,17 @@
 	})
 }
 
-func (n *node) Direct(ctx context.Context, holder string, d machine.Direction) (machine.Unlaunched, error) {
+func (n *node) Direct(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error) {
 	if n.w.directed != nil {
 		n.w.directed(d)
 	}
 	if holder == n.name {
 		return n.holder.Direct(d), nil
 	}
-	return overPeerLink(ctx, n.w, func() (machine.Unlaunched, error) {
+	return overPeerLink(ctx, n.w, func() (dispatch.Unlaunched, error) {
 		to, err := n.peer(holder)
 		if err != nil {
-			return machine.Unlaunched{}, err
+			return dispatch.Unlaunched{}, err
 		}
 		return to.holder.Direct(d), nil
 	})
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/goccy/go-json"
 
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/links"
-	"github.com/wallrack/wallrack/internal/machine"
 	"github.com/wallrack/wallrack/internal/testkit"
 )
 
@@ -78,7 +78,7 @@
 	r.seq++
 	reports, machines := n.holder.Arrivals()
 	row := links.Row{Node: n.name, Born: r.born, Seq: r.seq, State: state, Held: n.member.Held() > 0, Owns: len(n.member.Own()) > 0,
-		Reports: reports, Expected: float64(machines) / reportEvery.Seconds() * machine.ArrivalWindow.Seconds(), Lacks: r.table.Lacks(now)}
+		Reports: reports, Expected: float64(machines) / reportEvery.Seconds() * dispatch.ArrivalWindow.Seconds(), Lacks: r.table.Lacks(now)}
 	if o := n.member.Owners(); len(o) > 0 {
 		row.Chief = o[0]
 	}
--- a/internal/views/capacity_test.go
+++ b/internal/views/capacity_test.go
@@ -7,7 +7,7 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/capacity"
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -19,22 +19,22 @@
 )
 
 // fleet is so many machines as their holder sees them.
-type fleet []machine.View
+type fleet []dispatch.View
 
-func (fleet) Holds() bool                         { return true }
-func (f fleet) Views() []machine.View             { return f }
-func (fleet) Changed() ([]machine.View, []string) { return nil, nil }
+func (fleet) Holds() bool                          { return true }
+func (f fleet) Views() []dispatch.View             { return f }
+func (fleet) Changed() ([]dispatch.View, []string) { return nil, nil }
 
 // machinesAt are machines with reports as of a time, each of whose first started tasks
 // began anew then.
 func machinesAt(machines int, atMs int64, started int) (f fleet) {
 	passed := float64(atMs) / perSecond
 	for i := range machines {
-		v := machine.View{Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z",
+		v := dispatch.View{Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z",
 			Session: 1, Seq: 1000 + uint64(atMs), Token: 7, Holder: "a", AgeS: 0.25, UnansweredS: 0.25}
 		var uses []matching.Use
 		for t := range tasksEach {
-			task := machine.TaskView{Task: wire.Task{Task: wire.TaskName(fmt.Sprintf("j-%06d", i), t), Attempt: 20, State: wire.TaskRunning}, ForS: 10 + passed}
+			task := dispatch.TaskView{Task: wire.Task{Task: wire.TaskName(fmt.Sprintf("j-%06d", i), t), Attempt: 20, State: wire.TaskRunning}, ForS: 10 + passed}
 			left := max(overrunWait, 10*float64(t)-passed)
 			if t < started {
 				task.Attempt, task.ForS, left = 21, 0, 30
--- a/internal/views/change.go
+++ b/internal/views/change.go
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -52,24 +52,24 @@
 // Change is what changed in the view of one machine. What is left out is as before; times
 // go on by themselves.
 type Change struct {
-	Name         string              `json:"n"`
-	BackMs       int64               `json:"b,omitempty"` // by which the view is older than its frame
-	Anew         bool                `json:"f,omitempty"` // whatever was known of the machine is replaced
-	Site         *Site               `json:"i,omitempty"`
-	Session      uint64              `json:"e,omitempty"`
-	Seq          uint64              `json:"s,omitempty"`
-	Token        uint64              `json:"k,omitempty"`
-	AgeMs        *int64              `json:"a,omitempty"`
-	UnansweredMs *int64              `json:"u,omitempty"`
-	Condition    *Condition          `json:"c,omitempty"`
-	AllTasks     bool                `json:"l,omitempty"` // Tasks is the whole list
-	Tasks        []machine.TaskView  `json:"t,omitempty"` // new or changed
-	Unlisted     []TaskKey           `json:"x,omitempty"`
-	Queue        []machine.QueueView `json:"q,omitempty"`
-	NoQueue      bool                `json:"o,omitempty"` // the queue is empty now
-	Matrix       []float64           `json:"m,omitempty"` // see packed
-	NoMatrix     bool                `json:"y,omitempty"` // there is no matrix any more
-	Waits        []float64           `json:"w,omitempty"` // of the matrix, whose amounts are as before
+	Name         string               `json:"n"`
+	BackMs       int64                `json:"b,omitempty"` // by which the view is older than its frame
+	Anew         bool                 `json:"f,omitempty"` // whatever was known of the machine is replaced
+	Site         *Site                `json:"i,omitempty"`
+	Session      uint64               `json:"e,omitempty"`
+	Seq          uint64               `json:"s,omitempty"`
+	Token        uint64               `json:"k,omitempty"`
+	AgeMs        *int64               `json:"a,omitempty"`
+	UnansweredMs *int64               `json:"u,omitempty"`
+	Condition    *Condition           `json:"c,omitempty"`
+	AllTasks     bool                 `json:"l,omitempty"` // Tasks is the whole list
+	Tasks        []dispatch.TaskView  `json:"t,omitempty"` // new or changed
+	Unlisted     []TaskKey            `json:"x,omitempty"`
+	Queue        []dispatch.QueueView `json:"q,omitempty"`
+	NoQueue      bool                 `json:"o,omitempty"` // the queue is empty now
+	Matrix       []float64            `json:"m,omitempty"` // see packed
+	NoMatrix     bool                 `json:"y,omitempty"` // there is no matrix any more
+	Waits        []float64            `json:"w,omitempty"` // of the matrix, whose amounts are as before
 }
 
 // inOrder reports whether a matrix's rows stand in the order of their waits: look-ups take
@@ -106,7 +106,7 @@
 // state is a machine's view as of a time on its holder's steady clock.
 type state struct {
 	atMs int64
-	view machine.View
+	view dispatch.View
 }
 
 func milliseconds(seconds float64) int64 { return int64(math.Round(seconds * perSecond)) }
@@ -119,7 +119,7 @@
 }
 
 // rounding gives a view the precision in which it is told.
-func rounding(v machine.View) machine.View {
+func rounding(v dispatch.View) dispatch.View {
 	v.AgeS, v.UnansweredS = rounded(v.AgeS), rounded(v.UnansweredS)
 	v.Tasks = slices.Clone(v.Tasks)
 	for i := range v.Tasks {
@@ -158,9 +158,9 @@
 	return state{toMs, v}
 }
 
-func site(v *machine.View) Site { return Site{v.Type, v.Zone, v.Spot, v.Endpoint} }
+func site(v *dispatch.View) Site { return Site{v.Type, v.Zone, v.Spot, v.Endpoint} }
 
-func condition(v *machine.View) Condition { return Condition{v.NoticeS, v.Draining, v.Asked} }
+func condition(v *dispatch.View) Condition { return Condition{v.NoticeS, v.Draining, v.Asked} }
 
 func sameValue[T comparable](a, b *T) bool {
 	return a == b || a != nil && b != nil && *a == *b
@@ -170,11 +170,11 @@
 	return sameValue(c.NoticeS, o.NoticeS) && c.Draining == o.Draining && c.Asked == o.Asked
 }
 
-func key(t *machine.TaskView) TaskKey { return TaskKey{t.Task.Task, t.Attempt} }
+func key(t *dispatch.TaskView) TaskKey { return TaskKey{t.Task.Task, t.Attempt} }
 
 // byKey orders tasks, whose order in a report means nothing: else one that is new among
 // them had all told.
-func byKey(a, b machine.TaskView) int {
+func byKey(a, b dispatch.TaskView) int {
 	return cmp.Or(cmp.Compare(a.Task.Task, b.Task.Task), cmp.Compare(a.Attempt, b.Attempt))
 }
 
@@ -184,14 +184,14 @@
 	return exit && a == b
 }
 
-func sameListed(a, b machine.TaskView) bool {
+func sameListed(a, b dispatch.TaskView) bool {
 	return sameTask(a.Task, b.Task) && a.Unknown == b.Unknown && near(a.ForS, b.ForS, forTolerance)
 }
 
 func near(a, b, tolerance float64) bool { return math.Abs(a-b) <= tolerance }
 
-func sameTasks(a, b []machine.TaskView) bool {
-	return slices.EqualFunc(a, b, func(x, y machine.TaskView) bool {
+func sameTasks(a, b []dispatch.TaskView) bool {
+	return slices.EqualFunc(a, b, func(x, y dispatch.TaskView) bool {
 		return sameListed(x, y)
 	})
 }
@@ -261,8 +261,8 @@
 }
 
 // tasks notes which listed tasks changed, or all of them if that would not give their list.
-func (c *Change) tasks(was, now []machine.TaskView) {
-	before := make(map[TaskKey]*machine.TaskView, len(was))
+func (c *Change) tasks(was, now []dispatch.TaskView) {
+	before := make(map[TaskKey]*dispatch.TaskView, len(was))
 	for i := range was {
 		before[key(&was[i])] = &was[i]
 	}
@@ -285,14 +285,14 @@
 }
 
 // listed applies the changed tasks to a machine's list.
-func (c *Change) listed(was []machine.TaskView) ([]machine.TaskView, error) {
+func (c *Change) listed(was []dispatch.TaskView) ([]dispatch.TaskView, error) {
 	if c.AllTasks {
 		return c.Tasks, nil
 	}
 	if len(c.Tasks) == 0 && len(c.Unlisted) == 0 {
 		return was, nil
 	}
-	changed := make(map[TaskKey]*machine.TaskView, len(c.Tasks))
+	changed := make(map[TaskKey]*dispatch.TaskView, len(c.Tasks))
 	for i := range c.Tasks {
 		changed[key(&c.Tasks[i])] = &c.Tasks[i]
 	}
@@ -300,7 +300,7 @@
 	for _, k := range c.Unlisted {
 		unlisted[k] = true
 	}
-	out := make([]machine.TaskView, 0, len(was)+len(c.Tasks))
+	out := make([]dispatch.TaskView, 0, len(was)+len(c.Tasks))
 	for _, t := range was {
 		k := key(&t)
 		if unlisted[k] {
@@ -343,7 +343,7 @@
 	case old != nil && atMs < old.atMs:
 		return state{}, fmt.Errorf("%w: %s: older than what is known", ErrMalformed, c.Name)
 	}
-	now := state{atMs: atMs, view: machine.View{Name: c.Name}}
+	now := state{atMs: atMs, view: dispatch.View{Name: c.Name}}
 	if old != nil {
 		now = old.advanced(atMs)
 	}
@@ -382,7 +382,7 @@
 }
 
 // matrix applies the change to a view's matrix.
-func (c *Change) matrix(v *machine.View) error {
+func (c *Change) matrix(v *dispatch.View) error {
 	switch {
 	case c.NoMatrix:
 		v.Matrix = nil
--- a/internal/views/encoder.go
+++ b/internal/views/encoder.go
@@ -14,7 +14,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
 const (
@@ -106,7 +106,7 @@
 }
 
 // Note takes changed views, made now, and the names of machines that are gone.
-func (e *Encoder) Note(nowMs int64, changed []machine.View, gone []string) {
+func (e *Encoder) Note(nowMs int64, changed []dispatch.View, gone []string) {
 	if !e.begun {
 		return // the whole is told first
 	}
--- a/internal/views/publisher.go
+++ b/internal/views/publisher.go
@@ -4,7 +4,7 @@
 	"slices"
 	"sync"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
 // Source is the holder whose views are published.
@@ -12,10 +12,10 @@
 	// Holds reports whether any machine was heard within a lease.
 	Holds() bool
 	// Views makes the views of all machines heard within a lease.
-	Views() []machine.View
+	Views() []dispatch.View
 	// Changed makes the views that changed since the last call, and names the machines
 	// that are not known any more.
-	Changed() (views []machine.View, gone []string)
+	Changed() (views []dispatch.View, gone []string)
 }
 
 // Publisher keeps a stream to each owner elsewhere.
--- a/internal/views/receiver.go
+++ b/internal/views/receiver.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sync"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
 // ErrNoOwner means that a message came to a controller that owns no jobs, or has not read
@@ -18,7 +18,7 @@
 	// Tenure is 0 while the owner acts on no views, and another number each time that
 	// it begins to.
 	Tenure() uint64
-	Observe(machine.View)
+	Observe(dispatch.View)
 }
 
 // Receiver keeps a picture of each holder's machines for an owner.
--- a/internal/views/receiver_test.go
+++ b/internal/views/receiver_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
 // tenant is an owner that has its jobs at times.
@@ -15,7 +15,7 @@
 
 func (o *tenant) Tenure() uint64 { return o.tenure }
 
-func (o *tenant) Observe(v machine.View) {
+func (o *tenant) Observe(v dispatch.View) {
 	if o.tenure > 0 {
 		o.observed = append(o.observed, v.Holder+"/"+v.Name)
 	}
@@ -27,7 +27,7 @@
 func TestOwnerIsToldAnew(t *testing.T) {
 	o := &tenant{}
 	r := NewReceiver(o, []string{"h"})
-	p := NewPublisher("h", oneView{machine.View{Name: "n-1", Type: "m"}})
+	p := NewPublisher("h", oneView{dispatch.View{Name: "n-1", Type: "m"}})
 	nowMs := int64(0)
 	tell := func() {
 		nowMs += heartbeatMs
--- a/internal/views/recorded_test.go
+++ b/internal/views/recorded_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -37,12 +37,12 @@
 		Session: 2, Seq: 1088, Token: 41, AgeMs: &age, UnansweredMs: &unanswered,
 		Condition: &Condition{NoticeS: &notice, Draining: true, Asked: true},
 		AllTasks:  true,
-		Tasks: []machine.TaskView{{
+		Tasks: []dispatch.TaskView{{
 			Task: wire.Task{Task: "j-000400/7", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseError, Saved: true, Exit: &exit},
 			ForS: 7.75, Unknown: true,
 		}},
 		Unlisted: []TaskKey{{Task: "j-000402/1", Attempt: 4}},
-		Queue:    []machine.QueueView{{Ref: machine.Ref{Machine: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
+		Queue:    []dispatch.QueueView{{Ref: dispatch.Ref{Machine: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
 		NoQueue:  true, Matrix: []float64{20.5, 4, 1, 8.25}, NoMatrix: true, Waits: []float64{20.5, 31.25},
 	}
 }
--- a/internal/views/stream_test.go
+++ b/internal/views/stream_test.go
@@ -11,7 +11,7 @@
 	"github.com/goccy/go-json"
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/machine"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -20,7 +20,7 @@
 type version struct {
 	known bool
 	atMs  int64
-	view  machine.View
+	view  dispatch.View
 }
 
 // model is a holder, an owner, and what is under way between them.
@@ -42,7 +42,7 @@
 
 func (w *model) clock() int64 { return w.nowMs - w.lifeMs }
 
-func (w *model) note(name string, v machine.View, known bool) int {
+func (w *model) note(name string, v dispatch.View, known bool) int {
 	n := len(w.versions)
 	v.Name, v.Token = name, uint64(n)
 	w.versions = append(w.versions, version{known, w.nowMs, v})
@@ -58,24 +58,24 @@
 
 func (w *model) Holds() bool { return len(w.current) > 0 }
 
-func (w *model) Changed() ([]machine.View, []string) { panic("gather takes them") }
+func (w *model) Changed() ([]dispatch.View, []string) { panic("gather takes them") }
 
 // Views are those of all machines, as of now.
-func (w *model) Views() []machine.View {
-	var out []machine.View
+func (w *model) Views() []dispatch.View {
+	var out []dispatch.View
 	for _, name := range slices.Sorted(maps.Keys(w.current)) {
 		out = append(out, w.asOf(w.current[name], w.nowMs))
 	}
 	return out
 }
 
-func (w *model) asOf(n int, ms int64) machine.View {
+func (w *model) asOf(n int, ms int64) dispatch.View {
 	v := w.versions[n]
 	return state{v.atMs, rounding(v.view)}.advanced(ms).view
 }
 
 func (w *model) gather() {
-	var changed []machine.View
+	var changed []dispatch.View
 	var gone []string
 	for _, name := range slices.Sorted(maps.Keys(w.changed)) {
 		if n, ok := w.current[name]; ok {
@@ -152,12 +152,12 @@
 	}
 }
 
-func sameViews(a, b machine.View) error {
+func sameViews(a, b dispatch.View) error {
 	const slack = 0.15
 	if math.Abs(a.AgeS-b.AgeS) > slack || math.Abs(a.UnansweredS-b.UnansweredS) > slack {
 		return fmt.Errorf("ages")
 	}
-	if !slices.EqualFunc(a.Tasks, b.Tasks, func(x, y machine.TaskView) bool {
+	if !slices.EqualFunc(a.Tasks, b.Tasks, func(x, y dispatch.TaskView) bool {
 		return reflect.DeepEqual(x.Task, y.Task) && math.Abs(x.ForS-y.ForS) <= slack
 	}) {
 		return fmt.Errorf("tasks")
@@ -180,7 +180,7 @@
 }
 
 // viewAfter draws what a machine's view becomes.
-func viewAfter(t *rapid.T, v machine.View) machine.View {
+func viewAfter(t *rapid.T, v dispatch.View) dispatch.View {
 	few := rapid.IntRange(0, 3)
 	waits := rapid.SliceOfN(rapid.IntRange(0, 20_000), 0, 3)
 	if rapid.Bool().Draw(t, "reported") {
@@ -200,8 +200,8 @@
 	}
 	v.Tasks = slices.Clone(v.Tasks)
 	for i := range few.Draw(t, "tasks") {
-		task := machine.TaskView{Task: wire.Task{Task: fmt.Sprintf("j/%d", few.Draw(t, "task")), Attempt: uint64(i % 2), State: rapid.SampledFrom([]string{wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}}
-		if at := slices.IndexFunc(v.Tasks, func(x machine.TaskView) bool { return key(&x) == key(&task) }); at >= 0 {
+		task := dispatch.TaskView{Task: wire.Task{Task: fmt.Sprintf("j/%d", few.Draw(t, "task")), Attempt: uint64(i % 2), State: rapid.SampledFrom([]string{wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}}
+		if at := slices.IndexFunc(v.Tasks, func(x dispatch.TaskView) bool { return key(&x) == key(&task) }); at >= 0 {
 			v.Tasks[at] = task
 		} else {
 			v.Tasks = append(v.Tasks, task)
@@ -213,7 +213,7 @@
 	}
 	v.Queue = nil
 	for i := range few.Draw(t, "queued") {
-		v.Queue = append(v.Queue, machine.QueueView{Ref: machine.Ref{Machine: "m", Task: "q", Attempt: uint64(i)}, WaitS: float64(few.Draw(t, "wait"))})
+		v.Queue = append(v.Queue, dispatch.QueueView{Ref: dispatch.Ref{Machine: "m", Task: "q", Attempt: uint64(i)}, WaitS: float64(few.Draw(t, "wait"))})
 	}
 	v.Matrix = nil
 	for _, ms := range slices.Sorted(slices.Values(waits.Draw(t, "waits"))) {
@@ -277,7 +277,7 @@
 		}
 		changes := func(t *rapid.T) {
 			name := names.Draw(t, "machine")
-			old := machine.View{Type: "m", Session: 1}
+			old := dispatch.View{Type: "m", Session: 1}
 			if n, ok := w.current[name]; ok {
 				old = w.asOf(n, w.nowMs)
 			}
@@ -337,18 +337,18 @@
 }
 
 // oneView is a holder of one machine.
-type oneView struct{ view machine.View }
+type oneView struct{ view dispatch.View }
 
-func (oneView) Holds() bool                         { return true }
-func (o oneView) Views() []machine.View             { return []machine.View{o.view} }
-func (oneView) Changed() ([]machine.View, []string) { return nil, nil }
+func (oneView) Holds() bool                          { return true }
+func (o oneView) Views() []dispatch.View             { return []dispatch.View{o.view} }
+func (oneView) Changed() ([]dispatch.View, []string) { return nil, nil }
 
 // FuzzMalformedMessage: whatever comes, a message that is refused changes nothing.
 func FuzzMalformedMessage(f *testing.F) {
 	known := func() (*Encoder, *Decoder) {
 		e, d := NewEncoder("h"), NewDecoder()
 		e.stream, d.stream = 5, 3
-		v := machine.View{Name: "n-1", Type: "m", Session: 1, Seq: 4, Token: 2, Tasks: []machine.TaskView{{Task: wire.Task{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}},
+		v := dispatch.View{Name: "n-1", Type: "m", Session: 1, Seq: 4, Token: 2, Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}},
 			Matrix: matching.Matrix{{Free: matching.Shape{CPUs: 1}}, {Wait: 3, Free: matching.Shape{CPUs: 2}}}}
 		e.after = d.stream
 		_, r, err := d.Take(e.Next(0, oneView{v}))
@@ -361,7 +361,7 @@
 	e, d := known()
 	v := d.states["n-1"].view
 	v.Seq, v.Tasks, v.Matrix = 5, nil, matching.Matrix{{Free: matching.Shape{CPUs: 2}}}
-	e.Note(100, []machine.View{v}, nil)
+	e.Note(100, []dispatch.View{v}, nil)
 	for _, m := range []*Message{e.Next(200, nil), {Stream: d.stream, Seq: d.seq, Machines: 1}} {
 		data, err := json.Marshal(m)
 		if err != nil {
@@ -405,8 +405,8 @@
 func TestGoneBeforeItWasTold(t *testing.T) {
 	e, d := NewEncoder("h"), NewDecoder()
 	e.after = d.stream
-	m := e.Next(0, oneView{machine.View{Name: "n-1", Type: "m"}})
-	e.Note(1, []machine.View{{Name: "n-2", Type: "m"}}, nil)
+	m := e.Next(0, oneView{dispatch.View{Name: "n-1", Type: "m"}})
+	e.Note(1, []dispatch.View{{Name: "n-2", Type: "m"}}, nil)
 	e.Note(2, nil, []string{"n-2"})
 	for at := int64(3); m != nil; at += heartbeatMs {
 		_, r, err := d.Take(m)
