--- a/cmd/wallctl/links.go
+++ b/cmd/wallctl/links.go
@@ -8,7 +8,7 @@
 	"github.com/goccy/go-json"
 	"github.com/spf13/cobra"
 
-	"github.com/wallrack/wallrack/internal/links"
+	"github.com/wallrack/wallrack/internal/reachability"
 )
 
 // links shows which controller reaches what, as the one that is asked knows it.
@@ -26,7 +26,7 @@
 			_, err := cmd.OutOrStdout().Write(out)
 			return err
 		}
-		var s links.Shown
+		var s reachability.Shown
 		if err := json.Unmarshal(out, &s); err != nil {
 			return fmt.Errorf("links: malformed answer: %w", err)
 		}
--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -21,10 +21,10 @@
 	"github.com/wallrack/wallrack/internal/fleet"
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/intake"
-	"github.com/wallrack/wallrack/internal/links"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/recovery"
 	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/slurmapi"
@@ -102,8 +102,8 @@
 		return q
 	}, log)
 	n.links.connections = func() (open, most int) { return inbound.count(), int(inbound.most) }
-	n.links.ears = func() links.Ears {
-		return links.Ears{Refused: usage.Noted(usage.RefusedConnections), Late: meter.Late()}
+	n.links.ears = func() reachability.Ears {
+		return reachability.Ears{Refused: usage.Noted(usage.RefusedConnections), Late: meter.Late()}
 	}
 	n.times = recovery.New(n.owner, config.Seconds(p.Params.Workers.LeaseS), log)
 	member.OnChange(n.owner.Changed)
--- a/cmd/wallrack/link_messages.go
+++ b/cmd/wallrack/link_messages.go
@@ -8,16 +8,16 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/cancels"
-	"github.com/wallrack/wallrack/internal/links"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
 // pingMessage carries a controller's row, and others' rows to those who lack them.
 type pingMessage struct {
-	Row     links.Row        `json:"row"`
-	Cancels *cancels.Message `json:"cancels,omitempty"`
-	Passed  []links.Relayed  `json:"passed,omitempty"`
+	Row     reachability.Row       `json:"row"`
+	Cancels *cancels.Message       `json:"cancels,omitempty"`
+	Passed  []reachability.Relayed `json:"passed,omitempty"`
 }
 
 // forwardMessage is a message that a third controller passes on.
@@ -41,7 +41,7 @@
 func (n *node) handleLinks() {
 	mesh.Handle(n.mesh, methodPing, func(_ context.Context, m *pingMessage) (*pingMessage, error) {
 		now := time.Now()
-		n.links.table.Take(m.Row, links.Direct, 0, now)
+		n.links.table.Take(m.Row, reachability.Direct, 0, now)
 		n.links.table.TakePassed(m.Passed, now)
 		n.tookCancels(m.Row.Node, m.Cancels)
 		n.try(m.Row.Sample)
@@ -93,7 +93,7 @@
 	n.called(peer, err, true)
 	if err == nil {
 		now := time.Now()
-		n.links.table.Take(rep.Row, links.Direct, 0, now)
+		n.links.table.Take(rep.Row, reachability.Direct, 0, now)
 		n.links.table.TakePassed(rep.Passed, now)
 		n.tookCancels(peer, rep.Cancels)
 	}
@@ -133,12 +133,12 @@
 
 // stored takes a row that a controller wrote to the state service.
 func (n *node) stored(value json.RawMessage) {
-	var r links.Row
+	var r reachability.Row
 	if err := json.Unmarshal(value, &r); err != nil {
 		n.log.Debug("unreadable row of links", "err", err)
 		return
 	}
-	n.links.table.Take(r, links.Stored, 0, time.Now())
+	n.links.table.Take(r, reachability.Stored, 0, time.Now())
 	if r.Node != n.cfg.Node && len(r.Sample) > 0 {
 		go n.try(r.Sample)
 	}
--- a/cmd/wallrack/link_report.go
+++ b/cmd/wallrack/link_report.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/httpjson"
-	"github.com/wallrack/wallrack/internal/links"
+	"github.com/wallrack/wallrack/internal/reachability"
 )
 
 // toldLink is how a link was when it last changed, and when.
@@ -23,7 +23,7 @@
 )
 
 // tellLinks logs each change of a link.
-func (n *node) tellLinks(v *links.View) {
+func (n *node) tellLinks(v *reachability.View) {
 	s := &n.links
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,9 +59,9 @@
 	s.mu.Lock()
 	shown.Kept = s.kept
 	for link, t := range s.told {
-		shown.Links = append(shown.Links, links.ShownLink{To: link, Is: t.how, SinceS: time.Since(t.since).Seconds()})
+		shown.Links = append(shown.Links, reachability.ShownLink{To: link, Is: t.how, SinceS: time.Since(t.since).Seconds()})
 	}
 	s.mu.Unlock()
-	slices.SortFunc(shown.Links, func(a, b links.ShownLink) int { return strings.Compare(a.To, b.To) })
+	slices.SortFunc(shown.Links, func(a, b reachability.ShownLink) int { return strings.Compare(a.To, b.To) })
 	httpjson.Write(w, http.StatusOK, shown)
 }
--- a/cmd/wallrack/links.go
+++ b/cmd/wallrack/links.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/links"
+	"github.com/wallrack/wallrack/internal/reachability"
 )
 
 const (
@@ -27,9 +27,9 @@
 // linkState is this controller's view of the links, and what it does about it.
 type linkState struct {
 	node  *node
-	table *links.Table
+	table *reachability.Table
 	born  int64
-	ears  func() links.Ears
+	ears  func() reachability.Ears
 	view  atomic.Pointer[madeView]
 
 	connections func() (open, most int) // this process's, of those who come to it
@@ -39,22 +39,22 @@
 	seq     uint64
 	reports int     // see links.Row
 	expects float64 // see links.Row
-	names   *links.Names
-	plan    links.Planner
-	seats   []links.Seat // see links.Row
-	room    int          // see links.Row
-	here    int          // see links.Row
-	sample  []string     // see links.Row
-	tried   time.Time    // when a sample was last tried here
+	names   *reachability.Names
+	plan    reachability.Planner
+	seats   []reachability.Seat // see links.Row
+	room    int                 // see links.Row
+	here    int                 // see links.Row
+	sample  []string            // see links.Row
+	tried   time.Time           // when a sample was last tried here
 	reaches float64
 	urgent  bool // others wait for this row
-	silence links.Silence
+	silence reachability.Silence
 	told    map[string]toldLink
 	kept    int // machines kept although silent, as last logged
 }
 
 type madeView struct {
-	links.View
+	reachability.View
 	at time.Time
 }
 
@@ -64,9 +64,9 @@
 	for _, p := range n.cfg.Peers {
 		peers = append(peers, p.Node)
 	}
-	s.node, s.table, s.born = n, links.NewTable(n.cfg.Node, peers), time.Now().UnixMilli()
+	s.node, s.table, s.born = n, reachability.NewTable(n.cfg.Node, peers), time.Now().UnixMilli()
 	s.told = map[string]toldLink{}
-	s.silence = links.Silence{Base: config.Seconds(n.op.SilentS), Lease: config.Seconds(w.LeaseS), Report: config.Seconds(w.ReportS), Grace: n.grace()}
+	s.silence = reachability.Silence{Base: config.Seconds(n.op.SilentS), Lease: config.Seconds(w.LeaseS), Report: config.Seconds(w.ReportS), Grace: n.grace()}
 }
 
 // grace is how long after the last time up to which it knows of all cancels this
@@ -82,12 +82,12 @@
 func (s *linkState) changed() { s.view.Store(nil) }
 
 // self is this controller's row.
-func (s *linkState) self(now time.Time) links.Row {
+func (s *linkState) self(now time.Time) reachability.Row {
 	n := s.node
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seq++
-	r := links.Row{Node: n.cfg.Node, Born: s.born, Seq: s.seq, State: n.store.SinceOK() < storeLost && !n.store.Relayed(),
+	r := reachability.Row{Node: n.cfg.Node, Born: s.born, Seq: s.seq, State: n.store.SinceOK() < storeLost && !n.store.Relayed(),
 		Held: n.member.Held() > 0, Owns: len(n.member.Own()) > 0, Chief: n.chief(), Cloud: n.cloud.Reached(),
 		Reports: s.reports, Expected: s.expects, Lacks: s.table.Lacks(now),
 		Sample: s.sample, Tried: now.Sub(s.tried) < triedFor}
@@ -99,7 +99,7 @@
 }
 
 // now returns the links as they are seen here now.
-func (s *linkState) now() *links.View {
+func (s *linkState) now() *reachability.View {
 	now := time.Now()
 	if v := s.view.Load(); v != nil && now.Sub(v.at) < viewFor {
 		return &v.View
@@ -115,9 +115,9 @@
 func (n *node) watchLinks(ctx context.Context) error {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
-	var w links.Watch
+	var w reachability.Watch
 	var announced, listened time.Time
-	pause := links.AnnouncePause(len(n.cfg.Peers) + 1)
+	pause := reachability.AnnouncePause(len(n.cfg.Peers) + 1)
 	for {
 		select {
 		case <-ctx.Done():
@@ -141,7 +141,7 @@
 			}
 			cancel()
 		}
-		to := w.Look(now, v, n.member.Moves(links.Window))
+		to := w.Look(now, v, n.member.Moves(reachability.Window))
 		if to == "" {
 			continue
 		}
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -18,9 +18,9 @@
 	"github.com/wallrack/wallrack/internal/alert"
 	"github.com/wallrack/wallrack/internal/client"
 	"github.com/wallrack/wallrack/internal/description"
-	"github.com/wallrack/wallrack/internal/links"
 	"github.com/wallrack/wallrack/internal/lowerbound"
 	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/usage"
@@ -35,7 +35,7 @@
 // What operators are answered, with every field there.
 func TestRecordedAnswers(t *testing.T) {
 	compareAnswer[alert.Alert](t, "alert.json")
-	compareAnswer[links.Shown](t, "links.json")
+	compareAnswer[reachability.Shown](t, "links.json")
 	compareAnswer[[]wire.MachineInfo](t, "machines.json")
 	compareAnswer[owner.Stats](t, "counters.json")
 	compareAnswer[owner.Served](t, "served.json")
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -21,10 +21,10 @@
 	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/links"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/slurmtask"
@@ -114,18 +114,18 @@
 	}
 }
 
-func fullRow() links.Row {
-	return links.Row{
+func fullRow() reachability.Row {
+	return reachability.Row{
 		Node: "c1", Born: 1700000000123, Seq: 77, State: true, Held: true, Owns: true, Chief: "c2", Cloud: true,
 		Reports: 120, Expected: 130.5, Lacks: []string{"c3"}, Sample: []string{"10.1.0.232:9000"}, Tried: true, Reaches: 0.75,
-		Seats: []links.Seat{{Node: "c2", Share: 400.5}}, Room: 900, Here: 850, Heard: links.NewNames([]string{"n-000231", "n-000232"}, 64),
+		Seats: []reachability.Seat{{Node: "c2", Share: 400.5}}, Room: 900, Here: 850, Heard: reachability.NewNames([]string{"n-000231", "n-000232"}, 64),
 	}
 }
 
 // What controllers tell each other of links, machines and cancels keeps its form.
 func TestRecordedLinks(t *testing.T) {
 	told := fullCancels()
-	checkRecorded(t, "ping_full.json", pingMessage{Row: fullRow(), Cancels: &told, Passed: []links.Relayed{{Row: fullRow(), AgeS: 1.25}}})
+	checkRecorded(t, "ping_full.json", pingMessage{Row: fullRow(), Cancels: &told, Passed: []reachability.Relayed{{Row: fullRow(), AgeS: 1.25}}})
 	checkRecorded(t, "ping_empty.json", pingMessage{})
 	checkRecorded(t, "forward_full.json", forwardMessage{To: "c2", Method: "Gone", Body: json.RawMessage(`{"machines":["n-000231"]}`)})
 	checkRecorded(t, "forward_empty.json", forwardMessage{Body: json.RawMessage("null")})
--- a/cmd/wallrack/silent_machines.go
+++ b/cmd/wallrack/silent_machines.go
@@ -6,7 +6,7 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
-	"github.com/wallrack/wallrack/internal/links"
+	"github.com/wallrack/wallrack/internal/reachability"
 )
 
 // try finds out whether this controller reaches machines that another one, or this
@@ -19,7 +19,7 @@
 		return
 	}
 	s.mu.Unlock()
-	share := n.holder.Try(n.ctx, sample[:min(len(sample), links.SampleSize)], tryWithin)
+	share := n.holder.Try(n.ctx, sample[:min(len(sample), reachability.SampleSize)], tryWithin)
 	s.mu.Lock()
 	s.tried, s.reaches, s.urgent = time.Now(), share, true
 	s.mu.Unlock()
@@ -34,13 +34,13 @@
 	perSecond := s.expects / dispatch.ArrivalWindow.Seconds()
 	was := len(s.sample) > 0
 	s.mu.Unlock()
-	in := len(n.member.Own()) > 0 && links.Doubts(perSecond, n.holder.Quiet()) && s.ears().Late < lookEvery
+	in := len(n.member.Own()) > 0 && reachability.Doubts(perSecond, n.holder.Quiet()) && s.ears().Late < lookEvery
 	if in == was {
 		return
 	}
 	var sample []string
 	if in {
-		sample = n.holder.Sample(links.SampleSize)
+		sample = n.holder.Sample(reachability.SampleSize)
 	}
 	s.mu.Lock()
 	s.sample, s.urgent = sample, in
@@ -86,7 +86,7 @@
 }
 
 // lives asks a machine, and has all peers ask it, whether it lives.
-func (n *node) lives(m links.Machine) bool {
+func (n *node) lives(m reachability.Machine) bool {
 	name, endpoint := m.Name, m.Endpoint
 	answers := make(chan bool, 1+len(n.cfg.Peers))
 	go func() { answers <- endpoint != "" && n.holder.Ask(n.ctx, name, endpoint) }()
@@ -109,9 +109,9 @@
 // listen counts what is heard here.
 func (n *node) listen() {
 	heard, machines := n.holder.Arrivals()
-	var names *links.Names
+	var names *reachability.Names
 	if now := time.Now(); len(n.links.table.Lacks(now)) > 0 || n.links.table.Lacked(now) {
-		names = links.NewNames(n.holder.HeardWithin(config.Seconds(n.cfg.Params.Workers.LeaseS)), int(n.cfg.Params.State.ValueKB*namesPart*1024))
+		names = reachability.NewNames(n.holder.HeardWithin(config.Seconds(n.cfg.Params.Workers.LeaseS)), int(n.cfg.Params.State.ValueKB*namesPart*1024))
 	}
 	s := &n.links
 	s.mu.Lock()
--- a/internal/owner/silence.go
+++ b/internal/owner/silence.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/wallrack/wallrack/internal/links"
+	"github.com/wallrack/wallrack/internal/reachability"
 )
 
 // Gone settles every place on a machine that the cloud has deleted.
@@ -51,7 +51,7 @@
 
 // Silent returns how many machines there are, and those that were not heard for
 // longer than from, or on which what was sent had no effect for so long.
-func (o *Owner) Silent(from time.Duration) (known int, silent []links.Machine) {
+func (o *Owner) Silent(from time.Duration) (known int, silent []reachability.Machine) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
@@ -71,7 +71,7 @@
 			s = max(s, now.Sub(m.deaf))
 		}
 		if s >= from {
-			silent = append(silent, links.Machine{Name: name, Endpoint: m.view.Endpoint, Silent: s, Busy: len(m.places) > 0, Deaf: deaf, Unheard: m.heard.Before(m.since)})
+			silent = append(silent, reachability.Machine{Name: name, Endpoint: m.view.Endpoint, Silent: s, Busy: len(m.places) > 0, Deaf: deaf, Unheard: m.heard.Before(m.since)})
 		}
 	}
 	return len(o.machines), silent
--- a/internal/links/capacity_test.go
+++ b/internal/reachability/capacity_test.go
@@ -1,4 +1,4 @@
-package links_test
+package reachability_test
 
 import (
 	"encoding/json"
@@ -7,19 +7,19 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/capacity"
-	"github.com/wallrack/wallrack/internal/links"
+	"github.com/wallrack/wallrack/internal/reachability"
 )
 
 // row is what a controller says of its links to a message's receiver.
-func row(heard int, lacks ...string) links.Row {
-	r := links.Row{Node: "racker-1", Born: 1_764_652_567_000, Seq: 100_000, State: true, Held: true, Owns: true, Chief: "racker-1", Cloud: true,
+func row(heard int, lacks ...string) reachability.Row {
+	r := reachability.Row{Node: "racker-1", Born: 1_764_652_567_000, Seq: 100_000, State: true, Held: true, Owns: true, Chief: "racker-1", Cloud: true,
 		Reports: 1000, Expected: 1000.5, Lacks: lacks}
 	if heard > 0 {
 		var names []string
 		for i := range heard {
 			names = append(names, fmt.Sprintf("n-%06d", i))
 		}
-		r.Heard = links.NewNames(names, 8<<10)
+		r.Heard = reachability.NewNames(names, 8<<10)
 	}
 	return r
 }
@@ -34,21 +34,21 @@
 
 // passedOn is a table in which nobody else hears the last peer, so that its row is passed
 // on to all others.
-func passedOn(controllers int) (*links.Table, []string) {
+func passedOn(controllers int) (*reachability.Table, []string) {
 	now := time.Now()
 	var peers []string
 	for i := 1; i < controllers; i++ {
 		peers = append(peers, fmt.Sprintf("racker-%d", i+1))
 	}
 	last := peers[len(peers)-1]
-	t := links.NewTable("racker-1", peers)
+	t := reachability.NewTable("racker-1", peers)
 	for _, p := range peers {
 		r := row(0, last)
 		if p == last {
 			r = row(0, peers[:len(peers)-1]...)
 		}
 		r.Node = p
-		t.Take(r, links.Direct, 0, now)
+		t.Take(r, reachability.Direct, 0, now)
 	}
 	return t, peers
 }
--- a/internal/links/links_test.go
+++ b/internal/reachability/links_test.go
@@ -1,4 +1,4 @@
-package links_test
+package reachability_test
 
 import (
 	"fmt"
@@ -6,33 +6,33 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/links"
+	"github.com/wallrack/wallrack/internal/reachability"
 )
 
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
 // silences makes n silent machines.
-func silences(n int, silent time.Duration) (ms []links.Machine) {
+func silences(n int, silent time.Duration) (ms []reachability.Machine) {
 	for i := range n {
-		ms = append(ms, links.Machine{Name: fmt.Sprintf("n-%d", i), Endpoint: "e", Silent: silent, Busy: true})
+		ms = append(ms, reachability.Machine{Name: fmt.Sprintf("n-%d", i), Endpoint: "e", Silent: silent, Busy: true})
 	}
 	return ms
 }
 
-func judge() *links.Silence {
-	return &links.Silence{Base: 14 * time.Second, Lease: 44 * time.Second, Report: 8 * time.Second, Grace: 17 * time.Second}
+func judge() *reachability.Silence {
+	return &reachability.Silence{Base: 14 * time.Second, Lease: 44 * time.Second, Report: 8 * time.Second, Grace: 17 * time.Second}
 }
 
 // near is a peer with which all is well.
-func near(name string, reports int) links.Peer {
-	return links.Peer{Name: name, Known: true, Out: true, Row: links.Row{Node: name, State: true, Held: true, Reports: reports}}
+func near(name string, reports int) reachability.Peer {
+	return reachability.Peer{Name: name, Known: true, Out: true, Row: reachability.Row{Node: name, State: true, Held: true, Reports: reports}}
 }
 
 // An owner that heard nobody gave 1,300 living machines back in a minute; another,
 // whose sockets were full, 1,000 in every 50 s. Silence is weighed against how well
 // one hears, what others hear, and what no accident does.
 // unheard makes machines ones that a new owner has not heard.
-func unheard(silent []links.Machine) []links.Machine {
+func unheard(silent []reachability.Machine) []reachability.Machine {
 	for i := range silent {
 		silent[i].Unheard = true
 	}
@@ -40,62 +40,62 @@
 }
 
 func TestSilence(t *testing.T) {
-	apart := func(names ...string) links.Peer {
+	apart := func(names ...string) reachability.Peer {
 		p := near("b", 0)
-		p.Path, p.Age, p.Heard = links.Stored, 2*time.Second, time.Minute
-		p.Row.Lacks, p.Row.Heard = []string{"a"}, links.NewNames(names, 1000)
+		p.Path, p.Age, p.Heard = reachability.Stored, 2*time.Second, time.Minute
+		p.Row.Lacks, p.Row.Heard = []string{"a"}, reachability.NewNames(names, 1000)
 		return p
 	}
-	dark := func(age time.Duration) links.Peer {
+	dark := func(age time.Duration) reachability.Peer {
 		p := near("b", 0)
 		p.Age, p.Heard = age, age
 		return p
 	}
-	deaf := links.Row{Node: "a", Reports: 2, Expected: 400}
-	fine := links.Row{Node: "a", Reports: 380, Expected: 400}
+	deaf := reachability.Row{Node: "a", Reports: 2, Expected: 400}
+	fine := reachability.Row{Node: "a", Reports: 380, Expected: 400}
 	oneWay := near("b", 0)
-	oneWay.Row.Lacks, oneWay.Row.Heard = []string{"a"}, links.NewNames([]string{"n-0", "n-1", "n-2"}, 1000)
+	oneWay.Row.Lacks, oneWay.Row.Heard = []string{"a"}, reachability.NewNames([]string{"n-0", "n-1", "n-2"}, 1000)
 	unasked := near("b", 0)
-	unasked.Row.Heard = links.NewNames([]string{"n-0", "n-1", "n-2"}, 1000)
+	unasked.Row.Heard = reachability.NewNames([]string{"n-0", "n-1", "n-2"}, 1000)
 	for _, c := range []struct {
 		name   string
-		self   links.Row
-		peers  []links.Peer
+		self   reachability.Row
+		peers  []reachability.Peer
 		known  int
-		silent []links.Machine
-		ears   links.Ears
+		silent []reachability.Machine
+		ears   reachability.Ears
 		answer bool // whether they answer when asked
 		want   int  // returned at the second look
 	}{
-		{"a few died", fine, []links.Peer{near("b", 0)}, 1000, silences(70, 14*time.Second), links.Ears{}, false, 70},
-		{"they answer when asked", fine, []links.Peer{near("b", 0)}, 1000, silences(70, 40*time.Second), links.Ears{}, true, 0},
-		{"not for long enough", fine, nil, 1000, silences(70, 9*time.Second), links.Ears{}, false, 0},
-		{"the owner hears nobody", deaf, nil, 1000, silences(30, 14*time.Second), links.Ears{}, false, 0},
-		{"it hears nobody for a lease and more", links.Row{Node: "a"}, nil, 1000, silences(1000, 65*time.Second), links.Ears{}, false, 0},
-		{"nor any of three", fine, nil, 3, silences(3, 20*time.Second), links.Ears{}, false, 0},
-		{"one of three died", fine, nil, 3, silences(1, 14*time.Second), links.Ears{}, false, 1},
-		{"most at once", fine, []links.Peer{near("b", 0)}, 1000, silences(600, 20*time.Second), links.Ears{}, false, 0},
-		{"most, for a lease: no more than an accident takes", fine, nil, 250, silences(150, 50*time.Second), links.Ears{}, false, 100},
-		{"sockets were full a moment ago", fine, nil, 1000, silences(70, 14*time.Second), links.Ears{Refused: 5}, false, 0},
-		{"this process stood still", fine, nil, 1000, silences(70, 14*time.Second), links.Ears{Late: 5 * time.Second}, false, 0},
-		{"sockets are full, and they were silent twice as long", fine, nil, 1000, silences(70, 28*time.Second), links.Ears{Refused: 5}, false, 70},
-		{"a peer hears three, and only the state service tells", fine, []links.Peer{apart("n-0", "n-1", "n-2")}, 1000, silences(70, 14*time.Second), links.Ears{}, false, 67},
-		{"a peer hears three, and its calls don't come through", fine, []links.Peer{oneWay}, 1000, silences(70, 14*time.Second), links.Ears{}, false, 67},
-		{"a peer hears three, and can't be asked", links.Row{Node: "a", Lacks: []string{"b"}}, []links.Peer{unasked}, 1000, silences(70, 14*time.Second), links.Ears{}, false, 67},
-		{"a peer went dark with them", fine, []links.Peer{dark(14 * time.Second)}, 1000, silences(70, 15*time.Second), links.Ears{}, false, 0},
-		{"a peer went dark before the take-over, and they were heard since", fine, []links.Peer{dark(36 * time.Second)}, 1000, silences(70, 14*time.Second), links.Ears{}, false, 70},
-		{"the owner before went dark, and they were not heard since", fine, []links.Peer{dark(36 * time.Second)}, 1000, unheard(silences(70, 14*time.Second)), links.Ears{}, false, 0},
-		{"a peer went dark long before the take-over", fine, []links.Peer{dark(50 * time.Second)}, 1000, unheard(silences(70, 15*time.Second)), links.Ears{}, false, 0},
-		{"a peer went dark so long before the take-over that it answers nobody", fine, []links.Peer{dark(62 * time.Second)}, 1000, unheard(silences(70, 15*time.Second)), links.Ears{}, false, 70},
-		{"a peer went dark long after the take-over", fine, []links.Peer{dark(3 * time.Second)}, 1000, unheard(silences(70, 40*time.Second)), links.Ears{}, false, 70},
-		{"a peer was never heard, nor were they", fine, []links.Peer{{Name: "b", Age: 59 * time.Second, Heard: time.Hour}}, 1000, unheard(silences(70, 15*time.Second)), links.Ears{}, false, 0},
-		{"a peer was never heard for longer than it may answer", fine, []links.Peer{{Name: "b", Age: 62 * time.Second, Heard: time.Hour}}, 1000, unheard(silences(70, 15*time.Second)), links.Ears{}, false, 70},
-		{"a peer was never heard, and they were", fine, []links.Peer{{Name: "b", Age: 15 * time.Second, Heard: time.Hour}}, 1000, silences(70, 15*time.Second), links.Ears{}, false, 70},
-		{"a peer went dark long before", fine, []links.Peer{dark(50 * time.Second)}, 1000, silences(70, 15*time.Second), links.Ears{}, false, 70},
-		{"a peer has been dark for longer than it may answer", fine, []links.Peer{dark(62 * time.Second)}, 1000, silences(70, 62*time.Second), links.Ears{}, false, 70},
+		{"a few died", fine, []reachability.Peer{near("b", 0)}, 1000, silences(70, 14*time.Second), reachability.Ears{}, false, 70},
+		{"they answer when asked", fine, []reachability.Peer{near("b", 0)}, 1000, silences(70, 40*time.Second), reachability.Ears{}, true, 0},
+		{"not for long enough", fine, nil, 1000, silences(70, 9*time.Second), reachability.Ears{}, false, 0},
+		{"the owner hears nobody", deaf, nil, 1000, silences(30, 14*time.Second), reachability.Ears{}, false, 0},
+		{"it hears nobody for a lease and more", reachability.Row{Node: "a"}, nil, 1000, silences(1000, 65*time.Second), reachability.Ears{}, false, 0},
+		{"nor any of three", fine, nil, 3, silences(3, 20*time.Second), reachability.Ears{}, false, 0},
+		{"one of three died", fine, nil, 3, silences(1, 14*time.Second), reachability.Ears{}, false, 1},
+		{"most at once", fine, []reachability.Peer{near("b", 0)}, 1000, silences(600, 20*time.Second), reachability.Ears{}, false, 0},
+		{"most, for a lease: no more than an accident takes", fine, nil, 250, silences(150, 50*time.Second), reachability.Ears{}, false, 100},
+		{"sockets were full a moment ago", fine, nil, 1000, silences(70, 14*time.Second), reachability.Ears{Refused: 5}, false, 0},
+		{"this process stood still", fine, nil, 1000, silences(70, 14*time.Second), reachability.Ears{Late: 5 * time.Second}, false, 0},
+		{"sockets are full, and they were silent twice as long", fine, nil, 1000, silences(70, 28*time.Second), reachability.Ears{Refused: 5}, false, 70},
+		{"a peer hears three, and only the state service tells", fine, []reachability.Peer{apart("n-0", "n-1", "n-2")}, 1000, silences(70, 14*time.Second), reachability.Ears{}, false, 67},
+		{"a peer hears three, and its calls don't come through", fine, []reachability.Peer{oneWay}, 1000, silences(70, 14*time.Second), reachability.Ears{}, false, 67},
+		{"a peer hears three, and can't be asked", reachability.Row{Node: "a", Lacks: []string{"b"}}, []reachability.Peer{unasked}, 1000, silences(70, 14*time.Second), reachability.Ears{}, false, 67},
+		{"a peer went dark with them", fine, []reachability.Peer{dark(14 * time.Second)}, 1000, silences(70, 15*time.Second), reachability.Ears{}, false, 0},
+		{"a peer went dark before the take-over, and they were heard since", fine, []reachability.Peer{dark(36 * time.Second)}, 1000, silences(70, 14*time.Second), reachability.Ears{}, false, 70},
+		{"the owner before went dark, and they were not heard since", fine, []reachability.Peer{dark(36 * time.Second)}, 1000, unheard(silences(70, 14*time.Second)), reachability.Ears{}, false, 0},
+		{"a peer went dark long before the take-over", fine, []reachability.Peer{dark(50 * time.Second)}, 1000, unheard(silences(70, 15*time.Second)), reachability.Ears{}, false, 0},
+		{"a peer went dark so long before the take-over that it answers nobody", fine, []reachability.Peer{dark(62 * time.Second)}, 1000, unheard(silences(70, 15*time.Second)), reachability.Ears{}, false, 70},
+		{"a peer went dark long after the take-over", fine, []reachability.Peer{dark(3 * time.Second)}, 1000, unheard(silences(70, 40*time.Second)), reachability.Ears{}, false, 70},
+		{"a peer was never heard, nor were they", fine, []reachability.Peer{{Name: "b", Age: 59 * time.Second, Heard: time.Hour}}, 1000, unheard(silences(70, 15*time.Second)), reachability.Ears{}, false, 0},
+		{"a peer was never heard for longer than it may answer", fine, []reachability.Peer{{Name: "b", Age: 62 * time.Second, Heard: time.Hour}}, 1000, unheard(silences(70, 15*time.Second)), reachability.Ears{}, false, 70},
+		{"a peer was never heard, and they were", fine, []reachability.Peer{{Name: "b", Age: 15 * time.Second, Heard: time.Hour}}, 1000, silences(70, 15*time.Second), reachability.Ears{}, false, 70},
+		{"a peer went dark long before", fine, []reachability.Peer{dark(50 * time.Second)}, 1000, silences(70, 15*time.Second), reachability.Ears{}, false, 70},
+		{"a peer has been dark for longer than it may answer", fine, []reachability.Peer{dark(62 * time.Second)}, 1000, silences(70, 62*time.Second), reachability.Ears{}, false, 70},
 	} {
-		s, v := judge(), links.View{Self: c.self, Peers: c.peers}
-		var got links.Verdict
+		s, v := judge(), reachability.View{Self: c.self, Peers: c.peers}
+		var got reachability.Verdict
 		for i := range 2 {
 			got = s.Judge(noon.Add(time.Duration(i)*time.Second), &v, c.ears, c.known, c.silent)
 			for name := range got.Ask {
@@ -117,16 +117,16 @@
 	gone, back := near("b", 0), near("b", 0)
 	gone.Age, gone.Heard = 8*time.Second, 8*time.Second
 	silent := silences(3, 5*time.Second) // asked, and not to be returned yet
-	look := func(sec int, p links.Peer, lives bool) int {
+	look := func(sec int, p reachability.Peer, lives bool) int {
 		now := noon.Add(time.Duration(sec) * time.Second)
-		v := links.View{Self: links.Row{Node: "a", Reports: 380, Expected: 400}, Peers: []links.Peer{p}}
-		got := s.Judge(now, &v, links.Ears{}, 1000, silent)
+		v := reachability.View{Self: reachability.Row{Node: "a", Reports: 380, Expected: 400}, Peers: []reachability.Peer{p}}
+		got := s.Judge(now, &v, reachability.Ears{}, 1000, silent)
 		for name := range got.Ask {
 			s.Asked(name, lives, now)
 		}
 		return len(got.Back)
 	}
-	s.Judge(noon.Add(-time.Minute), &links.View{Peers: []links.Peer{back}}, links.Ears{}, 1000, nil)
+	s.Judge(noon.Add(-time.Minute), &reachability.View{Peers: []reachability.Peer{back}}, reachability.Ears{}, 1000, nil)
 	look(0, gone, false)
 	silent = silences(3, 30*time.Second)
 	if n := look(1, back, true); n > 0 {
@@ -144,7 +144,7 @@
 		quiet     time.Duration
 		want      bool
 	}{{170, 700 * time.Millisecond, false}, {170, 800 * time.Millisecond, true}, {3, 5 * time.Second, false}, {3, 7 * time.Second, true}, {0, time.Hour, false}} {
-		if links.Doubts(c.perSecond, c.quiet) != c.want {
+		if reachability.Doubts(c.perSecond, c.quiet) != c.want {
 			t.Errorf("%+v", c)
 		}
 	}
@@ -152,20 +152,20 @@
 
 // A machine is not returned before it was asked and did not answer.
 func TestAskedBeforeReturned(t *testing.T) {
-	s, v := judge(), links.View{Self: links.Row{Node: "a"}}
+	s, v := judge(), reachability.View{Self: reachability.Row{Node: "a"}}
 	ms := silences(1, 14*time.Second)
-	if got := s.Judge(noon, &v, links.Ears{}, 100, ms); len(got.Back) != 0 || len(got.Ask) != 1 {
+	if got := s.Judge(noon, &v, reachability.Ears{}, 100, ms); len(got.Back) != 0 || len(got.Ask) != 1 {
 		t.Errorf("at once: %+v", got)
 	}
-	if got := s.Judge(noon.Add(time.Second), &v, links.Ears{}, 100, ms); len(got.Back) != 0 || len(got.Ask) != 0 {
+	if got := s.Judge(noon.Add(time.Second), &v, reachability.Ears{}, 100, ms); len(got.Back) != 0 || len(got.Ask) != 0 {
 		t.Errorf("while it is asked: %+v", got)
 	}
 	s.Asked("n-0", false, noon.Add(time.Second))
-	if got := s.Judge(noon.Add(2*time.Second), &v, links.Ears{}, 100, ms); len(got.Back) != 1 {
+	if got := s.Judge(noon.Add(2*time.Second), &v, reachability.Ears{}, 100, ms); len(got.Back) != 1 {
 		t.Errorf("after it did not answer: %+v", got)
 	}
 	// That it did not answer a while ago says nothing of now: links heal.
-	if got := s.Judge(noon.Add(5*time.Second), &v, links.Ears{}, 100, ms); len(got.Back) != 0 || len(got.Ask) != 1 {
+	if got := s.Judge(noon.Add(5*time.Second), &v, reachability.Ears{}, 100, ms); len(got.Back) != 0 || len(got.Ask) != 1 {
 		t.Errorf("later: %+v", got)
 	}
 }
@@ -174,18 +174,18 @@
 // 1,300 machines as silent, with their tasks, and rented others. Flapping links
 // move the jobs less and less.
 func TestLook(t *testing.T) {
-	peers := func(a, b int) []links.Peer {
+	peers := func(a, b int) []reachability.Peer {
 		cut := near("c", 900)
 		cut.Row.State = false
-		return []links.Peer{near("a", a), near("b", b), cut}
+		return []reachability.Peer{near("a", a), near("b", b), cut}
 	}
-	tries := func(reaches float64) []links.Peer {
+	tries := func(reaches float64) []reachability.Peer {
 		p := near("b", 0)
 		p.Row.Tried, p.Row.Reaches = true, reaches
-		return []links.Peer{near("a", 0), p}
+		return []reachability.Peer{near("a", 0), p}
 	}
 	stored := near("a", 200)
-	stored.Path, stored.Age, stored.Heard = links.Stored, 4*time.Second, time.Hour
+	stored.Path, stored.Age, stored.Heard = reachability.Stored, 4*time.Second, time.Hour
 	old := near("a", 200)
 	old.Age, old.Heard = 4*time.Second, 4*time.Second
 	for _, c := range []struct {
@@ -194,16 +194,16 @@
 		owns     bool
 		heard    int
 		expected float64
-		peers    []links.Peer
+		peers    []reachability.Peer
 		moves    int
 		want     string
 	}{
 		{"hears its workers", time.Minute, true, 400, 480, peers(100, 0), 0, ""},
 		{"lost its workers, and a peer hears them", time.Minute, true, 0, 480, peers(90, 200), 0, "b"},
-		{"the mesh is down, and the state service tells", time.Minute, true, 0, 480, []links.Peer{stored}, 0, "a"},
+		{"the mesh is down, and the state service tells", time.Minute, true, 0, 480, []reachability.Peer{stored}, 0, "a"},
 		{"does not reach those it tried, a peer does", time.Minute, true, 400, 480, tries(1), 0, "b"},
 		{"nobody reaches those that were tried", time.Minute, true, 400, 480, tries(0.1), 0, ""},
-		{"who heard them is not heard any more", time.Minute, true, 0, 480, []links.Peer{old}, 0, ""},
+		{"who heard them is not heard any more", time.Minute, true, 0, 480, []reachability.Peer{old}, 0, ""},
 		{"nobody hears them", time.Minute, true, 0, 480, peers(0, 9), 0, ""},
 		{"only one without the state service does", time.Minute, true, 0, 480, peers(0, 0), 0, ""},
 		{"has only just begun", 5 * time.Second, true, 0, 480, peers(90, 200), 0, ""},
@@ -214,9 +214,9 @@
 		{"too few machines to tell", time.Minute, true, 0, 6, peers(5, 0), 0, ""},
 		{"a third of the machines is cut off", time.Minute, true, 300, 480, peers(160, 0), 0, ""},
 	} {
-		var w links.Watch
-		v := links.View{Self: links.Row{Node: "o", Owns: c.owns, Reports: c.heard, Expected: c.expected, Tried: true, Reaches: 0}, Peers: c.peers}
-		w.Look(noon, &links.View{Self: links.Row{Owns: c.owns}}, 0)
+		var w reachability.Watch
+		v := reachability.View{Self: reachability.Row{Node: "o", Owns: c.owns, Reports: c.heard, Expected: c.expected, Tried: true, Reaches: 0}, Peers: c.peers}
+		w.Look(noon, &reachability.View{Self: reachability.Row{Owns: c.owns}}, 0)
 		now := noon.Add(c.after)
 		if got := w.Look(now, &v, c.moves); got != "" {
 			t.Errorf("%s: one look was enough for %q", c.name, got)
@@ -252,14 +252,14 @@
 
 // views has the controllers of a world exchange what they know for some seconds,
 // as they do, with owner the owner of all jobs, and returns their views.
-func (w *world) views(owner int) [3]links.View {
-	var tables [3]*links.Table
+func (w *world) views(owner int) [3]reachability.View {
+	var tables [3]*reachability.Table
 	for i := range tables {
-		tables[i] = links.NewTable(names[i], []string{names[(i+1)%3], names[(i+2)%3]})
+		tables[i] = reachability.NewTable(names[i], []string{names[(i+1)%3], names[(i+2)%3]})
 	}
 	now := noon
-	row := func(i int, seq uint64) links.Row {
-		r := links.Row{Node: names[i], Born: 1, Seq: seq, State: w.state[i], Held: w.state[i], Owns: i == owner, Chief: names[owner], Lacks: tables[i].Lacks(now)}
+	row := func(i int, seq uint64) reachability.Row {
+		r := reachability.Row{Node: names[i], Born: 1, Seq: seq, State: w.state[i], Held: w.state[i], Owns: i == owner, Chief: names[owner], Lacks: tables[i].Lacks(now)}
 		if i == owner {
 			r.Expected = 400
 		}
@@ -280,9 +280,9 @@
 				}
 				tables[i].Called(names[j], w.mesh[i][j], true)
 				if w.mesh[i][j] { // a ping and its answer
-					tables[j].Take(row(i, s), links.Direct, 0, now)
+					tables[j].Take(row(i, s), reachability.Direct, 0, now)
 					tables[j].TakePassed(tables[i].Passed(names[j], now), now)
-					tables[i].Take(row(j, s), links.Direct, 0, now)
+					tables[i].Take(row(j, s), reachability.Direct, 0, now)
 					tables[i].TakePassed(tables[j].Passed(names[i], now), now)
 				}
 			}
@@ -293,12 +293,12 @@
 			}
 			for j := range 3 {
 				if j != i && w.state[j] {
-					tables[j].Take(row(i, s), links.Stored, 0, now)
+					tables[j].Take(row(i, s), reachability.Stored, 0, now)
 				}
 			}
 		}
 	}
-	var out [3]links.View
+	var out [3]reachability.View
 	for i := range out {
 		out[i] = tables[i].View(row(i, 9), now)
 	}
@@ -372,8 +372,8 @@
 		}
 		// The owner: it hands over if, and only if, it hears nobody and one that does
 		// reaches the state service, and that is known.
-		var watch links.Watch
-		watch.Look(noon, &links.View{Self: links.Row{Owns: true}}, 0)
+		var watch reachability.Watch
+		watch.Look(noon, &reachability.View{Self: reachability.Row{Owns: true}}, 0)
 		to := ""
 		for i := range 2 {
 			to = watch.Look(noon.Add(time.Minute+time.Duration(i)*time.Second), &vs[0], 0)
@@ -393,7 +393,7 @@
 		if !w.workers[0] {
 			s := judge()
 			for i := 0; i < 120; i += 12 {
-				got := s.Judge(noon.Add(time.Duration(i)*time.Second), &vs[0], links.Ears{}, 20, silences(20, time.Duration(i)*time.Second))
+				got := s.Judge(noon.Add(time.Duration(i)*time.Second), &vs[0], reachability.Ears{}, 20, silences(20, time.Duration(i)*time.Second))
 				for name := range got.Ask {
 					s.Asked(name, false, noon.Add(time.Duration(i)*time.Second))
 				}
@@ -412,9 +412,9 @@
 // What a controller said before it was restarted, or earlier, changes nothing; nor
 // does what others say of it once it spoke itself.
 func TestOldRowsAreDropped(t *testing.T) {
-	table := links.NewTable("a", []string{"b"})
-	take := func(born int64, seq uint64, reports int, path links.Path) {
-		table.Take(links.Row{Node: "b", Born: born, Seq: seq, Reports: reports}, path, 0, noon)
+	table := reachability.NewTable("a", []string{"b"})
+	take := func(born int64, seq uint64, reports int, path reachability.Path) {
+		table.Take(reachability.Row{Node: "b", Born: born, Seq: seq, Reports: reports}, path, 0, noon)
 	}
 	for i, step := range []struct {
 		born    int64
@@ -422,14 +422,14 @@
 		reports int
 		want    int
 	}{{1, 5, 10, 10}, {1, 4, 20, 10}, {2, 1, 30, 30}, {1, 9, 40, 30}, {2, 2, 50, 50}} {
-		take(step.born, step.seq, step.reports, links.Path(i%3))
-		if got := table.View(links.Row{}, noon).Peers[0].Row.Reports; got != step.want {
+		take(step.born, step.seq, step.reports, reachability.Path(i%3))
+		if got := table.View(reachability.Row{}, noon).Peers[0].Row.Reports; got != step.want {
 			t.Errorf("step %d: %d, not %d", i, got, step.want)
 		}
 	}
-	take(9, 9, 9, links.Direct)
-	table.Take(links.Row{Node: "x", Born: 1, Seq: 1}, links.Direct, 0, noon)
-	if n := len(table.View(links.Row{}, noon).Peers); n != 1 {
+	take(9, 9, 9, reachability.Direct)
+	table.Take(reachability.Row{Node: "x", Born: 1, Seq: 1}, reachability.Direct, 0, noon)
+	if n := len(table.View(reachability.Row{}, noon).Peers); n != 1 {
 		t.Errorf("%d peers", n)
 	}
 }
@@ -439,21 +439,21 @@
 // to take the other for cut off since its own beginning. It is told so only at its beginning.
 func TestNewProcessIsToldOfDarkPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		third := links.NewTable("c", []string{"a", "b"})
-		row := func(node string, born int64, lacks ...string) links.Row {
-			return links.Row{Node: node, Born: born, Seq: 1, Lacks: lacks}
+		third := reachability.NewTable("c", []string{"a", "b"})
+		row := func(node string, born int64, lacks ...string) reachability.Row {
+			return reachability.Row{Node: node, Born: born, Seq: 1, Lacks: lacks}
 		}
-		third.Take(row("a", 1), links.Direct, 0, time.Now())
-		third.Take(row("b", 1), links.Direct, 0, time.Now())
+		third.Take(row("a", 1), reachability.Direct, 0, time.Now())
+		third.Take(row("b", 1), reachability.Direct, 0, time.Now())
 		for _, dark := range []time.Duration{20 * time.Second, 50 * time.Second} { // since the row of b, after which it may answer for 61 s
 			time.Sleep(dark)
 			if passed := third.Passed("a", time.Now()); len(passed) > 0 {
 				t.Errorf("an old process is told %+v", passed)
 			}
 			life := int64(dark)
-			third.Take(row("a", life, "b"), links.Direct, 0, time.Now())
+			third.Take(row("a", life, "b"), reachability.Direct, 0, time.Now())
 			for _, told := range []bool{true, false} {
-				fresh := links.NewTable("a", []string{"b", "c"})
+				fresh := reachability.NewTable("a", []string{"b", "c"})
 				if told {
 					passed := third.Passed("a", time.Now())
 					if len(passed) != 1 || passed[0].Row.Node != "b" {
@@ -461,12 +461,12 @@
 					}
 					fresh.TakePassed(passed, time.Now())
 				}
-				fresh.Take(row("c", 1), links.Direct, 0, time.Now())
+				fresh.Take(row("c", 1), reachability.Direct, 0, time.Now())
 				time.Sleep(time.Second)
-				v := fresh.View(links.Row{Node: "a", Reports: 380, Expected: 400}, time.Now())
+				v := fresh.View(reachability.Row{Node: "a", Reports: 380, Expected: 400}, time.Now())
 				s, back := judge(), 0
 				for i := range 2 {
-					got := s.Judge(time.Now().Add(time.Duration(i)*time.Second), &v, links.Ears{}, 1000, unheard(silences(70, 15*time.Second)))
+					got := s.Judge(time.Now().Add(time.Duration(i)*time.Second), &v, reachability.Ears{}, 1000, unheard(silences(70, 15*time.Second)))
 					for name := range got.Ask {
 						s.Asked(name, false, time.Now().Add(time.Duration(i)*time.Second))
 					}
--- a/internal/links/row.go
+++ b/internal/reachability/row.go
@@ -1,9 +1,9 @@
-// Package links is a controller's one view of the links between machines: which
+// Package reachability is a controller's one view of the links between machines: which
 // controller reaches the state service, the workers, the cloud and which peers,
 // as far as anybody could say, by what way and how long ago. What is decided by
 // it (who should hold workers and own jobs, who may answer, whose silence says
 // that a machine is dead) is decided here, by pure functions of a View.
-package links
+package reachability
 
 import (
 	"math"
--- a/internal/links/table.go
+++ b/internal/reachability/table.go
@@ -1,4 +1,4 @@
-package links
+package reachability
 
 import (
 	"slices"
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -10,7 +10,7 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/dispatch"
-	"github.com/wallrack/wallrack/internal/links"
+	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/testkit"
 )
 
@@ -35,19 +35,19 @@
 // does.
 type reach struct {
 	node      *node
-	table     *links.Table
+	table     *reachability.Table
 	born      int64
 	seq       uint64
 	by        string // who passes requests to the state service on
 	silenceMu sync.Mutex
-	silence   links.Silence
-	watch     links.Watch
-	plan      links.Planner
-	seats     []links.Seat
+	silence   reachability.Silence
+	watch     reachability.Watch
+	plan      reachability.Planner
+	seats     []reachability.Seat
 	room      int
 	here      int
 	announced time.Time
-	last      links.View // as of the last exchange
+	last      reachability.View // as of the last exchange
 }
 
 const (
@@ -66,38 +66,38 @@
 
 func (r *reach) init(n *node) {
 	r.node = n
-	r.table, r.born = links.NewTable(n.name, r.peers()), time.Now().UnixMilli()
-	r.silence = links.Silence{Base: 5 * time.Second, Lease: workerLease, Report: reportEvery, Grace: testGrace}
-	r.last = r.table.View(links.Row{Node: n.name}, time.Now())
+	r.table, r.born = reachability.NewTable(n.name, r.peers()), time.Now().UnixMilli()
+	r.silence = reachability.Silence{Base: 5 * time.Second, Lease: workerLease, Report: reportEvery, Grace: testGrace}
+	r.last = r.table.View(reachability.Row{Node: n.name}, time.Now())
 }
 
 func (r *reach) way(n *node, to string) string { return r.last.Way(to) }
 
-func (r *reach) row(state bool) links.Row {
+func (r *reach) row(state bool) reachability.Row {
 	n, now := r.node, time.Now()
 	r.seq++
 	reports, machines := n.holder.Arrivals()
-	row := links.Row{Node: n.name, Born: r.born, Seq: r.seq, State: state, Held: n.member.Held() > 0, Owns: len(n.member.Own()) > 0,
+	row := reachability.Row{Node: n.name, Born: r.born, Seq: r.seq, State: state, Held: n.member.Held() > 0, Owns: len(n.member.Own()) > 0,
 		Reports: reports, Expected: float64(machines) / reportEvery.Seconds() * dispatch.ArrivalWindow.Seconds(), Lacks: r.table.Lacks(now)}
 	if o := n.member.Owners(); len(o) > 0 {
 		row.Chief = o[0]
 	}
 	row.Seats, row.Room, row.Here = r.seats, r.room, r.here
 	if len(row.Lacks) > 0 || r.table.Lacked(now) {
-		row.Heard = links.NewNames(n.holder.HeardWithin(workerLease), 4096)
+		row.Heard = reachability.NewNames(n.holder.HeardWithin(workerLease), 4096)
 	}
 	return row
 }
 
 func (r *reach) stored(value json.RawMessage) {
-	var row links.Row
+	var row reachability.Row
 	if json.Unmarshal(value, &row) == nil {
-		r.table.Take(row, links.Stored, 0, time.Now())
+		r.table.Take(row, reachability.Stored, 0, time.Now())
 	}
 }
 
 // linksSeen is the view of the links as of the last exchange.
-func (n *node) linksSeen() links.View {
+func (n *node) linksSeen() reachability.View {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	return n.reach.last
@@ -149,9 +149,9 @@
 			w.mu.Unlock()
 			n.reach.table.Called(name, ok, true)
 			if ok {
-				to.reach.table.Take(n.reach.row(straight[n]), links.Direct, 0, now)
+				to.reach.table.Take(n.reach.row(straight[n]), reachability.Direct, 0, now)
 				to.reach.table.TakePassed(n.reach.table.Passed(name, now), now)
-				n.reach.table.Take(to.reach.row(straight[to]), links.Direct, 0, now)
+				n.reach.table.Take(to.reach.row(straight[to]), reachability.Direct, 0, now)
 				n.reach.table.TakePassed(to.reach.table.Passed(n.name, now), now)
 				w.tellCancels(n, to)
 			}
@@ -168,11 +168,11 @@
 			r.by = served[0]
 		}
 		w.mu.Unlock()
-		if v.Self.Held && now.Sub(r.announced) >= links.AnnounceEvery && len(v.Unreached()) > 0 {
+		if v.Self.Held && now.Sub(r.announced) >= reachability.AnnounceEvery && len(v.Unreached()) > 0 {
 			r.announced = now
 			_ = n.member.Announce(context.Background(), v.Self) // a row that is lost is followed by the next
 		}
-		if to := r.watch.Look(now, &v, n.member.Moves(links.Window)); to != "" {
+		if to := r.watch.Look(now, &v, n.member.Moves(reachability.Window)); to != "" {
 			_ = n.member.HandOver(context.Background(), to) // tried again if it fails
 		}
 		if v.Self.Owns && w.keepCuts {
@@ -182,7 +182,7 @@
 }
 
 // seat shares out the workers as cmd/wallrack does, by the room that the test sets.
-func (r *reach) seat(now time.Time, v *links.View) {
+func (r *reach) seat(now time.Time, v *reachability.View) {
 	room := r.node.w.rooms[r.node.name]
 	here := r.node.holder.Reporting(5 * reportEvery / 2)
 	r.seats = r.plan.Plan(now, v, here, room, reportEvery)
@@ -195,11 +195,11 @@
 
 // judge returns the machines that an owner gives up. A machine whose worker a
 // controller heard a moment ago must not be among them.
-func (w *cluster) judge(n *node, v *links.View) {
+func (w *cluster) judge(n *node, v *reachability.View) {
 	r := &n.reach
 	known, silent := n.owner.Silent(r.silence.From())
 	r.silenceMu.Lock()
-	verdict := r.silence.Judge(time.Now(), v, links.Ears{}, known, silent)
+	verdict := r.silence.Judge(time.Now(), v, reachability.Ears{}, known, silent)
 	r.silenceMu.Unlock()
 	for name, m := range verdict.Ask {
 		n.onDuty("silence of "+name, func(ctx context.Context) {
@@ -244,7 +244,7 @@
 }
 
 // lives asks a machine, and has all peers ask it, whether it lives.
-func (n *node) lives(ctx context.Context, m links.Machine) bool {
+func (n *node) lives(ctx context.Context, m reachability.Machine) bool {
 	w := n.w
 	heard := m.Endpoint != "" && n.holder.Ask(ctx, m.Name, m.Endpoint)
 	for _, p := range w.names { // and its peers are asked whether they hear it
