--- a/cmd/wallrack/cancels.go
+++ b/cmd/wallrack/cancels.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/statestore"
@@ -36,7 +36,7 @@
 }
 
 func (n *node) handleCancels() {
-	mesh.Handle(n.mesh, methodCancels, func(_ context.Context, m *cancelsMessage) (*cancels.Message, error) {
+	mesh.Handle(n.mesh, methodCancels, func(_ context.Context, m *cancelsMessage) (*cancellation.Message, error) {
 		n.tookCancels(m.From, &m.Message)
 		rep := n.cancels.Message(m.From)
 		return &rep, nil
@@ -46,10 +46,10 @@
 // cancelsMessage is what one controller tells another of cancels outside of pings.
 type cancelsMessage struct {
 	From string `json:"from"`
-	cancels.Message
+	cancellation.Message
 }
 
-func (n *node) tookCancels(from string, m *cancels.Message) {
+func (n *node) tookCancels(from string, m *cancellation.Message) {
 	if m == nil {
 		return
 	}
@@ -65,7 +65,7 @@
 func (n *node) exchangeCancels(ctx context.Context, peer string) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	rep, err := call[cancelsMessage, cancels.Message](ctx, n, peer, methodCancels, &cancelsMessage{n.cfg.Node, n.cancels.Message(peer)})
+	rep, err := call[cancelsMessage, cancellation.Message](ctx, n, peer, methodCancels, &cancelsMessage{n.cfg.Node, n.cancels.Message(peer)})
 	if err == nil {
 		n.tookCancels(peer, rep)
 	}
--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/wallrack/wallrack/internal/alert"
-	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/fleet"
@@ -77,7 +77,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	n := &node{ctx: ctx, cfg: p, op: op, store: store, member: member, cloud: cloud, mesh: peers, log: log}
 	n.links.init(n)
-	n.cancels = cancels.New(slices.Collect(maps.Keys(addrs)), config.Seconds(p.Params.Workers.CancelS), member.Held)
+	n.cancels = cancellation.New(slices.Collect(maps.Keys(addrs)), config.Seconds(p.Params.Workers.CancelS), member.Held)
 	n.cancels.Fresh, n.cancels.News, n.tellCancels = n.recall, n.cancelNews, make(chan struct{}, 1)
 	n.owner = owner.New(p, op, store, member, n, catalog, log)
 	inbound := &door{}
--- a/cmd/wallrack/link_messages.go
+++ b/cmd/wallrack/link_messages.go
@@ -7,7 +7,7 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/statestore"
@@ -16,7 +16,7 @@
 // pingMessage carries a controller's row, and others' rows to those who lack them.
 type pingMessage struct {
 	Row     reachability.Row       `json:"row"`
-	Cancels *cancels.Message       `json:"cancels,omitempty"`
+	Cancels *cancellation.Message  `json:"cancels,omitempty"`
 	Passed  []reachability.Relayed `json:"passed,omitempty"`
 }
 
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/fleet"
@@ -66,7 +66,7 @@
 	published *views.Publisher
 	pictures  *views.Receiver
 
-	cancels     *cancels.Register
+	cancels     *cancellation.Register
 	tellCancels chan struct{} // there is news for the peers
 	badNews     atomic.Int64  // when malformed news was last logged, by time of day, ns
 	links       linkState
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/intake"
@@ -108,8 +108,8 @@
 	}
 }
 
-func fullCancels() cancels.Message {
-	return cancels.Message{
+func fullCancels() cancellation.Message {
+	return cancellation.Message{
 		Life: 9001, Stamp: 65000123, EchoLife: 9002, Echo: 64000123, Armed: true, Ack: 7, First: 5, News: []string{"j-000400", "j-000401"}, More: true,
 	}
 }
@@ -143,7 +143,7 @@
 	checkRecorded(t, "cancels_full.json", cancelsMessage{From: "c1", Message: told})
 	checkRecorded(t, "cancels_empty.json", cancelsMessage{})
 	checkRecorded(t, "cancels_reply_full.json", told)
-	checkRecorded(t, "cancels_reply_empty.json", cancels.Message{})
+	checkRecorded(t, "cancels_reply_empty.json", cancellation.Message{})
 }
 
 // What is passed on to the state service, and its answer, keep their form.
--- a/internal/cancels/cancels.go
+++ b/internal/cancellation/cancels.go
@@ -1,4 +1,4 @@
-// Package cancels is what a controller knows of jobs that were cancelled: which
+// Package cancellation is what a controller knows of jobs that were cancelled: which
 // ones, so that any controller may stop their tasks and none starts them, and up
 // to which time it surely knows all of them, so that one that can't know stops
 // answering workers before a task can outlive the limit for cancels.
@@ -9,7 +9,7 @@
 // had confirmed by then is in the peer's news. What it knows by the state service
 // counts up to the send of a read of all living jobs, since a cancel is recorded
 // there before it is confirmed. docs/meetings.md has the arithmetic.
-package cancels
+package cancellation
 
 import (
 	"errors"
--- a/internal/cancels/cancels_test.go
+++ b/internal/cancellation/cancels_test.go
@@ -1,4 +1,4 @@
-package cancels_test
+package cancellation_test
 
 import (
 	"flag"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/cancellation"
 )
 
 // The generated inputs are the same at every run.
@@ -26,14 +26,14 @@
 
 // life is a controller's process.
 type life struct {
-	*cancels.Register
+	*cancellation.Register
 	held bool
 }
 
 // letter is a message under way.
 type letter struct {
 	from, to int
-	m        cancels.Message
+	m        cancellation.Message
 	answer   bool
 }
 
@@ -65,7 +65,7 @@
 			peers = append(peers, name(j))
 		}
 	}
-	l.Register = cancels.New(peers, limit, func() time.Duration {
+	l.Register = cancellation.New(peers, limit, func() time.Duration {
 		if l.held {
 			return time.Second
 		}
@@ -307,17 +307,17 @@
 // A storm of cancels, news from nobody and names that are none stay in bounds.
 func TestBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := cancels.New([]string{"b"}, limit, func() time.Duration { return time.Second })
+		r := cancellation.New([]string{"b"}, limit, func() time.Duration { return time.Second })
 		r.Read(time.Now(), nil)
 		r.Message("b")
 		time.Sleep(11 * time.Second)
 		refused := 0
-		for i := range 3 * cancels.Most {
+		for i := range 3 * cancellation.Most {
 			if r.Confirm(fmt.Sprintf("j-%06d", i)) != nil {
 				refused++
 			}
 		}
-		if refused < cancels.Most/2 {
+		if refused < cancellation.Most/2 {
 			t.Errorf("%d cancels refused", refused)
 		}
 		m := r.Message("b")
@@ -326,16 +326,16 @@
 		}
 		for _, bad := range []struct {
 			from string
-			m    cancels.Message
+			m    cancellation.Message
 		}{
-			{"x", cancels.Message{Life: 1, Stamp: 1, News: []string{"j-7000000"}}},
-			{"b", cancels.Message{Stamp: 1, News: []string{"j-7000000"}}},
-			{"b", cancels.Message{Life: 1, Stamp: -1, News: []string{"j-7000000"}}},
-			{"b", cancels.Message{Life: 1, Stamp: 1 << 62, News: []string{"j-7000000"}}},
-			{"b", cancels.Message{Life: 1, Stamp: 1, Echo: 1 << 60, News: []string{"j-7000000"}}},
-			{"b", cancels.Message{Life: 1, Stamp: 1, News: []string{"j-7000000", "j-1/0"}}},
-			{"b", cancels.Message{Life: 1, Stamp: 1, News: []string{""}}},
-			{"b", cancels.Message{Life: 1, Stamp: 1, News: slices.Repeat([]string{"j-7000000"}, 3000)}},
+			{"x", cancellation.Message{Life: 1, Stamp: 1, News: []string{"j-7000000"}}},
+			{"b", cancellation.Message{Stamp: 1, News: []string{"j-7000000"}}},
+			{"b", cancellation.Message{Life: 1, Stamp: -1, News: []string{"j-7000000"}}},
+			{"b", cancellation.Message{Life: 1, Stamp: 1 << 62, News: []string{"j-7000000"}}},
+			{"b", cancellation.Message{Life: 1, Stamp: 1, Echo: 1 << 60, News: []string{"j-7000000"}}},
+			{"b", cancellation.Message{Life: 1, Stamp: 1, News: []string{"j-7000000", "j-1/0"}}},
+			{"b", cancellation.Message{Life: 1, Stamp: 1, News: []string{""}}},
+			{"b", cancellation.Message{Life: 1, Stamp: 1, News: slices.Repeat([]string{"j-7000000"}, 3000)}},
 		} {
 			if err := r.Take(bad.from, &bad.m); err == nil {
 				t.Errorf("taken: %.200v", bad)
--- a/internal/cancels/capacity_test.go
+++ b/internal/cancellation/capacity_test.go
@@ -1,4 +1,4 @@
-package cancels
+package cancellation
 
 import (
 	"encoding/json"
--- a/internal/cancels/fuzz_test.go
+++ b/internal/cancellation/fuzz_test.go
@@ -1,11 +1,11 @@
-package cancels_test
+package cancellation_test
 
 import (
 	"encoding/json"
 	"testing"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -13,7 +13,7 @@
 // wrong and changes nothing: no job counts as cancelled, and the time up to which all is
 // known stays.
 func FuzzTake(f *testing.F) {
-	for _, m := range []cancels.Message{
+	for _, m := range []cancellation.Message{
 		{Life: 3, Stamp: 9, Armed: true, First: 1, News: []string{"j-1", "j-2"}},
 		{Life: 3, Stamp: 9, Echo: 1, EchoLife: 1, Ack: 1 << 63, More: true},
 		{Life: 1 << 63, Stamp: 1 << 62, News: []string{"j-1/0", ""}},
@@ -26,11 +26,11 @@
 		f.Add("x", body)
 	}
 	f.Fuzz(func(t *testing.T, from string, body []byte) {
-		var m cancels.Message
+		var m cancellation.Message
 		if json.Unmarshal(body, &m) != nil {
 			return
 		}
-		r := cancels.New([]string{"b"}, limit, func() time.Duration { return time.Second })
+		r := cancellation.New([]string{"b"}, limit, func() time.Duration { return time.Second })
 		r.Read(time.Now(), []string{"j-known"})
 		r.Message("b")
 		before := r.Known()
--- a/internal/cancels/lone_test.go
+++ b/internal/cancellation/lone_test.go
@@ -1,16 +1,16 @@
-package cancels_test
+package cancellation_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/cancellation"
 )
 
 // A controller without peers confirms cancels while its lease holds, and none after it.
 func TestLoneControllerConfirms(t *testing.T) {
 	held := time.Minute
-	r := cancels.New(nil, time.Minute, func() time.Duration { return held })
+	r := cancellation.New(nil, time.Minute, func() time.Duration { return held })
 	if err := r.Confirm("j-1"); err != nil {
 		t.Error(err)
 	}
--- a/internal/cancels/recorded_test.go
+++ b/internal/cancellation/recorded_test.go
@@ -1,4 +1,4 @@
-package cancels_test
+package cancellation_test
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/cancellation"
 )
 
 // checkRecorded reads a file of testdata/recorded, compares the value with want, and
@@ -31,9 +31,9 @@
 
 // Controllers of different versions exchange the messages, so their form must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "message.json", cancels.Message{
+	checkRecorded(t, "message.json", cancellation.Message{
 		Life: 18446744073709551615, Stamp: 123456789, EchoLife: 9007199254740993, Echo: 987654, Armed: true,
 		Ack: 17, First: 18, News: []string{"j-1", "j-svc-tips-1-2"}, More: true,
 	})
-	checkRecorded(t, "message_least.json", cancels.Message{})
+	checkRecorded(t, "message_least.json", cancellation.Message{})
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobspec"
@@ -126,7 +126,7 @@
 
 func (d *deaf) Confirm(uid string) error {
 	d.asked = append(d.asked, uid)
-	return cancels.ErrNotNow
+	return cancellation.ErrNotNow
 }
 
 // Nobody is told that a job is cancelled, by whatever question, before that is
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -17,7 +17,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/cancels"
+	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/intake"
@@ -126,7 +126,7 @@
 	done     chan struct{}
 	down     bool // crashed
 	reach    reach
-	reg      *cancels.Register
+	reg      *cancellation.Register
 	entitled bool // when last looked at
 	knows    knownCancels
 	intake   *intake.Intake
@@ -184,7 +184,7 @@
 	n.owner.Accounts, n.owner.Others = w.accounts, n
 	n.holder = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
 	n.started, n.published, n.pictures = time.Now(), views.NewPublisher(name, n.holder), views.NewReceiver(n.owner, w.others(name))
-	n.reg = cancels.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.Held)
+	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.Held)
 	n.reg.Fresh = func(uids []string) { n.knows.learn(uids); go n.holder.Recall() }
 	n.owner.Cancels, n.holder.Cancels = n.reg, n.reg
 	n.intake = intake.New(&cfg, op, n.view, n.owner, w.size, n, log)
