--- a/internal/triage/triage.go
+++ b/internal/admission/triage.go
@@ -1,8 +1,8 @@
-// Package triage finds, when there is more work than can be done in time, which
+// Package admission finds, when there is more work than can be done in time, which
 // jobs can still be done in time. To take them in the order of their deadlines,
 // as is best while all can be met, then makes every job late by a little: each
 // gets its turn when its time is nearly over.
-package triage
+package admission
 
 import (
 	"container/heap"
--- a/internal/triage/triage_test.go
+++ b/internal/admission/triage_test.go
@@ -1,4 +1,4 @@
-package triage_test
+package admission_test
 
 import (
 	"flag"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/triage"
+	"github.com/wallrack/wallrack/internal/admission"
 )
 
 // The generated inputs are the same at every run.
@@ -17,7 +17,7 @@
 }
 
 // most is how many of the jobs can be met by their first limit, by trying all sets.
-func most(jobs []triage.Job, rate float64) int {
+func most(jobs []admission.Job, rate float64) int {
 	best := 0
 	for set := range 1 << len(jobs) {
 		n, ok := 0, true
@@ -44,12 +44,12 @@
 // No choice meets more first limits, and none is chosen that is late.
 func TestMostAreMet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		jobs := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) triage.Job {
+		jobs := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) admission.Job {
 			first := float64(rapid.IntRange(1, 30).Draw(rt, "limit"))
-			return triage.Job{Work: float64(rapid.IntRange(1, 40).Draw(rt, "work")), Limits: []float64{first, first * 2}}
+			return admission.Job{Work: float64(rapid.IntRange(1, 40).Draw(rt, "work")), Limits: []float64{first, first * 2}}
 		}), 1, 9).Draw(rt, "jobs")
 		rate := float64(rapid.IntRange(1, 8).Draw(rt, "rate"))
-		tiers := triage.Tiers(jobs, rate, 0)
+		tiers := admission.Tiers(jobs, rate, 0)
 		n := 0
 		for i, tier := range tiers {
 			if tier > 2 {
@@ -80,21 +80,21 @@
 func TestTiers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		jobs   []triage.Job
+		jobs   []admission.Job
 		rate   float64
 		offset float64
 		want   []int
 	}{
-		{"all can be met", []triage.Job{{10, 0, []float64{10}}, {10, 0, []float64{20}}}, 1, 0, []int{0, 0}},
-		{"the larger lets its limit pass", []triage.Job{{10, 0, []float64{10, 40}}, {5, 0, []float64{10, 40}}}, 1, 0, []int{1, 0}},
-		{"one is over already", []triage.Job{{1, 1, []float64{-5, 10}}, {1, 1, []float64{-5, -1}}}, 1, 0, []int{1, 2}},
-		{"one takes too long by itself", []triage.Job{{1, 30, []float64{10, 40}}}, 100, 0, []int{1}},
-		{"others come first", []triage.Job{{10, 0, []float64{15, 40}}}, 1, 10, []int{1}},
-		{"its last tasks end while others wait", []triage.Job{{9, 4, []float64{10, 40}}}, 1, 0, []int{1}},
-		{"no limits", []triage.Job{{10, 1, nil}}, 1, 0, []int{0}},
-		{"nothing to run on", []triage.Job{{10, 0, []float64{10}}}, 0, 0, []int{1}},
+		{"all can be met", []admission.Job{{10, 0, []float64{10}}, {10, 0, []float64{20}}}, 1, 0, []int{0, 0}},
+		{"the larger lets its limit pass", []admission.Job{{10, 0, []float64{10, 40}}, {5, 0, []float64{10, 40}}}, 1, 0, []int{1, 0}},
+		{"one is over already", []admission.Job{{1, 1, []float64{-5, 10}}, {1, 1, []float64{-5, -1}}}, 1, 0, []int{1, 2}},
+		{"one takes too long by itself", []admission.Job{{1, 30, []float64{10, 40}}}, 100, 0, []int{1}},
+		{"others come first", []admission.Job{{10, 0, []float64{15, 40}}}, 1, 10, []int{1}},
+		{"its last tasks end while others wait", []admission.Job{{9, 4, []float64{10, 40}}}, 1, 0, []int{1}},
+		{"no limits", []admission.Job{{10, 1, nil}}, 1, 0, []int{0}},
+		{"nothing to run on", []admission.Job{{10, 0, []float64{10}}}, 0, 0, []int{1}},
 	} {
-		got := triage.Tiers(c.jobs, c.rate, c.offset)
+		got := admission.Tiers(c.jobs, c.rate, c.offset)
 		for i := range got {
 			if got[i] != c.want[i] {
 				t.Errorf("%s: %v, not %v", c.name, got, c.want)
@@ -105,11 +105,11 @@
 }
 
 func BenchmarkTiers(b *testing.B) {
-	jobs := make([]triage.Job, 1000)
+	jobs := make([]admission.Job, 1000)
 	for i := range jobs {
-		jobs[i] = triage.Job{Work: float64(1 + i*7919%5000), Span: 30, Limits: []float64{float64(i%90 - 20), float64(i%90 + 30), float64(i%90 + 100)}}
+		jobs[i] = admission.Job{Work: float64(1 + i*7919%5000), Span: 30, Limits: []float64{float64(i%90 - 20), float64(i%90 + 30), float64(i%90 + 100)}}
 	}
 	for b.Loop() {
-		triage.Tiers(jobs, 20000, 10)
+		admission.Tiers(jobs, 20000, 10)
 	}
 }
--- a/internal/owner/triage.go
+++ b/internal/owner/triage.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/admission"
 	"github.com/wallrack/wallrack/internal/matching"
-	"github.com/wallrack/wallrack/internal/triage"
 )
 
 const (
@@ -70,7 +70,7 @@
 	slices.Reverse(ranks)
 	above, busy := 0.0, 0.0 // work, and its arrival, of higher priorities
 	for _, r := range ranks {
-		jobs := make([]triage.Job, 0, len(byRank[r]))
+		jobs := make([]admission.Job, 0, len(byRank[r]))
 		sum, arrives := 0.0, 0.0
 		for _, j := range byRank[r] {
 			t := o.toTriage(j, now, fleet)
@@ -90,7 +90,7 @@
 			o.flood[r] = takes > flooded*usual || o.flood[r] && takes > subsided*usual
 		}
 		if o.flood[r] {
-			for i, tier := range triage.Tiers(jobs, rate, above) {
+			for i, tier := range admission.Tiers(jobs, rate, above) {
 				byRank[r][i].tier = tier
 			}
 		}
@@ -112,7 +112,7 @@
 }
 
 // toTriage is what is left of a job, with its work in seconds of the whole fleet.
-func (o *Owner) toTriage(j *job, now time.Time, fleet matching.Shape) triage.Job {
+func (o *Owner) toTriage(j *job, now time.Time, fleet matching.Shape) admission.Job {
 	part := j.shape.CPUs / fleet.CPUs
 	if fleet.GPUs > 0 {
 		part = max(part, j.shape.GPUs/fleet.GPUs)
@@ -122,7 +122,7 @@
 	}
 	run := j.runEstimate()
 	tasks := float64(j.spec.Tasks-j.over) - float64(j.running)/2 // what runs is half done
-	t := triage.Job{Work: max(0, tasks) * run * part, Span: run / 2}
+	t := admission.Job{Work: max(0, tasks) * run * part, Span: run / 2}
 	if len(j.pending) > 0 {
 		t.Span = pessimism*run + restartTakes
 	}
