--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -20,7 +20,6 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/fleet"
 	"github.com/wallrack/wallrack/internal/httpjson"
-	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
@@ -30,6 +29,7 @@
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/sockets"
 	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/views"
 )
@@ -86,7 +86,7 @@
 	inbound.share(budget, orders)
 	n.holder = dispatch.New(ctx, p.Node, config.Seconds(p.Params.Workers.LeaseS), n, member, catalog, n, orders, log)
 	n.published, n.pictures = views.NewPublisher(p.Node, n.holder), views.NewReceiver(n.owner, slices.Collect(maps.Keys(addrs)))
-	n.intake = intake.New(p, op, store, n.owner, catalog, n, log)
+	n.intake = submission.New(p, op, store, n.owner, catalog, n, log)
 	n.owner.Cancels, n.holder.Cancels, n.intake.Cancels = n.cancels, n.cancels, n.cancels
 	boxes := fleet.New(p, op, cloud, catalog, store, member, &allOwners{n: n, ctx: ctx}, n.holder, log)
 	alerts := alert.New(p.Params.Objectives, n.owner, log)
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -10,12 +10,12 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/fleet"
-	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/recovery"
 	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/views"
 )
 
@@ -60,7 +60,7 @@
 	log    *slog.Logger
 	owner  *owner.Owner
 	holder *dispatch.Holder
-	intake *intake.Intake
+	intake *submission.Intake
 	times  *recovery.Timeline
 
 	published *views.Publisher
@@ -85,7 +85,7 @@
 		replies := n.owner.GrantAll(*requests)
 		return &replies, nil
 	})
-	mesh.Handle(n.mesh, methodUser, func(ctx context.Context, r *intake.Request) (*intake.Reply, error) {
+	mesh.Handle(n.mesh, methodUser, func(ctx context.Context, r *submission.Request) (*submission.Reply, error) {
 		rep := n.intake.Serve(ctx, *r)
 		return &rep, nil
 	})
@@ -103,8 +103,8 @@
 }
 
 // Ask hands a user's request to a peer.
-func (n *node) Ask(ctx context.Context, peer string, r intake.Request) (*intake.Reply, error) {
-	return call[intake.Request, intake.Reply](ctx, n, peer, methodUser, &r)
+func (n *node) Ask(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
+	return call[submission.Request, submission.Reply](ctx, n, peer, methodUser, &r)
 }
 
 // stoodStill is the time without a start from which on operators are told.
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -18,7 +18,6 @@
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/description"
-	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/matching"
@@ -29,6 +28,7 @@
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/slurmtask"
 	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -78,7 +78,7 @@
 	}
 	defer m.Close()
 	log := slog.New(slog.DiscardHandler)
-	n := &node{cfg: &config.Platform{}, mesh: m, owner: &owner.Owner{}, intake: &intake.Intake{}, log: log}
+	n := &node{cfg: &config.Platform{}, mesh: m, owner: &owner.Owner{}, intake: &submission.Intake{}, log: log}
 	n.handle()
 	n.handleDemand()
 	n.slurm(&slurmapi.Settings{}, nil, http.NewServeMux())
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -15,10 +15,10 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/httpjson"
-	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -56,7 +56,7 @@
 
 // Submitter admits jobs.
 type Submitter interface {
-	Submit(ctx context.Context, r intake.Request) intake.Reply
+	Submit(ctx context.Context, r submission.Request) submission.Reply
 }
 
 // Catalog knows the machine types.
@@ -148,11 +148,11 @@
 		refuse(w, http.StatusBadRequest, 0, "job and terms are needed, in no more than 64 KiB")
 		return
 	}
-	verb := intake.VerbSubmit
+	verb := submission.VerbSubmit
 	if parsed.Test {
-		verb = intake.VerbCheck
+		verb = submission.VerbCheck
 	}
-	rep := s.intake.Submit(r.Context(), intake.Request{Verb: verb, Body: parsed.Job, Terms: parsed.Terms})
+	rep := s.intake.Submit(r.Context(), submission.Request{Verb: verb, Body: parsed.Job, Terms: parsed.Terms})
 	switch {
 	case rep.Status/100 == 2:
 		httpjson.Write(w, rep.Status, rep.State)
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -20,13 +20,13 @@
 	"github.com/wallrack/wallrack/internal/accounting"
 	"github.com/wallrack/wallrack/internal/client"
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -58,13 +58,15 @@
 	s.lists++
 	return s.jobs, nil
 }
-func (s *site) InfoHere(string) (jobquery.Info, bool)               { return jobquery.Info{}, false }
-func (s *site) Hold(context.Context, string, bool) error            { return statestore.ErrUnknown }
-func (s *site) Drop(context.Context, string, jobspec.Ranges) error  { return owner.ErrInput }
-func (s *site) Owns() bool                                          { return s.owns }
-func (s *site) Owners() []string                                    { return nil }
-func (s *site) All() []wire.MachineType                             { return nil }
-func (s *site) Submit(context.Context, intake.Request) intake.Reply { return intake.Reply{} }
+func (s *site) InfoHere(string) (jobquery.Info, bool)              { return jobquery.Info{}, false }
+func (s *site) Hold(context.Context, string, bool) error           { return statestore.ErrUnknown }
+func (s *site) Drop(context.Context, string, jobspec.Ranges) error { return owner.ErrInput }
+func (s *site) Owns() bool                                         { return s.owns }
+func (s *site) Owners() []string                                   { return nil }
+func (s *site) All() []wire.MachineType                            { return nil }
+func (s *site) Submit(context.Context, submission.Request) submission.Reply {
+	return submission.Reply{}
+}
 func (s *site) AskOwner(context.Context, string, slurmapi.Request) (*slurmapi.Reply, error) {
 	return nil, errors.New("cut off")
 }
--- a/internal/intake/capacity_test.go
+++ b/internal/submission/capacity_test.go
@@ -1,4 +1,4 @@
-package intake_test
+package submission_test
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 
 	"github.com/wallrack/wallrack/internal/capacity"
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/intake"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -32,7 +32,7 @@
 		tb.Fatal(err)
 	}
 	mux := http.NewServeMux()
-	intake.New(cfg, op, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil))).Register(mux)
+	submission.New(cfg, op, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil))).Register(mux)
 	return mux
 }
 
--- a/internal/intake/gather.go
+++ b/internal/submission/gather.go
@@ -1,4 +1,4 @@
-package intake
+package submission
 
 import (
 	"context"
--- a/internal/intake/intake.go
+++ b/internal/submission/intake.go
@@ -1,6 +1,6 @@
-// Package intake is the users' interface: submissions, polls and cancels, on
+// Package submission is the users' interface: submissions, polls and cancels, on
 // any controller, and the health check of the load balancer.
-package intake
+package submission
 
 import (
 	"context"
--- a/internal/intake/intake_test.go
+++ b/internal/submission/intake_test.go
@@ -1,4 +1,4 @@
-package intake_test
+package submission_test
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -38,21 +38,21 @@
 func (s *stub) Cancel(context.Context, string) (wire.JobState, error) {
 	return wire.JobState{}, statestore.ErrUnavailable
 }
-func (s *stub) Ask(context.Context, string, intake.Request) (*intake.Reply, error) {
+func (s *stub) Ask(context.Context, string, submission.Request) (*submission.Reply, error) {
 	return nil, errors.New("cut off")
 }
 
 const job = `{"uid":"j-7","docket":"c","crew":"t","sort":"sweep","urgency":"normal","pieces":3,"cpus":2,"cards":0,"memoryGb":1,
 	"kit":"i","pullGb":1,"builds":null,"yard":null,"together":false,"apart":false,"loaners":true,"reckonS":9,"markS":0,"stashS":0,"dueS":null}`
 
-func serve(t testing.TB) (s *stub, in *intake.Intake, ask func(method, path, body string) (int, http.Header, wire.JobState)) {
+func serve(t testing.TB) (s *stub, in *submission.Intake, ask func(method, path, body string) (int, http.Header, wire.JobState)) {
 	s = &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
 	cfg := &config.Platform{Node: "a", Params: config.Params{Teams: []config.Team{{Name: "t", CPUsMax: 8}}}}
 	op, err := config.LoadOperator("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in = intake.New(cfg, op, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	in = submission.New(cfg, op, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	mux := http.NewServeMux()
 	in.Register(mux)
 	return s, in, func(method, path, body string) (int, http.Header, wire.JobState) {
--- a/internal/intake/odd_requests_test.go
+++ b/internal/submission/odd_requests_test.go
@@ -1,4 +1,4 @@
-package intake_test
+package submission_test
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"github.com/wallrack/wallrack/internal/intake"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -83,7 +83,7 @@
 	stub, service, _ := serve(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		stub.View = &testkit.View{Store: testkit.NewStore()}
-		rep := service.Serve(t.Context(), intake.Request{Verb: intake.VerbSubmit, Body: body})
+		rep := service.Serve(t.Context(), submission.Request{Verb: submission.VerbSubmit, Body: body})
 		switch kept := stub.Keys(""); rep.Status {
 		case http.StatusCreated:
 			if missing := lacks(body); missing != "" || !fits(body) || len(kept) != 1 {
--- a/internal/intake/recorded_test.go
+++ b/internal/submission/recorded_test.go
@@ -1,4 +1,4 @@
-package intake_test
+package submission_test
 
 import (
 	"os"
@@ -8,8 +8,8 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -32,23 +32,23 @@
 
 // Users' requests that one controller hands to another keep their form.
 func TestRecorded(t *testing.T) {
-	checkRecorded(t, "request_full.json", intake.Request{
-		Verb: intake.VerbSubmit, UID: "j-000400", Body: []byte(`{"uid":"j-000400"}`), UIDs: []string{"j-000401", "j-000402"},
+	checkRecorded(t, "request_full.json", submission.Request{
+		Verb: submission.VerbSubmit, UID: "j-000400", Body: []byte(`{"uid":"j-000400"}`), UIDs: []string{"j-000401", "j-000402"},
 		Terms: &jobspec.Terms{
 			Number: 4001, Name: "train", User: "ada", Array: "0-15:2", Most: 4, Held: true, BeginMs: 1700000000123, DeadlineMs: 1700000600123,
 			LimitS: 900.5, Final: true, Any: true, After: []jobspec.Dep{{Kind: "after", Job: "j-000399", Number: 3990, DelayS: 60}},
 			KillNever: true, Dropped: "3,5", Why: "TIMEOUT",
 		},
 	})
-	checkRecorded(t, "request_empty.json", intake.Request{})
+	checkRecorded(t, "request_empty.json", submission.Request{})
 	state := wire.JobState{UID: "j-000400", Stage: wire.StageRunning, Done: 3, Running: 5}
-	checkRecorded(t, "reply_full.json", intake.Reply{
+	checkRecorded(t, "reply_full.json", submission.Reply{
 		Status: 422, State: state, Reason: "pieces: missing", Busy: true,
 		States: []wire.JobState{state, {UID: "j-000402", Stage: wire.StageDone, Done: 8}},
 	})
-	checkRecorded(t, "reply_empty.json", intake.Reply{})
+	checkRecorded(t, "reply_empty.json", submission.Reply{})
 	for _, verb := range []struct{ is, was string }{
-		{intake.VerbSubmit, "submit"}, {intake.VerbPoll, "poll"}, {intake.VerbCancel, "cancel"}, {intake.VerbCheck, "check"},
+		{submission.VerbSubmit, "submit"}, {submission.VerbPoll, "poll"}, {submission.VerbCancel, "cancel"}, {submission.VerbCheck, "check"},
 	} {
 		if verb.is != verb.was {
 			t.Errorf("the request %q is sent as %q", verb.was, verb.is)
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -20,10 +20,10 @@
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
-	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/views"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -129,7 +129,7 @@
 	reg      *cancellation.Register
 	entitled bool // when last looked at
 	knows    knownCancels
-	intake   *intake.Intake
+	intake   *submission.Intake
 	mux      *http.ServeMux  // the users' interface
 	ctx      context.Context // until it ends
 	duties   map[string]bool // under way beside the rest: see onDuty
@@ -187,7 +187,7 @@
 	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.Held)
 	n.reg.Fresh = func(uids []string) { n.knows.learn(uids); go n.holder.Recall() }
 	n.owner.Cancels, n.holder.Cancels = n.reg, n.reg
-	n.intake = intake.New(&cfg, op, n.view, n.owner, w.size, n, log)
+	n.intake = submission.New(&cfg, op, n.view, n.owner, w.size, n, log)
 	n.intake.Cancels = n.reg
 	n.mux = http.NewServeMux()
 	n.intake.Register(n.mux)
--- a/internal/testkit/odd_requests_test.go
+++ b/internal/testkit/odd_requests_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/intake"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -126,7 +126,7 @@
 					t.Fatal(err)
 				}
 				n.mux = http.NewServeMux()
-				in := intake.New(w.cfg, op, n.view, n.owner, noTypes{}, n, slog.New(slog.DiscardHandler))
+				in := submission.New(w.cfg, op, n.view, n.owner, noTypes{}, n, slog.New(slog.DiscardHandler))
 				in.Cancels = n.reg
 				in.Register(n.mux)
 			}, func() { n.mux = http.NewServeMux(); n.intake.Register(n.mux) }, blind, false},
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -15,8 +15,8 @@
 	"github.com/goccy/go-json"
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/intake"
 	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -49,8 +49,8 @@
 func (n *node) Up() bool { return true }
 
 // Ask hands a user's request to a peer.
-func (n *node) Ask(ctx context.Context, peer string, r intake.Request) (*intake.Reply, error) {
-	return overPeerLink(ctx, n.w, func() (*intake.Reply, error) {
+func (n *node) Ask(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
+	return overPeerLink(ctx, n.w, func() (*submission.Reply, error) {
 		to, err := n.peer(peer)
 		if err != nil {
 			return nil, err
