--- a/internal/gather/gather.go
+++ b/internal/batching/gather.go
@@ -1,6 +1,6 @@
-// Package gather gathers what is to be sent to a peer: what comes while a round trip to it
+// Package batching gathers what is to be sent to a peer: what comes while a round trip to it
 // is under way goes with the next one, all at once. Nothing waits while none is.
-package gather
+package batching
 
 import (
 	"sync"
--- a/internal/gather/gather_test.go
+++ b/internal/batching/gather_test.go
@@ -1,4 +1,4 @@
-package gather
+package batching
 
 import (
 	"slices"
--- a/internal/dispatch/holder.go
+++ b/internal/dispatch/holder.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/gather"
+	"github.com/wallrack/wallrack/internal/batching"
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/recent"
@@ -92,7 +92,7 @@
 	ctx     context.Context
 	started time.Time
 	workers sync.WaitGroup
-	asks    gather.Sender[ask] // to owners elsewhere
+	asks    batching.Sender[ask] // to owners elsewhere
 
 	// Cancels are the cancelled jobs, whoever owns them: none of their tasks is
 	// launched here, and each that a worker lists is halted. nil: none. Set it
--- a/internal/owner/direct.go
+++ b/internal/owner/direct.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/batching"
 	"github.com/wallrack/wallrack/internal/dispatch"
-	"github.com/wallrack/wallrack/internal/gather"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -78,7 +78,7 @@
 
 // direct sends what was gathered for the holders: to those elsewhere in batches.
 func (o *Owner) direct(ctx context.Context) {
-	elsewhere := gather.Sender[*dispatch.Direction]{Send: func(holder string, ds []*dispatch.Direction) {
+	elsewhere := batching.Sender[*dispatch.Direction]{Send: func(holder string, ds []*dispatch.Direction) {
 		o.sendDirection(ctx, holder, joined(ds)) // bounded by its time limit
 	}}
 	for ctx.Err() == nil {
