--- a/cmd/wallctl/main.go
+++ b/cmd/wallctl/main.go
@@ -19,7 +19,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/wallrack/wallrack/internal/client"
-	"github.com/wallrack/wallrack/internal/description"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -63,7 +63,7 @@
 		return exitCancelled
 	case errors.Is(err, client.ErrNotFound):
 		return exitNotFound
-	case errors.Is(err, client.ErrRefused), errors.Is(err, description.ErrDiffers):
+	case errors.Is(err, client.ErrRefused), errors.Is(err, taskspec.ErrDiffers):
 		return exitRefused
 	case errors.Is(err, client.ErrUnknown), errors.Is(err, context.Canceled):
 		return exitUnknown
@@ -112,7 +112,7 @@
 
 func (a *app) submit() *cobra.Command {
 	j := wire.Job{Kind: wire.KindArray, Image: "none"}
-	d := description.Description{}
+	d := taskspec.Description{}
 	var env []string
 	var script string
 	var service bool
--- a/cmd/wallrack/rollouts.go
+++ b/cmd/wallrack/rollouts.go
@@ -10,13 +10,13 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -86,7 +86,7 @@
 
 func (n *node) newRollouts(s *rollout.Settings) *rollout.Manager {
 	most := int(n.cfg.Params.State.ValueKB * 1024 * 0.9)
-	m := rollout.NewManager(s, n.store, rolloutCore{n}, description.NewClient(s.Descriptions), rollout.NewWorkerProber(), most, n.log)
+	m := rollout.NewManager(s, n.store, rolloutCore{n}, taskspec.NewClient(s.Descriptions), rollout.NewWorkerProber(), most, n.log)
 	mesh.Handle(n.mesh, methodRollouts, func(context.Context, *nothing) (*[]rollout.Status, error) {
 		out := m.Statuses()
 		return &out, nil
--- a/cmd/wallrack/worker.go
+++ b/cmd/wallrack/worker.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/description"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/worker"
 )
 
@@ -105,7 +105,7 @@
 	defer procs.Close()
 	s.id.Endpoint, s.id.Lease = lis.Addr().String(), config.Seconds(s.leaseS)
 	agent := &worker.Agent{Processes: procs, Controllers: controllers, ReportEvery: config.Seconds(s.reportS), Log: log}
-	agent.Machine = worker.New(s.id, description.NewClient(s.descriptions), procs, agent.Changed, log)
+	agent.Machine = worker.New(s.id, taskspec.NewClient(s.descriptions), procs, agent.Changed, log)
 	defer agent.Machine.Close()
 	srv := &http.Server{Handler: agent.Handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 90 * time.Second}
 	g, ctx := errgroup.WithContext(ctx)
--- a/internal/client/recorded_test.go
+++ b/internal/client/recorded_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/wallrack/wallrack/internal/accounting"
 	"github.com/wallrack/wallrack/internal/client"
-	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -41,7 +41,7 @@
 	c, ctx := client.New(srv.URL), t.Context()
 	var job wire.Job
 	var with jobspec.Terms
-	var what description.Description
+	var what taskspec.Description
 	recorded.Fill(&job)
 	recorded.Fill(&with)
 	recorded.Fill(&what)
--- a/internal/client/slurm.go
+++ b/internal/client/slurm.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/wallrack/wallrack/internal/accounting"
-	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -57,7 +57,7 @@
 
 // SubmitWith submits a job with terms, as Submit does. With test it is checked
 // only.
-func (c *Client) SubmitWith(ctx context.Context, job *wire.Job, t *jobspec.Terms, d *description.Description, test bool) (*wire.JobState, error) {
+func (c *Client) SubmitWith(ctx context.Context, job *wire.Job, t *jobspec.Terms, d *taskspec.Description, test bool) (*wire.JobState, error) {
 	if !test {
 		if err := c.describe(ctx, job.UID, d); err != nil {
 			return nil, err
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -21,9 +21,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/standin"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 	"github.com/wallrack/wallrack/internal/worker"
 )
@@ -150,7 +150,7 @@
 	for _, path := range []string{"/machine_types", "/hosts", "/hosts/"} {
 		mux.Handle(path, cloudService)
 	}
-	descriptions := description.Handler(standin.Descriptions{DB: db})
+	descriptions := taskspec.Handler(standin.Descriptions{DB: db})
 	mux.Handle("/descriptions/", descriptions)
 	front.mux.Handle("/descriptions/", descriptions)
 
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/description"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -45,7 +45,7 @@
 
 // Descriptions keeps what jobs run.
 type Descriptions interface {
-	Put(ctx context.Context, job string, d *description.Description) error
+	Put(ctx context.Context, job string, d *taskspec.Description) error
 }
 
 // Manager keeps services and drives their roll-outs while this controller leads.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -8,12 +8,12 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/taskspec"
 )
 
 func spec() rollout.Spec {
-	s := rollout.Spec{Service: "tips", To: rollout.Version{Name: "v2", Desc: description.Description{Argv: []string{"x"}, CPUs: 1}}, Check: rollout.Check{HTTP: "/up"}}
+	s := rollout.Spec{Service: "tips", To: rollout.Version{Name: "v2", Desc: taskspec.Description{Argv: []string{"x"}, CPUs: 1}}, Check: rollout.Check{HTTP: "/up"}}
 	s.Fill()
 	return s
 }
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -135,7 +135,7 @@
 }
 
 // Put implements rollout.Descriptions.
-func (c *core) Put(_ context.Context, job string, d *description.Description) error {
+func (c *core) Put(_ context.Context, job string, d *taskspec.Description) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.descs[job] = d.Argv[0]
@@ -286,7 +286,7 @@
 
 func (s *site) begin(version string, change func(*rollout.Spec)) {
 	spec := spec()
-	spec.To = rollout.Version{Name: version, Desc: description.Description{Argv: []string{version}, CPUs: 1}}
+	spec.To = rollout.Version{Name: version, Desc: taskspec.Description{Argv: []string{version}, CPUs: 1}}
 	if change != nil {
 		change(&spec)
 	}
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/description"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -28,8 +28,8 @@
 
 // Version is what the replicas of a service run.
 type Version struct {
-	Name string                  `json:"name"`
-	Desc description.Description `json:"desc"`
+	Name string               `json:"name"`
+	Desc taskspec.Description `json:"desc"`
 }
 
 // Check is how a replica's health is found out, through its worker.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/matching"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 	"github.com/wallrack/wallrack/internal/worker"
 )
@@ -122,10 +122,10 @@
 }
 
 // Get implements worker.Descriptions: it takes as long as the image's fetch.
-func (r *runner) Get(ctx context.Context, uid string) (*description.Description, error) {
+func (r *runner) Get(ctx context.Context, uid string) (*taskspec.Description, error) {
 	j := r.track.job(uid)
 	if j == nil {
-		return nil, description.ErrNotFound
+		return nil, taskspec.ErrNotFound
 	}
 	r.mu.Lock()
 	has := r.images[j.Image]
@@ -140,7 +140,7 @@
 		r.images[j.Image] = true
 		r.mu.Unlock()
 	}
-	return &description.Description{Argv: []string{"hollow"}, CPUs: j.CPUs, MemoryGB: j.MemoryGB}, nil
+	return &taskspec.Description{Argv: []string{"hollow"}, CPUs: j.CPUs, MemoryGB: j.MemoryGB}, nil
 }
 
 // process is a task that only takes time.
@@ -151,7 +151,7 @@
 }
 
 // Start implements worker.Runner.
-func (r *runner) Start(task string, _ uint64, _ *description.Description, exited func(code int)) (worker.Process, error) {
+func (r *runner) Start(task string, _ uint64, _ *taskspec.Description, exited func(code int)) (worker.Process, error) {
 	run, completed := r.track.started(task, r.name)
 	p := &process{finish: func(completed bool) {
 		r.track.ended(task, completed)
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -8,10 +8,10 @@
 	"strings"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/slurmtask"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -19,7 +19,7 @@
 type Request struct {
 	Job         wire.Job
 	Terms       jobspec.Terms
-	Description description.Description
+	Description taskspec.Description
 }
 
 // Work is what shall run, and who asks from where.
--- a/internal/description/client.go
+++ b/internal/taskspec/client.go
@@ -1,4 +1,4 @@
-package description
+package taskspec
 
 import (
 	"bytes"
--- a/internal/description/description.go
+++ b/internal/taskspec/description.go
@@ -1,8 +1,8 @@
-// Package description has the descriptions of what jobs' tasks run, and the service that
+// Package taskspec has the descriptions of what jobs' tasks run, and the service that
 // keeps them: users upload a job's description, workers fetch it. A description never
 // changes once it is stored, so every task of a job, and every repeat of one, runs the
 // same.
-package description
+package taskspec
 
 import (
 	"errors"
--- a/internal/description/recorded_test.go
+++ b/internal/taskspec/recorded_test.go
@@ -1,4 +1,4 @@
-package description_test
+package taskspec_test
 
 import (
 	"net/http"
@@ -7,16 +7,16 @@
 	"strings"
 	"testing"
 
-	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/slurmtask"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
 func TestDescriptionKeepsItsBytes(t *testing.T) {
-	recorded.CheckFull(t, "description-full", description.Description{Argv: []string{"/bin/sh", "-e"}, Env: map[string]string{"A": "1", "B": "x=y"},
+	recorded.CheckFull(t, "description-full", taskspec.Description{Argv: []string{"/bin/sh", "-e"}, Env: map[string]string{"A": "1", "B": "x=y"},
 		Dir: "/data", Script: "#!/bin/sh\necho \"$1\" <in >out\n", Args: []string{"first", "second"}, CPUs: 2.5, GPUs: 1, MemoryGB: 4,
 		Slurm: &slurmtask.Context{Number: 4100, Tasks: 16, Array: "0-30:2", Name: "tips", User: "erin", Output: "%j.out", Error: "%j.err", Step: true, Cluster: "main"}})
-	recorded.Check(t, "description-none", description.Description{Argv: []string{"/bin/true"}, CPUs: 1})
+	recorded.Check(t, "description-none", taskspec.Description{Argv: []string{"/bin/true"}, CPUs: 1})
 }
 
 // storedDescriptions is a store in memory.
@@ -41,7 +41,7 @@
 		}
 		body := strings.TrimSuffix(string(data), "\n")
 		stored := storedDescriptions{}
-		handler := description.Handler(stored)
+		handler := taskspec.Handler(stored)
 		put, get := httptest.NewRecorder(), httptest.NewRecorder()
 		handler.ServeHTTP(put, httptest.NewRequest(http.MethodPut, "/descriptions/j-1", strings.NewReader(body)))
 		handler.ServeHTTP(get, httptest.NewRequest(http.MethodGet, "/descriptions/j-1", nil))
--- a/internal/worker/process.go
+++ b/internal/worker/process.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/spawn"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -111,7 +111,7 @@
 }
 
 // Start implements Runner.
-func (p *Processes) Start(task string, attempt uint64, d *description.Description, exited func(code int)) (Process, error) {
+func (p *Processes) Start(task string, attempt uint64, d *taskspec.Description, exited func(code int)) (Process, error) {
 	job, n, err := wire.ParseTask(task)
 	if err != nil {
 		return nil, err
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -19,8 +19,8 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/description"
 	"github.com/wallrack/wallrack/internal/matching"
+	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 	"github.com/wallrack/wallrack/internal/worker"
 )
@@ -42,19 +42,19 @@
 	exited func(int)
 }
 
-func (s *site) Get(_ context.Context, job string) (*description.Description, error) {
+func (s *site) Get(_ context.Context, job string) (*taskspec.Description, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.down:
 		return nil, errors.New("out")
 	case job == "j-0":
-		return nil, description.ErrNotFound
+		return nil, taskspec.ErrNotFound
 	}
-	return &description.Description{Argv: []string{"x"}, CPUs: 1}, nil
+	return &taskspec.Description{Argv: []string{"x"}, CPUs: 1}, nil
 }
 
-func (s *site) Start(task string, _ uint64, _ *description.Description, exited func(int)) (worker.Process, error) {
+func (s *site) Start(task string, _ uint64, _ *taskspec.Description, exited func(int)) (worker.Process, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running[task] != nil {
@@ -192,7 +192,7 @@
 
 func run(t *testing.T, p *worker.Processes, task, script string) (worker.Process, chan bool) {
 	exited := make(chan bool, 1)
-	pr, err := p.Start(task, 1, &description.Description{Argv: []string{"sh"}, Script: script, CPUs: 1, Env: map[string]string{"GREETING": "hello"}}, func(code int) { exited <- code == 0 })
+	pr, err := p.Start(task, 1, &taskspec.Description{Argv: []string{"sh"}, Script: script, CPUs: 1, Env: map[string]string{"GREETING": "hello"}}, func(code int) { exited <- code == 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
