--- a/cmd/wallrack/local.go
+++ b/cmd/wallrack/local.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/wallrack/wallrack/internal/local"
-	"github.com/wallrack/wallrack/internal/spawn"
+	"github.com/wallrack/wallrack/internal/subprocess"
 )
 
 const endPartWithin = 5 * time.Second
@@ -76,7 +76,7 @@
 		defer f.Close()
 		cmd := exec.Command(exe, args...)
 		cmd.Stdout, cmd.Stderr = f, f
-		if err := spawn.Start(cmd); err != nil {
+		if err := subprocess.Start(cmd); err != nil {
 			return fmt.Errorf("start %s: %w", name, err)
 		}
 		done := make(chan error, 1)
@@ -86,13 +86,13 @@
 			return err
 		case <-ctx.Done():
 		}
-		spawn.Signal(cmd, syscall.SIGTERM)
+		subprocess.Signal(cmd, syscall.SIGTERM)
 		select {
 		case err := <-done:
 			return err
 		case <-time.After(endPartWithin):
 		}
-		spawn.Signal(cmd, syscall.SIGKILL)
+		subprocess.Signal(cmd, syscall.SIGKILL)
 		return <-done
 	}
 }
--- a/internal/local/controllers.go
+++ b/internal/local/controllers.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/spawn"
+	"github.com/wallrack/wallrack/internal/subprocess"
 )
 
 // backAfter passes before a controller that ended is started again.
@@ -61,7 +61,7 @@
 
 // FreeAddrs finds loopback addresses that nobody listens on now.
 func FreeAddrs(n int) ([]string, error) {
-	ports, err := spawn.FreePorts(n)
+	ports, err := subprocess.FreePorts(n)
 	out := make([]string, len(ports))
 	for i, p := range ports {
 		out[i] = net.JoinHostPort("127.0.0.1", strconv.Itoa(p))
--- a/internal/spawn/spawn.go
+++ b/internal/subprocess/spawn.go
@@ -1,7 +1,7 @@
-// Package spawn starts child processes that do not outlive this one: the kernel
+// Package subprocess starts child processes that do not outlive this one: the kernel
 // ends a child when the thread that started it ends, so one thread starts all of
 // them and lives as long as the process.
-package spawn
+package subprocess
 
 import (
 	"fmt"
--- a/internal/worker/process.go
+++ b/internal/worker/process.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/spawn"
+	"github.com/wallrack/wallrack/internal/subprocess"
 	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -136,7 +136,7 @@
 	}
 	// Should another process take the port first, the task fails, and is started
 	// again with another.
-	ports, err := spawn.FreePorts(1)
+	ports, err := subprocess.FreePorts(1)
 	if err != nil {
 		return nil, err
 	}
@@ -244,7 +244,7 @@
 	if p.closed {
 		return errors.New("the worker is ending")
 	}
-	if err := spawn.Start(cmd); err != nil {
+	if err := subprocess.Start(cmd); err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
 	proc.pgid = cmd.Process.Pid
