--- a/internal/owner/lend.go
+++ b/internal/owner/lend.go
@@ -13,8 +13,8 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/lending"
 	"github.com/wallrack/wallrack/internal/matching"
+	"github.com/wallrack/wallrack/internal/quotalease"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -49,20 +49,20 @@
 	return ShardOf(job, teams, op.Shards)
 }
 
-func limitOf(t config.Team) lending.Amount { return lending.LimitOf(t.CPUsMax, t.GPUsMax) }
+func limitOf(t config.Team) quotalease.Amount { return quotalease.LimitOf(t.CPUsMax, t.GPUsMax) }
 
 // CheckLending reports an error if the records of lent limits may not hold all parts.
 func CheckLending(cfg *config.Platform, op *config.Operator) error {
 	if !Lends(op) {
 		return nil
 	}
-	limits := map[string]lending.Amount{}
+	limits := map[string]quotalease.Amount{}
 	for _, t := range cfg.Params.Teams {
 		if lends(t) {
 			limits[t.Name] = limitOf(t)
 		}
 	}
-	if err := lending.CheckSize(limits, op.Shards, valueBytes(cfg)); err != nil {
+	if err := quotalease.CheckSize(limits, op.Shards, valueBytes(cfg)); err != nil {
 		return fmt.Errorf("params.teams: %w", err)
 	}
 	return nil
@@ -71,7 +71,7 @@
 // lentTeam is what an owner knows of a team whose limit it borrows parts of.
 type lentTeam struct {
 	name string
-	side *lending.Borrower
+	side *quotalease.Borrower
 	use  map[int]matching.Shape // of all that may be on, by shard
 }
 
@@ -79,7 +79,7 @@
 	t.use[shard] = t.use[shard].Add(shape, sign)
 }
 
-func amountOf(s matching.Shape) lending.Amount { return lending.AmountOf(s.CPUs, s.GPUs) }
+func amountOf(s matching.Shape) quotalease.Amount { return quotalease.AmountOf(s.CPUs, s.GPUs) }
 
 // allows reports whether the tasks of a shard may use so much.
 func (t *team) allows(shard int, use matching.Shape) bool { return t.short(shard, use) == "" }
@@ -106,10 +106,10 @@
 
 // lender borrows parts of limits for the shards of this owner.
 type lender struct {
-	sides [lending.Records]*lending.Borrower // nil: the record holds no team
-	busy  [lending.Records]bool              // a request for it is under way
-	next  int                                // the record to begin the next round with
-	pace  *rate.Limiter                      // of writes
+	sides [quotalease.Records]*quotalease.Borrower // nil: the record holds no team
+	busy  [quotalease.Records]bool                 // a request for it is under way
+	next  int                                      // the record to begin the next round with
+	pace  *rate.Limiter                            // of writes
 	// unborrowed is the version of the latest log record, of any shard, that an owner wrote
 	// that did not lend.
 	unborrowed uint64
@@ -117,26 +117,26 @@
 }
 
 func newLender(cfg *config.Platform, op *config.Operator, teams map[string]*team) *lender {
-	limits := [lending.Records]map[string]lending.Amount{}
+	limits := [quotalease.Records]map[string]quotalease.Amount{}
 	for name, t := range teams {
 		if !lends(t.Team) {
 			continue
 		}
-		n := lending.RecordOf(name)
+		n := quotalease.RecordOf(name)
 		if limits[n] == nil {
-			limits[n] = map[string]lending.Amount{}
+			limits[n] = map[string]quotalease.Amount{}
 		}
 		limits[n][name] = limitOf(t.Team)
 	}
-	l := &lender{pace: rate.NewLimiter(rate.Limit(max(1, lendShare*cfg.Params.State.WriteRPS)), lending.Records), wake: make(chan struct{}, 1)}
+	l := &lender{pace: rate.NewLimiter(rate.Limit(max(1, lendShare*cfg.Params.State.WriteRPS)), quotalease.Records), wake: make(chan struct{}, 1)}
 	for n := range limits {
 		if limits[n] != nil {
-			l.sides[n] = lending.New(limits[n], op.Shards)
+			l.sides[n] = quotalease.New(limits[n], op.Shards)
 		}
 	}
 	for name, t := range teams {
 		if lends(t.Team) {
-			t.lent = &lentTeam{name: name, side: l.sides[lending.RecordOf(name)], use: map[int]matching.Shape{}}
+			t.lent = &lentTeam{name: name, side: l.sides[quotalease.RecordOf(name)], use: map[int]matching.Shape{}}
 		}
 	}
 	return l
@@ -217,7 +217,7 @@
 
 // watchLent follows the records.
 func (o *Owner) watchLent(ctx context.Context) {
-	o.store.Watch(ctx, lending.Prefix, 20*time.Second, func(items []wire.Item) {
+	o.store.Watch(ctx, quotalease.Prefix, 20*time.Second, func(items []wire.Item) {
 		for _, it := range items {
 			o.lentNews(it)
 		}
@@ -236,7 +236,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for n, side := range o.lender.sides {
-		if side != nil && lending.Key(n) == it.Key {
+		if side != nil && quotalease.Key(n) == it.Key {
 			if r, ok := o.readLent(it); ok {
 				o.heardLent(it.Key, side, func() { side.Observe(r, it.Version, it.Version) })
 			}
@@ -245,11 +245,11 @@
 }
 
 // readLent reads a record; one that can't be read is counted and said.
-func (o *Owner) readLent(it wire.Item) (lending.Record, bool) {
+func (o *Owner) readLent(it wire.Item) (quotalease.Record, bool) {
 	if it.Version == 0 {
-		return lending.Record{}, true
+		return quotalease.Record{}, true
 	}
-	r, err := lending.Parse(it.Value, o.op.Shards)
+	r, err := quotalease.Parse(it.Value, o.op.Shards)
 	if err != nil {
 		o.stats.LentRefused++
 		o.log.Error("record of lent limits refused", "key", it.Key, "err", err)
@@ -259,7 +259,7 @@
 }
 
 // heardLent has a side take a record, counts and says what it refused of it.
-func (o *Owner) heardLent(key string, side *lending.Borrower, take func()) {
+func (o *Owner) heardLent(key string, side *quotalease.Borrower, take func()) {
 	before := side.Unknown
 	take()
 	if n := side.Unknown - before; n > 0 {
@@ -281,8 +281,8 @@
 	now := time.Now()
 	needs := o.lentNeeds(now)
 	first := l.next
-	for i := range lending.Records {
-		n := (first + i) % lending.Records
+	for i := range quotalease.Records {
+		n := (first + i) % quotalease.Records
 		side := l.sides[n]
 		if side == nil || l.busy[n] {
 			continue
@@ -297,7 +297,7 @@
 			go o.rereadLent(ctx, n)
 			continue
 		}
-		w, ok := side.Plan(now, func(shard int, team string) lending.Need { return needs[lentKey{shard, team}] })
+		w, ok := side.Plan(now, func(shard int, team string) quotalease.Need { return needs[lentKey{shard, team}] })
 		if ok {
 			l.pace.Allow()
 			l.busy[n] = true
@@ -312,16 +312,16 @@
 }
 
 // lentNeeds is what this owner's shards need of the limits that are lent.
-func (o *Owner) lentNeeds(now time.Time) map[lentKey]lending.Need {
+func (o *Owner) lentNeeds(now time.Time) map[lentKey]quotalease.Need {
 	o.now = now
-	needs := map[lentKey]lending.Need{}
+	needs := map[lentKey]quotalease.Need{}
 	for _, t := range o.teams {
 		if t.lent == nil {
 			continue
 		}
 		for shard, use := range t.lent.use {
 			if a := amountOf(use); !a.Zero() {
-				needs[lentKey{shard, t.lent.name}] = lending.Need{Use: a, Demand: a}
+				needs[lentKey{shard, t.lent.name}] = quotalease.Need{Use: a, Demand: a}
 			}
 		}
 	}
@@ -357,14 +357,14 @@
 
 // writeLent carries out a write of a record. If nothing is heard of it, it is repeated as
 // it was.
-func (o *Owner) writeLent(ctx context.Context, n int, w lending.Write) {
-	guards := []wire.Guard{{Key: lending.Key(n), Version: w.Guard}}
+func (o *Owner) writeLent(ctx context.Context, n int, w quotalease.Write) {
+	guards := []wire.Guard{{Key: quotalease.Key(n), Version: w.Guard}}
 	for _, s := range slices.Sorted(maps.Keys(w.Shards)) {
 		guards = append(guards, wire.Guard{Key: o.member.ShardKey(s), Version: w.Shards[s]})
 	}
 	tctx, cancel := context.WithTimeout(ctx, txnTimeout)
 	defer cancel()
-	rev, err := o.store.Txn(tctx, guards, wire.Op{Put: lending.Key(n), Value: w.Record})
+	rev, err := o.store.Txn(tctx, guards, wire.Op{Put: quotalease.Key(n), Value: w.Record})
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.lender.busy[n] = false
@@ -378,7 +378,7 @@
 		side.Refused(w)
 		poke(o.lender.wake)
 	default:
-		o.log.Debug("no answer to a write of lent limits", "key", lending.Key(n), "err", err)
+		o.log.Debug("no answer to a write of lent limits", "key", quotalease.Key(n), "err", err)
 	}
 }
 
@@ -386,14 +386,14 @@
 func (o *Owner) rereadLent(ctx context.Context, n int) {
 	rctx, cancel := context.WithTimeout(ctx, txnTimeout)
 	defer cancel()
-	it, err := o.store.Get(rctx, lending.Key(n))
+	it, err := o.store.Get(rctx, quotalease.Key(n))
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.lender.busy[n] = false
 	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
 		return
 	}
-	it.Key = lending.Key(n)
+	it.Key = quotalease.Key(n)
 	if r, ok := o.readLent(it); ok {
 		side := o.lender.sides[n]
 		o.heardLent(it.Key, side, func() { side.Reread(r, it.Version, it.Version) })
--- a/internal/owner/recorded_test.go
+++ b/internal/owner/recorded_test.go
@@ -12,7 +12,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/lending"
+	"github.com/wallrack/wallrack/internal/quotalease"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -112,10 +112,10 @@
 
 // The rows of lent limits, as an owner writes them.
 func TestLentLimitsKeepTheirBytes(t *testing.T) {
-	recorded.CheckFull(t, "lent-full", lending.Record{Rows: []lending.Row{{Shard: 3, Term: 99,
-		Teams: map[string]lending.Entry{"vision": {Part: lending.Amount{8000, 1000}, Want: lending.Amount{16000, 2000}, Unit: lending.Amount{500, 250}}}}}})
-	recorded.Check(t, "lent-none", lending.Record{Rows: []lending.Row{{Shard: 0, Term: 1}}})
-	if first, last := lending.Key(0), lending.Key(lending.Records-1); lending.Prefix != "lent/" || first != "lent/00" || last != "lent/15" {
+	recorded.CheckFull(t, "lent-full", quotalease.Record{Rows: []quotalease.Row{{Shard: 3, Term: 99,
+		Teams: map[string]quotalease.Entry{"vision": {Part: quotalease.Amount{8000, 1000}, Want: quotalease.Amount{16000, 2000}, Unit: quotalease.Amount{500, 250}}}}}})
+	recorded.Check(t, "lent-none", quotalease.Record{Rows: []quotalease.Row{{Shard: 0, Term: 1}}})
+	if first, last := quotalease.Key(0), quotalease.Key(quotalease.Records-1); quotalease.Prefix != "lent/" || first != "lent/00" || last != "lent/15" {
 		t.Errorf("keys %s to %s", first, last)
 	}
 	if entry := lendMarkBytes(t, lendMark{}); entry != `{}` {
--- a/internal/lending/amount.go
+++ b/internal/quotalease/amount.go
@@ -1,4 +1,4 @@
-package lending
+package quotalease
 
 import "math"
 
--- a/internal/lending/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -1,4 +1,4 @@
-// Package lending divides the limits of teams among the shards of jobs, so that several
+// Package quotalease divides the limits of teams among the shards of jobs, so that several
 // owners can start tasks of one team and its limit holds whatever crashes, comes late or
 // is carried out twice.
 //
@@ -8,7 +8,7 @@
 //
 // A Borrower is one owner's side of one record, without any I/O. It is not safe for
 // concurrent use.
-package lending
+package quotalease
 
 import "time"
 
--- a/internal/lending/lending_test.go
+++ b/internal/quotalease/lending_test.go
@@ -1,4 +1,4 @@
-package lending_test
+package quotalease_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/goccy/go-json"
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/lending"
+	"github.com/wallrack/wallrack/internal/quotalease"
 )
 
 // TestPartsKeepTheLimitAndFollowDemand has owners borrow, start, end, crash, hand over and
@@ -51,7 +51,7 @@
 		{`{"rows":[{"shard":1,"term":7,"teams":{"a":[1,2,3,4,5,6,7]}}]}`, "7 numbers"},
 		{`{"rows":7}`, ""},
 	} {
-		if _, err := lending.Parse([]byte(c.data), shards); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := quotalease.Parse([]byte(c.data), shards); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want an error with %q", c.data, err, c.want)
 		}
 	}
@@ -63,7 +63,7 @@
 	f.Add([]byte(`{"rows":[{"shard":1,"term":7,"teams":{"a":[8000,0,9000,0,1000],"b":[0,1]}},{"shard":2,"term":2}]}`))
 	f.Add([]byte(`{"rows":[{"shard":1,"term":7,"teams":{"a":null}}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, err := lending.Parse(data, shards)
+		r, err := quotalease.Parse(data, shards)
 		if err != nil {
 			return
 		}
@@ -71,7 +71,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := lending.Parse(again, shards); err != nil {
+		if _, err := quotalease.Parse(again, shards); err != nil {
 			t.Fatalf("%v: %s, of %s", err, again, data)
 		}
 	})
@@ -82,11 +82,11 @@
 // are counted, and the unknown team's part stays as it is.
 func TestUnknownTermsAndTeamsAreRefusedAndCounted(t *testing.T) {
 	data := `{"rows":[{"shard":0,"term":9,"teams":{"a":[8000],"gone":[3000]}},{"shard":1,"term":2},{"shard":2,"term":2}]}`
-	r, err := lending.Parse([]byte(data), shards)
+	r, err := quotalease.Parse([]byte(data), shards)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := lending.New(limits, shards)
+	b := quotalease.New(limits, shards)
 	b.Own(map[int]uint64{0: 7, 1: 8}, 0)
 	b.Observe(r, 20, 20)
 	if b.Unknown != 2 {
@@ -95,22 +95,22 @@
 	if c := b.Ceiling(0, "a"); !c.Zero() {
 		t.Errorf("a stale owner may use %v", c)
 	}
-	w, ok := b.Plan(time.Now(), func(int, string) lending.Need { return lending.Need{} })
-	if !ok || w.Record.Rows[0].Term != 9 || w.Record.Rows[0].Teams["gone"].Part != (lending.Amount{3000}) {
+	w, ok := b.Plan(time.Now(), func(int, string) quotalease.Need { return quotalease.Need{} })
+	if !ok || w.Record.Rows[0].Term != 9 || w.Record.Rows[0].Teams["gone"].Part != (quotalease.Amount{3000}) {
 		t.Errorf("wrote %v %+v", ok, w.Record)
 	}
 }
 
 // TestCheckSize has as many teams and shards as fit, and more.
 func TestCheckSize(t *testing.T) {
-	many := map[string]lending.Amount{}
+	many := map[string]quotalease.Amount{}
 	for i := range 410 {
-		many[fmt.Sprintf("team-%03d", i)] = lending.LimitOf(640, 16)
+		many[fmt.Sprintf("team-%03d", i)] = quotalease.LimitOf(640, 16)
 	}
-	if err := lending.CheckSize(many, 6, 14745); err != nil {
+	if err := quotalease.CheckSize(many, 6, 14745); err != nil {
 		t.Error(err)
 	}
-	if err := lending.CheckSize(many, 64, 14745); err == nil || !strings.Contains(err.Error(), "64 shards") {
+	if err := quotalease.CheckSize(many, 64, 14745); err == nil || !strings.Contains(err.Error(), "64 shards") {
 		t.Errorf("64 shards: %v", err)
 	}
 }
@@ -119,24 +119,24 @@
 // that all want more than they have.
 func BenchmarkRound(b *testing.B) {
 	const shards = 6
-	var sides [lending.Records]*lending.Borrower
-	var all [lending.Records]map[string]lending.Amount
+	var sides [quotalease.Records]*quotalease.Borrower
+	var all [quotalease.Records]map[string]quotalease.Amount
 	for i := range 410 {
 		team := fmt.Sprintf("team-%03d", i)
-		n := lending.RecordOf(team)
+		n := quotalease.RecordOf(team)
 		if all[n] == nil {
-			all[n] = map[string]lending.Amount{}
+			all[n] = map[string]quotalease.Amount{}
 		}
-		all[n][team] = lending.LimitOf(64, 4)
+		all[n][team] = quotalease.LimitOf(64, 4)
 	}
-	need := lending.Need{Use: lending.AmountOf(10, 0), Demand: lending.AmountOf(64, 2), Unit: lending.AmountOf(1, 0)}
-	needs := func(int, string) lending.Need { return need }
+	need := quotalease.Need{Use: quotalease.AmountOf(10, 0), Demand: quotalease.AmountOf(64, 2), Unit: quotalease.AmountOf(1, 0)}
+	needs := func(int, string) quotalease.Need { return need }
 	now, version := time.Now(), uint64(100)
 	for n := range sides {
-		other := lending.New(all[n], shards)
+		other := quotalease.New(all[n], shards)
 		other.Own(map[int]uint64{3: 1, 4: 1, 5: 1}, 0)
 		w, _ := other.Plan(now, needs)
-		sides[n] = lending.New(all[n], shards)
+		sides[n] = quotalease.New(all[n], shards)
 		sides[n].Own(map[int]uint64{0: 2, 1: 2, 2: 2}, 0)
 		sides[n].Observe(w.Record, version, version)
 	}
--- a/internal/lending/liveness_test.go
+++ b/internal/quotalease/liveness_test.go
@@ -1,9 +1,9 @@
-package lending_test
+package quotalease_test
 
 import (
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/lending"
+	"github.com/wallrack/wallrack/internal/quotalease"
 )
 
 const (
@@ -64,7 +64,7 @@
 	for _, t := range w.tasks {
 		t.over = true
 	}
-	sizes := map[int]lending.Amount{}
+	sizes := map[int]quotalease.Amount{}
 	for _, s := range []int{first, second} {
 		sizes[s] = drawAmount(w.t, limits[team])
 		o := w.holder[s]
--- a/internal/lending/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -1,4 +1,4 @@
-package lending_test
+package quotalease_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/goccy/go-json"
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/lending"
+	"github.com/wallrack/wallrack/internal/quotalease"
 )
 
 const (
@@ -18,7 +18,7 @@
 )
 
 // limits of the teams in the record under test: of one kind, and of both.
-var limits = map[string]lending.Amount{"a": lending.LimitOf(8, 0), "b": lending.LimitOf(10, 4)}
+var limits = map[string]quotalease.Amount{"a": quotalease.LimitOf(8, 0), "b": quotalease.LimitOf(10, 4)}
 
 var teams = slices.Sorted(maps.Keys(limits))
 
@@ -26,7 +26,7 @@
 type task struct {
 	shard int
 	team  string
-	size  lending.Amount
+	size  quotalease.Amount
 	over  bool // it ended; its owner may not know yet
 }
 
@@ -34,28 +34,28 @@
 type sent struct {
 	from  *owner
 	call  int
-	write lending.Write
+	write quotalease.Write
 }
 
 // owner is a controller with its side of the record.
 type owner struct {
 	name   string
-	side   *lending.Borrower
+	side   *quotalease.Borrower
 	owns   map[int]uint64 // as far as it knows
 	counts map[*task]bool // what it counts as in use
-	demand map[string]lending.Amount
-	unit   map[string]lending.Amount
+	demand map[string]quotalease.Amount
+	unit   map[string]quotalease.Amount
 	call   int  // number of its last request
 	busy   bool // it waits for the answer
 }
 
 func (o *owner) restart() {
-	o.side = lending.New(limits, shards)
+	o.side = quotalease.New(limits, shards)
 	o.owns, o.counts, o.busy = map[int]uint64{}, map[*task]bool{}, false
 	o.call++
 }
 
-func (o *owner) use(shard int, team string) (sum lending.Amount) {
+func (o *owner) use(shard int, team string) (sum quotalease.Amount) {
 	for t := range o.counts {
 		if t.shard == shard && t.team == team {
 			sum = sum.Add(t.size)
@@ -66,14 +66,14 @@
 
 func place(shard int, team string) string { return fmt.Sprint(team, shard) }
 
-func (o *owner) need(shard int, team string) lending.Need {
+func (o *owner) need(shard int, team string) quotalease.Need {
 	use := o.use(shard, team)
-	return lending.Need{Use: use, Demand: use.Add(o.demand[place(shard, team)]), Unit: o.unit[place(shard, team)]}
+	return quotalease.Need{Use: use, Demand: use.Add(o.demand[place(shard, team)]), Unit: o.unit[place(shard, team)]}
 }
 
 // past is the record as it was at a revision.
 type past struct {
-	record            lending.Record
+	record            quotalease.Record
 	version, revision uint64
 }
 
@@ -97,7 +97,7 @@
 func newModel(t *rapid.T) *model {
 	w := &model{t: t, now: time.Unix(1e9, 0), keys: map[int]uint64{}, holder: map[int]*owner{}, history: []past{{}}}
 	for i := range owners {
-		o := &owner{name: fmt.Sprint("o", i), demand: map[string]lending.Amount{}, unit: map[string]lending.Amount{}}
+		o := &owner{name: fmt.Sprint("o", i), demand: map[string]quotalease.Amount{}, unit: map[string]quotalease.Amount{}}
 		o.restart()
 		w.owners = append(w.owners, o)
 	}
@@ -120,8 +120,8 @@
 	return w
 }
 
-func drawAmount(t *rapid.T, most lending.Amount) lending.Amount {
-	var a lending.Amount
+func drawAmount(t *rapid.T, most quotalease.Amount) quotalease.Amount {
+	var a quotalease.Amount
 	for k := range a {
 		if most[k] > 0 {
 			a[k] = 1000 * rapid.Int64Range(1, most[k]/1000).Draw(t, "amount")
@@ -137,14 +137,14 @@
 
 func (w *model) drawOwner() *owner { return rapid.SampledFrom(w.owners).Draw(w.t, "owner") }
 
-func (w *model) inUse(team string) (sum lending.Amount) {
+func (w *model) inUse(team string) (sum quotalease.Amount) {
 	for s := range shards {
 		sum = sum.Add(w.inUseOf(s, team))
 	}
 	return sum
 }
 
-func (w *model) inUseOf(shard int, team string) (sum lending.Amount) {
+func (w *model) inUseOf(shard int, team string) (sum quotalease.Amount) {
 	for _, t := range w.tasks {
 		if !t.over && t.shard == shard && t.team == team {
 			sum = sum.Add(t.size)
@@ -279,12 +279,12 @@
 }
 
 // copyOf passes a record through its form in the state service.
-func copyOf(t *rapid.T, r lending.Record) lending.Record {
+func copyOf(t *rapid.T, r quotalease.Record) quotalease.Record {
 	data, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := lending.Parse(data, shards)
+	out, err := quotalease.Parse(data, shards)
 	if err != nil {
 		t.Fatalf("%v: %s", err, data)
 	}
@@ -295,7 +295,7 @@
 
 // mayRun is what runs of a team in a shard, or would if its owner started at once all that
 // it may.
-func (w *model) mayRun(shard int, team string) lending.Amount {
+func (w *model) mayRun(shard int, team string) quotalease.Amount {
 	runs := w.inUseOf(shard, team)
 	o := w.holder[shard]
 	if o == nil || o.owns[shard] != w.keys[shard] {
@@ -310,7 +310,7 @@
 	r := w.last().record
 	complete, within := len(r.Rows) == shards, true
 	for _, team := range teams {
-		var sum, may lending.Amount
+		var sum, may quotalease.Amount
 		for s := range shards {
 			may = may.Add(w.mayRun(s, team))
 		}
@@ -366,7 +366,7 @@
 			o.unit[place(task.shard, task.team)] = task.size
 			o.demand[place(task.shard, task.team)] = drawAmount(w.t, limits[task.team])
 		}),
-		"no demand": act(func() { w.drawOwner().demand = map[string]lending.Amount{} }),
+		"no demand": act(func() { w.drawOwner().demand = map[string]quotalease.Amount{} }),
 		"all is well": act(func() {
 			for range rapid.IntRange(1, 4).Draw(w.t, "rounds") {
 				w.round()
--- a/internal/lending/recorded_test.go
+++ b/internal/quotalease/recorded_test.go
@@ -1,4 +1,4 @@
-package lending_test
+package quotalease_test
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/lending"
+	"github.com/wallrack/wallrack/internal/quotalease"
 )
 
 // checkRecorded reads a file of testdata/recorded, compares the value with want, and
@@ -32,38 +32,38 @@
 // Controllers of different versions share the records, so their form must not change. An
 // entry is an array of numbers, without the zeros at its end.
 func TestRecordedForms(t *testing.T) {
-	record := lending.Record{Rows: []lending.Row{
-		{Shard: 0, Term: 41, Teams: map[string]lending.Entry{
-			"risk":    {Part: lending.Amount{8000, 1000}, Want: lending.Amount{64500, 8000}, Unit: lending.Amount{500, 250}},
-			"pricing": {Part: lending.Amount{2000, 0}, Want: lending.Amount{4000, 0}, Unit: lending.Amount{1000, 0}},
+	record := quotalease.Record{Rows: []quotalease.Row{
+		{Shard: 0, Term: 41, Teams: map[string]quotalease.Entry{
+			"risk":    {Part: quotalease.Amount{8000, 1000}, Want: quotalease.Amount{64500, 8000}, Unit: quotalease.Amount{500, 250}},
+			"pricing": {Part: quotalease.Amount{2000, 0}, Want: quotalease.Amount{4000, 0}, Unit: quotalease.Amount{1000, 0}},
 		}},
-		{Shard: 3, Term: 9007199254740993, Teams: map[string]lending.Entry{
-			"gpus": {Part: lending.Amount{0, 2000}},
+		{Shard: 3, Term: 9007199254740993, Teams: map[string]quotalease.Entry{
+			"gpus": {Part: quotalease.Amount{0, 2000}},
 			"none": {},
-			"part": {Part: lending.Amount{2000, 0}},
-			"want": {Want: lending.Amount{1, 0}},
+			"part": {Part: quotalease.Amount{2000, 0}},
+			"want": {Want: quotalease.Amount{1, 0}},
 		}},
 		{Shard: 4, Term: 42},
 	}}
 	checkRecorded(t, "lent.json", record)
-	checkRecorded(t, "lent_least.json", lending.Record{})
-	checkRecorded(t, "lent_no_rows.json", lending.Record{Rows: []lending.Row{}})
+	checkRecorded(t, "lent_least.json", quotalease.Record{})
+	checkRecorded(t, "lent_no_rows.json", quotalease.Record{Rows: []quotalease.Row{}})
 	text, err := json.Marshal(record)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if parsed, err := lending.Parse(text, 5); err != nil || !reflect.DeepEqual(parsed, record) {
+	if parsed, err := quotalease.Parse(text, 5); err != nil || !reflect.DeepEqual(parsed, record) {
 		t.Errorf("parsed as %+v, %v; want %+v", parsed, err, record)
 	}
 }
 
 // A team whose record moved would be lent twice.
 func TestRecordedKeys(t *testing.T) {
-	if lending.Prefix != "lent/" || lending.Key(0) != "lent/00" || lending.Key(15) != "lent/15" || lending.Records != 16 {
-		t.Errorf("prefix %q, keys %q to %q, %d records", lending.Prefix, lending.Key(0), lending.Key(15), lending.Records)
+	if quotalease.Prefix != "lent/" || quotalease.Key(0) != "lent/00" || quotalease.Key(15) != "lent/15" || quotalease.Records != 16 {
+		t.Errorf("prefix %q, keys %q to %q, %d records", quotalease.Prefix, quotalease.Key(0), quotalease.Key(15), quotalease.Records)
 	}
 	for team, want := range map[string]int{"": 5, "risk": 10, "pricing": 13, "équipe": 9} {
-		if got := lending.RecordOf(team); got != want {
+		if got := quotalease.RecordOf(team); got != want {
 			t.Errorf("team %q is in record %d, want %d", team, got, want)
 		}
 	}
@@ -71,7 +71,7 @@
 
 // Amounts are recorded in thousandths: CPUs first, then GPUs.
 func TestRecordedAmounts(t *testing.T) {
-	if used, limit := lending.AmountOf(1.2345, 2), lending.LimitOf(1.2345, 2); used != (lending.Amount{1235, 2000}) || limit != (lending.Amount{1234, 2000}) {
+	if used, limit := quotalease.AmountOf(1.2345, 2), quotalease.LimitOf(1.2345, 2); used != (quotalease.Amount{1235, 2000}) || limit != (quotalease.Amount{1234, 2000}) {
 		t.Errorf("1.2345 CPUs and 2 GPUs: in use %v, as a limit %v", used, limit)
 	}
 }
--- a/internal/lending/seed_test.go
+++ b/internal/quotalease/seed_test.go
@@ -1,4 +1,4 @@
-package lending_test
+package quotalease_test
 
 import "flag"
 
--- a/internal/testkit/lent_limits_test.go
+++ b/internal/testkit/lent_limits_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/lending"
 	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/quotalease"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -119,7 +119,7 @@
 }
 
 func (c *teamCluster) lentRecords() (out []string) {
-	for _, key := range c.store.Keys(lending.Prefix) {
+	for _, key := range c.store.Keys(quotalease.Prefix) {
 		out = append(out, key+" "+c.store.Text(key))
 	}
 	return out
@@ -128,7 +128,7 @@
 // lentTo is how many CPUs of a team's limit the shards of an owner have.
 func (c *teamCluster) lentTo(at, team string) (cpus float64) {
 	c.t.Helper()
-	record, err := lending.Parse([]byte(c.store.Text(lending.Key(lending.RecordOf(team)))), c.operator().Shards)
+	record, err := quotalease.Parse([]byte(c.store.Text(quotalease.Key(quotalease.RecordOf(team)))), c.operator().Shards)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -222,7 +222,7 @@
 				c.mu.Lock()
 				c.delay = func(n *node, t wire.Txn) (time.Duration, func(error)) {
 					for _, op := range t.Then {
-						if n.name == owners[0] && strings.HasPrefix(op.Put, lending.Prefix) {
+						if n.name == owners[0] && strings.HasPrefix(op.Put, quotalease.Prefix) {
 							held++
 							return by, func(error) {}
 						}
