--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -31,7 +31,7 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/usage"
-	"github.com/wallrack/wallrack/internal/views"
+	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
 // memoryShare is the part of the memory limit that the runtime aims to stay
@@ -85,7 +85,7 @@
 	orders := dispatch.NewHTTPOrderer(budget)
 	inbound.share(budget, orders)
 	n.holder = dispatch.New(ctx, p.Node, config.Seconds(p.Params.Workers.LeaseS), n, member, catalog, n, orders, log)
-	n.published, n.pictures = views.NewPublisher(p.Node, n.holder), views.NewReceiver(n.owner, slices.Collect(maps.Keys(addrs)))
+	n.published, n.pictures = viewsync.NewPublisher(p.Node, n.holder), viewsync.NewReceiver(n.owner, slices.Collect(maps.Keys(addrs)))
 	n.intake = submission.New(p, op, store, n.owner, catalog, n, log)
 	n.owner.Cancels, n.holder.Cancels, n.intake.Cancels = n.cancels, n.cancels, n.cancels
 	boxes := fleet.New(p, op, cloud, catalog, store, member, &allOwners{n: n, ctx: ctx}, n.holder, log)
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -16,7 +16,7 @@
 	"github.com/wallrack/wallrack/internal/recovery"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/submission"
-	"github.com/wallrack/wallrack/internal/views"
+	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
 const (
@@ -63,8 +63,8 @@
 	intake *submission.Intake
 	times  *recovery.Timeline
 
-	published *views.Publisher
-	pictures  *views.Receiver
+	published *viewsync.Publisher
+	pictures  *viewsync.Receiver
 
 	cancels     *cancellation.Register
 	tellCancels chan struct{} // there is news for the peers
--- a/cmd/wallrack/publish.go
+++ b/cmd/wallrack/publish.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/usage"
-	"github.com/wallrack/wallrack/internal/views"
+	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
 // An owner has so long for a message about machines: at first the least, then twice what it
@@ -22,10 +22,10 @@
 
 // handleViews takes what holders elsewhere publish.
 func (n *node) handleViews() {
-	mesh.Handle(n.mesh, methodPublish, func(_ context.Context, m *views.Message) (*views.Reply, error) {
+	mesh.Handle(n.mesh, methodPublish, func(_ context.Context, m *viewsync.Message) (*viewsync.Reply, error) {
 		defer usage.Count(usage.Peers, time.Now())
 		reply, err := n.pictures.Take(m)
-		if errors.Is(err, views.ErrMalformed) {
+		if errors.Is(err, viewsync.ErrMalformed) {
 			usage.Note(usage.MalformedViews)
 			n.log.Info("views refused", "holder", m.Holder, "err", err)
 		}
@@ -39,7 +39,7 @@
 	defer tick.Stop()
 	started := time.Now()
 	owned := false
-	var turns views.Turns
+	var turns viewsync.Turns
 	var within patience
 	for {
 		select {
@@ -99,7 +99,7 @@
 		}
 		sent, limit := time.Now(), within.get(owner)
 		pctx, cancel := context.WithTimeout(ctx, limit)
-		reply, err := call[views.Message, views.Reply](pctx, n, owner, methodPublish, m)
+		reply, err := call[viewsync.Message, viewsync.Reply](pctx, n, owner, methodPublish, m)
 		cancel()
 		within.set(owner, 2*time.Since(sent))
 		if err != nil {
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -25,7 +25,7 @@
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/testkit"
-	"github.com/wallrack/wallrack/internal/views"
+	"github.com/wallrack/wallrack/internal/viewsync"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -136,10 +136,10 @@
 	underWay sync.WaitGroup  // of those
 
 	started   time.Time
-	published *views.Publisher
-	pictures  *views.Receiver
+	published *viewsync.Publisher
+	pictures  *viewsync.Receiver
 
-	publishing views.Turns
+	publishing viewsync.Turns
 }
 
 var errCut = errors.New("cut off")
@@ -183,7 +183,7 @@
 	n.owner.KeepSlots = 4 // so that records are written over, and chunks saved
 	n.owner.Accounts, n.owner.Others = w.accounts, n
 	n.holder = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
-	n.started, n.published, n.pictures = time.Now(), views.NewPublisher(name, n.holder), views.NewReceiver(n.owner, w.others(name))
+	n.started, n.published, n.pictures = time.Now(), viewsync.NewPublisher(name, n.holder), viewsync.NewReceiver(n.owner, w.others(name))
 	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.Held)
 	n.reg.Fresh = func(uids []string) { n.knows.learn(uids); go n.holder.Recall() }
 	n.owner.Cancels, n.holder.Cancels = n.reg, n.reg
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/testkit"
-	"github.com/wallrack/wallrack/internal/views"
+	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
 // peer is another controller, if a message comes through to it now.
@@ -149,7 +149,7 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), publishWithin)
-		reply, err := overLink(ctx, n.w, func() (views.Reply, error) { return n.w.carryViews(n, to, m) })
+		reply, err := overLink(ctx, n.w, func() (viewsync.Reply, error) { return n.w.carryViews(n, to, m) })
 		cancel()
 		if err != nil {
 			return
@@ -159,26 +159,26 @@
 }
 
 // carryViews takes a message to a peer, and its reply back, as they travel.
-func (w *cluster) carryViews(from, to *node, m *views.Message) (views.Reply, error) {
+func (w *cluster) carryViews(from, to *node, m *viewsync.Message) (viewsync.Reply, error) {
 	if w.loseViews != nil && w.loseViews(from, to) {
-		return views.Reply{}, errCut
+		return viewsync.Reply{}, errCut
 	}
 	data, err := json.Marshal(m)
 	if err != nil {
 		w.fail("%s's views can't be encoded: %v", from.name, err)
-		return views.Reply{}, err
+		return viewsync.Reply{}, err
 	}
-	var arrived views.Message
+	var arrived viewsync.Message
 	if err := json.Unmarshal(data, &arrived); err != nil {
 		w.fail("%s's views can't be decoded: %v", from.name, err)
-		return views.Reply{}, err
+		return viewsync.Reply{}, err
 	}
 	reply, err := to.pictures.Take(&arrived)
-	if errors.Is(err, views.ErrMalformed) {
+	if errors.Is(err, viewsync.ErrMalformed) {
 		w.fail("%s refused %s's views: %v", to.name, from.name, err)
 	}
 	if w.loseViews != nil && w.loseViews(to, from) {
-		return views.Reply{}, errCut
+		return viewsync.Reply{}, errCut
 	}
 	return reply, nil
 }
--- a/internal/views/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -1,4 +1,4 @@
-// Package views carries what a holder publishes of its machines to owners elsewhere: only
+// Package viewsync carries what a holder publishes of its machines to owners elsewhere: only
 // what changed since what the owner has acknowledged. It holds the state machines of both
 // ends and does no input or output.
 //
@@ -8,7 +8,7 @@
 // message of an earlier stream, or life, of either end, however late, changes nothing. An
 // owner that does not know the stream, has restarted, or has taken jobs over anew, says
 // so, and a new stream begins.
-package views
+package viewsync
 
 import (
 	"math/rand/v2"
--- a/internal/views/stream_test.go
+++ b/internal/viewsync/stream_test.go
@@ -1,4 +1,4 @@
-package views
+package viewsync
 
 import (
 	"fmt"
