--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -15,10 +15,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/wallrack/wallrack/internal/alert"
+	"github.com/wallrack/wallrack/internal/autoscaler"
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
-	"github.com/wallrack/wallrack/internal/fleet"
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
@@ -71,8 +71,8 @@
 	st := p.Params.State
 	store := statestore.New(p.Endpoints.State, st.RPS, st.WriteRPS, st.TxnOps)
 	member := membership.New(statestore.Urgently{Client: store}, p.Node, config.Seconds(op.LeaseS), op.Shards, op.Spread, log)
-	cloud := fleet.NewCloud(p.Endpoints.Cloud, p.Params.Cloud.RPS)
-	catalog := fleet.NewCatalog(cloud, store, log)
+	cloud := autoscaler.NewCloud(p.Endpoints.Cloud, p.Params.Cloud.RPS)
+	catalog := autoscaler.NewCatalog(cloud, store, log)
 
 	g, ctx := errgroup.WithContext(ctx)
 	n := &node{ctx: ctx, cfg: p, op: op, store: store, member: member, cloud: cloud, mesh: peers, log: log}
@@ -88,7 +88,7 @@
 	n.published, n.pictures = viewsync.NewPublisher(p.Node, n.holder), viewsync.NewReceiver(n.owner, slices.Collect(maps.Keys(addrs)))
 	n.intake = submission.New(p, op, store, n.owner, catalog, n, log)
 	n.owner.Cancels, n.holder.Cancels, n.intake.Cancels = n.cancels, n.cancels, n.cancels
-	boxes := fleet.New(p, op, cloud, catalog, store, member, &allOwners{n: n, ctx: ctx}, n.holder, log)
+	boxes := autoscaler.New(p, op, cloud, catalog, store, member, &allOwners{n: n, ctx: ctx}, n.holder, log)
 	alerts := alert.New(p.Params.Objectives, n.owner, log)
 	lis, err := mesh.Listen(ctx, p.Listen)
 	if err != nil {
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -6,10 +6,10 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/autoscaler"
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
-	"github.com/wallrack/wallrack/internal/fleet"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
@@ -55,7 +55,7 @@
 	op     *config.Operator
 	store  *statestore.Client
 	member *membership.Member
-	cloud  *fleet.Cloud
+	cloud  *autoscaler.Cloud
 	mesh   *mesh.Mesh
 	log    *slog.Logger
 	owner  *owner.Owner
--- a/internal/fleet/cloud.go
+++ b/internal/autoscaler/cloud.go
@@ -1,6 +1,6 @@
-// Package fleet rents and returns machines. One controller does so at a time:
+// Package autoscaler rents and returns machines. One controller does so at a time:
 // the one that owns the first shard.
-package fleet
+package autoscaler
 
 import (
 	"bytes"
--- a/internal/fleet/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"context"
--- a/internal/fleet/keys.go
+++ b/internal/autoscaler/keys.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 // Keys in the state service.
 const (
--- a/internal/testkit/rented_cluster_test.go
+++ b/internal/testkit/rented_cluster_test.go
@@ -16,8 +16,8 @@
 	"github.com/goccy/go-json"
 	"go.etcd.io/bbolt"
 
+	"github.com/wallrack/wallrack/internal/autoscaler"
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/fleet"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/standin"
 	"github.com/wallrack/wallrack/internal/testkit"
@@ -162,9 +162,9 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	cloud := fleet.NewCloudOver(&cloudLink{c, n}, "cloud", c.cfg.Params.Cloud.RPS)
-	catalog := fleet.NewCatalog(cloud, n.view, log)
-	f := fleet.New(c.cfg, op, cloud, catalog, n.view, n.member, fleetOwner{c, n.owner}, n.holder, log)
+	cloud := autoscaler.NewCloudOver(&cloudLink{c, n}, "cloud", c.cfg.Params.Cloud.RPS)
+	catalog := autoscaler.NewCatalog(cloud, n.view, log)
+	f := autoscaler.New(c.cfg, op, cloud, catalog, n.view, n.member, fleetOwner{c, n.owner}, n.holder, log)
 	return []func(context.Context) error{
 		f.Run,
 		func(ctx context.Context) error { return catalog.Run(ctx, n.owner.Leads) },
