--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -14,7 +14,6 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"github.com/wallrack/wallrack/internal/alert"
 	"github.com/wallrack/wallrack/internal/autoscaler"
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
@@ -26,6 +25,7 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/recovery"
 	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/slo"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/sockets"
 	"github.com/wallrack/wallrack/internal/statestore"
@@ -89,7 +89,7 @@
 	n.intake = submission.New(p, op, store, n.owner, catalog, n, log)
 	n.owner.Cancels, n.holder.Cancels, n.intake.Cancels = n.cancels, n.cancels, n.cancels
 	boxes := autoscaler.New(p, op, cloud, catalog, store, member, &allOwners{n: n, ctx: ctx}, n.holder, log)
-	alerts := alert.New(p.Params.Objectives, n.owner, log)
+	alerts := slo.New(p.Params.Objectives, n.owner, log)
 	lis, err := mesh.Listen(ctx, p.Listen)
 	if err != nil {
 		return fmt.Errorf("serve_on: %w", err)
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -15,12 +15,12 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/alert"
 	"github.com/wallrack/wallrack/internal/client"
 	"github.com/wallrack/wallrack/internal/lowerbound"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/slo"
 	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/usage"
@@ -34,7 +34,7 @@
 
 // What operators are answered, with every field there.
 func TestRecordedAnswers(t *testing.T) {
-	compareAnswer[alert.Alert](t, "alert.json")
+	compareAnswer[slo.Alert](t, "alert.json")
 	compareAnswer[reachability.Shown](t, "links.json")
 	compareAnswer[[]wire.MachineInfo](t, "machines.json")
 	compareAnswer[owner.Stats](t, "counters.json")
--- a/internal/alert/alert.go
+++ b/internal/slo/alert.go
@@ -1,7 +1,7 @@
-// Package alert tells on-call when a job of a class waits past its aim or
+// Package slo tells on-call when a job of a class waits past its aim or
 // misses its deadline: once per occurrence, with a plain message that support
 // or sales can pass on, and a clear when it is over.
-package alert
+package slo
 
 import (
 	"context"
--- a/internal/alert/alert_test.go
+++ b/internal/slo/alert_test.go
@@ -1,4 +1,4 @@
-package alert_test
+package slo_test
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/alert"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/slo"
 )
 
 type jobs struct {
@@ -33,13 +33,13 @@
 func TestMissedAimIsPagedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		j := &jobs{}
-		a := alert.New([]config.Objective{{Kind: "wait", Class: "c", WithinS: 2}, {Kind: "finished", Class: "c", WithinS: 5}}, j, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		a := slo.New([]config.Objective{{Kind: "wait", Class: "c", WithinS: 2}, {Kind: "finished", Class: "c", WithinS: 5}}, j, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); _ = a.Run(ctx) }()
 		mux := http.NewServeMux()
 		a.Register(mux)
-		look := func() (out struct{ Open, Past []alert.Alert }) {
+		look := func() (out struct{ Open, Past []slo.Alert }) {
 			time.Sleep(1500 * time.Millisecond)
 			w := httptest.NewRecorder()
 			mux.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/ops/alerts", nil))
--- a/internal/alert/recorded_test.go
+++ b/internal/slo/recorded_test.go
@@ -1,4 +1,4 @@
-package alert_test
+package slo_test
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/wallrack/wallrack/internal/alert"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/slo"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
@@ -38,7 +38,7 @@
 			{UID: "j-3", Class: "nightly", Age: 45 * time.Second, Tasks: 3, Started: 3, Done: 2, DueS: &due},
 		}
 		aims := []config.Objective{{Kind: "wait", Class: "quick", WithinS: 2}, {Kind: "finished", Class: "batch", WithinS: 5}, {Kind: "deadline", Class: "nightly", Times: 2}}
-		a := alert.New(aims, j, slog.New(slog.NewTextHandler(&log, nil)))
+		a := slo.New(aims, j, slog.New(slog.NewTextHandler(&log, nil)))
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); _ = a.Run(ctx) }()
