--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -18,12 +18,12 @@
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/failovertiming"
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/reachability"
-	"github.com/wallrack/wallrack/internal/recovery"
 	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/slo"
 	"github.com/wallrack/wallrack/internal/slurmapi"
@@ -105,7 +105,7 @@
 	n.links.ears = func() reachability.Ears {
 		return reachability.Ears{Refused: usage.Noted(usage.RefusedConnections), Late: meter.Late()}
 	}
-	n.times = recovery.New(n.owner, config.Seconds(p.Params.Workers.LeaseS), log)
+	n.times = failovertiming.New(n.owner, config.Seconds(p.Params.Workers.LeaseS), log)
 	member.OnChange(n.owner.Changed)
 	member.OnChange(n.standing)
 	member.OnChange(n.links.changed)
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -10,10 +10,10 @@
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/failovertiming"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/owner"
-	"github.com/wallrack/wallrack/internal/recovery"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/viewsync"
@@ -61,7 +61,7 @@
 	owner  *owner.Owner
 	holder *dispatch.Holder
 	intake *submission.Intake
-	times  *recovery.Timeline
+	times  *failovertiming.Timeline
 
 	published *viewsync.Publisher
 	pictures  *viewsync.Receiver
@@ -127,9 +127,9 @@
 		n.times.Lost()
 		return
 	}
-	n.times.Mark(recovery.Joined)
+	n.times.Mark(failovertiming.Joined)
 	if len(n.member.Own()) > 0 {
-		n.times.Mark(recovery.Claimed)
+		n.times.Mark(failovertiming.Claimed)
 	} else if last := n.lastStart.Swap(0); last != 0 {
 		n.log.Info("owns no jobs any more", "last_start_s", time.Since(time.Unix(0, last)).Seconds())
 	}
@@ -138,7 +138,7 @@
 // Observe hands a view to the owner in this process; peers get theirs by
 // publish.
 func (n *node) Observe(v dispatch.View) {
-	n.times.Mark(recovery.Heard)
+	n.times.Mark(failovertiming.Heard)
 	if v.Asked && n.links.spreading.Load() {
 		// The worker reports to its own holder, which is to command it: two that took
 		// turns would each have to raise its term above the other's.
@@ -151,7 +151,7 @@
 func (n *node) GrantHere(r dispatch.GrantRequest) dispatch.GrantReply {
 	rep := n.owner.GrantHere(r)
 	if rep.OK {
-		n.times.Mark(recovery.Granted)
+		n.times.Mark(failovertiming.Granted)
 		n.started()
 	}
 	return rep
--- a/cmd/wallrack/roles.go
+++ b/cmd/wallrack/roles.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/failovertiming"
 	"github.com/wallrack/wallrack/internal/mesh"
-	"github.com/wallrack/wallrack/internal/recovery"
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
@@ -61,7 +61,7 @@
 func (n *node) Up() bool {
 	up := n.member.Term() != 0 && n.links.now().Up()
 	if up {
-		n.times.Mark(recovery.Up)
+		n.times.Mark(failovertiming.Up)
 	}
 	return up
 }
--- a/internal/recovery/recovery.go
+++ b/internal/failovertiming/recovery.go
@@ -1,8 +1,8 @@
-// Package recovery times what follows a start or a takeover: the seconds until
+// Package failovertiming times what follows a start or a takeover: the seconds until
 // this controller is up, holds its lease, owns jobs, has read them, hears
 // workers, grants a start, and has heard every machine that tasks may be on.
 // Operators read off it what a restart costs and which part is the longest.
-package recovery
+package failovertiming
 
 import (
 	"context"
--- a/internal/recovery/recovery_test.go
+++ b/internal/failovertiming/recovery_test.go
@@ -1,4 +1,4 @@
-package recovery_test
+package failovertiming_test
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/recovery"
+	"github.com/wallrack/wallrack/internal/failovertiming"
 )
 
 // books are an owner's counts, which the timeline reads while the test changes them.
@@ -31,7 +31,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		b := &books{machines: 100, silent: 100}
-		tl := recovery.New(b, 44*time.Second, slog.New(slog.NewTextHandler(&out, nil)))
+		tl := failovertiming.New(b, 44*time.Second, slog.New(slog.NewTextHandler(&out, nil)))
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = tl.Run(ctx) }()
@@ -42,15 +42,15 @@
 			defer b.mu.Unlock()
 			f()
 		}
-		step(time.Second, func() { tl.Mark(recovery.Joined); tl.Mark(recovery.Up) })
-		step(time.Second, func() { tl.Mark(recovery.Claimed) })
+		step(time.Second, func() { tl.Mark(failovertiming.Joined); tl.Mark(failovertiming.Up) })
+		step(time.Second, func() { tl.Mark(failovertiming.Claimed) })
 		step(time.Second, func() { b.takeovers = 1 })
-		step(time.Second, func() { tl.Mark(recovery.Heard); tl.Mark(recovery.Heard); b.silent = 40 })
-		step(time.Second, func() { tl.Mark(recovery.Granted); b.silent = 4 })
+		step(time.Second, func() { tl.Mark(failovertiming.Heard); tl.Mark(failovertiming.Heard); b.silent = 40 })
+		step(time.Second, func() { tl.Mark(failovertiming.Granted); b.silent = 4 })
 		step(time.Second, func() { b.silent = 0 })
 		step(time.Second, func() {})
 		last := tl.Last()
-		for p, want := range map[recovery.Phase]float64{recovery.Up: 1, recovery.Claimed: 2, recovery.Read: 3, recovery.Heard: 4, recovery.Half: 4, recovery.Granted: 5, recovery.Most: 5, recovery.All: 6} {
+		for p, want := range map[failovertiming.Phase]float64{failovertiming.Up: 1, failovertiming.Claimed: 2, failovertiming.Read: 3, failovertiming.Heard: 4, failovertiming.Half: 4, failovertiming.Granted: 5, failovertiming.Most: 5, failovertiming.All: 6} {
 			if got := last[p.String()]; got < want || got > want+0.2 {
 				t.Errorf("%s after %.2f s, not %.0f", p, got, want)
 			}
@@ -58,9 +58,9 @@
 		if n := strings.Count(out.String(), "msg=recovered"); n != 1 {
 			t.Errorf("%d lines: %s", n, out.String())
 		}
-		step(time.Hour, func() { b.takeovers, b.silent = 2, 100; tl.Mark(recovery.Claimed) })
+		step(time.Hour, func() { b.takeovers, b.silent = 2, 100; tl.Mark(failovertiming.Claimed) })
 		step(time.Second, func() { tl.Lost() })
-		step(time.Minute, func() { b.silent = 100; tl.Mark(recovery.Claimed) })
+		step(time.Minute, func() { b.silent = 100; tl.Mark(failovertiming.Claimed) })
 		step(time.Minute, func() {})
 		if n := strings.Count(out.String(), "msg=recovered"); n != 2 {
 			t.Errorf("%d lines after a loss and one that never ends: %s", n, out.String())
