--- a/cmd/wallrack/cancels.go
+++ b/cmd/wallrack/cancels.go
@@ -6,7 +6,7 @@
 
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/mesh"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
@@ -126,7 +126,7 @@
 		}
 		sent := time.Now()
 		rctx, cancel := context.WithTimeout(statestore.In(ctx, statestore.Urgent), 5*time.Second)
-		uids, err := owner.Cancelled(rctx, n.store)
+		uids, err := scheduler.Cancelled(rctx, n.store)
 		cancel()
 		if err != nil {
 			n.log.Debug("cancels not read", "err", err)
--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -22,9 +22,9 @@
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
-	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/slo"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/sockets"
@@ -79,7 +79,7 @@
 	n.links.init(n)
 	n.cancels = cancellation.New(slices.Collect(maps.Keys(addrs)), config.Seconds(p.Params.Workers.CancelS), member.Held)
 	n.cancels.Fresh, n.cancels.News, n.tellCancels = n.recall, n.cancelNews, make(chan struct{}, 1)
-	n.owner = owner.New(p, op, store, member, n, catalog, log)
+	n.owner = scheduler.New(p, op, store, member, n, catalog, log)
 	inbound := &door{}
 	budget := sockets.Budget{Limit: p.Params.Limits.Sockets, Peers: len(p.Peers), Accepted: inbound.count}
 	orders := dispatch.NewHTTPOrderer(budget)
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/failovertiming"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/viewsync"
@@ -58,7 +58,7 @@
 	cloud  *autoscaler.Cloud
 	mesh   *mesh.Mesh
 	log    *slog.Logger
-	owner  *owner.Owner
+	owner  *scheduler.Owner
 	holder *dispatch.Holder
 	intake *submission.Intake
 	times  *failovertiming.Timeline
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -17,9 +17,9 @@
 
 	"github.com/wallrack/wallrack/internal/client"
 	"github.com/wallrack/wallrack/internal/lowerbound"
-	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/slo"
 	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
@@ -37,8 +37,8 @@
 	compareAnswer[slo.Alert](t, "alert.json")
 	compareAnswer[reachability.Shown](t, "links.json")
 	compareAnswer[[]wire.MachineInfo](t, "machines.json")
-	compareAnswer[owner.Stats](t, "counters.json")
-	compareAnswer[owner.Served](t, "served.json")
+	compareAnswer[scheduler.Stats](t, "counters.json")
+	compareAnswer[scheduler.Served](t, "served.json")
 	compareAnswer[usage.Reading](t, "usage.json")
 	compareAnswer[rollout.JobSeen](t, "rollout-job.json")
 	compareAnswer[wire.JobState](t, "job-state.json")
--- a/cmd/wallrack/rollouts.go
+++ b/cmd/wallrack/rollouts.go
@@ -13,8 +13,8 @@
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/mesh"
-	"github.com/wallrack/wallrack/internal/owner"
 	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -38,12 +38,12 @@
 
 // Submit implements rollout.Core.
 func (c rolloutCore) Submit(ctx context.Context, job *wire.Job, guards ...wire.Guard) error {
-	if _, err := owner.Stored(ctx, c.n.store, job.UID); err == nil {
+	if _, err := scheduler.Stored(ctx, c.n.store, job.UID); err == nil {
 		return nil
 	} else if !errors.Is(err, statestore.ErrNotFound) {
 		return err
 	}
-	shard := owner.HomeOf(job, c.n.cfg.Params.Teams, c.n.op)
+	shard := scheduler.HomeOf(job, c.n.cfg.Params.Teams, c.n.op)
 	at := time.Now().UnixMilli()
 	var t *jobspec.Terms
 	if book := c.n.intake.Numbers; book != nil {
@@ -53,7 +53,7 @@
 		}
 		t = &jobspec.Terms{Number: number, Name: job.Class}
 	}
-	accept, ops := owner.AcceptTxn(job, t, shard, at)
+	accept, ops := scheduler.AcceptTxn(job, t, shard, at)
 	rev, err := c.n.store.Txn(ctx, append(accept, guards...), ops...)
 	if err != nil {
 		return err
--- a/cmd/wallrack/slurm.go
+++ b/cmd/wallrack/slurm.go
@@ -8,7 +8,7 @@
 	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/mesh"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 )
 
@@ -77,7 +77,7 @@
 			return rep.Facts, nil
 		}
 	}
-	return owner.StoredFacts(ctx, n.store, uid)
+	return scheduler.StoredFacts(ctx, n.store, uid)
 }
 
 // Earlier asks the other owners; one that does not answer may have such a job.
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -29,7 +29,7 @@
 // Owner is what the fleet needs of the jobs' owner.
 type Owner interface {
 	Ready() bool
-	Demand(boot float64) ([]owner.Demand, []owner.Load)
+	Demand(boot float64) ([]scheduler.Demand, []scheduler.Load)
 	Admitted() float64
 	// Suspects names the machines to be returned that are lost, and why.
 	Suspects() map[string]string
@@ -70,7 +70,7 @@
 	draining time.Time
 	closing  bool // takes no new work
 	stage    string
-	load     *owner.Load
+	load     *scheduler.Load
 }
 
 // refusal is when an offer was refused, and how many of it were had then.
@@ -260,7 +260,7 @@
 }
 
 // tell logs the fleet's state now and then.
-func (f *Fleet) tell(now time.Time, demand []owner.Demand, loads []owner.Load) {
+func (f *Fleet) tell(now time.Time, demand []scheduler.Demand, loads []scheduler.Load) {
 	if now.Sub(f.toldAt) < tellEvery {
 		return
 	}
--- a/internal/autoscaler/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/matching"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -26,8 +26,8 @@
 	return New(&config.Platform{}, &config.Operator{SilentS: 14}, nil, catalog, nil, nil, nil, nil, log)
 }
 
-func demand(tasks int, spot bool, slack float64) []owner.Demand {
-	return []owner.Demand{{Shape: matching.Shape{CPUs: 2, MemoryGB: 2}, Job: &wire.Job{Spot: spot, Kind: wire.KindArray, Tasks: tasks},
+func demand(tasks int, spot bool, slack float64) []scheduler.Demand {
+	return []scheduler.Demand{{Shape: matching.Shape{CPUs: 2, MemoryGB: 2}, Job: &wire.Job{Spot: spot, Kind: wire.KindArray, Tasks: tasks},
 		Count: tasks, Run: 30, Slack: slack}}
 }
 
@@ -131,7 +131,7 @@
 		h := &drains{}
 		f.holder = h
 		f.op.IdleS = 20
-		var load owner.Load
+		var load scheduler.Load
 		load.Heard = now
 		for i := range 3 {
 			name := fmt.Sprintf("n-%d", i)
@@ -158,7 +158,7 @@
 func TestPlanTakesTasksTogether(t *testing.T) {
 	f := planner()
 	now := time.Now()
-	load := owner.Load{Matrix: matching.NewMatrix(matching.Shape{CPUs: 64, MemoryGB: 128},
+	load := scheduler.Load{Matrix: matching.NewMatrix(matching.Shape{CPUs: 64, MemoryGB: 128},
 		[]matching.Use{{Shape: matching.Shape{CPUs: 30, MemoryGB: 9}, Left: 7}, {Shape: matching.Shape{CPUs: 3, MemoryGB: 70}, Left: 12}}, nil), Heard: now}
 	for i := range 200 {
 		name := fmt.Sprintf("n-%d", i)
@@ -187,7 +187,7 @@
 		for range rapid.IntRange(0, 6).Draw(t, "running") {
 			running = append(running, matching.Use{Shape: matching.Shape{CPUs: rapid.Float64Range(0.5, 10).Draw(t, "cpus"), MemoryGB: rapid.Float64Range(0, 20).Draw(t, "memory")}, Left: rapid.Float64Range(0, 50).Draw(t, "left")})
 		}
-		d := &owner.Demand{Shape: matching.Shape{CPUs: float64(rapid.IntRange(1, 40).Draw(t, "size")) / 4, MemoryGB: float64(rapid.IntRange(0, 30).Draw(t, "gb"))}, Run: rapid.Float64Range(0.5, 30).Draw(t, "run")}
+		d := &scheduler.Demand{Shape: matching.Shape{CPUs: float64(rapid.IntRange(1, 40).Draw(t, "size")) / 4, MemoryGB: float64(rapid.IntRange(0, 30).Draw(t, "gb"))}, Run: rapid.Float64Range(0.5, 30).Draw(t, "run")}
 		n, patience := rapid.IntRange(0, 300).Draw(t, "tasks"), rapid.Float64Range(0, 90).Draw(t, "patience")
 		s := &sim{matrix: matching.NewMatrix(total, running, nil), boot: 3}
 		one := s.matrix
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/matching"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -19,7 +19,7 @@
 	box    *box
 }
 
-func (f *Fleet) fits(d *owner.Demand, o offer) bool {
+func (f *Fleet) fits(d *scheduler.Demand, o offer) bool {
 	if o.Spot && !d.Job.Spot || d.Job.Zone != nil && *d.Job.Zone != o.Zone {
 		return false
 	}
@@ -37,7 +37,7 @@
 // plan simulates the waiting work on what there is, and returns what to rent
 // for the work that would wait longer than a new machine takes to boot, and
 // the offers in the order in which they are needed.
-func (f *Fleet) plan(now time.Time, demand []owner.Demand) (wants map[offer]int, first []offer) {
+func (f *Fleet) plan(now time.Time, demand []scheduler.Demand) (wants map[offer]int, first []offer) {
 	var sims, closing []*sim
 	for name, b := range f.boxes {
 		if f.sending[name] || !b.draining.IsZero() || b.load != nil && (b.load.Notice || b.load.Faulty) {
@@ -118,7 +118,7 @@
 }
 
 // reopen lets closing machines take work again before others are rented.
-func (f *Fleet) reopen(d *owner.Demand, sims, closing []*sim, n int, patience float64) (open, rest []*sim, left int) {
+func (f *Fleet) reopen(d *scheduler.Demand, sims, closing []*sim, n int, patience float64) (open, rest []*sim, left int) {
 	for _, s := range closing {
 		if n > 0 && f.fits(d, s.offer) {
 			if left := f.fillOne(d, s, n, patience); left < n {
@@ -163,7 +163,7 @@
 
 // fill puts waiting work on what there is. late says that a machine that
 // still boots is no excuse for a longer wait.
-func (f *Fleet) fill(d *owner.Demand, sims []*sim, patience float64, late bool) int {
+func (f *Fleet) fill(d *scheduler.Demand, sims []*sim, patience float64, late bool) int {
 	n := d.Count
 	for _, s := range sims {
 		if n == 0 {
@@ -183,7 +183,7 @@
 // fillOne puts up to n tasks on a machine, all that can start together at a time:
 // an array of 25,000 small tasks, taken one by one, held a small controller's
 // processor for two seconds of every plan, and nothing else was done.
-func (f *Fleet) fillOne(d *owner.Demand, s *sim, n int, patience float64) int {
+func (f *Fleet) fillOne(d *scheduler.Demand, s *sim, n int, patience float64) int {
 	for n > 0 {
 		w := s.matrix.WaitWithin(d.Shape, d.Run, patience-s.boot)
 		if s.boot+w > patience {
@@ -247,7 +247,7 @@
 
 // best is the offer at which the waiting tasks cost least: the price of a
 // machine by the tasks that it would run.
-func (f *Fleet) best(d *owner.Demand, n int, offers []offer, wants map[offer]int, spot bool) (offer, wire.MachineType, bool) {
+func (f *Fleet) best(d *scheduler.Demand, n int, offers []offer, wants map[offer]int, spot bool) (offer, wire.MachineType, bool) {
 	var best offer
 	var bestT wire.MachineType
 	cost := math.Inf(1)
--- a/internal/autoscaler/shrink.go
+++ b/internal/autoscaler/shrink.go
@@ -5,13 +5,13 @@
 	"sort"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
 // shut chooses dear machines to close, the emptiest first, while there is more
 // than what runs and the headroom need. Without it, work that could as well
 // run elsewhere keeps every one of them from falling idle.
-func (f *Fleet) shut(now time.Time, demand []owner.Demand) map[string]bool {
+func (f *Fleet) shut(now time.Time, demand []scheduler.Demand) map[string]bool {
 	if now.Sub(f.ledAt) < settleFor {
 		return nil // what runs is not known well yet
 	}
--- a/internal/owner/answers_test.go
+++ b/internal/scheduler/answers_test.go
@@ -1,4 +1,4 @@
-package owner_test
+package scheduler_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -41,7 +41,7 @@
 func notFound(string) (wire.Item, error) { return wire.Item{}, statestore.ErrNotFound }
 
 // scripted returns an owner that has not loaded anything, with its store.
-func scripted(t *testing.T) (*owner.Owner, *scriptedStore) {
+func scripted(t *testing.T) (*scheduler.Owner, *scriptedStore) {
 	t.Helper()
 	op, err := config.LoadOperator("")
 	if err != nil {
@@ -50,7 +50,7 @@
 	f := newFleet(t, 0, 0)
 	s := &scriptedStore{fleet: f, get: notFound, txn: func() (uint64, error) { return 0, statestore.ErrUnknown }, listed: 10}
 	f.items = map[string][]wire.Item{}
-	return owner.New(f.cfg, op, s, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil))), s
+	return scheduler.New(f.cfg, op, s, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil))), s
 }
 
 const oneTask = `{"uid":"j-1","docket":"c","crew":"t","sort":"sweep","urgency":"normal","pieces":1,"cpus":1,"cards":0,"memoryGb":1,
@@ -66,7 +66,7 @@
 }
 
 // scriptedWithJob is an owner of j-1, whose record the store reads as it is at the time.
-func scriptedWithJob(t *testing.T) (*owner.Owner, *scriptedStore, *wire.Item) {
+func scriptedWithJob(t *testing.T) (*scheduler.Owner, *scriptedStore, *wire.Item) {
 	t.Helper()
 	o, s := scripted(t)
 	if err := o.Load(t.Context()); err != nil {
--- a/internal/owner/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -1,4 +1,4 @@
-package owner_test
+package scheduler_test
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/matching"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/slurm"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -23,7 +23,7 @@
 // fleet is a generated fleet with one owner, whose store and holders accept
 // everything.
 type fleet struct {
-	owner *owner.Owner
+	owner *scheduler.Owner
 	cfg   *config.Platform
 	views []dispatch.View
 	rev   uint64
@@ -119,7 +119,7 @@
 		State:   config.State{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 48},
 	}}
 	f := &fleet{held: time.Minute, cfg: cfg}
-	f.owner = owner.New(cfg, op, f, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	f.owner = scheduler.New(cfg, op, f, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err := f.owner.Load(context.Background()); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/owner/books.go
+++ b/internal/scheduler/books.go
@@ -1,4 +1,4 @@
-package owner
+package scheduler
 
 import (
 	"github.com/wallrack/wallrack/internal/dispatch"
--- a/internal/owner/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -1,4 +1,4 @@
-package owner_test
+package scheduler_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -24,7 +24,7 @@
 )
 
 // teamsOwner is an owner whose settings name so many teams.
-func teamsOwner(tb testing.TB, teams int) *owner.Owner {
+func teamsOwner(tb testing.TB, teams int) *scheduler.Owner {
 	op, err := config.LoadOperator("")
 	if err != nil {
 		tb.Fatal(err)
@@ -34,7 +34,7 @@
 		cfg.Params.Teams = append(cfg.Params.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 64})
 	}
 	f := &fleet{cfg: cfg}
-	return owner.New(cfg, op, f, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return scheduler.New(cfg, op, f, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
 // see has the owner see a report of the i-th machine, which has room and these tasks.
--- a/internal/owner/demand.go
+++ b/internal/scheduler/demand.go
@@ -1,4 +1,4 @@
-package owner
+package scheduler
 
 import (
 	"math"
--- a/internal/owner/owner.go
+++ b/internal/scheduler/owner.go
@@ -1,7 +1,7 @@
-// Package owner is the life of jobs at the controller that owns their shard:
+// Package scheduler is the life of jobs at the controller that owns their shard:
 // their tasks' places, the single grant to start, completions, cancels, and
 // what is written of it in the state service before it is acted on.
-package owner
+package scheduler
 
 import (
 	"context"
--- a/internal/owner/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -1,4 +1,4 @@
-package owner_test
+package scheduler_test
 
 import (
 	"os"
@@ -14,7 +14,7 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -47,7 +47,7 @@
 }
 
 // successor returns an owner that has taken over the recorded shard, with its store.
-func successor(t *testing.T) (*owner.Owner, *scriptedStore) {
+func successor(t *testing.T) (*scheduler.Owner, *scriptedStore) {
 	t.Helper()
 	o, store := scripted(t)
 	store.items = byPrefix(recordedShard(t))
@@ -96,12 +96,12 @@
 	if want := (&jobspec.Terms{Number: 100, Name: "tips", User: "erin", Array: "0-6", Most: 4, Final: true}); !reflect.DeepEqual(info.Terms, want) || info.AtMs != 946_684_806_000 {
 		t.Errorf("its terms are %+v, accepted at %d; want %+v", info.Terms, info.AtMs, want)
 	}
-	if s, err := owner.Stored(t.Context(), store, "j-2"); err != nil || s != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
+	if s, err := scheduler.Stored(t.Context(), store, "j-2"); err != nil || s != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
 		t.Errorf("the ended job is %+v, %v", s, err)
 	}
 	want := jobquery.Info{Job: wire.Job{UID: "j-2"}, Stage: wire.StageDone, Done: 1,
 		Ending: &jobspec.Ending{Number: 90, State: jobspec.Completed, StartMs: 946_684_802_000, EndMs: 946_684_805_000}}
-	if got, err := owner.StoredInfo(t.Context(), store, "j-2"); err != nil || !reflect.DeepEqual(got, want) {
+	if got, err := scheduler.StoredInfo(t.Context(), store, "j-2"); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("the ended job is listed as %+v, %v", got, err)
 	}
 }
--- a/internal/owner/told_again_test.go
+++ b/internal/scheduler/told_again_test.go
@@ -1,4 +1,4 @@
-package owner_test
+package scheduler_test
 
 import (
 	"testing"
--- a/internal/slo/alert_test.go
+++ b/internal/slo/alert_test.go
@@ -13,19 +13,19 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/slo"
 )
 
 type jobs struct {
 	mu   sync.Mutex
-	list []owner.Status
+	list []scheduler.Status
 }
 
-func (j *jobs) Statuses() []owner.Status {
+func (j *jobs) Statuses() []scheduler.Status {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return append([]owner.Status(nil), j.list...)
+	return append([]scheduler.Status(nil), j.list...)
 }
 
 // A job that waits past its aim is paged once, not at every check, and cleared
@@ -48,13 +48,13 @@
 			}
 			return out
 		}
-		set := func(s ...owner.Status) {
+		set := func(s ...scheduler.Status) {
 			j.mu.Lock()
 			defer j.mu.Unlock()
 			j.list = s
 		}
-		waits := owner.Status{UID: "j-1", Class: "c", Age: 3 * time.Second, Tasks: 4, Started: 1}
-		gone := owner.Status{UID: "j-2", Class: "c", Age: time.Minute, Tasks: 4, Cancelled: true}
+		waits := scheduler.Status{UID: "j-1", Class: "c", Age: 3 * time.Second, Tasks: 4, Started: 1}
+		gone := scheduler.Status{UID: "j-2", Class: "c", Age: time.Minute, Tasks: 4, Cancelled: true}
 		set(waits, gone)
 		first := look().Open
 		if len(first) != 1 || first[0].Job != "j-1" || first[0].Aim != "wait" || first[0].Message == "" || first[0].Page == "" {
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -98,7 +98,7 @@
 			rep = s.Serve(ctx, req)
 		}
 		if rep.Status == 0 && verb == verbInfo {
-			i, err := owner.StoredInfo(ctx, s.store, req.UID)
+			i, err := scheduler.StoredInfo(ctx, s.store, req.UID)
 			if err != nil {
 				s.writeError(w, err)
 				return
--- a/internal/slurmapi/messages.go
+++ b/internal/slurmapi/messages.go
@@ -7,7 +7,7 @@
 
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
@@ -74,7 +74,7 @@
 	switch {
 	case err == nil:
 		return Reply{Status: http.StatusOK}
-	case errors.Is(err, owner.ErrInput):
+	case errors.Is(err, scheduler.ErrInput):
 		return Reply{Status: http.StatusUnprocessableEntity, Why: err.Error()}
 	case errors.Is(err, statestore.ErrNotFound):
 		return Reply{Status: http.StatusNotFound, Why: "no such job is waiting or running"}
--- a/internal/slurmapi/response.go
+++ b/internal/slurmapi/response.go
@@ -8,7 +8,7 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/httpjson"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -24,7 +24,7 @@
 	switch {
 	case errors.Is(err, statestore.ErrNotFound):
 		refuse(w, http.StatusNotFound, 0, "no such job")
-	case errors.Is(err, owner.ErrInput):
+	case errors.Is(err, scheduler.ErrInput):
 		refuse(w, http.StatusUnprocessableEntity, 0, err.Error())
 	default:
 		s.log.Debug("unsure", "err", err)
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -23,7 +23,7 @@
 	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/submission"
@@ -60,7 +60,7 @@
 }
 func (s *site) InfoHere(string) (jobquery.Info, bool)              { return jobquery.Info{}, false }
 func (s *site) Hold(context.Context, string, bool) error           { return statestore.ErrUnknown }
-func (s *site) Drop(context.Context, string, jobspec.Ranges) error { return owner.ErrInput }
+func (s *site) Drop(context.Context, string, jobspec.Ranges) error { return scheduler.ErrInput }
 func (s *site) Owns() bool                                         { return s.owns }
 func (s *site) Owners() []string                                   { return nil }
 func (s *site) All() []wire.MachineType                            { return nil }
--- a/internal/submission/intake.go
+++ b/internal/submission/intake.go
@@ -17,7 +17,7 @@
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -330,7 +330,7 @@
 
 // stored answers from the store, and with what the job's owner knows besides if it is here.
 func (in *Intake) stored(ctx context.Context, uid string) (wire.JobState, error) {
-	s, err := owner.Stored(ctx, in.store, uid)
+	s, err := scheduler.Stored(ctx, in.store, uid)
 	if err != nil {
 		return s, err
 	}
--- a/internal/submission/submission.go
+++ b/internal/submission/submission.go
@@ -9,7 +9,7 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -55,9 +55,9 @@
 		usage.Note(usage.RefusedJobs)
 		return Reply{Status: http.StatusServiceUnavailable, Reason: "too much work at once"}
 	}
-	shard := owner.HomeOf(job, in.cfg.Params.Teams, in.op)
+	shard := scheduler.HomeOf(job, in.cfg.Params.Teams, in.op)
 	at := time.Now().UnixMilli()
-	guards, ops := owner.AcceptTxn(job, asked, shard, at)
+	guards, ops := scheduler.AcceptTxn(job, asked, shard, at)
 	for n := 0; ; n++ {
 		tctx, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
 		rev, err := in.store.Txn(tctx, guards, ops...)
--- a/internal/testkit/cancel_hand_over_test.go
+++ b/internal/testkit/cancel_hand_over_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -140,7 +140,7 @@
 }
 
 func storedStage(w *cluster, uid string) (string, error) {
-	state, err := owner.Stored(context.Background(), &testkit.View{Store: w.store}, uid)
+	state, err := scheduler.Stored(context.Background(), &testkit.View{Store: w.store}, uid)
 	return state.Stage, err
 }
 
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -22,7 +22,7 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/membership"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/viewsync"
@@ -120,7 +120,7 @@
 	name     string
 	view     *testkit.View
 	member   *membership.Member
-	owner    *owner.Owner
+	owner    *scheduler.Owner
 	holder   *dispatch.Holder
 	stop     context.CancelFunc
 	done     chan struct{}
@@ -179,7 +179,7 @@
 	n.member = membership.New(n.view, name, config.Seconds(op.LeaseS), op.Shards, op.Spread, log)
 	cfg := *w.cfg
 	cfg.Node = name
-	n.owner = owner.New(&cfg, op, n.view, n.member, n, w.size, log)
+	n.owner = scheduler.New(&cfg, op, n.view, n.member, n, w.size, log)
 	n.owner.KeepSlots = 4 // so that records are written over, and chunks saved
 	n.owner.Accounts, n.owner.Others = w.accounts, n
 	n.holder = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
@@ -354,7 +354,7 @@
 	w.mu.Lock()
 	w.specs[job.UID] = job
 	w.mu.Unlock()
-	guards, ops := owner.AcceptTxn(job, t, owner.HomeOf(job, w.cfg.Params.Teams, w.operator()), time.Now().UnixMilli())
+	guards, ops := scheduler.AcceptTxn(job, t, scheduler.HomeOf(job, w.cfg.Params.Teams, w.operator()), time.Now().UnixMilli())
 	clean := &testkit.View{Store: w.store}
 	if _, err := clean.Txn(context.Background(), guards, ops...); err != nil {
 		w.t.Fatal(err)
@@ -454,7 +454,7 @@
 				}
 				clean := &testkit.View{Store: w.store}
 				for i := range jobs {
-					s, err := owner.Stored(context.Background(), clean, fmt.Sprintf("j-%d", i))
+					s, err := scheduler.Stored(context.Background(), clean, fmt.Sprintf("j-%d", i))
 					if err != nil || s.Stage != wire.StageDone || s.Done != 4+3*i {
 						t.Errorf("job %d: %+v, %v", i, s, err)
 					}
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -211,7 +211,7 @@
 				}
 				clean := &testkit.View{Store: w.store}
 				for i, uid := range jobs {
-					s, err := owner.Stored(context.Background(), clean, uid)
+					s, err := scheduler.Stored(context.Background(), clean, uid)
 					if w.cancels[uid].IsZero() && s.Stage == wire.StageCancelled && i >= 4 || err != nil {
 						t.Errorf("%s: %+v, %v", uid, s, err)
 					}
--- a/internal/testkit/cuts_test.go
+++ b/internal/testkit/cuts_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -155,7 +155,7 @@
 			}
 		}
 	}
-	s, err := owner.Stored(context.Background(), n.view, uid)
+	s, err := scheduler.Stored(context.Background(), n.view, uid)
 	return s, err == nil
 }
 
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/accounting"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -118,7 +118,7 @@
 			t.Error("the job did not end")
 		}
 		w.live(10)
-		if s, err := owner.Stored(context.Background(), &testkit.View{Store: w.store}, "j-7"); err != nil || s.Stage != wire.StageCancelled {
+		if s, err := scheduler.Stored(context.Background(), &testkit.View{Store: w.store}, "j-7"); err != nil || s.Stage != wire.StageCancelled {
 			t.Errorf("recorded in the end: %+v, %v", s, err)
 		}
 	}},
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -149,7 +149,7 @@
 
 // Facts reads how a job that the owner does not know ended.
 func (n *node) Facts(ctx context.Context, uid string) (jobspec.Facts, error) {
-	return owner.StoredFacts(ctx, n.view, uid)
+	return scheduler.StoredFacts(ctx, n.view, uid)
 }
 
 // Earlier says that no owner elsewhere has such a job: there is one owner.
--- a/internal/testkit/rented_cluster_test.go
+++ b/internal/testkit/rented_cluster_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/wallrack/wallrack/internal/autoscaler"
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/standin"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -174,7 +174,7 @@
 // fleetOwner is the owner as the fleet sees it. No machine of these tests is lost.
 type fleetOwner struct {
 	c *rentedCluster
-	*owner.Owner
+	*scheduler.Owner
 }
 
 func (o fleetOwner) Ready() bool { return o.Leads() }
@@ -346,7 +346,7 @@
 func (c *rentedCluster) order(uid string, tasks int) {
 	job := &wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
 		CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 6}
-	guards, ops := owner.AcceptTxn(job, nil, owner.ShardOf(job, nil, 4), time.Now().UnixMilli())
+	guards, ops := scheduler.AcceptTxn(job, nil, scheduler.ShardOf(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: c.store}).Txn(context.Background(), guards, ops...); err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -15,7 +15,7 @@
 	"github.com/goccy/go-json"
 	"pgregory.net/rapid"
 
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -85,7 +85,7 @@
 		}
 		if n.reg.Wanting(unheard) {
 			sent := time.Now()
-			if uids, err := owner.Cancelled(context.Background(), n.view); err == nil {
+			if uids, err := scheduler.Cancelled(context.Background(), n.view); err == nil {
 				n.reg.Read(sent, uids)
 			}
 		}
--- a/internal/testkit/terms_test.go
+++ b/internal/testkit/terms_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/wallrack/wallrack/internal/accounting"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/owner"
+	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -156,7 +156,7 @@
 		}
 	}
 	for _, j := range jobs {
-		i, err := owner.StoredInfo(context.Background(), &testkit.View{Store: w.store}, j.uid)
+		i, err := scheduler.StoredInfo(context.Background(), &testkit.View{Store: w.store}, j.uid)
 		if err != nil || i.Ending == nil || i.Ending.State != j.state || i.Ending.Number != j.t.Number {
 			t.Errorf("%s: %+v, %v", j.uid, i.Ending, err)
 		}
