--- a/internal/worker/process.go
+++ b/internal/worker/process.go
@@ -57,49 +57,6 @@
 	return filepath.Join(p.dir, strings.ReplaceAll(task, "/", ".")+"."+strconv.FormatUint(attempt, 10))
 }
 
-// EndLeftovers kills the process groups that a worker with its tasks in dir, which
-// was itself killed, may have left: the kernel ends only their first process.
-func EndLeftovers(dir string, log *slog.Logger) {
-	files, _ := filepath.Glob(filepath.Join(dir, "*", pidFile)) // the pattern is well formed
-	for _, f := range files {
-		data, err := os.ReadFile(f)
-		if err != nil {
-			continue
-		}
-		n, err := strconv.Atoi(strings.TrimSpace(string(data)))
-		if err == nil && n > 1 && isTasks(n) {
-			if err := syscall.Kill(-n, syscall.SIGKILL); err == nil {
-				log.Info("ended what an earlier worker left", "group", n)
-			}
-		}
-		_ = os.Remove(f) // tried again at the next start if it stays
-	}
-}
-
-// isTasks reports whether a process group is one of a task's: the number could
-// belong to somebody else by now.
-func isTasks(pgid int) bool {
-	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // the pattern is well formed
-	for _, f := range stats {
-		data, err := os.ReadFile(f)
-		if err != nil {
-			continue
-		}
-		_, rest, _ := strings.Cut(string(data), ") ")
-		if fields := strings.Fields(rest); len(fields) < 3 || fields[2] != strconv.Itoa(pgid) {
-			continue
-		}
-		env, err := os.ReadFile(filepath.Join(filepath.Dir(f), "environ"))
-		if err == nil && strings.Contains(string(env), attemptVar+"=") {
-			return true
-		}
-	}
-	return false
-}
-
-// attemptVar is in the environment of every task.
-const attemptVar = "WALLRACK_ATTEMPT"
-
 type process struct {
 	pgid   int
 	port   int
@@ -144,6 +101,11 @@
 	for k, v := range d.Env {
 		cmd.Env = append(cmd.Env, k+"="+v)
 	}
+	marker, err := taskMarker(dir)
+	if err != nil {
+		return nil, err
+	}
+	cmd.Env = append(cmd.Env, marker) // last, so that no other replaces it
 	var files [2]string
 	if d.Slurm != nil {
 		t, err := d.Slurm.Of(n, attempt, p.Machine)
@@ -238,19 +200,27 @@
 }
 
 // start starts a task's first process and notes it, for a later worker to find.
+// The note is there, without a number, before the process is: the worker may be
+// killed at any time.
 func (p *Processes) start(cmd *exec.Cmd, proc *process) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return errors.New("the worker is ending")
 	}
+	note, err := os.Create(filepath.Join(proc.dir, pidFile))
+	if err != nil {
+		return fmt.Errorf("note of the task's process: %w", err)
+	}
+	defer note.Close() // what was written counts, and is checked
 	if err := spawn.Start(cmd); err != nil {
+		_ = os.Remove(note.Name()) // one that stays finds no process
 		return fmt.Errorf("start: %w", err)
 	}
 	proc.pgid = cmd.Process.Pid
 	p.groups[proc.pgid] = proc
-	if err := os.WriteFile(filepath.Join(proc.dir, pidFile), []byte(strconv.Itoa(proc.pgid)), 0o644); err != nil {
-		p.log.Error("a task's process can't be noted", "dir", proc.dir, "err", err)
+	if _, err := note.WriteString(strconv.Itoa(proc.pgid)); err != nil {
+		p.log.Error("the number of a task's process can't be noted", "dir", proc.dir, "err", err)
 	}
 	return nil
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -268,25 +268,62 @@
 	gone(t, pidIn(t, filepath.Join(p.TaskDir("j-1/3", 1), "child")), "its task ended")
 }
 
-// A worker that is itself killed leaves nothing: the kernel ends the tasks' first
-// processes, the next worker the rest.
-func TestKilledWorkerLeavesNoProcesses(t *testing.T) {
+// killedWorker runs a worker with a task whose first process starts another, kills
+// the worker, and returns its directory and the processes' numbers. The calling test
+// is run again as that worker, which never returns from here.
+func killedWorker(t *testing.T) (dir string, first, child int) {
 	if dir := os.Getenv("WORKER_TEST_DIR"); dir != "" { // the worker to be killed
 		p := processes(t, dir)
-		run(t, p, "j-1/0", "sleep 60 & echo $! > child; echo $$ > first; wait")
+		run(t, p, "j-1/0", "[ -e pid ] && echo 1 > noted || echo 0 > noted; sleep 60 & echo $! > child; echo $$ > first; wait")
 		time.Sleep(time.Minute)
-		return
+		t.Fatal("the worker was not killed")
 	}
-	dir := t.TempDir()
-	cmd := exec.Command(os.Args[0], "-test.run=^TestKilledWorkerLeavesNoProcesses$")
+	dir = t.TempDir()
+	cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
 	cmd.Env = append(os.Environ(), "WORKER_TEST_DIR="+dir)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	first, child := pidIn(t, filepath.Join(dir, "j-1.0.1", "first")), pidIn(t, filepath.Join(dir, "j-1.0.1", "child"))
+	first, child = pidIn(t, filepath.Join(dir, "j-1.0.1", "first")), pidIn(t, filepath.Join(dir, "j-1.0.1", "child"))
 	_ = cmd.Process.Signal(syscall.SIGKILL)
 	_ = cmd.Wait()
+	return dir, first, child
+}
+
+// A worker that is itself killed leaves nothing: the kernel ends the tasks' first
+// processes, the next worker the rest.
+func TestKilledWorkerLeavesNoProcesses(t *testing.T) {
+	dir, first, child := killedWorker(t)
 	gone(t, first, "its worker was killed")
 	processes(t, dir)
 	gone(t, child, "the next worker started")
 }
+
+// Nor does one that is killed after it started a task's first process and before it
+// noted that process's number: the note is there before the process, and without a
+// number the next worker finds the task's processes all the same.
+func TestWorkerKilledBeforeItNotedATaskLeavesNoProcesses(t *testing.T) {
+	dir, first, child := killedWorker(t)
+	gone(t, first, "its worker was killed")
+	if noted := pidIn(t, filepath.Join(dir, "j-1.0.1", "noted")); noted != 1 {
+		t.Error("the task's first process ran before there was a note of it")
+	}
+	if err := os.WriteFile(filepath.Join(dir, "j-1.0.1", "pid"), nil, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	// Another worker on this machine, with its tasks elsewhere, leaves them alone.
+	other := t.TempDir()
+	if err := os.Mkdir(filepath.Join(other, "j-1.0.1"), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(other, "j-1.0.1", "pid"), nil, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	var ended strings.Builder
+	worker.EndLeftovers(other, slog.New(slog.NewTextHandler(&ended, nil)))
+	if ended.Len() > 0 {
+		t.Errorf("a worker ended another worker's task: %s", &ended)
+	}
+	processes(t, dir)
+	gone(t, child, "the next worker started")
+}
