--- a/internal/worker/leftovers.go
+++ b/internal/worker/leftovers.go
@@ -11,6 +11,7 @@
 	"strconv"
 	"strings"
 	"syscall"
+	"time"
 )
 
 // Variables in the environment of every task.
@@ -75,13 +76,13 @@
 // search to it.
 func groupsWithEnvironment(prefix string, group int) []int {
 	found := map[int]bool{}
-	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // the pattern is well formed
-	for _, stat := range stats {
-		its, ok := processGroup(stat)
+	directories, _ := filepath.Glob("/proc/[0-9]*") // the pattern is well formed
+	for _, directory := range directories {
+		its, ok := processGroup(directory)
 		if !ok || found[its] || group != 0 && its != group {
 			continue
 		}
-		environment, err := os.ReadFile(filepath.Join(filepath.Dir(stat), "environ"))
+		environment, err := processEnvironment(directory)
 		if err == nil && bytes.Contains(append([]byte{0}, environment...), []byte("\x00"+prefix)) {
 			found[its] = true
 		}
@@ -89,18 +90,69 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// processGroup reads a process's group from its stat file. Groups that can't be a
-// task's, such as the kernel's, are left out.
-func processGroup(stat string) (group int, ok bool) {
-	data, err := os.ReadFile(stat)
+// processGroup reads the group of the process with a directory below /proc. Groups
+// that can't be a task's, such as the kernel's, are left out.
+func processGroup(directory string) (group int, ok bool) {
+	status, err := readProcessStatus(directory)
+	return status.group, err == nil && status.group > 1
+}
+
+// Limits of the wait for a process that is in exec.
+const (
+	execWithin = time.Second
+	execEvery  = time.Millisecond
+)
+
+// processEnvironment reads the environment of the process with a directory below
+// /proc. While a process is in exec the kernel shows an empty one, which is waited
+// out.
+func processEnvironment(directory string) ([]byte, error) {
+	for deadline := time.Now().Add(execWithin); ; time.Sleep(execEvery) {
+		environment, err := os.ReadFile(filepath.Join(directory, "environ"))
+		if err != nil || len(environment) > 0 {
+			return environment, err
+		}
+		status, err := readProcessStatus(directory)
+		if err != nil || status.ended || status.noEnvironment || time.Now().After(deadline) {
+			return nil, err
+		}
+	}
+}
+
+// processStatus is what is read of a process's stat file.
+type processStatus struct {
+	group         int
+	ended         bool // but not yet waited for
+	noEnvironment bool // it has exec behind it, and an environment without entries
+}
+
+// Fields of a stat file, counted from the one after the process's name.
+const (
+	stateField            = 0
+	groupField            = 2
+	environmentStartField = 47
+	environmentEndField   = 48
+)
+
+// readProcessStatus reads the stat file of the process with a directory below /proc.
+func readProcessStatus(directory string) (processStatus, error) {
+	data, err := os.ReadFile(filepath.Join(directory, "stat"))
 	if err != nil {
-		return 0, false
+		return processStatus{}, err
 	}
-	// The name before it may hold spaces and parentheses.
+	// The name may hold spaces and parentheses.
 	fields := strings.Fields(string(data[bytes.LastIndexByte(data, ')')+1:]))
-	if len(fields) < 3 {
-		return 0, false
+	if len(fields) <= environmentEndField {
+		return processStatus{}, fmt.Errorf("%s: %d fields after the name", directory, len(fields))
+	}
+	group, err := strconv.Atoi(fields[groupField])
+	if err != nil {
+		return processStatus{}, fmt.Errorf("%s: process group: %w", directory, err)
 	}
-	group, err = strconv.Atoi(fields[2])
-	return group, err == nil && group > 1
+	start, end := fields[environmentStartField], fields[environmentEndField]
+	return processStatus{
+		group:         group,
+		ended:         fields[stateField] == "Z" || fields[stateField] == "X",
+		noEnvironment: end != "0" && start == end,
+	}, nil
 }
--- /dev/null
+++ b/internal/worker/leftovers_test.go
@@ -0,0 +1,79 @@
+package worker
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/spawn"
+)
+
+// startWithEnvironment starts a script of sh with nothing but some entries in its
+// environment, and returns its directory below /proc.
+func startWithEnvironment(t *testing.T, script string, entries ...string) string {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "script")
+	if err := os.WriteFile(file, []byte(script), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	command := exec.Command("/bin/sh", file)
+	command.Env = entries
+	if err := spawn.Start(command); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		_ = command.Process.Kill()
+		_ = command.Wait() // killed: as wanted
+	})
+	return fmt.Sprintf("/proc/%d", command.Process.Pid)
+}
+
+// A process that is in exec again and again is never seen without its environment,
+// so that what an earlier worker left is found at whatever moment it is looked for.
+func TestEnvironmentIsReadOfAProcessInExec(t *testing.T) {
+	directory := startWithEnvironment(t, `exec /bin/sh "$0"`, attemptVar+"=1")
+	for read := range 10_000 {
+		environment, err := processEnvironment(directory)
+		if err != nil || !bytes.Contains(environment, []byte(attemptVar+"=1")) {
+			t.Fatalf("read %d: %q, %v", read, environment, err)
+		}
+	}
+}
+
+// A process without any environment, and one that has ended, are not waited for.
+func TestEmptyEnvironmentIsNotWaitedFor(t *testing.T) {
+	bare := startWithEnvironment(t, "exec /usr/bin/env -i /bin/sleep 60", attemptVar+"=1")
+	ended := startWithEnvironment(t, "exit 0", attemptVar+"=1")
+	for _, directory := range []string{bare, ended} {
+		awaitStatus(t, directory, func(status processStatus) bool { return status.noEnvironment || status.ended })
+		begin := time.Now()
+		environment, err := processEnvironment(directory)
+		if len(environment) > 0 || err != nil && !errors.Is(err, syscall.ESRCH) { // which some kernels say of one that has ended
+			t.Errorf("%q, %v", environment, err)
+		}
+		if took := time.Since(begin); took >= execWithin {
+			t.Errorf("it took %v", took)
+		}
+	}
+}
+
+// awaitStatus waits until a process is as wanted.
+func awaitStatus(t *testing.T, directory string, wanted func(processStatus) bool) {
+	t.Helper()
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		status, err := readProcessStatus(directory)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if wanted(status) {
+			return
+		}
+	}
+	t.Fatal("the process did not come to be as wanted")
+}
