--- a/internal/worker/check.go
+++ b/internal/worker/check.go
@@ -39,8 +39,10 @@
 	if err != nil {
 		return CheckUnhealthy
 	}
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true},
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	client := &http.Client{
+		Transport:     &http.Transport{DisableKeepAlives: true},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
 	resp, err := client.Do(req)
 	if err != nil {
 		return verdict(err)
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -83,8 +83,10 @@
 // New returns the state of a worker that has just come up. change is called,
 // without locks held by the caller's side, whenever a report would differ.
 func New(id Ident, descrs Descriptions, runner Runner, change func(), log *slog.Logger) *Machine {
-	return &Machine{id: id, descrs: descrs, runner: runner, change: change, log: log, session: 1, renewed: time.Now(),
-		tasks: map[key]*task{}, done: recent.NewSet(keepDone)}
+	return &Machine{
+		id: id, descrs: descrs, runner: runner, change: change, log: log, session: 1, renewed: time.Now(),
+		tasks: map[key]*task{}, done: recent.NewSet(keepDone),
+	}
 }
 
 // Report makes the next report; its sequence number is never used again.
@@ -93,8 +95,10 @@
 	defer m.mu.Unlock()
 	m.expireLocked()
 	m.seq++
-	r := &wire.Report{Machine: m.id.Name, Endpoint: m.id.Endpoint, Type: m.id.Type, Zone: m.id.Zone, Spot: m.id.Spot,
-		Session: m.session, Seq: m.seq, Token: m.token, Tasks: []wire.Task{}}
+	r := &wire.Report{
+		Machine: m.id.Name, Endpoint: m.id.Endpoint, Type: m.id.Type, Zone: m.id.Zone, Spot: m.id.Spot,
+		Session: m.session, Seq: m.seq, Token: m.token, Tasks: []wire.Task{},
+	}
 	for _, t := range m.tasks {
 		r.Tasks = append(r.Tasks, t.Task)
 	}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -95,8 +95,10 @@
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
-			return step{rapid.IntRange(0, 7).Draw(rt, "kind"), rapid.IntRange(0, 6).Draw(rt, "task"), rapid.IntRange(1, 2).Draw(rt, "try"),
-				rapid.IntRange(-1, 1).Draw(rt, "token"), rapid.IntRange(0, 4000).Draw(rt, "wait"), rapid.Bool().Draw(rt, "old")}
+			return step{
+				rapid.IntRange(0, 7).Draw(rt, "kind"), rapid.IntRange(0, 6).Draw(rt, "task"), rapid.IntRange(1, 2).Draw(rt, "try"),
+				rapid.IntRange(-1, 1).Draw(rt, "token"), rapid.IntRange(0, 4000).Draw(rt, "wait"), rapid.Bool().Draw(rt, "old"),
+			}
 		}), 1, 40).Draw(rt, "steps")
 		wrong := ""
 		synctest.Test(t, func(*testing.T) {
