--- /dev/null
+++ b/internal/worker/leftovers.go
@@ -0,0 +1,158 @@
+package worker
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+)
+
+// Variables in the environment of every task.
+const (
+	attemptVar = "WALLRACK_ATTEMPT"
+	taskDirVar = "WALLRACK_TASK_DIR"
+)
+
+// EndLeftovers kills the process groups that a worker with its tasks in dir, which
+// was itself killed, may have left: the kernel ends only their first process.
+func EndLeftovers(dir string, log *slog.Logger) {
+	notes, _ := filepath.Glob(filepath.Join(dir, "*", pidFile)) // the pattern is well formed
+	for _, note := range notes {
+		groups, err := leftoverGroups(note)
+		if err != nil {
+			continue
+		}
+		for _, group := range groups {
+			if err := syscall.Kill(-group, syscall.SIGKILL); err == nil {
+				log.Info("ended what an earlier worker left", "group", group)
+			}
+		}
+		_ = os.Remove(note) // tried again at the next start if it stays
+	}
+}
+
+// leftoverGroups finds the process groups of the task that a note belongs to. A
+// note without a number is of a task whose worker was killed while it started it;
+// its processes are found by their environment.
+func leftoverGroups(note string) ([]int, error) {
+	data, err := os.ReadFile(note)
+	if err != nil {
+		return nil, err
+	}
+	group, err := strconv.Atoi(strings.TrimSpace(string(data)))
+	if err != nil {
+		marker, err := taskMarker(filepath.Dir(note))
+		if err != nil {
+			return nil, err
+		}
+		return groupsWithEnvironment(marker+"\x00", 0), nil
+	}
+	if group <= 1 {
+		return nil, nil
+	}
+	// The number could belong to somebody else by now.
+	return groupsWithEnvironment(attemptVar+"=", group), nil
+}
+
+// taskMarker is the entry of a task's environment that names its directory. It
+// differs between the workers of a machine, which the other entries don't.
+func taskMarker(taskDir string) (string, error) {
+	absolute, err := filepath.Abs(taskDir)
+	if err != nil {
+		return "", fmt.Errorf("task's directory: %w", err)
+	}
+	return taskDirVar + "=" + absolute, nil
+}
+
+// groupsWithEnvironment finds the process groups in which a process has an entry
+// in its environment that begins with prefix. A group other than 0 limits the
+// search to it.
+func groupsWithEnvironment(prefix string, group int) []int {
+	found := map[int]bool{}
+	directories, _ := filepath.Glob("/proc/[0-9]*") // the pattern is well formed
+	for _, directory := range directories {
+		its, ok := processGroup(directory)
+		if !ok || found[its] || group != 0 && its != group {
+			continue
+		}
+		environment, err := processEnvironment(directory)
+		if err == nil && bytes.Contains(append([]byte{0}, environment...), []byte("\x00"+prefix)) {
+			found[its] = true
+		}
+	}
+	return slices.Sorted(maps.Keys(found))
+}
+
+// processGroup reads the group of the process with a directory below /proc. Groups
+// that can't be a task's, such as the kernel's, are left out.
+func processGroup(directory string) (group int, ok bool) {
+	status, err := readProcessStatus(directory)
+	return status.group, err == nil && status.group > 1
+}
+
+// Limits of the wait for a process that is in exec.
+const (
+	execWithin = time.Second
+	execEvery  = time.Millisecond
+)
+
+// processEnvironment reads the environment of the process with a directory below
+// /proc. While a process is in exec the kernel shows an empty one, which is waited
+// out.
+func processEnvironment(directory string) ([]byte, error) {
+	for deadline := time.Now().Add(execWithin); ; time.Sleep(execEvery) {
+		environment, err := os.ReadFile(filepath.Join(directory, "environ"))
+		if err != nil || len(environment) > 0 {
+			return environment, err
+		}
+		status, err := readProcessStatus(directory)
+		if err != nil || status.ended || status.noEnvironment || time.Now().After(deadline) {
+			return nil, err
+		}
+	}
+}
+
+// processStatus is what is read of a process's stat file.
+type processStatus struct {
+	group         int
+	ended         bool // but not yet waited for
+	noEnvironment bool // it has exec behind it, and an environment without entries
+}
+
+// Fields of a stat file, counted from the one after the process's name.
+const (
+	stateField            = 0
+	groupField            = 2
+	environmentStartField = 47
+	environmentEndField   = 48
+)
+
+// readProcessStatus reads the stat file of the process with a directory below /proc.
+func readProcessStatus(directory string) (processStatus, error) {
+	data, err := os.ReadFile(filepath.Join(directory, "stat"))
+	if err != nil {
+		return processStatus{}, err
+	}
+	// The name may hold spaces and parentheses.
+	fields := strings.Fields(string(data[bytes.LastIndexByte(data, ')')+1:]))
+	if len(fields) <= environmentEndField {
+		return processStatus{}, fmt.Errorf("%s: %d fields after the name", directory, len(fields))
+	}
+	group, err := strconv.Atoi(fields[groupField])
+	if err != nil {
+		return processStatus{}, fmt.Errorf("%s: process group: %w", directory, err)
+	}
+	start, end := fields[environmentStartField], fields[environmentEndField]
+	return processStatus{
+		group:         group,
+		ended:         fields[stateField] == "Z" || fields[stateField] == "X",
+		noEnvironment: end != "0" && start == end,
+	}, nil
+}
