--- a/cmd/wallrack/cancels.go
+++ b/cmd/wallrack/cancels.go
@@ -90,7 +90,7 @@
 		}
 		if time.Since(chased) >= chaseEvery && n.Entitled() {
 			chased = time.Now()
-			if on := n.owner.Escaped(chaseAfter); len(on) > 0 {
+			if on := n.owner.UnstoppedWorkers(chaseAfter); len(on) > 0 {
 				go n.holder.Chase(ctx, on)
 			}
 		}
@@ -126,7 +126,7 @@
 		}
 		sent := time.Now()
 		rctx, cancel := context.WithTimeout(statestore.In(ctx, statestore.Urgent), 5*time.Second)
-		uids, err := scheduler.Cancelled(rctx, n.store)
+		uids, err := scheduler.ReadCancelledJobs(rctx, n.store)
 		cancel()
 		if err != nil {
 			n.log.Debug("cancels not read", "err", err)
--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -87,7 +87,7 @@
 	n.holder = dispatch.New(ctx, p.Node, config.Seconds(p.Params.Workers.LeaseS), n, member, catalog, n, orders, log)
 	n.published, n.pictures = viewsync.NewPublisher(p.Node, n.holder), viewsync.NewReceiver(n.owner, slices.Collect(maps.Keys(addrs)))
 	n.intake = submission.New(p, op, store, n.owner, catalog, n, log)
-	n.owner.Cancels, n.holder.Cancels, n.intake.Cancels = n.cancels, n.cancels, n.cancels
+	n.owner.Cancellations, n.holder.Cancels, n.intake.Cancels = n.cancels, n.cancels, n.cancels
 	boxes := autoscaler.New(p, op, cloud, catalog, store, member, &allOwners{n: n, ctx: ctx}, n.holder, log)
 	alerts := slo.New(p.Params.Objectives, n.owner, log)
 	lis, err := mesh.Listen(ctx, p.Listen)
@@ -96,7 +96,7 @@
 	}
 	inbound.Listener = lis
 	meter := usage.New(int64(p.Params.Limits.RAMMB*crowdedShare*(1<<20)), func() map[string]int {
-		q := n.owner.Queues()
+		q := n.owner.QueueDepths()
 		q["machines"], q["queued"], q["orders"] = n.holder.Depths()
 		q["connections"], q["order_connections"] = inbound.count(), orders.Connections()
 		return q
@@ -106,7 +106,7 @@
 		return reachability.Ears{Refused: usage.Noted(usage.RefusedConnections), Late: meter.Late()}
 	}
 	n.times = failovertiming.New(n.owner, config.Seconds(p.Params.Workers.LeaseS), log)
-	member.OnChange(n.owner.Changed)
+	member.OnChange(n.owner.OwnershipChanged)
 	member.OnChange(n.standing)
 	member.OnChange(n.links.changed)
 	member.OnLink(n.stored)
@@ -152,7 +152,7 @@
 	g.Go(func() error { return peers.Serve(ctx, p.Mesh) })
 	g.Go(func() error { return member.Run(ctx) })
 	g.Go(func() error { return n.owner.Run(ctx) })
-	g.Go(func() error { return catalog.Run(ctx, n.owner.Leads) })
+	g.Go(func() error { return catalog.Run(ctx, n.owner.LeadsAutoscaling) })
 	g.Go(func() error { return boxes.Run(ctx) })
 	g.Go(func() error { return alerts.Run(ctx) })
 	g.Go(func() error { return meter.Run(ctx) })
--- a/cmd/wallrack/demand.go
+++ b/cmd/wallrack/demand.go
@@ -27,10 +27,10 @@
 }
 
 type demandReply struct {
-	Demand   []scheduler.Demand `json:"demand"`
-	Loads    []scheduler.Load   `json:"loads"`
-	Suspects map[string]string  `json:"suspects"` // why, by name
-	Admitted float64            `json:"admitted"`
+	Demand   []scheduler.Demand     `json:"demand"`
+	Loads    []scheduler.WorkerLoad `json:"loads"`
+	Suspects map[string]string      `json:"suspects"` // why, by name
+	Admitted float64                `json:"admitted"`
 }
 
 type goneMessage struct {
@@ -50,7 +50,7 @@
 
 func (n *node) demand(boot float64) *demandReply {
 	d, l := n.owner.Demand(boot)
-	return &demandReply{Demand: d, Loads: l, Suspects: n.lost(), Admitted: n.owner.Admitted()}
+	return &demandReply{Demand: d, Loads: l, Suspects: n.lost(), Admitted: n.owner.AdmittedWork()}
 }
 
 func (n *node) handleDemand() {
@@ -64,17 +64,17 @@
 	mesh.Handle(n.mesh, methodGone, func(_ context.Context, m *goneMessage) (*nothing, error) {
 		for _, name := range m.Machines {
 			n.holder.Gone(name)
-			n.owner.Gone(name)
+			n.owner.WorkerGone(name)
 		}
 		return &nothing{}, nil
 	})
 }
 
 // Ready reports whether this controller leads the fleet.
-func (a *allOwners) Ready() bool { return a.n.owner.Leads() }
+func (a *allOwners) Ready() bool { return a.n.owner.LeadsAutoscaling() }
 
 // Demand gathers the waiting work of all owners, and the machines' loads.
-func (a *allOwners) Demand(boot float64) ([]scheduler.Demand, []scheduler.Load) {
+func (a *allOwners) Demand(boot float64) ([]scheduler.Demand, []scheduler.WorkerLoad) {
 	own := a.n.demand(boot)
 	a.other = a.other[:0]
 	at := map[string]int{}
@@ -102,8 +102,8 @@
 	return own.Demand, own.Loads
 }
 
-// Closing tells the owner here; owners elsewhere only make it take longer.
-func (a *allOwners) Closing(names map[string]bool) { a.n.owner.Closing(names) }
+// SetCordoned tells the owner here; owners elsewhere only make it take longer.
+func (a *allOwners) SetCordoned(names map[string]bool) { a.n.owner.SetCordoned(names) }
 
 // Suspects returns the lost machines that any owner's tasks may be on, and why
 // they are taken for lost.
@@ -115,9 +115,9 @@
 	return out
 }
 
-// Admitted returns how much work all owners have accepted.
-func (a *allOwners) Admitted() float64 {
-	sum := a.n.owner.Admitted()
+// AdmittedWork returns how much work all owners have accepted.
+func (a *allOwners) AdmittedWork() float64 {
+	sum := a.n.owner.AdmittedWork()
 	for _, r := range a.other {
 		sum += r.Admitted
 	}
@@ -130,7 +130,7 @@
 // Gone tells every controller that a machine is gone, soon: a later owner would take
 // it for one that fell silent, and count it among those that it should hear.
 func (a *allOwners) Gone(name string) {
-	a.n.owner.Gone(name)
+	a.n.owner.WorkerGone(name)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.gone = append(a.gone, name); len(a.gone) == 1 {
@@ -157,7 +157,7 @@
 // serveMachines answers operators who ask for the machines: the owner knows them.
 func (n *node) serveMachines(w http.ResponseWriter, r *http.Request) {
 	var ms []wire.MachineInfo
-	if n.owner.Leads() {
+	if n.owner.LeadsAutoscaling() {
 		ms = n.owner.Machines()
 	} else {
 		found := false
--- a/cmd/wallrack/leases.go
+++ b/cmd/wallrack/leases.go
@@ -23,7 +23,7 @@
 		if !n.Entitled() {
 			continue
 		}
-		if ask := n.owner.Expiring(); len(ask) > 0 {
+		if ask := n.owner.HandleExpiringLeases(); len(ask) > 0 {
 			n.holder.Chase(ctx, ask)
 		}
 	}
--- a/cmd/wallrack/main.go
+++ b/cmd/wallrack/main.go
@@ -55,7 +55,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		if err := scheduler.CheckLending(p, op); err != nil {
+		if err := scheduler.CheckQuotaRecords(p, op); err != nil {
 			return nil, nil, fmt.Errorf("%s: %w", platform, err)
 		}
 		return p, op, nil
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -58,7 +58,7 @@
 	cloud  *autoscaler.Cloud
 	mesh   *mesh.Mesh
 	log    *slog.Logger
-	owner  *scheduler.Owner
+	owner  *scheduler.Scheduler
 	holder *dispatch.Holder
 	intake *submission.Intake
 	times  *failovertiming.Timeline
@@ -144,12 +144,12 @@
 		// turns would each have to raise its term above the other's.
 		v.Holder = n.Foreman(v.Name)
 	}
-	n.owner.Observe(v)
+	n.owner.ObserveWorker(v)
 }
 
 // GrantHere asks the owner in this process.
 func (n *node) GrantHere(r dispatch.GrantRequest) dispatch.GrantReply {
-	rep := n.owner.GrantHere(r)
+	rep := n.owner.GrantLocal(r)
 	if rep.OK {
 		n.times.Mark(failovertiming.Granted)
 		n.started()
@@ -166,8 +166,8 @@
 	return *replies, nil
 }
 
-// Direct carries an owner's directions to a holder.
-func (n *node) Direct(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error) {
+// SendInstructions carries an owner's directions to a holder.
+func (n *node) SendInstructions(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error) {
 	if holder == n.cfg.Node {
 		return n.holder.Direct(d), nil
 	}
@@ -192,7 +192,7 @@
 	asked := map[string]bool{}
 	for ctx.Err() == nil {
 		fresh := map[string]string{}
-		for name, endpoint := range n.owner.HeldElsewhere() {
+		for name, endpoint := range n.owner.RemoteWorkers() {
 			if !asked[name] {
 				asked[name], fresh[name] = true, endpoint
 			}
@@ -218,7 +218,7 @@
 		case <-tick.C:
 		}
 		m := &vouchMessage{}
-		_, silent := n.owner.Silent(config.Seconds(lease))
+		_, silent := n.owner.UnresponsiveWorkers(config.Seconds(lease))
 		for i := range silent {
 			if silent[i].Busy && len(m.Machines) < 500 {
 				m.Machines = append(m.Machines, silent[i].Name)
@@ -241,7 +241,7 @@
 		for i, name := range m.Machines {
 			if all && a.LeaseOver(i, now, lease) {
 				n.log.Info("all controllers vouch that the machine's lease ended", "machine", name)
-				n.owner.Vouched(name, a.Asked())
+				n.owner.LeaseAttestedExpired(name, a.Asked())
 			}
 		}
 	}
--- a/cmd/wallrack/publish.go
+++ b/cmd/wallrack/publish.go
@@ -52,7 +52,7 @@
 		if owns && !owned {
 			// New here as an owner: what was heard before counts too.
 			for _, v := range n.holder.Views() {
-				n.owner.Observe(v)
+				n.owner.ObserveWorker(v)
 			}
 			go n.meet(ctx)
 		}
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -78,7 +78,7 @@
 	}
 	defer m.Close()
 	log := slog.New(slog.DiscardHandler)
-	n := &node{cfg: &config.Platform{}, mesh: m, owner: &scheduler.Owner{}, intake: &submission.Intake{}, log: log}
+	n := &node{cfg: &config.Platform{}, mesh: m, owner: &scheduler.Scheduler{}, intake: &submission.Intake{}, log: log}
 	n.handle()
 	n.handleDemand()
 	n.slurm(&slurmapi.Settings{}, nil, http.NewServeMux())
@@ -170,7 +170,7 @@
 	checkRecorded(t, "demand_empty.json", demandMessage{})
 	checkRecorded(t, "demand_reply_full.json", demandReply{
 		Demand: []scheduler.Demand{{Shape: shape, Job: &job, Count: 5, Run: 900.25, Rank: 2, Slack: 30.5}},
-		Loads: []scheduler.Load{{
+		Loads: []scheduler.WorkerLoad{{
 			Name: "n-000231", Type: "g8", Zone: "a", Spot: true, Notice: true, Faulty: true,
 			Matrix: matching.Matrix{{Wait: 20.5, Free: matching.Shape{CPUs: 4, GPUs: 2, MemoryGB: 8.25}}}, Used: shape,
 			Heard: time.Date(2026, 3, 4, 5, 6, 7, 123456789, time.UTC), Existed: time.Date(2026, 3, 4, 5, 6, 8, 0, time.UTC), Places: 3,
@@ -178,7 +178,7 @@
 		Suspects: map[string]string{"n-000232": "silent"}, Admitted: 12345.5,
 	})
 	checkRecorded(t, "demand_reply_empty.json", demandReply{})
-	checkRecorded(t, "demand_reply_plain.json", demandReply{Demand: []scheduler.Demand{{}}, Loads: []scheduler.Load{{}}, Suspects: map[string]string{}})
+	checkRecorded(t, "demand_reply_plain.json", demandReply{Demand: []scheduler.Demand{{}}, Loads: []scheduler.WorkerLoad{{}}, Suspects: map[string]string{}})
 	checkRecorded(t, "machines_full.json", []wire.MachineInfo{{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, HeardS: 1.25}})
 	checkRecorded(t, "machines_empty.json", []wire.MachineInfo{})
 }
--- a/cmd/wallrack/rollouts.go
+++ b/cmd/wallrack/rollouts.go
@@ -33,17 +33,17 @@
 // Lead implements rollout.Core.
 func (c rolloutCore) Lead() (wire.Guard, bool) {
 	v, ok := c.n.member.Owns(firstShard)
-	return wire.Guard{Key: c.n.member.ShardKey(firstShard), Version: v}, ok && c.n.owner.Leads()
+	return wire.Guard{Key: c.n.member.ShardKey(firstShard), Version: v}, ok && c.n.owner.LeadsAutoscaling()
 }
 
 // Submit implements rollout.Core.
 func (c rolloutCore) Submit(ctx context.Context, job *wire.Job, guards ...wire.Guard) error {
-	if _, err := scheduler.Stored(ctx, c.n.store, job.UID); err == nil {
+	if _, err := scheduler.StoredState(ctx, c.n.store, job.UID); err == nil {
 		return nil
 	} else if !errors.Is(err, statestore.ErrNotFound) {
 		return err
 	}
-	shard := scheduler.HomeOf(job, c.n.cfg.Params.Teams, c.n.op)
+	shard := scheduler.AssignShard(job, c.n.cfg.Params.Teams, c.n.op)
 	at := time.Now().UnixMilli()
 	var t *jobspec.Terms
 	if book := c.n.intake.Numbers; book != nil {
@@ -53,12 +53,12 @@
 		}
 		t = &jobspec.Terms{Number: number, Name: job.Class}
 	}
-	accept, ops := scheduler.AcceptTxn(job, t, shard, at)
+	accept, ops := scheduler.AcceptanceTxn(job, t, shard, at)
 	rev, err := c.n.store.Txn(ctx, append(accept, guards...), ops...)
 	if err != nil {
 		return err
 	}
-	c.n.owner.Accepted(job, t, shard, at, rev)
+	c.n.owner.JobAccepted(job, t, shard, at, rev)
 	return nil
 }
 
@@ -73,7 +73,7 @@
 // Replicas implements rollout.Core.
 func (c rolloutCore) Replicas(uid string) []rollout.Replica {
 	var out []rollout.Replica
-	for _, t := range c.n.owner.Running(uid) {
+	for _, t := range c.n.owner.RunningTasks(uid) {
 		if at := c.n.holder.Endpoint(t.Machine); at != "" {
 			out = append(out, rollout.Replica{Task: t.Task, Attempt: t.Attempt, Endpoint: at})
 		}
@@ -82,7 +82,7 @@
 }
 
 // Unfinished implements rollout.Core.
-func (c rolloutCore) Unfinished(class string) bool { return c.n.owner.Unfinished(class) }
+func (c rolloutCore) Unfinished(class string) bool { return c.n.owner.HasUnfinishedJobs(class) }
 
 func (n *node) newRollouts(s *rollout.Settings) *rollout.Manager {
 	most := int(n.cfg.Params.State.ValueKB * 1024 * 0.9)
@@ -115,7 +115,7 @@
 		return context.WithTimeout(r.Context(), rolloutsWithin)
 	}
 	statuses := func(ctx context.Context) []rollout.Status {
-		if !n.owner.Leads() {
+		if !n.owner.LeadsAutoscaling() {
 			for _, p := range n.Owners() { // the leader knows the replicas' health
 				if rep, err := mesh.Call[nothing, []rollout.Status](ctx, n.mesh, p, methodRollouts, &nothing{}); err == nil {
 					return *rep
--- a/cmd/wallrack/silent_machines.go
+++ b/cmd/wallrack/silent_machines.go
@@ -58,8 +58,8 @@
 // lost names the machines that this owner gives up, and why.
 func (n *node) lost() map[string]string {
 	s := &n.links
-	out := n.owner.Stuck()
-	known, silent := n.owner.Silent(s.silence.From())
+	out := n.owner.StuckWorkers()
+	known, silent := n.owner.UnresponsiveWorkers(s.silence.From())
 	v := n.links.now()
 	s.mu.Lock()
 	verdict := s.silence.Judge(time.Now(), v, s.ears(), known, silent)
@@ -75,7 +75,7 @@
 		go func() {
 			ok := n.lives(m)
 			if ok && m.Deaf {
-				n.owner.Answered(name)
+				n.owner.WorkerAnswered(name)
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
--- a/cmd/wallrack/slurm.go
+++ b/cmd/wallrack/slurm.go
@@ -37,18 +37,18 @@
 // slurm switches Slurm-style clients and accounting on. What depends on another
 // owner's jobs is asked there even where they are off, for jobs from before.
 func (n *node) slurm(set *slurmapi.Settings, catalog slurmapi.Catalog, mux *http.ServeMux) {
-	n.owner.Others = n
+	n.owner.RemoteJobs = n
 	mesh.Handle(n.mesh, methodFacts, func(_ context.Context, m *factsMessage) (*factsReply, error) {
-		f, ok := n.owner.FactsHere(m.UID)
+		f, ok := n.owner.LocalFacts(m.UID)
 		return &factsReply{Known: ok, Facts: f}, nil
 	})
 	mesh.Handle(n.mesh, methodEarlier, func(_ context.Context, m *factsMessage) (*factsReply, error) {
-		return &factsReply{Earlier: n.owner.EarlierHere(m.Name, m.User, m.Number)}, nil
+		return &factsReply{Earlier: n.owner.HasEarlierLocal(m.Name, m.User, m.Number)}, nil
 	})
 	if set == nil {
 		return
 	}
-	n.owner.Accounts = set.Accounts
+	n.owner.AccountingEnabled = set.Accounts
 	numbers := jobid.New(n.store)
 	n.intake.Numbers = numbers
 	server := slurmapi.New(set, n.cfg, n.store, n.owner, numbers, n, n.intake, catalog, n.log)
@@ -67,8 +67,8 @@
 	return mesh.Call[slurmapi.Request, slurmapi.Reply](ctx, n.mesh, peer, methodSlurm, &r)
 }
 
-// Facts says how far a job is: its owner knows, or the store how it ended.
-func (n *node) Facts(ctx context.Context, uid string) (jobspec.Facts, error) {
+// JobFacts says how far a job is: its owner knows, or the store how it ended.
+func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.Facts, error) {
 	for _, p := range n.Owners() {
 		actx, cancel := context.WithTimeout(ctx, factsWithin)
 		rep, err := mesh.Call[factsMessage, factsReply](actx, n.mesh, p, methodFacts, &factsMessage{UID: uid})
@@ -80,8 +80,8 @@
 	return scheduler.StoredFacts(ctx, n.store, uid)
 }
 
-// Earlier asks the other owners; one that does not answer may have such a job.
-func (n *node) Earlier(ctx context.Context, name, user string, number uint64) (bool, error) {
+// HasEarlier asks the other owners; one that does not answer may have such a job.
+func (n *node) HasEarlier(ctx context.Context, name, user string, number uint64) (bool, error) {
 	for _, p := range n.Owners() {
 		actx, cancel := context.WithTimeout(ctx, factsWithin)
 		rep, err := mesh.Call[factsMessage, factsReply](actx, n.mesh, p, methodEarlier, &factsMessage{Name: name, User: user, Number: number})
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -29,12 +29,12 @@
 // Owner is what the fleet needs of the jobs' owner.
 type Owner interface {
 	Ready() bool
-	Demand(boot float64) ([]scheduler.Demand, []scheduler.Load)
-	Admitted() float64
+	Demand(boot float64) ([]scheduler.Demand, []scheduler.WorkerLoad)
+	AdmittedWork() float64
 	// Suspects names the machines to be returned that are lost, and why.
 	Suspects() map[string]string
 	Gone(name string)
-	Closing(names map[string]bool)
+	SetCordoned(names map[string]bool)
 }
 
 // Holder is what the fleet needs of the machines' holder.
@@ -70,7 +70,7 @@
 	draining time.Time
 	closing  bool // takes no new work
 	stage    string
-	load     *scheduler.Load
+	load     *scheduler.WorkerLoad
 }
 
 // refusal is when an offer was refused, and how many of it were had then.
@@ -200,7 +200,7 @@
 		b.load, b.heard, b.offer = l, l.Heard, offer{l.Type, l.Zone, l.Spot}
 	}
 	f.busy += 0.1 * (busy - f.busy)
-	f.measure(now, f.owner.Admitted())
+	f.measure(now, f.owner.AdmittedWork())
 	f.sortOut(now, back)
 	f.tell(now, demand, loads)
 	wants, first := f.plan(now, demand)
@@ -224,7 +224,7 @@
 		f.backAt = now
 	}
 	f.mu.Unlock()
-	f.owner.Closing(closing)
+	f.owner.SetCordoned(closing)
 	if giveBack {
 		wg.Add(1)
 		go func() { defer wg.Done(); f.giveBack(ctx, back) }()
@@ -260,7 +260,7 @@
 }
 
 // tell logs the fleet's state now and then.
-func (f *Fleet) tell(now time.Time, demand []scheduler.Demand, loads []scheduler.Load) {
+func (f *Fleet) tell(now time.Time, demand []scheduler.Demand, loads []scheduler.WorkerLoad) {
 	if now.Sub(f.toldAt) < tellEvery {
 		return
 	}
--- a/internal/autoscaler/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -131,7 +131,7 @@
 		h := &drains{}
 		f.holder = h
 		f.op.IdleS = 20
-		var load scheduler.Load
+		var load scheduler.WorkerLoad
 		load.Heard = now
 		for i := range 3 {
 			name := fmt.Sprintf("n-%d", i)
@@ -158,7 +158,7 @@
 func TestPlanTakesTasksTogether(t *testing.T) {
 	f := planner()
 	now := time.Now()
-	load := scheduler.Load{Matrix: matching.NewMatrix(matching.Shape{CPUs: 64, MemoryGB: 128},
+	load := scheduler.WorkerLoad{Matrix: matching.NewMatrix(matching.Shape{CPUs: 64, MemoryGB: 128},
 		[]matching.Use{{Shape: matching.Shape{CPUs: 30, MemoryGB: 9}, Left: 7}, {Shape: matching.Shape{CPUs: 3, MemoryGB: 70}, Left: 12}}, nil), Heard: now}
 	for i := range 200 {
 		name := fmt.Sprintf("n-%d", i)
--- a/internal/cancellation/cancels.go
+++ b/internal/cancellation/cancels.go
@@ -128,16 +128,16 @@
 	return r
 }
 
-// Has reports whether the job is known to be cancelled.
-func (r *Register) Has(uid string) bool {
+// IsCancelled reports whether the job is known to be cancelled.
+func (r *Register) IsCancelled(uid string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, ok := r.jobs[uid]
 	return ok
 }
 
-// Learn notes that jobs were cancelled, as the state service says.
-func (r *Register) Learn(uids ...string) {
+// RecordCancelled notes that jobs were cancelled, as the state service says.
+func (r *Register) RecordCancelled(uids ...string) {
 	r.mu.Lock()
 	fresh := r.learnLocked(uids, time.Now())
 	r.mu.Unlock()
--- a/internal/cancellation/cancels_test.go
+++ b/internal/cancellation/cancels_test.go
@@ -97,7 +97,7 @@
 	for i, l := range s.lives {
 		known := l.Known()
 		for uid, at := range s.confirmed {
-			if at.Before(known) && !l.Has(uid) {
+			if at.Before(known) && !l.IsCancelled(uid) {
 				fail("%s claims to know all that was confirmed until %v ago, and does not know of %s, confirmed %v ago",
 					name(i), time.Since(known), uid, time.Since(at))
 			}
@@ -298,7 +298,7 @@
 			ping()
 			s.check(t.Errorf)
 		}
-		if !s.lives[1].Has("j-004999") || time.Since(s.lives[1].Known()) > time.Second {
+		if !s.lives[1].IsCancelled("j-004999") || time.Since(s.lives[1].Known()) > time.Second {
 			t.Errorf("all is known up to %v ago", time.Since(s.lives[1].Known()))
 		}
 	})
@@ -342,13 +342,13 @@
 			}
 		}
 		for _, uid := range []string{"j-7000000", "", "j-", "../x", "j-1/0"} {
-			if r.Has(uid) {
+			if r.IsCancelled(uid) {
 				t.Errorf("%q counts as cancelled", uid)
 			}
 		}
 		time.Sleep(15 * time.Minute)
-		if err := r.Confirm("j-900000"); err != nil || r.Has("j-000001") {
-			t.Errorf("after a quarter of an hour: %v, still known: %v", err, r.Has("j-000001"))
+		if err := r.Confirm("j-900000"); err != nil || r.IsCancelled("j-000001") {
+			t.Errorf("after a quarter of an hour: %v, still known: %v", err, r.IsCancelled("j-000001"))
 		}
 	})
 }
--- a/internal/cancellation/fuzz_test.go
+++ b/internal/cancellation/fuzz_test.go
@@ -45,7 +45,7 @@
 			t.Errorf("all is known up to %v after what was known before", after.Sub(before))
 		}
 		for _, uid := range m.News {
-			if r.Has(uid) && (!wire.ValidJobID(uid) || err != nil && uid != "j-known") {
+			if r.IsCancelled(uid) && (!wire.ValidJobID(uid) || err != nil && uid != "j-known") {
 				t.Errorf("%q counts as cancelled", uid)
 			}
 		}
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -148,7 +148,7 @@
 
 // Cancels knows which jobs were cancelled.
 type Cancels interface {
-	Has(uid string) bool
+	IsCancelled(uid string) bool
 }
 
 // Routing says whether this controller may act for a worker, and which one
--- a/internal/dispatch/orders_test.go
+++ b/internal/dispatch/orders_test.go
@@ -21,7 +21,7 @@
 // cancelledJobs are the jobs that are known to be cancelled.
 type cancelledJobs map[string]bool
 
-func (c cancelledJobs) Has(uid string) bool { return c[uid] }
+func (c cancelledJobs) IsCancelled(uid string) bool { return c[uid] }
 
 // busyWorker is a worker whose answer to /show is held back, so that whatever else is sent
 // to it waits for the connection.
--- a/internal/failovertiming/recovery.go
+++ b/internal/failovertiming/recovery.go
@@ -40,9 +40,9 @@
 
 // Books is what is known of a takeover.
 type Books interface {
-	// Recovered returns the takeovers so far, the machines on which the last
+	// FailoverProgress returns the takeovers so far, the machines on which the last
 	// one found tasks recorded, and how many of those were not heard since.
-	Recovered() (takeovers, machines, silent int)
+	FailoverProgress() (takeovers, machines, silent int)
 }
 
 // Timeline times the recovery in progress and keeps the last one.
@@ -138,7 +138,7 @@
 
 // look reads the books; false when there is nothing to time.
 func (t *Timeline) look() bool {
-	takeovers, machines, silent := t.books.Recovered()
+	takeovers, machines, silent := t.books.FailoverProgress()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.open {
--- a/internal/failovertiming/recovery_test.go
+++ b/internal/failovertiming/recovery_test.go
@@ -19,7 +19,7 @@
 	takeovers, machines, silent int
 }
 
-func (b *books) Recovered() (int, int, int) {
+func (b *books) FailoverProgress() (int, int, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.takeovers, b.machines, b.silent
--- a/internal/scheduler/accept.go
+++ b/internal/scheduler/accept.go
@@ -22,12 +22,12 @@
 	// once its owner's watch has told of it.
 	ownerPause = 50 * time.Millisecond
 	// otherPause is for a controller without jobs, to which the watch tells cancels only.
-	// What comes late after it has taken jobs over, Owner.take knows from what it has read.
+	// What comes late after it has taken jobs over, Scheduler.take knows from what it has read.
 	otherPause = 200 * time.Millisecond
 )
 
 // watchPause is the longest pause between answers of the watch.
-func (o *Owner) watchPause() time.Duration {
+func (o *Scheduler) watchPause() time.Duration {
 	if len(o.member.Claimed()) > 0 {
 		return ownerPause
 	}
@@ -35,9 +35,9 @@
 }
 
 // watch follows accepted jobs, which any controller may record.
-func (o *Owner) watch(ctx context.Context) {
+func (o *Scheduler) watch(ctx context.Context) {
 	take := func(key string, value json.RawMessage, version uint64) {
-		var r liveRecord
+		var r LiveRecord
 		if err := json.Unmarshal(value, &r); err != nil {
 			o.log.Error("unreadable job record", "key", key, "err", err)
 			return
@@ -45,7 +45,7 @@
 		o.take(&r, version)
 	}
 	ctx = statestore.Paced(statestore.In(ctx, statestore.Urgent), statestore.Pace{Burst: watchBurst, Pause: o.watchPause})
-	o.store.Watch(ctx, liveKey, 20*time.Second, func(items []wire.Item) {
+	o.store.Watch(ctx, LivePrefix, 20*time.Second, func(items []wire.Item) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		for _, it := range items {
@@ -63,22 +63,22 @@
 	})
 }
 
-// early is a living job's record that came while shards were being loaded.
-type early struct {
-	record  liveRecord
+// earlyRecord is a living job's record that came while shards were being loaded.
+type earlyRecord struct {
+	record  LiveRecord
 	version uint64
 }
 
 // take takes a living job's record that was written just now.
-func (o *Owner) take(r *liveRecord, version uint64) {
-	if r.Cancelled && o.Cancels != nil {
-		o.Cancels.Learn(r.Job.UID) // whoever owns it
+func (o *Scheduler) take(r *LiveRecord, version uint64) {
+	if r.Cancelled && o.Cancellations != nil {
+		o.Cancellations.RecordCancelled(r.Job.UID) // whoever owns it
 	}
 	if _, mine := o.loaded[r.Shard]; !mine {
 		if o.loading {
 			// The listing that is being read may be from before: without
 			// this, the job would wait until the next takeover.
-			o.early = append(o.early, early{*r, version})
+			o.early = append(o.early, earlyRecord{*r, version})
 		}
 		return
 	}
@@ -97,17 +97,17 @@
 		poke(o.wake)
 		return
 	}
-	if version > j.version {
+	if version > j.Version {
 		o.takeRecord(j, r, version)
 	}
 }
 
-// Accepted adds a job, with its terms if it has any, that this process has just
+// JobAccepted adds a job, with its terms if it has any, that this process has just
 // recorded.
-func (o *Owner) Accepted(spec *wire.Job, t *jobspec.Terms, shard int, atMs int64, version uint64) {
+func (o *Scheduler) JobAccepted(spec *wire.Job, t *jobspec.Terms, shard int, atMs int64, version uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.jobs[spec.UID] == nil {
-		o.take(&liveRecord{Job: *spec, Shard: shard, AtMs: atMs, Terms: t}, version)
+		o.take(&LiveRecord{Job: *spec, Shard: shard, AtMs: atMs, Terms: t}, version)
 	}
 }
--- a/internal/scheduler/amend.go
+++ b/internal/scheduler/amend.go
@@ -10,20 +10,20 @@
 )
 
 // Hold holds a job's tasks that have not started, or releases them.
-func (o *Owner) Hold(ctx context.Context, uid string, held bool) error {
-	return o.amend(ctx, uid, func(r *liveRecord) (bool, error) {
+func (o *Scheduler) Hold(ctx context.Context, uid string, held bool) error {
+	return o.amend(ctx, uid, func(r *LiveRecord) (bool, error) {
 		was := r.Terms.Held
 		r.Terms.Held = held
 		return was != held, nil
 	})
 }
 
-// ErrInput means that what was asked can't be done as it was asked.
-var ErrInput = errors.New("can't be done")
+// ErrInvalidRequest means that what was asked can't be done as it was asked.
+var ErrInvalidRequest = errors.New("can't be done")
 
-// Drop cancels tasks of a job alone. Those that are over stay as they are.
-func (o *Owner) Drop(ctx context.Context, uid string, tasks jobspec.Ranges) error {
-	return o.amend(ctx, uid, func(r *liveRecord) (bool, error) {
+// CancelTasks cancels tasks of a job alone. Those that are over stay as they are.
+func (o *Scheduler) CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error {
+	return o.amend(ctx, uid, func(r *LiveRecord) (bool, error) {
 		var all []int
 		if r.Terms.Dropped != "" {
 			old, err := jobspec.ParseRanges(r.Terms.Dropped)
@@ -39,9 +39,9 @@
 		for t := range tasks.All() {
 			if t >= r.Job.Tasks {
 				o.mu.Unlock()
-				return false, fmt.Errorf("%w: the job has no task %d", ErrInput, t)
+				return false, fmt.Errorf("%w: the job has no task %d", ErrInvalidRequest, t)
 			}
-			if j == nil || !j.chunks[t/chunkSize].isDone(t) {
+			if j == nil || !j.Chunks[t/ChunkSize].IsDone(t) {
 				all = append(all, t)
 			}
 		}
@@ -51,7 +51,7 @@
 		}
 		text := jobspec.RangesOf(all).String()
 		if _, err := jobspec.ParseRanges(text); err != nil || len(text) > jobspec.MaxArray {
-			return false, fmt.Errorf("%w: too many single tasks of this job were cancelled; cancel the job, or ranges of tasks", ErrInput)
+			return false, fmt.Errorf("%w: too many single tasks of this job were cancelled; cancel the job, or ranges of tasks", ErrInvalidRequest)
 		}
 		changed := r.Terms.Dropped != text
 		r.Terms.Dropped = text
@@ -61,14 +61,14 @@
 
 // amend changes a living job's terms. Like a cancel only the shard's owner may do
 // so, or anybody while nobody owns it.
-func (o *Owner) amend(ctx context.Context, uid string, change func(*liveRecord) (bool, error)) error {
+func (o *Scheduler) amend(ctx context.Context, uid string, change func(*LiveRecord) (bool, error)) error {
 	for {
-		r, recorded, err := readLive(ctx, o.store, uid)
+		r, recorded, err := ReadLive(ctx, o.store, uid)
 		if err != nil {
 			return err
 		}
 		if r.Terms == nil {
-			return fmt.Errorf("%w: the job was accepted without a number", ErrInput)
+			return fmt.Errorf("%w: the job was accepted without a number", ErrInvalidRequest)
 		}
 		version, mine := o.member.Owns(r.Shard)
 		o.mu.Lock()
@@ -90,7 +90,7 @@
 		}
 		if mine {
 			o.mu.Lock()
-			if j := o.jobs[uid]; j != nil && rev > j.version {
+			if j := o.jobs[uid]; j != nil && rev > j.Version {
 				o.takeRecord(j, &r, rev)
 			}
 			o.mu.Unlock()
@@ -100,17 +100,17 @@
 }
 
 // retermed takes the terms of a newer record of a job.
-func (o *Owner) retermed(j *job, r *liveRecord) {
-	if r.Terms == nil || j.asked == nil {
+func (o *Scheduler) retermed(j *Job, r *LiveRecord) {
+	if r.Terms == nil || j.Constraints == nil {
 		return
 	}
 	t := *r.Terms
-	j.asked.Terms = &t
+	j.Constraints.Terms = &t
 	o.dropTasks(j)
 	if t.Held {
-		for _, ps := range j.places {
-			for _, p := range append([]*place(nil), ps...) {
-				if !p.on() && !p.exited {
+		for _, ps := range j.Placements {
+			for _, p := range append([]*Placement(nil), ps...) {
+				if !p.MayRun() && !p.Exited {
 					o.unqueue(p)
 				}
 			}
@@ -120,36 +120,36 @@
 }
 
 // dropTasks marks the tasks that their user cancelled alone, and stops them.
-func (o *Owner) dropTasks(j *job) {
-	if j.asked == nil || j.asked.Dropped == "" {
+func (o *Scheduler) dropTasks(j *Job) {
+	if j.Constraints == nil || j.Constraints.Dropped == "" {
 		return
 	}
-	r, err := jobspec.ParseRanges(j.asked.Dropped)
+	r, err := jobspec.ParseRanges(j.Constraints.Dropped)
 	if err != nil {
-		o.log.Error("unreadable terms of a job", "job", j.spec.UID, "err", err)
+		o.log.Error("unreadable terms of a job", "job", j.Spec.UID, "err", err)
 		return
 	}
 	gone := map[int]bool{}
 	for t := range r.All() {
-		if t >= j.spec.Tasks || j.chunks[t/chunkSize].isDone(t) {
+		if t >= j.Spec.Tasks || j.Chunks[t/ChunkSize].IsDone(t) {
 			continue
 		}
-		j.chunks[t/chunkSize].setFailed(t, uint64(howCancelled), 0)
+		j.Chunks[t/ChunkSize].SetFailed(t, uint64(OutcomeCancelled), 0)
 		gone[t] = true
 	}
-	if o.jobs[j.spec.UID] != j {
+	if o.jobs[j.Spec.UID] != j {
 		return // being admitted: its tasks are counted after this
 	}
-	j.over += len(gone)
-	left := j.pending[:0]
-	for _, t := range j.pending {
+	j.Finished += len(gone)
+	left := j.Pending[:0]
+	for _, t := range j.Pending {
 		if !gone[t] {
 			left = append(left, t)
 		}
 	}
-	j.pending = left
+	j.Pending = left
 	for t := range gone {
-		for _, p := range append([]*place(nil), j.places[t]...) {
+		for _, p := range append([]*Placement(nil), j.Placements[t]...) {
 			o.halt(p, 0)
 		}
 	}
--- a/internal/scheduler/answers_test.go
+++ b/internal/scheduler/answers_test.go
@@ -41,7 +41,7 @@
 func notFound(string) (wire.Item, error) { return wire.Item{}, statestore.ErrNotFound }
 
 // scripted returns an owner that has not loaded anything, with its store.
-func scripted(t *testing.T) (*scheduler.Owner, *scriptedStore) {
+func scripted(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
 	t.Helper()
 	op, err := config.LoadOperator("")
 	if err != nil {
@@ -66,14 +66,14 @@
 }
 
 // scriptedWithJob is an owner of j-1, whose record the store reads as it is at the time.
-func scriptedWithJob(t *testing.T) (*scheduler.Owner, *scriptedStore, *wire.Item) {
+func scriptedWithJob(t *testing.T) (*scheduler.Scheduler, *scriptedStore, *wire.Item) {
 	t.Helper()
 	o, s := scripted(t)
 	if err := o.Load(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	job, record := live(t, 11)
-	o.Accepted(job, nil, 0, 0, 11)
+	o.JobAccepted(job, nil, 0, 0, 11)
 	s.get = func(string) (wire.Item, error) { return record, nil }
 	return o, s, &record
 }
@@ -92,8 +92,8 @@
 			t.Fatal(err)
 		}
 		job, _ := live(t, version)
-		o.Accepted(job, nil, 0, 0, version)
-		if s, ok := o.Known("j-1"); ok != alive {
+		o.JobAccepted(job, nil, 0, 0, version)
+		if s, ok := o.LocalState("j-1"); ok != alive {
 			t.Errorf("accepted at %d, listed at 10: %+v, %v", version, s, ok)
 		}
 	}
@@ -112,8 +112,8 @@
 	if st, err := o.Cancel(t.Context(), "j-1"); err == nil {
 		t.Fatalf("the cancel is answered %+v without an answer of the state service", st)
 	}
-	o.Accepted(job, nil, 0, 0, 11)
-	if st, ok := o.Known("j-1"); ok {
+	o.JobAccepted(job, nil, 0, 0, 11)
+	if st, ok := o.LocalState("j-1"); ok {
 		t.Errorf("the owner says %+v after a cancel that may have been applied", st)
 	}
 }
@@ -170,7 +170,7 @@
 						t.Fatalf("the cancel is answered %+v", st)
 					}
 				}
-				if st, ok := o.Known("j-1"); ok != c.sure || ok && st.Stage != wire.StageQueued {
+				if st, ok := o.LocalState("j-1"); ok != c.sure || ok && st.Stage != wire.StageQueued {
 					t.Errorf("after the cancels: %+v, %v", st, ok)
 				}
 				writes := 0
@@ -181,7 +181,7 @@
 				}
 				time.Sleep(10 * time.Second)
 				o.ResolveCancels(t.Context())
-				if st, ok := o.Known("j-1"); ok != c.settled || ok && st.Stage != wire.StageQueued {
+				if st, ok := o.LocalState("j-1"); ok != c.settled || ok && st.Stage != wire.StageQueued {
 					t.Errorf("settled: %+v, %v", st, ok)
 				}
 				o.ResolveCancels(t.Context())
@@ -205,7 +205,7 @@
 		record.Value = cancelledRecord(record.Value)
 		time.Sleep(10 * time.Second)
 		o.ResolveCancels(t.Context())
-		if st, ok := o.Known("j-1"); !ok || st.Stage != wire.StageCancelled {
+		if st, ok := o.LocalState("j-1"); !ok || st.Stage != wire.StageCancelled {
 			t.Errorf("%+v, %v", st, ok)
 		}
 	})
@@ -220,7 +220,7 @@
 			record.Version = 12
 			record.Value = cancelledRecord(record.Value)
 			o.ResolveCancels(t.Context())
-			if st, ok := o.Known("j-1"); !ok || st.Stage != wire.StageCancelled {
+			if st, ok := o.LocalState("j-1"); !ok || st.Stage != wire.StageCancelled {
 				t.Errorf("the applied cancel is not found: %+v, %v", st, ok)
 			}
 			return 0, statestore.ErrUnavailable
@@ -228,7 +228,7 @@
 		if st, err := o.Cancel(t.Context(), "j-1"); err == nil {
 			t.Errorf("the refused cancel is answered %+v", st)
 		}
-		if st, ok := o.Known("j-1"); !ok || st.Stage != wire.StageCancelled {
+		if st, ok := o.LocalState("j-1"); !ok || st.Stage != wire.StageCancelled {
 			t.Errorf("%+v, %v", st, ok)
 		}
 	})
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -9,19 +9,19 @@
 
 // batch matches up to limit tasks of the jobs and dispatches the matches that
 // wait no longer than the horizon.
-func (o *Owner) batch(jobs []*job, open []*mach, limit int) map[*job]int {
+func (o *Scheduler) batch(jobs []*Job, open []*Worker, limit int) map[*Job]int {
 	var options [][]matching.Option
-	var of []*job
+	var of []*Job
 	arena, opts := o.arena[:0], o.options
 	defer func() { o.arena, o.options = arena, opts }()
 	for _, j := range jobs {
-		if j.spec.Gang() {
+		if j.Spec.Gang() {
 			continue
 		}
 		opts = opts[:0]
 		for _, m := range o.candidates(j, o.roomFor(j, open)) {
 			if e, ok := o.estimate(j, m); ok && e.wait <= o.op.HorizonS {
-				opts = append(opts, matching.Option{Machine: m.index, Wait: e.wait, Cost: e.cost})
+				opts = append(opts, matching.Option{Machine: m.Index, Wait: e.wait, Cost: e.cost})
 			}
 		}
 		if len(opts) == 0 {
@@ -39,15 +39,15 @@
 			of = append(of, j)
 		}
 	}
-	placed := map[*job]int{}
+	placed := map[*Job]int{}
 	for _, pair := range matching.Match(options, matchRounds) {
 		j := of[pair.Task]
 		m := o.byIndex[pair.Machine]
 		if !o.roomInLimit(j, 1) || !o.zoneFits(j, m) {
 			continue
 		}
-		t := j.pending[len(j.pending)-1]
-		j.pending = j.pending[:len(j.pending)-1]
+		t := j.Pending[len(j.Pending)-1]
+		j.Pending = j.Pending[:len(j.Pending)-1]
 		o.put(j, t, m, pair.Wait)
 		placed[j]++
 	}
@@ -56,51 +56,51 @@
 
 // zoneFits reports whether one more place there agrees with the zones of the
 // job's other places, granted or not.
-func (o *Owner) zoneFits(j *job, m *mach) bool {
-	if !j.spec.OneZone && !j.spec.Spread {
+func (o *Scheduler) zoneFits(j *Job, m *Worker) bool {
+	if !j.Spec.OneZone && !j.Spec.Spread {
 		return true
 	}
 	there := 1
-	for _, ps := range j.places {
+	for _, ps := range j.Placements {
 		for _, p := range ps {
-			same := p.mach.view.Zone == m.view.Zone
-			if j.spec.OneZone && !same && !p.exited {
+			same := p.Worker.View.Zone == m.View.Zone
+			if j.Spec.OneZone && !same && !p.Exited {
 				return false
 			}
-			if same && !p.exited {
+			if same && !p.Exited {
 				there++
 			}
 		}
 	}
-	return !j.spec.Spread || there <= (j.spec.Tasks+1)/2
+	return !j.Spec.Spread || there <= (j.Spec.Tasks+1)/2
 }
 
 // roomInLimit keeps a team's queued work within its limit too, so that tasks
 // that can't be granted yet do not clog the queues.
-func (o *Owner) roomInLimit(j *job, more int) bool {
-	t := j.team
+func (o *Scheduler) roomInLimit(j *Job, more int) bool {
+	t := j.Team
 	if t.CPUsMax <= 0 && t.GPUsMax <= 0 {
 		return true
 	}
-	queued := t.use
-	if t.lent != nil {
-		queued = t.lent.use[j.shard]
+	queued := t.Used
+	if t.Leased != nil {
+		queued = t.Leased.UsedByShard[j.Shard]
 	}
 	for _, x := range o.order {
-		if x.team != t || t.lent != nil && x.shard != j.shard {
+		if x.Team != t || t.Leased != nil && x.Shard != j.Shard {
 			continue
 		}
-		for _, ps := range x.places {
+		for _, ps := range x.Placements {
 			for _, p := range ps {
-				if !p.on() && !p.exited {
-					queued = queued.Add(x.shape, 1)
+				if !p.MayRun() && !p.Exited {
+					queued = queued.Add(x.Resources, 1)
 				}
 			}
 		}
 	}
-	queued = queued.Add(j.shape, float64(more))
-	if t.lent != nil {
-		return t.allows(j.shard, queued)
+	queued = queued.Add(j.Resources, float64(more))
+	if t.Leased != nil {
+		return t.Allows(j.Shard, queued)
 	}
 	return (t.CPUsMax <= 0 || queued.CPUs <= t.CPUsMax+1e-6) && (t.GPUsMax <= 0 || queued.GPUs <= t.GPUsMax+1e-6)
 }
@@ -108,26 +108,26 @@
 // hold keeps, for this pass, the room that jobs which found no place soon
 // would get first, so that small tasks of lower priority do not fill every gap
 // before it grows large enough.
-func (o *Owner) hold(jobs []*job, open []*mach) {
+func (o *Scheduler) hold(jobs []*Job, open []*Worker) {
 	budget := holdTasks
 	for _, j := range jobs {
 		for n := min(o.room(j), budget); n > 0; n-- {
-			var best *mach
+			var best *Worker
 			soonest := math.Inf(1)
-			run := j.runEstimate()
+			run := j.RunEstimate()
 			for _, m := range open {
-				if m.closing || !o.allowed(j, m) || !o.fitsLease(j, m) {
+				if m.Cordoned || !o.allowed(j, m) || !o.fitsLease(j, m) {
 					continue
 				}
-				if w := m.matrix.WaitWithin(j.shape, run, min(soonest, holdWithin)); w < soonest && w <= holdWithin {
+				if w := m.Matrix.WaitWithin(j.Resources, run, min(soonest, holdWithin)); w < soonest && w <= holdWithin {
 					best, soonest = m, w
 				}
 			}
 			if best == nil {
 				break
 			}
-			best.matrix = best.matrix.Reserve(j.shape, soonest, run)
-			best.held = true
+			best.Matrix = best.Matrix.Reserve(j.Resources, soonest, run)
+			best.RoomReserved = true
 			budget--
 		}
 	}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -23,7 +23,7 @@
 // fleet is a generated fleet with one owner, whose store and holders accept
 // everything.
 type fleet struct {
-	owner *scheduler.Owner
+	owner *scheduler.Scheduler
 	cfg   *config.Platform
 	views []dispatch.View
 	rev   uint64
@@ -51,7 +51,7 @@
 
 // acceptArray accepts j-1, an array of so many tasks of 2 CPUs.
 func (f *fleet) acceptArray(tasks int) {
-	f.owner.Accepted(&wire.Job{UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks, CPUs: 2, MemoryGB: 1, Estimate: 5, Spot: true},
+	f.owner.JobAccepted(&wire.Job{UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks, CPUs: 2, MemoryGB: 1, Estimate: 5, Spot: true},
 		nil, 0, time.Now().UnixMilli(), 1)
 }
 
@@ -70,7 +70,7 @@
 	return 7, nil
 }
 func (f *fleet) ShardKey(int) string { return "c/shard/000" }
-func (f *fleet) Direct(_ context.Context, _ string, d dispatch.Direction) (dispatch.Unlaunched, error) {
+func (f *fleet) SendInstructions(_ context.Context, _ string, d dispatch.Direction) (dispatch.Unlaunched, error) {
 	f.raise = max(f.raise, d.RaiseAbove)
 	for _, e := range d.Assign {
 		if e.Listed {
@@ -128,11 +128,11 @@
 		use := []matching.Use{{Shape: matching.Shape{CPUs: 12, MemoryGB: 12}, Left: 20}}
 		f.views = append(f.views, dispatch.View{Name: fmt.Sprintf("n-%06d", i), Type: "m", Zone: "z", Spot: i%3 > 0, Session: 1, Seq: 1,
 			Token: 7, Holder: "a", Matrix: matching.NewMatrix(total, use, nil)})
-		f.owner.Observe(f.views[i])
+		f.owner.ObserveWorker(f.views[i])
 	}
 	for i := range jobs {
 		due := 60.0 + float64(i)
-		f.owner.Accepted(&wire.Job{UID: fmt.Sprintf("j-%06d", i), Class: fmt.Sprintf("c%d", i%2), Team: "t", Kind: wire.KindArray,
+		f.owner.JobAccepted(&wire.Job{UID: fmt.Sprintf("j-%06d", i), Class: fmt.Sprintf("c%d", i%2), Team: "t", Kind: wire.KindArray,
 			Priority: []string{"normal", "urgent"}[i%2], Tasks: 100, CPUs: float64(2 + 6*(i%2)), MemoryGB: 3, Image: fmt.Sprintf("i%d", i%20),
 			ImageGB: 1, Estimate: 30, Spot: true, DueS: &due}, nil, 0, time.Now().UnixMilli(), uint64(i+1))
 	}
@@ -155,7 +155,7 @@
 			v.Queue = append(v.Queue, dispatch.QueueView{Ref: ref, WaitS: full})
 		}
 	}
-	f.owner.Observe(*v)
+	f.owner.ObserveWorker(*v)
 }
 
 func BenchmarkPass(b *testing.B) {
@@ -200,7 +200,7 @@
 	for i := 0; b.Loop(); i++ {
 		v := &f.views[i%len(f.views)]
 		v.Seq++
-		f.owner.Observe(*v)
+		f.owner.ObserveWorker(*v)
 	}
 }
 
@@ -217,12 +217,12 @@
 func BenchmarkLargeArray(b *testing.B) {
 	for b.Loop() {
 		f := newFleet(b, 50, 0)
-		f.owner.Accepted(&wire.Job{UID: "j-big", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 100_000, CPUs: 1, Estimate: 30, Spot: true},
+		f.owner.JobAccepted(&wire.Job{UID: "j-big", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 100_000, CPUs: 1, Estimate: 30, Spot: true},
 			&jobspec.Terms{Number: 1, Array: "0-99999", Most: 20}, 0, time.Now().UnixMilli(), 1)
 		f.owner.Pass()
 		tasks, pages := 0, 0
 		for from := (jobquery.Cursor{}); ; pages++ {
-			jobs, next := f.owner.Listing(from, 500)
+			jobs, next := f.owner.ListJobs(from, 500)
 			for i := range jobs {
 				tasks += len(slurm.Queue(&jobs[i], true, 0, time.UTC))
 			}
--- a/internal/scheduler/blame.go
+++ b/internal/scheduler/blame.go
@@ -15,37 +15,37 @@
 // was submitted with a mistake fails wherever it is tried: it blames no machine, and
 // only a few of its tasks are tried at a time, until one is done. Before this, each such
 // job put every machine that it touched back for all others, and had sound ones returned.
-func (o *Owner) failed(j *job, m *mach) {
-	j.errors++
-	j.avoid[m.index] = time.Now().Add(time.Minute)
-	if j.faulty {
+func (o *Scheduler) failed(j *Job, m *Worker) {
+	j.Errors++
+	j.Avoid[m.Index] = time.Now().Add(time.Minute)
+	if j.Faulty {
 		return
 	}
-	m.blame[j.spec.UID]++
-	if j.done > 0 {
+	m.Failures[j.Spec.UID]++
+	if j.Done > 0 {
 		return
 	}
-	if j.failedOn == nil {
-		j.failedOn = map[int]bool{}
+	if j.FailedOn == nil {
+		j.FailedOn = map[int]bool{}
 	}
-	j.failedOn[m.index] = true
-	if len(j.failedOn) < faultyOn {
+	j.FailedOn[m.Index] = true
+	if len(j.FailedOn) < faultyOn {
 		return
 	}
-	j.faulty, j.failedOn = true, nil
+	j.Faulty, j.FailedOn = true, nil
 	for _, x := range o.machines {
-		delete(x.blame, j.spec.UID)
+		delete(x.Failures, j.Spec.UID)
 	}
-	o.log.Info("a job fails wherever it is tried", "job", j.spec.UID, "class", j.spec.Class, "errors", j.errors)
+	o.log.Info("a job fails wherever it is tried", "job", j.Spec.UID, "class", j.Spec.Class, "errors", j.Errors)
 }
 
-// faulty reports whether the machine fails what runs elsewhere.
-func (m *mach) faulty() bool {
+// Faulty reports whether the machine fails what runs elsewhere.
+func (m *Worker) Faulty() bool {
 	sum := 0
-	for _, n := range m.blame {
+	for _, n := range m.Failures {
 		sum += n
 	}
-	return sum >= faultyLeast && len(m.blame) >= 2
+	return sum >= faultyLeast && len(m.Failures) >= 2
 }
 
 // heeds looks whether what is sent to a machine comes through, by what its newest
@@ -53,29 +53,29 @@
 // reaches, looks idle, and would take one task after the other for nothing until its
 // lease ends, and again. It gets no work until it answers a request, or shows a
 // start. Nothing on it is settled by this.
-func (o *Owner) heeds(m *mach, now time.Time) {
-	heeded := m.heeded || m.view.Asked
-	m.heeded = false
+func (o *Scheduler) heeds(m *Worker, now time.Time) {
+	heeded := m.CommandObserved || m.View.Asked
+	m.CommandObserved = false
 	if heeded {
 		o.hears(m)
 		return
 	}
 	wait := o.heedWait()
 	var since time.Time
-	for p := range m.places {
-		if p.shownIn == o.views {
+	for p := range m.Placements {
+		if p.SeenInView == o.views {
 			continue
 		}
 		var sent time.Time
 		switch {
-		case p.state == placeGranted && unsent(m.view.Queue, p.ref):
+		case p.State == PlacementGranted && unsent(m.View.Queue, p.Ref):
 			// The grant has not reached the holder, which says nothing of the machine: over a
 			// slow link between controllers, machines that worked were returned as deaf.
 			continue
-		case p.state == placeGranted:
-			sent = p.grantedAt
-		case p.state == placeUnsettled && m.view.Token <= p.token:
-			sent = p.made
+		case p.State == PlacementGranted:
+			sent = p.GrantedAt
+		case p.State == PlacementUnconfirmed && m.View.Token <= p.MaxToken:
+			sent = p.CreatedAt
 		default:
 			continue
 		}
@@ -86,26 +86,26 @@
 	if since.IsZero() {
 		return
 	}
-	if m.unheeded++; m.unheeded >= deafReports && m.deaf.IsZero() {
-		m.deaf = now.Add(-wait)
-		m.lost++
-		o.log.Info("a machine reports, and nothing sent to it has an effect", "machine", m.name, "holder", m.view.Holder, "for_s", now.Sub(since).Seconds())
+	if m.UnresponsiveReports++; m.UnresponsiveReports >= deafReports && m.UnresponsiveSince.IsZero() {
+		m.UnresponsiveSince = now.Add(-wait)
+		m.RecentLost++
+		o.log.Info("a machine reports, and nothing sent to it has an effect", "machine", m.Name, "holder", m.View.Holder, "for_s", now.Sub(since).Seconds())
 	}
 }
 
 // hears notes that something that was sent to the machine came through.
-func (o *Owner) hears(m *mach) {
-	if !m.deaf.IsZero() {
-		o.log.Info("what is sent to the machine has an effect again", "machine", m.name, "after_s", time.Since(m.deaf).Seconds())
+func (o *Scheduler) hears(m *Worker) {
+	if !m.UnresponsiveSince.IsZero() {
+		o.log.Info("what is sent to the machine has an effect again", "machine", m.Name, "after_s", time.Since(m.UnresponsiveSince).Seconds())
 	}
-	m.deaf, m.unheeded, m.heededAt = time.Time{}, 0, time.Now()
+	m.UnresponsiveSince, m.UnresponsiveReports, m.RespondedAt = time.Time{}, 0, time.Now()
 }
 
 // heedWait is the time after which a report shows what was sent.
-func (o *Owner) heedWait() time.Duration { return seconds(2 + 1.5*o.cfg.Params.Workers.ReportS) }
+func (o *Scheduler) heedWait() time.Duration { return seconds(2 + 1.5*o.cfg.Params.Workers.ReportS) }
 
-// Answered notes that a machine answered a request, by whichever controller.
-func (o *Owner) Answered(name string) {
+// WorkerAnswered notes that a machine answered a request, by whichever controller.
+func (o *Scheduler) WorkerAnswered(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if m := o.machines[name]; m != nil {
--- a/internal/scheduler/books.go
+++ b/internal/scheduler/books.go
@@ -6,15 +6,15 @@
 )
 
 // forget drops a job from memory.
-func (o *Owner) forget(uid string, j *job) {
-	for _, ps := range j.places {
+func (o *Scheduler) forget(uid string, j *Job) {
+	for _, ps := range j.Placements {
 		for _, p := range ps {
 			o.count(p, -1)
-			delete(p.mach.places, p)
+			delete(p.Worker.Placements, p)
 		}
 	}
-	for _, c := range j.chunks {
-		c.over = true
+	for _, c := range j.Chunks {
+		c.Closed = true
 	}
 	delete(o.jobs, uid)
 	for i, x := range o.order {
@@ -26,68 +26,68 @@
 }
 
 // drop takes a place out of the books.
-func (o *Owner) drop(p *place) {
-	delete(p.mach.places, p)
-	p.chunk.places = remove(p.chunk.places, p)
-	if rest := remove(p.job.places[p.task], p); len(rest) > 0 {
-		p.job.places[p.task] = rest
+func (o *Scheduler) drop(p *Placement) {
+	delete(p.Worker.Placements, p)
+	p.Chunk.Placements = remove(p.Chunk.Placements, p)
+	if rest := remove(p.Job.Placements[p.Task], p); len(rest) > 0 {
+		p.Job.Placements[p.Task] = rest
 	} else {
-		delete(p.job.places, p.task)
+		delete(p.Job.Placements, p.Task)
 	}
 }
 
-func (o *Owner) attach(p *place) {
-	p.ref = dispatch.Ref{Machine: p.mach.name, Task: wire.TaskName(p.job.spec.UID, p.task), Attempt: p.attempt}
-	p.job.places[p.task] = append(p.job.places[p.task], p)
-	p.chunk.places = append(p.chunk.places, p)
-	p.mach.places[p] = struct{}{}
+func (o *Scheduler) attach(p *Placement) {
+	p.Ref = dispatch.Ref{Machine: p.Worker.Name, Task: wire.TaskName(p.Job.Spec.UID, p.Task), Attempt: p.Attempt}
+	p.Job.Placements[p.Task] = append(p.Job.Placements[p.Task], p)
+	p.Chunk.Placements = append(p.Chunk.Placements, p)
+	p.Worker.Placements[p] = struct{}{}
 }
 
 // count adds what a place may use to its team and zone, or takes it off.
-func (o *Owner) count(p *place, sign int) {
-	if !p.on() {
+func (o *Scheduler) count(p *Placement, sign int) {
+	if !p.MayRun() {
 		return
 	}
-	p.job.team.use = p.job.team.use.Add(p.job.shape, float64(sign))
-	if lent := p.job.team.lent; lent != nil {
-		lent.count(p.job.shard, p.job.shape, float64(sign))
+	p.Job.Team.Used = p.Job.Team.Used.Add(p.Job.Resources, float64(sign))
+	if lent := p.Job.Team.Leased; lent != nil {
+		lent.Count(p.Job.Shard, p.Job.Resources, float64(sign))
 	}
-	if p.mach.view.Zone == "" {
-		p.job.unzoned += sign
+	if p.Worker.View.Zone == "" {
+		p.Job.Unzoned += sign
 		return
 	}
-	p.job.zones[p.mach.view.Zone] += sign
+	p.Job.Zones[p.Worker.View.Zone] += sign
 }
 
 // detach ends a place: the task is surely not on that machine, or never was.
-func (o *Owner) detach(p *place) {
-	if _, ok := p.mach.places[p]; !ok {
+func (o *Scheduler) detach(p *Placement) {
+	if _, ok := p.Worker.Placements[p]; !ok {
 		return
 	}
 	o.count(p, -1)
 	row := o.attemptRow(p)
-	if !p.running.IsZero() {
-		p.job.running--
+	if !p.RunningSince.IsZero() {
+		p.Job.Running--
 	}
 	o.drop(p)
-	if len(p.job.places[p.task]) == 0 && !p.chunk.isDone(p.task) {
-		p.job.pending = append(p.job.pending, p.task)
+	if len(p.Job.Placements[p.Task]) == 0 && !p.Chunk.IsDone(p.Task) {
+		p.Job.Pending = append(p.Job.Pending, p.Task)
 	}
-	if p.logged && !p.job.cancelled && !p.chunk.isDone(p.task) {
+	if p.InStore && !p.Job.Cancelled && !p.Chunk.IsDone(p.Task) {
 		// Not urgent: a new owner would only have to settle it.
-		o.record(change{kind: goneChange, p: p, row: row})
+		o.record(Change{Kind: PlacementRemoved, Placement: p, Row: row})
 	} else if row != nil {
 		o.loose = append(o.loose, *row)
 		poke(o.flush)
 	}
-	o.finish(p.job)
+	o.finish(p.Job)
 	poke(o.wake)
 }
 
-func remove(ps []*place, p *place) []*place {
+func remove(ps []*Placement, p *Placement) []*Placement {
 	for i, x := range ps {
 		if x == p {
-			out := append([]*place(nil), ps[:i]...)
+			out := append([]*Placement(nil), ps[:i]...)
 			return append(out, ps[i+1:]...)
 		}
 	}
@@ -95,22 +95,22 @@
 }
 
 // finish marks a job that has nothing left to do.
-func (o *Owner) finish(j *job) {
+func (o *Scheduler) finish(j *Job) {
 	switch {
-	case j.ended != "":
+	case j.EndStage != "":
 		return
-	case j.cancelled:
-		if len(j.places) > 0 {
+	case j.Cancelled:
+		if len(j.Placements) > 0 {
 			return
 		}
-		j.ended = wire.StageCancelled
-	case j.done == j.spec.Tasks:
-		j.ended = wire.StageDone
-	case j.over == j.spec.Tasks:
-		if len(j.places) > 0 {
+		j.EndStage = wire.StageCancelled
+	case j.Done == j.Spec.Tasks:
+		j.EndStage = wire.StageDone
+	case j.Finished == j.Spec.Tasks:
+		if len(j.Placements) > 0 {
 			return // what was stopped may still be on
 		}
-		j.ended = wire.StageCancelled
+		j.EndStage = wire.StageCancelled
 	default:
 		return
 	}
--- a/internal/scheduler/build.go
+++ b/internal/scheduler/build.go
@@ -16,10 +16,10 @@
 	endChangeBytes = 80 // for each changed key
 )
 
-// txnBuilder gathers what is to be written into one transaction.
-type txnBuilder struct {
-	*batch
-	owner   *Owner
+// transactionBuilder gathers what is to be written into one transaction.
+type transactionBuilder struct {
+	*Transaction
+	owner   *Scheduler
 	maxOps  int          // changes that the transaction may have, the accounting page's apart
 	value   int          // bytes that a value may have
 	size    int          // bytes so far
@@ -31,8 +31,8 @@
 
 // build gathers what is to be written into a transaction; nil if there is
 // nothing.
-func (o *Owner) build() (b *batch, more bool, err error) {
-	t := &txnBuilder{batch: &batch{}, owner: o, maxOps: o.cfg.Params.State.TxnOps, value: o.valueBytes(), guarded: map[int]bool{}}
+func (o *Scheduler) build() (b *Transaction, more bool, err error) {
+	t := &transactionBuilder{Transaction: &Transaction{}, owner: o, maxOps: o.cfg.Params.State.TxnOps, value: o.valueBytes(), guarded: map[int]bool{}}
 	if o.book != nil {
 		t.startPage()
 	}
@@ -49,27 +49,27 @@
 	if len(t.ops) == 0 {
 		return nil, t.more, nil
 	}
-	return t.batch, t.more, nil
+	return t.Transaction, t.more, nil
 }
 
 // startPage keeps a change for the accounting page, and takes the rows that belong to
 // no change.
-func (t *txnBuilder) startPage() {
+func (t *transactionBuilder) startPage() {
 	loose := t.owner.loose
 	t.maxOps--
 	t.room = t.owner.book.Room()
 	t.size += t.value
-	for t.loose < len(loose) && t.room >= loose[t.loose].Bytes() {
-		t.room -= loose[t.loose].Bytes()
-		t.loose++
+	for t.looseTaken < len(loose) && t.room >= loose[t.looseTaken].Bytes() {
+		t.room -= loose[t.looseTaken].Bytes()
+		t.looseTaken++
 	}
-	t.rows = append(t.rows, loose[:t.loose]...)
-	t.more = t.loose < len(loose)
+	t.rows = append(t.rows, loose[:t.looseTaken]...)
+	t.more = t.looseTaken < len(loose)
 	t.short = t.more
 }
 
 // guardShard makes this owner's claim of the shard a condition.
-func (t *txnBuilder) guardShard(shard int) {
+func (t *transactionBuilder) guardShard(shard int) {
 	if !t.guarded[shard] {
 		t.guarded[shard] = true
 		t.guards = append(t.guards, wire.Guard{Key: t.owner.member.ShardKey(shard), Version: t.owner.loaded[shard]})
@@ -77,14 +77,14 @@
 }
 
 // guardAll makes this owner's claims of all its shards conditions.
-func (t *txnBuilder) guardAll() {
+func (t *transactionBuilder) guardAll() {
 	for s := range t.owner.loaded {
 		t.guardShard(s)
 	}
 }
 
 // put writes a record whose key has the version.
-func (t *txnBuilder) put(key string, version uint64, v any) error {
+func (t *transactionBuilder) put(key string, version uint64, v any) error {
 	data, err := json.Marshal(v)
 	t.size += len(data)
 	t.guards = append(t.guards, wire.Guard{Key: key, Version: version})
@@ -93,7 +93,7 @@
 }
 
 // addLogs adds a log record for each shard that has something to record.
-func (t *txnBuilder) addLogs() error {
+func (t *transactionBuilder) addLogs() error {
 	for s, l := range t.owner.logs {
 		if _, mine := t.owner.loaded[s]; !mine || len(l.queue) == 0 {
 			continue
@@ -115,16 +115,16 @@
 }
 
 // takeQueue takes queued changes of a shard that fit a log record, and their rows.
-func (t *txnBuilder) takeQueue(l *shardLog) *logBuilder {
-	lb := newLogBuilder(l.seq + 1)
+func (t *transactionBuilder) takeQueue(l *Log) *recordBuilder {
+	lb := newRecordBuilder(l.seq + 1)
 	taken := 0
 	for _, c := range l.queue {
-		if lb.size >= t.value || c.row != nil && t.room < c.row.Bytes() {
+		if lb.size >= t.value || c.Row != nil && t.room < c.Row.Bytes() {
 			break
 		}
-		if c.row != nil {
-			t.room -= c.row.Bytes()
-			t.rows = append(t.rows, *c.row)
+		if c.Row != nil {
+			t.room -= c.Row.Bytes()
+			t.rows = append(t.rows, *c.Row)
 			lb.rows = append(lb.rows, c)
 		}
 		taken++
@@ -132,20 +132,20 @@
 			lb.add(c)
 		}
 	}
-	l.queue = append([]change(nil), l.queue[taken:]...)
+	l.queue = append([]Change(nil), l.queue[taken:]...)
 	t.more = t.more || len(l.queue) > 0
 	t.short = t.short || t.owner.book != nil && len(l.queue) > 0
 	return lb
 }
 
 // addLog adds a shard's log record, over the oldest one if that is not needed any more.
-func (t *txnBuilder) addLog(shard int, l *shardLog, lb *logBuilder) error {
+func (t *transactionBuilder) addLog(shard int, l *Log, lb *recordBuilder) error {
 	lb.keepRows()
-	lb.rec.lendMark = t.owner.lendMark(shard)
+	lb.rec.QuotaMark = t.owner.lendMark(shard)
 	l.seq++
 	t.guardShard(shard)
 	w := logWrite{shard: shard, log: l, seq: l.seq, changes: lb.changes, chunks: lb.chunks}
-	if len(l.slots) >= t.owner.KeepSlots && !l.slots[0].free() {
+	if len(l.slots) >= t.owner.LogSlots && !l.slots[0].free() {
 		if err := t.saveOldest(l); err != nil {
 			return err
 		}
@@ -153,9 +153,9 @@
 	if len(l.slots) > 0 && l.slots[0].free() {
 		w.slot = l.slots[0]
 	} else {
-		w.slot, w.fresh = &slot{n: l.next}, true
+		w.slot, w.fresh = &logSlot{n: l.next}, true
 	}
-	if err := t.put(slotKey(shard, w.slot.n), w.slot.version, lb.rec); err != nil {
+	if err := t.put(LogKey(shard, w.slot.n), w.slot.version, lb.rec); err != nil {
 		return err
 	}
 	t.logs = append(t.logs, w)
@@ -164,9 +164,9 @@
 
 // saveOldest saves chunks that a shard's oldest log record is still needed for, as many
 // as fit.
-func (t *txnBuilder) saveOldest(l *shardLog) error {
+func (t *transactionBuilder) saveOldest(l *Log) error {
 	for c := range l.slots[0].chunks {
-		if c.job.ended != "" {
+		if c.Job.EndStage != "" {
 			// It needs none: its end frees the slot. That end, maybe in this very
 			// transaction, would not delete the chunk's record, and it would stay.
 			continue
@@ -174,21 +174,21 @@
 		if len(t.ops) >= t.maxOps/2 || t.size+2*t.value > txnBytes {
 			break
 		}
-		for _, p := range c.places {
-			p.logged = true
+		for _, p := range c.Placements {
+			p.InStore = true
 		}
-		if err := t.put(chunkKey(c.job.spec.UID, c.n), c.version, c.record(l.seq)); err != nil {
+		if err := t.put(ChunkKey(c.Job.Spec.UID, c.Number), c.Version, c.Record(l.seq)); err != nil {
 			return err
 		}
-		t.saves = append(t.saves, chunkSave{c, l.seq})
+		t.chunkSaves = append(t.chunkSaves, chunkSave{c, l.seq})
 	}
 	return nil
 }
 
 // addEnds adds the ends of jobs that are over.
-func (t *txnBuilder) addEnds() {
+func (t *transactionBuilder) addEnds() {
 	for _, j := range t.owner.order {
-		if j.ended == "" {
+		if j.EndStage == "" {
 			continue
 		}
 		var row accounting.Row
@@ -215,10 +215,10 @@
 }
 
 // endChanges is how many keys a job's end changes in its transaction.
-func (t *txnBuilder) endChanges(j *job) int {
+func (t *transactionBuilder) endChanges(j *Job) int {
 	n := 2 // the living record and the final one
-	for _, c := range j.chunks {
-		if c.version != 0 && n < t.maxOps {
+	for _, c := range j.Chunks {
+		if c.Version != 0 && n < t.maxOps {
 			n++
 		}
 	}
@@ -227,34 +227,34 @@
 
 // addEnd adds a job's end, with so many changes. Chunk records beyond them are deleted
 // later.
-func (t *txnBuilder) addEnd(j *job, changes int) {
-	t.guardShard(j.shard)
-	uid := j.spec.UID
-	t.guards = append(t.guards, wire.Guard{Key: liveKey + uid, Version: j.version})
-	t.ops = append(t.ops, wire.Op{Put: finalKey + uid, Value: finalRecord{Stage: j.ended, Done: j.done, Ending: t.owner.ending(j)}}, wire.Op{Delete: liveKey + uid})
+func (t *transactionBuilder) addEnd(j *Job, changes int) {
+	t.guardShard(j.Shard)
+	uid := j.Spec.UID
+	t.guards = append(t.guards, wire.Guard{Key: LivePrefix + uid, Version: j.Version})
+	t.ops = append(t.ops, wire.Op{Put: FinalPrefix + uid, Value: FinalRecord{Stage: j.EndStage, Done: j.Done, Ending: t.owner.ending(j)}}, wire.Op{Delete: LivePrefix + uid})
 	left := changes - 2
-	for _, c := range j.chunks {
-		if c.version != 0 && left > 0 {
+	for _, c := range j.Chunks {
+		if c.Version != 0 && left > 0 {
 			left--
-			t.ops = append(t.ops, wire.Op{Delete: chunkKey(uid, c.n)})
+			t.ops = append(t.ops, wire.Op{Delete: ChunkKey(uid, c.Number)})
 		}
 	}
-	j.ending = true
+	j.EndWriteSent = true
 	t.ended = append(t.ended, j)
 }
 
 // addGarbage deletes chunk records of ended jobs.
-func (t *txnBuilder) addGarbage() {
-	for t.trash < len(t.owner.garbage) && len(t.ops) < t.maxOps {
-		t.ops = append(t.ops, wire.Op{Delete: t.owner.garbage[t.trash]})
-		t.trash++
+func (t *transactionBuilder) addGarbage() {
+	for t.garbageTaken < len(t.owner.garbage) && len(t.ops) < t.maxOps {
+		t.ops = append(t.ops, wire.Op{Delete: t.owner.garbage[t.garbageTaken]})
+		t.garbageTaken++
 	}
 	t.guardAll()
 }
 
 // addPage adds the accounting page with the rows. Rows that can't be written are lost:
 // work does not stand still for them.
-func (t *txnBuilder) addPage() {
+func (t *transactionBuilder) addPage() {
 	book := t.owner.book
 	var err error
 	if t.page, err = book.Add(t.rows, time.Now()); err != nil {
@@ -270,6 +270,6 @@
 }
 
 // valueBytes is how long a value that this owner writes may be.
-func (o *Owner) valueBytes() int { return valueBytes(o.cfg) }
+func (o *Scheduler) valueBytes() int { return valueBytes(o.cfg) }
 
 func valueBytes(cfg *config.Platform) int { return int(cfg.Params.State.ValueKB*1024*0.9) - 64 }
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -8,42 +8,42 @@
 )
 
 // openMachines lists the machines that may take work, in order of their index.
-func (o *Owner) openMachines() []*mach {
-	var open []*mach
+func (o *Scheduler) openMachines() []*Worker {
+	var open []*Worker
 	fresh := seconds(3*o.cfg.Params.Workers.ReportS + 1)
 	for _, m := range o.byIndex {
-		if m != nil && !m.gone && (!m.closing || o.staysOccupied(m)) && m.deaf.IsZero() && !m.view.Draining && m.notice.IsZero() && len(m.matrix) > 0 && o.now.Sub(m.heard) < fresh {
+		if m != nil && !m.Gone && (!m.Cordoned || o.staysOccupied(m)) && m.UnresponsiveSince.IsZero() && !m.View.Draining && m.NoticeAt.IsZero() && len(m.Matrix) > 0 && o.now.Sub(m.LastHeartbeat) < fresh {
 			open = append(open, m)
 		}
 	}
 	return open
 }
 
-// roomKey is what a job asks of a machine, image apart: jobs alike in it have room
+// Requirements is what a job asks of a machine, image apart: jobs alike in it have room
 // on the same machines.
-type roomKey struct {
+type Requirements struct {
 	shape       matching.Shape
 	zone, types string
 	spot        bool
 }
 
-func (j *job) roomKey() roomKey {
-	if j.key == (roomKey{}) {
-		j.key = roomKey{shape: j.shape, types: strings.Join(j.spec.Types, "\x00"), spot: j.spec.Spot}
-		if j.spec.Zone != nil {
-			j.key.zone = *j.spec.Zone
+func (j *Job) Requirements() Requirements {
+	if j.requirements == (Requirements{}) {
+		j.requirements = Requirements{shape: j.Resources, types: strings.Join(j.Spec.Types, "\x00"), spot: j.Spec.Spot}
+		if j.Spec.Zone != nil {
+			j.requirements.zone = *j.Spec.Zone
 		}
 	}
-	return j.key
+	return j.requirements
 }
 
-type cacheKey struct {
-	roomKey
+type imageRequirements struct {
+	Requirements
 	image int
 }
 
 // forgetRoom begins a pass: what had room in the last one may have none.
-func (o *Owner) forgetRoom() {
+func (o *Scheduler) forgetRoom() {
 	clear(o.rooms)
 	clear(o.cachers)
 }
@@ -53,22 +53,22 @@
 // room only shrinks: what the list has beyond it is found out by its estimate. On a
 // busy fleet the lists are short, and jobs alike share one, so that a pass costs what
 // has room, and not the fleet for each job.
-func (o *Owner) roomFor(j *job, open []*mach) []*mach {
-	key := j.roomKey()
+func (o *Scheduler) roomFor(j *Job, open []*Worker) []*Worker {
+	key := j.Requirements()
 	if ms, known := o.rooms[key]; known {
 		return ms
 	}
-	ms := []*mach{}
+	ms := []*Worker{}
 	for _, m := range open {
 		if !o.allowed(j, m) || !o.fitsLease(j, m) {
 			continue
 		}
-		most := o.op.HorizonS + o.now.Sub(m.at).Seconds()
-		for _, r := range m.matrix {
+		most := o.op.HorizonS + o.now.Sub(m.ViewAt).Seconds()
+		for _, r := range m.Matrix {
 			if r.Wait > most {
 				break
 			}
-			if j.shape.Fits(r.Free) {
+			if j.Resources.Fits(r.Free) {
 				ms = append(ms, m)
 				break
 			}
@@ -79,13 +79,13 @@
 }
 
 // caching lists those of the machines with room for the job that have its image.
-func (o *Owner) caching(j *job, image int, room []*mach) []*mach {
-	key := cacheKey{j.roomKey(), image}
+func (o *Scheduler) caching(j *Job, image int, room []*Worker) []*Worker {
+	key := imageRequirements{j.Requirements(), image}
 	ms, known := o.cachers[key]
 	if !known {
-		ms = []*mach{}
+		ms = []*Worker{}
 		for _, m := range room {
-			if m.images[image] != nil {
+			if m.Images[image] != nil {
 				ms = append(ms, m)
 			}
 		}
@@ -97,17 +97,17 @@
 // candidates limits the search for a job among the machines with room for it: where
 // those are many, to ones that cache the image, those in their zones, and two light
 // ones, looked for from a random one on and not for ever.
-func (o *Owner) candidates(j *job, room []*mach) []*mach {
+func (o *Scheduler) candidates(j *Job, room []*Worker) []*Worker {
 	if len(room) <= wholeFleet {
 		return room
 	}
-	image := o.images.Of(j.spec.Image)
+	image := o.images.Of(j.Spec.Image)
 	zones := map[string]bool{}
-	out := make([]*mach, 0, 2*wholeFleet)
+	out := make([]*Worker, 0, 2*wholeFleet)
 	caching := o.caching(j, image, room)
 	for i, start := 0, rand.IntN(max(1, len(caching))); i < len(caching) && len(out) < wholeFleet; i++ {
 		m := caching[(start+i)%len(caching)]
-		zones[m.view.Zone] = true
+		zones[m.View.Zone] = true
 		out = append(out, m)
 	}
 	near, light := 0, 0
@@ -115,11 +115,11 @@
 	for i := 0; i < min(len(room), lookedAt) && (near < wholeFleet/2 || light < 2); i++ {
 		m := room[(start+i)%len(room)]
 		switch {
-		case m.images[image] != nil:
-		case near < wholeFleet/2 && zones[m.view.Zone]:
+		case m.Images[image] != nil:
+		case near < wholeFleet/2 && zones[m.View.Zone]:
 			near++
 			out = append(out, m)
-		case light < 2 && j.shape.Fits(m.matrix[0].Free):
+		case light < 2 && j.Resources.Fits(m.Matrix[0].Free):
 			light++
 			out = append(out, m)
 		}
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -24,7 +24,7 @@
 )
 
 // teamsOwner is an owner whose settings name so many teams.
-func teamsOwner(tb testing.TB, teams int) *scheduler.Owner {
+func teamsOwner(tb testing.TB, teams int) *scheduler.Scheduler {
 	op, err := config.LoadOperator("")
 	if err != nil {
 		tb.Fatal(err)
@@ -42,7 +42,7 @@
 	v := &f.views[i]
 	v.Seq++
 	v.Tasks, v.Matrix = tasks, matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
-	f.owner.Observe(*v)
+	f.owner.ObserveWorker(*v)
 }
 
 // roomFor makes machines of the fleet empty, so that each takes placements.
@@ -85,7 +85,7 @@
 // submit accepts jobs of 20 tasks, four of which fill a machine.
 func (f *fleet) submit(tasks int) {
 	for i := range tasks / 20 {
-		f.owner.Accepted(&wire.Job{UID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 20,
+		f.owner.JobAccepted(&wire.Job{UID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 20,
 			CPUs: 4, MemoryGB: 4, Image: "i", ImageGB: 0.01, Estimate: 30, Spot: true}, nil, 0, time.Now().UnixMilli(), uint64(i+1))
 	}
 }
@@ -113,7 +113,7 @@
 	f := newFleet(tb, jobs, 0)
 	f.roomFor(jobs)
 	for i := range jobs {
-		f.owner.Accepted(&wire.Job{UID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1,
+		f.owner.JobAccepted(&wire.Job{UID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1,
 			CPUs: 16, MemoryGB: 4, Estimate: 30, Spot: true}, nil, 0, time.Now().UnixMilli(), uint64(i+1))
 	}
 	f.placeAll(tb, jobs, jobs)
@@ -204,7 +204,7 @@
 		return testing.AllocsPerRun(machines, func() {
 			v := &f.views[i%machines]
 			v.Seq++
-			f.owner.Observe(*v)
+			f.owner.ObserveWorker(*v)
 			i++
 		})
 	}},
@@ -218,7 +218,7 @@
 		return capacity.ProcessorTime(tb, func() {
 			v := &f.views[i%machines]
 			v.Seq++
-			f.owner.Observe(*v)
+			f.owner.ObserveWorker(*v)
 			i++
 		})
 	}},
--- a/internal/scheduler/closing.go
+++ b/internal/scheduler/closing.go
@@ -18,23 +18,23 @@
 
 // staysOccupied reports whether tasks that evacuate doesn't stop occupy a closing machine
 // for at least minOccupied seconds, which are paid for in any case, and notes for how long.
-func (o *Owner) staysOccupied(m *mach) bool {
-	m.occupiedFor = 0
-	for p := range m.places {
-		if p.exited || !p.halted.IsZero() || p.running.IsZero() {
+func (o *Scheduler) staysOccupied(m *Worker) bool {
+	m.OccupiedFor = 0
+	for p := range m.Placements {
+		if p.Exited || !p.HaltedAt.IsZero() || p.RunningSince.IsZero() {
 			continue
 		}
 		if _, stoppable := o.evacuable(p); stoppable {
 			continue
 		}
-		left := p.job.runEstimate() - o.now.Sub(p.running).Seconds()
-		m.occupiedFor = math.Max(m.occupiedFor, left)
+		left := p.Job.RunEstimate() - o.now.Sub(p.RunningSince).Seconds()
+		m.OccupiedFor = math.Max(m.OccupiedFor, left)
 	}
-	return m.occupiedFor >= minOccupied
+	return m.OccupiedFor >= minOccupied
 }
 
-// endsWhileOccupied reports whether a task that takes so many seconds, fetch included, ends
+// EndsWhileOccupied reports whether a task that takes so many seconds, fetch included, ends
 // on a closing machine early enough not to delay the machine's return.
-func (m *mach) endsWhileOccupied(seconds float64) bool {
-	return seconds <= shortTaskShare*m.occupiedFor
+func (m *Worker) EndsWhileOccupied(seconds float64) bool {
+	return seconds <= shortTaskShare*m.OccupiedFor
 }
--- a/internal/scheduler/closing_test.go
+++ b/internal/scheduler/closing_test.go
@@ -28,7 +28,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 1, 0)
 				// A job without aims: its tasks aren't stopped once they run.
-				f.owner.Accepted(&wire.Job{UID: "j-1", Class: "long", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8,
+				f.owner.JobAccepted(&wire.Job{UID: "j-1", Class: "long", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8,
 					MemoryGB: 1, Estimate: c.occupied, Spot: true}, nil, 0, time.Now().UnixMilli(), 1)
 				f.show(0, 0)
 				f.owner.Pass()
@@ -39,7 +39,7 @@
 				if len(first) != 1 {
 					t.Fatalf("the occupying task is placed at %v", first)
 				}
-				if !f.owner.GrantHere(dispatch.GrantRequest{Ref: first[0], Holder: "a", Token: 7, Session: 1}).OK {
+				if !f.owner.GrantLocal(dispatch.GrantRequest{Ref: first[0], Holder: "a", Token: 7, Session: 1}).OK {
 					t.Fatal("not granted")
 				}
 				show := func() {
@@ -48,11 +48,11 @@
 					v.Tasks = []dispatch.TaskView{{Task: wire.Task{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskRunning}}}
 					v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB},
 						[]matching.Use{{Shape: matching.Shape{CPUs: 8, MemoryGB: 1}, Left: c.occupied}}, nil)
-					f.owner.Observe(*v)
+					f.owner.ObserveWorker(*v)
 				}
 				show()
-				f.owner.Closing(map[string]bool{f.views[0].Name: c.closing})
-				f.owner.Accepted(&wire.Job{UID: "j-2", Class: "short", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 2,
+				f.owner.SetCordoned(map[string]bool{f.views[0].Name: c.closing})
+				f.owner.JobAccepted(&wire.Job{UID: "j-2", Class: "short", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 2,
 					MemoryGB: 1, Estimate: c.takes, Spot: true}, nil, 0, time.Now().UnixMilli(), 2)
 				f.owner.Pass()
 				if placed := f.owner.Placed("j-2") > 0; placed != c.placed {
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -15,18 +15,18 @@
 )
 
 // commit acts on a transaction that was applied.
-func (o *Owner) commit(b *batch, rev uint64) {
+func (o *Scheduler) commit(b *Transaction, rev uint64) {
 	o.open = nil
-	o.garbage = o.garbage[b.trash:]
-	o.loose = o.loose[min(b.loose, len(o.loose)):]
+	o.garbage = o.garbage[b.garbageTaken:]
+	o.loose = o.loose[min(b.looseTaken, len(o.loose)):]
 	if b.page.Key != "" {
 		b.book.Done(b.page, rev)
 		usage.Add(usage.AccountRows, len(b.rows))
 		usage.Add(usage.AccountWrites, 1)
 		usage.Add(usage.AccountBytes, len(b.page.Value))
 	}
-	for _, s := range b.saves {
-		s.c.version, s.c.saved = rev, max(s.c.saved, s.seq)
+	for _, s := range b.chunkSaves {
+		s.c.Version, s.c.SavedSeq = rev, max(s.c.SavedSeq, s.seq)
 	}
 	for _, w := range b.logs {
 		if w.fresh {
@@ -41,76 +41,76 @@
 		}
 	}
 	for _, j := range b.ended {
-		if o.jobs[j.spec.UID] == j {
+		if o.jobs[j.Spec.UID] == j {
 			o.endLocked(j)
 		}
 	}
 }
 
 // recorded acts on a change that has just been written.
-func (o *Owner) recorded(c change) {
-	p := c.p
-	if _, attached := p.mach.places[p]; !attached {
+func (o *Scheduler) recorded(c Change) {
+	p := c.Placement
+	if _, attached := p.Worker.Placements[p]; !attached {
 		return
 	}
 	switch {
-	case c.kind == doneChange:
+	case c.Kind == TaskFinished:
 		o.clear(p)
-	case c.kind == placeChange && p.state == placeWriting && !p.exited:
-		p.state = placeRecorded
+	case c.Kind == PlacementAdded && p.State == PlacementRecording && !p.Exited:
+		p.State = PlacementRecorded
 		o.tell(p, false)
 	}
 }
 
 // undo puts what a transaction that surely was not applied wanted to write
 // back to where it came from.
-func (o *Owner) undo(b *batch) {
+func (o *Scheduler) undo(b *Transaction) {
 	o.open = nil
 	for _, c := range b.unlogged {
-		o.loose = append(o.loose, *c.row)
+		o.loose = append(o.loose, *c.Row)
 	}
 	for _, w := range b.logs {
 		w.log.queue = append(w.changes, w.log.queue...)
 	}
 	for _, j := range b.ended {
-		j.ending = false
+		j.EndWriteSent = false
 	}
 }
 
 // endLocked forgets a job whose end is recorded.
-func (o *Owner) endLocked(j *job) {
-	uid := j.spec.UID
+func (o *Scheduler) endLocked(j *Job) {
+	uid := j.Spec.UID
 	limit, begun := o.firstLimit(j), 0.0
-	if !j.begunAt.IsZero() {
-		begun = j.begunAt.Sub(j.accepted).Seconds()
+	if !j.BegunAt.IsZero() {
+		begun = j.BegunAt.Sub(j.AcceptedAt).Seconds()
 	}
-	if j.ended == wire.StageDone {
-		o.over.note(j, true, time.Now(), limit)
+	if j.EndStage == wire.StageDone {
+		o.over.Record(j, true, time.Now(), limit)
 	}
-	o.log.Debug("job ended", "job", uid, "class", j.spec.Class, "stage", j.ended, "arrived_s", float64(j.atMs)/1000,
-		"took_s", time.Since(j.accepted).Seconds(), "run_s", j.runEstimate(), "limit_s", limit, "tasks", j.spec.Tasks, "cpus", j.spec.CPUs, "begun_s", begun, "large", j.large)
-	o.final[uid] = finalRecord{Stage: j.ended, Done: j.done, Ending: o.ending(j)}
+	o.log.Debug("job ended", "job", uid, "class", j.Spec.Class, "stage", j.EndStage, "arrived_s", float64(j.AcceptedMs)/1000,
+		"took_s", time.Since(j.AcceptedAt).Seconds(), "run_s", j.RunEstimate(), "limit_s", limit, "tasks", j.Spec.Tasks, "cpus", j.Spec.CPUs, "begun_s", begun, "large", j.Large)
+	o.final[uid] = FinalRecord{Stage: j.EndStage, Done: j.Done, Ending: o.ending(j)}
 	o.finalQ = append(o.finalQ, uid)
 	if len(o.finalQ) > keepFinal {
 		delete(o.final, o.finalQ[0])
 		o.finalQ = o.finalQ[1:]
 	}
 	most := o.cfg.Params.State.TxnOps - 2 // so many went with the end's own transaction
-	for _, c := range j.chunks {
-		if c.version == 0 {
+	for _, c := range j.Chunks {
+		if c.Version == 0 {
 			continue
 		}
 		if most--; most < 0 {
-			o.garbage = append(o.garbage, chunkKey(uid, c.n))
+			o.garbage = append(o.garbage, ChunkKey(uid, c.Number))
 		}
 	}
-	for _, ps := range j.places {
+	for _, ps := range j.Placements {
 		for _, p := range ps {
-			d := o.direction(p.mach.view.Holder)
-			if p.exited {
-				d.Clear = append(d.Clear, dispatch.Clear{Ref: p.ref, Token: p.token})
+			d := o.direction(p.Worker.View.Holder)
+			if p.Exited {
+				d.Clear = append(d.Clear, dispatch.Clear{Ref: p.Ref, Token: p.MaxToken})
 			} else {
-				d.Halt = append(d.Halt, dispatch.Halt{Ref: p.ref})
+				d.Halt = append(d.Halt, dispatch.Halt{Ref: p.Ref})
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 
 // reread finds out what became of a transaction whose conditions failed: often
 // it had been applied, and the answer was lost.
-func (o *Owner) reread(ctx context.Context, b *batch, keys []string) error {
+func (o *Scheduler) reread(ctx context.Context, b *Transaction, keys []string) error {
 	items := map[string]wire.Item{}
 	for _, key := range keys {
 		rctx, cancel := context.WithTimeout(ctx, txnTimeout)
@@ -142,11 +142,11 @@
 	// called done here that nobody had recorded as done.
 	lost := func(shard int) bool { return slices.Contains(keys, o.member.ShardKey(shard)) }
 	for _, w := range b.logs {
-		it, failed := items[slotKey(w.shard, w.slot.n)]
+		it, failed := items[LogKey(w.shard, w.slot.n)]
 		if !failed || lost(w.shard) {
 			continue
 		}
-		if r, err := parseLog(it.Value); err == nil && r.Seq == w.seq && it.Version != 0 {
+		if r, err := ParseLog(it.Value); err == nil && r.Seq == w.seq && it.Version != 0 {
 			o.commit(b, it.Version) // all of a transaction's keys share a version
 			return nil
 		}
@@ -154,14 +154,14 @@
 		w.slot.version = it.Version
 	}
 	o.undo(b)
-	for _, s := range b.saves {
-		if it, failed := items[chunkKey(s.c.job.spec.UID, s.c.n)]; failed {
-			s.c.version = it.Version
+	for _, s := range b.chunkSaves {
+		if it, failed := items[ChunkKey(s.c.Job.Spec.UID, s.c.Number)]; failed {
+			s.c.Version = it.Version
 		}
 	}
 	for _, j := range b.ended {
-		it, failed := items[liveKey+j.spec.UID]
-		if failed && !lost(j.shard) && o.jobs[j.spec.UID] == j {
+		it, failed := items[LivePrefix+j.Spec.UID]
+		if failed && !lost(j.Shard) && o.jobs[j.Spec.UID] == j {
 			o.adoptLive(j, it)
 		}
 	}
@@ -169,11 +169,11 @@
 }
 
 // adoptLive takes the living record of a job as it was found in the store.
-func (o *Owner) adoptLive(j *job, it wire.Item) {
-	uid := j.spec.UID
+func (o *Scheduler) adoptLive(j *Job, it wire.Item) {
+	uid := j.Spec.UID
 	if it.Version == 0 {
 		// Its end was recorded although the answer was lost.
-		if j.ended != "" {
+		if j.EndStage != "" {
 			o.endLocked(j)
 		} else {
 			o.log.Error("a living job's record is gone", "job", uid)
@@ -181,7 +181,7 @@
 		}
 		return
 	}
-	var r liveRecord
+	var r LiveRecord
 	if err := json.Unmarshal(it.Value, &r); err != nil {
 		o.log.Error("unreadable job record", "key", it.Key, "err", err)
 		return
@@ -190,12 +190,12 @@
 }
 
 // takeRecord takes a newer living record of a job.
-func (o *Owner) takeRecord(j *job, r *liveRecord, version uint64) {
-	j.version = max(j.version, version)
+func (o *Scheduler) takeRecord(j *Job, r *LiveRecord, version uint64) {
+	j.Version = max(j.Version, version)
 	o.retermed(j, r)
 	if r.Cancelled {
 		o.cancelLocked(j)
 	} else {
-		j.cancels.passed(version)
+		j.PendingCancels.Supersede(version)
 	}
 }
--- a/internal/scheduler/cost.go
+++ b/internal/scheduler/cost.go
@@ -7,46 +7,46 @@
 )
 
 // wait looks a wait up; an older matrix is read at a larger cell.
-func (o *Owner) wait(m *mach, s matching.Shape, run float64) float64 {
-	age := o.now.Sub(m.at).Seconds()
+func (o *Scheduler) wait(m *Worker, s matching.Shape, run float64) float64 {
+	age := o.now.Sub(m.ViewAt).Seconds()
 	if over := age - 1.5*o.cfg.Params.Workers.ReportS; over > 0 {
 		s = s.Scale(1 + min(0.5, 0.05*over))
 	}
-	return max(0, m.matrix.WaitWithin(s, run, o.op.HorizonS+age)-age)
+	return max(0, m.Matrix.WaitWithin(s, run, o.op.HorizonS+age)-age)
 }
 
-type estimate struct{ wait, cost, fetch float64 }
+type Estimate struct{ wait, cost, fetch float64 }
 
-func (o *Owner) estimate(j *job, m *mach) (estimate, bool) {
+func (o *Scheduler) estimate(j *Job, m *Worker) (Estimate, bool) {
 	if !o.allowed(j, m) || !o.within(j, m) || !o.underLimit(j) || !o.fitsLease(j, m) {
-		return estimate{}, false
+		return Estimate{}, false
 	}
-	if until, ok := j.avoid[m.index]; len(j.avoid) > 0 && ok {
+	if until, ok := j.Avoid[m.Index]; len(j.Avoid) > 0 && ok {
 		if o.now.Before(until) {
-			return estimate{}, false
+			return Estimate{}, false
 		}
-		delete(j.avoid, m.index)
+		delete(j.Avoid, m.Index)
 	}
-	run, fetch := j.runEstimate(), o.fetchTime(j, m)
-	if m.closing && !m.endsWhileOccupied(fetch+run) {
-		return estimate{}, false
+	run, fetch := j.RunEstimate(), o.fetchTime(j, m)
+	if m.Cordoned && !m.EndsWhileOccupied(fetch+run) {
+		return Estimate{}, false
 	}
-	w := o.wait(m, j.shape, fetch+run)
+	w := o.wait(m, j.Resources, fetch+run)
 	if math.IsInf(w, 1) {
-		return estimate{}, false
+		return Estimate{}, false
 	}
 	c := matching.Cost(fetch, w, run, o.success(m), o.op.KFail)
 	if o.startLate(j, w+fetch) {
 		c += o.op.LateS
 	}
-	return estimate{w, c + o.packing(m, c), fetch}, true
+	return Estimate{w, c + o.packing(m, c), fetch}, true
 }
 
 // startLate reports whether a task that starts after so many seconds misses an
 // aim for its class's starts that it could still meet.
-func (o *Owner) startLate(j *job, after float64) bool {
-	age := o.now.Sub(j.accepted).Seconds()
-	for _, within := range j.class.starts {
+func (o *Scheduler) startLate(j *Job, after float64) bool {
+	age := o.now.Sub(j.AcceptedAt).Seconds()
+	for _, within := range j.Class.StartAims {
 		if age < within && age+after+startTakes > within {
 			return true
 		}
@@ -57,14 +57,14 @@
 // packing is added to C so that of machines which would finish a task at about
 // the same time the cheap and the fuller one wins, and others fall idle and
 // can be returned. What a dear machine costs more grows with the task.
-func (o *Owner) packing(m *mach, c float64) float64 {
+func (o *Scheduler) packing(m *Worker, c float64) float64 {
 	t := o.typeOf(m)
 	if t.CPUs <= 0 {
 		return 0
 	}
-	free := max(0, m.matrix[0].Free.CPUs) / t.CPUs
+	free := max(0, m.Matrix[0].Free.CPUs) / t.CPUs
 	dear := 0.0
-	if !m.view.Spot && t.SpotPrice > 0 {
+	if !m.View.Spot && t.SpotPrice > 0 {
 		dear = max(0, t.Price/t.SpotPrice-1)
 	}
 	return o.op.PackS*free*(1+dear) + o.op.DearShare*c*dear
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -20,7 +20,7 @@
 
 // demandKey is what makes waiting work alike for planning.
 type demandKey struct {
-	room       roomKey
+	room       Requirements
 	rank       int
 	run, slack int
 }
@@ -30,21 +30,21 @@
 
 // Demand returns the work that has no machine yet, most urgent first, and what
 // each machine's future looks like. boot is how long a new machine takes.
-func (o *Owner) Demand(boot float64) ([]Demand, []Load) {
+func (o *Scheduler) Demand(boot float64) ([]Demand, []WorkerLoad) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.now = time.Now()
-	var waiting []*job
-	count := map[*job]int{}
+	var waiting []*Job
+	count := map[*Job]int{}
 	for _, j := range o.order {
-		if j.cancelled || j.ended != "" {
+		if j.Cancelled || j.EndStage != "" {
 			continue
 		}
 		n := o.wants(j) // machines are rented for all of it
-		for _, ps := range j.places {
+		for _, ps := range j.Placements {
 			waits := true
 			for _, p := range ps {
-				waits = waits && !p.on() && !p.exited
+				waits = waits && !p.MayRun() && !p.Exited
 			}
 			if waits {
 				n++
@@ -59,12 +59,12 @@
 	ds := make([]Demand, 0, len(waiting))
 	like := map[demandKey]int{}
 	for _, j := range waiting {
-		d := Demand{Shape: j.shape, Job: j.spec, Count: count[j], Run: j.runEstimate(), Rank: j.spec.Rank(), Slack: o.slack(j, boot)}
+		d := Demand{Shape: j.Resources, Job: j.Spec, Count: count[j], Run: j.RunEstimate(), Rank: j.Spec.Rank(), Slack: o.slack(j, boot)}
 		if d.Job.Gang() || d.Job.Service() {
 			ds = append(ds, d)
 			continue
 		}
-		key := demandKey{j.roomKey(), d.Rank, nearly(d.Run), nearly(d.Slack)}
+		key := demandKey{j.Requirements(), d.Rank, nearly(d.Run), nearly(d.Slack)}
 		i, known := like[key]
 		if !known {
 			like[key] = len(ds)
@@ -79,14 +79,14 @@
 		a.Slack = min(a.Slack, d.Slack)
 		a.Count += d.Count
 	}
-	var ls []Load
+	var ls []WorkerLoad
 	for _, m := range o.machines {
-		m.kind, _ = o.types.Type(m.view.Type) // prices move
-		l := Load{Name: m.name, Type: m.view.Type, Zone: m.view.Zone, Spot: m.view.Spot, Matrix: m.matrix, Heard: m.heard, Existed: later(m.heard, m.since),
-			Places: len(m.places), Notice: !m.notice.IsZero(), Faulty: m.faulty()}
-		for p := range m.places {
-			if p.on() {
-				l.Used = l.Used.Add(p.job.shape, 1)
+		m.Type, _ = o.types.Type(m.View.Type) // prices move
+		l := WorkerLoad{Name: m.Name, Type: m.View.Type, Zone: m.View.Zone, Spot: m.View.Spot, Matrix: m.Matrix, Heard: m.LastHeartbeat, Existed: later(m.LastHeartbeat, m.KnownSince),
+			Places: len(m.Placements), Notice: !m.NoticeAt.IsZero(), Faulty: m.Faulty()}
+		for p := range m.Placements {
+			if p.MayRun() {
+				l.Used = l.Used.Add(p.Job.Resources, 1)
 			}
 		}
 		ls = append(ls, l)
@@ -100,16 +100,16 @@
 
 // slack is how long the job's tasks may still wait and meet the next aim that
 // a machine rented now can help to meet.
-func (o *Owner) slack(j *job, boot float64) float64 {
-	age := o.now.Sub(j.accepted).Seconds()
-	run := pessimism*j.runEstimate() + restartTakes
+func (o *Scheduler) slack(j *Job, boot float64) float64 {
+	age := o.now.Sub(j.AcceptedAt).Seconds()
+	run := pessimism*j.RunEstimate() + restartTakes
 	best := math.Inf(1)
 	offer := func(s float64) {
 		if s >= boot && s < best {
 			best = s
 		}
 	}
-	for _, within := range j.class.starts {
+	for _, within := range j.Class.StartAims {
 		offer(within - age)
 	}
 	for _, limit := range o.limits(j) {
@@ -127,45 +127,45 @@
 )
 
 // limits are the ages at which the job should be done.
-func (o *Owner) limits(j *job) []float64 {
-	if j.ends == nil {
-		j.ends = []float64{}
+func (o *Scheduler) limits(j *Job) []float64 {
+	if j.doneLimits == nil {
+		j.doneLimits = []float64{}
 		for _, aim := range o.cfg.Params.Objectives {
 			switch {
-			case aim.Class != j.spec.Class:
+			case aim.Class != j.Spec.Class:
 			case aim.Kind == "finished":
-				j.ends = append(j.ends, aim.WithinS)
-			case aim.Kind == "deadline" && j.spec.DueS != nil:
-				j.ends = append(j.ends, *j.spec.DueS*max(1, aim.Times))
+				j.doneLimits = append(j.doneLimits, aim.WithinS)
+			case aim.Kind == "deadline" && j.Spec.DueS != nil:
+				j.doneLimits = append(j.doneLimits, *j.Spec.DueS*max(1, aim.Times))
 			}
 		}
-		if j.spec.DueS != nil {
-			j.ends = append(j.ends, *j.spec.DueS)
+		if j.Spec.DueS != nil {
+			j.doneLimits = append(j.doneLimits, *j.Spec.DueS)
 		}
 	}
-	return j.ends
+	return j.doneLimits
 }
 
-// Admitted returns how much work, in CPU-seconds, has been accepted since this
+// AdmittedWork returns how much work, in CPU-seconds, has been accepted since this
 // owner began.
-func (o *Owner) Admitted() float64 {
+func (o *Scheduler) AdmittedWork() float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.admitted
 }
 
-// Closing tells which machines take no new work, so that they fall idle and
+// SetCordoned tells which machines take no new work, so that they fall idle and
 // can be returned.
-func (o *Owner) Closing(names map[string]bool) {
+func (o *Scheduler) SetCordoned(names map[string]bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for name, m := range o.machines {
-		m.closing = names[name]
+		m.Cordoned = names[name]
 	}
 }
 
-// Load is a machine as fleet planning sees it.
-type Load struct {
+// WorkerLoad is a machine as fleet planning sees it.
+type WorkerLoad struct {
 	Name    string          `json:"Name"`
 	Type    string          `json:"Type"`
 	Zone    string          `json:"Zone"`
@@ -179,8 +179,8 @@
 	Places  int             `json:"Places"`
 }
 
-// Leads reports whether this owner leads the fleet: it owns the first shard.
-func (o *Owner) Leads() bool {
+// LeadsAutoscaling reports whether this owner leads the fleet: it owns the first shard.
+func (o *Scheduler) LeadsAutoscaling() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	_, first := o.loaded[0]
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -8,13 +8,13 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Others answers for jobs that this owner does not have.
-type Others interface {
-	// Facts says how far a job is, wherever it is.
-	Facts(ctx context.Context, uid string) (jobspec.Facts, error)
-	// Earlier reports whether an owner elsewhere has an unfinished job of the
+// RemoteJobs answers for jobs that this owner does not have.
+type RemoteJobs interface {
+	// JobFacts says how far a job is, wherever it is.
+	JobFacts(ctx context.Context, uid string) (jobspec.Facts, error)
+	// HasEarlier reports whether an owner elsewhere has an unfinished job of the
 	// name and user with a lower number.
-	Earlier(ctx context.Context, name, user string, number uint64) (bool, error)
+	HasEarlier(ctx context.Context, name, user string, number uint64) (bool, error)
 }
 
 const (
@@ -25,7 +25,7 @@
 
 // attend sees to what terms bring about by themselves: dependencies that are met
 // or never will be, and deadlines.
-func (o *Owner) attend(ctx context.Context) {
+func (o *Scheduler) attend(ctx context.Context) {
 	tick := time.NewTicker(attendEvery)
 	defer tick.Stop()
 	for {
@@ -41,7 +41,7 @@
 		ask, end := o.settleTerms(time.Now())
 		for _, q := range ask {
 			if err := o.askOthers(ctx, q); err != nil {
-				o.log.Debug("a dependency can't be judged yet", "job", q.j.spec.UID, "err", err)
+				o.log.Debug("a dependency can't be judged yet", "job", q.job.Spec.UID, "err", err)
 			}
 		}
 		for uid, why := range end {
@@ -54,42 +54,42 @@
 	}
 }
 
-type query struct {
-	j    *job
+type dependencyQuery struct {
+	job  *Job
 	open []int // dependencies
 }
 
 // settleTerms judges what can be judged here, and says what must be asked
 // elsewhere and which jobs end by their own terms.
-func (o *Owner) settleTerms(now time.Time) (ask []query, end map[string]string) {
+func (o *Scheduler) settleTerms(now time.Time) (ask []dependencyQuery, end map[string]string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, j := range o.order {
-		a := j.asked
-		if a == nil || j.cancelled || j.ended != "" {
+		a := j.Constraints
+		if a == nil || j.Cancelled || j.EndStage != "" {
 			continue
 		}
-		was := a.deps
-		q := query{j: j}
+		was := a.DependencyOutcome
+		q := dependencyQuery{job: j}
 		for i, d := range a.After {
-			if a.each[i] != jobspec.Open {
+			if a.Outcomes[i] != jobspec.Open {
 				continue
 			}
 			if f, known := o.facts(j, d); known {
-				a.each[i] = d.Judge(f, now.UnixMilli())
+				a.Outcomes[i] = d.Judge(f, now.UnixMilli())
 			} else {
 				q.open = append(q.open, i)
 			}
 		}
-		a.deps = a.Join(a.each)
-		if len(q.open) > 0 && now.Sub(a.looked) > lookEvery && len(ask) < lookMost && o.Others != nil {
-			a.looked = now
+		a.DependencyOutcome = a.Join(a.Outcomes)
+		if len(q.open) > 0 && now.Sub(a.AskedAt) > lookEvery && len(ask) < lookMost && o.RemoteJobs != nil {
+			a.AskedAt = now
 			ask = append(ask, q)
 		}
-		if a.eligible == 0 && a.Waits(a.deps, now.UnixMilli()) == "" {
-			a.eligible = max(j.atMs, a.BeginMs)
-			if len(a.After) > 0 || was != a.deps {
-				a.eligible = now.UnixMilli()
+		if a.EligibleMs == 0 && a.Waits(a.DependencyOutcome, now.UnixMilli()) == "" {
+			a.EligibleMs = max(j.AcceptedMs, a.BeginMs)
+			if len(a.After) > 0 || was != a.DependencyOutcome {
+				a.EligibleMs = now.UnixMilli()
 			}
 			poke(o.wake)
 		}
@@ -97,23 +97,23 @@
 		switch {
 		case a.DeadlineMs > 0 && now.UnixMilli() > a.DeadlineMs:
 			why = jobspec.Deadline
-		case a.deps == jobspec.Never && a.KillNever:
+		case a.DependencyOutcome == jobspec.Never && a.KillNever:
 			why = jobspec.Cancelled
 		}
 		if why != "" {
 			if end == nil {
 				end = map[string]string{}
 			}
-			end[j.spec.UID] = why
+			end[j.Spec.UID] = why
 		}
 	}
 	return ask, end
 }
 
 // facts says what this owner knows for sure of what a job depends on.
-func (o *Owner) facts(j *job, d jobspec.Dep) (jobspec.Facts, bool) {
+func (o *Scheduler) facts(j *Job, d jobspec.Dep) (jobspec.Facts, bool) {
 	if d.Kind == jobspec.Singleton {
-		if o.earlier(j.asked.Name, j.asked.User, j.asked.Number) {
+		if o.earlier(j.Constraints.Name, j.Constraints.User, j.Constraints.Number) {
 			return jobspec.Facts{}, true
 		}
 		return jobspec.Facts{Over: true, OK: true}, len(o.loaded) == o.op.Shards
@@ -121,7 +121,7 @@
 	return o.factsOf(d.Job)
 }
 
-func (f finalRecord) facts() jobspec.Facts {
+func (f FinalRecord) Facts() jobspec.Facts {
 	out := jobspec.Facts{Over: true, OK: f.Stage == wire.StageDone, Started: f.Stage == wire.StageDone}
 	if f.Ending != nil {
 		out.StartedMs = f.Ending.StartMs
@@ -129,31 +129,31 @@
 	return out
 }
 
-func (o *Owner) earlier(name, user string, number uint64) bool {
+func (o *Scheduler) earlier(name, user string, number uint64) bool {
 	for _, x := range o.order {
-		if x.asked != nil && x.asked.Name == name && x.asked.User == user && x.asked.Number < number {
+		if x.Constraints != nil && x.Constraints.Name == name && x.Constraints.User == user && x.Constraints.Number < number {
 			return true
 		}
 	}
 	return false
 }
 
-func (o *Owner) factsOf(uid string) (jobspec.Facts, bool) {
+func (o *Scheduler) factsOf(uid string) (jobspec.Facts, bool) {
 	if x := o.jobs[uid]; x != nil {
-		f := jobspec.Facts{Started: x.started > 0 || x.done > 0}
-		if x.asked != nil {
-			f.StartedMs = x.asked.startMs
+		f := jobspec.Facts{Started: x.Started > 0 || x.Done > 0}
+		if x.Constraints != nil {
+			f.StartedMs = x.Constraints.StartMs
 		}
 		return f, true
 	}
 	if f, over := o.final[uid]; over {
-		return f.facts(), true
+		return f.Facts(), true
 	}
 	return jobspec.Facts{}, false
 }
 
-// FactsHere says how far a job is that this owner has, or had.
-func (o *Owner) FactsHere(uid string) (jobspec.Facts, bool) {
+// LocalFacts says how far a job is that this owner has, or had.
+func (o *Scheduler) LocalFacts(uid string) (jobspec.Facts, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.member.Held() <= 0 {
@@ -162,9 +162,9 @@
 	return o.factsOf(uid)
 }
 
-// EarlierHere reports whether an unfinished job of the name and user with a lower
+// HasEarlierLocal reports whether an unfinished job of the name and user with a lower
 // number is here.
-func (o *Owner) EarlierHere(name, user string, number uint64) bool {
+func (o *Scheduler) HasEarlierLocal(name, user string, number uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.earlier(name, user, number)
@@ -173,35 +173,35 @@
 // StoredFacts reads from the store how a job ended; a living one is only known to
 // its owner.
 func StoredFacts(ctx context.Context, store Reader, uid string) (jobspec.Facts, error) {
-	f, err := readFinal(ctx, store, uid)
+	f, err := ReadFinal(ctx, store, uid)
 	if err != nil {
 		return jobspec.Facts{}, err
 	}
-	return f.facts(), nil
+	return f.Facts(), nil
 }
 
 // askOthers judges the dependencies of a job that this owner knows nothing of.
-func (o *Owner) askOthers(ctx context.Context, q query) error {
+func (o *Scheduler) askOthers(ctx context.Context, q dependencyQuery) error {
 	ctx, cancel := context.WithTimeout(ctx, txnTimeout)
 	defer cancel()
-	a := q.j.asked
+	a := q.job.Constraints
 	for _, i := range q.open {
 		d := a.After[i]
 		var f jobspec.Facts
 		var err error
 		if d.Kind == jobspec.Singleton {
 			var left bool
-			left, err = o.Others.Earlier(ctx, a.Name, a.User, a.Number)
+			left, err = o.RemoteJobs.HasEarlier(ctx, a.Name, a.User, a.Number)
 			f = jobspec.Facts{Over: !left, OK: true}
 		} else {
-			f, err = o.Others.Facts(ctx, d.Job)
+			f, err = o.RemoteJobs.JobFacts(ctx, d.Job)
 		}
 		if err != nil {
 			return err
 		}
 		o.mu.Lock()
-		a.each[i] = d.Judge(f, time.Now().UnixMilli())
-		a.deps = a.Join(a.each)
+		a.Outcomes[i] = d.Judge(f, time.Now().UnixMilli())
+		a.DependencyOutcome = a.Join(a.Outcomes)
 		o.mu.Unlock()
 	}
 	return nil
--- a/internal/scheduler/direct.go
+++ b/internal/scheduler/direct.go
@@ -10,7 +10,7 @@
 )
 
 // direction returns what is to be told to a holder next.
-func (o *Owner) direction(holder string) *dispatch.Direction {
+func (o *Scheduler) direction(holder string) *dispatch.Direction {
 	d := o.pend[holder]
 	if d == nil {
 		d = &dispatch.Direction{From: o.member.Name()}
@@ -21,63 +21,63 @@
 
 // tell sends a place to the machine's holder, to be queued, or as facts about
 // a task that it lists.
-func (o *Owner) tell(p *place, isListed bool) {
-	m, j := p.mach, p.job
-	if m.view.Holder == "" {
+func (o *Scheduler) tell(p *Placement, isListed bool) {
+	m, j := p.Worker, p.Job
+	if m.View.Holder == "" {
 		return
 	}
-	p.sentTo, p.sentAt = m.view.Holder, time.Now()
-	d := o.direction(m.view.Holder)
+	p.SentTo, p.SentAt = m.View.Holder, time.Now()
+	d := o.direction(m.View.Holder)
 	d.Assign = append(d.Assign, dispatch.Entry{
-		Ref: p.ref, Owner: o.member.Name(), Shape: j.shape, Run: j.runEstimate(), Fetch: o.fetchTime(j, m),
-		Rank: j.spec.Rank(), DueAt: j.dueAt(), Listed: isListed,
+		Ref: p.Ref, Owner: o.member.Name(), Shape: j.Resources, Run: j.RunEstimate(), Fetch: o.fetchTime(j, m),
+		Rank: j.Spec.Rank(), DueAt: j.DueAt(), Listed: isListed,
 	})
 	poke(o.out)
 }
 
 // halt stops a task; it is repeated until the task is off its machine.
-func (o *Owner) halt(p *place, grace float64) {
-	if !p.on() {
+func (o *Scheduler) halt(p *Placement, grace float64) {
+	if !p.MayRun() {
 		o.unqueue(p)
 		return
 	}
-	if time.Since(p.haltAt) < time.Second {
+	if time.Since(p.LastHaltAt) < time.Second {
 		return
 	}
-	p.haltAt = time.Now()
-	if p.halted.IsZero() {
-		p.halted = p.haltAt
+	p.LastHaltAt = time.Now()
+	if p.HaltedAt.IsZero() {
+		p.HaltedAt = p.LastHaltAt
 	}
-	if p.mach.view.Holder == "" {
+	if p.Worker.View.Holder == "" {
 		return
 	}
-	d := o.direction(p.mach.view.Holder)
-	d.Halt = append(d.Halt, dispatch.Halt{Ref: p.ref, GraceS: grace})
+	d := o.direction(p.Worker.View.Holder)
+	d.Halt = append(d.Halt, dispatch.Halt{Ref: p.Ref, GraceS: grace})
 	poke(o.out)
 }
 
 // unqueue takes back a place that was never granted, so that nothing can have
 // been started by it.
-func (o *Owner) unqueue(p *place) {
-	if p.sentTo != "" {
-		d := o.direction(p.sentTo)
-		d.Halt = append(d.Halt, dispatch.Halt{Ref: p.ref})
+func (o *Scheduler) unqueue(p *Placement) {
+	if p.SentTo != "" {
+		d := o.direction(p.SentTo)
+		d.Halt = append(d.Halt, dispatch.Halt{Ref: p.Ref})
 		poke(o.out)
 	}
 	o.detach(p)
 }
 
-// neverSent reports whether no start command for a halted place can be under way, when
+// NeverSent reports whether no start command for a halted place can be under way, when
 // the holder with that token says that it sent none: the start was granted for this token
 // alone. One that was granted for another may still be held up, sent by another holder or
 // before this one restarted: taken off its team's use it would run beside what the limit
 // then lets start.
-func (p *place) neverSent(token uint64) bool {
-	return p.state == placeGranted && !p.haltAt.IsZero() && p.least == token && p.token == token
+func (p *Placement) NeverSent(token uint64) bool {
+	return p.State == PlacementGranted && !p.LastHaltAt.IsZero() && p.MinToken == token && p.MaxToken == token
 }
 
 // direct sends what was gathered for the holders: to those elsewhere in batches.
-func (o *Owner) direct(ctx context.Context) {
+func (o *Scheduler) direct(ctx context.Context) {
 	elsewhere := batching.Sender[*dispatch.Direction]{Send: func(holder string, ds []*dispatch.Direction) {
 		o.sendDirection(ctx, holder, joined(ds)) // bounded by its time limit
 	}}
@@ -115,10 +115,10 @@
 	return &all
 }
 
-func (o *Owner) sendDirection(ctx context.Context, holder string, d *dispatch.Direction) {
+func (o *Scheduler) sendDirection(ctx context.Context, holder string, d *dispatch.Direction) {
 	dctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	un, err := o.holders.Direct(dctx, holder, *d)
+	un, err := o.holders.SendInstructions(dctx, holder, *d)
 	if err != nil {
 		// Sweeps and later views repeat whatever still matters.
 		o.log.Debug("holder did not take directions", "holder", holder, "err", err)
@@ -132,8 +132,8 @@
 		if err != nil || j == nil {
 			continue
 		}
-		for _, p := range append([]*place(nil), j.places[n]...) {
-			if p.attempt == ref.Attempt && p.mach.name == ref.Machine && p.neverSent(un.Token) {
+		for _, p := range append([]*Placement(nil), j.Placements[n]...) {
+			if p.Attempt == ref.Attempt && p.Worker.Name == ref.Machine && p.NeverSent(un.Token) {
 				o.detach(p)
 			}
 		}
--- a/internal/scheduler/ended_chunks_test.go
+++ b/internal/scheduler/ended_chunks_test.go
@@ -14,7 +14,7 @@
 // next takeover.
 func TestEndedJobLeavesNoChunkRecord(t *testing.T) {
 	f := newFleet(t, 1, 0)
-	f.owner.KeepSlots = 1
+	f.owner.LogSlots = 1
 	f.items = map[string][]wire.Item{
 		"live/": {{Key: "live/j-1", Version: 1, Value: json.RawMessage(`{"job":{"uid":"j-1","docket":"c","crew":"t","sort":"sweep","pieces":1,"cpus":2}}`)},
 			{Key: "live/j-2", Version: 2, Value: json.RawMessage(`{"job":{"uid":"j-2","docket":"c","crew":"t","sort":"sweep","pieces":2,"cpus":2}}`)}},
@@ -36,11 +36,11 @@
 	for _, task := range []string{"j-1/0", "j-2/0"} {
 		v.Tasks = append(v.Tasks, dispatch.TaskView{Task: wire.Task{Task: task, Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}})
 	}
-	f.owner.Observe(v)
+	f.owner.ObserveWorker(v)
 	if err := f.owner.Record(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if s, ok := f.owner.Known("j-1"); !ok || s.Stage != wire.StageDone || !keys["final/j-1"] || !keys["task/j-2/00000"] {
+	if s, ok := f.owner.LocalState("j-1"); !ok || s.Stage != wire.StageDone || !keys["final/j-1"] || !keys["task/j-2/00000"] {
 		t.Errorf("the ended job is %+v, %v, and the other's chunk is not saved: %v", s, ok, keys)
 	}
 	for key := range keys {
--- a/internal/scheduler/evacuate.go
+++ b/internal/scheduler/evacuate.go
@@ -17,94 +17,94 @@
 // that wastes much less than the machine costs until those tasks end: a few
 // small tasks would keep a large machine for minutes. There must be room for
 // them elsewhere.
-func (o *Owner) evacuate() {
-	var closing []*mach
+func (o *Scheduler) evacuate() {
+	var closing []*Worker
 	room := 0.0
 	for _, m := range o.byIndex {
 		switch {
-		case m == nil || len(m.matrix) == 0:
-		case m.closing:
+		case m == nil || len(m.Matrix) == 0:
+		case m.Cordoned:
 			closing = append(closing, m)
-		case !m.view.Draining && m.notice.IsZero():
-			room += max(0, m.matrix[0].Free.CPUs)
+		case !m.View.Draining && m.NoticeAt.IsZero():
+			room += max(0, m.Matrix[0].Free.CPUs)
 		}
 	}
 	if len(closing) == 0 {
 		return
 	}
 	for _, j := range o.order {
-		if !j.cancelled {
-			room -= float64(len(j.pending)) * j.shape.CPUs
+		if !j.Cancelled {
+			room -= float64(len(j.Pending)) * j.Resources.CPUs
 		}
 	}
 	sort.Slice(closing, func(a, b int) bool {
 		x, y := closing[a], closing[b]
-		if len(x.places) != len(y.places) {
-			return len(x.places) < len(y.places)
+		if len(x.Placements) != len(y.Placements) {
+			return len(x.Placements) < len(y.Placements)
 		}
-		return x.index < y.index
+		return x.Index < y.Index
 	})
 	for _, m := range closing {
-		for p := range m.places {
-			if !p.on() && !p.exited && o.now.Sub(p.made) > closingQueueWait {
+		for p := range m.Placements {
+			if !p.MayRun() && !p.Exited && o.now.Sub(p.CreatedAt) > closingQueueWait {
 				o.unqueue(p) // never granted: it can simply look elsewhere
 			}
 		}
 		for _, e := range o.evacuees(m, room) {
-			p := e.p
-			room -= p.job.shape.CPUs
-			if p.job.moved == nil {
-				p.job.moved = map[int]bool{}
+			p := e.placement
+			room -= p.Job.Resources.CPUs
+			if p.Job.Evicted == nil {
+				p.Job.Evicted = map[int]bool{}
 			}
-			p.job.moved[p.task] = true
-			o.halt(p, p.job.spec.SaveS+1)
+			p.Job.Evicted[p.Task] = true
+			o.halt(p, p.Job.Spec.SaveS+1)
 			o.stats.Evacuated++
 		}
 	}
 }
 
-// evacuee is a task that may be stopped to empty its machine sooner.
-type evacuee struct {
-	p          *place
+// evictionCandidate is a task that may be stopped to empty its machine sooner.
+type evictionCandidate struct {
+	placement  *Placement
 	left, loss float64 // seconds until it ends, and that stopping it wastes
-	ok         bool
+	evictable  bool
 }
 
 // evacuees picks the tasks to be stopped on a machine: those that would keep it
 // longest, as far as that saves several times what it wastes. The others end
 // soon by themselves. Tasks that save nothing go only if all can.
-func (o *Owner) evacuees(m *mach, room float64) []evacuee {
+func (o *Scheduler) evacuees(m *Worker, room float64) []evictionCandidate {
 	t := o.typeOf(m)
 	if t.CPUs <= 0 || t.SpotPrice <= 0 {
 		return nil
 	}
-	var all []evacuee
-	for p := range m.places {
-		if p.exited || !p.halted.IsZero() {
+	var all []evictionCandidate
+	for p := range m.Placements {
+		if p.Exited || !p.HaltedAt.IsZero() {
 			continue // as good as gone
 		}
-		e := evacuee{p: p, left: p.job.runEstimate()}
-		if !p.running.IsZero() {
-			elapsed := o.now.Sub(p.running).Seconds()
+		e := evictionCandidate{placement: p, left: p.Job.RunEstimate()}
+		if !p.RunningSince.IsZero() {
+			elapsed := o.now.Sub(p.RunningSince).Seconds()
 			e.left = matching.RestOfRun(e.left, elapsed)
 		}
-		e.loss, e.ok = o.evacuable(p)
+		e.loss, e.evictable = o.evacuable(p)
 		all = append(all, e)
 	}
 	sort.Slice(all, func(a, b int) bool {
 		if all[a].left != all[b].left {
 			return all[a].left > all[b].left
 		}
-		return all[a].p.attempt < all[b].p.attempt
+		return all[a].placement.Attempt < all[b].placement.Attempt
 	})
 	pick, best, wasted, saves := 0, 0.0, 0.0, true
 	for i, e := range all {
-		cpus := e.p.job.shape.CPUs
-		if room -= cpus; !e.ok || room < 0 {
+		cpus := e.placement.Job.Resources.CPUs
+		if room -= cpus; !e.evictable || room < 0 {
 			break
 		}
 		wasted += e.loss * cpus * t.SpotPrice / t.CPUs
-		saves = saves && (e.p.job.spec.MarkS > 0 || e.loss == 0)
+		saves = saves && (e.placement.Job.Spec.MarkS > 0 || e.loss == 0)
 		until := 0.0
 		if i+1 < len(all) {
 			until = all[i+1].left
@@ -121,25 +121,25 @@
 
 // evacuable reports whether a task may be stopped to empty its machine, and
 // how many seconds of its run that wastes.
-func (o *Owner) evacuable(p *place) (loss float64, ok bool) {
-	j := p.job
-	if p.state != placeSeen || p.exited || !p.halted.IsZero() || j.cancelled || j.spec.Gang() || j.spec.Service() || j.moved[p.task] {
+func (o *Scheduler) evacuable(p *Placement) (loss float64, ok bool) {
+	j := p.Job
+	if p.State != PlacementReported || p.Exited || !p.HaltedAt.IsZero() || j.Cancelled || j.Spec.Gang() || j.Spec.Service() || j.Evicted[p.Task] {
 		return 0, false // each task moves once
 	}
-	if p.running.IsZero() {
+	if p.RunningSince.IsZero() {
 		return 0, true
 	}
-	elapsed := o.now.Sub(p.running).Seconds()
-	if len(j.class.starts) > 0 && elapsed < countedStart {
+	elapsed := o.now.Sub(p.RunningSince).Seconds()
+	if len(j.Class.StartAims) > 0 && elapsed < countedStart {
 		return 0, false
 	}
-	if j.spec.MarkS > 0 {
-		return math.Min(elapsed, j.spec.SaveS), true
+	if j.Spec.MarkS > 0 {
+		return math.Min(elapsed, j.Spec.SaveS), true
 	}
 	// No aim that it meets by running on may be missed by starting again. What
 	// is late already must not become later still: it is what the whole of the
 	// work waits for in the end.
-	age, run := o.now.Sub(j.accepted).Seconds(), j.runEstimate()
+	age, run := o.now.Sub(j.AcceptedAt).Seconds(), j.RunEstimate()
 	left, late := max(run-elapsed, 1), true
 	for _, limit := range o.limits(j) {
 		late = late && limit < age+left
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -8,70 +8,70 @@
 
 // gang places all waiting tasks of a gang, or none: the first would only wait
 // on their machines for the last.
-func (o *Owner) gang(j *job, open []*mach) {
-	n := len(j.pending)
-	if len(j.places) > 0 {
+func (o *Scheduler) gang(j *Job, open []*Worker) {
+	n := len(j.Pending)
+	if len(j.Placements) > 0 {
 		return // what is left of the last try goes first
 	}
 	if n == 0 || n > placesAtOnce || !o.roomInLimit(j, n) {
 		return
 	}
 	zones := map[string]bool{"": true}
-	if j.spec.OneZone {
+	if j.Spec.OneZone {
 		clear(zones)
 		for _, m := range open {
-			zones[m.view.Zone] = true
+			zones[m.View.Zone] = true
 		}
 	}
 	for zone := range zones {
 		if picks := o.gangPicks(j, open, zone, n); picks != nil {
 			// Workers let tasks of one attempt wait for each other.
 			next := uint64(1)
-			for _, c := range j.chunks {
-				next = max(next, c.next)
+			for _, c := range j.Chunks {
+				next = max(next, c.NextAttempt)
 			}
-			for _, c := range j.chunks {
-				c.next = next
+			for _, c := range j.Chunks {
+				c.NextAttempt = next
 			}
 			for _, p := range picks {
-				t := j.pending[len(j.pending)-1]
-				j.pending = j.pending[:len(j.pending)-1]
-				o.put(j, t, p.m, p.wait)
+				t := j.Pending[len(j.Pending)-1]
+				j.Pending = j.Pending[:len(j.Pending)-1]
+				o.put(j, t, p.worker, p.wait)
 			}
-			for _, c := range j.chunks {
-				c.next++
+			for _, c := range j.Chunks {
+				c.NextAttempt++
 			}
 			return
 		}
 	}
 }
 
-type gangPick struct {
-	m    *mach
-	wait float64
+type gangCandidate struct {
+	worker *Worker
+	wait   float64
 }
 
 // gangPicks finds a machine for each of n tasks, in one zone unless it is "".
-func (o *Owner) gangPicks(j *job, open []*mach, zone string, n int) []gangPick {
-	saved := map[*mach]matching.Matrix{}
+func (o *Scheduler) gangPicks(j *Job, open []*Worker, zone string, n int) []gangCandidate {
+	saved := map[*Worker]matching.Matrix{}
 	defer func() {
 		for m, mx := range saved {
-			m.matrix = mx
+			m.Matrix = mx
 		}
 	}()
 	there := map[string]int{}
-	for _, ps := range j.places {
+	for _, ps := range j.Placements {
 		for _, p := range ps {
-			there[p.mach.view.Zone]++
+			there[p.Worker.View.Zone]++
 		}
 	}
-	var picks []gangPick
+	var picks []gangCandidate
 	for len(picks) < n {
-		var best *mach
-		bestE := estimate{cost: math.Inf(1)}
+		var best *Worker
+		bestE := Estimate{cost: math.Inf(1)}
 		for _, m := range open {
-			z := m.view.Zone
-			if zone != "" && z != zone || j.spec.Spread && there[z]+1 > (j.spec.Tasks+1)/2 || j.spec.OneZone && !o.zoneFits(j, m) {
+			z := m.View.Zone
+			if zone != "" && z != zone || j.Spec.Spread && there[z]+1 > (j.Spec.Tasks+1)/2 || j.Spec.OneZone && !o.zoneFits(j, m) {
 				continue
 			}
 			if e, ok := o.estimate(j, m); ok && e.wait <= o.op.HorizonS && e.cost < bestE.cost {
@@ -82,12 +82,12 @@
 			return nil
 		}
 		if _, ok := saved[best]; !ok {
-			saved[best] = best.matrix
+			saved[best] = best.Matrix
 		}
-		run := j.runEstimate() + bestE.fetch
-		best.matrix = best.matrix.Reserve(j.shape, bestE.wait, run)
-		there[best.view.Zone]++
-		picks = append(picks, gangPick{best, bestE.wait})
+		run := j.RunEstimate() + bestE.fetch
+		best.Matrix = best.Matrix.Reserve(j.Resources, bestE.wait, run)
+		there[best.View.Zone]++
+		picks = append(picks, gangCandidate{best, bestE.wait})
 	}
 	return picks
 }
--- a/internal/scheduler/grant.go
+++ b/internal/scheduler/grant.go
@@ -7,17 +7,17 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// GrantHere decides whether a task may start now. One place of a task is
+// GrantLocal decides whether a task may start now. One place of a task is
 // granted at a time; quota, place and kind are checked against everything
 // that may still be on.
-func (o *Owner) GrantHere(r dispatch.GrantRequest) dispatch.GrantReply {
+func (o *Scheduler) GrantLocal(r dispatch.GrantRequest) dispatch.GrantReply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.grant(r)
 }
 
 // GrantAll decides a holder's gathered requests at once.
-func (o *Owner) GrantAll(requests []dispatch.GrantRequest) []dispatch.GrantReply {
+func (o *Scheduler) GrantAll(requests []dispatch.GrantRequest) []dispatch.GrantReply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	replies := make([]dispatch.GrantReply, len(requests))
@@ -27,7 +27,7 @@
 	return replies
 }
 
-func (o *Owner) grant(r dispatch.GrantRequest) dispatch.GrantReply {
+func (o *Scheduler) grant(r dispatch.GrantRequest) dispatch.GrantReply {
 	no, drop := dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
 	if o.member.Held() < 200*time.Millisecond || len(o.loaded) == 0 {
 		return no
@@ -43,11 +43,11 @@
 	if !o.owns(j) {
 		return no
 	}
-	var p *place
-	for _, x := range j.places[n] {
-		if x.mach.name == r.Machine && x.attempt == r.Attempt {
+	var p *Placement
+	for _, x := range j.Placements[n] {
+		if x.Worker.Name == r.Machine && x.Attempt == r.Attempt {
 			p = x
-		} else if x.on() || x.exited {
+		} else if x.MayRun() || x.Exited {
 			o.stats.Refused++
 			return no // settled later, or dropped by unqueue
 		}
@@ -55,24 +55,24 @@
 	if p == nil {
 		return drop
 	}
-	m := p.mach
+	m := p.Worker
 	switch {
-	case j.cancelled || p.chunk.isDone(n):
+	case j.Cancelled || p.Chunk.IsDone(n):
 		return drop
-	case !p.exited && p.session > 0 && r.Session > p.session && (p.state == placeRecorded || p.state == placeGranted):
+	case !p.Exited && p.Session > 0 && r.Session > p.Session && (p.State == PlacementRecorded || p.State == PlacementGranted):
 		// Its worker has lost whatever it was granted in the session before, in which it
 		// may have run: see granted.
 		o.detach(p)
 		return drop
-	case o.Cancels != nil && o.Cancels.Has(uid):
+	case o.Cancellations != nil && o.Cancellations.IsCancelled(uid):
 		return no // recorded by another; the record is on its way here
-	case p.state == placeWriting || p.state == placeUnsettled || p.state == placeSeen || !p.haltAt.IsZero():
+	case p.State == PlacementRecording || p.State == PlacementUnconfirmed || p.State == PlacementReported || !p.LastHaltAt.IsZero():
 		return no
-	case m.gone || m.view.Draining || !o.allowed(j, m):
+	case m.Gone || m.View.Draining || !o.allowed(j, m):
 		return no
-	case (!m.deaf.IsZero() || !o.fitsLease(j, m)) && p.state != placeGranted:
+	case (!m.UnresponsiveSince.IsZero() || !o.fitsLease(j, m)) && p.State != PlacementGranted:
 		return no
-	case j.asked != nil && !o.termsAllow(j, n):
+	case j.Constraints != nil && !o.termsAllow(j, n):
 		return no
 	}
 	o.count(p, -1)
@@ -81,14 +81,14 @@
 		o.stats.Refused++
 		return no
 	}
-	if p.state != placeGranted { // else the start is repeated
-		p.state, p.grantedAt, p.least = placeGranted, time.Now(), r.Token
+	if p.State != PlacementGranted { // else the start is repeated
+		p.State, p.GrantedAt, p.MinToken = PlacementGranted, time.Now(), r.Token
 		o.stats.Granted++
 	}
-	p.least, p.token, p.session = min(p.least, r.Token), max(p.token, r.Token), max(p.session, r.Session)
-	m.tokens = max(m.tokens, r.Token)
+	p.MinToken, p.MaxToken, p.Session = min(p.MinToken, r.Token), max(p.MaxToken, r.Token), max(p.Session, r.Session)
+	m.MaxToken = max(m.MaxToken, r.Token)
 	o.count(p, 1)
-	for _, x := range append([]*place(nil), j.places[n]...) {
+	for _, x := range append([]*Placement(nil), j.Placements[n]...) {
 		if x != p {
 			o.unqueue(x)
 		}
@@ -97,16 +97,16 @@
 }
 
 // allowed reports whether the job may run on that machine at all.
-func (o *Owner) allowed(j *job, m *mach) bool {
-	s := j.spec
-	if m.view.Spot && !s.Spot || s.Zone != nil && *s.Zone != m.view.Zone {
+func (o *Scheduler) allowed(j *Job, m *Worker) bool {
+	s := j.Spec
+	if m.View.Spot && !s.Spot || s.Zone != nil && *s.Zone != m.View.Zone {
 		return false
 	}
 	if s.Types == nil {
 		return true
 	}
 	for _, t := range s.Types {
-		if t == m.view.Type {
+		if t == m.View.Type {
 			return true
 		}
 	}
@@ -115,31 +115,31 @@
 
 // within reports whether one more task of the job may be in the machine's
 // zone, counting all that may be on.
-func (o *Owner) within(j *job, m *mach) bool {
-	zone := m.view.Zone
-	if j.spec.OneZone {
-		if j.unzoned > 0 {
+func (o *Scheduler) within(j *Job, m *Worker) bool {
+	zone := m.View.Zone
+	if j.Spec.OneZone {
+		if j.Unzoned > 0 {
 			return false
 		}
-		for z, n := range j.zones {
+		for z, n := range j.Zones {
 			if n > 0 && z != zone {
 				return false
 			}
 		}
 	}
-	if j.spec.Spread && j.zones[zone]+j.unzoned+1 > (j.spec.Tasks+1)/2 {
+	if j.Spec.Spread && j.Zones[zone]+j.Unzoned+1 > (j.Spec.Tasks+1)/2 {
 		return false
 	}
 	return true
 }
 
 // underLimit reports whether the job's team may use one more task of it.
-func (o *Owner) underLimit(j *job) bool {
-	t := j.team
-	if t.lent != nil {
-		return t.allows(j.shard, t.lent.use[j.shard].Add(j.shape, 1))
+func (o *Scheduler) underLimit(j *Job) bool {
+	t := j.Team
+	if t.Leased != nil {
+		return t.Allows(j.Shard, t.Leased.UsedByShard[j.Shard].Add(j.Resources, 1))
 	}
-	u := t.use.Add(j.shape, 1)
+	u := t.Used.Add(j.Resources, 1)
 	const tiny = 1e-6
 	return (t.CPUsMax <= 0 || u.CPUs <= t.CPUsMax+tiny) && (t.GPUsMax <= 0 || u.GPUs <= t.GPUsMax+tiny)
 }
--- a/internal/scheduler/holders_test.go
+++ b/internal/scheduler/holders_test.go
@@ -21,7 +21,7 @@
 	came := time.Now()
 	f.owner.WhileBusy(func() {
 		observed := make(chan struct{})
-		go func() { f.owner.Observe(v); close(observed) }()
+		go func() { f.owner.ObserveWorker(v); close(observed) }()
 		select {
 		case <-observed:
 		case <-time.After(5 * time.Second):
@@ -30,7 +30,7 @@
 		time.Sleep(50 * time.Millisecond)
 	})
 	v.Seq, v.Same = v.Seq-1, false // an older one, which says nothing of its own
-	f.owner.Observe(v)
+	f.owner.ObserveWorker(v)
 	ago, since := f.owner.HeardAgo(v.Name), time.Since(came)
 	if ago > since || ago < since-40*time.Millisecond {
 		t.Errorf("heard %v ago, when the report came %v ago", ago, since)
@@ -48,10 +48,10 @@
 			v.Seq++
 			v.Holder = "b"
 			v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
-			f.owner.Observe(*v)
+			f.owner.ObserveWorker(*v)
 		}
 		submit := func(uid string) {
-			f.owner.Accepted(&wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: size.CPUs, MemoryGB: 1, Estimate: 30, Spot: true},
+			f.owner.JobAccepted(&wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: size.CPUs, MemoryGB: 1, Estimate: 30, Spot: true},
 				nil, 0, time.Now().UnixMilli(), 1)
 		}
 		idle()
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -28,51 +28,51 @@
 	mostOverdue    = 0.5 // of the machines; if more are overdue the fault is hardly theirs, and no room is elsewhere
 )
 
-// renewedAt is when a report of the machine's worker was last answered, as far as this
+// LastRenewal is when a report of the machine's worker was last answered, as far as this
 // owner knows: by any controller, or before it knew of the machine.
-func (m *mach) renewedAt() time.Time { return later(m.renewed, m.since) }
+func (m *Worker) LastRenewal() time.Time { return later(m.RenewedAt, m.KnownSince) }
 
-// reportedAt is when a report of the machine's worker last came, or was last answered. One
+// LastContact is when a report of the machine's worker last came, or was last answered. One
 // that came is mostly answered a moment later, which the next view tells: over slow links a
 // worker whose reports all arrive looked overdue at each of them by the answer alone.
-func (m *mach) reportedAt() time.Time { return later(m.renewedAt(), m.reported) }
+func (m *Worker) LastContact() time.Time { return later(m.LastRenewal(), m.LastReport) }
 
 // overdue reports whether a machine that was heard by request had not reported for so
 // many report intervals then. An owner that stood still itself finds none overdue: it has
 // heard nobody since.
-func (o *Owner) overdue(m *mach, intervals float64) bool {
-	return m.heard.Sub(m.reportedAt()) > seconds(intervals*o.cfg.Params.Workers.ReportS)+overdueSlack
+func (o *Scheduler) overdue(m *Worker, intervals float64) bool {
+	return m.LastHeartbeat.Sub(m.LastContact()) > seconds(intervals*o.cfg.Params.Workers.ReportS)+overdueSlack
 }
 
 // leaseEnd is when the lease of the machine's worker ends if it is not renewed: each
 // session after the one in which it was renewed last has had a lease to itself.
-func (o *Owner) leaseEnd(m *mach) time.Time {
+func (o *Scheduler) leaseEnd(m *Worker) time.Time {
 	leases := 1.0
-	if m.view.Session > m.renewedIn {
-		leases += float64(m.view.Session - m.renewedIn)
+	if m.View.Session > m.RenewedSession {
+		leases += float64(m.View.Session - m.RenewedSession)
 	}
-	return m.renewedAt().Add(seconds(leases * o.cfg.Params.Workers.LeaseS))
+	return m.LastRenewal().Add(seconds(leases * o.cfg.Params.Workers.LeaseS))
 }
 
-// leaseUnknown reports whether a predecessor renewed the worker's lease last: it may end
+// LeaseUnknown reports whether a predecessor renewed the worker's lease last: it may end
 // at any time.
-func (m *mach) leaseUnknown() bool { return m.renewed.Before(m.since) }
+func (m *Worker) LeaseUnknown() bool { return m.RenewedAt.Before(m.KnownSince) }
 
 // fitsLease reports whether a task of the job that starts on the machine now would be
 // done, and read, before a lease ends that is not renewed.
-func (o *Owner) fitsLease(j *job, m *mach) bool {
+func (o *Scheduler) fitsLease(j *Job, m *Worker) bool {
 	if !o.overdue(m, renewOverdue) {
 		return true
 	}
-	if m.leaseUnknown() || j.spec.Service() || j.spec.Gang() {
+	if m.LeaseUnknown() || j.Spec.Service() || j.Spec.Gang() {
 		return false
 	}
-	takes := startTakes + o.fetchTime(j, m) + pessimism*j.runEstimate() + showTakes
+	takes := startTakes + o.fetchTime(j, m) + pessimism*j.RunEstimate() + showTakes
 	return takes < time.Until(o.leaseEnd(m)).Seconds()
 }
 
-// attempt is a task on a worker whose lease is not renewed. Times are in seconds.
-type attempt struct {
+// expiringTask is a task on a worker whose lease is not renewed. Times are in seconds.
+type expiringTask struct {
 	elapsed float64 // it has run for
 	rest    float64 // until it ends, as estimated, its image's fetch included
 	save    float64 // that it takes to save; negative: it can't
@@ -85,7 +85,7 @@
 // it is stopped while it has run for less than that, so that no more is lost than twice
 // the least possible, whether or not the worker is heard again. What may be done runs on:
 // its machine is of use to nobody else.
-func stopBeforeExpiry(a attempt, left float64) bool {
+func stopBeforeExpiry(a expiringTask, left float64) bool {
 	switch {
 	case left <= 0 || a.counted:
 		return false
@@ -96,10 +96,10 @@
 	}
 }
 
-// Expiring stops tasks on machines whose workers' leases are about to end unrenewed, and
+// HandleExpiringLeases stops tasks on machines whose workers' leases are about to end unrenewed, and
 // returns the addresses of those to be asked for their reports now.
 // It is to be called several times a second.
-func (o *Owner) Expiring() map[string]string {
+func (o *Scheduler) HandleExpiringLeases() map[string]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.member.Held() <= 0 {
@@ -107,9 +107,9 @@
 	}
 	now := time.Now()
 	o.now = now
-	var late []*mach
+	var late []*Worker
 	for _, m := range o.machines {
-		if !m.gone && len(m.places) > 0 && m.view.Endpoint != "" && o.expiring(m, now) {
+		if !m.Gone && len(m.Placements) > 0 && m.View.Endpoint != "" && o.expiring(m, now) {
 			late = append(late, m)
 		}
 	}
@@ -119,17 +119,19 @@
 		}
 	}
 	// In turn, so that none waits for ever behind others.
-	slices.SortFunc(late, func(a, b *mach) int { return later(a.heard, a.askedAt).Compare(later(b.heard, b.askedAt)) })
+	slices.SortFunc(late, func(a, b *Worker) int {
+		return later(a.LastHeartbeat, a.PolledAt).Compare(later(b.LastHeartbeat, b.PolledAt))
+	})
 	ask := map[string]string{}
 	for _, m := range late {
 		if len(ask) < max(asksAtOnce, len(late)/askShare) && o.askDue(m, now) {
-			if m.askedAt.After(m.heard) {
-				m.unanswered++
+			if m.PolledAt.After(m.LastHeartbeat) {
+				m.UnansweredPolls++
 			} else {
-				m.unanswered = 0
+				m.UnansweredPolls = 0
 			}
-			m.askedAt = now
-			ask[m.name] = m.view.Endpoint
+			m.PolledAt = now
+			ask[m.Name] = m.View.Endpoint
 		}
 	}
 	return ask
@@ -137,26 +139,26 @@
 
 // expiring reports whether a worker's report is overdue, and its lease has not ended for
 // long.
-func (o *Owner) expiring(m *mach, now time.Time) bool {
+func (o *Scheduler) expiring(m *Worker, now time.Time) bool {
 	w := &o.cfg.Params.Workers
-	return now.Sub(m.reportedAt()) > seconds(reportOverdue*w.ReportS)+overdueSlack && now.Before(o.leaseEnd(m).Add(seconds(w.ReportS)+settleTakes))
+	return now.Sub(m.LastContact()) > seconds(reportOverdue*w.ReportS)+overdueSlack && now.Before(o.leaseEnd(m).Add(seconds(w.ReportS)+settleTakes))
 }
 
 // askDue reports whether an unrenewed worker is to be asked for its report: as often as
 // it would report, shortly before its lease ends for what is done, shortly after it for
 // what is lost, and each second while a task is being stopped.
-func (o *Owner) askDue(m *mach, now time.Time) bool {
+func (o *Scheduler) askDue(m *Worker, now time.Time) bool {
 	w := &o.cfg.Params.Workers
-	last := later(m.heard, m.askedAt)
-	if m.askedAt.After(m.heard) && m.unanswered >= unansweredAsks {
+	last := later(m.LastHeartbeat, m.PolledAt)
+	if m.PolledAt.After(m.LastHeartbeat) && m.UnansweredPolls >= unansweredAsks {
 		return false
 	}
 	interval := w.ReportS
 	if !o.overdue(m, haltOverdue) {
 		interval /= 2
 	}
-	for p := range m.places {
-		if p.on() && !p.halted.IsZero() {
+	for p := range m.Placements {
+		if p.MayRun() && !p.HaltedAt.IsZero() {
 			interval = min(interval, 1)
 		}
 	}
@@ -171,29 +173,29 @@
 
 // stopExpiring stops what is to be stopped on a machine whose worker's lease is about to
 // end. If not early, only tasks that save are.
-func (o *Owner) stopExpiring(m *mach, now time.Time, early bool) {
+func (o *Scheduler) stopExpiring(m *Worker, now time.Time, early bool) {
 	left := o.leaseEnd(m).Sub(now).Seconds()
-	for p := range m.places {
-		j := p.job
-		if p.state != placeSeen || p.exited || !p.halted.IsZero() || j.cancelled || j.spec.Service() {
+	for p := range m.Placements {
+		j := p.Job
+		if p.State != PlacementReported || p.Exited || !p.HaltedAt.IsZero() || j.Cancelled || j.Spec.Service() {
 			continue
 		}
-		a := attempt{rest: j.runEstimate(), save: -1}
-		if p.running.IsZero() {
+		a := expiringTask{rest: j.RunEstimate(), save: -1}
+		if p.RunningSince.IsZero() {
 			a.rest += o.fetchTime(j, m)
 		} else {
-			a.elapsed = now.Sub(p.running).Seconds()
+			a.elapsed = now.Sub(p.RunningSince).Seconds()
 			a.rest = matching.RestOfRun(a.rest, a.elapsed)
-			a.counted = len(j.class.starts) > 0 && a.elapsed < countedStart
+			a.counted = len(j.Class.StartAims) > 0 && a.elapsed < countedStart
 		}
-		if j.spec.MarkS > 0 {
-			a.save = j.spec.SaveS
-		} else if !early || j.spec.Gang() || !p.whole && !p.running.IsZero() {
+		if j.Spec.MarkS > 0 {
+			a.save = j.Spec.SaveS
+		} else if !early || j.Spec.Gang() || !p.StartObserved && !p.RunningSince.IsZero() {
 			continue // a gang's tasks go together; how long one has run that a predecessor started is not known
 		}
-		if stopBeforeExpiry(a, left) || m.leaseUnknown() && a.save >= 0 {
+		if stopBeforeExpiry(a, left) || m.LeaseUnknown() && a.save >= 0 {
 			o.halt(p, max(0, a.save)+1)
-			o.stats.Expiring++
+			o.stats.LeaseExpiring++
 		}
 	}
 }
--- a/internal/scheduler/lease_test.go
+++ b/internal/scheduler/lease_test.go
@@ -13,20 +13,20 @@
 	cannot := -1.0
 	for _, c := range []struct {
 		name string
-		task attempt
+		task expiringTask
 		left float64
 		want bool
 	}{
-		{"it saves, and there is time", attempt{elapsed: 5, rest: 60, save: 4}, 20, false},
-		{"it saves, and there is just time", attempt{elapsed: 90, rest: 60, save: 4}, 4 + haltTakes, true},
-		{"it saves, and the lease has ended", attempt{elapsed: 90, rest: 60, save: 4}, 0, false},
-		{"it will be done in time", attempt{elapsed: 1, rest: 10, save: cannot}, 25, false},
-		{"it may be done in time", attempt{elapsed: 1, rest: 30, save: cannot}, 25, false},
-		{"it has run for less than the rest of the lease", attempt{elapsed: 20, rest: 60, save: cannot}, 25, true},
-		{"it has run for longer than the rest of the lease", attempt{elapsed: 30, rest: 60, save: cannot}, 25, false},
-		{"it has not begun to run", attempt{rest: 60, save: cannot}, 25, true},
-		{"its start would count no more", attempt{elapsed: 20, rest: 60, save: cannot, counted: true}, 25, false},
-		{"it saves, and its start would count no more", attempt{elapsed: 20, rest: 60, save: 4, counted: true}, 5, false},
+		{"it saves, and there is time", expiringTask{elapsed: 5, rest: 60, save: 4}, 20, false},
+		{"it saves, and there is just time", expiringTask{elapsed: 90, rest: 60, save: 4}, 4 + haltTakes, true},
+		{"it saves, and the lease has ended", expiringTask{elapsed: 90, rest: 60, save: 4}, 0, false},
+		{"it will be done in time", expiringTask{elapsed: 1, rest: 10, save: cannot}, 25, false},
+		{"it may be done in time", expiringTask{elapsed: 1, rest: 30, save: cannot}, 25, false},
+		{"it has run for less than the rest of the lease", expiringTask{elapsed: 20, rest: 60, save: cannot}, 25, true},
+		{"it has run for longer than the rest of the lease", expiringTask{elapsed: 30, rest: 60, save: cannot}, 25, false},
+		{"it has not begun to run", expiringTask{rest: 60, save: cannot}, 25, true},
+		{"its start would count no more", expiringTask{elapsed: 20, rest: 60, save: cannot, counted: true}, 25, false},
+		{"it saves, and its start would count no more", expiringTask{elapsed: 20, rest: 60, save: 4, counted: true}, 5, false},
 	} {
 		if got := stopBeforeExpiry(c.task, c.left); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
@@ -38,7 +38,7 @@
 // end of its lease; one that answers no request is left alone. Seconds are since its last
 // report was answered.
 func TestOverdueWorkersAreAsked(t *testing.T) {
-	o := &Owner{cfg: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}
+	o := &Scheduler{cfg: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}
 	began := time.Now()
 	at := func(s float64) time.Time { return began.Add(seconds(s)) }
 	for _, c := range []struct {
@@ -62,9 +62,9 @@
 		{"it answers no request", 30, 0, 20, unansweredAsks, false, false},
 		{"it did not answer once", 30, 0, 20, 1, false, true},
 	} {
-		m := &mach{renewed: began, heard: at(c.heard), askedAt: at(c.asked), unanswered: c.unanswered, places: map[*place]struct{}{}}
+		m := &Worker{RenewedAt: began, LastHeartbeat: at(c.heard), PolledAt: at(c.asked), UnansweredPolls: c.unanswered, Placements: map[*Placement]struct{}{}}
 		if c.stopping {
-			m.places[&place{state: placeSeen, halted: at(19)}] = struct{}{}
+			m.Placements[&Placement{State: PlacementReported, HaltedAt: at(19)}] = struct{}{}
 		}
 		if due := o.expiring(m, at(c.now)) && o.askDue(m, at(c.now)); due != c.due {
 			t.Errorf("%s: %v", c.name, due)
@@ -75,7 +75,7 @@
 // Each session of a worker has a lease of its own, and what is started in the rest of it
 // must be done before it ends.
 func TestWhatFitsAnUnrenewedLease(t *testing.T) {
-	o := &Owner{cfg: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}
+	o := &Scheduler{cfg: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}
 	ago := func(s float64) time.Time { return time.Now().Add(-seconds(s)) }
 	for _, c := range []struct {
 		name              string
@@ -93,9 +93,9 @@
 		{"a service", 20, 100, 1, 1, 1, wire.KindService, false},
 		{"a predecessor renewed it last", 40, 20, 1, 1, 1, wire.KindArray, false},
 	} {
-		m := &mach{renewed: ago(c.renewed), since: ago(c.known), heard: time.Now(), renewedIn: c.lastHere}
-		m.view.Session = c.session
-		j := &job{spec: &wire.Job{Kind: c.kind, Estimate: c.run}, class: &class{ratio: 1}}
+		m := &Worker{RenewedAt: ago(c.renewed), KnownSince: ago(c.known), LastHeartbeat: time.Now(), RenewedSession: c.lastHere}
+		m.View.Session = c.session
+		j := &Job{Spec: &wire.Job{Kind: c.kind, Estimate: c.run}, Class: &Class{EstimateRatio: 1}}
 		if got := o.fitsLease(j, m); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
--- a/internal/scheduler/lend.go
+++ b/internal/scheduler/lend.go
@@ -26,18 +26,18 @@
 	lendShare = 0.05
 )
 
-// Lends reports whether limits are lent to several owners: then a team's jobs need not
+// LeasesQuota reports whether limits are lent to several owners: then a team's jobs need not
 // belong to one shard.
-func Lends(op *config.Operator) bool { return op.Spread > 1 }
+func LeasesQuota(op *config.Operator) bool { return op.Spread > 1 }
 
 // lends reports whether the team's limit is one that is lent. What has only a guarantee
 // stays together: there is nothing to lend.
 func lends(t config.Team) bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
 
-// HomeOf says which shard a new job belongs to. The job's record keeps it, so that jobs
+// AssignShard says which shard a new job belongs to. The job's record keeps it, so that jobs
 // that were accepted under another setting stay where they are.
-func HomeOf(job *wire.Job, teams []config.Team, op *config.Operator) int {
-	if Lends(op) {
+func AssignShard(job *wire.Job, teams []config.Team, op *config.Operator) int {
+	if LeasesQuota(op) {
 		apart := make([]config.Team, 0, len(teams))
 		for _, t := range teams {
 			if !lends(t) {
@@ -46,14 +46,14 @@
 		}
 		teams = apart
 	}
-	return ShardOf(job, teams, op.Shards)
+	return HashShard(job, teams, op.Shards)
 }
 
 func limitOf(t config.Team) quotalease.Amount { return quotalease.LimitOf(t.CPUsMax, t.GPUsMax) }
 
-// CheckLending reports an error if the records of lent limits may not hold all parts.
-func CheckLending(cfg *config.Platform, op *config.Operator) error {
-	if !Lends(op) {
+// CheckQuotaRecords reports an error if the records of lent limits may not hold all parts.
+func CheckQuotaRecords(cfg *config.Platform, op *config.Operator) error {
+	if !LeasesQuota(op) {
 		return nil
 	}
 	limits := map[string]quotalease.Amount{}
@@ -68,26 +68,26 @@
 	return nil
 }
 
-// lentTeam is what an owner knows of a team whose limit it borrows parts of.
-type lentTeam struct {
-	name string
-	side *quotalease.Borrower
-	use  map[int]matching.Shape // of all that may be on, by shard
+// LeasedLimit is what an owner knows of a team whose limit it borrows parts of.
+type LeasedLimit struct {
+	Team        string
+	Borrower    *quotalease.Borrower
+	UsedByShard map[int]matching.Shape // of all that may be on, by shard
 }
 
-func (t *lentTeam) count(shard int, shape matching.Shape, sign float64) {
-	t.use[shard] = t.use[shard].Add(shape, sign)
+func (t *LeasedLimit) Count(shard int, shape matching.Shape, sign float64) {
+	t.UsedByShard[shard] = t.UsedByShard[shard].Add(shape, sign)
 }
 
 func amountOf(s matching.Shape) quotalease.Amount { return quotalease.AmountOf(s.CPUs, s.GPUs) }
 
-// allows reports whether the tasks of a shard may use so much.
-func (t *team) allows(shard int, use matching.Shape) bool { return t.short(shard, use) == "" }
+// Allows reports whether the tasks of a shard may use so much.
+func (t *Team) Allows(shard int, use matching.Shape) bool { return t.ExceededLimit(shard, use) == "" }
 
-// short says which kind of the team's limit does not let the tasks of a shard use so much,
+// ExceededLimit says which kind of the team's limit does not let the tasks of a shard use so much,
 // or "".
-func (t *team) short(shard int, use matching.Shape) string {
-	a, c := amountOf(use), t.lent.side.Ceiling(shard, t.lent.name)
+func (t *Team) ExceededLimit(shard int, use matching.Shape) string {
+	a, c := amountOf(use), t.Leased.Borrower.Ceiling(shard, t.Leased.Team)
 	for kind, limit := range limitOf(t.Team) {
 		if limit > 0 && a[kind] > c[kind] {
 			return [...]string{jobspec.ReasonLimitCPU, jobspec.ReasonLimitGPU}[kind]
@@ -96,11 +96,11 @@
 	return ""
 }
 
-// favoured reports whether a shard's tasks use less than its share of the team's guarantee.
+// BelowGuarantee reports whether a shard's tasks use less than its share of the team's guarantee.
 // A whole task may go beyond: else a share smaller than one task would favour nothing.
-func (t *team) favoured(shard int) bool {
-	share := t.lent.side.GuaranteeShare(shard, t.lent.name)
-	use := t.lent.use[shard]
+func (t *Team) BelowGuarantee(shard int) bool {
+	share := t.Leased.Borrower.GuaranteeShare(shard, t.Leased.Team)
+	use := t.Leased.UsedByShard[shard]
 	return t.CPUs > 0 && use.CPUs < t.CPUs*share-1e-6 || t.GPUs > 0 && use.GPUs < t.GPUs*share-1e-6
 }
 
@@ -116,7 +116,7 @@
 	wake       chan struct{}
 }
 
-func newLender(cfg *config.Platform, op *config.Operator, teams map[string]*team) *lender {
+func newLender(cfg *config.Platform, op *config.Operator, teams map[string]*Team) *lender {
 	limits := [quotalease.Records]map[string]quotalease.Amount{}
 	for name, t := range teams {
 		if !lends(t.Team) {
@@ -136,7 +136,7 @@
 	}
 	for name, t := range teams {
 		if lends(t.Team) {
-			t.lent = &lentTeam{name: name, side: l.sides[quotalease.RecordOf(name)], use: map[int]matching.Shape{}}
+			t.Leased = &LeasedLimit{Team: name, Borrower: l.sides[quotalease.RecordOf(name)], UsedByShard: map[int]matching.Shape{}}
 		}
 	}
 	return l
@@ -144,7 +144,7 @@
 
 // lendShards tells the lender which shards are owned. It is called whenever they change,
 // before anything can start under the new ones.
-func (o *Owner) lendShards() {
+func (o *Scheduler) lendShards() {
 	if o.lender == nil {
 		return
 	}
@@ -156,42 +156,42 @@
 	poke(o.lender.wake)
 }
 
-// lendMark is what a log record says of its writer. A later owner could not tell otherwise
+// QuotaMark is what a log record says of its writer. A later owner could not tell otherwise
 // that the rows of lent limits are from before an owner that did not lend started more.
-type lendMark struct {
-	Lends bool `json:"l,omitempty"` // it starts tasks within lent parts only
-	// Unborrowed is the version of the latest record of one that does not, while that is
+type QuotaMark struct {
+	LeasesQuota bool `json:"l,omitempty"` // it starts tasks within lent parts only
+	// UnleasedVersion is the version of the latest record of one that does not, while that is
 	// not made good in the rows yet: the log record itself may be written over.
-	Unborrowed uint64 `json:"u,omitempty"`
+	UnleasedVersion uint64 `json:"u,omitempty"`
 }
 
 // lendMark returns the mark of this owner's log records for a shard.
-func (o *Owner) lendMark(shard int) lendMark {
+func (o *Scheduler) lendMark(shard int) QuotaMark {
 	if o.lender == nil {
-		return lendMark{}
+		return QuotaMark{}
 	}
 	for _, side := range o.lender.sides {
 		if side != nil && !side.Adopted(shard) {
-			return lendMark{Lends: true, Unborrowed: o.lender.unborrowed}
+			return QuotaMark{LeasesQuota: true, UnleasedVersion: o.lender.unborrowed}
 		}
 	}
-	return lendMark{Lends: true}
+	return QuotaMark{LeasesQuota: true}
 }
 
 // lookForUnborrowed notes a log record of an owner that does not lend.
-func (o *Owner) lookForUnborrowed(it wire.Item) {
+func (o *Scheduler) lookForUnborrowed(it wire.Item) {
 	if o.lender == nil {
 		return
 	}
-	var mark lendMark
-	if err := json.Unmarshal(it.Value, &mark); err != nil || !mark.Lends {
-		mark.Unborrowed = it.Version
+	var mark QuotaMark
+	if err := json.Unmarshal(it.Value, &mark); err != nil || !mark.LeasesQuota {
+		mark.UnleasedVersion = it.Version
 	}
-	o.lender.unborrowed = max(o.lender.unborrowed, mark.Unborrowed)
+	o.lender.unborrowed = max(o.lender.unborrowed, mark.UnleasedVersion)
 }
 
 // lend borrows and returns parts until ctx ends.
-func (o *Owner) lend(ctx context.Context) {
+func (o *Scheduler) lend(ctx context.Context) {
 	if o.lender == nil {
 		return
 	}
@@ -216,7 +216,7 @@
 }
 
 // watchLent follows the records.
-func (o *Owner) watchLent(ctx context.Context) {
+func (o *Scheduler) watchLent(ctx context.Context) {
 	o.store.Watch(ctx, quotalease.Prefix, 20*time.Second, func(items []wire.Item) {
 		for _, it := range items {
 			o.lentNews(it)
@@ -232,7 +232,7 @@
 	})
 }
 
-func (o *Owner) lentNews(it wire.Item) {
+func (o *Scheduler) lentNews(it wire.Item) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for n, side := range o.lender.sides {
@@ -245,13 +245,13 @@
 }
 
 // readLent reads a record; one that can't be read is counted and said.
-func (o *Owner) readLent(it wire.Item) (quotalease.Record, bool) {
+func (o *Scheduler) readLent(it wire.Item) (quotalease.Record, bool) {
 	if it.Version == 0 {
 		return quotalease.Record{}, true
 	}
 	r, err := quotalease.Parse(it.Value, o.op.Shards)
 	if err != nil {
-		o.stats.LentRefused++
+		o.stats.QuotaRecordsRefused++
 		o.log.Error("record of lent limits refused", "key", it.Key, "err", err)
 		return r, false
 	}
@@ -259,18 +259,18 @@
 }
 
 // heardLent has a side take a record, counts and says what it refused of it.
-func (o *Owner) heardLent(key string, side *quotalease.Borrower, take func()) {
+func (o *Scheduler) heardLent(key string, side *quotalease.Borrower, take func()) {
 	before := side.Unknown
 	take()
 	if n := side.Unknown - before; n > 0 {
-		o.stats.LentRefused += n
+		o.stats.QuotaRecordsRefused += n
 		o.log.Warn("unknown terms or teams in a record of lent limits", "key", key, "refused", n)
 	}
 	poke(o.wake)
 }
 
 // lendRound sends what is to be written, as far as the pace allows.
-func (o *Owner) lendRound(ctx context.Context) {
+func (o *Scheduler) lendRound(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	// A successor may own the shards already: what was planned could not be written.
@@ -297,7 +297,7 @@
 			go o.rereadLent(ctx, n)
 			continue
 		}
-		w, ok := side.Plan(now, func(shard int, team string) quotalease.Need { return needs[lentKey{shard, team}] })
+		w, ok := side.Plan(now, func(shard int, team string) quotalease.Need { return needs[quotaKey{shard, team}] })
 		if ok {
 			l.pace.Allow()
 			l.busy[n] = true
@@ -306,33 +306,33 @@
 	}
 }
 
-type lentKey struct {
+type quotaKey struct {
 	shard int
 	team  string
 }
 
 // lentNeeds is what this owner's shards need of the limits that are lent.
-func (o *Owner) lentNeeds(now time.Time) map[lentKey]quotalease.Need {
+func (o *Scheduler) lentNeeds(now time.Time) map[quotaKey]quotalease.Need {
 	o.now = now
-	needs := map[lentKey]quotalease.Need{}
+	needs := map[quotaKey]quotalease.Need{}
 	for _, t := range o.teams {
-		if t.lent == nil {
+		if t.Leased == nil {
 			continue
 		}
-		for shard, use := range t.lent.use {
+		for shard, use := range t.Leased.UsedByShard {
 			if a := amountOf(use); !a.Zero() {
-				needs[lentKey{shard, t.lent.name}] = quotalease.Need{Use: a, Demand: a}
+				needs[quotaKey{shard, t.Leased.Team}] = quotalease.Need{Use: a, Demand: a}
 			}
 		}
 	}
 	for _, j := range o.order {
-		if j.team.lent == nil || j.cancelled || j.ended != "" || now.Before(j.notBefore) {
+		if j.Team.Leased == nil || j.Cancelled || j.EndStage != "" || now.Before(j.NotBefore) {
 			continue
 		}
 		n := o.wants(j)
-		for _, ps := range j.places {
+		for _, ps := range j.Placements {
 			for _, p := range ps {
-				if !p.on() && !p.exited {
+				if !p.MayRun() && !p.Exited {
 					n++
 				}
 			}
@@ -340,12 +340,12 @@
 		if n == 0 {
 			continue
 		}
-		key := lentKey{j.shard, j.team.lent.name}
+		key := quotaKey{j.Shard, j.Team.Leased.Team}
 		need := needs[key]
-		need.Demand = need.Demand.Add(amountOf(j.shape.Scale(float64(n))))
-		unit := amountOf(j.shape)
-		if j.spec.Gang() {
-			unit = amountOf(j.shape.Scale(float64(n)))
+		need.Demand = need.Demand.Add(amountOf(j.Resources.Scale(float64(n))))
+		unit := amountOf(j.Resources)
+		if j.Spec.Gang() {
+			unit = amountOf(j.Resources.Scale(float64(n)))
 		}
 		if need.Unit.Zero() || unit.Smaller(need.Unit) {
 			need.Unit = unit
@@ -357,7 +357,7 @@
 
 // writeLent carries out a write of a record. If nothing is heard of it, it is repeated as
 // it was.
-func (o *Owner) writeLent(ctx context.Context, n int, w quotalease.Write) {
+func (o *Scheduler) writeLent(ctx context.Context, n int, w quotalease.Write) {
 	guards := []wire.Guard{{Key: quotalease.Key(n), Version: w.Guard}}
 	for _, s := range slices.Sorted(maps.Keys(w.Shards)) {
 		guards = append(guards, wire.Guard{Key: o.member.ShardKey(s), Version: w.Shards[s]})
@@ -383,7 +383,7 @@
 }
 
 // rereadLent reads a record anew after a write of it was refused.
-func (o *Owner) rereadLent(ctx context.Context, n int) {
+func (o *Scheduler) rereadLent(ctx context.Context, n int) {
 	rctx, cancel := context.WithTimeout(ctx, txnTimeout)
 	defer cancel()
 	it, err := o.store.Get(rctx, quotalease.Key(n))
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -13,34 +13,34 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// shot is what a listing takes of a job under the lock; the rest is made of it
+// jobSnapshot is what a listing takes of a job under the lock; the rest is made of it
 // when the lock is free again.
-type shot struct {
+type jobSnapshot struct {
 	jobquery.Info
 	waiting []int
 }
 
-// Listing lists the living jobs with numbers, in their order, from a cursor on:
+// ListJobs lists the living jobs with numbers, in their order, from a cursor on:
 // at most so many jobs and tasks that are on together. next is nil at the end.
-func (o *Owner) Listing(from jobquery.Cursor, most int) (jobs []jobquery.Info, next *jobquery.Cursor) {
+func (o *Scheduler) ListJobs(from jobquery.Cursor, most int) (jobs []jobquery.Info, next *jobquery.Cursor) {
 	o.mu.Lock()
-	all := make([]*job, 0, len(o.order))
+	all := make([]*Job, 0, len(o.order))
 	for _, j := range o.order {
-		if j.asked != nil && j.asked.Number >= from.Number {
+		if j.Constraints != nil && j.Constraints.Number >= from.Number {
 			all = append(all, j)
 		}
 	}
-	slices.SortFunc(all, func(a, b *job) int { return cmp.Compare(a.asked.Number, b.asked.Number) })
+	slices.SortFunc(all, func(a, b *Job) int { return cmp.Compare(a.Constraints.Number, b.Constraints.Number) })
 	first := o.firstWaiting()
-	var shots []shot
+	var shots []jobSnapshot
 	rows := 0
 	for _, j := range all {
 		if rows >= most {
-			next = &jobquery.Cursor{Number: j.asked.Number}
+			next = &jobquery.Cursor{Number: j.Constraints.Number}
 			break
 		}
 		skip, task := 0, 0
-		if j.asked.Number == from.Number {
+		if j.Constraints.Number == from.Number {
 			skip, task = from.On, from.Task
 		}
 		s := o.shot(j, first, task)
@@ -48,7 +48,7 @@
 		s.On = on[min(skip, len(on)):]
 		if left := most - rows - 1; len(s.On) > left {
 			s.On = s.On[:left]
-			next = &jobquery.Cursor{Number: j.asked.Number, On: skip + left, Task: wire.MaxTasks}
+			next = &jobquery.Cursor{Number: j.Constraints.Number, On: skip + left, Task: wire.MaxTasks}
 		}
 		rows += 1 + len(s.On)
 		shots = append(shots, s)
@@ -77,7 +77,7 @@
 
 // info makes the texts of a listing. A task other than 0 is where the waiting
 // ones that do not fit begin.
-func (s shot) info() (i jobquery.Info, task int) {
+func (s jobSnapshot) info() (i jobquery.Info, task int) {
 	if len(s.waiting) > 0 {
 		r := jobspec.RangesOf(s.waiting)
 		task = r.Cut()
@@ -87,11 +87,11 @@
 }
 
 // firstWaiting is the job whose tasks are next: the others wait for it.
-func (o *Owner) firstWaiting() *job {
+func (o *Scheduler) firstWaiting() *Job {
 	o.now = time.Now()
-	var waiting []*job
+	var waiting []*Job
 	for _, j := range o.order {
-		if !j.cancelled && j.ended == "" && o.room(j) > 0 {
+		if !j.Cancelled && j.EndStage == "" && o.room(j) > 0 {
 			waiting = append(waiting, j)
 		}
 	}
@@ -103,25 +103,25 @@
 }
 
 // shot copies what a listing shows of a job.
-func (o *Owner) shot(j *job, first *job, from int) shot {
-	st := j.state()
-	t := *j.asked.Terms
-	s := shot{Info: jobquery.Info{Job: *j.spec, Terms: &t, AtMs: j.atMs, Stage: st.Stage, Eligible: j.asked.eligible, StartMs: j.asked.startMs,
-		Running: j.running, Done: j.done, Failed: j.over - j.done}}
-	for task, ps := range j.places {
+func (o *Scheduler) shot(j *Job, first *Job, from int) jobSnapshot {
+	st := j.PublicState()
+	t := *j.Constraints.Terms
+	s := jobSnapshot{Info: jobquery.Info{Job: *j.Spec, Terms: &t, AtMs: j.AcceptedMs, Stage: st.Stage, Eligible: j.Constraints.EligibleMs, StartMs: j.Constraints.StartMs,
+		Running: j.Running, Done: j.Done, Failed: j.Finished - j.Done}}
+	for task, ps := range j.Placements {
 		waits := true
 		for _, p := range ps {
-			if p.exited {
+			if p.Exited {
 				waits = false
 				continue
 			}
-			if !p.on() {
+			if !p.MayRun() {
 				continue
 			}
 			waits = false
-			on := jobquery.On{Task: task, Attempt: p.attempt, Machine: p.mach.name, Ending: !p.halted.IsZero()}
-			if !p.running.IsZero() {
-				on.StartMs = p.running.UnixMilli()
+			on := jobquery.On{Task: task, Attempt: p.Attempt, Machine: p.Worker.Name, Ending: !p.HaltedAt.IsZero()}
+			if !p.RunningSince.IsZero() {
+				on.StartMs = p.RunningSince.UnixMilli()
 			}
 			s.On = append(s.On, on)
 		}
@@ -132,8 +132,8 @@
 			s.Queued++
 		}
 	}
-	s.Queued += len(j.pending)
-	for _, t := range j.pending {
+	s.Queued += len(j.Pending)
+	for _, t := range j.Pending {
 		if t >= from {
 			s.waiting = append(s.waiting, t)
 		}
@@ -141,27 +141,27 @@
 	slices.SortFunc(s.On, func(a, b jobquery.On) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
-	if s.Queued > 0 && !j.cancelled {
+	if s.Queued > 0 && !j.Cancelled {
 		s.Reason = o.reason(j, first)
 	}
 	return s
 }
 
 // reason says why a job's waiting tasks wait.
-func (o *Owner) reason(j *job, first *job) string {
+func (o *Scheduler) reason(j *Job, first *Job) string {
 	if why := o.waits(j, time.Now()); why != "" {
 		return why
 	}
-	use := j.team.use.Add(j.shape, 1)
+	use := j.Team.Used.Add(j.Resources, 1)
 	const tiny = 1e-6
 	switch {
-	case j.team.lent != nil && !o.underLimit(j):
-		return j.team.short(j.shard, j.team.lent.use[j.shard].Add(j.shape, 1))
-	case j.asked.Most > 0 && j.busy(false, -1) >= j.asked.Most:
+	case j.Team.Leased != nil && !o.underLimit(j):
+		return j.Team.ExceededLimit(j.Shard, j.Team.Leased.UsedByShard[j.Shard].Add(j.Resources, 1))
+	case j.Constraints.Most > 0 && j.ActiveTasks(false, -1) >= j.Constraints.Most:
 		return jobspec.ReasonThrottle
-	case j.team.CPUsMax > 0 && use.CPUs > j.team.CPUsMax+tiny:
+	case j.Team.CPUsMax > 0 && use.CPUs > j.Team.CPUsMax+tiny:
 		return jobspec.ReasonLimitCPU
-	case j.team.GPUsMax > 0 && use.GPUs > j.team.GPUsMax+tiny:
+	case j.Team.GPUsMax > 0 && use.GPUs > j.Team.GPUsMax+tiny:
 		return jobspec.ReasonLimitGPU
 	case first != nil && first != j:
 		return jobspec.ReasonPriority
@@ -169,11 +169,11 @@
 	return jobspec.ReasonResources
 }
 
-// InfoHere shows a living job that is surely this owner's.
-func (o *Owner) InfoHere(uid string) (jobquery.Info, bool) {
+// LocalJobInfo shows a living job that is surely this owner's.
+func (o *Scheduler) LocalJobInfo(uid string) (jobquery.Info, bool) {
 	o.mu.Lock()
 	j := o.jobs[uid]
-	if j == nil || j.asked == nil || !o.sure(j) {
+	if j == nil || j.Constraints == nil || !o.sure(j) {
 		o.mu.Unlock()
 		return jobquery.Info{}, false
 	}
@@ -183,10 +183,10 @@
 	return i, true
 }
 
-// StoredInfo shows what the store has of a job: of a living one only what was
+// StoredJobInfo shows what the store has of a job: of a living one only what was
 // submitted.
-func StoredInfo(ctx context.Context, store Reader, uid string) (jobquery.Info, error) {
-	r, _, err := readLive(ctx, store, uid)
+func StoredJobInfo(ctx context.Context, store Reader, uid string) (jobquery.Info, error) {
+	r, _, err := ReadLive(ctx, store, uid)
 	if err == nil {
 		i := jobquery.Info{Job: r.Job, Terms: r.Terms, AtMs: r.AtMs, Stage: wire.StageQueued}
 		if r.Cancelled {
@@ -197,7 +197,7 @@
 	if !errors.Is(err, statestore.ErrNotFound) {
 		return jobquery.Info{}, err
 	}
-	f, err := readFinal(ctx, store, uid)
+	f, err := ReadFinal(ctx, store, uid)
 	if err != nil {
 		return jobquery.Info{}, err
 	}
--- a/internal/scheduler/log.go
+++ b/internal/scheduler/log.go
@@ -12,89 +12,89 @@
 // before that, and never get chunk records.
 const defaultSlots = 512
 
-// changeKind says what a log record tells of a place.
-type changeKind int
+// ChangeKind says what a log record tells of a place.
+type ChangeKind int
 
 const (
-	placeChange changeKind = iota // the task may be there from now on
-	goneChange                    // it is not there any more
-	doneChange                    // it completed there, or ended for good
+	PlacementAdded   ChangeKind = iota // the task may be there from now on
+	PlacementRemoved                   // it is not there any more
+	TaskFinished                       // it completed there, or ended for good
 )
 
-type change struct {
-	kind changeKind
-	p    *place
-	row  *accounting.Row // written along with it
+type Change struct {
+	Kind      ChangeKind
+	Placement *Placement
+	Row       *accounting.Row // written along with it
 }
 
-// slot is a key of a shard's log and what stands in it.
-type slot struct {
+// logSlot is a key of a shard's log and what stands in it.
+type logSlot struct {
 	n       int
 	version uint64
 	seq     uint64
-	chunks  map[*chunk]struct{} // named by the record
-	read    logRecord           // of a predecessor, until its chunks are known
+	chunks  map[*Chunk]struct{} // named by the record
+	read    LogRecord           // of a predecessor, until its chunks are known
 }
 
 // free reports whether nothing needs the record any more.
-func (s *slot) free() bool {
+func (s *logSlot) free() bool {
 	for c := range s.chunks {
-		if c.over || c.saved >= s.seq {
+		if c.Closed || c.SavedSeq >= s.seq {
 			delete(s.chunks, c)
 		}
 	}
 	return len(s.chunks) == 0
 }
 
-// shardLog is the log of a shard: its records, oldest first, and what is still
+// Log is the log of a shard: its records, oldest first, and what is still
 // to be recorded.
-type shardLog struct {
+type Log struct {
 	seq   uint64
 	next  int // number of the next new slot
-	slots []*slot
-	queue []change
+	slots []*logSlot
+	queue []Change
 }
 
-func (o *Owner) logOf(shard int) *shardLog {
+func (o *Scheduler) logOf(shard int) *Log {
 	l := o.logs[shard]
 	if l == nil {
-		l = &shardLog{}
+		l = &Log{}
 		o.logs[shard] = l
 	}
 	return l
 }
 
 // record notes a change that the next write takes along.
-func (o *Owner) record(c change) {
-	l := o.logOf(c.p.job.shard)
+func (o *Scheduler) record(c Change) {
+	l := o.logOf(c.Placement.Job.Shard)
 	l.queue = append(l.queue, c)
 }
 
-// logged is a job's entry in a log record, as read by a new owner.
-type logged struct {
+// replayEntry is a job's entry in a log record, as read by a new owner.
+type replayEntry struct {
 	seq      uint64
 	machines []string
-	jobEntry
+	JobEntry
 }
 
 // readLogs makes the logs of shards of their records, and sorts the records'
 // entries by job, oldest first.
-func (o *Owner) readLogs(items []wire.Item, want map[int]bool) (map[int]*shardLog, map[string][]logged) {
-	logs := map[int]*shardLog{}
+func (o *Scheduler) readLogs(items []wire.Item, want map[int]bool) (map[int]*Log, map[string][]replayEntry) {
+	logs := map[int]*Log{}
 	for s := range want {
-		logs[s] = &shardLog{}
+		logs[s] = &Log{}
 	}
-	entries := map[string][]logged{}
+	entries := map[string][]replayEntry{}
 	for _, it := range items {
-		s, n, err := parseSlotKey(it.Key)
+		s, n, err := ParseLogKey(it.Key)
 		l := logs[s]
 		if err == nil && l == nil {
 			o.lookForUnborrowed(it)
 			continue // another owner's
 		}
-		var r logRecord
+		var r LogRecord
 		if err == nil {
-			r, err = parseLog(it.Value)
+			r, err = ParseLog(it.Value)
 			o.lookForUnborrowed(it)
 		}
 		if err != nil {
@@ -104,13 +104,13 @@
 			}
 		}
 		l.next, l.seq = max(l.next, n+1), max(l.seq, r.Seq)
-		l.slots = append(l.slots, &slot{n: n, version: it.Version, seq: r.Seq, chunks: map[*chunk]struct{}{}, read: r})
+		l.slots = append(l.slots, &logSlot{n: n, version: it.Version, seq: r.Seq, chunks: map[*Chunk]struct{}{}, read: r})
 	}
 	for _, l := range logs {
 		sort.Slice(l.slots, func(a, b int) bool { return l.slots[a].seq < l.slots[b].seq })
 		for _, sl := range l.slots {
 			for _, e := range sl.read.Jobs {
-				entries[e.UID] = append(entries[e.UID], logged{sl.seq, sl.read.Machines, e})
+				entries[e.UID] = append(entries[e.UID], replayEntry{sl.seq, sl.read.Machines, e})
 			}
 		}
 	}
@@ -118,9 +118,9 @@
 }
 
 // replay applies a log record's entry, unless the chunk's own record is newer.
-func (o *Owner) replay(j *job, e logged, fence uint64) {
+func (o *Scheduler) replay(j *Job, e replayEntry, fence uint64) {
 	newer := func(task uint64) bool {
-		return task < uint64(j.spec.Tasks) && e.seq > j.chunks[task/chunkSize].saved
+		return task < uint64(j.Spec.Tasks) && e.seq > j.Chunks[task/ChunkSize].SavedSeq
 	}
 	for i := 0; i < len(e.Places); i += 3 {
 		if newer(e.Places[i]) {
@@ -131,8 +131,8 @@
 		if !newer(e.Gone[i]) {
 			continue
 		}
-		for _, p := range j.places[int(e.Gone[i])] {
-			if p.attempt == e.Gone[i+1] {
+		for _, p := range j.Placements[int(e.Gone[i])] {
+			if p.Attempt == e.Gone[i+1] {
 				o.drop(p)
 				break
 			}
@@ -140,26 +140,26 @@
 	}
 	for _, t := range e.Done {
 		if newer(t) {
-			j.chunks[t/chunkSize].setDone(int(t))
+			j.Chunks[t/ChunkSize].SetDone(int(t))
 		}
 	}
 	for i := 0; i < len(e.Failed); i += 3 {
 		if t := e.Failed[i]; newer(t) {
-			j.chunks[t/chunkSize].setFailed(int(t), e.Failed[i+1], e.Failed[i+2])
+			j.Chunks[t/ChunkSize].SetFailed(int(t), e.Failed[i+1], e.Failed[i+2])
 		}
 	}
 }
 
 // touchSlot finds the chunks that a predecessor's record names.
-func (o *Owner) touchSlot(s *slot) {
+func (o *Scheduler) touchSlot(s *logSlot) {
 	for _, e := range s.read.Jobs {
 		j := o.jobs[e.UID]
 		if j == nil {
 			continue
 		}
 		name := func(task uint64) {
-			if task < uint64(j.spec.Tasks) {
-				s.chunks[j.chunks[task/chunkSize]] = struct{}{}
+			if task < uint64(j.Spec.Tasks) {
+				s.chunks[j.Chunks[task/ChunkSize]] = struct{}{}
 			}
 		}
 		for i := 0; i < len(e.Places); i += 3 {
@@ -175,39 +175,39 @@
 			name(e.Failed[i])
 		}
 	}
-	s.read = logRecord{}
+	s.read = LogRecord{}
 }
 
-// logBuilder gathers changes into one log record of bounded size.
-type logBuilder struct {
-	rec     logRecord
+// recordBuilder gathers changes into one log record of bounded size.
+type recordBuilder struct {
+	rec     LogRecord
 	index   map[string]uint64
-	of      map[*job]int
+	of      map[*Job]int
 	size    int
-	changes []change
-	chunks  map[*chunk]struct{}
-	rows    []change // taken for their accounting rows, whether they matter or not
+	changes []Change
+	chunks  map[*Chunk]struct{}
+	rows    []Change // taken for their accounting rows, whether they matter or not
 }
 
 // keepRows keeps the changes that are taken for their rows alone, so that they are
 // put back with the others.
-func (b *logBuilder) keepRows() {
+func (b *recordBuilder) keepRows() {
 	if len(b.rows) == 0 {
 		return
 	}
-	in := map[*place]bool{}
+	in := map[*Placement]bool{}
 	for _, c := range b.changes {
-		in[c.p] = true
+		in[c.Placement] = true
 	}
 	for _, c := range b.rows {
-		if !in[c.p] {
+		if !in[c.Placement] {
 			b.changes = append(b.changes, c)
 		}
 	}
 }
 
-func newLogBuilder(seq uint64) *logBuilder {
-	return &logBuilder{rec: logRecord{Seq: seq}, index: map[string]uint64{}, of: map[*job]int{}, size: 64, chunks: map[*chunk]struct{}{}}
+func newRecordBuilder(seq uint64) *recordBuilder {
+	return &recordBuilder{rec: LogRecord{Seq: seq}, index: map[string]uint64{}, of: map[*Job]int{}, size: 64, chunks: map[*Chunk]struct{}{}}
 }
 
 // Bytes, at most, of a record's parts as JSON.
@@ -217,56 +217,56 @@
 )
 
 // add takes a change that still matters into the record.
-func (b *logBuilder) add(c change) {
-	p := c.p
-	i, ok := b.of[p.job]
+func (b *recordBuilder) add(c Change) {
+	p := c.Placement
+	i, ok := b.of[p.Job]
 	if !ok {
 		i = len(b.rec.Jobs)
-		b.of[p.job] = i
-		b.rec.Jobs = append(b.rec.Jobs, jobEntry{UID: p.job.spec.UID})
-		b.size += entryBytes + len(p.job.spec.UID)
+		b.of[p.Job] = i
+		b.rec.Jobs = append(b.rec.Jobs, JobEntry{UID: p.Job.Spec.UID})
+		b.size += entryBytes + len(p.Job.Spec.UID)
 	}
 	e := &b.rec.Jobs[i]
-	switch c.kind {
-	case placeChange:
-		m, ok := b.index[p.mach.name]
+	switch c.Kind {
+	case PlacementAdded:
+		m, ok := b.index[p.Worker.Name]
 		if !ok {
 			m = uint64(len(b.rec.Machines))
-			b.index[p.mach.name] = m
-			b.rec.Machines = append(b.rec.Machines, p.mach.name)
-			b.size += len(p.mach.name) + 3
+			b.index[p.Worker.Name] = m
+			b.rec.Machines = append(b.rec.Machines, p.Worker.Name)
+			b.size += len(p.Worker.Name) + 3
 		}
-		e.Places = append(e.Places, uint64(p.task), p.attempt, m)
+		e.Places = append(e.Places, uint64(p.Task), p.Attempt, m)
 		b.size += 3 * numberBytes
-		p.logged = true
-	case goneChange:
-		e.Gone = append(e.Gone, uint64(p.task), p.attempt)
+		p.InStore = true
+	case PlacementRemoved:
+		e.Gone = append(e.Gone, uint64(p.Task), p.Attempt)
 		b.size += 2 * numberBytes
-	case doneChange:
-		if f, failed := p.chunk.failed[p.task]; failed {
-			e.Failed = append(e.Failed, f.triple(p.task)...)
+	case TaskFinished:
+		if f, failed := p.Chunk.Failed[p.Task]; failed {
+			e.Failed = append(e.Failed, f.Triple(p.Task)...)
 			b.size += 2 * numberBytes
 		} else {
-			e.Done = append(e.Done, uint64(p.task))
+			e.Done = append(e.Done, uint64(p.Task))
 		}
 		b.size += numberBytes
 	}
-	b.chunks[p.chunk] = struct{}{}
+	b.chunks[p.Chunk] = struct{}{}
 	b.changes = append(b.changes, c)
 }
 
 // matters reports whether a change still needs recording.
-func (o *Owner) matters(c change) bool {
-	p := c.p
-	if p.chunk.over || p.job.ended != "" {
+func (o *Scheduler) matters(c Change) bool {
+	p := c.Placement
+	if p.Chunk.Closed || p.Job.EndStage != "" {
 		return false // the end's record says it all
 	}
-	_, attached := p.mach.places[p]
-	switch c.kind {
-	case placeChange:
-		return attached && p.state == placeWriting && !p.exited
-	case goneChange:
-		return !p.job.cancelled && !p.chunk.isDone(p.task)
+	_, attached := p.Worker.Placements[p]
+	switch c.Kind {
+	case PlacementAdded:
+		return attached && p.State == PlacementRecording && !p.Exited
+	case PlacementRemoved:
+		return !p.Job.Cancelled && !p.Chunk.IsDone(p.Task)
 	}
 	return attached
 }
--- a/internal/scheduler/opencancels.go
+++ b/internal/scheduler/opencancels.go
@@ -12,25 +12,25 @@
 // anew. Most users ask again before that, which settles it too.
 const resolveAfter = 5 * time.Second
 
-// openCancels are the cancels of a job that were sent and may have been applied, or may be
+// PendingCancels are the cancels of a job that were sent and may have been applied, or may be
 // yet. While there are any, only the state service can tell what the job is.
-type openCancels struct {
-	writes map[uint64]int // by the version of the job's record that they guard
-	since  time.Time      // when the last one was sent
+type PendingCancels struct {
+	writes     map[uint64]int // by the version of the job's record that they guard
+	LastSentAt time.Time      // when the last one was sent
 }
 
-// sent notes that a cancel which guards a version of the job's record is under way.
-func (c *openCancels) sent(version uint64, now time.Time) {
+// RecordSent notes that a cancel which guards a version of the job's record is under way.
+func (c *PendingCancels) RecordSent(version uint64, now time.Time) {
 	if c.writes == nil {
 		c.writes = map[uint64]int{}
 	}
 	c.writes[version]++
-	c.since = now
+	c.LastSentAt = now
 }
 
-// failed notes that one that was sent was surely not applied and never will be. It may have
+// RecordFailed notes that one that was sent was surely not applied and never will be. It may have
 // been taken out before: by a newer record, or since another cancel was applied.
-func (c *openCancels) failed(version uint64) {
+func (c *PendingCancels) RecordFailed(version uint64) {
 	if c.writes[version] > 1 {
 		c.writes[version]--
 		return
@@ -38,9 +38,9 @@
 	delete(c.writes, version)
 }
 
-// passed notes that the job's record has a version, and is not cancelled: a version never
+// Supersede notes that the job's record has a version, and is not cancelled: a version never
 // comes back, so that all cancels which guard earlier ones have failed for ever.
-func (c *openCancels) passed(version uint64) {
+func (c *PendingCancels) Supersede(version uint64) {
 	for guarded := range c.writes {
 		if guarded < version {
 			delete(c.writes, guarded)
@@ -48,7 +48,7 @@
 	}
 }
 
-func (c *openCancels) any() bool { return len(c.writes) > 0 }
+func (c *PendingCancels) Any() bool { return len(c.writes) > 0 }
 
 // surelyFailed reports whether a transaction with this outcome was not applied and never
 // will be.
@@ -61,13 +61,13 @@
 // are written anew as they are, after which such a cancel was either applied or can't be any
 // more. Without it, a job whose cancel got lost, and whose user asked no more, was looked up
 // in the state service with every question, and called queued while it ran.
-func (o *Owner) resolveCancels(ctx context.Context) {
+func (o *Scheduler) resolveCancels(ctx context.Context) {
 	var uids []string
 	now := time.Now()
 	o.mu.Lock()
 	for _, j := range o.order {
-		if j.cancels.any() && now.Sub(j.cancels.since) > resolveAfter {
-			uids = append(uids, j.spec.UID)
+		if j.PendingCancels.Any() && now.Sub(j.PendingCancels.LastSentAt) > resolveAfter {
+			uids = append(uids, j.Spec.UID)
 		}
 	}
 	o.mu.Unlock()
@@ -82,8 +82,8 @@
 }
 
 // renew writes a living job's record anew, unless it is cancelled.
-func (o *Owner) renew(ctx context.Context, uid string) error {
-	r, rev, err := readLive(ctx, o.store, uid)
+func (o *Scheduler) renew(ctx context.Context, uid string) error {
+	r, rev, err := ReadLive(ctx, o.store, uid)
 	if err != nil {
 		return err
 	}
--- a/internal/scheduler/outcome.go
+++ b/internal/scheduler/outcome.go
@@ -8,68 +8,68 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// how a task ended that is over and not done, as records have it.
-type how uint8
+// TaskOutcome a task ended that is over and not done, as records have it.
+type TaskOutcome uint8
 
 const (
-	howFailed    how = 1
-	howTimeout   how = 2
-	howCancelled how = 3 // alone, by its user
+	OutcomeFailed    TaskOutcome = 1
+	OutcomeTimedOut  TaskOutcome = 2
+	OutcomeCancelled TaskOutcome = 3 // alone, by its user
 )
 
-func (h how) state() string {
+func (h TaskOutcome) AccountingState() string {
 	return [...]string{jobspec.Completed, jobspec.Failed, jobspec.Timeout, jobspec.Cancelled}[h&3]
 }
 
-type failure struct {
-	how  how
-	exit int
+type TaskFailure struct {
+	Outcome  TaskOutcome
+	ExitCode int
 }
 
-func (f failure) triple(task int) []uint64 {
-	return []uint64{uint64(task), uint64(f.how), uint64(f.exit)}
+func (f TaskFailure) Triple(task int) []uint64 {
+	return []uint64{uint64(task), uint64(f.Outcome), uint64(f.ExitCode)}
 }
 
-// setFailed marks a task as over and not done.
-func (c *chunk) setFailed(task int, h, exit uint64) {
-	c.setDone(task)
-	if c.failed == nil {
-		c.failed = map[int]failure{}
+// SetFailed marks a task as over and not done.
+func (c *Chunk) SetFailed(task int, h, exit uint64) {
+	c.SetDone(task)
+	if c.Failed == nil {
+		c.Failed = map[int]TaskFailure{}
 	}
-	c.failed[task] = failure{how(h & 3), int(exit & 0xff)}
+	c.Failed[task] = TaskFailure{TaskOutcome(h & 3), int(exit & 0xff)}
 }
 
-// forGood says how an exit ends its task for good, or 0.
-func (j *job) forGood(p *place, t *dispatch.TaskView) how {
+// FinalOutcome says how an exit ends its task for good, or 0.
+func (j *Job) FinalOutcome(p *Placement, t *dispatch.TaskView) TaskOutcome {
 	if t.Exit != nil {
-		p.exit = *t.Exit & 0xff
+		p.ExitCode = *t.Exit & 0xff
 	}
 	switch {
-	case j.asked == nil || j.cancelled || p.chunk.isDone(p.task):
+	case j.Constraints == nil || j.Cancelled || p.Chunk.IsDone(p.Task):
 		return 0
-	case p.late:
-		return howTimeout
-	case j.asked.Final && t.Cause == wire.CauseError && t.Exit != nil:
-		return howFailed
+	case p.TimedOut:
+		return OutcomeTimedOut
+	case j.Constraints.Final && t.Cause == wire.CauseError && t.Exit != nil:
+		return OutcomeFailed
 	}
 	return 0
 }
 
 // fail ends a task that will not be tried again.
-func (o *Owner) fail(p *place, h how) {
-	p.chunk.setFailed(p.task, uint64(h), uint64(p.exit))
+func (o *Scheduler) fail(p *Placement, h TaskOutcome) {
+	p.Chunk.SetFailed(p.Task, uint64(h), uint64(p.ExitCode))
 	o.taskOver(p)
 }
 
 // overTime stops the tasks that run longer than their job's time limit.
-func (o *Owner) overTime(j *job) {
-	if j.asked == nil || j.asked.LimitS <= 0 || j.cancelled {
+func (o *Scheduler) overTime(j *Job) {
+	if j.Constraints == nil || j.Constraints.LimitS <= 0 || j.Cancelled {
 		return
 	}
-	for _, ps := range j.places {
+	for _, ps := range j.Placements {
 		for _, p := range ps {
-			if !p.exited && !p.running.IsZero() && time.Since(p.running).Seconds() > j.asked.LimitS {
-				p.late = true
+			if !p.Exited && !p.RunningSince.IsZero() && time.Since(p.RunningSince).Seconds() > j.Constraints.LimitS {
+				p.TimedOut = true
 				o.halt(p, 0)
 			}
 		}
@@ -77,32 +77,32 @@
 }
 
 // ending is how a job with terms ended.
-func (o *Owner) ending(j *job) *jobspec.Ending {
-	a := j.asked
+func (o *Scheduler) ending(j *Job) *jobspec.Ending {
+	a := j.Constraints
 	if a == nil {
 		return nil
 	}
-	if a.endMs == 0 {
-		a.endMs = time.Now().UnixMilli()
+	if a.EndMs == 0 {
+		a.EndMs = time.Now().UnixMilli()
 	}
-	e := &jobspec.Ending{Number: a.Number, State: jobspec.Completed, Failed: j.over - j.done, StartMs: a.startMs, EndMs: a.endMs}
-	worst := how(0)
-	for _, c := range j.chunks {
-		for _, f := range c.failed {
-			e.Exit = max(e.Exit, f.exit)
-			if worst == 0 || f.how < worst {
-				worst = f.how
+	e := &jobspec.Ending{Number: a.Number, State: jobspec.Completed, Failed: j.Finished - j.Done, StartMs: a.StartMs, EndMs: a.EndMs}
+	worst := TaskOutcome(0)
+	for _, c := range j.Chunks {
+		for _, f := range c.Failed {
+			e.Exit = max(e.Exit, f.ExitCode)
+			if worst == 0 || f.Outcome < worst {
+				worst = f.Outcome
 			}
 		}
 	}
 	switch {
-	case j.ended == wire.StageDone:
+	case j.EndStage == wire.StageDone:
 	case a.Why != "":
 		e.State = a.Why
-	case j.cancelled:
+	case j.Cancelled:
 		e.State = jobspec.Cancelled
 	default:
-		e.State = worst.state()
+		e.State = worst.AccountingState()
 	}
 	return e
 }
--- a/internal/scheduler/own_write_test.go
+++ b/internal/scheduler/own_write_test.go
@@ -37,7 +37,7 @@
 			if err := o.Load(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			o.Observe(dispatch.View{Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Holder: "a",
+			o.ObserveWorker(dispatch.View{Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Holder: "a",
 				Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}},
 					{Task: wire.Task{Task: "j-2/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}}}})
 			if err := o.WriteOnce(t.Context()); err == nil {
@@ -53,7 +53,7 @@
 			if err := o.WriteOnce(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			st, ok := o.Known("j-1")
+			st, ok := o.LocalState("j-1")
 			if done := ok && st.Stage == wire.StageDone; done != c.own {
 				t.Errorf("the job is %+v, %v", st, ok)
 			}
--- a/internal/scheduler/owner.go
+++ b/internal/scheduler/owner.go
@@ -33,11 +33,11 @@
 	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
 }
 
-// Cancels is what this controller knows of cancelled jobs, its own and others'.
-type Cancels interface {
-	Has(uid string) bool
-	// Learn notes a cancel that the state service has.
-	Learn(uids ...string)
+// Cancellations is what this controller knows of cancelled jobs, its own and others'.
+type Cancellations interface {
+	IsCancelled(uid string) bool
+	// RecordCancelled notes a cancel that the state service has.
+	RecordCancelled(uids ...string)
 }
 
 // Membership is this controller's standing.
@@ -50,240 +50,240 @@
 	ShardKey(shard int) string
 }
 
-// Holders carries directions to the holder of a machine.
-type Holders interface {
-	Direct(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error)
+// Dispatchers carries directions to the holder of a machine.
+type Dispatchers interface {
+	SendInstructions(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error)
 }
 
-// Types knows the cloud's machine types.
-type Types interface {
+// MachineTypes knows the cloud's machine types.
+type MachineTypes interface {
 	Type(name string) (wire.MachineType, bool)
 }
 
-// placeState is how far a place has come.
-type placeState int
+// PlacementState is how far a place has come.
+type PlacementState int
 
 const (
-	placeWriting   placeState = iota // being recorded; not at its holder yet
-	placeRecorded                    // recorded; the holder may queue it
-	placeGranted                     // may have been started
-	placeSeen                        // the worker reported it
-	placeUnsettled                   // found in the store by a new owner
+	PlacementRecording   PlacementState = iota // being recorded; not at its holder yet
+	PlacementRecorded                          // recorded; the holder may queue it
+	PlacementGranted                           // may have been started
+	PlacementReported                          // the worker reported it
+	PlacementUnconfirmed                       // found in the store by a new owner
 )
 
-// place is a machine on which a task may be.
-type place struct {
-	job       *job
-	chunk     *chunk
-	task      int
-	attempt   uint64
-	mach      *mach
-	ref       dispatch.Ref
-	state     placeState
-	token     uint64 // highest token a start command may carry
-	least     uint64 // lowest token for which the start was granted
-	session   uint64 // highest session a start command may be for
-	logged    bool   // the store may know of it
-	planned   float64
-	made      time.Time
-	sentTo    string // holder that was told
-	sentAt    time.Time
-	grantedAt time.Time // first
-	running   time.Time // when it was first seen running
-	whole     bool      // its start was seen, so its run time is known
-	haltAt    time.Time // when it was last told to stop
-	halted    time.Time // when it was first told to stop
-	exited    bool      // done, kept until the completion is recorded
-	exit      int       // exit code, if it ended with one
-	cause     string    // with which it exited
-	accounted bool      // its accounting row was made
-	late      bool      // stopped because it ran over its job's time limit
-	shownIn   uint64    // the last view that listed it, see Owner.views
+// Placement is a machine on which a task may be.
+type Placement struct {
+	Job           *Job
+	Chunk         *Chunk
+	Task          int
+	Attempt       uint64
+	Worker        *Worker
+	Ref           dispatch.Ref
+	State         PlacementState
+	MaxToken      uint64 // highest token a start command may carry
+	MinToken      uint64 // lowest token for which the start was granted
+	Session       uint64 // highest session a start command may be for
+	InStore       bool   // the store may know of it
+	PlannedWait   float64
+	CreatedAt     time.Time
+	SentTo        string // holder that was told
+	SentAt        time.Time
+	GrantedAt     time.Time // first
+	RunningSince  time.Time // when it was first seen running
+	StartObserved bool      // its start was seen, so its run time is known
+	LastHaltAt    time.Time // when it was last told to stop
+	HaltedAt      time.Time // when it was first told to stop
+	Exited        bool      // done, kept until the completion is recorded
+	ExitCode      int       // exit code, if it ended with one
+	ExitCause     string    // with which it exited
+	Accounted     bool      // its accounting row was made
+	TimedOut      bool      // stopped because it ran over its job's time limit
+	SeenInView    uint64    // the last view that listed it, see Scheduler.views
 }
 
-func (p *place) on() bool { return p.state >= placeGranted }
-
-// chunk is a run of a job's tasks that share a record.
-type chunk struct {
-	n       int
-	version uint64 // of its own record; 0: it has none
-	saved   uint64 // log record up to which its own record speaks
-	done    []byte
-	next    uint64
-	places  []*place
-	job     *job
-	over    bool            // the job has ended, or left this owner
-	failed  map[int]failure // tasks that are over and not done; their bits are set in done
+func (p *Placement) MayRun() bool { return p.State >= PlacementGranted }
+
+// Chunk is a run of a job's tasks that share a record.
+type Chunk struct {
+	Number      int
+	Version     uint64 // of its own record; 0: it has none
+	SavedSeq    uint64 // log record up to which its own record speaks
+	DoneBits    []byte
+	NextAttempt uint64
+	Placements  []*Placement
+	Job         *Job
+	Closed      bool                // the job has ended, or left this owner
+	Failed      map[int]TaskFailure // tasks that are over and not done; their bits are set in done
 }
 
-func (c *chunk) isDone(task int) bool {
-	i := task % chunkSize
-	return c.done[i/8]&(1<<(i%8)) != 0
+func (c *Chunk) IsDone(task int) bool {
+	i := task % ChunkSize
+	return c.DoneBits[i/8]&(1<<(i%8)) != 0
 }
 
-func (c *chunk) setDone(task int) {
-	i := task % chunkSize
-	c.done[i/8] |= 1 << (i % 8)
+func (c *Chunk) SetDone(task int) {
+	i := task % ChunkSize
+	c.DoneBits[i/8] |= 1 << (i % 8)
 }
 
-// job is a living job.
-type job struct {
-	spec      *wire.Job
-	shard     int
-	version   uint64
-	accepted  time.Time
-	atMs      int64
-	cancelled bool
-	cancels   openCancels
-	ended     string // stage to finish with
-	ending    bool   // the write of its end is out
-	chunks    []*chunk
-	pending   []int // tasks with no place, a stack
-	places    map[int][]*place
-	done      int
-	running   int
-	shape     matching.Shape
-	key       roomKey // once it was asked for
-	class     *class
-	team      *team
-	runs      average
-	errors    int
-	failedOn  map[int]bool // machines on which its tasks failed, until one was done
-	faulty    bool         // it fails wherever it is tried, see failed
-	notBefore time.Time
-	avoid     map[int]time.Time
-	zones     map[string]int
-	unzoned   int          // places that count in every zone
-	started   int          // tasks that were ever seen running
-	ends      []float64    // see limits
-	moved     map[int]bool // tasks that were stopped to empty a machine
-	asked     *asked       // what its terms ask; nil: it has none
-	large     bool         // it is one of its class's largest
-	begunAt   time.Time    // when its first task was seen to run, of a gang the last
-	tier      int          // limits that it has to let pass, see triage
-	over      int          // tasks that are done, failed or cancelled alone
+// Job is a living job.
+type Job struct {
+	Spec           *wire.Job
+	Shard          int
+	Version        uint64
+	AcceptedAt     time.Time
+	AcceptedMs     int64
+	Cancelled      bool
+	PendingCancels PendingCancels
+	EndStage       string // stage to finish with
+	EndWriteSent   bool   // the write of its end is out
+	Chunks         []*Chunk
+	Pending        []int // tasks with no place, a stack
+	Placements     map[int][]*Placement
+	Done           int
+	Running        int
+	Resources      matching.Shape
+	requirements   Requirements // once it was asked for
+	Class          *Class
+	Team           *Team
+	RunTimes       Average
+	Errors         int
+	FailedOn       map[int]bool // machines on which its tasks failed, until one was done
+	Faulty         bool         // it fails wherever it is tried, see failed
+	NotBefore      time.Time
+	Avoid          map[int]time.Time
+	Zones          map[string]int
+	Unzoned        int              // places that count in every zone
+	Started        int              // tasks that were ever seen running
+	doneLimits     []float64        // see limits
+	Evicted        map[int]bool     // tasks that were stopped to empty a machine
+	Constraints    *ConstraintState // what its terms ask; nil: it has none
+	Large          bool             // it is one of its class's largest
+	BegunAt        time.Time        // when its first task was seen to run, of a gang the last
+	Tier           int              // limits that it has to let pass, see triage
+	Finished       int              // tasks that are done, failed or cancelled alone
 }
 
-// class is what was learnt of a class of jobs.
-type class struct {
-	name   string
-	ratio  float64 // real run time to the owner's estimate
-	runs   average
-	starts []float64 // aims for its tasks' starts, in seconds
-	sizes  sizes
+// Class is what was learnt of a class of jobs.
+type Class struct {
+	Name          string
+	EstimateRatio float64 // real run time to the owner's estimate
+	RunTimes      Average
+	StartAims     []float64 // aims for its tasks' starts, in seconds
+	Sizes         Sizes
 }
 
-// team is a team's use.
-type team struct {
+// Team is a team's use.
+type Team struct {
 	config.Team
-	use  matching.Shape // of all that may be on
-	lent *lentTeam      // nil: the whole limit is this owner's
+	Used   matching.Shape // of all that may be on
+	Leased *LeasedLimit   // nil: the whole limit is this owner's
 }
 
-type cached struct {
-	gb   float64
-	used time.Time
+type CachedImage struct {
+	SizeGB float64
+	UsedAt time.Time
 }
 
-// mach is a machine as its views show it.
-type mach struct {
-	index int
-	name  string
-	view  dispatch.View
-	at    time.Time // when the view came; zero if none did
-	heard time.Time // when the report in it came to its holder
-	since time.Time // when this owner first knew of it
-	// renewed is when a report of its worker was last answered, by any controller; askedAt
+// Worker is a machine as its views show it.
+type Worker struct {
+	Index         int
+	Name          string
+	View          dispatch.View
+	ViewAt        time.Time // when the view came; zero if none did
+	LastHeartbeat time.Time // when the report in it came to its holder
+	KnownSince    time.Time // when this owner first knew of it
+	// RenewedAt is when a report of its worker was last answered, by any controller; askedAt
 	// when it was last asked for one for want of that, unanswered how often in vain.
-	renewed, askedAt time.Time
-	unanswered       int
-	renewedIn        uint64    // the session in which it was
-	reported         time.Time // when its worker last reported by itself
-	matrix           matching.Matrix
-	held             bool // the matrix holds room for this pass only
-	places           map[*place]struct{}
-	tokens           uint64 // the highest that a start command for it may carry by a grant from here
-	images           map[int]*cached
-	notice           time.Time // when the cloud takes it, if it said so
-	done             float64
-	lost             float64
-	blame            map[string]int // errors there since a task was last done there, by job
-	// deaf is since when what was sent to the machine had no effect, as its reports
+	RenewedAt, PolledAt time.Time
+	UnansweredPolls     int
+	RenewedSession      uint64    // the session in which it was
+	LastReport          time.Time // when its worker last reported by itself
+	Matrix              matching.Matrix
+	RoomReserved        bool // the matrix holds room for this pass only
+	Placements          map[*Placement]struct{}
+	MaxToken            uint64 // the highest that a start command for it may carry by a grant from here
+	Images              map[int]*CachedImage
+	NoticeAt            time.Time // when the cloud takes it, if it said so
+	RecentDone          float64
+	RecentLost          float64
+	Failures            map[string]int // errors there since a task was last done there, by job
+	// UnresponsiveSince is since when what was sent to the machine had no effect, as its reports
 	// show; zero: it had. See heeds.
-	deaf     time.Time
-	unheeded int  // reports in a row that showed it
-	heeded   bool // a start was seen to have come through
-	heededAt time.Time
-	gone     bool
-	closing  bool // the fleet wants it empty
-	// occupiedFor is for how many seconds a closing machine stays occupied by tasks that
+	UnresponsiveSince   time.Time
+	UnresponsiveReports int  // reports in a row that showed it
+	CommandObserved     bool // a start was seen to have come through
+	RespondedAt         time.Time
+	Gone                bool
+	Cordoned            bool // the fleet wants it empty
+	// OccupiedFor is for how many seconds a closing machine stays occupied by tasks that
 	// are not stopped, as of the pass in progress. See staysOccupied.
-	occupiedFor float64
-	// recorded is the last takeover whose records had tasks on it.
-	recorded int
-	kind     wire.MachineType
+	OccupiedFor float64
+	// RecordedFailover is the last takeover whose records had tasks on it.
+	RecordedFailover int
+	Type             wire.MachineType
 }
 
-// Owner owns jobs.
-type Owner struct {
-	KeepSlots int     // log records of a shard that are kept before they are written over; set it before Run
-	Accounts  bool    // whether accounting rows are written; set it before Run
-	Cancels   Cancels // what is known of cancels, its own and others'; nil: nothing. Set it before Run
-	Others    Others  // answers for jobs that other owners have; set it before Run
+// Scheduler owns jobs.
+type Scheduler struct {
+	LogSlots          int           // log records of a shard that are kept before they are written over; set it before Run
+	AccountingEnabled bool          // whether accounting rows are written; set it before Run
+	Cancellations     Cancellations // what is known of cancels, its own and others'; nil: nothing. Set it before Run
+	RemoteJobs        RemoteJobs    // answers for jobs that other owners have; set it before Run
 
 	cfg     *config.Platform
 	op      *config.Operator
 	store   Store
 	member  Membership
-	holders Holders
-	types   Types
+	holders Dispatchers
+	types   MachineTypes
 	log     *slog.Logger
-	teams   map[string]*team
+	teams   map[string]*Team
 
 	wake  chan struct{} // place again
 	flush chan struct{} // write
 	out   chan struct{} // direct holders
 
 	keptMu sync.Mutex
-	kept   []keptView // see keep
+	kept   []deferredView // see keep
 
 	mu       sync.Mutex
 	fence    uint64         // the highest token that an earlier owner may have granted a start for
 	loaded   map[int]uint64 // shard -> version of its key when loaded
 	listed   map[int]uint64 // shard -> revision of the listing of living jobs that it was loaded with
 	loadedAt time.Time
-	tenure   uint64  // counts the times that this owner began to own jobs
-	loading  bool    // shards are being read
-	early    []early // what came in the meantime
-	jobs     map[string]*job
-	order    []*job
-	machines map[string]*mach
-	byIndex  []*mach
+	tenure   uint64        // counts the times that this owner began to own jobs
+	loading  bool          // shards are being read
+	early    []earlyRecord // what came in the meantime
+	jobs     map[string]*Job
+	order    []*Job
+	machines map[string]*Worker
+	byIndex  []*Worker
 	returned *recent.Set // machines that the cloud deleted: late views of them say nothing
 	now      time.Time   // when the pass in progress began
 
-	preemptAt int                  // machine that preemption looked at last
-	rooms     map[roomKey][]*mach  // see roomFor
-	cachers   map[cacheKey][]*mach // see caching
-	views     uint64               // counts views, to tell which places one lists
-	arena     []matching.Option    // see batch
+	preemptAt int                             // machine that preemption looked at last
+	rooms     map[Requirements][]*Worker      // see roomFor
+	cachers   map[imageRequirements][]*Worker // see caching
+	views     uint64                          // counts views, to tell which places one lists
+	arena     []matching.Option               // see batch
 	options   []matching.Option
 	images    wire.Index
-	classes   map[string]*class
-	logs      map[int]*shardLog
-	open      *batch                 // a transaction whose outcome is open
-	final     map[string]finalRecord // of jobs that ended here, for answers
+	classes   map[string]*Class
+	logs      map[int]*Log
+	open      *Transaction           // a transaction whose outcome is open
+	final     map[string]FinalRecord // of jobs that ended here, for answers
 	finalQ    []string
 	garbage   []string // chunk keys of ended jobs
 	pend      map[string]*dispatch.Direction
-	admitted  float64              // CPU-seconds of work
-	arriving  map[string]*arriving // by class
+	admitted  float64                  // CPU-seconds of work
+	arriving  map[string]*ArrivingWork // by class
 	triagedAt time.Time
 	flood     map[int]bool // ranks of which there is more work than can be done even late
 	spotDone  float64
 	spotLost  float64
 	stats     Stats
-	over      tally // of jobs that ended here
+	over      Tally // of jobs that ended here
 	book      *accounting.Book
 	loose     []accounting.Row // of attempts whose end needs no record
 	lender    *lender          // nil: limits are not lent
@@ -291,34 +291,34 @@
 
 // Stats are counters for operators.
 type Stats struct {
-	Placed      int `json:"Placed"`
-	Duplicates  int `json:"Duplicates"`
-	Granted     int `json:"Granted"`
-	Refused     int `json:"Refused"`
-	Lost        int `json:"Lost"`
-	Done        int `json:"Done"`
-	Errors      int `json:"Errors"`
-	Preempted   int `json:"Preempted"`
-	Evacuated   int `json:"Evacuated"`
-	Expiring    int `json:"Expiring"`
-	Takeovers   int `json:"Takeovers"`
-	LentRefused int `json:"LentRefused"`
+	Placed              int `json:"Placed"`
+	Duplicates          int `json:"Duplicates"`
+	Granted             int `json:"Granted"`
+	Refused             int `json:"Refused"`
+	Lost                int `json:"Lost"`
+	Done                int `json:"Done"`
+	Errors              int `json:"Errors"`
+	Preempted           int `json:"Preempted"`
+	Evacuated           int `json:"Evacuated"`
+	LeaseExpiring       int `json:"Expiring"`
+	Failovers           int `json:"Takeovers"`
+	QuotaRecordsRefused int `json:"LentRefused"`
 }
 
 // New returns an owner of nothing yet.
-func New(cfg *config.Platform, op *config.Operator, store Store, member Membership, holders Holders, types Types, log *slog.Logger) *Owner {
-	o := &Owner{
-		KeepSlots: defaultSlots,
-		cfg:       cfg, op: op, store: store, member: member, holders: holders, types: types, log: log,
-		teams: map[string]*team{},
+func New(cfg *config.Platform, op *config.Operator, store Store, member Membership, holders Dispatchers, types MachineTypes, log *slog.Logger) *Scheduler {
+	o := &Scheduler{
+		LogSlots: defaultSlots,
+		cfg:      cfg, op: op, store: store, member: member, holders: holders, types: types, log: log,
+		teams: map[string]*Team{},
 		wake:  make(chan struct{}, 1), flush: make(chan struct{}, 1), out: make(chan struct{}, 1),
-		loaded: map[int]uint64{}, listed: map[int]uint64{}, jobs: map[string]*job{}, machines: map[string]*mach{}, returned: recent.NewSet(maxGone), classes: map[string]*class{},
-		rooms: map[roomKey][]*mach{}, cachers: map[cacheKey][]*mach{}, logs: map[int]*shardLog{}, final: map[string]finalRecord{}, arriving: map[string]*arriving{}, over: tally{}, flood: map[int]bool{}, pend: map[string]*dispatch.Direction{},
+		loaded: map[int]uint64{}, listed: map[int]uint64{}, jobs: map[string]*Job{}, machines: map[string]*Worker{}, returned: recent.NewSet(maxGone), classes: map[string]*Class{},
+		rooms: map[Requirements][]*Worker{}, cachers: map[imageRequirements][]*Worker{}, logs: map[int]*Log{}, final: map[string]FinalRecord{}, arriving: map[string]*ArrivingWork{}, over: Tally{}, flood: map[int]bool{}, pend: map[string]*dispatch.Direction{},
 	}
 	for _, t := range cfg.Params.Teams {
-		o.teams[t.Name] = &team{Team: t}
+		o.teams[t.Name] = &Team{Team: t}
 	}
-	if Lends(op) {
+	if LeasesQuota(op) {
 		o.lender = newLender(cfg, op, o.teams)
 	}
 	return o
@@ -335,11 +335,11 @@
 	}
 }
 
-// Changed tells the owner that ownership may have changed.
-func (o *Owner) Changed() { poke(o.wake) }
+// OwnershipChanged tells the owner that ownership may have changed.
+func (o *Scheduler) OwnershipChanged() { poke(o.wake) }
 
 // Run owns jobs until ctx ends.
-func (o *Owner) Run(ctx context.Context) error {
+func (o *Scheduler) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	for _, f := range []func(context.Context){o.write, o.direct, o.watch, o.attend, o.lend} {
 		wg.Add(1)
@@ -384,9 +384,9 @@
 	return ctx.Err()
 }
 
-// Tenure is 0 while this owner has no jobs, and so ignores views, and another number each
+// OwnershipEpoch is 0 while this owner has no jobs, and so ignores views, and another number each
 // time that it comes to have some: who told it of machines before has to tell it again.
-func (o *Owner) Tenure() uint64 {
+func (o *Scheduler) OwnershipEpoch() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.loaded) == 0 {
@@ -395,11 +395,11 @@
 	return o.tenure
 }
 
-func (o *Owner) machineOf(name string) *mach {
+func (o *Scheduler) machineOf(name string) *Worker {
 	m := o.machines[name]
 	if m == nil {
-		m = &mach{index: len(o.byIndex), name: name, since: time.Now(), places: map[*place]struct{}{},
-			images: map[int]*cached{}, blame: map[string]int{}}
+		m = &Worker{Index: len(o.byIndex), Name: name, KnownSince: time.Now(), Placements: map[*Placement]struct{}{},
+			Images: map[int]*CachedImage{}, Failures: map[string]int{}}
 		o.machines[name] = m
 		o.byIndex = append(o.byIndex, m)
 	}
