--- a/internal/scheduler/owner_test.go
+++ b/internal/scheduler/owner_test.go
@@ -25,7 +25,7 @@
 			v := &f.views[0]
 			v.Seq++
 			v.Tasks = []dispatch.TaskView{{Task: wire.Task{Task: "j-9/0", Attempt: 1, State: state, Cause: cause}}}
-			f.owner.Observe(*v)
+			f.owner.ObserveWorker(*v)
 		}
 		f.held = 0
 		show(wire.TaskRunning, "")
@@ -109,7 +109,7 @@
 			show(0, 0.2)
 			show(0, 0.2)
 			ref := f.owner.PlacesOf("j-1")[0]
-			if !f.owner.GrantHere(dispatch.GrantRequest{Ref: ref, Holder: "a", Token: 7, Session: 1}).OK {
+			if !f.owner.GrantLocal(dispatch.GrantRequest{Ref: ref, Holder: "a", Token: 7, Session: 1}).OK {
 				t.Fatal("not granted")
 			}
 			f.views[0].Holder = "b"
@@ -166,7 +166,7 @@
 				}
 				ref := f.owner.PlacesOf("j-1")[0]
 				for _, token := range []uint64{c.granted, c.again} {
-					if token > 0 && !f.owner.GrantHere(dispatch.GrantRequest{Ref: ref, Holder: "a", Token: token, Session: 1}).OK {
+					if token > 0 && !f.owner.GrantLocal(dispatch.GrantRequest{Ref: ref, Holder: "a", Token: token, Session: 1}).OK {
 						t.Fatal("not granted")
 					}
 				}
@@ -199,7 +199,7 @@
 		}
 		f.owner.LimitTeam("t", 3)
 		grant := func(i int) bool {
-			return f.owner.GrantHere(dispatch.GrantRequest{Ref: refs[i], Holder: "a", Token: 7, Session: 1}).OK
+			return f.owner.GrantLocal(dispatch.GrantRequest{Ref: refs[i], Holder: "a", Token: 7, Session: 1}).OK
 		}
 		if !grant(0) || grant(1) || !grant(0) {
 			t.Error("the limit lets one task start, which may be granted again")
@@ -263,9 +263,9 @@
 	v.Queue = []dispatch.QueueView{{Ref: dispatch.Ref{Machine: v.Name, Task: "j-1/0", Attempt: 1}}}
 	report := func(token uint64) (pending, halts int) {
 		v.Seq, v.Token = v.Seq+1, token
-		f.owner.Observe(v)
+		f.owner.ObserveWorker(v)
 		halts, _ = f.owner.Directions()
-		return f.owner.Queues()["pending"], halts
+		return f.owner.QueueDepths()["pending"], halts
 	}
 	if pending, _ := report(6); pending != 0 {
 		t.Error("settled by a report with an old token: its start may yet arrive")
@@ -292,14 +292,14 @@
 	before := heap()
 	const jobs = 4
 	for i := range jobs {
-		f.owner.Accepted(&wire.Job{UID: fmt.Sprintf("j-%d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "low",
+		f.owner.JobAccepted(&wire.Job{UID: fmt.Sprintf("j-%d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "low",
 			Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1, Estimate: 30, Spot: true}, nil, 0, 0, uint64(i+1))
 	}
 	f.owner.Pass()
 	if each := (heap() - before) / jobs; each > 2<<20 {
 		t.Errorf("%d KB for a job of %d tasks", each>>10, wire.MaxTasks)
 	}
-	if got := f.owner.Queues()["pending"]; got < jobs*wire.MaxTasks-1000 {
+	if got := f.owner.QueueDepths()["pending"]; got < jobs*wire.MaxTasks-1000 {
 		t.Errorf("%d pending", got)
 	}
 }
@@ -312,16 +312,16 @@
 	spec := &wire.Job{UID: "j-late", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 3, CPUs: 1, Estimate: 9}
 	f.list = func(prefix string) {
 		if prefix == "log/" {
-			f.owner.Accepted(spec, nil, 0, 0, 5)
+			f.owner.JobAccepted(spec, nil, 0, 0, 5)
 		}
 	}
 	if err := f.owner.Load(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if q := f.owner.Queues(); q["jobs"] != 1 || q["pending"] != 3 {
+	if q := f.owner.QueueDepths(); q["jobs"] != 1 || q["pending"] != 3 {
 		t.Errorf("after the takeover: %v", q)
 	}
-	if s, ok := f.owner.Known("j-late"); !ok || s.Stage != wire.StageQueued {
+	if s, ok := f.owner.LocalState("j-late"); !ok || s.Stage != wire.StageQueued {
 		t.Errorf("state %+v, %v", s, ok)
 	}
 }
@@ -334,7 +334,7 @@
 		f := newFleet(t, 1, 0)
 		f.cfg.Params.Objectives = []config.Objective{{Kind: "wait", Class: "quote", WithinS: 100, Share: 0.9}}
 		now := time.Now().UnixMilli()
-		f.owner.Accepted(&wire.Job{UID: "j-1", Class: "study", Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 2, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 1)
+		f.owner.JobAccepted(&wire.Job{UID: "j-1", Class: "study", Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 2, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 1)
 		v := &f.views[0]
 		full := []matching.Use{{Shape: matching.Shape{CPUs: 16, MemoryGB: 1}, Left: 300}}
 		show := func() {
@@ -344,17 +344,17 @@
 			for i := range 2 {
 				v.Tasks = append(v.Tasks, dispatch.TaskView{Task: wire.Task{Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1), State: wire.TaskRunning}})
 			}
-			f.owner.Observe(*v)
+			f.owner.ObserveWorker(*v)
 		}
 		v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
 		v.Seq++
-		f.owner.Observe(*v)
+		f.owner.ObserveWorker(*v)
 		f.owner.Pass()
 		for i := range 2 {
-			f.owner.GrantHere(dispatch.GrantRequest{Ref: dispatch.Ref{Machine: v.Name, Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1)}, Token: 7, Session: 1})
+			f.owner.GrantLocal(dispatch.GrantRequest{Ref: dispatch.Ref{Machine: v.Name, Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1)}, Token: 7, Session: 1})
 		}
 		show()
-		f.owner.Accepted(&wire.Job{UID: "j-2", Class: "quote", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 2)
+		f.owner.JobAccepted(&wire.Job{UID: "j-2", Class: "quote", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 2)
 		stopped := func() int {
 			show()
 			f.owner.Directions()
@@ -377,10 +377,10 @@
 // it, and after that tasks were placed on machines that were gone.
 func TestReturnedMachinesStayGone(t *testing.T) {
 	f := newFleet(t, 2, 0)
-	f.owner.Gone(f.views[0].Name)
+	f.owner.WorkerGone(f.views[0].Name)
 	f.views[0].Seq++
-	f.owner.Observe(f.views[0])
-	if n := f.owner.Queues()["known_machines"]; n != 1 {
+	f.owner.ObserveWorker(f.views[0])
+	if n := f.owner.QueueDepths()["known_machines"]; n != 1 {
 		t.Errorf("%d machines known after one of two was returned", n)
 	}
 }
@@ -393,10 +393,10 @@
 	for i, j := range []wire.Job{{Types: []string{"x"}}, {Zone: &elsewhere}, {Spot: false}, {Spot: true}, {Types: []string{"m"}, Spot: true}} {
 		j.UID, j.Class, j.Team, j.Kind, j.Priority = fmt.Sprintf("j-%d", i), "c", "t", wire.KindArray, "normal"
 		j.Tasks, j.CPUs, j.MemoryGB, j.Image, j.Estimate = 5, 2, 1, "i", 30
-		f.owner.Accepted(&j, nil, 0, int64(i), uint64(i+1))
+		f.owner.JobAccepted(&j, nil, 0, int64(i), uint64(i+1))
 	}
 	f.owner.Pass()
-	if pending := f.owner.Queues()["pending"]; pending != 10 {
+	if pending := f.owner.QueueDepths()["pending"]; pending != 10 {
 		t.Errorf("%d tasks wait, and not the 10 that may run nowhere", pending)
 	}
 }
@@ -411,7 +411,7 @@
 		add := func(uid, priority string, tasks int, age time.Duration) {
 			j := wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks, CPUs: 4, Estimate: 20, Spot: true, DueS: &due}
 			f.rev++
-			f.owner.Accepted(&j, nil, 0, time.Now().Add(-age).UnixMilli(), f.rev)
+			f.owner.JobAccepted(&j, nil, 0, time.Now().Add(-age).UnixMilli(), f.rev)
 		}
 		add("j-over", "normal", 12, 70*time.Second)   // its time is over
 		add("j-large", "normal", 400, 20*time.Second) // due first, but far more than can be done
@@ -437,7 +437,7 @@
 		add := func(uid, priority string, tasks int, age time.Duration) {
 			j := wire.Job{UID: uid, Class: "c" + priority, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks, CPUs: 4, Estimate: 20, Spot: true}
 			f.rev++
-			f.owner.Accepted(&j, nil, 0, time.Now().Add(-age).UnixMilli(), f.rev)
+			f.owner.JobAccepted(&j, nil, 0, time.Now().Add(-age).UnixMilli(), f.rev)
 		}
 		for i := range 12 {
 			add(fmt.Sprintf("j-small%d", i), "low", 2, 10*time.Second)
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -23,14 +23,14 @@
 
 // place is one scheduling pass: batches of matches, most urgent jobs first,
 // until nothing more starts within the horizon.
-func (o *Owner) place() {
+func (o *Scheduler) place() {
 	if o.member.Held() < time.Second || len(o.loaded) == 0 {
 		return
 	}
 	o.now = time.Now()
-	var waiting []*job
+	var waiting []*Job
 	for _, j := range o.order {
-		if !j.cancelled && j.ended == "" && o.now.After(j.notBefore) && o.room(j) > 0 {
+		if !j.Cancelled && j.EndStage == "" && o.now.After(j.NotBefore) && o.room(j) > 0 {
 			waiting = append(waiting, j)
 		}
 	}
@@ -41,22 +41,22 @@
 	o.forgetRoom()
 	o.sortJobs(waiting)
 	budget := placesAtOnce
-	all := append([]*job(nil), waiting...)
+	all := append([]*Job(nil), waiting...)
 	for len(waiting) > 0 {
 		if budget <= 0 {
 			poke(o.wake) // the rest is for the next pass
 			break
 		}
 		// A batch holds tasks of similar priority, that can be in time or not alike.
-		rank, tier, first := waiting[0].spec.Rank(), waiting[0].tier, o.first(waiting[0])
-		var jobs []*job
+		rank, tier, first := waiting[0].Spec.Rank(), waiting[0].Tier, o.first(waiting[0])
+		var jobs []*Job
 		for _, j := range waiting {
-			if len(jobs) < batchJobs && o.first(j) == first && (first || j.spec.Rank() == rank && j.tier == tier) {
+			if len(jobs) < batchJobs && o.first(j) == first && (first || j.Spec.Rank() == rank && j.Tier == tier) {
 				jobs = append(jobs, j)
 			}
 		}
 		for _, j := range jobs {
-			if j.spec.Gang() {
+			if j.Spec.Gang() {
 				o.gang(j, open)
 			}
 		}
@@ -66,7 +66,7 @@
 		}
 		// A job that got nothing in this batch is left for later passes.
 		rest := waiting[:0]
-		considered := map[*job]bool{}
+		considered := map[*Job]bool{}
 		for _, j := range jobs {
 			considered[j] = true
 		}
@@ -77,19 +77,19 @@
 		}
 		if first {
 			// Only for first tasks: what began has its turn with all others.
-			jobs = slices.DeleteFunc(jobs, func(j *job) bool { return !o.first(j) })
+			jobs = slices.DeleteFunc(jobs, func(j *Job) bool { return !o.first(j) })
 			o.sortJobs(rest)
 		}
-		if len(rest) > 0 && (first || rest[0].spec.Rank() < rank) {
+		if len(rest) > 0 && (first || rest[0].Spec.Rank() < rank) {
 			o.hold(jobs, open)
 		}
 		waiting = rest
 	}
 	o.preempt(all, open)
 	for _, m := range open {
-		if m.held {
-			m.held = false
-			m.matrix = m.view.Matrix
+		if m.RoomReserved {
+			m.RoomReserved = false
+			m.Matrix = m.View.Matrix
 			o.reserveUnshown(m)
 		}
 	}
@@ -97,16 +97,16 @@
 
 // sortJobs orders jobs: first those that have to begin, then within their team's guarantee first, then by priority, then
 // those that can be done in time before those that can't, then by when they are due.
-func (o *Owner) sortJobs(jobs []*job) {
-	within, first := map[*job]bool{}, map[*job]bool{}
+func (o *Scheduler) sortJobs(jobs []*Job) {
+	within, first := map[*Job]bool{}, map[*Job]bool{}
 	for _, j := range jobs {
 		first[j] = o.first(j)
-		t := j.team
-		if t.lent != nil {
-			within[j] = t.favoured(j.shard)
+		t := j.Team
+		if t.Leased != nil {
+			within[j] = t.BelowGuarantee(j.Shard)
 			continue
 		}
-		within[j] = t.CPUs > 0 && t.use.CPUs+j.shape.CPUs <= t.CPUs+1e-6 || t.GPUs > 0 && t.use.GPUs+j.shape.GPUs <= t.GPUs+1e-6
+		within[j] = t.CPUs > 0 && t.Used.CPUs+j.Resources.CPUs <= t.CPUs+1e-6 || t.GPUs > 0 && t.Used.GPUs+j.Resources.GPUs <= t.GPUs+1e-6
 	}
 	sort.SliceStable(jobs, func(a, b int) bool {
 		x, y := jobs[a], jobs[b]
@@ -116,29 +116,29 @@
 		if within[x] != within[y] {
 			return within[x]
 		}
-		if x.spec.Rank() != y.spec.Rank() {
-			return x.spec.Rank() > y.spec.Rank()
+		if x.Spec.Rank() != y.Spec.Rank() {
+			return x.Spec.Rank() > y.Spec.Rank()
 		}
-		if x.tier != y.tier {
-			return x.tier < y.tier
+		if x.Tier != y.Tier {
+			return x.Tier < y.Tier
 		}
-		return x.dueAt() < y.dueAt()
+		return x.DueAt() < y.DueAt()
 	})
 }
 
 // put places a task on a machine; the holder hears of it once it is recorded.
-func (o *Owner) put(j *job, task int, m *mach, wait float64) {
-	c := j.chunks[task/chunkSize]
-	p := &place{job: j, chunk: c, task: task, attempt: c.next, mach: m, planned: wait, made: time.Now()}
-	if !j.spec.Gang() {
-		c.next++
+func (o *Scheduler) put(j *Job, task int, m *Worker, wait float64) {
+	c := j.Chunks[task/ChunkSize]
+	p := &Placement{Job: j, Chunk: c, Task: task, Attempt: c.NextAttempt, Worker: m, PlannedWait: wait, CreatedAt: time.Now()}
+	if !j.Spec.Gang() {
+		c.NextAttempt++
 	}
 	o.attach(p)
-	o.record(change{kind: placeChange, p: p})
+	o.record(Change{Kind: PlacementAdded, Placement: p})
 	poke(o.flush)
 	o.stats.Placed++
-	run := j.runEstimate() + o.fetchTime(j, m)
-	if w := m.matrix.Wait(j.shape, run); !math.IsInf(w, 1) {
-		m.matrix = m.matrix.Reserve(j.shape, w, run)
+	run := j.RunEstimate() + o.fetchTime(j, m)
+	if w := m.Matrix.Wait(j.Resources, run); !math.IsInf(w, 1) {
+		m.Matrix = m.Matrix.Reserve(j.Resources, w, run)
 	}
 }
--- a/internal/scheduler/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -47,7 +47,7 @@
 }
 
 // successor returns an owner that has taken over the recorded shard, with its store.
-func successor(t *testing.T) (*scheduler.Owner, *scriptedStore) {
+func successor(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
 	t.Helper()
 	o, store := scripted(t)
 	store.items = byPrefix(recordedShard(t))
@@ -73,7 +73,7 @@
 // placed as they were, and a report shows what runs.
 func TestRecordedShardIsTakenOver(t *testing.T) {
 	o, store := successor(t)
-	if s, ok := o.Known("j-1"); !ok || s != (wire.JobState{UID: "j-1", Stage: wire.StageQueued, Done: 2}) {
+	if s, ok := o.LocalState("j-1"); !ok || s != (wire.JobState{UID: "j-1", Stage: wire.StageQueued, Done: 2}) {
 		t.Errorf("the living job is %+v, %v", s, ok)
 	}
 	var places []string
@@ -84,24 +84,24 @@
 	if want := []string{"j-1/2 n-000000 3", "j-1/4 n-000000 5", "j-1/5 n-000000 6", "j-1/6 n-000000 7"}; !slices.Equal(places, want) {
 		t.Errorf("placed at %q, want %q", places, want)
 	}
-	o.Observe(dispatch.View{Name: "n-000000", Type: "m", Zone: "z", Spot: true, Session: 1, Seq: 1, Token: 7, Holder: "a",
+	o.ObserveWorker(dispatch.View{Name: "n-000000", Type: "m", Zone: "z", Spot: true, Session: 1, Seq: 1, Token: 7, Holder: "a",
 		Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3, State: wire.TaskRunning}}}})
-	if s, ok := o.Known("j-1"); !ok || s != (wire.JobState{UID: "j-1", Stage: wire.StageRunning, Done: 2, Running: 1}) {
+	if s, ok := o.LocalState("j-1"); !ok || s != (wire.JobState{UID: "j-1", Stage: wire.StageRunning, Done: 2, Running: 1}) {
 		t.Errorf("with a task that runs it is %+v, %v", s, ok)
 	}
-	info, ok := o.InfoHere("j-1")
+	info, ok := o.LocalJobInfo("j-1")
 	if !ok || info.Failed != 1 || info.Done != 2 || info.Waiting != "4-6" || len(info.On) != 1 || info.On[0].Task != 2 || info.On[0].Attempt != 3 {
 		t.Errorf("it is listed as %+v, %v", info, ok)
 	}
 	if want := (&jobspec.Terms{Number: 100, Name: "tips", User: "erin", Array: "0-6", Most: 4, Final: true}); !reflect.DeepEqual(info.Terms, want) || info.AtMs != 946_684_806_000 {
 		t.Errorf("its terms are %+v, accepted at %d; want %+v", info.Terms, info.AtMs, want)
 	}
-	if s, err := scheduler.Stored(t.Context(), store, "j-2"); err != nil || s != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
+	if s, err := scheduler.StoredState(t.Context(), store, "j-2"); err != nil || s != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
 		t.Errorf("the ended job is %+v, %v", s, err)
 	}
 	want := jobquery.Info{Job: wire.Job{UID: "j-2"}, Stage: wire.StageDone, Done: 1,
 		Ending: &jobspec.Ending{Number: 90, State: jobspec.Completed, StartMs: 946_684_802_000, EndMs: 946_684_805_000}}
-	if got, err := scheduler.StoredInfo(t.Context(), store, "j-2"); err != nil || !reflect.DeepEqual(got, want) {
+	if got, err := scheduler.StoredJobInfo(t.Context(), store, "j-2"); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("the ended job is listed as %+v, %v", got, err)
 	}
 }
@@ -141,7 +141,7 @@
 func TestSuccessorGoesOnWithTheRecordedShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 0)
-		f.owner.KeepSlots = 3
+		f.owner.LogSlots = 3
 		f.items = byPrefix(recordedShard(t))
 		f.owner.Unload()
 		if err := f.owner.Load(t.Context()); err != nil {
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -39,19 +39,19 @@
 
 // What an owner stores keeps its form: a successor of any version reads it.
 func TestStoredRecordsKeepTheirBytes(t *testing.T) {
-	recorded.CheckFull(t, "live-full", liveRecord{Job: fullJob(), Shard: 5, AtMs: 1_796_000_000_123, Cancelled: true, Terms: fullTerms()})
-	recorded.Check(t, "live-none", liveRecord{})
-	recorded.CheckFull(t, "final-full", finalRecord{Stage: wire.StageDone, Done: 14, Ending: fullEnding()})
-	recorded.Check(t, "final-none", finalRecord{})
-	recorded.CheckFull(t, "chunk-full", chunkRecord{Seq: 9, Done: []byte{0x83, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80}, Next: 12,
+	recorded.CheckFull(t, "live-full", LiveRecord{Job: fullJob(), Shard: 5, AtMs: 1_796_000_000_123, Cancelled: true, Terms: fullTerms()})
+	recorded.Check(t, "live-none", LiveRecord{})
+	recorded.CheckFull(t, "final-full", FinalRecord{Stage: wire.StageDone, Done: 14, Ending: fullEnding()})
+	recorded.Check(t, "final-none", FinalRecord{})
+	recorded.CheckFull(t, "chunk-full", ChunkRecord{Seq: 9, Done: []byte{0x83, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80}, Next: 12,
 		Machines: []string{"n-000001", "n-000002"}, Places: []uint64{2, 10, 1, 3, 11, 0}, Failed: []uint64{1, 1, 7, 7, 2, 0}})
-	recorded.Check(t, "chunk-none", chunkRecord{})
-	recorded.CheckFull(t, "log-full", logRecord{Seq: 77, Machines: []string{"n-000001", "n-000002"},
-		Jobs: []jobEntry{
+	recorded.Check(t, "chunk-none", ChunkRecord{})
+	recorded.CheckFull(t, "log-full", LogRecord{Seq: 77, Machines: []string{"n-000001", "n-000002"},
+		Jobs: []JobEntry{
 			{UID: "j-000412", Places: []uint64{0, 1, 0, 1, 2, 1}, Gone: []uint64{3, 4}, Done: []uint64{5, 6}, Failed: []uint64{7, 1, 255}},
 			{UID: "j-2", Done: []uint64{0}},
-		}, lendMark: lendMark{Lends: true, Unborrowed: 4321}})
-	recorded.Check(t, "log-none", logRecord{})
+		}, QuotaMark: QuotaMark{LeasesQuota: true, UnleasedVersion: 4321}})
+	recorded.Check(t, "log-none", LogRecord{})
 }
 
 // Each record of a shard that an owner wrote is read, and written again as it was.
@@ -67,7 +67,7 @@
 	written := map[string]int{}
 	for _, item := range shard.Items {
 		prefix, _, _ := strings.Cut(item.Key, "/")
-		record := map[string]any{"live": &liveRecord{}, "final": &finalRecord{}, "task": &chunkRecord{}, "log": &logRecord{}, "number": &jobid.Job{}}[prefix]
+		record := map[string]any{"live": &LiveRecord{}, "final": &FinalRecord{}, "task": &ChunkRecord{}, "log": &LogRecord{}, "number": &jobid.Job{}}[prefix]
 		if record == nil {
 			continue // accounting, which is not JSON within
 		}
@@ -99,7 +99,7 @@
 		}
 		items = append(items, wire.Item{Key: "live/" + name, Value: data})
 	}
-	if uids, err := Cancelled(t.Context(), items); err != nil || !slices.Equal(uids, []string{"j-000412"}) {
+	if uids, err := ReadCancelledJobs(t.Context(), items); err != nil || !slices.Equal(uids, []string{"j-000412"}) {
 		t.Errorf("cancelled are %q, %v", uids, err)
 	}
 }
@@ -118,12 +118,12 @@
 	if first, last := quotalease.Key(0), quotalease.Key(quotalease.Records-1); quotalease.Prefix != "lent/" || first != "lent/00" || last != "lent/15" {
 		t.Errorf("keys %s to %s", first, last)
 	}
-	if entry := lendMarkBytes(t, lendMark{}); entry != `{}` {
+	if entry := lendMarkBytes(t, QuotaMark{}); entry != `{}` {
 		t.Errorf("a log record of an owner that does not lend is marked %s", entry)
 	}
 }
 
-func lendMarkBytes(t *testing.T, m lendMark) string {
+func lendMarkBytes(t *testing.T, m QuotaMark) string {
 	t.Helper()
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -144,7 +144,7 @@
 func TestAcceptanceKeepsItsBytes(t *testing.T) {
 	job := fullJob()
 	for name, given := range map[string]*jobspec.Terms{"accept-full": fullTerms(), "accept-none": nil} {
-		guards, ops := AcceptTxn(&job, given, 5, 1_796_000_000_123)
+		guards, ops := AcceptanceTxn(&job, given, 5, 1_796_000_000_123)
 		data, err := json.Marshal(wire.Txn{If: guards, Then: ops})
 		if err != nil {
 			t.Fatal(err)
@@ -162,7 +162,7 @@
 // What operators read of an owner.
 func TestCountersKeepTheirNames(t *testing.T) {
 	recorded.CheckFull(t, "counters-full", Stats{Placed: 1, Duplicates: 2, Granted: 3, Refused: 4, Lost: 5, Done: 6, Errors: 7, Preempted: 8,
-		Evacuated: 9, Expiring: 10, Takeovers: 11, LentRefused: 12})
+		Evacuated: 9, LeaseExpiring: 10, Failovers: 11, QuotaRecordsRefused: 12})
 	recorded.Check(t, "counters-none", Stats{})
 	recorded.CheckFull(t, "served-full", Served{Offered: 5, Begun: 4, InTime: 3, Ended: 2, Waiting: 1})
 	recorded.Check(t, "served-none", Served{})
@@ -171,8 +171,8 @@
 // The names of an owner's keys, in full.
 func TestKeysOfRecords(t *testing.T) {
 	job := &wire.Job{UID: "j-1", Tasks: 3}
-	guards, ops := AcceptTxn(job, &jobspec.Terms{Number: 40}, 0, 0)
-	got := []string{liveKey, finalKey, taskKey, logKey, slotKey(7, 12), slotKey(1000, 100_000), chunkKey("j-1", 0), chunkKey("j-1", 1041)}
+	guards, ops := AcceptanceTxn(job, &jobspec.Terms{Number: 40}, 0, 0)
+	got := []string{LivePrefix, FinalPrefix, ChunkPrefix, LogPrefix, LogKey(7, 12), LogKey(1000, 100_000), ChunkKey("j-1", 0), ChunkKey("j-1", 1041)}
 	for _, g := range guards {
 		got = append(got, g.Key)
 	}
@@ -184,7 +184,7 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("keys %q, want %q", got, want)
 	}
-	if shard, n, err := parseSlotKey("log/007/00012"); shard != 7 || n != 12 || err != nil {
+	if shard, n, err := ParseLogKey("log/007/00012"); shard != 7 || n != 12 || err != nil {
 		t.Errorf("the log's key is read as %d, %d, %v", shard, n, err)
 	}
 }
@@ -192,15 +192,15 @@
 // A record tells by numbers which tasks a chunk has, how a task ended, and, by a hash, where
 // a job belongs: they are a part of its form.
 func TestNumbersInRecords(t *testing.T) {
-	if chunkSize != 96 || howFailed != 1 || howTimeout != 2 || howCancelled != 3 {
-		t.Errorf("chunks of %d tasks; ends %d, %d, %d", chunkSize, howFailed, howTimeout, howCancelled)
+	if ChunkSize != 96 || OutcomeFailed != 1 || OutcomeTimedOut != 2 || OutcomeCancelled != 3 {
+		t.Errorf("chunks of %d tasks; ends %d, %d, %d", ChunkSize, OutcomeFailed, OutcomeTimedOut, OutcomeCancelled)
 	}
 	for code, state := range []string{"COMPLETED", "FAILED", "TIMEOUT", "CANCELLED"} {
-		if got := how(code).state(); got != state {
+		if got := TaskOutcome(code).AccountingState(); got != state {
 			t.Errorf("end %d is %s, want %s", code, got, state)
 		}
 	}
-	if got := (failure{howTimeout, 9}).triple(4); !slices.Equal(got, []uint64{4, 2, 9}) {
+	if got := (TaskFailure{OutcomeTimedOut, 9}).Triple(4); !slices.Equal(got, []uint64{4, 2, 9}) {
 		t.Errorf("a failed task is recorded as %v", got)
 	}
 	teams := []config.Team{{Name: "vision", CPUsMax: 8}, {Name: "free"}}
@@ -208,7 +208,7 @@
 		uid, team string
 		shard     int
 	}{{"j-1", "free", 19}, {"j-000412", "free", 31}, {"j-000412", "vision", 41}, {"j-1", "vision", 41}} {
-		if got := ShardOf(&wire.Job{UID: c.uid, Team: c.team}, teams, 64); got != c.shard {
+		if got := HashShard(&wire.Job{UID: c.uid, Team: c.team}, teams, 64); got != c.shard {
 			t.Errorf("%s of team %s belongs to shard %d, want %d", c.uid, c.team, got, c.shard)
 		}
 	}
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -20,16 +20,16 @@
 // the log of its shard: many jobs' changes make one record. A chunk of tasks
 // gets a record of its own only when a log record that names it is reused.
 const (
-	liveKey  = "live/"
-	finalKey = "final/"
-	taskKey  = "task/"
-	logKey   = "log/"
+	LivePrefix  = "live/"
+	FinalPrefix = "final/"
+	ChunkPrefix = "task/"
+	LogPrefix   = "log/"
 
-	chunkSize = 96 // tasks in a chunk: its record fits the smallest value limit
+	ChunkSize = 96 // tasks in a chunk: its record fits the smallest value limit
 )
 
-// liveRecord is an accepted job that has not ended.
-type liveRecord struct {
+// LiveRecord is an accepted job that has not ended.
+type LiveRecord struct {
 	Job       wire.Job `json:"job"`
 	Shard     int      `json:"shard"`
 	AtMs      int64    `json:"at"` // time of day of the acceptance
@@ -38,17 +38,17 @@
 	Terms *jobspec.Terms `json:"terms,omitempty"`
 }
 
-// finalRecord is how a job ended.
-type finalRecord struct {
+// FinalRecord is how a job ended.
+type FinalRecord struct {
 	Stage string `json:"stage"`
 	Done  int    `json:"done"`
 
 	Ending *jobspec.Ending `json:"end,omitempty"` // of a job with terms
 }
 
-// chunkRecord is the tasks of a chunk: which are done, and on which machines
+// ChunkRecord is the tasks of a chunk: which are done, and on which machines
 // the others may be, as of the shard's log record Seq.
-type chunkRecord struct {
+type ChunkRecord struct {
 	Seq      uint64   `json:"seq"`
 	Done     []byte   `json:"done"`
 	Next     uint64   `json:"next"` // attempts below it may have been used
@@ -57,16 +57,16 @@
 	Failed   []uint64 `json:"failed,omitempty"` // triples: task, how, exit code
 }
 
-// logRecord is one write of a shard's log.
-type logRecord struct {
+// LogRecord is one write of a shard's log.
+type LogRecord struct {
 	Seq      uint64     `json:"seq"`
 	Machines []string   `json:"m,omitempty"`
-	Jobs     []jobEntry `json:"j"`
-	lendMark
+	Jobs     []JobEntry `json:"j"`
+	QuotaMark
 }
 
-// jobEntry is what changed of a job's tasks.
-type jobEntry struct {
+// JobEntry is what changed of a job's tasks.
+type JobEntry struct {
 	UID    string   `json:"u"`
 	Places []uint64 `json:"p,omitempty"` // new places, triples as in a chunk's record
 	Gone   []uint64 `json:"x,omitempty"` // places that are no more, pairs: task, attempt
@@ -74,18 +74,18 @@
 	Failed []uint64 `json:"f,omitempty"` // triples: task, how, exit code
 }
 
-func slotKey(shard, n int) string { return fmt.Sprintf("%s%03d/%05d", logKey, shard, n) }
+func LogKey(shard, n int) string { return fmt.Sprintf("%s%03d/%05d", LogPrefix, shard, n) }
 
-func parseSlotKey(key string) (shard, n int, err error) {
-	if _, err := fmt.Sscanf(strings.TrimPrefix(key, logKey), "%d/%d", &shard, &n); err != nil || n < 0 {
+func ParseLogKey(key string) (shard, n int, err error) {
+	if _, err := fmt.Sscanf(strings.TrimPrefix(key, LogPrefix), "%d/%d", &shard, &n); err != nil || n < 0 {
 		return 0, 0, fmt.Errorf("not a log key: %.60q", key)
 	}
 	return shard, n, nil
 }
 
-// parseLog reads a log record. Tasks are checked against their jobs later.
-func parseLog(data json.RawMessage) (logRecord, error) {
-	var r logRecord
+// ParseLog reads a log record. Tasks are checked against their jobs later.
+func ParseLog(data json.RawMessage) (LogRecord, error) {
+	var r LogRecord
 	if err := json.Unmarshal(data, &r); err != nil {
 		return r, err
 	}
@@ -102,11 +102,11 @@
 	return r, nil
 }
 
-func chunkKey(uid string, n int) string { return fmt.Sprintf("%s%s/%05d", taskKey, uid, n) }
+func ChunkKey(uid string, n int) string { return fmt.Sprintf("%s%s/%05d", ChunkPrefix, uid, n) }
 
-// ShardOf says which shard a job belongs to: jobs of a team with a limit stay
+// HashShard says which shard a job belongs to: jobs of a team with a limit stay
 // together, so that one owner counts all that the team uses.
-func ShardOf(job *wire.Job, teams []config.Team, shards int) int {
+func HashShard(job *wire.Job, teams []config.Team, shards int) int {
 	key := job.UID
 	for _, t := range teams {
 		if t.Name == job.Team && (t.CPUsMax > 0 || t.GPUsMax > 0 || t.CPUs > 0 || t.GPUs > 0) {
@@ -118,11 +118,11 @@
 	return int(h.Sum32() % uint32(shards))
 }
 
-// AcceptTxn is the transaction that accepts a job, with its terms if it has any:
+// AcceptanceTxn is the transaction that accepts a job, with its terms if it has any:
 // it fails if the job is known, living or ended, or its number belongs to another.
-func AcceptTxn(job *wire.Job, t *jobspec.Terms, shard int, atMs int64) ([]wire.Guard, []wire.Op) {
-	guards := []wire.Guard{{Key: liveKey + job.UID}, {Key: finalKey + job.UID}}
-	ops := []wire.Op{{Put: liveKey + job.UID, Value: liveRecord{Job: *job, Shard: shard, AtMs: atMs, Terms: t}}}
+func AcceptanceTxn(job *wire.Job, t *jobspec.Terms, shard int, atMs int64) ([]wire.Guard, []wire.Op) {
+	guards := []wire.Guard{{Key: LivePrefix + job.UID}, {Key: FinalPrefix + job.UID}}
+	ops := []wire.Op{{Put: LivePrefix + job.UID, Value: LiveRecord{Job: *job, Shard: shard, AtMs: atMs, Terms: t}}}
 	if t != nil {
 		key := jobid.Key(t.Number, job.Tasks)
 		guards = append(guards, wire.Guard{Key: key})
@@ -136,35 +136,35 @@
 	Get(ctx context.Context, key string) (wire.Item, error)
 }
 
-func (c *chunk) record(seq uint64) chunkRecord {
-	r := chunkRecord{Seq: seq, Done: c.done, Next: c.next}
-	for t, f := range c.failed {
-		r.Failed = append(r.Failed, f.triple(t)...)
+func (c *Chunk) Record(seq uint64) ChunkRecord {
+	r := ChunkRecord{Seq: seq, Done: c.DoneBits, Next: c.NextAttempt}
+	for t, f := range c.Failed {
+		r.Failed = append(r.Failed, f.Triple(t)...)
 	}
 	index := map[string]int{}
-	places := append([]*place(nil), c.places...)
-	sort.Slice(places, func(i, j int) bool { return places[i].attempt < places[j].attempt })
+	places := append([]*Placement(nil), c.Placements...)
+	sort.Slice(places, func(i, j int) bool { return places[i].Attempt < places[j].Attempt })
 	for _, p := range places {
-		if p.exited {
+		if p.Exited {
 			continue
 		}
-		i, ok := index[p.mach.name]
+		i, ok := index[p.Worker.Name]
 		if !ok {
 			i = len(r.Machines)
-			index[p.mach.name] = i
-			r.Machines = append(r.Machines, p.mach.name)
+			index[p.Worker.Name] = i
+			r.Machines = append(r.Machines, p.Worker.Name)
 		}
-		r.Places = append(r.Places, uint64(p.task), p.attempt, uint64(i))
+		r.Places = append(r.Places, uint64(p.Task), p.Attempt, uint64(i))
 	}
 	return r
 }
 
-func parseChunk(data json.RawMessage, tasks int) (chunkRecord, error) {
-	var r chunkRecord
+func ParseChunk(data json.RawMessage, tasks int) (ChunkRecord, error) {
+	var r ChunkRecord
 	if err := json.Unmarshal(data, &r); err != nil {
 		return r, err
 	}
-	if len(r.Places)%3 != 0 || len(r.Failed)%3 != 0 || len(r.Done) > (chunkSize+7)/8 {
+	if len(r.Places)%3 != 0 || len(r.Failed)%3 != 0 || len(r.Done) > (ChunkSize+7)/8 {
 		return r, fmt.Errorf("malformed chunk record")
 	}
 	for i := 0; i < len(r.Places); i += 3 {
--- a/internal/scheduler/served.go
+++ b/internal/scheduler/served.go
@@ -12,15 +12,15 @@
 	beginFrom = beginBy / 2       // from which on its first task goes before all others
 )
 
-// sizes are the sizes, in CPUs of all tasks, of a class's last jobs.
-type sizes struct {
+// Sizes are the sizes, in CPUs of all tasks, of a class's last jobs.
+type Sizes struct {
 	last []float64
 	next int
 }
 
-// add notes a job's size and tells whether it is one of the class's largest: of
+// Add notes a job's size and tells whether it is one of the class's largest: of
 // several of one size the first is.
-func (s *sizes) add(size float64) (large bool) {
+func (s *Sizes) Add(size float64) (large bool) {
 	above := 0
 	for _, x := range s.last {
 		if x >= size {
@@ -37,18 +37,18 @@
 	return large
 }
 
-// begin notes that a task of the job was seen to run, or to have run.
-func (j *job) begin(at time.Time) {
-	if j.begunAt.IsZero() && (!j.spec.Gang() || j.started >= j.spec.Tasks) {
-		j.begunAt = at
+// RecordBegin notes that a task of the job was seen to run, or to have run.
+func (j *Job) RecordBegin(at time.Time) {
+	if j.BegunAt.IsZero() && (!j.Spec.Gang() || j.Started >= j.Spec.Tasks) {
+		j.BegunAt = at
 	}
 }
 
 // first reports whether the job's first task is to go before all other work: a job of
 // whatever priority or size has to begin in time, and one task takes next to nothing.
-func (o *Owner) first(j *job) bool {
-	return j.started == 0 && j.done == 0 && !j.spec.Gang() && len(j.places) == 0 && !j.faulty &&
-		o.now.Sub(j.accepted) >= beginFrom
+func (o *Scheduler) first(j *Job) bool {
+	return j.Started == 0 && j.Done == 0 && !j.Spec.Gang() && len(j.Placements) == 0 && !j.Faulty &&
+		o.now.Sub(j.AcceptedAt) >= beginFrom
 }
 
 // Served counts the jobs of a class or team, or of a class's largest, that ended or
@@ -61,14 +61,14 @@
 	Waiting int `json:"waiting_begin"` // not begun yet, and not late with it either
 }
 
-// note counts a job that ended, or lives, into a class's or team's numbers.
-func (s *Served) note(j *job, ended bool, now time.Time, limit float64) {
+// record counts a job that ended, or lives, into a class's or team's numbers.
+func (s *Served) record(j *Job, ended bool, now time.Time, limit float64) {
 	s.Offered++
-	took := now.Sub(j.accepted)
+	took := now.Sub(j.AcceptedAt)
 	switch {
-	case !j.begunAt.IsZero() && j.begunAt.Sub(j.accepted) <= beginBy:
+	case !j.BegunAt.IsZero() && j.BegunAt.Sub(j.AcceptedAt) <= beginBy:
 		s.Begun++
-	case j.begunAt.IsZero() && took < beginBy:
+	case j.BegunAt.IsZero() && took < beginBy:
 		s.Waiting++
 	}
 	if ended {
@@ -79,16 +79,16 @@
 	}
 }
 
-// tally is Served of jobs that ended, by kind ("class", "largest", "team") and name.
-type tally map[[2]string]*Served
+// Tally is Served of jobs that ended, by kind ("class", "largest", "team") and name.
+type Tally map[[2]string]*Served
 
 // servedNames bounds the classes and teams that are counted.
 const servedNames = 1000
 
-func (t tally) note(j *job, ended bool, now time.Time, limit float64) {
-	keys := [][2]string{{"class", j.spec.Class}, {"team", j.spec.Team}}
-	if j.large {
-		keys = append(keys, [2]string{"largest", j.spec.Class})
+func (t Tally) Record(j *Job, ended bool, now time.Time, limit float64) {
+	keys := [][2]string{{"class", j.Spec.Class}, {"team", j.Spec.Team}}
+	if j.Large {
+		keys = append(keys, [2]string{"largest", j.Spec.Class})
 	}
 	for _, k := range keys {
 		s := t[k]
@@ -99,12 +99,12 @@
 			s = &Served{}
 			t[k] = s
 		}
-		s.note(j, ended, now, limit)
+		s.record(j, ended, now, limit)
 	}
 }
 
 // firstLimit is the age, in seconds, by which a job should be done first; 0: none.
-func (o *Owner) firstLimit(j *job) float64 {
+func (o *Scheduler) firstLimit(j *Job) float64 {
 	if l := o.limits(j); len(l) > 0 {
 		return slices.Min(l)
 	}
@@ -112,18 +112,18 @@
 }
 
 // Served returns, by kind and name, how jobs are served.
-func (o *Owner) Served() map[string]map[string]Served {
+func (o *Scheduler) Served() map[string]map[string]Served {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	sum := tally{}
+	sum := Tally{}
 	for k, s := range o.over {
 		c := *s
 		sum[k] = &c
 	}
 	for _, j := range o.order {
-		if !j.cancelled {
-			sum.note(j, false, now, o.firstLimit(j))
+		if !j.Cancelled {
+			sum.Record(j, false, now, o.firstLimit(j))
 		}
 	}
 	out := map[string]map[string]Served{}
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -6,8 +6,8 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// Gone settles every place on a machine that the cloud has deleted.
-func (o *Owner) Gone(name string) {
+// WorkerGone settles every place on a machine that the cloud has deleted.
+func (o *Scheduler) WorkerGone(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.returned.Add(name)
@@ -15,32 +15,32 @@
 	if m == nil {
 		return
 	}
-	m.gone = true
+	m.Gone = true
 	o.settleLost(m, time.Now())
 	// The name never comes back; the index stays taken.
-	o.byIndex[m.index] = nil
+	o.byIndex[m.Index] = nil
 	delete(o.machines, name)
 }
 
-// Vouched settles what was on a machine when all controllers vouched that
+// LeaseAttestedExpired settles what was on a machine when all controllers vouched that
 // none has answered it for a full lease: its worker has killed every task.
-func (o *Owner) Vouched(name string, asked time.Time) {
+func (o *Scheduler) LeaseAttestedExpired(name string, asked time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if m := o.machines[name]; m != nil && m.at.Before(asked) {
+	if m := o.machines[name]; m != nil && m.ViewAt.Before(asked) {
 		o.settleLost(m, asked)
 	}
 }
 
-func (o *Owner) settleLost(m *mach, before time.Time) {
-	for p := range m.places {
-		if p.made.After(before) {
+func (o *Scheduler) settleLost(m *Worker, before time.Time) {
+	for p := range m.Placements {
+		if p.CreatedAt.After(before) {
 			continue
 		}
-		if p.state == placeSeen || p.state == placeGranted {
+		if p.State == PlacementReported || p.State == PlacementGranted {
 			o.lose(p)
 		}
-		if !p.exited {
+		if !p.Exited {
 			o.detach(p)
 		}
 	}
@@ -49,71 +49,71 @@
 // maxGone is how many returned machines are remembered.
 const maxGone = 4096
 
-// Silent returns how many machines there are, and those that were not heard for
+// UnresponsiveWorkers returns how many machines there are, and those that were not heard for
 // longer than from, or on which what was sent had no effect for so long.
-func (o *Owner) Silent(from time.Duration) (known int, silent []reachability.Machine) {
+func (o *Scheduler) UnresponsiveWorkers(from time.Duration) (known int, silent []reachability.Machine) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
 	unreached, reached := 0, 0
 	for _, m := range o.machines {
-		if !m.deaf.IsZero() {
+		if !m.UnresponsiveSince.IsZero() {
 			unreached++
-		} else if now.Sub(m.heededAt) < o.heedWait() {
+		} else if now.Sub(m.RespondedAt) < o.heedWait() {
 			reached++
 		}
 	}
 	for name, m := range o.machines {
 		// If nothing reaches most of those that were sent something, the way there is
 		// bad, and not they.
-		s, deaf := now.Sub(later(m.heard, m.since)), !m.deaf.IsZero() && unreached <= reached
+		s, deaf := now.Sub(later(m.LastHeartbeat, m.KnownSince)), !m.UnresponsiveSince.IsZero() && unreached <= reached
 		if deaf {
-			s = max(s, now.Sub(m.deaf))
+			s = max(s, now.Sub(m.UnresponsiveSince))
 		}
 		if s >= from {
-			silent = append(silent, reachability.Machine{Name: name, Endpoint: m.view.Endpoint, Silent: s, Busy: len(m.places) > 0, Deaf: deaf, Unheard: m.heard.Before(m.since)})
+			silent = append(silent, reachability.Machine{Name: name, Endpoint: m.View.Endpoint, Silent: s, Busy: len(m.Placements) > 0, Deaf: deaf, Unheard: m.LastHeartbeat.Before(m.KnownSince)})
 		}
 	}
 	return len(o.machines), silent
 }
 
-// HeldElsewhere returns the addresses of machines that another controller heard last.
-func (o *Owner) HeldElsewhere() map[string]string {
+// RemoteWorkers returns the addresses of machines that another controller heard last.
+func (o *Scheduler) RemoteWorkers() map[string]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := map[string]string{}
 	for name, m := range o.machines {
-		if m.view.Endpoint != "" && m.view.Holder != o.cfg.Node {
-			out[name] = m.view.Endpoint
+		if m.View.Endpoint != "" && m.View.Holder != o.cfg.Node {
+			out[name] = m.View.Endpoint
 		}
 	}
 	return out
 }
 
-// Stuck returns machines with a cancelled task that can't be stopped in time: the
+// StuckWorkers returns machines with a cancelled task that can't be stopped in time: the
 // task goes with its machine.
-func (o *Owner) Stuck() map[string]string {
+func (o *Scheduler) StuckWorkers() map[string]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := map[string]string{}
 	for _, m := range o.goingOn(seconds(o.cfg.Params.Workers.CancelS / 3)) {
-		out[m.name] = "a cancelled task can't be stopped"
+		out[m.Name] = "a cancelled task can't be stopped"
 	}
 	return out
 }
 
 // goingOn lists the machines, some more than once, on which cancelled tasks may be that
 // were first told to stop longer ago than this.
-func (o *Owner) goingOn(after time.Duration) (ms []*mach) {
+func (o *Scheduler) goingOn(after time.Duration) (ms []*Worker) {
 	now := time.Now()
 	for _, j := range o.order {
-		if !j.cancelled {
+		if !j.Cancelled {
 			continue
 		}
-		for _, ps := range j.places {
+		for _, ps := range j.Placements {
 			for _, p := range ps {
-				if p.on() && !p.halted.IsZero() && now.Sub(p.halted) > after {
-					ms = append(ms, p.mach)
+				if p.MayRun() && !p.HaltedAt.IsZero() && now.Sub(p.HaltedAt) > after {
+					ms = append(ms, p.Worker)
 				}
 			}
 		}
--- a/internal/scheduler/sweep.go
+++ b/internal/scheduler/sweep.go
@@ -10,47 +10,47 @@
 
 // lookAgain re-places queued tasks that wait much longer than planned, with a
 // duplicate where another machine is now better.
-func (o *Owner) lookAgain() {
+func (o *Scheduler) lookAgain() {
 	o.now = time.Now()
 	now := o.now
 	fresh := seconds(3*o.cfg.Params.Workers.ReportS + 1)
 	open := o.openMachines()
 	o.forgetRoom()
 	budget := lookAtOnce
-	waits := map[*place]float64{}
-	stage := map[*job]*average{}
-	var silent []*place
+	waits := map[*Placement]float64{}
+	stage := map[*Job]*Average{}
+	var silent []*Placement
 	for _, m := range o.machines {
-		for _, q := range m.view.Queue {
-			for p := range m.places {
-				if p.state == placeRecorded && p.attempt == q.Attempt && p.ref == q.Ref {
+		for _, q := range m.View.Queue {
+			for p := range m.Placements {
+				if p.State == PlacementRecorded && p.Attempt == q.Attempt && p.Ref == q.Ref {
 					waits[p] = q.WaitS
-					a := stage[p.job]
+					a := stage[p.Job]
 					if a == nil {
-						a = &average{}
-						stage[p.job] = a
+						a = &Average{}
+						stage[p.Job] = a
 					}
-					a.add(min(q.WaitS, 600))
+					a.Add(min(q.WaitS, 600))
 				}
 			}
 		}
 	}
 	for _, j := range o.order {
-		if j.cancelled || j.ended != "" {
+		if j.Cancelled || j.EndStage != "" {
 			continue
 		}
-		if j.spec.Gang() {
+		if j.Spec.Gang() {
 			continue
 		}
 		avg := 0.0
 		if a := stage[j]; a != nil {
-			avg = a.mean()
+			avg = a.Mean()
 		}
-		for task, ps := range j.places {
+		for task, ps := range j.Placements {
 			silent = silent[:0]
 			for _, p := range ps {
-				if m := p.mach; p.state == placeRecorded &&
-					(now.Sub(later(m.heard, p.made)) > fresh || !m.notice.IsZero() || m.view.Draining || !m.deaf.IsZero() || !o.fitsLease(j, m)) {
+				if m := p.Worker; p.State == PlacementRecorded &&
+					(now.Sub(later(m.LastHeartbeat, p.CreatedAt)) > fresh || !m.NoticeAt.IsZero() || m.View.Draining || !m.UnresponsiveSince.IsZero() || !o.fitsLease(j, m)) {
 					silent = append(silent, p)
 				}
 			}
@@ -67,25 +67,25 @@
 			p, current := ps[0], math.Inf(1)
 			for _, x := range ps {
 				w, known := waits[x]
-				if x.state != placeRecorded || !known || !matching.LookAgain(x.planned, now.Sub(x.made).Seconds(), w, max(avg, x.planned), o.op.ReplaceS) {
+				if x.State != PlacementRecorded || !known || !matching.LookAgain(x.PlannedWait, now.Sub(x.CreatedAt).Seconds(), w, max(avg, x.PlannedWait), o.op.ReplaceS) {
 					p = nil
 					break
 				}
 				if w > waits[p] {
 					p = x
 				}
-				current = min(current, matching.Cost(o.fetchTime(j, x.mach), w, j.runEstimate(), o.success(x.mach), o.op.KFail))
+				current = min(current, matching.Cost(o.fetchTime(j, x.Worker), w, j.RunEstimate(), o.success(x.Worker), o.op.KFail))
 			}
 			if p == nil {
 				continue
 			}
-			var best *mach
-			bestE := estimate{cost: current - 1}
+			var best *Worker
+			bestE := Estimate{cost: current - 1}
 			if budget--; budget < 0 {
 				return
 			}
 			for _, m := range o.candidates(j, o.roomFor(j, open)) {
-				if slices.ContainsFunc(ps, func(x *place) bool { return x.mach == m }) {
+				if slices.ContainsFunc(ps, func(x *Placement) bool { return x.Worker == m }) {
 					continue
 				}
 				if e, ok := o.estimate(j, m); ok && e.cost < bestE.cost {
@@ -104,15 +104,15 @@
 }
 
 // sweep repeats what may have been lost on the way.
-func (o *Owner) sweep() {
+func (o *Scheduler) sweep() {
 	for _, j := range o.order {
 		o.overTime(j)
-		if !j.cancelled && (j.asked == nil || j.over == j.done) {
+		if !j.Cancelled && (j.Constraints == nil || j.Finished == j.Done) {
 			continue
 		}
-		for _, ps := range j.places {
-			for _, p := range append([]*place(nil), ps...) {
-				if !p.exited && (j.cancelled || p.chunk.isDone(p.task)) {
+		for _, ps := range j.Placements {
+			for _, p := range append([]*Placement(nil), ps...) {
+				if !p.Exited && (j.Cancelled || p.Chunk.IsDone(p.Task)) {
 					o.halt(p, 0)
 				}
 			}
@@ -120,9 +120,9 @@
 	}
 	poke(o.flush) // for changes that were not urgent
 	for _, m := range o.machines {
-		if len(m.places) == 0 && time.Since(later(m.at, m.since)) > 10*time.Minute {
-			o.byIndex[m.index] = nil
-			delete(o.machines, m.name)
+		if len(m.Placements) == 0 && time.Since(later(m.ViewAt, m.KnownSince)) > 10*time.Minute {
+			o.byIndex[m.Index] = nil
+			delete(o.machines, m.Name)
 		}
 	}
 }
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -16,7 +16,7 @@
 )
 
 // syncShards loads shards that were gained and forgets those that were lost.
-func (o *Owner) syncShards(ctx context.Context) {
+func (o *Scheduler) syncShards(ctx context.Context) {
 	claimed := o.member.Claimed()
 	var gained []int
 	o.mu.Lock()
@@ -43,13 +43,13 @@
 	}
 }
 
-func (o *Owner) unload(shard int) {
+func (o *Scheduler) unload(shard int) {
 	delete(o.loaded, shard)
 	delete(o.listed, shard)
 	delete(o.logs, shard)
 	o.lendShards()
 	for uid, j := range o.jobs {
-		if j.shard == shard {
+		if j.Shard == shard {
 			o.forget(uid, j)
 		}
 	}
@@ -62,7 +62,7 @@
 // load takes over shards. Every place found in the store is unsettled: the
 // last owner may have granted it. All tokens given out so far are below the
 // fresh one, so a report that shows it, and not the task, settles the place.
-func (o *Owner) load(ctx context.Context, shards []int, versions map[int]uint64) error {
+func (o *Scheduler) load(ctx context.Context, shards []int, versions map[int]uint64) error {
 	o.mu.Lock()
 	o.loading, o.early = true, nil
 	o.mu.Unlock()
@@ -75,15 +75,15 @@
 	if err != nil {
 		return err
 	}
-	chunks, _, err := o.store.List(ctx, taskKey)
+	chunks, _, err := o.store.List(ctx, ChunkPrefix)
 	if err != nil {
 		return err
 	}
-	jobs, listed, err := o.store.List(ctx, liveKey)
+	jobs, listed, err := o.store.List(ctx, LivePrefix)
 	if err != nil {
 		return err
 	}
-	slots, _, err := o.store.List(ctx, logKey)
+	slots, _, err := o.store.List(ctx, LogPrefix)
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 	}
 	byJob := map[string][]wire.Item{}
 	for _, it := range chunks {
-		uid, _, _ := strings.Cut(strings.TrimPrefix(it.Key, taskKey), "/")
+		uid, _, _ := strings.Cut(strings.TrimPrefix(it.Key, ChunkPrefix), "/")
 		byJob[uid] = append(byJob[uid], it)
 	}
 	n := o.adopt(shards, versions, want, jobs, listed, byJob, slots, fence)
@@ -107,13 +107,13 @@
 }
 
 // adopt makes living jobs of what a takeover has read, as of revision listed or later.
-func (o *Owner) adopt(shards []int, versions map[int]uint64, want map[int]bool, jobs []wire.Item, listed uint64, byJob map[string][]wire.Item, slots []wire.Item, fence uint64) (n int) {
+func (o *Scheduler) adopt(shards []int, versions map[int]uint64, want map[int]bool, jobs []wire.Item, listed uint64, byJob map[string][]wire.Item, slots []wire.Item, fence uint64) (n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.fence = max(o.fence, fence-1)
 	logs, entries := o.readLogs(slots, want)
 	for _, it := range jobs {
-		var r liveRecord
+		var r LiveRecord
 		if err := json.Unmarshal(it.Value, &r); err != nil {
 			o.log.Error("unreadable job record", "key", it.Key, "err", err)
 			continue
@@ -146,70 +146,70 @@
 		o.loaded[s], o.listed[s] = versions[s], listed
 	}
 	o.lendShards()
-	if o.Accounts {
+	if o.AccountingEnabled {
 		o.book = accounting.NewBook(fence, o.valueBytes())
 	}
 	o.loadedAt = time.Now()
 	for _, m := range o.machines {
-		m.since = time.Now()
+		m.KnownSince = time.Now()
 	}
 	for i := range o.early {
 		o.take(&o.early[i].record, o.early[i].version)
 	}
 	o.loading, o.early = false, nil
-	o.stats.Takeovers++
+	o.stats.Failovers++
 	for _, m := range o.machines {
-		if len(m.places) > 0 {
-			m.recorded = o.stats.Takeovers
+		if len(m.Placements) > 0 {
+			m.RecordedFailover = o.stats.Failovers
 		}
 	}
 	return n
 }
 
 // admit makes a living job of its records.
-func (o *Owner) admit(r *liveRecord, version uint64, chunks []wire.Item, entries []logged, fence uint64) *job {
+func (o *Scheduler) admit(r *LiveRecord, version uint64, chunks []wire.Item, entries []replayEntry, fence uint64) *Job {
 	spec := r.Job
-	j := &job{
-		spec: &spec, shard: r.Shard, version: version, atMs: r.AtMs, cancelled: r.Cancelled,
-		accepted: time.Now().Add(-max(0, time.Since(time.UnixMilli(r.AtMs)))),
-		places:   map[int][]*place{}, avoid: map[int]time.Time{}, zones: map[string]int{},
-		shape: matching.Shape{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB},
-		class: o.classOf(spec.Class), team: o.teams[spec.Team],
+	j := &Job{
+		Spec: &spec, Shard: r.Shard, Version: version, AcceptedMs: r.AtMs, Cancelled: r.Cancelled,
+		AcceptedAt: time.Now().Add(-max(0, time.Since(time.UnixMilli(r.AtMs)))),
+		Placements: map[int][]*Placement{}, Avoid: map[int]time.Time{}, Zones: map[string]int{},
+		Resources: matching.Shape{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB},
+		Class:     o.classOf(spec.Class), Team: o.teams[spec.Team],
 	}
 	if r.Terms != nil {
-		j.asked = newAsked(r.Terms)
+		j.Constraints = NewConstraintState(r.Terms)
 	}
-	if r.Cancelled && o.Cancels != nil {
-		o.Cancels.Learn(spec.UID)
+	if r.Cancelled && o.Cancellations != nil {
+		o.Cancellations.RecordCancelled(spec.UID)
 	}
-	if j.team == nil {
-		j.team = &team{}
+	if j.Team == nil {
+		j.Team = &Team{}
 	}
-	j.large = j.class.sizes.add(float64(spec.Tasks) * spec.CPUs)
-	for n := 0; n*chunkSize < spec.Tasks; n++ {
-		j.chunks = append(j.chunks, &chunk{n: n, done: make([]byte, chunkSize/8), next: 1, job: j})
+	j.Large = j.Class.Sizes.Add(float64(spec.Tasks) * spec.CPUs)
+	for n := 0; n*ChunkSize < spec.Tasks; n++ {
+		j.Chunks = append(j.Chunks, &Chunk{Number: n, DoneBits: make([]byte, ChunkSize/8), NextAttempt: 1, Job: j})
 	}
 	for _, it := range chunks {
-		_, num, _ := strings.Cut(strings.TrimPrefix(it.Key, taskKey), "/")
+		_, num, _ := strings.Cut(strings.TrimPrefix(it.Key, ChunkPrefix), "/")
 		n, err := strconv.Atoi(num)
-		if err != nil || n < 0 || n >= len(j.chunks) {
+		if err != nil || n < 0 || n >= len(j.Chunks) {
 			o.log.Error("chunk beyond its job", "key", it.Key)
 			continue
 		}
-		c := j.chunks[n]
-		c.version = it.Version
-		rec, err := parseChunk(it.Value, spec.Tasks)
+		c := j.Chunks[n]
+		c.Version = it.Version
+		rec, err := ParseChunk(it.Value, spec.Tasks)
 		if err != nil {
 			o.log.Error("unreadable chunk record", "key", it.Key, "err", err)
 			continue
 		}
-		copy(c.done, rec.Done)
+		copy(c.DoneBits, rec.Done)
 		for i := 0; i < len(rec.Failed); i += 3 {
-			if t := rec.Failed[i]; t/chunkSize == uint64(n) {
-				c.setFailed(int(t), rec.Failed[i+1], rec.Failed[i+2])
+			if t := rec.Failed[i]; t/ChunkSize == uint64(n) {
+				c.SetFailed(int(t), rec.Failed[i+1], rec.Failed[i+2])
 			}
 		}
-		c.next, c.saved = max(1, rec.Next), rec.Seq
+		c.NextAttempt, c.SavedSeq = max(1, rec.Next), rec.Seq
 		for i := 0; i < len(rec.Places); i += 3 {
 			o.found(j, int(rec.Places[i]), rec.Places[i+1], rec.Machines[rec.Places[i+2]], fence)
 		}
@@ -218,9 +218,9 @@
 		o.replay(j, e, fence)
 	}
 	o.dropTasks(j)
-	for _, c := range j.chunks {
-		for _, p := range append([]*place(nil), c.places...) {
-			if c.isDone(p.task) && c.failed[p.task].how != howCancelled {
+	for _, c := range j.Chunks {
+		for _, p := range append([]*Placement(nil), c.Placements...) {
+			if c.IsDone(p.Task) && c.Failed[p.Task].Outcome != OutcomeCancelled {
 				o.drop(p)
 				continue
 			}
@@ -228,28 +228,28 @@
 		}
 	}
 	for t := spec.Tasks - 1; t >= 0; t-- {
-		if j.chunks[t/chunkSize].isDone(t) {
-			j.over++
-			if _, failed := j.chunks[t/chunkSize].failed[t]; !failed {
-				j.done++
+		if j.Chunks[t/ChunkSize].IsDone(t) {
+			j.Finished++
+			if _, failed := j.Chunks[t/ChunkSize].Failed[t]; !failed {
+				j.Done++
 			}
-		} else if len(j.places[t]) == 0 {
-			j.pending = append(j.pending, t)
+		} else if len(j.Placements[t]) == 0 {
+			j.Pending = append(j.Pending, t)
 		}
 	}
-	if j.done > 0 {
-		j.begin(time.Now()) // earlier, under a predecessor: nobody knows when
+	if j.Done > 0 {
+		j.RecordBegin(time.Now()) // earlier, under a predecessor: nobody knows when
 	}
-	if fence == 0 && !spec.Service() && (j.asked == nil || o.waits(j, time.Now()) == "") {
-		work := float64(spec.Tasks) * spec.CPUs * j.runEstimate()
+	if fence == 0 && !spec.Service() && (j.Constraints == nil || o.waits(j, time.Now()) == "") {
+		work := float64(spec.Tasks) * spec.CPUs * j.RunEstimate()
 		o.admitted += work
 		a := o.arriving[spec.Class]
 		if a == nil {
-			a = &arriving{}
+			a = &ArrivingWork{}
 			o.arriving[spec.Class] = a
 		}
-		a.admitted += work
-		a.rank = spec.Rank()
+		a.Admitted += work
+		a.Rank = spec.Rank()
 	}
 	o.jobs[spec.UID] = j
 	o.order = append(o.order, j)
@@ -258,14 +258,14 @@
 }
 
 // found attaches a place that the store knows of.
-func (o *Owner) found(j *job, task int, attempt uint64, machine string, fence uint64) {
-	c := j.chunks[task/chunkSize]
-	c.next = max(c.next, attempt+1)
-	for _, p := range j.places[task] {
-		if p.attempt == attempt {
+func (o *Scheduler) found(j *Job, task int, attempt uint64, machine string, fence uint64) {
+	c := j.Chunks[task/ChunkSize]
+	c.NextAttempt = max(c.NextAttempt, attempt+1)
+	for _, p := range j.Placements[task] {
+		if p.Attempt == attempt {
 			return
 		}
 	}
-	o.attach(&place{job: j, chunk: c, task: task, attempt: attempt, mach: o.machineOf(machine), state: placeUnsettled,
-		token: fence - 1, session: math.MaxUint64, made: time.Now(), logged: true})
+	o.attach(&Placement{Job: j, Chunk: c, Task: task, Attempt: attempt, Worker: o.machineOf(machine), State: PlacementUnconfirmed,
+		MaxToken: fence - 1, Session: math.MaxUint64, CreatedAt: time.Now(), InStore: true})
 }
--- a/internal/scheduler/triage.go
+++ b/internal/scheduler/triage.go
@@ -18,18 +18,18 @@
 	yield       = 0.75 // of the fleet, that tasks keep busy: the rest is gaps, fetches and starts
 )
 
-// arriving is how much work of a class arrives.
-type arriving struct {
-	admitted float64 // CPU-seconds so far
-	sum      float64 // the same, as of the last look
-	rate     float64 // CPUs kept busy by it
-	rank     int     // of its last job
+// ArrivingWork is how much work of a class arrives.
+type ArrivingWork struct {
+	Admitted     float64 // CPU-seconds so far
+	LastAdmitted float64 // the same, as of the last look
+	Rate         float64 // CPUs kept busy by it
+	Rank         int     // of its last job
 }
 
 // triage sorts out which jobs can still be done in time: see package triage. The fleet's
 // capacity goes to priorities from the highest on; what a lower one gets is what the
 // work above it, and its arrival, leave.
-func (o *Owner) triage() {
+func (o *Scheduler) triage() {
 	now := time.Now()
 	dt := now.Sub(o.triagedAt).Seconds()
 	if dt < triageEvery.Seconds() {
@@ -39,28 +39,28 @@
 	o.triagedAt = now
 	for _, a := range o.arriving {
 		if !first {
-			a.rate += (1 - math.Exp(-dt/arriveOver)) * ((a.admitted-a.sum)/dt - a.rate)
+			a.Rate += (1 - math.Exp(-dt/arriveOver)) * ((a.Admitted-a.LastAdmitted)/dt - a.Rate)
 		}
-		a.sum = a.admitted
+		a.LastAdmitted = a.Admitted
 	}
 	var fleet matching.Shape
 	fresh := seconds(3*o.cfg.Params.Workers.ReportS + 1)
 	for _, m := range o.machines {
-		if t := o.typeOf(m); !m.gone && !m.view.Draining && now.Sub(m.heard) < fresh {
+		if t := o.typeOf(m); !m.Gone && !m.View.Draining && now.Sub(m.LastHeartbeat) < fresh {
 			fleet = fleet.Add(matching.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, 1)
 		}
 	}
 	if fleet.CPUs <= 0 {
 		return
 	}
-	byRank := map[int][]*job{}
+	byRank := map[int][]*Job{}
 	var ranks []int
 	for _, j := range o.order {
-		j.tier = 0
-		if j.cancelled || j.ended != "" || j.spec.Service() {
+		j.Tier = 0
+		if j.Cancelled || j.EndStage != "" || j.Spec.Service() {
 			continue
 		}
-		r := j.spec.Rank()
+		r := j.Spec.Rank()
 		if len(byRank[r]) == 0 {
 			ranks = append(ranks, r)
 		}
@@ -78,8 +78,8 @@
 			jobs = append(jobs, t)
 		}
 		for _, a := range o.arriving {
-			if a.rank == r {
-				arrives += a.rate / fleet.CPUs
+			if a.Rank == r {
+				arrives += a.Rate / fleet.CPUs
 			}
 		}
 		rate := yield * max(leastRate, 1-busy)
@@ -91,7 +91,7 @@
 		}
 		if o.flood[r] {
 			for i, tier := range admission.Tiers(jobs, rate, above) {
-				byRank[r][i].tier = tier
+				byRank[r][i].Tier = tier
 			}
 		}
 		above += sum / yield
@@ -100,7 +100,7 @@
 }
 
 // usualLimit is the mean age at which jobs should be done first.
-func usualLimit(jobs []*job, limits func(*job) []float64) float64 {
+func usualLimit(jobs []*Job, limits func(*Job) []float64) float64 {
 	sum, n := 0.0, 0
 	for _, j := range jobs {
 		if ls := limits(j); len(ls) > 0 {
@@ -112,21 +112,21 @@
 }
 
 // toTriage is what is left of a job, with its work in seconds of the whole fleet.
-func (o *Owner) toTriage(j *job, now time.Time, fleet matching.Shape) admission.Job {
-	part := j.shape.CPUs / fleet.CPUs
+func (o *Scheduler) toTriage(j *Job, now time.Time, fleet matching.Shape) admission.Job {
+	part := j.Resources.CPUs / fleet.CPUs
 	if fleet.GPUs > 0 {
-		part = max(part, j.shape.GPUs/fleet.GPUs)
+		part = max(part, j.Resources.GPUs/fleet.GPUs)
 	}
 	if fleet.MemoryGB > 0 {
-		part = max(part, j.shape.MemoryGB/fleet.MemoryGB)
+		part = max(part, j.Resources.MemoryGB/fleet.MemoryGB)
 	}
-	run := j.runEstimate()
-	tasks := float64(j.spec.Tasks-j.over) - float64(j.running)/2 // what runs is half done
+	run := j.RunEstimate()
+	tasks := float64(j.Spec.Tasks-j.Finished) - float64(j.Running)/2 // what runs is half done
 	t := admission.Job{Work: max(0, tasks) * run * part, Span: run / 2}
-	if len(j.pending) > 0 {
+	if len(j.Pending) > 0 {
 		t.Span = pessimism*run + restartTakes
 	}
-	age := float64(now.UnixMilli()-j.atMs) / 1000
+	age := float64(now.UnixMilli()-j.AcceptedMs) / 1000
 	for _, l := range o.limits(j) {
 		t.Limits = append(t.Limits, l-age)
 	}
--- a/internal/scheduler/unsent_grant_test.go
+++ b/internal/scheduler/unsent_grant_test.go
@@ -25,7 +25,7 @@
 					if v.Asked = v.Name != ref.Machine; !v.Asked {
 						v.Queue = []dispatch.QueueView{{Ref: ref, Unsent: unsent}}
 					}
-					f.owner.Observe(*v)
+					f.owner.ObserveWorker(*v)
 				}
 				time.Sleep(time.Second)
 			}
@@ -34,13 +34,13 @@
 				time.Sleep(time.Second)
 			}
 			ref = f.owner.PlacesOf("j-1")[0]
-			if !f.owner.GrantHere(dispatch.GrantRequest{Ref: ref, Holder: "b", Token: 7, Session: 1}).OK {
+			if !f.owner.GrantLocal(dispatch.GrantRequest{Ref: ref, Holder: "b", Token: 7, Session: 1}).OK {
 				t.Fatal("not granted")
 			}
 			deaf := false
 			for range 9 { // less than the time after which the owner asks for a newer token
 				show()
-				_, silent := f.owner.Silent(2 * time.Second)
+				_, silent := f.owner.UnresponsiveWorkers(2 * time.Second)
 				for i := range silent {
 					deaf = deaf || silent[i].Name == ref.Machine && silent[i].Deaf
 				}
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -15,9 +15,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Known answers for a living or ended job from memory, if this controller
+// LocalState answers for a living or ended job from memory, if this controller
 // surely owns it.
-func (o *Owner) Known(uid string) (wire.JobState, bool) {
+func (o *Scheduler) LocalState(uid string) (wire.JobState, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if f, ok := o.final[uid]; ok {
@@ -30,13 +30,13 @@
 	if !o.sure(j) {
 		return wire.JobState{}, false
 	}
-	return j.state(), true
+	return j.PublicState(), true
 }
 
-// Refined adds what this controller, if it surely owns a job, knows of its tasks to what the
+// RefineState adds what this controller, if it surely owns a job, knows of its tasks to what the
 // store just said of it. The store has a living job as queued: while a cancel's outcome was
 // open, and the store was asked therefore, a running job was called queued.
-func (o *Owner) Refined(stored wire.JobState) wire.JobState {
+func (o *Scheduler) RefineState(stored wire.JobState) wire.JobState {
 	if stored.Stage != wire.StageQueued {
 		return stored
 	}
@@ -46,18 +46,18 @@
 	if j == nil || !o.owns(j) {
 		return stored
 	}
-	return j.state()
+	return j.PublicState()
 }
 
 // owns reports whether the job's shard is surely this controller's, as it was loaded.
-func (o *Owner) owns(j *job) bool {
-	version, ok := o.member.Owns(j.shard)
-	return ok && version == o.loaded[j.shard]
+func (o *Scheduler) owns(j *Job) bool {
+	version, ok := o.member.Owns(j.Shard)
+	return ok && version == o.loaded[j.Shard]
 }
 
 // sure reports whether what is in memory of a living job is not older than what any
 // controller may have told.
-func (o *Owner) sure(j *job) bool {
+func (o *Scheduler) sure(j *Job) bool {
 	// An owner whose lease may have ended could miss a later end.
 	if !o.owns(j) {
 		return false
@@ -66,28 +66,28 @@
 	// others may tell its user already, so only the store is sure. Before that
 	// write the job is alive to everybody: in a storm of tiny jobs, polls for
 	// hundreds whose ends still waited to be written all went to the store.
-	if j.ending || j.cancels.any() {
+	if j.EndWriteSent || j.PendingCancels.Any() {
 		return false
 	}
 	// Its user may have heard of a cancel that was not recorded here.
-	return j.cancelled || o.Cancels == nil || !o.Cancels.Has(j.spec.UID)
+	return j.Cancelled || o.Cancellations == nil || !o.Cancellations.IsCancelled(j.Spec.UID)
 }
 
-func (j *job) state() wire.JobState {
-	s := wire.JobState{UID: j.spec.UID, Stage: wire.StageQueued, Done: j.done, Running: j.running}
+func (j *Job) PublicState() wire.JobState {
+	s := wire.JobState{UID: j.Spec.UID, Stage: wire.StageQueued, Done: j.Done, Running: j.Running}
 	switch {
-	case j.cancelled:
+	case j.Cancelled:
 		s.Stage, s.Running = wire.StageCancelled, 0
-	case j.running > 0:
+	case j.Running > 0:
 		s.Stage = wire.StageRunning
 	}
 	return s
 }
 
-// Stored answers from the store, and says whether the job was ever accepted.
-func Stored(ctx context.Context, store Reader, uid string) (wire.JobState, error) {
+// StoredState answers from the store, and says whether the job was ever accepted.
+func StoredState(ctx context.Context, store Reader, uid string) (wire.JobState, error) {
 	// The living record first: it goes only when the final one is there.
-	r, _, err := readLive(ctx, store, uid)
+	r, _, err := ReadLive(ctx, store, uid)
 	if err == nil {
 		s := wire.JobState{UID: uid, Stage: wire.StageQueued}
 		if r.Cancelled {
@@ -103,7 +103,7 @@
 
 // storedEnd answers from the store for a job that is not living.
 func storedEnd(ctx context.Context, store Reader, uid string) (wire.JobState, error) {
-	f, err := readFinal(ctx, store, uid)
+	f, err := ReadFinal(ctx, store, uid)
 	if err != nil {
 		return wire.JobState{}, err
 	}
@@ -113,14 +113,14 @@
 // Cancel records that a job is cancelled. Only the shard's owner may do so, or
 // anybody while nobody owns it: an owner that answers from memory would go on
 // calling the job running after its user heard that it is cancelled.
-func (o *Owner) Cancel(ctx context.Context, uid string) (wire.JobState, error) {
+func (o *Scheduler) Cancel(ctx context.Context, uid string) (wire.JobState, error) {
 	return o.cancelWhy(ctx, uid, "")
 }
 
 // cancelWhy is Cancel; why, if it is given, is how the job's own terms end it.
-func (o *Owner) cancelWhy(ctx context.Context, uid, why string) (wire.JobState, error) {
+func (o *Scheduler) cancelWhy(ctx context.Context, uid, why string) (wire.JobState, error) {
 	for {
-		r, recorded, err := readLive(ctx, o.store, uid)
+		r, recorded, err := ReadLive(ctx, o.store, uid)
 		if errors.Is(err, statestore.ErrNotFound) {
 			// The living record is not read again: a job that was accepted in the
 			// meantime would have its cancel answered with "queued".
@@ -146,7 +146,7 @@
 		}
 		j := o.jobs[uid]
 		if j != nil {
-			j.cancels.sent(recorded, time.Now())
+			j.PendingCancels.RecordSent(recorded, time.Now())
 		}
 		o.mu.Unlock()
 		r.Cancelled = true
@@ -158,7 +158,7 @@
 		rev, err := o.writeLive(ctx, uid, &r, recorded, version)
 		if j != nil && surelyFailed(err) {
 			o.mu.Lock()
-			j.cancels.failed(recorded)
+			j.PendingCancels.RecordFailed(recorded)
 			o.mu.Unlock()
 		}
 		if o.recordChanged(err, &r) {
@@ -177,20 +177,20 @@
 }
 
 // cancelLocked stops everything of a job whose cancel is recorded.
-func (o *Owner) cancelLocked(j *job) {
-	if j.cancelled {
+func (o *Scheduler) cancelLocked(j *Job) {
+	if j.Cancelled {
 		return
 	}
-	j.cancelled, j.cancels = true, openCancels{}
-	if o.Cancels != nil {
-		o.Cancels.Learn(j.spec.UID)
+	j.Cancelled, j.PendingCancels = true, PendingCancels{}
+	if o.Cancellations != nil {
+		o.Cancellations.RecordCancelled(j.Spec.UID)
 	}
-	if j.ended == wire.StageDone {
-		j.ended = "" // the cancel was recorded first
+	if j.EndStage == wire.StageDone {
+		j.EndStage = "" // the cancel was recorded first
 	}
-	for _, ps := range j.places {
-		for _, p := range append([]*place(nil), ps...) {
-			if p.exited {
+	for _, ps := range j.Placements {
+		for _, p := range append([]*Placement(nil), ps...) {
+			if p.Exited {
 				o.clear(p) // nothing of the job starts again
 			} else {
 				o.halt(p, 0)
@@ -200,9 +200,9 @@
 	o.finish(j)
 }
 
-// Cancelled reads which living jobs are cancelled, whoever owns them.
-func Cancelled(ctx context.Context, store Lister) (uids []string, err error) {
-	items, _, err := store.List(ctx, liveKey)
+// ReadCancelledJobs reads which living jobs are cancelled, whoever owns them.
+func ReadCancelledJobs(ctx context.Context, store Lister) (uids []string, err error) {
+	items, _, err := store.List(ctx, LivePrefix)
 	if err != nil {
 		return nil, fmt.Errorf("read cancels: %w", err)
 	}
@@ -210,7 +210,7 @@
 		if !bytes.Contains(it.Value, []byte(`"cancelled"`)) {
 			continue // most are not, and reading them in full costs
 		}
-		var r liveRecord
+		var r LiveRecord
 		if err := json.Unmarshal(it.Value, &r); err != nil {
 			return nil, fmt.Errorf("read job: %w", err)
 		}
@@ -221,23 +221,23 @@
 	return uids, nil
 }
 
-// Escaped names the machines, with their addresses, on which cancelled tasks still
+// UnstoppedWorkers names the machines, with their addresses, on which cancelled tasks still
 // may be that were told to stop so long ago, as far as this owner remembers: its
 // lease need not hold.
-func (o *Owner) Escaped(after time.Duration) map[string]string {
+func (o *Scheduler) UnstoppedWorkers(after time.Duration) map[string]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := map[string]string{}
 	for _, m := range o.goingOn(after) {
-		if m.view.Endpoint != "" && !m.gone {
-			out[m.name] = m.view.Endpoint
+		if m.View.Endpoint != "" && !m.Gone {
+			out[m.Name] = m.View.Endpoint
 		}
 	}
 	return out
 }
 
-// Status is a living job as alerts see it.
-type Status struct {
+// JobStatus is a living job as alerts see it.
+type JobStatus struct {
 	UID, Class, Team string
 	Age              time.Duration
 	DueS             *float64
@@ -247,34 +247,34 @@
 }
 
 // Statuses returns the living jobs.
-func (o *Owner) Statuses() []Status {
+func (o *Scheduler) Statuses() []JobStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	out := make([]Status, 0, len(o.order))
+	out := make([]JobStatus, 0, len(o.order))
 	for _, j := range o.order {
-		if j.asked != nil && o.waits(j, time.Now()) != "" {
+		if j.Constraints != nil && o.waits(j, time.Now()) != "" {
 			continue // it waits by its own terms
 		}
-		out = append(out, Status{UID: j.spec.UID, Class: j.spec.Class, Team: j.spec.Team, Age: time.Since(j.accepted),
-			DueS: j.spec.DueS, Tasks: j.spec.Tasks, Started: max(j.started, j.done), Done: j.done, Cancelled: j.cancelled})
+		out = append(out, JobStatus{UID: j.Spec.UID, Class: j.Spec.Class, Team: j.Spec.Team, Age: time.Since(j.AcceptedAt),
+			DueS: j.Spec.DueS, Tasks: j.Spec.Tasks, Started: max(j.Started, j.Done), Done: j.Done, Cancelled: j.Cancelled})
 	}
 	return out
 }
 
 // Counters returns the counters for operators.
-func (o *Owner) Counters() Stats {
+func (o *Scheduler) Counters() Stats {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.stats
 }
 
-// Queues returns how much this owner has in hand.
-func (o *Owner) Queues() map[string]int {
+// QueueDepths returns how much this owner has in hand.
+func (o *Scheduler) QueueDepths() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := map[string]int{"jobs": len(o.jobs), "known_machines": len(o.machines), "pending": 0, "unwritten": 0}
 	for _, j := range o.order {
-		q["pending"] += len(j.pending)
+		q["pending"] += len(j.Pending)
 	}
 	for _, l := range o.logs {
 		q["unwritten"] += len(l.queue)
@@ -282,37 +282,37 @@
 	return q
 }
 
-// Recovered returns how often this owner took shards over, the machines on which
+// FailoverProgress returns how often this owner took shards over, the machines on which
 // the records it read last had tasks, and how many of those were not heard since.
-func (o *Owner) Recovered() (takeovers, machines, silent int) {
+func (o *Scheduler) FailoverProgress() (takeovers, machines, silent int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, m := range o.machines {
-		if m.recorded != o.stats.Takeovers || m.recorded == 0 {
+		if m.RecordedFailover != o.stats.Failovers || m.RecordedFailover == 0 {
 			continue
 		}
 		machines++
-		if m.heard.Before(o.loadedAt) && len(m.places) > 0 {
+		if m.LastHeartbeat.Before(o.loadedAt) && len(m.Placements) > 0 {
 			silent++
 		}
 	}
-	return o.stats.Takeovers, machines, silent
+	return o.stats.Failovers, machines, silent
 }
 
 // Machines returns the machines that this owner has heard, by name.
-func (o *Owner) Machines() []wire.MachineInfo {
+func (o *Scheduler) Machines() []wire.MachineInfo {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := make([]wire.MachineInfo, 0, len(o.machines))
 	for _, m := range o.machines {
-		if m.heard.IsZero() {
+		if m.LastHeartbeat.IsZero() {
 			continue
 		}
-		i := wire.MachineInfo{Name: m.name, Type: m.view.Type, Zone: m.view.Zone, Spot: m.view.Spot, CPUs: o.typeOf(m).CPUs,
-			Tasks: len(m.places), HeardS: time.Since(m.heard).Seconds()}
-		for p := range m.places {
-			if p.on() {
-				i.UsedCPUs += p.job.shape.CPUs
+		i := wire.MachineInfo{Name: m.Name, Type: m.View.Type, Zone: m.View.Zone, Spot: m.View.Spot, CPUs: o.typeOf(m).CPUs,
+			Tasks: len(m.Placements), HeardS: time.Since(m.LastHeartbeat).Seconds()}
+		for p := range m.Placements {
+			if p.MayRun() {
+				i.UsedCPUs += p.Job.Resources.CPUs
 			}
 		}
 		out = append(out, i)
@@ -328,8 +328,8 @@
 	Machine string
 }
 
-// Running returns a living job's running tasks.
-func (o *Owner) Running(uid string) []RunningTask {
+// RunningTasks returns a living job's running tasks.
+func (o *Scheduler) RunningTasks(uid string) []RunningTask {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	j := o.jobs[uid]
@@ -337,10 +337,10 @@
 		return nil
 	}
 	var out []RunningTask
-	for _, ps := range j.places {
+	for _, ps := range j.Placements {
 		for _, p := range ps {
-			if !p.running.IsZero() && p.halted.IsZero() && !p.exited {
-				out = append(out, RunningTask{p.ref.Task, p.attempt, p.mach.name})
+			if !p.RunningSince.IsZero() && p.HaltedAt.IsZero() && !p.Exited {
+				out = append(out, RunningTask{p.Ref.Task, p.Attempt, p.Worker.Name})
 			}
 		}
 	}
@@ -348,9 +348,9 @@
 	return out
 }
 
-// Unfinished reports whether a living job of the class is here.
-func (o *Owner) Unfinished(class string) bool {
+// HasUnfinishedJobs reports whether a living job of the class is here.
+func (o *Scheduler) HasUnfinishedJobs(class string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return slices.ContainsFunc(o.order, func(j *job) bool { return j.spec.Class == class && !j.cancelled && j.ended == "" })
+	return slices.ContainsFunc(o.order, func(j *Job) bool { return j.Spec.Class == class && !j.Cancelled && j.EndStage == "" })
 }
--- a/internal/scheduler/write.go
+++ b/internal/scheduler/write.go
@@ -22,7 +22,7 @@
 const writeShare = 0.2
 
 // write records changes, one transaction at a time.
-func (o *Owner) write(ctx context.Context) {
+func (o *Scheduler) write(ctx context.Context) {
 	pause := seconds(1 / max(1, writeShare*o.cfg.Params.State.WriteRPS))
 	for n := 0; ctx.Err() == nil; {
 		sent := time.Now()
@@ -50,40 +50,40 @@
 	}
 }
 
-// batch is a transaction, kept until its outcome is known.
-type batch struct {
-	guards []wire.Guard
-	ops    []wire.Op
-	logs   []logWrite
-	saves  []chunkSave
-	ended  []*job
+// Transaction is a transaction, kept until its outcome is known.
+type Transaction struct {
+	guards     []wire.Guard
+	ops        []wire.Op
+	logs       []logWrite
+	chunkSaves []chunkSave
+	ended      []*Job
 
-	book     *accounting.Book // of page
-	unlogged []change         // of which only the rows were worth writing
-	trash    int
-	rows     []accounting.Row
-	loose    int // rows that came from Owner.loose
-	page     accounting.Write
+	book         *accounting.Book // of page
+	unlogged     []Change         // of which only the rows were worth writing
+	garbageTaken int
+	rows         []accounting.Row
+	looseTaken   int // rows that came from Scheduler.loose
+	page         accounting.Write
 }
 
 type logWrite struct {
 	shard   int
-	log     *shardLog
-	slot    *slot
+	log     *Log
+	slot    *logSlot
 	fresh   bool // the slot is a new key
 	seq     uint64
-	changes []change
-	chunks  map[*chunk]struct{}
+	changes []Change
+	chunks  map[*Chunk]struct{}
 }
 
 type chunkSave struct {
-	c   *chunk
+	c   *Chunk
 	seq uint64
 }
 
 // writeOnce records as much as fits one transaction, or repeats the one whose
 // outcome is open.
-func (o *Owner) writeOnce(ctx context.Context) (more bool, err error) {
+func (o *Scheduler) writeOnce(ctx context.Context) (more bool, err error) {
 	if len(o.member.Claimed()) == 0 {
 		return false, nil
 	}
--- a/internal/slo/alert.go
+++ b/internal/slo/alert.go
@@ -25,7 +25,7 @@
 )
 
 // Jobs gives the living jobs.
-type Jobs interface{ Statuses() []scheduler.Status }
+type Jobs interface{ Statuses() []scheduler.JobStatus }
 
 // Alert is one occurrence.
 type Alert struct {
@@ -47,14 +47,14 @@
 	mu   sync.Mutex
 	open map[occurrence]*Alert
 	past []Alert
-	seen map[string]scheduler.Status
+	seen map[string]scheduler.JobStatus
 	wait *hdrhistogram.Histogram // ms from submission to the last start
 	late *hdrhistogram.Histogram // ms past the deadline at the end
 }
 
 // New returns alerts for the users' aims.
 func New(aims []config.Objective, jobs Jobs, log *slog.Logger) *Alerts {
-	return &Alerts{aims: aims, jobs: jobs, log: log, open: map[occurrence]*Alert{}, seen: map[string]scheduler.Status{},
+	return &Alerts{aims: aims, jobs: jobs, log: log, open: map[occurrence]*Alert{}, seen: map[string]scheduler.JobStatus{},
 		wait: hdrhistogram.New(1, 3_600_000, 2), late: hdrhistogram.New(1, 3_600_000, 2)}
 }
 
@@ -73,7 +73,7 @@
 }
 
 // breached reports whether a job misses an aim now.
-func breached(aim *config.Objective, s *scheduler.Status) bool {
+func breached(aim *config.Objective, s *scheduler.JobStatus) bool {
 	age := s.Age.Seconds()
 	switch {
 	case s.Cancelled || aim.Class != s.Class:
@@ -89,7 +89,7 @@
 }
 
 // describe says how a job misses an aim, to on-call and to pass on.
-func describe(aim *config.Objective, s *scheduler.Status) (page, message string) {
+func describe(aim *config.Objective, s *scheduler.JobStatus) (page, message string) {
 	age := s.Age.Seconds()
 	switch aim.Kind {
 	case "wait":
@@ -114,7 +114,7 @@
 	list := a.jobs.Statuses()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	live := make(map[string]scheduler.Status, len(list))
+	live := make(map[string]scheduler.JobStatus, len(list))
 	standing := map[occurrence]bool{}
 	for k := range list {
 		s := &list[k]
--- a/internal/slo/alert_test.go
+++ b/internal/slo/alert_test.go
@@ -19,13 +19,13 @@
 
 type jobs struct {
 	mu   sync.Mutex
-	list []scheduler.Status
+	list []scheduler.JobStatus
 }
 
-func (j *jobs) Statuses() []scheduler.Status {
+func (j *jobs) Statuses() []scheduler.JobStatus {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return append([]scheduler.Status(nil), j.list...)
+	return append([]scheduler.JobStatus(nil), j.list...)
 }
 
 // A job that waits past its aim is paged once, not at every check, and cleared
@@ -48,13 +48,13 @@
 			}
 			return out
 		}
-		set := func(s ...scheduler.Status) {
+		set := func(s ...scheduler.JobStatus) {
 			j.mu.Lock()
 			defer j.mu.Unlock()
 			j.list = s
 		}
-		waits := scheduler.Status{UID: "j-1", Class: "c", Age: 3 * time.Second, Tasks: 4, Started: 1}
-		gone := scheduler.Status{UID: "j-2", Class: "c", Age: time.Minute, Tasks: 4, Cancelled: true}
+		waits := scheduler.JobStatus{UID: "j-1", Class: "c", Age: 3 * time.Second, Tasks: 4, Started: 1}
+		gone := scheduler.JobStatus{UID: "j-2", Class: "c", Age: time.Minute, Tasks: 4, Cancelled: true}
 		set(waits, gone)
 		first := look().Open
 		if len(first) != 1 || first[0].Job != "j-1" || first[0].Aim != "wait" || first[0].Message == "" || first[0].Page == "" {
--- a/internal/slo/recorded_test.go
+++ b/internal/slo/recorded_test.go
@@ -32,7 +32,7 @@
 		var log strings.Builder
 		due := 20.0
 		j := &jobs{}
-		late := []scheduler.Status{
+		late := []scheduler.JobStatus{
 			{UID: "j-1", Class: "quick", Age: 3 * time.Second, Tasks: 4, Started: 1},
 			{UID: "j-2", Class: "batch", Age: 30 * time.Second, Tasks: 2, Started: 2, Done: 1},
 			{UID: "j-3", Class: "nightly", Age: 45 * time.Second, Tasks: 3, Started: 3, Done: 2, DueS: &due},
@@ -70,7 +70,7 @@
 	})
 }
 
-func (j *jobs) add(s scheduler.Status) {
+func (j *jobs) add(s scheduler.JobStatus) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.list = append(j.list, s)
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -98,7 +98,7 @@
 			rep = s.Serve(ctx, req)
 		}
 		if rep.Status == 0 && verb == verbInfo {
-			i, err := scheduler.StoredInfo(ctx, s.store, req.UID)
+			i, err := scheduler.StoredJobInfo(ctx, s.store, req.UID)
 			if err != nil {
 				s.writeError(w, err)
 				return
--- a/internal/slurmapi/messages.go
+++ b/internal/slurmapi/messages.go
@@ -53,10 +53,10 @@
 	var err error
 	switch r.Verb {
 	case verbList:
-		jobs, next := s.jobs.Listing(r.From, pageRows)
+		jobs, next := s.jobs.ListJobs(r.From, pageRows)
 		return Reply{Status: http.StatusOK, Jobs: jobs, Next: next}
 	case verbInfo:
-		i, ok := s.jobs.InfoHere(r.UID)
+		i, ok := s.jobs.LocalJobInfo(r.UID)
 		if !ok {
 			return Reply{}
 		}
@@ -66,7 +66,7 @@
 	case verbDrop:
 		var tasks jobspec.Ranges
 		if tasks, err = jobspec.ParseRanges(r.Tasks); err == nil {
-			err = s.jobs.Drop(ctx, r.UID, tasks)
+			err = s.jobs.CancelTasks(ctx, r.UID, tasks)
 		}
 	default:
 		return Reply{Status: http.StatusBadRequest, Why: "unknown verb"}
@@ -74,7 +74,7 @@
 	switch {
 	case err == nil:
 		return Reply{Status: http.StatusOK}
-	case errors.Is(err, scheduler.ErrInput):
+	case errors.Is(err, scheduler.ErrInvalidRequest):
 		return Reply{Status: http.StatusUnprocessableEntity, Why: err.Error()}
 	case errors.Is(err, statestore.ErrNotFound):
 		return Reply{Status: http.StatusNotFound, Why: "no such job is waiting or running"}
--- a/internal/slurmapi/response.go
+++ b/internal/slurmapi/response.go
@@ -24,7 +24,7 @@
 	switch {
 	case errors.Is(err, statestore.ErrNotFound):
 		refuse(w, http.StatusNotFound, 0, "no such job")
-	case errors.Is(err, scheduler.ErrInput):
+	case errors.Is(err, scheduler.ErrInvalidRequest):
 		refuse(w, http.StatusUnprocessableEntity, 0, err.Error())
 	default:
 		s.log.Debug("unsure", "err", err)
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -39,10 +39,10 @@
 
 // Jobs is the owner in this process.
 type Jobs interface {
-	Listing(from jobquery.Cursor, most int) ([]jobquery.Info, *jobquery.Cursor)
-	InfoHere(uid string) (jobquery.Info, bool)
+	ListJobs(from jobquery.Cursor, most int) ([]jobquery.Info, *jobquery.Cursor)
+	LocalJobInfo(uid string) (jobquery.Info, bool)
 	Hold(ctx context.Context, uid string, held bool) error
-	Drop(ctx context.Context, uid string, tasks jobspec.Ranges) error
+	CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error
 }
 
 // Peers are the other controllers.
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -54,16 +54,18 @@
 	s.most = max(s.most, len(out))
 	return out, at < len(s.keys) && strings.HasPrefix(s.keys[at], prefix), nil
 }
-func (s *site) Listing(from jobquery.Cursor, most int) ([]jobquery.Info, *jobquery.Cursor) {
+func (s *site) ListJobs(from jobquery.Cursor, most int) ([]jobquery.Info, *jobquery.Cursor) {
 	s.lists++
 	return s.jobs, nil
 }
-func (s *site) InfoHere(string) (jobquery.Info, bool)              { return jobquery.Info{}, false }
-func (s *site) Hold(context.Context, string, bool) error           { return statestore.ErrUnknown }
-func (s *site) Drop(context.Context, string, jobspec.Ranges) error { return scheduler.ErrInput }
-func (s *site) Owns() bool                                         { return s.owns }
-func (s *site) Owners() []string                                   { return nil }
-func (s *site) All() []wire.MachineType                            { return nil }
+func (s *site) LocalJobInfo(string) (jobquery.Info, bool) { return jobquery.Info{}, false }
+func (s *site) Hold(context.Context, string, bool) error  { return statestore.ErrUnknown }
+func (s *site) CancelTasks(context.Context, string, jobspec.Ranges) error {
+	return scheduler.ErrInvalidRequest
+}
+func (s *site) Owns() bool              { return s.owns }
+func (s *site) Owners() []string        { return nil }
+func (s *site) All() []wire.MachineType { return nil }
 func (s *site) Submit(context.Context, submission.Request) submission.Reply {
 	return submission.Reply{}
 }
--- a/internal/submission/gather.go
+++ b/internal/submission/gather.go
@@ -91,7 +91,7 @@
 func (in *Intake) known(uids []string) Reply {
 	rep := Reply{Status: http.StatusOK, States: make([]wire.JobState, len(uids))}
 	for i, uid := range uids {
-		rep.States[i], _ = in.jobs.Known(uid) // without a uid: it can't be told
+		rep.States[i], _ = in.jobs.LocalState(uid) // without a uid: it can't be told
 	}
 	return rep
 }
--- a/internal/submission/intake.go
+++ b/internal/submission/intake.go
@@ -39,9 +39,9 @@
 
 // Jobs is the owner in this process.
 type Jobs interface {
-	Known(uid string) (wire.JobState, bool)
-	Refined(stored wire.JobState) wire.JobState
-	Accepted(job *wire.Job, t *jobspec.Terms, shard int, atMs int64, version uint64)
+	LocalState(uid string) (wire.JobState, bool)
+	RefineState(stored wire.JobState) wire.JobState
+	JobAccepted(job *wire.Job, t *jobspec.Terms, shard int, atMs int64, version uint64)
 	Cancel(ctx context.Context, uid string) (wire.JobState, error)
 }
 
@@ -226,7 +226,7 @@
 		refuse(w, http.StatusNotFound, "no such job")
 		return
 	}
-	if s, ok := in.jobs.Known(req.UID); ok {
+	if s, ok := in.jobs.LocalState(req.UID); ok {
 		in.reply(w, Reply{Status: http.StatusOK, State: s})
 		return
 	}
@@ -322,7 +322,7 @@
 func unsure(err error) Reply { return Reply{Busy: errors.Is(err, statestore.ErrBusy)} }
 
 func (in *Intake) lookup(ctx context.Context, uid string) (wire.JobState, error) {
-	if s, ok := in.jobs.Known(uid); ok {
+	if s, ok := in.jobs.LocalState(uid); ok {
 		return s, nil
 	}
 	return in.stored(ctx, uid)
@@ -330,9 +330,9 @@
 
 // stored answers from the store, and with what the job's owner knows besides if it is here.
 func (in *Intake) stored(ctx context.Context, uid string) (wire.JobState, error) {
-	s, err := scheduler.Stored(ctx, in.store, uid)
+	s, err := scheduler.StoredState(ctx, in.store, uid)
 	if err != nil {
 		return s, err
 	}
-	return in.jobs.Refined(s), nil
+	return in.jobs.RefineState(s), nil
 }
--- a/internal/submission/intake_test.go
+++ b/internal/submission/intake_test.go
@@ -28,13 +28,13 @@
 	up    bool
 }
 
-func (s *stub) Known(string) (wire.JobState, bool)                     { return wire.JobState{}, false }
-func (s *stub) Refined(stored wire.JobState) wire.JobState             { return stored }
-func (s *stub) Accepted(*wire.Job, *jobspec.Terms, int, int64, uint64) {}
-func (s *stub) All() []wire.MachineType                                { return s.types }
-func (s *stub) Owners() []string                                       { return nil }
-func (s *stub) Served() []string                                       { return []string{"b"} }
-func (s *stub) Up() bool                                               { return s.up }
+func (s *stub) LocalState(string) (wire.JobState, bool)                   { return wire.JobState{}, false }
+func (s *stub) RefineState(stored wire.JobState) wire.JobState            { return stored }
+func (s *stub) JobAccepted(*wire.Job, *jobspec.Terms, int, int64, uint64) {}
+func (s *stub) All() []wire.MachineType                                   { return s.types }
+func (s *stub) Owners() []string                                          { return nil }
+func (s *stub) Served() []string                                          { return []string{"b"} }
+func (s *stub) Up() bool                                                  { return s.up }
 func (s *stub) Cancel(context.Context, string) (wire.JobState, error) {
 	return wire.JobState{}, statestore.ErrUnavailable
 }
--- a/internal/submission/submission.go
+++ b/internal/submission/submission.go
@@ -44,7 +44,7 @@
 		}
 		return Reply{Status: status, Reason: reason}
 	}
-	if s, ok := in.jobs.Known(job.UID); ok {
+	if s, ok := in.jobs.LocalState(job.UID); ok {
 		return Reply{Status: http.StatusOK, State: s}
 	}
 	if in.Crowded != nil && in.Crowded() {
@@ -55,9 +55,9 @@
 		usage.Note(usage.RefusedJobs)
 		return Reply{Status: http.StatusServiceUnavailable, Reason: "too much work at once"}
 	}
-	shard := scheduler.HomeOf(job, in.cfg.Params.Teams, in.op)
+	shard := scheduler.AssignShard(job, in.cfg.Params.Teams, in.op)
 	at := time.Now().UnixMilli()
-	guards, ops := scheduler.AcceptTxn(job, asked, shard, at)
+	guards, ops := scheduler.AcceptanceTxn(job, asked, shard, at)
 	for n := 0; ; n++ {
 		tctx, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
 		rev, err := in.store.Txn(tctx, guards, ops...)
@@ -65,7 +65,7 @@
 		var conflict *statestore.Conflict
 		switch {
 		case err == nil:
-			in.jobs.Accepted(job, asked, shard, at, rev)
+			in.jobs.JobAccepted(job, asked, shard, at, rev)
 			return Reply{Status: http.StatusCreated, State: wire.JobState{UID: job.UID, Stage: wire.StageQueued}}
 		case errors.As(err, &conflict):
 			if asked != nil && len(conflict.Keys) == 1 && conflict.Keys[0] == guards[2].Key {
--- a/internal/testkit/cancel_hand_over_test.go
+++ b/internal/testkit/cancel_hand_over_test.go
@@ -57,7 +57,7 @@
 		return stepPending
 	case len(taker.member.Claimed()) == 0:
 		return stepUntold
-	case taker.owner.Counters().Takeovers == h.takeovers:
+	case taker.owner.Counters().Failovers == h.takeovers:
 		return stepLoading
 	}
 	return stepLoaded
@@ -140,7 +140,7 @@
 }
 
 func storedStage(w *cluster, uid string) (string, error) {
-	state, err := scheduler.Stored(context.Background(), &testkit.View{Store: w.store}, uid)
+	state, err := scheduler.StoredState(context.Background(), &testkit.View{Store: w.store}, uid)
 	return state.Stage, err
 }
 
@@ -215,7 +215,7 @@
 			h.cutAll(h.third, h.giver, h.taker)
 			h.begin(0)
 			h.cancelIn(stepUntold, h.third, "j-80")
-			if h.nodes[h.taker].reg.Has("j-80") {
+			if h.nodes[h.taker].reg.IsCancelled("j-80") {
 				h.t.Error("the taker knows of the cancel")
 			}
 			h.live(6)
@@ -322,7 +322,7 @@
 				if n := h.running(); n < 24 {
 					h.t.Fatalf("%d tasks are on", n)
 				}
-				h.takeovers = w.nodes[h.taker].owner.Counters().Takeovers
+				h.takeovers = w.nodes[h.taker].owner.Counters().Failovers
 				s.play(h)
 				if h.refused != s.refused || h.fell-h.refused != s.confirmed {
 					h.t.Errorf("%d cancels fell into the step, %d of them were refused; not %d and %d", h.fell, h.refused, s.confirmed+s.refused, s.refused)
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -31,13 +31,13 @@
 				t.Errorf("%s is not the owner and says %+v", name, s)
 			}
 		}
-		if s, ok := w.nodes[chief].owner.Known("j-1"); !ok || s.Stage != wire.StageQueued {
+		if s, ok := w.nodes[chief].owner.LocalState("j-1"); !ok || s.Stage != wire.StageQueued {
 			t.Errorf("the owner says %+v, %v", s, ok)
 		}
 		if s, err := w.nodes[chief].owner.Cancel(context.Background(), "j-1"); err != nil || s.Stage != wire.StageCancelled {
 			t.Errorf("the owner says %+v, %v", s, err)
 		}
-		if s, ok := w.nodes[chief].owner.Known("j-1"); ok && s.Stage != wire.StageCancelled {
+		if s, ok := w.nodes[chief].owner.LocalState("j-1"); ok && s.Stage != wire.StageCancelled {
 			t.Errorf("after the cancel the owner says %+v", s)
 		}
 		for _, n := range []string{"a", "b", "c"} {
--- a/internal/testkit/close_questions_test.go
+++ b/internal/testkit/close_questions_test.go
@@ -134,7 +134,7 @@
 	if owning == nil {
 		return
 	}
-	known, sure := owning.owner.Known(job)
+	known, sure := owning.owner.LocalState(job)
 	ended := u.store.Text("final/"+job) != ""
 	switch {
 	case ended && !(sure && (known.Stage == wire.StageDone || known.Stage == wire.StageCancelled)):
@@ -142,7 +142,7 @@
 	case !ended && !sure && u.store.Text("live/"+job) != "":
 		u.unloaded.Add(1)
 	}
-	if !ended && !n.reg.Has(job) && strings.Contains(u.store.Text("live/"+job), `"cancelled":true`) {
+	if !ended && !n.reg.IsCancelled(job) && strings.Contains(u.store.Text("live/"+job), `"cancelled":true`) {
 		u.cancelled.Add(1)
 	}
 }
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -120,7 +120,7 @@
 	name     string
 	view     *testkit.View
 	member   *membership.Member
-	owner    *scheduler.Owner
+	owner    *scheduler.Scheduler
 	holder   *dispatch.Holder
 	stop     context.CancelFunc
 	done     chan struct{}
@@ -180,18 +180,18 @@
 	cfg := *w.cfg
 	cfg.Node = name
 	n.owner = scheduler.New(&cfg, op, n.view, n.member, n, w.size, log)
-	n.owner.KeepSlots = 4 // so that records are written over, and chunks saved
-	n.owner.Accounts, n.owner.Others = w.accounts, n
+	n.owner.LogSlots = 4 // so that records are written over, and chunks saved
+	n.owner.AccountingEnabled, n.owner.RemoteJobs = w.accounts, n
 	n.holder = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
 	n.started, n.published, n.pictures = time.Now(), viewsync.NewPublisher(name, n.holder), viewsync.NewReceiver(n.owner, w.others(name))
 	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.Held)
 	n.reg.Fresh = func(uids []string) { n.knows.learn(uids); go n.holder.Recall() }
-	n.owner.Cancels, n.holder.Cancels = n.reg, n.reg
+	n.owner.Cancellations, n.holder.Cancels = n.reg, n.reg
 	n.intake = submission.New(&cfg, op, n.view, n.owner, w.size, n, log)
 	n.intake.Cancels = n.reg
 	n.mux = http.NewServeMux()
 	n.intake.Register(n.mux)
-	n.member.OnChange(n.owner.Changed)
+	n.member.OnChange(n.owner.OwnershipChanged)
 	n.member.OnLink(n.reach.stored)
 	var wg sync.WaitGroup
 	runs := []func(context.Context) error{n.member.Run, n.owner.Run}
@@ -354,7 +354,7 @@
 	w.mu.Lock()
 	w.specs[job.UID] = job
 	w.mu.Unlock()
-	guards, ops := scheduler.AcceptTxn(job, t, scheduler.HomeOf(job, w.cfg.Params.Teams, w.operator()), time.Now().UnixMilli())
+	guards, ops := scheduler.AcceptanceTxn(job, t, scheduler.AssignShard(job, w.cfg.Params.Teams, w.operator()), time.Now().UnixMilli())
 	clean := &testkit.View{Store: w.store}
 	if _, err := clean.Txn(context.Background(), guards, ops...); err != nil {
 		w.t.Fatal(err)
@@ -454,7 +454,7 @@
 				}
 				clean := &testkit.View{Store: w.store}
 				for i := range jobs {
-					s, err := scheduler.Stored(context.Background(), clean, fmt.Sprintf("j-%d", i))
+					s, err := scheduler.StoredState(context.Background(), clean, fmt.Sprintf("j-%d", i))
 					if err != nil || s.Stage != wire.StageDone || s.Done != 4+3*i {
 						t.Errorf("job %d: %+v, %v", i, s, err)
 					}
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -211,7 +211,7 @@
 				}
 				clean := &testkit.View{Store: w.store}
 				for i, uid := range jobs {
-					s, err := scheduler.Stored(context.Background(), clean, uid)
+					s, err := scheduler.StoredState(context.Background(), clean, uid)
 					if w.cancels[uid].IsZero() && s.Stage == wire.StageCancelled && i >= 4 || err != nil {
 						t.Errorf("%s: %+v, %v", uid, s, err)
 					}
--- a/internal/testkit/cuts_test.go
+++ b/internal/testkit/cuts_test.go
@@ -141,7 +141,7 @@
 
 // poll asks a controller for a job as its users' interface does.
 func (w *cluster) poll(n *node, uid string) (wire.JobState, bool) {
-	if s, ok := n.owner.Known(uid); ok {
+	if s, ok := n.owner.LocalState(uid); ok {
 		return s, true
 	}
 	for _, o := range n.member.Owners() {
@@ -150,12 +150,12 @@
 		ok := w.reach(n, to)
 		w.mu.Unlock()
 		if ok && to != n {
-			if s, known := to.owner.Known(uid); known {
+			if s, known := to.owner.LocalState(uid); known {
 				return s, true
 			}
 		}
 	}
-	s, err := scheduler.Stored(context.Background(), n.view, uid)
+	s, err := scheduler.StoredState(context.Background(), n.view, uid)
 	return s, err == nil
 }
 
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -329,7 +329,7 @@
 	before := []int{}
 	for _, name := range s.names {
 		n := s.nodes[name]
-		queues := n.owner.Queues()
+		queues := n.owner.QueueDepths()
 		if queues["jobs"]+queues["unwritten"]+queues["pending"] > 0 {
 			s.t.Errorf("%s keeps %v", name, queues)
 		}
--- a/internal/testkit/late_watch_test.go
+++ b/internal/testkit/late_watch_test.go
@@ -57,7 +57,7 @@
 				} else if err := w.nodes[first].member.HandOver(context.Background(), second); err != nil {
 					t.Fatal(err)
 				}
-				if !w.within(8, func() bool { return w.leader() == second && w.nodes[second].owner.Counters().Takeovers > 0 }) || time.Since(accepted) > lag {
+				if !w.within(8, func() bool { return w.leader() == second && w.nodes[second].owner.Counters().Failovers > 0 }) || time.Since(accepted) > lag {
 					t.Fatalf("the successor did not act before its watch told of the acceptance, %v ago", time.Since(accepted))
 				}
 				for time.Since(accepted) < 2*lag+5*time.Second {
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -83,7 +83,7 @@
 		if s, err := w.nodes[at].owner.Cancel(ctx, "j-80"); err == nil {
 			t.Errorf("%+v without an answer", s)
 		}
-		if s, ok := w.nodes[at].owner.Known("j-80"); ok {
+		if s, ok := w.nodes[at].owner.LocalState("j-80"); ok {
 			t.Errorf("the owner is sure of %+v at once", s)
 		}
 		if stage, ok := w.user(at, http.MethodGet, "j-80"); !ok || stage != wire.StageRunning {
@@ -118,7 +118,7 @@
 			t.Error("the job did not end")
 		}
 		w.live(10)
-		if s, err := scheduler.Stored(context.Background(), &testkit.View{Store: w.store}, "j-7"); err != nil || s.Stage != wire.StageCancelled {
+		if s, err := scheduler.StoredState(context.Background(), &testkit.View{Store: w.store}, "j-7"); err != nil || s.Stage != wire.StageCancelled {
 			t.Errorf("recorded in the end: %+v, %v", s, err)
 		}
 	}},
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -190,7 +190,7 @@
 // for how long they left a machine unanswered.
 func (n *node) attest(ctx context.Context) {
 	w := n.w
-	_, silent := n.owner.Silent(workerLease)
+	_, silent := n.owner.UnresponsiveWorkers(workerLease)
 	for i := range silent {
 		name, all := silent[i].Name, true
 		a := dispatch.NewAttestation(time.Now(), []float64{n.holder.Unanswered(name).Seconds()})
@@ -210,7 +210,7 @@
 			all = all && err == nil && a.Add([]float64{unanswered.Seconds()})
 		}
 		if all && a.LeaseOver(0, time.Now(), attestLease.Seconds()) {
-			n.owner.Vouched(name, a.Asked())
+			n.owner.LeaseAttestedExpired(name, a.Asked())
 		}
 	}
 }
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -119,7 +119,7 @@
 			t.Error("the job did not end")
 		}
 		w.live(4)
-		if q := w.nodes[at].owner.Queues(); q["jobs"] != 1 { // the long one
+		if q := w.nodes[at].owner.QueueDepths(); q["jobs"] != 1 { // the long one
 			t.Errorf("the owner has %d jobs", q["jobs"])
 		}
 	}},
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -16,10 +16,10 @@
 	if seen := n.linksSeen(); v.Asked && seen.Spreading() {
 		v.Holder = n.Foreman(v.Name)
 	}
-	n.owner.Observe(v)
+	n.owner.ObserveWorker(v)
 }
 
-func (n *node) GrantHere(r dispatch.GrantRequest) dispatch.GrantReply { return n.owner.GrantHere(r) }
+func (n *node) GrantHere(r dispatch.GrantRequest) dispatch.GrantReply { return n.owner.GrantLocal(r) }
 func (n *node) GrantThere(ctx context.Context, at string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
 	return overPeerLink(ctx, n.w, func() ([]dispatch.GrantReply, error) {
 		to, err := n.peer(at)
@@ -30,7 +30,7 @@
 	})
 }
 
-func (n *node) Direct(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error) {
+func (n *node) SendInstructions(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error) {
 	if n.w.directed != nil {
 		n.w.directed(d)
 	}
@@ -147,10 +147,10 @@
 	})
 }
 
-// Facts reads how a job that the owner does not know ended.
-func (n *node) Facts(ctx context.Context, uid string) (jobspec.Facts, error) {
+// JobFacts reads how a job that the owner does not know ended.
+func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.Facts, error) {
 	return scheduler.StoredFacts(ctx, n.view, uid)
 }
 
-// Earlier says that no owner elsewhere has such a job: there is one owner.
-func (n *node) Earlier(context.Context, string, string, uint64) (bool, error) { return false, nil }
+// HasEarlier says that no owner elsewhere has such a job: there is one owner.
+func (n *node) HasEarlier(context.Context, string, string, uint64) (bool, error) { return false, nil }
--- a/internal/testkit/old_reports_test.go
+++ b/internal/testkit/old_reports_test.go
@@ -132,7 +132,7 @@
 				if next == "" {
 					t.Fatal("no new leader")
 				}
-				if took, _, _ := w.nodes[next].owner.Recovered(); took == 0 {
+				if took, _, _ := w.nodes[next].owner.FailoverProgress(); took == 0 {
 					t.Fatal("the new leader has not read the records")
 				}
 				if w.deliver(append([]*wire.Report{held}, copies...), w.names...) == 0 {
@@ -159,7 +159,7 @@
 // next returns the controller that has read the records since, or nil.
 func (w *cluster) next(before map[string]scheduler.Stats) *node {
 	for _, name := range w.names {
-		if n := w.nodes[name]; !n.down && len(n.member.Own()) > 0 && n.owner.Counters().Takeovers > before[name].Takeovers {
+		if n := w.nodes[name]; !n.down && len(n.member.Own()) > 0 && n.owner.Counters().Failovers > before[name].Failovers {
 			return n
 		}
 	}
@@ -178,7 +178,7 @@
 	if n == nil {
 		return 0, 0
 	}
-	_, recorded, unheard = n.owner.Recovered()
+	_, recorded, unheard = n.owner.FailoverProgress()
 	return recorded, unheard
 }
 
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -197,7 +197,7 @@
 // controller heard a moment ago must not be among them.
 func (w *cluster) judge(n *node, v *reachability.View) {
 	r := &n.reach
-	known, silent := n.owner.Silent(r.silence.From())
+	known, silent := n.owner.UnresponsiveWorkers(r.silence.From())
 	r.silenceMu.Lock()
 	verdict := r.silence.Judge(time.Now(), v, reachability.Ears{}, known, silent)
 	r.silenceMu.Unlock()
@@ -205,7 +205,7 @@
 		n.onDuty("silence of "+name, func(ctx context.Context) {
 			heard := n.lives(ctx, m)
 			if heard && m.Deaf {
-				n.owner.Answered(name)
+				n.owner.WorkerAnswered(name)
 			}
 			r.silenceMu.Lock()
 			defer r.silenceMu.Unlock()
@@ -237,7 +237,7 @@
 		for _, x := range w.nodes {
 			if !x.down {
 				x.holder.Gone(name)
-				x.owner.Gone(name)
+				x.owner.WorkerGone(name)
 			}
 		}
 	}
--- a/internal/testkit/rented_cluster_test.go
+++ b/internal/testkit/rented_cluster_test.go
@@ -167,17 +167,17 @@
 	f := autoscaler.New(c.cfg, op, cloud, catalog, n.view, n.member, fleetOwner{c, n.owner}, n.holder, log)
 	return []func(context.Context) error{
 		f.Run,
-		func(ctx context.Context) error { return catalog.Run(ctx, n.owner.Leads) },
+		func(ctx context.Context) error { return catalog.Run(ctx, n.owner.LeadsAutoscaling) },
 	}
 }
 
 // fleetOwner is the owner as the fleet sees it. No machine of these tests is lost.
 type fleetOwner struct {
 	c *rentedCluster
-	*scheduler.Owner
+	*scheduler.Scheduler
 }
 
-func (o fleetOwner) Ready() bool { return o.Leads() }
+func (o fleetOwner) Ready() bool { return o.LeadsAutoscaling() }
 
 func (o fleetOwner) Suspects() map[string]string { return map[string]string{} }
 
@@ -190,7 +190,7 @@
 	o.c.mu.Unlock()
 	for _, n := range nodes {
 		n.holder.Gone(name)
-		n.owner.Gone(name)
+		n.owner.WorkerGone(name)
 	}
 }
 
@@ -346,7 +346,7 @@
 func (c *rentedCluster) order(uid string, tasks int) {
 	job := &wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
 		CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 6}
-	guards, ops := scheduler.AcceptTxn(job, nil, scheduler.ShardOf(job, nil, 4), time.Now().UnixMilli())
+	guards, ops := scheduler.AcceptanceTxn(job, nil, scheduler.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: c.store}).Txn(context.Background(), guards, ops...); err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -85,7 +85,7 @@
 		}
 		if n.reg.Wanting(unheard) {
 			sent := time.Now()
-			if uids, err := scheduler.Cancelled(context.Background(), n.view); err == nil {
+			if uids, err := scheduler.ReadCancelledJobs(context.Background(), n.view); err == nil {
 				n.reg.Read(sent, uids)
 			}
 		}
@@ -95,7 +95,7 @@
 				w.lapses++
 			}
 		}
-		if on := n.owner.Escaped(3 * time.Second); len(on) > 0 && n.Entitled() {
+		if on := n.owner.UnstoppedWorkers(3 * time.Second); len(on) > 0 && n.Entitled() {
 			n.onDuty("cancels", func(ctx context.Context) { n.holder.Chase(ctx, on) })
 		}
 	}
--- a/internal/testkit/terms_test.go
+++ b/internal/testkit/terms_test.go
@@ -137,7 +137,7 @@
 			// Until an owner has taken it for sure.
 			for _, n := range w.nodes {
 				tasks, _ := jobspec.ParseRanges("2-4")
-				if !n.down && n.owner.Drop(context.Background(), "j-drop", tasks) == nil {
+				if !n.down && n.owner.CancelTasks(context.Background(), "j-drop", tasks) == nil {
 					dropped = true
 					break
 				}
@@ -156,7 +156,7 @@
 		}
 	}
 	for _, j := range jobs {
-		i, err := scheduler.StoredInfo(context.Background(), &testkit.View{Store: w.store}, j.uid)
+		i, err := scheduler.StoredJobInfo(context.Background(), &testkit.View{Store: w.store}, j.uid)
 		if err != nil || i.Ending == nil || i.Ending.State != j.state || i.Ending.Number != j.t.Number {
 			t.Errorf("%s: %+v, %v", j.uid, i.Ending, err)
 		}
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -18,7 +18,7 @@
 func (n *node) askExpiring(ctx context.Context) {
 	const timesASecond = 4
 	for range timesASecond {
-		if ask := n.owner.Expiring(); len(ask) > 0 && n.Entitled() {
+		if ask := n.owner.HandleExpiringLeases(); len(ask) > 0 && n.Entitled() {
 			n.holder.Chase(ctx, ask)
 		}
 	}
@@ -159,7 +159,7 @@
 
 // accept records a job as accepted.
 func (w *cluster) accept(job *wire.Job) {
-	guards, ops := scheduler.AcceptTxn(job, nil, scheduler.ShardOf(job, nil, 4), time.Now().UnixMilli())
+	guards, ops := scheduler.AcceptanceTxn(job, nil, scheduler.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: w.store}).Txn(context.Background(), guards, ops...); err != nil {
 		w.t.Fatal(err)
 	}
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -33,7 +33,7 @@
 func (z *zonedCluster) submitZoned(job *wire.Job) {
 	job.Class, job.Team, job.Priority, job.CPUs, job.MemoryGB = "c", "t", "normal", 1, 1
 	job.Image, job.ImageGB, job.Estimate, job.Spot, job.Kind = "i", 0.1, 4, true, wire.KindArray
-	guards, ops := scheduler.AcceptTxn(job, nil, scheduler.ShardOf(job, nil, 4), time.Now().UnixMilli())
+	guards, ops := scheduler.AcceptanceTxn(job, nil, scheduler.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: z.store}).Txn(context.Background(), guards, ops...); err != nil {
 		z.t.Fatal(err)
 	}
--- a/internal/viewsync/receiver.go
+++ b/internal/viewsync/receiver.go
@@ -15,10 +15,10 @@
 
 // Sink is the owner that observes views.
 type Sink interface {
-	// Tenure is 0 while the owner acts on no views, and another number each time that
+	// OwnershipEpoch is 0 while the owner acts on no views, and another number each time that
 	// it begins to.
-	Tenure() uint64
-	Observe(dispatch.View)
+	OwnershipEpoch() uint64
+	ObserveWorker(dispatch.View)
 }
 
 // Receiver keeps a picture of each holder's machines for an owner.
@@ -44,7 +44,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	tenure := r.sink.Tenure()
+	tenure := r.sink.OwnershipEpoch()
 	if tenure != r.tenure {
 		// What an owner was told before it had its jobs, it did not act on.
 		r.tenure = tenure
@@ -60,7 +60,7 @@
 	}
 	changed, reply, err := d.Take(m)
 	for _, v := range changed {
-		r.sink.Observe(v)
+		r.sink.ObserveWorker(v)
 	}
 	return reply, err
 }
--- a/internal/viewsync/receiver_test.go
+++ b/internal/viewsync/receiver_test.go
@@ -13,9 +13,9 @@
 	observed []string
 }
 
-func (o *tenant) Tenure() uint64 { return o.tenure }
+func (o *tenant) OwnershipEpoch() uint64 { return o.tenure }
 
-func (o *tenant) Observe(v dispatch.View) {
+func (o *tenant) ObserveWorker(v dispatch.View) {
 	if o.tenure > 0 {
 		o.observed = append(o.observed, v.Holder+"/"+v.Name)
 	}
