--- a/cmd/wallrack/cancels.go
+++ b/cmd/wallrack/cancels.go
@@ -22,7 +22,7 @@
 // recall stops the tasks of jobs that were just found to be cancelled.
 func (n *node) recall(uids []string) {
 	// The caller may hold the owner's lock, which the holder takes too.
-	go n.holder.Recall()
+	go n.holder.HaltCancelledTasks()
 	n.log.Debug("cancelled", "jobs", uids)
 }
 
@@ -81,17 +81,17 @@
 	answers := false
 	for {
 		peers := n.cancels.Unheard(unheardFor)
-		if now := n.Entitled(); now != answers {
+		if now := n.MayAnswerWorkers(); now != answers {
 			answers = now
 			n.log.Info("workers are answered", "is", now, "cancels_known_s_ago", time.Since(n.cancels.Known()).Seconds(), "unheard", peers)
 		}
 		for _, p := range peers {
 			go n.exchangeCancels(ctx, p)
 		}
-		if time.Since(chased) >= chaseEvery && n.Entitled() {
+		if time.Since(chased) >= chaseEvery && n.MayAnswerWorkers() {
 			chased = time.Now()
 			if on := n.owner.UnstoppedWorkers(chaseAfter); len(on) > 0 {
-				go n.holder.Chase(ctx, on)
+				go n.holder.ChaseCancelledTasks(ctx, on)
 			}
 		}
 		select {
--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -82,12 +82,12 @@
 	n.owner = scheduler.New(p, op, store, member, n, catalog, log)
 	inbound := &door{}
 	budget := sockets.Budget{Limit: p.Params.Limits.Sockets, Peers: len(p.Peers), Accepted: inbound.count}
-	orders := dispatch.NewHTTPOrderer(budget)
+	orders := dispatch.NewHTTPCommandSender(budget)
 	inbound.share(budget, orders)
 	n.holder = dispatch.New(ctx, p.Node, config.Seconds(p.Params.Workers.LeaseS), n, member, catalog, n, orders, log)
 	n.published, n.pictures = viewsync.NewPublisher(p.Node, n.holder), viewsync.NewReceiver(n.owner, slices.Collect(maps.Keys(addrs)))
 	n.intake = submission.New(p, op, store, n.owner, catalog, n, log)
-	n.owner.Cancellations, n.holder.Cancels, n.intake.Cancels = n.cancels, n.cancels, n.cancels
+	n.owner.Cancellations, n.holder.Cancellations, n.intake.Cancels = n.cancels, n.cancels, n.cancels
 	boxes := autoscaler.New(p, op, cloud, catalog, store, member, &allOwners{n: n, ctx: ctx}, n.holder, log)
 	alerts := slo.New(p.Params.Objectives, n.owner, log)
 	lis, err := mesh.Listen(ctx, p.Listen)
--- a/cmd/wallrack/demand.go
+++ b/cmd/wallrack/demand.go
@@ -63,7 +63,7 @@
 	})
 	mesh.Handle(n.mesh, methodGone, func(_ context.Context, m *goneMessage) (*nothing, error) {
 		for _, name := range m.Machines {
-			n.holder.Gone(name)
+			n.holder.RemoveWorker(name)
 			n.owner.WorkerGone(name)
 		}
 		return &nothing{}, nil
--- a/cmd/wallrack/leases.go
+++ b/cmd/wallrack/leases.go
@@ -20,11 +20,11 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if !n.Entitled() {
+		if !n.MayAnswerWorkers() {
 			continue
 		}
 		if ask := n.owner.HandleExpiringLeases(); len(ask) > 0 {
-			n.holder.Chase(ctx, ask)
+			n.holder.ChaseCancelledTasks(ctx, ask)
 		}
 	}
 }
--- a/cmd/wallrack/link_messages.go
+++ b/cmd/wallrack/link_messages.go
@@ -54,7 +54,7 @@
 		return mesh.Call[json.RawMessage, json.RawMessage](ctx, n.mesh, m.To, m.Method, &m.Body)
 	})
 	mesh.Handle(n.mesh, methodSeen, func(ctx context.Context, m *seenMessage) (*seenReply, error) {
-		return &seenReply{!m.Deaf && n.holder.Seen(m.Machine).Seconds() < n.op.SilentS || m.Endpoint != "" && n.holder.Ask(ctx, m.Machine, m.Endpoint)}, nil
+		return &seenReply{!m.Deaf && n.holder.SinceHeartbeat(m.Machine).Seconds() < n.op.SilentS || m.Endpoint != "" && n.holder.FetchReport(ctx, m.Machine, m.Endpoint)}, nil
 	})
 	mesh.Handle(n.mesh, methodStore, func(ctx context.Context, m *statestore.Passed) (*statestore.Answered, error) {
 		return n.store.Pass(ctx, *m)
--- a/cmd/wallrack/link_report.go
+++ b/cmd/wallrack/link_report.go
@@ -51,7 +51,7 @@
 // serveLinks shows operators this controller's view of the links.
 func (n *node) serveLinks(w http.ResponseWriter, _ *http.Request) {
 	shown := n.links.now().Show(n.store.Relayed())
-	shown.Cancelled, shown.Answers = n.cancels.Jobs(), n.Entitled()
+	shown.Cancelled, shown.Answers = n.cancels.Jobs(), n.MayAnswerWorkers()
 	if known := n.cancels.Known(); !known.IsZero() {
 		shown.CancelsAgeS = time.Since(known).Seconds()
 	}
--- a/cmd/wallrack/links.go
+++ b/cmd/wallrack/links.go
@@ -160,7 +160,7 @@
 	open, most := s.connections()
 	v := s.now()
 	reportS := n.cfg.Params.Workers.ReportS
-	here := n.holder.Reporting(config.Seconds(reportsMissed * reportS))
+	here := n.holder.CountReporting(config.Seconds(reportsMissed * reportS))
 	room := 0 // without a limit, or a share, all fit
 	if most < math.MaxInt32 {
 		room = int(n.op.WorkerShare * float64(most))
--- a/cmd/wallrack/listen.go
+++ b/cmd/wallrack/listen.go
@@ -25,7 +25,7 @@
 
 // share bounds the connections by the budget, and closes idle ones for orders when those
 // that are accepted need their sockets.
-func (d *door) share(budget sockets.Budget, orders *dispatch.HTTPOrderer) {
+func (d *door) share(budget sockets.Budget, orders *dispatch.HTTPCommandSender) {
 	d.most, d.admitted = int64(budget.MaxAccepted()), orders.Trim
 }
 
--- a/cmd/wallrack/listen_test.go
+++ b/cmd/wallrack/listen_test.go
@@ -86,14 +86,14 @@
 	defer lis.Close()
 	d := &door{Listener: lis}
 	budget := sockets.Budget{Limit: 200, Peers: 2, Accepted: d.count}
-	orders := dispatch.NewHTTPOrderer(budget)
+	orders := dispatch.NewHTTPCommandSender(budget)
 	d.share(budget, orders)
 	own := budget.Limit - budget.MaxAccepted() - budget.OrdersAtOnce()
 
 	for range 3 * budget.OrdersAtOnce() {
 		worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusConflict) }))
 		defer worker.Close()
-		_, _, _ = orders.Order(context.Background(), worker.Listener.Addr().String(), wire.Orders{Token: 1}, func() error { return nil }) // its answer is of no weight
+		_, _, _ = orders.SendCommands(context.Background(), worker.Listener.Addr().String(), wire.Orders{Token: 1}, func() error { return nil }) // its answer is of no weight
 	}
 	if n := orders.Connections(); n != 3*budget.OrdersAtOnce() {
 		t.Fatalf("%d connections for orders before anybody came", n)
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -59,7 +59,7 @@
 	mesh   *mesh.Mesh
 	log    *slog.Logger
 	owner  *scheduler.Scheduler
-	holder *dispatch.Holder
+	holder *dispatch.Dispatcher
 	intake *submission.Intake
 	times  *failovertiming.Timeline
 
@@ -77,8 +77,8 @@
 	n.handleLinks()
 	n.handleCancels()
 	n.handleViews()
-	mesh.Handle(n.mesh, methodDirect, func(_ context.Context, d *dispatch.Direction) (*dispatch.Unlaunched, error) {
-		un := n.holder.Direct(*d)
+	mesh.Handle(n.mesh, methodDirect, func(_ context.Context, d *dispatch.Instructions) (*dispatch.Unlaunched, error) {
+		un := n.holder.ApplyInstructions(*d)
 		return &un, nil
 	})
 	mesh.Handle(n.mesh, methodGrants, func(_ context.Context, requests *[]dispatch.GrantRequest) (*[]dispatch.GrantReply, error) {
@@ -97,7 +97,7 @@
 func (n *node) unanswered(m *vouchMessage) *vouchReply {
 	rep := &vouchReply{}
 	for _, name := range m.Machines {
-		rep.Unanswered = append(rep.Unanswered, n.holder.Unanswered(name).Seconds())
+		rep.Unanswered = append(rep.Unanswered, n.holder.UnansweredFor(name).Seconds())
 	}
 	return rep
 }
@@ -135,20 +135,20 @@
 	}
 }
 
-// Observe hands a view to the owner in this process; peers get theirs by
+// ObserveWorker hands a view to the owner in this process; peers get theirs by
 // publish.
-func (n *node) Observe(v dispatch.View) {
+func (n *node) ObserveWorker(v dispatch.WorkerView) {
 	n.times.Mark(failovertiming.Heard)
 	if v.Asked && n.links.spreading.Load() {
 		// The worker reports to its own holder, which is to command it: two that took
 		// turns would each have to raise its term above the other's.
-		v.Holder = n.Foreman(v.Name)
+		v.Holder = n.LeaderFor(v.Name)
 	}
 	n.owner.ObserveWorker(v)
 }
 
-// GrantHere asks the owner in this process.
-func (n *node) GrantHere(r dispatch.GrantRequest) dispatch.GrantReply {
+// GrantLocal asks the owner in this process.
+func (n *node) GrantLocal(r dispatch.GrantRequest) dispatch.GrantReply {
 	rep := n.owner.GrantLocal(r)
 	if rep.OK {
 		n.times.Mark(failovertiming.Granted)
@@ -157,8 +157,8 @@
 	return rep
 }
 
-// GrantThere asks an owner elsewhere.
-func (n *node) GrantThere(ctx context.Context, at string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
+// GrantRemote asks an owner elsewhere.
+func (n *node) GrantRemote(ctx context.Context, at string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
 	replies, err := call[[]dispatch.GrantRequest, []dispatch.GrantReply](ctx, n, at, methodGrants, &requests)
 	if err != nil {
 		return nil, err
@@ -167,11 +167,11 @@
 }
 
 // SendInstructions carries an owner's directions to a holder.
-func (n *node) SendInstructions(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error) {
+func (n *node) SendInstructions(ctx context.Context, holder string, d dispatch.Instructions) (dispatch.Unlaunched, error) {
 	if holder == n.cfg.Node {
-		return n.holder.Direct(d), nil
+		return n.holder.ApplyInstructions(d), nil
 	}
-	rep, err := call[dispatch.Direction, dispatch.Unlaunched](ctx, n, holder, methodDirect, &d)
+	rep, err := call[dispatch.Instructions, dispatch.Unlaunched](ctx, n, holder, methodDirect, &d)
 	if err != nil {
 		return dispatch.Unlaunched{}, err
 	}
@@ -197,7 +197,7 @@
 				asked[name], fresh[name] = true, endpoint
 			}
 		}
-		n.holder.Probe(ctx, fresh, config.Seconds(n.cfg.Params.Workers.ReportS))
+		n.holder.PollReports(ctx, fresh, config.Seconds(n.cfg.Params.Workers.ReportS))
 		select {
 		case <-ctx.Done():
 		case <-time.After(meetEvery):
@@ -239,7 +239,7 @@
 		}
 		now := time.Now()
 		for i, name := range m.Machines {
-			if all && a.LeaseOver(i, now, lease) {
+			if all && a.LeaseExpired(i, now, lease) {
 				n.log.Info("all controllers vouch that the machine's lease ended", "machine", name)
 				n.owner.LeaseAttestedExpired(name, a.Asked())
 			}
--- a/cmd/wallrack/publish.go
+++ b/cmd/wallrack/publish.go
@@ -51,7 +51,7 @@
 		owns := n.member.Held() > 0 && len(n.member.Own()) > 0
 		if owns && !owned {
 			// New here as an owner: what was heard before counts too.
-			for _, v := range n.holder.Views() {
+			for _, v := range n.holder.WorkerViews() {
 				n.owner.ObserveWorker(v)
 			}
 			go n.meet(ctx)
--- a/cmd/wallrack/roles.go
+++ b/cmd/wallrack/roles.go
@@ -19,17 +19,17 @@
 	return ""
 }
 
-// Foreman names the controller that should hold a worker.
-func (n *node) Foreman(worker string) string { return n.links.now().ForemanOf(worker) }
+// LeaderFor names the controller that should hold a worker.
+func (n *node) LeaderFor(worker string) string { return n.links.now().ForemanOf(worker) }
 
-// Entitled reports whether this controller may answer workers: it knows of all
+// MayAnswerWorkers reports whether this controller may answer workers: it knows of all
 // cancels that were confirmed up to a moment ago, by whomever.
-func (n *node) Entitled() bool {
+func (n *node) MayAnswerWorkers() bool {
 	return n.member.Term() != 0 && time.Since(n.cancels.Known()) < n.grace()
 }
 
-// Alone reports whether this controller can start nothing and knows of nobody who can.
-func (n *node) Alone() bool { return n.links.now().Alone() && len(n.member.Own()) == 0 }
+// Isolated reports whether this controller can start nothing and knows of nobody who can.
+func (n *node) Isolated() bool { return n.links.now().Alone() && len(n.member.Own()) == 0 }
 
 // Owners names the other controllers that own shards.
 func (n *node) Owners() []string {
--- a/cmd/wallrack/silent_machines.go
+++ b/cmd/wallrack/silent_machines.go
@@ -19,7 +19,7 @@
 		return
 	}
 	s.mu.Unlock()
-	share := n.holder.Try(n.ctx, sample[:min(len(sample), reachability.SampleSize)], tryWithin)
+	share := n.holder.ProbeEndpoints(n.ctx, sample[:min(len(sample), reachability.SampleSize)], tryWithin)
 	s.mu.Lock()
 	s.tried, s.reaches, s.urgent = time.Now(), share, true
 	s.mu.Unlock()
@@ -31,16 +31,16 @@
 func (n *node) doubt(ctx context.Context) {
 	s := &n.links
 	s.mu.Lock()
-	perSecond := s.expects / dispatch.ArrivalWindow.Seconds()
+	perSecond := s.expects / dispatch.HeartbeatWindow.Seconds()
 	was := len(s.sample) > 0
 	s.mu.Unlock()
-	in := len(n.member.Own()) > 0 && reachability.Doubts(perSecond, n.holder.Quiet()) && s.ears().Late < lookEvery
+	in := len(n.member.Own()) > 0 && reachability.Doubts(perSecond, n.holder.SinceLastHeartbeat()) && s.ears().Late < lookEvery
 	if in == was {
 		return
 	}
 	var sample []string
 	if in {
-		sample = n.holder.Sample(reachability.SampleSize)
+		sample = n.holder.SampleEndpoints(reachability.SampleSize)
 	}
 	s.mu.Lock()
 	s.sample, s.urgent = sample, in
@@ -89,7 +89,7 @@
 func (n *node) lives(m reachability.Machine) bool {
 	name, endpoint := m.Name, m.Endpoint
 	answers := make(chan bool, 1+len(n.cfg.Peers))
-	go func() { answers <- endpoint != "" && n.holder.Ask(n.ctx, name, endpoint) }()
+	go func() { answers <- endpoint != "" && n.holder.FetchReport(n.ctx, name, endpoint) }()
 	for _, p := range n.cfg.Peers {
 		go func() {
 			ctx, cancel := context.WithTimeout(n.ctx, askWithin)
@@ -108,14 +108,14 @@
 
 // listen counts what is heard here.
 func (n *node) listen() {
-	heard, machines := n.holder.Arrivals()
+	heard, machines := n.holder.RecentHeartbeats()
 	var names *reachability.Names
 	if now := time.Now(); len(n.links.table.Lacks(now)) > 0 || n.links.table.Lacked(now) {
-		names = reachability.NewNames(n.holder.HeardWithin(config.Seconds(n.cfg.Params.Workers.LeaseS)), int(n.cfg.Params.State.ValueKB*namesPart*1024))
+		names = reachability.NewNames(n.holder.WorkersHeardWithin(config.Seconds(n.cfg.Params.Workers.LeaseS)), int(n.cfg.Params.State.ValueKB*namesPart*1024))
 	}
 	s := &n.links
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reports, s.names = heard, names
-	s.expects = float64(machines) / n.cfg.Params.Workers.ReportS * dispatch.ArrivalWindow.Seconds()
+	s.expects = float64(machines) / n.cfg.Params.Workers.ReportS * dispatch.HeartbeatWindow.Seconds()
 }
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -40,8 +40,8 @@
 // Holder is what the fleet needs of the machines' holder.
 type Holder interface {
 	Drain(name string) bool
-	Gone(name string)
-	Probe(ctx context.Context, endpoints map[string]string, unheard time.Duration)
+	RemoveWorker(name string)
+	PollReports(ctx context.Context, endpoints map[string]string, unheard time.Duration)
 }
 
 // Membership guards what the fleet writes.
--- a/internal/autoscaler/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -146,9 +146,9 @@
 
 type drains struct{ n int }
 
-func (d *drains) Drain(string) bool { d.n++; return true }
-func (d *drains) Gone(string)       {}
-func (d *drains) Probe(context.Context, map[string]string, time.Duration) {
+func (d *drains) Drain(string) bool   { d.n++; return true }
+func (d *drains) RemoveWorker(string) {}
+func (d *drains) PollReports(context.Context, map[string]string, time.Duration) {
 }
 
 // An array of many small tasks and a storm of tiny jobs on machines that are there:
--- a/internal/autoscaler/hire.go
+++ b/internal/autoscaler/hire.go
@@ -218,7 +218,7 @@
 	}
 	for _, n := range batch {
 		f.log.Info("returned", "machine", n, "why", names[n])
-		f.holder.Gone(n)
+		f.holder.RemoveWorker(n)
 		f.owner.Gone(n)
 	}
 	f.mu.Lock()
--- a/internal/autoscaler/list.go
+++ b/internal/autoscaler/list.go
@@ -48,7 +48,7 @@
 	if len(failed) > 0 {
 		f.giveBack(ctx, failed)
 	}
-	f.holder.Probe(ctx, endpoints, seconds(1.5*f.cfg.Params.Workers.ReportS))
+	f.holder.PollReports(ctx, endpoints, seconds(1.5*f.cfg.Params.Workers.ReportS))
 }
 
 // listMargin is added to the most that a list may lag, for the way of the request.
--- a/internal/dispatch/asks_test.go
+++ b/internal/dispatch/asks_test.go
@@ -26,7 +26,7 @@
 // reports, however many those are.
 func TestOrdersDoNotWaitForSilentMachines(t *testing.T) {
 	budget := sockets.Budget{Limit: 200, Accepted: func() int { return 0 }}
-	orderer := dispatch.NewHTTPOrderer(budget)
+	orderer := dispatch.NewHTTPCommandSender(budget)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	done := make(chan struct{})
@@ -34,7 +34,7 @@
 	for range silent {
 		dead := newDeadWorker(t)
 		go func() {
-			_, _ = orderer.Show(ctx, dead) // it fails when the test ends
+			_, _ = orderer.FetchReport(ctx, dead) // it fails when the test ends
 			done <- struct{}{}
 		}()
 	}
@@ -44,7 +44,7 @@
 	within, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
 	for range 50 { // while ever more of the silent ones are asked
-		if _, _, err := orderer.Order(within, workers.endpoints[0], wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
+		if _, _, err := orderer.SendCommands(within, workers.endpoints[0], wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
 			t.Fatalf("an order while %d silent machines are asked: %v", silent, err)
 		}
 	}
--- a/internal/dispatch/attest.go
+++ b/internal/dispatch/attest.go
@@ -30,10 +30,10 @@
 	return true
 }
 
-// LeaseOver reports whether nobody had answered the i-th machine for so many seconds when
+// LeaseExpired reports whether nobody had answered the i-th machine for so many seconds when
 // the first controller was asked; now is after the last one answered. What the questions
 // took is subtracted: else one that attests late counts time in which another, asked
 // before it, may have answered the worker again while its lease still held.
-func (a *Attestation) LeaseOver(i int, now time.Time, lease float64) bool {
+func (a *Attestation) LeaseExpired(i int, now time.Time, lease float64) bool {
 	return a.least[i]-now.Sub(a.asked).Seconds() > lease
 }
--- a/internal/dispatch/attest_test.go
+++ b/internal/dispatch/attest_test.go
@@ -19,10 +19,10 @@
 		t.Fatal("figures of the same machines are refused")
 	}
 	after := asked.Add(900 * time.Millisecond)
-	if a.LeaseOver(0, after, lease) {
+	if a.LeaseExpired(0, after, lease) {
 		t.Error("a lease that may have been renewed counts as over")
 	}
-	if !a.LeaseOver(1, after, lease) {
+	if !a.LeaseExpired(1, after, lease) {
 		t.Error("a lease that is over counts as held")
 	}
 	if a.Add([]float64{25}) {
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -24,13 +24,13 @@
 
 // heldMachines is a holder of machines that run so many tasks each.
 type heldMachines struct {
-	holder  *dispatch.Holder
+	holder  *dispatch.Dispatcher
 	reports []*wire.Report
 }
 
 func (h *heldMachines) report(tb testing.TB, i int) {
 	h.reports[i].Seq++
-	if status, _ := h.holder.Report(context.Background(), h.reports[i]); status != 200 {
+	if status, _ := h.holder.HandleReport(context.Background(), h.reports[i]); status != 200 {
 		tb.Fatalf("report answered with %d", status)
 	}
 }
@@ -38,23 +38,23 @@
 // discard is a stub that keeps no views.
 type discard struct{ *stub }
 
-func (discard) Observe(dispatch.View) {}
+func (discard) ObserveWorker(dispatch.WorkerView) {}
 
 func holdMachines(tb testing.TB, machines, tasks int) *heldMachines {
 	s := discard{&stub{term: 7}}
 	h := &heldMachines{holder: dispatch.New(context.Background(), "a", 44*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))}
 	for i := range machines {
 		r := &wire.Report{Machine: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z", Session: 1, Token: 7}
-		var d dispatch.Direction
+		var d dispatch.Instructions
 		for t := range tasks {
 			task := wire.TaskName(fmt.Sprintf("j-%06d", i), t)
 			r.Tasks = append(r.Tasks, wire.Task{Task: task, Attempt: 20, State: wire.TaskRunning})
-			d.Assign = append(d.Assign, dispatch.Entry{Ref: dispatch.Ref{Machine: r.Machine, Task: task, Attempt: 20}, Owner: "a",
-				Shape: matching.Shape{CPUs: 0.1, MemoryGB: 0.1}, Run: 30, Listed: true})
+			d.Assign = append(d.Assign, dispatch.QueueEntry{TaskRef: dispatch.TaskRef{Machine: r.Machine, Task: task, Attempt: 20}, Owner: "a",
+				Resources: matching.Shape{CPUs: 0.1, MemoryGB: 0.1}, Run: 30, Listed: true})
 		}
 		h.reports = append(h.reports, r)
 		h.report(tb, i)
-		h.holder.Direct(d)
+		h.holder.ApplyInstructions(d)
 		h.report(tb, i)
 	}
 	return h
@@ -62,7 +62,7 @@
 
 // published is the size of all machines' views as a peer gets them.
 func published(tb testing.TB, h *heldMachines) float64 {
-	data, err := json.Marshal(h.holder.Views())
+	data, err := json.Marshal(h.holder.WorkerViews())
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -78,13 +78,13 @@
 // orderOf is the processor time of a direct order to one of so many workers, each with an
 // address of its own, which next picks; the workers' end is in it.
 func orderOf(tb testing.TB, workers int, next func() int) float64 {
-	orders, w := dispatch.NewHTTPOrderer(largeSite(workers)), newOrderedWorkers(tb, workers)
+	orders, w := dispatch.NewHTTPCommandSender(largeSite(workers)), newOrderedWorkers(tb, workers)
 	order := wire.Orders{Token: 7, Session: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000400/10", Attempt: 20}}}
 	for worker := range workers {
 		w.order(tb, orders, worker) // first ones are always dialled
 	}
 	return capacity.ProcessorTime(tb, func() {
-		if _, _, err := orders.Order(context.Background(), w.endpoints[next()], order, stillValid); err != nil {
+		if _, _, err := orders.SendCommands(context.Background(), w.endpoints[next()], order, stillValid); err != nil {
 			tb.Fatal(err)
 		}
 	})
@@ -108,7 +108,7 @@
 		tb.Fatal(err)
 	}
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
-	orders := dispatch.NewHTTPOrderer(largeSite(connections))
+	orders := dispatch.NewHTTPCommandSender(largeSite(connections))
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC() // what other series left is gone after the second
@@ -120,7 +120,7 @@
 		}
 		answered := make(chan net.Conn, 1)
 		go func() { answered <- answerOnce(tb, lis, response) }()
-		if _, _, err := orders.Order(context.Background(), lis.Addr().String(), wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
+		if _, _, err := orders.SendCommands(context.Background(), lis.Addr().String(), wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
 			tb.Fatal(err)
 		}
 		worker := <-answered
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -11,7 +11,7 @@
 
 // commands collects what the worker is to do now; answer says that they go out
 // as the answer to a report.
-func (h *Holder) commands(name string, term uint64, answer bool) []wire.Command {
+func (h *Dispatcher) commands(name string, term uint64, answer bool) []wire.Command {
 	s := h.machines[name]
 	cmds := []wire.Command{}
 	if s == nil || s.report.Machine == "" {
@@ -62,22 +62,22 @@
 		}
 		counted := q.sent || q.granted
 		if counted {
-			free = free.Add(q.Shape, 1) // counted as occupied above
+			free = free.Add(q.Resources, 1) // counted as occupied above
 		}
-		if !q.Shape.Fits(free) {
+		if !q.Resources.Fits(free) {
 			kept = append(kept, q)
 			if counted {
-				free = free.Add(q.Shape, -1)
+				free = free.Add(q.Resources, -1)
 			}
 			continue
 		}
 		if !q.granted && !q.asking {
-			req := GrantRequest{Ref: q.Ref, Holder: h.name, Token: term, Session: s.report.Session}
+			req := GrantRequest{TaskRef: q.TaskRef, Holder: h.name, Token: term, Session: s.report.Session}
 			if q.Owner == h.name {
-				rep := h.owners.GrantHere(req)
+				rep := h.owners.GrantLocal(req)
 				if rep.Drop {
 					if counted {
-						free = free.Add(q.Shape, -1)
+						free = free.Add(q.Resources, -1)
 					}
 					continue
 				}
@@ -94,7 +94,7 @@
 			cmds = append(cmds, wire.Command{Verb: wire.VerbStart, Task: q.Task, Attempt: q.Attempt})
 		}
 		if q.granted || q.sent || q.asking {
-			free = free.Add(q.Shape, -1)
+			free = free.Add(q.Resources, -1)
 		}
 	}
 	clear(s.queue[len(kept):])
@@ -110,7 +110,7 @@
 
 // askElsewhere has an owner on another controller asked for the grant, together with what
 // else it is to be asked.
-func (h *Holder) askElsewhere(q *queued, req GrantRequest) {
+func (h *Dispatcher) askElsewhere(q *queued, req GrantRequest) {
 	q.asking = true
 	if !h.ended {
 		h.asks.Add(q.Owner, ask{q, req})
@@ -118,13 +118,13 @@
 }
 
 // askOwner asks an owner elsewhere for grants, and has what it granted started.
-func (h *Holder) askOwner(owner string, asks []ask) {
+func (h *Dispatcher) askOwner(owner string, asks []ask) {
 	requests := make([]GrantRequest, len(asks))
 	for i := range asks {
 		requests[i] = asks[i].req
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, grantTimeout)
-	replies, err := h.owners.GrantThere(ctx, owner, requests)
+	replies, err := h.owners.GrantRemote(ctx, owner, requests)
 	cancel()
 	if err == nil && len(replies) != len(asks) {
 		err = fmt.Errorf("%d replies to %d questions", len(replies), len(asks))
@@ -143,26 +143,26 @@
 	}
 	h.mu.Unlock()
 	for name := range granted {
-		h.Push(name)
+		h.PushCommands(name)
 	}
 }
 
 // answer notes an owner's reply.
-func (h *Holder) answer(a ask, r GrantReply) {
+func (h *Dispatcher) answer(a ask, r GrantReply) {
 	a.entry.asking = false
 	s := h.machines[a.req.Machine]
 	switch {
 	case s == nil:
 	case r.Drop:
-		h.removeLocked(s, a.req.Ref)
+		h.removeLocked(s, a.req.TaskRef)
 	case r.OK:
 		a.entry.granted, a.entry.token, a.entry.session = true, a.req.Token, a.req.Session
 	}
 }
 
-func (h *Holder) removeLocked(s *held, ref Ref) (was *queued) {
+func (h *Dispatcher) removeLocked(s *workerState, ref TaskRef) (was *queued) {
 	for i, q := range s.queue {
-		if q.Ref == ref {
+		if q.TaskRef == ref {
 			s.queue = append(s.queue[:i], s.queue[i+1:]...)
 			return q
 		}
@@ -173,8 +173,8 @@
 // outdated returns an error if a direct order must not leave any more. It may have waited
 // for its connection while a job was cancelled, or the term raised, or this controller lost
 // the right to answer workers: sent then, it would start a task after a confirmed cancel.
-func (h *Holder) outdated(o wire.Orders) error {
-	if !h.routing.Entitled() || h.tokens.Term() != o.Token {
+func (h *Dispatcher) outdated(o wire.Orders) error {
+	if !h.routing.MayAnswerWorkers() || h.tokens.Term() != o.Token {
 		return errOutdated
 	}
 	for _, c := range o.Commands {
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -61,14 +61,14 @@
 	return w
 }
 
-func (w *orderedWorkers) order(tb testing.TB, orders *dispatch.HTTPOrderer, worker int) {
+func (w *orderedWorkers) order(tb testing.TB, orders *dispatch.HTTPCommandSender, worker int) {
 	tb.Helper()
-	if _, _, err := orders.Order(context.Background(), w.endpoints[worker], wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
+	if _, _, err := orders.SendCommands(context.Background(), w.endpoints[worker], wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
 		tb.Errorf("order to worker %d: %v", worker, err)
 	}
 }
 
-func (w *orderedWorkers) orderAll(tb testing.TB, orders *dispatch.HTTPOrderer) {
+func (w *orderedWorkers) orderAll(tb testing.TB, orders *dispatch.HTTPCommandSender) {
 	tb.Helper()
 	for worker := range w.endpoints {
 		w.order(tb, orders, worker)
@@ -102,7 +102,7 @@
 	const workers = 40 // four times the orders at once
 	var accepted atomic.Int64
 	budget := sockets.Budget{Limit: 200, Accepted: func() int { return int(accepted.Load()) }}
-	orders, w := dispatch.NewHTTPOrderer(budget), newOrderedWorkers(t, workers)
+	orders, w := dispatch.NewHTTPCommandSender(budget), newOrderedWorkers(t, workers)
 	w.orderAll(t, orders)
 	w.orderAll(t, orders)
 	if _, sum := w.dials(); sum != workers || orders.Connections() != workers {
@@ -144,7 +144,7 @@
 func TestOrderUnderWayKeepsItsConnection(t *testing.T) {
 	var accepted atomic.Int64
 	budget := sockets.Budget{Limit: 96, Accepted: func() int { return int(accepted.Load()) }}
-	orders, w := dispatch.NewHTTPOrderer(budget), newOrderedWorkers(t, 20)
+	orders, w := dispatch.NewHTTPCommandSender(budget), newOrderedWorkers(t, 20)
 	w.order(t, orders, 0) // its connection was idle before
 	w.held.Store(true)
 	done := make(chan struct{})
--- a/internal/dispatch/direct.go
+++ b/internal/dispatch/direct.go
@@ -6,9 +6,9 @@
 	"github.com/wallrack/wallrack/internal/usage"
 )
 
-// Direct does what an owner says and returns the halted tasks that this
+// ApplyInstructions does what an owner says and returns the halted tasks that this
 // holder surely never launched.
-func (h *Holder) Direct(d Direction) Unlaunched {
+func (h *Dispatcher) ApplyInstructions(d Instructions) Unlaunched {
 	defer usage.Count(usage.Directed, time.Now())
 	out := Unlaunched{Token: h.tokens.Term()}
 	touched := map[string]bool{}
@@ -18,7 +18,7 @@
 		if s == nil {
 			continue
 		}
-		if l := s.tasks[e.Ref]; l != nil {
+		if l := s.tasks[e.TaskRef]; l != nil {
 			if l.entry == nil {
 				h.dirty[e.Machine] = true
 			}
@@ -29,7 +29,7 @@
 			continue
 		}
 		h.nextSeq++
-		s.queue = append(s.queue, &queued{Entry: e, seq: h.nextSeq})
+		s.queue = append(s.queue, &queued{QueueEntry: e, seq: h.nextSeq})
 		touched[e.Machine] = true
 	}
 	for _, halt := range d.Halt {
@@ -37,17 +37,17 @@
 		if s == nil {
 			continue
 		}
-		if q := h.removeLocked(s, halt.Ref); q != nil && !q.sent && s.tasks[halt.Ref] == nil {
-			out.Refs = append(out.Refs, halt.Ref)
+		if q := h.removeLocked(s, halt.TaskRef); q != nil && !q.sent && s.tasks[halt.TaskRef] == nil {
+			out.Refs = append(out.Refs, halt.TaskRef)
 			touched[halt.Machine] = true
 			continue
 		}
-		s.halts[halt.Ref] = halt.GraceS
+		s.halts[halt.TaskRef] = halt.GraceS
 		touched[halt.Machine] = true
 	}
 	for _, c := range d.Clear {
-		if s := h.machines[c.Machine]; s != nil && s.tasks[c.Ref] != nil {
-			s.clears[c.Ref] = true
+		if s := h.machines[c.Machine]; s != nil && s.tasks[c.TaskRef] != nil {
+			s.clears[c.TaskRef] = true
 			if c.Token > h.tokens.Term() {
 				s.fate = max(s.fate, c.Token)
 			}
@@ -58,10 +58,10 @@
 			// takes nothing but a line.
 		}
 	}
-	if d.RaiseAbove > 0 {
-		h.raiseLocked(d.RaiseAbove)
+	if d.RaiseTokenAbove > 0 {
+		h.raiseLocked(d.RaiseTokenAbove)
 	}
-	var views []View
+	var views []WorkerView
 	for name := range touched {
 		h.dirty[name] = true
 		if s := h.machines[name]; s.report.Machine != "" {
@@ -70,17 +70,17 @@
 	}
 	h.mu.Unlock()
 	for _, v := range views {
-		h.owners.Observe(v)
+		h.owners.ObserveWorker(v)
 	}
 	for name := range touched {
-		h.Push(name)
+		h.PushCommands(name)
 	}
 	return out
 }
 
-func (s *held) hasQueued(e Entry) bool {
+func (s *workerState) hasQueued(e QueueEntry) bool {
 	for _, q := range s.queue {
-		if q.Ref == e.Ref {
+		if q.TaskRef == e.TaskRef {
 			q.Owner = e.Owner
 			return true
 		}
--- a/internal/dispatch/grants_test.go
+++ b/internal/dispatch/grants_test.go
@@ -33,11 +33,11 @@
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			h := holder(ctx, s)
-			h.Report(ctx, report(1, 5))
+			h.HandleReport(ctx, report(1, 5))
 			for attempt := range uint64(4) {
 				e := entry(attempt + 1)
 				e.Owner = "b"
-				h.Direct(dispatch.Direction{From: "b", Assign: []dispatch.Entry{e}})
+				h.ApplyInstructions(dispatch.Instructions{From: "b", Assign: []dispatch.QueueEntry{e}})
 				if attempt == 0 {
 					synctest.Wait() // the first is under way when the others come
 				}
--- a/internal/dispatch/holder.go
+++ b/internal/dispatch/holder.go
@@ -33,7 +33,7 @@
 
 // queued is an entry in a machine's queue.
 type queued struct {
-	Entry
+	QueueEntry
 	seq     uint64
 	asking  bool
 	granted bool
@@ -47,79 +47,79 @@
 type listed struct {
 	state string
 	since time.Time
-	entry *Entry // nil until its owner told
+	entry *QueueEntry // nil until its owner told
 }
 
-type held struct {
+type workerState struct {
 	report   wire.Report
 	at       time.Time // when the report came
 	seen     time.Time // when any report came, whatever was answered
 	told     time.Time // when the worker last reported here unasked, and was answered
 	asked    bool      // the report answered a request
 	queue    []*queued
-	tasks    map[Ref]*listed
-	halts    map[Ref]float64
-	clears   map[Ref]bool
+	tasks    map[TaskRef]*listed
+	halts    map[TaskRef]float64
+	clears   map[TaskRef]bool
 	busy     bool   // a direct order is in flight
 	again    bool   // push again when it returns
 	fate     uint64 // highest token of a direct order whose fate is unknown
 	draining bool
 	sticky   time.Time // stays here until then, although another should hold it
 	sentAway time.Time
-	alone    bool      // both are of a time when this controller was alone
-	newest   count     // of the reports that came by themselves, whatever was answered
-	newestAt time.Time // when that came
-	doubt    count     // of the last one that came although a newer one had
+	alone    bool          // both are of a time when this controller was alone
+	newest   reportVersion // of the reports that came by themselves, whatever was answered
+	newestAt time.Time     // when that came
+	doubt    reportVersion // of the last one that came although a newer one had
 }
 
-// count orders a worker's reports.
-type count struct{ session, seq uint64 }
+// reportVersion orders a worker's reports.
+type reportVersion struct{ session, seq uint64 }
 
-func (c count) newer(than count) bool {
+func (c reportVersion) newer(than reportVersion) bool {
 	return c.session > than.session || c.session == than.session && c.seq > than.seq
 }
 
-// Holder holds the machines whose workers report to this controller.
-type Holder struct {
+// Dispatcher holds the machines whose workers report to this controller.
+type Dispatcher struct {
 	name    string
 	lease   time.Duration
-	owners  Owners
+	owners  Schedulers
 	tokens  Tokens
-	types   Types
+	types   MachineTypes
 	routing Routing
 	log     *slog.Logger
-	orders  Orderer
+	orders  CommandSender
 	ctx     context.Context
 	started time.Time
 	workers sync.WaitGroup
 	asks    batching.Sender[ask] // to owners elsewhere
 
-	// Cancels are the cancelled jobs, whoever owns them: none of their tasks is
+	// Cancellations are the cancelled jobs, whoever owns them: none of their tasks is
 	// launched here, and each that a worker lists is halted. nil: none. Set it
 	// before use.
-	Cancels Cancels
+	Cancellations Cancellations
 
 	lastReport atomic.Int64 // when it came, ns since started
 
-	mu       sync.Mutex
-	machines map[string]*held
-	answered map[string]time.Time
-	gone     *recent.Set     // machines that the cloud deleted
-	dirty    map[string]bool // changed, or forgotten, since Changed was last called
-	forgotAt time.Time       // when machines were last forgotten
-	nextSeq  uint64
-	raising  bool
-	ended    bool           // Wait was called after the context had ended
-	uses     []matching.Use // see occupied
-	arrivals arrivals
+	mu         sync.Mutex
+	machines   map[string]*workerState
+	answered   map[string]time.Time
+	gone       *recent.Set     // machines that the cloud deleted
+	dirty      map[string]bool // changed, or forgotten, since Changed was last called
+	forgotAt   time.Time       // when machines were last forgotten
+	nextSeq    uint64
+	raising    bool
+	ended      bool           // Wait was called after the context had ended
+	uses       []matching.Use // see occupied
+	heartbeats heartbeatCounter
 }
 
 // New returns a holder; ctx bounds the goroutines it starts.
-func New(ctx context.Context, name string, lease time.Duration, owners Owners, tokens Tokens, types Types, routing Routing, orders Orderer, log *slog.Logger) *Holder {
-	h := &Holder{
+func New(ctx context.Context, name string, lease time.Duration, owners Schedulers, tokens Tokens, types MachineTypes, routing Routing, orders CommandSender, log *slog.Logger) *Dispatcher {
+	h := &Dispatcher{
 		name: name, lease: lease, owners: owners, tokens: tokens, types: types, routing: routing, orders: orders, log: log,
 		ctx: ctx, started: time.Now(),
-		machines: map[string]*held{}, answered: map[string]time.Time{}, gone: recent.NewSet(maxTombstones), dirty: map[string]bool{},
+		machines: map[string]*workerState{}, answered: map[string]time.Time{}, gone: recent.NewSet(maxTombstones), dirty: map[string]bool{},
 	}
 	h.asks.Send = h.askOwner
 	return h
@@ -127,7 +127,7 @@
 
 // Wait waits for the goroutines that the holder started. Once its context has ended, none
 // starts any more.
-func (h *Holder) Wait() {
+func (h *Dispatcher) Wait() {
 	h.mu.Lock()
 	h.ended = h.ctx.Err() != nil
 	h.mu.Unlock()
@@ -137,7 +137,7 @@
 
 // startLocked runs a goroutine that Wait waits for. A peer's message may come while the
 // process ends: counted then, the goroutine could be missed by Wait.
-func (h *Holder) startLocked(run func()) {
+func (h *Dispatcher) startLocked(run func()) {
 	if !h.ended {
 		h.workers.Go(run)
 	}
@@ -147,7 +147,7 @@
 var bodies = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // ServeReport answers a worker's report.
-func (h *Holder) ServeReport(w http.ResponseWriter, r *http.Request) {
+func (h *Dispatcher) ServeReport(w http.ResponseWriter, r *http.Request) {
 	defer usage.Count(usage.Reports, time.Now())
 	buf := bodies.Get().(*bytes.Buffer)
 	defer bodies.Put(buf)
@@ -163,17 +163,17 @@
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "malformed report"})
 		return
 	}
-	status, answer := h.Report(r.Context(), rep)
+	status, answer := h.HandleReport(r.Context(), rep)
 	httpjson.Write(w, status, answer)
 }
 
-// Report takes a worker's report and returns the status and body to answer.
-func (h *Holder) Report(ctx context.Context, rep *wire.Report) (int, any) {
+// HandleReport takes a worker's report and returns the status and body to answer.
+func (h *Dispatcher) HandleReport(ctx context.Context, rep *wire.Report) (int, any) {
 	if !h.arrived(rep) {
 		return http.StatusServiceUnavailable, wire.Problem{Error: "late report"}
 	}
-	foreman := h.routing.Foreman(rep.Machine)
-	if !h.routing.Entitled() {
+	foreman := h.routing.LeaderFor(rep.Machine)
+	if !h.routing.MayAnswerWorkers() {
 		if foreman == h.name {
 			foreman = ""
 		}
@@ -182,7 +182,7 @@
 	if foreman != "" && foreman != h.name && h.sendAway(rep, false) {
 		return http.StatusMisdirectedRequest, wire.Redirect{ReportTo: foreman}
 	}
-	if h.routing.Alone() && h.sendAway(rep, true) {
+	if h.routing.Isolated() && h.sendAway(rep, true) {
 		// Others may be able to start work. One that finds none is back soon,
 		// and kept.
 		return http.StatusMisdirectedRequest, wire.Redirect{}
@@ -204,7 +204,7 @@
 		}
 	}
 	if view, ok := h.take(rep, true); ok {
-		h.owners.Observe(view)
+		h.owners.ObserveWorker(view)
 	} else if !h.overtaken(rep) {
 		return http.StatusServiceUnavailable, wire.Problem{Error: "late report"}
 	}
@@ -217,7 +217,7 @@
 // overtaken reports whether a report that take refused is only older than the
 // answer to a direct order that came in between. Its list is of no use, but the
 // worker must get its answer: refused, it would go and look for another node.
-func (h *Holder) overtaken(rep *wire.Report) bool {
+func (h *Dispatcher) overtaken(rep *wire.Report) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := h.machines[rep.Machine]
@@ -232,7 +232,7 @@
 // sendAway decides whether a worker is sent to the foreman, or to anybody else if
 // this controller is alone. One that comes back soon could not reach it and is kept
 // for a while; but one that could not reach the foreman may reach others.
-func (h *Holder) sendAway(rep *wire.Report, alone bool) bool {
+func (h *Dispatcher) sendAway(rep *wire.Report, alone bool) bool {
 	name := rep.Machine
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -242,10 +242,10 @@
 		if len(h.machines) >= maxMachines {
 			return true
 		}
-		s = newHeld()
+		s = newWorkerState()
 		h.machines[name] = s
 	}
-	s.seen, s.newest, s.newestAt = now, count{rep.Session, rep.Seq}, now
+	s.seen, s.newest, s.newestAt = now, reportVersion{rep.Session, rep.Seq}, now
 	if s.alone != alone {
 		s.alone, s.sticky, s.sentAway = alone, time.Time{}, time.Time{}
 	}
@@ -260,31 +260,31 @@
 	return true
 }
 
-func newHeld() *held {
-	return &held{tasks: map[Ref]*listed{}, halts: map[Ref]float64{}, clears: map[Ref]bool{}}
+func newWorkerState() *workerState {
+	return &workerState{tasks: map[TaskRef]*listed{}, halts: map[TaskRef]float64{}, clears: map[TaskRef]bool{}}
 }
 
 // take stores a report unless a newer one came before. renews says that it
 // will be answered and so renews the worker's lease.
-func (h *Holder) take(rep *wire.Report, renews bool) (View, bool) {
+func (h *Dispatcher) take(rep *wire.Report, renews bool) (WorkerView, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.gone.Has(rep.Machine) {
-		return View{}, false
+		return WorkerView{}, false
 	}
 	s := h.machines[rep.Machine]
 	if s == nil {
 		if len(h.machines) >= maxMachines {
-			return View{}, false
+			return WorkerView{}, false
 		}
-		s = newHeld()
+		s = newWorkerState()
 		h.machines[rep.Machine] = s
 	}
-	if c := (count{rep.Session, rep.Seq}); renews && c.newer(s.newest) {
+	if c := (reportVersion{rep.Session, rep.Seq}); renews && c.newer(s.newest) {
 		s.newest, s.newestAt = c, time.Now()
 	}
 	if old := &s.report; rep.Session < old.Session || rep.Session == old.Session && rep.Seq <= old.Seq {
-		return View{}, false
+		return WorkerView{}, false
 	}
 	now := time.Now()
 	same := slices.Equal(s.report.Tasks, rep.Tasks)
@@ -301,8 +301,8 @@
 	seen := s.tasks
 	kept := s.queue[:0]
 	for _, q := range s.queue {
-		if l := seen[q.Ref]; l != nil {
-			l.entry = &q.Entry
+		if l := seen[q.TaskRef]; l != nil {
+			l.entry = &q.QueueEntry
 			continue
 		}
 		if q.sent && (rep.Session > q.session || rep.Seq > q.sentSeq) {
@@ -340,10 +340,10 @@
 }
 
 // list takes over the tasks that a report lists.
-func (s *held) list(rep *wire.Report, now time.Time) {
-	seen := make(map[Ref]*listed, len(rep.Tasks))
+func (s *workerState) list(rep *wire.Report, now time.Time) {
+	seen := make(map[TaskRef]*listed, len(rep.Tasks))
 	for _, t := range rep.Tasks {
-		ref := Ref{rep.Machine, t.Task, t.Attempt}
+		ref := TaskRef{rep.Machine, t.Task, t.Attempt}
 		l := s.tasks[ref]
 		if l == nil {
 			l = &listed{}
@@ -356,8 +356,8 @@
 	s.tasks = seen
 }
 
-// Heard returns how long ago each machine reported here.
-func (h *Holder) Heard() map[string]time.Duration {
+// LastHeartbeats returns how long ago each machine reported here.
+func (h *Dispatcher) LastHeartbeats() map[string]time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := make(map[string]time.Duration, len(h.machines))
@@ -371,7 +371,7 @@
 
 // Drain stops starts on an idle machine; false if it is not idle, or not held
 // here.
-func (h *Holder) Drain(name string) bool {
+func (h *Dispatcher) Drain(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := h.machines[name]
@@ -388,8 +388,8 @@
 	return true
 }
 
-// Gone forgets a machine that the cloud has deleted.
-func (h *Holder) Gone(name string) {
+// RemoveWorker forgets a machine that the cloud has deleted.
+func (h *Dispatcher) RemoveWorker(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.machines, name)
@@ -398,15 +398,15 @@
 	h.gone.Add(name)
 }
 
-// Unanswered vouches for how long this controller has not answered a report
+// UnansweredFor vouches for how long this controller has not answered a report
 // of the machine; a controller without memory of one counts from its start.
-func (h *Holder) Unanswered(name string) time.Duration {
+func (h *Dispatcher) UnansweredFor(name string) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.unanswered(name)
 }
 
-func (h *Holder) unanswered(name string) time.Duration {
+func (h *Dispatcher) unanswered(name string) time.Duration {
 	if at, ok := h.answered[name]; ok {
 		return time.Since(at)
 	}
@@ -415,7 +415,7 @@
 
 // Depths counts the machines held, the tasks queued at them, and the direct
 // orders under way.
-func (h *Holder) Depths() (machines, queued, orders int) {
+func (h *Dispatcher) Depths() (machines, queued, orders int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.machines {
@@ -427,9 +427,9 @@
 	return len(h.machines), queued, orders
 }
 
-// Seen returns how long ago any report of the machine came here, whatever was
+// SinceHeartbeat returns how long ago any report of the machine came here, whatever was
 // answered: one that is sent elsewhere lives, even if it can't get there.
-func (h *Holder) Seen(name string) time.Duration {
+func (h *Dispatcher) SinceHeartbeat(name string) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s := h.machines[name]; s != nil && !s.seen.IsZero() {
@@ -439,7 +439,7 @@
 }
 
 // Endpoint is the address of a machine's worker that was heard here, or "".
-func (h *Holder) Endpoint(name string) string {
+func (h *Dispatcher) Endpoint(name string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s := h.machines[name]; s != nil && time.Since(s.at) < h.lease {
--- a/internal/dispatch/holder_test.go
+++ b/internal/dispatch/holder_test.go
@@ -25,7 +25,7 @@
 	raises bool
 	order  func(wire.Orders) (*wire.Report, bool, error)
 	sent   []wire.Orders
-	views  []dispatch.View
+	views  []dispatch.WorkerView
 	alone  bool
 	barred bool // may not answer workers
 
@@ -35,11 +35,11 @@
 	there   func([]dispatch.GrantRequest) []dispatch.GrantReply // an owner elsewhere; nil: none
 }
 
-func (s *stub) Observe(v dispatch.View) { s.views = append(s.views, v) }
-func (s *stub) GrantHere(dispatch.GrantRequest) dispatch.GrantReply {
+func (s *stub) ObserveWorker(v dispatch.WorkerView) { s.views = append(s.views, v) }
+func (s *stub) GrantLocal(dispatch.GrantRequest) dispatch.GrantReply {
 	return dispatch.GrantReply{OK: true}
 }
-func (s *stub) GrantThere(_ context.Context, _ string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
+func (s *stub) GrantRemote(_ context.Context, _ string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
 	if s.there != nil {
 		return s.there(requests), nil
 	}
@@ -65,15 +65,15 @@
 func (s *stub) Type(string) (wire.MachineType, bool) {
 	return wire.MachineType{Name: "m", CPUs: 4, MemoryGB: 8}, true
 }
-func (s *stub) Foreman(string) string {
+func (s *stub) LeaderFor(string) string {
 	if s.foreman != "" {
 		return s.foreman
 	}
 	return "a"
 }
-func (s *stub) Entitled() bool { return !s.barred }
-func (s *stub) Alone() bool    { return s.alone }
-func (s *stub) Order(_ context.Context, _ string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
+func (s *stub) MayAnswerWorkers() bool { return !s.barred }
+func (s *stub) Isolated() bool         { return s.alone }
+func (s *stub) SendCommands(_ context.Context, _ string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
 	if s.connect != nil {
 		s.connect()
 	}
@@ -84,11 +84,11 @@
 	return s.order(o)
 }
 
-func (s *stub) Show(context.Context, string) (*wire.Report, error) {
+func (s *stub) FetchReport(context.Context, string) (*wire.Report, error) {
 	return report(9, s.Term()), nil
 }
 
-func holder(ctx context.Context, s *stub) *dispatch.Holder {
+func holder(ctx context.Context, s *stub) *dispatch.Dispatcher {
 	return dispatch.New(ctx, "a", 10*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
@@ -99,10 +99,10 @@
 		s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 		ctx, end := context.WithCancel(t.Context())
 		h := holder(ctx, s)
-		h.Report(ctx, report(1, 5))
+		h.HandleReport(ctx, report(1, 5))
 		end()
 		h.Wait()
-		h.Direct(dispatch.Direction{From: "a", Assign: []dispatch.Entry{entry(1)}})
+		h.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1)}})
 		synctest.Wait()
 		if len(s.sent) > 0 {
 			t.Errorf("sent %+v", s.sent)
@@ -114,8 +114,8 @@
 	return &wire.Report{Machine: "n-1", Endpoint: "e", Type: "m", Zone: "z", Session: 1, Seq: seq, Token: token, Tasks: tasks}
 }
 
-func entry(attempt uint64) dispatch.Entry {
-	return dispatch.Entry{Ref: dispatch.Ref{Machine: "n-1", Task: "j-1/0", Attempt: attempt}, Owner: "a", Shape: matching.Shape{CPUs: 1, MemoryGB: 1}, Run: 5}
+func entry(attempt uint64) dispatch.QueueEntry {
+	return dispatch.QueueEntry{TaskRef: dispatch.TaskRef{Machine: "n-1", Task: "j-1/0", Attempt: attempt}, Owner: "a", Resources: matching.Shape{CPUs: 1, MemoryGB: 1}, Run: 5}
 }
 
 func verbs(body any, verb string) (n int) {
@@ -137,22 +137,22 @@
 		}}
 		ctx, cancel := context.WithCancel(context.Background())
 		h := holder(ctx, s)
-		h.Report(ctx, report(1, 5))
-		h.Direct(dispatch.Direction{From: "a", Assign: []dispatch.Entry{entry(1)}})
+		h.HandleReport(ctx, report(1, 5))
+		h.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1)}})
 		synctest.Wait()
 		if len(s.sent) != 1 || s.sent[0].Commands[0].Verb != wire.VerbStart {
 			t.Fatalf("sent %+v", s.sent)
 		}
 		exited := wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseNoRoom}
-		h.Report(ctx, report(2, 5, exited))
-		h.Direct(dispatch.Direction{From: "a", Clear: []dispatch.Clear{{Ref: entry(1).Ref, Token: 5}}})
+		h.HandleReport(ctx, report(2, 5, exited))
+		h.ApplyInstructions(dispatch.Instructions{From: "a", Clear: []dispatch.Clear{{TaskRef: entry(1).TaskRef, Token: 5}}})
 		synctest.Wait()
-		if _, body := h.Report(ctx, report(3, 5, exited)); verbs(body, wire.VerbForget) != 0 {
+		if _, body := h.HandleReport(ctx, report(3, 5, exited)); verbs(body, wire.VerbForget) != 0 {
 			t.Error("cleared while the order may still arrive")
 		} else if body.(wire.ReportAnswer).Token <= 5 {
 			t.Error("the token was not raised")
 		}
-		if _, body := h.Report(ctx, report(4, s.Term(), exited)); verbs(body, wire.VerbForget) != 1 {
+		if _, body := h.HandleReport(ctx, report(4, s.Term(), exited)); verbs(body, wire.VerbForget) != 1 {
 			t.Error("not cleared although the order is fenced off")
 		}
 		cancel()
@@ -169,17 +169,17 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		h := holder(ctx, s)
 		exited := wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}
-		h.Report(ctx, report(1, 5, exited))
-		h.Direct(dispatch.Direction{From: "a", Clear: []dispatch.Clear{{Ref: entry(1).Ref, Token: 9}}})
-		if _, body := h.Report(ctx, report(2, 5, exited)); verbs(body, wire.VerbForget) != 0 {
+		h.HandleReport(ctx, report(1, 5, exited))
+		h.ApplyInstructions(dispatch.Instructions{From: "a", Clear: []dispatch.Clear{{TaskRef: entry(1).TaskRef, Token: 9}}})
+		if _, body := h.HandleReport(ctx, report(2, 5, exited)); verbs(body, wire.VerbForget) != 0 {
 			t.Error("cleared while the other's order may still start it")
 		}
 		synctest.Wait()
 		if term := s.Term(); term <= 9 {
 			t.Fatalf("the term was not raised: %d", term)
 		}
-		h.Report(ctx, report(3, 5, exited)) // hears the new token
-		if _, body := h.Report(ctx, report(4, s.Term(), exited)); verbs(body, wire.VerbForget) != 1 {
+		h.HandleReport(ctx, report(3, 5, exited)) // hears the new token
+		if _, body := h.HandleReport(ctx, report(4, s.Term(), exited)); verbs(body, wire.VerbForget) != 1 {
 			t.Error("not cleared although all older orders are fenced off")
 		}
 		cancel()
@@ -192,11 +192,11 @@
 func TestNeverAnswersWithALowerToken(t *testing.T) {
 	s := &stub{term: 5}
 	h := holder(t.Context(), s)
-	if status, _ := h.Report(t.Context(), report(1, 9)); status != http.StatusMisdirectedRequest {
+	if status, _ := h.HandleReport(t.Context(), report(1, 9)); status != http.StatusMisdirectedRequest {
 		t.Errorf("status %d", status)
 	}
 	s.raises = true
-	status, body := h.Report(t.Context(), report(2, 9))
+	status, body := h.HandleReport(t.Context(), report(2, 9))
 	if status != http.StatusOK || body.(wire.ReportAnswer).Token <= 9 {
 		t.Errorf("status %d, %+v", status, body)
 	}
@@ -208,17 +208,17 @@
 func TestOvertakenReportIsAnswered(t *testing.T) {
 	s := &stub{term: 5}
 	h := holder(t.Context(), s)
-	h.Report(t.Context(), report(5, 5))
-	h.Ask(t.Context(), "n-1", "e") // answers with report 9
+	h.HandleReport(t.Context(), report(5, 5))
+	h.FetchReport(t.Context(), "n-1", "e") // answers with report 9
 	for _, seq := range []uint64{6, 7} {
-		if status, _ := h.Report(t.Context(), report(seq, 5)); status != http.StatusOK {
+		if status, _ := h.HandleReport(t.Context(), report(seq, 5)); status != http.StatusOK {
 			t.Errorf("report %d refused after the answer to a request", seq)
 		}
 	}
 	next := report(1, 5)
 	next.Session = 2
-	h.Report(t.Context(), next)
-	if status, _ := h.Report(t.Context(), report(8, 5)); status == http.StatusOK {
+	h.HandleReport(t.Context(), next)
+	if status, _ := h.HandleReport(t.Context(), report(8, 5)); status == http.StatusOK {
 		t.Error("a report of an earlier session was answered")
 	}
 	if len(s.views) != 3 || !s.views[1].Asked || s.views[2].Asked {
@@ -247,24 +247,24 @@
 				if seq < 12 {
 					r.Tasks = []wire.Task{{Task: "j-1/0", Attempt: 1, State: wire.TaskRunning}}
 				}
-				h.Report(t.Context(), r)
+				h.HandleReport(t.Context(), r)
 				time.Sleep(time.Second)
 			}
 			time.Sleep(wait)
-			views, seen, unanswered := len(s.views), h.Seen("n-1"), h.Unanswered("n-1")
+			views, seen, unanswered := len(s.views), h.SinceHeartbeat("n-1"), h.UnansweredFor("n-1")
 			for i, seq := range late {
 				if i > 0 && seq > late[i-1] && wait > 9*time.Second {
 					break // that would be a worker that counts anew
 				}
-				status, _ := h.Report(t.Context(), report(seq, 5))
+				status, _ := h.HandleReport(t.Context(), report(seq, 5))
 				if status == http.StatusOK {
 					wrong = "a copy was answered"
 				}
 			}
-			if len(s.views) != views || h.Seen("n-1") < seen || h.Unanswered("n-1") < unanswered {
+			if len(s.views) != views || h.SinceHeartbeat("n-1") < seen || h.UnansweredFor("n-1") < unanswered {
 				wrong = "a copy counted"
 			}
-			if n, _ := h.Arrivals(); n > 0 && wait > dispatch.ArrivalWindow+time.Second {
+			if n, _ := h.RecentHeartbeats(); n > 0 && wait > dispatch.HeartbeatWindow+time.Second {
 				wrong = "a copy counted as an arrival"
 			}
 		})
@@ -275,11 +275,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &stub{term: 5}
 		h := holder(t.Context(), s)
-		h.Report(t.Context(), report(300, 5))
+		h.HandleReport(t.Context(), report(300, 5))
 		heard := time.Duration(0)
 		for seq := uint64(1); heard == 0 && seq < 30; seq++ {
 			time.Sleep(time.Second)
-			if status, _ := h.Report(t.Context(), report(seq, 5)); status == http.StatusOK {
+			if status, _ := h.HandleReport(t.Context(), report(seq, 5)); status == http.StatusOK {
 				heard = time.Duration(seq) * time.Second
 			}
 		}
@@ -295,16 +295,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &stub{term: 5}
 		h := holder(t.Context(), s)
-		h.Report(t.Context(), report(1, 5))
+		h.HandleReport(t.Context(), report(1, 5))
 		s.alone = true
 		for i, want := range []int{http.StatusMisdirectedRequest, http.StatusOK, http.StatusOK} {
 			time.Sleep(3 * time.Second)
-			if status, _ := h.Report(t.Context(), report(uint64(i+2), 5)); status != want {
+			if status, _ := h.HandleReport(t.Context(), report(uint64(i+2), 5)); status != want {
 				t.Errorf("report %d: status %d", i, status)
 			}
 		}
 		time.Sleep(time.Minute)
-		if status, _ := h.Report(t.Context(), report(9, 5)); status == http.StatusOK {
+		if status, _ := h.HandleReport(t.Context(), report(9, 5)); status == http.StatusOK {
 			t.Error("kept for ever by one that starts nothing")
 		}
 	})
@@ -316,14 +316,14 @@
 	s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	h := holder(t.Context(), s)
 	exited := wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseNoRoom}
-	h.Report(t.Context(), report(1, 5, exited))
+	h.HandleReport(t.Context(), report(1, 5, exited))
 	next := entry(2)
-	h.Direct(dispatch.Direction{From: "a", Clear: []dispatch.Clear{{Ref: entry(1).Ref, Token: 5}}, Assign: []dispatch.Entry{next}})
+	h.ApplyInstructions(dispatch.Instructions{From: "a", Clear: []dispatch.Clear{{TaskRef: entry(1).TaskRef, Token: 5}}, Assign: []dispatch.QueueEntry{next}})
 	h.Wait()
 	if len(s.sent) != 1 || len(s.sent[0].Commands) != 1 || s.sent[0].Commands[0].Verb != wire.VerbStart {
 		t.Errorf("sent %+v", s.sent)
 	}
-	if _, body := h.Report(t.Context(), report(2, 5, exited)); verbs(body, wire.VerbForget) != 1 {
+	if _, body := h.HandleReport(t.Context(), report(2, 5, exited)); verbs(body, wire.VerbForget) != 1 {
 		t.Error("not cleared by the answer")
 	}
 }
@@ -332,11 +332,11 @@
 func TestProbeAsksUnheardMachines(t *testing.T) {
 	s := &stub{term: 5}
 	h := holder(t.Context(), s)
-	h.Probe(t.Context(), map[string]string{"n-1": "e", "n-2": "e"}, time.Second)
+	h.PollReports(t.Context(), map[string]string{"n-1": "e", "n-2": "e"}, time.Second)
 	if len(s.views) != 1 || s.views[0].Name != "n-1" || s.views[0].Seq != 9 {
 		t.Errorf("views %+v", s.views) // the one that answered as n-2 is another machine
 	}
-	h.Probe(t.Context(), map[string]string{"n-1": "e"}, time.Minute)
+	h.PollReports(t.Context(), map[string]string{"n-1": "e"}, time.Minute)
 	if len(s.views) != 1 {
 		t.Error("asked again although just heard")
 	}
@@ -347,17 +347,17 @@
 func TestStartsWhatFits(t *testing.T) {
 	s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	h := holder(t.Context(), s)
-	h.Report(t.Context(), report(1, 5))
-	var entries []dispatch.Entry
+	h.HandleReport(t.Context(), report(1, 5))
+	var entries []dispatch.QueueEntry
 	for i := uint64(0); i < 9; i++ {
 		e := entry(i + 1)
 		e.Task = wire.TaskName("j-1", int(i))
 		entries = append(entries, e)
 	}
-	h.Direct(dispatch.Direction{From: "a", Assign: entries})
+	h.ApplyInstructions(dispatch.Instructions{From: "a", Assign: entries})
 	h.Wait()
 	for seq := uint64(2); seq < 4; seq++ {
-		if _, body := h.Report(t.Context(), report(seq, 5)); verbs(body, wire.VerbStart) != 4 {
+		if _, body := h.HandleReport(t.Context(), report(seq, 5)); verbs(body, wire.VerbStart) != 4 {
 			t.Errorf("started %d of 9 one-CPU tasks on 4 CPUs", verbs(body, wire.VerbStart))
 		}
 	}
@@ -369,23 +369,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &stub{term: 3}
 		h := holder(t.Context(), s)
-		h.Probe(t.Context(), map[string]string{"n-1": "e"}, time.Second)
-		if _, machines := h.Arrivals(); machines != 0 || len(s.views) != 1 {
+		h.PollReports(t.Context(), map[string]string{"n-1": "e"}, time.Second)
+		if _, machines := h.RecentHeartbeats(); machines != 0 || len(s.views) != 1 {
 			t.Errorf("%d machines are expected to report, %d views", machines, len(s.views))
 		}
-		if got := h.Try(t.Context(), []string{"e", "f"}, time.Second); got != 1 {
+		if got := h.ProbeEndpoints(t.Context(), []string{"e", "f"}, time.Second); got != 1 {
 			t.Errorf("%v of the tried machines answered", got)
 		}
-		h.Report(t.Context(), report(10, 3))
-		if reports, machines := h.Arrivals(); machines != 1 || reports != 0 {
+		h.HandleReport(t.Context(), report(10, 3))
+		if reports, machines := h.RecentHeartbeats(); machines != 1 || reports != 0 {
 			t.Errorf("%d machines are expected, %d reports in whole seconds", machines, reports)
 		}
 		time.Sleep(time.Second)
-		if reports, _ := h.Arrivals(); reports != 1 || h.Quiet() != time.Second {
-			t.Errorf("%d reports, quiet for %v", reports, h.Quiet())
+		if reports, _ := h.RecentHeartbeats(); reports != 1 || h.SinceLastHeartbeat() != time.Second {
+			t.Errorf("%d reports, quiet for %v", reports, h.SinceLastHeartbeat())
 		}
 		time.Sleep(time.Minute)
-		if _, machines := h.Arrivals(); machines != 0 {
+		if _, machines := h.RecentHeartbeats(); machines != 0 {
 			t.Errorf("%d machines are expected after a minute", machines)
 		}
 	})
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -10,56 +10,56 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Ref names one attempt of a task on a machine.
-type Ref struct {
+// TaskRef names one attempt of a task on a machine.
+type TaskRef struct {
 	Machine string `json:"m"`
 	Task    string `json:"t"`
 	Attempt uint64 `json:"a"`
 }
 
-// Entry is a task placed on a machine by its owner, with what the holder
+// QueueEntry is a task placed on a machine by its owner, with what the holder
 // needs to queue it.
-type Entry struct {
-	Ref
-	Owner  string         `json:"o"`
-	Shape  matching.Shape `json:"s"`
-	Run    float64        `json:"r"` // expected run time
-	Fetch  float64        `json:"f"` // expected image fetch
-	Rank   int            `json:"p"` // priority, larger first
-	DueAt  float64        `json:"d"` // order within a priority, earlier first
-	Listed bool           `json:"l"` // facts about a task that already runs: not to be queued
+type QueueEntry struct {
+	TaskRef
+	Owner     string         `json:"o"`
+	Resources matching.Shape `json:"s"`
+	Run       float64        `json:"r"` // expected run time
+	Fetch     float64        `json:"f"` // expected image fetch
+	Rank      int            `json:"p"` // priority, larger first
+	DueAt     float64        `json:"d"` // order within a priority, earlier first
+	Listed    bool           `json:"l"` // facts about a task that already runs: not to be queued
 }
 
 // Halt stops a task; the holder repeats it until the task is gone.
 type Halt struct {
-	Ref
+	TaskRef
 	GraceS float64 `json:"g"`
 }
 
 // Clear is an exited task that its worker may forget.
 type Clear struct {
-	Ref
+	TaskRef
 	// Token is the highest that a start command for it may carry, by whichever holder:
 	// a late one from another, with a higher token than this holder's, would start the
 	// task again.
 	Token uint64 `json:"k,omitempty"`
 }
 
-// Direction is what an owner tells a holder.
-type Direction struct {
-	From   string  `json:"from"`
-	Assign []Entry `json:"assign,omitempty"`
-	Halt   []Halt  `json:"halt,omitempty"`
-	Clear  []Clear `json:"clear,omitempty"`
-	// RaiseAbove asks the holder to answer workers with a higher token, so
+// Instructions is what an owner tells a holder.
+type Instructions struct {
+	From   string       `json:"from"`
+	Assign []QueueEntry `json:"assign,omitempty"`
+	Halt   []Halt       `json:"halt,omitempty"`
+	Clear  []Clear      `json:"clear,omitempty"`
+	// RaiseTokenAbove asks the holder to answer workers with a higher token, so
 	// that their reports prove which late commands can no longer run.
-	RaiseAbove uint64 `json:"raise,omitempty"`
+	RaiseTokenAbove uint64 `json:"raise,omitempty"`
 }
 
 // Unlaunched answers a direction: the halted tasks for which no start command
 // was ever sent by this incarnation of the holder.
 type Unlaunched struct {
-	Refs []Ref `json:"refs"`
+	Refs []TaskRef `json:"refs"`
 	// Token is the holder's now: a task that was granted for another one may have been
 	// launched by another holder, or before this one restarted.
 	Token uint64 `json:"k,omitempty"`
@@ -68,7 +68,7 @@
 // GrantRequest asks a task's owner whether it may start now, with this token
 // and in this session.
 type GrantRequest struct {
-	Ref
+	TaskRef
 	Holder  string `json:"h"`
 	Token   uint64 `json:"k"`
 	Session uint64 `json:"s"`
@@ -91,14 +91,14 @@
 
 // QueueView is a queued task and its expected wait.
 type QueueView struct {
-	Ref
+	TaskRef
 	WaitS float64 `json:"w"`
 	// Unsent says that this holder has sent no start command for the task yet.
 	Unsent bool `json:"unsent,omitempty"`
 }
 
-// View is what a holder publishes of a machine.
-type View struct {
+// WorkerView is what a holder publishes of a machine.
+type WorkerView struct {
 	Name     string  `json:"name"`
 	Type     string  `json:"type"`
 	Zone     string  `json:"zone"`
@@ -122,14 +122,14 @@
 	Matrix matching.Matrix `json:"matrix"`
 }
 
-// Owners is what a holder needs of the tasks' owners, here or elsewhere.
-type Owners interface {
-	// Observe hands a fresh view to the owner in this process.
-	Observe(View)
-	// GrantHere asks the owner in this process.
-	GrantHere(GrantRequest) GrantReply
-	// GrantThere asks an owner elsewhere; the replies are in the order of the requests.
-	GrantThere(ctx context.Context, owner string, requests []GrantRequest) ([]GrantReply, error)
+// Schedulers is what a holder needs of the tasks' owners, here or elsewhere.
+type Schedulers interface {
+	// ObserveWorker hands a fresh view to the owner in this process.
+	ObserveWorker(WorkerView)
+	// GrantLocal asks the owner in this process.
+	GrantLocal(GrantRequest) GrantReply
+	// GrantRemote asks an owner elsewhere; the replies are in the order of the requests.
+	GrantRemote(ctx context.Context, owner string, requests []GrantRequest) ([]GrantReply, error)
 }
 
 // Tokens are this controller's terms.
@@ -141,24 +141,24 @@
 	Spare(above uint64) uint64
 }
 
-// Types knows the cloud's machine types.
-type Types interface {
+// MachineTypes knows the cloud's machine types.
+type MachineTypes interface {
 	Type(name string) (wire.MachineType, bool)
 }
 
-// Cancels knows which jobs were cancelled.
-type Cancels interface {
+// Cancellations knows which jobs were cancelled.
+type Cancellations interface {
 	IsCancelled(uid string) bool
 }
 
 // Routing says whether this controller may act for a worker, and which one
 // should instead.
 type Routing interface {
-	// Foreman names the controller that should hold a worker, "" for none.
-	Foreman(worker string) string
-	// Entitled reports whether this controller may answer workers.
-	Entitled() bool
-	// Alone reports whether this controller can start nothing, and knows of no
+	// LeaderFor names the controller that should hold a worker, "" for none.
+	LeaderFor(worker string) string
+	// MayAnswerWorkers reports whether this controller may answer workers.
+	MayAnswerWorkers() bool
+	// Isolated reports whether this controller can start nothing, and knows of no
 	// other that can, while there may be one.
-	Alone() bool
+	Isolated() bool
 }
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -22,19 +22,19 @@
 // errOutdated means that an order was not sent since it may not be carried out any more.
 var errOutdated = fmt.Errorf("%w: outdated while it waited for a connection", ErrNotSent)
 
-// Orderer sends direct orders to workers. It returns the worker's report and
+// CommandSender sends direct orders to workers. It returns the worker's report and
 // whether the worker executed the order.
-type Orderer interface {
-	// Order asks valid right before the order leaves, when the connection is there, and
+type CommandSender interface {
+	// SendCommands asks valid right before the order leaves, when the connection is there, and
 	// returns its error, as one that is ErrNotSent, if there is one.
-	Order(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error)
-	// Show asks a worker for its report.
-	Show(ctx context.Context, endpoint string) (*wire.Report, error)
+	SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error)
+	// FetchReport asks a worker for its report.
+	FetchReport(ctx context.Context, endpoint string) (*wire.Report, error)
 }
 
-// HTTPOrderer sends orders over HTTP. It keeps one connection a worker, while there are
+// HTTPCommandSender sends orders over HTTP. It keeps one connection a worker, while there are
 // sockets to spare.
-type HTTPOrderer struct {
+type HTTPCommandSender struct {
 	connections *connectionPool
 	slots       chan struct{}
 	asks        chan struct{} // of slots, those that requests for reports may take
@@ -46,18 +46,18 @@
 // next to no time for an answer, and counted as perhaps under way.
 const asksShare = 2
 
-// NewHTTPOrderer returns an orderer that keeps within the process's sockets.
-func NewHTTPOrderer(budget sockets.Budget) *HTTPOrderer {
+// NewHTTPCommandSender returns an orderer that keeps within the process's sockets.
+func NewHTTPCommandSender(budget sockets.Budget) *HTTPCommandSender {
 	slots := budget.OrdersAtOnce()
-	return &HTTPOrderer{newConnectionPool(budget.Orders), make(chan struct{}, slots), make(chan struct{}, slots/asksShare)}
+	return &HTTPCommandSender{newConnectionPool(budget.Orders), make(chan struct{}, slots), make(chan struct{}, slots/asksShare)}
 }
 
 // Trim closes idle connections, the longest idle first, if there are fewer sockets to
 // spare than before.
-func (h *HTTPOrderer) Trim() { h.connections.trim() }
+func (h *HTTPCommandSender) Trim() { h.connections.trim() }
 
 // Connections returns how many connections to workers are open, at most.
-func (h *HTTPOrderer) Connections() int { return h.connections.count() }
+func (h *HTTPCommandSender) Connections() int { return h.connections.count() }
 
 // take waits for one of the slots.
 func take(ctx context.Context, slots chan struct{}) error {
@@ -69,8 +69,8 @@
 	}
 }
 
-// Show implements Orderer.
-func (h *HTTPOrderer) Show(ctx context.Context, endpoint string) (*wire.Report, error) {
+// FetchReport implements Orderer.
+func (h *HTTPCommandSender) FetchReport(ctx context.Context, endpoint string) (*wire.Report, error) {
 	if err := take(ctx, h.asks); err != nil {
 		return nil, err
 	}
@@ -100,8 +100,8 @@
 	return wire.ParseReport(body)
 }
 
-// Order implements Orderer.
-func (h *HTTPOrderer) Order(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
+// SendCommands implements Orderer.
+func (h *HTTPCommandSender) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
 	if err := take(ctx, h.slots); err != nil {
 		return nil, false, err
 	}
--- a/internal/dispatch/orders_test.go
+++ b/internal/dispatch/orders_test.go
@@ -56,11 +56,11 @@
 func TestOrderIsCheckedWhenItsConnectionIsThere(t *testing.T) {
 	for _, valid := range []bool{true, false} {
 		b := newBusyWorker(t)
-		orderer, endpoint := dispatch.NewHTTPOrderer(sockets.Budget{Limit: 100, Accepted: func() int { return 0 }}), b.Listener.Addr().String()
+		orderer, endpoint := dispatch.NewHTTPCommandSender(sockets.Budget{Limit: 100, Accepted: func() int { return 0 }}), b.Listener.Addr().String()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		shown := make(chan error, 1)
 		go func() {
-			_, err := orderer.Show(ctx, endpoint)
+			_, err := orderer.FetchReport(ctx, endpoint)
 			shown <- err
 		}()
 		<-b.asked
@@ -68,7 +68,7 @@
 		var checks atomic.Int32
 		outcome := make(chan error, 1)
 		go func() {
-			_, _, err := orderer.Order(ctx, endpoint, wire.Orders{Token: 5, Session: 1}, func() error {
+			_, _, err := orderer.SendCommands(ctx, endpoint, wire.Orders{Token: 5, Session: 1}, func() error {
 				checks.Add(1)
 				if valid {
 					return nil
@@ -113,11 +113,11 @@
 					}
 				}
 				h := holder(t.Context(), s)
-				h.Cancels = cancelled
-				h.Report(t.Context(), report(1, 5))
+				h.Cancellations = cancelled
+				h.HandleReport(t.Context(), report(1, 5))
 				other := entry(1)
 				other.Task = "j-2/0"
-				h.Direct(dispatch.Direction{From: "a", Assign: []dispatch.Entry{entry(1), other}})
+				h.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1), other}})
 				h.Wait()
 				if waits != 2 || len(s.sent) != 1 {
 					t.Fatalf("%d orders were made, and sent were %+v", waits, s.sent)
@@ -139,8 +139,8 @@
 	s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	s.connect = func() { s.barred = true }
 	h := holder(t.Context(), s)
-	h.Report(t.Context(), report(1, 5))
-	h.Direct(dispatch.Direction{From: "a", Assign: []dispatch.Entry{entry(1)}})
+	h.HandleReport(t.Context(), report(1, 5))
+	h.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1)}})
 	h.Wait()
 	if !s.barred || len(s.sent) > 0 {
 		t.Errorf("barred %v, sent %+v", s.barred, s.sent)
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -10,10 +10,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Push sends the machine's commands directly, instead of waiting for its next
+// PushCommands sends the machine's commands directly, instead of waiting for its next
 // report.
-func (h *Holder) Push(name string) {
-	if !h.routing.Entitled() {
+func (h *Dispatcher) PushCommands(name string) {
+	if !h.routing.MayAnswerWorkers() {
 		return
 	}
 	h.mu.Lock()
@@ -47,9 +47,9 @@
 	})
 }
 
-func (h *Holder) order(name, endpoint string, o wire.Orders) {
+func (h *Dispatcher) order(name, endpoint string, o wire.Orders) {
 	ctx, cancel := context.WithTimeout(h.ctx, orderTimeout)
-	rep, executed, err := h.orders.Order(ctx, endpoint, o, func() error { return h.outdated(o) })
+	rep, executed, err := h.orders.SendCommands(ctx, endpoint, o, func() error { return h.outdated(o) })
 	cancel()
 	h.mu.Lock()
 	s := h.machines[name]
@@ -80,7 +80,7 @@
 	if err != nil {
 		h.log.Debug("direct order failed", "machine", name, "err", err)
 		if again {
-			h.Push(name)
+			h.PushCommands(name)
 		}
 		return
 	}
@@ -89,20 +89,20 @@
 		return
 	}
 	if view, ok := h.take(rep, false); ok {
-		h.owners.Observe(view)
+		h.owners.ObserveWorker(view)
 	}
 	if again && rep.Token <= h.tokens.Term() {
-		h.Push(name)
+		h.PushCommands(name)
 	}
 }
 
 // probesAtOnce bounds how many machines are asked for their report at a time.
 const probesAtOnce = 32
 
-// Probe asks machines that were not heard here for a while for their reports.
+// PollReports asks machines that were not heard here for a while for their reports.
 // After a takeover this tells what runs long before every worker has found out
 // where to report to, and has done so.
-func (h *Holder) Probe(ctx context.Context, endpoints map[string]string, unheard time.Duration) {
+func (h *Dispatcher) PollReports(ctx context.Context, endpoints map[string]string, unheard time.Duration) {
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(probesAtOnce)
 	for name, endpoint := range endpoints {
@@ -110,7 +110,7 @@
 		s := h.machines[name]
 		skip := h.gone.Has(name) || s != nil && time.Since(s.at) < unheard || len(h.machines) >= maxMachines
 		h.mu.Unlock()
-		if skip || !h.routing.Entitled() {
+		if skip || !h.routing.MayAnswerWorkers() {
 			continue
 		}
 		g.Go(func() error { h.askWithin(ctx, name, endpoint, orderTimeout); return nil })
@@ -118,36 +118,36 @@
 	_ = g.Wait() // none returns an error
 }
 
-// Ask asks a machine for its report and reports whether it answered. It is for judging
+// FetchReport asks a machine for its report and reports whether it answered. It is for judging
 // whether the machine works, and so waits longer than the rounds of Probe and Chase do: one
 // at the end of a slow link was returned as deaf.
-func (h *Holder) Ask(ctx context.Context, name, endpoint string) bool {
+func (h *Dispatcher) FetchReport(ctx context.Context, name, endpoint string) bool {
 	return h.askWithin(ctx, name, endpoint, askTimeout)
 }
 
-func (h *Holder) askWithin(ctx context.Context, name, endpoint string, timeout time.Duration) bool {
+func (h *Dispatcher) askWithin(ctx context.Context, name, endpoint string, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
-	rep, err := h.orders.Show(ctx, endpoint)
+	rep, err := h.orders.FetchReport(ctx, endpoint)
 	cancel()
 	if err != nil || rep.Machine != name {
 		h.log.Debug("no report on request", "machine", name, "err", err)
 		return false
 	}
 	if view, ok := h.take(rep, false); ok {
-		h.owners.Observe(view)
+		h.owners.ObserveWorker(view)
 	}
 	return true
 }
 
-// Chase asks machines on which cancelled tasks may be for their reports, and halts
+// ChaseCancelledTasks asks machines on which cancelled tasks may be for their reports, and halts
 // those tasks by direct orders: their worker may report to nobody who can be told.
-func (h *Holder) Chase(ctx context.Context, endpoints map[string]string) {
+func (h *Dispatcher) ChaseCancelledTasks(ctx context.Context, endpoints map[string]string) {
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(probesAtOnce)
 	for name, endpoint := range endpoints {
 		g.Go(func() error {
 			if h.askWithin(ctx, name, endpoint, orderTimeout) {
-				h.Push(name)
+				h.PushCommands(name)
 			}
 			return nil
 		})
@@ -156,7 +156,7 @@
 }
 
 // raiseLocked raises the term in the background, one at a time.
-func (h *Holder) raiseLocked(above uint64) {
+func (h *Dispatcher) raiseLocked(above uint64) {
 	if h.raising || h.tokens.Term() > above {
 		return
 	}
--- a/internal/dispatch/recall.go
+++ b/internal/dispatch/recall.go
@@ -12,14 +12,14 @@
 // for as long as the state service is out.
 
 // cancelled reports whether the job of a task is known to be cancelled.
-func (h *Holder) cancelled(task string) bool {
+func (h *Dispatcher) cancelled(task string) bool {
 	uid, _, _ := strings.Cut(task, "/")
-	return h.Cancels != nil && h.Cancels.IsCancelled(uid)
+	return h.Cancellations != nil && h.Cancellations.IsCancelled(uid)
 }
 
 // recall marks the tasks of cancelled jobs that a machine lists to be halted, and
 // reports whether there are new ones.
-func (h *Holder) recall(s *held) (found bool) {
+func (h *Dispatcher) recall(s *workerState) (found bool) {
 	for ref, l := range s.tasks {
 		if l.state == wire.TaskExited {
 			continue
@@ -35,9 +35,9 @@
 	return found
 }
 
-// Recall halts the tasks of cancelled jobs on all machines that report here, at once:
+// HaltCancelledTasks halts the tasks of cancelled jobs on all machines that report here, at once:
 // there are new ones.
-func (h *Holder) Recall() {
+func (h *Dispatcher) HaltCancelledTasks() {
 	var push []string
 	h.mu.Lock()
 	for name, s := range h.machines {
@@ -47,6 +47,6 @@
 	}
 	h.mu.Unlock()
 	for _, name := range push {
-		h.Push(name)
+		h.PushCommands(name)
 	}
 }
--- a/internal/dispatch/slow_links_test.go
+++ b/internal/dispatch/slow_links_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func (s *slowLinks) GrantThere(ctx context.Context, _ string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
+func (s *slowLinks) GrantRemote(ctx context.Context, _ string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
 	if err := s.wait(ctx); err != nil {
 		return nil, err
 	}
@@ -39,11 +39,11 @@
 	return replies, nil
 }
 
-func (s *slowLinks) Show(ctx context.Context, endpoint string) (*wire.Report, error) {
+func (s *slowLinks) FetchReport(ctx context.Context, endpoint string) (*wire.Report, error) {
 	if err := s.wait(ctx); err != nil {
 		return nil, err
 	}
-	return s.stub.Show(ctx, endpoint)
+	return s.stub.FetchReport(ctx, endpoint)
 }
 
 // Over links on which a message takes well over a second each way, a grant of an owner
@@ -54,11 +54,11 @@
 		s := &slowLinks{&stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return report(2, 5), true, nil }}, 2900 * time.Millisecond}
 		ctx, cancel := context.WithCancel(context.Background())
 		h := dispatch.New(ctx, "a", 10*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		h.Report(ctx, report(1, 5))
+		h.HandleReport(ctx, report(1, 5))
 		e := entry(1)
 		e.Owner = "b"
-		h.Direct(dispatch.Direction{From: "b", Assign: []dispatch.Entry{e}})
-		if q := h.Views()[0].Queue; len(q) != 1 || !q[0].Unsent {
+		h.ApplyInstructions(dispatch.Instructions{From: "b", Assign: []dispatch.QueueEntry{e}})
+		if q := h.WorkerViews()[0].Queue; len(q) != 1 || !q[0].Unsent {
 			t.Errorf("queue %+v before the grant", q)
 		}
 		time.Sleep(s.answerTakes + time.Millisecond)
@@ -66,10 +66,10 @@
 		if len(s.sent) != 1 || s.sent[0].Commands[0].Verb != wire.VerbStart {
 			t.Errorf("sent %+v", s.sent)
 		}
-		if q := h.Views()[0].Queue; len(q) != 1 || q[0].Unsent {
+		if q := h.WorkerViews()[0].Queue; len(q) != 1 || q[0].Unsent {
 			t.Errorf("queue %+v after the start was sent", q)
 		}
-		if !h.Ask(ctx, "n-1", "e") {
+		if !h.FetchReport(ctx, "n-1", "e") {
 			t.Error("a machine that answers late counts as not answering")
 		}
 		cancel()
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -9,7 +9,7 @@
 )
 
 // total is the machine's size, if its type is known.
-func (h *Holder) total(s *held) (matching.Shape, bool) {
+func (h *Dispatcher) total(s *workerState) (matching.Shape, bool) {
 	t, ok := h.types.Type(s.report.Type)
 	return matching.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, ok
 }
@@ -17,7 +17,7 @@
 // occupied lists what holds resources now: reported tasks that have not
 // exited, and starts that may be under way.
 // The result is good until the next call.
-func (h *Holder) occupied(s *held, total matching.Shape, now time.Time) []matching.Use {
+func (h *Dispatcher) occupied(s *workerState, total matching.Shape, now time.Time) []matching.Use {
 	uses := h.uses[:0]
 	for _, l := range s.tasks {
 		switch {
@@ -33,26 +33,26 @@
 			} else {
 				left = matching.RestOfRun(left, elapsed)
 			}
-			uses = append(uses, matching.Use{Shape: l.entry.Shape, Left: left})
+			uses = append(uses, matching.Use{Shape: l.entry.Resources, Left: left})
 		}
 	}
 	for _, q := range s.queue {
 		if q.sent || q.granted {
-			uses = append(uses, matching.Use{Shape: q.Shape, Left: q.Fetch + q.Run})
+			uses = append(uses, matching.Use{Shape: q.Resources, Left: q.Fetch + q.Run})
 		}
 	}
 	h.uses = uses
 	return uses
 }
 
-func (h *Holder) view(s *held) View {
+func (h *Dispatcher) view(s *workerState) WorkerView {
 	now := time.Now()
 	r := &s.report
-	v := View{Name: r.Machine, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Session: r.Session, Seq: r.Seq, Token: r.Token,
+	v := WorkerView{Name: r.Machine, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Session: r.Session, Seq: r.Seq, Token: r.Token,
 		Holder: h.name, Endpoint: r.Endpoint, AgeS: now.Sub(s.at).Seconds(), UnansweredS: h.unanswered(r.Machine).Seconds(), NoticeS: r.NoticeS, Draining: s.draining, Asked: s.asked}
 	v.Tasks = make([]TaskView, 0, len(r.Tasks))
 	for _, t := range r.Tasks {
-		l := s.tasks[Ref{r.Machine, t.Task, t.Attempt}]
+		l := s.tasks[TaskRef{r.Machine, t.Task, t.Attempt}]
 		v.Tasks = append(v.Tasks, TaskView{Task: t, ForS: now.Sub(l.since).Seconds(), Unknown: l.entry == nil && l.state != wire.TaskExited})
 	}
 	total, ok := h.total(s)
@@ -62,23 +62,23 @@
 	v.Matrix = matching.NewMatrix(total, h.occupied(s, total, now), nil)
 	for _, q := range s.queue {
 		if q.sent || q.granted {
-			v.Queue = append(v.Queue, QueueView{Ref: q.Ref, Unsent: !q.sent})
+			v.Queue = append(v.Queue, QueueView{TaskRef: q.TaskRef, Unsent: !q.sent})
 			continue
 		}
-		w := v.Matrix.Wait(q.Shape, q.Fetch+q.Run)
+		w := v.Matrix.Wait(q.Resources, q.Fetch+q.Run)
 		if math.IsInf(w, 1) {
 			w = 1e6
 		} else {
-			v.Matrix = v.Matrix.Reserve(q.Shape, w, q.Fetch+q.Run)
+			v.Matrix = v.Matrix.Reserve(q.Resources, w, q.Fetch+q.Run)
 		}
-		v.Queue = append(v.Queue, QueueView{Ref: q.Ref, WaitS: w, Unsent: true})
+		v.Queue = append(v.Queue, QueueView{TaskRef: q.TaskRef, WaitS: w, Unsent: true})
 	}
 	return v
 }
 
-// Changed returns views of the machines that changed since the last call, and the names
+// ChangedViews returns views of the machines that changed since the last call, and the names
 // of those that this holder knows no more.
-func (h *Holder) Changed() (changed []View, gone []string) {
+func (h *Dispatcher) ChangedViews() (changed []WorkerView, gone []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if time.Since(h.forgotAt) > time.Minute {
@@ -97,7 +97,7 @@
 }
 
 // forget forgets the machines that were not heard for long.
-func (h *Holder) forget() {
+func (h *Dispatcher) forget() {
 	h.forgotAt = time.Now()
 	for name, s := range h.machines {
 		if time.Since(s.at) > forgetAfter && time.Since(s.sentAway) > forgetAfter {
@@ -107,8 +107,8 @@
 	}
 }
 
-// Holds reports whether any machine was heard here within a lease.
-func (h *Holder) Holds() bool {
+// HasWorkers reports whether any machine was heard here within a lease.
+func (h *Dispatcher) HasWorkers() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.machines {
@@ -119,12 +119,12 @@
 	return false
 }
 
-// Views returns views of all machines heard within a lease.
-func (h *Holder) Views() []View {
+// WorkerViews returns views of all machines heard within a lease.
+func (h *Dispatcher) WorkerViews() []WorkerView {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.forget()
-	var out []View
+	var out []WorkerView
 	for _, s := range h.machines {
 		if s.report.Machine != "" && time.Since(s.at) < h.lease {
 			out = append(out, h.view(s))
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -25,7 +25,7 @@
 type fleet struct {
 	owner *scheduler.Scheduler
 	cfg   *config.Platform
-	views []dispatch.View
+	views []dispatch.WorkerView
 	rev   uint64
 	held  time.Duration
 	raise uint64                 // the highest token that a direction asked to be beyond
@@ -70,8 +70,8 @@
 	return 7, nil
 }
 func (f *fleet) ShardKey(int) string { return "c/shard/000" }
-func (f *fleet) SendInstructions(_ context.Context, _ string, d dispatch.Direction) (dispatch.Unlaunched, error) {
-	f.raise = max(f.raise, d.RaiseAbove)
+func (f *fleet) SendInstructions(_ context.Context, _ string, d dispatch.Instructions) (dispatch.Unlaunched, error) {
+	f.raise = max(f.raise, d.RaiseTokenAbove)
 	for _, e := range d.Assign {
 		if e.Listed {
 			f.told.Add(1)
@@ -126,7 +126,7 @@
 	for i := range machines {
 		total := matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}
 		use := []matching.Use{{Shape: matching.Shape{CPUs: 12, MemoryGB: 12}, Left: 20}}
-		f.views = append(f.views, dispatch.View{Name: fmt.Sprintf("n-%06d", i), Type: "m", Zone: "z", Spot: i%3 > 0, Session: 1, Seq: 1,
+		f.views = append(f.views, dispatch.WorkerView{Name: fmt.Sprintf("n-%06d", i), Type: "m", Zone: "z", Spot: i%3 > 0, Session: 1, Seq: 1,
 			Token: 7, Holder: "a", Matrix: matching.NewMatrix(total, use, nil)})
 		f.owner.ObserveWorker(f.views[i])
 	}
@@ -152,7 +152,7 @@
 	v.Tasks, v.Queue, v.Matrix = tasks, nil, matching.NewMatrix(total, uses, nil)
 	for _, ref := range f.owner.PlacesOf("j-1") {
 		if ref.Machine == v.Name {
-			v.Queue = append(v.Queue, dispatch.QueueView{Ref: ref, WaitS: full})
+			v.Queue = append(v.Queue, dispatch.QueueView{TaskRef: ref, WaitS: full})
 		}
 	}
 	f.owner.ObserveWorker(*v)
--- a/internal/scheduler/books.go
+++ b/internal/scheduler/books.go
@@ -37,7 +37,7 @@
 }
 
 func (o *Scheduler) attach(p *Placement) {
-	p.Ref = dispatch.Ref{Machine: p.Worker.Name, Task: wire.TaskName(p.Job.Spec.UID, p.Task), Attempt: p.Attempt}
+	p.Ref = dispatch.TaskRef{Machine: p.Worker.Name, Task: wire.TaskName(p.Job.Spec.UID, p.Task), Attempt: p.Attempt}
 	p.Job.Placements[p.Task] = append(p.Job.Placements[p.Task], p)
 	p.Chunk.Placements = append(p.Chunk.Placements, p)
 	p.Worker.Placements[p] = struct{}{}
--- a/internal/scheduler/closing_test.go
+++ b/internal/scheduler/closing_test.go
@@ -39,7 +39,7 @@
 				if len(first) != 1 {
 					t.Fatalf("the occupying task is placed at %v", first)
 				}
-				if !f.owner.GrantLocal(dispatch.GrantRequest{Ref: first[0], Holder: "a", Token: 7, Session: 1}).OK {
+				if !f.owner.GrantLocal(dispatch.GrantRequest{TaskRef: first[0], Holder: "a", Token: 7, Session: 1}).OK {
 					t.Fatal("not granted")
 				}
 				show := func() {
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -108,9 +108,9 @@
 		for _, p := range ps {
 			d := o.direction(p.Worker.View.Holder)
 			if p.Exited {
-				d.Clear = append(d.Clear, dispatch.Clear{Ref: p.Ref, Token: p.MaxToken})
+				d.Clear = append(d.Clear, dispatch.Clear{TaskRef: p.Ref, Token: p.MaxToken})
 			} else {
-				d.Halt = append(d.Halt, dispatch.Halt{Ref: p.Ref})
+				d.Halt = append(d.Halt, dispatch.Halt{TaskRef: p.Ref})
 			}
 		}
 	}
--- a/internal/scheduler/direct.go
+++ b/internal/scheduler/direct.go
@@ -10,10 +10,10 @@
 )
 
 // direction returns what is to be told to a holder next.
-func (o *Scheduler) direction(holder string) *dispatch.Direction {
+func (o *Scheduler) direction(holder string) *dispatch.Instructions {
 	d := o.pend[holder]
 	if d == nil {
-		d = &dispatch.Direction{From: o.member.Name()}
+		d = &dispatch.Instructions{From: o.member.Name()}
 		o.pend[holder] = d
 	}
 	return d
@@ -28,8 +28,8 @@
 	}
 	p.SentTo, p.SentAt = m.View.Holder, time.Now()
 	d := o.direction(m.View.Holder)
-	d.Assign = append(d.Assign, dispatch.Entry{
-		Ref: p.Ref, Owner: o.member.Name(), Shape: j.Resources, Run: j.RunEstimate(), Fetch: o.fetchTime(j, m),
+	d.Assign = append(d.Assign, dispatch.QueueEntry{
+		TaskRef: p.Ref, Owner: o.member.Name(), Resources: j.Resources, Run: j.RunEstimate(), Fetch: o.fetchTime(j, m),
 		Rank: j.Spec.Rank(), DueAt: j.DueAt(), Listed: isListed,
 	})
 	poke(o.out)
@@ -52,7 +52,7 @@
 		return
 	}
 	d := o.direction(p.Worker.View.Holder)
-	d.Halt = append(d.Halt, dispatch.Halt{Ref: p.Ref, GraceS: grace})
+	d.Halt = append(d.Halt, dispatch.Halt{TaskRef: p.Ref, GraceS: grace})
 	poke(o.out)
 }
 
@@ -61,7 +61,7 @@
 func (o *Scheduler) unqueue(p *Placement) {
 	if p.SentTo != "" {
 		d := o.direction(p.SentTo)
-		d.Halt = append(d.Halt, dispatch.Halt{Ref: p.Ref})
+		d.Halt = append(d.Halt, dispatch.Halt{TaskRef: p.Ref})
 		poke(o.out)
 	}
 	o.detach(p)
@@ -78,7 +78,7 @@
 
 // direct sends what was gathered for the holders: to those elsewhere in batches.
 func (o *Scheduler) direct(ctx context.Context) {
-	elsewhere := batching.Sender[*dispatch.Direction]{Send: func(holder string, ds []*dispatch.Direction) {
+	elsewhere := batching.Sender[*dispatch.Instructions]{Send: func(holder string, ds []*dispatch.Instructions) {
 		o.sendDirection(ctx, holder, joined(ds)) // bounded by its time limit
 	}}
 	for ctx.Err() == nil {
@@ -89,7 +89,7 @@
 		}
 		o.mu.Lock()
 		pend := o.pend
-		o.pend = map[string]*dispatch.Direction{}
+		o.pend = map[string]*dispatch.Instructions{}
 		o.mu.Unlock()
 		for holder, d := range pend {
 			switch holder {
@@ -104,18 +104,18 @@
 }
 
 // joined makes one direction of several, in their order.
-func joined(ds []*dispatch.Direction) *dispatch.Direction {
+func joined(ds []*dispatch.Instructions) *dispatch.Instructions {
 	all := *ds[0]
 	for _, d := range ds[1:] {
 		all.Assign = append(all.Assign, d.Assign...)
 		all.Halt = append(all.Halt, d.Halt...)
 		all.Clear = append(all.Clear, d.Clear...)
-		all.RaiseAbove = max(all.RaiseAbove, d.RaiseAbove)
+		all.RaiseTokenAbove = max(all.RaiseTokenAbove, d.RaiseTokenAbove)
 	}
 	return &all
 }
 
-func (o *Scheduler) sendDirection(ctx context.Context, holder string, d *dispatch.Direction) {
+func (o *Scheduler) sendDirection(ctx context.Context, holder string, d *dispatch.Instructions) {
 	dctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	un, err := o.holders.SendInstructions(dctx, holder, *d)
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -28,7 +28,7 @@
 }
 
 // PlacesOf lists the places of a job's tasks.
-func (o *Scheduler) PlacesOf(uid string) (refs []dispatch.Ref) {
+func (o *Scheduler) PlacesOf(uid string) (refs []dispatch.TaskRef) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, ps := range o.jobs[uid].Placements {
--- a/internal/scheduler/holders_test.go
+++ b/internal/scheduler/holders_test.go
@@ -67,7 +67,7 @@
 			t.Error("the room of the first job is given away again")
 		}
 		ref := f.owner.PlacesOf("j-1")[0]
-		if !f.owner.GrantAll([]dispatch.GrantRequest{{Ref: ref, Holder: "b", Token: 7, Session: 1}})[0].OK {
+		if !f.owner.GrantAll([]dispatch.GrantRequest{{TaskRef: ref, Holder: "b", Token: 7, Session: 1}})[0].OK {
 			t.Fatal("no grant")
 		}
 		idle()
--- a/internal/scheduler/observe.go
+++ b/internal/scheduler/observe.go
@@ -23,7 +23,7 @@
 const grantedLong = 10 * time.Second
 
 // ObserveWorker takes a holder's view of a machine and settles what it shows.
-func (o *Scheduler) ObserveWorker(v dispatch.View) {
+func (o *Scheduler) ObserveWorker(v dispatch.WorkerView) {
 	if v.Same {
 		if !o.mu.TryLock() {
 			o.keep(v)
@@ -39,13 +39,13 @@
 
 // deferredView is a view that came while this owner was busy.
 type deferredView struct {
-	view dispatch.View
+	view dispatch.WorkerView
 	at   time.Time
 }
 
 // keep has a view observed later that tells nothing but that its machine was heard: the
 // worker's answer must not wait for a pass.
-func (o *Scheduler) keep(v dispatch.View) {
+func (o *Scheduler) keep(v dispatch.WorkerView) {
 	o.keptMu.Lock()
 	defer o.keptMu.Unlock()
 	o.kept = append(o.kept, deferredView{v, time.Now()})
@@ -66,7 +66,7 @@
 	}
 }
 
-func (o *Scheduler) observe(v dispatch.View) {
+func (o *Scheduler) observe(v dispatch.WorkerView) {
 	if len(o.loaded) == 0 || o.returned.Has(v.Name) {
 		return
 	}
@@ -119,7 +119,7 @@
 	o.views++
 	for i := range v.Tasks {
 		t := &v.Tasks[i]
-		o.shown(m, dispatch.Ref{Machine: v.Name, Task: t.Task.Task, Attempt: t.Attempt}, t)
+		o.shown(m, dispatch.TaskRef{Machine: v.Name, Task: t.Task.Task, Attempt: t.Attempt}, t)
 	}
 	for p := range m.Placements {
 		// What a predecessor had queued, or was seen to run, is settled by the worker's
@@ -134,7 +134,7 @@
 		}
 	}
 	for i := range v.Queue {
-		o.checkQueued(m, v.Queue[i].Ref)
+		o.checkQueued(m, v.Queue[i].TaskRef)
 	}
 	o.heeds(m, now)
 	o.drainNotice(m)
@@ -142,9 +142,9 @@
 	poke(o.wake)
 }
 
-func queued(queue []dispatch.QueueView, ref dispatch.Ref) bool {
+func queued(queue []dispatch.QueueView, ref dispatch.TaskRef) bool {
 	for i := range queue {
-		if queue[i].Attempt == ref.Attempt && queue[i].Ref == ref {
+		if queue[i].Attempt == ref.Attempt && queue[i].TaskRef == ref {
 			return true
 		}
 	}
@@ -152,9 +152,9 @@
 }
 
 // unsent reports whether a holder has a place queued and has sent no start command for it.
-func unsent(queue []dispatch.QueueView, ref dispatch.Ref) bool {
+func unsent(queue []dispatch.QueueView, ref dispatch.TaskRef) bool {
 	for i := range queue {
-		if queue[i].Attempt == ref.Attempt && queue[i].Ref == ref {
+		if queue[i].Attempt == ref.Attempt && queue[i].TaskRef == ref {
 			return queue[i].Unsent
 		}
 	}
@@ -193,7 +193,7 @@
 }
 
 // shown handles a task that the worker reported.
-func (o *Scheduler) shown(m *Worker, ref dispatch.Ref, t *dispatch.TaskView) {
+func (o *Scheduler) shown(m *Worker, ref dispatch.TaskRef, t *dispatch.TaskView) {
 	uid, n, err := wire.ParseTask(ref.Task)
 	if err != nil {
 		return
@@ -261,7 +261,7 @@
 
 // checkQueued takes an entry that has no place in the books out of its machine's
 // queue. Nobody would ever grant it, but it would keep its room.
-func (o *Scheduler) checkQueued(m *Worker, ref dispatch.Ref) {
+func (o *Scheduler) checkQueued(m *Worker, ref dispatch.TaskRef) {
 	for p := range m.Placements {
 		if p.Attempt == ref.Attempt && p.Ref == ref {
 			return
@@ -272,7 +272,7 @@
 		return
 	}
 	d := o.direction(m.View.Holder)
-	d.Halt = append(d.Halt, dispatch.Halt{Ref: ref})
+	d.Halt = append(d.Halt, dispatch.Halt{TaskRef: ref})
 	poke(o.out)
 }
 
@@ -287,14 +287,14 @@
 }
 
 // stray handles a task that has no place in the books: a leftover.
-func (o *Scheduler) stray(m *Worker, ref dispatch.Ref, t *dispatch.TaskView) {
+func (o *Scheduler) stray(m *Worker, ref dispatch.TaskRef, t *dispatch.TaskView) {
 	d := o.direction(m.View.Holder)
 	if t.State == wire.TaskExited {
 		// Its place is gone, and with it what its starts may carry: a clear whose
 		// message was lost is repeated here, and a start that was held up came later.
-		d.Clear = append(d.Clear, dispatch.Clear{Ref: ref, Token: max(m.MaxToken, o.fence)})
+		d.Clear = append(d.Clear, dispatch.Clear{TaskRef: ref, Token: max(m.MaxToken, o.fence)})
 	} else {
-		d.Halt = append(d.Halt, dispatch.Halt{Ref: ref})
+		d.Halt = append(d.Halt, dispatch.Halt{TaskRef: ref})
 	}
 	poke(o.out)
 }
@@ -379,7 +379,7 @@
 func (o *Scheduler) clear(p *Placement) {
 	o.detach(p)
 	d := o.direction(p.Worker.View.Holder)
-	d.Clear = append(d.Clear, dispatch.Clear{Ref: p.Ref, Token: p.MaxToken})
+	d.Clear = append(d.Clear, dispatch.Clear{TaskRef: p.Ref, Token: p.MaxToken})
 	poke(o.out)
 }
 
@@ -402,7 +402,7 @@
 		o.count(p, 1)
 	case now.Sub(p.GrantedAt) > grantedLong && m.View.Holder != "":
 		d := o.direction(m.View.Holder)
-		d.RaiseAbove = max(d.RaiseAbove, p.MaxToken)
+		d.RaiseTokenAbove = max(d.RaiseTokenAbove, p.MaxToken)
 		poke(o.out)
 	}
 }
@@ -435,10 +435,10 @@
 		// the report may be older than the start, and a halt would end a task that a
 		// predecessor started after it.
 		d := o.direction(m.View.Holder)
-		d.RaiseAbove = max(d.RaiseAbove, p.MaxToken)
+		d.RaiseTokenAbove = max(d.RaiseTokenAbove, p.MaxToken)
 		if (p.Job.Cancelled || !p.LastHaltAt.IsZero()) && time.Since(p.LastHaltAt) > time.Second {
 			p.LastHaltAt = time.Now()
-			d.Halt = append(d.Halt, dispatch.Halt{Ref: p.Ref})
+			d.Halt = append(d.Halt, dispatch.Halt{TaskRef: p.Ref})
 		}
 		poke(o.out)
 	}
--- a/internal/scheduler/own_write_test.go
+++ b/internal/scheduler/own_write_test.go
@@ -37,7 +37,7 @@
 			if err := o.Load(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			o.ObserveWorker(dispatch.View{Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Holder: "a",
+			o.ObserveWorker(dispatch.WorkerView{Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Holder: "a",
 				Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}},
 					{Task: wire.Task{Task: "j-2/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}}}})
 			if err := o.WriteOnce(t.Context()); err == nil {
--- a/internal/scheduler/owner.go
+++ b/internal/scheduler/owner.go
@@ -52,7 +52,7 @@
 
 // Dispatchers carries directions to the holder of a machine.
 type Dispatchers interface {
-	SendInstructions(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error)
+	SendInstructions(ctx context.Context, holder string, d dispatch.Instructions) (dispatch.Unlaunched, error)
 }
 
 // MachineTypes knows the cloud's machine types.
@@ -78,7 +78,7 @@
 	Task          int
 	Attempt       uint64
 	Worker        *Worker
-	Ref           dispatch.Ref
+	Ref           dispatch.TaskRef
 	State         PlacementState
 	MaxToken      uint64 // highest token a start command may carry
 	MinToken      uint64 // lowest token for which the start was granted
@@ -189,7 +189,7 @@
 type Worker struct {
 	Index         int
 	Name          string
-	View          dispatch.View
+	View          dispatch.WorkerView
 	ViewAt        time.Time // when the view came; zero if none did
 	LastHeartbeat time.Time // when the report in it came to its holder
 	KnownSince    time.Time // when this owner first knew of it
@@ -275,7 +275,7 @@
 	final     map[string]FinalRecord // of jobs that ended here, for answers
 	finalQ    []string
 	garbage   []string // chunk keys of ended jobs
-	pend      map[string]*dispatch.Direction
+	pend      map[string]*dispatch.Instructions
 	admitted  float64                  // CPU-seconds of work
 	arriving  map[string]*ArrivingWork // by class
 	triagedAt time.Time
@@ -313,7 +313,7 @@
 		teams: map[string]*Team{},
 		wake:  make(chan struct{}, 1), flush: make(chan struct{}, 1), out: make(chan struct{}, 1),
 		loaded: map[int]uint64{}, listed: map[int]uint64{}, jobs: map[string]*Job{}, machines: map[string]*Worker{}, returned: recent.NewSet(maxGone), classes: map[string]*Class{},
-		rooms: map[Requirements][]*Worker{}, cachers: map[imageRequirements][]*Worker{}, logs: map[int]*Log{}, final: map[string]FinalRecord{}, arriving: map[string]*ArrivingWork{}, over: Tally{}, flood: map[int]bool{}, pend: map[string]*dispatch.Direction{},
+		rooms: map[Requirements][]*Worker{}, cachers: map[imageRequirements][]*Worker{}, logs: map[int]*Log{}, final: map[string]FinalRecord{}, arriving: map[string]*ArrivingWork{}, over: Tally{}, flood: map[int]bool{}, pend: map[string]*dispatch.Instructions{},
 	}
 	for _, t := range cfg.Params.Teams {
 		o.teams[t.Name] = &Team{Team: t}
--- a/internal/scheduler/owner_test.go
+++ b/internal/scheduler/owner_test.go
@@ -52,7 +52,7 @@
 		look := func(left ...float64) {
 			for i, s := range left {
 				if i == len(f.views) {
-					f.views = append(f.views, dispatch.View{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 7, Holder: "a"})
+					f.views = append(f.views, dispatch.WorkerView{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 7, Holder: "a"})
 				}
 				f.show(i, s)
 			}
@@ -109,7 +109,7 @@
 			show(0, 0.2)
 			show(0, 0.2)
 			ref := f.owner.PlacesOf("j-1")[0]
-			if !f.owner.GrantLocal(dispatch.GrantRequest{Ref: ref, Holder: "a", Token: 7, Session: 1}).OK {
+			if !f.owner.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Holder: "a", Token: 7, Session: 1}).OK {
 				t.Fatal("not granted")
 			}
 			f.views[0].Holder = "b"
@@ -121,7 +121,7 @@
 			if c.raised {
 				f.views[0].Token = 9
 			} // else it is asked for, after a while
-			f.views = append(f.views, dispatch.View{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 9, Holder: "a"})
+			f.views = append(f.views, dispatch.WorkerView{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 9, Holder: "a"})
 			for range 24 {
 				show(0, 600)
 				if f.raise > 0 {
@@ -166,11 +166,11 @@
 				}
 				ref := f.owner.PlacesOf("j-1")[0]
 				for _, token := range []uint64{c.granted, c.again} {
-					if token > 0 && !f.owner.GrantLocal(dispatch.GrantRequest{Ref: ref, Holder: "a", Token: token, Session: 1}).OK {
+					if token > 0 && !f.owner.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Holder: "a", Token: token, Session: 1}).OK {
 						t.Fatal("not granted")
 					}
 				}
-				f.unlaunched = dispatch.Unlaunched{Refs: []dispatch.Ref{ref}, Token: c.holder}
+				f.unlaunched = dispatch.Unlaunched{Refs: []dispatch.TaskRef{ref}, Token: c.holder}
 				f.owner.CancelRecorded("j-1")
 				time.Sleep(3 * time.Second)
 				if used := f.owner.TeamUse("t"); (used > 0) != c.counts {
@@ -199,7 +199,7 @@
 		}
 		f.owner.LimitTeam("t", 3)
 		grant := func(i int) bool {
-			return f.owner.GrantLocal(dispatch.GrantRequest{Ref: refs[i], Holder: "a", Token: 7, Session: 1}).OK
+			return f.owner.GrantLocal(dispatch.GrantRequest{TaskRef: refs[i], Holder: "a", Token: 7, Session: 1}).OK
 		}
 		if !grant(0) || grant(1) || !grant(0) {
 			t.Error("the limit lets one task start, which may be granted again")
@@ -260,7 +260,7 @@
 		t.Fatal(err)
 	}
 	v := f.views[0]
-	v.Queue = []dispatch.QueueView{{Ref: dispatch.Ref{Machine: v.Name, Task: "j-1/0", Attempt: 1}}}
+	v.Queue = []dispatch.QueueView{{TaskRef: dispatch.TaskRef{Machine: v.Name, Task: "j-1/0", Attempt: 1}}}
 	report := func(token uint64) (pending, halts int) {
 		v.Seq, v.Token = v.Seq+1, token
 		f.owner.ObserveWorker(v)
@@ -351,7 +351,7 @@
 		f.owner.ObserveWorker(*v)
 		f.owner.Pass()
 		for i := range 2 {
-			f.owner.GrantLocal(dispatch.GrantRequest{Ref: dispatch.Ref{Machine: v.Name, Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1)}, Token: 7, Session: 1})
+			f.owner.GrantLocal(dispatch.GrantRequest{TaskRef: dispatch.TaskRef{Machine: v.Name, Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1)}, Token: 7, Session: 1})
 		}
 		show()
 		f.owner.JobAccepted(&wire.Job{UID: "j-2", Class: "quote", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 2)
--- a/internal/scheduler/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -84,7 +84,7 @@
 	if want := []string{"j-1/2 n-000000 3", "j-1/4 n-000000 5", "j-1/5 n-000000 6", "j-1/6 n-000000 7"}; !slices.Equal(places, want) {
 		t.Errorf("placed at %q, want %q", places, want)
 	}
-	o.ObserveWorker(dispatch.View{Name: "n-000000", Type: "m", Zone: "z", Spot: true, Session: 1, Seq: 1, Token: 7, Holder: "a",
+	o.ObserveWorker(dispatch.WorkerView{Name: "n-000000", Type: "m", Zone: "z", Spot: true, Session: 1, Seq: 1, Token: 7, Holder: "a",
 		Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3, State: wire.TaskRunning}}}})
 	if s, ok := o.LocalState("j-1"); !ok || s != (wire.JobState{UID: "j-1", Stage: wire.StageRunning, Done: 2, Running: 1}) {
 		t.Errorf("with a task that runs it is %+v, %v", s, ok)
--- a/internal/scheduler/sweep.go
+++ b/internal/scheduler/sweep.go
@@ -23,7 +23,7 @@
 	for _, m := range o.machines {
 		for _, q := range m.View.Queue {
 			for p := range m.Placements {
-				if p.State == PlacementRecorded && p.Attempt == q.Attempt && p.Ref == q.Ref {
+				if p.State == PlacementRecorded && p.Attempt == q.Attempt && p.Ref == q.TaskRef {
 					waits[p] = q.WaitS
 					a := stage[p.Job]
 					if a == nil {
--- a/internal/scheduler/told_again_test.go
+++ b/internal/scheduler/told_again_test.go
@@ -22,7 +22,7 @@
 			time.Sleep(time.Second)
 		}
 		ref := f.owner.PlacesOf("j-1")[0]
-		if !f.owner.GrantLocal(dispatch.GrantRequest{Ref: ref, Holder: "a", Token: 7, Session: 1}).OK {
+		if !f.owner.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Holder: "a", Token: 7, Session: 1}).OK {
 			t.Fatal("not granted")
 		}
 		running := dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskRunning}}
--- a/internal/scheduler/unsent_grant_test.go
+++ b/internal/scheduler/unsent_grant_test.go
@@ -17,13 +17,13 @@
 			f := newFleet(t, 2, 0)
 			stop := f.run()
 			f.acceptArray(1)
-			var ref dispatch.Ref
+			var ref dispatch.TaskRef
 			show := func() {
 				for i := range f.views {
 					v := &f.views[i]
 					v.Seq, v.Holder, v.Queue = v.Seq+1, "b", nil
 					if v.Asked = v.Name != ref.Machine; !v.Asked {
-						v.Queue = []dispatch.QueueView{{Ref: ref, Unsent: unsent}}
+						v.Queue = []dispatch.QueueView{{TaskRef: ref, Unsent: unsent}}
 					}
 					f.owner.ObserveWorker(*v)
 				}
@@ -34,7 +34,7 @@
 				time.Sleep(time.Second)
 			}
 			ref = f.owner.PlacesOf("j-1")[0]
-			if !f.owner.GrantLocal(dispatch.GrantRequest{Ref: ref, Holder: "b", Token: 7, Session: 1}).OK {
+			if !f.owner.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Holder: "b", Token: 7, Session: 1}).OK {
 				t.Fatal("not granted")
 			}
 			deaf := false
--- a/internal/testkit/alike_test.go
+++ b/internal/testkit/alike_test.go
@@ -90,7 +90,7 @@
 		rep.Endpoint = w.workers[0].Name
 		sent := time.Now()
 		mu.Unlock()
-		if _, body := n.holder.Report(context.Background(), rep); body != nil {
+		if _, body := n.holder.HandleReport(context.Background(), rep); body != nil {
 			if a, ok := body.(wire.ReportAnswer); ok {
 				mu.Lock()
 				w.workers[0].Answer(sent, rep.Session, a)
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -91,7 +91,7 @@
 	cancels map[string]time.Time // jobs, by when their user first heard that they are cancelled
 
 	accounts bool                                 // whether accounting rows are written
-	directed func(d dispatch.Direction)           // sees what owners tell holders, before it is on its way; nil: nobody
+	directed func(d dispatch.Instructions)        // sees what owners tell holders, before it is on its way; nil: nobody
 	ordering func(endpoint string, o wire.Orders) // sees a direct order before it is on its way; nil: nobody
 
 	beside     func(n *node) []func(context.Context) error            // what else a controller runs; nil: nothing
@@ -121,7 +121,7 @@
 	view     *testkit.View
 	member   *membership.Member
 	owner    *scheduler.Scheduler
-	holder   *dispatch.Holder
+	holder   *dispatch.Dispatcher
 	stop     context.CancelFunc
 	done     chan struct{}
 	down     bool // crashed
@@ -185,8 +185,8 @@
 	n.holder = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
 	n.started, n.published, n.pictures = time.Now(), viewsync.NewPublisher(name, n.holder), viewsync.NewReceiver(n.owner, w.others(name))
 	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.Held)
-	n.reg.Fresh = func(uids []string) { n.knows.learn(uids); go n.holder.Recall() }
-	n.owner.Cancellations, n.holder.Cancels = n.reg, n.reg
+	n.reg.Fresh = func(uids []string) { n.knows.learn(uids); go n.holder.HaltCancelledTasks() }
+	n.owner.Cancellations, n.holder.Cancellations = n.reg, n.reg
 	n.intake = submission.New(&cfg, op, n.view, n.owner, w.size, n, log)
 	n.intake.Cancels = n.reg
 	n.mux = http.NewServeMux()
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -94,7 +94,7 @@
 
 // watchStages has the jobs cancelled at their stages.
 func (s *jobStream) watchStages() {
-	s.directed = func(d dispatch.Direction) {
+	s.directed = func(d dispatch.Instructions) {
 		for _, e := range d.Assign {
 			if job := s.jobOf(e.Task); job != nil && !e.Listed {
 				s.later(job, cancelQueued)
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -350,7 +350,7 @@
 	}
 	tasks := map[string]bool{}
 	for _, name := range c.names {
-		for _, v := range c.nodes[name].holder.Views() {
+		for _, v := range c.nodes[name].holder.WorkerViews() {
 			for _, q := range v.Queue {
 				if full[v.Name] && strings.HasPrefix(q.Task, uid+"/") {
 					tasks[q.Task] = true
@@ -376,7 +376,7 @@
 	held := map[string]int{}
 	for _, name := range c.names {
 		for _, k := range c.workers {
-			if !c.nodes[name].down && c.nodes[name].holder.Unanswered(k.Name) < 2*reportEvery {
+			if !c.nodes[name].down && c.nodes[name].holder.UnansweredFor(k.Name) < 2*reportEvery {
 				held[name]++
 			}
 		}
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -193,7 +193,7 @@
 	_, silent := n.owner.UnresponsiveWorkers(workerLease)
 	for i := range silent {
 		name, all := silent[i].Name, true
-		a := dispatch.NewAttestation(time.Now(), []float64{n.holder.Unanswered(name).Seconds()})
+		a := dispatch.NewAttestation(time.Now(), []float64{n.holder.UnansweredFor(name).Seconds()})
 		for _, peer := range w.names {
 			if peer == n.name {
 				continue
@@ -204,12 +204,12 @@
 				if err != nil {
 					return 0, err
 				}
-				return to.holder.Unanswered(name), nil
+				return to.holder.UnansweredFor(name), nil
 			})
 			cancel()
 			all = all && err == nil && a.Add([]float64{unanswered.Seconds()})
 		}
-		if all && a.LeaseOver(0, time.Now(), attestLease.Seconds()) {
+		if all && a.LeaseExpired(0, time.Now(), attestLease.Seconds()) {
 			n.owner.LeaseAttestedExpired(name, a.Asked())
 		}
 	}
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -11,16 +11,16 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Observe hands a view to the owner here, as cmd/wallrack does.
-func (n *node) Observe(v dispatch.View) {
+// ObserveWorker hands a view to the owner here, as cmd/wallrack does.
+func (n *node) ObserveWorker(v dispatch.WorkerView) {
 	if seen := n.linksSeen(); v.Asked && seen.Spreading() {
-		v.Holder = n.Foreman(v.Name)
+		v.Holder = n.LeaderFor(v.Name)
 	}
 	n.owner.ObserveWorker(v)
 }
 
-func (n *node) GrantHere(r dispatch.GrantRequest) dispatch.GrantReply { return n.owner.GrantLocal(r) }
-func (n *node) GrantThere(ctx context.Context, at string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
+func (n *node) GrantLocal(r dispatch.GrantRequest) dispatch.GrantReply { return n.owner.GrantLocal(r) }
+func (n *node) GrantRemote(ctx context.Context, at string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
 	return overPeerLink(ctx, n.w, func() ([]dispatch.GrantReply, error) {
 		to, err := n.peer(at)
 		if err != nil {
@@ -30,25 +30,25 @@
 	})
 }
 
-func (n *node) SendInstructions(ctx context.Context, holder string, d dispatch.Direction) (dispatch.Unlaunched, error) {
+func (n *node) SendInstructions(ctx context.Context, holder string, d dispatch.Instructions) (dispatch.Unlaunched, error) {
 	if n.w.directed != nil {
 		n.w.directed(d)
 	}
 	if holder == n.name {
-		return n.holder.Direct(d), nil
+		return n.holder.ApplyInstructions(d), nil
 	}
 	return overPeerLink(ctx, n.w, func() (dispatch.Unlaunched, error) {
 		to, err := n.peer(holder)
 		if err != nil {
 			return dispatch.Unlaunched{}, err
 		}
-		return to.holder.Direct(d), nil
+		return to.holder.ApplyInstructions(d), nil
 	})
 }
 
-// Order sends a direct order; some arrive, but the answer is lost, and some
+// SendCommands sends a direct order; some arrive, but the answer is lost, and some
 // arrive minutes late.
-func (n *node) Order(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
+func (n *node) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
 	if d := n.w.drawn(&n.w.connecting); d > 0 {
 		time.Sleep(d)
 	}
@@ -132,8 +132,8 @@
 	return len(late)
 }
 
-// Show asks a worker for its report.
-func (n *node) Show(ctx context.Context, endpoint string) (*wire.Report, error) {
+// FetchReport asks a worker for its report.
+func (n *node) FetchReport(ctx context.Context, endpoint string) (*wire.Report, error) {
 	return overLink(ctx, n.w, func() (*wire.Report, error) {
 		n.w.mu.Lock()
 		defer n.w.mu.Unlock()
--- a/internal/testkit/old_reports_test.go
+++ b/internal/testkit/old_reports_test.go
@@ -28,7 +28,7 @@
 			for _, rep := range reports {
 				again := *rep
 				again.Tasks = slices.Clone(rep.Tasks)
-				status, _ := n.holder.Report(context.Background(), &again)
+				status, _ := n.holder.HandleReport(context.Background(), &again)
 				mu.Lock()
 				if status == 200 {
 					taken++
@@ -50,7 +50,7 @@
 	rep.Endpoint = k.Name
 	sent := time.Now()
 	w.mu.Unlock()
-	_, body := w.nodes[name].holder.Report(context.Background(), rep)
+	_, body := w.nodes[name].holder.HandleReport(context.Background(), rep)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a, ok := body.(wire.ReportAnswer); ok {
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -76,15 +76,15 @@
 func (r *reach) row(state bool) reachability.Row {
 	n, now := r.node, time.Now()
 	r.seq++
-	reports, machines := n.holder.Arrivals()
+	reports, machines := n.holder.RecentHeartbeats()
 	row := reachability.Row{Node: n.name, Born: r.born, Seq: r.seq, State: state, Held: n.member.Held() > 0, Owns: len(n.member.Own()) > 0,
-		Reports: reports, Expected: float64(machines) / reportEvery.Seconds() * dispatch.ArrivalWindow.Seconds(), Lacks: r.table.Lacks(now)}
+		Reports: reports, Expected: float64(machines) / reportEvery.Seconds() * dispatch.HeartbeatWindow.Seconds(), Lacks: r.table.Lacks(now)}
 	if o := n.member.Owners(); len(o) > 0 {
 		row.Chief = o[0]
 	}
 	row.Seats, row.Room, row.Here = r.seats, r.room, r.here
 	if len(row.Lacks) > 0 || r.table.Lacked(now) {
-		row.Heard = reachability.NewNames(n.holder.HeardWithin(workerLease), 4096)
+		row.Heard = reachability.NewNames(n.holder.WorkersHeardWithin(workerLease), 4096)
 	}
 	return row
 }
@@ -103,7 +103,7 @@
 	return n.reach.last
 }
 
-func (n *node) Foreman(worker string) string {
+func (n *node) LeaderFor(worker string) string {
 	v := n.linksSeen()
 	v.Self.Held = n.member.Held() > 0
 	if o := n.member.Owners(); len(o) > 0 {
@@ -112,11 +112,11 @@
 	return v.ForemanOf(worker)
 }
 
-func (n *node) Entitled() bool {
+func (n *node) MayAnswerWorkers() bool {
 	return n.member.Term() > 0 && time.Since(n.reg.Known()) < testGrace
 }
 
-func (n *node) Alone() bool {
+func (n *node) Isolated() bool {
 	v := n.linksSeen()
 	v.Self.Owns = len(n.member.Own()) > 0
 	return v.Alone()
@@ -184,7 +184,7 @@
 // seat shares out the workers as cmd/wallrack does, by the room that the test sets.
 func (r *reach) seat(now time.Time, v *reachability.View) {
 	room := r.node.w.rooms[r.node.name]
-	here := r.node.holder.Reporting(5 * reportEvery / 2)
+	here := r.node.holder.CountReporting(5 * reportEvery / 2)
 	r.seats = r.plan.Plan(now, v, here, room, reportEvery)
 	r.room, r.here = 0, 0
 	if v.Self.Seats = r.seats; v.Spreading() {
@@ -218,7 +218,7 @@
 		if at := h.last; k != nil && time.Since(at) < 3*reportEvery && time.Since(h.since) > surely {
 			seen := ""
 			for _, x := range w.names {
-				seen += fmt.Sprintf(" %s %v", x, w.nodes[x].holder.Seen(name))
+				seen += fmt.Sprintf(" %s %v", x, w.nodes[x].holder.SinceHeartbeat(name))
 			}
 			w.fail("%s gives %s back (%s), which was heard %v ago (by%s), asked now: %v; %+v", n.name, name, why, time.Since(h.last), seen, verdict.Ask[name], v)
 		}
@@ -236,7 +236,7 @@
 		w.mu.Unlock()
 		for _, x := range w.nodes {
 			if !x.down {
-				x.holder.Gone(name)
+				x.holder.RemoveWorker(name)
 				x.owner.WorkerGone(name)
 			}
 		}
@@ -246,13 +246,13 @@
 // lives asks a machine, and has all peers ask it, whether it lives.
 func (n *node) lives(ctx context.Context, m reachability.Machine) bool {
 	w := n.w
-	heard := m.Endpoint != "" && n.holder.Ask(ctx, m.Name, m.Endpoint)
+	heard := m.Endpoint != "" && n.holder.FetchReport(ctx, m.Name, m.Endpoint)
 	for _, p := range w.names { // and its peers are asked whether they hear it
 		w.mu.Lock()
 		to := w.nodes[p]
 		ok := to != n && w.reach(n, to)
 		w.mu.Unlock()
-		heard = heard || ok && (!m.Deaf && to.holder.Seen(m.Name) < n.reach.silence.Base || m.Endpoint != "" && to.holder.Ask(ctx, m.Name, m.Endpoint))
+		heard = heard || ok && (!m.Deaf && to.holder.SinceHeartbeat(m.Name) < n.reach.silence.Base || m.Endpoint != "" && to.holder.FetchReport(ctx, m.Name, m.Endpoint))
 	}
 	return heard
 }
--- a/internal/testkit/rented_cluster_test.go
+++ b/internal/testkit/rented_cluster_test.go
@@ -189,7 +189,7 @@
 	}
 	o.c.mu.Unlock()
 	for _, n := range nodes {
-		n.holder.Gone(name)
+		n.holder.RemoveWorker(name)
 		n.owner.WorkerGone(name)
 	}
 }
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -38,7 +38,7 @@
 		w.mu.Unlock()
 		return
 	}
-	status, body := n.holder.Report(context.Background(), rep)
+	status, body := n.holder.HandleReport(context.Background(), rep)
 	answered := time.Now()
 	w.travel()
 	w.mu.Lock()
@@ -113,7 +113,7 @@
 	for _, rep := range late[:len(late)/2] {
 		again := *rep
 		again.Tasks = slices.Clone(rep.Tasks)
-		to.holder.Report(context.Background(), &again) // whatever is answered reaches nobody
+		to.holder.HandleReport(context.Background(), &again) // whatever is answered reaches nobody
 		w.check()
 	}
 }
@@ -147,7 +147,7 @@
 	for _, n := range nodes {
 		if len(n.member.Own()) > 0 {
 			if !w.unlisted {
-				n.onDuty("probe", func(ctx context.Context) { n.holder.Probe(ctx, unheard, 3*reportEvery) })
+				n.onDuty("probe", func(ctx context.Context) { n.holder.PollReports(ctx, unheard, 3*reportEvery) })
 			}
 			n.onDuty("leases", n.askExpiring)
 		}
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -90,13 +90,13 @@
 			}
 		}
 		if was := n.entitled; n.member.Term() > 0 {
-			n.entitled = n.Entitled()
+			n.entitled = n.MayAnswerWorkers()
 			if was && !n.entitled {
 				w.lapses++
 			}
 		}
-		if on := n.owner.UnstoppedWorkers(3 * time.Second); len(on) > 0 && n.Entitled() {
-			n.onDuty("cancels", func(ctx context.Context) { n.holder.Chase(ctx, on) })
+		if on := n.owner.UnstoppedWorkers(3 * time.Second); len(on) > 0 && n.MayAnswerWorkers() {
+			n.onDuty("cancels", func(ctx context.Context) { n.holder.ChaseCancelledTasks(ctx, on) })
 		}
 	}
 }
--- a/internal/testkit/unreachable_test.go
+++ b/internal/testkit/unreachable_test.go
@@ -149,7 +149,7 @@
 					held := 0
 					for _, k := range w.workers {
 						for _, n := range cut {
-							if w.nodes[n].holder.Unanswered(k.Name) < 10*time.Second {
+							if w.nodes[n].holder.UnansweredFor(k.Name) < 10*time.Second {
 								held++
 							}
 						}
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -18,8 +18,8 @@
 func (n *node) askExpiring(ctx context.Context) {
 	const timesASecond = 4
 	for range timesASecond {
-		if ask := n.owner.HandleExpiringLeases(); len(ask) > 0 && n.Entitled() {
-			n.holder.Chase(ctx, ask)
+		if ask := n.owner.HandleExpiringLeases(); len(ask) > 0 && n.MayAnswerWorkers() {
+			n.holder.ChaseCancelledTasks(ctx, ask)
 		}
 	}
 }
--- a/internal/viewsync/capacity_test.go
+++ b/internal/viewsync/capacity_test.go
@@ -19,18 +19,18 @@
 )
 
 // fleet is so many machines as their holder sees them.
-type fleet []dispatch.View
+type fleet []dispatch.WorkerView
 
-func (fleet) Holds() bool                          { return true }
-func (f fleet) Views() []dispatch.View             { return f }
-func (fleet) Changed() ([]dispatch.View, []string) { return nil, nil }
+func (fleet) HasWorkers() bool                                { return true }
+func (f fleet) WorkerViews() []dispatch.WorkerView            { return f }
+func (fleet) ChangedViews() ([]dispatch.WorkerView, []string) { return nil, nil }
 
 // machinesAt are machines with reports as of a time, each of whose first started tasks
 // began anew then.
 func machinesAt(machines int, atMs int64, started int) (f fleet) {
 	passed := float64(atMs) / perSecond
 	for i := range machines {
-		v := dispatch.View{Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z",
+		v := dispatch.WorkerView{Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z",
 			Session: 1, Seq: 1000 + uint64(atMs), Token: 7, Holder: "a", AgeS: 0.25, UnansweredS: 0.25}
 		var uses []matching.Use
 		for t := range tasksEach {
--- a/internal/viewsync/change.go
+++ b/internal/viewsync/change.go
@@ -106,7 +106,7 @@
 // state is a machine's view as of a time on its holder's steady clock.
 type state struct {
 	atMs int64
-	view dispatch.View
+	view dispatch.WorkerView
 }
 
 func milliseconds(seconds float64) int64 { return int64(math.Round(seconds * perSecond)) }
@@ -119,7 +119,7 @@
 }
 
 // rounding gives a view the precision in which it is told.
-func rounding(v dispatch.View) dispatch.View {
+func rounding(v dispatch.WorkerView) dispatch.WorkerView {
 	v.AgeS, v.UnansweredS = rounded(v.AgeS), rounded(v.UnansweredS)
 	v.Tasks = slices.Clone(v.Tasks)
 	for i := range v.Tasks {
@@ -158,9 +158,9 @@
 	return state{toMs, v}
 }
 
-func site(v *dispatch.View) Site { return Site{v.Type, v.Zone, v.Spot, v.Endpoint} }
+func site(v *dispatch.WorkerView) Site { return Site{v.Type, v.Zone, v.Spot, v.Endpoint} }
 
-func condition(v *dispatch.View) Condition { return Condition{v.NoticeS, v.Draining, v.Asked} }
+func condition(v *dispatch.WorkerView) Condition { return Condition{v.NoticeS, v.Draining, v.Asked} }
 
 func sameValue[T comparable](a, b *T) bool {
 	return a == b || a != nil && b != nil && *a == *b
@@ -343,7 +343,7 @@
 	case old != nil && atMs < old.atMs:
 		return state{}, fmt.Errorf("%w: %s: older than what is known", ErrMalformed, c.Name)
 	}
-	now := state{atMs: atMs, view: dispatch.View{Name: c.Name}}
+	now := state{atMs: atMs, view: dispatch.WorkerView{Name: c.Name}}
 	if old != nil {
 		now = old.advanced(atMs)
 	}
@@ -382,7 +382,7 @@
 }
 
 // matrix applies the change to a view's matrix.
-func (c *Change) matrix(v *dispatch.View) error {
+func (c *Change) matrix(v *dispatch.WorkerView) error {
 	switch {
 	case c.NoMatrix:
 		v.Matrix = nil
--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -30,7 +30,7 @@
 
 // Take applies a message, and returns the views that changed, as of now. A malformed one
 // changes nothing.
-func (d *Decoder) Take(m *Message) ([]dispatch.View, Reply, error) {
+func (d *Decoder) Take(m *Message) ([]dispatch.WorkerView, Reply, error) {
 	if m.Frame == nil {
 		return nil, d.heartbeat(m), nil
 	}
@@ -52,7 +52,7 @@
 		d.stream, d.states = m.Stream, map[string]*state{}
 	}
 	d.seq = f.Seq
-	out := make([]dispatch.View, 0, len(made))
+	out := make([]dispatch.WorkerView, 0, len(made))
 	for i := range made {
 		s := &made[i]
 		d.states[s.view.Name] = s
@@ -99,7 +99,7 @@
 
 // aged is the view with the ages as of a later time; its matrix stays, since owners take
 // the time since a view came off by themselves.
-func (s *state) aged(nowMs int64) dispatch.View {
+func (s *state) aged(nowMs int64) dispatch.WorkerView {
 	v := s.view
 	v.Matrix = slices.Clone(v.Matrix) // owners take room off it
 	later := max(0, float64(nowMs-s.atMs)/perSecond)
--- a/internal/viewsync/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -106,7 +106,7 @@
 }
 
 // Note takes changed views, made now, and the names of machines that are gone.
-func (e *Encoder) Note(nowMs int64, changed []dispatch.View, gone []string) {
+func (e *Encoder) Note(nowMs int64, changed []dispatch.WorkerView, gone []string) {
 	if !e.begun {
 		return // the whole is told first
 	}
@@ -128,7 +128,7 @@
 	switch {
 	case e.flight != nil:
 		// Repeated as it is: whether it was applied is not known.
-	case !e.begun && e.after == 0 && !source.Holds():
+	case !e.begun && e.after == 0 && !source.HasWorkers():
 		return nil // a controller without machines says nothing
 	case !e.begun && e.after == 0:
 		// Which stream the owner knows, it has to say first: a heartbeat of an unknown
@@ -136,7 +136,7 @@
 		return m
 	case !e.begun:
 		e.begun = true
-		e.Note(nowMs, source.Views(), nil)
+		e.Note(nowMs, source.WorkerViews(), nil)
 		e.frame(nowMs)
 	case len(e.pending)+len(e.gone) > 0:
 		e.frame(nowMs)
--- a/internal/viewsync/publisher.go
+++ b/internal/viewsync/publisher.go
@@ -9,13 +9,13 @@
 
 // Source is the holder whose views are published.
 type Source interface {
-	// Holds reports whether any machine was heard within a lease.
-	Holds() bool
-	// Views makes the views of all machines heard within a lease.
-	Views() []dispatch.View
-	// Changed makes the views that changed since the last call, and names the machines
+	// HasWorkers reports whether any machine was heard within a lease.
+	HasWorkers() bool
+	// WorkerViews makes the views of all machines heard within a lease.
+	WorkerViews() []dispatch.WorkerView
+	// ChangedViews makes the views that changed since the last call, and names the machines
 	// that are not known any more.
-	Changed() (views []dispatch.View, gone []string)
+	ChangedViews() (views []dispatch.WorkerView, gone []string)
 }
 
 // Publisher keeps a stream to each owner elsewhere.
@@ -50,7 +50,7 @@
 	if len(owners) == 0 {
 		return
 	}
-	changed, gone := p.source.Changed()
+	changed, gone := p.source.ChangedViews()
 	for _, e := range p.streams {
 		e.Note(nowMs, changed, gone)
 	}
--- a/internal/viewsync/receiver.go
+++ b/internal/viewsync/receiver.go
@@ -18,7 +18,7 @@
 	// OwnershipEpoch is 0 while the owner acts on no views, and another number each time that
 	// it begins to.
 	OwnershipEpoch() uint64
-	ObserveWorker(dispatch.View)
+	ObserveWorker(dispatch.WorkerView)
 }
 
 // Receiver keeps a picture of each holder's machines for an owner.
--- a/internal/viewsync/receiver_test.go
+++ b/internal/viewsync/receiver_test.go
@@ -15,7 +15,7 @@
 
 func (o *tenant) OwnershipEpoch() uint64 { return o.tenure }
 
-func (o *tenant) ObserveWorker(v dispatch.View) {
+func (o *tenant) ObserveWorker(v dispatch.WorkerView) {
 	if o.tenure > 0 {
 		o.observed = append(o.observed, v.Holder+"/"+v.Name)
 	}
@@ -27,7 +27,7 @@
 func TestOwnerIsToldAnew(t *testing.T) {
 	o := &tenant{}
 	r := NewReceiver(o, []string{"h"})
-	p := NewPublisher("h", oneView{dispatch.View{Name: "n-1", Type: "m"}})
+	p := NewPublisher("h", oneView{dispatch.WorkerView{Name: "n-1", Type: "m"}})
 	nowMs := int64(0)
 	tell := func() {
 		nowMs += heartbeatMs
--- a/internal/viewsync/recorded_test.go
+++ b/internal/viewsync/recorded_test.go
@@ -42,7 +42,7 @@
 			ForS: 7.75, Unknown: true,
 		}},
 		Unlisted: []TaskKey{{Task: "j-000402/1", Attempt: 4}},
-		Queue:    []dispatch.QueueView{{Ref: dispatch.Ref{Machine: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
+		Queue:    []dispatch.QueueView{{TaskRef: dispatch.TaskRef{Machine: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
 		NoQueue:  true, Matrix: []float64{20.5, 4, 1, 8.25}, NoMatrix: true, Waits: []float64{20.5, 31.25},
 	}
 }
--- a/internal/viewsync/stream_test.go
+++ b/internal/viewsync/stream_test.go
@@ -20,7 +20,7 @@
 type version struct {
 	known bool
 	atMs  int64
-	view  dispatch.View
+	view  dispatch.WorkerView
 }
 
 // model is a holder, an owner, and what is under way between them.
@@ -42,7 +42,7 @@
 
 func (w *model) clock() int64 { return w.nowMs - w.lifeMs }
 
-func (w *model) note(name string, v dispatch.View, known bool) int {
+func (w *model) note(name string, v dispatch.WorkerView, known bool) int {
 	n := len(w.versions)
 	v.Name, v.Token = name, uint64(n)
 	w.versions = append(w.versions, version{known, w.nowMs, v})
@@ -56,26 +56,26 @@
 	return n
 }
 
-func (w *model) Holds() bool { return len(w.current) > 0 }
+func (w *model) HasWorkers() bool { return len(w.current) > 0 }
 
-func (w *model) Changed() ([]dispatch.View, []string) { panic("gather takes them") }
+func (w *model) ChangedViews() ([]dispatch.WorkerView, []string) { panic("gather takes them") }
 
-// Views are those of all machines, as of now.
-func (w *model) Views() []dispatch.View {
-	var out []dispatch.View
+// WorkerViews are those of all machines, as of now.
+func (w *model) WorkerViews() []dispatch.WorkerView {
+	var out []dispatch.WorkerView
 	for _, name := range slices.Sorted(maps.Keys(w.current)) {
 		out = append(out, w.asOf(w.current[name], w.nowMs))
 	}
 	return out
 }
 
-func (w *model) asOf(n int, ms int64) dispatch.View {
+func (w *model) asOf(n int, ms int64) dispatch.WorkerView {
 	v := w.versions[n]
 	return state{v.atMs, rounding(v.view)}.advanced(ms).view
 }
 
 func (w *model) gather() {
-	var changed []dispatch.View
+	var changed []dispatch.WorkerView
 	var gone []string
 	for _, name := range slices.Sorted(maps.Keys(w.changed)) {
 		if n, ok := w.current[name]; ok {
@@ -152,7 +152,7 @@
 	}
 }
 
-func sameViews(a, b dispatch.View) error {
+func sameViews(a, b dispatch.WorkerView) error {
 	const slack = 0.15
 	if math.Abs(a.AgeS-b.AgeS) > slack || math.Abs(a.UnansweredS-b.UnansweredS) > slack {
 		return fmt.Errorf("ages")
@@ -180,7 +180,7 @@
 }
 
 // viewAfter draws what a machine's view becomes.
-func viewAfter(t *rapid.T, v dispatch.View) dispatch.View {
+func viewAfter(t *rapid.T, v dispatch.WorkerView) dispatch.WorkerView {
 	few := rapid.IntRange(0, 3)
 	waits := rapid.SliceOfN(rapid.IntRange(0, 20_000), 0, 3)
 	if rapid.Bool().Draw(t, "reported") {
@@ -213,7 +213,7 @@
 	}
 	v.Queue = nil
 	for i := range few.Draw(t, "queued") {
-		v.Queue = append(v.Queue, dispatch.QueueView{Ref: dispatch.Ref{Machine: "m", Task: "q", Attempt: uint64(i)}, WaitS: float64(few.Draw(t, "wait"))})
+		v.Queue = append(v.Queue, dispatch.QueueView{TaskRef: dispatch.TaskRef{Machine: "m", Task: "q", Attempt: uint64(i)}, WaitS: float64(few.Draw(t, "wait"))})
 	}
 	v.Matrix = nil
 	for _, ms := range slices.Sorted(slices.Values(waits.Draw(t, "waits"))) {
@@ -277,7 +277,7 @@
 		}
 		changes := func(t *rapid.T) {
 			name := names.Draw(t, "machine")
-			old := dispatch.View{Type: "m", Session: 1}
+			old := dispatch.WorkerView{Type: "m", Session: 1}
 			if n, ok := w.current[name]; ok {
 				old = w.asOf(n, w.nowMs)
 			}
@@ -337,18 +337,18 @@
 }
 
 // oneView is a holder of one machine.
-type oneView struct{ view dispatch.View }
+type oneView struct{ view dispatch.WorkerView }
 
-func (oneView) Holds() bool                          { return true }
-func (o oneView) Views() []dispatch.View             { return []dispatch.View{o.view} }
-func (oneView) Changed() ([]dispatch.View, []string) { return nil, nil }
+func (oneView) HasWorkers() bool                                { return true }
+func (o oneView) WorkerViews() []dispatch.WorkerView            { return []dispatch.WorkerView{o.view} }
+func (oneView) ChangedViews() ([]dispatch.WorkerView, []string) { return nil, nil }
 
 // FuzzMalformedMessage: whatever comes, a message that is refused changes nothing.
 func FuzzMalformedMessage(f *testing.F) {
 	known := func() (*Encoder, *Decoder) {
 		e, d := NewEncoder("h"), NewDecoder()
 		e.stream, d.stream = 5, 3
-		v := dispatch.View{Name: "n-1", Type: "m", Session: 1, Seq: 4, Token: 2, Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}},
+		v := dispatch.WorkerView{Name: "n-1", Type: "m", Session: 1, Seq: 4, Token: 2, Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}},
 			Matrix: matching.Matrix{{Free: matching.Shape{CPUs: 1}}, {Wait: 3, Free: matching.Shape{CPUs: 2}}}}
 		e.after = d.stream
 		_, r, err := d.Take(e.Next(0, oneView{v}))
@@ -361,7 +361,7 @@
 	e, d := known()
 	v := d.states["n-1"].view
 	v.Seq, v.Tasks, v.Matrix = 5, nil, matching.Matrix{{Free: matching.Shape{CPUs: 2}}}
-	e.Note(100, []dispatch.View{v}, nil)
+	e.Note(100, []dispatch.WorkerView{v}, nil)
 	for _, m := range []*Message{e.Next(200, nil), {Stream: d.stream, Seq: d.seq, Machines: 1}} {
 		data, err := json.Marshal(m)
 		if err != nil {
@@ -405,8 +405,8 @@
 func TestGoneBeforeItWasTold(t *testing.T) {
 	e, d := NewEncoder("h"), NewDecoder()
 	e.after = d.stream
-	m := e.Next(0, oneView{dispatch.View{Name: "n-1", Type: "m"}})
-	e.Note(1, []dispatch.View{{Name: "n-2", Type: "m"}}, nil)
+	m := e.Next(0, oneView{dispatch.WorkerView{Name: "n-1", Type: "m"}})
+	e.Note(1, []dispatch.WorkerView{{Name: "n-2", Type: "m"}}, nil)
 	e.Note(2, nil, []string{"n-2"})
 	for at := int64(3); m != nil; at += heartbeatMs {
 		_, r, err := d.Take(m)
