--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -77,7 +77,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	n := &node{ctx: ctx, cfg: p, op: op, store: store, member: member, cloud: cloud, mesh: peers, log: log}
 	n.links.init(n)
-	n.cancels = cancellation.New(slices.Collect(maps.Keys(addrs)), config.Seconds(p.Params.Workers.CancelS), member.Held)
+	n.cancels = cancellation.New(slices.Collect(maps.Keys(addrs)), config.Seconds(p.Params.Workers.CancelS), member.LeaseRemaining)
 	n.cancels.Fresh, n.cancels.News, n.tellCancels = n.recall, n.cancelNews, make(chan struct{}, 1)
 	n.owner = scheduler.New(p, op, store, member, n, catalog, log)
 	inbound := &door{}
@@ -106,10 +106,10 @@
 		return reachability.Ears{Refused: usage.Noted(usage.RefusedConnections), Late: meter.Late()}
 	}
 	n.times = failovertiming.New(n.owner, config.Seconds(p.Params.Workers.LeaseS), log)
-	member.OnChange(n.owner.OwnershipChanged)
-	member.OnChange(n.standing)
-	member.OnChange(n.links.changed)
-	member.OnLink(n.stored)
+	member.OnOwnershipChange(n.owner.OwnershipChanged)
+	member.OnOwnershipChange(n.standing)
+	member.OnOwnershipChange(n.links.changed)
+	member.OnLinkAnnouncement(n.stored)
 	store.RelayBy(n, log)
 	n.handle()
 	n.handleDemand()
--- a/cmd/wallrack/links.go
+++ b/cmd/wallrack/links.go
@@ -88,7 +88,7 @@
 	defer s.mu.Unlock()
 	s.seq++
 	r := reachability.Row{Node: n.cfg.Node, Born: s.born, Seq: s.seq, State: n.store.SinceOK() < storeLost && !n.store.Relayed(),
-		Held: n.member.Held() > 0, Owns: len(n.member.Own()) > 0, Chief: n.chief(), Cloud: n.cloud.Reached(),
+		Held: n.member.LeaseRemaining() > 0, Owns: len(n.member.OwnedShards()) > 0, Chief: n.chief(), Cloud: n.cloud.Reached(),
 		Reports: s.reports, Expected: s.expects, Lacks: s.table.Lacks(now),
 		Sample: s.sample, Tried: now.Sub(s.tried) < triedFor}
 	if r.Tried {
@@ -136,18 +136,18 @@
 		if n.links.due(now, announced, pause) && v.Self.Held && slices.ContainsFunc(v.Unreached(), n.member.Alive) {
 			announced = now
 			actx, cancel := context.WithTimeout(ctx, time.Second)
-			if err := n.member.Announce(actx, n.links.self(now)); err != nil {
+			if err := n.member.AnnounceLinks(actx, n.links.self(now)); err != nil {
 				n.log.Debug("row not announced", "err", err)
 			}
 			cancel()
 		}
-		to := w.Look(now, v, n.member.Moves(reachability.Window))
+		to := w.Look(now, v, n.member.RecentTransfers(reachability.Window))
 		if to == "" {
 			continue
 		}
 		n.log.Info("workers are not heard here: handing over", "to", to, "heard", v.Self.Reports, "expected", v.Self.Expected,
 			"tried", v.Self.Tried, "reached", v.Self.Reaches)
-		if err := n.member.HandOver(ctx, to); err != nil {
+		if err := n.member.TransferShards(ctx, to); err != nil {
 			n.log.Info("handing over failed", "err", err)
 		}
 	}
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -123,12 +123,12 @@
 
 // standing notes what the membership says for the timeline.
 func (n *node) standing() {
-	if n.member.Held() <= 0 {
+	if n.member.LeaseRemaining() <= 0 {
 		n.times.Lost()
 		return
 	}
 	n.times.Mark(failovertiming.Joined)
-	if len(n.member.Own()) > 0 {
+	if len(n.member.OwnedShards()) > 0 {
 		n.times.Mark(failovertiming.Claimed)
 	} else if last := n.lastStart.Swap(0); last != 0 {
 		n.log.Info("owns no jobs any more", "last_start_s", time.Since(time.Unix(0, last)).Seconds())
--- a/cmd/wallrack/publish.go
+++ b/cmd/wallrack/publish.go
@@ -48,7 +48,7 @@
 		case <-tick.C:
 		}
 		owners := n.Owners()
-		owns := n.member.Held() > 0 && len(n.member.Own()) > 0
+		owns := n.member.LeaseRemaining() > 0 && len(n.member.OwnedShards()) > 0
 		if owns && !owned {
 			// New here as an owner: what was heard before counts too.
 			for _, v := range n.holder.WorkerViews() {
--- a/cmd/wallrack/roles.go
+++ b/cmd/wallrack/roles.go
@@ -13,7 +13,7 @@
 
 // chief is the owner of most shards, as far as this controller knows.
 func (n *node) chief() string {
-	if owners := n.member.Owners(); len(owners) > 0 {
+	if owners := n.member.ShardOwners(); len(owners) > 0 {
 		return owners[0]
 	}
 	return ""
@@ -25,11 +25,11 @@
 // MayAnswerWorkers reports whether this controller may answer workers: it knows of all
 // cancels that were confirmed up to a moment ago, by whomever.
 func (n *node) MayAnswerWorkers() bool {
-	return n.member.Term() != 0 && time.Since(n.cancels.Known()) < n.grace()
+	return n.member.FencingToken() != 0 && time.Since(n.cancels.Known()) < n.grace()
 }
 
 // Isolated reports whether this controller can start nothing and knows of nobody who can.
-func (n *node) Isolated() bool { return n.links.now().Alone() && len(n.member.Own()) == 0 }
+func (n *node) Isolated() bool { return n.links.now().Alone() && len(n.member.OwnedShards()) == 0 }
 
 // Owners names the other controllers that own shards.
 func (n *node) Owners() []string {
@@ -39,8 +39,8 @@
 			out = append(out, name)
 		}
 	}
-	if n.member.Held() > 0 {
-		for _, o := range n.member.Owners() {
+	if n.member.LeaseRemaining() > 0 {
+		for _, o := range n.member.ShardOwners() {
 			add(o)
 		}
 		return out
@@ -59,7 +59,7 @@
 
 // Up fails only when this controller can't serve and a peer can.
 func (n *node) Up() bool {
-	up := n.member.Term() != 0 && n.links.now().Up()
+	up := n.member.FencingToken() != 0 && n.links.now().Up()
 	if up {
 		n.times.Mark(failovertiming.Up)
 	}
--- a/cmd/wallrack/rollouts.go
+++ b/cmd/wallrack/rollouts.go
@@ -32,7 +32,7 @@
 
 // Lead implements rollout.Core.
 func (c rolloutCore) Lead() (wire.Guard, bool) {
-	v, ok := c.n.member.Owns(firstShard)
+	v, ok := c.n.member.OwnsShard(firstShard)
 	return wire.Guard{Key: c.n.member.ShardKey(firstShard), Version: v}, ok && c.n.owner.LeadsAutoscaling()
 }
 
--- a/cmd/wallrack/silent_machines.go
+++ b/cmd/wallrack/silent_machines.go
@@ -34,7 +34,7 @@
 	perSecond := s.expects / dispatch.HeartbeatWindow.Seconds()
 	was := len(s.sample) > 0
 	s.mu.Unlock()
-	in := len(n.member.Own()) > 0 && reachability.Doubts(perSecond, n.holder.SinceLastHeartbeat()) && s.ears().Late < lookEvery
+	in := len(n.member.OwnedShards()) > 0 && reachability.Doubts(perSecond, n.holder.SinceLastHeartbeat()) && s.ears().Late < lookEvery
 	if in == was {
 		return
 	}
--- a/cmd/wallrack/slurm.go
+++ b/cmd/wallrack/slurm.go
@@ -60,7 +60,7 @@
 }
 
 // Owns reports whether this controller owns shards.
-func (n *node) Owns() bool { return n.member.Held() > 0 && len(n.member.Own()) > 0 }
+func (n *node) Owns() bool { return n.member.LeaseRemaining() > 0 && len(n.member.OwnedShards()) > 0 }
 
 // AskOwner forwards a Slurm-style client's request to an owner.
 func (n *node) AskOwner(ctx context.Context, peer string, r slurmapi.Request) (*slurmapi.Reply, error) {
--- a/internal/autoscaler/answered.go
+++ b/internal/autoscaler/answered.go
@@ -50,7 +50,7 @@
 // aren't needed any more, all in one transaction. What fails is tried again with the next
 // plan; what is left when this controller leads no more is the next leader's.
 func (f *Fleet) recordAnswers(ctx context.Context) {
-	version, ok := f.member.Claimed()[0]
+	version, ok := f.member.ClaimedShards()[0]
 	if !ok {
 		return
 	}
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -46,8 +46,8 @@
 
 // Membership guards what the fleet writes.
 type Membership interface {
-	Term() uint64
-	Claimed() map[int]uint64
+	FencingToken() uint64
+	ClaimedShards() map[int]uint64
 	ShardKey(shard int) string
 }
 
@@ -249,7 +249,7 @@
 			f.mu.Lock()
 			f.seq++
 			// Terms are never shared, so neither is the name.
-			name := fmt.Sprintf("r-%d-%d", f.member.Term(), f.seq)
+			name := fmt.Sprintf("r-%d-%d", f.member.FencingToken(), f.seq)
 			h := &hire{req: wire.HireRequest{Name: name, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Number: min(n, maxHire)}, made: now, sending: true}
 			f.hires[name] = h
 			f.mu.Unlock()
--- a/internal/autoscaler/hire.go
+++ b/internal/autoscaler/hire.go
@@ -90,7 +90,7 @@
 // repeated itself until its outcome is known.
 func (f *Fleet) write(ctx context.Context, h *hire) error {
 	key := hireKey + h.req.Name
-	v, ok := f.member.Claimed()[0]
+	v, ok := f.member.ClaimedShards()[0]
 	if !ok {
 		return errDeposed
 	}
--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -80,9 +80,9 @@
 // leader owns shard 0 as of a version of its key.
 type leader struct{ version uint64 }
 
-func (l leader) Term() uint64              { return 12 }
-func (l leader) Claimed() map[int]uint64   { return map[int]uint64{0: l.version} }
-func (l leader) ShardKey(shard int) string { return "c/shard/000" }
+func (l leader) FencingToken() uint64          { return 12 }
+func (l leader) ClaimedShards() map[int]uint64 { return map[int]uint64{0: l.version} }
+func (l leader) ShardKey(shard int) string     { return "c/shard/000" }
 
 // What the fleet writes, as the state service has it: a hire before the cloud is asked and
 // after it has answered, and the machine types.
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -174,7 +174,7 @@
 // for its connection while a job was cancelled, or the term raised, or this controller lost
 // the right to answer workers: sent then, it would start a task after a confirmed cancel.
 func (h *Dispatcher) outdated(o wire.Orders) error {
-	if !h.routing.MayAnswerWorkers() || h.tokens.Term() != o.Token {
+	if !h.routing.MayAnswerWorkers() || h.tokens.FencingToken() != o.Token {
 		return errOutdated
 	}
 	for _, c := range o.Commands {
--- a/internal/dispatch/direct.go
+++ b/internal/dispatch/direct.go
@@ -10,7 +10,7 @@
 // holder surely never launched.
 func (h *Dispatcher) ApplyInstructions(d Instructions) Unlaunched {
 	defer usage.Count(usage.Directed, time.Now())
-	out := Unlaunched{Token: h.tokens.Term()}
+	out := Unlaunched{Token: h.tokens.FencingToken()}
 	touched := map[string]bool{}
 	h.mu.Lock()
 	for _, e := range d.Assign {
@@ -48,7 +48,7 @@
 	for _, c := range d.Clear {
 		if s := h.machines[c.Machine]; s != nil && s.tasks[c.TaskRef] != nil {
 			s.clears[c.TaskRef] = true
-			if c.Token > h.tokens.Term() {
+			if c.Token > h.tokens.FencingToken() {
 				s.fate = max(s.fate, c.Token)
 			}
 			if s.fate != 0 {
--- a/internal/dispatch/holder.go
+++ b/internal/dispatch/holder.go
@@ -187,14 +187,14 @@
 		// and kept.
 		return http.StatusMisdirectedRequest, wire.Redirect{}
 	}
-	term := h.tokens.Term()
+	term := h.tokens.FencingToken()
 	if term < rep.Token || term == 0 {
 		rctx, cancel := context.WithTimeout(ctx, raiseTimeout)
 		var err error
-		term, err = h.tokens.Raise(rctx, rep.Token)
+		term, err = h.tokens.RaiseTokenAbove(rctx, rep.Token)
 		cancel()
 		if err != nil {
-			term = h.tokens.Spare(rep.Token)
+			term = h.tokens.ReservedTokenAbove(rep.Token)
 		}
 		if term == 0 {
 			// An answer with a lower token would keep the worker here
--- a/internal/dispatch/holder_test.go
+++ b/internal/dispatch/holder_test.go
@@ -45,15 +45,15 @@
 	}
 	return nil, errors.New("no peer")
 }
-func (s *stub) Spare(uint64) uint64 { return 0 }
+func (s *stub) ReservedTokenAbove(uint64) uint64 { return 0 }
 
-func (s *stub) Term() uint64 {
+func (s *stub) FencingToken() uint64 {
 	s.termMu.Lock()
 	defer s.termMu.Unlock()
 	return s.term
 }
 
-func (s *stub) Raise(_ context.Context, above uint64) (uint64, error) {
+func (s *stub) RaiseTokenAbove(_ context.Context, above uint64) (uint64, error) {
 	if !s.raises {
 		return 0, errors.New("state service out")
 	}
@@ -85,7 +85,7 @@
 }
 
 func (s *stub) FetchReport(context.Context, string) (*wire.Report, error) {
-	return report(9, s.Term()), nil
+	return report(9, s.FencingToken()), nil
 }
 
 func holder(ctx context.Context, s *stub) *dispatch.Dispatcher {
@@ -152,7 +152,7 @@
 		} else if body.(wire.ReportAnswer).Token <= 5 {
 			t.Error("the token was not raised")
 		}
-		if _, body := h.HandleReport(ctx, report(4, s.Term(), exited)); verbs(body, wire.VerbForget) != 1 {
+		if _, body := h.HandleReport(ctx, report(4, s.FencingToken(), exited)); verbs(body, wire.VerbForget) != 1 {
 			t.Error("not cleared although the order is fenced off")
 		}
 		cancel()
@@ -175,11 +175,11 @@
 			t.Error("cleared while the other's order may still start it")
 		}
 		synctest.Wait()
-		if term := s.Term(); term <= 9 {
+		if term := s.FencingToken(); term <= 9 {
 			t.Fatalf("the term was not raised: %d", term)
 		}
 		h.HandleReport(ctx, report(3, 5, exited)) // hears the new token
-		if _, body := h.HandleReport(ctx, report(4, s.Term(), exited)); verbs(body, wire.VerbForget) != 1 {
+		if _, body := h.HandleReport(ctx, report(4, s.FencingToken(), exited)); verbs(body, wire.VerbForget) != 1 {
 			t.Error("not cleared although all older orders are fenced off")
 		}
 		cancel()
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -134,11 +134,11 @@
 
 // Tokens are this controller's terms.
 type Tokens interface {
-	Term() uint64
-	Raise(ctx context.Context, above uint64) (uint64, error)
-	// Spare is a term above some that was drawn ahead of time, for when none can be
+	FencingToken() uint64
+	RaiseTokenAbove(ctx context.Context, above uint64) (uint64, error)
+	// ReservedTokenAbove is a term above some that was drawn ahead of time, for when none can be
 	// drawn now, or 0.
-	Spare(above uint64) uint64
+	ReservedTokenAbove(above uint64) uint64
 }
 
 // MachineTypes knows the cloud's machine types.
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -26,7 +26,7 @@
 		s.again = true
 		return
 	}
-	term := h.tokens.Term()
+	term := h.tokens.FencingToken()
 	if term == 0 {
 		return
 	}
@@ -91,7 +91,7 @@
 	if view, ok := h.take(rep, false); ok {
 		h.owners.ObserveWorker(view)
 	}
-	if again && rep.Token <= h.tokens.Term() {
+	if again && rep.Token <= h.tokens.FencingToken() {
 		h.PushCommands(name)
 	}
 }
@@ -157,13 +157,13 @@
 
 // raiseLocked raises the term in the background, one at a time.
 func (h *Dispatcher) raiseLocked(above uint64) {
-	if h.raising || h.tokens.Term() > above {
+	if h.raising || h.tokens.FencingToken() > above {
 		return
 	}
 	h.raising = true
 	h.startLocked(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, 5*time.Second)
-		_, err := h.tokens.Raise(ctx, above)
+		_, err := h.tokens.RaiseTokenAbove(ctx, above)
 		cancel()
 		h.mu.Lock()
 		h.raising = false
--- a/internal/membership/handover.go
+++ b/internal/membership/handover.go
@@ -12,21 +12,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// movesRecord is when jobs were handed over, by time of day, ms. It outlives the
+// transfersRecord is when jobs were handed over, by time of day, ms. It outlives the
 // leases, so that a successor too knows how often they moved.
-type movesRecord struct {
+type transfersRecord struct {
 	At []int64 `json:"at"`
 }
 
-// maxMoves is how many hand-overs are remembered.
-const maxMoves = 16
+// maxTransfers is how many hand-overs are remembered.
+const maxTransfers = 16
 
-// Moves returns how often jobs were handed over within a time.
-func (m *Member) Moves(within time.Duration) (n int) {
+// RecentTransfers returns how often jobs were handed over within a time.
+func (m *Member) RecentTransfers(within time.Duration) (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	from := time.Now().Add(-within).UnixMilli()
-	for _, at := range m.moves.At {
+	for _, at := range m.transfers.At {
 		if at > from {
 			n++
 		}
@@ -34,12 +34,12 @@
 	return n
 }
 
-// HandOver gives all shards owned here to another controller, in one
+// TransferShards gives all shards owned here to another controller, in one
 // transaction that attaches their keys to its lease: nobody waits for a lease to
 // end, and no shard has two owners. From the call on this controller owns
 // nothing. After an error the shards are taken back by writing their keys again,
 // which a late copy of the transaction can't survive.
-func (m *Member) HandOver(ctx context.Context, to string) error {
+func (m *Member) TransferShards(ctx context.Context, to string) error {
 	m.mu.Lock()
 	peer, known := m.nodes[to]
 	if !known || to == m.name || len(m.own) == 0 || m.heldLocked() <= 0 {
@@ -49,18 +49,18 @@
 	given, lease := m.own, m.lease
 	m.own = map[int]uint64{}
 	maps.Copy(m.limbo, given)
-	m.handing = true
-	moves := movesRecord{append(slices.Clone(m.moves.At[max(0, len(m.moves.At)-maxMoves+1):]), time.Now().UnixMilli())}
+	m.transferring = true
+	moves := transfersRecord{append(slices.Clone(m.transfers.At[max(0, len(m.transfers.At)-maxTransfers+1):]), time.Now().UnixMilli())}
 	m.mu.Unlock()
 	heir := shardRecord{Node: to, Term: peer.Term, Lease: peer.Lease}
 	guards, ops := assign(given, heir)
-	ops = append(ops, wire.Op{Put: movesKey, Value: moves})
+	ops = append(ops, wire.Op{Put: transfersKey, Value: moves})
 	m.notify()
 	cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	rev, err := m.store.Txn(cctx, guards, ops...)
 	m.mu.Lock()
-	m.handing = false
+	m.transferring = false
 	if m.lease == lease {
 		for s, v := range given {
 			if err == nil {
@@ -88,8 +88,8 @@
 func (m *Member) reclaim(ctx context.Context) {
 	m.mu.Lock()
 	var shards map[int]uint64
-	self := shardRecord{Node: m.name, Term: m.term, Lease: m.lease}
-	if m.heldLocked() > time.Second && !m.handing {
+	self := shardRecord{Node: m.name, Term: m.token, Lease: m.lease}
+	if m.heldLocked() > time.Second && !m.transferring {
 		// While it is under way, this would race with it, and mostly win.
 		shards = maps.Clone(m.limbo)
 	}
@@ -129,6 +129,6 @@
 	case err == nil:
 		m.notify()
 	case left:
-		m.poke()
+		m.wakeUp()
 	}
 }
--- a/internal/membership/handover_test.go
+++ b/internal/membership/handover_test.go
@@ -29,18 +29,18 @@
 		time.Sleep(time.Second)
 		doneB := run(ctx, b)
 		time.Sleep(time.Second)
-		if err := a.HandOver(ctx, "b"); err != nil {
+		if err := a.TransferShards(ctx, "b"); err != nil {
 			t.Error(err)
 		}
 		time.Sleep(time.Second)
-		if len(a.Own()) != 0 || len(b.Own()) != 4 {
-			t.Errorf("a owns %v, b %v", a.Own(), b.Own())
+		if len(a.OwnedShards()) != 0 || len(b.OwnedShards()) != 4 {
+			t.Errorf("a owns %v, b %v", a.OwnedShards(), b.OwnedShards())
 		}
 		c := member(&testkit.View{Store: store}, "c")
 		doneC := run(ctx, c)
 		time.Sleep(time.Second)
-		if a.Moves(time.Minute) != 1 || c.Moves(time.Minute) != 1 || c.Moves(time.Second) != 0 {
-			t.Errorf("hand-overs: a knows of %d, c of %d", a.Moves(time.Minute), c.Moves(time.Minute))
+		if a.RecentTransfers(time.Minute) != 1 || c.RecentTransfers(time.Minute) != 1 || c.RecentTransfers(time.Second) != 0 {
+			t.Errorf("hand-overs: a knows of %d, c of %d", a.RecentTransfers(time.Minute), c.RecentTransfers(time.Minute))
 		}
 		cancel()
 		<-doneA
@@ -65,15 +65,15 @@
 		for !a.Alive("b") {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if err := a.HandOver(ctx, "b"); err != nil {
+		if err := a.TransferShards(ctx, "b"); err != nil {
 			t.Error(err)
 		}
-		if b.Term() != 0 {
+		if b.FencingToken() != 0 {
 			t.Error("the joiner had its answer already")
 		}
 		time.Sleep(3 * time.Second)
-		if len(a.Own()) != 0 || len(b.Own()) != 4 {
-			t.Errorf("a owns %v, b %v", a.Own(), b.Own())
+		if len(a.OwnedShards()) != 0 || len(b.OwnedShards()) != 4 {
+			t.Errorf("a owns %v, b %v", a.OwnedShards(), b.OwnedShards())
 		}
 		cancel()
 		<-doneA
@@ -95,18 +95,18 @@
 		doneB := run(ctx, b)
 		time.Sleep(time.Second)
 		late.Store(true)
-		if err := a.HandOver(ctx, "b"); err == nil {
+		if err := a.TransferShards(ctx, "b"); err == nil {
 			t.Error("handed over without an answer")
 		}
 		late.Store(false)
 		time.Sleep(3 * time.Second)
-		if len(a.Own()) != 4 {
-			t.Fatalf("not taken back: a owns %v", a.Own())
+		if len(a.OwnedShards()) != 4 {
+			t.Fatalf("not taken back: a owns %v", a.OwnedShards())
 		}
 		view.Deliver()
 		time.Sleep(time.Second)
-		if len(a.Own()) != 4 || len(b.Own()) != 0 {
-			t.Errorf("after the late copy a owns %v, b %v", a.Own(), b.Own())
+		if len(a.OwnedShards()) != 4 || len(b.OwnedShards()) != 0 {
+			t.Errorf("after the late copy a owns %v, b %v", a.OwnedShards(), b.OwnedShards())
 		}
 		cancel()
 		<-doneA
@@ -160,11 +160,11 @@
 				for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 					owner := map[int]int{}
 					for i, m := range members {
-						for s := range m.Own() {
+						for s := range m.OwnedShards() {
 							// A hand-over may end between one look and the next: two
 							// own a shard only if the first still does.
 							if k, two := owner[s]; two {
-								if _, still := members[k].Owns(s); still {
+								if _, still := members[k].OwnsShard(s); still {
 									wrong = fmt.Sprintf("shard %d is owned by %s and %s", s, names[k], names[i])
 								}
 							}
@@ -181,7 +181,7 @@
 				switch st.Act {
 				case 0, 1, 2:
 					giver := members[st.Who]
-					go func() { _ = giver.HandOver(context.Background(), names[st.To]) }() // may fail
+					go func() { _ = giver.TransferShards(context.Background(), names[st.To]) }() // may fail
 				case 3:
 					down[st.Who].Store(!down[st.Who].Load())
 				case 4:
@@ -201,7 +201,7 @@
 			watch(5 * ttl)
 			total := 0
 			for _, m := range members {
-				total += len(m.Own())
+				total += len(m.OwnedShards())
 			}
 			if total != 4 && wrong == "" {
 				wrong = fmt.Sprintf("%d of 4 shards are owned in the end", total)
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -34,9 +34,9 @@
 	return ok
 }
 
-// Held returns how much longer the lease surely holds: it counts from the
+// LeaseRemaining returns how much longer the lease surely holds: it counts from the
 // send of the last good touch, less drift.
-func (m *Member) Held() time.Duration {
+func (m *Member) LeaseRemaining() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.heldLocked()
@@ -110,8 +110,8 @@
 	if err := m.startRaise(ctx); err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	last := m.Term() // of this process's last incarnation; a reserved one may be above the counter's next
-	term, err := m.raiseLocked(ctx, func(r termRecord) termRecord { return r.above(last) }, func(term uint64) ([]wire.Guard, []wire.Op) {
+	last := m.FencingToken() // of this process's last incarnation; a reserved one may be above the counter's next
+	term, err := m.raiseLocked(ctx, func(r tokenRecord) tokenRecord { return r.above(last) }, func(term uint64) ([]wire.Guard, []wire.Op) {
 		rec.Term = term
 		return []wire.Guard{{Key: key}}, []wire.Op{{Put: key, Value: rec, Lease: lease}}
 	})
@@ -192,7 +192,7 @@
 
 func (m *Member) lost() {
 	m.mu.Lock()
-	m.lease, m.spares = 0, nil
+	m.lease, m.reservedTokens = 0, nil
 	m.own, m.limbo = map[int]uint64{}, map[int]uint64{}
 	m.mu.Unlock()
 	m.notify()
--- a/internal/membership/lost_answers_test.go
+++ b/internal/membership/lost_answers_test.go
@@ -45,20 +45,20 @@
 		}
 		// While the release is open, the rest is handed over.
 		hold.Store(true)
-		if err := a.HandOver(ctx, "b"); err == nil {
+		if err := a.TransferShards(ctx, "b"); err == nil {
 			t.Error("handed over without an answer")
 		}
 		time.Sleep(4 * time.Second)
 		if lost.Load() == 0 || read.Load() == 0 || hold.Load() {
 			t.Errorf("release carried out as of %d, read by the other controller as of %d, hand-over still to come: %v", lost.Load(), read.Load(), hold.Load())
 		}
-		if len(a.Own())+len(b.Own()) != 4 {
-			t.Errorf("with both outcomes known a owns %v, b %v", a.Own(), b.Own())
+		if len(a.OwnedShards())+len(b.OwnedShards()) != 4 {
+			t.Errorf("with both outcomes known a owns %v, b %v", a.OwnedShards(), b.OwnedShards())
 		}
 		view.Deliver()
 		time.Sleep(3 * ttl)
-		if len(a.Own()) != 2 || len(b.Own()) != 2 {
-			t.Errorf("in the end a owns %v, b %v", a.Own(), b.Own())
+		if len(a.OwnedShards()) != 2 || len(b.OwnedShards()) != 2 {
+			t.Errorf("in the end a owns %v, b %v", a.OwnedShards(), b.OwnedShards())
 		}
 		cancel()
 		<-doneA
@@ -89,18 +89,18 @@
 		doneC := run(ctx, c)
 		time.Sleep(time.Second)
 		doneB := run(ctx, b)
-		for end := time.Now().Add(time.Minute); b.Term() == 0 && time.Now().Before(end); {
+		for end := time.Now().Add(time.Minute); b.FencingToken() == 0 && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if left > 0 || b.Term() == 0 {
-			t.Fatalf("%d answers still to be lost, term %d", left, b.Term())
+		if left > 0 || b.FencingToken() == 0 {
+			t.Fatalf("%d answers still to be lost, term %d", left, b.FencingToken())
 		}
 		time.Sleep(time.Second)
 		stop()
 		<-doneA
 		time.Sleep(2 * ttl)
-		if len(b.Own()) != 4 {
-			t.Errorf("b joined last and owns %v, c %v", b.Own(), c.Own())
+		if len(b.OwnedShards()) != 4 {
+			t.Errorf("b joined last and owns %v, c %v", b.OwnedShards(), c.OwnedShards())
 		}
 		cancel()
 		<-doneB
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	prefix    = "c/"
-	termKey   = "c/term"
-	nodeKey   = "c/node/"
-	shardKey  = "c/shard/"
-	linkKey   = "c/link/"             // what a controller says of its links to those that the mesh does not reach
-	movesKey  = "c/moves"             // when jobs were last handed over
-	driftRate = 0.002                 // four times the largest drift between two steady clocks
-	slack     = 60 * time.Millisecond // timers fire late
+	prefix       = "c/"
+	tokenKey     = "c/term"
+	nodeKey      = "c/node/"
+	shardKey     = "c/shard/"
+	linkKey      = "c/link/"             // what a controller says of its links to those that the mesh does not reach
+	transfersKey = "c/moves"             // when jobs were last handed over
+	driftRate    = 0.002                 // four times the largest drift between two steady clocks
+	slack        = 60 * time.Millisecond // timers fire late
 )
 
 // Store is what membership needs of the state service.
@@ -50,29 +50,29 @@
 	raising chan struct{} // holds a token while a change of the term is under way: one at a time
 	refused time.Time     // when the state service last refused one; guarded by raising
 
-	mu       sync.Mutex
-	lease    uint64
-	goodSend time.Time
-	term     uint64
-	spares   []uint64 // terms drawn ahead of time, the lowest first; see reserve
-	first    uint64   // the highest term that was reserved by a controller without another, as far as is known here
-	used     uint64   // the highest term in use, as far as is known here
-	nodes    map[string]nodeRecord
-	owners   map[int]shardRecord
-	own      map[int]uint64 // shard -> version of its key
-	newest   map[int]uint64 // shard -> highest version of its key that is known; what is older is late news
-	synced   bool
-	joinedAs uint64            // the term of this incarnation's joining
-	tried    uint64            // lease of the last try to join
-	short    int               // see nodeRecord
-	freed    map[int]time.Time // when a shard's key was seen to go
-	left     map[string]time.Time
-	flaps    map[string]bool // whether one that left was unsteady
-	limbo    map[int]uint64  // shards handed over in a transaction whose outcome is open, by the version it replaces
-	handing  bool            // that transaction is still under way
-	moves    movesRecord
-	onChange []func()
-	onLink   func(value json.RawMessage)
+	mu             sync.Mutex
+	lease          uint64
+	goodSend       time.Time
+	token          uint64
+	reservedTokens []uint64 // terms drawn ahead of time, the lowest first; see reserve
+	first          uint64   // the highest term that was reserved by a controller without another, as far as is known here
+	used           uint64   // the highest term in use, as far as is known here
+	nodes          map[string]nodeRecord
+	owners         map[int]shardRecord
+	own            map[int]uint64 // shard -> version of its key
+	newest         map[int]uint64 // shard -> highest version of its key that is known; what is older is late news
+	synced         bool
+	joinedAs       uint64            // the term of this incarnation's joining
+	tried          uint64            // lease of the last try to join
+	short          int               // see nodeRecord
+	freed          map[int]time.Time // when a shard's key was seen to go
+	left           map[string]time.Time
+	flaps          map[string]bool // whether one that left was unsteady
+	limbo          map[int]uint64  // shards handed over in a transaction whose outcome is open, by the version it replaces
+	transferring   bool            // that transaction is still under way
+	transfers      transfersRecord
+	onChange       []func()
+	onLink         func(value json.RawMessage)
 
 	reservedAt time.Time // when a term was last drawn ahead of time
 	reserving  sync.WaitGroup
@@ -87,16 +87,16 @@
 	}
 }
 
-// OnChange registers a callback for changes of ownership; call it before Run.
-func (m *Member) OnChange(f func()) { m.onChange = append(m.onChange, f) }
+// OnOwnershipChange registers a callback for changes of ownership; call it before Run.
+func (m *Member) OnOwnershipChange(f func()) { m.onChange = append(m.onChange, f) }
 
-// OnLink registers a callback for what controllers announce of their links; call
+// OnLinkAnnouncement registers a callback for what controllers announce of their links; call
 // it before Run.
-func (m *Member) OnLink(f func(value json.RawMessage)) { m.onLink = f }
+func (m *Member) OnLinkAnnouncement(f func(value json.RawMessage)) { m.onLink = f }
 
-// Announce writes what this controller says of its links to where every controller
+// AnnounceLinks writes what this controller says of its links to where every controller
 // that reaches the state service sees it. It goes with the lease.
-func (m *Member) Announce(ctx context.Context, value any) error {
+func (m *Member) AnnounceLinks(ctx context.Context, value any) error {
 	m.mu.Lock()
 	lease := m.lease
 	m.mu.Unlock()
@@ -116,10 +116,10 @@
 	for _, f := range m.onChange {
 		f()
 	}
-	m.poke()
+	m.wakeUp()
 }
 
-func (m *Member) poke() {
+func (m *Member) wakeUp() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -38,8 +38,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := run(ctx, m)
 		time.Sleep(3 * time.Second)
-		if txns.Load() < 2 || len(m.Own()) != 4 {
-			t.Errorf("owns %v after %d transactions", m.Own(), txns.Load())
+		if txns.Load() < 2 || len(m.OwnedShards()) != 4 {
+			t.Errorf("owns %v after %d transactions", m.OwnedShards(), txns.Load())
 		}
 		cancel()
 		<-done
@@ -65,7 +65,7 @@
 		was := given.N
 		losing.Store(2)
 		at := time.Now()
-		term, err := m.Fresh(ctx)
+		term, err := m.NextToken(ctx)
 		if err != nil || term != was+3 || losing.Load() >= 0 {
 			t.Errorf("term %d after %d, %v; %d answers left to lose", term, was, err, losing.Load())
 		}
@@ -89,10 +89,10 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := run(ctx, m)
 		time.Sleep(3 * time.Second)
-		was, before := m.Term(), asked.Load()
+		was, before := m.FencingToken(), asked.Load()
 		down.Store(true)
 		for range 500 {
-			if _, err := m.Raise(ctx, was+1); !errors.Is(err, statestore.ErrUnavailable) {
+			if _, err := m.RaiseTokenAbove(ctx, was+1); !errors.Is(err, statestore.ErrUnavailable) {
 				t.Fatalf("in an outage: %v", err)
 			}
 			time.Sleep(2 * time.Millisecond)
@@ -102,7 +102,7 @@
 		}
 		down.Store(false)
 		time.Sleep(300 * time.Millisecond)
-		if term, err := m.Raise(ctx, was+1); err != nil || term <= was+1 {
+		if term, err := m.RaiseTokenAbove(ctx, was+1); err != nil || term <= was+1 {
 			t.Errorf("after the outage: %d, %v", term, err)
 		}
 		cancel()
@@ -123,17 +123,17 @@
 		time.Sleep(time.Second)
 		doneB := run(ctx, b)
 		time.Sleep(time.Second)
-		if len(a.Own()) != 4 || len(b.Own()) != 0 {
-			t.Fatalf("a owns %v, b %v", a.Own(), b.Own())
+		if len(a.OwnedShards()) != 4 || len(b.OwnedShards()) != 0 {
+			t.Fatalf("a owns %v, b %v", a.OwnedShards(), b.OwnedShards())
 		}
 		down.Store(true)
 		for end := time.Now().Add(2 * ttl); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			if len(a.Own()) > 0 && len(b.Own()) > 0 {
+			if len(a.OwnedShards()) > 0 && len(b.OwnedShards()) > 0 {
 				t.Fatal("two owners")
 			}
 		}
-		if len(b.Own()) != 4 {
-			t.Errorf("b owns %v", b.Own())
+		if len(b.OwnedShards()) != 4 {
+			t.Errorf("b owns %v", b.OwnedShards())
 		}
 		cancel()
 		<-doneA
@@ -156,11 +156,11 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done = run(ctx, second)
 		time.Sleep(time.Second)
-		if len(second.Own()) != 4 {
-			t.Errorf("owns %v a second after the restart", second.Own())
+		if len(second.OwnedShards()) != 4 {
+			t.Errorf("owns %v a second after the restart", second.OwnedShards())
 		}
-		if second.Term() <= first.Term() {
-			t.Errorf("term %d after %d", second.Term(), first.Term())
+		if second.FencingToken() <= first.FencingToken() {
+			t.Errorf("term %d after %d", second.FencingToken(), first.FencingToken())
 		}
 		cancel()
 		<-done
@@ -184,7 +184,7 @@
 		}
 		owner := func() (name string) {
 			for n, m := range members {
-				if len(m.Own()) > 0 {
+				if len(m.OwnedShards()) > 0 {
 					name += n
 				}
 			}
@@ -244,12 +244,12 @@
 			time.Sleep(3 * time.Second)
 			start("c")
 			time.Sleep(8 * time.Second)
-			if len(members["c"].Own()) > 0 {
+			if len(members["c"].OwnedShards()) > 0 {
 				owned++
 			}
 		}
-		if owned > 4 || len(members["a"].Own())+len(members["b"].Own()) != 4 {
-			t.Errorf("c owned the jobs %d times; a owns %v, b %v", owned, members["a"].Own(), members["b"].Own())
+		if owned > 4 || len(members["a"].OwnedShards())+len(members["b"].OwnedShards()) != 4 {
+			t.Errorf("c owned the jobs %d times; a owns %v, b %v", owned, members["a"].OwnedShards(), members["b"].OwnedShards())
 		}
 		// Where all end again and again, somebody owns them all the same.
 		for range 5 {
@@ -260,7 +260,7 @@
 			}
 			time.Sleep(5 * time.Second)
 		}
-		if total := len(members["a"].Own()) + len(members["b"].Own()) + len(members["c"].Own()); total != 4 {
+		if total := len(members["a"].OwnedShards()) + len(members["b"].OwnedShards()) + len(members["c"].OwnedShards()); total != 4 {
 			t.Errorf("%d of 4 shards are owned", total)
 		}
 		for name := range members {
@@ -284,8 +284,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		doneA := run(ctx, a)
 		time.Sleep(time.Second)
-		if len(a.Own()) != 4 {
-			t.Fatalf("a owns %v", a.Own())
+		if len(a.OwnedShards()) != 4 {
+			t.Fatalf("a owns %v", a.OwnedShards())
 		}
 		hold.Store(true)
 		doneB := run(ctx, b)
@@ -295,13 +295,13 @@
 			t.Fatal("nothing was released")
 		}
 		time.Sleep(2 * time.Second)
-		if len(a.Own())+len(b.Own()) != 4 {
-			t.Errorf("2 s after the release was lost a owns %v, b %v", a.Own(), b.Own())
+		if len(a.OwnedShards())+len(b.OwnedShards()) != 4 {
+			t.Errorf("2 s after the release was lost a owns %v, b %v", a.OwnedShards(), b.OwnedShards())
 		}
 		view.Deliver()
 		time.Sleep(3 * ttl)
-		if len(a.Own()) != 2 || len(b.Own()) != 2 {
-			t.Errorf("in the end a owns %v, b %v", a.Own(), b.Own())
+		if len(a.OwnedShards()) != 2 || len(b.OwnedShards()) != 2 {
+			t.Errorf("in the end a owns %v, b %v", a.OwnedShards(), b.OwnedShards())
 		}
 		cancel()
 		<-doneA
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -40,15 +40,15 @@
 	checkRecorded(t, "node_least.json", nodeRecord{Lease: 7, Term: 12})
 	checkRecorded(t, "shard.json", shardRecord{Node: "a", Term: 12, Lease: 7})
 	checkRecorded(t, "shard_least.json", shardRecord{})
-	checkRecorded(t, "term.json", termRecord{N: 8200, Low: 12, Floor: 4109, First: 8199})
-	checkRecorded(t, "term_least.json", termRecord{N: 12})
-	checkRecorded(t, "moves.json", movesRecord{At: []int64{1700000000123, 1700000060456}})
-	checkRecorded(t, "moves_least.json", movesRecord{})
+	checkRecorded(t, "term.json", tokenRecord{N: 8200, Low: 12, Floor: 4109, First: 8199})
+	checkRecorded(t, "term_least.json", tokenRecord{N: 12})
+	checkRecorded(t, "moves.json", transfersRecord{At: []int64{1700000000123, 1700000060456}})
+	checkRecorded(t, "moves_least.json", transfersRecord{})
 }
 
 func TestRecordedKeys(t *testing.T) {
 	for got, want := range map[string]string{
-		prefix: "c/", termKey: "c/term", nodeKey: "c/node/", shardKey: "c/shard/", linkKey: "c/link/", movesKey: "c/moves",
+		prefix: "c/", tokenKey: "c/term", nodeKey: "c/node/", shardKey: "c/shard/", linkKey: "c/link/", transfersKey: "c/moves",
 		keyOf(0): "c/shard/000", keyOf(17): "c/shard/017", keyOf(1234): "c/shard/1234", (*Member)(nil).ShardKey(5): "c/shard/005",
 	} {
 		if got != want {
@@ -75,7 +75,7 @@
 		}
 		a, aEnded := start("a")
 		_, bEnded := start("b")
-		if err := a.Announce(ctx, map[string]int{"out": 3}); err != nil {
+		if err := a.AnnounceLinks(ctx, map[string]int{"out": 3}); err != nil {
 			t.Error(err)
 		}
 		want := map[string]string{
@@ -87,7 +87,7 @@
 			"c/term":      `{"n":4098,"low":2,"floor":4098,"first":4098}`,
 		}
 		checkStored(t, store, want)
-		if err := a.HandOver(ctx, "b"); err != nil {
+		if err := a.TransferShards(ctx, "b"); err != nil {
 			t.Error(err)
 		}
 		time.Sleep(time.Second)
--- a/internal/membership/reserve.go
+++ b/internal/membership/reserve.go
@@ -14,9 +14,9 @@
 	mostReserved   = 2    // terms that a controller reserves
 )
 
-// termRecord is the counter of terms. Reserved ones are taken from above those that are
+// tokenRecord is the counter of terms. Reserved ones are taken from above those that are
 // raised as usual, so that they stay the highest until shards are taken over.
-type termRecord struct {
+type tokenRecord struct {
 	N     uint64 `json:"n"`               // the highest that was given to anybody, reserved or not
 	Low   uint64 `json:"low,omitempty"`   // the highest below those reserved; 0: none is reserved
 	Floor uint64 `json:"floor,omitempty"` // the lowest reserved; 0: none is
@@ -24,7 +24,7 @@
 }
 
 // inUse is the highest term that was not merely reserved.
-func (r termRecord) inUse() uint64 {
+func (r tokenRecord) inUse() uint64 {
 	if r.Floor == 0 {
 		return r.N
 	}
@@ -32,27 +32,27 @@
 }
 
 // above gives out a term that is larger than some.
-func (r termRecord) above(above uint64) termRecord {
+func (r tokenRecord) above(above uint64) tokenRecord {
 	if next := max(r.Low, above) + 1; next < r.Floor {
-		return termRecord{N: r.N, Low: next, Floor: r.Floor, First: r.First}
+		return tokenRecord{N: r.N, Low: next, Floor: r.Floor, First: r.First}
 	}
 	return r.highest(above)
 }
 
 // highest gives out a term that is larger than all that were given, and than some.
-func (r termRecord) highest(above uint64) termRecord { return termRecord{N: max(r.N, above) + 1} }
+func (r tokenRecord) highest(above uint64) tokenRecord { return tokenRecord{N: max(r.N, above) + 1} }
 
 // reserved gives out a term, N, that is larger than all, and leaves room below it.
-func (r termRecord) reserved() termRecord {
+func (r tokenRecord) reserved() tokenRecord {
 	if r.Floor > 0 {
-		return termRecord{N: r.N + 1, Low: r.Low, Floor: r.Floor, First: r.First}
+		return tokenRecord{N: r.N + 1, Low: r.Low, Floor: r.Floor, First: r.First}
 	}
 	term := r.N + reserveAbove
-	return termRecord{N: term, Low: r.N, Floor: term}
+	return tokenRecord{N: term, Low: r.N, Floor: term}
 }
 
 // reservedFirst is reserved for a controller that has no other.
-func (r termRecord) reservedFirst() termRecord {
+func (r tokenRecord) reservedFirst() tokenRecord {
 	next := r.reserved()
 	next.First = next.N
 	return next
@@ -69,14 +69,14 @@
 // take over, one after the other, whoever they are.
 func (m *Member) reserve(ctx context.Context) {
 	m.mu.Lock()
-	for len(m.spares) > 0 && m.spares[0] <= m.used {
-		m.spares = m.spares[1:]
+	for len(m.reservedTokens) > 0 && m.reservedTokens[0] <= m.used {
+		m.reservedTokens = m.reservedTokens[1:]
 	}
-	next := termRecord.reserved
-	if len(m.spares) == 0 {
-		next = termRecord.reservedFirst
+	next := tokenRecord.reserved
+	if len(m.reservedTokens) == 0 {
+		next = tokenRecord.reservedFirst
 	}
-	due := (len(m.spares) == 0 || m.spares[len(m.spares)-1] < m.first) && time.Since(m.reservedAt) >= reserveEvery
+	due := (len(m.reservedTokens) == 0 || m.reservedTokens[len(m.reservedTokens)-1] < m.first) && time.Since(m.reservedAt) >= reserveEvery
 	lease := m.lease
 	if due {
 		m.reservedAt = time.Now()
@@ -97,42 +97,42 @@
 		}
 		m.mu.Lock()
 		if m.lease == lease {
-			if len(m.spares) == mostReserved {
-				m.spares = m.spares[:mostReserved-1] // the highest is not high enough any more
+			if len(m.reservedTokens) == mostReserved {
+				m.reservedTokens = m.reservedTokens[:mostReserved-1] // the highest is not high enough any more
 			}
-			m.spares = append(m.spares, rec.N)
+			m.reservedTokens = append(m.reservedTokens, rec.N)
 		}
 		m.mu.Unlock()
 	}()
 }
 
-// Spare makes the lowest reserved term that is larger than above this controller's term, and
+// ReservedTokenAbove makes the lowest reserved term that is larger than above this controller's term, and
 // returns it; 0: there is none. It is for answering workers when Raise fails, and there is
 // none while the lease holds: a term used for one lost answer would overtake all that others
 // reserved.
-func (m *Member) Spare(above uint64) uint64 {
+func (m *Member) ReservedTokenAbove(above uint64) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.term > above {
-		return m.term
+	if m.token > above {
+		return m.token
 	}
 	if m.heldLocked() > 0 {
 		return 0
 	}
-	for i, spare := range m.spares {
+	for i, spare := range m.reservedTokens {
 		if spare > above {
-			m.term, m.spares = spare, m.spares[i+1:]
-			m.used = max(m.used, m.term)
-			m.log.Info("took the reserved term", "term", m.term, "above", above)
-			return m.term
+			m.token, m.reservedTokens = spare, m.reservedTokens[i+1:]
+			m.used = max(m.used, m.token)
+			m.log.Info("took the reserved term", "term", m.token, "above", above)
+			return m.token
 		}
 	}
 	return 0
 }
 
-// sawTermLocked notes which terms are in use.
-func (m *Member) sawTermLocked(value json.RawMessage) {
-	var r termRecord
+// observeTokenLocked notes which terms are in use.
+func (m *Member) observeTokenLocked(value json.RawMessage) {
+	var r tokenRecord
 	if json.Unmarshal(value, &r) == nil {
 		m.used, m.first = max(m.used, r.inUse()), r.First
 	}
--- a/internal/membership/reserve_test.go
+++ b/internal/membership/reserve_test.go
@@ -40,7 +40,7 @@
 			users := map[uint64]user{}
 			highest := uint64(0)
 			note := func(i int) uint64 {
-				term := members[i].Term()
+				term := members[i].FencingToken()
 				if term == 0 {
 					return 0
 				}
@@ -61,10 +61,10 @@
 				i := rnd.IntN(controllers)
 				switch rnd.IntN(8) {
 				case 0, 1:
-					_, _ = members[i].Raise(context.Background(), members[i].Term())
+					_, _ = members[i].RaiseTokenAbove(context.Background(), members[i].FencingToken())
 				case 2:
 					before := highest
-					if term, err := members[i].Fresh(context.Background()); err == nil && term <= before {
+					if term, err := members[i].NextToken(context.Background()); err == nil && term <= before {
 						t.Errorf("a new owner's term is %d, when %d was given out", term, before)
 					}
 				case 3:
@@ -75,9 +75,9 @@
 					}
 					others := uint64(0)
 					for k := range members {
-						others = max(others, members[k].Term())
+						others = max(others, members[k].FencingToken())
 					}
-					if term := members[i].Spare(others); term > 0 {
+					if term := members[i].ReservedTokenAbove(others); term > 0 {
 						spares++
 						if term > others && note(i) == term {
 							beyond++
@@ -132,14 +132,14 @@
 					if after := view.Text("c/term"); after != before {
 						t.Errorf("terms are drawn for ever: %s, then %s", before, after)
 					}
-					if _, err := members[leader].Raise(context.Background(), members[leader].Term()); err != nil {
+					if _, err := members[leader].RaiseTokenAbove(context.Background(), members[leader].FencingToken()); err != nil {
 						t.Fatal(err)
 					}
 					down.Store(true)
 					time.Sleep(15 * time.Second) // no lease holds
-					above := members[leader].Term()
+					above := members[leader].FencingToken()
 					for _, i := range []int{first, second} {
-						term := members[i].Spare(above)
+						term := members[i].ReservedTokenAbove(above)
 						if term <= above {
 							t.Errorf("%d leads, %d and %d take over: %d has no term above %d", leader, first, second, i, above)
 						}
--- a/internal/membership/shards.go
+++ b/internal/membership/shards.go
@@ -43,9 +43,9 @@
 	return s, true
 }
 
-// Own returns the shards owned under a lease that surely holds, with the
+// OwnedShards returns the shards owned under a lease that surely holds, with the
 // versions of their keys.
-func (m *Member) Own() map[int]uint64 {
+func (m *Member) OwnedShards() map[int]uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.heldLocked() <= 0 {
@@ -54,8 +54,8 @@
 	return m.claimedLocked()
 }
 
-// Owns is Own for one shard; it is asked at every grant.
-func (m *Member) Owns(shard int) (version uint64, ok bool) {
+// OwnsShard is Own for one shard; it is asked at every grant.
+func (m *Member) OwnsShard(shard int) (version uint64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.heldLocked() <= 0 {
@@ -65,9 +65,9 @@
 	return version, ok
 }
 
-// Claimed returns the shards this incarnation has claimed and not lost, even
+// ClaimedShards returns the shards this incarnation has claimed and not lost, even
 // while its lease can't be shown to hold.
-func (m *Member) Claimed() map[int]uint64 {
+func (m *Member) ClaimedShards() map[int]uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.claimedLocked()
@@ -81,8 +81,8 @@
 	return out
 }
 
-// Owners returns the controllers known to own shards, the one with most first.
-func (m *Member) Owners() []string {
+// ShardOwners returns the controllers known to own shards, the one with most first.
+func (m *Member) ShardOwners() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	count := map[string]int{}
@@ -128,14 +128,14 @@
 			}
 			if at, seen := m.freed[s]; seen {
 				if early := time.Until(at.Add(behind)); early > 0 {
-					time.AfterFunc(early, m.poke)
+					time.AfterFunc(early, m.wakeUp)
 					continue
 				}
 			}
 			free = append(free, s)
 		}
 	}
-	lease, term := m.lease, m.term
+	lease, term := m.lease, m.token
 	m.mu.Unlock()
 	if len(free) == 0 {
 		return
--- a/internal/membership/term.go
+++ b/internal/membership/term.go
@@ -16,41 +16,41 @@
 // every report with a higher token asks for one: hundreds a second, where a leader has ended.
 const raiseAgain = 250 * time.Millisecond
 
-// Term returns the token that this controller answers workers with, or 0.
-func (m *Member) Term() uint64 {
+// FencingToken returns the token that this controller answers workers with, or 0.
+func (m *Member) FencingToken() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.term
+	return m.token
 }
 
-// Raise makes the term larger than above, and returns it. A term whose
+// RaiseTokenAbove makes the term larger than above, and returns it. A term whose
 // transaction was not surely applied by this incarnation is never used.
-func (m *Member) Raise(ctx context.Context, above uint64) (uint64, error) {
+func (m *Member) RaiseTokenAbove(ctx context.Context, above uint64) (uint64, error) {
 	if err := m.startRaise(ctx); err != nil {
 		return 0, err
 	}
 	defer m.endRaise()
-	if t := m.Term(); t > above {
+	if t := m.FencingToken(); t > above {
 		return t, nil
 	}
 	if time.Since(m.refused) < raiseAgain {
 		return 0, fmt.Errorf("raise term: refused just now: %w", statestore.ErrUnavailable)
 	}
-	t, err := m.raiseLocked(ctx, func(r termRecord) termRecord { return r.above(above) }, nil)
+	t, err := m.raiseLocked(ctx, func(r tokenRecord) tokenRecord { return r.above(above) }, nil)
 	if errors.Is(err, statestore.ErrUnavailable) {
 		m.refused = time.Now()
 	}
 	return t, err
 }
 
-// Fresh takes a term that no token given out before is equal to or above, reserved ones
+// NextToken takes a term that no token given out before is equal to or above, reserved ones
 // included.
-func (m *Member) Fresh(ctx context.Context) (uint64, error) {
+func (m *Member) NextToken(ctx context.Context) (uint64, error) {
 	if err := m.startRaise(ctx); err != nil {
 		return 0, err
 	}
 	defer m.endRaise()
-	return m.raiseLocked(ctx, func(r termRecord) termRecord { return r.highest(0) }, nil)
+	return m.raiseLocked(ctx, func(r tokenRecord) tokenRecord { return r.highest(0) }, nil)
 }
 
 // startRaise waits for its turn to change the term, but not beyond ctx.
@@ -65,24 +65,24 @@
 
 func (m *Member) endRaise() { <-m.raising }
 
-func (m *Member) raiseLocked(ctx context.Context, next func(termRecord) termRecord, with func(term uint64) ([]wire.Guard, []wire.Op)) (uint64, error) {
+func (m *Member) raiseLocked(ctx context.Context, next func(tokenRecord) tokenRecord, with func(term uint64) ([]wire.Guard, []wire.Op)) (uint64, error) {
 	rec, err := m.draw(ctx, next, with)
 	if err != nil {
 		return 0, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.term = max(m.term, rec.inUse())
-	m.used = max(m.used, m.term)
-	return m.term, nil
+	m.token = max(m.token, rec.inUse())
+	m.used = max(m.used, m.token)
+	return m.token, nil
 }
 
 // draw changes the counter of terms, in one transaction with what with adds for the term
 // that is then in use.
-func (m *Member) draw(ctx context.Context, next func(termRecord) termRecord, with func(term uint64) ([]wire.Guard, []wire.Op)) (termRecord, error) {
+func (m *Member) draw(ctx context.Context, next func(tokenRecord) tokenRecord, with func(term uint64) ([]wire.Guard, []wire.Op)) (tokenRecord, error) {
 	for n := 0; ; n++ {
-		it, err := m.store.Get(ctx, termKey)
-		var rec termRecord
+		it, err := m.store.Get(ctx, tokenKey)
+		var rec tokenRecord
 		if err == nil {
 			if err := json.Unmarshal(it.Value, &rec); err != nil {
 				return rec, fmt.Errorf("read term: %w", err)
@@ -91,15 +91,15 @@
 			return rec, fmt.Errorf("read term: %w", err)
 		}
 		rec = next(rec)
-		guards := []wire.Guard{{Key: termKey, Version: it.Version}}
-		ops := []wire.Op{{Put: termKey, Value: rec}}
+		guards := []wire.Guard{{Key: tokenKey, Version: it.Version}}
+		ops := []wire.Op{{Put: tokenKey, Value: rec}}
 		if with != nil {
 			g, o := with(rec.inUse())
 			guards, ops = append(guards, g...), append(ops, o...)
 		}
 		_, err = m.store.Txn(ctx, guards, ops...)
 		var conflict *statestore.Conflict
-		if errors.As(err, &conflict) && conflict.Has(termKey) {
+		if errors.As(err, &conflict) && conflict.Has(tokenKey) {
 			statestore.Backoff(ctx, n, 20*time.Millisecond, 200*time.Millisecond)
 			continue
 		}
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -25,7 +25,7 @@
 		if r, ok := m.owners[s]; !ok || r.Node != m.name {
 			// A listing may be older than the claim: keep what the claim
 			// said, since every write is guarded anyway.
-			m.owners[s] = shardRecord{Node: m.name, Term: m.term, Lease: m.lease}
+			m.owners[s] = shardRecord{Node: m.name, Term: m.token, Lease: m.lease}
 		}
 	}
 	m.synced = true
@@ -38,8 +38,8 @@
 	relevant := false
 	for _, e := range events {
 		key := e.Put + e.Delete
-		if key == termKey {
-			m.sawTermLocked(e.Value)
+		if key == tokenKey {
+			m.observeTokenLocked(e.Value)
 			continue
 		}
 		if strings.HasPrefix(key, linkKey) {
@@ -63,13 +63,13 @@
 
 func (m *Member) applyLocked(key string, value json.RawMessage, version uint64) {
 	switch {
-	case key == termKey:
-		m.sawTermLocked(value)
+	case key == tokenKey:
+		m.observeTokenLocked(value)
 		return
-	case key == movesKey:
-		var r movesRecord
+	case key == transfersKey:
+		var r transfersRecord
 		if json.Unmarshal(value, &r) == nil {
-			m.moves = r
+			m.transfers = r
 		}
 		return
 	case strings.HasPrefix(key, linkKey) && m.onLink != nil:
--- a/internal/scheduler/accept.go
+++ b/internal/scheduler/accept.go
@@ -28,7 +28,7 @@
 
 // watchPause is the longest pause between answers of the watch.
 func (o *Scheduler) watchPause() time.Duration {
-	if len(o.member.Claimed()) > 0 {
+	if len(o.member.ClaimedShards()) > 0 {
 		return ownerPause
 	}
 	return otherPause
--- a/internal/scheduler/amend.go
+++ b/internal/scheduler/amend.go
@@ -70,7 +70,7 @@
 		if r.Terms == nil {
 			return fmt.Errorf("%w: the job was accepted without a number", ErrInvalidRequest)
 		}
-		version, mine := o.member.Owns(r.Shard)
+		version, mine := o.member.OwnsShard(r.Shard)
 		o.mu.Lock()
 		busy := mine && o.loaded[r.Shard] != version
 		o.mu.Unlock()
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -57,16 +57,16 @@
 
 func (f *fleet) Type(string) (wire.MachineType, bool) { return size, true }
 func (f *fleet) Name() string                         { return "a" }
-func (f *fleet) Held() time.Duration                  { return f.held }
+func (f *fleet) LeaseRemaining() time.Duration        { return f.held }
 func (f *fleet) Own() map[int]uint64                  { return map[int]uint64{0: 1} }
-func (f *fleet) Owns(shard int) (uint64, bool)        { return 1, shard == 0 }
-func (f *fleet) Claimed() map[int]uint64 {
+func (f *fleet) OwnsShard(shard int) (uint64, bool)   { return 1, shard == 0 }
+func (f *fleet) ClaimedShards() map[int]uint64 {
 	if f.none.Load() {
 		return nil
 	}
 	return f.Own()
 }
-func (f *fleet) Fresh(context.Context) (uint64, error) {
+func (f *fleet) NextToken(context.Context) (uint64, error) {
 	return 7, nil
 }
 func (f *fleet) ShardKey(int) string { return "c/shard/000" }
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -184,5 +184,5 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	_, first := o.loaded[0]
-	return first && o.member.Held() > 0
+	return first && o.member.LeaseRemaining() > 0
 }
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -34,7 +34,7 @@
 			return
 		case <-tick.C:
 		}
-		if o.member.Held() <= 0 {
+		if o.member.LeaseRemaining() <= 0 {
 			continue
 		}
 		o.resolveCancels(ctx)
@@ -156,7 +156,7 @@
 func (o *Scheduler) LocalFacts(uid string) (jobspec.Facts, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.member.Held() <= 0 {
+	if o.member.LeaseRemaining() <= 0 {
 		return jobspec.Facts{}, false
 	}
 	return o.factsOf(uid)
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -41,7 +41,7 @@
 
 // Load takes over every shard that the membership claims.
 func (o *Scheduler) Load(ctx context.Context) error {
-	claimed := o.member.Claimed()
+	claimed := o.member.ClaimedShards()
 	shards := make([]int, 0, len(claimed))
 	for s := range claimed {
 		shards = append(shards, s)
--- a/internal/scheduler/grant.go
+++ b/internal/scheduler/grant.go
@@ -29,7 +29,7 @@
 
 func (o *Scheduler) grant(r dispatch.GrantRequest) dispatch.GrantReply {
 	no, drop := dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
-	if o.member.Held() < 200*time.Millisecond || len(o.loaded) == 0 {
+	if o.member.LeaseRemaining() < 200*time.Millisecond || len(o.loaded) == 0 {
 		return no
 	}
 	uid, n, err := wire.ParseTask(r.Task)
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -102,7 +102,7 @@
 func (o *Scheduler) HandleExpiringLeases() map[string]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.member.Held() <= 0 {
+	if o.member.LeaseRemaining() <= 0 {
 		return nil
 	}
 	now := time.Now()
--- a/internal/scheduler/lend.go
+++ b/internal/scheduler/lend.go
@@ -274,7 +274,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	// A successor may own the shards already: what was planned could not be written.
-	if len(o.loaded) == 0 || o.member.Held() <= 0 {
+	if len(o.loaded) == 0 || o.member.LeaseRemaining() <= 0 {
 		return
 	}
 	l := o.lender
--- a/internal/scheduler/observe.go
+++ b/internal/scheduler/observe.go
@@ -111,7 +111,7 @@
 	if v.NoticeS != nil {
 		m.NoticeAt = now.Add(time.Duration(*v.NoticeS * float64(time.Second)))
 	}
-	if o.member.Held() <= 0 {
+	if o.member.LeaseRemaining() <= 0 {
 		// There may be another owner by now, whose tasks would look like
 		// strays here. If there is none, the next report settles all this.
 		return
--- a/internal/scheduler/opencancels.go
+++ b/internal/scheduler/opencancels.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	version, mine := o.member.Owns(r.Shard)
+	version, mine := o.member.OwnsShard(r.Shard)
 	if !mine {
 		return nil // the shard's version has changed: the cancel failed, or is its owner's
 	}
--- a/internal/scheduler/owner.go
+++ b/internal/scheduler/owner.go
@@ -43,10 +43,10 @@
 // Membership is this controller's standing.
 type Membership interface {
 	Name() string
-	Held() time.Duration
-	Owns(shard int) (version uint64, ok bool)
-	Claimed() map[int]uint64
-	Fresh(ctx context.Context) (uint64, error)
+	LeaseRemaining() time.Duration
+	OwnsShard(shard int) (version uint64, ok bool)
+	ClaimedShards() map[int]uint64
+	NextToken(ctx context.Context) (uint64, error)
 	ShardKey(shard int) string
 }
 
@@ -363,7 +363,7 @@
 		o.place()
 		if time.Since(sweep) > time.Second {
 			sweep = time.Now()
-			if o.member.Held() > 0 {
+			if o.member.LeaseRemaining() > 0 {
 				// Else a successor may own these tasks already.
 				o.lookAgain()
 				o.evacuate()
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -24,7 +24,7 @@
 // place is one scheduling pass: batches of matches, most urgent jobs first,
 // until nothing more starts within the horizon.
 func (o *Scheduler) place() {
-	if o.member.Held() < time.Second || len(o.loaded) == 0 {
+	if o.member.LeaseRemaining() < time.Second || len(o.loaded) == 0 {
 		return
 	}
 	o.now = time.Now()
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -17,7 +17,7 @@
 
 // syncShards loads shards that were gained and forgets those that were lost.
 func (o *Scheduler) syncShards(ctx context.Context) {
-	claimed := o.member.Claimed()
+	claimed := o.member.ClaimedShards()
 	var gained []int
 	o.mu.Lock()
 	for s, v := range o.loaded {
@@ -31,7 +31,7 @@
 		}
 	}
 	o.mu.Unlock()
-	if len(gained) == 0 || o.member.Held() <= 0 {
+	if len(gained) == 0 || o.member.LeaseRemaining() <= 0 {
 		return
 	}
 	lctx, cancel := context.WithTimeout(statestore.In(ctx, statestore.Urgent), 8*time.Second)
@@ -71,7 +71,7 @@
 		o.loading, o.early = false, nil
 		o.mu.Unlock()
 	}()
-	fence, err := o.member.Fresh(ctx)
+	fence, err := o.member.NextToken(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -51,7 +51,7 @@
 
 // owns reports whether the job's shard is surely this controller's, as it was loaded.
 func (o *Scheduler) owns(j *Job) bool {
-	version, ok := o.member.Owns(j.Shard)
+	version, ok := o.member.OwnsShard(j.Shard)
 	return ok && version == o.loaded[j.Shard]
 }
 
@@ -132,7 +132,7 @@
 		if r.Cancelled {
 			return wire.JobState{UID: uid, Stage: wire.StageCancelled}, nil
 		}
-		version, mine := o.member.Owns(r.Shard)
+		version, mine := o.member.OwnsShard(r.Shard)
 		o.mu.Lock()
 		if mine && o.loaded[r.Shard] != version {
 			o.mu.Unlock()
--- a/internal/scheduler/write.go
+++ b/internal/scheduler/write.go
@@ -84,7 +84,7 @@
 // writeOnce records as much as fits one transaction, or repeats the one whose
 // outcome is open.
 func (o *Scheduler) writeOnce(ctx context.Context) (more bool, err error) {
-	if len(o.member.Claimed()) == 0 {
+	if len(o.member.ClaimedShards()) == 0 {
 		return false, nil
 	}
 	o.mu.Lock()
--- a/internal/testkit/cancel_hand_over_test.go
+++ b/internal/testkit/cancel_hand_over_test.go
@@ -55,7 +55,7 @@
 	switch {
 	case record.Node == h.giver:
 		return stepPending
-	case len(taker.member.Claimed()) == 0:
+	case len(taker.member.ClaimedShards()) == 0:
 		return stepUntold
 	case taker.owner.Counters().Failovers == h.takeovers:
 		return stepLoading
@@ -88,7 +88,7 @@
 			time.Sleep(held)
 		}
 	})
-	go func() { _ = h.nodes[h.giver].member.HandOver(context.Background(), h.taker) }() // its outcome is read in the store
+	go func() { _ = h.nodes[h.giver].member.TransferShards(context.Background(), h.taker) }() // its outcome is read in the store
 	time.Sleep(20 * time.Millisecond)
 }
 
@@ -170,7 +170,7 @@
 			h.onCancel(h.giver, "j-80", func() { time.Sleep(300 * time.Millisecond) })
 			go func() { time.Sleep(100 * time.Millisecond); h.begin(1500 * time.Millisecond) }()
 			stage, heard := h.user(h.giver, http.MethodPost, "j-80")
-			if h.step() != stepPending || len(h.nodes[h.giver].member.Own()) > 0 {
+			if h.step() != stepPending || len(h.nodes[h.giver].member.OwnedShards()) > 0 {
 				h.t.Errorf("the hand-over is at %q", h.step())
 			}
 			if heard && stage == wire.StageCancelled {
@@ -245,7 +245,7 @@
 			h.delayWatch(h.third, "c/", 4*lag)
 			h.begin(0)
 			h.until(stepLoaded)
-			if o := h.nodes[h.third].member.Owners(); o[0] != h.giver {
+			if o := h.nodes[h.third].member.ShardOwners(); o[0] != h.giver {
 				h.t.Errorf("the third knows of %v", o)
 			}
 			h.cancelIn(stepLoaded, h.third, "j-80")
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -22,7 +22,7 @@
 		time.Sleep(2 * time.Second)
 		w.submit("j-1", 3)
 		time.Sleep(time.Second)
-		chief := w.nodes["a"].member.Owners()[0]
+		chief := w.nodes["a"].member.ShardOwners()[0]
 		for name, n := range w.nodes {
 			if name == chief {
 				continue
--- a/internal/testkit/close_questions_test.go
+++ b/internal/testkit/close_questions_test.go
@@ -126,7 +126,7 @@
 	u.mu.Lock()
 	var owning *node
 	for _, name := range u.names {
-		if x := u.nodes[name]; !x.down && len(x.member.Own()) > 0 {
+		if x := u.nodes[name]; !x.down && len(x.member.OwnedShards()) > 0 {
 			owning = x
 		}
 	}
@@ -258,7 +258,7 @@
 	{"the leader hands over", func(u *closeUsers, second int) {
 		if l := u.leader(); second%3 == 1 && l != "" {
 			to := u.others(l)
-			if u.nodes[l].member.HandOver(context.Background(), to[u.draw(len(to))]) == nil {
+			if u.nodes[l].member.TransferShards(context.Background(), to[u.draw(len(to))]) == nil {
 				u.handled++
 			}
 		}
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -184,15 +184,15 @@
 	n.owner.AccountingEnabled, n.owner.RemoteJobs = w.accounts, n
 	n.holder = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
 	n.started, n.published, n.pictures = time.Now(), viewsync.NewPublisher(name, n.holder), viewsync.NewReceiver(n.owner, w.others(name))
-	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.Held)
+	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.LeaseRemaining)
 	n.reg.Fresh = func(uids []string) { n.knows.learn(uids); go n.holder.HaltCancelledTasks() }
 	n.owner.Cancellations, n.holder.Cancellations = n.reg, n.reg
 	n.intake = submission.New(&cfg, op, n.view, n.owner, w.size, n, log)
 	n.intake.Cancels = n.reg
 	n.mux = http.NewServeMux()
 	n.intake.Register(n.mux)
-	n.member.OnChange(n.owner.OwnershipChanged)
-	n.member.OnLink(n.reach.stored)
+	n.member.OnOwnershipChange(n.owner.OwnershipChanged)
+	n.member.OnLinkAnnouncement(n.reach.stored)
 	var wg sync.WaitGroup
 	runs := []func(context.Context) error{n.member.Run, n.owner.Run}
 	if w.beside != nil {
--- a/internal/testkit/cuts_test.go
+++ b/internal/testkit/cuts_test.go
@@ -122,7 +122,7 @@
 					}
 					moves := 0
 					for _, n := range w.nodes {
-						moves = max(moves, n.member.Moves(time.Hour))
+						moves = max(moves, n.member.RecentTransfers(time.Hour))
 					}
 					if moves > c.moves {
 						t.Errorf("%d hand-overs", moves)
@@ -144,7 +144,7 @@
 	if s, ok := n.owner.LocalState(uid); ok {
 		return s, true
 	}
-	for _, o := range n.member.Owners() {
+	for _, o := range n.member.ShardOwners() {
 		w.mu.Lock()
 		to := w.nodes[o]
 		ok := w.reach(n, to)
--- a/internal/testkit/fault_kinds_test.go
+++ b/internal/testkit/fault_kinds_test.go
@@ -213,7 +213,7 @@
 	{"the leader hands over, and back", 4, 20, nil, func(m *faultRun, _ int) {
 		if l := m.cluster.leader(); l != "" {
 			o := m.others(l)
-			if m.nodes[l].member.HandOver(context.Background(), o[m.draw(len(o))]) == nil {
+			if m.nodes[l].member.TransferShards(context.Background(), o[m.draw(len(o))]) == nil {
 				*m.did++
 			}
 		}
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -250,7 +250,7 @@
 				restart(w.leader())
 			case 100:
 				l := w.leader()
-				if err := w.nodes[l].member.HandOver(context.Background(), w.others(l)[0]); err != nil {
+				if err := w.nodes[l].member.TransferShards(context.Background(), w.others(l)[0]); err != nil {
 					w.t.Error(err)
 				}
 			case 120:
@@ -258,7 +258,7 @@
 			}
 			w.live(1)
 			for _, name := range w.names {
-				if w.nodes[name].member.Held() <= 0 && time.Since(restarted[name]) > 2*time.Second {
+				if w.nodes[name].member.LeaseRemaining() <= 0 && time.Since(restarted[name]) > 2*time.Second {
 					w.fail("%s holds no lease after %d s", name, second)
 				}
 			}
--- a/internal/testkit/late_watch_test.go
+++ b/internal/testkit/late_watch_test.go
@@ -54,7 +54,7 @@
 				started := w.starts
 				if how == "end" {
 					w.crash(first)
-				} else if err := w.nodes[first].member.HandOver(context.Background(), second); err != nil {
+				} else if err := w.nodes[first].member.TransferShards(context.Background(), second); err != nil {
 					t.Fatal(err)
 				}
 				if !w.within(8, func() bool { return w.leader() == second && w.nodes[second].owner.Counters().Failovers > 0 }) || time.Since(accepted) > lag {
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -154,7 +154,7 @@
 // highestTerm is the highest term of all controllers but one.
 func (c *changes) highestTerm(but string) (highest uint64) {
 	for _, n := range c.others(but) {
-		highest = max(highest, c.nodes[n].member.Term())
+		highest = max(highest, c.nodes[n].member.FencingToken())
 	}
 	return highest
 }
@@ -189,7 +189,7 @@
 					if seen >= 8 {
 						break
 					}
-					_, _ = c.nodes[leader].member.Raise(context.Background(), max(c.highestTerm(leader), c.nodes[leader].member.Term()))
+					_, _ = c.nodes[leader].member.RaiseTokenAbove(context.Background(), max(c.highestTerm(leader), c.nodes[leader].member.FencingToken()))
 					c.live(1)
 					seen = c.seenHigher(leader)
 				}
--- a/internal/testkit/lent_limits_test.go
+++ b/internal/testkit/lent_limits_test.go
@@ -39,7 +39,7 @@
 // owningNodes names the controllers that own jobs.
 func (w *cluster) owningNodes() (names []string) {
 	for _, n := range w.names {
-		if x := w.nodes[n]; !x.down && len(x.member.Own()) > 0 {
+		if x := w.nodes[n]; !x.down && len(x.member.OwnedShards()) > 0 {
 			names = append(names, n)
 		}
 	}
@@ -59,7 +59,7 @@
 // first free one from a number on.
 func (c *teamCluster) jobAt(at string, from int, team, priority string, tasks int, cpus float64) string {
 	c.t.Helper()
-	return c.jobIn(c.nodes[at].member.Own(), from, team, priority, tasks, cpus)
+	return c.jobIn(c.nodes[at].member.OwnedShards(), from, team, priority, tasks, cpus)
 }
 
 // jobIn is jobAt for any of some shards.
@@ -132,7 +132,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	own := c.nodes[at].member.Own()
+	own := c.nodes[at].member.OwnedShards()
 	for _, row := range record.Rows {
 		if _, mine := own[row.Shard]; mine {
 			cpus += float64(row.Teams[team].Part[0]) / 1000
@@ -177,7 +177,7 @@
 		{"it ends", func(c *teamCluster, owner, _ string) { c.crash(owner) }},
 		{"it is back within a second", func(c *teamCluster, owner, _ string) { c.restart(owner, 400*time.Millisecond) }},
 		{"it hands over", func(c *teamCluster, owner, other string) {
-			_ = c.nodes[owner].member.HandOver(context.Background(), other) // what became of it is looked at
+			_ = c.nodes[owner].member.TransferShards(context.Background(), other) // what became of it is looked at
 		}},
 		{"it is cut off", func(c *teamCluster, owner, _ string) {
 			c.cutAll(owner, append(c.workerNames(), append(c.others(owner), stateService)...)...)
--- a/internal/testkit/load_test.go
+++ b/internal/testkit/load_test.go
@@ -156,7 +156,7 @@
 // await waits until the controller answers workers: before that a report is refused, which
 // costs next to nothing.
 func (l *load) await(tb testing.TB) {
-	for began := time.Now(); len(l.node.member.Own()) == 0 || !l.node.MayAnswerWorkers(); time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); len(l.node.member.OwnedShards()) == 0 || !l.node.MayAnswerWorkers(); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 20*time.Second {
 			tb.Fatal("the controller does not answer workers")
 		}
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -205,7 +205,7 @@
 		w.restartOwner(t, l, 3)
 		for _, name := range w.names {
 			for _, term := range unused {
-				if w.nodes[name].member.Term() == term {
+				if w.nodes[name].member.FencingToken() == term {
 					t.Errorf("%s uses term %d, whose answer was lost", name, term)
 				}
 			}
--- a/internal/testkit/new_machines_test.go
+++ b/internal/testkit/new_machines_test.go
@@ -278,7 +278,7 @@
 	}
 	if scene.crashes {
 		c.crash(first)
-	} else if err := c.nodes[first].member.HandOver(context.Background(), c.others(first)[0]); err != nil {
+	} else if err := c.nodes[first].member.TransferShards(context.Background(), c.others(first)[0]); err != nil {
 		t.Errorf("handing over: %v", err)
 	}
 	if !c.run(boot, func() bool { return c.leader() != "" && c.leader() != first }) {
--- a/internal/testkit/old_reports_test.go
+++ b/internal/testkit/old_reports_test.go
@@ -159,7 +159,7 @@
 // next returns the controller that has read the records since, or nil.
 func (w *cluster) next(before map[string]scheduler.Stats) *node {
 	for _, name := range w.names {
-		if n := w.nodes[name]; !n.down && len(n.member.Own()) > 0 && n.owner.Counters().Failovers > before[name].Failovers {
+		if n := w.nodes[name]; !n.down && len(n.member.OwnedShards()) > 0 && n.owner.Counters().Failovers > before[name].Failovers {
 			return n
 		}
 	}
@@ -168,7 +168,7 @@
 
 // claimed reports whether any controller has claimed jobs.
 func (w *cluster) claimed() bool {
-	return slices.ContainsFunc(w.names, func(name string) bool { return !w.nodes[name].down && len(w.nodes[name].member.Claimed()) > 0 })
+	return slices.ContainsFunc(w.names, func(name string) bool { return !w.nodes[name].down && len(w.nodes[name].member.ClaimedShards()) > 0 })
 }
 
 // unheardOf counts the machines on which the records had tasks, and those of them that the
--- a/internal/testkit/on_cluster_test.go
+++ b/internal/testkit/on_cluster_test.go
@@ -40,7 +40,7 @@
 // leader is the controller that owns the jobs, or "".
 func (w *cluster) leader() string {
 	for _, n := range w.names {
-		if x := w.nodes[n]; !x.down && len(x.member.Own()) > 0 {
+		if x := w.nodes[n]; !x.down && len(x.member.OwnedShards()) > 0 {
 			return n
 		}
 	}
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -77,9 +77,9 @@
 	n, now := r.node, time.Now()
 	r.seq++
 	reports, machines := n.holder.RecentHeartbeats()
-	row := reachability.Row{Node: n.name, Born: r.born, Seq: r.seq, State: state, Held: n.member.Held() > 0, Owns: len(n.member.Own()) > 0,
+	row := reachability.Row{Node: n.name, Born: r.born, Seq: r.seq, State: state, Held: n.member.LeaseRemaining() > 0, Owns: len(n.member.OwnedShards()) > 0,
 		Reports: reports, Expected: float64(machines) / reportEvery.Seconds() * dispatch.HeartbeatWindow.Seconds(), Lacks: r.table.Lacks(now)}
-	if o := n.member.Owners(); len(o) > 0 {
+	if o := n.member.ShardOwners(); len(o) > 0 {
 		row.Chief = o[0]
 	}
 	row.Seats, row.Room, row.Here = r.seats, r.room, r.here
@@ -105,20 +105,20 @@
 
 func (n *node) LeaderFor(worker string) string {
 	v := n.linksSeen()
-	v.Self.Held = n.member.Held() > 0
-	if o := n.member.Owners(); len(o) > 0 {
+	v.Self.Held = n.member.LeaseRemaining() > 0
+	if o := n.member.ShardOwners(); len(o) > 0 {
 		v.Self.Chief = o[0]
 	}
 	return v.ForemanOf(worker)
 }
 
 func (n *node) MayAnswerWorkers() bool {
-	return n.member.Term() > 0 && time.Since(n.reg.Known()) < testGrace
+	return n.member.FencingToken() > 0 && time.Since(n.reg.Known()) < testGrace
 }
 
 func (n *node) Isolated() bool {
 	v := n.linksSeen()
-	v.Self.Owns = len(n.member.Own()) > 0
+	v.Self.Owns = len(n.member.OwnedShards()) > 0
 	return v.Alone()
 }
 
@@ -170,10 +170,10 @@
 		w.mu.Unlock()
 		if v.Self.Held && now.Sub(r.announced) >= reachability.AnnounceEvery && len(v.Unreached()) > 0 {
 			r.announced = now
-			_ = n.member.Announce(context.Background(), v.Self) // a row that is lost is followed by the next
+			_ = n.member.AnnounceLinks(context.Background(), v.Self) // a row that is lost is followed by the next
 		}
-		if to := r.watch.Look(now, &v, n.member.Moves(reachability.Window)); to != "" {
-			_ = n.member.HandOver(context.Background(), to) // tried again if it fails
+		if to := r.watch.Look(now, &v, n.member.RecentTransfers(reachability.Window)); to != "" {
+			_ = n.member.TransferShards(context.Background(), to) // tried again if it fails
 		}
 		if v.Self.Owns && w.keepCuts {
 			w.judge(n, &v)
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -145,7 +145,7 @@
 		unheard[k.Name] = k.Name
 	}
 	for _, n := range nodes {
-		if len(n.member.Own()) > 0 {
+		if len(n.member.OwnedShards()) > 0 {
 			if !w.unlisted {
 				n.onDuty("probe", func(ctx context.Context) { n.holder.PollReports(ctx, unheard, 3*reportEvery) })
 			}
--- a/internal/testkit/spread_holders_test.go
+++ b/internal/testkit/spread_holders_test.go
@@ -60,7 +60,7 @@
 		w.live(40)
 		before, terms := w.holders(), map[string]uint64{}
 		for _, name := range w.names {
-			terms[name] = w.nodes[name].member.Term()
+			terms[name] = w.nodes[name].member.FencingToken()
 			if n := w.held()[name]; n > roomForWorkers+1 {
 				t.Errorf("%s holds %d workers and has room for %d", name, n, roomForWorkers)
 			}
@@ -74,7 +74,7 @@
 			t.Errorf("workers moved: %v, then %v", before, after)
 		}
 		for _, name := range w.names {
-			if term := w.nodes[name].member.Term(); term != terms[name] {
+			if term := w.nodes[name].member.FencingToken(); term != terms[name] {
 				t.Errorf("%s raised its term from %d to %d", name, terms[name], term)
 			}
 		}
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -27,8 +27,8 @@
 			out = append(out, name)
 		}
 	}
-	if n.member.Held() > 0 {
-		for _, o := range n.member.Owners() {
+	if n.member.LeaseRemaining() > 0 {
+		for _, o := range n.member.ShardOwners() {
 			add(o)
 		}
 		return out
@@ -89,7 +89,7 @@
 				n.reg.Read(sent, uids)
 			}
 		}
-		if was := n.entitled; n.member.Term() > 0 {
+		if was := n.entitled; n.member.FencingToken() > 0 {
 			n.entitled = n.MayAnswerWorkers()
 			if was && !n.entitled {
 				w.lapses++
@@ -493,7 +493,7 @@
 			for _, ph := range phases {
 				leader := w.names[0]
 				for _, n := range w.names {
-					if len(w.nodes[n].member.Own()) > 0 {
+					if len(w.nodes[n].member.OwnedShards()) > 0 {
 						leader = n
 					}
 				}
--- a/internal/testkit/team_limits_test.go
+++ b/internal/testkit/team_limits_test.go
@@ -118,7 +118,7 @@
 		{"the leader ends", func(c *teamCluster, first string) { c.crash(first) }},
 		{"it is back within a second", func(c *teamCluster, first string) { c.restart(first, 400*time.Millisecond) }},
 		{"it hands over", func(c *teamCluster, first string) {
-			_ = c.nodes[first].member.HandOver(context.Background(), c.others(first)[0]) // what became of it is looked at
+			_ = c.nodes[first].member.TransferShards(context.Background(), c.others(first)[0]) // what became of it is looked at
 		}},
 	}
 	for _, hang := range []bool{false, true} {
@@ -137,7 +137,7 @@
 							c.cutAll(k.Name, c.names...)
 						}
 						first := c.leader()
-						before := c.nodes[first].member.Own()
+						before := c.nodes[first].member.OwnedShards()
 						at := c.others(first)[1]
 						confirm := func(seconds int) {
 							if n := c.cancelAll(at, jobs, seconds); n != len(jobs) {
@@ -155,7 +155,7 @@
 						if when > 0 {
 							confirm(6)
 						}
-						if l := c.leader(); l == first && maps.Equal(before, c.nodes[first].member.Own()) {
+						if l := c.leader(); l == first && maps.Equal(before, c.nodes[first].member.OwnedShards()) {
 							t.Fatal("the leader did not change")
 						}
 						if n := c.onMachines("j-80") + c.onMachines("j-82"); n != 6 {
@@ -312,7 +312,7 @@
 		d.restart(l, time.Duration(d.draw(1000))*time.Millisecond)
 	case 2:
 		others := d.others(l)
-		_ = d.nodes[l].member.HandOver(context.Background(), others[d.draw(len(others))]) // may fail, as anything here
+		_ = d.nodes[l].member.TransferShards(context.Background(), others[d.draw(len(others))]) // may fail, as anything here
 	case 3:
 		d.cutAll(l, append(d.others(l), stateService)...)
 	}
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -230,7 +230,7 @@
 					sessions[k.Name] = w.session(k)
 				}
 				if c.token {
-					session, term := w.session(cut[0]), w.nodes[w.leader()].member.Term()
+					session, term := w.session(cut[0]), w.nodes[w.leader()].member.FencingToken()
 					w.mu.Lock()
 					cut[0].Orders(wire.Orders{Token: term + 1, Session: session})
 					w.mu.Unlock()
