--- a/cmd/wallrack/cancels.go
+++ b/cmd/wallrack/cancels.go
@@ -38,7 +38,7 @@
 func (n *node) handleCancels() {
 	mesh.Handle(n.mesh, methodCancels, func(_ context.Context, m *cancelsMessage) (*cancellation.Message, error) {
 		n.tookCancels(m.From, &m.Message)
-		rep := n.cancels.Message(m.From)
+		rep := n.cancels.MessageFor(m.From)
 		return &rep, nil
 	})
 }
@@ -53,7 +53,7 @@
 	if m == nil {
 		return
 	}
-	if err := n.cancels.Take(from, m); err != nil {
+	if err := n.cancels.HandleMessage(from, m); err != nil {
 		if last := n.badNews.Load(); last == 0 || time.Since(time.Unix(0, last)) > time.Minute {
 			n.badNews.Store(time.Now().UnixNano())
 			n.log.Info("malformed news is dropped", "err", err)
@@ -65,7 +65,7 @@
 func (n *node) exchangeCancels(ctx context.Context, peer string) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	rep, err := call[cancelsMessage, cancellation.Message](ctx, n, peer, methodCancels, &cancelsMessage{n.cfg.Node, n.cancels.Message(peer)})
+	rep, err := call[cancelsMessage, cancellation.Message](ctx, n, peer, methodCancels, &cancelsMessage{n.cfg.Node, n.cancels.MessageFor(peer)})
 	if err == nil {
 		n.tookCancels(peer, rep)
 	}
@@ -80,10 +80,10 @@
 	var chased time.Time
 	answers := false
 	for {
-		peers := n.cancels.Unheard(unheardFor)
+		peers := n.cancels.StalePeers(unheardFor)
 		if now := n.MayAnswerWorkers(); now != answers {
 			answers = now
-			n.log.Info("workers are answered", "is", now, "cancels_known_s_ago", time.Since(n.cancels.Known()).Seconds(), "unheard", peers)
+			n.log.Info("workers are answered", "is", now, "cancels_known_s_ago", time.Since(n.cancels.KnownUntil()).Seconds(), "unheard", peers)
 		}
 		for _, p := range peers {
 			go n.exchangeCancels(ctx, p)
@@ -120,7 +120,7 @@
 			return
 		case <-time.After(max(pause, cancelsEvery/2)):
 		}
-		if !n.cancels.Wanting(unheardFor) {
+		if !n.cancels.NeedsStoreRead(unheardFor) {
 			pause = 0
 			continue
 		}
@@ -133,7 +133,7 @@
 			pause = cancelsEvery
 			continue
 		}
-		n.cancels.Read(sent, uids)
+		n.cancels.RecordStoreRead(sent, uids)
 		pause = max(readEvery, readCost*time.Since(sent))
 	}
 }
--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -78,7 +78,7 @@
 	n := &node{ctx: ctx, cfg: p, op: op, store: store, member: member, cloud: cloud, mesh: peers, log: log}
 	n.links.init(n)
 	n.cancels = cancellation.New(slices.Collect(maps.Keys(addrs)), config.Seconds(p.Params.Workers.CancelS), member.LeaseRemaining)
-	n.cancels.Fresh, n.cancels.News, n.tellCancels = n.recall, n.cancelNews, make(chan struct{}, 1)
+	n.cancels.OnCancelled, n.cancels.OnUpdates, n.tellCancels = n.recall, n.cancelNews, make(chan struct{}, 1)
 	n.owner = scheduler.New(p, op, store, member, n, catalog, log)
 	inbound := &door{}
 	budget := sockets.Budget{Limit: p.Params.Limits.Sockets, Peers: len(p.Peers), Accepted: inbound.count}
--- a/cmd/wallrack/link_messages.go
+++ b/cmd/wallrack/link_messages.go
@@ -62,7 +62,7 @@
 }
 
 func (n *node) pingTo(peer string, now time.Time) *pingMessage {
-	told := n.cancels.Message(peer)
+	told := n.cancels.MessageFor(peer)
 	return &pingMessage{Row: n.links.self(now), Passed: n.links.table.Passed(peer, now), Cancels: &told}
 }
 
--- a/cmd/wallrack/link_report.go
+++ b/cmd/wallrack/link_report.go
@@ -51,8 +51,8 @@
 // serveLinks shows operators this controller's view of the links.
 func (n *node) serveLinks(w http.ResponseWriter, _ *http.Request) {
 	shown := n.links.now().Show(n.store.Relayed())
-	shown.Cancelled, shown.Answers = n.cancels.Jobs(), n.MayAnswerWorkers()
-	if known := n.cancels.Known(); !known.IsZero() {
+	shown.Cancelled, shown.Answers = n.cancels.Count(), n.MayAnswerWorkers()
+	if known := n.cancels.KnownUntil(); !known.IsZero() {
 		shown.CancelsAgeS = time.Since(known).Seconds()
 	}
 	s := &n.links
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -66,7 +66,7 @@
 	published *viewsync.Publisher
 	pictures  *viewsync.Receiver
 
-	cancels     *cancellation.Register
+	cancels     *cancellation.Registry
 	tellCancels chan struct{} // there is news for the peers
 	badNews     atomic.Int64  // when malformed news was last logged, by time of day, ns
 	links       linkState
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -110,7 +110,7 @@
 
 func fullCancels() cancellation.Message {
 	return cancellation.Message{
-		Life: 9001, Stamp: 65000123, EchoLife: 9002, Echo: 64000123, Armed: true, Ack: 7, First: 5, News: []string{"j-000400", "j-000401"}, More: true,
+		Incarnation: 9001, Stamp: 65000123, EchoIncarnation: 9002, Echo: 64000123, MayConfirm: true, Ack: 7, First: 5, Updates: []string{"j-000400", "j-000401"}, More: true,
 	}
 }
 
--- a/cmd/wallrack/roles.go
+++ b/cmd/wallrack/roles.go
@@ -25,7 +25,7 @@
 // MayAnswerWorkers reports whether this controller may answer workers: it knows of all
 // cancels that were confirmed up to a moment ago, by whomever.
 func (n *node) MayAnswerWorkers() bool {
-	return n.member.FencingToken() != 0 && time.Since(n.cancels.Known()) < n.grace()
+	return n.member.FencingToken() != 0 && time.Since(n.cancels.KnownUntil()) < n.grace()
 }
 
 // Isolated reports whether this controller can start nothing and knows of nobody who can.
--- a/internal/cancellation/cancels.go
+++ b/internal/cancellation/cancels.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	// maxNews bounds the jobs in one message; the rest follows in the next.
-	maxNews = 2000
-	maxPast = 32 // lives of a peer that are remembered
+	// maxUpdates bounds the jobs in one message; the rest follows in the next.
+	maxUpdates = 2000
+	maxPast    = 32 // lives of a peer that are remembered
 	// maxStamp is a century, in µs: what is beyond is no stamp.
 	maxStamp = 100 * 365 * 24 * 3600 * 1_000_000
-	// Most bounds the jobs that are kept.
-	Most = 16384
+	// MaxJobs bounds the jobs that are kept.
+	MaxJobs = 16384
 	// arm is how long a controller that has said that it can't confirm cancels
 	// confirms none, unless all peers have heard that it can again: longer than a
 	// process usually takes to be back.
@@ -40,36 +40,36 @@
 	ahead = time.Millisecond // more than stamps, which are never equal, may run ahead of time
 )
 
-// ErrNotNow means that a cancel can't be confirmed at present: peers that might
+// ErrCannotConfirm means that a cancel can't be confirmed at present: peers that might
 // not hear of it have been told that nothing is confirmed here.
-var ErrNotNow = errors.New("no cancel can be confirmed here now")
+var ErrCannotConfirm = errors.New("no cancel can be confirmed here now")
 
 // Message is what one controller tells another of cancels, with every ping and its
 // answer.
 type Message struct {
-	Life     uint64   `json:"life"`            // of the sender's process
-	Stamp    int64    `json:"at"`              // when it was made, µs since that process's start
-	EchoLife uint64   `json:"el,omitempty"`    // the receiver's life and stamp, of its newest message that had come
-	Echo     int64    `json:"ea,omitempty"`    //
-	Armed    bool     `json:"armed,omitempty"` // the sender may confirm cancels
-	Ack      uint64   `json:"ack,omitempty"`   // the receiver's news that had come: so many
-	First    uint64   `json:"first,omitempty"` // number of the first of News; the first ever is 1
-	News     []string `json:"news,omitempty"`  // jobs whose cancel the sender confirmed, or may have
-	More     bool     `json:"more,omitempty"`  // there are more than fit
+	Incarnation     uint64   `json:"life"`            // of the sender's process
+	Stamp           int64    `json:"at"`              // when it was made, µs since that process's start
+	EchoIncarnation uint64   `json:"el,omitempty"`    // the receiver's life and stamp, of its newest message that had come
+	Echo            int64    `json:"ea,omitempty"`    //
+	MayConfirm      bool     `json:"armed,omitempty"` // the sender may confirm cancels
+	Ack             uint64   `json:"ack,omitempty"`   // the receiver's news that had come: so many
+	First           uint64   `json:"first,omitempty"` // number of the first of News; the first ever is 1
+	Updates         []string `json:"news,omitempty"`  // jobs whose cancel the sender confirmed, or may have
+	More            bool     `json:"more,omitempty"`  // there are more than fit
 }
 
 // peer is what is known of a peer's word.
 type peer struct {
-	life    uint64
-	past    []uint64  // earlier ones: what still comes of them is late
-	stamp   int64     // of its newest message
-	heard   uint64    // its news up to this number are known here
-	acked   uint64    // this controller's news up to this number are known there
-	echoed  int64     // the stamp of this controller's newest message that it echoed
-	known   time.Time // all that it confirmed before is known here
-	quiet   time.Time // until then it confirms nothing, unless it is heard to say otherwise
-	covered bool      // what its earlier lives confirmed is known here
-	needs   time.Time // the send from which on a read of the state service makes it so
+	incarnation  uint64
+	past         []uint64  // earlier ones: what still comes of them is late
+	stamp        int64     // of its newest message
+	lastMessage  uint64    // its news up to this number are known here
+	acknowledged uint64    // this controller's news up to this number are known there
+	echoed       int64     // the stamp of this controller's newest message that it echoed
+	known        time.Time // all that it confirmed before is known here
+	quiet        time.Time // until then it confirms nothing, unless it is heard to say otherwise
+	covered      bool      // what its earlier lives confirmed is known here
+	needs        time.Time // the send from which on a read of the state service makes it so
 }
 
 // until is the time before which nothing unknown was confirmed.
@@ -85,26 +85,26 @@
 	at  time.Time
 }
 
-// Register is a controller's knowledge of cancels. It is safe for concurrent use.
-type Register struct {
-	held  func() time.Duration // how much longer this controller's lease surely holds
-	keep  time.Duration        // for which a cancelled job is kept
-	least time.Duration        // and at least, if there are too many
-	life  uint64
-	start time.Time
+// Registry is a controller's knowledge of cancels. It is safe for concurrent use.
+type Registry struct {
+	held        func() time.Duration // how much longer this controller's lease surely holds
+	keep        time.Duration        // for which a cancelled job is kept
+	least       time.Duration        // and at least, if there are too many
+	incarnation uint64
+	start       time.Time
 
-	// Fresh is called, without any lock held, with jobs that were not known to be
+	// OnCancelled is called, without any lock held, with jobs that were not known to be
 	// cancelled. Set it before use.
-	Fresh func(uids []string)
-	// News is called, without any lock held, when there is news for the peers. Set
+	OnCancelled func(uids []string)
+	// OnUpdates is called, without any lock held, when there is news for the peers. Set
 	// it before use.
-	News func()
+	OnUpdates func()
 
 	mu      sync.Mutex
 	peers   map[string]*peer
 	jobs    map[string]time.Time // since when known
 	order   []entry              // of jobs, the oldest first
-	news    []entry              // confirmed here
+	updates []entry              // confirmed here
 	mine    map[string]bool      // the jobs in news
 	base    uint64               // news that were dropped from the front
 	read    time.Time            // the send of the newest read of the state service
@@ -116,10 +116,10 @@
 
 // New returns a register that knows nothing: it has to read the state service
 // before it vouches for anything. limit is how long a cancelled task may go on.
-func New(peers []string, limit time.Duration, held func() time.Duration) *Register {
+func New(peers []string, limit time.Duration, held func() time.Duration) *Registry {
 	now := time.Now()
-	r := &Register{
-		held: held, keep: 10*time.Minute + limit, least: 2 * limit, life: rand.Uint64() | 1, start: now,
+	r := &Registry{
+		held: held, keep: 10*time.Minute + limit, least: 2 * limit, incarnation: rand.Uint64() | 1, start: now,
 		peers: map[string]*peer{}, jobs: map[string]time.Time{}, mine: map[string]bool{}, disarms: now,
 	}
 	for _, p := range peers {
@@ -129,7 +129,7 @@
 }
 
 // IsCancelled reports whether the job is known to be cancelled.
-func (r *Register) IsCancelled(uid string) bool {
+func (r *Registry) IsCancelled(uid string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, ok := r.jobs[uid]
@@ -137,14 +137,14 @@
 }
 
 // RecordCancelled notes that jobs were cancelled, as the state service says.
-func (r *Register) RecordCancelled(uids ...string) {
+func (r *Registry) RecordCancelled(uids ...string) {
 	r.mu.Lock()
-	fresh := r.learnLocked(uids, time.Now())
+	fresh := r.recordLocked(uids, time.Now())
 	r.mu.Unlock()
-	r.tell(fresh)
+	r.notifyPeers(fresh)
 }
 
-func (r *Register) learnLocked(uids []string, now time.Time) (fresh []string) {
+func (r *Registry) recordLocked(uids []string, now time.Time) (fresh []string) {
 	for _, uid := range uids {
 		if _, known := r.jobs[uid]; known || !wire.ValidJobID(uid) {
 			continue
@@ -157,52 +157,52 @@
 	return fresh
 }
 
-func (r *Register) tell(fresh []string) {
-	if len(fresh) > 0 && r.Fresh != nil {
-		r.Fresh(fresh)
+func (r *Registry) notifyPeers(fresh []string) {
+	if len(fresh) > 0 && r.OnCancelled != nil {
+		r.OnCancelled(fresh)
 	}
 }
 
 // trimLocked drops what is surely over. Jobs beyond Most are dropped early, but not
 // before their tasks must be gone.
-func (r *Register) trimLocked(now time.Time) {
+func (r *Registry) trimLocked(now time.Time) {
 	old := func(es []entry) bool {
 		if len(es) == 0 {
 			return false
 		}
 		age := now.Sub(es[0].at)
-		return age > r.keep || len(es) > Most && age > r.least
+		return age > r.keep || len(es) > MaxJobs && age > r.least
 	}
 	for old(r.order) {
 		delete(r.jobs, r.order[0].uid)
 		r.order = r.order[1:]
 	}
-	for old(r.news) {
-		delete(r.mine, r.news[0].uid)
-		r.news = r.news[1:]
+	for old(r.updates) {
+		delete(r.mine, r.updates[0].uid)
+		r.updates = r.updates[1:]
 		r.base++
 	}
 }
 
 // Confirm is called before a user is told that a job is cancelled, by this
 // controller or on another's word. With an error the user must not be told.
-func (r *Register) Confirm(uid string) error {
+func (r *Registry) Confirm(uid string) error {
 	r.mu.Lock()
 	now := time.Now()
-	fresh := r.learnLocked([]string{uid}, now) // it is cancelled, confirmed or not
+	fresh := r.recordLocked([]string{uid}, now) // it is cancelled, confirmed or not
 	told := r.mine[uid]
-	may := told || r.armedLocked(now) && len(r.news) < 2*Most
+	may := told || r.armedLocked(now) && len(r.updates) < 2*MaxJobs
 	if may && !told {
 		r.mine[uid] = true
-		r.news = append(r.news, entry{uid, now})
+		r.updates = append(r.updates, entry{uid, now})
 	}
 	r.mu.Unlock()
-	r.tell(fresh)
+	r.notifyPeers(fresh)
 	if !may {
-		return ErrNotNow
+		return ErrCannotConfirm
 	}
-	if !told && r.News != nil {
-		r.News()
+	if !told && r.OnUpdates != nil {
+		r.OnUpdates()
 	}
 	return nil
 }
@@ -211,7 +211,7 @@
 // does not hold confirms none, and its peers are told so: if its process then ends,
 // they know that it confirmed nothing that they have not heard of. So after it has
 // told them it confirms none until all have heard that it does again, or for arm.
-func (r *Register) armedLocked(now time.Time) bool {
+func (r *Registry) armedLocked(now time.Time) bool {
 	if r.held() <= 0 {
 		r.armed, r.rearmed = false, 0
 		return false
@@ -230,19 +230,19 @@
 	return r.armed
 }
 
-// Message makes the message for a peer.
-func (r *Register) Message(to string) Message {
+// MessageFor makes the message for a peer.
+func (r *Registry) MessageFor(to string) Message {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	r.trimLocked(now)
 	r.stamp = max(r.stamp+1, now.Sub(r.start).Microseconds())
-	m := Message{Life: r.life, Stamp: r.stamp}
+	m := Message{Incarnation: r.incarnation, Stamp: r.stamp}
 	if r.held() > 0 {
 		if r.rearmed == 0 {
 			r.rearmed = m.Stamp
 		}
-		m.Armed = true
+		m.MayConfirm = true
 	} else {
 		r.armed, r.rearmed, r.disarms = false, 0, now
 	}
@@ -250,28 +250,28 @@
 	if p == nil {
 		return m
 	}
-	m.EchoLife, m.Echo, m.Ack = p.life, p.stamp, p.heard
-	m.First = max(p.acked, r.base) + 1
-	for _, e := range r.news[min(m.First-1-r.base, uint64(len(r.news))):] {
-		if len(m.News) == maxNews {
+	m.EchoIncarnation, m.Echo, m.Ack = p.incarnation, p.stamp, p.lastMessage
+	m.First = max(p.acknowledged, r.base) + 1
+	for _, e := range r.updates[min(m.First-1-r.base, uint64(len(r.updates))):] {
+		if len(m.Updates) == maxUpdates {
 			m.More = true
 			break
 		}
-		m.News = append(m.News, e.uid)
+		m.Updates = append(m.Updates, e.uid)
 	}
 	return m
 }
 
-// Take takes a peer's message. One from nobody that is configured, or that can't be
+// HandleMessage takes a peer's message. One from nobody that is configured, or that can't be
 // one, changes nothing.
-func (r *Register) Take(from string, m *Message) error {
-	switch bad := slices.IndexFunc(m.News, func(uid string) bool { return !wire.ValidJobID(uid) }); {
-	case m.Life == 0 || m.Stamp < 0 || m.Stamp > maxStamp || m.Echo < 0 || m.Echo > maxStamp:
-		return fmt.Errorf("cancels of %.40q: life %d, stamp %d, echo %d", from, m.Life, m.Stamp, m.Echo)
+func (r *Registry) HandleMessage(from string, m *Message) error {
+	switch bad := slices.IndexFunc(m.Updates, func(uid string) bool { return !wire.ValidJobID(uid) }); {
+	case m.Incarnation == 0 || m.Stamp < 0 || m.Stamp > maxStamp || m.Echo < 0 || m.Echo > maxStamp:
+		return fmt.Errorf("cancels of %.40q: life %d, stamp %d, echo %d", from, m.Incarnation, m.Stamp, m.Echo)
 	case bad >= 0:
-		return fmt.Errorf("cancels of %.40q: no job: %.40q", from, m.News[bad])
-	case len(m.News) > maxNews:
-		return fmt.Errorf("cancels of %.40q: %d in a message", from, len(m.News))
+		return fmt.Errorf("cancels of %.40q: no job: %.40q", from, m.Updates[bad])
+	case len(m.Updates) > maxUpdates:
+		return fmt.Errorf("cancels of %.40q: %d in a message", from, len(m.Updates))
 	}
 	now := time.Now()
 	r.mu.Lock()
@@ -280,41 +280,41 @@
 		r.mu.Unlock()
 		return fmt.Errorf("cancels of %.40q: no such controller", from)
 	}
-	fresh := r.learnLocked(m.News, now)
-	r.takeLocked(p, m, now)
+	fresh := r.recordLocked(m.Updates, now)
+	r.handleLocked(p, m, now)
 	r.mu.Unlock()
-	r.tell(fresh)
+	r.notifyPeers(fresh)
 	return nil
 }
 
-func (r *Register) takeLocked(p *peer, m *Message, now time.Time) {
-	if slices.Contains(p.past, m.Life) || m.Life == p.life && m.Stamp <= p.stamp {
+func (r *Registry) handleLocked(p *peer, m *Message, now time.Time) {
+	if slices.Contains(p.past, m.Incarnation) || m.Incarnation == p.incarnation && m.Stamp <= p.stamp {
 		return // late: what it says of its sender is no longer so
 	}
-	if m.Life != p.life {
+	if m.Incarnation != p.incarnation {
 		// What the life before confirmed after its last word is known only if it had
 		// said that it confirms nothing, or from the state service, by a read sent
 		// after this life's start.
 		began := now.Add(ahead - time.Duration(float64(m.Stamp)*(1-drift))*time.Microsecond)
 		p.covered = p.covered && p.until().After(now) || r.read.After(began)
 		p.needs = began
-		if p.life != 0 {
-			p.past = append(p.past[max(0, len(p.past)-maxPast+1):], p.life)
+		if p.incarnation != 0 {
+			p.past = append(p.past[max(0, len(p.past)-maxPast+1):], p.incarnation)
 		}
-		p.life, p.heard, p.acked, p.echoed = m.Life, 0, 0, 0
+		p.incarnation, p.lastMessage, p.acknowledged, p.echoed = m.Incarnation, 0, 0, 0
 	}
 	p.stamp = m.Stamp
-	if m.Armed {
+	if m.MayConfirm {
 		// Before the sender has this message echoed it confirms nothing, so
 		// that what it had promised ends here, at the latest.
 		p.quiet = time.Time{}
 	}
-	if m.EchoLife != r.life || m.Echo > r.stamp || m.Ack > r.base+uint64(len(r.news)) {
+	if m.EchoIncarnation != r.incarnation || m.Echo > r.stamp || m.Ack > r.base+uint64(len(r.updates)) {
 		return // it answers nothing of this life
 	}
-	p.acked, p.echoed = max(p.acked, m.Ack), max(p.echoed, m.Echo)
-	if last := m.First + uint64(len(m.News)) - 1; m.First > 0 && last > p.heard {
-		p.heard = last
+	p.acknowledged, p.echoed = max(p.acknowledged, m.Ack), max(p.echoed, m.Echo)
+	if last := m.First + uint64(len(m.Updates)) - 1; m.First > 0 && last > p.lastMessage {
+		p.lastMessage = last
 	}
 	if m.More || !p.covered {
 		return
@@ -323,16 +323,16 @@
 	if echo.After(p.known) {
 		p.known = echo
 	}
-	if !m.Armed {
+	if !m.MayConfirm {
 		p.quiet = echo.Add(time.Duration(float64(arm)*(1-drift)) - slack)
 	}
 }
 
-// Read takes what a read of all living jobs brought that was sent then: the
+// RecordStoreRead takes what a read of all living jobs brought that was sent then: the
 // cancelled ones.
-func (r *Register) Read(sent time.Time, cancelled []string) {
+func (r *Registry) RecordStoreRead(sent time.Time, cancelled []string) {
 	r.mu.Lock()
-	fresh := r.learnLocked(cancelled, time.Now())
+	fresh := r.recordLocked(cancelled, time.Now())
 	if sent.After(r.read) {
 		r.read = sent
 	}
@@ -340,18 +340,18 @@
 		p.covered = p.covered || sent.After(p.needs)
 	}
 	r.mu.Unlock()
-	r.tell(fresh)
+	r.notifyPeers(fresh)
 }
 
-// Known returns the time up to which this controller knows of every cancel that any
+// KnownUntil returns the time up to which this controller knows of every cancel that any
 // controller confirmed; the zero time if it knows nothing.
-func (r *Register) Known() time.Time {
+func (r *Registry) KnownUntil() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.knownLocked()
+	return r.knownUntilLocked()
 }
 
-func (r *Register) knownLocked() time.Time {
+func (r *Registry) knownUntilLocked() time.Time {
 	if r.read.IsZero() {
 		return time.Time{} // nothing is known of what peers had confirmed before this start
 	}
@@ -368,9 +368,9 @@
 	return r.read
 }
 
-// Wanting reports whether the state service should be read: what peers say does not
+// NeedsStoreRead reports whether the state service should be read: what peers say does not
 // cover the time up to so long ago.
-func (r *Register) Wanting(age time.Duration) bool {
+func (r *Registry) NeedsStoreRead(age time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -378,22 +378,22 @@
 		return true
 	}
 	for _, p := range r.peers {
-		if !p.covered && p.life != 0 {
+		if !p.covered && p.incarnation != 0 {
 			return true
 		}
 	}
-	return now.Sub(r.knownLocked()) > age
+	return now.Sub(r.knownUntilLocked()) > age
 }
 
-// Jobs counts the cancelled jobs that are kept.
-func (r *Register) Jobs() int {
+// Count counts the cancelled jobs that are kept.
+func (r *Registry) Count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.jobs)
 }
 
-// Unheard names the peers whose word does not cover the time up to so long ago.
-func (r *Register) Unheard(age time.Duration) (names []string) {
+// StalePeers names the peers whose word does not cover the time up to so long ago.
+func (r *Registry) StalePeers(age time.Duration) (names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
--- a/internal/cancellation/cancels_test.go
+++ b/internal/cancellation/cancels_test.go
@@ -26,7 +26,7 @@
 
 // life is a controller's process.
 type life struct {
-	*cancellation.Register
+	*cancellation.Registry
 	held bool
 }
 
@@ -65,7 +65,7 @@
 			peers = append(peers, name(j))
 		}
 	}
-	l.Register = cancellation.New(peers, limit, func() time.Duration {
+	l.Registry = cancellation.New(peers, limit, func() time.Duration {
 		if l.held {
 			return time.Second
 		}
@@ -75,7 +75,7 @@
 }
 
 func (s *site) send(from, to int, answer bool) {
-	s.post = append(s.post, letter{from, to, s.lives[from].Message(name(to)), answer})
+	s.post = append(s.post, letter{from, to, s.lives[from].MessageFor(name(to)), answer})
 }
 
 // deliver hands over the k-th message; the post may keep it.
@@ -84,7 +84,7 @@
 	if !keep {
 		s.post = append(s.post[:k], s.post[k+1:]...)
 	}
-	if err := s.lives[l.to].Take(name(l.from), &l.m); err != nil {
+	if err := s.lives[l.to].HandleMessage(name(l.from), &l.m); err != nil {
 		panic(err)
 	}
 	if !l.answer {
@@ -95,7 +95,7 @@
 // check is what everything rests on: who says that it knows all up to a time does.
 func (s *site) check(fail func(string, ...any)) {
 	for i, l := range s.lives {
-		known := l.Known()
+		known := l.KnownUntil()
 		for uid, at := range s.confirmed {
 			if at.Before(known) && !l.IsCancelled(uid) {
 				fail("%s claims to know all that was confirmed until %v ago, and does not know of %s, confirmed %v ago",
@@ -133,7 +133,7 @@
 			}
 			for i := range n {
 				s.lives[i].held = true
-				s.lives[i].Read(time.Now(), s.state)
+				s.lives[i].RecordStoreRead(time.Now(), s.state)
 			}
 			for _, st := range steps {
 				i := st.Who % n
@@ -167,7 +167,7 @@
 					if k := st.Letter % len(s.reads); st.Again {
 						r := s.reads[k]
 						s.reads = slices.Delete(s.reads, k, k+1)
-						r.by.Read(r.sent, r.uids)
+						r.by.RecordStoreRead(r.sent, r.uids)
 					}
 				default:
 					time.Sleep(time.Duration(st.Ms) * time.Millisecond)
@@ -195,7 +195,7 @@
 			s.send(0, 1, false)
 			s.deliver(len(s.post)-1, false)
 			s.deliver(len(s.post)-1, false)
-			s.lives[0].Read(time.Now(), s.state)
+			s.lives[0].RecordStoreRead(time.Now(), s.state)
 		}
 		ping()
 		ping()
@@ -227,7 +227,7 @@
 		time.Sleep(time.Millisecond)
 		for i := range s.lives {
 			s.lives[i].held = true
-			s.lives[i].Read(time.Now(), nil)
+			s.lives[i].RecordStoreRead(time.Now(), nil)
 		}
 		round := func() {
 			for i := range s.lives {
@@ -242,8 +242,8 @@
 		for sec := range 200 {
 			round()
 			for _, l := range s.lives {
-				if l.held && l.Wanting(3*time.Second) {
-					l.Read(time.Now(), nil)
+				if l.held && l.NeedsStoreRead(3*time.Second) {
+					l.RecordStoreRead(time.Now(), nil)
 				}
 			}
 			switch {
@@ -255,7 +255,7 @@
 				s.begin(3)
 			case sec > 3:
 				for i, l := range s.lives {
-					if old := time.Since(l.Known()); old > 2100*time.Millisecond && (i != 3 || sec < 30) {
+					if old := time.Since(l.KnownUntil()); old > 2100*time.Millisecond && (i != 3 || sec < 30) {
 						t.Fatalf("after %d s %s knows of all only up to %v ago", sec, name(i), old)
 					}
 				}
@@ -284,7 +284,7 @@
 		for range 3 {
 			ping()
 			for _, l := range s.lives {
-				l.Read(time.Now(), nil)
+				l.RecordStoreRead(time.Now(), nil)
 			}
 		}
 		for i := range 5000 {
@@ -298,8 +298,8 @@
 			ping()
 			s.check(t.Errorf)
 		}
-		if !s.lives[1].IsCancelled("j-004999") || time.Since(s.lives[1].Known()) > time.Second {
-			t.Errorf("all is known up to %v ago", time.Since(s.lives[1].Known()))
+		if !s.lives[1].IsCancelled("j-004999") || time.Since(s.lives[1].KnownUntil()) > time.Second {
+			t.Errorf("all is known up to %v ago", time.Since(s.lives[1].KnownUntil()))
 		}
 	})
 }
@@ -308,36 +308,36 @@
 func TestBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := cancellation.New([]string{"b"}, limit, func() time.Duration { return time.Second })
-		r.Read(time.Now(), nil)
-		r.Message("b")
+		r.RecordStoreRead(time.Now(), nil)
+		r.MessageFor("b")
 		time.Sleep(11 * time.Second)
 		refused := 0
-		for i := range 3 * cancellation.Most {
+		for i := range 3 * cancellation.MaxJobs {
 			if r.Confirm(fmt.Sprintf("j-%06d", i)) != nil {
 				refused++
 			}
 		}
-		if refused < cancellation.Most/2 {
+		if refused < cancellation.MaxJobs/2 {
 			t.Errorf("%d cancels refused", refused)
 		}
-		m := r.Message("b")
-		if !m.More || len(m.News) > 4000 {
-			t.Errorf("%d news in a message, more: %v", len(m.News), m.More)
+		m := r.MessageFor("b")
+		if !m.More || len(m.Updates) > 4000 {
+			t.Errorf("%d news in a message, more: %v", len(m.Updates), m.More)
 		}
 		for _, bad := range []struct {
 			from string
 			m    cancellation.Message
 		}{
-			{"x", cancellation.Message{Life: 1, Stamp: 1, News: []string{"j-7000000"}}},
-			{"b", cancellation.Message{Stamp: 1, News: []string{"j-7000000"}}},
-			{"b", cancellation.Message{Life: 1, Stamp: -1, News: []string{"j-7000000"}}},
-			{"b", cancellation.Message{Life: 1, Stamp: 1 << 62, News: []string{"j-7000000"}}},
-			{"b", cancellation.Message{Life: 1, Stamp: 1, Echo: 1 << 60, News: []string{"j-7000000"}}},
-			{"b", cancellation.Message{Life: 1, Stamp: 1, News: []string{"j-7000000", "j-1/0"}}},
-			{"b", cancellation.Message{Life: 1, Stamp: 1, News: []string{""}}},
-			{"b", cancellation.Message{Life: 1, Stamp: 1, News: slices.Repeat([]string{"j-7000000"}, 3000)}},
+			{"x", cancellation.Message{Incarnation: 1, Stamp: 1, Updates: []string{"j-7000000"}}},
+			{"b", cancellation.Message{Stamp: 1, Updates: []string{"j-7000000"}}},
+			{"b", cancellation.Message{Incarnation: 1, Stamp: -1, Updates: []string{"j-7000000"}}},
+			{"b", cancellation.Message{Incarnation: 1, Stamp: 1 << 62, Updates: []string{"j-7000000"}}},
+			{"b", cancellation.Message{Incarnation: 1, Stamp: 1, Echo: 1 << 60, Updates: []string{"j-7000000"}}},
+			{"b", cancellation.Message{Incarnation: 1, Stamp: 1, Updates: []string{"j-7000000", "j-1/0"}}},
+			{"b", cancellation.Message{Incarnation: 1, Stamp: 1, Updates: []string{""}}},
+			{"b", cancellation.Message{Incarnation: 1, Stamp: 1, Updates: slices.Repeat([]string{"j-7000000"}, 3000)}},
 		} {
-			if err := r.Take(bad.from, &bad.m); err == nil {
+			if err := r.HandleMessage(bad.from, &bad.m); err == nil {
 				t.Errorf("taken: %.200v", bad)
 			}
 		}
--- a/internal/cancellation/capacity_test.go
+++ b/internal/cancellation/capacity_test.go
@@ -11,7 +11,7 @@
 
 // confirmed is a register that confirmed so many cancels, of which its peer has not
 // acknowledged any.
-func confirmed(tb testing.TB, cancels int) *Register {
+func confirmed(tb testing.TB, cancels int) *Registry {
 	r := New([]string{"b"}, time.Minute, func() time.Duration { return time.Minute })
 	r.armed = true
 	for i := range cancels {
@@ -26,8 +26,8 @@
 	{Name: "cancels.message", Sizes: []int{1, 10, 100, 1000}, FixedSlack: 20, Measure: func(tb testing.TB, cancels int) float64 {
 		r := confirmed(tb, cancels)
 		r.stamp = 1_000_000_000_000 // of a fixed number of digits
-		r.life = 1 << 63
-		data, err := json.Marshal(r.Message("b"))
+		r.incarnation = 1 << 63
+		data, err := json.Marshal(r.MessageFor("b"))
 		if err != nil {
 			tb.Fatal(err)
 		}
--- a/internal/cancellation/fuzz_test.go
+++ b/internal/cancellation/fuzz_test.go
@@ -14,9 +14,9 @@
 // known stays.
 func FuzzTake(f *testing.F) {
 	for _, m := range []cancellation.Message{
-		{Life: 3, Stamp: 9, Armed: true, First: 1, News: []string{"j-1", "j-2"}},
-		{Life: 3, Stamp: 9, Echo: 1, EchoLife: 1, Ack: 1 << 63, More: true},
-		{Life: 1 << 63, Stamp: 1 << 62, News: []string{"j-1/0", ""}},
+		{Incarnation: 3, Stamp: 9, MayConfirm: true, First: 1, Updates: []string{"j-1", "j-2"}},
+		{Incarnation: 3, Stamp: 9, Echo: 1, EchoIncarnation: 1, Ack: 1 << 63, More: true},
+		{Incarnation: 1 << 63, Stamp: 1 << 62, Updates: []string{"j-1/0", ""}},
 	} {
 		body, err := json.Marshal(m)
 		if err != nil {
@@ -31,27 +31,27 @@
 			return
 		}
 		r := cancellation.New([]string{"b"}, limit, func() time.Duration { return time.Second })
-		r.Read(time.Now(), []string{"j-known"})
-		r.Message("b")
-		before := r.Known()
-		err := r.Take(from, &m)
-		after := r.Known()
+		r.RecordStoreRead(time.Now(), []string{"j-known"})
+		r.MessageFor("b")
+		before := r.KnownUntil()
+		err := r.HandleMessage(from, &m)
+		after := r.KnownUntil()
 		switch {
-		case err != nil && (err.Error() == "" || r.Jobs() != 1 || !after.Equal(before)):
-			t.Errorf("%v, and %d jobs are known, up to %v later", err, r.Jobs(), after.Sub(before))
+		case err != nil && (err.Error() == "" || r.Count() != 1 || !after.Equal(before)):
+			t.Errorf("%v, and %d jobs are known, up to %v later", err, r.Count(), after.Sub(before))
 		case err == nil && from != "b":
 			t.Errorf("a message from %q is taken", from)
 		case after.Before(before) || after.After(time.Now()):
 			t.Errorf("all is known up to %v after what was known before", after.Sub(before))
 		}
-		for _, uid := range m.News {
+		for _, uid := range m.Updates {
 			if r.IsCancelled(uid) && (!wire.ValidJobID(uid) || err != nil && uid != "j-known") {
 				t.Errorf("%q counts as cancelled", uid)
 			}
 		}
-		next := r.Message("b") // what it says to the peer still fits what was taken
-		if next.Ack > 0 && (err != nil || next.EchoLife != m.Life) {
-			t.Errorf("acknowledges %d of life %d", next.Ack, next.EchoLife)
+		next := r.MessageFor("b") // what it says to the peer still fits what was taken
+		if next.Ack > 0 && (err != nil || next.EchoIncarnation != m.Incarnation) {
+			t.Errorf("acknowledges %d of life %d", next.Ack, next.EchoIncarnation)
 		}
 	})
 }
--- a/internal/cancellation/recorded_test.go
+++ b/internal/cancellation/recorded_test.go
@@ -32,8 +32,8 @@
 // Controllers of different versions exchange the messages, so their form must not change.
 func TestRecordedForms(t *testing.T) {
 	checkRecorded(t, "message.json", cancellation.Message{
-		Life: 18446744073709551615, Stamp: 123456789, EchoLife: 9007199254740993, Echo: 987654, Armed: true,
-		Ack: 17, First: 18, News: []string{"j-1", "j-svc-tips-1-2"}, More: true,
+		Incarnation: 18446744073709551615, Stamp: 123456789, EchoIncarnation: 9007199254740993, Echo: 987654, MayConfirm: true,
+		Ack: 17, First: 18, Updates: []string{"j-1", "j-svc-tips-1-2"}, More: true,
 	})
 	checkRecorded(t, "message_least.json", cancellation.Message{})
 }
--- a/internal/submission/intake_test.go
+++ b/internal/submission/intake_test.go
@@ -126,7 +126,7 @@
 
 func (d *deaf) Confirm(uid string) error {
 	d.asked = append(d.asked, uid)
-	return cancellation.ErrNotNow
+	return cancellation.ErrCannotConfirm
 }
 
 // Nobody is told that a job is cancelled, by whatever question, before that is
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -126,7 +126,7 @@
 	done     chan struct{}
 	down     bool // crashed
 	reach    reach
-	reg      *cancellation.Register
+	reg      *cancellation.Registry
 	entitled bool // when last looked at
 	knows    knownCancels
 	intake   *submission.Intake
@@ -185,7 +185,7 @@
 	n.holder = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
 	n.started, n.published, n.pictures = time.Now(), viewsync.NewPublisher(name, n.holder), viewsync.NewReceiver(n.owner, w.others(name))
 	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.LeaseRemaining)
-	n.reg.Fresh = func(uids []string) { n.knows.learn(uids); go n.holder.HaltCancelledTasks() }
+	n.reg.OnCancelled = func(uids []string) { n.knows.learn(uids); go n.holder.HaltCancelledTasks() }
 	n.owner.Cancellations, n.holder.Cancellations = n.reg, n.reg
 	n.intake = submission.New(&cfg, op, n.view, n.owner, w.size, n, log)
 	n.intake.Cancels = n.reg
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -333,9 +333,9 @@
 		if queues["jobs"]+queues["unwritten"]+queues["pending"] > 0 {
 			s.t.Errorf("%s keeps %v", name, queues)
 		}
-		before = append(before, n.reg.Jobs())
-		if n.reg.Jobs() > len(s.cancels) {
-			s.t.Errorf("%s keeps %d cancels of %d", name, n.reg.Jobs(), len(s.cancels))
+		before = append(before, n.reg.Count())
+		if n.reg.Count() > len(s.cancels) {
+			s.t.Errorf("%s keeps %d cancels of %d", name, n.reg.Count(), len(s.cancels))
 		}
 	}
 	time.Sleep(11 * time.Minute)
@@ -344,8 +344,8 @@
 	for _, name := range s.names {
 		n := s.nodes[name]
 		_, queued, orders := n.holder.Depths() // of machines that report elsewhere, so long
-		if n.reg.Jobs()+queued+orders > 0 {
-			s.t.Errorf("%s keeps %d cancels, %d queued tasks and %d orders after 11 minutes", name, n.reg.Jobs(), queued, orders)
+		if n.reg.Count()+queued+orders > 0 {
+			s.t.Errorf("%s keeps %d cancels, %d queued tasks and %d orders after 11 minutes", name, n.reg.Count(), queued, orders)
 		}
 	}
 	s.t.Logf("cancels kept %v of %d, after 11 minutes none; keys: %d final, %d log", before, len(s.cancels), final, slots)
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -113,7 +113,7 @@
 }
 
 func (n *node) MayAnswerWorkers() bool {
-	return n.member.FencingToken() > 0 && time.Since(n.reg.Known()) < testGrace
+	return n.member.FencingToken() > 0 && time.Since(n.reg.KnownUntil()) < testGrace
 }
 
 func (n *node) Isolated() bool {
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -62,10 +62,10 @@
 
 // tellCancels has a controller and a peer tell each other of cancels.
 func (w *cluster) tellCancels(n, to *node) {
-	m := n.reg.Message(to.name)
-	err := to.reg.Take(n.name, &m)
-	rep := to.reg.Message(n.name)
-	if err = errors.Join(err, n.reg.Take(to.name, &rep)); err != nil {
+	m := n.reg.MessageFor(to.name)
+	err := to.reg.HandleMessage(n.name, &m)
+	rep := to.reg.MessageFor(n.name)
+	if err = errors.Join(err, n.reg.HandleMessage(to.name, &rep)); err != nil {
 		w.fail("%v", err)
 	}
 }
@@ -74,7 +74,7 @@
 func (w *cluster) watchCancels(living []*node) {
 	const unheard = 2500 * time.Millisecond
 	for _, n := range living {
-		for _, p := range n.reg.Unheard(unheard) {
+		for _, p := range n.reg.StalePeers(unheard) {
 			w.mu.Lock()
 			to := w.nodes[p]
 			ok := w.reach(n, to)
@@ -83,10 +83,10 @@
 				w.tellCancels(n, to)
 			}
 		}
-		if n.reg.Wanting(unheard) {
+		if n.reg.NeedsStoreRead(unheard) {
 			sent := time.Now()
 			if uids, err := scheduler.ReadCancelledJobs(context.Background(), n.view); err == nil {
-				n.reg.Read(sent, uids)
+				n.reg.RecordStoreRead(sent, uids)
 			}
 		}
 		if was := n.entitled; n.member.FencingToken() > 0 {
