--- a/cmd/wallrack/cancels.go
+++ b/cmd/wallrack/cancels.go
@@ -125,7 +125,7 @@
 			continue
 		}
 		sent := time.Now()
-		rctx, cancel := context.WithTimeout(statestore.In(ctx, statestore.Urgent), 5*time.Second)
+		rctx, cancel := context.WithTimeout(statestore.WithPriority(ctx, statestore.Urgent), 5*time.Second)
 		uids, err := scheduler.ReadCancelledJobs(rctx, n.store)
 		cancel()
 		if err != nil {
--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -70,7 +70,7 @@
 
 	st := p.Params.State
 	store := statestore.New(p.Endpoints.State, st.RPS, st.WriteRPS, st.TxnOps)
-	member := membership.New(statestore.Urgently{Client: store}, p.Node, config.Seconds(op.LeaseS), op.Shards, op.Spread, log)
+	member := membership.New(statestore.UrgentClient{Client: store}, p.Node, config.Seconds(op.LeaseS), op.Shards, op.Spread, log)
 	cloud := autoscaler.NewCloud(p.Endpoints.Cloud, p.Params.Cloud.RPS)
 	catalog := autoscaler.NewCatalog(cloud, store, log)
 
@@ -110,7 +110,7 @@
 	member.OnOwnershipChange(n.standing)
 	member.OnOwnershipChange(n.links.changed)
 	member.OnLinkAnnouncement(n.stored)
-	store.RelayBy(n, log)
+	store.SetRelay(n, log)
 	n.handle()
 	n.handleDemand()
 
--- a/cmd/wallrack/link_messages.go
+++ b/cmd/wallrack/link_messages.go
@@ -56,8 +56,8 @@
 	mesh.Handle(n.mesh, methodSeen, func(ctx context.Context, m *seenMessage) (*seenReply, error) {
 		return &seenReply{!m.Deaf && n.holder.SinceHeartbeat(m.Machine).Seconds() < n.op.SilentS || m.Endpoint != "" && n.holder.FetchReport(ctx, m.Machine, m.Endpoint)}, nil
 	})
-	mesh.Handle(n.mesh, methodStore, func(ctx context.Context, m *statestore.Passed) (*statestore.Answered, error) {
-		return n.store.Pass(ctx, *m)
+	mesh.Handle(n.mesh, methodStore, func(ctx context.Context, m *statestore.RelayedRequest) (*statestore.RelayedResponse, error) {
+		return n.store.ServeRelayed(ctx, *m)
 	})
 }
 
--- a/cmd/wallrack/link_report.go
+++ b/cmd/wallrack/link_report.go
@@ -40,7 +40,7 @@
 	for i := range v.Peers {
 		tell(v.Peers[i].Name, v.Peers[i].How())
 	}
-	tell(linkStore, v.StateBy(n.store.Relayed()))
+	tell(linkStore, v.StateBy(n.store.UsesRelay()))
 	workers := "heard"
 	if v.Self.Deaf() {
 		workers = "not heard"
@@ -50,7 +50,7 @@
 
 // serveLinks shows operators this controller's view of the links.
 func (n *node) serveLinks(w http.ResponseWriter, _ *http.Request) {
-	shown := n.links.now().Show(n.store.Relayed())
+	shown := n.links.now().Show(n.store.UsesRelay())
 	shown.Cancelled, shown.Answers = n.cancels.Count(), n.MayAnswerWorkers()
 	if known := n.cancels.KnownUntil(); !known.IsZero() {
 		shown.CancelsAgeS = time.Since(known).Seconds()
--- a/cmd/wallrack/links.go
+++ b/cmd/wallrack/links.go
@@ -87,7 +87,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seq++
-	r := reachability.Row{Node: n.cfg.Node, Born: s.born, Seq: s.seq, State: n.store.SinceOK() < storeLost && !n.store.Relayed(),
+	r := reachability.Row{Node: n.cfg.Node, Born: s.born, Seq: s.seq, State: n.store.SinceLastSuccess() < storeLost && !n.store.UsesRelay(),
 		Held: n.member.LeaseRemaining() > 0, Owns: len(n.member.OwnedShards()) > 0, Chief: n.chief(), Cloud: n.cloud.Reached(),
 		Reports: s.reports, Expected: s.expects, Lacks: s.table.Lacks(now),
 		Sample: s.sample, Tried: now.Sub(s.tried) < triedFor}
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -148,10 +148,10 @@
 
 // What is passed on to the state service, and its answer, keep their form.
 func TestRecordedStore(t *testing.T) {
-	checkRecorded(t, "store_full.json", statestore.Passed{Method: "POST", Path: "/store/txn", Body: []byte(`{"guards":[]}`), Writes: 3, Lane: statestore.Urgent})
-	checkRecorded(t, "store_empty.json", statestore.Passed{})
-	checkRecorded(t, "store_reply_full.json", statestore.Answered{Status: 200, Body: []byte(`{"ledger":99}`)})
-	checkRecorded(t, "store_reply_empty.json", statestore.Answered{})
+	checkRecorded(t, "store_full.json", statestore.RelayedRequest{Method: "POST", Path: "/store/txn", Body: []byte(`{"guards":[]}`), Writes: 3, Priority: statestore.Urgent})
+	checkRecorded(t, "store_empty.json", statestore.RelayedRequest{})
+	checkRecorded(t, "store_reply_full.json", statestore.RelayedResponse{Status: 200, Body: []byte(`{"ledger":99}`)})
+	checkRecorded(t, "store_reply_empty.json", statestore.RelayedResponse{})
 }
 
 func fullJob() wire.Job {
--- a/cmd/wallrack/roles.go
+++ b/cmd/wallrack/roles.go
@@ -69,13 +69,13 @@
 // Ready reports whether a peer can pass requests to the state service on.
 func (n *node) Ready() bool { return len(n.links.now().Served()) > 0 }
 
-// Pass has a peer pass a request to the state service on.
-func (n *node) Pass(ctx context.Context, req statestore.Passed) (*statestore.Answered, error) {
+// Forward has a peer pass a request to the state service on.
+func (n *node) Forward(ctx context.Context, req statestore.RelayedRequest) (*statestore.RelayedResponse, error) {
 	by := n.links.now().Served()
 	if len(by) == 0 {
 		return nil, fmt.Errorf("%w: no peer reaches it", statestore.ErrUnavailable)
 	}
-	rep, err := mesh.Call[statestore.Passed, statestore.Answered](ctx, n.mesh, by[0], methodStore, &req)
+	rep, err := mesh.Call[statestore.RelayedRequest, statestore.RelayedResponse](ctx, n.mesh, by[0], methodStore, &req)
 	n.called(by[0], err, false)
 	return rep, err // a connection that breaks after the request was sent looks like a refused one
 }
--- a/internal/membership/capacity_test.go
+++ b/internal/membership/capacity_test.go
@@ -33,14 +33,14 @@
 	return c.View.Txn(ctx, guards, ops...)
 }
 
-func (c counted) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (c counted) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	c.requests.Add(1)
-	return c.View.Grant(ctx, ttl)
+	return c.View.GrantLease(ctx, ttl)
 }
 
-func (c counted) Touch(ctx context.Context, lease uint64) error {
+func (c counted) RenewLease(ctx context.Context, lease uint64) error {
 	c.requests.Add(1)
-	return c.View.Touch(ctx, lease)
+	return c.View.RenewLease(ctx, lease)
 }
 
 func (c counted) Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -85,14 +85,14 @@
 		}
 		// The predecessor is dead, or is this process before it lost its
 		// lease: its shards are freed at once instead of when the lease ends.
-		if err := m.store.Revoke(ctx, old.Lease); err != nil && !errors.Is(err, statestore.ErrNotFound) {
+		if err := m.store.RevokeLease(ctx, old.Lease); err != nil && !errors.Is(err, statestore.ErrNotFound) {
 			return fmt.Errorf("end predecessor's lease: %w", err)
 		}
 	} else if !errors.Is(err, statestore.ErrNotFound) {
 		return fmt.Errorf("read %s: %w", key, err)
 	}
 	sent := time.Now()
-	lease, err := m.store.Grant(ctx, m.ttl)
+	lease, err := m.store.GrantLease(ctx, m.ttl)
 	if err != nil {
 		return fmt.Errorf("open lease: %w", err)
 	}
@@ -163,7 +163,7 @@
 		m.mu.Unlock()
 		sent := time.Now()
 		tctx, cancel := context.WithTimeout(ctx, m.ttl/4)
-		err := m.store.Touch(tctx, lease)
+		err := m.store.RenewLease(tctx, lease)
 		cancel()
 		next := m.ttl / 5
 		if errors.Is(err, statestore.ErrUnavailable) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -31,9 +31,9 @@
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, error)
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
-	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
-	Touch(ctx context.Context, lease uint64) error
-	Revoke(ctx context.Context, lease uint64) error
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, lease uint64) error
+	RevokeLease(ctx context.Context, lease uint64) error
 	Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event))
 }
 
--- a/internal/scheduler/accept.go
+++ b/internal/scheduler/accept.go
@@ -44,7 +44,7 @@
 		}
 		o.take(&r, version)
 	}
-	ctx = statestore.Paced(statestore.In(ctx, statestore.Urgent), statestore.Pace{Burst: watchBurst, Pause: o.watchPause})
+	ctx = statestore.WithPacing(statestore.WithPriority(ctx, statestore.Urgent), statestore.Pacing{Burst: watchBurst, Pause: o.watchPause})
 	o.store.Watch(ctx, LivePrefix, 20*time.Second, func(items []wire.Item) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -34,7 +34,7 @@
 	if len(gained) == 0 || o.member.LeaseRemaining() <= 0 {
 		return
 	}
-	lctx, cancel := context.WithTimeout(statestore.In(ctx, statestore.Urgent), 8*time.Second)
+	lctx, cancel := context.WithTimeout(statestore.WithPriority(ctx, statestore.Urgent), 8*time.Second)
 	defer cancel()
 	if err := o.load(lctx, gained, claimed); err != nil {
 		o.log.Info("loading shards failed", "shards", gained, "err", err)
--- a/internal/standin/state_test.go
+++ b/internal/standin/state_test.go
@@ -51,9 +51,9 @@
 		}
 		return rev
 	}
-	long, err := c.Grant(ctx, time.Minute)
+	long, err := c.GrantLease(ctx, time.Minute)
 	must(long, err)
-	short, err := c.Grant(ctx, 100*time.Millisecond)
+	short, err := c.GrantLease(ctx, 100*time.Millisecond)
 	must(short, err)
 	rev := must(c.Txn(ctx, []wire.Guard{{Key: "c/a"}}, wire.Op{Put: "c/a", Value: 1, Lease: long}, wire.Op{Put: "c/b", Value: 2, Lease: short}))
 	ev, err := c.Follow(ctx, "c/", rev, 5*time.Second)
@@ -80,7 +80,7 @@
 	if err != nil || at != last || len(items) != 3 || items[0].Key != "c/a" || items[0].Lease != long || items[0].Version != rev {
 		t.Errorf("after a restart: %+v at %d, %v", items, at, err)
 	}
-	if err := c.Touch(ctx, long); err != nil {
+	if err := c.RenewLease(ctx, long); err != nil {
 		t.Errorf("a lease is gone: %v", err)
 	}
 	if _, err := c.Follow(ctx, "", last-1, 0); !errors.Is(err, statestore.ErrCompacted) {
@@ -89,7 +89,7 @@
 	if next := must(c.Txn(ctx, nil, wire.Op{Delete: "d/1"})); next != last+1 {
 		t.Errorf("revision %d after %d", next, last)
 	}
-	if err := c.Revoke(ctx, long); err != nil {
+	if err := c.RevokeLease(ctx, long); err != nil {
 		t.Error(err)
 	}
 	if _, err := c.Get(ctx, "c/a"); !errors.Is(err, statestore.ErrNotFound) {
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -10,12 +10,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Lane says what a request is for, and so what it may cost others.
-type Lane int
+// PriorityClass says what a request is for, and so what it may cost others.
+type PriorityClass int
 
 const (
 	// Ordinary requests share a controller's part of the budget.
-	Ordinary Lane = iota
+	Ordinary PriorityClass = iota
 	// Urgent ones never wait: leases, terms, who owns what, and takeovers.
 	Urgent
 	// Lookup is for reads that answer a user whose job's owner can't be asked.
@@ -24,13 +24,15 @@
 	Lookup
 )
 
-type laneKey struct{}
+type priorityKey struct{}
 
-// In puts the requests made with ctx into a lane.
-func In(ctx context.Context, l Lane) context.Context { return context.WithValue(ctx, laneKey{}, l) }
+// WithPriority puts the requests made with ctx into a lane.
+func WithPriority(ctx context.Context, l PriorityClass) context.Context {
+	return context.WithValue(ctx, priorityKey{}, l)
+}
 
-func laneOf(ctx context.Context) Lane {
-	l, _ := ctx.Value(laneKey{}).(Lane)
+func priorityOf(ctx context.Context) PriorityClass {
+	l, _ := ctx.Value(priorityKey{}).(PriorityClass)
 	return l
 }
 
@@ -68,7 +70,7 @@
 }
 
 // wait waits for a request's turn, which an urgent one need not.
-func (b *budget) wait(ctx context.Context, l Lane) error {
+func (b *budget) wait(ctx context.Context, l PriorityClass) error {
 	b.recover()
 	if l == Urgent {
 		b.reqs.Allow()
@@ -86,7 +88,7 @@
 }
 
 // waitWrites waits for the turn of so many changes.
-func (b *budget) waitWrites(ctx context.Context, l Lane, n int) error {
+func (b *budget) waitWrites(ctx context.Context, l PriorityClass, n int) error {
 	n = min(max(1, n), b.writes.Burst())
 	if l == Urgent {
 		b.writes.AllowN(time.Now(), n)
@@ -146,20 +148,20 @@
 	b.writes.SetLimit(b.full[3] * rate.Limit(b.parts[2]))
 }
 
-// Urgently is a client whose every request is urgent.
-type Urgently struct{ *Client }
+// UrgentClient is a client whose every request is urgent.
+type UrgentClient struct{ *Client }
 
 // Get reads a key.
-func (u Urgently) Get(ctx context.Context, key string) (wire.Item, error) {
-	return u.Client.Get(In(ctx, Urgent), key)
+func (u UrgentClient) Get(ctx context.Context, key string) (wire.Item, error) {
+	return u.Client.Get(WithPriority(ctx, Urgent), key)
 }
 
 // Txn applies a transaction and returns its revision.
-func (u Urgently) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
-	return u.Client.Txn(In(ctx, Urgent), guards, ops...)
+func (u UrgentClient) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
+	return u.Client.Txn(WithPriority(ctx, Urgent), guards, ops...)
 }
 
 // Watch follows a prefix, see Client.Watch.
-func (u Urgently) Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
-	u.Client.Watch(In(ctx, Urgent), prefix, hold, reset, change)
+func (u UrgentClient) Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
+	u.Client.Watch(WithPriority(ctx, Urgent), prefix, hold, reset, change)
 }
--- a/internal/statestore/budget_test.go
+++ b/internal/statestore/budget_test.go
@@ -54,7 +54,7 @@
 				go func() {
 					defer wg.Done()
 					for ctx.Err() == nil {
-						pctx, cancel := context.WithTimeout(In(ctx, Lookup), 1500*time.Millisecond)
+						pctx, cancel := context.WithTimeout(WithPriority(ctx, Lookup), 1500*time.Millisecond)
 						if _, err := c.Get(pctx, "live/j"); err == nil {
 							looked.Add(1)
 						}
@@ -68,7 +68,7 @@
 				defer wg.Done()
 				good := time.Now()
 				for ctx.Err() == nil {
-					if err := c.Touch(ctx, 1); err == nil {
+					if err := c.RenewLease(ctx, 1); err == nil {
 						good = time.Now()
 						time.Sleep(time.Second)
 					} else {
--- a/internal/statestore/capacity_test.go
+++ b/internal/statestore/capacity_test.go
@@ -74,7 +74,7 @@
 func followedPaced(_ testing.TB, changes int) (requests float64) {
 	gap := time.Second / time.Duration(changes)
 	gaps := slices.Repeat([]time.Duration{gap}, int(pacedFor/gap))
-	pace := statestore.Pace{Burst: 4, Pause: func() time.Duration { return 200 * time.Millisecond }}
+	pace := statestore.Pacing{Burst: 4, Pause: func() time.Duration { return 200 * time.Millisecond }}
 	synctest.Test(&testing.T{}, func(*testing.T) {
 		store, _ := watchChanges(pace, gaps)
 		requests = float64(len(store.opened))
--- a/internal/statestore/pace.go
+++ b/internal/statestore/pace.go
@@ -7,10 +7,10 @@
 	"golang.org/x/time/rate"
 )
 
-// Pace bounds how often a watch is answered while changes come fast. Without it, each
+// Pacing bounds how often a watch is answered while changes come fast. Without it, each
 // change that comes by itself is a request of every controller that watches. Changes that
 // come during a pause are gathered in one answer.
-type Pace struct {
+type Pacing struct {
 	// Burst is how many answers, after a quiet time, are followed by no pause.
 	Burst int
 	// Pause returns the time in which one more answer without a pause is earned, and so
@@ -18,10 +18,12 @@
 	Pause func() time.Duration
 }
 
-type paceKey struct{}
+type pacingKey struct{}
 
-// Paced gives the watches that are opened with ctx a pace. Others are opened again at once.
-func Paced(ctx context.Context, p Pace) context.Context { return context.WithValue(ctx, paceKey{}, p) }
+// WithPacing gives the watches that are opened with ctx a pace. Others are opened again at once.
+func WithPacing(ctx context.Context, p Pacing) context.Context {
+	return context.WithValue(ctx, pacingKey{}, p)
+}
 
 // Pacer keeps one watch to its pace.
 type Pacer struct {
@@ -31,7 +33,7 @@
 
 // NewPacer returns a pacer for a watch that is opened with ctx.
 func NewPacer(ctx context.Context) *Pacer {
-	pace, ok := ctx.Value(paceKey{}).(Pace)
+	pace, ok := ctx.Value(pacingKey{}).(Pacing)
 	if !ok {
 		return &Pacer{}
 	}
--- a/internal/statestore/pace_test.go
+++ b/internal/statestore/pace_test.go
@@ -80,7 +80,7 @@
 }
 
 // watchChanges watches a store, with a pace, while changes come with the gaps before them.
-func watchChanges(pace statestore.Pace, gaps []time.Duration) (*changingStore, *told) {
+func watchChanges(pace statestore.Pacing, gaps []time.Duration) (*changingStore, *told) {
 	store := newChangingStore()
 	client := statestore.New("state", 1e6, 1e6, 48)
 	client.SetTransport(store)
@@ -88,7 +88,7 @@
 	done, seen := make(chan struct{}), &told{}
 	go func() {
 		defer close(done)
-		client.Watch(statestore.Paced(ctx, pace), "live/", time.Hour, func([]wire.Item) {}, func(events []wire.Event) {
+		client.Watch(statestore.WithPacing(ctx, pace), "live/", time.Hour, func([]wire.Item) {}, func(events []wire.Event) {
 			for _, e := range events {
 				seen.at = append(seen.at, time.Now())
 				if int(e.Version) != len(seen.at) {
@@ -114,7 +114,7 @@
 func TestPacedWatch(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		pause := time.Duration(rapid.IntRange(1, 100).Draw(rt, "pause")) * time.Millisecond
-		pace := statestore.Pace{Burst: rapid.IntRange(1, 4).Draw(rt, "burst"), Pause: func() time.Duration { return pause }}
+		pace := statestore.Pacing{Burst: rapid.IntRange(1, 4).Draw(rt, "burst"), Pause: func() time.Duration { return pause }}
 		var gaps []time.Duration
 		for _, ms := range rapid.SliceOfN(rapid.IntRange(0, 600), 1, 60).Draw(rt, "gaps") {
 			gaps = append(gaps, time.Duration(ms)*time.Millisecond)
@@ -151,11 +151,11 @@
 		store, client := newChangingStore(), statestore.New("state", 1e6, 1e6, 48)
 		client.SetTransport(store)
 		ctx, cancel := context.WithCancel(context.Background())
-		pace := statestore.Pace{Burst: 1, Pause: func() time.Duration { return time.Minute }}
+		pace := statestore.Pacing{Burst: 1, Pause: func() time.Duration { return time.Minute }}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			client.Watch(statestore.Paced(ctx, pace), "live/", time.Hour, func([]wire.Item) {}, func([]wire.Event) {})
+			client.Watch(statestore.WithPacing(ctx, pace), "live/", time.Hour, func([]wire.Item) {}, func([]wire.Event) {})
 		}()
 		for range 2 {
 			synctest.Wait()
--- a/internal/statestore/patience.go
+++ b/internal/statestore/patience.go
@@ -21,20 +21,20 @@
 	decay = 8
 )
 
-// patience is how long transactions' answers are waited for. A caller that waits for a
+// answerTimeout is how long transactions' answers are waited for. A caller that waits for a
 // lost answer for as long as it may stands still meanwhile: an owner records no place, and
 // a new one does not take over. So the wait follows what answers take that do come. Only
 // while none comes at all it doubles, so that a slow service is not taken for one that
 // never answers: a share of answers that gets lost says nothing of the others. It is safe
 // for concurrent use.
-type patience struct {
+type answerTimeout struct {
 	mu      sync.Mutex
 	slowest time.Duration // of recent answers
 	misses  int           // answers that did not come, since the last one that did
 }
 
 // wait returns how long the next answer is waited for.
-func (p *patience) wait() time.Duration {
+func (p *answerTimeout) wait() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	wait := max(answerWithin, slowFactor*p.slowest)
@@ -45,7 +45,7 @@
 }
 
 // answered notes an answer that took so long.
-func (p *patience) answered(took time.Duration) {
+func (p *answerTimeout) answered(took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.misses = 0
@@ -53,7 +53,7 @@
 }
 
 // missed notes an answer that did not come in time.
-func (p *patience) missed() {
+func (p *answerTimeout) missed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.misses++
--- a/internal/statestore/patience_test.go
+++ b/internal/statestore/patience_test.go
@@ -14,7 +14,7 @@
 func TestLostShareOfAnswersIsNotWaitedFor(t *testing.T) {
 	const tries, most = 10000, 1500 * time.Millisecond
 	draw := rand.New(rand.NewPCG(1, 2))
-	var p patience
+	var p answerTimeout
 	var waited time.Duration
 	lost := 0
 	for range tries {
@@ -35,7 +35,7 @@
 // then on until it is quick again.
 func TestSlowServiceIsWaitedFor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var p patience
+		var p answerTimeout
 		took := time.Duration(rapid.IntRange(1, 3500).Draw(t, "ms")) * time.Millisecond
 		misses := 0
 		for range 40 {
--- a/internal/statestore/recorded_test.go
+++ b/internal/statestore/recorded_test.go
@@ -39,13 +39,13 @@
 // Controllers of different versions pass requests on for each other, so the messages' form
 // must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "passed.json", statestore.Passed{
-		Method: "POST", Path: "/txn", Body: []byte(`{"apply":[{"set":"c/term","data":{"n":12}}]}`), Writes: 1, Lane: statestore.Lookup,
+	checkRecorded(t, "passed.json", statestore.RelayedRequest{
+		Method: "POST", Path: "/txn", Body: []byte(`{"apply":[{"set":"c/term","data":{"n":12}}]}`), Writes: 1, Priority: statestore.Lookup,
 	})
-	checkRecorded(t, "passed_least.json", statestore.Passed{Method: "GET", Path: "/store/c/term"})
-	checkRecorded(t, "passed_list.json", statestore.Passed{Method: "GET", Path: "/store?limit=1000&starts=c%2F", Lane: statestore.Urgent})
-	checkRecorded(t, "answered.json", statestore.Answered{Status: 200, Body: []byte("{\"revision\":5}\xff\x00")})
-	checkRecorded(t, "answered_least.json", statestore.Answered{Status: 503})
+	checkRecorded(t, "passed_least.json", statestore.RelayedRequest{Method: "GET", Path: "/store/c/term"})
+	checkRecorded(t, "passed_list.json", statestore.RelayedRequest{Method: "GET", Path: "/store?limit=1000&starts=c%2F", Priority: statestore.Urgent})
+	checkRecorded(t, "answered.json", statestore.RelayedResponse{Status: 200, Body: []byte("{\"revision\":5}\xff\x00")})
+	checkRecorded(t, "answered_least.json", statestore.RelayedResponse{Status: 503})
 }
 
 func TestRecordedLanes(t *testing.T) {
@@ -77,9 +77,9 @@
 	_, _, _ = client.Page(ctx, "number/", "number/00000000000004", 1)
 	_, _ = client.Txn(ctx, []wire.Guard{{Key: "c/shard/000", Version: 3}, {Key: "k"}},
 		wire.Op{Put: "k", Value: map[string]int{"n": 1}, Lease: 7}, wire.Op{Delete: "d"})
-	_, _ = client.Grant(ctx, 7*time.Second)
-	_ = client.Touch(ctx, 7)
-	_ = client.Revoke(ctx, 7)
+	_, _ = client.GrantLease(ctx, 7*time.Second)
+	_ = client.RenewLease(ctx, 7)
+	_ = client.RevokeLease(ctx, 7)
 	_, _ = client.Follow(ctx, "c/", 12, 20*time.Second)
 	want := []string{
 		"GET /store/c/term",
--- a/internal/statestore/relay.go
+++ b/internal/statestore/relay.go
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// Passed is a request to the state service that a peer passes on, within its own
+// RelayedRequest is a request to the state service that a peer passes on, within its own
 // budget, and never further.
-type Passed struct {
-	Method string `json:"method"`
-	Path   string `json:"path"`
-	Body   []byte `json:"body,omitempty"`
-	Writes int    `json:"writes,omitempty"` // puts and deletes in it
-	Lane   Lane   `json:"lane,omitempty"`
+type RelayedRequest struct {
+	Method   string        `json:"method"`
+	Path     string        `json:"path"`
+	Body     []byte        `json:"body,omitempty"`
+	Writes   int           `json:"writes,omitempty"` // puts and deletes in it
+	Priority PriorityClass `json:"lane,omitempty"`
 }
 
-// Answered is the service's answer to it.
-type Answered struct {
+// RelayedResponse is the service's answer to it.
+type RelayedResponse struct {
 	Status int    `json:"status"`
 	Body   []byte `json:"body,omitempty"`
 }
@@ -32,9 +32,9 @@
 type Relay interface {
 	// Ready reports whether there is such a peer.
 	Ready() bool
-	// Pass has a request made. With an error it is not known whether it was, unless
+	// Forward has a request made. With an error it is not known whether it was, unless
 	// that is ErrUnavailable.
-	Pass(ctx context.Context, req Passed) (*Answered, error)
+	Forward(ctx context.Context, req RelayedRequest) (*RelayedResponse, error)
 }
 
 const (
@@ -69,15 +69,15 @@
 	ctx   context.Context
 }
 
-// RelayBy sets the way round by a peer, for when the link to the service is lost
+// SetRelay sets the way round by a peer, for when the link to the service is lost
 // here alone. Call it before the first request; Run must run.
-func (c *Client) RelayBy(r Relay, log *slog.Logger) {
+func (c *Client) SetRelay(r Relay, log *slog.Logger) {
 	c.way.relay, c.way.log = r, log
 	c.way.ctx, c.way.end = context.WithCancel(context.Background())
 }
 
-// Relayed reports whether requests take the way round just now.
-func (c *Client) Relayed() bool {
+// UsesRelay reports whether requests take the way round just now.
+func (c *Client) UsesRelay() bool {
 	c.way.mu.Lock()
 	defer c.way.mu.Unlock()
 	return c.way.lost
@@ -158,7 +158,7 @@
 	t = time.AfterFunc(stalled, func() {
 		set.Lock()
 		defer set.Unlock()
-		quiet := min(time.Since(asked), c.SinceOK())
+		quiet := min(time.Since(asked), c.SinceLastSuccess())
 		if quiet < stalled || !c.lose("no answer") {
 			// Without a way round, one may appear.
 			t.Reset(stalled - min(quiet, stalled/2))
@@ -178,12 +178,12 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if !c.Relayed() {
+		if !c.UsesRelay() {
 			good = 0
 			continue
 		}
 		tctx, cancel := context.WithTimeout(ctx, tryEvery)
-		status, _, err := c.exchange(tctx, Passed{Method: http.MethodGet, Path: tryPath})
+		status, _, err := c.exchange(tctx, RelayedRequest{Method: http.MethodGet, Path: tryPath})
 		cancel()
 		if err != nil || status >= http.StatusInternalServerError || status == http.StatusTooManyRequests {
 			good = 0
@@ -199,18 +199,18 @@
 	}
 }
 
-// Pass makes a request for a peer, within this controller's budget: leases first,
+// ServeRelayed makes a request for a peer, within this controller's budget: leases first,
 // and never by another way round.
-func (c *Client) Pass(ctx context.Context, req Passed) (*Answered, error) {
+func (c *Client) ServeRelayed(ctx context.Context, req RelayedRequest) (*RelayedResponse, error) {
 	if strings.HasPrefix(req.Path, "/grants") {
-		req.Lane = Urgent
+		req.Priority = Urgent
 	}
-	if err := c.budget.wait(ctx, req.Lane); err != nil {
-		return &Answered{Status: http.StatusServiceUnavailable}, nil
+	if err := c.budget.wait(ctx, req.Priority); err != nil {
+		return &RelayedResponse{Status: http.StatusServiceUnavailable}, nil
 	}
 	if req.Writes > 0 {
-		if err := c.budget.waitWrites(ctx, req.Lane, req.Writes); err != nil {
-			return &Answered{Status: http.StatusServiceUnavailable}, nil
+		if err := c.budget.waitWrites(ctx, req.Priority, req.Writes); err != nil {
+			return &RelayedResponse{Status: http.StatusServiceUnavailable}, nil
 		}
 	}
 	status, body, err := c.exchange(ctx, req)
@@ -219,13 +219,13 @@
 	}
 	if len(body) > maxPassed {
 		// Only a watch's answer has no bound: one that is too far behind lists anew.
-		return &Answered{Status: http.StatusGone}, nil
+		return &RelayedResponse{Status: http.StatusGone}, nil
 	}
-	return &Answered{Status: status, Body: body}, nil
+	return &RelayedResponse{Status: status, Body: body}, nil
 }
 
 // exchange makes one request straight.
-func (c *Client) exchange(ctx context.Context, r Passed) (int, []byte, error) {
+func (c *Client) exchange(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	var rd io.Reader
 	if r.Body != nil {
 		rd = strings.NewReader(string(r.Body))
@@ -254,7 +254,7 @@
 
 // send makes a request, straight or by the way round. A request that may have been
 // made is never made again here, unless making it twice changes nothing.
-func (c *Client) send(ctx context.Context, r Passed) (int, []byte, error) {
+func (c *Client) send(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	dctx, done, ok := c.straight(ctx)
 	if ok {
 		var stall *time.Timer
@@ -282,10 +282,10 @@
 		case ctx.Err() != nil:
 			return status, data, err
 		}
-		if c.SinceOK() >= stalled {
+		if c.SinceLastSuccess() >= stalled {
 			c.lose("no connection")
 		}
-		if !c.Relayed() || !repeatable(&r) {
+		if !c.UsesRelay() || !repeatable(&r) {
 			return status, data, err
 		}
 	}
@@ -293,13 +293,13 @@
 }
 
 // repeatable reports whether to make a request twice is like making it once.
-func repeatable(r *Passed) bool {
+func repeatable(r *RelayedRequest) bool {
 	return r.Method == http.MethodGet || strings.HasSuffix(r.Path, "/touch")
 }
 
 // pass takes the way round.
-func (c *Client) pass(ctx context.Context, r Passed) (int, []byte, error) {
-	ans, err := c.way.relay.Pass(ctx, r)
+func (c *Client) pass(ctx context.Context, r RelayedRequest) (int, []byte, error) {
+	ans, err := c.way.relay.Forward(ctx, r)
 	if err != nil {
 		if !c.way.relay.Ready() {
 			c.found("no peer passes requests on")
--- a/internal/statestore/relay_test.go
+++ b/internal/statestore/relay_test.go
@@ -88,11 +88,11 @@
 
 func (b *by) Ready() bool { b.mu.Lock(); defer b.mu.Unlock(); return !b.gone }
 
-func (b *by) Pass(ctx context.Context, req Passed) (*Answered, error) {
+func (b *by) Forward(ctx context.Context, req RelayedRequest) (*RelayedResponse, error) {
 	if !b.Ready() {
 		return nil, ErrUnavailable
 	}
-	return b.c.Pass(ctx, req)
+	return b.c.ServeRelayed(ctx, req)
 }
 
 func pair(ctx context.Context) (c *Client, mine, theirs *link, relay *by, s *service) {
@@ -102,8 +102,8 @@
 	c.http.Transport, peer.http.Transport = mine, theirs
 	relay = &by{c: peer}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	c.RelayBy(relay, log)
-	peer.RelayBy(&by{c: c}, log) // never used: what is passed on goes straight
+	c.SetRelay(relay, log)
+	peer.SetRelay(&by{c: c}, log) // never used: what is passed on goes straight
 	go func() { _ = c.Run(ctx) }()
 	return c, mine, theirs, relay, s
 }
@@ -120,7 +120,7 @@
 			touch := func(n int) {
 				for range n {
 					tctx, cancel := context.WithTimeout(ctx, 1250*time.Millisecond)
-					if err := c.Touch(tctx, 1); err != nil {
+					if err := c.RenewLease(tctx, 1); err != nil {
 						t.Errorf("link %d: %v", how, err)
 					}
 					cancel()
@@ -130,14 +130,14 @@
 			touch(5)
 			mine.set(how)
 			touch(30)
-			if !c.Relayed() {
+			if !c.UsesRelay() {
 				t.Errorf("link %d: not by the peer", how)
 			}
 			mine.set(fine)
 			touch(5)
 			before := mine.count()
 			touch(3)
-			if c.Relayed() || mine.count() < before+3 {
+			if c.UsesRelay() || mine.count() < before+3 {
 				t.Errorf("link %d: not straight again", how)
 			}
 		})
@@ -204,9 +204,9 @@
 		for i := range 300 { // on and off every 4 s
 			mine.set([]int{fine, silent}[i/4%2])
 			tctx, cancel := context.WithTimeout(ctx, time.Second)
-			_ = c.Touch(tctx, 1)
+			_ = c.RenewLease(tctx, 1)
 			cancel()
-			if now := c.Relayed(); now != was {
+			if now := c.UsesRelay(); now != was {
 				changes, was = changes+1, now
 			}
 			time.Sleep(time.Second)
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -62,7 +62,7 @@
 	start  time.Time
 	MaxOps int
 
-	patience patience
+	timeout answerTimeout
 }
 
 // share is the part of the service's limits that one controller may use: the
@@ -83,9 +83,9 @@
 	}
 }
 
-// SinceOK returns how long ago the service last executed a request that went to it
+// SinceLastSuccess returns how long ago the service last executed a request that went to it
 // straight.
-func (c *Client) SinceOK() time.Duration { return c.since(&c.lastOK) }
+func (c *Client) SinceLastSuccess() time.Duration { return c.since(&c.lastOK) }
 
 func (c *Client) since(last *atomic.Int64) time.Duration {
 	at := last.Load()
@@ -96,7 +96,7 @@
 }
 
 func (c *Client) do(ctx context.Context, method, path string, writes int, body, out any) (int, error) {
-	req := Passed{Method: method, Path: path, Writes: writes, Lane: laneOf(ctx)}
+	req := RelayedRequest{Method: method, Path: path, Writes: writes, Priority: priorityOf(ctx)}
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
@@ -136,7 +136,7 @@
 // Get reads a key.
 func (c *Client) Get(ctx context.Context, key string) (wire.Item, error) {
 	var it wire.Item
-	if err := c.budget.wait(ctx, laneOf(ctx)); err != nil {
+	if err := c.budget.wait(ctx, priorityOf(ctx)); err != nil {
 		return it, err
 	}
 	code, err := c.do(ctx, http.MethodGet, "/store/"+key, 0, nil, &it)
@@ -197,7 +197,7 @@
 }
 
 func (c *Client) page(ctx context.Context, prefix, after string, limit int) (wire.Items, error) {
-	if err := c.budget.wait(ctx, laneOf(ctx)); err != nil {
+	if err := c.budget.wait(ctx, priorityOf(ctx)); err != nil {
 		return wire.Items{}, err
 	}
 	q := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(limit)}}
@@ -221,22 +221,22 @@
 // heard notes whether and when a transaction had its answer.
 func (c *Client) heard(err error, took time.Duration) {
 	if errors.Is(err, ErrUnknown) {
-		c.patience.missed()
+		c.timeout.missed()
 		return
 	}
-	c.patience.answered(took)
+	c.timeout.answered(took)
 }
 
 // Txn applies a transaction and returns its revision.
 func (c *Client) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
-	if err := c.budget.wait(ctx, laneOf(ctx)); err != nil {
+	if err := c.budget.wait(ctx, priorityOf(ctx)); err != nil {
 		return 0, err
 	}
-	if err := c.budget.waitWrites(ctx, laneOf(ctx), len(ops)); err != nil {
+	if err := c.budget.waitWrites(ctx, priorityOf(ctx), len(ops)); err != nil {
 		return 0, err
 	}
 	var ans wire.TxnAnswer
-	actx, cancel := context.WithTimeout(ctx, c.patience.wait())
+	actx, cancel := context.WithTimeout(ctx, c.timeout.wait())
 	defer cancel()
 	sent := time.Now()
 	code, err := c.do(actx, http.MethodPost, "/txn", len(ops), wire.Txn{If: guards, Then: ops}, &ans)
@@ -272,8 +272,8 @@
 	return c.Txn(ctx, guards, ops...)
 }
 
-// Grant opens a lease. Lease calls do not wait for the budget.
-func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+// GrantLease opens a lease. Lease calls do not wait for the budget.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	c.budget.reqs.Allow()
 	var ans wire.LeaseAnswer
 	code, err := c.do(ctx, http.MethodPost, "/grants", 0, wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, &ans)
@@ -286,14 +286,14 @@
 	return ans.Lease, nil
 }
 
-// Touch renews a lease.
-func (c *Client) Touch(ctx context.Context, lease uint64) error {
+// RenewLease renews a lease.
+func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	c.budget.reqs.Allow()
 	return c.lease(ctx, http.MethodPost, "/grants/"+strconv.FormatUint(lease, 10)+"/touch")
 }
 
-// Revoke ends a lease.
-func (c *Client) Revoke(ctx context.Context, lease uint64) error {
+// RevokeLease ends a lease.
+func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	c.budget.reqs.Allow()
 	return c.lease(ctx, http.MethodDelete, "/grants/"+strconv.FormatUint(lease, 10))
 }
@@ -314,7 +314,7 @@
 // Follow waits for changes under the prefix.
 func (c *Client) Follow(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.Events, error) {
 	var ev wire.Events
-	if err := c.budget.wait(ctx, laneOf(ctx)); err != nil {
+	if err := c.budget.wait(ctx, priorityOf(ctx)); err != nil {
 		return wire.Events{}, err
 	}
 	q := url.Values{"starts": {prefix}, "after": {strconv.FormatUint(after, 10)}, "holdMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
--- a/internal/submission/intake.go
+++ b/internal/submission/intake.go
@@ -298,7 +298,7 @@
 	case VerbKnown:
 		return in.known(req.UIDs)
 	case VerbPoll:
-		s, err := in.lookup(statestore.In(ctx, statestore.Lookup), req.UID)
+		s, err := in.lookup(statestore.WithPriority(ctx, statestore.Lookup), req.UID)
 		return in.found(s, err, http.StatusOK)
 	case VerbCancel:
 		s, err := in.jobs.Cancel(ctx, req.UID)
--- a/internal/testkit/store.go
+++ b/internal/testkit/store.go
@@ -387,8 +387,8 @@
 	return rev, err
 }
 
-// Grant opens a lease.
-func (v *View) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
+// GrantLease opens a lease.
+func (v *View) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
 	if ask(v.Down) {
 		return 0, statestore.ErrUnavailable
 	}
@@ -399,8 +399,8 @@
 	return v.next, nil
 }
 
-// Touch renews a lease.
-func (v *View) Touch(ctx context.Context, id uint64) error {
+// RenewLease renews a lease.
+func (v *View) RenewLease(ctx context.Context, id uint64) error {
 	if ask(v.Down) {
 		return statestore.ErrUnavailable
 	}
@@ -418,8 +418,8 @@
 	return nil
 }
 
-// Revoke ends a lease.
-func (v *View) Revoke(_ context.Context, id uint64) error {
+// RevokeLease ends a lease.
+func (v *View) RevokeLease(_ context.Context, id uint64) error {
 	if ask(v.Down) {
 		return statestore.ErrUnavailable
 	}
