--- a/cmd/wallctl/links.go
+++ b/cmd/wallctl/links.go
@@ -26,7 +26,7 @@
 			_, err := cmd.OutOrStdout().Write(out)
 			return err
 		}
-		var s reachability.Shown
+		var s reachability.OpsStatus
 		if err := json.Unmarshal(out, &s); err != nil {
 			return fmt.Errorf("links: malformed answer: %w", err)
 		}
--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -102,8 +102,8 @@
 		return q
 	}, log)
 	n.links.connections = func() (open, most int) { return inbound.count(), int(inbound.most) }
-	n.links.ears = func() reachability.Ears {
-		return reachability.Ears{Refused: usage.Noted(usage.RefusedConnections), Late: meter.Late()}
+	n.links.ears = func() reachability.ReceiveHealth {
+		return reachability.ReceiveHealth{RefusedConnections: usage.Noted(usage.RefusedConnections), TimerDelay: meter.Late()}
 	}
 	n.times = failovertiming.New(n.owner, config.Seconds(p.Params.Workers.LeaseS), log)
 	member.OnOwnershipChange(n.owner.OwnershipChanged)
--- a/cmd/wallrack/link_messages.go
+++ b/cmd/wallrack/link_messages.go
@@ -15,9 +15,9 @@
 
 // pingMessage carries a controller's row, and others' rows to those who lack them.
 type pingMessage struct {
-	Row     reachability.Row       `json:"row"`
-	Cancels *cancellation.Message  `json:"cancels,omitempty"`
-	Passed  []reachability.Relayed `json:"passed,omitempty"`
+	Row     reachability.NodeStatus      `json:"row"`
+	Cancels *cancellation.Message        `json:"cancels,omitempty"`
+	Passed  []reachability.RelayedStatus `json:"passed,omitempty"`
 }
 
 // forwardMessage is a message that a third controller passes on.
@@ -41,10 +41,10 @@
 func (n *node) handleLinks() {
 	mesh.Handle(n.mesh, methodPing, func(_ context.Context, m *pingMessage) (*pingMessage, error) {
 		now := time.Now()
-		n.links.table.Take(m.Row, reachability.Direct, 0, now)
-		n.links.table.TakePassed(m.Passed, now)
+		n.links.table.Update(m.Row, reachability.Direct, 0, now)
+		n.links.table.UpdateRelayed(m.Passed, now)
 		n.tookCancels(m.Row.Node, m.Cancels)
-		n.try(m.Row.Sample)
+		n.try(m.Row.ProbeSample)
 		return n.pingTo(m.Row.Node, time.Now()), nil
 	})
 	mesh.Handle(n.mesh, methodForward, func(ctx context.Context, m *forwardMessage) (*json.RawMessage, error) {
@@ -63,7 +63,7 @@
 
 func (n *node) pingTo(peer string, now time.Time) *pingMessage {
 	told := n.cancels.MessageFor(peer)
-	return &pingMessage{Row: n.links.self(now), Passed: n.links.table.Passed(peer, now), Cancels: &told}
+	return &pingMessage{Row: n.links.self(now), Passed: n.links.table.RelayFor(peer, now), Cancels: &told}
 }
 
 // ping keeps the peers' rows fresh: a ping carries this controller's row, its
@@ -93,8 +93,8 @@
 	n.called(peer, err, true)
 	if err == nil {
 		now := time.Now()
-		n.links.table.Take(rep.Row, reachability.Direct, 0, now)
-		n.links.table.TakePassed(rep.Passed, now)
+		n.links.table.Update(rep.Row, reachability.Direct, 0, now)
+		n.links.table.UpdateRelayed(rep.Passed, now)
 		n.tookCancels(peer, rep.Cancels)
 	}
 }
@@ -104,13 +104,13 @@
 func (n *node) called(peer string, err error, ping bool) {
 	refused, late := mesh.Unanswered(err)
 	if refused || !late || ping {
-		n.links.table.Called(peer, !refused && !late, refused)
+		n.links.table.RecordCall(peer, !refused && !late, refused)
 	}
 }
 
 // call sends a message to a peer, by a third if the peer is not reached from here.
 func call[Req, Rep any](ctx context.Context, n *node, peer, method string, req *Req) (*Rep, error) {
-	way := n.links.now().Way(peer)
+	way := n.links.now().NextHop(peer)
 	if way == peer {
 		rep, err := mesh.Call[Req, Rep](ctx, n.mesh, peer, method, req)
 		n.called(peer, err, false)
@@ -133,13 +133,13 @@
 
 // stored takes a row that a controller wrote to the state service.
 func (n *node) stored(value json.RawMessage) {
-	var r reachability.Row
+	var r reachability.NodeStatus
 	if err := json.Unmarshal(value, &r); err != nil {
 		n.log.Debug("unreadable row of links", "err", err)
 		return
 	}
-	n.links.table.Take(r, reachability.Stored, 0, time.Now())
-	if r.Node != n.cfg.Node && len(r.Sample) > 0 {
-		go n.try(r.Sample)
+	n.links.table.Update(r, reachability.ViaStore, 0, time.Now())
+	if r.Node != n.cfg.Node && len(r.ProbeSample) > 0 {
+		go n.try(r.ProbeSample)
 	}
 }
--- a/cmd/wallrack/link_report.go
+++ b/cmd/wallrack/link_report.go
@@ -38,11 +38,11 @@
 		s.told[link] = toldLink{how, time.Now()}
 	}
 	for i := range v.Peers {
-		tell(v.Peers[i].Name, v.Peers[i].How())
+		tell(v.Peers[i].Name, v.Peers[i].ReachedBy())
 	}
-	tell(linkStore, v.StateBy(n.store.UsesRelay()))
+	tell(linkStore, v.StorePath(n.store.UsesRelay()))
 	workers := "heard"
-	if v.Self.Deaf() {
+	if v.Self.InboundLost() {
 		workers = "not heard"
 	}
 	tell(linkWorkers, workers)
@@ -50,7 +50,7 @@
 
 // serveLinks shows operators this controller's view of the links.
 func (n *node) serveLinks(w http.ResponseWriter, _ *http.Request) {
-	shown := n.links.now().Show(n.store.UsesRelay())
+	shown := n.links.now().OpsStatus(n.store.UsesRelay())
 	shown.Cancelled, shown.Answers = n.cancels.Count(), n.MayAnswerWorkers()
 	if known := n.cancels.KnownUntil(); !known.IsZero() {
 		shown.CancelsAgeS = time.Since(known).Seconds()
@@ -59,9 +59,9 @@
 	s.mu.Lock()
 	shown.Kept = s.kept
 	for link, t := range s.told {
-		shown.Links = append(shown.Links, reachability.ShownLink{To: link, Is: t.how, SinceS: time.Since(t.since).Seconds()})
+		shown.Links = append(shown.Links, reachability.OpsLink{To: link, Is: t.how, SinceS: time.Since(t.since).Seconds()})
 	}
 	s.mu.Unlock()
-	slices.SortFunc(shown.Links, func(a, b reachability.ShownLink) int { return strings.Compare(a.To, b.To) })
+	slices.SortFunc(shown.Links, func(a, b reachability.OpsLink) int { return strings.Compare(a.To, b.To) })
 	httpjson.Write(w, http.StatusOK, shown)
 }
--- a/cmd/wallrack/links.go
+++ b/cmd/wallrack/links.go
@@ -29,7 +29,7 @@
 	node  *node
 	table *reachability.Table
 	born  int64
-	ears  func() reachability.Ears
+	ears  func() reachability.ReceiveHealth
 	view  atomic.Pointer[madeView]
 
 	connections func() (open, most int) // this process's, of those who come to it
@@ -39,16 +39,16 @@
 	seq     uint64
 	reports int     // see links.Row
 	expects float64 // see links.Row
-	names   *reachability.Names
-	plan    reachability.Planner
-	seats   []reachability.Seat // see links.Row
-	room    int                 // see links.Row
-	here    int                 // see links.Row
-	sample  []string            // see links.Row
-	tried   time.Time           // when a sample was last tried here
+	names   *reachability.NameSet
+	plan    reachability.AssignmentPlanner
+	seats   []reachability.Assignment // see links.Row
+	room    int                       // see links.Row
+	here    int                       // see links.Row
+	sample  []string                  // see links.Row
+	tried   time.Time                 // when a sample was last tried here
 	reaches float64
 	urgent  bool // others wait for this row
-	silence reachability.Silence
+	silence reachability.FailureDetector
 	told    map[string]toldLink
 	kept    int // machines kept although silent, as last logged
 }
@@ -66,7 +66,7 @@
 	}
 	s.node, s.table, s.born = n, reachability.NewTable(n.cfg.Node, peers), time.Now().UnixMilli()
 	s.told = map[string]toldLink{}
-	s.silence = reachability.Silence{Base: config.Seconds(n.op.SilentS), Lease: config.Seconds(w.LeaseS), Report: config.Seconds(w.ReportS), Grace: n.grace()}
+	s.silence = reachability.FailureDetector{Base: config.Seconds(n.op.SilentS), Lease: config.Seconds(w.LeaseS), Report: config.Seconds(w.ReportS), Grace: n.grace()}
 }
 
 // grace is how long after the last time up to which it knows of all cancels this
@@ -82,19 +82,19 @@
 func (s *linkState) changed() { s.view.Store(nil) }
 
 // self is this controller's row.
-func (s *linkState) self(now time.Time) reachability.Row {
+func (s *linkState) self(now time.Time) reachability.NodeStatus {
 	n := s.node
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seq++
-	r := reachability.Row{Node: n.cfg.Node, Born: s.born, Seq: s.seq, State: n.store.SinceLastSuccess() < storeLost && !n.store.UsesRelay(),
-		Held: n.member.LeaseRemaining() > 0, Owns: len(n.member.OwnedShards()) > 0, Chief: n.chief(), Cloud: n.cloud.Reached(),
-		Reports: s.reports, Expected: s.expects, Lacks: s.table.Lacks(now),
-		Sample: s.sample, Tried: now.Sub(s.tried) < triedFor}
-	if r.Tried {
-		r.Reaches = s.reaches
+	r := reachability.NodeStatus{Node: n.cfg.Node, StartedMs: s.born, Seq: s.seq, StoreReachable: n.store.SinceLastSuccess() < storeLost && !n.store.UsesRelay(),
+		LeaseHeld: n.member.LeaseRemaining() > 0, OwnsJobs: len(n.member.OwnedShards()) > 0, PreferredLeader: n.chief(), CloudReachable: n.cloud.Reached(),
+		Heartbeats: s.reports, ExpectedHeartbeats: s.expects, UnreachedPeers: s.table.UnreachedPeers(now),
+		ProbeSample: s.sample, Probed: now.Sub(s.tried) < triedFor}
+	if r.Probed {
+		r.ProbeSuccess = s.reaches
 	}
-	r.Heard, r.Seats, r.Room, r.Here = s.names, s.seats, s.room, s.here
+	r.HeardWorkers, r.Assignments, r.WorkerCapacity, r.WorkerCount = s.names, s.seats, s.room, s.here
 	return r
 }
 
@@ -115,7 +115,7 @@
 func (n *node) watchLinks(ctx context.Context) error {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
-	var w reachability.Watch
+	var w reachability.TransferMonitor
 	var announced, listened time.Time
 	pause := reachability.AnnouncePause(len(n.cfg.Peers) + 1)
 	for {
@@ -133,7 +133,7 @@
 			n.tellLinks(n.links.now())
 		}
 		v := n.links.now()
-		if n.links.due(now, announced, pause) && v.Self.Held && slices.ContainsFunc(v.Unreached(), n.member.Alive) {
+		if n.links.due(now, announced, pause) && v.Self.LeaseHeld && slices.ContainsFunc(v.UnreachedPeers(), n.member.Alive) {
 			announced = now
 			actx, cancel := context.WithTimeout(ctx, time.Second)
 			if err := n.member.AnnounceLinks(actx, n.links.self(now)); err != nil {
@@ -141,12 +141,12 @@
 			}
 			cancel()
 		}
-		to := w.Look(now, v, n.member.RecentTransfers(reachability.Window))
+		to := w.Check(now, v, n.member.RecentTransfers(reachability.TransferWindow))
 		if to == "" {
 			continue
 		}
-		n.log.Info("workers are not heard here: handing over", "to", to, "heard", v.Self.Reports, "expected", v.Self.Expected,
-			"tried", v.Self.Tried, "reached", v.Self.Reaches)
+		n.log.Info("workers are not heard here: handing over", "to", to, "heard", v.Self.Heartbeats, "expected", v.Self.ExpectedHeartbeats,
+			"tried", v.Self.Probed, "reached", v.Self.ProbeSuccess)
 		if err := n.member.TransferShards(ctx, to); err != nil {
 			n.log.Info("handing over failed", "err", err)
 		}
@@ -169,7 +169,7 @@
 	before := len(s.seats)
 	s.seats = s.plan.Plan(now, v, here, room, config.Seconds(reportS))
 	s.room, s.here = 0, 0
-	if v.Spreading() {
+	if v.SharesWorkers() {
 		s.here = here
 		s.room = max(0, min(room, most-max(0, open-here)-most/10))
 	}
@@ -177,7 +177,7 @@
 		n.log.Info("workers are shared out", "seats", s.seats, "here", here, "room", room)
 	}
 	s.mu.Unlock()
-	s.spreading.Store(v.Spreading())
+	s.spreading.Store(v.SharesWorkers())
 	s.changed()
 }
 
--- a/cmd/wallrack/publish.go
+++ b/cmd/wallrack/publish.go
@@ -103,7 +103,7 @@
 		cancel()
 		within.set(owner, 2*time.Since(sent))
 		if err != nil {
-			n.links.table.Untold(owner, time.Now())
+			n.links.table.RecordUndelivered(owner, time.Now())
 			n.log.Debug("publishing failed", "owner", owner, "err", err)
 			return
 		}
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -35,7 +35,7 @@
 // What operators are answered, with every field there.
 func TestRecordedAnswers(t *testing.T) {
 	compareAnswer[slo.Alert](t, "alert.json")
-	compareAnswer[reachability.Shown](t, "links.json")
+	compareAnswer[reachability.OpsStatus](t, "links.json")
 	compareAnswer[[]wire.MachineInfo](t, "machines.json")
 	compareAnswer[scheduler.Stats](t, "counters.json")
 	compareAnswer[scheduler.Served](t, "served.json")
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -114,18 +114,18 @@
 	}
 }
 
-func fullRow() reachability.Row {
-	return reachability.Row{
-		Node: "c1", Born: 1700000000123, Seq: 77, State: true, Held: true, Owns: true, Chief: "c2", Cloud: true,
-		Reports: 120, Expected: 130.5, Lacks: []string{"c3"}, Sample: []string{"10.1.0.232:9000"}, Tried: true, Reaches: 0.75,
-		Seats: []reachability.Seat{{Node: "c2", Share: 400.5}}, Room: 900, Here: 850, Heard: reachability.NewNames([]string{"n-000231", "n-000232"}, 64),
+func fullRow() reachability.NodeStatus {
+	return reachability.NodeStatus{
+		Node: "c1", StartedMs: 1700000000123, Seq: 77, StoreReachable: true, LeaseHeld: true, OwnsJobs: true, PreferredLeader: "c2", CloudReachable: true,
+		Heartbeats: 120, ExpectedHeartbeats: 130.5, UnreachedPeers: []string{"c3"}, ProbeSample: []string{"10.1.0.232:9000"}, Probed: true, ProbeSuccess: 0.75,
+		Assignments: []reachability.Assignment{{Node: "c2", Share: 400.5}}, WorkerCapacity: 900, WorkerCount: 850, HeardWorkers: reachability.NewNameSet([]string{"n-000231", "n-000232"}, 64),
 	}
 }
 
 // What controllers tell each other of links, machines and cancels keeps its form.
 func TestRecordedLinks(t *testing.T) {
 	told := fullCancels()
-	checkRecorded(t, "ping_full.json", pingMessage{Row: fullRow(), Cancels: &told, Passed: []reachability.Relayed{{Row: fullRow(), AgeS: 1.25}}})
+	checkRecorded(t, "ping_full.json", pingMessage{Row: fullRow(), Cancels: &told, Passed: []reachability.RelayedStatus{{Status: fullRow(), AgeS: 1.25}}})
 	checkRecorded(t, "ping_empty.json", pingMessage{})
 	checkRecorded(t, "forward_full.json", forwardMessage{To: "c2", Method: "Gone", Body: json.RawMessage(`{"machines":["n-000231"]}`)})
 	checkRecorded(t, "forward_empty.json", forwardMessage{Body: json.RawMessage("null")})
--- a/cmd/wallrack/roles.go
+++ b/cmd/wallrack/roles.go
@@ -20,7 +20,7 @@
 }
 
 // LeaderFor names the controller that should hold a worker.
-func (n *node) LeaderFor(worker string) string { return n.links.now().ForemanOf(worker) }
+func (n *node) LeaderFor(worker string) string { return n.links.now().LeaderFor(worker) }
 
 // MayAnswerWorkers reports whether this controller may answer workers: it knows of all
 // cancels that were confirmed up to a moment ago, by whomever.
@@ -29,7 +29,7 @@
 }
 
 // Isolated reports whether this controller can start nothing and knows of nobody who can.
-func (n *node) Isolated() bool { return n.links.now().Alone() && len(n.member.OwnedShards()) == 0 }
+func (n *node) Isolated() bool { return n.links.now().Isolated() && len(n.member.OwnedShards()) == 0 }
 
 // Owners names the other controllers that own shards.
 func (n *node) Owners() []string {
@@ -47,19 +47,19 @@
 	}
 	v := n.links.now()
 	for i := range v.Peers {
-		if p := &v.Peers[i]; p.Fresh() && p.Row.Held {
-			add(p.Row.Chief)
+		if p := &v.Peers[i]; p.IsFresh() && p.Status.LeaseHeld {
+			add(p.Status.PreferredLeader)
 		}
 	}
 	return out
 }
 
 // Served names the other controllers that reach the state service.
-func (n *node) Served() []string { return n.links.now().Served() }
+func (n *node) Served() []string { return n.links.now().ServingPeers() }
 
 // Up fails only when this controller can't serve and a peer can.
 func (n *node) Up() bool {
-	up := n.member.FencingToken() != 0 && n.links.now().Up()
+	up := n.member.FencingToken() != 0 && n.links.now().Healthy()
 	if up {
 		n.times.Mark(failovertiming.Up)
 	}
@@ -67,11 +67,11 @@
 }
 
 // Ready reports whether a peer can pass requests to the state service on.
-func (n *node) Ready() bool { return len(n.links.now().Served()) > 0 }
+func (n *node) Ready() bool { return len(n.links.now().ServingPeers()) > 0 }
 
 // Forward has a peer pass a request to the state service on.
 func (n *node) Forward(ctx context.Context, req statestore.RelayedRequest) (*statestore.RelayedResponse, error) {
-	by := n.links.now().Served()
+	by := n.links.now().ServingPeers()
 	if len(by) == 0 {
 		return nil, fmt.Errorf("%w: no peer reaches it", statestore.ErrUnavailable)
 	}
--- a/cmd/wallrack/silent_machines.go
+++ b/cmd/wallrack/silent_machines.go
@@ -34,7 +34,7 @@
 	perSecond := s.expects / dispatch.HeartbeatWindow.Seconds()
 	was := len(s.sample) > 0
 	s.mu.Unlock()
-	in := len(n.member.OwnedShards()) > 0 && reachability.Doubts(perSecond, n.holder.SinceLastHeartbeat()) && s.ears().Late < lookEvery
+	in := len(n.member.OwnedShards()) > 0 && reachability.ShouldProbe(perSecond, n.holder.SinceLastHeartbeat()) && s.ears().TimerDelay < lookEvery
 	if in == was {
 		return
 	}
@@ -59,34 +59,34 @@
 func (n *node) lost() map[string]string {
 	s := &n.links
 	out := n.owner.StuckWorkers()
-	known, silent := n.owner.UnresponsiveWorkers(s.silence.From())
+	known, silent := n.owner.UnresponsiveWorkers(s.silence.Threshold())
 	v := n.links.now()
 	s.mu.Lock()
-	verdict := s.silence.Judge(time.Now(), v, s.ears(), known, silent)
+	verdict := s.silence.Evaluate(time.Now(), v, s.ears(), known, silent)
 	if (verdict.Kept > 0) != (s.kept > 0) {
-		n.log.Info("silent machines are kept", "machines", verdict.Kept, "known", known, "why", verdict.Why)
+		n.log.Info("silent machines are kept", "machines", verdict.Kept, "known", known, "why", verdict.KeptReason)
 	}
 	s.kept = verdict.Kept
 	s.mu.Unlock()
-	for name, why := range verdict.Back {
+	for name, why := range verdict.Return {
 		out[name] = why
 	}
-	for name, m := range verdict.Ask {
+	for name, m := range verdict.Probe {
 		go func() {
 			ok := n.lives(m)
-			if ok && m.Deaf {
+			if ok && m.OutboundLost {
 				n.owner.WorkerAnswered(name)
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.silence.Asked(name, ok, time.Now())
+			s.silence.RecordProbe(name, ok, time.Now())
 		}()
 	}
 	return out
 }
 
 // lives asks a machine, and has all peers ask it, whether it lives.
-func (n *node) lives(m reachability.Machine) bool {
+func (n *node) lives(m reachability.UnresponsiveWorker) bool {
 	name, endpoint := m.Name, m.Endpoint
 	answers := make(chan bool, 1+len(n.cfg.Peers))
 	go func() { answers <- endpoint != "" && n.holder.FetchReport(n.ctx, name, endpoint) }()
@@ -94,7 +94,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(n.ctx, askWithin)
 			defer cancel()
-			rep, err := call[seenMessage, seenReply](ctx, n, p.Node, methodSeen, &seenMessage{name, endpoint, m.Deaf})
+			rep, err := call[seenMessage, seenReply](ctx, n, p.Node, methodSeen, &seenMessage{name, endpoint, m.OutboundLost})
 			answers <- err == nil && rep.Lives
 		}()
 	}
@@ -109,9 +109,9 @@
 // listen counts what is heard here.
 func (n *node) listen() {
 	heard, machines := n.holder.RecentHeartbeats()
-	var names *reachability.Names
-	if now := time.Now(); len(n.links.table.Lacks(now)) > 0 || n.links.table.Lacked(now) {
-		names = reachability.NewNames(n.holder.WorkersHeardWithin(config.Seconds(n.cfg.Params.Workers.LeaseS)), int(n.cfg.Params.State.ValueKB*namesPart*1024))
+	var names *reachability.NameSet
+	if now := time.Now(); len(n.links.table.UnreachedPeers(now)) > 0 || n.links.table.UnreachedByPeers(now) {
+		names = reachability.NewNameSet(n.holder.WorkersHeardWithin(config.Seconds(n.cfg.Params.Workers.LeaseS)), int(n.cfg.Params.State.ValueKB*namesPart*1024))
 	}
 	s := &n.links
 	s.mu.Lock()
--- a/internal/reachability/capacity_test.go
+++ b/internal/reachability/capacity_test.go
@@ -11,15 +11,15 @@
 )
 
 // row is what a controller says of its links to a message's receiver.
-func row(heard int, lacks ...string) reachability.Row {
-	r := reachability.Row{Node: "racker-1", Born: 1_764_652_567_000, Seq: 100_000, State: true, Held: true, Owns: true, Chief: "racker-1", Cloud: true,
-		Reports: 1000, Expected: 1000.5, Lacks: lacks}
+func row(heard int, lacks ...string) reachability.NodeStatus {
+	r := reachability.NodeStatus{Node: "racker-1", StartedMs: 1_764_652_567_000, Seq: 100_000, StoreReachable: true, LeaseHeld: true, OwnsJobs: true, PreferredLeader: "racker-1", CloudReachable: true,
+		Heartbeats: 1000, ExpectedHeartbeats: 1000.5, UnreachedPeers: lacks}
 	if heard > 0 {
 		var names []string
 		for i := range heard {
 			names = append(names, fmt.Sprintf("n-%06d", i))
 		}
-		r.Heard = reachability.NewNames(names, 8<<10)
+		r.HeardWorkers = reachability.NewNameSet(names, 8<<10)
 	}
 	return r
 }
@@ -48,7 +48,7 @@
 			r = row(0, peers[:len(peers)-1]...)
 		}
 		r.Node = p
-		t.Take(r, reachability.Direct, 0, now)
+		t.Update(r, reachability.Direct, 0, now)
 	}
 	return t, peers
 }
@@ -61,7 +61,7 @@
 		t, peers := passedOn(controllers)
 		total := 0.0
 		for _, p := range peers {
-			total += jsonBytes(tb, t.Passed(p, time.Now()))
+			total += jsonBytes(tb, t.RelayFor(p, time.Now()))
 		}
 		return total
 	}},
--- a/internal/reachability/links_test.go
+++ b/internal/reachability/links_test.go
@@ -12,29 +12,29 @@
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
 // silences makes n silent machines.
-func silences(n int, silent time.Duration) (ms []reachability.Machine) {
+func silences(n int, silent time.Duration) (ms []reachability.UnresponsiveWorker) {
 	for i := range n {
-		ms = append(ms, reachability.Machine{Name: fmt.Sprintf("n-%d", i), Endpoint: "e", Silent: silent, Busy: true})
+		ms = append(ms, reachability.UnresponsiveWorker{Name: fmt.Sprintf("n-%d", i), Endpoint: "e", SilentFor: silent, Busy: true})
 	}
 	return ms
 }
 
-func judge() *reachability.Silence {
-	return &reachability.Silence{Base: 14 * time.Second, Lease: 44 * time.Second, Report: 8 * time.Second, Grace: 17 * time.Second}
+func judge() *reachability.FailureDetector {
+	return &reachability.FailureDetector{Base: 14 * time.Second, Lease: 44 * time.Second, Report: 8 * time.Second, Grace: 17 * time.Second}
 }
 
 // near is a peer with which all is well.
 func near(name string, reports int) reachability.Peer {
-	return reachability.Peer{Name: name, Known: true, Out: true, Row: reachability.Row{Node: name, State: true, Held: true, Reports: reports}}
+	return reachability.Peer{Name: name, Known: true, OutboundReachable: true, Status: reachability.NodeStatus{Node: name, StoreReachable: true, LeaseHeld: true, Heartbeats: reports}}
 }
 
 // An owner that heard nobody gave 1,300 living machines back in a minute; another,
 // whose sockets were full, 1,000 in every 50 s. Silence is weighed against how well
 // one hears, what others hear, and what no accident does.
 // unheard makes machines ones that a new owner has not heard.
-func unheard(silent []reachability.Machine) []reachability.Machine {
+func unheard(silent []reachability.UnresponsiveWorker) []reachability.UnresponsiveWorker {
 	for i := range silent {
-		silent[i].Unheard = true
+		silent[i].UnheardSinceFailover = true
 	}
 	return silent
 }
@@ -42,69 +42,69 @@
 func TestSilence(t *testing.T) {
 	apart := func(names ...string) reachability.Peer {
 		p := near("b", 0)
-		p.Path, p.Age, p.Heard = reachability.Stored, 2*time.Second, time.Minute
-		p.Row.Lacks, p.Row.Heard = []string{"a"}, reachability.NewNames(names, 1000)
+		p.Path, p.Age, p.SinceHeard = reachability.ViaStore, 2*time.Second, time.Minute
+		p.Status.UnreachedPeers, p.Status.HeardWorkers = []string{"a"}, reachability.NewNameSet(names, 1000)
 		return p
 	}
 	dark := func(age time.Duration) reachability.Peer {
 		p := near("b", 0)
-		p.Age, p.Heard = age, age
+		p.Age, p.SinceHeard = age, age
 		return p
 	}
-	deaf := reachability.Row{Node: "a", Reports: 2, Expected: 400}
-	fine := reachability.Row{Node: "a", Reports: 380, Expected: 400}
+	deaf := reachability.NodeStatus{Node: "a", Heartbeats: 2, ExpectedHeartbeats: 400}
+	fine := reachability.NodeStatus{Node: "a", Heartbeats: 380, ExpectedHeartbeats: 400}
 	oneWay := near("b", 0)
-	oneWay.Row.Lacks, oneWay.Row.Heard = []string{"a"}, reachability.NewNames([]string{"n-0", "n-1", "n-2"}, 1000)
+	oneWay.Status.UnreachedPeers, oneWay.Status.HeardWorkers = []string{"a"}, reachability.NewNameSet([]string{"n-0", "n-1", "n-2"}, 1000)
 	unasked := near("b", 0)
-	unasked.Row.Heard = reachability.NewNames([]string{"n-0", "n-1", "n-2"}, 1000)
+	unasked.Status.HeardWorkers = reachability.NewNameSet([]string{"n-0", "n-1", "n-2"}, 1000)
 	for _, c := range []struct {
 		name   string
-		self   reachability.Row
+		self   reachability.NodeStatus
 		peers  []reachability.Peer
 		known  int
-		silent []reachability.Machine
-		ears   reachability.Ears
+		silent []reachability.UnresponsiveWorker
+		ears   reachability.ReceiveHealth
 		answer bool // whether they answer when asked
 		want   int  // returned at the second look
 	}{
-		{"a few died", fine, []reachability.Peer{near("b", 0)}, 1000, silences(70, 14*time.Second), reachability.Ears{}, false, 70},
-		{"they answer when asked", fine, []reachability.Peer{near("b", 0)}, 1000, silences(70, 40*time.Second), reachability.Ears{}, true, 0},
-		{"not for long enough", fine, nil, 1000, silences(70, 9*time.Second), reachability.Ears{}, false, 0},
-		{"the owner hears nobody", deaf, nil, 1000, silences(30, 14*time.Second), reachability.Ears{}, false, 0},
-		{"it hears nobody for a lease and more", reachability.Row{Node: "a"}, nil, 1000, silences(1000, 65*time.Second), reachability.Ears{}, false, 0},
-		{"nor any of three", fine, nil, 3, silences(3, 20*time.Second), reachability.Ears{}, false, 0},
-		{"one of three died", fine, nil, 3, silences(1, 14*time.Second), reachability.Ears{}, false, 1},
-		{"most at once", fine, []reachability.Peer{near("b", 0)}, 1000, silences(600, 20*time.Second), reachability.Ears{}, false, 0},
-		{"most, for a lease: no more than an accident takes", fine, nil, 250, silences(150, 50*time.Second), reachability.Ears{}, false, 100},
-		{"sockets were full a moment ago", fine, nil, 1000, silences(70, 14*time.Second), reachability.Ears{Refused: 5}, false, 0},
-		{"this process stood still", fine, nil, 1000, silences(70, 14*time.Second), reachability.Ears{Late: 5 * time.Second}, false, 0},
-		{"sockets are full, and they were silent twice as long", fine, nil, 1000, silences(70, 28*time.Second), reachability.Ears{Refused: 5}, false, 70},
-		{"a peer hears three, and only the state service tells", fine, []reachability.Peer{apart("n-0", "n-1", "n-2")}, 1000, silences(70, 14*time.Second), reachability.Ears{}, false, 67},
-		{"a peer hears three, and its calls don't come through", fine, []reachability.Peer{oneWay}, 1000, silences(70, 14*time.Second), reachability.Ears{}, false, 67},
-		{"a peer hears three, and can't be asked", reachability.Row{Node: "a", Lacks: []string{"b"}}, []reachability.Peer{unasked}, 1000, silences(70, 14*time.Second), reachability.Ears{}, false, 67},
-		{"a peer went dark with them", fine, []reachability.Peer{dark(14 * time.Second)}, 1000, silences(70, 15*time.Second), reachability.Ears{}, false, 0},
-		{"a peer went dark before the take-over, and they were heard since", fine, []reachability.Peer{dark(36 * time.Second)}, 1000, silences(70, 14*time.Second), reachability.Ears{}, false, 70},
-		{"the owner before went dark, and they were not heard since", fine, []reachability.Peer{dark(36 * time.Second)}, 1000, unheard(silences(70, 14*time.Second)), reachability.Ears{}, false, 0},
-		{"a peer went dark long before the take-over", fine, []reachability.Peer{dark(50 * time.Second)}, 1000, unheard(silences(70, 15*time.Second)), reachability.Ears{}, false, 0},
-		{"a peer went dark so long before the take-over that it answers nobody", fine, []reachability.Peer{dark(62 * time.Second)}, 1000, unheard(silences(70, 15*time.Second)), reachability.Ears{}, false, 70},
-		{"a peer went dark long after the take-over", fine, []reachability.Peer{dark(3 * time.Second)}, 1000, unheard(silences(70, 40*time.Second)), reachability.Ears{}, false, 70},
-		{"a peer was never heard, nor were they", fine, []reachability.Peer{{Name: "b", Age: 59 * time.Second, Heard: time.Hour}}, 1000, unheard(silences(70, 15*time.Second)), reachability.Ears{}, false, 0},
-		{"a peer was never heard for longer than it may answer", fine, []reachability.Peer{{Name: "b", Age: 62 * time.Second, Heard: time.Hour}}, 1000, unheard(silences(70, 15*time.Second)), reachability.Ears{}, false, 70},
-		{"a peer was never heard, and they were", fine, []reachability.Peer{{Name: "b", Age: 15 * time.Second, Heard: time.Hour}}, 1000, silences(70, 15*time.Second), reachability.Ears{}, false, 70},
-		{"a peer went dark long before", fine, []reachability.Peer{dark(50 * time.Second)}, 1000, silences(70, 15*time.Second), reachability.Ears{}, false, 70},
-		{"a peer has been dark for longer than it may answer", fine, []reachability.Peer{dark(62 * time.Second)}, 1000, silences(70, 62*time.Second), reachability.Ears{}, false, 70},
+		{"a few died", fine, []reachability.Peer{near("b", 0)}, 1000, silences(70, 14*time.Second), reachability.ReceiveHealth{}, false, 70},
+		{"they answer when asked", fine, []reachability.Peer{near("b", 0)}, 1000, silences(70, 40*time.Second), reachability.ReceiveHealth{}, true, 0},
+		{"not for long enough", fine, nil, 1000, silences(70, 9*time.Second), reachability.ReceiveHealth{}, false, 0},
+		{"the owner hears nobody", deaf, nil, 1000, silences(30, 14*time.Second), reachability.ReceiveHealth{}, false, 0},
+		{"it hears nobody for a lease and more", reachability.NodeStatus{Node: "a"}, nil, 1000, silences(1000, 65*time.Second), reachability.ReceiveHealth{}, false, 0},
+		{"nor any of three", fine, nil, 3, silences(3, 20*time.Second), reachability.ReceiveHealth{}, false, 0},
+		{"one of three died", fine, nil, 3, silences(1, 14*time.Second), reachability.ReceiveHealth{}, false, 1},
+		{"most at once", fine, []reachability.Peer{near("b", 0)}, 1000, silences(600, 20*time.Second), reachability.ReceiveHealth{}, false, 0},
+		{"most, for a lease: no more than an accident takes", fine, nil, 250, silences(150, 50*time.Second), reachability.ReceiveHealth{}, false, 100},
+		{"sockets were full a moment ago", fine, nil, 1000, silences(70, 14*time.Second), reachability.ReceiveHealth{RefusedConnections: 5}, false, 0},
+		{"this process stood still", fine, nil, 1000, silences(70, 14*time.Second), reachability.ReceiveHealth{TimerDelay: 5 * time.Second}, false, 0},
+		{"sockets are full, and they were silent twice as long", fine, nil, 1000, silences(70, 28*time.Second), reachability.ReceiveHealth{RefusedConnections: 5}, false, 70},
+		{"a peer hears three, and only the state service tells", fine, []reachability.Peer{apart("n-0", "n-1", "n-2")}, 1000, silences(70, 14*time.Second), reachability.ReceiveHealth{}, false, 67},
+		{"a peer hears three, and its calls don't come through", fine, []reachability.Peer{oneWay}, 1000, silences(70, 14*time.Second), reachability.ReceiveHealth{}, false, 67},
+		{"a peer hears three, and can't be asked", reachability.NodeStatus{Node: "a", UnreachedPeers: []string{"b"}}, []reachability.Peer{unasked}, 1000, silences(70, 14*time.Second), reachability.ReceiveHealth{}, false, 67},
+		{"a peer went dark with them", fine, []reachability.Peer{dark(14 * time.Second)}, 1000, silences(70, 15*time.Second), reachability.ReceiveHealth{}, false, 0},
+		{"a peer went dark before the take-over, and they were heard since", fine, []reachability.Peer{dark(36 * time.Second)}, 1000, silences(70, 14*time.Second), reachability.ReceiveHealth{}, false, 70},
+		{"the owner before went dark, and they were not heard since", fine, []reachability.Peer{dark(36 * time.Second)}, 1000, unheard(silences(70, 14*time.Second)), reachability.ReceiveHealth{}, false, 0},
+		{"a peer went dark long before the take-over", fine, []reachability.Peer{dark(50 * time.Second)}, 1000, unheard(silences(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 0},
+		{"a peer went dark so long before the take-over that it answers nobody", fine, []reachability.Peer{dark(62 * time.Second)}, 1000, unheard(silences(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 70},
+		{"a peer went dark long after the take-over", fine, []reachability.Peer{dark(3 * time.Second)}, 1000, unheard(silences(70, 40*time.Second)), reachability.ReceiveHealth{}, false, 70},
+		{"a peer was never heard, nor were they", fine, []reachability.Peer{{Name: "b", Age: 59 * time.Second, SinceHeard: time.Hour}}, 1000, unheard(silences(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 0},
+		{"a peer was never heard for longer than it may answer", fine, []reachability.Peer{{Name: "b", Age: 62 * time.Second, SinceHeard: time.Hour}}, 1000, unheard(silences(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 70},
+		{"a peer was never heard, and they were", fine, []reachability.Peer{{Name: "b", Age: 15 * time.Second, SinceHeard: time.Hour}}, 1000, silences(70, 15*time.Second), reachability.ReceiveHealth{}, false, 70},
+		{"a peer went dark long before", fine, []reachability.Peer{dark(50 * time.Second)}, 1000, silences(70, 15*time.Second), reachability.ReceiveHealth{}, false, 70},
+		{"a peer has been dark for longer than it may answer", fine, []reachability.Peer{dark(62 * time.Second)}, 1000, silences(70, 62*time.Second), reachability.ReceiveHealth{}, false, 70},
 	} {
 		s, v := judge(), reachability.View{Self: c.self, Peers: c.peers}
 		var got reachability.Verdict
 		for i := range 2 {
-			got = s.Judge(noon.Add(time.Duration(i)*time.Second), &v, c.ears, c.known, c.silent)
-			for name := range got.Ask {
-				s.Asked(name, c.answer, noon.Add(time.Duration(i)*time.Second))
+			got = s.Evaluate(noon.Add(time.Duration(i)*time.Second), &v, c.ears, c.known, c.silent)
+			for name := range got.Probe {
+				s.RecordProbe(name, c.answer, noon.Add(time.Duration(i)*time.Second))
 			}
 		}
 		// A Bloom filter may take one in a thousand others for a member.
-		if n := len(got.Back); n > c.want || n < c.want-1 {
-			t.Errorf("%s: %d machines are returned, not %d (kept: %d, %s)", c.name, n, c.want, got.Kept, got.Why)
+		if n := len(got.Return); n > c.want || n < c.want-1 {
+			t.Errorf("%s: %d machines are returned, not %d (kept: %d, %s)", c.name, n, c.want, got.Kept, got.KeptReason)
 		}
 	}
 }
@@ -115,18 +115,18 @@
 func TestAskedAgainWhenAPeerIsBack(t *testing.T) {
 	s := judge()
 	gone, back := near("b", 0), near("b", 0)
-	gone.Age, gone.Heard = 8*time.Second, 8*time.Second
+	gone.Age, gone.SinceHeard = 8*time.Second, 8*time.Second
 	silent := silences(3, 5*time.Second) // asked, and not to be returned yet
 	look := func(sec int, p reachability.Peer, lives bool) int {
 		now := noon.Add(time.Duration(sec) * time.Second)
-		v := reachability.View{Self: reachability.Row{Node: "a", Reports: 380, Expected: 400}, Peers: []reachability.Peer{p}}
-		got := s.Judge(now, &v, reachability.Ears{}, 1000, silent)
-		for name := range got.Ask {
-			s.Asked(name, lives, now)
+		v := reachability.View{Self: reachability.NodeStatus{Node: "a", Heartbeats: 380, ExpectedHeartbeats: 400}, Peers: []reachability.Peer{p}}
+		got := s.Evaluate(now, &v, reachability.ReceiveHealth{}, 1000, silent)
+		for name := range got.Probe {
+			s.RecordProbe(name, lives, now)
 		}
-		return len(got.Back)
+		return len(got.Return)
 	}
-	s.Judge(noon.Add(-time.Minute), &reachability.View{Peers: []reachability.Peer{back}}, reachability.Ears{}, 1000, nil)
+	s.Evaluate(noon.Add(-time.Minute), &reachability.View{Peers: []reachability.Peer{back}}, reachability.ReceiveHealth{}, 1000, nil)
 	look(0, gone, false)
 	silent = silences(3, 30*time.Second)
 	if n := look(1, back, true); n > 0 {
@@ -144,7 +144,7 @@
 		quiet     time.Duration
 		want      bool
 	}{{170, 700 * time.Millisecond, false}, {170, 800 * time.Millisecond, true}, {3, 5 * time.Second, false}, {3, 7 * time.Second, true}, {0, time.Hour, false}} {
-		if reachability.Doubts(c.perSecond, c.quiet) != c.want {
+		if reachability.ShouldProbe(c.perSecond, c.quiet) != c.want {
 			t.Errorf("%+v", c)
 		}
 	}
@@ -152,20 +152,20 @@
 
 // A machine is not returned before it was asked and did not answer.
 func TestAskedBeforeReturned(t *testing.T) {
-	s, v := judge(), reachability.View{Self: reachability.Row{Node: "a"}}
+	s, v := judge(), reachability.View{Self: reachability.NodeStatus{Node: "a"}}
 	ms := silences(1, 14*time.Second)
-	if got := s.Judge(noon, &v, reachability.Ears{}, 100, ms); len(got.Back) != 0 || len(got.Ask) != 1 {
+	if got := s.Evaluate(noon, &v, reachability.ReceiveHealth{}, 100, ms); len(got.Return) != 0 || len(got.Probe) != 1 {
 		t.Errorf("at once: %+v", got)
 	}
-	if got := s.Judge(noon.Add(time.Second), &v, reachability.Ears{}, 100, ms); len(got.Back) != 0 || len(got.Ask) != 0 {
+	if got := s.Evaluate(noon.Add(time.Second), &v, reachability.ReceiveHealth{}, 100, ms); len(got.Return) != 0 || len(got.Probe) != 0 {
 		t.Errorf("while it is asked: %+v", got)
 	}
-	s.Asked("n-0", false, noon.Add(time.Second))
-	if got := s.Judge(noon.Add(2*time.Second), &v, reachability.Ears{}, 100, ms); len(got.Back) != 1 {
+	s.RecordProbe("n-0", false, noon.Add(time.Second))
+	if got := s.Evaluate(noon.Add(2*time.Second), &v, reachability.ReceiveHealth{}, 100, ms); len(got.Return) != 1 {
 		t.Errorf("after it did not answer: %+v", got)
 	}
 	// That it did not answer a while ago says nothing of now: links heal.
-	if got := s.Judge(noon.Add(5*time.Second), &v, reachability.Ears{}, 100, ms); len(got.Back) != 0 || len(got.Ask) != 1 {
+	if got := s.Evaluate(noon.Add(5*time.Second), &v, reachability.ReceiveHealth{}, 100, ms); len(got.Return) != 0 || len(got.Probe) != 1 {
 		t.Errorf("later: %+v", got)
 	}
 }
@@ -176,18 +176,18 @@
 func TestLook(t *testing.T) {
 	peers := func(a, b int) []reachability.Peer {
 		cut := near("c", 900)
-		cut.Row.State = false
+		cut.Status.StoreReachable = false
 		return []reachability.Peer{near("a", a), near("b", b), cut}
 	}
 	tries := func(reaches float64) []reachability.Peer {
 		p := near("b", 0)
-		p.Row.Tried, p.Row.Reaches = true, reaches
+		p.Status.Probed, p.Status.ProbeSuccess = true, reaches
 		return []reachability.Peer{near("a", 0), p}
 	}
 	stored := near("a", 200)
-	stored.Path, stored.Age, stored.Heard = reachability.Stored, 4*time.Second, time.Hour
+	stored.Path, stored.Age, stored.SinceHeard = reachability.ViaStore, 4*time.Second, time.Hour
 	old := near("a", 200)
-	old.Age, old.Heard = 4*time.Second, 4*time.Second
+	old.Age, old.SinceHeard = 4*time.Second, 4*time.Second
 	for _, c := range []struct {
 		name     string
 		after    time.Duration
@@ -214,14 +214,14 @@
 		{"too few machines to tell", time.Minute, true, 0, 6, peers(5, 0), 0, ""},
 		{"a third of the machines is cut off", time.Minute, true, 300, 480, peers(160, 0), 0, ""},
 	} {
-		var w reachability.Watch
-		v := reachability.View{Self: reachability.Row{Node: "o", Owns: c.owns, Reports: c.heard, Expected: c.expected, Tried: true, Reaches: 0}, Peers: c.peers}
-		w.Look(noon, &reachability.View{Self: reachability.Row{Owns: c.owns}}, 0)
+		var w reachability.TransferMonitor
+		v := reachability.View{Self: reachability.NodeStatus{Node: "o", OwnsJobs: c.owns, Heartbeats: c.heard, ExpectedHeartbeats: c.expected, Probed: true, ProbeSuccess: 0}, Peers: c.peers}
+		w.Check(noon, &reachability.View{Self: reachability.NodeStatus{OwnsJobs: c.owns}}, 0)
 		now := noon.Add(c.after)
-		if got := w.Look(now, &v, c.moves); got != "" {
+		if got := w.Check(now, &v, c.moves); got != "" {
 			t.Errorf("%s: one look was enough for %q", c.name, got)
 		}
-		if got := w.Look(now.Add(time.Second), &v, c.moves); got != c.want {
+		if got := w.Check(now.Add(time.Second), &v, c.moves); got != c.want {
 			t.Errorf("%s: to %q, not %q", c.name, got, c.want)
 		}
 	}
@@ -258,15 +258,15 @@
 		tables[i] = reachability.NewTable(names[i], []string{names[(i+1)%3], names[(i+2)%3]})
 	}
 	now := noon
-	row := func(i int, seq uint64) reachability.Row {
-		r := reachability.Row{Node: names[i], Born: 1, Seq: seq, State: w.state[i], Held: w.state[i], Owns: i == owner, Chief: names[owner], Lacks: tables[i].Lacks(now)}
+	row := func(i int, seq uint64) reachability.NodeStatus {
+		r := reachability.NodeStatus{Node: names[i], StartedMs: 1, Seq: seq, StoreReachable: w.state[i], LeaseHeld: w.state[i], OwnsJobs: i == owner, PreferredLeader: names[owner], UnreachedPeers: tables[i].UnreachedPeers(now)}
 		if i == owner {
-			r.Expected = 400
+			r.ExpectedHeartbeats = 400
 		}
 		if w.workers[i] {
-			r.Reports = 400
+			r.Heartbeats = 400
 			if w.workers[owner] && i != owner {
-				r.Reports = 0 // all are at the owner
+				r.Heartbeats = 0 // all are at the owner
 			}
 		}
 		return r
@@ -278,22 +278,22 @@
 				if i == j {
 					continue
 				}
-				tables[i].Called(names[j], w.mesh[i][j], true)
+				tables[i].RecordCall(names[j], w.mesh[i][j], true)
 				if w.mesh[i][j] { // a ping and its answer
-					tables[j].Take(row(i, s), reachability.Direct, 0, now)
-					tables[j].TakePassed(tables[i].Passed(names[j], now), now)
-					tables[i].Take(row(j, s), reachability.Direct, 0, now)
-					tables[i].TakePassed(tables[j].Passed(names[i], now), now)
+					tables[j].Update(row(i, s), reachability.Direct, 0, now)
+					tables[j].UpdateRelayed(tables[i].RelayFor(names[j], now), now)
+					tables[i].Update(row(j, s), reachability.Direct, 0, now)
+					tables[i].UpdateRelayed(tables[j].RelayFor(names[i], now), now)
 				}
 			}
 		}
 		for i := range 3 {
-			if v := tables[i].View(row(i, s), now); !w.state[i] || len(v.Unreached()) == 0 {
+			if v := tables[i].View(row(i, s), now); !w.state[i] || len(v.UnreachedPeers()) == 0 {
 				continue
 			}
 			for j := range 3 {
 				if j != i && w.state[j] {
-					tables[j].Take(row(i, s), reachability.Stored, 0, now)
+					tables[j].Update(row(i, s), reachability.ViaStore, 0, now)
 				}
 			}
 		}
@@ -333,12 +333,12 @@
 				}
 				better = better || w.state[j] && w.reached(i, j)
 				for p := range v.Peers {
-					if v.Peers[p].Name == names[j] && v.Peers[p].Fresh() != w.reached(i, j) {
-						fail("%s knows of %s: %v", names[i], names[j], v.Peers[p].Fresh())
+					if v.Peers[p].Name == names[j] && v.Peers[p].IsFresh() != w.reached(i, j) {
+						fail("%s knows of %s: %v", names[i], names[j], v.Peers[p].IsFresh())
 					}
 				}
 				// A message goes straight, or by a third that reaches the other.
-				way, third := v.Way(names[j]), 3-i-j
+				way, third := v.NextHop(names[j]), 3-i-j
 				switch {
 				case w.mesh[i][j] && way != names[j]:
 					fail("%s takes a way round to %s", names[i], names[j])
@@ -348,20 +348,20 @@
 					fail("%s has no way round to %s", names[i], names[j])
 				}
 			}
-			if v.Up() != (w.state[i] || !better) {
-				fail("%s is up: %v", names[i], v.Up())
+			if v.Healthy() != (w.state[i] || !better) {
+				fail("%s is up: %v", names[i], v.Healthy())
 			}
-			if v.Up() {
+			if v.Healthy() {
 				up++
 			}
-			if f := v.Foreman(); f != names[i] && f != names[0] {
+			if f := v.Leader(); f != names[i] && f != names[0] {
 				fail("%s sends workers to %s, which owns nothing", names[i], f)
 			} else if i > 0 && f == names[0] && !w.workers[0] {
 				fail("%s sends workers to an owner that does not hear them", names[i])
 			} else if i > 0 && f != names[0] && w.workers[0] && w.reached(i, 0) && (w.state[i] || w.state[0]) {
 				fail("%s keeps workers from the owner that hears them", names[i])
 			}
-			for _, p := range v.Served() {
+			for _, p := range v.ServingPeers() {
 				if j := int(p[0] - 'a'); !w.state[j] || !w.mesh[i][j] {
 					fail("%s asks %s to pass requests on", names[i], p)
 				}
@@ -372,11 +372,11 @@
 		}
 		// The owner: it hands over if, and only if, it hears nobody and one that does
 		// reaches the state service, and that is known.
-		var watch reachability.Watch
-		watch.Look(noon, &reachability.View{Self: reachability.Row{Owns: true}}, 0)
+		var watch reachability.TransferMonitor
+		watch.Check(noon, &reachability.View{Self: reachability.NodeStatus{OwnsJobs: true}}, 0)
 		to := ""
 		for i := range 2 {
-			to = watch.Look(noon.Add(time.Minute+time.Duration(i)*time.Second), &vs[0], 0)
+			to = watch.Check(noon.Add(time.Minute+time.Duration(i)*time.Second), &vs[0], 0)
 		}
 		could := false
 		for j := 1; j < 3; j++ {
@@ -393,12 +393,12 @@
 		if !w.workers[0] {
 			s := judge()
 			for i := 0; i < 120; i += 12 {
-				got := s.Judge(noon.Add(time.Duration(i)*time.Second), &vs[0], reachability.Ears{}, 20, silences(20, time.Duration(i)*time.Second))
-				for name := range got.Ask {
-					s.Asked(name, false, noon.Add(time.Duration(i)*time.Second))
+				got := s.Evaluate(noon.Add(time.Duration(i)*time.Second), &vs[0], reachability.ReceiveHealth{}, 20, silences(20, time.Duration(i)*time.Second))
+				for name := range got.Probe {
+					s.RecordProbe(name, false, noon.Add(time.Duration(i)*time.Second))
 				}
-				if len(got.Back) > 0 {
-					fail("%d machines are returned after %d s", len(got.Back), i)
+				if len(got.Return) > 0 {
+					fail("%d machines are returned after %d s", len(got.Return), i)
 					break
 				}
 			}
@@ -414,7 +414,7 @@
 func TestOldRowsAreDropped(t *testing.T) {
 	table := reachability.NewTable("a", []string{"b"})
 	take := func(born int64, seq uint64, reports int, path reachability.Path) {
-		table.Take(reachability.Row{Node: "b", Born: born, Seq: seq, Reports: reports}, path, 0, noon)
+		table.Update(reachability.NodeStatus{Node: "b", StartedMs: born, Seq: seq, Heartbeats: reports}, path, 0, noon)
 	}
 	for i, step := range []struct {
 		born    int64
@@ -423,13 +423,13 @@
 		want    int
 	}{{1, 5, 10, 10}, {1, 4, 20, 10}, {2, 1, 30, 30}, {1, 9, 40, 30}, {2, 2, 50, 50}} {
 		take(step.born, step.seq, step.reports, reachability.Path(i%3))
-		if got := table.View(reachability.Row{}, noon).Peers[0].Row.Reports; got != step.want {
+		if got := table.View(reachability.NodeStatus{}, noon).Peers[0].Status.Heartbeats; got != step.want {
 			t.Errorf("step %d: %d, not %d", i, got, step.want)
 		}
 	}
 	take(9, 9, 9, reachability.Direct)
-	table.Take(reachability.Row{Node: "x", Born: 1, Seq: 1}, reachability.Direct, 0, noon)
-	if n := len(table.View(reachability.Row{}, noon).Peers); n != 1 {
+	table.Update(reachability.NodeStatus{Node: "x", StartedMs: 1, Seq: 1}, reachability.Direct, 0, noon)
+	if n := len(table.View(reachability.NodeStatus{}, noon).Peers); n != 1 {
 		t.Errorf("%d peers", n)
 	}
 }
@@ -440,44 +440,44 @@
 func TestNewProcessIsToldOfDarkPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		third := reachability.NewTable("c", []string{"a", "b"})
-		row := func(node string, born int64, lacks ...string) reachability.Row {
-			return reachability.Row{Node: node, Born: born, Seq: 1, Lacks: lacks}
+		row := func(node string, born int64, lacks ...string) reachability.NodeStatus {
+			return reachability.NodeStatus{Node: node, StartedMs: born, Seq: 1, UnreachedPeers: lacks}
 		}
-		third.Take(row("a", 1), reachability.Direct, 0, time.Now())
-		third.Take(row("b", 1), reachability.Direct, 0, time.Now())
+		third.Update(row("a", 1), reachability.Direct, 0, time.Now())
+		third.Update(row("b", 1), reachability.Direct, 0, time.Now())
 		for _, dark := range []time.Duration{20 * time.Second, 50 * time.Second} { // since the row of b, after which it may answer for 61 s
 			time.Sleep(dark)
-			if passed := third.Passed("a", time.Now()); len(passed) > 0 {
+			if passed := third.RelayFor("a", time.Now()); len(passed) > 0 {
 				t.Errorf("an old process is told %+v", passed)
 			}
 			life := int64(dark)
-			third.Take(row("a", life, "b"), reachability.Direct, 0, time.Now())
+			third.Update(row("a", life, "b"), reachability.Direct, 0, time.Now())
 			for _, told := range []bool{true, false} {
 				fresh := reachability.NewTable("a", []string{"b", "c"})
 				if told {
-					passed := third.Passed("a", time.Now())
-					if len(passed) != 1 || passed[0].Row.Node != "b" {
+					passed := third.RelayFor("a", time.Now())
+					if len(passed) != 1 || passed[0].Status.Node != "b" {
 						t.Fatalf("a new process is told %+v", passed)
 					}
-					fresh.TakePassed(passed, time.Now())
+					fresh.UpdateRelayed(passed, time.Now())
 				}
-				fresh.Take(row("c", 1), reachability.Direct, 0, time.Now())
+				fresh.Update(row("c", 1), reachability.Direct, 0, time.Now())
 				time.Sleep(time.Second)
-				v := fresh.View(reachability.Row{Node: "a", Reports: 380, Expected: 400}, time.Now())
+				v := fresh.View(reachability.NodeStatus{Node: "a", Heartbeats: 380, ExpectedHeartbeats: 400}, time.Now())
 				s, back := judge(), 0
 				for i := range 2 {
-					got := s.Judge(time.Now().Add(time.Duration(i)*time.Second), &v, reachability.Ears{}, 1000, unheard(silences(70, 15*time.Second)))
-					for name := range got.Ask {
-						s.Asked(name, false, time.Now().Add(time.Duration(i)*time.Second))
+					got := s.Evaluate(time.Now().Add(time.Duration(i)*time.Second), &v, reachability.ReceiveHealth{}, 1000, unheard(silences(70, 15*time.Second)))
+					for name := range got.Probe {
+						s.RecordProbe(name, false, time.Now().Add(time.Duration(i)*time.Second))
 					}
-					back = len(got.Back)
+					back = len(got.Return)
 				}
 				if late := told && dark > 44*time.Second; (back > 0) != late {
 					t.Errorf("told %v, dark for %v: %d machines are returned", told, dark, back)
 				}
 			}
 			time.Sleep(10 * time.Second)
-			if passed := third.Passed("a", time.Now()); len(passed) > 0 {
+			if passed := third.RelayFor("a", time.Now()); len(passed) > 0 {
 				t.Errorf("told for ever: %+v", passed)
 			}
 		}
--- a/internal/reachability/recorded_test.go
+++ b/internal/reachability/recorded_test.go
@@ -28,22 +28,22 @@
 	}
 }
 
-func fullRow() reachability.Row {
-	return reachability.Row{
-		Node: "c1", Born: 1700000000123, Seq: 77, State: true, Held: true, Owns: true, Chief: "c2", Cloud: true,
-		Reports: 120, Expected: 130.5, Lacks: []string{"c3"}, Sample: []string{"10.1.0.232:9000"}, Tried: true, Reaches: 0.75,
-		Seats: []reachability.Seat{{Node: "c2", Share: 400.5}}, Room: 900, Here: 850, Heard: reachability.NewNames([]string{"n-000231", "n-000232"}, 64),
+func fullRow() reachability.NodeStatus {
+	return reachability.NodeStatus{
+		Node: "c1", StartedMs: 1700000000123, Seq: 77, StoreReachable: true, LeaseHeld: true, OwnsJobs: true, PreferredLeader: "c2", CloudReachable: true,
+		Heartbeats: 120, ExpectedHeartbeats: 130.5, UnreachedPeers: []string{"c3"}, ProbeSample: []string{"10.1.0.232:9000"}, Probed: true, ProbeSuccess: 0.75,
+		Assignments: []reachability.Assignment{{Node: "c2", Share: 400.5}}, WorkerCapacity: 900, WorkerCount: 850, HeardWorkers: reachability.NewNameSet([]string{"n-000231", "n-000232"}, 64),
 	}
 }
 
 // A controller's row, which it sends and stores, keeps its form.
 func TestRecordedRow(t *testing.T) {
 	checkRecorded(t, "row_full.json", fullRow())
-	checkRecorded(t, "row_empty.json", reachability.Row{})
-	checkRecorded(t, "seat_empty.json", reachability.Seat{})
-	checkRecorded(t, "relayed_full.json", reachability.Relayed{Row: fullRow(), AgeS: 1.25})
-	checkRecorded(t, "relayed_empty.json", reachability.Relayed{})
-	checkRecorded(t, "names_full.json", reachability.NewNames([]string{"n-000231", "n-000232"}, 64))
+	checkRecorded(t, "row_empty.json", reachability.NodeStatus{})
+	checkRecorded(t, "seat_empty.json", reachability.Assignment{})
+	checkRecorded(t, "relayed_full.json", reachability.RelayedStatus{Status: fullRow(), AgeS: 1.25})
+	checkRecorded(t, "relayed_empty.json", reachability.RelayedStatus{})
+	checkRecorded(t, "names_full.json", reachability.NewNameSet([]string{"n-000231", "n-000232"}, 64))
 }
 
 // The names in a recorded set are found in it.
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var names reachability.Names
+	var names reachability.NameSet
 	if err := json.Unmarshal(recorded, &names); err != nil || !names.Has("n-000231") || !names.Has("n-000232") || names.Has("n-000233") {
 		t.Errorf("the recorded set reads as %+v, %v", names, err)
 	}
@@ -60,15 +60,15 @@
 
 // What operators see of the links keeps its form.
 func TestRecordedShown(t *testing.T) {
-	checkRecorded(t, "shown_full.json", reachability.Shown{
+	checkRecorded(t, "shown_full.json", reachability.OpsStatus{
 		Node: "c1", State: "straight", Kept: 2, CancelsAgeS: 0.25, Cancelled: 3, Answers: true,
-		Links: []reachability.ShownLink{{To: "c2", Is: "up", SinceS: 61.5}},
-		Controllers: []reachability.ShownNode{{
+		Links: []reachability.OpsLink{{To: "c2", Is: "up", SinceS: 61.5}},
+		Controllers: []reachability.OpsNode{{
 			Node: "c2", Reached: "known by third", AgeS: 1.25, State: true, Held: true, Owns: true, Cloud: true,
 			Reports: 120, Expected: 130.5, Lacks: []string{"c3"},
 		}},
 	})
-	checkRecorded(t, "shown_empty.json", reachability.Shown{})
-	checkRecorded(t, "shown_link_empty.json", reachability.ShownLink{})
-	checkRecorded(t, "shown_node_empty.json", reachability.ShownNode{})
+	checkRecorded(t, "shown_empty.json", reachability.OpsStatus{})
+	checkRecorded(t, "shown_link_empty.json", reachability.OpsLink{})
+	checkRecorded(t, "shown_node_empty.json", reachability.OpsNode{})
 }
--- a/internal/reachability/seats.go
+++ b/internal/reachability/seats.go
@@ -11,10 +11,10 @@
 	// fillTo is how full of workers a holder stays that hands some on, so that it does
 	// not begin anew with each that joins.
 	fillTo = 0.95
-	// calmShare is the part of its room below which all workers must be, for calmFor,
+	// underloadedShare is the part of its room below which all workers must be, for calmFor,
 	// before a holder takes them back.
-	calmShare = 0.9
-	calmFor   = 30 * time.Second
+	underloadedShare = 0.9
+	underloadedFor   = 30 * time.Second
 	// planSlack is by how much of its room the workers to be handed on must change before
 	// the plan does: with each change some workers move.
 	planSlack = 0.05
@@ -25,72 +25,72 @@
 	fullReports   = 3
 )
 
-// Seat is a controller's part of the workers while one can't hold them all.
-type Seat struct {
+// Assignment is a controller's part of the workers while one can't hold them all.
+type Assignment struct {
 	Node  string  `json:"n"`
 	Share float64 `json:"s"` // workers that are to be there
 }
 
-// Planner is the decision of the controller that should hold the workers which of them
+// AssignmentPlanner is the decision of the controller that should hold the workers which of them
 // others are to hold, for want of connections. The zero value is ready for use; it is not
 // safe for concurrent use.
-type Planner struct {
-	seats   []Seat
-	calm    time.Time // since when all workers would fit here; zero: they don't
-	planned time.Time // when the seats last changed
-	better  time.Time // since when another plan would be better; zero: it would not
+type AssignmentPlanner struct {
+	assignments      []Assignment
+	underloadedSince time.Time // since when all workers would fit here; zero: they don't
+	planned          time.Time // when the seats last changed
+	better           time.Time // since when another plan would be better; zero: it would not
 }
 
 // Plan returns the seats, nil while one controller holds all workers. here is how many
 // workers report to this controller, room how many may.
-func (p *Planner) Plan(now time.Time, v *View, here, room int, report time.Duration) []Seat {
-	if v.Self.Chief != v.Self.Node || room <= 0 {
-		*p = Planner{}
+func (p *AssignmentPlanner) Plan(now time.Time, v *View, here, room int, report time.Duration) []Assignment {
+	if v.Self.PreferredLeader != v.Self.Node || room <= 0 {
+		*p = AssignmentPlanner{}
 		return nil
 	}
 	// Peers say how many workers they hold once some controller, perhaps a predecessor of
 	// this one, has shared them out.
-	all, shared := here, p.seats != nil
+	all, shared := here, p.assignments != nil
 	for i := range v.Peers {
-		if q := &v.Peers[i]; q.Fresh() {
-			shared = shared || q.Row.Room > 0
-			all += q.Row.Here
+		if q := &v.Peers[i]; q.IsFresh() {
+			shared = shared || q.Status.WorkerCapacity > 0
+			all += q.Status.WorkerCount
 		}
 	}
-	if here <= room && (!shared || p.seats == nil && all <= room) {
+	if here <= room && (!shared || p.assignments == nil && all <= room) {
 		return nil
 	}
-	if float64(all) >= calmShare*float64(room) {
-		p.calm = time.Time{}
-	} else if p.calm.IsZero() {
-		p.calm = now
-	} else if now.Sub(p.calm) >= calmFor {
-		*p = Planner{}
+	if float64(all) >= underloadedShare*float64(room) {
+		p.underloadedSince = time.Time{}
+	} else if p.underloadedSince.IsZero() {
+		p.underloadedSince = now
+	} else if now.Sub(p.underloadedSince) >= underloadedFor {
+		*p = AssignmentPlanner{}
 		return nil
 	}
-	next := seats(v, all, room)
+	next := planAssignments(v, all, room)
 	switch {
 	case !p.differs(next, room):
 		p.better = time.Time{}
 	case p.better.IsZero():
 		p.better = now
 	}
-	first := len(p.seats) < 2 && len(next) >= 2
+	first := len(p.assignments) < 2 && len(next) >= 2
 	full := here > room && now.Sub(p.planned) >= fullReports*report
-	if p.seats == nil || first || full || !p.better.IsZero() && now.Sub(p.better) >= settleReports*report {
-		p.seats, p.planned, p.better = next, now, time.Time{}
+	if p.assignments == nil || first || full || !p.better.IsZero() && now.Sub(p.better) >= settleReports*report {
+		p.assignments, p.planned, p.better = next, now, time.Time{}
 	}
-	return p.seats
+	return p.assignments
 }
 
-// seats shares out the workers that don't fit here, by the room that others have.
-func seats(v *View, all, room int) []Seat {
+// planAssignments shares out the workers that don't fit here, by the room that others have.
+func planAssignments(v *View, all, room int) []Assignment {
 	own := fillTo * float64(room)
-	out := []Seat{{v.Self.Node, own}}
+	out := []Assignment{{v.Self.Node, own}}
 	total := 0
 	for i := range v.Peers {
-		if p := &v.Peers[i]; p.seatable() {
-			total += p.Row.Room
+		if p := &v.Peers[i]; p.assignable() {
+			total += p.Status.WorkerCapacity
 		}
 	}
 	if total == 0 {
@@ -98,68 +98,68 @@
 	}
 	part := min(1, max(0, float64(all)-own)/float64(total))
 	for i := range v.Peers {
-		if p := &v.Peers[i]; p.seatable() {
-			out = append(out, Seat{p.Name, math.Round(part * float64(p.Row.Room))})
+		if p := &v.Peers[i]; p.assignable() {
+			out = append(out, Assignment{p.Name, math.Round(part * float64(p.Status.WorkerCapacity))})
 		}
 	}
 	return out
 }
 
-// seatable reports whether workers may be sent to a peer: it exchanges messages with this
+// assignable reports whether workers may be sent to a peer: it exchanges messages with this
 // controller, hears workers and has connections left.
-func (p *Peer) seatable() bool {
-	return p.Near() && p.Out && p.Row.Held && !p.lostWorkers() && p.Row.Room > 0
+func (p *Peer) assignable() bool {
+	return p.DirectlyReached() && p.OutboundReachable && p.Status.LeaseHeld && !p.lostWorkers() && p.Status.WorkerCapacity > 0
 }
 
 // lostWorkers reports whether a peer hears none of the workers that it should. One that
 // hears some, of many that have left it within the last minute, is well.
-func (p *Peer) lostWorkers() bool { return p.Row.Deaf() && p.Row.Here == 0 }
+func (p *Peer) lostWorkers() bool { return p.Status.InboundLost() && p.Status.WorkerCount == 0 }
 
 // differs reports whether a plan differs by so much that workers are to move for it.
-func (p *Planner) differs(next []Seat, room int) bool {
-	if !slices.EqualFunc(next, p.seats, func(a, b Seat) bool { return a.Node == b.Node }) {
+func (p *AssignmentPlanner) differs(next []Assignment, room int) bool {
+	if !slices.EqualFunc(next, p.assignments, func(a, b Assignment) bool { return a.Node == b.Node }) {
 		return true
 	}
 	moved := 0.0
 	for i := range next {
-		moved += math.Abs(next[i].Share - p.seats[i].Share)
+		moved += math.Abs(next[i].Share - p.assignments[i].Share)
 	}
 	return moved > max(1, planSlack*float64(room))
 }
 
-// Spreading reports whether any controller that is known of shares out workers: then the
+// SharesWorkers reports whether any controller that is known of shares out workers: then the
 // others say how many they have room for.
-func (v *View) Spreading() bool {
-	if v.Self.Seats != nil {
+func (v *View) SharesWorkers() bool {
+	if v.Self.Assignments != nil {
 		return true
 	}
-	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Fresh() && p.Row.Seats != nil })
+	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.IsFresh() && p.Status.Assignments != nil })
 }
 
-// ForemanOf names the controller that should hold a worker: Foreman, or the one on whose
+// LeaderFor names the controller that should hold a worker: Foreman, or the one on whose
 // seat it is by that controller's plan, if it can be seen to be there.
-func (v *View) ForemanOf(worker string) string {
-	foreman := v.Foreman()
-	plan := v.Self.Seats
+func (v *View) LeaderFor(worker string) string {
+	foreman := v.Leader()
+	plan := v.Self.Assignments
 	if foreman != v.Self.Node {
-		plan = v.peer(foreman).Row.Seats
+		plan = v.peer(foreman).Status.Assignments
 	}
-	if foreman == v.Self.Node && v.Self.Chief != v.Self.Node || len(plan) < 2 {
+	if foreman == v.Self.Node && v.Self.PreferredLeader != v.Self.Node || len(plan) < 2 {
 		return foreman
 	}
-	seat := seatOf(worker, plan)
+	seat := assignmentOf(worker, plan)
 	switch p := v.peer(seat); {
 	case seat == v.Self.Node:
 		return seat
-	case p != nil && p.Fresh() && !p.lostWorkers():
+	case p != nil && p.IsFresh() && !p.lostWorkers():
 		return seat
 	}
 	return foreman
 }
 
-// seatOf chooses a worker's seat by rendezvous hashing, weighted by the shares: when a
+// assignmentOf chooses a worker's seat by rendezvous hashing, weighted by the shares: when a
 // share changes, only as many workers move as it changes by.
-func seatOf(worker string, plan []Seat) (best string) {
+func assignmentOf(worker string, plan []Assignment) (best string) {
 	least := math.Inf(1)
 	for _, s := range plan {
 		if s.Share <= 0 {
--- a/internal/reachability/seats_test.go
+++ b/internal/reachability/seats_test.go
@@ -14,20 +14,20 @@
 func TestSeatsAreStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const workers = 4000
-		var plan []Seat
+		var plan []Assignment
 		total := 0.0
 		for i, share := range rapid.SliceOfN(rapid.IntRange(0, 500), 2, 6).Draw(t, "shares") {
-			plan = append(plan, Seat{fmt.Sprint("racker-", i), float64(share)})
+			plan = append(plan, Assignment{fmt.Sprint("racker-", i), float64(share)})
 			total += float64(share)
 		}
 		plan[0].Share, total = plan[0].Share+1, total+1
 		grown := rapid.IntRange(0, len(plan)-1).Draw(t, "grows")
-		next := append([]Seat(nil), plan...)
+		next := append([]Assignment(nil), plan...)
 		next[grown].Share += float64(rapid.IntRange(1, 500).Draw(t, "by"))
 		count := map[string]int{}
 		for i := range workers {
 			name := fmt.Sprintf("n-%06d", i)
-			before, after := seatOf(name, plan), seatOf(name, next)
+			before, after := assignmentOf(name, plan), assignmentOf(name, next)
 			count[before]++
 			if before != after && after != next[grown].Node {
 				t.Fatalf("%s moves from %s to %s, when the share of %s grows", name, before, after, next[grown].Node)
@@ -49,24 +49,24 @@
 func TestPlanner(t *testing.T) {
 	const room, report = 1700, 8 * time.Second
 	now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
-	var p Planner
+	var p AssignmentPlanner
 	peer := func(here, room int) Peer {
-		return Peer{Known: true, Out: true, Row: Row{Held: true, Here: here, Room: room}}
+		return Peer{Known: true, OutboundReachable: true, Status: NodeStatus{LeaseHeld: true, WorkerCount: here, WorkerCapacity: room}}
 	}
 	view := func(peers ...Peer) *View {
-		v := &View{Self: Row{Node: "a", Chief: "a"}}
+		v := &View{Self: NodeStatus{Node: "a", PreferredLeader: "a"}}
 		for i, q := range peers {
 			q.Name = string(rune('b' + i))
-			q.Row.Node = q.Name
+			q.Status.Node = q.Name
 			v.Peers = append(v.Peers, q)
 		}
 		return v
 	}
-	look := func(after time.Duration, v *View, here int) []Seat {
+	look := func(after time.Duration, v *View, here int) []Assignment {
 		now = now.Add(after)
 		return p.Plan(now, v, here, room, report)
 	}
-	others := func(plan []Seat) (sum float64) {
+	others := func(plan []Assignment) (sum float64) {
 		for _, s := range plan[1:] {
 			sum += s.Share
 		}
@@ -98,7 +98,7 @@
 	if look(time.Second, few, 1000) == nil {
 		t.Error("the foreman takes all back at once")
 	}
-	if look(calmFor-time.Second, few, 1000) == nil {
+	if look(underloadedFor-time.Second, few, 1000) == nil {
 		t.Error("the foreman takes all back soon")
 	}
 	if plan := look(2*time.Second, few, 1000); plan != nil {
@@ -109,24 +109,24 @@
 // TestForemanOf: a worker's seat counts at every controller alike, but a controller that is
 // gone has none, and one that does not know the plan holds what comes to it.
 func TestForemanOf(t *testing.T) {
-	plan := []Seat{{"a", 10}, {"b", 10}, {"c", 10}}
+	plan := []Assignment{{"a", 10}, {"b", 10}, {"c", 10}}
 	at := map[string]string{}
 	for i := range 60 {
 		name := fmt.Sprintf("n-%06d", i)
-		at[name] = seatOf(name, plan)
+		at[name] = assignmentOf(name, plan)
 	}
 	see := func(self string, fresh ...string) *View {
-		v := &View{Self: Row{Node: self, Chief: "a", Held: true}}
+		v := &View{Self: NodeStatus{Node: self, PreferredLeader: "a", LeaseHeld: true}}
 		for _, name := range []string{"a", "b", "c"} {
-			p := Peer{Name: name, Row: Row{Node: name, Held: true, Chief: "a"}}
+			p := Peer{Name: name, Status: NodeStatus{Node: name, LeaseHeld: true, PreferredLeader: "a"}}
 			for _, f := range fresh {
 				p.Known = p.Known || f == name
 			}
 			if name == "a" {
-				p.Row.Seats = plan
+				p.Status.Assignments = plan
 			}
 			if name == self {
-				v.Self.Seats = p.Row.Seats
+				v.Self.Assignments = p.Status.Assignments
 			} else {
 				v.Peers = append(v.Peers, p)
 			}
@@ -145,7 +145,7 @@
 			{see("c", "a"), map[bool]string{true: "a", false: seat}[seat == "b"]},
 			{see("b", "c"), "b"},
 		} {
-			if got := c.view.ForemanOf(name); got != c.want {
+			if got := c.view.LeaderFor(name); got != c.want {
 				t.Errorf("%s, on the seat of %s, is sent to %s by %s, not to %s", name, seat, got, c.view.Self.Node, c.want)
 			}
 		}
--- a/internal/reachability/table.go
+++ b/internal/reachability/table.go
@@ -11,9 +11,9 @@
 
 // The paths.
 const (
-	Direct Path = iota // from the controller itself
-	Third              // passed on by a peer
-	Stored             // read from the state service
+	Direct   Path = iota // from the controller itself
+	ViaPeer              // passed on by a peer
+	ViaStore             // read from the state service
 )
 
 var paths = [...]string{"direct", "third", "state"}
@@ -23,7 +23,7 @@
 
 // known is the newest row of a controller.
 type known struct {
-	row    Row
+	row    NodeStatus
 	at     time.Time // when it was made, as near as can be told; without a row, when this process began
 	began  time.Time // when the first row of the peer's present process came
 	path   Path
@@ -37,27 +37,27 @@
 	self  string
 	peers []string
 
-	mu   sync.Mutex
-	rows map[string]*known
+	mu       sync.Mutex
+	statuses map[string]*known
 }
 
 // NewTable returns a table of peers that nobody has heard yet.
 func NewTable(self string, peers []string) *Table {
-	t := &Table{self: self, peers: peers, rows: map[string]*known{}}
+	t := &Table{self: self, peers: peers, statuses: map[string]*known{}}
 	now := time.Now()
 	for _, p := range peers {
-		t.rows[p] = &known{at: now}
+		t.statuses[p] = &known{at: now}
 	}
 	return t
 }
 
-// Take keeps a row that is age old, unless a newer one is known. Rows of
+// Update keeps a row that is age old, unless a newer one is known. Rows of
 // controllers that are not configured, and of this one, are dropped. A row that a
 // controller sent itself stands for that controller's being heard now.
-func (t *Table) Take(r Row, path Path, age time.Duration, now time.Time) {
+func (t *Table) Update(r NodeStatus, path Path, age time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.rows[r.Node]
+	k := t.statuses[r.Node]
 	if k == nil {
 		return
 	}
@@ -65,11 +65,11 @@
 		k.direct = now
 	}
 	if at := now.Add(-age); r.newer(&k.row) {
-		if r.Born != k.row.Born {
+		if r.StartedMs != k.row.StartedMs {
 			k.began = now
 		}
 		k.row, k.at, k.path = r, at, path
-	} else if r.Born == k.row.Born && r.Seq == k.row.Seq && path < k.path {
+	} else if r.StartedMs == k.row.StartedMs && r.Seq == k.row.Seq && path < k.path {
 		k.path = path
 	}
 }
@@ -82,12 +82,12 @@
 	timeoutCounts = 1 // one that got no answer in time
 )
 
-// Called notes whether a call to a peer brought an answer, and if not, whether it
+// RecordCall notes whether a call to a peer brought an answer, and if not, whether it
 // could not even be sent.
-func (t *Table) Called(peer string, answered, refused bool) {
+func (t *Table) RecordCall(peer string, answered, refused bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.rows[peer]
+	k := t.statuses[peer]
 	switch {
 	case k == nil:
 	case answered:
@@ -101,43 +101,43 @@
 
 // Peer is a peer in a View.
 type Peer struct {
-	Name  string
-	Row   Row
-	Known bool          // a row of it ever came
-	Path  Path          // by which the row came
-	Age   time.Duration // of the row; without one, of this process
-	Heard time.Duration // since it was last heard directly
-	Out   bool          // calls to it work, as far as is known
+	Name              string
+	Status            NodeStatus
+	Known             bool          // a row of it ever came
+	Path              Path          // by which the row came
+	Age               time.Duration // of the row; without one, of this process
+	SinceHeard        time.Duration // since it was last heard directly
+	OutboundReachable bool          // calls to it work, as far as is known
 }
 
-// Near reports whether the peer exchanges messages with this controller directly.
-func (p *Peer) Near() bool { return p.Known && p.Heard < Lost }
+// DirectlyReached reports whether the peer exchanges messages with this controller directly.
+func (p *Peer) DirectlyReached() bool { return p.Known && p.SinceHeard < PeerTimeout }
 
-// Fresh reports whether what the peer said is new enough to act by.
-func (p *Peer) Fresh() bool {
+// IsFresh reports whether what the peer said is new enough to act by.
+func (p *Peer) IsFresh() bool {
 	if !p.Known {
 		return false
 	}
-	if p.Path == Stored {
+	if p.Path == ViaStore {
 		return p.Age < storedLost
 	}
-	return p.Age < Lost
+	return p.Age < PeerTimeout
 }
 
 // View is the links as this controller sees them at one moment.
 type View struct {
-	Self  Row
+	Self  NodeStatus
 	Peers []Peer // in the order of the settings
 }
 
 // View returns the view at now, with this controller's own row.
-func (t *Table) View(self Row, now time.Time) View {
+func (t *Table) View(self NodeStatus, now time.Time) View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := View{Self: self, Peers: make([]Peer, 0, len(t.peers))}
 	for _, name := range t.peers {
-		k := t.rows[name]
-		p := Peer{Name: name, Row: k.row, Known: k.row.Node != "", Path: k.path, Age: now.Sub(k.at), Heard: now.Sub(k.direct), Out: k.fails < outLost}
+		k := t.statuses[name]
+		p := Peer{Name: name, Status: k.row, Known: k.row.Node != "", Path: k.path, Age: now.Sub(k.at), SinceHeard: now.Sub(k.direct), OutboundReachable: k.fails < outLost}
 		v.Peers = append(v.Peers, p)
 	}
 	return v
@@ -148,51 +148,51 @@
 func (t *Table) HeardWithin(peer string, d time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.rows[peer]
+	k := t.statuses[peer]
 	return k != nil && now.Sub(k.direct) < d && k.fails == 0
 }
 
-// Untold notes that what this controller hears of machines did not reach a peer
+// RecordUndelivered notes that what this controller hears of machines did not reach a peer
 // that owns jobs.
-func (t *Table) Untold(peer string, now time.Time) {
+func (t *Table) RecordUndelivered(peer string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k := t.rows[peer]; k != nil {
-		k.mute = now.Add(Lost)
+	if k := t.statuses[peer]; k != nil {
+		k.mute = now.Add(PeerTimeout)
 	}
 }
 
-// Lacks names the peers that are not heard directly, whom calls don't reach, or
+// UnreachedPeers names the peers that are not heard directly, whom calls don't reach, or
 // who are too busy to be told what is heard here.
-func (t *Table) Lacks(now time.Time) []string {
+func (t *Table) UnreachedPeers(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
 	for _, name := range t.peers {
-		if k := t.rows[name]; now.Sub(k.direct) >= Lost || k.fails >= outLost || now.Before(k.mute) {
+		if k := t.statuses[name]; now.Sub(k.direct) >= PeerTimeout || k.fails >= outLost || now.Before(k.mute) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// Lacked reports whether a peer lacks this controller: it can't be asked, or told, and
+// UnreachedByPeers reports whether a peer lacks this controller: it can't be asked, or told, and
 // has to say in its row whom it hears.
-func (t *Table) Lacked(now time.Time) bool {
+func (t *Table) UnreachedByPeers(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, k := range t.rows {
-		if now.Sub(k.at) < storedLost && slices.Contains(k.row.Lacks, t.self) {
+	for _, k := range t.statuses {
+		if now.Sub(k.at) < storedLost && slices.Contains(k.row.UnreachedPeers, t.self) {
 			return true
 		}
 	}
 	return false
 }
 
-// Relayed is a row that a controller passes on for another.
-type Relayed struct {
-	Row  Row     `json:"row"`
-	AgeS float64 `json:"age"` // s, when it was passed on
+// RelayedStatus is a row that a controller passes on for another.
+type RelayedStatus struct {
+	Status NodeStatus `json:"row"`
+	AgeS   float64    `json:"age"` // s, when it was passed on
 }
 
 // introduced is how long after a peer's process began it is told of controllers that have
@@ -200,43 +200,43 @@
 // answer machines that it doesn't hear either.
 const introduced = 10 * time.Second
 
-// Passed returns the rows to be passed on to a peer: none while everybody
+// RelayFor returns the rows to be passed on to a peer: none while everybody
 // exchanges rows with everybody, else those that came directly and that the peer
 // or their author says it lacks. A row is passed on once.
-func (t *Table) Passed(to string, now time.Time) []Relayed {
+func (t *Table) RelayFor(to string, now time.Time) []RelayedStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []Relayed
+	var out []RelayedStatus
 	for _, name := range t.peers {
-		k := t.rows[name]
+		k := t.statuses[name]
 		if name == to || k.row.Node == "" || k.path != Direct {
 			continue
 		}
-		if now.Sub(k.at) >= Lost && now.Sub(t.rows[to].began) >= introduced {
+		if now.Sub(k.at) >= PeerTimeout && now.Sub(t.statuses[to].began) >= introduced {
 			continue
 		}
-		if slices.Contains(k.row.Lacks, to) || slices.Contains(t.rows[to].row.Lacks, name) {
-			out = append(out, Relayed{k.row, now.Sub(k.at).Seconds()})
+		if slices.Contains(k.row.UnreachedPeers, to) || slices.Contains(t.statuses[to].row.UnreachedPeers, name) {
+			out = append(out, RelayedStatus{k.row, now.Sub(k.at).Seconds()})
 		}
 	}
 	return out
 }
 
-// TakePassed keeps rows that a peer passed on.
-func (t *Table) TakePassed(rows []Relayed, now time.Time) {
+// UpdateRelayed keeps rows that a peer passed on.
+func (t *Table) UpdateRelayed(rows []RelayedStatus, now time.Time) {
 	for _, r := range rows {
-		t.Take(r.Row, Third, time.Duration(r.AgeS*float64(time.Second)), now)
+		t.Update(r.Status, ViaPeer, time.Duration(r.AgeS*float64(time.Second)), now)
 	}
 }
 
-// How says in a word how the peer is reached.
-func (p *Peer) How() string {
+// ReachedBy says in a word how the peer is reached.
+func (p *Peer) ReachedBy() string {
 	switch {
-	case p.Near() && p.Out:
+	case p.DirectlyReached() && p.OutboundReachable:
 		return "up"
-	case p.Near():
+	case p.DirectlyReached():
 		return "heard, not reached"
-	case p.Fresh():
+	case p.IsFresh():
 		return "known by " + p.Path.String()
 	case p.Known:
 		return "dark"
@@ -244,27 +244,27 @@
 	return "never heard"
 }
 
-// Shown is a controller's view of the links, for operators.
-type Shown struct {
-	Node        string      `json:"node"`
-	State       string      `json:"state"`         // straight, by a peer, or lost
-	Kept        int         `json:"kept"`          // machines that are silent and kept, by the last judgement
-	CancelsAgeS float64     `json:"cancels_age_s"` // cancels confirmed by anybody are known here up to so long ago
-	Cancelled   int         `json:"cancelled"`     // jobs whose tasks are halted wherever they are seen
-	Answers     bool        `json:"answers"`       // whether it may answer workers
-	Links       []ShownLink `json:"links"`
-	Controllers []ShownNode `json:"controllers"`
+// OpsStatus is a controller's view of the links, for operators.
+type OpsStatus struct {
+	Node        string    `json:"node"`
+	State       string    `json:"state"`         // straight, by a peer, or lost
+	Kept        int       `json:"kept"`          // machines that are silent and kept, by the last judgement
+	CancelsAgeS float64   `json:"cancels_age_s"` // cancels confirmed by anybody are known here up to so long ago
+	Cancelled   int       `json:"cancelled"`     // jobs whose tasks are halted wherever they are seen
+	Answers     bool      `json:"answers"`       // whether it may answer workers
+	Links       []OpsLink `json:"links"`
+	Controllers []OpsNode `json:"controllers"`
 }
 
-// ShownLink is one of the links of the controller that was asked.
-type ShownLink struct {
+// OpsLink is one of the links of the controller that was asked.
+type OpsLink struct {
 	To     string  `json:"to"`
 	Is     string  `json:"is"`
 	SinceS float64 `json:"since_s"`
 }
 
-// ShownNode is what is known of a controller there.
-type ShownNode struct {
+// OpsNode is what is known of a controller there.
+type OpsNode struct {
 	Node     string   `json:"node"`
 	Reached  string   `json:"reached"` // how, from the controller that was asked
 	AgeS     float64  `json:"age_s"`   // of what is known of it
@@ -277,11 +277,11 @@
 	Lacks    []string `json:"lacks"`
 }
 
-// Show makes of the view what operators see.
-func (v *View) Show(relayed bool) Shown {
-	s := Shown{Node: v.Self.Node, State: v.StateBy(relayed)}
-	add := func(r *Row, name, reached string, age time.Duration) {
-		s.Controllers = append(s.Controllers, ShownNode{name, reached, age.Seconds(), r.State, r.Held, r.Owns, r.Cloud, r.Reports, r.Expected, r.Lacks})
+// OpsStatus makes of the view what operators see.
+func (v *View) OpsStatus(relayed bool) OpsStatus {
+	s := OpsStatus{Node: v.Self.Node, State: v.StorePath(relayed)}
+	add := func(r *NodeStatus, name, reached string, age time.Duration) {
+		s.Controllers = append(s.Controllers, OpsNode{name, reached, age.Seconds(), r.StoreReachable, r.LeaseHeld, r.OwnsJobs, r.CloudReachable, r.Heartbeats, r.ExpectedHeartbeats, r.UnreachedPeers})
 	}
 	add(&v.Self, v.Self.Node, "self", 0)
 	for i := range v.Peers {
@@ -290,17 +290,17 @@
 		if !p.Known {
 			age = 0
 		}
-		add(&p.Row, p.Name, p.How(), age)
+		add(&p.Status, p.Name, p.ReachedBy(), age)
 	}
 	return s
 }
 
-// StateBy says how this controller reaches the state service.
-func (v *View) StateBy(relayed bool) string {
+// StorePath says how this controller reaches the state service.
+func (v *View) StorePath(relayed bool) string {
 	switch {
 	case relayed:
 		return "by a peer"
-	case v.Self.State:
+	case v.Self.StoreReachable:
 		return "straight"
 	}
 	return "lost"
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -51,7 +51,7 @@
 
 // UnresponsiveWorkers returns how many machines there are, and those that were not heard for
 // longer than from, or on which what was sent had no effect for so long.
-func (o *Scheduler) UnresponsiveWorkers(from time.Duration) (known int, silent []reachability.Machine) {
+func (o *Scheduler) UnresponsiveWorkers(from time.Duration) (known int, silent []reachability.UnresponsiveWorker) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
@@ -71,7 +71,7 @@
 			s = max(s, now.Sub(m.UnresponsiveSince))
 		}
 		if s >= from {
-			silent = append(silent, reachability.Machine{Name: name, Endpoint: m.View.Endpoint, Silent: s, Busy: len(m.Placements) > 0, Deaf: deaf, Unheard: m.LastHeartbeat.Before(m.KnownSince)})
+			silent = append(silent, reachability.UnresponsiveWorker{Name: name, Endpoint: m.View.Endpoint, SilentFor: s, Busy: len(m.Placements) > 0, OutboundLost: deaf, UnheardSinceFailover: m.LastHeartbeat.Before(m.KnownSince)})
 		}
 	}
 	return len(o.machines), silent
--- a/internal/scheduler/unsent_grant_test.go
+++ b/internal/scheduler/unsent_grant_test.go
@@ -42,7 +42,7 @@
 				show()
 				_, silent := f.owner.UnresponsiveWorkers(2 * time.Second)
 				for i := range silent {
-					deaf = deaf || silent[i].Name == ref.Machine && silent[i].Deaf
+					deaf = deaf || silent[i].Name == ref.Machine && silent[i].OutboundLost
 				}
 			}
 			if deaf == unsent {
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -13,7 +13,7 @@
 
 // ObserveWorker hands a view to the owner here, as cmd/wallrack does.
 func (n *node) ObserveWorker(v dispatch.WorkerView) {
-	if seen := n.linksSeen(); v.Asked && seen.Spreading() {
+	if seen := n.linksSeen(); v.Asked && seen.SharesWorkers() {
 		v.Holder = n.LeaderFor(v.Name)
 	}
 	n.owner.ObserveWorker(v)
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -40,10 +40,10 @@
 	seq       uint64
 	by        string // who passes requests to the state service on
 	silenceMu sync.Mutex
-	silence   reachability.Silence
-	watch     reachability.Watch
-	plan      reachability.Planner
-	seats     []reachability.Seat
+	silence   reachability.FailureDetector
+	watch     reachability.TransferMonitor
+	plan      reachability.AssignmentPlanner
+	seats     []reachability.Assignment
 	room      int
 	here      int
 	announced time.Time
@@ -67,32 +67,32 @@
 func (r *reach) init(n *node) {
 	r.node = n
 	r.table, r.born = reachability.NewTable(n.name, r.peers()), time.Now().UnixMilli()
-	r.silence = reachability.Silence{Base: 5 * time.Second, Lease: workerLease, Report: reportEvery, Grace: testGrace}
-	r.last = r.table.View(reachability.Row{Node: n.name}, time.Now())
+	r.silence = reachability.FailureDetector{Base: 5 * time.Second, Lease: workerLease, Report: reportEvery, Grace: testGrace}
+	r.last = r.table.View(reachability.NodeStatus{Node: n.name}, time.Now())
 }
 
-func (r *reach) way(n *node, to string) string { return r.last.Way(to) }
+func (r *reach) way(n *node, to string) string { return r.last.NextHop(to) }
 
-func (r *reach) row(state bool) reachability.Row {
+func (r *reach) row(state bool) reachability.NodeStatus {
 	n, now := r.node, time.Now()
 	r.seq++
 	reports, machines := n.holder.RecentHeartbeats()
-	row := reachability.Row{Node: n.name, Born: r.born, Seq: r.seq, State: state, Held: n.member.LeaseRemaining() > 0, Owns: len(n.member.OwnedShards()) > 0,
-		Reports: reports, Expected: float64(machines) / reportEvery.Seconds() * dispatch.HeartbeatWindow.Seconds(), Lacks: r.table.Lacks(now)}
+	row := reachability.NodeStatus{Node: n.name, StartedMs: r.born, Seq: r.seq, StoreReachable: state, LeaseHeld: n.member.LeaseRemaining() > 0, OwnsJobs: len(n.member.OwnedShards()) > 0,
+		Heartbeats: reports, ExpectedHeartbeats: float64(machines) / reportEvery.Seconds() * dispatch.HeartbeatWindow.Seconds(), UnreachedPeers: r.table.UnreachedPeers(now)}
 	if o := n.member.ShardOwners(); len(o) > 0 {
-		row.Chief = o[0]
+		row.PreferredLeader = o[0]
 	}
-	row.Seats, row.Room, row.Here = r.seats, r.room, r.here
-	if len(row.Lacks) > 0 || r.table.Lacked(now) {
-		row.Heard = reachability.NewNames(n.holder.WorkersHeardWithin(workerLease), 4096)
+	row.Assignments, row.WorkerCapacity, row.WorkerCount = r.seats, r.room, r.here
+	if len(row.UnreachedPeers) > 0 || r.table.UnreachedByPeers(now) {
+		row.HeardWorkers = reachability.NewNameSet(n.holder.WorkersHeardWithin(workerLease), 4096)
 	}
 	return row
 }
 
 func (r *reach) stored(value json.RawMessage) {
-	var row reachability.Row
+	var row reachability.NodeStatus
 	if json.Unmarshal(value, &row) == nil {
-		r.table.Take(row, reachability.Stored, 0, time.Now())
+		r.table.Update(row, reachability.ViaStore, 0, time.Now())
 	}
 }
 
@@ -105,11 +105,11 @@
 
 func (n *node) LeaderFor(worker string) string {
 	v := n.linksSeen()
-	v.Self.Held = n.member.LeaseRemaining() > 0
+	v.Self.LeaseHeld = n.member.LeaseRemaining() > 0
 	if o := n.member.ShardOwners(); len(o) > 0 {
-		v.Self.Chief = o[0]
+		v.Self.PreferredLeader = o[0]
 	}
-	return v.ForemanOf(worker)
+	return v.LeaderFor(worker)
 }
 
 func (n *node) MayAnswerWorkers() bool {
@@ -118,8 +118,8 @@
 
 func (n *node) Isolated() bool {
 	v := n.linksSeen()
-	v.Self.Owns = len(n.member.OwnedShards()) > 0
-	return v.Alone()
+	v.Self.OwnsJobs = len(n.member.OwnedShards()) > 0
+	return v.Isolated()
 }
 
 // exchange has the controllers tell each other, as far as links work, and act by
@@ -147,12 +147,12 @@
 			w.mu.Lock()
 			ok := !to.down && w.works(n.name, name)
 			w.mu.Unlock()
-			n.reach.table.Called(name, ok, true)
+			n.reach.table.RecordCall(name, ok, true)
 			if ok {
-				to.reach.table.Take(n.reach.row(straight[n]), reachability.Direct, 0, now)
-				to.reach.table.TakePassed(n.reach.table.Passed(name, now), now)
-				n.reach.table.Take(to.reach.row(straight[to]), reachability.Direct, 0, now)
-				n.reach.table.TakePassed(to.reach.table.Passed(n.name, now), now)
+				to.reach.table.Update(n.reach.row(straight[n]), reachability.Direct, 0, now)
+				to.reach.table.UpdateRelayed(n.reach.table.RelayFor(name, now), now)
+				n.reach.table.Update(to.reach.row(straight[to]), reachability.Direct, 0, now)
+				n.reach.table.UpdateRelayed(to.reach.table.RelayFor(n.name, now), now)
 				w.tellCancels(n, to)
 			}
 		}
@@ -164,18 +164,18 @@
 		r.seat(now, &v)
 		w.mu.Lock()
 		r.last, r.by = v, ""
-		if served := v.Served(); !straight[n] && len(served) > 0 {
+		if served := v.ServingPeers(); !straight[n] && len(served) > 0 {
 			r.by = served[0]
 		}
 		w.mu.Unlock()
-		if v.Self.Held && now.Sub(r.announced) >= reachability.AnnounceEvery && len(v.Unreached()) > 0 {
+		if v.Self.LeaseHeld && now.Sub(r.announced) >= reachability.AnnounceEvery && len(v.UnreachedPeers()) > 0 {
 			r.announced = now
 			_ = n.member.AnnounceLinks(context.Background(), v.Self) // a row that is lost is followed by the next
 		}
-		if to := r.watch.Look(now, &v, n.member.RecentTransfers(reachability.Window)); to != "" {
+		if to := r.watch.Check(now, &v, n.member.RecentTransfers(reachability.TransferWindow)); to != "" {
 			_ = n.member.TransferShards(context.Background(), to) // tried again if it fails
 		}
-		if v.Self.Owns && w.keepCuts {
+		if v.Self.OwnsJobs && w.keepCuts {
 			w.judge(n, &v)
 		}
 	}
@@ -187,32 +187,32 @@
 	here := r.node.holder.CountReporting(5 * reportEvery / 2)
 	r.seats = r.plan.Plan(now, v, here, room, reportEvery)
 	r.room, r.here = 0, 0
-	if v.Self.Seats = r.seats; v.Spreading() {
+	if v.Self.Assignments = r.seats; v.SharesWorkers() {
 		r.room, r.here = room, here
 	}
-	v.Self.Room = r.room
+	v.Self.WorkerCapacity = r.room
 }
 
 // judge returns the machines that an owner gives up. A machine whose worker a
 // controller heard a moment ago must not be among them.
 func (w *cluster) judge(n *node, v *reachability.View) {
 	r := &n.reach
-	known, silent := n.owner.UnresponsiveWorkers(r.silence.From())
+	known, silent := n.owner.UnresponsiveWorkers(r.silence.Threshold())
 	r.silenceMu.Lock()
-	verdict := r.silence.Judge(time.Now(), v, reachability.Ears{}, known, silent)
+	verdict := r.silence.Evaluate(time.Now(), v, reachability.ReceiveHealth{}, known, silent)
 	r.silenceMu.Unlock()
-	for name, m := range verdict.Ask {
+	for name, m := range verdict.Probe {
 		n.onDuty("silence of "+name, func(ctx context.Context) {
 			heard := n.lives(ctx, m)
-			if heard && m.Deaf {
+			if heard && m.OutboundLost {
 				n.owner.WorkerAnswered(name)
 			}
 			r.silenceMu.Lock()
 			defer r.silenceMu.Unlock()
-			r.silence.Asked(name, heard, time.Now())
+			r.silence.RecordProbe(name, heard, time.Now())
 		})
 	}
-	for name, why := range verdict.Back {
+	for name, why := range verdict.Return {
 		w.mu.Lock()
 		h, k := w.heard[name], w.byName[name]
 		if at := h.last; k != nil && time.Since(at) < 3*reportEvery && time.Since(h.since) > surely {
@@ -220,7 +220,7 @@
 			for _, x := range w.names {
 				seen += fmt.Sprintf(" %s %v", x, w.nodes[x].holder.SinceHeartbeat(name))
 			}
-			w.fail("%s gives %s back (%s), which was heard %v ago (by%s), asked now: %v; %+v", n.name, name, why, time.Since(h.last), seen, verdict.Ask[name], v)
+			w.fail("%s gives %s back (%s), which was heard %v ago (by%s), asked now: %v; %+v", n.name, name, why, time.Since(h.last), seen, verdict.Probe[name], v)
 		}
 		delete(w.byName, name)
 		if i := slices.Index(w.workers, k); i >= 0 {
@@ -244,7 +244,7 @@
 }
 
 // lives asks a machine, and has all peers ask it, whether it lives.
-func (n *node) lives(ctx context.Context, m reachability.Machine) bool {
+func (n *node) lives(ctx context.Context, m reachability.UnresponsiveWorker) bool {
 	w := n.w
 	heard := m.Endpoint != "" && n.holder.FetchReport(ctx, m.Name, m.Endpoint)
 	for _, p := range w.names { // and its peers are asked whether they hear it
@@ -252,7 +252,7 @@
 		to := w.nodes[p]
 		ok := to != n && w.reach(n, to)
 		w.mu.Unlock()
-		heard = heard || ok && (!m.Deaf && to.holder.SinceHeartbeat(m.Name) < n.reach.silence.Base || m.Endpoint != "" && to.holder.FetchReport(ctx, m.Name, m.Endpoint))
+		heard = heard || ok && (!m.OutboundLost && to.holder.SinceHeartbeat(m.Name) < n.reach.silence.Base || m.Endpoint != "" && to.holder.FetchReport(ctx, m.Name, m.Endpoint))
 	}
 	return heard
 }
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -35,15 +35,15 @@
 	}
 	v := n.linksSeen()
 	for i := range v.Peers {
-		if p := &v.Peers[i]; p.Fresh() && p.Row.Held {
-			add(p.Row.Chief)
+		if p := &v.Peers[i]; p.IsFresh() && p.Status.LeaseHeld {
+			add(p.Status.PreferredLeader)
 		}
 	}
 	return out
 }
 
 // Served names the controllers that reach the state service.
-func (n *node) Served() []string { v := n.linksSeen(); return v.Served() }
+func (n *node) Served() []string { v := n.linksSeen(); return v.ServingPeers() }
 
 // Up reports whether this controller takes users.
 func (n *node) Up() bool { return true }
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -212,7 +212,7 @@
 		z.fail("%q leads, after %v", next, took)
 	}
 	for _, p := range z.nodes[next].linksSeen().Peers {
-		if p.Name == inside && p.Heard < time.Hour {
+		if p.Name == inside && p.SinceHeard < time.Hour {
 			z.fail("%s has heard %s", next, inside)
 		}
 	}
