--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -87,7 +87,7 @@
 	n.holder = dispatch.New(ctx, p.Node, config.Seconds(p.Params.Workers.LeaseS), n, member, catalog, n, orders, log)
 	n.published, n.pictures = viewsync.NewPublisher(p.Node, n.holder), viewsync.NewReceiver(n.owner, slices.Collect(maps.Keys(addrs)))
 	n.intake = submission.New(p, op, store, n.owner, catalog, n, log)
-	n.owner.Cancellations, n.holder.Cancellations, n.intake.Cancels = n.cancels, n.cancels, n.cancels
+	n.owner.Cancellations, n.holder.Cancellations, n.intake.Cancellations = n.cancels, n.cancels, n.cancels
 	boxes := autoscaler.New(p, op, cloud, catalog, store, member, &allOwners{n: n, ctx: ctx}, n.holder, log)
 	alerts := slo.New(p.Params.Objectives, n.owner, log)
 	lis, err := mesh.Listen(ctx, p.Listen)
@@ -115,7 +115,7 @@
 	n.handleDemand()
 
 	mux := http.NewServeMux()
-	n.intake.Crowded = meter.Crowded
+	n.intake.MemoryPressure = meter.Crowded
 	n.intake.Register(mux)
 	alerts.Register(mux)
 	mux.HandleFunc("GET /ops/stats", func(w http.ResponseWriter, _ *http.Request) {
--- a/cmd/wallrack/demand.go
+++ b/cmd/wallrack/demand.go
@@ -81,7 +81,7 @@
 	for i, l := range own.Loads {
 		at[l.Name] = i
 	}
-	for _, peer := range a.n.Owners() {
+	for _, peer := range a.n.ShardOwners() {
 		ctx, cancel := context.WithTimeout(a.ctx, demandWithin)
 		rep, err := call[demandMessage, demandReply](ctx, a.n, peer, methodDemand, &demandMessage{Boot: boot})
 		cancel()
@@ -161,7 +161,7 @@
 		ms = n.owner.Machines()
 	} else {
 		found := false
-		for _, peer := range n.Owners() {
+		for _, peer := range n.ShardOwners() {
 			ctx, cancel := context.WithTimeout(r.Context(), demandWithin)
 			rep, err := call[nothing, []wire.MachineInfo](ctx, n, peer, methodList, &nothing{})
 			cancel()
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -60,7 +60,7 @@
 	log    *slog.Logger
 	owner  *scheduler.Scheduler
 	holder *dispatch.Dispatcher
-	intake *submission.Intake
+	intake *submission.Service
 	times  *failovertiming.Timeline
 
 	published *viewsync.Publisher
@@ -102,8 +102,8 @@
 	return rep
 }
 
-// Ask hands a user's request to a peer.
-func (n *node) Ask(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
+// AskPeer hands a user's request to a peer.
+func (n *node) AskPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
 	return call[submission.Request, submission.Reply](ctx, n, peer, methodUser, &r)
 }
 
--- a/cmd/wallrack/publish.go
+++ b/cmd/wallrack/publish.go
@@ -47,7 +47,7 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		owners := n.Owners()
+		owners := n.ShardOwners()
 		owns := n.member.LeaseRemaining() > 0 && len(n.member.OwnedShards()) > 0
 		if owns && !owned {
 			// New here as an owner: what was heard before counts too.
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -78,7 +78,7 @@
 	}
 	defer m.Close()
 	log := slog.New(slog.DiscardHandler)
-	n := &node{cfg: &config.Platform{}, mesh: m, owner: &scheduler.Scheduler{}, intake: &submission.Intake{}, log: log}
+	n := &node{cfg: &config.Platform{}, mesh: m, owner: &scheduler.Scheduler{}, intake: &submission.Service{}, log: log}
 	n.handle()
 	n.handleDemand()
 	n.slurm(&slurmapi.Settings{}, nil, http.NewServeMux())
--- a/cmd/wallrack/roles.go
+++ b/cmd/wallrack/roles.go
@@ -31,8 +31,8 @@
 // Isolated reports whether this controller can start nothing and knows of nobody who can.
 func (n *node) Isolated() bool { return n.links.now().Isolated() && len(n.member.OwnedShards()) == 0 }
 
-// Owners names the other controllers that own shards.
-func (n *node) Owners() []string {
+// ShardOwners names the other controllers that own shards.
+func (n *node) ShardOwners() []string {
 	var out []string
 	add := func(name string) {
 		if name != "" && name != n.cfg.Node && !slices.Contains(out, name) {
@@ -54,11 +54,11 @@
 	return out
 }
 
-// Served names the other controllers that reach the state service.
-func (n *node) Served() []string { return n.links.now().ServingPeers() }
+// ServingPeers names the other controllers that reach the state service.
+func (n *node) ServingPeers() []string { return n.links.now().ServingPeers() }
 
-// Up fails only when this controller can't serve and a peer can.
-func (n *node) Up() bool {
+// Healthy fails only when this controller can't serve and a peer can.
+func (n *node) Healthy() bool {
 	up := n.member.FencingToken() != 0 && n.links.now().Healthy()
 	if up {
 		n.times.Mark(failovertiming.Up)
--- a/cmd/wallrack/rollouts.go
+++ b/cmd/wallrack/rollouts.go
@@ -116,7 +116,7 @@
 	}
 	statuses := func(ctx context.Context) []rollout.Status {
 		if !n.owner.LeadsAutoscaling() {
-			for _, p := range n.Owners() { // the leader knows the replicas' health
+			for _, p := range n.ShardOwners() { // the leader knows the replicas' health
 				if rep, err := mesh.Call[nothing, []rollout.Status](ctx, n.mesh, p, methodRollouts, &nothing{}); err == nil {
 					return *rep
 				}
--- a/cmd/wallrack/slurm.go
+++ b/cmd/wallrack/slurm.go
@@ -69,7 +69,7 @@
 
 // JobFacts says how far a job is: its owner knows, or the store how it ended.
 func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.Facts, error) {
-	for _, p := range n.Owners() {
+	for _, p := range n.ShardOwners() {
 		actx, cancel := context.WithTimeout(ctx, factsWithin)
 		rep, err := mesh.Call[factsMessage, factsReply](actx, n.mesh, p, methodFacts, &factsMessage{UID: uid})
 		cancel()
@@ -82,7 +82,7 @@
 
 // HasEarlier asks the other owners; one that does not answer may have such a job.
 func (n *node) HasEarlier(ctx context.Context, name, user string, number uint64) (bool, error) {
-	for _, p := range n.Owners() {
+	for _, p := range n.ShardOwners() {
 		actx, cancel := context.WithTimeout(ctx, factsWithin)
 		rep, err := mesh.Call[factsMessage, factsReply](actx, n.mesh, p, methodEarlier, &factsMessage{Name: name, User: user, Number: number})
 		cancel()
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -28,7 +28,7 @@
 	from.Task, _ = strconv.Atoi(q.Get("task"))
 	from.On, from.Task = max(0, from.On), max(0, from.Task)
 	page := jobquery.Page{Jobs: []jobquery.Info{}, NowMs: time.Now().UnixMilli()}
-	owners := s.peers.Owners()
+	owners := s.peers.ShardOwners()
 	add := func(rep Reply) {
 		page.Jobs = append(page.Jobs, rep.Jobs...)
 		if rep.Next != nil && (page.Next == nil || rep.Next.Number < page.Next.Number) {
@@ -88,7 +88,7 @@
 		ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
 		defer cancel()
 		rep := Reply{}
-		for _, p := range s.peers.Owners() {
+		for _, p := range s.peers.ShardOwners() {
 			if got, ok := s.ask(ctx, p, req); ok {
 				rep = got
 				break
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -49,7 +49,7 @@
 type Peers interface {
 	// Owns reports whether this controller owns shards.
 	Owns() bool
-	Owners() []string
+	ShardOwners() []string
 	// AskOwner has a peer serve a request with its own jobs.
 	AskOwner(ctx context.Context, peer string, r Request) (*Reply, error)
 }
@@ -152,7 +152,7 @@
 	if parsed.Test {
 		verb = submission.VerbCheck
 	}
-	rep := s.intake.Submit(r.Context(), submission.Request{Verb: verb, Body: parsed.Job, Terms: parsed.Terms})
+	rep := s.intake.Submit(r.Context(), submission.Request{Verb: verb, Body: parsed.Job, Constraints: parsed.Terms})
 	switch {
 	case rep.Status/100 == 2:
 		httpjson.Write(w, rep.Status, rep.State)
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -64,7 +64,7 @@
 	return scheduler.ErrInvalidRequest
 }
 func (s *site) Owns() bool              { return s.owns }
-func (s *site) Owners() []string        { return nil }
+func (s *site) ShardOwners() []string   { return nil }
 func (s *site) All() []wire.MachineType { return nil }
 func (s *site) Submit(context.Context, submission.Request) submission.Reply {
 	return submission.Reply{}
--- a/internal/submission/gather.go
+++ b/internal/submission/gather.go
@@ -76,7 +76,7 @@
 }
 
 // gather returns the gatherer for a peer.
-func (in *Intake) gather(peer string) *gatherer {
+func (in *Service) gather(peer string) *gatherer {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	g := in.gatherers[peer]
@@ -88,7 +88,7 @@
 }
 
 // known answers a peer's gathered polls.
-func (in *Intake) known(uids []string) Reply {
+func (in *Service) known(uids []string) Reply {
 	rep := Reply{Status: http.StatusOK, States: make([]wire.JobState, len(uids))}
 	for i, uid := range uids {
 		rep.States[i], _ = in.jobs.LocalState(uid) // without a uid: it can't be told
--- a/internal/submission/intake.go
+++ b/internal/submission/intake.go
@@ -58,7 +58,7 @@
 
 	UIDs []string `json:"uids,omitempty"` // of gathered polls
 
-	Terms *jobspec.Terms `json:"terms,omitempty"` // of a submission
+	Constraints *jobspec.Terms `json:"terms,omitempty"` // of a submission
 }
 
 // Reply is its answer; status 0 means that the peer can't tell either.
@@ -81,18 +81,18 @@
 
 // Peers are the other controllers.
 type Peers interface {
-	// Owners names the other controllers that own shards.
-	Owners() []string
-	// Served names the other controllers that reach the state service.
-	Served() []string
-	// Ask hands a request to a peer.
-	Ask(ctx context.Context, peer string, r Request) (*Reply, error)
-	// Up reports whether this controller should take users.
-	Up() bool
+	// ShardOwners names the other controllers that own shards.
+	ShardOwners() []string
+	// ServingPeers names the other controllers that reach the state service.
+	ServingPeers() []string
+	// AskPeer hands a request to a peer.
+	AskPeer(ctx context.Context, peer string, r Request) (*Reply, error)
+	// Healthy reports whether this controller should take users.
+	Healthy() bool
 }
 
-// Cancels knows what was cancelled.
-type Cancels interface {
+// Cancellations knows what was cancelled.
+type Cancellations interface {
 	// Confirm is called before a user is told that a job is cancelled; with an
 	// error it must not be told.
 	Confirm(uid string) error
@@ -105,11 +105,11 @@
 	Find(ctx context.Context, n uint64) (jobid.Job, error)
 }
 
-// Intake serves users.
-type Intake struct {
-	Numbers Numbers     // nil: jobs have none, and no terms. Set it before Register
-	Cancels Cancels     // nil: nothing need be seen through. Set it before Register
-	Crowded func() bool // whether to take no new jobs; nil: never. Set it before Register
+// Service serves users.
+type Service struct {
+	Numbers        Numbers       // nil: jobs have none, and no terms. Set it before Register
+	Cancellations  Cancellations // nil: nothing need be seen through. Set it before Register
+	MemoryPressure func() bool   // whether to take no new jobs; nil: never. Set it before Register
 
 	cfg      *config.Platform
 	op       *config.Operator
@@ -126,20 +126,20 @@
 }
 
 // New returns the users' interface.
-func New(cfg *config.Platform, op *config.Operator, store Store, jobs Jobs, catalog Catalog, peers Peers, log *slog.Logger) *Intake {
-	return &Intake{cfg: cfg, op: op, store: store, jobs: jobs, catalog: catalog, peers: peers, log: log,
+func New(cfg *config.Platform, op *config.Operator, store Store, jobs Jobs, catalog Catalog, peers Peers, log *slog.Logger) *Service {
+	return &Service{cfg: cfg, op: op, store: store, jobs: jobs, catalog: catalog, peers: peers, log: log,
 		jobSlots: make(chan struct{}, maxInFlight), slots: make(chan struct{}, maxInFlight), gatherers: map[string]*gatherer{}}
 }
 
 // Register adds the interface's paths.
-func (in *Intake) Register(mux *http.ServeMux) {
+func (in *Service) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST /api/jobs", in.limited(in.jobSlots, in.submit))
 	mux.HandleFunc("GET /api/jobs/{id}", in.limited(in.slots, in.poll))
 	mux.HandleFunc("POST /api/jobs/{id}/cancel", in.limited(in.slots, in.cancel))
 	mux.HandleFunc("GET /up", in.up)
 }
 
-func (in *Intake) limited(slots chan struct{}, f http.HandlerFunc) http.HandlerFunc {
+func (in *Service) limited(slots chan struct{}, f http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case slots <- struct{}{}:
@@ -160,8 +160,8 @@
 	httpjson.Write(w, status, wire.Problem{Error: why})
 }
 
-func (in *Intake) up(w http.ResponseWriter, _ *http.Request) {
-	if !in.peers.Up() {
+func (in *Service) up(w http.ResponseWriter, _ *http.Request) {
+	if !in.peers.Healthy() {
 		refuse(w, http.StatusServiceUnavailable, "another controller serves better")
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // reply answers a user.
-func (in *Intake) reply(w http.ResponseWriter, rep Reply) {
+func (in *Service) reply(w http.ResponseWriter, rep Reply) {
 	switch rep = in.told(rep); {
 	case rep.Status/100 == 2:
 		httpjson.Write(w, rep.Status, rep.State)
@@ -183,18 +183,18 @@
 // told is what may be told to a user: that a job is cancelled only if all
 // controllers hear of it, or stop answering workers in time. A poll and a repeated
 // submission tell it like a cancel.
-func (in *Intake) told(rep Reply) Reply {
-	if in.Cancels == nil || rep.Status/100 != 2 || rep.State.Stage != wire.StageCancelled {
+func (in *Service) told(rep Reply) Reply {
+	if in.Cancellations == nil || rep.Status/100 != 2 || rep.State.Stage != wire.StageCancelled {
 		return rep
 	}
-	if err := in.Cancels.Confirm(rep.State.UID); err != nil {
+	if err := in.Cancellations.Confirm(rep.State.UID); err != nil {
 		in.log.Debug("cancelled, and not told", "job", rep.State.UID, "err", err)
 		return Reply{Status: http.StatusServiceUnavailable, Reason: "can't tell now"}
 	}
 	return rep
 }
 
-func (in *Intake) submit(w http.ResponseWriter, r *http.Request) {
+func (in *Service) submit(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 	if err != nil {
 		refuse(w, http.StatusBadRequest, "body unreadable or over 64 KiB")
@@ -208,7 +208,7 @@
 }
 
 // Submit takes a submission here, or at a peer if this controller can't tell.
-func (in *Intake) Submit(ctx context.Context, req Request) Reply {
+func (in *Service) Submit(ctx context.Context, req Request) Reply {
 	ctx, cancel := context.WithTimeout(ctx, answerWithin)
 	defer cancel()
 	rep := in.Serve(ctx, req)
@@ -218,7 +218,7 @@
 	return in.told(rep)
 }
 
-func (in *Intake) poll(w http.ResponseWriter, r *http.Request) {
+func (in *Service) poll(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), pollWithin)
 	defer cancel()
 	req := Request{Verb: VerbPoll, UID: r.PathValue("id")}
@@ -230,7 +230,7 @@
 		in.reply(w, Reply{Status: http.StatusOK, State: s})
 		return
 	}
-	for _, p := range in.peers.Owners() {
+	for _, p := range in.peers.ShardOwners() {
 		if s, ok := in.gather(p).known(ctx, req.UID); ok {
 			in.reply(w, Reply{Status: http.StatusOK, State: s})
 			return
@@ -246,7 +246,7 @@
 // VerbKnown asks an owner for what it has of jobs in memory.
 const VerbKnown = "known"
 
-func (in *Intake) cancel(w http.ResponseWriter, r *http.Request) {
+func (in *Service) cancel(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
 	defer cancel()
 	req := Request{Verb: VerbCancel, UID: r.PathValue("id")}
@@ -254,7 +254,7 @@
 		refuse(w, http.StatusNotFound, "no such job")
 		return
 	}
-	for _, p := range in.peers.Owners() {
+	for _, p := range in.peers.ShardOwners() {
 		if rep, ok := in.ask(ctx, p, req); ok {
 			in.reply(w, rep)
 			return
@@ -267,10 +267,10 @@
 	in.reply(w, rep)
 }
 
-func (in *Intake) ask(ctx context.Context, peer string, req Request) (Reply, bool) {
+func (in *Service) ask(ctx context.Context, peer string, req Request) (Reply, bool) {
 	actx, cancel := context.WithTimeout(ctx, peerWithin)
 	defer cancel()
-	rep, err := in.peers.Ask(actx, peer, req)
+	rep, err := in.peers.AskPeer(actx, peer, req)
 	if err != nil {
 		in.log.Debug("peer did not answer", "peer", peer, "err", err)
 		return Reply{}, false
@@ -279,8 +279,8 @@
 }
 
 // elsewhere hands a request to a peer that reaches the state service.
-func (in *Intake) elsewhere(ctx context.Context, req Request) Reply {
-	for _, p := range in.peers.Served() {
+func (in *Service) elsewhere(ctx context.Context, req Request) Reply {
+	for _, p := range in.peers.ServingPeers() {
 		if rep, ok := in.ask(ctx, p, req); ok {
 			return rep
 		}
@@ -289,10 +289,10 @@
 }
 
 // Serve answers a request with this controller's own means.
-func (in *Intake) Serve(ctx context.Context, req Request) Reply {
+func (in *Service) Serve(ctx context.Context, req Request) Reply {
 	switch req.Verb {
 	case VerbSubmit:
-		return in.accept(ctx, req.Body, req.Terms)
+		return in.accept(ctx, req.Body, req.Constraints)
 	case VerbCheck:
 		return in.check(ctx, req)
 	case VerbKnown:
@@ -307,7 +307,7 @@
 	return Reply{Status: http.StatusBadRequest, Reason: "unknown verb"}
 }
 
-func (in *Intake) found(s wire.JobState, err error, status int) Reply {
+func (in *Service) found(s wire.JobState, err error, status int) Reply {
 	switch {
 	case err == nil:
 		return Reply{Status: status, State: s}
@@ -321,7 +321,7 @@
 // unsure answers when this controller can't tell.
 func unsure(err error) Reply { return Reply{Busy: errors.Is(err, statestore.ErrBusy)} }
 
-func (in *Intake) lookup(ctx context.Context, uid string) (wire.JobState, error) {
+func (in *Service) lookup(ctx context.Context, uid string) (wire.JobState, error) {
 	if s, ok := in.jobs.LocalState(uid); ok {
 		return s, nil
 	}
@@ -329,7 +329,7 @@
 }
 
 // stored answers from the store, and with what the job's owner knows besides if it is here.
-func (in *Intake) stored(ctx context.Context, uid string) (wire.JobState, error) {
+func (in *Service) stored(ctx context.Context, uid string) (wire.JobState, error) {
 	s, err := scheduler.StoredState(ctx, in.store, uid)
 	if err != nil {
 		return s, err
--- a/internal/submission/intake_test.go
+++ b/internal/submission/intake_test.go
@@ -32,20 +32,20 @@
 func (s *stub) RefineState(stored wire.JobState) wire.JobState            { return stored }
 func (s *stub) JobAccepted(*wire.Job, *jobspec.Terms, int, int64, uint64) {}
 func (s *stub) All() []wire.MachineType                                   { return s.types }
-func (s *stub) Owners() []string                                          { return nil }
-func (s *stub) Served() []string                                          { return []string{"b"} }
-func (s *stub) Up() bool                                                  { return s.up }
+func (s *stub) ShardOwners() []string                                     { return nil }
+func (s *stub) ServingPeers() []string                                    { return []string{"b"} }
+func (s *stub) Healthy() bool                                             { return s.up }
 func (s *stub) Cancel(context.Context, string) (wire.JobState, error) {
 	return wire.JobState{}, statestore.ErrUnavailable
 }
-func (s *stub) Ask(context.Context, string, submission.Request) (*submission.Reply, error) {
+func (s *stub) AskPeer(context.Context, string, submission.Request) (*submission.Reply, error) {
 	return nil, errors.New("cut off")
 }
 
 const job = `{"uid":"j-7","docket":"c","crew":"t","sort":"sweep","urgency":"normal","pieces":3,"cpus":2,"cards":0,"memoryGb":1,
 	"kit":"i","pullGb":1,"builds":null,"yard":null,"together":false,"apart":false,"loaners":true,"reckonS":9,"markS":0,"stashS":0,"dueS":null}`
 
-func serve(t testing.TB) (s *stub, in *submission.Intake, ask func(method, path, body string) (int, http.Header, wire.JobState)) {
+func serve(t testing.TB) (s *stub, in *submission.Service, ask func(method, path, body string) (int, http.Header, wire.JobState)) {
 	s = &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
 	cfg := &config.Platform{Node: "a", Params: config.Params{Teams: []config.Team{{Name: "t", CPUsMax: 8}}}}
 	op, err := config.LoadOperator("")
@@ -150,9 +150,9 @@
 	}
 	no := &deaf{}
 	for _, confirm := range []bool{false, true} {
-		in.Cancels, no.asked = no, nil
+		in.Cancellations, no.asked = no, nil
 		if confirm {
-			in.Cancels = nil
+			in.Cancellations = nil
 		}
 		for _, q := range [][3]string{{http.MethodGet, "/api/jobs/j-7", ""}, {http.MethodPost, "/api/jobs", job}} {
 			status, head, st := ask(q[0], q[1], q[2])
@@ -173,7 +173,7 @@
 	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != 201 {
 		t.Fatalf("submission: %d", status)
 	}
-	in.Crowded = func() bool { return true }
+	in.MemoryPressure = func() bool { return true }
 	if status, head, _ := ask(http.MethodPost, "/api/jobs", strings.Replace(job, "j-7", "j-8", 1)); status != 503 || head.Get("Retry-After") == "" {
 		t.Errorf("a new job: %d", status)
 	}
--- a/internal/submission/submission.go
+++ b/internal/submission/submission.go
@@ -17,7 +17,7 @@
 
 // accept records a submission. A known id is answered with its state,
 // whatever the body says.
-func (in *Intake) accept(ctx context.Context, body []byte, asked *jobspec.Terms) Reply {
+func (in *Service) accept(ctx context.Context, body []byte, asked *jobspec.Terms) Reply {
 	job, bad := wire.ParseJob(body)
 	status, reason := http.StatusBadRequest, ""
 	if bad == nil {
@@ -47,7 +47,7 @@
 	if s, ok := in.jobs.LocalState(job.UID); ok {
 		return Reply{Status: http.StatusOK, State: s}
 	}
-	if in.Crowded != nil && in.Crowded() {
+	if in.MemoryPressure != nil && in.MemoryPressure() {
 		// Better than to end for want of memory with all that runs.
 		if s, err := in.stored(ctx, job.UID); err == nil {
 			return Reply{Status: http.StatusOK, State: s}
@@ -88,14 +88,14 @@
 }
 
 // check says whether a submission would be accepted.
-func (in *Intake) check(ctx context.Context, req Request) Reply {
+func (in *Service) check(ctx context.Context, req Request) Reply {
 	job, err := wire.ParseJob(req.Body)
 	if err != nil {
 		return Reply{Status: http.StatusBadRequest, Reason: err.Error()}
 	}
 	status, reason := in.runnable(job)
 	if reason == "" {
-		_, status, reason = in.terms(ctx, job, req.Terms)
+		_, status, reason = in.terms(ctx, job, req.Constraints)
 	}
 	if reason != "" {
 		return Reply{Status: status, Reason: reason}
@@ -104,7 +104,7 @@
 }
 
 // runnable says why a job can never run, or that it can't be told yet.
-func (in *Intake) runnable(job *wire.Job) (status int, reason string) {
+func (in *Service) runnable(job *wire.Job) (status int, reason string) {
 	types := in.catalog.All()
 	if len(types) == 0 {
 		return http.StatusServiceUnavailable, "machine types not known yet"
@@ -137,7 +137,7 @@
 
 // terms checks a submission's terms, and finds the jobs that it depends on. Where
 // jobs have numbers, one without terms gets a number.
-func (in *Intake) terms(ctx context.Context, job *wire.Job, asked *jobspec.Terms) (t *jobspec.Terms, status int, reason string) {
+func (in *Service) terms(ctx context.Context, job *wire.Job, asked *jobspec.Terms) (t *jobspec.Terms, status int, reason string) {
 	unsure := func(err error) (*jobspec.Terms, int, string) {
 		in.log.Debug("numbers can't be told", "err", err)
 		return nil, http.StatusServiceUnavailable, "can't tell numbers now"
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -129,7 +129,7 @@
 	reg      *cancellation.Registry
 	entitled bool // when last looked at
 	knows    knownCancels
-	intake   *submission.Intake
+	intake   *submission.Service
 	mux      *http.ServeMux  // the users' interface
 	ctx      context.Context // until it ends
 	duties   map[string]bool // under way beside the rest: see onDuty
@@ -188,7 +188,7 @@
 	n.reg.OnCancelled = func(uids []string) { n.knows.learn(uids); go n.holder.HaltCancelledTasks() }
 	n.owner.Cancellations, n.holder.Cancellations = n.reg, n.reg
 	n.intake = submission.New(&cfg, op, n.view, n.owner, w.size, n, log)
-	n.intake.Cancels = n.reg
+	n.intake.Cancellations = n.reg
 	n.mux = http.NewServeMux()
 	n.intake.Register(n.mux)
 	n.member.OnOwnershipChange(n.owner.OwnershipChanged)
--- a/internal/testkit/odd_requests_test.go
+++ b/internal/testkit/odd_requests_test.go
@@ -127,7 +127,7 @@
 				}
 				n.mux = http.NewServeMux()
 				in := submission.New(w.cfg, op, n.view, n.owner, noTypes{}, n, slog.New(slog.DiscardHandler))
-				in.Cancels = n.reg
+				in.Cancellations = n.reg
 				in.Register(n.mux)
 			}, func() { n.mux = http.NewServeMux(); n.intake.Register(n.mux) }, blind, false},
 			{"the leader is away", func() { w.crash(w.leader()) }, w.startAll, "", false},
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -20,8 +20,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Owners names the other controllers that own jobs, as cmd/wallrack does.
-func (n *node) Owners() (out []string) {
+// ShardOwners names the other controllers that own jobs, as cmd/wallrack does.
+func (n *node) ShardOwners() (out []string) {
 	add := func(name string) {
 		if name != "" && name != n.name && !slices.Contains(out, name) {
 			out = append(out, name)
@@ -42,14 +42,14 @@
 	return out
 }
 
-// Served names the controllers that reach the state service.
-func (n *node) Served() []string { v := n.linksSeen(); return v.ServingPeers() }
+// ServingPeers names the controllers that reach the state service.
+func (n *node) ServingPeers() []string { v := n.linksSeen(); return v.ServingPeers() }
 
-// Up reports whether this controller takes users.
-func (n *node) Up() bool { return true }
+// Healthy reports whether this controller takes users.
+func (n *node) Healthy() bool { return true }
 
-// Ask hands a user's request to a peer.
-func (n *node) Ask(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
+// AskPeer hands a user's request to a peer.
+func (n *node) AskPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
 	return overPeerLink(ctx, n.w, func() (*submission.Reply, error) {
 		to, err := n.peer(peer)
 		if err != nil {
