--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -128,7 +128,7 @@
 	n.slurm(more.slurm, catalog, mux)
 	if more.rollouts != nil {
 		m := n.newRollouts(more.rollouts)
-		boxes.Hold = m.Held
+		boxes.ReservedCPUs = m.Held
 		n.serveRollouts(mux, m)
 		g.Go(func() error { return m.Run(ctx) })
 	}
--- a/cmd/wallrack/demand.go
+++ b/cmd/wallrack/demand.go
@@ -105,9 +105,9 @@
 // SetCordoned tells the owner here; owners elsewhere only make it take longer.
 func (a *allOwners) SetCordoned(names map[string]bool) { a.n.owner.SetCordoned(names) }
 
-// Suspects returns the lost machines that any owner's tasks may be on, and why
+// FailedWorkers returns the lost machines that any owner's tasks may be on, and why
 // they are taken for lost.
-func (a *allOwners) Suspects() map[string]string {
+func (a *allOwners) FailedWorkers() map[string]string {
 	out := a.n.lost()
 	for _, r := range a.other {
 		maps.Copy(out, r.Suspects)
@@ -127,9 +127,9 @@
 // tellGoneAfter gathers machines that are gone into one message.
 const tellGoneAfter = 300 * time.Millisecond
 
-// Gone tells every controller that a machine is gone, soon: a later owner would take
+// WorkerGone tells every controller that a machine is gone, soon: a later owner would take
 // it for one that fell silent, and count it among those that it should hear.
-func (a *allOwners) Gone(name string) {
+func (a *allOwners) WorkerGone(name string) {
 	a.n.owner.WorkerGone(name)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/autoscaler/answered.go
+++ b/internal/autoscaler/answered.go
@@ -11,45 +11,45 @@
 // without one.
 const firstListWait = 10 * time.Second
 
-// answeredHire is a hire that the cloud has answered, and whose record is kept until its
+// answeredProvision is a hire that the cloud has answered, and whose record is kept until its
 // machines are in every list that a later leader may read.
-type answeredHire struct {
-	record hireRecord
+type answeredProvision struct {
+	record provisionRecord
 	marked bool      // the record in the state service has the answer
 	until  time.Time // when the record may be deleted
 }
 
 // unlisted is how long after the answer to a hire its machines may be missing from the
 // cloud's list.
-func (f *Fleet) unlisted() time.Duration { return f.mostLag() + time.Second }
+func (f *Autoscaler) unlisted() time.Duration { return f.mostLag() + time.Second }
 
-// rentedLocked takes in the machines that the cloud answered to a hire. Its record stays: a
+// provisionedLocked takes in the machines that the cloud answered to a hire. Its record stays: a
 // leader that begins before they are listed would rent them again.
-func (f *Fleet) rentedLocked(r hireRecord, now time.Time) {
+func (f *Autoscaler) provisionedLocked(r provisionRecord, now time.Time) {
 	f.expect(r, now)
 	answered := time.UnixMilli(r.AnsweredMs)
 	if answered.After(now) {
 		answered = now // by the clock of another controller, which is ahead
 	}
-	f.answered[r.Name] = &answeredHire{record: r, until: answered.Add(f.unlisted())}
+	f.answered[r.Name] = &answeredProvision{record: r, until: answered.Add(f.unlisted())}
 }
 
 // expect counts on the machines of an answered hire.
-func (f *Fleet) expect(r hireRecord, now time.Time) {
+func (f *Autoscaler) expect(r provisionRecord, now time.Time) {
 	for _, n := range r.Machines {
-		if f.boxes[n] == nil && !f.sending[n] {
-			f.boxes[n] = &box{name: n, offer: r.offer(), hired: time.UnixMilli(r.PlannedMs), known: now, listed: now, stage: wire.MachineBooting}
+		if f.instances[n] == nil && !f.sending[n] {
+			f.instances[n] = &instance{name: n, offer: r.offer(), hired: time.UnixMilli(r.PlannedMs), known: now, listed: now, stage: wire.MachineBooting}
 		}
 	}
 }
 
 // dropLocked lets the record of a hire go, of which nothing comes any more.
-func (f *Fleet) dropLocked(name string) { f.answered[name] = &answeredHire{marked: true} }
+func (f *Autoscaler) dropLocked(name string) { f.answered[name] = &answeredProvision{marked: true} }
 
 // recordAnswers writes the answers of hires into their records, and deletes the records that
 // aren't needed any more, all in one transaction. What fails is tried again with the next
 // plan; what is left when this controller leads no more is the next leader's.
-func (f *Fleet) recordAnswers(ctx context.Context) {
+func (f *Autoscaler) recordAnswers(ctx context.Context) {
 	version, ok := f.member.ClaimedShards()[0]
 	if !ok {
 		return
@@ -65,10 +65,10 @@
 		switch {
 		case now.After(a.until):
 			deleted = append(deleted, name)
-			ops = append(ops, wire.Op{Delete: hireKey + name})
+			ops = append(ops, wire.Op{Delete: provisionKey + name})
 		case !a.marked:
 			marked = append(marked, name)
-			ops = append(ops, wire.Op{Put: hireKey + name, Value: a.record})
+			ops = append(ops, wire.Op{Put: provisionKey + name, Value: a.record})
 		}
 	}
 	f.mu.Unlock()
@@ -95,8 +95,8 @@
 	}
 }
 
-// mayRent reports whether enough is known of the machines that there are: those of hires
+// mayScaleOut reports whether enough is known of the machines that there are: those of hires
 // whose records are deleted are in the first list of a new leader.
-func (f *Fleet) mayRent(now time.Time) bool {
+func (f *Autoscaler) mayScaleOut(now time.Time) bool {
 	return f.listedAt.After(f.ledAt) || now.Sub(f.ledAt) > firstListWait
 }
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -57,8 +57,8 @@
 	return out
 }
 
-// Size is a machine type's size.
-func Size(t wire.MachineType) matching.Shape {
+// ResourcesOf is a machine type's size.
+func ResourcesOf(t wire.MachineType) matching.Shape {
 	return matching.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -16,7 +16,7 @@
 
 const (
 	minimumS     = 60 // a machine costs at least so many seconds
-	maxHire      = 50 // machines in one request
+	maxProvision = 50 // machines in one request
 	maxRelease   = 100
 	planEvery    = time.Second
 	tellEvery    = 10 * time.Second
@@ -26,19 +26,19 @@
 	refusedLong  = 40 * time.Second // if not
 )
 
-// Owner is what the fleet needs of the jobs' owner.
-type Owner interface {
+// Scheduler is what the fleet needs of the jobs' owner.
+type Scheduler interface {
 	Ready() bool
 	Demand(boot float64) ([]scheduler.Demand, []scheduler.WorkerLoad)
 	AdmittedWork() float64
-	// Suspects names the machines to be returned that are lost, and why.
-	Suspects() map[string]string
-	Gone(name string)
+	// FailedWorkers names the machines to be returned that are lost, and why.
+	FailedWorkers() map[string]string
+	WorkerGone(name string)
 	SetCordoned(names map[string]bool)
 }
 
-// Holder is what the fleet needs of the machines' holder.
-type Holder interface {
+// Dispatcher is what the fleet needs of the machines' holder.
+type Dispatcher interface {
 	Drain(name string) bool
 	RemoveWorker(name string)
 	PollReports(ctx context.Context, endpoints map[string]string, unheard time.Duration)
@@ -58,8 +58,8 @@
 	Spot bool
 }
 
-// box is a machine as the fleet knows it.
-type box struct {
+// instance is a machine as the fleet knows it.
+type instance struct {
 	name     string
 	offer    offer
 	hired    time.Time // when it was rented, as near as known
@@ -79,25 +79,25 @@
 	held int
 }
 
-// Fleet rents and returns machines.
-type Fleet struct {
-	Hold func() float64 // CPUs to be kept for what may come back; nil: none. Set it before Run
+// Autoscaler rents and returns machines.
+type Autoscaler struct {
+	ReservedCPUs func() float64 // CPUs to be kept for what may come back; nil: none. Set it before Run
 
-	cfg     *config.Platform
-	op      *config.Operator
-	cloud   *Cloud
-	catalog *Catalog
-	store   Store
-	member  Membership
-	owner   Owner
-	holder  Holder
-	log     *slog.Logger
+	cfg        *config.Platform
+	op         *config.Operator
+	cloud      *Cloud
+	catalog    *Catalog
+	store      Store
+	member     Membership
+	scheduler  Scheduler
+	dispatcher Dispatcher
+	log        *slog.Logger
 
-	mu    sync.Mutex
-	boxes map[string]*box
-	hires map[string]*hire
+	mu         sync.Mutex
+	instances  map[string]*instance
+	provisions map[string]*provision
 	// answered are hires whose records are still to be changed, by name.
-	answered  map[string]*answeredHire
+	answered  map[string]*answeredProvision
 	recording bool // a transaction for them is under way
 	seq       int
 	refused   map[offer]refusal
@@ -117,13 +117,13 @@
 }
 
 // New returns a fleet that knows no machines yet.
-func New(cfg *config.Platform, op *config.Operator, cloud *Cloud, catalog *Catalog, store Store, member Membership, o Owner, h Holder, log *slog.Logger) *Fleet {
-	return &Fleet{cfg: cfg, op: op, cloud: cloud, catalog: catalog, store: store, member: member, owner: o, holder: h, log: log,
-		boxes: map[string]*box{}, hires: map[string]*hire{}, answered: map[string]*answeredHire{}, refused: map[offer]refusal{}, sending: map[string]bool{}}
+func New(cfg *config.Platform, op *config.Operator, cloud *Cloud, catalog *Catalog, store Store, member Membership, o Scheduler, h Dispatcher, log *slog.Logger) *Autoscaler {
+	return &Autoscaler{cfg: cfg, op: op, cloud: cloud, catalog: catalog, store: store, member: member, scheduler: o, dispatcher: h, log: log,
+		instances: map[string]*instance{}, provisions: map[string]*provision{}, answered: map[string]*answeredProvision{}, refused: map[offer]refusal{}, sending: map[string]bool{}}
 }
 
 // Run leads the fleet whenever it is this controller's to lead.
-func (f *Fleet) Run(ctx context.Context) error {
+func (f *Autoscaler) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	tick := time.NewTicker(planEvery / 4)
@@ -135,7 +135,7 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if !f.owner.Ready() {
+		if !f.scheduler.Ready() {
 			f.leading, f.loaded = false, false
 			continue
 		}
@@ -146,7 +146,7 @@
 		if !f.leading {
 			f.leading = true
 			f.mu.Lock()
-			f.boxes, f.hires, f.answered = map[string]*box{}, map[string]*hire{}, map[string]*answeredHire{}
+			f.instances, f.provisions, f.answered = map[string]*instance{}, map[string]*provision{}, map[string]*answeredProvision{}
 			f.ledAt, f.listAt, f.listedAt = time.Now(), time.Time{}, time.Time{}
 			f.mu.Unlock()
 		}
@@ -173,10 +173,10 @@
 var seconds = config.Seconds
 
 // step looks at everything once.
-func (f *Fleet) step(ctx context.Context, wg *sync.WaitGroup) {
+func (f *Autoscaler) step(ctx context.Context, wg *sync.WaitGroup) {
 	defer usage.Count(usage.Fleet, time.Now())
-	demand, loads := f.owner.Demand(f.boot())
-	back := f.owner.Suspects()
+	demand, loads := f.scheduler.Demand(f.boot())
+	back := f.scheduler.FailedWorkers()
 	now := time.Now()
 	f.mu.Lock()
 	busy := 0.0
@@ -189,32 +189,32 @@
 		if l.Heard.IsZero() {
 			continue
 		}
-		b := f.boxes[l.Name]
+		b := f.instances[l.Name]
 		if b == nil {
 			if f.sending[l.Name] {
 				continue
 			}
-			b = &box{name: l.Name, known: now, hired: now}
-			f.boxes[l.Name] = b
+			b = &instance{name: l.Name, known: now, hired: now}
+			f.instances[l.Name] = b
 		}
 		b.load, b.heard, b.offer = l, l.Heard, offer{l.Type, l.Zone, l.Spot}
 	}
 	f.busy += 0.1 * (busy - f.busy)
-	f.measure(now, f.owner.AdmittedWork())
+	f.measure(now, f.scheduler.AdmittedWork())
 	f.sortOut(now, back)
 	f.tell(now, demand, loads)
 	wants, first := f.plan(now, demand)
-	closing := f.shut(now, demand)
+	closing := f.cordon(now, demand)
 	f.idle(now, wants)
-	var send []*hire
-	for _, h := range f.hires {
+	var send []*provision
+	for _, h := range f.provisions {
 		if !h.sending {
 			h.sending = true
 			send = append(send, h)
 		}
 	}
-	free := f.inFlight() - len(f.hires)
-	if !f.mayRent(now) {
+	free := f.inFlight() - len(f.provisions)
+	if !f.mayScaleOut(now) {
 		free = 0
 	}
 	record := len(f.answered) > 0 && !f.recording
@@ -224,10 +224,10 @@
 		f.backAt = now
 	}
 	f.mu.Unlock()
-	f.owner.SetCordoned(closing)
+	f.scheduler.SetCordoned(closing)
 	if giveBack {
 		wg.Add(1)
-		go func() { defer wg.Done(); f.giveBack(ctx, back) }()
+		go func() { defer wg.Done(); f.scaleIn(ctx, back) }()
 	}
 	if record {
 		wg.Add(1)
@@ -241,26 +241,26 @@
 	}
 	for _, h := range send {
 		wg.Add(1)
-		go func() { defer wg.Done(); f.rent(ctx, h) }()
+		go func() { defer wg.Done(); f.scaleOut(ctx, h) }()
 	}
 	for _, o := range first {
-		for n := wants[o]; n > 0 && free > 0; n -= maxHire {
+		for n := wants[o]; n > 0 && free > 0; n -= maxProvision {
 			free--
 			f.mu.Lock()
 			f.seq++
 			// Terms are never shared, so neither is the name.
 			name := fmt.Sprintf("r-%d-%d", f.member.FencingToken(), f.seq)
-			h := &hire{req: wire.HireRequest{Name: name, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Number: min(n, maxHire)}, made: now, sending: true}
-			f.hires[name] = h
+			h := &provision{req: wire.HireRequest{Name: name, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Number: min(n, maxProvision)}, made: now, sending: true}
+			f.provisions[name] = h
 			f.mu.Unlock()
 			wg.Add(1)
-			go func() { defer wg.Done(); f.rent(ctx, h) }()
+			go func() { defer wg.Done(); f.scaleOut(ctx, h) }()
 		}
 	}
 }
 
 // tell logs the fleet's state now and then.
-func (f *Fleet) tell(now time.Time, demand []scheduler.Demand, loads []scheduler.WorkerLoad) {
+func (f *Autoscaler) tell(now time.Time, demand []scheduler.Demand, loads []scheduler.WorkerLoad) {
 	if now.Sub(f.toldAt) < tellEvery {
 		return
 	}
@@ -282,7 +282,7 @@
 			spot += t.CPUs
 		}
 	}
-	f.log.Info("fleet", "machines", len(f.boxes), "up", up, "cpus", size, "spot_cpus", spot, "used", used, "waiting", waiting, "arriving", math.Round(f.rate))
+	f.log.Info("fleet", "machines", len(f.instances), "up", up, "cpus", size, "spot_cpus", spot, "used", used, "waiting", waiting, "arriving", math.Round(f.rate))
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/autoscaler/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -16,7 +16,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-func planner() *Fleet {
+func planner() *Autoscaler {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	catalog := NewCatalog(nil, nil, log)
 	catalog.set([]wire.MachineType{
@@ -38,7 +38,7 @@
 	start := time.Now()
 	wants, _ := f.plan(time.Now(), demand(wire.MaxTasks, true, 20))
 	for o, n := range wants {
-		if n > maxHire*f.inFlight() {
+		if n > maxProvision*f.inFlight() {
 			t.Errorf("%d of %+v", n, o)
 		}
 	}
@@ -99,7 +99,7 @@
 func TestRefusedOffersAreLeftAlone(t *testing.T) {
 	f := planner()
 	o := offer{"small", "a", true}
-	f.boxes["n-1"] = &box{name: "n-1", offer: o}
+	f.instances["n-1"] = &instance{name: "n-1", offer: o}
 	f.refuse(o)
 	offered := func(after time.Duration) bool {
 		for _, x := range f.offers(time.Now().Add(after)) {
@@ -112,7 +112,7 @@
 	if offered(refusedPause + time.Second) {
 		t.Error("asked again although all that there was is held")
 	}
-	delete(f.boxes, "n-1")
+	delete(f.instances, "n-1")
 	if !offered(refusedPause + time.Second) {
 		t.Error("not asked again although a machine was lost")
 	}
@@ -127,15 +127,15 @@
 	now := time.Now()
 	for _, hold := range []float64{0, 1e6} {
 		f := planner()
-		f.Hold = func() float64 { return hold }
+		f.ReservedCPUs = func() float64 { return hold }
 		h := &drains{}
-		f.holder = h
+		f.dispatcher = h
 		f.op.IdleS = 20
 		var load scheduler.WorkerLoad
 		load.Heard = now
 		for i := range 3 {
 			name := fmt.Sprintf("n-%d", i)
-			f.boxes[name] = &box{name: name, offer: offer{"small", "z", false}, hired: now.Add(-time.Hour), known: now.Add(-time.Hour), heard: now, idle: now.Add(-time.Hour), load: &load}
+			f.instances[name] = &instance{name: name, offer: offer{"small", "z", false}, hired: now.Add(-time.Hour), known: now.Add(-time.Hour), heard: now, idle: now.Add(-time.Hour), load: &load}
 		}
 		f.idle(now, nil)
 		if (h.n > 0) != (hold == 0) {
@@ -162,7 +162,7 @@
 		[]matching.Use{{Shape: matching.Shape{CPUs: 30, MemoryGB: 9}, Left: 7}, {Shape: matching.Shape{CPUs: 3, MemoryGB: 70}, Left: 12}}, nil), Heard: now}
 	for i := range 200 {
 		name := fmt.Sprintf("n-%d", i)
-		f.boxes[name] = &box{name: name, offer: offer{"large", "a", true}, hired: now, known: now, heard: now, load: &load}
+		f.instances[name] = &instance{name: name, offer: offer{"large", "a", true}, hired: now, known: now, heard: now, load: &load}
 	}
 	d := demand(25_000, true, 200)
 	d[0].Shape = matching.Shape{CPUs: 0.5, MemoryGB: 1}
--- a/internal/autoscaler/hire.go
+++ b/internal/autoscaler/hire.go
@@ -13,15 +13,15 @@
 
 var errDeposed = errors.New("no longer leads the fleet")
 
-// hireExpires is how long after it was planned the cloud may first be asked for a hire.
+// provisionExpires is how long after it was planned the cloud may first be asked for a hire.
 // A record may be written although its writer never learns of it, also minutes late, and
 // a later leader can't tell whether the cloud was asked: the work that it was for is
 // mostly done by then. Machines that were rented all the same are in the cloud's list.
 // It covers a change of the leader by the end of its lease.
-const hireExpires = 30 * time.Second
+const provisionExpires = 30 * time.Second
 
-// hire is a rental that the cloud has not answered yet.
-type hire struct {
+// provision is a rental that the cloud has not answered yet.
+type provision struct {
 	req      wire.HireRequest
 	made     time.Time // when it was planned
 	sending  bool
@@ -30,35 +30,35 @@
 	asked    bool // the cloud may know of it
 }
 
-// hireRecord is a hire as the state service has it. Without a time, it is old.
-type hireRecord struct {
+// provisionRecord is a hire as the state service has it. Without a time, it is old.
+type provisionRecord struct {
 	wire.HireRequest
 	PlannedMs  int64    `json:"planned,omitempty"`  // time of day
 	AnsweredMs int64    `json:"answered,omitempty"` // time of day; 0: perhaps not answered yet
 	Machines   []string `json:"machines,omitempty"` // that the cloud answered
 }
 
-func (h *hire) record() hireRecord {
-	return hireRecord{HireRequest: h.req, PlannedMs: h.made.UnixMilli()}
+func (h *provision) record() provisionRecord {
+	return provisionRecord{HireRequest: h.req, PlannedMs: h.made.UnixMilli()}
 }
 
-func (r *hireRecord) offer() offer { return offer{r.Type, r.Zone, r.Spot} }
+func (r *provisionRecord) offer() offer { return offer{r.Type, r.Zone, r.Spot} }
 
 // expired reports whether the cloud must not be asked for a hire any more, unless it
 // was asked before.
-func expired(planned, now time.Time) bool { return now.Sub(planned) > hireExpires }
+func expired(planned, now time.Time) bool { return now.Sub(planned) > provisionExpires }
 
 // inFlight is how many hires may be out at once. More would only queue for the
 // cloud's budget, and the plan would count on machines that nobody asked for.
-func (f *Fleet) inFlight() int { return max(2, int(2*f.cfg.Params.Cloud.RPS)) }
+func (f *Autoscaler) inFlight() int { return max(2, int(2*f.cfg.Params.Cloud.RPS)) }
 
 // load finds hires that were recorded: those perhaps not answered are repeated under their
 // names, and the machines of the others are counted on. It returns the names of those that
 // are too old for either.
-func (f *Fleet) load(ctx context.Context) (old []string, err error) {
+func (f *Autoscaler) load(ctx context.Context) (old []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	items, _, err := f.store.List(ctx, hireKey)
+	items, _, err := f.store.List(ctx, provisionKey)
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, it := range items {
-		var r hireRecord
+		var r provisionRecord
 		if err := json.Unmarshal(it.Value, &r); err != nil {
 			f.log.Error("unreadable hire", "key", it.Key, "err", err)
 			continue
@@ -74,13 +74,13 @@
 		planned, answered := time.UnixMilli(r.PlannedMs), time.UnixMilli(r.AnsweredMs)
 		switch {
 		case r.AnsweredMs > 0 && now.Sub(answered) < f.unlisted():
-			f.rentedLocked(r, now)
+			f.provisionedLocked(r, now)
 			f.answered[r.Name].marked = true
 		case r.AnsweredMs > 0 || expired(planned, now):
 			old = append(old, r.Name)
 			f.dropLocked(r.Name)
 		default:
-			f.hires[r.Name] = &hire{req: r.HireRequest, made: planned, recorded: true}
+			f.provisions[r.Name] = &provision{req: r.HireRequest, made: planned, recorded: true}
 		}
 	}
 	return old, nil
@@ -88,8 +88,8 @@
 
 // write records a hire, so that whoever leads next repeats it under its name. It is
 // repeated itself until its outcome is known.
-func (f *Fleet) write(ctx context.Context, h *hire) error {
-	key := hireKey + h.req.Name
+func (f *Autoscaler) write(ctx context.Context, h *provision) error {
+	key := provisionKey + h.req.Name
 	v, ok := f.member.ClaimedShards()[0]
 	if !ok {
 		return errDeposed
@@ -107,7 +107,7 @@
 
 // enter makes sure that a hire is recorded before the cloud is asked, and that it may
 // still be asked. again says that this can't be told yet.
-func (f *Fleet) enter(ctx context.Context, h *hire) (ok, again bool) {
+func (f *Autoscaler) enter(ctx context.Context, h *provision) (ok, again bool) {
 	if !h.recorded {
 		err := f.write(ctx, h)
 		var conflict *statestore.Conflict
@@ -124,7 +124,7 @@
 			return false, false
 		}
 	}
-	if !h.asked && (expired(h.made, time.Now()) || !f.owner.Ready()) {
+	if !h.asked && (expired(h.made, time.Now()) || !f.scheduler.Ready()) {
 		// After a standstill a successor may have rented for the same work.
 		f.log.Info("hire dropped", "hire", h.req.Name)
 		return false, false
@@ -133,15 +133,15 @@
 	return true, false
 }
 
-// rent asks for machines under a recorded name, and repeats that name until
+// scaleOut asks for machines under a recorded name, and repeats that name until
 // the cloud has answered.
-func (f *Fleet) rent(ctx context.Context, h *hire) {
+func (f *Autoscaler) scaleOut(ctx context.Context, h *provision) {
 	drop := true
 	defer func() {
 		f.mu.Lock()
 		h.sending = false
-		if drop && f.hires[h.req.Name] == h {
-			delete(f.hires, h.req.Name)
+		if drop && f.provisions[h.req.Name] == h {
+			delete(f.provisions, h.req.Name)
 		}
 		f.mu.Unlock()
 	}()
@@ -158,7 +158,7 @@
 		f.mu.Lock()
 		r := h.record()
 		r.AnsweredMs, r.Machines = now.UnixMilli(), names
-		f.rentedLocked(r, now)
+		f.provisionedLocked(r, now)
 		if len(names) < h.req.Number {
 			f.refuse(o)
 		} else {
@@ -187,8 +187,8 @@
 	}
 }
 
-// giveBack returns machines; when the cloud has answered, they are gone.
-func (f *Fleet) giveBack(ctx context.Context, names map[string]string) {
+// scaleIn returns machines; when the cloud has answered, they are gone.
+func (f *Autoscaler) scaleIn(ctx context.Context, names map[string]string) {
 	f.mu.Lock()
 	var batch []string
 	for n := range names {
@@ -204,7 +204,7 @@
 	// What was judged before a standstill is not acted on after it: a successor may
 	// use these machines by now.
 	err := errDeposed
-	if f.owner.Ready() {
+	if f.scheduler.Ready() {
 		err = f.cloud.release(ctx, batch)
 	}
 	if err != nil {
@@ -218,12 +218,12 @@
 	}
 	for _, n := range batch {
 		f.log.Info("returned", "machine", n, "why", names[n])
-		f.holder.RemoveWorker(n)
-		f.owner.Gone(n)
+		f.dispatcher.RemoveWorker(n)
+		f.scheduler.WorkerGone(n)
 	}
 	f.mu.Lock()
 	for _, n := range batch {
-		delete(f.boxes, n)
+		delete(f.instances, n)
 	}
 	f.mu.Unlock()
 	// The list lags: for a while it may still show them.
--- a/internal/autoscaler/keys.go
+++ b/internal/autoscaler/keys.go
@@ -2,6 +2,6 @@
 
 // Keys in the state service.
 const (
-	hireKey  = "fleet/hire/" // and a hire's name
-	typesKey = "fleet/types"
+	provisionKey = "fleet/hire/" // and a hire's name
+	typesKey     = "fleet/types"
 )
--- a/internal/autoscaler/list.go
+++ b/internal/autoscaler/list.go
@@ -12,9 +12,9 @@
 const listShare = 5
 
 // refresh reads the cloud's list, which lags and may be older than the last.
-func (f *Fleet) refresh(ctx context.Context) { f.refreshAt(ctx, time.Now()) }
+func (f *Autoscaler) refresh(ctx context.Context) { f.refreshAt(ctx, time.Now()) }
 
-func (f *Fleet) refreshAt(ctx context.Context, asked time.Time) {
+func (f *Autoscaler) refreshAt(ctx context.Context, asked time.Time) {
 	list, err := f.cloud.list(ctx)
 	if err != nil {
 		f.log.Info("no machine list", "err", err)
@@ -28,10 +28,10 @@
 		if f.sending[l.Name] {
 			continue
 		}
-		b := f.boxes[l.Name]
+		b := f.instances[l.Name]
 		if b == nil {
-			b = &box{name: l.Name, known: asked, hired: asked.Add(-seconds(l.AgeS))}
-			f.boxes[l.Name] = b
+			b = &instance{name: l.Name, known: asked, hired: asked.Add(-seconds(l.AgeS))}
+			f.instances[l.Name] = b
 		}
 		b.offer, b.listed, b.stage = offer{l.Type, l.Zone, l.Spot}, later(b.listed, asked), l.Stage
 		if l.Stage == wire.MachineFailed {
@@ -46,37 +46,37 @@
 	}
 	f.mu.Unlock()
 	if len(failed) > 0 {
-		f.giveBack(ctx, failed)
+		f.scaleIn(ctx, failed)
 	}
-	f.holder.PollReports(ctx, endpoints, seconds(1.5*f.cfg.Params.Workers.ReportS))
+	f.dispatcher.PollReports(ctx, endpoints, seconds(1.5*f.cfg.Params.Workers.ReportS))
 }
 
 // listMargin is added to the most that a list may lag, for the way of the request.
 const listMargin = 5 * time.Second
 
 // mostLag is the most that a list lags behind: at times twice what it mostly does.
-func (f *Fleet) mostLag() time.Duration { return seconds(2 * f.cfg.Params.Cloud.ListLagS) }
+func (f *Autoscaler) mostLag() time.Duration { return seconds(2 * f.cfg.Params.Cloud.ListLagS) }
 
 // listLag is how much older a list may be than the request for it.
-func (f *Fleet) listLag() time.Duration { return f.mostLag() + listMargin }
+func (f *Autoscaler) listLag() time.Duration { return f.mostLag() + listMargin }
 
 // vanished reports whether a machine that existed at a time is gone by the cloud's list: a
 // list that shows a later time lacks it. Such a machine may be silent for other reasons by
 // all that controllers know, as when it fell silent together with one of them, and what was
 // placed on it would wait for a lease and more. To return it makes sure.
-func (f *Fleet) vanished(name string, existed time.Time) bool {
+func (f *Autoscaler) vanished(name string, existed time.Time) bool {
 	if f.sending[name] || f.listedAt.Sub(existed) <= f.listLag() {
 		return false
 	}
-	b := f.boxes[name]
+	b := f.instances[name]
 	return b == nil || b.listed.Before(f.listedAt) && f.listedAt.Sub(b.known) > f.listLag()
 }
 
 // sortOut forgets machines that the cloud took and returns those that never
 // came up, are faulty or idle.
-func (f *Fleet) sortOut(now time.Time, back map[string]string) {
+func (f *Autoscaler) sortOut(now time.Time, back map[string]string) {
 	lag := f.listLag()
-	for name, b := range f.boxes {
+	for name, b := range f.instances {
 		t, _ := f.catalog.Type(b.offer.Type)
 		switch {
 		case f.sending[name]:
@@ -85,7 +85,7 @@
 		case b.heard.IsZero() && now.Sub(later(b.hired, b.known)) > seconds(3*t.BootS+25) && now.Sub(b.hired) > seconds(3*t.BootS+25):
 			back[name] = "did not come up"
 		case b.heard.IsZero() && now.Sub(b.listed) > takenAfter && now.Sub(b.known) > lag+takenAfter:
-			delete(f.boxes, name)
+			delete(f.instances, name)
 		case b.load != nil && b.load.Faulty && b.load.Places == 0:
 			back[name] = "faulty"
 		}
--- a/internal/autoscaler/list_test.go
+++ b/internal/autoscaler/list_test.go
@@ -42,7 +42,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := planner()
 		f.cfg.Params.Cloud.ListLagS = lag.Seconds()
-		f.holder = &drains{}
+		f.dispatcher = &drains{}
 		cloud := &listingCloud{
 			created: time.Duration(rapid.IntRange(0, 20).Draw(t, "created")) * step,
 			gone:    time.Duration(rapid.IntRange(21, 60).Draw(t, "gone")) * step,
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -16,10 +16,10 @@
 	offer  offer
 	matrix matching.Matrix
 	boot   float64
-	box    *box
+	box    *instance
 }
 
-func (f *Fleet) fits(d *scheduler.Demand, o offer) bool {
+func (f *Autoscaler) fits(d *scheduler.Demand, o offer) bool {
 	if o.Spot && !d.Job.Spot || d.Job.Zone != nil && *d.Job.Zone != o.Zone {
 		return false
 	}
@@ -37,9 +37,9 @@
 // plan simulates the waiting work on what there is, and returns what to rent
 // for the work that would wait longer than a new machine takes to boot, and
 // the offers in the order in which they are needed.
-func (f *Fleet) plan(now time.Time, demand []scheduler.Demand) (wants map[offer]int, first []offer) {
+func (f *Autoscaler) plan(now time.Time, demand []scheduler.Demand) (wants map[offer]int, first []offer) {
 	var sims, closing []*sim
-	for name, b := range f.boxes {
+	for name, b := range f.instances {
 		if f.sending[name] || !b.draining.IsZero() || b.load != nil && (b.load.Notice || b.load.Faulty) {
 			continue
 		}
@@ -57,13 +57,13 @@
 			}
 		case b.heard.IsZero() && b.stage != wire.MachineFailed:
 			left := bootLeft(t.BootS, now.Sub(b.hired).Seconds())
-			sims = append(sims, &sim{offer: b.offer, matrix: matching.Matrix{{Wait: 0, Free: Size(t)}}, boot: left})
+			sims = append(sims, &sim{offer: b.offer, matrix: matching.Matrix{{Wait: 0, Free: ResourcesOf(t)}}, boot: left})
 		}
 	}
-	for _, h := range f.hires {
+	for _, h := range f.provisions {
 		if t, ok := f.catalog.Type(h.req.Type); ok {
 			for i := 0; i < h.req.Number; i++ {
-				sims = append(sims, &sim{offer: offer{h.req.Type, h.req.Zone, h.req.Spot}, matrix: matching.Matrix{{Wait: 0, Free: Size(t)}}, boot: t.BootS})
+				sims = append(sims, &sim{offer: offer{h.req.Type, h.req.Zone, h.req.Spot}, matrix: matching.Matrix{{Wait: 0, Free: ResourcesOf(t)}}, boot: t.BootS})
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 				if wants[o]++; wants[o] == 1 {
 					first = append(first, o)
 				}
-				s := &sim{offer: o, matrix: matching.Matrix{{Wait: 0, Free: Size(t)}}, boot: t.BootS}
+				s := &sim{offer: o, matrix: matching.Matrix{{Wait: 0, Free: ResourcesOf(t)}}, boot: t.BootS}
 				sims = append(sims, s)
 				left := f.fillOne(d, s, n, patience+t.BootS)
 				if left == n {
@@ -118,7 +118,7 @@
 }
 
 // reopen lets closing machines take work again before others are rented.
-func (f *Fleet) reopen(d *scheduler.Demand, sims, closing []*sim, n int, patience float64) (open, rest []*sim, left int) {
+func (f *Autoscaler) reopen(d *scheduler.Demand, sims, closing []*sim, n int, patience float64) (open, rest []*sim, left int) {
 	for _, s := range closing {
 		if n > 0 && f.fits(d, s.offer) {
 			if left := f.fillOne(d, s, n, patience); left < n {
@@ -150,7 +150,7 @@
 const forever = 1e6
 
 // boot is how long the quickest machine type takes to come up.
-func (f *Fleet) boot() float64 {
+func (f *Autoscaler) boot() float64 {
 	boot := math.Inf(1)
 	for _, t := range f.catalog.All() {
 		boot = min(boot, t.BootS)
@@ -163,7 +163,7 @@
 
 // fill puts waiting work on what there is. late says that a machine that
 // still boots is no excuse for a longer wait.
-func (f *Fleet) fill(d *scheduler.Demand, sims []*sim, patience float64, late bool) int {
+func (f *Autoscaler) fill(d *scheduler.Demand, sims []*sim, patience float64, late bool) int {
 	n := d.Count
 	for _, s := range sims {
 		if n == 0 {
@@ -183,7 +183,7 @@
 // fillOne puts up to n tasks on a machine, all that can start together at a time:
 // an array of 25,000 small tasks, taken one by one, held a small controller's
 // processor for two seconds of every plan, and nothing else was done.
-func (f *Fleet) fillOne(d *scheduler.Demand, s *sim, n int, patience float64) int {
+func (f *Autoscaler) fillOne(d *scheduler.Demand, s *sim, n int, patience float64) int {
 	for n > 0 {
 		w := s.matrix.WaitWithin(d.Shape, d.Run, patience-s.boot)
 		if s.boot+w > patience {
@@ -197,9 +197,9 @@
 }
 
 // held counts the machines by kind.
-func (f *Fleet) held() map[offer]int {
+func (f *Autoscaler) held() map[offer]int {
 	n := map[offer]int{}
-	for name, b := range f.boxes {
+	for name, b := range f.instances {
 		if !f.sending[name] {
 			n[b.offer]++
 		}
@@ -209,10 +209,10 @@
 
 // refuse notes that no more of an offer is to be had: asking again is a waste
 // of the cloud's budget unless machines of it were lost or returned since.
-func (f *Fleet) refuse(o offer) { f.refused[o] = refusal{time.Now(), f.held()[o]} }
+func (f *Autoscaler) refuse(o offer) { f.refused[o] = refusal{time.Now(), f.held()[o]} }
 
 // offers lists what may be rented now.
-func (f *Fleet) offers(now time.Time) []offer {
+func (f *Autoscaler) offers(now time.Time) []offer {
 	var out []offer
 	held := f.held()
 	for _, t := range f.catalog.All() {
@@ -238,7 +238,7 @@
 	return out
 }
 
-func (f *Fleet) price(o offer, t wire.MachineType) float64 {
+func (f *Autoscaler) price(o offer, t wire.MachineType) float64 {
 	if o.Spot {
 		return t.SpotPrice
 	}
@@ -247,22 +247,22 @@
 
 // best is the offer at which the waiting tasks cost least: the price of a
 // machine by the tasks that it would run.
-func (f *Fleet) best(d *scheduler.Demand, n int, offers []offer, wants map[offer]int, spot bool) (offer, wire.MachineType, bool) {
+func (f *Autoscaler) best(d *scheduler.Demand, n int, offers []offer, wants map[offer]int, spot bool) (offer, wire.MachineType, bool) {
 	var best offer
 	var bestT wire.MachineType
 	cost := math.Inf(1)
 	for _, o := range offers {
 		t, ok := f.catalog.Type(o.Type)
-		if !ok || o.Spot != spot || wants[o] >= maxHire*f.inFlight() || !f.fits(d, o) || !d.Shape.Fits(Size(t)) {
+		if !ok || o.Spot != spot || wants[o] >= maxProvision*f.inFlight() || !f.fits(d, o) || !d.Shape.Fits(ResourcesOf(t)) {
 			continue
 		}
-		k := tasksIn(d.Shape, Size(t))
+		k := tasksIn(d.Shape, ResourcesOf(t))
 		// A machine much larger than the work is mostly idle, but the
 		// rest of it serves what comes next.
 		used := min(float64(k), float64(n))
 		c := f.price(o, t) / (0.5*used + 0.5*float64(k))
 		w := float64(wants[o])
-		c *= 1 + 0.1*t.BootS/minimumS + w/(w+maxHire)
+		c *= 1 + 0.1*t.BootS/minimumS + w/(w+maxProvision)
 		if c < cost {
 			best, bestT, cost = o, t, c
 		}
@@ -274,7 +274,7 @@
 func tasksIn(s, size matching.Shape) int { return max(1, s.Times(size, 1e6)) }
 
 // capacity is the CPUs of all machines in the plan.
-func (f *Fleet) capacity(sims []*sim) float64 {
+func (f *Autoscaler) capacity(sims []*sim) float64 {
 	have := 0.0
 	for _, s := range sims {
 		if t, ok := f.catalog.Type(s.offer.Type); ok {
@@ -285,7 +285,7 @@
 }
 
 // headroom rents spot machines ahead of the demand, up to the target.
-func (f *Fleet) headroom(sims []*sim, offers []offer, wants map[offer]int, first []offer) []offer {
+func (f *Autoscaler) headroom(sims []*sim, offers []offer, wants map[offer]int, first []offer) []offer {
 	have := f.capacity(sims)
 	for have < f.target() {
 		missing := f.target() - have
@@ -297,7 +297,7 @@
 				best, size, cost = o, t.CPUs, t.SpotPrice/t.CPUs
 			}
 		}
-		if size == 0 || wants[best] >= maxHire*f.inFlight() {
+		if size == 0 || wants[best] >= maxProvision*f.inFlight() {
 			break
 		}
 		if wants[best]++; wants[best] == 1 {
--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -52,12 +52,12 @@
 
 // Controllers of different versions share the records, so their form must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "hire.json", hireRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123, AnsweredMs: 1700000004567, Machines: []string{"m-1", "m-2"}})
-	checkRecorded(t, "hire_least.json", hireRecord{})
+	checkRecorded(t, "hire.json", provisionRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123, AnsweredMs: 1700000004567, Machines: []string{"m-1", "m-2"}})
+	checkRecorded(t, "hire_least.json", provisionRecord{})
 	checkRecorded(t, "types.json", machineTypes())
 	checkRecorded(t, "types_least.json", []wire.MachineType(nil))
-	record := hireRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123}
-	planned := &hire{req: fullRequest(), made: time.UnixMilli(1700000000123)}
+	record := provisionRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123}
+	planned := &provision{req: fullRequest(), made: time.UnixMilli(1700000000123)}
 	if !reflect.DeepEqual(planned.record(), record) {
 		t.Errorf("recorded as %+v, want %+v", planned.record(), record)
 	}
@@ -65,8 +65,8 @@
 }
 
 func TestRecordedKeys(t *testing.T) {
-	if hireKey != "fleet/hire/" || typesKey != "fleet/types" {
-		t.Errorf("keys %q, %q", hireKey, typesKey)
+	if provisionKey != "fleet/hire/" || typesKey != "fleet/types" {
+		t.Errorf("keys %q, %q", provisionKey, typesKey)
 	}
 }
 
@@ -96,14 +96,14 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	catalog := NewCatalog(nil, view, log)
 	fleet := New(&config.Platform{}, &config.Operator{}, nil, catalog, view, leader{version}, nil, nil, log)
-	planned := &hire{req: fullRequest(), made: time.UnixMilli(1700000000123)}
+	planned := &provision{req: fullRequest(), made: time.UnixMilli(1700000000123)}
 	if err := fleet.write(t.Context(), planned); err != nil {
 		t.Fatal(err)
 	}
 	checkText(t, store, "fleet/hire/r-12-1", "hire_planned.json")
 	answered := planned.record()
 	answered.AnsweredMs, answered.Machines = 1700000004567, []string{"m-1", "m-2"}
-	fleet.answered["r-12-1"] = &answeredHire{record: answered, until: time.Now().Add(time.Hour)}
+	fleet.answered["r-12-1"] = &answeredProvision{record: answered, until: time.Now().Add(time.Hour)}
 	fleet.recordAnswers(t.Context())
 	checkText(t, store, "fleet/hire/r-12-1", "hire.json")
 	catalog.keep(t.Context(), machineTypes())
--- a/internal/autoscaler/shrink.go
+++ b/internal/autoscaler/shrink.go
@@ -8,10 +8,10 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// shut chooses dear machines to close, the emptiest first, while there is more
+// cordon chooses dear machines to close, the emptiest first, while there is more
 // than what runs and the headroom need. Without it, work that could as well
 // run elsewhere keeps every one of them from falling idle.
-func (f *Fleet) shut(now time.Time, demand []scheduler.Demand) map[string]bool {
+func (f *Autoscaler) cordon(now time.Time, demand []scheduler.Demand) map[string]bool {
 	if now.Sub(f.ledAt) < settleFor {
 		return nil // what runs is not known well yet
 	}
@@ -19,8 +19,8 @@
 	for i := range demand {
 		spare -= demand[i].Shape.CPUs * float64(demand[i].Count)
 	}
-	var dear []*box
-	for name, b := range f.boxes {
+	var dear []*instance
+	for name, b := range f.instances {
 		t, ok := f.catalog.Type(b.offer.Type)
 		if !ok || b.load == nil || f.sending[name] || b.load.Notice || now.Sub(b.heard) > seconds(f.op.SilentS) {
 			continue
@@ -32,7 +32,7 @@
 			dear = append(dear, b)
 		}
 	}
-	fullness := func(b *box) float64 {
+	fullness := func(b *instance) float64 {
 		t, _ := f.catalog.Type(b.offer.Type)
 		return b.load.Used.CPUs / max(1, t.CPUs)
 	}
@@ -59,7 +59,7 @@
 const rateWindow = 40.0
 
 // measure follows how many CPUs the arriving work keeps busy.
-func (f *Fleet) measure(now time.Time, work float64) {
+func (f *Autoscaler) measure(now time.Time, work float64) {
 	if f.workAt.IsZero() || work < f.work {
 		f.work, f.workAt = work, now
 		return
@@ -74,28 +74,28 @@
 
 // keep is the capacity, in CPUs, that must not be returned although nothing runs
 // on it.
-func (f *Fleet) keep() float64 {
-	if f.Hold == nil {
+func (f *Autoscaler) keep() float64 {
+	if f.ReservedCPUs == nil {
 		return 0
 	}
-	return f.Hold()
+	return f.ReservedCPUs()
 }
 
 // target is the capacity, in CPUs, to be kept.
-func (f *Fleet) target() float64 {
+func (f *Autoscaler) target() float64 {
 	return max(f.busy, f.rate) * (1 + f.op.HeadroomPct/100)
 }
 
 // idle drains machines that have done nothing for a while, the dearest
 // first, as long as the headroom stays; none of a kind that is wanted.
-func (f *Fleet) idle(now time.Time, wants map[offer]int) {
+func (f *Autoscaler) idle(now time.Time, wants map[offer]int) {
 	var have float64
-	var idle []*box
+	var idle []*instance
 	wanted := map[bool]bool{}
 	for o := range wants {
 		wanted[o.Spot] = true
 	}
-	for name, b := range f.boxes {
+	for name, b := range f.instances {
 		if b.load == nil || f.sending[name] || now.Sub(b.heard) > seconds(f.op.SilentS) {
 			continue
 		}
@@ -111,7 +111,7 @@
 		}
 		idle = append(idle, b)
 	}
-	perCPU := func(b *box) float64 {
+	perCPU := func(b *instance) float64 {
 		t, _ := f.catalog.Type(b.offer.Type)
 		return f.price(b.offer, t) / max(1, t.CPUs)
 	}
@@ -143,7 +143,7 @@
 			continue
 		}
 		have -= t.CPUs
-		if b.draining.IsZero() && f.holder.Drain(b.name) {
+		if b.draining.IsZero() && f.dispatcher.Drain(b.name) {
 			b.draining = now // returned by the next step
 		}
 	}
--- a/internal/testkit/rented_cluster_test.go
+++ b/internal/testkit/rented_cluster_test.go
@@ -179,9 +179,9 @@
 
 func (o fleetOwner) Ready() bool { return o.LeadsAutoscaling() }
 
-func (o fleetOwner) Suspects() map[string]string { return map[string]string{} }
+func (o fleetOwner) FailedWorkers() map[string]string { return map[string]string{} }
 
-func (o fleetOwner) Gone(name string) {
+func (o fleetOwner) WorkerGone(name string) {
 	o.c.mu.Lock()
 	nodes := make([]*node, 0, len(o.c.nodes))
 	for _, n := range o.c.nodes {
