--- a/cmd/wallctl/accounting.go
+++ b/cmd/wallctl/accounting.go
@@ -180,7 +180,7 @@
 		if err != nil {
 			return now, err
 		}
-		ms := i.AtMs
+		ms := i.AcceptedMs
 		if e := i.Ending; e != nil {
 			if ms = e.StartMs; ms == 0 {
 				ms = e.EndMs
--- a/cmd/wallctl/scancel.go
+++ b/cmd/wallctl/scancel.go
@@ -97,7 +97,7 @@
 		return fmt.Errorf("the jobs could not be listed to the end, none was cancelled: %w", err)
 	}
 	for _, m := range found {
-		name, uid := strconv.FormatUint(m.info.Terms.Number, 10), m.info.Job.UID
+		name, uid := strconv.FormatUint(m.info.Constraints.Number, 10), m.info.Job.UID
 		if m.all {
 			c.note(name, cancelJob(ctx, c.cl, uid))
 		} else {
@@ -118,7 +118,7 @@
 	m := match{info: info, all: true}
 	for _, r := range slurm.Queue(info, true, nowMs, time.Local) {
 		if f.Has(&r) {
-			m.tasks = append(m.tasks, int(r.RawID-info.Terms.Number))
+			m.tasks = append(m.tasks, int(r.RawID-info.Constraints.Number))
 		} else {
 			m.all = false
 		}
@@ -155,10 +155,10 @@
 		if err != nil {
 			return err
 		}
-		if info.Terms == nil {
+		if info.Constraints == nil {
 			return errOver
 		}
-		if tasks, err = slurm.Tasks(t.Indices, info.Job.Tasks, info.Terms.Array); err != nil {
+		if tasks, err = slurm.Tasks(t.Indices, info.Job.Tasks, info.Constraints.Array); err != nil {
 			return errInvalidJobID
 		}
 	}
--- a/cmd/wallctl/scancel_test.go
+++ b/cmd/wallctl/scancel_test.go
@@ -17,10 +17,10 @@
 // A filter cancels a job as a whole if all its tasks match, else the tasks that do; if
 // the listing breaks off, nothing is cancelled.
 func TestFilteredCancelTakesWhatTheWholeListingMatches(t *testing.T) {
-	job := func(uid string, number uint64, tasks int, waiting string, on ...jobquery.On) jobquery.Info {
-		return jobquery.Info{Job: wire.Job{UID: uid, Tasks: tasks}, Terms: &jobspec.Terms{Number: number}, Stage: wire.StageQueued, Waiting: waiting, On: on}
+	job := func(uid string, number uint64, tasks int, waiting string, on ...jobquery.Placement) jobquery.Info {
+		return jobquery.Info{Job: wire.Job{UID: uid, Tasks: tasks}, Constraints: &jobspec.Constraints{Number: number}, Stage: wire.StageQueued, Waiting: waiting, Placements: on}
 	}
-	running := jobquery.On{Task: 0, Attempt: 1, Machine: "m", StartMs: 5}
+	running := jobquery.Placement{Task: 0, Attempt: 1, Machine: "m", StartMs: 5}
 	first := jobquery.Page{Next: &jobquery.Cursor{Number: 40}, NowMs: 1000,
 		Jobs: []jobquery.Info{job("j-all", 10, 1, "0"), job("j-part", 20, 3, "1-2", running), job("j-none", 30, 1, "", running)}}
 	last := jobquery.Page{NowMs: 1000, Jobs: []jobquery.Info{job("j-last", 40, 1, "0")}}
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -183,11 +183,11 @@
 	checkRecorded(t, "machines_empty.json", []wire.MachineInfo{})
 }
 
-func fullTerms() *jobspec.Terms {
-	return &jobspec.Terms{
-		Number: 4001, Name: "train", User: "ada", Array: "0-15:2", Most: 4, Held: true, BeginMs: 1700000000123, DeadlineMs: 1700000600123,
-		LimitS: 900.5, Final: true, Any: true, After: []jobspec.Dep{{Kind: "after", Job: "j-000399", Number: 3990, DelayS: 60}},
-		KillNever: true, Dropped: "3,5", Why: "TIMEOUT",
+func fullTerms() *jobspec.Constraints {
+	return &jobspec.Constraints{
+		Number: 4001, Name: "train", User: "ada", Array: "0-15:2", MaxConcurrent: 4, Held: true, BeginMs: 1700000000123, DeadlineMs: 1700000600123,
+		LimitS: 900.5, NoRetry: true, AnyDependency: true, Dependencies: []jobspec.Dependency{{Kind: "after", Job: "j-000399", Number: 3990, DelayS: 60}},
+		CancelIfUnsatisfiable: true, CancelledTasks: "3,5", CancelReason: "TIMEOUT",
 	}
 }
 
@@ -196,7 +196,7 @@
 	checkRecorded(t, "facts_full.json", factsMessage{UID: "j-000400", Name: "train", User: "ada", Number: 4001})
 	checkRecorded(t, "facts_empty.json", factsMessage{})
 	checkRecorded(t, "facts_reply_full.json", factsReply{
-		Known: true, Facts: jobspec.Facts{Started: true, StartedMs: 1700000000123, Over: true, OK: true}, Earlier: true,
+		Known: true, Facts: jobspec.JobFacts{Started: true, StartedMs: 1700000000123, Over: true, OK: true}, Earlier: true,
 	})
 	checkRecorded(t, "facts_reply_empty.json", factsReply{})
 	cursor := jobquery.Cursor{Number: 4001, On: 20, Task: 7}
@@ -205,8 +205,8 @@
 	checkRecorded(t, "desk_reply_full.json", slurmapi.Reply{
 		Status: 200, Why: "no such job is waiting or running", Next: &cursor,
 		Jobs: []jobquery.Info{{
-			Job: fullJob(), Terms: fullTerms(), AtMs: 1700000000123, Stage: wire.StageRunning, Reason: "Resources", Eligible: 1700000001123,
-			StartMs: 1700000002123, Waiting: "4-7", Queued: 4, On: []jobquery.On{{Task: 3, Attempt: 2, Machine: "n-000231", StartMs: 1700000003123, Ending: true}},
+			Job: fullJob(), Constraints: fullTerms(), AcceptedMs: 1700000000123, Stage: wire.StageRunning, Reason: "Resources", EligibleMs: 1700000001123,
+			StartMs: 1700000002123, Waiting: "4-7", Queued: 4, Placements: []jobquery.Placement{{Task: 3, Attempt: 2, Machine: "n-000231", StartMs: 1700000003123, Ending: true}},
 			Running: 1, Done: 2, Failed: 6, Ending: &jobspec.Ending{Number: 4001, State: "FAILED", Exit: 137, Failed: 6, StartMs: 1700000002123, EndMs: 1700000009123},
 		}},
 	})
--- a/cmd/wallrack/rollouts.go
+++ b/cmd/wallrack/rollouts.go
@@ -45,13 +45,13 @@
 	}
 	shard := scheduler.AssignShard(job, c.n.cfg.Params.Teams, c.n.op)
 	at := time.Now().UnixMilli()
-	var t *jobspec.Terms
+	var t *jobspec.Constraints
 	if book := c.n.intake.Numbers; book != nil {
 		number, err := book.Take(ctx, job.Tasks)
 		if err != nil {
 			return err
 		}
-		t = &jobspec.Terms{Number: number, Name: job.Class}
+		t = &jobspec.Constraints{Number: number, Name: job.Class}
 	}
 	accept, ops := scheduler.AcceptanceTxn(job, t, shard, at)
 	rev, err := c.n.store.Txn(ctx, append(accept, guards...), ops...)
--- a/cmd/wallrack/slurm.go
+++ b/cmd/wallrack/slurm.go
@@ -27,9 +27,9 @@
 }
 
 type factsReply struct {
-	Known   bool          `json:"known"`
-	Facts   jobspec.Facts `json:"facts"`
-	Earlier bool          `json:"earlier"`
+	Known   bool             `json:"known"`
+	Facts   jobspec.JobFacts `json:"facts"`
+	Earlier bool             `json:"earlier"`
 }
 
 const factsWithin = 700 * time.Millisecond
@@ -68,7 +68,7 @@
 }
 
 // JobFacts says how far a job is: its owner knows, or the store how it ended.
-func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.Facts, error) {
+func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error) {
 	for _, p := range n.ShardOwners() {
 		actx, cancel := context.WithTimeout(ctx, factsWithin)
 		rep, err := mesh.Call[factsMessage, factsReply](actx, n.mesh, p, methodFacts, &factsMessage{UID: uid})
--- a/internal/client/recorded_test.go
+++ b/internal/client/recorded_test.go
@@ -40,7 +40,7 @@
 	defer srv.Close()
 	c, ctx := client.New(srv.URL), t.Context()
 	var job wire.Job
-	var with jobspec.Terms
+	var with jobspec.Constraints
 	var what taskspec.Description
 	recorded.Fill(&job)
 	recorded.Fill(&with)
--- a/internal/jobquery/listing.go
+++ b/internal/jobquery/listing.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// On is a task that is, or may be, on a machine.
-type On struct {
+// Placement is a task that is, or may be, on a machine.
+type Placement struct {
 	Task    int    `json:"task"`
 	Attempt uint64 `json:"attempt"`
 	Machine string `json:"machine"`
@@ -21,20 +21,20 @@
 // Info is a job as listings show it. Lists of tasks are left out of the parts of
 // a listing that go on with a job's running tasks.
 type Info struct {
-	Job      wire.Job        `json:"job"`
-	Terms    *jobspec.Terms  `json:"terms"`
-	AtMs     int64           `json:"at"`
-	Stage    string          `json:"stage"`
-	Reason   string          `json:"reason,omitempty"` // why its waiting tasks wait
-	Eligible int64           `json:"eligible,omitempty"`
-	StartMs  int64           `json:"start,omitempty"`
-	Waiting  string          `json:"waiting,omitempty"` // tasks, as terms.Ranges
-	Queued   int             `json:"queued"`            // tasks that wait, in all
-	On       []On            `json:"on,omitempty"`
-	Running  int             `json:"running"` // in all
-	Done     int             `json:"done"`
-	Failed   int             `json:"failed,omitempty"`
-	Ending   *jobspec.Ending `json:"ending,omitempty"` // of a job that is over
+	Job         wire.Job             `json:"job"`
+	Constraints *jobspec.Constraints `json:"terms"`
+	AcceptedMs  int64                `json:"at"`
+	Stage       string               `json:"stage"`
+	Reason      string               `json:"reason,omitempty"` // why its waiting tasks wait
+	EligibleMs  int64                `json:"eligible,omitempty"`
+	StartMs     int64                `json:"start,omitempty"`
+	Waiting     string               `json:"waiting,omitempty"` // tasks, as terms.Ranges
+	Queued      int                  `json:"queued"`            // tasks that wait, in all
+	Placements  []Placement          `json:"on,omitempty"`
+	Running     int                  `json:"running"` // in all
+	Done        int                  `json:"done"`
+	Failed      int                  `json:"failed,omitempty"`
+	Ending      *jobspec.Ending      `json:"ending,omitempty"` // of a job that is over
 }
 
 // Cursor is where a listing goes on: with the job of this number, beyond so many
@@ -54,9 +54,9 @@
 
 // Submission is a job with its terms.
 type Submission struct {
-	Job   json.RawMessage `json:"job"`
-	Terms *jobspec.Terms  `json:"terms"`
-	Test  bool            `json:"test,omitempty"` // check it, and accept nothing
+	Job         json.RawMessage      `json:"job"`
+	Constraints *jobspec.Constraints `json:"terms"`
+	DryRun      bool                 `json:"test,omitempty"` // check it, and accept nothing
 }
 
 // Site is what clients need to know of a site.
--- a/internal/jobspec/recorded_test.go
+++ b/internal/jobspec/recorded_test.go
@@ -9,24 +9,24 @@
 )
 
 func TestTermsKeepTheirBytes(t *testing.T) {
-	recorded.CheckFull(t, "dependency-full", jobspec.Dep{Kind: jobspec.After, Job: "j-7", Number: 70, DelayS: 60})
-	recorded.Check(t, "dependency-none", jobspec.Dep{Kind: jobspec.Singleton})
-	recorded.CheckFull(t, "terms-full", jobspec.Terms{Number: 4100, Name: "tips", User: "erin", Array: "0-30:2", Most: 4, Held: true,
-		BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, Final: true, Any: true,
-		After:     []jobspec.Dep{{Kind: jobspec.AfterOK, Job: "j-7", Number: 70}, {Kind: jobspec.Singleton}},
-		KillNever: true, Dropped: "3,7-9", Why: jobspec.Cancelled})
-	recorded.Check(t, "terms-none", jobspec.Terms{Number: 1})
+	recorded.CheckFull(t, "dependency-full", jobspec.Dependency{Kind: jobspec.After, Job: "j-7", Number: 70, DelayS: 60})
+	recorded.Check(t, "dependency-none", jobspec.Dependency{Kind: jobspec.Singleton})
+	recorded.CheckFull(t, "terms-full", jobspec.Constraints{Number: 4100, Name: "tips", User: "erin", Array: "0-30:2", MaxConcurrent: 4, Held: true,
+		BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, NoRetry: true, AnyDependency: true,
+		Dependencies:          []jobspec.Dependency{{Kind: jobspec.AfterOK, Job: "j-7", Number: 70}, {Kind: jobspec.Singleton}},
+		CancelIfUnsatisfiable: true, CancelledTasks: "3,7-9", CancelReason: jobspec.Cancelled})
+	recorded.Check(t, "terms-none", jobspec.Constraints{Number: 1})
 	recorded.CheckFull(t, "ending-full", jobspec.Ending{Number: 4100, State: jobspec.Timeout, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000})
 	recorded.Check(t, "ending-none", jobspec.Ending{Number: 1, State: jobspec.Completed})
-	recorded.CheckFull(t, "facts-full", jobspec.Facts{Started: true, StartedMs: 1_796_000_001_000, Over: true, OK: true})
-	recorded.Check(t, "facts-none", jobspec.Facts{})
+	recorded.CheckFull(t, "facts-full", jobspec.JobFacts{Started: true, StartedMs: 1_796_000_001_000, Over: true, OK: true})
+	recorded.Check(t, "facts-none", jobspec.JobFacts{})
 }
 
 // These names are stored, and shown by clients.
 func TestNamesInTerms(t *testing.T) {
 	got := []string{jobspec.After, jobspec.AfterAny, jobspec.AfterOK, jobspec.AfterNotOK, jobspec.Singleton,
 		jobspec.Completed, jobspec.Failed, jobspec.Timeout, jobspec.Cancelled, jobspec.Deadline, jobspec.NodeFail, jobspec.Preempted,
-		jobspec.ReasonNone, jobspec.ReasonHeld, jobspec.ReasonBegin, jobspec.ReasonDependency, jobspec.ReasonNever, jobspec.ReasonThrottle,
+		jobspec.ReasonNone, jobspec.ReasonHeld, jobspec.ReasonBegin, jobspec.ReasonDependency, jobspec.ReasonUnsatisfiable, jobspec.ReasonThrottle,
 		jobspec.ReasonLimitCPU, jobspec.ReasonLimitGPU, jobspec.ReasonPriority, jobspec.ReasonResources}
 	want := []string{"after", "afterany", "afterok", "afternotok", "singleton",
 		"COMPLETED", "FAILED", "TIMEOUT", "CANCELLED", "DEADLINE", "NODE_FAIL", "PREEMPTED",
--- a/internal/jobspec/terms.go
+++ b/internal/jobspec/terms.go
@@ -20,16 +20,16 @@
 
 // Reasons why a job's tasks wait, by Slurm's names.
 const (
-	ReasonNone       = "None"
-	ReasonHeld       = "JobHeldUser"
-	ReasonBegin      = "BeginTime"
-	ReasonDependency = "Dependency"
-	ReasonNever      = "DependencyNeverSatisfied"
-	ReasonThrottle   = "JobArrayTaskLimit"
-	ReasonLimitCPU   = "AssocGrpCPULimit"
-	ReasonLimitGPU   = "AssocGrpGRES"
-	ReasonPriority   = "Priority"
-	ReasonResources  = "Resources"
+	ReasonNone          = "None"
+	ReasonHeld          = "JobHeldUser"
+	ReasonBegin         = "BeginTime"
+	ReasonDependency    = "Dependency"
+	ReasonUnsatisfiable = "DependencyNeverSatisfied"
+	ReasonThrottle      = "JobArrayTaskLimit"
+	ReasonLimitCPU      = "AssocGrpCPULimit"
+	ReasonLimitGPU      = "AssocGrpGRES"
+	ReasonPriority      = "Priority"
+	ReasonResources     = "Resources"
 )
 
 // How a job, or a task of it, ended; Slurm's names.
@@ -45,60 +45,60 @@
 
 // Bounds, so that a job's record stays small.
 const (
-	MaxDeps   = 32
-	MaxName   = 200
-	MaxArray  = 2048 // bytes of an array's indices
-	maxFuture = 10 * 365 * 24 * time.Hour
+	MaxDependencies = 32
+	MaxName         = 200
+	MaxArray        = 2048 // bytes of an array's indices
+	maxFuture       = 10 * 365 * 24 * time.Hour
 )
 
-// Dep is a dependency on another job.
-type Dep struct {
+// Dependency is a dependency on another job.
+type Dependency struct {
 	Kind   string `json:"k"`
 	Job    string `json:"j,omitempty"` // uid; none for singleton
 	Number uint64 `json:"n,omitempty"`
 	DelayS int64  `json:"d,omitempty"` // of after: so long after the start
 }
 
-// Terms are a job's terms. Times of day are in milliseconds since 1970.
-type Terms struct {
-	Number     uint64  `json:"n"` // the job's; task k is also Number+k
-	Name       string  `json:"name,omitempty"`
-	User       string  `json:"user,omitempty"`
-	Array      string  `json:"array,omitempty"`   // indices of an array's tasks; "": not an array
-	Most       int     `json:"most,omitempty"`    // tasks that may be on at once; 0: all
-	Held       bool    `json:"held,omitempty"`    //
-	BeginMs    int64   `json:"begin,omitempty"`   // no start before it
-	DeadlineMs int64   `json:"until,omitempty"`   // cancelled if not done by then
-	LimitS     float64 `json:"limit,omitempty"`   // run time of a task
-	Final      bool    `json:"final,omitempty"`   // a task that ends with an exit code of its own is not tried again
-	Any        bool    `json:"any,omitempty"`     // one dependency is enough
-	After      []Dep   `json:"after,omitempty"`   //
-	KillNever  bool    `json:"never,omitempty"`   // cancelled when its dependencies can't be met any more
-	Dropped    string  `json:"dropped,omitempty"` // tasks that were cancelled alone, see Ranges
-	Why        string  `json:"why,omitempty"`     // how it ends, if it was cancelled by its own terms
+// Constraints are a job's terms. Times of day are in milliseconds since 1970.
+type Constraints struct {
+	Number                uint64       `json:"n"` // the job's; task k is also Number+k
+	Name                  string       `json:"name,omitempty"`
+	User                  string       `json:"user,omitempty"`
+	Array                 string       `json:"array,omitempty"`   // indices of an array's tasks; "": not an array
+	MaxConcurrent         int          `json:"most,omitempty"`    // tasks that may be on at once; 0: all
+	Held                  bool         `json:"held,omitempty"`    //
+	BeginMs               int64        `json:"begin,omitempty"`   // no start before it
+	DeadlineMs            int64        `json:"until,omitempty"`   // cancelled if not done by then
+	LimitS                float64      `json:"limit,omitempty"`   // run time of a task
+	NoRetry               bool         `json:"final,omitempty"`   // a task that ends with an exit code of its own is not tried again
+	AnyDependency         bool         `json:"any,omitempty"`     // one dependency is enough
+	Dependencies          []Dependency `json:"after,omitempty"`   //
+	CancelIfUnsatisfiable bool         `json:"never,omitempty"`   // cancelled when its dependencies can't be met any more
+	CancelledTasks        string       `json:"dropped,omitempty"` // tasks that were cancelled alone, see Ranges
+	CancelReason          string       `json:"why,omitempty"`     // how it ends, if it was cancelled by its own terms
 }
 
-// Check says what is wrong with the terms of a job of so many tasks.
-func (t *Terms) Check(tasks int, gang, service bool, now time.Time) error {
+// Validate says what is wrong with the terms of a job of so many tasks.
+func (t *Constraints) Validate(tasks int, gang, service bool, now time.Time) error {
 	inRange := func(ms int64) bool { return ms >= 0 && ms < now.Add(maxFuture).UnixMilli() }
 	switch {
 	case t.Number == 0:
 		return errors.New("number: missing")
 	case len(t.Name) > MaxName || len(t.User) > MaxName:
 		return errors.New("name, user: too long")
-	case t.Most < 0 || t.Most > 0 && (gang || service):
+	case t.MaxConcurrent < 0 || t.MaxConcurrent > 0 && (gang || service):
 		return errors.New("most: must not be negative, and is for arrays only")
 	case !inRange(t.BeginMs) || !inRange(t.DeadlineMs):
 		return errors.New("begin, until: out of range")
 	case !(t.LimitS >= 0 && t.LimitS < 1e9):
 		return errors.New("limit: out of range")
-	case service && (t.LimitS > 0 || t.Final):
+	case service && (t.LimitS > 0 || t.NoRetry):
 		return errors.New("limit, final: not for services")
-	case len(t.After) > MaxDeps:
-		return fmt.Errorf("after: more than %d dependencies", MaxDeps)
+	case len(t.Dependencies) > MaxDependencies:
+		return fmt.Errorf("after: more than %d dependencies", MaxDependencies)
 	case len(t.Array) > MaxArray:
 		return fmt.Errorf("array: over %d bytes", MaxArray)
-	case t.Dropped != "" || t.Why != "":
+	case t.CancelledTasks != "" || t.CancelReason != "":
 		return errors.New("dropped, why: not for submissions")
 	}
 	if t.Array != "" {
@@ -110,7 +110,7 @@
 			return fmt.Errorf("array: %d indices for %d tasks", r.Len(), tasks)
 		}
 	}
-	for _, d := range t.After {
+	for _, d := range t.Dependencies {
 		switch d.Kind {
 		case After, AfterAny, AfterOK, AfterNotOK:
 			if d.Job == "" && d.Number == 0 {
@@ -130,9 +130,9 @@
 	return nil
 }
 
-// Facts are what is known of a job that another depends on. What is over stays
+// JobFacts are what is known of a job that another depends on. What is over stays
 // over, and the outcome does not change.
-type Facts struct {
+type JobFacts struct {
 	Started   bool  `json:"started"`
 	StartedMs int64 `json:"startedMs,omitempty"` // 0: not known when
 	Over      bool  `json:"over"`
@@ -144,57 +144,57 @@
 
 // The outcomes.
 const (
-	Open Outcome = iota
-	Met
-	Never
+	Pending Outcome = iota
+	Satisfied
+	Unsatisfiable
 )
 
-// Judge says what becomes of a dependency. For singleton, Over means that no
+// Evaluate says what becomes of a dependency. For singleton, Over means that no
 // earlier job of the name is left.
-func (d Dep) Judge(f Facts, nowMs int64) Outcome {
+func (d Dependency) Evaluate(f JobFacts, nowMs int64) Outcome {
 	if d.Kind == After {
 		if !f.Started && !f.Over || f.StartedMs+1000*d.DelayS > nowMs {
-			return Open
+			return Pending
 		}
-		return Met
+		return Satisfied
 	}
 	if !f.Over {
-		return Open
+		return Pending
 	}
 	if d.Kind == AfterOK && !f.OK || d.Kind == AfterNotOK && f.OK {
-		return Never
+		return Unsatisfiable
 	}
-	return Met
+	return Satisfied
 }
 
-// Join joins the outcomes of a job's dependencies.
-func (t *Terms) Join(each []Outcome) Outcome {
+// Combine joins the outcomes of a job's dependencies.
+func (t *Constraints) Combine(each []Outcome) Outcome {
 	var open, met int
 	for _, o := range each {
 		switch o {
-		case Open:
+		case Pending:
 			open++
-		case Met:
+		case Satisfied:
 			met++
 		}
 	}
 	switch {
-	case t.Any && met > 0 || met == len(each):
-		return Met
-	case t.Any && open > 0 || !t.Any && open+met == len(each):
-		return Open
+	case t.AnyDependency && met > 0 || met == len(each):
+		return Satisfied
+	case t.AnyDependency && open > 0 || !t.AnyDependency && open+met == len(each):
+		return Pending
 	}
-	return Never
+	return Unsatisfiable
 }
 
-// Waits says why no task may start now, or "".
-func (t *Terms) Waits(deps Outcome, nowMs int64) string {
+// WaitReason says why no task may start now, or "".
+func (t *Constraints) WaitReason(deps Outcome, nowMs int64) string {
 	switch {
 	case t.Held:
 		return ReasonHeld
-	case deps == Never:
-		return ReasonNever
-	case deps == Open:
+	case deps == Unsatisfiable:
+		return ReasonUnsatisfiable
+	case deps == Pending:
 		return ReasonDependency
 	case t.BeginMs > nowMs:
 		return ReasonBegin
--- a/internal/jobspec/terms_test.go
+++ b/internal/jobspec/terms_test.go
@@ -63,37 +63,37 @@
 
 // Dependencies: what is over decides for good, what is not is open.
 func TestDependencies(t *testing.T) {
-	over, failed, runs := jobspec.Facts{Over: true, OK: true}, jobspec.Facts{Over: true}, jobspec.Facts{Started: true, StartedMs: 1000}
+	over, failed, runs := jobspec.JobFacts{Over: true, OK: true}, jobspec.JobFacts{Over: true}, jobspec.JobFacts{Started: true, StartedMs: 1000}
 	for _, c := range []struct {
 		kind  string
 		delay int64
-		f     jobspec.Facts
+		f     jobspec.JobFacts
 		want  jobspec.Outcome
 	}{
-		{jobspec.After, 0, jobspec.Facts{}, jobspec.Open}, {jobspec.After, 0, runs, jobspec.Met}, {jobspec.After, 5, runs, jobspec.Open}, {jobspec.After, 0, failed, jobspec.Met},
-		{jobspec.AfterAny, 0, runs, jobspec.Open}, {jobspec.AfterAny, 0, failed, jobspec.Met}, {jobspec.AfterAny, 0, over, jobspec.Met},
-		{jobspec.AfterOK, 0, runs, jobspec.Open}, {jobspec.AfterOK, 0, over, jobspec.Met}, {jobspec.AfterOK, 0, failed, jobspec.Never},
-		{jobspec.AfterNotOK, 0, over, jobspec.Never}, {jobspec.AfterNotOK, 0, failed, jobspec.Met}, {jobspec.Singleton, 0, jobspec.Facts{}, jobspec.Open}, {jobspec.Singleton, 0, over, jobspec.Met},
+		{jobspec.After, 0, jobspec.JobFacts{}, jobspec.Pending}, {jobspec.After, 0, runs, jobspec.Satisfied}, {jobspec.After, 5, runs, jobspec.Pending}, {jobspec.After, 0, failed, jobspec.Satisfied},
+		{jobspec.AfterAny, 0, runs, jobspec.Pending}, {jobspec.AfterAny, 0, failed, jobspec.Satisfied}, {jobspec.AfterAny, 0, over, jobspec.Satisfied},
+		{jobspec.AfterOK, 0, runs, jobspec.Pending}, {jobspec.AfterOK, 0, over, jobspec.Satisfied}, {jobspec.AfterOK, 0, failed, jobspec.Unsatisfiable},
+		{jobspec.AfterNotOK, 0, over, jobspec.Unsatisfiable}, {jobspec.AfterNotOK, 0, failed, jobspec.Satisfied}, {jobspec.Singleton, 0, jobspec.JobFacts{}, jobspec.Pending}, {jobspec.Singleton, 0, over, jobspec.Satisfied},
 	} {
-		if got := (jobspec.Dep{Kind: c.kind, DelayS: c.delay}).Judge(c.f, 2000); got != c.want {
+		if got := (jobspec.Dependency{Kind: c.kind, DelayS: c.delay}).Evaluate(c.f, 2000); got != c.want {
 			t.Errorf("%s+%d, %+v: %d, not %d", c.kind, c.delay, c.f, got, c.want)
 		}
 	}
-	all, any := &jobspec.Terms{}, &jobspec.Terms{Any: true}
-	o, m, n := jobspec.Open, jobspec.Met, jobspec.Never
+	all, any := &jobspec.Constraints{}, &jobspec.Constraints{AnyDependency: true}
+	o, m, n := jobspec.Pending, jobspec.Satisfied, jobspec.Unsatisfiable
 	for _, c := range []struct {
 		each     []jobspec.Outcome
 		all, any jobspec.Outcome
 	}{{nil, m, m}, {[]jobspec.Outcome{m, m}, m, m}, {[]jobspec.Outcome{o, m}, o, m}, {[]jobspec.Outcome{n, m}, n, m}, {[]jobspec.Outcome{n, o}, n, o}, {[]jobspec.Outcome{n, n}, n, n}} {
-		if a, b := all.Join(c.each), any.Join(c.each); a != c.all || b != c.any {
+		if a, b := all.Combine(c.each), any.Combine(c.each); a != c.all || b != c.any {
 			t.Errorf("%v: all %d, any %d", c.each, a, b)
 		}
 	}
-	held := &jobspec.Terms{Number: 1, Held: true, BeginMs: 5}
-	if why := held.Waits(jobspec.Met, 1); why != jobspec.ReasonHeld {
+	held := &jobspec.Constraints{Number: 1, Held: true, BeginMs: 5}
+	if why := held.WaitReason(jobspec.Satisfied, 1); why != jobspec.ReasonHeld {
 		t.Error(why)
 	}
-	if err := (&jobspec.Terms{Number: 1, After: []jobspec.Dep{{Kind: "later"}}}).Check(1, false, false, time.Now()); err == nil {
+	if err := (&jobspec.Constraints{Number: 1, Dependencies: []jobspec.Dependency{{Kind: "later"}}}).Validate(1, false, false, time.Now()); err == nil {
 		t.Error("an unknown kind of dependency is taken")
 	}
 }
--- a/internal/scheduler/accept.go
+++ b/internal/scheduler/accept.go
@@ -104,7 +104,7 @@
 
 // JobAccepted adds a job, with its terms if it has any, that this process has just
 // recorded.
-func (o *Scheduler) JobAccepted(spec *wire.Job, t *jobspec.Terms, shard int, atMs int64, version uint64) {
+func (o *Scheduler) JobAccepted(spec *wire.Job, t *jobspec.Constraints, shard int, atMs int64, version uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.jobs[spec.UID] == nil {
--- a/internal/scheduler/amend.go
+++ b/internal/scheduler/amend.go
@@ -25,8 +25,8 @@
 func (o *Scheduler) CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error {
 	return o.amend(ctx, uid, func(r *LiveRecord) (bool, error) {
 		var all []int
-		if r.Terms.Dropped != "" {
-			old, err := jobspec.ParseRanges(r.Terms.Dropped)
+		if r.Terms.CancelledTasks != "" {
+			old, err := jobspec.ParseRanges(r.Terms.CancelledTasks)
 			if err != nil {
 				return false, err
 			}
@@ -53,8 +53,8 @@
 		if _, err := jobspec.ParseRanges(text); err != nil || len(text) > jobspec.MaxArray {
 			return false, fmt.Errorf("%w: too many single tasks of this job were cancelled; cancel the job, or ranges of tasks", ErrInvalidRequest)
 		}
-		changed := r.Terms.Dropped != text
-		r.Terms.Dropped = text
+		changed := r.Terms.CancelledTasks != text
+		r.Terms.CancelledTasks = text
 		return changed, nil
 	})
 }
@@ -105,7 +105,7 @@
 		return
 	}
 	t := *r.Terms
-	j.Constraints.Terms = &t
+	j.Constraints.Constraints = &t
 	o.dropTasks(j)
 	if t.Held {
 		for _, ps := range j.Placements {
@@ -121,10 +121,10 @@
 
 // dropTasks marks the tasks that their user cancelled alone, and stops them.
 func (o *Scheduler) dropTasks(j *Job) {
-	if j.Constraints == nil || j.Constraints.Dropped == "" {
+	if j.Constraints == nil || j.Constraints.CancelledTasks == "" {
 		return
 	}
-	r, err := jobspec.ParseRanges(j.Constraints.Dropped)
+	r, err := jobspec.ParseRanges(j.Constraints.CancelledTasks)
 	if err != nil {
 		o.log.Error("unreadable terms of a job", "job", j.Spec.UID, "err", err)
 		return
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -218,7 +218,7 @@
 	for b.Loop() {
 		f := newFleet(b, 50, 0)
 		f.owner.JobAccepted(&wire.Job{UID: "j-big", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 100_000, CPUs: 1, Estimate: 30, Spot: true},
-			&jobspec.Terms{Number: 1, Array: "0-99999", Most: 20}, 0, time.Now().UnixMilli(), 1)
+			&jobspec.Constraints{Number: 1, Array: "0-99999", MaxConcurrent: 20}, 0, time.Now().UnixMilli(), 1)
 		f.owner.Pass()
 		tasks, pages := 0, 0
 		for from := (jobquery.Cursor{}); ; pages++ {
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -11,7 +11,7 @@
 // RemoteJobs answers for jobs that this owner does not have.
 type RemoteJobs interface {
 	// JobFacts says how far a job is, wherever it is.
-	JobFacts(ctx context.Context, uid string) (jobspec.Facts, error)
+	JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error)
 	// HasEarlier reports whether an owner elsewhere has an unfinished job of the
 	// name and user with a lower number.
 	HasEarlier(ctx context.Context, name, user string, number uint64) (bool, error)
@@ -71,24 +71,24 @@
 		}
 		was := a.DependencyOutcome
 		q := dependencyQuery{job: j}
-		for i, d := range a.After {
-			if a.Outcomes[i] != jobspec.Open {
+		for i, d := range a.Dependencies {
+			if a.Outcomes[i] != jobspec.Pending {
 				continue
 			}
 			if f, known := o.facts(j, d); known {
-				a.Outcomes[i] = d.Judge(f, now.UnixMilli())
+				a.Outcomes[i] = d.Evaluate(f, now.UnixMilli())
 			} else {
 				q.open = append(q.open, i)
 			}
 		}
-		a.DependencyOutcome = a.Join(a.Outcomes)
+		a.DependencyOutcome = a.Combine(a.Outcomes)
 		if len(q.open) > 0 && now.Sub(a.AskedAt) > lookEvery && len(ask) < lookMost && o.RemoteJobs != nil {
 			a.AskedAt = now
 			ask = append(ask, q)
 		}
-		if a.EligibleMs == 0 && a.Waits(a.DependencyOutcome, now.UnixMilli()) == "" {
+		if a.EligibleMs == 0 && a.WaitReason(a.DependencyOutcome, now.UnixMilli()) == "" {
 			a.EligibleMs = max(j.AcceptedMs, a.BeginMs)
-			if len(a.After) > 0 || was != a.DependencyOutcome {
+			if len(a.Dependencies) > 0 || was != a.DependencyOutcome {
 				a.EligibleMs = now.UnixMilli()
 			}
 			poke(o.wake)
@@ -97,7 +97,7 @@
 		switch {
 		case a.DeadlineMs > 0 && now.UnixMilli() > a.DeadlineMs:
 			why = jobspec.Deadline
-		case a.DependencyOutcome == jobspec.Never && a.KillNever:
+		case a.DependencyOutcome == jobspec.Unsatisfiable && a.CancelIfUnsatisfiable:
 			why = jobspec.Cancelled
 		}
 		if why != "" {
@@ -111,18 +111,18 @@
 }
 
 // facts says what this owner knows for sure of what a job depends on.
-func (o *Scheduler) facts(j *Job, d jobspec.Dep) (jobspec.Facts, bool) {
+func (o *Scheduler) facts(j *Job, d jobspec.Dependency) (jobspec.JobFacts, bool) {
 	if d.Kind == jobspec.Singleton {
 		if o.earlier(j.Constraints.Name, j.Constraints.User, j.Constraints.Number) {
-			return jobspec.Facts{}, true
+			return jobspec.JobFacts{}, true
 		}
-		return jobspec.Facts{Over: true, OK: true}, len(o.loaded) == o.op.Shards
+		return jobspec.JobFacts{Over: true, OK: true}, len(o.loaded) == o.op.Shards
 	}
 	return o.factsOf(d.Job)
 }
 
-func (f FinalRecord) Facts() jobspec.Facts {
-	out := jobspec.Facts{Over: true, OK: f.Stage == wire.StageDone, Started: f.Stage == wire.StageDone}
+func (f FinalRecord) Facts() jobspec.JobFacts {
+	out := jobspec.JobFacts{Over: true, OK: f.Stage == wire.StageDone, Started: f.Stage == wire.StageDone}
 	if f.Ending != nil {
 		out.StartedMs = f.Ending.StartMs
 	}
@@ -138,9 +138,9 @@
 	return false
 }
 
-func (o *Scheduler) factsOf(uid string) (jobspec.Facts, bool) {
+func (o *Scheduler) factsOf(uid string) (jobspec.JobFacts, bool) {
 	if x := o.jobs[uid]; x != nil {
-		f := jobspec.Facts{Started: x.Started > 0 || x.Done > 0}
+		f := jobspec.JobFacts{Started: x.Started > 0 || x.Done > 0}
 		if x.Constraints != nil {
 			f.StartedMs = x.Constraints.StartMs
 		}
@@ -149,15 +149,15 @@
 	if f, over := o.final[uid]; over {
 		return f.Facts(), true
 	}
-	return jobspec.Facts{}, false
+	return jobspec.JobFacts{}, false
 }
 
 // LocalFacts says how far a job is that this owner has, or had.
-func (o *Scheduler) LocalFacts(uid string) (jobspec.Facts, bool) {
+func (o *Scheduler) LocalFacts(uid string) (jobspec.JobFacts, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.member.LeaseRemaining() <= 0 {
-		return jobspec.Facts{}, false
+		return jobspec.JobFacts{}, false
 	}
 	return o.factsOf(uid)
 }
@@ -172,10 +172,10 @@
 
 // StoredFacts reads from the store how a job ended; a living one is only known to
 // its owner.
-func StoredFacts(ctx context.Context, store Reader, uid string) (jobspec.Facts, error) {
+func StoredFacts(ctx context.Context, store Reader, uid string) (jobspec.JobFacts, error) {
 	f, err := ReadFinal(ctx, store, uid)
 	if err != nil {
-		return jobspec.Facts{}, err
+		return jobspec.JobFacts{}, err
 	}
 	return f.Facts(), nil
 }
@@ -186,13 +186,13 @@
 	defer cancel()
 	a := q.job.Constraints
 	for _, i := range q.open {
-		d := a.After[i]
-		var f jobspec.Facts
+		d := a.Dependencies[i]
+		var f jobspec.JobFacts
 		var err error
 		if d.Kind == jobspec.Singleton {
 			var left bool
 			left, err = o.RemoteJobs.HasEarlier(ctx, a.Name, a.User, a.Number)
-			f = jobspec.Facts{Over: !left, OK: true}
+			f = jobspec.JobFacts{Over: !left, OK: true}
 		} else {
 			f, err = o.RemoteJobs.JobFacts(ctx, d.Job)
 		}
@@ -200,8 +200,8 @@
 			return err
 		}
 		o.mu.Lock()
-		a.Outcomes[i] = d.Judge(f, time.Now().UnixMilli())
-		a.DependencyOutcome = a.Join(a.Outcomes)
+		a.Outcomes[i] = d.Evaluate(f, time.Now().UnixMilli())
+		a.DependencyOutcome = a.Combine(a.Outcomes)
 		o.mu.Unlock()
 	}
 	return nil
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -44,13 +44,13 @@
 			skip, task = from.On, from.Task
 		}
 		s := o.shot(j, first, task)
-		on := s.On
-		s.On = on[min(skip, len(on)):]
-		if left := most - rows - 1; len(s.On) > left {
-			s.On = s.On[:left]
+		on := s.Placements
+		s.Placements = on[min(skip, len(on)):]
+		if left := most - rows - 1; len(s.Placements) > left {
+			s.Placements = s.Placements[:left]
 			next = &jobquery.Cursor{Number: j.Constraints.Number, On: skip + left, Task: wire.MaxTasks}
 		}
-		rows += 1 + len(s.On)
+		rows += 1 + len(s.Placements)
 		shots = append(shots, s)
 		if next != nil {
 			break
@@ -63,9 +63,9 @@
 		if task == 0 {
 			continue
 		}
-		if i < len(shots)-1 || next == nil || next.Number != info.Terms.Number {
-			next = &jobquery.Cursor{Number: info.Terms.Number, On: len(info.On)}
-			if info.Terms.Number == from.Number {
+		if i < len(shots)-1 || next == nil || next.Number != info.Constraints.Number {
+			next = &jobquery.Cursor{Number: info.Constraints.Number, On: len(info.Placements)}
+			if info.Constraints.Number == from.Number {
 				next.On += from.On
 			}
 		}
@@ -105,8 +105,8 @@
 // shot copies what a listing shows of a job.
 func (o *Scheduler) shot(j *Job, first *Job, from int) jobSnapshot {
 	st := j.PublicState()
-	t := *j.Constraints.Terms
-	s := jobSnapshot{Info: jobquery.Info{Job: *j.Spec, Terms: &t, AtMs: j.AcceptedMs, Stage: st.Stage, Eligible: j.Constraints.EligibleMs, StartMs: j.Constraints.StartMs,
+	t := *j.Constraints.Constraints
+	s := jobSnapshot{Info: jobquery.Info{Job: *j.Spec, Constraints: &t, AcceptedMs: j.AcceptedMs, Stage: st.Stage, EligibleMs: j.Constraints.EligibleMs, StartMs: j.Constraints.StartMs,
 		Running: j.Running, Done: j.Done, Failed: j.Finished - j.Done}}
 	for task, ps := range j.Placements {
 		waits := true
@@ -119,11 +119,11 @@
 				continue
 			}
 			waits = false
-			on := jobquery.On{Task: task, Attempt: p.Attempt, Machine: p.Worker.Name, Ending: !p.HaltedAt.IsZero()}
+			on := jobquery.Placement{Task: task, Attempt: p.Attempt, Machine: p.Worker.Name, Ending: !p.HaltedAt.IsZero()}
 			if !p.RunningSince.IsZero() {
 				on.StartMs = p.RunningSince.UnixMilli()
 			}
-			s.On = append(s.On, on)
+			s.Placements = append(s.Placements, on)
 		}
 		if waits && task >= from {
 			s.waiting = append(s.waiting, task)
@@ -138,7 +138,7 @@
 			s.waiting = append(s.waiting, t)
 		}
 	}
-	slices.SortFunc(s.On, func(a, b jobquery.On) int {
+	slices.SortFunc(s.Placements, func(a, b jobquery.Placement) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
 	if s.Queued > 0 && !j.Cancelled {
@@ -157,7 +157,7 @@
 	switch {
 	case j.Team.Leased != nil && !o.underLimit(j):
 		return j.Team.ExceededLimit(j.Shard, j.Team.Leased.UsedByShard[j.Shard].Add(j.Resources, 1))
-	case j.Constraints.Most > 0 && j.ActiveTasks(false, -1) >= j.Constraints.Most:
+	case j.Constraints.MaxConcurrent > 0 && j.ActiveTasks(false, -1) >= j.Constraints.MaxConcurrent:
 		return jobspec.ReasonThrottle
 	case j.Team.CPUsMax > 0 && use.CPUs > j.Team.CPUsMax+tiny:
 		return jobspec.ReasonLimitCPU
@@ -188,7 +188,7 @@
 func StoredJobInfo(ctx context.Context, store Reader, uid string) (jobquery.Info, error) {
 	r, _, err := ReadLive(ctx, store, uid)
 	if err == nil {
-		i := jobquery.Info{Job: r.Job, Terms: r.Terms, AtMs: r.AtMs, Stage: wire.StageQueued}
+		i := jobquery.Info{Job: r.Job, Constraints: r.Terms, AcceptedMs: r.AtMs, Stage: wire.StageQueued}
 		if r.Cancelled {
 			i.Stage = wire.StageCancelled
 		}
--- a/internal/scheduler/outcome.go
+++ b/internal/scheduler/outcome.go
@@ -49,7 +49,7 @@
 		return 0
 	case p.TimedOut:
 		return OutcomeTimedOut
-	case j.Constraints.Final && t.Cause == wire.CauseError && t.Exit != nil:
+	case j.Constraints.NoRetry && t.Cause == wire.CauseError && t.Exit != nil:
 		return OutcomeFailed
 	}
 	return 0
@@ -97,8 +97,8 @@
 	}
 	switch {
 	case j.EndStage == wire.StageDone:
-	case a.Why != "":
-		e.State = a.Why
+	case a.CancelReason != "":
+		e.State = a.CancelReason
 	case j.Cancelled:
 		e.State = jobspec.Cancelled
 	default:
--- a/internal/scheduler/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -90,11 +90,11 @@
 		t.Errorf("with a task that runs it is %+v, %v", s, ok)
 	}
 	info, ok := o.LocalJobInfo("j-1")
-	if !ok || info.Failed != 1 || info.Done != 2 || info.Waiting != "4-6" || len(info.On) != 1 || info.On[0].Task != 2 || info.On[0].Attempt != 3 {
+	if !ok || info.Failed != 1 || info.Done != 2 || info.Waiting != "4-6" || len(info.Placements) != 1 || info.Placements[0].Task != 2 || info.Placements[0].Attempt != 3 {
 		t.Errorf("it is listed as %+v, %v", info, ok)
 	}
-	if want := (&jobspec.Terms{Number: 100, Name: "tips", User: "erin", Array: "0-6", Most: 4, Final: true}); !reflect.DeepEqual(info.Terms, want) || info.AtMs != 946_684_806_000 {
-		t.Errorf("its terms are %+v, accepted at %d; want %+v", info.Terms, info.AtMs, want)
+	if want := (&jobspec.Constraints{Number: 100, Name: "tips", User: "erin", Array: "0-6", MaxConcurrent: 4, NoRetry: true}); !reflect.DeepEqual(info.Constraints, want) || info.AcceptedMs != 946_684_806_000 {
+		t.Errorf("its terms are %+v, accepted at %d; want %+v", info.Constraints, info.AcceptedMs, want)
 	}
 	if s, err := scheduler.StoredState(t.Context(), store, "j-2"); err != nil || s != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
 		t.Errorf("the ended job is %+v, %v", s, err)
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -26,11 +26,11 @@
 		OneZone: true, Spread: true, Spot: true, Estimate: 240, MarkS: 30, SaveS: 4, DueS: &due}
 }
 
-func fullTerms() *jobspec.Terms {
-	return &jobspec.Terms{Number: 4100, Name: "tips <a&b>", User: "erin", Array: "0-30:2", Most: 4, Held: true,
-		BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, Final: true, Any: true,
-		After:     []jobspec.Dep{{Kind: jobspec.After, Job: "j-7", Number: 70, DelayS: 60}},
-		KillNever: true, Dropped: "3,7-9", Why: jobspec.Deadline}
+func fullTerms() *jobspec.Constraints {
+	return &jobspec.Constraints{Number: 4100, Name: "tips <a&b>", User: "erin", Array: "0-30:2", MaxConcurrent: 4, Held: true,
+		BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, NoRetry: true, AnyDependency: true,
+		Dependencies:          []jobspec.Dependency{{Kind: jobspec.After, Job: "j-7", Number: 70, DelayS: 60}},
+		CancelIfUnsatisfiable: true, CancelledTasks: "3,7-9", CancelReason: jobspec.Deadline}
 }
 
 func fullEnding() *jobspec.Ending {
@@ -143,7 +143,7 @@
 
 func TestAcceptanceKeepsItsBytes(t *testing.T) {
 	job := fullJob()
-	for name, given := range map[string]*jobspec.Terms{"accept-full": fullTerms(), "accept-none": nil} {
+	for name, given := range map[string]*jobspec.Constraints{"accept-full": fullTerms(), "accept-none": nil} {
 		guards, ops := AcceptanceTxn(&job, given, 5, 1_796_000_000_123)
 		data, err := json.Marshal(wire.Txn{If: guards, Then: ops})
 		if err != nil {
@@ -171,7 +171,7 @@
 // The names of an owner's keys, in full.
 func TestKeysOfRecords(t *testing.T) {
 	job := &wire.Job{UID: "j-1", Tasks: 3}
-	guards, ops := AcceptanceTxn(job, &jobspec.Terms{Number: 40}, 0, 0)
+	guards, ops := AcceptanceTxn(job, &jobspec.Constraints{Number: 40}, 0, 0)
 	got := []string{LivePrefix, FinalPrefix, ChunkPrefix, LogPrefix, LogKey(7, 12), LogKey(1000, 100_000), ChunkKey("j-1", 0), ChunkKey("j-1", 1041)}
 	for _, g := range guards {
 		got = append(got, g.Key)
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -35,7 +35,7 @@
 	AtMs      int64    `json:"at"` // time of day of the acceptance
 	Cancelled bool     `json:"cancelled,omitempty"`
 
-	Terms *jobspec.Terms `json:"terms,omitempty"`
+	Terms *jobspec.Constraints `json:"terms,omitempty"`
 }
 
 // FinalRecord is how a job ended.
@@ -120,7 +120,7 @@
 
 // AcceptanceTxn is the transaction that accepts a job, with its terms if it has any:
 // it fails if the job is known, living or ended, or its number belongs to another.
-func AcceptanceTxn(job *wire.Job, t *jobspec.Terms, shard int, atMs int64) ([]wire.Guard, []wire.Op) {
+func AcceptanceTxn(job *wire.Job, t *jobspec.Constraints, shard int, atMs int64) ([]wire.Guard, []wire.Op) {
 	guards := []wire.Guard{{Key: LivePrefix + job.UID}, {Key: FinalPrefix + job.UID}}
 	ops := []wire.Op{{Put: LivePrefix + job.UID, Value: LiveRecord{Job: *job, Shard: shard, AtMs: atMs, Terms: t}}}
 	if t != nil {
--- a/internal/scheduler/terms.go
+++ b/internal/scheduler/terms.go
@@ -8,7 +8,7 @@
 
 // ConstraintState is what a job's terms ask and what has become of it.
 type ConstraintState struct {
-	*jobspec.Terms
+	*jobspec.Constraints
 	Outcomes          []jobspec.Outcome // of its dependencies
 	DependencyOutcome jobspec.Outcome
 	AskedAt           time.Time // when its dependencies were last asked about elsewhere
@@ -17,9 +17,9 @@
 	EndMs             int64
 }
 
-func NewConstraintState(t *jobspec.Terms) *ConstraintState {
-	a := &ConstraintState{Terms: t, Outcomes: make([]jobspec.Outcome, len(t.After))}
-	a.DependencyOutcome = t.Join(a.Outcomes)
+func NewConstraintState(t *jobspec.Constraints) *ConstraintState {
+	a := &ConstraintState{Constraints: t, Outcomes: make([]jobspec.Outcome, len(t.Dependencies))}
+	a.DependencyOutcome = t.Combine(a.Outcomes)
 	return a
 }
 
@@ -31,7 +31,7 @@
 
 // waits says why no task of a job with terms may start now, or "".
 func (o *Scheduler) waits(j *Job, now time.Time) string {
-	return j.Constraints.Waits(j.Constraints.DependencyOutcome, now.UnixMilli())
+	return j.Constraints.WaitReason(j.Constraints.DependencyOutcome, now.UnixMilli())
 }
 
 // room is how many of the job's waiting tasks may be placed now.
@@ -55,8 +55,8 @@
 	if o.waits(j, o.now) != "" {
 		return 0
 	}
-	if j.Constraints.Most > 0 {
-		n = min(n, j.Constraints.Most-j.ActiveTasks(false, -1))
+	if j.Constraints.MaxConcurrent > 0 {
+		n = min(n, j.Constraints.MaxConcurrent-j.ActiveTasks(false, -1))
 	}
 	return max(0, n)
 }
@@ -77,5 +77,5 @@
 
 // termsAllow checks at the grant what the job's terms ask.
 func (o *Scheduler) termsAllow(j *Job, task int) bool {
-	return o.waits(j, time.Now()) == "" && (j.Constraints.Most == 0 || j.ActiveTasks(true, task) < j.Constraints.Most)
+	return o.waits(j, time.Now()) == "" && (j.Constraints.MaxConcurrent == 0 || j.ActiveTasks(true, task) < j.Constraints.MaxConcurrent)
 }
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -152,7 +152,7 @@
 		r.Cancelled = true
 		if r.Terms != nil {
 			asked := *r.Terms // the job has the other
-			asked.Why = why
+			asked.CancelReason = why
 			r.Terms = &asked
 		}
 		rev, err := o.writeLive(ctx, uid, &r, recorded, version)
--- a/internal/slurm/account.go
+++ b/internal/slurm/account.go
@@ -57,16 +57,16 @@
 	}
 	if rec == nil {
 		j := &i.Job
-		rec = &Record{Living: true, LimitS: i.Terms.LimitS, Job: accounting.Row{Kind: accounting.RowJob, UID: j.UID, Number: i.Terms.Number, State: "PENDING",
-			Submit: i.AtMs, Eligible: i.Eligible, Name: i.Terms.Name, User: i.Terms.User, Team: j.Team, Class: j.Class, Priority: j.Priority, Tasks: uint32(j.Tasks),
-			Array: i.Terms.Array, Done: uint32(i.Done), Start: i.StartMs, CPUs: float32(j.CPUs), GPUs: float32(j.GPUs), MemoryGB: float32(j.MemoryGB)}}
+		rec = &Record{Living: true, LimitS: i.Constraints.LimitS, Job: accounting.Row{Kind: accounting.RowJob, UID: j.UID, Number: i.Constraints.Number, State: "PENDING",
+			Submit: i.AcceptedMs, Eligible: i.EligibleMs, Name: i.Constraints.Name, User: i.Constraints.User, Team: j.Team, Class: j.Class, Priority: j.Priority, Tasks: uint32(j.Tasks),
+			Array: i.Constraints.Array, Done: uint32(i.Done), Start: i.StartMs, CPUs: float32(j.CPUs), GPUs: float32(j.GPUs), MemoryGB: float32(j.MemoryGB)}}
 		if i.Running > 0 {
 			rec.Job.State = "RUNNING"
 		}
 		c.jobs[j.UID] = rec
 	}
-	for _, on := range i.On {
-		c.Add(&accounting.Row{Kind: accounting.RowAttempt, UID: i.Job.UID, Number: i.Terms.Number, Task: uint32(on.Task), Attempt: on.Attempt, State: "RUNNING",
+	for _, on := range i.Placements {
+		c.Add(&accounting.Row{Kind: accounting.RowAttempt, UID: i.Job.UID, Number: i.Constraints.Number, Task: uint32(on.Task), Attempt: on.Attempt, State: "RUNNING",
 			Start: on.StartMs, Machine: on.Machine, CPUs: float32(i.Job.CPUs), GPUs: float32(i.Job.GPUs), MemoryGB: float32(i.Job.MemoryGB)})
 	}
 }
--- a/internal/slurm/queue.go
+++ b/internal/slurm/queue.go
@@ -43,7 +43,7 @@
 }
 
 // isArray reports whether a job's tasks are named one by one.
-func isArray(tasks int, t *jobspec.Terms) bool { return tasks > 1 || t.Array != "" }
+func isArray(tasks int, t *jobspec.Constraints) bool { return tasks > 1 || t.Array != "" }
 
 // indices are the names of a job's tasks. A native job of many tasks looks like an
 // array from 0.
@@ -65,9 +65,9 @@
 // array stand each for itself.
 func Queue(i *jobquery.Info, each bool, nowMs int64, zone *time.Location) []QueueRow {
 	var rows []QueueRow
-	array := isArray(i.Job.Tasks, i.Terms)
-	names := indices(i.Job.Tasks, i.Terms.Array)
-	base := QueueRow{Info: i, ID: strconv.FormatUint(i.Terms.Number, 10), RawID: i.Terms.Number, NowMs: nowMs, Zone: zone, Tasks: 1}
+	array := isArray(i.Job.Tasks, i.Constraints)
+	names := indices(i.Job.Tasks, i.Constraints.Array)
+	base := QueueRow{Info: i, ID: strconv.FormatUint(i.Constraints.Number, 10), RawID: i.Constraints.Number, NowMs: nowMs, Zone: zone, Tasks: 1}
 	one := func(task int) QueueRow {
 		r := base
 		if array {
@@ -93,8 +93,8 @@
 			}
 			r := base
 			r.Index, r.Tasks = jobspec.RangesOf(ns).String(), len(ns)
-			if i.Terms.Most > 0 {
-				r.Index += "%" + strconv.Itoa(i.Terms.Most)
+			if i.Constraints.MaxConcurrent > 0 {
+				r.Index += "%" + strconv.Itoa(i.Constraints.MaxConcurrent)
 			}
 			r.ID += "_[" + r.Index + "]"
 			r.State, r.Why = state, i.Reason
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	for _, on := range i.On {
+	for _, on := range i.Placements {
 		r := one(on.Task)
 		r.State, r.Machine, r.StartMs = "RUNNING", on.Machine, on.StartMs
 		switch {
@@ -129,17 +129,17 @@
 }
 
 func (r *QueueRow) limit() string {
-	if r.Terms.LimitS == 0 {
+	if r.Constraints.LimitS == 0 {
 		return "UNLIMITED"
 	}
-	return Clock(r.Terms.LimitS, true)
+	return Clock(r.Constraints.LimitS, true)
 }
 
 func (r *QueueRow) left() string {
-	if r.Terms.LimitS == 0 {
+	if r.Constraints.LimitS == 0 {
 		return "UNLIMITED"
 	}
-	return Clock(r.Terms.LimitS-r.used(), true)
+	return Clock(r.Constraints.LimitS-r.used(), true)
 }
 
 // expectedStart is when a row started, or will at the earliest.
@@ -147,14 +147,14 @@
 	if r.StartMs > 0 || r.State != "PENDING" {
 		return r.StartMs
 	}
-	return r.Terms.BeginMs
+	return r.Constraints.BeginMs
 }
 
 func (r *QueueRow) end() int64 {
-	if r.StartMs == 0 || r.Terms.LimitS == 0 {
+	if r.StartMs == 0 || r.Constraints.LimitS == 0 {
 		return 0
 	}
-	return r.StartMs + int64(r.Terms.LimitS*1000)
+	return r.StartMs + int64(r.Constraints.LimitS*1000)
 }
 
 func (r *QueueRow) reasonOrNode() string {
@@ -165,9 +165,9 @@
 }
 
 // dependency writes a job's dependencies as --dependency has them.
-func dependency(t *jobspec.Terms) string {
+func dependency(t *jobspec.Constraints) string {
 	var out []string
-	for _, d := range t.After {
+	for _, d := range t.Dependencies {
 		s := d.Kind
 		if d.Kind != jobspec.Singleton {
 			s += ":" + strconv.FormatUint(d.Number, 10)
@@ -177,7 +177,7 @@
 		}
 		out = append(out, s)
 	}
-	if t.Any {
+	if t.AnyDependency {
 		return strings.Join(out, "?")
 	}
 	return strings.Join(out, ",")
@@ -193,11 +193,11 @@
 var queueFields = []field[QueueRow]{
 	{'i', "JobArrayID", "JOBID", 20, func(r *QueueRow) string { return r.ID }},
 	{'A', "JobID", "JOBID", 20, func(r *QueueRow) string { return strconv.FormatUint(r.RawID, 10) }},
-	{'F', "ArrayJobID", "ARRAY_JOB_ID", 20, func(r *QueueRow) string { return strconv.FormatUint(r.Terms.Number, 10) }},
+	{'F', "ArrayJobID", "ARRAY_JOB_ID", 20, func(r *QueueRow) string { return strconv.FormatUint(r.Constraints.Number, 10) }},
 	{'K', "ArrayTaskID", "ARRAY_TASK_ID", 20, func(r *QueueRow) string { return dash(r.Index, "N/A") }},
 	{'P', "Partition", "PARTITION", 20, func(r *QueueRow) string { return r.Job.Class }},
-	{'j', "Name", "NAME", 20, func(r *QueueRow) string { return dash(r.Terms.Name, r.Job.Class) }},
-	{'u', "UserName", "USER", 20, func(r *QueueRow) string { return dash(r.Terms.User, "-") }},
+	{'j', "Name", "NAME", 20, func(r *QueueRow) string { return dash(r.Constraints.Name, r.Job.Class) }},
+	{'u', "UserName", "USER", 20, func(r *QueueRow) string { return dash(r.Constraints.User, "-") }},
 	{'T', "State", "STATE", 20, func(r *QueueRow) string { return r.State }},
 	{'t', "StateCompact", "ST", 20, func(r *QueueRow) string { return compact[r.State] }},
 	{'M', "TimeUsed", "TIME", 20, func(r *QueueRow) string { return Clock(r.used(), true) }},
@@ -216,9 +216,9 @@
 	{'B', "BatchHost", "EXEC_HOST", 20, func(r *QueueRow) string { return dash(r.Machine, "n/a") }},
 	{'S', "StartTime", "START_TIME", 20, func(r *QueueRow) string { return stamp(r.expectedStart(), "N/A", r.Zone) }},
 	{'e', "EndTime", "END_TIME", 20, func(r *QueueRow) string { return stamp(r.end(), "N/A", r.Zone) }},
-	{'V', "SubmitTime", "SUBMIT_TIME", 20, func(r *QueueRow) string { return stamp(r.AtMs, "N/A", r.Zone) }},
-	{0, "EligibleTime", "ELIGIBLE_TIME", 20, func(r *QueueRow) string { return stamp(r.Eligible, "N/A", r.Zone) }},
-	{'E', "Dependency", "DEPENDENCY", 20, func(r *QueueRow) string { return dash(dependency(r.Terms), "(null)") }},
+	{'V', "SubmitTime", "SUBMIT_TIME", 20, func(r *QueueRow) string { return stamp(r.AcceptedMs, "N/A", r.Zone) }},
+	{0, "EligibleTime", "ELIGIBLE_TIME", 20, func(r *QueueRow) string { return stamp(r.EligibleMs, "N/A", r.Zone) }},
+	{'E', "Dependency", "DEPENDENCY", 20, func(r *QueueRow) string { return dash(dependency(r.Constraints), "(null)") }},
 }
 
 // Formats of squeue where none is asked for.
@@ -299,8 +299,8 @@
 
 // Has reports whether a row is meant.
 func (f *Filter) Has(r *QueueRow) bool {
-	if !in(f.Users, r.Terms.User) || !in(f.States, r.State) || !in(f.Partitions, r.Job.Class) || !in(f.Accounts, r.Job.Team) ||
-		!in(f.Names, dash(r.Terms.Name, r.Job.Class)) || !in(f.QOS, r.Job.Priority) {
+	if !in(f.Users, r.Constraints.User) || !in(f.States, r.State) || !in(f.Partitions, r.Job.Class) || !in(f.Accounts, r.Job.Team) ||
+		!in(f.Names, dash(r.Constraints.Name, r.Job.Class)) || !in(f.QOS, r.Job.Priority) {
 		return false
 	}
 	if len(f.Jobs) == 0 {
@@ -310,18 +310,18 @@
 }
 
 func (t Target) means(r *QueueRow) bool {
-	last := r.Terms.Number + uint64(max(1, r.Job.Tasks)) - 1
+	last := r.Constraints.Number + uint64(max(1, r.Job.Tasks)) - 1
 	switch {
-	case t.Number < r.Terms.Number || t.Number > last:
+	case t.Number < r.Constraints.Number || t.Number > last:
 		return false
 	case !t.All:
-		if t.Number != r.Terms.Number {
+		if t.Number != r.Constraints.Number {
 			return false
 		}
 		x, err := strconv.Atoi(r.Index)
 		return err == nil && t.Indices.Find(x) >= 0 || err != nil && r.Tasks > 1
 	}
-	return t.Number == r.Terms.Number || t.Number == r.RawID || r.Tasks > 1
+	return t.Number == r.Constraints.Number || t.Number == r.RawID || r.Tasks > 1
 }
 
 // QueueJSON is squeue --json's line for a row: names as Slurm's REST schema has them.
@@ -349,6 +349,6 @@
 
 // JSON returns a row's JSON form; times are in seconds since 1970.
 func (r *QueueRow) JSON() QueueJSON {
-	return QueueJSON{r.RawID, r.Terms.Number, r.Index, dash(r.Terms.Name, r.Job.Class), r.Terms.User, r.Job.Team, r.Job.Class, r.Job.Priority, []string{r.State},
-		dash(r.Why, jobspec.ReasonNone), r.Machine, r.Job.CPUs, r.Job.MemoryGB * 1024, dependency(r.Terms), r.AtMs / 1000, r.expectedStart() / 1000, r.Eligible / 1000, r.Terms.LimitS / 60, r.Job.UID}
+	return QueueJSON{r.RawID, r.Constraints.Number, r.Index, dash(r.Constraints.Name, r.Job.Class), r.Constraints.User, r.Job.Team, r.Job.Class, r.Job.Priority, []string{r.State},
+		dash(r.Why, jobspec.ReasonNone), r.Machine, r.Job.CPUs, r.Job.MemoryGB * 1024, dependency(r.Constraints), r.AcceptedMs / 1000, r.expectedStart() / 1000, r.EligibleMs / 1000, r.Constraints.LimitS / 60, r.Job.UID}
 }
--- a/internal/slurm/show.go
+++ b/internal/slurm/show.go
@@ -14,7 +14,7 @@
 func ShowJob(i *jobquery.Info, zone *time.Location) string {
 	var b strings.Builder
 	p := func(format string, args ...any) { fmt.Fprintf(&b, format, args...) }
-	if i.Terms == nil {
+	if i.Constraints == nil {
 		// It is over: its final state is kept for ever, all else is accounting's.
 		e := i.Ending
 		if e == nil {
@@ -25,7 +25,7 @@
 			e.Number, i.Job.UID, e.State, exitCode(e.Exit), stamp(e.StartMs, "Unknown", zone), stamp(e.EndMs, "Unknown", zone), i.Done, e.Failed)
 		return b.String()
 	}
-	t, j := i.Terms, &i.Job
+	t, j := i.Constraints, &i.Job
 	state := "PENDING"
 	switch {
 	case i.Stage == wire.StageCancelled:
@@ -38,8 +38,8 @@
 	p("   JobState=%s Reason=%s Dependency=%s\n", state, dash(i.Reason, jobspec.ReasonNone), dash(dependency(t), "(null)"))
 	if isArray(j.Tasks, t) {
 		array := indices(j.Tasks, t.Array).String()
-		if t.Most > 0 {
-			array += fmt.Sprintf("%%%d", t.Most)
+		if t.MaxConcurrent > 0 {
+			array += fmt.Sprintf("%%%d", t.MaxConcurrent)
 		}
 		p("   ArrayJobId=%d ArrayTaskId=%s\n", t.Number, array)
 	}
@@ -47,10 +47,10 @@
 	if t.LimitS > 0 {
 		limit = Clock(t.LimitS, false)
 	}
-	p("   TimeLimit=%s SubmitTime=%s EligibleTime=%s\n", limit, stamp(i.AtMs, "Unknown", zone), stamp(i.Eligible, "Unknown", zone))
+	p("   TimeLimit=%s SubmitTime=%s EligibleTime=%s\n", limit, stamp(i.AcceptedMs, "Unknown", zone), stamp(i.EligibleMs, "Unknown", zone))
 	p("   StartTime=%s Deadline=%s BeginTime=%s\n", stamp(i.StartMs, "Unknown", zone), stamp(t.DeadlineMs, "N/A", zone), stamp(t.BeginMs, "N/A", zone))
 	var nodes []string
-	for _, on := range i.On {
+	for _, on := range i.Placements {
 		nodes = append(nodes, on.Machine)
 	}
 	p("   Partition=%s NodeList=%s\n", j.Class, dash(strings.Join(nodes, ","), "(null)"))
--- a/internal/slurm/slurm_test.go
+++ b/internal/slurm/slurm_test.go
@@ -104,13 +104,13 @@
 	zone := "b"
 	for line, want := range map[string]func(r *slurm.Request) bool{
 		"": func(r *slurm.Request) bool {
-			return r.Job.Tasks == 1 && r.Job.CPUs == 1 && r.Job.MemoryGB == 0.5 && r.Job.Priority == "normal" && r.Job.Class == "adhoc" && r.Job.Team == "ops" && r.Terms.Final && r.Terms.Name == "job.sh"
+			return r.Job.Tasks == 1 && r.Job.CPUs == 1 && r.Job.MemoryGB == 0.5 && r.Job.Priority == "normal" && r.Job.Class == "adhoc" && r.Job.Team == "ops" && r.Terms.NoRetry && r.Terms.Name == "job.sh"
 		},
 		"-n 4 -c 2 --mem-per-cpu=512": func(r *slurm.Request) bool {
 			return r.Job.Tasks == 1 && r.Job.CPUs == 8 && r.Job.MemoryGB == 4 && r.Description.Env["SLURM_NTASKS"] == "4"
 		},
 		"--array=0-15:2,20%4 -t 1:00": func(r *slurm.Request) bool {
-			return r.Job.Tasks == 9 && r.Terms.Most == 4 && r.Terms.Array == "0-15:2,20" && r.Job.Estimate == 60 && r.Terms.LimitS == 60
+			return r.Job.Tasks == 9 && r.Terms.MaxConcurrent == 4 && r.Terms.Array == "0-15:2,20" && r.Job.Estimate == 60 && r.Terms.LimitS == 60
 		},
 		"--gres=gpu:2 -A lab -p quote -q urgent --nice": func(r *slurm.Request) bool {
 			return r.Job.GPUs == 2 && r.Job.Team == "lab" && r.Job.Class == "quote" && r.Job.Priority == "normal"
@@ -122,7 +122,7 @@
 			return reflect.DeepEqual(r.Job.Types, []string{"m8", "m64"}) && *r.Job.Zone == zone
 		},
 		"-d afterok:7:8?after:9+5": func(r *slurm.Request) bool {
-			return r.Terms.Any && len(r.Terms.After) == 3 && r.Terms.After[2].DelayS == 300
+			return r.Terms.AnyDependency && len(r.Terms.Dependencies) == 3 && r.Terms.Dependencies[2].DelayS == 300
 		},
 		"--deadline=16:30 --begin=16:00 -H": func(r *slurm.Request) bool {
 			return *r.Job.DueS == 3600 && r.Terms.BeginMs == now.Add(30*time.Minute).UnixMilli() && r.Terms.Held
@@ -150,7 +150,7 @@
 			continue
 		}
 		r.Terms.Number = 1
-		if err := r.Terms.Check(r.Job.Tasks, r.Job.Gang(), r.Job.Service(), now); err != nil {
+		if err := r.Terms.Validate(r.Job.Tasks, r.Job.Gang(), r.Job.Service(), now); err != nil {
 			t.Errorf("%s: terms that no site takes: %v", line, err)
 		}
 		if r.Description.Env["SLURM_JOB_ID"] != "" || strings.Join(r.Description.Argv, " ") != "/bin/sh -e" {
@@ -162,10 +162,10 @@
 func jobs() []jobquery.Info {
 	ms := func(s int) int64 { return now.Add(time.Duration(s) * time.Second).UnixMilli() }
 	return []jobquery.Info{
-		{Job: wire.Job{UID: "j-a", Class: "quote", Team: "ops", Priority: "urgent", Tasks: 6, CPUs: 2, MemoryGB: 1}, Terms: &jobspec.Terms{Number: 100, Name: "snow-quotes", User: "erin", Array: "0-10:2", Most: 2, LimitS: 3600},
-			AtMs: ms(-600), Stage: "running", Reason: "JobArrayTaskLimit", Waiting: "2-5", Queued: 4, Running: 2, On: []jobquery.On{{Task: 0, Attempt: 1, Machine: "n-1", StartMs: ms(-95)}, {Task: 1, Attempt: 2, Machine: "n-2"}}},
-		{Job: wire.Job{UID: "j-b", Class: "adhoc", Team: "lab", Priority: "low", Tasks: 1, CPUs: 1, MemoryGB: 0.5}, Terms: &jobspec.Terms{Number: 106, Name: "study", User: "wren", After: []jobspec.Dep{{Kind: "afterok", Number: 100}}},
-			AtMs: ms(-60), Stage: "queued", Reason: "Dependency", Waiting: "0", Queued: 1},
+		{Job: wire.Job{UID: "j-a", Class: "quote", Team: "ops", Priority: "urgent", Tasks: 6, CPUs: 2, MemoryGB: 1}, Constraints: &jobspec.Constraints{Number: 100, Name: "snow-quotes", User: "erin", Array: "0-10:2", MaxConcurrent: 2, LimitS: 3600},
+			AcceptedMs: ms(-600), Stage: "running", Reason: "JobArrayTaskLimit", Waiting: "2-5", Queued: 4, Running: 2, Placements: []jobquery.Placement{{Task: 0, Attempt: 1, Machine: "n-1", StartMs: ms(-95)}, {Task: 1, Attempt: 2, Machine: "n-2"}}},
+		{Job: wire.Job{UID: "j-b", Class: "adhoc", Team: "lab", Priority: "low", Tasks: 1, CPUs: 1, MemoryGB: 0.5}, Constraints: &jobspec.Constraints{Number: 106, Name: "study", User: "wren", Dependencies: []jobspec.Dependency{{Kind: "afterok", Number: 100}}},
+			AcceptedMs: ms(-60), Stage: "queued", Reason: "Dependency", Waiting: "0", Queued: 1},
 	}
 }
 
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -18,7 +18,7 @@
 // Request is a submission in wallrack's own words.
 type Request struct {
 	Job         wire.Job
-	Terms       jobspec.Terms
+	Terms       jobspec.Constraints
 	Description taskspec.Description
 }
 
@@ -73,8 +73,8 @@
 		return nil, err
 	}
 	t := &r.Terms
-	t.Name, t.User, t.Held, t.BeginMs, t.LimitS, t.Final = o.Name, w.User, o.Hold, o.BeginMs, o.LimitS, true
-	t.Array, t.Most, t.KillNever = o.Array, o.Most, o.KillInvalid
+	t.Name, t.User, t.Held, t.BeginMs, t.LimitS, t.NoRetry = o.Name, w.User, o.Hold, o.BeginMs, o.LimitS, true
+	t.Array, t.MaxConcurrent, t.CancelIfUnsatisfiable = o.Array, o.Most, o.KillInvalid
 	if o.DeadlineMs > 0 {
 		if o.DeadlineMs <= max(now.UnixMilli(), o.BeginMs) {
 			return nil, &Usage{Option: "deadline", Why: "is over before the job could begin"}
@@ -84,7 +84,7 @@
 		j.DueS = &due
 	}
 	if o.Dependency != "" {
-		if t.After, t.Any, err = parseDependency(o.Dependency); err != nil {
+		if t.Dependencies, t.AnyDependency, err = parseDependency(o.Dependency); err != nil {
 			return nil, &Usage{Option: "dependency", Why: err.Error()}
 		}
 	}
--- a/internal/slurm/values.go
+++ b/internal/slurm/values.go
@@ -275,7 +275,7 @@
 }
 
 // parseDependency reads a dependency list; any tells that one is enough.
-func parseDependency(v string) (deps []jobspec.Dep, any bool, err error) {
+func parseDependency(v string) (deps []jobspec.Dependency, any bool, err error) {
 	sep := ","
 	if strings.Contains(v, "?") {
 		if strings.Contains(v, ",") {
@@ -285,7 +285,7 @@
 	}
 	for _, part := range strings.Split(v, sep) {
 		if part == "singleton" {
-			deps = append(deps, jobspec.Dep{Kind: jobspec.Singleton})
+			deps = append(deps, jobspec.Dependency{Kind: jobspec.Singleton})
 			continue
 		}
 		kind, list, _ := strings.Cut(part, ":")
@@ -301,7 +301,7 @@
 			if strings.Contains(num, "_") {
 				return nil, false, fmt.Errorf("%.40q: dependencies on single tasks of an array are not supported by wallrack", id)
 			}
-			d := jobspec.Dep{Kind: kind}
+			d := jobspec.Dependency{Kind: kind}
 			if d.Number, err = strconv.ParseUint(num, 10, 47); err != nil || d.Number == 0 {
 				return nil, false, fmt.Errorf("%.40q is not a job's number", id)
 			}
@@ -315,8 +315,8 @@
 			deps = append(deps, d)
 		}
 	}
-	if len(deps) > jobspec.MaxDeps {
-		return nil, false, fmt.Errorf("more than %d dependencies", jobspec.MaxDeps)
+	if len(deps) > jobspec.MaxDependencies {
+		return nil, false, fmt.Errorf("more than %d dependencies", jobspec.MaxDependencies)
 	}
 	return deps, any, nil
 }
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -51,11 +51,11 @@
 		add(rep)
 	}
 	if len(owners) > 0 {
-		slices.SortStableFunc(page.Jobs, func(a, b jobquery.Info) int { return int(int64(a.Terms.Number) - int64(b.Terms.Number)) })
+		slices.SortStableFunc(page.Jobs, func(a, b jobquery.Info) int { return int(int64(a.Constraints.Number) - int64(b.Constraints.Number)) })
 		if page.Next != nil {
 			// Beyond where the first owner's part ends, others' jobs come again.
 			page.Jobs = slices.DeleteFunc(page.Jobs, func(i jobquery.Info) bool {
-				return i.Terms.Number > page.Next.Number || i.Terms.Number == page.Next.Number && page.Next.On+page.Next.Task == 0
+				return i.Constraints.Number > page.Next.Number || i.Constraints.Number == page.Next.Number && page.Next.On+page.Next.Task == 0
 			})
 		}
 	}
--- a/internal/slurmapi/recorded_test.go
+++ b/internal/slurmapi/recorded_test.go
@@ -19,16 +19,16 @@
 		Job: wire.Job{UID: "j-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: "urgent", Tasks: 16,
 			CPUs: 8, GPUs: 1, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g16"}, Zone: &zone,
 			OneZone: true, Spread: true, Spot: true, Estimate: 240, MarkS: 30, SaveS: 4, DueS: &due},
-		Terms: &jobspec.Terms{Number: 4100, Name: "tips", User: "erin", Array: "0-30:2", Most: 4, Held: true,
-			BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, Final: true, Any: true,
-			After: []jobspec.Dep{{Kind: jobspec.After, Job: "j-7", Number: 70, DelayS: 60}}, KillNever: true, Dropped: "3,7-9", Why: jobspec.Deadline},
-		AtMs: 1_796_000_000_123, Stage: wire.StageRunning, Reason: jobspec.ReasonThrottle, Eligible: 1_796_000_000_500, StartMs: 1_796_000_001_000,
-		Waiting: "4-9", Queued: 6, On: []jobquery.On{fullOn()}, Running: 1, Done: 2, Failed: 3,
+		Constraints: &jobspec.Constraints{Number: 4100, Name: "tips", User: "erin", Array: "0-30:2", MaxConcurrent: 4, Held: true,
+			BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, NoRetry: true, AnyDependency: true,
+			Dependencies: []jobspec.Dependency{{Kind: jobspec.After, Job: "j-7", Number: 70, DelayS: 60}}, CancelIfUnsatisfiable: true, CancelledTasks: "3,7-9", CancelReason: jobspec.Deadline},
+		AcceptedMs: 1_796_000_000_123, Stage: wire.StageRunning, Reason: jobspec.ReasonThrottle, EligibleMs: 1_796_000_000_500, StartMs: 1_796_000_001_000,
+		Waiting: "4-9", Queued: 6, Placements: []jobquery.Placement{fullOn()}, Running: 1, Done: 2, Failed: 3,
 		Ending: &jobspec.Ending{Number: 4100, State: jobspec.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000}}
 }
 
-func fullOn() jobquery.On {
-	return jobquery.On{Task: 3, Attempt: 2, Machine: "n-000001", StartMs: 1_796_000_001_000, Ending: true}
+func fullOn() jobquery.Placement {
+	return jobquery.Placement{Task: 3, Attempt: 2, Machine: "n-000001", StartMs: 1_796_000_001_000, Ending: true}
 }
 
 // What controllers ask of one another on behalf of Slurm-style clients.
@@ -47,12 +47,12 @@
 	recorded.CheckFull(t, "info-full", fullInfo())
 	recorded.Check(t, "info-none", jobquery.Info{})
 	recorded.CheckFull(t, "on-full", fullOn())
-	recorded.Check(t, "on-none", jobquery.On{})
+	recorded.Check(t, "on-none", jobquery.Placement{})
 	recorded.CheckFull(t, "cursor-full", jobquery.Cursor{Number: 4101, On: 5, Task: 9})
 	recorded.Check(t, "cursor-none", jobquery.Cursor{})
 	recorded.CheckFull(t, "page-full", jobquery.Page{Jobs: []jobquery.Info{fullInfo()}, Next: &jobquery.Cursor{Number: 4101, On: 5, Task: 9}, NowMs: 1_796_000_003_000})
 	recorded.Check(t, "page-none", jobquery.Page{Jobs: []jobquery.Info{}})
-	recorded.CheckFull(t, "submission-full", jobquery.Submission{Job: json.RawMessage(`{"uid":"j-000412"}`), Terms: fullInfo().Terms, Test: true})
+	recorded.CheckFull(t, "submission-full", jobquery.Submission{Job: json.RawMessage(`{"uid":"j-000412"}`), Constraints: fullInfo().Constraints, DryRun: true})
 	recorded.Check(t, "submission-none", jobquery.Submission{Job: json.RawMessage(`{}`)})
 	recorded.CheckFull(t, "site-full", jobquery.Site{Cluster: "main", Accounts: true, Class: "adhoc", Team: "vision", Classes: []string{"adhoc", "train"},
 		Teams: []string{"vision"}, Zones: []string{"eu-1"}, Types: []wire.MachineType{{Name: "g8", CPUs: 8, GPUs: 1, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 0.5,
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -144,15 +144,15 @@
 func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
 	var parsed jobquery.Submission
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
-	if err != nil || json.Unmarshal(data, &parsed) != nil || parsed.Terms == nil {
+	if err != nil || json.Unmarshal(data, &parsed) != nil || parsed.Constraints == nil {
 		refuse(w, http.StatusBadRequest, 0, "job and terms are needed, in no more than 64 KiB")
 		return
 	}
 	verb := submission.VerbSubmit
-	if parsed.Test {
+	if parsed.DryRun {
 		verb = submission.VerbCheck
 	}
-	rep := s.intake.Submit(r.Context(), submission.Request{Verb: verb, Body: parsed.Job, Constraints: parsed.Terms})
+	rep := s.intake.Submit(r.Context(), submission.Request{Verb: verb, Body: parsed.Job, Constraints: parsed.Constraints})
 	switch {
 	case rep.Status/100 == 2:
 		httpjson.Write(w, rep.Status, rep.State)
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -211,7 +211,7 @@
 
 // Answers to clients in full: lists with their lines, numbers, refusals.
 func TestAnswersKeepTheirBytes(t *testing.T) {
-	s := &site{jobs: []jobquery.Info{{Job: wire.Job{UID: "j-1"}, Terms: &jobspec.Terms{Number: 4}, Stage: wire.StageQueued}}}
+	s := &site{jobs: []jobquery.Info{{Job: wire.Job{UID: "j-1"}, Constraints: &jobspec.Constraints{Number: 4}, Stage: wire.StageQueued}}}
 	s.keys, s.pages = []string{"acct/20261130/7-1"}, map[string]string{"acct/20261130/7-1": "1:AAAA"}
 	h := s.handler(1000)
 	const job = `{"job":{"uid":"j-1","docket":"","crew":"","sort":"","urgency":"","pieces":0,"cpus":0,"cards":0,"memoryGb":0,"kit":"","pullGb":0,"reckonS":0},` +
--- a/internal/submission/intake.go
+++ b/internal/submission/intake.go
@@ -41,7 +41,7 @@
 type Jobs interface {
 	LocalState(uid string) (wire.JobState, bool)
 	RefineState(stored wire.JobState) wire.JobState
-	JobAccepted(job *wire.Job, t *jobspec.Terms, shard int, atMs int64, version uint64)
+	JobAccepted(job *wire.Job, t *jobspec.Constraints, shard int, atMs int64, version uint64)
 	Cancel(ctx context.Context, uid string) (wire.JobState, error)
 }
 
@@ -58,7 +58,7 @@
 
 	UIDs []string `json:"uids,omitempty"` // of gathered polls
 
-	Constraints *jobspec.Terms `json:"terms,omitempty"` // of a submission
+	Constraints *jobspec.Constraints `json:"terms,omitempty"` // of a submission
 }
 
 // Reply is its answer; status 0 means that the peer can't tell either.
--- a/internal/submission/intake_test.go
+++ b/internal/submission/intake_test.go
@@ -28,13 +28,13 @@
 	up    bool
 }
 
-func (s *stub) LocalState(string) (wire.JobState, bool)                   { return wire.JobState{}, false }
-func (s *stub) RefineState(stored wire.JobState) wire.JobState            { return stored }
-func (s *stub) JobAccepted(*wire.Job, *jobspec.Terms, int, int64, uint64) {}
-func (s *stub) All() []wire.MachineType                                   { return s.types }
-func (s *stub) ShardOwners() []string                                     { return nil }
-func (s *stub) ServingPeers() []string                                    { return []string{"b"} }
-func (s *stub) Healthy() bool                                             { return s.up }
+func (s *stub) LocalState(string) (wire.JobState, bool)                         { return wire.JobState{}, false }
+func (s *stub) RefineState(stored wire.JobState) wire.JobState                  { return stored }
+func (s *stub) JobAccepted(*wire.Job, *jobspec.Constraints, int, int64, uint64) {}
+func (s *stub) All() []wire.MachineType                                         { return s.types }
+func (s *stub) ShardOwners() []string                                           { return nil }
+func (s *stub) ServingPeers() []string                                          { return []string{"b"} }
+func (s *stub) Healthy() bool                                                   { return s.up }
 func (s *stub) Cancel(context.Context, string) (wire.JobState, error) {
 	return wire.JobState{}, statestore.ErrUnavailable
 }
--- a/internal/submission/recorded_test.go
+++ b/internal/submission/recorded_test.go
@@ -34,10 +34,10 @@
 func TestRecorded(t *testing.T) {
 	checkRecorded(t, "request_full.json", submission.Request{
 		Verb: submission.VerbSubmit, UID: "j-000400", Body: []byte(`{"uid":"j-000400"}`), UIDs: []string{"j-000401", "j-000402"},
-		Constraints: &jobspec.Terms{
-			Number: 4001, Name: "train", User: "ada", Array: "0-15:2", Most: 4, Held: true, BeginMs: 1700000000123, DeadlineMs: 1700000600123,
-			LimitS: 900.5, Final: true, Any: true, After: []jobspec.Dep{{Kind: "after", Job: "j-000399", Number: 3990, DelayS: 60}},
-			KillNever: true, Dropped: "3,5", Why: "TIMEOUT",
+		Constraints: &jobspec.Constraints{
+			Number: 4001, Name: "train", User: "ada", Array: "0-15:2", MaxConcurrent: 4, Held: true, BeginMs: 1700000000123, DeadlineMs: 1700000600123,
+			LimitS: 900.5, NoRetry: true, AnyDependency: true, Dependencies: []jobspec.Dependency{{Kind: "after", Job: "j-000399", Number: 3990, DelayS: 60}},
+			CancelIfUnsatisfiable: true, CancelledTasks: "3,5", CancelReason: "TIMEOUT",
 		},
 	})
 	checkRecorded(t, "request_empty.json", submission.Request{})
--- a/internal/submission/submission.go
+++ b/internal/submission/submission.go
@@ -17,7 +17,7 @@
 
 // accept records a submission. A known id is answered with its state,
 // whatever the body says.
-func (in *Service) accept(ctx context.Context, body []byte, asked *jobspec.Terms) Reply {
+func (in *Service) accept(ctx context.Context, body []byte, asked *jobspec.Constraints) Reply {
 	job, bad := wire.ParseJob(body)
 	status, reason := http.StatusBadRequest, ""
 	if bad == nil {
@@ -137,8 +137,8 @@
 
 // terms checks a submission's terms, and finds the jobs that it depends on. Where
 // jobs have numbers, one without terms gets a number.
-func (in *Service) terms(ctx context.Context, job *wire.Job, asked *jobspec.Terms) (t *jobspec.Terms, status int, reason string) {
-	unsure := func(err error) (*jobspec.Terms, int, string) {
+func (in *Service) terms(ctx context.Context, job *wire.Job, asked *jobspec.Constraints) (t *jobspec.Constraints, status int, reason string) {
+	unsure := func(err error) (*jobspec.Constraints, int, string) {
 		in.log.Debug("numbers can't be told", "err", err)
 		return nil, http.StatusServiceUnavailable, "can't tell numbers now"
 	}
@@ -152,9 +152,9 @@
 		if err != nil {
 			return unsure(err)
 		}
-		return &jobspec.Terms{Number: n}, 0, ""
+		return &jobspec.Constraints{Number: n}, 0, ""
 	}
-	if err := asked.Check(job.Tasks, job.Gang(), job.Service(), time.Now()); err != nil {
+	if err := asked.Validate(job.Tasks, job.Gang(), job.Service(), time.Now()); err != nil {
 		return nil, http.StatusUnprocessableEntity, err.Error()
 	}
 	if ok, err := in.Numbers.Given(ctx, asked.Number, job.Tasks); err != nil {
@@ -162,8 +162,8 @@
 	} else if !ok {
 		return nil, http.StatusUnprocessableEntity, "number: was given to nobody"
 	}
-	for i := range asked.After {
-		d := &asked.After[i]
+	for i := range asked.Dependencies {
+		d := &asked.Dependencies[i]
 		if d.Kind == jobspec.Singleton {
 			continue
 		}
--- a/internal/testkit/alike_test.go
+++ b/internal/testkit/alike_test.go
@@ -20,17 +20,17 @@
 )
 
 // asNative and asSlurm are the same submission, as users of either client write it.
-func asNative(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Terms) {
+func asNative(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
 	body := fmt.Sprintf(`{"uid":"j-x","docket":%q,"crew":%q,"sort":"sweep","urgency":%q,"pieces":%d,"cpus":2,"cards":0,"memoryGb":1,"kit":"none","pullGb":0,
 		"together":false,"apart":false,"loaners":true,"reckonS":60,"markS":0,"stashS":0}`, class, team, priority, tasks)
 	j, err := wire.ParseJob([]byte(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return j, &jobspec.Terms{}
+	return j, &jobspec.Constraints{}
 }
 
-func asSlurm(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Terms) {
+func asSlurm(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
 	line := fmt.Sprintf("-p %s -A %s -q %s -c 2 --mem 1G -C spot -t 1 --array=0-%d", class, team, priority, tasks-1)
 	given, _, err := slurm.ParseArgs(slurm.Sbatch, strings.Fields(line))
 	if err != nil {
@@ -51,7 +51,7 @@
 // workload plays a workload on one machine, its jobs made by make, which may differ
 // from job to job, and returns the order of starts and the rows of accounting,
 // without the names that each client gives.
-func workload(t *testing.T, make func(n int) func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Terms)) (starts, rows []string) {
+func workload(t *testing.T, make func(n int) func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)) (starts, rows []string) {
 	w := newCluster(t, 1)
 	w.accounts = true
 	w.workers = w.workers[:1]
@@ -127,7 +127,7 @@
 // starts in the same order and leaves the same rows of accounting, line for line. No
 // client goes before the other.
 func TestClientsAreTreatedAlike(t *testing.T) {
-	type maker = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Terms)
+	type maker = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)
 	var starts, rows [][]string
 	for _, m := range []func(int) maker{func(int) maker { return asNative }, func(int) maker { return asSlurm },
 		func(n int) maker { return []maker{asNative, asSlurm}[n%2] }} {
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -345,12 +345,12 @@
 		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 4, Spot: true}
 }
 
-func (w *cluster) submitWith(uid string, tasks int, t *jobspec.Terms) {
+func (w *cluster) submitWith(uid string, tasks int, t *jobspec.Constraints) {
 	w.submitJob(arrayJob(uid, tasks), t)
 }
 
 // submitJob records an accepted job.
-func (w *cluster) submitJob(job *wire.Job, t *jobspec.Terms) {
+func (w *cluster) submitJob(job *wire.Job, t *jobspec.Constraints) {
 	w.mu.Lock()
 	w.specs[job.UID] = job
 	w.mu.Unlock()
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -65,7 +65,7 @@
 	}},
 	{name: "changed terms", prefix: "live/j-8t", play: func(t *testing.T, w *cluster, l *answerLoss) {
 		at := w.nodes[w.leader()]
-		w.submitWith("j-8t", 40, &jobspec.Terms{Number: 1})
+		w.submitWith("j-8t", 40, &jobspec.Constraints{Number: 1})
 		w.live(1)
 		l.then = func(writer *node, key string) {
 			_, _ = w.nodes[w.others(writer.name)[0]].view.Get(context.Background(), key) // it is only looked at
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -148,7 +148,7 @@
 }
 
 // JobFacts reads how a job that the owner does not know ended.
-func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.Facts, error) {
+func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error) {
 	return scheduler.StoredFacts(ctx, n.view, uid)
 }
 
--- a/internal/testkit/terms_test.go
+++ b/internal/testkit/terms_test.go
@@ -88,24 +88,24 @@
 	}
 	time.Sleep(2 * time.Second)
 	now := time.Now()
-	dep := func(kind, uid string) []jobspec.Dep { return []jobspec.Dep{{Kind: kind, Job: uid}} }
+	dep := func(kind, uid string) []jobspec.Dependency { return []jobspec.Dependency{{Kind: kind, Job: uid}} }
 	jobs := []struct {
 		uid   string
 		tasks int
-		t     jobspec.Terms
+		t     jobspec.Constraints
 		state string
 	}{
-		{"j-most", 9, jobspec.Terms{Most: 2}, jobspec.Completed},
-		{"j-fails", 5, jobspec.Terms{Final: true}, jobspec.Failed},
-		{"j-afterok", 2, jobspec.Terms{After: dep(jobspec.AfterOK, "j-most")}, jobspec.Completed},
-		{"j-afternotok", 2, jobspec.Terms{After: dep(jobspec.AfterNotOK, "j-fails")}, jobspec.Completed},
-		{"j-never", 2, jobspec.Terms{After: dep(jobspec.AfterOK, "j-fails"), KillNever: true}, jobspec.Cancelled},
-		{"j-slow", 2, jobspec.Terms{LimitS: 1}, jobspec.Timeout},
-		{"j-begin", 2, jobspec.Terms{BeginMs: now.Add(70 * time.Second).UnixMilli()}, jobspec.Completed},
-		{"j-deadline", 2, jobspec.Terms{Held: true, DeadlineMs: now.Add(90 * time.Second).UnixMilli()}, jobspec.Deadline},
-		{"j-drop", 6, jobspec.Terms{Most: 1}, jobspec.Cancelled},
-		{"j-single1", 2, jobspec.Terms{Name: "s", User: "u"}, jobspec.Completed},
-		{"j-single2", 2, jobspec.Terms{Name: "s", User: "u", After: []jobspec.Dep{{Kind: jobspec.Singleton}}}, jobspec.Completed},
+		{"j-most", 9, jobspec.Constraints{MaxConcurrent: 2}, jobspec.Completed},
+		{"j-fails", 5, jobspec.Constraints{NoRetry: true}, jobspec.Failed},
+		{"j-afterok", 2, jobspec.Constraints{Dependencies: dep(jobspec.AfterOK, "j-most")}, jobspec.Completed},
+		{"j-afternotok", 2, jobspec.Constraints{Dependencies: dep(jobspec.AfterNotOK, "j-fails")}, jobspec.Completed},
+		{"j-never", 2, jobspec.Constraints{Dependencies: dep(jobspec.AfterOK, "j-fails"), CancelIfUnsatisfiable: true}, jobspec.Cancelled},
+		{"j-slow", 2, jobspec.Constraints{LimitS: 1}, jobspec.Timeout},
+		{"j-begin", 2, jobspec.Constraints{BeginMs: now.Add(70 * time.Second).UnixMilli()}, jobspec.Completed},
+		{"j-deadline", 2, jobspec.Constraints{Held: true, DeadlineMs: now.Add(90 * time.Second).UnixMilli()}, jobspec.Deadline},
+		{"j-drop", 6, jobspec.Constraints{MaxConcurrent: 1}, jobspec.Cancelled},
+		{"j-single1", 2, jobspec.Constraints{Name: "s", User: "u"}, jobspec.Completed},
+		{"j-single2", 2, jobspec.Constraints{Name: "s", User: "u", Dependencies: []jobspec.Dependency{{Kind: jobspec.Singleton}}}, jobspec.Completed},
 	}
 	for i := range jobs {
 		jobs[i].t.Number = uint64(100 * (i + 1))
@@ -227,7 +227,7 @@
 		for end := time.Now().Add(5 * time.Minute); len(w.store.Keys("final/")) < 6; {
 			if came < 6 && len(w.store.Keys("live/")) == 0 { // one wave after the other
 				for range 2 {
-					w.submitWith(fmt.Sprintf("j-%d", came), 2, &jobspec.Terms{Number: uint64(10 * (came + 1))})
+					w.submitWith(fmt.Sprintf("j-%d", came), 2, &jobspec.Constraints{Number: uint64(10 * (came + 1))})
 					came++
 				}
 			}
