--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -165,14 +165,14 @@
 
 // What owners tell of the work that waits, and of machines, keeps its form.
 func TestRecordedDemand(t *testing.T) {
-	job, shape := fullJob(), matching.Shape{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
+	job, shape := fullJob(), matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
 	checkRecorded(t, "demand_full.json", demandMessage{Boot: 90.5})
 	checkRecorded(t, "demand_empty.json", demandMessage{})
 	checkRecorded(t, "demand_reply_full.json", demandReply{
 		Demand: []scheduler.Demand{{Shape: shape, Job: &job, Count: 5, Run: 900.25, Rank: 2, Slack: 30.5}},
 		Loads: []scheduler.WorkerLoad{{
 			Name: "n-000231", Type: "g8", Zone: "a", Spot: true, Notice: true, Faulty: true,
-			Matrix: matching.Matrix{{Wait: 20.5, Free: matching.Shape{CPUs: 4, GPUs: 2, MemoryGB: 8.25}}}, Used: shape,
+			Matrix: matching.WaitMatrix{{Wait: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 2, MemoryGB: 8.25}}}, Used: shape,
 			Heard: time.Date(2026, 3, 4, 5, 6, 7, 123456789, time.UTC), Existed: time.Date(2026, 3, 4, 5, 6, 8, 0, time.UTC), Places: 3,
 		}},
 		Suspects: map[string]string{"n-000232": "silent"}, Admitted: 12345.5,
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -58,8 +58,8 @@
 }
 
 // ResourcesOf is a machine type's size.
-func ResourcesOf(t wire.MachineType) matching.Shape {
-	return matching.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+func ResourcesOf(t wire.MachineType) matching.Resources {
+	return matching.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
 func (c *Catalog) set(types []wire.MachineType) {
--- a/internal/autoscaler/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -27,7 +27,7 @@
 }
 
 func demand(tasks int, spot bool, slack float64) []scheduler.Demand {
-	return []scheduler.Demand{{Shape: matching.Shape{CPUs: 2, MemoryGB: 2}, Job: &wire.Job{Spot: spot, Kind: wire.KindArray, Tasks: tasks},
+	return []scheduler.Demand{{Shape: matching.Resources{CPUs: 2, MemoryGB: 2}, Job: &wire.Job{Spot: spot, Kind: wire.KindArray, Tasks: tasks},
 		Count: tasks, Run: 30, Slack: slack}}
 }
 
@@ -158,14 +158,14 @@
 func TestPlanTakesTasksTogether(t *testing.T) {
 	f := planner()
 	now := time.Now()
-	load := scheduler.WorkerLoad{Matrix: matching.NewMatrix(matching.Shape{CPUs: 64, MemoryGB: 128},
-		[]matching.Use{{Shape: matching.Shape{CPUs: 30, MemoryGB: 9}, Left: 7}, {Shape: matching.Shape{CPUs: 3, MemoryGB: 70}, Left: 12}}, nil), Heard: now}
+	load := scheduler.WorkerLoad{Matrix: matching.NewWaitMatrix(matching.Resources{CPUs: 64, MemoryGB: 128},
+		[]matching.Allocation{{Resources: matching.Resources{CPUs: 30, MemoryGB: 9}, RemainingS: 7}, {Resources: matching.Resources{CPUs: 3, MemoryGB: 70}, RemainingS: 12}}, nil), Heard: now}
 	for i := range 200 {
 		name := fmt.Sprintf("n-%d", i)
 		f.instances[name] = &instance{name: name, offer: offer{"large", "a", true}, hired: now, known: now, heard: now, load: &load}
 	}
 	d := demand(25_000, true, 200)
-	d[0].Shape = matching.Shape{CPUs: 0.5, MemoryGB: 1}
+	d[0].Shape = matching.Resources{CPUs: 0.5, MemoryGB: 1}
 	d[0].Run = 5
 	start := time.Now()
 	f.plan(now, d)
@@ -175,21 +175,21 @@
 	// On a quick machine the time tells nothing: each step of the plan makes a matrix.
 	steps := testing.AllocsPerRun(1, func() {
 		again := demand(25_000, true, 200)
-		again[0].Shape, again[0].Run = matching.Shape{CPUs: 0.5, MemoryGB: 1}, 5
+		again[0].Shape, again[0].Run = matching.Resources{CPUs: 0.5, MemoryGB: 1}, 5
 		f.plan(now, again)
 	})
 	if steps > 10_000 {
 		t.Errorf("a plan for 25,000 tasks allocates %.0f times", steps)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		total := matching.Shape{CPUs: 64, MemoryGB: 128}
-		var running []matching.Use
+		total := matching.Resources{CPUs: 64, MemoryGB: 128}
+		var running []matching.Allocation
 		for range rapid.IntRange(0, 6).Draw(t, "running") {
-			running = append(running, matching.Use{Shape: matching.Shape{CPUs: rapid.Float64Range(0.5, 10).Draw(t, "cpus"), MemoryGB: rapid.Float64Range(0, 20).Draw(t, "memory")}, Left: rapid.Float64Range(0, 50).Draw(t, "left")})
+			running = append(running, matching.Allocation{Resources: matching.Resources{CPUs: rapid.Float64Range(0.5, 10).Draw(t, "cpus"), MemoryGB: rapid.Float64Range(0, 20).Draw(t, "memory")}, RemainingS: rapid.Float64Range(0, 50).Draw(t, "left")})
 		}
-		d := &scheduler.Demand{Shape: matching.Shape{CPUs: float64(rapid.IntRange(1, 40).Draw(t, "size")) / 4, MemoryGB: float64(rapid.IntRange(0, 30).Draw(t, "gb"))}, Run: rapid.Float64Range(0.5, 30).Draw(t, "run")}
+		d := &scheduler.Demand{Shape: matching.Resources{CPUs: float64(rapid.IntRange(1, 40).Draw(t, "size")) / 4, MemoryGB: float64(rapid.IntRange(0, 30).Draw(t, "gb"))}, Run: rapid.Float64Range(0.5, 30).Draw(t, "run")}
 		n, patience := rapid.IntRange(0, 300).Draw(t, "tasks"), rapid.Float64Range(0, 90).Draw(t, "patience")
-		s := &sim{matrix: matching.NewMatrix(total, running, nil), boot: 3}
+		s := &sim{matrix: matching.NewWaitMatrix(total, running, nil), boot: 3}
 		one := s.matrix
 		left := n
 		for ; left > 0; left-- {
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -14,7 +14,7 @@
 // rented.
 type sim struct {
 	offer  offer
-	matrix matching.Matrix
+	matrix matching.WaitMatrix
 	boot   float64
 	box    *instance
 }
@@ -57,13 +57,13 @@
 			}
 		case b.heard.IsZero() && b.stage != wire.MachineFailed:
 			left := bootLeft(t.BootS, now.Sub(b.hired).Seconds())
-			sims = append(sims, &sim{offer: b.offer, matrix: matching.Matrix{{Wait: 0, Free: ResourcesOf(t)}}, boot: left})
+			sims = append(sims, &sim{offer: b.offer, matrix: matching.WaitMatrix{{Wait: 0, Free: ResourcesOf(t)}}, boot: left})
 		}
 	}
 	for _, h := range f.provisions {
 		if t, ok := f.catalog.Type(h.req.Type); ok {
 			for i := 0; i < h.req.Number; i++ {
-				sims = append(sims, &sim{offer: offer{h.req.Type, h.req.Zone, h.req.Spot}, matrix: matching.Matrix{{Wait: 0, Free: ResourcesOf(t)}}, boot: t.BootS})
+				sims = append(sims, &sim{offer: offer{h.req.Type, h.req.Zone, h.req.Spot}, matrix: matching.WaitMatrix{{Wait: 0, Free: ResourcesOf(t)}}, boot: t.BootS})
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 				if wants[o]++; wants[o] == 1 {
 					first = append(first, o)
 				}
-				s := &sim{offer: o, matrix: matching.Matrix{{Wait: 0, Free: ResourcesOf(t)}}, boot: t.BootS}
+				s := &sim{offer: o, matrix: matching.WaitMatrix{{Wait: 0, Free: ResourcesOf(t)}}, boot: t.BootS}
 				sims = append(sims, s)
 				left := f.fillOne(d, s, n, patience+t.BootS)
 				if left == n {
@@ -189,7 +189,7 @@
 		if s.boot+w > patience {
 			break
 		}
-		k := max(1, s.matrix.Times(d.Shape, w, d.Run, n))
+		k := max(1, s.matrix.CountFitting(d.Shape, w, d.Run, n))
 		s.matrix = s.matrix.Reserve(d.Shape.Scale(float64(k)), w, d.Run)
 		n -= k
 	}
@@ -271,7 +271,7 @@
 }
 
 // tasksIn is how many tasks a machine of that size runs side by side, at least one.
-func tasksIn(s, size matching.Shape) int { return max(1, s.Times(size, 1e6)) }
+func tasksIn(s, size matching.Resources) int { return max(1, s.CountFitting(size, 1e6)) }
 
 // capacity is the CPUs of all machines in the plan.
 func (f *Autoscaler) capacity(sims []*sim) float64 {
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -50,7 +50,7 @@
 			task := wire.TaskName(fmt.Sprintf("j-%06d", i), t)
 			r.Tasks = append(r.Tasks, wire.Task{Task: task, Attempt: 20, State: wire.TaskRunning})
 			d.Assign = append(d.Assign, dispatch.QueueEntry{TaskRef: dispatch.TaskRef{Machine: r.Machine, Task: task, Attempt: 20}, Owner: "a",
-				Resources: matching.Shape{CPUs: 0.1, MemoryGB: 0.1}, Run: 30, Listed: true})
+				Resources: matching.Resources{CPUs: 0.1, MemoryGB: 0.1}, Run: 30, Listed: true})
 		}
 		h.reports = append(h.reports, r)
 		h.report(tb, i)
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -39,7 +39,7 @@
 	now := time.Now()
 	free := total
 	for _, u := range h.occupied(s, total, now) {
-		free = free.Add(u.Shape, -1)
+		free = free.Add(u.Resources, -1)
 	}
 	sort.SliceStable(s.queue, func(i, j int) bool {
 		a, b := s.queue[i], s.queue[j]
--- a/internal/dispatch/holder.go
+++ b/internal/dispatch/holder.go
@@ -109,8 +109,8 @@
 	forgotAt   time.Time       // when machines were last forgotten
 	nextSeq    uint64
 	raising    bool
-	ended      bool           // Wait was called after the context had ended
-	uses       []matching.Use // see occupied
+	ended      bool                  // Wait was called after the context had ended
+	uses       []matching.Allocation // see occupied
 	heartbeats heartbeatCounter
 }
 
--- a/internal/dispatch/holder_test.go
+++ b/internal/dispatch/holder_test.go
@@ -115,7 +115,7 @@
 }
 
 func entry(attempt uint64) dispatch.QueueEntry {
-	return dispatch.QueueEntry{TaskRef: dispatch.TaskRef{Machine: "n-1", Task: "j-1/0", Attempt: attempt}, Owner: "a", Resources: matching.Shape{CPUs: 1, MemoryGB: 1}, Run: 5}
+	return dispatch.QueueEntry{TaskRef: dispatch.TaskRef{Machine: "n-1", Task: "j-1/0", Attempt: attempt}, Owner: "a", Resources: matching.Resources{CPUs: 1, MemoryGB: 1}, Run: 5}
 }
 
 func verbs(body any, verb string) (n int) {
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -21,13 +21,13 @@
 // needs to queue it.
 type QueueEntry struct {
 	TaskRef
-	Owner     string         `json:"o"`
-	Resources matching.Shape `json:"s"`
-	Run       float64        `json:"r"` // expected run time
-	Fetch     float64        `json:"f"` // expected image fetch
-	Rank      int            `json:"p"` // priority, larger first
-	DueAt     float64        `json:"d"` // order within a priority, earlier first
-	Listed    bool           `json:"l"` // facts about a task that already runs: not to be queued
+	Owner     string             `json:"o"`
+	Resources matching.Resources `json:"s"`
+	Run       float64            `json:"r"` // expected run time
+	Fetch     float64            `json:"f"` // expected image fetch
+	Rank      int                `json:"p"` // priority, larger first
+	DueAt     float64            `json:"d"` // order within a priority, earlier first
+	Listed    bool               `json:"l"` // facts about a task that already runs: not to be queued
 }
 
 // Halt stops a task; the holder repeats it until the task is gone.
@@ -116,10 +116,10 @@
 	Draining    bool     `json:"draining"`
 	Asked       bool     `json:"asked,omitempty"` // the report answered a request, which thus reached the machine
 	// Same says that the report in it says nothing new but that the machine was heard.
-	Same   bool            `json:"-"`
-	Tasks  []TaskView      `json:"tasks"`
-	Queue  []QueueView     `json:"queue"`
-	Matrix matching.Matrix `json:"matrix"`
+	Same   bool                `json:"-"`
+	Tasks  []TaskView          `json:"tasks"`
+	Queue  []QueueView         `json:"queue"`
+	Matrix matching.WaitMatrix `json:"matrix"`
 }
 
 // Schedulers is what a holder needs of the tasks' owners, here or elsewhere.
--- a/internal/dispatch/recorded_test.go
+++ b/internal/dispatch/recorded_test.go
@@ -33,7 +33,7 @@
 // Directions to holders, grants and views keep the form in which controllers send them.
 func TestRecorded(t *testing.T) {
 	ref := dispatch.TaskRef{Machine: "n-000231", Task: "j-000400/7", Attempt: 3}
-	shape := matching.Shape{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
+	shape := matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
 	checkRecorded(t, "direction_full.json", dispatch.Instructions{
 		From:            "c1",
 		Assign:          []dispatch.QueueEntry{{TaskRef: ref, Owner: "c1", Resources: shape, Run: 900.5, Fetch: 18.25, Rank: 2, DueAt: 1234.5, Listed: true}},
@@ -64,7 +64,7 @@
 			ForS: 7.75, Unknown: true,
 		}},
 		Queue:  []dispatch.QueueView{{TaskRef: dispatch.TaskRef{Machine: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
-		Matrix: matching.Matrix{{Wait: 20.5, Free: matching.Shape{CPUs: 4, GPUs: 1, MemoryGB: 8.25}}},
+		Matrix: matching.WaitMatrix{{Wait: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 1, MemoryGB: 8.25}}},
 	}
 	checkRecorded(t, "view_full.json", view)
 	checkRecorded(t, "view_empty.json", dispatch.WorkerView{})
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -9,36 +9,36 @@
 )
 
 // total is the machine's size, if its type is known.
-func (h *Dispatcher) total(s *workerState) (matching.Shape, bool) {
+func (h *Dispatcher) total(s *workerState) (matching.Resources, bool) {
 	t, ok := h.types.Type(s.report.Type)
-	return matching.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, ok
+	return matching.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, ok
 }
 
 // occupied lists what holds resources now: reported tasks that have not
 // exited, and starts that may be under way.
 // The result is good until the next call.
-func (h *Dispatcher) occupied(s *workerState, total matching.Shape, now time.Time) []matching.Use {
+func (h *Dispatcher) occupied(s *workerState, total matching.Resources, now time.Time) []matching.Allocation {
 	uses := h.uses[:0]
 	for _, l := range s.tasks {
 		switch {
 		case l.state == wire.TaskExited:
 		case l.entry == nil:
 			// Nobody told yet what it takes: count the whole machine.
-			uses = append(uses, matching.Use{Shape: total, Left: 3})
+			uses = append(uses, matching.Allocation{Resources: total, RemainingS: 3})
 		default:
 			left := l.entry.Run
 			elapsed := now.Sub(l.since).Seconds()
 			if l.state == wire.TaskFetching {
 				left += math.Max(0.5, l.entry.Fetch-elapsed)
 			} else {
-				left = matching.RestOfRun(left, elapsed)
+				left = matching.RemainingRun(left, elapsed)
 			}
-			uses = append(uses, matching.Use{Shape: l.entry.Resources, Left: left})
+			uses = append(uses, matching.Allocation{Resources: l.entry.Resources, RemainingS: left})
 		}
 	}
 	for _, q := range s.queue {
 		if q.sent || q.granted {
-			uses = append(uses, matching.Use{Shape: q.Resources, Left: q.Fetch + q.Run})
+			uses = append(uses, matching.Allocation{Resources: q.Resources, RemainingS: q.Fetch + q.Run})
 		}
 	}
 	h.uses = uses
@@ -59,7 +59,7 @@
 	if !ok {
 		return v
 	}
-	v.Matrix = matching.NewMatrix(total, h.occupied(s, total, now), nil)
+	v.Matrix = matching.NewWaitMatrix(total, h.occupied(s, total, now), nil)
 	for _, q := range s.queue {
 		if q.sent || q.granted {
 			v.Queue = append(v.Queue, QueueView{TaskRef: q.TaskRef, Unsent: !q.sent})
--- a/internal/matching/match.go
+++ b/internal/matching/match.go
@@ -11,17 +11,17 @@
 	return success*e + kFail*(1-success)*e
 }
 
-// Option is a machine that a task may go to.
-type Option struct {
+// Candidate is a machine that a task may go to.
+type Candidate struct {
 	Machine int
 	Wait    float64
 	Cost    float64
 }
 
-// Pair is a task matched to a machine.
-type Pair struct {
+// Pairing is a task matched to a machine.
+type Pairing struct {
 	Task int
-	Option
+	Candidate
 	Saving float64
 }
 
@@ -29,7 +29,7 @@
 // proposes to its cheapest machine, a machine that several want goes to the
 // one that saves most by it, and the others propose again, for a few rounds.
 // Each machine gets at most one task. Pairs come lowest wait first.
-func Match(options [][]Option, rounds int) []Pair {
+func Match(options [][]Candidate, rounds int) []Pairing {
 	most := 0
 	for _, opts := range options {
 		for i := range opts {
@@ -38,9 +38,9 @@
 	}
 	taken := make([]bool, most+1)
 	matched := make([]bool, len(options))
-	var pairs []Pair
+	var pairs []Pairing
 	for r := 0; r < rounds; r++ {
-		best := map[int]Pair{}
+		best := map[int]Pairing{}
 		proposed := false
 		for t, opts := range options {
 			if matched[t] {
@@ -63,7 +63,7 @@
 				continue
 			}
 			proposed = true
-			p := Pair{Task: t, Option: opts[first], Saving: second - opts[first].Cost}
+			p := Pairing{Task: t, Candidate: opts[first], Saving: second - opts[first].Cost}
 			if cur, ok := best[p.Machine]; !ok || p.Saving > cur.Saving {
 				best[p.Machine] = p
 			}
@@ -86,9 +86,9 @@
 	return pairs
 }
 
-// LookAgain reports whether a queued task is to be placed again, by the
+// ShouldReplace reports whether a queued task is to be placed again, by the
 // paper's three conditions: its expected wait is significantly above what was
 // planned, or above its stage's average, or it has waited longer than that.
-func LookAgain(planned, elapsed, expected, stageAverage, margin float64) bool {
+func ShouldReplace(planned, elapsed, expected, stageAverage, margin float64) bool {
 	return elapsed+expected > planned+margin || expected > stageAverage+margin || elapsed > stageAverage+margin
 }
--- a/internal/matching/matrix.go
+++ b/internal/matching/matrix.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// Shape is an amount of each resource.
-type Shape struct {
+// Resources is an amount of each resource.
+type Resources struct {
 	CPUs     float64 `json:"c"`
 	GPUs     float64 `json:"g,omitempty"`
 	MemoryGB float64 `json:"m"`
@@ -19,17 +19,17 @@
 const epsilon = 1e-6
 
 // Fits reports whether s fits into free.
-func (s Shape) Fits(free Shape) bool {
+func (s Resources) Fits(free Resources) bool {
 	return s.CPUs <= free.CPUs+epsilon && s.GPUs <= free.GPUs+epsilon && s.MemoryGB <= free.MemoryGB+epsilon
 }
 
 // Add returns s plus f times o.
-func (s Shape) Add(o Shape, f float64) Shape {
-	return Shape{s.CPUs + f*o.CPUs, s.GPUs + f*o.GPUs, s.MemoryGB + f*o.MemoryGB}
+func (s Resources) Add(o Resources, f float64) Resources {
+	return Resources{s.CPUs + f*o.CPUs, s.GPUs + f*o.GPUs, s.MemoryGB + f*o.MemoryGB}
 }
 
-// Times is how many of s fit into free side by side, at most so many.
-func (s Shape) Times(free Shape, most int) int {
+// CountFitting is how many of s fit into free side by side, at most so many.
+func (s Resources) CountFitting(free Resources, most int) int {
 	k := float64(most)
 	for _, r := range [...][2]float64{{s.CPUs, free.CPUs}, {s.GPUs, free.GPUs}, {s.MemoryGB, free.MemoryGB}} {
 		if r[0] > 0 {
@@ -40,49 +40,49 @@
 }
 
 // Scale returns f times s.
-func (s Shape) Scale(f float64) Shape { return Shape{}.Add(s, f) }
+func (s Resources) Scale(f float64) Resources { return Resources{}.Add(s, f) }
 
-// Use is a task that holds, or will hold, resources of a machine.
-type Use struct {
-	Shape Shape
-	Left  float64 // seconds it will still hold them
+// Allocation is a task that holds, or will hold, resources of a machine.
+type Allocation struct {
+	Resources  Resources
+	RemainingS float64 // seconds it will still hold them
 }
 
-// Row is a row of a wait-time matrix: what is free from a wait on, until the
+// WaitRow is a row of a wait-time matrix: what is free from a wait on, until the
 // next row's.
-type Row struct {
-	Wait float64 `json:"w"`
-	Free Shape   `json:"f"`
+type WaitRow struct {
+	Wait float64   `json:"w"`
+	Free Resources `json:"f"`
 }
 
-// Matrix is a machine's wait-time matrix with cells where they matter: its
+// WaitMatrix is a machine's wait-time matrix with cells where they matter: its
 // rows stand at the waits at which the free amounts change, so that a look-up
 // is exact for every size of task, GPUs included.
-type Matrix []Row
+type WaitMatrix []WaitRow
 
-// NewMatrix simulates a machine: what runs leaves after its remaining time,
+// NewWaitMatrix simulates a machine: what runs leaves after its remaining time,
 // and what is queued starts in order as soon as it fits.
-func NewMatrix(total Shape, running []Use, queued []Use) Matrix {
-	sorted := append([]Use(nil), running...)
-	slices.SortFunc(sorted, func(a, b Use) int { return cmp.Compare(a.Left, b.Left) })
+func NewWaitMatrix(total Resources, running []Allocation, queued []Allocation) WaitMatrix {
+	sorted := append([]Allocation(nil), running...)
+	slices.SortFunc(sorted, func(a, b Allocation) int { return cmp.Compare(a.RemainingS, b.RemainingS) })
 	free := total
 	for _, u := range sorted {
-		free = free.Add(u.Shape, -1)
+		free = free.Add(u.Resources, -1)
 	}
-	m := make(Matrix, 1, len(sorted)+1)
+	m := make(WaitMatrix, 1, len(sorted)+1)
 	m[0].Free = free
 	for _, u := range sorted {
-		free = free.Add(u.Shape, 1)
-		left := math.Max(0, u.Left)
+		free = free.Add(u.Resources, 1)
+		left := math.Max(0, u.RemainingS)
 		if last := &m[len(m)-1]; last.Wait >= left {
 			last.Free = free
 			continue
 		}
-		m = append(m, Row{left, free})
+		m = append(m, WaitRow{left, free})
 	}
 	for _, u := range queued {
-		if w := m.Wait(u.Shape, u.Left); !math.IsInf(w, 1) {
-			m = m.Reserve(u.Shape, w, u.Left)
+		if w := m.Wait(u.Resources, u.RemainingS); !math.IsInf(w, 1) {
+			m = m.Reserve(u.Resources, w, u.RemainingS)
 		}
 	}
 	return m
@@ -90,13 +90,13 @@
 
 // Wait looks up how long a task of this shape would wait; infinite if it
 // never fits for as long as it runs.
-func (m Matrix) Wait(s Shape, run float64) float64 {
+func (m WaitMatrix) Wait(s Resources, run float64) float64 {
 	return m.WaitWithin(s, run, math.Inf(1))
 }
 
 // WaitWithin is Wait for a caller to whom any wait above most is the same as
 // an infinite one.
-func (m Matrix) WaitWithin(s Shape, run, most float64) float64 {
+func (m WaitMatrix) WaitWithin(s Resources, run, most float64) float64 {
 	start := -1
 	for i := range m {
 		if start >= 0 && m[i].Wait >= m[start].Wait+run {
@@ -118,26 +118,26 @@
 	return m[start].Wait
 }
 
-// Times is how many tasks of this shape can start together after a wait, at most
+// CountFitting is how many tasks of this shape can start together after a wait, at most
 // so many.
-func (m Matrix) Times(s Shape, wait, run float64, most int) int {
+func (m WaitMatrix) CountFitting(s Resources, wait, run float64, most int) int {
 	for i := range m {
 		switch {
 		case i+1 < len(m) && m[i+1].Wait <= wait: // over by then
 		case m[i].Wait >= wait+run:
 			return most
 		default:
-			most = s.Times(m[i].Free, most)
+			most = s.CountFitting(m[i].Free, most)
 		}
 	}
 	return most
 }
 
 // Reserve returns the matrix after a task takes its resources from a wait on.
-func (m Matrix) Reserve(s Shape, wait, run float64) Matrix {
+func (m WaitMatrix) Reserve(s Resources, wait, run float64) WaitMatrix {
 	end := wait + run
-	out := make(Matrix, 0, len(m)+2)
-	at := func(t float64) Shape {
+	out := make(WaitMatrix, 0, len(m)+2)
+	at := func(t float64) Resources {
 		f := m[0].Free
 		for _, r := range m {
 			if r.Wait > t {
@@ -152,7 +152,7 @@
 		if t >= wait && t < end {
 			f = f.Add(s, -1)
 		}
-		out = append(out, Row{t, f})
+		out = append(out, WaitRow{t, f})
 	}
 	startIn, endIn := false, false
 	for _, r := range m {
--- a/internal/matching/placement_test.go
+++ b/internal/matching/placement_test.go
@@ -9,28 +9,28 @@
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
-var shapes = rapid.Custom(func(t *rapid.T) matching.Shape {
-	return matching.Shape{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
+var shapes = rapid.Custom(func(t *rapid.T) matching.Resources {
+	return matching.Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
 		MemoryGB: float64(rapid.IntRange(1, 6).Draw(t, "memory"))}
 })
 
-var uses = rapid.Custom(func(t *rapid.T) matching.Use {
-	return matching.Use{Shape: shapes.Draw(t, "shape"), Left: float64(rapid.IntRange(1, 30).Draw(t, "left"))}
+var uses = rapid.Custom(func(t *rapid.T) matching.Allocation {
+	return matching.Allocation{Resources: shapes.Draw(t, "shape"), RemainingS: float64(rapid.IntRange(1, 30).Draw(t, "left"))}
 })
 
 // span is a use from a start to an end.
 type span struct {
-	matching.Use
+	matching.Allocation
 	from float64
 }
 
 // naive looks for the first whole second at which a task fits throughout.
-func naive(total matching.Shape, spans []span, s matching.Shape, run float64) float64 {
+func naive(total matching.Resources, spans []span, s matching.Resources, run float64) float64 {
 	fits := func(at float64) bool {
 		free := total
 		for _, x := range spans {
-			if at >= x.from && at < x.from+x.Left {
-				free = free.Add(x.Shape, -1)
+			if at >= x.from && at < x.from+x.RemainingS {
+				free = free.Add(x.Resources, -1)
 			}
 		}
 		return s.Fits(free)
@@ -50,29 +50,29 @@
 // A matrix says the same wait as a simulation second by second, GPUs included.
 func TestMatrixAgainstSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		total := matching.Shape{CPUs: 8, GPUs: 2, MemoryGB: 12}
-		var running []matching.Use
+		total := matching.Resources{CPUs: 8, GPUs: 2, MemoryGB: 12}
+		var running []matching.Allocation
 		var spans []span
 		free := total
 		for _, u := range rapid.SliceOfN(uses, 0, 6).Draw(t, "running") {
-			if u.Shape.Fits(free) {
-				free = free.Add(u.Shape, -1)
+			if u.Resources.Fits(free) {
+				free = free.Add(u.Resources, -1)
 				running = append(running, u)
 				spans = append(spans, span{u, 0})
 			}
 		}
 		queued := rapid.SliceOfN(uses, 0, 5).Draw(t, "queued")
-		m := matching.NewMatrix(total, running, queued)
+		m := matching.NewWaitMatrix(total, running, queued)
 		for _, q := range queued {
-			spans = append(spans, span{q, naive(total, spans, q.Shape, q.Left)})
+			spans = append(spans, span{q, naive(total, spans, q.Resources, q.RemainingS)})
 		}
 		u := uses.Draw(t, "task")
-		want := naive(total, spans, u.Shape, u.Left)
-		if got := m.Wait(u.Shape, u.Left); got != want {
+		want := naive(total, spans, u.Resources, u.RemainingS)
+		if got := m.Wait(u.Resources, u.RemainingS); got != want {
 			t.Fatalf("waits %v, simulated %v; matrix %v", got, want, m)
 		}
 		most := float64(rapid.IntRange(0, 40).Draw(t, "most"))
-		if got := m.WaitWithin(u.Shape, u.Left, most); want <= most && got != want || got < want {
+		if got := m.WaitWithin(u.Resources, u.RemainingS, most); want <= most && got != want || got < want {
 			t.Fatalf("waits %v within %v, simulated %v", got, most, want)
 		}
 	})
@@ -84,11 +84,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		nt, nm := rapid.IntRange(1, 5).Draw(t, "tasks"), rapid.IntRange(1, 5).Draw(t, "machines")
 		cost := make([][]float64, nt)
-		options := make([][]matching.Option, nt)
+		options := make([][]matching.Candidate, nt)
 		for i := range cost {
 			cost[i] = rapid.Permutation([]float64{1, 2, 4, 8, 16}[:nm]).Draw(t, "costs")
 			for m, c := range cost[i] {
-				options[i] = append(options[i], matching.Option{Machine: m, Cost: c, Wait: c})
+				options[i] = append(options[i], matching.Candidate{Machine: m, Cost: c, Wait: c})
 			}
 		}
 		pairs := matching.Match(options, 10)
@@ -132,7 +132,7 @@
 		{9, 1, 8, 2, true},  // above the stage's average
 		{90, 8, 0, 2, true}, // waited longer than the average
 	} {
-		if got := matching.LookAgain(c.planned, c.elapsed, c.expected, c.average, 4); got != c.want {
+		if got := matching.ShouldReplace(c.planned, c.elapsed, c.expected, c.average, 4); got != c.want {
 			t.Errorf("%+v: got %v", c, got)
 		}
 	}
--- a/internal/matching/recorded_test.go
+++ b/internal/matching/recorded_test.go
@@ -30,12 +30,12 @@
 
 // Shapes and matrices keep the form in which controllers tell them to one another.
 func TestRecorded(t *testing.T) {
-	checkRecorded(t, "shape_full.json", matching.Shape{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25})
-	checkRecorded(t, "shape_empty.json", matching.Shape{})
-	checkRecorded(t, "matrix_full.json", matching.Matrix{
-		{Wait: 0, Free: matching.Shape{CPUs: 1.5, MemoryGB: 3}},
-		{Wait: 20.5, Free: matching.Shape{CPUs: 4, GPUs: 1, MemoryGB: 8.25}},
+	checkRecorded(t, "shape_full.json", matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25})
+	checkRecorded(t, "shape_empty.json", matching.Resources{})
+	checkRecorded(t, "matrix_full.json", matching.WaitMatrix{
+		{Wait: 0, Free: matching.Resources{CPUs: 1.5, MemoryGB: 3}},
+		{Wait: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 1, MemoryGB: 8.25}},
 	})
-	checkRecorded(t, "matrix_empty.json", matching.Matrix{})
-	checkRecorded(t, "matrix_none.json", matching.Matrix(nil))
+	checkRecorded(t, "matrix_empty.json", matching.WaitMatrix{})
+	checkRecorded(t, "matrix_none.json", matching.WaitMatrix(nil))
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -214,7 +214,7 @@
 	agent := &worker.Agent{Controllers: w.controllers, ReportEvery: seconds(w.settings.ReportS), Log: w.log,
 		Transport: &reports{&h.link, base, w.reportBytes}}
 	agent.Machine = worker.New(worker.Ident{Name: m.Name, Endpoint: lis.Addr().String(), Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Size: matching.Shape{CPUs: t.CPUs, MemoryGB: t.MemoryGB}, Lease: seconds(w.settings.LeaseS)}, run, run, agent.Changed, w.log)
+		Size: matching.Resources{CPUs: t.CPUs, MemoryGB: t.MemoryGB}, Lease: seconds(w.settings.LeaseS)}, run, run, agent.Changed, w.log)
 	h.machine = agent.Machine
 	serve := agent.Handler()
 	h.server = &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -10,7 +10,7 @@
 // batch matches up to limit tasks of the jobs and dispatches the matches that
 // wait no longer than the horizon.
 func (o *Scheduler) batch(jobs []*Job, open []*Worker, limit int) map[*Job]int {
-	var options [][]matching.Option
+	var options [][]matching.Candidate
 	var of []*Job
 	arena, opts := o.arena[:0], o.options
 	defer func() { o.arena, o.options = arena, opts }()
@@ -21,7 +21,7 @@
 		opts = opts[:0]
 		for _, m := range o.candidates(j, o.roomFor(j, open)) {
 			if e, ok := o.estimate(j, m); ok && e.wait <= o.op.HorizonS {
-				opts = append(opts, matching.Option{Machine: m.Index, Wait: e.wait, Cost: e.cost})
+				opts = append(opts, matching.Candidate{Machine: m.Index, Wait: e.wait, Cost: e.cost})
 			}
 		}
 		if len(opts) == 0 {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -124,10 +124,10 @@
 		b.Fatal(err)
 	}
 	for i := range machines {
-		total := matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}
-		use := []matching.Use{{Shape: matching.Shape{CPUs: 12, MemoryGB: 12}, Left: 20}}
+		total := matching.Resources{CPUs: size.CPUs, MemoryGB: size.MemoryGB}
+		use := []matching.Allocation{{Resources: matching.Resources{CPUs: 12, MemoryGB: 12}, RemainingS: 20}}
 		f.views = append(f.views, dispatch.WorkerView{Name: fmt.Sprintf("n-%06d", i), Type: "m", Zone: "z", Spot: i%3 > 0, Session: 1, Seq: 1,
-			Token: 7, Holder: "a", Matrix: matching.NewMatrix(total, use, nil)})
+			Token: 7, Holder: "a", Matrix: matching.NewWaitMatrix(total, use, nil)})
 		f.owner.ObserveWorker(f.views[i])
 	}
 	for i := range jobs {
@@ -142,14 +142,14 @@
 // show observes a report of the i-th machine, which is full for so long, has these tasks,
 // and has queued what j-1 has placed there.
 func (f *fleet) show(i int, full float64, tasks ...dispatch.TaskView) {
-	total := matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}
-	var uses []matching.Use
+	total := matching.Resources{CPUs: size.CPUs, MemoryGB: size.MemoryGB}
+	var uses []matching.Allocation
 	if full > 0 {
-		uses = []matching.Use{{Shape: total, Left: full}}
+		uses = []matching.Allocation{{Resources: total, RemainingS: full}}
 	}
 	v := &f.views[i]
 	v.Seq++
-	v.Tasks, v.Queue, v.Matrix = tasks, nil, matching.NewMatrix(total, uses, nil)
+	v.Tasks, v.Queue, v.Matrix = tasks, nil, matching.NewWaitMatrix(total, uses, nil)
 	for _, ref := range f.owner.PlacesOf("j-1") {
 		if ref.Machine == v.Name {
 			v.Queue = append(v.Queue, dispatch.QueueView{TaskRef: ref, WaitS: full})
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -22,7 +22,7 @@
 // Requirements is what a job asks of a machine, image apart: jobs alike in it have room
 // on the same machines.
 type Requirements struct {
-	shape       matching.Shape
+	shape       matching.Resources
 	zone, types string
 	spot        bool
 }
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -41,7 +41,7 @@
 func (f *fleet) see(i int, tasks ...dispatch.TaskView) {
 	v := &f.views[i]
 	v.Seq++
-	v.Tasks, v.Matrix = tasks, matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
+	v.Tasks, v.Matrix = tasks, matching.NewWaitMatrix(matching.Resources{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
 	f.owner.ObserveWorker(*v)
 }
 
--- a/internal/scheduler/closing_test.go
+++ b/internal/scheduler/closing_test.go
@@ -46,8 +46,8 @@
 					v := &f.views[0]
 					v.Seq++
 					v.Tasks = []dispatch.TaskView{{Task: wire.Task{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskRunning}}}
-					v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB},
-						[]matching.Use{{Shape: matching.Shape{CPUs: 8, MemoryGB: 1}, Left: c.occupied}}, nil)
+					v.Matrix = matching.NewWaitMatrix(matching.Resources{CPUs: size.CPUs, MemoryGB: size.MemoryGB},
+						[]matching.Allocation{{Resources: matching.Resources{CPUs: 8, MemoryGB: 1}, RemainingS: c.occupied}}, nil)
 					f.owner.ObserveWorker(*v)
 				}
 				show()
--- a/internal/scheduler/cost.go
+++ b/internal/scheduler/cost.go
@@ -7,7 +7,7 @@
 )
 
 // wait looks a wait up; an older matrix is read at a larger cell.
-func (o *Scheduler) wait(m *Worker, s matching.Shape, run float64) float64 {
+func (o *Scheduler) wait(m *Worker, s matching.Resources, run float64) float64 {
 	age := o.now.Sub(m.ViewAt).Seconds()
 	if over := age - 1.5*o.cfg.Params.Workers.ReportS; over > 0 {
 		s = s.Scale(1 + min(0.5, 0.05*over))
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -10,12 +10,12 @@
 
 // Demand is work that waits.
 type Demand struct {
-	Shape matching.Shape `json:"Shape"`
-	Job   *wire.Job      `json:"Job"`
-	Count int            `json:"Count"`
-	Run   float64        `json:"Run"`
-	Rank  int            `json:"Rank"`
-	Slack float64        `json:"Slack"` // how long it may wait and still meet an aim that a new machine can help with
+	Shape matching.Resources `json:"Shape"`
+	Job   *wire.Job          `json:"Job"`
+	Count int                `json:"Count"`
+	Run   float64            `json:"Run"`
+	Rank  int                `json:"Rank"`
+	Slack float64            `json:"Slack"` // how long it may wait and still meet an aim that a new machine can help with
 }
 
 // demandKey is what makes waiting work alike for planning.
@@ -166,17 +166,17 @@
 
 // WorkerLoad is a machine as fleet planning sees it.
 type WorkerLoad struct {
-	Name    string          `json:"Name"`
-	Type    string          `json:"Type"`
-	Zone    string          `json:"Zone"`
-	Spot    bool            `json:"Spot"`
-	Notice  bool            `json:"Notice"`
-	Faulty  bool            `json:"Faulty"`
-	Matrix  matching.Matrix `json:"Matrix"`
-	Used    matching.Shape  `json:"Used"`
-	Heard   time.Time       `json:"Heard"`
-	Existed time.Time       `json:"Existed"` // when it was last heard, or when this owner took over what it knows of it
-	Places  int             `json:"Places"`
+	Name    string              `json:"Name"`
+	Type    string              `json:"Type"`
+	Zone    string              `json:"Zone"`
+	Spot    bool                `json:"Spot"`
+	Notice  bool                `json:"Notice"`
+	Faulty  bool                `json:"Faulty"`
+	Matrix  matching.WaitMatrix `json:"Matrix"`
+	Used    matching.Resources  `json:"Used"`
+	Heard   time.Time           `json:"Heard"`
+	Existed time.Time           `json:"Existed"` // when it was last heard, or when this owner took over what it knows of it
+	Places  int                 `json:"Places"`
 }
 
 // LeadsAutoscaling reports whether this owner leads the fleet: it owns the first shard.
--- a/internal/scheduler/evacuate.go
+++ b/internal/scheduler/evacuate.go
@@ -86,7 +86,7 @@
 		e := evictionCandidate{placement: p, left: p.Job.RunEstimate()}
 		if !p.RunningSince.IsZero() {
 			elapsed := o.now.Sub(p.RunningSince).Seconds()
-			e.left = matching.RestOfRun(e.left, elapsed)
+			e.left = matching.RemainingRun(e.left, elapsed)
 		}
 		e.loss, e.evictable = o.evacuable(p)
 		all = append(all, e)
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -53,7 +53,7 @@
 
 // gangPicks finds a machine for each of n tasks, in one zone unless it is "".
 func (o *Scheduler) gangPicks(j *Job, open []*Worker, zone string, n int) []gangCandidate {
-	saved := map[*Worker]matching.Matrix{}
+	saved := map[*Worker]matching.WaitMatrix{}
 	defer func() {
 		for m, mx := range saved {
 			m.Matrix = mx
--- a/internal/scheduler/holders_test.go
+++ b/internal/scheduler/holders_test.go
@@ -47,7 +47,7 @@
 			v := &f.views[0]
 			v.Seq++
 			v.Holder = "b"
-			v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
+			v.Matrix = matching.NewWaitMatrix(matching.Resources{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
 			f.owner.ObserveWorker(*v)
 		}
 		submit := func(uid string) {
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -185,7 +185,7 @@
 			a.rest += o.fetchTime(j, m)
 		} else {
 			a.elapsed = now.Sub(p.RunningSince).Seconds()
-			a.rest = matching.RestOfRun(a.rest, a.elapsed)
+			a.rest = matching.RemainingRun(a.rest, a.elapsed)
 			a.counted = len(j.Class.StartAims) > 0 && a.elapsed < countedStart
 		}
 		if j.Spec.MarkS > 0 {
--- a/internal/scheduler/lend.go
+++ b/internal/scheduler/lend.go
@@ -72,21 +72,23 @@
 type LeasedLimit struct {
 	Team        string
 	Borrower    *quotalease.Borrower
-	UsedByShard map[int]matching.Shape // of all that may be on, by shard
+	UsedByShard map[int]matching.Resources // of all that may be on, by shard
 }
 
-func (t *LeasedLimit) Count(shard int, shape matching.Shape, sign float64) {
+func (t *LeasedLimit) Count(shard int, shape matching.Resources, sign float64) {
 	t.UsedByShard[shard] = t.UsedByShard[shard].Add(shape, sign)
 }
 
-func amountOf(s matching.Shape) quotalease.Amount { return quotalease.AmountOf(s.CPUs, s.GPUs) }
+func amountOf(s matching.Resources) quotalease.Amount { return quotalease.AmountOf(s.CPUs, s.GPUs) }
 
 // Allows reports whether the tasks of a shard may use so much.
-func (t *Team) Allows(shard int, use matching.Shape) bool { return t.ExceededLimit(shard, use) == "" }
+func (t *Team) Allows(shard int, use matching.Resources) bool {
+	return t.ExceededLimit(shard, use) == ""
+}
 
 // ExceededLimit says which kind of the team's limit does not let the tasks of a shard use so much,
 // or "".
-func (t *Team) ExceededLimit(shard int, use matching.Shape) string {
+func (t *Team) ExceededLimit(shard int, use matching.Resources) string {
 	a, c := amountOf(use), t.Leased.Borrower.Ceiling(shard, t.Leased.Team)
 	for kind, limit := range limitOf(t.Team) {
 		if limit > 0 && a[kind] > c[kind] {
@@ -136,7 +138,7 @@
 	}
 	for name, t := range teams {
 		if lends(t.Team) {
-			t.Leased = &LeasedLimit{Team: name, Borrower: l.sides[quotalease.RecordOf(name)], UsedByShard: map[int]matching.Shape{}}
+			t.Leased = &LeasedLimit{Team: name, Borrower: l.sides[quotalease.RecordOf(name)], UsedByShard: map[int]matching.Resources{}}
 		}
 	}
 	return l
--- a/internal/scheduler/owner.go
+++ b/internal/scheduler/owner.go
@@ -142,7 +142,7 @@
 	Placements     map[int][]*Placement
 	Done           int
 	Running        int
-	Resources      matching.Shape
+	Resources      matching.Resources
 	requirements   Requirements // once it was asked for
 	Class          *Class
 	Team           *Team
@@ -176,8 +176,8 @@
 // Team is a team's use.
 type Team struct {
 	config.Team
-	Used   matching.Shape // of all that may be on
-	Leased *LeasedLimit   // nil: the whole limit is this owner's
+	Used   matching.Resources // of all that may be on
+	Leased *LeasedLimit       // nil: the whole limit is this owner's
 }
 
 type CachedImage struct {
@@ -199,7 +199,7 @@
 	UnansweredPolls     int
 	RenewedSession      uint64    // the session in which it was
 	LastReport          time.Time // when its worker last reported by itself
-	Matrix              matching.Matrix
+	Matrix              matching.WaitMatrix
 	RoomReserved        bool // the matrix holds room for this pass only
 	Placements          map[*Placement]struct{}
 	MaxToken            uint64 // the highest that a start command for it may carry by a grant from here
@@ -266,8 +266,8 @@
 	rooms     map[Requirements][]*Worker      // see roomFor
 	cachers   map[imageRequirements][]*Worker // see caching
 	views     uint64                          // counts views, to tell which places one lists
-	arena     []matching.Option               // see batch
-	options   []matching.Option
+	arena     []matching.Candidate            // see batch
+	options   []matching.Candidate
 	images    wire.Index
 	classes   map[string]*Class
 	logs      map[int]*Log
--- a/internal/scheduler/owner_test.go
+++ b/internal/scheduler/owner_test.go
@@ -336,17 +336,17 @@
 		now := time.Now().UnixMilli()
 		f.owner.JobAccepted(&wire.Job{UID: "j-1", Class: "study", Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 2, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 1)
 		v := &f.views[0]
-		full := []matching.Use{{Shape: matching.Shape{CPUs: 16, MemoryGB: 1}, Left: 300}}
+		full := []matching.Allocation{{Resources: matching.Resources{CPUs: 16, MemoryGB: 1}, RemainingS: 300}}
 		show := func() {
 			v.Seq++
-			v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, full, nil)
+			v.Matrix = matching.NewWaitMatrix(matching.Resources{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, full, nil)
 			v.Tasks = nil
 			for i := range 2 {
 				v.Tasks = append(v.Tasks, dispatch.TaskView{Task: wire.Task{Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1), State: wire.TaskRunning}})
 			}
 			f.owner.ObserveWorker(*v)
 		}
-		v.Matrix = matching.NewMatrix(matching.Shape{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
+		v.Matrix = matching.NewWaitMatrix(matching.Resources{CPUs: size.CPUs, MemoryGB: size.MemoryGB}, nil, nil)
 		v.Seq++
 		f.owner.ObserveWorker(*v)
 		f.owner.Pass()
--- a/internal/scheduler/sweep.go
+++ b/internal/scheduler/sweep.go
@@ -67,7 +67,7 @@
 			p, current := ps[0], math.Inf(1)
 			for _, x := range ps {
 				w, known := waits[x]
-				if x.State != PlacementRecorded || !known || !matching.LookAgain(x.PlannedWait, now.Sub(x.CreatedAt).Seconds(), w, max(avg, x.PlannedWait), o.op.ReplaceS) {
+				if x.State != PlacementRecorded || !known || !matching.ShouldReplace(x.PlannedWait, now.Sub(x.CreatedAt).Seconds(), w, max(avg, x.PlannedWait), o.op.ReplaceS) {
 					p = nil
 					break
 				}
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -173,7 +173,7 @@
 		Spec: &spec, Shard: r.Shard, Version: version, AcceptedMs: r.AtMs, Cancelled: r.Cancelled,
 		AcceptedAt: time.Now().Add(-max(0, time.Since(time.UnixMilli(r.AtMs)))),
 		Placements: map[int][]*Placement{}, Avoid: map[int]time.Time{}, Zones: map[string]int{},
-		Resources: matching.Shape{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB},
+		Resources: matching.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB},
 		Class:     o.classOf(spec.Class), Team: o.teams[spec.Team],
 	}
 	if r.Terms != nil {
--- a/internal/scheduler/triage.go
+++ b/internal/scheduler/triage.go
@@ -43,11 +43,11 @@
 		}
 		a.LastAdmitted = a.Admitted
 	}
-	var fleet matching.Shape
+	var fleet matching.Resources
 	fresh := seconds(3*o.cfg.Params.Workers.ReportS + 1)
 	for _, m := range o.machines {
 		if t := o.typeOf(m); !m.Gone && !m.View.Draining && now.Sub(m.LastHeartbeat) < fresh {
-			fleet = fleet.Add(matching.Shape{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, 1)
+			fleet = fleet.Add(matching.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, 1)
 		}
 	}
 	if fleet.CPUs <= 0 {
@@ -112,7 +112,7 @@
 }
 
 // toTriage is what is left of a job, with its work in seconds of the whole fleet.
-func (o *Scheduler) toTriage(j *Job, now time.Time, fleet matching.Shape) admission.Job {
+func (o *Scheduler) toTriage(j *Job, now time.Time, fleet matching.Resources) admission.Job {
 	part := j.Resources.CPUs / fleet.CPUs
 	if fleet.GPUs > 0 {
 		part = max(part, j.Resources.GPUs/fleet.GPUs)
--- a/internal/viewsync/capacity_test.go
+++ b/internal/viewsync/capacity_test.go
@@ -32,7 +32,7 @@
 	for i := range machines {
 		v := dispatch.WorkerView{Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z",
 			Session: 1, Seq: 1000 + uint64(atMs), Token: 7, Holder: "a", AgeS: 0.25, UnansweredS: 0.25}
-		var uses []matching.Use
+		var uses []matching.Allocation
 		for t := range tasksEach {
 			task := dispatch.TaskView{Task: wire.Task{Task: wire.TaskName(fmt.Sprintf("j-%06d", i), t), Attempt: 20, State: wire.TaskRunning}, ForS: 10 + passed}
 			left := max(overrunWait, 10*float64(t)-passed)
@@ -40,9 +40,9 @@
 				task.Attempt, task.ForS, left = 21, 0, 30
 			}
 			v.Tasks = append(v.Tasks, task)
-			uses = append(uses, matching.Use{Shape: matching.Shape{CPUs: 2, MemoryGB: 8}, Left: left})
+			uses = append(uses, matching.Allocation{Resources: matching.Resources{CPUs: 2, MemoryGB: 8}, RemainingS: left})
 		}
-		v.Matrix = matching.NewMatrix(matching.Shape{CPUs: 16, MemoryGB: 64}, uses, nil)
+		v.Matrix = matching.NewWaitMatrix(matching.Resources{CPUs: 16, MemoryGB: 64}, uses, nil)
 		f = append(f, v)
 	}
 	return f
--- a/internal/viewsync/change.go
+++ b/internal/viewsync/change.go
@@ -74,7 +74,7 @@
 
 // inOrder reports whether a matrix's rows stand in the order of their waits: look-ups take
 // the first row that fits for the earliest.
-func inOrder(m matching.Matrix) bool {
+func inOrder(m matching.WaitMatrix) bool {
 	for i := range m {
 		if m[i].Wait < 0 || i > 0 && m[i].Wait < m[i-1].Wait {
 			return false
@@ -87,7 +87,7 @@
 const rowFigures = 4
 
 // packed is a matrix row by row without names, which would take half of a change.
-func packed(m matching.Matrix) []float64 {
+func packed(m matching.WaitMatrix) []float64 {
 	figures := make([]float64, 0, rowFigures*len(m))
 	for _, row := range m {
 		figures = append(figures, row.Wait, row.Free.CPUs, row.Free.GPUs, row.Free.MemoryGB)
@@ -95,10 +95,10 @@
 	return figures
 }
 
-func unpacked(figures []float64) matching.Matrix {
-	m := make(matching.Matrix, 0, len(figures)/rowFigures)
+func unpacked(figures []float64) matching.WaitMatrix {
+	m := make(matching.WaitMatrix, 0, len(figures)/rowFigures)
 	for row := range slices.Chunk(figures, rowFigures) {
-		m = append(m, matching.Row{Wait: row[0], Free: matching.Shape{CPUs: row[1], GPUs: row[2], MemoryGB: row[3]}})
+		m = append(m, matching.WaitRow{Wait: row[0], Free: matching.Resources{CPUs: row[1], GPUs: row[2], MemoryGB: row[3]}})
 	}
 	return m
 }
@@ -113,9 +113,9 @@
 
 func rounded(seconds float64) float64 { return float64(milliseconds(seconds)) / perSecond }
 
-func roundedShape(s matching.Shape) matching.Shape {
+func roundedShape(s matching.Resources) matching.Resources {
 	round := func(x float64) float64 { return math.Round(x*perShape) / perShape }
-	return matching.Shape{CPUs: round(s.CPUs), GPUs: round(s.GPUs), MemoryGB: round(s.MemoryGB)}
+	return matching.Resources{CPUs: round(s.CPUs), GPUs: round(s.GPUs), MemoryGB: round(s.MemoryGB)}
 }
 
 // rounding gives a view the precision in which it is told.
@@ -132,7 +132,7 @@
 	}
 	v.Matrix = slices.Clone(v.Matrix)
 	for i := range v.Matrix {
-		v.Matrix[i] = matching.Row{Wait: rounded(v.Matrix[i].Wait), Free: roundedShape(v.Matrix[i].Free)}
+		v.Matrix[i] = matching.WaitRow{Wait: rounded(v.Matrix[i].Wait), Free: roundedShape(v.Matrix[i].Free)}
 	}
 	if !inOrder(v.Matrix) {
 		v.Matrix = nil // the owner would refuse the whole frame for it
@@ -196,12 +196,12 @@
 	})
 }
 
-func sameFree(a, b matching.Matrix) bool {
-	return slices.EqualFunc(a, b, func(x, y matching.Row) bool { return x.Free == y.Free })
+func sameFree(a, b matching.WaitMatrix) bool {
+	return slices.EqualFunc(a, b, func(x, y matching.WaitRow) bool { return x.Free == y.Free })
 }
 
-func sameMatrix(a, b matching.Matrix) bool {
-	return slices.EqualFunc(a, b, func(x, y matching.Row) bool {
+func sameMatrix(a, b matching.WaitMatrix) bool {
+	return slices.EqualFunc(a, b, func(x, y matching.WaitRow) bool {
 		return x.Free == y.Free && near(x.Wait, y.Wait, waitTolerance) && (x.Wait > 0) == (y.Wait > 0)
 	})
 }
--- a/internal/viewsync/stream_test.go
+++ b/internal/viewsync/stream_test.go
@@ -162,7 +162,7 @@
 	}) {
 		return fmt.Errorf("tasks")
 	}
-	if !slices.Equal(a.Queue, b.Queue) || !slices.EqualFunc(a.Matrix, b.Matrix, func(x, y matching.Row) bool {
+	if !slices.Equal(a.Queue, b.Queue) || !slices.EqualFunc(a.Matrix, b.Matrix, func(x, y matching.WaitRow) bool {
 		return x.Free == y.Free && math.Abs(x.Wait-y.Wait) <= slack
 	}) {
 		return fmt.Errorf("queue or matrix")
@@ -217,7 +217,7 @@
 	}
 	v.Matrix = nil
 	for _, ms := range slices.Sorted(slices.Values(waits.Draw(t, "waits"))) {
-		v.Matrix = append(v.Matrix, matching.Row{Wait: float64(ms) / 1000, Free: matching.Shape{CPUs: float64(few.Draw(t, "free"))}})
+		v.Matrix = append(v.Matrix, matching.WaitRow{Wait: float64(ms) / 1000, Free: matching.Resources{CPUs: float64(few.Draw(t, "free"))}})
 	}
 	return v
 }
@@ -349,7 +349,7 @@
 		e, d := NewEncoder("h"), NewDecoder()
 		e.stream, d.stream = 5, 3
 		v := dispatch.WorkerView{Name: "n-1", Type: "m", Session: 1, Seq: 4, Token: 2, Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}},
-			Matrix: matching.Matrix{{Free: matching.Shape{CPUs: 1}}, {Wait: 3, Free: matching.Shape{CPUs: 2}}}}
+			Matrix: matching.WaitMatrix{{Free: matching.Resources{CPUs: 1}}, {Wait: 3, Free: matching.Resources{CPUs: 2}}}}
 		e.after = d.stream
 		_, r, err := d.Take(e.Next(0, oneView{v}))
 		if err != nil {
@@ -360,7 +360,7 @@
 	}
 	e, d := known()
 	v := d.states["n-1"].view
-	v.Seq, v.Tasks, v.Matrix = 5, nil, matching.Matrix{{Free: matching.Shape{CPUs: 2}}}
+	v.Seq, v.Tasks, v.Matrix = 5, nil, matching.WaitMatrix{{Free: matching.Resources{CPUs: 2}}}
 	e.Note(100, []dispatch.WorkerView{v}, nil)
 	for _, m := range []*Message{e.Next(200, nil), {Stream: d.stream, Seq: d.seq, Machines: 1}} {
 		data, err := json.Marshal(m)
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -45,7 +45,7 @@
 type Ident struct {
 	Name, Endpoint, Type, Zone string
 	Spot                       bool
-	Size                       matching.Shape
+	Size                       matching.Resources
 	Lease                      time.Duration
 }
 
@@ -56,7 +56,7 @@
 
 type task struct {
 	wire.Task
-	size   matching.Shape
+	size   matching.Resources
 	proc   Process
 	cancel context.CancelFunc // ends the fetch
 	halted bool
@@ -277,7 +277,7 @@
 		m.exitLocked(t, wire.CauseDone) // its result is kept
 		return
 	}
-	t.size = matching.Shape{CPUs: d.CPUs, GPUs: d.GPUs, MemoryGB: d.MemoryGB}
+	t.size = matching.Resources{CPUs: d.CPUs, GPUs: d.GPUs, MemoryGB: d.MemoryGB}
 	free := m.id.Size
 	for _, o := range m.tasks {
 		if o != t && o.State != wire.TaskExited {
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -81,7 +81,7 @@
 func (f *fake) Stop(time.Duration) { f.finish(false) }
 
 func machine(s *site) *worker.Machine {
-	return worker.New(worker.Ident{Name: "n-1", Endpoint: "127.0.0.1:1", Type: "m", Zone: "z", Size: matching.Shape{CPUs: 4, MemoryGB: 8}, Lease: 10 * time.Second},
+	return worker.New(worker.Ident{Name: "n-1", Endpoint: "127.0.0.1:1", Type: "m", Zone: "z", Size: matching.Resources{CPUs: 4, MemoryGB: 8}, Lease: 10 * time.Second},
 		s, s, func() {}, quiet)
 }
 
