--- a/cmd/wallctl/main.go
+++ b/cmd/wallctl/main.go
@@ -112,7 +112,7 @@
 
 func (a *app) submit() *cobra.Command {
 	j := wire.Job{Kind: wire.KindArray, Image: "none"}
-	d := taskspec.Description{}
+	d := taskspec.Spec{}
 	var env []string
 	var script string
 	var service bool
--- a/cmd/wallrack/local_test.go
+++ b/cmd/wallrack/local_test.go
@@ -71,7 +71,7 @@
 		return &wire.Job{UID: uid, Class: "adhoc", Team: "default", Kind: wire.KindArray, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 0.1, Image: "none", Estimate: 1}
 	}
 	run := func(j *wire.Job, script string) error {
-		_, err := c.Submit(ctx, j, &taskspec.Description{Argv: []string{"sh", "-c", script}, CPUs: j.CPUs})
+		_, err := c.Submit(ctx, j, &taskspec.Spec{Argv: []string{"sh", "-c", script}, CPUs: j.CPUs})
 		return err
 	}
 	if err := run(job("j-hello", 3), `echo "hello $WALLRACK_TASK"`); err != nil {
@@ -147,7 +147,7 @@
 	defer cancel()
 	roll := func(version, mode string) rollout.Run {
 		spec := rollout.Spec{Service: "tips", Steps: []string{"1", "100%"}, SoakS: 3, Check: rollout.Check{HTTP: "/up", EveryS: 0.3, TimeoutS: 1},
-			To: rollout.Version{Name: version, Desc: taskspec.Description{Argv: []string{os.Args[0]}, Env: map[string]string{"TEST_SERVICE": mode}, CPUs: 1}}}
+			To: rollout.Version{Name: version, Desc: taskspec.Spec{Argv: []string{os.Args[0]}, Env: map[string]string{"TEST_SERVICE": mode}, CPUs: 1}}}
 		if version == "v1" {
 			spec.Replicas, spec.Steps = 2, []string{"100%"}
 			spec.Template = wire.Job{Class: "service", Team: "default", Priority: "production", Image: "none"}
--- a/cmd/wallrack/node.go
+++ b/cmd/wallrack/node.go
@@ -124,7 +124,7 @@
 // standing notes what the membership says for the timeline.
 func (n *node) standing() {
 	if n.member.LeaseRemaining() <= 0 {
-		n.times.Lost()
+		n.times.Reset()
 		return
 	}
 	n.times.Mark(failovertiming.Joined)
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -112,7 +112,7 @@
 	t.Helper()
 	spec := rollout.Spec{Service: "tips", Steps: []string{"100%"}, SoakS: 1, Replicas: 1, Check: rollout.Check{TCP: true, EveryS: 0.3, TimeoutS: 1},
 		Template: wire.Job{Class: "service", Team: "default", Priority: "production", Image: "none"},
-		To:       rollout.Version{Name: "v1", Desc: taskspec.Description{Argv: []string{os.Args[0]}, Env: map[string]string{"TEST_SERVICE": "good"}, CPUs: 1}}}
+		To:       rollout.Version{Name: "v1", Desc: taskspec.Spec{Argv: []string{os.Args[0]}, Env: map[string]string{"TEST_SERVICE": "good"}, CPUs: 1}}}
 	body, err := json.Marshal(spec)
 	if err != nil {
 		t.Fatal(err)
@@ -193,7 +193,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	job := wire.Job{UID: "j-three", Class: "adhoc", Team: "default", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 0.1, Image: "none", Estimate: 1}
-	if _, err := c.Submit(ctx, &job, &taskspec.Description{Argv: []string{"true"}, CPUs: 1}); err != nil {
+	if _, err := c.Submit(ctx, &job, &taskspec.Spec{Argv: []string{"true"}, CPUs: 1}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Wait(ctx, job.UID); err != nil {
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -215,7 +215,7 @@
 
 // What the leading controller tells of roll-outs keeps its form.
 func TestRecordedRollouts(t *testing.T) {
-	version := rollout.Version{Name: "v7", Desc: taskspec.Description{
+	version := rollout.Version{Name: "v7", Desc: taskspec.Spec{
 		Argv: []string{"serve"}, Env: map[string]string{"MODE": "fast"}, Dir: "/srv", Script: "#!/bin/sh", Args: []string{"-v"},
 		CPUs: 2.5, GPUs: 1, MemoryGB: 12.25,
 		Slurm: &slurmtask.Context{Number: 4001, Tasks: 8, Array: "0-7", Name: "train", User: "ada", Output: "o-%j", Error: "e-%j", Step: true, Cluster: "north"},
--- a/internal/admission/triage.go
+++ b/internal/admission/triage.go
@@ -37,14 +37,14 @@
 	return x
 }
 
-// Tiers returns for each job the number of limits that it has to let pass: 0, if it
+// AssignTiers returns for each job the number of limits that it has to let pass: 0, if it
 // can be done by its first one. Jobs share rate CPUs, from offset seconds on. Of jobs
 // that can't all be met the most are (Moore and Hodgson's rule: in the order of the
 // limits, and when one would be late, the largest so far goes); what is left is tried
 // with the next limit, behind them. A job that can meet none gets the number of its
 // limits. While its last tasks end a job does not use all that it could: the work
 // counts as due half a span before the limit.
-func Tiers(jobs []Job, rate, offset float64) []int {
+func AssignTiers(jobs []Job, rate, offset float64) []int {
 	tiers := make([]int, len(jobs))
 	left := make([]int, 0, len(jobs))
 	for i := range jobs {
--- a/internal/admission/triage_test.go
+++ b/internal/admission/triage_test.go
@@ -49,7 +49,7 @@
 			return admission.Job{Work: float64(rapid.IntRange(1, 40).Draw(rt, "work")), Limits: []float64{first, first * 2}}
 		}), 1, 9).Draw(rt, "jobs")
 		rate := float64(rapid.IntRange(1, 8).Draw(rt, "rate"))
-		tiers := admission.Tiers(jobs, rate, 0)
+		tiers := admission.AssignTiers(jobs, rate, 0)
 		n := 0
 		for i, tier := range tiers {
 			if tier > 2 {
@@ -94,7 +94,7 @@
 		{"no limits", []admission.Job{{10, 1, nil}}, 1, 0, []int{0}},
 		{"nothing to run on", []admission.Job{{10, 0, []float64{10}}}, 0, 0, []int{1}},
 	} {
-		got := admission.Tiers(c.jobs, c.rate, c.offset)
+		got := admission.AssignTiers(c.jobs, c.rate, c.offset)
 		for i := range got {
 			if got[i] != c.want[i] {
 				t.Errorf("%s: %v, not %v", c.name, got, c.want)
@@ -110,6 +110,6 @@
 		jobs[i] = admission.Job{Work: float64(1 + i*7919%5000), Span: 30, Limits: []float64{float64(i%90 - 20), float64(i%90 + 30), float64(i%90 + 100)}}
 	}
 	for b.Loop() {
-		admission.Tiers(jobs, 20000, 10)
+		admission.AssignTiers(jobs, 20000, 10)
 	}
 }
--- a/internal/batching/gather.go
+++ b/internal/batching/gather.go
@@ -24,11 +24,11 @@
 
 	sending sync.WaitGroup
 	mu      sync.Mutex
-	lanes   map[string]*lane[T]
+	lanes   map[string]*batchQueue[T]
 }
 
-// lane is what is to go to one peer.
-type lane[T any] struct {
+// batchQueue is what is to go to one peer.
+type batchQueue[T any] struct {
 	waiting  []T
 	underWay int
 	left     time.Time // when the last batch did
@@ -42,9 +42,9 @@
 	l := s.lanes[peer]
 	if l == nil {
 		if s.lanes == nil {
-			s.lanes = map[string]*lane[T]{}
+			s.lanes = map[string]*batchQueue[T]{}
 		}
-		l = &lane[T]{}
+		l = &batchQueue[T]{}
 		s.lanes[peer] = l
 	}
 	l.waiting = append(l.waiting, item)
@@ -55,7 +55,7 @@
 func (s *Sender[T]) Wait() { s.sending.Wait() }
 
 // start has a batch leave if it may, with all that comes until its goroutine runs.
-func (s *Sender[T]) start(peer string, l *lane[T]) {
+func (s *Sender[T]) start(peer string, l *batchQueue[T]) {
 	if len(l.waiting) == 0 || l.underWay == mostUnderWay {
 		return // the next batch that comes back looks again
 	}
@@ -71,7 +71,7 @@
 }
 
 // lookAgain looks at a lane after a time, when its last batch has been under way for long.
-func (s *Sender[T]) lookAgain(peer string, l *lane[T], after time.Duration) {
+func (s *Sender[T]) lookAgain(peer string, l *batchQueue[T], after time.Duration) {
 	if l.timed {
 		return
 	}
@@ -84,7 +84,7 @@
 	})
 }
 
-func (s *Sender[T]) run(peer string, l *lane[T]) {
+func (s *Sender[T]) run(peer string, l *batchQueue[T]) {
 	defer s.sending.Done()
 	s.mu.Lock()
 	n := min(len(l.waiting), mostItems)
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -55,7 +55,7 @@
 
 // Submit uploads the description and submits the job, repeating both with the
 // same id until the job is accepted, refused, or a minute is over.
-func (c *Client) Submit(ctx context.Context, job *wire.Job, d *taskspec.Description) (*wire.JobState, error) {
+func (c *Client) Submit(ctx context.Context, job *wire.Job, d *taskspec.Spec) (*wire.JobState, error) {
 	if err := c.describe(ctx, job.UID, d); err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 }
 
 // describe uploads what a job's tasks run.
-func (c *Client) describe(ctx context.Context, uid string, d *taskspec.Description) error {
+func (c *Client) describe(ctx context.Context, uid string, d *taskspec.Spec) error {
 	dc := &taskspec.Client{Base: c.Base, HTTP: &c.http}
 	if err := c.until(ctx, func(ctx context.Context) (bool, time.Duration, error) {
 		err := dc.Put(ctx, uid, d)
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -66,7 +66,7 @@
 func TestSubmitRepeatsTheSame(t *testing.T) {
 	c, s := serve(t, lost, status(http.StatusServiceUnavailable, ""), status(http.StatusOK, `{"uid":"j-1","stage":"queued"}`))
 	job := &wire.Job{UID: "j-1", Class: "a", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, Image: "none"}
-	d := &taskspec.Description{Argv: []string{"true"}, CPUs: 1}
+	d := &taskspec.Spec{Argv: []string{"true"}, CPUs: 1}
 	if st, err := c.Submit(t.Context(), job, d); err != nil || st.Stage != wire.StageQueued {
 		t.Fatalf("%+v, %v", st, err)
 	}
--- a/internal/client/recorded_test.go
+++ b/internal/client/recorded_test.go
@@ -41,7 +41,7 @@
 	c, ctx := client.New(srv.URL), t.Context()
 	var job wire.Job
 	var with jobspec.Constraints
-	var what taskspec.Description
+	var what taskspec.Spec
 	recorded.Fill(&job)
 	recorded.Fill(&with)
 	recorded.Fill(&what)
--- a/internal/client/slurm.go
+++ b/internal/client/slurm.go
@@ -57,7 +57,7 @@
 
 // SubmitWith submits a job with terms, as Submit does. With test it is checked
 // only.
-func (c *Client) SubmitWith(ctx context.Context, job *wire.Job, t *jobspec.Constraints, d *taskspec.Description, test bool) (*wire.JobState, error) {
+func (c *Client) SubmitWith(ctx context.Context, job *wire.Job, t *jobspec.Constraints, d *taskspec.Spec, test bool) (*wire.JobState, error) {
 	if !test {
 		if err := c.describe(ctx, job.UID, d); err != nil {
 			return nil, err
--- a/internal/failovertiming/recovery.go
+++ b/internal/failovertiming/recovery.go
@@ -38,8 +38,8 @@
 	startKept  = 20 * time.Second       // a takeover so soon after the start is timed from the start
 )
 
-// Books is what is known of a takeover.
-type Books interface {
+// FailoverState is what is known of a takeover.
+type FailoverState interface {
 	// FailoverProgress returns the takeovers so far, the machines on which the last
 	// one found tasks recorded, and how many of those were not heard since.
 	FailoverProgress() (takeovers, machines, silent int)
@@ -47,7 +47,7 @@
 
 // Timeline times the recovery in progress and keeps the last one.
 type Timeline struct {
-	books   Books
+	books   FailoverState
 	limit   time.Duration
 	log     *slog.Logger
 	wake    chan struct{}
@@ -63,7 +63,7 @@
 
 // New returns a timeline of the process that starts now. A recovery that is not
 // complete after limit is closed as it is: machines that are lost are not heard.
-func New(books Books, limit time.Duration, log *slog.Logger) *Timeline {
+func New(books FailoverState, limit time.Duration, log *slog.Logger) *Timeline {
 	now := time.Now()
 	return &Timeline{books: books, limit: limit, log: log, wake: make(chan struct{}, 1), started: now, began: now, open: true}
 }
@@ -90,8 +90,8 @@
 	}
 }
 
-// Lost tells that this controller owns nothing any more.
-func (t *Timeline) Lost() {
+// Reset tells that this controller owns nothing any more.
+func (t *Timeline) Reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.open && t.at[Claimed] != 0 {
--- a/internal/failovertiming/recovery_test.go
+++ b/internal/failovertiming/recovery_test.go
@@ -59,7 +59,7 @@
 			t.Errorf("%d lines: %s", n, out.String())
 		}
 		step(time.Hour, func() { b.takeovers, b.silent = 2, 100; tl.Mark(failovertiming.Claimed) })
-		step(time.Second, func() { tl.Lost() })
+		step(time.Second, func() { tl.Reset() })
 		step(time.Minute, func() { b.silent = 100; tl.Mark(failovertiming.Claimed) })
 		step(time.Minute, func() {})
 		if n := strings.Count(out.String(), "msg=recovered"); n != 2 {
--- a/internal/quotalease/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -38,7 +38,7 @@
 
 // Borrower is an owner's side of one record.
 type Borrower struct {
-	Unknown int // rows and entries of shards, terms and teams that were refused
+	UnknownEntries int // rows and entries of shards, terms and teams that were refused
 
 	limits map[string]Amount
 	teams  []string // of limits, in order
@@ -81,9 +81,9 @@
 	}
 }
 
-// Own tells which shards this owner has, by the version of their keys, and up to which
+// SetShards tells which shards this owner has, by the version of their keys, and up to which
 // revision owners that do not borrow may have started tasks in any shard.
-func (b *Borrower) Own(shards map[int]uint64, unborrowed uint64) {
+func (b *Borrower) SetShards(shards map[int]uint64, unborrowed uint64) {
 	b.unborrowed = max(b.unborrowed, unborrowed)
 	for s, term := range b.own {
 		if shards[s] == term {
@@ -105,7 +105,7 @@
 // Adopted reports whether this owner has written a shard's row under its own term.
 func (b *Borrower) Adopted(shard int) bool {
 	row := b.known.row(shard)
-	return row != nil && row.Term == b.own[shard]
+	return row != nil && row.OwnerVersion == b.own[shard]
 }
 
 // Observe takes the record as it was at a revision of the state service; version 0: there
@@ -137,8 +137,8 @@
 	b.settle()
 }
 
-// Rereads reports whether the record has to be read before it is written again.
-func (b *Borrower) Rereads() bool { return b.reread }
+// NeedsReread reports whether the record has to be read before it is written again.
+func (b *Borrower) NeedsReread() bool { return b.reread }
 
 // Applied tells that a write was carried out, and gave the record that version.
 func (b *Borrower) Applied(w Write, version uint64) {
@@ -152,9 +152,9 @@
 	b.settle()
 }
 
-// Refused tells that a condition of a write did not hold. An earlier copy of it may have
+// Rejected tells that a condition of a write did not hold. An earlier copy of it may have
 // been carried out, so that the record has to be read before the write is given up.
-func (b *Borrower) Refused(w Write) { b.reread = b.open != nil && b.open.Guard == w.Guard }
+func (b *Borrower) Rejected(w Write) { b.reread = b.open != nil && b.open.Guard == w.Guard }
 
 // Ceiling is how much of a team's limit the tasks of a shard may use for one more to
 // start. It is nothing while this owner has not written the row under its own term: what
@@ -185,7 +185,7 @@
 		}
 		for s, term := range b.own {
 			row := b.known.row(s)
-			if row.Term != term {
+			if row.OwnerVersion != term {
 				continue
 			}
 			c := row.Teams[team].Part
@@ -206,12 +206,12 @@
 // count counts what is refused of a record that came.
 func (b *Borrower) count() {
 	for _, row := range b.known.Rows {
-		if term, own := b.own[row.Shard]; own && row.Term > term {
-			b.Unknown++ // a term that this owner does not know: it is not the owner any more
+		if term, own := b.own[row.Shard]; own && row.OwnerVersion > term {
+			b.UnknownEntries++ // a term that this owner does not know: it is not the owner any more
 		}
 		for team := range row.Teams {
 			if _, ok := b.limits[team]; !ok {
-				b.Unknown++
+				b.UnknownEntries++
 			}
 		}
 	}
--- a/internal/quotalease/lending_test.go
+++ b/internal/quotalease/lending_test.go
@@ -87,16 +87,16 @@
 		t.Fatal(err)
 	}
 	b := quotalease.New(limits, shards)
-	b.Own(map[int]uint64{0: 7, 1: 8}, 0)
+	b.SetShards(map[int]uint64{0: 7, 1: 8}, 0)
 	b.Observe(r, 20, 20)
-	if b.Unknown != 2 {
-		t.Errorf("%d unknown, want 2: a term and a team", b.Unknown)
+	if b.UnknownEntries != 2 {
+		t.Errorf("%d unknown, want 2: a term and a team", b.UnknownEntries)
 	}
 	if c := b.Ceiling(0, "a"); !c.Zero() {
 		t.Errorf("a stale owner may use %v", c)
 	}
 	w, ok := b.Plan(time.Now(), func(int, string) quotalease.Need { return quotalease.Need{} })
-	if !ok || w.Record.Rows[0].Term != 9 || w.Record.Rows[0].Teams["gone"].Part != (quotalease.Amount{3000}) {
+	if !ok || w.Record.Rows[0].OwnerVersion != 9 || w.Record.Rows[0].Teams["gone"].Part != (quotalease.Amount{3000}) {
 		t.Errorf("wrote %v %+v", ok, w.Record)
 	}
 }
@@ -134,10 +134,10 @@
 	now, version := time.Now(), uint64(100)
 	for n := range sides {
 		other := quotalease.New(all[n], shards)
-		other.Own(map[int]uint64{3: 1, 4: 1, 5: 1}, 0)
+		other.SetShards(map[int]uint64{3: 1, 4: 1, 5: 1}, 0)
 		w, _ := other.Plan(now, needs)
 		sides[n] = quotalease.New(all[n], shards)
-		sides[n].Own(map[int]uint64{0: 2, 1: 2, 2: 2}, 0)
+		sides[n].SetShards(map[int]uint64{0: 2, 1: 2, 2: 2}, 0)
 		sides[n].Observe(w.Record, version, version)
 	}
 	b.ReportAllocs()
--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -197,7 +197,7 @@
 		}
 	}
 	o.owns[shard] = w.revision
-	o.side.Own(o.owns, w.unborrowed)
+	o.side.SetShards(o.owns, w.unborrowed)
 }
 
 // interlude has one owner that does not borrow own all shards for a while, and start tasks
@@ -227,7 +227,7 @@
 func (w *model) hear(o *owner) {
 	maps.DeleteFunc(o.owns, func(s int, term uint64) bool { return w.keys[s] != term })
 	maps.DeleteFunc(o.counts, func(t *task, _ bool) bool { _, mine := o.owns[t.shard]; return !mine })
-	o.side.Own(o.owns, w.unborrowed)
+	o.side.SetShards(o.owns, w.unborrowed)
 }
 
 // send has an owner send what it has to write.
@@ -235,7 +235,7 @@
 	if o.busy {
 		return
 	}
-	if o.side.Rereads() {
+	if o.side.NeedsReread() {
 		p := w.last()
 		o.side.Reread(p.record, p.version, p.version)
 		return
@@ -274,7 +274,7 @@
 	if applied {
 		f.from.side.Applied(f.write, w.revision)
 	} else {
-		f.from.side.Refused(f.write)
+		f.from.side.Rejected(f.write)
 	}
 }
 
@@ -320,7 +320,7 @@
 		for _, row := range r.Rows {
 			part := row.Teams[team].Part
 			sum = sum.Add(part)
-			if row.Term < w.unborrowed {
+			if row.OwnerVersion < w.unborrowed {
 				continue // it says nothing until the next owner counts anew
 			}
 			if may := w.mayRun(row.Shard, team); !may.Fits(part) {
@@ -333,7 +333,7 @@
 		}
 	}
 	for _, row := range r.Rows {
-		complete = complete && row.Term > w.unborrowed
+		complete = complete && row.OwnerVersion > w.unborrowed
 	}
 	w.covered = w.covered || complete && within
 }
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -62,17 +62,17 @@
 // that does not borrow started tasks go: they cover none of those.
 func (b *Borrower) adopt(r *Record, needs Needs) (changed bool) {
 	before := len(r.Rows)
-	r.Rows = slices.DeleteFunc(r.Rows, func(row Row) bool { return row.Term < b.unborrowed })
+	r.Rows = slices.DeleteFunc(r.Rows, func(row Row) bool { return row.OwnerVersion < b.unborrowed })
 	changed = len(r.Rows) < before
 	for s, term := range b.own {
 		row := r.row(s)
 		switch {
 		case row == nil:
-			r.addRow(Row{Shard: s, Term: term})
+			r.addRow(Row{Shard: s, OwnerVersion: term})
 			b.countAnew(r.row(s), needs)
 			changed = true
-		case row.Term < term:
-			row.Term = term
+		case row.OwnerVersion < term:
+			row.OwnerVersion = term
 			changed = true
 		}
 	}
@@ -108,7 +108,7 @@
 func (p *plan) run() bool {
 	for _, s := range slices.Sorted(maps.Keys(p.b.own)) {
 		row := p.record.row(s)
-		if row.Term != p.b.own[s] {
+		if row.OwnerVersion != p.b.own[s] {
 			continue
 		}
 		delete(p.b.withheld, share{s, p.team})
--- a/internal/quotalease/record.go
+++ b/internal/quotalease/record.go
@@ -34,9 +34,9 @@
 
 // Row is what a shard's owner borrowed.
 type Row struct {
-	Shard int              `json:"shard"`
-	Term  uint64           `json:"term"` // version of the shard's key under which its owner last wrote the row
-	Teams map[string]Entry `json:"teams,omitempty"`
+	Shard        int              `json:"shard"`
+	OwnerVersion uint64           `json:"term"` // version of the shard's key under which its owner last wrote the row
+	Teams        map[string]Entry `json:"teams,omitempty"`
 }
 
 // Entry is what a shard has and wants of a team's limit.
@@ -94,7 +94,7 @@
 			return Record{}, fmt.Errorf("rows: unknown shard %d of %d", row.Shard, shards)
 		case row.Shard <= last:
 			return Record{}, fmt.Errorf("rows: shard %d is out of order or given twice", row.Shard)
-		case row.Term == 0:
+		case row.OwnerVersion == 0:
 			return Record{}, fmt.Errorf("rows: shard %d has no term", row.Shard)
 		}
 		last = row.Shard
@@ -165,7 +165,7 @@
 	records := [Records]Record{}
 	for n := range records {
 		for s := range shards {
-			records[n].Rows = append(records[n].Rows, Row{Shard: s, Term: anyTerm, Teams: map[string]Entry{}})
+			records[n].Rows = append(records[n].Rows, Row{Shard: s, OwnerVersion: anyTerm, Teams: map[string]Entry{}})
 		}
 	}
 	for team, limit := range limits {
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -45,7 +45,7 @@
 
 // Descriptions keeps what jobs run.
 type Descriptions interface {
-	Put(ctx context.Context, job string, d *taskspec.Description) error
+	Put(ctx context.Context, job string, d *taskspec.Spec) error
 }
 
 // Manager keeps services and drives their roll-outs while this controller leads.
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -39,7 +39,7 @@
 
 // fullVersion returns a version with every field set.
 func fullVersion(name string) Version {
-	return Version{Name: name, Desc: taskspec.Description{
+	return Version{Name: name, Desc: taskspec.Spec{
 		Argv: []string{"/bin/serve", "--fast"}, Env: map[string]string{"A": "1", "B": "2"}, Dir: "/srv", Script: "#!/bin/sh\n", Args: []string{"x", "y"},
 		CPUs: 1.5, GPUs: 0.5, MemoryGB: 2.25,
 		Slurm: &slurmtask.Context{Number: 77, Tasks: 4, Array: "0-3", Name: "n", User: "u", Output: "o", Error: "e", Step: true, Cluster: "c"},
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -13,7 +13,7 @@
 )
 
 func spec() rollout.Spec {
-	s := rollout.Spec{Service: "tips", To: rollout.Version{Name: "v2", Desc: taskspec.Description{Argv: []string{"x"}, CPUs: 1}}, Check: rollout.Check{HTTP: "/up"}}
+	s := rollout.Spec{Service: "tips", To: rollout.Version{Name: "v2", Desc: taskspec.Spec{Argv: []string{"x"}, CPUs: 1}}, Check: rollout.Check{HTTP: "/up"}}
 	s.Fill()
 	return s
 }
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -135,7 +135,7 @@
 }
 
 // Put implements rollout.Descriptions.
-func (c *core) Put(_ context.Context, job string, d *taskspec.Description) error {
+func (c *core) Put(_ context.Context, job string, d *taskspec.Spec) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.descs[job] = d.Argv[0]
@@ -286,7 +286,7 @@
 
 func (s *site) begin(version string, change func(*rollout.Spec)) {
 	spec := spec()
-	spec.To = rollout.Version{Name: version, Desc: taskspec.Description{Argv: []string{version}, CPUs: 1}}
+	spec.To = rollout.Version{Name: version, Desc: taskspec.Spec{Argv: []string{version}, CPUs: 1}}
 	if change != nil {
 		change(&spec)
 	}
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -28,8 +28,8 @@
 
 // Version is what the replicas of a service run.
 type Version struct {
-	Name string               `json:"name"`
-	Desc taskspec.Description `json:"desc"`
+	Name string        `json:"name"`
+	Desc taskspec.Spec `json:"desc"`
 }
 
 // Check is how a replica's health is found out, through its worker.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -122,7 +122,7 @@
 }
 
 // Get implements worker.Descriptions: it takes as long as the image's fetch.
-func (r *runner) Get(ctx context.Context, uid string) (*taskspec.Description, error) {
+func (r *runner) Get(ctx context.Context, uid string) (*taskspec.Spec, error) {
 	j := r.track.job(uid)
 	if j == nil {
 		return nil, taskspec.ErrNotFound
@@ -140,7 +140,7 @@
 		r.images[j.Image] = true
 		r.mu.Unlock()
 	}
-	return &taskspec.Description{Argv: []string{"hollow"}, CPUs: j.CPUs, MemoryGB: j.MemoryGB}, nil
+	return &taskspec.Spec{Argv: []string{"hollow"}, CPUs: j.CPUs, MemoryGB: j.MemoryGB}, nil
 }
 
 // process is a task that only takes time.
@@ -151,7 +151,7 @@
 }
 
 // Start implements worker.Runner.
-func (r *runner) Start(task string, _ uint64, _ *taskspec.Description, exited func(code int)) (worker.Process, error) {
+func (r *runner) Start(task string, _ uint64, _ *taskspec.Spec, exited func(code int)) (worker.Process, error) {
 	run, completed := r.track.started(task, r.name)
 	p := &process{finish: func(completed bool) {
 		r.track.ended(task, completed)
--- a/internal/scheduler/lend.go
+++ b/internal/scheduler/lend.go
@@ -152,7 +152,7 @@
 	}
 	for _, side := range o.lender.sides {
 		if side != nil {
-			side.Own(o.loaded, o.lender.unborrowed)
+			side.SetShards(o.loaded, o.lender.unborrowed)
 		}
 	}
 	poke(o.lender.wake)
@@ -262,9 +262,9 @@
 
 // heardLent has a side take a record, counts and says what it refused of it.
 func (o *Scheduler) heardLent(key string, side *quotalease.Borrower, take func()) {
-	before := side.Unknown
+	before := side.UnknownEntries
 	take()
-	if n := side.Unknown - before; n > 0 {
+	if n := side.UnknownEntries - before; n > 0 {
 		o.stats.QuotaRecordsRefused += n
 		o.log.Warn("unknown terms or teams in a record of lent limits", "key", key, "refused", n)
 	}
@@ -293,7 +293,7 @@
 			l.next = n
 			return
 		}
-		if side.Rereads() {
+		if side.NeedsReread() {
 			l.pace.Allow()
 			l.busy[n] = true
 			go o.rereadLent(ctx, n)
@@ -377,7 +377,7 @@
 		side.Applied(w, rev)
 		poke(o.wake)
 	case errors.As(err, &conflict):
-		side.Refused(w)
+		side.Rejected(w)
 		poke(o.lender.wake)
 	default:
 		o.log.Debug("no answer to a write of lent limits", "key", quotalease.Key(n), "err", err)
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -112,9 +112,9 @@
 
 // The rows of lent limits, as an owner writes them.
 func TestLentLimitsKeepTheirBytes(t *testing.T) {
-	recorded.CheckFull(t, "lent-full", quotalease.Record{Rows: []quotalease.Row{{Shard: 3, Term: 99,
+	recorded.CheckFull(t, "lent-full", quotalease.Record{Rows: []quotalease.Row{{Shard: 3, OwnerVersion: 99,
 		Teams: map[string]quotalease.Entry{"vision": {Part: quotalease.Amount{8000, 1000}, Want: quotalease.Amount{16000, 2000}, Unit: quotalease.Amount{500, 250}}}}}})
-	recorded.Check(t, "lent-none", quotalease.Record{Rows: []quotalease.Row{{Shard: 0, Term: 1}}})
+	recorded.Check(t, "lent-none", quotalease.Record{Rows: []quotalease.Row{{Shard: 0, OwnerVersion: 1}}})
 	if first, last := quotalease.Key(0), quotalease.Key(quotalease.Records-1); quotalease.Prefix != "lent/" || first != "lent/00" || last != "lent/15" {
 		t.Errorf("keys %s to %s", first, last)
 	}
--- a/internal/scheduler/triage.go
+++ b/internal/scheduler/triage.go
@@ -90,7 +90,7 @@
 			o.flood[r] = takes > flooded*usual || o.flood[r] && takes > subsided*usual
 		}
 		if o.flood[r] {
-			for i, tier := range admission.Tiers(jobs, rate, above) {
+			for i, tier := range admission.AssignTiers(jobs, rate, above) {
 				byRank[r][i].Tier = tier
 			}
 		}
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -246,8 +246,8 @@
 	Cancelled        bool
 }
 
-// Statuses returns the living jobs.
-func (o *Scheduler) Statuses() []JobStatus {
+// JobStatuses returns the living jobs.
+func (o *Scheduler) JobStatuses() []JobStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := make([]JobStatus, 0, len(o.order))
--- a/internal/slo/alert.go
+++ b/internal/slo/alert.go
@@ -25,7 +25,7 @@
 )
 
 // Jobs gives the living jobs.
-type Jobs interface{ Statuses() []scheduler.JobStatus }
+type Jobs interface{ JobStatuses() []scheduler.JobStatus }
 
 // Alert is one occurrence.
 type Alert struct {
@@ -38,8 +38,8 @@
 	Cleared *time.Time `json:"cleared,omitempty"`
 }
 
-// Alerts watches the living jobs.
-type Alerts struct {
+// Monitor watches the living jobs.
+type Monitor struct {
 	aims []config.Objective
 	jobs Jobs
 	log  *slog.Logger
@@ -53,13 +53,13 @@
 }
 
 // New returns alerts for the users' aims.
-func New(aims []config.Objective, jobs Jobs, log *slog.Logger) *Alerts {
-	return &Alerts{aims: aims, jobs: jobs, log: log, open: map[occurrence]*Alert{}, seen: map[string]scheduler.JobStatus{},
+func New(aims []config.Objective, jobs Jobs, log *slog.Logger) *Monitor {
+	return &Monitor{aims: aims, jobs: jobs, log: log, open: map[occurrence]*Alert{}, seen: map[string]scheduler.JobStatus{},
 		wait: hdrhistogram.New(1, 3_600_000, 2), late: hdrhistogram.New(1, 3_600_000, 2)}
 }
 
 // Run looks at the jobs until ctx ends.
-func (a *Alerts) Run(ctx context.Context) error {
+func (a *Monitor) Run(ctx context.Context) error {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
@@ -110,8 +110,8 @@
 	aim int
 }
 
-func (a *Alerts) look(now time.Time) {
-	list := a.jobs.Statuses()
+func (a *Monitor) look(now time.Time) {
+	list := a.jobs.JobStatuses()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	live := make(map[string]scheduler.JobStatus, len(list))
@@ -158,7 +158,7 @@
 }
 
 // Register adds the operators' paths.
-func (a *Alerts) Register(mux *http.ServeMux) {
+func (a *Monitor) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /ops/alerts", func(w http.ResponseWriter, _ *http.Request) {
 		a.mu.Lock()
 		open := make([]Alert, 0, len(a.open))
@@ -173,7 +173,7 @@
 }
 
 // Stats returns quantiles of how late starts and ends were.
-func (a *Alerts) Stats() map[string]any {
+func (a *Monitor) Stats() map[string]any {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return map[string]any{"wait_ms": quantiles(a.wait), "late_ms": quantiles(a.late)}
--- a/internal/slo/alert_test.go
+++ b/internal/slo/alert_test.go
@@ -22,7 +22,7 @@
 	list []scheduler.JobStatus
 }
 
-func (j *jobs) Statuses() []scheduler.JobStatus {
+func (j *jobs) JobStatuses() []scheduler.JobStatus {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]scheduler.JobStatus(nil), j.list...)
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -19,7 +19,7 @@
 type Request struct {
 	Job         wire.Job
 	Terms       jobspec.Constraints
-	Description taskspec.Description
+	Description taskspec.Spec
 }
 
 // Work is what shall run, and who asks from where.
--- a/internal/taskspec/client.go
+++ b/internal/taskspec/client.go
@@ -26,7 +26,7 @@
 }
 
 // Put uploads a job's description. To upload the same one again is no error.
-func (c *Client) Put(ctx context.Context, job string, d *Description) error {
+func (c *Client) Put(ctx context.Context, job string, d *Spec) error {
 	data, err := json.Marshal(d)
 	if err != nil {
 		return fmt.Errorf("encode description: %w", err)
@@ -44,7 +44,7 @@
 }
 
 // Get fetches a job's description.
-func (c *Client) Get(ctx context.Context, job string) (*Description, error) {
+func (c *Client) Get(ctx context.Context, job string) (*Spec, error) {
 	status, body, err := c.do(ctx, http.MethodGet, job, nil)
 	switch {
 	case err != nil:
@@ -54,7 +54,7 @@
 	case status != http.StatusOK:
 		return nil, fmt.Errorf("description of %s: status %d: %s", job, status, reason(body))
 	}
-	var d Description
+	var d Spec
 	if err := json.Unmarshal(body, &d); err != nil {
 		return nil, fmt.Errorf("description of %s: %w", job, err)
 	}
--- a/internal/taskspec/description.go
+++ b/internal/taskspec/description.go
@@ -25,8 +25,8 @@
 	ErrDiffers = errors.New("the job has another description already")
 )
 
-// Description is what a job's tasks run.
-type Description struct {
+// Spec is what a job's tasks run.
+type Spec struct {
 	Argv     []string          `json:"argv"`             // the program and its arguments
 	Env      map[string]string `json:"env,omitempty"`    // added to the worker's own environment
 	Dir      string            `json:"dir,omitempty"`    // working directory; the task's own if empty
@@ -40,7 +40,7 @@
 }
 
 // Check says what is wrong with a description.
-func (d *Description) Check() error {
+func (d *Spec) Check() error {
 	switch {
 	case len(d.Argv) == 0 || d.Argv[0] == "":
 		return errors.New("argv: a program is needed")
--- a/internal/taskspec/recorded_test.go
+++ b/internal/taskspec/recorded_test.go
@@ -13,10 +13,10 @@
 )
 
 func TestDescriptionKeepsItsBytes(t *testing.T) {
-	recorded.CheckFull(t, "description-full", taskspec.Description{Argv: []string{"/bin/sh", "-e"}, Env: map[string]string{"A": "1", "B": "x=y"},
+	recorded.CheckFull(t, "description-full", taskspec.Spec{Argv: []string{"/bin/sh", "-e"}, Env: map[string]string{"A": "1", "B": "x=y"},
 		Dir: "/data", Script: "#!/bin/sh\necho \"$1\" <in >out\n", Args: []string{"first", "second"}, CPUs: 2.5, GPUs: 1, MemoryGB: 4,
 		Slurm: &slurmtask.Context{Number: 4100, Tasks: 16, Array: "0-30:2", Name: "tips", User: "erin", Output: "%j.out", Error: "%j.err", Step: true, Cluster: "main"}})
-	recorded.Check(t, "description-none", taskspec.Description{Argv: []string{"/bin/true"}, CPUs: 1})
+	recorded.Check(t, "description-none", taskspec.Spec{Argv: []string{"/bin/true"}, CPUs: 1})
 }
 
 // storedDescriptions is a store in memory.
--- a/internal/taskspec/server.go
+++ b/internal/taskspec/server.go
@@ -26,7 +26,7 @@
 	mux.HandleFunc("PUT "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) {
 		job := r.PathValue("job")
 		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBytes))
-		var d Description
+		var d Spec
 		switch {
 		case !wire.ValidJobID(job):
 			problem(w, http.StatusBadRequest, "not a job id")
--- a/internal/worker/process.go
+++ b/internal/worker/process.go
@@ -68,7 +68,7 @@
 }
 
 // Start implements Runner.
-func (p *Processes) Start(task string, attempt uint64, d *taskspec.Description, exited func(code int)) (Process, error) {
+func (p *Processes) Start(task string, attempt uint64, d *taskspec.Spec, exited func(code int)) (Process, error) {
 	job, n, err := wire.ParseTask(task)
 	if err != nil {
 		return nil, err
--- a/internal/worker/recorded_test.go
+++ b/internal/worker/recorded_test.go
@@ -87,7 +87,7 @@
 // A check of a task that runs is answered by the recorded bytes; nothing listens at its port.
 func TestRecordedCheck(t *testing.T) {
 	p := processes(t, t.TempDir())
-	if _, err := p.Start("j-1/0", 3, &taskspec.Description{Argv: []string{"sleep", "600"}, CPUs: 1}, func(int) {}); err != nil {
+	if _, err := p.Start("j-1/0", 3, &taskspec.Spec{Argv: []string{"sleep", "600"}, CPUs: 1}, func(int) {}); err != nil {
 		t.Fatal(err)
 	}
 	handler := (&worker.Agent{Machine: recordedMachine(), Processes: p, Log: quiet}).Handler()
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -24,7 +24,7 @@
 
 // Descriptions tells what a job's tasks run.
 type Descriptions interface {
-	Get(ctx context.Context, job string) (*taskspec.Description, error)
+	Get(ctx context.Context, job string) (*taskspec.Spec, error)
 }
 
 // Runner runs tasks' processes.
@@ -32,7 +32,7 @@
 	// Start starts a task. exited is called once, from another goroutine, when
 	// the task and all that it started are gone, with its exit code: 0 is success,
 	// 128 and more a signal, as shells have it.
-	Start(task string, attempt uint64, d *taskspec.Description, exited func(code int)) (Process, error)
+	Start(task string, attempt uint64, d *taskspec.Spec, exited func(code int)) (Process, error)
 }
 
 // Process is a running task.
@@ -243,7 +243,7 @@
 }
 
 // fetch gets a description, again for a while if the service does not answer.
-func (m *Machine) fetch(ctx context.Context, job string) (*taskspec.Description, error) {
+func (m *Machine) fetch(ctx context.Context, job string) (*taskspec.Spec, error) {
 	for n := 1; ; n++ {
 		d, err := m.descrs.Get(ctx, job)
 		if err == nil || errors.Is(err, taskspec.ErrNotFound) || n == fetchTries {
@@ -258,7 +258,7 @@
 }
 
 // started goes on with a task whose description came, or did not.
-func (m *Machine) started(k key, t *task, session uint64, d *taskspec.Description, err error) {
+func (m *Machine) started(k key, t *task, session uint64, d *taskspec.Spec, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	defer func() { go m.change() }()
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -42,7 +42,7 @@
 	exited func(int)
 }
 
-func (s *site) Get(_ context.Context, job string) (*taskspec.Description, error) {
+func (s *site) Get(_ context.Context, job string) (*taskspec.Spec, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -51,10 +51,10 @@
 	case job == "j-0":
 		return nil, taskspec.ErrNotFound
 	}
-	return &taskspec.Description{Argv: []string{"x"}, CPUs: 1}, nil
+	return &taskspec.Spec{Argv: []string{"x"}, CPUs: 1}, nil
 }
 
-func (s *site) Start(task string, _ uint64, _ *taskspec.Description, exited func(int)) (worker.Process, error) {
+func (s *site) Start(task string, _ uint64, _ *taskspec.Spec, exited func(int)) (worker.Process, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running[task] != nil {
@@ -194,7 +194,7 @@
 
 func run(t *testing.T, p *worker.Processes, task, script string) (worker.Process, chan bool) {
 	exited := make(chan bool, 1)
-	pr, err := p.Start(task, 1, &taskspec.Description{Argv: []string{"sh"}, Script: script, CPUs: 1, Env: map[string]string{"GREETING": "hello"}}, func(code int) { exited <- code == 0 })
+	pr, err := p.Start(task, 1, &taskspec.Spec{Argv: []string{"sh"}, Script: script, CPUs: 1, Env: map[string]string{"GREETING": "hello"}}, func(code int) { exited <- code == 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
