--- a/cmd/wallrack/daemon.go
+++ b/cmd/wallrack/daemon.go
@@ -79,7 +79,10 @@
 	n.links.init(n)
 	n.cancels = cancellation.New(slices.Collect(maps.Keys(addrs)), config.Seconds(p.Params.Workers.CancelS), member.LeaseRemaining)
 	n.cancels.OnCancelled, n.cancels.OnUpdates, n.tellCancels = n.recall, n.cancelNews, make(chan struct{}, 1)
-	n.owner = scheduler.New(p, op, store, member, n, catalog, log)
+	n.owner = scheduler.New(scheduler.Options{
+		Platform: p, Operator: op, Store: store, Member: member, Dispatchers: n, MachineTypes: catalog, Log: log,
+		Cancellations: n.cancels, RemoteJobs: n, AccountingEnabled: more.slurm != nil && more.slurm.Accounts,
+	})
 	inbound := &door{}
 	budget := sockets.Budget{Limit: p.Params.Limits.Sockets, Peers: len(p.Peers), Accepted: inbound.count}
 	orders := dispatch.NewHTTPCommandSender(budget)
@@ -87,7 +90,7 @@
 	n.holder = dispatch.New(ctx, p.Node, config.Seconds(p.Params.Workers.LeaseS), n, member, catalog, n, orders, log)
 	n.published, n.pictures = viewsync.NewPublisher(p.Node, n.holder), viewsync.NewReceiver(n.owner, slices.Collect(maps.Keys(addrs)))
 	n.intake = submission.New(p, op, store, n.owner, catalog, n, log)
-	n.owner.Cancellations, n.holder.Cancellations, n.intake.Cancellations = n.cancels, n.cancels, n.cancels
+	n.holder.Cancellations, n.intake.Cancellations = n.cancels, n.cancels
 	boxes := autoscaler.New(p, op, cloud, catalog, store, member, &allOwners{n: n, ctx: ctx}, n.holder, log)
 	alerts := slo.New(p.Params.Objectives, n.owner, log)
 	lis, err := mesh.Listen(ctx, p.Listen)
--- a/cmd/wallrack/demand.go
+++ b/cmd/wallrack/demand.go
@@ -9,7 +9,7 @@
 
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/mesh"
-	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/planner"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -27,10 +27,10 @@
 }
 
 type demandReply struct {
-	Demand   []scheduler.Demand     `json:"demand"`
-	Loads    []scheduler.WorkerLoad `json:"loads"`
-	Suspects map[string]string      `json:"suspects"` // why, by name
-	Admitted float64                `json:"admitted"`
+	Demand   []planner.Demand     `json:"demand"`
+	Loads    []planner.WorkerLoad `json:"loads"`
+	Suspects map[string]string    `json:"suspects"` // why, by name
+	Admitted float64              `json:"admitted"`
 }
 
 type goneMessage struct {
@@ -74,7 +74,7 @@
 func (a *allOwners) Ready() bool { return a.n.owner.LeadsAutoscaling() }
 
 // Demand gathers the waiting work of all owners, and the machines' loads.
-func (a *allOwners) Demand(boot float64) ([]scheduler.Demand, []scheduler.WorkerLoad) {
+func (a *allOwners) Demand(boot float64) ([]planner.Demand, []planner.WorkerLoad) {
 	own := a.n.demand(boot)
 	a.other = a.other[:0]
 	at := map[string]int{}
--- a/cmd/wallrack/main.go
+++ b/cmd/wallrack/main.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/quota"
 	"github.com/wallrack/wallrack/internal/rollout"
-	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 )
 
@@ -55,7 +55,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		if err := scheduler.CheckQuotaRecords(p, op); err != nil {
+		if err := quota.CheckQuotaRecords(p, op); err != nil {
 			return nil, nil, fmt.Errorf("%s: %w", platform, err)
 		}
 		return p, op, nil
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -16,10 +16,10 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/client"
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/lowerbound"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/rollout"
-	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/slo"
 	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
@@ -37,8 +37,8 @@
 	compareAnswer[slo.Alert](t, "alert.json")
 	compareAnswer[reachability.OpsStatus](t, "links.json")
 	compareAnswer[[]wire.MachineInfo](t, "machines.json")
-	compareAnswer[scheduler.Stats](t, "counters.json")
-	compareAnswer[scheduler.Served](t, "served.json")
+	compareAnswer[jobstate.Stats](t, "counters.json")
+	compareAnswer[jobstate.Served](t, "served.json")
 	compareAnswer[usage.Reading](t, "usage.json")
 	compareAnswer[rollout.JobSeen](t, "rollout-job.json")
 	compareAnswer[wire.JobState](t, "job-state.json")
--- a/cmd/wallrack/recorded_test.go
+++ b/cmd/wallrack/recorded_test.go
@@ -21,6 +21,7 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/planner"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/scheduler"
@@ -169,8 +170,8 @@
 	checkRecorded(t, "demand_full.json", demandMessage{Boot: 90.5})
 	checkRecorded(t, "demand_empty.json", demandMessage{})
 	checkRecorded(t, "demand_reply_full.json", demandReply{
-		Demand: []scheduler.Demand{{Shape: shape, Job: &job, Count: 5, Run: 900.25, Rank: 2, Slack: 30.5}},
-		Loads: []scheduler.WorkerLoad{{
+		Demand: []planner.Demand{{Shape: shape, Job: &job, Count: 5, Run: 900.25, Rank: 2, Slack: 30.5}},
+		Loads: []planner.WorkerLoad{{
 			Name: "n-000231", Type: "g8", Zone: "a", Spot: true, Notice: true, Faulty: true,
 			Matrix: matching.WaitMatrix{{Wait: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 2, MemoryGB: 8.25}}}, Used: shape,
 			Heard: time.Date(2026, 3, 4, 5, 6, 7, 123456789, time.UTC), Existed: time.Date(2026, 3, 4, 5, 6, 8, 0, time.UTC), Places: 3,
@@ -178,7 +179,7 @@
 		Suspects: map[string]string{"n-000232": "silent"}, Admitted: 12345.5,
 	})
 	checkRecorded(t, "demand_reply_empty.json", demandReply{})
-	checkRecorded(t, "demand_reply_plain.json", demandReply{Demand: []scheduler.Demand{{}}, Loads: []scheduler.WorkerLoad{{}}, Suspects: map[string]string{}})
+	checkRecorded(t, "demand_reply_plain.json", demandReply{Demand: []planner.Demand{{}}, Loads: []planner.WorkerLoad{{}}, Suspects: map[string]string{}})
 	checkRecorded(t, "machines_full.json", []wire.MachineInfo{{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, HeardS: 1.25}})
 	checkRecorded(t, "machines_empty.json", []wire.MachineInfo{})
 }
--- a/cmd/wallrack/rollouts.go
+++ b/cmd/wallrack/rollouts.go
@@ -11,8 +11,10 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/quota"
 	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
@@ -43,7 +45,7 @@
 	} else if !errors.Is(err, statestore.ErrNotFound) {
 		return err
 	}
-	shard := scheduler.AssignShard(job, c.n.cfg.Params.Teams, c.n.op)
+	shard := quota.AssignShard(job, c.n.cfg.Params.Teams, c.n.op)
 	at := time.Now().UnixMilli()
 	var t *jobspec.Constraints
 	if book := c.n.intake.Numbers; book != nil {
@@ -53,7 +55,7 @@
 		}
 		t = &jobspec.Constraints{Number: number, Name: job.Class}
 	}
-	accept, ops := scheduler.AcceptanceTxn(job, t, shard, at)
+	accept, ops := jobrecord.AcceptanceTxn(job, t, shard, at)
 	rev, err := c.n.store.Txn(ctx, append(accept, guards...), ops...)
 	if err != nil {
 		return err
--- a/cmd/wallrack/slurm.go
+++ b/cmd/wallrack/slurm.go
@@ -37,7 +37,6 @@
 // slurm switches Slurm-style clients and accounting on. What depends on another
 // owner's jobs is asked there even where they are off, for jobs from before.
 func (n *node) slurm(set *slurmapi.Settings, catalog slurmapi.Catalog, mux *http.ServeMux) {
-	n.owner.RemoteJobs = n
 	mesh.Handle(n.mesh, methodFacts, func(_ context.Context, m *factsMessage) (*factsReply, error) {
 		f, ok := n.owner.LocalFacts(m.UID)
 		return &factsReply{Known: ok, Facts: f}, nil
@@ -48,7 +47,6 @@
 	if set == nil {
 		return
 	}
-	n.owner.AccountingEnabled = set.Accounts
 	numbers := jobid.New(n.store)
 	n.intake.Numbers = numbers
 	server := slurmapi.New(set, n.cfg, n.store, n.owner, numbers, n, n.intake, catalog, n.log)
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/planner"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -29,7 +29,7 @@
 // Scheduler is what the fleet needs of the jobs' owner.
 type Scheduler interface {
 	Ready() bool
-	Demand(boot float64) ([]scheduler.Demand, []scheduler.WorkerLoad)
+	Demand(boot float64) ([]planner.Demand, []planner.WorkerLoad)
 	AdmittedWork() float64
 	// FailedWorkers names the machines to be returned that are lost, and why.
 	FailedWorkers() map[string]string
@@ -70,7 +70,7 @@
 	draining time.Time
 	closing  bool // takes no new work
 	stage    string
-	load     *scheduler.WorkerLoad
+	load     *planner.WorkerLoad
 }
 
 // refusal is when an offer was refused, and how many of it were had then.
@@ -260,7 +260,7 @@
 }
 
 // tell logs the fleet's state now and then.
-func (f *Autoscaler) tell(now time.Time, demand []scheduler.Demand, loads []scheduler.WorkerLoad) {
+func (f *Autoscaler) tell(now time.Time, demand []planner.Demand, loads []planner.WorkerLoad) {
 	if now.Sub(f.toldAt) < tellEvery {
 		return
 	}
--- a/internal/autoscaler/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -12,11 +12,11 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/matching"
-	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/planner"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-func planner() *Autoscaler {
+func testAutoscaler() *Autoscaler {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	catalog := NewCatalog(nil, nil, log)
 	catalog.set([]wire.MachineType{
@@ -26,15 +26,15 @@
 	return New(&config.Platform{}, &config.Operator{SilentS: 14}, nil, catalog, nil, nil, nil, nil, log)
 }
 
-func demand(tasks int, spot bool, slack float64) []scheduler.Demand {
-	return []scheduler.Demand{{Shape: matching.Resources{CPUs: 2, MemoryGB: 2}, Job: &wire.Job{Spot: spot, Kind: wire.KindArray, Tasks: tasks},
+func demand(tasks int, spot bool, slack float64) []planner.Demand {
+	return []planner.Demand{{Shape: matching.Resources{CPUs: 2, MemoryGB: 2}, Job: &wire.Job{Spot: spot, Kind: wire.KindArray, Tasks: tasks},
 		Count: tasks, Run: 30, Slack: slack}}
 }
 
 // A job of the largest size must not make one plan rent, or even think, without
 // bound.
 func TestPlanIsBounded(t *testing.T) {
-	f := planner()
+	f := testAutoscaler()
 	start := time.Now()
 	wants, _ := f.plan(time.Now(), demand(wire.MaxTasks, true, 20))
 	for o, n := range wants {
@@ -50,7 +50,7 @@
 // Spot machines are rented where allowed and to be had; ordinary ones for work
 // that may not use them, or would be late.
 func TestPlanPrefersSpot(t *testing.T) {
-	f := planner()
+	f := testAutoscaler()
 	now := time.Now()
 	count := func(wants map[offer]int, spot bool) (n int) {
 		for o, k := range wants {
@@ -78,7 +78,7 @@
 
 // A zone or type that the job names is all that is rented for it.
 func TestPlanKeepsToTheJobsPlaces(t *testing.T) {
-	f := planner()
+	f := testAutoscaler()
 	d := demand(40, true, 60)
 	zone := "b"
 	d[0].Job.Zone, d[0].Job.Types = &zone, []string{"small"}
@@ -97,7 +97,7 @@
 // lost since; a fleet that asked every few seconds for all that it could not
 // have left no call of the cloud's budget for what it could.
 func TestRefusedOffersAreLeftAlone(t *testing.T) {
-	f := planner()
+	f := testAutoscaler()
 	o := offer{"small", "a", true}
 	f.instances["n-1"] = &instance{name: "n-1", offer: o}
 	f.refuse(o)
@@ -126,12 +126,12 @@
 func TestHeldCapacityIsNotReturned(t *testing.T) {
 	now := time.Now()
 	for _, hold := range []float64{0, 1e6} {
-		f := planner()
+		f := testAutoscaler()
 		f.ReservedCPUs = func() float64 { return hold }
 		h := &drains{}
 		f.dispatcher = h
 		f.op.IdleS = 20
-		var load scheduler.WorkerLoad
+		var load planner.WorkerLoad
 		load.Heard = now
 		for i := range 3 {
 			name := fmt.Sprintf("n-%d", i)
@@ -156,9 +156,9 @@
 // time (kitaboard-ops, incident d184), and nothing was started. What comes out must be what
 // one task after the other gives.
 func TestPlanTakesTasksTogether(t *testing.T) {
-	f := planner()
+	f := testAutoscaler()
 	now := time.Now()
-	load := scheduler.WorkerLoad{Matrix: matching.NewWaitMatrix(matching.Resources{CPUs: 64, MemoryGB: 128},
+	load := planner.WorkerLoad{Matrix: matching.NewWaitMatrix(matching.Resources{CPUs: 64, MemoryGB: 128},
 		[]matching.Allocation{{Resources: matching.Resources{CPUs: 30, MemoryGB: 9}, RemainingS: 7}, {Resources: matching.Resources{CPUs: 3, MemoryGB: 70}, RemainingS: 12}}, nil), Heard: now}
 	for i := range 200 {
 		name := fmt.Sprintf("n-%d", i)
@@ -187,7 +187,7 @@
 		for range rapid.IntRange(0, 6).Draw(t, "running") {
 			running = append(running, matching.Allocation{Resources: matching.Resources{CPUs: rapid.Float64Range(0.5, 10).Draw(t, "cpus"), MemoryGB: rapid.Float64Range(0, 20).Draw(t, "memory")}, RemainingS: rapid.Float64Range(0, 50).Draw(t, "left")})
 		}
-		d := &scheduler.Demand{Shape: matching.Resources{CPUs: float64(rapid.IntRange(1, 40).Draw(t, "size")) / 4, MemoryGB: float64(rapid.IntRange(0, 30).Draw(t, "gb"))}, Run: rapid.Float64Range(0.5, 30).Draw(t, "run")}
+		d := &planner.Demand{Shape: matching.Resources{CPUs: float64(rapid.IntRange(1, 40).Draw(t, "size")) / 4, MemoryGB: float64(rapid.IntRange(0, 30).Draw(t, "gb"))}, Run: rapid.Float64Range(0.5, 30).Draw(t, "run")}
 		n, patience := rapid.IntRange(0, 300).Draw(t, "tasks"), rapid.Float64Range(0, 90).Draw(t, "patience")
 		s := &sim{matrix: matching.NewWaitMatrix(total, running, nil), boot: 3}
 		one := s.matrix
--- a/internal/autoscaler/list_test.go
+++ b/internal/autoscaler/list_test.go
@@ -40,7 +40,7 @@
 func TestVanishedMachinesAreGone(t *testing.T) {
 	const lag, step = 6 * time.Second, time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		f := planner()
+		f := testAutoscaler()
 		f.cfg.Params.Cloud.ListLagS = lag.Seconds()
 		f.dispatcher = &drains{}
 		cloud := &listingCloud{
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/matching"
-	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/planner"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -19,7 +19,7 @@
 	box    *instance
 }
 
-func (f *Autoscaler) fits(d *scheduler.Demand, o offer) bool {
+func (f *Autoscaler) fits(d *planner.Demand, o offer) bool {
 	if o.Spot && !d.Job.Spot || d.Job.Zone != nil && *d.Job.Zone != o.Zone {
 		return false
 	}
@@ -37,7 +37,7 @@
 // plan simulates the waiting work on what there is, and returns what to rent
 // for the work that would wait longer than a new machine takes to boot, and
 // the offers in the order in which they are needed.
-func (f *Autoscaler) plan(now time.Time, demand []scheduler.Demand) (wants map[offer]int, first []offer) {
+func (f *Autoscaler) plan(now time.Time, demand []planner.Demand) (wants map[offer]int, first []offer) {
 	var sims, closing []*sim
 	for name, b := range f.instances {
 		if f.sending[name] || !b.draining.IsZero() || b.load != nil && (b.load.Notice || b.load.Faulty) {
@@ -118,7 +118,7 @@
 }
 
 // reopen lets closing machines take work again before others are rented.
-func (f *Autoscaler) reopen(d *scheduler.Demand, sims, closing []*sim, n int, patience float64) (open, rest []*sim, left int) {
+func (f *Autoscaler) reopen(d *planner.Demand, sims, closing []*sim, n int, patience float64) (open, rest []*sim, left int) {
 	for _, s := range closing {
 		if n > 0 && f.fits(d, s.offer) {
 			if left := f.fillOne(d, s, n, patience); left < n {
@@ -163,7 +163,7 @@
 
 // fill puts waiting work on what there is. late says that a machine that
 // still boots is no excuse for a longer wait.
-func (f *Autoscaler) fill(d *scheduler.Demand, sims []*sim, patience float64, late bool) int {
+func (f *Autoscaler) fill(d *planner.Demand, sims []*sim, patience float64, late bool) int {
 	n := d.Count
 	for _, s := range sims {
 		if n == 0 {
@@ -183,7 +183,7 @@
 // fillOne puts up to n tasks on a machine, all that can start together at a time:
 // an array of 25,000 small tasks, taken one by one, held a small controller's
 // processor for two seconds of every plan, and nothing else was done.
-func (f *Autoscaler) fillOne(d *scheduler.Demand, s *sim, n int, patience float64) int {
+func (f *Autoscaler) fillOne(d *planner.Demand, s *sim, n int, patience float64) int {
 	for n > 0 {
 		w := s.matrix.WaitWithin(d.Shape, d.Run, patience-s.boot)
 		if s.boot+w > patience {
@@ -247,7 +247,7 @@
 
 // best is the offer at which the waiting tasks cost least: the price of a
 // machine by the tasks that it would run.
-func (f *Autoscaler) best(d *scheduler.Demand, n int, offers []offer, wants map[offer]int, spot bool) (offer, wire.MachineType, bool) {
+func (f *Autoscaler) best(d *planner.Demand, n int, offers []offer, wants map[offer]int, spot bool) (offer, wire.MachineType, bool) {
 	var best offer
 	var bestT wire.MachineType
 	cost := math.Inf(1)
--- a/internal/autoscaler/shrink.go
+++ b/internal/autoscaler/shrink.go
@@ -5,13 +5,13 @@
 	"sort"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/planner"
 )
 
 // cordon chooses dear machines to close, the emptiest first, while there is more
 // than what runs and the headroom need. Without it, work that could as well
 // run elsewhere keeps every one of them from falling idle.
-func (f *Autoscaler) cordon(now time.Time, demand []scheduler.Demand) map[string]bool {
+func (f *Autoscaler) cordon(now time.Time, demand []planner.Demand) map[string]bool {
 	if now.Sub(f.ledAt) < settleFor {
 		return nil // what runs is not known well yet
 	}
--- a/internal/scheduler/terms.go
+++ b/internal/jobstate/constraints.go
@@ -1,4 +1,4 @@
-package scheduler
+package jobstate
 
 import (
 	"time"
@@ -6,6 +6,17 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
+const (
+	faultyTries = 2 // tasks of such a job that are tried at a time
+)
+
+// first reports whether the job's first task is to go before all other work: a job of
+// whatever priority or size has to begin in time, and one task takes next to nothing.
+func (s *State) MustBegin(job *Job) bool {
+	return job.Started == 0 && job.Done == 0 && !job.Spec.Gang() && len(job.Placements) == 0 && !job.Faulty &&
+		s.Now.Sub(job.AcceptedAt) >= beginFrom
+}
+
 // ConstraintState is what a job's terms ask and what has become of it.
 type ConstraintState struct {
 	*jobspec.Constraints
@@ -30,52 +41,38 @@
 }
 
 // waits says why no task of a job with terms may start now, or "".
-func (o *Scheduler) waits(j *Job, now time.Time) string {
-	return j.Constraints.WaitReason(j.Constraints.DependencyOutcome, now.UnixMilli())
+func (s *State) WaitReason(job *Job, now time.Time) string {
+	return job.Constraints.WaitReason(job.Constraints.DependencyOutcome, now.UnixMilli())
 }
 
 // room is how many of the job's waiting tasks may be placed now.
-func (o *Scheduler) room(j *Job) int {
-	n := o.wants(j)
-	if n > 1 && o.first(j) {
+func (s *State) PlaceableTasks(job *Job) int {
+	n := s.WantedTasks(job)
+	if n > 1 && s.MustBegin(job) {
 		return 1 // the rest in its turn
 	}
 	return n
 }
 
 // wants is how many tasks of the job wait that its terms, and its faults, let start.
-func (o *Scheduler) wants(j *Job) int {
-	n := len(j.Pending)
-	if j.Faulty {
-		n = min(n, max(0, faultyTries-len(j.Placements)))
+func (s *State) WantedTasks(job *Job) int {
+	n := len(job.Pending)
+	if job.Faulty {
+		n = min(n, max(0, faultyTries-len(job.Placements)))
 	}
-	if j.Constraints == nil || n == 0 {
+	if job.Constraints == nil || n == 0 {
 		return n
 	}
-	if o.waits(j, o.now) != "" {
+	if s.WaitReason(job, s.Now) != "" {
 		return 0
 	}
-	if j.Constraints.MaxConcurrent > 0 {
-		n = min(n, j.Constraints.MaxConcurrent-j.ActiveTasks(false, -1))
+	if job.Constraints.MaxConcurrent > 0 {
+		n = min(n, job.Constraints.MaxConcurrent-job.ActiveTasks(false, -1))
 	}
 	return max(0, n)
 }
 
-// ActiveTasks counts the tasks, but one, that have a place, or one where they may be on.
-func (j *Job) ActiveTasks(on bool, but int) int {
-	n := 0
-	for task, ps := range j.Placements {
-		for _, p := range ps {
-			if task != but && !p.Exited && (p.MayRun() || !on) {
-				n++
-				break
-			}
-		}
-	}
-	return n
-}
-
 // termsAllow checks at the grant what the job's terms ask.
-func (o *Scheduler) termsAllow(j *Job, task int) bool {
-	return o.waits(j, time.Now()) == "" && (j.Constraints.MaxConcurrent == 0 || j.ActiveTasks(true, task) < j.Constraints.MaxConcurrent)
+func (s *State) ConstraintsAllow(job *Job, task int) bool {
+	return s.WaitReason(job, time.Now()) == "" && (job.Constraints.MaxConcurrent == 0 || job.ActiveTasks(true, task) < job.Constraints.MaxConcurrent)
 }
--- a/internal/scheduler/demand.go
+++ b/internal/planner/demand.go
@@ -1,9 +1,10 @@
-package scheduler
+package planner
 
 import (
 	"math"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -20,7 +21,7 @@
 
 // demandKey is what makes waiting work alike for planning.
 type demandKey struct {
-	room       Requirements
+	room       jobstate.Requirements
 	rank       int
 	run, slack int
 }
@@ -30,41 +31,41 @@
 
 // Demand returns the work that has no machine yet, most urgent first, and what
 // each machine's future looks like. boot is how long a new machine takes.
-func (o *Scheduler) Demand(boot float64) ([]Demand, []WorkerLoad) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.now = time.Now()
-	var waiting []*Job
-	count := map[*Job]int{}
-	for _, j := range o.order {
-		if j.Cancelled || j.EndStage != "" {
+func (o *Planner) Demand(boot float64) ([]Demand, []WorkerLoad) {
+	o.state.Mu.Lock()
+	defer o.state.Mu.Unlock()
+	o.state.Now = time.Now()
+	var waiting []*jobstate.Job
+	count := map[*jobstate.Job]int{}
+	for _, job := range o.state.JobOrder {
+		if job.Cancelled || job.EndStage != "" {
 			continue
 		}
-		n := o.wants(j) // machines are rented for all of it
-		for _, ps := range j.Placements {
+		n := o.state.WantedTasks(job) // machines are rented for all of it
+		for _, ps := range job.Placements {
 			waits := true
-			for _, p := range ps {
-				waits = waits && !p.MayRun() && !p.Exited
+			for _, placement := range ps {
+				waits = waits && !placement.MayRun() && !placement.Exited
 			}
 			if waits {
 				n++
 			}
 		}
 		if n > 0 {
-			waiting = append(waiting, j)
-			count[j] = n
+			waiting = append(waiting, job)
+			count[job] = n
 		}
 	}
-	o.sortJobs(waiting)
+	o.SortJobs(waiting)
 	ds := make([]Demand, 0, len(waiting))
 	like := map[demandKey]int{}
-	for _, j := range waiting {
-		d := Demand{Shape: j.Resources, Job: j.Spec, Count: count[j], Run: j.RunEstimate(), Rank: j.Spec.Rank(), Slack: o.slack(j, boot)}
+	for _, job := range waiting {
+		d := Demand{Shape: job.Resources, Job: job.Spec, Count: count[job], Run: job.RunEstimate(), Rank: job.Spec.Rank(), Slack: o.slack(job, boot)}
 		if d.Job.Gang() || d.Job.Service() {
 			ds = append(ds, d)
 			continue
 		}
-		key := demandKey{j.Requirements(), d.Rank, nearly(d.Run), nearly(d.Slack)}
+		key := demandKey{job.Requirements(), d.Rank, nearly(d.Run), nearly(d.Slack)}
 		i, known := like[key]
 		if !known {
 			like[key] = len(ds)
@@ -80,13 +81,13 @@
 		a.Count += d.Count
 	}
 	var ls []WorkerLoad
-	for _, m := range o.machines {
-		m.Type, _ = o.types.Type(m.View.Type) // prices move
-		l := WorkerLoad{Name: m.Name, Type: m.View.Type, Zone: m.View.Zone, Spot: m.View.Spot, Matrix: m.Matrix, Heard: m.LastHeartbeat, Existed: later(m.LastHeartbeat, m.KnownSince),
-			Places: len(m.Placements), Notice: !m.NoticeAt.IsZero(), Faulty: m.Faulty()}
-		for p := range m.Placements {
-			if p.MayRun() {
-				l.Used = l.Used.Add(p.Job.Resources, 1)
+	for _, worker := range o.state.Workers {
+		worker.Type, _ = o.state.MachineTypes.Type(worker.View.Type) // prices move
+		l := WorkerLoad{Name: worker.Name, Type: worker.View.Type, Zone: worker.View.Zone, Spot: worker.View.Spot, Matrix: worker.Matrix, Heard: worker.LastHeartbeat, Existed: jobstate.Later(worker.LastHeartbeat, worker.KnownSince),
+			Places: len(worker.Placements), Notice: !worker.NoticeAt.IsZero(), Faulty: worker.Faulty()}
+		for placement := range worker.Placements {
+			if placement.MayRun() {
+				l.Used = l.Used.Add(placement.Job.Resources, 1)
 			}
 		}
 		ls = append(ls, l)
@@ -100,19 +101,19 @@
 
 // slack is how long the job's tasks may still wait and meet the next aim that
 // a machine rented now can help to meet.
-func (o *Scheduler) slack(j *Job, boot float64) float64 {
-	age := o.now.Sub(j.AcceptedAt).Seconds()
-	run := pessimism*j.RunEstimate() + restartTakes
+func (p *Planner) slack(job *jobstate.Job, boot float64) float64 {
+	age := p.state.Now.Sub(job.AcceptedAt).Seconds()
+	run := jobstate.Pessimism*job.RunEstimate() + jobstate.RestartTakes
 	best := math.Inf(1)
 	offer := func(s float64) {
 		if s >= boot && s < best {
 			best = s
 		}
 	}
-	for _, within := range j.Class.StartAims {
+	for _, within := range job.Class.StartAims {
 		offer(within - age)
 	}
-	for _, limit := range o.limits(j) {
+	for _, limit := range p.state.Limits(job) {
 		offer(limit - age - run)
 	}
 	if math.IsInf(best, 1) {
@@ -121,46 +122,21 @@
 	return best
 }
 
-const (
-	pessimism    = 1.3 // by which runs are taken to be longer than expected
-	restartTakes = 4   // seconds from a decision to a task's run, image included
-)
-
-// limits are the ages at which the job should be done.
-func (o *Scheduler) limits(j *Job) []float64 {
-	if j.doneLimits == nil {
-		j.doneLimits = []float64{}
-		for _, aim := range o.cfg.Params.Objectives {
-			switch {
-			case aim.Class != j.Spec.Class:
-			case aim.Kind == "finished":
-				j.doneLimits = append(j.doneLimits, aim.WithinS)
-			case aim.Kind == "deadline" && j.Spec.DueS != nil:
-				j.doneLimits = append(j.doneLimits, *j.Spec.DueS*max(1, aim.Times))
-			}
-		}
-		if j.Spec.DueS != nil {
-			j.doneLimits = append(j.doneLimits, *j.Spec.DueS)
-		}
-	}
-	return j.doneLimits
-}
-
 // AdmittedWork returns how much work, in CPU-seconds, has been accepted since this
 // owner began.
-func (o *Scheduler) AdmittedWork() float64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.admitted
+func (p *Planner) AdmittedWork() float64 {
+	p.state.Mu.Lock()
+	defer p.state.Mu.Unlock()
+	return p.state.AdmittedWork
 }
 
 // SetCordoned tells which machines take no new work, so that they fall idle and
 // can be returned.
-func (o *Scheduler) SetCordoned(names map[string]bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for name, m := range o.machines {
-		m.Cordoned = names[name]
+func (p *Planner) SetCordoned(names map[string]bool) {
+	p.state.Mu.Lock()
+	defer p.state.Mu.Unlock()
+	for name, worker := range p.state.Workers {
+		worker.Cordoned = names[name]
 	}
 }
 
@@ -180,9 +156,9 @@
 }
 
 // LeadsAutoscaling reports whether this owner leads the fleet: it owns the first shard.
-func (o *Scheduler) LeadsAutoscaling() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	_, first := o.loaded[0]
-	return first && o.member.LeaseRemaining() > 0
+func (p *Planner) LeadsAutoscaling() bool {
+	p.state.Mu.Lock()
+	defer p.state.Mu.Unlock()
+	_, first := p.state.Loaded[0]
+	return first && p.state.Member.LeaseRemaining() > 0
 }
--- a/internal/scheduler/evacuate.go
+++ b/internal/planner/evict.go
@@ -1,40 +1,40 @@
-package scheduler
+package planner
 
 import (
 	"math"
 	"sort"
 
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
 const (
 	evacuateGain = 3    // times what stopping tasks wastes that it must save
 	evacuateLoss = 0.35 // of a task's run, at most, that stopping it may waste
-	countedStart = 30   // seconds within which a stop undoes a start that an aim counts
 )
 
 // evacuate stops what runs longest on machines that are to be returned, where
 // that wastes much less than the machine costs until those tasks end: a few
 // small tasks would keep a large machine for minutes. There must be room for
 // them elsewhere.
-func (o *Scheduler) evacuate() {
-	var closing []*Worker
+func (o *Planner) Evict() {
+	var closing []*jobstate.Worker
 	room := 0.0
-	for _, m := range o.byIndex {
+	for _, worker := range o.state.WorkersByIndex {
 		switch {
-		case m == nil || len(m.Matrix) == 0:
-		case m.Cordoned:
-			closing = append(closing, m)
-		case !m.View.Draining && m.NoticeAt.IsZero():
-			room += max(0, m.Matrix[0].Free.CPUs)
+		case worker == nil || len(worker.Matrix) == 0:
+		case worker.Cordoned:
+			closing = append(closing, worker)
+		case !worker.View.Draining && worker.NoticeAt.IsZero():
+			room += max(0, worker.Matrix[0].Free.CPUs)
 		}
 	}
 	if len(closing) == 0 {
 		return
 	}
-	for _, j := range o.order {
-		if !j.Cancelled {
-			room -= float64(len(j.Pending)) * j.Resources.CPUs
+	for _, job := range o.state.JobOrder {
+		if !job.Cancelled {
+			room -= float64(len(job.Pending)) * job.Resources.CPUs
 		}
 	}
 	sort.Slice(closing, func(a, b int) bool {
@@ -44,28 +44,28 @@
 		}
 		return x.Index < y.Index
 	})
-	for _, m := range closing {
-		for p := range m.Placements {
-			if !p.MayRun() && !p.Exited && o.now.Sub(p.CreatedAt) > closingQueueWait {
-				o.unqueue(p) // never granted: it can simply look elsewhere
+	for _, worker := range closing {
+		for placement := range worker.Placements {
+			if !placement.MayRun() && !placement.Exited && o.state.Now.Sub(placement.CreatedAt) > closingQueueWait {
+				o.state.WithdrawPlacement(placement) // never granted: it can simply look elsewhere
 			}
 		}
-		for _, e := range o.evacuees(m, room) {
-			p := e.placement
-			room -= p.Job.Resources.CPUs
-			if p.Job.Evicted == nil {
-				p.Job.Evicted = map[int]bool{}
+		for _, e := range o.evictionCandidates(worker, room) {
+			placement := e.placement
+			room -= placement.Job.Resources.CPUs
+			if placement.Job.Evicted == nil {
+				placement.Job.Evicted = map[int]bool{}
 			}
-			p.Job.Evicted[p.Task] = true
-			o.halt(p, p.Job.Spec.SaveS+1)
-			o.stats.Evacuated++
+			placement.Job.Evicted[placement.Task] = true
+			o.state.HaltTask(placement, placement.Job.Spec.SaveS+1)
+			o.state.Stats.Evacuated++
 		}
 	}
 }
 
 // evictionCandidate is a task that may be stopped to empty its machine sooner.
 type evictionCandidate struct {
-	placement  *Placement
+	placement  *jobstate.Placement
 	left, loss float64 // seconds until it ends, and that stopping it wastes
 	evictable  bool
 }
@@ -73,22 +73,22 @@
 // evacuees picks the tasks to be stopped on a machine: those that would keep it
 // longest, as far as that saves several times what it wastes. The others end
 // soon by themselves. Tasks that save nothing go only if all can.
-func (o *Scheduler) evacuees(m *Worker, room float64) []evictionCandidate {
-	t := o.typeOf(m)
+func (o *Planner) evictionCandidates(worker *jobstate.Worker, room float64) []evictionCandidate {
+	t := o.state.TypeOf(worker)
 	if t.CPUs <= 0 || t.SpotPrice <= 0 {
 		return nil
 	}
 	var all []evictionCandidate
-	for p := range m.Placements {
-		if p.Exited || !p.HaltedAt.IsZero() {
+	for placement := range worker.Placements {
+		if placement.Exited || !placement.HaltedAt.IsZero() {
 			continue // as good as gone
 		}
-		e := evictionCandidate{placement: p, left: p.Job.RunEstimate()}
-		if !p.RunningSince.IsZero() {
-			elapsed := o.now.Sub(p.RunningSince).Seconds()
+		e := evictionCandidate{placement: placement, left: placement.Job.RunEstimate()}
+		if !placement.RunningSince.IsZero() {
+			elapsed := o.state.Now.Sub(placement.RunningSince).Seconds()
 			e.left = matching.RemainingRun(e.left, elapsed)
 		}
-		e.loss, e.evictable = o.evacuable(p)
+		e.loss, e.evictable = o.evictable(placement)
 		all = append(all, e)
 	}
 	sort.Slice(all, func(a, b int) bool {
@@ -121,29 +121,29 @@
 
 // evacuable reports whether a task may be stopped to empty its machine, and
 // how many seconds of its run that wastes.
-func (o *Scheduler) evacuable(p *Placement) (loss float64, ok bool) {
-	j := p.Job
-	if p.State != PlacementReported || p.Exited || !p.HaltedAt.IsZero() || j.Cancelled || j.Spec.Gang() || j.Spec.Service() || j.Evicted[p.Task] {
+func (o *Planner) evictable(placement *jobstate.Placement) (loss float64, ok bool) {
+	job := placement.Job
+	if placement.State != jobstate.PlacementReported || placement.Exited || !placement.HaltedAt.IsZero() || job.Cancelled || job.Spec.Gang() || job.Spec.Service() || job.Evicted[placement.Task] {
 		return 0, false // each task moves once
 	}
-	if p.RunningSince.IsZero() {
+	if placement.RunningSince.IsZero() {
 		return 0, true
 	}
-	elapsed := o.now.Sub(p.RunningSince).Seconds()
-	if len(j.Class.StartAims) > 0 && elapsed < countedStart {
+	elapsed := o.state.Now.Sub(placement.RunningSince).Seconds()
+	if len(job.Class.StartAims) > 0 && elapsed < jobstate.CountedStart {
 		return 0, false
 	}
-	if j.Spec.MarkS > 0 {
-		return math.Min(elapsed, j.Spec.SaveS), true
+	if job.Spec.MarkS > 0 {
+		return math.Min(elapsed, job.Spec.SaveS), true
 	}
 	// No aim that it meets by running on may be missed by starting again. What
 	// is late already must not become later still: it is what the whole of the
 	// work waits for in the end.
-	age, run := o.now.Sub(j.AcceptedAt).Seconds(), j.RunEstimate()
+	age, run := o.state.Now.Sub(job.AcceptedAt).Seconds(), job.RunEstimate()
 	left, late := max(run-elapsed, 1), true
-	for _, limit := range o.limits(j) {
+	for _, limit := range o.state.Limits(job) {
 		late = late && limit < age+left
-		if limit >= age+left && limit < age+pessimism*run+restartTakes {
+		if limit >= age+left && limit < age+jobstate.Pessimism*run+jobstate.RestartTakes {
 			return 0, false
 		}
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/planner/preempt.go
@@ -1,8 +1,10 @@
-package scheduler
+package planner
 
 import (
 	"math"
 	"sort"
+
+	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
 const (
@@ -13,18 +15,18 @@
 
 // preemptionCandidate is a running task that may make room.
 type preemptionCandidate struct {
-	placement *Placement
+	placement *jobstate.Placement
 	loss      float64 // seconds of its run that stopping it now wastes
 }
 
 // preempt makes room for urgent jobs whose aim to start soon is in danger, by
 // stopping tasks of lower priority that lose little and have time left. One
 // pass looks at a part of a large fleet, the next one at another.
-func (o *Scheduler) preempt(waiting []*Job, open []*Worker) {
-	var urgent []*Job
-	for _, j := range waiting {
-		if o.room(j) > 0 && !j.Cancelled && !j.Spec.Gang() && o.startAim(j) {
-			urgent = append(urgent, j)
+func (p *Planner) preempt(waiting []*jobstate.Job, open []*jobstate.Worker) {
+	var urgent []*jobstate.Job
+	for _, job := range waiting {
+		if p.state.PlaceableTasks(job) > 0 && !job.Cancelled && !job.Spec.Gang() && p.startAim(job) {
+			urgent = append(urgent, job)
 		}
 	}
 	budget := preemptsAtOnce
@@ -35,8 +37,8 @@
 		if budget <= 0 || len(urgent) == 0 {
 			return
 		}
-		o.preemptAt++
-		budget -= o.makeRoom(urgent[0], open[o.preemptAt%len(open)], budget)
+		p.preemptAt++
+		budget -= p.makeRoom(urgent[0], open[p.preemptAt%len(open)], budget)
 	}
 }
 
@@ -51,12 +53,12 @@
 // next aim runs out, or an aim for their start was missed not long ago. An aim
 // that is far off yet stops nobody: room that falls free goes to the higher
 // priority anyway, and what is stopped is paid for twice.
-func (o *Scheduler) startAim(j *Job) bool {
-	if o.slack(j, 0) < urgentSlack {
+func (p *Planner) startAim(job *jobstate.Job) bool {
+	if p.slack(job, 0) < urgentSlack {
 		return true
 	}
-	age := o.now.Sub(j.AcceptedAt).Seconds()
-	for _, within := range j.Class.StartAims {
+	age := p.state.Now.Sub(job.AcceptedAt).Seconds()
+	for _, within := range job.Class.StartAims {
 		if within-age < urgentSlack && age < max(2*within, missedKept) {
 			return true
 		}
@@ -65,15 +67,15 @@
 }
 
 // victims lists what may be stopped on a machine for a job, least loss first.
-func (o *Scheduler) victims(j *Job, m *Worker) []preemptionCandidate {
+func (o *Planner) victims(job *jobstate.Job, worker *jobstate.Worker) []preemptionCandidate {
 	var out []preemptionCandidate
-	for p := range m.Placements {
-		v := p.Job
-		if p.State != PlacementReported || p.RunningSince.IsZero() || !p.HaltedAt.IsZero() || p.Exited || v.Cancelled ||
-			v.Spec.Service() || v.Spec.Gang() || v.Spec.Rank() >= j.Spec.Rank() || o.slack(v, 0) < lateSlack {
+	for placement := range worker.Placements {
+		v := placement.Job
+		if placement.State != jobstate.PlacementReported || placement.RunningSince.IsZero() || !placement.HaltedAt.IsZero() || placement.Exited || v.Cancelled ||
+			v.Spec.Service() || v.Spec.Gang() || v.Spec.Rank() >= job.Spec.Rank() || o.slack(v, 0) < lateSlack {
 			continue
 		}
-		elapsed := o.now.Sub(p.RunningSince).Seconds()
+		elapsed := o.state.Now.Sub(placement.RunningSince).Seconds()
 		loss := elapsed
 		if v.Spec.MarkS > 0 {
 			loss = math.Mod(elapsed, v.Spec.MarkS)
@@ -82,7 +84,7 @@
 		if v.RunEstimate()-elapsed < 3 && v.Spec.MarkS == 0 {
 			continue
 		}
-		out = append(out, preemptionCandidate{p, loss})
+		out = append(out, preemptionCandidate{placement, loss})
 	}
 	sort.Slice(out, func(a, b int) bool {
 		if out[a].loss != out[b].loss {
@@ -95,28 +97,28 @@
 
 // makeRoom stops tasks on a machine and queues the job's tasks there in their
 // stead; it returns how many it stopped.
-func (o *Scheduler) makeRoom(j *Job, m *Worker, most int) int {
-	if m.Cordoned || !o.allowed(j, m) || !o.within(j, m) || !o.underLimit(j) || !o.fitsLease(j, m) {
+func (o *Planner) makeRoom(job *jobstate.Job, worker *jobstate.Worker, most int) int {
+	if worker.Cordoned || !o.state.Allowed(job, worker) || !o.state.FitsZone(job, worker) || !o.state.UnderLimit(job) || !o.state.FitsLease(job, worker) {
 		return 0
 	}
-	if fetch := o.fetchTime(j, m); fetch > 0 && o.startLate(j, fetch) && !o.startLate(j, 0) {
+	if fetch := o.state.FetchTime(job, worker); fetch > 0 && o.startLate(job, fetch) && !o.startLate(job, 0) {
 		return 0 // another machine has the image
 	}
-	free := m.Matrix[0].Free
-	run := j.RunEstimate()
+	free := worker.Matrix[0].Free
+	run := job.RunEstimate()
 	stopped, lost, starts := 0, 0.0, 0
 	var chosen []preemptionCandidate
-	for _, v := range o.victims(j, m) {
-		if starts >= o.room(j) || len(chosen) >= most {
+	for _, v := range o.victims(job, worker) {
+		if starts >= o.state.PlaceableTasks(job) || len(chosen) >= most {
 			break
 		}
 		gain := free.Add(v.placement.Job.Resources, 1)
 		n := starts
-		for n < o.room(j) && j.Resources.Scale(float64(n+1)).Fits(gain) {
+		for n < o.state.PlaceableTasks(job) && job.Resources.Scale(float64(n+1)).Fits(gain) {
 			n++
 		}
 		cost := lost + v.loss*max(v.placement.Job.Resources.CPUs, 0.1)
-		if n > 0 && cost > preemptShare*run*j.Resources.CPUs*float64(n) {
+		if n > 0 && cost > preemptShare*run*job.Resources.CPUs*float64(n) {
 			break
 		}
 		free, lost, starts = gain, cost, n
@@ -125,22 +127,22 @@
 	if starts == 0 {
 		return 0
 	}
-	for p := range m.Placements {
+	for placement := range worker.Placements {
 		// What is queued here must not take the room.
-		if p.State == PlacementRecorded && p.Job.Spec.Rank() < j.Spec.Rank() {
-			o.unqueue(p)
+		if placement.State == jobstate.PlacementRecorded && placement.Job.Spec.Rank() < job.Spec.Rank() {
+			o.state.WithdrawPlacement(placement)
 		}
 	}
 	for _, v := range chosen {
-		o.halt(v.placement, 0)
-		m.Matrix[0].Free = m.Matrix[0].Free.Add(v.placement.Job.Resources, 1)
+		o.state.HaltTask(v.placement, 0)
+		worker.Matrix[0].Free = worker.Matrix[0].Free.Add(v.placement.Job.Resources, 1)
 		stopped++
 	}
-	o.stats.Preempted += stopped
-	for ; starts > 0 && o.room(j) > 0; starts-- {
-		t := j.Pending[len(j.Pending)-1]
-		j.Pending = j.Pending[:len(j.Pending)-1]
-		o.put(j, t, m, 0)
+	o.state.Stats.Preempted += stopped
+	for ; starts > 0 && o.state.PlaceableTasks(job) > 0; starts-- {
+		t := job.Pending[len(job.Pending)-1]
+		job.Pending = job.Pending[:len(job.Pending)-1]
+		o.placeTask(job, t, worker, 0)
 	}
 	return stopped
 }
--- a/internal/scheduler/triage.go
+++ b/internal/planner/triage.go
@@ -1,4 +1,4 @@
-package scheduler
+package planner
 
 import (
 	"math"
@@ -6,6 +6,8 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/admission"
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
@@ -18,53 +20,45 @@
 	yield       = 0.75 // of the fleet, that tasks keep busy: the rest is gaps, fetches and starts
 )
 
-// ArrivingWork is how much work of a class arrives.
-type ArrivingWork struct {
-	Admitted     float64 // CPU-seconds so far
-	LastAdmitted float64 // the same, as of the last look
-	Rate         float64 // CPUs kept busy by it
-	Rank         int     // of its last job
-}
-
 // triage sorts out which jobs can still be done in time: see package triage. The fleet's
 // capacity goes to priorities from the highest on; what a lower one gets is what the
 // work above it, and its arrival, leave.
-func (o *Scheduler) triage() {
+func (p *Planner) Triage() {
 	now := time.Now()
-	dt := now.Sub(o.triagedAt).Seconds()
+	dt := now.Sub(p.triagedAt).Seconds()
 	if dt < triageEvery.Seconds() {
 		return
 	}
-	first := o.triagedAt.IsZero()
-	o.triagedAt = now
-	for _, a := range o.arriving {
+	first := p.triagedAt.IsZero()
+	p.triagedAt = now
+	for _, a := range p.state.Arriving {
 		if !first {
 			a.Rate += (1 - math.Exp(-dt/arriveOver)) * ((a.Admitted-a.LastAdmitted)/dt - a.Rate)
 		}
 		a.LastAdmitted = a.Admitted
 	}
 	var fleet matching.Resources
-	fresh := seconds(3*o.cfg.Params.Workers.ReportS + 1)
-	for _, m := range o.machines {
-		if t := o.typeOf(m); !m.Gone && !m.View.Draining && now.Sub(m.LastHeartbeat) < fresh {
+	fresh := config.Seconds(3*p.state.Platform.Params.Workers.ReportS + 1)
+	for _, worker := range p.state.Workers {
+		if t := p.state.TypeOf(worker); !worker.Gone && !worker.View.Draining && now.Sub(worker.LastHeartbeat) < fresh {
 			fleet = fleet.Add(matching.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, 1)
 		}
 	}
 	if fleet.CPUs <= 0 {
 		return
 	}
-	byRank := map[int][]*Job{}
+	byRank := map[int][]*jobstate.Job{}
 	var ranks []int
-	for _, j := range o.order {
-		j.Tier = 0
-		if j.Cancelled || j.EndStage != "" || j.Spec.Service() {
+	for _, job := range p.state.JobOrder {
+		job.Tier = 0
+		if job.Cancelled || job.EndStage != "" || job.Spec.Service() {
 			continue
 		}
-		r := j.Spec.Rank()
+		r := job.Spec.Rank()
 		if len(byRank[r]) == 0 {
 			ranks = append(ranks, r)
 		}
-		byRank[r] = append(byRank[r], j)
+		byRank[r] = append(byRank[r], job)
 	}
 	slices.Sort(ranks)
 	slices.Reverse(ranks)
@@ -72,12 +66,12 @@
 	for _, r := range ranks {
 		jobs := make([]admission.Job, 0, len(byRank[r]))
 		sum, arrives := 0.0, 0.0
-		for _, j := range byRank[r] {
-			t := o.toTriage(j, now, fleet)
+		for _, job := range byRank[r] {
+			t := p.triageJob(job, now, fleet)
 			sum += t.Work
 			jobs = append(jobs, t)
 		}
-		for _, a := range o.arriving {
+		for _, a := range p.state.Arriving {
 			if a.Rank == r {
 				arrives += a.Rate / fleet.CPUs
 			}
@@ -85,11 +79,11 @@
 		rate := yield * max(leastRate, 1-busy)
 		// While all can be done a little late at the worst, the order of their limits
 		// serves them best: all are served, and few late.
-		if usual := usualLimit(byRank[r], o.limits); usual > 0 {
+		if usual := usualLimit(byRank[r], p.state.Limits); usual > 0 {
 			takes := above + sum/rate
-			o.flood[r] = takes > flooded*usual || o.flood[r] && takes > subsided*usual
+			p.flooded[r] = takes > flooded*usual || p.flooded[r] && takes > subsided*usual
 		}
-		if o.flood[r] {
+		if p.flooded[r] {
 			for i, tier := range admission.AssignTiers(jobs, rate, above) {
 				byRank[r][i].Tier = tier
 			}
@@ -100,10 +94,10 @@
 }
 
 // usualLimit is the mean age at which jobs should be done first.
-func usualLimit(jobs []*Job, limits func(*Job) []float64) float64 {
+func usualLimit(jobs []*jobstate.Job, limits func(*jobstate.Job) []float64) float64 {
 	sum, n := 0.0, 0
-	for _, j := range jobs {
-		if ls := limits(j); len(ls) > 0 {
+	for _, job := range jobs {
+		if ls := limits(job); len(ls) > 0 {
 			sum += slices.Min(ls)
 			n++
 		}
@@ -112,22 +106,22 @@
 }
 
 // toTriage is what is left of a job, with its work in seconds of the whole fleet.
-func (o *Scheduler) toTriage(j *Job, now time.Time, fleet matching.Resources) admission.Job {
-	part := j.Resources.CPUs / fleet.CPUs
+func (p *Planner) triageJob(job *jobstate.Job, now time.Time, fleet matching.Resources) admission.Job {
+	part := job.Resources.CPUs / fleet.CPUs
 	if fleet.GPUs > 0 {
-		part = max(part, j.Resources.GPUs/fleet.GPUs)
+		part = max(part, job.Resources.GPUs/fleet.GPUs)
 	}
 	if fleet.MemoryGB > 0 {
-		part = max(part, j.Resources.MemoryGB/fleet.MemoryGB)
+		part = max(part, job.Resources.MemoryGB/fleet.MemoryGB)
 	}
-	run := j.RunEstimate()
-	tasks := float64(j.Spec.Tasks-j.Finished) - float64(j.Running)/2 // what runs is half done
+	run := job.RunEstimate()
+	tasks := float64(job.Spec.Tasks-job.Finished) - float64(job.Running)/2 // what runs is half done
 	t := admission.Job{Work: max(0, tasks) * run * part, Span: run / 2}
-	if len(j.Pending) > 0 {
-		t.Span = pessimism*run + restartTakes
+	if len(job.Pending) > 0 {
+		t.Span = jobstate.Pessimism*run + jobstate.RestartTakes
 	}
-	age := float64(now.UnixMilli()-j.AcceptedMs) / 1000
-	for _, l := range o.limits(j) {
+	age := float64(now.UnixMilli()-job.AcceptedMs) / 1000
+	for _, l := range p.state.Limits(job) {
 		t.Limits = append(t.Limits, l-age)
 	}
 	slices.Sort(t.Limits)
--- a/internal/scheduler/lease_test.go
+++ b/internal/reconcile/lease_test.go
@@ -1,10 +1,11 @@
-package scheduler
+package reconcile
 
 import (
 	"testing"
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -38,9 +39,9 @@
 // end of its lease; one that answers no request is left alone. Seconds are since its last
 // report was answered.
 func TestOverdueWorkersAreAsked(t *testing.T) {
-	o := &Scheduler{cfg: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}
+	r := &Reconciler{state: &jobstate.State{Platform: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}}
 	began := time.Now()
-	at := func(s float64) time.Time { return began.Add(seconds(s)) }
+	at := func(s float64) time.Time { return began.Add(config.Seconds(s)) }
 	for _, c := range []struct {
 		name              string
 		now, heard, asked float64
@@ -62,11 +63,11 @@
 		{"it answers no request", 30, 0, 20, unansweredAsks, false, false},
 		{"it did not answer once", 30, 0, 20, 1, false, true},
 	} {
-		m := &Worker{RenewedAt: began, LastHeartbeat: at(c.heard), PolledAt: at(c.asked), UnansweredPolls: c.unanswered, Placements: map[*Placement]struct{}{}}
+		worker := &jobstate.Worker{RenewedAt: began, LastHeartbeat: at(c.heard), PolledAt: at(c.asked), UnansweredPolls: c.unanswered, Placements: map[*jobstate.Placement]struct{}{}}
 		if c.stopping {
-			m.Placements[&Placement{State: PlacementReported, HaltedAt: at(19)}] = struct{}{}
+			worker.Placements[&jobstate.Placement{State: jobstate.PlacementReported, HaltedAt: at(19)}] = struct{}{}
 		}
-		if due := o.expiring(m, at(c.now)) && o.askDue(m, at(c.now)); due != c.due {
+		if due := r.expiring(worker, at(c.now)) && r.askDue(worker, at(c.now)); due != c.due {
 			t.Errorf("%s: %v", c.name, due)
 		}
 	}
@@ -75,8 +76,8 @@
 // Each session of a worker has a lease of its own, and what is started in the rest of it
 // must be done before it ends.
 func TestWhatFitsAnUnrenewedLease(t *testing.T) {
-	o := &Scheduler{cfg: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}
-	ago := func(s float64) time.Time { return time.Now().Add(-seconds(s)) }
+	r := &Reconciler{state: &jobstate.State{Platform: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}}
+	ago := func(s float64) time.Time { return time.Now().Add(-config.Seconds(s)) }
 	for _, c := range []struct {
 		name              string
 		renewed, known    float64 // seconds ago
@@ -93,10 +94,10 @@
 		{"a service", 20, 100, 1, 1, 1, wire.KindService, false},
 		{"a predecessor renewed it last", 40, 20, 1, 1, 1, wire.KindArray, false},
 	} {
-		m := &Worker{RenewedAt: ago(c.renewed), KnownSince: ago(c.known), LastHeartbeat: time.Now(), RenewedSession: c.lastHere}
-		m.View.Session = c.session
-		j := &Job{Spec: &wire.Job{Kind: c.kind, Estimate: c.run}, Class: &Class{EstimateRatio: 1}}
-		if got := o.fitsLease(j, m); got != c.want {
+		worker := &jobstate.Worker{RenewedAt: ago(c.renewed), KnownSince: ago(c.known), LastHeartbeat: time.Now(), RenewedSession: c.lastHere}
+		worker.View.Session = c.session
+		job := &jobstate.Job{Spec: &wire.Job{Kind: c.kind, Estimate: c.run}, Class: &jobstate.Class{EstimateRatio: 1}}
+		if got := r.state.FitsLease(job, worker); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- a/internal/scheduler/answers_test.go
+++ b/internal/scheduler/answers_test.go
@@ -5,8 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"log/slog"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -50,7 +48,7 @@
 	f := newFleet(t, 0, 0)
 	s := &scriptedStore{fleet: f, get: notFound, txn: func() (uint64, error) { return 0, statestore.ErrUnknown }, listed: 10}
 	f.items = map[string][]wire.Item{}
-	return scheduler.New(f.cfg, op, s, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil))), s
+	return newScheduler(f.cfg, op, s, f), s
 }
 
 const oneTask = `{"uid":"j-1","docket":"c","crew":"t","sort":"sweep","urgency":"normal","pieces":1,"cpus":1,"cards":0,"memoryGb":1,
@@ -197,15 +195,15 @@
 // would be written anew.
 func TestAppliedCancelIsFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o, _, record := scriptedWithJob(t)
-		if st, err := o.Cancel(t.Context(), "j-1"); err == nil {
+		s, _, record := scriptedWithJob(t)
+		if st, err := s.Cancel(t.Context(), "j-1"); err == nil {
 			t.Fatalf("the cancel is answered %+v", st)
 		}
 		record.Version = 12
 		record.Value = cancelledRecord(record.Value)
 		time.Sleep(10 * time.Second)
-		o.ResolveCancels(t.Context())
-		if st, ok := o.LocalState("j-1"); !ok || st.Stage != wire.StageCancelled {
+		s.ResolveCancels(t.Context())
+		if st, ok := s.LocalState("j-1"); !ok || st.Stage != wire.StageCancelled {
 			t.Errorf("%+v, %v", st, ok)
 		}
 	})
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -13,6 +13,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/jobquery"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/scheduler"
@@ -106,9 +107,24 @@
 	<-ctx.Done()
 }
 
+// newScheduler returns a scheduler over a store, for which the fleet stands in for all else.
+func newScheduler(cfg *config.Platform, op *config.Operator, store jobrecord.Store, f *fleet, options ...func(*scheduler.Options)) *scheduler.Scheduler {
+	o := scheduler.Options{Platform: cfg, Operator: op, Store: store, Member: f, Dispatchers: f, MachineTypes: f,
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+	for _, change := range options {
+		change(&o)
+	}
+	return scheduler.New(o)
+}
+
+// withLogSlots makes a shard keep so many log records.
+func withLogSlots(n int) func(*scheduler.Options) {
+	return func(o *scheduler.Options) { o.LogSlots = n }
+}
+
 // newFleet has machines with one task each and jobs that wait for more room
 // than there is.
-func newFleet(b testing.TB, machines, jobs int) *fleet {
+func newFleet(b testing.TB, machines, jobs int, options ...func(*scheduler.Options)) *fleet {
 	op, err := config.LoadOperator("")
 	if err != nil {
 		b.Fatal(err)
@@ -119,7 +135,7 @@
 		State:   config.State{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 48},
 	}}
 	f := &fleet{held: time.Minute, cfg: cfg}
-	f.owner = scheduler.New(cfg, op, f, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	f.owner = newScheduler(cfg, op, f, f, options...)
 	if err := f.owner.Load(context.Background()); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -4,8 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
-	"log/slog"
 	"testing"
 	"time"
 
@@ -34,7 +32,7 @@
 		cfg.Params.Teams = append(cfg.Params.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 64})
 	}
 	f := &fleet{cfg: cfg}
-	return scheduler.New(cfg, op, f, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return newScheduler(cfg, op, f, f)
 }
 
 // see has the owner see a report of the i-th machine, which has room and these tasks.
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -4,8 +4,9 @@
 	"context"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/wire"
+	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
 // RemoteJobs answers for jobs that this owner does not have.
@@ -25,7 +26,7 @@
 
 // attend sees to what terms bring about by themselves: dependencies that are met
 // or never will be, and deadlines.
-func (o *Scheduler) attend(ctx context.Context) {
+func (s *Scheduler) watchConstraints(ctx context.Context) {
 	tick := time.NewTicker(attendEvery)
 	defer tick.Stop()
 	for {
@@ -34,20 +35,20 @@
 			return
 		case <-tick.C:
 		}
-		if o.member.LeaseRemaining() <= 0 {
+		if s.state.Member.LeaseRemaining() <= 0 {
 			continue
 		}
-		o.resolveCancels(ctx)
-		ask, end := o.settleTerms(time.Now())
+		s.resolveCancels(ctx)
+		ask, end := s.settleTerms(time.Now())
 		for _, q := range ask {
-			if err := o.askOthers(ctx, q); err != nil {
-				o.log.Debug("a dependency can't be judged yet", "job", q.job.Spec.UID, "err", err)
+			if err := s.askOthers(ctx, q); err != nil {
+				s.log.Debug("a dependency can't be judged yet", "job", q.job.Spec.UID, "err", err)
 			}
 		}
 		for uid, why := range end {
-			cctx, cancel := context.WithTimeout(ctx, txnTimeout)
-			if _, err := o.cancelWhy(cctx, uid, why); err != nil {
-				o.log.Debug("a job that its terms end is not cancelled yet", "job", uid, "err", err)
+			cctx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
+			if _, err := s.cancelWhy(cctx, uid, why); err != nil {
+				s.log.Debug("a job that its terms end is not cancelled yet", "job", uid, "err", err)
 			}
 			cancel()
 		}
@@ -55,43 +56,43 @@
 }
 
 type dependencyQuery struct {
-	job  *Job
+	job  *jobstate.Job
 	open []int // dependencies
 }
 
 // settleTerms judges what can be judged here, and says what must be asked
 // elsewhere and which jobs end by their own terms.
-func (o *Scheduler) settleTerms(now time.Time) (ask []dependencyQuery, end map[string]string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, j := range o.order {
-		a := j.Constraints
-		if a == nil || j.Cancelled || j.EndStage != "" {
+func (s *Scheduler) settleTerms(now time.Time) (ask []dependencyQuery, end map[string]string) {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	for _, job := range s.state.JobOrder {
+		a := job.Constraints
+		if a == nil || job.Cancelled || job.EndStage != "" {
 			continue
 		}
 		was := a.DependencyOutcome
-		q := dependencyQuery{job: j}
+		q := dependencyQuery{job: job}
 		for i, d := range a.Dependencies {
 			if a.Outcomes[i] != jobspec.Pending {
 				continue
 			}
-			if f, known := o.facts(j, d); known {
+			if f, known := s.facts(job, d); known {
 				a.Outcomes[i] = d.Evaluate(f, now.UnixMilli())
 			} else {
 				q.open = append(q.open, i)
 			}
 		}
 		a.DependencyOutcome = a.Combine(a.Outcomes)
-		if len(q.open) > 0 && now.Sub(a.AskedAt) > lookEvery && len(ask) < lookMost && o.RemoteJobs != nil {
+		if len(q.open) > 0 && now.Sub(a.AskedAt) > lookEvery && len(ask) < lookMost && s.remoteJobs != nil {
 			a.AskedAt = now
 			ask = append(ask, q)
 		}
 		if a.EligibleMs == 0 && a.WaitReason(a.DependencyOutcome, now.UnixMilli()) == "" {
-			a.EligibleMs = max(j.AcceptedMs, a.BeginMs)
+			a.EligibleMs = max(job.AcceptedMs, a.BeginMs)
 			if len(a.Dependencies) > 0 || was != a.DependencyOutcome {
 				a.EligibleMs = now.UnixMilli()
 			}
-			poke(o.wake)
+			jobstate.Notify(s.state.PlanSignal)
 		}
 		why := ""
 		switch {
@@ -104,76 +105,68 @@
 			if end == nil {
 				end = map[string]string{}
 			}
-			end[j.Spec.UID] = why
+			end[job.Spec.UID] = why
 		}
 	}
 	return ask, end
 }
 
 // facts says what this owner knows for sure of what a job depends on.
-func (o *Scheduler) facts(j *Job, d jobspec.Dependency) (jobspec.JobFacts, bool) {
+func (s *Scheduler) facts(job *jobstate.Job, d jobspec.Dependency) (jobspec.JobFacts, bool) {
 	if d.Kind == jobspec.Singleton {
-		if o.earlier(j.Constraints.Name, j.Constraints.User, j.Constraints.Number) {
+		if s.earlier(job.Constraints.Name, job.Constraints.User, job.Constraints.Number) {
 			return jobspec.JobFacts{}, true
 		}
-		return jobspec.JobFacts{Over: true, OK: true}, len(o.loaded) == o.op.Shards
+		return jobspec.JobFacts{Over: true, OK: true}, len(s.state.Loaded) == s.state.Operator.Shards
 	}
-	return o.factsOf(d.Job)
+	return s.factsOf(d.Job)
 }
 
-func (f FinalRecord) Facts() jobspec.JobFacts {
-	out := jobspec.JobFacts{Over: true, OK: f.Stage == wire.StageDone, Started: f.Stage == wire.StageDone}
-	if f.Ending != nil {
-		out.StartedMs = f.Ending.StartMs
-	}
-	return out
-}
-
-func (o *Scheduler) earlier(name, user string, number uint64) bool {
-	for _, x := range o.order {
-		if x.Constraints != nil && x.Constraints.Name == name && x.Constraints.User == user && x.Constraints.Number < number {
+func (s *Scheduler) earlier(name, user string, number uint64) bool {
+	for _, job := range s.state.JobOrder {
+		if job.Constraints != nil && job.Constraints.Name == name && job.Constraints.User == user && job.Constraints.Number < number {
 			return true
 		}
 	}
 	return false
 }
 
-func (o *Scheduler) factsOf(uid string) (jobspec.JobFacts, bool) {
-	if x := o.jobs[uid]; x != nil {
-		f := jobspec.JobFacts{Started: x.Started > 0 || x.Done > 0}
-		if x.Constraints != nil {
-			f.StartedMs = x.Constraints.StartMs
+func (s *Scheduler) factsOf(uid string) (jobspec.JobFacts, bool) {
+	if job := s.state.Jobs[uid]; job != nil {
+		f := jobspec.JobFacts{Started: job.Started > 0 || job.Done > 0}
+		if job.Constraints != nil {
+			f.StartedMs = job.Constraints.StartMs
 		}
 		return f, true
 	}
-	if f, over := o.final[uid]; over {
+	if f, over := s.state.Final[uid]; over {
 		return f.Facts(), true
 	}
 	return jobspec.JobFacts{}, false
 }
 
 // LocalFacts says how far a job is that this owner has, or had.
-func (o *Scheduler) LocalFacts(uid string) (jobspec.JobFacts, bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.member.LeaseRemaining() <= 0 {
+func (s *Scheduler) LocalFacts(uid string) (jobspec.JobFacts, bool) {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	if s.state.Member.LeaseRemaining() <= 0 {
 		return jobspec.JobFacts{}, false
 	}
-	return o.factsOf(uid)
+	return s.factsOf(uid)
 }
 
 // HasEarlierLocal reports whether an unfinished job of the name and user with a lower
 // number is here.
-func (o *Scheduler) HasEarlierLocal(name, user string, number uint64) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.earlier(name, user, number)
+func (s *Scheduler) HasEarlierLocal(name, user string, number uint64) bool {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	return s.earlier(name, user, number)
 }
 
 // StoredFacts reads from the store how a job ended; a living one is only known to
 // its owner.
-func StoredFacts(ctx context.Context, store Reader, uid string) (jobspec.JobFacts, error) {
-	f, err := ReadFinal(ctx, store, uid)
+func StoredFacts(ctx context.Context, store jobrecord.Reader, uid string) (jobspec.JobFacts, error) {
+	f, err := jobrecord.ReadFinal(ctx, store, uid)
 	if err != nil {
 		return jobspec.JobFacts{}, err
 	}
@@ -181,8 +174,8 @@
 }
 
 // askOthers judges the dependencies of a job that this owner knows nothing of.
-func (o *Scheduler) askOthers(ctx context.Context, q dependencyQuery) error {
-	ctx, cancel := context.WithTimeout(ctx, txnTimeout)
+func (s *Scheduler) askOthers(ctx context.Context, q dependencyQuery) error {
+	ctx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
 	defer cancel()
 	a := q.job.Constraints
 	for _, i := range q.open {
@@ -191,18 +184,18 @@
 		var err error
 		if d.Kind == jobspec.Singleton {
 			var left bool
-			left, err = o.RemoteJobs.HasEarlier(ctx, a.Name, a.User, a.Number)
+			left, err = s.remoteJobs.HasEarlier(ctx, a.Name, a.User, a.Number)
 			f = jobspec.JobFacts{Over: !left, OK: true}
 		} else {
-			f, err = o.RemoteJobs.JobFacts(ctx, d.Job)
+			f, err = s.remoteJobs.JobFacts(ctx, d.Job)
 		}
 		if err != nil {
 			return err
 		}
-		o.mu.Lock()
+		s.state.Mu.Lock()
 		a.Outcomes[i] = d.Evaluate(f, time.Now().UnixMilli())
 		a.DependencyOutcome = a.Combine(a.Outcomes)
-		o.mu.Unlock()
+		s.state.Mu.Unlock()
 	}
 	return nil
 }
--- a/internal/scheduler/ended_chunks_test.go
+++ b/internal/scheduler/ended_chunks_test.go
@@ -13,8 +13,7 @@
 // record that the same transaction saved for that would stay in the state service until the
 // next takeover.
 func TestEndedJobLeavesNoChunkRecord(t *testing.T) {
-	f := newFleet(t, 1, 0)
-	f.owner.LogSlots = 1
+	f := newFleet(t, 1, 0, withLogSlots(1))
 	f.items = map[string][]wire.Item{
 		"live/": {{Key: "live/j-1", Version: 1, Value: json.RawMessage(`{"job":{"uid":"j-1","docket":"c","crew":"t","sort":"sweep","pieces":1,"cpus":2}}`)},
 			{Key: "live/j-2", Version: 2, Value: json.RawMessage(`{"job":{"uid":"j-2","docket":"c","crew":"t","sort":"sweep","pieces":2,"cpus":2}}`)}},
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -8,32 +8,33 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // Pass is one scheduling pass.
-func (o *Scheduler) Pass() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.triage()
-	o.place()
-	o.lookAgain()
+func (s *Scheduler) Pass() {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	s.planner.Triage()
+	s.planner.Pass()
+	s.planner.Rebalance()
 }
 
 // Placed counts a job's tasks that have a place.
-func (o *Scheduler) Placed(uid string) int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return len(o.jobs[uid].Placements)
+func (s *Scheduler) Placed(uid string) int {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	return len(s.state.Jobs[uid].Placements)
 }
 
 // PlacesOf lists the places of a job's tasks.
-func (o *Scheduler) PlacesOf(uid string) (refs []dispatch.TaskRef) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, ps := range o.jobs[uid].Placements {
-		for _, p := range ps {
-			refs = append(refs, p.Ref)
+func (s *Scheduler) PlacesOf(uid string) (refs []dispatch.TaskRef) {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	for _, ps := range s.state.Jobs[uid].Placements {
+		for _, placement := range ps {
+			refs = append(refs, placement.Ref)
 		}
 	}
 	return refs
@@ -41,7 +42,7 @@
 
 // Load takes over every shard that the membership claims.
 func (o *Scheduler) Load(ctx context.Context) error {
-	claimed := o.member.ClaimedShards()
+	claimed := o.state.Member.ClaimedShards()
 	shards := make([]int, 0, len(claimed))
 	for s := range claimed {
 		shards = append(shards, s)
@@ -50,10 +51,10 @@
 }
 
 // Record writes what there is to be written.
-func (o *Scheduler) Record(ctx context.Context) error {
+func (s *Scheduler) Record(ctx context.Context) error {
 	for more := true; more; {
 		var err error
-		if more, err = o.writeOnce(ctx); err != nil {
+		if more, err = s.writer.WriteOnce(ctx); err != nil {
 			return err
 		}
 	}
@@ -62,18 +63,18 @@
 
 // Unload forgets every shard.
 func (o *Scheduler) Unload() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for s := range o.loaded {
+	o.state.Mu.Lock()
+	defer o.state.Mu.Unlock()
+	for s := range o.state.Loaded {
 		o.unload(s)
 	}
 }
 
 // Directions counts the halts and clears that wait to be sent.
-func (o *Scheduler) Directions() (halts, clears int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, d := range o.pend {
+func (s *Scheduler) Directions() (halts, clears int) {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	for _, d := range s.state.Outbox {
 		halts += len(d.Halt)
 		clears += len(d.Clear)
 	}
@@ -82,65 +83,65 @@
 
 // Replayed makes a job of so many tasks of log records, with a chunk record
 // that says nothing up to record saved.
-func (o *Scheduler) Replayed(tasks int, saved uint64, records []string) (places []string, done []int) {
+func (s *Scheduler) Replayed(tasks int, saved uint64, records []string) (places []string, done []int) {
 	var items []wire.Item
 	for i, r := range records {
-		items = append(items, wire.Item{Key: LogKey(0, i), Value: json.RawMessage(r), Version: uint64(i + 1)})
+		items = append(items, wire.Item{Key: jobrecord.LogKey(0, i), Value: json.RawMessage(r), Version: uint64(i + 1)})
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	_, entries := o.readLogs(items, map[int]bool{0: true})
-	chunk := wire.Item{Key: ChunkKey("j-1", 0), Value: json.RawMessage(fmt.Sprintf(`{"seq":%d,"next":1}`, saved)), Version: 9}
-	j := o.admit(&LiveRecord{Job: wire.Job{UID: "j-1", Kind: wire.KindArray, Tasks: tasks}}, 1, []wire.Item{chunk}, entries["j-1"], 7)
-	for _, ps := range j.Placements {
-		for _, p := range ps {
-			places = append(places, fmt.Sprintf("%s %d %s", p.Ref.Task, p.Attempt, p.Ref.Machine))
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	_, entries := s.writer.ReadLogs(items, map[int]bool{0: true})
+	chunk := wire.Item{Key: jobrecord.ChunkKey("j-1", 0), Value: json.RawMessage(fmt.Sprintf(`{"seq":%d,"next":1}`, saved)), Version: 9}
+	job := s.writer.Admit(&jobrecord.LiveRecord{Job: wire.Job{UID: "j-1", Kind: wire.KindArray, Tasks: tasks}}, 1, []wire.Item{chunk}, entries["j-1"], 7)
+	for _, ps := range job.Placements {
+		for _, placement := range ps {
+			places = append(places, fmt.Sprintf("%s %d %s", placement.Ref.Task, placement.Attempt, placement.Ref.Machine))
 		}
 	}
 	sort.Strings(places)
 	for t := range tasks {
-		if j.Chunks[0].IsDone(t) {
+		if job.Chunks[0].IsDone(t) {
 			done = append(done, t)
 		}
 	}
-	o.forget("j-1", j)
+	s.state.ForgetJob("j-1", job)
 	return places, done
 }
 
 // CancelRecorded acts on a cancel of a job that is recorded.
-func (o *Scheduler) CancelRecorded(uid string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.cancelLocked(o.jobs[uid])
+func (s *Scheduler) CancelRecorded(uid string) {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	s.state.CancelJob(s.state.Jobs[uid])
 }
 
 // TeamUse is the CPUs that a team's tasks may use.
-func (o *Scheduler) TeamUse(team string) float64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.teams[team].Used.CPUs
+func (s *Scheduler) TeamUse(team string) float64 {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	return s.state.Teams[team].Used.CPUs
 }
 
 // LimitTeam sets a team's limit of CPUs.
-func (o *Scheduler) LimitTeam(team string, cpus float64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.teams[team].CPUsMax = cpus
+func (s *Scheduler) LimitTeam(team string, cpus float64) {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	s.state.Teams[team].CPUsMax = cpus
 }
 
 // ResolveCancels settles cancels whose outcome has been open for a while.
-func (o *Scheduler) ResolveCancels(ctx context.Context) { o.resolveCancels(ctx) }
+func (s *Scheduler) ResolveCancels(ctx context.Context) { s.resolveCancels(ctx) }
 
 // WhileBusy does something while this owner can do nothing else, as during a pass.
-func (o *Scheduler) WhileBusy(do func()) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (s *Scheduler) WhileBusy(do func()) {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
 	do()
 }
 
 // HeardAgo is how long ago a machine was heard, as far as this owner knows.
-func (o *Scheduler) HeardAgo(name string) time.Duration {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return time.Since(o.machines[name].LastHeartbeat)
+func (s *Scheduler) HeardAgo(name string) time.Duration {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	return time.Since(s.state.Workers[name].LastHeartbeat)
 }
--- a/internal/scheduler/export_write_test.go
+++ b/internal/scheduler/export_write_test.go
@@ -3,7 +3,7 @@
 import "context"
 
 // WriteOnce records what waits to be recorded, or repeats the write whose outcome is open.
-func (o *Scheduler) WriteOnce(ctx context.Context) error {
-	_, err := o.writeOnce(ctx)
+func (s *Scheduler) WriteOnce(ctx context.Context) error {
+	_, err := s.writer.WriteOnce(ctx)
 	return err
 }
--- a/internal/scheduler/lend_test.go
+++ b/internal/scheduler/lend_test.go
@@ -6,7 +6,8 @@
 	"testing"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/jobrecord"
+	"github.com/wallrack/wallrack/internal/quota"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -23,9 +24,9 @@
 			shards := map[int]bool{}
 			for i := range 200 {
 				job := &wire.Job{UID: fmt.Sprintf("j-%d", i), Team: team.Name}
-				home := scheduler.AssignShard(job, teams, op)
+				home := quota.AssignShard(job, teams, op)
 				shards[home] = true
-				if c.spread == 1 && home != scheduler.HashShard(job, teams, op.Shards) {
+				if c.spread == 1 && home != jobrecord.HashShard(job, teams, op.Shards) {
 					t.Errorf("spread 1: %s of team %s moved to shard %d", job.UID, team.Name, home)
 				}
 			}
@@ -51,7 +52,7 @@
 		shards, spread int
 		want           string
 	}{{6, 6, ""}, {64, 6, "params.teams: parts of"}, {64, 1, ""}} {
-		err := scheduler.CheckQuotaRecords(cfg, &config.Operator{Shards: c.shards, Spread: c.spread})
+		err := quota.CheckQuotaRecords(cfg, &config.Operator{Shards: c.shards, Spread: c.spread})
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%d shards, spread %d: %v, want %q", c.shards, c.spread, err, c.want)
 		}
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -8,7 +8,9 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/jobquery"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -23,14 +25,14 @@
 // ListJobs lists the living jobs with numbers, in their order, from a cursor on:
 // at most so many jobs and tasks that are on together. next is nil at the end.
 func (o *Scheduler) ListJobs(from jobquery.Cursor, most int) (jobs []jobquery.Info, next *jobquery.Cursor) {
-	o.mu.Lock()
-	all := make([]*Job, 0, len(o.order))
-	for _, j := range o.order {
+	o.state.Mu.Lock()
+	all := make([]*jobstate.Job, 0, len(o.state.JobOrder))
+	for _, j := range o.state.JobOrder {
 		if j.Constraints != nil && j.Constraints.Number >= from.Number {
 			all = append(all, j)
 		}
 	}
-	slices.SortFunc(all, func(a, b *Job) int { return cmp.Compare(a.Constraints.Number, b.Constraints.Number) })
+	slices.SortFunc(all, func(job, b *jobstate.Job) int { return cmp.Compare(job.Constraints.Number, b.Constraints.Number) })
 	first := o.firstWaiting()
 	var shots []jobSnapshot
 	rows := 0
@@ -43,7 +45,7 @@
 		if j.Constraints.Number == from.Number {
 			skip, task = from.On, from.Task
 		}
-		s := o.shot(j, first, task)
+		s := o.snapshot(j, first, task)
 		on := s.Placements
 		s.Placements = on[min(skip, len(on)):]
 		if left := most - rows - 1; len(s.Placements) > left {
@@ -56,7 +58,7 @@
 			break
 		}
 	}
-	o.mu.Unlock()
+	o.state.Mu.Unlock()
 	for i, s := range shots {
 		info, task := s.info()
 		jobs = append(jobs, info)
@@ -87,41 +89,41 @@
 }
 
 // firstWaiting is the job whose tasks are next: the others wait for it.
-func (o *Scheduler) firstWaiting() *Job {
-	o.now = time.Now()
-	var waiting []*Job
-	for _, j := range o.order {
-		if !j.Cancelled && j.EndStage == "" && o.room(j) > 0 {
-			waiting = append(waiting, j)
+func (s *Scheduler) firstWaiting() *jobstate.Job {
+	s.state.Now = time.Now()
+	var waiting []*jobstate.Job
+	for _, job := range s.state.JobOrder {
+		if !job.Cancelled && job.EndStage == "" && s.state.PlaceableTasks(job) > 0 {
+			waiting = append(waiting, job)
 		}
 	}
 	if len(waiting) == 0 {
 		return nil
 	}
-	o.sortJobs(waiting)
+	s.planner.SortJobs(waiting)
 	return waiting[0]
 }
 
 // shot copies what a listing shows of a job.
-func (o *Scheduler) shot(j *Job, first *Job, from int) jobSnapshot {
-	st := j.PublicState()
-	t := *j.Constraints.Constraints
-	s := jobSnapshot{Info: jobquery.Info{Job: *j.Spec, Constraints: &t, AcceptedMs: j.AcceptedMs, Stage: st.Stage, EligibleMs: j.Constraints.EligibleMs, StartMs: j.Constraints.StartMs,
-		Running: j.Running, Done: j.Done, Failed: j.Finished - j.Done}}
-	for task, ps := range j.Placements {
+func (o *Scheduler) snapshot(job *jobstate.Job, first *jobstate.Job, from int) jobSnapshot {
+	st := job.PublicState()
+	t := *job.Constraints.Constraints
+	s := jobSnapshot{Info: jobquery.Info{Job: *job.Spec, Constraints: &t, AcceptedMs: job.AcceptedMs, Stage: st.Stage, EligibleMs: job.Constraints.EligibleMs, StartMs: job.Constraints.StartMs,
+		Running: job.Running, Done: job.Done, Failed: job.Finished - job.Done}}
+	for task, ps := range job.Placements {
 		waits := true
-		for _, p := range ps {
-			if p.Exited {
+		for _, placement := range ps {
+			if placement.Exited {
 				waits = false
 				continue
 			}
-			if !p.MayRun() {
+			if !placement.MayRun() {
 				continue
 			}
 			waits = false
-			on := jobquery.Placement{Task: task, Attempt: p.Attempt, Machine: p.Worker.Name, Ending: !p.HaltedAt.IsZero()}
-			if !p.RunningSince.IsZero() {
-				on.StartMs = p.RunningSince.UnixMilli()
+			on := jobquery.Placement{Task: task, Attempt: placement.Attempt, Machine: placement.Worker.Name, Ending: !placement.HaltedAt.IsZero()}
+			if !placement.RunningSince.IsZero() {
+				on.StartMs = placement.RunningSince.UnixMilli()
 			}
 			s.Placements = append(s.Placements, on)
 		}
@@ -132,8 +134,8 @@
 			s.Queued++
 		}
 	}
-	s.Queued += len(j.Pending)
-	for _, t := range j.Pending {
+	s.Queued += len(job.Pending)
+	for _, t := range job.Pending {
 		if t >= from {
 			s.waiting = append(s.waiting, t)
 		}
@@ -141,29 +143,29 @@
 	slices.SortFunc(s.Placements, func(a, b jobquery.Placement) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
-	if s.Queued > 0 && !j.Cancelled {
-		s.Reason = o.reason(j, first)
+	if s.Queued > 0 && !job.Cancelled {
+		s.Reason = o.reason(job, first)
 	}
 	return s
 }
 
 // reason says why a job's waiting tasks wait.
-func (o *Scheduler) reason(j *Job, first *Job) string {
-	if why := o.waits(j, time.Now()); why != "" {
+func (s *Scheduler) reason(job *jobstate.Job, first *jobstate.Job) string {
+	if why := s.state.WaitReason(job, time.Now()); why != "" {
 		return why
 	}
-	use := j.Team.Used.Add(j.Resources, 1)
+	use := job.Team.Used.Add(job.Resources, 1)
 	const tiny = 1e-6
 	switch {
-	case j.Team.Leased != nil && !o.underLimit(j):
-		return j.Team.ExceededLimit(j.Shard, j.Team.Leased.UsedByShard[j.Shard].Add(j.Resources, 1))
-	case j.Constraints.MaxConcurrent > 0 && j.ActiveTasks(false, -1) >= j.Constraints.MaxConcurrent:
+	case job.Team.Leased != nil && !s.state.UnderLimit(job):
+		return job.Team.ExceededLimit(job.Shard, job.Team.Leased.UsedByShard[job.Shard].Add(job.Resources, 1))
+	case job.Constraints.MaxConcurrent > 0 && job.ActiveTasks(false, -1) >= job.Constraints.MaxConcurrent:
 		return jobspec.ReasonThrottle
-	case j.Team.CPUsMax > 0 && use.CPUs > j.Team.CPUsMax+tiny:
+	case job.Team.CPUsMax > 0 && use.CPUs > job.Team.CPUsMax+tiny:
 		return jobspec.ReasonLimitCPU
-	case j.Team.GPUsMax > 0 && use.GPUs > j.Team.GPUsMax+tiny:
+	case job.Team.GPUsMax > 0 && use.GPUs > job.Team.GPUsMax+tiny:
 		return jobspec.ReasonLimitGPU
-	case first != nil && first != j:
+	case first != nil && first != job:
 		return jobspec.ReasonPriority
 	}
 	return jobspec.ReasonResources
@@ -171,22 +173,22 @@
 
 // LocalJobInfo shows a living job that is surely this owner's.
 func (o *Scheduler) LocalJobInfo(uid string) (jobquery.Info, bool) {
-	o.mu.Lock()
-	j := o.jobs[uid]
-	if j == nil || j.Constraints == nil || !o.sure(j) {
-		o.mu.Unlock()
+	o.state.Mu.Lock()
+	job := o.state.Jobs[uid]
+	if job == nil || job.Constraints == nil || !o.surelyCurrent(job) {
+		o.state.Mu.Unlock()
 		return jobquery.Info{}, false
 	}
-	s := o.shot(j, o.firstWaiting(), 0)
-	o.mu.Unlock()
+	s := o.snapshot(job, o.firstWaiting(), 0)
+	o.state.Mu.Unlock()
 	i, _ := s.info()
 	return i, true
 }
 
 // StoredJobInfo shows what the store has of a job: of a living one only what was
 // submitted.
-func StoredJobInfo(ctx context.Context, store Reader, uid string) (jobquery.Info, error) {
-	r, _, err := ReadLive(ctx, store, uid)
+func StoredJobInfo(ctx context.Context, store jobrecord.Reader, uid string) (jobquery.Info, error) {
+	r, _, err := jobrecord.ReadLive(ctx, store, uid)
 	if err == nil {
 		i := jobquery.Info{Job: r.Job, Constraints: r.Terms, AcceptedMs: r.AtMs, Stage: wire.StageQueued}
 		if r.Cancelled {
@@ -197,7 +199,7 @@
 	if !errors.Is(err, statestore.ErrNotFound) {
 		return jobquery.Info{}, err
 	}
-	f, err := ReadFinal(ctx, store, uid)
+	f, err := jobrecord.ReadFinal(ctx, store, uid)
 	if err != nil {
 		return jobquery.Info{}, err
 	}
--- a/internal/scheduler/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -49,7 +49,7 @@
 // successor returns an owner that has taken over the recorded shard, with its store.
 func successor(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
 	t.Helper()
-	o, store := scripted(t)
+	s, store := scripted(t)
 	store.items = byPrefix(recordedShard(t))
 	byKey := map[string]wire.Item{}
 	for _, item := range recordedShard(t) {
@@ -63,10 +63,10 @@
 		}
 		return item, nil
 	}
-	if err := o.Load(t.Context()); err != nil {
+	if err := s.Load(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	return o, store
+	return s, store
 }
 
 // A shard that was recorded is taken over as it was: its jobs' tasks are done, failed and
@@ -140,8 +140,7 @@
 // needed for, and deletes, at the job's end, what it had of the job.
 func TestSuccessorGoesOnWithTheRecordedShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 1, 0)
-		f.owner.LogSlots = 3
+		f := newFleet(t, 1, 0, withLogSlots(3))
 		f.items = byPrefix(recordedShard(t))
 		f.owner.Unload()
 		if err := f.owner.Load(t.Context()); err != nil {
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -11,7 +11,9 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/quotalease"
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -39,19 +41,19 @@
 
 // What an owner stores keeps its form: a successor of any version reads it.
 func TestStoredRecordsKeepTheirBytes(t *testing.T) {
-	recorded.CheckFull(t, "live-full", LiveRecord{Job: fullJob(), Shard: 5, AtMs: 1_796_000_000_123, Cancelled: true, Terms: fullTerms()})
-	recorded.Check(t, "live-none", LiveRecord{})
-	recorded.CheckFull(t, "final-full", FinalRecord{Stage: wire.StageDone, Done: 14, Ending: fullEnding()})
-	recorded.Check(t, "final-none", FinalRecord{})
-	recorded.CheckFull(t, "chunk-full", ChunkRecord{Seq: 9, Done: []byte{0x83, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80}, Next: 12,
+	recorded.CheckFull(t, "live-full", jobrecord.LiveRecord{Job: fullJob(), Shard: 5, AtMs: 1_796_000_000_123, Cancelled: true, Terms: fullTerms()})
+	recorded.Check(t, "live-none", jobrecord.LiveRecord{})
+	recorded.CheckFull(t, "final-full", jobrecord.FinalRecord{Stage: wire.StageDone, Done: 14, Ending: fullEnding()})
+	recorded.Check(t, "final-none", jobrecord.FinalRecord{})
+	recorded.CheckFull(t, "chunk-full", jobrecord.ChunkRecord{Seq: 9, Done: []byte{0x83, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80}, Next: 12,
 		Machines: []string{"n-000001", "n-000002"}, Places: []uint64{2, 10, 1, 3, 11, 0}, Failed: []uint64{1, 1, 7, 7, 2, 0}})
-	recorded.Check(t, "chunk-none", ChunkRecord{})
-	recorded.CheckFull(t, "log-full", LogRecord{Seq: 77, Machines: []string{"n-000001", "n-000002"},
-		Jobs: []JobEntry{
+	recorded.Check(t, "chunk-none", jobrecord.ChunkRecord{})
+	recorded.CheckFull(t, "log-full", jobrecord.LogRecord{Seq: 77, Machines: []string{"n-000001", "n-000002"},
+		Jobs: []jobrecord.JobEntry{
 			{UID: "j-000412", Places: []uint64{0, 1, 0, 1, 2, 1}, Gone: []uint64{3, 4}, Done: []uint64{5, 6}, Failed: []uint64{7, 1, 255}},
 			{UID: "j-2", Done: []uint64{0}},
-		}, QuotaMark: QuotaMark{LeasesQuota: true, UnleasedVersion: 4321}})
-	recorded.Check(t, "log-none", LogRecord{})
+		}, QuotaMark: jobrecord.QuotaMark{LeasesQuota: true, UnleasedVersion: 4321}})
+	recorded.Check(t, "log-none", jobrecord.LogRecord{})
 }
 
 // Each record of a shard that an owner wrote is read, and written again as it was.
@@ -67,7 +69,7 @@
 	written := map[string]int{}
 	for _, item := range shard.Items {
 		prefix, _, _ := strings.Cut(item.Key, "/")
-		record := map[string]any{"live": &LiveRecord{}, "final": &FinalRecord{}, "task": &ChunkRecord{}, "log": &LogRecord{}, "number": &jobid.Job{}}[prefix]
+		record := map[string]any{"live": &jobrecord.LiveRecord{}, "final": &jobrecord.FinalRecord{}, "task": &jobrecord.ChunkRecord{}, "log": &jobrecord.LogRecord{}, "number": &jobid.Job{}}[prefix]
 		if record == nil {
 			continue // accounting, which is not JSON within
 		}
@@ -118,12 +120,12 @@
 	if first, last := quotalease.Key(0), quotalease.Key(quotalease.Records-1); quotalease.Prefix != "lent/" || first != "lent/00" || last != "lent/15" {
 		t.Errorf("keys %s to %s", first, last)
 	}
-	if entry := lendMarkBytes(t, QuotaMark{}); entry != `{}` {
+	if entry := lendMarkBytes(t, jobrecord.QuotaMark{}); entry != `{}` {
 		t.Errorf("a log record of an owner that does not lend is marked %s", entry)
 	}
 }
 
-func lendMarkBytes(t *testing.T, m QuotaMark) string {
+func lendMarkBytes(t *testing.T, m jobrecord.QuotaMark) string {
 	t.Helper()
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -144,7 +146,7 @@
 func TestAcceptanceKeepsItsBytes(t *testing.T) {
 	job := fullJob()
 	for name, given := range map[string]*jobspec.Constraints{"accept-full": fullTerms(), "accept-none": nil} {
-		guards, ops := AcceptanceTxn(&job, given, 5, 1_796_000_000_123)
+		guards, ops := jobrecord.AcceptanceTxn(&job, given, 5, 1_796_000_000_123)
 		data, err := json.Marshal(wire.Txn{If: guards, Then: ops})
 		if err != nil {
 			t.Fatal(err)
@@ -161,18 +163,18 @@
 
 // What operators read of an owner.
 func TestCountersKeepTheirNames(t *testing.T) {
-	recorded.CheckFull(t, "counters-full", Stats{Placed: 1, Duplicates: 2, Granted: 3, Refused: 4, Lost: 5, Done: 6, Errors: 7, Preempted: 8,
+	recorded.CheckFull(t, "counters-full", jobstate.Stats{Placed: 1, Duplicates: 2, Granted: 3, Refused: 4, Lost: 5, Done: 6, Errors: 7, Preempted: 8,
 		Evacuated: 9, LeaseExpiring: 10, Failovers: 11, QuotaRecordsRefused: 12})
-	recorded.Check(t, "counters-none", Stats{})
-	recorded.CheckFull(t, "served-full", Served{Offered: 5, Begun: 4, InTime: 3, Ended: 2, Waiting: 1})
-	recorded.Check(t, "served-none", Served{})
+	recorded.Check(t, "counters-none", jobstate.Stats{})
+	recorded.CheckFull(t, "served-full", jobstate.Served{Offered: 5, Begun: 4, InTime: 3, Ended: 2, Waiting: 1})
+	recorded.Check(t, "served-none", jobstate.Served{})
 }
 
 // The names of an owner's keys, in full.
 func TestKeysOfRecords(t *testing.T) {
 	job := &wire.Job{UID: "j-1", Tasks: 3}
-	guards, ops := AcceptanceTxn(job, &jobspec.Constraints{Number: 40}, 0, 0)
-	got := []string{LivePrefix, FinalPrefix, ChunkPrefix, LogPrefix, LogKey(7, 12), LogKey(1000, 100_000), ChunkKey("j-1", 0), ChunkKey("j-1", 1041)}
+	guards, ops := jobrecord.AcceptanceTxn(job, &jobspec.Constraints{Number: 40}, 0, 0)
+	got := []string{jobrecord.LivePrefix, jobrecord.FinalPrefix, jobrecord.ChunkPrefix, jobrecord.LogPrefix, jobrecord.LogKey(7, 12), jobrecord.LogKey(1000, 100_000), jobrecord.ChunkKey("j-1", 0), jobrecord.ChunkKey("j-1", 1041)}
 	for _, g := range guards {
 		got = append(got, g.Key)
 	}
@@ -184,7 +186,7 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("keys %q, want %q", got, want)
 	}
-	if shard, n, err := ParseLogKey("log/007/00012"); shard != 7 || n != 12 || err != nil {
+	if shard, n, err := jobrecord.ParseLogKey("log/007/00012"); shard != 7 || n != 12 || err != nil {
 		t.Errorf("the log's key is read as %d, %d, %v", shard, n, err)
 	}
 }
@@ -192,15 +194,15 @@
 // A record tells by numbers which tasks a chunk has, how a task ended, and, by a hash, where
 // a job belongs: they are a part of its form.
 func TestNumbersInRecords(t *testing.T) {
-	if ChunkSize != 96 || OutcomeFailed != 1 || OutcomeTimedOut != 2 || OutcomeCancelled != 3 {
-		t.Errorf("chunks of %d tasks; ends %d, %d, %d", ChunkSize, OutcomeFailed, OutcomeTimedOut, OutcomeCancelled)
+	if jobrecord.ChunkSize != 96 || jobstate.OutcomeFailed != 1 || jobstate.OutcomeTimedOut != 2 || jobstate.OutcomeCancelled != 3 {
+		t.Errorf("chunks of %d tasks; ends %d, %d, %d", jobrecord.ChunkSize, jobstate.OutcomeFailed, jobstate.OutcomeTimedOut, jobstate.OutcomeCancelled)
 	}
 	for code, state := range []string{"COMPLETED", "FAILED", "TIMEOUT", "CANCELLED"} {
-		if got := TaskOutcome(code).AccountingState(); got != state {
+		if got := jobstate.TaskOutcome(code).AccountingState(); got != state {
 			t.Errorf("end %d is %s, want %s", code, got, state)
 		}
 	}
-	if got := (TaskFailure{OutcomeTimedOut, 9}).Triple(4); !slices.Equal(got, []uint64{4, 2, 9}) {
+	if got := (jobstate.TaskFailure{Outcome: jobstate.OutcomeTimedOut, ExitCode: 9}).Triple(4); !slices.Equal(got, []uint64{4, 2, 9}) {
 		t.Errorf("a failed task is recorded as %v", got)
 	}
 	teams := []config.Team{{Name: "vision", CPUsMax: 8}, {Name: "free"}}
@@ -208,7 +210,7 @@
 		uid, team string
 		shard     int
 	}{{"j-1", "free", 19}, {"j-000412", "free", 31}, {"j-000412", "vision", 41}, {"j-1", "vision", 41}} {
-		if got := HashShard(&wire.Job{UID: c.uid, Team: c.team}, teams, 64); got != c.shard {
+		if got := jobrecord.HashShard(&wire.Job{UID: c.uid, Team: c.team}, teams, 64); got != c.shard {
 			t.Errorf("%s of team %s belongs to shard %d, want %d", c.uid, c.team, got, c.shard)
 		}
 	}
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -11,83 +11,93 @@
 
 	"github.com/goccy/go-json"
 
+	"github.com/wallrack/wallrack/internal/jobrecord"
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
+// Served returns, by kind and name, how jobs are served.
+func (o *Scheduler) Served() map[string]map[string]jobstate.Served {
+	o.state.Mu.Lock()
+	defer o.state.Mu.Unlock()
+	now := time.Now()
+	sum := jobstate.Tally{}
+	for k, s := range o.state.Ended {
+		c := *s
+		sum[k] = &c
+	}
+	for _, job := range o.state.JobOrder {
+		if !job.Cancelled {
+			sum.Record(job, false, now, o.state.FirstLimit(job))
+		}
+	}
+	out := map[string]map[string]jobstate.Served{}
+	for k, s := range sum {
+		if out[k[0]] == nil {
+			out[k[0]] = map[string]jobstate.Served{}
+		}
+		out[k[0]][k[1]] = *s
+	}
+	return out
+}
+
 // LocalState answers for a living or ended job from memory, if this controller
 // surely owns it.
-func (o *Scheduler) LocalState(uid string) (wire.JobState, bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if f, ok := o.final[uid]; ok {
+func (s *Scheduler) LocalState(uid string) (wire.JobState, bool) {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	if f, ok := s.state.Final[uid]; ok {
 		return wire.JobState{UID: uid, Stage: f.Stage, Done: f.Done}, true
 	}
-	j := o.jobs[uid]
-	if j == nil {
+	job := s.state.Jobs[uid]
+	if job == nil {
 		return wire.JobState{}, false
 	}
-	if !o.sure(j) {
+	if !s.surelyCurrent(job) {
 		return wire.JobState{}, false
 	}
-	return j.PublicState(), true
+	return job.PublicState(), true
 }
 
 // RefineState adds what this controller, if it surely owns a job, knows of its tasks to what the
 // store just said of it. The store has a living job as queued: while a cancel's outcome was
 // open, and the store was asked therefore, a running job was called queued.
-func (o *Scheduler) RefineState(stored wire.JobState) wire.JobState {
+func (s *Scheduler) RefineState(stored wire.JobState) wire.JobState {
 	if stored.Stage != wire.StageQueued {
 		return stored
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	j := o.jobs[stored.UID]
-	if j == nil || !o.owns(j) {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	job := s.state.Jobs[stored.UID]
+	if job == nil || !s.state.OwnsJob(job) {
 		return stored
 	}
-	return j.PublicState()
-}
-
-// owns reports whether the job's shard is surely this controller's, as it was loaded.
-func (o *Scheduler) owns(j *Job) bool {
-	version, ok := o.member.OwnsShard(j.Shard)
-	return ok && version == o.loaded[j.Shard]
+	return job.PublicState()
 }
 
 // sure reports whether what is in memory of a living job is not older than what any
 // controller may have told.
-func (o *Scheduler) sure(j *Job) bool {
+func (s *Scheduler) surelyCurrent(job *jobstate.Job) bool {
 	// An owner whose lease may have ended could miss a later end.
-	if !o.owns(j) {
+	if !s.state.OwnsJob(job) {
 		return false
 	}
 	// A write of its end may have been applied although the answer is out:
 	// others may tell its user already, so only the store is sure. Before that
 	// write the job is alive to everybody: in a storm of tiny jobs, polls for
 	// hundreds whose ends still waited to be written all went to the store.
-	if j.EndWriteSent || j.PendingCancels.Any() {
+	if job.EndWriteSent || job.PendingCancels.Any() {
 		return false
 	}
 	// Its user may have heard of a cancel that was not recorded here.
-	return j.Cancelled || o.Cancellations == nil || !o.Cancellations.IsCancelled(j.Spec.UID)
-}
-
-func (j *Job) PublicState() wire.JobState {
-	s := wire.JobState{UID: j.Spec.UID, Stage: wire.StageQueued, Done: j.Done, Running: j.Running}
-	switch {
-	case j.Cancelled:
-		s.Stage, s.Running = wire.StageCancelled, 0
-	case j.Running > 0:
-		s.Stage = wire.StageRunning
-	}
-	return s
+	return job.Cancelled || s.state.Cancellations == nil || !s.state.Cancellations.IsCancelled(job.Spec.UID)
 }
 
 // StoredState answers from the store, and says whether the job was ever accepted.
-func StoredState(ctx context.Context, store Reader, uid string) (wire.JobState, error) {
+func StoredState(ctx context.Context, store jobrecord.Reader, uid string) (wire.JobState, error) {
 	// The living record first: it goes only when the final one is there.
-	r, _, err := ReadLive(ctx, store, uid)
+	r, _, err := jobrecord.ReadLive(ctx, store, uid)
 	if err == nil {
 		s := wire.JobState{UID: uid, Stage: wire.StageQueued}
 		if r.Cancelled {
@@ -102,8 +112,8 @@
 }
 
 // storedEnd answers from the store for a job that is not living.
-func storedEnd(ctx context.Context, store Reader, uid string) (wire.JobState, error) {
-	f, err := ReadFinal(ctx, store, uid)
+func storedEnd(ctx context.Context, store jobrecord.Reader, uid string) (wire.JobState, error) {
+	f, err := jobrecord.ReadFinal(ctx, store, uid)
 	if err != nil {
 		return wire.JobState{}, err
 	}
@@ -113,18 +123,18 @@
 // Cancel records that a job is cancelled. Only the shard's owner may do so, or
 // anybody while nobody owns it: an owner that answers from memory would go on
 // calling the job running after its user heard that it is cancelled.
-func (o *Scheduler) Cancel(ctx context.Context, uid string) (wire.JobState, error) {
-	return o.cancelWhy(ctx, uid, "")
+func (s *Scheduler) Cancel(ctx context.Context, uid string) (wire.JobState, error) {
+	return s.cancelWhy(ctx, uid, "")
 }
 
 // cancelWhy is Cancel; why, if it is given, is how the job's own terms end it.
-func (o *Scheduler) cancelWhy(ctx context.Context, uid, why string) (wire.JobState, error) {
+func (s *Scheduler) cancelWhy(ctx context.Context, uid, why string) (wire.JobState, error) {
 	for {
-		r, recorded, err := ReadLive(ctx, o.store, uid)
+		r, recorded, err := jobrecord.ReadLive(ctx, s.store, uid)
 		if errors.Is(err, statestore.ErrNotFound) {
 			// The living record is not read again: a job that was accepted in the
 			// meantime would have its cancel answered with "queued".
-			return storedEnd(ctx, o.store, uid)
+			return storedEnd(ctx, s.store, uid)
 		}
 		if err != nil {
 			return wire.JobState{}, err
@@ -132,77 +142,53 @@
 		if r.Cancelled {
 			return wire.JobState{UID: uid, Stage: wire.StageCancelled}, nil
 		}
-		version, mine := o.member.OwnsShard(r.Shard)
-		o.mu.Lock()
-		if mine && o.loaded[r.Shard] != version {
-			o.mu.Unlock()
+		version, mine := s.state.Member.OwnsShard(r.Shard)
+		s.state.Mu.Lock()
+		if mine && s.state.Loaded[r.Shard] != version {
+			s.state.Mu.Unlock()
 			return wire.JobState{}, fmt.Errorf("shard %d is being taken over: %w", r.Shard, statestore.ErrUnavailable)
 		}
 		if mine {
 			// A watch that lags may not have told of the job yet. Were it admitted after
 			// the write below, it would be called queued although others, who read that
 			// write, had told its user that it is cancelled.
-			o.take(&r, recorded)
+			s.takeRecord(&r, recorded)
 		}
-		j := o.jobs[uid]
-		if j != nil {
-			j.PendingCancels.RecordSent(recorded, time.Now())
+		job := s.state.Jobs[uid]
+		if job != nil {
+			job.PendingCancels.RecordSent(recorded, time.Now())
 		}
-		o.mu.Unlock()
+		s.state.Mu.Unlock()
 		r.Cancelled = true
 		if r.Terms != nil {
 			asked := *r.Terms // the job has the other
 			asked.CancelReason = why
 			r.Terms = &asked
 		}
-		rev, err := o.writeLive(ctx, uid, &r, recorded, version)
-		if j != nil && surelyFailed(err) {
-			o.mu.Lock()
-			j.PendingCancels.RecordFailed(recorded)
-			o.mu.Unlock()
+		rev, err := s.writeLive(ctx, uid, &r, recorded, version)
+		if job != nil && surelyFailed(err) {
+			s.state.Mu.Lock()
+			job.PendingCancels.RecordFailed(recorded)
+			s.state.Mu.Unlock()
 		}
-		if o.recordChanged(err, &r) {
+		if s.recordChanged(err, &r) {
 			continue
 		}
 		if err != nil {
 			return wire.JobState{}, err
 		}
 		if mine {
-			o.mu.Lock()
-			o.take(&r, rev)
-			o.mu.Unlock()
+			s.state.Mu.Lock()
+			s.takeRecord(&r, rev)
+			s.state.Mu.Unlock()
 		}
 		return wire.JobState{UID: uid, Stage: wire.StageCancelled}, nil
 	}
 }
 
-// cancelLocked stops everything of a job whose cancel is recorded.
-func (o *Scheduler) cancelLocked(j *Job) {
-	if j.Cancelled {
-		return
-	}
-	j.Cancelled, j.PendingCancels = true, PendingCancels{}
-	if o.Cancellations != nil {
-		o.Cancellations.RecordCancelled(j.Spec.UID)
-	}
-	if j.EndStage == wire.StageDone {
-		j.EndStage = "" // the cancel was recorded first
-	}
-	for _, ps := range j.Placements {
-		for _, p := range append([]*Placement(nil), ps...) {
-			if p.Exited {
-				o.clear(p) // nothing of the job starts again
-			} else {
-				o.halt(p, 0)
-			}
-		}
-	}
-	o.finish(j)
-}
-
 // ReadCancelledJobs reads which living jobs are cancelled, whoever owns them.
-func ReadCancelledJobs(ctx context.Context, store Lister) (uids []string, err error) {
-	items, _, err := store.List(ctx, LivePrefix)
+func ReadCancelledJobs(ctx context.Context, store jobrecord.Lister) (uids []string, err error) {
+	items, _, err := store.List(ctx, jobrecord.LivePrefix)
 	if err != nil {
 		return nil, fmt.Errorf("read cancels: %w", err)
 	}
@@ -210,7 +196,7 @@
 		if !bytes.Contains(it.Value, []byte(`"cancelled"`)) {
 			continue // most are not, and reading them in full costs
 		}
-		var r LiveRecord
+		var r jobrecord.LiveRecord
 		if err := json.Unmarshal(it.Value, &r); err != nil {
 			return nil, fmt.Errorf("read job: %w", err)
 		}
@@ -221,21 +207,6 @@
 	return uids, nil
 }
 
-// UnstoppedWorkers names the machines, with their addresses, on which cancelled tasks still
-// may be that were told to stop so long ago, as far as this owner remembers: its
-// lease need not hold.
-func (o *Scheduler) UnstoppedWorkers(after time.Duration) map[string]string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	out := map[string]string{}
-	for _, m := range o.goingOn(after) {
-		if m.View.Endpoint != "" && !m.Gone {
-			out[m.Name] = m.View.Endpoint
-		}
-	}
-	return out
-}
-
 // JobStatus is a living job as alerts see it.
 type JobStatus struct {
 	UID, Class, Team string
@@ -247,72 +218,72 @@
 }
 
 // JobStatuses returns the living jobs.
-func (o *Scheduler) JobStatuses() []JobStatus {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	out := make([]JobStatus, 0, len(o.order))
-	for _, j := range o.order {
-		if j.Constraints != nil && o.waits(j, time.Now()) != "" {
+func (s *Scheduler) JobStatuses() []JobStatus {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	out := make([]JobStatus, 0, len(s.state.JobOrder))
+	for _, job := range s.state.JobOrder {
+		if job.Constraints != nil && s.state.WaitReason(job, time.Now()) != "" {
 			continue // it waits by its own terms
 		}
-		out = append(out, JobStatus{UID: j.Spec.UID, Class: j.Spec.Class, Team: j.Spec.Team, Age: time.Since(j.AcceptedAt),
-			DueS: j.Spec.DueS, Tasks: j.Spec.Tasks, Started: max(j.Started, j.Done), Done: j.Done, Cancelled: j.Cancelled})
+		out = append(out, JobStatus{UID: job.Spec.UID, Class: job.Spec.Class, Team: job.Spec.Team, Age: time.Since(job.AcceptedAt),
+			DueS: job.Spec.DueS, Tasks: job.Spec.Tasks, Started: max(job.Started, job.Done), Done: job.Done, Cancelled: job.Cancelled})
 	}
 	return out
 }
 
 // Counters returns the counters for operators.
-func (o *Scheduler) Counters() Stats {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.stats
+func (s *Scheduler) Counters() jobstate.Stats {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	return s.state.Stats
 }
 
 // QueueDepths returns how much this owner has in hand.
-func (o *Scheduler) QueueDepths() map[string]int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	q := map[string]int{"jobs": len(o.jobs), "known_machines": len(o.machines), "pending": 0, "unwritten": 0}
-	for _, j := range o.order {
-		q["pending"] += len(j.Pending)
+func (s *Scheduler) QueueDepths() map[string]int {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	q := map[string]int{"jobs": len(s.state.Jobs), "known_machines": len(s.state.Workers), "pending": 0, "unwritten": 0}
+	for _, job := range s.state.JobOrder {
+		q["pending"] += len(job.Pending)
 	}
-	for _, l := range o.logs {
-		q["unwritten"] += len(l.queue)
+	for _, changes := range s.state.Unwritten {
+		q["unwritten"] += len(changes)
 	}
 	return q
 }
 
 // FailoverProgress returns how often this owner took shards over, the machines on which
 // the records it read last had tasks, and how many of those were not heard since.
-func (o *Scheduler) FailoverProgress() (takeovers, machines, silent int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, m := range o.machines {
-		if m.RecordedFailover != o.stats.Failovers || m.RecordedFailover == 0 {
+func (s *Scheduler) FailoverProgress() (takeovers, machines, silent int) {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	for _, worker := range s.state.Workers {
+		if worker.RecordedFailover != s.state.Stats.Failovers || worker.RecordedFailover == 0 {
 			continue
 		}
 		machines++
-		if m.LastHeartbeat.Before(o.loadedAt) && len(m.Placements) > 0 {
+		if worker.LastHeartbeat.Before(s.state.LoadedAt) && len(worker.Placements) > 0 {
 			silent++
 		}
 	}
-	return o.stats.Failovers, machines, silent
+	return s.state.Stats.Failovers, machines, silent
 }
 
 // Machines returns the machines that this owner has heard, by name.
-func (o *Scheduler) Machines() []wire.MachineInfo {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	out := make([]wire.MachineInfo, 0, len(o.machines))
-	for _, m := range o.machines {
-		if m.LastHeartbeat.IsZero() {
+func (s *Scheduler) Machines() []wire.MachineInfo {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	out := make([]wire.MachineInfo, 0, len(s.state.Workers))
+	for _, worker := range s.state.Workers {
+		if worker.LastHeartbeat.IsZero() {
 			continue
 		}
-		i := wire.MachineInfo{Name: m.Name, Type: m.View.Type, Zone: m.View.Zone, Spot: m.View.Spot, CPUs: o.typeOf(m).CPUs,
-			Tasks: len(m.Placements), HeardS: time.Since(m.LastHeartbeat).Seconds()}
-		for p := range m.Placements {
-			if p.MayRun() {
-				i.UsedCPUs += p.Job.Resources.CPUs
+		i := wire.MachineInfo{Name: worker.Name, Type: worker.View.Type, Zone: worker.View.Zone, Spot: worker.View.Spot, CPUs: s.state.TypeOf(worker).CPUs,
+			Tasks: len(worker.Placements), HeardS: time.Since(worker.LastHeartbeat).Seconds()}
+		for placement := range worker.Placements {
+			if placement.MayRun() {
+				i.UsedCPUs += placement.Job.Resources.CPUs
 			}
 		}
 		out = append(out, i)
@@ -329,18 +300,18 @@
 }
 
 // RunningTasks returns a living job's running tasks.
-func (o *Scheduler) RunningTasks(uid string) []RunningTask {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	j := o.jobs[uid]
-	if j == nil {
+func (s *Scheduler) RunningTasks(uid string) []RunningTask {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	job := s.state.Jobs[uid]
+	if job == nil {
 		return nil
 	}
 	var out []RunningTask
-	for _, ps := range j.Placements {
-		for _, p := range ps {
-			if !p.RunningSince.IsZero() && p.HaltedAt.IsZero() && !p.Exited {
-				out = append(out, RunningTask{p.Ref.Task, p.Attempt, p.Worker.Name})
+	for _, ps := range job.Placements {
+		for _, placement := range ps {
+			if !placement.RunningSince.IsZero() && placement.HaltedAt.IsZero() && !placement.Exited {
+				out = append(out, RunningTask{placement.Ref.Task, placement.Attempt, placement.Worker.Name})
 			}
 		}
 	}
@@ -349,8 +320,8 @@
 }
 
 // HasUnfinishedJobs reports whether a living job of the class is here.
-func (o *Scheduler) HasUnfinishedJobs(class string) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return slices.ContainsFunc(o.order, func(j *Job) bool { return j.Spec.Class == class && !j.Cancelled && j.EndStage == "" })
+func (s *Scheduler) HasUnfinishedJobs(class string) bool {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	return slices.ContainsFunc(s.state.JobOrder, func(job *jobstate.Job) bool { return job.Spec.Class == class && !job.Cancelled && job.EndStage == "" })
 }
--- a/internal/scheduler/accept.go
+++ b/internal/scheduler/watch.go
@@ -6,7 +6,9 @@
 
 	"github.com/goccy/go-json"
 
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -27,34 +29,34 @@
 )
 
 // watchPause is the longest pause between answers of the watch.
-func (o *Scheduler) watchPause() time.Duration {
-	if len(o.member.ClaimedShards()) > 0 {
+func (s *Scheduler) watchPause() time.Duration {
+	if len(s.state.Member.ClaimedShards()) > 0 {
 		return ownerPause
 	}
 	return otherPause
 }
 
 // watch follows accepted jobs, which any controller may record.
-func (o *Scheduler) watch(ctx context.Context) {
+func (s *Scheduler) watch(ctx context.Context) {
 	take := func(key string, value json.RawMessage, version uint64) {
-		var r LiveRecord
+		var r jobrecord.LiveRecord
 		if err := json.Unmarshal(value, &r); err != nil {
-			o.log.Error("unreadable job record", "key", key, "err", err)
+			s.log.Error("unreadable job record", "key", key, "err", err)
 			return
 		}
-		o.take(&r, version)
+		s.takeRecord(&r, version)
 	}
-	ctx = statestore.WithPacing(statestore.WithPriority(ctx, statestore.Urgent), statestore.Pacing{Burst: watchBurst, Pause: o.watchPause})
-	o.store.Watch(ctx, LivePrefix, 20*time.Second, func(items []wire.Item) {
-		o.mu.Lock()
-		defer o.mu.Unlock()
+	ctx = statestore.WithPacing(statestore.WithPriority(ctx, statestore.Urgent), statestore.Pacing{Burst: watchBurst, Pause: s.watchPause})
+	s.store.Watch(ctx, jobrecord.LivePrefix, 20*time.Second, func(items []wire.Item) {
+		s.state.Mu.Lock()
+		defer s.state.Mu.Unlock()
 		for _, it := range items {
 			take(it.Key, it.Value, it.Version)
 		}
 	}, func(events []wire.Event) {
 		defer usage.Count(usage.Watches, time.Now())
-		o.mu.Lock()
-		defer o.mu.Unlock()
+		s.state.Mu.Lock()
+		defer s.state.Mu.Unlock()
 		for _, e := range events {
 			if e.Put != "" {
 				take(e.Put, e.Value, e.Version)
@@ -65,49 +67,49 @@
 
 // earlyRecord is a living job's record that came while shards were being loaded.
 type earlyRecord struct {
-	record  LiveRecord
+	record  jobrecord.LiveRecord
 	version uint64
 }
 
 // take takes a living job's record that was written just now.
-func (o *Scheduler) take(r *LiveRecord, version uint64) {
-	if r.Cancelled && o.Cancellations != nil {
-		o.Cancellations.RecordCancelled(r.Job.UID) // whoever owns it
+func (s *Scheduler) takeRecord(r *jobrecord.LiveRecord, version uint64) {
+	if r.Cancelled && s.state.Cancellations != nil {
+		s.state.Cancellations.RecordCancelled(r.Job.UID) // whoever owns it
 	}
-	if _, mine := o.loaded[r.Shard]; !mine {
-		if o.loading {
+	if _, mine := s.state.Loaded[r.Shard]; !mine {
+		if s.loading {
 			// The listing that is being read may be from before: without
 			// this, the job would wait until the next takeover.
-			o.early = append(o.early, earlyRecord{*r, version})
+			s.early = append(s.early, earlyRecord{*r, version})
 		}
 		return
 	}
-	if _, over := o.final[r.Job.UID]; over {
+	if _, over := s.state.Final[r.Job.UID]; over {
 		return
 	}
-	j := o.jobs[r.Job.UID]
-	if j == nil {
-		if version <= o.listed[r.Shard] {
+	job := s.state.Jobs[r.Job.UID]
+	if job == nil {
+		if version <= s.listedRevision[r.Shard] {
 			// The listing that the shard was loaded with does not have it: it ended
 			// under a predecessor, of which a watch that lags has yet to tell. Its user
 			// was told "queued" after "done", and its tasks were started again.
 			return
 		}
-		o.admit(r, version, nil, nil, 0)
-		poke(o.wake)
+		s.writer.Admit(r, version, nil, nil, 0)
+		jobstate.Notify(s.state.PlanSignal)
 		return
 	}
-	if version > j.Version {
-		o.takeRecord(j, r, version)
+	if version > job.Version {
+		s.state.UpdateRecord(job, r, version)
 	}
 }
 
 // JobAccepted adds a job, with its terms if it has any, that this process has just
 // recorded.
-func (o *Scheduler) JobAccepted(spec *wire.Job, t *jobspec.Constraints, shard int, atMs int64, version uint64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.jobs[spec.UID] == nil {
-		o.take(&LiveRecord{Job: *spec, Shard: shard, AtMs: atMs, Terms: t}, version)
+func (s *Scheduler) JobAccepted(spec *wire.Job, t *jobspec.Constraints, shard int, atMs int64, version uint64) {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	if s.state.Jobs[spec.UID] == nil {
+		s.takeRecord(&jobrecord.LiveRecord{Job: *spec, Shard: shard, AtMs: atMs, Terms: t}, version)
 	}
 }
--- a/internal/scheduler/build.go
+++ b/internal/shardlog/build.go
@@ -1,4 +1,4 @@
-package scheduler
+package shardlog
 
 import (
 	"time"
@@ -6,7 +6,8 @@
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/accounting"
-	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobrecord"
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -19,7 +20,7 @@
 // transactionBuilder gathers what is to be written into one transaction.
 type transactionBuilder struct {
 	*Transaction
-	owner   *Scheduler
+	writer  *Writer
 	maxOps  int          // changes that the transaction may have, the accounting page's apart
 	value   int          // bytes that a value may have
 	size    int          // bytes so far
@@ -31,9 +32,9 @@
 
 // build gathers what is to be written into a transaction; nil if there is
 // nothing.
-func (o *Scheduler) build() (b *Transaction, more bool, err error) {
-	t := &transactionBuilder{Transaction: &Transaction{}, owner: o, maxOps: o.cfg.Params.State.TxnOps, value: o.valueBytes(), guarded: map[int]bool{}}
-	if o.book != nil {
+func (w *Writer) build() (b *Transaction, more bool, err error) {
+	t := &transactionBuilder{Transaction: &Transaction{}, writer: w, maxOps: w.state.Platform.Params.State.TxnOps, value: w.valueBytes(), guarded: map[int]bool{}}
+	if w.book != nil {
 		t.startPage()
 	}
 	if err := t.addLogs(); err != nil {
@@ -55,9 +56,9 @@
 // startPage keeps a change for the accounting page, and takes the rows that belong to
 // no change.
 func (t *transactionBuilder) startPage() {
-	loose := t.owner.loose
+	loose := t.writer.state.LooseRows
 	t.maxOps--
-	t.room = t.owner.book.Room()
+	t.room = t.writer.book.Room()
 	t.size += t.value
 	for t.looseTaken < len(loose) && t.room >= loose[t.looseTaken].Bytes() {
 		t.room -= loose[t.looseTaken].Bytes()
@@ -72,13 +73,13 @@
 func (t *transactionBuilder) guardShard(shard int) {
 	if !t.guarded[shard] {
 		t.guarded[shard] = true
-		t.guards = append(t.guards, wire.Guard{Key: t.owner.member.ShardKey(shard), Version: t.owner.loaded[shard]})
+		t.guards = append(t.guards, wire.Guard{Key: t.writer.state.Member.ShardKey(shard), Version: t.writer.state.Loaded[shard]})
 	}
 }
 
 // guardAll makes this owner's claims of all its shards conditions.
 func (t *transactionBuilder) guardAll() {
-	for s := range t.owner.loaded {
+	for s := range t.writer.state.Loaded {
 		t.guardShard(s)
 	}
 }
@@ -94,15 +95,16 @@
 
 // addLogs adds a log record for each shard that has something to record.
 func (t *transactionBuilder) addLogs() error {
-	for s, l := range t.owner.logs {
-		if _, mine := t.owner.loaded[s]; !mine || len(l.queue) == 0 {
+	for s, queue := range t.writer.state.Unwritten {
+		if _, mine := t.writer.state.Loaded[s]; !mine || len(queue) == 0 {
 			continue
 		}
 		if len(t.ops) >= t.maxOps || t.size+t.value > txnBytes {
 			t.more = true
 			break
 		}
-		lb := t.takeQueue(l)
+		l := t.writer.logOf(s)
+		lb := t.takeQueue(s, l)
 		if len(lb.changes) == 0 {
 			t.unlogged = append(t.unlogged, lb.rows...)
 			continue
@@ -115,10 +117,11 @@
 }
 
 // takeQueue takes queued changes of a shard that fit a log record, and their rows.
-func (t *transactionBuilder) takeQueue(l *Log) *recordBuilder {
+func (t *transactionBuilder) takeQueue(shard int, l *Log) *recordBuilder {
+	queue := t.writer.state.Unwritten[shard]
 	lb := newRecordBuilder(l.seq + 1)
 	taken := 0
-	for _, c := range l.queue {
+	for _, c := range queue {
 		if lb.size >= t.value || c.Row != nil && t.room < c.Row.Bytes() {
 			break
 		}
@@ -128,24 +131,25 @@
 			lb.rows = append(lb.rows, c)
 		}
 		taken++
-		if t.owner.matters(c) {
+		if t.writer.matters(c) {
 			lb.add(c)
 		}
 	}
-	l.queue = append([]Change(nil), l.queue[taken:]...)
-	t.more = t.more || len(l.queue) > 0
-	t.short = t.short || t.owner.book != nil && len(l.queue) > 0
+	queue = append([]jobstate.Change(nil), queue[taken:]...)
+	t.writer.state.Unwritten[shard] = queue
+	t.more = t.more || len(queue) > 0
+	t.short = t.short || t.writer.book != nil && len(queue) > 0
 	return lb
 }
 
 // addLog adds a shard's log record, over the oldest one if that is not needed any more.
 func (t *transactionBuilder) addLog(shard int, l *Log, lb *recordBuilder) error {
 	lb.keepRows()
-	lb.rec.QuotaMark = t.owner.lendMark(shard)
+	lb.rec.QuotaMark = t.writer.quota.Mark(shard)
 	l.seq++
 	t.guardShard(shard)
 	w := logWrite{shard: shard, log: l, seq: l.seq, changes: lb.changes, chunks: lb.chunks}
-	if len(l.slots) >= t.owner.LogSlots && !l.slots[0].free() {
+	if len(l.slots) >= t.writer.maxSlots && !l.slots[0].free() {
 		if err := t.saveOldest(l); err != nil {
 			return err
 		}
@@ -155,7 +159,7 @@
 	} else {
 		w.slot, w.fresh = &logSlot{n: l.next}, true
 	}
-	if err := t.put(LogKey(shard, w.slot.n), w.slot.version, lb.rec); err != nil {
+	if err := t.put(jobrecord.LogKey(shard, w.slot.n), w.slot.version, lb.rec); err != nil {
 		return err
 	}
 	t.logs = append(t.logs, w)
@@ -165,8 +169,8 @@
 // saveOldest saves chunks that a shard's oldest log record is still needed for, as many
 // as fit.
 func (t *transactionBuilder) saveOldest(l *Log) error {
-	for c := range l.slots[0].chunks {
-		if c.Job.EndStage != "" {
+	for chunk := range l.slots[0].chunks {
+		if chunk.Job.EndStage != "" {
 			// It needs none: its end frees the slot. That end, maybe in this very
 			// transaction, would not delete the chunk's record, and it would stay.
 			continue
@@ -174,40 +178,40 @@
 		if len(t.ops) >= t.maxOps/2 || t.size+2*t.value > txnBytes {
 			break
 		}
-		for _, p := range c.Placements {
-			p.InStore = true
+		for _, placement := range chunk.Placements {
+			placement.InStore = true
 		}
-		if err := t.put(ChunkKey(c.Job.Spec.UID, c.Number), c.Version, c.Record(l.seq)); err != nil {
+		if err := t.put(jobrecord.ChunkKey(chunk.Job.Spec.UID, chunk.Number), chunk.Version, chunk.Record(l.seq)); err != nil {
 			return err
 		}
-		t.chunkSaves = append(t.chunkSaves, chunkSave{c, l.seq})
+		t.chunkSaves = append(t.chunkSaves, chunkSave{chunk, l.seq})
 	}
 	return nil
 }
 
 // addEnds adds the ends of jobs that are over.
 func (t *transactionBuilder) addEnds() {
-	for _, j := range t.owner.order {
-		if j.EndStage == "" {
+	for _, job := range t.writer.state.JobOrder {
+		if job.EndStage == "" {
 			continue
 		}
 		var row accounting.Row
-		if t.owner.book != nil {
-			row = t.owner.jobRow(j)
+		if t.writer.book != nil {
+			row = t.writer.state.JobRow(job)
 			if t.short || t.room < row.Bytes() {
 				t.more = true // its attempts' rows come first
 				continue
 			}
 		}
-		changes := t.endChanges(j)
+		changes := t.endChanges(job)
 		bytes := endBytes + endChangeBytes*changes
 		if len(t.ops)+changes > t.maxOps || t.size+bytes > txnBytes {
 			t.more = true
 			continue
 		}
 		t.size += bytes
-		t.addEnd(j, changes)
-		if t.owner.book != nil {
+		t.addEnd(job, changes)
+		if t.writer.book != nil {
 			t.room -= row.Bytes()
 			t.rows = append(t.rows, row)
 		}
@@ -215,10 +219,10 @@
 }
 
 // endChanges is how many keys a job's end changes in its transaction.
-func (t *transactionBuilder) endChanges(j *Job) int {
+func (t *transactionBuilder) endChanges(job *jobstate.Job) int {
 	n := 2 // the living record and the final one
-	for _, c := range j.Chunks {
-		if c.Version != 0 && n < t.maxOps {
+	for _, chunk := range job.Chunks {
+		if chunk.Version != 0 && n < t.maxOps {
 			n++
 		}
 	}
@@ -227,26 +231,26 @@
 
 // addEnd adds a job's end, with so many changes. Chunk records beyond them are deleted
 // later.
-func (t *transactionBuilder) addEnd(j *Job, changes int) {
-	t.guardShard(j.Shard)
-	uid := j.Spec.UID
-	t.guards = append(t.guards, wire.Guard{Key: LivePrefix + uid, Version: j.Version})
-	t.ops = append(t.ops, wire.Op{Put: FinalPrefix + uid, Value: FinalRecord{Stage: j.EndStage, Done: j.Done, Ending: t.owner.ending(j)}}, wire.Op{Delete: LivePrefix + uid})
+func (t *transactionBuilder) addEnd(job *jobstate.Job, changes int) {
+	t.guardShard(job.Shard)
+	uid := job.Spec.UID
+	t.guards = append(t.guards, wire.Guard{Key: jobrecord.LivePrefix + uid, Version: job.Version})
+	t.ops = append(t.ops, wire.Op{Put: jobrecord.FinalPrefix + uid, Value: jobrecord.FinalRecord{Stage: job.EndStage, Done: job.Done, Ending: t.writer.state.EndStateOf(job)}}, wire.Op{Delete: jobrecord.LivePrefix + uid})
 	left := changes - 2
-	for _, c := range j.Chunks {
-		if c.Version != 0 && left > 0 {
+	for _, chunk := range job.Chunks {
+		if chunk.Version != 0 && left > 0 {
 			left--
-			t.ops = append(t.ops, wire.Op{Delete: ChunkKey(uid, c.Number)})
+			t.ops = append(t.ops, wire.Op{Delete: jobrecord.ChunkKey(uid, chunk.Number)})
 		}
 	}
-	j.EndWriteSent = true
-	t.ended = append(t.ended, j)
+	job.EndWriteSent = true
+	t.ended = append(t.ended, job)
 }
 
 // addGarbage deletes chunk records of ended jobs.
 func (t *transactionBuilder) addGarbage() {
-	for t.garbageTaken < len(t.owner.garbage) && len(t.ops) < t.maxOps {
-		t.ops = append(t.ops, wire.Op{Delete: t.owner.garbage[t.garbageTaken]})
+	for t.garbageTaken < len(t.writer.garbage) && len(t.ops) < t.maxOps {
+		t.ops = append(t.ops, wire.Op{Delete: t.writer.garbage[t.garbageTaken]})
 		t.garbageTaken++
 	}
 	t.guardAll()
@@ -255,10 +259,10 @@
 // addPage adds the accounting page with the rows. Rows that can't be written are lost:
 // work does not stand still for them.
 func (t *transactionBuilder) addPage() {
-	book := t.owner.book
+	book := t.writer.book
 	var err error
 	if t.page, err = book.Add(t.rows, time.Now()); err != nil {
-		t.owner.log.Error("accounting rows are lost", "rows", len(t.rows), "err", err)
+		t.writer.log.Error("accounting rows are lost", "rows", len(t.rows), "err", err)
 		return
 	}
 	t.book = book
@@ -270,6 +274,4 @@
 }
 
 // valueBytes is how long a value that this owner writes may be.
-func (o *Scheduler) valueBytes() int { return valueBytes(o.cfg) }
-
-func valueBytes(cfg *config.Platform) int { return int(cfg.Params.State.ValueKB*1024*0.9) - 64 }
+func (w *Writer) valueBytes() int { return jobrecord.ValueBytes(w.state.Platform) }
--- a/internal/scheduler/write.go
+++ b/internal/shardlog/write.go
@@ -1,4 +1,4 @@
-package scheduler
+package shardlog
 
 import (
 	"context"
@@ -6,15 +6,17 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobrecord"
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
 const (
-	txnBytes   = 56 << 10 // below the state service's limit for a transaction
-	txnTimeout = 2 * time.Second
-	keepFinal  = 20_000 // ended jobs that are remembered for quick answers
+	txnBytes  = 56 << 10 // below the state service's limit for a transaction
+	keepFinal = 20_000   // ended jobs that are remembered for quick answers
 )
 
 // writeShare is the part of the state service's writes that pays for logs:
@@ -22,14 +24,14 @@
 const writeShare = 0.2
 
 // write records changes, one transaction at a time.
-func (o *Scheduler) write(ctx context.Context) {
-	pause := seconds(1 / max(1, writeShare*o.cfg.Params.State.WriteRPS))
+func (w *Writer) Run(ctx context.Context) {
+	pause := config.Seconds(1 / max(1, writeShare*w.state.Platform.Params.State.WriteRPS))
 	for n := 0; ctx.Err() == nil; {
 		sent := time.Now()
-		more, err := o.writeOnce(ctx)
+		more, err := w.WriteOnce(ctx)
 		switch {
 		case err != nil:
-			o.log.Debug("write failed", "err", err)
+			w.log.Debug("write failed", "err", err)
 			n++
 			statestore.Backoff(ctx, n, 50*time.Millisecond, time.Second)
 			continue
@@ -39,7 +41,7 @@
 			n = 0
 			select {
 			case <-ctx.Done():
-			case <-o.flush:
+			case <-w.state.WriteSignal:
 			}
 		}
 		// What comes in the meantime shares a record.
@@ -56,10 +58,10 @@
 	ops        []wire.Op
 	logs       []logWrite
 	chunkSaves []chunkSave
-	ended      []*Job
+	ended      []*jobstate.Job
 
-	book         *accounting.Book // of page
-	unlogged     []Change         // of which only the rows were worth writing
+	book         *accounting.Book  // of page
+	unlogged     []jobstate.Change // of which only the rows were worth writing
 	garbageTaken int
 	rows         []accounting.Row
 	looseTaken   int // rows that came from Scheduler.loose
@@ -72,46 +74,46 @@
 	slot    *logSlot
 	fresh   bool // the slot is a new key
 	seq     uint64
-	changes []Change
-	chunks  map[*Chunk]struct{}
+	changes []jobstate.Change
+	chunks  map[*jobstate.Chunk]struct{}
 }
 
 type chunkSave struct {
-	c   *Chunk
+	c   *jobstate.Chunk
 	seq uint64
 }
 
 // writeOnce records as much as fits one transaction, or repeats the one whose
 // outcome is open.
-func (o *Scheduler) writeOnce(ctx context.Context) (more bool, err error) {
-	if len(o.member.ClaimedShards()) == 0 {
+func (w *Writer) WriteOnce(ctx context.Context) (more bool, err error) {
+	if len(w.state.Member.ClaimedShards()) == 0 {
 		return false, nil
 	}
-	o.mu.Lock()
+	w.state.Mu.Lock()
 	start := time.Now()
-	b := o.open
+	b := w.openTxn
 	if b == nil {
-		if b, more, err = o.build(); b == nil {
-			o.mu.Unlock()
+		if b, more, err = w.build(); b == nil {
+			w.state.Mu.Unlock()
 			return more, err
 		}
-		o.open = b
+		w.openTxn = b
 	}
-	o.mu.Unlock()
+	w.state.Mu.Unlock()
 	usage.Count(usage.Records, start)
-	tctx, cancel := context.WithTimeout(ctx, txnTimeout)
-	rev, err := o.store.BulkTxn(tctx, b.guards, b.ops...)
+	tctx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
+	rev, err := w.store.BulkTxn(tctx, b.guards, b.ops...)
 	cancel()
 	var conflict *statestore.Conflict
 	if errors.As(err, &conflict) {
-		return true, o.reread(ctx, b, conflict.Keys)
+		return true, w.reread(ctx, b, conflict.Keys)
 	}
 	if err != nil {
 		return true, err
 	}
 	defer usage.Count(usage.Records, time.Now())
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.commit(b, rev)
-	return more || len(o.garbage) > 0, nil
+	w.state.Mu.Lock()
+	defer w.state.Mu.Unlock()
+	w.commit(b, rev)
+	return more || len(w.garbage) > 0, nil
 }
--- /dev/null
+++ b/internal/shardlog/writer.go
@@ -0,0 +1,66 @@
+// Package shardlog is the write-ahead log of a leader's shards in the state service. What
+// happens to the tasks of many jobs goes into one log record; a chunk of tasks gets a record
+// of its own, a checkpoint, only when the oldest log record that names it is written over.
+// The Writer makes transactions of what the state notes as unwritten, one at a time, each
+// guarded by the shard's key and the versions of what it changes, and acts on their outcome.
+// After a failover it replays the records that a predecessor left.
+package shardlog
+
+import (
+	"log/slog"
+
+	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/jobrecord"
+	"github.com/wallrack/wallrack/internal/jobstate"
+	"github.com/wallrack/wallrack/internal/quota"
+)
+
+// Writer writes and replays the logs of this leader's shards. Its fields are guarded by the
+// state's Mu; Run holds it except while it waits for the state service.
+type Writer struct {
+	state *jobstate.State
+	store jobrecord.Store
+	quota *quota.Manager
+	log   *slog.Logger
+
+	maxSlots   int // log records of a shard that are kept before they are written over
+	logs       map[int]*Log
+	openTxn    *Transaction // its outcome is not known
+	garbage    []string     // keys of chunk records of ended jobs
+	finalOrder []string     // keys of state.Final, oldest first
+	book       *accounting.Book
+}
+
+// New returns a writer without shards. A shard keeps maxSlots log records before they are
+// written over; 0: DefaultSlots.
+func New(state *jobstate.State, store jobrecord.Store, quota *quota.Manager, maxSlots int, log *slog.Logger) *Writer {
+	if maxSlots == 0 {
+		maxSlots = DefaultSlots
+	}
+	return &Writer{state: state, store: store, quota: quota, log: log, maxSlots: maxSlots, logs: map[int]*Log{}}
+}
+
+// AddLogs takes over the logs of shards that ReadLogs has read, once their jobs are admitted.
+func (w *Writer) AddLogs(logs map[int]*Log) {
+	for shard, l := range logs {
+		delete(w.state.Unwritten, shard)
+		w.logs[shard] = l
+		for _, slot := range l.slots {
+			w.touchSlot(slot)
+		}
+	}
+}
+
+// ForgetLog forgets the log of a shard that was lost.
+func (w *Writer) ForgetLog(shard int) {
+	delete(w.logs, shard)
+	delete(w.state.Unwritten, shard)
+}
+
+// DeleteChunks has chunk records of ended jobs deleted in time.
+func (w *Writer) DeleteChunks(keys ...string) { w.garbage = append(w.garbage, keys...) }
+
+// StartAccounting begins a book of accounting pages under a fencing token.
+func (w *Writer) StartAccounting(token uint64) {
+	w.book = accounting.NewBook(token, w.valueBytes())
+}
--- a/internal/submission/submission.go
+++ b/internal/submission/submission.go
@@ -8,8 +8,9 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/quota"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -55,9 +56,9 @@
 		usage.Note(usage.RefusedJobs)
 		return Reply{Status: http.StatusServiceUnavailable, Reason: "too much work at once"}
 	}
-	shard := scheduler.AssignShard(job, in.cfg.Params.Teams, in.op)
+	shard := quota.AssignShard(job, in.cfg.Params.Teams, in.op)
 	at := time.Now().UnixMilli()
-	guards, ops := scheduler.AcceptanceTxn(job, asked, shard, at)
+	guards, ops := jobrecord.AcceptanceTxn(job, asked, shard, at)
 	for n := 0; ; n++ {
 		tctx, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
 		rev, err := in.store.Txn(tctx, guards, ops...)
--- a/internal/testkit/alike_test.go
+++ b/internal/testkit/alike_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/wallrack/wallrack/internal/accounting"
 	"github.com/wallrack/wallrack/internal/jobquery"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/jobspec"
-	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/slurm"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -74,7 +74,7 @@
 		j, tm := make(i)(t, k.class, k.team, k.priority, k.tasks)
 		j.UID, tm.Number = fmt.Sprintf("j-%d", i), uint64(100*(i+1))
 		at := time.Now().UnixMilli()
-		guards, ops := scheduler.AcceptanceTxn(j, tm, scheduler.HashShard(j, nil, 4), at)
+		guards, ops := jobrecord.AcceptanceTxn(j, tm, jobrecord.HashShard(j, nil, 4), at)
 		if _, err := clean.Txn(context.Background(), guards, ops...); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -20,8 +20,10 @@
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/membership"
+	"github.com/wallrack/wallrack/internal/quota"
 	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/testkit"
@@ -179,14 +181,16 @@
 	n.member = membership.New(n.view, name, config.Seconds(op.LeaseS), op.Shards, op.Spread, log)
 	cfg := *w.cfg
 	cfg.Node = name
-	n.owner = scheduler.New(&cfg, op, n.view, n.member, n, w.size, log)
-	n.owner.LogSlots = 4 // so that records are written over, and chunks saved
-	n.owner.AccountingEnabled, n.owner.RemoteJobs = w.accounts, n
+	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.LeaseRemaining)
+	n.owner = scheduler.New(scheduler.Options{
+		Platform: &cfg, Operator: op, Store: n.view, Member: n.member, Dispatchers: n, MachineTypes: w.size, Log: log,
+		Cancellations: n.reg, RemoteJobs: n, AccountingEnabled: w.accounts,
+		LogSlots: 4, // so that records are written over, and chunks saved
+	})
 	n.holder = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
 	n.started, n.published, n.pictures = time.Now(), viewsync.NewPublisher(name, n.holder), viewsync.NewReceiver(n.owner, w.others(name))
-	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.LeaseRemaining)
 	n.reg.OnCancelled = func(uids []string) { n.knows.learn(uids); go n.holder.HaltCancelledTasks() }
-	n.owner.Cancellations, n.holder.Cancellations = n.reg, n.reg
+	n.holder.Cancellations = n.reg
 	n.intake = submission.New(&cfg, op, n.view, n.owner, w.size, n, log)
 	n.intake.Cancellations = n.reg
 	n.mux = http.NewServeMux()
@@ -354,7 +358,7 @@
 	w.mu.Lock()
 	w.specs[job.UID] = job
 	w.mu.Unlock()
-	guards, ops := scheduler.AcceptanceTxn(job, t, scheduler.AssignShard(job, w.cfg.Params.Teams, w.operator()), time.Now().UnixMilli())
+	guards, ops := jobrecord.AcceptanceTxn(job, t, quota.AssignShard(job, w.cfg.Params.Teams, w.operator()), time.Now().UnixMilli())
 	clean := &testkit.View{Store: w.store}
 	if _, err := clean.Txn(context.Background(), guards, ops...); err != nil {
 		w.t.Fatal(err)
--- a/internal/testkit/lent_limits_test.go
+++ b/internal/testkit/lent_limits_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/quota"
 	"github.com/wallrack/wallrack/internal/quotalease"
-	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -73,7 +73,7 @@
 		}
 		job := arrayJob(uid, tasks)
 		job.Team, job.Priority, job.CPUs = team, priority, cpus
-		if _, there := shards[scheduler.AssignShard(job, teams, op)]; there {
+		if _, there := shards[quota.AssignShard(job, teams, op)]; there {
 			c.submitJob(job, nil)
 			return uid
 		}
@@ -274,7 +274,7 @@
 		c.live(5)
 		alone := c.operator()
 		alone.Spread = 1
-		home := scheduler.AssignShard(&wire.Job{Team: "capped"}, limitedTeams, alone) // of all such jobs that one owner accepts
+		home := quota.AssignShard(&wire.Job{Team: "capped"}, limitedTeams, alone) // of all such jobs that one owner accepts
 		first := map[int]uint64{(home + 1) % alone.Shards: 1}
 		uses := func(uid string) func() bool { return func() bool { return c.onMachines(uid) == 8 } }
 		before := c.jobIn(first, 80, "capped", "normal", 8, 1)
--- a/internal/testkit/old_reports_test.go
+++ b/internal/testkit/old_reports_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -152,12 +152,12 @@
 // stage is how far a new leader has come.
 type stage struct {
 	name    string
-	reached func(w *cluster, before map[string]scheduler.Stats) bool
+	reached func(w *cluster, before map[string]jobstate.Stats) bool
 	reports func(k int) int // how often the k-th worker has reported to it by then
 }
 
 // next returns the controller that has read the records since, or nil.
-func (w *cluster) next(before map[string]scheduler.Stats) *node {
+func (w *cluster) next(before map[string]jobstate.Stats) *node {
 	for _, name := range w.names {
 		if n := w.nodes[name]; !n.down && len(n.member.OwnedShards()) > 0 && n.owner.Counters().Failovers > before[name].Failovers {
 			return n
@@ -173,7 +173,7 @@
 
 // unheardOf counts the machines on which the records had tasks, and those of them that the
 // new leader has not heard.
-func (w *cluster) unheardOf(before map[string]scheduler.Stats) (recorded, unheard int) {
+func (w *cluster) unheardOf(before map[string]jobstate.Stats) (recorded, unheard int) {
 	n := w.next(before)
 	if n == nil {
 		return 0, 0
@@ -184,21 +184,21 @@
 
 // stages are those of a take-over.
 var stages = []stage{
-	{"before the claim", func(w *cluster, _ map[string]scheduler.Stats) bool { return !w.claimed() }, nil},
-	{"claimed, records not read", func(w *cluster, before map[string]scheduler.Stats) bool { return w.claimed() && w.next(before) == nil }, nil},
-	{"read, nothing settled", func(w *cluster, before map[string]scheduler.Stats) bool {
+	{"before the claim", func(w *cluster, _ map[string]jobstate.Stats) bool { return !w.claimed() }, nil},
+	{"claimed, records not read", func(w *cluster, before map[string]jobstate.Stats) bool { return w.claimed() && w.next(before) == nil }, nil},
+	{"read, nothing settled", func(w *cluster, before map[string]jobstate.Stats) bool {
 		recorded, unheard := w.unheardOf(before)
 		return recorded > 0 && unheard == recorded
 	}, nil},
-	{"half settled", func(w *cluster, before map[string]scheduler.Stats) bool {
+	{"half settled", func(w *cluster, before map[string]jobstate.Stats) bool {
 		recorded, unheard := w.unheardOf(before)
 		return unheard > 0 && unheard < recorded
 	}, func(k int) int { return 2 * (k % 2) }},
-	{"settled", func(w *cluster, before map[string]scheduler.Stats) bool {
+	{"settled", func(w *cluster, before map[string]jobstate.Stats) bool {
 		recorded, unheard := w.unheardOf(before)
 		return recorded > 0 && unheard == 0
 	}, func(int) int { return 2 }},
-	{"first grants made", func(w *cluster, before map[string]scheduler.Stats) bool {
+	{"first grants made", func(w *cluster, before map[string]jobstate.Stats) bool {
 		n := w.next(before)
 		return n != nil && n.owner.Counters().Granted > before[n.name].Granted
 	}, func(int) int { return 4 }},
@@ -259,12 +259,12 @@
 			again++
 		}
 	}
-	before := map[string]scheduler.Stats{}
+	before := map[string]jobstate.Stats{}
 	first := w.leader()
 	for _, name := range w.names {
 		before[name] = w.nodes[name].owner.Counters()
 	}
-	before[first] = scheduler.Stats{}
+	before[first] = jobstate.Stats{}
 	w.mu.Lock()
 	w.slow = func() time.Duration { return 100 * time.Millisecond }
 	w.mu.Unlock()
--- a/internal/testkit/rented_cluster_test.go
+++ b/internal/testkit/rented_cluster_test.go
@@ -18,6 +18,7 @@
 
 	"github.com/wallrack/wallrack/internal/autoscaler"
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/standin"
 	"github.com/wallrack/wallrack/internal/testkit"
@@ -346,7 +347,7 @@
 func (c *rentedCluster) order(uid string, tasks int) {
 	job := &wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
 		CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 6}
-	guards, ops := scheduler.AcceptanceTxn(job, nil, scheduler.HashShard(job, nil, 4), time.Now().UnixMilli())
+	guards, ops := jobrecord.AcceptanceTxn(job, nil, jobrecord.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: c.store}).Txn(context.Background(), guards, ops...); err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -159,7 +159,7 @@
 
 // accept records a job as accepted.
 func (w *cluster) accept(job *wire.Job) {
-	guards, ops := scheduler.AcceptanceTxn(job, nil, scheduler.HashShard(job, nil, 4), time.Now().UnixMilli())
+	guards, ops := jobrecord.AcceptanceTxn(job, nil, jobrecord.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: w.store}).Txn(context.Background(), guards, ops...); err != nil {
 		w.t.Fatal(err)
 	}
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -33,7 +33,7 @@
 func (z *zonedCluster) submitZoned(job *wire.Job) {
 	job.Class, job.Team, job.Priority, job.CPUs, job.MemoryGB = "c", "t", "normal", 1, 1
 	job.Image, job.ImageGB, job.Estimate, job.Spot, job.Kind = "i", 0.1, 4, true, wire.KindArray
-	guards, ops := scheduler.AcceptanceTxn(job, nil, scheduler.HashShard(job, nil, 4), time.Now().UnixMilli())
+	guards, ops := jobrecord.AcceptanceTxn(job, nil, jobrecord.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: z.store}).Txn(context.Background(), guards, ops...); err != nil {
 		z.t.Fatal(err)
 	}
