--- a/internal/membership/lost_answers_test.go
+++ b/internal/membership/lost_answers_test.go
@@ -27,7 +27,7 @@
 			LoseAnswer: func(txn wire.Txn, version uint64) bool {
 				return strings.HasPrefix(txn.Then[0].Delete, "c/shard/") && lost.CompareAndSwap(0, version)
 			}}
-		other := &testkit.View{Store: store, Seen: func(key string, version uint64) {
+		other := &testkit.View{Store: store, OnRead: func(key string, version uint64) {
 			if strings.HasPrefix(key, "c/shard/") && version == lost.Load() {
 				read.Store(version)
 			}
--- a/internal/testkit/rented_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -81,7 +81,7 @@
 	}
 	t.Cleanup(func() { _ = db.Close() })
 	c := &rentedCluster{cluster: newCluster(t, seed), boot: boot, lag: listLag, ended: map[string]bool{}, asked: map[string]int{}, rented: map[string][]string{}, answered: map[string]bool{}}
-	c.reliable = true
+	c.reliableStore = true
 	c.workers, c.byName = nil, map[string]*testkit.Worker{}
 	c.cfg.Params.Cloud = config.Cloud{RPS: 4, ListLagS: listLag.Seconds()}
 	kind, _ := c.size.Type("m")
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	c.handler = cloud.Handler()
-	c.beside = c.fleetOf
+	c.extraDuties = c.fleetOf
 	return c
 }
 
@@ -165,10 +165,10 @@
 	}
 	cloud := autoscaler.NewCloudOver(&cloudLink{c, n}, "cloud", c.cfg.Params.Cloud.RPS)
 	catalog := autoscaler.NewCatalog(cloud, n.view, log)
-	f := autoscaler.New(c.cfg, op, cloud, catalog, n.view, n.member, fleetOwner{c, n.owner}, n.holder, log)
+	f := autoscaler.New(c.cfg, op, cloud, catalog, n.view, n.member, fleetOwner{c, n.scheduler}, n.dispatcher, log)
 	return []func(context.Context) error{
 		f.Run,
-		func(ctx context.Context) error { return catalog.Run(ctx, n.owner.LeadsAutoscaling) },
+		func(ctx context.Context) error { return catalog.Run(ctx, n.scheduler.LeadsAutoscaling) },
 	}
 }
 
@@ -190,8 +190,8 @@
 	}
 	o.c.mu.Unlock()
 	for _, n := range nodes {
-		n.holder.RemoveWorker(name)
-		n.owner.WorkerGone(name)
+		n.dispatcher.RemoveWorker(name)
+		n.scheduler.WorkerGone(name)
 	}
 }
 
--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -138,7 +138,7 @@
 // service, of watches and of links down to a millisecond, and no other trouble. A job is
 // either done or cancelled, to everybody and for ever, and nothing of it starts after a
 // confirmed cancel.
-func TestCancelAtTheEndOfTheLastTaskIsFinal(t *testing.T) {
+func TestCancelAtEndOfLastTaskIsFinal(t *testing.T) {
 	const seeds, jobs = 10, 50
 	scales := []time.Duration{time.Millisecond, 4 * time.Millisecond, 20 * time.Millisecond, 100 * time.Millisecond}
 	for controllers := 1; controllers <= 2; controllers++ {
@@ -186,7 +186,7 @@
 func playEndRace(t *testing.T, seed uint64, controllers, jobs int, scale time.Duration) *endRace {
 	w := newCluster(t, seed)
 	w.bigger(controllers, 6)
-	w.whole, w.reliable, w.keepCuts = true, true, true
+	w.losslessReports, w.reliableStore, w.keepCuts = true, true, true
 	r := &endRace{closeUsers: newCloseUsers(w), ends: map[string][]time.Time{}, want: map[string]int{}}
 	r.later = 1
 	upTo := func(most time.Duration) func() time.Duration {
@@ -198,7 +198,7 @@
 			return d
 		}
 	}
-	w.transit, w.slow, w.lag = upTo(scale), upTo(2*scale), upTo(6*scale)
+	w.transit, w.storeLatency, w.watchLag = upTo(scale), upTo(2*scale), upTo(6*scale)
 	for _, k := range w.workers {
 		k.Run = func(task string) time.Duration { return variedTime(task) / 5 }
 		check := k.Started
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -12,10 +12,10 @@
 
 // A cancel recorded behind the owner's back let the owner, whose watch lagged,
 // call the job running after its user had heard that it was cancelled.
-func TestCancelIsTheOwners(t *testing.T) {
+func TestCancelRecordedElsewhereIsSeenByLaggingLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 1)
-		w.reliable = true
+		w.reliableStore = true
 		for _, n := range []string{"a", "b", "c"} {
 			w.start(n)
 		}
@@ -27,17 +27,17 @@
 			if name == chief {
 				continue
 			}
-			if s, err := n.owner.Cancel(context.Background(), "j-1"); err == nil {
+			if s, err := n.scheduler.Cancel(context.Background(), "j-1"); err == nil {
 				t.Errorf("%s is not the owner and says %+v", name, s)
 			}
 		}
-		if s, ok := w.nodes[chief].owner.LocalState("j-1"); !ok || s.Stage != wire.StageQueued {
+		if s, ok := w.nodes[chief].scheduler.LocalState("j-1"); !ok || s.Stage != wire.StageQueued {
 			t.Errorf("the owner says %+v, %v", s, ok)
 		}
-		if s, err := w.nodes[chief].owner.Cancel(context.Background(), "j-1"); err != nil || s.Stage != wire.StageCancelled {
+		if s, err := w.nodes[chief].scheduler.Cancel(context.Background(), "j-1"); err != nil || s.Stage != wire.StageCancelled {
 			t.Errorf("the owner says %+v, %v", s, err)
 		}
-		if s, ok := w.nodes[chief].owner.LocalState("j-1"); ok && s.Stage != wire.StageCancelled {
+		if s, ok := w.nodes[chief].scheduler.LocalState("j-1"); ok && s.Stage != wire.StageCancelled {
 			t.Errorf("after the cancel the owner says %+v", s)
 		}
 		for _, n := range []string{"a", "b", "c"} {
@@ -48,12 +48,12 @@
 
 // The state service refuses the write of a cancel, and then everything: the job goes on, and
 // its user, who was told nothing, hears so at every controller.
-func TestRefusedCancelLeavesTheJobRunning(t *testing.T) {
+func TestCancelRefusedByStateStoreLeavesJobRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 2)
 		w.bigger(3, 8)
 		w.long()
-		w.whole, w.reliable, w.keepCuts = true, true, true
+		w.losslessReports, w.reliableStore, w.keepCuts = true, true, true
 		for _, n := range w.names {
 			w.start(n)
 		}
--- a/internal/testkit/cancel_hand_over_test.go
+++ b/internal/testkit/cancel_transfer_test.go
@@ -57,7 +57,7 @@
 		return stepPending
 	case len(taker.member.ClaimedShards()) == 0:
 		return stepUntold
-	case taker.owner.Counters().Failovers == h.takeovers:
+	case taker.scheduler.Counters().Failovers == h.takeovers:
 		return stepLoading
 	}
 	return stepLoaded
@@ -108,7 +108,7 @@
 	var lose atomic.Bool
 	h.onCancel(h.giver, uid, func() { lose.Store(true) })
 	h.nodes[h.giver].view.Lose = func() bool { return lose.Swap(false) }
-	if state, err := h.nodes[h.giver].owner.Cancel(context.Background(), uid); err == nil {
+	if state, err := h.nodes[h.giver].scheduler.Cancel(context.Background(), uid); err == nil {
 		h.t.Errorf("%s is called %s, though the answer was lost", uid, state.Stage)
 	}
 	if s, err := storedStage(h.cluster, uid); err != nil || s != wire.StageCancelled {
@@ -148,7 +148,7 @@
 // controller. Where nobody may answer for the shard it is refused; once it is confirmed it
 // is final at every controller: no task of the job starts afterwards, and all are gone in
 // time, however the load of the shard and the list of cancels follow each other.
-func TestCancelDuringHandOverIsFinal(t *testing.T) {
+func TestCancelDuringShardTransferIsFinal(t *testing.T) {
 	type scene struct {
 		name      string
 		play      func(h *handOver)
@@ -191,7 +191,7 @@
 				}
 				h.fell++
 			})
-			if _, err := h.nodes[h.giver].owner.Cancel(context.Background(), "j-80"); err != nil {
+			if _, err := h.nodes[h.giver].scheduler.Cancel(context.Background(), "j-80"); err != nil {
 				h.refused++
 			}
 			if stage, err := storedStage(h.cluster, "j-80"); stage != wire.StageQueued || err != nil {
@@ -215,7 +215,7 @@
 			h.cutAll(h.third, h.giver, h.taker)
 			h.begin(0)
 			h.cancelIn(stepUntold, h.third, "j-80")
-			if h.nodes[h.taker].reg.IsCancelled("j-80") {
+			if h.nodes[h.taker].cancellations.IsCancelled("j-80") {
 				h.t.Error("the taker knows of the cancel")
 			}
 			h.live(6)
@@ -277,7 +277,7 @@
 			h.start(h.taker) // it knows no cancels
 		}, 2, 1},
 		{"the giver's launches and the giver are held up right after the transaction", func(h *handOver) {
-			h.holding = func() bool { return true }
+			h.holdsCommand = func() bool { return true }
 			if _, heard := h.user(h.giver, http.MethodPost, "j-82"); !heard { // makes room for tasks of the others
 				h.t.Error("the first cancel is not heard")
 			}
@@ -300,7 +300,7 @@
 			if late := h.release(); late == 0 {
 				h.t.Error("no launch was held up")
 			}
-			h.holding = nil
+			h.holdsCommand = nil
 			h.live(11)
 			h.healLinks(h.giver, append(h.workerNames(), h.taker, h.third, stateService)...)
 		}, 2, 0},
@@ -310,7 +310,7 @@
 			onCluster(t, 3720+uint64(i), 3, 6, func(w *cluster) {
 				h := &handOver{cluster: w, giver: w.leader(), jobs: []string{"j-80", "j-81", "j-82"}}
 				others := w.others(h.giver)
-				h.taker, h.third, h.whole = others[0], others[1], true
+				h.taker, h.third, h.losslessReports = others[0], others[1], true
 				for _, n := range w.nodes {
 					n.view.Lose, n.view.Late = nil, nil
 				}
@@ -322,7 +322,7 @@
 				if n := h.running(); n < 24 {
 					h.t.Fatalf("%d tasks are on", n)
 				}
-				h.takeovers = w.nodes[h.taker].owner.Counters().Failovers
+				h.takeovers = w.nodes[h.taker].scheduler.Counters().Failovers
 				s.play(h)
 				if h.refused != s.refused || h.fell-h.refused != s.confirmed {
 					h.t.Errorf("%d cancels fell into the step, %d of them were refused; not %d and %d", h.fell, h.refused, s.confirmed+s.refused, s.refused)
@@ -340,7 +340,7 @@
 		k.Started = func(task string, attempt uint64) {
 			started(task, attempt)
 			uid, _, _ := wire.ParseTask(task)
-			if at, heard := h.cancels[uid]; heard && time.Since(at) > 0 { // else the command was on its way
+			if at, heard := h.confirmedCancels[uid]; heard && time.Since(at) > 0 { // else the command was on its way
 				h.lateStarts = append(h.lateStarts, fmt.Sprintf("%s on %s %v after its cancel", task, k.Name, time.Since(at)))
 			}
 		}
--- a/internal/testkit/capacity_test.go
+++ b/internal/testkit/capacity_test.go
@@ -18,12 +18,12 @@
 	spend := func(jobs int) (used time.Duration, reports, starts float64) {
 		l := newLoad(tb, machines, 10, jobs)
 		defer l.end()
-		before, began, usedBefore := l.node.owner.Counters().Granted, time.Now(), capacity.Used(tb)
+		before, began, usedBefore := l.node.scheduler.Counters().Granted, time.Now(), capacity.Used(tb)
 		i := 0
 		for ; time.Since(began) < loadFor; i++ {
 			l.report(tb, i)
 		}
-		return capacity.Used(tb) - usedBefore, float64(i), float64(l.node.owner.Counters().Granted - before)
+		return capacity.Used(tb) - usedBefore, float64(i), float64(l.node.scheduler.Counters().Granted - before)
 	}
 	used, reports, _ := spend(0)
 	ofReport = float64(used) / reports
--- a/internal/testkit/alike_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -58,11 +58,11 @@
 	var mu = &w.mu
 	w.workers[0].Run = func(string) time.Duration { return 4 * time.Second }
 	w.workers[0].Started = func(task string, _ uint64) { starts = append(starts, task) }
-	w.reliable = true
+	w.reliableStore = true
 	w.start("a")
 	n := w.nodes["a"]
 	for _, x := range []string{"b", "c"} {
-		w.nodes[x] = &node{w: w, name: x, down: true}
+		w.nodes[x] = &node{cluster: w, name: x, down: true}
 	}
 	time.Sleep(2 * time.Second)
 	clean := &testkit.View{Store: w.store}
@@ -90,7 +90,7 @@
 		rep.Endpoint = w.workers[0].Name
 		sent := time.Now()
 		mu.Unlock()
-		if _, body := n.holder.HandleReport(context.Background(), rep); body != nil {
+		if _, body := n.dispatcher.HandleReport(context.Background(), rep); body != nil {
 			if a, ok := body.(wire.ReportAnswer); ok {
 				mu.Lock()
 				w.workers[0].Answer(sent, rep.Session, a)
@@ -126,7 +126,7 @@
 // The same workload, submitted by native clients, by Slurm's, and by both in turn,
 // starts in the same order and leaves the same rows of accounting, line for line. No
 // client goes before the other.
-func TestClientsAreTreatedAlike(t *testing.T) {
+func TestNativeAndSlurmClientsGetSameOrderAndAccounting(t *testing.T) {
 	type maker = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)
 	var starts, rows [][]string
 	for _, m := range []func(int) maker{func(int) maker { return asNative }, func(int) maker { return asSlurm },
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -51,91 +51,91 @@
 // cluster is three controllers, their store and some workers, with troubles
 // drawn from a fixed seed.
 type cluster struct {
-	t          testing.TB
-	size       types
-	rnd        *rand.Rand // fates of messages, which are asked from many goroutines
-	planMu     sync.Mutex
-	plan       *rand.Rand // what the test itself draws, in the order of its own steps: the same for the same seed
-	cfg        *config.Platform
-	store      *testkit.Store
-	mu         sync.Mutex
-	nodes      map[string]*node
-	workers    []*testkit.Worker
-	at         map[*testkit.Worker]int // controller that a worker reports to
-	byName     map[string]*testkit.Worker
-	late       []func()
-	copies     []*wire.Report                   // of reports, that may be delivered late
-	names      []string                         // of the controllers, in their order
-	off        map[[2]string]bool               // links that do not work, from and to: see cuts_test.go
-	started    time.Time                        // when a task last started
-	starts     int                              // tasks started so far
-	heard      map[string]hearing               // of each worker, by any controller
-	back       int                              // machines returned
-	unlisted   bool                             // the cloud's list tells no owner whom to ask
-	whole      bool                             // no report and no answer is lost by chance
-	reliable   bool                             // no transaction is lost or late by chance
-	orderly    bool                             // no direct order is lost or late by chance
-	keepCuts   bool                             // whether links stay cut when it is calm
-	slow       func() time.Duration             // how long the state service's answers take; nil: no time
-	lateBy     func() time.Duration             // how much later a transaction is carried out; nil: at once
-	losing     func() bool                      // whether a transaction that is carried out gets no answer; nil: few
-	holding    func() bool                      // whether an order is held back; nil: some are
-	lag        func() time.Duration             // how much later a watch tells of a change; nil: at once
-	transit    func() time.Duration             // how long a message takes one way, orders and views aside; nil: no time
-	connecting func() time.Duration             // how long a direct order waits for its connection; nil: no time
-	outdated   int                              // direct orders that were not valid any more when their connection was there
-	fail       func(format string, args ...any) // a rule is broken
-	wrong      string                           // the first broken rule of a drawn case
-
-	lapses  int                  // controllers that stopped answering workers, although they have a term
-	cleared map[string]string    // tasks that were done and cleared, where
-	over    map[string]bool      // jobs whose user heard that they are done
-	cancels map[string]time.Time // jobs, by when their user first heard that they are cancelled
-
-	accounts bool                                 // whether accounting rows are written
-	directed func(d dispatch.Instructions)        // sees what owners tell holders, before it is on its way; nil: nobody
-	ordering func(endpoint string, o wire.Orders) // sees a direct order before it is on its way; nil: nobody
-
-	beside     func(n *node) []func(context.Context) error            // what else a controller runs; nil: nothing
-	spread     int                                                    // controllers that shards are spread over; 0: as the settings have it
-	loseAnswer func(n *node, t wire.Txn, version uint64) bool         // of an applied transaction; nil: none by choice
-	seen       func(n *node, key string, version uint64)              // what a controller reads in the store; nil: nobody looks
-	delay      func(n *node, t wire.Txn) (time.Duration, func(error)) // until a transaction is applied; nil: no time
-	behind     func(n *node, prefix string) time.Duration             // how far a controller's watch is behind; nil: not at all
-
-	rooms     map[string]int            // workers that a controller has connections for; nil: all fit
-	loseViews func(from, to *node) bool // whether a message about machines, or its reply, is lost; nil: none
+	t                testing.TB
+	size             types
+	rnd              *rand.Rand // fates of messages, which are asked from many goroutines
+	planMu           sync.Mutex
+	plan             *rand.Rand // what the test itself draws, in the order of its own steps: the same for the same seed
+	cfg              *config.Platform
+	store            *testkit.Store
+	mu               sync.Mutex
+	nodes            map[string]*node
+	workers          []*testkit.Worker
+	dispatcherOf     map[*testkit.Worker]int // controller that a worker reports to
+	byName           map[string]*testkit.Worker
+	late             []func()
+	copies           []*wire.Report                   // of reports, that may be delivered late
+	names            []string                         // of the controllers, in their order
+	brokenLinks      map[[2]string]bool               // links that do not work, from and to: see partitions_test.go
+	started          time.Time                        // when a task last started
+	starts           int                              // tasks started so far
+	lastHeartbeats   map[string]heartbeatTime         // of each worker, by any controller
+	returnedMachines int                              // machines returned
+	unlisted         bool                             // the cloud's list tells no owner whom to ask
+	losslessReports  bool                             // no report and no answer is lost by chance
+	reliableStore    bool                             // no transaction is lost or late by chance
+	promptCommands   bool                             // no direct order is lost or late by chance
+	keepCuts         bool                             // whether links stay cut when it is calm
+	storeLatency     func() time.Duration             // how long the state service's answers take; nil: no time
+	transactionDelay func() time.Duration             // how much later a transaction is carried out; nil: at once
+	losesResponse    func() bool                      // whether a transaction that is carried out gets no answer; nil: few
+	holdsCommand     func() bool                      // whether an order is held back; nil: some are
+	watchLag         func() time.Duration             // how much later a watch tells of a change; nil: at once
+	transit          func() time.Duration             // how long a message takes one way, orders and views aside; nil: no time
+	connecting       func() time.Duration             // how long a direct order waits for its connection; nil: no time
+	outdatedCommands int                              // direct orders that were not valid any more when their connection was there
+	fail             func(format string, args ...any) // a rule is broken
+	violation        string                           // the first broken rule of a drawn case
+
+	lapses           int                  // controllers that stopped answering workers, although they have a term
+	cleared          map[string]string    // tasks that were done and cleared, where
+	doneJobs         map[string]bool      // jobs whose user heard that they are done
+	confirmedCancels map[string]time.Time // jobs, by when their user first heard that they are cancelled
+
+	accounts       bool                                 // whether accounting rows are written
+	onInstructions func(d dispatch.Instructions)        // sees what owners tell holders, before it is on its way; nil: nobody
+	onCommands     func(endpoint string, o wire.Orders) // sees a direct order before it is on its way; nil: nobody
+
+	extraDuties func(n *node) []func(context.Context) error            // what else a controller runs; nil: nothing
+	leaderCount int                                                    // controllers that shards are spread over; 0: as the settings have it
+	loseAnswer  func(n *node, t wire.Txn, version uint64) bool         // of an applied transaction; nil: none by choice
+	seen        func(n *node, key string, version uint64)              // what a controller reads in the store; nil: nobody looks
+	delay       func(n *node, t wire.Txn) (time.Duration, func(error)) // until a transaction is applied; nil: no time
+	behind      func(n *node, prefix string) time.Duration             // how far a controller's watch is behind; nil: not at all
+
+	connectionLimits map[string]int            // workers that a controller has connections for; nil: all fit
+	loseViews        func(from, to *node) bool // whether a message about machines, or its reply, is lost; nil: none
 
 	onStart func(k *testkit.Worker, task string, attempt uint64) // a task starts; nil: nobody looks
 
-	specs     map[string]*wire.Job     // jobs that were submitted
-	startsOf  map[string]int           // tasks started so far, by job
-	linkDelay func() time.Duration     // how long a message to a worker or a peer takes; nil: no time
-	reporting map[*testkit.Worker]bool // workers with a report under way over a slow link
+	specs        map[string]*wire.Job     // jobs that were submitted
+	startsOf     map[string]int           // tasks started so far, by job
+	messageDelay func() time.Duration     // how long a message to a worker or a peer takes; nil: no time
+	reporting    map[*testkit.Worker]bool // workers with a report under way over a slow link
 
 	checks startChecks
 	waits  waitCheck
 }
 
 type node struct {
-	w        *cluster
-	name     string
-	view     *testkit.View
-	member   *membership.Member
-	owner    *scheduler.Scheduler
-	holder   *dispatch.Dispatcher
-	stop     context.CancelFunc
-	done     chan struct{}
-	down     bool // crashed
-	reach    reach
-	reg      *cancellation.Registry
-	entitled bool // when last looked at
-	knows    knownCancels
-	intake   *submission.Service
-	mux      *http.ServeMux  // the users' interface
-	ctx      context.Context // until it ends
-	duties   map[string]bool // under way beside the rest: see onDuty
-	underWay sync.WaitGroup  // of those
+	cluster       *cluster
+	name          string
+	view          *testkit.View
+	member        *membership.Member
+	scheduler     *scheduler.Scheduler
+	dispatcher    *dispatch.Dispatcher
+	stop          context.CancelFunc
+	done          chan struct{}
+	down          bool // crashed
+	reach         reach
+	cancellations *cancellation.Registry
+	entitled      bool // when last looked at
+	knownCancels  knownCancels
+	submission    *submission.Service
+	mux           *http.ServeMux  // the users' interface
+	ctx           context.Context // until it ends
+	duties        map[string]bool // under way beside the rest: see onDuty
+	underWay      sync.WaitGroup  // of those
 
 	started   time.Time
 	published *viewsync.Publisher
@@ -158,20 +158,20 @@
 
 func (w *cluster) start(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &node{w: w, name: name, ctx: ctx, stop: cancel, done: make(chan struct{}), duties: map[string]bool{}}
+	n := &node{cluster: w, name: name, ctx: ctx, stop: cancel, done: make(chan struct{}), duties: map[string]bool{}}
 	n.reach.init(n)
 	n.view = &testkit.View{Store: w.store,
 		Down: func() bool { w.mu.Lock(); defer w.mu.Unlock(); return n.down || !w.stored(n) },
 		Lose: func() bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			return w.losing != nil && w.losing() || !w.reliable && w.rnd.IntN(25) == 0
+			return w.losesResponse != nil && w.losesResponse() || !w.reliableStore && w.rnd.IntN(25) == 0
 		},
-		Late: func() bool { w.mu.Lock(); defer w.mu.Unlock(); return !w.reliable && w.rnd.IntN(25) == 0 },
+		Late: func() bool { w.mu.Lock(); defer w.mu.Unlock(); return !w.reliableStore && w.rnd.IntN(25) == 0 },
 
-		Slow:   func() time.Duration { return w.drawn(&w.slow) },
-		LateBy: func() time.Duration { return w.drawn(&w.lateBy) },
-		Lag:    func() time.Duration { return w.drawn(&w.lag) },
+		Slow:   func() time.Duration { return w.drawn(&w.storeLatency) },
+		LateBy: func() time.Duration { return w.drawn(&w.transactionDelay) },
+		Lag:    func() time.Duration { return w.drawn(&w.watchLag) },
 
 		Transit: func() time.Duration { return w.drawn(&w.transit) },
 	}
@@ -181,32 +181,32 @@
 	n.member = membership.New(n.view, name, config.Seconds(op.LeaseS), op.Shards, op.Spread, log)
 	cfg := *w.cfg
 	cfg.Node = name
-	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.LeaseRemaining)
-	n.owner = scheduler.New(scheduler.Options{
+	n.cancellations = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.LeaseRemaining)
+	n.scheduler = scheduler.New(scheduler.Options{
 		Platform: &cfg, Operator: op, Store: n.view, Member: n.member, Dispatchers: n, MachineTypes: w.size, Log: log,
-		Cancellations: n.reg, RemoteJobs: n, AccountingEnabled: w.accounts,
+		Cancellations: n.cancellations, RemoteJobs: n, AccountingEnabled: w.accounts,
 		LogSlots: 4, // so that records are written over, and chunks saved
 	})
-	n.holder = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
-	n.started, n.published, n.pictures = time.Now(), viewsync.NewPublisher(name, n.holder), viewsync.NewReceiver(n.owner, w.others(name))
-	n.reg.OnCancelled = func(uids []string) { n.knows.learn(uids); go n.holder.HaltCancelledTasks() }
-	n.holder.Cancellations = n.reg
-	n.intake = submission.New(&cfg, op, n.view, n.owner, w.size, n, log)
-	n.intake.Cancellations = n.reg
+	n.dispatcher = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
+	n.started, n.published, n.pictures = time.Now(), viewsync.NewPublisher(name, n.dispatcher), viewsync.NewReceiver(n.scheduler, w.others(name))
+	n.cancellations.OnCancelled = func(uids []string) { n.knownCancels.learn(uids); go n.dispatcher.HaltCancelledTasks() }
+	n.dispatcher.Cancellations = n.cancellations
+	n.submission = submission.New(&cfg, op, n.view, n.scheduler, w.size, n, log)
+	n.submission.Cancellations = n.cancellations
 	n.mux = http.NewServeMux()
-	n.intake.Register(n.mux)
-	n.member.OnOwnershipChange(n.owner.OwnershipChanged)
+	n.submission.Register(n.mux)
+	n.member.OnOwnershipChange(n.scheduler.OwnershipChanged)
 	n.member.OnLinkAnnouncement(n.reach.stored)
 	var wg sync.WaitGroup
-	runs := []func(context.Context) error{n.member.Run, n.owner.Run}
-	if w.beside != nil {
-		runs = append(runs, w.beside(n)...)
+	runs := []func(context.Context) error{n.member.Run, n.scheduler.Run}
+	if w.extraDuties != nil {
+		runs = append(runs, w.extraDuties(n)...)
 	}
 	for _, f := range runs {
 		wg.Add(1)
 		go func() { defer wg.Done(); _ = f(ctx) }()
 	}
-	go func() { wg.Wait(); n.underWay.Wait(); n.holder.Wait(); close(n.done) }()
+	go func() { wg.Wait(); n.underWay.Wait(); n.dispatcher.Wait(); close(n.done) }()
 	w.mu.Lock()
 	w.nodes[name] = n
 	w.mu.Unlock()
@@ -219,8 +219,8 @@
 		w.t.Fatal(err)
 	}
 	op.Shards = 4
-	if w.spread > 0 {
-		op.Spread = w.spread
+	if w.leaderCount > 0 {
+		op.Spread = w.leaderCount
 	}
 	return op
 }
@@ -237,7 +237,7 @@
 
 // travel lets the time pass that a message takes one way.
 func (w *cluster) travel() {
-	if d := w.drawn(&w.transit) + w.drawn(&w.linkDelay); d > 0 {
+	if d := w.drawn(&w.transit) + w.drawn(&w.messageDelay); d > 0 {
 		time.Sleep(d)
 	}
 }
@@ -278,8 +278,8 @@
 
 func newCluster(t testing.TB, seed uint64) *cluster {
 	w := &cluster{t: t, fail: t.Errorf, size: 4, rnd: rand.New(rand.NewPCG(seed, 7)), plan: rand.New(rand.NewPCG(seed, 11)), store: testkit.NewStore(), nodes: map[string]*node{},
-		at: map[*testkit.Worker]int{}, byName: map[string]*testkit.Worker{},
-		names: []string{"a", "b", "c"}, off: map[[2]string]bool{}, heard: map[string]hearing{}, cancels: map[string]time.Time{}, over: map[string]bool{}, cleared: map[string]string{},
+		dispatcherOf: map[*testkit.Worker]int{}, byName: map[string]*testkit.Worker{},
+		names: []string{"a", "b", "c"}, brokenLinks: map[[2]string]bool{}, lastHeartbeats: map[string]heartbeatTime{}, confirmedCancels: map[string]time.Time{}, doneJobs: map[string]bool{}, cleared: map[string]string{},
 		specs: map[string]*wire.Job{}, startsOf: map[string]int{}, reporting: map[*testkit.Worker]bool{}, waits: newWaitCheck()}
 	w.cfg = &config.Platform{Params: config.Params{
 		Teams:   []config.Team{{Name: "t"}},
@@ -300,8 +300,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		w = newCluster(t, seed)
 		w.fail = func(format string, args ...any) {
-			if w.wrong == "" {
-				w.wrong = fmt.Sprintf(format, args...)
+			if w.violation == "" {
+				w.violation = fmt.Sprintf(format, args...)
 			}
 		}
 		w.bigger(controllers, workers)
@@ -312,8 +312,8 @@
 		play(w)
 		w.stopAll()
 	})
-	if w.wrong != "" {
-		rt.Fatal(w.wrong)
+	if w.violation != "" {
+		rt.Fatal(w.violation)
 	}
 }
 
@@ -335,10 +335,10 @@
 			w.fail("%s is started again, as attempt %d on %s, when it was done and cleared on %s", task, attempt, k.Name, at)
 		}
 	}
-	k.Forgot = func(task string, attempt uint64) { w.cleared[task] = fmt.Sprintf("%s as attempt %d", k.Name, attempt) }
+	k.OnForget = func(task string, attempt uint64) { w.cleared[task] = fmt.Sprintf("%s as attempt %d", k.Name, attempt) }
 	w.workers = append(w.workers, k)
 	w.byName[k.Name] = k
-	w.at[k] = i
+	w.dispatcherOf[k] = i
 }
 
 func (w *cluster) submit(uid string, tasks int) { w.submitWith(uid, tasks, nil) }
@@ -394,15 +394,15 @@
 		}
 	case 1:
 		w.mu.Lock()
-		off := !w.off[[2]string{name, name}] // that link means nothing: it remembers
-		w.off[[2]string{name, name}] = off
+		off := !w.brokenLinks[[2]string{name, name}] // that link means nothing: it remembers
+		w.brokenLinks[[2]string{name, name}] = off
 		for _, other := range w.names {
-			w.off[[2]string{name, other}], w.off[[2]string{other, name}] = off, off
+			w.brokenLinks[[2]string{name, other}], w.brokenLinks[[2]string{other, name}] = off, off
 		}
 		w.mu.Unlock()
 	case 2:
 		w.mu.Lock()
-		w.off[[2]string{name, stateService}] = !w.off[[2]string{name, stateService}]
+		w.brokenLinks[[2]string{name, stateService}] = !w.brokenLinks[[2]string{name, stateService}]
 		w.mu.Unlock()
 	case 3:
 		w.release()
@@ -431,10 +431,10 @@
 	}
 }
 
-// TestOneStartUnderTroubles drives controllers through crashes, cuts, lost and
+// TestNoTaskRunsTwiceUnderDrawnFaults drives controllers through crashes, cuts, lost and
 // late transactions, lost and late orders: a task is never on two machines,
 // every accepted job ends, and none is called done before all its tasks are.
-func TestOneStartUnderTroubles(t *testing.T) {
+func TestNoTaskRunsTwiceUnderDrawnFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -15,7 +15,7 @@
 // A leader ends while machines with long tasks can't be reached, or hear no answer. Its
 // successor can't settle those tasks: it starts none of them again, and all else goes
 // on at once. The machines come back one by one, within their lease or after it.
-func TestLeaderEndsWhileMachinesAreAway(t *testing.T) {
+func TestFailoverWhileWorkersAreUnreachable(t *testing.T) {
 	for _, deaf := range []bool{false, true} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("deaf %v, %d", deaf, seed), func(t *testing.T) {
@@ -72,7 +72,7 @@
 // Jobs of three tasks end far apart across changes of the leader, of which one is back
 // within a second: a job is done when all of them are, and not before, and every
 // controller says so soon after.
-func TestTasksEndFarApartAcrossLeaders(t *testing.T) {
+func TestTaskCompletionsAcrossFailovers(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			onCluster(t, 920+seed, 3, 6, func(w *cluster) {
@@ -146,7 +146,7 @@
 // transactions 2 to 12 s later, after newer ones, while users submit, cancel and ask
 // at all controllers, and these end and are back: nobody hears anything older than
 // what was said, every job ends, and nothing that was recorded late does any harm.
-func TestSlowAndLateStateService(t *testing.T) {
+func TestSlowStateStoreAndLateTransactions(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			onCluster(t, 940+seed, 3, 8, func(w *cluster) {
@@ -212,7 +212,7 @@
 				clean := &testkit.View{Store: w.store}
 				for i, uid := range jobs {
 					s, err := scheduler.StoredState(context.Background(), clean, uid)
-					if w.cancels[uid].IsZero() && s.Stage == wire.StageCancelled && i >= 4 || err != nil {
+					if w.confirmedCancels[uid].IsZero() && s.Stage == wire.StageCancelled && i >= 4 || err != nil {
 						t.Errorf("%s: %+v, %v", uid, s, err)
 					}
 				}
@@ -224,7 +224,7 @@
 // Old reports come again after newer ones, from earlier sessions and attempts, to a
 // controller that has just started, to a new owner and to a former holder: they end,
 // start and settle nothing.
-func TestOldReportsMeetNewLeaders(t *testing.T) {
+func TestStaleHeartbeatsAfterFailover(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			onCluster(t, 960+seed, 3, 8, func(w *cluster) {
@@ -269,7 +269,7 @@
 // Commands and their answers are held up for seconds or minutes, machines hang and go
 // on, leaders change in between: what was commanded under an old token or session does
 // nothing, and what is carried out late runs nowhere else.
-func TestHeldUpCommands(t *testing.T) {
+func TestDelayedCommandsChangeNothing(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			onCluster(t, 980+seed, 3, 8, func(w *cluster) {
@@ -310,7 +310,7 @@
 // A cancel whose answer is lost is carried out seconds later, when its job is done; and
 // the record of a job's end, when the job was cancelled in the meantime. Whichever is
 // first holds, to every controller.
-func TestLateCancelMeetsTheEnd(t *testing.T) {
+func TestLateCancelAtJobEnd(t *testing.T) {
 	for _, late := range []string{"the cancel", "the end"} {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("%s, %d", late, seed), func(t *testing.T) {
--- a/internal/testkit/close_questions_test.go
+++ b/internal/testkit/concurrent_polls_test.go
@@ -134,7 +134,7 @@
 	if owning == nil {
 		return
 	}
-	known, sure := owning.owner.LocalState(job)
+	known, sure := owning.scheduler.LocalState(job)
 	ended := u.store.Text("final/"+job) != ""
 	switch {
 	case ended && !(sure && (known.Stage == wire.StageDone || known.Stage == wire.StageCancelled)):
@@ -142,7 +142,7 @@
 	case !ended && !sure && u.store.Text("live/"+job) != "":
 		u.unloaded.Add(1)
 	}
-	if !ended && !n.reg.IsCancelled(job) && strings.Contains(u.store.Text("live/"+job), `"cancelled":true`) {
+	if !ended && !n.cancellations.IsCancelled(job) && strings.Contains(u.store.Text("live/"+job), `"cancelled":true`) {
 		u.cancelled.Add(1)
 	}
 }
@@ -234,7 +234,7 @@
 	upTo := func(most time.Duration) func() time.Duration {
 		return func() time.Duration { return time.Duration(u.rnd.Int64N(int64(most))) }
 	}
-	u.lag, u.slow, u.transit = upTo(most), upTo(30*time.Millisecond), upTo(15*time.Millisecond)
+	u.watchLag, u.storeLatency, u.transit = upTo(most), upTo(30*time.Millisecond), upTo(15*time.Millisecond)
 }
 
 // refusal has the state service refuse a controller, which its peers may be cut off from
@@ -309,7 +309,7 @@
 // Users ask at all controllers within milliseconds after their jobs were accepted,
 // ended or cancelled, and repeat the submissions, while watches lag and answers are
 // delayed: no controller answers anything older than what any controller had told.
-func TestCloseQuestionsHearNothingOlder(t *testing.T) {
+func TestConcurrentPollsNeverSeeOlderState(t *testing.T) {
 	for i, s := range closeScenes {
 		t.Run(s.name, func(t *testing.T) {
 			var sum closeTally
--- a/internal/testkit/terms_test.go
+++ b/internal/testkit/constraints_test.go
@@ -57,7 +57,7 @@
 // passed, a dependent job never starts before its turn, a failed task is not tried
 // again, tasks cancelled alone never run, and accounting has one row of each job
 // and one useful attempt of each task that is done.
-func TestTermsUnderTroubles(t *testing.T) {
+func TestConstraintsUnderDrawnFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { termsUnderTroubles(t, seed) })
@@ -137,7 +137,7 @@
 			// Until an owner has taken it for sure.
 			for _, n := range w.nodes {
 				tasks, _ := jobspec.ParseRanges("2-4")
-				if !n.down && n.owner.CancelTasks(context.Background(), "j-drop", tasks) == nil {
+				if !n.down && n.scheduler.CancelTasks(context.Background(), "j-drop", tasks) == nil {
 					dropped = true
 					break
 				}
@@ -195,11 +195,11 @@
 
 // The answer to every write of accounting is lost, once: the next write of the page
 // must go on from what was applied, or all writes would fail for ever.
-func TestAccountingGoesOnAfterLostAnswers(t *testing.T) {
+func TestAccountingContinuesAfterLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 3)
 		w.accounts = true
-		w.reliable = true
+		w.reliableStore = true
 		odd := false
 		pages := func() (sum uint64) {
 			items, _, _ := (&testkit.View{Store: w.store}).List(context.Background(), accounting.Key)
@@ -209,7 +209,7 @@
 			return sum
 		}
 		last := uint64(0)
-		w.losing = func() bool {
+		w.losesResponse = func() bool {
 			now := pages()
 			lost := now != last && !odd
 			if now != last {
@@ -220,7 +220,7 @@
 		}
 		w.start("a")
 		for _, x := range []string{"b", "c"} {
-			w.nodes[x] = &node{w: w, name: x, down: true}
+			w.nodes[x] = &node{cluster: w, name: x, down: true}
 		}
 		time.Sleep(2 * time.Second)
 		came := 0
@@ -236,7 +236,7 @@
 			}
 			w.exchange()
 			for _, k := range w.workers {
-				w.at[k] = 0
+				w.dispatcherOf[k] = 0
 				w.report(k)
 			}
 			time.Sleep(reportEvery)
--- a/internal/testkit/apart_leader_test.go
+++ b/internal/testkit/deposed_leader_test.go
@@ -13,14 +13,14 @@
 // former leader's stand that were never written. Back at the state service, that one must
 // not take them for its own: it would call the jobs done, and have workers forget results
 // of which the successor never heard.
-func TestFormerLeaderTakesNoRecordForItsOwn(t *testing.T) {
+func TestDeposedLeaderDoesNotAdoptSuccessorsLogRecord(t *testing.T) {
 	unrecorded := 0
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, 1600+seed)
 				w.bigger(3, 6)
-				w.keepCuts, w.whole, w.reliable = true, true, true
+				w.keepCuts, w.losslessReports, w.reliableStore = true, true, true
 				u := newCloseUsers(w)
 				for _, k := range w.workers {
 					k.Run = func(task string) time.Duration {
@@ -61,7 +61,7 @@
 						unrecorded++
 					}
 				}
-				w.lag = func() time.Duration { return 3 * time.Second } // it hears late that it lost its shards
+				w.watchLag = func() time.Duration { return 3 * time.Second } // it hears late that it lost its shards
 				w.healLinks(former, append(w.others(former), stateService)...)
 				asks := func() {
 					for i := range jobs {
--- a/internal/testkit/fault_kinds_test.go
+++ b/internal/testkit/fault_kinds_test.go
@@ -184,21 +184,21 @@
 	}, nil, (*faultRun).machinesBack},
 	{"the state service is slow", 8, 30, func(m *faultRun) {
 		did := m.did
-		m.cluster.slow = func() time.Duration { *did++; return m.ms(300, 4000) }
-	}, nil, func(m *faultRun) { m.cluster.slow = nil }},
+		m.cluster.storeLatency = func() time.Duration { *did++; return m.ms(300, 4000) }
+	}, nil, func(m *faultRun) { m.cluster.storeLatency = nil }},
 	{"transactions are carried out late", 8, 30, func(m *faultRun) {
 		did := m.did
-		m.lateBy = func() time.Duration {
+		m.transactionDelay = func() time.Duration {
 			if m.rnd.IntN(5) > 0 {
 				return 0
 			}
 			*did++
 			return m.ms(2000, 12000)
 		}
-	}, nil, func(m *faultRun) { m.lateBy = nil }},
+	}, nil, func(m *faultRun) { m.transactionDelay = nil }},
 	{"commands are held up", 5, 25, func(m *faultRun) {
 		did := m.did
-		m.holding = func() bool {
+		m.holdsCommand = func() bool {
 			if m.rnd.IntN(3) == 0 {
 				return false
 			}
@@ -209,7 +209,7 @@
 		if m.draw(6) == 0 {
 			m.release()
 		}
-	}, func(m *faultRun) { m.holding = nil }},
+	}, func(m *faultRun) { m.holdsCommand = nil }},
 	{"the leader hands over, and back", 4, 20, nil, func(m *faultRun, _ int) {
 		if l := m.cluster.leader(); l != "" {
 			o := m.others(l)
@@ -259,14 +259,14 @@
 	}, func(m *faultRun, _ int) { m.release() }, (*faultRun).machinesBack},
 	{"answers of transactions are lost", 8, 30, func(m *faultRun) {
 		did := m.did
-		m.losing = func() bool {
+		m.losesResponse = func() bool {
 			if m.rnd.IntN(3) > 0 {
 				return false
 			}
 			*did++
 			return true
 		}
-	}, nil, func(m *faultRun) { m.losing = nil }},
+	}, nil, func(m *faultRun) { m.losesResponse = nil }},
 	{"copies of reports come under the next leader", 12, 30, func(m *faultRun) { m.lastOne = m.cluster.leader() }, func(m *faultRun, second int) {
 		l := m.cluster.leader()
 		if second == 3 && l != "" {
@@ -287,7 +287,7 @@
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			for _, n := range m.names {
-				m.off[[2]string{k.Name, n}] = true
+				m.brokenLinks[[2]string{k.Name, n}] = true
 			}
 		})
 	}, nil, (*faultRun).machinesBack},
--- a/internal/testkit/fault_pairs_test.go
+++ b/internal/testkit/fault_pairs_test.go
@@ -189,7 +189,7 @@
 func (m *faultRun) checkDone() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for uid := range m.over {
+	for uid := range m.doneJobs {
 		done := 0
 		for task := range m.ended {
 			if strings.HasPrefix(task, uid+"/") {
@@ -226,7 +226,7 @@
 	}
 	var left []string
 	for uid := range m.sizes {
-		if w.cancels[uid].IsZero() && !slices.Contains(m.jobs, uid) {
+		if w.confirmedCancels[uid].IsZero() && !slices.Contains(m.jobs, uid) {
 			left = append(left, uid)
 		}
 	}
@@ -234,7 +234,7 @@
 		w.t.Errorf("of %v only %v ended", left, w.store.Keys("final/"))
 	}
 	for _, uid := range m.jobs {
-		if !w.cancels[uid].IsZero() || w.ended(uid)() {
+		if !w.confirmedCancels[uid].IsZero() || w.ended(uid)() {
 			continue
 		}
 		if !w.within(60, func() bool { return w.onMachines(uid) == 2 }) {
--- a/internal/testkit/odd_requests_test.go
+++ b/internal/testkit/invalid_requests_test.go
@@ -100,7 +100,7 @@
 
 // Odd requests get the answer of the protocol, the same at every controller and in every
 // state of it: one that can't decide says 503. Nothing is accepted that can't run.
-func TestOddRequestsAreAnsweredAlikeEverywhere(t *testing.T) {
+func TestInvalidRequestsGetSameAnswerOnEveryController(t *testing.T) {
 	onCluster(t, 3700, 3, 8, func(w *cluster) {
 		w.cfg.Params.Teams = []config.Team{{Name: "t"}, {Name: "small", CPUsMax: 2}}
 		for _, name := range w.names {
@@ -126,10 +126,10 @@
 					t.Fatal(err)
 				}
 				n.mux = http.NewServeMux()
-				in := submission.New(w.cfg, op, n.view, n.owner, noTypes{}, n, slog.New(slog.DiscardHandler))
-				in.Cancellations = n.reg
+				in := submission.New(w.cfg, op, n.view, n.scheduler, noTypes{}, n, slog.New(slog.DiscardHandler))
+				in.Cancellations = n.cancellations
 				in.Register(n.mux)
-			}, func() { n.mux = http.NewServeMux(); n.intake.Register(n.mux) }, blind, false},
+			}, func() { n.mux = http.NewServeMux(); n.submission.Register(n.mux) }, blind, false},
 			{"the leader is away", func() { w.crash(w.leader()) }, w.startAll, "", false},
 			{"the state service is out", func() { w.refuse(w.names...); w.live(1) }, w.healed, "", true},
 		}
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -94,14 +94,14 @@
 
 // watchStages has the jobs cancelled at their stages.
 func (s *jobStream) watchStages() {
-	s.directed = func(d dispatch.Instructions) {
+	s.onInstructions = func(d dispatch.Instructions) {
 		for _, e := range d.Assign {
 			if job := s.jobOf(e.Task); job != nil && !e.Listed {
 				s.later(job, cancelQueued)
 			}
 		}
 	}
-	s.ordering = func(_ string, o wire.Orders) {
+	s.onCommands = func(_ string, o wire.Orders) {
 		for _, c := range o.Commands {
 			if job := s.jobOf(c.Task); job != nil && c.Verb == wire.VerbStart {
 				s.cancel(job, cancelLaunching) // confirmed before the command arrives
@@ -133,7 +133,7 @@
 	if job.started.IsZero() {
 		job.started = time.Now()
 	}
-	if at, heard := s.cancels[job.uid]; heard {
+	if at, heard := s.confirmedCancels[job.uid]; heard {
 		switch {
 		case job.cancelAt == cancelLaunching:
 			s.launches++
@@ -218,11 +218,11 @@
 // every stage, at all controllers, while the leader is back after a moment, hands over, and
 // another controller is back after a moment. Questions and cancels are answered, leases hold,
 // no job waits or is forgotten, and what is kept of jobs that are over is bounded.
-func TestStreamOfShortJobsWithCancels(t *testing.T) {
+func TestStreamOfShortJobsWithCancelsAndFailovers(t *testing.T) {
 	const jobs, perSecond = 720, 4
 	onCluster(t, 3750, 3, 12, func(w *cluster) {
 		s := &jobStream{cluster: w, byUID: map[string]*streamed{}, writes: map[string]int{}, perSecond: map[int64]int{}}
-		w.whole = true
+		w.losslessReports = true
 		hook := func() {
 			for _, n := range w.nodes {
 				n.view.Lose, n.view.Late = nil, nil
@@ -329,13 +329,13 @@
 	before := []int{}
 	for _, name := range s.names {
 		n := s.nodes[name]
-		queues := n.owner.QueueDepths()
+		queues := n.scheduler.QueueDepths()
 		if queues["jobs"]+queues["unwritten"]+queues["pending"] > 0 {
 			s.t.Errorf("%s keeps %v", name, queues)
 		}
-		before = append(before, n.reg.Count())
-		if n.reg.Count() > len(s.cancels) {
-			s.t.Errorf("%s keeps %d cancels of %d", name, n.reg.Count(), len(s.cancels))
+		before = append(before, n.cancellations.Count())
+		if n.cancellations.Count() > len(s.confirmedCancels) {
+			s.t.Errorf("%s keeps %d cancels of %d", name, n.cancellations.Count(), len(s.confirmedCancels))
 		}
 	}
 	time.Sleep(11 * time.Minute)
@@ -343,10 +343,10 @@
 	s.publish()
 	for _, name := range s.names {
 		n := s.nodes[name]
-		_, queued, orders := n.holder.Depths() // of machines that report elsewhere, so long
-		if n.reg.Count()+queued+orders > 0 {
-			s.t.Errorf("%s keeps %d cancels, %d queued tasks and %d orders after 11 minutes", name, n.reg.Count(), queued, orders)
+		_, queued, orders := n.dispatcher.Depths() // of machines that report elsewhere, so long
+		if n.cancellations.Count()+queued+orders > 0 {
+			s.t.Errorf("%s keeps %d cancels, %d queued tasks and %d orders after 11 minutes", name, n.cancellations.Count(), queued, orders)
 		}
 	}
-	s.t.Logf("cancels kept %v of %d, after 11 minutes none; keys: %d final, %d log", before, len(s.cancels), final, slots)
+	s.t.Logf("cancels kept %v of %d, after 11 minutes none; keys: %d final, %d log", before, len(s.confirmedCancels), final, slots)
 }
--- a/internal/testkit/late_starts_test.go
+++ b/internal/testkit/late_starts_test.go
@@ -52,7 +52,7 @@
 // cut off, as long as it may answer workers. The cluster is locked.
 func (w *cluster) checkStart(task string) {
 	uid, _, _ := strings.Cut(task, "/")
-	if _, cancelled := w.cancels[uid]; !cancelled {
+	if _, cancelled := w.confirmedCancels[uid]; !cancelled {
 		return
 	}
 	w.checks.late++
@@ -60,14 +60,14 @@
 	if s.node == nil {
 		return
 	}
-	if at, ok := s.node.knows.Load(uid); ok && at.(time.Time).Before(s.at) {
+	if at, ok := s.node.knownCancels.Load(uid); ok && at.(time.Time).Before(s.at) {
 		w.fail("%s was started by a command that %s sent %v after it knew that the job is cancelled", task, s.node.name, s.at.Sub(at.(time.Time)))
 	}
 }
 
 // Orders are held up while users cancel jobs at other controllers, and come afterwards:
 // what they start is all that starts after a confirmed cancel, and is soon gone.
-func TestOnlyOrdersUnderWayStartAfterCancel(t *testing.T) {
+func TestOnlyCommandsInFlightStartAfterCancel(t *testing.T) {
 	late := 0
 	for seed := uint64(1); seed <= 6; seed++ {
 		synctest.Test(t, func(t *testing.T) {
@@ -77,7 +77,7 @@
 				w.start(n)
 			}
 			w.live(3)
-			w.keepCuts, w.holding = true, func() bool { return true }
+			w.keepCuts, w.holdsCommand = true, func() bool { return true }
 			jobs := []string{"j-1", "j-2", "j-3"}
 			for _, uid := range jobs {
 				w.submit(uid, 30)
@@ -93,7 +93,7 @@
 			confirmed := w.cancelAll(w.others(w.leader())[0], jobs, 8)
 			w.release()
 			w.mu.Lock()
-			w.holding = nil
+			w.holdsCommand = nil
 			w.mu.Unlock()
 			w.live(60)
 			t.Logf("%d cancels confirmed, %d starts after them", confirmed, w.checks.late)
@@ -103,7 +103,7 @@
 				t.Errorf("%d starts after confirmed cancels, %d could be under way", w.checks.late, most)
 			}
 			for _, uid := range jobs {
-				if stage, heard := w.user(w.names[0], http.MethodGet, uid); heard && !w.cancels[uid].IsZero() && stage != wire.StageCancelled {
+				if stage, heard := w.user(w.names[0], http.MethodGet, uid); heard && !w.confirmedCancels[uid].IsZero() && stage != wire.StageCancelled {
 					t.Errorf("%s is %s", uid, stage)
 				}
 			}
@@ -118,14 +118,14 @@
 // Orders wait for their connections while users cancel the jobs that they would start. None
 // of them leaves once its sender knows: no command was under way, and nothing starts later
 // than a message between controllers takes.
-func TestOrdersThatWaitForConnectionsStartNothingAfterCancel(t *testing.T) {
+func TestCommandsWaitingForConnectionsStartNothingAfterCancel(t *testing.T) {
 	const wait, jobs = time.Second, 3
 	outdated := 0
 	for seed := uint64(1); seed <= 4; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			w := newCluster(t, 860+seed)
 			w.bigger(3, 12)
-			w.orderly, w.reliable = true, true
+			w.promptCommands, w.reliableStore = true, true
 			for _, n := range w.names {
 				w.start(n)
 			}
@@ -146,7 +146,7 @@
 				w.reportAll()
 			}
 			w.live(60)
-			outdated += w.outdated
+			outdated += w.outdatedCommands
 			for _, k := range w.workers {
 				if on := k.On(); len(on) > 0 {
 					t.Errorf("%v on %s", on, k.Name)
--- a/internal/testkit/late_watch_test.go
+++ b/internal/testkit/late_watch_test.go
@@ -29,7 +29,7 @@
 // successor's watch has told it of the acceptance. The successor has read the records after
 // the job's end, so what the watch still brings of it is old: the job is not run again, and
 // nobody calls it anything but done.
-func TestLateWatchOfAnEndedJobAdmitsNothing(t *testing.T) {
+func TestLateWatchEventOfEndedJobAdmitsNothing(t *testing.T) {
 	const lag = 15 * time.Second
 	for _, how := range []string{"hand-over", "end"} {
 		t.Run(how, func(t *testing.T) {
@@ -57,7 +57,7 @@
 				} else if err := w.nodes[first].member.TransferShards(context.Background(), second); err != nil {
 					t.Fatal(err)
 				}
-				if !w.within(8, func() bool { return w.leader() == second && w.nodes[second].owner.Counters().Failovers > 0 }) || time.Since(accepted) > lag {
+				if !w.within(8, func() bool { return w.leader() == second && w.nodes[second].scheduler.Counters().Failovers > 0 }) || time.Since(accepted) > lag {
 					t.Fatalf("the successor did not act before its watch told of the acceptance, %v ago", time.Since(accepted))
 				}
 				for time.Since(accepted) < 2*lag+5*time.Second {
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -69,7 +69,7 @@
 		l.arm(from, 1)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		if s, err := w.nodes[from].owner.Cancel(ctx, "j-80"); err == nil {
+		if s, err := w.nodes[from].scheduler.Cancel(ctx, "j-80"); err == nil {
 			t.Errorf("%+v without an answer", s)
 		}
 	}},
@@ -80,10 +80,10 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		before := w.version("live/j-80")
-		if s, err := w.nodes[at].owner.Cancel(ctx, "j-80"); err == nil {
+		if s, err := w.nodes[at].scheduler.Cancel(ctx, "j-80"); err == nil {
 			t.Errorf("%+v without an answer", s)
 		}
-		if s, ok := w.nodes[at].owner.LocalState("j-80"); ok {
+		if s, ok := w.nodes[at].scheduler.LocalState("j-80"); ok {
 			t.Errorf("the owner is sure of %+v at once", s)
 		}
 		if stage, ok := w.user(at, http.MethodGet, "j-80"); !ok || stage != wire.StageRunning {
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -43,7 +43,7 @@
 	w.long()
 	w.keepCuts = true
 	c := &changes{cluster: w}
-	w.slow = func() time.Duration { c.requests++; return 0 }
+	w.storeLatency = func() time.Duration { c.requests++; return 0 }
 	for _, n := range w.names {
 		w.start(n)
 		time.Sleep(100 * time.Millisecond)
@@ -69,7 +69,7 @@
 	ended := c.sessions()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return changeCost{leases: ended, again: c.again, requests: c.requests, returned: c.back}
+	return changeCost{leases: ended, again: c.again, requests: c.requests, returned: c.returnedMachines}
 }
 
 // measure plays something and then lets time pass until so many seconds are over.
@@ -104,7 +104,7 @@
 // Leaders change ten times in two minutes, by turns with the leader away for 6 s, whose lease
 // must end, and back at once, whose lease it ends itself. The tenth change costs no more
 // than the first, no worker loses its lease, and no long task starts again.
-func TestTenLeadersInTwoMinutes(t *testing.T) {
+func TestTenFailoversInTwoMinutes(t *testing.T) {
 	const (
 		apart  = 10 * time.Second // a lease, the claim, the records, and the next reports
 		atOnce = 5 * time.Second  // less than a lease
@@ -175,12 +175,12 @@
 // The leader, whose token is the highest that its workers have seen, ends in an outage of the
 // state service, in which nobody can draw a term. The others answer the workers with terms that
 // they had reserved, as long as they know of all cancels: no lease ends within that time.
-func TestLeaderEndsInStateOutage(t *testing.T) {
+func TestLeaderCrashDuringStateStoreOutage(t *testing.T) {
 	for _, away := range []time.Duration{300 * time.Millisecond, 3 * time.Second, time.Hour} {
 		t.Run(fmt.Sprint("away for ", away), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newChanges(t, 1450)
-				c.whole = true
+				c.losslessReports = true
 				leader := c.leader()
 				seen := c.seenHigher(leader)
 				// Some transactions are lost, and others hold some workers: they draw a higher
@@ -239,7 +239,7 @@
 // too long, no machine is returned, and no lease ends as long as a controller is there that
 // began before the outage and knows of all cancels. The ends after that cost nothing more, and
 // seconds after the outage all is as before.
-func TestTenEndsInOneOutage(t *testing.T) {
+func TestTenCrashesInOneStateStoreOutage(t *testing.T) {
 	const ends, apart = 10, 12
 	same := func(_ *changes, last string) string { return last }
 	turns := func(c *changes, last string) string {
@@ -255,7 +255,7 @@
 		t.Run(scene.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newChanges(t, 1478)
-				c.whole = true
+				c.losslessReports = true
 				leader := c.leader()
 				c.submit("j-81", 6)
 				c.submit("j-82", 6)
@@ -350,7 +350,7 @@
 	}
 	tasks := map[string]bool{}
 	for _, name := range c.names {
-		for _, v := range c.nodes[name].holder.WorkerViews() {
+		for _, v := range c.nodes[name].dispatcher.WorkerViews() {
 			for _, q := range v.Queue {
 				if full[v.Name] && strings.HasPrefix(q.Task, uid+"/") {
 					tasks[q.Task] = true
@@ -376,7 +376,7 @@
 	held := map[string]int{}
 	for _, name := range c.names {
 		for _, k := range c.workers {
-			if !c.nodes[name].down && c.nodes[name].holder.UnansweredFor(k.Name) < 2*reportEvery {
+			if !c.nodes[name].down && c.nodes[name].dispatcher.UnansweredFor(k.Name) < 2*reportEvery {
 				held[name]++
 			}
 		}
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -14,10 +14,10 @@
 
 // peer is another controller, if a message comes through to it now.
 func (n *node) peer(name string) (*node, error) {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	to := n.w.nodes[name]
-	if !n.w.reach(n, to) {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	to := n.cluster.nodes[name]
+	if !n.cluster.reach(n, to) {
 		return nil, errCut
 	}
 	return to, nil
@@ -25,12 +25,12 @@
 
 // overLink carries a request to a worker.
 func overLink[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
-	return carry(ctx, w.drawn(&w.linkDelay), w.drawn(&w.linkDelay), carryOut)
+	return carry(ctx, w.drawn(&w.messageDelay), w.drawn(&w.messageDelay), carryOut)
 }
 
 // overPeerLink carries a request to a peer.
 func overPeerLink[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
-	oneWay := func() time.Duration { return w.drawn(&w.linkDelay) + w.drawn(&w.transit) }
+	oneWay := func() time.Duration { return w.drawn(&w.messageDelay) + w.drawn(&w.transit) }
 	return carry(ctx, oneWay(), oneWay(), carryOut)
 }
 
@@ -65,14 +65,14 @@
 func (w *cluster) delayLinks(delay func() time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.linkDelay = delay
+	w.messageDelay = delay
 }
 
 // linksAreSlow reports whether messages to workers and peers take time.
 func (w *cluster) linksAreSlow() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.linkDelay != nil
+	return w.messageDelay != nil
 }
 
 // reportSlowly lets a worker report over a slow link: it has one report under way at a
@@ -104,8 +104,8 @@
 
 // ended reports whether a controller is down.
 func (n *node) ended() bool {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
 	return n.down
 }
 
@@ -114,7 +114,7 @@
 // loops do, and until it ends. Done in place, it stopped the world for as long as the
 // answers took: no worker reported meanwhile, and all leases ended for no fault.
 func (n *node) onDuty(duty string, do func(ctx context.Context)) {
-	w := n.w
+	w := n.cluster
 	if !w.linksAreSlow() {
 		do(n.ctx)
 		return
@@ -149,7 +149,7 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), publishWithin)
-		reply, err := overLink(ctx, n.w, func() (viewsync.Reply, error) { return n.w.carryViews(n, to, m) })
+		reply, err := overLink(ctx, n.cluster, func() (viewsync.Reply, error) { return n.cluster.carryViews(n, to, m) })
 		cancel()
 		if err != nil {
 			return
@@ -189,11 +189,11 @@
 // attest settles silent machines as cmd/wallrack does: one after the other the peers say
 // for how long they left a machine unanswered.
 func (n *node) attest(ctx context.Context) {
-	w := n.w
-	_, silent := n.owner.UnresponsiveWorkers(workerLease)
+	w := n.cluster
+	_, silent := n.scheduler.UnresponsiveWorkers(workerLease)
 	for i := range silent {
 		name, all := silent[i].Name, true
-		a := dispatch.NewAttestation(time.Now(), []float64{n.holder.UnansweredFor(name).Seconds()})
+		a := dispatch.NewAttestation(time.Now(), []float64{n.dispatcher.UnansweredFor(name).Seconds()})
 		for _, peer := range w.names {
 			if peer == n.name {
 				continue
@@ -204,13 +204,13 @@
 				if err != nil {
 					return 0, err
 				}
-				return to.holder.UnansweredFor(name), nil
+				return to.dispatcher.UnansweredFor(name), nil
 			})
 			cancel()
 			all = all && err == nil && a.Add([]float64{unanswered.Seconds()})
 		}
 		if all && a.LeaseExpired(0, time.Now(), attestLease.Seconds()) {
-			n.owner.LeaseAttestedExpired(name, a.Asked())
+			n.scheduler.LeaseAttestedExpired(name, a.Asked())
 		}
 	}
 }
--- a/internal/testkit/load_test.go
+++ b/internal/testkit/load_test.go
@@ -71,14 +71,14 @@
 		b.Run(fmt.Sprintf("machines=%d", c.machines), func(b *testing.B) {
 			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // as a controller has it
 			l := newLoad(b, c.machines, c.cpus, c.jobs)
-			before := l.node.owner.Counters()
+			before := l.node.scheduler.Counters()
 			b.ResetTimer()
 			i := 0
 			for ; b.Loop(); i++ {
 				l.report(b, i)
 			}
 			b.StopTimer()
-			after := l.node.owner.Counters()
+			after := l.node.scheduler.Counters()
 			if after.Granted == 0 {
 				b.Fatal("nothing was started")
 			}
@@ -105,8 +105,8 @@
 func newLoad(tb testing.TB, machines int, cpus types, jobs int) *load {
 	w := newCluster(tb, 1)
 	w.size, w.workers, w.byName = cpus, nil, map[string]*testkit.Worker{}
-	w.names, w.reliable, w.orderly = []string{"a"}, true, true
-	w.beside = func(n *node) []func(context.Context) error {
+	w.names, w.reliableStore, w.promptCommands = []string{"a"}, true, true
+	w.extraDuties = func(n *node) []func(context.Context) error {
 		return []func(context.Context) error{func(ctx context.Context) error { return w.knowCancels(ctx, n) }}
 	}
 	w.start("a")
@@ -116,7 +116,7 @@
 		tb.Fatal(err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/report", l.node.holder.ServeReport)
+	mux.HandleFunc("POST /v1/report", l.node.dispatcher.ServeReport)
 	l.server = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 15 * time.Second, WriteTimeout: 15 * time.Second}
 	l.serving.Go(func() { _ = l.server.Serve(lis) })
 	for i := range machines {
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -73,11 +73,11 @@
 		l.arm(at.name, 1)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		if err := at.owner.Hold(ctx, "j-8t", true); err == nil {
+		if err := at.scheduler.Hold(ctx, "j-8t", true); err == nil {
 			t.Error("held without an answer of the state service")
 		}
 		version := w.version("live/j-8t")
-		if err := at.owner.Hold(context.Background(), "j-8t", true); err != nil || w.version("live/j-8t") != version {
+		if err := at.scheduler.Hold(context.Background(), "j-8t", true); err != nil || w.version("live/j-8t") != version {
 			t.Errorf("the repeated change: %v, written again: %v", err, w.version("live/j-8t") != version)
 		}
 		w.live(3)
@@ -86,7 +86,7 @@
 		if n := w.onMachines("j-8t"); n > held {
 			t.Errorf("%d tasks of a held job are on, %d before", n, held)
 		}
-		if err := at.owner.Hold(context.Background(), "j-8t", false); err != nil {
+		if err := at.scheduler.Hold(context.Background(), "j-8t", false); err != nil {
 			t.Error(err)
 		}
 		w.user(at.name, http.MethodPost, "j-8t")
@@ -119,7 +119,7 @@
 			t.Error("the job did not end")
 		}
 		w.live(4)
-		if q := w.nodes[at].owner.QueueDepths(); q["jobs"] != 1 { // the long one
+		if q := w.nodes[at].scheduler.QueueDepths(); q["jobs"] != 1 { // the long one
 			t.Errorf("the owner has %d jobs", q["jobs"])
 		}
 	}},
--- a/internal/testkit/lost_answers_test.go
+++ b/internal/testkit/lost_answers_test.go
@@ -43,7 +43,7 @@
 // watched connects a controller's view of the store to the cluster's troubles that
 // concern chosen keys.
 func (w *cluster) watched(n *node) {
-	if w.reliable {
+	if w.reliableStore {
 		n.view.Lose, n.view.Late = nil, nil
 	}
 	n.view.LoseAnswer = func(t wire.Txn, version uint64) bool {
@@ -59,7 +59,7 @@
 		}
 		return w.delay(n, t)
 	}
-	n.view.Seen = func(key string, version uint64) {
+	n.view.OnRead = func(key string, version uint64) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.seen != nil {
@@ -256,7 +256,7 @@
 		w := newCluster(t, seed)
 		w.bigger(3, 8)
 		w.long()
-		w.accounts, w.whole, w.reliable, w.keepCuts = !c.plain, true, true, true
+		w.accounts, w.losslessReports, w.reliableStore, w.keepCuts = !c.plain, true, true, true
 		l := &answerLoss{w: w, prefix: c.prefix}
 		begin(w, l)
 		for _, n := range w.names {
@@ -319,10 +319,10 @@
 	}
 }
 
-// TestLostAnswerOfAnAppliedWrite loses the answer of a write that was applied, while
+// TestLostResponseOfAppliedWrite loses the answer of a write that was applied, while
 // other controllers read what it wrote: its writer says and does nothing that
 // contradicts them, and recognises its own first try.
-func TestLostAnswerOfAnAppliedWrite(t *testing.T) {
+func TestLostResponseOfAppliedWrite(t *testing.T) {
 	for i := range lostAnswerCases {
 		c := &lostAnswerCases[i]
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -16,57 +16,59 @@
 	if seen := n.linksSeen(); v.Asked && seen.SharesWorkers() {
 		v.Holder = n.LeaderFor(v.Name)
 	}
-	n.owner.ObserveWorker(v)
+	n.scheduler.ObserveWorker(v)
 }
 
-func (n *node) GrantLocal(r dispatch.GrantRequest) dispatch.GrantReply { return n.owner.GrantLocal(r) }
+func (n *node) GrantLocal(r dispatch.GrantRequest) dispatch.GrantReply {
+	return n.scheduler.GrantLocal(r)
+}
 func (n *node) GrantRemote(ctx context.Context, at string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
-	return overPeerLink(ctx, n.w, func() ([]dispatch.GrantReply, error) {
+	return overPeerLink(ctx, n.cluster, func() ([]dispatch.GrantReply, error) {
 		to, err := n.peer(at)
 		if err != nil {
 			return nil, err
 		}
-		return to.owner.GrantAll(requests), nil
+		return to.scheduler.GrantAll(requests), nil
 	})
 }
 
 func (n *node) SendInstructions(ctx context.Context, holder string, d dispatch.Instructions) (dispatch.Unlaunched, error) {
-	if n.w.directed != nil {
-		n.w.directed(d)
+	if n.cluster.onInstructions != nil {
+		n.cluster.onInstructions(d)
 	}
 	if holder == n.name {
-		return n.holder.ApplyInstructions(d), nil
+		return n.dispatcher.ApplyInstructions(d), nil
 	}
-	return overPeerLink(ctx, n.w, func() (dispatch.Unlaunched, error) {
+	return overPeerLink(ctx, n.cluster, func() (dispatch.Unlaunched, error) {
 		to, err := n.peer(holder)
 		if err != nil {
 			return dispatch.Unlaunched{}, err
 		}
-		return to.holder.ApplyInstructions(d), nil
+		return to.dispatcher.ApplyInstructions(d), nil
 	})
 }
 
 // SendCommands sends a direct order; some arrive, but the answer is lost, and some
 // arrive minutes late.
 func (n *node) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
-	if d := n.w.drawn(&n.w.connecting); d > 0 {
+	if d := n.cluster.drawn(&n.cluster.connecting); d > 0 {
 		time.Sleep(d)
 	}
 	if err := valid(); err != nil {
-		n.w.mu.Lock()
-		n.w.outdated++
-		n.w.mu.Unlock()
+		n.cluster.mu.Lock()
+		n.cluster.outdatedCommands++
+		n.cluster.mu.Unlock()
 		return nil, false, err
 	}
-	if n.w.ordering != nil {
-		n.w.ordering(endpoint, o)
+	if n.cluster.onCommands != nil {
+		n.cluster.onCommands(endpoint, o)
 	}
 	type outcome struct {
 		report   *wire.Report
 		executed bool
 	}
 	sent := time.Now() // a slow link has it arrive later
-	a, err := overLink(ctx, n.w, func() (a outcome, err error) {
+	a, err := overLink(ctx, n.cluster, func() (a outcome, err error) {
 		a.report, a.executed, err = n.order(endpoint, o, sent)
 		return a, err
 	})
@@ -74,38 +76,38 @@
 }
 
 func (n *node) order(endpoint string, o wire.Orders, sent time.Time) (*wire.Report, bool, error) {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	worker := n.w.byName[endpoint]
-	if worker == nil || !n.w.works(n.name, endpoint) {
-		if worker != nil && n.w.rnd.IntN(2) == 0 {
-			n.w.holdBack(n, worker, o, sent)
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	worker := n.cluster.byName[endpoint]
+	if worker == nil || !n.cluster.works(n.name, endpoint) {
+		if worker != nil && n.cluster.rnd.IntN(2) == 0 {
+			n.cluster.holdBack(n, worker, o, sent)
 		}
 		return nil, false, errCut
 	}
 	if worker.Hangs() {
-		n.w.checks.sent(n, sent)
+		n.cluster.checks.sent(n, sent)
 		worker.Orders(o) // carried out when it continues
 		return nil, false, errCut
 	}
-	if held := n.w.holding; held != nil && held() {
-		n.w.holdBack(n, worker, o, sent)
+	if held := n.cluster.holdsCommand; held != nil && held() {
+		n.cluster.holdBack(n, worker, o, sent)
 		return nil, false, errCut
 	}
-	draw := n.w.rnd.IntN(12)
-	if n.w.orderly {
+	draw := n.cluster.rnd.IntN(12)
+	if n.cluster.promptCommands {
 		draw = -1
 	}
 	switch draw {
 	case 0:
-		n.w.holdBack(n, worker, o, sent)
+		n.cluster.holdBack(n, worker, o, sent)
 		return nil, false, errCut
 	case 1:
-		n.w.checks.sent(n, sent)
+		n.cluster.checks.sent(n, sent)
 		worker.Orders(o)
 		return nil, false, errCut
 	}
-	n.w.checks.sent(n, sent)
+	n.cluster.checks.sent(n, sent)
 	executed := worker.Orders(o)
 	r := worker.Report()
 	r.Endpoint = endpoint
@@ -134,11 +136,11 @@
 
 // FetchReport asks a worker for its report.
 func (n *node) FetchReport(ctx context.Context, endpoint string) (*wire.Report, error) {
-	return overLink(ctx, n.w, func() (*wire.Report, error) {
-		n.w.mu.Lock()
-		defer n.w.mu.Unlock()
-		worker := n.w.byName[endpoint]
-		if worker == nil || worker.Hangs() || !n.w.works(n.name, endpoint) {
+	return overLink(ctx, n.cluster, func() (*wire.Report, error) {
+		n.cluster.mu.Lock()
+		defer n.cluster.mu.Unlock()
+		worker := n.cluster.byName[endpoint]
+		if worker == nil || worker.Hangs() || !n.cluster.works(n.name, endpoint) {
 			return nil, errCut
 		}
 		r := worker.Report()
--- a/internal/testkit/cuts_test.go
+++ b/internal/testkit/partitions_test.go
@@ -28,7 +28,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, o := range others {
-		w.off[[2]string{one, o}], w.off[[2]string{o, one}] = true, true
+		w.brokenLinks[[2]string{one, o}], w.brokenLinks[[2]string{o, one}] = true, true
 	}
 }
 
@@ -53,10 +53,10 @@
 	}
 }
 
-// TestEveryCut is the table of docs/partitions.md: each cut, at the owner or at
+// TestEachPartitionRestartsWorkInTime is the table of docs/partitions.md: each cut, at the owner or at
 // another controller, with the time from the cut to the next start and the machines
 // that may be returned (none).
-func TestEveryCut(t *testing.T) {
+func TestEachPartitionRestartsWorkInTime(t *testing.T) {
 	type cut struct {
 		name  string
 		make  func(w *cluster, owner string, others []string)
@@ -77,7 +77,7 @@
 		{"another loses the workers", func(w *cluster, _ string, x []string) { w.cutAll(x[0], w.workerNames()...) }, calm, 0},
 		{"the owner loses its peers", func(w *cluster, o string, x []string) { w.cutAll(o, x...) }, calm, 0},
 		{"peers refuse each other", func(w *cluster, _ string, _ []string) { peers(w) }, calm, 0},
-		{"the owner reaches a peer, and is not reached by it", func(w *cluster, o string, x []string) { w.off[[2]string{x[0], o}] = true }, calm, 0},
+		{"the owner reaches a peer, and is not reached by it", func(w *cluster, o string, x []string) { w.brokenLinks[[2]string{x[0], o}] = true }, calm, 0},
 		{"the owner loses state service and workers", func(w *cluster, o string, _ []string) { w.cutAll(o, append(w.workerNames(), stateService)...) }, 7 * time.Second, 1},
 		{"the owner loses state service and peers", func(w *cluster, o string, x []string) { w.cutAll(o, append(slices.Clone(x), stateService)...) }, 7 * time.Second, 1},
 		{"the owner loses everything", func(w *cluster, o string, x []string) {
@@ -117,8 +117,8 @@
 					if longest > c.bound {
 						t.Errorf("%v without a start, not %v", longest, c.bound)
 					}
-					if w.back > 0 {
-						t.Errorf("%d machines were returned", w.back)
+					if w.returnedMachines > 0 {
+						t.Errorf("%d machines were returned", w.returnedMachines)
 					}
 					moves := 0
 					for _, n := range w.nodes {
@@ -129,8 +129,8 @@
 					}
 					w.healed()
 					live(30)
-					if time.Since(w.lastStart()) > 3*time.Second || w.back > 0 {
-						t.Errorf("after the healing: last start %v ago, %d machines returned", time.Since(w.lastStart()), w.back)
+					if time.Since(w.lastStart()) > 3*time.Second || w.returnedMachines > 0 {
+						t.Errorf("after the healing: last start %v ago, %d machines returned", time.Since(w.lastStart()), w.returnedMachines)
 					}
 					w.stopAll()
 				})
@@ -141,7 +141,7 @@
 
 // poll asks a controller for a job as its users' interface does.
 func (w *cluster) poll(n *node, uid string) (wire.JobState, bool) {
-	if s, ok := n.owner.LocalState(uid); ok {
+	if s, ok := n.scheduler.LocalState(uid); ok {
 		return s, true
 	}
 	for _, o := range n.member.ShardOwners() {
@@ -150,7 +150,7 @@
 		ok := w.reach(n, to)
 		w.mu.Unlock()
 		if ok && to != n {
-			if s, known := to.owner.LocalState(uid); known {
+			if s, known := to.scheduler.LocalState(uid); known {
 				return s, true
 			}
 		}
@@ -159,11 +159,11 @@
 	return s, err == nil
 }
 
-// TestAnyCuts draws schedules of cuts, crashes, dying machines, machines that nothing
+// TestDrawnPartitionsBreakNoRule draws schedules of cuts, crashes, dying machines, machines that nothing
 // reaches, late copies of reports and returns within a fraction of a second: a task is
 // never on two machines, none that is heard and reached is returned, every job is known
 // to everybody 20 s after the last trouble, and every job ends.
-func TestAnyCuts(t *testing.T) {
+func TestDrawnPartitionsBreakNoRule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type step struct{ What, Who, Other, Wait int }
 		steps := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
@@ -192,7 +192,7 @@
 					w.cutAll(name, k.Name)
 				case 3:
 					w.mu.Lock()
-					w.off[[2]string{name, other}] = true
+					w.brokenLinks[[2]string{name, other}] = true
 					w.mu.Unlock()
 				case 4:
 					w.restart(name, 0)
@@ -235,10 +235,10 @@
 					}
 				}
 			}
-			for end := time.Now().Add(10 * time.Minute); w.wrong == "" && len(w.store.Keys("final/")) < jobs && time.Now().Before(end); {
+			for end := time.Now().Add(10 * time.Minute); w.violation == "" && len(w.store.Keys("final/")) < jobs && time.Now().Before(end); {
 				live(1)
 			}
-			if n := len(w.store.Keys("final/")); n < jobs && w.wrong == "" {
+			if n := len(w.store.Keys("final/")); n < jobs && w.violation == "" {
 				w.fail("%d of %d jobs ended", n, jobs)
 			}
 		})
--- a/internal/testkit/new_machines_test.go
+++ b/internal/testkit/provisioning_test.go
@@ -40,7 +40,7 @@
 // long before the cloud lists them, while every second of the leader's records of their
 // tasks is carried out late; then it ends. Its successor knows them by their reports alone: no task is on two
 // machines, no hire is rented that was not recorded, and all machines are returned.
-func TestLeaderEndsWhileNewMachinesAreUnanswered(t *testing.T) {
+func TestFailoverDuringUnansweredProvision(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -115,7 +115,7 @@
 
 // A hire's record is written, and its writer has no answer. It asks the cloud under that
 // name once it knows, and rents nothing beside it.
-func TestHireWithoutAnswerToItsRecordIsRentedOnce(t *testing.T) {
+func TestProvisionWithUnansweredRecordRentsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRentedCluster(t, 1)
 		c.begin()
@@ -135,7 +135,7 @@
 // The writer of a hire's record ends before it has the answer, and asked the cloud for
 // nothing. A leader that comes soon reads the record and asks under its name, once; one
 // that comes late drops it, and rents for the work that there is then.
-func TestRecordedHireOfALeaderThatEnded(t *testing.T) {
+func TestRecordedProvisionAfterFailover(t *testing.T) {
 	for _, away := range []time.Duration{0, 45 * time.Second} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -172,7 +172,7 @@
 // A hire's record is carried out late, when its writer had recorded it again and rented the
 // machines. While the second record is kept, the first is refused; afterwards it is written,
 // and no later leader rents for it.
-func TestRecordOfAHireCarriedOutLateRentsNothing(t *testing.T) {
+func TestLateProvisionRecordRentsNothing(t *testing.T) {
 	for by, want := range map[time.Duration]int{8 * time.Second: 0, 25 * time.Second: 1} {
 		t.Run(fmt.Sprint(by), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -232,7 +232,7 @@
 // Machines boot when the leader of the fleet ends, or hands its work over. Its successor
 // knows them by the records of their hires alone, or by a list that takes a while to come:
 // it counts on them and rents nothing beside them.
-func TestMachinesThatBootAtAHandOverAreRentedOnce(t *testing.T) {
+func TestMachinesBootingDuringFailoverAreRentedOnce(t *testing.T) {
 	for _, scene := range []bootingAtHandOver{
 		{name: "unlisted, crash", crashes: true},
 		{name: "unlisted, hand-over"},
--- a/internal/testkit/lent_limits_test.go
+++ b/internal/testkit/quota_leases_test.go
@@ -18,7 +18,7 @@
 func onLentCluster(t *testing.T, seed uint64, play func(c *teamCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, seed)
-		w.spread = 2
+		w.leaderCount = 2
 		w.cfg.Params.Teams = limitedTeams
 		defer func() {
 			w.stopAll()
@@ -143,10 +143,10 @@
 
 // A limited team's work is at one owner, then at the other: each time the whole limit is
 // there within two seconds, and in use soon after. No message is lost.
-func TestPartsOfALimitFollowTheWork(t *testing.T) {
+func TestQuotaLeasesFollowDemand(t *testing.T) {
 	onLentCluster(t, 5001, func(c *teamCluster) {
 		c.mu.Lock()
-		c.reliable, c.whole, c.orderly = true, true, true
+		c.reliableStore, c.losslessReports, c.promptCommands = true, true, true
 		c.mu.Unlock()
 		owners := c.twoOwners()
 		c.live(5)
@@ -169,7 +169,7 @@
 // hands its shards over, or is cut off from all or from the state service alone, or when
 // both end, and jobs are cancelled at the same time. No limit is exceeded, what was cancelled
 // is gone in time, the other work ends, and nothing waits beside room in the end.
-func TestLentLimitsHoldWhenAnOwnerFails(t *testing.T) {
+func TestQuotaLeasesHoldWhenALeaderFails(t *testing.T) {
 	changes := []struct {
 		name string
 		make func(c *teamCluster, owner, other string)
@@ -214,7 +214,7 @@
 // An owner's writes of the records are held up on their way, as of a process that stood
 // still: it loses its shards meanwhile, and they arrive when its successor lends already.
 // Whatever comes of them, no limit is exceeded, and the work ends.
-func TestWritesOfLentLimitsThatComeAfterASuccessor(t *testing.T) {
+func TestLateQuotaLeaseWritesAfterFailover(t *testing.T) {
 	for seed, by := range []time.Duration{3 * time.Second, 9 * time.Second, 20 * time.Second} {
 		t.Run(fmt.Sprint(by), func(t *testing.T) {
 			bothAtWork(t, uint64(5300+seed), func(c *teamCluster, owners, jobs, long []string) {
@@ -254,7 +254,7 @@
 	c.t.Helper()
 	c.stopAll()
 	time.Sleep(5500 * time.Millisecond) // workers' leases last longer: what runs goes on
-	c.spread = spread
+	c.leaderCount = spread
 	c.start(c.names[0])
 	time.Sleep(1500 * time.Millisecond)
 	c.startAll()
@@ -268,7 +268,7 @@
 // alone; under it that work is cancelled, and all of the limit used in another shard, of
 // which no record of lent limits tells. With two owners again, work for the first shard
 // must not start with the part that the record has.
-func TestWorkThatOneOwnerStartedCountsWhenLimitsAreLentAgain(t *testing.T) {
+func TestUnleasedUseCountsWhenQuotaIsLeasedAgain(t *testing.T) {
 	onLentCluster(t, 5500, func(c *teamCluster) {
 		c.twoOwners()
 		c.live(5)
@@ -287,7 +287,7 @@
 		if !c.within(60, uses(under)) {
 			c.t.Fatalf("%s has %d tasks on", under, c.onMachines(under))
 		}
-		c.spread = 2 // of who accepts the next job, already
+		c.leaderCount = 2 // of who accepts the next job, already
 		after := c.jobIn(first, 1000, "capped", "normal", 8, 1)
 		c.restartAllWith(2)
 		c.live(30)
@@ -302,7 +302,7 @@
 // All controllers stop until their leases have ended, and start again with one owner, and
 // then with two, while tasks of limited teams run for long in all shards: what the one owner started is in no record of
 // lent limits, and counts all the same.
-func TestLimitsHoldWhenOwnersBecomeOneAndSeveral(t *testing.T) {
+func TestQuotaHoldsWhenLeaderCountChanges(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			bothAtWork(t, 5400+seed, func(c *teamCluster, owners, jobs, long []string) {
@@ -333,7 +333,7 @@
 
 // Under drawn troubles, with lost, late and repeated writes, no limit that is lent is
 // exceeded, and all work ends.
-func TestLentLimitsUnderTroubles(t *testing.T) {
+func TestQuotaLeasesUnderDrawnFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			onLentCluster(t, 5200+seed, func(c *teamCluster) {
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -19,7 +19,7 @@
 
 // works reports whether the link from one party to another works: between
 // controllers, to the state service, and between workers and controllers.
-func (w *cluster) works(from, to string) bool { return !w.off[[2]string{from, to}] }
+func (w *cluster) works(from, to string) bool { return !w.brokenLinks[[2]string{from, to}] }
 
 // stored reports whether a controller's requests reach the state service, straight
 // or by a peer that passes them on.
@@ -56,7 +56,7 @@
 
 // peers names the other controllers.
 func (r *reach) peers() (peers []string) {
-	for _, name := range r.node.w.names {
+	for _, name := range r.node.cluster.names {
 		if name != r.node.name {
 			peers = append(peers, name)
 		}
@@ -76,7 +76,7 @@
 func (r *reach) row(state bool) reachability.NodeStatus {
 	n, now := r.node, time.Now()
 	r.seq++
-	reports, machines := n.holder.RecentHeartbeats()
+	reports, machines := n.dispatcher.RecentHeartbeats()
 	row := reachability.NodeStatus{Node: n.name, StartedMs: r.born, Seq: r.seq, StoreReachable: state, LeaseHeld: n.member.LeaseRemaining() > 0, OwnsJobs: len(n.member.OwnedShards()) > 0,
 		Heartbeats: reports, ExpectedHeartbeats: float64(machines) / reportEvery.Seconds() * dispatch.HeartbeatWindow.Seconds(), UnreachedPeers: r.table.UnreachedPeers(now)}
 	if o := n.member.ShardOwners(); len(o) > 0 {
@@ -84,7 +84,7 @@
 	}
 	row.Assignments, row.WorkerCapacity, row.WorkerCount = r.seats, r.room, r.here
 	if len(row.UnreachedPeers) > 0 || r.table.UnreachedByPeers(now) {
-		row.HeardWorkers = reachability.NewNameSet(n.holder.WorkersHeardWithin(workerLease), 4096)
+		row.HeardWorkers = reachability.NewNameSet(n.dispatcher.WorkersHeardWithin(workerLease), 4096)
 	}
 	return row
 }
@@ -98,8 +98,8 @@
 
 // linksSeen is the view of the links as of the last exchange.
 func (n *node) linksSeen() reachability.View {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
 	return n.reach.last
 }
 
@@ -113,7 +113,7 @@
 }
 
 func (n *node) MayAnswerWorkers() bool {
-	return n.member.FencingToken() > 0 && time.Since(n.reg.KnownUntil()) < testGrace
+	return n.member.FencingToken() > 0 && time.Since(n.cancellations.KnownUntil()) < testGrace
 }
 
 func (n *node) Isolated() bool {
@@ -183,8 +183,8 @@
 
 // seat shares out the workers as cmd/wallrack does, by the room that the test sets.
 func (r *reach) seat(now time.Time, v *reachability.View) {
-	room := r.node.w.rooms[r.node.name]
-	here := r.node.holder.CountReporting(5 * reportEvery / 2)
+	room := r.node.cluster.connectionLimits[r.node.name]
+	here := r.node.dispatcher.CountReporting(5 * reportEvery / 2)
 	r.seats = r.plan.Plan(now, v, here, room, reportEvery)
 	r.room, r.here = 0, 0
 	if v.Self.Assignments = r.seats; v.SharesWorkers() {
@@ -197,7 +197,7 @@
 // controller heard a moment ago must not be among them.
 func (w *cluster) judge(n *node, v *reachability.View) {
 	r := &n.reach
-	known, silent := n.owner.UnresponsiveWorkers(r.silence.Threshold())
+	known, silent := n.scheduler.UnresponsiveWorkers(r.silence.Threshold())
 	r.silenceMu.Lock()
 	verdict := r.silence.Evaluate(time.Now(), v, reachability.ReceiveHealth{}, known, silent)
 	r.silenceMu.Unlock()
@@ -205,7 +205,7 @@
 		n.onDuty("silence of "+name, func(ctx context.Context) {
 			heard := n.lives(ctx, m)
 			if heard && m.OutboundLost {
-				n.owner.WorkerAnswered(name)
+				n.scheduler.WorkerAnswered(name)
 			}
 			r.silenceMu.Lock()
 			defer r.silenceMu.Unlock()
@@ -214,11 +214,11 @@
 	}
 	for name, why := range verdict.Return {
 		w.mu.Lock()
-		h, k := w.heard[name], w.byName[name]
+		h, k := w.lastHeartbeats[name], w.byName[name]
 		if at := h.last; k != nil && time.Since(at) < 3*reportEvery && time.Since(h.since) > surely {
 			seen := ""
 			for _, x := range w.names {
-				seen += fmt.Sprintf(" %s %v", x, w.nodes[x].holder.SinceHeartbeat(name))
+				seen += fmt.Sprintf(" %s %v", x, w.nodes[x].dispatcher.SinceHeartbeat(name))
 			}
 			w.fail("%s gives %s back (%s), which was heard %v ago (by%s), asked now: %v; %+v", n.name, name, why, time.Since(h.last), seen, verdict.Probe[name], v)
 		}
@@ -227,17 +227,17 @@
 			w.workers = slices.Delete(w.workers, i, i+1)
 		}
 		if k != nil { // else another owner returned it, and it was replaced
-			w.back++
-			k.Started, k.Forgot = nil, nil // what is still sent to it does nothing
-			fresh := testkit.NewWorker(fmt.Sprintf("r-%d", w.back), workerLease, k.Run)
+			w.returnedMachines++
+			k.Started, k.OnForget = nil, nil // what is still sent to it does nothing
+			fresh := testkit.NewWorker(fmt.Sprintf("r-%d", w.returnedMachines), workerLease, k.Run)
 			fresh.Exit, fresh.Zone = k.Exit, k.Zone
-			w.join(fresh, w.back)
+			w.join(fresh, w.returnedMachines)
 		}
 		w.mu.Unlock()
 		for _, x := range w.nodes {
 			if !x.down {
-				x.holder.RemoveWorker(name)
-				x.owner.WorkerGone(name)
+				x.dispatcher.RemoveWorker(name)
+				x.scheduler.WorkerGone(name)
 			}
 		}
 	}
@@ -245,30 +245,30 @@
 
 // lives asks a machine, and has all peers ask it, whether it lives.
 func (n *node) lives(ctx context.Context, m reachability.UnresponsiveWorker) bool {
-	w := n.w
-	heard := m.Endpoint != "" && n.holder.FetchReport(ctx, m.Name, m.Endpoint)
+	w := n.cluster
+	heard := m.Endpoint != "" && n.dispatcher.FetchReport(ctx, m.Name, m.Endpoint)
 	for _, p := range w.names { // and its peers are asked whether they hear it
 		w.mu.Lock()
 		to := w.nodes[p]
 		ok := to != n && w.reach(n, to)
 		w.mu.Unlock()
-		heard = heard || ok && (!m.OutboundLost && to.holder.SinceHeartbeat(m.Name) < n.reach.silence.Base || m.Endpoint != "" && to.holder.FetchReport(ctx, m.Name, m.Endpoint))
+		heard = heard || ok && (!m.OutboundLost && to.dispatcher.SinceHeartbeat(m.Name) < n.reach.silence.Base || m.Endpoint != "" && to.dispatcher.FetchReport(ctx, m.Name, m.Endpoint))
 	}
 	return heard
 }
 
-// hearing is since when, without a longer gap, and when last a worker was heard.
-type hearing struct{ since, last time.Time }
+// heartbeatTime is since when, without a longer gap, and when last a worker was heard.
+type heartbeatTime struct{ since, last time.Time }
 
 // surely is how long a machine must have been heard so that its return is wrong: one
 // whose links have just healed may have been asked a moment before.
 const surely = 5 * time.Second
 
 func (w *cluster) hear(name string) {
-	h := w.heard[name]
+	h := w.lastHeartbeats[name]
 	if time.Since(h.last) > 3*reportEvery {
 		h.since = time.Now()
 	}
 	h.last = time.Now()
-	w.heard[name] = h
+	w.lastHeartbeats[name] = h
 }
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -21,24 +21,24 @@
 	}
 	rep := k.Report()
 	rep.Endpoint = k.Name
-	n := w.nodes[w.names[w.at[k]%len(w.names)]]
+	n := w.nodes[w.names[w.dispatcherOf[k]%len(w.names)]]
 	sent := time.Now()
-	next := !w.whole && w.rnd.IntN(30) == 0 || n.down || !w.works(k.Name, n.name) // a lost report: the worker tries the next one
+	next := !w.losslessReports && w.rnd.IntN(30) == 0 || n.down || !w.works(k.Name, n.name) // a lost report: the worker tries the next one
 	w.mu.Unlock()
 	if next {
 		w.mu.Lock()
-		w.at[k]++
+		w.dispatcherOf[k]++
 		w.mu.Unlock()
 		return
 	}
 	w.travel()
 	if n.ended() { // while the report was on its way
 		w.mu.Lock()
-		w.at[k]++
+		w.dispatcherOf[k]++
 		w.mu.Unlock()
 		return
 	}
-	status, body := n.holder.HandleReport(context.Background(), rep)
+	status, body := n.dispatcher.HandleReport(context.Background(), rep)
 	answered := time.Now()
 	w.travel()
 	w.mu.Lock()
@@ -50,10 +50,10 @@
 		w.copies = w.copies[keptCopies/2:]
 	}
 	if !w.works(n.name, k.Name) {
-		w.at[k]++
+		w.dispatcherOf[k]++
 		return
 	}
-	if !w.whole && w.rnd.IntN(30) == 0 {
+	if !w.losslessReports && w.rnd.IntN(30) == 0 {
 		return // the answer is lost
 	}
 	switch a := body.(type) {
@@ -61,15 +61,15 @@
 		w.checks.sent(n, answered)
 		k.Answer(sent, rep.Session, a)
 	case wire.Redirect:
-		w.at[k]++
+		w.dispatcherOf[k]++
 		for i, x := range w.names {
 			if x == a.ReportTo {
-				w.at[k] = i
+				w.dispatcherOf[k] = i
 			}
 		}
 	default:
 		if status != http.StatusOK {
-			w.at[k]++
+			w.dispatcherOf[k]++
 		}
 	}
 }
@@ -85,7 +85,7 @@
 			if job := w.specs[uid]; job != nil {
 				use[job.Team] += job.CPUs
 			}
-			if at, cancelled := w.cancels[uid]; cancelled && time.Since(at).Seconds() > w.cfg.Params.Workers.CancelS {
+			if at, cancelled := w.confirmedCancels[uid]; cancelled && time.Since(at).Seconds() > w.cfg.Params.Workers.CancelS {
 				w.fail("%s is on %s %v after its user heard that it is cancelled", task, k.Name, time.Since(at))
 			}
 			if other, twice := on[task]; twice {
@@ -113,7 +113,7 @@
 	for _, rep := range late[:len(late)/2] {
 		again := *rep
 		again.Tasks = slices.Clone(rep.Tasks)
-		to.holder.HandleReport(context.Background(), &again) // whatever is answered reaches nobody
+		to.dispatcher.HandleReport(context.Background(), &again) // whatever is answered reaches nobody
 		w.check()
 	}
 }
@@ -147,7 +147,7 @@
 	for _, n := range nodes {
 		if len(n.member.OwnedShards()) > 0 {
 			if !w.unlisted {
-				n.onDuty("probe", func(ctx context.Context) { n.holder.PollReports(ctx, unheard, 3*reportEvery) })
+				n.onDuty("probe", func(ctx context.Context) { n.dispatcher.PollReports(ctx, unheard, 3*reportEvery) })
 			}
 			n.onDuty("leases", n.askExpiring)
 		}
--- a/internal/testkit/slow_links_test.go
+++ b/internal/testkit/slow_links_test.go
@@ -20,7 +20,7 @@
 // ends. Urgent jobs begin soon all the same, the machines are in use and keep their leases,
 // nobody forgets the other jobs, and when the links are quick again nothing waits beside
 // room.
-func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
+func TestOverloadOverSlowLinks(t *testing.T) {
 	const (
 		overload    = 150              // seconds for which there is more work than room
 		standStill  = 5 * time.Second  // by which they may take longer, while the leader ends
--- a/internal/testkit/old_reports_test.go
+++ b/internal/testkit/stale_heartbeats_test.go
@@ -28,7 +28,7 @@
 			for _, rep := range reports {
 				again := *rep
 				again.Tasks = slices.Clone(rep.Tasks)
-				status, _ := n.holder.HandleReport(context.Background(), &again)
+				status, _ := n.dispatcher.HandleReport(context.Background(), &again)
 				mu.Lock()
 				if status == 200 {
 					taken++
@@ -50,7 +50,7 @@
 	rep.Endpoint = k.Name
 	sent := time.Now()
 	w.mu.Unlock()
-	_, body := w.nodes[name].holder.HandleReport(context.Background(), rep)
+	_, body := w.nodes[name].dispatcher.HandleReport(context.Background(), rep)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a, ok := body.(wire.ReportAnswer); ok {
@@ -62,14 +62,14 @@
 // A report of a worker's session that is over is held back until the next leader has
 // read the records, and arrives there before anything newer. What it says of an attempt
 // must hold for ever: the attempt must not have been started anew in a later session.
-func TestHeldReportOfAnEarlierSessionMovesNothing(t *testing.T) {
+func TestDelayedHeartbeatOfEarlierSessionChangesNothing(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		t.Run(fmt.Sprintf("attempt ended in it: %v", ended), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, 1)
 				w.bigger(3, 2)
 				w.workers = w.workers[:2]
-				w.whole, w.keepCuts = true, true
+				w.losslessReports, w.keepCuts = true, true
 				k, other := w.workers[0], w.workers[1]
 				runs := 0
 				for _, x := range w.workers {
@@ -132,7 +132,7 @@
 				if next == "" {
 					t.Fatal("no new leader")
 				}
-				if took, _, _ := w.nodes[next].owner.FailoverProgress(); took == 0 {
+				if took, _, _ := w.nodes[next].scheduler.FailoverProgress(); took == 0 {
 					t.Fatal("the new leader has not read the records")
 				}
 				if w.deliver(append([]*wire.Report{held}, copies...), w.names...) == 0 {
@@ -159,7 +159,7 @@
 // next returns the controller that has read the records since, or nil.
 func (w *cluster) next(before map[string]jobstate.Stats) *node {
 	for _, name := range w.names {
-		if n := w.nodes[name]; !n.down && len(n.member.OwnedShards()) > 0 && n.owner.Counters().Failovers > before[name].Failovers {
+		if n := w.nodes[name]; !n.down && len(n.member.OwnedShards()) > 0 && n.scheduler.Counters().Failovers > before[name].Failovers {
 			return n
 		}
 	}
@@ -178,7 +178,7 @@
 	if n == nil {
 		return 0, 0
 	}
-	_, recorded, unheard = n.owner.FailoverProgress()
+	_, recorded, unheard = n.scheduler.FailoverProgress()
 	return recorded, unheard
 }
 
@@ -200,14 +200,14 @@
 	}, func(int) int { return 2 }},
 	{"first grants made", func(w *cluster, before map[string]jobstate.Stats) bool {
 		n := w.next(before)
-		return n != nil && n.owner.Counters().Granted > before[n.name].Granted
+		return n != nil && n.scheduler.Counters().Granted > before[n.name].Granted
 	}, func(int) int { return 4 }},
 }
 
 // Reports of earlier leaders, sessions and attempts, among them some that never arrived,
 // reach all controllers within a moment at each stage of a take-over, and once more a
 // lease later: none starts, ends, settles, renews or clears anything that is newer.
-func TestOldReportsAtEachStageOfATakeover(t *testing.T) {
+func TestStaleHeartbeatsAtEachStageOfFailover(t *testing.T) {
 	for _, s := range stages {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%s, %d", s.name, seed), func(t *testing.T) {
@@ -262,11 +262,11 @@
 	before := map[string]jobstate.Stats{}
 	first := w.leader()
 	for _, name := range w.names {
-		before[name] = w.nodes[name].owner.Counters()
+		before[name] = w.nodes[name].scheduler.Counters()
 	}
 	before[first] = jobstate.Stats{}
 	w.mu.Lock()
-	w.slow = func() time.Duration { return 100 * time.Millisecond }
+	w.storeLatency = func() time.Duration { return 100 * time.Millisecond }
 	w.mu.Unlock()
 	w.restart(first, 200*time.Millisecond)
 	waited := 0
@@ -310,7 +310,7 @@
 	}
 	w.deliver(old, w.names...)
 	w.mu.Lock()
-	w.slow = nil
+	w.storeLatency = nil
 	w.mu.Unlock()
 	w.live(4)
 	if again > 0 {
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -50,22 +50,22 @@
 
 // AskPeer hands a user's request to a peer.
 func (n *node) AskPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
-	return overPeerLink(ctx, n.w, func() (*submission.Reply, error) {
+	return overPeerLink(ctx, n.cluster, func() (*submission.Reply, error) {
 		to, err := n.peer(peer)
 		if err != nil {
 			return nil, err
 		}
-		rep := to.intake.Serve(ctx, r)
+		rep := to.submission.Serve(ctx, r)
 		return &rep, nil
 	})
 }
 
 // tellCancels has a controller and a peer tell each other of cancels.
 func (w *cluster) tellCancels(n, to *node) {
-	m := n.reg.MessageFor(to.name)
-	err := to.reg.HandleMessage(n.name, &m)
-	rep := to.reg.MessageFor(n.name)
-	if err = errors.Join(err, n.reg.HandleMessage(to.name, &rep)); err != nil {
+	m := n.cancellations.MessageFor(to.name)
+	err := to.cancellations.HandleMessage(n.name, &m)
+	rep := to.cancellations.MessageFor(n.name)
+	if err = errors.Join(err, n.cancellations.HandleMessage(to.name, &rep)); err != nil {
 		w.fail("%v", err)
 	}
 }
@@ -74,7 +74,7 @@
 func (w *cluster) watchCancels(living []*node) {
 	const unheard = 2500 * time.Millisecond
 	for _, n := range living {
-		for _, p := range n.reg.StalePeers(unheard) {
+		for _, p := range n.cancellations.StalePeers(unheard) {
 			w.mu.Lock()
 			to := w.nodes[p]
 			ok := w.reach(n, to)
@@ -83,10 +83,10 @@
 				w.tellCancels(n, to)
 			}
 		}
-		if n.reg.NeedsStoreRead(unheard) {
+		if n.cancellations.NeedsStoreRead(unheard) {
 			sent := time.Now()
 			if uids, err := scheduler.ReadCancelledJobs(context.Background(), n.view); err == nil {
-				n.reg.RecordStoreRead(sent, uids)
+				n.cancellations.RecordStoreRead(sent, uids)
 			}
 		}
 		if was := n.entitled; n.member.FencingToken() > 0 {
@@ -95,8 +95,8 @@
 				w.lapses++
 			}
 		}
-		if on := n.owner.UnstoppedWorkers(3 * time.Second); len(on) > 0 && n.MayAnswerWorkers() {
-			n.onDuty("cancels", func(ctx context.Context) { n.holder.ChaseCancelledTasks(ctx, on) })
+		if on := n.scheduler.UnstoppedWorkers(3 * time.Second); len(on) > 0 && n.MayAnswerWorkers() {
+			n.onDuty("cancels", func(ctx context.Context) { n.dispatcher.ChaseCancelledTasks(ctx, on) })
 		}
 	}
 }
@@ -106,8 +106,8 @@
 	w.mu.Lock()
 	n := w.nodes[name]
 	down := n.down
-	_, cancelled := w.cancels[uid] // what was answered before this request was sent
-	over := w.over[uid]
+	_, cancelled := w.confirmedCancels[uid] // what was answered before this request was sent
+	over := w.doneJobs[uid]
 	w.mu.Unlock()
 	if down {
 		return "", false
@@ -133,11 +133,11 @@
 	if cancelled && s.Stage != wire.StageCancelled {
 		w.fail("%s calls %s %s after its user heard that it is cancelled", name, uid, s.Stage)
 	}
-	if s.Stage == wire.StageCancelled && w.cancels[uid].IsZero() {
-		w.cancels[uid] = time.Now()
+	if s.Stage == wire.StageCancelled && w.confirmedCancels[uid].IsZero() {
+		w.confirmedCancels[uid] = time.Now()
 	}
 	if s.Stage == wire.StageDone {
-		w.over[uid] = true
+		w.doneJobs[uid] = true
 	} else if over {
 		w.fail("%s calls %s %s after it was called done", name, uid, s.Stage)
 	}
@@ -156,15 +156,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, o := range others {
-		delete(w.off, [2]string{one, o})
-		delete(w.off, [2]string{o, one})
+		delete(w.brokenLinks, [2]string{one, o})
+		delete(w.brokenLinks, [2]string{o, one})
 	}
 }
 
 func (w *cluster) healed() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	clear(w.off)
+	clear(w.brokenLinks)
 }
 
 // cancelAll has the users of jobs cancel them at a controller, and come back for up
@@ -222,12 +222,12 @@
 	return n
 }
 
-// In TestCancelDuringStateOutage the state service refuses
+// In TestCancelDuringStateStoreOutage the state service refuses
 // the leader alone, another controller confirms cancels, and then the state service is
 // out for all for longer than a cancelled task may go on, while workers go on
 // reporting to the old leader. The tasks must be gone in time all the same, and
 // nothing else that runs may be lost where all controllers talk to each other.
-func TestCancelDuringStateOutage(t *testing.T) {
+func TestCancelDuringStateStoreOutage(t *testing.T) {
 	type scene struct {
 		name string
 		play func(g *gap) // up to the end of the outage
@@ -384,10 +384,10 @@
 					sessions := w.sessions()
 					// A worker that a lost report sends to a controller with another token
 					// can't go back in an outage: not what is counted here.
-					w.whole = !s.ends
+					w.losslessReports = !s.ends
 					s.play(g)
 					w.mu.Lock()
-					heard := len(w.cancels)
+					heard := len(w.confirmedCancels)
 					w.mu.Unlock()
 					if heard < s.least {
 						t.Errorf("%d cancels were confirmed: too few to test cancels during the outage", heard)
@@ -400,7 +400,7 @@
 					w.startAll()
 					w.live(20)
 					for _, n := range w.names {
-						for uid := range w.cancels {
+						for uid := range w.confirmedCancels {
 							if stage, ok := w.user(n, http.MethodGet, uid); !ok {
 								t.Errorf("20 s after the last trouble %s says nothing of %s (%s)", n, uid, stage)
 							}
@@ -429,11 +429,11 @@
 	}
 }
 
-// TestAnyCancels draws gaps: refusals, cuts between controllers and of workers, cancels,
+// TestDrawnCancelsDuringOutagesAreFinal draws gaps: refusals, cuts between controllers and of workers, cancels,
 // outages, ends and returns, at drawn times, and checks them by what users and workers
 // saw: every task of a cancelled job is gone in time, no job is called anything else
 // after it was called cancelled or done, and what was not cancelled ends.
-func TestAnyCancels(t *testing.T) {
+func TestDrawnCancelsDuringOutagesAreFinal(t *testing.T) {
 	type act struct{ At, What, Who, Other int }
 	type phase struct {
 		Refused, Apart, Alone bool // the leader by the state service, the peers, all but its workers
@@ -541,10 +541,10 @@
 					}
 				}
 			}
-			for end := time.Now().Add(5 * time.Minute); w.wrong == "" && len(w.store.Keys("final/j-1")) < 1 && time.Now().Before(end); {
+			for end := time.Now().Add(5 * time.Minute); w.violation == "" && len(w.store.Keys("final/j-1")) < 1 && time.Now().Before(end); {
 				w.live(1)
 			}
-			if w.wrong == "" && len(w.store.Keys("final/j-1")) < 1 {
+			if w.violation == "" && len(w.store.Keys("final/j-1")) < 1 {
 				w.fail("a job that was not cancelled did not end")
 			}
 		})
--- a/internal/testkit/store.go
+++ b/internal/testkit/store.go
@@ -182,8 +182,8 @@
 	// Delay, if it returns more than 0, has a transaction applied so much later; its caller
 	// hears nothing, outcome what came of it.
 	Delay func(t wire.Txn) (by time.Duration, outcome func(error))
-	// Seen is called with every key and version that a read or a watch tells of.
-	Seen func(key string, version uint64)
+	// OnRead is called with every key and version that a read or a watch tells of.
+	OnRead func(key string, version uint64)
 	// Transit is how long a request is under way before it is executed, and its answer
 	// after that, each; nil: no time. Leases and watches have none.
 	Transit func() time.Duration
@@ -236,11 +236,11 @@
 }
 
 func (v *View) seen(items ...wire.Item) {
-	if v.Seen == nil {
+	if v.OnRead == nil {
 		return
 	}
 	for _, it := range items {
-		v.Seen(it.Key, it.Version)
+		v.OnRead(it.Key, it.Version)
 	}
 }
 
--- a/internal/testkit/team_limits_check_test.go
+++ b/internal/testkit/team_limits_check_test.go
@@ -66,7 +66,7 @@
 		uid, _, _ := strings.Cut(task, "/")
 		s.done[uid]++
 	}
-	for uid := range w.cancels {
+	for uid := range w.confirmedCancels {
 		s.cancelled[uid] = true
 	}
 	return s
--- a/internal/testkit/team_limits_test.go
+++ b/internal/testkit/team_limits_test.go
@@ -109,7 +109,7 @@
 // leads, or through the new leader. What may still run counts from the new leader's first
 // grant on, what goes on after its machine hung counts and is gone in time, and in the
 // end nothing waits beside room.
-func TestTeamAtItsLimitKeepsItWhenTheLeaderChanges(t *testing.T) {
+func TestTeamLimitHoldsOverFailover(t *testing.T) {
 	type change struct {
 		name string
 		make func(c *teamCluster, first string)
@@ -259,7 +259,7 @@
 	defer d.mu.Unlock()
 	for k := range d.hung {
 		for _, task := range k.On() {
-			if on, _, _ := strings.Cut(task, "/"); slices.Contains(jobs, on) && d.cancels[on].IsZero() {
+			if on, _, _ := strings.Cut(task, "/"); slices.Contains(jobs, on) && d.confirmedCancels[on].IsZero() {
 				uid = on
 			}
 		}
@@ -272,7 +272,7 @@
 // user cancel it. It returns the job, or "" if none has tasks on machines.
 func (d *drawnTroubles) cancelWhileHung(jobs []string) string {
 	for _, uid := range jobs {
-		if ks := d.machinesOf(uid); d.cancels[uid].IsZero() && len(ks) > 0 && !ks[0].Hangs() {
+		if ks := d.machinesOf(uid); d.confirmedCancels[uid].IsZero() && len(ks) > 0 && !ks[0].Hangs() {
 			d.hang(ks[0])
 			d.cutAll(ks[0].Name, d.names...)
 			d.hung[ks[0]] = 3 + d.draw(4)
@@ -286,7 +286,7 @@
 // cancel has a job's user ask all controllers until one confirms.
 func (d *drawnTroubles) cancel(uid string) {
 	there := slices.ContainsFunc(d.machinesOf(uid), d.unaskable)
-	known := !d.cancels[uid].IsZero()
+	known := !d.confirmedCancels[uid].IsZero()
 	for _, n := range d.names {
 		if stage, heard := d.user(n, http.MethodPost, uid); heard && stage == wire.StageCancelled {
 			if there && !known {
@@ -343,7 +343,7 @@
 			d.mu.Lock()
 			for _, task := range k.On() {
 				uid, _, _ := strings.Cut(task, "/")
-				if slices.Contains(d.workers, k) && !d.cancels[uid].IsZero() {
+				if slices.Contains(d.workers, k) && !d.confirmedCancels[uid].IsZero() {
 					d.wentOn++
 				}
 			}
@@ -362,7 +362,7 @@
 // the leader ends, is back at once, hands over or is cut from all but the workers, jobs
 // are cancelled, commands and transactions come late. No team is ever over its limit, and
 // afterwards all work is done and none waits beside room.
-func TestTeamsAtTheirLimitsMeetDrawnTroubles(t *testing.T) {
+func TestTeamLimitsUnderDrawnFaults(t *testing.T) {
 	t.Parallel()
 	const perRound = 4
 	var seen drawnTroubles
@@ -386,7 +386,7 @@
 					if second%10 == 2 {
 						hung = d.cancelWhileHung(long)
 					}
-					if hung != "" && d.cancels[hung].IsZero() {
+					if hung != "" && d.confirmedCancels[hung].IsZero() {
 						d.cancel(hung)
 					}
 					for range d.draw(3) {
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -18,8 +18,8 @@
 func (n *node) askExpiring(ctx context.Context) {
 	const timesASecond = 4
 	for range timesASecond {
-		if ask := n.owner.HandleExpiringLeases(); len(ask) > 0 && n.MayAnswerWorkers() {
-			n.holder.ChaseCancelledTasks(ctx, ask)
+		if ask := n.scheduler.HandleExpiringLeases(); len(ask) > 0 && n.MayAnswerWorkers() {
+			n.dispatcher.ChaseCancelledTasks(ctx, ask)
 		}
 	}
 }
@@ -30,7 +30,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.names {
-		w.off[[2]string{k.Name, n}] = true
+		w.brokenLinks[[2]string{k.Name, n}] = true
 	}
 }
 
@@ -169,7 +169,7 @@
 // Before that, what is done there is read, and not run again; what can save is stopped
 // and saves; what can't be done in time, and has not run for long, is begun elsewhere;
 // and nothing is started there that would not be done in time. None is returned, since they answer.
-func TestWorkersThatReachNoController(t *testing.T) {
+func TestWorkersReachingNoController(t *testing.T) {
 	const savers, old, young, short, tiny = "j-save", "j-old", "j-young", "j-short", "j-tiny"
 	for i, c := range []struct {
 		name  string
@@ -186,7 +186,7 @@
 				w := newCluster(t, uint64(700+i))
 				w.bigger(3, 24)
 				w.size = 8 // so that there is room elsewhere
-				w.orderly, w.keepCuts, w.unlisted = true, true, !c.ends
+				w.promptCommands, w.keepCuts, w.unlisted = true, true, !c.ends
 				l := w.follow(func(task string) time.Duration {
 					switch uid, _, _ := strings.Cut(task, "/"); uid {
 					case short:
@@ -246,7 +246,7 @@
 					}
 				}
 				t.Logf("%s: killed %v, stopped %v, %d done there, %v of run lost, %d of %d late starts killed, %v until all ran elsewhere, %d still wait, %d returned",
-					c.name, l.killed, l.stopped, l.read, l.lostRun, l.late, len(l.started), l.longest, len(l.left), w.back)
+					c.name, l.killed, l.stopped, l.read, l.lostRun, l.late, len(l.started), l.longest, len(l.left), w.returnedMachines)
 				if c.ends {
 					// The next leader knows neither when the leases end nor how long tasks have run.
 					if l.stopped[old] > 0 || l.stopped[savers] == 0 {
@@ -264,8 +264,8 @@
 				if c.full && len(l.started) == 0 {
 					t.Error("no task that would be done in time was started")
 				}
-				if w.back > 0 {
-					t.Errorf("%d machines that answer were returned", w.back)
+				if w.returnedMachines > 0 {
+					t.Errorf("%d machines that answer were returned", w.returnedMachines)
 				}
 				if len(l.stopped) == 0 || c.cut > 1 && (l.stopped[savers] == 0 || l.read == 0) {
 					t.Errorf("%v tasks were stopped, %d were done on machines that reach nobody", l.stopped, l.read)
--- a/internal/testkit/unreachable_test.go
+++ b/internal/testkit/unresponsive_workers_test.go
@@ -60,7 +60,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range by {
-		w.off[[2]string{n, k.Name}] = true
+		w.brokenLinks[[2]string{n, k.Name}] = true
 	}
 }
 
@@ -68,7 +68,7 @@
 // take one start after the other for nothing: by one machine, by a tenth, by all that
 // the owner reaches, by all. What runs goes on, those that nothing reaches are
 // returned in time, and no other.
-func TestReportsArriveAndAnswersDoNot(t *testing.T) {
+func TestWorkersUnresponsiveToCommands(t *testing.T) {
 	for i, c := range []struct {
 		name    string
 		deaf    int  // machines
@@ -93,7 +93,7 @@
 				for _, k := range w.workers[:c.deaf] {
 					w.unheard(k, by...)
 				}
-				ran, before := w.starts, w.nodes[owner].owner.Counters().Granted
+				ran, before := w.starts, w.nodes[owner].scheduler.Counters().Granted
 				longest := time.Duration(0)
 				for range 60 {
 					live(1)
@@ -101,18 +101,18 @@
 				}
 				granted := 0
 				for _, n := range w.nodes {
-					granted += n.owner.Counters().Granted
+					granted += n.scheduler.Counters().Granted
 				}
 				ran = w.starts - ran
-				t.Logf("%s: %v without a start, %d granted, %d ran, %d returned", c.name, longest, granted-before, ran, w.back)
+				t.Logf("%s: %v without a start, %d granted, %d ran, %d returned", c.name, longest, granted-before, ran, w.returnedMachines)
 				if c.gap > 0 && longest > c.gap {
 					t.Errorf("%v without a start", longest)
 				}
 				if wasted := granted - before - ran; wasted > c.wasted {
 					t.Errorf("%d starts for nothing", wasted)
 				}
-				if w.back > c.back || w.back < c.atLeast {
-					t.Errorf("%d machines returned", w.back)
+				if w.returnedMachines > c.back || w.returnedMachines < c.atLeast {
+					t.Errorf("%d machines returned", w.returnedMachines)
 				}
 				w.healed()
 				live(30)
@@ -127,7 +127,7 @@
 
 // A controller that loses the state service and the other controllers, and not its
 // workers, lets them go: for whatever time, as owner or not, and two at once.
-func TestAloneWithItsWorkers(t *testing.T) {
+func TestIsolatedControllerReleasesItsWorkers(t *testing.T) {
 	for i, long := range []int{5, 12, 120} {
 		for _, who := range []string{"owner", "another", "both"} {
 			t.Run(fmt.Sprintf("%s for %d s", who, long), func(t *testing.T) {
@@ -149,14 +149,14 @@
 					held := 0
 					for _, k := range w.workers {
 						for _, n := range cut {
-							if w.nodes[n].holder.UnansweredFor(k.Name) < 10*time.Second {
+							if w.nodes[n].dispatcher.UnansweredFor(k.Name) < 10*time.Second {
 								held++
 							}
 						}
 					}
-					t.Logf("%v without a start, %d workers still there, %d returned", longest, held, w.back)
-					if longest > 9*time.Second || w.back > 0 {
-						t.Errorf("%v without a start, %d machines returned", longest, w.back)
+					t.Logf("%v without a start, %d workers still there, %d returned", longest, held, w.returnedMachines)
+					if longest > 9*time.Second || w.returnedMachines > 0 {
+						t.Errorf("%v without a start, %d machines returned", longest, w.returnedMachines)
 					}
 					if long > 60 && held > 0 {
 						t.Errorf("%d workers are still held by who can start nothing", held)
@@ -177,7 +177,7 @@
 // sound machines faulty, or take a start after the other; they stay known, and are
 // done in earnest once they can be. A machine that fails what runs elsewhere is still
 // told apart.
-func TestFaultyJobsBlameNoMachine(t *testing.T) {
+func TestFailingJobsDoNotMarkWorkersFaulty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, owner, _, live := settled(t, 500, 3, 24)
 		mended, sick, tried := false, w.workers[0].Name, 0
@@ -206,7 +206,7 @@
 		if tried > 110 {
 			t.Errorf("%d tries of faulty jobs", tried)
 		}
-		_, loads := w.nodes[owner].owner.Demand(10)
+		_, loads := w.nodes[owner].scheduler.Demand(10)
 		found := false
 		for _, l := range loads {
 			if l.Faulty && l.Name != sick {
--- a/internal/testkit/wait_check_test.go
+++ b/internal/testkit/wait_check_test.go
@@ -215,7 +215,7 @@
 
 // calm reports whether nothing is cut, down, slow or late. The cluster is locked.
 func (w *cluster) calm() bool {
-	for link, off := range w.off {
+	for link, off := range w.brokenLinks {
 		if off && link[0] != link[1] {
 			return false
 		}
@@ -228,8 +228,8 @@
 	if slices.ContainsFunc(w.workers, (*testkit.Worker).Hangs) {
 		return false
 	}
-	store := w.slow != nil || w.lateBy != nil || w.losing != nil || w.lag != nil || w.behind != nil || w.delay != nil
-	return !store && w.holding == nil && w.transit == nil && w.linkDelay == nil
+	store := w.storeLatency != nil || w.transactionDelay != nil || w.losesResponse != nil || w.watchLag != nil || w.behind != nil || w.delay != nil
+	return !store && w.holdsCommand == nil && w.transit == nil && w.messageDelay == nil
 }
 
 // bound reports whether a job may not use every machine that has room for it.
@@ -238,7 +238,7 @@
 // The check of waits must see what it is for: a job that nobody places although there is
 // room, and neither one for which there is none, nor one whose team is at its limit, nor,
 // unless the test insists, one that waits beside a trouble.
-func TestWaitsAreNoticed(t *testing.T) {
+func TestWaitCheckFindsUnplacedJobs(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		cpus    float64
@@ -281,7 +281,7 @@
 // Room that moves from one machine to another is steady room, and room that is there at
 // each look with pauses alone is recurring room: a job that waits beside either is noticed,
 // one whose tasks start is not.
-func TestWaitsBesideEitherRoomAreNoticed(t *testing.T) {
+func TestWaitCheckFindsSteadyAndRecurringRoom(t *testing.T) {
 	first, second := testkit.NewWorker("n-1", workerLease, taskTime), testkit.NewWorker("n-2", workerLease, taskTime)
 	begin := time.Now()
 	for _, starting := range []bool{false, true} {
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -8,16 +8,16 @@
 
 // Worker is a worker's state by the protocol: tokens, lease, session, commands.
 type Worker struct {
-	Name    string
-	Zone    string
-	Lease   time.Duration
-	Run     func(task string) time.Duration // how long a task runs
-	Started func(task string, attempt uint64)
-	Exit    func(task string) int                // exit code of a task that ends by itself; nil: 0
-	Forgot  func(task string, attempt uint64)    // a task that was done is cleared
-	Held    func(carryOut func()) func()         // wraps what is carried out when a hang ends; nil: as it is
-	Save    func(task string) time.Duration      // how long a task takes to save when it is stopped; nil, or negative: it can't
-	Ended   func(t wire.Task, ran time.Duration) // a task ends, with what it was exited; killed by the lease: with no cause
+	Name     string
+	Zone     string
+	Lease    time.Duration
+	Run      func(task string) time.Duration // how long a task runs
+	Started  func(task string, attempt uint64)
+	Exit     func(task string) int                // exit code of a task that ends by itself; nil: 0
+	OnForget func(task string, attempt uint64)    // a task that was done is cleared
+	Held     func(carryOut func()) func()         // wraps what is carried out when a hang ends; nil: as it is
+	Save     func(task string) time.Duration      // how long a task takes to save when it is stopped; nil, or negative: it can't
+	Ended    func(t wire.Task, ran time.Duration) // a task ends, with what it was exited; killed by the lease: with no cause
 
 	session, seq, token uint64
 	renewed             time.Time
@@ -256,8 +256,8 @@
 		case wire.VerbForget:
 			if t != nil && t.State == wire.TaskExited {
 				delete(w.tasks, k)
-				if w.Forgot != nil && t.Cause == wire.CauseDone {
-					w.Forgot(c.Task, c.Attempt)
+				if w.OnForget != nil && t.Cause == wire.CauseDone {
+					w.OnForget(c.Task, c.Attempt)
 				}
 			}
 		}
--- a/internal/testkit/spread_holders_test.go
+++ b/internal/testkit/worker_assignment_test.go
@@ -17,10 +17,10 @@
 // workers, so that they share them.
 func spread(t *testing.T, seed uint64, play func(w *cluster, owner, holder string)) {
 	onClusterWith(t, seed, limitedTeams, 3, spreadWorkers, func(w *cluster) {
-		w.rooms = map[string]int{"a": roomForWorkers, "b": roomForWorkers, "c": roomForWorkers}
-		w.whole = true // a worker that moved for a lost message stays away for up to 30 s
+		w.connectionLimits = map[string]int{"a": roomForWorkers, "b": roomForWorkers, "c": roomForWorkers}
+		w.losslessReports = true // a worker that moved for a lost message stays away for up to 30 s
 		w.live(40)
-		w.whole = false
+		w.losslessReports = false
 		owner := w.leader()
 		holder := w.others(owner)[0]
 		if held := w.held(); held[owner] == 0 || held[holder] == 0 {
@@ -36,7 +36,7 @@
 	defer w.mu.Unlock()
 	out := map[string]string{}
 	for _, k := range w.workers {
-		out[k.Name] = w.names[w.at[k]%len(w.names)]
+		out[k.Name] = w.names[w.dispatcherOf[k]%len(w.names)]
 	}
 	return out
 }
@@ -50,12 +50,12 @@
 	return out
 }
 
-// TestWorkersAreShared: a controller that has no connections for all workers keeps as many
+// TestWorkersAreSharedByConnectionLimit: a controller that has no connections for all workers keeps as many
 // as it has, others hold the rest, each worker stays where it is, and no holder raises its
 // term above another's again and again.
-func TestWorkersAreShared(t *testing.T) {
+func TestWorkersAreSharedByConnectionLimit(t *testing.T) {
 	spread(t, 1, func(w *cluster, owner, _ string) {
-		w.whole, w.reliable, w.orderly = true, true, true
+		w.losslessReports, w.reliableStore, w.promptCommands = true, true, true
 		w.job("j-9", "t", "normal", 30, 1)
 		w.live(40)
 		before, terms := w.holders(), map[string]uint64{}
@@ -78,18 +78,18 @@
 				t.Errorf("%s raised its term from %d to %d", name, terms[name], term)
 			}
 		}
-		w.rooms = nil
+		w.connectionLimits = nil
 		if !w.within(80, func() bool { return w.held()[owner] == spreadWorkers }) {
 			t.Errorf("with room for all at %s: %v", owner, w.held())
 		}
 	})
 }
 
-// TestWorkersStayWhileAllFit: where one controller has room for all, it holds all.
-func TestWorkersStayWhileAllFit(t *testing.T) {
+// TestWorkersStayWithLeaderWhileConnectionsSuffice: where one controller has room for all, it holds all.
+func TestWorkersStayWithLeaderWhileConnectionsSuffice(t *testing.T) {
 	onClusterWith(t, 2, limitedTeams, 3, spreadWorkers, func(w *cluster) {
-		w.whole = true
-		w.rooms = map[string]int{"a": spreadWorkers, "b": spreadWorkers, "c": spreadWorkers}
+		w.losslessReports = true
+		w.connectionLimits = map[string]int{"a": spreadWorkers, "b": spreadWorkers, "c": spreadWorkers}
 		w.live(40)
 		if held := w.held(); held[w.leader()] != spreadWorkers {
 			t.Errorf("held: %v, owner %s", held, w.leader())
@@ -102,10 +102,10 @@
 	})
 }
 
-// TestTroublesOfAHolder: a holder that is not the owner dies, comes back at once, is cut
+// TestFaultsOfDispatcherThatIsNotLeader: a holder that is not the owner dies, comes back at once, is cut
 // from the owner with or without a way round, or its views stop: what runs is never started
 // twice, limits and cancels hold, and all jobs end.
-func TestTroublesOfAHolder(t *testing.T) {
+func TestFaultsOfDispatcherThatIsNotLeader(t *testing.T) {
 	for name, trouble := range map[string]func(w *cluster, owner, holder string) (over func()){
 		"dies": func(w *cluster, _, holder string) func() {
 			w.crash(holder)
@@ -173,5 +173,5 @@
 func (w *cluster) cutBetween(a, b string, off bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.off[[2]string{a, b}], w.off[[2]string{b, a}] = off, off
+	w.brokenLinks[[2]string{a, b}], w.brokenLinks[[2]string{b, a}] = off, off
 }
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -113,7 +113,7 @@
 // its workers and a controller is cut off for longer than a worker's lease; all controllers
 // are away for longer than that. No task starts where its job's other tasks, at that
 // moment, don't allow it, and afterwards all jobs end or run, none waiting beside room.
-func TestJobsBoundToZones(t *testing.T) {
+func TestZoneConstraintsUnderFaults(t *testing.T) {
 	troubles := []struct {
 		name string
 		play func(z *zonedCluster)
@@ -128,7 +128,7 @@
 				z.live(7)
 			}
 			z.live(10)
-			if z.back == 0 {
+			if z.returnedMachines == 0 {
 				z.fail("no machine was lost")
 			}
 		}},
@@ -197,7 +197,7 @@
 	leader := z.leader()
 	inside, other := z.others(leader)[0], z.others(leader)[1]
 	z.divide(inside)
-	cut, returned := time.Now(), z.back
+	cut, returned := time.Now(), z.returnedMachines
 	z.live(4)
 	end(leader, other)
 	for z.leader() == "" && time.Since(cut) < testGrace {
@@ -216,8 +216,8 @@
 			z.fail("%s has heard %s", next, inside)
 		}
 	}
-	if z.back > returned {
-		z.fail("%d machines of the zone are returned", z.back-returned)
+	if z.returnedMachines > returned {
+		z.fail("%d machines of the zone are returned", z.returnedMachines-returned)
 	}
 	z.live(int(workerLease.Seconds()))
 	z.healed()
