--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -22,7 +22,7 @@
 }
 
 // lostAnswerCases has every kind of write that controllers make, but the rental of
-// machines (new_machines_test.go), and the release of shards (package membership).
+// machines (provisioning_test.go), and the release of shards (package membership).
 var lostAnswerCases = []lostAnswerCase{
 	{name: "acceptance", prefix: "live/j-7", play: func(t *testing.T, w *cluster, l *answerLoss) {
 		at := w.others(w.leader())[0]
