--- a/internal/jobstate/accounting.go
+++ b/internal/jobstate/accounting.go
@@ -8,60 +8,78 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// jobRow is a job's accounting row.
-func (o *State) JobRow(job *Job) accounting.Row {
-	s := job.Spec
-	r := accounting.Row{Kind: accounting.RowJob, UID: s.UID, State: jobspec.Completed, Submit: job.AcceptedMs, Team: s.Team, Class: s.Class, Priority: s.Priority,
-		Tasks: uint32(s.Tasks), Done: uint32(job.Done), End: time.Now().UnixMilli(), CPUs: float32(s.CPUs), GPUs: float32(s.GPUs), MemoryGB: float32(s.MemoryGB)}
+// JobRow returns the accounting row of a job that has ended. For a job with constraints the
+// first call also fixes its end time, which later rows and records repeat.
+func (s *State) JobRow(job *Job) accounting.Row {
+	spec := job.Spec
+	row := accounting.Row{
+		Kind: accounting.RowJob, UID: spec.UID, State: jobspec.Completed, Submit: job.AcceptedMs,
+		Team: spec.Team, Class: spec.Class, Priority: spec.Priority,
+		Tasks: uint32(spec.Tasks), Done: uint32(job.Done), End: time.Now().UnixMilli(),
+		CPUs: float32(spec.CPUs), GPUs: float32(spec.GPUs), MemoryGB: float32(spec.MemoryGB),
+	}
 	if job.EndStage != wire.StageDone {
-		r.State = jobspec.Cancelled
+		row.State = jobspec.Cancelled
 	}
-	if a := job.Constraints; a != nil {
-		e := o.EndStateOf(job)
-		r.Number, r.State, r.Exit, r.Start, r.End = a.Number, e.State, int32(e.Exit), e.StartMs, e.EndMs
-		r.Name, r.User, r.Array, r.Eligible = a.Name, a.User, a.Array, a.EligibleMs
+	if c := job.Constraints; c != nil {
+		end := s.EndStateOf(job)
+		row.Number, row.State, row.Exit, row.Start, row.End = c.Number, end.State, int32(end.Exit), end.StartMs, end.EndMs
+		row.Name, row.User, row.Array, row.Eligible = c.Name, c.User, c.Array, c.EligibleMs
 	}
-	return r
+	return row
 }
 
-// attemptRow is the accounting row of an attempt that was seen to run, or to end by
-// itself, and is over now; nil if there is none, or accounts are not kept.
+// AttemptRow returns the accounting row of an attempt that is over, and that was seen to run
+// or ended by itself. It returns nil for any other attempt, at the second call for the same
+// one, and if accounting is off.
 func (s *State) AttemptRow(placement *Placement) *accounting.Row {
-	ended := placement.ExitCause == wire.CauseDone || placement.ExitCause == wire.CauseError
-	if !s.AccountingEnabled || placement.Accounted || placement.RunningSince.IsZero() && !ended {
+	endedByItself := placement.ExitCause == wire.CauseDone || placement.ExitCause == wire.CauseError
+	if !s.AccountingEnabled || placement.Accounted || placement.RunningSince.IsZero() && !endedByItself {
 		return nil
 	}
 	placement.Accounted = true
 	job, worker := placement.Job, placement.Worker
-	r := &accounting.Row{Kind: accounting.RowAttempt, UID: job.Spec.UID, Task: uint32(placement.Task), Attempt: placement.Attempt, Exit: int32(placement.ExitCode),
-		End: time.Now().UnixMilli(), Machine: worker.Name,
-		CPUs: float32(job.Resources.CPUs), GPUs: float32(job.Resources.GPUs), MemoryGB: float32(job.Resources.MemoryGB)}
+	row := &accounting.Row{
+		Kind: accounting.RowAttempt, UID: job.Spec.UID, Task: uint32(placement.Task), Attempt: placement.Attempt,
+		Exit: int32(placement.ExitCode), End: time.Now().UnixMilli(), Machine: worker.Name,
+		CPUs: float32(job.Resources.CPUs), GPUs: float32(job.Resources.GPUs), MemoryGB: float32(job.Resources.MemoryGB),
+		Price: float32(s.hourlyPrice(placement)),
+	}
+	row.State, row.Useful = placement.accountingState()
 	if !placement.RunningSince.IsZero() {
-		r.Start = placement.RunningSince.UnixMilli() // else it ended before it was seen to run
+		row.Start = placement.RunningSince.UnixMilli() // else it ended before it was seen to run
 	}
 	if job.Constraints != nil {
-		r.Number = job.Constraints.Number
+		row.Number = job.Constraints.Number
 	}
-	f, failed := placement.Chunk.Failed[placement.Task]
+	return row
+}
+
+// accountingState returns how an attempt that is over ended, and whether it completed its task.
+func (p *Placement) accountingState() (state string, useful bool) {
+	failure, failed := p.Chunk.Failed[p.Task]
 	switch {
 	case failed:
-		r.State = f.Outcome.AccountingState()
-	case placement.Chunk.IsDone(placement.Task) && placement.ExitCause == wire.CauseDone:
-		r.State, r.Useful = jobspec.Completed, true
-	case job.Cancelled:
-		r.State = jobspec.Cancelled
-	case placement.ExitCause == wire.CauseError:
-		r.State = jobspec.Failed
-	case placement.ExitCause != "" || !placement.HaltedAt.IsZero():
-		r.State = jobspec.Preempted
-	default:
-		r.State = jobspec.NodeFail
+		return failure.Outcome.AccountingState(), false
+	case p.Chunk.IsDone(p.Task) && p.ExitCause == wire.CauseDone:
+		return jobspec.Completed, true
+	case p.Job.Cancelled:
+		return jobspec.Cancelled, false
+	case p.ExitCause == wire.CauseError:
+		return jobspec.Failed, false
+	case p.ExitCause != "" || !p.HaltedAt.IsZero():
+		return jobspec.Preempted, false
 	}
-	t := s.TypeOf(worker)
-	price := t.Price
-	if worker.View.Spot {
-		price = t.SpotPrice
+	return jobspec.NodeFail, false
+}
+
+// hourlyPrice is the price per hour of the share of its machine that a placement takes.
+func (s *State) hourlyPrice(placement *Placement) float64 {
+	machine := s.TypeOf(placement.Worker)
+	price := machine.Price
+	if placement.Worker.View.Spot {
+		price = machine.SpotPrice
 	}
-	r.Price = float32(price * accounting.Share(job.Resources.CPUs, job.Resources.GPUs, job.Resources.MemoryGB, t.CPUs, t.GPUs, t.MemoryGB))
-	return r
+	task := placement.Job.Resources
+	return price * accounting.Share(task.CPUs, task.GPUs, task.MemoryGB, machine.CPUs, machine.GPUs, machine.MemoryGB)
 }
--- a/internal/jobstate/chunk.go
+++ b/internal/jobstate/chunk.go
@@ -1,85 +1,68 @@
 package jobstate
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"github.com/wallrack/wallrack/internal/jobrecord"
-	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// TaskOutcome a task ended that is over and not done, as records have it.
-type TaskOutcome uint8
-
-const (
-	OutcomeFailed    TaskOutcome = 1
-	OutcomeTimedOut  TaskOutcome = 2
-	OutcomeCancelled TaskOutcome = 3 // alone, by its user
-)
-
-func (h TaskOutcome) AccountingState() string {
-	return [...]string{jobspec.Completed, jobspec.Failed, jobspec.Timeout, jobspec.Cancelled}[h&3]
-}
-
-type TaskFailure struct {
-	Outcome  TaskOutcome
-	ExitCode int
-}
-
-func (f TaskFailure) Triple(task int) []uint64 {
-	return []uint64{uint64(task), uint64(f.Outcome), uint64(f.ExitCode)}
-}
-
-// SetFailed marks a task as over and not done.
-func (chunk *Chunk) SetFailed(task int, h, exit uint64) {
-	chunk.SetDone(task)
-	if chunk.Failed == nil {
-		chunk.Failed = map[int]TaskFailure{}
-	}
-	chunk.Failed[task] = TaskFailure{TaskOutcome(h & 3), int(exit & 0xff)}
-}
-
-// Chunk is a run of a job's tasks that share a record.
+// Chunk is a run of jobrecord.ChunkSize consecutive tasks of a job, which share a record.
 type Chunk struct {
 	Number      int
 	Version     uint64 // of its own record; 0: it has none
-	SavedSeq    uint64 // log record up to which its own record speaks
-	DoneBits    []byte
-	NextAttempt uint64
+	SavedSeq    uint64 // sequence number of the last log record that its own record covers
+	DoneBits    []byte // a bit for each task that is over
+	NextAttempt uint64 // attempts below it may have been used
 	Placements  []*Placement
 	Job         *Job
-	Closed      bool                // the job has ended, or left this owner
-	Failed      map[int]TaskFailure // tasks that are over and not done; their bits are set in done
+	Closed      bool                // the job has ended, or another leader has it: write nothing
+	Failed      map[int]TaskFailure // by task: those that are over and not done; also in DoneBits
 }
 
-func (chunk *Chunk) IsDone(task int) bool {
+// IsDone reports whether a task of the chunk is over: done, failed or cancelled individually.
+func (c *Chunk) IsDone(task int) bool {
 	i := task % jobrecord.ChunkSize
-	return chunk.DoneBits[i/8]&(1<<(i%8)) != 0
+	return c.DoneBits[i/8]&(1<<(i%8)) != 0
 }
 
-func (chunk *Chunk) SetDone(task int) {
+// SetDone marks a task of the chunk as over.
+func (c *Chunk) SetDone(task int) {
 	i := task % jobrecord.ChunkSize
-	chunk.DoneBits[i/8] |= 1 << (i % 8)
+	c.DoneBits[i/8] |= 1 << (i % 8)
+}
+
+// SetFailed marks a task of the chunk as over and not done. The outcome and the exit code are
+// as records have them; bits beyond their ranges are dropped.
+func (c *Chunk) SetFailed(task int, outcome, exitCode uint64) {
+	c.SetDone(task)
+	if c.Failed == nil {
+		c.Failed = map[int]TaskFailure{}
+	}
+	c.Failed[task] = TaskFailure{Outcome: TaskOutcome(outcome & outcomeMask), ExitCode: int(exitCode & exitCodeMask)}
 }
 
-func (chunk *Chunk) Record(seq uint64) jobrecord.ChunkRecord {
-	r := jobrecord.ChunkRecord{Seq: seq, Done: chunk.DoneBits, Next: chunk.NextAttempt}
-	for t, f := range chunk.Failed {
-		r.Failed = append(r.Failed, f.Triple(t)...)
+// Record returns the chunk's own record as of the shard's log record seq. Its placements are in
+// the order of their attempts; exited ones are left out, since the log has their end.
+func (c *Chunk) Record(seq uint64) jobrecord.ChunkRecord {
+	record := jobrecord.ChunkRecord{Seq: seq, Done: c.DoneBits, Next: c.NextAttempt}
+	for task, failure := range c.Failed {
+		record.Failed = append(record.Failed, failure.Triple(task)...)
 	}
-	index := map[string]int{}
-	places := append([]*Placement(nil), chunk.Placements...)
-	sort.Slice(places, func(i, j int) bool { return places[i].Attempt < places[j].Attempt })
-	for _, placement := range places {
+	workerIndex := map[string]int{}
+	placements := slices.Clone(c.Placements)
+	slices.SortFunc(placements, func(a, b *Placement) int { return cmp.Compare(a.Attempt, b.Attempt) })
+	for _, placement := range placements {
 		if placement.Exited {
 			continue
 		}
-		i, ok := index[placement.Worker.Name]
+		i, ok := workerIndex[placement.Worker.Name]
 		if !ok {
-			i = len(r.Machines)
-			index[placement.Worker.Name] = i
-			r.Machines = append(r.Machines, placement.Worker.Name)
+			i = len(record.Machines)
+			workerIndex[placement.Worker.Name] = i
+			record.Machines = append(record.Machines, placement.Worker.Name)
 		}
-		r.Places = append(r.Places, uint64(placement.Task), placement.Attempt, uint64(i))
+		record.Places = append(record.Places, uint64(placement.Task), placement.Attempt, uint64(i))
 	}
-	return r
+	return record
 }
--- a/internal/jobstate/class.go
+++ b/internal/jobstate/class.go
@@ -1,40 +1,52 @@
 package jobstate
 
-import (
-	"time"
-)
-
 const (
-	sizesKept = 128 // jobs of a class by which its largest are told
-	largestOf = 10  // one in so many jobs of a class counts as one of its largest
+	sizesKept  = 128  // last jobs of a class among which its largest are found
+	largestOf  = 10   // one in so many jobs of a class counts as one of its largest
+	maxClasses = 1000 // classes remembered: their names come from users
 )
 
-// Class is what was learnt of a class of jobs.
+// Class is what was measured of a class of jobs.
 type Class struct {
 	Name          string
-	EstimateRatio float64 // real run time to the owner's estimate
-	RunTimes      Average
-	StartAims     []float64 // aims for its tasks' starts, in seconds
+	EstimateRatio float64   // measured run time divided by the user's estimate
+	RunTimes      Average   // of its tasks, in seconds
+	StartAims     []float64 // objectives for the start of its tasks, in seconds from acceptance
 	Sizes         Sizes
 }
 
-type CachedImage struct {
-	SizeGB float64
-	UsedAt time.Time
+// ClassOf returns the class of that name, which it adds if it is new. Beyond the number of
+// classes that are remembered it returns one that is not kept.
+func (s *State) ClassOf(name string) *Class {
+	class := s.Classes[name]
+	if class != nil {
+		return class
+	}
+	class = &Class{Name: name, EstimateRatio: 1}
+	if len(s.Classes) > maxClasses {
+		return class
+	}
+	for _, objective := range s.Platform.Params.Objectives {
+		if objective.Kind == "wait" && objective.Class == name {
+			class.StartAims = append(class.StartAims, objective.WithinS)
+		}
+	}
+	s.Classes[name] = class
+	return class
 }
 
 // Sizes are the sizes, in CPUs of all tasks, of a class's last jobs.
 type Sizes struct {
 	last []float64
-	next int
+	next int // index in last of the oldest size, once last is full
 }
 
-// Add notes a job's size and tells whether it is one of the class's largest: of
-// several of one size the first is.
+// Add notes a job's size and reports whether the job is one of the class's largest. Among jobs
+// of equal size the first counts as the larger.
 func (s *Sizes) Add(size float64) (large bool) {
 	above := 0
-	for _, x := range s.last {
-		if x >= size {
+	for _, other := range s.last {
+		if other >= size {
 			above++
 		}
 	}
--- /dev/null
+++ b/internal/jobstate/completion.go
@@ -0,0 +1,88 @@
+package jobstate
+
+import (
+	"slices"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// EndPlacement ends a placement whose task is surely not on its worker, or never was. A task
+// that is not over and has no other placement is pending again. A placement that was ended
+// before is ignored.
+func (s *State) EndPlacement(placement *Placement) {
+	if _, ok := placement.Worker.Placements[placement]; !ok {
+		return
+	}
+	job := placement.Job
+	s.CountUse(placement, -1)
+	row := s.AttemptRow(placement)
+	if !placement.RunningSince.IsZero() {
+		job.Running--
+	}
+	s.RemovePlacement(placement)
+	taskOver := placement.Chunk.IsDone(placement.Task)
+	if len(job.Placements[placement.Task]) == 0 && !taskOver {
+		job.Pending = append(job.Pending, placement.Task)
+	}
+	if placement.InStore && !job.Cancelled && !taskOver {
+		// The writer is not notified: without the record, a new leader only has to
+		// reconcile the placement.
+		s.RecordChange(Change{Kind: PlacementRemoved, Placement: placement, Row: row})
+	} else if row != nil {
+		s.LooseRows = append(s.LooseRows, *row)
+		Notify(s.WriteSignal)
+	}
+	s.FinishJob(job)
+	Notify(s.PlanSignal)
+}
+
+// FinishTask ends a task that has just completed, or is over for good, at one of its placements.
+// The task's other placements are withdrawn unless they were granted. The placement itself
+// stays until the end is recorded, since only then may the worker forget the task.
+func (s *State) FinishTask(placement *Placement) {
+	job := placement.Job
+	job.Finished++
+	row := s.AttemptRow(placement)
+	placement.Exited = true
+	for _, other := range slices.Clone(job.Placements[placement.Task]) {
+		if other != placement && !other.MayRun() {
+			s.WithdrawPlacement(other)
+		}
+	}
+	s.CountUse(placement, -1)
+	if !placement.RunningSince.IsZero() {
+		job.Running--
+		placement.RunningSince = time.Time{}
+	}
+	placement.State = PlacementRecording
+	s.RecordChange(Change{Kind: TaskFinished, Placement: placement, Row: row})
+	Notify(s.WriteSignal)
+	s.FinishJob(job)
+}
+
+// FinishJob sets the final stage of a job that has nothing left to do, for the writer to record.
+// It has no effect on any other job.
+func (s *State) FinishJob(job *Job) {
+	placed := len(job.Placements) > 0 // what was halted may still run
+	switch {
+	case job.EndStage != "":
+		return
+	case !job.Cancelled && job.Done == job.Spec.Tasks:
+		job.EndStage = wire.StageDone
+	case !placed && (job.Cancelled || job.Finished == job.Spec.Tasks):
+		job.EndStage = wire.StageCancelled
+	default:
+		return
+	}
+	Notify(s.WriteSignal)
+}
+
+// ClearTask ends the placement of an exited task and lets its worker forget the task.
+func (s *State) ClearTask(placement *Placement) {
+	s.EndPlacement(placement)
+	instructions := s.InstructionsFor(placement.Worker.View.Holder)
+	instructions.Clear = append(instructions.Clear, dispatch.Clear{TaskRef: placement.Ref, Token: placement.MaxToken})
+	Notify(s.SendSignal)
+}
--- a/internal/jobstate/constraints.go
+++ b/internal/jobstate/constraints.go
@@ -6,55 +6,61 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-const (
-	faultyTries = 2 // tasks of such a job that are tried at a time
-)
-
-// first reports whether the job's first task is to go before all other work: a job of
-// whatever priority or size has to begin in time, and one task takes next to nothing.
-func (s *State) MustBegin(job *Job) bool {
-	return job.Started == 0 && job.Done == 0 && !job.Spec.Gang() && len(job.Placements) == 0 && !job.Faulty &&
-		s.Now.Sub(job.AcceptedAt) >= beginFrom
-}
+// faultyTries is the number of a faulty job's tasks that may have placements at a time.
+const faultyTries = 2
 
-// ConstraintState is what a job's terms ask and what has become of it.
+// ConstraintState is a job's constraints and what they depend on.
 type ConstraintState struct {
 	*jobspec.Constraints
-	Outcomes          []jobspec.Outcome // of its dependencies
-	DependencyOutcome jobspec.Outcome
-	AskedAt           time.Time // when its dependencies were last asked about elsewhere
-	StartMs           int64     // of its first task, as far as this owner knows
-	EligibleMs        int64     // since when nothing but room keeps it from starting
-	EndMs             int64
+	Outcomes          []jobspec.Outcome // by dependency
+	DependencyOutcome jobspec.Outcome   // of all dependencies together
+	AskedAt           time.Time         // when other leaders were last queried about its dependencies
+	StartMs           int64             // when its first task started, as far as this leader knows; 0: not yet
+	EligibleMs        int64             // since when it waits for resources only; 0: not yet
+	EndMs             int64             // when it ended; 0: not yet
 }
 
-func NewConstraintState(t *jobspec.Constraints) *ConstraintState {
-	a := &ConstraintState{Constraints: t, Outcomes: make([]jobspec.Outcome, len(t.Dependencies))}
-	a.DependencyOutcome = t.Combine(a.Outcomes)
-	return a
+// NewConstraintState returns the state of constraints of which no dependency was evaluated yet.
+func NewConstraintState(constraints *jobspec.Constraints) *ConstraintState {
+	state := &ConstraintState{Constraints: constraints, Outcomes: make([]jobspec.Outcome, len(constraints.Dependencies))}
+	state.DependencyOutcome = constraints.Combine(state.Outcomes)
+	return state
 }
 
-func (a *ConstraintState) RecordStart(t time.Time) {
-	if a != nil && a.StartMs == 0 {
-		a.StartMs = t.UnixMilli()
+// RecordStart notes the start of a task; only the first call has an effect. The state may be
+// nil: the job has no constraints.
+func (c *ConstraintState) RecordStart(at time.Time) {
+	if c != nil && c.StartMs == 0 {
+		c.StartMs = at.UnixMilli()
 	}
 }
 
-// waits says why no task of a job with terms may start now, or "".
+// WaitReason returns why no task of a job with constraints may start at that time, as one of
+// the reasons of package jobspec, or "" if tasks may start. The job must have constraints.
 func (s *State) WaitReason(job *Job, now time.Time) string {
 	return job.Constraints.WaitReason(job.Constraints.DependencyOutcome, now.UnixMilli())
 }
 
-// room is how many of the job's waiting tasks may be placed now.
+// MustBegin reports whether the job's first task is to be placed before all other work: a job
+// of any priority and size has to begin in time, and one task costs the others little. Gangs
+// and faulty jobs are left out.
+func (s *State) MustBegin(job *Job) bool {
+	return job.Started == 0 && job.Done == 0 && !job.Spec.Gang() && len(job.Placements) == 0 && !job.Faulty &&
+		s.Now.Sub(job.AcceptedAt) >= beginFrom
+}
+
+// PlaceableTasks returns how many of the job's pending tasks may be placed in this pass: as
+// many as WantedTasks, but only the first one of a job that must begin.
 func (s *State) PlaceableTasks(job *Job) int {
 	n := s.WantedTasks(job)
 	if n > 1 && s.MustBegin(job) {
-		return 1 // the rest in its turn
+		return 1 // the others follow by the job's priority
 	}
 	return n
 }
 
-// wants is how many tasks of the job wait that its terms, and its faults, let start.
+// WantedTasks returns how many of the job's pending tasks its constraints and its errors allow
+// to start, as of State.Now.
 func (s *State) WantedTasks(job *Job) int {
 	n := len(job.Pending)
 	if job.Faulty {
@@ -72,7 +78,12 @@
 	return max(0, n)
 }
 
-// termsAllow checks at the grant what the job's terms ask.
+// ConstraintsAllow reports whether a start of the task may be granted now under the job's
+// constraints, which may have changed since the task was placed. The job must have constraints.
 func (s *State) ConstraintsAllow(job *Job, task int) bool {
-	return s.WaitReason(job, time.Now()) == "" && (job.Constraints.MaxConcurrent == 0 || job.ActiveTasks(true, task) < job.Constraints.MaxConcurrent)
+	if s.WaitReason(job, time.Now()) != "" {
+		return false
+	}
+	limit := job.Constraints.MaxConcurrent
+	return limit == 0 || job.ActiveTasks(true, task) < limit
 }
--- a/internal/jobstate/eligibility.go
+++ b/internal/jobstate/eligibility.go
@@ -1,49 +1,49 @@
 package jobstate
 
-// allowed reports whether the job may run on that machine at all.
-func (o *State) Allowed(job *Job, worker *Worker) bool {
-	s := job.Spec
-	if worker.View.Spot && !s.Spot || s.Zone != nil && *s.Zone != worker.View.Zone {
+import "slices"
+
+// limitTolerance absorbs rounding where amounts are compared with limits and guarantees.
+const limitTolerance = 1e-6
+
+// Allowed reports whether the job's constraints on zone, machine type and spot workers let it
+// run on the worker. It doesn't look at resources.
+func (s *State) Allowed(job *Job, worker *Worker) bool {
+	spec, view := job.Spec, &worker.View
+	if view.Spot && !spec.Spot || spec.Zone != nil && *spec.Zone != view.Zone {
 		return false
 	}
-	if s.Types == nil {
-		return true
-	}
-	for _, t := range s.Types {
-		if t == worker.View.Type {
-			return true
-		}
-	}
-	return false
+	return spec.Types == nil || slices.Contains(spec.Types, view.Type)
 }
 
-// within reports whether one more task of the job may be in the machine's
-// zone, counting all that may be on.
+// FitsZone reports whether one more task of the job may run in the worker's zone, by the job's
+// rules for zones. All placements by which a task may run count.
 func (s *State) FitsZone(job *Job, worker *Worker) bool {
 	zone := worker.View.Zone
-	if job.Spec.OneZone {
-		if job.Unzoned > 0 {
-			return false
-		}
-		for z, n := range job.Zones {
-			if n > 0 && z != zone {
-				return false
-			}
-		}
+	if job.Spec.OneZone && !job.onlyIn(zone) {
+		return false
 	}
-	if job.Spec.Spread && job.Zones[zone]+job.Unzoned+1 > (job.Spec.Tasks+1)/2 {
+	return !job.Spec.Spread || job.Zones[zone]+job.Unzoned+1 <= (job.Spec.Tasks+1)/2
+}
+
+// onlyIn reports whether the job surely has no placement outside a zone.
+func (j *Job) onlyIn(zone string) bool {
+	if j.Unzoned > 0 {
 		return false
 	}
+	for other, placements := range j.Zones {
+		if placements > 0 && other != zone {
+			return false
+		}
+	}
 	return true
 }
 
-// underLimit reports whether the job's team may use one more task of it.
+// UnderLimit reports whether the job's team may use one more task of the job.
 func (s *State) UnderLimit(job *Job) bool {
 	team := job.Team
 	if team.Leased != nil {
 		return team.Allows(job.Shard, team.Leased.UsedByShard[job.Shard].Add(job.Resources, 1))
 	}
-	u := team.Used.Add(job.Resources, 1)
-	const tiny = 1e-6
-	return (team.CPUsMax <= 0 || u.CPUs <= team.CPUsMax+tiny) && (team.GPUsMax <= 0 || u.GPUs <= team.GPUsMax+tiny)
+	use := team.Used.Add(job.Resources, 1)
+	return (team.CPUsMax <= 0 || use.CPUs <= team.CPUsMax+limitTolerance) && (team.GPUsMax <= 0 || use.GPUs <= team.GPUsMax+limitTolerance)
 }
--- a/internal/jobstate/estimate.go
+++ b/internal/jobstate/estimate.go
@@ -1,18 +1,37 @@
 package jobstate
 
-import (
-	"time"
+const (
+	// Pessimism is the factor by which runs are taken to be longer than expected where a
+	// run that ends late costs more than one that ends early.
+	Pessimism = 1.3
+	// RestartTakes is the time in seconds from the decision to start a task again to its
+	// run, image fetch included.
+	RestartTakes = 4
+	// StartTakes is the time in seconds from a match to the start, without the wait for
+	// resources and the image fetch.
+	StartTakes = 0.3
 
-	"github.com/wallrack/wallrack/internal/wire"
+	defaultRunS = 60 // run time of a task of which nothing is known
+
+	// What every worker starts with, so that a few tasks don't decide its success rate.
+	priorDone = 20
+	priorLost = 0.2
+	// spotShare is the weight of the other spot workers' tasks for a spot worker's rate.
+	spotShare = 0.25
+	// failureWeight is how many lost tasks an error of a task counts as.
+	failureWeight = 2
 )
 
+// Average is the mean of the values added to it. The zero value is empty.
 type Average struct {
 	Count int
 	Sum   float64
 }
 
-func (a *Average) Add(v float64) { a.Count++; a.Sum += v }
+// Add adds a value.
+func (a *Average) Add(value float64) { a.Count++; a.Sum += value }
 
+// Mean returns the mean; 0 if there is no value.
 func (a *Average) Mean() float64 {
 	if a.Count == 0 {
 		return 0
@@ -20,74 +39,29 @@
 	return a.Sum / float64(a.Count)
 }
 
-func (s *State) ClassOf(name string) *Class {
-	c := s.Classes[name]
-	if c == nil {
-		if len(s.Classes) > 1000 {
-			return &Class{Name: name, EstimateRatio: 1}
-		}
-		c = &Class{Name: name, EstimateRatio: 1}
-		for _, aim := range s.Platform.Params.Objectives {
-			if aim.Kind == "wait" && aim.Class == name {
-				c.StartAims = append(c.StartAims, aim.WithinS)
-			}
-		}
-		s.Classes[name] = c
-	}
-	return c
-}
-
-// fetchTime is the image fetch that a task would wait for on the machine.
-func (s *State) FetchTime(job *Job, worker *Worker) float64 {
-	if job.Spec.Image == "" || worker.Images[s.Images.Of(job.Spec.Image)] != nil {
-		return 0
-	}
-	if t := s.TypeOf(worker); t.FetchGBPerS > 0 {
-		return job.Spec.ImageGB / t.FetchGBPerS
-	}
-	return job.Spec.ImageGB
-}
-
-// typeOf is the machine's type, without a name if it is not known.
-func (s *State) TypeOf(worker *Worker) *wire.MachineType {
-	if worker.Type.Name != worker.View.Type {
-		worker.Type, _ = s.MachineTypes.Type(worker.View.Type)
-	}
-	return &worker.Type
-}
-
-// cache notes that a machine has a job's image.
-func (s *State) CacheImage(job *Job, worker *Worker) {
-	i := s.Images.Of(job.Spec.Image)
-	if c := worker.Images[i]; c != nil {
-		c.UsedAt = time.Now()
-		return
-	}
-	worker.Images[i] = &CachedImage{SizeGB: job.Spec.ImageGB, UsedAt: time.Now()}
-	t, ok := s.MachineTypes.Type(worker.View.Type)
-	for ok && len(worker.Images) > 1 {
-		sum, oldest, first := 0.0, 0, time.Now().Add(time.Hour)
-		for k, c := range worker.Images {
-			sum += c.SizeGB
-			if c.UsedAt.Before(first) {
-				oldest, first = k, c.UsedAt
-			}
-		}
-		if sum <= t.CacheGB && len(worker.Images) < 256 {
-			break
-		}
-		delete(worker.Images, oldest)
+// RunEstimate returns the expected run time of a task of the job in seconds: by the job's
+// own tasks, else the user's estimate corrected by the class's ratio, else the class's tasks.
+func (j *Job) RunEstimate() float64 {
+	switch {
+	case j.RunTimes.Count >= 2:
+		return j.RunTimes.Mean()
+	case j.Spec.Estimate > 0:
+		return j.Spec.Estimate * j.Class.EstimateRatio
+	case j.Class.RunTimes.Count > 0:
+		return j.Class.RunTimes.Mean()
 	}
+	return defaultRunS
 }
 
-// success is P: the recent share of tasks not lost on the machine.
+// SuccessRate estimates the share of tasks that the worker doesn't lose or fail, by what
+// happened recently there and, for a spot worker, on all spot workers.
 func (s *State) SuccessRate(worker *Worker) float64 {
-	done, lost := 20+worker.RecentDone, 0.2+worker.RecentLost
+	done, lost := priorDone+worker.RecentDone, priorLost+worker.RecentLost
 	if worker.View.Spot {
-		done, lost = done+s.SpotDone/4, lost+s.SpotLost/4
+		done, lost = done+s.SpotDone*spotShare, lost+s.SpotLost*spotShare
 	}
 	for _, n := range worker.Failures {
-		lost += 2 * float64(n)
+		lost += failureWeight * float64(n)
 	}
 	return done / (done + lost)
 }
--- a/internal/jobstate/instructions.go
+++ b/internal/jobstate/instructions.go
@@ -6,60 +6,68 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// direction returns what is to be told to a holder next.
-func (s *State) InstructionsFor(holder string) *dispatch.Instructions {
-	d := s.Outbox[holder]
-	if d == nil {
-		d = &dispatch.Instructions{From: s.Member.Name()}
-		s.Outbox[holder] = d
+// haltInterval is the least time between two halts of a placement.
+const haltInterval = time.Second
+
+// InstructionsFor returns the instructions that are to be sent to a dispatcher next. The caller
+// adds to them and notifies SendSignal.
+func (s *State) InstructionsFor(dispatcher string) *dispatch.Instructions {
+	instructions := s.Outbox[dispatcher]
+	if instructions == nil {
+		instructions = &dispatch.Instructions{From: s.Member.Name()}
+		s.Outbox[dispatcher] = instructions
 	}
-	return d
+	return instructions
 }
 
-// tell sends a place to the machine's holder, to be queued, or as facts about
-// a task that it lists.
+// AssignPlacement sends a placement to its worker's dispatcher: to be queued or, if the worker
+// lists the task already, as facts about it. A worker without a dispatcher is left out.
 func (s *State) AssignPlacement(placement *Placement, isListed bool) {
 	worker, job := placement.Worker, placement.Job
 	if worker.View.Holder == "" {
 		return
 	}
 	placement.SentTo, placement.SentAt = worker.View.Holder, time.Now()
-	d := s.InstructionsFor(worker.View.Holder)
-	d.Assign = append(d.Assign, dispatch.QueueEntry{
-		TaskRef: placement.Ref, Owner: s.Member.Name(), Resources: job.Resources, Run: job.RunEstimate(), Fetch: s.FetchTime(job, worker),
+	instructions := s.InstructionsFor(worker.View.Holder)
+	instructions.Assign = append(instructions.Assign, dispatch.QueueEntry{
+		TaskRef: placement.Ref, Owner: s.Member.Name(), Resources: job.Resources,
+		Run: job.RunEstimate(), Fetch: s.FetchTime(job, worker),
 		Rank: job.Spec.Rank(), DueAt: job.DueAt(), Listed: isListed,
 	})
 	Notify(s.SendSignal)
 }
 
-// halt stops a task; it is repeated until the task is off its machine.
-func (s *State) HaltTask(placement *Placement, grace float64) {
+// HaltTask stops a placement's task, which gets graceS seconds to save its state. A placement
+// that was never granted is withdrawn. Callers repeat the call until the task is off its
+// worker; repetitions within a second are ignored.
+func (s *State) HaltTask(placement *Placement, graceS float64) {
 	if !placement.MayRun() {
 		s.WithdrawPlacement(placement)
 		return
 	}
-	if time.Since(placement.LastHaltAt) < time.Second {
+	if time.Since(placement.LastHaltAt) < haltInterval {
 		return
 	}
 	placement.LastHaltAt = time.Now()
 	if placement.HaltedAt.IsZero() {
 		placement.HaltedAt = placement.LastHaltAt
 	}
-	if placement.Worker.View.Holder == "" {
-		return
+	if dispatcher := placement.Worker.View.Holder; dispatcher != "" {
+		s.sendHalt(dispatcher, dispatch.Halt{TaskRef: placement.Ref, GraceS: graceS})
 	}
-	d := s.InstructionsFor(placement.Worker.View.Holder)
-	d.Halt = append(d.Halt, dispatch.Halt{TaskRef: placement.Ref, GraceS: grace})
-	Notify(s.SendSignal)
 }
 
-// unqueue takes back a place that was never granted, so that nothing can have
-// been started by it.
+// WithdrawPlacement ends a placement that was never granted, so that nothing can have been
+// started by it, and takes it out of the queue of the dispatcher to which it was sent.
 func (s *State) WithdrawPlacement(placement *Placement) {
 	if placement.SentTo != "" {
-		d := s.InstructionsFor(placement.SentTo)
-		d.Halt = append(d.Halt, dispatch.Halt{TaskRef: placement.Ref})
-		Notify(s.SendSignal)
+		s.sendHalt(placement.SentTo, dispatch.Halt{TaskRef: placement.Ref})
 	}
 	s.EndPlacement(placement)
 }
+
+func (s *State) sendHalt(dispatcher string, halt dispatch.Halt) {
+	instructions := s.InstructionsFor(dispatcher)
+	instructions.Halt = append(instructions.Halt, halt)
+	Notify(s.SendSignal)
+}
--- a/internal/jobstate/interfaces.go
+++ b/internal/jobstate/interfaces.go
@@ -9,22 +9,33 @@
 
 // Cancellations is what this controller knows of cancelled jobs, its own and others'.
 type Cancellations interface {
+	// IsCancelled reports whether the job is known to be cancelled.
 	IsCancelled(uid string) bool
-	// RecordCancelled notes a cancel that the state service has.
+	// RecordCancelled notes cancels that the state service has recorded.
 	RecordCancelled(uids ...string)
 }
 
-// Membership is this controller's standing.
+// Membership is this controller's membership in the cluster: its lease and its shards.
 type Membership interface {
+	// Name returns the controller's name.
 	Name() string
+	// LeaseRemaining returns the time for which the controller's lease surely lasts; none is
+	// left if it is not positive.
 	LeaseRemaining() time.Duration
+	// OwnsShard reports whether the controller surely leads the shard now, and returns the
+	// version of the shard's key.
 	OwnsShard(shard int) (version uint64, ok bool)
+	// ClaimedShards returns the versions of the keys of the shards that the controller has
+	// claimed, by shard, whether or not its lease lasts.
 	ClaimedShards() map[int]uint64
+	// NextToken returns a fencing token higher than all before it.
 	NextToken(ctx context.Context) (uint64, error)
+	// ShardKey returns the key of the state service that names the shard's leader.
 	ShardKey(shard int) string
 }
 
-// MachineTypes knows the cloud's machine types.
+// MachineTypes are the machine types of the cloud.
 type MachineTypes interface {
+	// Type returns the type of that name; false if it is not known.
 	Type(name string) (wire.MachineType, bool)
 }
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -4,117 +4,90 @@
 	"strings"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/jobrecord"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Requirements is what a job asks of a machine, image apart: jobs alike in it have room
-// on the same machines.
-type Requirements struct {
-	shape       matching.Resources
-	zone, types string
-	spot        bool
-}
+// Job is a living job: one that was accepted and whose end is not recorded yet.
+type Job struct {
+	Spec        *wire.Job
+	Shard       int
+	Version     uint64 // of its live record
+	AcceptedAt  time.Time
+	AcceptedMs  int64 // AcceptedAt as its record has it, in milliseconds since 1970
+	Class       *Class
+	Team        *Team
+	Resources   matching.Resources // of one task
+	Constraints *ConstraintState   // nil: it has none
+	Large       bool               // it is one of its class's largest
 
-func (job *Job) Requirements() Requirements {
-	if job.requirements == (Requirements{}) {
-		job.requirements = Requirements{shape: job.Resources, types: strings.Join(job.Spec.Types, "\x00"), spot: job.Spec.Spot}
-		if job.Spec.Zone != nil {
-			job.requirements.zone = *job.Spec.Zone
-		}
-	}
-	return job.requirements
-}
+	Cancelled      bool // the state service has recorded its cancel
+	PendingCancels PendingCancels
+	EndStage       string // final stage, once nothing is left to do; "": not yet
+	EndWriteSent   bool   // the outcome of the write of its end is pending
 
-// RunEstimate is the expected run time of a task of the job.
-func (job *Job) RunEstimate() float64 {
-	switch {
-	case job.RunTimes.Count >= 2:
-		return job.RunTimes.Mean()
-	case job.Spec.Estimate > 0:
-		return job.Spec.Estimate * job.Class.EstimateRatio
-	case job.Class.RunTimes.Count > 0:
-		return job.Class.RunTimes.Mean()
-	}
-	return 60
+	Chunks     []*Chunk
+	Pending    []int                // tasks without a placement; the last is placed first
+	Placements map[int][]*Placement // by task; a task without a placement has no entry
+	Done       int                  // tasks that completed
+	Finished   int                  // tasks that are done, failed or cancelled individually
+	Running    int                  // placements that were seen to run
+	Started    int                  // tasks that were ever seen to run
+	BegunAt    time.Time            // when its first task was seen to run, or the last one of a gang
+	Zones      map[string]int       // placements by zone
+	Unzoned    int                  // placements in a zone that is not known yet, which may be any
+	RunTimes   Average              // of its tasks, in seconds
+
+	Errors    int               // attempts that ended with an error or by an unknown cause
+	FailedOn  map[int]bool      // indices of workers on which a task failed, until one was done
+	Faulty    bool              // it failed on several workers and on none was a task of it done
+	NotBefore time.Time         // no task is placed until then
+	Avoid     map[int]time.Time // by worker index: no task is placed there until then
+	Evicted   map[int]bool      // tasks that were stopped to empty a worker
+	Tier      int               // number of its limits that it cannot keep, by the last triage
+
+	requirements Requirements // computed by the first call of Requirements
+	doneLimits   []float64    // computed by the first call of State.Limits
 }
 
-func (job *Job) DueAt() float64 {
-	at := float64(job.AcceptedMs) / 1000
-	if job.Spec.DueS != nil {
-		return at + *job.Spec.DueS
-	}
-	return at + 60
+// Requirements is what a job requires of a worker, its image aside: jobs with equal
+// requirements fit on the same workers. Values can be compared and used as map keys.
+type Requirements struct {
+	resources   matching.Resources
+	zone, types string
+	spot        bool
 }
 
-// FinalOutcome says how an exit ends its task for good, or 0.
-func (job *Job) FinalOutcome(placement *Placement, t *dispatch.TaskView) TaskOutcome {
-	if t.Exit != nil {
-		placement.ExitCode = *t.Exit & 0xff
-	}
-	switch {
-	case job.Constraints == nil || job.Cancelled || placement.Chunk.IsDone(placement.Task):
-		return 0
-	case placement.TimedOut:
-		return OutcomeTimedOut
-	case job.Constraints.NoRetry && t.Cause == wire.CauseError && t.Exit != nil:
-		return OutcomeFailed
+// Requirements returns what the job requires of a worker.
+func (j *Job) Requirements() Requirements {
+	if j.requirements == (Requirements{}) {
+		j.requirements = Requirements{resources: j.Resources, types: strings.Join(j.Spec.Types, "\x00"), spot: j.Spec.Spot}
+		if j.Spec.Zone != nil {
+			j.requirements.zone = *j.Spec.Zone
+		}
 	}
-	return 0
+	return j.requirements
 }
 
-// Job is a living job.
-type Job struct {
-	Spec           *wire.Job
-	Shard          int
-	Version        uint64
-	AcceptedAt     time.Time
-	AcceptedMs     int64
-	Cancelled      bool
-	PendingCancels PendingCancels
-	EndStage       string // stage to finish with
-	EndWriteSent   bool   // the write of its end is out
-	Chunks         []*Chunk
-	Pending        []int // tasks with no place, a stack
-	Placements     map[int][]*Placement
-	Done           int
-	Running        int
-	Resources      matching.Resources
-	requirements   Requirements // once it was asked for
-	Class          *Class
-	Team           *Team
-	RunTimes       Average
-	Errors         int
-	FailedOn       map[int]bool // machines on which its tasks failed, until one was done
-	Faulty         bool         // it fails wherever it is tried, see failed
-	NotBefore      time.Time
-	Avoid          map[int]time.Time
-	Zones          map[string]int
-	Unzoned        int              // places that count in every zone
-	Started        int              // tasks that were ever seen running
-	doneLimits     []float64        // see limits
-	Evicted        map[int]bool     // tasks that were stopped to empty a machine
-	Constraints    *ConstraintState // what its terms ask; nil: it has none
-	Large          bool             // it is one of its class's largest
-	BegunAt        time.Time        // when its first task was seen to run, of a gang the last
-	Tier           int              // limits that it has to let pass, see triage
-	Finished       int              // tasks that are done, failed or cancelled alone
-}
+// ChunkOf returns the chunk of a task.
+func (j *Job) ChunkOf(task int) *Chunk { return j.Chunks[task/jobrecord.ChunkSize] }
 
-// RecordBegin notes that a task of the job was seen to run, or to have run.
-func (job *Job) RecordBegin(at time.Time) {
-	if job.BegunAt.IsZero() && (!job.Spec.Gang() || job.Started >= job.Spec.Tasks) {
-		job.BegunAt = at
+// RecordBegin notes that a task of the job was seen to run, or to have run. Only the first
+// time counts, for a gang the first one after all its tasks were started.
+func (j *Job) RecordBegin(at time.Time) {
+	if j.BegunAt.IsZero() && (!j.Spec.Gang() || j.Started >= j.Spec.Tasks) {
+		j.BegunAt = at
 	}
 }
 
-// ActiveTasks counts the tasks, but one, that have a place, or one where they may be on.
-func (job *Job) ActiveTasks(on bool, but int) int {
+// ActiveTasks counts the tasks other than except that have a placement which has not exited;
+// with grantedOnly, one by which the task may run. No task has the number -1.
+func (j *Job) ActiveTasks(grantedOnly bool, except int) int {
 	n := 0
-	for task, ps := range job.Placements {
-		for _, placement := range ps {
-			if task != but && !placement.Exited && (placement.MayRun() || !on) {
+	for task, placements := range j.Placements {
+		for _, placement := range placements {
+			if task != except && !placement.Exited && (placement.MayRun() || !grantedOnly) {
 				n++
 				break
 			}
@@ -123,13 +96,14 @@
 	return n
 }
 
-func (job *Job) PublicState() wire.JobState {
-	s := wire.JobState{UID: job.Spec.UID, Stage: wire.StageQueued, Done: job.Done, Running: job.Running}
+// PublicState returns the job's state as clients see it.
+func (j *Job) PublicState() wire.JobState {
+	state := wire.JobState{UID: j.Spec.UID, Stage: wire.StageQueued, Done: j.Done, Running: j.Running}
 	switch {
-	case job.Cancelled:
-		s.Stage, s.Running = wire.StageCancelled, 0
-	case job.Running > 0:
-		s.Stage = wire.StageRunning
+	case j.Cancelled:
+		state.Stage, state.Running = wire.StageCancelled, 0
+	case j.Running > 0:
+		state.Stage = wire.StageRunning
 	}
-	return s
+	return state
 }
--- a/internal/jobstate/lease.go
+++ b/internal/jobstate/lease.go
@@ -7,22 +7,29 @@
 )
 
 const (
-	CountedStart = 30  // seconds within which a stop undoes a start that an aim counts
-	renewOverdue = 1.5 // the same, after which it gets no work that its lease may cut short
+	// CountedStart is the time in seconds after a start within which a stop undoes a start
+	// that an objective counts.
+	CountedStart = 30
+	// OverdueSlack is how much later than due a heartbeat may arrive.
 	OverdueSlack = time.Second
-	ShowTakes    = 2.0 // seconds before the end of a lease at which its worker is asked a last time
-	StartTakes   = 0.3 // seconds from a match to the start, without wait and fetch
+	// ShowTakes is the time in seconds before the expiry of a lease at which its worker is
+	// polled for the last time: a task that ends later is not seen to be done.
+	ShowTakes = 2.0
+
+	// renewOverdue is the number of heartbeat intervals without contact after which a worker
+	// gets no task that the expiry of its lease may kill.
+	renewOverdue = 1.5
 )
 
-// overdue reports whether a machine that was heard by request had not reported for so
-// many report intervals then. An owner that stood still itself finds none overdue: it has
-// heard nobody since.
+// ReportOverdue reports whether, at the worker's last heartbeat, the contact before it was older
+// than so many heartbeat intervals, which happens to workers that only respond to polls. It
+// doesn't compare with the present: a leader that was paused would find every worker overdue.
 func (s *State) ReportOverdue(worker *Worker, intervals float64) bool {
 	return worker.LastHeartbeat.Sub(worker.LastContact()) > config.Seconds(intervals*s.Platform.Params.Workers.ReportS)+OverdueSlack
 }
 
-// leaseEnd is when the lease of the machine's worker ends if it is not renewed: each
-// session after the one in which it was renewed last has had a lease to itself.
+// LeaseEnd returns when the worker's lease expires if it is not renewed. Each session after the
+// one of the last renewal has had a lease of its own.
 func (s *State) LeaseEnd(worker *Worker) time.Time {
 	leases := 1.0
 	if worker.View.Session > worker.RenewedSession {
@@ -31,8 +38,8 @@
 	return worker.LastRenewal().Add(config.Seconds(leases * s.Platform.Params.Workers.LeaseS))
 }
 
-// fitsLease reports whether a task of the job that starts on the machine now would be
-// done, and read, before a lease ends that is not renewed.
+// FitsLease reports whether a task of the job that starts on the worker now would be done, and
+// seen to be done, before the worker's lease expires. It is true if the lease is being renewed.
 func (s *State) FitsLease(job *Job, worker *Worker) bool {
 	if !s.ReportOverdue(worker, renewOverdue) {
 		return true
--- /dev/null
+++ b/internal/jobstate/objectives.go
@@ -0,0 +1,45 @@
+package jobstate
+
+import "slices"
+
+// defaultDueS is the age at which a job is taken as due that names no time.
+const defaultDueS = 60
+
+// Limits returns the ages in seconds by which the job should be done: its class's objectives
+// and its own due time. The result is computed once; it must not be changed.
+func (s *State) Limits(job *Job) []float64 {
+	if job.doneLimits == nil {
+		job.doneLimits = []float64{}
+		for _, objective := range s.Platform.Params.Objectives {
+			switch {
+			case objective.Class != job.Spec.Class:
+			case objective.Kind == "finished":
+				job.doneLimits = append(job.doneLimits, objective.WithinS)
+			case objective.Kind == "deadline" && job.Spec.DueS != nil:
+				job.doneLimits = append(job.doneLimits, *job.Spec.DueS*max(1, objective.Times))
+			}
+		}
+		if job.Spec.DueS != nil {
+			job.doneLimits = append(job.doneLimits, *job.Spec.DueS)
+		}
+	}
+	return job.doneLimits
+}
+
+// FirstLimit returns the least of Limits; 0 if there is none.
+func (s *State) FirstLimit(job *Job) float64 {
+	if limits := s.Limits(job); len(limits) > 0 {
+		return slices.Min(limits)
+	}
+	return 0
+}
+
+// DueAt returns the time of day by which the job is due, in seconds since 1970. A job that
+// names none is taken as due a minute after its acceptance, so that older jobs come first.
+func (j *Job) DueAt() float64 {
+	at := float64(j.AcceptedMs) / 1000
+	if j.Spec.DueS != nil {
+		return at + *j.Spec.DueS
+	}
+	return at + defaultDueS
+}
--- a/internal/jobstate/outcome.go
+++ b/internal/jobstate/outcome.go
@@ -1,25 +1,89 @@
 package jobstate
 
 import (
+	"strconv"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// fail ends a task that will not be tried again.
-func (s *State) FailTask(placement *Placement, h TaskOutcome) {
-	placement.Chunk.SetFailed(placement.Task, uint64(h), uint64(placement.ExitCode))
+// TaskOutcome is how a task ended that is over and not done. Records hold its number.
+type TaskOutcome uint8
+
+// Outcomes of a task; 0 stands for none.
+const (
+	OutcomeFailed    TaskOutcome = 1
+	OutcomeTimedOut  TaskOutcome = 2
+	OutcomeCancelled TaskOutcome = 3 // individually, by its user
+)
+
+const (
+	outcomeMask  = 3    // bits of a TaskOutcome
+	exitCodeMask = 0xff // bits of an exit code
+)
+
+func (o TaskOutcome) String() string {
+	switch o {
+	case 0:
+		return "none"
+	case OutcomeFailed:
+		return "failed"
+	case OutcomeTimedOut:
+		return "timed out"
+	case OutcomeCancelled:
+		return "cancelled"
+	}
+	return "outcome " + strconv.Itoa(int(o))
+}
+
+// AccountingState returns Slurm's name for the outcome; that of a completed task for 0.
+func (o TaskOutcome) AccountingState() string {
+	return [...]string{jobspec.Completed, jobspec.Failed, jobspec.Timeout, jobspec.Cancelled}[o&outcomeMask]
+}
+
+// TaskFailure is the end of a task that is over and not done.
+type TaskFailure struct {
+	Outcome  TaskOutcome
+	ExitCode int // 0 to 255
+}
+
+// Triple returns the failure as records have it: task, outcome, exit code.
+func (f TaskFailure) Triple(task int) []uint64 {
+	return []uint64{uint64(task), uint64(f.Outcome), uint64(f.ExitCode)}
+}
+
+// FinalOutcome returns the outcome of a task that the exit of a placement ends for good, or 0
+// if the task is to be tried again. It also notes the exit code at the placement.
+func (j *Job) FinalOutcome(placement *Placement, task *dispatch.TaskView) TaskOutcome {
+	if task.Exit != nil {
+		placement.ExitCode = *task.Exit & exitCodeMask
+	}
+	switch {
+	case j.Constraints == nil || j.Cancelled || placement.Chunk.IsDone(placement.Task):
+		return 0
+	case placement.TimedOut:
+		return OutcomeTimedOut
+	case j.Constraints.NoRetry && task.Cause == wire.CauseError && task.Exit != nil:
+		return OutcomeFailed
+	}
+	return 0
+}
+
+// FailTask ends a placement's task, which will not be tried again.
+func (s *State) FailTask(placement *Placement, outcome TaskOutcome) {
+	placement.Chunk.SetFailed(placement.Task, uint64(outcome), uint64(placement.ExitCode))
 	s.FinishTask(placement)
 }
 
-// overTime stops the tasks that run longer than their job's time limit.
+// StopOverTime stops the tasks that have run longer than their job's time limit.
 func (s *State) StopOverTime(job *Job) {
 	if job.Constraints == nil || job.Constraints.LimitS <= 0 || job.Cancelled {
 		return
 	}
-	for _, ps := range job.Placements {
-		for _, placement := range ps {
+	for _, placements := range job.Placements {
+		for _, placement := range placements {
 			if !placement.Exited && !placement.RunningSince.IsZero() && time.Since(placement.RunningSince).Seconds() > job.Constraints.LimitS {
 				placement.TimedOut = true
 				s.HaltTask(placement, 0)
@@ -28,33 +92,44 @@
 	}
 }
 
-// ending is how a job with terms ended.
+// EndStateOf returns how a job with constraints ended; nil for a job without. The first call
+// fixes the end time.
 func (s *State) EndStateOf(job *Job) *jobspec.Ending {
-	a := job.Constraints
-	if a == nil {
+	constraints := job.Constraints
+	if constraints == nil {
 		return nil
 	}
-	if a.EndMs == 0 {
-		a.EndMs = time.Now().UnixMilli()
+	if constraints.EndMs == 0 {
+		constraints.EndMs = time.Now().UnixMilli()
 	}
-	e := &jobspec.Ending{Number: a.Number, State: jobspec.Completed, Failed: job.Finished - job.Done, StartMs: a.StartMs, EndMs: a.EndMs}
-	worst := TaskOutcome(0)
-	for _, chunk := range job.Chunks {
-		for _, f := range chunk.Failed {
-			e.Exit = max(e.Exit, f.ExitCode)
-			if worst == 0 || f.Outcome < worst {
-				worst = f.Outcome
-			}
-		}
+	end := &jobspec.Ending{
+		Number: constraints.Number, State: jobspec.Completed, Failed: job.Finished - job.Done,
+		StartMs: constraints.StartMs, EndMs: constraints.EndMs,
 	}
+	outcome, exitCode := job.worstFailure()
+	end.Exit = exitCode
 	switch {
 	case job.EndStage == wire.StageDone:
-	case a.CancelReason != "":
-		e.State = a.CancelReason
+	case constraints.CancelReason != "":
+		end.State = constraints.CancelReason
 	case job.Cancelled:
-		e.State = jobspec.Cancelled
+		end.State = jobspec.Cancelled
 	default:
-		e.State = worst.AccountingState()
+		end.State = outcome.AccountingState()
+	}
+	return end
+}
+
+// worstFailure returns the first outcome in the order of their numbers, 0 if no task failed,
+// and the highest exit code of the tasks that failed.
+func (j *Job) worstFailure() (outcome TaskOutcome, exitCode int) {
+	for _, chunk := range j.Chunks {
+		for _, failure := range chunk.Failed {
+			exitCode = max(exitCode, failure.ExitCode)
+			if outcome == 0 || failure.Outcome < outcome {
+				outcome = failure.Outcome
+			}
+		}
 	}
-	return e
+	return outcome, exitCode
 }
--- a/internal/jobstate/placement.go
+++ b/internal/jobstate/placement.go
@@ -1,59 +1,80 @@
 package jobstate
 
 import (
+	"strconv"
 	"time"
 
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// NeverSent reports whether no start command for a halted place can be under way, when
-// the holder with that token says that it sent none: the start was granted for this token
-// alone. One that was granted for another may still be held up, sent by another holder or
-// before this one restarted: taken off its team's use it would run beside what the limit
-// then lets start.
-func (placement *Placement) NeverSent(token uint64) bool {
-	return placement.State == PlacementGranted && !placement.LastHaltAt.IsZero() && placement.MinToken == token && placement.MaxToken == token
-}
-
-// PlacementState is how far a place has come.
+// PlacementState is how far a placement has come. From PlacementGranted on the task may run.
 type PlacementState int
 
+// States of a placement.
 const (
-	PlacementRecording   PlacementState = iota // being recorded; not at its holder yet
-	PlacementRecorded                          // recorded; the holder may queue it
-	PlacementGranted                           // may have been started
-	PlacementReported                          // the worker reported it
-	PlacementUnconfirmed                       // found in the store by a new owner
+	PlacementRecording   PlacementState = iota // its record is pending; the dispatcher doesn't have it
+	PlacementRecorded                          // recorded; the dispatcher may queue it
+	PlacementGranted                           // a start was granted, so the task may have been started
+	PlacementReported                          // a heartbeat of the worker listed the task
+	PlacementUnconfirmed                       // read from the state service at a failover
 )
 
-// Placement is a machine on which a task may be.
+func (s PlacementState) String() string {
+	switch s {
+	case PlacementRecording:
+		return "recording"
+	case PlacementRecorded:
+		return "recorded"
+	case PlacementGranted:
+		return "granted"
+	case PlacementReported:
+		return "reported"
+	case PlacementUnconfirmed:
+		return "unconfirmed"
+	}
+	return "placement state " + strconv.Itoa(int(s))
+}
+
+// Placement is an attempt of a task on a worker: the task is, or may be, there.
 type Placement struct {
-	Job           *Job
-	Chunk         *Chunk
-	Task          int
-	Attempt       uint64
-	Worker        *Worker
-	Ref           dispatch.TaskRef
-	State         PlacementState
-	MaxToken      uint64 // highest token a start command may carry
-	MinToken      uint64 // lowest token for which the start was granted
-	Session       uint64 // highest session a start command may be for
-	InStore       bool   // the store may know of it
-	PlannedWait   float64
+	Job     *Job
+	Chunk   *Chunk
+	Task    int
+	Attempt uint64
+	Worker  *Worker
+	Ref     dispatch.TaskRef // set by State.AddPlacement
+	State   PlacementState
+
+	MaxToken uint64 // highest fencing token that a start command may carry
+	MinToken uint64 // lowest fencing token for which the start was granted
+	Session  uint64 // highest session of the worker that a start command may be for
+	InStore  bool   // the state service may have it
+
+	PlannedWait   float64 // seconds until its start, as expected when it was placed
 	CreatedAt     time.Time
-	SentTo        string // holder that was told
+	SentTo        string // dispatcher to which it was last sent; "": none
 	SentAt        time.Time
-	GrantedAt     time.Time // first
-	RunningSince  time.Time // when it was first seen running
-	StartObserved bool      // its start was seen, so its run time is known
-	LastHaltAt    time.Time // when it was last told to stop
-	HaltedAt      time.Time // when it was first told to stop
-	Exited        bool      // done, kept until the completion is recorded
-	ExitCode      int       // exit code, if it ended with one
-	ExitCause     string    // with which it exited
-	Accounted     bool      // its accounting row was made
-	TimedOut      bool      // stopped because it ran over its job's time limit
-	SeenInView    uint64    // the last view that listed it, see Scheduler.views
+	GrantedAt     time.Time // first grant
+	RunningSince  time.Time // by the heartbeat that first showed it running; zero: none did, or it has ended
+	StartObserved bool      // this leader granted its start, so its run time is known
+	LastHaltAt    time.Time // last halt; zero: none
+	HaltedAt      time.Time // first halt; zero: none
+	SeenInView    uint64    // number of the last view of the worker that listed it, see package reconcile
+
+	Exited    bool   // the task is over; kept until that is recorded
+	ExitCode  int    // 0 to 255; 0 also if it ended without
+	ExitCause string // cause by which it exited, see package wire; "": it did not
+	TimedOut  bool   // halted because it ran over its job's time limit
+	Accounted bool   // its accounting row was made
 }
 
-func (placement *Placement) MayRun() bool { return placement.State >= PlacementGranted }
+// MayRun reports whether the task may have been started by this placement.
+func (p *Placement) MayRun() bool { return p.State >= PlacementGranted }
+
+// NeverSent reports whether no start command for a halted placement can be under way, given
+// that the dispatcher with that fencing token states that it sent none. That holds only if
+// the start was granted for this token alone. A start granted for another one may still be
+// delayed: if it were taken off its team's use, it would run beside what the limit then admits.
+func (p *Placement) NeverSent(token uint64) bool {
+	return p.State == PlacementGranted && !p.LastHaltAt.IsZero() && p.MinToken == token && p.MaxToken == token
+}
--- /dev/null
+++ b/internal/jobstate/record_update.go
@@ -0,0 +1,43 @@
+package jobstate
+
+import (
+	"slices"
+
+	"github.com/wallrack/wallrack/internal/jobrecord"
+)
+
+// UpdateRecord applies a newer live record of a job, which has that version.
+func (s *State) UpdateRecord(job *Job, record *jobrecord.LiveRecord, version uint64) {
+	job.Version = max(job.Version, version)
+	s.updateConstraints(job, record)
+	if record.Cancelled {
+		s.CancelJob(job)
+	} else {
+		job.PendingCancels.Supersede(version)
+	}
+}
+
+// updateConstraints replaces a job's constraints by those of a newer record. A job that is now
+// held loses the placements that were not granted yet.
+func (s *State) updateConstraints(job *Job, record *jobrecord.LiveRecord) {
+	if record.Terms == nil || job.Constraints == nil {
+		return
+	}
+	constraints := *record.Terms
+	job.Constraints.Constraints = &constraints
+	s.CancelTasks(job)
+	if constraints.Held {
+		s.withdrawUngranted(job)
+	}
+	Notify(s.PlanSignal)
+}
+
+func (s *State) withdrawUngranted(job *Job) {
+	for _, placements := range job.Placements {
+		for _, placement := range slices.Clone(placements) {
+			if !placement.MayRun() && !placement.Exited {
+				s.WithdrawPlacement(placement)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/jobstate/reserve.go
@@ -0,0 +1,57 @@
+package jobstate
+
+import (
+	"math"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/dispatch"
+)
+
+// viewLag is the age that a view from another controller may have when it arrives.
+const viewLag = 1500 * time.Millisecond
+
+// Queued reports whether a dispatcher's queue contains the attempt.
+func Queued(queue []dispatch.QueueView, ref dispatch.TaskRef) bool {
+	for i := range queue {
+		if queue[i].Attempt == ref.Attempt && queue[i].TaskRef == ref {
+			return true
+		}
+	}
+	return false
+}
+
+// ReserveUnreported reserves, in the worker's published matrix, the resources of the placements
+// that the dispatcher may not have known when it published the matrix.
+func (s *State) ReserveUnreported(worker *Worker) {
+	if len(worker.Matrix) == 0 {
+		return
+	}
+	// The view of another controller is older than its arrival: without the lag, resources
+	// assigned in between would be assigned again.
+	lag := time.Duration(0)
+	if worker.View.Holder != s.Member.Name() {
+		lag = viewLag
+	}
+	for placement := range worker.Placements {
+		if placement.inMatrix(lag) || Queued(worker.View.Queue, placement.Ref) {
+			continue
+		}
+		resources := placement.Job.Resources
+		run := placement.Job.RunEstimate() + s.FetchTime(placement.Job, worker)
+		if wait := worker.Matrix.Wait(resources, run); !math.IsInf(wait, 1) {
+			worker.Matrix = worker.Matrix.Reserve(resources, wait, run)
+		}
+	}
+}
+
+// inMatrix reports whether the worker's matrix, as of its last view that may be lag old, needs
+// no reservation for the placement: the dispatcher knew the placement, or it uses nothing.
+func (p *Placement) inMatrix(lag time.Duration) bool {
+	switch {
+	case p.Exited:
+		return true
+	case p.MayRun():
+		return p.State != PlacementGranted || lag == 0 || time.Since(p.GrantedAt) > lag
+	}
+	return p.SentTo == p.Worker.View.Holder && p.SentAt.Before(p.Worker.ViewAt.Add(-lag))
+}
--- a/internal/jobstate/served.go
+++ b/internal/jobstate/served.go
@@ -1,62 +1,62 @@
 package jobstate
 
-import (
-	"time"
-)
+import "time"
 
 const (
-	beginBy   = 240 * time.Second // age by which every job is to have begun, the operators' limit
-	beginFrom = beginBy / 2       // from which on its first task goes before all others
+	beginBy   = 240 * time.Second // age by which every job is to have begun, as the operators require
+	beginFrom = beginBy / 2       // age from which its first task is placed before all other work
 )
 
-// Served counts the jobs of a class or team, or of a class's largest, that ended or
-// are alive here, cancelled ones aside. Jobs that ended under a predecessor are not counted.
+// Served counts the jobs of a class, of a class's largest or of a team that live here or ended
+// under this leader. Cancelled jobs are not counted.
 type Served struct {
-	Offered int `json:"offered"`
+	Offered int `json:"offered"`       // all that are counted
 	Begun   int `json:"begun"`         // their first task ran within beginBy, or all tasks of a gang
-	InTime  int `json:"in_time"`       // done by their first limit
+	InTime  int `json:"in_time"`       // ended by their first limit
 	Ended   int `json:"ended"`         // of those offered
-	Waiting int `json:"waiting_begin"` // not begun yet, and not late with it either
+	Waiting int `json:"waiting_begin"` // not begun yet, and younger than beginBy
 }
 
-// record counts a job that ended, or lives, into a class's or team's numbers.
-func (s *Served) record(job *Job, ended bool, now time.Time, limit float64) {
+// count adds a job. Its limit is in seconds; 0: none.
+func (s *Served) count(job *Job, ended bool, now time.Time, limitS float64) {
 	s.Offered++
-	took := now.Sub(job.AcceptedAt)
+	age := now.Sub(job.AcceptedAt)
 	switch {
 	case !job.BegunAt.IsZero() && job.BegunAt.Sub(job.AcceptedAt) <= beginBy:
 		s.Begun++
-	case job.BegunAt.IsZero() && took < beginBy:
+	case job.BegunAt.IsZero() && age < beginBy:
 		s.Waiting++
 	}
 	if ended {
 		s.Ended++
-		if limit <= 0 || took.Seconds() <= limit {
+		if limitS <= 0 || age.Seconds() <= limitS {
 			s.InTime++
 		}
 	}
 }
 
-// Tally is Served of jobs that ended, by kind ("class", "largest", "team") and name.
+// Tally is Served by kind ("class", "largest" or "team") and name.
 type Tally map[[2]string]*Served
 
-// servedNames bounds the classes and teams that are counted.
-const servedNames = 1000
+// maxTallied bounds the classes and teams that are counted: their names come from users.
+const maxTallied = 1000
 
-func (t Tally) Record(job *Job, ended bool, now time.Time, limit float64) {
+// Record adds a job to the numbers of its class and its team. Its first limit is in seconds;
+// 0: none. Names beyond a bound are not counted.
+func (t Tally) Record(job *Job, ended bool, now time.Time, limitS float64) {
 	keys := [][2]string{{"class", job.Spec.Class}, {"team", job.Spec.Team}}
 	if job.Large {
 		keys = append(keys, [2]string{"largest", job.Spec.Class})
 	}
-	for _, k := range keys {
-		s := t[k]
-		if s == nil {
-			if len(t) >= servedNames {
+	for _, key := range keys {
+		served := t[key]
+		if served == nil {
+			if len(t) >= maxTallied {
 				continue
 			}
-			s = &Served{}
-			t[k] = s
+			served = &Served{}
+			t[key] = served
 		}
-		s.record(job, ended, now, limit)
+		served.count(job, ended, now, limitS)
 	}
 }
--- a/internal/jobstate/state.go
+++ b/internal/jobstate/state.go
@@ -2,7 +2,8 @@
 // the placements of their tasks, the workers, and what each team uses. Its methods keep
 // these consistent with one another, and note what follows from a change: log records to be
 // written, accounting rows, and instructions for the dispatchers of workers. They do no
-// input or output and take no lock.
+// input or output, take no lock and decide nothing: where a task runs is up to package
+// planner, what a heartbeat means to package reconcile.
 package jobstate
 
 import (
@@ -17,9 +18,11 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// State is everything that a leader knows of its shards. It is owned by the scheduler's
-// event loop and by the packages that decide for it (planner, reconcile, quota, shardlog):
-// each of them holds Mu around every use, and none holds it over input or output.
+// State is everything that a leader knows of its shards. It is shared by the scheduler's
+// event loop and the packages that decide for it (planner, reconcile, quota, shardlog):
+// each of them holds Mu around every use, also of the jobs, workers, placements and teams
+// reached through it, and none holds it over input or output. Only the interfaces, the
+// settings and the signals, which are set before the scheduler starts, may be used without Mu.
 type State struct {
 	Mu sync.Mutex
 
@@ -29,14 +32,14 @@
 	MachineTypes MachineTypes
 	// Cancellations are the cancelled jobs known here, this leader's and others'; nil: none.
 	Cancellations Cancellations
-	// AccountingEnabled says whether accounting rows are made.
+	// AccountingEnabled states that accounting rows are made.
 	AccountingEnabled bool
 
 	PlanSignal  chan struct{} // tasks may be placeable
 	WriteSignal chan struct{} // there is something to write
 	SendSignal  chan struct{} // Outbox has something
 
-	Loaded   map[int]uint64 // shard -> version of its key when loaded
+	Loaded   map[int]uint64 // the shards led here: version of the shard's key when it was loaded
 	LoadedAt time.Time      // of the last failover
 	// PredecessorToken is the highest fencing token for which an earlier leader may have
 	// granted a start.
@@ -50,16 +53,16 @@
 	Teams          map[string]*Team
 	Classes        map[string]*Class
 	Images         wire.Index
-	Final          map[string]jobrecord.FinalRecord // of jobs that ended here, for answers
+	Final          map[string]jobrecord.FinalRecord // of jobs that ended here, for queries
 
 	Unwritten map[int][]Change                  // by shard: changes for the next log record
 	LooseRows []accounting.Row                  // of attempts whose end needs no log record
 	Outbox    map[string]*dispatch.Instructions // by dispatcher
 
-	AdmittedWork float64                  // CPU-seconds, since this process began
+	AdmittedWork float64                  // CPU-seconds accepted since this process began
 	Arriving     map[string]*ArrivingWork // by class
-	SpotDone     float64                  // recent tasks of spot machines that were done, and lost
-	SpotLost     float64
+	SpotDone     float64                  // tasks done on spot workers, decaying with each
+	SpotLost     float64                  // tasks lost on spot workers, decaying with each
 	Stats        Stats
 	Ended        Tally // of jobs that ended here
 
@@ -82,54 +85,29 @@
 	return s
 }
 
-// Later returns the later of two times.
-func Later(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
-// Stats are counters for operators.
-type Stats struct {
-	Placed              int `json:"Placed"`
-	Duplicates          int `json:"Duplicates"`
-	Granted             int `json:"Granted"`
-	Refused             int `json:"Refused"`
-	Lost                int `json:"Lost"`
-	Done                int `json:"Done"`
-	Errors              int `json:"Errors"`
-	Preempted           int `json:"Preempted"`
-	Evacuated           int `json:"Evacuated"`
-	LeaseExpiring       int `json:"Expiring"`
-	Failovers           int `json:"Takeovers"`
-	QuotaRecordsRefused int `json:"LentRefused"`
+// OwnsJob reports whether this controller surely leads the job's shard now, and has led it
+// without interruption since the shard was loaded.
+func (s *State) OwnsJob(job *Job) bool {
+	version, ok := s.Member.OwnsShard(job.Shard)
+	return ok && version == s.Loaded[job.Shard]
 }
 
-// PassShare is how many times longer than a scheduling pass the pause after it is.
+// PassShare is the pause after a scheduling pass, as a multiple of the pass's duration.
 const PassShare = 4
 
-// Notify makes a signal pending; one that is pending already stands for this one too.
-func Notify(c chan struct{}) {
+// Notify makes a signal pending, and never blocks. A signal that is pending already stands for
+// this one too.
+func Notify(signal chan struct{}) {
 	select {
-	case c <- struct{}{}:
+	case signal <- struct{}{}:
 	default:
 	}
 }
 
-func (s *State) WorkerOf(name string) *Worker {
-	worker := s.Workers[name]
-	if worker == nil {
-		worker = &Worker{Index: len(s.WorkersByIndex), Name: name, KnownSince: time.Now(), Placements: map[*Placement]struct{}{},
-			Images: map[int]*CachedImage{}, Failures: map[string]int{}}
-		s.Workers[name] = worker
-		s.WorkersByIndex = append(s.WorkersByIndex, worker)
+// Later returns the later of two times.
+func Later(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
 	}
-	return worker
-}
-
-// owns reports whether the job's shard is surely this controller's, as it was loaded.
-func (s *State) OwnsJob(job *Job) bool {
-	version, ok := s.Member.OwnsShard(job.Shard)
-	return ok && version == s.Loaded[job.Shard]
+	return b
 }
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -7,53 +7,57 @@
 	"github.com/wallrack/wallrack/internal/quotalease"
 )
 
-// lends reports whether the team's limit is one that is lent. What has only a guarantee
-// stays together: there is nothing to lend.
-func Lends(t config.Team) bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
-
-func LimitOf(t config.Team) quotalease.Amount { return quotalease.LimitOf(t.CPUsMax, t.GPUsMax) }
+// Team is a team and what its tasks use on this leader's shards.
+type Team struct {
+	config.Team
+	Used   matching.Resources // of all placements by which a task may run
+	Leased *LeasedLimit       // nil: the team's shard has the whole limit
+}
 
-// LeasedLimit is what an owner knows of a team whose limit it borrows parts of.
+// LeasedLimit is the part of a team's limit that this leader has leased, and its use.
 type LeasedLimit struct {
 	Team        string
 	Borrower    *quotalease.Borrower
-	UsedByShard map[int]matching.Resources // of all that may be on, by shard
+	UsedByShard map[int]matching.Resources // of all placements by which a task may run
 }
 
-func (t *LeasedLimit) Count(shard int, shape matching.Resources, sign float64) {
-	t.UsedByShard[shard] = t.UsedByShard[shard].Add(shape, sign)
+// Count adds resources to the use of a shard, or subtracts them, by the sign 1 or -1.
+func (l *LeasedLimit) Count(shard int, resources matching.Resources, sign float64) {
+	l.UsedByShard[shard] = l.UsedByShard[shard].Add(resources, sign)
 }
 
-func AmountOf(s matching.Resources) quotalease.Amount { return quotalease.AmountOf(s.CPUs, s.GPUs) }
+// Lends reports whether the team's limit is leased in parts. A team with a guarantee alone has
+// no limit to lease.
+func Lends(t config.Team) bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
+
+// LimitOf returns the team's limit, rounded down; 0 of a kind: no limit.
+func LimitOf(t config.Team) quotalease.Amount { return quotalease.LimitOf(t.CPUsMax, t.GPUsMax) }
+
+// AmountOf returns the amount in use by resources, rounded up.
+func AmountOf(r matching.Resources) quotalease.Amount { return quotalease.AmountOf(r.CPUs, r.GPUs) }
 
-// Allows reports whether the tasks of a shard may use so much.
-func (team *Team) Allows(shard int, use matching.Resources) bool {
-	return team.ExceededLimit(shard, use) == ""
+// Allows reports whether the tasks of a shard may use so much. The team's limit must be leased.
+func (t *Team) Allows(shard int, use matching.Resources) bool {
+	return t.ExceededLimit(shard, use) == ""
 }
 
-// ExceededLimit says which kind of the team's limit does not let the tasks of a shard use so much,
-// or "".
-func (team *Team) ExceededLimit(shard int, use matching.Resources) string {
-	a, c := AmountOf(use), team.Leased.Borrower.Ceiling(shard, team.Leased.Team)
-	for kind, limit := range LimitOf(team.Team) {
-		if limit > 0 && a[kind] > c[kind] {
+// ExceededLimit returns the reason, of package jobspec, by which the tasks of a shard may not
+// use so much, or "" if they may. The team's limit must be leased.
+func (t *Team) ExceededLimit(shard int, use matching.Resources) string {
+	amount, ceiling := AmountOf(use), t.Leased.Borrower.Ceiling(shard, t.Leased.Team)
+	for kind, limit := range LimitOf(t.Team) {
+		if limit > 0 && amount[kind] > ceiling[kind] {
 			return [...]string{jobspec.ReasonLimitCPU, jobspec.ReasonLimitGPU}[kind]
 		}
 	}
 	return ""
 }
 
-// BelowGuarantee reports whether a shard's tasks use less than its share of the team's guarantee.
-// A whole task may go beyond: else a share smaller than one task would favour nothing.
-func (team *Team) BelowGuarantee(shard int) bool {
-	share := team.Leased.Borrower.GuaranteeShare(shard, team.Leased.Team)
-	use := team.Leased.UsedByShard[shard]
-	return team.CPUs > 0 && use.CPUs < team.CPUs*share-1e-6 || team.GPUs > 0 && use.GPUs < team.GPUs*share-1e-6
-}
-
-// Team is a team's use.
-type Team struct {
-	config.Team
-	Used   matching.Resources // of all that may be on
-	Leased *LeasedLimit       // nil: the whole limit is this owner's
+// BelowGuarantee reports whether the tasks of a shard use less than the shard's share of the
+// team's guarantee, which a further task may exceed: else a share smaller than one task would
+// be worth nothing. The team's limit must be leased.
+func (t *Team) BelowGuarantee(shard int) bool {
+	share := t.Leased.Borrower.GuaranteeShare(shard, t.Leased.Team)
+	use := t.Leased.UsedByShard[shard]
+	return t.CPUs > 0 && use.CPUs < t.CPUs*share-limitTolerance || t.GPUs > 0 && use.GPUs < t.GPUs*share-limitTolerance
 }
--- a/internal/jobstate/worker.go
+++ b/internal/jobstate/worker.go
@@ -9,75 +9,104 @@
 )
 
 const (
-	faultyLeast = 4 // errors on a machine, of two jobs at least, without a task done, that make it faulty
-	// shortTaskShare is the share of that time that such a task may take, its image's
-	// transfer included.
+	faultyErrors = 4 // errors since the last completed task from which a worker is faulty ...
+	faultyJobs   = 2 // ... if they are of at least as many jobs
+	// shortTaskShare is the share of the time for which a cordoned worker stays occupied
+	// that a further task may take, image fetch included.
 	shortTaskShare = 0.8
 )
 
-// Faulty reports whether the machine fails what runs elsewhere.
-func (worker *Worker) Faulty() bool {
+// Worker is a worker as its dispatcher's views show it.
+type Worker struct {
+	Index      int // in State.WorkersByIndex; not reused after its deletion
+	Name       string
+	Type       wire.MachineType // computed by State.TypeOf
+	KnownSince time.Time        // when this leader first learnt of it
+
+	View          dispatch.WorkerView
+	ViewAt        time.Time // when View arrived; zero: none did
+	LastHeartbeat time.Time // when the heartbeat in View reached the dispatcher
+	LastReport    time.Time // the same of the last heartbeat that was not polled
+
+	RenewedAt       time.Time // when any controller last responded to a heartbeat, which renews the lease
+	RenewedSession  uint64    // session of the worker at RenewedAt
+	PolledAt        time.Time // when it was last polled since its heartbeat was overdue
+	UnansweredPolls int       // polls in a row without a response
+
+	Matrix       matching.WaitMatrix // waits for room, as published, less what is reserved
+	RoomReserved bool                // Matrix holds a reservation of the pass in progress only
+	Placements   map[*Placement]struct{}
+	MaxToken     uint64               // highest fencing token that a start command granted by this leader may carry
+	Images       map[int]*CachedImage // by number in State.Images
+
+	NoticeAt time.Time // when the cloud will reclaim it; zero: no notice
+	Cordoned bool      // the autoscaler wants it empty
+	Gone     bool      // the cloud has deleted it
+	// OccupiedFor is the time in seconds for which a cordoned worker stays occupied by tasks
+	// that are not evicted, as of the pass in progress.
+	OccupiedFor float64
+
+	RecentDone float64        // tasks done there, decaying with each
+	RecentLost float64        // tasks lost there, decaying with each
+	Failures   map[string]int // by job: errors there since a task was last done there
+
+	// UnresponsiveSince is the time since which commands have had no effect on the worker, by
+	// its heartbeats; zero: they have, or nothing is known.
+	UnresponsiveSince   time.Time
+	UnresponsiveReports int       // heartbeats in a row that showed it
+	CommandObserved     bool      // a start command was seen to have had an effect since the last check
+	RespondedAt         time.Time // when it last became responsive again
+
+	RecordedFailover int // number of the last failover whose records had tasks on it; 0: none
+}
+
+// WorkerOf returns the worker of that name, which it adds if it is new.
+func (s *State) WorkerOf(name string) *Worker {
+	worker := s.Workers[name]
+	if worker == nil {
+		worker = &Worker{
+			Index: len(s.WorkersByIndex), Name: name, KnownSince: time.Now(),
+			Placements: map[*Placement]struct{}{}, Images: map[int]*CachedImage{}, Failures: map[string]int{},
+		}
+		s.Workers[name] = worker
+		s.WorkersByIndex = append(s.WorkersByIndex, worker)
+	}
+	return worker
+}
+
+// TypeOf returns the worker's machine type; one without a name if it is not known. The result
+// is valid until the next call for the same worker.
+func (s *State) TypeOf(worker *Worker) *wire.MachineType {
+	if worker.Type.Name != worker.View.Type {
+		worker.Type, _ = s.MachineTypes.Type(worker.View.Type)
+	}
+	return &worker.Type
+}
+
+// Faulty reports whether tasks of several jobs fail on the worker, and none is done there.
+func (w *Worker) Faulty() bool {
 	sum := 0
-	for _, n := range worker.Failures {
+	for _, n := range w.Failures {
 		sum += n
 	}
-	return sum >= faultyLeast && len(worker.Failures) >= 2
+	return sum >= faultyErrors && len(w.Failures) >= faultyJobs
 }
 
-// EndsWhileOccupied reports whether a task that takes so many seconds, fetch included, ends
-// on a closing machine early enough not to delay the machine's return.
-func (worker *Worker) EndsWhileOccupied(seconds float64) bool {
-	return seconds <= shortTaskShare*worker.OccupiedFor
+// EndsWhileOccupied reports whether a task that takes so many seconds, image fetch included,
+// ends on a cordoned worker early enough not to delay the worker's deletion.
+func (w *Worker) EndsWhileOccupied(seconds float64) bool {
+	return seconds <= shortTaskShare*w.OccupiedFor
 }
 
-// LastRenewal is when a report of the machine's worker was last answered, as far as this
-// owner knows: by any controller, or before it knew of the machine.
-func (worker *Worker) LastRenewal() time.Time { return Later(worker.RenewedAt, worker.KnownSince) }
+// LastRenewal returns when a heartbeat of the worker was last responded to, by any controller,
+// as far as this leader can know: not before it learnt of the worker.
+func (w *Worker) LastRenewal() time.Time { return Later(w.RenewedAt, w.KnownSince) }
 
-// LastContact is when a report of the machine's worker last came, or was last answered. One
-// that came is mostly answered a moment later, which the next view tells: over slow links a
-// worker whose reports all arrive looked overdue at each of them by the answer alone.
-func (worker *Worker) LastContact() time.Time { return Later(worker.LastRenewal(), worker.LastReport) }
+// LastContact returns when a heartbeat of the worker last arrived or was last responded to.
+// The response to a heartbeat shows in the next view only: by LastRenewal alone, a worker on
+// a slow link looked overdue at every heartbeat although all arrived.
+func (w *Worker) LastContact() time.Time { return Later(w.LastRenewal(), w.LastReport) }
 
-// LeaseUnknown reports whether a predecessor renewed the worker's lease last: it may end
-// at any time.
-func (worker *Worker) LeaseUnknown() bool { return worker.RenewedAt.Before(worker.KnownSince) }
-
-// Worker is a machine as its views show it.
-type Worker struct {
-	Index         int
-	Name          string
-	View          dispatch.WorkerView
-	ViewAt        time.Time // when the view came; zero if none did
-	LastHeartbeat time.Time // when the report in it came to its holder
-	KnownSince    time.Time // when this owner first knew of it
-	// RenewedAt is when a report of its worker was last answered, by any controller; askedAt
-	// when it was last asked for one for want of that, unanswered how often in vain.
-	RenewedAt, PolledAt time.Time
-	UnansweredPolls     int
-	RenewedSession      uint64    // the session in which it was
-	LastReport          time.Time // when its worker last reported by itself
-	Matrix              matching.WaitMatrix
-	RoomReserved        bool // the matrix holds room for this pass only
-	Placements          map[*Placement]struct{}
-	MaxToken            uint64 // the highest that a start command for it may carry by a grant from here
-	Images              map[int]*CachedImage
-	NoticeAt            time.Time // when the cloud takes it, if it said so
-	RecentDone          float64
-	RecentLost          float64
-	Failures            map[string]int // errors there since a task was last done there, by job
-	// UnresponsiveSince is since when what was sent to the machine had no effect, as its reports
-	// show; zero: it had. See heeds.
-	UnresponsiveSince   time.Time
-	UnresponsiveReports int  // reports in a row that showed it
-	CommandObserved     bool // a start was seen to have come through
-	RespondedAt         time.Time
-	Gone                bool
-	Cordoned            bool // the fleet wants it empty
-	// OccupiedFor is for how many seconds a closing machine stays occupied by tasks that
-	// are not stopped, as of the pass in progress. See staysOccupied.
-	OccupiedFor float64
-	// RecordedFailover is the last takeover whose records had tasks on it.
-	RecordedFailover int
-	Type             wire.MachineType
-}
+// LeaseUnknown reports whether this leader has not seen the worker's lease renewed, so that the
+// lease may expire at any time.
+func (w *Worker) LeaseUnknown() bool { return w.RenewedAt.Before(w.KnownSince) }
