--- /dev/null
+++ b/internal/jobrecord/keys.go
@@ -0,0 +1,28 @@
+package jobrecord
+
+import (
+	"fmt"
+	"strings"
+)
+
+// Prefixes of the keys. The key of a job's live or final record is the prefix and its uid.
+const (
+	LivePrefix  = "live/"
+	FinalPrefix = "final/"
+	ChunkPrefix = "task/"
+	LogPrefix   = "log/"
+)
+
+// LogKey returns the key of a slot of a shard's log.
+func LogKey(shard, slot int) string { return fmt.Sprintf("%s%03d/%05d", LogPrefix, shard, slot) }
+
+// ParseLogKey is the inverse of LogKey.
+func ParseLogKey(key string) (shard, slot int, err error) {
+	if _, err := fmt.Sscanf(strings.TrimPrefix(key, LogPrefix), "%d/%d", &shard, &slot); err != nil || slot < 0 {
+		return 0, 0, fmt.Errorf("not a log key: %.60q", key)
+	}
+	return shard, slot, nil
+}
+
+// ChunkKey returns the key of the own record of a job's chunk.
+func ChunkKey(uid string, chunk int) string { return fmt.Sprintf("%s%s/%05d", ChunkPrefix, uid, chunk) }
--- a/internal/jobrecord/read.go
+++ b/internal/jobrecord/read.go
@@ -7,28 +7,27 @@
 	"github.com/goccy/go-json"
 )
 
-// ReadLive reads a living job's record and its version. The error is
-// statestore.ErrNotFound if the job ended or was never accepted.
-func ReadLive(ctx context.Context, store Reader, uid string) (r LiveRecord, version uint64, err error) {
-	it, err := store.Get(ctx, LivePrefix+uid)
-	if err != nil {
-		return r, 0, err
-	}
-	if err := json.Unmarshal(it.Value, &r); err != nil {
-		return r, 0, fmt.Errorf("read job: %w", err)
-	}
-	return r, it.Version, nil
+// ReadLive reads a job's live record and its version. The error is statestore.ErrNotFound if
+// the job ended or was never accepted.
+func ReadLive(ctx context.Context, store Reader, uid string) (record LiveRecord, version uint64, err error) {
+	version, err = readJob(ctx, store, LivePrefix+uid, &record)
+	return record, version, err
 }
 
 // ReadFinal reads the record of a job that ended. The error is statestore.ErrNotFound if
 // there is none.
-func ReadFinal(ctx context.Context, store Reader, uid string) (r FinalRecord, err error) {
-	it, err := store.Get(ctx, FinalPrefix+uid)
+func ReadFinal(ctx context.Context, store Reader, uid string) (record FinalRecord, err error) {
+	_, err = readJob(ctx, store, FinalPrefix+uid, &record)
+	return record, err
+}
+
+func readJob(ctx context.Context, store Reader, key string, into any) (version uint64, err error) {
+	item, err := store.Get(ctx, key)
 	if err != nil {
-		return r, err
+		return 0, err
 	}
-	if err := json.Unmarshal(it.Value, &r); err != nil {
-		return r, fmt.Errorf("read job: %w", err)
+	if err := json.Unmarshal(item.Value, into); err != nil {
+		return 0, fmt.Errorf("read job: %w", err)
 	}
-	return r, nil
+	return item.Version, nil
 }
--- a/internal/jobstate/accounting.go
+++ b/internal/jobstate/accounting.go
@@ -29,10 +29,10 @@
 	return row
 }
 
-// AttemptRow returns the accounting row of an attempt that is over, and that was seen to run
+// attemptRow returns the accounting row of an attempt that is over, and that was seen to run
 // or ended by itself. It returns nil for any other attempt, at the second call for the same
 // one, and if accounting is off.
-func (s *State) AttemptRow(placement *Placement) *accounting.Row {
+func (s *State) attemptRow(placement *Placement) *accounting.Row {
 	endedByItself := placement.ExitCause == wire.CauseDone || placement.ExitCause == wire.CauseError
 	if !s.AccountingEnabled || placement.Accounted || placement.RunningSince.IsZero() && !endedByItself {
 		return nil
--- a/internal/jobstate/completion.go
+++ b/internal/jobstate/completion.go
@@ -17,7 +17,7 @@
 	}
 	job := placement.Job
 	s.CountUse(placement, -1)
-	row := s.AttemptRow(placement)
+	row := s.attemptRow(placement)
 	if !placement.RunningSince.IsZero() {
 		job.Running--
 	}
@@ -44,7 +44,7 @@
 func (s *State) FinishTask(placement *Placement) {
 	job := placement.Job
 	job.Finished++
-	row := s.AttemptRow(placement)
+	row := s.attemptRow(placement)
 	placement.Exited = true
 	for _, other := range slices.Clone(job.Placements[placement.Task]) {
 		if other != placement && !other.MayRun() {
--- a/internal/jobstate/lease.go
+++ b/internal/jobstate/lease.go
@@ -35,7 +35,7 @@
 	if worker.View.Session > worker.RenewedSession {
 		leases += float64(worker.View.Session - worker.RenewedSession)
 	}
-	return worker.LastRenewal().Add(config.Seconds(leases * s.Platform.Params.Workers.LeaseS))
+	return worker.lastRenewal().Add(config.Seconds(leases * s.Platform.Params.Workers.LeaseS))
 }
 
 // FitsLease reports whether a task of the job that starts on the worker now would be done, and
--- a/internal/jobstate/pending_cancels.go
+++ b/internal/jobstate/pending_cancels.go
@@ -30,9 +30,9 @@
 	delete(c.writes, version)
 }
 
-// Supersede notes that the job's record has that version and is not cancelled. A version never
+// supersede notes that the job's record has that version and is not cancelled. A version never
 // comes back, so all cancels which guard earlier ones have failed for good.
-func (c *PendingCancels) Supersede(version uint64) {
+func (c *PendingCancels) supersede(version uint64) {
 	for guarded := range c.writes {
 		if guarded < version {
 			delete(c.writes, guarded)
--- a/internal/jobstate/record_update.go
+++ b/internal/jobstate/record_update.go
@@ -13,7 +13,7 @@
 	if record.Cancelled {
 		s.CancelJob(job)
 	} else {
-		job.PendingCancels.Supersede(version)
+		job.PendingCancels.supersede(version)
 	}
 }
 
--- a/internal/jobstate/worker.go
+++ b/internal/jobstate/worker.go
@@ -98,14 +98,14 @@
 	return seconds <= shortTaskShare*w.OccupiedFor
 }
 
-// LastRenewal returns when a heartbeat of the worker was last responded to, by any controller,
+// lastRenewal returns when a heartbeat of the worker was last responded to, by any controller,
 // as far as this leader can know: not before it learnt of the worker.
-func (w *Worker) LastRenewal() time.Time { return Later(w.RenewedAt, w.KnownSince) }
+func (w *Worker) lastRenewal() time.Time { return Later(w.RenewedAt, w.KnownSince) }
 
 // LastContact returns when a heartbeat of the worker last arrived or was last responded to.
-// The response to a heartbeat shows in the next view only: by LastRenewal alone, a worker on
+// The response to a heartbeat shows in the next view only: by lastRenewal alone, a worker on
 // a slow link looked overdue at every heartbeat although all arrived.
-func (w *Worker) LastContact() time.Time { return Later(w.LastRenewal(), w.LastReport) }
+func (w *Worker) LastContact() time.Time { return Later(w.lastRenewal(), w.LastReport) }
 
 // LeaseUnknown reports whether this leader has not seen the worker's lease renewed, so that the
 // lease may expire at any time.
