--- a/internal/jobspec/ranges.go
+++ b/internal/jobspec/ranges.go
@@ -8,66 +8,77 @@
 	"strings"
 )
 
-// maxIndex is the largest index of an array's task, and maxSpans how many ranges
-// may stand in one text.
 const (
-	maxIndex = 4_000_000
-	maxSpans = 512
+	maxIndex = 4_000_000 // largest index of an array's task, and largest number of tasks
+	maxSpans = 512       // ranges in one text
 )
 
-// span is first to last, both included, by step.
+// span is the numbers from first to last, both included, by step.
 type span struct{ first, last, step int }
 
 func (s span) len() int { return (s.last-s.first)/s.step + 1 }
 
-// Ranges is a set of numbers in order, as Slurm writes it: "0-15:2,20".
+// Ranges is a set of numbers from 0 in the order in which an array's tasks have them, which
+// Slurm writes as "0-15:2,20". The zero value is empty; ParseRanges never returns that without
+// an error.
 type Ranges struct{ spans []span }
 
-// ParseRanges reads "0-15:2,20". Numbers may stand in any order; none twice.
+// ParseRanges reads a set as Slurm writes it. The ranges may stand in any order; no number may
+// stand twice, be larger than four million, or be one of more than that. Users see its errors.
 func ParseRanges(text string) (Ranges, error) {
 	var r Ranges
 	for _, part := range strings.Split(text, ",") {
 		if len(r.spans) == maxSpans {
 			return Ranges{}, fmt.Errorf("more than %d ranges", maxSpans)
 		}
-		bounds, step, stepped := strings.Cut(part, ":")
-		from, to, ranged := strings.Cut(bounds, "-")
-		s := span{step: 1}
-		var err error
-		if s.first, err = index(from); err != nil {
+		s, err := parseSpan(part)
+		if err != nil {
 			return Ranges{}, err
 		}
-		s.last = s.first
-		if ranged {
-			if s.last, err = index(to); err != nil {
-				return Ranges{}, err
-			}
-		}
-		if stepped {
-			if s.step, err = index(step); err != nil || s.step == 0 || !ranged {
-				return Ranges{}, fmt.Errorf("%.40q: not a step", part)
-			}
-		}
-		if s.last < s.first {
-			return Ranges{}, fmt.Errorf("%.40q: ends before it begins", part)
-		}
-		s.last = s.first + (s.len()-1)*s.step
 		r.spans = append(r.spans, s)
 	}
 	slices.SortFunc(r.spans, func(a, b span) int { return a.first - b.first })
-	return r, r.check()
+	return r, r.checkDistinct()
+}
+
+// parseSpan reads "first", "first-last" or "first-last:step".
+func parseSpan(text string) (span, error) {
+	bounds, step, hasStep := strings.Cut(text, ":")
+	first, last, hasLast := strings.Cut(bounds, "-")
+	s := span{step: 1}
+	var err error
+	if s.first, err = parseIndex(first); err != nil {
+		return span{}, err
+	}
+	s.last = s.first
+	if hasLast {
+		if s.last, err = parseIndex(last); err != nil {
+			return span{}, err
+		}
+	}
+	if hasStep {
+		if s.step, err = parseIndex(step); err != nil || s.step == 0 || !hasLast {
+			return span{}, fmt.Errorf("%.40q: not a step", text)
+		}
+	}
+	if s.last < s.first {
+		return span{}, fmt.Errorf("%.40q: ends before it begins", text)
+	}
+	s.last = s.first + (s.len()-1)*s.step
+	return s, nil
 }
 
-func index(s string) (int, error) {
-	n, err := strconv.Atoi(s)
-	if err != nil || n < 0 || n > maxIndex || s[0] == '+' {
-		return 0, fmt.Errorf("%.40q: not a number from 0 to %d", s, maxIndex)
+func parseIndex(text string) (int, error) {
+	n, err := strconv.Atoi(text)
+	if err != nil || n < 0 || n > maxIndex || text[0] == '+' {
+		return 0, fmt.Errorf("%.40q: not a number from 0 to %d", text, maxIndex)
 	}
 	return n, nil
 }
 
-// check finds numbers that stand twice. Spans may lie within one another's gaps.
-func (r Ranges) check() error {
+// checkDistinct returns an error if a number stands twice, or if there are too many. Spans may lie
+// in one another's gaps; only then the numbers are looked at one by one.
+func (r Ranges) checkDistinct() error {
 	total := r.Len()
 	if total > maxIndex {
 		return errors.New("too many numbers")
@@ -90,7 +101,7 @@
 	return nil
 }
 
-// Len is how many numbers there are.
+// Len returns how many numbers there are.
 func (r Ranges) Len() int {
 	n := 0
 	for _, s := range r.spans {
@@ -99,7 +110,7 @@
 	return n
 }
 
-// All lists the numbers, span by span: the order of an array's tasks.
+// All returns the numbers, span by span: in the order of an array's tasks.
 func (r Ranges) All() func(yield func(int) bool) {
 	return func(yield func(int) bool) {
 		for _, s := range r.spans {
@@ -112,7 +123,7 @@
 	}
 }
 
-// At is the k-th number of All, or -1.
+// At returns the k-th number of All, counted from 0, or -1 if there are fewer.
 func (r Ranges) At(k int) int {
 	for _, s := range r.spans {
 		if k < s.len() {
@@ -123,7 +134,7 @@
 	return -1
 }
 
-// Find is the place of a number in All, or -1.
+// Find is the inverse of At: it returns the position of a number in All, or -1.
 func (r Ranges) Find(n int) int {
 	before := 0
 	for _, s := range r.spans {
@@ -146,7 +157,7 @@
 	return least, most
 }
 
-// Step is the step of the first range, as SLURM_ARRAY_TASK_STEP has it.
+// Step returns the step of the first range, as in SLURM_ARRAY_TASK_STEP; 1 if there is none.
 func (r Ranges) Step() int {
 	if len(r.spans) == 0 {
 		return 1
@@ -154,8 +165,8 @@
 	return r.spans[0].step
 }
 
-// Cut keeps as many ranges as ParseRanges takes, and returns the first number
-// that was left out, or 0.
+// Cut drops the ranges beyond the number that ParseRanges takes, and returns the first number
+// that it dropped, or 0 if it dropped none.
 func (r *Ranges) Cut() int {
 	if len(r.spans) <= maxSpans {
 		return 0
@@ -165,7 +176,7 @@
 	return first
 }
 
-// String writes the ranges so that ParseRanges reads them.
+// String returns the ranges as ParseRanges reads them.
 func (r Ranges) String() string {
 	var b strings.Builder
 	for i, s := range r.spans {
@@ -185,14 +196,15 @@
 	return b.String()
 }
 
-// RangesOf makes ranges of numbers, which it sorts; doubles count once.
-func RangesOf(ns []int) Ranges {
-	slices.Sort(ns)
-	ns = slices.Compact(ns)
+// RangesOf returns the set of the numbers, which must not be negative. It sorts the slice and
+// overwrites what follows its distinct numbers.
+func RangesOf(numbers []int) Ranges {
+	slices.Sort(numbers)
+	numbers = slices.Compact(numbers)
 	var r Ranges
-	for _, n := range ns {
-		if k := len(r.spans) - 1; k >= 0 && r.spans[k].last == n-1 {
-			r.spans[k].last = n
+	for _, n := range numbers {
+		if last := len(r.spans) - 1; last >= 0 && r.spans[last].last == n-1 {
+			r.spans[last].last = n
 			continue
 		}
 		r.spans = append(r.spans, span{n, n, 1})
--- a/internal/jobspec/recorded_test.go
+++ b/internal/jobspec/recorded_test.go
@@ -8,13 +8,15 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-func TestTermsKeepTheirBytes(t *testing.T) {
+func TestRecordedConstraints(t *testing.T) {
 	recorded.CheckFull(t, "dependency-full", jobspec.Dependency{Kind: jobspec.After, Job: "j-7", Number: 70, DelayS: 60})
 	recorded.Check(t, "dependency-none", jobspec.Dependency{Kind: jobspec.Singleton})
-	recorded.CheckFull(t, "terms-full", jobspec.Constraints{Number: 4100, Name: "tips", User: "erin", Array: "0-30:2", MaxConcurrent: 4, Held: true,
+	recorded.CheckFull(t, "terms-full", jobspec.Constraints{
+		Number: 4100, Name: "tips", User: "erin", Array: "0-30:2", MaxConcurrent: 4, Held: true,
 		BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, NoRetry: true, AnyDependency: true,
 		Dependencies:          []jobspec.Dependency{{Kind: jobspec.AfterOK, Job: "j-7", Number: 70}, {Kind: jobspec.Singleton}},
-		CancelIfUnsatisfiable: true, CancelledTasks: "3,7-9", CancelReason: jobspec.Cancelled})
+		CancelIfUnsatisfiable: true, CancelledTasks: "3,7-9", CancelReason: jobspec.Cancelled,
+	})
 	recorded.Check(t, "terms-none", jobspec.Constraints{Number: 1})
 	recorded.CheckFull(t, "ending-full", jobspec.Ending{Number: 4100, State: jobspec.Timeout, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000})
 	recorded.Check(t, "ending-none", jobspec.Ending{Number: 1, State: jobspec.Completed})
@@ -23,15 +25,19 @@
 }
 
 // These names are stored, and shown by clients.
-func TestNamesInTerms(t *testing.T) {
-	got := []string{jobspec.After, jobspec.AfterAny, jobspec.AfterOK, jobspec.AfterNotOK, jobspec.Singleton,
+func TestRecordedNames(t *testing.T) {
+	got := []string{
+		jobspec.After, jobspec.AfterAny, jobspec.AfterOK, jobspec.AfterNotOK, jobspec.Singleton,
 		jobspec.Completed, jobspec.Failed, jobspec.Timeout, jobspec.Cancelled, jobspec.Deadline, jobspec.NodeFail, jobspec.Preempted,
 		jobspec.ReasonNone, jobspec.ReasonHeld, jobspec.ReasonBegin, jobspec.ReasonDependency, jobspec.ReasonUnsatisfiable, jobspec.ReasonThrottle,
-		jobspec.ReasonLimitCPU, jobspec.ReasonLimitGPU, jobspec.ReasonPriority, jobspec.ReasonResources}
-	want := []string{"after", "afterany", "afterok", "afternotok", "singleton",
+		jobspec.ReasonLimitCPU, jobspec.ReasonLimitGPU, jobspec.ReasonPriority, jobspec.ReasonResources,
+	}
+	want := []string{
+		"after", "afterany", "afterok", "afternotok", "singleton",
 		"COMPLETED", "FAILED", "TIMEOUT", "CANCELLED", "DEADLINE", "NODE_FAIL", "PREEMPTED",
 		"None", "JobHeldUser", "BeginTime", "Dependency", "DependencyNeverSatisfied", "JobArrayTaskLimit",
-		"AssocGrpCPULimit", "AssocGrpGRES", "Priority", "Resources"}
+		"AssocGrpCPULimit", "AssocGrpGRES", "Priority", "Resources",
+	}
 	if !slices.Equal(got, want) {
 		t.Errorf("names %q, want %q", got, want)
 	}
