--- a/internal/accounting/export/export.go
+++ b/internal/accounting/export/export.go
@@ -51,9 +51,11 @@
 }
 
 func line(j, r *accounting.Row) Line {
-	l := Line{Kind: "job", UID: r.UID, Number: r.Number, Task: int(r.Task), Attempt: r.Attempt, State: r.State, Exit: int(r.Exit), Name: j.Name, User: j.User,
+	l := Line{
+		Kind: "job", UID: r.UID, Number: r.Number, Task: int(r.Task), Attempt: r.Attempt, State: r.State, Exit: int(r.Exit), Name: j.Name, User: j.User,
 		Account: j.Team, Class: j.Class, Priority: j.Priority, Tasks: int(j.Tasks), Done: int(j.Done), Submit: j.Submit, Eligible: j.Eligible,
-		Start: r.Start, End: r.End, Machine: r.Machine, CPUs: float64(r.CPUs), GPUs: float64(r.GPUs), MemoryGB: float64(r.MemoryGB)}
+		Start: r.Start, End: r.End, Machine: r.Machine, CPUs: float64(r.CPUs), GPUs: float64(r.GPUs), MemoryGB: float64(r.MemoryGB),
+	}
 	if r.Kind == accounting.RowAttempt {
 		l.Kind, l.Useful, l.Cost = "attempt", r.Useful, r.Cost()
 		l.CPUSec, l.GBSec = r.Seconds()*l.CPUs, r.Seconds()*l.MemoryGB
--- /dev/null
+++ b/internal/accounting/page.go
@@ -0,0 +1,93 @@
+package accounting
+
+import (
+	"encoding/base64"
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/klauspost/compress/zstd"
+)
+
+const (
+	// format leads a page's text; readers reject any other.
+	format = "1:"
+	// maxRaw bounds the bytes that a page may unpack to: pages come from the network.
+	maxRaw      = 4 << 20
+	windowBytes = 64 << 10 // how far back the encoder looks for repetitions
+)
+
+// Key prefixes the keys of all pages in the state service.
+const Key = "acct/"
+
+const dayLayout = "20060102"
+
+// Day returns the part of a page's key that names a day, in UTC.
+func Day(at time.Time) string { return at.UTC().Format(dayLayout) }
+
+// DayPrefix returns the prefix of the keys of a day's pages. The day comes from a user: it must
+// be as Day returns it.
+func DayPrefix(day string) (string, error) {
+	if _, err := time.Parse(dayLayout, day); err != nil {
+		return "", fmt.Errorf("day: %.20q is not YYYYMMDD", day)
+	}
+	return Key + day + "/", nil
+}
+
+func newEncoder() (*zstd.Encoder, error) {
+	return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(windowBytes), zstd.WithLowerEncoderMem(true))
+}
+
+// encode appends rows to a page's raw bytes.
+func encode(raw []byte, rows []Row) ([]byte, error) {
+	for i := range rows {
+		data, err := cbor.Marshal(rows[i])
+		if err != nil {
+			return nil, fmt.Errorf("accounting row: %w", err)
+		}
+		raw = append(raw, data...)
+	}
+	return raw, nil
+}
+
+// Reader reads pages. It is safe for concurrent use.
+type Reader struct{ decoder *zstd.Decoder }
+
+// NewReader returns a reader, which must be closed.
+func NewReader() (*Reader, error) {
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxRaw))
+	if err != nil {
+		return nil, fmt.Errorf("accounting: %w", err)
+	}
+	return &Reader{decoder}, nil
+}
+
+// Close releases the reader's goroutines and memory. The reader must not be used after it.
+func (r *Reader) Close() { r.decoder.Close() }
+
+// Unpack reads a page's text and calls each with its rows, in order; each may keep a row. After an
+// error each has got the rows before it.
+func (r *Reader) Unpack(text string, each func(*Row)) error {
+	encoded, ok := strings.CutPrefix(text, format)
+	if !ok {
+		return errors.New("accounting page: unknown format")
+	}
+	packed, err := base64.StdEncoding.DecodeString(encoded)
+	if err != nil {
+		return fmt.Errorf("accounting page: %w", err)
+	}
+	raw, err := r.decoder.DecodeAll(packed, nil)
+	if err != nil {
+		return fmt.Errorf("accounting page: %w", err)
+	}
+	for len(raw) > 0 {
+		var row Row
+		if raw, err = cbor.UnmarshalFirst(raw, &row); err != nil {
+			return fmt.Errorf("accounting page: %w", err)
+		}
+		each(&row)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/accounting/page_builder.go
@@ -0,0 +1,90 @@
+package accounting
+
+import (
+	"encoding/base64"
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/klauspost/compress/zstd"
+)
+
+const (
+	pageOverhead = 64  // bytes of a page beside its rows
+	rowOverhead  = 110 // most bytes of a row beside its texts
+	quotes       = 2   // bytes around a page's text in JSON
+)
+
+// Book builds the pages of one writer: it adds rows to the last page until that is full, so
+// that rows share a key, and each write changes one key of the state service. It is not safe
+// for concurrent use.
+type Book struct {
+	id       uint64
+	maxBytes int // of a page
+	page     page
+	encoder  *zstd.Encoder // made with the first page
+}
+
+// page is a page as it was last written.
+type page struct {
+	day     string
+	number  int
+	version uint64 // of its key; 0: not written yet
+	raw     []byte // rows before they are packed
+}
+
+// Write is a page to be written. Until its outcome is known, no other one may be made.
+type Write struct {
+	Key     string
+	Version uint64 // that the key must have; 0: it must not exist
+	Value   string
+	next    page
+}
+
+// NewBook returns a builder of pages of at most so many bytes. The id must never be used
+// again: it is part of the pages' keys, which nobody else writes.
+func NewBook(id uint64, maxBytes int) *Book { return &Book{id: id, maxBytes: maxBytes} }
+
+// Room returns how many bytes of rows, by Row.Bytes, one write surely takes, even if packing
+// saves nothing: base64 makes four bytes of three.
+func (b *Book) Room() int { return b.maxBytes/4*3 - pageOverhead }
+
+// Bytes returns the most bytes that a row takes in a page.
+func (r *Row) Bytes() int {
+	return rowOverhead + len(r.UID) + len(r.State) + len(r.Name) + len(r.User) + len(r.Team) + len(r.Class) + len(r.Priority) + len(r.Array) + len(r.Machine)
+}
+
+// Add returns the write that adds rows, which must not have more bytes together than Room. The
+// book stays as it is until Done: a write that was not applied is made anew by a further Add.
+func (b *Book) Add(rows []Row, now time.Time) (Write, error) {
+	day := Day(now)
+	if b.encoder == nil {
+		var err error
+		if b.encoder, err = newEncoder(); err != nil {
+			return Write{}, fmt.Errorf("accounting: %w", err)
+		}
+	}
+	next := b.page
+	if next.day != day {
+		next = page{day: day, number: b.page.number + 1}
+	}
+	for range 2 { // the last page, then a new one
+		raw, err := encode(slices.Clone(next.raw), rows)
+		if err != nil {
+			return Write{}, err
+		}
+		if text := format + base64.StdEncoding.EncodeToString(b.encoder.EncodeAll(raw, nil)); len(text)+quotes <= b.maxBytes {
+			write := Write{Key: fmt.Sprintf("%s%s/%016x-%06d", Key, day, b.id, next.number), Version: next.version, Value: text, next: next}
+			write.next.raw = raw
+			return write, nil
+		}
+		next = page{day: day, number: next.number + 1}
+	}
+	return Write{}, fmt.Errorf("%d accounting rows do not fit a page of %d bytes", len(rows), b.maxBytes)
+}
+
+// Done notes that a write was applied, and the version that its key has since.
+func (b *Book) Done(w Write, version uint64) {
+	b.page = w.next
+	b.page.version = version
+}
--- a/internal/accounting/recorded_test.go
+++ b/internal/accounting/recorded_test.go
@@ -15,9 +15,11 @@
 )
 
 func fullRow() Row {
-	return Row{Kind: RowAttempt, UID: "j-000412", Number: 4100, Task: 3, Attempt: 2, State: "COMPLETED", Exit: 7, Submit: 1_796_000_000_000,
+	return Row{
+		Kind: RowAttempt, UID: "j-000412", Number: 4100, Task: 3, Attempt: 2, State: "COMPLETED", Exit: 7, Submit: 1_796_000_000_000,
 		Eligible: 1_796_000_000_500, Name: "tips", User: "erin", Team: "vision", Class: "train", Priority: "urgent", Tasks: 16, Array: "0-30:2",
-		Done: 14, Start: 1_796_000_001_000, End: 1_796_000_002_000, Machine: "n-000001", CPUs: 2.5, GPUs: 1, MemoryGB: 4.25, Useful: true, Price: 0.37}
+		Done: 14, Start: 1_796_000_001_000, End: 1_796_000_002_000, Machine: "n-000001", CPUs: 2.5, GPUs: 1, MemoryGB: 4.25, Useful: true, Price: 0.37,
+	}
 }
 
 // recordedRow is a row's CBOR, as a page has it before it is packed.
@@ -26,7 +28,7 @@
 }
 
 // A row is an array without names: the order and the kinds of its fields are its form.
-func TestRowsKeepTheirBytes(t *testing.T) {
+func TestRecordedRows(t *testing.T) {
 	for name, row := range map[string]Row{"row-full": fullRow(), "row-none": {}} {
 		data, err := encode(nil, []Row{row})
 		if err != nil {
@@ -53,15 +55,15 @@
 // A page that was recorded is read, and its rows are written to the same key as the same
 // text. Another release of the packing library may pack them otherwise: the page is read
 // all the same then, and a new one is to be recorded beside it.
-func TestPagesKeepTheirForm(t *testing.T) {
+func TestRecordedPages(t *testing.T) {
 	rows := []Row{fullRow(), {}, {Kind: RowJob, UID: "j-2", State: "CANCELLED", Tasks: 1}}
-	w, err := NewBook(0xab7, 7<<10).Add(rows, time.Date(2026, 11, 30, 23, 59, 0, 0, time.UTC))
+	write, err := NewBook(0xab7, 7<<10).Add(rows, time.Date(2026, 11, 30, 23, 59, 0, 0, time.UTC))
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorded.Check(t, "page", recordedPage{Key: w.Key, Value: w.Value})
-	if w.Key != "acct/20261130/0000000000000ab7-000001" || Key != "acct/" || !strings.HasPrefix(w.Value, "1:") {
-		t.Errorf("%s: %q", w.Key, w.Value)
+	recorded.Check(t, "page", recordedPage{Key: write.Key, Value: write.Value})
+	if write.Key != "acct/20261130/0000000000000ab7-000001" || Key != "acct/" || !strings.HasPrefix(write.Value, "1:") {
+		t.Errorf("%s: %q", write.Key, write.Value)
 	}
 	if prefix, err := DayPrefix("20261130"); prefix != "acct/20261130/" || err != nil {
 		t.Errorf("the day's keys begin with %q, %v", prefix, err)
--- a/internal/jobstate/accounting.go
+++ b/internal/jobstate/accounting.go
@@ -5,6 +5,7 @@
 
 	"github.com/wallrack/wallrack/internal/accounting"
 	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -80,6 +81,6 @@
 	if placement.Worker.View.Spot {
 		price = machine.SpotPrice
 	}
-	task := placement.Job.Resources
-	return price * accounting.Share(task.CPUs, task.GPUs, task.MemoryGB, machine.CPUs, machine.GPUs, machine.MemoryGB)
+	whole := matching.Resources{CPUs: machine.CPUs, GPUs: machine.GPUs, MemoryGB: machine.MemoryGB}
+	return price * accounting.Share(placement.Job.Resources, whole)
 }
