--- a/internal/accounting/export/recorded_test.go
+++ b/internal/accounting/export/recorded_test.go
@@ -20,14 +20,14 @@
 	}
 }
 
-func TestExportedRowsKeepTheirBytes(t *testing.T) {
+func TestRecordedLines(t *testing.T) {
 	recorded.CheckFull(t, "line-full", fullLine())
 	recorded.Check(t, "line-none", export.Line{})
 }
 
 // The same rows as CSV, byte for byte, and the names and kinds of the columns of Parquet,
 // whose schema is called after the Go type.
-func TestExportedTablesKeepTheirForm(t *testing.T) {
+func TestRecordedTables(t *testing.T) {
 	var table bytes.Buffer
 	if err := export.Write(&table, "csv", []export.Line{fullLine(), {}}); err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/accounting/export/series.go
@@ -0,0 +1,82 @@
+package export
+
+import (
+	"slices"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/slurm"
+)
+
+// Point is the state of work at a time.
+type Point struct {
+	At      time.Time
+	Waiting int     // jobs that wait for resources only
+	Running int     // running tasks
+	Cost    float64 // spent since the first point
+}
+
+// change is what differs from a time on.
+type change struct {
+	atMs      int64
+	waiting   int     // jobs
+	running   int     // tasks
+	costPerMs float64 // of running tasks
+}
+
+// Series returns the state of work at so many times from one to another, at equal distances.
+// What has no end yet lasts to the last one.
+func Series(records []*slurm.Record, from, to time.Time, points int) []Point {
+	fromMs, toMs := from.UnixMilli(), to.UnixMilli()
+	changes := changesOf(records, toMs)
+	series := make([]Point, 0, points)
+	var now Point
+	costPerMs, costedMs, next := 0.0, fromMs, 0 // now.Cost is up to costedMs
+	for n := range points {
+		atMs := fromMs + (toMs-fromMs)*int64(n)/int64(max(1, points-1))
+		for ; next < len(changes) && changes[next].atMs <= atMs; next++ {
+			c := changes[next]
+			if c.atMs > costedMs {
+				now.Cost += costPerMs * float64(c.atMs-costedMs)
+				costedMs = c.atMs
+			}
+			now.Waiting, now.Running, costPerMs = now.Waiting+c.waiting, now.Running+c.running, costPerMs+c.costPerMs
+		}
+		now.Cost += costPerMs * float64(max(0, atMs-costedMs))
+		costedMs = max(costedMs, atMs)
+		now.At = time.UnixMilli(atMs)
+		series = append(series, now)
+	}
+	return series
+}
+
+// changesOf returns the changes that records state, in the order of their times. What has no
+// end ends at endMs.
+func changesOf(records []*slurm.Record, endMs int64) []change {
+	var changes []change
+	add := func(fromMs, toMs int64, c change) {
+		c.atMs = fromMs
+		changes = append(changes, c, change{atMs: max(fromMs, toMs), waiting: -c.waiting, running: -c.running, costPerMs: -c.costPerMs})
+	}
+	for _, record := range records {
+		if job := &record.Job; job.Eligible > 0 {
+			add(job.Eligible, firstTime(job.Start, job.End, endMs), change{waiting: 1})
+		}
+		for i := range record.Attempts {
+			if attempt := &record.Attempts[i]; attempt.Start != 0 {
+				add(attempt.Start, firstTime(attempt.End, endMs), change{running: 1, costPerMs: float64(attempt.Price) / 3600 / 1000})
+			}
+		}
+	}
+	slices.SortFunc(changes, func(a, b change) int { return int(a.atMs - b.atMs) })
+	return changes
+}
+
+// firstTime returns the first time that is known, or 0.
+func firstTime(times ...int64) int64 {
+	for _, ms := range times {
+		if ms != 0 {
+			return ms
+		}
+	}
+	return 0
+}
