--- a/internal/jobrecord/tasks.go
+++ b/internal/jobrecord/task_records.go
@@ -61,7 +61,7 @@
 	Failed []uint64 `json:"f,omitempty"` // failures
 }
 
-// QuotaMark is what a log record states of its writer. Without it a later leader could not tell
+// QuotaMark is what a log record states of its writer. Without it a later leader could not know
 // that the quota leases on record are older than tasks started by a leader that used none.
 type QuotaMark struct {
 	LeasesQuota bool `json:"l,omitempty"` // the writer starts tasks within leased limits only
@@ -70,7 +70,7 @@
 	UnleasedVersion uint64 `json:"u,omitempty"`
 }
 
-// ParseLog reads a log record. Task numbers are not checked, since the record doesn't tell how
+// ParseLog reads a log record. Task numbers are not checked, since the record doesn't state how
 // many tasks a job has. On an error the record holds what could be read: its Seq still counts.
 func ParseLog(data json.RawMessage) (LogRecord, error) {
 	var record LogRecord
