--- a/internal/jobspec/dependency.go
+++ b/internal/jobspec/dependency.go
@@ -62,6 +62,7 @@
 	Unsatisfiable
 )
 
+// String names the outcome, for messages.
 func (o Outcome) String() string {
 	switch o {
 	case Pending:
--- a/internal/jobstate/change.go
+++ b/internal/jobstate/change.go
@@ -16,6 +16,7 @@
 	TaskFinished                       // the task completed there, or ended for good
 )
 
+// String names the kind, for messages.
 func (k ChangeKind) String() string {
 	switch k {
 	case PlacementAdded:
--- a/internal/jobstate/estimate.go
+++ b/internal/jobstate/estimate.go
@@ -1,8 +1,8 @@
 package jobstate
 
 const (
-	// Pessimism is the factor by which runs are taken to be longer than expected where a
-	// run that ends late costs more than one that ends early.
+	// Pessimism is the factor by which runs are taken to be longer than estimated where the
+	// estimate must not be exceeded.
 	Pessimism = 1.3
 	// RestartTakes is the time in seconds from the decision to start a task again to its
 	// run, image fetch included.
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -35,8 +35,8 @@
 	Running    int                  // placements that were seen to run
 	Started    int                  // tasks that were ever seen to run
 	BegunAt    time.Time            // when its first task was seen to run, or the last one of a gang
-	Zones      map[string]int       // placements by zone
-	Unzoned    int                  // placements in a zone that is not known yet, which may be any
+	Zones      map[string]int       // placements by which a task may run, by zone
+	Unzoned    int                  // those in a zone that is not known yet, which may be any
 	RunTimes   Average              // of its tasks, in seconds
 
 	Errors    int               // attempts that ended with an error or by an unknown cause
--- a/internal/jobstate/outcome.go
+++ b/internal/jobstate/outcome.go
@@ -24,6 +24,7 @@
 	exitCodeMask = 0xff // bits of an exit code
 )
 
+// String names the outcome, for messages.
 func (o TaskOutcome) String() string {
 	switch o {
 	case 0:
--- a/internal/jobstate/placement.go
+++ b/internal/jobstate/placement.go
@@ -19,6 +19,7 @@
 	PlacementUnconfirmed                       // read from the state service at a failover
 )
 
+// String names the state, for log lines.
 func (s PlacementState) String() string {
 	switch s {
 	case PlacementRecording:
