--- /dev/null
+++ b/internal/membership/lease.go
@@ -0,0 +1,138 @@
+package membership
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/statestore"
+)
+
+const (
+	driftRate       = 0.002                 // four times the largest drift between two steady clocks
+	timerSlack      = 60 * time.Millisecond // timers fire late
+	renewalsPerTTL  = 5
+	retriesPerTTL   = 20 // after a renewal that the state service refused
+	watchHold       = 20 * time.Second
+	claimableRemain = time.Second // of the lease, below which no shard is claimed
+)
+
+// Alive reports whether a controller's lease has not ended, as far as is known here.
+func (m *Member) Alive(name string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	_, ok := m.nodes[name]
+	return ok
+}
+
+// LeaseRemaining returns how much longer the lease surely holds. It counts from
+// the send of the last renewal that succeeded, less clock drift.
+func (m *Member) LeaseRemaining() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.leaseRemainingLocked()
+}
+
+func (m *Member) leaseRemainingLocked() time.Duration {
+	if m.lease == 0 {
+		return 0
+	}
+	safe := m.ttl - time.Duration(float64(m.ttl)*driftRate) - timerSlack
+	return max(0, safe-time.Since(m.renewalSentAt))
+}
+
+// Run joins, renews the lease, follows the other controllers and claims shards
+// until ctx ends, and returns ctx's error. After a lost lease it joins again as a
+// new incarnation. All it started has ended when it returns.
+func (m *Member) Run(ctx context.Context) error {
+	watching := make(chan struct{})
+	go func() {
+		defer close(watching)
+		m.store.Watch(ctx, keyPrefix, watchHold, m.reset, m.change)
+	}()
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		if err := m.join(ctx); err != nil {
+			m.log.Info("joining failed", "err", err)
+			statestore.Backoff(ctx, attempt, 100*time.Millisecond, time.Second)
+			continue
+		}
+		attempt = 0
+		m.hold(ctx)
+		m.endIncarnation()
+	}
+	<-watching
+	m.reservationsUnderWay.Wait()
+	return ctx.Err()
+}
+
+// hold renews the lease and keeps this controller's share of the shards until
+// the lease is lost or ctx ends.
+func (m *Member) hold(ctx context.Context) {
+	renewal := time.NewTimer(m.ttl / renewalsPerTTL)
+	defer renewal.Stop()
+	claimAgain := time.NewTimer(m.ttl)
+	claimAgain.Stop()
+	defer claimAgain.Stop()
+	var excessSince time.Time
+	for {
+		m.reclaim(ctx)
+		if wait := m.claim(ctx); wait > 0 {
+			claimAgain.Reset(wait)
+		}
+		excessSince = m.releaseExcess(ctx, excessSince)
+		select {
+		case <-ctx.Done():
+			return
+		case <-m.wake:
+			continue
+		case <-claimAgain.C:
+			continue
+		case <-renewal.C:
+		}
+		lease := m.currentLease()
+		sent := time.Now()
+		err := m.renew(ctx, lease)
+		if errors.Is(err, statestore.ErrUnavailable) {
+			renewal.Reset(m.ttl / retriesPerTTL) // refused at once, perhaps as one request too many
+		} else {
+			renewal.Reset(m.ttl / renewalsPerTTL)
+		}
+		switch {
+		case err == nil:
+			m.renewed(ctx, sent)
+		case errors.Is(err, statestore.ErrNotFound):
+			m.log.Info("lease lost", "lease", lease)
+			return
+		default:
+			m.log.Debug("lease renewal failed", "lease", lease, "err", err)
+		}
+	}
+}
+
+func (m *Member) renew(ctx context.Context, lease uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, m.ttl/4)
+	defer cancel()
+	return m.store.RenewLease(ctx, lease)
+}
+
+// renewed notes a renewal that was sent then and succeeded.
+func (m *Member) renewed(ctx context.Context, sent time.Time) {
+	m.mu.Lock()
+	before := m.leaseRemainingLocked()
+	m.renewalSentAt = sent
+	m.mu.Unlock()
+	m.reserve(ctx)
+	if before <= 0 {
+		m.log.Info("lease regained")
+		m.notifyChange()
+	}
+}
+
+// endIncarnation forgets what was held under a lost lease.
+func (m *Member) endIncarnation() {
+	m.mu.Lock()
+	m.lease, m.reservedTokens = 0, nil
+	m.claimed, m.pending = map[int]uint64{}, map[int]uint64{}
+	m.mu.Unlock()
+	m.notifyChange()
+}
--- a/internal/membership/lost_answers_test.go
+++ b/internal/membership/lost_responses_test.go
@@ -23,10 +23,12 @@
 		store := testkit.NewStore()
 		var hold atomic.Bool // the next hand-over is carried out late
 		var lost, read atomic.Uint64
-		view := &testkit.View{Store: store, Late: func() bool { return hold.CompareAndSwap(true, false) },
+		view := &testkit.View{
+			Store: store, Late: func() bool { return hold.CompareAndSwap(true, false) },
 			LoseAnswer: func(txn wire.Txn, version uint64) bool {
 				return strings.HasPrefix(txn.Then[0].Delete, "c/shard/") && lost.CompareAndSwap(0, version)
-			}}
+			},
+		}
 		other := &testkit.View{Store: store, Seen: func(key string, version uint64) {
 			if strings.HasPrefix(key, "c/shard/") && version == lost.Load() {
 				read.Store(version)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,15 @@
-// Package membership keeps this controller's lease in the state service, its
-// term (the workers' token) and the shards it owns. An incarnation holds one
-// lease; the keys attached to it say who is alive and who owns what.
+// Package membership keeps a controller's lease in the state service, its
+// fencing token and the shards it leads.
+//
+// An incarnation of a controller holds one lease. Attached to it are the key of
+// its registration and the keys of the shards it leads, so that all of them go
+// when the lease ends. A Member claims free shards up to its share, releases
+// what it has beyond, transfers shards to a peer on request, and follows the
+// records of all controllers. It also draws fencing tokens from the common
+// counter, and reserves some for outages of the state service.
+//
+// It does not read or write jobs: whoever does guards each write by the version
+// of the shard's key.
 package membership
 
 import (
@@ -16,18 +25,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-const (
-	prefix       = "c/"
-	tokenKey     = "c/term"
-	nodeKey      = "c/node/"
-	shardKey     = "c/shard/"
-	linkKey      = "c/link/"             // what a controller says of its links to those that the mesh does not reach
-	transfersKey = "c/moves"             // when jobs were last handed over
-	driftRate    = 0.002                 // four times the largest drift between two steady clocks
-	slack        = 60 * time.Millisecond // timers fire late
-)
+// txnTimeout bounds the transactions on shards: an outcome that stays unknown
+// for longer is settled by writing the keys again.
+const txnTimeout = 2 * time.Second
 
-// Store is what membership needs of the state service.
+// Store is what membership needs of the state service. Its errors are those of
+// package statestore.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, error)
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
@@ -37,73 +40,78 @@
 	Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event))
 }
 
-// Member is this controller's place among the others.
+// Member is this controller among the others. Its methods may be called
+// concurrently, but for those that register callbacks.
 type Member struct {
 	store  Store
 	name   string
-	ttl    time.Duration
-	shards int
-	spread int
+	ttl    time.Duration // of the lease
+	shards int           // that there are
+	spread int           // controllers that they are spread over
 	log    *slog.Logger
-	wake   chan struct{}
-
-	raising chan struct{} // holds a token while a change of the term is under way: one at a time
-	refused time.Time     // when the state service last refused one; guarded by raising
-
-	mu             sync.Mutex
-	lease          uint64
-	goodSend       time.Time
-	token          uint64
-	reservedTokens []uint64 // terms drawn ahead of time, the lowest first; see reserve
-	first          uint64   // the highest term that was reserved by a controller without another, as far as is known here
-	used           uint64   // the highest term in use, as far as is known here
-	nodes          map[string]nodeRecord
-	owners         map[int]shardRecord
-	own            map[int]uint64 // shard -> version of its key
-	newest         map[int]uint64 // shard -> highest version of its key that is known; what is older is late news
-	synced         bool
-	joinedAs       uint64            // the term of this incarnation's joining
-	tried          uint64            // lease of the last try to join
-	short          int               // see nodeRecord
-	freed          map[int]time.Time // when a shard's key was seen to go
-	left           map[string]time.Time
-	flaps          map[string]bool // whether one that left was unsteady
-	limbo          map[int]uint64  // shards handed over in a transaction whose outcome is open, by the version it replaces
-	transferring   bool            // that transaction is still under way
-	transfers      transfersRecord
-	onChange       []func()
-	onLink         func(value json.RawMessage)
-
-	reservedAt time.Time // when a term was last drawn ahead of time
-	reserving  sync.WaitGroup
+	wake   chan struct{} // has hold look at the shards again
+
+	raising        chan struct{} // full while a change of the fencing token is under way: one at a time
+	raiseRefusedAt time.Time     // when the state service last refused one; guarded by raising
+
+	mu                   sync.Mutex
+	lease                uint64    // 0: none
+	renewalSentAt        time.Time // send of the last renewal that succeeded
+	token                uint64
+	reservedTokens       []uint64 // the lowest first
+	highestFirstReserve  uint64   // highest token reserved by a controller that had no other, as far as is known here
+	highestTokenInUse    uint64   // as far as is known here
+	nodes                map[string]nodeRecord
+	leaders              map[int]shardRecord
+	claimed              map[int]uint64 // shards led here, by the version of their keys
+	newestVersions       map[int]uint64 // highest known version of each shard's key; what is older is out of date
+	listed               bool           // the records were listed once
+	joinedToken          uint64         // the fencing token at this incarnation's registration
+	lastTriedLease       uint64         // of the last attempt to join
+	shortIncarnations    int            // in a row before this one
+	freedAt              map[int]time.Time
+	leftAt               map[string]time.Time
+	leftUnsteady         map[string]bool // whether a controller that left was unsteady
+	pending              map[int]uint64  // shards given up in a transaction of unknown outcome, by the version it replaces
+	transferInFlight     bool            // such a transaction is still under way
+	transfers            transfersRecord
+	reservedAt           time.Time // when a token was last reserved
+	ownershipCallbacks   []func()
+	onLinkAnnouncement   func(value json.RawMessage)
+	reservationsUnderWay sync.WaitGroup
 }
 
-// New returns a member that has not joined yet.
+// New returns a member that has not joined yet. ttl is the lease's, shards the
+// number of shards, and spread the number of controllers they are spread over.
 func New(store Store, name string, ttl time.Duration, shards, spread int, log *slog.Logger) *Member {
 	return &Member{
 		store: store, name: name, ttl: ttl, shards: shards, spread: spread, log: log,
-		wake: make(chan struct{}, 1), raising: make(chan struct{}, 1), nodes: map[string]nodeRecord{}, owners: map[int]shardRecord{}, own: map[int]uint64{}, newest: map[int]uint64{},
-		freed: map[int]time.Time{}, left: map[string]time.Time{}, flaps: map[string]bool{}, limbo: map[int]uint64{},
+		wake: make(chan struct{}, 1), raising: make(chan struct{}, 1),
+		nodes: map[string]nodeRecord{}, leaders: map[int]shardRecord{},
+		claimed: map[int]uint64{}, newestVersions: map[int]uint64{}, pending: map[int]uint64{},
+		freedAt: map[int]time.Time{}, leftAt: map[string]time.Time{}, leftUnsteady: map[string]bool{},
 	}
 }
 
-// OnOwnershipChange registers a callback for changes of ownership; call it before Run.
-func (m *Member) OnOwnershipChange(f func()) { m.onChange = append(m.onChange, f) }
+// OnOwnershipChange registers a callback for changes of what this controller
+// knows of shards, controllers and its lease. It is called without locks held.
+// Call OnOwnershipChange before Run.
+func (m *Member) OnOwnershipChange(f func()) { m.ownershipCallbacks = append(m.ownershipCallbacks, f) }
 
-// OnLinkAnnouncement registers a callback for what controllers announce of their links; call
-// it before Run.
-func (m *Member) OnLinkAnnouncement(f func(value json.RawMessage)) { m.onLink = f }
+// OnLinkAnnouncement registers the callback for what controllers announce of
+// their links. It is called with the member's lock held and must not call back.
+// Call OnLinkAnnouncement before Run.
+func (m *Member) OnLinkAnnouncement(f func(value json.RawMessage)) { m.onLinkAnnouncement = f }
 
-// AnnounceLinks writes what this controller says of its links to where every controller
-// that reaches the state service sees it. It goes with the lease.
+// AnnounceLinks writes what this controller reports of its links to where every
+// controller that reaches the state service reads it. The key goes when the
+// lease ends. Without a lease it is an error.
 func (m *Member) AnnounceLinks(ctx context.Context, value any) error {
-	m.mu.Lock()
-	lease := m.lease
-	m.mu.Unlock()
+	lease := m.currentLease()
 	if lease == 0 {
 		return errors.New("announce links: no lease")
 	}
-	if _, err := m.store.Txn(ctx, nil, wire.Op{Put: linkKey + m.name, Value: value, Lease: lease}); err != nil {
+	if _, err := m.store.Txn(ctx, nil, wire.Op{Put: linkPrefix + m.name, Value: value, Lease: lease}); err != nil {
 		return fmt.Errorf("announce links: %w", err)
 	}
 	return nil
@@ -112,9 +120,16 @@
 // Name returns this controller's name.
 func (m *Member) Name() string { return m.name }
 
-func (m *Member) notify() {
-	for _, f := range m.onChange {
-		f()
+func (m *Member) currentLease() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.lease
+}
+
+// notifyChange runs the callbacks and wakes hold. No lock may be held.
+func (m *Member) notifyChange() {
+	for _, callback := range m.ownershipCallbacks {
+		callback()
 	}
 	m.wakeUp()
 }
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"log/slog"
 	"os"
@@ -36,32 +37,32 @@
 
 // Controllers of different versions share the records, so their form must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "node.json", nodeRecord{Lease: 7, Term: 12, Joined: 1700000000123, Short: 2})
-	checkRecorded(t, "node_least.json", nodeRecord{Lease: 7, Term: 12})
-	checkRecorded(t, "shard.json", shardRecord{Node: "a", Term: 12, Lease: 7})
+	checkRecorded(t, "node.json", nodeRecord{Lease: 7, Token: 12, JoinedMs: 1700000000123, ShortIncarnations: 2})
+	checkRecorded(t, "node_least.json", nodeRecord{Lease: 7, Token: 12})
+	checkRecorded(t, "shard.json", shardRecord{Node: "a", Token: 12, Lease: 7})
 	checkRecorded(t, "shard_least.json", shardRecord{})
-	checkRecorded(t, "term.json", tokenRecord{N: 8200, Low: 12, Floor: 4109, First: 8199})
-	checkRecorded(t, "term_least.json", tokenRecord{N: 12})
+	checkRecorded(t, "term.json", tokenRecord{Highest: 8200, HighestUnreserved: 12, LowestReserved: 4109, HighestFirstReserve: 8199})
+	checkRecorded(t, "term_least.json", tokenRecord{Highest: 12})
 	checkRecorded(t, "moves.json", transfersRecord{At: []int64{1700000000123, 1700000060456}})
 	checkRecorded(t, "moves_least.json", transfersRecord{})
 }
 
 func TestRecordedKeys(t *testing.T) {
 	for got, want := range map[string]string{
-		prefix: "c/", tokenKey: "c/term", nodeKey: "c/node/", shardKey: "c/shard/", linkKey: "c/link/", transfersKey: "c/moves",
-		keyOf(0): "c/shard/000", keyOf(17): "c/shard/017", keyOf(1234): "c/shard/1234", (*Member)(nil).ShardKey(5): "c/shard/005",
+		keyPrefix: "c/", tokenKey: "c/term", nodePrefix: "c/node/", shardPrefix: "c/shard/", linkPrefix: "c/link/", transfersKey: "c/moves",
+		shardKey(0): "c/shard/000", shardKey(17): "c/shard/017", shardKey(1234): "c/shard/1234", (*Member)(nil).ShardKey(5): "c/shard/005",
 	} {
 		if got != want {
 			t.Errorf("key %q, want %q", got, want)
 		}
 	}
-	if shard, ok := shardOf("c/shard/017"); shard != 17 || !ok {
+	if shard, ok := shardOfKey("c/shard/017"); shard != 17 || !ok {
 		t.Errorf("c/shard/017 is read as %d, %v", shard, ok)
 	}
 }
 
-// What controllers write when they join, claim shards, reserve terms, announce links and
-// hand over, as the state service has it.
+// What controllers write when they join, claim shards, reserve tokens, announce links and
+// transfer shards, as the state service has it.
 func TestRecordedByControllers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -97,8 +98,11 @@
 		want["c/term"] = `{"n":4099,"low":2,"floor":4098,"first":4099}`
 		checkStored(t, store, want)
 		cancel()
-		<-aEnded
-		<-bEnded
+		for name, ended := range map[string]<-chan error{"a": aEnded, "b": bEnded} {
+			if err := <-ended; !errors.Is(err, context.Canceled) {
+				t.Errorf("%s ended with %v", name, err)
+			}
+		}
 	})
 }
 
--- a/internal/membership/reserve_test.go
+++ b/internal/membership/reserved_token_test.go
@@ -24,8 +24,10 @@
 			rnd := rand.New(rand.NewPCG(seed, 3))
 			var down, lossy atomic.Bool
 			var lost atomic.Int32
-			view := &testkit.View{Store: testkit.NewStore(), Down: down.Load,
-				Lose: func() bool { return lossy.Load() && lost.Add(1)%7 == 0 }}
+			view := &testkit.View{
+				Store: testkit.NewStore(), Down: down.Load,
+				Lose: func() bool { return lossy.Load() && lost.Add(1)%7 == 0 },
+			}
 			var members [controllers]*membership.Member
 			var stop [controllers]func()
 			lives, last := [controllers]int{}, [controllers]uint64{}
--- a/internal/membership/handover_test.go
+++ b/internal/membership/transfer_test.go
@@ -145,8 +145,10 @@
 			var calm atomic.Bool
 			start := func(i int) {
 				down[i] = &atomic.Bool{}
-				views[i] = &testkit.View{Store: store, Down: down[i].Load,
-					Lose: func() bool { return !calm.Load() && draw(6) == 0 }, Late: func() bool { return !calm.Load() && draw(6) == 0 }}
+				views[i] = &testkit.View{
+					Store: store, Down: down[i].Load,
+					Lose: func() bool { return !calm.Load() && draw(6) == 0 }, Late: func() bool { return !calm.Load() && draw(6) == 0 },
+				}
 				if !calm.Load() {
 					// Else both controllers would hear of a change at the same instant.
 					lag := time.Duration(draw(120)) * time.Millisecond
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -9,130 +9,142 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
+// reset takes a listing of all records.
 func (m *Member) reset(items []wire.Item) {
 	m.mu.Lock()
-	known := m.owners
-	m.nodes, m.owners = map[string]nodeRecord{}, map[int]shardRecord{}
-	for _, it := range items {
-		m.applyLocked(it.Key, it.Value, it.Version)
-		if s, ok := shardOf(it.Key); ok && it.Version < m.newest[s] {
-			if r, ok := known[s]; ok {
-				m.owners[s] = r // the listing is older than what is known
+	known := m.leaders
+	m.nodes, m.leaders = map[string]nodeRecord{}, map[int]shardRecord{}
+	for _, item := range items {
+		m.applyLocked(item.Key, item.Value, item.Version)
+		if shard, ok := shardOfKey(item.Key); ok && item.Version < m.newestVersions[shard] {
+			if leader, ok := known[shard]; ok {
+				m.leaders[shard] = leader // the listing is older than what is known
 			}
 		}
 	}
-	for s := range m.own {
-		if r, ok := m.owners[s]; !ok || r.Node != m.name {
+	for shard := range m.claimed {
+		if leader, ok := m.leaders[shard]; !ok || leader.Node != m.name {
 			// A listing may be older than the claim: keep what the claim
 			// said, since every write is guarded anyway.
-			m.owners[s] = shardRecord{Node: m.name, Term: m.token, Lease: m.lease}
+			m.leaders[shard] = m.selfLocked()
 		}
 	}
-	m.synced = true
+	m.listed = true
 	m.mu.Unlock()
-	m.notify()
+	m.notifyChange()
 }
 
+// change takes changes of records since the listing. Callbacks run only for what
+// may change who is alive or who leads what.
 func (m *Member) change(events []wire.Event) {
 	m.mu.Lock()
 	relevant := false
-	for _, e := range events {
-		key := e.Put + e.Delete
-		if key == tokenKey {
-			m.observeTokenLocked(e.Value)
-			continue
-		}
-		if strings.HasPrefix(key, linkKey) {
-			if e.Put != "" && m.onLink != nil {
-				m.onLink(e.Value)
+	for _, event := range events {
+		key := event.Put + event.Delete
+		switch {
+		case key == tokenKey:
+			m.observeCounterLocked(event.Value)
+		case strings.HasPrefix(key, linkPrefix):
+			if event.Put != "" && m.onLinkAnnouncement != nil {
+				m.onLinkAnnouncement(event.Value)
 			}
-			continue
-		}
-		relevant = true
-		if e.Delete != "" {
-			m.dropLocked(e.Delete, e.Version)
-			continue
+		case event.Delete != "":
+			relevant = true
+			m.deleteLocked(event.Delete, event.Version)
+		default:
+			relevant = true
+			m.applyLocked(event.Put, event.Value, event.Version)
 		}
-		m.applyLocked(e.Put, e.Value, e.Version)
 	}
 	m.mu.Unlock()
 	if relevant {
-		m.notify()
+		m.notifyChange()
 	}
 }
 
+// applyLocked takes a record that was written. Records that can't be decoded are
+// left out: a later version may have another form.
 func (m *Member) applyLocked(key string, value json.RawMessage, version uint64) {
 	switch {
 	case key == tokenKey:
-		m.observeTokenLocked(value)
+		m.observeCounterLocked(value)
 		return
 	case key == transfersKey:
-		var r transfersRecord
-		if json.Unmarshal(value, &r) == nil {
-			m.transfers = r
+		var transfers transfersRecord
+		if json.Unmarshal(value, &transfers) == nil {
+			m.transfers = transfers
 		}
 		return
-	case strings.HasPrefix(key, linkKey) && m.onLink != nil:
-		m.onLink(value)
+	case strings.HasPrefix(key, linkPrefix) && m.onLinkAnnouncement != nil:
+		m.onLinkAnnouncement(value)
 		return
 	}
-	if name, ok := strings.CutPrefix(key, nodeKey); ok {
-		var r nodeRecord
-		if json.Unmarshal(value, &r) == nil {
-			m.nodes[name] = r
+	if name, ok := strings.CutPrefix(key, nodePrefix); ok {
+		var node nodeRecord
+		if json.Unmarshal(value, &node) == nil {
+			m.nodes[name] = node
 		}
 		return
 	}
-	s, ok := shardOf(key)
-	var r shardRecord
-	if !ok || json.Unmarshal(value, &r) != nil {
-		return
+	var leader shardRecord
+	if shard, ok := shardOfKey(key); ok && json.Unmarshal(value, &leader) == nil {
+		m.applyShardLocked(shard, leader, version)
 	}
-	if version < m.newest[s] {
-		// Late news. An owner whose watch was behind took the news of its own
-		// claim, after it had handed the shard over, for a new claim of its own.
+}
+
+// applyShardLocked takes a shard's record as of a version.
+func (m *Member) applyShardLocked(shard int, leader shardRecord, version uint64) {
+	if version < m.newestVersions[shard] {
+		// Out of date. A leader whose watch was behind took the update of its own
+		// claim, after it had transferred the shard, for a new claim of its own.
 		return
 	}
-	if v, out := m.limbo[s]; out {
-		if version <= v {
-			return // from before the hand-over, whose outcome is open
+	if replaced, ok := m.pending[shard]; ok {
+		if version <= replaced {
+			return // from before the transaction whose outcome is unknown
 		}
-		delete(m.limbo, s)
+		delete(m.pending, shard)
 	}
-	m.newest[s] = version
-	m.owners[s] = r
-	if m.lease != 0 && r.Lease == m.lease {
-		// A claim whose answer was lost: without this, the shard would be
-		// taken for ever by an owner that does not know of it.
-		m.own[s] = max(m.own[s], version)
+	m.newestVersions[shard] = version
+	m.leaders[shard] = leader
+	if m.lease != 0 && leader.Lease == m.lease {
+		// A claim whose response was lost: without this, the shard would stay
+		// with a leader that does not know of it.
+		m.claimed[shard] = max(m.claimed[shard], version)
 		return
 	}
-	if v, mine := m.own[s]; mine && version > v {
-		delete(m.own, s) // somebody else wrote it since: it is no longer ours
+	if claimed, ok := m.claimed[shard]; ok && version > claimed {
+		delete(m.claimed, shard) // another controller wrote it since
 	}
 }
 
-func (m *Member) dropLocked(key string, version uint64) {
-	if name, ok := strings.CutPrefix(key, nodeKey); ok {
-		r := m.nodes[name]
-		m.flaps[name] = !r.steady()
+// deleteLocked takes the deletion of a record as of a version.
+func (m *Member) deleteLocked(key string, version uint64) {
+	if name, ok := strings.CutPrefix(key, nodePrefix); ok {
+		node := m.nodes[name]
+		m.leftUnsteady[name] = !node.steady()
 		delete(m.nodes, name)
-		m.left[name] = time.Now()
+		m.leftAt[name] = time.Now()
 		return
 	}
-	if s, ok := shardOf(key); ok {
-		if v, mine := m.own[s]; mine {
-			if version <= v {
-				return // an event from before the claim
-			}
-			delete(m.own, s)
-		}
-		if v, out := m.limbo[s]; out && version <= v || version < m.newest[s] {
-			return
+	if shard, ok := shardOfKey(key); ok {
+		m.freeLocked(shard, version)
+	}
+}
+
+// freeLocked takes the deletion of a shard's key as of a version.
+func (m *Member) freeLocked(shard int, version uint64) {
+	if claimed, ok := m.claimed[shard]; ok {
+		if version <= claimed {
+			return // from before the claim
 		}
-		m.newest[s] = version
-		delete(m.limbo, s)
-		delete(m.owners, s)
-		m.freed[s] = time.Now()
+		delete(m.claimed, shard)
+	}
+	if replaced, ok := m.pending[shard]; ok && version <= replaced || version < m.newestVersions[shard] {
+		return
 	}
+	m.newestVersions[shard] = version
+	delete(m.pending, shard)
+	delete(m.leaders, shard)
+	m.freedAt[shard] = time.Now()
 }
