--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"io"
 	"log/slog"
+	"strings"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
@@ -14,6 +15,7 @@
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/testkit"
+	"github.com/wallrack/wallrack/internal/wire"
 )
 
 const ttl = 7 * time.Second
@@ -270,15 +272,34 @@
 	})
 }
 
+// releaseDelayer holds back the first release of shards until deliver: its outcome is
+// unknown.
+type releaseDelayer struct {
+	*testkit.View
+	delayed atomic.Pointer[wire.Txn]
+}
+
+func (d *releaseDelayer) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
+	txn := &wire.Txn{If: guards, Then: ops}
+	if strings.HasPrefix(ops[0].Delete, "c/shard/") && d.delayed.CompareAndSwap(nil, txn) {
+		return 0, statestore.ErrUnknown
+	}
+	return d.View.Txn(ctx, guards, ops...)
+}
+
+func (d *releaseDelayer) deliver(ctx context.Context) {
+	txn := d.delayed.Load()
+	_, _ = d.View.Txn(ctx, txn.If, txn.Then...) // may find its conditions failed
+}
+
 // A release whose response is lost, and that is carried out late or never, leaves no
 // shard that nobody serves.
 func TestReleaseWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
-		var hold atomic.Bool
-		view := &testkit.View{Store: store, Late: func() bool { return hold.CompareAndSwap(true, false) }}
-		spread := func(v *testkit.View, name string) *membership.Member {
-			return membership.New(v, name, ttl, 4, 2, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		view := &releaseDelayer{View: &testkit.View{Store: store}}
+		spread := func(store membership.Store, name string) *membership.Member {
+			return membership.New(store, name, ttl, 4, 2, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		}
 		a, b := spread(view, "a"), spread(&testkit.View{Store: store}, "b")
 		ctx, cancel := context.WithCancel(context.Background())
@@ -287,19 +308,18 @@
 		if len(a.OwnedShards()) != 4 {
 			t.Fatalf("a leads %v", a.OwnedShards())
 		}
-		hold.Store(true)
 		doneB := run(ctx, b)
-		for end := time.Now().Add(2 * ttl); hold.Load() && time.Now().Before(end); {
+		for end := time.Now().Add(3 * ttl); view.delayed.Load() == nil && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if hold.Load() {
+		if view.delayed.Load() == nil {
 			t.Fatal("nothing was released")
 		}
 		time.Sleep(2 * time.Second)
 		if len(a.OwnedShards())+len(b.OwnedShards()) != 4 {
 			t.Errorf("2 s after the release was lost a leads %v, b %v", a.OwnedShards(), b.OwnedShards())
 		}
-		view.Deliver()
+		view.deliver(ctx)
 		time.Sleep(3 * ttl)
 		if len(a.OwnedShards()) != 2 || len(b.OwnedShards()) != 2 {
 			t.Errorf("in the end a leads %v, b %v", a.OwnedShards(), b.OwnedShards())
