--- a/internal/cancellation/capacity_test.go
+++ b/internal/cancellation/capacity_test.go
@@ -9,11 +9,11 @@
 	"github.com/wallrack/wallrack/internal/capacity"
 )
 
-// confirmed is a register that confirmed so many cancels, of which its peer has not
+// confirmed is a registry that confirmed so many cancels, of which its peer has not
 // acknowledged any.
 func confirmed(tb testing.TB, cancels int) *Registry {
 	r := New([]string{"b"}, time.Minute, func() time.Duration { return time.Minute })
-	r.armed = true
+	r.mayConfirm = true
 	for i := range cancels {
 		if err := r.Confirm(fmt.Sprintf("j-%06d", i)); err != nil {
 			tb.Fatal(err)
@@ -25,7 +25,7 @@
 var capacitySeries = []capacity.Series{
 	{Name: "cancels.message", Sizes: []int{1, 10, 100, 1000}, FixedSlack: 20, Measure: func(tb testing.TB, cancels int) float64 {
 		r := confirmed(tb, cancels)
-		r.stamp = 1_000_000_000_000 // of a fixed number of digits
+		r.lastStamp = 1_000_000_000_000 // of a fixed number of digits
 		r.incarnation = 1 << 63
 		data, err := json.Marshal(r.MessageFor("b"))
 		if err != nil {
--- /dev/null
+++ b/internal/cancellation/message.go
@@ -0,0 +1,131 @@
+package cancellation
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+const (
+	maxUpdates = 2000 // jobs in one message; the remaining ones follow in the next
+	// maxStamp is a century, in µs: what is beyond is no stamp.
+	maxStamp = 100 * 365 * 24 * 3600 * 1_000_000
+)
+
+// Message is what one controller sends another of cancels, with every ping and its
+// response. Stamps are µs since the start of the process that made them.
+type Message struct {
+	Incarnation     uint64   `json:"life"`            // of the sender's process
+	Stamp           int64    `json:"at"`              // when it was made
+	EchoIncarnation uint64   `json:"el,omitempty"`    // of the receiver, from its newest message received
+	Echo            int64    `json:"ea,omitempty"`    // that message's stamp
+	MayConfirm      bool     `json:"armed,omitempty"` // the sender may confirm cancels
+	Ack             uint64   `json:"ack,omitempty"`   // how many of the receiver's updates were received
+	First           uint64   `json:"first,omitempty"` // number of the first of Updates; the first ever is 1
+	Updates         []string `json:"news,omitempty"`  // jobs whose cancel the sender confirmed, or may have
+	More            bool     `json:"more,omitempty"`  // there are more updates than fit
+}
+
+// MessageFor makes the message for a peer.
+func (r *Registry) MessageFor(to string) Message {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	r.trimLocked(now)
+	r.lastStamp = max(r.lastStamp+1, now.Sub(r.start).Microseconds())
+	m := Message{Incarnation: r.incarnation, Stamp: r.lastStamp}
+	if r.leaseRemaining() > 0 {
+		if r.rearmStamp == 0 {
+			r.rearmStamp = m.Stamp
+		}
+		m.MayConfirm = true
+	} else {
+		r.mayConfirm, r.rearmStamp, r.disarmedAt = false, 0, now
+	}
+	if p := r.peers[to]; p != nil {
+		m.EchoIncarnation, m.Echo, m.Ack = p.incarnation, p.newestStamp, p.updatesReceived
+		r.addUpdatesLocked(&m, p)
+	}
+	return m
+}
+
+// addUpdatesLocked puts into a message the updates that the peer has not acknowledged.
+func (r *Registry) addUpdatesLocked(m *Message, p *peer) {
+	m.First = max(p.updatesAcknowledged, r.droppedUpdates) + 1
+	for _, job := range r.updates[min(m.First-1-r.droppedUpdates, uint64(len(r.updates))):] {
+		if len(m.Updates) == maxUpdates {
+			m.More = true
+			return
+		}
+		m.Updates = append(m.Updates, job.uid)
+	}
+}
+
+// HandleMessage takes a peer's message. One from a controller that is not configured, or
+// with values that no controller sends, is an error and changes nothing.
+func (r *Registry) HandleMessage(from string, m *Message) error {
+	if err := m.validate(); err != nil {
+		return fmt.Errorf("cancellation message from %.40q: %w", from, err)
+	}
+	now := time.Now()
+	r.mu.Lock()
+	p := r.peers[from]
+	if p == nil {
+		r.mu.Unlock()
+		return fmt.Errorf("cancellation message from %.40q: no such controller", from)
+	}
+	fresh := r.recordLocked(m.Updates, now)
+	r.handleLocked(p, m, now)
+	r.mu.Unlock()
+	r.notifyCancelled(fresh)
+	return nil
+}
+
+// validate returns an error for values that no controller sends.
+func (m *Message) validate() error {
+	invalid := slices.IndexFunc(m.Updates, func(uid string) bool { return !wire.ValidJobID(uid) })
+	switch {
+	case m.Incarnation == 0 || m.Stamp < 0 || m.Stamp > maxStamp || m.Echo < 0 || m.Echo > maxStamp:
+		return fmt.Errorf("incarnation %d, stamp %d, echo %d", m.Incarnation, m.Stamp, m.Echo)
+	case invalid >= 0:
+		return fmt.Errorf("invalid job ID %.40q", m.Updates[invalid])
+	case len(m.Updates) > maxUpdates:
+		return fmt.Errorf("%d updates, at most %d are sent", len(m.Updates), maxUpdates)
+	}
+	return nil
+}
+
+// handleLocked takes what a valid message says of its sender.
+func (r *Registry) handleLocked(p *peer, m *Message, now time.Time) {
+	if slices.Contains(p.pastIncarnations, m.Incarnation) || m.Incarnation == p.incarnation && m.Stamp <= p.newestStamp {
+		return // late: what it says of its sender is no longer so
+	}
+	if m.Incarnation != p.incarnation {
+		p.beginIncarnation(m, r.storeReadSent, now)
+	}
+	p.newestStamp = m.Stamp
+	if m.MayConfirm {
+		// Before the sender has this message echoed it confirms nothing, so
+		// that what it had promised ends here, at the latest.
+		p.quietUntil = time.Time{}
+	}
+	if m.EchoIncarnation != r.incarnation || m.Echo > r.lastStamp || m.Ack > r.droppedUpdates+uint64(len(r.updates)) {
+		return // it echoes nothing of this incarnation
+	}
+	p.updatesAcknowledged, p.echoedStamp = max(p.updatesAcknowledged, m.Ack), max(p.echoedStamp, m.Echo)
+	if last := m.First + uint64(len(m.Updates)) - 1; m.First > 0 && last > p.updatesReceived {
+		p.updatesReceived = last
+	}
+	if m.More || !p.covered {
+		return
+	}
+	echo := r.start.Add(time.Duration(m.Echo)*time.Microsecond - stampLead)
+	if echo.After(p.knownUntil) {
+		p.knownUntil = echo
+	}
+	if !m.MayConfirm {
+		p.quietUntil = echo.Add(time.Duration(float64(armTimeout)*(1-driftRate)) - quietSlack)
+	}
+}
