--- a/internal/cancellation/fuzz_test.go
+++ b/internal/cancellation/fuzz_test.go
@@ -12,7 +12,7 @@
 // A message of a peer, whatever it holds, is taken whole, or is an error that says what was
 // wrong and changes nothing: no job counts as cancelled, and the time up to which all is
 // known stays.
-func FuzzTake(f *testing.F) {
+func FuzzHandleMessage(f *testing.F) {
 	for _, m := range []cancellation.Message{
 		{Incarnation: 3, Stamp: 9, MayConfirm: true, First: 1, Updates: []string{"j-1", "j-2"}},
 		{Incarnation: 3, Stamp: 9, Echo: 1, EchoIncarnation: 1, Ack: 1 << 63, More: true},
@@ -51,7 +51,7 @@
 		}
 		next := r.MessageFor("b") // what it says to the peer still fits what was taken
 		if next.Ack > 0 && (err != nil || next.EchoIncarnation != m.Incarnation) {
-			t.Errorf("acknowledges %d of life %d", next.Ack, next.EchoIncarnation)
+			t.Errorf("acknowledges %d of incarnation %d", next.Ack, next.EchoIncarnation)
 		}
 	})
 }
--- a/internal/cancellation/known_test.go
+++ b/internal/cancellation/known_test.go
@@ -24,80 +24,95 @@
 
 const limit = 40 * time.Second
 
-// life is a controller's process.
-type life struct {
+// process is a controller's process.
+type process struct {
 	*cancellation.Registry
-	held bool
+	held bool // its lease
 }
 
-// letter is a message under way.
-type letter struct {
+// transitMessage is a message under way.
+type transitMessage struct {
 	from, to int
-	m        cancellation.Message
-	answer   bool
+	message  cancellation.Message
+	response bool
 }
 
-// site is some controllers, what they confirmed, and messages that may come late, in
+// storeRead is a read of the state service whose response is under way.
+type storeRead struct {
+	by   *process
+	sent time.Time
+	uids []string
+}
+
+// cluster is some controllers, what they confirmed, and messages that may come late, in
 // any order, more than once or never.
-type site struct {
-	lives     []*life
-	state     []string             // recorded cancels
+type cluster struct {
+	processes []*process
+	recorded  []string             // cancels in the state service
 	confirmed map[string]time.Time // by whomever, first
-	post      []letter
-	reads     []read
-	next      int
+	transit   []transitMessage
+	reads     []storeRead
+	next      int // number of the next job
 }
 
-// read is a read of the state service whose answer is under way.
-type read struct {
-	by   *life
-	sent time.Time
-	uids []string
+func newCluster(controllers int) *cluster {
+	c := &cluster{processes: make([]*process, controllers), confirmed: map[string]time.Time{}}
+	for i := range c.processes {
+		c.start(i)
+	}
+	return c
 }
 
 func name(i int) string { return string(rune('a' + i)) }
 
-func (s *site) begin(i int) {
-	l := &life{}
+// start starts a controller's process, in place of the one before.
+func (c *cluster) start(i int) {
+	p := &process{}
 	var peers []string
-	for j := range s.lives {
+	for j := range c.processes {
 		if j != i {
 			peers = append(peers, name(j))
 		}
 	}
-	l.Registry = cancellation.New(peers, limit, func() time.Duration {
-		if l.held {
+	p.Registry = cancellation.New(peers, limit, func() time.Duration {
+		if p.held {
 			return time.Second
 		}
 		return 0
 	})
-	s.lives[i] = l
+	c.processes[i] = p
 }
 
-func (s *site) send(from, to int, answer bool) {
-	s.post = append(s.post, letter{from, to, s.lives[from].MessageFor(name(to)), answer})
+func (c *cluster) send(from, to int, response bool) {
+	c.transit = append(c.transit, transitMessage{from, to, c.processes[from].MessageFor(name(to)), response})
 }
 
-// deliver hands over the k-th message; the post may keep it.
-func (s *site) deliver(k int, keep bool) {
-	l := s.post[k]
+// deliver delivers the k-th message under way; with keep it may come again.
+func (c *cluster) deliver(k int, keep bool) {
+	m := c.transit[k]
 	if !keep {
-		s.post = append(s.post[:k], s.post[k+1:]...)
+		c.transit = append(c.transit[:k], c.transit[k+1:]...)
 	}
-	if err := s.lives[l.to].HandleMessage(name(l.from), &l.m); err != nil {
+	if err := c.processes[m.to].HandleMessage(name(m.from), &m.message); err != nil {
 		panic(err)
 	}
-	if !l.answer {
-		s.send(l.to, l.from, true)
+	if !m.response {
+		c.send(m.to, m.from, true)
 	}
 }
 
-// check is what everything rests on: who says that it knows all up to a time does.
-func (s *site) check(fail func(string, ...any)) {
-	for i, l := range s.lives {
-		known := l.KnownUntil()
-		for uid, at := range s.confirmed {
-			if at.Before(known) && !l.IsCancelled(uid) {
+// deliverLast delivers the newest message and the response to it.
+func (c *cluster) deliverLast() {
+	c.deliver(len(c.transit)-1, false)
+	c.deliver(len(c.transit)-1, false)
+}
+
+// check is what the package guarantees: who claims to know all up to a time does.
+func (c *cluster) check(fail func(string, ...any)) {
+	for i, p := range c.processes {
+		known := p.KnownUntil()
+		for uid, at := range c.confirmed {
+			if at.Before(known) && !p.IsCancelled(uid) {
 				fail("%s claims to know all that was confirmed until %v ago, and does not know of %s, confirmed %v ago",
 					name(i), time.Since(known), uid, time.Since(at))
 			}
@@ -105,74 +120,92 @@
 	}
 }
 
-// TestKnownIsKnown draws messages that are lost, late, reordered and doubled, leases
-// that end and are had again, processes that end and are back, reads of the state
-// service and cancels: no controller ever claims to know of all cancels up to a time
-// if one was confirmed before that it has not heard of.
-func TestKnownIsKnown(t *testing.T) {
-	type step struct {
-		What, Who, Other, Letter, Ms int
-		Again                        bool
+// clusterStep is one message, fault, read or cancel.
+type clusterStep struct {
+	What, Who, Other, Message, Ms int
+	Again                         bool
+}
+
+func drawClusterStep(rt *rapid.T) clusterStep {
+	return clusterStep{
+		rapid.SampledFrom([]int{0, 1, 3, 3, 4, 4, 5, 6, 7, 9, 10, 11, 12}).Draw(rt, "what"),
+		rapid.IntRange(0, 3).Draw(rt, "who"), rapid.IntRange(0, 2).Draw(rt, "other"),
+		rapid.IntRange(0, 30).Draw(rt, "letter"), rapid.IntRange(1, 4000).Draw(rt, "ms"), rapid.Bool().Draw(rt, "again"),
+	}
+}
+
+func (c *cluster) apply(step clusterStep) {
+	controllers := len(c.processes)
+	i := step.Who % controllers
+	other := (i + 1 + step.Other%(controllers-1)) % controllers
+	switch step.What {
+	case 0, 1, 2: // a ping and its response
+		c.send(i, other, false)
+		c.deliverLast()
+	case 3: // one that is under way for a while
+		c.send(i, other, false)
+	case 4:
+		if len(c.transit) > 0 {
+			c.deliver(step.Message%len(c.transit), step.Again)
+		}
+	case 5:
+		c.processes[i].held = !c.processes[i].held
+	case 6, 7, 8:
+		c.cancel(c.processes[i])
+	case 9:
+		if step.Message%3 == 0 {
+			c.start(i)
+		}
+	case 10:
+		c.read(c.processes[i], step)
+	default:
+		time.Sleep(time.Duration(step.Ms) * time.Millisecond)
+	}
+}
+
+// cancel records a cancel in the state service, and confirms it if it may be.
+func (c *cluster) cancel(by *process) {
+	uid := fmt.Sprintf("j-%06d", c.next)
+	c.next++
+	c.recorded = append(c.recorded, uid)
+	if by.Confirm(uid) == nil {
+		c.confirmed[uid] = time.Now()
+	}
+}
+
+// read sends a read of the state service; with Again the response to one arrives.
+func (c *cluster) read(by *process, step clusterStep) {
+	c.reads = append(c.reads, storeRead{by, time.Now(), slices.Clone(c.recorded)})
+	if k := step.Message % len(c.reads); step.Again {
+		r := c.reads[k]
+		c.reads = slices.Delete(c.reads, k, k+1)
+		r.by.RecordStoreRead(r.sent, r.uids)
 	}
+}
+
+// Messages are lost, late, reordered and doubled, leases end and are regained, processes
+// end and start again, the state service is read and jobs are cancelled: no controller
+// ever claims to know of all cancels up to a time if one was confirmed before that it has
+// not received.
+func TestKnownUntilUnderMessageFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		n := rapid.IntRange(2, 4).Draw(rt, "controllers")
-		steps := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
-			return step{rapid.SampledFrom([]int{0, 1, 3, 3, 4, 4, 5, 6, 7, 9, 10, 11, 12}).Draw(rt, "what"), rapid.IntRange(0, 3).Draw(rt, "who"), rapid.IntRange(0, 2).Draw(rt, "other"),
-				rapid.IntRange(0, 30).Draw(rt, "letter"), rapid.IntRange(1, 4000).Draw(rt, "ms"), rapid.Bool().Draw(rt, "again")}
-		}), 10, 150).Draw(rt, "steps")
+		controllers := rapid.IntRange(2, 4).Draw(rt, "controllers")
+		steps := rapid.SliceOfN(rapid.Custom(drawClusterStep), 10, 150).Draw(rt, "steps")
 		wrong := ""
 		fail := func(format string, args ...any) {
 			if wrong == "" {
 				wrong = fmt.Sprintf(format, args...)
 			}
 		}
-		synctest.Test(t, func(t *testing.T) {
-			s := &site{lives: make([]*life, n), confirmed: map[string]time.Time{}}
-			for i := range n {
-				s.begin(i)
+		synctest.Test(t, func(*testing.T) {
+			c := newCluster(controllers)
+			for _, p := range c.processes {
+				p.held = true
+				p.RecordStoreRead(time.Now(), c.recorded)
 			}
-			for i := range n {
-				s.lives[i].held = true
-				s.lives[i].RecordStoreRead(time.Now(), s.state)
-			}
-			for _, st := range steps {
-				i := st.Who % n
-				l := s.lives[i]
-				switch st.What {
-				case 0, 1, 2: // a ping and its answer
-					s.send(i, (i+1+st.Other%(n-1))%n, false)
-					s.deliver(len(s.post)-1, false)
-					s.deliver(len(s.post)-1, false)
-				case 3: // one that is under way for a while
-					s.send(i, (i+1+st.Other%(n-1))%n, false)
-				case 4:
-					if len(s.post) > 0 {
-						s.deliver(st.Letter%len(s.post), st.Again)
-					}
-				case 5:
-					l.held = !l.held
-				case 6, 7, 8: // recorded in the state service, and confirmed if it may be
-					uid := fmt.Sprintf("j-%06d", s.next)
-					s.next++
-					s.state = append(s.state, uid)
-					if l.Confirm(uid) == nil {
-						s.confirmed[uid] = time.Now()
-					}
-				case 9:
-					if st.Letter%3 == 0 {
-						s.begin(i)
-					}
-				case 10:
-					s.reads = append(s.reads, read{l, time.Now(), slices.Clone(s.state)})
-					if k := st.Letter % len(s.reads); st.Again {
-						r := s.reads[k]
-						s.reads = slices.Delete(s.reads, k, k+1)
-						r.by.RecordStoreRead(r.sent, r.uids)
-					}
-				default:
-					time.Sleep(time.Duration(st.Ms) * time.Millisecond)
-				}
-				s.check(fail)
+			for _, step := range steps {
+				c.apply(step)
+				c.check(fail)
 			}
 		})
 		if wrong != "" {
@@ -181,131 +214,125 @@
 	})
 }
 
-// A process said that it confirms nothing, its message is held up, and its successor
-// confirms: the late word must not count for the successor.
-func TestLateWordOfAnEarlierLife(t *testing.T) {
+// A process said that it confirms nothing, its message is delayed, and its successor
+// confirms: the late message must not count for the successor.
+func TestLateMessageOfEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &site{lives: make([]*life, 2), confirmed: map[string]time.Time{}}
-		for i := range s.lives {
-			s.begin(i)
-		}
-		s.lives[0].held = true
+		c := newCluster(2)
+		c.processes[0].held = true
 		ping := func() {
 			time.Sleep(100 * time.Millisecond)
-			s.send(0, 1, false)
-			s.deliver(len(s.post)-1, false)
-			s.deliver(len(s.post)-1, false)
-			s.lives[0].RecordStoreRead(time.Now(), s.state)
+			c.send(0, 1, false)
+			c.deliverLast()
+			c.processes[0].RecordStoreRead(time.Now(), c.recorded)
 		}
 		ping()
 		ping()
-		s.send(1, 0, true) // held up
-		s.begin(1)
-		s.lives[1].held = true
+		c.send(1, 0, true) // delayed
+		c.start(1)
+		c.processes[1].held = true
 		for range 4 {
 			ping()
 		}
-		if err := s.lives[1].Confirm("j-000001"); err != nil {
+		if err := c.processes[1].Confirm("j-000001"); err != nil {
 			t.Fatal(err)
 		}
-		s.confirmed["j-000001"] = time.Now()
+		c.confirmed["j-000001"] = time.Now()
 		time.Sleep(100 * time.Millisecond)
-		s.deliver(0, false)
-		s.check(t.Errorf)
+		c.deliver(0, false)
+		c.check(t.Errorf)
 	})
 }
 
-// While all talk to each other, what each knows is never older than two rounds, and a
-// process that is back within seconds, when nobody could confirm anything, costs nobody
-// anything: in an outage of the state service no worker need be left.
-func TestAnOutageCostsNothing(t *testing.T) {
+// While all controllers reach each other, what each knows is never older than two rounds,
+// and a process that restarts within seconds, when nobody could confirm anything, changes
+// nothing for the others: in an outage of the state service no worker need be left
+// without responses.
+func TestKnownUntilFollowsDuringStateStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &site{lives: make([]*life, 5), confirmed: map[string]time.Time{}}
-		for i := range s.lives {
-			s.begin(i)
-		}
+		c := newCluster(5)
 		time.Sleep(time.Millisecond)
-		for i := range s.lives {
-			s.lives[i].held = true
-			s.lives[i].RecordStoreRead(time.Now(), nil)
+		for i := range c.processes {
+			c.processes[i].held = true
+			c.processes[i].RecordStoreRead(time.Now(), nil)
 		}
 		round := func() {
-			for i := range s.lives {
+			for i := range c.processes {
 				for j := range i {
-					s.send(i, j, false)
-					s.deliver(0, false)
-					s.deliver(0, false)
+					c.send(i, j, false)
+					c.deliver(0, false)
+					c.deliver(0, false)
 				}
 			}
 			time.Sleep(time.Second)
 		}
 		for sec := range 200 {
 			round()
-			for _, l := range s.lives {
+			for _, l := range c.processes {
 				if l.held && l.NeedsStoreRead(3*time.Second) {
 					l.RecordStoreRead(time.Now(), nil)
 				}
 			}
 			switch {
 			case sec == 10: // the outage
-				for _, l := range s.lives {
+				for _, l := range c.processes {
 					l.held = false
 				}
 			case sec == 30:
-				s.begin(3)
+				c.start(3)
 			case sec > 3:
-				for i, l := range s.lives {
+				for i, l := range c.processes {
 					if old := time.Since(l.KnownUntil()); old > 2100*time.Millisecond && (i != 3 || sec < 30) {
 						t.Fatalf("after %d s %s knows of all only up to %v ago", sec, name(i), old)
 					}
 				}
 			}
-			if err := s.lives[0].Confirm(fmt.Sprintf("j-%06d", sec)); (err == nil) != (sec >= 1 && sec < 10) {
+			if err := c.processes[0].Confirm(fmt.Sprintf("j-%06d", sec)); (err == nil) != (sec >= 1 && sec < 10) {
 				t.Fatalf("after %d s a cancel is confirmed: %v", sec, err)
 			}
 		}
 	})
 }
 
-// More news than fit a message: nothing is claimed before all of it has come.
-func TestAllNewsFirst(t *testing.T) {
+// More updates than fit a message: nothing is claimed before all of them have come.
+func TestKnownUntilWaitsForAllUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &site{lives: make([]*life, 2), confirmed: map[string]time.Time{}}
-		for i := range s.lives {
-			s.begin(i)
-			s.lives[i].held = true
+		c := newCluster(2)
+		for _, p := range c.processes {
+			p.held = true
 		}
 		ping := func() {
 			time.Sleep(time.Second)
-			s.send(1, 0, false)
-			s.deliver(0, false)
-			s.deliver(0, false)
+			c.send(1, 0, false)
+			c.deliver(0, false)
+			c.deliver(0, false)
 		}
 		for range 3 {
 			ping()
-			for _, l := range s.lives {
+			for _, l := range c.processes {
 				l.RecordStoreRead(time.Now(), nil)
 			}
 		}
 		for i := range 5000 {
 			uid := fmt.Sprintf("j-%06d", i)
-			if err := s.lives[0].Confirm(uid); err != nil {
+			if err := c.processes[0].Confirm(uid); err != nil {
 				t.Fatal(err)
 			}
-			s.confirmed[uid] = time.Now()
+			c.confirmed[uid] = time.Now()
 		}
 		for range 4 {
 			ping()
-			s.check(t.Errorf)
+			c.check(t.Errorf)
 		}
-		if !s.lives[1].IsCancelled("j-004999") || time.Since(s.lives[1].KnownUntil()) > time.Second {
-			t.Errorf("all is known up to %v ago", time.Since(s.lives[1].KnownUntil()))
+		if !c.processes[1].IsCancelled("j-004999") || time.Since(c.processes[1].KnownUntil()) > time.Second {
+			t.Errorf("all is known up to %v ago", time.Since(c.processes[1].KnownUntil()))
 		}
 	})
 }
 
-// A storm of cancels, news from nobody and names that are none stay in bounds.
-func TestBounds(t *testing.T) {
+// Many cancels in a short time, messages from unknown controllers and invalid job IDs stay
+// in bounds.
+func TestCancelStormAndInvalidMessagesStayBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := cancellation.New([]string{"b"}, limit, func() time.Duration { return time.Second })
 		r.RecordStoreRead(time.Now(), nil)
@@ -322,7 +349,7 @@
 		}
 		m := r.MessageFor("b")
 		if !m.More || len(m.Updates) > 4000 {
-			t.Errorf("%d news in a message, more: %v", len(m.Updates), m.More)
+			t.Errorf("%d updates in a message, more: %v", len(m.Updates), m.More)
 		}
 		for _, bad := range []struct {
 			from string
