--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -6,162 +6,154 @@
 	"time"
 
 	"golang.org/x/time/rate"
+)
 
-	"github.com/wallrack/wallrack/internal/wire"
+const (
+	// controllerShare is the part of the service's limits that one controller may use:
+	// the leader needs most of it, and the others hardly any.
+	controllerShare = 0.6
+	// bulkShare is the part of the writes' budget that bulk may use, so that
+	// acceptances, cancels and provisioning never queue behind it.
+	bulkShare = 0.7
+	// lookupShare is the part of the service's requests for one controller's lookups.
+	lookupShare = 0.2
+
+	leastPart    = 0.05                   // of a lane's full rate that is always left to it
+	cutInterval  = 250 * time.Millisecond // between two cuts
+	regain       = 0.1                    // of the full rate, in a second without a refusal
+	regainLookup = 0.05                   // the same of lookups: each time they are too many, a submission may be refused
 )
 
-// PriorityClass says what a request is for, and so what it may cost others.
-type PriorityClass int
+// lane is a part of the budget that is cut by itself, in the order in which lanes give
+// way.
+type lane int
 
 const (
-	// Ordinary requests share a controller's part of the budget.
-	Ordinary PriorityClass = iota
-	// Urgent ones never wait: leases, terms, who owns what, and takeovers.
-	Urgent
-	// Lookup is for reads that answer a user whose job's owner can't be asked.
-	// They are the first to give way: without an owner every poll of every user
-	// comes to this, and in such a storm no controller could join any more.
-	Lookup
+	lookupLane lane = iota
+	bulkLane
+	ordinaryLane
+	lanes
 )
 
-type priorityKey struct{}
-
-// WithPriority puts the requests made with ctx into a lane.
-func WithPriority(ctx context.Context, l PriorityClass) context.Context {
-	return context.WithValue(ctx, priorityKey{}, l)
+// limiter is a rate limiter whose rate can be cut.
+type limiter struct {
+	*rate.Limiter
+	full rate.Limit
 }
 
-func priorityOf(ctx context.Context) PriorityClass {
-	l, _ := ctx.Value(priorityKey{}).(PriorityClass)
-	return l
+func newLimiter(perSecond float64, burst int) limiter {
+	return limiter{rate.NewLimiter(rate.Limit(perSecond), burst), rate.Limit(perSecond)}
 }
 
-const (
-	lookShare = 0.2                    // of the service's requests, for one controller's lookups
-	leastPart = 0.05                   // of a lane's full rate, that is always left to it
-	cutEvery  = 250 * time.Millisecond // between two cuts
-	grow      = 0.1                    // of the full rate, that a lane regains in a second without a refusal
-	growLook  = 0.05                   // the same of lookups: each time they ask for too much, a submission may be refused
-)
+func (l *limiter) setPart(part float64) { l.SetLimit(l.full * rate.Limit(part)) }
 
 // budget keeps a controller's requests within its part of the service's limits, and
 // gives way when the service refuses: controllers don't know what the others use.
-// Lookups give way first, then bulk, then the rest; leases never do.
+// Lookups give way first, then bulk, then ordinary requests; leases never do.
 type budget struct {
-	reqs, look, writes, bulk *rate.Limiter
+	requests, lookups, writes, bulk limiter
 
-	mu      sync.Mutex
-	parts   [3]float64 // of the full rate: lookups, bulk, the rest
-	full    [4]rate.Limit
-	cut     time.Time // last
-	changed time.Time
+	mu        sync.Mutex
+	parts     [lanes]float64 // of the full rates
+	cutAt     time.Time      // last
+	changedAt time.Time      // last cut or regain
 }
 
 func newBudget(rps, writeRPS float64, maxOps int) *budget {
-	b := &budget{
-		reqs:   rate.NewLimiter(rate.Limit(rps*share), max(1, int(rps*share))),
-		look:   rate.NewLimiter(rate.Limit(rps*lookShare), max(2, int(rps*lookShare/2))),
-		writes: rate.NewLimiter(rate.Limit(writeRPS*share), max(maxOps, int(writeRPS*share))),
-		bulk:   rate.NewLimiter(rate.Limit(writeRPS*share*bulkShare), maxOps),
-		parts:  [3]float64{1, 1, 1},
+	return &budget{
+		requests: newLimiter(rps*controllerShare, max(1, int(rps*controllerShare))),
+		lookups:  newLimiter(rps*lookupShare, max(2, int(rps*lookupShare/2))),
+		writes:   newLimiter(writeRPS*controllerShare, max(maxOps, int(writeRPS*controllerShare))),
+		bulk:     newLimiter(writeRPS*controllerShare*bulkShare, maxOps),
+		parts:    [lanes]float64{1, 1, 1},
 	}
-	b.full = [4]rate.Limit{b.look.Limit(), b.bulk.Limit(), b.reqs.Limit(), b.writes.Limit()}
-	return b
 }
 
-// wait waits for a request's turn, which an urgent one need not.
-func (b *budget) wait(ctx context.Context, l PriorityClass) error {
-	b.recover()
-	if l == Urgent {
-		b.reqs.Allow()
+// wait waits for a request's turn, which an urgent one need not. If ctx ends before, it
+// returns ErrBusy.
+func (b *budget) wait(ctx context.Context, priority PriorityClass) error {
+	b.regain()
+	if priority == Urgent {
+		b.requests.Allow()
 		return nil
 	}
-	if l == Lookup {
-		if err := b.look.Wait(ctx); err != nil {
+	if priority == Lookup {
+		if err := b.lookups.Wait(ctx); err != nil {
 			return ErrBusy
 		}
 	}
-	if err := b.reqs.Wait(ctx); err != nil {
+	if err := b.requests.Wait(ctx); err != nil {
 		return ErrBusy
 	}
 	return nil
 }
 
-// waitWrites waits for the turn of so many changes.
-func (b *budget) waitWrites(ctx context.Context, l PriorityClass, n int) error {
-	n = min(max(1, n), b.writes.Burst())
-	if l == Urgent {
-		b.writes.AllowN(time.Now(), n)
+// waitWrites waits for the turn of so many changes, as wait does.
+func (b *budget) waitWrites(ctx context.Context, priority PriorityClass, changes int) error {
+	changes = min(max(1, changes), b.writes.Burst())
+	if priority == Urgent {
+		b.writes.AllowN(time.Now(), changes)
 		return nil
 	}
-	if err := b.writes.WaitN(ctx, n); err != nil {
+	if err := b.writes.WaitN(ctx, changes); err != nil {
 		return ErrBusy
 	}
 	return nil
 }
 
-// refused cuts a lane: the service has just refused a request as one too many.
-func (b *budget) refused() {
+// admits waits for the turn of a request for a peer, and reports whether it came.
+func (b *budget) admits(ctx context.Context, request *RelayedRequest) bool {
+	if b.wait(ctx, request.Priority) != nil {
+		return false
+	}
+	return request.Writes <= 0 || b.waitWrites(ctx, request.Priority, request.Writes) == nil
+}
+
+// cut cuts a lane: the service has just refused a request as one too many.
+func (b *budget) cut() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	if now.Sub(b.cut) < cutEvery {
+	if now.Sub(b.cutAt) < cutInterval {
 		return
 	}
-	b.cut, b.changed = now, now
-	for i, by := range [...]float64{0.5, 0.7, 0.8} {
-		if b.parts[i] > leastPart {
-			b.parts[i] = max(leastPart, b.parts[i]*by)
+	b.cutAt, b.changedAt = now, now
+	for lane, by := range [lanes]float64{lookupLane: 0.5, bulkLane: 0.7, ordinaryLane: 0.8} {
+		if b.parts[lane] > leastPart {
+			b.parts[lane] = max(leastPart, b.parts[lane]*by)
 			break
 		}
 	}
-	b.set()
+	b.applyLocked()
 }
 
-// recover gives back what was cut, the last cut first.
-func (b *budget) recover() {
+// regain gives back what was cut, the last cut first.
+func (b *budget) regain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	since := now.Sub(b.changed)
-	if b.parts == [3]float64{1, 1, 1} || now.Sub(b.cut) < 2*cutEvery || since < cutEvery {
+	since := now.Sub(b.changedAt)
+	if b.parts == [lanes]float64{1, 1, 1} || now.Sub(b.cutAt) < 2*cutInterval || since < cutInterval {
 		return
 	}
-	b.changed = now
-	for i := len(b.parts) - 1; i >= 0; i-- {
-		if b.parts[i] < 1 {
-			by := grow
-			if i == 0 {
-				by = growLook
-			}
-			b.parts[i] = min(1, b.parts[i]+by*min(1, since.Seconds()))
-			break
+	b.changedAt = now
+	for lane := lanes - 1; lane >= 0; lane-- {
+		if b.parts[lane] >= 1 {
+			continue
 		}
+		by := regain
+		if lane == lookupLane {
+			by = regainLookup
+		}
+		b.parts[lane] = min(1, b.parts[lane]+by*min(1, since.Seconds()))
+		break
 	}
-	b.set()
-}
-
-func (b *budget) set() {
-	b.look.SetLimit(b.full[0] * rate.Limit(b.parts[0]))
-	b.bulk.SetLimit(b.full[1] * rate.Limit(b.parts[1]))
-	b.reqs.SetLimit(b.full[2] * rate.Limit(b.parts[2]))
-	b.writes.SetLimit(b.full[3] * rate.Limit(b.parts[2]))
-}
-
-// UrgentClient is a client whose every request is urgent.
-type UrgentClient struct{ *Client }
-
-// Get reads a key.
-func (u UrgentClient) Get(ctx context.Context, key string) (wire.Item, error) {
-	return u.Client.Get(WithPriority(ctx, Urgent), key)
-}
-
-// Txn applies a transaction and returns its revision.
-func (u UrgentClient) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
-	return u.Client.Txn(WithPriority(ctx, Urgent), guards, ops...)
+	b.applyLocked()
 }
 
-// Watch follows a prefix, see Client.Watch.
-func (u UrgentClient) Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
-	u.Client.Watch(WithPriority(ctx, Urgent), prefix, hold, reset, change)
+func (b *budget) applyLocked() {
+	b.lookups.setPart(b.parts[lookupLane])
+	b.bulk.setPart(b.parts[bulkLane])
+	b.requests.setPart(b.parts[ordinaryLane])
+	b.writes.setPart(b.parts[ordinaryLane])
 }
--- a/internal/statestore/capacity_test.go
+++ b/internal/statestore/capacity_test.go
@@ -19,13 +19,13 @@
 )
 
 // transaction measures a transaction of so many changes, of 200 bytes each: its request
-// and answer in bytes, and the processor time of both ends.
+// and response in bytes, and the processor time of both ends.
 func transaction(tb testing.TB, changes int, measure func(call func()) float64) (bytes, time float64) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.Copy(io.Discard, r.Body) // a broken body shows in the sum
-		const answer = `{"ledger":431}`
-		bytes = float64(n) + float64(len(answer))
-		_, _ = io.WriteString(w, answer)
+		const response = `{"ledger":431}`
+		bytes = float64(n) + float64(len(response))
+		_, _ = io.WriteString(w, response)
 	}))
 	defer srv.Close()
 	client := statestore.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 48)
@@ -44,7 +44,7 @@
 }
 
 // followed counts the requests of a watch that so many changes reach one by one.
-func followed(tb testing.TB, changes int) float64 {
+func followed(_ testing.TB, changes int) float64 {
 	var opened atomic.Int64
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -74,9 +74,9 @@
 func followedPaced(_ testing.TB, changes int) (requests float64) {
 	gap := time.Second / time.Duration(changes)
 	gaps := slices.Repeat([]time.Duration{gap}, int(pacedFor/gap))
-	pace := statestore.Pacing{Burst: 4, Pause: func() time.Duration { return 200 * time.Millisecond }}
+	pacing := statestore.Pacing{Burst: 4, Pause: func() time.Duration { return 200 * time.Millisecond }}
 	synctest.Test(&testing.T{}, func(*testing.T) {
-		store, _ := watchChanges(pace, gaps)
+		store, _ := watchChanges(pacing, gaps)
 		requests = float64(len(store.opened))
 	})
 	return requests
--- /dev/null
+++ b/internal/statestore/client.go
@@ -0,0 +1,113 @@
+// Package statestore is the client of the state service: keys, transactions, leases and
+// watches.
+//
+// It keeps a controller's requests within its part of the service's budgets, leases
+// first, and tells apart the three ways in which a request can fail: refused by a
+// condition, not executed (ErrUnavailable), and unknown (ErrUnknown). A response that is
+// not one to the request made is an error. When this controller alone does not reach the
+// service, requests go by a peer.
+//
+// It repeats no request that may have been executed and is not repeatable, and caches
+// nothing.
+package statestore
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// Client makes requests to the state service. It is safe for concurrent use.
+type Client struct {
+	// MaxOps is the number of operations that a transaction may have.
+	MaxOps int
+
+	base        string
+	http        *http.Client
+	budget      *budget
+	start       time.Time
+	lastSuccess atomic.Int64 // ns since start, of the last response that was no refusal; 0: none
+	route       route
+	timeout     responseTimeout
+}
+
+// New returns a client of the service at addr (host and port) whose limits are rps
+// requests and writeRPS writes a second, and maxOps operations in a transaction.
+func New(addr string, rps, writeRPS float64, maxOps int) *Client {
+	transport := &http.Transport{MaxIdleConnsPerHost: 12, MaxConnsPerHost: 24, IdleConnTimeout: time.Minute}
+	return &Client{
+		MaxOps: maxOps,
+		base:   "http://" + addr, http: &http.Client{Transport: transport},
+		budget: newBudget(rps, writeRPS, maxOps),
+		start:  time.Now(),
+	}
+}
+
+// SinceLastSuccess returns how long ago the service last executed a request that went to
+// it directly; an hour if it never did.
+func (c *Client) SinceLastSuccess() time.Duration {
+	at := c.lastSuccess.Load()
+	if at == 0 {
+		return time.Hour
+	}
+	return time.Since(c.start) - time.Duration(at)
+}
+
+// call is one request and where its response goes.
+type call struct {
+	method, path string
+	writes       int // puts and deletes in it
+	body         any // nil: none
+	out          any // nil: the response's body does not matter
+}
+
+// do makes a call, directly or by a peer, and returns the response's status. Statuses
+// that mean the same for every call are errors.
+func (c *Client) do(ctx context.Context, made call) (status int, err error) {
+	request := RelayedRequest{Method: made.method, Path: made.path, Writes: made.writes, Priority: priorityOf(ctx)}
+	if made.body != nil {
+		data, err := json.Marshal(made.body)
+		if err != nil {
+			return 0, fmt.Errorf("encode %s: %w", made.path, err)
+		}
+		request.Body = data
+	}
+	status, data, err := c.send(ctx, request)
+	if err != nil {
+		return 0, err
+	}
+	return status, made.decode(status, data)
+}
+
+// decode reads a response into out.
+func (c *call) decode(status int, data []byte) error {
+	switch status {
+	case http.StatusTooManyRequests:
+		return ErrBusy
+	case http.StatusServiceUnavailable, http.StatusUnauthorized:
+		return ErrUnavailable
+	}
+	if c.out != nil && status == http.StatusOK && len(data) == 0 {
+		return fmt.Errorf("%w: %s: a response without a body", ErrUnknown, c.path)
+	}
+	if c.out != nil && len(data) > 0 && status != http.StatusGone {
+		if err := json.Unmarshal(data, c.out); err != nil {
+			return fmt.Errorf("%w: malformed response: %w", ErrUnknown, err)
+		}
+	}
+	if status != http.StatusBadRequest {
+		return nil
+	}
+	var problem wire.Problem
+	_ = json.Unmarshal(data, &problem) // the status alone decides when the body says nothing
+	if problem.Error == ErrNoLease.Error() {
+		return ErrNoLease
+	}
+	return &BadRequestError{Path: c.path, Response: data}
+}
--- /dev/null
+++ b/internal/statestore/errors.go
@@ -0,0 +1,58 @@
+package statestore
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+)
+
+var (
+	// ErrNotFound means that the key or lease does not exist.
+	ErrNotFound = errors.New("not found")
+	// ErrUnavailable means that the request was not executed.
+	ErrUnavailable = errors.New("state service unavailable")
+	// ErrBusy is ErrUnavailable because the budget is used up, here or at the
+	// service: more requests would only make it worse.
+	ErrBusy = fmt.Errorf("%w: too many requests", ErrUnavailable)
+	// ErrUnknown means that the request may have been executed, or may be later.
+	ErrUnknown = errors.New("no answer from the state service")
+	// ErrNoLease means that a write named a lease that has ended. Its text is the
+	// state service's.
+	ErrNoLease = errors.New("no such lease")
+	// ErrCompacted means that a watch fell too far behind: the keys are to be listed
+	// again.
+	ErrCompacted = errors.New("watch too old")
+)
+
+// Conflict is the error of a transaction whose conditions failed; it was not applied.
+type Conflict struct {
+	Keys []string // of the conditions that failed; at least one
+}
+
+func (c *Conflict) Error() string { return fmt.Sprintf("conditions failed: %v", c.Keys) }
+
+// Has reports whether key is among those that failed.
+func (c *Conflict) Has(key string) bool { return slices.Contains(c.Keys, key) }
+
+// StatusError is a response with a status that the protocol does not have for the
+// request.
+type StatusError struct {
+	Status int
+	Err    error // ErrUnavailable or ErrUnknown: whether the request may have been executed
+}
+
+func (e *StatusError) Error() string { return fmt.Sprintf("%v: status %d", e.Err, e.Status) }
+
+// Unwrap returns whether the request may have been executed.
+func (e *StatusError) Unwrap() error { return e.Err }
+
+// BadRequestError is a request that the service found invalid; it was not executed, and
+// never will be.
+type BadRequestError struct {
+	Path     string
+	Response []byte
+}
+
+func (e *BadRequestError) Error() string {
+	return fmt.Sprintf("state service refused %s: %.200s", e.Path, e.Response)
+}
--- /dev/null
+++ b/internal/statestore/lease.go
@@ -0,0 +1,51 @@
+package statestore
+
+import (
+	"context"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// GrantLease opens a lease. Calls for leases count in the budget, and do not wait for it.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	c.budget.requests.Allow()
+	var response wire.LeaseAnswer
+	status, err := c.do(ctx, call{
+		method: http.MethodPost, path: "/grants",
+		body: wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, out: &response,
+	})
+	if err != nil {
+		return 0, err
+	}
+	if status/100 != 2 || response.Lease == 0 {
+		return 0, &StatusError{Status: status, Err: ErrUnknown}
+	}
+	return response.Lease, nil
+}
+
+// RenewLease renews a lease. If it has ended the error is ErrNotFound.
+func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
+	return c.callLease(ctx, http.MethodPost, "/grants/"+strconv.FormatUint(lease, 10)+"/touch")
+}
+
+// RevokeLease ends a lease. If it has ended already the error is ErrNotFound.
+func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
+	return c.callLease(ctx, http.MethodDelete, "/grants/"+strconv.FormatUint(lease, 10))
+}
+
+func (c *Client) callLease(ctx context.Context, method, path string) error {
+	c.budget.requests.Allow()
+	status, err := c.do(ctx, call{method: method, path: path})
+	switch {
+	case err != nil:
+		return err
+	case status == http.StatusNotFound:
+		return ErrNotFound
+	case status/100 != 2:
+		return &StatusError{Status: status, Err: ErrUnknown}
+	}
+	return nil
+}
--- a/internal/statestore/lost_answers_test.go
+++ b/internal/statestore/lost_response_test.go
@@ -15,14 +15,14 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// late starts a state service whose answer to the n-th transaction takes delay(n).
-func late(t *testing.T, delay func(n int32) time.Duration) *statestore.Client {
+// slowService starts a state service whose response to the n-th transaction takes delay(n).
+func slowService(t *testing.T, delay func(n int32) time.Duration) *statestore.Client {
 	t.Helper()
-	var asked atomic.Int32
+	var requests atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		select {
-		case <-time.After(delay(asked.Add(1))):
+		case <-time.After(delay(requests.Add(1))):
 			_, _ = io.WriteString(w, `{"ledger":8}`)
 		case <-r.Context().Done():
 		}
@@ -31,11 +31,11 @@
 	return statestore.New(strings.TrimPrefix(srv.URL, "http://"), 1000, 1000, 24)
 }
 
-// A transaction whose answer is lost is over soon, however long its caller could wait: an
-// owner repeats it, and stood still for two seconds before each repeat.
-func TestLostAnswerIsNotWaitedFor(t *testing.T) {
+// A transaction whose response is lost is over soon, however long its caller could wait: a
+// leader repeats it, and did nothing for two seconds before each repeat.
+func TestLostResponseTimesOutSoon(t *testing.T) {
 	t.Parallel()
-	c := late(t, func(n int32) time.Duration {
+	c := slowService(t, func(n int32) time.Duration {
 		if n == 1 {
 			return time.Minute
 		}
@@ -45,22 +45,22 @@
 	defer cancel()
 	at := time.Now()
 	if _, err := c.Txn(ctx, nil, wire.Op{Put: "a", Value: 1}); !errors.Is(err, statestore.ErrUnknown) {
-		t.Errorf("no answer: %v", err)
+		t.Errorf("no response: %v", err)
 	}
 	if took := time.Since(at); took > 1500*time.Millisecond {
-		t.Errorf("a lost answer was waited for %v", took)
+		t.Errorf("a lost response was waited for %v", took)
 	}
 	if rev, err := c.Txn(ctx, nil, wire.Op{Put: "a", Value: 1}); err != nil || rev != 8 {
 		t.Errorf("repeated: %d, %v", rev, err)
 	}
 }
 
-// A service that answers slowly, but answers, is waited for after a few tries, and then at
+// A service that responds slowly, but responds, is waited for after a few tries, and then at
 // least every other time.
-func TestSlowAnswersAreWaitedFor(t *testing.T) {
+func TestSlowResponsesAreWaitedFor(t *testing.T) {
 	t.Parallel()
 	const slow = time.Second
-	c := late(t, func(int32) time.Duration { return slow })
+	c := slowService(t, func(int32) time.Duration { return slow })
 	good := 0
 	for range 5 {
 		_, err := c.Txn(t.Context(), nil, wire.Op{Put: "a", Value: 1})
@@ -72,6 +72,6 @@
 		}
 	}
 	if good < 2 {
-		t.Errorf("%d of 5 slow answers were waited for", good)
+		t.Errorf("%d of 5 slow responses were waited for", good)
 	}
 }
--- a/internal/statestore/pace_test.go
+++ b/internal/statestore/pacing_test.go
@@ -21,23 +21,23 @@
 // changingStore is a state service in which revision n is the n-th change.
 type changingStore struct {
 	mu      sync.Mutex
-	changed []time.Time // when each change was made
-	news    chan struct{}
-	opened  []time.Time // when each watch was opened
+	changed []time.Time   // when each change was made
+	updated chan struct{} // closed at the next change
+	opened  []time.Time   // when each watch was opened
 }
 
-func newChangingStore() *changingStore { return &changingStore{news: make(chan struct{})} }
+func newChangingStore() *changingStore { return &changingStore{updated: make(chan struct{})} }
 
 func (s *changingStore) change() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changed = append(s.changed, time.Now())
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
-// after returns the answer with the changes after a revision, if there are any.
-func (s *changingStore) after(revision int) (answer string, news chan struct{}) {
+// after returns the response with the changes after a revision, if there are any.
+func (s *changingStore) after(revision int) (response string, updated chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var log []string
@@ -45,14 +45,14 @@
 		log = append(log, fmt.Sprintf(`{"set":"live/j-1","data":{},"stamp":%d}`, n))
 	}
 	if len(log) == 0 {
-		return "", s.news
+		return "", s.updated
 	}
 	return fmt.Sprintf(`{"ledger":%d,"log":[%s]}`, len(s.changed), strings.Join(log, ",")), nil
 }
 
 // RoundTrip implements http.RoundTripper.
 func (s *changingStore) RoundTrip(r *http.Request) (*http.Response, error) {
-	answer := `{"rows":[],"ledger":0}`
+	response := `{"rows":[],"ledger":0}`
 	if r.URL.Path == "/follow" {
 		revision, err := strconv.Atoi(r.URL.Query().Get("after"))
 		if err != nil {
@@ -61,38 +61,38 @@
 		s.mu.Lock()
 		s.opened = append(s.opened, time.Now())
 		s.mu.Unlock()
-		var news chan struct{}
-		for answer, news = s.after(revision); answer == ""; answer, news = s.after(revision) {
+		var updated chan struct{}
+		for response, updated = s.after(revision); response == ""; response, updated = s.after(revision) {
 			select {
-			case <-news:
+			case <-updated:
 			case <-r.Context().Done():
 				return nil, r.Context().Err()
 			}
 		}
 	}
-	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(answer)), Request: r}, nil
+	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(response)), Request: r}, nil
 }
 
-// told is when a watch told of each change, in the order of their revisions.
-type told struct {
+// reported is when a watch reported each change, in the order of their revisions.
+type reported struct {
 	at  []time.Time
 	err error
 }
 
-// watchChanges watches a store, with a pace, while changes come with the gaps before them.
-func watchChanges(pace statestore.Pacing, gaps []time.Duration) (*changingStore, *told) {
+// watchChanges watches a store, with pacing, while changes come with the gaps before them.
+func watchChanges(pacing statestore.Pacing, gaps []time.Duration) (*changingStore, *reported) {
 	store := newChangingStore()
 	client := statestore.New("state", 1e6, 1e6, 48)
 	client.SetTransport(store)
 	ctx, cancel := context.WithCancel(context.Background())
-	done, seen := make(chan struct{}), &told{}
+	done, seen := make(chan struct{}), &reported{}
 	go func() {
 		defer close(done)
-		client.Watch(statestore.WithPacing(ctx, pace), "live/", time.Hour, func([]wire.Item) {}, func(events []wire.Event) {
+		client.Watch(statestore.WithPacing(ctx, pacing), "live/", time.Hour, func([]wire.Item) {}, func(events []wire.Event) {
 			for _, e := range events {
 				seen.at = append(seen.at, time.Now())
 				if int(e.Version) != len(seen.at) {
-					seen.err = fmt.Errorf("change %d told as the %d.", e.Version, len(seen.at))
+					seen.err = fmt.Errorf("change %d is reported as number %d", e.Version, len(seen.at))
 				}
 			}
 		})
@@ -102,44 +102,46 @@
 		synctest.Wait()
 		store.change()
 	}
-	time.Sleep(pace.Pause())
+	time.Sleep(pacing.Pause())
 	synctest.Wait()
 	cancel()
 	<-done
 	return store, seen
 }
 
-// However changes come, a paced watch tells of each once and in order, late by a pause at
-// most and by nothing after a quiet time (in which the whole burst is earned again), and is opened no oftener than its pace allows.
-func TestPacedWatch(t *testing.T) {
+// However changes come, a paced watch reports each once and in order, late by a pause at
+// most and by nothing after a time without any (in which the whole burst is earned again),
+// and is opened no oftener than its pacing allows.
+func TestPacedWatchReportsEachChangeInTime(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		pause := time.Duration(rapid.IntRange(1, 100).Draw(rt, "pause")) * time.Millisecond
-		pace := statestore.Pacing{Burst: rapid.IntRange(1, 4).Draw(rt, "burst"), Pause: func() time.Duration { return pause }}
-		var gaps []time.Duration
-		for _, ms := range rapid.SliceOfN(rapid.IntRange(0, 600), 1, 60).Draw(rt, "gaps") {
+		pacing := statestore.Pacing{Burst: rapid.IntRange(1, 4).Draw(rt, "burst"), Pause: func() time.Duration { return pause }}
+		drawn := rapid.SliceOfN(rapid.IntRange(0, 600), 1, 60).Draw(rt, "gaps")
+		gaps := make([]time.Duration, 0, len(drawn))
+		for _, ms := range drawn {
 			gaps = append(gaps, time.Duration(ms)*time.Millisecond)
 		}
 		var store *changingStore
-		var seen *told
-		synctest.Test(t, func(*testing.T) { store, seen = watchChanges(pace, gaps) })
+		var seen *reported
+		synctest.Test(t, func(*testing.T) { store, seen = watchChanges(pacing, gaps) })
 		if seen.err != nil || len(seen.at) != len(gaps) {
-			rt.Fatalf("%d of %d changes told, %v", len(seen.at), len(gaps), seen.err)
+			rt.Fatalf("%d of %d changes reported, %v", len(seen.at), len(gaps), seen.err)
 		}
 		for i, at := range seen.at {
 			late := at.Sub(store.changed[i])
 			if late > pause {
-				rt.Fatalf("change %d told %v late, the pause is %v", i+1, late, pause)
+				rt.Fatalf("change %d reported %v late, the pause is %v", i+1, late, pause)
 			}
-			if i <= pace.Burst && late > 0 {
-				rt.Fatalf("change %d told %v late, the burst is %d", i+1, late, pace.Burst)
+			if i <= pacing.Burst && late > 0 {
+				rt.Fatalf("change %d reported %v late, the burst is %d", i+1, late, pacing.Burst)
 			}
-			if quiet := time.Duration(pace.Burst+1) * pause; late > 0 && gaps[i] > quiet {
-				rt.Fatalf("change %d told %v late after %v without any", i+1, late, gaps[i])
+			if quiet := time.Duration(pacing.Burst+1) * pause; late > 0 && gaps[i] > quiet {
+				rt.Fatalf("change %d reported %v late after %v without any", i+1, late, gaps[i])
 			}
 		}
-		for i := pace.Burst + 1; i < len(store.opened); i++ {
-			if took := store.opened[i].Sub(store.opened[i-pace.Burst-1]); took < pause {
-				rt.Fatalf("the watch was opened %d times within %v, the pause is %v", pace.Burst+2, took, pause)
+		for i := pacing.Burst + 1; i < len(store.opened); i++ {
+			if took := store.opened[i].Sub(store.opened[i-pacing.Burst-1]); took < pause {
+				rt.Fatalf("the watch was opened %d times within %v, the pause is %v", pacing.Burst+2, took, pause)
 			}
 		}
 	})
@@ -151,11 +153,11 @@
 		store, client := newChangingStore(), statestore.New("state", 1e6, 1e6, 48)
 		client.SetTransport(store)
 		ctx, cancel := context.WithCancel(context.Background())
-		pace := statestore.Pacing{Burst: 1, Pause: func() time.Duration { return time.Minute }}
+		pacing := statestore.Pacing{Burst: 1, Pause: func() time.Duration { return time.Minute }}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			client.Watch(statestore.WithPacing(ctx, pace), "live/", time.Hour, func([]wire.Item) {}, func([]wire.Event) {})
+			client.Watch(statestore.WithPacing(ctx, pacing), "live/", time.Hour, func([]wire.Item) {}, func([]wire.Event) {})
 		}()
 		for range 2 {
 			synctest.Wait()
--- /dev/null
+++ b/internal/statestore/priority.go
@@ -0,0 +1,67 @@
+package statestore
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// PriorityClass says what a request is for, and so what it may cost others. The values
+// are those in messages between controllers.
+type PriorityClass int
+
+const (
+	// Ordinary requests share a controller's part of the budget.
+	Ordinary PriorityClass = iota
+	// Urgent ones never wait: leases, fencing tokens, who leads what, and failovers.
+	Urgent
+	// Lookup is for reads that answer a user whose job's leader can't be queried.
+	// They are the first to give way: without a leader every poll of every user
+	// comes to this, and so many would keep every controller from joining.
+	Lookup
+)
+
+// String returns the class's name.
+func (p PriorityClass) String() string {
+	switch p {
+	case Ordinary:
+		return "ordinary"
+	case Urgent:
+		return "urgent"
+	case Lookup:
+		return "lookup"
+	}
+	return "PriorityClass(" + strconv.Itoa(int(p)) + ")"
+}
+
+type priorityKey struct{}
+
+// WithPriority gives the requests made with ctx a priority; those without are Ordinary.
+func WithPriority(ctx context.Context, priority PriorityClass) context.Context {
+	return context.WithValue(ctx, priorityKey{}, priority)
+}
+
+func priorityOf(ctx context.Context) PriorityClass {
+	priority, _ := ctx.Value(priorityKey{}).(PriorityClass)
+	return priority
+}
+
+// UrgentClient is a client whose every request is urgent.
+type UrgentClient struct{ *Client }
+
+// Get is Client.Get.
+func (u UrgentClient) Get(ctx context.Context, key string) (wire.Item, error) {
+	return u.Client.Get(WithPriority(ctx, Urgent), key)
+}
+
+// Txn is Client.Txn.
+func (u UrgentClient) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
+	return u.Client.Txn(WithPriority(ctx, Urgent), guards, ops...)
+}
+
+// Watch is Client.Watch.
+func (u UrgentClient) Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
+	u.Client.Watch(WithPriority(ctx, Urgent), prefix, hold, reset, change)
+}
--- a/internal/statestore/recorded_test.go
+++ b/internal/statestore/recorded_test.go
@@ -48,9 +48,9 @@
 	checkRecorded(t, "answered_least.json", statestore.RelayedResponse{Status: 503})
 }
 
-func TestRecordedLanes(t *testing.T) {
+func TestRecordedPriorities(t *testing.T) {
 	if statestore.Ordinary != 0 || statestore.Urgent != 1 || statestore.Lookup != 2 {
-		t.Errorf("lanes %d, %d, %d; want 0, 1, 2", statestore.Ordinary, statestore.Urgent, statestore.Lookup)
+		t.Errorf("priorities %d, %d, %d; want 0, 1, 2", statestore.Ordinary, statestore.Urgent, statestore.Lookup)
 	}
 }
 
@@ -72,7 +72,7 @@
 	defer server.Close()
 	client := statestore.New(strings.TrimPrefix(server.URL, "http://"), 1000, 1000, 100)
 	ctx := context.Background()
-	_, _ = client.Get(ctx, "c/term") // every answer is not found: only the requests matter
+	_, _ = client.Get(ctx, "c/term") // every response is not found: only the requests matter
 	_, _, _ = client.List(ctx, "c/")
 	_, _, _ = client.Page(ctx, "number/", "number/00000000000004", 1)
 	_, _ = client.Txn(ctx, []wire.Guard{{Key: "c/shard/000", Version: 3}, {Key: "k"}},
--- a/internal/statestore/relay_test.go
+++ b/internal/statestore/relay_test.go
@@ -24,133 +24,133 @@
 	got  int
 }
 
-// link is the way to it from one controller: fine, silent, silent but delivered
-// all the same, resetting, or refused.
+// link is the way to it from one controller.
 type link struct {
-	s   *service
-	mu  sync.Mutex
-	how int
-	n   int // requests that came this way
+	service  *service
+	mu       sync.Mutex
+	fault    int
+	requests int // that came this way
 }
 
 const (
-	fine = iota
-	silent
-	delivered
+	noFault      = iota
+	requestLost  // nothing arrives
+	responseLost // requests are executed
 	reset
 	refused
-	modes
+	faults
 )
 
-func (l *link) set(how int) { l.mu.Lock(); l.how = how; l.mu.Unlock() }
+func (l *link) set(fault int) { l.mu.Lock(); l.fault = fault; l.mu.Unlock() }
 
-func (l *link) count() int { l.mu.Lock(); defer l.mu.Unlock(); return l.n }
+func (l *link) count() int { l.mu.Lock(); defer l.mu.Unlock(); return l.requests }
 
-func answer(status int, body string) *http.Response {
+func response(status int, body string) *http.Response {
 	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(body))}
 }
 
 // RoundTrip implements http.RoundTripper.
 func (l *link) RoundTrip(r *http.Request) (*http.Response, error) {
 	l.mu.Lock()
-	how := l.how
-	l.n++
+	fault := l.fault
+	l.requests++
 	l.mu.Unlock()
-	if how == reset {
+	if fault == reset {
 		return nil, errors.New("connection reset")
 	}
-	if how == refused {
-		return answer(http.StatusServiceUnavailable, `{}`), nil
+	if fault == refused {
+		return response(http.StatusServiceUnavailable, `{}`), nil
 	}
-	if how == fine || how == delivered {
-		l.s.mu.Lock()
-		l.s.got++
+	if fault == noFault || fault == responseLost {
+		l.service.mu.Lock()
+		l.service.got++
 		if r.Body != nil {
 			data, _ := io.ReadAll(r.Body)
-			l.s.txns[string(data)]++
+			l.service.txns[string(data)]++
 		}
-		l.s.mu.Unlock()
+		l.service.mu.Unlock()
 	}
-	if how != fine {
+	if fault != noFault {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
 	time.Sleep(3 * time.Millisecond)
-	return answer(http.StatusOK, `{"ledger":1,"permit":1}`), nil
+	return response(http.StatusOK, `{"ledger":1,"permit":1}`), nil
 }
 
-// by is a relay by another client, which can be out of reach.
-type by struct {
-	c    *Client
-	mu   sync.Mutex
-	gone bool
+// clientRelay relays by another client, which can be out of reach.
+type clientRelay struct {
+	client      *Client
+	mu          sync.Mutex
+	unreachable bool
 }
 
-func (b *by) Ready() bool { b.mu.Lock(); defer b.mu.Unlock(); return !b.gone }
+func (r *clientRelay) Ready() bool { r.mu.Lock(); defer r.mu.Unlock(); return !r.unreachable }
 
-func (b *by) Forward(ctx context.Context, req RelayedRequest) (*RelayedResponse, error) {
-	if !b.Ready() {
+func (r *clientRelay) Forward(ctx context.Context, req RelayedRequest) (*RelayedResponse, error) {
+	if !r.Ready() {
 		return nil, ErrUnavailable
 	}
-	return b.c.ServeRelayed(ctx, req)
+	return r.client.ServeRelayed(ctx, req)
 }
 
-func pair(ctx context.Context) (c *Client, mine, theirs *link, relay *by, s *service) {
+// pair returns a client that is relayed by a peer, and both their links to a service.
+func pair(ctx context.Context) (c *Client, mine, theirs *link, relay *clientRelay, s *service) {
 	s = &service{txns: map[string]int{}}
-	mine, theirs = &link{s: s}, &link{s: s}
+	mine, theirs = &link{service: s}, &link{service: s}
 	c, peer := New("x", 1000, 1000, 24), New("x", 1000, 1000, 24)
 	c.http.Transport, peer.http.Transport = mine, theirs
-	relay = &by{c: peer}
+	relay = &clientRelay{client: peer}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c.SetRelay(relay, log)
-	peer.SetRelay(&by{c: c}, log) // never used: what is passed on goes straight
+	peer.SetRelay(&clientRelay{client: c}, log) // never used: what is relayed goes directly
 	go func() { _ = c.Run(ctx) }()
 	return c, mine, theirs, relay, s
 }
 
 // A controller that lost the state service, and nothing else, lost its lease and
-// with it five seconds of starts. With a peer's help no touch fails, whatever way
-// the link is lost, and when it is back requests go straight again.
-func TestTouchesGoOnByAPeer(t *testing.T) {
-	for how := silent; how < modes; how++ {
+// with it five seconds of starts. By a peer no renewal fails, whatever way the link is
+// lost, and when it is back requests go directly again.
+func TestRenewalsGoByPeerWhileLinkIsLost(t *testing.T) {
+	for fault := requestLost; fault < faults; fault++ {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			c, mine, _, _, _ := pair(ctx)
-			touch := func(n int) {
+			renew := func(n int) {
 				for range n {
 					tctx, cancel := context.WithTimeout(ctx, 1250*time.Millisecond)
 					if err := c.RenewLease(tctx, 1); err != nil {
-						t.Errorf("link %d: %v", how, err)
+						t.Errorf("fault %d: %v", fault, err)
 					}
 					cancel()
 					time.Sleep(time.Second)
 				}
 			}
-			touch(5)
-			mine.set(how)
-			touch(30)
+			renew(5)
+			mine.set(fault)
+			renew(30)
 			if !c.UsesRelay() {
-				t.Errorf("link %d: not by the peer", how)
+				t.Errorf("fault %d: not by the peer", fault)
 			}
-			mine.set(fine)
-			touch(5)
+			mine.set(noFault)
+			renew(5)
 			before := mine.count()
-			touch(3)
+			renew(3)
 			if c.UsesRelay() || mine.count() < before+3 {
-				t.Errorf("link %d: not straight again", how)
+				t.Errorf("fault %d: not directly again", fault)
 			}
 		})
 	}
 }
 
 // Whatever fails when, a transaction is sent a second time only if the first was
-// surely not executed: what a caller is told stands.
-func TestRelayedOnceAtMost(t *testing.T) {
+// surely not executed: what a caller gets back stands.
+func TestTransactionIsExecutedAtMostOnceUnderLinkFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type step struct{ Mine, Theirs, Gone, Wait int }
 		steps := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
-			return step{rapid.IntRange(0, modes-1).Draw(rt, "mine"), rapid.IntRange(0, modes-1).Draw(rt, "theirs"), rapid.IntRange(0, 3).Draw(rt, "gone"), rapid.IntRange(0, 2500).Draw(rt, "wait")}
+			return step{rapid.IntRange(0, faults-1).Draw(rt, "mine"), rapid.IntRange(0, faults-1).Draw(rt, "theirs"), rapid.IntRange(0, 3).Draw(rt, "gone"), rapid.IntRange(0, 2500).Draw(rt, "wait")}
 		}), 1, 15).Draw(rt, "steps")
 		wrong := ""
 		synctest.Test(t, func(*testing.T) {
@@ -161,7 +161,7 @@
 				mine.set(st.Mine)
 				theirs.set(st.Theirs)
 				relay.mu.Lock()
-				relay.gone = st.Gone == 0
+				relay.unreachable = st.Gone == 0
 				relay.mu.Unlock()
 				wg.Add(1)
 				go func() {
@@ -195,14 +195,14 @@
 }
 
 // A link that comes and goes is left alone for longer each time.
-func TestFlappingLinkIsLeftAlone(t *testing.T) {
+func TestFlappingLinkStaysRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		c, mine, _, _, _ := pair(ctx)
 		changes, was := 0, false
 		for i := range 300 { // on and off every 4 s
-			mine.set([]int{fine, silent}[i/4%2])
+			mine.set([]int{noFault, requestLost}[i/4%2])
 			tctx, cancel := context.WithTimeout(ctx, time.Second)
 			_ = c.RenewLease(tctx, 1)
 			cancel()
@@ -216,3 +216,21 @@
 		}
 	})
 }
+
+// A watch for a lost link that is stopped while its check is about to run stays stopped.
+// It set its timer again, and later took the link for lost without a request under way.
+func TestStoppedStallWatchStaysStopped(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		c, _, _, _, _ := pair(ctx)
+		watch := c.watchStall()
+		time.Sleep(stallTimeout / 2)
+		watch.stop()
+		watch.check()
+		time.Sleep(2 * stallTimeout)
+		if watch.timer.Stop() || c.UsesRelay() {
+			t.Errorf("the timer runs on, or the link counts as lost: %v", c.UsesRelay())
+		}
+		cancel()
+	})
+}
--- a/internal/statestore/answers_test.go
+++ b/internal/statestore/response_test.go
@@ -10,24 +10,26 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// fixed answers every request alike.
-type fixed struct {
+// fixedResponse is the response to every request.
+type fixedResponse struct {
 	status int
 	body   string
 }
 
-func (f fixed) RoundTrip(*http.Request) (*http.Response, error) { return answer(f.status, f.body), nil }
+func (f fixedResponse) RoundTrip(*http.Request) (*http.Response, error) {
+	return response(f.status, f.body), nil
+}
 
-func answered(status int, body string) *Client {
+func respondedWith(status int, body string) *Client {
 	c := New("x", 1000, 1000, 24)
-	c.http.Transport = fixed{status, body}
+	c.http.Transport = fixedResponse{status, body}
 	return c
 }
 
-// Answers that are cut short, repeated, or of another request are errors, of which
+// Responses that are cut short, repeated, or of another request are errors, of which
 // nobody concludes anything: an empty page was taken for an empty store, a conflict of
-// another transaction for this one's, an answer without a revision for an applied write.
-func TestAnswersOfAnotherRequest(t *testing.T) {
+// another transaction for this one's, a response without a revision for an applied write.
+func TestResponseOfAnotherRequestIsAnError(t *testing.T) {
 	get := func(c *Client) error { _, err := c.Get(t.Context(), "a/b"); return err }
 	list := func(c *Client) error { _, _, err := c.List(t.Context(), "a/"); return err }
 	page := func(c *Client) error { _, _, err := c.Page(t.Context(), "a/", "a/3", 2); return err }
@@ -38,13 +40,13 @@
 	follow := func(c *Client) error {
 		ev, err := c.Follow(t.Context(), "a/", 5, time.Second)
 		if err == nil && len(ev.Events) > 0 {
-			return errors.New("there is news")
+			return errors.New("there are updates")
 		}
 		return err
 	}
 	for _, k := range []struct {
 		name   string
-		ask    func(*Client) error
+		call   func(*Client) error
 		status int
 		body   string
 		ok     bool
@@ -62,34 +64,36 @@
 		{"an earlier page", page, 200, `{"rows":[{"path":"a/2","stamp":1}],"ledger":9}`, false},
 		{"applied", txn, 200, `{"ledger":8}`, true},
 		{"applied, cut short", txn, 200, `{}`, false},
-		{"applied, nothing said", txn, 200, ``, false},
+		{"applied, an empty body", txn, 200, ``, false},
 		{"another's conflict", txn, 409, `{"failed":["c/d"],"ledger":8}`, false},
 		{"a conflict over nothing", txn, 409, `{}`, false},
-		{"no news", follow, 200, `{"ledger":5,"log":[]}`, true},
-		{"old news again", follow, 200, `{"ledger":5,"log":[{"set":"a/1","data":1,"stamp":4}]}`, true},
-		{"an answer from before", follow, 200, `{"ledger":3,"log":[]}`, false},
-		{"another's news", follow, 200, `{"ledger":6,"log":[{"set":"b/1","data":1,"stamp":6}]}`, false},
-		{"news of no key", follow, 200, `{"ledger":6,"log":[{"stamp":6}]}`, false},
-		{"news from beyond", follow, 200, `{"ledger":6,"log":[{"set":"a/1","data":1,"stamp":7}]}`, false},
+		{"no updates", follow, 200, `{"ledger":5,"log":[]}`, true},
+		{"an old update again", follow, 200, `{"ledger":5,"log":[{"set":"a/1","data":1,"stamp":4}]}`, true},
+		{"a response from before", follow, 200, `{"ledger":3,"log":[]}`, false},
+		{"another's update", follow, 200, `{"ledger":6,"log":[{"set":"b/1","data":1,"stamp":6}]}`, false},
+		{"an update of no key", follow, 200, `{"ledger":6,"log":[{"stamp":6}]}`, false},
+		{"an update from beyond", follow, 200, `{"ledger":6,"log":[{"set":"a/1","data":1,"stamp":7}]}`, false},
 	} {
-		err := k.ask(answered(k.status, k.body))
+		err := k.call(respondedWith(k.status, k.body))
 		if k.ok != (err == nil) || !k.ok && !errors.Is(err, ErrUnknown) {
 			t.Errorf("%s: %v", k.name, err)
 		}
 	}
 }
 
-// FuzzAnswers: whatever the service answers, nothing is read that was not asked for.
-func FuzzAnswers(f *testing.F) {
-	for _, s := range []string{`{"rows":[{"path":"a/1","stamp":1}],"truncated":true,"ledger":9}`, `{"path":"a/b","data":{},"stamp":4}`,
-		`{"ledger":6,"log":[{"set":"a/1","data":1,"stamp":6},{"drop":"a/2","stamp":7}]}`, `{"failed":["a/b"],"ledger":7}`, `[`, `null`} {
+// FuzzResponses: whatever the service responds, nothing is read that was not requested.
+func FuzzResponses(f *testing.F) {
+	for _, s := range []string{
+		`{"rows":[{"path":"a/1","stamp":1}],"truncated":true,"ledger":9}`, `{"path":"a/b","data":{},"stamp":4}`,
+		`{"ledger":6,"log":[{"set":"a/1","data":1,"stamp":6},{"drop":"a/2","stamp":7}]}`, `{"failed":["a/b"],"ledger":7}`, `[`, `null`,
+	} {
 		f.Add(200, s)
 		f.Add(409, s)
 	}
 	f.Fuzz(func(t *testing.T, status int, body string) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		c := answered(status, body)
+		c := respondedWith(status, body)
 		if it, err := c.Get(ctx, "a/b"); err == nil && (it.Key != "a/b" || it.Version == 0) {
 			t.Errorf("read %+v", it)
 		}
--- /dev/null
+++ b/internal/statestore/route.go
@@ -0,0 +1,201 @@
+package statestore
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"sync"
+	"time"
+)
+
+const (
+	// stallTimeout is how long the service may give no response, to any request, before
+	// its link counts as lost while a peer reaches it. Responses usually take under
+	// 10 ms, and now and then a few hundred.
+	stallTimeout = 600 * time.Millisecond
+	// probeInterval is the time between probes of a lost link.
+	probeInterval = time.Second
+	// probesNeeded must succeed in a row; each loss soon after the last doubles them,
+	// so that a flapping link is left alone for longer.
+	probesNeeded     = 2
+	mostProbesNeeded = 32
+	flapWithin       = time.Minute
+	// probePath is read to find out whether a lost link works; it need not exist.
+	probePath = "/store/c/term"
+)
+
+// route is whether requests go to the service directly or by a peer. The zero value is
+// direct, for ever.
+type route struct {
+	relay Relay // nil: there is no other way
+	log   *slog.Logger
+
+	mu             sync.Mutex
+	lost           bool                        // the direct link
+	needed         int                         // probes in a row before the link is used again
+	changedAt      time.Time                   // when it was last lost or found
+	relayRefusedAt time.Time                   // when the service last refused a relayed request
+	direct         map[*directRequest]struct{} // under way
+}
+
+// directRequest is a request to the service itself; cancel ends it.
+type directRequest struct{ cancel context.CancelFunc }
+
+// SetRelay sets the way by a peer, for when the link to the service is lost here alone.
+// Call it before the first request; Run must run.
+func (c *Client) SetRelay(relay Relay, log *slog.Logger) {
+	c.route.relay, c.route.log = relay, log
+	c.route.direct = map[*directRequest]struct{}{}
+}
+
+// UsesRelay reports whether requests go by a peer at present.
+func (c *Client) UsesRelay() bool {
+	c.route.mu.Lock()
+	defer c.route.mu.Unlock()
+	return c.route.lost
+}
+
+// startDirect returns a context for a request that goes to the service directly: it
+// ends when that link is found lost. ok is false while it is.
+func (r *route) startDirect(ctx context.Context) (_ context.Context, end func(), ok bool) {
+	if r.relay == nil {
+		return ctx, func() {}, true
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.lost {
+		return ctx, func() {}, false
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	request := &directRequest{cancel: cancel}
+	r.direct[request] = struct{}{}
+	return ctx, func() { r.endDirect(request) }, true
+}
+
+func (r *route) endDirect(request *directRequest) {
+	r.mu.Lock()
+	delete(r.direct, request)
+	r.mu.Unlock()
+	request.cancel()
+}
+
+// relayUseful reports whether there is a peer to go by whose requests were not refused
+// just now: in an outage the peers are refused too, and must not be kept busy.
+func (r *route) relayUseful() bool {
+	if r.relay == nil || !r.relay.Ready() {
+		return false
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return time.Since(r.relayRefusedAt) >= probeInterval
+}
+
+// lose has requests go by a peer from now on, and reports whether there is one.
+func (r *route) lose(reason string) bool {
+	if !r.relayUseful() {
+		return false
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.lost {
+		return true
+	}
+	r.needed = min(mostProbesNeeded, 2*max(1, r.needed))
+	if time.Since(r.changedAt) > flapWithin {
+		r.needed = probesNeeded
+	}
+	r.lost, r.changedAt = true, time.Now()
+	for request := range r.direct {
+		request.cancel()
+	}
+	r.log.Info("state service relayed by peer", "reason", reason)
+	return true
+}
+
+// find has requests go directly again.
+func (r *route) find(reason string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.lost {
+		return
+	}
+	r.lost, r.changedAt = false, time.Now()
+	r.log.Info("state service reached directly again", "reason", reason)
+}
+
+func (r *route) probesNeeded() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.needed
+}
+
+// Run probes a lost link until ctx ends, and returns ctx's error.
+func (c *Client) Run(ctx context.Context) error {
+	ticker := time.NewTicker(probeInterval)
+	defer ticker.Stop()
+	succeeded := 0 // in a row
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-ticker.C:
+		}
+		if !c.UsesRelay() || !c.probe(ctx) {
+			succeeded = 0
+			continue
+		}
+		if succeeded++; succeeded >= c.route.probesNeeded() {
+			succeeded = 0
+			c.route.find("probes succeed")
+		}
+	}
+}
+
+// probe reports whether the service responds directly.
+func (c *Client) probe(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, probeInterval)
+	defer cancel()
+	status, _, err := c.exchange(ctx, RelayedRequest{Method: http.MethodGet, Path: probePath})
+	return err == nil && status < http.StatusInternalServerError && status != http.StatusTooManyRequests
+}
+
+// stallWatch finds out that a request gets no response, nor any other one does: then
+// the link is lost. Stop it when the request is over.
+type stallWatch struct {
+	client *Client
+	sent   time.Time
+
+	mu      sync.Mutex
+	timer   *time.Timer
+	stopped bool
+}
+
+func (c *Client) watchStall() *stallWatch {
+	w := &stallWatch{client: c, sent: time.Now()}
+	w.mu.Lock() // check may run before the timer is set
+	defer w.mu.Unlock()
+	w.timer = time.AfterFunc(stallTimeout, w.check)
+	return w
+}
+
+func (w *stallWatch) check() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped {
+		return
+	}
+	quiet := min(time.Since(w.sent), w.client.SinceLastSuccess())
+	if quiet < stallTimeout || !w.client.route.lose("no response") {
+		// Without a peer to go by, one may appear.
+		w.timer.Reset(stallTimeout - min(quiet, stallTimeout/2))
+	}
+}
+
+// stop ends the watch, also if check is just about to run: it would set the timer again,
+// and later take the link for lost without any request under way.
+func (w *stallWatch) stop() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stopped = true
+	w.timer.Stop()
+}
--- /dev/null
+++ b/internal/statestore/txn.go
@@ -0,0 +1,78 @@
+package statestore
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// Txn applies all ops if every guard holds, and returns the revision. If a guard fails
+// the error is a *Conflict. With ErrUnknown it may have been applied, or may be later;
+// with any other error it was not. A response is waited for only as long as recent ones
+// took, even if ctx lasts longer.
+func (c *Client) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
+	if err := c.budget.wait(ctx, priorityOf(ctx)); err != nil {
+		return 0, err
+	}
+	if err := c.budget.waitWrites(ctx, priorityOf(ctx), len(ops)); err != nil {
+		return 0, err
+	}
+	var response wire.TxnAnswer
+	limited, cancel := context.WithTimeout(ctx, c.timeout.wait())
+	defer cancel()
+	sent := time.Now()
+	status, err := c.do(limited, call{
+		method: http.MethodPost, path: "/txn", writes: len(ops),
+		body: wire.Txn{If: guards, Then: ops}, out: &response,
+	})
+	if ctx.Err() == nil { // else the caller gave up sooner
+		c.noteResponse(err, time.Since(sent))
+	}
+	switch {
+	case err != nil:
+		return 0, err
+	case status == http.StatusConflict:
+		return 0, conflictOf(guards, response.Failed)
+	case status != http.StatusOK:
+		return 0, &StatusError{Status: status, Err: ErrUnknown}
+	case len(ops) > 0 && response.Revision == 0:
+		return 0, fmt.Errorf("%w: applied, as of no revision", ErrUnknown)
+	}
+	return response.Revision, nil
+}
+
+// conflictOf returns the error of a transaction whose conditions on keys failed. A
+// conflict over others is one of another transaction.
+func conflictOf(guards []wire.Guard, keys []string) error {
+	for _, key := range keys {
+		if !slices.ContainsFunc(guards, func(guard wire.Guard) bool { return guard.Key == key }) {
+			return fmt.Errorf("%w: a conflict over %q, which was no condition", ErrUnknown, key)
+		}
+	}
+	if len(keys) == 0 {
+		return fmt.Errorf("%w: a conflict over nothing", ErrUnknown)
+	}
+	return &Conflict{Keys: keys}
+}
+
+// noteResponse notes whether and when a transaction had its response.
+func (c *Client) noteResponse(err error, took time.Duration) {
+	if errors.Is(err, ErrUnknown) {
+		c.timeout.missed()
+		return
+	}
+	c.timeout.responded(took)
+}
+
+// BulkTxn is Txn for writes that must not delay others.
+func (c *Client) BulkTxn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
+	if err := c.budget.bulk.WaitN(ctx, max(1, len(ops))); err != nil {
+		return 0, ErrUnavailable // by the limiter: ctx ends before the turn
+	}
+	return c.Txn(ctx, guards, ops...)
+}
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/txn_test.go
@@ -12,9 +12,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// What a transaction's answer, or the lack of one, means decides whether it may
-// be repeated: a refusal was surely not applied, silence may yet be.
-func TestTellsRefusedFromUnknown(t *testing.T) {
+// What a transaction's response, or the lack of one, means decides whether it may be
+// repeated: a refused one was surely not applied, one without a response may yet be.
+func TestTxnErrorsTellRefusedFromUnknown(t *testing.T) {
 	status, body, hang := 0, "", false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -43,7 +43,7 @@
 		{"over budget", 429, "", statestore.ErrUnavailable},
 		{"lease ended", 400, `{"error":"no such lease"}`, statestore.ErrNoLease},
 		{"not JSON", 200, `{"ledger":`, statestore.ErrUnknown},
-		{"unheard-of status", 500, "", statestore.ErrUnknown},
+		{"unexpected status", 500, "", statestore.ErrUnknown},
 	} {
 		status, body = k.status, k.body
 		if _, err := txn(); !errors.Is(err, k.want) {
@@ -61,6 +61,6 @@
 	}
 	hang = true
 	if _, err := txn(); !errors.Is(err, statestore.ErrUnknown) {
-		t.Errorf("no answer: %v", err)
+		t.Errorf("no response: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/statestore/watch.go
@@ -0,0 +1,126 @@
+package statestore
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+const (
+	listTimeout  = 5 * time.Second // of a watch
+	followMargin = 5 * time.Second // beyond the time for which the service holds a watch
+	firstBackoff = 100 * time.Millisecond
+	mostBackoff  = time.Second
+)
+
+// Follow returns the changes under the prefix after a revision. The service waits for one
+// for as long as hold. ErrCompacted means that it does not have them all any more.
+func (c *Client) Follow(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.Events, error) {
+	var response wire.Events
+	if err := c.budget.wait(ctx, priorityOf(ctx)); err != nil {
+		return wire.Events{}, err
+	}
+	query := url.Values{"starts": {prefix}, "after": {strconv.FormatUint(after, 10)}, "holdMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
+	status, err := c.do(ctx, call{method: http.MethodGet, path: "/follow?" + query.Encode(), out: &response})
+	switch {
+	case err != nil:
+		return wire.Events{}, err
+	case status == http.StatusGone:
+		return wire.Events{}, ErrCompacted
+	case status != http.StatusOK:
+		return wire.Events{}, &StatusError{Status: status, Err: ErrUnavailable}
+	case response.Revision < after:
+		return wire.Events{}, fmt.Errorf("%w: follow %q from %d: response as of %d", ErrUnknown, prefix, after, response.Revision)
+	}
+	updates := response.Events[:0]
+	for _, event := range response.Events {
+		key := event.Put + event.Delete
+		if !strings.HasPrefix(key, prefix) || event.Put != "" && event.Delete != "" || key == "" || event.Version > response.Revision {
+			return wire.Events{}, fmt.Errorf("%w: follow %q from %d to %d: response with %q as of %d",
+				ErrUnknown, prefix, after, response.Revision, key, event.Version)
+		}
+		if event.Version > after { // else of a repeated response
+			updates = append(updates, event)
+		}
+	}
+	response.Events = updates
+	return response, nil
+}
+
+// Backoff sleeps for about the n-th step of a jittered exponential delay, at most until
+// ctx ends.
+func Backoff(ctx context.Context, n int, first, most time.Duration) {
+	delay := min(most, first<<min(n, 10))
+	timer := time.NewTimer(delay/2 + rand.N(delay))
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
+
+// Watch lists the prefix, calls reset with the result, and then change with
+// every later change, until ctx ends. It lists again whenever it fell behind. See
+// WithPacing for how often it makes requests.
+func (c *Client) Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
+	w := &watch{client: c, prefix: prefix, hold: hold, change: change, pacer: NewPacer(ctx)}
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		items, revision, err := w.list(ctx)
+		if err != nil {
+			Backoff(ctx, attempt, firstBackoff, mostBackoff)
+			continue
+		}
+		attempt = 0
+		reset(items)
+		w.follow(ctx, revision)
+	}
+}
+
+type watch struct {
+	client *Client
+	prefix string
+	hold   time.Duration
+	change func([]wire.Event)
+	pacer  *Pacer
+}
+
+func (w *watch) list(ctx context.Context) ([]wire.Item, uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+	defer cancel()
+	return w.client.List(ctx, w.prefix)
+}
+
+// follow reports changes after a revision until the watch fell behind or ctx ends.
+func (w *watch) follow(ctx context.Context, revision uint64) {
+	for failures := 0; ctx.Err() == nil; {
+		response, err := w.next(ctx, revision)
+		if errors.Is(err, ErrCompacted) {
+			return
+		}
+		if err != nil {
+			failures++
+			Backoff(ctx, failures, firstBackoff, mostBackoff)
+			continue
+		}
+		failures = 0
+		revision = max(revision, response.Revision)
+		if len(response.Events) > 0 {
+			w.change(response.Events)
+		}
+		w.pacer.Wait(ctx)
+	}
+}
+
+func (w *watch) next(ctx context.Context, revision uint64) (wire.Events, error) {
+	ctx, cancel := context.WithTimeout(ctx, w.hold+followMargin)
+	defer cancel()
+	return w.client.Follow(ctx, w.prefix, revision, w.hold)
+}
