--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -12,7 +12,7 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// operatorFields says which field each key of the operators' settings sets.
+// operatorFields returns which field each key of the operators' settings sets.
 func operatorFields(o *Operator) map[string]any {
 	return map[string]any{
 		"shards": &o.Shards, "spread": &o.Spread, "lease-s": &o.LeaseS, "k-fail": &o.KFail,
@@ -83,20 +83,40 @@
 		reason, _, _ := strings.Cut(fmt.Sprint(err), " struct field ")
 		fmt.Fprintf(&text, "%s\n\t%s\n", name, reason)
 	}
-	for _, settings := range []string{"", "(wallrack", "(other)", "(wallrack (k-fail))", `(wallrack ("k-fail" 2))`, "(wallrack (k-fails 2))", "(wallrack (k-fail 0.5))",
-		"(wallrack (shards 2.5))", `(wallrack (k-fail "2"))`, "(wallrack (k-fail 2) (k-fail 2))", "(wallrack) (wallrack)", "(wallrack (shards 2) (spread 3))"} {
+	for _, settings := range []string{
+		"", "(wallrack", "(other)", "(wallrack (k-fail))", `(wallrack ("k-fail" 2))`, "(wallrack (k-fails 2))", "(wallrack (k-fail 0.5))",
+		"(wallrack (shards 2.5))", `(wallrack (k-fail "2"))`, "(wallrack (k-fail 2) (k-fail 2))", "(wallrack) (wallrack)", "(wallrack (shards 2) (spread 3))",
+	} {
 		_, err := ParseOperator([]byte(settings), &Operator{Shards: 1, Spread: 1})
 		note(settings, err)
 	}
 	platform := string(recorded.Read(t, "platform.toml"))
 	for _, change := range []struct{ old, new string }{
-		{`node_name = "site-a"`, ""}, {`serve_on = "10.4.0.1:7080"`, `serve_on = "everywhere"`}, {`mesh_addr = "10.4.0.1:7081"`, ""},
-		{`address = "10.4.0.2:7081"`, `address = "10.4.0.2"`}, {`node_name = "site-b"`, `node_name = "site-a"`},
-		{`cloud = "10.4.9.1:8443"`, ""}, {`state = "10.4.9.2:2379"`, ""},
-		{"report_s = 2.5", ""}, {"lease_s = 31.0", "lease_s = 0.0"}, {"cancel_s = 62.0", "cancel_s = -1.0"},
-		{"rps = 210.0", ""}, {"write_rps = 85.0", ""}, {"value_kb = 12.0", ""}, {"txn_ops = 40", ""}, {"txn_ops = 40", "txn_ops = 3"},
-		{"rps = 3.5", ""}, {"ram_mb = 300.0", ""}, {"ram_mb = 300.0", "ram_mb = 2.0"}, {"sockets = 2000", "sockets = 20"}, {"cpu = 0.25", "cpu = 0.001"},
-		{`name = "brew"`, ""}, {`name = "brew"`, `name = "tarts"`}, {"cpus = 20.0", "cpus = -1.0"}, {"cpus = 20.0", "cpus = 99.0"}, {"gpus = 1.0", "gpus = 9.0"},
+		{`node_name = "site-a"`, ""},
+		{`serve_on = "10.4.0.1:7080"`, `serve_on = "everywhere"`},
+		{`mesh_addr = "10.4.0.1:7081"`, ""},
+		{`address = "10.4.0.2:7081"`, `address = "10.4.0.2"`},
+		{`node_name = "site-b"`, `node_name = "site-a"`},
+		{`cloud = "10.4.9.1:8443"`, ""},
+		{`state = "10.4.9.2:2379"`, ""},
+		{"report_s = 2.5", ""},
+		{"lease_s = 31.0", "lease_s = 0.0"},
+		{"cancel_s = 62.0", "cancel_s = -1.0"},
+		{"rps = 210.0", ""},
+		{"write_rps = 85.0", ""},
+		{"value_kb = 12.0", ""},
+		{"txn_ops = 40", ""},
+		{"txn_ops = 40", "txn_ops = 3"},
+		{"rps = 3.5", ""},
+		{"ram_mb = 300.0", ""},
+		{"ram_mb = 300.0", "ram_mb = 2.0"},
+		{"sockets = 2000", "sockets = 20"},
+		{"cpu = 0.25", "cpu = 0.001"},
+		{`name = "brew"`, ""},
+		{`name = "brew"`, `name = "tarts"`},
+		{"cpus = 20.0", "cpus = -1.0"},
+		{"cpus = 20.0", "cpus = 99.0"},
+		{"gpus = 1.0", "gpus = 9.0"},
 		{"report_s = 2.5", `report_s = "soon"`},
 	} {
 		if strings.Count(platform, change.old) != 1 {
--- a/internal/config/config_test.go
+++ b/internal/config/settings_test.go
@@ -43,10 +43,11 @@
 sockets = 2500
 `
 
-func TestPlatform(t *testing.T) {
-	p, err := config.ParsePlatform([]byte(platform))
-	if err != nil || p.Node != "n-0" || p.Params.State.TxnOps != 48 || len(p.Peers) != 1 {
-		t.Fatalf("%+v, %v", p, err)
+// Valid settings are read, and the error of invalid ones names the key.
+func TestInvalidPlatformSettingsNameTheirKey(t *testing.T) {
+	parsed, err := config.ParsePlatform([]byte(platform))
+	if err != nil || parsed.Node != "n-0" || parsed.Params.State.TxnOps != 48 || len(parsed.Peers) != 1 {
+		t.Fatalf("%+v, %v", parsed, err)
 	}
 	for _, c := range []struct{ old, new, key string }{
 		{`"n-0"`, `""`, "node_name"},
@@ -65,7 +66,7 @@
 }
 
 // Of 410 teams one has another's name, or a guarantee above its limit: the error names it.
-func TestTeamsThatContradictThemselvesAreRefused(t *testing.T) {
+func TestContradictoryTeamsAreRefused(t *testing.T) {
 	teams := func(change func(i int) string) []byte {
 		var b strings.Builder
 		b.WriteString(platform)
@@ -94,26 +95,28 @@
 	}
 }
 
+// A file with one key changes that setting alone.
 func TestOperatorOverridesOneKey(t *testing.T) {
 	base, err := config.LoadOperator("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		v := rapid.IntRange(1, 50).Draw(t, "value")
+		value := rapid.IntRange(1, 50).Draw(t, "value")
 		space := rapid.SampledFrom([]string{" ", "\n", "\t ; a comment\n"}).Draw(t, "space")
-		op, err := config.ParseOperator([]byte(fmt.Sprintf("(wallrack%s(k-fail%s%d))", space, space, v)), base)
+		op, err := config.ParseOperator(fmt.Appendf(nil, "(wallrack%s(k-fail%s%d))", space, space, value), base)
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := *base
-		want.KFail = float64(v)
+		want.KFail = float64(value)
 		if *op != want {
 			t.Fatalf("got %+v, want %+v", *op, want)
 		}
 	})
 }
 
+// The error of invalid settings names the key or entry and the reason.
 func TestInvalidOperatorSettingsAreRefused(t *testing.T) {
 	for text, part := range map[string]string{
 		"":                                 "S-expression",
@@ -134,6 +137,7 @@
 	}
 }
 
+// Whatever the text, accepted settings are within their bounds.
 func FuzzOperator(f *testing.F) {
 	f.Add([]byte("(wallrack (k-fail 4) ; c\n (shards 3))"))
 	f.Fuzz(func(t *testing.T, data []byte) {
