--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -5,46 +5,25 @@
 	"errors"
 	"io"
 	"log/slog"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"github.com/goccy/go-json"
-
 	"github.com/wallrack/wallrack/internal/testkit"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// checkRecorded reads a file of testdata/recorded, compares the value with want, and
-// compares the encoding of want with the file byte for byte.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", file)
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
-	}
-	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
-		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
-	}
-}
-
 // Controllers of different versions share the records, so their form must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "node.json", nodeRecord{Lease: 7, Token: 12, JoinedMs: 1700000000123, ShortIncarnations: 2})
-	checkRecorded(t, "node_least.json", nodeRecord{Lease: 7, Token: 12})
-	checkRecorded(t, "shard.json", shardRecord{Node: "a", Token: 12, Lease: 7})
-	checkRecorded(t, "shard_least.json", shardRecord{})
-	checkRecorded(t, "term.json", tokenRecord{Highest: 8200, HighestUnreserved: 12, LowestReserved: 4109, HighestFirstReserve: 8199})
-	checkRecorded(t, "term_least.json", tokenRecord{Highest: 12})
-	checkRecorded(t, "moves.json", transfersRecord{At: []int64{1700000000123, 1700000060456}})
-	checkRecorded(t, "moves_least.json", transfersRecord{})
+	recorded.Check(t, "node", nodeRecord{Lease: 7, Token: 12, JoinedMs: 1700000000123, ShortIncarnations: 2})
+	recorded.Check(t, "node_least", nodeRecord{Lease: 7, Token: 12})
+	recorded.Check(t, "shard", shardRecord{Node: "a", Token: 12, Lease: 7})
+	recorded.Check(t, "shard_least", shardRecord{})
+	recorded.Check(t, "term", tokenRecord{Highest: 8200, HighestUnreserved: 12, LowestReserved: 4109, HighestFirstReserve: 8199})
+	recorded.Check(t, "term_least", tokenRecord{Highest: 12})
+	recorded.Check(t, "moves", transfersRecord{At: []int64{1700000000123, 1700000060456}})
+	recorded.Check(t, "moves_least", transfersRecord{})
 }
 
 func TestRecordedKeys(t *testing.T) {
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -18,21 +18,21 @@
 	// lookupShare is the part of the service's requests for one controller's lookups.
 	lookupShare = 0.2
 
-	leastPart    = 0.05                   // of a lane's full rate that is always left to it
+	leastPart    = 0.05                   // of a class's full rate that is always left to it
 	cutInterval  = 250 * time.Millisecond // between two cuts
 	regain       = 0.1                    // of the full rate, in a second without a refusal
 	regainLookup = 0.05                   // the same of lookups: each time they are too many, a submission may be refused
 )
 
-// lane is a part of the budget that is cut by itself, in the order in which lanes give
+// requestClass is a part of the budget that is cut by itself, in the order in which classes give
 // way.
-type lane int
+type requestClass int
 
 const (
-	lookupLane lane = iota
-	bulkLane
-	ordinaryLane
-	lanes
+	lookupClass requestClass = iota
+	bulkClass
+	ordinaryClass
+	requestClasses
 )
 
 // limiter is a rate limiter whose rate can be cut.
@@ -54,9 +54,9 @@
 	requests, lookups, writes, bulk limiter
 
 	mu        sync.Mutex
-	parts     [lanes]float64 // of the full rates
-	cutAt     time.Time      // last
-	changedAt time.Time      // last cut or regain
+	parts     [requestClasses]float64 // of the full rates
+	cutAt     time.Time               // last
+	changedAt time.Time               // last cut or regain
 }
 
 func newBudget(rps, writeRPS float64, maxOps int) *budget {
@@ -65,7 +65,7 @@
 		lookups:  newLimiter(rps*lookupShare, max(2, int(rps*lookupShare/2))),
 		writes:   newLimiter(writeRPS*controllerShare, max(maxOps, int(writeRPS*controllerShare))),
 		bulk:     newLimiter(writeRPS*controllerShare*bulkShare, maxOps),
-		parts:    [lanes]float64{1, 1, 1},
+		parts:    [requestClasses]float64{1, 1, 1},
 	}
 }
 
@@ -109,7 +109,7 @@
 	return request.Writes <= 0 || b.waitWrites(ctx, request.Priority, request.Writes) == nil
 }
 
-// cut cuts a lane: the service has just refused a request as one too many.
+// cut cuts a class: the service has just refused a request as one too many.
 func (b *budget) cut() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -118,9 +118,9 @@
 		return
 	}
 	b.cutAt, b.changedAt = now, now
-	for lane, by := range [lanes]float64{lookupLane: 0.5, bulkLane: 0.7, ordinaryLane: 0.8} {
-		if b.parts[lane] > leastPart {
-			b.parts[lane] = max(leastPart, b.parts[lane]*by)
+	for class, by := range [requestClasses]float64{lookupClass: 0.5, bulkClass: 0.7, ordinaryClass: 0.8} {
+		if b.parts[class] > leastPart {
+			b.parts[class] = max(leastPart, b.parts[class]*by)
 			break
 		}
 	}
@@ -133,27 +133,27 @@
 	defer b.mu.Unlock()
 	now := time.Now()
 	since := now.Sub(b.changedAt)
-	if b.parts == [lanes]float64{1, 1, 1} || now.Sub(b.cutAt) < 2*cutInterval || since < cutInterval {
+	if b.parts == [requestClasses]float64{1, 1, 1} || now.Sub(b.cutAt) < 2*cutInterval || since < cutInterval {
 		return
 	}
 	b.changedAt = now
-	for lane := lanes - 1; lane >= 0; lane-- {
-		if b.parts[lane] >= 1 {
+	for class := requestClasses - 1; class >= 0; class-- {
+		if b.parts[class] >= 1 {
 			continue
 		}
 		by := regain
-		if lane == lookupLane {
+		if class == lookupClass {
 			by = regainLookup
 		}
-		b.parts[lane] = min(1, b.parts[lane]+by*min(1, since.Seconds()))
+		b.parts[class] = min(1, b.parts[class]+by*min(1, since.Seconds()))
 		break
 	}
 	b.applyLocked()
 }
 
 func (b *budget) applyLocked() {
-	b.lookups.setPart(b.parts[lookupLane])
-	b.bulk.setPart(b.parts[bulkLane])
-	b.requests.setPart(b.parts[ordinaryLane])
-	b.writes.setPart(b.parts[ordinaryLane])
+	b.lookups.setPart(b.parts[lookupClass])
+	b.bulk.setPart(b.parts[bulkClass])
+	b.requests.setPart(b.parts[ordinaryClass])
+	b.writes.setPart(b.parts[ordinaryClass])
 }
--- a/internal/statestore/budget_test.go
+++ b/internal/statestore/budget_test.go
@@ -122,16 +122,16 @@
 			b.cut()
 			time.Sleep(cutInterval)
 		}
-		for lane, part := range b.parts {
+		for class, part := range b.parts {
 			if part > leastPart*1.3 || part <= 0 {
-				t.Errorf("lane %d keeps %v", lane, part)
+				t.Errorf("class %d keeps %v", class, part)
 			}
 		}
 		for range 400 {
 			time.Sleep(cutInterval)
 			b.regain()
 		}
-		if b.parts != [lanes]float64{1, 1, 1} || b.lookups.Limit() != 80*lookupShare {
+		if b.parts != [requestClasses]float64{1, 1, 1} || b.lookups.Limit() != 80*lookupShare {
 			t.Errorf("after the refusals: %v", b.parts)
 		}
 	})
--- a/internal/statestore/recorded_test.go
+++ b/internal/statestore/recorded_test.go
@@ -5,47 +5,26 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/goccy/go-json"
-
 	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// checkRecorded reads a file of testdata/recorded, compares the value with want, and
-// compares the encoding of want with the file byte for byte.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", file)
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
-	}
-	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
-		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
-	}
-}
-
 // Controllers of different versions pass requests on for each other, so the messages' form
 // must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "passed.json", statestore.RelayedRequest{
+	recorded.Check(t, "passed", statestore.RelayedRequest{
 		Method: "POST", Path: "/txn", Body: []byte(`{"apply":[{"set":"c/term","data":{"n":12}}]}`), Writes: 1, Priority: statestore.Lookup,
 	})
-	checkRecorded(t, "passed_least.json", statestore.RelayedRequest{Method: "GET", Path: "/store/c/term"})
-	checkRecorded(t, "passed_list.json", statestore.RelayedRequest{Method: "GET", Path: "/store?limit=1000&starts=c%2F", Priority: statestore.Urgent})
-	checkRecorded(t, "answered.json", statestore.RelayedResponse{Status: 200, Body: []byte("{\"revision\":5}\xff\x00")})
-	checkRecorded(t, "answered_least.json", statestore.RelayedResponse{Status: 503})
+	recorded.Check(t, "passed_least", statestore.RelayedRequest{Method: "GET", Path: "/store/c/term"})
+	recorded.Check(t, "passed_list", statestore.RelayedRequest{Method: "GET", Path: "/store?limit=1000&starts=c%2F", Priority: statestore.Urgent})
+	recorded.Check(t, "answered", statestore.RelayedResponse{Status: 200, Body: []byte("{\"revision\":5}\xff\x00")})
+	recorded.Check(t, "answered_least", statestore.RelayedResponse{Status: 503})
 }
 
 func TestRecordedPriorities(t *testing.T) {
