--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -2,66 +2,46 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"log/slog"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"github.com/goccy/go-json"
-
 	"github.com/wallrack/wallrack/internal/testkit"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// checkRecorded reads a file of testdata/recorded, compares the value with want, and
-// compares the encoding of want with the file byte for byte.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", file)
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
-	}
-	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
-		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
-	}
-}
-
 // Controllers of different versions share the records, so their form must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "node.json", nodeRecord{Lease: 7, Term: 12, Joined: 1700000000123, Short: 2})
-	checkRecorded(t, "node_least.json", nodeRecord{Lease: 7, Term: 12})
-	checkRecorded(t, "shard.json", shardRecord{Node: "a", Term: 12, Lease: 7})
-	checkRecorded(t, "shard_least.json", shardRecord{})
-	checkRecorded(t, "term.json", tokenRecord{N: 8200, Low: 12, Floor: 4109, First: 8199})
-	checkRecorded(t, "term_least.json", tokenRecord{N: 12})
-	checkRecorded(t, "moves.json", transfersRecord{At: []int64{1700000000123, 1700000060456}})
-	checkRecorded(t, "moves_least.json", transfersRecord{})
+	recorded.Check(t, "node", nodeRecord{Lease: 7, Token: 12, JoinedMs: 1700000000123, ShortIncarnations: 2})
+	recorded.Check(t, "node_least", nodeRecord{Lease: 7, Token: 12})
+	recorded.Check(t, "shard", shardRecord{Node: "a", Token: 12, Lease: 7})
+	recorded.Check(t, "shard_least", shardRecord{})
+	recorded.Check(t, "term", tokenRecord{Highest: 8200, HighestUnreserved: 12, LowestReserved: 4109, HighestFirstReserve: 8199})
+	recorded.Check(t, "term_least", tokenRecord{Highest: 12})
+	recorded.Check(t, "moves", transfersRecord{At: []int64{1700000000123, 1700000060456}})
+	recorded.Check(t, "moves_least", transfersRecord{})
 }
 
 func TestRecordedKeys(t *testing.T) {
 	for got, want := range map[string]string{
-		prefix: "c/", tokenKey: "c/term", nodeKey: "c/node/", shardKey: "c/shard/", linkKey: "c/link/", transfersKey: "c/moves",
-		keyOf(0): "c/shard/000", keyOf(17): "c/shard/017", keyOf(1234): "c/shard/1234", (*Member)(nil).ShardKey(5): "c/shard/005",
+		keyPrefix: "c/", tokenKey: "c/term", nodePrefix: "c/node/", shardPrefix: "c/shard/", linkPrefix: "c/link/", transfersKey: "c/moves",
+		shardKey(0): "c/shard/000", shardKey(17): "c/shard/017", shardKey(1234): "c/shard/1234", (*Member)(nil).ShardKey(5): "c/shard/005",
 	} {
 		if got != want {
 			t.Errorf("key %q, want %q", got, want)
 		}
 	}
-	if shard, ok := shardOf("c/shard/017"); shard != 17 || !ok {
+	if shard, ok := shardOfKey("c/shard/017"); shard != 17 || !ok {
 		t.Errorf("c/shard/017 is read as %d, %v", shard, ok)
 	}
 }
 
-// What controllers write when they join, claim shards, reserve terms, announce links and
-// hand over, as the state service has it.
+// What controllers write when they join, claim shards, reserve tokens, announce links and
+// transfer shards, as the state service has it.
 func TestRecordedByControllers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -97,8 +77,11 @@
 		want["c/term"] = `{"n":4099,"low":2,"floor":4098,"first":4099}`
 		checkStored(t, store, want)
 		cancel()
-		<-aEnded
-		<-bEnded
+		for name, ended := range map[string]<-chan error{"a": aEnded, "b": bEnded} {
+			if err := <-ended; !errors.Is(err, context.Canceled) {
+				t.Errorf("%s ended with %v", name, err)
+			}
+		}
 	})
 }
 
