--- a/internal/reconcile/lease_test.go
+++ b/internal/reconcile/lease_expiry_test.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// What is stopped before an unrenewed lease ends is what loses less by it.
-func TestStopBeforeExpiry(t *testing.T) {
+// A task is stopped before an unrenewed lease expires if less is lost by it.
+func TestTaskIsStoppedBeforeLeaseExpiryIfLessIsLost(t *testing.T) {
 	cannot := -1.0
 	for _, c := range []struct {
 		name string
@@ -18,16 +18,16 @@
 		left float64
 		want bool
 	}{
-		{"it saves, and there is time", expiringTask{elapsed: 5, rest: 60, save: 4}, 20, false},
-		{"it saves, and there is just time", expiringTask{elapsed: 90, rest: 60, save: 4}, 4 + haltTakes, true},
-		{"it saves, and the lease has ended", expiringTask{elapsed: 90, rest: 60, save: 4}, 0, false},
-		{"it will be done in time", expiringTask{elapsed: 1, rest: 10, save: cannot}, 25, false},
-		{"it may be done in time", expiringTask{elapsed: 1, rest: 30, save: cannot}, 25, false},
-		{"it has run for less than the rest of the lease", expiringTask{elapsed: 20, rest: 60, save: cannot}, 25, true},
-		{"it has run for longer than the rest of the lease", expiringTask{elapsed: 30, rest: 60, save: cannot}, 25, false},
-		{"it has not begun to run", expiringTask{rest: 60, save: cannot}, 25, true},
-		{"its start would count no more", expiringTask{elapsed: 20, rest: 60, save: cannot, counted: true}, 25, false},
-		{"it saves, and its start would count no more", expiringTask{elapsed: 20, rest: 60, save: 4, counted: true}, 5, false},
+		{"it saves, and there is time", expiringTask{elapsedS: 5, remainingS: 60, saveS: 4}, 20, false},
+		{"it saves, and there is just time", expiringTask{elapsedS: 90, remainingS: 60, saveS: 4}, 4 + haltTakesS, true},
+		{"it saves, and the lease has expired", expiringTask{elapsedS: 90, remainingS: 60, saveS: 4}, 0, false},
+		{"it will be done in time", expiringTask{elapsedS: 1, remainingS: 10, saveS: cannot}, 25, false},
+		{"it may be done in time", expiringTask{elapsedS: 1, remainingS: 30, saveS: cannot}, 25, false},
+		{"it has run for less than the rest of the lease", expiringTask{elapsedS: 20, remainingS: 60, saveS: cannot}, 25, true},
+		{"it has run for longer than the rest of the lease", expiringTask{elapsedS: 30, remainingS: 60, saveS: cannot}, 25, false},
+		{"it has not begun to run", expiringTask{remainingS: 60, saveS: cannot}, 25, true},
+		{"its start would count no more", expiringTask{elapsedS: 20, remainingS: 60, saveS: cannot, startCounted: true}, 25, false},
+		{"it saves, and its start would count no more", expiringTask{elapsedS: 20, remainingS: 60, saveS: 4, startCounted: true}, 5, false},
 	} {
 		if got := stopBeforeExpiry(c.task, c.left); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
@@ -35,47 +35,47 @@
 	}
 }
 
-// A worker whose reports are overdue is asked as often as it would report, and around the
-// end of its lease; one that answers no request is left alone. Seconds are since its last
-// report was answered.
-func TestOverdueWorkersAreAsked(t *testing.T) {
+// A worker whose reports are overdue is polled as often as it would report, and around the end
+// of its lease; one that responds to no poll is left alone. Seconds are since its last report
+// was answered.
+func TestWorkerWithOverdueReportIsPolled(t *testing.T) {
 	r := &Reconciler{state: &jobstate.State{Platform: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}}
 	began := time.Now()
 	at := func(s float64) time.Time { return began.Add(config.Seconds(s)) }
 	for _, c := range []struct {
 		name              string
-		now, heard, asked float64
+		now, seen, polled float64
 		unanswered        int
 		stopping          bool
 		due               bool
 	}{
 		{"its report is not overdue", 10, 0, 0, 0, false, false},
 		{"its report is overdue", 11.5, 0, 0, 0, false, true},
-		{"it was asked a moment ago", 14, 11.5, 11.5, 0, false, false},
+		{"it was polled a moment ago", 14, 11.5, 11.5, 0, false, false},
 		{"more often while it is not clear", 16, 11.5, 11.5, 0, false, true},
 		{"as often as it would report", 26, 19, 19, 0, false, false},
 		{"as often as it would report, again", 27.5, 19, 19, 0, false, true},
 		{"a task is being stopped", 20.5, 19, 19, 0, true, true},
-		{"shortly before its lease ends", 42.2, 40, 40, 0, false, true},
+		{"shortly before its lease expires", 42.2, 40, 40, 0, false, true},
 		{"after that", 43, 42.2, 42.2, 0, false, false},
-		{"shortly after its lease ended", 45.2, 42.2, 42.2, 0, false, true},
-		{"long after its lease ended", 60, 45.2, 45.2, 0, false, false},
-		{"it answers no request", 30, 0, 20, unansweredAsks, false, false},
-		{"it did not answer once", 30, 0, 20, 1, false, true},
+		{"shortly after its lease expired", 45.2, 42.2, 42.2, 0, false, true},
+		{"long after its lease expired", 60, 45.2, 45.2, 0, false, false},
+		{"it responds to no poll", 30, 0, 20, maxUnanswered, false, false},
+		{"it did not respond once", 30, 0, 20, 1, false, true},
 	} {
-		worker := &jobstate.Worker{RenewedAt: began, LastHeartbeat: at(c.heard), PolledAt: at(c.asked), UnansweredPolls: c.unanswered, Placements: map[*jobstate.Placement]struct{}{}}
+		worker := &jobstate.Worker{RenewedAt: began, LastHeartbeat: at(c.seen), PolledAt: at(c.polled), UnansweredPolls: c.unanswered, Placements: map[*jobstate.Placement]struct{}{}}
 		if c.stopping {
 			worker.Placements[&jobstate.Placement{State: jobstate.PlacementReported, HaltedAt: at(19)}] = struct{}{}
 		}
-		if due := r.expiring(worker, at(c.now)) && r.askDue(worker, at(c.now)); due != c.due {
+		if due := r.expiring(worker, at(c.now)) && r.pollDue(worker, at(c.now)); due != c.due {
 			t.Errorf("%s: %v", c.name, due)
 		}
 	}
 }
 
-// Each session of a worker has a lease of its own, and what is started in the rest of it
-// must be done before it ends.
-func TestWhatFitsAnUnrenewedLease(t *testing.T) {
+// Each session of a worker has a lease of its own, and what is started in the rest of it must be
+// done before it expires.
+func TestTaskStartsOnlyIfItFitsRestOfUnrenewedLease(t *testing.T) {
 	r := &Reconciler{state: &jobstate.State{Platform: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}}
 	ago := func(s float64) time.Time { return time.Now().Add(-config.Seconds(s)) }
 	for _, c := range []struct {
@@ -90,9 +90,9 @@
 		{"a short task in the rest of the lease", 20, 100, 1, 1, 10, wire.KindArray, true},
 		{"a long task in the rest of the lease", 20, 100, 1, 1, 20, wire.KindArray, false},
 		{"the same in the next session's lease", 46, 100, 2, 1, 20, wire.KindArray, true},
-		{"the lease has ended, and the session is not known to have", 46, 100, 1, 1, 1, wire.KindArray, false},
+		{"the lease has expired, and the session is not known to have ended", 46, 100, 1, 1, 1, wire.KindArray, false},
 		{"a service", 20, 100, 1, 1, 1, wire.KindService, false},
-		{"a predecessor renewed it last", 40, 20, 1, 1, 1, wire.KindArray, false},
+		{"an earlier leader renewed it last", 40, 20, 1, 1, 1, wire.KindArray, false},
 	} {
 		worker := &jobstate.Worker{RenewedAt: ago(c.renewed), KnownSince: ago(c.known), LastHeartbeat: time.Now(), RenewedSession: c.lastHere}
 		worker.View.Session = c.session
--- a/internal/reconcile/responsive.go
+++ b/internal/reconcile/responsive.go
@@ -4,21 +4,23 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
 const (
-	faultyOn    = 3 // machines on which a job must have failed, and none done, to be at fault itself
-	deafReports = 2 // reports in a row that show that nothing sent has had an effect
+	faultyOn            = 3 // workers on which a job must have failed, and not been done, to be faulty itself
+	unresponsiveReports = 2 // reports in a row that show that nothing sent has had an effect
+	avoidFailing        = time.Minute
 )
 
-// failed notes that a task of the job ended with an error on the machine. A job that
-// was submitted with a mistake fails wherever it is tried: it blames no machine, and
-// only a few of its tasks are tried at a time, until one is done. Before this, each such
-// job put every machine that it touched back for all others, and had sound ones returned.
+// recordFailure notes that a task of the job ended with an error on the worker. A job that was
+// submitted with a mistake fails wherever it is tried: it counts against no worker, and only a
+// few of its tasks are tried at a time, until one is done. Before this, each such job put every
+// worker that it reached back for all others, and had sound ones deleted.
 func (r *Reconciler) recordFailure(job *jobstate.Job, worker *jobstate.Worker) {
 	job.Errors++
-	job.Avoid[worker.Index] = time.Now().Add(time.Minute)
+	job.Avoid[worker.Index] = time.Now().Add(avoidFailing)
 	if job.Faulty {
 		return
 	}
@@ -34,71 +36,86 @@
 		return
 	}
 	job.Faulty, job.FailedOn = true, nil
-	for _, x := range r.state.Workers {
-		delete(x.Failures, job.Spec.UID)
+	for _, known := range r.state.Workers {
+		delete(known.Failures, job.Spec.UID)
 	}
-	r.log.Info("a job fails wherever it is tried", "job", job.Spec.UID, "class", job.Spec.Class, "errors", job.Errors)
+	r.log.Info("job fails on every worker", "job", job.Spec.UID, "class", job.Spec.Class, "errors", job.Errors)
 }
 
-// heeds looks whether what is sent to a machine comes through, by what its newest
-// report shows: a machine whose reports arrive, and which no answer and no command
-// reaches, looks idle, and would take one task after the other for nothing until its
-// lease ends, and again. It gets no work until it answers a request, or shows a
-// start. Nothing on it is settled by this.
+// checkResponsive decides, by what the newest report shows, whether commands reach the worker.
+// One whose reports arrive, and which no response and no command reaches, looks idle, and would
+// take one task after the other for nothing until its lease expires, and again. It gets no work
+// until it responds to a poll, or reports a start. No placement is settled by this.
 func (r *Reconciler) checkResponsive(worker *jobstate.Worker, now time.Time) {
-	heeded := worker.CommandObserved || worker.View.Asked
+	responsive := worker.CommandObserved || worker.View.Asked
 	worker.CommandObserved = false
-	if heeded {
+	if responsive {
 		r.markResponsive(worker)
 		return
 	}
-	wait := r.responseTimeout()
-	var since time.Time
+	timeout := r.responseTimeout()
+	since := r.unansweredSince(worker, now.Add(-timeout))
+	if since.IsZero() {
+		return
+	}
+	if worker.UnresponsiveReports++; worker.UnresponsiveReports >= unresponsiveReports && worker.UnresponsiveSince.IsZero() {
+		worker.UnresponsiveSince = now.Add(-timeout)
+		worker.RecentLost++
+		r.log.Info("worker unresponsive to commands", "worker", worker.Name, "controller", worker.View.Holder, "for_s", now.Sub(since).Seconds())
+	}
+}
+
+// unansweredSince returns when the first of the commands was sent that the worker's report
+// should show and does not, of those sent before a time; zero if there is none.
+func (r *Reconciler) unansweredSince(worker *jobstate.Worker, before time.Time) (since time.Time) {
 	for placement := range worker.Placements {
 		if placement.SeenInView == r.viewCount {
 			continue
 		}
-		var sent time.Time
+		var sentAt time.Time
 		switch {
 		case placement.State == jobstate.PlacementGranted && unsent(worker.View.Queue, placement.Ref):
-			// The grant has not reached the holder, which says nothing of the machine: over a
-			// slow link between controllers, machines that worked were returned as deaf.
+			// The grant has not reached the dispatcher, which says nothing of the worker: over
+			// a slow link between controllers, workers that worked were deleted as unresponsive.
 			continue
 		case placement.State == jobstate.PlacementGranted:
-			sent = placement.GrantedAt
+			sentAt = placement.GrantedAt
 		case placement.State == jobstate.PlacementUnconfirmed && worker.View.Token <= placement.MaxToken:
-			sent = placement.CreatedAt
+			sentAt = placement.CreatedAt
 		default:
 			continue
 		}
-		if now.Sub(sent) > wait && (since.IsZero() || sent.Before(since)) {
-			since = sent
+		if sentAt.Before(before) && (since.IsZero() || sentAt.Before(since)) {
+			since = sentAt
 		}
 	}
-	if since.IsZero() {
-		return
-	}
-	if worker.UnresponsiveReports++; worker.UnresponsiveReports >= deafReports && worker.UnresponsiveSince.IsZero() {
-		worker.UnresponsiveSince = now.Add(-wait)
-		worker.RecentLost++
-		r.log.Info("a machine reports, and nothing sent to it has an effect", "machine", worker.Name, "holder", worker.View.Holder, "for_s", now.Sub(since).Seconds())
+	return since
+}
+
+// unsent reports whether a dispatcher has a placement queued and has sent no start command for it.
+func unsent(queue []dispatch.QueueView, ref dispatch.TaskRef) bool {
+	for i := range queue {
+		if queue[i].Attempt == ref.Attempt && queue[i].TaskRef == ref {
+			return queue[i].Unsent
+		}
 	}
+	return false
 }
 
-// hears notes that something that was sent to the machine came through.
+// markResponsive notes that something that was sent to the worker reached it.
 func (r *Reconciler) markResponsive(worker *jobstate.Worker) {
 	if !worker.UnresponsiveSince.IsZero() {
-		r.log.Info("what is sent to the machine has an effect again", "machine", worker.Name, "after_s", time.Since(worker.UnresponsiveSince).Seconds())
+		r.log.Info("worker reachable again", "worker", worker.Name, "after_s", time.Since(worker.UnresponsiveSince).Seconds())
 	}
 	worker.UnresponsiveSince, worker.UnresponsiveReports, worker.RespondedAt = time.Time{}, 0, time.Now()
 }
 
-// heedWait is the time after which a report shows what was sent.
+// responseTimeout is the time after which a report shows what was sent.
 func (r *Reconciler) responseTimeout() time.Duration {
 	return config.Seconds(2 + 1.5*r.state.Platform.Params.Workers.ReportS)
 }
 
-// WorkerAnswered notes that a machine answered a request, by whichever controller.
+// WorkerAnswered notes that a worker responded to a poll, by whichever controller.
 func (r *Reconciler) WorkerAnswered(name string) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
--- a/internal/reconcile/sweep.go
+++ b/internal/reconcile/sweep.go
@@ -6,26 +6,38 @@
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// sweep repeats what may have been lost on the way.
+// forgetAfter is for how long an idle worker must not have been seen to be forgotten.
+const forgetAfter = 10 * time.Minute
+
+// Sweep repeats what may have been lost on the way: halts of tasks that are not to run any
+// more, and writes that were not urgent. It stops tasks that exceed their time limit, and
+// forgets workers that were not seen for long. It is to be called about once a second; the
+// caller holds the state's Mu.
 func (r *Reconciler) Sweep() {
 	for _, job := range r.state.JobOrder {
 		r.state.StopOverTime(job)
-		if !job.Cancelled && (job.Constraints == nil || job.Finished == job.Done) {
-			continue
-		}
-		for _, ps := range job.Placements {
-			for _, placement := range append([]*jobstate.Placement(nil), ps...) {
-				if !placement.Exited && (job.Cancelled || placement.Chunk.IsDone(placement.Task)) {
-					r.state.HaltTask(placement, 0)
-				}
-			}
-		}
+		r.haltNeedless(job)
 	}
-	jobstate.Notify(r.state.WriteSignal) // for changes that were not urgent
+	jobstate.Notify(r.state.WriteSignal)
 	for _, worker := range r.state.Workers {
-		if len(worker.Placements) == 0 && time.Since(jobstate.Later(worker.ViewAt, worker.KnownSince)) > 10*time.Minute {
-			r.state.WorkersByIndex[worker.Index] = nil
-			delete(r.state.Workers, worker.Name)
+		if len(worker.Placements) == 0 && time.Since(jobstate.Later(worker.ViewAt, worker.KnownSince)) > forgetAfter {
+			r.forgetWorker(worker)
+		}
+	}
+}
+
+// haltNeedless halts the tasks of a cancelled job, and those that were completed elsewhere or
+// cancelled alone.
+func (r *Reconciler) haltNeedless(job *jobstate.Job) {
+	if !job.Cancelled && (job.Constraints == nil || job.Finished == job.Done) {
+		return
+	}
+	for _, placements := range job.Placements {
+		// Halting may take a placement out of the list.
+		for _, placement := range append([]*jobstate.Placement(nil), placements...) {
+			if !placement.Exited && (job.Cancelled || placement.Chunk.IsDone(placement.Task)) {
+				r.state.HaltTask(placement, 0)
+			}
 		}
 	}
 }
--- /dev/null
+++ b/internal/reconcile/worker_lost.go
@@ -0,0 +1,54 @@
+package reconcile
+
+import (
+	"time"
+
+	"github.com/wallrack/wallrack/internal/jobstate"
+)
+
+// WorkerGone ends every placement on a worker that the cloud has deleted, and forgets the
+// worker. Its name never comes back; late views of it are ignored.
+func (r *Reconciler) WorkerGone(name string) {
+	r.state.Mu.Lock()
+	defer r.state.Mu.Unlock()
+	r.deleted.Add(name)
+	worker := r.state.Workers[name]
+	if worker == nil {
+		return
+	}
+	worker.Gone = true
+	r.endLost(worker, time.Now())
+	r.forgetWorker(worker)
+}
+
+// LeaseAttestedExpired ends what was placed on a worker before askedAt, when all controllers
+// attested that none has answered it for a full lease: the worker has killed every task. A
+// worker of which a view came since is left as it is.
+func (r *Reconciler) LeaseAttestedExpired(name string, askedAt time.Time) {
+	r.state.Mu.Lock()
+	defer r.state.Mu.Unlock()
+	if worker := r.state.Workers[name]; worker != nil && worker.ViewAt.Before(askedAt) {
+		r.endLost(worker, askedAt)
+	}
+}
+
+// endLost ends the placements on a lost worker that were made until a time.
+func (r *Reconciler) endLost(worker *jobstate.Worker, until time.Time) {
+	for placement := range worker.Placements {
+		if placement.CreatedAt.After(until) {
+			continue
+		}
+		if placement.State == jobstate.PlacementReported || placement.State == jobstate.PlacementGranted {
+			r.countLost(placement)
+		}
+		if !placement.Exited {
+			r.state.EndPlacement(placement)
+		}
+	}
+}
+
+// forgetWorker drops a worker from memory. Its index is not used again.
+func (r *Reconciler) forgetWorker(worker *jobstate.Worker) {
+	r.state.WorkersByIndex[worker.Index] = nil
+	delete(r.state.Workers, worker.Name)
+}
