--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -21,7 +21,7 @@
 	}
 	defer r.state.Mu.Unlock()
 	r.ObserveDeferred()
-	r.observe(view)
+	r.observe(&view)
 }
 
 // deferredView is a view that came while the state was locked.
@@ -46,17 +46,18 @@
 	views := r.deferred
 	r.deferred = nil
 	r.deferredMu.Unlock()
-	for _, deferred := range views {
+	for i := range views {
+		deferred := &views[i]
 		waitedS := time.Since(deferred.cameAt).Seconds()
 		deferred.view.AgeS += waitedS
 		deferred.view.UnansweredS += waitedS
-		r.observe(deferred.view)
+		r.observe(&deferred.view)
 	}
 }
 
 // observe takes a view: first what it says of the worker, then, while this leader's lease
 // holds, what it says of tasks.
-func (r *Reconciler) observe(view dispatch.WorkerView) {
+func (r *Reconciler) observe(view *dispatch.WorkerView) {
 	if len(r.state.Loaded) == 0 || r.deleted.Has(view.Name) {
 		return
 	}
@@ -64,14 +65,14 @@
 	if worker.Gone {
 		return
 	}
-	r.recordRenewal(worker, &view)
-	if r.isLateCopy(worker, &view) {
+	r.recordRenewal(worker, view)
+	if r.isLateCopy(worker, view) {
 		return
 	}
 	if last := &worker.View; view.Session == last.Session && view.Seq == last.Seq && view.Holder == last.Holder {
 		// The same report with a changed queue: settling it again would only repeat the
 		// instructions that changed the queue.
-		worker.View, worker.Matrix = view, view.Matrix
+		worker.View, worker.Matrix = *view, view.Matrix
 		r.state.ReserveUnreported(worker)
 		return
 	}
@@ -79,7 +80,7 @@
 		r.moveToZone(worker, view.Zone)
 	}
 	now := time.Now()
-	worker.View, worker.ViewAt, worker.Matrix = view, now, view.Matrix
+	worker.View, worker.ViewAt, worker.Matrix = *view, now, view.Matrix
 	recordHeartbeat(worker, now)
 	if r.state.Member.LeaseRemaining() <= 0 {
 		// There may be another leader by now, whose tasks would look unknown here. If there
