--- /dev/null
+++ b/internal/quota/needs.go
@@ -0,0 +1,68 @@
+package quota
+
+import (
+	"time"
+
+	"github.com/wallrack/wallrack/internal/jobstate"
+	"github.com/wallrack/wallrack/internal/quotalease"
+)
+
+// shardTeam names a team's part for a shard.
+type shardTeam struct {
+	shard int
+	team  string
+}
+
+// needs is what this leader's shards need of the limits that are leased.
+func (m *Manager) needs(now time.Time) map[shardTeam]quotalease.Need {
+	m.state.Now = now
+	needs := map[shardTeam]quotalease.Need{}
+	for _, team := range m.state.Teams {
+		if team.Leased == nil {
+			continue
+		}
+		for shard, use := range team.Leased.UsedByShard {
+			if amount := jobstate.AmountOf(use); !amount.Zero() {
+				needs[shardTeam{shard, team.Leased.Team}] = quotalease.Need{Use: amount, Demand: amount}
+			}
+		}
+	}
+	for _, job := range m.state.JobOrder {
+		if job.Team.Leased == nil || job.Cancelled || job.EndStage != "" || now.Before(job.NotBefore) {
+			continue
+		}
+		if tasks := m.waitingTasks(job); tasks > 0 {
+			key := shardTeam{job.Shard, job.Team.Leased.Team}
+			needs[key] = withWaiting(needs[key], job, tasks)
+		}
+	}
+	return needs
+}
+
+// waitingTasks is how many tasks of a job could start now, counted by placements for those that
+// have any.
+func (m *Manager) waitingTasks(job *jobstate.Job) int {
+	tasks := m.state.WantedTasks(job)
+	for _, placements := range job.Placements {
+		for _, placement := range placements {
+			if !placement.MayRun() && !placement.Exited {
+				tasks++
+			}
+		}
+	}
+	return tasks
+}
+
+// withWaiting adds a job's waiting tasks to a need.
+func withWaiting(need quotalease.Need, job *jobstate.Job, tasks int) quotalease.Need {
+	all := jobstate.AmountOf(job.Resources.Scale(float64(tasks)))
+	need.Demand = need.Demand.Add(all)
+	unit := jobstate.AmountOf(job.Resources)
+	if job.Spec.Gang() {
+		unit = all
+	}
+	if need.Unit.Zero() || unit.Smaller(need.Unit) {
+		need.Unit = unit
+	}
+	return need
+}
--- /dev/null
+++ b/internal/quota/records.go
@@ -0,0 +1,124 @@
+package quota
+
+import (
+	"context"
+	"errors"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/jobrecord"
+	"github.com/wallrack/wallrack/internal/jobstate"
+	"github.com/wallrack/wallrack/internal/quotalease"
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// watchHold is how long the state service may hold a request for changes.
+const watchHold = 20 * time.Second
+
+// watchRecords follows the records until ctx ends.
+func (m *Manager) watchRecords(ctx context.Context) {
+	m.store.Watch(ctx, quotalease.Prefix, watchHold, func(items []wire.Item) {
+		for _, item := range items {
+			m.observe(item)
+		}
+		jobstate.Notify(m.wake)
+	}, func(events []wire.Event) {
+		for _, event := range events {
+			if event.Put != "" {
+				m.observe(wire.Item{Key: event.Put, Value: event.Value, Version: event.Version})
+			}
+		}
+		jobstate.Notify(m.wake)
+	})
+}
+
+// observe takes a record as the watch shows it.
+func (m *Manager) observe(item wire.Item) {
+	m.state.Mu.Lock()
+	defer m.state.Mu.Unlock()
+	for n, borrower := range m.borrowers {
+		if borrower == nil || quotalease.Key(n) != item.Key {
+			continue
+		}
+		if record, ok := m.parse(item); ok {
+			m.take(item.Key, borrower, func() { borrower.Observe(record, item.Version, item.Version) })
+		}
+	}
+}
+
+// parse parses a record; one that can't be read is counted and logged. Version 0: there is none.
+func (m *Manager) parse(item wire.Item) (quotalease.Record, bool) {
+	if item.Version == 0 {
+		return quotalease.Record{}, true
+	}
+	record, err := quotalease.Parse(item.Value, m.state.Operator.Shards)
+	if err != nil {
+		m.state.Stats.QuotaRecordsRefused++
+		m.log.Error("quota record refused", "key", item.Key, "err", err)
+		return record, false
+	}
+	return record, true
+}
+
+// take calls pass, which gives a record to a borrower, and counts and logs what the borrower
+// refused of it.
+func (m *Manager) take(key string, borrower *quotalease.Borrower, pass func()) {
+	before := borrower.UnknownEntries
+	pass()
+	if refused := borrower.UnknownEntries - before; refused > 0 {
+		m.state.Stats.QuotaRecordsRefused += refused
+		m.log.Warn("unknown leaders or teams in quota record", "key", key, "refused", refused)
+	}
+	jobstate.Notify(m.state.PlanSignal)
+}
+
+// write carries out a write of a record. If its outcome stays unknown, the borrower plans the
+// same write again.
+func (m *Manager) write(ctx context.Context, n int, write quotalease.Write) {
+	guards := make([]wire.Guard, 0, 1+len(write.Shards))
+	guards = append(guards, wire.Guard{Key: quotalease.Key(n), Version: write.Guard})
+	for _, shard := range slices.Sorted(maps.Keys(write.Shards)) {
+		guards = append(guards, wire.Guard{Key: m.state.Member.ShardKey(shard), Version: write.Shards[shard]})
+	}
+	txnCtx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
+	defer cancel()
+	revision, err := m.store.Txn(txnCtx, guards, wire.Op{Put: quotalease.Key(n), Value: write.Record})
+	m.state.Mu.Lock()
+	defer m.state.Mu.Unlock()
+	m.inFlight[n] = false
+	borrower := m.borrowers[n]
+	var conflict *statestore.Conflict
+	switch {
+	case err == nil:
+		borrower.Applied(write, revision)
+		jobstate.Notify(m.state.PlanSignal)
+	case errors.As(err, &conflict):
+		borrower.Rejected(write)
+		jobstate.Notify(m.wake)
+	default:
+		m.log.Debug("quota write of unknown outcome", "key", quotalease.Key(n), "err", err)
+	}
+}
+
+// reread reads a record anew after a write of it was rejected. If that fails, the next round
+// reads it again.
+func (m *Manager) reread(ctx context.Context, n int) {
+	getCtx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
+	defer cancel()
+	item, err := m.store.Get(getCtx, quotalease.Key(n))
+	m.state.Mu.Lock()
+	defer m.state.Mu.Unlock()
+	m.inFlight[n] = false
+	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
+		m.log.Debug("reading quota record failed", "key", quotalease.Key(n), "err", err)
+		return
+	}
+	item.Key = quotalease.Key(n)
+	if record, ok := m.parse(item); ok {
+		borrower := m.borrowers[n]
+		m.take(item.Key, borrower, func() { borrower.Reread(record, item.Version, item.Version) })
+		jobstate.Notify(m.wake)
+	}
+}
