--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -65,7 +65,8 @@
 	if worker.Gone {
 		return
 	}
-	r.recordRenewal(worker, view)
+	now := time.Now()
+	r.recordRenewal(worker, view, now)
 	if r.isLateCopy(worker, view) {
 		return
 	}
@@ -79,7 +80,6 @@
 	if worker.View.Zone == "" && view.Zone != "" {
 		r.moveToZone(worker, view.Zone)
 	}
-	now := time.Now()
 	worker.View, worker.ViewAt, worker.Matrix = *view, now, view.Matrix
 	recordHeartbeat(worker, now)
 	if r.state.Member.LeaseRemaining() <= 0 {
@@ -96,8 +96,8 @@
 
 // recordRenewal notes when the worker's lease was last renewed. A view takes time to come,
 // which makes the same renewal look a little later.
-func (r *Reconciler) recordRenewal(worker *jobstate.Worker, view *dispatch.WorkerView) {
-	at := time.Now().Add(-config.Seconds(view.UnansweredS))
+func (r *Reconciler) recordRenewal(worker *jobstate.Worker, view *dispatch.WorkerView, now time.Time) {
+	at := now.Add(-config.Seconds(view.UnansweredS))
 	if at.Sub(worker.RenewedAt) > config.Seconds(sameRenewal*r.state.Platform.Params.Workers.ReportS) {
 		worker.RenewedAt, worker.RenewedSession = at, view.Session
 	}
