--- a/internal/quota/needs.go
+++ b/internal/quota/needs.go
@@ -22,7 +22,7 @@
 			continue
 		}
 		for shard, use := range team.Leased.UsedByShard {
-			if amount := jobstate.AmountOf(use); !amount.Zero() {
+			if amount := jobstate.AmountOf(use); !amount.IsZero() {
 				needs[shardTeam{shard, team.Leased.Team}] = quotalease.Need{Use: amount, Demand: amount}
 			}
 		}
@@ -61,7 +61,7 @@
 	if job.Spec.Gang() {
 		unit = all
 	}
-	if need.Unit.Zero() || unit.Smaller(need.Unit) {
+	if need.Unit.IsZero() || unit.Less(need.Unit) {
 		need.Unit = unit
 	}
 	return need
--- a/internal/quotalease/amount.go
+++ b/internal/quotalease/amount.go
@@ -15,16 +15,16 @@
 	kinds
 )
 
-// Amount is so many thousandths of CPUs and GPUs.
+// Amount is an amount of CPUs and of GPUs, in thousandths. It is never below zero.
 type Amount [kinds]int64
 
-// AmountOf is an amount in use, rounded up.
+// AmountOf returns an amount in use, rounded up.
 func AmountOf(cpuCount, gpuCount float64) Amount {
 	up := func(v float64) int64 { return max(0, int64(math.Ceil(v*thousandths-rounding))) }
 	return Amount{up(cpuCount), up(gpuCount)}
 }
 
-// LimitOf is a limit, rounded down; 0 of a kind is no limit of it.
+// LimitOf returns a limit, rounded down; 0 of a kind is no limit of it.
 func LimitOf(cpuCount, gpuCount float64) Amount {
 	down := func(v float64) int64 { return max(0, int64(math.Floor(v*thousandths+rounding))) }
 	return Amount{down(cpuCount), down(gpuCount)}
@@ -33,19 +33,19 @@
 // Fits reports whether a is at most b, of each kind.
 func (a Amount) Fits(b Amount) bool { return a[cpus] <= b[cpus] && a[gpus] <= b[gpus] }
 
-// Smaller orders amounts: by CPUs, then by GPUs.
-func (a Amount) Smaller(b Amount) bool {
+// Less orders amounts: by CPUs, then by GPUs.
+func (a Amount) Less(b Amount) bool {
 	return a[cpus] < b[cpus] || a[cpus] == b[cpus] && a[gpus] < b[gpus]
 }
 
-// Zero reports whether a is nothing.
-func (a Amount) Zero() bool { return a == Amount{} }
+// IsZero reports whether a is nothing of any kind.
+func (a Amount) IsZero() bool { return a == Amount{} }
 
 // Add returns a and b together.
 func (a Amount) Add(b Amount) Amount { return a.each(b, func(x, y int64) int64 { return x + y }) }
 
-// Less returns what of a is beyond b, of each kind.
-func (a Amount) Less(b Amount) Amount {
+// Sub returns what of a is beyond b, of each kind: 0 where b is more.
+func (a Amount) Sub(b Amount) Amount {
 	return a.each(b, func(x, y int64) int64 { return max(0, x-y) })
 }
 
@@ -55,7 +55,7 @@
 // Max returns the greater of each kind.
 func (a Amount) Max(b Amount) Amount { return a.each(b, func(x, y int64) int64 { return max(x, y) }) }
 
-// within keeps of a what the limit counts.
+// within returns what of a the limit counts.
 func (a Amount) within(limit Amount) Amount {
 	return a.each(limit, func(x, y int64) int64 {
 		if y == 0 {
@@ -65,6 +65,7 @@
 	})
 }
 
+// each applies f to each kind of a and b.
 func (a Amount) each(b Amount, f func(x, y int64) int64) Amount {
 	return Amount{f(a[cpus], b[cpus]), f(a[gpus], b[gpus])}
 }
--- a/internal/quotalease/liveness_test.go
+++ b/internal/quotalease/liveness_test.go
@@ -15,15 +15,15 @@
 
 func (w *model) growsToLimit(team string, shard int) {
 	w.round()
-	o := w.holder[shard]
-	o.demand[place(shard, team)], o.unit[place(shard, team)] = limits[team], limits[team]
+	c := w.leaderOf[shard]
+	c.demand[key(shard, team)], c.unit[key(shard, team)] = limits[team], limits[team]
 	for range growRounds {
 		w.round()
-		if limits[team].Fits(o.side.Ceiling(shard, team)) {
+		if limits[team].Fits(c.borrower.Ceiling(shard, team)) {
 			return
 		}
 	}
-	w.t.Fatalf("shard %d has %v of team %s after %d rounds, of %v; record %+v", shard, o.side.Ceiling(shard, team), team, growRounds, limits[team], w.last().record)
+	w.t.Fatalf("shard %d has %v of team %s after %d rounds, of %v; record %+v", shard, c.borrower.Ceiling(shard, team), team, growRounds, limits[team], w.newest().record)
 }
 
 // bothStart has two shards with as much work as the limit allows, in tasks of any size.
@@ -32,8 +32,8 @@
 	waits := map[int]*task{}
 	for _, s := range []int{first, second} {
 		waits[s] = &task{shard: s, team: team, size: drawAmount(w.t, limits[team])}
-		o := w.holder[s]
-		o.demand[place(s, team)], o.unit[place(s, team)] = limits[team], waits[s].size
+		c := w.leaderOf[s]
+		c.demand[key(s, team)], c.unit[key(s, team)] = limits[team], waits[s].size
 	}
 	begun, ends, round := map[int]bool{}, map[*task]int{}, 0
 	w.refill = func() {
@@ -55,7 +55,7 @@
 			t.over = round >= at
 		}
 	}
-	w.t.Fatalf("only shards %v of %d and %d started, tasks of %v and %v; record %+v", begun, first, second, waits[first].size, waits[second].size, w.last().record)
+	w.t.Fatalf("only shards %v of %d and %d started, tasks of %v and %v; record %+v", begun, first, second, waits[first].size, waits[second].size, w.newest().record)
 }
 
 // fill has two shards start tasks that don't end, as many as they may: in the end the
@@ -67,12 +67,12 @@
 	sizes := map[int]quotalease.Amount{}
 	for _, s := range []int{first, second} {
 		sizes[s] = drawAmount(w.t, limits[team])
-		o := w.holder[s]
-		clear(o.demand)
+		c := w.leaderOf[s]
+		clear(c.demand)
 	}
 	for _, s := range []int{first, second} {
-		o := w.holder[s]
-		o.demand[place(s, team)], o.unit[place(s, team)] = limits[team], sizes[s]
+		c := w.leaderOf[s]
+		c.demand[key(s, team)], c.unit[key(s, team)] = limits[team], sizes[s]
 	}
 	fits := func(s int) bool { return w.inUse(team).Add(sizes[s]).Fits(limits[team]) }
 	for range fillRounds {
@@ -85,5 +85,5 @@
 		w.round()
 	}
 	w.t.Fatalf("%v of %v of team %s in use, and tasks of %v and %v wait in shards %d and %d; record %+v",
-		w.inUse(team), limits[team], team, sizes[first], sizes[second], first, second, w.last().record)
+		w.inUse(team), limits[team], team, sizes[first], sizes[second], first, second, w.newest().record)
 }
--- a/internal/quotalease/record.go
+++ b/internal/quotalease/record.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"hash/fnv"
+	"maps"
 	"slices"
 
 	"github.com/goccy/go-json"
@@ -12,36 +13,36 @@
 // Prefix begins the keys of the records in the state service.
 const Prefix = "lent/"
 
-// Records is how many records the teams are divided among. It never changes: a team
-// whose record moved would be lent twice.
+// Records is how many records the teams are divided among. It never changes: the limit of a
+// team whose record moved would be leased twice.
 const Records = 16
 
-// RecordOf is the number of the record that holds a team's parts.
+// RecordOf returns the number of the record that holds a team's parts.
 func RecordOf(team string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(team)) // never fails
 	return int(h.Sum32() % Records)
 }
 
-// Key is the key of a record.
+// Key returns the key of a record in the state service.
 func Key(record int) string { return fmt.Sprintf("%s%02d", Prefix, record) }
 
-// Record is how the limits of some teams are divided among the shards. A shard without a
-// row was never taken over by an owner that borrows: what runs under it is not known.
+// Record is how the limits of some teams are divided among the shards. A shard without a row
+// was never led by a leader that leases limits: what runs under it is not known.
 type Record struct {
 	Rows []Row `json:"rows"` // by shard, ascending
 }
 
-// Row is what a shard's owner borrowed.
+// Row is what a shard has of the teams' limits.
 type Row struct {
 	Shard        int              `json:"shard"`
-	OwnerVersion uint64           `json:"term"` // version of the shard's key under which its owner last wrote the row
+	OwnerVersion uint64           `json:"term"` // version of the shard's key under which its leader last wrote the row
 	Teams        map[string]Entry `json:"teams,omitempty"`
 }
 
 // Entry is what a shard has and wants of a team's limit.
 type Entry struct {
-	Part Amount // lent to the shard
+	Part Amount // leased to the shard
 	Want Amount // that it could use in all, if that is more than its part
 	Unit Amount // least by which its use can grow: a task, or a gang; 0: it starts nothing
 }
@@ -60,16 +61,17 @@
 	return json.Marshal(numbers)
 }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON reads what MarshalJSON writes. It refuses amounts that are negative or so large
+// that sums of them could overflow.
 func (e *Entry) UnmarshalJSON(data []byte) error {
 	var numbers []int64
 	if err := json.Unmarshal(data, &numbers); err != nil {
-		return err
+		return err // the record's reader says what it was reading
 	}
 	if len(numbers) > entryNumbers {
 		return fmt.Errorf("an entry of %d numbers", len(numbers))
 	}
-	if slices.ContainsFunc(numbers, func(n int64) bool { return n < 0 || n > largest }) {
+	if slices.ContainsFunc(numbers, func(n int64) bool { return n < 0 || n > largestNumber }) {
 		return errors.New("an amount out of bounds")
 	}
 	var all [entryNumbers]int64
@@ -78,10 +80,12 @@
 	return nil
 }
 
-// largest amount in an entry, so that sums of them can't overflow.
-const largest = 1 << 50
+// largestNumber is the largest number in an entry, so that sums of them can't overflow.
+const largestNumber = 1 << 50
 
-// Parse reads a record. Teams are checked by their Borrower, which knows the settings.
+// Parse reads a record for so many shards. It refuses unknown shards, rows that are out of order
+// or written by nobody, and amounts out of bounds. Teams are checked by their Borrower, which
+// knows the settings.
 func Parse(data []byte, shards int) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
@@ -126,46 +130,45 @@
 	slices.SortFunc(r.Rows, func(a, b Row) int { return a.Shard - b.Shard })
 }
 
-// set changes what a row has of a team; nothing is not kept.
-func (w *Row) set(team string, e Entry) {
-	if e.Part.Zero() && e.Want.Zero() {
-		delete(w.Teams, team)
+// set changes what a row has of a team; an entry without a part and a want is not kept.
+func (r *Row) set(team string, entry Entry) {
+	if entry.Part.IsZero() && entry.Want.IsZero() {
+		delete(r.Teams, team)
 		return
 	}
-	if w.Teams == nil {
-		w.Teams = map[string]Entry{}
+	if r.Teams == nil {
+		r.Teams = map[string]Entry{}
 	}
-	w.Teams[team] = e
+	r.Teams[team] = entry
 }
 
-// lent is the sum of a team's parts.
-func (r *Record) lent(team string) (sum Amount) {
+// leased is the sum of a team's parts.
+func (r *Record) leased(team string) (sum Amount) {
 	for i := range r.Rows {
 		sum = sum.Add(r.Rows[i].Teams[team].Part)
 	}
 	return sum
 }
 
+// clone returns a copy that shares nothing with r.
 func (r *Record) clone() Record {
 	out := Record{Rows: slices.Clone(r.Rows)}
 	for i := range out.Rows {
 		teams := make(map[string]Entry, len(r.Rows[i].Teams))
-		for team, e := range r.Rows[i].Teams {
-			teams[team] = e
-		}
+		maps.Copy(teams, r.Rows[i].Teams)
 		out.Rows[i].Teams = teams
 	}
 	return out
 }
 
-// CheckSize reports an error if the parts of teams with these limits may not fit the
-// records, whose values have at most so many bytes.
+// CheckSize returns an error if the parts of teams with these limits may not fit the records,
+// whose values have at most so many bytes.
 func CheckSize(limits map[string]Amount, shards, valueBytes int) error {
-	const anyTerm = 1 << 53
+	const anyVersion = 1 << 53
 	records := [Records]Record{}
 	for n := range records {
-		for s := range shards {
-			records[n].Rows = append(records[n].Rows, Row{Shard: s, OwnerVersion: anyTerm, Teams: map[string]Entry{}})
+		for shard := range shards {
+			records[n].Rows = append(records[n].Rows, Row{Shard: shard, OwnerVersion: anyVersion, Teams: map[string]Entry{}})
 		}
 	}
 	for team, limit := range limits {
@@ -176,7 +179,7 @@
 	for n := range records {
 		data, err := json.Marshal(records[n])
 		if err != nil {
-			return err
+			return fmt.Errorf("encode record %s: %w", Key(n), err)
 		}
 		if len(data) > valueBytes {
 			return fmt.Errorf("parts of %d teams' limits for %d shards take %d bytes in record %s, of %d",
--- a/internal/quotalease/recorded_test.go
+++ b/internal/quotalease/recorded_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// A team whose record moved would be lent twice.
+// The limit of a team whose record moved would be leased twice.
 func TestRecordedKeys(t *testing.T) {
 	if quotalease.Prefix != "lent/" || quotalease.Key(0) != "lent/00" || quotalease.Key(15) != "lent/15" || quotalease.Records != 16 {
 		t.Errorf("prefix %q, keys %q to %q, %d records", quotalease.Prefix, quotalease.Key(0), quotalease.Key(15), quotalease.Records)
