--- a/internal/jobid/jobid.go
+++ b/internal/jobid/jobid.go
@@ -1,7 +1,12 @@
-// Package jobid allocates the numbers by which Slurm's users name jobs. Controllers
-// reserve blocks of one counter in the state service, so that no number is allocated
-// twice. Each job has a key there under its last number, by which any of its numbers
-// finds it. Task k of a job with number n also has the number n+k.
+// Package jobid allocates the numbers by which Slurm's users name jobs, and finds jobs by them.
+//
+// Controllers reserve blocks of one counter in the state service, so that no number is allocated
+// twice; numbers that a controller reserved and did not use stay unused. Each job has a key there
+// under its last number, by which any of its numbers finds it. Task k of a job with number n also
+// has the number n+k.
+//
+// The package does not write the keys of jobs: that is done along with a job's acceptance, which
+// tells whether the job exists.
 package jobid
 
 import (
@@ -18,14 +23,18 @@
 
 const (
 	counterKey = "numbers"
-	key        = "number/" // and the last number of a job: see Find
-	block      = 10_000    // numbers taken at once: a few arrays would use up less in no time
-	tries      = 4
+	jobPrefix  = "number/" // and the last number of a job: see Find
+	blockSize  = 10_000    // numbers reserved at once: a few arrays would use up less in no time
+	attempts   = 4         // to advance the counter
+	numberEnd  = 1e14      // numbers from here on have more digits than keys, and are nobody's
 )
 
 // Store is the part of the state service that an Allocator uses.
 type Store interface {
+	// Get reads a key; statestore.ErrNotFound: there is none.
 	Get(ctx context.Context, key string) (wire.Item, error)
+	// Txn applies ops if all guards hold, and returns the version that they gave; else the
+	// error is a *statestore.Conflict, or statestore.ErrUnknown if they may have been applied.
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
 	// Page reads at most so many keys with the prefix, in order, beyond after.
 	Page(ctx context.Context, prefix, after string, limit int) (items []wire.Item, more bool, err error)
@@ -35,134 +44,144 @@
 type Allocator struct {
 	store Store
 
-	mu   sync.Mutex
-	next uint64 // of the reserved block
-	end  uint64
-	top  uint64 // every number below is known to be allocated
+	mu           sync.Mutex // held over requests: a second one would only conflict with the first
+	next         uint64     // the first number of the reserved block that is not taken; 0: there is no block
+	end          uint64     // the first number after the reserved block
+	allocatedEnd uint64     // every number below is known to be allocated
 }
 
 // New returns an allocator that has reserved no block yet.
 func New(store Store) *Allocator { return &Allocator{store: store} }
 
+// counter is the record of the counter.
 type counter struct {
 	Next uint64 `json:"next"`
 }
 
-// Take allocates count consecutive numbers of the reserved block and returns the
-// first: seldom a write, but in no order with those of other controllers.
+// Take allocates count consecutive numbers, one at least, of the reserved block and returns the
+// first: seldom a write, but in no order with those of other controllers. What is left of a
+// block that has too few is not used. The error is statestore.ErrUnavailable if no block could
+// be reserved just now, or that of the state service.
 func (a *Allocator) Take(ctx context.Context, count int) (uint64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := uint64(max(1, count))
+	n := numbersOf(count)
 	if a.end-a.next < n || a.next == 0 {
-		first, err := a.reserve(ctx, max(block, n))
+		size := max(blockSize, n)
+		first, err := a.reserve(ctx, size)
 		if err != nil {
 			return 0, err
 		}
-		a.next, a.end = first, first+max(block, n)
+		a.next, a.end = first, first+size
 	}
 	first := a.next
 	a.next += n
 	return first, nil
 }
 
-// Next allocates from the counter itself, at a write for each call: numbers grow in the
-// order of the calls, over all controllers.
+// Next allocates count consecutive numbers, one at least, from the counter itself, at a write for
+// each call: numbers grow in the order of the calls, over all controllers. Errors are as Take's.
 func (a *Allocator) Next(ctx context.Context, count int) (uint64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.reserve(ctx, uint64(max(1, count)))
+	return a.reserve(ctx, numbersOf(count))
 }
 
-// reserve advances the counter by n and returns the first number reserved.
+// numbersOf is how many numbers a job of so many tasks has.
+func numbersOf(tasks int) uint64 { return uint64(max(1, tasks)) }
+
+// reserve advances the counter by n and returns the first number reserved. The caller holds mu.
 func (a *Allocator) reserve(ctx context.Context, n uint64) (uint64, error) {
-	for range tries {
+	for range attempts {
 		c, version, err := a.read(ctx)
 		if err != nil {
 			return 0, err
 		}
-		up := c.Next + n
-		_, err = a.store.Txn(ctx, []wire.Guard{{Key: counterKey, Version: version}}, wire.Op{Put: counterKey, Value: counter{up}})
+		end := c.Next + n
+		_, err = a.store.Txn(ctx, []wire.Guard{{Key: counterKey, Version: version}}, wire.Op{Put: counterKey, Value: counter{end}})
 		var conflict *statestore.Conflict
 		switch {
 		case err == nil:
-			a.top = max(a.top, up)
+			a.allocatedEnd = max(a.allocatedEnd, end)
 			return c.Next, nil
 		case errors.As(err, &conflict), errors.Is(err, statestore.ErrUnknown):
-			// Another controller took them, or this one did and lost the answer: they
+			// Another controller reserved them, or this one did and lost the response: they
 			// stay unused.
 		default:
-			return 0, err
+			return 0, fmt.Errorf("reserve numbers: %w", err)
 		}
 	}
-	return 0, fmt.Errorf("no numbers: %w", statestore.ErrUnavailable)
+	return 0, fmt.Errorf("reserve numbers: given up after %d attempts: %w", attempts, statestore.ErrUnavailable)
 }
 
+// read reads the counter and the version of its record, 0 if there is none. The caller holds mu.
 func (a *Allocator) read(ctx context.Context) (counter, uint64, error) {
 	c := counter{Next: 1}
-	it, err := a.store.Get(ctx, counterKey)
+	item, err := a.store.Get(ctx, counterKey)
 	if errors.Is(err, statestore.ErrNotFound) {
 		return c, 0, nil
 	}
 	if err != nil {
-		return c, 0, err
+		return c, 0, fmt.Errorf("read counter of numbers: %w", err)
 	}
-	if err := json.Unmarshal(it.Value, &c); err != nil {
-		return c, 0, fmt.Errorf("counter of numbers: %w", err)
+	if err := json.Unmarshal(item.Value, &c); err != nil {
+		return c, 0, fmt.Errorf("decode counter of numbers: %w", err)
 	}
-	a.top = max(a.top, c.Next)
-	return c, it.Version, nil
+	a.allocatedEnd = max(a.allocatedEnd, c.Next)
+	return c, item.Version, nil
 }
 
-// Given reports whether the numbers were allocated by any controller. A client that
-// names others is refused, or a later job would get the same numbers.
+// Given reports whether count consecutive numbers from first on were allocated, by any
+// controller. A client that names others is to be refused: a later job would get the same
+// numbers.
 func (a *Allocator) Given(ctx context.Context, first uint64, count int) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	last := first + uint64(max(1, count))
-	if first == 0 || last < first {
+	end := first + numbersOf(count)
+	if first == 0 || end < first {
 		return false, nil
 	}
-	if last > a.top {
+	if end > a.allocatedEnd {
 		if _, _, err := a.read(ctx); err != nil {
 			return false, err
 		}
 	}
-	return last <= a.top, nil
+	return end <= a.allocatedEnd, nil
 }
 
 // Job is the job that numbers belong to.
 type Job struct {
 	UID   string `json:"uid"`
-	First uint64 `json:"first"`
-	Tasks int    `json:"tasks"`
+	First uint64 `json:"first"` // its first number
+	Tasks int    `json:"tasks"` // and it has as many, one at least
 }
 
-// Key is the key that ties a job to its numbers; it is written along with the
-// job's acceptance, if it does not exist.
-func Key(first uint64, tasks int) string { return keyOf(first + uint64(max(1, tasks)) - 1) }
+// Key returns the key that ties a job to its numbers. It is to be written along with the job's
+// acceptance, if it does not exist.
+func Key(first uint64, tasks int) string { return keyOf(first + numbersOf(tasks) - 1) }
 
-func keyOf(n uint64) string { return fmt.Sprintf("%s%014d", key, n) }
+// keyOf is the key of the job whose last number is n.
+func keyOf(n uint64) string { return fmt.Sprintf("%s%014d", jobPrefix, n) }
 
-// Find returns the job that a number belongs to: the first key at or beyond it is
-// that of the job with the next higher last number.
+// Find returns the job that a number belongs to, or statestore.ErrNotFound. The first key at or
+// beyond the number is that of the job with the next higher last number.
 func (a *Allocator) Find(ctx context.Context, n uint64) (Job, error) {
-	var j Job
-	if n == 0 || n >= 1e14 {
-		return j, statestore.ErrNotFound
+	if n == 0 || n >= numberEnd {
+		return Job{}, statestore.ErrNotFound
 	}
-	items, _, err := a.store.Page(ctx, key, keyOf(n-1), 1)
+	items, _, err := a.store.Page(ctx, jobPrefix, keyOf(n-1), 1)
 	if err != nil {
-		return j, err
+		return Job{}, fmt.Errorf("find number %d: %w", n, err)
 	}
 	if len(items) == 0 {
-		return j, statestore.ErrNotFound
+		return Job{}, statestore.ErrNotFound
 	}
-	if err := json.Unmarshal(items[0].Value, &j); err != nil {
-		return j, fmt.Errorf("number %d: %w", n, err)
+	var job Job
+	if err := json.Unmarshal(items[0].Value, &job); err != nil {
+		return Job{}, fmt.Errorf("decode job of number %d: %w", n, err)
 	}
-	if j.First > n {
-		return j, statestore.ErrNotFound
+	if job.First > n {
+		return Job{}, statestore.ErrNotFound
 	}
-	return j, nil
+	return job, nil
 }
--- a/internal/jobid/jobid_test.go
+++ b/internal/jobid/jobid_test.go
@@ -1,7 +1,6 @@
 package jobid_test
 
 import (
-	"context"
 	"errors"
 	"math/rand/v2"
 	"testing"
@@ -12,26 +11,26 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Controllers that lose answers, and start anew, never give a number twice; every
-// number of a job finds it, and one that no job has finds none.
-func TestNumbersStayUniqueWhenAnswersAreLost(t *testing.T) {
+// Controllers that lose responses, and start anew, never allocate a number twice; every number of
+// a job finds it, and one that no job has finds none.
+func TestNumbersStayUniqueWhenResponsesAreLost(t *testing.T) {
 	ctx := t.Context()
 	rnd := rand.New(rand.NewPCG(1, 2))
 	store := testkit.NewStore()
 	view := &testkit.View{Store: store, Lose: func() bool { return rnd.IntN(4) == 0 }, Late: func() bool { return rnd.IntN(6) == 0 }}
 	clean := &testkit.View{Store: store}
 	allocators := []*jobid.Allocator{jobid.New(view), jobid.New(view), jobid.New(view)}
-	given := map[uint64]bool{}
+	allocated := map[uint64]bool{}
 	var jobs []jobid.Job
 	for n := range 400 {
-		b := rnd.IntN(len(allocators))
+		i := rnd.IntN(len(allocators))
 		if rnd.IntN(20) == 0 {
-			allocators[b] = jobid.New(view) // it crashed
+			allocators[i] = jobid.New(view) // its controller crashed
 			view.Deliver()
 		}
-		count, take := 1+rnd.IntN(50), allocators[b].Take
+		count, take := 1+rnd.IntN(50), allocators[i].Take
 		if n%2 == 0 {
-			take = allocators[b].Next
+			take = allocators[i].Next
 		}
 		first, err := take(ctx, count)
 		if errors.Is(err, statestore.ErrUnavailable) {
@@ -41,40 +40,52 @@
 			t.Fatal(err)
 		}
 		for k := range count {
-			if given[first+uint64(k)] {
-				t.Fatalf("%d was given twice", first+uint64(k))
+			if allocated[first+uint64(k)] {
+				t.Fatalf("%d was allocated twice", first+uint64(k))
 			}
-			given[first+uint64(k)] = true
+			allocated[first+uint64(k)] = true
 		}
 		if ok, err := jobid.New(clean).Given(ctx, first, count); err != nil || !ok {
 			t.Fatalf("%d is said to be nobody's, %v", first, err)
 		}
 		if n%3 > 0 { // the others' jobs never came
-			j := jobid.Job{UID: "j-" + string(rune('a'+n%26)), First: first, Tasks: count}
-			key := jobid.Key(first, count)
-			if _, err := clean.Txn(ctx, []wire.Guard{{Key: key}}, wire.Op{Put: key, Value: j}); err != nil {
-				t.Fatal(err)
-			}
-			jobs = append(jobs, j)
+			job := jobid.Job{UID: "j-" + string(rune('a'+n%26)), First: first, Tasks: count}
+			accept(t, clean, job)
+			jobs = append(jobs, job)
 		}
 	}
 	allocator := jobid.New(clean)
-	owned := map[uint64]bool{}
-	for _, j := range jobs {
-		for k := range j.Tasks {
-			n := j.First + uint64(k)
-			owned[n] = true
-			if got, err := allocator.Find(ctx, n); err != nil || got != j {
-				t.Fatalf("%d finds %+v, not %+v: %v", n, got, j, err)
+	checkFound(t, allocator, jobs, allocated)
+	if ok, err := allocator.Given(ctx, 1<<40, 1); ok || err != nil {
+		t.Errorf("a number from beyond the counter: %v, %v", ok, err)
+	}
+}
+
+// accept writes the key of a job, as its acceptance does.
+func accept(t *testing.T, store *testkit.View, job jobid.Job) {
+	t.Helper()
+	key := jobid.Key(job.First, job.Tasks)
+	if _, err := store.Txn(t.Context(), []wire.Guard{{Key: key}}, wire.Op{Put: key, Value: job}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// checkFound fails unless all numbers of the jobs, and no others that were allocated, find them.
+func checkFound(t *testing.T, allocator *jobid.Allocator, jobs []jobid.Job, allocated map[uint64]bool) {
+	t.Helper()
+	used := map[uint64]bool{}
+	for _, job := range jobs {
+		for k := range job.Tasks {
+			n := job.First + uint64(k)
+			used[n] = true
+			if got, err := allocator.Find(t.Context(), n); err != nil || got != job {
+				t.Fatalf("%d finds %+v, not %+v: %v", n, got, job, err)
 			}
 		}
 	}
-	for n := range given {
-		if _, err := allocator.Find(ctx, n); !owned[n] && !errors.Is(err, statestore.ErrNotFound) {
+	for n := range allocated {
+		if _, err := allocator.Find(t.Context(), n); !used[n] && !errors.Is(err, statestore.ErrNotFound) {
 			t.Fatalf("%d, which no job has: %v", n, err)
 		}
 	}
-	if ok, err := allocator.Given(context.Background(), 1<<40, 1); ok || err != nil {
-		t.Errorf("a number from beyond the counter: %v, %v", ok, err)
-	}
 }
