--- a/internal/reconcile/grant.go
+++ b/internal/reconcile/grant.go
@@ -33,7 +33,7 @@
 }
 
 // grantStart decides one request. A repeated request for a granted placement is granted again.
-// The reply is: start it, not now (the dispatcher asks again), or drop it from the queue.
+// The reply is: start it, not now (the dispatcher requests it again), or drop it from the queue.
 func (r *Reconciler) grantStart(request dispatch.GrantRequest) dispatch.GrantReply {
 	notNow, drop := dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
 	if r.state.Member.LeaseRemaining() < grantLeaseMargin || len(r.state.Loaded) == 0 {
@@ -97,7 +97,7 @@
 }
 
 // startedInEarlierSession reports whether the placement was granted for an earlier session of
-// its worker than the one that asks now. The worker has lost whatever it was granted then, and
+// its worker than that of the request. The worker has lost whatever it was granted then, and
 // may have run it: see checkGranted.
 func startedInEarlierSession(placement *jobstate.Placement, session uint64) bool {
 	neverReported := placement.State == jobstate.PlacementRecorded || placement.State == jobstate.PlacementGranted
--- a/internal/reconcile/absent.go
+++ b/internal/reconcile/task_unreported.go
@@ -10,7 +10,7 @@
 
 const (
 	// grantedFor is how long a granted start may be neither reported nor surely off its worker
-	// before a newer token is to tell which it is.
+	// before a newer token is to show which it is.
 	grantedFor = 10 * time.Second
 	// haltAgain is how long after a halt of a task that its worker does not report the next
 	// one is sent.
@@ -18,9 +18,8 @@
 )
 
 // mustBeReported reports whether the placement is settled by the worker's report alone, which
-// does not list it, and not by its place in the dispatcher's queue. Of what a predecessor had
-// queued, or was seen to run, the queue says nothing: the dispatcher may ask that predecessor
-// for ever, or have the task queued from before it ran, as another dispatcher saw, and was lost.
+// does not list it, and not by the dispatcher's queue. Of what a predecessor had queued, or was seen to run,
+// the queue says nothing: the dispatcher may request grants of that predecessor for ever, or have the task queued from before it ran, as another dispatcher saw, and was lost.
 func mustBeReported(worker *jobstate.Worker, placement *jobstate.Placement) bool {
 	return placement.State == jobstate.PlacementUnconfirmed || placement.State == jobstate.PlacementReported || !jobstate.Queued(worker.View.Queue, placement.Ref)
 }
--- a/internal/reconcile/worker_lost.go
+++ b/internal/reconcile/worker_lost.go
@@ -21,14 +21,14 @@
 	r.forgetWorker(worker)
 }
 
-// LeaseAttestedExpired ends what was placed on a worker before askedAt, when all controllers
-// attested that none has answered it for a full lease: the worker has killed every task. A
-// worker of which a view came since is left as it is.
-func (r *Reconciler) LeaseAttestedExpired(name string, askedAt time.Time) {
+// LeaseAttestedExpired ends what was placed on a worker until requestedAt. All controllers have
+// attested, by requests sent then, that none has answered the worker for a full lease: it has
+// killed every task. A worker of which a view came since is left as it is.
+func (r *Reconciler) LeaseAttestedExpired(name string, requestedAt time.Time) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
-	if worker := r.state.Workers[name]; worker != nil && worker.ViewAt.Before(askedAt) {
-		r.endLost(worker, askedAt)
+	if worker := r.state.Workers[name]; worker != nil && worker.ViewAt.Before(requestedAt) {
+		r.endLost(worker, requestedAt)
 	}
 }
 
