--- a/internal/reconcile/task_unreported.go
+++ b/internal/reconcile/task_unreported.go
@@ -18,8 +18,9 @@
 )
 
 // mustBeReported reports whether the placement is settled by the worker's report alone, which
-// does not list it, and not by the dispatcher's queue. Of what a predecessor had queued, or was seen to run,
-// the queue says nothing: the dispatcher may request grants of that predecessor for ever, or have the task queued from before it ran, as another dispatcher saw, and was lost.
+// does not list it, and not by the dispatcher's queue. Of what a predecessor had queued, or was
+// seen to run, the queue says nothing: the dispatcher may request grants of that predecessor for
+// ever, or have the task queued from before it ran, as another dispatcher saw, and was lost.
 func mustBeReported(worker *jobstate.Worker, placement *jobstate.Placement) bool {
 	return placement.State == jobstate.PlacementUnconfirmed || placement.State == jobstate.PlacementReported || !jobstate.Queued(worker.View.Queue, placement.Ref)
 }
