--- a/internal/jobid/recorded_test.go
+++ b/internal/jobid/recorded_test.go
@@ -1,41 +1,21 @@
 package jobid
 
 import (
-	"os"
-	"path/filepath"
-	"reflect"
 	"testing"
 
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/testkit"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// checkRecorded reads a file of testdata/recorded, compares the value with want, and
-// compares the encoding of want with the file byte for byte.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", file)
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
-	}
-	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
-		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
-	}
-}
-
 // Controllers of different versions share the records, so their form must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "counter.json", counter{Next: 9007199254740993})
-	checkRecorded(t, "counter_least.json", counter{})
-	checkRecorded(t, "job.json", Job{UID: "j-1", First: 1001, Tasks: 40})
-	checkRecorded(t, "job_least.json", Job{})
+	recorded.Check(t, "counter", counter{Next: 9007199254740993})
+	recorded.Check(t, "counter_least", counter{})
+	recorded.Check(t, "job", Job{UID: "j-1", First: 1001, Tasks: 40})
+	recorded.Check(t, "job_least", Job{})
 }
 
 func TestRecordedKeys(t *testing.T) {
--- a/internal/quotalease/recorded_test.go
+++ b/internal/quotalease/recorded_test.go
@@ -1,34 +1,15 @@
 package quotalease_test
 
 import (
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/quotalease"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// checkRecorded reads a file of testdata/recorded, compares the value with want, and
-// compares the encoding of want with the file byte for byte.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", file)
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
-	}
-	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
-		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
-	}
-}
-
 // Controllers of different versions share the records, so their form must not change. An
 // entry is an array of numbers, without the zeros at its end.
 func TestRecordedForms(t *testing.T) {
@@ -45,9 +26,9 @@
 		}},
 		{Shard: 4, OwnerVersion: 42},
 	}}
-	checkRecorded(t, "lent.json", record)
-	checkRecorded(t, "lent_least.json", quotalease.Record{})
-	checkRecorded(t, "lent_no_rows.json", quotalease.Record{Rows: []quotalease.Row{}})
+	recorded.Check(t, "lent", record)
+	recorded.Check(t, "lent_least", quotalease.Record{})
+	recorded.Check(t, "lent_no_rows", quotalease.Record{Rows: []quotalease.Row{}})
 	text, err := json.Marshal(record)
 	if err != nil {
 		t.Fatal(err)
