--- a/internal/matching/match.go
+++ b/internal/matching/match.go
@@ -1,3 +1,8 @@
+// Package matching holds the pure decisions of placement: wait-time matrices of workers, the
+// cost of a worker for a task, stable matching of a batch of tasks to workers, and when a
+// queued task is to be placed again. It keeps no state, knows neither jobs nor workers, and
+// draws no random numbers: which workers are candidates at what cost its callers decide.
+// Times are seconds.
 package matching
 
 import (
@@ -5,90 +10,90 @@
 	"sort"
 )
 
-// Cost is the paper's estimate C = P·E + K_fail·(1 − P)·E with E = I + W + R.
-func Cost(fetch, wait, run, success, kFail float64) float64 {
-	e := fetch + wait + run
-	return success*e + kFail*(1-success)*e
-}
-
-// Candidate is a machine that a task may go to.
+// Candidate is a worker that a task may be placed on.
 type Candidate struct {
-	Machine int
-	Wait    float64
-	Cost    float64
+	Worker int // index; not negative
+	WaitS  float64
+	Cost   float64
 }
 
-// Pairing is a task matched to a machine.
+// Pairing is a task matched to a worker.
 type Pairing struct {
-	Task int
+	Task int // index into the options
 	Candidate
-	Saving float64
+	Saving float64 // by which the worker is cheaper than the task's next best one; +Inf: it has none
 }
 
-// Match is the paper's variant of stable matching for one batch: every task
-// proposes to its cheapest machine, a machine that several want goes to the
-// one that saves most by it, and the others propose again, for a few rounds.
-// Each machine gets at most one task. Pairs come lowest wait first.
+// Match is the paper's variant of stable matching for one batch: every task proposes to its
+// cheapest worker, a worker that several want goes to the one that saves most by it, and the
+// others propose again, for at most so many rounds. Each worker gets at most one task, each
+// task at most one worker. Pairings come lowest wait first.
 func Match(options [][]Candidate, rounds int) []Pairing {
-	most := 0
-	for _, opts := range options {
-		for i := range opts {
-			most = max(most, opts[i].Machine)
+	highest := 0
+	for _, candidates := range options {
+		for i := range candidates {
+			highest = max(highest, candidates[i].Worker)
 		}
 	}
-	taken := make([]bool, most+1)
+	taken := make([]bool, highest+1)
 	matched := make([]bool, len(options))
-	var pairs []Pairing
-	for r := 0; r < rounds; r++ {
-		best := map[int]Pairing{}
-		proposed := false
-		for t, opts := range options {
-			if matched[t] {
-				continue
-			}
-			first, second := -1, math.Inf(1)
-			for i, o := range opts {
-				switch {
-				case taken[o.Machine]:
-				case first < 0 || o.Cost < opts[first].Cost:
-					if first >= 0 {
-						second = opts[first].Cost
-					}
-					first = i
-				case o.Cost < second:
-					second = o.Cost
-				}
-			}
-			if first < 0 {
-				continue
-			}
-			proposed = true
-			p := Pairing{Task: t, Candidate: opts[first], Saving: second - opts[first].Cost}
-			if cur, ok := best[p.Machine]; !ok || p.Saving > cur.Saving {
-				best[p.Machine] = p
-			}
-		}
-		if !proposed {
+	var pairings []Pairing
+	for range rounds {
+		accepted := propose(options, taken, matched)
+		if len(accepted) == 0 {
 			break
 		}
-		for m, p := range best {
-			taken[m] = true
-			matched[p.Task] = true
-			pairs = append(pairs, p)
+		for worker, pairing := range accepted {
+			taken[worker] = true
+			matched[pairing.Task] = true
+			pairings = append(pairings, pairing)
 		}
 	}
-	sort.Slice(pairs, func(i, j int) bool {
-		if pairs[i].Wait != pairs[j].Wait {
-			return pairs[i].Wait < pairs[j].Wait
+	sort.Slice(pairings, func(i, j int) bool {
+		if pairings[i].WaitS != pairings[j].WaitS {
+			return pairings[i].WaitS < pairings[j].WaitS
 		}
-		return pairs[i].Task < pairs[j].Task
+		return pairings[i].Task < pairings[j].Task
 	})
-	return pairs
+	return pairings
+}
+
+// propose lets every unmatched task propose to its cheapest worker that is not taken, and
+// returns the proposal that each worker accepts: the highest saving, of equal ones the
+// first task's.
+func propose(options [][]Candidate, taken, matched []bool) map[int]Pairing {
+	accepted := map[int]Pairing{}
+	for task, candidates := range options {
+		if matched[task] {
+			continue
+		}
+		cheapest, nextCost := cheapestFree(candidates, taken)
+		if cheapest < 0 {
+			continue
+		}
+		proposal := Pairing{Task: task, Candidate: candidates[cheapest], Saving: nextCost - candidates[cheapest].Cost}
+		if current, ok := accepted[proposal.Worker]; !ok || proposal.Saving > current.Saving {
+			accepted[proposal.Worker] = proposal
+		}
+	}
+	return accepted
 }
 
-// ShouldReplace reports whether a queued task is to be placed again, by the
-// paper's three conditions: its expected wait is significantly above what was
-// planned, or above its stage's average, or it has waited longer than that.
-func ShouldReplace(planned, elapsed, expected, stageAverage, margin float64) bool {
-	return elapsed+expected > planned+margin || expected > stageAverage+margin || elapsed > stageAverage+margin
+// cheapestFree returns the index of the cheapest candidate that is not taken, -1 if there is
+// none, and the cost of the next cheapest, +Inf if there is none.
+func cheapestFree(candidates []Candidate, taken []bool) (cheapest int, nextCost float64) {
+	cheapest, nextCost = -1, math.Inf(1)
+	for i, candidate := range candidates {
+		switch {
+		case taken[candidate.Worker]:
+		case cheapest < 0 || candidate.Cost < candidates[cheapest].Cost:
+			if cheapest >= 0 {
+				nextCost = candidates[cheapest].Cost
+			}
+			cheapest = i
+		case candidate.Cost < nextCost:
+			nextCost = candidate.Cost
+		}
+	}
+	return cheapest, nextCost
 }
--- a/internal/matching/matrix.go
+++ b/internal/matching/matrix.go
@@ -1,6 +1,3 @@
-// Package matching holds the pure decisions of the design: wait-time
-// matrices, the cost C of a machine for a task, batch matching, and when a
-// queued task is to look elsewhere.
 package matching
 
 import (
@@ -9,106 +6,73 @@
 	"slices"
 )
 
-// Resources is an amount of each resource.
-type Resources struct {
-	CPUs     float64 `json:"c"`
-	GPUs     float64 `json:"g,omitempty"`
-	MemoryGB float64 `json:"m"`
-}
-
-const epsilon = 1e-6
-
-// Fits reports whether s fits into free.
-func (s Resources) Fits(free Resources) bool {
-	return s.CPUs <= free.CPUs+epsilon && s.GPUs <= free.GPUs+epsilon && s.MemoryGB <= free.MemoryGB+epsilon
-}
-
-// Add returns s plus f times o.
-func (s Resources) Add(o Resources, f float64) Resources {
-	return Resources{s.CPUs + f*o.CPUs, s.GPUs + f*o.GPUs, s.MemoryGB + f*o.MemoryGB}
-}
-
-// CountFitting is how many of s fit into free side by side, at most so many.
-func (s Resources) CountFitting(free Resources, most int) int {
-	k := float64(most)
-	for _, r := range [...][2]float64{{s.CPUs, free.CPUs}, {s.GPUs, free.GPUs}, {s.MemoryGB, free.MemoryGB}} {
-		if r[0] > 0 {
-			k = math.Min(k, math.Floor((r[1]+epsilon)/r[0]))
-		}
-	}
-	return max(0, int(k))
-}
-
-// Scale returns f times s.
-func (s Resources) Scale(f float64) Resources { return Resources{}.Add(s, f) }
-
-// Allocation is a task that holds, or will hold, resources of a machine.
+// Allocation is a task that holds, or will hold, resources of a worker.
 type Allocation struct {
 	Resources  Resources
 	RemainingS float64 // seconds it will still hold them
 }
 
-// WaitRow is a row of a wait-time matrix: what is free from a wait on, until the
+// WaitRow is a row of a wait-time matrix: what is free from a wait in seconds on, until the
 // next row's.
 type WaitRow struct {
 	Wait float64   `json:"w"`
 	Free Resources `json:"f"`
 }
 
-// WaitMatrix is a machine's wait-time matrix with cells where they matter: its
-// rows stand at the waits at which the free amounts change, so that a look-up
-// is exact for every size of task, GPUs included.
+// WaitMatrix is a worker's wait-time matrix with cells where they matter: its rows stand, in
+// ascending order, at the waits at which the free amounts change, the first at 0. So a
+// look-up is exact for every size of task, GPUs included.
 type WaitMatrix []WaitRow
 
-// NewWaitMatrix simulates a machine: what runs leaves after its remaining time,
-// and what is queued starts in order as soon as it fits.
-func NewWaitMatrix(total Resources, running []Allocation, queued []Allocation) WaitMatrix {
+// NewWaitMatrix simulates a worker: what runs leaves after its remaining time, and what is
+// queued starts in order as soon as it fits.
+func NewWaitMatrix(total Resources, running, queued []Allocation) WaitMatrix {
 	sorted := append([]Allocation(nil), running...)
 	slices.SortFunc(sorted, func(a, b Allocation) int { return cmp.Compare(a.RemainingS, b.RemainingS) })
 	free := total
-	for _, u := range sorted {
-		free = free.Add(u.Resources, -1)
+	for _, allocation := range sorted {
+		free = free.Add(allocation.Resources, -1)
 	}
 	m := make(WaitMatrix, 1, len(sorted)+1)
 	m[0].Free = free
-	for _, u := range sorted {
-		free = free.Add(u.Resources, 1)
-		left := math.Max(0, u.RemainingS)
-		if last := &m[len(m)-1]; last.Wait >= left {
+	for _, allocation := range sorted {
+		free = free.Add(allocation.Resources, 1)
+		remainingS := math.Max(0, allocation.RemainingS)
+		if last := &m[len(m)-1]; last.Wait >= remainingS {
 			last.Free = free
 			continue
 		}
-		m = append(m, WaitRow{left, free})
+		m = append(m, WaitRow{remainingS, free})
 	}
-	for _, u := range queued {
-		if w := m.Wait(u.Resources, u.RemainingS); !math.IsInf(w, 1) {
-			m = m.Reserve(u.Resources, w, u.RemainingS)
+	for _, allocation := range queued {
+		if waitS := m.Wait(allocation.Resources, allocation.RemainingS); !math.IsInf(waitS, 1) {
+			m = m.Reserve(allocation.Resources, waitS, allocation.RemainingS)
 		}
 	}
 	return m
 }
 
-// Wait looks up how long a task of this shape would wait; infinite if it
-// never fits for as long as it runs.
-func (m WaitMatrix) Wait(s Resources, run float64) float64 {
-	return m.WaitWithin(s, run, math.Inf(1))
+// Wait is for how many seconds a task of this size that runs for runS would wait; +Inf if
+// it never fits for as long as it runs.
+func (m WaitMatrix) Wait(size Resources, runS float64) float64 {
+	return m.WaitWithin(size, runS, math.Inf(1))
 }
 
-// WaitWithin is Wait for a caller to whom any wait above most is the same as
-// an infinite one.
-func (m WaitMatrix) WaitWithin(s Resources, run, most float64) float64 {
+// WaitWithin is Wait for a caller to whom any wait above limitS is the same as an infinite
+// one.
+func (m WaitMatrix) WaitWithin(size Resources, runS, limitS float64) float64 {
 	start := -1
 	for i := range m {
-		if start >= 0 && m[i].Wait >= m[start].Wait+run {
+		if start >= 0 && m[i].Wait >= m[start].Wait+runS {
 			break
 		}
 		switch {
-		case !s.Fits(m[i].Free):
+		case !size.Fits(m[i].Free):
 			start = -1
 		case start < 0:
 			start = i
 		}
-		if start < 0 && i+1 < len(m) && m[i+1].Wait > most {
+		if start < 0 && i+1 < len(m) && m[i+1].Wait > limitS {
 			return math.Inf(1)
 		}
 	}
@@ -118,63 +82,66 @@
 	return m[start].Wait
 }
 
-// CountFitting is how many tasks of this shape can start together after a wait, at most
-// so many.
-func (m WaitMatrix) CountFitting(s Resources, wait, run float64, most int) int {
+// CountFitting is how many tasks of this size that run for runS can start together after
+// waitS, at most limit.
+func (m WaitMatrix) CountFitting(size Resources, waitS, runS float64, limit int) int {
 	for i := range m {
 		switch {
-		case i+1 < len(m) && m[i+1].Wait <= wait: // over by then
-		case m[i].Wait >= wait+run:
-			return most
+		case i+1 < len(m) && m[i+1].Wait <= waitS: // over by then
+		case m[i].Wait >= waitS+runS:
+			return limit
 		default:
-			most = s.CountFitting(m[i].Free, most)
+			limit = size.CountFitting(m[i].Free, limit)
 		}
 	}
-	return most
+	return limit
 }
 
-// Reserve returns the matrix after a task takes its resources from a wait on.
-func (m WaitMatrix) Reserve(s Resources, wait, run float64) WaitMatrix {
-	end := wait + run
-	out := make(WaitMatrix, 0, len(m)+2)
-	at := func(t float64) Resources {
-		f := m[0].Free
-		for _, r := range m {
-			if r.Wait > t {
-				break
-			}
-			f = r.Free
+// freeAt is what is free after waitS.
+func (m WaitMatrix) freeAt(waitS float64) Resources {
+	free := m[0].Free
+	for _, row := range m {
+		if row.Wait > waitS {
+			break
 		}
-		return f
+		free = row.Free
 	}
-	put := func(t float64) {
-		f := at(t)
-		if t >= wait && t < end {
-			f = f.Add(s, -1)
+	return free
+}
+
+// Reserve returns the matrix after a task takes its resources from waitS on for runS. It
+// leaves m as it is.
+func (m WaitMatrix) Reserve(size Resources, waitS, runS float64) WaitMatrix {
+	endS := waitS + runS
+	out := make(WaitMatrix, 0, len(m)+2)
+	appendRow := func(atS float64) {
+		free := m.freeAt(atS)
+		if atS >= waitS && atS < endS {
+			free = free.Add(size, -1)
 		}
-		out = append(out, WaitRow{t, f})
+		out = append(out, WaitRow{atS, free})
 	}
-	startIn, endIn := false, false
-	for _, r := range m {
-		if !startIn && r.Wait >= wait {
-			if r.Wait > wait {
-				put(wait)
+	startPassed, endPassed := false, false
+	for _, row := range m {
+		if !startPassed && row.Wait >= waitS {
+			if row.Wait > waitS {
+				appendRow(waitS)
 			}
-			startIn = true
+			startPassed = true
 		}
-		if !endIn && r.Wait >= end {
-			if r.Wait > end {
-				put(end)
+		if !endPassed && row.Wait >= endS {
+			if row.Wait > endS {
+				appendRow(endS)
 			}
-			endIn = true
+			endPassed = true
 		}
-		put(r.Wait)
+		appendRow(row.Wait)
 	}
-	if !startIn {
-		put(wait)
+	if !startPassed {
+		appendRow(waitS)
 	}
-	if !endIn {
-		put(end)
+	if !endPassed {
+		appendRow(endS)
 	}
 	return out
 }
--- a/internal/matching/placement_test.go
+++ b/internal/matching/placement_test.go
@@ -10,8 +10,10 @@
 )
 
 var shapes = rapid.Custom(func(t *rapid.T) matching.Resources {
-	return matching.Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
-		MemoryGB: float64(rapid.IntRange(1, 6).Draw(t, "memory"))}
+	return matching.Resources{
+		CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
+		MemoryGB: float64(rapid.IntRange(1, 6).Draw(t, "memory")),
+	}
 })
 
 var uses = rapid.Custom(func(t *rapid.T) matching.Allocation {
@@ -88,17 +90,17 @@
 		for i := range cost {
 			cost[i] = rapid.Permutation([]float64{1, 2, 4, 8, 16}[:nm]).Draw(t, "costs")
 			for m, c := range cost[i] {
-				options[i] = append(options[i], matching.Candidate{Machine: m, Cost: c, Wait: c})
+				options[i] = append(options[i], matching.Candidate{Worker: m, Cost: c, WaitS: c})
 			}
 		}
 		pairs := matching.Match(options, 10)
 		machineOf, taskOf := map[int]int{}, map[int]int{}
 		for k, p := range pairs {
-			if _, twice := taskOf[p.Machine]; twice {
-				t.Fatalf("machine %d got two tasks", p.Machine)
+			if _, twice := taskOf[p.Worker]; twice {
+				t.Fatalf("machine %d got two tasks", p.Worker)
 			}
-			taskOf[p.Machine], machineOf[p.Task] = p.Task, p.Machine
-			if k > 0 && pairs[k-1].Wait > p.Wait {
+			taskOf[p.Worker], machineOf[p.Task] = p.Task, p.Worker
+			if k > 0 && pairs[k-1].WaitS > p.WaitS {
 				t.Fatal("not in order of wait")
 			}
 		}
--- a/internal/planner/batch.go
+++ b/internal/planner/batch.go
@@ -1,135 +1,129 @@
 package planner
 
 import (
-	"math"
 	"math/rand/v2"
 
 	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
-// batch matches up to limit tasks of the jobs and dispatches the matches that
-// wait no longer than the horizon.
+// matchRounds is the number of rounds of proposals in a batch.
+const matchRounds = 4
+
+// placeBatch matches up to limit tasks of the jobs, gangs aside, to workers where they
+// start within the horizon, and places them, the lowest wait first. It returns how many
+// tasks of each job it placed.
 func (p *Planner) placeBatch(jobs []*jobstate.Job, open []*jobstate.Worker, limit int) map[*jobstate.Job]int {
-	var options [][]matching.Candidate
-	var of []*jobstate.Job
-	arena, opts := p.arena[:0], p.options
-	defer func() { p.arena, p.options = arena, opts }()
+	candidates, jobOf := p.batchCandidates(jobs, open, limit)
+	placed := map[*jobstate.Job]int{}
+	for _, pair := range matching.Match(candidates, matchRounds) {
+		job := jobOf[pair.Task]
+		worker := p.state.WorkersByIndex[pair.Worker]
+		if !p.queueFitsLimit(job, 1) || !p.zoneFits(job, worker) {
+			continue
+		}
+		p.placePending(job, worker, pair.WaitS)
+		placed[job]++
+	}
+	return placed
+}
+
+// batchCandidates returns the candidates of up to limit tasks of the jobs, gangs aside, and
+// the job of each of these tasks. They are valid until the next call: all share an arena
+// that is kept, since else they are most of what a pass allocates.
+func (p *Planner) batchCandidates(jobs []*jobstate.Job, open []*jobstate.Worker, limit int) (candidates [][]matching.Candidate, jobOf []*jobstate.Job) {
+	arena, ofJob := p.arena[:0], p.jobArena
 	for _, job := range jobs {
 		if job.Spec.Gang() {
 			continue
 		}
-		opts = opts[:0]
-		for _, worker := range p.candidates(job, p.workersWithRoom(job, open)) {
-			if e, ok := p.estimate(job, worker); ok && e.wait <= p.state.Operator.HorizonS {
-				opts = append(opts, matching.Candidate{Machine: worker.Index, Wait: e.wait, Cost: e.cost})
-			}
-		}
-		if len(opts) == 0 {
+		ofJob = p.appendCandidates(ofJob[:0], job, open)
+		if len(ofJob) == 0 {
 			continue
 		}
-		for k := 0; k < min(p.state.PlaceableTasks(job), len(opts)) && len(options) < limit; k++ {
-			// Each task draws its own random term. All of a batch's options
-			// share an arena, which was most of what a pass allocated.
+		for range min(p.state.PlaceableTasks(job), len(ofJob)) {
+			if len(candidates) >= limit {
+				break
+			}
 			from := len(arena)
-			for _, x := range opts {
-				x.Cost += rand.Float64() * p.state.Operator.RandomS
-				arena = append(arena, x)
+			for _, candidate := range ofJob {
+				candidate.Cost += rand.Float64() * p.state.Operator.RandomS // each task draws its own
+				arena = append(arena, candidate)
 			}
-			options = append(options, arena[from:len(arena):len(arena)])
-			of = append(of, job)
+			candidates = append(candidates, arena[from:len(arena):len(arena)])
+			jobOf = append(jobOf, job)
 		}
 	}
-	placed := map[*jobstate.Job]int{}
-	for _, pair := range matching.Match(options, matchRounds) {
-		job := of[pair.Task]
-		worker := p.state.WorkersByIndex[pair.Machine]
-		if !p.roomInLimit(job, 1) || !p.zoneFits(job, worker) {
-			continue
+	p.arena, p.jobArena = arena, ofJob
+	return candidates, jobOf
+}
+
+// appendCandidates appends the workers where a task of the job starts within the horizon.
+func (p *Planner) appendCandidates(to []matching.Candidate, job *jobstate.Job, open []*jobstate.Worker) []matching.Candidate {
+	for _, worker := range p.candidates(job, p.workersWithRoom(job, open)) {
+		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.HorizonS {
+			to = append(to, matching.Candidate{Worker: worker.Index, WaitS: e.waitS, Cost: e.cost})
 		}
-		t := job.Pending[len(job.Pending)-1]
-		job.Pending = job.Pending[:len(job.Pending)-1]
-		p.placeTask(job, t, worker, pair.Wait)
-		placed[job]++
 	}
-	return placed
+	return to
 }
 
-// zoneFits reports whether one more place there agrees with the zones of the
-// job's other places, granted or not.
-func (o *Planner) zoneFits(job *jobstate.Job, worker *jobstate.Worker) bool {
+// zoneFits reports whether one more placement on the worker agrees with the zones of the
+// job's other placements, granted or not.
+func (p *Planner) zoneFits(job *jobstate.Job, worker *jobstate.Worker) bool {
 	if !job.Spec.OneZone && !job.Spec.Spread {
 		return true
 	}
-	there := 1
-	for _, ps := range job.Placements {
-		for _, placement := range ps {
+	inZone := 1
+	for _, placements := range job.Placements {
+		for _, placement := range placements {
 			same := placement.Worker.View.Zone == worker.View.Zone
 			if job.Spec.OneZone && !same && !placement.Exited {
 				return false
 			}
 			if same && !placement.Exited {
-				there++
+				inZone++
 			}
 		}
 	}
-	return !job.Spec.Spread || there <= (job.Spec.Tasks+1)/2
+	return !job.Spec.Spread || inZone <= maxTasksInZone(job)
 }
 
-// roomInLimit keeps a team's queued work within its limit too, so that tasks
-// that can't be granted yet do not clog the queues.
-func (o *Planner) roomInLimit(job *jobstate.Job, more int) bool {
+// maxTasksInZone is how many tasks of a job that is spread over zones may be in one.
+func maxTasksInZone(job *jobstate.Job) int { return (job.Spec.Tasks + 1) / 2 }
+
+// queueFitsLimit reports whether the job's team stays within its limit with n more tasks of
+// the job, counting what is only queued too: tasks that can't be granted yet would clog the
+// queues.
+func (p *Planner) queueFitsLimit(job *jobstate.Job, n int) bool {
 	team := job.Team
 	if team.CPUsMax <= 0 && team.GPUsMax <= 0 {
 		return true
 	}
-	queued := team.Used
+	used := team.Used
 	if team.Leased != nil {
-		queued = team.Leased.UsedByShard[job.Shard]
+		used = team.Leased.UsedByShard[job.Shard]
 	}
-	for _, x := range o.state.JobOrder {
-		if x.Team != team || team.Leased != nil && x.Shard != job.Shard {
-			continue
-		}
-		for _, ps := range x.Placements {
-			for _, placement := range ps {
-				if !placement.MayRun() && !placement.Exited {
-					queued = queued.Add(x.Resources, 1)
-				}
-			}
+	for _, other := range p.state.JobOrder {
+		if other.Team == team && (team.Leased == nil || other.Shard == job.Shard) {
+			used = addQueued(used, other)
 		}
 	}
-	queued = queued.Add(job.Resources, float64(more))
+	used = used.Add(job.Resources, float64(n))
 	if team.Leased != nil {
-		return team.Allows(job.Shard, queued)
+		return team.Allows(job.Shard, used)
 	}
-	return (team.CPUsMax <= 0 || queued.CPUs <= team.CPUsMax+1e-6) && (team.GPUsMax <= 0 || queued.GPUs <= team.GPUsMax+1e-6)
+	return (team.CPUsMax <= 0 || used.CPUs <= team.CPUsMax+limitTolerance) && (team.GPUsMax <= 0 || used.GPUs <= team.GPUsMax+limitTolerance)
 }
 
-// hold keeps, for this pass, the room that jobs which found no place soon
-// would get first, so that small tasks of lower priority do not fill every gap
-// before it grows large enough.
-func (p *Planner) reserveRoom(jobs []*jobstate.Job, open []*jobstate.Worker) {
-	budget := holdTasks
-	for _, job := range jobs {
-		for n := min(p.state.PlaceableTasks(job), budget); n > 0; n-- {
-			var best *jobstate.Worker
-			soonest := math.Inf(1)
-			run := job.RunEstimate()
-			for _, worker := range open {
-				if worker.Cordoned || !p.state.Allowed(job, worker) || !p.state.FitsLease(job, worker) {
-					continue
-				}
-				if w := worker.Matrix.WaitWithin(job.Resources, run, min(soonest, holdWithin)); w < soonest && w <= holdWithin {
-					best, soonest = worker, w
-				}
-			}
-			if best == nil {
-				break
+// addQueued adds the resources of the job's placements without a grant.
+func addQueued(used matching.Resources, job *jobstate.Job) matching.Resources {
+	for _, placements := range job.Placements {
+		for _, placement := range placements {
+			if !placement.MayRun() && !placement.Exited {
+				used = used.Add(job.Resources, 1)
 			}
-			best.Matrix = best.Matrix.Reserve(job.Resources, soonest, run)
-			best.RoomReserved = true
-			budget--
 		}
 	}
+	return used
 }
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -3,108 +3,125 @@
 import (
 	"math/rand/v2"
 
-	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// openMachines lists the machines that may take work, in order of their index.
-func (p *Planner) openMachines() []*jobstate.Worker {
+const (
+	fullSearch     = 64  // up to so many workers with room, every one is a candidate
+	sampledWorkers = 512 // workers without the image that are looked at for a job, at most
+	nearCandidates = fullSearch / 2
+	idleCandidates = 2
+)
+
+// openWorkers lists the workers that may take work, in the order of their index.
+func (p *Planner) openWorkers() []*jobstate.Worker {
 	var open []*jobstate.Worker
-	fresh := config.Seconds(3*p.state.Platform.Params.Workers.ReportS + 1)
+	timeout := p.heartbeatTimeout()
 	for _, worker := range p.state.WorkersByIndex {
-		if worker != nil && !worker.Gone && (!worker.Cordoned || p.staysOccupied(worker)) && worker.UnresponsiveSince.IsZero() && !worker.View.Draining && worker.NoticeAt.IsZero() && len(worker.Matrix) > 0 && p.state.Now.Sub(worker.LastHeartbeat) < fresh {
+		if worker == nil || worker.Gone || worker.Cordoned && !p.staysOccupied(worker) {
+			continue
+		}
+		if worker.UnresponsiveSince.IsZero() && !worker.View.Draining && worker.NoticeAt.IsZero() &&
+			len(worker.Matrix) > 0 && p.state.Now.Sub(worker.LastHeartbeat) < timeout {
 			open = append(open, worker)
 		}
 	}
 	return open
 }
 
+// imageRequirements is what a job requires of a worker that caches its image.
 type imageRequirements struct {
 	jobstate.Requirements
 	image int
 }
 
-// forgetRoom begins a pass: what had room in the last one may have none.
+// resetRoom begins a pass: what had room in the last one may have none.
 func (p *Planner) resetRoom() {
-	clear(p.rooms)
-	clear(p.cachers)
+	clear(p.roomy)
+	clear(p.caching)
 }
 
-// roomFor lists the machines where a task of the job may run and fits within the
-// horizon, as of the first time that a job like it asked in this pass. Within a pass
-// room only shrinks: what the list has beyond it is found out by its estimate. On a
-// busy fleet the lists are short, and jobs alike share one, so that a pass costs what
-// has room, and not the fleet for each job.
+// workersWithRoom lists the workers where a task of the job may run and fits within the
+// horizon, as of the first call in this pass for a job with the same requirements. Room
+// only shrinks within a pass: estimate drops the workers that have none any more. Jobs
+// alike share a list, so that the cost of a pass grows with the room and not with the
+// workers times the jobs.
 func (p *Planner) workersWithRoom(job *jobstate.Job, open []*jobstate.Worker) []*jobstate.Worker {
 	key := job.Requirements()
-	if ms, known := p.rooms[key]; known {
-		return ms
+	if known, ok := p.roomy[key]; ok {
+		return known
 	}
-	ms := []*jobstate.Worker{}
+	roomy := []*jobstate.Worker{}
 	for _, worker := range open {
-		if !p.state.Allowed(job, worker) || !p.state.FitsLease(job, worker) {
-			continue
+		if p.state.Allowed(job, worker) && p.state.FitsLease(job, worker) && p.hasRoom(job, worker) {
+			roomy = append(roomy, worker)
 		}
-		most := p.state.Operator.HorizonS + p.state.Now.Sub(worker.ViewAt).Seconds()
-		for _, r := range worker.Matrix {
-			if r.Wait > most {
-				break
-			}
-			if job.Resources.Fits(r.Free) {
-				ms = append(ms, worker)
-				break
-			}
+	}
+	p.roomy[key] = roomy
+	return roomy
+}
+
+// hasRoom reports whether a task of the job fits on the worker at some time within the
+// horizon, for however short.
+func (p *Planner) hasRoom(job *jobstate.Job, worker *jobstate.Worker) bool {
+	horizonS := p.state.Operator.HorizonS + p.state.Now.Sub(worker.ViewAt).Seconds()
+	for _, row := range worker.Matrix {
+		if row.Wait > horizonS {
+			return false
+		}
+		if job.Resources.Fits(row.Free) {
+			return true
 		}
 	}
-	p.rooms[key] = ms
-	return ms
+	return false
 }
 
-// caching lists those of the machines with room for the job that have its image.
-func (p *Planner) workersCaching(job *jobstate.Job, image int, room []*jobstate.Worker) []*jobstate.Worker {
+// workersCaching lists those of the workers with room for the job that have its image, as
+// of the first call in this pass for such a job.
+func (p *Planner) workersCaching(job *jobstate.Job, image int, roomy []*jobstate.Worker) []*jobstate.Worker {
 	key := imageRequirements{job.Requirements(), image}
-	ms, known := p.cachers[key]
+	caching, known := p.caching[key]
 	if !known {
-		ms = []*jobstate.Worker{}
-		for _, worker := range room {
+		caching = []*jobstate.Worker{}
+		for _, worker := range roomy {
 			if worker.Images[image] != nil {
-				ms = append(ms, worker)
+				caching = append(caching, worker)
 			}
 		}
-		p.cachers[key] = ms
+		p.caching[key] = caching
 	}
-	return ms
+	return caching
 }
 
-// candidates limits the search for a job among the machines with room for it: where
-// those are many, to ones that cache the image, those in their zones, and two light
-// ones, looked for from a random one on and not for ever.
-func (p *Planner) candidates(job *jobstate.Job, room []*jobstate.Worker) []*jobstate.Worker {
-	if len(room) <= wholeFleet {
-		return room
+// candidates picks from the workers with room for a job those to be estimated. Where they
+// are more than fullSearch, it takes workers that cache the image, then, from a random one
+// on, workers in the zones of those and some with room now, of sampledWorkers at most.
+func (p *Planner) candidates(job *jobstate.Job, roomy []*jobstate.Worker) []*jobstate.Worker {
+	if len(roomy) <= fullSearch {
+		return roomy
 	}
 	image := p.state.Images.Of(job.Spec.Image)
 	zones := map[string]bool{}
-	out := make([]*jobstate.Worker, 0, 2*wholeFleet)
-	caching := p.workersCaching(job, image, room)
-	for i, start := 0, rand.IntN(max(1, len(caching))); i < len(caching) && len(out) < wholeFleet; i++ {
+	picked := make([]*jobstate.Worker, 0, 2*fullSearch)
+	caching := p.workersCaching(job, image, roomy)
+	for i, start := 0, rand.IntN(max(1, len(caching))); i < len(caching) && len(picked) < fullSearch; i++ {
 		worker := caching[(start+i)%len(caching)]
 		zones[worker.View.Zone] = true
-		out = append(out, worker)
+		picked = append(picked, worker)
 	}
-	near, light := 0, 0
-	start := rand.IntN(len(room))
-	for i := 0; i < min(len(room), lookedAt) && (near < wholeFleet/2 || light < 2); i++ {
-		worker := room[(start+i)%len(room)]
+	near, idle := 0, 0
+	start := rand.IntN(len(roomy))
+	for i := 0; i < min(len(roomy), sampledWorkers) && (near < nearCandidates || idle < idleCandidates); i++ {
+		worker := roomy[(start+i)%len(roomy)]
 		switch {
 		case worker.Images[image] != nil:
-		case near < wholeFleet/2 && zones[worker.View.Zone]:
+		case near < nearCandidates && zones[worker.View.Zone]:
 			near++
-			out = append(out, worker)
-		case light < 2 && job.Resources.Fits(worker.Matrix[0].Free):
-			light++
-			out = append(out, worker)
+			picked = append(picked, worker)
+		case idle < idleCandidates && job.Resources.Fits(worker.Matrix[0].Free):
+			idle++
+			picked = append(picked, worker)
 		}
 	}
-	return out
+	return picked
 }
--- a/internal/planner/cordoned.go
+++ b/internal/planner/cordoned.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// closingQueueWait is how long a task may wait on a closing machine for its grant.
-	closingQueueWait = 3 * time.Second
-	// minOccupied is the least number of seconds for which a closing machine must stay
+	// cordonedQueueWait is how long a task may wait on a cordoned worker for its grant.
+	cordonedQueueWait = 3 * time.Second
+	// minOccupiedS is the least number of seconds for which a cordoned worker must stay
 	// occupied to take short tasks meanwhile.
-	minOccupied = 15
+	minOccupiedS = 15
 )
 
-// staysOccupied reports whether tasks that evacuate doesn't stop occupy a closing machine
-// for at least minOccupied seconds, which are paid for in any case, and notes for how long.
-func (o *Planner) staysOccupied(worker *jobstate.Worker) bool {
+// staysOccupied reports whether tasks that Evict doesn't stop occupy a cordoned worker for
+// at least minOccupiedS, which is paid for in any case. It sets the worker's OccupiedFor.
+func (p *Planner) staysOccupied(worker *jobstate.Worker) bool {
 	worker.OccupiedFor = 0
 	for placement := range worker.Placements {
 		if placement.Exited || !placement.HaltedAt.IsZero() || placement.RunningSince.IsZero() {
 			continue
 		}
-		if _, stoppable := o.evictable(placement); stoppable {
+		if _, ok := p.evictable(placement); ok {
 			continue
 		}
-		left := placement.Job.RunEstimate() - o.state.Now.Sub(placement.RunningSince).Seconds()
-		worker.OccupiedFor = math.Max(worker.OccupiedFor, left)
+		leftS := placement.Job.RunEstimate() - p.state.Now.Sub(placement.RunningSince).Seconds()
+		worker.OccupiedFor = math.Max(worker.OccupiedFor, leftS)
 	}
-	return worker.OccupiedFor >= minOccupied
+	return worker.OccupiedFor >= minOccupiedS
 }
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -7,66 +7,69 @@
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
-// wait looks a wait up; an older matrix is read at a larger cell.
-func (p *Planner) wait(worker *jobstate.Worker, s matching.Resources, run float64) float64 {
-	age := p.state.Now.Sub(worker.ViewAt).Seconds()
-	if over := age - 1.5*p.state.Platform.Params.Workers.ReportS; over > 0 {
-		s = s.Scale(1 + min(0.5, 0.05*over))
+// wait is for how many seconds a task of this size that runs for runS would wait on the
+// worker; +Inf if it never fits. An overdue matrix is read for a larger task, since others
+// may have taken room meanwhile.
+func (p *Planner) wait(worker *jobstate.Worker, size matching.Resources, runS float64) float64 {
+	ageS := p.state.Now.Sub(worker.ViewAt).Seconds()
+	if overdueS := ageS - 1.5*p.state.Platform.Params.Workers.ReportS; overdueS > 0 {
+		size = size.Scale(1 + min(0.5, 0.05*overdueS))
 	}
-	return max(0, worker.Matrix.WaitWithin(s, run, p.state.Operator.HorizonS+age)-age)
+	return max(0, worker.Matrix.WaitWithin(size, runS, p.state.Operator.HorizonS+ageS)-ageS)
 }
 
-type Estimate struct{ wait, cost, fetch float64 }
+// estimate is what a task is expected to meet on a worker.
+type estimate struct {
+	waitS  float64 // until its resources are free
+	cost   float64 // see matching.Cost; the operator's additions included
+	fetchS float64 // of its image
+}
+
+// eligible reports whether one more task of the job may be placed on the worker, room
+// aside.
+func (p *Planner) eligible(job *jobstate.Job, worker *jobstate.Worker) bool {
+	return p.state.Allowed(job, worker) && p.state.FitsZone(job, worker) && p.state.UnderLimit(job) && p.state.FitsLease(job, worker)
+}
 
-func (p *Planner) estimate(job *jobstate.Job, worker *jobstate.Worker) (Estimate, bool) {
-	if !p.state.Allowed(job, worker) || !p.state.FitsZone(job, worker) || !p.state.UnderLimit(job) || !p.state.FitsLease(job, worker) {
-		return Estimate{}, false
+// estimate estimates a task of the job on the worker; ok is false if it may not be placed
+// there or never fits. It forgets that the job avoids the worker once that is over.
+func (p *Planner) estimate(job *jobstate.Job, worker *jobstate.Worker) (e estimate, ok bool) {
+	if !p.eligible(job, worker) {
+		return estimate{}, false
 	}
-	if until, ok := job.Avoid[worker.Index]; len(job.Avoid) > 0 && ok {
+	if until, avoided := job.Avoid[worker.Index]; len(job.Avoid) > 0 && avoided {
 		if p.state.Now.Before(until) {
-			return Estimate{}, false
+			return estimate{}, false
 		}
 		delete(job.Avoid, worker.Index)
 	}
-	run, fetch := job.RunEstimate(), p.state.FetchTime(job, worker)
-	if worker.Cordoned && !worker.EndsWhileOccupied(fetch+run) {
-		return Estimate{}, false
-	}
-	w := p.wait(worker, job.Resources, fetch+run)
-	if math.IsInf(w, 1) {
-		return Estimate{}, false
+	runS, fetchS := job.RunEstimate(), p.state.FetchTime(job, worker)
+	if worker.Cordoned && !worker.EndsWhileOccupied(fetchS+runS) {
+		return estimate{}, false
 	}
-	c := matching.Cost(fetch, w, run, p.state.SuccessRate(worker), p.state.Operator.KFail)
-	if p.startLate(job, w+fetch) {
-		c += p.state.Operator.LateS
+	waitS := p.wait(worker, job.Resources, fetchS+runS)
+	if math.IsInf(waitS, 1) {
+		return estimate{}, false
 	}
-	return Estimate{w, c + p.packing(worker, c), fetch}, true
-}
-
-// startLate reports whether a task that starts after so many seconds misses an
-// aim for its class's starts that it could still meet.
-func (p *Planner) startLate(job *jobstate.Job, after float64) bool {
-	age := p.state.Now.Sub(job.AcceptedAt).Seconds()
-	for _, within := range job.Class.StartAims {
-		if age < within && age+after+jobstate.StartTakes > within {
-			return true
-		}
+	cost := matching.Cost(fetchS, waitS, runS, p.state.SuccessRate(worker), p.state.Operator.KFail)
+	if p.startsLate(job, waitS+fetchS) {
+		cost += p.state.Operator.LateS
 	}
-	return false
+	return estimate{waitS, cost + p.packing(worker, cost), fetchS}, true
 }
 
-// packing is added to C so that of machines which would finish a task at about
-// the same time the cheap and the fuller one wins, and others fall idle and
-// can be returned. What a dear machine costs more grows with the task.
-func (p *Planner) packing(worker *jobstate.Worker, c float64) float64 {
-	t := p.state.TypeOf(worker)
-	if t.CPUs <= 0 {
+// packing is added to a cost so that of workers which would finish a task at about the
+// same time the cheaper and the fuller one wins, and others become idle and can be scaled
+// in. What an on-demand worker costs more grows with the task.
+func (p *Planner) packing(worker *jobstate.Worker, cost float64) float64 {
+	machine := p.state.TypeOf(worker)
+	if machine.CPUs <= 0 {
 		return 0
 	}
-	free := max(0, worker.Matrix[0].Free.CPUs) / t.CPUs
-	dear := 0.0
-	if !worker.View.Spot && t.SpotPrice > 0 {
-		dear = max(0, t.Price/t.SpotPrice-1)
+	freeShare := max(0, worker.Matrix[0].Free.CPUs) / machine.CPUs
+	surcharge := 0.0 // of the on-demand price, relative to the spot price
+	if !worker.View.Spot && machine.SpotPrice > 0 {
+		surcharge = max(0, machine.Price/machine.SpotPrice-1)
 	}
-	return p.state.Operator.PackS*free*(1+dear) + p.state.Operator.DearShare*c*dear
+	return p.state.Operator.PackS*freeShare*(1+surcharge) + p.state.Operator.DearShare*cost*surcharge
 }
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 
 	"github.com/wallrack/wallrack/internal/jobstate"
@@ -9,156 +10,128 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Demand is work that waits.
+// Demand is waiting tasks of a job, or of several jobs that are alike for planning.
 type Demand struct {
-	Shape matching.Resources `json:"Shape"`
-	Job   *wire.Job          `json:"Job"`
-	Count int                `json:"Count"`
-	Run   float64            `json:"Run"`
+	Shape matching.Resources `json:"Shape"` // of a task
+	Job   *wire.Job          `json:"Job"`   // one of the jobs
+	Count int                `json:"Count"` // of tasks
+	Run   float64            `json:"Run"`   // seconds that a task is expected to run, on average
 	Rank  int                `json:"Rank"`
-	Slack float64            `json:"Slack"` // how long it may wait and still meet an aim that a new machine can help with
+	Slack float64            `json:"Slack"` // seconds that it may wait and still meet an aim that a new worker can help with
 }
 
-// demandKey is what makes waiting work alike for planning.
-type demandKey struct {
-	room       jobstate.Requirements
-	rank       int
-	run, slack int
+// WorkerLoad is a worker as the autoscaler sees it.
+type WorkerLoad struct {
+	Name    string              `json:"Name"`
+	Type    string              `json:"Type"`
+	Zone    string              `json:"Zone"`
+	Spot    bool                `json:"Spot"`
+	Notice  bool                `json:"Notice"` // the cloud takes the machine soon
+	Faulty  bool                `json:"Faulty"` // it fails tasks that run elsewhere
+	Matrix  matching.WaitMatrix `json:"Matrix"`
+	Used    matching.Resources  `json:"Used"`    // by tasks that may run
+	Heard   time.Time           `json:"Heard"`   // last heartbeat
+	Existed time.Time           `json:"Existed"` // last heartbeat, or when this leader first knew of the worker
+	Places  int                 `json:"Places"`  // placements
 }
 
-// nearly is the same for times, in seconds, that differ by less than about a tenth.
-func nearly(s float64) int { return int(math.Log(max(s, 1)) / math.Log(1.1)) }
+// Demand returns the work that waits for a worker, most urgent first, and the load of each
+// worker. A new worker is ready after bootS seconds. It takes the state's Mu.
+func (p *Planner) Demand(bootS float64) ([]Demand, []WorkerLoad) {
+	p.state.Mu.Lock()
+	defer p.state.Mu.Unlock()
+	p.state.Now = time.Now()
+	waiting, tasks := p.jobsInDemand()
+	p.SortJobs(waiting)
+	return p.groupDemand(waiting, tasks, bootS), p.workerLoads()
+}
 
-// Demand returns the work that has no machine yet, most urgent first, and what
-// each machine's future looks like. boot is how long a new machine takes.
-func (o *Planner) Demand(boot float64) ([]Demand, []WorkerLoad) {
-	o.state.Mu.Lock()
-	defer o.state.Mu.Unlock()
-	o.state.Now = time.Now()
-	var waiting []*jobstate.Job
-	count := map[*jobstate.Job]int{}
-	for _, job := range o.state.JobOrder {
+// jobsInDemand lists the jobs with tasks that wait, and how many tasks of each do.
+func (p *Planner) jobsInDemand() (waiting []*jobstate.Job, tasks map[*jobstate.Job]int) {
+	tasks = map[*jobstate.Job]int{}
+	for _, job := range p.state.JobOrder {
 		if job.Cancelled || job.EndStage != "" {
 			continue
 		}
-		n := o.state.WantedTasks(job) // machines are rented for all of it
-		for _, ps := range job.Placements {
-			waits := true
-			for _, placement := range ps {
-				waits = waits && !placement.MayRun() && !placement.Exited
-			}
-			if waits {
+		n := p.state.WantedTasks(job) // workers are provisioned for all of it
+		for _, placements := range job.Placements {
+			if !slices.ContainsFunc(placements, mayRunOrExited) {
 				n++
 			}
 		}
 		if n > 0 {
 			waiting = append(waiting, job)
-			count[job] = n
-		}
-	}
-	o.SortJobs(waiting)
-	ds := make([]Demand, 0, len(waiting))
-	like := map[demandKey]int{}
-	for _, job := range waiting {
-		d := Demand{Shape: job.Resources, Job: job.Spec, Count: count[job], Run: job.RunEstimate(), Rank: job.Spec.Rank(), Slack: o.slack(job, boot)}
-		if d.Job.Gang() || d.Job.Service() {
-			ds = append(ds, d)
-			continue
-		}
-		key := demandKey{job.Requirements(), d.Rank, nearly(d.Run), nearly(d.Slack)}
-		i, known := like[key]
-		if !known {
-			like[key] = len(ds)
-			ds = append(ds, d)
-			continue
-		}
-		// Planned together: a storm of tiny jobs, each planned for itself, takes
-		// a small controller's processor for seconds.
-		a := &ds[i]
-		all := float64(a.Count + d.Count)
-		a.Run = (a.Run*float64(a.Count) + d.Run*float64(d.Count)) / all
-		a.Slack = min(a.Slack, d.Slack)
-		a.Count += d.Count
-	}
-	var ls []WorkerLoad
-	for _, worker := range o.state.Workers {
-		worker.Type, _ = o.state.MachineTypes.Type(worker.View.Type) // prices move
-		l := WorkerLoad{Name: worker.Name, Type: worker.View.Type, Zone: worker.View.Zone, Spot: worker.View.Spot, Matrix: worker.Matrix, Heard: worker.LastHeartbeat, Existed: jobstate.Later(worker.LastHeartbeat, worker.KnownSince),
-			Places: len(worker.Placements), Notice: !worker.NoticeAt.IsZero(), Faulty: worker.Faulty()}
-		for placement := range worker.Placements {
-			if placement.MayRun() {
-				l.Used = l.Used.Add(placement.Job.Resources, 1)
-			}
+			tasks[job] = n
 		}
-		ls = append(ls, l)
 	}
-	return ds, ls
+	return waiting, tasks
 }
 
-// lateSlack is the patience with work that a new machine can't bring in time
-// any more: it should still move on.
-const lateSlack = 20
-
-// slack is how long the job's tasks may still wait and meet the next aim that
-// a machine rented now can help to meet.
-func (p *Planner) slack(job *jobstate.Job, boot float64) float64 {
-	age := p.state.Now.Sub(job.AcceptedAt).Seconds()
-	run := jobstate.Pessimism*job.RunEstimate() + jobstate.RestartTakes
-	best := math.Inf(1)
-	offer := func(s float64) {
-		if s >= boot && s < best {
-			best = s
-		}
-	}
-	for _, within := range job.Class.StartAims {
-		offer(within - age)
-	}
-	for _, limit := range p.state.Limits(job) {
-		offer(limit - age - run)
-	}
-	if math.IsInf(best, 1) {
-		return lateSlack
-	}
-	return best
+// mayRunOrExited reports whether a placement is more than queued.
+func mayRunOrExited(placement *jobstate.Placement) bool {
+	return placement.MayRun() || placement.Exited
 }
 
-// AdmittedWork returns how much work, in CPU-seconds, has been accepted since this
-// owner began.
-func (p *Planner) AdmittedWork() float64 {
-	p.state.Mu.Lock()
-	defer p.state.Mu.Unlock()
-	return p.state.AdmittedWork
+// demandKey is what makes waiting work alike for planning.
+type demandKey struct {
+	requirements jobstate.Requirements
+	rank         int
+	run, slack   int // see logScale
 }
 
-// SetCordoned tells which machines take no new work, so that they fall idle and
-// can be returned.
-func (p *Planner) SetCordoned(names map[string]bool) {
-	p.state.Mu.Lock()
-	defer p.state.Mu.Unlock()
-	for name, worker := range p.state.Workers {
-		worker.Cordoned = names[name]
+// logScale is the same for times, in seconds, that differ by less than about a tenth.
+func logScale(s float64) int { return int(math.Log(max(s, 1)) / math.Log(1.1)) }
+
+// groupDemand returns the demand of the jobs in their order, with that of jobs alike, gangs
+// and services aside, in one: many small jobs, each planned for itself, take a small
+// controller's processor for seconds.
+func (p *Planner) groupDemand(jobs []*jobstate.Job, tasks map[*jobstate.Job]int, bootS float64) []Demand {
+	groups := make([]Demand, 0, len(jobs))
+	indexOf := map[demandKey]int{}
+	for _, job := range jobs {
+		demand := Demand{
+			Shape: job.Resources, Job: job.Spec, Count: tasks[job], Run: job.RunEstimate(), Rank: job.Spec.Rank(), Slack: p.slack(job, bootS),
+		}
+		if job.Spec.Gang() || job.Spec.Service() {
+			groups = append(groups, demand)
+			continue
+		}
+		key := demandKey{job.Requirements(), demand.Rank, logScale(demand.Run), logScale(demand.Slack)}
+		i, known := indexOf[key]
+		if !known {
+			indexOf[key] = len(groups)
+			groups = append(groups, demand)
+			continue
+		}
+		groups[i].merge(&demand)
 	}
+	return groups
 }
 
-// WorkerLoad is a machine as fleet planning sees it.
-type WorkerLoad struct {
-	Name    string              `json:"Name"`
-	Type    string              `json:"Type"`
-	Zone    string              `json:"Zone"`
-	Spot    bool                `json:"Spot"`
-	Notice  bool                `json:"Notice"`
-	Faulty  bool                `json:"Faulty"`
-	Matrix  matching.WaitMatrix `json:"Matrix"`
-	Used    matching.Resources  `json:"Used"`
-	Heard   time.Time           `json:"Heard"`
-	Existed time.Time           `json:"Existed"` // when it was last heard, or when this owner took over what it knows of it
-	Places  int                 `json:"Places"`
+// merge adds the tasks of another demand that is alike.
+func (d *Demand) merge(other *Demand) {
+	sum := float64(d.Count + other.Count)
+	d.Run = (d.Run*float64(d.Count) + other.Run*float64(other.Count)) / sum
+	d.Slack = min(d.Slack, other.Slack)
+	d.Count += other.Count
 }
 
-// LeadsAutoscaling reports whether this owner leads the fleet: it owns the first shard.
-func (p *Planner) LeadsAutoscaling() bool {
-	p.state.Mu.Lock()
-	defer p.state.Mu.Unlock()
-	_, first := p.state.Loaded[0]
-	return first && p.state.Member.LeaseRemaining() > 0
+// workerLoads describes all workers; nil if there are none.
+func (p *Planner) workerLoads() []WorkerLoad {
+	loads := slices.Grow([]WorkerLoad(nil), len(p.state.Workers))
+	for _, worker := range p.state.Workers {
+		worker.Type, _ = p.state.MachineTypes.Type(worker.View.Type) // prices change
+		load := WorkerLoad{
+			Name: worker.Name, Type: worker.View.Type, Zone: worker.View.Zone, Spot: worker.View.Spot, Matrix: worker.Matrix,
+			Heard: worker.LastHeartbeat, Existed: jobstate.Later(worker.LastHeartbeat, worker.KnownSince),
+			Places: len(worker.Placements), Notice: !worker.NoticeAt.IsZero(), Faulty: worker.Faulty(),
+		}
+		for placement := range worker.Placements {
+			if placement.MayRun() {
+				load.Used = load.Used.Add(placement.Job.Resources, 1)
+			}
+		}
+		loads = append(loads, load)
+	}
+	return loads
 }
--- a/internal/planner/evict.go
+++ b/internal/planner/evict.go
@@ -6,146 +6,176 @@
 
 	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/matching"
+	"github.com/wallrack/wallrack/internal/wire"
 )
 
 const (
-	evacuateGain = 3    // times what stopping tasks wastes that it must save
-	evacuateLoss = 0.35 // of a task's run, at most, that stopping it may waste
+	evictionGain = 3    // times what stopping tasks wastes that it must save
+	evictionLoss = 0.35 // of a task's run, at most, that stopping it may waste
 )
 
-// evacuate stops what runs longest on machines that are to be returned, where
-// that wastes much less than the machine costs until those tasks end: a few
-// small tasks would keep a large machine for minutes. There must be room for
-// them elsewhere.
-func (o *Planner) Evict() {
-	var closing []*jobstate.Worker
-	room := 0.0
-	for _, worker := range o.state.WorkersByIndex {
-		switch {
-		case worker == nil || len(worker.Matrix) == 0:
-		case worker.Cordoned:
-			closing = append(closing, worker)
-		case !worker.View.Draining && worker.NoticeAt.IsZero():
-			room += max(0, worker.Matrix[0].Free.CPUs)
-		}
-	}
-	if len(closing) == 0 {
+// Evict stops the tasks that run longest on cordoned workers, where that wastes much less
+// than the machine costs until they end: a few small tasks would keep a large machine for
+// minutes. There must be room for them elsewhere. It withdraws what waits there for its
+// grant for long. The caller holds the state's Mu.
+func (p *Planner) Evict() {
+	cordoned, roomCPUs := p.cordonedWorkers()
+	if len(cordoned) == 0 {
 		return
 	}
-	for _, job := range o.state.JobOrder {
+	for _, job := range p.state.JobOrder {
 		if !job.Cancelled {
-			room -= float64(len(job.Pending)) * job.Resources.CPUs
+			roomCPUs -= float64(len(job.Pending)) * job.Resources.CPUs
 		}
 	}
-	sort.Slice(closing, func(a, b int) bool {
-		x, y := closing[a], closing[b]
+	sort.Slice(cordoned, func(a, b int) bool {
+		x, y := cordoned[a], cordoned[b]
 		if len(x.Placements) != len(y.Placements) {
 			return len(x.Placements) < len(y.Placements)
 		}
 		return x.Index < y.Index
 	})
-	for _, worker := range closing {
-		for placement := range worker.Placements {
-			if !placement.MayRun() && !placement.Exited && o.state.Now.Sub(placement.CreatedAt) > closingQueueWait {
-				o.state.WithdrawPlacement(placement) // never granted: it can simply look elsewhere
-			}
+	for _, worker := range cordoned {
+		p.withdrawQueued(worker)
+		for _, candidate := range p.pickEvictions(worker, roomCPUs) {
+			roomCPUs -= candidate.placement.Job.Resources.CPUs
+			p.evictTask(candidate.placement)
 		}
-		for _, e := range o.evictionCandidates(worker, room) {
-			placement := e.placement
-			room -= placement.Job.Resources.CPUs
-			if placement.Job.Evicted == nil {
-				placement.Job.Evicted = map[int]bool{}
-			}
-			placement.Job.Evicted[placement.Task] = true
-			o.state.HaltTask(placement, placement.Job.Spec.SaveS+1)
-			o.state.Stats.Evacuated++
+	}
+}
+
+// cordonedWorkers lists the cordoned workers, and returns the free CPUs of those that stay.
+func (p *Planner) cordonedWorkers() (cordoned []*jobstate.Worker, freeCPUs float64) {
+	for _, worker := range p.state.WorkersByIndex {
+		switch {
+		case worker == nil || len(worker.Matrix) == 0:
+		case worker.Cordoned:
+			cordoned = append(cordoned, worker)
+		case !worker.View.Draining && worker.NoticeAt.IsZero():
+			freeCPUs += max(0, worker.Matrix[0].Free.CPUs)
 		}
 	}
+	return cordoned, freeCPUs
 }
 
-// evictionCandidate is a task that may be stopped to empty its machine sooner.
-type evictionCandidate struct {
-	placement  *jobstate.Placement
-	left, loss float64 // seconds until it ends, and that stopping it wastes
-	evictable  bool
+// withdrawQueued withdraws the placements on a cordoned worker that were not granted for
+// cordonedQueueWait: their tasks can simply be placed elsewhere.
+func (p *Planner) withdrawQueued(worker *jobstate.Worker) {
+	for placement := range worker.Placements {
+		if !placement.MayRun() && !placement.Exited && p.state.Now.Sub(placement.CreatedAt) > cordonedQueueWait {
+			p.state.WithdrawPlacement(placement)
+		}
+	}
 }
 
-// evacuees picks the tasks to be stopped on a machine: those that would keep it
-// longest, as far as that saves several times what it wastes. The others end
-// soon by themselves. Tasks that save nothing go only if all can.
-func (o *Planner) evictionCandidates(worker *jobstate.Worker, room float64) []evictionCandidate {
-	t := o.state.TypeOf(worker)
-	if t.CPUs <= 0 || t.SpotPrice <= 0 {
-		return nil
+// evictTask stops a task to empty its worker.
+func (p *Planner) evictTask(placement *jobstate.Placement) {
+	job := placement.Job
+	if job.Evicted == nil {
+		job.Evicted = map[int]bool{}
 	}
-	var all []evictionCandidate
+	job.Evicted[placement.Task] = true
+	p.state.HaltTask(placement, job.Spec.SaveS+1)
+	p.state.Stats.Evacuated++
+}
+
+// evictionCandidate is a task on a cordoned worker.
+type evictionCandidate struct {
+	placement    *jobstate.Placement
+	leftS, lossS float64 // until it ends, and what stopping it wastes
+	evictable    bool
+}
+
+// evictionCandidates lists the tasks on a worker that are not being stopped, the one that
+// ends last first.
+func (p *Planner) evictionCandidates(worker *jobstate.Worker) []evictionCandidate {
+	var candidates []evictionCandidate
 	for placement := range worker.Placements {
 		if placement.Exited || !placement.HaltedAt.IsZero() {
-			continue // as good as gone
+			continue
 		}
-		e := evictionCandidate{placement: placement, left: placement.Job.RunEstimate()}
+		candidate := evictionCandidate{placement: placement, leftS: placement.Job.RunEstimate()}
 		if !placement.RunningSince.IsZero() {
-			elapsed := o.state.Now.Sub(placement.RunningSince).Seconds()
-			e.left = matching.RemainingRun(e.left, elapsed)
+			elapsedS := p.state.Now.Sub(placement.RunningSince).Seconds()
+			candidate.leftS = matching.RemainingRun(candidate.leftS, elapsedS)
 		}
-		e.loss, e.evictable = o.evictable(placement)
-		all = append(all, e)
+		candidate.lossS, candidate.evictable = p.evictable(placement)
+		candidates = append(candidates, candidate)
 	}
-	sort.Slice(all, func(a, b int) bool {
-		if all[a].left != all[b].left {
-			return all[a].left > all[b].left
+	sort.Slice(candidates, func(a, b int) bool {
+		if candidates[a].leftS != candidates[b].leftS {
+			return candidates[a].leftS > candidates[b].leftS
 		}
-		return all[a].placement.Attempt < all[b].placement.Attempt
+		return candidates[a].placement.Attempt < candidates[b].placement.Attempt
 	})
-	pick, best, wasted, saves := 0, 0.0, 0.0, true
-	for i, e := range all {
-		cpus := e.placement.Job.Resources.CPUs
-		if room -= cpus; !e.evictable || room < 0 {
+	return candidates
+}
+
+// pickEvictions picks the tasks to be stopped on a worker: those that would keep it longest,
+// as far as that saves evictionGain times what it wastes and roomCPUs elsewhere suffices.
+// The others end soon by themselves.
+func (p *Planner) pickEvictions(worker *jobstate.Worker, roomCPUs float64) []evictionCandidate {
+	machine := p.state.TypeOf(worker)
+	if machine.CPUs <= 0 || machine.SpotPrice <= 0 {
+		return nil
+	}
+	candidates := p.evictionCandidates(worker)
+	return candidates[:evictionCount(candidates, machine, roomCPUs)]
+}
+
+// evictionCount is how many of the first candidates to stop for the highest gain.
+func evictionCount(candidates []evictionCandidate, machine *wire.MachineType, roomCPUs float64) int {
+	count, bestGain := 0, 0.0
+	wasted, allSave := 0.0, true
+	for i, candidate := range candidates {
+		job := candidate.placement.Job
+		cpus := job.Resources.CPUs
+		if roomCPUs -= cpus; !candidate.evictable || roomCPUs < 0 {
 			break
 		}
-		wasted += e.loss * cpus * t.SpotPrice / t.CPUs
-		saves = saves && (e.placement.Job.Spec.MarkS > 0 || e.loss == 0)
-		until := 0.0
-		if i+1 < len(all) {
-			until = all[i+1].left
+		wasted += candidate.lossS * cpus * machine.SpotPrice / machine.CPUs
+		allSave = allSave && (job.Spec.MarkS > 0 || candidate.lossS == 0)
+		untilS := 0.0
+		if i+1 < len(candidates) {
+			untilS = candidates[i+1].leftS
 		}
-		if !saves && i+1 < len(all) {
-			continue // what begins anew may come late: only to empty the machine at once
+		if !allSave && i+1 < len(candidates) {
+			continue // what begins anew may come late: only to empty the worker at once
 		}
-		if gain := t.Price*(all[0].left-until) - evacuateGain*wasted; gain > best {
-			pick, best = i+1, gain
+		if gain := machine.Price*(candidates[0].leftS-untilS) - evictionGain*wasted; gain > bestGain {
+			count, bestGain = i+1, gain
 		}
 	}
-	return all[:pick]
+	return count
 }
 
-// evacuable reports whether a task may be stopped to empty its machine, and
-// how many seconds of its run that wastes.
-func (o *Planner) evictable(placement *jobstate.Placement) (loss float64, ok bool) {
+// evictable reports whether a task may be stopped to empty its worker, and how many seconds
+// of its run that wastes. Each task is evicted once at most.
+func (p *Planner) evictable(placement *jobstate.Placement) (lossS float64, ok bool) {
 	job := placement.Job
-	if placement.State != jobstate.PlacementReported || placement.Exited || !placement.HaltedAt.IsZero() || job.Cancelled || job.Spec.Gang() || job.Spec.Service() || job.Evicted[placement.Task] {
-		return 0, false // each task moves once
+	if placement.State != jobstate.PlacementReported || placement.Exited || !placement.HaltedAt.IsZero() ||
+		job.Cancelled || job.Spec.Gang() || job.Spec.Service() || job.Evicted[placement.Task] {
+		return 0, false
 	}
 	if placement.RunningSince.IsZero() {
 		return 0, true
 	}
-	elapsed := o.state.Now.Sub(placement.RunningSince).Seconds()
-	if len(job.Class.StartAims) > 0 && elapsed < jobstate.CountedStart {
+	elapsedS := p.state.Now.Sub(placement.RunningSince).Seconds()
+	if len(job.Class.StartAims) > 0 && elapsedS < jobstate.CountedStart {
 		return 0, false
 	}
 	if job.Spec.MarkS > 0 {
-		return math.Min(elapsed, job.Spec.SaveS), true
+		return math.Min(elapsedS, job.Spec.SaveS), true
 	}
-	// No aim that it meets by running on may be missed by starting again. What
-	// is late already must not become later still: it is what the whole of the
-	// work waits for in the end.
-	age, run := o.state.Now.Sub(job.AcceptedAt).Seconds(), job.RunEstimate()
-	left, late := max(run-elapsed, 1), true
-	for _, limit := range o.state.Limits(job) {
-		late = late && limit < age+left
-		if limit >= age+left && limit < age+jobstate.Pessimism*run+jobstate.RestartTakes {
+	// No limit that it meets by running on may be missed by starting again. What is late
+	// already must not become later still: the whole of the work waits for it in the end.
+	ageS, runS := p.state.Now.Sub(job.AcceptedAt).Seconds(), job.RunEstimate()
+	leftS, late := max(runS-elapsedS, 1), true
+	for _, limitS := range p.state.Limits(job) {
+		late = late && limitS < ageS+leftS
+		if limitS >= ageS+leftS && limitS < ageS+jobstate.Pessimism*runS+jobstate.RestartTakes {
 			return 0, false
 		}
 	}
-	return elapsed, !late && elapsed < evacuateLoss*run
+	return elapsedS, !late && elapsedS < evictionLoss*runS
 }
--- a/internal/planner/pass.go
+++ b/internal/planner/pass.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"slices"
-	"sort"
 	"time"
 
 	"github.com/wallrack/wallrack/internal/jobrecord"
@@ -11,136 +10,133 @@
 )
 
 const (
-	matchRounds  = 4   // rounds of proposals in a batch
-	batchTasks   = 96  // tasks in a batch
-	batchJobs    = 24  // jobs that a batch takes tasks from
-	wholeFleet   = 64  // up to so many machines, every one is a candidate
-	lookedAt     = 512 // machines without the image that are looked at for a job
-	maxPlaces    = 2   // machines that a task is queued at, at once
-	holdTasks    = 24  // tasks that room is held for
-	holdWithin   = 45  // seconds from now within which room is held
-	placesAtOnce = 400 // bounds what one pass writes
-	lookAtOnce   = 32  // queued tasks that look elsewhere in one pass
+	batchTasks        = 96  // tasks in a batch, at most
+	batchJobs         = 24  // jobs that a batch takes tasks from, at most
+	placementsPerPass = 400 // bounds what one pass adds to the shard's log
 )
 
-// place is one scheduling pass: batches of matches, most urgent jobs first,
-// until nothing more starts within the horizon.
+// Pass runs one scheduling pass: it matches waiting tasks in batches, most urgent jobs
+// first, until nothing more starts within the horizon or the budget of placements is used
+// up, and then preempts for urgent jobs that are left. In the second case PlanSignal is
+// set for another pass. Without a second of lease left, or without a shard, it does
+// nothing. The caller holds the state's Mu.
 func (p *Planner) Pass() {
 	if p.state.Member.LeaseRemaining() < time.Second || len(p.state.Loaded) == 0 {
 		return
 	}
 	p.state.Now = time.Now()
-	var waiting []*jobstate.Job
-	for _, job := range p.state.JobOrder {
-		if !job.Cancelled && job.EndStage == "" && p.state.Now.After(job.NotBefore) && p.state.PlaceableTasks(job) > 0 {
-			waiting = append(waiting, job)
-		}
-	}
+	waiting := p.waitingJobs()
 	if len(waiting) == 0 {
 		return
 	}
-	open := p.openMachines()
+	open := p.openWorkers()
 	p.resetRoom()
 	p.SortJobs(waiting)
-	budget := placesAtOnce
 	all := append([]*jobstate.Job(nil), waiting...)
-	for len(waiting) > 0 {
+	for budget := placementsPerPass; len(waiting) > 0; {
 		if budget <= 0 {
-			jobstate.Notify(p.state.PlanSignal) // the rest is for the next pass
+			jobstate.Notify(p.state.PlanSignal) // what is left is for the next pass
 			break
 		}
-		// A batch holds tasks of similar priority, that can be in time or not alike.
-		rank, tier, first := waiting[0].Spec.Rank(), waiting[0].Tier, p.state.MustBegin(waiting[0])
-		var jobs []*jobstate.Job
-		for _, job := range waiting {
-			if len(jobs) < batchJobs && p.state.MustBegin(job) == first && (first || job.Spec.Rank() == rank && job.Tier == tier) {
-				jobs = append(jobs, job)
-			}
-		}
-		for _, job := range jobs {
-			if job.Spec.Gang() {
-				p.placeGang(job, open)
-			}
-		}
-		placed := p.placeBatch(jobs, open, min(budget, batchTasks))
-		for _, n := range placed {
-			budget -= n
-		}
-		// A job that got nothing in this batch is left for later passes.
-		rest := waiting[:0]
-		considered := map[*jobstate.Job]bool{}
-		for _, job := range jobs {
-			considered[job] = true
-		}
-		for _, job := range waiting {
-			if p.state.PlaceableTasks(job) > 0 && (!considered[job] || placed[job] > 0) {
-				rest = append(rest, job)
-			}
-		}
-		if first {
-			// Only for first tasks: what began has its turn with all others.
-			jobs = slices.DeleteFunc(jobs, func(job *jobstate.Job) bool { return !p.state.MustBegin(job) })
-			p.SortJobs(rest)
-		}
-		if len(rest) > 0 && (first || rest[0].Spec.Rank() < rank) {
-			p.reserveRoom(jobs, open)
-		}
-		waiting = rest
+		var placed int
+		waiting, placed = p.placeNextBatch(waiting, open, budget)
+		budget -= placed
 	}
 	p.preempt(all, open)
-	for _, worker := range open {
-		if worker.RoomReserved {
-			worker.RoomReserved = false
-			worker.Matrix = worker.View.Matrix
-			p.state.ReserveUnreported(worker)
+	p.releaseReservedRoom(open)
+}
+
+// waitingJobs lists the jobs of which a task may be placed now.
+func (p *Planner) waitingJobs() []*jobstate.Job {
+	var waiting []*jobstate.Job
+	for _, job := range p.state.JobOrder {
+		if !job.Cancelled && job.EndStage == "" && p.state.Now.After(job.NotBefore) && p.state.PlaceableTasks(job) > 0 {
+			waiting = append(waiting, job)
 		}
 	}
+	return waiting
 }
 
-// sortJobs orders jobs: first those that have to begin, then within their team's guarantee first, then by priority, then
-// those that can be done in time before those that can't, then by when they are due.
-func (p *Planner) SortJobs(jobs []*jobstate.Job) {
-	within, first := map[*jobstate.Job]bool{}, map[*jobstate.Job]bool{}
+// placeNextBatch places tasks of the first jobs in line, and reserves room for those of
+// them that got none if jobs of lower priority come next. It returns the jobs that are
+// left for the next batch, in the space of waiting, and how many tasks it placed of jobs
+// other than gangs.
+func (p *Planner) placeNextBatch(waiting []*jobstate.Job, open []*jobstate.Worker, budget int) (left []*jobstate.Job, placed int) {
+	rank, mustBegin := waiting[0].Spec.Rank(), p.state.MustBegin(waiting[0])
+	jobs := p.nextBatch(waiting, mustBegin)
 	for _, job := range jobs {
-		first[job] = p.state.MustBegin(job)
-		team := job.Team
-		if team.Leased != nil {
-			within[job] = team.BelowGuarantee(job.Shard)
-			continue
+		if job.Spec.Gang() {
+			p.placeGang(job, open)
 		}
-		within[job] = team.CPUs > 0 && team.Used.CPUs+job.Resources.CPUs <= team.CPUs+1e-6 || team.GPUs > 0 && team.Used.GPUs+job.Resources.GPUs <= team.GPUs+1e-6
 	}
-	sort.SliceStable(jobs, func(a, b int) bool {
-		x, y := jobs[a], jobs[b]
-		if first[x] != first[y] {
-			return first[x]
-		}
-		if within[x] != within[y] {
-			return within[x]
-		}
-		if x.Spec.Rank() != y.Spec.Rank() {
-			return x.Spec.Rank() > y.Spec.Rank()
+	placedOf := p.placeBatch(jobs, open, min(budget, batchTasks))
+	for _, n := range placedOf {
+		placed += n
+	}
+	left = p.jobsLeft(waiting, jobs, placedOf)
+	if mustBegin {
+		// Only for first tasks: what began has its turn with all others.
+		jobs = slices.DeleteFunc(jobs, func(job *jobstate.Job) bool { return !p.state.MustBegin(job) })
+		p.SortJobs(left)
+	}
+	if len(left) > 0 && (mustBegin || left[0].Spec.Rank() < rank) {
+		p.reserveRoom(jobs, open)
+	}
+	return left, placed
+}
+
+// nextBatch picks the jobs of a batch: those that must begin, or those of the first job's
+// priority and tier.
+func (p *Planner) nextBatch(waiting []*jobstate.Job, mustBegin bool) []*jobstate.Job {
+	rank, tier := waiting[0].Spec.Rank(), waiting[0].Tier
+	var jobs []*jobstate.Job
+	for _, job := range waiting {
+		if len(jobs) < batchJobs && p.state.MustBegin(job) == mustBegin && (mustBegin || job.Spec.Rank() == rank && job.Tier == tier) {
+			jobs = append(jobs, job)
 		}
-		if x.Tier != y.Tier {
-			return x.Tier < y.Tier
+	}
+	return jobs
+}
+
+// jobsLeft filters waiting in place: without the jobs of which nothing more waits, and
+// without those of which the batch placed nothing, which are left for later passes.
+func (p *Planner) jobsLeft(waiting, batch []*jobstate.Job, placedOf map[*jobstate.Job]int) []*jobstate.Job {
+	left := waiting[:0]
+	considered := map[*jobstate.Job]bool{}
+	for _, job := range batch {
+		considered[job] = true
+	}
+	for _, job := range waiting {
+		if p.state.PlaceableTasks(job) > 0 && (!considered[job] || placedOf[job] > 0) {
+			left = append(left, job)
 		}
-		return x.DueAt() < y.DueAt()
-	})
+	}
+	return left
+}
+
+// placePending places the job's last pending task on a worker.
+func (p *Planner) placePending(job *jobstate.Job, worker *jobstate.Worker, waitS float64) {
+	task := job.Pending[len(job.Pending)-1]
+	job.Pending = job.Pending[:len(job.Pending)-1]
+	p.placeTask(job, task, worker, waitS)
 }
 
-// put places a task on a machine; the holder hears of it once it is recorded.
-func (o *Planner) placeTask(job *jobstate.Job, task int, worker *jobstate.Worker, wait float64) {
+// placeTask places a task on a worker; the dispatcher is notified once the placement is
+// recorded. A gang's tasks share an attempt, which placeGang sets.
+func (p *Planner) placeTask(job *jobstate.Job, task int, worker *jobstate.Worker, waitS float64) {
 	chunk := job.Chunks[task/jobrecord.ChunkSize]
-	placement := &jobstate.Placement{Job: job, Chunk: chunk, Task: task, Attempt: chunk.NextAttempt, Worker: worker, PlannedWait: wait, CreatedAt: time.Now()}
+	placement := &jobstate.Placement{
+		Job: job, Chunk: chunk, Task: task, Attempt: chunk.NextAttempt, Worker: worker, PlannedWait: waitS, CreatedAt: time.Now(),
+	}
 	if !job.Spec.Gang() {
 		chunk.NextAttempt++
 	}
-	o.state.AddPlacement(placement)
-	o.state.RecordChange(jobstate.Change{Kind: jobstate.PlacementAdded, Placement: placement})
-	jobstate.Notify(o.state.WriteSignal)
-	o.state.Stats.Placed++
-	run := job.RunEstimate() + o.state.FetchTime(job, worker)
-	if w := worker.Matrix.Wait(job.Resources, run); !math.IsInf(w, 1) {
-		worker.Matrix = worker.Matrix.Reserve(job.Resources, w, run)
+	p.state.AddPlacement(placement)
+	p.state.RecordChange(jobstate.Change{Kind: jobstate.PlacementAdded, Placement: placement})
+	jobstate.Notify(p.state.WriteSignal)
+	p.state.Stats.Placed++
+	runS := job.RunEstimate() + p.state.FetchTime(job, worker)
+	if startS := worker.Matrix.Wait(job.Resources, runS); !math.IsInf(startS, 1) {
+		worker.Matrix = worker.Matrix.Reserve(job.Resources, startS, runS)
 	}
 }
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -5,32 +5,35 @@
 	"sort"
 
 	"github.com/wallrack/wallrack/internal/jobstate"
+	"github.com/wallrack/wallrack/internal/matching"
 )
 
 const (
-	preemptsAtOnce = 24  // bounds what one pass stops
-	preemptLooks   = 200 // machines that one pass looks at
-	preemptShare   = 0.5 // work lost by stopping, at most, to the work it lets start
+	preemptionsPerPass = 24  // tasks that one pass stops, at most
+	preemptionWorkers  = 200 // workers that one pass looks at, at most
+	preemptionLoss     = 0.5 // work that stopping wastes, at most, per work that it lets start
+	nearlyDoneS        = 3   // a task without checkpoints that ends within this is left alone
+	leastLossCPUs      = 0.1 // CPUs that a stopped task is taken to have, at least
 )
 
-// preemptionCandidate is a running task that may make room.
+// preemptionCandidate is a running task that may be stopped for another job.
 type preemptionCandidate struct {
 	placement *jobstate.Placement
-	loss      float64 // seconds of its run that stopping it now wastes
+	lossS     float64 // of its run that stopping it now wastes
 }
 
-// preempt makes room for urgent jobs whose aim to start soon is in danger, by
-// stopping tasks of lower priority that lose little and have time left. One
-// pass looks at a part of a large fleet, the next one at another.
+// preempt makes room for urgent jobs whose aim to start soon is in danger, by stopping
+// tasks of lower priority that lose little and have time left. One pass looks at a part of
+// the workers, the next one goes on from there.
 func (p *Planner) preempt(waiting []*jobstate.Job, open []*jobstate.Worker) {
 	var urgent []*jobstate.Job
 	for _, job := range waiting {
-		if p.state.PlaceableTasks(job) > 0 && !job.Cancelled && !job.Spec.Gang() && p.startAim(job) {
+		if p.state.PlaceableTasks(job) > 0 && !job.Cancelled && !job.Spec.Gang() && p.mustStartNow(job) {
 			urgent = append(urgent, job)
 		}
 	}
-	budget := preemptsAtOnce
-	for range min(len(open), preemptLooks) {
+	budget := preemptionsPerPass
+	for range min(len(open), preemptionWorkers) {
 		for len(urgent) > 0 && len(urgent[0].Pending) == 0 {
 			urgent = urgent[1:]
 		}
@@ -42,107 +45,103 @@
 	}
 }
 
-// urgentSlack is the slack below which an aim is in danger.
-const urgentSlack = 15
-
-// missedKept is how long, in seconds, a missed aim for starts keeps a job urgent at
-// least: a short one is missed soon, and its tasks matter still.
-const missedKept = 3 * urgentSlack
-
-// startAim reports whether the job's tasks must start now: the time left for the
-// next aim runs out, or an aim for their start was missed not long ago. An aim
-// that is far off yet stops nobody: room that falls free goes to the higher
-// priority anyway, and what is stopped is paid for twice.
-func (p *Planner) startAim(job *jobstate.Job) bool {
-	if p.slack(job, 0) < urgentSlack {
-		return true
+// makeRoom stops up to limit tasks on a worker and places the job's tasks there in their
+// stead. It returns how many it stopped.
+func (p *Planner) makeRoom(job *jobstate.Job, worker *jobstate.Worker, limit int) int {
+	if worker.Cordoned || !p.eligible(job, worker) {
+		return 0
 	}
-	age := p.state.Now.Sub(job.AcceptedAt).Seconds()
-	for _, within := range job.Class.StartAims {
-		if within-age < urgentSlack && age < max(2*within, missedKept) {
-			return true
-		}
+	if fetchS := p.state.FetchTime(job, worker); fetchS > 0 && p.startsLate(job, fetchS) && !p.startsLate(job, 0) {
+		return 0 // another worker has the image
+	}
+	stopped, starts := p.pickPreemptions(job, worker, limit)
+	if starts == 0 {
+		return 0
 	}
-	return false
-}
-
-// victims lists what may be stopped on a machine for a job, least loss first.
-func (o *Planner) victims(job *jobstate.Job, worker *jobstate.Worker) []preemptionCandidate {
-	var out []preemptionCandidate
 	for placement := range worker.Placements {
-		v := placement.Job
-		if placement.State != jobstate.PlacementReported || placement.RunningSince.IsZero() || !placement.HaltedAt.IsZero() || placement.Exited || v.Cancelled ||
-			v.Spec.Service() || v.Spec.Gang() || v.Spec.Rank() >= job.Spec.Rank() || o.slack(v, 0) < lateSlack {
-			continue
-		}
-		elapsed := o.state.Now.Sub(placement.RunningSince).Seconds()
-		loss := elapsed
-		if v.Spec.MarkS > 0 {
-			loss = math.Mod(elapsed, v.Spec.MarkS)
-		}
-		// Nearly finished tasks leave by themselves.
-		if v.RunEstimate()-elapsed < 3 && v.Spec.MarkS == 0 {
-			continue
+		// What is queued here must not take the room.
+		if placement.State == jobstate.PlacementRecorded && placement.Job.Spec.Rank() < job.Spec.Rank() {
+			p.state.WithdrawPlacement(placement)
 		}
-		out = append(out, preemptionCandidate{placement, loss})
 	}
-	sort.Slice(out, func(a, b int) bool {
-		if out[a].loss != out[b].loss {
-			return out[a].loss < out[b].loss
-		}
-		return out[a].placement.Attempt < out[b].placement.Attempt
-	})
-	return out
-}
-
-// makeRoom stops tasks on a machine and queues the job's tasks there in their
-// stead; it returns how many it stopped.
-func (o *Planner) makeRoom(job *jobstate.Job, worker *jobstate.Worker, most int) int {
-	if worker.Cordoned || !o.state.Allowed(job, worker) || !o.state.FitsZone(job, worker) || !o.state.UnderLimit(job) || !o.state.FitsLease(job, worker) {
-		return 0
+	for _, candidate := range stopped {
+		p.state.HaltTask(candidate.placement, 0)
+		worker.Matrix[0].Free = worker.Matrix[0].Free.Add(candidate.placement.Job.Resources, 1)
 	}
-	if fetch := o.state.FetchTime(job, worker); fetch > 0 && o.startLate(job, fetch) && !o.startLate(job, 0) {
-		return 0 // another machine has the image
+	p.state.Stats.Preempted += len(stopped)
+	for ; starts > 0 && p.state.PlaceableTasks(job) > 0; starts-- {
+		p.placePending(job, worker, 0)
 	}
+	return len(stopped)
+}
+
+// pickPreemptions picks up to limit tasks to be stopped on a worker, as long as they waste
+// little against the work of the job that they let start, and returns how many of its tasks
+// can start then.
+func (p *Planner) pickPreemptions(job *jobstate.Job, worker *jobstate.Worker, limit int) (picked []preemptionCandidate, starts int) {
 	free := worker.Matrix[0].Free
-	run := job.RunEstimate()
-	stopped, lost, starts := 0, 0.0, 0
-	var chosen []preemptionCandidate
-	for _, v := range o.victims(job, worker) {
-		if starts >= o.state.PlaceableTasks(job) || len(chosen) >= most {
+	runS := job.RunEstimate()
+	loss := 0.0 // CPU-seconds
+	for _, candidate := range p.preemptionCandidates(job, worker) {
+		if starts >= p.state.PlaceableTasks(job) || len(picked) >= limit {
 			break
 		}
-		gain := free.Add(v.placement.Job.Resources, 1)
-		n := starts
-		for n < o.state.PlaceableTasks(job) && job.Resources.Scale(float64(n+1)).Fits(gain) {
-			n++
-		}
-		cost := lost + v.loss*max(v.placement.Job.Resources.CPUs, 0.1)
-		if n > 0 && cost > preemptShare*run*job.Resources.CPUs*float64(n) {
+		victim := candidate.placement.Job
+		freed := free.Add(victim.Resources, 1)
+		n := p.startable(job, freed, starts)
+		lossThen := loss + candidate.lossS*max(victim.Resources.CPUs, leastLossCPUs)
+		if n > 0 && lossThen > preemptionLoss*runS*job.Resources.CPUs*float64(n) {
 			break
 		}
-		free, lost, starts = gain, cost, n
-		chosen = append(chosen, v)
+		free, loss, starts = freed, lossThen, n
+		picked = append(picked, candidate)
 	}
-	if starts == 0 {
-		return 0
+	return picked, starts
+}
+
+// startable is how many placeable tasks of the job fit into free together, given that at
+// least n do.
+func (p *Planner) startable(job *jobstate.Job, free matching.Resources, n int) int {
+	for n < p.state.PlaceableTasks(job) && job.Resources.Scale(float64(n+1)).Fits(free) {
+		n++
 	}
+	return n
+}
+
+// preemptionCandidates lists the tasks that may be stopped on a worker for a job, least
+// loss first.
+func (p *Planner) preemptionCandidates(job *jobstate.Job, worker *jobstate.Worker) []preemptionCandidate {
+	var candidates []preemptionCandidate
 	for placement := range worker.Placements {
-		// What is queued here must not take the room.
-		if placement.State == jobstate.PlacementRecorded && placement.Job.Spec.Rank() < job.Spec.Rank() {
-			o.state.WithdrawPlacement(placement)
+		if !p.preemptible(placement, job) {
+			continue
 		}
+		spec := placement.Job.Spec
+		elapsedS := p.state.Now.Sub(placement.RunningSince).Seconds()
+		lossS := elapsedS
+		if spec.MarkS > 0 {
+			lossS = math.Mod(elapsedS, spec.MarkS)
+		}
+		if placement.Job.RunEstimate()-elapsedS < nearlyDoneS && spec.MarkS == 0 {
+			continue
+		}
+		candidates = append(candidates, preemptionCandidate{placement, lossS})
 	}
-	for _, v := range chosen {
-		o.state.HaltTask(v.placement, 0)
-		worker.Matrix[0].Free = worker.Matrix[0].Free.Add(v.placement.Job.Resources, 1)
-		stopped++
-	}
-	o.state.Stats.Preempted += stopped
-	for ; starts > 0 && o.state.PlaceableTasks(job) > 0; starts-- {
-		t := job.Pending[len(job.Pending)-1]
-		job.Pending = job.Pending[:len(job.Pending)-1]
-		o.placeTask(job, t, worker, 0)
+	sort.Slice(candidates, func(a, b int) bool {
+		if candidates[a].lossS != candidates[b].lossS {
+			return candidates[a].lossS < candidates[b].lossS
+		}
+		return candidates[a].placement.Attempt < candidates[b].placement.Attempt
+	})
+	return candidates
+}
+
+// preemptible reports whether the task of a placement runs, is of lower priority than the
+// job, and has time to run again.
+func (p *Planner) preemptible(placement *jobstate.Placement, job *jobstate.Job) bool {
+	victim := placement.Job
+	if placement.State != jobstate.PlacementReported || placement.RunningSince.IsZero() || !placement.HaltedAt.IsZero() || placement.Exited {
+		return false
 	}
-	return stopped
+	return !victim.Cancelled && !victim.Spec.Service() && !victim.Spec.Gang() && victim.Spec.Rank() < job.Spec.Rank() && p.slack(victim, 0) >= lateSlackS
 }
--- a/internal/planner/rebalance.go
+++ b/internal/planner/rebalance.go
@@ -5,102 +5,156 @@
 	"slices"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
-// lookAgain re-places queued tasks that wait much longer than planned, with a
-// duplicate where another machine is now better.
-func (o *Planner) Rebalance() {
-	o.state.Now = time.Now()
-	now := o.state.Now
-	fresh := config.Seconds(3*o.state.Platform.Params.Workers.ReportS + 1)
-	open := o.openMachines()
-	o.resetRoom()
-	budget := lookAtOnce
-	waits := map[*jobstate.Placement]float64{}
-	stage := map[*jobstate.Job]*jobstate.Average{}
-	var silent []*jobstate.Placement
-	for _, worker := range o.state.Workers {
-		for _, q := range worker.View.Queue {
-			for placement := range worker.Placements {
-				if placement.State == jobstate.PlacementRecorded && placement.Attempt == q.Attempt && placement.Ref == q.TaskRef {
-					waits[placement] = q.WaitS
-					a := stage[placement.Job]
-					if a == nil {
-						a = &jobstate.Average{}
-						stage[placement.Job] = a
-					}
-					a.Add(min(q.WaitS, 600))
-				}
-			}
-		}
-	}
-	for _, job := range o.state.JobOrder {
-		if job.Cancelled || job.EndStage != "" {
-			continue
-		}
-		if job.Spec.Gang() {
+const (
+	maxPlacements   = 2   // workers where a task is queued at once, at most
+	rebalancedTasks = 32  // queued tasks that one Rebalance looks for another worker for, at most
+	countedWaitS    = 600 // a longer wait counts as this in its job's average
+)
+
+// rebalancing is what one Rebalance knows of the queues.
+type rebalancing struct {
+	open        []*jobstate.Worker
+	waitS       map[*jobstate.Placement]float64     // still, of queued placements
+	average     map[*jobstate.Job]*jobstate.Average // of these, by job
+	unreachable []*jobstate.Placement               // scratch space
+}
+
+// Rebalance looks at tasks that are queued and not granted yet. It withdraws those on
+// workers where none may start, and places those that wait much longer than planned on a
+// second worker where that is now better; of two placements of a task that both wait too
+// long the longer one makes room for a third. The caller holds the state's Mu.
+func (p *Planner) Rebalance() {
+	p.state.Now = time.Now()
+	r := &rebalancing{open: p.openWorkers()}
+	p.resetRoom()
+	p.readQueues(r)
+	budget := rebalancedTasks
+	for _, job := range p.state.JobOrder {
+		if job.Cancelled || job.EndStage != "" || job.Spec.Gang() {
 			continue
 		}
-		avg := 0.0
-		if a := stage[job]; a != nil {
-			avg = a.Mean()
-		}
-		for task, ps := range job.Placements {
-			silent = silent[:0]
-			for _, placement := range ps {
-				if worker := placement.Worker; placement.State == jobstate.PlacementRecorded &&
-					(now.Sub(jobstate.Later(worker.LastHeartbeat, placement.CreatedAt)) > fresh || !worker.NoticeAt.IsZero() || worker.View.Draining || !worker.UnresponsiveSince.IsZero() || !o.state.FitsLease(job, worker)) {
-					silent = append(silent, placement)
-				}
+		for _, placements := range job.Placements {
+			if p.withdrawUnreachable(r, placements) {
+				continue // never granted: the task can simply be placed elsewhere
 			}
-			if len(silent) > 0 {
-				// Never granted: the task can simply look elsewhere.
-				for _, placement := range silent {
-					o.state.WithdrawPlacement(placement)
-				}
+			slowest, cost := p.overdue(r, job, placements)
+			if slowest == nil {
 				continue
 			}
-			// Of two choices that both prove wrong, the one that waits longer makes
-			// room for a third: a task stood for ever behind two that ran for long,
-			// beside an idle machine.
-			placement, current := ps[0], math.Inf(1)
-			for _, x := range ps {
-				w, known := waits[x]
-				if x.State != jobstate.PlacementRecorded || !known || !matching.ShouldReplace(x.PlannedWait, now.Sub(x.CreatedAt).Seconds(), w, max(avg, x.PlannedWait), o.state.Operator.ReplaceS) {
-					placement = nil
-					break
-				}
-				if w > waits[placement] {
-					placement = x
-				}
-				current = min(current, matching.Cost(o.state.FetchTime(job, x.Worker), w, job.RunEstimate(), o.state.SuccessRate(x.Worker), o.state.Operator.KFail))
-			}
-			if placement == nil {
-				continue
-			}
-			var best *jobstate.Worker
-			bestE := Estimate{cost: current - 1}
 			if budget--; budget < 0 {
 				return
 			}
-			for _, worker := range o.candidates(job, o.workersWithRoom(job, open)) {
-				if slices.ContainsFunc(ps, func(x *jobstate.Placement) bool { return x.Worker == worker }) {
-					continue
-				}
-				if e, ok := o.estimate(job, worker); ok && e.cost < bestE.cost {
-					best, bestE = worker, e
-				}
-			}
-			if best != nil {
-				if len(ps) >= maxPlaces {
-					o.state.WithdrawPlacement(placement)
+			p.placeAgain(r, placements, slowest, cost)
+		}
+	}
+}
+
+// readQueues notes the waits that the workers' views report of queued placements.
+func (p *Planner) readQueues(r *rebalancing) {
+	r.waitS = map[*jobstate.Placement]float64{}
+	r.average = map[*jobstate.Job]*jobstate.Average{}
+	for _, worker := range p.state.Workers {
+		for _, queued := range worker.View.Queue {
+			for placement := range worker.Placements {
+				if placement.State == jobstate.PlacementRecorded && placement.Attempt == queued.Attempt && placement.Ref == queued.TaskRef {
+					r.noteWait(placement, queued.WaitS)
 				}
-				o.state.Stats.Duplicates++
-				o.placeTask(job, task, best, bestE.wait)
 			}
 		}
 	}
 }
+
+// noteWait notes for how many seconds a queued placement still waits.
+func (r *rebalancing) noteWait(placement *jobstate.Placement, waitS float64) {
+	r.waitS[placement] = waitS
+	average := r.average[placement.Job]
+	if average == nil {
+		average = &jobstate.Average{}
+		r.average[placement.Job] = average
+	}
+	average.Add(min(waitS, countedWaitS))
+}
+
+// averageWaitS is the average wait of the job's queued placements; 0: none is known.
+func (r *rebalancing) averageWaitS(job *jobstate.Job) float64 {
+	if average := r.average[job]; average != nil {
+		return average.Mean()
+	}
+	return 0
+}
+
+// withdrawUnreachable withdraws those of a task's placements that are queued on workers
+// where the task may not start, and reports whether there were any.
+func (p *Planner) withdrawUnreachable(r *rebalancing, placements []*jobstate.Placement) bool {
+	r.unreachable = r.unreachable[:0]
+	for _, placement := range placements {
+		if placement.State == jobstate.PlacementRecorded && p.unreachable(placement) {
+			r.unreachable = append(r.unreachable, placement)
+		}
+	}
+	for _, placement := range r.unreachable {
+		p.state.WithdrawPlacement(placement)
+	}
+	return len(r.unreachable) > 0
+}
+
+// unreachable reports whether the worker of a queued placement is unresponsive, about to
+// leave, or without enough of its lease left for the task.
+func (p *Planner) unreachable(placement *jobstate.Placement) bool {
+	worker := placement.Worker
+	lastSign := jobstate.Later(worker.LastHeartbeat, placement.CreatedAt)
+	return p.state.Now.Sub(lastSign) > p.heartbeatTimeout() || !worker.NoticeAt.IsZero() || worker.View.Draining ||
+		!worker.UnresponsiveSince.IsZero() || !p.state.FitsLease(placement.Job, worker)
+}
+
+// overdue returns, if all of a task's placements are queued and wait longer than planned,
+// the one that waits longest, and the lowest cost of any; else nil.
+func (p *Planner) overdue(r *rebalancing, job *jobstate.Job, placements []*jobstate.Placement) (slowest *jobstate.Placement, cost float64) {
+	averageS := r.averageWaitS(job)
+	slowest, cost = placements[0], math.Inf(1)
+	for _, placement := range placements {
+		waitS, known := r.waitS[placement]
+		if placement.State != jobstate.PlacementRecorded || !known {
+			return nil, 0
+		}
+		queuedS := p.state.Now.Sub(placement.CreatedAt).Seconds()
+		if !matching.ShouldReplace(placement.PlannedWait, queuedS, waitS, max(averageS, placement.PlannedWait), p.state.Operator.ReplaceS) {
+			return nil, 0
+		}
+		if waitS > r.waitS[slowest] {
+			slowest = placement
+		}
+		worker := placement.Worker
+		cost = min(cost, matching.Cost(p.state.FetchTime(job, worker), waitS, job.RunEstimate(), p.state.SuccessRate(worker), p.state.Operator.KFail))
+	}
+	return slowest, cost
+}
+
+// placeAgain places a queued task on another worker too if that costs at least a second
+// less than cost. If it has maxPlacements already, the slowest is withdrawn: else a task
+// that waits on two workers behind long ones stays there beside an idle worker.
+func (p *Planner) placeAgain(r *rebalancing, placements []*jobstate.Placement, slowest *jobstate.Placement, cost float64) {
+	job := slowest.Job
+	var best *jobstate.Worker
+	bestEstimate := estimate{cost: cost - 1}
+	for _, worker := range p.candidates(job, p.workersWithRoom(job, r.open)) {
+		if slices.ContainsFunc(placements, func(placement *jobstate.Placement) bool { return placement.Worker == worker }) {
+			continue
+		}
+		if e, ok := p.estimate(job, worker); ok && e.cost < bestEstimate.cost {
+			best, bestEstimate = worker, e
+		}
+	}
+	if best == nil {
+		return
+	}
+	if len(placements) >= maxPlacements {
+		p.state.WithdrawPlacement(slowest)
+	}
+	p.state.Stats.Duplicates++
+	p.placeTask(job, slowest.Task, best, bestEstimate.waitS)
+}
--- a/internal/planner/triage.go
+++ b/internal/planner/triage.go
@@ -6,125 +6,164 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/admission"
-	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/jobstate"
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
 const (
-	triageEvery = time.Second
-	arriveOver  = 40.0 // seconds over which arriving work is averaged
-	flooded     = 1.5  // times the usual first limit, that all work of a priority must take for triage to begin
-	subsided    = 0.75 // and below which it ends
-	leastRate   = 0.1  // of the fleet, that a priority is taken to get whatever arrives above it
-	yield       = 0.75 // of the fleet, that tasks keep busy: the rest is gaps, fetches and starts
+	triageInterval = time.Second
+	arrivalWindowS = 40.0 // over which arriving work is averaged
+	floodedFrom    = 1.5  // times the usual first limit, that all work of a priority must take for triage to begin
+	floodedUntil   = 0.75 // times the same, below which it ends
+	leastShare     = 0.1  // of the capacity, that a priority is taken to get whatever arrives above it
+	usableShare    = 0.75 // of the capacity, that tasks keep busy: the rest is gaps, fetches and starts
 )
 
-// triage sorts out which jobs can still be done in time: see package triage. The fleet's
-// capacity goes to priorities from the highest on; what a lower one gets is what the
-// work above it, and its arrival, leave.
+// Triage finds, at most once in triageInterval, which jobs can still be done in time, and
+// sets their tiers: see package admission. The capacity of the workers goes to priorities
+// from the highest on; what a lower one gets is what the work above it, and its arrival,
+// leave. The caller holds the state's Mu.
 func (p *Planner) Triage() {
 	now := time.Now()
-	dt := now.Sub(p.triagedAt).Seconds()
-	if dt < triageEvery.Seconds() {
+	elapsedS := now.Sub(p.triagedAt).Seconds()
+	if elapsedS < triageInterval.Seconds() {
 		return
 	}
-	first := p.triagedAt.IsZero()
+	p.updateArrivals(elapsedS)
 	p.triagedAt = now
-	for _, a := range p.state.Arriving {
+	capacity := p.capacity(now)
+	if capacity.CPUs <= 0 {
+		return
+	}
+	byRank, ranks := p.jobsByRank()
+	t := &triage{now: now, capacity: capacity}
+	for _, rank := range ranks {
+		p.triageRank(t, rank, byRank[rank])
+	}
+}
+
+// triage is one run of Triage, on its way from the highest priority to the lowest.
+type triage struct {
+	now      time.Time
+	capacity matching.Resources
+	aboveS   float64 // that the work of higher priorities takes
+	busy     float64 // share of the capacity that the arrival of such work keeps busy
+}
+
+// updateArrivals averages the rates at which work arrives, elapsedS after the last time.
+func (p *Planner) updateArrivals(elapsedS float64) {
+	first := p.triagedAt.IsZero()
+	for _, arriving := range p.state.Arriving {
 		if !first {
-			a.Rate += (1 - math.Exp(-dt/arriveOver)) * ((a.Admitted-a.LastAdmitted)/dt - a.Rate)
+			arriving.Rate += (1 - math.Exp(-elapsedS/arrivalWindowS)) * ((arriving.Admitted-arriving.LastAdmitted)/elapsedS - arriving.Rate)
 		}
-		a.LastAdmitted = a.Admitted
+		arriving.LastAdmitted = arriving.Admitted
 	}
-	var fleet matching.Resources
-	fresh := config.Seconds(3*p.state.Platform.Params.Workers.ReportS + 1)
-	for _, worker := range p.state.Workers {
-		if t := p.state.TypeOf(worker); !worker.Gone && !worker.View.Draining && now.Sub(worker.LastHeartbeat) < fresh {
-			fleet = fleet.Add(matching.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, 1)
+}
+
+// arrivalShare is the share of the capacity that arriving work of a priority keeps busy.
+func (p *Planner) arrivalShare(rank int, capacity matching.Resources) float64 {
+	share := 0.0
+	for _, arriving := range p.state.Arriving {
+		if arriving.Rank == rank {
+			share += arriving.Rate / capacity.CPUs
 		}
 	}
-	if fleet.CPUs <= 0 {
-		return
+	return share
+}
+
+// capacity sums up the machines of the workers that are here to stay.
+func (p *Planner) capacity(now time.Time) matching.Resources {
+	var sum matching.Resources
+	timeout := p.heartbeatTimeout()
+	for _, worker := range p.state.Workers {
+		if machine := p.state.TypeOf(worker); !worker.Gone && !worker.View.Draining && now.Sub(worker.LastHeartbeat) < timeout {
+			sum = sum.Add(matching.Resources{CPUs: machine.CPUs, GPUs: machine.GPUs, MemoryGB: machine.MemoryGB}, 1)
+		}
 	}
-	byRank := map[int][]*jobstate.Job{}
-	var ranks []int
+	return sum
+}
+
+// jobsByRank returns the living jobs that end by themselves, by priority, and the
+// priorities, highest first. It clears the tiers of all jobs.
+func (p *Planner) jobsByRank() (byRank map[int][]*jobstate.Job, ranks []int) {
+	byRank = map[int][]*jobstate.Job{}
 	for _, job := range p.state.JobOrder {
 		job.Tier = 0
 		if job.Cancelled || job.EndStage != "" || job.Spec.Service() {
 			continue
 		}
-		r := job.Spec.Rank()
-		if len(byRank[r]) == 0 {
-			ranks = append(ranks, r)
+		rank := job.Spec.Rank()
+		if len(byRank[rank]) == 0 {
+			ranks = append(ranks, rank)
 		}
-		byRank[r] = append(byRank[r], job)
+		byRank[rank] = append(byRank[rank], job)
 	}
 	slices.Sort(ranks)
 	slices.Reverse(ranks)
-	above, busy := 0.0, 0.0 // work, and its arrival, of higher priorities
-	for _, r := range ranks {
-		jobs := make([]admission.Job, 0, len(byRank[r]))
-		sum, arrives := 0.0, 0.0
-		for _, job := range byRank[r] {
-			t := p.triageJob(job, now, fleet)
-			sum += t.Work
-			jobs = append(jobs, t)
-		}
-		for _, a := range p.state.Arriving {
-			if a.Rank == r {
-				arrives += a.Rate / fleet.CPUs
-			}
-		}
-		rate := yield * max(leastRate, 1-busy)
-		// While all can be done a little late at the worst, the order of their limits
-		// serves them best: all are served, and few late.
-		if usual := usualLimit(byRank[r], p.state.Limits); usual > 0 {
-			takes := above + sum/rate
-			p.flooded[r] = takes > flooded*usual || p.flooded[r] && takes > subsided*usual
-		}
-		if p.flooded[r] {
-			for i, tier := range admission.AssignTiers(jobs, rate, above) {
-				byRank[r][i].Tier = tier
-			}
+	return byRank, ranks
+}
+
+// triageRank sets the tiers of the jobs of a priority if it is flooded, and counts them to
+// what is above the next one.
+func (p *Planner) triageRank(t *triage, rank int, jobs []*jobstate.Job) {
+	workS := 0.0
+	remaining := make([]admission.Job, 0, len(jobs))
+	for _, job := range jobs {
+		left := p.remainingWork(job, t)
+		workS += left.Work
+		remaining = append(remaining, left)
+	}
+	share := usableShare * max(leastShare, 1-t.busy)
+	// While all can be done a little late at the worst, the order of their limits
+	// serves them best: all are served, and few late.
+	if usualS := p.usualLimit(jobs); usualS > 0 {
+		takesS := t.aboveS + workS/share
+		p.flooded[rank] = takesS > floodedFrom*usualS || p.flooded[rank] && takesS > floodedUntil*usualS
+	}
+	if p.flooded[rank] {
+		for i, tier := range admission.AssignTiers(remaining, share, t.aboveS) {
+			jobs[i].Tier = tier
 		}
-		above += sum / yield
-		busy += arrives / yield
 	}
+	t.aboveS += workS / usableShare
+	t.busy += p.arrivalShare(rank, t.capacity) / usableShare
 }
 
-// usualLimit is the mean age at which jobs should be done first.
-func usualLimit(jobs []*jobstate.Job, limits func(*jobstate.Job) []float64) float64 {
-	sum, n := 0.0, 0
+// usualLimit is the mean of the ages, in seconds, by which jobs should be done first; 0 if
+// none has a limit.
+func (p *Planner) usualLimit(jobs []*jobstate.Job) float64 {
+	sumS, n := 0.0, 0
 	for _, job := range jobs {
-		if ls := limits(job); len(ls) > 0 {
-			sum += slices.Min(ls)
+		if limits := p.state.Limits(job); len(limits) > 0 {
+			sumS += slices.Min(limits)
 			n++
 		}
 	}
-	return sum / float64(max(1, n))
+	return sumS / float64(max(1, n))
 }
 
-// toTriage is what is left of a job, with its work in seconds of the whole fleet.
-func (p *Planner) triageJob(job *jobstate.Job, now time.Time, fleet matching.Resources) admission.Job {
-	part := job.Resources.CPUs / fleet.CPUs
-	if fleet.GPUs > 0 {
-		part = max(part, job.Resources.GPUs/fleet.GPUs)
+// remainingWork is what is left of a job, with its work in seconds of the whole capacity.
+func (p *Planner) remainingWork(job *jobstate.Job, t *triage) admission.Job {
+	capacity := t.capacity
+	share := job.Resources.CPUs / capacity.CPUs
+	if capacity.GPUs > 0 {
+		share = max(share, job.Resources.GPUs/capacity.GPUs)
 	}
-	if fleet.MemoryGB > 0 {
-		part = max(part, job.Resources.MemoryGB/fleet.MemoryGB)
+	if capacity.MemoryGB > 0 {
+		share = max(share, job.Resources.MemoryGB/capacity.MemoryGB)
 	}
-	run := job.RunEstimate()
+	runS := job.RunEstimate()
 	tasks := float64(job.Spec.Tasks-job.Finished) - float64(job.Running)/2 // what runs is half done
-	t := admission.Job{Work: max(0, tasks) * run * part, Span: run / 2}
+	remaining := admission.Job{Work: max(0, tasks) * runS * share, Span: runS / 2}
 	if len(job.Pending) > 0 {
-		t.Span = jobstate.Pessimism*run + jobstate.RestartTakes
+		remaining.Span = jobstate.Pessimism*runS + jobstate.RestartTakes
 	}
-	age := float64(now.UnixMilli()-job.AcceptedMs) / 1000
-	for _, l := range p.state.Limits(job) {
-		t.Limits = append(t.Limits, l-age)
+	ageS := float64(t.now.UnixMilli()-job.AcceptedMs) / 1000
+	for _, limitS := range p.state.Limits(job) {
+		remaining.Limits = append(remaining.Limits, limitS-ageS)
 	}
-	slices.Sort(t.Limits)
-	t.Limits = slices.Compact(t.Limits)
-	return t
+	slices.Sort(remaining.Limits)
+	remaining.Limits = slices.Compact(remaining.Limits)
+	return remaining
 }
