--- a/internal/matching/recorded_test.go
+++ b/internal/matching/recorded_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Shapes and matrices keep the form in which controllers tell them to one another.
+// Resources and matrices keep the form in which controllers send them to one another.
 func TestRecorded(t *testing.T) {
 	checkRecorded(t, "shape_full.json", matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25})
 	checkRecorded(t, "shape_empty.json", matching.Resources{})
