--- a/internal/admission/triage_test.go
+++ b/internal/admission/tiers_test.go
@@ -16,16 +16,16 @@
 	}
 }
 
-// most is how many of the jobs can be met by their first limit, by trying all sets.
-func most(jobs []admission.Job, rate float64) int {
+// mostMet is how many of the jobs can be done by their first limit, by trying all sets.
+func mostMet(jobs []admission.Job, rate float64) int {
 	best := 0
 	for set := range 1 << len(jobs) {
-		n, ok := 0, true
+		met, ok := 0, true
 		for i := range jobs {
 			if set&(1<<i) == 0 {
 				continue
 			}
-			n++
+			met++
 			used := 0.0 // by the time that this one is due
 			for k := range jobs {
 				if set&(1<<k) != 0 && jobs[k].Limits[0] <= jobs[i].Limits[0] {
@@ -35,14 +35,14 @@
 			ok = ok && used <= rate*jobs[i].Limits[0]
 		}
 		if ok {
-			best = max(best, n)
+			best = max(best, met)
 		}
 	}
 	return best
 }
 
-// No choice meets more first limits, and none is chosen that is late.
-func TestMostAreMet(t *testing.T) {
+// No choice meets more first limits, and no job is assigned a limit that it misses.
+func TestMostFirstLimitsAreMet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		jobs := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) admission.Job {
 			first := float64(rapid.IntRange(1, 30).Draw(rt, "limit"))
@@ -71,13 +71,14 @@
 				rt.Fatalf("job %d is late", i)
 			}
 		}
-		if want := most(jobs, rate); n != want {
+		if want := mostMet(jobs, rate); n != want {
 			rt.Fatalf("%d are met, %d can be", n, want)
 		}
 	})
 }
 
-func TestTiers(t *testing.T) {
+// Each rule by which a job's limits are missed, by itself.
+func TestTiersUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		jobs   []admission.Job
@@ -86,10 +87,10 @@
 		want   []int
 	}{
 		{"all can be met", []admission.Job{{10, 0, []float64{10}}, {10, 0, []float64{20}}}, 1, 0, []int{0, 0}},
-		{"the larger lets its limit pass", []admission.Job{{10, 0, []float64{10, 40}}, {5, 0, []float64{10, 40}}}, 1, 0, []int{1, 0}},
-		{"one is over already", []admission.Job{{1, 1, []float64{-5, 10}}, {1, 1, []float64{-5, -1}}}, 1, 0, []int{1, 2}},
+		{"the larger one misses its limit", []admission.Job{{10, 0, []float64{10, 40}}, {5, 0, []float64{10, 40}}}, 1, 0, []int{1, 0}},
+		{"first limits are past", []admission.Job{{1, 1, []float64{-5, 10}}, {1, 1, []float64{-5, -1}}}, 1, 0, []int{1, 2}},
 		{"one takes too long by itself", []admission.Job{{1, 30, []float64{10, 40}}}, 100, 0, []int{1}},
-		{"others come first", []admission.Job{{10, 0, []float64{15, 40}}}, 1, 10, []int{1}},
+		{"offset by work before", []admission.Job{{10, 0, []float64{15, 40}}}, 1, 10, []int{1}},
 		{"its last tasks end while others wait", []admission.Job{{9, 4, []float64{10, 40}}}, 1, 0, []int{1}},
 		{"no limits", []admission.Job{{10, 1, nil}}, 1, 0, []int{0}},
 		{"nothing to run on", []admission.Job{{10, 0, []float64{10}}}, 0, 0, []int{1}},
@@ -104,6 +105,7 @@
 	}
 }
 
+// BenchmarkTiers assigns tiers to 1000 jobs, of which many miss limits.
 func BenchmarkTiers(b *testing.B) {
 	jobs := make([]admission.Job, 1000)
 	for i := range jobs {
