--- a/internal/slo/recorded_test.go
+++ b/internal/slo/recorded_test.go
@@ -25,41 +25,41 @@
 	jsonTime = regexp.MustCompile(`"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(Z|[+-]\d\d:\d\d)"`)
 )
 
-// The answer about alerts of each kind, open and over, the log's lines of them, and the
-// keys of the statistics.
+// The response about alerts of each kind, open and cleared, their log lines, and the keys of
+// the statistics stay as recorded.
 func TestRecordedAlerts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log strings.Builder
 		due := 20.0
-		j := &jobs{}
+		living := &jobs{}
 		late := []scheduler.JobStatus{
 			{UID: "j-1", Class: "quick", Age: 3 * time.Second, Tasks: 4, Started: 1},
 			{UID: "j-2", Class: "batch", Age: 30 * time.Second, Tasks: 2, Started: 2, Done: 1},
 			{UID: "j-3", Class: "nightly", Age: 45 * time.Second, Tasks: 3, Started: 3, Done: 2, DueS: &due},
 		}
-		aims := []config.Objective{{Kind: "wait", Class: "quick", WithinS: 2}, {Kind: "finished", Class: "batch", WithinS: 5}, {Kind: "deadline", Class: "nightly", Times: 2}}
-		a := slo.New(aims, j, slog.New(slog.NewTextHandler(&log, nil)))
+		objectives := []config.Objective{{Kind: "wait", Class: "quick", WithinS: 2}, {Kind: "finished", Class: "batch", WithinS: 5}, {Kind: "deadline", Class: "nightly", Times: 2}}
+		monitor := slo.New(objectives, living, slog.New(slog.NewTextHandler(&log, nil)))
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
-		go func() { defer close(ended); _ = a.Run(ctx) }()
+		go func() { defer close(ended); _ = monitor.Run(ctx) }()
 		mux := http.NewServeMux()
-		a.Register(mux)
+		monitor.Register(mux)
 		var text strings.Builder
-		ask := func() {
+		query := func() {
 			time.Sleep(1500 * time.Millisecond)
 			synctest.Wait()
-			w := httptest.NewRecorder()
-			mux.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/ops/alerts", nil))
-			fmt.Fprintf(&text, "%d %s %s\n", w.Code, w.Header().Get("Content-Type"), jsonTime.ReplaceAllString(w.Body.String(), "TIME"))
+			response := httptest.NewRecorder()
+			mux.ServeHTTP(response, httptest.NewRequest(http.MethodGet, "/ops/alerts", nil))
+			fmt.Fprintf(&text, "%d %s %s\n", response.Code, response.Header().Get("Content-Type"), jsonTime.ReplaceAllString(response.Body.String(), "TIME"))
 		}
-		for _, s := range late { // one after the other, by which they are in order
-			j.add(s)
-			ask()
+		for _, job := range late { // one after the other, which gives their order
+			living.add(job)
+			query()
 		}
-		for j.take() {
-			ask()
+		for living.removeFirst() {
+			query()
 		}
-		stats, err := json.Marshal(a.Stats())
+		stats, err := json.Marshal(monitor.Stats())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,19 +70,20 @@
 	})
 }
 
-func (j *jobs) add(s scheduler.JobStatus) {
+// add adds a living job.
+func (j *jobs) add(job scheduler.JobStatus) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.list = append(j.list, s)
+	j.living = append(j.living, job)
 }
 
-// take ends the first job, and reports whether there was one.
-func (j *jobs) take() bool {
+// removeFirst removes the first job, and reports whether there was one.
+func (j *jobs) removeFirst() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if len(j.list) == 0 {
+	if len(j.living) == 0 {
 		return false
 	}
-	j.list = j.list[1:]
+	j.living = j.living[1:]
 	return true
 }
