--- a/internal/lowerbound/lowerbound_test.go
+++ b/internal/lowerbound/lowerbound_test.go
@@ -8,7 +8,9 @@
 	"github.com/wallrack/wallrack/internal/lowerbound"
 )
 
-func TestCheapestPackingOfALoggedDay(t *testing.T) {
+// A log with a job that two leaders logged and a cancelled one gives the least work that
+// spot capacity can't do in time; a malformed line is refused by its number.
+func TestBoundOfLoggedJobs(t *testing.T) {
 	const log = `   12.5 racker-1 time=x level=INFO msg=started
 time=x level=DEBUG msg="job ended" job=j-1 class=study stage=done arrived_s=0.5 took_s=30 run_s=10 limit_s=20 tasks=10 cpus=1
 time=x level=DEBUG msg="job ended" job=j-1 class=study stage=done arrived_s=0.5 took_s=30 run_s=10 limit_s=20 tasks=10 cpus=1
@@ -19,14 +21,14 @@
 	if err != nil || len(jobs) != 2 {
 		t.Fatalf("%d jobs, %v", len(jobs), err)
 	}
-	// 200 CPU-seconds on 8 CPUs: the quote's 100 are cut off after 80, the
-	// study's 100 have 10 s and a half left, which is 80 on whole seconds.
+	// 200 CPU-seconds on 8 CPUs: of the quote's 100 only 80 are done by its limit, and
+	// the study's 100 then have 10.5 s left, which is 80 in whole seconds.
 	r := lowerbound.Of(jobs, 8, 5)
 	if r.Work != 200 || r.Dear < 20 || r.Dear > 40 || math.Abs(r.Price-(1+4*r.Dear/200)) > 1e-9 {
 		t.Errorf("%+v", r)
 	}
 	if r.Late["study"] != 1 || r.Late["quote"] != 0 || r.LateCheap["quote"] != 1 {
-		t.Errorf("late %v, on cheap capacity alone %v", r.Late, r.LateCheap)
+		t.Errorf("late %v, on spot capacity alone %v", r.Late, r.LateCheap)
 	}
 	if r := lowerbound.Of(jobs, 100, 5); r.Dear != 0 || r.Price != 1 {
 		t.Errorf("with room for all: %+v", r)
--- a/internal/lowerbound/recorded_test.go
+++ b/internal/lowerbound/recorded_test.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// A log of a local site, with limits put in, a class of two words, and one line told by
-// a second owner too: such logs are kept, and are to give what they gave.
+// A log of a local site, with limits put in, a class of two words, and one line logged by a
+// second leader too: such logs are kept, and are to give what they gave.
 func TestRecordedLog(t *testing.T) {
 	jobs, err := lowerbound.Read(bytes.NewReader(recorded.Read(t, "debug.log")))
 	if err != nil {
