--- a/internal/admission/tiers.go
+++ b/internal/admission/tiers.go
@@ -30,9 +30,14 @@
 // byWork is a max-heap of contenders by their work.
 type byWork []*contender
 
-func (h byWork) Len() int           { return len(h) }
+// Len is how many there are.
+func (h byWork) Len() int { return len(h) }
+
+// Less puts the larger work first.
 func (h byWork) Less(a, b int) bool { return h[a].work > h[b].work }
-func (h byWork) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
+
+// Swap swaps two.
+func (h byWork) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
 // Push appends a *contender.
 func (h *byWork) Push(x any) { *h = append(*h, x.(*contender)) }
--- a/internal/lowerbound/lowerbound.go
+++ b/internal/lowerbound/lowerbound.go
@@ -126,9 +126,14 @@
 	return math.Inf(1)
 }
 
-func (h *byLimit) Len() int           { return len(h.parts) }
+// Len is how many there are.
+func (h *byLimit) Len() int { return len(h.parts) }
+
+// Less puts the earlier limit first.
 func (h *byLimit) Less(a, b int) bool { return h.limitS(a) < h.limitS(b) }
-func (h *byLimit) Swap(a, b int)      { h.parts[a], h.parts[b] = h.parts[b], h.parts[a] }
+
+// Swap swaps two.
+func (h *byLimit) Swap(a, b int) { h.parts[a], h.parts[b] = h.parts[b], h.parts[a] }
 
 // Push appends a *remainder.
 func (h *byLimit) Push(x any) { h.parts = append(h.parts, x.(*remainder)) }
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -37,7 +37,7 @@
 
 // resetRoom begins a pass: what had room in the last one may have none.
 func (p *Planner) resetRoom() {
-	clear(p.roomy)
+	clear(p.withRoom)
 	clear(p.caching)
 }
 
@@ -48,17 +48,17 @@
 // workers times the jobs.
 func (p *Planner) workersWithRoom(job *jobstate.Job, open []*jobstate.Worker) []*jobstate.Worker {
 	key := job.Requirements()
-	if known, ok := p.roomy[key]; ok {
+	if known, ok := p.withRoom[key]; ok {
 		return known
 	}
-	roomy := []*jobstate.Worker{}
+	withRoom := []*jobstate.Worker{}
 	for _, worker := range open {
 		if p.state.Allowed(job, worker) && p.state.FitsLease(job, worker) && p.hasRoom(job, worker) {
-			roomy = append(roomy, worker)
+			withRoom = append(withRoom, worker)
 		}
 	}
-	p.roomy[key] = roomy
-	return roomy
+	p.withRoom[key] = withRoom
+	return withRoom
 }
 
 // hasRoom reports whether a task of the job fits on the worker at some time within the
@@ -78,12 +78,12 @@
 
 // workersCaching lists those of the workers with room for the job that have its image, as
 // of the first call in this pass for such a job.
-func (p *Planner) workersCaching(job *jobstate.Job, image int, roomy []*jobstate.Worker) []*jobstate.Worker {
+func (p *Planner) workersCaching(job *jobstate.Job, image int, withRoom []*jobstate.Worker) []*jobstate.Worker {
 	key := imageRequirements{job.Requirements(), image}
 	caching, known := p.caching[key]
 	if !known {
 		caching = []*jobstate.Worker{}
-		for _, worker := range roomy {
+		for _, worker := range withRoom {
 			if worker.Images[image] != nil {
 				caching = append(caching, worker)
 			}
@@ -96,23 +96,23 @@
 // candidates picks from the workers with room for a job those to be estimated. Where they
 // are more than fullSearch, it takes workers that cache the image, then, from a random one
 // on, workers in the zones of those and some with room now, of sampledWorkers at most.
-func (p *Planner) candidates(job *jobstate.Job, roomy []*jobstate.Worker) []*jobstate.Worker {
-	if len(roomy) <= fullSearch {
-		return roomy
+func (p *Planner) candidates(job *jobstate.Job, withRoom []*jobstate.Worker) []*jobstate.Worker {
+	if len(withRoom) <= fullSearch {
+		return withRoom
 	}
 	image := p.state.Images.Of(job.Spec.Image)
 	zones := map[string]bool{}
 	picked := make([]*jobstate.Worker, 0, 2*fullSearch)
-	caching := p.workersCaching(job, image, roomy)
+	caching := p.workersCaching(job, image, withRoom)
 	for i, start := 0, rand.IntN(max(1, len(caching))); i < len(caching) && len(picked) < fullSearch; i++ {
 		worker := caching[(start+i)%len(caching)]
 		zones[worker.View.Zone] = true
 		picked = append(picked, worker)
 	}
 	near, idle := 0, 0
-	start := rand.IntN(len(roomy))
-	for i := 0; i < min(len(roomy), sampledWorkers) && (near < nearCandidates || idle < idleCandidates); i++ {
-		worker := roomy[(start+i)%len(roomy)]
+	start := rand.IntN(len(withRoom))
+	for i := 0; i < min(len(withRoom), sampledWorkers) && (near < nearCandidates || idle < idleCandidates); i++ {
+		worker := withRoom[(start+i)%len(withRoom)]
 		switch {
 		case worker.Images[image] != nil:
 		case near < nearCandidates && zones[worker.View.Zone]:
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -24,12 +24,12 @@
 type Planner struct {
 	state *jobstate.State
 
-	preemptAt int          // index of the worker at which preemption looked last
-	triagedAt time.Time    // when Triage last ran
-	flooded   map[int]bool // priorities with more work than can be done even late
+	preemptAt  int          // index of the worker at which preemption looked last
+	triagedAt  time.Time    // when Triage last ran
+	overloaded map[int]bool // priorities with more work than can be done even late
 
 	// As of the pass in progress.
-	roomy    map[jobstate.Requirements][]*jobstate.Worker // see workersWithRoom
+	withRoom map[jobstate.Requirements][]*jobstate.Worker // see workersWithRoom
 	caching  map[imageRequirements][]*jobstate.Worker     // see workersCaching
 	arena    []matching.Candidate                         // see batchCandidates
 	jobArena []matching.Candidate                         // see batchCandidates
@@ -38,10 +38,10 @@
 // New returns a planner for the jobs of a state.
 func New(state *jobstate.State) *Planner {
 	return &Planner{
-		state:   state,
-		flooded: map[int]bool{},
-		roomy:   map[jobstate.Requirements][]*jobstate.Worker{},
-		caching: map[imageRequirements][]*jobstate.Worker{},
+		state:      state,
+		overloaded: map[int]bool{},
+		withRoom:   map[jobstate.Requirements][]*jobstate.Worker{},
+		caching:    map[imageRequirements][]*jobstate.Worker{},
 	}
 }
 
--- a/internal/planner/triage.go
+++ b/internal/planner/triage.go
@@ -13,8 +13,8 @@
 const (
 	triageInterval = time.Second
 	arrivalWindowS = 40.0 // over which arriving work is averaged
-	floodedFrom    = 1.5  // times the usual first limit, that all work of a priority must take for triage to begin
-	floodedUntil   = 0.75 // times the same, below which it ends
+	overloadFrom   = 1.5  // times the usual first limit, that all work of a priority must take for triage to begin
+	overloadUntil  = 0.75 // times the same, below which it ends
 	leastShare     = 0.1  // of the capacity, that a priority is taken to get whatever arrives above it
 	usableShare    = 0.75 // of the capacity, that tasks keep busy: the rest is gaps, fetches and starts
 )
@@ -104,7 +104,7 @@
 	return byRank, ranks
 }
 
-// triageRank sets the tiers of the jobs of a priority if it is flooded, and counts them to
+// triageRank sets the tiers of the jobs of a priority if it is overloaded, and counts them to
 // what is above the next one.
 func (p *Planner) triageRank(t *triage, rank int, jobs []*jobstate.Job) {
 	workS := 0.0
@@ -119,9 +119,9 @@
 	// serves them best: all are served, and few late.
 	if usualS := p.usualLimit(jobs); usualS > 0 {
 		takesS := t.aboveS + workS/share
-		p.flooded[rank] = takesS > floodedFrom*usualS || p.flooded[rank] && takesS > floodedUntil*usualS
+		p.overloaded[rank] = takesS > overloadFrom*usualS || p.overloaded[rank] && takesS > overloadUntil*usualS
 	}
-	if p.flooded[rank] {
+	if p.overloaded[rank] {
 		for i, tier := range admission.AssignTiers(remaining, share, t.aboveS) {
 			jobs[i].Tier = tier
 		}
