--- a/internal/scheduler/api.go
+++ b/internal/scheduler/api.go
@@ -22,7 +22,7 @@
 	return s.reconciler.GrantAll(requests)
 }
 
-// WorkerAnswered notes that a worker responded to a poll by any controller.
+// WorkerAnswered notes that a worker responded to a request of any controller.
 func (s *Scheduler) WorkerAnswered(name string) { s.reconciler.WorkerAnswered(name) }
 
 // WorkerGone ends every placement on a worker that the cloud has deleted.
