--- /dev/null
+++ b/internal/scheduler/cancel_test.go
@@ -0,0 +1,146 @@
+package scheduler_test
+
+import (
+	"errors"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// A cancel whose response is lost may have been read, and reported to the user, by others: the
+// leader, whose watch had not returned the job before, must not call it queued once the watch
+// returns its acceptance.
+func TestLostCancelResponseBeforeWatchLeavesJobStateUnknown(t *testing.T) {
+	leader, store := newScripted(t)
+	if err := leader.Load(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	job, record := acceptedJob(t, 11)
+	store.get = func(string) (wire.Item, error) { return record, nil }
+	if state, err := leader.Cancel(t.Context(), "j-1"); err == nil {
+		t.Fatalf("the cancel is answered %+v without a response of the state service", state)
+	}
+	leader.JobAccepted(job, nil, 0, 0, 11)
+	if state, ok := leader.LocalState("j-1"); ok {
+		t.Errorf("the leader answers %+v after a cancel that may have been applied", state)
+	}
+}
+
+// A cancel of a job that is accepted between its two reads is not answered "queued".
+func TestCancelRacingAcceptanceIsNotAnsweredQueued(t *testing.T) {
+	leader, store := newScripted(t)
+	if err := leader.Load(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	_, record := acceptedJob(t, 11)
+	reads := 0
+	store.get = func(key string) (wire.Item, error) {
+		if reads++; reads > 1 && key == record.Key {
+			return record, nil
+		}
+		return wire.Item{}, statestore.ErrNotFound
+	}
+	state, err := leader.Cancel(t.Context(), "j-1")
+	if reads < 2 {
+		t.Fatal("the job was not accepted between two reads")
+	}
+	if !errors.Is(err, statestore.ErrNotFound) {
+		t.Errorf("answered %+v, %v", state, err)
+	}
+}
+
+// A cancel that surely failed leaves the job's state known as it was; one without a response does
+// not, until the job's record is seen to be another.
+func TestOnlyCancelWithUnknownOutcomeMakesJobStateUnknown(t *testing.T) {
+	shardTaken := &statestore.Conflict{Keys: []string{"c/shard/000"}}
+	for _, c := range []struct {
+		name     string
+		outcomes []error // of the cancels, one after the other
+		renewed  error   // the outcome of writing the record again
+		known    bool    // the job's state is known after the cancels
+		settled  bool    // and after the record is written again
+	}{
+		{name: "refused", outcomes: []error{statestore.ErrUnavailable}, known: true, settled: true},
+		{name: "no budget", outcomes: []error{statestore.ErrBusy}, known: true, settled: true},
+		{name: "shard taken", outcomes: []error{shardTaken}, known: true, settled: true},
+		{name: "no response", outcomes: []error{statestore.ErrUnknown}, settled: true},
+		{name: "no response, then refused", outcomes: []error{statestore.ErrUnknown, statestore.ErrUnavailable}, settled: true},
+		{name: "refused, then no response", outcomes: []error{statestore.ErrUnavailable, statestore.ErrUnknown}, settled: true},
+		{name: "no response, record not renewed", outcomes: []error{statestore.ErrUnknown}, renewed: statestore.ErrUnavailable},
+		{name: "no response, record perhaps renewed", outcomes: []error{statestore.ErrUnknown}, renewed: statestore.ErrUnknown},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				leader, store, _ := newScriptedWithJob(t)
+				for _, outcome := range c.outcomes {
+					store.txn = func() (uint64, error) { return 0, outcome }
+					if state, err := leader.Cancel(t.Context(), "j-1"); err == nil {
+						t.Fatalf("the cancel is answered %+v", state)
+					}
+				}
+				if state, ok := leader.LocalState("j-1"); ok != c.known || ok && state.Stage != wire.StageQueued {
+					t.Errorf("after the cancels: %+v, %v", state, ok)
+				}
+				writes := 0
+				store.txn = func() (uint64, error) { writes++; return 12, c.renewed }
+				leader.ResolveCancels(t.Context())
+				if writes > 0 {
+					t.Error("written again before the user could repeat the cancel")
+				}
+				time.Sleep(10 * time.Second)
+				leader.ResolveCancels(t.Context())
+				if state, ok := leader.LocalState("j-1"); ok != c.settled || ok && state.Stage != wire.StageQueued {
+					t.Errorf("settled: %+v, %v", state, ok)
+				}
+				leader.ResolveCancels(t.Context())
+				if again := !c.settled; (writes > 0) == c.known || (writes > 1) != again {
+					t.Errorf("written again %d times", writes)
+				}
+			})
+		})
+	}
+}
+
+// A cancel without a response was applied: that the record is cancelled is found when it would be
+// written again.
+func TestAppliedCancelWithLostResponseIsFound(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		leader, _, record := newScriptedWithJob(t)
+		if state, err := leader.Cancel(t.Context(), "j-1"); err == nil {
+			t.Fatalf("the cancel is answered %+v", state)
+		}
+		record.Version = 12
+		record.Value = cancelledRecord(record.Value)
+		time.Sleep(10 * time.Second)
+		leader.ResolveCancels(t.Context())
+		if state, ok := leader.LocalState("j-1"); !ok || state.Stage != wire.StageCancelled {
+			t.Errorf("%+v, %v", state, ok)
+		}
+	})
+}
+
+// While a cancel is under way that will be refused, another is found to have been applied.
+func TestAppliedCancelIsFoundWhileAnotherIsRefused(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		leader, store, record := newScriptedWithJob(t)
+		store.txn = func() (uint64, error) {
+			time.Sleep(10 * time.Second)
+			record.Version = 12
+			record.Value = cancelledRecord(record.Value)
+			leader.ResolveCancels(t.Context())
+			if state, ok := leader.LocalState("j-1"); !ok || state.Stage != wire.StageCancelled {
+				t.Errorf("the applied cancel is not found: %+v, %v", state, ok)
+			}
+			return 0, statestore.ErrUnavailable
+		}
+		if state, err := leader.Cancel(t.Context(), "j-1"); err == nil {
+			t.Errorf("the refused cancel is answered %+v", state)
+		}
+		if state, ok := leader.LocalState("j-1"); !ok || state.Stage != wire.StageCancelled {
+			t.Errorf("%+v, %v", state, ok)
+		}
+	})
+}
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Pass is one scheduling pass.
+// Pass makes one scheduling pass.
 func (s *Scheduler) Pass() {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -22,26 +22,26 @@
 	s.planner.Rebalance()
 }
 
-// Placed counts a job's tasks that have a place.
-func (s *Scheduler) Placed(uid string) int {
+// PlacedTasks counts a job's tasks that have a placement.
+func (s *Scheduler) PlacedTasks(uid string) int {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	return len(s.state.Jobs[uid].Placements)
 }
 
-// PlacesOf lists the places of a job's tasks.
-func (s *Scheduler) PlacesOf(uid string) (refs []dispatch.TaskRef) {
+// PlacementsOf lists the placements of a job's tasks.
+func (s *Scheduler) PlacementsOf(uid string) (refs []dispatch.TaskRef) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
-	for _, ps := range s.state.Jobs[uid].Placements {
-		for _, placement := range ps {
+	for _, placements := range s.state.Jobs[uid].Placements {
+		for _, placement := range placements {
 			refs = append(refs, placement.Ref)
 		}
 	}
 	return refs
 }
 
-// Load takes over every shard that the membership claims.
+// Load loads every shard that the membership claims.
 func (s *Scheduler) Load(ctx context.Context) error {
 	claimed := s.state.Member.ClaimedShards()
 	shards := make([]int, 0, len(claimed))
@@ -51,8 +51,24 @@
 	return s.load(ctx, shards, claimed)
 }
 
-// Record writes what there is to be written.
-func (s *Scheduler) Record(ctx context.Context) error {
+// Unload unloads every shard.
+func (s *Scheduler) Unload() {
+	s.state.Mu.Lock()
+	defer s.state.Mu.Unlock()
+	for shard := range s.state.Loaded {
+		s.unload(shard)
+	}
+}
+
+// WriteOnce writes one transaction of what is unwritten, or repeats the one whose outcome is
+// unknown.
+func (s *Scheduler) WriteOnce(ctx context.Context) error {
+	_, err := s.writer.WriteOnce(ctx)
+	return err
+}
+
+// WriteAll writes all that is unwritten.
+func (s *Scheduler) WriteAll(ctx context.Context) error {
 	for more := true; more; {
 		var err error
 		if more, err = s.writer.WriteOnce(ctx); err != nil {
@@ -62,87 +78,79 @@
 	return nil
 }
 
-// Unload forgets every shard.
-func (s *Scheduler) Unload() {
-	s.state.Mu.Lock()
-	defer s.state.Mu.Unlock()
-	for shard := range s.state.Loaded {
-		s.unload(shard)
-	}
-}
-
-// Directions counts the halts and clears that wait to be sent.
-func (s *Scheduler) Directions() (halts, clears int) {
+// OutboxCounts counts the halts and clears that wait to be sent.
+func (s *Scheduler) OutboxCounts() (halts, clears int) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
-	for _, d := range s.state.Outbox {
-		halts += len(d.Halt)
-		clears += len(d.Clear)
+	for _, instructions := range s.state.Outbox {
+		halts += len(instructions.Halt)
+		clears += len(instructions.Clear)
 	}
 	return halts, clears
 }
 
-// Replayed makes a job of so many tasks of log records, with a chunk record
-// that says nothing up to record saved.
-func (s *Scheduler) Replayed(tasks int, saved uint64, records []string) (places []string, done []int) {
-	var items []wire.Item
-	for i, r := range records {
-		items = append(items, wire.Item{Key: jobrecord.LogKey(0, i), Value: json.RawMessage(r), Version: uint64(i + 1)})
+// ReplayRecords makes a job of so many tasks of log records, with a chunk record that covers
+// nothing up to log record savedSeq. It returns the job's placements and finished tasks.
+func (s *Scheduler) ReplayRecords(tasks int, savedSeq uint64, records []string) (placements []string, done []int) {
+	items := make([]wire.Item, 0, len(records))
+	for i, record := range records {
+		items = append(items, wire.Item{Key: jobrecord.LogKey(0, i), Value: json.RawMessage(record), Version: uint64(i + 1)})
 	}
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	_, entries := s.writer.ReadLogs(items, []int{0})
-	chunk := wire.Item{Key: jobrecord.ChunkKey("j-1", 0), Value: json.RawMessage(fmt.Sprintf(`{"seq":%d,"next":1}`, saved)), Version: 9}
-	job := s.writer.Admit(&shardlog.JobRecords{Live: &jobrecord.LiveRecord{Job: wire.Job{UID: "j-1", Kind: wire.KindArray, Tasks: tasks}}, Version: 1, Chunks: []wire.Item{chunk}, Entries: entries["j-1"]}, 7)
-	for _, ps := range job.Placements {
-		for _, placement := range ps {
-			places = append(places, fmt.Sprintf("%s %d %s", placement.Ref.Task, placement.Attempt, placement.Ref.Machine))
+	chunk := wire.Item{Key: jobrecord.ChunkKey("j-1", 0), Value: json.RawMessage(fmt.Sprintf(`{"seq":%d,"next":1}`, savedSeq)), Version: 9}
+	live := &jobrecord.LiveRecord{Job: wire.Job{UID: "j-1", Kind: wire.KindArray, Tasks: tasks}}
+	job := s.writer.Admit(&shardlog.JobRecords{Live: live, Version: 1, Chunks: []wire.Item{chunk}, Entries: entries["j-1"]}, 7)
+	for _, ofTask := range job.Placements {
+		for _, placement := range ofTask {
+			placements = append(placements, fmt.Sprintf("%s %d %s", placement.Ref.Task, placement.Attempt, placement.Ref.Machine))
 		}
 	}
-	sort.Strings(places)
-	for t := range tasks {
-		if job.Chunks[0].IsDone(t) {
-			done = append(done, t)
+	sort.Strings(placements)
+	for task := range tasks {
+		if job.Chunks[0].IsDone(task) {
+			done = append(done, task)
 		}
 	}
 	s.state.ForgetJob("j-1", job)
-	return places, done
+	return placements, done
 }
 
-// CancelRecorded acts on a cancel of a job that is recorded.
-func (s *Scheduler) CancelRecorded(uid string) {
+// ApplyCancel applies a recorded cancel of a job to the state.
+func (s *Scheduler) ApplyCancel(uid string) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	s.state.CancelJob(s.state.Jobs[uid])
 }
 
-// TeamUse is the CPUs that a team's tasks may use.
-func (s *Scheduler) TeamUse(team string) float64 {
+// TeamCPUs returns the CPUs that a team's tasks may use now.
+func (s *Scheduler) TeamCPUs(team string) float64 {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	return s.state.Teams[team].Used.CPUs
 }
 
-// LimitTeam sets a team's limit of CPUs.
-func (s *Scheduler) LimitTeam(team string, cpus float64) {
+// SetTeamCPULimit sets a team's limit of CPUs.
+func (s *Scheduler) SetTeamCPULimit(team string, cpus float64) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	s.state.Teams[team].CPUsMax = cpus
 }
 
-// ResolveCancels settles cancels whose outcome has been open for a while.
+// ResolveCancels settles cancels whose outcome has been unknown for a while.
 func (s *Scheduler) ResolveCancels(ctx context.Context) { s.resolveCancels(ctx) }
 
-// WhileBusy does something while this owner can do nothing else, as during a pass.
-func (s *Scheduler) WhileBusy(do func()) {
+// WhileLocked calls a function while the state is locked, as during a pass.
+func (s *Scheduler) WhileLocked(call func()) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
-	do()
+	call()
 }
 
-// HeardAgo is how long ago a machine was heard, as far as this owner knows.
-func (s *Scheduler) HeardAgo(name string) time.Duration {
+// HeartbeatAge returns how long ago a worker's last heartbeat arrived.
+func (s *Scheduler) HeartbeatAge(worker string) time.Duration {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
-	return time.Since(s.state.Workers[name].LastHeartbeat)
+	return time.Since(s.state.Workers[worker].LastHeartbeat)
 }
--- /dev/null
+++ b/internal/scheduler/grant_test.go
@@ -0,0 +1,130 @@
+package scheduler_test
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// A queued placement does not count against the team's limit until its start is granted: the
+// grant itself keeps the limit, whatever was queued, until a task has left its worker.
+func TestGrantIsRefusedAtTeamLimit(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newCluster(t, 1, 0)
+		stop := cluster.run()
+		cluster.acceptArray(2)
+		for range 3 {
+			cluster.heartbeat(0, 0)
+			time.Sleep(time.Second)
+		}
+		refs := cluster.scheduler.PlacementsOf("j-1")
+		if len(refs) != 2 {
+			t.Fatalf("placed at %v", refs)
+		}
+		cluster.scheduler.SetTeamCPULimit("t", 3)
+		grant := func(i int) bool {
+			return cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: refs[i], Holder: "a", Token: 7, Session: 1}).OK
+		}
+		if !grant(0) || grant(1) || !grant(0) {
+			t.Error("the limit lets one task start, which may be granted again")
+		}
+		task := wire.Task{Task: refs[0].Task, Attempt: refs[0].Attempt, State: wire.TaskExited, Cause: wire.CauseDone}
+		cluster.heartbeat(0, 0, dispatch.TaskView{Task: task})
+		if !grant(1) {
+			t.Error("refused although the other task has exited")
+		}
+		stop()
+	})
+}
+
+// A cancelled task's start was granted to a dispatcher whose command is delayed; its worker's
+// heartbeats then reach another dispatcher, or the first one after a restart, which has the task
+// queued and did not send it. The start still counts against the team's limit: only a dispatcher
+// that was the only one to get the grant can attest that nothing is under way.
+func TestCancelledGrantCountsUntilItsOnlyDispatcherReportsItUnsent(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		granted, again uint64 // tokens of the dispatchers that were granted the start
+		dispatcher     uint64 // token of the one that reports it unsent
+		counts         bool
+	}{
+		{"the only dispatcher", 7, 0, 7, false},
+		{"another dispatcher", 7, 0, 8, true},
+		{"another dispatcher, granted too", 7, 8, 8, true},
+		{"the first of two", 7, 8, 7, true},
+		{"the first of two, of the higher token", 8, 7, 8, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				cluster := newCluster(t, 1, 0)
+				stop := cluster.run()
+				cluster.acceptArray(1)
+				for range 2 {
+					cluster.heartbeat(0, 0.2)
+					time.Sleep(time.Second)
+				}
+				ref := cluster.scheduler.PlacementsOf("j-1")[0]
+				for _, token := range []uint64{c.granted, c.again} {
+					if token > 0 && !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Holder: "a", Token: token, Session: 1}).OK {
+						t.Fatal("not granted")
+					}
+				}
+				cluster.unlaunched = dispatch.Unlaunched{Refs: []dispatch.TaskRef{ref}, Token: c.dispatcher}
+				cluster.scheduler.ApplyCancel("j-1")
+				time.Sleep(3 * time.Second)
+				if used := cluster.scheduler.TeamCPUs("t"); (used > 0) != c.counts {
+					t.Errorf("%v CPUs are counted", used)
+				}
+				stop()
+			})
+		})
+	}
+}
+
+// A start was granted to a dispatcher that has the task queued still, since the grant takes long
+// to reach it: the worker was taken for one whose outbound is lost, and deleted. Outbound is lost
+// if the dispatcher sent the start, and the worker's heartbeats do not show it.
+func TestGrantNotYetAtDispatcherIsNotTakenForOutboundLost(t *testing.T) {
+	for _, unsent := range []bool{true, false} {
+		synctest.Test(t, func(t *testing.T) {
+			cluster := newCluster(t, 2, 0)
+			stop := cluster.run()
+			cluster.acceptArray(1)
+			var ref dispatch.TaskRef
+			observe := func() {
+				for i := range cluster.views {
+					view := &cluster.views[i]
+					view.Seq, view.Holder, view.Queue = view.Seq+1, "b", nil
+					if view.Asked = view.Name != ref.Machine; !view.Asked {
+						view.Queue = []dispatch.QueueView{{TaskRef: ref, Unsent: unsent}}
+					}
+					cluster.scheduler.ObserveWorker(*view)
+				}
+				time.Sleep(time.Second)
+			}
+			for range 2 {
+				cluster.heartbeat(0, 0.2)
+				time.Sleep(time.Second)
+			}
+			ref = cluster.scheduler.PlacementsOf("j-1")[0]
+			if !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Holder: "b", Token: 7, Session: 1}).OK {
+				t.Fatal("not granted")
+			}
+			outboundLost := false
+			for range 9 { // less than the time after which the leader instructs to raise the token
+				observe()
+				_, unresponsive := cluster.scheduler.UnresponsiveWorkers(2 * time.Second)
+				for i := range unresponsive {
+					outboundLost = outboundLost || unresponsive[i].Name == ref.Machine && unresponsive[i].OutboundLost
+				}
+			}
+			if outboundLost == unsent {
+				t.Errorf("start not sent: %v; taken for outbound lost: %v", unsent, outboundLost)
+			}
+			stop()
+		})
+	}
+}
--- /dev/null
+++ b/internal/scheduler/heartbeat_test.go
@@ -0,0 +1,44 @@
+package scheduler_test
+
+import (
+	"testing"
+	"time"
+)
+
+// A dispatcher that had a heartbeat of a worker before its deletion went on publishing it, and
+// after that tasks were placed on deleted workers.
+func TestLateViewDoesNotRestoreDeletedWorker(t *testing.T) {
+	cluster := newCluster(t, 2, 0)
+	cluster.scheduler.WorkerGone(cluster.views[0].Name)
+	cluster.views[0].Seq++
+	cluster.scheduler.ObserveWorker(cluster.views[0])
+	if n := cluster.scheduler.QueueDepths()["known_machines"]; n != 1 {
+		t.Errorf("%d workers known after one of two was deleted", n)
+	}
+}
+
+// A heartbeat without changes does not wait for a pass, which would delay the response to its
+// worker; the leader applies it soon after, as of when it arrived.
+func TestUnchangedHeartbeatDoesNotWaitForPass(t *testing.T) {
+	cluster := newCluster(t, 1, 0)
+	view := cluster.views[0]
+	view.Seq, view.Same = view.Seq+1, true
+	time.Sleep(50 * time.Millisecond)
+	arrived := time.Now()
+	cluster.scheduler.WhileLocked(func() {
+		observed := make(chan struct{})
+		go func() { cluster.scheduler.ObserveWorker(view); close(observed) }()
+		select {
+		case <-observed:
+		case <-time.After(5 * time.Second):
+			t.Error("the heartbeat waits")
+		}
+		time.Sleep(50 * time.Millisecond)
+	})
+	view.Seq, view.Same = view.Seq-1, false // an older one, which has no effect of its own
+	cluster.scheduler.ObserveWorker(view)
+	age, since := cluster.scheduler.HeartbeatAge(view.Name), time.Since(arrived)
+	if age > since || age < since-40*time.Millisecond {
+		t.Errorf("last heartbeat %v ago, when it arrived %v ago", age, since)
+	}
+}
--- /dev/null
+++ b/internal/scheduler/lease_test.go
@@ -0,0 +1,37 @@
+package scheduler_test
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// Without a lease a leader halts and clears no unknown tasks. A leader that was cut off from the
+// state service halted and cleared the tasks that its successor had started on workers which
+// still sent heartbeats here; some were never settled, and their jobs never done.
+func TestUnknownTasksAreNotHaltedOrClearedWithoutLease(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newCluster(t, 1, 0)
+		time.Sleep(time.Minute)
+		observe := func(state, cause string) {
+			view := &cluster.views[0]
+			view.Seq++
+			view.Tasks = []dispatch.TaskView{{Task: wire.Task{Task: "j-9/0", Attempt: 1, State: state, Cause: cause}}}
+			cluster.scheduler.ObserveWorker(*view)
+		}
+		cluster.leaseRemaining = 0
+		observe(wire.TaskRunning, "")
+		observe(wire.TaskExited, wire.CauseError)
+		if halts, clears := cluster.scheduler.OutboxCounts(); halts+clears != 0 {
+			t.Errorf("%d halts and %d clears without the lease", halts, clears)
+		}
+		cluster.leaseRemaining = time.Minute
+		observe(wire.TaskExited, wire.CauseError)
+		if _, clears := cluster.scheduler.OutboxCounts(); clears != 1 {
+			t.Error("with the lease the unknown task is not cleared")
+		}
+	})
+}
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -84,8 +84,8 @@
 	return snapshots, nil
 }
 
-// info makes the texts of a listing. cutTask is the first waiting task that they have no
-// room for, 0 if they have all.
+// info makes the texts of a listing. cutTask is the first waiting task that does not fit
+// them, 0 if all do.
 func (s jobSnapshot) info() (info jobquery.Info, cutTask int) {
 	if len(s.waitingTasks) > 0 {
 		ranges := jobspec.RangesOf(s.waitingTasks)
--- /dev/null
+++ b/internal/scheduler/priority_test.go
@@ -0,0 +1,121 @@
+package scheduler_test
+
+import (
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/matching"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// Only a job whose objective is in danger preempts others. An objective for starts that was far
+// off (100 s) made every job of its class preempt work of lower priority at once: three fifths of
+// all that was started had to start again.
+func TestOnlyObjectiveInDangerPreempts(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newCluster(t, 1, 0)
+		cluster.platform.Params.Objectives = []config.Objective{{Kind: "wait", Class: "quote", WithinS: 100, Share: 0.9}}
+		now := time.Now().UnixMilli()
+		cluster.scheduler.JobAccepted(&wire.Job{UID: "j-1", Class: "study", Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 2, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 1)
+		view := &cluster.views[0]
+		full := []matching.Allocation{{Resources: matching.Resources{CPUs: 16, MemoryGB: 1}, RemainingS: 300}}
+		observe := func() {
+			view.Seq++
+			view.Matrix = matching.NewWaitMatrix(matching.Resources{CPUs: machineType.CPUs, MemoryGB: machineType.MemoryGB}, full, nil)
+			view.Tasks = nil
+			for i := range 2 {
+				view.Tasks = append(view.Tasks, dispatch.TaskView{Task: wire.Task{Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1), State: wire.TaskRunning}})
+			}
+			cluster.scheduler.ObserveWorker(*view)
+		}
+		view.Matrix = matching.NewWaitMatrix(matching.Resources{CPUs: machineType.CPUs, MemoryGB: machineType.MemoryGB}, nil, nil)
+		view.Seq++
+		cluster.scheduler.ObserveWorker(*view)
+		cluster.scheduler.Pass()
+		for i := range 2 {
+			cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: dispatch.TaskRef{Machine: view.Name, Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1)}, Token: 7, Session: 1})
+		}
+		observe()
+		cluster.scheduler.JobAccepted(&wire.Job{UID: "j-2", Class: "quote", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 2)
+		preempted := func() int {
+			observe()
+			cluster.scheduler.OutboxCounts()
+			cluster.scheduler.Pass()
+			halts, _ := cluster.scheduler.OutboxCounts()
+			return halts
+		}
+		time.Sleep(20 * time.Second)
+		if n := preempted(); n != 0 {
+			t.Errorf("%d tasks preempted 80 s before the objective", n)
+		}
+		time.Sleep(75 * time.Second)
+		if preempted() == 0 {
+			t.Error("nothing preempted 5 s before the objective")
+		}
+	})
+}
+
+// Jobs that can't meet their deadline are placed after those that can, and never before work of
+// higher priority. Under overload the jobs of one priority were placed in the order of their
+// deadlines, and nearly all were late by a little: a share of 0.14 was in time.
+func TestJobsThatCanMeetTheirDeadlineArePlacedFirst(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newCluster(t, 10, 0) // 160 CPUs, free resources for one task on each worker
+		due := 60.0
+		add := func(uid, priority string, tasks int, age time.Duration) {
+			job := wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks, CPUs: 4, Estimate: 20, Spot: true, DueS: &due}
+			cluster.revision++
+			cluster.scheduler.JobAccepted(&job, nil, 0, time.Now().Add(-age).UnixMilli(), cluster.revision)
+		}
+		add("j-over", "normal", 12, 70*time.Second)   // its deadline is over
+		add("j-large", "normal", 400, 20*time.Second) // due first, but far more than can be done
+		add("j-small", "normal", 4, 0)
+		add("j-urgent", "urgent", 3, 70*time.Second)
+		cluster.scheduler.Pass()
+		got := map[string]int{}
+		for _, uid := range []string{"j-over", "j-large", "j-small", "j-urgent"} {
+			got[uid] = cluster.scheduler.PlacedTasks(uid)
+		}
+		if got["j-urgent"] != 3 || got["j-small"] != 4 || got["j-over"]+got["j-large"] != 3 {
+			t.Errorf("placed: %v", got)
+		}
+	})
+}
+
+// Every job has to begin within four minutes, the largest of the lowest priority too, while more
+// urgent work could fill all workers for ever. After two minutes its first task is placed before
+// all others, and only that.
+func TestOldJobBeginsBeforeUrgentWork(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newCluster(t, 10, 0) // free resources for one task of 4 CPUs on each worker
+		add := func(uid, priority string, tasks int, age time.Duration) {
+			job := wire.Job{UID: uid, Class: "c" + priority, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks, CPUs: 4, Estimate: 20, Spot: true}
+			cluster.revision++
+			cluster.scheduler.JobAccepted(&job, nil, 0, time.Now().Add(-age).UnixMilli(), cluster.revision)
+		}
+		for i := range 12 {
+			add(fmt.Sprintf("j-small%d", i), "low", 2, 10*time.Second)
+		}
+		add("j-largest", "low", 900, 3*time.Minute)
+		add("j-later", "low", 900, time.Minute)
+		add("j-urgent", "urgent", 500, 0)
+		cluster.scheduler.Pass()
+		if large, later, urgent := cluster.scheduler.PlacedTasks("j-largest"), cluster.scheduler.PlacedTasks("j-later"), cluster.scheduler.PlacedTasks("j-urgent"); large != 1 || later != 0 || urgent != 9 {
+			t.Errorf("placed: %d of the largest, %d of a younger one, %d of the urgent", large, later, urgent)
+		}
+		served := cluster.scheduler.Served()
+		if s := served["class"]["clow"]; s.Offered != 14 || s.Begun != 0 || s.Waiting != 14 {
+			t.Errorf("class: %+v", s)
+		}
+		if s := served["largest"]["clow"]; s.Offered < 1 || s.Offered > 4 {
+			t.Errorf("largest: %+v", s)
+		}
+		if s := served["team"]["t"]; s.Offered != 15 {
+			t.Errorf("team: %+v", s)
+		}
+	})
+}
--- a/internal/scheduler/lend_test.go
+++ b/internal/scheduler/quota_test.go
@@ -11,28 +11,28 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// With one owner every job's shard is as before. With several, jobs of a team with a limit
-// belong to many shards; what has only a guarantee stays together.
-func TestJobsOfLimitedTeamsSpreadOnlyOverSeveralOwners(t *testing.T) {
+// With one leader every job's shard is that of its hash. With several, jobs of a team with a limit
+// belong to many shards; those of a team with only a guarantee stay in one.
+func TestJobsOfLimitedTeamsSpreadOnlyWithSeveralLeaders(t *testing.T) {
 	teams := []config.Team{{Name: "free"}, {Name: "capped", CPUsMax: 8}, {Name: "gpus", GPUs: 1, GPUsMax: 8}, {Name: "assured", CPUs: 4}}
 	for _, c := range []struct {
 		spread  int
 		spreads []string
 	}{{1, []string{"free"}}, {2, []string{"free", "capped", "gpus"}}} {
-		op := &config.Operator{Shards: 8, Spread: c.spread}
+		operator := &config.Operator{Shards: 8, Spread: c.spread}
 		for _, team := range teams {
 			shards := map[int]bool{}
 			for i := range 200 {
 				job := &wire.Job{UID: fmt.Sprintf("j-%d", i), Team: team.Name}
-				home := quota.AssignShard(job, teams, op)
-				shards[home] = true
-				if c.spread == 1 && home != jobrecord.HashShard(job, teams, op.Shards) {
-					t.Errorf("spread 1: %s of team %s moved to shard %d", job.UID, team.Name, home)
+				shard := quota.AssignShard(job, teams, operator)
+				shards[shard] = true
+				if c.spread == 1 && shard != jobrecord.HashShard(job, teams, operator.Shards) {
+					t.Errorf("spread 1: %s of team %s moved to shard %d", job.UID, team.Name, shard)
 				}
 			}
 			want := 1
 			if strings.Contains(fmt.Sprint(c.spreads), team.Name) {
-				want = op.Shards
+				want = operator.Shards
 			}
 			if len(shards) != want {
 				t.Errorf("spread %d: jobs of team %s belong to %d shards, want %d", c.spread, team.Name, len(shards), want)
@@ -41,18 +41,18 @@
 	}
 }
 
-// More parts than the records hold are refused at the start, by key and reason; with one
-// owner nothing is lent, and nothing refused.
-func TestMorePartsThanRecordsHoldAreRefused(t *testing.T) {
-	cfg := &config.Platform{Params: config.Params{State: config.State{ValueKB: 16}}}
+// More quota leases than the records hold are refused at the start, by key and reason; with one
+// leader nothing is leased, and nothing refused.
+func TestMoreQuotaLeasesThanRecordsHoldAreRefused(t *testing.T) {
+	platform := &config.Platform{Params: config.Params{State: config.State{ValueKB: 16}}}
 	for i := range 410 {
-		cfg.Params.Teams = append(cfg.Params.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 640, GPUsMax: 16})
+		platform.Params.Teams = append(platform.Params.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 640, GPUsMax: 16})
 	}
 	for _, c := range []struct {
 		shards, spread int
 		want           string
 	}{{6, 6, ""}, {64, 6, "params.teams: parts of"}, {64, 1, ""}} {
-		err := quota.CheckQuotaRecords(cfg, &config.Operator{Shards: c.shards, Spread: c.spread})
+		err := quota.CheckQuotaRecords(platform, &config.Operator{Shards: c.shards, Spread: c.spread})
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%d shards, spread %d: %v, want %q", c.shards, c.spread, err, c.want)
 		}
--- a/internal/scheduler/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -19,10 +19,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// recordedShard reads a shard as an owner wrote it that was set to write its log over after
-// two records. Of j-1, tasks 0 and 3 are done, the latter as the log alone says, task 1
-// failed for good with exit code 7, task 2 ran, 4 to 6 were placed, the last as the log alone
-// says. j-2 is done.
+// recordedShard reads a shard as a leader wrote it that was set to write its log over after two
+// records. Of j-1, tasks 0 and 3 are done, the latter by the log alone; task 1 failed for good
+// with exit code 7; task 2 ran; 4 to 6 were placed, the last by the log alone. j-2 is done.
 func recordedShard(t *testing.T) []wire.Item {
 	t.Helper()
 	data, err := os.ReadFile("testdata/recorded/shard.json")
@@ -36,20 +35,20 @@
 	return shard.Items
 }
 
-// byPrefix sorts items by what their keys begin with, as they are listed.
+// byPrefix groups items by what their keys begin with, as they are listed.
 func byPrefix(items []wire.Item) map[string][]wire.Item {
-	sorted := map[string][]wire.Item{}
+	groups := map[string][]wire.Item{}
 	for _, item := range items {
 		prefix, _, _ := strings.Cut(item.Key, "/")
-		sorted[prefix+"/"] = append(sorted[prefix+"/"], item)
+		groups[prefix+"/"] = append(groups[prefix+"/"], item)
 	}
-	return sorted
+	return groups
 }
 
-// successor returns an owner that has taken over the recorded shard, with its store.
-func successor(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
+// newSuccessor returns a scheduler that has loaded the recorded shard, with its store.
+func newSuccessor(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
 	t.Helper()
-	s, store := scripted(t)
+	leader, store := newScripted(t)
 	store.items = byPrefix(recordedShard(t))
 	byKey := map[string]wire.Item{}
 	for _, item := range recordedShard(t) {
@@ -57,49 +56,50 @@
 	}
 	store.listed = 18
 	store.get = func(key string) (wire.Item, error) {
-		item, there := byKey[key]
-		if !there {
+		item, found := byKey[key]
+		if !found {
 			return item, statestore.ErrNotFound
 		}
 		return item, nil
 	}
-	if err := s.Load(t.Context()); err != nil {
+	if err := leader.Load(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	return s, store
+	return leader, store
 }
 
-// A shard that was recorded is taken over as it was: its jobs' tasks are done, failed and
-// placed as they were, and a report shows what runs.
-func TestRecordedShardIsTakenOver(t *testing.T) {
-	o, store := successor(t)
-	if s, ok := o.LocalState("j-1"); !ok || s != (wire.JobState{UID: "j-1", Stage: wire.StageQueued, Done: 2}) {
-		t.Errorf("the living job is %+v, %v", s, ok)
-	}
-	var places []string
-	for _, ref := range o.PlacesOf("j-1") {
-		places = append(places, ref.Task+" "+ref.Machine+" "+string(rune('0'+ref.Attempt)))
-	}
-	slices.Sort(places)
-	if want := []string{"j-1/2 n-000000 3", "j-1/4 n-000000 5", "j-1/5 n-000000 6", "j-1/6 n-000000 7"}; !slices.Equal(places, want) {
-		t.Errorf("placed at %q, want %q", places, want)
-	}
-	o.ObserveWorker(dispatch.WorkerView{
+// A recorded shard is loaded as it was: its jobs' tasks are done, failed and placed as they were,
+// and a heartbeat shows what runs.
+func TestRecordedShardIsLoadedAtFailover(t *testing.T) {
+	leader, store := newSuccessor(t)
+	if state, ok := leader.LocalState("j-1"); !ok || state != (wire.JobState{UID: "j-1", Stage: wire.StageQueued, Done: 2}) {
+		t.Errorf("the living job is %+v, %v", state, ok)
+	}
+	refs := leader.PlacementsOf("j-1")
+	placements := make([]string, 0, len(refs))
+	for _, ref := range refs {
+		placements = append(placements, ref.Task+" "+ref.Machine+" "+string(rune('0'+ref.Attempt)))
+	}
+	slices.Sort(placements)
+	if want := []string{"j-1/2 n-000000 3", "j-1/4 n-000000 5", "j-1/5 n-000000 6", "j-1/6 n-000000 7"}; !slices.Equal(placements, want) {
+		t.Errorf("placed at %q, want %q", placements, want)
+	}
+	leader.ObserveWorker(dispatch.WorkerView{
 		Name: "n-000000", Type: "m", Zone: "z", Spot: true, Session: 1, Seq: 1, Token: 7, Holder: "a",
 		Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3, State: wire.TaskRunning}}},
 	})
-	if s, ok := o.LocalState("j-1"); !ok || s != (wire.JobState{UID: "j-1", Stage: wire.StageRunning, Done: 2, Running: 1}) {
-		t.Errorf("with a task that runs it is %+v, %v", s, ok)
+	if state, ok := leader.LocalState("j-1"); !ok || state != (wire.JobState{UID: "j-1", Stage: wire.StageRunning, Done: 2, Running: 1}) {
+		t.Errorf("with a task that runs it is %+v, %v", state, ok)
 	}
-	info, ok := o.LocalJobInfo("j-1")
+	info, ok := leader.LocalJobInfo("j-1")
 	if !ok || info.Failed != 1 || info.Done != 2 || info.Waiting != "4-6" || len(info.Placements) != 1 || info.Placements[0].Task != 2 || info.Placements[0].Attempt != 3 {
 		t.Errorf("it is listed as %+v, %v", info, ok)
 	}
 	if want := (&jobspec.Constraints{Number: 100, Name: "tips", User: "erin", Array: "0-6", MaxConcurrent: 4, NoRetry: true}); !reflect.DeepEqual(info.Constraints, want) || info.AcceptedMs != 946_684_806_000 {
-		t.Errorf("its terms are %+v, accepted at %d; want %+v", info.Constraints, info.AcceptedMs, want)
+		t.Errorf("its constraints are %+v, accepted at %d; want %+v", info.Constraints, info.AcceptedMs, want)
 	}
-	if s, err := scheduler.StoredState(t.Context(), store, "j-2"); err != nil || s != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
-		t.Errorf("the ended job is %+v, %v", s, err)
+	if state, err := scheduler.StoredState(t.Context(), store, "j-2"); err != nil || state != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
+		t.Errorf("the ended job is %+v, %v", state, err)
 	}
 	want := jobquery.Info{
 		Job: wire.Job{UID: "j-2"}, Stage: wire.StageDone, Done: 1,
@@ -110,9 +110,9 @@
 	}
 }
 
-// The recorded shard's accounting page has a row for each attempt that ended, and for the
-// job that did.
-func TestRecordedShardsAccountingIsRead(t *testing.T) {
+// The recorded shard's accounting page has a row for each attempt that ended, and for the job that
+// did.
+func TestRecordedShardAccountingIsRead(t *testing.T) {
 	reader, err := accounting.NewReader()
 	if err != nil {
 		t.Fatal(err)
@@ -139,19 +139,19 @@
 	}
 }
 
-// A new owner goes on with a recorded shard as its predecessor would have: it writes over
-// the log's oldest record that is not needed any more, saves a chunk that the oldest one is
-// needed for, and deletes, at the job's end, what it had of the job.
-func TestSuccessorGoesOnWithTheRecordedShard(t *testing.T) {
+// A new leader continues a recorded shard as its predecessor would have: it writes over the log's
+// oldest record that is not needed any more, saves a chunk that the oldest one is needed for, and
+// deletes, at the job's end, what is stored of the job.
+func TestSuccessorContinuesRecordedShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 1, 0, withLogSlots(3))
-		f.items = byPrefix(recordedShard(t))
-		f.owner.Unload()
-		if err := f.owner.Load(t.Context()); err != nil {
+		cluster := newCluster(t, 1, 0, withLogSlots(3))
+		cluster.items = byPrefix(recordedShard(t))
+		cluster.scheduler.Unload()
+		if err := cluster.scheduler.Load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		var got []string
-		f.sent = func(ops []wire.Op) {
+		cluster.onTxn = func(ops []wire.Op) {
 			for _, op := range ops {
 				data, err := json.Marshal(op)
 				if err != nil {
@@ -171,13 +171,13 @@
 		}
 		for i := range tasks {
 			tasks[i].State, tasks[i].Cause = wire.TaskExited, wire.CauseDone
-			f.show(0, 0, tasks...)
-			if err := f.owner.Record(t.Context()); err != nil {
+			cluster.heartbeat(0, 0, tasks...)
+			if err := cluster.scheduler.WriteAll(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		f.show(0, 0) // its worker has forgotten the tasks
-		if err := f.owner.Record(t.Context()); err != nil {
+		cluster.heartbeat(0, 0) // its worker has forgotten the tasks
+		if err := cluster.scheduler.WriteAll(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		want := []string{
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -19,8 +19,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// fullJob is a job with a value in each field; the state service refuses no such record,
-// although no one job is both together and apart.
+// fullJob returns a job with a value in each field. The state service accepts such a record,
+// although no job may be in one zone and spread at a time.
 func fullJob() wire.Job {
 	zone, due := "eu-1", 900.5
 	return wire.Job{
@@ -30,7 +30,8 @@
 	}
 }
 
-func fullTerms() *jobspec.Constraints {
+// fullConstraints returns constraints with a value in each field.
+func fullConstraints() *jobspec.Constraints {
 	return &jobspec.Constraints{
 		Number: 4100, Name: "tips <a&b>", User: "erin", Array: "0-30:2", MaxConcurrent: 4, Held: true,
 		BeginMs: 1_796_000_000_000, DeadlineMs: 1_796_000_900_000, LimitS: 600.5, NoRetry: true, AnyDependency: true,
@@ -39,13 +40,14 @@
 	}
 }
 
+// fullEnding returns an ending with a value in each field.
 func fullEnding() *jobspec.Ending {
 	return &jobspec.Ending{Number: 4100, State: jobspec.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000}
 }
 
-// What an owner stores keeps its form: a successor of any version reads it.
-func TestStoredRecordsKeepTheirBytes(t *testing.T) {
-	recorded.CheckFull(t, "live-full", jobrecord.LiveRecord{Job: fullJob(), Shard: 5, AtMs: 1_796_000_000_123, Cancelled: true, Terms: fullTerms()})
+// What a leader stores keeps its form: a successor of any version reads it.
+func TestRecordedJobRecords(t *testing.T) {
+	recorded.CheckFull(t, "live-full", jobrecord.LiveRecord{Job: fullJob(), Shard: 5, AtMs: 1_796_000_000_123, Cancelled: true, Terms: fullConstraints()})
 	recorded.Check(t, "live-none", jobrecord.LiveRecord{})
 	recorded.CheckFull(t, "final-full", jobrecord.FinalRecord{Stage: wire.StageDone, Done: 14, Ending: fullEnding()})
 	recorded.Check(t, "final-none", jobrecord.FinalRecord{})
@@ -64,8 +66,8 @@
 	recorded.Check(t, "log-none", jobrecord.LogRecord{})
 }
 
-// Each record of a shard that an owner wrote is read, and written again as it was.
-func TestRecordedShardIsWrittenAgain(t *testing.T) {
+// Each record of a shard that a leader wrote is read, and written again as it was.
+func TestRecordedShardIsWrittenAgainUnchanged(t *testing.T) {
 	data, err := os.ReadFile("testdata/recorded/shard.json")
 	if err != nil {
 		t.Fatal(err)
@@ -94,15 +96,16 @@
 	}
 }
 
-// listed is what a listing of the state service gives.
-type listed []wire.Item
+// listing is a state service whose every listing returns the same items.
+type listing []wire.Item
 
-func (l listed) List(context.Context, string) ([]wire.Item, uint64, error) { return l, 0, nil }
+func (l listing) List(context.Context, string) ([]wire.Item, uint64, error) { return l, 0, nil }
 
-// Cancels are found in recorded jobs without reading all of them in full.
+// Cancels are found in recorded jobs without parsing all of them in full.
 func TestRecordedCancelsAreFound(t *testing.T) {
-	var items listed
-	for _, name := range []string{"live-full", "live-none"} {
+	names := []string{"live-full", "live-none"}
+	items := make(listing, 0, len(names))
+	for _, name := range names {
 		data, err := os.ReadFile("testdata/recorded/" + name + ".json")
 		if err != nil {
 			t.Fatal(err)
@@ -115,13 +118,13 @@
 }
 
 // What a user submitted is stored as the job's part of its record.
-func TestSubmissionIsStoredAsItWasSent(t *testing.T) {
+func TestRecordedSubmission(t *testing.T) {
 	recorded.CheckFull(t, "job-full", fullJob())
 	recorded.Check(t, "job-none", wire.Job{})
 }
 
-// The rows of lent limits, as an owner writes them.
-func TestLentLimitsKeepTheirBytes(t *testing.T) {
+// The rows of quota leases, as a leader writes them.
+func TestRecordedQuotaLeases(t *testing.T) {
 	recorded.CheckFull(t, "lent-full", quotalease.Record{Rows: []quotalease.Row{{
 		Shard: 3, OwnerVersion: 99,
 		Teams: map[string]quotalease.Entry{"vision": {Part: quotalease.Amount{8000, 1000}, Want: quotalease.Amount{16000, 2000}, Unit: quotalease.Amount{500, 250}}},
@@ -130,14 +133,15 @@
 	if first, last := quotalease.Key(0), quotalease.Key(quotalease.Records-1); quotalease.Prefix != "lent/" || first != "lent/00" || last != "lent/15" {
 		t.Errorf("keys %s to %s", first, last)
 	}
-	if entry := lendMarkBytes(t, jobrecord.QuotaMark{}); entry != `{}` {
-		t.Errorf("a log record of an owner that does not lend is marked %s", entry)
+	if mark := quotaMarkBytes(t, jobrecord.QuotaMark{}); mark != `{}` {
+		t.Errorf("a log record of a leader that leases no quota is marked %s", mark)
 	}
 }
 
-func lendMarkBytes(t *testing.T, m jobrecord.QuotaMark) string {
+// quotaMarkBytes returns a log record's mark as it is written.
+func quotaMarkBytes(t *testing.T, mark jobrecord.QuotaMark) string {
 	t.Helper()
-	data, err := json.Marshal(m)
+	data, err := json.Marshal(mark)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,10 +157,11 @@
 	} `json:"apply"`
 }
 
-func TestAcceptanceKeepsItsBytes(t *testing.T) {
+// The transaction that accepts a job is sent in its recorded form.
+func TestRecordedAcceptance(t *testing.T) {
 	job := fullJob()
-	for name, given := range map[string]*jobspec.Constraints{"accept-full": fullTerms(), "accept-none": nil} {
-		guards, ops := jobrecord.AcceptanceTxn(&job, given, 5, 1_796_000_000_123)
+	for name, constraints := range map[string]*jobspec.Constraints{"accept-full": fullConstraints(), "accept-none": nil} {
+		guards, ops := jobrecord.AcceptanceTxn(&job, constraints, 5, 1_796_000_000_123)
 		data, err := json.Marshal(wire.Txn{If: guards, Then: ops})
 		if err != nil {
 			t.Fatal(err)
@@ -171,8 +176,8 @@
 	recorded.Check(t, "number-none", jobid.Job{})
 }
 
-// What operators read of an owner.
-func TestCountersKeepTheirNames(t *testing.T) {
+// The counters that operators read keep their names.
+func TestRecordedCounters(t *testing.T) {
 	recorded.CheckFull(t, "counters-full", jobstate.Stats{
 		Placed: 1, Duplicates: 2, Granted: 3, Refused: 4, Lost: 5, Done: 6, Errors: 7, Preempted: 8,
 		Evacuated: 9, LeaseExpiring: 10, Failovers: 11, QuotaRecordsRefused: 12,
@@ -182,11 +187,15 @@
 	recorded.Check(t, "served-none", jobstate.Served{})
 }
 
-// The names of an owner's keys, in full.
-func TestKeysOfRecords(t *testing.T) {
+// The names of a leader's keys, in full.
+func TestRecordedKeys(t *testing.T) {
 	job := &wire.Job{UID: "j-1", Tasks: 3}
 	guards, ops := jobrecord.AcceptanceTxn(job, &jobspec.Constraints{Number: 40}, 0, 0)
-	got := []string{jobrecord.LivePrefix, jobrecord.FinalPrefix, jobrecord.ChunkPrefix, jobrecord.LogPrefix, jobrecord.LogKey(7, 12), jobrecord.LogKey(1000, 100_000), jobrecord.ChunkKey("j-1", 0), jobrecord.ChunkKey("j-1", 1041)}
+	fixed := []string{
+		jobrecord.LivePrefix, jobrecord.FinalPrefix, jobrecord.ChunkPrefix, jobrecord.LogPrefix, jobrecord.LogKey(7, 12),
+		jobrecord.LogKey(1000, 100_000), jobrecord.ChunkKey("j-1", 0), jobrecord.ChunkKey("j-1", 1041),
+	}
+	got := append(make([]string, 0, len(fixed)+len(guards)+len(ops)), fixed...)
 	for _, g := range guards {
 		got = append(got, g.Key)
 	}
@@ -205,9 +214,9 @@
 	}
 }
 
-// A record tells by numbers which tasks a chunk has, how a task ended, and, by a hash, where
-// a job belongs: they are a part of its form.
-func TestNumbersInRecords(t *testing.T) {
+// A record encodes as numbers which tasks a chunk has and how a task ended; a job's shard follows
+// from a hash. These are a part of its form.
+func TestRecordedNumbers(t *testing.T) {
 	if jobrecord.ChunkSize != 96 || jobstate.OutcomeFailed != 1 || jobstate.OutcomeTimedOut != 2 || jobstate.OutcomeCancelled != 3 {
 		t.Errorf("chunks of %d tasks; ends %d, %d, %d", jobrecord.ChunkSize, jobstate.OutcomeFailed, jobstate.OutcomeTimedOut, jobstate.OutcomeCancelled)
 	}
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	passInterval  = 250 * time.Millisecond // at the longest, when nothing asks for a pass
+	passInterval  = 250 * time.Millisecond // at the longest, when no pass is requested
 	sweepInterval = time.Second
 	batchInterval = 20 * time.Millisecond // between passes at the least: what arrives then shares one
 )
--- /dev/null
+++ b/internal/scheduler/watch_test.go
@@ -0,0 +1,58 @@
+package scheduler_test
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/statestore"
+)
+
+// However many changes there are, a leader polls for changes of living jobs 20 times a second, so
+// that a job starts soon after another controller accepted it, and a controller without shards 5
+// times. A few changes are returned at once.
+func TestWatchOfLivingJobsIsRateLimited(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newCluster(t, 1, 0)
+		ctx, cancel := context.WithCancel(t.Context())
+		cluster.onWatch = func(ctx context.Context) {
+			defer cancel()
+			pacer := statestore.NewPacer(ctx)
+			responses := func(n int) time.Duration {
+				start := time.Now()
+				for range n {
+					pacer.Wait(ctx)
+				}
+				return time.Since(start).Round(time.Millisecond)
+			}
+			if took := responses(4); took != 0 {
+				t.Errorf("the first 4 responses take %v", took)
+			}
+			if took := responses(20); took != time.Second {
+				t.Errorf("20 responses take a leader %v", took)
+			}
+			cluster.leadsNothing.Store(true)
+			if took := responses(5); took != time.Second {
+				t.Errorf("5 responses take a controller without shards %v", took)
+			}
+		}
+		_ = cluster.scheduler.Run(ctx) // ends with the context
+	})
+}
+
+// A watch that lags returns a job's acceptance to a new leader when the job has ended under its
+// predecessor: it does not become a living job again. One that was accepted after the listing does.
+func TestLaggingWatchDoesNotReviveEndedJob(t *testing.T) {
+	for version, alive := range map[uint64]bool{9: false, 10: false, 11: true} {
+		leader, _ := newScripted(t)
+		if err := leader.Load(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		job, _ := acceptedJob(t, version)
+		leader.JobAccepted(job, nil, 0, 0, version)
+		if state, ok := leader.LocalState("j-1"); ok != alive {
+			t.Errorf("accepted at %d, listed at 10: %+v, %v", version, state, ok)
+		}
+	}
+}
--- /dev/null
+++ b/internal/scheduler/write_outcome_test.go
@@ -0,0 +1,112 @@
+package scheduler_test
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// A controller that lost its shard to a failover repeats the write of a job's end to which it had
+// no response. What its successor wrote meanwhile (a log record with the same key and number, or
+// the end as cancelled) is not its own write: it must call no job done and clear no task, of which
+// the successor would then never get a heartbeat.
+func TestSuccessorsLogRecordIsNotTakenForOwnWrite(t *testing.T) {
+	const slot, shard = "log/000/00001", "c/shard/000"
+	for _, c := range []struct {
+		name string
+		keys []string
+		own  bool // the write was surely applied
+	}{
+		{"successor wrote the log", []string{shard, slot}, false},
+		{"successor wrote the log and the end", []string{shard, slot, "live/j-1"}, false},
+		{"successor recorded the end", []string{shard, "live/j-1"}, false},
+		{"applied, and the response lost", []string{slot, "live/j-1"}, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			leader, store := newScripted(t)
+			_, record := acceptedJob(t, 5)
+			other := wire.Item{Key: "live/j-2", Version: 5, // a job that goes on, so that the log is written too
+				Value: json.RawMessage(strings.NewReplacer("j-1", "j-2", `"pieces":1`, `"pieces":2`).Replace(string(record.Value)))}
+			store.items["live/"] = []wire.Item{record, other}
+			store.items["log/"] = []wire.Item{{
+				Key: "log/000/00000", Version: 6,
+				Value: json.RawMessage(`{"seq":1,"m":["n-1"],"j":[{"u":"j-1","p":[0,1,0]},{"u":"j-2","p":[0,1,0]}]}`),
+			}}
+			if err := leader.Load(t.Context()); err != nil {
+				t.Fatal(err)
+			}
+			leader.ObserveWorker(dispatch.WorkerView{
+				Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Holder: "a",
+				Tasks: []dispatch.TaskView{
+					{Task: wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}},
+					{Task: wire.Task{Task: "j-2/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}},
+				},
+			})
+			if err := leader.WriteOnce(t.Context()); err == nil {
+				t.Fatal("the first write has a response")
+			}
+			store.txn = func() (uint64, error) { return 0, &statestore.Conflict{Keys: c.keys} }
+			store.get = func(key string) (wire.Item, error) {
+				if key == slot {
+					return wire.Item{Key: slot, Version: 20, Value: json.RawMessage(`{"seq":2,"j":[{"u":"j-9","d":[0]}]}`)}, nil
+				}
+				return wire.Item{}, statestore.ErrNotFound
+			}
+			if err := leader.WriteOnce(t.Context()); err != nil {
+				t.Fatal(err)
+			}
+			state, ok := leader.LocalState("j-1")
+			if done := ok && state.Stage == wire.StageDone; done != c.own {
+				t.Errorf("the job is %+v, %v", state, ok)
+			}
+			if _, clears := leader.OutboxCounts(); clears > 0 != c.own {
+				t.Errorf("%d clears", clears)
+			}
+		})
+	}
+}
+
+// A job ends in the transaction that writes over the log record which names it: a chunk record
+// that the same transaction saved would stay in the state service until the next failover.
+func TestEndedJobLeavesNoChunkRecord(t *testing.T) {
+	cluster := newCluster(t, 1, 0, withLogSlots(1))
+	cluster.items = map[string][]wire.Item{
+		"live/": {
+			{Key: "live/j-1", Version: 1, Value: json.RawMessage(`{"job":{"uid":"j-1","docket":"c","crew":"t","sort":"sweep","pieces":1,"cpus":2}}`)},
+			{Key: "live/j-2", Version: 2, Value: json.RawMessage(`{"job":{"uid":"j-2","docket":"c","crew":"t","sort":"sweep","pieces":2,"cpus":2}}`)},
+		},
+		"log/": {{Key: "log/000/00000", Version: 1, Value: json.RawMessage(`{"seq":1,"m":["n-000000"],"j":[{"u":"j-1","p":[0,1,0]},{"u":"j-2","p":[0,1,0]}]}`)}},
+	}
+	keys := map[string]bool{}
+	cluster.onTxn = func(ops []wire.Op) {
+		for _, op := range ops {
+			delete(keys, op.Delete)
+			keys[op.Put] = op.Put != ""
+		}
+	}
+	cluster.scheduler.Unload()
+	if err := cluster.scheduler.Load(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	view := cluster.views[0]
+	view.Seq, view.Token = view.Seq+1, 7
+	for _, task := range []string{"j-1/0", "j-2/0"} {
+		view.Tasks = append(view.Tasks, dispatch.TaskView{Task: wire.Task{Task: task, Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}})
+	}
+	cluster.scheduler.ObserveWorker(view)
+	if err := cluster.scheduler.WriteAll(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	if state, ok := cluster.scheduler.LocalState("j-1"); !ok || state.Stage != wire.StageDone || !keys["final/j-1"] || !keys["task/j-2/00000"] {
+		t.Errorf("the ended job is %+v, %v, and the other's chunk is not saved: %v", state, ok, keys)
+	}
+	for key := range keys {
+		if strings.HasPrefix(key, "task/j-1/") {
+			t.Errorf("%s stays", key)
+		}
+	}
+}
