--- a/internal/scheduler/instructions.go
+++ b/internal/scheduler/instructions.go
@@ -59,7 +59,7 @@
 }
 
 // sendTo sends instructions to a dispatcher, and ends the halted placements that it never
-// started. Instructions that are lost are repeated by sweeps and at later views, where they
+// started. Instructions that are lost are repeated when workers are reconciled, where they
 // still matter.
 func (s *Scheduler) sendTo(ctx context.Context, dispatcher string, instructions *dispatch.Instructions) {
 	ctx, cancel := context.WithTimeout(ctx, instructionsTimeout)
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	passInterval  = 250 * time.Millisecond // at the longest, when no pass is requested
-	sweepInterval = time.Second
-	batchInterval = 20 * time.Millisecond // between passes at the least: what arrives then shares one
+	passInterval      = 250 * time.Millisecond // at the longest, when no pass is requested
+	reconcileInterval = time.Second
+	batchInterval     = 20 * time.Millisecond // between passes at the least: what arrives then shares one
 )
 
 // Run leads the shards that this controller is elected for until ctx ends. It returns the
@@ -31,7 +31,7 @@
 func (s *Scheduler) runPasses(ctx context.Context) {
 	tick := time.NewTicker(passInterval)
 	defer tick.Stop()
-	var lastSweep time.Time
+	var lastReconcile time.Time
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -40,7 +40,7 @@
 		}
 		s.syncShards(ctx)
 		start := time.Now()
-		lastSweep = s.pass(lastSweep)
+		lastReconcile = s.pass(lastReconcile)
 		took := time.Since(start)
 		usage.Count(usage.Passes, start)
 		// The pause keeps passes to a small part of the processor, however long they take.
@@ -51,23 +51,23 @@
 	}
 }
 
-// pass makes one scheduling pass, with a sweep over all workers if the last one is long ago.
-// It returns when the last sweep began.
-func (s *Scheduler) pass(lastSweep time.Time) time.Time {
+// pass makes one scheduling pass, and reconciles all workers if that is due.
+// It returns when workers were last reconciled.
+func (s *Scheduler) pass(lastReconcile time.Time) time.Time {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	s.reconciler.ObserveDeferred()
 	s.planner.Triage()
 	s.planner.Pass()
-	if time.Since(lastSweep) <= sweepInterval {
-		return lastSweep
+	if time.Since(lastReconcile) <= reconcileInterval {
+		return lastReconcile
 	}
-	lastSweep = time.Now()
+	lastReconcile = time.Now()
 	if s.state.Member.LeaseRemaining() > 0 {
 		// Without the lease a successor may lead these tasks already.
 		s.planner.Rebalance()
 		s.planner.Evict()
 	}
 	s.reconciler.Sweep()
-	return lastSweep
+	return lastReconcile
 }
