--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -15,15 +15,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Store is what the fleet needs of the state service.
+const (
+	refreshInterval = 45 * time.Second // of the types at the leader
+	minRetry        = 200 * time.Millisecond
+	maxRetry        = 2 * time.Second
+)
+
+// Store is what the autoscaler needs of the state service.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, error)
 	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
 }
 
-// Catalog knows the machine types. A copy in the state service lets a
-// controller start while the cloud is out.
+// Catalog knows the machine types. A copy in the state service lets a controller start
+// during an outage of the cloud. It is safe for concurrent use.
 type Catalog struct {
 	cloud *Cloud
 	store Store
@@ -33,12 +39,12 @@
 	types map[string]wire.MachineType
 }
 
-// NewCatalog returns an empty catalog.
+// NewCatalog returns an empty catalog; Run fills it.
 func NewCatalog(cloud *Cloud, store Store, log *slog.Logger) *Catalog {
 	return &Catalog{cloud: cloud, store: store, log: log}
 }
 
-// Type returns a machine type.
+// Type returns a machine type, and whether it is known.
 func (c *Catalog) Type(name string) (wire.MachineType, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -46,7 +52,7 @@
 	return t, ok
 }
 
-// All returns every machine type, or none while they are unknown.
+// All returns every machine type in no order, or none while they are unknown.
 func (c *Catalog) All() []wire.MachineType {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -62,80 +68,83 @@
 	return matching.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
+// set replaces the types by the usable ones of a list, if there are any.
 func (c *Catalog) set(types []wire.MachineType) {
-	m := make(map[string]wire.MachineType, len(types))
+	byName := make(map[string]wire.MachineType, len(types))
 	for _, t := range types {
 		if t.Name != "" && t.CPUs > 0 {
-			m[t.Name] = t
+			byName[t.Name] = t
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(m) > 0 {
-		c.types = m
+	if len(byName) > 0 {
+		c.types = byName
 	}
 }
 
-// Run learns the types, first from the store, and keeps prices fresh at the
-// controller that leads.
+// Run reads the types, first from the state service, and keeps prices fresh at the
+// controller that leads. It returns the context's error once the context has ended.
 func (c *Catalog) Run(ctx context.Context, leads func() bool) error {
-	for n := 0; ctx.Err() == nil; n++ {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		known := len(c.All()) > 0
 		if !known {
-			c.fromStore(ctx)
+			c.load(ctx)
 			known = len(c.All()) > 0
 		}
 		if !known || leads() {
-			types, err := c.cloud.types(ctx)
+			types, err := c.cloud.machineTypes(ctx)
 			if err != nil {
-				c.log.Info("machine types not to be had", "err", err)
+				c.log.Info("reading machine types failed", "err", err)
 			} else {
 				c.set(types)
-				c.keep(ctx, types)
+				c.persist(ctx, types)
 				known = true
 			}
 		}
 		if !known {
-			statestore.Backoff(ctx, n, 200*time.Millisecond, 2*time.Second)
+			statestore.Backoff(ctx, attempt, minRetry, maxRetry)
 			continue
 		}
-		n = 0
+		attempt = 0
 		select {
 		case <-ctx.Done():
-		case <-time.After(45 * time.Second):
+		case <-time.After(refreshInterval):
 		}
 	}
 	return ctx.Err()
 }
 
-func (c *Catalog) fromStore(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
+// load takes the types from the state service. Without them the cloud's are awaited.
+func (c *Catalog) load(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	it, err := c.store.Get(ctx, typesKey)
+	item, err := c.store.Get(ctx, typesKey)
 	var types []wire.MachineType
-	if err == nil && json.Unmarshal(it.Value, &types) == nil {
+	if err == nil && json.Unmarshal(item.Value, &types) == nil {
 		c.set(types)
 	}
 }
 
-// keep stores the types unless all but the prices are stored already.
-func (c *Catalog) keep(ctx context.Context, types []wire.MachineType) {
-	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
+// persist stores the types unless all but the spot prices are stored already.
+func (c *Catalog) persist(ctx context.Context, types []wire.MachineType) {
+	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	it, err := c.store.Get(ctx, typesKey)
+	item, err := c.store.Get(ctx, typesKey)
 	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
 		return
 	}
 	var old []wire.MachineType
-	if err == nil && json.Unmarshal(it.Value, &old) == nil && reflect.DeepEqual(unpriced(old), unpriced(types)) {
+	if err == nil && json.Unmarshal(item.Value, &old) == nil && reflect.DeepEqual(withoutSpotPrices(old), withoutSpotPrices(types)) {
 		return
 	}
-	if _, err := c.store.Txn(ctx, []wire.Guard{{Key: typesKey, Version: it.Version}}, wire.Op{Put: typesKey, Value: types}); err != nil {
-		c.log.Info("machine types not stored", "err", err)
+	if _, err := c.store.Txn(ctx, []wire.Guard{{Key: typesKey, Version: item.Version}}, wire.Op{Put: typesKey, Value: types}); err != nil {
+		c.log.Info("storing machine types failed", "err", err)
 	}
 }
 
-func unpriced(types []wire.MachineType) []wire.MachineType {
+// withoutSpotPrices returns a copy of the types without what changes by the minute.
+func withoutSpotPrices(types []wire.MachineType) []wire.MachineType {
 	out := append([]wire.MachineType(nil), types...)
 	for i := range out {
 		out[i].SpotPrice = 0
--- a/internal/autoscaler/cloud.go
+++ b/internal/autoscaler/cloud.go
@@ -1,5 +1,3 @@
-// Package autoscaler rents and returns machines. One controller does so at a time:
-// the one that owns the first shard.
 package autoscaler
 
 import (
@@ -21,123 +19,140 @@
 )
 
 var (
-	// errNoCapacity means that none is to be had of this type, zone and kind.
+	// errNoCapacity means that the cloud has no machine of an offer. Its text is the cloud's.
 	errNoCapacity = errors.New("no capacity")
-	// errTrouble means that the cloud did not do it, or did not answer.
-	errTrouble = errors.New("cloud trouble")
-	// errMalformed means that the cloud will never accept the request.
-	errMalformed = errors.New("cloud refused the request")
+	// errUnavailable means that the cloud did not carry out the request, or that its outcome
+	// is unknown.
+	errUnavailable = errors.New("cloud unavailable")
+	// errRejected means that the cloud will never accept the request.
+	errRejected = errors.New("cloud rejected the request")
 )
 
 const (
 	cloudTimeout = 4 * time.Second
-	listPage     = 500 // machines in an answer
+	listPage     = 500  // machines in an answer
+	rateShare    = 0.85 // of the cloud's rate limit, which requests keep within
+	maxResponse  = 8 << 20
 )
 
-// Cloud is the client of the cloud's interface.
+// Cloud is the client of the cloud's API. It is safe for concurrent use.
 type Cloud struct {
-	base  string
-	http  *http.Client
-	limit *rate.Limiter
-	lost  atomic.Bool // the last request got no answer
+	base       string
+	http       *http.Client
+	limit      *rate.Limiter
+	unanswered atomic.Bool // the last request
 }
 
-// Reached reports whether the cloud answered the last request, or was never asked.
-func (c *Cloud) Reached() bool { return !c.lost.Load() }
+// Reached reports whether the cloud answered the last request, or got none yet.
+func (c *Cloud) Reached() bool { return !c.unanswered.Load() }
 
-// NewCloud returns a client that keeps within rps.
+// NewCloud returns a client of the cloud at HOST:PORT that keeps within a rate limit, in
+// requests a second.
 func NewCloud(addr string, rps float64) *Cloud {
 	return NewCloudOver(&http.Transport{MaxConnsPerHost: 6, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}, addr, rps)
 }
 
-// NewCloudOver is NewCloud with requests carried by a transport.
+// NewCloudOver is NewCloud with requests carried by the given transport.
 func NewCloudOver(transport http.RoundTripper, addr string, rps float64) *Cloud {
 	return &Cloud{
 		base:  "http://" + addr,
 		http:  &http.Client{Transport: transport},
-		limit: rate.NewLimiter(rate.Limit(rps*0.85), max(1, int(rps))),
+		limit: rate.NewLimiter(rate.Limit(rps*rateShare), max(1, int(rps))),
 	}
 }
 
+// do makes a request with body, if there is one, as JSON, and decodes the response into out,
+// unless it is nil. It fails with errNoCapacity, errUnavailable or errRejected, wrapped.
 func (c *Cloud) do(ctx context.Context, method, path string, body, out any) error {
-	// Waiting for the budget is not the cloud's fault, and not part of the
-	// time that it gets to answer.
+	// The wait for the rate limit is not part of the cloud's time to answer: else a queue
+	// of requests would look like an outage.
 	if err := c.limit.Wait(ctx); err != nil {
-		return errTrouble
+		return fmt.Errorf("wait for the rate limit: %w: %w", errUnavailable, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, cloudTimeout)
 	defer cancel()
-	var rd io.Reader
+	var content io.Reader
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
 			return fmt.Errorf("encode %s: %w", path, err)
 		}
-		rd = bytes.NewReader(data)
+		content = bytes.NewReader(data)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, rd)
+	req, err := http.NewRequestWithContext(ctx, method, c.base+path, content)
 	if err != nil {
 		return fmt.Errorf("request %s: %w", path, err)
 	}
 	resp, err := c.http.Do(req)
-	c.lost.Store(err != nil)
+	c.unanswered.Store(err != nil)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errTrouble, err)
+		return fmt.Errorf("%s %s: %w: %w", method, path, errUnavailable, err)
 	}
-	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, 8<<20))
+	defer func() { _ = resp.Body.Close() }() // the body is read, or the error is known
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err != nil {
-		return fmt.Errorf("%w: %w", errTrouble, err)
+		return fmt.Errorf("%s %s: %w: %w", method, path, errUnavailable, err)
 	}
-	switch {
-	case resp.StatusCode == http.StatusServiceUnavailable:
-		var p wire.Problem
-		_ = json.Unmarshal(data, &p) // without a reason it counts as trouble
-		if p.Error == errNoCapacity.Error() {
-			return errNoCapacity
-		}
-		return errTrouble
-	case resp.StatusCode == http.StatusBadRequest:
-		return fmt.Errorf("%w: %.200s", errMalformed, data)
-	case resp.StatusCode != http.StatusOK:
-		return fmt.Errorf("%w: status %d", errTrouble, resp.StatusCode)
+	if err := statusError(resp.StatusCode, data); err != nil {
+		return fmt.Errorf("%s %s: %w", method, path, err)
 	}
 	if out != nil {
 		if err := json.Unmarshal(data, out); err != nil {
-			return fmt.Errorf("%w: malformed answer: %w", errTrouble, err)
+			return fmt.Errorf("%s %s: %w: decode response: %w", method, path, errUnavailable, err)
 		}
 	}
 	return nil
 }
 
-func (c *Cloud) types(ctx context.Context) ([]wire.MachineType, error) {
-	var t wire.MachineTypes
-	if err := c.do(ctx, http.MethodGet, "/machine_types", nil, &t); err != nil {
+// statusError is the error that a response stands for, if any.
+func statusError(status int, body []byte) error {
+	switch status {
+	case http.StatusOK:
+		return nil
+	case http.StatusServiceUnavailable:
+		var problem wire.Problem
+		_ = json.Unmarshal(body, &problem) // without a reason the cloud counts as unavailable
+		if problem.Error == errNoCapacity.Error() {
+			return errNoCapacity
+		}
+		return errUnavailable
+	case http.StatusBadRequest:
+		return fmt.Errorf("%w: %.200s", errRejected, body)
+	}
+	return fmt.Errorf("%w: status %d", errUnavailable, status)
+}
+
+func (c *Cloud) machineTypes(ctx context.Context) ([]wire.MachineType, error) {
+	var types wire.MachineTypes
+	if err := c.do(ctx, http.MethodGet, "/machine_types", nil, &types); err != nil {
 		return nil, err
 	}
-	return t.Types, nil
+	return types.Types, nil
 }
 
-func (c *Cloud) hire(ctx context.Context, r wire.HireRequest) ([]string, error) {
-	var n wire.MachineNames
-	err := c.do(ctx, http.MethodPost, "/hosts", r, &n)
-	return n.Machines, err
+// provision requests machines and returns the names of those provisioned, which may be fewer.
+// The same request under the same name provisions no others.
+func (c *Cloud) provision(ctx context.Context, req wire.HireRequest) ([]string, error) {
+	var names wire.MachineNames
+	err := c.do(ctx, http.MethodPost, "/hosts", req, &names)
+	return names.Machines, err
 }
 
-func (c *Cloud) release(ctx context.Context, names []string) error {
+// deleteMachines gives machines back to the cloud; those that are gone already are no error.
+func (c *Cloud) deleteMachines(ctx context.Context, names []string) error {
 	return c.do(ctx, http.MethodPost, "/hosts/release", wire.MachineNames{Machines: names}, nil)
 }
 
-// list reads the whole list, a page a request.
-func (c *Cloud) list(ctx context.Context) ([]wire.ListedMachine, error) {
+// listMachines reads the list of all machines, a page a request.
+func (c *Cloud) listMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	for after := ""; ; {
-		q := url.Values{"limit": {strconv.Itoa(listPage)}}
+		query := url.Values{"limit": {strconv.Itoa(listPage)}}
 		if after != "" {
-			q.Set("after", after)
+			query.Set("after", after)
 		}
 		var page wire.MachineList
-		if err := c.do(ctx, http.MethodGet, "/hosts?"+q.Encode(), nil, &page); err != nil {
+		if err := c.do(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
--- a/internal/autoscaler/list_test.go
+++ b/internal/autoscaler/machine_list_test.go
@@ -17,13 +17,13 @@
 type listingCloud struct {
 	age     time.Duration // of the lists
 	created time.Duration // from which on, and until when, the machine exists
-	gone    time.Duration
+	deleted time.Duration
 	now     time.Duration
 }
 
-func (c *listingCloud) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *listingCloud) RoundTrip(*http.Request) (*http.Response, error) {
 	var page wire.MachineList
-	if shows := c.now - c.age; shows >= c.created && shows < c.gone {
+	if shows := c.now - c.age; shows >= c.created && shows < c.deleted {
 		page.Machines = []wire.ListedMachine{{Name: "n-1", Type: "small", Zone: "z", Stage: wire.MachineRunning, AgeS: 1}}
 	}
 	w := httptest.NewRecorder()
@@ -35,20 +35,20 @@
 	return w.Result(), nil
 }
 
-// A machine is called vanished only when it is gone, and within some lists after that,
-// whatever age each list has, and however long the machine has not been heard.
-func TestVanishedMachinesAreGone(t *testing.T) {
+// A machine counts as vanished only when it is deleted, and within some lists after that,
+// whatever the age of each list, and however old the machine's last heartbeat is.
+func TestMachineVanishesOnlyOnceDeleted(t *testing.T) {
 	const lag, step = 6 * time.Second, time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		f := testAutoscaler()
-		f.cfg.Params.Cloud.ListLagS = lag.Seconds()
-		f.dispatcher = &drains{}
+		a := testAutoscaler()
+		a.cfg.Params.Cloud.ListLagS = lag.Seconds()
+		a.dispatcher = &drainCounter{}
 		cloud := &listingCloud{
 			created: time.Duration(rapid.IntRange(0, 20).Draw(t, "created")) * step,
-			gone:    time.Duration(rapid.IntRange(21, 60).Draw(t, "gone")) * step,
+			deleted: time.Duration(rapid.IntRange(21, 60).Draw(t, "gone")) * step,
 		}
-		heard := min(cloud.created+time.Duration(rapid.IntRange(0, 9).Draw(t, "heard"))*step, cloud.gone-step)
-		f.cloud = NewCloudOver(cloud, "cloud", 1000)
+		heartbeat := min(cloud.created+time.Duration(rapid.IntRange(0, 9).Draw(t, "heard"))*step, cloud.deleted-step)
+		a.cloud = NewCloudOver(cloud, "cloud", 1000)
 		oldest := rapid.Bool().Draw(t, "oldest lists")
 		start := time.Now().Add(-time.Hour)
 		for cloud.now = 0; cloud.now < 120*step; cloud.now += step {
@@ -57,20 +57,20 @@
 				if oldest {
 					cloud.age = 2 * lag
 				}
-				f.refreshAt(context.Background(), start.Add(cloud.now))
+				a.refreshAt(context.Background(), start.Add(cloud.now))
 			}
-			if cloud.now < heard {
+			if cloud.now < heartbeat {
 				continue
 			}
-			vanished := f.vanished("n-1", start.Add(heard))
-			if vanished && cloud.now < cloud.gone {
-				t.Fatalf("%v before it is gone, the machine has vanished", cloud.gone-cloud.now)
+			vanished := a.vanished("n-1", start.Add(heartbeat))
+			if vanished && cloud.now < cloud.deleted {
+				t.Fatalf("%v before it is deleted, the machine has vanished", cloud.deleted-cloud.now)
 			}
 		}
 		cloud.age = 0
-		f.refreshAt(context.Background(), start.Add(cloud.now))
-		if !f.vanished("n-1", start.Add(heard)) {
-			t.Fatal("a machine that is gone has not vanished")
+		a.refreshAt(context.Background(), start.Add(cloud.now))
+		if !a.vanished("n-1", start.Add(heartbeat)) {
+			t.Fatal("a deleted machine has not vanished")
 		}
 	})
 }
--- /dev/null
+++ b/internal/autoscaler/provision.go
@@ -0,0 +1,173 @@
+package autoscaler
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// errNotLeading means that another controller may lead the autoscaler by now.
+var errNotLeading = errors.New("no longer leads the autoscaler")
+
+// provisionExpires is how long after it was planned a provision may first be requested of the
+// cloud. A record may be written although its writer never learns of it, also minutes late,
+// and a later leader can't tell whether the cloud got the request: the work that it was for
+// is mostly done by then. Machines that were provisioned all the same are in the cloud's list.
+// It covers a failover by the end of the leader's lease.
+const provisionExpires = 30 * time.Second
+
+// repeatDelay is how long a provision without an answer waits before it may be repeated.
+const repeatDelay = time.Second
+
+// provision is a request for machines whose outcome is unknown. Its fields other than sending
+// are used by one goroutine of scaleOut at a time, the one for which sending was set.
+type provision struct {
+	req           wire.HireRequest
+	planned       time.Time
+	sending       bool // a goroutine works on it; guarded by Autoscaler.mu
+	perhapsStored bool // a write of its record had an unknown outcome
+	recorded      bool // its record is written
+	requested     bool // the cloud may know of it
+}
+
+// expired reports whether a provision must not be requested any more, unless it was before.
+func expired(planned, now time.Time) bool { return now.Sub(planned) > provisionExpires }
+
+// maxInFlight is how many provisions may be without an outcome at once. More would only queue
+// for the cloud's rate limit, and the plan would count on machines that nobody requested.
+func (a *Autoscaler) maxInFlight() int { return max(2, int(2*a.cfg.Params.Cloud.RPS)) }
+
+// newProvision adds a provision of n machines, marked as being sent.
+func (a *Autoscaler) newProvision(o offer, n int, now time.Time) *provision {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.seq++
+	// No two leaders share a fencing token, so names are unique.
+	name := fmt.Sprintf("r-%d-%d", a.member.FencingToken(), a.seq)
+	p := &provision{req: wire.HireRequest{Name: name, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Number: n}, planned: now, sending: true}
+	a.provisions[name] = p
+	return p
+}
+
+// readiness says what is to be done with a provision.
+type readiness int
+
+const (
+	ready readiness = iota // request it of the cloud
+	retry                  // not known yet; try again
+	drop                   // it must not be requested
+)
+
+// String returns the name of the readiness.
+func (r readiness) String() string {
+	switch r {
+	case ready:
+		return "ready"
+	case retry:
+		return "retry"
+	default:
+		return "drop"
+	}
+}
+
+// prepare makes sure that a provision is recorded before the cloud gets the request, and
+// reports whether it may still be requested.
+func (a *Autoscaler) prepare(ctx context.Context, p *provision) readiness {
+	if !p.recorded {
+		err := a.write(ctx, p)
+		var conflict *statestore.Conflict
+		p.perhapsStored = p.perhapsStored || errors.Is(err, statestore.ErrUnknown)
+		switch {
+		case err == nil:
+			p.recorded = true
+		case p.perhapsStored && !errors.As(err, &conflict) && !errors.Is(err, errNotLeading) && !expired(p.planned, time.Now()):
+			a.log.Info("provision perhaps recorded", "provision", p.req.Name, "err", err)
+			return retry
+		default:
+			// Nothing was provisioned, and the name is not used again.
+			a.log.Info("provision not recorded", "provision", p.req.Name, "err", err)
+			return drop
+		}
+	}
+	if !p.requested && (expired(p.planned, time.Now()) || !a.scheduler.Ready()) {
+		// After a standstill a successor may have provisioned for the same work.
+		a.log.Info("provision dropped", "provision", p.req.Name)
+		return drop
+	}
+	p.requested = true
+	return ready
+}
+
+// scaleOut requests a provision of the cloud once it is recorded. Without an answer the
+// provision stays, to be repeated under its name by a later step.
+func (a *Autoscaler) scaleOut(ctx context.Context, p *provision) {
+	decided := false
+	defer func() {
+		a.mu.Lock()
+		p.sending = false
+		if decided && a.provisions[p.req.Name] == p {
+			delete(a.provisions, p.req.Name)
+		}
+		a.mu.Unlock()
+	}()
+	if r := a.prepare(ctx, p); r != ready {
+		decided = r == drop
+		return
+	}
+	names, err := a.cloud.provision(ctx, p.req)
+	o := offer{p.req.Type, p.req.Zone, p.req.Spot}
+	switch {
+	case err == nil:
+		a.log.Info("scaled out", "provision", p.req.Name, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "machines", len(names), "requested", p.req.Number)
+		a.provisionAnswered(p, o, names)
+		decided = true
+	case errors.Is(err, errNoCapacity):
+		a.log.Info("no capacity", "type", o.Type, "zone", o.Zone, "spot", o.Spot)
+		a.provisionRefused(p, o)
+		decided = true
+	case errors.Is(err, errRejected):
+		a.log.Error("provision refused", "provision", p.req.Name, "err", err)
+		a.provisionRefused(p, o)
+		decided = true
+	default:
+		a.log.Info("provision unanswered", "provision", p.req.Name, "err", err)
+		select {
+		case <-ctx.Done():
+		case <-time.After(repeatDelay):
+		}
+	}
+}
+
+// provisionAnswered takes in the machines that the cloud provisioned.
+func (a *Autoscaler) provisionAnswered(p *provision, o offer, names []string) {
+	now := time.Now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	record := p.record()
+	record.AnsweredMs, record.Machines = now.UnixMilli(), names
+	a.provisionedLocked(record, now)
+	if len(names) < p.req.Number {
+		a.refuse(o)
+	} else {
+		delete(a.refusals, o)
+	}
+}
+
+// provisionRefused notes that the cloud provisions nothing.
+func (a *Autoscaler) provisionRefused(p *provision, o offer) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.refuse(o)
+	a.dropLocked(p.req.Name)
+}
+
+// mayScaleOut reports whether enough is known of the machines that there are: those of
+// provisions whose records are deleted are in the first list of a new leader. Called with mu
+// held.
+func (a *Autoscaler) mayScaleOut(now time.Time) bool {
+	return a.newestList.After(a.leadingSince) || now.Sub(a.leadingSince) > firstListTimeout
+}
--- /dev/null
+++ b/internal/autoscaler/provision_record.go
@@ -0,0 +1,191 @@
+package autoscaler
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// Keys in the state service. Controllers of other versions share them.
+const (
+	provisionKey = "fleet/hire/" // and a provision's name
+	typesKey     = "fleet/types"
+)
+
+const (
+	loadTimeout   = 3 * time.Second
+	recordTimeout = 2 * time.Second
+	// firstListTimeout is how long a new leader waits for its first machine list before it
+	// scales out without one.
+	firstListTimeout = 10 * time.Second
+)
+
+// provisionRecord is a provision as the state service has it. Without a time, it is old.
+type provisionRecord struct {
+	wire.HireRequest
+	PlannedMs  int64    `json:"planned,omitempty"`  // time of day
+	AnsweredMs int64    `json:"answered,omitempty"` // time of day; 0: perhaps not answered yet
+	Machines   []string `json:"machines,omitempty"` // that the cloud answered
+}
+
+func (p *provision) record() provisionRecord {
+	return provisionRecord{HireRequest: p.req, PlannedMs: p.planned.UnixMilli()}
+}
+
+func (r *provisionRecord) offer() offer { return offer{r.Type, r.Zone, r.Spot} }
+
+// answeredProvision is a provision that the cloud has answered, and whose record is kept until
+// its machines are in every list that a later leader may read.
+type answeredProvision struct {
+	record   provisionRecord
+	recorded bool      // the record in the state service has the answer
+	until    time.Time // when the record may be deleted
+}
+
+// load reads the recorded provisions: those perhaps not answered are repeated under their
+// names, and the machines of the others are counted on. It returns the names of those that
+// are too old for either.
+func (a *Autoscaler) load(ctx context.Context) (old []string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	defer cancel()
+	items, _, err := a.store.List(ctx, provisionKey)
+	if err != nil {
+		return nil, fmt.Errorf("list provisions: %w", err)
+	}
+	now := time.Now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, item := range items {
+		var record provisionRecord
+		if err := json.Unmarshal(item.Value, &record); err != nil {
+			a.log.Error("provision record unreadable", "key", item.Key, "err", err)
+			continue
+		}
+		planned, answered := time.UnixMilli(record.PlannedMs), time.UnixMilli(record.AnsweredMs)
+		switch {
+		case record.AnsweredMs > 0 && now.Sub(answered) < a.unlistedTime():
+			a.provisionedLocked(record, now)
+			a.answered[record.Name].recorded = true
+		case record.AnsweredMs > 0 || expired(planned, now):
+			old = append(old, record.Name)
+			a.dropLocked(record.Name)
+		default:
+			a.provisions[record.Name] = &provision{req: record.HireRequest, planned: planned, recorded: true}
+		}
+	}
+	return old, nil
+}
+
+// write records a provision, so that the next leader repeats it under its name. It fails
+// with errNotLeading, or as the state service does; with statestore.ErrUnknown the record may
+// have been written.
+func (a *Autoscaler) write(ctx context.Context, p *provision) error {
+	key := provisionKey + p.req.Name
+	version, ok := a.member.ClaimedShards()[0]
+	if !ok {
+		return errNotLeading
+	}
+	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
+	defer cancel()
+	shard := a.member.ShardKey(0)
+	_, err := a.store.Txn(ctx, []wire.Guard{{Key: shard, Version: version}, {Key: key}}, wire.Op{Put: key, Value: p.record()})
+	var conflict *statestore.Conflict
+	if errors.As(err, &conflict) && !conflict.Has(shard) {
+		return nil // by an earlier try, whose answer was lost: names are never shared
+	}
+	if err != nil {
+		return fmt.Errorf("record provision %s: %w", p.req.Name, err)
+	}
+	return nil
+}
+
+// unlistedTime is how long after the answer to a provision its machines may be missing from
+// the cloud's list.
+func (a *Autoscaler) unlistedTime() time.Duration { return a.maxListLag() + time.Second }
+
+// provisionedLocked takes in the machines that the cloud answered to a provision. Its record
+// stays: a leader that begins before they are listed would provision them again. Called with mu
+// held.
+func (a *Autoscaler) provisionedLocked(record provisionRecord, now time.Time) {
+	a.expect(record, now)
+	answered := time.UnixMilli(record.AnsweredMs)
+	if answered.After(now) {
+		answered = now // by the clock of another controller, which is ahead
+	}
+	a.answered[record.Name] = &answeredProvision{record: record, until: answered.Add(a.unlistedTime())}
+}
+
+// expect adds the machines of an answered provision to the instances, as booting. Called with
+// mu held.
+func (a *Autoscaler) expect(record provisionRecord, now time.Time) {
+	for _, name := range record.Machines {
+		if a.instances[name] == nil && !a.deleting[name] {
+			a.instances[name] = &instance{name: name, offer: record.offer(), provisioned: time.UnixMilli(record.PlannedMs), discovered: now, listed: now, stage: wire.MachineBooting}
+		}
+	}
+}
+
+// dropLocked has the record of a provision deleted of which no machines come. Called with mu
+// held.
+func (a *Autoscaler) dropLocked(name string) {
+	a.answered[name] = &answeredProvision{recorded: true}
+}
+
+// recordAnswers writes the answers of provisions into their records, and deletes the records
+// that aren't needed any more, all in one transaction. What fails is tried again by a later
+// step; what is left when this controller leads no more is the next leader's.
+func (a *Autoscaler) recordAnswers(ctx context.Context) {
+	version, ok := a.member.ClaimedShards()[0]
+	if !ok {
+		return
+	}
+	ops, recorded, deleted := a.answerOps(time.Now())
+	if len(ops) == 0 {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
+	defer cancel()
+	// A former leader's answer must not bring back a record that its successor deleted.
+	guards := []wire.Guard{{Key: a.member.ShardKey(0), Version: version}}
+	if _, err := a.store.Txn(ctx, guards, ops...); err != nil {
+		a.log.Debug("answers of provisions not recorded", "answered", recorded, "deleted", deleted, "err", err)
+		return
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, name := range deleted {
+		delete(a.answered, name)
+	}
+	for _, name := range recorded {
+		if answer := a.answered[name]; answer != nil {
+			answer.recorded = true
+		}
+	}
+}
+
+// answerOps returns the operations that the records of answered provisions need, as many as
+// fit into a transaction, and the names of those that they write and delete.
+func (a *Autoscaler) answerOps(now time.Time) (ops []wire.Op, recorded, deleted []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for name, answer := range a.answered {
+		if len(ops) == max(1, a.cfg.Params.State.TxnOps) {
+			break
+		}
+		switch {
+		case now.After(answer.until):
+			deleted = append(deleted, name)
+			ops = append(ops, wire.Op{Delete: provisionKey + name})
+		case !answer.recorded:
+			recorded = append(recorded, name)
+			ops = append(ops, wire.Op{Put: provisionKey + name, Value: answer.record})
+		}
+	}
+	return ops, recorded, deleted
+}
--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// fullRequest returns a hire with every field set.
+// fullRequest returns a request with every field set.
 func fullRequest() wire.HireRequest {
 	return wire.HireRequest{Name: "r-12-1", Type: "large", Zone: "z1", Spot: true, Number: 50}
 }
@@ -57,7 +57,7 @@
 	checkRecorded(t, "types.json", machineTypes())
 	checkRecorded(t, "types_least.json", []wire.MachineType(nil))
 	record := provisionRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123}
-	planned := &provision{req: fullRequest(), made: time.UnixMilli(1700000000123)}
+	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
 	if !reflect.DeepEqual(planned.record(), record) {
 		t.Errorf("recorded as %+v, want %+v", planned.record(), record)
 	}
@@ -70,23 +70,23 @@
 	}
 }
 
-// The cloud's text for what is not to be had.
+// The cloud's text for an offer without capacity.
 func TestRecordedProblem(t *testing.T) {
 	if text := errNoCapacity.Error(); text != "no capacity" {
 		t.Errorf("%q", text)
 	}
 }
 
-// leader owns shard 0 as of a version of its key.
+// leader leads shard 0 as of a version of its key.
 type leader struct{ version uint64 }
 
 func (l leader) FencingToken() uint64          { return 12 }
 func (l leader) ClaimedShards() map[int]uint64 { return map[int]uint64{0: l.version} }
-func (l leader) ShardKey(shard int) string     { return "c/shard/000" }
+func (l leader) ShardKey(int) string           { return "c/shard/000" }
 
-// What the fleet writes, as the state service has it: a hire before the cloud is asked and
-// after it has answered, and the machine types.
-func TestRecordedByFleet(t *testing.T) {
+// What the autoscaler writes, as the state service has it: a provision before the cloud gets
+// the request and after it has answered, and the machine types.
+func TestRecordedByAutoscaler(t *testing.T) {
 	store := testkit.NewStore()
 	view := &testkit.View{Store: store}
 	version, err := view.Txn(t.Context(), nil, wire.Op{Put: "c/shard/000", Value: 0})
@@ -95,18 +95,18 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	catalog := NewCatalog(nil, view, log)
-	fleet := New(&config.Platform{}, &config.Operator{}, nil, catalog, view, leader{version}, nil, nil, log)
-	planned := &provision{req: fullRequest(), made: time.UnixMilli(1700000000123)}
-	if err := fleet.write(t.Context(), planned); err != nil {
+	a := New(&config.Platform{}, &config.Operator{}, nil, catalog, view, leader{version}, nil, nil, log)
+	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
+	if err := a.write(t.Context(), planned); err != nil {
 		t.Fatal(err)
 	}
 	checkText(t, store, "fleet/hire/r-12-1", "hire_planned.json")
 	answered := planned.record()
 	answered.AnsweredMs, answered.Machines = 1700000004567, []string{"m-1", "m-2"}
-	fleet.answered["r-12-1"] = &answeredProvision{record: answered, until: time.Now().Add(time.Hour)}
-	fleet.recordAnswers(t.Context())
+	a.answered["r-12-1"] = &answeredProvision{record: answered, until: time.Now().Add(time.Hour)}
+	a.recordAnswers(t.Context())
 	checkText(t, store, "fleet/hire/r-12-1", "hire.json")
-	catalog.keep(t.Context(), machineTypes())
+	catalog.persist(t.Context(), machineTypes())
 	checkText(t, store, "fleet/types", "types.json")
 }
 
@@ -136,11 +136,11 @@
 	}))
 	defer server.Close()
 	cloud := NewCloud(strings.TrimPrefix(server.URL, "http://"), 1000)
-	_, typesErr := cloud.types(t.Context())
-	_, hireErr := cloud.hire(t.Context(), fullRequest())
-	releaseErr := cloud.release(t.Context(), []string{"m-1", "m-2"})
-	_, listErr := cloud.list(t.Context())
-	if err := errors.Join(typesErr, hireErr, releaseErr, listErr); err != nil {
+	_, typesErr := cloud.machineTypes(t.Context())
+	_, provisionErr := cloud.provision(t.Context(), fullRequest())
+	deleteErr := cloud.deleteMachines(t.Context(), []string{"m-1", "m-2"})
+	_, listErr := cloud.listMachines(t.Context())
+	if err := errors.Join(typesErr, provisionErr, deleteErr, listErr); err != nil {
 		t.Error(err)
 	}
 	if want := []string{
