--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -132,37 +132,33 @@
 	// Spot machines are provisioned for what would wait for about as long as they take to
 	// boot, on-demand ones only for what would be late without them.
 	maxWaitS := min(bootS, d.Slack)
-	d.Count = sim.fillBooting(d, maxWaitS)
+	d.Count = sim.fill(d, maxWaitS, true)
 	d.Count = sim.provision(d, true, maxWaitS)
 	if d.Count == 0 {
 		return
 	}
 	maxWaitS = max(bootS, d.Slack/2)
-	d.Count = sim.fill(d, maxWaitS)
+	d.Count = sim.fill(d, maxWaitS, false)
 	d.Count = sim.uncordon(d, maxWaitS)
 	d.Count = sim.provision(d, false, maxWaitS)
 }
 
-// fill places waiting tasks on the machines and returns how many are left. That a machine
-// still boots is no reason for a longer wait.
-func (sim *simulation) fill(d *planner.Demand, maxWaitS float64) int {
-	return sim.fillAll(d, func(*simulated) float64 { return maxWaitS })
-}
-
-// fillBooting is fill, but work waits for a booting machine until it is up.
-func (sim *simulation) fillBooting(d *planner.Demand, maxWaitS float64) int {
-	return sim.fillAll(d, func(s *simulated) float64 { return max(maxWaitS, s.bootS+bootGraceS) })
-}
-
-func (sim *simulation) fillAll(d *planner.Demand, maxWaitS func(*simulated) float64) int {
+// fill places waiting tasks on the machines and returns how many are left. With untilBoot
+// work waits for a booting machine until it is up; else a boot is no reason to wait longer.
+func (sim *simulation) fill(d *planner.Demand, maxWaitS float64, untilBoot bool) int {
 	n := d.Count
 	for _, s := range sim.machines {
 		if n == 0 {
 			break
 		}
-		if allows(d.Job, s.offer) {
-			n = s.fill(d, n, maxWaitS(s))
+		if !allows(d.Job, s.offer) {
+			continue
+		}
+		limitS := maxWaitS
+		if untilBoot {
+			limitS = max(limitS, s.bootS+bootGraceS)
 		}
+		n = s.fill(d, n, limitS)
 	}
 	return n
 }
