--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -88,8 +88,8 @@
 
 // simulate starts a plan with the machines that are up, boot, or are requested. Called with
 // mu held.
-func (a *Autoscaler) simulate(now time.Time) *simulation {
-	sim := &simulation{scaler: a, wants: map[offer]int{}}
+func (a *Autoscaler) simulate(now time.Time) simulation {
+	sim := simulation{scaler: a, wants: map[offer]int{}}
 	for name, inst := range a.instances {
 		if a.deleting[name] || !inst.drainingSince.IsZero() || inst.load != nil && (inst.load.Notice || inst.load.Faulty) {
 			continue
