--- a/internal/submission/capacity_test.go
+++ b/internal/submission/capacity_test.go
@@ -19,8 +19,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// door is the users' interface of a site with so many teams, the last of which submits.
-func door(tb testing.TB, teams int) *http.ServeMux {
+// listener is the users' interface of a site with so many teams, the last of which submits.
+func listener(tb testing.TB, teams int) *http.ServeMux {
 	s := &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
 	cfg := &config.Platform{Node: "a"}
 	for i := range teams - 1 {
@@ -46,15 +46,15 @@
 	}
 }
 
-// heldOpen is the memory, heap and stacks, of so many users' connections that have asked
-// something once, both ends.
-func heldOpen(tb testing.TB, connections int) float64 {
-	srv := httptest.NewServer(door(tb, 1))
+// connectionMemory is the bytes, heap and stacks, of so many users' connections that have
+// made a request, both ends.
+func connectionMemory(tb testing.TB, connections int) float64 {
+	srv := httptest.NewServer(listener(tb, 1))
 	defer srv.Close()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	var open []net.Conn
+	open := make([]net.Conn, 0, connections)
 	for range connections {
 		conn, err := net.Dial("tcp", srv.Listener.Addr().String())
 		if err != nil {
@@ -69,6 +69,7 @@
 			tb.Fatal(err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body) // a memory reader that has all
+		_ = resp.Body.Close()
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -80,15 +81,15 @@
 
 var capacitySeries = []capacity.Series{
 	{Name: "intake.allocsOfSubmission", Sizes: []int{50, 100, 200, 400}, FixedSlack: 3, Measure: func(tb testing.TB, teams int) float64 {
-		mux := door(tb, teams)
+		mux := listener(tb, teams)
 		submit(tb, mux, 1)
 		return testing.AllocsPerRun(100, func() { submit(tb, mux, 1) })
 	}},
 	{Name: "intake.submission", Scatters: true, Sizes: []int{50, 100, 200, 400}, Measure: func(tb testing.TB, teams int) float64 {
-		mux, number := door(tb, teams), 0
+		mux, number := listener(tb, teams), 0
 		return capacity.ProcessorTime(tb, func() { number++; submit(tb, mux, number) })
 	}},
-	{Name: "intake.connections", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: heldOpen},
+	{Name: "intake.connections", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: connectionMemory},
 }
 
 func TestCapacity(t *testing.T)      { capacity.Check(t, capacitySeries...) }
--- a/internal/submission/odd_requests_test.go
+++ b/internal/submission/malformed_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math"
 	"net/http"
+	"slices"
 	"strings"
 	"testing"
 
@@ -32,7 +33,7 @@
 	}
 	for name, kind := range fieldKinds {
 		kind, nullable := strings.CutSuffix(kind, "?")
-		if value := given[name]; !(value == nil && nullable) && fmt.Sprintf("%T", value) != kind {
+		if value := given[name]; (value != nil || !nullable) && fmt.Sprintf("%T", value) != kind {
 			return name
 		}
 	}
@@ -47,11 +48,6 @@
 		return false
 	}
 	number := func(name string) float64 { value, _ := given[name].(float64); return value }
-	anywhere := given["builds"] == nil
-	types, _ := given["builds"].([]any)
-	for _, name := range types {
-		anywhere = anywhere || name == "m"
-	}
 	together := 1.0
 	if given["sort"] != wire.KindArray {
 		together = number("pieces")
@@ -61,13 +57,28 @@
 			return false
 		}
 	}
-	return given["crew"] == "t" && anywhere && (given["yard"] == nil || given["yard"] == "z") &&
-		number("pieces") >= 1 && number("pieces") <= 100_000 && number("pieces") == math.Trunc(number("pieces")) &&
-		number("cpus") > 0 && number("cpus") < 4.001 && number("cpus")*together < 8.001 && number("cards") >= 0 && number("cards") < 0.001 &&
-		number("memoryGb") >= 0 && number("memoryGb") < 8.001 &&
+	for _, limit := range []struct{ value, least, below float64 }{
+		{number("pieces"), 1, 100_001},
+		{number("cpus"), math.SmallestNonzeroFloat64, 4.001},
+		{number("cpus") * together, 0, 8.001},
+		{number("cards"), 0, 0.001},
+		{number("memoryGb"), 0, 8.001},
+	} {
+		if limit.value < limit.least || limit.value >= limit.below {
+			return false
+		}
+	}
+	return given["crew"] == "t" && allows(given["builds"], "m") && (given["yard"] == nil || given["yard"] == "z") &&
+		number("pieces") == math.Trunc(number("pieces")) &&
 		strings.Contains(" low normal urgent production ", fmt.Sprintf(" %v ", given["urgency"]))
 }
 
+// allows reports whether a list of machine types is null or has one.
+func allows(types any, machineType string) bool {
+	list, _ := types.([]any)
+	return types == nil || slices.Contains(list, any(machineType))
+}
+
 // A submission that is accepted has every field, with its type, and can run; one that has
 // none of it is refused and leaves nothing in the state service.
 func FuzzSubmission(f *testing.F) {
@@ -102,8 +113,8 @@
 // A repeated submission of a known job is answered with its state, however little of its
 // body can be read beside the id: 400 would tell its user that it was never accepted.
 func TestRepeatWithUnreadableFieldsIsAnsweredById(t *testing.T) {
-	_, _, ask := serve(t)
-	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
+	_, _, request := serve(t)
+	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
 		t.Fatalf("submission: %d", status)
 	}
 	for name := range fieldKinds {
@@ -120,7 +131,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if status, _, state := ask(http.MethodPost, "/api/jobs", string(body)); status != http.StatusOK || state.Stage != wire.StageQueued {
+			if status, _, state := request(http.MethodPost, "/api/jobs", string(body)); status != http.StatusOK || state.Stage != wire.StageQueued {
 				t.Errorf("%s is %v: %d, %+v", name, value, status, state)
 			}
 		}
--- a/internal/submission/recorded_test.go
+++ b/internal/submission/recorded_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Users' requests that one controller hands to another keep their form.
+// Users' requests that one controller passes to another keep their form.
 func TestRecorded(t *testing.T) {
 	checkRecorded(t, "request_full.json", submission.Request{
 		Verb: submission.VerbSubmit, UID: "j-000400", Body: []byte(`{"uid":"j-000400"}`), UIDs: []string{"j-000401", "j-000402"},
--- a/internal/submission/intake_test.go
+++ b/internal/submission/service_test.go
@@ -20,8 +20,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// stub is everything around the users' interface: no owner here, and peers
-// that answer nothing.
+// stub is everything around the users' interface: no jobs in this process, and peers that
+// respond to nothing.
 type stub struct {
 	*testkit.View
 	types []wire.MachineType
@@ -38,6 +38,7 @@
 func (s *stub) Cancel(context.Context, string) (wire.JobState, error) {
 	return wire.JobState{}, statestore.ErrUnavailable
 }
+
 func (s *stub) AskPeer(context.Context, string, submission.Request) (*submission.Reply, error) {
 	return nil, errors.New("cut off")
 }
@@ -45,31 +46,31 @@
 const job = `{"uid":"j-7","docket":"c","crew":"t","sort":"sweep","urgency":"normal","pieces":3,"cpus":2,"cards":0,"memoryGb":1,
 	"kit":"i","pullGb":1,"builds":null,"yard":null,"together":false,"apart":false,"loaners":true,"reckonS":9,"markS":0,"stashS":0,"dueS":null}`
 
-func serve(t testing.TB) (s *stub, in *submission.Service, ask func(method, path, body string) (int, http.Header, wire.JobState)) {
+func serve(t testing.TB) (s *stub, service *submission.Service, request func(method, path, body string) (int, http.Header, wire.JobState)) {
 	s = &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
 	cfg := &config.Platform{Node: "a", Params: config.Params{Teams: []config.Team{{Name: "t", CPUsMax: 8}}}}
 	op, err := config.LoadOperator("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in = submission.New(cfg, op, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	service = submission.New(cfg, op, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	mux := http.NewServeMux()
-	in.Register(mux)
-	return s, in, func(method, path, body string) (int, http.Header, wire.JobState) {
+	service.Register(mux)
+	return s, service, func(method, path, body string) (int, http.Header, wire.JobState) {
 		w := httptest.NewRecorder()
 		mux.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
-		var st wire.JobState
-		_ = json.Unmarshal(w.Body.Bytes(), &st) // a refusal has no state
-		return w.Code, w.Header(), st
+		var state wire.JobState
+		_ = json.Unmarshal(w.Body.Bytes(), &state) // a refusal has no state
+		return w.Code, w.Header(), state
 	}
 }
 
 // A submission is answered by what is recorded: 201 once, 200 ever after, and
 // refusals only for jobs that nobody knows.
 func TestSubmissionAnswers(t *testing.T) {
-	s, _, ask := serve(t)
-	with := func(old, new string) string { return strings.Replace(job, old, new, 1) }
-	for _, k := range []struct {
+	s, _, request := serve(t)
+	with := func(old, replacement string) string { return strings.Replace(job, old, replacement, 1) }
+	for _, c := range []struct {
 		name, body string
 		status     int
 	}{
@@ -84,115 +85,115 @@
 		{"fits no type", strings.Replace(with(`j-7`, `j-8`), `"cpus":2`, `"cpus":6`, 1), 422},
 		{"over 64 KiB", with(`"kit":"i"`, `"kit":"`+strings.Repeat("i", 70_000)+`"`), 400},
 	} {
-		if status, _, _ := ask(http.MethodPost, "/api/jobs", k.body); status != k.status {
-			t.Errorf("%s: %d, not %d", k.name, status, k.status)
+		if status, _, _ := request(http.MethodPost, "/api/jobs", c.body); status != c.status {
+			t.Errorf("%s: %d, not %d", c.name, status, c.status)
 		}
 	}
 	s.types = nil
-	if status, head, _ := ask(http.MethodPost, "/api/jobs", with(`j-7`, `j-9`)); status != 503 || head.Get("Retry-After") == "" {
+	if status, header, _ := request(http.MethodPost, "/api/jobs", with(`j-7`, `j-9`)); status != 503 || header.Get("Retry-After") == "" {
 		t.Errorf("machine types not known yet: %d", status)
 	}
 }
 
-// Whoever can't tell says 503, never that there is no such job.
-func TestUnsureIsNeverNotFound(t *testing.T) {
-	s, _, ask := serve(t)
-	if status, _, _ := ask(http.MethodGet, "/api/jobs/j-1", ""); status != 404 {
+// What is unknown during an outage of the state service is 503, never 404.
+func TestUnknownOutcomeIsNeverNotFound(t *testing.T) {
+	s, _, request := serve(t)
+	if status, _, _ := request(http.MethodGet, "/api/jobs/j-1", ""); status != 404 {
 		t.Errorf("a job that nobody submitted: %d", status)
 	}
-	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != 201 {
+	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != 201 {
 		t.Fatalf("submission: %d", status)
 	}
-	if status, _, st := ask(http.MethodGet, "/api/jobs/j-7", ""); status != 200 || st.Stage != wire.StageQueued {
-		t.Errorf("poll: %d %+v", status, st)
+	if status, _, state := request(http.MethodGet, "/api/jobs/j-7", ""); status != 200 || state.Stage != wire.StageQueued {
+		t.Errorf("poll: %d %+v", status, state)
 	}
 	s.Down = func() bool { return true }
 	for _, path := range []string{"/api/jobs/j-1", "/api/jobs/j-7"} {
-		if status, head, _ := ask(http.MethodGet, path, ""); status != 503 || head.Get("Retry-After") == "" {
+		if status, header, _ := request(http.MethodGet, path, ""); status != 503 || header.Get("Retry-After") == "" {
 			t.Errorf("%s with the state service out: %d", path, status)
 		}
 	}
-	if status, _, _ := ask(http.MethodPost, "/api/jobs/j-7/cancel", ""); status != 503 {
+	if status, _, _ := request(http.MethodPost, "/api/jobs/j-7/cancel", ""); status != 503 {
 		t.Errorf("cancel with the state service out: %d", status)
 	}
 	s.up = false
-	if status, _, _ := ask(http.MethodGet, "/up", ""); status != 503 {
+	if status, _, _ := request(http.MethodGet, "/up", ""); status != 503 {
 		t.Errorf("up: %d", status)
 	}
 }
 
-// deaf confirms no cancel.
-type deaf struct{ asked []string }
+// unconfirmed confirms no cancel.
+type unconfirmed struct{ queried []string }
 
-func (d *deaf) Confirm(uid string) error {
-	d.asked = append(d.asked, uid)
+func (u *unconfirmed) Confirm(uid string) error {
+	u.queried = append(u.queried, uid)
 	return cancellation.ErrCannotConfirm
 }
 
-// Nobody is told that a job is cancelled, by whatever question, before that is
-// confirmed: a poll, or a submission that is repeated, would tell it first.
-func TestCancelledIsToldOnceConfirmed(t *testing.T) {
-	s, in, ask := serve(t)
-	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != 201 {
+// No response says that a job is cancelled before that is confirmed, neither that to a poll
+// nor that to a repeated submission.
+func TestCancelledIsReportedOnceConfirmed(t *testing.T) {
+	s, service, request := serve(t)
+	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != 201 {
 		t.Fatalf("submission: %d", status)
 	}
-	it, err := s.Get(t.Context(), "live/j-7")
+	item, err := s.Get(t.Context(), "live/j-7")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r map[string]any
-	if err := json.Unmarshal(it.Value, &r); err != nil {
+	var record map[string]any
+	if err := json.Unmarshal(item.Value, &record); err != nil {
 		t.Fatal(err)
 	}
-	r["cancelled"] = true
-	if _, err := s.Txn(t.Context(), nil, wire.Op{Put: "live/j-7", Value: r}); err != nil {
+	record["cancelled"] = true
+	if _, err := s.Txn(t.Context(), nil, wire.Op{Put: "live/j-7", Value: record}); err != nil {
 		t.Fatal(err)
 	}
-	no := &deaf{}
+	cancellations := &unconfirmed{}
 	for _, confirm := range []bool{false, true} {
-		in.Cancellations, no.asked = no, nil
+		service.Cancellations, cancellations.queried = cancellations, nil
 		if confirm {
-			in.Cancellations = nil
+			service.Cancellations = nil
 		}
-		for _, q := range [][3]string{{http.MethodGet, "/api/jobs/j-7", ""}, {http.MethodPost, "/api/jobs", job}} {
-			status, head, st := ask(q[0], q[1], q[2])
-			if !confirm && (status != 503 || head.Get("Retry-After") == "" || st.Stage != "") || confirm && (status != 200 || st.Stage != wire.StageCancelled) {
-				t.Errorf("%s, confirmed %v: %d, %+v", q[0], confirm, status, st)
+		for _, c := range [][3]string{{http.MethodGet, "/api/jobs/j-7", ""}, {http.MethodPost, "/api/jobs", job}} {
+			status, header, state := request(c[0], c[1], c[2])
+			if !confirm && (status != 503 || header.Get("Retry-After") == "" || state.Stage != "") || confirm && (status != 200 || state.Stage != wire.StageCancelled) {
+				t.Errorf("%s, confirmed %v: %d, %+v", c[0], confirm, status, state)
 			}
 		}
-		if !confirm && len(no.asked) != 2 {
-			t.Errorf("confirmed was asked for %v", no.asked)
+		if !confirm && len(cancellations.queried) != 2 {
+			t.Errorf("confirmation was requested for %v", cancellations.queried)
 		}
 	}
 }
 
-// Short of memory, a controller takes no new job, but goes on answering for
-// those that it has taken.
-func TestCrowdedTakesNoNewJobs(t *testing.T) {
-	_, in, ask := serve(t)
-	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != 201 {
+// Under memory pressure a controller takes no new job, but goes on answering for those that
+// it has accepted.
+func TestMemoryPressureRefusesNewJobsOnly(t *testing.T) {
+	_, service, request := serve(t)
+	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != 201 {
 		t.Fatalf("submission: %d", status)
 	}
-	in.MemoryPressure = func() bool { return true }
-	if status, head, _ := ask(http.MethodPost, "/api/jobs", strings.Replace(job, "j-7", "j-8", 1)); status != 503 || head.Get("Retry-After") == "" {
+	service.MemoryPressure = func() bool { return true }
+	if status, header, _ := request(http.MethodPost, "/api/jobs", strings.Replace(job, "j-7", "j-8", 1)); status != 503 || header.Get("Retry-After") == "" {
 		t.Errorf("a new job: %d", status)
 	}
-	if status, _, _ := ask(http.MethodGet, "/api/jobs/j-8", ""); status != 404 {
+	if status, _, _ := request(http.MethodGet, "/api/jobs/j-8", ""); status != 404 {
 		t.Errorf("the refused job: %d", status)
 	}
-	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != 200 {
-		t.Errorf("a retry of the taken job: %d", status)
+	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != 200 {
+		t.Errorf("a retry of the accepted job: %d", status)
 	}
 }
 
 // A submission that was recorded is accepted at once, though neither its own answer nor
 // that of any repeat comes.
-func TestSubmissionWhoseAnswersAreLostIsAccepted(t *testing.T) {
-	s, _, ask := serve(t)
+func TestSubmissionIsAcceptedThoughAllAnswersAreLost(t *testing.T) {
+	s, _, request := serve(t)
 	tries := 0
 	s.Lose = func() bool { tries++; return true }
-	if code, _, st := ask("POST", "/api/jobs", job); code != http.StatusOK || st.Stage != wire.StageQueued {
-		t.Errorf("all answers lost: %d %+v", code, st)
+	if code, _, state := request("POST", "/api/jobs", job); code != http.StatusOK || state.Stage != wire.StageQueued {
+		t.Errorf("all answers lost: %d %+v", code, state)
 	}
 	if tries != 1 {
 		t.Errorf("recorded, it was written %d times", tries)
--- /dev/null
+++ b/internal/submission/validate.go
@@ -0,0 +1,142 @@
+package submission
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// rounding is how far a demand may be above a limit: sums of float64 are not exact.
+const rounding = 1e-6
+
+// rejection is why a submission can't be accepted, as its user reads it.
+type rejection struct {
+	status int
+	reason string
+}
+
+func (r *rejection) reply() Reply { return Reply{Status: r.status, Reason: r.reason} }
+
+func unprocessable(reason string) *rejection {
+	return &rejection{http.StatusUnprocessableEntity, reason}
+}
+
+// validate reads a submission and returns the job with the constraints that it is to be
+// recorded with. The job comes with a rejection too wherever the body is an object.
+func (s *Service) validate(ctx context.Context, body []byte, requested *jobspec.Constraints) (*wire.Job, *jobspec.Constraints, *rejection) {
+	job, err := wire.ParseJob(body)
+	if err != nil {
+		return job, nil, &rejection{http.StatusBadRequest, err.Error()}
+	}
+	if rejected := s.checkRunnable(job); rejected != nil {
+		return job, nil, rejected
+	}
+	constraints, rejected := s.resolveConstraints(ctx, job, requested)
+	return job, constraints, rejected
+}
+
+// checkRunnable rejects a job that can never run, or of which that is not known yet.
+func (s *Service) checkRunnable(job *wire.Job) *rejection {
+	types := s.catalog.All()
+	if len(types) == 0 {
+		return &rejection{http.StatusServiceUnavailable, "machine types not known yet"}
+	}
+	team := s.team(job.Team)
+	if team == nil {
+		return unprocessable("unknown team")
+	}
+	parallel := 1.0 // tasks that run side by side at least
+	if job.Service() || job.Gang() {
+		parallel = float64(job.Tasks)
+	}
+	if team.CPUsMax > 0 && parallel*job.CPUs > team.CPUsMax+rounding || team.GPUsMax > 0 && parallel*job.GPUs > team.GPUsMax+rounding {
+		return unprocessable("more than the team's limit")
+	}
+	if !slices.ContainsFunc(types, func(t wire.MachineType) bool { return fits(job, &t) }) {
+		return unprocessable("a task fits no allowed machine type")
+	}
+	return nil
+}
+
+// team returns a team's settings, nil if there are none.
+func (s *Service) team(name string) *config.Team {
+	teams := s.cfg.Params.Teams
+	for i := range teams {
+		if teams[i].Name == name {
+			return &teams[i]
+		}
+	}
+	return nil
+}
+
+// fits reports whether a task of a job fits on an empty machine of a type that the job allows.
+func fits(job *wire.Job, t *wire.MachineType) bool {
+	return job.CPUs <= t.CPUs+rounding && job.GPUs <= t.GPUs+rounding && job.MemoryGB <= t.MemoryGB+rounding &&
+		(job.Types == nil || slices.Contains(job.Types, t.Name)) && (job.Zone == nil || slices.Contains(t.Zones, *job.Zone))
+}
+
+// resolveConstraints checks a submission's constraints and sets the ids of the jobs that it
+// depends on. Where jobs have numbers, one without constraints gets a number; where they have
+// none, the result is nil.
+func (s *Service) resolveConstraints(ctx context.Context, job *wire.Job, requested *jobspec.Constraints) (*jobspec.Constraints, *rejection) {
+	switch {
+	case s.Numbers == nil && requested == nil:
+		return nil, nil
+	case s.Numbers == nil:
+		return nil, unprocessable("this site gives jobs no numbers and takes no terms")
+	case requested == nil:
+		number, err := s.Numbers.Take(ctx, job.Tasks)
+		if err != nil {
+			return nil, s.numbersUnavailable(err)
+		}
+		return &jobspec.Constraints{Number: number}, nil
+	}
+	if err := requested.Validate(job.Tasks, job.Gang(), job.Service(), time.Now()); err != nil {
+		return nil, unprocessable(err.Error())
+	}
+	given, err := s.Numbers.Given(ctx, requested.Number, job.Tasks)
+	if err != nil {
+		return nil, s.numbersUnavailable(err)
+	}
+	if !given {
+		return nil, unprocessable("number: was given to nobody")
+	}
+	if rejected := s.resolveDependencies(ctx, job, requested.Dependencies); rejected != nil {
+		return nil, rejected
+	}
+	return requested, nil
+}
+
+// resolveDependencies sets the ids of the jobs that dependencies name by number.
+func (s *Service) resolveDependencies(ctx context.Context, job *wire.Job, dependencies []jobspec.Dependency) *rejection {
+	for i := range dependencies {
+		dependency := &dependencies[i]
+		if dependency.Kind == jobspec.Singleton {
+			continue
+		}
+		found, err := s.Numbers.Find(ctx, dependency.Number)
+		switch {
+		case errors.Is(err, statestore.ErrNotFound):
+			return unprocessable(fmt.Sprintf("dependency: there is no job %d", dependency.Number))
+		case err != nil:
+			return s.numbersUnavailable(err)
+		case found.UID == job.UID:
+			return unprocessable("dependency: a job can't wait for itself")
+		}
+		dependency.Job = found.UID
+	}
+	return nil
+}
+
+func (s *Service) numbersUnavailable(err error) *rejection {
+	s.log.Debug("job numbers unavailable", "err", err)
+	return &rejection{http.StatusServiceUnavailable, "can't tell numbers now"}
+}
