--- a/internal/slurmapi/accounting.go
+++ b/internal/slurmapi/accounting.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/jobquery"
 )
 
-// accounts hands on a part of a day's pages as they are: unpacking them is the
-// client's work.
+// accountingDay serves a part of a day's pages of accounting as they are stored: to unpack
+// them is the client's work.
 func (s *Server) accountingDay(w http.ResponseWriter, r *http.Request) {
 	prefix, err := accounting.DayPrefix(r.PathValue("day"))
 	if err != nil {
@@ -22,24 +22,24 @@
 	if after != "" {
 		after = prefix + after
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	items, more, err := s.store.Page(ctx, prefix, after, pagePages)
+	items, more, err := s.store.Page(ctx, prefix, after, maxAccountingPages)
 	if err != nil {
 		s.writeError(w, err)
 		return
 	}
 	out := jobquery.Rows{Pages: []string{}}
-	for _, it := range items {
+	for _, item := range items {
 		var text string
-		if err := json.Unmarshal(it.Value, &text); err != nil {
-			s.log.Error("unreadable accounting page", "key", it.Key, "err", err)
+		if err := json.Unmarshal(item.Value, &text); err != nil {
+			s.log.Error("accounting page unreadable", "key", item.Key, "err", err)
 			continue
 		}
 		out.Pages = append(out.Pages, text)
 		if more {
-			out.Next = it.Key[len(prefix):]
+			out.Next = item.Key[len(prefix):]
 		}
 	}
-	writeLines(w, "pages", out.Pages, map[string]any{"next": out.Next})
+	writeLines(w, "pages", out.Pages, field{"next", out.Next})
 }
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -1,9 +1,13 @@
 package slurmapi
 
 import (
+	"cmp"
 	"context"
+	"errors"
+	"fmt"
 	"io"
 	"net/http"
+	"net/url"
 	"slices"
 	"strconv"
 	"time"
@@ -17,52 +21,72 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// list joins what all owners have, in the order of the jobs' numbers.
+// maxTasksBody bounds the body that names the tasks to cancel.
+const maxTasksBody = 16 << 10
+
+// list serves a part of the listing of all leaders' jobs, in the order of the jobs' numbers. It
+// is refused if one leader does not respond: a listing that lacks jobs looks as if they had
+// ended.
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	var from jobquery.Cursor
-	q := r.URL.Query()
-	from.Number, _ = strconv.ParseUint(q.Get("number"), 10, 64) // from the beginning if it is none
-	from.On, _ = strconv.Atoi(q.Get("on"))
-	from.Task, _ = strconv.Atoi(q.Get("task"))
-	from.On, from.Task = max(0, from.On), max(0, from.Task)
+	req := Request{Verb: verbList, From: parseCursor(r.URL.Query())}
 	page := jobquery.Page{Jobs: []jobquery.Info{}, NowMs: time.Now().UnixMilli()}
-	owners := s.peers.ShardOwners()
-	add := func(rep Reply) {
-		page.Jobs = append(page.Jobs, rep.Jobs...)
-		if rep.Next != nil && (page.Next == nil || rep.Next.Number < page.Next.Number) {
-			page.Next = rep.Next
-		}
-	}
-	req := Request{Verb: verbList, From: from}
+	leaders := s.peers.ShardOwners()
 	if s.peers.Owns() {
-		add(s.Serve(ctx, req))
-	} else if len(owners) == 0 {
+		addPart(&page, s.Serve(ctx, req))
+	} else if len(leaders) == 0 {
 		refuse(w, http.StatusServiceUnavailable, 1, "nobody owns the jobs now")
 		return
 	}
-	for _, p := range owners {
-		rep, ok := s.ask(ctx, p, req)
+	for _, peer := range leaders {
+		rep, ok := s.query(ctx, peer, req)
 		if !ok {
 			refuse(w, http.StatusServiceUnavailable, 1, "an owner of jobs does not answer")
 			return
 		}
-		add(rep)
+		addPart(&page, rep)
 	}
-	if len(owners) > 0 {
-		slices.SortStableFunc(page.Jobs, func(a, b jobquery.Info) int { return int(int64(a.Constraints.Number) - int64(b.Constraints.Number)) })
-		if page.Next != nil {
-			// Beyond where the first owner's part ends, others' jobs come again.
-			page.Jobs = slices.DeleteFunc(page.Jobs, func(i jobquery.Info) bool {
-				return i.Constraints.Number > page.Next.Number || i.Constraints.Number == page.Next.Number && page.Next.On+page.Next.Task == 0
-			})
-		}
+	if len(leaders) > 0 {
+		orderParts(&page)
+	}
+	writeLines(w, "jobs", page.Jobs, field{"next", page.Next}, field{"now", page.NowMs})
+}
+
+// parseCursor reads where a listing goes on: from the beginning where a value is no number.
+func parseCursor(query url.Values) (from jobquery.Cursor) {
+	from.Number, _ = strconv.ParseUint(query.Get("number"), 10, 64)
+	from.On, _ = strconv.Atoi(query.Get("on"))
+	from.Task, _ = strconv.Atoi(query.Get("task"))
+	from.On, from.Task = max(0, from.On), max(0, from.Task)
+	return from
+}
+
+// addPart adds one leader's part to a page, which goes on where the first of the parts ends.
+func addPart(page *jobquery.Page, part Reply) {
+	page.Jobs = append(page.Jobs, part.Jobs...)
+	if part.Next != nil && (page.Next == nil || part.Next.Number < page.Next.Number) {
+		page.Next = part.Next
+	}
+}
+
+// orderParts sorts a page of several leaders' parts, and cuts it where it goes on: the jobs
+// beyond come again in the next.
+func orderParts(page *jobquery.Page) {
+	slices.SortStableFunc(page.Jobs, func(a, b jobquery.Info) int {
+		return cmp.Compare(a.Constraints.Number, b.Constraints.Number)
+	})
+	next := page.Next
+	if next == nil {
+		return
 	}
-	writeLines(w, "jobs", page.Jobs, map[string]any{"next": page.Next, "now": page.NowMs})
+	page.Jobs = slices.DeleteFunc(page.Jobs, func(i jobquery.Info) bool {
+		return i.Constraints.Number > next.Number || i.Constraints.Number == next.Number && next.On+next.Task == 0
+	})
 }
 
-// job serves a request about one job: its owner's to answer.
+// job serves a request about one job, by the controller that leads it. What is known of an
+// ended job is in the state service.
 func (s *Server) job(verb string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		req := Request{Verb: verb, UID: r.PathValue("uid")}
@@ -71,49 +95,61 @@
 			return
 		}
 		if verb == verbDrop {
-			var ask struct {
-				Tasks string `json:"tasks"`
-			}
-			data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 16<<10))
-			if err != nil || json.Unmarshal(data, &ask) != nil {
-				refuse(w, http.StatusBadRequest, 0, "tasks: ranges of numbers are needed")
+			var err error
+			if req.Tasks, err = readTasks(w, r); err != nil {
+				refuse(w, http.StatusBadRequest, 0, err.Error())
 				return
 			}
-			if _, err := jobspec.ParseRanges(ask.Tasks); err != nil {
-				refuse(w, http.StatusBadRequest, 0, "tasks: "+err.Error())
-				return
-			}
-			req.Tasks = ask.Tasks
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
-		rep := Reply{}
-		for _, p := range s.peers.ShardOwners() {
-			if got, ok := s.ask(ctx, p, req); ok {
-				rep = got
-				break
-			}
-		}
-		if rep.Status == 0 {
-			rep = s.Serve(ctx, req)
-		}
+		rep := s.serveByLeader(ctx, req)
 		if rep.Status == 0 && verb == verbInfo {
-			i, err := scheduler.StoredJobInfo(ctx, s.store, req.UID)
+			info, err := scheduler.StoredJobInfo(ctx, s.store, req.UID)
 			if err != nil {
 				s.writeError(w, err)
 				return
 			}
-			rep = Reply{Status: http.StatusOK, Jobs: []jobquery.Info{i}}
+			rep = Reply{Status: http.StatusOK, Jobs: []jobquery.Info{info}}
 		}
-		switch {
-		case rep.Status == 0:
-			refuse(w, http.StatusServiceUnavailable, 1, "can't tell now")
-		case rep.Status != http.StatusOK:
-			refuse(w, rep.Status, 1, rep.Why)
-		case verb == verbInfo && len(rep.Jobs) == 1:
-			httpjson.Write(w, http.StatusOK, rep.Jobs[0])
-		default:
-			httpjson.Write(w, http.StatusOK, struct{}{})
+		writeJobReply(w, verb, rep)
+	}
+}
+
+// readTasks reads which tasks of a job to cancel. Its errors are for the client.
+func readTasks(w http.ResponseWriter, r *http.Request) (string, error) {
+	var request struct {
+		Tasks string `json:"tasks"`
+	}
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxTasksBody))
+	if err != nil || json.Unmarshal(data, &request) != nil {
+		return "", errors.New("tasks: ranges of numbers are needed")
+	}
+	if _, err := jobspec.ParseRanges(request.Tasks); err != nil {
+		return "", fmt.Errorf("tasks: %w", err)
+	}
+	return request.Tasks, nil
+}
+
+// serveByLeader has the peer serve a request that knows its outcome, or else serves it here.
+func (s *Server) serveByLeader(ctx context.Context, req Request) Reply {
+	for _, peer := range s.peers.ShardOwners() {
+		if rep, ok := s.query(ctx, peer, req); ok {
+			return rep
 		}
 	}
+	return s.Serve(ctx, req)
+}
+
+func writeJobReply(w http.ResponseWriter, verb string, rep Reply) {
+	switch {
+	case rep.Status == 0:
+		refuse(w, http.StatusServiceUnavailable, 1, "can't tell now")
+	case rep.Status != http.StatusOK:
+		refuse(w, rep.Status, 1, rep.Why)
+	case verb == verbInfo && len(rep.Jobs) == 1:
+		httpjson.Write(w, http.StatusOK, rep.Jobs[0])
+	default:
+		httpjson.Write(w, http.StatusOK, struct{}{})
+	}
 }
--- a/internal/slurmapi/numbers.go
+++ b/internal/slurmapi/numbers.go
@@ -13,37 +13,39 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
+// allocateNumbers serves consecutive numbers for the tasks of a job.
 func (s *Server) allocateNumbers(w http.ResponseWriter, r *http.Request) {
-	var ask struct {
+	var request struct {
 		Count int `json:"count"`
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<10))
-	if err != nil || json.Unmarshal(data, &ask) != nil || ask.Count < 1 || ask.Count > wire.MaxTasks {
+	if err != nil || json.Unmarshal(data, &request) != nil || request.Count < 1 || request.Count > wire.MaxTasks {
 		refuse(w, http.StatusBadRequest, 0, "count: 1 to 100000 is needed")
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	n, err := s.numbers.Next(ctx, ask.Count)
+	first, err := s.numbers.Next(ctx, request.Count)
 	if err != nil {
 		s.writeError(w, err)
 		return
 	}
-	httpjson.Write(w, http.StatusOK, jobid.Job{First: n, Tasks: ask.Count})
+	httpjson.Write(w, http.StatusOK, jobid.Job{First: first, Tasks: request.Count})
 }
 
+// findNumber serves the id of the job with a number.
 func (s *Server) findNumber(w http.ResponseWriter, r *http.Request) {
-	n, err := strconv.ParseUint(r.PathValue("n"), 10, 64)
+	number, err := strconv.ParseUint(r.PathValue("n"), 10, 64)
 	if err != nil {
 		refuse(w, http.StatusNotFound, 0, "no such job")
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	j, err := s.numbers.Find(ctx, n)
+	job, err := s.numbers.Find(ctx, number)
 	if err != nil {
 		s.writeError(w, err)
 		return
 	}
-	httpjson.Write(w, http.StatusOK, j)
+	httpjson.Write(w, http.StatusOK, job)
 }
--- a/internal/slurmapi/messages.go
+++ b/internal/slurmapi/peer_requests.go
@@ -11,12 +11,12 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// Request is what one controller asks of another that owns jobs.
+// Request is what one controller has another serve that leads jobs.
 type Request struct {
-	Verb  string          `json:"verb"`
+	Verb  string          `json:"verb"` // one of those below
 	UID   string          `json:"uid,omitempty"`
-	From  jobquery.Cursor `json:"from"`
-	Tasks string          `json:"tasks,omitempty"`
+	From  jobquery.Cursor `json:"from"`            // of a list
+	Tasks string          `json:"tasks,omitempty"` // of a drop, as jobspec.Ranges
 }
 
 // Verbs of a Request.
@@ -25,11 +25,11 @@
 	verbInfo    = "info"
 	verbHold    = "hold"
 	verbRelease = "release"
-	verbDrop    = "drop"
+	verbDrop    = "drop" // cancels single tasks
 )
 
-// Reply is the answer to a Request. Status 0 means that the peer does not know the
-// outcome either.
+// Reply is the response to a Request. Status 0 means that the outcome is unknown to the peer
+// too.
 type Reply struct {
 	Status int              `json:"status"`
 	Why    string           `json:"why,omitempty"`
@@ -37,36 +37,37 @@
 	Next   *jobquery.Cursor `json:"next,omitempty"`
 }
 
-func (s *Server) ask(ctx context.Context, peer string, req Request) (Reply, bool) {
-	actx, cancel := context.WithTimeout(ctx, peerWithin)
+// query has a peer serve a request; false if it fails or the outcome stays unknown.
+func (s *Server) query(ctx context.Context, peer string, req Request) (Reply, bool) {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	rep, err := s.peers.AskOwner(actx, peer, req)
+	rep, err := s.peers.AskOwner(ctx, peer, req)
 	if err != nil {
-		s.log.Debug("peer did not answer", "peer", peer, "err", err)
+		s.log.Debug("peer query failed", "peer", peer, "err", err)
 		return Reply{}, false
 	}
 	return *rep, rep.Status != 0
 }
 
-// Serve answers a request from this controller's own jobs alone.
-func (s *Server) Serve(ctx context.Context, r Request) Reply {
+// Serve serves a request with the jobs that this controller leads, without peers.
+func (s *Server) Serve(ctx context.Context, req Request) Reply {
 	var err error
-	switch r.Verb {
+	switch req.Verb {
 	case verbList:
-		jobs, next := s.jobs.ListJobs(r.From, pageRows)
+		jobs, next := s.jobs.ListJobs(req.From, maxListed)
 		return Reply{Status: http.StatusOK, Jobs: jobs, Next: next}
 	case verbInfo:
-		i, ok := s.jobs.LocalJobInfo(r.UID)
+		info, ok := s.jobs.LocalJobInfo(req.UID)
 		if !ok {
 			return Reply{}
 		}
-		return Reply{Status: http.StatusOK, Jobs: []jobquery.Info{i}}
+		return Reply{Status: http.StatusOK, Jobs: []jobquery.Info{info}}
 	case verbHold, verbRelease:
-		err = s.jobs.Hold(ctx, r.UID, r.Verb == verbHold)
+		err = s.jobs.Hold(ctx, req.UID, req.Verb == verbHold)
 	case verbDrop:
 		var tasks jobspec.Ranges
-		if tasks, err = jobspec.ParseRanges(r.Tasks); err == nil {
-			err = s.jobs.CancelTasks(ctx, r.UID, tasks)
+		if tasks, err = jobspec.ParseRanges(req.Tasks); err == nil {
+			err = s.jobs.CancelTasks(ctx, req.UID, tasks)
 		}
 	default:
 		return Reply{Status: http.StatusBadRequest, Why: "unknown verb"}
@@ -79,6 +80,6 @@
 	case errors.Is(err, statestore.ErrNotFound):
 		return Reply{Status: http.StatusNotFound, Why: "no such job is waiting or running"}
 	}
-	s.log.Debug("unsure", "err", err)
+	s.log.Debug("outcome unknown", "job", req.UID, "err", err)
 	return Reply{}
 }
--- a/internal/slurmapi/recorded_settings_test.go
+++ b/internal/slurmapi/recorded_settings_test.go
@@ -23,8 +23,10 @@
 
 func TestRecordedSettingsErrors(t *testing.T) {
 	var text strings.Builder
-	for _, settings := range []string{"(other)", "(slurm (cluster))", `(slurm (cluster ""))`, "(slurm (cluster 7))", `(slurm (partition ""))`, `(slurm (account ""))`,
-		"(slurm (accounting yes))", "(slurm (listings-per-s 0))", "(slurm (listings-per-s 1001))", `(slurm (listings-per-s "5"))`, "(slurm (user 1))", "(slurm (accounting on) (accounting on))"} {
+	for _, settings := range []string{
+		"(other)", "(slurm (cluster))", `(slurm (cluster ""))`, "(slurm (cluster 7))", `(slurm (partition ""))`, `(slurm (account ""))`,
+		"(slurm (accounting yes))", "(slurm (listings-per-s 0))", "(slurm (listings-per-s 1001))", `(slurm (listings-per-s "5"))`, "(slurm (user 1))", "(slurm (accounting on) (accounting on))",
+	} {
 		_, err := slurmapi.ParseSettings([]byte(settings))
 		fmt.Fprintf(&text, "%s\n\t%v\n", settings, err)
 	}
--- a/internal/slurmapi/response.go
+++ b/internal/slurmapi/response.go
@@ -13,13 +13,15 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-func refuse(w http.ResponseWriter, status, retryAfterS int, why string) {
+// refuse answers with a problem; 503 and 429 with the time after which to retry.
+func refuse(w http.ResponseWriter, status, retryAfterS int, reason string) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, retryAfterS)))
 	}
-	httpjson.Write(w, status, wire.Problem{Error: why})
+	httpjson.Write(w, status, wire.Problem{Error: reason})
 }
 
+// writeError answers with what an error means for the client.
 func (s *Server) writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, statestore.ErrNotFound):
@@ -27,16 +29,22 @@
 	case errors.Is(err, scheduler.ErrInvalidRequest):
 		refuse(w, http.StatusUnprocessableEntity, 0, err.Error())
 	default:
-		s.log.Debug("unsure", "err", err)
+		s.log.Debug("outcome unknown", "err", err)
 		refuse(w, http.StatusServiceUnavailable, 1, "can't tell now")
 	}
 }
 
-// writeLines answers with an object whose long list has a line for each of its items:
-// no line of an answer may be over 64 KiB.
-func writeLines[T any](w http.ResponseWriter, name string, items []T, rest map[string]any) {
+// field is a field of a JSON object.
+type field struct {
+	name  string
+	value any
+}
+
+// writeLines answers with an object of a list, which has a line for each of its items, and
+// other fields: no line of a response may be over 64 KiB.
+func writeLines[T any](w http.ResponseWriter, list string, items []T, others ...field) {
 	w.Header().Set("Content-Type", "application/json")
-	out := append([]byte(nil), `{"`+name+"\":["...)
+	out := append([]byte(nil), `{"`+list+"\":["...)
 	for i := range items {
 		if i > 0 {
 			out = append(out, ',')
@@ -45,9 +53,9 @@
 		out = append(append(out, '\n'), data...)
 	}
 	out = append(out, "\n]"...)
-	for k, v := range rest {
-		data, _ := json.Marshal(v)
-		out = append(append(out, `,"`+k+`":`...), data...)
+	for _, f := range others {
+		data, _ := json.Marshal(f.value)
+		out = append(append(out, `,"`+f.name+`":`...), data...)
 	}
-	_, _ = w.Write(append(out, "}\n"...)) // a client that left asks again
+	_, _ = w.Write(append(out, "}\n"...)) // a client that left retries
 }
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -1,6 +1,9 @@
-// Package slurmapi serves what Slurm-style clients ask of a controller beyond submitting
-// and cancelling jobs: numbers, listings, holds, cancels of single tasks, accounting.
-// Its Submitter is that of all other jobs, so the same rules hold for them.
+// Package slurmapi serves Slurm-style clients over HTTP: numbers, submissions with
+// constraints, listings, holds, cancels of single tasks, accounting.
+//
+// A request about one job is served by the controller that leads it; a listing joins those of
+// all. Submissions go to the Submitter of all other jobs, so the same rules hold for them. The
+// package keeps no jobs: all state but that of the rate limit is its collaborators'.
 package slurmapi
 
 import (
@@ -24,11 +27,11 @@
 )
 
 const (
-	answerWithin = 3500 * time.Millisecond
-	peerWithin   = time.Second
-	pageRows     = 500 // jobs and running tasks of one answer
-	pagePages    = 24  // of accounting in one answer
-	maxInFlight  = 4
+	requestTimeout     = 3500 * time.Millisecond
+	peerTimeout        = time.Second
+	maxListed          = 500 // jobs and running tasks in a part of a listing
+	maxAccountingPages = 24  // in a response
+	maxInFlight        = 4   // listings and parts of accounting at once
 )
 
 // Store is the part of the state service that a Server uses.
@@ -37,52 +40,62 @@
 	Page(ctx context.Context, prefix, after string, limit int) ([]wire.Item, bool, error)
 }
 
-// Jobs is the owner in this process.
+// Jobs is the scheduler in this process. It knows the jobs of the shards that this controller
+// leads.
 type Jobs interface {
+	// ListJobs returns up to most jobs and running tasks, in the order of the jobs' numbers,
+	// and where the list goes on; nil: it ends.
 	ListJobs(from jobquery.Cursor, most int) ([]jobquery.Info, *jobquery.Cursor)
 	LocalJobInfo(uid string) (jobquery.Info, bool)
+	// Hold keeps a job's waiting tasks from starting, or lets them start.
 	Hold(ctx context.Context, uid string, held bool) error
+	// CancelTasks cancels single tasks of a job.
 	CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error
 }
 
 // Peers are the other controllers.
 type Peers interface {
-	// Owns reports whether this controller owns shards.
+	// Owns reports whether this controller leads shards.
 	Owns() bool
+	// ShardOwners names the other controllers that lead shards.
 	ShardOwners() []string
-	// AskOwner has a peer serve a request with its own jobs.
+	// AskOwner has a peer serve a request with the jobs that it leads.
 	AskOwner(ctx context.Context, peer string, r Request) (*Reply, error)
 }
 
-// Submitter admits jobs.
+// Submitter accepts jobs.
 type Submitter interface {
+	// Submit serves a submission or its check, here or at a peer.
 	Submit(ctx context.Context, r submission.Request) submission.Reply
 }
 
 // Catalog knows the machine types.
 type Catalog interface {
+	// All returns every machine type, or none while they are unknown.
 	All() []wire.MachineType
 }
 
-// Server serves Slurm-style clients.
+// Server serves Slurm-style clients. It is safe for concurrent use.
 type Server struct {
-	set     *Settings
-	cfg     *config.Platform
-	store   Store
-	jobs    Jobs
-	numbers *jobid.Allocator
-	peers   Peers
-	intake  Submitter
-	catalog Catalog
-	log     *slog.Logger
-	limiter *rateLimiter
-	slots   chan struct{}
+	settings  *Settings
+	cfg       *config.Platform
+	store     Store
+	jobs      Jobs
+	numbers   *jobid.Allocator
+	peers     Peers
+	submitter Submitter
+	catalog   Catalog
+	log       *slog.Logger
+	limiter   *rateLimiter
+	slots     chan struct{} // of requests that limiter admitted
 }
 
 // New returns a server; Register makes it reachable.
 func New(set *Settings, cfg *config.Platform, store Store, jobs Jobs, numbers *jobid.Allocator, peers Peers, in Submitter, catalog Catalog, log *slog.Logger) *Server {
-	return &Server{set: set, cfg: cfg, store: store, jobs: jobs, numbers: numbers, peers: peers, intake: in, catalog: catalog, log: log,
-		limiter: newRateLimiter(set.PerS), slots: make(chan struct{}, maxInFlight)}
+	return &Server{
+		settings: set, cfg: cfg, store: store, jobs: jobs, numbers: numbers, peers: peers, submitter: in, catalog: catalog, log: log,
+		limiter: newRateLimiter(set.PerS), slots: make(chan struct{}, maxInFlight),
+	}
 }
 
 // Register adds the server's paths.
@@ -101,7 +114,7 @@
 
 // limited bounds how many costly requests are served a second and at once, so that
 // they take no processor time from scheduling.
-func (s *Server) limited(f http.HandlerFunc) http.HandlerFunc {
+func (s *Server) limited(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if retryAfterS, ok := s.limiter.allow(time.Now()); !ok {
 			usage.Note(usage.RefusedRequests)
@@ -111,7 +124,7 @@
 		select {
 		case s.slots <- struct{}{}:
 			defer func() { <-s.slots }()
-			f(w, r)
+			serve(w, r)
 		default:
 			usage.Note(usage.RefusedRequests)
 			refuse(w, http.StatusTooManyRequests, 1, "too many listings at once")
@@ -119,14 +132,16 @@
 	}
 }
 
+// site serves what clients need to know of the site, with defaults where the settings give
+// none.
 func (s *Server) site(w http.ResponseWriter, _ *http.Request) {
-	site := jobquery.Site{Cluster: s.set.Cluster, Accounts: s.set.Accounts, Class: s.set.Class, Team: s.set.Team, Zones: s.cfg.Params.Zones, Types: s.catalog.All()}
-	for _, t := range s.cfg.Params.Teams {
-		site.Teams = append(site.Teams, t.Name)
+	site := jobquery.Site{Cluster: s.settings.Cluster, Accounts: s.settings.Accounts, Class: s.settings.Class, Team: s.settings.Team, Zones: s.cfg.Params.Zones, Types: s.catalog.All()}
+	for _, team := range s.cfg.Params.Teams {
+		site.Teams = append(site.Teams, team.Name)
 	}
-	for _, o := range s.cfg.Params.Objectives {
-		if o.Class != "" && !slices.Contains(site.Classes, o.Class) {
-			site.Classes = append(site.Classes, o.Class)
+	for _, objective := range s.cfg.Params.Objectives {
+		if objective.Class != "" && !slices.Contains(site.Classes, objective.Class) {
+			site.Classes = append(site.Classes, objective.Class)
 		}
 	}
 	if site.Class == "" && len(site.Classes) > 0 {
@@ -141,6 +156,7 @@
 	httpjson.Write(w, http.StatusOK, site)
 }
 
+// submit serves a submission with constraints, or only checks it.
 func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
 	var parsed jobquery.Submission
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
@@ -152,7 +168,7 @@
 	if parsed.DryRun {
 		verb = submission.VerbCheck
 	}
-	rep := s.intake.Submit(r.Context(), submission.Request{Verb: verb, Body: parsed.Job, Constraints: parsed.Constraints})
+	rep := s.submitter.Submit(r.Context(), submission.Request{Verb: verb, Body: parsed.Job, Constraints: parsed.Constraints})
 	switch {
 	case rep.Status/100 == 2:
 		httpjson.Write(w, rep.Status, rep.State)
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -34,7 +34,7 @@
 type site struct {
 	keys  []string // of accounting, in order
 	pages map[string]string
-	most  int // pages that one answer of the store held
+	most  int // pages in one response of the store
 	jobs  []jobquery.Info
 	lists int
 	owns  bool
@@ -54,7 +54,8 @@
 	s.most = max(s.most, len(out))
 	return out, at < len(s.keys) && strings.HasPrefix(s.keys[at], prefix), nil
 }
-func (s *site) ListJobs(from jobquery.Cursor, most int) ([]jobquery.Info, *jobquery.Cursor) {
+
+func (s *site) ListJobs(jobquery.Cursor, int) ([]jobquery.Info, *jobquery.Cursor) {
 	s.lists++
 	return s.jobs, nil
 }
@@ -69,6 +70,7 @@
 func (s *site) Submit(context.Context, submission.Request) submission.Reply {
 	return submission.Reply{}
 }
+
 func (s *site) AskOwner(context.Context, string, slurmapi.Request) (*slurmapi.Reply, error) {
 	return nil, errors.New("cut off")
 }
@@ -81,40 +83,40 @@
 	return mux
 }
 
-// As many listings are answered as the settings say; the others are told to retry one
-// after another, not all at once.
-func TestListingsBeyondTheRateAreRefusedInOrder(t *testing.T) {
+// As many listings are served as the settings say; the others are to retry one after
+// another, not all at once.
+func TestListingsBeyondTheRateLimitRetryOneAfterAnother(t *testing.T) {
 	s := &site{}
 	h := s.handler(5)
-	answered, last, spread := 0, 0, map[int]int{}
+	served, last, spread := 0, 0, map[int]int{}
 	for range 500 {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/slurm/jobs", nil))
 		switch w.Code {
 		case http.StatusOK:
-			answered++
+			served++
 		case http.StatusTooManyRequests:
-			back, err := strconv.Atoi(w.Header().Get("Retry-After"))
-			if err != nil || back < last || back > 30 {
-				t.Fatalf("come back in %d s after %d s: %v", back, last, err)
+			retryS, err := strconv.Atoi(w.Header().Get("Retry-After"))
+			if err != nil || retryS < last || retryS > 30 {
+				t.Fatalf("retry in %d s after %d s: %v", retryS, last, err)
 			}
-			last = back
-			spread[back]++
+			last = retryS
+			spread[retryS]++
 		default:
 			t.Fatalf("status %d", w.Code)
 		}
 	}
-	if answered < 10 || answered > 15 || s.lists != answered || last != 30 {
-		t.Errorf("%d answered with %d listings, the last comes back in %d s", answered, s.lists, last)
+	if served < 10 || served > 15 || s.lists != served || last != 30 {
+		t.Errorf("%d served with %d listings, the last retries in %d s", served, s.lists, last)
 	}
-	for back, n := range spread {
-		if back < 30 && n > 6 {
-			t.Errorf("%d are told to come back in %d s", n, back)
+	for retryS, n := range spread {
+		if retryS < 30 && n > 6 {
+			t.Errorf("%d are to retry in %d s", n, retryS)
 		}
 	}
 }
 
-// An outcome that is not known is 503, a request that can't be met 422, an unknown job 404.
+// An unknown outcome is 503, a request that can't be carried out 422, an unknown job 404.
 func TestResponseStatuses(t *testing.T) {
 	s := &site{}
 	h := s.handler(1000)
@@ -122,10 +124,20 @@
 		method, path, body string
 		status             int
 	}{
-		{"GET", "/slurm/numbers/7", "", 404}, {"GET", "/slurm/numbers/x", "", 404}, {"GET", "/slurm/jobs/j-1", "", 404}, {"GET", "/slurm/jobs/..%2f", "", 404},
-		{"POST", "/slurm/jobs/j-1/hold", "", 503}, {"POST", "/slurm/jobs/j-1/drop", `{"tasks":"0-3"}`, 422}, {"POST", "/slurm/jobs/j-1/drop", `{"tasks":"3-0"}`, 400},
-		{"POST", "/slurm/jobs", `{`, 400}, {"POST", "/slurm/jobs", `{"job":{}}`, 400}, {"POST", "/slurm/jobs", `{"job":{},"terms":{"n":1}}`, 503},
-		{"POST", "/slurm/numbers", `{"count":0}`, 400}, {"POST", "/slurm/numbers", `{"count":3}`, 200}, {"GET", "/accounting/20261301", "", 400}, {"GET", "/accounting/20261201", "", 200},
+		{"GET", "/slurm/numbers/7", "", 404},
+		{"GET", "/slurm/numbers/x", "", 404},
+		{"GET", "/slurm/jobs/j-1", "", 404},
+		{"GET", "/slurm/jobs/..%2f", "", 404},
+		{"POST", "/slurm/jobs/j-1/hold", "", 503},
+		{"POST", "/slurm/jobs/j-1/drop", `{"tasks":"0-3"}`, 422},
+		{"POST", "/slurm/jobs/j-1/drop", `{"tasks":"3-0"}`, 400},
+		{"POST", "/slurm/jobs", `{`, 400},
+		{"POST", "/slurm/jobs", `{"job":{}}`, 400},
+		{"POST", "/slurm/jobs", `{"job":{},"terms":{"n":1}}`, 503},
+		{"POST", "/slurm/numbers", `{"count":0}`, 400},
+		{"POST", "/slurm/numbers", `{"count":3}`, 200},
+		{"GET", "/accounting/20261301", "", 400},
+		{"GET", "/accounting/20261201", "", 200},
 	} {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
@@ -136,11 +148,11 @@
 	s.owns = false
 	w := httptest.NewRecorder()
 	if h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/slurm/jobs", nil)); w.Code != 503 {
-		t.Errorf("a listing that nobody can make: %d", w.Code)
+		t.Errorf("a listing while no controller leads jobs: %d", w.Code)
 	}
 }
 
-func TestSettingsNameTheWrongKey(t *testing.T) {
+func TestSettingsErrorsNameTheKey(t *testing.T) {
 	for text, want := range map[string]string{
 		`(slurm (cluster "c") (accounting on) (listings-per-s 2.5))`: "",
 		`(slurm)`:                                  "",
@@ -159,7 +171,7 @@
 }
 
 // fill writes so many rows of a day.
-func (s *site) fill(b testing.TB, day time.Time, rows int) {
+func (s *site) fill(tb testing.TB, day time.Time, rows int) {
 	if s.pages == nil {
 		s.pages = map[string]string{}
 	}
@@ -167,14 +179,16 @@
 	var batch []accounting.Row
 	for i := range rows {
 		start := day.UnixMilli() + int64(i%86_000)*1000
-		batch = append(batch, accounting.Row{Kind: accounting.RowAttempt, UID: fmt.Sprintf("j-%06d", i/10), Number: uint64(i / 10 * 100), Task: uint32(i % 10), Attempt: 1,
-			State: "COMPLETED", Start: start, End: start + int64(i*7919%90_000), Machine: fmt.Sprintf("n-%06d", i*31%1300), CPUs: 2, MemoryGB: 4, Useful: true, Price: 0.37})
+		batch = append(batch, accounting.Row{
+			Kind: accounting.RowAttempt, UID: fmt.Sprintf("j-%06d", i/10), Number: uint64(i / 10 * 100), Task: uint32(i % 10), Attempt: 1,
+			State: "COMPLETED", Start: start, End: start + int64(i*7919%90_000), Machine: fmt.Sprintf("n-%06d", i*31%1300), CPUs: 2, MemoryGB: 4, Useful: true, Price: 0.37,
+		})
 		if len(batch) < 60 && i < rows-1 {
 			continue
 		}
 		w, err := book.Add(batch, day)
 		if err != nil {
-			b.Fatal(err)
+			tb.Fatal(err)
 		}
 		if _, there := s.pages[w.Key]; !there {
 			s.keys = append(s.keys, w.Key)
@@ -209,8 +223,8 @@
 	}
 }
 
-// Answers to clients in full: lists with their lines, numbers, refusals.
-func TestAnswersKeepTheirBytes(t *testing.T) {
+// Responses to clients in full: lists with their lines, numbers, refusals.
+func TestRecordedResponses(t *testing.T) {
 	s := &site{jobs: []jobquery.Info{{Job: wire.Job{UID: "j-1"}, Constraints: &jobspec.Constraints{Number: 4}, Stage: wire.StageQueued}}}
 	s.keys, s.pages = []string{"acct/20261130/7-1"}, map[string]string{"acct/20261130/7-1": "1:AAAA"}
 	h := s.handler(1000)
--- a/internal/slurmapi/settings.go
+++ b/internal/slurmapi/settings.go
@@ -12,7 +12,7 @@
 // Settings are the operators' settings of Slurm-style clients and accounting.
 type Settings struct {
 	Cluster  string  // the name that clients show
-	Accounts bool    // whether rows of accounting are written
+	Accounts bool    // rows of accounting are written
 	PerS     float64 // listings and pages a second that a controller answers
 	Class    string  // of jobs whose client names no partition
 	Team     string  // of jobs whose client names no account
@@ -23,7 +23,8 @@
 	maxPerS = 1000
 )
 
-// LoadSettings reads
+// LoadSettings reads and checks a file of settings, all of them optional. Its errors name the
+// file. A file with all of them is
 //
 //	(slurm
 //	  (cluster "wallrack")
@@ -35,7 +36,8 @@
 	return config.Load(path, ParseSettings)
 }
 
-// ParseSettings reads the text of the operators' settings.
+// ParseSettings reads the text of the operators' settings. Its errors name the key that is
+// wrong.
 func ParseSettings(data []byte) (*Settings, error) {
 	entries, err := config.Entries(data, "slurm", "(key value)")
 	if err != nil {
@@ -44,13 +46,13 @@
 	s := &Settings{Cluster: "wallrack", PerS: 5}
 	texts := map[string]*string{"cluster": &s.Cluster, "partition": &s.Class, "account": &s.Team}
 	seen := map[string]bool{}
-	for i, e := range entries {
-		pair, ok := e.([]any)
+	for i, entry := range entries {
+		pair, ok := entry.([]any)
 		if !ok || len(pair) != 2 {
 			return nil, fmt.Errorf("entry %d: expected (key value)", i+1)
 		}
-		sym, _ := pair[0].(edn.Symbol) // another kind is an unknown key
-		key := string(sym)
+		symbol, _ := pair[0].(edn.Symbol) // another kind is an unknown key
+		key := string(symbol)
 		if seen[key] {
 			return nil, fmt.Errorf("%s: given twice", key)
 		}
