--- a/internal/taskspec/client.go
+++ b/internal/taskspec/client.go
@@ -14,20 +14,23 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Client uploads and fetches descriptions.
+const clientTimeout = 5 * time.Second
+
+// Client uploads and fetches descriptions. It is safe for concurrent use.
 type Client struct {
 	Base string // http://HOST:PORT
 	HTTP *http.Client
 }
 
-// NewClient returns a client of the service at an address.
+// NewClient returns a client of the service at http://HOST:PORT.
 func NewClient(base string) *Client {
-	return &Client{Base: strings.TrimSuffix(base, "/"), HTTP: &http.Client{Timeout: 5 * time.Second}}
+	return &Client{Base: strings.TrimSuffix(base, "/"), HTTP: &http.Client{Timeout: clientTimeout}}
 }
 
-// Put uploads a job's description. To upload the same one again is no error.
-func (c *Client) Put(ctx context.Context, job string, d *Spec) error {
-	data, err := json.Marshal(d)
+// Put uploads a job's description. To upload the same one again is no error; for another it
+// fails with ErrDiffers.
+func (c *Client) Put(ctx context.Context, job string, spec *Spec) error {
+	data, err := json.Marshal(spec)
 	if err != nil {
 		return fmt.Errorf("encode description: %w", err)
 	}
@@ -43,7 +46,7 @@
 	return nil
 }
 
-// Get fetches a job's description.
+// Get fetches a job's description, or fails with ErrNotFound.
 func (c *Client) Get(ctx context.Context, job string) (*Spec, error) {
 	status, body, err := c.do(ctx, http.MethodGet, job, nil)
 	switch {
@@ -54,13 +57,14 @@
 	case status != http.StatusOK:
 		return nil, fmt.Errorf("description of %s: status %d: %s", job, status, reason(body))
 	}
-	var d Spec
-	if err := json.Unmarshal(body, &d); err != nil {
+	var spec Spec
+	if err := json.Unmarshal(body, &spec); err != nil {
 		return nil, fmt.Errorf("description of %s: %w", job, err)
 	}
-	return &d, nil
+	return &spec, nil
 }
 
+// do makes a request about a job's description and returns the status and the body.
 func (c *Client) do(ctx context.Context, method, job string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.Base+pathPrefix+job, bytes.NewReader(body))
 	if err != nil {
@@ -70,7 +74,7 @@
 	if err != nil {
 		return 0, nil, fmt.Errorf("description of %s: %w", job, err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // the body is read, or the error is known
 	data, err := io.ReadAll(io.LimitReader(resp.Body, 2*MaxBytes))
 	if err != nil {
 		return 0, nil, fmt.Errorf("description of %s: %w", job, err)
@@ -78,10 +82,11 @@
 	return resp.StatusCode, data, nil
 }
 
+// reason is why the service refused a request.
 func reason(body []byte) string {
-	var p wire.Problem
-	if json.Unmarshal(body, &p) == nil && p.Error != "" {
-		return p.Error
+	var problem wire.Problem
+	if json.Unmarshal(body, &problem) == nil && problem.Error != "" {
+		return problem.Error
 	}
 	return fmt.Sprintf("%.200s", body)
 }
--- a/internal/taskspec/recorded_test.go
+++ b/internal/taskspec/recorded_test.go
@@ -12,10 +12,12 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-func TestDescriptionKeepsItsBytes(t *testing.T) {
-	recorded.CheckFull(t, "description-full", taskspec.Spec{Argv: []string{"/bin/sh", "-e"}, Env: map[string]string{"A": "1", "B": "x=y"},
+func TestRecordedDescription(t *testing.T) {
+	recorded.CheckFull(t, "description-full", taskspec.Spec{
+		Argv: []string{"/bin/sh", "-e"}, Env: map[string]string{"A": "1", "B": "x=y"},
 		Dir: "/data", Script: "#!/bin/sh\necho \"$1\" <in >out\n", Args: []string{"first", "second"}, CPUs: 2.5, GPUs: 1, MemoryGB: 4,
-		Slurm: &slurmtask.Context{Number: 4100, Tasks: 16, Array: "0-30:2", Name: "tips", User: "erin", Output: "%j.out", Error: "%j.err", Step: true, Cluster: "main"}})
+		Slurm: &slurmtask.Context{Number: 4100, Tasks: 16, Array: "0-30:2", Name: "tips", User: "erin", Output: "%j.out", Error: "%j.err", Step: true, Cluster: "main"},
+	})
 	recorded.Check(t, "description-none", taskspec.Spec{Argv: []string{"/bin/true"}, CPUs: 1})
 }
 
@@ -23,7 +25,7 @@
 type storedDescriptions map[string]string
 
 func (s storedDescriptions) Put(name string, data []byte) ([]byte, error) {
-	if old, there := s[name]; there {
+	if old, known := s[name]; known {
 		return []byte(old), nil
 	}
 	s[name] = string(data)
@@ -33,7 +35,7 @@
 func (s storedDescriptions) Get(name string) ([]byte, error) { return []byte(s[name]), nil }
 
 // What is uploaded to the path of a job is stored, and served, in the recorded form.
-func TestUploadedDescriptionIsStoredInItsForm(t *testing.T) {
+func TestRecordedUploadIsStoredAndServed(t *testing.T) {
 	for _, name := range []string{"description-full", "description-none"} {
 		data, err := os.ReadFile("testdata/recorded/" + name + ".json")
 		if err != nil {
--- a/internal/taskspec/server.go
+++ b/internal/taskspec/server.go
@@ -12,68 +12,83 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Store keeps descriptions for good before Put returns.
+// Store keeps descriptions. It is safe for concurrent use.
 type Store interface {
-	// Put keeps data under a name, or returns what is there already.
+	// Put stores data under a name durably, or returns what is there already and stores
+	// nothing.
 	Put(name string, data []byte) (old []byte, err error)
-	// Get returns nil if there is nothing.
+	// Get returns the data under a name; nil: there is none.
 	Get(name string) ([]byte, error)
 }
 
-// Handler serves PUT and GET /descriptions/JOB.
-func Handler(s Store) http.Handler {
+// Handler serves PUT and GET /descriptions/JOB from a store.
+func Handler(store Store) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) {
-		job := r.PathValue("job")
-		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBytes))
-		var d Spec
-		switch {
-		case !wire.ValidJobID(job):
-			problem(w, http.StatusBadRequest, "not a job id")
-			return
-		case err != nil:
-			problem(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("unreadable or over %d bytes", MaxBytes))
-			return
-		}
-		if err := json.Unmarshal(data, &d); err != nil {
-			problem(w, http.StatusBadRequest, "not a description: "+err.Error())
-			return
-		}
-		if err := d.Check(); err != nil {
-			problem(w, http.StatusBadRequest, err.Error())
-			return
-		}
-		if data, err = json.Marshal(&d); err != nil {
-			problem(w, http.StatusBadRequest, err.Error())
-			return
-		}
-		old, err := s.Put(job, data)
-		switch {
-		case err != nil:
-			w.Header().Set("Retry-After", "1")
-			problem(w, http.StatusServiceUnavailable, err.Error())
-		case old != nil && !bytes.Equal(old, data):
-			problem(w, http.StatusConflict, ErrDiffers.Error())
-		default:
-			w.WriteHeader(http.StatusNoContent)
-		}
-	})
-	mux.HandleFunc("GET "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) {
-		data, err := s.Get(r.PathValue("job"))
-		switch {
-		case err != nil:
-			w.Header().Set("Retry-After", "1")
-			problem(w, http.StatusServiceUnavailable, err.Error())
-		case data == nil:
-			problem(w, http.StatusNotFound, ErrNotFound.Error())
-		default:
-			w.Header().Set("Content-Type", "application/json")
-			_, _ = w.Write(data) // the worker asks again if it did not get it
-		}
-	})
+	mux.HandleFunc("PUT "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) { put(store, w, r) })
+	mux.HandleFunc("GET "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) { get(store, w, r) })
 	return mux
 }
 
-func problem(w http.ResponseWriter, status int, why string) {
-	httpjson.Write(w, status, wire.Problem{Error: why})
+// put stores an uploaded description, encoded anew: what differs in spaces alone is the same.
+func put(store Store, w http.ResponseWriter, r *http.Request) {
+	job := r.PathValue("job")
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBytes))
+	switch {
+	case !wire.ValidJobID(job):
+		problem(w, http.StatusBadRequest, "not a job id")
+		return
+	case err != nil:
+		problem(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("unreadable or over %d bytes", MaxBytes))
+		return
+	}
+	data, err := normalize(body)
+	if err != nil {
+		problem(w, http.StatusBadRequest, err.Error())
+		return
+	}
+	old, err := store.Put(job, data)
+	switch {
+	case err != nil:
+		unavailable(w, err)
+	case old != nil && !bytes.Equal(old, data):
+		problem(w, http.StatusConflict, ErrDiffers.Error())
+	default:
+		w.WriteHeader(http.StatusNoContent)
+	}
+}
+
+// normalize checks an uploaded description and encodes it in the stored form.
+func normalize(body []byte) ([]byte, error) {
+	var spec Spec
+	if err := json.Unmarshal(body, &spec); err != nil {
+		return nil, fmt.Errorf("not a description: %w", err)
+	}
+	if err := spec.Check(); err != nil {
+		return nil, err
+	}
+	return json.Marshal(&spec)
+}
+
+// get serves a stored description.
+func get(store Store, w http.ResponseWriter, r *http.Request) {
+	data, err := store.Get(r.PathValue("job"))
+	switch {
+	case err != nil:
+		unavailable(w, err)
+	case data == nil:
+		problem(w, http.StatusNotFound, ErrNotFound.Error())
+	default:
+		w.Header().Set("Content-Type", "application/json")
+		_, _ = w.Write(data) // a worker that did not get it retries
+	}
+}
+
+// unavailable answers that the store failed.
+func unavailable(w http.ResponseWriter, err error) {
+	w.Header().Set("Retry-After", "1")
+	problem(w, http.StatusServiceUnavailable, err.Error())
+}
+
+func problem(w http.ResponseWriter, status int, reason string) {
+	httpjson.Write(w, status, wire.Problem{Error: reason})
 }
