--- a/internal/wire/capacity_test.go
+++ b/internal/wire/capacity_test.go
@@ -39,8 +39,10 @@
 	{Name: "wire.machines", Sizes: []int{50, 100, 250, 500}, Measure: func(tb testing.TB, machines int) float64 {
 		list := wire.MachineList{More: true}
 		for i := range machines {
-			list.Machines = append(list.Machines, wire.ListedMachine{Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250),
-				Type: "g8", Zone: "a", Spot: true, Stage: wire.MachineRunning, AgeS: 1061.5})
+			list.Machines = append(list.Machines, wire.ListedMachine{
+				Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250),
+				Type: "g8", Zone: "a", Spot: true, Stage: wire.MachineRunning, AgeS: 1061.5,
+			})
 		}
 		return bytesOf(tb, list)
 	}},
--- /dev/null
+++ b/internal/wire/job.go
@@ -0,0 +1,248 @@
+package wire
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+
+	"github.com/goccy/go-json"
+)
+
+// priorities maps the names to the ranks.
+var priorities = map[string]int{"low": 0, "normal": 1, "urgent": 2, "production": 3}
+
+// Job is a submission. It is stored as it is sent. Amounts are those of one task.
+type Job struct {
+	UID      string   `json:"uid"`
+	Class    string   `json:"docket"`
+	Team     string   `json:"crew"`
+	Kind     string   `json:"sort"`
+	Priority string   `json:"urgency"`
+	Tasks    int      `json:"pieces"`
+	CPUs     float64  `json:"cpus"`
+	GPUs     float64  `json:"cards"`
+	MemoryGB float64  `json:"memoryGb"`
+	Image    string   `json:"kit"`
+	ImageGB  float64  `json:"pullGb"`
+	Types    []string `json:"builds,omitempty"`   // nil: any machine type
+	Zone     *string  `json:"yard,omitempty"`     // nil: any zone
+	OneZone  bool     `json:"together,omitempty"` // all tasks in the same zone
+	Spread   bool     `json:"apart,omitempty"`    // at most half of the tasks, rounded up, in one zone
+	Spot     bool     `json:"loaners,omitempty"`  // spot machines are allowed
+	Estimate float64  `json:"reckonS"`            // run time, in seconds
+	MarkS    float64  `json:"markS,omitempty"`    // between checkpoints; 0: none
+	SaveS    float64  `json:"stashS,omitempty"`   // to save a checkpoint when it is stopped
+	DueS     *float64 `json:"dueS,omitempty"`     // deadline, after the submission
+}
+
+// Rank returns the job's priority; a larger rank is served first.
+func (j *Job) Rank() int { return priorities[j.Priority] }
+
+// Service reports whether the job's tasks run until it is cancelled.
+func (j *Job) Service() bool { return j.Kind == KindService }
+
+// Gang reports whether the job's tasks run together or not at all.
+func (j *Job) Gang() bool { return j.Kind == KindGang }
+
+// jobMessage is a submission's fields as they came; nil: missing, null or of a wrong type.
+type jobMessage struct {
+	UID, Class, Team, Kind, Priority, Image, Zone               *string
+	Tasks                                                       *int
+	CPUs, GPUs, MemoryGB, ImageGB, Estimate, MarkS, SaveS, DueS *float64
+	OneZone, Spread, Spot                                       *bool
+	Types                                                       *[]string
+}
+
+// read takes the fields of a JSON object by their exact names, and returns the first that
+// is of a wrong type. The others are read all the same: a repeated submission is answered
+// by its id, whatever else its body holds. A library that reads the whole object at once
+// also takes "CPUS" for "cpus", so that a job that lacks the field would be accepted.
+func (m *jobMessage) read(given map[string]json.RawMessage) error {
+	var bad error
+	for _, field := range []struct {
+		name   string
+		target any
+	}{
+		{"uid", &m.UID},
+		{"docket", &m.Class},
+		{"crew", &m.Team},
+		{"sort", &m.Kind},
+		{"urgency", &m.Priority},
+		{"pieces", &m.Tasks},
+		{"cpus", &m.CPUs},
+		{"cards", &m.GPUs},
+		{"memoryGb", &m.MemoryGB},
+		{"kit", &m.Image},
+		{"pullGb", &m.ImageGB},
+		{"builds", &m.Types},
+		{"yard", &m.Zone},
+		{"together", &m.OneZone},
+		{"apart", &m.Spread},
+		{"loaners", &m.Spot},
+		{"reckonS", &m.Estimate},
+		{"markS", &m.MarkS},
+		{"stashS", &m.SaveS},
+		{"dueS", &m.DueS},
+	} {
+		value, ok := given[field.name]
+		if !ok {
+			continue
+		}
+		if err := json.Unmarshal(value, field.target); err != nil && bad == nil {
+			bad = fmt.Errorf("%s: of a wrong type", field.name)
+		}
+	}
+	return bad
+}
+
+const (
+	maxAmount = 1e9 // of resources and seconds, so that sums stay exact
+	maxName   = 120 // bytes of every name in a job, so that its record fits a value of the state service
+	maxTypes  = 16  // machine types that a job names
+)
+
+// ParseJob reads a submission. Its error is a short reason that begins with the field. The job
+// comes with the error wherever the body is an object: its id may be known.
+func ParseJob(body []byte) (*Job, error) {
+	trimmed := strings.TrimLeft(string(body), " \t\r\n")
+	if !strings.HasPrefix(trimmed, "{") {
+		return nil, errors.New("body is not a JSON object")
+	}
+	var given map[string]json.RawMessage
+	if err := json.Unmarshal(body, &given); err != nil {
+		return nil, fmt.Errorf("body is not a valid job: %w", err)
+	}
+	var m jobMessage
+	c := fieldCheck{err: m.read(given)}
+	job := &Job{
+		UID: c.name("uid", m.UID), Class: c.name("docket", m.Class), Team: c.name("crew", m.Team),
+		Kind: c.name("sort", m.Kind), Priority: c.name("urgency", m.Priority),
+		CPUs: c.positive("cpus", m.CPUs), GPUs: c.amount("cards", m.GPUs), MemoryGB: c.amount("memoryGb", m.MemoryGB),
+		Image: c.name("kit", m.Image), ImageGB: c.amount("pullGb", m.ImageGB),
+		OneZone: c.flag("together", m.OneZone), Spread: c.flag("apart", m.Spread), Spot: c.flag("loaners", m.Spot),
+		Estimate: c.amount("reckonS", m.Estimate), MarkS: c.amount("markS", m.MarkS), SaveS: c.amount("stashS", m.SaveS),
+		Zone: m.Zone, DueS: m.DueS,
+	}
+	if m.UID != nil && !ValidJobID(job.UID) {
+		c.fail("uid", "not a job id")
+	}
+	if job.Kind != KindArray && job.Kind != KindService && job.Kind != KindGang {
+		c.fail("sort", "unknown")
+	}
+	if _, ok := priorities[job.Priority]; !ok {
+		c.fail("urgency", "unknown")
+	}
+	job.Tasks = c.tasks(m.Tasks)
+	if m.Types != nil {
+		job.Types = c.types(*m.Types)
+	}
+	if m.Zone != nil {
+		c.name("yard", m.Zone)
+	}
+	if m.DueS != nil {
+		c.amount("dueS", m.DueS)
+	}
+	return job, c.err
+}
+
+// fieldCheck checks the fields of a submission, and keeps what is wrong with the first.
+type fieldCheck struct{ err error }
+
+func (c *fieldCheck) fail(field, reason string) {
+	if c.err == nil {
+		c.err = fmt.Errorf("%s: %s", field, reason)
+	}
+}
+
+func (c *fieldCheck) name(field string, value *string) string {
+	if value == nil {
+		c.fail(field, "missing")
+		return ""
+	}
+	if *value == "" || len(*value) > maxName {
+		c.fail(field, "empty or too long")
+	}
+	return *value
+}
+
+func (c *fieldCheck) amount(field string, value *float64) float64 {
+	if value == nil {
+		c.fail(field, "missing")
+		return 0
+	}
+	if math.IsNaN(*value) || *value < 0 || *value > maxAmount {
+		c.fail(field, "out of range")
+	}
+	return *value
+}
+
+func (c *fieldCheck) positive(field string, value *float64) float64 {
+	amount := c.amount(field, value)
+	if value != nil && amount == 0 {
+		c.fail(field, "out of range")
+	}
+	return amount
+}
+
+func (c *fieldCheck) flag(field string, value *bool) bool {
+	if value == nil {
+		c.fail(field, "missing")
+		return false
+	}
+	return *value
+}
+
+func (c *fieldCheck) tasks(value *int) int {
+	if value == nil {
+		c.fail("pieces", "missing")
+		return 0
+	}
+	if *value < 1 || *value > MaxTasks {
+		c.fail("pieces", "out of range")
+	}
+	return *value
+}
+
+func (c *fieldCheck) types(types []string) []string {
+	if len(types) == 0 || len(types) > maxTypes {
+		c.fail("builds", "empty or too long")
+	}
+	for i := range types {
+		c.name("builds", &types[i])
+	}
+	return types
+}
+
+// maxIDSuffix bounds a job id without its prefix.
+const maxIDSuffix = 40
+
+// ValidJobID reports whether id has the form of a job id.
+func ValidJobID(id string) bool {
+	suffix, ok := strings.CutPrefix(id, "j-")
+	if !ok || suffix == "" || len(suffix) > maxIDSuffix {
+		return false
+	}
+	for _, c := range suffix {
+		switch {
+		case c >= '0' && c <= '9', c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c == '-', c == '_':
+		default:
+			return false
+		}
+	}
+	return true
+}
+
+// TaskName is the name of task n of a job.
+func TaskName(job string, n int) string { return job + "/" + strconv.Itoa(n) }
+
+// ParseTask splits a task's name into the job's id and the task's number.
+func ParseTask(name string) (job string, n int, err error) {
+	job, number, ok := strings.Cut(name, "/")
+	n, err = strconv.Atoi(number)
+	if !ok || err != nil || n < 0 || n >= MaxTasks || !ValidJobID(job) {
+		return "", 0, fmt.Errorf("not a task name: %.60q", name)
+	}
+	return job, n, nil
+}
--- /dev/null
+++ b/internal/wire/state.go
@@ -0,0 +1,68 @@
+package wire
+
+import "github.com/goccy/go-json"
+
+// Item is a key of the state service.
+type Item struct {
+	Key     string          `json:"path"`
+	Value   json.RawMessage `json:"data"`
+	Version uint64          `json:"stamp"`
+	Lease   uint64          `json:"permit"`
+}
+
+// Items is a page of keys.
+type Items struct {
+	Items    []Item `json:"rows"`
+	More     bool   `json:"truncated"`
+	Revision uint64 `json:"ledger"`
+}
+
+// Guard is a condition of a transaction: the key has this version; 0: it is absent.
+type Guard struct {
+	Key     string `json:"path"`
+	Version uint64 `json:"stamp"`
+}
+
+// Op is a change of a transaction: it writes the key Put, or deletes the key Delete.
+type Op struct {
+	Put    string `json:"set,omitempty"`
+	Value  any    `json:"data,omitempty"`
+	Lease  uint64 `json:"permit,omitempty"`
+	Delete string `json:"drop,omitempty"`
+}
+
+// Txn is a transaction: all of Then if all of If holds, else nothing.
+type Txn struct {
+	If   []Guard `json:"guards"`
+	Then []Op    `json:"apply"`
+}
+
+// TxnAnswer is the response to a transaction.
+type TxnAnswer struct {
+	Revision uint64   `json:"ledger"`
+	Failed   []string `json:"failed"` // keys of the guards that do not hold
+}
+
+// LeaseRequest requests a lease.
+type LeaseRequest struct {
+	TTLMs int64 `json:"lifeMs"`
+}
+
+// LeaseAnswer is the response to a LeaseRequest.
+type LeaseAnswer struct {
+	Lease uint64 `json:"permit"`
+}
+
+// Event is a change seen by a watch: of the key Put, or the removal of the key Delete.
+type Event struct {
+	Put     string          `json:"set"`
+	Delete  string          `json:"drop"`
+	Value   json.RawMessage `json:"data"`
+	Version uint64          `json:"stamp"`
+}
+
+// Events is the response to a watch.
+type Events struct {
+	Revision uint64  `json:"ledger"`
+	Events   []Event `json:"log"`
+}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,13 +23,13 @@
 	return m
 }
 
-func TestParseJobTakesTheExample(t *testing.T) {
-	j, err := wire.ParseJob([]byte(good))
+func TestParseJobAcceptsExample(t *testing.T) {
+	job, err := wire.ParseJob([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if j.UID != "j-000412" || j.Tasks != 16 || j.Rank() != 2 || j.Zone != nil || *j.DueS != 900 || !j.OneZone {
-		t.Errorf("read %+v", j)
+	if job.UID != "j-000412" || job.Tasks != 16 || job.Rank() != 2 || job.Zone != nil || *job.DueS != 900 || !job.OneZone {
+		t.Errorf("read %+v", job)
 	}
 }
 
@@ -81,9 +81,11 @@
 	})
 }
 
-func TestParseJobRefusesOtherJSON(t *testing.T) {
-	for _, body := range []string{"", "null", "[]", `"x"`, "{", "{}", strings.Replace(good, "sweep", "sweeps", 1),
-		strings.Replace(good, `"urgent"`, `"high"`, 1), strings.Replace(good, "16", "100001", 1), strings.Replace(good, "j-000412", "k-1", 1)} {
+func TestParseJobRefusesMalformedBodies(t *testing.T) {
+	for _, body := range []string{
+		"", "null", "[]", `"x"`, "{", "{}", strings.Replace(good, "sweep", "sweeps", 1),
+		strings.Replace(good, `"urgent"`, `"high"`, 1), strings.Replace(good, "16", "100001", 1), strings.Replace(good, "j-000412", "k-1", 1),
+	} {
 		if _, err := wire.ParseJob([]byte(body)); err == nil {
 			t.Errorf("accepted %.60q", body)
 		}
@@ -107,7 +109,7 @@
 	})
 }
 
-func TestTaskNames(t *testing.T) {
+func TestTaskNameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := rapid.StringMatching(`j-[a-z0-9]{1,12}`).Draw(t, "job")
 		n := rapid.IntRange(0, wire.MaxTasks-1).Draw(t, "n")
