--- /dev/null
+++ b/internal/rollout/health_checks.go
@@ -0,0 +1,128 @@
+package rollout
+
+import (
+	"context"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+const (
+	maxProbes   = 32          // in flight, of all roll-outs together
+	forgetAfter = time.Minute // of a replica that is not listed any more
+)
+
+// replicaHealth is what the last checks of a replica found. Its counts are in a row.
+type replicaHealth struct {
+	listed    time.Time // when the replica was last listed
+	probed    time.Time
+	probing   bool
+	passes    int
+	failures  int
+	timeouts  int
+	healthy   bool
+	unhealthy bool
+	hung      bool
+}
+
+// add takes a check's result into account. One without a result changes nothing.
+func (r *replicaHealth) add(health Health, check Check) {
+	switch health {
+	case Healthy:
+		r.passes, r.failures, r.timeouts = r.passes+1, 0, 0
+	case Unhealthy:
+		r.passes, r.failures, r.timeouts = 0, r.failures+1, 0
+	case Hung:
+		r.passes, r.failures, r.timeouts = 0, 0, r.timeouts+1
+	default:
+		return
+	}
+	if r.passes >= check.Healthy {
+		r.healthy, r.unhealthy, r.hung = true, false, false
+	}
+	if r.failures >= check.Unhealthy {
+		r.healthy, r.unhealthy = false, true
+	}
+	if r.timeouts >= check.Tries {
+		r.healthy, r.hung = false, true
+	}
+}
+
+// healthChecks probes the replicas that matter now, and keeps what that found.
+type healthChecks struct {
+	prober Prober
+	slots  chan struct{}
+	probes sync.WaitGroup
+
+	mu       sync.Mutex
+	replicas map[string]*replicaHealth
+}
+
+func newHealthChecks(p Prober) *healthChecks {
+	return &healthChecks{prober: p, slots: make(chan struct{}, maxProbes), replicas: map[string]*replicaHealth{}}
+}
+
+// observe starts the checks that are due, as far as there are slots, and returns what is known
+// of a job's replicas.
+func (c *healthChecks) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (seen JobSeen) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, replica := range replicas {
+		known := c.replicaLocked(replica)
+		known.listed = now
+		seen.Running++
+		switch {
+		case known.unhealthy && seen.Unhealthy == "":
+			seen.Unhealthy = replica.Task
+		case known.hung && seen.Hung == "":
+			seen.Hung = replica.Task
+		case known.healthy:
+			seen.Healthy++
+		}
+		if !known.probing && now.Sub(known.probed) >= seconds(check.EveryS) {
+			c.probeLocked(ctx, now, replica, known, check)
+		}
+	}
+	return seen
+}
+
+func (c *healthChecks) replicaLocked(replica Replica) *replicaHealth {
+	key := replica.Task + " " + strconv.FormatUint(replica.Attempt, 10)
+	known := c.replicas[key]
+	if known == nil {
+		known = &replicaHealth{}
+		c.replicas[key] = known
+	}
+	return known
+}
+
+// probeLocked starts a check of a replica. Without a slot a later call does.
+func (c *healthChecks) probeLocked(ctx context.Context, now time.Time, replica Replica, known *replicaHealth, check Check) {
+	select {
+	case c.slots <- struct{}{}:
+	default:
+		return
+	}
+	known.probing, known.probed = true, now
+	c.probes.Go(func() {
+		health := c.prober.Probe(ctx, replica, check)
+		<-c.slots
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		known.probing = false
+		known.add(health, check)
+	})
+}
+
+// forget drops what is known of replicas that were not listed lately, and, unless prefix is
+// empty, of all whose task begins with it: a resumed roll-out checks them anew.
+func (c *healthChecks) forget(now time.Time, prefix string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for key, known := range c.replicas {
+		if now.Sub(known.listed) > forgetAfter || prefix != "" && strings.HasPrefix(key, prefix) {
+			delete(c.replicas, key)
+		}
+	}
+}
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -12,12 +12,9 @@
 )
 
 const (
-	prefix     = "rollout/"
-	serviceKey = prefix + "service/"
-	runKey     = prefix + "run/"
-	pastKey    = prefix + "past/"
-	tickEvery  = time.Second
-	stepWithin = 4 * time.Second // what one roll-out may take of a tick
+	tickInterval = time.Second
+	tickTimeout  = 4 * time.Second  // for all roll-outs' writes and submissions in a tick
+	watchHold    = 20 * time.Second // for which a watch waits for changes
 )
 
 // Store is what roll-outs need of the state service.
@@ -29,15 +26,15 @@
 
 // Core is what roll-outs need of the scheduler.
 type Core interface {
-	// Lead is the condition under which this controller drives roll-outs;
-	// false if another one does.
+	// Lead returns the guard that holds while this controller drives roll-outs; false if
+	// another one does.
 	Lead() (wire.Guard, bool)
 	// Submit records a job's acceptance under further conditions. A job that is
 	// known already is no error.
 	Submit(ctx context.Context, job *wire.Job, guards ...wire.Guard) error
 	// Cancel cancels a job. One that was never accepted is no error.
 	Cancel(ctx context.Context, uid string) error
-	// Replicas are the running replicas of a job.
+	// Replicas returns the running replicas of a job.
 	Replicas(uid string) []Replica
 	// Unfinished reports whether a job of the class is unfinished.
 	Unfinished(class string) bool
@@ -45,38 +42,40 @@
 
 // Descriptions keeps what jobs run.
 type Descriptions interface {
+	// Put stores a job's description. The same one again is no error.
 	Put(ctx context.Context, job string, d *taskspec.Spec) error
 }
 
-// Manager keeps services and drives their roll-outs while this controller leads.
+// Manager keeps services, and drives their roll-outs while this controller leads. It is safe
+// for concurrent use.
 type Manager struct {
 	settings     *Settings
 	store        Store
 	core         Core
 	descriptions Descriptions
-	checks       *checks
-	most         int // bytes of a record
+	checks       *healthChecks
+	maxRecord    int // bytes
 	log          *slog.Logger
 
 	mu      sync.Mutex
 	entries map[string]*entry
-	synced  bool
+	synced  bool // the records are read
 }
 
-// NewManager returns a manager that knows nothing yet. No record is larger than
-// so many bytes.
+// NewManager returns a manager that knows no services until Run has read them. No record that
+// it writes is larger than so many bytes.
 func NewManager(s *Settings, store Store, core Core, d Descriptions, p Prober, most int, log *slog.Logger) *Manager {
-	return &Manager{settings: s, store: store, core: core, descriptions: d, checks: newChecks(p), most: most, log: log, entries: map[string]*entry{}}
+	return &Manager{settings: s, store: store, core: core, descriptions: d, checks: newHealthChecks(p), maxRecord: most, log: log, entries: map[string]*entry{}}
 }
 
-// Run follows what is recorded and drives what this controller leads, until ctx
-// ends.
+// Run follows the records, and drives the roll-outs while this controller leads. It returns the
+// context's error once the context has ended and so have the watch and the checks.
 func (m *Manager) Run(ctx context.Context) error {
+	defer m.checks.probes.Wait()
 	var wg sync.WaitGroup
-	wg.Add(1)
-	go func() { defer wg.Done(); m.store.Watch(ctx, prefix, 20*time.Second, m.reset, m.change) }()
+	wg.Go(func() { m.store.Watch(ctx, prefix, watchHold, m.reset, m.change) })
 	defer wg.Wait()
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -88,13 +87,13 @@
 	}
 }
 
-// Tick looks at every roll-out once.
+// Tick drives every roll-out once, if this controller leads.
 func (m *Manager) Tick(ctx context.Context) {
 	lead, ok := m.core.Lead()
 	m.mu.Lock()
 	var names []string
 	for name, e := range m.entries {
-		if ok && m.synced && e.run != nil && !e.run.Phase.Final() {
+		if ok && m.synced && e.active() {
 			names = append(names, name)
 		}
 	}
@@ -106,11 +105,11 @@
 	m.checks.forget(now, "")
 	blocked := m.settings.Blocked(now, m.core.Unfinished)
 	slices.Sort(names)
-	tctx, cancel := context.WithTimeout(ctx, stepWithin)
+	tickCtx, cancel := context.WithTimeout(ctx, tickTimeout)
 	defer cancel()
 	for _, name := range names {
-		if err := m.drive(tctx, ctx, name, lead, blocked); err != nil {
-			m.log.Info("roll-out", "service", name, "err", err)
+		if err := m.drive(tickCtx, ctx, name, lead, blocked); err != nil {
+			m.log.Info("roll-out step failed", "service", name, "err", err)
 		}
 	}
 }
--- a/internal/rollout/manager_test.go
+++ b/internal/rollout/manager_test.go
@@ -18,7 +18,7 @@
 func TestUnhealthyVersionIsRolledBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := first(t, 8)
-		s.setHealth(func(v string, replica int, since time.Duration) rollout.Answer {
+		s.setHealth(func(v string, replica int, since time.Duration) rollout.Health {
 			if v == "v2" && replica == 1 && since > 5*time.Second {
 				return rollout.Unhealthy
 			}
@@ -58,7 +58,7 @@
 		s := first(t, 4)
 		var hang atomic.Bool
 		hang.Store(true)
-		s.setHealth(func(v string, replica int, since time.Duration) rollout.Answer {
+		s.setHealth(func(v string, replica int, since time.Duration) rollout.Health {
 			switch {
 			case v == "v2" && replica == 0 && hang.Load():
 				return rollout.Hung
@@ -117,7 +117,7 @@
 		for _, trouble := range []string{"killed", "deposed", "state out", "machines lost"} {
 			synctest.Test(t, func(t *testing.T) {
 				s := first(t, 4)
-				s.setHealth(func(v string, _ int, since time.Duration) rollout.Answer {
+				s.setHealth(func(v string, _ int, since time.Duration) rollout.Health {
 					if bad && v == "v2" && since > 20*time.Second {
 						return rollout.Unhealthy
 					}
--- /dev/null
+++ b/internal/rollout/operations.go
@@ -0,0 +1,146 @@
+package rollout
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/statestore"
+)
+
+const (
+	maxOrderRetries = 5
+	minOrderBackoff = 50 * time.Millisecond
+	maxOrderBackoff = 500 * time.Millisecond
+)
+
+// Start begins a roll-out, of a new service if it has replicas and a template. It fails with
+// ErrInput if the spec is wrong, with statestore.ErrUnavailable while the records are not
+// read, or as the state service does.
+func (m *Manager) Start(ctx context.Context, spec Spec) (*Run, error) {
+	spec.Fill()
+	if err := spec.Validate(); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrInput, err)
+	}
+	e, usage, err := m.snapshot(spec.Service)
+	if err != nil {
+		return nil, err
+	}
+	if e.serviceVersion == 0 {
+		err = checkNewService(&spec, usage)
+	} else {
+		err = checkService(&spec, &e.service)
+	}
+	switch {
+	case e.active():
+		return nil, fmt.Errorf("%w: service: %s has a roll-out already", ErrInput, spec.Service)
+	case usage.runs >= MaxRuns:
+		return nil, fmt.Errorf("%w: %d roll-outs are under way, the most there may be", ErrInput, usage.runs)
+	case err != nil:
+		return nil, err
+	}
+	if e.serviceVersion == 0 {
+		e.service = Service{Name: spec.Service, Replicas: spec.Replicas, Template: spec.Template}
+	}
+	id := 1
+	if e.run != nil {
+		id = e.run.ID + 1
+	}
+	e.run, err = Plan(&e.service, spec, id, time.Now())
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrInput, err)
+	}
+	// Batches are added as it goes on: half is kept for them.
+	if data, err := json.Marshal(e.run); err != nil || len(data) > m.maxRecord/2 {
+		return nil, fmt.Errorf("%w: to.desc: too large to be recorded, over %d bytes with the version before", ErrInput, m.maxRecord/2)
+	}
+	if err := m.write(ctx, spec.Service, &e); err != nil {
+		return nil, err
+	}
+	return e.run, nil
+}
+
+// usage is what all services take of the limits.
+type usage struct {
+	services, runs, replicas int
+}
+
+// snapshot returns a copy of a service's entry, empty if the service is unknown, and the usage
+// of the limits.
+func (m *Manager) snapshot(service string) (entry, usage, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.synced {
+		return entry{}, usage{}, statestore.ErrUnavailable
+	}
+	u := usage{services: len(m.entries)}
+	for _, e := range m.entries {
+		u.replicas += e.service.Replicas
+		if e.active() {
+			u.runs++
+		}
+	}
+	if e := m.entries[service]; e != nil {
+		return *e, u, nil
+	}
+	return entry{}, u, nil
+}
+
+// checkNewService checks that a new service fits the limits.
+func checkNewService(spec *Spec, u usage) error {
+	switch {
+	case spec.Replicas == 0:
+		return fmt.Errorf("%w: service: %s is unknown; a new one needs replicas", ErrInput, spec.Service)
+	case u.services >= MaxServices:
+		return fmt.Errorf("%w: service: there are %d, the most there may be", ErrInput, u.services)
+	case spec.Replicas < 1 || u.replicas+spec.Replicas > MaxReplicas:
+		return fmt.Errorf("%w: replicas: %d, with %d of other services, is not within 1 and %d", ErrInput, spec.Replicas, u.replicas, MaxReplicas)
+	}
+	return nil
+}
+
+// checkService checks that a spec leaves what a roll-out can't change of a service.
+func checkService(spec *Spec, service *Service) error {
+	if spec.Replicas != 0 && spec.Replicas != service.Replicas {
+		return fmt.Errorf("%w: replicas: %s has %d, which a roll-out does not change", ErrInput, spec.Service, service.Replicas)
+	}
+	return nil
+}
+
+// Order applies an operator's verb to a service's roll-out. It fails with ErrInput if that
+// can't be, or as the state service does.
+func (m *Manager) Order(ctx context.Context, service, verb string) (*Run, error) {
+	for attempt := 0; ; attempt++ {
+		run, err := m.order(ctx, service, verb)
+		var conflict *statestore.Conflict
+		if !errors.As(err, &conflict) || attempt == maxOrderRetries {
+			return run, err
+		}
+		// The leader went on meanwhile; its record comes with the watch.
+		statestore.Backoff(ctx, attempt, minOrderBackoff, maxOrderBackoff)
+	}
+}
+
+func (m *Manager) order(ctx context.Context, name, verb string) (*Run, error) {
+	m.mu.Lock()
+	e := m.entries[name]
+	if e == nil || e.run == nil {
+		m.mu.Unlock()
+		return nil, fmt.Errorf("%w: service: %s is unknown", ErrInput, name)
+	}
+	next, err := e.clone()
+	m.mu.Unlock()
+	if err != nil {
+		return nil, err
+	}
+	if err := Order(next.run, verb, time.Now()); err != nil {
+		return nil, err
+	}
+	if verb == VerbResume {
+		m.checks.forget(time.Now(), "j-svc-"+name+"-")
+	}
+	return next.run, m.write(ctx, name, &next)
+}
--- a/internal/rollout/recorded_settings_test.go
+++ b/internal/rollout/recorded_settings_test.go
@@ -38,9 +38,11 @@
 func TestRecordedSettingsErrors(t *testing.T) {
 	const site = `(descriptions "http://127.0.0.1:7700")`
 	var text strings.Builder
-	for _, settings := range []string{"(other)", "(rollouts)", "(rollouts 7)", `(rollouts (descriptions "x"))`, "(rollouts " + site + ` (day "x"))`, "(rollouts " + site + " (slot))",
+	for _, settings := range []string{
+		"(other)", "(rollouts)", "(rollouts 7)", `(rollouts (descriptions "x"))`, "(rollouts " + site + ` (day "x"))`, "(rollouts " + site + " (slot))",
 		"(rollouts " + site + ` (slot-class ""))`, "(rollouts " + site + ` (slot "a" "0 1 * * *" "Europe/London" 0))`, "(rollouts " + site + ` (slot "a" "0 1 * * *" "Europe/London" 10081))`,
-		"(rollouts " + site + ` (slot "a" "0 1 * * *" "Nowhere/Land" 5))`, "(rollouts " + site + ` (slot "a" "0 1 * * *" "Europe/London" 1440))`} {
+		"(rollouts " + site + ` (slot "a" "0 1 * * *" "Nowhere/Land" 5))`, "(rollouts " + site + ` (slot "a" "0 1 * * *" "Europe/London" 1440))`,
+	} {
 		_, err := rollout.ParseSettings([]byte(settings))
 		fmt.Fprintf(&text, "%s\n\t%v\n", settings, err)
 	}
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -106,11 +106,15 @@
 
 // Texts that are recorded or sent.
 func TestRecordedTexts(t *testing.T) {
-	got := []any{Pending, WaitingSlot, Placing, Soaking, Retiring, Paused, RollingBack, Done, Aborted, Restored,
-		Healthy, Unhealthy, Hung, Silent, OnFailRollback, OnFailPause, VerbPause, VerbResume, VerbAbort}
-	want := []any{Phase("pending"), Phase("waiting-for-slot"), Phase("placing"), Phase("soaking"), Phase("retiring"), Phase("paused"),
+	got := []any{
+		Pending, WaitingSlot, Placing, Soaking, Retiring, Paused, RollingBack, Done, Aborted, Restored,
+		Healthy, Unhealthy, Hung, Unknown, OnFailRollback, OnFailPause, VerbPause, VerbResume, VerbAbort,
+	}
+	want := []any{
+		Phase("pending"), Phase("waiting-for-slot"), Phase("placing"), Phase("soaking"), Phase("retiring"), Phase("paused"),
 		Phase("rolling-back"), Phase("done"), Phase("aborted"), Phase("restored"),
-		Answer("healthy"), Answer("unhealthy"), Answer("hung"), Answer(""), "rollback", "pause", "pause", "resume", "abort"}
+		Health("healthy"), Health("unhealthy"), Health("hung"), Health(""), "rollback", "pause", "pause", "resume", "abort",
+	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
@@ -138,7 +142,7 @@
 	service, run := fullService(), fullRun()
 	run.Phase = Restored
 	checkRecorded(t, "run_ended.json", run)
-	if err := manager().write(t.Context(), "tips", &service, 0, &run, 0); err != nil {
+	if err := manager().write(t.Context(), "tips", &entry{service: service, run: &run}); err != nil {
 		t.Fatal(err)
 	}
 	var items []wire.Item
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 )
 
-// Slot is a time in which no step begins.
+// Slot is a recurring time in which no step begins.
 type Slot struct {
 	Name  string
 	Start cron.Schedule // in the slot's zone
@@ -22,14 +22,14 @@
 
 // Settings are the operators' settings of roll-outs.
 type Settings struct {
-	Descriptions string   // base URL of the description service
-	Slots        []Slot   // calendars
+	Descriptions string // base URL of the description service
+	Slots        []Slot
 	Classes      []string // of jobs: a slot lasts while one of them is unfinished
 }
 
 const maxSlot = 7 * 24 * time.Hour
 
-// LoadSettings reads
+// LoadSettings reads and checks a file of settings. Its errors name the file. Such a file is
 //
 //	(rollouts
 //	  (descriptions "http://127.0.0.1:7700")
@@ -39,22 +39,23 @@
 	return config.Load(path, ParseSettings)
 }
 
-// ParseSettings reads the text of the operators' settings.
+// ParseSettings reads the text of the operators' settings. Its errors name the entry that is
+// wrong.
 func ParseSettings(data []byte) (*Settings, error) {
 	entries, err := config.Entries(data, "rollouts", "(key value ...)")
 	if err != nil {
 		return nil, err
 	}
 	s := &Settings{}
-	for i, e := range entries {
-		entry, ok := e.([]any)
+	for i, value := range entries {
+		entry, ok := value.([]any)
 		if !ok || len(entry) == 0 {
 			return nil, fmt.Errorf("entry %d: expected (key value ...)", i+1)
 		}
 		key, _ := entry[0].(edn.Symbol) // another kind is an unknown key
 		texts := make([]string, len(entry))
-		for k, v := range entry[1:] {
-			texts[k+1], _ = v.(string) // checked where a text is needed
+		for k, text := range entry[1:] {
+			texts[k+1], _ = text.(string) // checked where a text is needed
 		}
 		switch {
 		case key == "descriptions" && len(entry) == 2:
@@ -83,16 +84,18 @@
 	return s, nil
 }
 
+// parseSlot reads a slot of so many minutes that begins by a cron spec in a zone.
 func parseSlot(name, spec, zone string, minutes any) (*Slot, error) {
-	m, ok := minutes.(int64)
-	if name == "" || !ok || m < 1 || time.Duration(m)*time.Minute > maxSlot {
+	count, ok := minutes.(int64)
+	length := time.Duration(count) * time.Minute
+	if name == "" || !ok || count < 1 || length > maxSlot {
 		return nil, errors.New("a name, a calendar, a zone and 1 to 10080 minutes are needed")
 	}
-	loc, err := time.LoadLocation(zone)
+	location, err := time.LoadLocation(zone)
 	if err != nil || zone == "" {
 		return nil, fmt.Errorf("zone %q is unknown", zone)
 	}
-	start, err := cron.ParseStandard("TZ=" + loc.String() + " " + spec)
+	start, err := cron.ParseStandard("TZ=" + location.String() + " " + spec)
 	if err != nil {
 		return nil, fmt.Errorf("calendar %q: %w", spec, err)
 	}
@@ -101,10 +104,10 @@
 		return nil, fmt.Errorf("calendar %q never comes", spec)
 	}
 	// A slot that ends where the next one begins would block for ever.
-	if second := start.Next(first); !second.IsZero() && second.Sub(first) <= time.Duration(m)*time.Minute {
-		return nil, fmt.Errorf("calendar %q leaves no time between slots of %d minutes", spec, m)
+	if second := start.Next(first); !second.IsZero() && second.Sub(first) <= length {
+		return nil, fmt.Errorf("calendar %q leaves no time between slots of %d minutes", spec, count)
 	}
-	return &Slot{Name: name, Start: start, For: time.Duration(m) * time.Minute}, nil
+	return &Slot{Name: name, Start: start, For: length}, nil
 }
 
 // In reports whether the slot is on, and until when.
@@ -116,16 +119,17 @@
 	return start.Add(s.For), true
 }
 
-// Blocked says why no step may begin now, or "".
+// Blocked returns why no step may begin now, or "". unfinished reports whether a job of a
+// class is unfinished.
 func (s *Settings) Blocked(now time.Time, unfinished func(class string) bool) string {
 	for i := range s.Slots {
 		if until, on := s.Slots[i].In(now); on {
 			return fmt.Sprintf("slot %q until %s", s.Slots[i].Name, until.UTC().Format(time.RFC3339))
 		}
 	}
-	for _, c := range s.Classes {
-		if unfinished(c) {
-			return fmt.Sprintf("a job of class %q is unfinished", c)
+	for _, class := range s.Classes {
+		if unfinished(class) {
+			return fmt.Sprintf("a job of class %q is unfinished", class)
 		}
 	}
 	return ""
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -30,7 +30,7 @@
 	version uint64 // of the shard's key
 	jobs    map[string]*live
 	descs   map[string]string
-	health  func(version string, replica int, since time.Duration) rollout.Answer
+	health  func(version string, replica int, since time.Duration) rollout.Health
 	most    map[string]int // most live replicas of a version at once
 	least   int            // fewest healthy replicas since the first version was whole
 	whole   bool
@@ -128,7 +128,7 @@
 }
 
 // setHealth has replicas answer checks otherwise from now on.
-func (c *core) setHealth(health func(version string, replica int, since time.Duration) rollout.Answer) {
+func (c *core) setHealth(health func(version string, replica int, since time.Duration) rollout.Health) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.health = health
@@ -142,13 +142,13 @@
 	return nil
 }
 
-func (c *core) answer(task string) rollout.Answer {
+func (c *core) answer(task string) rollout.Health {
 	uid, n, _ := strings.Cut(task, "/")
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[uid]
 	if j == nil || j.stopped {
-		return rollout.Silent
+		return rollout.Unknown
 	}
 	replica := 0
 	_, _ = fmt.Sscan(n, &replica) // tasks are numbered
@@ -156,12 +156,12 @@
 }
 
 // Probe implements rollout.Prober.
-func (c *core) Probe(ctx context.Context, r rollout.Replica, check rollout.Check) rollout.Answer {
+func (c *core) Probe(ctx context.Context, r rollout.Replica, check rollout.Check) rollout.Health {
 	a := c.answer(r.Task)
 	if a == rollout.Hung {
 		select {
 		case <-ctx.Done():
-			return rollout.Silent
+			return rollout.Unknown
 		case <-time.After(time.Duration(check.TimeoutS * float64(time.Second))):
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 }
 
-func healthyAlways(string, int, time.Duration) rollout.Answer { return rollout.Healthy }
+func healthyAlways(string, int, time.Duration) rollout.Health { return rollout.Healthy }
 
 // site is managers a and b over one store.
 type site struct {
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -1,19 +1,22 @@
 // Package rollout moves a service to a new version step by step, stops when health
 // checks fail, and restores the version before. A service is a set of jobs that
 // run until they are cancelled; a step submits a job with replicas of the new
-// version, waits until they are healthy, and cancels jobs of the old one. What
-// follows from a state is decided by pure functions; the state is written before
-// anything is done, and everything that is done can be repeated.
+// version, waits until they are healthy, and cancels jobs of the old one.
+//
+// Pure functions decide what follows from a state (Next, Order). The state is in the state
+// service; it is written before anything is done, and everything that is done can be
+// repeated, so another controller can go on at any time. The package places no replicas
+// itself and probes none: the scheduler and the workers do.
 package rollout
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"math"
 	"net/url"
 	"strconv"
 	"strings"
-	"time"
 
 	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -32,73 +35,65 @@
 	Desc taskspec.Spec `json:"desc"`
 }
 
-// Check is how a replica's health is found out, through its worker.
+// Check is how a worker checks the health of a replica.
 type Check struct {
 	HTTP      string  `json:"http,omitempty"` // path; 2xx is healthy
 	TCP       bool    `json:"tcp,omitempty"`  // a connection is healthy
 	EveryS    float64 `json:"everyS"`
 	TimeoutS  float64 `json:"timeoutS"`
-	Healthy   int     `json:"healthy"`   // answers in a row that make a replica healthy
+	Healthy   int     `json:"healthy"`   // results in a row that make a replica healthy
 	Unhealthy int     `json:"unhealthy"` // and unhealthy
 	Tries     int     `json:"tries"`     // timeouts in a row after which it hangs
 }
 
-// Rollback policies.
+// What a roll-out does when a replica is unhealthy.
 const (
 	OnFailRollback = "rollback"
 	OnFailPause    = "pause"
 )
 
-// Spec is what is asked of a roll-out.
+// Spec is what an operator requests of a roll-out.
 type Spec struct {
 	Service  string   `json:"service"`
 	To       Version  `json:"to"`
 	Steps    []string `json:"steps"` // replicas, or parts of them like 25%
 	Check    Check    `json:"check"`
-	SoakS    float64  `json:"soakS"`  // least time that a step's replicas stay healthy
-	PlaceS   float64  `json:"placeS"` // most time for a step's replicas to run and be healthy
+	SoakS    float64  `json:"soakS"`  // for which a step's replicas must stay healthy
+	PlaceS   float64  `json:"placeS"` // in which a step's replicas must run and be healthy
 	OnFail   string   `json:"onFail"`
-	Anytime  bool     `json:"anytime,omitempty"` // goes on in slots too
+	Anytime  bool     `json:"anytime,omitempty"` // steps begin in slots too
 	Template wire.Job `json:"template"`          // class, team, priority, resources; for a new service
 	Replicas int      `json:"replicas"`          // of a new service
 }
 
-// Fill puts the usual values where nothing is said.
+// Fill sets the fields that are zero to their defaults.
 func (s *Spec) Fill() {
-	def := func(v *float64, d float64) {
-		if *v == 0 {
-			*v = d
-		}
-	}
-	defN := func(v *int, d int) {
-		if *v == 0 {
-			*v = d
-		}
-	}
 	if len(s.Steps) == 0 {
 		s.Steps = []string{"1", "25%", "100%"}
 	}
-	def(&s.Check.EveryS, 2)
-	def(&s.Check.TimeoutS, 1)
-	defN(&s.Check.Healthy, 2)
-	defN(&s.Check.Unhealthy, 3)
-	defN(&s.Check.Tries, 3)
-	def(&s.SoakS, 10)
-	def(&s.PlaceS, 120)
-	if s.OnFail == "" {
-		s.OnFail = OnFailRollback
-	}
+	setDefault(&s.Check.EveryS, 2)
+	setDefault(&s.Check.TimeoutS, 1)
+	setDefault(&s.Check.Healthy, 2)
+	setDefault(&s.Check.Unhealthy, 3)
+	setDefault(&s.Check.Tries, 3)
+	setDefault(&s.SoakS, 10)
+	setDefault(&s.PlaceS, 120)
+	setDefault(&s.OnFail, OnFailRollback)
+}
+
+func setDefault[T comparable](field *T, value T) {
+	*field = cmp.Or(*field, value)
 }
 
-// fieldError is bad input: it names the field and the reason.
+// fieldError returns an error of a field with the reason.
 func fieldError(field, format string, args ...any) error {
 	return fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...))
 }
 
-// ErrInput marks what is wrong with a request; nothing was changed.
+// ErrInput means that a request is wrong; nothing was changed.
 var ErrInput = errors.New("bad input")
 
-// Validate says what is wrong with a spec.
+// Validate returns what is wrong with a spec, beginning with the field, or nil.
 func (s *Spec) Validate() error {
 	switch {
 	case !validName(s.Service):
@@ -119,15 +114,19 @@
 		return fmt.Errorf("to.desc: %w", err)
 	}
 	for _, f := range []struct {
-		name        string
-		v, min, max float64
+		name               string
+		value, least, most float64
 	}{
-		{"check.everyS", s.Check.EveryS, 0.2, 300}, {"check.timeoutS", s.Check.TimeoutS, 0.05, 30},
-		{"check.healthy", float64(s.Check.Healthy), 1, 100}, {"check.unhealthy", float64(s.Check.Unhealthy), 1, 100},
-		{"check.tries", float64(s.Check.Tries), 1, 100}, {"soakS", s.SoakS, 0, 86400}, {"placeS", s.PlaceS, 1, 86400},
+		{"check.everyS", s.Check.EveryS, 0.2, 300},
+		{"check.timeoutS", s.Check.TimeoutS, 0.05, 30},
+		{"check.healthy", float64(s.Check.Healthy), 1, 100},
+		{"check.unhealthy", float64(s.Check.Unhealthy), 1, 100},
+		{"check.tries", float64(s.Check.Tries), 1, 100},
+		{"soakS", s.SoakS, 0, 86400},
+		{"placeS", s.PlaceS, 1, 86400},
 	} {
-		if math.IsNaN(f.v) || f.v < f.min || f.v > f.max {
-			return fieldError(f.name, "%v is not within %v and %v", f.v, f.min, f.max)
+		if math.IsNaN(f.value) || f.value < f.least || f.value > f.most {
+			return fieldError(f.name, "%v is not within %v and %v", f.value, f.least, f.most)
 		}
 	}
 	if _, err := Targets(s.Steps, 100); err != nil {
@@ -141,125 +140,56 @@
 		return false
 	}
 	for _, c := range s {
-		if !(c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-') {
+		switch {
+		case c >= 'a' && c <= 'z', c >= '0' && c <= '9', c == '-':
+		default:
 			return false
 		}
 	}
 	return true
 }
 
-// Targets turns steps into numbers of new replicas, of so many in all. Each must
-// be more than the one before it where it can, and the last must be all.
+// Targets returns the numbers of new replicas that steps, of so many replicas in all, end with.
+// No step may be less than the one before it, and the last must be all; steps that are the
+// same, as of few replicas, are merged.
 func Targets(steps []string, replicas int) ([]int, error) {
 	if len(steps) == 0 || len(steps) > 50 {
 		return nil, fieldError("steps", "1 to 50 are needed")
 	}
-	var out []int
-	for i, s := range steps {
-		n := 0
-		if p, ok := strings.CutSuffix(s, "%"); ok {
-			v, err := strconv.ParseFloat(p, 64)
-			if err != nil || !(v > 0) || v > 100 {
-				return nil, fieldError(fmt.Sprintf("steps[%d]", i), "%q is not a part like 25%%", s)
-			}
-			n = int(math.Ceil(v / 100 * float64(replicas)))
-		} else {
-			v, err := strconv.Atoi(s)
-			if err != nil || v < 1 {
-				return nil, fieldError(fmt.Sprintf("steps[%d]", i), "%q is neither a number of replicas nor a part like 25%%", s)
-			}
-			n = min(v, replicas)
+	var targets []int
+	last := 0
+	for i, step := range steps {
+		field := fmt.Sprintf("steps[%d]", i)
+		n, err := parseStep(field, step, replicas)
+		if err != nil {
+			return nil, err
 		}
-		if len(out) > 0 && n < out[len(out)-1] {
-			return nil, fieldError(fmt.Sprintf("steps[%d]", i), "%q is less than the step before", s)
+		if n < last {
+			return nil, fieldError(field, "%q is less than the step before", step)
 		}
-		if len(out) == 0 || n > out[len(out)-1] {
-			out = append(out, n) // of few replicas two steps may be the same
+		if n > last || i == 0 {
+			targets = append(targets, n)
 		}
+		last = n
 	}
-	if out[len(out)-1] != replicas {
+	if last != replicas {
 		return nil, fieldError("steps", "the last, %q, does not reach 100%%", steps[len(steps)-1])
 	}
-	return out, nil
-}
-
-// Batch is a job with replicas of one version of a service.
-type Batch struct {
-	UID      string `json:"uid"`
-	Replicas int    `json:"replicas"`
-	Version  string `json:"version"`
-}
-
-// Service is a service as it is recorded.
-type Service struct {
-	Name     string   `json:"name"`
-	Replicas int      `json:"replicas"`
-	Template wire.Job `json:"template"`
-	Version  Version  `json:"version"` // that runs, or is to be restored
-	Batches  []Batch  `json:"batches"`
-}
-
-// Phase is how far a roll-out is.
-type Phase string
-
-// Phases. The last three are final.
-const (
-	Pending     Phase = "pending"
-	WaitingSlot Phase = "waiting-for-slot"
-	Placing     Phase = "placing" // the step's new replicas come up
-	Soaking     Phase = "soaking" // they stay healthy for a while
-	Retiring    Phase = "retiring"
-	Paused      Phase = "paused"
-	RollingBack Phase = "rolling-back"
-	Done        Phase = "done"
-	Aborted     Phase = "aborted"  // ended by an operator, the old version restored
-	Restored    Phase = "restored" // health failed, the old version restored
-)
-
-// Final reports whether nothing follows.
-func (p Phase) Final() bool { return p == Done || p == Aborted || p == Restored }
-
-// Run is a roll-out as it is recorded.
-type Run struct {
-	ID      int     `json:"id"` // counts a service's roll-outs
-	Spec    Spec    `json:"spec"`
-	From    Version `json:"from"`
-	Targets []int   `json:"targets"` // new replicas after each step
-	Step    int     `json:"step"`    // index of the step in progress
-	Phase   Phase   `json:"phase"`
-	Resume  Phase   `json:"resume,omitempty"` // of a paused one
-	Why     string  `json:"why,omitempty"`
-	Outcome Phase   `json:"outcome,omitempty"` // that a rolling back ends in
-	New     []Batch `json:"new"`               // submitted, or to be
-	Old     []Batch `json:"old"`               // not retired
-	Restore []Batch `json:"restore,omitempty"` // old version, submitted again by a rolling back
-	Drop    []Batch `json:"drop,omitempty"`    // to be cancelled, perhaps again
-	Lost    int     `json:"lost,omitempty"`    // times that replicas went while soaking, in this step
-	Seq     int     `json:"seq"`               // numbers the jobs
-	Since   int64   `json:"since"`             // ms of Unix time at which the phase began
-	Verdict int64   `json:"verdict,omitempty"` // when a rolling back was decided
-	Begun   int64   `json:"begun"`
-	Ended   int64   `json:"ended,omitempty"`
+	return targets, nil
 }
 
-func total(bs []Batch) (n int) {
-	for _, b := range bs {
-		n += b.Replicas
+// parseStep reads a number of replicas, or a part of them like 25%, rounded up.
+func parseStep(field, step string, replicas int) (int, error) {
+	if part, ok := strings.CutSuffix(step, "%"); ok {
+		percent, err := strconv.ParseFloat(part, 64)
+		if err != nil || !(percent > 0) || percent > 100 {
+			return 0, fieldError(field, "%q is not a part like 25%%", step)
+		}
+		return int(math.Ceil(percent / 100 * float64(replicas))), nil
 	}
-	return n
-}
-
-// batch makes the next job of a roll-out. Its id is never used for another.
-func (r *Run) batch(replicas int, version string) Batch {
-	r.Seq++
-	return Batch{UID: fmt.Sprintf("j-svc-%s-%d-%d", r.Spec.Service, r.ID, r.Seq), Replicas: replicas, Version: version}
-}
-
-func (r *Run) enter(p Phase, why string, now time.Time) {
-	r.Phase, r.Why, r.Since = p, why, now.UnixMilli()
-	if p.Final() {
-		r.Ended = r.Since
+	n, err := strconv.Atoi(step)
+	if err != nil || n < 1 {
+		return 0, fieldError(field, "%q is neither a number of replicas nor a part like 25%%", step)
 	}
+	return min(n, replicas), nil
 }
-
-func (r *Run) age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(r.Since)) }
--- /dev/null
+++ b/internal/rollout/step.go
@@ -0,0 +1,112 @@
+package rollout
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/taskspec"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// drive does what the recorded state of one roll-out wants, observes, and records what
+// follows. Checks go on for as long as checkCtx lasts, beyond ctx.
+func (m *Manager) drive(ctx, checkCtx context.Context, name string, lead wire.Guard, blocked string) error {
+	m.mu.Lock()
+	e := m.entries[name]
+	next, err := e.clone()
+	m.mu.Unlock()
+	if err != nil {
+		return err
+	}
+	run := next.run
+	submit, drop := Wanted(run)
+	for _, batch := range submit {
+		if err := m.submit(ctx, &next, batch, lead, wire.Guard{Key: runKey + name, Version: next.runVersion}); err != nil {
+			return err
+		}
+	}
+	for _, batch := range drop {
+		if err := m.cancel(ctx, &next, batch); err != nil {
+			return err
+		}
+	}
+	now := time.Now()
+	seen := &Seen{Jobs: m.observe(checkCtx, now, e, run.Spec.Check, submit, drop), Blocked: blocked}
+	was := run.Phase
+	if !Next(&next.service, run, seen, now) {
+		return nil
+	}
+	if err := m.write(ctx, name, &next, lead); err != nil {
+		return err
+	}
+	m.log.Info("roll-out", "service", name, "id", run.ID, "was", was, "phase", run.Phase, "step", run.Step+1, "of", len(run.Targets), "why", run.Why)
+	return nil
+}
+
+// observe checks the replicas of submitted batches, and returns what is known of all jobs.
+func (m *Manager) observe(checkCtx context.Context, now time.Time, e *entry, check Check, submitted, dropped []Batch) map[string]JobSeen {
+	jobs := map[string]JobSeen{}
+	for _, batch := range submitted {
+		jobs[batch.UID] = m.checks.observe(checkCtx, now, m.core.Replicas(batch.UID), check)
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, batch := range dropped {
+		jobs[batch.UID] = JobSeen{Gone: e.cancelled[batch.UID]}
+	}
+	e.jobs = jobs
+	return jobs
+}
+
+// submit uploads what a batch's job runs and submits the job, unless that is done.
+func (m *Manager) submit(ctx context.Context, e *entry, batch Batch, guards ...wire.Guard) error {
+	if m.done(e.submitted, batch) {
+		return nil
+	}
+	description := &e.run.Spec.To.Desc
+	if batch.Version != e.run.Spec.To.Name {
+		description = &e.run.From.Desc
+	}
+	if err := m.descriptions.Put(ctx, batch.UID, description); err != nil {
+		return fmt.Errorf("describe %s: %w", batch.UID, err)
+	}
+	job := e.service.job(batch, description)
+	if err := m.core.Submit(ctx, &job, guards...); err != nil {
+		return fmt.Errorf("submit %s: %w", batch.UID, err)
+	}
+	m.setDone(e.submitted, batch)
+	return nil
+}
+
+// job is a batch's job, which runs a description.
+func (s *Service) job(batch Batch, description *taskspec.Spec) wire.Job {
+	job := s.Template
+	job.UID, job.Kind, job.Tasks = batch.UID, wire.KindService, batch.Replicas
+	job.CPUs, job.GPUs, job.MemoryGB = description.CPUs, description.GPUs, description.MemoryGB
+	return job
+}
+
+// cancel cancels a batch's job, unless that is done.
+func (m *Manager) cancel(ctx context.Context, e *entry, batch Batch) error {
+	if m.done(e.cancelled, batch) {
+		return nil
+	}
+	if err := m.core.Cancel(ctx, batch.UID); err != nil {
+		return fmt.Errorf("cancel %s: %w", batch.UID, err)
+	}
+	m.setDone(e.cancelled, batch)
+	return nil
+}
+
+func (m *Manager) done(uids map[string]bool, batch Batch) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return uids[batch.UID]
+}
+
+func (m *Manager) setDone(uids map[string]bool, batch Batch) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	uids[batch.UID] = true
+}
