--- a/internal/rollout/manager_test.go
+++ b/internal/rollout/manager_test.go
@@ -33,7 +33,7 @@
 		if took := s.until("restored", time.Minute, final(2)); took > time.Minute {
 			t.Errorf("restored after %v", took)
 		}
-		r := s.run("b")
+		r := s.run()
 		if r.Phase != rollout.Restored || !strings.Contains(r.Why, "/1") || s.most["v2"] == 8 {
 			t.Errorf("%s: %s; %d of the new version", r.Phase, r.Why, s.most["v2"])
 		}
@@ -70,7 +70,7 @@
 		s.begin("v2", nil)
 		s.until("paused", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.Paused })
 		time.Sleep(10 * time.Minute)
-		if r := s.run("b"); r.Phase != rollout.Paused || !strings.Contains(r.Why, "hangs") || !strings.Contains(r.Why, "/0") || s.most["v2"] != 1 {
+		if r := s.run(); r.Phase != rollout.Paused || !strings.Contains(r.Why, "hangs") || !strings.Contains(r.Why, "/0") || s.most["v2"] != 1 {
 			t.Errorf("%s: %s", r.Phase, r.Why)
 		}
 		hang.Store(false)
@@ -87,108 +87,126 @@
 func TestStepsWaitForTheEndOfASlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := first(t, 4)
-		s.settings.Classes = []string{"tip-split"}
-		s.setUnfinished("tip-split", true)
+		s.settings.Classes = []string{slotClass}
+		s.setUnfinished(true)
 		s.begin("v2", nil)
 		s.until("waiting", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.WaitingSlot })
 		time.Sleep(5 * time.Minute)
 		if s.most["v2"] != 0 {
 			t.Error("began in a slot")
 		}
-		s.setUnfinished("tip-split", false)
+		s.setUnfinished(false)
 		s.until("placing", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.Placing })
-		s.setUnfinished("tip-split", true)
+		s.setUnfinished(true)
 		s.until("waiting after its first step", 2*time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.WaitingSlot && r.Step == 1 })
 		time.Sleep(5 * time.Minute)
 		if s.most["v2"] != 1 {
 			t.Errorf("%d replicas of the new version after a step of 1", s.most["v2"])
 		}
-		s.setUnfinished("tip-split", false)
+		s.setUnfinished(false)
 		s.until("done", 10*time.Minute, final(2))
 		s.close()
 	})
 }
 
+// cause lets a fault happen, and what it needs to pass begin.
+func (s *site) cause(fault string) {
+	switch fault {
+	case "killed":
+		s.stop("a")
+		s.lead("b")
+		time.Sleep(4 * time.Second)
+		s.start("a")
+		time.Sleep(2 * time.Second)
+		s.lead("a")
+	case "deposed": // and does not know it for a while
+		s.mu.Lock()
+		leader, version := s.leader, s.version
+		s.mu.Unlock()
+		s.lead("b")
+		s.mu.Lock()
+		s.leader, s.version = leader, version
+		s.mu.Unlock()
+		time.Sleep(3 * time.Second)
+		s.lead("b")
+		time.Sleep(time.Second)
+		s.lead("a")
+	case "state out":
+		s.mu.Lock()
+		s.outUntil = time.Now().Add(30 * time.Second)
+		s.mu.Unlock()
+	case "machines lost":
+		s.mu.Lock()
+		for _, j := range s.jobs {
+			j.lost, j.back = 1, time.Now().Add(8*time.Second)
+		}
+		s.mu.Unlock()
+	}
+}
+
+// running counts the live replicas, and names the jobs among them whose version is unwanted.
+func (s *site) running(unwanted func(version string) bool) (replicas int, left []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for uid, j := range s.jobs {
+		if j.stopped {
+			continue
+		}
+		replicas += j.n
+		if unwanted(s.descs[uid]) {
+			left = append(left, uid+" of "+s.descs[uid])
+		}
+	}
+	return replicas, left
+}
+
 // The controller that drives a roll-out is killed, or the state service goes out
 // for half a minute, at every transition in turn; machines are lost while
 // soaking. Each time the roll-out ends as it would have, with one outcome.
 func TestControllerLossOrStateOutageAtEveryTransition(t *testing.T) {
 	for _, bad := range []bool{false, true} {
-		for _, trouble := range []string{"killed", "deposed", "state out", "machines lost"} {
-			synctest.Test(t, func(t *testing.T) {
-				s := first(t, 4)
-				s.setHealth(func(v string, _ int, since time.Duration) rollout.Health {
-					if bad && v == "v2" && since > 20*time.Second {
-						return rollout.Unhealthy
-					}
-					return rollout.Healthy
-				})
-				s.begin("v2", func(x *rollout.Spec) { x.Steps = []string{"2", "100%"} })
-				troubled := map[string]bool{}
-				s.until(fmt.Sprintf("over (%s, bad %v)", trouble, bad), 20*time.Minute, func(r *rollout.Run) bool {
-					at := fmt.Sprint(r.Step, r.Phase, len(r.New))
-					if troubled[at] || r.Phase.Final() {
-						return r.ID == 2 && r.Phase.Final()
-					}
-					troubled[at] = true
-					switch trouble {
-					case "killed":
-						s.stop("a")
-						s.lead("b")
-						time.Sleep(4 * time.Second)
-						s.start("a")
-						time.Sleep(2 * time.Second)
-						s.lead("a")
-					case "deposed": // and does not know it for a while
-						s.mu.Lock()
-						leader, version := s.leader, s.version
-						s.mu.Unlock()
-						s.lead("b")
-						s.mu.Lock()
-						s.leader, s.version = leader, version
-						s.mu.Unlock()
-						time.Sleep(3 * time.Second)
-						s.lead("b")
-						time.Sleep(time.Second)
-						s.lead("a")
-					case "state out":
-						s.mu.Lock()
-						s.outUntil = time.Now().Add(30 * time.Second)
-						s.mu.Unlock()
-					case "machines lost":
-						s.mu.Lock()
-						for _, j := range s.jobs {
-							j.lost, j.back = 1, time.Now().Add(8*time.Second)
-						}
-						s.mu.Unlock()
-					}
-					return false
-				})
-				want := rollout.Done
-				if bad {
-					want = rollout.Restored
-				}
-				r := s.run("b")
-				running := 0
-				s.mu.Lock()
-				for uid, j := range s.jobs {
-					if !j.stopped {
-						running += j.n
-						if (s.descs[uid] == "v2") == bad {
-							t.Errorf("%s, bad %v: %s of %s is left", trouble, bad, uid, s.descs[uid])
-						}
-					}
-				}
-				s.mu.Unlock()
-				if r.Phase != want || running != 4 {
-					t.Errorf("%s, bad %v: %s (%s) with %d replicas", trouble, bad, r.Phase, r.Why, running)
-				}
-				s.close()
-			})
+		for _, fault := range []string{"killed", "deposed", "state out", "machines lost"} {
+			synctest.Test(t, func(t *testing.T) { rollOutWithFaults(t, fault, bad) })
 		}
 	}
 }
 
+// rollOutWithFaults rolls a version out that turns unhealthy if it is bad, with a fault at
+// every transition.
+func rollOutWithFaults(t *testing.T, fault string, bad bool) {
+	s := first(t, 4)
+	s.setHealth(func(v string, _ int, since time.Duration) rollout.Health {
+		if bad && v == "v2" && since > 20*time.Second {
+			return rollout.Unhealthy
+		}
+		return rollout.Healthy
+	})
+	s.begin("v2", func(x *rollout.Spec) { x.Steps = []string{"2", "100%"} })
+	faulted := map[string]bool{}
+	s.until(fmt.Sprintf("over (%s, bad %v)", fault, bad), 20*time.Minute, func(r *rollout.Run) bool {
+		at := fmt.Sprint(r.Step, r.Phase, len(r.New))
+		if faulted[at] || r.Phase.Final() {
+			return r.ID == 2 && r.Phase.Final()
+		}
+		faulted[at] = true
+		s.cause(fault)
+		return false
+	})
+	want := rollout.Done
+	if bad {
+		want = rollout.Restored
+	}
+	r := s.run()
+	running, left := s.running(func(version string) bool { return (version == "v2") == bad })
+	if len(left) > 0 {
+		t.Errorf("%s, bad %v: %v are left", fault, bad, left)
+	}
+	if r.Phase != want || running != 4 {
+		t.Errorf("%s, bad %v: %s (%s) with %d replicas", fault, bad, r.Phase, r.Why, running)
+	}
+	s.close()
+}
+
 // A roll-out that can't be is refused with the field's name, and nothing is changed.
 func TestInvalidStartIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -145,8 +145,9 @@
 	if err := manager().write(t.Context(), "tips", &entry{service: service, run: &run}); err != nil {
 		t.Fatal(err)
 	}
-	var items []wire.Item
-	for _, key := range store.Keys("") {
+	keys := store.Keys("")
+	items := make([]wire.Item, 0, len(keys))
+	for _, key := range keys {
 		items = append(items, wire.Item{Key: key, Value: json.RawMessage(store.Text(key)), Version: 1})
 	}
 	runText, serviceText := recordedText(t, "run_ended.json"), recordedText(t, "service.json")
@@ -177,7 +178,7 @@
 	return json.RawMessage(strings.TrimSuffix(string(text), "\n"))
 }
 
-// The requests for checks, as a worker gets them, and its answer.
+// The requests for checks, as a worker gets them, and its response.
 func TestRecordedProbe(t *testing.T) {
 	var requests []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -187,8 +188,8 @@
 	defer server.Close()
 	replica := Replica{Task: "j-1/0", Attempt: 5, Endpoint: strings.TrimPrefix(server.URL, "http://")}
 	for _, check := range []Check{{HTTP: "/up?x=1", TimeoutS: 1.5}, {TCP: true, TimeoutS: 1}} {
-		if answer := NewWorkerProber().Probe(t.Context(), replica, check); answer != Hung {
-			t.Errorf("%+v: %q", check, answer)
+		if health := NewWorkerProber().Probe(t.Context(), replica, check); health != Hung {
+			t.Errorf("%+v: %q", check, health)
 		}
 	}
 	if want := []string{"GET /check/j-1/0/5?http=%2Fup%3Fx%3D1&timeoutMs=1500", "GET /check/j-1/0/5?tcp=1&timeoutMs=1000"}; !reflect.DeepEqual(requests, want) {
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -44,7 +44,7 @@
 	n       int
 	since   time.Time
 	stopped bool
-	lost    int // replicas gone with their machines until back
+	lost    int // replicas lost with their machines until back
 	back    time.Time
 }
 
@@ -120,14 +120,17 @@
 	return time.Now().Before(c.outUntil)
 }
 
-// setUnfinished says whether jobs of a class are unfinished from now on.
-func (c *core) setUnfinished(class string, unfinished bool) {
+// slotClass is the class whose unfinished jobs keep steps from beginning.
+const slotClass = "tip-split"
+
+// setUnfinished sets whether jobs of slotClass are unfinished from now on.
+func (c *core) setUnfinished(unfinished bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.classes[class] = unfinished
+	c.classes[slotClass] = unfinished
 }
 
-// setHealth has replicas answer checks otherwise from now on.
+// setHealth sets the results of checks from now on.
 func (c *core) setHealth(health func(version string, replica int, since time.Duration) rollout.Health) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,7 +145,7 @@
 	return nil
 }
 
-func (c *core) answer(task string) rollout.Health {
+func (c *core) healthOf(task string) rollout.Health {
 	uid, n, _ := strings.Cut(task, "/")
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,15 +160,15 @@
 
 // Probe implements rollout.Prober.
 func (c *core) Probe(ctx context.Context, r rollout.Replica, check rollout.Check) rollout.Health {
-	a := c.answer(r.Task)
-	if a == rollout.Hung {
+	health := c.healthOf(r.Task)
+	if health == rollout.Hung {
 		select {
 		case <-ctx.Done():
 			return rollout.Unknown
 		case <-time.After(time.Duration(check.TimeoutS * float64(time.Second))):
 		}
 	}
-	return a
+	return health
 }
 
 // count records the fewest healthy and the most live replicas of a version.
@@ -238,7 +241,7 @@
 	<-s.dones[name]
 }
 
-// lead moves the jobs to another controller.
+// lead makes another controller the leader.
 func (s *site) lead(name string) {
 	rev, err := (&testkit.View{Store: s.store}).Txn(context.Background(), nil, wire.Op{Put: shardKey, Value: 1})
 	s.mu.Lock()
@@ -254,8 +257,9 @@
 	s.stop("b")
 }
 
-func (s *site) run(name string) *rollout.Run {
-	for _, st := range s.managers[name].Statuses() {
+// run is the roll-out as the manager sees it that does not drive it at first.
+func (s *site) run() *rollout.Run {
+	for _, st := range s.managers["b"].Statuses() {
 		if st.Service.Name == "tips" {
 			return st.Run
 		}
@@ -268,7 +272,7 @@
 func (s *site) until(what string, most time.Duration, so func(*rollout.Run) bool) time.Duration {
 	began := time.Now()
 	for {
-		r := s.run("b")
+		r := s.run()
 		if r != nil && so(r) {
 			return time.Since(began)
 		}
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -26,7 +26,7 @@
 	return s
 }
 
-func TestBadInputNamesTheField(t *testing.T) {
+func TestSpecErrorsNameTheField(t *testing.T) {
 	for field, f := range map[string]func(*rollout.Spec){
 		"service":       func(s *rollout.Spec) { s.Service = "Tips!" },
 		"to.name":       func(s *rollout.Spec) { s.To.Name = "" },
@@ -56,22 +56,70 @@
 	}
 }
 
-// world is a core that runs the jobs, two owners that drive the roll-out, of whom
-// one may be deposed without knowing it, and their messages.
+// world is a scheduler that runs the jobs, two leaders that drive the roll-out, of whom one may
+// have lost its lead without knowing it, and their delayed messages.
 type world struct {
 	svc      rollout.Service
 	run      rollout.Run
-	version  int            // of the recorded state
-	jobs     map[string]int // live replicas by job
-	of       map[string]string
-	gone     map[string]bool
+	version  int               // of the recorded state
+	jobs     map[string]int    // live replicas by job
+	of       map[string]string // version by job
+	ended    map[string]bool
 	lost     map[string]int // replicas that were lost with their machines
 	bad      string         // the version that is unhealthy
 	hung     bool
 	blocked  bool
 	now      time.Time
-	late     []func()
+	late     []func() // delayed messages
 	replicas int
+
+	leaders [2]reader
+	begun   map[int]int       // how often, by step
+	ever    map[string]string // the version that a job ran before
+	final   rollout.Phase
+}
+
+// reader is the recorded state as a leader read it.
+type reader struct {
+	run rollout.Run
+	svc rollout.Service
+	at  int
+}
+
+// newWorld draws a service and plans its roll-out.
+func newWorld(t *rapid.T) *world {
+	replicas := rapid.IntRange(1, 9).Draw(t, "replicas")
+	w := &world{
+		svc: *service(replicas), jobs: map[string]int{}, of: map[string]string{}, ended: map[string]bool{}, lost: map[string]int{},
+		now: time.Unix(1e9, 0), replicas: replicas, begun: map[int]int{}, ever: map[string]string{},
+	}
+	for left, i := replicas, 0; left > 0; i++ {
+		n := rapid.IntRange(1, left).Draw(t, "batch")
+		uid := fmt.Sprintf("j-old-%d", i)
+		w.svc.Batches = append(w.svc.Batches, rollout.Batch{UID: uid, Replicas: n, Version: "v1"})
+		w.jobs[uid], w.of[uid] = n, "v1"
+		left -= n
+	}
+	s := spec()
+	if rapid.Bool().Draw(t, "pause on failure") {
+		s.OnFail = rollout.OnFailPause
+	}
+	r, err := rollout.Plan(&w.svc, s, 1, w.now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.run = *r
+	w.leaders = [2]reader{w.read(), w.read()}
+	return w
+}
+
+// read returns a copy of the recorded state.
+func (w *world) read() reader {
+	c := w.run
+	for _, batches := range []*[]rollout.Batch{&c.New, &c.Old, &c.Drop, &c.Restore} {
+		*batches = append([]rollout.Batch(nil), *batches...)
+	}
+	return reader{c, w.svc, w.version}
 }
 
 func (w *world) seen() *rollout.Seen {
@@ -91,197 +139,183 @@
 		}
 		s.Jobs[uid] = j
 	}
-	for uid := range w.gone {
+	for uid := range w.ended {
 		s.Jobs[uid] = rollout.JobSeen{Gone: true}
 	}
 	return s
 }
 
-// act does what a recorded state asks for; at is the version that was read. Some
-// of it is held back and done later.
-func (w *world) act(r *rollout.Run, at int, hold func() bool) {
+// act does what a recorded state wants; at is the version that was read. What delayed reports
+// true for is done later.
+func (w *world) act(r *rollout.Run, at int, delayed func() bool) {
+	do := func(f func()) {
+		if delayed() {
+			w.late = append(w.late, f)
+		} else {
+			f()
+		}
+	}
 	submit, drop := rollout.Wanted(r)
 	for _, b := range submit {
-		do := func() {
-			if w.version == at && w.jobs[b.UID] == 0 && !w.gone[b.UID] { // guarded by the state's version
+		do(func() {
+			if w.version == at && w.jobs[b.UID] == 0 && !w.ended[b.UID] { // guarded by the state's version
 				w.jobs[b.UID], w.of[b.UID] = b.Replicas, b.Version
 			}
-		}
-		if hold() {
-			w.late = append(w.late, do)
-		} else {
-			do()
-		}
+		})
 	}
 	for _, b := range drop {
-		do := func() {
+		do(func() {
 			delete(w.jobs, b.UID)
-			w.gone[b.UID] = true
+			w.ended[b.UID] = true
+		})
+	}
+}
+
+// check checks what holds at any time.
+func (w *world) check(t *rapid.T) {
+	healthy, all := 0, 0
+	for uid, n := range w.jobs {
+		all += n
+		if w.of[uid] != w.bad {
+			healthy += n
 		}
-		if hold() {
-			w.late = append(w.late, do)
-		} else {
-			do()
+		if v, had := w.ever[uid]; had && v != w.of[uid] {
+			t.Fatalf("%s ran %s and %s", uid, v, w.of[uid])
 		}
+		w.ever[uid] = w.of[uid]
+	}
+	// A version that turns unhealthy when the old one has ended, and replicas that made way
+	// for a restore that finds no room, are what happens, not what was decided.
+	crowded := w.run.Phase == rollout.RollingBack && len(w.run.New) == 0
+	if w.bad == "" && !crowded && healthy < w.replicas {
+		t.Fatalf("%d of %d promised replicas in %s: jobs %v of %v", healthy, w.replicas, w.run.Phase, w.jobs, w.of)
+	}
+	if all > 3*w.replicas {
+		t.Fatalf("%d replicas live of %d promised", all, w.replicas)
+	}
+	if !crowded && all < w.replicas {
+		t.Fatalf("%d replicas live of %d promised in %s", all, w.replicas, w.run.Phase)
+	}
+	if w.final != "" && w.run.Phase != w.final {
+		t.Fatalf("%s after %s", w.run.Phase, w.final)
+	}
+	if w.run.Phase.Final() {
+		w.final = w.run.Phase
 	}
 }
 
-// Whatever crashes between a write and what follows it, whatever comes late, two
-// owners at a time, health in any order, slots and operators: what is promised
-// stays healthy, the surge is bounded, a step is done once, and there is one
-// outcome.
-func TestRollOutModel(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		replicas := rapid.IntRange(1, 9).Draw(t, "replicas")
-		w := &world{svc: *service(replicas), jobs: map[string]int{}, of: map[string]string{}, gone: map[string]bool{}, lost: map[string]int{}, now: time.Unix(1e9, 0), replicas: replicas}
-		for left, i := replicas, 0; left > 0; i++ {
-			n := rapid.IntRange(1, left).Draw(t, "batch")
-			uid := fmt.Sprintf("j-old-%d", i)
-			w.svc.Batches = append(w.svc.Batches, rollout.Batch{UID: uid, Replicas: n, Version: "v1"})
-			w.jobs[uid], w.of[uid] = n, "v1"
-			left -= n
-		}
-		s := spec()
-		if rapid.Bool().Draw(t, "pause on failure") {
-			s.OnFail = rollout.OnFailPause
+// drive has a leader act on what it read, record what follows, and read again. If the state
+// was changed meanwhile its write fails.
+func (w *world) drive(t *rapid.T, leader int, delayed func() bool) {
+	o := w.leaders[leader]
+	w.act(&o.run, o.at, delayed)
+	w.check(t)
+	next, svc := o.run, o.svc
+	was := next.Step
+	if rollout.Next(&svc, &next, w.seen(), w.now) && o.at == w.version {
+		w.version++
+		w.run, w.svc = next, svc
+		if next.Phase == rollout.Placing && was == next.Step && len(next.New) != len(o.run.New) {
+			if w.begun[next.Step]++; w.begun[next.Step] > 1 {
+				t.Fatalf("step %d was begun twice", next.Step)
+			}
 		}
-		r, err := rollout.Plan(&w.svc, s, 1, w.now)
-		if err != nil {
-			t.Fatal(err)
+	}
+	w.check(t)
+	w.leaders[leader] = w.read()
+}
+
+// order records what an operator's verb does, if it is allowed.
+func (w *world) order(verb string) error {
+	c := w.read()
+	err := rollout.Order(&c.run, verb, w.now)
+	if err == nil {
+		w.version++
+		w.run = c.run
+	}
+	return err
+}
+
+// event lets one drawn event happen.
+func (w *world) event(t *rapid.T, delayed func() bool) {
+	switch rapid.IntRange(0, 9).Draw(t, "event") {
+	case 0:
+		w.blocked = !w.blocked
+	case 1:
+		w.hung = !w.hung
+	case 2:
+		if w.bad == "" && rapid.Bool().Draw(t, "goes bad") {
+			w.bad = "v2"
 		}
-		w.run = *r
-		hold := func() bool { return rapid.IntRange(0, 3).Draw(t, "hold") == 0 }
-		type reader struct {
-			run rollout.Run
-			svc rollout.Service
-			at  int
+	case 3:
+		_ = w.order(rapid.SampledFrom([]string{rollout.VerbPause, rollout.VerbResume, rollout.VerbResume, rollout.VerbAbort}).Draw(t, "verb")) // it may be refused
+	case 4: // delayed messages arrive
+		for _, f := range w.late {
+			f()
+			w.check(t)
 		}
-		copyOf := func() reader {
-			c := w.run
-			c.New, c.Old, c.Drop, c.Restore = append([]rollout.Batch(nil), c.New...), append([]rollout.Batch(nil), c.Old...), append([]rollout.Batch(nil), c.Drop...), append([]rollout.Batch(nil), c.Restore...)
-			return reader{c, w.svc, w.version}
+		w.late = nil
+	default:
+		w.drive(t, rapid.IntRange(0, 1).Draw(t, "leader"), delayed)
+	}
+	w.check(t)
+}
+
+// finish lets nothing fail any more, and one leader drive the roll-out to its end.
+func (w *world) finish(t *rapid.T) {
+	w.blocked, w.hung = false, false
+	never := func() bool { return false }
+	for range 80 {
+		w.now = w.now.Add(20 * time.Second)
+		for _, f := range w.late {
+			f()
 		}
-		owners := [2]reader{copyOf(), copyOf()}
-		steps := map[int]int{}
-		ever := map[string]string{}
-		var final rollout.Phase
-		check := func() {
-			healthy, all := 0, 0
-			for uid, n := range w.jobs {
-				all += n
-				if w.of[uid] != w.bad {
-					healthy += n
-				}
-				if v, had := ever[uid]; had && v != w.of[uid] {
-					t.Fatalf("%s ran %s and %s", uid, v, w.of[uid])
-				}
-				ever[uid] = w.of[uid]
+		w.late = nil
+		if w.run.Phase == rollout.Paused {
+			verb := rollout.VerbResume
+			if w.bad == "v2" {
+				verb = rollout.VerbAbort
 			}
-			// A version that goes bad when the old one is gone, and replicas
-			// that made way for a restore that finds no room, are what
-			// happens, not what was decided.
-			crowded := w.run.Phase == rollout.RollingBack && len(w.run.New) == 0
-			if w.bad == "" && !crowded && healthy < replicas {
-				t.Fatalf("%d of %d promised replicas in %s: jobs %v of %v", healthy, replicas, w.run.Phase, w.jobs, w.of)
-			}
-			if all > 3*replicas {
-				t.Fatalf("%d replicas live of %d promised", all, replicas)
-			}
-			if !crowded && all < replicas {
-				t.Fatalf("%d replicas live of %d promised in %s", all, replicas, w.run.Phase)
-			}
-			if final != "" && w.run.Phase != final {
-				t.Fatalf("%s after %s", w.run.Phase, final)
-			}
-			if w.run.Phase.Final() {
-				final = w.run.Phase
+			if err := w.order(verb); err != nil {
+				t.Fatal(err)
 			}
 		}
-		turn := func(i int) {
-			o := owners[i]
-			// A stale owner acts on what it read, and its write fails.
-			w.act(&o.run, o.at, hold)
-			check()
-			next, svc := o.run, o.svc
-			was := next.Step
-			if rollout.Next(&svc, &next, w.seen(), w.now) && o.at == w.version {
-				w.version++
-				w.run, w.svc = next, svc
-				if next.Phase == rollout.Placing && was == next.Step && len(next.New) != len(o.run.New) {
-					if steps[next.Step]++; steps[next.Step] > 1 {
-						t.Fatalf("step %d was begun twice", next.Step)
-					}
-				}
-			}
-			check()
-			owners[i] = copyOf()
+		w.drive(t, 0, never)
+	}
+}
+
+// checkEnd checks that the roll-out has ended, and that just what is recorded runs.
+func (w *world) checkEnd(t *rapid.T) {
+	if !w.run.Phase.Final() {
+		t.Fatalf("ends in %s: %s", w.run.Phase, w.run.Why)
+	}
+	all := 0
+	for _, b := range w.svc.Batches {
+		if w.jobs[b.UID] != b.Replicas || w.of[b.UID] != w.svc.Version.Name {
+			t.Fatalf("recorded %+v, runs %v of %v", b, w.jobs, w.of)
 		}
+		all += b.Replicas
+	}
+	if all != w.replicas || len(w.jobs) != len(w.svc.Batches) {
+		t.Fatalf("%d replicas recorded of %d, jobs %v", all, w.replicas, w.jobs)
+	}
+	if want := "v2"; w.run.Phase == rollout.Done && w.svc.Version.Name != want || w.run.Phase != rollout.Done && w.svc.Version.Name == want {
+		t.Fatalf("%s with %s", w.run.Phase, w.svc.Version.Name)
+	}
+}
+
+// Crashes between a write and what follows it, delayed messages, two leaders at a time, health
+// in any order, slots and operators: the promised replicas stay healthy, the surge is bounded,
+// a step is done once, and there is one outcome.
+func TestRollOutModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		w := newWorld(t)
+		delayed := func() bool { return rapid.IntRange(0, 3).Draw(t, "delayed") == 0 }
 		for range rapid.IntRange(1, 60).Draw(t, "turns") {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second)
-			switch rapid.IntRange(0, 9).Draw(t, "event") {
-			case 0:
-				w.blocked = !w.blocked
-			case 1:
-				w.hung = !w.hung
-			case 2:
-				if w.bad == "" && rapid.Bool().Draw(t, "goes bad") {
-					w.bad = "v2"
-				}
-			case 3:
-				verb := rapid.SampledFrom([]string{rollout.VerbPause, rollout.VerbResume, rollout.VerbResume, rollout.VerbAbort}).Draw(t, "verb")
-				c := copyOf()
-				if rollout.Order(&c.run, verb, w.now) == nil {
-					w.version++
-					w.run = c.run
-				}
-			case 4: // what was held back comes
-				for _, f := range w.late {
-					f()
-					check()
-				}
-				w.late = nil
-			default:
-				turn(rapid.IntRange(0, 1).Draw(t, "owner"))
-			}
-			check()
-		}
-		// With nothing wrong any more, the roll-out ends, and so do its leftovers.
-		w.blocked, w.hung = false, false
-		never := func() bool { return false }
-		for range 80 {
-			w.now = w.now.Add(20 * time.Second)
-			for _, f := range w.late {
-				f()
-			}
-			w.late = nil
-			if w.run.Phase == rollout.Paused {
-				c := copyOf()
-				if w.bad == "v2" {
-					_ = rollout.Order(&c.run, rollout.VerbAbort, w.now)
-				} else if err := rollout.Order(&c.run, rollout.VerbResume, w.now); err != nil {
-					t.Fatal(err)
-				}
-				w.version++
-				w.run = c.run
-			}
-			hold = never
-			turn(0)
-		}
-		if !w.run.Phase.Final() {
-			t.Fatalf("ends in %s: %s", w.run.Phase, w.run.Why)
-		}
-		all := 0
-		for _, b := range w.svc.Batches {
-			if w.jobs[b.UID] != b.Replicas || w.of[b.UID] != w.svc.Version.Name {
-				t.Fatalf("recorded %+v, runs %v of %v", b, w.jobs, w.of)
-			}
-			all += b.Replicas
-		}
-		if all != replicas || len(w.jobs) != len(w.svc.Batches) {
-			t.Fatalf("%d replicas recorded of %d, jobs %v", all, replicas, w.jobs)
-		}
-		if want := "v2"; w.run.Phase == rollout.Done && w.svc.Version.Name != want || w.run.Phase != rollout.Done && w.svc.Version.Name == want {
-			t.Fatalf("%s with %s", w.run.Phase, w.svc.Version.Name)
+			w.event(t, delayed)
 		}
+		w.finish(t)
+		w.checkEnd(t)
 	})
 }
