--- a/internal/submission/batched_polls_test.go
+++ b/internal/submission/batched_polls_test.go
@@ -11,52 +11,59 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
+// slowPeer responds to batches after 50 ms with the states of all jobs but j-13, or not at all
+// while it is down.
+type slowPeer struct {
+	mu       sync.Mutex
+	messages int
+	down     bool
+}
+
+func (p *slowPeer) query(_ context.Context, r Request) (Reply, bool) {
+	p.mu.Lock()
+	p.messages++
+	failed := p.down
+	p.mu.Unlock()
+	time.Sleep(50 * time.Millisecond)
+	if failed {
+		return Reply{}, false
+	}
+	rep := Reply{Status: 200}
+	for _, uid := range r.UIDs {
+		if uid == "j-13" {
+			uid = ""
+		}
+		rep.States = append(rep.States, wire.JobState{UID: uid})
+	}
+	return rep, true
+}
+
 // Of a thousand polls at once the peer gets a few messages. Each poll gets its own job's
 // state, one for a job that is unknown there none, and a peer that does not respond delays
 // no poll beyond its timeout.
 func TestPollsAreBatchedAndBoundByTheirTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var mu sync.Mutex
-		messages, down := 0, false
-		b := &pollBatcher{query: func(_ context.Context, r Request) (Reply, bool) {
-			mu.Lock()
-			messages++
-			failed := down
-			mu.Unlock()
-			time.Sleep(50 * time.Millisecond)
-			if failed {
-				return Reply{}, false
-			}
-			rep := Reply{Status: 200}
-			for _, uid := range r.UIDs {
-				if uid == "j-13" {
-					uid = ""
-				}
-				rep.States = append(rep.States, wire.JobState{UID: uid})
-			}
-			return rep, true
-		}}
+		peer := &slowPeer{}
+		b := &pollBatcher{query: peer.query}
 		var wg sync.WaitGroup
 		poll := func(i int, want bool) {
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
+			wg.Go(func() {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
 				uid := fmt.Sprintf("j-%d", i)
 				if s, ok := b.poll(ctx, uid); ok != want || ok && s.UID != uid {
 					t.Errorf("%s: %+v, %v", uid, s, ok)
 				}
-			}()
+			})
 		}
 		for i := range 1000 {
 			poll(i, i != 13)
 		}
 		wg.Wait()
-		if messages > 10 {
-			t.Errorf("%d messages", messages)
+		if peer.messages > 10 {
+			t.Errorf("%d messages", peer.messages)
 		}
-		down = true
+		peer.down = true
 		for i := range 1000 {
 			poll(i, false)
 		}
