--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -6,8 +6,6 @@
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
@@ -17,27 +15,10 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/testkit"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// checkRecorded reads a file of testdata/recorded, compares the value with want, and
-// compares the encoding of want with the file byte for byte.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", file)
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
-	}
-	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
-		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
-	}
-}
-
 // fullRequest returns a request with every field set.
 func fullRequest() wire.HireRequest {
 	return wire.HireRequest{Name: "r-12-1", Type: "large", Zone: "z1", Spot: true, Number: 50}
@@ -52,16 +33,16 @@
 
 // Controllers of different versions share the records, so their form must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "hire.json", provisionRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123, AnsweredMs: 1700000004567, Machines: []string{"m-1", "m-2"}})
-	checkRecorded(t, "hire_least.json", provisionRecord{})
-	checkRecorded(t, "types.json", machineTypes())
-	checkRecorded(t, "types_least.json", []wire.MachineType(nil))
+	recorded.Check(t, "hire", provisionRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123, AnsweredMs: 1700000004567, Machines: []string{"m-1", "m-2"}})
+	recorded.Check(t, "hire_least", provisionRecord{})
+	recorded.Check(t, "types", machineTypes())
+	recorded.Check(t, "types_least", []wire.MachineType(nil))
 	record := provisionRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123}
 	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
 	if !reflect.DeepEqual(planned.record(), record) {
 		t.Errorf("recorded as %+v, want %+v", planned.record(), record)
 	}
-	checkRecorded(t, "hire_planned.json", record)
+	recorded.Check(t, "hire_planned", record)
 }
 
 func TestRecordedKeys(t *testing.T) {
@@ -113,10 +94,7 @@
 // checkText compares what is stored under a key with a file of testdata/recorded.
 func checkText(t *testing.T, store *testkit.Store, key, file string) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := recorded.Read(t, file)
 	if got := store.Text(key); got+"\n" != string(text) {
 		t.Errorf("%s is stored as %s, want %s", key, got, text)
 	}
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -5,8 +5,6 @@
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
@@ -16,27 +14,10 @@
 	"github.com/wallrack/wallrack/internal/slurmtask"
 	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/testkit"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// checkRecorded reads a file of testdata/recorded, compares the value with want, and
-// compares the encoding of want with the file byte for byte.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", file)
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
-	}
-	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
-		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
-	}
-}
-
 // fullVersion returns a version with every field set.
 func fullVersion(name string) Version {
 	return Version{Name: name, Desc: taskspec.Spec{
@@ -90,18 +71,18 @@
 // Controllers of different versions share the records, and operators' tools read what is
 // sent, so their form must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "spec.json", fullSpec())
-	checkRecorded(t, "spec_least.json", Spec{})
-	checkRecorded(t, "run.json", fullRun())
-	checkRecorded(t, "run_least.json", Run{})
-	checkRecorded(t, "service.json", fullService())
-	checkRecorded(t, "service_least.json", Service{})
+	recorded.Check(t, "spec", fullSpec())
+	recorded.Check(t, "spec_least", Spec{})
+	recorded.Check(t, "run", fullRun())
+	recorded.Check(t, "run_least", Run{})
+	recorded.Check(t, "service", fullService())
+	recorded.Check(t, "service_least", Service{})
 	run := fullRun()
-	checkRecorded(t, "status.json", Status{Service: fullService(), Run: &run, Jobs: map[string]JobSeen{
+	recorded.Check(t, "status", Status{Service: fullService(), Run: &run, Jobs: map[string]JobSeen{
 		"j-svc-tips-3-1": {Gone: true, Running: 3, Healthy: 2, Unhealthy: "j-svc-tips-3-1/0", Hung: "j-svc-tips-3-1/1"},
 		"j-svc-tips-3-2": {},
 	}})
-	checkRecorded(t, "status_least.json", Status{})
+	recorded.Check(t, "status_least", Status{})
 }
 
 // Texts that are recorded or sent.
@@ -141,7 +122,7 @@
 	}
 	service, run := fullService(), fullRun()
 	run.Phase = Restored
-	checkRecorded(t, "run_ended.json", run)
+	recorded.Check(t, "run_ended", run)
 	if err := manager().write(t.Context(), "tips", &entry{service: service, run: &run}); err != nil {
 		t.Fatal(err)
 	}
@@ -171,11 +152,7 @@
 // recordedText returns a file of testdata/recorded without its line's end.
 func recordedText(t *testing.T, file string) json.RawMessage {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return json.RawMessage(strings.TrimSuffix(string(text), "\n"))
+	return json.RawMessage(strings.TrimSuffix(string(recorded.Read(t, file)), "\n"))
 }
 
 // The requests for checks, as a worker gets them, and its response.
--- a/internal/wire/recorded_test.go
+++ b/internal/wire/recorded_test.go
@@ -1,33 +1,15 @@
 package wire_test
 
 import (
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 
 	"github.com/goccy/go-json"
 
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// checkRecorded checks that a message that was recorded reads as want, and that want is
-// still written with the very bytes that were recorded.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(recorded, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s reads as %+v, %v; it was %+v", file, got, err, want)
-	}
-	if data, err := json.Marshal(want); err != nil || string(data)+"\n" != string(recorded) {
-		t.Errorf("%s is written as\n%s, %v; it was\n%s", file, data, err, recorded)
-	}
-}
-
 func fullTask() wire.Task {
 	exit := 137
 	return wire.Task{Task: "j-000400/7", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseError, Saved: true, Exit: &exit}
@@ -44,22 +26,19 @@
 
 // Users' messages keep their form.
 func TestRecordedUsers(t *testing.T) {
-	checkRecorded(t, "job_full.json", fullJob())
-	checkRecorded(t, "job_empty.json", wire.Job{})
-	checkRecorded(t, "job_state_full.json", wire.JobState{UID: "j-000400", Stage: wire.StageRunning, Done: 3, Running: 5})
-	checkRecorded(t, "job_state_empty.json", wire.JobState{})
-	checkRecorded(t, "machine_info_full.json", wire.MachineInfo{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, HeardS: 1.25})
-	checkRecorded(t, "machine_info_empty.json", wire.MachineInfo{})
-	checkRecorded(t, "problem_full.json", wire.Problem{Error: "uid: missing"})
-	checkRecorded(t, "problem_empty.json", wire.Problem{})
+	recorded.Check(t, "job_full", fullJob())
+	recorded.Check(t, "job_empty", wire.Job{})
+	recorded.Check(t, "job_state_full", wire.JobState{UID: "j-000400", Stage: wire.StageRunning, Done: 3, Running: 5})
+	recorded.Check(t, "job_state_empty", wire.JobState{})
+	recorded.Check(t, "machine_info_full", wire.MachineInfo{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, HeardS: 1.25})
+	recorded.Check(t, "machine_info_empty", wire.MachineInfo{})
+	recorded.Check(t, "problem_full", wire.Problem{Error: "uid: missing"})
+	recorded.Check(t, "problem_empty", wire.Problem{})
 }
 
 // A submission is read field by field, not as a whole: each field keeps its name there too.
 func TestRecordedSubmission(t *testing.T) {
-	body, err := os.ReadFile(filepath.Join("testdata", "recorded", "job_full.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	body := recorded.Read(t, "job_full.json")
 	if job, err := wire.ParseJob(body); err != nil || !reflect.DeepEqual(*job, fullJob()) {
 		t.Errorf("the recorded submission reads as %+v, %v", job, err)
 	}
@@ -77,30 +56,25 @@
 		{Verb: wire.VerbStart, Task: "j-000401/0", Attempt: 1},
 		{Verb: wire.VerbForget, Task: "j-000402/1", Attempt: 2},
 	}
-	checkRecorded(t, "report_full.json", report)
-	checkRecorded(t, "report_empty.json", wire.Report{Tasks: []wire.Task{}})
-	checkRecorded(t, "task_full.json", fullTask())
-	checkRecorded(t, "task_empty.json", wire.Task{})
-	checkRecorded(t, "command_full.json", commands[0])
-	checkRecorded(t, "command_empty.json", wire.Command{})
-	checkRecorded(t, "report_answer_full.json", wire.ReportAnswer{Token: 41, Commands: commands})
-	checkRecorded(t, "report_answer_empty.json", wire.ReportAnswer{Commands: []wire.Command{}})
+	recorded.Check(t, "report_full", report)
+	recorded.Check(t, "report_empty", wire.Report{Tasks: []wire.Task{}})
+	recorded.Check(t, "task_full", fullTask())
+	recorded.Check(t, "task_empty", wire.Task{})
+	recorded.Check(t, "command_full", commands[0])
+	recorded.Check(t, "command_empty", wire.Command{})
+	recorded.Check(t, "report_answer_full", wire.ReportAnswer{Token: 41, Commands: commands})
+	recorded.Check(t, "report_answer_empty", wire.ReportAnswer{Commands: []wire.Command{}})
 	orders := wire.Orders{Token: 41, Session: 2, Commands: commands}
-	checkRecorded(t, "orders_full.json", orders)
-	checkRecorded(t, "orders_empty.json", wire.Orders{Commands: []wire.Command{}})
-	checkRecorded(t, "redirect_full.json", wire.Redirect{ReportTo: "c2"})
-	checkRecorded(t, "redirect_empty.json", wire.Redirect{})
+	recorded.Check(t, "orders_full", orders)
+	recorded.Check(t, "orders_empty", wire.Orders{Commands: []wire.Command{}})
+	recorded.Check(t, "redirect_full", wire.Redirect{ReportTo: "c2"})
+	recorded.Check(t, "redirect_empty", wire.Redirect{})
 
-	body, err := os.ReadFile(filepath.Join("testdata", "recorded", "report_full.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	body := recorded.Read(t, "report_full.json")
 	if r, err := wire.ParseReport(body); err != nil || !reflect.DeepEqual(*r, report) {
 		t.Errorf("the recorded report reads as %+v, %v", r, err)
 	}
-	if body, err = os.ReadFile(filepath.Join("testdata", "recorded", "orders_full.json")); err != nil {
-		t.Fatal(err)
-	}
+	body = recorded.Read(t, "orders_full.json")
 	if o, err := wire.ParseOrders(body); err != nil || !reflect.DeepEqual(*o, orders) {
 		t.Errorf("the recorded orders read as %+v, %v", o, err)
 	}
@@ -109,48 +83,48 @@
 // The cloud's messages keep their form.
 func TestRecordedCloud(t *testing.T) {
 	machineType := wire.MachineType{Name: "g8", CPUs: 8, GPUs: 1, MemoryGB: 32.5, CacheGB: 100, FetchGBPerS: 0.25, Price: 1.5, SpotPrice: 0.45, BootS: 90, Zones: []string{"a", "b"}}
-	checkRecorded(t, "machine_types_full.json", wire.MachineTypes{Types: []wire.MachineType{machineType}})
-	checkRecorded(t, "machine_types_empty.json", wire.MachineTypes{})
-	checkRecorded(t, "machine_type_full.json", machineType)
-	checkRecorded(t, "machine_type_empty.json", wire.MachineType{})
-	checkRecorded(t, "hire_request_full.json", wire.HireRequest{Name: "h-17", Type: "g8", Zone: "a", Spot: true, Number: 4})
-	checkRecorded(t, "hire_request_empty.json", wire.HireRequest{})
-	checkRecorded(t, "machine_names_full.json", wire.MachineNames{Machines: []string{"n-000231", "n-000232"}})
-	checkRecorded(t, "machine_names_empty.json", wire.MachineNames{})
+	recorded.Check(t, "machine_types_full", wire.MachineTypes{Types: []wire.MachineType{machineType}})
+	recorded.Check(t, "machine_types_empty", wire.MachineTypes{})
+	recorded.Check(t, "machine_type_full", machineType)
+	recorded.Check(t, "machine_type_empty", wire.MachineType{})
+	recorded.Check(t, "hire_request_full", wire.HireRequest{Name: "h-17", Type: "g8", Zone: "a", Spot: true, Number: 4})
+	recorded.Check(t, "hire_request_empty", wire.HireRequest{})
+	recorded.Check(t, "machine_names_full", wire.MachineNames{Machines: []string{"n-000231", "n-000232"}})
+	recorded.Check(t, "machine_names_empty", wire.MachineNames{})
 	listed := wire.ListedMachine{Name: "n-000231", Endpoint: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Stage: wire.MachineBooting, AgeS: 61.5}
-	checkRecorded(t, "listed_machine_full.json", listed)
-	checkRecorded(t, "listed_machine_empty.json", wire.ListedMachine{})
-	checkRecorded(t, "machine_list_full.json", wire.MachineList{Machines: []wire.ListedMachine{listed}, More: true})
-	checkRecorded(t, "machine_list_empty.json", wire.MachineList{})
+	recorded.Check(t, "listed_machine_full", listed)
+	recorded.Check(t, "listed_machine_empty", wire.ListedMachine{})
+	recorded.Check(t, "machine_list_full", wire.MachineList{Machines: []wire.ListedMachine{listed}, More: true})
+	recorded.Check(t, "machine_list_empty", wire.MachineList{})
 }
 
 // The state service's messages keep their form.
 func TestRecordedState(t *testing.T) {
 	value, none := json.RawMessage(`{"stage":"done"}`), json.RawMessage("null")
 	item := wire.Item{Key: "/store/c/term", Value: value, Version: 12, Lease: 5}
-	checkRecorded(t, "item_full.json", item)
-	checkRecorded(t, "item_empty.json", wire.Item{Value: none})
-	checkRecorded(t, "items_full.json", wire.Items{Items: []wire.Item{item}, More: true, Revision: 99})
-	checkRecorded(t, "items_empty.json", wire.Items{})
+	recorded.Check(t, "item_full", item)
+	recorded.Check(t, "item_empty", wire.Item{Value: none})
+	recorded.Check(t, "items_full", wire.Items{Items: []wire.Item{item}, More: true, Revision: 99})
+	recorded.Check(t, "items_empty", wire.Items{})
 	guard := wire.Guard{Key: "/store/c/term", Version: 12}
-	checkRecorded(t, "guard_full.json", guard)
-	checkRecorded(t, "guard_empty.json", wire.Guard{})
+	recorded.Check(t, "guard_full", guard)
+	recorded.Check(t, "guard_empty", wire.Guard{})
 	op := wire.Op{Put: "/store/c/term", Value: map[string]any{"stage": "done"}, Lease: 5, Delete: "/store/c/old"}
-	checkRecorded(t, "op_full.json", op)
-	checkRecorded(t, "op_empty.json", wire.Op{})
-	checkRecorded(t, "txn_full.json", wire.Txn{If: []wire.Guard{guard}, Then: []wire.Op{op}})
-	checkRecorded(t, "txn_empty.json", wire.Txn{})
-	checkRecorded(t, "txn_answer_full.json", wire.TxnAnswer{Revision: 99, Failed: []string{"/store/c/term"}})
-	checkRecorded(t, "txn_answer_empty.json", wire.TxnAnswer{})
-	checkRecorded(t, "lease_request_full.json", wire.LeaseRequest{TTLMs: 8000})
-	checkRecorded(t, "lease_request_empty.json", wire.LeaseRequest{})
-	checkRecorded(t, "lease_answer_full.json", wire.LeaseAnswer{Lease: 5})
-	checkRecorded(t, "lease_answer_empty.json", wire.LeaseAnswer{})
+	recorded.Check(t, "op_full", op)
+	recorded.Check(t, "op_empty", wire.Op{})
+	recorded.Check(t, "txn_full", wire.Txn{If: []wire.Guard{guard}, Then: []wire.Op{op}})
+	recorded.Check(t, "txn_empty", wire.Txn{})
+	recorded.Check(t, "txn_answer_full", wire.TxnAnswer{Revision: 99, Failed: []string{"/store/c/term"}})
+	recorded.Check(t, "txn_answer_empty", wire.TxnAnswer{})
+	recorded.Check(t, "lease_request_full", wire.LeaseRequest{TTLMs: 8000})
+	recorded.Check(t, "lease_request_empty", wire.LeaseRequest{})
+	recorded.Check(t, "lease_answer_full", wire.LeaseAnswer{Lease: 5})
+	recorded.Check(t, "lease_answer_empty", wire.LeaseAnswer{})
 	event := wire.Event{Put: "/store/c/term", Delete: "/store/c/old", Value: value, Version: 12}
-	checkRecorded(t, "event_full.json", event)
-	checkRecorded(t, "event_empty.json", wire.Event{Value: none})
-	checkRecorded(t, "events_full.json", wire.Events{Revision: 99, Events: []wire.Event{event}})
-	checkRecorded(t, "events_empty.json", wire.Events{})
+	recorded.Check(t, "event_full", event)
+	recorded.Check(t, "event_empty", wire.Event{Value: none})
+	recorded.Check(t, "events_full", wire.Events{Revision: 99, Events: []wire.Event{event}})
+	recorded.Check(t, "events_empty", wire.Events{})
 }
 
 // The words that messages carry are part of their form.
