--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -122,8 +122,8 @@
 // Register adds the interface's paths.
 func (s *Service) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST /api/jobs", limited(s.submitSlots, s.submit))
-	mux.HandleFunc("GET /api/jobs/{id}", limited(s.otherSlots, s.poll))
-	mux.HandleFunc("POST /api/jobs/{id}/cancel", limited(s.otherSlots, s.cancel))
+	mux.HandleFunc("GET /api/jobs/{id}", limited(s.otherSlots, s.jobRequest(VerbPoll, pollTimeout, s.poll)))
+	mux.HandleFunc("POST /api/jobs/{id}/cancel", limited(s.otherSlots, s.jobRequest(VerbCancel, writeTimeout, s.cancel)))
 	mux.HandleFunc("GET /up", s.up)
 }
 
@@ -204,40 +204,40 @@
 	return s.confirmed(s.serveAnywhere(ctx, req))
 }
 
-func (s *Service) poll(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), pollTimeout)
-	defer cancel()
-	req := Request{Verb: VerbPoll, UID: r.PathValue("id")}
-	if !wire.ValidJobID(req.UID) {
-		refuse(w, http.StatusNotFound, "no such job")
-		return
+// jobRequest serves requests about the job in the path, in the given time at most.
+func (s *Service) jobRequest(verb string, timeout time.Duration, serve func(ctx context.Context, req Request) Reply) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		ctx, cancel := context.WithTimeout(r.Context(), timeout)
+		defer cancel()
+		req := Request{Verb: verb, UID: r.PathValue("id")}
+		if !wire.ValidJobID(req.UID) {
+			refuse(w, http.StatusNotFound, "no such job")
+			return
+		}
+		s.respond(w, serve(ctx, req))
 	}
+}
+
+// poll reads a job's state: from the memory of the controller that leads it, if that responds,
+// which saves the state service a request.
+func (s *Service) poll(ctx context.Context, req Request) Reply {
 	if state, ok := s.jobs.LocalState(req.UID); ok {
-		s.respond(w, Reply{Status: http.StatusOK, State: state})
-		return
+		return Reply{Status: http.StatusOK, State: state}
 	}
 	for _, peer := range s.peers.ShardOwners() {
 		if state, ok := s.batcher(peer).poll(ctx, req.UID); ok {
-			s.respond(w, Reply{Status: http.StatusOK, State: state})
-			return
+			return Reply{Status: http.StatusOK, State: state}
 		}
 	}
-	s.respond(w, s.serveAnywhere(ctx, req))
+	return s.serveAnywhere(ctx, req)
 }
 
-func (s *Service) cancel(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), writeTimeout)
-	defer cancel()
-	req := Request{Verb: VerbCancel, UID: r.PathValue("id")}
-	if !wire.ValidJobID(req.UID) {
-		refuse(w, http.StatusNotFound, "no such job")
-		return
-	}
+// cancel cancels a job, at the controller that leads it if that responds.
+func (s *Service) cancel(ctx context.Context, req Request) Reply {
 	if rep, ok := s.queryFirst(ctx, s.peers.ShardOwners(), req); ok {
-		s.respond(w, rep)
-		return
+		return rep
 	}
-	s.respond(w, s.serveAnywhere(ctx, req))
+	return s.serveAnywhere(ctx, req)
 }
 
 // query has a peer serve a request; false if it fails or the outcome stays unknown.
