--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -133,7 +133,7 @@
 	recording  bool                          // a transaction for answered is under way
 	seq        int                           // of the last provision's name
 	refusals   map[offer]refusal
-	deleting   map[string]bool // requested to be deleted, or deleted and perhaps still listed
+	deleting   map[string]time.Time // machines to be deleted; if they are, until when lists may show them
 
 	usedCPUs       float64   // running average of CPUs in use
 	arrivalCPUs    float64   // running average of CPUs that new work keeps in use
@@ -152,7 +152,7 @@
 	return &Autoscaler{
 		cfg: cfg, op: op, cloud: cloud, catalog: catalog, store: store, member: member, scheduler: o, dispatcher: h, log: log,
 		instances: map[string]*instance{}, provisions: map[string]*provision{}, answered: map[string]*answeredProvision{},
-		refusals: map[offer]refusal{}, deleting: map[string]bool{},
+		refusals: map[offer]refusal{}, deleting: map[string]time.Time{},
 	}
 }
 
@@ -202,6 +202,7 @@
 	defer a.mu.Unlock()
 	a.instances, a.provisions, a.answered = map[string]*instance{}, map[string]*provision{}, map[string]*answeredProvision{}
 	a.leadingSince, a.newestList = time.Now(), time.Time{}
+	a.forgetDeleted(a.leadingSince)
 }
 
 // loadProvisions reads the records of provisions; false if that failed.
@@ -265,6 +266,7 @@
 func (a *Autoscaler) decide(now time.Time, demand []planner.Demand, loads []planner.WorkerLoad, unwanted map[string]string) decisions {
 	a.mu.Lock()
 	defer a.mu.Unlock()
+	a.forgetDeleted(now)
 	a.observe(now, loads, unwanted)
 	a.updateArrivals(now, a.scheduler.AdmittedWork())
 	a.triage(now, unwanted)
@@ -306,7 +308,7 @@
 		}
 		inst := a.instances[load.Name]
 		if inst == nil {
-			if a.deleting[load.Name] {
+			if a.isDeleting(load.Name) {
 				continue
 			}
 			inst = &instance{name: load.Name, discovered: now, provisioned: now}
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -54,7 +54,7 @@
 	a.newestList = later(a.newestList, requested)
 	failed, endpoints = map[string]string{}, map[string]string{}
 	for _, machine := range list {
-		if a.deleting[machine.Name] {
+		if a.isDeleting(machine.Name) {
 			continue
 		}
 		inst := a.instances[machine.Name]
@@ -84,7 +84,7 @@
 // by all that controllers know, as when it became so together with one of them, and its tasks
 // would wait for a lease and more. To delete it makes sure. Called with mu held.
 func (a *Autoscaler) vanished(name string, existed time.Time) bool {
-	if a.deleting[name] || a.newestList.Sub(existed) <= a.maxListAge() {
+	if a.isDeleting(name) || a.newestList.Sub(existed) <= a.maxListAge() {
 		return false
 	}
 	inst := a.instances[name]
@@ -95,7 +95,7 @@
 // are faulty, or are idle and drained. Called with mu held.
 func (a *Autoscaler) triage(now time.Time, unwanted map[string]string) {
 	for name, inst := range a.instances {
-		if a.deleting[name] {
+		if a.isDeleting(name) {
 			continue
 		}
 		switch {
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -15,7 +15,7 @@
 func (a *Autoscaler) countByOffer() map[offer]int {
 	n := map[offer]int{}
 	for name, inst := range a.instances {
-		if !a.deleting[name] {
+		if !a.isDeleting(name) {
 			n[inst.offer]++
 		}
 	}
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -91,7 +91,7 @@
 func (a *Autoscaler) simulate(now time.Time) simulation {
 	sim := simulation{scaler: a, wants: map[offer]int{}}
 	for name, inst := range a.instances {
-		if a.deleting[name] || !inst.drainingSince.IsZero() || inst.load != nil && (inst.load.Notice || inst.load.Faulty) {
+		if a.isDeleting(name) || !inst.drainingSince.IsZero() || inst.load != nil && (inst.load.Notice || inst.load.Faulty) {
 			continue
 		}
 		t, ok := a.catalog.Type(inst.offer.Type)
--- a/internal/autoscaler/provision_record.go
+++ b/internal/autoscaler/provision_record.go
@@ -125,7 +125,7 @@
 // mu held.
 func (a *Autoscaler) expect(record provisionRecord, now time.Time) {
 	for _, name := range record.Machines {
-		if a.instances[name] == nil && !a.deleting[name] {
+		if a.instances[name] == nil && !a.isDeleting(name) {
 			a.instances[name] = &instance{name: name, offer: record.offer(), provisioned: time.UnixMilli(record.PlannedMs), discovered: now, listed: now, stage: wire.MachineBooting}
 		}
 	}
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -48,7 +48,7 @@
 	}
 	for name, inst := range a.instances {
 		t, ok := a.catalog.Type(inst.offer.Type)
-		if !ok || inst.load == nil || a.deleting[name] || inst.load.Notice || a.unresponsive(inst, now) {
+		if !ok || inst.load == nil || a.isDeleting(name) || inst.load.Notice || a.unresponsive(inst, now) {
 			continue
 		}
 		if !inst.cordoned {
@@ -135,7 +135,7 @@
 // CPUs of all.
 func (a *Autoscaler) idleWorkers(now time.Time) (idle []*instance, totalCPUs float64) {
 	for name, inst := range a.instances {
-		if inst.load == nil || a.deleting[name] || a.unresponsive(inst, now) {
+		if inst.load == nil || a.isDeleting(name) || a.unresponsive(inst, now) {
 			continue
 		}
 		if t, ok := a.catalog.Type(inst.offer.Type); ok {
@@ -177,12 +177,28 @@
 		a.scheduler.WorkerGone(name)
 	}
 	a.mu.Lock()
+	defer a.mu.Unlock()
+	unlisted := time.Now().Add(2*a.maxListLag() + time.Minute)
 	for _, name := range batch {
 		delete(a.instances, name)
+		a.deleting[name] = unlisted
+	}
+}
+
+// isDeleting reports whether a machine is being deleted, or was and may still be listed. Called
+// with mu held.
+func (a *Autoscaler) isDeleting(name string) bool {
+	_, ok := a.deleting[name]
+	return ok
+}
+
+// forgetDeleted drops the deleted machines that no list shows any more. Called with mu held.
+func (a *Autoscaler) forgetDeleted(now time.Time) {
+	for name, unlisted := range a.deleting {
+		if !unlisted.IsZero() && now.After(unlisted) {
+			delete(a.deleting, name)
+		}
 	}
-	a.mu.Unlock()
-	// The list lags: for a while it may still show them.
-	time.AfterFunc(seconds(4*a.cfg.Params.Cloud.ListLagS)+time.Minute, func() { a.stopDeleting(batch) })
 }
 
 // startDeleting marks machines as being deleted that aren't yet, and returns them.
@@ -190,14 +206,15 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for name := range reasons {
-		if !a.deleting[name] && len(batch) < maxDelete {
-			a.deleting[name] = true
+		if !a.isDeleting(name) && len(batch) < maxDelete {
+			a.deleting[name] = time.Time{}
 			batch = append(batch, name)
 		}
 	}
 	return batch
 }
 
+// stopDeleting takes the marks back.
 func (a *Autoscaler) stopDeleting(batch []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
