--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -6,8 +6,6 @@
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
@@ -17,28 +15,11 @@
 
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/testkit"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// checkRecorded reads a file of testdata/recorded, compares the value with want, and
-// compares the encoding of want with the file byte for byte.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", file)
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
-	}
-	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
-		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
-	}
-}
-
-// fullRequest returns a hire with every field set.
+// fullRequest returns a request with every field set.
 func fullRequest() wire.HireRequest {
 	return wire.HireRequest{Name: "r-12-1", Type: "large", Zone: "z1", Spot: true, Number: 50}
 }
@@ -52,16 +33,16 @@
 
 // Controllers of different versions share the records, so their form must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "hire.json", provisionRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123, AnsweredMs: 1700000004567, Machines: []string{"m-1", "m-2"}})
-	checkRecorded(t, "hire_least.json", provisionRecord{})
-	checkRecorded(t, "types.json", machineTypes())
-	checkRecorded(t, "types_least.json", []wire.MachineType(nil))
+	recorded.Check(t, "hire", provisionRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123, AnsweredMs: 1700000004567, Machines: []string{"m-1", "m-2"}})
+	recorded.Check(t, "hire_least", provisionRecord{})
+	recorded.Check(t, "types", machineTypes())
+	recorded.Check(t, "types_least", []wire.MachineType(nil))
 	record := provisionRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123}
-	planned := &provision{req: fullRequest(), made: time.UnixMilli(1700000000123)}
+	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
 	if !reflect.DeepEqual(planned.record(), record) {
 		t.Errorf("recorded as %+v, want %+v", planned.record(), record)
 	}
-	checkRecorded(t, "hire_planned.json", record)
+	recorded.Check(t, "hire_planned", record)
 }
 
 func TestRecordedKeys(t *testing.T) {
@@ -70,23 +51,23 @@
 	}
 }
 
-// The cloud's text for what is not to be had.
+// The cloud's text for an offer without capacity.
 func TestRecordedProblem(t *testing.T) {
 	if text := errNoCapacity.Error(); text != "no capacity" {
 		t.Errorf("%q", text)
 	}
 }
 
-// leader owns shard 0 as of a version of its key.
+// leader leads shard 0 as of a version of its key.
 type leader struct{ version uint64 }
 
 func (l leader) FencingToken() uint64          { return 12 }
 func (l leader) ClaimedShards() map[int]uint64 { return map[int]uint64{0: l.version} }
-func (l leader) ShardKey(shard int) string     { return "c/shard/000" }
+func (l leader) ShardKey(int) string           { return "c/shard/000" }
 
-// What the fleet writes, as the state service has it: a hire before the cloud is asked and
-// after it has answered, and the machine types.
-func TestRecordedByFleet(t *testing.T) {
+// What the autoscaler writes, as the state service has it: a provision before the cloud gets
+// the request and after it has answered, and the machine types.
+func TestRecordedByAutoscaler(t *testing.T) {
 	store := testkit.NewStore()
 	view := &testkit.View{Store: store}
 	version, err := view.Txn(t.Context(), nil, wire.Op{Put: "c/shard/000", Value: 0})
@@ -95,28 +76,25 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	catalog := NewCatalog(nil, view, log)
-	fleet := New(&config.Platform{}, &config.Operator{}, nil, catalog, view, leader{version}, nil, nil, log)
-	planned := &provision{req: fullRequest(), made: time.UnixMilli(1700000000123)}
-	if err := fleet.write(t.Context(), planned); err != nil {
+	a := New(&config.Platform{}, &config.Operator{}, nil, catalog, view, leader{version}, nil, nil, log)
+	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
+	if err := a.write(t.Context(), planned); err != nil {
 		t.Fatal(err)
 	}
 	checkText(t, store, "fleet/hire/r-12-1", "hire_planned.json")
 	answered := planned.record()
 	answered.AnsweredMs, answered.Machines = 1700000004567, []string{"m-1", "m-2"}
-	fleet.answered["r-12-1"] = &answeredProvision{record: answered, until: time.Now().Add(time.Hour)}
-	fleet.recordAnswers(t.Context())
+	a.answered["r-12-1"] = &answeredProvision{record: answered, until: time.Now().Add(time.Hour)}
+	a.recordAnswers(t.Context())
 	checkText(t, store, "fleet/hire/r-12-1", "hire.json")
-	catalog.keep(t.Context(), machineTypes())
+	catalog.persist(t.Context(), machineTypes())
 	checkText(t, store, "fleet/types", "types.json")
 }
 
 // checkText compares what is stored under a key with a file of testdata/recorded.
 func checkText(t *testing.T, store *testkit.Store, key, file string) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := recorded.Read(t, file)
 	if got := store.Text(key); got+"\n" != string(text) {
 		t.Errorf("%s is stored as %s, want %s", key, got, text)
 	}
@@ -136,11 +114,11 @@
 	}))
 	defer server.Close()
 	cloud := NewCloud(strings.TrimPrefix(server.URL, "http://"), 1000)
-	_, typesErr := cloud.types(t.Context())
-	_, hireErr := cloud.hire(t.Context(), fullRequest())
-	releaseErr := cloud.release(t.Context(), []string{"m-1", "m-2"})
-	_, listErr := cloud.list(t.Context())
-	if err := errors.Join(typesErr, hireErr, releaseErr, listErr); err != nil {
+	_, typesErr := cloud.machineTypes(t.Context())
+	_, provisionErr := cloud.provision(t.Context(), fullRequest())
+	deleteErr := cloud.deleteMachines(t.Context(), []string{"m-1", "m-2"})
+	_, listErr := cloud.listMachines(t.Context())
+	if err := errors.Join(typesErr, provisionErr, deleteErr, listErr); err != nil {
 		t.Error(err)
 	}
 	if want := []string{
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -5,8 +5,6 @@
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
@@ -16,27 +14,10 @@
 	"github.com/wallrack/wallrack/internal/slurmtask"
 	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/testkit"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// checkRecorded reads a file of testdata/recorded, compares the value with want, and
-// compares the encoding of want with the file byte for byte.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", file)
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read as %+v, %v; want %+v", file, got, err, want)
-	}
-	if encoded, err := json.Marshal(want); err != nil || string(encoded)+"\n" != string(text) {
-		t.Errorf("%s: encoded as %s, %v; want %s", file, encoded, err, text)
-	}
-}
-
 // fullVersion returns a version with every field set.
 func fullVersion(name string) Version {
 	return Version{Name: name, Desc: taskspec.Spec{
@@ -90,27 +71,31 @@
 // Controllers of different versions share the records, and operators' tools read what is
 // sent, so their form must not change.
 func TestRecordedForms(t *testing.T) {
-	checkRecorded(t, "spec.json", fullSpec())
-	checkRecorded(t, "spec_least.json", Spec{})
-	checkRecorded(t, "run.json", fullRun())
-	checkRecorded(t, "run_least.json", Run{})
-	checkRecorded(t, "service.json", fullService())
-	checkRecorded(t, "service_least.json", Service{})
+	recorded.Check(t, "spec", fullSpec())
+	recorded.Check(t, "spec_least", Spec{})
+	recorded.Check(t, "run", fullRun())
+	recorded.Check(t, "run_least", Run{})
+	recorded.Check(t, "service", fullService())
+	recorded.Check(t, "service_least", Service{})
 	run := fullRun()
-	checkRecorded(t, "status.json", Status{Service: fullService(), Run: &run, Jobs: map[string]JobSeen{
+	recorded.Check(t, "status", Status{Service: fullService(), Run: &run, Jobs: map[string]JobSeen{
 		"j-svc-tips-3-1": {Gone: true, Running: 3, Healthy: 2, Unhealthy: "j-svc-tips-3-1/0", Hung: "j-svc-tips-3-1/1"},
 		"j-svc-tips-3-2": {},
 	}})
-	checkRecorded(t, "status_least.json", Status{})
+	recorded.Check(t, "status_least", Status{})
 }
 
 // Texts that are recorded or sent.
 func TestRecordedTexts(t *testing.T) {
-	got := []any{Pending, WaitingSlot, Placing, Soaking, Retiring, Paused, RollingBack, Done, Aborted, Restored,
-		Healthy, Unhealthy, Hung, Silent, OnFailRollback, OnFailPause, VerbPause, VerbResume, VerbAbort}
-	want := []any{Phase("pending"), Phase("waiting-for-slot"), Phase("placing"), Phase("soaking"), Phase("retiring"), Phase("paused"),
+	got := []any{
+		Pending, WaitingSlot, Placing, Soaking, Retiring, Paused, RollingBack, Done, Aborted, Restored,
+		Healthy, Unhealthy, Hung, Unknown, OnFailRollback, OnFailPause, VerbPause, VerbResume, VerbAbort,
+	}
+	want := []any{
+		Phase("pending"), Phase("waiting-for-slot"), Phase("placing"), Phase("soaking"), Phase("retiring"), Phase("paused"),
 		Phase("rolling-back"), Phase("done"), Phase("aborted"), Phase("restored"),
-		Answer("healthy"), Answer("unhealthy"), Answer("hung"), Answer(""), "rollback", "pause", "pause", "resume", "abort"}
+		Health("healthy"), Health("unhealthy"), Health("hung"), Health(""), "rollback", "pause", "pause", "resume", "abort",
+	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
@@ -137,12 +122,13 @@
 	}
 	service, run := fullService(), fullRun()
 	run.Phase = Restored
-	checkRecorded(t, "run_ended.json", run)
-	if err := manager().write(t.Context(), "tips", &service, 0, &run, 0); err != nil {
+	recorded.Check(t, "run_ended", run)
+	if err := manager().write(t.Context(), "tips", &entry{service: service, run: &run}); err != nil {
 		t.Fatal(err)
 	}
-	var items []wire.Item
-	for _, key := range store.Keys("") {
+	keys := store.Keys("")
+	items := make([]wire.Item, 0, len(keys))
+	for _, key := range keys {
 		items = append(items, wire.Item{Key: key, Value: json.RawMessage(store.Text(key)), Version: 1})
 	}
 	runText, serviceText := recordedText(t, "run_ended.json"), recordedText(t, "service.json")
@@ -166,14 +152,10 @@
 // recordedText returns a file of testdata/recorded without its line's end.
 func recordedText(t *testing.T, file string) json.RawMessage {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return json.RawMessage(strings.TrimSuffix(string(text), "\n"))
+	return json.RawMessage(strings.TrimSuffix(string(recorded.Read(t, file)), "\n"))
 }
 
-// The requests for checks, as a worker gets them, and its answer.
+// The requests for checks, as a worker gets them, and its response.
 func TestRecordedProbe(t *testing.T) {
 	var requests []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -183,8 +165,8 @@
 	defer server.Close()
 	replica := Replica{Task: "j-1/0", Attempt: 5, Endpoint: strings.TrimPrefix(server.URL, "http://")}
 	for _, check := range []Check{{HTTP: "/up?x=1", TimeoutS: 1.5}, {TCP: true, TimeoutS: 1}} {
-		if answer := NewWorkerProber().Probe(t.Context(), replica, check); answer != Hung {
-			t.Errorf("%+v: %q", check, answer)
+		if health := NewWorkerProber().Probe(t.Context(), replica, check); health != Hung {
+			t.Errorf("%+v: %q", check, health)
 		}
 	}
 	if want := []string{"GET /check/j-1/0/5?http=%2Fup%3Fx%3D1&timeoutMs=1500", "GET /check/j-1/0/5?tcp=1&timeoutMs=1000"}; !reflect.DeepEqual(requests, want) {
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -30,7 +30,7 @@
 	version uint64 // of the shard's key
 	jobs    map[string]*live
 	descs   map[string]string
-	health  func(version string, replica int, since time.Duration) rollout.Answer
+	health  func(version string, replica int, since time.Duration) rollout.Health
 	most    map[string]int // most live replicas of a version at once
 	least   int            // fewest healthy replicas since the first version was whole
 	whole   bool
@@ -44,7 +44,7 @@
 	n       int
 	since   time.Time
 	stopped bool
-	lost    int // replicas gone with their machines until back
+	lost    int // replicas lost with their machines until back
 	back    time.Time
 }
 
@@ -120,15 +120,18 @@
 	return time.Now().Before(c.outUntil)
 }
 
-// setUnfinished says whether jobs of a class are unfinished from now on.
-func (c *core) setUnfinished(class string, unfinished bool) {
+// slotClass is the class whose unfinished jobs keep steps from beginning.
+const slotClass = "tip-split"
+
+// setUnfinished sets whether jobs of slotClass are unfinished from now on.
+func (c *core) setUnfinished(unfinished bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.classes[class] = unfinished
+	c.classes[slotClass] = unfinished
 }
 
-// setHealth has replicas answer checks otherwise from now on.
-func (c *core) setHealth(health func(version string, replica int, since time.Duration) rollout.Answer) {
+// setHealth sets the results of checks from now on.
+func (c *core) setHealth(health func(version string, replica int, since time.Duration) rollout.Health) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.health = health
@@ -142,13 +145,13 @@
 	return nil
 }
 
-func (c *core) answer(task string) rollout.Answer {
+func (c *core) healthOf(task string) rollout.Health {
 	uid, n, _ := strings.Cut(task, "/")
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[uid]
 	if j == nil || j.stopped {
-		return rollout.Silent
+		return rollout.Unknown
 	}
 	replica := 0
 	_, _ = fmt.Sscan(n, &replica) // tasks are numbered
@@ -156,16 +159,16 @@
 }
 
 // Probe implements rollout.Prober.
-func (c *core) Probe(ctx context.Context, r rollout.Replica, check rollout.Check) rollout.Answer {
-	a := c.answer(r.Task)
-	if a == rollout.Hung {
+func (c *core) Probe(ctx context.Context, r rollout.Replica, check rollout.Check) rollout.Health {
+	health := c.healthOf(r.Task)
+	if health == rollout.Hung {
 		select {
 		case <-ctx.Done():
-			return rollout.Silent
+			return rollout.Unknown
 		case <-time.After(time.Duration(check.TimeoutS * float64(time.Second))):
 		}
 	}
-	return a
+	return health
 }
 
 // count records the fewest healthy and the most live replicas of a version.
@@ -198,7 +201,7 @@
 	}
 }
 
-func healthyAlways(string, int, time.Duration) rollout.Answer { return rollout.Healthy }
+func healthyAlways(string, int, time.Duration) rollout.Health { return rollout.Healthy }
 
 // site is managers a and b over one store.
 type site struct {
@@ -238,7 +241,7 @@
 	<-s.dones[name]
 }
 
-// lead moves the jobs to another controller.
+// lead makes another controller the leader.
 func (s *site) lead(name string) {
 	rev, err := (&testkit.View{Store: s.store}).Txn(context.Background(), nil, wire.Op{Put: shardKey, Value: 1})
 	s.mu.Lock()
@@ -254,8 +257,9 @@
 	s.stop("b")
 }
 
-func (s *site) run(name string) *rollout.Run {
-	for _, st := range s.managers[name].Statuses() {
+// run is the roll-out as the manager sees it that does not drive it at first.
+func (s *site) run() *rollout.Run {
+	for _, st := range s.managers["b"].Statuses() {
 		if st.Service.Name == "tips" {
 			return st.Run
 		}
@@ -268,7 +272,7 @@
 func (s *site) until(what string, most time.Duration, so func(*rollout.Run) bool) time.Duration {
 	began := time.Now()
 	for {
-		r := s.run("b")
+		r := s.run()
 		if r != nil && so(r) {
 			return time.Since(began)
 		}
