--- a/cmd/wallrack/main.go
+++ b/cmd/wallrack/main.go
@@ -14,6 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/controller"
 	"github.com/wallrack/wallrack/internal/quota"
 	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/slurmapi"
@@ -75,18 +76,18 @@
 			if err != nil {
 				return err
 			}
-			var more extras
+			o := controller.Options{Platform: p, Operator: op, Version: version, Log: log.With("node", p.Node)}
 			if rollouts != "" {
-				if more.rollouts, err = rollout.LoadSettings(rollouts); err != nil {
+				if o.Rollouts, err = rollout.LoadSettings(rollouts); err != nil {
 					return err
 				}
 			}
 			if slurm != "" {
-				if more.slurm, err = slurmapi.LoadSettings(slurm); err != nil {
+				if o.Slurm, err = slurmapi.LoadSettings(slurm); err != nil {
 					return err
 				}
 			}
-			return run(cmd.Context(), p, op, more, log.With("node", p.Node))
+			return controller.Run(cmd.Context(), o)
 		},
 	}
 	root.PersistentFlags().StringVar(&platform, "config", "", "the platform's settings file (TOML)")
--- a/cmd/wallrack/daemon.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,6 @@
-package main
+// Package controller assembles a controller of the parts in the other packages, joins them
+// with those of its peers over the mesh, and runs them.
+package controller
 
 import (
 	"context"
@@ -46,14 +48,19 @@
 // processor time, of which there is not.
 const garbagePercent = 500
 
-// extras are the settings of what is off without them.
-type extras struct {
-	rollouts *rollout.Settings
-	slurm    *slurmapi.Settings
+// Options are a controller's settings.
+type Options struct {
+	Platform *config.Platform
+	Operator *config.Operator
+	Rollouts *rollout.Settings  // nil: there are no roll-outs
+	Slurm    *slurmapi.Settings // nil: Slurm-style clients and accounting are off
+	Version  string             // for the log
+	Log      *slog.Logger
 }
 
-// run assembles the slices and runs them until ctx ends.
-func run(ctx context.Context, p *config.Platform, op *config.Operator, more extras, log *slog.Logger) error {
+// Run assembles the parts and runs them until ctx ends.
+func Run(ctx context.Context, o Options) error {
+	p, op, log := o.Platform, o.Operator, o.Log
 	runtime.GOMAXPROCS(1) // a controller has a share of one core
 	debug.SetGCPercent(garbagePercent)
 	debug.SetMemoryLimit(int64(p.Params.Limits.RAMMB * memoryShare * (1 << 20)))
@@ -81,7 +88,7 @@
 	n.cancels.OnCancelled, n.cancels.OnUpdates, n.tellCancels = n.recall, n.cancelNews, make(chan struct{}, 1)
 	n.owner = scheduler.New(scheduler.Options{
 		Platform: p, Operator: op, Store: store, Member: member, Dispatchers: n, MachineTypes: catalog, Log: log,
-		Cancellations: n.cancels, RemoteJobs: n, AccountingEnabled: more.slurm != nil && more.slurm.Accounts,
+		Cancellations: n.cancels, RemoteJobs: n, AccountingEnabled: o.Slurm != nil && o.Slurm.Accounts,
 	})
 	inbound := &door{}
 	budget := sockets.Budget{Limit: p.Params.Limits.Sockets, Peers: len(p.Peers), Accepted: inbound.count}
@@ -128,9 +135,9 @@
 	})
 	mux.HandleFunc("GET /ops/machines", n.serveMachines)
 	mux.HandleFunc("GET /ops/links", n.serveLinks)
-	n.slurm(more.slurm, catalog, mux)
-	if more.rollouts != nil {
-		m := n.newRollouts(more.rollouts)
+	n.slurm(o.Slurm, catalog, mux)
+	if o.Rollouts != nil {
+		m := n.newRollouts(o.Rollouts)
 		boxes.ReservedCPUs = m.Held
 		n.serveRollouts(mux, m)
 		g.Go(func() error { return m.Run(ctx) })
@@ -167,7 +174,7 @@
 	g.Go(func() error { return n.publish(ctx) })
 	g.Go(func() error { return n.vouch(ctx) })
 	g.Go(func() error { return n.watchLeases(ctx) })
-	log.Info("started", "version", version)
+	log.Info("started", "version", o.Version)
 	err = g.Wait()
 	n.holder.Wait()
 	if errors.Is(err, context.Canceled) {
--- a/cmd/wallrack/listen_test.go
+++ b/internal/controller/listen_test.go
@@ -1,4 +1,4 @@
-package main
+package controller
 
 import (
 	"bufio"
--- a/cmd/wallrack/start_test.go
+++ b/internal/controller/start_test.go
@@ -1,4 +1,4 @@
-package main
+package controller
 
 import (
 	"context"
@@ -54,7 +54,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
-	if err := run(ctx, p, op, extras{}, slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil && ctx.Err() == nil {
+	if err := Run(ctx, Options{Platform: p, Operator: op, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}); err != nil && ctx.Err() == nil {
 		t.Fatal(err)
 	}
 }
