--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -81,7 +81,7 @@
 
 // Autoscaler rents and returns machines.
 type Autoscaler struct {
-	ReservedCPUs func() float64 // CPUs to be kept for what may come back; nil: none. Set it before Run
+	reservedCPUs func() float64
 
 	cfg        *config.Platform
 	op         *config.Operator
@@ -116,10 +116,28 @@
 	sending   map[string]bool // being returned
 }
 
-// New returns a fleet that knows no machines yet.
-func New(cfg *config.Platform, op *config.Operator, cloud *Cloud, catalog *Catalog, store Store, member Membership, o Scheduler, h Dispatcher, log *slog.Logger) *Autoscaler {
-	return &Autoscaler{cfg: cfg, op: op, cloud: cloud, catalog: catalog, store: store, member: member, scheduler: o, dispatcher: h, log: log,
-		instances: map[string]*instance{}, provisions: map[string]*provision{}, answered: map[string]*answeredProvision{}, refused: map[offer]refusal{}, sending: map[string]bool{}}
+// Options are what an autoscaler needs of the rest of its process.
+type Options struct {
+	Platform   *config.Platform
+	Operator   *config.Operator
+	Cloud      *Cloud
+	Catalog    *Catalog
+	Store      Store
+	Member     Membership
+	Scheduler  Scheduler
+	Dispatcher Dispatcher
+	Log        *slog.Logger
+
+	ReservedCPUs func() float64 // CPUs to be kept for what may come back; nil: none
+}
+
+// New returns an autoscaler that knows no machines yet.
+func New(o Options) *Autoscaler {
+	return &Autoscaler{
+		reservedCPUs: o.ReservedCPUs,
+		cfg:          o.Platform, op: o.Operator, cloud: o.Cloud, catalog: o.Catalog, store: o.Store, member: o.Member, scheduler: o.Scheduler, dispatcher: o.Dispatcher, log: o.Log,
+		instances: map[string]*instance{}, provisions: map[string]*provision{}, answered: map[string]*answeredProvision{}, refused: map[offer]refusal{}, sending: map[string]bool{},
+	}
 }
 
 // Run leads the fleet whenever it is this controller's to lead.
--- a/internal/autoscaler/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -23,7 +23,7 @@
 		{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.6, SpotPrice: 0.2, BootS: 20, Zones: []string{"a", "b"}},
 		{Name: "large", CPUs: 64, MemoryGB: 128, Price: 4, SpotPrice: 1.3, BootS: 40, Zones: []string{"a"}},
 	})
-	return New(&config.Platform{}, &config.Operator{SilentS: 14}, nil, catalog, nil, nil, nil, nil, log)
+	return New(Options{Platform: &config.Platform{}, Operator: &config.Operator{SilentS: 14}, Catalog: catalog, Log: log})
 }
 
 func demand(tasks int, spot bool, slack float64) []planner.Demand {
@@ -127,7 +127,7 @@
 	now := time.Now()
 	for _, hold := range []float64{0, 1e6} {
 		f := testAutoscaler()
-		f.ReservedCPUs = func() float64 { return hold }
+		f.reservedCPUs = func() float64 { return hold }
 		h := &drains{}
 		f.dispatcher = h
 		f.op.IdleS = 20
--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -95,7 +95,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	catalog := NewCatalog(nil, view, log)
-	fleet := New(&config.Platform{}, &config.Operator{}, nil, catalog, view, leader{version}, nil, nil, log)
+	fleet := New(Options{Platform: &config.Platform{}, Operator: &config.Operator{}, Catalog: catalog, Store: view, Member: leader{version}, Log: log})
 	planned := &provision{req: fullRequest(), made: time.UnixMilli(1700000000123)}
 	if err := fleet.write(t.Context(), planned); err != nil {
 		t.Fatal(err)
--- a/internal/autoscaler/shrink.go
+++ b/internal/autoscaler/shrink.go
@@ -75,10 +75,10 @@
 // keep is the capacity, in CPUs, that must not be returned although nothing runs
 // on it.
 func (f *Autoscaler) keep() float64 {
-	if f.ReservedCPUs == nil {
+	if f.reservedCPUs == nil {
 		return 0
 	}
-	return f.ReservedCPUs()
+	return f.reservedCPUs()
 }
 
 // target is the capacity, in CPUs, to be kept.
--- a/internal/cancellation/cancels.go
+++ b/internal/cancellation/cancels.go
@@ -93,12 +93,8 @@
 	incarnation uint64
 	start       time.Time
 
-	// OnCancelled is called, without any lock held, with jobs that were not known to be
-	// cancelled. Set it before use.
-	OnCancelled func(uids []string)
-	// OnUpdates is called, without any lock held, when there is news for the peers. Set
-	// it before use.
-	OnUpdates func()
+	onCancelled func(uids []string)
+	onUpdates   func()
 
 	mu      sync.Mutex
 	peers   map[string]*peer
@@ -114,15 +110,25 @@
 	stamp   int64     // of the last message
 }
 
-// New returns a register that knows nothing: it has to read the state service
-// before it vouches for anything. limit is how long a cancelled task may go on.
-func New(peers []string, limit time.Duration, held func() time.Duration) *Registry {
+// Options are what a registry needs of the rest of its process.
+type Options struct {
+	Peers          []string
+	Limit          time.Duration        // how long a cancelled task may go on
+	LeaseRemaining func() time.Duration // how much longer this controller's lease surely holds
+
+	OnCancelled func(uids []string) // called, without any lock held, with jobs that were not known to be cancelled; nil: nobody is
+	OnUpdates   func()              // called, without any lock held, when there are updates for the peers; nil: nobody is
+}
+
+// New returns a registry that knows nothing: it has to read the state service
+// before it attests anything.
+func New(o Options) *Registry {
 	now := time.Now()
 	r := &Registry{
-		held: held, keep: 10*time.Minute + limit, least: 2 * limit, incarnation: rand.Uint64() | 1, start: now,
+		held: o.LeaseRemaining, keep: 10*time.Minute + o.Limit, least: 2 * o.Limit, onCancelled: o.OnCancelled, onUpdates: o.OnUpdates, incarnation: rand.Uint64() | 1, start: now,
 		peers: map[string]*peer{}, jobs: map[string]time.Time{}, mine: map[string]bool{}, disarms: now,
 	}
-	for _, p := range peers {
+	for _, p := range o.Peers {
 		r.peers[p] = &peer{needs: now}
 	}
 	return r
@@ -158,8 +164,8 @@
 }
 
 func (r *Registry) notifyPeers(fresh []string) {
-	if len(fresh) > 0 && r.OnCancelled != nil {
-		r.OnCancelled(fresh)
+	if len(fresh) > 0 && r.onCancelled != nil {
+		r.onCancelled(fresh)
 	}
 }
 
@@ -201,8 +207,8 @@
 	if !may {
 		return ErrCannotConfirm
 	}
-	if !told && r.OnUpdates != nil {
-		r.OnUpdates()
+	if !told && r.onUpdates != nil {
+		r.onUpdates()
 	}
 	return nil
 }
--- a/internal/cancellation/cancels_test.go
+++ b/internal/cancellation/cancels_test.go
@@ -65,12 +65,12 @@
 			peers = append(peers, name(j))
 		}
 	}
-	l.Registry = cancellation.New(peers, limit, func() time.Duration {
+	l.Registry = cancellation.New(cancellation.Options{Peers: peers, Limit: limit, LeaseRemaining: func() time.Duration {
 		if l.held {
 			return time.Second
 		}
 		return 0
-	})
+	}})
 	s.lives[i] = l
 }
 
@@ -307,7 +307,7 @@
 // A storm of cancels, news from nobody and names that are none stay in bounds.
 func TestBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := cancellation.New([]string{"b"}, limit, func() time.Duration { return time.Second })
+		r := cancellation.New(cancellation.Options{Peers: []string{"b"}, Limit: limit, LeaseRemaining: func() time.Duration { return time.Second }})
 		r.RecordStoreRead(time.Now(), nil)
 		r.MessageFor("b")
 		time.Sleep(11 * time.Second)
--- a/internal/cancellation/capacity_test.go
+++ b/internal/cancellation/capacity_test.go
@@ -12,7 +12,7 @@
 // confirmed is a register that confirmed so many cancels, of which its peer has not
 // acknowledged any.
 func confirmed(tb testing.TB, cancels int) *Registry {
-	r := New([]string{"b"}, time.Minute, func() time.Duration { return time.Minute })
+	r := New(Options{Peers: []string{"b"}, Limit: time.Minute, LeaseRemaining: func() time.Duration { return time.Minute }})
 	r.armed = true
 	for i := range cancels {
 		if err := r.Confirm(fmt.Sprintf("j-%06d", i)); err != nil {
--- a/internal/cancellation/fuzz_test.go
+++ b/internal/cancellation/fuzz_test.go
@@ -30,7 +30,7 @@
 		if json.Unmarshal(body, &m) != nil {
 			return
 		}
-		r := cancellation.New([]string{"b"}, limit, func() time.Duration { return time.Second })
+		r := cancellation.New(cancellation.Options{Peers: []string{"b"}, Limit: limit, LeaseRemaining: func() time.Duration { return time.Second }})
 		r.RecordStoreRead(time.Now(), []string{"j-known"})
 		r.MessageFor("b")
 		before := r.KnownUntil()
--- a/internal/cancellation/lone_test.go
+++ b/internal/cancellation/lone_test.go
@@ -10,7 +10,7 @@
 // A controller without peers confirms cancels while its lease holds, and none after it.
 func TestLoneControllerConfirms(t *testing.T) {
 	held := time.Minute
-	r := cancellation.New(nil, time.Minute, func() time.Duration { return held })
+	r := cancellation.New(cancellation.Options{Limit: time.Minute, LeaseRemaining: func() time.Duration { return held }})
 	if err := r.Confirm("j-1"); err != nil {
 		t.Error(err)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -22,6 +22,7 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/failovertiming"
 	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/reachability"
@@ -84,8 +85,11 @@
 	g, ctx := errgroup.WithContext(ctx)
 	n := &node{ctx: ctx, cfg: p, op: op, store: store, member: member, cloud: cloud, mesh: peers, log: log}
 	n.links.init(n)
-	n.cancels = cancellation.New(slices.Collect(maps.Keys(addrs)), config.Seconds(p.Params.Workers.CancelS), member.LeaseRemaining)
-	n.cancels.OnCancelled, n.cancels.OnUpdates, n.tellCancels = n.recall, n.cancelNews, make(chan struct{}, 1)
+	n.tellCancels = make(chan struct{}, 1)
+	n.cancels = cancellation.New(cancellation.Options{
+		Peers: slices.Collect(maps.Keys(addrs)), Limit: config.Seconds(p.Params.Workers.CancelS), LeaseRemaining: member.LeaseRemaining,
+		OnCancelled: n.recall, OnUpdates: n.cancelNews,
+	})
 	n.owner = scheduler.New(scheduler.Options{
 		Platform: p, Operator: op, Store: store, Member: member, Dispatchers: n, MachineTypes: catalog, Log: log,
 		Cancellations: n.cancels, RemoteJobs: n, AccountingEnabled: o.Slurm != nil && o.Slurm.Accounts,
@@ -94,11 +98,11 @@
 	budget := sockets.Budget{Limit: p.Params.Limits.Sockets, Peers: len(p.Peers), Accepted: inbound.count}
 	orders := dispatch.NewHTTPCommandSender(budget)
 	inbound.share(budget, orders)
-	n.holder = dispatch.New(ctx, p.Node, config.Seconds(p.Params.Workers.LeaseS), n, member, catalog, n, orders, log)
+	n.holder = dispatch.New(ctx, dispatch.Options{
+		Node: p.Node, WorkerLease: config.Seconds(p.Params.Workers.LeaseS), Schedulers: n, Tokens: member, MachineTypes: catalog, Routing: n, Commands: orders, Log: log,
+		Cancellations: n.cancels,
+	})
 	n.published, n.pictures = viewsync.NewPublisher(p.Node, n.holder), viewsync.NewReceiver(n.owner, slices.Collect(maps.Keys(addrs)))
-	n.intake = submission.New(p, op, store, n.owner, catalog, n, log)
-	n.holder.Cancellations, n.intake.Cancellations = n.cancels, n.cancels
-	boxes := autoscaler.New(p, op, cloud, catalog, store, member, &allOwners{n: n, ctx: ctx}, n.holder, log)
 	alerts := slo.New(p.Params.Objectives, n.owner, log)
 	lis, err := mesh.Listen(ctx, p.Listen)
 	if err != nil {
@@ -125,7 +129,17 @@
 	n.handleDemand()
 
 	mux := http.NewServeMux()
-	n.intake.MemoryPressure = meter.Crowded
+	if o.Slurm != nil {
+		n.numbers = jobid.New(store)
+	}
+	users := submission.Options{
+		Platform: p, Operator: op, Store: store, Jobs: n.owner, Catalog: catalog, Peers: n, Log: log,
+		Cancellations: n.cancels, MemoryPressure: meter.Crowded,
+	}
+	if n.numbers != nil { // an interface that holds a nil pointer is not nil
+		users.Numbers = n.numbers
+	}
+	n.intake = submission.New(users)
 	n.intake.Register(mux)
 	alerts.Register(mux)
 	mux.HandleFunc("GET /ops/stats", func(w http.ResponseWriter, _ *http.Request) {
@@ -136,12 +150,17 @@
 	mux.HandleFunc("GET /ops/machines", n.serveMachines)
 	mux.HandleFunc("GET /ops/links", n.serveLinks)
 	n.slurm(o.Slurm, catalog, mux)
+	var reservedCPUs func() float64
 	if o.Rollouts != nil {
 		m := n.newRollouts(o.Rollouts)
-		boxes.ReservedCPUs = m.Held
+		reservedCPUs = m.Held
 		n.serveRollouts(mux, m)
 		g.Go(func() error { return m.Run(ctx) })
 	}
+	boxes := autoscaler.New(autoscaler.Options{
+		Platform: p, Operator: op, Cloud: cloud, Catalog: catalog, Store: store, Member: member, Scheduler: &allOwners{n: n, ctx: ctx}, Dispatcher: n.holder, Log: log,
+		ReservedCPUs: reservedCPUs,
+	})
 	mux.HandleFunc("POST /v1/report", n.holder.ServeReport)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 15 * time.Second,
 		WriteTimeout: 15 * time.Second, IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10,
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -11,6 +11,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/failovertiming"
+	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/scheduler"
@@ -50,18 +51,19 @@
 
 // node joins the slices of this process with those of its peers.
 type node struct {
-	ctx    context.Context
-	cfg    *config.Platform
-	op     *config.Operator
-	store  *statestore.Client
-	member *membership.Member
-	cloud  *autoscaler.Cloud
-	mesh   *mesh.Mesh
-	log    *slog.Logger
-	owner  *scheduler.Scheduler
-	holder *dispatch.Dispatcher
-	intake *submission.Service
-	times  *failovertiming.Timeline
+	ctx     context.Context
+	cfg     *config.Platform
+	op      *config.Operator
+	store   *statestore.Client
+	member  *membership.Member
+	cloud   *autoscaler.Cloud
+	mesh    *mesh.Mesh
+	log     *slog.Logger
+	owner   *scheduler.Scheduler
+	holder  *dispatch.Dispatcher
+	intake  *submission.Service
+	numbers *jobid.Allocator // nil: jobs have none
+	times   *failovertiming.Timeline
 
 	published *viewsync.Publisher
 	pictures  *viewsync.Receiver
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -48,8 +48,8 @@
 	shard := quota.AssignShard(job, c.n.cfg.Params.Teams, c.n.op)
 	at := time.Now().UnixMilli()
 	var t *jobspec.Constraints
-	if book := c.n.intake.Numbers; book != nil {
-		number, err := book.Take(ctx, job.Tasks)
+	if numbers := c.n.numbers; numbers != nil {
+		number, err := numbers.Take(ctx, job.Tasks)
 		if err != nil {
 			return err
 		}
--- a/internal/controller/slurm.go
+++ b/internal/controller/slurm.go
@@ -5,7 +5,6 @@
 	"net/http"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/scheduler"
@@ -47,9 +46,7 @@
 	if set == nil {
 		return
 	}
-	numbers := jobid.New(n.store)
-	n.intake.Numbers = numbers
-	server := slurmapi.New(set, n.cfg, n.store, n.owner, numbers, n, n.intake, catalog, n.log)
+	server := slurmapi.New(set, n.cfg, n.store, n.owner, n.numbers, n, n.intake, catalog, n.log)
 	mesh.Handle(n.mesh, methodSlurm, func(ctx context.Context, r *slurmapi.Request) (*slurmapi.Reply, error) {
 		rep := server.Serve(ctx, *r)
 		return &rep, nil
--- a/internal/dispatch/holder.go
+++ b/internal/dispatch/holder.go
@@ -94,10 +94,7 @@
 	workers sync.WaitGroup
 	asks    batching.Sender[ask] // to owners elsewhere
 
-	// Cancellations are the cancelled jobs, whoever owns them: none of their tasks is
-	// launched here, and each that a worker lists is halted. nil: none. Set it
-	// before use.
-	Cancellations Cancellations
+	cancellations Cancellations
 
 	lastReport atomic.Int64 // when it came, ns since started
 
@@ -114,10 +111,27 @@
 	heartbeats heartbeatCounter
 }
 
-// New returns a holder; ctx bounds the goroutines it starts.
-func New(ctx context.Context, name string, lease time.Duration, owners Schedulers, tokens Tokens, types MachineTypes, routing Routing, orders CommandSender, log *slog.Logger) *Dispatcher {
+// Options are what a dispatcher needs of the rest of its process.
+type Options struct {
+	Node         string        // this controller
+	WorkerLease  time.Duration // without a response for so long a worker ends its tasks
+	Schedulers   Schedulers
+	Tokens       Tokens
+	MachineTypes MachineTypes
+	Routing      Routing
+	Commands     CommandSender
+	Log          *slog.Logger
+
+	// Cancellations are the cancelled jobs, whoever leads them: none of their tasks is
+	// launched here, and each that a worker lists is halted. nil: none.
+	Cancellations Cancellations
+}
+
+// New returns a dispatcher without workers; ctx bounds the goroutines it starts.
+func New(ctx context.Context, o Options) *Dispatcher {
 	h := &Dispatcher{
-		name: name, lease: lease, owners: owners, tokens: tokens, types: types, routing: routing, orders: orders, log: log,
+		name: o.Node, lease: o.WorkerLease, owners: o.Schedulers, tokens: o.Tokens, types: o.MachineTypes, routing: o.Routing, orders: o.Commands, log: o.Log,
+		cancellations: o.Cancellations,
 		ctx: ctx, started: time.Now(),
 		machines: map[string]*workerState{}, answered: map[string]time.Time{}, gone: recent.NewSet(maxTombstones), dirty: map[string]bool{},
 	}
--- a/internal/dispatch/holder_test.go
+++ b/internal/dispatch/holder_test.go
@@ -89,7 +89,15 @@
 }
 
 func holder(ctx context.Context, s *stub) *dispatch.Dispatcher {
-	return dispatch.New(ctx, "a", 10*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return holderWith(ctx, s, nil)
+}
+
+// holderWith is a holder that knows cancelled jobs.
+func holderWith(ctx context.Context, s *stub, cancelled dispatch.Cancellations) *dispatch.Dispatcher {
+	return dispatch.New(ctx, dispatch.Options{
+		Node: "a", WorkerLease: 10 * time.Second, Schedulers: s, Tokens: s, MachineTypes: s, Routing: s, Commands: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Cancellations: cancelled,
+	})
 }
 
 // A peer's direction comes when the holder's process ends: nothing is sent that nobody waits
--- a/internal/dispatch/orders_test.go
+++ b/internal/dispatch/orders_test.go
@@ -112,8 +112,7 @@
 						change(s, cancelled)
 					}
 				}
-				h := holder(t.Context(), s)
-				h.Cancellations = cancelled
+				h := holderWith(t.Context(), s, cancelled)
 				h.HandleReport(t.Context(), report(1, 5))
 				other := entry(1)
 				other.Task = "j-2/0"
--- a/internal/dispatch/recall.go
+++ b/internal/dispatch/recall.go
@@ -14,7 +14,7 @@
 // cancelled reports whether the job of a task is known to be cancelled.
 func (h *Dispatcher) cancelled(task string) bool {
 	uid, _, _ := strings.Cut(task, "/")
-	return h.Cancellations != nil && h.Cancellations.IsCancelled(uid)
+	return h.cancellations != nil && h.cancellations.IsCancelled(uid)
 }
 
 // recall marks the tasks of cancelled jobs that a machine lists to be halted, and
--- a/internal/submission/capacity_test.go
+++ b/internal/submission/capacity_test.go
@@ -32,7 +32,7 @@
 		tb.Fatal(err)
 	}
 	mux := http.NewServeMux()
-	submission.New(cfg, op, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil))).Register(mux)
+	submission.New(submission.Options{Platform: cfg, Operator: op, Store: s, Jobs: s, Catalog: s, Peers: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}).Register(mux)
 	return mux
 }
 
--- a/internal/submission/intake.go
+++ b/internal/submission/intake.go
@@ -107,9 +107,9 @@
 
 // Service serves users.
 type Service struct {
-	Numbers        Numbers       // nil: jobs have none, and no terms. Set it before Register
-	Cancellations  Cancellations // nil: nothing need be seen through. Set it before Register
-	MemoryPressure func() bool   // whether to take no new jobs; nil: never. Set it before Register
+	numbers        Numbers
+	cancellations  Cancellations
+	memoryPressure func() bool
 
 	cfg      *config.Platform
 	op       *config.Operator
@@ -125,10 +125,28 @@
 	gatherers map[string]*gatherer // by peer
 }
 
+// Options are what the users' interface needs of the rest of its process.
+type Options struct {
+	Platform *config.Platform
+	Operator *config.Operator
+	Store    Store
+	Jobs     Jobs
+	Catalog  Catalog
+	Peers    Peers
+	Log      *slog.Logger
+
+	Numbers        Numbers       // nil: jobs have none, and no constraints
+	Cancellations  Cancellations // nil: cancels need no confirmation
+	MemoryPressure func() bool   // whether to take no new jobs; nil: never
+}
+
 // New returns the users' interface.
-func New(cfg *config.Platform, op *config.Operator, store Store, jobs Jobs, catalog Catalog, peers Peers, log *slog.Logger) *Service {
-	return &Service{cfg: cfg, op: op, store: store, jobs: jobs, catalog: catalog, peers: peers, log: log,
-		jobSlots: make(chan struct{}, maxInFlight), slots: make(chan struct{}, maxInFlight), gatherers: map[string]*gatherer{}}
+func New(o Options) *Service {
+	return &Service{
+		numbers: o.Numbers, cancellations: o.Cancellations, memoryPressure: o.MemoryPressure,
+		cfg: o.Platform, op: o.Operator, store: o.Store, jobs: o.Jobs, catalog: o.Catalog, peers: o.Peers, log: o.Log,
+		jobSlots: make(chan struct{}, maxInFlight), slots: make(chan struct{}, maxInFlight), gatherers: map[string]*gatherer{},
+	}
 }
 
 // Register adds the interface's paths.
@@ -184,10 +202,10 @@
 // controllers hear of it, or stop answering workers in time. A poll and a repeated
 // submission tell it like a cancel.
 func (in *Service) told(rep Reply) Reply {
-	if in.Cancellations == nil || rep.Status/100 != 2 || rep.State.Stage != wire.StageCancelled {
+	if in.cancellations == nil || rep.Status/100 != 2 || rep.State.Stage != wire.StageCancelled {
 		return rep
 	}
-	if err := in.Cancellations.Confirm(rep.State.UID); err != nil {
+	if err := in.cancellations.Confirm(rep.State.UID); err != nil {
 		in.log.Debug("cancelled, and not told", "job", rep.State.UID, "err", err)
 		return Reply{Status: http.StatusServiceUnavailable, Reason: "can't tell now"}
 	}
--- a/internal/submission/intake_test.go
+++ b/internal/submission/intake_test.go
@@ -47,15 +47,22 @@
 
 func serve(t testing.TB) (s *stub, in *submission.Service, ask func(method, path, body string) (int, http.Header, wire.JobState)) {
 	s = &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
+	in, ask = serveWith(t, s, submission.Options{})
+	return s, in, ask
+}
+
+// serveWith serves users from the stub's state, with the options that are given beside.
+func serveWith(t testing.TB, s *stub, o submission.Options) (in *submission.Service, ask func(method, path, body string) (int, http.Header, wire.JobState)) {
 	cfg := &config.Platform{Node: "a", Params: config.Params{Teams: []config.Team{{Name: "t", CPUsMax: 8}}}}
 	op, err := config.LoadOperator("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in = submission.New(cfg, op, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	o.Platform, o.Operator, o.Store, o.Jobs, o.Catalog, o.Peers, o.Log = cfg, op, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil))
+	in = submission.New(o)
 	mux := http.NewServeMux()
 	in.Register(mux)
-	return s, in, func(method, path, body string) (int, http.Header, wire.JobState) {
+	return in, func(method, path, body string) (int, http.Header, wire.JobState) {
 		w := httptest.NewRecorder()
 		mux.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 		var st wire.JobState
@@ -132,7 +139,7 @@
 // Nobody is told that a job is cancelled, by whatever question, before that is
 // confirmed: a poll, or a submission that is repeated, would tell it first.
 func TestCancelledIsToldOnceConfirmed(t *testing.T) {
-	s, in, ask := serve(t)
+	s, _, ask := serve(t)
 	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != 201 {
 		t.Fatalf("submission: %d", status)
 	}
@@ -150,10 +157,12 @@
 	}
 	no := &deaf{}
 	for _, confirm := range []bool{false, true} {
-		in.Cancellations, no.asked = no, nil
+		o := submission.Options{Cancellations: no}
 		if confirm {
-			in.Cancellations = nil
+			o.Cancellations = nil
 		}
+		no.asked = nil
+		_, ask := serveWith(t, s, o)
 		for _, q := range [][3]string{{http.MethodGet, "/api/jobs/j-7", ""}, {http.MethodPost, "/api/jobs", job}} {
 			status, head, st := ask(q[0], q[1], q[2])
 			if !confirm && (status != 503 || head.Get("Retry-After") == "" || st.Stage != "") || confirm && (status != 200 || st.Stage != wire.StageCancelled) {
@@ -169,11 +178,11 @@
 // Short of memory, a controller takes no new job, but goes on answering for
 // those that it has taken.
 func TestCrowdedTakesNoNewJobs(t *testing.T) {
-	_, in, ask := serve(t)
+	s, _, ask := serve(t)
 	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != 201 {
 		t.Fatalf("submission: %d", status)
 	}
-	in.MemoryPressure = func() bool { return true }
+	_, ask = serveWith(t, s, submission.Options{MemoryPressure: func() bool { return true }})
 	if status, head, _ := ask(http.MethodPost, "/api/jobs", strings.Replace(job, "j-7", "j-8", 1)); status != 503 || head.Get("Retry-After") == "" {
 		t.Errorf("a new job: %d", status)
 	}
--- a/internal/submission/submission.go
+++ b/internal/submission/submission.go
@@ -48,7 +48,7 @@
 	if s, ok := in.jobs.LocalState(job.UID); ok {
 		return Reply{Status: http.StatusOK, State: s}
 	}
-	if in.MemoryPressure != nil && in.MemoryPressure() {
+	if in.memoryPressure != nil && in.memoryPressure() {
 		// Better than to end for want of memory with all that runs.
 		if s, err := in.stored(ctx, job.UID); err == nil {
 			return Reply{Status: http.StatusOK, State: s}
@@ -144,12 +144,12 @@
 		return nil, http.StatusServiceUnavailable, "can't tell numbers now"
 	}
 	switch {
-	case in.Numbers == nil && asked == nil:
+	case in.numbers == nil && asked == nil:
 		return nil, 0, ""
-	case in.Numbers == nil:
+	case in.numbers == nil:
 		return nil, http.StatusUnprocessableEntity, "this site gives jobs no numbers and takes no terms"
 	case asked == nil:
-		n, err := in.Numbers.Take(ctx, job.Tasks)
+		n, err := in.numbers.Take(ctx, job.Tasks)
 		if err != nil {
 			return unsure(err)
 		}
@@ -158,7 +158,7 @@
 	if err := asked.Validate(job.Tasks, job.Gang(), job.Service(), time.Now()); err != nil {
 		return nil, http.StatusUnprocessableEntity, err.Error()
 	}
-	if ok, err := in.Numbers.Given(ctx, asked.Number, job.Tasks); err != nil {
+	if ok, err := in.numbers.Given(ctx, asked.Number, job.Tasks); err != nil {
 		return unsure(err)
 	} else if !ok {
 		return nil, http.StatusUnprocessableEntity, "number: was given to nobody"
@@ -168,7 +168,7 @@
 		if d.Kind == jobspec.Singleton {
 			continue
 		}
-		found, err := in.Numbers.Find(ctx, d.Number)
+		found, err := in.numbers.Find(ctx, d.Number)
 		switch {
 		case errors.Is(err, statestore.ErrNotFound):
 			return nil, http.StatusUnprocessableEntity, fmt.Sprintf("dependency: there is no job %d", d.Number)
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -181,18 +181,24 @@
 	n.member = membership.New(n.view, name, config.Seconds(op.LeaseS), op.Shards, op.Spread, log)
 	cfg := *w.cfg
 	cfg.Node = name
-	n.reg = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.LeaseRemaining)
+	n.reg = cancellation.New(cancellation.Options{
+		Peers: n.reach.peers(), Limit: config.Seconds(cfg.Params.Workers.CancelS), LeaseRemaining: n.member.LeaseRemaining,
+		OnCancelled: func(uids []string) { n.knows.learn(uids); go n.holder.HaltCancelledTasks() },
+	})
 	n.owner = scheduler.New(scheduler.Options{
 		Platform: &cfg, Operator: op, Store: n.view, Member: n.member, Dispatchers: n, MachineTypes: w.size, Log: log,
 		Cancellations: n.reg, RemoteJobs: n, AccountingEnabled: w.accounts,
 		LogSlots: 4, // so that records are written over, and chunks saved
 	})
-	n.holder = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
+	n.holder = dispatch.New(ctx, dispatch.Options{
+		Node: name, WorkerLease: workerLease, Schedulers: n, Tokens: n.member, MachineTypes: w.size, Routing: n, Commands: n, Log: log,
+		Cancellations: n.reg,
+	})
 	n.started, n.published, n.pictures = time.Now(), viewsync.NewPublisher(name, n.holder), viewsync.NewReceiver(n.owner, w.others(name))
-	n.reg.OnCancelled = func(uids []string) { n.knows.learn(uids); go n.holder.HaltCancelledTasks() }
-	n.holder.Cancellations = n.reg
-	n.intake = submission.New(&cfg, op, n.view, n.owner, w.size, n, log)
-	n.intake.Cancellations = n.reg
+	n.intake = submission.New(submission.Options{
+		Platform: &cfg, Operator: op, Store: n.view, Jobs: n.owner, Catalog: w.size, Peers: n, Log: log,
+		Cancellations: n.reg,
+	})
 	n.mux = http.NewServeMux()
 	n.intake.Register(n.mux)
 	n.member.OnOwnershipChange(n.owner.OwnershipChanged)
--- a/internal/testkit/odd_requests_test.go
+++ b/internal/testkit/odd_requests_test.go
@@ -126,8 +126,10 @@
 					t.Fatal(err)
 				}
 				n.mux = http.NewServeMux()
-				in := submission.New(w.cfg, op, n.view, n.owner, noTypes{}, n, slog.New(slog.DiscardHandler))
-				in.Cancellations = n.reg
+				in := submission.New(submission.Options{
+					Platform: w.cfg, Operator: op, Store: n.view, Jobs: n.owner, Catalog: noTypes{}, Peers: n, Log: slog.New(slog.DiscardHandler),
+					Cancellations: n.reg,
+				})
 				in.Register(n.mux)
 			}, func() { n.mux = http.NewServeMux(); n.intake.Register(n.mux) }, blind, false},
 			{"the leader is away", func() { w.crash(w.leader()) }, w.startAll, "", false},
--- a/internal/testkit/rented_cluster_test.go
+++ b/internal/testkit/rented_cluster_test.go
@@ -165,7 +165,10 @@
 	}
 	cloud := autoscaler.NewCloudOver(&cloudLink{c, n}, "cloud", c.cfg.Params.Cloud.RPS)
 	catalog := autoscaler.NewCatalog(cloud, n.view, log)
-	f := autoscaler.New(c.cfg, op, cloud, catalog, n.view, n.member, fleetOwner{c, n.owner}, n.holder, log)
+	f := autoscaler.New(autoscaler.Options{
+		Platform: c.cfg, Operator: op, Cloud: cloud, Catalog: catalog, Store: n.view, Member: n.member,
+		Scheduler: fleetOwner{c, n.owner}, Dispatcher: n.holder, Log: log,
+	})
 	return []func(context.Context) error{
 		f.Run,
 		func(ctx context.Context) error { return catalog.Run(ctx, n.owner.LeadsAutoscaling) },
