--- /dev/null
+++ b/internal/controller/assemble.go
@@ -0,0 +1,309 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/autoscaler"
+	"github.com/wallrack/wallrack/internal/cancellation"
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/failovertiming"
+	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/membership"
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/reachability"
+	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/slo"
+	"github.com/wallrack/wallrack/internal/slurmapi"
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/submission"
+	"github.com/wallrack/wallrack/internal/taskspec"
+	"github.com/wallrack/wallrack/internal/usage"
+	"github.com/wallrack/wallrack/internal/viewsync"
+)
+
+// controller is the parts of this process. Only their assembly sees all of them.
+type controller struct {
+	cfg      *config.Platform
+	operator *config.Operator
+	log      *slog.Logger
+	lifetime lifetime
+	nodes    []string // the names of the peers
+
+	mesh    *mesh.Mesh
+	store   *statestore.Client
+	member  *membership.Member
+	cloud   *autoscaler.Cloud
+	catalog *autoscaler.Catalog
+
+	table   *reachability.Table
+	status  *nodeStatus
+	links   *linkView
+	peers   *peerCaller
+	leaders *leaders
+
+	cancelUpdates chan struct{} // there are updates of cancels for the peers
+	cancellations *cancellation.Registry
+	local         *localDispatcher
+	scheduler     *scheduler.Scheduler
+	times         *failovertiming.Timeline
+	starts        *startLog
+	router        *workerRouter
+	connections   *connectionLimit
+	commands      *dispatch.HTTPCommandSender
+	dispatcher    *dispatch.Dispatcher
+
+	listener     *limitedListener
+	alerts       *slo.Monitor
+	meter        *usage.Meter
+	exchange     *cancellationExchange
+	prober       *prober
+	pinger       *pinger
+	linkChanges  *linkLog
+	linkMonitor  *linkMonitor
+	unresponsive *unresponsiveWorkers
+	attestor     *leaseAttestor
+	expiring     *expiringLeases
+	views        *viewPublisher
+
+	numbers    *jobid.Allocator // nil: jobs have none
+	rollouts   *rollout.Manager // nil: there are none
+	autoscaler *autoscaler.Autoscaler
+	server     *http.Server
+}
+
+// assemble makes the parts and joins them; nothing runs yet. ctx is the process's. It opens the
+// address for users and workers, waiting for a predecessor to let go of it.
+func assemble(ctx context.Context, o Options) (*controller, error) {
+	c := &controller{cfg: o.Platform, operator: o.Operator, log: o.Log, lifetime: lifetime{ctx}}
+	if err := c.connect(); err != nil {
+		return nil, err
+	}
+	c.viewLinks()
+	c.schedule(o.Slurm != nil && o.Slurm.Accounts)
+	c.dispatch(ctx)
+	c.alerts = slo.New(c.cfg.Params.Objectives, c.scheduler, c.log)
+	lis, err := mesh.Listen(ctx, c.cfg.Listen)
+	if err != nil {
+		c.mesh.Close()
+		return nil, fmt.Errorf("serve_on: %w", err)
+	}
+	c.listener = &limitedListener{Listener: lis, connections: c.connections}
+	c.meter = usage.New(int64(c.cfg.Params.Limits.RAMMB*pressureShare*bytesPerMB), c.queues, c.log)
+	c.times.Restart()
+	c.exchangeCancellations()
+	c.watchLinks()
+	c.watchWorkers()
+	c.publishViews()
+	c.observe()
+
+	mux := http.NewServeMux()
+	c.serveUsers(o, mux)
+	c.rollOut(o, mux)
+	c.autoscale()
+	c.serveOperators(mux)
+	mux.HandleFunc("POST /v1/report", c.dispatcher.ServeReport)
+	c.server = newServer(mux, c.log)
+	return c, nil
+}
+
+// register has a part serve its methods of the mesh.
+func (c *controller) register(service peerService) { service.register(c.mesh) }
+
+// connect makes the clients of what is outside of this process.
+func (c *controller) connect() error {
+	addrs := map[string]string{}
+	for _, peer := range c.cfg.Peers {
+		addrs[peer.Node] = peer.Addr
+		c.nodes = append(c.nodes, peer.Node)
+	}
+	var err error
+	if c.mesh, err = mesh.New(addrs); err != nil {
+		return err
+	}
+	limits := c.cfg.Params.State
+	c.store = statestore.New(c.cfg.Endpoints.State, limits.RPS, limits.WriteRPS, limits.TxnOps)
+	c.member = membership.New(statestore.UrgentClient{Client: c.store}, c.cfg.Node, config.Seconds(c.operator.LeaseS), c.operator.Shards, c.operator.Spread, c.log)
+	c.cloud = autoscaler.NewCloud(c.cfg.Endpoints.Cloud, c.cfg.Params.Cloud.RPS)
+	c.catalog = autoscaler.NewCatalog(c.cloud, c.store, c.log)
+	return nil
+}
+
+// viewLinks makes this controller's view of the links, and what calls peers by it.
+func (c *controller) viewLinks() {
+	c.table = reachability.NewTable(c.cfg.Node, c.nodes)
+	c.status = &nodeStatus{
+		node: c.cfg.Node, store: c.store, member: c.member, cloud: c.cloud, table: c.table, startedMs: time.Now().UnixMilli(),
+	}
+	c.links = &linkView{table: c.table, status: c.status}
+	c.peers = &peerCaller{mesh: c.mesh, links: c.links, table: c.table}
+	c.register(c.peers)
+	c.leaders = &leaders{node: c.cfg.Node, member: c.member, links: c.links}
+}
+
+// schedule makes the scheduler, and the registry of cancellations that it fills.
+func (c *controller) schedule(accounting bool) {
+	c.local = &localDispatcher{}
+	halter := &taskHalter{local: c.local, log: c.log}
+	c.cancelUpdates = make(chan struct{}, 1)
+	c.cancellations = cancellation.New(cancellation.Options{
+		Peers: c.nodes, Limit: config.Seconds(c.cfg.Params.Workers.CancelS), LeaseRemaining: c.member.LeaseRemaining,
+		OnCancelled: halter.halt, OnUpdates: c.notifyCancelUpdates,
+	})
+	instructions := &instructionRouter{node: c.cfg.Node, local: c.local, peers: c.peers}
+	c.register(instructions)
+	c.scheduler = scheduler.New(scheduler.Options{
+		Platform: c.cfg, Operator: c.operator, Store: c.store, Member: c.member, Dispatchers: instructions, MachineTypes: c.catalog, Log: c.log,
+		Cancellations: c.cancellations, RemoteJobs: &remoteJobs{store: c.store, mesh: c.mesh, leaders: c.leaders}, AccountingEnabled: accounting,
+	})
+	c.register(&jobFacts{scheduler: c.scheduler})
+}
+
+// notifyCancelUpdates has the exchange send updates to the peers.
+func (c *controller) notifyCancelUpdates() {
+	select {
+	case c.cancelUpdates <- struct{}{}:
+	default:
+	}
+}
+
+// dispatch makes the dispatcher, which ends the cycle of those that act through it.
+func (c *controller) dispatch(ctx context.Context) {
+	c.connections, c.commands = newConnectionLimit(c.cfg.Params.Limits.Sockets, len(c.cfg.Peers))
+	c.times = failovertiming.New(c.scheduler, config.Seconds(c.cfg.Params.Workers.LeaseS), c.log)
+	c.starts = &startLog{log: c.log}
+	c.router = &workerRouter{member: c.member, links: c.links, cancellations: c.cancellations, grace: responseGrace(c.cfg.Params.Workers)}
+	gateway := &schedulerGateway{scheduler: c.scheduler, router: c.router, peers: c.peers, times: c.times, starts: c.starts}
+	c.register(gateway)
+	c.dispatcher = dispatch.New(ctx, dispatch.Options{
+		Node: c.cfg.Node, WorkerLease: config.Seconds(c.cfg.Params.Workers.LeaseS),
+		Schedulers: gateway, Tokens: c.member, MachineTypes: c.catalog, Routing: c.router, Commands: c.commands, Log: c.log,
+		Cancellations: c.cancellations,
+	})
+	c.local.commandTarget = c.dispatcher
+}
+
+// queues are the depths that the meter shows.
+func (c *controller) queues() map[string]int {
+	depths := c.scheduler.QueueDepths()
+	depths["machines"], depths["queued"], depths["orders"] = c.dispatcher.Depths()
+	depths["connections"], depths["order_connections"] = c.connections.count(), c.commands.Connections()
+	return depths
+}
+
+// receiveHealth says how well this process receives just now.
+func (c *controller) receiveHealth() reachability.ReceiveHealth {
+	return reachability.ReceiveHealth{RefusedConnections: usage.Noted(usage.RefusedConnections), TimerDelay: c.meter.Late()}
+}
+
+func (c *controller) exchangeCancellations() {
+	c.exchange = &cancellationExchange{
+		cfg: c.cfg, registry: c.cancellations, updates: c.cancelUpdates, scheduler: c.scheduler, dispatcher: c.dispatcher, router: c.router, peers: c.peers,
+		reader: &cancellationReader{registry: c.cancellations, store: c.store, log: c.log}, log: c.log,
+	}
+	c.register(c.exchange)
+}
+
+func (c *controller) watchLinks() {
+	c.prober = &prober{
+		node: c.cfg.Node, member: c.member, table: c.table, status: c.status, links: c.links, dispatcher: c.dispatcher, lifetime: c.lifetime, log: c.log,
+	}
+	c.pinger = &pinger{
+		cfg: c.cfg, mesh: c.mesh, table: c.table, status: c.status, peers: c.peers, cancellations: c.exchange, prober: c.prober,
+	}
+	c.register(c.pinger)
+	c.linkChanges = newLinkLog(c.store, c.log)
+	c.linkMonitor = &linkMonitor{
+		cfg: c.cfg, operator: c.operator, member: c.member, dispatcher: c.dispatcher, table: c.table, status: c.status, links: c.links,
+		router: c.router, prober: c.prober, pinger: c.pinger, connections: c.connections, health: c.receiveHealth, changes: c.linkChanges, log: c.log,
+	}
+}
+
+func (c *controller) watchWorkers() {
+	c.unresponsive = &unresponsiveWorkers{
+		cfg: c.cfg, operator: c.operator, scheduler: c.scheduler, dispatcher: c.dispatcher, links: c.links, peers: c.peers,
+		health: c.receiveHealth, lifetime: c.lifetime, log: c.log, detector: newFailureDetector(c.cfg.Params.Workers, c.operator),
+	}
+	c.register(c.unresponsive)
+	c.attestor = &leaseAttestor{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: c.peers, log: c.log}
+	c.register(c.attestor)
+	c.expiring = &expiringLeases{scheduler: c.scheduler, dispatcher: c.dispatcher, router: c.router}
+}
+
+func (c *controller) publishViews() {
+	c.views = &viewPublisher{
+		cfg: c.cfg, interval: config.Seconds(c.operator.PublishS), scheduler: c.scheduler, dispatcher: c.dispatcher, leaders: c.leaders, peers: c.peers, table: c.table,
+		publisher: viewsync.NewPublisher(c.cfg.Node, c.dispatcher), receiver: viewsync.NewReceiver(c.scheduler, c.nodes), log: c.log,
+	}
+	c.register(c.views)
+}
+
+// observe has the parts hear of changes in the state service, and its client of the way round
+// by a peer.
+func (c *controller) observe() {
+	ownership := &ownershipTiming{member: c.member, times: c.times, starts: c.starts}
+	c.member.OnOwnershipChange(c.scheduler.OwnershipChanged)
+	c.member.OnOwnershipChange(ownership.changed)
+	c.member.OnOwnershipChange(c.links.invalidate)
+	c.member.OnLinkAnnouncement(c.prober.announced)
+	relay := &storeRelay{store: c.store, links: c.links, peers: c.peers}
+	c.register(relay)
+	c.store.SetRelay(relay, c.log)
+}
+
+func (c *controller) serveUsers(o Options, mux *http.ServeMux) {
+	options := submission.Options{
+		Platform: c.cfg, Operator: c.operator, Store: c.store, Jobs: c.scheduler, Catalog: c.catalog,
+		Peers: &userPeers{leaders: c.leaders, peers: c.peers, times: c.times}, Log: c.log,
+		Cancellations: c.cancellations, MemoryPressure: c.meter.Crowded,
+	}
+	if o.Slurm != nil {
+		c.numbers = jobid.New(c.store)
+		options.Numbers = c.numbers
+	}
+	submissions := submission.New(options)
+	c.register(&userService{submissions: submissions})
+	submissions.Register(mux)
+	if o.Slurm == nil {
+		return
+	}
+	server := slurmapi.New(o.Slurm, c.cfg, c.store, c.scheduler, c.numbers, &slurmPeers{leaders: c.leaders, mesh: c.mesh}, submissions, c.catalog, c.log)
+	c.register(&slurmService{server: server})
+	server.Register(mux)
+}
+
+func (c *controller) rollOut(o Options, mux *http.ServeMux) {
+	if o.Rollouts == nil {
+		return
+	}
+	core := &rolloutCore{
+		cfg: c.cfg, operator: c.operator, store: c.store, member: c.member, scheduler: c.scheduler, dispatcher: c.dispatcher, numbers: c.numbers,
+	}
+	maxRecord := int(c.cfg.Params.State.ValueKB * 1024 * rolloutRecordShare)
+	c.rollouts = rollout.NewManager(o.Rollouts, c.store, core, taskspec.NewClient(o.Rollouts.Descriptions), rollout.NewWorkerProber(), maxRecord, c.log)
+	service := &rolloutService{manager: c.rollouts, scheduler: c.scheduler, leaders: c.leaders, mesh: c.mesh}
+	c.register(service)
+	service.routes(mux)
+}
+
+func (c *controller) autoscale() {
+	local := &localDemand{scheduler: c.scheduler, unresponsive: c.unresponsive}
+	c.register(local)
+	removed := &removedWorkers{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: c.peers, lifetime: c.lifetime, log: c.log}
+	c.register(removed)
+	options := autoscaler.Options{
+		Platform: c.cfg, Operator: c.operator, Cloud: c.cloud, Catalog: c.catalog, Store: c.store, Member: c.member, Dispatcher: c.dispatcher, Log: c.log,
+		Scheduler: &clusterDemand{
+			scheduler: c.scheduler, local: local, unresponsive: c.unresponsive, leaders: c.leaders, peers: c.peers, removed: removed, lifetime: c.lifetime, log: c.log,
+		},
+	}
+	if c.rollouts != nil {
+		options.ReservedCPUs = c.rollouts.Held
+	}
+	c.autoscaler = autoscaler.New(options)
+}
--- /dev/null
+++ b/internal/controller/cancellation_reads.go
@@ -0,0 +1,54 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/cancellation"
+	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/statestore"
+)
+
+const (
+	readEvery       = 2500 * time.Millisecond // the state service, while peers' messages don't do
+	readCost        = 20                      // and at most one part in so many of the time
+	readTimeout     = 5 * time.Second
+	readNeededEvery = exchangeEvery / 2 // between looks whether a read is needed
+)
+
+// cancellationReader reads the cancelled jobs from the state service while peers' messages do
+// not cover all that may have been confirmed.
+type cancellationReader struct {
+	registry *cancellation.Registry
+	store    *statestore.Client
+	log      *slog.Logger
+}
+
+func (r *cancellationReader) run(ctx context.Context) {
+	for pause := time.Duration(0); ctx.Err() == nil; {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(max(pause, readNeededEvery)):
+		}
+		pause = 0
+		if r.registry.NeedsStoreRead(stalePeerAfter) {
+			pause = r.read(ctx)
+		}
+	}
+}
+
+// read reads the cancelled jobs once, and returns how long to wait before the next read.
+func (r *cancellationReader) read(ctx context.Context) time.Duration {
+	sent := time.Now()
+	ctx, cancel := context.WithTimeout(statestore.WithPriority(ctx, statestore.Urgent), readTimeout)
+	defer cancel()
+	jobs, err := scheduler.ReadCancelledJobs(ctx, r.store)
+	if err != nil {
+		r.log.Debug("reading cancellations failed", "err", err)
+		return exchangeEvery
+	}
+	r.registry.RecordStoreRead(sent, jobs)
+	return max(readEvery, readCost*time.Since(sent))
+}
--- /dev/null
+++ b/internal/controller/cancellations.go
@@ -0,0 +1,133 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/cancellation"
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/scheduler"
+)
+
+const (
+	exchangeEvery   = 500 * time.Millisecond
+	exchangeTimeout = time.Second
+	stalePeerAfter  = 2500 * time.Millisecond // pings bring a peer's message at most so late
+	chaseAfter      = 3 * time.Second         // for which dispatchers have time to stop a task
+	chaseEvery      = 2 * time.Second
+	malformedEvery  = time.Minute // between log lines about malformed messages
+)
+
+// cancellationMessage is what one controller sends another of cancels outside of pings.
+type cancellationMessage struct {
+	From string `json:"from"`
+	cancellation.Message
+}
+
+// cancellationExchange keeps this controller's knowledge of cancels fresh by the peers, and
+// stops cancelled tasks that their workers' dispatchers did not stop.
+type cancellationExchange struct {
+	cfg        *config.Platform
+	registry   *cancellation.Registry
+	updates    <-chan struct{} // there are updates for the peers
+	scheduler  *scheduler.Scheduler
+	dispatcher *dispatch.Dispatcher
+	router     *workerRouter
+	peers      *peerCaller
+	reader     *cancellationReader
+	log        *slog.Logger
+
+	malformed atomic.Int64 // when a malformed message was last logged, by time of day, ns
+
+	// Of run alone.
+	answering bool
+	chased    time.Time
+}
+
+func (e *cancellationExchange) register(m *mesh.Mesh) {
+	mesh.Handle(m, methodCancellations, func(_ context.Context, msg *cancellationMessage) (*cancellation.Message, error) {
+		e.received(msg.From, &msg.Message)
+		reply := e.registry.MessageFor(msg.From)
+		return &reply, nil
+	})
+}
+
+// received takes what a peer says of cancels; nil if it says nothing.
+func (e *cancellationExchange) received(from string, msg *cancellation.Message) {
+	if msg == nil {
+		return
+	}
+	if err := e.registry.HandleMessage(from, msg); err != nil {
+		if last := e.malformed.Load(); last == 0 || time.Since(time.Unix(0, last)) > malformedEvery {
+			e.malformed.Store(time.Now().UnixNano())
+			e.log.Info("malformed cancellation updates dropped", "err", err)
+		}
+	}
+}
+
+// exchange asks a peer what it knows of cancels, by way of a third if need be.
+func (e *cancellationExchange) exchange(ctx context.Context, peer string) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
+	defer cancel()
+	msg := &cancellationMessage{e.cfg.Node, e.registry.MessageFor(peer)}
+	reply, err := call[cancellationMessage, cancellation.Message](ctx, e.peers, peer, methodCancellations, msg)
+	if err == nil {
+		e.received(peer, reply)
+	}
+}
+
+func (e *cancellationExchange) run(ctx context.Context) error {
+	tick := time.NewTicker(exchangeEvery)
+	defer tick.Stop()
+	go e.reader.run(ctx)
+	for {
+		stale := e.registry.StalePeers(stalePeerAfter)
+		e.logAnswering(stale)
+		for _, peer := range stale {
+			go e.exchange(ctx, peer)
+		}
+		e.chase(ctx)
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-tick.C:
+		case <-e.updates:
+			e.sendUpdates(ctx)
+		}
+	}
+}
+
+// logAnswering logs when this controller begins and ceases to respond to workers.
+func (e *cancellationExchange) logAnswering(stale []string) {
+	if now := e.router.MayAnswerWorkers(); now != e.answering {
+		e.answering = now
+		e.log.Info("answering workers", "is", now, "cancels_known_s", time.Since(e.registry.KnownUntil()).Seconds(), "stale_peers", stale)
+	}
+}
+
+// chase has the workers polled on which cancelled tasks go on.
+func (e *cancellationExchange) chase(ctx context.Context) {
+	if time.Since(e.chased) < chaseEvery || !e.router.MayAnswerWorkers() {
+		return
+	}
+	e.chased = time.Now()
+	if workers := e.scheduler.UnstoppedWorkers(chaseAfter); len(workers) > 0 {
+		go e.dispatcher.ChaseCancelledTasks(ctx, workers)
+	}
+}
+
+// sendUpdates has the peers hear of confirmed cancels at once: pings would bring them a
+// second later. What comes in the meantime shares a message.
+func (e *cancellationExchange) sendUpdates(ctx context.Context) {
+	for _, peer := range e.cfg.Peers {
+		go e.exchange(ctx, peer.Node)
+	}
+	select {
+	case <-ctx.Done():
+	case <-time.After(exchangeEvery / 5):
+	}
+}
--- /dev/null
+++ b/internal/controller/cluster_demand.go
@@ -0,0 +1,133 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"maps"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/planner"
+	"github.com/wallrack/wallrack/internal/scheduler"
+)
+
+// peerQueryTimeout is how long autoscaling, and operators, wait for another leader.
+const peerQueryTimeout = 500 * time.Millisecond
+
+type demandQuery struct {
+	BootS float64 `json:"boot"`
+}
+
+// demandReply is what a leader has for autoscaling.
+type demandReply struct {
+	Demand        []planner.Demand     `json:"demand"`
+	Loads         []planner.WorkerLoad `json:"loads"`
+	FailedWorkers map[string]string    `json:"suspects"` // why, by name
+	AdmittedWork  float64              `json:"admitted"`
+}
+
+// localDemand is the demand of the shards that this controller leads.
+type localDemand struct {
+	scheduler    *scheduler.Scheduler
+	unresponsive *unresponsiveWorkers
+}
+
+func (d *localDemand) register(m *mesh.Mesh) {
+	mesh.Handle(m, methodDemand, func(_ context.Context, q *demandQuery) (*demandReply, error) {
+		return d.demand(q.BootS), nil
+	})
+}
+
+func (d *localDemand) demand(bootS float64) *demandReply {
+	demand, loads := d.scheduler.Demand(bootS)
+	return &demandReply{Demand: demand, Loads: loads, FailedWorkers: d.unresponsive.failed(), AdmittedWork: d.scheduler.AdmittedWork()}
+}
+
+// clusterDemand is what the autoscaler sees: this process's scheduler, together with the
+// leaders elsewhere when shards are spread. It implements autoscaler.Scheduler, whose methods
+// but WorkerGone are called by one goroutine.
+type clusterDemand struct {
+	scheduler    *scheduler.Scheduler
+	local        *localDemand
+	unresponsive *unresponsiveWorkers
+	leaders      *leaders
+	peers        *peerCaller
+	removed      *removedWorkers
+	lifetime     lifetime
+	log          *slog.Logger
+
+	elsewhere []*demandReply // as of the last Demand
+}
+
+// Ready reports whether this controller leads autoscaling.
+func (c *clusterDemand) Ready() bool { return c.scheduler.LeadsAutoscaling() }
+
+// Demand gathers the waiting work of all leaders, and the workers' loads. bootS is the
+// seconds that a machine takes to boot. A leader that does not respond in time is left out.
+func (c *clusterDemand) Demand(bootS float64) ([]planner.Demand, []planner.WorkerLoad) {
+	sum := c.local.demand(bootS)
+	c.elsewhere = c.elsewhere[:0]
+	index := map[string]int{}
+	for i, load := range sum.Loads {
+		index[load.Name] = i
+	}
+	for _, peer := range c.leaders.ShardOwners() {
+		reply, err := c.query(peer, bootS)
+		if err != nil {
+			c.log.Debug("demand query failed", "peer", peer, "err", err)
+			continue
+		}
+		c.elsewhere = append(c.elsewhere, reply)
+		sum.Demand = append(sum.Demand, reply.Demand...)
+		addLoads(sum.Loads, index, reply.Loads)
+	}
+	return sum.Demand, sum.Loads
+}
+
+func (c *clusterDemand) query(peer string, bootS float64) (*demandReply, error) {
+	ctx, cancel := context.WithTimeout(c.lifetime.ctx, peerQueryTimeout)
+	defer cancel()
+	return call[demandQuery, demandReply](ctx, c.peers, peer, methodDemand, &demandQuery{BootS: bootS})
+}
+
+// addLoads adds another leader's loads to those of the workers that are known here.
+func addLoads(loads []planner.WorkerLoad, index map[string]int, others []planner.WorkerLoad) {
+	for _, other := range others {
+		i, known := index[other.Name]
+		if !known {
+			continue
+		}
+		loads[i].Places += other.Places
+		loads[i].Used = loads[i].Used.Add(other.Used, 1)
+		loads[i].Faulty = loads[i].Faulty || other.Faulty
+	}
+}
+
+// SetCordoned sets the workers that take no new tasks, with the scheduler here; leaders
+// elsewhere only make it take longer until they have none.
+func (c *clusterDemand) SetCordoned(names map[string]bool) { c.scheduler.SetCordoned(names) }
+
+// FailedWorkers returns the failed workers that any leader's tasks may be on, and why they
+// count as failed.
+func (c *clusterDemand) FailedWorkers() map[string]string {
+	failed := c.unresponsive.failed()
+	for _, reply := range c.elsewhere {
+		maps.Copy(failed, reply.FailedWorkers)
+	}
+	return failed
+}
+
+// AdmittedWork returns how much work all leaders have accepted.
+func (c *clusterDemand) AdmittedWork() float64 {
+	sum := c.scheduler.AdmittedWork()
+	for _, reply := range c.elsewhere {
+		sum += reply.AdmittedWork
+	}
+	return sum
+}
+
+// WorkerGone notes that a worker's machine was deleted, here and soon with every controller.
+func (c *clusterDemand) WorkerGone(name string) {
+	c.scheduler.WorkerGone(name)
+	c.removed.add(name)
+}
--- /dev/null
+++ b/internal/controller/expiring_leases.go
@@ -0,0 +1,39 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/scheduler"
+)
+
+// expiringLeasesEvery is the time between looks at workers whose reports are overdue.
+const expiringLeasesEvery = 250 * time.Millisecond
+
+// expiringLeases polls workers whose leases are not renewed for their reports, by requests
+// that may reach them although theirs reach no controller, and sends them the commands
+// that still help before their leases end. One round of requests is out at a time.
+type expiringLeases struct {
+	scheduler  *scheduler.Scheduler
+	dispatcher *dispatch.Dispatcher
+	router     *workerRouter
+}
+
+func (e *expiringLeases) run(ctx context.Context) error {
+	tick := time.NewTicker(expiringLeasesEvery)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-tick.C:
+		}
+		if !e.router.MayAnswerWorkers() {
+			continue
+		}
+		if workers := e.scheduler.HandleExpiringLeases(); len(workers) > 0 {
+			e.dispatcher.ChaseCancelledTasks(ctx, workers)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/instructions.go
@@ -0,0 +1,62 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/mesh"
+)
+
+// localDispatcher is this process's dispatcher for those parts that are made before it: the
+// scheduler and the registry of cancellations act through it, and it asks them before each
+// start. It is filled once, before anything runs.
+type localDispatcher struct {
+	commandTarget
+}
+
+// commandTarget is what is done through the dispatcher.
+type commandTarget interface {
+	ApplyInstructions(instructions dispatch.Instructions) dispatch.Unlaunched
+	HaltCancelledTasks()
+}
+
+// instructionRouter carries a scheduler's instructions to the dispatcher of a worker, here
+// or at a peer. It implements scheduler.Dispatchers.
+type instructionRouter struct {
+	node  string
+	local *localDispatcher
+	peers *peerCaller
+}
+
+func (r *instructionRouter) register(m *mesh.Mesh) {
+	mesh.Handle(m, methodInstructions, func(_ context.Context, instructions *dispatch.Instructions) (*dispatch.Unlaunched, error) {
+		unlaunched := r.local.ApplyInstructions(*instructions)
+		return &unlaunched, nil
+	})
+}
+
+// SendInstructions has a dispatcher apply instructions, and returns what it had not launched.
+func (r *instructionRouter) SendInstructions(ctx context.Context, dispatcher string, instructions dispatch.Instructions) (dispatch.Unlaunched, error) {
+	if dispatcher == r.node {
+		return r.local.ApplyInstructions(instructions), nil
+	}
+	rep, err := call[dispatch.Instructions, dispatch.Unlaunched](ctx, r.peers, dispatcher, methodInstructions, &instructions)
+	if err != nil {
+		return dispatch.Unlaunched{}, err
+	}
+	return *rep, nil
+}
+
+// taskHalter stops the tasks of jobs that were just found to be cancelled.
+type taskHalter struct {
+	local *localDispatcher
+	log   *slog.Logger
+}
+
+// halt is called with the jobs' ids. The caller may hold the scheduler's lock, which the
+// dispatcher takes too, so that it must not wait.
+func (h *taskHalter) halt(jobs []string) {
+	go h.local.HaltCancelledTasks()
+	h.log.Debug("jobs cancelled", "jobs", jobs)
+}
--- /dev/null
+++ b/internal/controller/leaders.go
@@ -0,0 +1,51 @@
+package controller
+
+import (
+	"slices"
+
+	"github.com/wallrack/wallrack/internal/membership"
+)
+
+// leaders knows which controllers lead shards. Without the lease, when the membership's
+// records may be old, it goes by what peers said of themselves.
+type leaders struct {
+	node   string
+	member *membership.Member
+	links  *linkView
+}
+
+// preferredLeader is the leader of most shards as far as this controller knows, or "".
+func preferredLeader(member *membership.Member) string {
+	if owners := member.ShardOwners(); len(owners) > 0 {
+		return owners[0]
+	}
+	return ""
+}
+
+// Owns reports whether this controller leads shards.
+func (l *leaders) Owns() bool {
+	return l.member.LeaseRemaining() > 0 && len(l.member.OwnedShards()) > 0
+}
+
+// ShardOwners names the other controllers that lead shards.
+func (l *leaders) ShardOwners() []string {
+	var out []string
+	add := func(name string) {
+		if name != "" && name != l.node && !slices.Contains(out, name) {
+			out = append(out, name)
+		}
+	}
+	if l.member.LeaseRemaining() > 0 {
+		for _, owner := range l.member.ShardOwners() {
+			add(owner)
+		}
+		return out
+	}
+	view := l.links.now()
+	for i := range view.Peers {
+		if peer := &view.Peers[i]; peer.IsFresh() && peer.Status.LeaseHeld {
+			add(peer.Status.PreferredLeader)
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/internal/controller/lease_attestation.go
@@ -0,0 +1,101 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/scheduler"
+)
+
+const (
+	attestEvery   = 2 * time.Second
+	attestTimeout = time.Second // for each peer
+	maxAttested   = 500         // workers in one round
+)
+
+// attestationQuery asks how long a controller has left workers without a response.
+type attestationQuery struct {
+	Workers []string `json:"machines"`
+}
+
+type attestationReply struct {
+	UnansweredS []float64 `json:"unanswered"` // in the order of the query
+}
+
+// leaseAttestor finds out without the cloud that workers' leases expired: when every
+// controller has left a worker without a response for its full lease, it has ended its tasks.
+type leaseAttestor struct {
+	cfg        *config.Platform
+	scheduler  *scheduler.Scheduler
+	dispatcher *dispatch.Dispatcher
+	peers      *peerCaller
+	log        *slog.Logger
+}
+
+func (a *leaseAttestor) register(m *mesh.Mesh) {
+	mesh.Handle(m, methodAttest, func(_ context.Context, q *attestationQuery) (*attestationReply, error) {
+		return a.attest(q), nil
+	})
+}
+
+// attest says how long this controller has left workers without a response.
+func (a *leaseAttestor) attest(q *attestationQuery) *attestationReply {
+	reply := &attestationReply{}
+	for _, worker := range q.Workers {
+		reply.UnansweredS = append(reply.UnansweredS, a.dispatcher.UnansweredFor(worker).Seconds())
+	}
+	return reply
+}
+
+func (a *leaseAttestor) run(ctx context.Context) error {
+	tick := time.NewTicker(attestEvery)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-tick.C:
+		}
+		a.round(ctx)
+	}
+}
+
+// round tells the scheduler which unresponsive workers' leases expired for certain.
+func (a *leaseAttestor) round(ctx context.Context) {
+	leaseS := a.cfg.Params.Workers.LeaseS*1.002 + 0.5
+	q := &attestationQuery{}
+	_, unresponsive := a.scheduler.UnresponsiveWorkers(config.Seconds(leaseS))
+	for i := range unresponsive {
+		if unresponsive[i].Busy && len(q.Workers) < maxAttested {
+			q.Workers = append(q.Workers, unresponsive[i].Name)
+		}
+	}
+	if len(q.Workers) == 0 {
+		return
+	}
+	attestation := dispatch.NewAttestation(time.Now(), a.attest(q).UnansweredS)
+	for _, peer := range a.cfg.Peers {
+		if !a.query(ctx, peer.Node, q, attestation) {
+			return
+		}
+	}
+	now := time.Now()
+	for i, worker := range q.Workers {
+		if attestation.LeaseExpired(i, now, leaseS) {
+			a.log.Info("worker lease expired by attestation", "worker", worker)
+			a.scheduler.LeaseAttestedExpired(worker, attestation.Asked())
+		}
+	}
+}
+
+// query adds a peer's attestation; false without one, and then no lease is known to have expired.
+func (a *leaseAttestor) query(ctx context.Context, peer string, q *attestationQuery, attestation *dispatch.Attestation) bool {
+	ctx, cancel := context.WithTimeout(ctx, attestTimeout)
+	defer cancel()
+	reply, err := call[attestationQuery, attestationReply](ctx, a.peers, peer, methodAttest, q)
+	return err == nil && attestation.Add(reply.UnansweredS)
+}
--- /dev/null
+++ b/internal/controller/link_monitor.go
@@ -0,0 +1,141 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"math"
+	"slices"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/membership"
+	"github.com/wallrack/wallrack/internal/reachability"
+)
+
+const (
+	watchLinksEvery = 250 * time.Millisecond
+	countEvery      = time.Second // between counts of heartbeats and connections
+	announceTimeout = time.Second
+	nameShare       = 0.5 // of a value's limit in the state service, for the names of workers
+	missedReports   = 2.5 // pauses between reports without one after which a worker does not count as reporting here
+)
+
+// linkMonitor measures this controller's links to the workers, announces its status to those
+// that the mesh does not reach, and transfers its shards to a controller that hears the
+// workers when this one does not any more.
+type linkMonitor struct {
+	cfg         *config.Platform
+	operator    *config.Operator
+	member      *membership.Member
+	dispatcher  *dispatch.Dispatcher
+	table       *reachability.Table
+	status      *nodeStatus
+	links       *linkView
+	router      *workerRouter
+	prober      *prober
+	pinger      *pinger
+	connections *connectionLimit
+	health      receiveHealth
+	changes     *linkLog
+	log         *slog.Logger
+
+	// Of run alone.
+	assignments reachability.AssignmentPlanner
+	planned     int // assignments, as last planned
+	transfers   reachability.TransferMonitor
+	announced   time.Time
+	counted     time.Time
+}
+
+func (l *linkMonitor) run(ctx context.Context) error {
+	tick := time.NewTicker(watchLinksEvery)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-tick.C:
+		}
+		now := time.Now()
+		if l.prober.suspicionChanged(l.health().TimerDelay) {
+			l.pinger.pingAll(ctx)
+		}
+		if time.Since(l.counted) >= countEvery {
+			l.counted = now
+			l.countHeartbeats()
+			l.assignWorkers(now)
+			l.changes.update(l.links.now())
+		}
+		view := l.links.now()
+		l.announce(ctx, now, view)
+		l.transfer(ctx, now, view)
+	}
+}
+
+// announce writes this controller's status to the state service when that is due and a living
+// peer is not reached.
+func (l *linkMonitor) announce(ctx context.Context, now time.Time, view *reachability.View) {
+	pause := reachability.AnnouncePause(len(l.cfg.Peers) + 1)
+	if !l.status.announcementDue(now, l.announced, pause) || !view.Self.LeaseHeld || !slices.ContainsFunc(view.UnreachedPeers(), l.member.Alive) {
+		return
+	}
+	l.announced = now
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
+	defer cancel()
+	if err := l.member.AnnounceLinks(ctx, l.status.current(now)); err != nil {
+		l.log.Debug("announcing node status failed", "err", err)
+	}
+}
+
+// transfer transfers the shards when a peer hears the workers in this controller's place.
+func (l *linkMonitor) transfer(ctx context.Context, now time.Time, view *reachability.View) {
+	to := l.transfers.Check(now, view, l.member.RecentTransfers(reachability.TransferWindow))
+	if to == "" {
+		return
+	}
+	l.log.Info("no worker heartbeats, transferring shards", "peer", to, "heartbeats", view.Self.Heartbeats, "expected", view.Self.ExpectedHeartbeats,
+		"probed", view.Self.Probed, "probe_success", view.Self.ProbeSuccess)
+	if err := l.member.TransferShards(ctx, to); err != nil {
+		l.log.Info("shard transfer failed", "err", err)
+	}
+}
+
+// countHeartbeats counts what came from workers. Peers that are not reached are told whose.
+func (l *linkMonitor) countHeartbeats() {
+	received, workers := l.dispatcher.RecentHeartbeats()
+	var names *reachability.NameSet
+	if now := time.Now(); len(l.table.UnreachedPeers(now)) > 0 || l.table.UnreachedByPeers(now) {
+		heard := l.dispatcher.WorkersHeardWithin(config.Seconds(l.cfg.Params.Workers.LeaseS))
+		names = reachability.NewNameSet(heard, int(l.cfg.Params.State.ValueKB*nameShare*1024))
+	}
+	l.status.setHeartbeats(heartbeatCount{
+		received: received, workers: names,
+		expected: float64(workers) / l.cfg.Params.Workers.ReportS * dispatch.HeartbeatWindow.Seconds(),
+	})
+}
+
+// assignWorkers looks whether this controller has connections for all workers, and tells
+// others that assign them to several controllers how many it has room for.
+func (l *linkMonitor) assignWorkers(now time.Time) {
+	open, most := l.connections.count(), l.connections.most()
+	view := l.links.now()
+	reportS := l.cfg.Params.Workers.ReportS
+	workers := l.dispatcher.CountReporting(config.Seconds(missedReports * reportS))
+	capacity := 0 // without a limit, or a share, all fit
+	if most < math.MaxInt32 {
+		capacity = int(l.operator.WorkerShare * float64(most))
+	}
+	next := workerAssignments{plan: l.assignments.Plan(now, view, workers, capacity, config.Seconds(reportS))}
+	if view.SharesWorkers() {
+		next.workers = workers
+		next.capacity = max(0, min(capacity, most-max(0, open-workers)-most/10))
+	}
+	if len(next.plan) != l.planned {
+		l.log.Info("workers assigned to several controllers", "assignments", next.plan, "workers", workers, "capacity", capacity)
+	}
+	l.planned = len(next.plan)
+	l.status.setAssignments(next)
+	l.router.assigned.Store(view.SharesWorkers())
+	l.links.invalidate()
+}
--- a/internal/controller/link_report.go
+++ b/internal/controller/link_report.go
@@ -1,67 +1,100 @@
 package controller
 
 import (
+	"log/slog"
 	"net/http"
 	"slices"
 	"strings"
+	"sync"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/reachability"
+	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// toldLink is how a link was when it last changed, and when.
-type toldLink struct {
-	how   string
+// Names of links, beside those of the peers, and states of the workers'.
+const (
+	linkStore    = "state service"
+	linkWorkers  = "workers"
+	workersHeard = "heard"
+	workersLost  = "not heard"
+)
+
+// linkState is how a link was when it last changed, and when.
+type linkState struct {
+	state string
 	since time.Time
 }
 
-// Names of links, beside those of the peers.
-const (
-	linkStore   = "state service"
-	linkWorkers = "workers"
-)
+// linkLog logs each change of a link. It is safe for concurrent use.
+type linkLog struct {
+	store *statestore.Client
+	log   *slog.Logger
+
+	mu    sync.Mutex
+	links map[string]linkState
+}
+
+func newLinkLog(store *statestore.Client, log *slog.Logger) *linkLog {
+	return &linkLog{store: store, log: log, links: map[string]linkState{}}
+}
 
-// tellLinks logs each change of a link.
-func (n *node) tellLinks(v *reachability.View) {
-	s := &n.links
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	tell := func(link, how string) {
-		old, known := s.told[link]
-		if known && old.how == how {
-			return
-		}
-		if known {
-			n.log.Info("link", "to", link, "is", how, "was", old.how, "for_s", time.Since(old.since).Seconds())
-		}
-		s.told[link] = toldLink{how, time.Now()}
+func (l *linkLog) update(view *reachability.View) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for i := range view.Peers {
+		l.setLocked(view.Peers[i].Name, view.Peers[i].ReachedBy())
+	}
+	l.setLocked(linkStore, view.StorePath(l.store.UsesRelay()))
+	workers := workersHeard
+	if view.Self.InboundLost() {
+		workers = workersLost
 	}
-	for i := range v.Peers {
-		tell(v.Peers[i].Name, v.Peers[i].ReachedBy())
+	l.setLocked(linkWorkers, workers)
+}
+
+func (l *linkLog) setLocked(link, state string) {
+	old, known := l.links[link]
+	if known && old.state == state {
+		return
 	}
-	tell(linkStore, v.StorePath(n.store.UsesRelay()))
-	workers := "heard"
-	if v.Self.InboundLost() {
-		workers = "not heard"
+	if known {
+		l.log.Info("link", "to", link, "is", state, "was", old.state, "for_s", time.Since(old.since).Seconds())
 	}
-	tell(linkWorkers, workers)
+	l.links[link] = linkState{state, time.Now()}
 }
 
-// serveLinks shows operators this controller's view of the links.
-func (n *node) serveLinks(w http.ResponseWriter, _ *http.Request) {
-	shown := n.links.now().OpsStatus(n.store.UsesRelay())
-	shown.Cancelled, shown.Answers = n.cancels.Count(), n.MayAnswerWorkers()
-	if known := n.cancels.KnownUntil(); !known.IsZero() {
-		shown.CancelsAgeS = time.Since(known).Seconds()
+// list returns the links by name.
+func (l *linkLog) list() []reachability.OpsLink {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var out []reachability.OpsLink
+	for link, s := range l.links {
+		out = append(out, reachability.OpsLink{To: link, Is: s.state, SinceS: time.Since(s.since).Seconds()})
 	}
-	s := &n.links
-	s.mu.Lock()
-	shown.Kept = s.kept
-	for link, t := range s.told {
-		shown.Links = append(shown.Links, reachability.OpsLink{To: link, Is: t.how, SinceS: time.Since(t.since).Seconds()})
+	slices.SortFunc(out, func(a, b reachability.OpsLink) int { return strings.Compare(a.To, b.To) })
+	return out
+}
+
+// linkReport shows operators this controller's view of the links.
+type linkReport struct {
+	store         *statestore.Client
+	links         *linkView
+	changes       *linkLog
+	cancellations *cancellation.Registry
+	router        *workerRouter
+	unresponsive  *unresponsiveWorkers
+}
+
+func (l *linkReport) serve(w http.ResponseWriter, _ *http.Request) {
+	status := l.links.now().OpsStatus(l.store.UsesRelay())
+	status.Cancelled, status.Answers = l.cancellations.Count(), l.router.MayAnswerWorkers()
+	if known := l.cancellations.KnownUntil(); !known.IsZero() {
+		status.CancelsAgeS = time.Since(known).Seconds()
 	}
-	s.mu.Unlock()
-	slices.SortFunc(shown.Links, func(a, b reachability.OpsLink) int { return strings.Compare(a.To, b.To) })
-	httpjson.Write(w, http.StatusOK, shown)
+	status.Kept = l.unresponsive.keptCount()
+	status.Links = append(status.Links, l.changes.list()...)
+	httpjson.Write(w, http.StatusOK, status)
 }
--- /dev/null
+++ b/internal/controller/machines.go
@@ -0,0 +1,46 @@
+package controller
+
+import (
+	"context"
+	"net/http"
+
+	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// machineList shows operators the machines. The controller that leads autoscaling knows them.
+type machineList struct {
+	scheduler *scheduler.Scheduler
+	leaders   *leaders
+	peers     *peerCaller
+}
+
+func (l *machineList) register(m *mesh.Mesh) {
+	mesh.Handle(m, methodMachines, func(context.Context, *empty) (*[]wire.MachineInfo, error) {
+		machines := l.scheduler.Machines()
+		return &machines, nil
+	})
+}
+
+func (l *machineList) serve(w http.ResponseWriter, r *http.Request) {
+	if l.scheduler.LeadsAutoscaling() {
+		httpjson.Write(w, http.StatusOK, l.scheduler.Machines())
+		return
+	}
+	for _, peer := range l.leaders.ShardOwners() {
+		if machines, err := l.query(r.Context(), peer); err == nil {
+			httpjson.Write(w, http.StatusOK, *machines)
+			return
+		}
+	}
+	w.Header().Set("Retry-After", "1")
+	httpjson.Write(w, http.StatusServiceUnavailable, wire.Problem{Error: "no owner answers"})
+}
+
+func (l *machineList) query(ctx context.Context, peer string) (*[]wire.MachineInfo, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
+	defer cancel()
+	return call[empty, []wire.MachineInfo](ctx, l.peers, peer, methodMachines, &empty{})
+}
--- /dev/null
+++ b/internal/controller/pings.go
@@ -0,0 +1,89 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/cancellation"
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/reachability"
+)
+
+const pingEvery = time.Second
+
+// pingMessage carries a controller's status, and others' statuses to those who lack them.
+type pingMessage struct {
+	Status        reachability.NodeStatus      `json:"row"`
+	Cancellations *cancellation.Message        `json:"cancels,omitempty"`
+	Relayed       []reachability.RelayedStatus `json:"passed,omitempty"`
+}
+
+// pinger exchanges statuses and cancellations with the peers: a ping carries this
+// controller's, its response the peer's.
+type pinger struct {
+	cfg           *config.Platform
+	mesh          *mesh.Mesh
+	table         *reachability.Table
+	status        *nodeStatus
+	peers         *peerCaller
+	cancellations *cancellationExchange
+	prober        *prober
+}
+
+func (p *pinger) register(m *mesh.Mesh) {
+	mesh.Handle(m, methodPing, func(_ context.Context, ping *pingMessage) (*pingMessage, error) {
+		p.received(ping.Status.Node, ping)
+		p.prober.probe(ping.Status.ProbeSample)
+		return p.message(ping.Status.Node, time.Now()), nil
+	})
+}
+
+func (p *pinger) message(to string, now time.Time) *pingMessage {
+	cancellations := p.cancellations.registry.MessageFor(to)
+	return &pingMessage{Status: p.status.current(now), Relayed: p.table.RelayFor(to, now), Cancellations: &cancellations}
+}
+
+// received takes what a peer says. from is the peer as the message came from it: a response
+// counts for the peer that was called.
+func (p *pinger) received(from string, ping *pingMessage) {
+	now := time.Now()
+	p.table.Update(ping.Status, reachability.Direct, 0, now)
+	p.table.UpdateRelayed(ping.Relayed, now)
+	p.cancellations.received(from, ping.Cancellations)
+}
+
+// run pings each peer that has not just pinged this controller, until ctx ends.
+func (p *pinger) run(ctx context.Context) error {
+	tick := time.NewTicker(pingEvery)
+	defer tick.Stop()
+	for {
+		for _, peer := range p.cfg.Peers {
+			if !p.table.HeardWithin(peer.Node, pingEvery*3/4, time.Now()) {
+				go p.ping(ctx, peer.Node)
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-tick.C:
+		}
+	}
+}
+
+// pingAll pings all peers at once, so that they hear of this controller's status.
+func (p *pinger) pingAll(ctx context.Context) {
+	for _, peer := range p.cfg.Peers {
+		go p.ping(ctx, peer.Node)
+	}
+}
+
+func (p *pinger) ping(ctx context.Context, peer string) {
+	ctx, cancel := context.WithTimeout(ctx, pingEvery)
+	defer cancel()
+	reply, err := mesh.Call[pingMessage, pingMessage](ctx, p.mesh, peer, methodPing, p.message(peer, time.Now()))
+	p.peers.record(peer, err, true)
+	if err == nil {
+		p.received(peer, reply)
+	}
+}
--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"log/slog"
 	"net"
-	"net/http"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -16,7 +14,6 @@
 	"google.golang.org/grpc/status"
 
 	"github.com/wallrack/wallrack/internal/cancellation"
-	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/matching"
@@ -24,11 +21,9 @@
 	"github.com/wallrack/wallrack/internal/planner"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/rollout"
-	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/slurmtask"
 	"github.com/wallrack/wallrack/internal/statestore"
-	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -53,9 +48,9 @@
 // The mesh's methods keep the names under which other controllers call them.
 func TestRecordedMethods(t *testing.T) {
 	for _, method := range []struct{ is, was string }{
-		{methodPing, "Ping"}, {methodForward, "Forward"}, {methodStore, "Store"}, {methodSeen, "Seen"}, {methodPublish, "Views"},
-		{methodDirect, "Direct"}, {methodGrants, "Grants"}, {methodUser, "User"}, {methodVouch, "Vouch"}, {methodCancels, "Cancels"},
-		{methodDemand, "Demand"}, {methodGone, "Gone"}, {methodList, "Machines"},
+		{methodPing, "Ping"}, {methodForward, "Forward"}, {methodStore, "Store"}, {methodProbe, "Seen"}, {methodViews, "Views"},
+		{methodInstructions, "Direct"}, {methodGrants, "Grants"}, {methodUser, "User"}, {methodAttest, "Vouch"}, {methodCancellations, "Cancels"},
+		{methodDemand, "Demand"}, {methodRemoved, "Gone"}, {methodMachines, "Machines"},
 		{methodSlurm, "Desk"}, {methodFacts, "Facts"}, {methodEarlier, "Earlier"}, {methodRollouts, "Rollouts"},
 	} {
 		if method.is != method.was {
@@ -67,55 +62,67 @@
 // A controller with all that can be switched on serves every method by its recorded name:
 // a message that can't be read is refused for that, not for want of the method.
 func TestRecordedMethodsServed(t *testing.T) {
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	here := lis.Addr().String()
-	_ = lis.Close()
-	m, err := mesh.New(map[string]string{"here": here})
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+	here := freeAddress(t)
+	o := options(t)
+	o.Rollouts, o.Slurm = &rollout.Settings{}, &slurmapi.Settings{}
+	c, err := assemble(ctx, o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer m.Close()
-	log := slog.New(slog.DiscardHandler)
-	n := &node{cfg: &config.Platform{}, mesh: m, owner: &scheduler.Scheduler{}, intake: &submission.Service{}, log: log}
-	n.handle()
-	n.handleDemand()
-	n.slurm(&slurmapi.Settings{}, nil, http.NewServeMux())
-	n.newRollouts(&rollout.Settings{})
-	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+	defer c.mesh.Close()
+	defer closeNow(t, c.listener)
 	served := make(chan struct{})
-	go func() { defer close(served); _ = m.Serve(ctx, here) }()
+	go func() { defer close(served); _ = c.mesh.Serve(ctx, here) }()
 	defer func() { cancel(); <-served }()
-	answer := func(method string) codes.Code {
-		for {
-			unreadable := 5 // no message is a number
-			_, err := mesh.Call[int, json.RawMessage](ctx, m, "here", method, &unreadable)
-			if refused, _ := mesh.Unanswered(err); !refused || ctx.Err() != nil {
-				return status.Code(err)
-			}
-			time.Sleep(10 * time.Millisecond) // it does not listen yet
-		}
+	caller, err := mesh.New(map[string]string{"here": here})
+	if err != nil {
+		t.Fatal(err)
 	}
-	if code := answer("NoSuch"); code != codes.Unimplemented {
+	defer caller.Close()
+	if code := codeOf(ctx, caller, "NoSuch"); code != codes.Unimplemented {
 		t.Fatalf("a method that is not served: %v", code)
 	}
-	for _, method := range []string{"Ping", "Forward", "Store", "Seen", "Views", "Direct", "Grants", "User", "Vouch", "Cancels",
-		"Demand", "Gone", "Machines", "Desk", "Facts", "Earlier", "Rollouts"} {
-		if code := answer(method); code != codes.Internal {
+	for _, method := range []string{
+		"Ping", "Forward", "Store", "Seen", "Views", "Direct", "Grants", "User", "Vouch", "Cancels",
+		"Demand", "Gone", "Machines", "Desk", "Facts", "Earlier", "Rollouts",
+	} {
+		if code := codeOf(ctx, caller, method); code != codes.Internal {
 			t.Errorf("%s: %v", method, code)
 		}
 	}
 }
 
-func fullCancels() cancellation.Message {
+// freeAddress is one that nobody listens on just now.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeNow(t, lis)
+	return lis.Addr().String()
+}
+
+// codeOf is the status code of the response to an unreadable message.
+func codeOf(ctx context.Context, caller *mesh.Mesh, method string) codes.Code {
+	for {
+		unreadable := 5 // no message is a number
+		_, err := mesh.Call[int, json.RawMessage](ctx, caller, "here", method, &unreadable)
+		if refused, _ := mesh.Unanswered(err); !refused || ctx.Err() != nil {
+			return status.Code(err)
+		}
+		time.Sleep(10 * time.Millisecond) // it does not listen yet
+	}
+}
+
+func fullCancellations() cancellation.Message {
 	return cancellation.Message{
 		Incarnation: 9001, Stamp: 65000123, EchoIncarnation: 9002, Echo: 64000123, MayConfirm: true, Ack: 7, First: 5, Updates: []string{"j-000400", "j-000401"}, More: true,
 	}
 }
 
-func fullRow() reachability.NodeStatus {
+func fullStatus() reachability.NodeStatus {
 	return reachability.NodeStatus{
 		Node: "c1", StartedMs: 1700000000123, Seq: 77, StoreReachable: true, LeaseHeld: true, OwnsJobs: true, PreferredLeader: "c2", CloudReachable: true,
 		Heartbeats: 120, ExpectedHeartbeats: 130.5, UnreachedPeers: []string{"c3"}, ProbeSample: []string{"10.1.0.232:9000"}, Probed: true, ProbeSuccess: 0.75,
@@ -123,32 +130,32 @@
 	}
 }
 
-// What controllers tell each other of links, machines and cancels keeps its form.
-func TestRecordedLinks(t *testing.T) {
-	told := fullCancels()
-	checkRecorded(t, "ping_full.json", pingMessage{Row: fullRow(), Cancels: &told, Passed: []reachability.RelayedStatus{{Status: fullRow(), AgeS: 1.25}}})
+// Messages between controllers about links, workers and cancels keep their form.
+func TestRecordedLinkMessages(t *testing.T) {
+	cancellations := fullCancellations()
+	checkRecorded(t, "ping_full.json", pingMessage{Status: fullStatus(), Cancellations: &cancellations, Relayed: []reachability.RelayedStatus{{Status: fullStatus(), AgeS: 1.25}}})
 	checkRecorded(t, "ping_empty.json", pingMessage{})
 	checkRecorded(t, "forward_full.json", forwardMessage{To: "c2", Method: "Gone", Body: json.RawMessage(`{"machines":["n-000231"]}`)})
 	checkRecorded(t, "forward_empty.json", forwardMessage{Body: json.RawMessage("null")})
-	checkRecorded(t, "seen_full.json", seenMessage{Machine: "n-000231", Endpoint: "10.1.0.232:9000", Deaf: true})
-	checkRecorded(t, "seen_empty.json", seenMessage{})
-	checkRecorded(t, "seen_reply_full.json", seenReply{Lives: true})
-	checkRecorded(t, "seen_reply_empty.json", seenReply{})
-	checkRecorded(t, "vouch_full.json", vouchMessage{Machines: []string{"n-000231", "n-000232"}})
-	checkRecorded(t, "vouch_empty.json", vouchMessage{})
-	checkRecorded(t, "vouch_reply_full.json", vouchReply{Unanswered: []float64{50.25, 61.5}})
-	checkRecorded(t, "vouch_reply_empty.json", vouchReply{})
-	checkRecorded(t, "gone_full.json", goneMessage{Machines: []string{"n-000231", "n-000232"}})
-	checkRecorded(t, "gone_empty.json", goneMessage{})
-	checkRecorded(t, "nothing.json", nothing{})
-	checkRecorded(t, "cancels_full.json", cancelsMessage{From: "c1", Message: told})
-	checkRecorded(t, "cancels_empty.json", cancelsMessage{})
-	checkRecorded(t, "cancels_reply_full.json", told)
+	checkRecorded(t, "seen_full.json", probeQuery{Worker: "n-000231", Endpoint: "10.1.0.232:9000", OutboundLost: true})
+	checkRecorded(t, "seen_empty.json", probeQuery{})
+	checkRecorded(t, "seen_reply_full.json", probeReply{Responsive: true})
+	checkRecorded(t, "seen_reply_empty.json", probeReply{})
+	checkRecorded(t, "vouch_full.json", attestationQuery{Workers: []string{"n-000231", "n-000232"}})
+	checkRecorded(t, "vouch_empty.json", attestationQuery{})
+	checkRecorded(t, "vouch_reply_full.json", attestationReply{UnansweredS: []float64{50.25, 61.5}})
+	checkRecorded(t, "vouch_reply_empty.json", attestationReply{})
+	checkRecorded(t, "gone_full.json", removedMessage{Workers: []string{"n-000231", "n-000232"}})
+	checkRecorded(t, "gone_empty.json", removedMessage{})
+	checkRecorded(t, "nothing.json", empty{})
+	checkRecorded(t, "cancels_full.json", cancellationMessage{From: "c1", Message: cancellations})
+	checkRecorded(t, "cancels_empty.json", cancellationMessage{})
+	checkRecorded(t, "cancels_reply_full.json", cancellations)
 	checkRecorded(t, "cancels_reply_empty.json", cancellation.Message{})
 }
 
-// What is passed on to the state service, and its answer, keep their form.
-func TestRecordedStore(t *testing.T) {
+// Relayed requests to the state service, and their responses, keep their form.
+func TestRecordedStoreMessages(t *testing.T) {
 	checkRecorded(t, "store_full.json", statestore.RelayedRequest{Method: "POST", Path: "/store/txn", Body: []byte(`{"guards":[]}`), Writes: 3, Priority: statestore.Urgent})
 	checkRecorded(t, "store_empty.json", statestore.RelayedRequest{})
 	checkRecorded(t, "store_reply_full.json", statestore.RelayedResponse{Status: 200, Body: []byte(`{"ledger":99}`)})
@@ -164,11 +171,11 @@
 	}
 }
 
-// What owners tell of the work that waits, and of machines, keeps its form.
-func TestRecordedDemand(t *testing.T) {
+// Messages about the waiting work, and about machines, keep their form.
+func TestRecordedDemandMessages(t *testing.T) {
 	job, shape := fullJob(), matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
-	checkRecorded(t, "demand_full.json", demandMessage{Boot: 90.5})
-	checkRecorded(t, "demand_empty.json", demandMessage{})
+	checkRecorded(t, "demand_full.json", demandQuery{BootS: 90.5})
+	checkRecorded(t, "demand_empty.json", demandQuery{})
 	checkRecorded(t, "demand_reply_full.json", demandReply{
 		Demand: []planner.Demand{{Shape: shape, Job: &job, Count: 5, Run: 900.25, Rank: 2, Slack: 30.5}},
 		Loads: []planner.WorkerLoad{{
@@ -176,15 +183,15 @@
 			Matrix: matching.WaitMatrix{{Wait: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 2, MemoryGB: 8.25}}}, Used: shape,
 			Heard: time.Date(2026, 3, 4, 5, 6, 7, 123456789, time.UTC), Existed: time.Date(2026, 3, 4, 5, 6, 8, 0, time.UTC), Places: 3,
 		}},
-		Suspects: map[string]string{"n-000232": "silent"}, Admitted: 12345.5,
+		FailedWorkers: map[string]string{"n-000232": "silent"}, AdmittedWork: 12345.5,
 	})
 	checkRecorded(t, "demand_reply_empty.json", demandReply{})
-	checkRecorded(t, "demand_reply_plain.json", demandReply{Demand: []planner.Demand{{}}, Loads: []planner.WorkerLoad{{}}, Suspects: map[string]string{}})
+	checkRecorded(t, "demand_reply_plain.json", demandReply{Demand: []planner.Demand{{}}, Loads: []planner.WorkerLoad{{}}, FailedWorkers: map[string]string{}})
 	checkRecorded(t, "machines_full.json", []wire.MachineInfo{{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, HeardS: 1.25}})
 	checkRecorded(t, "machines_empty.json", []wire.MachineInfo{})
 }
 
-func fullTerms() *jobspec.Constraints {
+func fullConstraints() *jobspec.Constraints {
 	return &jobspec.Constraints{
 		Number: 4001, Name: "train", User: "ada", Array: "0-15:2", MaxConcurrent: 4, Held: true, BeginMs: 1700000000123, DeadlineMs: 1700000600123,
 		LimitS: 900.5, NoRetry: true, AnyDependency: true, Dependencies: []jobspec.Dependency{{Kind: "after", Job: "j-000399", Number: 3990, DelayS: 60}},
@@ -192,12 +199,12 @@
 	}
 }
 
-// What owners tell for Slurm-style clients keeps its form.
-func TestRecordedSlurm(t *testing.T) {
-	checkRecorded(t, "facts_full.json", factsMessage{UID: "j-000400", Name: "train", User: "ada", Number: 4001})
-	checkRecorded(t, "facts_empty.json", factsMessage{})
+// Messages for Slurm-style clients keep their form.
+func TestRecordedSlurmMessages(t *testing.T) {
+	checkRecorded(t, "facts_full.json", factsQuery{UID: "j-000400", Name: "train", User: "ada", Number: 4001})
+	checkRecorded(t, "facts_empty.json", factsQuery{})
 	checkRecorded(t, "facts_reply_full.json", factsReply{
-		Known: true, Facts: jobspec.JobFacts{Started: true, StartedMs: 1700000000123, Over: true, OK: true}, Earlier: true,
+		Known: true, Facts: jobspec.JobFacts{Started: true, StartedMs: 1700000000123, Over: true, OK: true}, HasEarlier: true,
 	})
 	checkRecorded(t, "facts_reply_empty.json", factsReply{})
 	cursor := jobquery.Cursor{Number: 4001, On: 20, Task: 7}
@@ -206,7 +213,7 @@
 	checkRecorded(t, "desk_reply_full.json", slurmapi.Reply{
 		Status: 200, Why: "no such job is waiting or running", Next: &cursor,
 		Jobs: []jobquery.Info{{
-			Job: fullJob(), Constraints: fullTerms(), AcceptedMs: 1700000000123, Stage: wire.StageRunning, Reason: "Resources", EligibleMs: 1700000001123,
+			Job: fullJob(), Constraints: fullConstraints(), AcceptedMs: 1700000000123, Stage: wire.StageRunning, Reason: "Resources", EligibleMs: 1700000001123,
 			StartMs: 1700000002123, Waiting: "4-7", Queued: 4, Placements: []jobquery.Placement{{Task: 3, Attempt: 2, Machine: "n-000231", StartMs: 1700000003123, Ending: true}},
 			Running: 1, Done: 2, Failed: 6, Ending: &jobspec.Ending{Number: 4001, State: "FAILED", Exit: 137, Failed: 6, StartMs: 1700000002123, EndMs: 1700000009123},
 		}},
@@ -214,8 +221,8 @@
 	checkRecorded(t, "desk_reply_empty.json", slurmapi.Reply{})
 }
 
-// What the leading controller tells of roll-outs keeps its form.
-func TestRecordedRollouts(t *testing.T) {
+// The statuses of roll-outs between controllers keep their form.
+func TestRecordedRolloutMessages(t *testing.T) {
 	version := rollout.Version{Name: "v7", Desc: taskspec.Spec{
 		Argv: []string{"serve"}, Env: map[string]string{"MODE": "fast"}, Dir: "/srv", Script: "#!/bin/sh", Args: []string{"-v"},
 		CPUs: 2.5, GPUs: 1, MemoryGB: 12.25,
--- /dev/null
+++ b/internal/controller/remote_jobs.go
@@ -0,0 +1,81 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/statestore"
+)
+
+// factsTimeout is for each leader that is asked for facts of jobs.
+const factsTimeout = 700 * time.Millisecond
+
+// factsQuery asks for the facts of the job with the UID, or whether there is an unfinished
+// job of the name and user with a number below Number.
+type factsQuery struct {
+	UID    string `json:"uid,omitempty"`
+	Name   string `json:"name,omitempty"`
+	User   string `json:"user,omitempty"`
+	Number uint64 `json:"number,omitempty"`
+}
+
+type factsReply struct {
+	Known      bool             `json:"known"`
+	Facts      jobspec.JobFacts `json:"facts"`
+	HasEarlier bool             `json:"earlier"`
+}
+
+// remoteJobs are the jobs of other leaders, on which jobs here depend. It implements
+// scheduler.RemoteJobs.
+type remoteJobs struct {
+	store   *statestore.Client
+	mesh    *mesh.Mesh
+	leaders *leaders
+}
+
+// JobFacts says how far a job is: its leader knows, or the state service how it ended.
+func (r *remoteJobs) JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error) {
+	for _, leader := range r.leaders.ShardOwners() {
+		if reply, err := r.query(ctx, leader, methodFacts, &factsQuery{UID: uid}); err == nil && reply.Known {
+			return reply.Facts, nil
+		}
+	}
+	return scheduler.StoredFacts(ctx, r.store, uid)
+}
+
+// HasEarlier reports whether another leader has an unfinished job of the name and user with a
+// lower number; one that does not respond may have it.
+func (r *remoteJobs) HasEarlier(ctx context.Context, name, user string, number uint64) (bool, error) {
+	for _, leader := range r.leaders.ShardOwners() {
+		reply, err := r.query(ctx, leader, methodEarlier, &factsQuery{Name: name, User: user, Number: number})
+		if err != nil || reply.HasEarlier {
+			return true, err
+		}
+	}
+	return false, nil
+}
+
+func (r *remoteJobs) query(ctx context.Context, leader, method string, q *factsQuery) (*factsReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, factsTimeout)
+	defer cancel()
+	return mesh.Call[factsQuery, factsReply](ctx, r.mesh, leader, method, q)
+}
+
+// jobFacts answers other leaders for the jobs that are led here. It serves also where
+// Slurm-style clients are off, for jobs from before.
+type jobFacts struct {
+	scheduler *scheduler.Scheduler
+}
+
+func (j *jobFacts) register(m *mesh.Mesh) {
+	mesh.Handle(m, methodFacts, func(_ context.Context, q *factsQuery) (*factsReply, error) {
+		facts, known := j.scheduler.LocalFacts(q.UID)
+		return &factsReply{Known: known, Facts: facts}, nil
+	})
+	mesh.Handle(m, methodEarlier, func(_ context.Context, q *factsQuery) (*factsReply, error) {
+		return &factsReply{HasEarlier: j.scheduler.HasEarlierLocal(q.Name, q.User, q.Number)}, nil
+	})
+}
--- a/internal/controller/start_test.go
+++ b/internal/controller/start_test.go
@@ -42,8 +42,9 @@
 sockets = 600
 `
 
-// start runs a controller, which reaches nobody, for a while.
-func start(t testing.TB, d time.Duration) {
+// options are those of a controller that reaches nobody.
+func options(t testing.TB) Options {
+	t.Helper()
 	p, err := config.ParsePlatform([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
@@ -52,16 +53,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return Options{Platform: p, Operator: op, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+}
+
+// start runs a controller that reaches nobody for a while.
+func start(t testing.TB, d time.Duration) {
+	o := options(t)
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
-	if err := Run(ctx, Options{Platform: p, Operator: op, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}); err != nil && ctx.Err() == nil {
+	if err := Run(ctx, o); err != nil && ctx.Err() == nil {
 		t.Fatal(err)
 	}
 }
 
-// A controller that reaches neither the state service nor the cloud nor a peer
-// goes on trying, and stops in good order when it is told to.
-func TestStartsAloneAndStops(t *testing.T) {
+// A controller that reaches neither the state service nor the cloud nor a peer goes on
+// trying, and stops in good order when its context ends.
+func TestStartWithoutPeersAndServicesAndStop(t *testing.T) {
 	began := time.Now()
 	start(t, 300*time.Millisecond)
 	if took := time.Since(began); took < 300*time.Millisecond || took > 10*time.Second {
@@ -69,8 +76,8 @@
 	}
 }
 
-// BenchmarkStart is all that a process does from its settings to its duties'
-// first steps, and back.
+// BenchmarkStart is all that a process does from its settings to its loops' first steps, and
+// back.
 func BenchmarkStart(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
--- /dev/null
+++ b/internal/controller/store_relay.go
@@ -0,0 +1,39 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/statestore"
+)
+
+// storeRelay passes requests to the state service on: this controller's to a peer that
+// reaches the service, and peers' to the service. It implements statestore.Relay.
+type storeRelay struct {
+	store *statestore.Client
+	links *linkView
+	peers *peerCaller
+}
+
+func (r *storeRelay) register(m *mesh.Mesh) {
+	mesh.Handle(m, methodStore, func(ctx context.Context, req *statestore.RelayedRequest) (*statestore.RelayedResponse, error) {
+		return r.store.ServeRelayed(ctx, *req)
+	})
+}
+
+// Ready reports whether a peer reaches the state service.
+func (r *storeRelay) Ready() bool { return len(r.links.now().ServingPeers()) > 0 }
+
+// Forward has a peer make a request. The error is statestore.ErrUnavailable if nobody was
+// asked; with any other one the request may have been made: a connection that breaks after
+// it was sent looks like a refused one.
+func (r *storeRelay) Forward(ctx context.Context, req statestore.RelayedRequest) (*statestore.RelayedResponse, error) {
+	serving := r.links.now().ServingPeers()
+	if len(serving) == 0 {
+		return nil, fmt.Errorf("%w: no peer reaches it", statestore.ErrUnavailable)
+	}
+	rep, err := mesh.Call[statestore.RelayedRequest, statestore.RelayedResponse](ctx, r.peers.mesh, serving[0], methodStore, &req)
+	r.peers.record(serving[0], err, false)
+	return rep, err
+}
--- /dev/null
+++ b/internal/controller/unresponsive_workers.go
@@ -0,0 +1,137 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"sync"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/reachability"
+	"github.com/wallrack/wallrack/internal/scheduler"
+)
+
+// peerProbeTimeout is for a peer that probes an unresponsive worker.
+const peerProbeTimeout = 2 * time.Second
+
+// receiveHealth says how well this process receives just now.
+type receiveHealth func() reachability.ReceiveHealth
+
+// probeQuery asks whether a worker is reached.
+type probeQuery struct {
+	Worker       string `json:"machine"`
+	Endpoint     string `json:"endpoint"`
+	OutboundLost bool   `json:"deaf,omitempty"` // that its heartbeats arrive is known: does it respond?
+}
+
+type probeReply struct {
+	Responsive bool `json:"lives"` // it sent a heartbeat lately, or responds
+}
+
+// unresponsiveWorkers judges the workers that this leader does not hear any more. It is safe
+// for concurrent use.
+type unresponsiveWorkers struct {
+	cfg        *config.Platform
+	operator   *config.Operator
+	scheduler  *scheduler.Scheduler
+	dispatcher *dispatch.Dispatcher
+	links      *linkView
+	peers      *peerCaller
+	health     receiveHealth
+	lifetime   lifetime
+	log        *slog.Logger
+
+	mu       sync.Mutex
+	detector reachability.FailureDetector
+	kept     int // unresponsive workers that were kept, when last judged
+}
+
+func newFailureDetector(w config.Workers, op *config.Operator) reachability.FailureDetector {
+	return reachability.FailureDetector{
+		Base: config.Seconds(op.SilentS), Lease: config.Seconds(w.LeaseS), Report: config.Seconds(w.ReportS), Grace: responseGrace(w),
+	}
+}
+
+func (u *unresponsiveWorkers) register(m *mesh.Mesh) {
+	mesh.Handle(m, methodProbe, func(ctx context.Context, q *probeQuery) (*probeReply, error) {
+		return &probeReply{u.reached(ctx, q)}, nil
+	})
+}
+
+// reached answers a peer's query whether a worker is reached from here.
+func (u *unresponsiveWorkers) reached(ctx context.Context, q *probeQuery) bool {
+	if !q.OutboundLost && u.dispatcher.SinceHeartbeat(q.Worker).Seconds() < u.operator.SilentS {
+		return true
+	}
+	return q.Endpoint != "" && u.dispatcher.FetchReport(ctx, q.Worker, q.Endpoint)
+}
+
+// failed names the workers that this leader gives up, and why. It starts probes of those
+// that it is not certain of; their outcome counts the next time.
+func (u *unresponsiveWorkers) failed() map[string]string {
+	failed := u.scheduler.StuckWorkers()
+	known, unresponsive := u.scheduler.UnresponsiveWorkers(u.detector.Threshold())
+	verdict := u.judge(known, unresponsive)
+	for name, reason := range verdict.Return {
+		failed[name] = reason
+	}
+	for name, worker := range verdict.Probe {
+		go u.probe(name, worker)
+	}
+	return failed
+}
+
+func (u *unresponsiveWorkers) judge(known int, unresponsive []reachability.UnresponsiveWorker) reachability.Verdict {
+	view := u.links.now()
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	verdict := u.detector.Evaluate(time.Now(), view, u.health(), known, unresponsive)
+	if (verdict.Kept > 0) != (u.kept > 0) {
+		u.log.Info("unresponsive workers kept", "workers", verdict.Kept, "known", known, "reason", verdict.KeptReason)
+	}
+	u.kept = verdict.Kept
+	return verdict
+}
+
+// keptCount returns how many unresponsive workers were kept when last judged.
+func (u *unresponsiveWorkers) keptCount() int {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.kept
+}
+
+func (u *unresponsiveWorkers) probe(name string, worker reachability.UnresponsiveWorker) {
+	responsive := u.responds(worker)
+	if responsive && worker.OutboundLost {
+		u.scheduler.WorkerAnswered(name)
+	}
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.detector.RecordProbe(name, responsive, time.Now())
+}
+
+// responds probes a worker from here and from all peers.
+func (u *unresponsiveWorkers) responds(worker reachability.UnresponsiveWorker) bool {
+	responses := make(chan bool, 1+len(u.cfg.Peers))
+	go func() {
+		responses <- worker.Endpoint != "" && u.dispatcher.FetchReport(u.lifetime.ctx, worker.Name, worker.Endpoint)
+	}()
+	for _, peer := range u.cfg.Peers {
+		go func() { responses <- u.respondsTo(peer.Node, worker) }()
+	}
+	for range cap(responses) {
+		if <-responses {
+			return true
+		}
+	}
+	return false
+}
+
+func (u *unresponsiveWorkers) respondsTo(peer string, worker reachability.UnresponsiveWorker) bool {
+	ctx, cancel := context.WithTimeout(u.lifetime.ctx, peerProbeTimeout)
+	defer cancel()
+	reply, err := call[probeQuery, probeReply](ctx, u.peers, peer, methodProbe, &probeQuery{worker.Name, worker.Endpoint, worker.OutboundLost})
+	return err == nil && reply.Responsive
+}
--- /dev/null
+++ b/internal/controller/user_peers.go
@@ -0,0 +1,45 @@
+package controller
+
+import (
+	"context"
+
+	"github.com/wallrack/wallrack/internal/failovertiming"
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/submission"
+)
+
+// userPeers are the other controllers for users' requests. It implements submission.Peers.
+type userPeers struct {
+	*leaders
+	peers *peerCaller
+	times *failovertiming.Timeline
+}
+
+// ServingPeers names the other controllers that reach the state service.
+func (u *userPeers) ServingPeers() []string { return u.links.now().ServingPeers() }
+
+// Healthy fails only when this controller can't serve and a peer can.
+func (u *userPeers) Healthy() bool {
+	healthy := u.member.FencingToken() != 0 && u.links.now().Healthy()
+	if healthy {
+		u.times.Mark(failovertiming.Up)
+	}
+	return healthy
+}
+
+// AskPeer has a peer serve a user's request.
+func (u *userPeers) AskPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
+	return call[submission.Request, submission.Reply](ctx, u.peers, peer, methodUser, &r)
+}
+
+// userService serves the requests of users that peers pass on.
+type userService struct {
+	submissions *submission.Service
+}
+
+func (u *userService) register(m *mesh.Mesh) {
+	mesh.Handle(m, methodUser, func(ctx context.Context, r *submission.Request) (*submission.Reply, error) {
+		reply := u.submissions.Serve(ctx, *r)
+		return &reply, nil
+	})
+}
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -43,7 +43,7 @@
 func holdMachines(tb testing.TB, machines, tasks int) *heldMachines {
 	s := discard{&stub{term: 7}}
 	h := &heldMachines{holder: dispatch.New(context.Background(), dispatch.Options{
-		Node: "a", WorkerLease: 44*time.Second, Schedulers: s, Tokens: s, MachineTypes: s, Routing: s, Commands: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Node: "a", WorkerLease: 44 * time.Second, Schedulers: s, Tokens: s, MachineTypes: s, Routing: s, Commands: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})}
 	for i := range machines {
 		r := &wire.Report{Machine: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z", Session: 1, Token: 7}
--- a/internal/dispatch/holder.go
+++ b/internal/dispatch/holder.go
@@ -132,7 +132,7 @@
 	h := &Dispatcher{
 		name: o.Node, lease: o.WorkerLease, owners: o.Schedulers, tokens: o.Tokens, types: o.MachineTypes, routing: o.Routing, orders: o.Commands, log: o.Log,
 		cancellations: o.Cancellations,
-		ctx: ctx, started: time.Now(),
+		ctx:           ctx, started: time.Now(),
 		machines: map[string]*workerState{}, answered: map[string]time.Time{}, gone: recent.NewSet(maxTombstones), dirty: map[string]bool{},
 	}
 	h.asks.Send = h.askOwner
--- a/internal/dispatch/slow_links_test.go
+++ b/internal/dispatch/slow_links_test.go
@@ -54,8 +54,8 @@
 		s := &slowLinks{&stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return report(2, 5), true, nil }}, 2900 * time.Millisecond}
 		ctx, cancel := context.WithCancel(context.Background())
 		h := dispatch.New(ctx, dispatch.Options{
-		Node: "a", WorkerLease: 10*time.Second, Schedulers: s, Tokens: s, MachineTypes: s, Routing: s, Commands: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-	})
+			Node: "a", WorkerLease: 10 * time.Second, Schedulers: s, Tokens: s, MachineTypes: s, Routing: s, Commands: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		})
 		h.HandleReport(ctx, report(1, 5))
 		e := entry(1)
 		e.Owner = "b"
--- a/internal/failovertiming/recovery.go
+++ b/internal/failovertiming/recovery.go
@@ -68,6 +68,15 @@
 	return &Timeline{books: books, limit: limit, log: log, wake: make(chan struct{}, 1), started: now, began: now, open: true}
 }
 
+// Restart times the process's start from now on: before, it waited for its predecessor. It must
+// be called before Run and the first Mark.
+func (t *Timeline) Restart() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	t.started, t.began = now, now
+}
+
 // Mark notes that a phase is reached. The first one counts. Marking costs a lock
 // while a recovery is timed, and little more than nothing else.
 func (t *Timeline) Mark(p Phase) {
