--- a/cmd/wallrack/local.go
+++ b/cmd/wallrack/local.go
@@ -1,24 +1,14 @@
 package main
 
 import (
-	"context"
-	"fmt"
-	"os"
-	"os/exec"
-	"path/filepath"
-	"syscall"
-	"time"
-
 	"github.com/spf13/cobra"
 
 	"github.com/wallrack/wallrack/internal/local"
-	"github.com/wallrack/wallrack/internal/subprocess"
 )
 
-const endPartWithin = 5 * time.Second
-
+// localCommand runs a site on this machine.
 func localCommand() *cobra.Command {
-	var s local.Site
+	var site local.Site
 	var inProcess bool
 	c := &cobra.Command{
 		Use:   "local --dir DIR",
@@ -28,71 +18,24 @@
 			"states included, are kept in DIR; logs go to standard error and DIR/logs.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			log, err := logger()
-			if err != nil {
+			var err error
+			if site.Log, err = logger(); err != nil {
 				return err
 			}
-			s.Log = log
-			s.Start = within
-			if !inProcess {
-				exe, err := os.Executable()
-				if err != nil {
-					return fmt.Errorf("this program's file: %w", err)
-				}
-				s.Start = children(exe, filepath.Join(s.Dir, "logs"))
+			if site.Start, err = partsOf(site.Dir, inProcess); err != nil {
+				return err
 			}
-			return s.Run(cmd.Context(), func(url string) { fmt.Fprintln(cmd.OutOrStdout(), "ready", url) })
+			return site.Run(cmd.Context(), func(url string) { printTo(cmd.OutOrStdout(), "ready %s\n", url) })
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&s.Dir, "dir", "", "directory that keeps the site")
-	f.StringVar(&s.Listen, "listen", "127.0.0.1:0", "loopback address for users")
-	f.IntVar(&s.Controllers, "controllers", 3, "number of controllers")
-	f.IntVar(&s.Machines, "machines", 8, "most machines up at once")
-	f.Float64Var(&s.CPUs, "cpus", 4, "CPUs of a machine")
-	f.Float64Var(&s.MemoryGB, "memory-gb", 8, "memory of a machine, in GB")
-	f.StringVar(&s.Slots, "slots", "", "file with slots of roll-outs: (slot ...) and (slot-class ...) entries")
+	f.StringVar(&site.Dir, "dir", "", "directory that keeps the site")
+	f.StringVar(&site.Listen, "listen", "127.0.0.1:0", "loopback address for users")
+	f.IntVar(&site.Controllers, "controllers", 3, "number of controllers")
+	f.IntVar(&site.Machines, "machines", 8, "most machines up at once")
+	f.Float64Var(&site.CPUs, "cpus", 4, "CPUs of a machine")
+	f.Float64Var(&site.MemoryGB, "memory-gb", 8, "memory of a machine, in GB")
+	f.StringVar(&site.Slots, "slots", "", "file with slots of roll-outs: (slot ...) and (slot-class ...) entries")
 	f.BoolVar(&inProcess, "in-process", false, "run controllers and workers inside this process")
 	return c
 }
-
-// within runs a part inside this process.
-func within(ctx context.Context, _ string, args []string) error {
-	c := command()
-	c.SetArgs(args)
-	return c.ExecuteContext(ctx)
-}
-
-// children runs parts as child processes that log to files of their own.
-func children(exe, logs string) local.Part {
-	return func(ctx context.Context, name string, args []string) error {
-		if err := os.MkdirAll(logs, 0o755); err != nil {
-			return fmt.Errorf("logs: %w", err)
-		}
-		f, err := os.OpenFile(filepath.Join(logs, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
-		if err != nil {
-			return fmt.Errorf("logs: %w", err)
-		}
-		defer f.Close()
-		cmd := exec.Command(exe, args...)
-		cmd.Stdout, cmd.Stderr = f, f
-		if err := subprocess.Start(cmd); err != nil {
-			return fmt.Errorf("start %s: %w", name, err)
-		}
-		done := make(chan error, 1)
-		go func() { done <- cmd.Wait() }()
-		select {
-		case err := <-done:
-			return err
-		case <-ctx.Done():
-		}
-		subprocess.Signal(cmd, syscall.SIGTERM)
-		select {
-		case err := <-done:
-			return err
-		case <-time.After(endPartWithin):
-		}
-		subprocess.Signal(cmd, syscall.SIGKILL)
-		return <-done
-	}
-}
--- a/cmd/wallrack/main.go
+++ b/cmd/wallrack/main.go
@@ -1,10 +1,11 @@
-// Command wallrack is a cluster scheduler's controller.
+// Command wallrack runs a cluster scheduler's controller, its workers, and sites for trials.
 package main
 
 import (
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"os"
 	"os/signal"
@@ -13,54 +14,39 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/controller"
-	"github.com/wallrack/wallrack/internal/quota"
-	"github.com/wallrack/wallrack/internal/rollout"
-	"github.com/wallrack/wallrack/internal/slurmapi"
 )
 
 const version = "0.1.0"
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	if err := command().ExecuteContext(ctx); err != nil {
-		fmt.Fprintln(os.Stderr, "wallrack:", err)
+	err := command().ExecuteContext(ctx)
+	stop()
+	if err != nil {
+		printTo(os.Stderr, "wallrack: %v\n", err)
 		os.Exit(exitCode(err))
 	}
 }
 
-// badSettings is a settings file that can't be used: nothing was started.
-type badSettings struct{ error }
+// settingsError means that a settings file can't be used and nothing was started.
+type settingsError struct{ err error }
 
+func (e settingsError) Error() string { return e.err.Error() }
+func (e settingsError) Unwrap() error { return e.err }
+
+// exitCode is 2 for settings that can't be used, where a command says so, and 1 for any other
+// failure.
 func exitCode(err error) int {
-	var bad badSettings
-	if errors.As(err, &bad) {
+	if errors.As(err, new(settingsError)) {
 		return 2
 	}
 	return 1
 }
 
+// command returns the program's command line.
 func command() *cobra.Command {
-	var platform, operator, rollouts, slurm string
-	load := func() (*config.Platform, *config.Operator, error) {
-		if platform == "" {
-			return nil, nil, errors.New("--config: a settings file is needed")
-		}
-		p, err := config.LoadPlatform(platform)
-		if err != nil {
-			return nil, nil, err
-		}
-		op, err := config.LoadOperator(operator)
-		if err != nil {
-			return nil, nil, err
-		}
-		if err := quota.CheckQuotaRecords(p, op); err != nil {
-			return nil, nil, fmt.Errorf("%s: %w", platform, err)
-		}
-		return p, op, nil
-	}
+	var files settingsFiles
 	root := &cobra.Command{
 		Use:           "wallrack --config FILE",
 		Short:         "A cluster scheduler's controller",
@@ -68,54 +54,51 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			p, op, err := load()
+			options, err := files.options()
 			if err != nil {
 				return err
 			}
-			log, err := logger()
-			if err != nil {
-				return err
-			}
-			o := controller.Options{Platform: p, Operator: op, Version: version, Log: log.With("node", p.Node)}
-			if rollouts != "" {
-				if o.Rollouts, err = rollout.LoadSettings(rollouts); err != nil {
-					return err
-				}
-			}
-			if slurm != "" {
-				if o.Slurm, err = slurmapi.LoadSettings(slurm); err != nil {
-					return err
-				}
-			}
-			return controller.Run(cmd.Context(), o)
+			return controller.Run(cmd.Context(), options)
 		},
 	}
-	root.PersistentFlags().StringVar(&platform, "config", "", "the platform's settings file (TOML)")
-	root.Flags().StringVar(&rollouts, "rollouts", "", "the settings of roll-outs (S-expressions); without it there are none")
-	root.Flags().StringVar(&slurm, "slurm", "", "the settings of Slurm-style clients and accounting (S-expressions); without it there are none")
-	root.PersistentFlags().StringVar(&operator, "operator", "", "the operators' settings file (S-expressions)")
-	root.AddCommand(&cobra.Command{
+	root.PersistentFlags().StringVar(&files.platform, "config", "", "the platform's settings file (TOML)")
+	root.Flags().StringVar(&files.rollouts, "rollouts", "", "the settings of roll-outs (S-expressions); without it there are none")
+	root.Flags().StringVar(&files.slurm, "slurm", "", "the settings of Slurm-style clients and accounting (S-expressions); without it there are none")
+	root.PersistentFlags().StringVar(&files.operator, "operator", "", "the operators' settings file (S-expressions)")
+	root.AddCommand(versionCommand(), checkCommand(&files), boundCommand(), workerCommand(), localCommand(), scaleCommand())
+	return root
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "wallrack", version) },
-	}, &cobra.Command{
+		Run: func(cmd *cobra.Command, _ []string) { printTo(cmd.OutOrStdout(), "wallrack %s\n", version) },
+	}
+}
+
+func checkCommand(files *settingsFiles) *cobra.Command {
+	return &cobra.Command{
 		Use: "check", Short: "Check the settings and exit", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			p, _, err := load()
+			platform, _, err := files.load()
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "settings of %s are in order\n", p.Node)
+				printTo(cmd.OutOrStdout(), "settings of %s are in order\n", platform.Node)
 			}
 			return err
 		},
-	}, boundCommand(), workerCommand(), localCommand(), scaleCommand())
-	return root
+	}
 }
 
+// logger logs to standard error from the level that LOG_LEVEL names, info without it.
 func logger() (*slog.Logger, error) {
 	var level slog.Level
-	if s := os.Getenv("LOG_LEVEL"); s != "" {
-		if err := level.UnmarshalText([]byte(strings.ToUpper(s))); err != nil {
+	if name := os.Getenv("LOG_LEVEL"); name != "" {
+		if err := level.UnmarshalText([]byte(strings.ToUpper(name))); err != nil {
 			return nil, fmt.Errorf("LOG_LEVEL: %w", err)
 		}
 	}
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
+
+// printTo writes what a command has to say. The command's outcome is the same when nobody reads it.
+func printTo(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
--- /dev/null
+++ b/cmd/wallrack/parts.go
@@ -0,0 +1,76 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/local"
+	"github.com/wallrack/wallrack/internal/subprocess"
+)
+
+// stopTimeout is how long a child process may take to end before it is killed.
+const stopTimeout = 5 * time.Second
+
+// partsOf returns what starts the parts of a site: inside this process, or as child processes
+// that log to files of their own in the directory's logs.
+func partsOf(dir string, inProcess bool) (local.Part, error) {
+	if inProcess {
+		return runInProcess, nil
+	}
+	exe, err := os.Executable()
+	if err != nil {
+		return nil, fmt.Errorf("this program's file: %w", err)
+	}
+	return childProcesses(exe, filepath.Join(dir, "logs")), nil
+}
+
+// runInProcess runs a part inside this process.
+func runInProcess(ctx context.Context, _ string, args []string) error {
+	c := command() //nolint:contextcheck // its functions get ctx by ExecuteContext
+	c.SetArgs(args)
+	return c.ExecuteContext(ctx)
+}
+
+// childProcesses runs parts as child processes.
+func childProcesses(exe, logs string) local.Part {
+	return func(ctx context.Context, name string, args []string) error {
+		if err := os.MkdirAll(logs, 0o755); err != nil {
+			return fmt.Errorf("logs: %w", err)
+		}
+		f, err := os.OpenFile(filepath.Join(logs, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+		if err != nil {
+			return fmt.Errorf("logs: %w", err)
+		}
+		defer func() { _ = f.Close() }() // the child writes to it, by a descriptor of its own
+		cmd := exec.Command(exe, args...)
+		cmd.Stdout, cmd.Stderr = f, f
+		if err := subprocess.Start(cmd); err != nil {
+			return fmt.Errorf("start %s: %w", name, err)
+		}
+		return waitOrStop(ctx, cmd)
+	}
+}
+
+// waitOrStop waits for a child process, and ends it when ctx ends.
+func waitOrStop(ctx context.Context, cmd *exec.Cmd) error {
+	done := make(chan error, 1)
+	go func() { done <- cmd.Wait() }()
+	select {
+	case err := <-done:
+		return err
+	case <-ctx.Done():
+	}
+	subprocess.Signal(cmd, syscall.SIGTERM)
+	select {
+	case err := <-done:
+		return err
+	case <-time.After(stopTimeout):
+	}
+	subprocess.Signal(cmd, syscall.SIGKILL)
+	return <-done
+}
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -110,9 +110,11 @@
 // rollOut has a service of one replica rolled out, and waits until it is.
 func rollOut(ctx context.Context, t *testing.T, c *client.Client) {
 	t.Helper()
-	spec := rollout.Spec{Service: "tips", Steps: []string{"100%"}, SoakS: 1, Replicas: 1, Check: rollout.Check{TCP: true, EveryS: 0.3, TimeoutS: 1},
+	spec := rollout.Spec{
+		Service: "tips", Steps: []string{"100%"}, SoakS: 1, Replicas: 1, Check: rollout.Check{TCP: true, EveryS: 0.3, TimeoutS: 1},
 		Template: wire.Job{Class: "service", Team: "default", Priority: "production", Image: "none"},
-		To:       rollout.Version{Name: "v1", Desc: taskspec.Spec{Argv: []string{os.Args[0]}, Env: map[string]string{"TEST_SERVICE": "good"}, CPUs: 1}}}
+		To:       rollout.Version{Name: "v1", Desc: taskspec.Spec{Argv: []string{os.Args[0]}, Env: map[string]string{"TEST_SERVICE": "good"}, CPUs: 1}},
+	}
 	body, err := json.Marshal(spec)
 	if err != nil {
 		t.Fatal(err)
@@ -138,9 +140,11 @@
 func refusals(t *testing.T, base string) string {
 	t.Helper()
 	var text strings.Builder
-	for _, request := range []string{"GET /ops", "GET /ops/nothing", "POST /ops/stats", "POST /ops/alerts", "POST /ops/machines", "POST /ops/links", "POST /ops/rollouts",
+	for _, request := range []string{
+		"GET /ops", "GET /ops/nothing", "POST /ops/stats", "POST /ops/alerts", "POST /ops/machines", "POST /ops/links", "POST /ops/rollouts",
 		"GET /ops/rollouts/none", "GET /ops/rollouts/none/history", "POST /ops/rollouts/none/pause", "POST /ops/rollouts/tips/pause", "POST /ops/rollouts/tips/resume",
-		"POST /ops/rollouts/tips/abort", "POST /ops/rollouts/tips/stop"} {
+		"POST /ops/rollouts/tips/abort", "POST /ops/rollouts/tips/stop",
+	} {
 		method, path, _ := strings.Cut(request, " ")
 		req, err := http.NewRequestWithContext(t.Context(), method, base+path, strings.NewReader("{}"))
 		if err != nil {
@@ -214,7 +218,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() {
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	jobs, err := lowerbound.Read(f)
 	if err != nil || len(jobs) != 1 || jobs[0].Class != "adhoc" || jobs[0].Tasks != 3 || jobs[0].CPUs != 1 || jobs[0].Arrived < 1e9 || jobs[0].Took <= 0 || jobs[0].Run <= 0 {
 		t.Errorf("%+v, %v", jobs, err)
--- a/cmd/wallrack/scale.go
+++ b/cmd/wallrack/scale.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -16,9 +17,15 @@
 	"github.com/wallrack/wallrack/internal/scale"
 )
 
+// scaleFlags are the flags of the command scale.
+type scaleFlags struct {
+	file, dir, out string
+	inProcess      bool
+}
+
+// scaleCommand plays a site of a planned size.
 func scaleCommand() *cobra.Command {
-	var file, dir, out string
-	var inProcess bool
+	var flags scaleFlags
 	c := &cobra.Command{
 		Use:   "scale --config FILE",
 		Short: "Play a site of a planned size on this machine, and measure it",
@@ -31,44 +38,46 @@
 			"nothing was started; 1: the run failed, or a rule was broken.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if file == "" {
-				return badSettings{errors.New("--config: a settings file is needed")}
-			}
-			settings, err := scale.LoadSettings(file)
-			if err != nil {
-				return badSettings{err}
-			}
-			run := &scale.Run{Settings: settings, Dir: dir, Start: within, Progress: progress(cmd.ErrOrStderr(), settings.Running), Log: slog.New(slog.DiscardHandler)}
-			if run.Dir == "" {
-				if run.Dir, err = os.MkdirTemp("", "wallrack-scale-"); err != nil {
-					return fmt.Errorf("--dir: %w", err)
-				}
-				defer os.RemoveAll(run.Dir)
-			}
-			if !inProcess {
-				exe, err := os.Executable()
-				if err != nil {
-					return fmt.Errorf("this program's file: %w", err)
-				}
-				run.Start = children(exe, filepath.Join(run.Dir, "logs"))
-			}
-			result, err := run.Do(cmd.Context())
-			if result == nil {
-				return err
-			}
-			return errors.Join(err, writeResult(cmd.OutOrStdout(), result, out))
+			return runScale(cmd.Context(), flags, cmd.OutOrStdout(), cmd.ErrOrStderr())
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&file, "config", "", "what to play (S-expressions); deploy/scale.sexp is the planned size")
-	f.StringVar(&dir, "dir", "", "directory for the controllers' settings and logs; without it they are not kept")
-	f.StringVar(&out, "out", ".", "directory for the results")
-	f.BoolVar(&inProcess, "in-process", false, "run the controllers inside this process")
+	f.StringVar(&flags.file, "config", "", "what to play (S-expressions); deploy/scale.sexp is the planned size")
+	f.StringVar(&flags.dir, "dir", "", "directory for the controllers' settings and logs; without it they are not kept")
+	f.StringVar(&flags.out, "out", ".", "directory for the results")
+	f.BoolVar(&flags.inProcess, "in-process", false, "run the controllers inside this process")
 	return c
 }
 
-// writeResult prints the result and writes its files.
-func writeResult(w io.Writer, r *scale.Result, out string) error {
+// runScale plays the site, and prints and writes what was measured, also of a run that failed
+// on its way.
+func runScale(ctx context.Context, flags scaleFlags, out, progressOut io.Writer) error {
+	if flags.file == "" {
+		return settingsError{errors.New("--config: a settings file is needed")}
+	}
+	settings, err := scale.LoadSettings(flags.file)
+	if err != nil {
+		return settingsError{err}
+	}
+	run := &scale.Run{Settings: settings, Dir: flags.dir, Progress: progress(progressOut, settings.Running), Log: slog.New(slog.DiscardHandler)}
+	if run.Dir == "" {
+		if run.Dir, err = os.MkdirTemp("", "wallrack-scale-"); err != nil {
+			return fmt.Errorf("--dir: %w", err)
+		}
+		defer func() { _ = os.RemoveAll(run.Dir) }() // what is left of it is the system's to clean
+	}
+	if run.Start, err = partsOf(run.Dir, flags.inProcess); err != nil {
+		return err
+	}
+	result, err := run.Do(ctx)
+	if result == nil {
+		return err
+	}
+	return errors.Join(err, writeResult(out, result, flags.out))
+}
+
+// writeResult prints the result and writes its files. A broken rule is an error.
+func writeResult(w io.Writer, r *scale.Result, dir string) error {
 	if err := r.Print(w); err != nil {
 		return err
 	}
@@ -76,13 +85,13 @@
 	if err != nil {
 		return fmt.Errorf("encode result: %w", err)
 	}
-	if err := os.MkdirAll(out, 0o755); err != nil {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("--out: %w", err)
 	}
-	if err := os.WriteFile(filepath.Join(out, "scale.json"), append(data, '\n'), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "scale.json"), append(data, '\n'), 0o644); err != nil {
 		return fmt.Errorf("--out: %w", err)
 	}
-	plot, err := os.Create(filepath.Join(out, "scale.html"))
+	plot, err := os.Create(filepath.Join(dir, "scale.html"))
 	if err != nil {
 		return fmt.Errorf("--out: %w", err)
 	}
@@ -97,20 +106,20 @@
 
 // progress shows a bar of the running tasks on a terminal, and a line at each phase
 // elsewhere.
-func progress(w io.Writer, most int) func(phase string, running, starts int) {
+func progress(w io.Writer, maxRunning int) func(phase string, running, starts int) {
 	f, isFile := w.(*os.File)
 	if !isFile || !term.IsTerminal(int(f.Fd())) {
 		last := ""
 		return func(phase string, running, starts int) {
 			if phase != last {
 				last = phase
-				fmt.Fprintf(w, "%s: %d tasks run, %d starts a second\n", phase, running, starts)
+				printTo(w, "%s: %d tasks run, %d starts a second\n", phase, running, starts)
 			}
 		}
 	}
-	bar := progressbar.NewOptions(max(1, most), progressbar.OptionSetWriter(w), progressbar.OptionSetWidth(30), progressbar.OptionShowCount())
+	bar := progressbar.NewOptions(max(1, maxRunning), progressbar.OptionSetWriter(w), progressbar.OptionSetWidth(30), progressbar.OptionShowCount())
 	return func(phase string, running, starts int) {
 		bar.Describe(fmt.Sprintf("%s, %d starts/s, tasks", phase, starts))
-		_ = bar.Set(min(running, max(1, most))) // only drawing can fail
+		_ = bar.Set(min(running, max(1, maxRunning))) // only drawing can fail
 	}
 }
--- a/cmd/wallrack/worker.go
+++ b/cmd/wallrack/worker.go
@@ -23,15 +23,18 @@
 	id              worker.Ident
 	listen, dir     string
 	descriptions    string
-	controllers     []string
+	controllers     []string // NAME=HOST:PORT
 	reportS, leaseS float64
 	maxLogKB        int
 }
 
+// check says what is wrong with the flags, or returns the controllers that they name.
 func (s *workerSettings) check() ([]worker.Controller, error) {
-	for _, f := range []struct{ name, v string }{{"--name", s.id.Name}, {"--listen", s.listen}, {"--type", s.id.Type}, {"--zone", s.id.Zone}, {"--dir", s.dir}, {"--descriptions", s.descriptions}} {
-		if f.v == "" {
-			return nil, fmt.Errorf("%s: missing", f.name)
+	for _, required := range []struct{ flag, value string }{
+		{"--name", s.id.Name}, {"--listen", s.listen}, {"--type", s.id.Type}, {"--zone", s.id.Zone}, {"--dir", s.dir}, {"--descriptions", s.descriptions},
+	} {
+		if required.value == "" {
+			return nil, fmt.Errorf("%s: missing", required.flag)
 		}
 	}
 	if !(s.reportS > 0) || !(s.leaseS > s.reportS) {
@@ -40,20 +43,21 @@
 	if !(s.id.Size.CPUs > 0) {
 		return nil, errors.New("--cpus: must be above 0")
 	}
-	var out []worker.Controller
-	for _, c := range s.controllers {
-		name, addr, ok := strings.Cut(c, "=")
+	if len(s.controllers) == 0 {
+		return nil, errors.New("--controller: at least one is needed")
+	}
+	out := make([]worker.Controller, 0, len(s.controllers))
+	for _, flag := range s.controllers {
+		name, addr, ok := strings.Cut(flag, "=")
 		if _, _, err := net.SplitHostPort(addr); !ok || err != nil {
-			return nil, fmt.Errorf("--controller: %q is not NAME=HOST:PORT", c)
+			return nil, fmt.Errorf("--controller: %q is not NAME=HOST:PORT", flag)
 		}
 		out = append(out, worker.Controller{Name: name, Addr: addr})
 	}
-	if len(out) == 0 {
-		return nil, errors.New("--controller: at least one is needed")
-	}
 	return out, nil
 }
 
+// workerCommand runs a worker.
 func workerCommand() *cobra.Command {
 	var s workerSettings
 	c := &cobra.Command{
@@ -65,7 +69,7 @@
 			if err != nil {
 				return err
 			}
-			return runWorker(cmd.Context(), s, log.With("machine", s.id.Name))
+			return runWorker(cmd.Context(), s, log.With("worker", s.id.Name))
 		},
 	}
 	f := c.Flags()
--- a/internal/controller/cluster_demand.go
+++ b/internal/controller/cluster_demand.go
@@ -34,7 +34,7 @@
 
 func (d *localDemand) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodDemand, func(_ context.Context, q *demandQuery) (*demandReply, error) {
-		return d.demand(q.BootS), nil
+		return d.demand(q.BootS), nil //nolint:contextcheck // the probes of unresponsive workers that it starts outlive the query
 	})
 }
 
--- a/internal/controller/link_report.go
+++ b/internal/controller/link_report.go
@@ -70,7 +70,7 @@
 func (l *linkLog) list() []reachability.OpsLink {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []reachability.OpsLink
+	out := make([]reachability.OpsLink, 0, len(l.links))
 	for link, s := range l.links {
 		out = append(out, reachability.OpsLink{To: link, Is: s.state, SinceS: time.Since(s.since).Seconds()})
 	}
--- a/internal/controller/listener_test.go
+++ b/internal/controller/listener_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -26,7 +27,12 @@
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })}
 	done := make(chan error, 1)
 	go func() { done <- srv.Serve(limited) }()
-	defer func() { _ = srv.Close(); <-done }()
+	defer func() {
+		closeNow(t, srv)
+		if err := <-done; !errors.Is(err, http.ErrServerClosed) {
+			t.Error(err)
+		}
+	}()
 	// One that is refused says nothing first: the answer comes at once, and a client of
 	// net/http that sees it before it has sent its request calls it an error, by chance.
 	request := func(text string) int {
--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -48,10 +48,23 @@
 // The mesh's methods keep the names under which other controllers call them.
 func TestRecordedMethods(t *testing.T) {
 	for _, method := range []struct{ is, was string }{
-		{methodPing, "Ping"}, {methodForward, "Forward"}, {methodStore, "Store"}, {methodProbe, "Seen"}, {methodViews, "Views"},
-		{methodInstructions, "Direct"}, {methodGrants, "Grants"}, {methodUser, "User"}, {methodAttest, "Vouch"}, {methodCancellations, "Cancels"},
-		{methodDemand, "Demand"}, {methodRemoved, "Gone"}, {methodMachines, "Machines"},
-		{methodSlurm, "Desk"}, {methodFacts, "Facts"}, {methodEarlier, "Earlier"}, {methodRollouts, "Rollouts"},
+		{methodPing, "Ping"},
+		{methodForward, "Forward"},
+		{methodStore, "Store"},
+		{methodProbe, "Seen"},
+		{methodViews, "Views"},
+		{methodInstructions, "Direct"},
+		{methodGrants, "Grants"},
+		{methodUser, "User"},
+		{methodAttest, "Vouch"},
+		{methodCancellations, "Cancels"},
+		{methodDemand, "Demand"},
+		{methodRemoved, "Gone"},
+		{methodMachines, "Machines"},
+		{methodSlurm, "Desk"},
+		{methodFacts, "Facts"},
+		{methodEarlier, "Earlier"},
+		{methodRollouts, "Rollouts"},
 	} {
 		if method.is != method.was {
 			t.Errorf("the method %q is called %q", method.was, method.is)
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -124,9 +124,11 @@
 // names the depths that it shall show.
 func New(crowded int64, queues func() map[string]int, log *slog.Logger) *Meter {
 	m := &Meter{started: time.Now(), limit: crowded, queues: queues, log: log, late: hdrhistogram.New(1, 60_000, 2)}
-	for _, name := range []string{"/memory/classes/heap/objects:bytes", "/memory/classes/total:bytes",
+	for _, name := range []string{
+		"/memory/classes/heap/objects:bytes", "/memory/classes/total:bytes",
 		"/memory/classes/heap/released:bytes", "/gc/cycles/total:gc-cycles", "/cpu/classes/gc/total:cpu-seconds",
-		"/sched/goroutines:goroutines"} {
+		"/sched/goroutines:goroutines",
+	} {
 		m.samples = append(m.samples, metrics.Sample{Name: name})
 	}
 	m.held[0].Name, m.held[1].Name = "/memory/classes/total:bytes", "/memory/classes/heap/released:bytes"
