--- /dev/null
+++ b/internal/failovertiming/failovertiming_test.go
@@ -0,0 +1,91 @@
+package failovertiming_test
+
+import (
+	"bytes"
+	"context"
+	"log/slog"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/failovertiming"
+)
+
+// progress is a scheduler's counts, which the timeline reads while the test changes them.
+type progress struct {
+	mu                                sync.Mutex
+	failovers, recorded, unresponsive int
+}
+
+func (p *progress) FailoverProgress() (failovers, recorded, unresponsive int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.failovers, p.recorded, p.unresponsive
+}
+
+// A recovery is timed from the start, ends with the first heartbeat of the last worker, and a
+// later failover is timed anew; in between no timer runs.
+func TestRecoveriesTimedFromStartAndFailover(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var out bytes.Buffer
+		p := &progress{recorded: 100, unresponsive: 100}
+		timeline := failovertiming.New(p, 44*time.Second, slog.New(slog.NewTextHandler(&out, nil)))
+		ctx, cancel := context.WithCancel(t.Context())
+		done := make(chan struct{})
+		go func() { defer close(done); _ = timeline.Run(ctx) }()
+		step := func(d time.Duration, f func()) {
+			time.Sleep(d)
+			synctest.Wait()
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			f()
+		}
+		step(time.Second, func() { timeline.Mark(failovertiming.Joined); timeline.Mark(failovertiming.Up) })
+		step(time.Second, func() { timeline.Mark(failovertiming.Claimed) })
+		step(time.Second, func() { p.failovers = 1 })
+		step(time.Second, func() { timeline.Mark(failovertiming.Heard); timeline.Mark(failovertiming.Heard); p.unresponsive = 40 })
+		step(time.Second, func() { timeline.Mark(failovertiming.Granted); p.unresponsive = 4 })
+		step(time.Second, func() { p.unresponsive = 0 })
+		step(time.Second, func() {})
+		last := timeline.Last()
+		for phase, want := range map[failovertiming.Phase]float64{
+			failovertiming.Up: 1, failovertiming.Claimed: 2, failovertiming.Read: 3, failovertiming.Heard: 4, failovertiming.Half: 4,
+			failovertiming.Granted: 5, failovertiming.Most: 5, failovertiming.All: 6,
+		} {
+			if got := last[phase.String()]; got < want || got > want+0.2 {
+				t.Errorf("%s after %.2f s, not %.0f", phase, got, want)
+			}
+		}
+		if n := strings.Count(out.String(), "msg=recovered"); n != 1 {
+			t.Errorf("%d lines: %s", n, out.String())
+		}
+		step(time.Hour, func() { p.failovers, p.unresponsive = 2, 100; timeline.Mark(failovertiming.Claimed) })
+		step(time.Second, func() { timeline.Reset() })
+		step(time.Minute, func() { p.unresponsive = 100; timeline.Mark(failovertiming.Claimed) })
+		step(time.Minute, func() {})
+		if n := strings.Count(out.String(), "msg=recovered"); n != 2 {
+			t.Errorf("%d lines after a loss and one that never ends: %s", n, out.String())
+		}
+		if last = timeline.Last(); last["claimed"] > 0.1 || last["all_heard"] != 0 {
+			t.Errorf("the later one: %v", last)
+		}
+		cancel()
+		<-done
+	})
+}
+
+// What a process waits for its predecessor before it listens is no part of its recovery.
+func TestWaitForPredecessorIsNotTimed(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		timeline := failovertiming.New(&progress{}, 44*time.Second, slog.New(slog.DiscardHandler))
+		time.Sleep(10 * time.Second)
+		timeline.Restart()
+		time.Sleep(time.Second)
+		timeline.Mark(failovertiming.Up)
+		if up := timeline.Last()[failovertiming.Up.String()]; up < 1 || up > 1.2 {
+			t.Errorf("up after %.2f s, not 1", up)
+		}
+	})
+}
--- a/internal/failovertiming/recorded_test.go
+++ b/internal/failovertiming/recorded_test.go
@@ -12,8 +12,11 @@
 // The names of the phases in logs and statistics.
 func TestRecordedPhases(t *testing.T) {
 	var text strings.Builder
-	for _, p := range []failovertiming.Phase{failovertiming.Up, failovertiming.Joined, failovertiming.Claimed, failovertiming.Read, failovertiming.Heard, failovertiming.Granted, failovertiming.Half, failovertiming.Most, failovertiming.All} {
-		fmt.Fprintln(&text, p)
+	for _, phase := range []failovertiming.Phase{
+		failovertiming.Up, failovertiming.Joined, failovertiming.Claimed, failovertiming.Read, failovertiming.Heard, failovertiming.Granted,
+		failovertiming.Half, failovertiming.Most, failovertiming.All,
+	} {
+		fmt.Fprintln(&text, phase)
 	}
 	recorded.Compare(t, "phases.txt", []byte(text.String()))
 }
