--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,5 +1,6 @@
-// Package usage measures what this process takes of its machine, by duty, and
-// how far it falls behind: for operators, in the log and at /ops/stats.
+// Package usage measures what this process takes of its machine, by duty, and how far it falls
+// behind: for operators, in the log and at /ops/stats. Duties and events are counted for the
+// whole process; a Meter reads them with what the runtime and the system say. It limits nothing.
 package usage
 
 import (
@@ -16,30 +17,32 @@
 
 const (
 	probeEvery = time.Second // how often the lateness of timers is looked at
-	tellEvery  = 10 * time.Second
+	logEvery   = 10 * time.Second
 )
 
+const bytesPerMB = 1 << 20
+
 // Duty is a part of the service whose time is counted.
 type Duty int
 
-// The duties. What they do not cover is mostly HTTP, the collector and the
-// scheduler of goroutines.
+// The duties. What they do not cover is mostly HTTP, the collector and the scheduler of
+// goroutines.
 const (
-	Reports  Duty = iota // a worker's report, from its body to the answer's
+	Reports  Duty = iota // a worker's report, from its body to the response's
 	Passes               // scheduling passes and sweeps
-	Records              // building and committing the owner's transactions
+	Records              // building and committing a leader's transactions
 	Watches              // changes seen in the state service
-	Directed             // an owner's directions at the holder
-	Fleet                // demand and plan of the fleet
-	Users                // users' requests answered here, waiting included
+	Directed             // a scheduler's instructions at the dispatcher
+	Fleet                // demand and plan of the autoscaler
+	Users                // users' requests served here, waiting included
 	Peers                // views from and to other controllers
 	duties
 )
 
 var names = [duties]string{"reports", "passes", "records", "watches", "directions", "fleet", "users", "peers"}
 
-// Event is something that happened, or was refused, which operators may want to
-// know the number of.
+// Event is something that happened, or was refused, which operators may want to know the number
+// of.
 type Event int
 
 // The events.
@@ -48,7 +51,7 @@
 	RefusedConnections              // beyond the sockets to spare
 	RefusedRequests                 // users' requests beyond those worked on at once
 	RefusedJobs                     // submissions for want of memory
-	MalformedViews                  // messages of peers about machines that could not be applied
+	MalformedViews                  // messages of peers about workers that could not be applied
 	AccountRows                     // rows of accounting written
 	AccountWrites                   // of its pages, and
 	AccountBytes                    // as many bytes
@@ -59,10 +62,10 @@
 
 var noted [events]atomic.Int64
 
-// Note counts an event.
+// Note counts an event. It is safe for concurrent use, as are Add and Count.
 func Note(e Event) { Add(e, 1) }
 
-// Add counts so many of an event.
+// Add counts an event n times.
 func Add(e Event, n int) { noted[e].Add(int64(n)) }
 
 // Noted returns how many of an event there were since the process started.
@@ -75,22 +78,23 @@
 
 var counters [duties]counter
 
-// Count adds the time since start to a duty. Sections may wait for a lock, and
-// on a busy processor for their turn: the sums are upper bounds.
+// Count adds the time since start to a duty. Sections may wait for a lock, and on a busy
+// processor for their turn: the sums are upper bounds.
 func Count(d Duty, start time.Time) {
 	counters[d].n.Add(1)
 	counters[d].took.Add(int64(time.Since(start)))
 }
 
-// Share is what a duty took since the process started.
+// Share is what a duty took since the process started: how often it was done, and for how long
+// together.
 type Share struct {
 	Count   int64   `json:"count"`
 	Seconds float64 `json:"seconds"`
 }
 
-// Reading is what the process uses.
+// Reading is what the process uses. Unless said otherwise it counts from the meter's start.
 type Reading struct {
-	CPUSeconds  float64          `json:"cpu_s"`
+	CPUSeconds  float64          `json:"cpu_s"` // of the process
 	UptimeS     float64          `json:"uptime_s"`
 	HeapMB      float64          `json:"heap_mb"`
 	RuntimeMB   float64          `json:"runtime_mb"` // all that the runtime holds
@@ -105,56 +109,67 @@
 	Events      map[string]int64 `json:"events"`
 }
 
-// Meter takes readings.
+// Samples of the runtime.
+const (
+	heapObjects = iota
+	memoryTotal
+	memoryReleased
+	collections
+	collectorCPU
+	goroutines
+	samples
+)
+
+var sampleNames = [samples]string{
+	"/memory/classes/heap/objects:bytes", "/memory/classes/total:bytes", "/memory/classes/heap/released:bytes",
+	"/gc/cycles/total:gc-cycles", "/cpu/classes/gc/total:cpu-seconds", "/sched/goroutines:goroutines",
+}
+
+// Meter takes readings. It is safe for concurrent use.
 type Meter struct {
-	started time.Time
-	queues  func() map[string]int
-	log     *slog.Logger
-	samples []metrics.Sample
-	held    [2]metrics.Sample // what the runtime holds, and has given back
-	limit   int64
-	crowded atomic.Bool
-	lateNow atomic.Int64 // ns by which the last timer fired late
-
-	mu   sync.Mutex
-	late *hdrhistogram.Histogram // ms, since the last log line
+	started  time.Time
+	queues   func() map[string]int
+	log      *slog.Logger
+	limit    int64 // bytes
+	pressure atomic.Bool
+	delay    atomic.Int64 // ns by which the last timer fired late
+
+	mu      sync.Mutex
+	samples [samples]metrics.Sample
+	held    [2]metrics.Sample       // what the runtime holds, and has given back
+	delays  *hdrhistogram.Histogram // ms, since the last log line
 }
 
-// New returns a meter; the process is crowded from so many bytes on, and queues
-// names the depths that it shall show.
-func New(crowded int64, queues func() map[string]int, log *slog.Logger) *Meter {
-	m := &Meter{started: time.Now(), limit: crowded, queues: queues, log: log, late: hdrhistogram.New(1, 60_000, 2)}
-	for _, name := range []string{
-		"/memory/classes/heap/objects:bytes", "/memory/classes/total:bytes",
-		"/memory/classes/heap/released:bytes", "/gc/cycles/total:gc-cycles", "/cpu/classes/gc/total:cpu-seconds",
-		"/sched/goroutines:goroutines",
-	} {
-		m.samples = append(m.samples, metrics.Sample{Name: name})
+// New returns a meter. The process is short of memory while it holds more than limit bytes;
+// queues returns the depths to be shown, by name.
+func New(limit int64, queues func() map[string]int, log *slog.Logger) *Meter {
+	m := &Meter{started: time.Now(), limit: limit, queues: queues, log: log, delays: hdrhistogram.New(1, 60_000, 2)}
+	for i, name := range sampleNames {
+		m.samples[i].Name = name
 	}
-	m.held[0].Name, m.held[1].Name = "/memory/classes/total:bytes", "/memory/classes/heap/released:bytes"
+	m.held[0].Name, m.held[1].Name = sampleNames[memoryTotal], sampleNames[memoryReleased]
 	return m
 }
 
-// Crowded reports whether this process holds so much memory that it must not
-// take on more work.
-func (m *Meter) Crowded() bool { return m.crowded.Load() }
+// Crowded reports whether this process holds so much memory that it must not take on more work,
+// as of the last second.
+func (m *Meter) Crowded() bool { return m.pressure.Load() }
 
 // Late returns by how much a timer fired late within the last second or so.
-func (m *Meter) Late() time.Duration { return time.Duration(m.lateNow.Load()) }
+func (m *Meter) Late() time.Duration { return time.Duration(m.delay.Load()) }
 
 // Read takes a reading.
 func (m *Meter) Read() Reading {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	metrics.Read(m.samples)
-	const mb = 1 << 20
-	s := m.samples
+	metrics.Read(m.samples[:])
+	s := &m.samples
 	r := Reading{
 		UptimeS:   time.Since(m.started).Seconds(),
-		HeapMB:    float64(s[0].Value.Uint64()) / mb,
-		RuntimeMB: float64(s[1].Value.Uint64()-s[2].Value.Uint64()) / mb, Collections: s[3].Value.Uint64(),
-		CollectorS: s[4].Value.Float64(), Goroutines: s[5].Value.Uint64(),
-		LateMsP99: m.late.ValueAtQuantile(99), LateMsMax: m.late.Max(), Queues: m.queues(), Duties: map[string]Share{}, Events: map[string]int64{},
+		HeapMB:    float64(s[heapObjects].Value.Uint64()) / bytesPerMB,
+		RuntimeMB: float64(s[memoryTotal].Value.Uint64()-s[memoryReleased].Value.Uint64()) / bytesPerMB, Collections: s[collections].Value.Uint64(),
+		CollectorS: s[collectorCPU].Value.Float64(), Goroutines: s[goroutines].Value.Uint64(),
+		LateMsP99: m.delays.ValueAtQuantile(99), LateMsMax: m.delays.Max(), Queues: m.queues(), Duties: map[string]Share{}, Events: map[string]int64{},
 	}
 	var ru syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &ru) == nil {
@@ -170,12 +185,13 @@
 	return r
 }
 
-// Run watches how late timers fire and logs a line now and then.
+// Run watches how late timers fire and how much memory is held, and logs a line now and then,
+// until ctx ends.
 func (m *Meter) Run(ctx context.Context) error {
 	tick := time.NewTimer(probeEvery)
 	defer tick.Stop()
 	due := time.Now().Add(probeEvery)
-	told := time.Now()
+	logged := time.Now()
 	var last Reading
 	for {
 		select {
@@ -184,28 +200,37 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		m.mu.Lock()
-		metrics.Read(m.held[:])
-		m.crowded.Store(int64(m.held[0].Value.Uint64()-m.held[1].Value.Uint64()) > m.limit)
-		m.lateNow.Store(int64(now.Sub(due)))
-		_ = m.late.RecordValue(max(0, now.Sub(due).Milliseconds())) // later than a minute it is not counted
-		m.mu.Unlock()
-		if took := now.Sub(told); took >= tellEvery {
-			told = now
+		m.probe(now.Sub(due))
+		if took := now.Sub(logged); took >= logEvery {
+			logged = now
 			r := m.Read()
-			m.tell(r, last, took)
+			m.logReading(r, last, took)
 			last = r
-			m.mu.Lock()
-			m.late.Reset()
-			m.mu.Unlock()
+			m.resetDelays()
 		}
 		due = time.Now().Add(probeEvery)
 		tick.Reset(probeEvery)
 	}
 }
 
-// tell logs a reading, with what was used since the last one.
-func (m *Meter) tell(r, last Reading, took time.Duration) {
+// probe notes by how much a timer fired late, and whether too much memory is held.
+func (m *Meter) probe(delay time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	metrics.Read(m.held[:])
+	m.pressure.Store(int64(m.held[0].Value.Uint64()-m.held[1].Value.Uint64()) > m.limit)
+	m.delay.Store(int64(delay))
+	_ = m.delays.RecordValue(max(0, delay.Milliseconds())) // later than a minute it is not counted
+}
+
+func (m *Meter) resetDelays() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.delays.Reset()
+}
+
+// logReading logs a reading, with what was used since the last one.
+func (m *Meter) logReading(r, last Reading, took time.Duration) {
 	var parts []any
 	for _, name := range names {
 		d, old := r.Duties[name], last.Duties[name]
