--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -27,7 +27,8 @@
 	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
-// controller is the parts of this process. Only their assembly sees all of them.
+// controller is the parts of this process, which live as long as it. Only their assembly sees
+// all of them.
 type controller struct {
 	cfg      *config.Platform
 	operator *config.Operator
@@ -37,44 +38,56 @@
 
 	mesh    *mesh.Mesh
 	store   *statestore.Client
+	relay   storeRelay
 	member  *membership.Member
 	cloud   *autoscaler.Cloud
 	catalog *autoscaler.Catalog
 
-	table   *reachability.Table
-	status  *nodeStatus
-	links   *linkView
-	peers   *peerCaller
-	leaders *leaders
+	table       *reachability.Table
+	status      nodeStatus
+	links       linkView
+	linkChanges linkLog
+	linkMonitor linkMonitor
+	linkReport  linkReport
+	pinger      pinger
+	prober      prober
+	peers       peerCaller
+	leaders     leaders
+
+	scheduler *scheduler.Scheduler
+	gateway   schedulerGateway
+	times     *failovertiming.Timeline
+	starts    startLog
+	ownership ownershipTiming
+
+	connections  *connectionLimit
+	commands     *dispatch.HTTPCommandSender
+	router       workerRouter
+	instructions instructionRouter
+	local        localDispatcher
+	dispatcher   *dispatch.Dispatcher
+	views        viewPublisher
 
 	cancelUpdates chan struct{} // there are updates of cancels for the peers
 	cancellations *cancellation.Registry
-	local         *localDispatcher
-	scheduler     *scheduler.Scheduler
-	times         *failovertiming.Timeline
-	starts        *startLog
-	router        *workerRouter
-	connections   *connectionLimit
-	commands      *dispatch.HTTPCommandSender
-	dispatcher    *dispatch.Dispatcher
+	exchange      cancellationExchange
 
-	listener     *limitedListener
-	alerts       *slo.Monitor
-	meter        *usage.Meter
-	exchange     *cancellationExchange
-	prober       *prober
-	pinger       *pinger
-	linkChanges  *linkLog
-	linkMonitor  *linkMonitor
-	unresponsive *unresponsiveWorkers
-	attestor     *leaseAttestor
-	expiring     *expiringLeases
-	views        *viewPublisher
+	unresponsive unresponsiveWorkers
+	attestor     leaseAttestor
+	expiring     expiringLeases
 
-	numbers    *jobid.Allocator // nil: jobs have none
-	rollouts   *rollout.Manager // nil: there are none
-	autoscaler *autoscaler.Autoscaler
-	server     *http.Server
+	demand        localDemand
+	clusterDemand clusterDemand
+	removed       removedWorkers
+	autoscaler    *autoscaler.Autoscaler
+
+	numbers  *jobid.Allocator // nil: jobs have none
+	rollouts *rollout.Manager // nil: there are none
+	machines machineList
+	alerts   *slo.Monitor
+	meter    *usage.Meter
+	listener *limitedListener
+	server   *http.Server
 }
 
 // assemble makes the parts and joins them; nothing runs yet. ctx is the process's. It opens the
@@ -137,29 +150,28 @@
 // viewLinks makes this controller's view of the links, and what calls peers by it.
 func (c *controller) viewLinks() {
 	c.table = reachability.NewTable(c.cfg.Node, c.nodes)
-	c.status = &nodeStatus{
+	c.status = nodeStatus{
 		node: c.cfg.Node, store: c.store, member: c.member, cloud: c.cloud, table: c.table, startedMs: time.Now().UnixMilli(),
 	}
-	c.links = &linkView{table: c.table, status: c.status}
-	c.peers = &peerCaller{mesh: c.mesh, links: c.links, table: c.table}
-	c.register(c.peers)
-	c.leaders = &leaders{node: c.cfg.Node, member: c.member, links: c.links}
+	c.links = linkView{table: c.table, status: &c.status}
+	c.peers = peerCaller{mesh: c.mesh, links: &c.links, table: c.table}
+	c.register(&c.peers)
+	c.leaders = leaders{node: c.cfg.Node, member: c.member, links: &c.links}
 }
 
 // schedule makes the scheduler, and the registry of cancellations that it fills.
 func (c *controller) schedule(accounting bool) {
-	c.local = &localDispatcher{}
-	halter := &taskHalter{local: c.local, log: c.log}
+	halter := &taskHalter{local: &c.local, log: c.log}
 	c.cancelUpdates = make(chan struct{}, 1)
 	c.cancellations = cancellation.New(cancellation.Options{
 		Peers: c.nodes, Limit: config.Seconds(c.cfg.Params.Workers.CancelS), LeaseRemaining: c.member.LeaseRemaining,
 		OnCancelled: halter.halt, OnUpdates: c.notifyCancelUpdates,
 	})
-	instructions := &instructionRouter{node: c.cfg.Node, local: c.local, peers: c.peers}
-	c.register(instructions)
+	c.instructions = instructionRouter{node: c.cfg.Node, local: &c.local, peers: &c.peers}
+	c.register(&c.instructions)
 	c.scheduler = scheduler.New(scheduler.Options{
-		Platform: c.cfg, Operator: c.operator, Store: c.store, Member: c.member, Dispatchers: instructions, MachineTypes: c.catalog, Log: c.log,
-		Cancellations: c.cancellations, RemoteJobs: &remoteJobs{store: c.store, mesh: c.mesh, leaders: c.leaders}, AccountingEnabled: accounting,
+		Platform: c.cfg, Operator: c.operator, Store: c.store, Member: c.member, Dispatchers: &c.instructions, MachineTypes: c.catalog, Log: c.log,
+		Cancellations: c.cancellations, RemoteJobs: &remoteJobs{store: c.store, mesh: c.mesh, leaders: &c.leaders}, AccountingEnabled: accounting,
 	})
 	c.register(&jobFacts{scheduler: c.scheduler})
 }
@@ -176,13 +188,13 @@
 func (c *controller) dispatch(ctx context.Context) {
 	c.connections, c.commands = newConnectionLimit(c.cfg.Params.Limits.Sockets, len(c.cfg.Peers))
 	c.times = failovertiming.New(c.scheduler, config.Seconds(c.cfg.Params.Workers.LeaseS), c.log)
-	c.starts = &startLog{log: c.log}
-	c.router = &workerRouter{member: c.member, links: c.links, cancellations: c.cancellations, grace: responseGrace(c.cfg.Params.Workers)}
-	gateway := &schedulerGateway{scheduler: c.scheduler, router: c.router, peers: c.peers, times: c.times, starts: c.starts}
-	c.register(gateway)
+	c.starts = startLog{log: c.log}
+	c.router = workerRouter{member: c.member, links: &c.links, cancellations: c.cancellations, grace: responseGrace(c.cfg.Params.Workers)}
+	c.gateway = schedulerGateway{scheduler: c.scheduler, router: &c.router, peers: &c.peers, times: c.times, starts: &c.starts}
+	c.register(&c.gateway)
 	c.dispatcher = dispatch.New(ctx, dispatch.Options{
 		Node: c.cfg.Node, WorkerLease: config.Seconds(c.cfg.Params.Workers.LeaseS),
-		Schedulers: gateway, Tokens: c.member, MachineTypes: c.catalog, Routing: c.router, Commands: c.commands, Log: c.log,
+		Schedulers: &c.gateway, Tokens: c.member, MachineTypes: c.catalog, Routing: &c.router, Commands: c.commands, Log: c.log,
 		Cancellations: c.cancellations,
 	})
 	c.local.commandTarget = c.dispatcher
@@ -202,64 +214,64 @@
 }
 
 func (c *controller) exchangeCancellations() {
-	c.exchange = &cancellationExchange{
-		cfg: c.cfg, registry: c.cancellations, updates: c.cancelUpdates, scheduler: c.scheduler, dispatcher: c.dispatcher, router: c.router, peers: c.peers,
-		reader: &cancellationReader{registry: c.cancellations, store: c.store, log: c.log}, log: c.log,
+	c.exchange = cancellationExchange{
+		cfg: c.cfg, registry: c.cancellations, updates: c.cancelUpdates, scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.router, peers: &c.peers,
+		reader: cancellationReader{registry: c.cancellations, store: c.store, log: c.log}, log: c.log,
 	}
-	c.register(c.exchange)
+	c.register(&c.exchange)
 }
 
 func (c *controller) watchLinks() {
-	c.prober = &prober{
-		node: c.cfg.Node, member: c.member, table: c.table, status: c.status, links: c.links, dispatcher: c.dispatcher, lifetime: c.lifetime, log: c.log,
+	c.prober = prober{
+		node: c.cfg.Node, member: c.member, table: c.table, status: &c.status, links: &c.links, dispatcher: c.dispatcher, lifetime: c.lifetime, log: c.log,
 	}
-	c.pinger = &pinger{
-		cfg: c.cfg, mesh: c.mesh, table: c.table, status: c.status, peers: c.peers, cancellations: c.exchange, prober: c.prober,
+	c.pinger = pinger{
+		cfg: c.cfg, mesh: c.mesh, table: c.table, status: &c.status, peers: &c.peers, cancellations: &c.exchange, prober: &c.prober,
 	}
-	c.register(c.pinger)
-	c.linkChanges = newLinkLog(c.store, c.log)
-	c.linkMonitor = &linkMonitor{
-		cfg: c.cfg, operator: c.operator, member: c.member, dispatcher: c.dispatcher, table: c.table, status: c.status, links: c.links,
-		router: c.router, prober: c.prober, pinger: c.pinger, connections: c.connections, health: c.receiveHealth, changes: c.linkChanges, log: c.log,
+	c.register(&c.pinger)
+	c.linkChanges = linkLog{store: c.store, log: c.log, links: map[string]linkState{}}
+	c.linkMonitor = linkMonitor{
+		cfg: c.cfg, operator: c.operator, member: c.member, dispatcher: c.dispatcher, table: c.table, status: &c.status, links: &c.links,
+		router: &c.router, prober: &c.prober, pinger: &c.pinger, connections: c.connections, health: c.receiveHealth, changes: &c.linkChanges, log: c.log,
 	}
 }
 
 func (c *controller) watchWorkers() {
-	c.unresponsive = &unresponsiveWorkers{
-		cfg: c.cfg, operator: c.operator, scheduler: c.scheduler, dispatcher: c.dispatcher, links: c.links, peers: c.peers,
+	c.unresponsive = unresponsiveWorkers{
+		cfg: c.cfg, operator: c.operator, scheduler: c.scheduler, dispatcher: c.dispatcher, links: &c.links, peers: &c.peers,
 		health: c.receiveHealth, lifetime: c.lifetime, log: c.log, detector: newFailureDetector(c.cfg.Params.Workers, c.operator),
 	}
-	c.register(c.unresponsive)
-	c.attestor = &leaseAttestor{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: c.peers, log: c.log}
-	c.register(c.attestor)
-	c.expiring = &expiringLeases{scheduler: c.scheduler, dispatcher: c.dispatcher, router: c.router}
+	c.register(&c.unresponsive)
+	c.attestor = leaseAttestor{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.peers, log: c.log}
+	c.register(&c.attestor)
+	c.expiring = expiringLeases{scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.router}
 }
 
 func (c *controller) publishViews() {
-	c.views = &viewPublisher{
-		cfg: c.cfg, interval: config.Seconds(c.operator.PublishS), scheduler: c.scheduler, dispatcher: c.dispatcher, leaders: c.leaders, peers: c.peers, table: c.table,
+	c.views = viewPublisher{
+		cfg: c.cfg, interval: config.Seconds(c.operator.PublishS), scheduler: c.scheduler, dispatcher: c.dispatcher, leaders: &c.leaders, peers: &c.peers, table: c.table,
 		publisher: viewsync.NewPublisher(c.cfg.Node, c.dispatcher), receiver: viewsync.NewReceiver(c.scheduler, c.nodes), log: c.log,
 	}
-	c.register(c.views)
+	c.register(&c.views)
 }
 
 // observe has the parts hear of changes in the state service, and its client of the way round
 // by a peer.
 func (c *controller) observe() {
-	ownership := &ownershipTiming{member: c.member, times: c.times, starts: c.starts}
+	c.ownership = ownershipTiming{member: c.member, times: c.times, starts: &c.starts}
 	c.member.OnOwnershipChange(c.scheduler.OwnershipChanged)
-	c.member.OnOwnershipChange(ownership.changed)
+	c.member.OnOwnershipChange(c.ownership.changed)
 	c.member.OnOwnershipChange(c.links.invalidate)
 	c.member.OnLinkAnnouncement(c.prober.announced)
-	relay := &storeRelay{store: c.store, links: c.links, peers: c.peers}
-	c.register(relay)
-	c.store.SetRelay(relay, c.log)
+	c.relay = storeRelay{store: c.store, links: &c.links, peers: &c.peers}
+	c.register(&c.relay)
+	c.store.SetRelay(&c.relay, c.log)
 }
 
 func (c *controller) serveUsers(o Options, mux *http.ServeMux) {
 	options := submission.Options{
 		Platform: c.cfg, Operator: c.operator, Store: c.store, Jobs: c.scheduler, Catalog: c.catalog,
-		Peers: &userPeers{leaders: c.leaders, peers: c.peers, times: c.times}, Log: c.log,
+		Peers: &userPeers{leaders: &c.leaders, peers: &c.peers, times: c.times}, Log: c.log,
 		Cancellations: c.cancellations, MemoryPressure: c.meter.Crowded,
 	}
 	if o.Slurm != nil {
@@ -272,7 +284,7 @@
 	if o.Slurm == nil {
 		return
 	}
-	server := slurmapi.New(o.Slurm, c.cfg, c.store, c.scheduler, c.numbers, &slurmPeers{leaders: c.leaders, mesh: c.mesh}, submissions, c.catalog, c.log)
+	server := slurmapi.New(o.Slurm, c.cfg, c.store, c.scheduler, c.numbers, &slurmPeers{leaders: &c.leaders, mesh: c.mesh}, submissions, c.catalog, c.log)
 	c.register(&slurmService{server: server})
 	server.Register(mux)
 }
@@ -286,21 +298,22 @@
 	}
 	maxRecord := int(c.cfg.Params.State.ValueKB * 1024 * rolloutRecordShare)
 	c.rollouts = rollout.NewManager(o.Rollouts, c.store, core, taskspec.NewClient(o.Rollouts.Descriptions), rollout.NewWorkerProber(), maxRecord, c.log)
-	service := &rolloutService{manager: c.rollouts, scheduler: c.scheduler, leaders: c.leaders, mesh: c.mesh}
+	service := &rolloutService{manager: c.rollouts, scheduler: c.scheduler, leaders: &c.leaders, mesh: c.mesh}
 	c.register(service)
 	service.routes(mux)
 }
 
 func (c *controller) autoscale() {
-	local := &localDemand{scheduler: c.scheduler, unresponsive: c.unresponsive}
-	c.register(local)
-	removed := &removedWorkers{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: c.peers, lifetime: c.lifetime, log: c.log}
-	c.register(removed)
+	c.demand = localDemand{scheduler: c.scheduler, unresponsive: &c.unresponsive}
+	c.register(&c.demand)
+	c.removed = removedWorkers{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.peers, lifetime: c.lifetime, log: c.log}
+	c.register(&c.removed)
+	c.clusterDemand = clusterDemand{
+		scheduler: c.scheduler, local: &c.demand, unresponsive: &c.unresponsive, leaders: &c.leaders, peers: &c.peers, removed: &c.removed, lifetime: c.lifetime, log: c.log,
+	}
 	options := autoscaler.Options{
 		Platform: c.cfg, Operator: c.operator, Cloud: c.cloud, Catalog: c.catalog, Store: c.store, Member: c.member, Dispatcher: c.dispatcher, Log: c.log,
-		Scheduler: &clusterDemand{
-			scheduler: c.scheduler, local: local, unresponsive: c.unresponsive, leaders: c.leaders, peers: c.peers, removed: removed, lifetime: c.lifetime, log: c.log,
-		},
+		Scheduler: &c.clusterDemand,
 	}
 	if c.rollouts != nil {
 		options.ReservedCPUs = c.rollouts.Held
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -38,7 +38,7 @@
 	dispatcher *dispatch.Dispatcher
 	router     *workerRouter
 	peers      *peerCaller
-	reader     *cancellationReader
+	reader     cancellationReader
 	log        *slog.Logger
 
 	malformed atomic.Int64 // when a malformed message was last logged, by time of day, ns
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -63,9 +63,7 @@
 		return err
 	}
 	defer c.mesh.Close()
-	for _, loop := range c.loops() {
-		group.Go(func() error { return loop(ctx) })
-	}
+	c.start(ctx, group)
 	o.Log.Info("started", "version", o.Version)
 	err = group.Wait()
 	c.dispatcher.Wait()
--- a/internal/controller/link_report.go
+++ b/internal/controller/link_report.go
@@ -37,10 +37,6 @@
 	links map[string]linkState
 }
 
-func newLinkLog(store *statestore.Client, log *slog.Logger) *linkLog {
-	return &linkLog{store: store, log: log, links: map[string]linkState{}}
-}
-
 func (l *linkLog) update(view *reachability.View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"time"
 
+	"golang.org/x/sync/errgroup"
+
 	"github.com/wallrack/wallrack/internal/httpjson"
 )
 
@@ -26,13 +28,13 @@
 func (c *controller) serveOperators(mux *http.ServeMux) {
 	c.alerts.Register(mux)
 	mux.HandleFunc("GET /ops/stats", c.serveStats)
-	machines := &machineList{scheduler: c.scheduler, leaders: c.leaders, peers: c.peers}
-	c.register(machines)
-	mux.HandleFunc("GET /ops/machines", machines.serve)
-	report := &linkReport{
-		store: c.store, links: c.links, changes: c.linkChanges, cancellations: c.cancellations, router: c.router, unresponsive: c.unresponsive,
+	c.machines = machineList{scheduler: c.scheduler, leaders: &c.leaders, peers: &c.peers}
+	c.register(&c.machines)
+	mux.HandleFunc("GET /ops/machines", c.machines.serve)
+	c.linkReport = linkReport{
+		store: c.store, links: &c.links, changes: &c.linkChanges, cancellations: c.cancellations, router: &c.router, unresponsive: &c.unresponsive,
 	}
-	mux.HandleFunc("GET /ops/links", report.serve)
+	mux.HandleFunc("GET /ops/links", c.linkReport.serve)
 }
 
 func (c *controller) serveStats(w http.ResponseWriter, _ *http.Request) {
@@ -42,19 +44,31 @@
 	httpjson.Write(w, http.StatusOK, stats)
 }
 
-// loops are what runs until the process ends, in the order of their start.
-func (c *controller) loops() []func(context.Context) error {
-	var loops []func(context.Context) error
+// start starts what runs until ctx ends.
+func (c *controller) start(ctx context.Context, group *errgroup.Group) {
 	if c.rollouts != nil {
-		loops = append(loops, c.rollouts.Run)
+		group.Go(func() error { return c.rollouts.Run(ctx) })
 	}
-	return append(loops,
-		c.serveHTTP, c.shutDownHTTP, c.serveMesh,
-		c.member.Run, c.scheduler.Run, c.runCatalog, c.autoscaler.Run, c.alerts.Run, c.meter.Run, c.times.Run,
-		c.pinger.run, c.linkMonitor.run, c.exchange.run, c.store.Run, c.views.run, c.attestor.run, c.expiring.run)
+	group.Go(c.serveHTTP)
+	group.Go(func() error { return c.shutDownHTTP(ctx) })
+	group.Go(func() error { return c.mesh.Serve(ctx, c.cfg.Mesh) })
+	group.Go(func() error { return c.member.Run(ctx) })
+	group.Go(func() error { return c.scheduler.Run(ctx) })
+	group.Go(func() error { return c.catalog.Run(ctx, c.scheduler.LeadsAutoscaling) })
+	group.Go(func() error { return c.autoscaler.Run(ctx) })
+	group.Go(func() error { return c.alerts.Run(ctx) })
+	group.Go(func() error { return c.meter.Run(ctx) })
+	group.Go(func() error { return c.times.Run(ctx) })
+	group.Go(func() error { return c.pinger.run(ctx) })
+	group.Go(func() error { return c.linkMonitor.run(ctx) })
+	group.Go(func() error { return c.exchange.run(ctx) })
+	group.Go(func() error { return c.store.Run(ctx) })
+	group.Go(func() error { return c.views.run(ctx) })
+	group.Go(func() error { return c.attestor.run(ctx) })
+	group.Go(func() error { return c.expiring.run(ctx) })
 }
 
-func (c *controller) serveHTTP(context.Context) error {
+func (c *controller) serveHTTP() error {
 	if err := c.server.Serve(c.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
 	}
@@ -67,9 +81,3 @@
 	defer cancel()
 	return c.server.Shutdown(ctx)
 }
-
-func (c *controller) serveMesh(ctx context.Context) error { return c.mesh.Serve(ctx, c.cfg.Mesh) }
-
-func (c *controller) runCatalog(ctx context.Context) error {
-	return c.catalog.Run(ctx, c.scheduler.LeadsAutoscaling)
-}
