--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// exchange asks a peer what it knows of cancels, by way of a third if need be.
+// exchange queries a peer for what it knows of cancels, by way of a third if need be.
 func (e *cancellationExchange) exchange(ctx context.Context, peer string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -120,8 +120,8 @@
 	}
 }
 
-// sendUpdates has the peers hear of confirmed cancels at once: pings would bring them a
-// second later. What comes in the meantime shares a message.
+// sendUpdates sends confirmed cancels to the peers at once: pings would bring them a second
+// later. What comes in the meantime shares a message.
 func (e *cancellationExchange) sendUpdates(ctx context.Context) {
 	for _, peer := range e.cfg.Peers {
 		go e.exchange(ctx, peer.Node)
--- a/internal/controller/instructions.go
+++ b/internal/controller/instructions.go
@@ -9,7 +9,7 @@
 )
 
 // localDispatcher is this process's dispatcher for those parts that are made before it: the
-// scheduler and the registry of cancellations act through it, and it asks them before each
+// scheduler and the registry of cancellations act through it, and it consults them before each
 // start. It is filled once, before anything runs.
 type localDispatcher struct {
 	commandTarget
--- a/internal/controller/lease_attestation.go
+++ b/internal/controller/lease_attestation.go
@@ -17,7 +17,7 @@
 	maxAttested   = 500         // workers in one round
 )
 
-// attestationQuery asks how long a controller has left workers without a response.
+// attestationQuery is for how long a controller has left workers without a response.
 type attestationQuery struct {
 	Workers []string `json:"machines"`
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-// round tells the scheduler which unresponsive workers' leases expired for certain.
+// round notifies the scheduler of unresponsive workers whose leases expired for certain.
 func (a *leaseAttestor) round(ctx context.Context) {
 	leaseS := a.cfg.Params.Workers.LeaseS*1.002 + 0.5
 	q := &attestationQuery{}
--- a/internal/controller/link_monitor.go
+++ b/internal/controller/link_monitor.go
@@ -22,8 +22,8 @@
 )
 
 // linkMonitor measures this controller's links to the workers, announces its status to those
-// that the mesh does not reach, and transfers its shards to a controller that hears the
-// workers when this one does not any more.
+// that the mesh does not reach, and transfers its shards to a controller that gets the workers'
+// heartbeats when this one does not any more.
 type linkMonitor struct {
 	cfg         *config.Platform
 	operator    *config.Operator
@@ -88,7 +88,8 @@
 	}
 }
 
-// transfer transfers the shards when a peer hears the workers in this controller's place.
+// transfer transfers the shards when a peer gets the workers' heartbeats and this controller
+// does not.
 func (l *linkMonitor) transfer(ctx context.Context, now time.Time, view *reachability.View) {
 	to := l.transfers.Check(now, view, l.member.RecentTransfers(reachability.TransferWindow))
 	if to == "" {
@@ -101,7 +102,8 @@
 	}
 }
 
-// countHeartbeats counts what came from workers. Peers that are not reached are told whose.
+// countHeartbeats counts what came from workers. The status names them while a peer is not
+// reached.
 func (l *linkMonitor) countHeartbeats() {
 	received, workers := l.dispatcher.RecentHeartbeats()
 	var names *reachability.NameSet
@@ -115,8 +117,8 @@
 	})
 }
 
-// assignWorkers looks whether this controller has connections for all workers, and tells
-// others that assign them to several controllers how many it has room for.
+// assignWorkers looks whether this controller has connections for all workers. While they are
+// assigned to several controllers, the status says how many it has room for.
 func (l *linkMonitor) assignWorkers(now time.Time) {
 	open, most := l.connections.count(), l.connections.most()
 	view := l.links.now()
--- a/internal/controller/listener.go
+++ b/internal/controller/listener.go
@@ -40,7 +40,7 @@
 // most is how many connections may be open; math.MaxInt without a limit.
 func (c *connectionLimit) most() int { return c.limit }
 
-// admit takes a connection's place; false if there is none left.
+// admit counts a connection as open; false if there are as many as may be.
 func (c *connectionLimit) admit() bool {
 	if c.open.Add(1) > int64(c.limit) {
 		c.open.Add(-1)
--- a/internal/controller/node_status.go
+++ b/internal/controller/node_status.go
@@ -94,8 +94,8 @@
 	return s.heartbeats.expected, len(s.probe.sample) > 0
 }
 
-// setSuspicion sets the endpoints that peers shall probe too; urgent if they are to hear of
-// it at once.
+// setSuspicion sets the endpoints that peers shall probe too; urgent if they are to get it
+// at once.
 func (s *nodeStatus) setSuspicion(sample []string, urgent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// pingAll pings all peers at once, so that they hear of this controller's status.
+// pingAll pings all peers now, so that they get this controller's status.
 func (p *pinger) pingAll(ctx context.Context) {
 	for _, peer := range p.cfg.Peers {
 		go p.ping(ctx, peer.Node)
--- a/internal/controller/prober.go
+++ b/internal/controller/prober.go
@@ -13,7 +13,7 @@
 
 const (
 	probeTimeout = 500 * time.Millisecond
-	probePause   = probeResultFor / 2 // between probes that peers asked for
+	probePause   = probeResultFor / 2 // between probes that peers requested
 )
 
 // prober finds out whether this controller reaches workers when it, or a peer, suspects that
--- a/internal/controller/remote_jobs.go
+++ b/internal/controller/remote_jobs.go
@@ -10,10 +10,10 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// factsTimeout is for each leader that is asked for facts of jobs.
+// factsTimeout is for each leader that is queried for facts of jobs.
 const factsTimeout = 700 * time.Millisecond
 
-// factsQuery asks for the facts of the job with the UID, or whether there is an unfinished
+// factsQuery is for the facts of the job with the UID, or whether there is an unfinished
 // job of the name and user with a number below Number.
 type factsQuery struct {
 	UID    string `json:"uid,omitempty"`
@@ -64,7 +64,7 @@
 	return mesh.Call[factsQuery, factsReply](ctx, r.mesh, leader, method, q)
 }
 
-// jobFacts answers other leaders for the jobs that are led here. It serves also where
+// jobFacts responds to other leaders for the jobs that are led here. It serves also where
 // Slurm-style clients are off, for jobs from before.
 type jobFacts struct {
 	scheduler *scheduler.Scheduler
--- a/internal/controller/removed_workers.go
+++ b/internal/controller/removed_workers.go
@@ -20,9 +20,9 @@
 	Workers []string `json:"machines"`
 }
 
-// removedWorkers tells every controller which workers' machines were deleted: a later leader
-// would take one for unresponsive, and count it among those that it should hear. It is safe
-// for concurrent use.
+// removedWorkers notifies every controller of workers whose machines were deleted: a later
+// leader would take one for unresponsive, and expect its heartbeats. It is safe for concurrent
+// use.
 type removedWorkers struct {
 	cfg        *config.Platform
 	scheduler  *scheduler.Scheduler
--- a/internal/controller/scheduler_gateway.go
+++ b/internal/controller/scheduler_gateway.go
@@ -42,7 +42,7 @@
 	g.scheduler.ObserveWorker(view)
 }
 
-// GrantLocal asks the scheduler in this process whether a task may start.
+// GrantLocal requests a grant for a start from the scheduler in this process.
 func (g *schedulerGateway) GrantLocal(request dispatch.GrantRequest) dispatch.GrantReply {
 	reply := g.scheduler.GrantLocal(request)
 	if reply.OK {
@@ -52,7 +52,8 @@
 	return reply
 }
 
-// GrantRemote asks a peer's scheduler whether tasks may start.
+// GrantRemote requests grants from a peer's scheduler; the replies are in the order of the
+// requests.
 func (g *schedulerGateway) GrantRemote(ctx context.Context, leader string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
 	replies, err := call[[]dispatch.GrantRequest, []dispatch.GrantReply](ctx, g.peers, leader, methodGrants, &requests)
 	if err != nil {
--- a/internal/controller/store_relay.go
+++ b/internal/controller/store_relay.go
@@ -25,8 +25,8 @@
 // Ready reports whether a peer reaches the state service.
 func (r *storeRelay) Ready() bool { return len(r.links.now().ServingPeers()) > 0 }
 
-// Forward has a peer make a request. The error is statestore.ErrUnavailable if nobody was
-// asked; with any other one the request may have been made: a connection that breaks after
+// Forward has a peer make a request. The error is statestore.ErrUnavailable if there was
+// no such peer; with any other one the request may have been made: a connection that breaks after
 // it was sent looks like a refused one.
 func (r *storeRelay) Forward(ctx context.Context, req statestore.RelayedRequest) (*statestore.RelayedResponse, error) {
 	serving := r.links.now().ServingPeers()
--- a/internal/controller/unresponsive_workers.go
+++ b/internal/controller/unresponsive_workers.go
@@ -19,19 +19,19 @@
 // receiveHealth says how well this process receives just now.
 type receiveHealth func() reachability.ReceiveHealth
 
-// probeQuery asks whether a worker is reached.
+// probeQuery is whether a worker is reached.
 type probeQuery struct {
 	Worker       string `json:"machine"`
 	Endpoint     string `json:"endpoint"`
-	OutboundLost bool   `json:"deaf,omitempty"` // that its heartbeats arrive is known: does it respond?
+	OutboundLost bool   `json:"deaf,omitempty"` // that its heartbeats arrive is known, not whether it responds
 }
 
 type probeReply struct {
 	Responsive bool `json:"lives"` // it sent a heartbeat lately, or responds
 }
 
-// unresponsiveWorkers judges the workers that this leader does not hear any more. It is safe
-// for concurrent use.
+// unresponsiveWorkers judges the workers whose heartbeats this leader does not get any more. It
+// is safe for concurrent use.
 type unresponsiveWorkers struct {
 	cfg        *config.Platform
 	operator   *config.Operator
@@ -60,7 +60,7 @@
 	})
 }
 
-// reached answers a peer's query whether a worker is reached from here.
+// reached reports whether a worker is reached from here.
 func (u *unresponsiveWorkers) reached(ctx context.Context, q *probeQuery) bool {
 	if !q.OutboundLost && u.dispatcher.SinceHeartbeat(q.Worker).Seconds() < u.operator.SilentS {
 		return true
--- a/internal/controller/view_publisher.go
+++ b/internal/controller/view_publisher.go
@@ -73,7 +73,7 @@
 		}
 		others, leads := p.leaders.ShardOwners(), p.leaders.Owns()
 		if leads && !led {
-			// What was heard before this controller led counts too.
+			// Heartbeats from before this controller led count too.
 			for _, view := range p.dispatcher.WorkerViews() {
 				p.scheduler.ObserveWorker(view)
 			}
@@ -121,9 +121,9 @@
 	return call[viewsync.Message, viewsync.Reply](ctx, p.peers, leader, methodViews, msg)
 }
 
-// pollRemoteWorkers polls workers for their reports of which a predecessor, which transferred
-// its shards, told: workers that can't reach it any more take seconds to find out, and the
-// cloud's list is slow.
+// pollRemoteWorkers polls workers for their reports that a predecessor, which transferred its
+// shards, named: workers that can't reach it any more take seconds to find out, and the cloud's
+// list is slow.
 func (p *viewPublisher) pollRemoteWorkers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pollRemoteFor)
 	defer cancel()
