--- a/internal/controller/listener_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -1,4 +1,4 @@
-package controller
+package connlimit
 
 import (
 	"bufio"
@@ -22,8 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	connections := &connectionLimit{limit: 2, admitted: func() {}}
-	limited := &limitedListener{Listener: lis, connections: connections}
+	limit := &Limit{max: 2, admitted: func() {}}
+	limited := NewListener(lis, limit)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })}
 	done := make(chan error, 1)
 	go func() { done <- srv.Serve(limited) }()
@@ -56,9 +56,9 @@
 		return resp.StatusCode
 	}
 	wait := func(open int) {
-		for start := time.Now(); connections.count() != open; time.Sleep(time.Millisecond) {
+		for start := time.Now(); limit.Open() != open; time.Sleep(time.Millisecond) {
 			if time.Since(start) > 5*time.Second {
-				t.Fatalf("%d connections open, not %d", connections.count(), open)
+				t.Fatalf("%d connections open, not %d", limit.Open(), open)
 			}
 		}
 	}
@@ -89,9 +89,9 @@
 	}
 	defer closeNow(t, lis)
 	const maxSockets, peers = 200, 2
-	connections, commands := newConnectionLimit(maxSockets, peers)
-	limited := &limitedListener{Listener: lis, connections: connections}
-	budget := sockets.Budget{Limit: maxSockets, Peers: peers, Accepted: connections.count}
+	limit, commands := New(maxSockets, peers)
+	limited := NewListener(lis, limit)
+	budget := sockets.Budget{Limit: maxSockets, Peers: peers, Accepted: limit.Open}
 	own := budget.Limit - budget.MaxAccepted() - budget.OrdersAtOnce()
 
 	for range 3 * budget.OrdersAtOnce() {
@@ -113,11 +113,11 @@
 			t.Fatal(err)
 		}
 		defer closeNow(t, admitted)
-		if connections.count() != user+1 {
+		if limit.Open() != user+1 {
 			t.Fatalf("user %d was not admitted", user)
 		}
-		if total := connections.count() + commands.Connections() + own; total > budget.Limit {
-			t.Fatalf("%d sockets of %d with %d users", total, budget.Limit, connections.count())
+		if total := limit.Open() + commands.Connections() + own; total > budget.Limit {
+			t.Fatalf("%d sockets of %d with %d users", total, budget.Limit, limit.Open())
 		}
 	}
 	if n := commands.Connections(); n != budget.OrdersAtOnce() {
--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -10,19 +10,19 @@
 	"github.com/wallrack/wallrack/internal/autoscaler"
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/connlimit"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/failovertiming"
 	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
 	"github.com/wallrack/wallrack/internal/reachability"
-	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/rolloutapi"
 	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/slo"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/submission"
-	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/usage"
 	"github.com/wallrack/wallrack/internal/viewsync"
 )
@@ -60,7 +60,7 @@
 	starts    startLog
 	ownership ownershipTiming
 
-	connections  *connectionLimit
+	connections  *connlimit.Limit
 	commands     *dispatch.HTTPCommandSender
 	router       workerRouter
 	instructions instructionRouter
@@ -81,12 +81,12 @@
 	removed       removedWorkers
 	autoscaler    *autoscaler.Autoscaler
 
-	numbers  *jobid.Allocator // nil: jobs have none
-	rollouts *rollout.Manager // nil: there are none
+	numbers  *jobid.Allocator    // nil: jobs have none
+	rollouts *rolloutapi.Service // nil: there are none
 	machines machineList
 	alerts   *slo.Monitor
 	meter    *usage.Meter
-	listener *limitedListener
+	listener *connlimit.Listener
 	server   *http.Server
 }
 
@@ -106,7 +106,7 @@
 		c.mesh.Close()
 		return nil, fmt.Errorf("serve_on: %w", err)
 	}
-	c.listener = &limitedListener{Listener: lis, connections: c.connections}
+	c.listener = connlimit.NewListener(lis, c.connections)
 	c.meter = usage.New(int64(c.cfg.Params.Limits.RAMMB*pressureShare*bytesPerMB), c.queues, c.log)
 	c.times.Restart()
 	c.exchangeCancellations()
@@ -186,7 +186,7 @@
 
 // dispatch makes the dispatcher, which ends the cycle of those that act through it.
 func (c *controller) dispatch(ctx context.Context) {
-	c.connections, c.commands = newConnectionLimit(c.cfg.Params.Limits.Sockets, len(c.cfg.Peers))
+	c.connections, c.commands = connlimit.New(c.cfg.Params.Limits.Sockets, len(c.cfg.Peers))
 	c.times = failovertiming.New(c.scheduler, config.Seconds(c.cfg.Params.Workers.LeaseS), c.log)
 	c.starts = startLog{log: c.log}
 	c.router = workerRouter{member: c.member, links: &c.links, cancellations: c.cancellations, grace: responseGrace(c.cfg.Params.Workers)}
@@ -204,7 +204,7 @@
 func (c *controller) queues() map[string]int {
 	depths := c.scheduler.QueueDepths()
 	depths["machines"], depths["queued"], depths["orders"] = c.dispatcher.Depths()
-	depths["connections"], depths["order_connections"] = c.connections.count(), c.commands.Connections()
+	depths["connections"], depths["order_connections"] = c.connections.Open(), c.commands.Connections()
 	return depths
 }
 
@@ -293,14 +293,12 @@
 	if o.Rollouts == nil {
 		return
 	}
-	core := &rolloutCore{
-		cfg: c.cfg, operator: c.operator, store: c.store, member: c.member, scheduler: c.scheduler, dispatcher: c.dispatcher, numbers: c.numbers,
-	}
-	maxRecord := int(c.cfg.Params.State.ValueKB * 1024 * rolloutRecordShare)
-	c.rollouts = rollout.NewManager(o.Rollouts, c.store, core, taskspec.NewClient(o.Rollouts.Descriptions), rollout.NewWorkerProber(), maxRecord, c.log)
-	service := &rolloutService{manager: c.rollouts, scheduler: c.scheduler, leaders: &c.leaders, mesh: c.mesh}
-	c.register(service)
-	service.routes(mux)
+	c.rollouts = rolloutapi.New(rolloutapi.Options{
+		Settings: o.Rollouts, Platform: c.cfg, Operator: c.operator, Store: c.store, Member: c.member, Scheduler: c.scheduler, Dispatcher: c.dispatcher,
+		Numbers: c.numbers, Leaders: &c.leaders, Mesh: c.mesh, Log: c.log,
+	})
+	c.rollouts.RegisterMethods(c.mesh)
+	c.rollouts.Register(mux)
 }
 
 func (c *controller) autoscale() {
@@ -316,7 +314,7 @@
 		Scheduler: &c.clusterDemand,
 	}
 	if c.rollouts != nil {
-		options.ReservedCPUs = c.rollouts.Held
+		options.ReservedCPUs = c.rollouts.ReservedCPUs
 	}
 	c.autoscaler = autoscaler.New(options)
 }
--- a/internal/controller/link_monitor.go
+++ b/internal/controller/link_monitor.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/connlimit"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/reachability"
@@ -35,7 +36,7 @@
 	router      *workerRouter
 	prober      *prober
 	pinger      *pinger
-	connections *connectionLimit
+	connections *connlimit.Limit
 	health      receiveHealth
 	changes     *linkLog
 	log         *slog.Logger
@@ -120,7 +121,7 @@
 // assignWorkers looks whether this controller has connections for all workers. While they are
 // assigned to several controllers, the status says how many it has room for.
 func (l *linkMonitor) assignWorkers(now time.Time) {
-	open, most := l.connections.count(), l.connections.most()
+	open, most := l.connections.Open(), l.connections.Max()
 	view := l.links.now()
 	reportS := l.cfg.Params.Workers.ReportS
 	workers := l.dispatcher.CountReporting(config.Seconds(missedReports * reportS))
--- a/internal/controller/methods.go
+++ b/internal/controller/methods.go
@@ -24,7 +24,6 @@
 	methodSlurm         = "Desk"
 	methodFacts         = "Facts"
 	methodEarlier       = "Earlier"
-	methodRollouts      = "Rollouts"
 )
 
 // empty is a message that says all by its method.
--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"io"
 	"net"
 	"os"
 	"path/filepath"
@@ -21,6 +22,7 @@
 	"github.com/wallrack/wallrack/internal/planner"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/rolloutapi"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 	"github.com/wallrack/wallrack/internal/slurmtask"
 	"github.com/wallrack/wallrack/internal/statestore"
@@ -64,7 +66,7 @@
 		{methodSlurm, "Desk"},
 		{methodFacts, "Facts"},
 		{methodEarlier, "Earlier"},
-		{methodRollouts, "Rollouts"},
+		{rolloutapi.Method, "Rollouts"},
 	} {
 		if method.is != method.was {
 			t.Errorf("the method %q is called %q", method.was, method.is)
@@ -260,3 +262,10 @@
 	checkRecorded(t, "rollouts_plain.json", []rollout.Status{{}})
 	checkRecorded(t, "rollouts_empty.json", []rollout.Status{})
 }
+
+func closeNow(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/rolloutapi/core.go
@@ -0,0 +1,102 @@
+package rolloutapi
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/jobid"
+	"github.com/wallrack/wallrack/internal/jobrecord"
+	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/membership"
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/quota"
+	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+const (
+	firstShard  = 0   // its leader leads autoscaling, and the roll-outs
+	recordShare = 0.9 // of a value's limit in the state service, for the record of a roll-out
+)
+
+// Options are what roll-outs need of the rest of their process.
+type Options struct {
+	Settings   *rollout.Settings
+	Platform   *config.Platform
+	Operator   *config.Operator
+	Store      *statestore.Client
+	Member     *membership.Member
+	Scheduler  *scheduler.Scheduler
+	Dispatcher *dispatch.Dispatcher
+	Numbers    *jobid.Allocator // nil: jobs have none
+	Leaders    Leaders
+	Mesh       *mesh.Mesh
+	Log        *slog.Logger
+}
+
+// core is the scheduler as roll-outs see it. It implements rollout.Core.
+type core struct {
+	Options
+}
+
+// Lead returns the condition under which this controller drives roll-outs; false if another
+// one does.
+func (c *core) Lead() (wire.Guard, bool) {
+	version, owns := c.Member.OwnsShard(firstShard)
+	return wire.Guard{Key: c.Member.ShardKey(firstShard), Version: version}, owns && c.Scheduler.LeadsAutoscaling()
+}
+
+// Submit records a job's acceptance under further conditions. A job that is known already is
+// no error.
+func (c *core) Submit(ctx context.Context, job *wire.Job, guards ...wire.Guard) error {
+	if _, err := scheduler.StoredState(ctx, c.Store, job.UID); err == nil {
+		return nil
+	} else if !errors.Is(err, statestore.ErrNotFound) {
+		return err
+	}
+	shard := quota.AssignShard(job, c.Platform.Params.Teams, c.Operator)
+	at := time.Now().UnixMilli()
+	var constraints *jobspec.Constraints
+	if c.Numbers != nil {
+		number, err := c.Numbers.Take(ctx, job.Tasks)
+		if err != nil {
+			return err
+		}
+		constraints = &jobspec.Constraints{Number: number, Name: job.Class}
+	}
+	accept, ops := jobrecord.AcceptanceTxn(job, constraints, shard, at)
+	revision, err := c.Store.Txn(ctx, append(accept, guards...), ops...)
+	if err != nil {
+		return err
+	}
+	c.Scheduler.JobAccepted(job, constraints, shard, at, revision)
+	return nil
+}
+
+// Cancel cancels a job. One that was never accepted is no error.
+func (c *core) Cancel(ctx context.Context, uid string) error {
+	if _, err := c.Scheduler.Cancel(ctx, uid); !errors.Is(err, statestore.ErrNotFound) {
+		return err
+	}
+	return nil
+}
+
+// Replicas returns the running replicas of a job whose endpoints are known.
+func (c *core) Replicas(uid string) []rollout.Replica {
+	var out []rollout.Replica
+	for _, task := range c.Scheduler.RunningTasks(uid) {
+		if endpoint := c.Dispatcher.Endpoint(task.Machine); endpoint != "" {
+			out = append(out, rollout.Replica{Task: task.Task, Attempt: task.Attempt, Endpoint: endpoint})
+		}
+	}
+	return out
+}
+
+// Unfinished reports whether a job of the class is unfinished.
+func (c *core) Unfinished(class string) bool { return c.Scheduler.HasUnfinishedJobs(class) }
--- /dev/null
+++ b/internal/rolloutapi/service.go
@@ -0,0 +1,153 @@
+// Package rolloutapi is the operators' interface of roll-outs, and joins their manager (package
+// rollout) with the scheduler: it submits and cancels the jobs of which a roll-out consists, and
+// finds their replicas. It keeps no state of its own; the leader of autoscaling drives roll-outs,
+// and other controllers pass its statuses on.
+package rolloutapi
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/rollout"
+	"github.com/wallrack/wallrack/internal/scheduler"
+	"github.com/wallrack/wallrack/internal/statestore"
+	"github.com/wallrack/wallrack/internal/taskspec"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// Method is the mesh's method for the statuses. Controllers of other versions call it by this name.
+const Method = "Rollouts"
+
+const (
+	requestTimeout = 4 * time.Second
+	maxBytes       = 48 << 10 // of a roll-out's description
+)
+
+// Leaders knows which other controllers lead shards.
+type Leaders interface {
+	ShardOwners() []string
+}
+
+// Service is the operators' interface of roll-outs. It is safe for concurrent use.
+type Service struct {
+	manager   *rollout.Manager
+	scheduler *scheduler.Scheduler
+	leaders   Leaders
+	mesh      *mesh.Mesh
+}
+
+// New returns the interface, with a manager of its own.
+func New(o Options) *Service {
+	maxRecord := int(o.Platform.Params.State.ValueKB * 1024 * recordShare)
+	manager := rollout.NewManager(o.Settings, o.Store, &core{o}, taskspec.NewClient(o.Settings.Descriptions), rollout.NewWorkerProber(), maxRecord, o.Log)
+	return &Service{manager: manager, scheduler: o.Scheduler, leaders: o.Leaders, mesh: o.Mesh}
+}
+
+// Run drives the roll-outs whenever this controller leads them, until ctx ends.
+func (s *Service) Run(ctx context.Context) error { return s.manager.Run(ctx) }
+
+// ReservedCPUs returns the CPUs to be kept for versions that may have to come back.
+func (s *Service) ReservedCPUs() float64 { return s.manager.Held() }
+
+// RegisterMethods adds what peers call. Call it before the mesh serves.
+func (s *Service) RegisterMethods(m *mesh.Mesh) {
+	mesh.Handle(m, Method, func(context.Context, *struct{}) (*[]rollout.Status, error) {
+		out := s.manager.Statuses()
+		return &out, nil
+	})
+}
+
+// Register adds the interface's paths.
+func (s *Service) Register(mux *http.ServeMux) {
+	mux.HandleFunc("POST /ops/rollouts", s.start)
+	mux.HandleFunc("GET /ops/rollouts", s.list)
+	mux.HandleFunc("GET /ops/rollouts/{service}", s.show)
+	mux.HandleFunc("GET /ops/rollouts/{service}/history", s.history)
+	mux.HandleFunc("POST /ops/rollouts/{service}/{verb}", s.order)
+}
+
+func (s *Service) start(w http.ResponseWriter, r *http.Request) {
+	var spec rollout.Spec
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	if err == nil {
+		err = json.Unmarshal(data, &spec)
+	}
+	if err != nil {
+		write(w, nil, fmt.Errorf("%w: malformed: %w", rollout.ErrInput, err))
+		return
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
+	defer cancel()
+	run, err := s.manager.Start(ctx, spec)
+	write(w, run, err)
+}
+
+func (s *Service) list(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
+	defer cancel()
+	write(w, s.statuses(ctx), nil)
+}
+
+func (s *Service) show(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
+	defer cancel()
+	for _, status := range s.statuses(ctx) {
+		if status.Service.Name == r.PathValue("service") {
+			write(w, status, nil)
+			return
+		}
+	}
+	write(w, nil, fmt.Errorf("%w: service: %s is unknown", rollout.ErrInput, r.PathValue("service")))
+}
+
+func (s *Service) history(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
+	defer cancel()
+	past, err := s.manager.History(ctx, r.PathValue("service"))
+	write(w, past, err)
+}
+
+func (s *Service) order(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
+	defer cancel()
+	run, err := s.manager.Order(ctx, r.PathValue("service"), r.PathValue("verb"))
+	write(w, run, err)
+}
+
+// statuses returns the roll-outs as their leader sees them, which knows the replicas' health,
+// or else as they are known here.
+func (s *Service) statuses(ctx context.Context) []rollout.Status {
+	if !s.scheduler.LeadsAutoscaling() {
+		for _, leader := range s.leaders.ShardOwners() {
+			if reply, err := mesh.Call[struct{}, []rollout.Status](ctx, s.mesh, leader, Method, &struct{}{}); err == nil {
+				return *reply
+			}
+		}
+	}
+	return s.manager.Statuses()
+}
+
+// write writes a result, or what its error means to operators.
+func write(w http.ResponseWriter, result any, err error) {
+	status := http.StatusOK
+	var conflict *statestore.Conflict
+	switch {
+	case errors.Is(err, rollout.ErrInput):
+		status, result = http.StatusUnprocessableEntity, wire.Problem{Error: err.Error()}
+	case errors.As(err, &conflict):
+		w.Header().Set("Retry-After", "1")
+		status, result = http.StatusServiceUnavailable, wire.Problem{Error: "somebody else changed it at the same time"}
+	case err != nil:
+		w.Header().Set("Retry-After", "1")
+		status, result = http.StatusServiceUnavailable, wire.Problem{Error: err.Error()}
+	}
+	httpjson.Write(w, status, result)
+}
