--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"log/slog"
 	"net/http"
-	"time"
 
 	"github.com/wallrack/wallrack/internal/autoscaler"
 	"github.com/wallrack/wallrack/internal/cancellation"
@@ -16,6 +15,7 @@
 	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/rolloutapi"
 	"github.com/wallrack/wallrack/internal/scheduler"
@@ -43,16 +43,12 @@
 	cloud   *autoscaler.Cloud
 	catalog *autoscaler.Catalog
 
-	table       *reachability.Table
-	status      nodeStatus
-	links       linkView
+	links       *peerlinks.Links
 	linkChanges linkLog
 	linkMonitor linkMonitor
 	linkReport  linkReport
 	pinger      pinger
 	prober      prober
-	peers       peerCaller
-	leaders     leaders
 
 	scheduler *scheduler.Scheduler
 	gateway   schedulerGateway
@@ -97,7 +93,6 @@
 	if err := c.connect(); err != nil {
 		return nil, err
 	}
-	c.viewLinks()
 	c.schedule(o.Slurm != nil && o.Slurm.Accounts)
 	c.dispatch(ctx)
 	c.alerts = slo.New(c.cfg.Params.Objectives, c.scheduler, c.log)
@@ -128,7 +123,7 @@
 // register has a part serve its methods of the mesh.
 func (c *controller) register(service peerService) { service.register(c.mesh) }
 
-// connect makes the clients of what is outside of this process.
+// connect makes the clients of what is outside of this process, and the links to the peers.
 func (c *controller) connect() error {
 	addrs := map[string]string{}
 	for _, peer := range c.cfg.Peers {
@@ -144,21 +139,11 @@
 	c.member = membership.New(statestore.UrgentClient{Client: c.store}, c.cfg.Node, config.Seconds(c.operator.LeaseS), c.operator.Shards, c.operator.Spread, c.log)
 	c.cloud = autoscaler.NewCloud(c.cfg.Endpoints.Cloud, c.cfg.Params.Cloud.RPS)
 	c.catalog = autoscaler.NewCatalog(c.cloud, c.store, c.log)
+	c.links = peerlinks.New(peerlinks.Options{Node: c.cfg.Node, Peers: c.nodes, Mesh: c.mesh, Store: c.store, Member: c.member, Cloud: c.cloud})
+	c.links.Caller.Register(c.mesh)
 	return nil
 }
 
-// viewLinks makes this controller's view of the links, and what calls peers by it.
-func (c *controller) viewLinks() {
-	c.table = reachability.NewTable(c.cfg.Node, c.nodes)
-	c.status = nodeStatus{
-		node: c.cfg.Node, store: c.store, member: c.member, cloud: c.cloud, table: c.table, startedMs: time.Now().UnixMilli(),
-	}
-	c.links = linkView{table: c.table, status: &c.status}
-	c.peers = peerCaller{mesh: c.mesh, links: &c.links, table: c.table}
-	c.register(&c.peers)
-	c.leaders = leaders{node: c.cfg.Node, member: c.member, links: &c.links}
-}
-
 // schedule makes the scheduler, and the registry of cancellations that it fills.
 func (c *controller) schedule(accounting bool) {
 	halter := &taskHalter{local: &c.local, log: c.log}
@@ -167,11 +152,11 @@
 		Peers: c.nodes, Limit: config.Seconds(c.cfg.Params.Workers.CancelS), LeaseRemaining: c.member.LeaseRemaining,
 		OnCancelled: halter.halt, OnUpdates: c.notifyCancelUpdates,
 	})
-	c.instructions = instructionRouter{node: c.cfg.Node, local: &c.local, peers: &c.peers}
+	c.instructions = instructionRouter{node: c.cfg.Node, local: &c.local, peers: &c.links.Caller}
 	c.register(&c.instructions)
 	c.scheduler = scheduler.New(scheduler.Options{
 		Platform: c.cfg, Operator: c.operator, Store: c.store, Member: c.member, Dispatchers: &c.instructions, MachineTypes: c.catalog, Log: c.log,
-		Cancellations: c.cancellations, RemoteJobs: &remoteJobs{store: c.store, mesh: c.mesh, leaders: &c.leaders}, AccountingEnabled: accounting,
+		Cancellations: c.cancellations, RemoteJobs: &remoteJobs{store: c.store, mesh: c.mesh, leaders: &c.links.Leaders}, AccountingEnabled: accounting,
 	})
 	c.register(&jobFacts{scheduler: c.scheduler})
 }
@@ -189,8 +174,8 @@
 	c.connections, c.commands = connlimit.New(c.cfg.Params.Limits.Sockets, len(c.cfg.Peers))
 	c.times = failovertiming.New(c.scheduler, config.Seconds(c.cfg.Params.Workers.LeaseS), c.log)
 	c.starts = startLog{log: c.log}
-	c.router = workerRouter{member: c.member, links: &c.links, cancellations: c.cancellations, grace: responseGrace(c.cfg.Params.Workers)}
-	c.gateway = schedulerGateway{scheduler: c.scheduler, router: &c.router, peers: &c.peers, times: c.times, starts: &c.starts}
+	c.router = workerRouter{member: c.member, links: &c.links.View, cancellations: c.cancellations, grace: responseGrace(c.cfg.Params.Workers)}
+	c.gateway = schedulerGateway{scheduler: c.scheduler, router: &c.router, peers: &c.links.Caller, times: c.times, starts: &c.starts}
 	c.register(&c.gateway)
 	c.dispatcher = dispatch.New(ctx, dispatch.Options{
 		Node: c.cfg.Node, WorkerLease: config.Seconds(c.cfg.Params.Workers.LeaseS),
@@ -215,7 +200,7 @@
 
 func (c *controller) exchangeCancellations() {
 	c.exchange = cancellationExchange{
-		cfg: c.cfg, registry: c.cancellations, updates: c.cancelUpdates, scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.router, peers: &c.peers,
+		cfg: c.cfg, registry: c.cancellations, updates: c.cancelUpdates, scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.router, peers: &c.links.Caller,
 		reader: cancellationReader{registry: c.cancellations, store: c.store, log: c.log}, log: c.log,
 	}
 	c.register(&c.exchange)
@@ -223,33 +208,33 @@
 
 func (c *controller) watchLinks() {
 	c.prober = prober{
-		node: c.cfg.Node, member: c.member, table: c.table, status: &c.status, links: &c.links, dispatcher: c.dispatcher, lifetime: c.lifetime, log: c.log,
+		node: c.cfg.Node, member: c.member, table: c.links.Table, status: &c.links.Status, links: &c.links.View, dispatcher: c.dispatcher, lifetime: c.lifetime, log: c.log,
 	}
 	c.pinger = pinger{
-		cfg: c.cfg, mesh: c.mesh, table: c.table, status: &c.status, peers: &c.peers, cancellations: &c.exchange, prober: &c.prober,
+		cfg: c.cfg, mesh: c.mesh, table: c.links.Table, status: &c.links.Status, peers: &c.links.Caller, cancellations: &c.exchange, prober: &c.prober,
 	}
 	c.register(&c.pinger)
 	c.linkChanges = linkLog{store: c.store, log: c.log, links: map[string]linkState{}}
 	c.linkMonitor = linkMonitor{
-		cfg: c.cfg, operator: c.operator, member: c.member, dispatcher: c.dispatcher, table: c.table, status: &c.status, links: &c.links,
+		cfg: c.cfg, operator: c.operator, member: c.member, dispatcher: c.dispatcher, table: c.links.Table, status: &c.links.Status, links: &c.links.View,
 		router: &c.router, prober: &c.prober, pinger: &c.pinger, connections: c.connections, health: c.receiveHealth, changes: &c.linkChanges, log: c.log,
 	}
 }
 
 func (c *controller) watchWorkers() {
 	c.unresponsive = unresponsiveWorkers{
-		cfg: c.cfg, operator: c.operator, scheduler: c.scheduler, dispatcher: c.dispatcher, links: &c.links, peers: &c.peers,
+		cfg: c.cfg, operator: c.operator, scheduler: c.scheduler, dispatcher: c.dispatcher, links: &c.links.View, peers: &c.links.Caller,
 		health: c.receiveHealth, lifetime: c.lifetime, log: c.log, detector: newFailureDetector(c.cfg.Params.Workers, c.operator),
 	}
 	c.register(&c.unresponsive)
-	c.attestor = leaseAttestor{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.peers, log: c.log}
+	c.attestor = leaseAttestor{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.links.Caller, log: c.log}
 	c.register(&c.attestor)
 	c.expiring = expiringLeases{scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.router}
 }
 
 func (c *controller) publishViews() {
 	c.views = viewPublisher{
-		cfg: c.cfg, interval: config.Seconds(c.operator.PublishS), scheduler: c.scheduler, dispatcher: c.dispatcher, leaders: &c.leaders, peers: &c.peers, table: c.table,
+		cfg: c.cfg, interval: config.Seconds(c.operator.PublishS), scheduler: c.scheduler, dispatcher: c.dispatcher, leaders: &c.links.Leaders, peers: &c.links.Caller, table: c.links.Table,
 		publisher: viewsync.NewPublisher(c.cfg.Node, c.dispatcher), receiver: viewsync.NewReceiver(c.scheduler, c.nodes), log: c.log,
 	}
 	c.register(&c.views)
@@ -261,9 +246,9 @@
 	c.ownership = ownershipTiming{member: c.member, times: c.times, starts: &c.starts}
 	c.member.OnOwnershipChange(c.scheduler.OwnershipChanged)
 	c.member.OnOwnershipChange(c.ownership.changed)
-	c.member.OnOwnershipChange(c.links.invalidate)
+	c.member.OnOwnershipChange(c.links.View.Invalidate)
 	c.member.OnLinkAnnouncement(c.prober.announced)
-	c.relay = storeRelay{store: c.store, links: &c.links, peers: &c.peers}
+	c.relay = storeRelay{store: c.store, links: &c.links.View, peers: &c.links.Caller, mesh: c.mesh}
 	c.register(&c.relay)
 	c.store.SetRelay(&c.relay, c.log)
 }
@@ -271,7 +256,7 @@
 func (c *controller) serveUsers(o Options, mux *http.ServeMux) {
 	options := submission.Options{
 		Platform: c.cfg, Operator: c.operator, Store: c.store, Jobs: c.scheduler, Catalog: c.catalog,
-		Peers: &userPeers{leaders: &c.leaders, peers: &c.peers, times: c.times}, Log: c.log,
+		Peers: &userPeers{Leaders: &c.links.Leaders, member: c.member, links: &c.links.View, peers: &c.links.Caller, times: c.times}, Log: c.log,
 		Cancellations: c.cancellations, MemoryPressure: c.meter.Crowded,
 	}
 	if o.Slurm != nil {
@@ -284,7 +269,7 @@
 	if o.Slurm == nil {
 		return
 	}
-	server := slurmapi.New(o.Slurm, c.cfg, c.store, c.scheduler, c.numbers, &slurmPeers{leaders: &c.leaders, mesh: c.mesh}, submissions, c.catalog, c.log)
+	server := slurmapi.New(o.Slurm, c.cfg, c.store, c.scheduler, c.numbers, &slurmPeers{Leaders: &c.links.Leaders, mesh: c.mesh}, submissions, c.catalog, c.log)
 	c.register(&slurmService{server: server})
 	server.Register(mux)
 }
@@ -295,7 +280,7 @@
 	}
 	c.rollouts = rolloutapi.New(rolloutapi.Options{
 		Settings: o.Rollouts, Platform: c.cfg, Operator: c.operator, Store: c.store, Member: c.member, Scheduler: c.scheduler, Dispatcher: c.dispatcher,
-		Numbers: c.numbers, Leaders: &c.leaders, Mesh: c.mesh, Log: c.log,
+		Numbers: c.numbers, Leaders: &c.links.Leaders, Mesh: c.mesh, Log: c.log,
 	})
 	c.rollouts.RegisterMethods(c.mesh)
 	c.rollouts.Register(mux)
@@ -304,10 +289,10 @@
 func (c *controller) autoscale() {
 	c.demand = localDemand{scheduler: c.scheduler, unresponsive: &c.unresponsive}
 	c.register(&c.demand)
-	c.removed = removedWorkers{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.peers, lifetime: c.lifetime, log: c.log}
+	c.removed = removedWorkers{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.links.Caller, lifetime: c.lifetime, log: c.log}
 	c.register(&c.removed)
 	c.clusterDemand = clusterDemand{
-		scheduler: c.scheduler, local: &c.demand, unresponsive: &c.unresponsive, leaders: &c.leaders, peers: &c.peers, removed: &c.removed, lifetime: c.lifetime, log: c.log,
+		scheduler: c.scheduler, local: &c.demand, unresponsive: &c.unresponsive, leaders: &c.links.Leaders, peers: &c.links.Caller, removed: &c.removed, lifetime: c.lifetime, log: c.log,
 	}
 	options := autoscaler.Options{
 		Platform: c.cfg, Operator: c.operator, Cloud: c.cloud, Catalog: c.catalog, Store: c.store, Member: c.member, Dispatcher: c.dispatcher, Log: c.log,
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -10,6 +10,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
@@ -37,7 +38,7 @@
 	scheduler  *scheduler.Scheduler
 	dispatcher *dispatch.Dispatcher
 	router     *workerRouter
-	peers      *peerCaller
+	peers      *peerlinks.Caller
 	reader     cancellationReader
 	log        *slog.Logger
 
@@ -74,7 +75,7 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	msg := &cancellationMessage{e.cfg.Node, e.registry.MessageFor(peer)}
-	reply, err := call[cancellationMessage, cancellation.Message](ctx, e.peers, peer, methodCancellations, msg)
+	reply, err := peerlinks.Call[cancellationMessage, cancellation.Message](ctx, e.peers, peer, methodCancellations, msg)
 	if err == nil {
 		e.received(peer, reply)
 	}
--- a/internal/controller/cluster_demand.go
+++ b/internal/controller/cluster_demand.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/planner"
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
@@ -50,8 +51,8 @@
 	scheduler    *scheduler.Scheduler
 	local        *localDemand
 	unresponsive *unresponsiveWorkers
-	leaders      *leaders
-	peers        *peerCaller
+	leaders      *peerlinks.Leaders
+	peers        *peerlinks.Caller
 	removed      *removedWorkers
 	lifetime     lifetime
 	log          *slog.Logger
@@ -87,7 +88,7 @@
 func (c *clusterDemand) query(peer string, bootS float64) (*demandReply, error) {
 	ctx, cancel := context.WithTimeout(c.lifetime.ctx, peerQueryTimeout)
 	defer cancel()
-	return call[demandQuery, demandReply](ctx, c.peers, peer, methodDemand, &demandQuery{BootS: bootS})
+	return peerlinks.Call[demandQuery, demandReply](ctx, c.peers, peer, methodDemand, &demandQuery{BootS: bootS})
 }
 
 // addLoads adds another leader's loads to those of the workers that are known here.
--- a/internal/controller/instructions.go
+++ b/internal/controller/instructions.go
@@ -6,6 +6,7 @@
 
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 )
 
 // localDispatcher is this process's dispatcher for those parts that are made before it: the
@@ -26,7 +27,7 @@
 type instructionRouter struct {
 	node  string
 	local *localDispatcher
-	peers *peerCaller
+	peers *peerlinks.Caller
 }
 
 func (r *instructionRouter) register(m *mesh.Mesh) {
@@ -41,7 +42,7 @@
 	if dispatcher == r.node {
 		return r.local.ApplyInstructions(instructions), nil
 	}
-	rep, err := call[dispatch.Instructions, dispatch.Unlaunched](ctx, r.peers, dispatcher, methodInstructions, &instructions)
+	rep, err := peerlinks.Call[dispatch.Instructions, dispatch.Unlaunched](ctx, r.peers, dispatcher, methodInstructions, &instructions)
 	if err != nil {
 		return dispatch.Unlaunched{}, err
 	}
--- a/internal/controller/lease_attestation.go
+++ b/internal/controller/lease_attestation.go
@@ -8,6 +8,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
@@ -32,7 +33,7 @@
 	cfg        *config.Platform
 	scheduler  *scheduler.Scheduler
 	dispatcher *dispatch.Dispatcher
-	peers      *peerCaller
+	peers      *peerlinks.Caller
 	log        *slog.Logger
 }
 
@@ -96,6 +97,6 @@
 func (a *leaseAttestor) query(ctx context.Context, peer string, q *attestationQuery, attestation *dispatch.Attestation) bool {
 	ctx, cancel := context.WithTimeout(ctx, attestTimeout)
 	defer cancel()
-	reply, err := call[attestationQuery, attestationReply](ctx, a.peers, peer, methodAttest, q)
+	reply, err := peerlinks.Call[attestationQuery, attestationReply](ctx, a.peers, peer, methodAttest, q)
 	return err == nil && attestation.Add(reply.UnansweredS)
 }
--- a/internal/controller/link_monitor.go
+++ b/internal/controller/link_monitor.go
@@ -11,6 +11,7 @@
 	"github.com/wallrack/wallrack/internal/connlimit"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/membership"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
@@ -31,8 +32,8 @@
 	member      *membership.Member
 	dispatcher  *dispatch.Dispatcher
 	table       *reachability.Table
-	status      *nodeStatus
-	links       *linkView
+	status      *peerlinks.Status
+	links       *peerlinks.View
 	router      *workerRouter
 	prober      *prober
 	pinger      *pinger
@@ -66,9 +67,9 @@
 			l.counted = now
 			l.countHeartbeats()
 			l.assignWorkers(now)
-			l.changes.update(l.links.now())
+			l.changes.update(l.links.Now())
 		}
-		view := l.links.now()
+		view := l.links.Now()
 		l.announce(ctx, now, view)
 		l.transfer(ctx, now, view)
 	}
@@ -78,13 +79,13 @@
 // peer is not reached.
 func (l *linkMonitor) announce(ctx context.Context, now time.Time, view *reachability.View) {
 	pause := reachability.AnnouncePause(len(l.cfg.Peers) + 1)
-	if !l.status.announcementDue(now, l.announced, pause) || !view.Self.LeaseHeld || !slices.ContainsFunc(view.UnreachedPeers(), l.member.Alive) {
+	if !l.status.AnnouncementDue(now, l.announced, pause) || !view.Self.LeaseHeld || !slices.ContainsFunc(view.UnreachedPeers(), l.member.Alive) {
 		return
 	}
 	l.announced = now
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	if err := l.member.AnnounceLinks(ctx, l.status.current(now)); err != nil {
+	if err := l.member.AnnounceLinks(ctx, l.status.Current(now)); err != nil {
 		l.log.Debug("announcing node status failed", "err", err)
 	}
 }
@@ -112,9 +113,9 @@
 		heard := l.dispatcher.WorkersHeardWithin(config.Seconds(l.cfg.Params.Workers.LeaseS))
 		names = reachability.NewNameSet(heard, int(l.cfg.Params.State.ValueKB*nameShare*1024))
 	}
-	l.status.setHeartbeats(heartbeatCount{
-		received: received, workers: names,
-		expected: float64(workers) / l.cfg.Params.Workers.ReportS * dispatch.HeartbeatWindow.Seconds(),
+	l.status.SetHeartbeats(peerlinks.HeartbeatCount{
+		Received: received, Workers: names,
+		Expected: float64(workers) / l.cfg.Params.Workers.ReportS * dispatch.HeartbeatWindow.Seconds(),
 	})
 }
 
@@ -122,23 +123,23 @@
 // assigned to several controllers, the status says how many it has room for.
 func (l *linkMonitor) assignWorkers(now time.Time) {
 	open, most := l.connections.Open(), l.connections.Max()
-	view := l.links.now()
+	view := l.links.Now()
 	reportS := l.cfg.Params.Workers.ReportS
 	workers := l.dispatcher.CountReporting(config.Seconds(missedReports * reportS))
 	capacity := 0 // without a limit, or a share, all fit
 	if most < math.MaxInt32 {
 		capacity = int(l.operator.WorkerShare * float64(most))
 	}
-	next := workerAssignments{plan: l.assignments.Plan(now, view, workers, capacity, config.Seconds(reportS))}
+	next := peerlinks.WorkerAssignments{Plan: l.assignments.Plan(now, view, workers, capacity, config.Seconds(reportS))}
 	if view.SharesWorkers() {
-		next.workers = workers
-		next.capacity = max(0, min(capacity, most-max(0, open-workers)-most/10))
+		next.Workers = workers
+		next.Capacity = max(0, min(capacity, most-max(0, open-workers)-most/10))
 	}
-	if len(next.plan) != l.planned {
-		l.log.Info("workers assigned to several controllers", "assignments", next.plan, "workers", workers, "capacity", capacity)
+	if len(next.Plan) != l.planned {
+		l.log.Info("workers assigned to several controllers", "assignments", next.Plan, "workers", workers, "capacity", capacity)
 	}
-	l.planned = len(next.plan)
-	l.status.setAssignments(next)
+	l.planned = len(next.Plan)
+	l.status.SetAssignments(next)
 	l.router.assigned.Store(view.SharesWorkers())
-	l.links.invalidate()
+	l.links.Invalidate()
 }
--- a/internal/controller/link_report.go
+++ b/internal/controller/link_report.go
@@ -10,6 +10,7 @@
 
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/statestore"
 )
@@ -77,7 +78,7 @@
 // linkReport shows operators this controller's view of the links.
 type linkReport struct {
 	store         *statestore.Client
-	links         *linkView
+	links         *peerlinks.View
 	changes       *linkLog
 	cancellations *cancellation.Registry
 	router        *workerRouter
@@ -85,7 +86,7 @@
 }
 
 func (l *linkReport) serve(w http.ResponseWriter, _ *http.Request) {
-	status := l.links.now().OpsStatus(l.store.UsesRelay())
+	status := l.links.Now().OpsStatus(l.store.UsesRelay())
 	status.Cancelled, status.Answers = l.cancellations.Count(), l.router.MayAnswerWorkers()
 	if known := l.cancellations.KnownUntil(); !known.IsZero() {
 		status.CancelsAgeS = time.Since(known).Seconds()
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -6,6 +6,7 @@
 
 	"github.com/wallrack/wallrack/internal/httpjson"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -13,8 +14,8 @@
 // machineList shows operators the machines. The controller that leads autoscaling knows them.
 type machineList struct {
 	scheduler *scheduler.Scheduler
-	leaders   *leaders
-	peers     *peerCaller
+	leaders   *peerlinks.Leaders
+	peers     *peerlinks.Caller
 }
 
 func (l *machineList) register(m *mesh.Mesh) {
@@ -42,5 +43,5 @@
 func (l *machineList) query(ctx context.Context, peer string) (*[]wire.MachineInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
-	return call[empty, []wire.MachineInfo](ctx, l.peers, peer, methodMachines, &empty{})
+	return peerlinks.Call[empty, []wire.MachineInfo](ctx, l.peers, peer, methodMachines, &empty{})
 }
--- a/internal/controller/methods.go
+++ b/internal/controller/methods.go
@@ -9,7 +9,6 @@
 // Methods of the mesh. Controllers of other versions call them by these names.
 const (
 	methodPing          = "Ping"
-	methodForward       = "Forward"
 	methodStore         = "Store"
 	methodProbe         = "Seen"
 	methodViews         = "Views"
--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -7,6 +7,7 @@
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
@@ -25,8 +26,8 @@
 	cfg           *config.Platform
 	mesh          *mesh.Mesh
 	table         *reachability.Table
-	status        *nodeStatus
-	peers         *peerCaller
+	status        *peerlinks.Status
+	peers         *peerlinks.Caller
 	cancellations *cancellationExchange
 	prober        *prober
 }
@@ -41,7 +42,7 @@
 
 func (p *pinger) message(to string, now time.Time) *pingMessage {
 	cancellations := p.cancellations.registry.MessageFor(to)
-	return &pingMessage{Status: p.status.current(now), Relayed: p.table.RelayFor(to, now), Cancellations: &cancellations}
+	return &pingMessage{Status: p.status.Current(now), Relayed: p.table.RelayFor(to, now), Cancellations: &cancellations}
 }
 
 // received takes what a peer says. from is the peer as the message came from it: a response
@@ -82,7 +83,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pingEvery)
 	defer cancel()
 	reply, err := mesh.Call[pingMessage, pingMessage](ctx, p.mesh, peer, methodPing, p.message(peer, time.Now()))
-	p.peers.record(peer, err, true)
+	p.peers.Record(peer, err, true)
 	if err == nil {
 		p.received(peer, reply)
 	}
--- a/internal/controller/prober.go
+++ b/internal/controller/prober.go
@@ -8,12 +8,13 @@
 
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/membership"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
 const (
 	probeTimeout = 500 * time.Millisecond
-	probePause   = probeResultFor / 2 // between probes that peers requested
+	probePause   = peerlinks.ProbeResultFor / 2 // between probes that peers requested
 )
 
 // prober finds out whether this controller reaches workers when it, or a peer, suspects that
@@ -22,8 +23,8 @@
 	node       string
 	member     *membership.Member
 	table      *reachability.Table
-	status     *nodeStatus
-	links      *linkView
+	status     *peerlinks.Status
+	links      *peerlinks.View
 	dispatcher *dispatch.Dispatcher
 	lifetime   lifetime
 	log        *slog.Logger
@@ -31,12 +32,12 @@
 
 // probe tries some workers' endpoints, unless that was just done. It waits for the outcome.
 func (p *prober) probe(sample []string) {
-	if len(sample) == 0 || p.status.sinceProbe() < probePause {
+	if len(sample) == 0 || p.status.SinceProbe() < probePause {
 		return
 	}
 	success := p.dispatcher.ProbeEndpoints(p.lifetime.ctx, sample[:min(len(sample), reachability.SampleSize)], probeTimeout)
-	p.status.setProbe(success)
-	p.links.invalidate()
+	p.status.SetProbe(success)
+	p.links.Invalidate()
 }
 
 // announced takes a status that a controller wrote to the state service.
@@ -56,7 +57,7 @@
 // none reports any more, or ceased to. If it has, it probes some and returns true: the peers
 // are to probe them too. timerDelay is by how much timers are late here.
 func (p *prober) suspicionChanged(timerDelay time.Duration) bool {
-	expected, before := p.status.suspicion()
+	expected, before := p.status.Suspicion()
 	perSecond := expected / dispatch.HeartbeatWindow.Seconds()
 	suspected := len(p.member.OwnedShards()) > 0 && reachability.ShouldProbe(perSecond, p.dispatcher.SinceLastHeartbeat()) && timerDelay < watchLinksEvery
 	if suspected == before {
@@ -66,8 +67,8 @@
 	if suspected {
 		sample = p.dispatcher.SampleEndpoints(reachability.SampleSize)
 	}
-	p.status.setSuspicion(sample, suspected)
-	p.links.invalidate()
+	p.status.SetSuspicion(sample, suspected)
+	p.links.Invalidate()
 	if suspected {
 		go p.probe(sample)
 	}
--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -19,6 +19,7 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/planner"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/rollout"
@@ -51,7 +52,7 @@
 func TestRecordedMethods(t *testing.T) {
 	for _, method := range []struct{ is, was string }{
 		{methodPing, "Ping"},
-		{methodForward, "Forward"},
+		{peerlinks.MethodForward, "Forward"},
 		{methodStore, "Store"},
 		{methodProbe, "Seen"},
 		{methodViews, "Views"},
@@ -150,8 +151,6 @@
 	cancellations := fullCancellations()
 	checkRecorded(t, "ping_full.json", pingMessage{Status: fullStatus(), Cancellations: &cancellations, Relayed: []reachability.RelayedStatus{{Status: fullStatus(), AgeS: 1.25}}})
 	checkRecorded(t, "ping_empty.json", pingMessage{})
-	checkRecorded(t, "forward_full.json", forwardMessage{To: "c2", Method: "Gone", Body: json.RawMessage(`{"machines":["n-000231"]}`)})
-	checkRecorded(t, "forward_empty.json", forwardMessage{Body: json.RawMessage("null")})
 	checkRecorded(t, "seen_full.json", probeQuery{Worker: "n-000231", Endpoint: "10.1.0.232:9000", OutboundLost: true})
 	checkRecorded(t, "seen_empty.json", probeQuery{})
 	checkRecorded(t, "seen_reply_full.json", probeReply{Responsive: true})
--- a/internal/controller/remote_jobs.go
+++ b/internal/controller/remote_jobs.go
@@ -6,6 +6,7 @@
 
 	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/statestore"
 )
@@ -33,7 +34,7 @@
 type remoteJobs struct {
 	store   *statestore.Client
 	mesh    *mesh.Mesh
-	leaders *leaders
+	leaders *peerlinks.Leaders
 }
 
 // JobFacts says how far a job is: its leader knows, or the state service how it ended.
--- a/internal/controller/removed_workers.go
+++ b/internal/controller/removed_workers.go
@@ -9,6 +9,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
@@ -27,7 +28,7 @@
 	cfg        *config.Platform
 	scheduler  *scheduler.Scheduler
 	dispatcher *dispatch.Dispatcher
-	peers      *peerCaller
+	peers      *peerlinks.Caller
 	lifetime   lifetime
 	log        *slog.Logger
 
@@ -66,7 +67,7 @@
 func (r *removedWorkers) sendTo(peer string, msg *removedMessage) {
 	ctx, cancel := context.WithTimeout(r.lifetime.ctx, peerQueryTimeout)
 	defer cancel()
-	if _, err := call[removedMessage, empty](ctx, r.peers, peer, methodRemoved, msg); err != nil {
+	if _, err := peerlinks.Call[removedMessage, empty](ctx, r.peers, peer, methodRemoved, msg); err != nil {
 		r.log.Debug("reporting removed workers failed", "peer", peer, "workers", len(msg.Workers), "err", err)
 	}
 }
--- a/internal/controller/scheduler_gateway.go
+++ b/internal/controller/scheduler_gateway.go
@@ -10,6 +10,7 @@
 	"github.com/wallrack/wallrack/internal/failovertiming"
 	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
@@ -18,7 +19,7 @@
 type schedulerGateway struct {
 	scheduler *scheduler.Scheduler
 	router    *workerRouter
-	peers     *peerCaller
+	peers     *peerlinks.Caller
 	times     *failovertiming.Timeline
 	starts    *startLog
 }
@@ -55,7 +56,7 @@
 // GrantRemote requests grants from a peer's scheduler; the replies are in the order of the
 // requests.
 func (g *schedulerGateway) GrantRemote(ctx context.Context, leader string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
-	replies, err := call[[]dispatch.GrantRequest, []dispatch.GrantReply](ctx, g.peers, leader, methodGrants, &requests)
+	replies, err := peerlinks.Call[[]dispatch.GrantRequest, []dispatch.GrantReply](ctx, g.peers, leader, methodGrants, &requests)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -28,11 +28,11 @@
 func (c *controller) serveOperators(mux *http.ServeMux) {
 	c.alerts.Register(mux)
 	mux.HandleFunc("GET /ops/stats", c.serveStats)
-	c.machines = machineList{scheduler: c.scheduler, leaders: &c.leaders, peers: &c.peers}
+	c.machines = machineList{scheduler: c.scheduler, leaders: &c.links.Leaders, peers: &c.links.Caller}
 	c.register(&c.machines)
 	mux.HandleFunc("GET /ops/machines", c.machines.serve)
 	c.linkReport = linkReport{
-		store: c.store, links: &c.links, changes: &c.linkChanges, cancellations: c.cancellations, router: &c.router, unresponsive: &c.unresponsive,
+		store: c.store, links: &c.links.View, changes: &c.linkChanges, cancellations: c.cancellations, router: &c.router, unresponsive: &c.unresponsive,
 	}
 	mux.HandleFunc("GET /ops/links", c.linkReport.serve)
 }
--- a/internal/controller/slurm.go
+++ b/internal/controller/slurm.go
@@ -4,13 +4,14 @@
 	"context"
 
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/slurmapi"
 )
 
 // slurmPeers are the other controllers for Slurm-style clients' requests. It implements
 // slurmapi.Peers.
 type slurmPeers struct {
-	*leaders
+	*peerlinks.Leaders
 	mesh *mesh.Mesh
 }
 
--- a/internal/controller/store_relay.go
+++ b/internal/controller/store_relay.go
@@ -5,6 +5,7 @@
 	"fmt"
 
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
@@ -12,8 +13,9 @@
 // reaches the service, and peers' to the service. It implements statestore.Relay.
 type storeRelay struct {
 	store *statestore.Client
-	links *linkView
-	peers *peerCaller
+	links *peerlinks.View
+	peers *peerlinks.Caller
+	mesh  *mesh.Mesh
 }
 
 func (r *storeRelay) register(m *mesh.Mesh) {
@@ -23,17 +25,17 @@
 }
 
 // Ready reports whether a peer reaches the state service.
-func (r *storeRelay) Ready() bool { return len(r.links.now().ServingPeers()) > 0 }
+func (r *storeRelay) Ready() bool { return len(r.links.Now().ServingPeers()) > 0 }
 
 // Forward has a peer make a request. The error is statestore.ErrUnavailable if there was
 // no such peer; with any other one the request may have been made: a connection that breaks after
 // it was sent looks like a refused one.
 func (r *storeRelay) Forward(ctx context.Context, req statestore.RelayedRequest) (*statestore.RelayedResponse, error) {
-	serving := r.links.now().ServingPeers()
+	serving := r.links.Now().ServingPeers()
 	if len(serving) == 0 {
 		return nil, fmt.Errorf("%w: no peer reaches it", statestore.ErrUnavailable)
 	}
-	rep, err := mesh.Call[statestore.RelayedRequest, statestore.RelayedResponse](ctx, r.peers.mesh, serving[0], methodStore, &req)
-	r.peers.record(serving[0], err, false)
+	rep, err := mesh.Call[statestore.RelayedRequest, statestore.RelayedResponse](ctx, r.mesh, serving[0], methodStore, &req)
+	r.peers.Record(serving[0], err, false)
 	return rep, err
 }
--- a/internal/controller/unresponsive_workers.go
+++ b/internal/controller/unresponsive_workers.go
@@ -9,6 +9,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
@@ -37,8 +38,8 @@
 	operator   *config.Operator
 	scheduler  *scheduler.Scheduler
 	dispatcher *dispatch.Dispatcher
-	links      *linkView
-	peers      *peerCaller
+	links      *peerlinks.View
+	peers      *peerlinks.Caller
 	health     receiveHealth
 	lifetime   lifetime
 	log        *slog.Logger
@@ -84,7 +85,7 @@
 }
 
 func (u *unresponsiveWorkers) judge(known int, unresponsive []reachability.UnresponsiveWorker) reachability.Verdict {
-	view := u.links.now()
+	view := u.links.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	verdict := u.detector.Evaluate(time.Now(), view, u.health(), known, unresponsive)
@@ -132,6 +133,6 @@
 func (u *unresponsiveWorkers) respondsTo(peer string, worker reachability.UnresponsiveWorker) bool {
 	ctx, cancel := context.WithTimeout(u.lifetime.ctx, peerProbeTimeout)
 	defer cancel()
-	reply, err := call[probeQuery, probeReply](ctx, u.peers, peer, methodProbe, &probeQuery{worker.Name, worker.Endpoint, worker.OutboundLost})
+	reply, err := peerlinks.Call[probeQuery, probeReply](ctx, u.peers, peer, methodProbe, &probeQuery{worker.Name, worker.Endpoint, worker.OutboundLost})
 	return err == nil && reply.Responsive
 }
--- a/internal/controller/user_peers.go
+++ b/internal/controller/user_peers.go
@@ -4,23 +4,27 @@
 	"context"
 
 	"github.com/wallrack/wallrack/internal/failovertiming"
+	"github.com/wallrack/wallrack/internal/membership"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/submission"
 )
 
 // userPeers are the other controllers for users' requests. It implements submission.Peers.
 type userPeers struct {
-	*leaders
-	peers *peerCaller
-	times *failovertiming.Timeline
+	*peerlinks.Leaders
+	member *membership.Member
+	links  *peerlinks.View
+	peers  *peerlinks.Caller
+	times  *failovertiming.Timeline
 }
 
 // ServingPeers names the other controllers that reach the state service.
-func (u *userPeers) ServingPeers() []string { return u.links.now().ServingPeers() }
+func (u *userPeers) ServingPeers() []string { return u.links.Now().ServingPeers() }
 
 // Healthy fails only when this controller can't serve and a peer can.
 func (u *userPeers) Healthy() bool {
-	healthy := u.member.FencingToken() != 0 && u.links.now().Healthy()
+	healthy := u.member.FencingToken() != 0 && u.links.Now().Healthy()
 	if healthy {
 		u.times.Mark(failovertiming.Up)
 	}
@@ -29,7 +33,7 @@
 
 // AskPeer has a peer serve a user's request.
 func (u *userPeers) AskPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
-	return call[submission.Request, submission.Reply](ctx, u.peers, peer, methodUser, &r)
+	return peerlinks.Call[submission.Request, submission.Reply](ctx, u.peers, peer, methodUser, &r)
 }
 
 // userService serves the requests of users that peers pass on.
--- a/internal/controller/view_publisher.go
+++ b/internal/controller/view_publisher.go
@@ -10,6 +10,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 	"github.com/wallrack/wallrack/internal/reachability"
 	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/usage"
@@ -36,8 +37,8 @@
 	interval   time.Duration
 	scheduler  *scheduler.Scheduler
 	dispatcher *dispatch.Dispatcher
-	leaders    *leaders
-	peers      *peerCaller
+	leaders    *peerlinks.Leaders
+	peers      *peerlinks.Caller
 	table      *reachability.Table
 	publisher  *viewsync.Publisher
 	receiver   *viewsync.Receiver
@@ -118,7 +119,7 @@
 func (p *viewPublisher) send(ctx context.Context, leader string, msg *viewsync.Message) (*viewsync.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.timeouts.of(leader))
 	defer cancel()
-	return call[viewsync.Message, viewsync.Reply](ctx, p.peers, leader, methodViews, msg)
+	return peerlinks.Call[viewsync.Message, viewsync.Reply](ctx, p.peers, leader, methodViews, msg)
 }
 
 // pollRemoteWorkers polls workers for their reports that a predecessor, which transferred its
--- a/internal/controller/worker_routing.go
+++ b/internal/controller/worker_routing.go
@@ -7,6 +7,7 @@
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/membership"
+	"github.com/wallrack/wallrack/internal/peerlinks"
 )
 
 // cancelSlackS are the seconds kept between the last response of a controller that is cut
@@ -17,7 +18,7 @@
 // respond. It implements dispatch.Routing.
 type workerRouter struct {
 	member        *membership.Member
-	links         *linkView
+	links         *peerlinks.View
 	cancellations *cancellation.Registry
 	grace         time.Duration // see responseGrace
 
@@ -32,7 +33,7 @@
 }
 
 // LeaderFor names the controller that a worker should report to, "" for none.
-func (r *workerRouter) LeaderFor(worker string) string { return r.links.now().LeaderFor(worker) }
+func (r *workerRouter) LeaderFor(worker string) string { return r.links.Now().LeaderFor(worker) }
 
 // MayAnswerWorkers reports whether this controller may respond to workers: it knows of all
 // cancels that any controller confirmed up to a moment ago.
@@ -42,5 +43,5 @@
 
 // Isolated reports whether this controller can start nothing and knows of nobody who can.
 func (r *workerRouter) Isolated() bool {
-	return r.links.now().Isolated() && len(r.member.OwnedShards()) == 0
+	return r.links.Now().Isolated() && len(r.member.OwnedShards()) == 0
 }
--- a/internal/controller/leaders.go
+++ b/internal/peerlinks/leaders.go
@@ -1,4 +1,4 @@
-package controller
+package peerlinks
 
 import (
 	"slices"
@@ -6,12 +6,12 @@
 	"github.com/wallrack/wallrack/internal/membership"
 )
 
-// leaders knows which controllers lead shards. Without the lease, when the membership's
-// records may be old, it goes by what peers said of themselves.
-type leaders struct {
+// Leaders knows which controllers lead shards. Without the lease, when the membership's
+// records may be old, it goes by what peers said of themselves. It is safe for concurrent use.
+type Leaders struct {
 	node   string
 	member *membership.Member
-	links  *linkView
+	view   *View
 }
 
 // preferredLeader is the leader of most shards as far as this controller knows, or "".
@@ -23,12 +23,12 @@
 }
 
 // Owns reports whether this controller leads shards.
-func (l *leaders) Owns() bool {
+func (l *Leaders) Owns() bool {
 	return l.member.LeaseRemaining() > 0 && len(l.member.OwnedShards()) > 0
 }
 
 // ShardOwners names the other controllers that lead shards.
-func (l *leaders) ShardOwners() []string {
+func (l *Leaders) ShardOwners() []string {
 	var out []string
 	add := func(name string) {
 		if name != "" && name != l.node && !slices.Contains(out, name) {
@@ -41,7 +41,7 @@
 		}
 		return out
 	}
-	view := l.links.now()
+	view := l.view.Now()
 	for i := range view.Peers {
 		if peer := &view.Peers[i]; peer.IsFresh() && peer.Status.LeaseHeld {
 			add(peer.Status.PreferredLeader)
--- a/internal/controller/node_status.go
+++ b/internal/peerlinks/status.go
@@ -1,4 +1,4 @@
-package controller
+package peerlinks
 
 import (
 	"sync"
@@ -10,15 +10,17 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
+// ProbeResultFor is how long the outcome of a probe counts as this controller's present reach.
+const ProbeResultFor = 3 * time.Second
+
 const (
 	storeTimeout        = 3 * time.Second        // without a response for so long the state service counts as unreachable
-	probeResultFor      = 3 * time.Second        // how long the outcome of a probe counts
 	urgentAnnouncePause = 500 * time.Millisecond // between announcements that others wait for
 )
 
-// nodeStatus is what this controller says of itself to the others. Other parts set what they
+// Status is what this controller says of itself to the others. Other parts set what they
 // measured. It is safe for concurrent use.
-type nodeStatus struct {
+type Status struct {
 	node   string
 	store  *statestore.Client
 	member *membership.Member
@@ -29,23 +31,23 @@
 
 	mu          sync.Mutex
 	seq         uint64
-	heartbeats  heartbeatCount
-	assignments workerAssignments
+	heartbeats  HeartbeatCount
+	assignments WorkerAssignments
 	probe       probeState
 }
 
-// heartbeatCount is what came from workers within dispatch.HeartbeatWindow.
-type heartbeatCount struct {
-	received int
-	expected float64
-	workers  *reachability.NameSet // nil: all peers are reached and need none
+// HeartbeatCount is what came from workers within dispatch.HeartbeatWindow.
+type HeartbeatCount struct {
+	Received int
+	Expected float64
+	Workers  *reachability.NameSet // nil: all peers are reached and need none
 }
 
-// workerAssignments are how workers are divided among controllers, and how many fit here.
-type workerAssignments struct {
-	plan     []reachability.Assignment
-	capacity int
-	workers  int
+// WorkerAssignments are how workers are divided among controllers, and how many fit here.
+type WorkerAssignments struct {
+	Plan     []reachability.Assignment
+	Capacity int
+	Workers  int
 }
 
 // probeState is the last probe of workers that were suspected to be out of reach.
@@ -56,17 +58,17 @@
 	urgent  bool    // others wait for this status
 }
 
-// current returns the status as of now, under a new sequence number.
-func (s *nodeStatus) current(now time.Time) reachability.NodeStatus {
+// Current returns the status as of now, under a new sequence number.
+func (s *Status) Current(now time.Time) reachability.NodeStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seq++
 	status := reachability.NodeStatus{
 		Node: s.node, StartedMs: s.startedMs, Seq: s.seq, StoreReachable: s.store.SinceLastSuccess() < storeTimeout && !s.store.UsesRelay(),
 		LeaseHeld: s.member.LeaseRemaining() > 0, OwnsJobs: len(s.member.OwnedShards()) > 0, PreferredLeader: preferredLeader(s.member), CloudReachable: s.cloud.Reached(),
-		Heartbeats: s.heartbeats.received, ExpectedHeartbeats: s.heartbeats.expected, UnreachedPeers: s.table.UnreachedPeers(now),
-		ProbeSample: s.probe.sample, Probed: now.Sub(s.probe.at) < probeResultFor,
-		HeardWorkers: s.heartbeats.workers, Assignments: s.assignments.plan, WorkerCapacity: s.assignments.capacity, WorkerCount: s.assignments.workers,
+		Heartbeats: s.heartbeats.Received, ExpectedHeartbeats: s.heartbeats.Expected, UnreachedPeers: s.table.UnreachedPeers(now),
+		ProbeSample: s.probe.sample, Probed: now.Sub(s.probe.at) < ProbeResultFor,
+		HeardWorkers: s.heartbeats.Workers, Assignments: s.assignments.Plan, WorkerCapacity: s.assignments.Capacity, WorkerCount: s.assignments.Workers,
 	}
 	if status.Probed {
 		status.ProbeSuccess = s.probe.success
@@ -74,51 +76,53 @@
 	return status
 }
 
-func (s *nodeStatus) setHeartbeats(count heartbeatCount) {
+// SetHeartbeats notes what came from workers.
+func (s *Status) SetHeartbeats(count HeartbeatCount) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.heartbeats = count
 }
 
-func (s *nodeStatus) setAssignments(assignments workerAssignments) {
+// SetAssignments notes how workers are divided.
+func (s *Status) SetAssignments(assignments WorkerAssignments) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.assignments = assignments
 }
 
-// suspicion returns how many heartbeats are expected within dispatch.HeartbeatWindow, and
+// Suspicion returns how many heartbeats are expected within dispatch.HeartbeatWindow, and
 // whether workers are suspected to be out of reach.
-func (s *nodeStatus) suspicion() (expected float64, suspected bool) {
+func (s *Status) Suspicion() (expected float64, suspected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heartbeats.expected, len(s.probe.sample) > 0
+	return s.heartbeats.Expected, len(s.probe.sample) > 0
 }
 
-// setSuspicion sets the endpoints that peers shall probe too; urgent if they are to get it
+// SetSuspicion sets the endpoints that peers shall probe too; urgent if they are to get it
 // at once.
-func (s *nodeStatus) setSuspicion(sample []string, urgent bool) {
+func (s *Status) SetSuspicion(sample []string, urgent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probe.sample, s.probe.urgent = sample, urgent
 }
 
-// sinceProbe returns how long ago the last probe ended.
-func (s *nodeStatus) sinceProbe() time.Duration {
+// SinceProbe returns how long ago the last probe ended.
+func (s *Status) SinceProbe() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(s.probe.at)
 }
 
-// setProbe notes the share of probed workers that responded. Others wait for it.
-func (s *nodeStatus) setProbe(success float64) {
+// SetProbe notes the share of probed workers that responded. Others wait for it.
+func (s *Status) SetProbe(success float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probe.at, s.probe.success, s.probe.urgent = time.Now(), success, true
 }
 
-// announcementDue reports whether this status is to be announced: after each pause, or at
+// AnnouncementDue reports whether this status is to be announced: after each pause, or at
 // once if others wait for it.
-func (s *nodeStatus) announcementDue(now, last time.Time, pause time.Duration) bool {
+func (s *Status) AnnouncementDue(now, last time.Time, pause time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.probe.urgent && now.Sub(last) >= urgentAnnouncePause {
