--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -109,7 +109,7 @@
 
 // Autoscaler provisions and deletes machines. Run drives it; it has no other entry.
 type Autoscaler struct {
-	ReservedCPUs func() float64 // CPUs to be kept for what may come back; nil: none. Set it before Run
+	reservedCPUs func() float64 // capacity that must not be deleted although nothing runs on it
 
 	cfg        *config.Platform
 	op         *config.Operator
@@ -147,10 +147,30 @@
 	lastScaleIn  time.Time
 }
 
+// Options are what an autoscaler needs of the rest of its process.
+type Options struct {
+	Platform   *config.Platform
+	Operator   *config.Operator
+	Cloud      *Cloud
+	Catalog    *Catalog
+	Store      Store
+	Member     Membership
+	Scheduler  Scheduler
+	Dispatcher Dispatcher
+	Log        *slog.Logger
+
+	ReservedCPUs func() float64 // CPUs to be kept for what may come back; nil: none
+}
+
 // New returns an autoscaler that knows no machines yet.
-func New(cfg *config.Platform, op *config.Operator, cloud *Cloud, catalog *Catalog, store Store, member Membership, o Scheduler, h Dispatcher, log *slog.Logger) *Autoscaler {
+func New(o Options) *Autoscaler {
+	if o.ReservedCPUs == nil {
+		o.ReservedCPUs = func() float64 { return 0 }
+	}
 	return &Autoscaler{
-		cfg: cfg, op: op, cloud: cloud, catalog: catalog, store: store, member: member, scheduler: o, dispatcher: h, log: log,
+		reservedCPUs: o.ReservedCPUs,
+		cfg:          o.Platform, op: o.Operator, cloud: o.Cloud, catalog: o.Catalog, store: o.Store, member: o.Member,
+		scheduler: o.Scheduler, dispatcher: o.Dispatcher, log: o.Log,
 		instances: map[string]*instance{}, provisions: map[string]*provision{}, answered: map[string]*answeredProvision{},
 		refusals: map[offer]refusal{}, deleting: map[string]time.Time{},
 	}
--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -39,14 +39,6 @@
 	a.admittedWork, a.admittedWorkAt = admittedWork, now
 }
 
-// reservedCPUs is the capacity that must not be deleted although nothing runs on it.
-func (a *Autoscaler) reservedCPUs() float64 {
-	if a.ReservedCPUs == nil {
-		return 0
-	}
-	return a.ReservedCPUs()
-}
-
 // targetCPUs is the capacity to be kept for what runs and what arrives.
 func (a *Autoscaler) targetCPUs() float64 {
 	return max(a.usedCPUs, a.arrivalCPUs) * (1 + a.op.HeadroomPct/100)
--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -76,7 +76,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	catalog := NewCatalog(nil, view, log)
-	a := New(&config.Platform{}, &config.Operator{}, nil, catalog, view, leader{version}, nil, nil, log)
+	a := New(Options{Platform: &config.Platform{}, Operator: &config.Operator{}, Catalog: catalog, Store: view, Member: leader{version}, Log: log})
 	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
 	if err := a.write(t.Context(), planned); err != nil {
 		t.Fatal(err)
--- a/internal/cancellation/confirm.go
+++ b/internal/cancellation/confirm.go
@@ -32,8 +32,8 @@
 	if !confirmed {
 		return ErrCannotConfirm
 	}
-	if !before && r.OnUpdates != nil {
-		r.OnUpdates()
+	if !before && r.onUpdates != nil {
+		r.onUpdates()
 	}
 	return nil
 }
--- a/internal/cancellation/known_test.go
+++ b/internal/cancellation/known_test.go
@@ -74,12 +74,12 @@
 			peers = append(peers, name(j))
 		}
 	}
-	p.Registry = cancellation.New(peers, limit, func() time.Duration {
+	p.Registry = cancellation.New(cancellation.Options{Peers: peers, Limit: limit, LeaseRemaining: func() time.Duration {
 		if p.held {
 			return time.Second
 		}
 		return 0
-	})
+	}})
 	c.processes[i] = p
 }
 
@@ -334,7 +334,7 @@
 // in bounds.
 func TestCancelStormAndInvalidMessagesStayBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := cancellation.New([]string{"b"}, limit, func() time.Duration { return time.Second })
+		r := cancellation.New(cancellation.Options{Peers: []string{"b"}, Limit: limit, LeaseRemaining: func() time.Duration { return time.Second }})
 		r.RecordStoreRead(time.Now(), nil)
 		r.MessageFor("b")
 		time.Sleep(11 * time.Second)
--- a/internal/cancellation/registry.go
+++ b/internal/cancellation/registry.go
@@ -43,12 +43,8 @@
 	incarnation    uint64               // of this process; never 0
 	start          time.Time
 
-	// OnCancelled is called, without any lock held, with jobs that were not known to be
-	// cancelled. Set it before use.
-	OnCancelled func(uids []string)
-	// OnUpdates is called, without any lock held, when there are updates for the peers.
-	// Set it before use.
-	OnUpdates func()
+	onCancelled func(uids []string)
+	onUpdates   func()
 
 	mu             sync.Mutex
 	peers          map[string]*peer
@@ -64,18 +60,30 @@
 	lastStamp      int64     // of the last message
 }
 
-// New returns a registry that knows nothing: it covers no time before the first
-// RecordStoreRead. peers are the other controllers' names, limit is how long a cancelled
-// task may run on, and held returns how much longer this controller's lease surely
-// holds; held is called with the registry's lock held.
-func New(peers []string, limit time.Duration, held func() time.Duration) *Registry {
+// Options are what a registry needs of the rest of its process.
+type Options struct {
+	Peers          []string
+	Limit          time.Duration        // how long a cancelled task may go on
+	LeaseRemaining func() time.Duration // how much longer this controller's lease surely holds
+
+	// OnCancelled is called, without any lock held, with jobs that were not known to be
+	// cancelled; nil: nobody is told.
+	OnCancelled func(uids []string)
+	// OnUpdates is called, without any lock held, when there are updates for the peers;
+	// nil: nobody is told.
+	OnUpdates func()
+}
+
+// New returns a registry that knows nothing: it has to read the state service before it
+// attests anything.
+func New(o Options) *Registry {
 	now := time.Now()
 	r := &Registry{
-		leaseRemaining: held, retention: recordRetention + limit, minRetention: 2 * limit,
-		incarnation: rand.Uint64() | 1, start: now,
+		leaseRemaining: o.LeaseRemaining, retention: recordRetention + o.Limit, minRetention: 2 * o.Limit,
+		incarnation: rand.Uint64() | 1, start: now, onCancelled: o.OnCancelled, onUpdates: o.OnUpdates,
 		peers: map[string]*peer{}, jobs: map[string]time.Time{}, confirmedHere: map[string]bool{}, disarmedAt: now,
 	}
-	for _, name := range peers {
+	for _, name := range o.Peers {
 		r.peers[name] = &peer{needsReadAfter: now}
 	}
 	return r
@@ -120,8 +128,8 @@
 }
 
 func (r *Registry) notifyCancelled(fresh []string) {
-	if len(fresh) > 0 && r.OnCancelled != nil {
-		r.OnCancelled(fresh)
+	if len(fresh) > 0 && r.onCancelled != nil {
+		r.onCancelled(fresh)
 	}
 }
 
--- /dev/null
+++ b/internal/controller/slurm.go
@@ -0,0 +1,33 @@
+package controller
+
+import (
+	"context"
+
+	"github.com/wallrack/wallrack/internal/mesh"
+	"github.com/wallrack/wallrack/internal/peerlinks"
+	"github.com/wallrack/wallrack/internal/slurmapi"
+)
+
+// slurmPeers are the other controllers for Slurm-style clients' requests. It implements
+// slurmapi.Peers.
+type slurmPeers struct {
+	*peerlinks.Leaders
+	mesh *mesh.Mesh
+}
+
+// AskOwner has a peer serve a request with its own jobs.
+func (s *slurmPeers) AskOwner(ctx context.Context, peer string, r slurmapi.Request) (*slurmapi.Reply, error) {
+	return mesh.Call[slurmapi.Request, slurmapi.Reply](ctx, s.mesh, peer, methodSlurm, &r)
+}
+
+// slurmService serves the requests of Slurm-style clients that peers pass on.
+type slurmService struct {
+	server *slurmapi.Server
+}
+
+func (s *slurmService) register(m *mesh.Mesh) {
+	mesh.Handle(m, methodSlurm, func(ctx context.Context, r *slurmapi.Request) (*slurmapi.Reply, error) {
+		reply := s.server.Serve(ctx, *r)
+		return &reply, nil
+	})
+}
--- a/internal/submission/accept.go
+++ b/internal/submission/accept.go
@@ -29,7 +29,7 @@
 	if state, ok := s.jobs.LocalState(job.UID); ok {
 		return Reply{Status: http.StatusOK, State: state}
 	}
-	if s.MemoryPressure != nil && s.MemoryPressure() {
+	if s.memoryPressure != nil && s.memoryPressure() {
 		// Else the process ends for want of memory, with all that it leads.
 		if state, err := s.stored(ctx, job.UID); err == nil {
 			return Reply{Status: http.StatusOK, State: state}
--- a/internal/submission/malformed_test.go
+++ b/internal/submission/malformed_test.go
@@ -91,7 +91,8 @@
 	f.Add([]byte(strings.Replace(job, `"cpus":2`, `"cpus":02`, 1)))
 	f.Add([]byte(strings.Replace(job, `"cpus":2`, `"cpus":2,"CPUS":90`, 1)))
 	f.Add([]byte(strings.Replace(job, `"kit"`, `"x":tru,"kit"`, 1)))
-	stub, service, _ := serve(f)
+	stub := newStub()
+	service := newService(f, stub, submission.Options{})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		stub.View = &testkit.View{Store: testkit.NewStore()}
 		rep := service.Serve(t.Context(), submission.Request{Verb: submission.VerbSubmit, Body: body})
@@ -113,7 +114,7 @@
 // A repeated submission of a known job is answered with its state, however little of its
 // body can be read beside the id: 400 would tell its user that it was never accepted.
 func TestRepeatWithUnreadableFieldsIsAnsweredById(t *testing.T) {
-	_, _, request := serve(t)
+	_, request := serve(t)
 	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
 		t.Fatalf("submission: %d", status)
 	}
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -93,9 +93,9 @@
 
 // Service serves users. It is safe for concurrent use once Register was called.
 type Service struct {
-	Numbers        Numbers       // nil: jobs have none, and no constraints. Set it before Register
-	Cancellations  Cancellations // nil: nothing need be confirmed. Set it before Register
-	MemoryPressure func() bool   // whether to take no new jobs; nil: never. Set it before Register
+	numbers        Numbers       // nil: jobs have none, and no constraints
+	cancellations  Cancellations // nil: nothing need be confirmed
+	memoryPressure func() bool   // nil: never
 
 	cfg         *config.Platform
 	op          *config.Operator
@@ -111,10 +111,26 @@
 	batchers map[string]*pollBatcher // by peer
 }
 
+// Options are what the users' interface needs of the rest of its process.
+type Options struct {
+	Platform *config.Platform
+	Operator *config.Operator
+	Store    Store
+	Jobs     Jobs
+	Catalog  Catalog
+	Peers    Peers
+	Log      *slog.Logger
+
+	Numbers        Numbers       // nil: jobs have none, and no constraints
+	Cancellations  Cancellations // nil: cancels need no confirmation
+	MemoryPressure func() bool   // whether to take no new jobs; nil: never
+}
+
 // New returns the users' interface.
-func New(cfg *config.Platform, op *config.Operator, store Store, jobs Jobs, catalog Catalog, peers Peers, log *slog.Logger) *Service {
+func New(o Options) *Service {
 	return &Service{
-		cfg: cfg, op: op, store: store, jobs: jobs, catalog: catalog, peers: peers, log: log,
+		numbers: o.Numbers, cancellations: o.Cancellations, memoryPressure: o.MemoryPressure,
+		cfg: o.Platform, op: o.Operator, store: o.Store, jobs: o.Jobs, catalog: o.Catalog, peers: o.Peers, log: o.Log,
 		submitSlots: make(chan struct{}, maxInFlight), otherSlots: make(chan struct{}, maxInFlight), batchers: map[string]*pollBatcher{},
 	}
 }
@@ -173,10 +189,10 @@
 // controllers: else a user reads of a cancel, by a poll or a repeated submission, after which
 // a task still starts.
 func (s *Service) confirmed(rep Reply) Reply {
-	if s.Cancellations == nil || !rep.succeeded() || rep.State.Stage != wire.StageCancelled {
+	if s.cancellations == nil || !rep.succeeded() || rep.State.Stage != wire.StageCancelled {
 		return rep
 	}
-	if err := s.Cancellations.Confirm(rep.State.UID); err != nil {
+	if err := s.cancellations.Confirm(rep.State.UID); err != nil {
 		s.log.Debug("cancel not confirmed", "job", rep.State.UID, "err", err)
 		return Reply{Status: http.StatusServiceUnavailable, Reason: "can't tell now"}
 	}
--- a/internal/submission/service_test.go
+++ b/internal/submission/service_test.go
@@ -46,17 +46,20 @@
 const job = `{"uid":"j-7","docket":"c","crew":"t","sort":"sweep","urgency":"normal","pieces":3,"cpus":2,"cards":0,"memoryGb":1,
 	"kit":"i","pullGb":1,"builds":null,"yard":null,"together":false,"apart":false,"loaners":true,"reckonS":9,"markS":0,"stashS":0,"dueS":null}`
 
-func serve(t testing.TB) (s *stub, service *submission.Service, request func(method, path, body string) (int, http.Header, wire.JobState)) {
-	s = &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
-	cfg := &config.Platform{Node: "a", Params: config.Params{Teams: []config.Team{{Name: "t", CPUsMax: 8}}}}
-	op, err := config.LoadOperator("")
-	if err != nil {
-		t.Fatal(err)
-	}
-	service = submission.New(cfg, op, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+func newStub() *stub {
+	return &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
+}
+
+func serve(t testing.TB) (s *stub, request func(method, path, body string) (int, http.Header, wire.JobState)) {
+	s = newStub()
+	return s, serveWith(t, s, submission.Options{})
+}
+
+// serveWith serves users from the stub's state, with the options that are given beside.
+func serveWith(t testing.TB, s *stub, o submission.Options) (request func(method, path, body string) (int, http.Header, wire.JobState)) {
 	mux := http.NewServeMux()
-	service.Register(mux)
-	return s, service, func(method, path, body string) (int, http.Header, wire.JobState) {
+	newService(t, s, o).Register(mux)
+	return func(method, path, body string) (int, http.Header, wire.JobState) {
 		w := httptest.NewRecorder()
 		mux.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 		var state wire.JobState
@@ -65,10 +68,21 @@
 	}
 }
 
+// newService returns a service over the stub's state.
+func newService(t testing.TB, s *stub, o submission.Options) *submission.Service {
+	cfg := &config.Platform{Node: "a", Params: config.Params{Teams: []config.Team{{Name: "t", CPUsMax: 8}}}}
+	op, err := config.LoadOperator("")
+	if err != nil {
+		t.Fatal(err)
+	}
+	o.Platform, o.Operator, o.Store, o.Jobs, o.Catalog, o.Peers, o.Log = cfg, op, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil))
+	return submission.New(o)
+}
+
 // A submission is answered by what is recorded: 201 once, 200 ever after, and
 // refusals only for jobs that nobody knows.
 func TestSubmissionAnswers(t *testing.T) {
-	s, _, request := serve(t)
+	s, request := serve(t)
 	with := func(old, replacement string) string { return strings.Replace(job, old, replacement, 1) }
 	for _, c := range []struct {
 		name, body string
@@ -97,7 +111,7 @@
 
 // What is unknown during an outage of the state service is 503, never 404.
 func TestUnknownOutcomeIsNeverNotFound(t *testing.T) {
-	s, _, request := serve(t)
+	s, request := serve(t)
 	if status, _, _ := request(http.MethodGet, "/api/jobs/j-1", ""); status != 404 {
 		t.Errorf("a job that nobody submitted: %d", status)
 	}
@@ -133,7 +147,7 @@
 // No response says that a job is cancelled before that is confirmed, neither that to a poll
 // nor that to a repeated submission.
 func TestCancelledIsReportedOnceConfirmed(t *testing.T) {
-	s, service, request := serve(t)
+	s, request := serve(t)
 	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != 201 {
 		t.Fatalf("submission: %d", status)
 	}
@@ -151,10 +165,12 @@
 	}
 	cancellations := &unconfirmed{}
 	for _, confirm := range []bool{false, true} {
-		service.Cancellations, cancellations.queried = cancellations, nil
+		o := submission.Options{Cancellations: cancellations}
 		if confirm {
-			service.Cancellations = nil
+			o.Cancellations = nil
 		}
+		cancellations.queried = nil
+		request := serveWith(t, s, o)
 		for _, c := range [][3]string{{http.MethodGet, "/api/jobs/j-7", ""}, {http.MethodPost, "/api/jobs", job}} {
 			status, header, state := request(c[0], c[1], c[2])
 			if !confirm && (status != 503 || header.Get("Retry-After") == "" || state.Stage != "") || confirm && (status != 200 || state.Stage != wire.StageCancelled) {
@@ -170,11 +186,11 @@
 // Under memory pressure a controller takes no new job, but goes on answering for those that
 // it has accepted.
 func TestMemoryPressureRefusesNewJobsOnly(t *testing.T) {
-	_, service, request := serve(t)
+	s, request := serve(t)
 	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != 201 {
 		t.Fatalf("submission: %d", status)
 	}
-	service.MemoryPressure = func() bool { return true }
+	request = serveWith(t, s, submission.Options{MemoryPressure: func() bool { return true }})
 	if status, header, _ := request(http.MethodPost, "/api/jobs", strings.Replace(job, "j-7", "j-8", 1)); status != 503 || header.Get("Retry-After") == "" {
 		t.Errorf("a new job: %d", status)
 	}
@@ -189,7 +205,7 @@
 // A submission that was recorded is accepted at once, though neither its own answer nor
 // that of any repeat comes.
 func TestSubmissionIsAcceptedThoughAllAnswersAreLost(t *testing.T) {
-	s, _, request := serve(t)
+	s, request := serve(t)
 	tries := 0
 	s.Lose = func() bool { tries++; return true }
 	if code, _, state := request("POST", "/api/jobs", job); code != http.StatusOK || state.Stage != wire.StageQueued {
--- a/internal/submission/validate.go
+++ b/internal/submission/validate.go
@@ -88,12 +88,12 @@
 // none, the result is nil.
 func (s *Service) resolveConstraints(ctx context.Context, job *wire.Job, requested *jobspec.Constraints) (*jobspec.Constraints, *rejection) {
 	switch {
-	case s.Numbers == nil && requested == nil:
+	case s.numbers == nil && requested == nil:
 		return nil, nil
-	case s.Numbers == nil:
+	case s.numbers == nil:
 		return nil, unprocessable("this site gives jobs no numbers and takes no terms")
 	case requested == nil:
-		number, err := s.Numbers.Take(ctx, job.Tasks)
+		number, err := s.numbers.Take(ctx, job.Tasks)
 		if err != nil {
 			return nil, s.numbersUnavailable(err)
 		}
@@ -102,7 +102,7 @@
 	if err := requested.Validate(job.Tasks, job.Gang(), job.Service(), time.Now()); err != nil {
 		return nil, unprocessable(err.Error())
 	}
-	given, err := s.Numbers.Given(ctx, requested.Number, job.Tasks)
+	given, err := s.numbers.Given(ctx, requested.Number, job.Tasks)
 	if err != nil {
 		return nil, s.numbersUnavailable(err)
 	}
@@ -122,7 +122,7 @@
 		if dependency.Kind == jobspec.Singleton {
 			continue
 		}
-		found, err := s.Numbers.Find(ctx, dependency.Number)
+		found, err := s.numbers.Find(ctx, dependency.Number)
 		switch {
 		case errors.Is(err, statestore.ErrNotFound):
 			return unprocessable(fmt.Sprintf("dependency: there is no job %d", dependency.Number))
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -181,18 +181,24 @@
 	n.member = membership.New(n.view, name, config.Seconds(op.LeaseS), op.Shards, op.Spread, log)
 	cfg := *w.cfg
 	cfg.Node = name
-	n.cancellations = cancellation.New(n.reach.peers(), config.Seconds(cfg.Params.Workers.CancelS), n.member.LeaseRemaining)
+	n.cancellations = cancellation.New(cancellation.Options{
+		Peers: n.reach.peers(), Limit: config.Seconds(cfg.Params.Workers.CancelS), LeaseRemaining: n.member.LeaseRemaining,
+		OnCancelled: func(uids []string) { n.knownCancels.learn(uids); go n.dispatcher.HaltCancelledTasks() },
+	})
 	n.scheduler = scheduler.New(scheduler.Options{
 		Platform: &cfg, Operator: op, Store: n.view, Member: n.member, Dispatchers: n, MachineTypes: w.size, Log: log,
 		Cancellations: n.cancellations, RemoteJobs: n, AccountingEnabled: w.accounts,
 		LogSlots: 4, // so that records are written over, and chunks saved
 	})
-	n.dispatcher = dispatch.New(ctx, name, workerLease, n, n.member, w.size, n, n, log)
+	n.dispatcher = dispatch.New(ctx, dispatch.Options{
+		Node: name, WorkerLease: workerLease, Schedulers: n, Tokens: n.member, MachineTypes: w.size, Routing: n, Commands: n, Log: log,
+		Cancellations: n.cancellations,
+	})
 	n.started, n.published, n.pictures = time.Now(), viewsync.NewPublisher(name, n.dispatcher), viewsync.NewReceiver(n.scheduler, w.others(name))
-	n.cancellations.OnCancelled = func(uids []string) { n.knownCancels.learn(uids); go n.dispatcher.HaltCancelledTasks() }
-	n.dispatcher.Cancellations = n.cancellations
-	n.submission = submission.New(&cfg, op, n.view, n.scheduler, w.size, n, log)
-	n.submission.Cancellations = n.cancellations
+	n.submission = submission.New(submission.Options{
+		Platform: &cfg, Operator: op, Store: n.view, Jobs: n.scheduler, Catalog: w.size, Peers: n, Log: log,
+		Cancellations: n.cancellations,
+	})
 	n.mux = http.NewServeMux()
 	n.submission.Register(n.mux)
 	n.member.OnOwnershipChange(n.scheduler.OwnershipChanged)
