--- a/internal/dispatch/attest_test.go
+++ b/internal/dispatch/attestation_test.go
@@ -9,23 +9,23 @@
 
 // A worker whose lease lasts 10 s is answered by one controller, and 9.7 s later by another
 // that has attested a moment before; the first attests 0.9 s after that. Each left the
-// worker unanswered for more than a lease when it was asked, and yet the lease never ended.
-func TestSlowAttestationsDoNotEndALease(t *testing.T) {
+// worker unanswered for more than a lease when it was queried, and yet the lease never expired.
+func TestLeaseHeldDuringSlowAttestation(t *testing.T) {
 	const lease = 10.5
-	asked := time.Now()
+	begun := time.Now()
 	sinceAnswer := 9.7 // of the first, when the other attests
-	a := dispatch.NewAttestation(asked, []float64{30, 30})
+	a := dispatch.NewAttestation(begun, []float64{30, 30})
 	if !a.Add([]float64{25, 25}) || !a.Add([]float64{sinceAnswer + 0.9, 25}) {
-		t.Fatal("figures of the same machines are refused")
+		t.Fatal("figures of the same workers are refused")
 	}
-	after := asked.Add(900 * time.Millisecond)
+	after := begun.Add(900 * time.Millisecond)
 	if a.LeaseExpired(0, after, lease) {
-		t.Error("a lease that may have been renewed counts as over")
+		t.Error("a lease that may have been renewed counts as expired")
 	}
 	if !a.LeaseExpired(1, after, lease) {
-		t.Error("a lease that is over counts as held")
+		t.Error("a lease that expired counts as held")
 	}
 	if a.Add([]float64{25}) {
-		t.Error("figures of other machines are taken")
+		t.Error("figures of other workers are taken")
 	}
 }
--- /dev/null
+++ b/internal/dispatch/cancelled_tasks.go
@@ -0,0 +1,52 @@
+package dispatch
+
+import (
+	"strings"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// A cancel is final, so that any controller with a valid token may stop its tasks, leader or
+// not: a leader that lost its lease, or never learned of the cancel, would let them run
+// for as long as the state service is out.
+
+// cancelled reports whether the job of a task is known to be cancelled.
+func (d *Dispatcher) cancelled(task string) bool {
+	uid, _, _ := strings.Cut(task, "/")
+	return d.Cancellations != nil && d.Cancellations.IsCancelled(uid)
+}
+
+// haltCancelledLocked marks the reported tasks of cancelled jobs to be halted, and reports
+// whether there are new ones.
+func (d *Dispatcher) haltCancelledLocked(worker *workerState) (found bool) {
+	for ref, task := range worker.tasks {
+		if task.state == wire.TaskExited {
+			continue
+		}
+		if _, marked := worker.halts[ref]; marked {
+			continue
+		}
+		if d.cancelled(ref.Task) {
+			worker.halts[ref] = 0
+			found = true
+		}
+	}
+	return found
+}
+
+// HaltCancelledTasks halts the tasks of cancelled jobs on all workers that report here, at once.
+// It is called when Cancellations has new ones.
+func (d *Dispatcher) HaltCancelledTasks() {
+	var push []string
+	d.mu.Lock()
+	for name, worker := range d.workers {
+		if d.haltCancelledLocked(worker) && time.Since(worker.answeredAt) < d.lease {
+			push = append(push, name)
+		}
+	}
+	d.mu.Unlock()
+	for _, name := range push {
+		d.PushCommands(name)
+	}
+}
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -22,15 +22,15 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// heldMachines is a holder of machines that run so many tasks each.
-type heldMachines struct {
-	holder  *dispatch.Dispatcher
-	reports []*wire.Report
+// reportingWorkers are a dispatcher and workers that run so many tasks each.
+type reportingWorkers struct {
+	dispatcher *dispatch.Dispatcher
+	reports    []*wire.Report
 }
 
-func (h *heldMachines) report(tb testing.TB, i int) {
-	h.reports[i].Seq++
-	if status, _ := h.holder.HandleReport(context.Background(), h.reports[i]); status != 200 {
+func (w *reportingWorkers) report(tb testing.TB, i int) {
+	w.reports[i].Seq++
+	if status, _ := w.dispatcher.HandleReport(context.Background(), w.reports[i]); status != http.StatusOK {
 		tb.Fatalf("report answered with %d", status)
 	}
 }
@@ -40,29 +40,31 @@
 
 func (discard) ObserveWorker(dispatch.WorkerView) {}
 
-func holdMachines(tb testing.TB, machines, tasks int) *heldMachines {
-	s := discard{&stub{term: 7}}
-	h := &heldMachines{holder: dispatch.New(context.Background(), "a", 44*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))}
-	for i := range machines {
+func newReportingWorkers(tb testing.TB, workers, tasks int) *reportingWorkers {
+	s := discard{&stub{token: 7}}
+	w := &reportingWorkers{dispatcher: dispatch.New(context.Background(), "a", 44*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))}
+	for i := range workers {
 		r := &wire.Report{Machine: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z", Session: 1, Token: 7}
-		var d dispatch.Instructions
+		var instructions dispatch.Instructions
 		for t := range tasks {
 			task := wire.TaskName(fmt.Sprintf("j-%06d", i), t)
 			r.Tasks = append(r.Tasks, wire.Task{Task: task, Attempt: 20, State: wire.TaskRunning})
-			d.Assign = append(d.Assign, dispatch.QueueEntry{TaskRef: dispatch.TaskRef{Machine: r.Machine, Task: task, Attempt: 20}, Owner: "a",
-				Resources: matching.Resources{CPUs: 0.1, MemoryGB: 0.1}, Run: 30, Listed: true})
+			instructions.Assign = append(instructions.Assign, dispatch.QueueEntry{
+				TaskRef: dispatch.TaskRef{Machine: r.Machine, Task: task, Attempt: 20}, Owner: "a",
+				Resources: matching.Resources{CPUs: 0.1, MemoryGB: 0.1}, Run: 30, Listed: true,
+			})
 		}
-		h.reports = append(h.reports, r)
-		h.report(tb, i)
-		h.holder.ApplyInstructions(d)
-		h.report(tb, i)
+		w.reports = append(w.reports, r)
+		w.report(tb, i)
+		w.dispatcher.ApplyInstructions(instructions)
+		w.report(tb, i)
 	}
-	return h
+	return w
 }
 
-// published is the size of all machines' views as a peer gets them.
-func published(tb testing.TB, h *heldMachines) float64 {
-	data, err := json.Marshal(h.holder.WorkerViews())
+// publishedBytes is the size of all workers' views as a peer gets them.
+func publishedBytes(tb testing.TB, w *reportingWorkers) float64 {
+	data, err := json.Marshal(w.dispatcher.WorkerViews())
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -75,32 +77,32 @@
 	return sockets.Budget{Limit: 2157, Peers: 5, Accepted: func() int { return workers }}
 }
 
-// orderOf is the processor time of a direct order to one of so many workers, each with an
+// commandTime is the processor time of direct commands to one of so many workers, each with an
 // address of its own, which next picks; the workers' end is in it.
-func orderOf(tb testing.TB, workers int, next func() int) float64 {
-	orders, w := dispatch.NewHTTPCommandSender(largeSite(workers)), newOrderedWorkers(tb, workers)
-	order := wire.Orders{Token: 7, Session: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000400/10", Attempt: 20}}}
+func commandTime(tb testing.TB, workers int, next func() int) float64 {
+	sender, w := dispatch.NewHTTPCommandSender(largeSite(workers)), newCommandedWorkers(tb, workers)
+	commands := wire.Orders{Token: 7, Session: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000400/10", Attempt: 20}}}
 	for worker := range workers {
-		w.order(tb, orders, worker) // first ones are always dialled
+		w.command(tb, sender, worker) // first ones are always dialled
 	}
 	return capacity.ProcessorTime(tb, func() {
-		if _, _, err := orders.SendCommands(context.Background(), w.endpoints[next()], order, stillValid); err != nil {
+		if _, _, err := sender.SendCommands(context.Background(), w.endpoints[next()], commands, stillValid); err != nil {
 			tb.Fatal(err)
 		}
 	})
 }
 
-func orderInTurn(tb testing.TB, workers int) float64 {
+func commandsInTurn(tb testing.TB, workers int) float64 {
 	i := 0
-	return orderOf(tb, workers, func() int { i++; return i % workers })
+	return commandTime(tb, workers, func() int { i++; return i % workers })
 }
 
-func orderAtRandom(tb testing.TB, workers int) float64 {
+func commandsAtRandom(tb testing.TB, workers int) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
-	return orderOf(tb, workers, func() int { return random.IntN(workers) })
+	return commandTime(tb, workers, func() int { return random.IntN(workers) })
 }
 
-// keptConnections is the memory, heap and stacks, of so many idle connections for orders.
+// keptConnections is the memory, heap and stacks, of so many idle connections for commands.
 // Of the workers' end, only the sockets' own memory is in it.
 func keptConnections(tb testing.TB, connections int) float64 {
 	answer, err := json.Marshal(report(9, 7))
@@ -108,7 +110,7 @@
 		tb.Fatal(err)
 	}
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
-	orders := dispatch.NewHTTPCommandSender(largeSite(connections))
+	sender := dispatch.NewHTTPCommandSender(largeSite(connections))
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC() // what other series left is gone after the second
@@ -120,22 +122,22 @@
 		}
 		answered := make(chan net.Conn, 1)
 		go func() { answered <- answerOnce(tb, lis, response) }()
-		if _, _, err := orders.SendCommands(context.Background(), lis.Addr().String(), wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
+		if _, _, err := sender.SendCommands(context.Background(), lis.Addr().String(), wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
 			tb.Fatal(err)
 		}
 		worker := <-answered
-		_ = lis.Close() // nobody else connects
-		defer worker.Close()
+		_ = lis.Close()                       // nobody else connects
+		defer func() { _ = worker.Close() }() // nothing is written to it any more
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if n := orders.Connections(); n != connections {
+	if n := sender.Connections(); n != connections {
 		tb.Fatalf("%d of %d connections kept", n, connections)
 	}
 	return float64(after.HeapAlloc+after.StackInuse) - float64(before.HeapAlloc+before.StackInuse)
 }
 
-// answerOnce answers one order without a server, and returns the open connection.
+// answerOnce responds to one message without a server, and returns the open connection.
 func answerOnce(tb testing.TB, lis net.Listener, response string) net.Conn {
 	conn, err := lis.Accept()
 	if err != nil {
@@ -151,35 +153,35 @@
 	return conn
 }
 
-const tasksEach = 4 // 11,000 tasks on 2,600 machines
+const tasksEach = 4 // 11,000 tasks on 2,600 workers
 
 var capacitySeries = []capacity.Series{
-	{Name: "machine.heap", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 10_000, Measure: func(tb testing.TB, machines int) float64 {
-		return capacity.Heap(func() any { return holdMachines(tb, machines, tasksEach).holder })
+	{Name: "machine.heap", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 10_000, Measure: func(tb testing.TB, workers int) float64 {
+		return capacity.Heap(func() any { return newReportingWorkers(tb, workers, tasksEach).dispatcher })
 	}},
 	{Name: "machine.heapOfTask", Sizes: []int{2, 4, 8, 16}, FixedSlack: 100, Measure: func(tb testing.TB, tasks int) float64 {
-		return capacity.Heap(func() any { return holdMachines(tb, 500, tasks).holder }) / 500
+		return capacity.Heap(func() any { return newReportingWorkers(tb, 500, tasks).dispatcher }) / 500
 	}},
-	{Name: "machine.views", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, machines int) float64 {
-		return published(tb, holdMachines(tb, machines, tasksEach))
+	{Name: "machine.views", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
+		return publishedBytes(tb, newReportingWorkers(tb, workers, tasksEach))
 	}},
 	{Name: "machine.viewOfTasks", Sizes: []int{1, 2, 4, 8}, Measure: func(tb testing.TB, tasks int) float64 {
-		return published(tb, holdMachines(tb, 100, tasks)) / 100
+		return publishedBytes(tb, newReportingWorkers(tb, 100, tasks)) / 100
 	}},
 	{Name: "machine.allocsOfReport", Sizes: []int{1, 2, 4, 8}, Measure: func(tb testing.TB, tasks int) float64 {
-		h := holdMachines(tb, 1, tasks)
-		return testing.AllocsPerRun(200, func() { h.report(tb, 0) })
+		w := newReportingWorkers(tb, 1, tasks)
+		return testing.AllocsPerRun(200, func() { w.report(tb, 0) })
 	}},
-	{Name: "machine.report", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, machines int) float64 {
-		h, i := holdMachines(tb, machines, tasksEach), 0
-		return capacity.ProcessorTime(tb, func() { h.report(tb, i%machines); i++ })
+	{Name: "machine.report", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
+		w, i := newReportingWorkers(tb, workers, tasksEach), 0
+		return capacity.ProcessorTime(tb, func() { w.report(tb, i%workers); i++ })
 	}},
-	{Name: "machine.order", Scatters: true, Sizes: []int{50, 100, 200, 400, 800}, Measure: orderInTurn},
-	{Name: "machine.orderBeyond", Scatters: true, Sizes: []int{1000, 1200, 1400, 1600}, Measure: orderAtRandom},
+	{Name: "machine.order", Scatters: true, Sizes: []int{50, 100, 200, 400, 800}, Measure: commandsInTurn},
+	{Name: "machine.orderBeyond", Scatters: true, Sizes: []int{1000, 1200, 1400, 1600}, Measure: commandsAtRandom},
 	{Name: "machine.keptConnections", Scatters: true, Sizes: []int{200, 400, 600, 900}, Measure: keptConnections},
-	{Name: "machine.makeViews", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, machines int) float64 {
-		h := holdMachines(tb, machines, tasksEach)
-		return capacity.ProcessorTime(tb, func() { published(tb, h) })
+	{Name: "machine.makeViews", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
+		w := newReportingWorkers(tb, workers, tasksEach)
+		return capacity.ProcessorTime(tb, func() { publishedBytes(tb, w) })
 	}},
 }
 
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -1,186 +1,137 @@
 package dispatch
 
 import (
-	"context"
-	"fmt"
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
+	"github.com/wallrack/wallrack/internal/matching"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// commands collects what the worker is to do now; answer says that they go out
-// as the answer to a report.
-func (h *Dispatcher) commands(name string, term uint64, answer bool) []wire.Command {
-	s := h.machines[name]
-	cmds := []wire.Command{}
-	if s == nil || s.report.Machine == "" {
-		return cmds
-	}
-	for ref, grace := range s.halts {
-		if len(cmds) < maxCommands {
-			cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: ref.Task, Attempt: ref.Attempt, GraceS: &grace})
-		}
-	}
-	for ref := range s.clears {
-		// After a clear a late copy of the start command would start the
-		// task again: first every direct order must be fenced off; one in
-		// flight counts too, since it may yet be held back. A clear in a
-		// direct order could overtake a start in the answer to a report;
-		// among answers none is late, since the worker drops those.
-		if answer && s.fate == 0 && !s.busy && len(cmds) < maxCommands {
-			cmds = append(cmds, wire.Command{Verb: wire.VerbForget, Task: ref.Task, Attempt: ref.Attempt})
-		}
-	}
-	total, ok := h.total(s)
-	if !ok || s.draining || len(s.queue) == 0 {
-		return cmds
-	}
-	now := time.Now()
-	free := total
-	for _, u := range h.occupied(s, total, now) {
-		free = free.Add(u.Resources, -1)
-	}
-	sort.SliceStable(s.queue, func(i, j int) bool {
-		a, b := s.queue[i], s.queue[j]
-		if a.Rank != b.Rank {
-			return a.Rank > b.Rank
-		}
-		return a.DueAt < b.DueAt
-	})
-	kept := s.queue[:0]
-	for _, q := range s.queue {
-		if h.cancelled(q.Task) {
-			// Whatever was granted: its owner takes it out. What was sent may be
-			// on its way, and is halted when it is listed.
-			q.granted = false
-			kept = append(kept, q)
-			continue
-		}
-		if q.granted && (q.token != term || q.session != s.report.Session) {
-			q.granted = false
-		}
-		counted := q.sent || q.granted
-		if counted {
-			free = free.Add(q.Resources, 1) // counted as occupied above
-		}
-		if !q.Resources.Fits(free) {
-			kept = append(kept, q)
-			if counted {
-				free = free.Add(q.Resources, -1)
-			}
-			continue
-		}
-		if !q.granted && !q.asking {
-			req := GrantRequest{TaskRef: q.TaskRef, Holder: h.name, Token: term, Session: s.report.Session}
-			if q.Owner == h.name {
-				rep := h.owners.GrantLocal(req)
-				if rep.Drop {
-					if counted {
-						free = free.Add(q.Resources, -1)
-					}
-					continue
-				}
-				if rep.OK {
-					q.granted, q.token, q.session = true, term, s.report.Session
-				}
-			} else {
-				h.askElsewhere(q, req)
-			}
-		}
-		kept = append(kept, q)
-		if q.granted && len(cmds) < maxCommands {
-			q.sent, q.sentSeq = true, s.report.Seq
-			cmds = append(cmds, wire.Command{Verb: wire.VerbStart, Task: q.Task, Attempt: q.Attempt})
-		}
-		if q.granted || q.sent || q.asking {
-			free = free.Add(q.Resources, -1)
-		}
-	}
-	clear(s.queue[len(kept):])
-	s.queue = kept
-	return cmds
-}
+const maxCommands = 200 // keeps each message well under 64 KiB
 
-// ask is a question for a grant that goes to an owner elsewhere.
-type ask struct {
-	entry *queued
-	req   GrantRequest
+// commandsLocked collects the commands for a worker: what to stop, what to forget and what to
+// start, at most maxCommands. inResponse says that they go out in the response to a heartbeat.
+func (d *Dispatcher) commandsLocked(name string, token uint64, inResponse bool) []wire.Command {
+	worker := d.workers[name]
+	commands := []wire.Command{} // never null on the wire
+	if worker == nil || worker.report.Machine == "" {
+		return commands
+	}
+	commands = worker.appendStops(commands)
+	if inResponse {
+		commands = worker.appendForgets(commands)
+	}
+	return d.appendStartsLocked(commands, worker, token)
 }
 
-// askElsewhere has an owner on another controller asked for the grant, together with what
-// else it is to be asked.
-func (h *Dispatcher) askElsewhere(q *queued, req GrantRequest) {
-	q.asking = true
-	if !h.ended {
-		h.asks.Add(q.Owner, ask{q, req})
+func (w *workerState) appendStops(commands []wire.Command) []wire.Command {
+	for ref, grace := range w.halts {
+		if len(commands) < maxCommands {
+			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: ref.Task, Attempt: ref.Attempt, GraceS: &grace})
+		}
 	}
+	return commands
 }
 
-// askOwner asks an owner elsewhere for grants, and has what it granted started.
-func (h *Dispatcher) askOwner(owner string, asks []ask) {
-	requests := make([]GrantRequest, len(asks))
-	for i := range asks {
-		requests[i] = asks[i].req
-	}
-	ctx, cancel := context.WithTimeout(h.ctx, grantTimeout)
-	replies, err := h.owners.GrantRemote(ctx, owner, requests)
-	cancel()
-	if err == nil && len(replies) != len(asks) {
-		err = fmt.Errorf("%d replies to %d questions", len(replies), len(asks))
-	}
-	if err != nil {
-		h.log.Debug("no grants", "owner", owner, "tasks", len(asks), "err", err)
-		replies = make([]GrantReply, len(asks))
-	}
-	granted := map[string]bool{}
-	h.mu.Lock()
-	for i, a := range asks {
-		h.answer(a, replies[i])
-		if replies[i].OK {
-			granted[a.req.Machine] = true
+// appendForgets adds the tasks that the worker may forget. After that a late copy of a start
+// command would start the task again: first all direct commands must be fenced off; those in
+// flight count too, since they may yet be held back. For the same reason they go out only in
+// responses to heartbeats, of which the worker drops late ones: among direct commands they could
+// overtake a start in such a response.
+func (w *workerState) appendForgets(commands []wire.Command) []wire.Command {
+	if w.unknownOutcome != 0 || w.pushInFlight {
+		return commands
+	}
+	for ref := range w.clears {
+		if len(commands) < maxCommands {
+			commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: ref.Task, Attempt: ref.Attempt})
 		}
 	}
-	h.mu.Unlock()
-	for name := range granted {
-		h.PushCommands(name)
-	}
+	return commands
 }
 
-// answer notes an owner's reply.
-func (h *Dispatcher) answer(a ask, r GrantReply) {
-	a.entry.asking = false
-	s := h.machines[a.req.Machine]
-	switch {
-	case s == nil:
-	case r.Drop:
-		h.removeLocked(s, a.req.TaskRef)
-	case r.OK:
-		a.entry.granted, a.entry.token, a.entry.session = true, a.req.Token, a.req.Session
+// appendStartsLocked adds the queued tasks that fit, were granted, and are not reported yet.
+// It requests missing grants, and removes the tasks that their leader drops.
+func (d *Dispatcher) appendStartsLocked(commands []wire.Command, worker *workerState, token uint64) []wire.Command {
+	total, known := d.capacityOf(worker)
+	if !known || worker.draining || len(worker.queue) == 0 {
+		return commands
+	}
+	pass := startPass{dispatcher: d, worker: worker, token: token, free: total, commands: commands}
+	for _, allocation := range d.allocatedLocked(worker, total, time.Now()) {
+		pass.free = pass.free.Add(allocation.Resources, -1)
+	}
+	slices.SortStableFunc(worker.queue, byPriority)
+	kept := worker.queue[:0]
+	for _, queued := range worker.queue {
+		if pass.keep(queued) {
+			kept = append(kept, queued)
+		}
 	}
+	clear(worker.queue[len(kept):])
+	worker.queue = kept
+	return pass.commands
 }
 
-func (h *Dispatcher) removeLocked(s *workerState, ref TaskRef) (was *queued) {
-	for i, q := range s.queue {
-		if q.TaskRef == ref {
-			s.queue = append(s.queue[:i], s.queue[i+1:]...)
-			return q
-		}
-	}
-	return nil
+// byPriority orders a queue: higher ranks first, within a rank by due time.
+func byPriority(a, b *queuedTask) int {
+	return cmp.Or(cmp.Compare(b.Rank, a.Rank), cmp.Compare(a.DueAt, b.DueAt))
 }
 
-// outdated returns an error if a direct order must not leave any more. It may have waited
-// for its connection while a job was cancelled, or the term raised, or this controller lost
-// the right to answer workers: sent then, it would start a task after a confirmed cancel.
-func (h *Dispatcher) outdated(o wire.Orders) error {
-	if !h.routing.MayAnswerWorkers() || h.tokens.FencingToken() != o.Token {
-		return errOutdated
-	}
-	for _, c := range o.Commands {
-		if c.Verb == wire.VerbStart && h.cancelled(c.Task) {
-			return errOutdated
-		}
-	}
-	return nil
+// startPass is one pass over a worker's queue.
+type startPass struct {
+	dispatcher *Dispatcher
+	worker     *workerState
+	token      uint64
+	free       matching.Resources // what is neither allocated nor reserved by a task before
+	commands   []wire.Command
+}
+
+// keep decides on the next task, and returns false if it leaves the queue.
+func (p *startPass) keep(queued *queuedTask) bool {
+	if p.dispatcher.cancelled(queued.Task) {
+		// Whatever was granted: its leader takes it out. A command that was sent may be
+		// on its way, and the task is halted when it is reported.
+		queued.granted = false
+		return true
+	}
+	if queued.granted && (queued.grantToken != p.token || queued.grantSession != p.worker.report.Session) {
+		queued.granted = false
+	}
+	allocated := queued.startSent || queued.granted
+	if allocated {
+		p.free = p.free.Add(queued.Resources, 1)
+	}
+	fits := queued.Resources.Fits(p.free)
+	dropped := fits && p.requestGrant(queued)
+	starts := fits && !dropped
+	if starts && queued.granted && len(p.commands) < maxCommands {
+		queued.startSent, queued.startSentSeq = true, p.worker.report.Seq
+		p.commands = append(p.commands, wire.Command{Verb: wire.VerbStart, Task: queued.Task, Attempt: queued.Attempt})
+	}
+	if allocated || starts && (queued.granted || queued.grantRequested) {
+		p.free = p.free.Add(queued.Resources, -1)
+	}
+	return !dropped
+}
+
+// requestGrant requests the grant of a task, if it is missing and not requested yet, and reports
+// whether the leader drops the task.
+func (p *startPass) requestGrant(queued *queuedTask) (dropped bool) {
+	if queued.granted || queued.grantRequested {
+		return false
+	}
+	d := p.dispatcher
+	request := GrantRequest{TaskRef: queued.TaskRef, Holder: d.name, Token: p.token, Session: p.worker.report.Session}
+	if queued.Owner != d.name {
+		d.requestRemoteGrantLocked(queued, request)
+		return false
+	}
+	reply := d.schedulers.GrantLocal(request)
+	if !reply.Drop && reply.OK {
+		queued.setGrant(request)
+	}
+	return reply.Drop
 }
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -13,21 +13,21 @@
 const (
 	dialTimeout = time.Second
 	idleTimeout = time.Minute // after which an idle connection to a worker is closed
-	bufferBytes = 2 << 10     // of each direction: orders and most reports are smaller, and connections are many
+	bufferBytes = 2 << 10     // of each direction: commands and most reports are smaller, and connections are many
 )
 
 // connection is the HTTP client for one worker, with at most one connection.
 type connection struct {
-	endpoint  string
-	client    http.Client
-	users     int // requests that use it or wait for it
-	idleSince time.Time
-	idlePlace *list.Element // in connectionPool.idle while it has no users
+	endpoint    string
+	client      http.Client
+	users       int // requests that use it or wait for it
+	idleSince   time.Time
+	idleElement *list.Element // in connectionPool.idle while it has no users
 }
 
 // connectionPool keeps connections to workers open between requests, as many as there are
-// sockets to spare. A connection that is in use is never closed: an order whose connection
-// breaks may have been executed or not.
+// sockets to spare. A connection that is in use is never closed: commands whose connection
+// breaks have an unknown outcome.
 //
 // Each worker has a transport of its own, because a transport that all share has a fixed
 // bound and closes either none or all of its idle connections.
@@ -58,9 +58,9 @@
 		}
 		c = p.open(endpoint)
 	}
-	if c.idlePlace != nil {
-		p.idle.Remove(c.idlePlace)
-		c.idlePlace = nil
+	if c.idleElement != nil {
+		p.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 	c.users++
 	p.mu.Unlock()
@@ -84,7 +84,7 @@
 	c.users--
 	if c.users == 0 {
 		c.idleSince = time.Now()
-		c.idlePlace = p.idle.PushBack(c)
+		c.idleElement = p.idle.PushBack(c)
 	}
 }
 
@@ -100,7 +100,7 @@
 }
 
 // removeStale removes the connections that their transport closes for idleness: else they
-// would count as open until their worker's next order, which may never come.
+// would count as open until their worker's next commands, which may never come.
 func (p *connectionPool) removeStale(now time.Time) (removed []*connection) {
 	for oldest := p.idle.Front(); oldest != nil; oldest = p.idle.Front() {
 		if now.Sub(oldest.Value.(*connection).idleSince) < idleTimeout {
--- a/internal/dispatch/grants_test.go
+++ b/internal/dispatch/grants_test.go
@@ -10,17 +10,17 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// TestGrantsInBatches: what an owner elsewhere is to be asked while it is being asked goes
+// What is to be requested from a leader elsewhere while requests to it are under way goes
 // with the next message, all together; each task starts by its own reply, and replies that
-// don't fit the questions start nothing.
-func TestGrantsInBatches(t *testing.T) {
+// don't fit the requests start nothing.
+func TestGrantRequestsBatchedDuringRoundTrip(t *testing.T) {
 	const roundTrip = 50 * time.Millisecond
 	for _, short := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			var asked []int
-			s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
-			s.there = func(requests []dispatch.GrantRequest) []dispatch.GrantReply {
-				asked = append(asked, len(requests))
+			var batches []int
+			s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+			s.grantRemote = func(requests []dispatch.GrantRequest) []dispatch.GrantReply {
+				batches = append(batches, len(requests))
 				time.Sleep(roundTrip)
 				replies := make([]dispatch.GrantReply, len(requests))
 				for i, r := range requests {
@@ -32,19 +32,19 @@
 				return replies
 			}
 			ctx, cancel := context.WithCancel(context.Background())
-			h := holder(ctx, s)
-			h.HandleReport(ctx, report(1, 5))
+			d := newDispatcher(ctx, s)
+			d.HandleReport(ctx, report(1, 5))
 			for attempt := range uint64(4) {
 				e := entry(attempt + 1)
 				e.Owner = "b"
-				h.ApplyInstructions(dispatch.Instructions{From: "b", Assign: []dispatch.QueueEntry{e}})
+				d.ApplyInstructions(dispatch.Instructions{From: "b", Assign: []dispatch.QueueEntry{e}})
 				if attempt == 0 {
 					synctest.Wait() // the first is under way when the others come
 				}
 			}
 			time.Sleep(3 * roundTrip)
-			if len(asked) != 2 || asked[0] != 1 || asked[1] != 3 {
-				t.Errorf("asked in batches of %v", asked)
+			if len(batches) != 2 || batches[0] != 1 || batches[1] != 3 {
+				t.Errorf("requested in batches of %v", batches)
 			}
 			started := map[uint64]bool{}
 			for _, o := range s.sent {
@@ -56,7 +56,7 @@
 				t.Errorf("started %v, of %d", started, want)
 			}
 			cancel()
-			h.Wait()
+			d.Wait()
 		})
 	}
 }
--- a/internal/dispatch/orders_test.go
+++ b/internal/dispatch/outdated_commands_test.go
@@ -23,13 +23,13 @@
 
 func (c cancelledJobs) IsCancelled(uid string) bool { return c[uid] }
 
-// busyWorker is a worker whose answer to /show is held back, so that whatever else is sent
+// busyWorker is a worker whose response to /show is held back, so that whatever else is sent
 // to it waits for the connection.
 type busyWorker struct {
 	*httptest.Server
-	asked   chan struct{} // is closed when /show is asked for
-	release chan struct{} // holds the answer back until it is closed
-	orders  atomic.Int32  // that arrived whole
+	polled   chan struct{} // is closed when /show is requested
+	release  chan struct{} // holds the response back until it is closed
+	commands atomic.Int32  // messages that arrived whole
 }
 
 func newBusyWorker(t *testing.T) *busyWorker {
@@ -37,38 +37,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &busyWorker{asked: make(chan struct{}), release: make(chan struct{})}
+	b := &busyWorker{polled: make(chan struct{}), release: make(chan struct{})}
 	b.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/show" {
-			close(b.asked)
+			close(b.polled)
 			<-b.release
 		} else if body, err := io.ReadAll(r.Body); err == nil && len(body) > 0 {
-			b.orders.Add(1)
+			b.commands.Add(1)
 		}
-		_, _ = w.Write(answer) // the asker may be gone
+		_, _ = w.Write(answer) // the caller may be gone
 	}))
 	t.Cleanup(b.Close)
 	return b
 }
 
-// An order waits for the connection to its worker while it becomes invalid: it is not sent,
-// and surely so. One that stays valid is.
-func TestOrderIsCheckedWhenItsConnectionIsThere(t *testing.T) {
+// Commands wait for the connection to their worker while they become invalid: they are not sent,
+// and surely so. Those that stay valid are.
+func TestCommandsCheckedOnceConnected(t *testing.T) {
 	for _, valid := range []bool{true, false} {
 		b := newBusyWorker(t)
-		orderer, endpoint := dispatch.NewHTTPCommandSender(sockets.Budget{Limit: 100, Accepted: func() int { return 0 }}), b.Listener.Addr().String()
+		sender, endpoint := dispatch.NewHTTPCommandSender(sockets.Budget{Limit: 100, Accepted: func() int { return 0 }}), b.Listener.Addr().String()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		shown := make(chan error, 1)
 		go func() {
-			_, err := orderer.FetchReport(ctx, endpoint)
+			_, err := sender.FetchReport(ctx, endpoint)
 			shown <- err
 		}()
-		<-b.asked
+		<-b.polled
 		refused := errors.New("refused")
 		var checks atomic.Int32
 		outcome := make(chan error, 1)
 		go func() {
-			_, _, err := orderer.SendCommands(ctx, endpoint, wire.Orders{Token: 5, Session: 1}, func() error {
+			_, _, err := sender.SendCommands(ctx, endpoint, wire.Orders{Token: 5, Session: 1}, func() error {
 				checks.Add(1)
 				if valid {
 					return nil
@@ -89,59 +89,59 @@
 			t.Errorf("valid %v: %v", valid, err)
 		}
 		cancel()
-		if n := b.orders.Load(); (n == 1) != valid {
-			t.Errorf("valid %v: %d orders arrived", valid, n)
+		if n := b.commands.Load(); (n == 1) != valid {
+			t.Errorf("valid %v: %d messages arrived", valid, n)
 		}
 	}
 }
 
-// While an order waits for its connection its job is cancelled, or the term is raised: it
-// is not sent, and what remains of it is said at once, under the new term.
-func TestOutdatedOrderIsMadeAnew(t *testing.T) {
+// While commands wait for their connection a job is cancelled, or the token is raised: they
+// are not sent, and what remains of them is sent at once, under the new token.
+func TestOutdatedCommandsAreReplaced(t *testing.T) {
 	for name, change := range map[string]func(s *stub, cancelled cancelledJobs){
 		"cancelled": func(_ *stub, cancelled cancelledJobs) { cancelled["j-1"] = true },
-		"raised":    func(s *stub, _ cancelledJobs) { s.term = 6 },
+		"raised":    func(s *stub, _ cancelledJobs) { s.token = 6 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cancelled := cancelledJobs{}
-				s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+				s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 				waits := 0
 				s.connect = func() {
 					if waits++; waits == 1 {
 						change(s, cancelled)
 					}
 				}
-				h := holder(t.Context(), s)
-				h.Cancellations = cancelled
-				h.HandleReport(t.Context(), report(1, 5))
+				d := newDispatcher(t.Context(), s)
+				d.Cancellations = cancelled
+				d.HandleReport(t.Context(), report(1, 5))
 				other := entry(1)
 				other.Task = "j-2/0"
-				h.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1), other}})
-				h.Wait()
+				d.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1), other}})
+				d.Wait()
 				if waits != 2 || len(s.sent) != 1 {
-					t.Fatalf("%d orders were made, and sent were %+v", waits, s.sent)
+					t.Fatalf("%d messages were made, and sent were %+v", waits, s.sent)
 				}
 				starts, want := s.sent[0].Commands, 2
 				if len(cancelled) > 0 {
 					want = 1
 				}
-				if s.sent[0].Token != s.term || len(starts) != want || starts[len(starts)-1].Task != other.Task {
-					t.Errorf("sent %+v under term %d", s.sent[0], s.term)
+				if s.sent[0].Token != s.token || len(starts) != want || starts[len(starts)-1].Task != other.Task {
+					t.Errorf("sent %+v under token %d", s.sent[0], s.token)
 				}
 			})
 		})
 	}
 }
 
-// A controller that may not answer workers any more sends no order that waited.
-func TestNothingIsSentByWhoMayNotAnswer(t *testing.T) {
-	s := &stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+// A controller that may not answer workers any more sends no commands that waited.
+func TestNoCommandsAfterLosingTheRightToAnswer(t *testing.T) {
+	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	s.connect = func() { s.barred = true }
-	h := holder(t.Context(), s)
-	h.HandleReport(t.Context(), report(1, 5))
-	h.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1)}})
-	h.Wait()
+	d := newDispatcher(t.Context(), s)
+	d.HandleReport(t.Context(), report(1, 5))
+	d.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1)}})
+	d.Wait()
 	if !s.barred || len(s.sent) > 0 {
 		t.Errorf("barred %v, sent %+v", s.barred, s.sent)
 	}
--- /dev/null
+++ b/internal/dispatch/polls.go
@@ -0,0 +1,123 @@
+package dispatch
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+)
+
+const (
+	pollTimeout = 1500 * time.Millisecond // in rounds of polls
+	// responsiveTimeout is for judging whether a worker works, and so longer: one at the end of
+	// a slow link was deleted as unresponsive.
+	responsiveTimeout = 3500 * time.Millisecond
+	pollsAtOnce       = 32
+)
+
+// Endpoint is the address of a worker that reported here within a lease, or "".
+func (d *Dispatcher) Endpoint(name string) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if worker := d.workers[name]; worker != nil && time.Since(worker.reportedAt) < d.lease {
+		return worker.report.Endpoint
+	}
+	return ""
+}
+
+// SampleEndpoints returns the addresses of up to n workers that reported here in the last minute.
+func (d *Dispatcher) SampleEndpoints(n int) (endpoints []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, worker := range d.workers { // in no order
+		if len(endpoints) == n {
+			break
+		}
+		if worker.report.Endpoint != "" && time.Since(worker.reportedAt) < time.Minute {
+			endpoints = append(endpoints, worker.report.Endpoint)
+		}
+	}
+	return endpoints
+}
+
+// ProbeEndpoints polls workers and returns the share of them, from 0 to 1, that responded within
+// a time. Their reports are not stored.
+func (d *Dispatcher) ProbeEndpoints(ctx context.Context, endpoints []string, within time.Duration) float64 {
+	ctx, cancel := context.WithTimeout(ctx, within)
+	defer cancel()
+	var responded atomic.Int64
+	var probes errgroup.Group
+	for _, endpoint := range endpoints {
+		probes.Go(func() error {
+			if _, err := d.sender.FetchReport(ctx, endpoint); err == nil {
+				responded.Add(1)
+			}
+			return nil
+		})
+	}
+	_ = probes.Wait() // none returns an error
+	return float64(responded.Load()) / float64(max(1, len(endpoints)))
+}
+
+// PollReports polls workers, whose endpoints are given by name, that were not heard here for a
+// while, and returns when all have responded or timed out.
+// After a failover this tells what runs long before every worker has found out
+// where to report to, and has done so.
+func (d *Dispatcher) PollReports(ctx context.Context, endpoints map[string]string, unheard time.Duration) {
+	polls, ctx := errgroup.WithContext(ctx)
+	polls.SetLimit(pollsAtOnce)
+	for name, endpoint := range endpoints {
+		if !d.worthPolling(name, unheard) || !d.routing.MayAnswerWorkers() {
+			continue
+		}
+		polls.Go(func() error { d.poll(ctx, name, endpoint, pollTimeout); return nil })
+	}
+	_ = polls.Wait() // none returns an error
+}
+
+// worthPolling reports whether a worker's report would be stored, and none came for a while.
+func (d *Dispatcher) worthPolling(name string, unheard time.Duration) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	worker := d.workers[name]
+	return !d.deleted.Contains(name) && (worker == nil || time.Since(worker.reportedAt) >= unheard) && len(d.workers) < maxWorkers
+}
+
+// ChaseCancelledTasks polls workers on which cancelled tasks may be, and halts
+// those tasks by direct commands: their worker may report to no controller that knows of the
+// cancel.
+func (d *Dispatcher) ChaseCancelledTasks(ctx context.Context, endpoints map[string]string) {
+	polls, ctx := errgroup.WithContext(ctx)
+	polls.SetLimit(pollsAtOnce)
+	for name, endpoint := range endpoints {
+		polls.Go(func() error {
+			if d.poll(ctx, name, endpoint, pollTimeout) {
+				d.PushCommands(name) //nolint:contextcheck // the push outlives the poll
+			}
+			return nil
+		})
+	}
+	_ = polls.Wait() // none returns an error
+}
+
+// FetchReport polls a worker and reports whether it responded. It is for judging whether the
+// worker works, and so waits longer than PollReports does.
+func (d *Dispatcher) FetchReport(ctx context.Context, name, endpoint string) bool {
+	return d.poll(ctx, name, endpoint, responsiveTimeout)
+}
+
+// poll stores the report of a worker and reports whether the worker responded.
+func (d *Dispatcher) poll(ctx context.Context, name, endpoint string, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	rep, err := d.sender.FetchReport(ctx, endpoint)
+	cancel()
+	if err != nil || rep.Machine != name {
+		d.log.Debug("worker poll failed", "worker", name, "err", err)
+		return false
+	}
+	if view, stored := d.storeReport(rep, false); stored {
+		d.schedulers.ObserveWorker(view)
+	}
+	return true
+}
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -5,171 +5,141 @@
 	"errors"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// PushCommands sends the machine's commands directly, instead of waiting for its next
-// report.
-func (h *Dispatcher) PushCommands(name string) {
-	if !h.routing.MayAnswerWorkers() {
+const (
+	pushTimeout            = 1500 * time.Millisecond
+	backgroundRaiseTimeout = 5 * time.Second
+)
+
+// PushCommands sends the worker's commands directly, instead of waiting for its next
+// heartbeat. One push to a worker is under way at a time. It returns at once.
+func (d *Dispatcher) PushCommands(name string) {
+	if !d.routing.MayAnswerWorkers() {
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	s := h.machines[name]
-	if s == nil || s.report.Endpoint == "" || time.Since(s.at) > h.lease {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	worker := d.workers[name]
+	if worker == nil || worker.report.Endpoint == "" || time.Since(worker.reportedAt) > d.lease {
 		return
 	}
-	if s.busy {
-		s.again = true
+	if worker.pushInFlight {
+		worker.pushPending = true
 		return
 	}
-	term := h.tokens.FencingToken()
-	if term == 0 {
+	token := d.tokens.FencingToken()
+	if token == 0 {
 		return
 	}
-	if term < s.report.Token {
-		// The next report raises the term too, but may never come: a worker that had seen
+	if token < worker.report.Token {
+		// The next heartbeat raises the token too, but may never come: a worker that had seen
 		// another controller's token, and reached nobody any more, got no command.
-		h.raiseLocked(s.report.Token)
+		d.raiseTokenLocked(worker.report.Token)
 		return
 	}
-	cmds := h.commands(name, term, false)
-	if len(cmds) == 0 {
+	commands := d.commandsLocked(name, token, false)
+	if len(commands) == 0 {
 		return
 	}
-	s.busy, s.again = true, false
-	endpoint, session := s.report.Endpoint, s.report.Session
-	h.startLocked(func() {
-		h.order(name, endpoint, wire.Orders{Token: term, Session: session, Commands: cmds})
+	worker.pushInFlight, worker.pushPending = true, false
+	endpoint, session := worker.report.Endpoint, worker.report.Session
+	d.startLocked(func() {
+		d.push(name, endpoint, wire.Orders{Token: token, Session: session, Commands: commands})
 	})
 }
 
-func (h *Dispatcher) order(name, endpoint string, o wire.Orders) {
-	ctx, cancel := context.WithTimeout(h.ctx, orderTimeout)
-	rep, executed, err := h.orders.SendCommands(ctx, endpoint, o, func() error { return h.outdated(o) })
+// push sends commands and handles the worker's response.
+func (d *Dispatcher) push(name, endpoint string, orders wire.Orders) {
+	ctx, cancel := context.WithTimeout(d.lifetime, pushTimeout)
+	rep, executed, err := d.sender.SendCommands(ctx, endpoint, orders, func() error { return d.checkCurrent(orders) })
 	cancel()
-	h.mu.Lock()
-	s := h.machines[name]
-	if s == nil {
-		h.mu.Unlock()
+	known, pushAgain := d.finishPush(name, orders.Token, executed, err)
+	if !known {
 		return
 	}
-	s.busy = false
-	again := s.again
-	s.again = false
-	switch {
-	case err != nil && !errors.Is(err, ErrNotSent):
-		// The order may still arrive, minutes late, while its token and
-		// session match: only a newer token ends that.
-		s.fate = max(s.fate, o.Token)
-		h.raiseLocked(s.fate)
-		again = false
-	case errors.Is(err, errOutdated):
-		again = true // what it had besides is still to be said
-	case err != nil:
-		again = false
-	case !executed:
-		for _, q := range s.queue {
-			q.granted = false
-		}
-	}
-	h.mu.Unlock()
 	if err != nil {
-		h.log.Debug("direct order failed", "machine", name, "err", err)
-		if again {
-			h.PushCommands(name)
+		d.log.Debug("sending commands failed", "worker", name, "err", err)
+		if pushAgain {
+			d.PushCommands(name)
 		}
 		return
 	}
 	if rep.Machine != name {
-		h.log.Info("another machine answered", "machine", name, "answered", rep.Machine)
+		d.log.Info("another worker responded", "worker", name, "responded", rep.Machine)
 		return
 	}
-	if view, ok := h.take(rep, false); ok {
-		h.owners.ObserveWorker(view)
+	if view, stored := d.storeReport(rep, false); stored {
+		d.schedulers.ObserveWorker(view)
 	}
-	if again && rep.Token <= h.tokens.FencingToken() {
-		h.PushCommands(name)
+	if pushAgain && rep.Token <= d.tokens.FencingToken() {
+		d.PushCommands(name)
 	}
 }
 
-// probesAtOnce bounds how many machines are asked for their report at a time.
-const probesAtOnce = 32
-
-// PollReports asks machines that were not heard here for a while for their reports.
-// After a takeover this tells what runs long before every worker has found out
-// where to report to, and has done so.
-func (h *Dispatcher) PollReports(ctx context.Context, endpoints map[string]string, unheard time.Duration) {
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(probesAtOnce)
-	for name, endpoint := range endpoints {
-		h.mu.Lock()
-		s := h.machines[name]
-		skip := h.gone.Has(name) || s != nil && time.Since(s.at) < unheard || len(h.machines) >= maxMachines
-		h.mu.Unlock()
-		if skip || !h.routing.MayAnswerWorkers() {
-			continue
+// finishPush notes the outcome of a push. It returns false if the worker is not known any more,
+// and whether to push again.
+func (d *Dispatcher) finishPush(name string, token uint64, executed bool, err error) (known, pushAgain bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	worker := d.workers[name]
+	if worker == nil {
+		return false, false
+	}
+	pushAgain = worker.pushPending
+	worker.pushInFlight, worker.pushPending = false, false
+	switch {
+	case err != nil && !errors.Is(err, ErrNotSent):
+		// The commands may still arrive, minutes late, while their token and
+		// session match: only a newer token ends that.
+		worker.unknownOutcome = max(worker.unknownOutcome, token)
+		d.raiseTokenLocked(worker.unknownOutcome)
+		return true, false
+	case errors.Is(err, errOutdated):
+		return true, true // the other commands are still to be sent
+	case err != nil:
+		return true, false
+	case !executed:
+		for _, queued := range worker.queue {
+			queued.granted = false
 		}
-		g.Go(func() error { h.askWithin(ctx, name, endpoint, orderTimeout); return nil })
 	}
-	_ = g.Wait() // none returns an error
-}
-
-// FetchReport asks a machine for its report and reports whether it answered. It is for judging
-// whether the machine works, and so waits longer than the rounds of Probe and Chase do: one
-// at the end of a slow link was returned as deaf.
-func (h *Dispatcher) FetchReport(ctx context.Context, name, endpoint string) bool {
-	return h.askWithin(ctx, name, endpoint, askTimeout)
+	return true, pushAgain
 }
 
-func (h *Dispatcher) askWithin(ctx context.Context, name, endpoint string, timeout time.Duration) bool {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	rep, err := h.orders.FetchReport(ctx, endpoint)
-	cancel()
-	if err != nil || rep.Machine != name {
-		h.log.Debug("no report on request", "machine", name, "err", err)
-		return false
-	}
-	if view, ok := h.take(rep, false); ok {
-		h.owners.ObserveWorker(view)
+// checkCurrent returns errOutdated if direct commands must not leave any more. They may have
+// waited for their connection while a job was cancelled, the token was raised, or this controller
+// lost the right to answer workers: sent then, they would start a task after a confirmed cancel.
+func (d *Dispatcher) checkCurrent(orders wire.Orders) error {
+	if !d.routing.MayAnswerWorkers() || d.tokens.FencingToken() != orders.Token {
+		return errOutdated
+	}
+	for _, command := range orders.Commands {
+		if command.Verb == wire.VerbStart && d.cancelled(command.Task) {
+			return errOutdated
+		}
 	}
-	return true
+	return nil
 }
 
-// ChaseCancelledTasks asks machines on which cancelled tasks may be for their reports, and halts
-// those tasks by direct orders: their worker may report to nobody who can be told.
-func (h *Dispatcher) ChaseCancelledTasks(ctx context.Context, endpoints map[string]string) {
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(probesAtOnce)
-	for name, endpoint := range endpoints {
-		g.Go(func() error {
-			if h.askWithin(ctx, name, endpoint, orderTimeout) {
-				h.PushCommands(name)
-			}
-			return nil
-		})
-	}
-	_ = g.Wait() // none returns an error
+// raiseTokenLocked raises the fencing token in the background, one raise at a time.
+func (d *Dispatcher) raiseTokenLocked(above uint64) {
+	if d.raisingToken || d.tokens.FencingToken() > above {
+		return
+	}
+	d.raisingToken = true
+	d.startLocked(func() { d.raiseToken(above) })
 }
 
-// raiseLocked raises the term in the background, one at a time.
-func (h *Dispatcher) raiseLocked(above uint64) {
-	if h.raising || h.tokens.FencingToken() > above {
-		return
+func (d *Dispatcher) raiseToken(above uint64) {
+	ctx, cancel := context.WithTimeout(d.lifetime, backgroundRaiseTimeout)
+	_, err := d.tokens.RaiseTokenAbove(ctx, above)
+	cancel()
+	d.mu.Lock()
+	d.raisingToken = false
+	d.mu.Unlock()
+	if err != nil {
+		d.log.Info("raising the fencing token failed", "fencing_token", above, "err", err)
 	}
-	h.raising = true
-	h.startLocked(func() {
-		ctx, cancel := context.WithTimeout(h.ctx, 5*time.Second)
-		_, err := h.tokens.RaiseTokenAbove(ctx, above)
-		cancel()
-		h.mu.Lock()
-		h.raising = false
-		h.mu.Unlock()
-		if err != nil {
-			h.log.Info("raising the term failed", "err", err)
-		}
-	})
 }
--- a/internal/dispatch/recorded_test.go
+++ b/internal/dispatch/recorded_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Directions to holders, grants and views keep the form in which controllers send them.
+// Instructions, grants and views keep the form in which controllers send them.
 func TestRecorded(t *testing.T) {
 	ref := dispatch.TaskRef{Machine: "n-000231", Task: "j-000400/7", Attempt: 3}
 	shape := matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
--- a/internal/dispatch/slow_links_test.go
+++ b/internal/dispatch/slow_responses_test.go
@@ -12,18 +12,18 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// slowLinks are around a holder whose requests to owners elsewhere and to workers are
+// slowLinks are around a dispatcher whose requests to leaders elsewhere and to workers are
 // answered late.
 type slowLinks struct {
 	*stub
-	answerTakes time.Duration
+	responseTakes time.Duration
 }
 
 func (s *slowLinks) wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(s.answerTakes):
+	case <-time.After(s.responseTakes):
 		return nil
 	}
 }
@@ -46,33 +46,33 @@
 	return s.stub.FetchReport(ctx, endpoint)
 }
 
-// Over links on which a message takes well over a second each way, a grant of an owner
-// elsewhere comes in time to be used, the owner sees until then that nothing was sent, and
-// a machine that is asked whether it works is waited for.
-func TestLateGrantsAndAnswersCount(t *testing.T) {
+// Over links on which a message takes well over a second each way, a grant of a leader
+// elsewhere comes in time to be used, the leader sees until then that nothing was sent, and
+// the response of a worker that is polled is waited for.
+func TestGrantsAndPollsOverSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slowLinks{&stub{term: 5, order: func(wire.Orders) (*wire.Report, bool, error) { return report(2, 5), true, nil }}, 2900 * time.Millisecond}
+		s := &slowLinks{&stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return report(2, 5), true, nil }}, 2900 * time.Millisecond}
 		ctx, cancel := context.WithCancel(context.Background())
-		h := dispatch.New(ctx, "a", 10*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		h.HandleReport(ctx, report(1, 5))
+		d := dispatch.New(ctx, "a", 10*time.Second, s, s, s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		d.HandleReport(ctx, report(1, 5))
 		e := entry(1)
 		e.Owner = "b"
-		h.ApplyInstructions(dispatch.Instructions{From: "b", Assign: []dispatch.QueueEntry{e}})
-		if q := h.WorkerViews()[0].Queue; len(q) != 1 || !q[0].Unsent {
+		d.ApplyInstructions(dispatch.Instructions{From: "b", Assign: []dispatch.QueueEntry{e}})
+		if q := d.WorkerViews()[0].Queue; len(q) != 1 || !q[0].Unsent {
 			t.Errorf("queue %+v before the grant", q)
 		}
-		time.Sleep(s.answerTakes + time.Millisecond)
+		time.Sleep(s.responseTakes + time.Millisecond)
 		synctest.Wait()
 		if len(s.sent) != 1 || s.sent[0].Commands[0].Verb != wire.VerbStart {
 			t.Errorf("sent %+v", s.sent)
 		}
-		if q := h.WorkerViews()[0].Queue; len(q) != 1 || q[0].Unsent {
+		if q := d.WorkerViews()[0].Queue; len(q) != 1 || q[0].Unsent {
 			t.Errorf("queue %+v after the start was sent", q)
 		}
-		if !h.FetchReport(ctx, "n-1", "e") {
-			t.Error("a machine that answers late counts as not answering")
+		if !d.FetchReport(ctx, "n-1", "e") {
+			t.Error("a worker that responds late counts as unresponsive")
 		}
 		cancel()
-		h.Wait()
+		d.Wait()
 	})
 }
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -8,126 +8,130 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// total is the machine's size, if its type is known.
-func (h *Dispatcher) total(s *workerState) (matching.Resources, bool) {
-	t, ok := h.types.Type(s.report.Type)
-	return matching.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, ok
+const (
+	unknownRemainingS = 3   // remaining time assumed for a task whose leader sent no entry yet
+	leastFetchS       = 0.5 // remaining time assumed for an image fetch that takes longer than expected
+	neverFitsS        = 1e6 // wait shown for a task that its worker can't run
+)
+
+// capacityOf is the worker's size; false if its machine type is not known.
+func (d *Dispatcher) capacityOf(worker *workerState) (matching.Resources, bool) {
+	machineType, ok := d.types.Type(worker.report.Type)
+	return matching.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}, ok
 }
 
-// occupied lists what holds resources now: reported tasks that have not
+// allocatedLocked lists what takes resources now: reported tasks that have not
 // exited, and starts that may be under way.
 // The result is good until the next call.
-func (h *Dispatcher) occupied(s *workerState, total matching.Resources, now time.Time) []matching.Allocation {
-	uses := h.uses[:0]
-	for _, l := range s.tasks {
+func (d *Dispatcher) allocatedLocked(worker *workerState, total matching.Resources, now time.Time) []matching.Allocation {
+	allocations := d.allocations[:0]
+	for _, task := range worker.tasks {
 		switch {
-		case l.state == wire.TaskExited:
-		case l.entry == nil:
-			// Nobody told yet what it takes: count the whole machine.
-			uses = append(uses, matching.Allocation{Resources: total, RemainingS: 3})
+		case task.state == wire.TaskExited:
+		case task.entry == nil:
+			// What it takes is not known yet: count the whole worker.
+			allocations = append(allocations, matching.Allocation{Resources: total, RemainingS: unknownRemainingS})
 		default:
-			left := l.entry.Run
-			elapsed := now.Sub(l.since).Seconds()
-			if l.state == wire.TaskFetching {
-				left += math.Max(0.5, l.entry.Fetch-elapsed)
-			} else {
-				left = matching.RemainingRun(left, elapsed)
-			}
-			uses = append(uses, matching.Allocation{Resources: l.entry.Resources, RemainingS: left})
+			allocations = append(allocations, matching.Allocation{Resources: task.entry.Resources, RemainingS: task.remainingS(now)})
 		}
 	}
-	for _, q := range s.queue {
-		if q.sent || q.granted {
-			uses = append(uses, matching.Allocation{Resources: q.Resources, RemainingS: q.Fetch + q.Run})
+	for _, queued := range worker.queue {
+		if queued.startSent || queued.granted {
+			allocations = append(allocations, matching.Allocation{Resources: queued.Resources, RemainingS: queued.Fetch + queued.Run})
 		}
 	}
-	h.uses = uses
-	return uses
+	d.allocations = allocations
+	return allocations
 }
 
-func (h *Dispatcher) view(s *workerState) WorkerView {
-	now := time.Now()
-	r := &s.report
-	v := WorkerView{Name: r.Machine, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Session: r.Session, Seq: r.Seq, Token: r.Token,
-		Holder: h.name, Endpoint: r.Endpoint, AgeS: now.Sub(s.at).Seconds(), UnansweredS: h.unanswered(r.Machine).Seconds(), NoticeS: r.NoticeS, Draining: s.draining, Asked: s.asked}
-	v.Tasks = make([]TaskView, 0, len(r.Tasks))
-	for _, t := range r.Tasks {
-		l := s.tasks[TaskRef{r.Machine, t.Task, t.Attempt}]
-		v.Tasks = append(v.Tasks, TaskView{Task: t, ForS: now.Sub(l.since).Seconds(), Unknown: l.entry == nil && l.state != wire.TaskExited})
+// remainingS is the expected time until a task with an entry exits, in s.
+func (t *reportedTask) remainingS(now time.Time) float64 {
+	elapsedS := now.Sub(t.since).Seconds()
+	if t.state == wire.TaskFetching {
+		return t.entry.Run + math.Max(leastFetchS, t.entry.Fetch-elapsedS)
 	}
-	total, ok := h.total(s)
-	if !ok {
-		return v
+	return matching.RemainingRun(t.entry.Run, elapsedS)
+}
+
+// viewLocked returns the view of a worker that has reported.
+func (d *Dispatcher) viewLocked(worker *workerState) WorkerView {
+	now := time.Now()
+	report := &worker.report
+	view := WorkerView{
+		Name: report.Machine, Type: report.Type, Zone: report.Zone, Spot: report.Spot,
+		Session: report.Session, Seq: report.Seq, Token: report.Token, Holder: d.name, Endpoint: report.Endpoint,
+		AgeS: now.Sub(worker.reportedAt).Seconds(), UnansweredS: d.unansweredLocked(report.Machine).Seconds(),
+		NoticeS: report.NoticeS, Draining: worker.draining, Asked: worker.polled,
+		Tasks: worker.taskViews(now),
 	}
-	v.Matrix = matching.NewWaitMatrix(total, h.occupied(s, total, now), nil)
-	for _, q := range s.queue {
-		if q.sent || q.granted {
-			v.Queue = append(v.Queue, QueueView{TaskRef: q.TaskRef, Unsent: !q.sent})
-			continue
-		}
-		w := v.Matrix.Wait(q.Resources, q.Fetch+q.Run)
-		if math.IsInf(w, 1) {
-			w = 1e6
-		} else {
-			v.Matrix = v.Matrix.Reserve(q.Resources, w, q.Fetch+q.Run)
-		}
-		v.Queue = append(v.Queue, QueueView{TaskRef: q.TaskRef, WaitS: w, Unsent: true})
+	total, known := d.capacityOf(worker)
+	if !known {
+		return view
 	}
-	return v
+	view.Matrix = matching.NewWaitMatrix(total, d.allocatedLocked(worker, total, now), nil)
+	view.setQueue(worker.queue)
+	return view
 }
 
-// ChangedViews returns views of the machines that changed since the last call, and the names
-// of those that this holder knows no more.
-func (h *Dispatcher) ChangedViews() (changed []WorkerView, gone []string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if time.Since(h.forgotAt) > time.Minute {
-		h.forget()
-	}
-	for name := range h.dirty {
-		switch s := h.machines[name]; {
-		case s == nil:
-			gone = append(gone, name)
-		case s.report.Machine != "":
-			changed = append(changed, h.view(s))
-		}
+func (w *workerState) taskViews(now time.Time) []TaskView {
+	views := make([]TaskView, 0, len(w.report.Tasks))
+	for _, reported := range w.report.Tasks {
+		task := w.tasks[TaskRef{w.report.Machine, reported.Task, reported.Attempt}]
+		views = append(views, TaskView{
+			Task: reported, ForS: now.Sub(task.since).Seconds(),
+			Unknown: task.entry == nil && task.state != wire.TaskExited,
+		})
 	}
-	clear(h.dirty)
-	return changed, gone
+	return views
 }
 
-// forget forgets the machines that were not heard for long.
-func (h *Dispatcher) forget() {
-	h.forgotAt = time.Now()
-	for name, s := range h.machines {
-		if time.Since(s.at) > forgetAfter && time.Since(s.sentAway) > forgetAfter {
-			delete(h.machines, name)
-			h.dirty[name] = true
+// setQueue adds the queue, and reserves in the matrix what its tasks will take.
+func (v *WorkerView) setQueue(queue []*queuedTask) {
+	for _, queued := range queue {
+		if queued.startSent || queued.granted {
+			v.Queue = append(v.Queue, QueueView{TaskRef: queued.TaskRef, Unsent: !queued.startSent})
+			continue
+		}
+		takesS := queued.Fetch + queued.Run
+		waitS := v.Matrix.Wait(queued.Resources, takesS)
+		if math.IsInf(waitS, 1) {
+			waitS = neverFitsS
+		} else {
+			v.Matrix = v.Matrix.Reserve(queued.Resources, waitS, takesS)
 		}
+		v.Queue = append(v.Queue, QueueView{TaskRef: queued.TaskRef, WaitS: waitS, Unsent: true})
 	}
 }
 
-// HasWorkers reports whether any machine was heard here within a lease.
-func (h *Dispatcher) HasWorkers() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, s := range h.machines {
-		if s.report.Machine != "" && time.Since(s.at) < h.lease {
-			return true
+// ChangedViews returns views of the workers that changed since the last call, and the names
+// of those that are not known here any more.
+func (d *Dispatcher) ChangedViews() (changed []WorkerView, removed []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if time.Since(d.lastExpiry) > time.Minute {
+		d.forgetLocked()
+	}
+	for name := range d.changed {
+		switch worker := d.workers[name]; {
+		case worker == nil:
+			removed = append(removed, name)
+		case worker.report.Machine != "":
+			changed = append(changed, d.viewLocked(worker))
 		}
 	}
-	return false
+	clear(d.changed)
+	return changed, removed
 }
 
-// WorkerViews returns views of all machines heard within a lease.
-func (h *Dispatcher) WorkerViews() []WorkerView {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.forget()
+// WorkerViews returns views of all workers that reported within a lease.
+func (d *Dispatcher) WorkerViews() []WorkerView {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.forgetLocked()
 	var out []WorkerView
-	for _, s := range h.machines {
-		if s.report.Machine != "" && time.Since(s.at) < h.lease {
-			out = append(out, h.view(s))
+	for _, worker := range d.workers {
+		if d.recentlyReported(worker) {
+			out = append(out, d.viewLocked(worker))
 		}
 	}
 	return out
