--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -64,7 +64,7 @@
 }
 
 func (r *Reconciler) observe(v dispatch.WorkerView) {
-	if len(r.state.Loaded) == 0 || r.deleted.Has(v.Name) {
+	if len(r.state.Loaded) == 0 || r.deleted.Contains(v.Name) {
 		return
 	}
 	worker := r.state.WorkerOf(v.Name)
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -8,8 +8,9 @@
 	"log/slog"
 	"sync"
 
+	lru "github.com/hashicorp/golang-lru/v2"
+
 	"github.com/wallrack/wallrack/internal/jobstate"
-	"github.com/wallrack/wallrack/internal/recent"
 )
 
 // Reconciler applies workers' reports to the state. Its exported methods take the state's Mu
@@ -19,8 +20,8 @@
 	log   *slog.Logger
 
 	// Guarded by the state's Mu.
-	deleted   *recent.Set // workers that the cloud deleted: late views of them say nothing
-	viewCount uint64      // counts views, to tell which placements one lists
+	deleted   *lru.Cache[string, struct{}] // workers that the cloud deleted: late views of them say nothing
+	viewCount uint64                       // counts views, to tell which placements one lists
 
 	deferredMu sync.Mutex
 	deferred   []deferredView // see deferView
@@ -28,5 +29,6 @@
 
 // New returns a reconciler of a state.
 func New(state *jobstate.State, log *slog.Logger) *Reconciler {
-	return &Reconciler{state: state, log: log, deleted: recent.NewSet(maxGone)}
+	deleted, _ := lru.New[string, struct{}](maxGone) // fails for sizes below 1 only
+	return &Reconciler{state: state, log: log, deleted: deleted}
 }
--- a/internal/reconcile/silence.go
+++ b/internal/reconcile/silence.go
@@ -12,7 +12,7 @@
 func (r *Reconciler) WorkerGone(name string) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
-	r.deleted.Add(name)
+	r.deleted.ContainsOrAdd(name, struct{}{})
 	worker := r.state.Workers[name]
 	if worker == nil {
 		return
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -10,8 +10,9 @@
 	"sync"
 	"time"
 
+	lru "github.com/hashicorp/golang-lru/v2"
+
 	"github.com/wallrack/wallrack/internal/matching"
-	"github.com/wallrack/wallrack/internal/recent"
 	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
 )
@@ -76,16 +77,17 @@
 	token   uint64
 	renewed time.Time // when the last answered report was sent
 	tasks   map[key]*task
-	done    *recent.Set // tasks whose result is kept
+	done    *lru.Cache[string, struct{}] // tasks whose result is kept
 	stops   sync.WaitGroup
 }
 
 // New returns the state of a worker that has just come up. change is called,
 // without locks held by the caller's side, whenever a report would differ.
 func New(id Ident, descrs Descriptions, runner Runner, change func(), log *slog.Logger) *Machine {
+	done, _ := lru.New[string, struct{}](keepDone) // fails for sizes below 1 only
 	return &Machine{
 		id: id, descrs: descrs, runner: runner, change: change, log: log, session: 1, renewed: time.Now(),
-		tasks: map[key]*task{}, done: recent.NewSet(keepDone),
+		tasks: map[key]*task{}, done: done,
 	}
 }
 
@@ -273,7 +275,7 @@
 		m.log.Info("no description", "task", k.task, "err", err)
 		m.exitLocked(t, wire.CauseError)
 		return
-	case m.done.Has(k.task):
+	case m.done.Contains(k.task):
 		m.exitLocked(t, wire.CauseDone) // its result is kept
 		return
 	}
@@ -307,7 +309,7 @@
 	case t.halted:
 		m.exitLocked(t, wire.CauseStopped) // even if it ended well on being asked to: its work is not whole
 	case code == 0:
-		m.done.Add(k.task)
+		m.done.ContainsOrAdd(k.task, struct{}{})
 		m.exitLocked(t, wire.CauseDone)
 	default:
 		m.exitLocked(t, wire.CauseError)
