--- a/internal/dispatch/grants_test.go
+++ b/internal/dispatch/grants_test.go
@@ -43,6 +43,7 @@
 				}
 			}
 			time.Sleep(3 * roundTrip)
+			synctest.Wait() // orders what the goroutines wrote before what is read here
 			if len(batches) != 2 || batches[0] != 1 || batches[1] != 3 {
 				t.Errorf("requested in batches of %v", batches)
 			}
