--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -243,11 +243,12 @@
 	return ""
 }
 
-// failure describes the failure of a worker.
+// failure describes the failure of a worker. The texts travel between controllers and stand in the
+// runbook.
 func (w *UnresponsiveWorker) failure() string {
-	reason := fmt.Sprintf("no heartbeat for %.0f s", w.SilentFor.Seconds())
+	reason := fmt.Sprintf("silent for %.0f s", w.SilentFor.Seconds())
 	if w.OutboundLost {
-		reason = fmt.Sprintf("commands have no effect for %.0f s", w.SilentFor.Seconds())
+		reason = fmt.Sprintf("nothing reaches it for %.0f s", w.SilentFor.Seconds())
 	}
 	if w.Busy {
 		reason += " with tasks on it"
--- a/internal/viewsync/capacity_test.go
+++ b/internal/viewsync/capacity_test.go
@@ -13,26 +13,28 @@
 )
 
 const (
-	tasksEach   = 4     // 11,000 tasks on 2,600 machines
+	tasksEach   = 4     // 11,000 tasks on 2,600 workers
 	reportMs    = 8_000 // between a worker's reports
 	overrunWait = 2.2   // seconds, of a task that has outrun its estimate
 )
 
-// fleet is so many machines as their holder sees them.
-type fleet []dispatch.WorkerView
+// workerViews are so many workers as their dispatcher sees them.
+type workerViews []dispatch.WorkerView
 
-func (fleet) HasWorkers() bool                                { return true }
-func (f fleet) WorkerViews() []dispatch.WorkerView            { return f }
-func (fleet) ChangedViews() ([]dispatch.WorkerView, []string) { return nil, nil }
+func (workerViews) HasWorkers() bool                                { return true }
+func (w workerViews) WorkerViews() []dispatch.WorkerView            { return w }
+func (workerViews) ChangedViews() ([]dispatch.WorkerView, []string) { return nil, nil }
 
-// machinesAt are machines with reports as of a time, each of whose first started tasks
+// workersAt are workers with reports as of a time, each of whose first started tasks
 // began anew then.
-func machinesAt(machines int, atMs int64, started int) (f fleet) {
+func workersAt(workers int, atMs int64, started int) (views workerViews) {
 	passed := float64(atMs) / perSecond
-	for i := range machines {
-		v := dispatch.WorkerView{Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z",
-			Session: 1, Seq: 1000 + uint64(atMs), Token: 7, Holder: "a", AgeS: 0.25, UnansweredS: 0.25}
-		var uses []matching.Allocation
+	for i := range workers {
+		v := dispatch.WorkerView{
+			Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z",
+			Session: 1, Seq: 1000 + uint64(atMs), Token: 7, Holder: "a", AgeS: 0.25, UnansweredS: 0.25,
+		}
+		allocations := make([]matching.Allocation, 0, tasksEach)
 		for t := range tasksEach {
 			task := dispatch.TaskView{Task: wire.Task{Task: wire.TaskName(fmt.Sprintf("j-%06d", i), t), Attempt: 20, State: wire.TaskRunning}, ForS: 10 + passed}
 			left := max(overrunWait, 10*float64(t)-passed)
@@ -40,19 +42,19 @@
 				task.Attempt, task.ForS, left = 21, 0, 30
 			}
 			v.Tasks = append(v.Tasks, task)
-			uses = append(uses, matching.Allocation{Resources: matching.Resources{CPUs: 2, MemoryGB: 8}, RemainingS: left})
+			allocations = append(allocations, matching.Allocation{Resources: matching.Resources{CPUs: 2, MemoryGB: 8}, RemainingS: left})
 		}
-		v.Matrix = matching.NewWaitMatrix(matching.Resources{CPUs: 16, MemoryGB: 64}, uses, nil)
-		f = append(f, v)
+		v.Matrix = matching.NewWaitMatrix(matching.Resources{CPUs: 16, MemoryGB: 64}, allocations, nil)
+		views = append(views, v)
 	}
-	return f
+	return views
 }
 
-// told is the size of the messages that tell an owner of machines, first whole and then
-// once they have reported again, with so many tasks started in between.
-func told(tb testing.TB, machines, started int) (whole, change float64) {
+// sentBytes is the size of the messages that send workers' views to a leader, first whole and then
+// once the workers have reported again, with so many tasks started in between.
+func sentBytes(tb testing.TB, workers, started int) (whole, change float64) {
 	e, d := NewEncoder("a"), NewDecoder()
-	first := machinesAt(machines, 0, 0)
+	first := workersAt(workers, 0, 0)
 	e.after = d.stream
 	send := func(nowMs int64) (bytes float64) {
 		for more := true; more; {
@@ -74,21 +76,21 @@
 		return bytes
 	}
 	whole = send(0)
-	e.Note(reportMs, machinesAt(machines, reportMs, started), nil)
+	e.Note(reportMs, workersAt(workers, reportMs, started), nil)
 	return whole, send(reportMs)
 }
 
 var capacitySeries = []capacity.Series{
-	{Name: "views.whole", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, machines int) float64 {
-		whole, _ := told(tb, machines, 0)
+	{Name: "views.whole", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
+		whole, _ := sentBytes(tb, workers, 0)
 		return whole
 	}},
-	{Name: "views.report", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, machines int) float64 {
-		_, change := told(tb, machines, 0)
+	{Name: "views.report", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
+		_, change := sentBytes(tb, workers, 0)
 		return change
 	}},
-	{Name: "views.start", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, machines int) float64 {
-		_, change := told(tb, machines, 1)
+	{Name: "views.start", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
+		_, change := sentBytes(tb, workers, 1)
 		return change
 	}},
 }
--- /dev/null
+++ b/internal/viewsync/change_tasks.go
@@ -0,0 +1,79 @@
+package viewsync
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/wallrack/wallrack/internal/dispatch"
+)
+
+func keyOf(t *dispatch.TaskView) TaskKey { return TaskKey{t.Task.Task, t.Attempt} }
+
+// tasksByKey indexes a list; of tasks with the same key, the last one.
+func tasksByKey(tasks []dispatch.TaskView) map[TaskKey]*dispatch.TaskView {
+	index := make(map[TaskKey]*dispatch.TaskView, len(tasks))
+	for i := range tasks {
+		index[keyOf(&tasks[i])] = &tasks[i]
+	}
+	return index
+}
+
+// diffTasks notes which reported tasks changed, or all of them if that would not give their list.
+func (c *Change) diffTasks(was, now []dispatch.TaskView) {
+	before := tasksByKey(was)
+	for i := range now {
+		task := &now[i]
+		if old := before[keyOf(task)]; old == nil || !sameTask(*old, *task) {
+			c.Tasks = append(c.Tasks, *task)
+		}
+		delete(before, keyOf(task))
+	}
+	for i := range was {
+		if key := keyOf(&was[i]); before[key] != nil {
+			c.Unlisted = append(c.Unlisted, key)
+			delete(before, key)
+		}
+	}
+	if applied, err := c.applyTasks(was); err != nil || !sameTasks(applied, now) {
+		c.AllTasks, c.Tasks, c.Unlisted = true, now, nil
+	}
+}
+
+// applyTasks applies the changed tasks to a worker's list, which stays as it is.
+func (c *Change) applyTasks(was []dispatch.TaskView) ([]dispatch.TaskView, error) {
+	if c.AllTasks {
+		return c.Tasks, nil
+	}
+	if len(c.Tasks) == 0 && len(c.Unlisted) == 0 {
+		return was, nil
+	}
+	changed := tasksByKey(c.Tasks)
+	unlisted := make(map[TaskKey]bool, len(c.Unlisted))
+	for _, key := range c.Unlisted {
+		unlisted[key] = true
+	}
+	out := make([]dispatch.TaskView, 0, len(was)+len(c.Tasks))
+	for _, task := range was {
+		key := keyOf(&task)
+		if unlisted[key] {
+			delete(unlisted, key)
+			continue
+		}
+		if now := changed[key]; now != nil {
+			task = *now
+			delete(changed, key)
+		}
+		out = append(out, task)
+	}
+	if len(unlisted) > 0 {
+		return nil, fmt.Errorf("%w: %s: a task that was not reported is reported no more", ErrMalformed, c.Name)
+	}
+	for i := range c.Tasks {
+		if key := keyOf(&c.Tasks[i]); changed[key] != nil {
+			out = append(out, c.Tasks[i])
+			delete(changed, key)
+		}
+	}
+	slices.SortStableFunc(out, byKey)
+	return out, nil
+}
--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -7,10 +7,10 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// maxMachines bounds a picture: no holder has more.
-const maxMachines = 20_000
+// maxWorkers bounds the workers of a Decoder: no dispatcher has more.
+const maxWorkers = 20_000
 
-// Decoder is an owner's end of a holder's stream: its picture of that holder's machines.
+// Decoder is a leader's end of a dispatcher's stream: its replica of that dispatcher's views.
 // It is not safe for concurrent use.
 type Decoder struct {
 	stream uint64
@@ -18,108 +18,108 @@
 	states map[string]*state
 }
 
-// NewDecoder returns an empty picture. The name of the stream that it pretends to know is
-// drawn anew, so that only a holder that was told of it can begin: not a message that was
+// NewDecoder returns an empty replica. The identifier of the stream that it pretends to know is
+// drawn anew, so that only a dispatcher that received it can begin: not a message that was
 // sent to a predecessor.
 func NewDecoder() *Decoder {
 	return &Decoder{stream: newStream(), states: map[string]*state{}}
 }
 
-// Reply says up to where this owner knows which stream.
+// Reply says up to where this leader knows which stream.
 func (d *Decoder) Reply() Reply { return Reply{Stream: d.stream, Seq: d.seq} }
 
 // Take applies a message, and returns the views that changed, as of now. A malformed one
-// changes nothing.
+// changes nothing; its error is ErrMalformed.
 func (d *Decoder) Take(m *Message) ([]dispatch.WorkerView, Reply, error) {
 	if m.Frame == nil {
 		return nil, d.heartbeat(m), nil
 	}
-	f, begins := m.Frame, m.Frame.Seq == 1
+	frame, begins := m.Frame, m.Frame.Seq == 1
 	switch {
-	case begins && m.Stream != d.stream && m.After == d.stream && f.Whole && m.Stream != 0:
+	case begins && m.Stream != d.stream && m.After == d.stream && frame.Whole && m.Stream != 0:
 	case m.Stream != d.stream:
-		return nil, d.Reply(), nil // of another life, of the holder or of this owner
-	case f.Seq <= d.seq:
+		return nil, d.Reply(), nil // of another incarnation, of the dispatcher or of this leader
+	case frame.Seq <= d.seq:
 		return nil, d.Reply(), nil // a copy
-	case f.Seq != d.seq+1 || f.Whole:
-		return nil, d.refusal(), fmt.Errorf("%w: frame %d after %d", ErrMalformed, f.Seq, d.seq)
+	case frame.Seq != d.seq+1 || frame.Whole:
+		return nil, d.refusal(), fmt.Errorf("%w: frame %d after %d", ErrMalformed, frame.Seq, d.seq)
 	}
-	made, err := d.made(f, begins)
+	states, err := d.applied(frame, begins)
 	if err != nil {
 		return nil, d.refusal(), err
 	}
 	if begins {
 		d.stream, d.states = m.Stream, map[string]*state{}
 	}
-	d.seq = f.Seq
-	out := make([]dispatch.WorkerView, 0, len(made))
-	for i := range made {
-		s := &made[i]
+	d.seq = frame.Seq
+	out := make([]dispatch.WorkerView, 0, len(states))
+	for i := range states {
+		s := &states[i]
 		d.states[s.view.Name] = s
-		v := s.aged(m.NowMs)
-		v.Holder = m.Holder
-		out = append(out, v)
+		view := s.aged(m.NowMs)
+		view.Holder = m.Holder
+		out = append(out, view)
 	}
-	for _, name := range f.Gone {
+	for _, name := range frame.Gone {
 		delete(d.states, name)
 	}
 	return out, d.Reply(), nil
 }
 
-// made applies a frame's changes, beside the picture.
-func (d *Decoder) made(f *Frame, begins bool) ([]state, error) {
-	made := make([]state, 0, len(f.Changes))
-	if len(d.states)+len(f.Changes) > maxMachines && !begins || len(f.Changes) > maxMachines {
-		return nil, fmt.Errorf("%w: too many machines", ErrMalformed)
+// applied returns what a frame's changes make of the replica, which stays as it is.
+func (d *Decoder) applied(frame *Frame, begins bool) ([]state, error) {
+	states := make([]state, 0, len(frame.Changes))
+	if len(d.states)+len(frame.Changes) > maxWorkers && !begins || len(frame.Changes) > maxWorkers {
+		return nil, fmt.Errorf("%w: too many workers", ErrMalformed)
 	}
-	seen := make(map[string]bool, len(f.Changes))
-	for i := range f.Changes {
-		c := &f.Changes[i]
-		if seen[c.Name] {
-			return nil, fmt.Errorf("%w: %s: twice", ErrMalformed, c.Name)
+	seen := make(map[string]bool, len(frame.Changes))
+	for i := range frame.Changes {
+		change := &frame.Changes[i]
+		if seen[change.Name] {
+			return nil, fmt.Errorf("%w: %s: twice", ErrMalformed, change.Name)
 		}
-		seen[c.Name] = true
+		seen[change.Name] = true
 		var old *state
 		if !begins {
-			old = d.states[c.Name]
+			old = d.states[change.Name]
 		}
-		s, err := c.apply(old, f.AtMs)
+		s, err := change.apply(old, frame.AtMs)
 		if err != nil {
 			return nil, err
 		}
-		made = append(made, s)
+		states = append(states, s)
 	}
-	for _, name := range f.Gone {
+	for _, name := range frame.Gone {
 		if begins || d.states[name] == nil {
-			return nil, fmt.Errorf("%w: %s: gone, and was not known", ErrMalformed, name)
+			return nil, fmt.Errorf("%w: %s: removed, and was not known", ErrMalformed, name)
 		}
 	}
-	return made, nil
+	return states, nil
 }
 
-// aged is the view with the ages as of a later time; its matrix stays, since owners take
+// aged is the view with the ages as of a later time; its matrix stays, since leaders take
 // the time since a view came off by themselves.
 func (s *state) aged(nowMs int64) dispatch.WorkerView {
-	v := s.view
-	v.Matrix = slices.Clone(v.Matrix) // owners take room off it
-	later := max(0, float64(nowMs-s.atMs)/perSecond)
-	if later == 0 {
-		return v
+	view := s.view
+	view.Matrix = slices.Clone(view.Matrix) // leaders take room off it
+	passed := max(0, float64(nowMs-s.atMs)/perSecond)
+	if passed == 0 {
+		return view
 	}
-	v.AgeS, v.UnansweredS = v.AgeS+later, v.UnansweredS+later
-	v.Tasks = append([]dispatch.TaskView(nil), v.Tasks...)
-	for i := range v.Tasks {
-		v.Tasks[i].ForS += later
+	view.AgeS, view.UnansweredS = view.AgeS+passed, view.UnansweredS+passed
+	view.Tasks = append([]dispatch.TaskView(nil), view.Tasks...)
+	for i := range view.Tasks {
+		view.Tasks[i].ForS += passed
 	}
-	return v
+	return view
 }
 
 // heartbeat checks that both ends have the same.
 func (d *Decoder) heartbeat(m *Message) Reply {
-	if m.Stream != d.stream || m.Seq < d.seq { // of another life, or a copy
+	if m.Stream != d.stream || m.Seq < d.seq { // of another incarnation, or a copy
 		return d.Reply()
 	}
-	if m.Seq != d.seq || m.Machines != len(d.states) || m.Sum != sum(d.states) {
+	if m.Seq != d.seq || m.Machines != len(d.states) || m.Sum != digest(d.states) {
 		return d.refusal()
 	}
 	return d.Reply()
--- a/internal/viewsync/receiver.go
+++ b/internal/viewsync/receiver.go
@@ -9,58 +9,61 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// ErrNoOwner means that a message came to a controller that owns no jobs, or has not read
-// their records yet: it would not act on what it is told.
-var ErrNoOwner = errors.New("owns no jobs")
+// ErrNoOwner means that a message came to a controller that leads no jobs, or has not read
+// their records yet: it would not act on what it receives.
+var ErrNoOwner = errors.New("leads no jobs")
 
-// Sink is the owner that observes views.
+// Sink is the scheduler that observes views.
 type Sink interface {
-	// OwnershipEpoch is 0 while the owner acts on no views, and another number each time that
+	// OwnershipEpoch is 0 while the scheduler acts on no views, and another number each time that
 	// it begins to.
 	OwnershipEpoch() uint64
+	// ObserveWorker is called with the Receiver's lock held: it must not call the Receiver.
 	ObserveWorker(dispatch.WorkerView)
 }
 
-// Receiver keeps a picture of each holder's machines for an owner.
+// Receiver keeps a replica of each dispatcher's views for a scheduler. It is safe for concurrent
+// use.
 type Receiver struct {
-	sink    Sink
-	holders []string
+	sink        Sink
+	dispatchers []string
 
 	mu       sync.Mutex
-	tenure   uint64
-	pictures map[string]*Decoder
+	epoch    uint64
+	replicas map[string]*Decoder // by dispatcher
 }
 
-// NewReceiver returns the receiver of an owner, for the views of these holders only.
-func NewReceiver(sink Sink, holders []string) *Receiver {
-	return &Receiver{sink: sink, holders: holders, pictures: map[string]*Decoder{}}
+// NewReceiver returns the receiver of a scheduler, for the views of these dispatchers only.
+func NewReceiver(sink Sink, dispatchers []string) *Receiver {
+	return &Receiver{sink: sink, dispatchers: dispatchers, replicas: map[string]*Decoder{}}
 }
 
-// Take applies a holder's message and hands what changed to the owner. The reply goes to
-// the holder with an error too: it says that the message was not applied.
+// Take applies a dispatcher's message and passes what changed to the scheduler. The reply goes to
+// the dispatcher with an error too: it says that the message was not applied. The errors are
+// ErrNoOwner and ErrMalformed.
 func (r *Receiver) Take(m *Message) (Reply, error) {
-	if !slices.Contains(r.holders, m.Holder) {
-		return Reply{}, fmt.Errorf("%w: no such holder: %q", ErrMalformed, m.Holder)
+	if !slices.Contains(r.dispatchers, m.Holder) {
+		return Reply{}, fmt.Errorf("%w: no such dispatcher: %q", ErrMalformed, m.Holder)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	tenure := r.sink.OwnershipEpoch()
-	if tenure != r.tenure {
-		// What an owner was told before it had its jobs, it did not act on.
-		r.tenure = tenure
-		clear(r.pictures)
+	epoch := r.sink.OwnershipEpoch()
+	if epoch != r.epoch {
+		// What a scheduler received before it had its jobs, it did not act on.
+		r.epoch = epoch
+		clear(r.replicas)
 	}
-	if tenure == 0 {
+	if epoch == 0 {
 		return Reply{}, ErrNoOwner
 	}
-	d := r.pictures[m.Holder]
-	if d == nil {
-		d = NewDecoder()
-		r.pictures[m.Holder] = d
+	replica := r.replicas[m.Holder]
+	if replica == nil {
+		replica = NewDecoder()
+		r.replicas[m.Holder] = replica
 	}
-	changed, reply, err := d.Take(m)
-	for _, v := range changed {
-		r.sink.ObserveWorker(v)
+	changed, reply, err := replica.Take(m)
+	for _, view := range changed {
+		r.sink.ObserveWorker(view)
 	}
 	return reply, err
 }
--- a/internal/viewsync/receiver_test.go
+++ b/internal/viewsync/receiver_test.go
@@ -7,29 +7,28 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// tenant is an owner that has its jobs at times.
-type tenant struct {
-	tenure   uint64
+// epochSink is a scheduler that leads its jobs at times.
+type epochSink struct {
+	epoch    uint64
 	observed []string
 }
 
-func (o *tenant) OwnershipEpoch() uint64 { return o.tenure }
+func (s *epochSink) OwnershipEpoch() uint64 { return s.epoch }
 
-func (o *tenant) ObserveWorker(v dispatch.WorkerView) {
-	if o.tenure > 0 {
-		o.observed = append(o.observed, v.Holder+"/"+v.Name)
+func (s *epochSink) ObserveWorker(v dispatch.WorkerView) {
+	if s.epoch > 0 {
+		s.observed = append(s.observed, v.Holder+"/"+v.Name)
 	}
 }
 
-// TestOwnerIsToldAnew: an owner without jobs is told nothing, and one that comes to have
-// some, for the first time or again, is told all; of holders that it does not know it takes
-// nothing.
-func TestOwnerIsToldAnew(t *testing.T) {
-	o := &tenant{}
-	r := NewReceiver(o, []string{"h"})
+// A scheduler without jobs observes nothing, and one that comes to lead some, for the first time or
+// again, observes all views; it takes nothing from dispatchers that it does not know.
+func TestAllViewsObservedAfterFailover(t *testing.T) {
+	sink := &epochSink{}
+	r := NewReceiver(sink, []string{"h"})
 	p := NewPublisher("h", oneView{dispatch.WorkerView{Name: "n-1", Type: "m"}})
 	nowMs := int64(0)
-	tell := func() {
+	sync := func() {
 		nowMs += heartbeatMs
 		p.Gather(nowMs, []string{"o"})
 		for more := true; more; {
@@ -45,17 +44,17 @@
 		}
 	}
 	for step, want := range []struct {
-		tenure uint64
-		told   int
+		epoch    uint64
+		observed int
 	}{{0, 0}, {1, 1}, {1, 1}, {0, 1}, {0, 1}, {2, 2}, {3, 3}, {3, 3}} {
-		o.tenure = want.tenure
-		tell()
-		tell()
-		if len(o.observed) != want.told || want.told > 0 && o.observed[0] != "h/n-1" {
-			t.Errorf("step %d: told of %v, not %d times", step, o.observed, want.told)
+		sink.epoch = want.epoch
+		sync()
+		sync()
+		if len(sink.observed) != want.observed || want.observed > 0 && sink.observed[0] != "h/n-1" {
+			t.Errorf("step %d: observed %v, not %d times", step, sink.observed, want.observed)
 		}
 	}
 	if _, err := r.Take(&Message{Holder: "x", Stream: 3}); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a message of a holder that is not known: %v", err)
+		t.Errorf("a message of a dispatcher that is not known: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/viewsync/view_state.go
@@ -0,0 +1,152 @@
+package viewsync
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/matching"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+const (
+	// forToleranceS is by how many seconds the age of a task's state may be off before it
+	// is sent anew.
+	forToleranceS = 0.05
+	// waitToleranceS is the same for the waits of a matrix.
+	waitToleranceS = 0.1
+	// ageToleranceS is the same for the age of a report, and of its answer.
+	ageToleranceS = 0.02
+
+	perSecond = 1000 // times are sent in ms
+	perAmount = 1e9  // and amounts rounded: sums of fractions take 17 digits otherwise
+)
+
+// state is a worker's view as of a time on its dispatcher's steady clock.
+type state struct {
+	atMs int64
+	view dispatch.WorkerView
+}
+
+func milliseconds(seconds float64) int64 { return int64(math.Round(seconds * perSecond)) }
+
+func rounded(seconds float64) float64 { return float64(milliseconds(seconds)) / perSecond }
+
+func roundedResources(r matching.Resources) matching.Resources {
+	round := func(x float64) float64 { return math.Round(x*perAmount) / perAmount }
+	return matching.Resources{CPUs: round(r.CPUs), GPUs: round(r.GPUs), MemoryGB: round(r.MemoryGB)}
+}
+
+// rounding gives a view the precision in which it is sent.
+func rounding(v dispatch.WorkerView) dispatch.WorkerView {
+	v.AgeS, v.UnansweredS = rounded(v.AgeS), rounded(v.UnansweredS)
+	v.Tasks = slices.Clone(v.Tasks)
+	for i := range v.Tasks {
+		v.Tasks[i].ForS = rounded(v.Tasks[i].ForS)
+	}
+	slices.SortStableFunc(v.Tasks, byKey)
+	v.Queue = slices.Clone(v.Queue)
+	for i := range v.Queue {
+		v.Queue[i].WaitS = rounded(v.Queue[i].WaitS)
+	}
+	v.Matrix = slices.Clone(v.Matrix)
+	for i := range v.Matrix {
+		v.Matrix[i] = matching.WaitRow{Wait: rounded(v.Matrix[i].Wait), Free: roundedResources(v.Matrix[i].Free)}
+	}
+	if !inOrder(v.Matrix) {
+		v.Matrix = nil // the leader would refuse the whole frame for it
+	}
+	return v
+}
+
+// advanced lets time pass: ages grow, waits shrink.
+func (s state) advanced(toMs int64) state {
+	passed := float64(toMs-s.atMs) / perSecond
+	view := s.view
+	view.AgeS, view.UnansweredS = rounded(view.AgeS+passed), rounded(view.UnansweredS+passed)
+	view.Tasks = slices.Clone(view.Tasks)
+	for i := range view.Tasks {
+		view.Tasks[i].ForS = rounded(view.Tasks[i].ForS + passed)
+	}
+	view.Matrix = slices.Clone(view.Matrix)
+	for i := range view.Matrix {
+		if wait := view.Matrix[i].Wait; wait > 0 {
+			view.Matrix[i].Wait = rounded(max(0, wait-passed))
+		}
+	}
+	return state{toMs, view}
+}
+
+// inOrder reports whether a matrix's rows stand in the order of their waits: look-ups take
+// the first row that fits for the earliest.
+func inOrder(m matching.WaitMatrix) bool {
+	for i := range m {
+		if m[i].Wait < 0 || i > 0 && m[i].Wait < m[i-1].Wait {
+			return false
+		}
+	}
+	return true
+}
+
+// rowFigures is how many figures a row of a matrix takes: its wait, CPUs, GPUs, memory.
+const rowFigures = 4
+
+// packed is a matrix row by row without names, which would take half of a change.
+func packed(m matching.WaitMatrix) []float64 {
+	figures := make([]float64, 0, rowFigures*len(m))
+	for _, row := range m {
+		figures = append(figures, row.Wait, row.Free.CPUs, row.Free.GPUs, row.Free.MemoryGB)
+	}
+	return figures
+}
+
+func unpacked(figures []float64) matching.WaitMatrix {
+	m := make(matching.WaitMatrix, 0, len(figures)/rowFigures)
+	for row := range slices.Chunk(figures, rowFigures) {
+		m = append(m, matching.WaitRow{Wait: row[0], Free: matching.Resources{CPUs: row[1], GPUs: row[2], MemoryGB: row[3]}})
+	}
+	return m
+}
+
+func waits(m matching.WaitMatrix) []float64 {
+	out := make([]float64, 0, len(m))
+	for _, row := range m {
+		out = append(out, row.Wait)
+	}
+	return out
+}
+
+func near(a, b, tolerance float64) bool { return math.Abs(a-b) <= tolerance }
+
+func samePointee[T comparable](a, b *T) bool {
+	return a == b || a != nil && b != nil && *a == *b
+}
+
+func sameFree(a, b matching.WaitMatrix) bool {
+	return slices.EqualFunc(a, b, func(x, y matching.WaitRow) bool { return x.Free == y.Free })
+}
+
+func sameMatrix(a, b matching.WaitMatrix) bool {
+	return slices.EqualFunc(a, b, func(x, y matching.WaitRow) bool {
+		return x.Free == y.Free && near(x.Wait, y.Wait, waitToleranceS) && (x.Wait > 0) == (y.Wait > 0)
+	})
+}
+
+func sameTasks(a, b []dispatch.TaskView) bool { return slices.EqualFunc(a, b, sameTask) }
+
+func sameTask(a, b dispatch.TaskView) bool {
+	return sameReport(a.Task, b.Task) && a.Unknown == b.Unknown && near(a.ForS, b.ForS, forToleranceS)
+}
+
+func sameReport(a, b wire.Task) bool {
+	exit := samePointee(a.Exit, b.Exit)
+	a.Exit, b.Exit = nil, nil
+	return exit && a == b
+}
+
+// byKey orders tasks, whose order in a report means nothing: else one that is new among
+// them had all sent.
+func byKey(a, b dispatch.TaskView) int {
+	return cmp.Or(cmp.Compare(a.Task.Task, b.Task.Task), cmp.Compare(a.Attempt, b.Attempt))
+}
