--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,5 +1,7 @@
-// Package mesh carries messages between controllers over gRPC. Messages are
-// plain structs that the slices define; they travel as JSON.
+// Package mesh carries messages between controllers over gRPC: each controller has a server, and
+// a connection to each other one. Messages are plain structs of the packages that use them, and
+// travel as JSON. The package knows no method by itself, repeats no call, and keeps no view of which
+// peers are reached: see package reachability.
 package mesh
 
 import (
@@ -21,14 +23,21 @@
 )
 
 const (
-	service    = "wallrack.Mesh"
-	maxMessage = 4 << 20
-	window     = 1 << 20 // bytes under way, in a connection or stream
+	service        = "wallrack.Mesh"
+	maxMessage     = 4 << 20 // bytes
+	window         = 1 << 20 // bytes under way, in a connection or stream
+	maxConcurrent  = 64      // calls under way from a peer
+	connectTimeout = time.Second
+	pingEvery      = 10 * time.Second // on a connection with calls under way
+	pingTimeout    = 3 * time.Second
+	// leastPingPause is what a server tolerates; it must be below pingEvery.
+	leastPingPause = 2 * time.Second
 )
 
 // ErrNoPeer means that no such controller is configured.
 var ErrNoPeer = errors.New("no such controller")
 
+// codec encodes messages as JSON.
 type codec struct{}
 
 func (codec) Marshal(v any) ([]byte, error)      { return json.Marshal(v) }
@@ -37,30 +46,21 @@
 
 func init() { encoding.RegisterCodec(codec{}) }
 
-// Mesh is the connections to the other controllers and this one's server.
+// Mesh is the connections to the other controllers and this one's server. After Handle was called for
+// all methods it is safe for concurrent use.
 type Mesh struct {
-	peers   map[string]*grpc.ClientConn
+	peers   map[string]*grpc.ClientConn // by name
 	methods []grpc.MethodDesc
 }
 
-// New prepares connections to the peers, by name; nothing is dialled yet.
+// New prepares connections to the peers, whose addresses are given by name; nothing is dialled
+// before the first call. The caller closes the mesh.
 func New(peers map[string]string) (*Mesh, error) {
 	m := &Mesh{peers: map[string]*grpc.ClientConn{}}
 	for name, addr := range peers {
-		conn, err := grpc.NewClient("passthrough:///"+addr,
-			grpc.WithTransportCredentials(insecure.NewCredentials()),
-			grpc.WithDefaultCallOptions(grpc.CallContentSubtype("json"), grpc.MaxCallRecvMsgSize(maxMessage)),
-			grpc.WithConnectParams(grpc.ConnectParams{
-				Backoff:           backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.3, MaxDelay: time.Second},
-				MinConnectTimeout: time.Second,
-			}),
-			// A window that is set turns off the probing for a better one,
-			// which costs packets with every message.
-			grpc.WithInitialWindowSize(window), grpc.WithInitialConnWindowSize(window),
-			grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 3 * time.Second}),
-			grpc.WithNoProxy(), grpc.WithDisableServiceConfig(),
-		)
+		conn, err := grpc.NewClient("passthrough:///"+addr, dialOptions()...)
 		if err != nil {
+			m.Close()
 			return nil, fmt.Errorf("peer %s: %w", name, err)
 		}
 		m.peers[name] = conn
@@ -68,37 +68,55 @@
 	return m, nil
 }
 
-// Unanswered tells apart the ways in which a call can end without an answer by the
-// peer's handler: refused, if it could not even be sent, or in time.
+func dialOptions() []grpc.DialOption {
+	return []grpc.DialOption{
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDefaultCallOptions(grpc.CallContentSubtype("json"), grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithConnectParams(grpc.ConnectParams{
+			Backoff:           backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.3, MaxDelay: time.Second},
+			MinConnectTimeout: connectTimeout,
+		}),
+		// A window that is set turns off the probing for a better one,
+		// which costs packets with every message.
+		grpc.WithInitialWindowSize(window), grpc.WithInitialConnWindowSize(window),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingEvery, Timeout: pingTimeout}),
+		grpc.WithNoProxy(), grpc.WithDisableServiceConfig(),
+	}
+}
+
+// Unanswered tells apart the ways in which a Call can end without a reply by the
+// peer's handler: refused, if it could not even be sent, or late, if its context ended.
 func Unanswered(err error) (refused, late bool) {
-	code := status.Code(errors.Unwrap(err))
+	code := status.Code(err)
 	return code == codes.Unavailable, code == codes.DeadlineExceeded || code == codes.Canceled
 }
 
-// Peers returns the names of the other controllers.
+// Peers returns the names of the other controllers, in no order.
 func (m *Mesh) Peers() []string {
 	names := make([]string, 0, len(m.peers))
-	for n := range m.peers {
-		names = append(names, n)
+	for name := range m.peers {
+		names = append(names, name)
 	}
 	return names
 }
 
-// Handle registers the handler of a method; call it before Serve.
-func Handle[Req, Rep any](m *Mesh, method string, f func(context.Context, *Req) (*Rep, error)) {
+// Handle registers the handler of a method; call it before Serve. The handler runs on a goroutine of
+// its own for each call, at most 64 for each peer; its context ends with the call.
+func Handle[Req, Rep any](m *Mesh, method string, handler func(context.Context, *Req) (*Rep, error)) {
 	m.methods = append(m.methods, grpc.MethodDesc{
 		MethodName: method,
-		Handler: func(_ any, ctx context.Context, dec func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
+		Handler: func(_ any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 			req := new(Req)
-			if err := dec(req); err != nil {
+			if err := decode(req); err != nil {
 				return nil, err
 			}
-			return f(ctx, req)
+			return handler(ctx, req)
 		},
 	})
 }
 
-// Call asks a peer. A peer that can't be reached fails at once.
+// Call sends a request to a peer and returns its reply. While the peer is not connected, it fails at
+// once. The error is ErrNoPeer, or one that Unanswered tells apart, or the text of the handler's.
 func Call[Req, Rep any](ctx context.Context, m *Mesh, peer, method string, req *Req) (*Rep, error) {
 	conn, ok := m.peers[peer]
 	if !ok {
@@ -111,11 +129,13 @@
 	return rep, nil
 }
 
-// listenFor is how long a busy address is tried again: a predecessor's
-// connections may still hold it.
-const listenFor = 20 * time.Second
+// A busy address is tried again for so long: a predecessor's connections may still hold it.
+const (
+	listenFor  = 20 * time.Second
+	listenWait = 200 * time.Millisecond
+)
 
-// Listen opens an address, waiting for a predecessor to let go of it.
+// Listen opens a TCP address, waiting for a predecessor to release it, and until ctx ends.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	for start := time.Now(); ; {
 		lis, err := net.Listen("tcp", addr)
@@ -124,20 +144,21 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(200 * time.Millisecond):
+		case <-time.After(listenWait):
 		}
 	}
 }
 
-// Serve answers the peers until ctx ends.
+// Serve answers the peers until ctx ends, and then returns its error. Handlers that still run are
+// not waited for: their contexts end.
 func (m *Mesh) Serve(ctx context.Context, addr string) error {
 	lis, err := Listen(ctx, addr)
 	if err != nil {
 		return fmt.Errorf("mesh: %w", err)
 	}
-	srv := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(64),
+	srv := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(maxConcurrent),
 		grpc.InitialWindowSize(window), grpc.InitialConnWindowSize(window),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 2 * time.Second, PermitWithoutStream: true}))
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: leastPingPause, PermitWithoutStream: true}))
 	srv.RegisterService(&grpc.ServiceDesc{ServiceName: service, HandlerType: (*any)(nil), Methods: m.methods}, m)
 	stop := context.AfterFunc(ctx, srv.Stop)
 	defer stop()
@@ -147,9 +168,9 @@
 	return ctx.Err()
 }
 
-// Close ends the connections.
+// Close ends the connections, and the calls that are under way.
 func (m *Mesh) Close() {
-	for _, c := range m.peers {
-		_ = c.Close() // nothing is in flight that matters
+	for _, conn := range m.peers {
+		_ = conn.Close() // fails only if it was closed before
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -15,16 +15,15 @@
 	Text string `json:"text"`
 }
 
-// A call reaches the peer's handler and brings its answer or its error back; a
-// peer that is not there, or not configured, fails the call instead of holding
-// it up.
-func TestCall(t *testing.T) {
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+// A call reaches the peer's handler and brings its reply or its error back; a
+// peer that does not listen, or is not configured, fails the call at once.
+func TestCallToUnreachablePeerFailsAtOnce(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	here := lis.Addr().String()
-	_ = lis.Close()
+	here := listener.Addr().String()
+	_ = listener.Close()
 	m, err := mesh.New(map[string]string{"a": here, "gone": "127.0.0.1:1"})
 	if err != nil {
 		t.Fatal(err)
@@ -41,9 +40,9 @@
 	go func() { defer close(served); _ = m.Serve(ctx, here) }()
 	defer func() { cancel(); <-served }()
 	call := func(peer, text string) (*note, error) {
-		cctx, done := context.WithTimeout(ctx, 5*time.Second)
+		callCtx, done := context.WithTimeout(ctx, 5*time.Second)
 		defer done()
-		return mesh.Call[note, note](cctx, m, peer, "Shout", &note{text})
+		return mesh.Call[note, note](callCtx, m, peer, "Shout", &note{text})
 	}
 	var rep *note
 	for start := time.Now(); time.Since(start) < 5*time.Second; time.Sleep(10 * time.Millisecond) {
--- a/internal/mesh/recorded_test.go
+++ b/internal/mesh/recorded_test.go
@@ -32,7 +32,7 @@
 
 // A call is sent under the names, and in the bytes, that other controllers know.
 func TestRecordedCall(t *testing.T) {
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,9 +49,9 @@
 		request, body = string(body), []byte(recordedReply)
 		return stream.SendMsg(&body)
 	}))
-	go func() { _ = srv.Serve(lis) }() // until it is stopped
+	go func() { _ = srv.Serve(listener) }() // until it is stopped
 	defer srv.Stop()
-	m, err := mesh.New(map[string]string{"a": lis.Addr().String()})
+	m, err := mesh.New(map[string]string{"a": listener.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,13 +69,13 @@
 
 // A call by the names, and in the bytes, that other controllers send is answered in those
 // that they know.
-func TestRecordedAnswer(t *testing.T) {
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+func TestRecordedReply(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	here := lis.Addr().String()
-	_ = lis.Close()
+	here := listener.Addr().String()
+	_ = listener.Close()
 	m, err := mesh.New(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // fails only if it was closed before
 	request, reply := []byte(recordedRequest), []byte(nil)
 	if err := conn.Invoke(ctx, recordedMethod, &request, &reply, grpc.ForceCodec(rawCodec{}), grpc.WaitForReady(true)); err != nil {
 		t.Fatal(err)
--- a/internal/sockets/budget_test.go
+++ b/internal/sockets/budget_test.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/sockets"
 )
 
-// Whatever is open, the connections that are accepted, those of orders and the process's
-// own stay within the limit, and orders that are under way always have a socket.
+// Whatever is open, the connections that are accepted, those for commands and the process's
+// own stay within the limit, and commands that are under way always have a socket.
 func TestBudgetStaysWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		accepted := 0
@@ -25,10 +25,10 @@
 			t.Errorf("%d sockets are left for state service, cloud and peers", own)
 		}
 		if total := accepted + before.Keep + own; total > b.Limit {
-			t.Errorf("%d accepted and %d for orders: %d of %d sockets", accepted, before.Keep, total, b.Limit)
+			t.Errorf("%d accepted and %d for commands: %d of %d sockets", accepted, before.Keep, total, b.Limit)
 		}
 		if before.Open < b.OrdersAtOnce() || before.Keep < before.Open {
-			t.Errorf("%+v with %d orders at once", before, b.OrdersAtOnce())
+			t.Errorf("%+v with %d messages at once", before, b.OrdersAtOnce())
 		}
 		// Users that come and go, up to half of the reserve, close nothing.
 		accepted = min(most, accepted+b.Limit/32)
