--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -58,7 +58,7 @@
 // observe takes a view: first what it says of the worker, then, while this leader's lease
 // holds, what it says of tasks.
 func (r *Reconciler) observe(view *dispatch.WorkerView) {
-	if len(r.state.Loaded) == 0 || r.deleted.Has(view.Name) {
+	if len(r.state.Loaded) == 0 || r.deleted.Contains(view.Name) {
 		return
 	}
 	worker := r.state.WorkerOf(view.Name)
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -17,8 +17,9 @@
 	"log/slog"
 	"sync"
 
+	lru "github.com/hashicorp/golang-lru/v2"
+
 	"github.com/wallrack/wallrack/internal/jobstate"
-	"github.com/wallrack/wallrack/internal/recent"
 )
 
 // maxDeleted is how many deleted workers are remembered.
@@ -31,8 +32,8 @@
 	log   *slog.Logger
 
 	// Guarded by the state's Mu.
-	deleted   *recent.Set // workers that the cloud deleted: late views of them are ignored
-	viewCount uint64      // counts views, to tell which placements the current one lists
+	deleted   *lru.Cache[string, struct{}] // workers that the cloud deleted: late views of them are ignored
+	viewCount uint64                       // counts views, to tell which placements the current one lists
 
 	deferredMu sync.Mutex
 	deferred   []deferredView // see deferView
@@ -40,5 +41,6 @@
 
 // New returns a reconciler of a state.
 func New(state *jobstate.State, log *slog.Logger) *Reconciler {
-	return &Reconciler{state: state, log: log, deleted: recent.NewSet(maxDeleted)}
+	deleted, _ := lru.New[string, struct{}](maxDeleted) // fails for sizes below 1 only
+	return &Reconciler{state: state, log: log, deleted: deleted}
 }
