--- a/internal/cancellation/capacity_test.go
+++ b/internal/cancellation/capacity_test.go
@@ -23,7 +23,7 @@
 }
 
 var capacitySeries = []capacity.Series{
-	{Name: "cancels.message", Sizes: []int{1, 10, 100, 1000}, FixedSlack: 20, Measure: func(tb testing.TB, cancels int) float64 {
+	{Name: "cancellation.message", Sizes: []int{1, 10, 100, 1000}, FixedSlack: 20, Measure: func(tb testing.TB, cancels int) float64 {
 		r := confirmed(tb, cancels)
 		r.lastStamp = 1_000_000_000_000 // of a fixed number of digits
 		r.incarnation = 1 << 63
@@ -33,7 +33,7 @@
 		}
 		return float64(len(data))
 	}},
-	{Name: "cancels.heap", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 4000, Measure: func(tb testing.TB, cancels int) float64 {
+	{Name: "cancellation.heap", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 4000, Measure: func(tb testing.TB, cancels int) float64 {
 		// How a map splits its groups depends on the seed of its hashes.
 		return capacity.Median(func() float64 { return capacity.Heap(func() any { return confirmed(tb, cancels) }) })
 	}},
--- a/internal/cancellation/registry.go
+++ b/internal/cancellation/registry.go
@@ -8,7 +8,7 @@
 // send of its own message that the peer's message echoes: whatever the peer had
 // confirmed by then is in the peer's updates. What it knows from the state service
 // counts up to the send of a read of all living jobs, since a cancel is recorded there
-// before it is confirmed. docs/meetings.md has the arithmetic.
+// before it is confirmed. docs/combined-faults.md has the arithmetic.
 //
 // The package sends no messages and reads no state service itself: its caller carries
 // messages between controllers, and reports what it read.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -309,7 +309,7 @@
 			t.Fatalf("a leads %v", a.OwnedShards())
 		}
 		doneB := run(ctx, b)
-		for end := time.Now().Add(3 * ttl); view.delayed.Load() == nil && time.Now().Before(end); {
+		for end := time.Now().Add(2 * ttl); view.delayed.Load() == nil && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if view.delayed.Load() == nil {
--- a/internal/reachability/capacity_test.go
+++ b/internal/reachability/capacity_test.go
@@ -56,10 +56,10 @@
 }
 
 var capacitySeries = []capacity.Series{
-	{Name: "links.row", Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, heard int) float64 {
+	{Name: "reachability.row", Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, heard int) float64 {
 		return jsonBytes(tb, newStatus(heard))
 	}},
-	{Name: "links.passed", Sizes: []int{3, 4, 6, 12}, FixedSlack: 20, Measure: func(tb testing.TB, controllers int) float64 {
+	{Name: "reachability.passed", Sizes: []int{3, 4, 6, 12}, FixedSlack: 20, Measure: func(tb testing.TB, controllers int) float64 {
 		t, peers := newRelayingTable(controllers)
 		total := 0.0
 		for _, p := range peers {
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -181,32 +181,32 @@
 
 // capacitySeries are the series of docs/CAPACITY.md that this package measures.
 var capacitySeries = []capacity.Series{
-	{Name: "owner.heapOfMachines", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 20_000, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "scheduler.heapOfMachines", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 20_000, Measure: func(tb testing.TB, workers int) float64 {
 		return capacity.Heap(func() any { return newCluster(tb, workers, 0).scheduler })
 	}},
-	{Name: "owner.heapOfJobs", Sizes: []int{200, 400, 800, 1600}, FixedSlack: 20_000, Measure: func(tb testing.TB, jobs int) float64 {
+	{Name: "scheduler.heapOfJobs", Sizes: []int{200, 400, 800, 1600}, FixedSlack: 20_000, Measure: func(tb testing.TB, jobs int) float64 {
 		return capacity.Heap(func() any { return newCluster(tb, 0, jobs).scheduler })
 	}},
-	{Name: "owner.heapOfPlaces", Sizes: []int{800, 1600, 3200, 6400}, FixedSlack: 86_000, Measure: func(tb testing.TB, tasks int) float64 {
+	{Name: "scheduler.heapOfPlaces", Sizes: []int{800, 1600, 3200, 6400}, FixedSlack: 86_000, Measure: func(tb testing.TB, tasks int) float64 {
 		return capacity.Median(func() float64 { return heapOfPlacements(tb, tasks) }) // candidates are drawn at random
 	}},
-	{Name: "owner.heapOfTeams", Sizes: []int{50, 100, 200, 400}, FixedSlack: 10_000, Measure: func(tb testing.TB, teams int) float64 {
+	{Name: "scheduler.heapOfTeams", Sizes: []int{50, 100, 200, 400}, FixedSlack: 10_000, Measure: func(tb testing.TB, teams int) float64 {
 		return capacity.Heap(func() any { return newSchedulerOfTeams(tb, teams) })
 	}},
-	{Name: "owner.requestsOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, tasks int) float64 {
+	{Name: "scheduler.requestsOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, tasks int) float64 {
 		requests, _, _ := writesOfPlacements(tb, tasks)
 		return requests
 	}},
-	{Name: "owner.writesOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, tasks int) float64 {
+	{Name: "scheduler.writesOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, tasks int) float64 {
 		_, writes, _ := writesOfPlacements(tb, tasks)
 		return writes
 	}},
-	{Name: "owner.bytesOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1000, Measure: func(tb testing.TB, tasks int) float64 {
+	{Name: "scheduler.bytesOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1000, Measure: func(tb testing.TB, tasks int) float64 {
 		_, _, bytes := writesOfPlacements(tb, tasks)
 		return bytes
 	}},
-	{Name: "owner.writesOfEnds", Sizes: []int{25, 50, 100, 200}, FixedSlack: 1, Measure: func(tb testing.TB, jobs int) float64 { return writesOfEnds(tb, jobs) }},
-	{Name: "owner.allocsOfReport", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "scheduler.writesOfEnds", Sizes: []int{25, 50, 100, 200}, FixedSlack: 1, Measure: func(tb testing.TB, jobs int) float64 { return writesOfEnds(tb, jobs) }},
+	{Name: "scheduler.allocsOfReport", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, workers int) float64 {
 		cluster, i := newCluster(tb, workers, 0), 0
 		return testing.AllocsPerRun(workers, func() {
 			view := &cluster.views[i%workers]
@@ -215,11 +215,11 @@
 			i++
 		})
 	}},
-	{Name: "owner.allocsOfTakeover", Sizes: []int{100, 200, 400, 800}, FixedSlack: 200, Measure: func(tb testing.TB, jobs int) float64 {
+	{Name: "scheduler.allocsOfTakeover", Sizes: []int{100, 200, 400, 800}, FixedSlack: 200, Measure: func(tb testing.TB, jobs int) float64 {
 		cluster := newFailoverCluster(tb, jobs)
 		return testing.AllocsPerRun(1, func() { cluster.failOver(tb) })
 	}},
-	{Name: "owner.report", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "scheduler.report", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
 		cluster, i := newCluster(tb, workers, someJobs), 0
 		cluster.scheduler.Pass()
 		return capacity.ProcessorTime(tb, func() {
@@ -229,15 +229,15 @@
 			i++
 		})
 	}},
-	{Name: "owner.passOfMachines", Scatters: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "scheduler.passOfMachines", Scatters: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
 		cluster := newCluster(tb, workers, someJobs)
 		return capacity.ProcessorTime(tb, cluster.scheduler.Pass)
 	}},
-	{Name: "owner.passOfJobs", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: func(tb testing.TB, jobs int) float64 {
+	{Name: "scheduler.passOfJobs", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: func(tb testing.TB, jobs int) float64 {
 		cluster := newCluster(tb, someWorkers, jobs)
 		return capacity.ProcessorTime(tb, cluster.scheduler.Pass)
 	}},
-	{Name: "owner.placeTasks", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, tasks int) float64 {
+	{Name: "scheduler.placeTasks", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, tasks int) float64 {
 		return capacity.ProcessorTimeOf(tb, func() func() {
 			cluster := newIdleCluster(tb, tasks)
 			return func() {
@@ -248,12 +248,12 @@
 			}
 		})
 	}},
-	{Name: "owner.demand", Scatters: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "scheduler.demand", Scatters: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
 		cluster := newCluster(tb, workers, someJobs)
 		cluster.scheduler.Pass()
 		return capacity.ProcessorTime(tb, func() { cluster.scheduler.Demand(20) })
 	}},
-	{Name: "owner.takeover", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: func(tb testing.TB, jobs int) float64 {
+	{Name: "scheduler.takeover", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: func(tb testing.TB, jobs int) float64 {
 		cluster := newFailoverCluster(tb, jobs)
 		return capacity.ProcessorTime(tb, func() { cluster.failOver(tb) })
 	}},
--- a/internal/submission/capacity_test.go
+++ b/internal/submission/capacity_test.go
@@ -80,16 +80,16 @@
 }
 
 var capacitySeries = []capacity.Series{
-	{Name: "intake.allocsOfSubmission", Sizes: []int{50, 100, 200, 400}, FixedSlack: 3, Measure: func(tb testing.TB, teams int) float64 {
+	{Name: "submission.allocsOfSubmission", Sizes: []int{50, 100, 200, 400}, FixedSlack: 3, Measure: func(tb testing.TB, teams int) float64 {
 		mux := listener(tb, teams)
 		submit(tb, mux, 1)
 		return testing.AllocsPerRun(100, func() { submit(tb, mux, 1) })
 	}},
-	{Name: "intake.submission", Scatters: true, Sizes: []int{50, 100, 200, 400}, Measure: func(tb testing.TB, teams int) float64 {
+	{Name: "submission.submission", Scatters: true, Sizes: []int{50, 100, 200, 400}, Measure: func(tb testing.TB, teams int) float64 {
 		mux, number := listener(tb, teams), 0
 		return capacity.ProcessorTime(tb, func() { number++; submit(tb, mux, number) })
 	}},
-	{Name: "intake.connections", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: connectionMemory},
+	{Name: "submission.connections", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: connectionMemory},
 }
 
 func TestCapacity(t *testing.T)      { capacity.Check(t, capacitySeries...) }
--- a/internal/viewsync/capacity_test.go
+++ b/internal/viewsync/capacity_test.go
@@ -81,15 +81,15 @@
 }
 
 var capacitySeries = []capacity.Series{
-	{Name: "views.whole", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "viewsync.whole", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
 		whole, _ := sentBytes(tb, workers, 0)
 		return whole
 	}},
-	{Name: "views.report", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "viewsync.report", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
 		_, change := sentBytes(tb, workers, 0)
 		return change
 	}},
-	{Name: "views.start", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "viewsync.start", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
 		_, change := sentBytes(tb, workers, 1)
 		return change
 	}},
