--- a/internal/scheduler/write_outcome_test.go
+++ b/internal/scheduler/write_outcome_test.go
@@ -110,3 +110,53 @@
 		}
 	}
 }
+
+// The changes of a write that surely failed are written again by the leadership that made
+// them, and by no later one of the same controller.
+func TestFailedWriteIsRepeatedByItsOwnLeadershipOnly(t *testing.T) {
+	for _, c := range []struct {
+		name              string
+		lost, led, repeat bool
+	}{
+		{"the shard is still led", false, true, true},
+		{"the shard was lost and is led again", true, true, false},
+		{"the shard was lost", true, false, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			leader, store := newScripted(t)
+			_, record := acceptedJob(t, 5)
+			record.Value = json.RawMessage(strings.Replace(string(record.Value), `"pieces":1`, `"pieces":2`, 1))
+			store.items["live/"] = []wire.Item{record}
+			store.items["log/"] = []wire.Item{{
+				Key: "log/000/00000", Version: 6,
+				Value: json.RawMessage(`{"seq":1,"m":["n-1"],"j":[{"u":"j-1","p":[0,1,0]}]}`),
+			}}
+			if err := leader.Load(t.Context()); err != nil {
+				t.Fatal(err)
+			}
+			leader.ObserveWorker(dispatch.WorkerView{
+				Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Holder: "a",
+				Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}}},
+			})
+			if err := leader.WriteOnce(t.Context()); err == nil {
+				t.Fatal("the first write has a response")
+			}
+			if c.lost {
+				leader.Unload()
+			}
+			if c.lost && c.led {
+				if err := leader.Load(t.Context()); err != nil {
+					t.Fatal(err)
+				}
+			}
+			store.txn = func() (uint64, error) { return 0, &statestore.Conflict{Keys: []string{"c/shard/000"}} }
+			store.get = func(string) (wire.Item, error) { return wire.Item{}, statestore.ErrNotFound }
+			if err := leader.WriteOnce(t.Context()); err != nil {
+				t.Fatal(err)
+			}
+			if n := leader.QueueDepths()["unwritten"]; n > 0 != c.repeat {
+				t.Errorf("%d changes are to be written", n)
+			}
+		})
+	}
+}
--- a/internal/shardlog/outcome.go
+++ b/internal/shardlog/outcome.go
@@ -70,7 +70,9 @@
 	}
 }
 
-// undo puts back what a transaction that surely was not applied was made of.
+// undo puts back what a transaction that surely was not applied was made of. Changes of a
+// log that was lost meanwhile are dropped, also if the shard is led here again: the replay
+// has found what became of their placements, and their accounting rows would count twice.
 func (w *Writer) undo(txn *transaction) {
 	w.pending = nil
 	for _, change := range txn.unloggedChanges {
@@ -78,7 +80,9 @@
 	}
 	for i := range txn.logWrites {
 		write := &txn.logWrites[i]
-		w.state.Unwritten[write.shard] = append(write.changes, w.state.Unwritten[write.shard]...)
+		if w.logs[write.shard] == write.log {
+			w.state.Unwritten[write.shard] = append(write.changes, w.state.Unwritten[write.shard]...)
+		}
 	}
 	for _, job := range txn.endedJobs {
 		job.EndWriteSent = false
