--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -101,7 +101,7 @@
 		case err == nil:
 			m.renewed(ctx, sent)
 		case errors.Is(err, statestore.ErrNotFound):
-			m.log.Info("lease lost", "lease", lease)
+			m.log.Info("lease expired", "lease", lease)
 			return
 		default:
 			m.log.Debug("lease renewal failed", "lease", lease, "err", err)
