--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -4,9 +4,6 @@
 	"context"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
-	"reflect"
 	"testing"
 	"time"
 
@@ -28,26 +25,10 @@
 	"github.com/wallrack/wallrack/internal/slurmtask"
 	"github.com/wallrack/wallrack/internal/statestore"
 	"github.com/wallrack/wallrack/internal/taskspec"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// checkRecorded checks that a message that was recorded reads as want, and that want is
-// still written with the very bytes that were recorded.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(recorded, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s reads as %+v, %v; it was %+v", file, got, err, want)
-	}
-	if data, err := json.Marshal(want); err != nil || string(data)+"\n" != string(recorded) {
-		t.Errorf("%s is written as\n%s, %v; it was\n%s", file, data, err, recorded)
-	}
-}
-
 // The mesh's methods keep the names under which other controllers call them.
 func TestRecordedMethods(t *testing.T) {
 	for _, method := range []struct{ is, was string }{
@@ -149,31 +130,31 @@
 // Messages between controllers about links, workers and cancels keep their form.
 func TestRecordedLinkMessages(t *testing.T) {
 	cancellations := fullCancellations()
-	checkRecorded(t, "ping_full.json", pingMessage{Status: fullStatus(), Cancellations: &cancellations, Relayed: []reachability.RelayedStatus{{Status: fullStatus(), AgeS: 1.25}}})
-	checkRecorded(t, "ping_empty.json", pingMessage{})
-	checkRecorded(t, "seen_full.json", probeQuery{Worker: "n-000231", Endpoint: "10.1.0.232:9000", OutboundLost: true})
-	checkRecorded(t, "seen_empty.json", probeQuery{})
-	checkRecorded(t, "seen_reply_full.json", probeReply{Responsive: true})
-	checkRecorded(t, "seen_reply_empty.json", probeReply{})
-	checkRecorded(t, "vouch_full.json", attestationQuery{Workers: []string{"n-000231", "n-000232"}})
-	checkRecorded(t, "vouch_empty.json", attestationQuery{})
-	checkRecorded(t, "vouch_reply_full.json", attestationReply{UnansweredS: []float64{50.25, 61.5}})
-	checkRecorded(t, "vouch_reply_empty.json", attestationReply{})
-	checkRecorded(t, "gone_full.json", removedMessage{Workers: []string{"n-000231", "n-000232"}})
-	checkRecorded(t, "gone_empty.json", removedMessage{})
-	checkRecorded(t, "nothing.json", empty{})
-	checkRecorded(t, "cancels_full.json", cancellationMessage{From: "c1", Message: cancellations})
-	checkRecorded(t, "cancels_empty.json", cancellationMessage{})
-	checkRecorded(t, "cancels_reply_full.json", cancellations)
-	checkRecorded(t, "cancels_reply_empty.json", cancellation.Message{})
+	recorded.Check(t, "ping_full", pingMessage{Status: fullStatus(), Cancellations: &cancellations, Relayed: []reachability.RelayedStatus{{Status: fullStatus(), AgeS: 1.25}}})
+	recorded.Check(t, "ping_empty", pingMessage{})
+	recorded.Check(t, "seen_full", probeQuery{Worker: "n-000231", Endpoint: "10.1.0.232:9000", OutboundLost: true})
+	recorded.Check(t, "seen_empty", probeQuery{})
+	recorded.Check(t, "seen_reply_full", probeReply{Responsive: true})
+	recorded.Check(t, "seen_reply_empty", probeReply{})
+	recorded.Check(t, "vouch_full", attestationQuery{Workers: []string{"n-000231", "n-000232"}})
+	recorded.Check(t, "vouch_empty", attestationQuery{})
+	recorded.Check(t, "vouch_reply_full", attestationReply{UnansweredS: []float64{50.25, 61.5}})
+	recorded.Check(t, "vouch_reply_empty", attestationReply{})
+	recorded.Check(t, "gone_full", removedMessage{Workers: []string{"n-000231", "n-000232"}})
+	recorded.Check(t, "gone_empty", removedMessage{})
+	recorded.Check(t, "nothing", empty{})
+	recorded.Check(t, "cancels_full", cancellationMessage{From: "c1", Message: cancellations})
+	recorded.Check(t, "cancels_empty", cancellationMessage{})
+	recorded.Check(t, "cancels_reply_full", cancellations)
+	recorded.Check(t, "cancels_reply_empty", cancellation.Message{})
 }
 
 // Relayed requests to the state service, and their responses, keep their form.
 func TestRecordedStoreMessages(t *testing.T) {
-	checkRecorded(t, "store_full.json", statestore.RelayedRequest{Method: "POST", Path: "/store/txn", Body: []byte(`{"guards":[]}`), Writes: 3, Priority: statestore.Urgent})
-	checkRecorded(t, "store_empty.json", statestore.RelayedRequest{})
-	checkRecorded(t, "store_reply_full.json", statestore.RelayedResponse{Status: 200, Body: []byte(`{"ledger":99}`)})
-	checkRecorded(t, "store_reply_empty.json", statestore.RelayedResponse{})
+	recorded.Check(t, "store_full", statestore.RelayedRequest{Method: "POST", Path: "/store/txn", Body: []byte(`{"guards":[]}`), Writes: 3, Priority: statestore.Urgent})
+	recorded.Check(t, "store_empty", statestore.RelayedRequest{})
+	recorded.Check(t, "store_reply_full", statestore.RelayedResponse{Status: 200, Body: []byte(`{"ledger":99}`)})
+	recorded.Check(t, "store_reply_empty", statestore.RelayedResponse{})
 }
 
 func fullJob() wire.Job {
@@ -188,9 +169,9 @@
 // Messages about the waiting work, and about machines, keep their form.
 func TestRecordedDemandMessages(t *testing.T) {
 	job, shape := fullJob(), matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
-	checkRecorded(t, "demand_full.json", demandQuery{BootS: 90.5})
-	checkRecorded(t, "demand_empty.json", demandQuery{})
-	checkRecorded(t, "demand_reply_full.json", demandReply{
+	recorded.Check(t, "demand_full", demandQuery{BootS: 90.5})
+	recorded.Check(t, "demand_empty", demandQuery{})
+	recorded.Check(t, "demand_reply_full", demandReply{
 		Demand: []planner.Demand{{Shape: shape, Job: &job, Count: 5, Run: 900.25, Rank: 2, Slack: 30.5}},
 		Loads: []planner.WorkerLoad{{
 			Name: "n-000231", Type: "g8", Zone: "a", Spot: true, Notice: true, Faulty: true,
@@ -199,10 +180,10 @@
 		}},
 		FailedWorkers: map[string]string{"n-000232": "silent"}, AdmittedWork: 12345.5,
 	})
-	checkRecorded(t, "demand_reply_empty.json", demandReply{})
-	checkRecorded(t, "demand_reply_plain.json", demandReply{Demand: []planner.Demand{{}}, Loads: []planner.WorkerLoad{{}}, FailedWorkers: map[string]string{}})
-	checkRecorded(t, "machines_full.json", []wire.MachineInfo{{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, HeardS: 1.25}})
-	checkRecorded(t, "machines_empty.json", []wire.MachineInfo{})
+	recorded.Check(t, "demand_reply_empty", demandReply{})
+	recorded.Check(t, "demand_reply_plain", demandReply{Demand: []planner.Demand{{}}, Loads: []planner.WorkerLoad{{}}, FailedWorkers: map[string]string{}})
+	recorded.Check(t, "machines_full", []wire.MachineInfo{{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, HeardS: 1.25}})
+	recorded.Check(t, "machines_empty", []wire.MachineInfo{})
 }
 
 func fullConstraints() *jobspec.Constraints {
@@ -215,16 +196,16 @@
 
 // Messages for Slurm-style clients keep their form.
 func TestRecordedSlurmMessages(t *testing.T) {
-	checkRecorded(t, "facts_full.json", factsQuery{UID: "j-000400", Name: "train", User: "ada", Number: 4001})
-	checkRecorded(t, "facts_empty.json", factsQuery{})
-	checkRecorded(t, "facts_reply_full.json", factsReply{
+	recorded.Check(t, "facts_full", factsQuery{UID: "j-000400", Name: "train", User: "ada", Number: 4001})
+	recorded.Check(t, "facts_empty", factsQuery{})
+	recorded.Check(t, "facts_reply_full", factsReply{
 		Known: true, Facts: jobspec.JobFacts{Started: true, StartedMs: 1700000000123, Over: true, OK: true}, HasEarlier: true,
 	})
-	checkRecorded(t, "facts_reply_empty.json", factsReply{})
+	recorded.Check(t, "facts_reply_empty", factsReply{})
 	cursor := jobquery.Cursor{Number: 4001, On: 20, Task: 7}
-	checkRecorded(t, "desk_full.json", slurmapi.Request{Verb: "drop", UID: "j-000400", From: cursor, Tasks: "3,5"})
-	checkRecorded(t, "desk_empty.json", slurmapi.Request{})
-	checkRecorded(t, "desk_reply_full.json", slurmapi.Reply{
+	recorded.Check(t, "desk_full", slurmapi.Request{Verb: "drop", UID: "j-000400", From: cursor, Tasks: "3,5"})
+	recorded.Check(t, "desk_empty", slurmapi.Request{})
+	recorded.Check(t, "desk_reply_full", slurmapi.Reply{
 		Status: 200, Why: "no such job is waiting or running", Next: &cursor,
 		Jobs: []jobquery.Info{{
 			Job: fullJob(), Constraints: fullConstraints(), AcceptedMs: 1700000000123, Stage: wire.StageRunning, Reason: "Resources", EligibleMs: 1700000001123,
@@ -232,7 +213,7 @@
 			Running: 1, Done: 2, Failed: 6, Ending: &jobspec.Ending{Number: 4001, State: "FAILED", Exit: 137, Failed: 6, StartMs: 1700000002123, EndMs: 1700000009123},
 		}},
 	})
-	checkRecorded(t, "desk_reply_empty.json", slurmapi.Reply{})
+	recorded.Check(t, "desk_reply_empty", slurmapi.Reply{})
 }
 
 // The statuses of roll-outs between controllers keep their form.
@@ -243,7 +224,7 @@
 		Slurm: &slurmtask.Context{Number: 4001, Tasks: 8, Array: "0-7", Name: "train", User: "ada", Output: "o-%j", Error: "e-%j", Step: true, Cluster: "north"},
 	}}
 	batches := func(uid string) []rollout.Batch { return []rollout.Batch{{UID: uid, Replicas: 3, Version: "v7"}} }
-	checkRecorded(t, "rollouts_full.json", []rollout.Status{{
+	recorded.Check(t, "rollouts_full", []rollout.Status{{
 		Service: rollout.Service{Name: "front", Replicas: 6, Template: fullJob(), Version: version, Batches: batches("j-000500")},
 		Run: &rollout.Run{
 			ID: 2,
@@ -258,8 +239,8 @@
 		},
 		Jobs: map[string]rollout.JobSeen{"j-000501": {Gone: true, Running: 3, Healthy: 2, Unhealthy: "j-000501/1", Hung: "j-000501/2"}},
 	}})
-	checkRecorded(t, "rollouts_plain.json", []rollout.Status{{}})
-	checkRecorded(t, "rollouts_empty.json", []rollout.Status{})
+	recorded.Check(t, "rollouts_plain", []rollout.Status{{}})
+	recorded.Check(t, "rollouts_empty", []rollout.Status{})
 }
 
 func closeNow(t *testing.T, c io.Closer) {
--- a/internal/dispatch/recorded_test.go
+++ b/internal/dispatch/recorded_test.go
@@ -1,56 +1,37 @@
 package dispatch_test
 
 import (
-	"os"
-	"path/filepath"
-	"reflect"
 	"testing"
 
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/dispatch"
 	"github.com/wallrack/wallrack/internal/matching"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// checkRecorded checks that a message that was recorded reads as want, and that want is
-// still written with the very bytes that were recorded.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(recorded, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s reads as %+v, %v; it was %+v", file, got, err, want)
-	}
-	if data, err := json.Marshal(want); err != nil || string(data)+"\n" != string(recorded) {
-		t.Errorf("%s is written as\n%s, %v; it was\n%s", file, data, err, recorded)
-	}
-}
-
 // Instructions, grants and views keep the form in which controllers send them.
 func TestRecorded(t *testing.T) {
 	ref := dispatch.TaskRef{Machine: "n-000231", Task: "j-000400/7", Attempt: 3}
 	shape := matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
-	checkRecorded(t, "direction_full.json", dispatch.Instructions{
+	recorded.Check(t, "direction_full", dispatch.Instructions{
 		From:            "c1",
 		Assign:          []dispatch.QueueEntry{{TaskRef: ref, Owner: "c1", Resources: shape, Run: 900.5, Fetch: 18.25, Rank: 2, DueAt: 1234.5, Listed: true}},
 		Halt:            []dispatch.Halt{{TaskRef: ref, GraceS: 12.5}},
 		Clear:           []dispatch.Clear{{TaskRef: ref, Token: 41}},
 		RaiseTokenAbove: 42,
 	})
-	checkRecorded(t, "direction_empty.json", dispatch.Instructions{})
-	checkRecorded(t, "entry_empty.json", dispatch.QueueEntry{})
-	checkRecorded(t, "halt_empty.json", dispatch.Halt{})
-	checkRecorded(t, "clear_empty.json", dispatch.Clear{})
-	checkRecorded(t, "unlaunched_full.json", dispatch.Unlaunched{Refs: []dispatch.TaskRef{ref}, Token: 41})
-	checkRecorded(t, "unlaunched_empty.json", dispatch.Unlaunched{})
-	checkRecorded(t, "grant_requests_full.json", []dispatch.GrantRequest{{TaskRef: ref, Holder: "c2", Token: 41, Session: 2}})
-	checkRecorded(t, "grant_requests_empty.json", []dispatch.GrantRequest{{}})
-	checkRecorded(t, "grant_replies_full.json", []dispatch.GrantReply{{OK: true, Drop: true}})
-	checkRecorded(t, "grant_replies_empty.json", []dispatch.GrantReply{{}})
+	recorded.Check(t, "direction_empty", dispatch.Instructions{})
+	recorded.Check(t, "entry_empty", dispatch.QueueEntry{})
+	recorded.Check(t, "halt_empty", dispatch.Halt{})
+	recorded.Check(t, "clear_empty", dispatch.Clear{})
+	recorded.Check(t, "unlaunched_full", dispatch.Unlaunched{Refs: []dispatch.TaskRef{ref}, Token: 41})
+	recorded.Check(t, "unlaunched_empty", dispatch.Unlaunched{})
+	recorded.Check(t, "grant_requests_full", []dispatch.GrantRequest{{TaskRef: ref, Holder: "c2", Token: 41, Session: 2}})
+	recorded.Check(t, "grant_requests_empty", []dispatch.GrantRequest{{}})
+	recorded.Check(t, "grant_replies_full", []dispatch.GrantReply{{OK: true, Drop: true}})
+	recorded.Check(t, "grant_replies_empty", []dispatch.GrantReply{{}})
 }
 
 // A view keeps its form; what it says of sameness stays here.
@@ -66,10 +47,10 @@
 		Queue:  []dispatch.QueueView{{TaskRef: dispatch.TaskRef{Machine: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
 		Matrix: matching.WaitMatrix{{Wait: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 1, MemoryGB: 8.25}}},
 	}
-	checkRecorded(t, "view_full.json", view)
-	checkRecorded(t, "view_empty.json", dispatch.WorkerView{})
-	checkRecorded(t, "task_view_empty.json", dispatch.TaskView{})
-	checkRecorded(t, "queue_view_empty.json", dispatch.QueueView{})
+	recorded.Check(t, "view_full", view)
+	recorded.Check(t, "view_empty", dispatch.WorkerView{})
+	recorded.Check(t, "task_view_empty", dispatch.TaskView{})
+	recorded.Check(t, "queue_view_empty", dispatch.QueueView{})
 	same := view
 	same.Same = true
 	plain, err := json.Marshal(view)
--- a/internal/reachability/recorded_test.go
+++ b/internal/reachability/recorded_test.go
@@ -3,31 +3,14 @@
 import (
 	"os"
 	"path/filepath"
-	"reflect"
 	"testing"
 
 	"github.com/goccy/go-json"
 
 	"github.com/wallrack/wallrack/internal/reachability"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// checkRecorded checks that a message that was recorded reads as want, and that want is
-// still written with the very bytes that were recorded.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(recorded, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s reads as %+v, %v; it was %+v", file, got, err, want)
-	}
-	if data, err := json.Marshal(want); err != nil || string(data)+"\n" != string(recorded) {
-		t.Errorf("%s is written as\n%s, %v; it was\n%s", file, data, err, recorded)
-	}
-}
-
 func fullStatus() reachability.NodeStatus {
 	return reachability.NodeStatus{
 		Node: "c1", StartedMs: 1700000000123, Seq: 77, StoreReachable: true, LeaseHeld: true, OwnsJobs: true, PreferredLeader: "c2", CloudReachable: true,
@@ -38,12 +21,12 @@
 
 // A controller's status, which it sends and stores, keeps its form.
 func TestRecordedNodeStatus(t *testing.T) {
-	checkRecorded(t, "row_full.json", fullStatus())
-	checkRecorded(t, "row_empty.json", reachability.NodeStatus{})
-	checkRecorded(t, "seat_empty.json", reachability.Assignment{})
-	checkRecorded(t, "relayed_full.json", reachability.RelayedStatus{Status: fullStatus(), AgeS: 1.25})
-	checkRecorded(t, "relayed_empty.json", reachability.RelayedStatus{})
-	checkRecorded(t, "names_full.json", reachability.NewNameSet([]string{"n-000231", "n-000232"}, 64))
+	recorded.Check(t, "row_full", fullStatus())
+	recorded.Check(t, "row_empty", reachability.NodeStatus{})
+	recorded.Check(t, "seat_empty", reachability.Assignment{})
+	recorded.Check(t, "relayed_full", reachability.RelayedStatus{Status: fullStatus(), AgeS: 1.25})
+	recorded.Check(t, "relayed_empty", reachability.RelayedStatus{})
+	recorded.Check(t, "names_full", reachability.NewNameSet([]string{"n-000231", "n-000232"}, 64))
 }
 
 // The names in a recorded set are found in it.
@@ -60,7 +43,7 @@
 
 // What operators see of the links keeps its form.
 func TestRecordedOpsStatus(t *testing.T) {
-	checkRecorded(t, "shown_full.json", reachability.OpsStatus{
+	recorded.Check(t, "shown_full", reachability.OpsStatus{
 		Node: "c1", State: "straight", Kept: 2, CancelsAgeS: 0.25, Cancelled: 3, Answers: true,
 		Links: []reachability.OpsLink{{To: "c2", Is: "up", SinceS: 61.5}},
 		Controllers: []reachability.OpsNode{{
@@ -68,7 +51,7 @@
 			Reports: 120, Expected: 130.5, Lacks: []string{"c3"},
 		}},
 	})
-	checkRecorded(t, "shown_empty.json", reachability.OpsStatus{})
-	checkRecorded(t, "shown_link_empty.json", reachability.OpsLink{})
-	checkRecorded(t, "shown_node_empty.json", reachability.OpsNode{})
+	recorded.Check(t, "shown_empty", reachability.OpsStatus{})
+	recorded.Check(t, "shown_link_empty", reachability.OpsLink{})
+	recorded.Check(t, "shown_node_empty", reachability.OpsNode{})
 }
--- a/internal/viewsync/recorded_test.go
+++ b/internal/viewsync/recorded_test.go
@@ -1,34 +1,13 @@
 package viewsync
 
 import (
-	"os"
-	"path/filepath"
-	"reflect"
 	"testing"
 
-	"github.com/goccy/go-json"
-
 	"github.com/wallrack/wallrack/internal/dispatch"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// checkRecorded checks that a message that was recorded reads as want, and that want is
-// still written with the very bytes that were recorded.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(recorded, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s reads as %+v, %v; it was %+v", file, got, err, want)
-	}
-	if data, err := json.Marshal(want); err != nil || string(data)+"\n" != string(recorded) {
-		t.Errorf("%s is written as\n%s, %v; it was\n%s", file, data, err, recorded)
-	}
-}
-
 func fullChange() Change {
 	age, unanswered, notice, exit := int64(500), int64(1250), 30.5, 137
 	return Change{
@@ -49,17 +28,17 @@
 
 // Messages of the streams of views keep their short names.
 func TestRecorded(t *testing.T) {
-	checkRecorded(t, "message_full.json", Message{
+	recorded.Check(t, "message_full", Message{
 		Holder: "c2", Stream: 7001, After: 7000, Seq: 12, Machines: 300, Sum: 987654321, NowMs: 65000,
 		Frame: &Frame{Seq: 13, AtMs: 64950, Whole: true, Changes: []Change{fullChange()}, Gone: []string{"n-000232"}},
 	})
-	checkRecorded(t, "message_empty.json", Message{})
-	checkRecorded(t, "frame_empty.json", Frame{})
-	checkRecorded(t, "change_full.json", fullChange())
-	checkRecorded(t, "change_empty.json", Change{})
-	checkRecorded(t, "site_empty.json", Site{})
-	checkRecorded(t, "condition_empty.json", Condition{})
-	checkRecorded(t, "task_key_empty.json", TaskKey{})
-	checkRecorded(t, "reply_full.json", Reply{Stream: 7001, Seq: 13, Refused: true})
-	checkRecorded(t, "reply_empty.json", Reply{})
+	recorded.Check(t, "message_empty", Message{})
+	recorded.Check(t, "frame_empty", Frame{})
+	recorded.Check(t, "change_full", fullChange())
+	recorded.Check(t, "change_empty", Change{})
+	recorded.Check(t, "site_empty", Site{})
+	recorded.Check(t, "condition_empty", Condition{})
+	recorded.Check(t, "task_key_empty", TaskKey{})
+	recorded.Check(t, "reply_full", Reply{Stream: 7001, Seq: 13, Refused: true})
+	recorded.Check(t, "reply_empty", Reply{})
 }
