--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -66,13 +66,20 @@
 	return cluster
 }
 
-// placeAll makes passes until so many tasks of these jobs are placed.
+// placeAll makes passes until so many tasks of these jobs are placed. The workers go on
+// sending heartbeats meanwhile: on a busy machine they would count as unheard after some
+// seconds, and nothing more would be placed.
 func (c *fakeCluster) placeAll(tb testing.TB, jobs, tasks int) {
 	const maxPasses = 5000 // a pass ends with its time, in which a busy machine places few
+	heartbeats := time.Now()
 	for passes, placed := 0, 0; placed < tasks; passes++ {
 		if passes == maxPasses {
 			tb.Fatalf("%d of %d tasks placed in %d passes", placed, tasks, passes)
 		}
+		if time.Since(heartbeats) > time.Second {
+			c.idleWorkers(tasks / 4)
+			heartbeats = time.Now()
+		}
 		c.scheduler.Pass()
 		placed = 0
 		for i := range jobs {
