--- /dev/null
+++ b/internal/client/accounting.go
@@ -0,0 +1,78 @@
+package client
+
+import (
+	"context"
+	"net/url"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"github.com/wallrack/wallrack/internal/accounting"
+	"github.com/wallrack/wallrack/internal/jobquery"
+)
+
+// Accounts calls each for every accounting row of a UTC day, one row after the other, never
+// concurrently. Rows may be repeated. The next pages are requested while some
+// are unpacked, which takes all processors.
+func (c *Client) Accounts(ctx context.Context, day time.Time, each func(*accounting.Row)) error {
+	reader, err := accounting.NewReader()
+	if err != nil {
+		return err
+	}
+	defer reader.Close()
+	group, ctx := errgroup.WithContext(ctx)
+	fetched := make(chan []string, 1)
+	group.Go(func() error {
+		defer close(fetched)
+		return c.fetchAccounts(ctx, day, fetched)
+	})
+	group.Go(func() error {
+		for pages := range fetched {
+			if err := unpackAccounts(reader, pages, each); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+	return group.Wait()
+}
+
+// fetchAccounts sends the packed pages of a day, as many at a time as one response has.
+func (c *Client) fetchAccounts(ctx context.Context, day time.Time, fetched chan<- []string) error {
+	path := "/accounting/" + accounting.Day(day)
+	for after := ""; ; {
+		var rows jobquery.Rows
+		if err := c.getJSON(ctx, path+"?after="+url.QueryEscape(after), &rows); err != nil {
+			return err
+		}
+		select {
+		case fetched <- rows.Pages:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+		if rows.Next == "" {
+			return nil
+		}
+		after = rows.Next
+	}
+}
+
+// unpackAccounts unpacks pages concurrently and calls each for their rows in order.
+func unpackAccounts(reader *accounting.Reader, pages []string, each func(*accounting.Row)) error {
+	rows := make([][]accounting.Row, len(pages))
+	var unpack errgroup.Group
+	for i, page := range pages {
+		unpack.Go(func() error {
+			return reader.Unpack(page, func(row *accounting.Row) { rows[i] = append(rows[i], *row) })
+		})
+	}
+	if err := unpack.Wait(); err != nil {
+		return err
+	}
+	for _, page := range rows {
+		for i := range page {
+			each(&page[i])
+		}
+	}
+	return nil
+}
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -14,12 +14,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// site answers as it is told, one answer after the other, and the last for ever.
+// site responds with the given responses one after the other, the last one repeatedly.
 type site struct {
-	mu      sync.Mutex
-	answers []func(http.ResponseWriter)
-	bodies  []string
-	at      []time.Time
+	mu        sync.Mutex
+	responses []func(http.ResponseWriter)
+	bodies    []string
+	received  []time.Time
 }
 
 func (s *site) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -33,12 +33,12 @@
 	buf := make([]byte, 4096)
 	n, _ := r.Body.Read(buf) // the bodies are short
 	b.Write(buf[:n])
-	s.bodies, s.at = append(s.bodies, b.String()), append(s.at, time.Now())
-	f := s.answers[0]
-	if len(s.answers) > 1 {
-		s.answers = s.answers[1:]
+	s.bodies, s.received = append(s.bodies, b.String()), append(s.received, time.Now())
+	respond := s.responses[0]
+	if len(s.responses) > 1 {
+		s.responses = s.responses[1:]
 	}
-	f(w)
+	respond(w)
 }
 
 func status(code int, body string) func(http.ResponseWriter) {
@@ -51,23 +51,24 @@
 	}
 }
 
-// lost cuts the connection: the request may have been executed.
-func lost(http.ResponseWriter) { panic(http.ErrAbortHandler) }
+// lostResponse cuts the connection: the request may have been executed.
+func lostResponse(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
-func serve(t *testing.T, answers ...func(http.ResponseWriter)) (*client.Client, *site) {
-	s := &site{answers: answers}
+func serve(t *testing.T, responses ...func(http.ResponseWriter)) (*client.Client, *site) {
+	t.Helper()
+	s := &site{responses: responses}
 	srv := httptest.NewServer(s)
 	t.Cleanup(srv.Close)
 	return client.New(srv.URL), s
 }
 
-// A submission without an answer is repeated as it was, and no sooner than it is
-// told; what is refused for good is not.
-func TestSubmitRepeatsTheSame(t *testing.T) {
-	c, s := serve(t, lost, status(http.StatusServiceUnavailable, ""), status(http.StatusOK, `{"uid":"j-1","stage":"queued"}`))
+// A submission without a response is repeated unchanged, and not before Retry-After is
+// over; a refused one is not repeated.
+func TestSubmitRepeatsUnchangedAfterLostResponse(t *testing.T) {
+	c, s := serve(t, lostResponse, status(http.StatusServiceUnavailable, ""), status(http.StatusOK, `{"uid":"j-1","stage":"queued"}`))
 	job := &wire.Job{UID: "j-1", Class: "a", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, Image: "none"}
-	d := &taskspec.Spec{Argv: []string{"true"}, CPUs: 1}
-	if st, err := c.Submit(t.Context(), job, d); err != nil || st.Stage != wire.StageQueued {
+	description := &taskspec.Spec{Argv: []string{"true"}, CPUs: 1}
+	if st, err := c.Submit(t.Context(), job, description); err != nil || st.Stage != wire.StageQueued {
 		t.Fatalf("%+v, %v", st, err)
 	}
 	if len(s.bodies) != 3 || s.bodies[0] != s.bodies[2] {
@@ -76,17 +77,17 @@
 	if _, err := wire.ParseJob([]byte(s.bodies[0])); err != nil {
 		t.Errorf("not a submission: %v", err)
 	}
-	if after := s.at[2].Sub(s.at[1]); after < 2*time.Second {
-		t.Errorf("asked again after %v, told 2 s", after)
+	if after := s.received[2].Sub(s.received[1]); after < 2*time.Second {
+		t.Errorf("repeated after %v, Retry-After was 2 s", after)
 	}
 	c, s = serve(t, status(http.StatusUnprocessableEntity, `{"error":"unknown team"}`))
-	if _, err := c.Submit(t.Context(), job, d); !errors.Is(err, client.ErrRefused) || !strings.Contains(err.Error(), "unknown team") || len(s.bodies) != 1 {
+	if _, err := c.Submit(t.Context(), job, description); !errors.Is(err, client.ErrRefused) || !strings.Contains(err.Error(), "unknown team") || len(s.bodies) != 1 {
 		t.Errorf("%v after %d requests", err, len(s.bodies))
 	}
 }
 
-// What can't be told in time is said to be unknown, never "not found".
-func TestUnknownIsNotNotFound(t *testing.T) {
+// A site that can't say in time means an unknown outcome, never "not found".
+func TestUnavailableSiteMeansUnknownNotNotFound(t *testing.T) {
 	c, _ := serve(t, status(http.StatusServiceUnavailable, `{"error":"can't tell now"}`))
 	c.Retry = 3 * time.Second
 	if _, err := c.Status(t.Context(), "j-1"); !errors.Is(err, client.ErrUnknown) || errors.Is(err, client.ErrNotFound) {
@@ -96,8 +97,8 @@
 	if _, err := c.Cancel(t.Context(), "j-1"); !errors.Is(err, client.ErrNotFound) {
 		t.Error(err)
 	}
-	c, s := serve(t, status(http.StatusOK, `{"uid":"j-1","stage":"running"}`), lost, status(http.StatusOK, `{"uid":"j-1","stage":"done","done":1}`))
-	if st, err := c.Wait(t.Context(), "j-1"); err != nil || st.Stage != wire.StageDone || len(s.at) != 3 {
-		t.Errorf("%+v, %v after %d polls", st, err, len(s.at))
+	c, s := serve(t, status(http.StatusOK, `{"uid":"j-1","stage":"running"}`), lostResponse, status(http.StatusOK, `{"uid":"j-1","stage":"done","done":1}`))
+	if st, err := c.Wait(t.Context(), "j-1"); err != nil || st.Stage != wire.StageDone || len(s.received) != 3 {
+		t.Errorf("%+v, %v after %d polls", st, err, len(s.received))
 	}
 }
--- a/internal/client/recorded_test.go
+++ b/internal/client/recorded_test.go
@@ -19,32 +19,32 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// requests notes what it is asked, and answers with an object that suits all.
+// requests records each request and responds with an object that suits all.
 type requests struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 func (r *requests) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	body, _ := io.ReadAll(req.Body) // what came is compared
+	body, _ := io.ReadAll(req.Body) // what arrived is compared
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fmt.Fprintf(&r.text, "%s %s\n\t%s\n", req.Method, req.RequestURI, body)
 	_, _ = io.WriteString(w, `{"uid":"j-1","stage":"done","first":7}`) // a client that left sees nothing
 }
 
-// The paths, query and bodies of all that a client asks.
+// The paths, queries and bodies of every request of a client.
 func TestRecordedRequests(t *testing.T) {
 	r := &requests{}
 	srv := httptest.NewServer(r)
 	defer srv.Close()
 	c, ctx := client.New(srv.URL), t.Context()
 	var job wire.Job
-	var with jobspec.Constraints
-	var what taskspec.Spec
+	var constraints jobspec.Constraints
+	var description taskspec.Spec
 	recorded.Fill(&job)
-	recorded.Fill(&with)
-	recorded.Fill(&what)
+	recorded.Fill(&constraints)
+	recorded.Fill(&description)
 	job.UID = "j-1"
 	check := func(err error) {
 		t.Helper()
@@ -52,11 +52,11 @@
 			t.Error(err)
 		}
 	}
-	_, err := c.Submit(ctx, &job, &what)
+	_, err := c.Submit(ctx, &job, &description)
 	check(err)
-	_, err = c.SubmitWith(ctx, &job, &with, &what, false)
+	_, err = c.SubmitWith(ctx, &job, &constraints, &description, false)
 	check(err)
-	_, err = c.SubmitWith(ctx, &job, &with, &what, true)
+	_, err = c.SubmitWith(ctx, &job, &constraints, &description, true)
 	check(err)
 	_, err = c.SubmitDescribed(ctx, &wire.Job{UID: "j-plain"})
 	check(err)
--- /dev/null
+++ b/internal/client/request.go
@@ -0,0 +1,175 @@
+package client
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+const (
+	requestTimeout = 5 * time.Second
+	pollTimeout    = 2 * time.Second // of a GET about a job, which is repeated soon anyway
+	minRetryPause  = time.Second
+	maxRetryPause  = 30 * time.Second // longest Retry-After that is followed
+	defaultRetry   = 60 * time.Second
+	maxBodyBytes   = 64 << 20
+)
+
+// attempt is the outcome of one request of a series of repeats.
+type attempt struct {
+	conclusive bool          // a repeat would bring nothing else
+	retryAfter time.Duration // least pause before the next request
+	err        error
+}
+
+// response is what a site responded to one request.
+type response struct {
+	status     int
+	body       []byte
+	retryAfter time.Duration // of the header Retry-After; 0: none
+}
+
+// Raw gets a path of the operators' interface or a task's output, with the repeats and
+// errors of Send.
+func (c *Client) Raw(ctx context.Context, path string) ([]byte, error) {
+	return c.Send(ctx, http.MethodGet, path, nil)
+}
+
+// Once gets a path with a single request. The error wraps ErrUnknown, whatever the status.
+func (c *Client) Once(ctx context.Context, path string) ([]byte, error) {
+	resp, err := c.do(ctx, http.MethodGet, path, nil, requestTimeout)
+	if err == nil && resp.status != http.StatusOK {
+		err = fmt.Errorf("%w: status %d", ErrUnknown, resp.status)
+	}
+	return resp.body, err
+}
+
+// Send sends a request of the operators' interface and returns the body of the response. It
+// is repeated until the response is conclusive or c.Retry is over. The error wraps
+// ErrNotFound, ErrRefused or ErrUnknown.
+func (c *Client) Send(ctx context.Context, method, path string, data []byte) (out []byte, err error) {
+	err = c.retry(ctx, func(ctx context.Context) attempt {
+		resp, err := c.do(ctx, method, path, data, requestTimeout)
+		switch {
+		case err != nil:
+			return attempt{retryAfter: resp.retryAfter, err: err}
+		case resp.status == http.StatusOK:
+			out = resp.body
+			return attempt{conclusive: true}
+		case resp.status == http.StatusNotFound:
+			return attempt{conclusive: true, err: fmt.Errorf("%w: %s", ErrNotFound, problem(resp.body))}
+		case resp.status/100 == 4 && resp.status != http.StatusTooManyRequests:
+			return attempt{conclusive: true, err: fmt.Errorf("%w: %s", ErrRefused, problem(resp.body))}
+		}
+		return attempt{retryAfter: resp.retryAfter, err: fmt.Errorf("%w: status %d", ErrUnknown, resp.status)}
+	})
+	return out, err
+}
+
+// jobRequest repeats a request about a job until the response is conclusive.
+func (c *Client) jobRequest(ctx context.Context, method, path string, body []byte) (state *wire.JobState, err error) {
+	timeout := requestTimeout
+	if method == http.MethodGet {
+		timeout = pollTimeout
+	}
+	err = c.retry(ctx, func(ctx context.Context) attempt {
+		resp, err := c.do(ctx, method, path, body, timeout)
+		if err != nil {
+			return attempt{retryAfter: resp.retryAfter, err: err}
+		}
+		switch resp.status {
+		case http.StatusOK, http.StatusCreated:
+			var received wire.JobState
+			if err := json.Unmarshal(resp.body, &received); err != nil {
+				return attempt{retryAfter: resp.retryAfter, err: errMalformed}
+			}
+			state = &received
+			return attempt{conclusive: true}
+		case http.StatusNotFound:
+			return attempt{conclusive: true, err: ErrNotFound}
+		case http.StatusBadRequest, http.StatusUnprocessableEntity:
+			return attempt{conclusive: true, err: fmt.Errorf("%w: %s", ErrRefused, problem(resp.body))}
+		}
+		return attempt{retryAfter: resp.retryAfter, err: fmt.Errorf("%w: status %d: %s", ErrUnknown, resp.status, problem(resp.body))}
+	})
+	return state, err
+}
+
+// errMalformed is the error of a response that can't be decoded.
+var errMalformed = fmt.Errorf("%w: malformed answer", ErrUnknown)
+
+// do sends one request. On an error of the body's transfer the response still has retryAfter.
+func (c *Client) do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (response, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, bytes.NewReader(body))
+	if err != nil {
+		return response{}, fmt.Errorf("request %s: %w", path, err)
+	}
+	req.Header.Set("Content-Type", "application/json")
+	received, err := c.httpClient.Do(req)
+	if err != nil {
+		return response{}, fmt.Errorf("%w: %w", ErrUnknown, err)
+	}
+	defer func() { _ = received.Body.Close() }() // the body was read: nothing is lost
+	var resp response
+	if seconds, err := strconv.Atoi(received.Header.Get("Retry-After")); err == nil {
+		resp.retryAfter = min(maxRetryPause, time.Duration(seconds)*time.Second)
+	}
+	data, err := io.ReadAll(io.LimitReader(received.Body, maxBodyBytes))
+	if err != nil {
+		return resp, fmt.Errorf("%w: %w", ErrUnknown, err)
+	}
+	resp.status, resp.body = received.StatusCode, data
+	return resp, nil
+}
+
+// retry calls request until it is conclusive or without error, for c.Retry in all. The
+// error is the last attempt's.
+func (c *Client) retry(ctx context.Context, request func(context.Context) attempt) error {
+	limit := c.Retry
+	if limit == 0 {
+		limit = defaultRetry
+	}
+	end := time.Now().Add(limit)
+	for {
+		last := request(ctx)
+		pause := max(minRetryPause, last.retryAfter)
+		if last.conclusive || last.err == nil || time.Now().Add(pause).After(end) {
+			return last.err
+		}
+		if err := sleep(ctx, pause); err != nil {
+			return fmt.Errorf("%w: %w", last.err, err)
+		}
+	}
+}
+
+// sleep returns after the pause, or with ctx's error if that is done before.
+func sleep(ctx context.Context, pause time.Duration) error {
+	timer := time.NewTimer(pause)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-timer.C:
+		return nil
+	}
+}
+
+// problem is the reason that the body of an unsuccessful response states.
+func problem(body []byte) string {
+	var stated wire.Problem
+	if json.Unmarshal(body, &stated) == nil && stated.Error != "" {
+		return stated.Error
+	}
+	return strings.TrimSpace(fmt.Sprintf("%.200s", body))
+}
--- a/internal/client/slurm.go
+++ b/internal/client/slurm.go
@@ -7,12 +7,9 @@
 	"net/http"
 	"net/url"
 	"strconv"
-	"time"
 
 	"github.com/goccy/go-json"
-	"golang.org/x/sync/errgroup"
 
-	"github.com/wallrack/wallrack/internal/accounting"
 	"github.com/wallrack/wallrack/internal/jobid"
 	"github.com/wallrack/wallrack/internal/jobquery"
 	"github.com/wallrack/wallrack/internal/jobspec"
@@ -20,98 +17,101 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// get asks for a path and reads the answer.
-func (c *Client) get(ctx context.Context, path string, into any) error {
+// getJSON gets a path with the repeats and errors of Send and decodes the response.
+func (c *Client) getJSON(ctx context.Context, path string, into any) error {
 	data, err := c.Raw(ctx, path)
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return fmt.Errorf("%w: malformed answer", ErrUnknown)
+		return errMalformed
 	}
 	return nil
 }
 
-// Site asks what Slurm-style clients need to know of the site.
+// Site returns what Slurm-style clients need to know of the site. The error wraps
+// ErrRefused if the site doesn't serve them.
 func (c *Client) Site(ctx context.Context) (*jobquery.Site, error) {
-	var s jobquery.Site
-	err := c.get(ctx, "/slurm/site", &s)
+	var site jobquery.Site
+	err := c.getJSON(ctx, "/slurm/site", &site)
 	if errors.Is(err, ErrNotFound) {
 		return nil, fmt.Errorf("%w: Slurm-style clients are switched off at this site", ErrRefused)
 	}
-	return &s, err
+	return &site, err
 }
 
-// Numbers takes so many numbers in a row for a new job. A repeat takes others.
+// Numbers reserves count consecutive job numbers for a new job and returns the first. A
+// repeat reserves others; numbers that no job gets stay unused.
 func (c *Client) Numbers(ctx context.Context, count int) (uint64, error) {
 	out, err := c.Send(ctx, http.MethodPost, "/slurm/numbers", []byte(`{"count":`+strconv.Itoa(count)+`}`))
 	if err != nil {
 		return 0, err
 	}
-	var j jobid.Job
-	if err := json.Unmarshal(out, &j); err != nil || j.First == 0 {
-		return 0, fmt.Errorf("%w: malformed answer", ErrUnknown)
+	var reserved jobid.Job
+	if err := json.Unmarshal(out, &reserved); err != nil || reserved.First == 0 {
+		return 0, errMalformed
 	}
-	return j.First, nil
+	return reserved.First, nil
 }
 
-// SubmitWith submits a job with terms, as Submit does. With test it is checked
-// only.
-func (c *Client) SubmitWith(ctx context.Context, job *wire.Job, t *jobspec.Constraints, d *taskspec.Spec, test bool) (*wire.JobState, error) {
-	if !test {
-		if err := c.describe(ctx, job.UID, d); err != nil {
+// SubmitWith submits a job with constraints, with the repeats and errors of Submit. With
+// dryRun the site only checks the job, and nothing is uploaded.
+func (c *Client) SubmitWith(ctx context.Context, job *wire.Job, constraints *jobspec.Constraints, description *taskspec.Spec, dryRun bool) (*wire.JobState, error) {
+	if !dryRun {
+		if err := c.describe(ctx, job.UID, description); err != nil {
 			return nil, err
 		}
 	}
-	data, err := json.Marshal(submission(job))
+	data, err := encodeSubmission(job)
 	if err != nil {
-		return nil, fmt.Errorf("encode job: %w", err)
+		return nil, err
 	}
-	body, err := json.Marshal(jobquery.Submission{Job: data, Constraints: t, DryRun: test})
+	body, err := json.Marshal(jobquery.Submission{Job: data, Constraints: constraints, DryRun: dryRun})
 	if err != nil {
 		return nil, fmt.Errorf("encode job: %w", err)
 	}
-	return c.ask(ctx, http.MethodPost, "/slurm/jobs", body)
+	return c.jobRequest(ctx, http.MethodPost, "/slurm/jobs", body)
 }
 
-// Find returns the job that a number belongs to.
-func (c *Client) Find(ctx context.Context, n uint64) (*jobid.Job, error) {
-	var j jobid.Job
-	return &j, c.get(ctx, "/slurm/numbers/"+strconv.FormatUint(n, 10), &j)
+// Find returns the job that a number belongs to. It is never nil; with an error, which
+// wraps ErrNotFound if no job has the number, it is empty.
+func (c *Client) Find(ctx context.Context, number uint64) (*jobid.Job, error) {
+	var found jobid.Job
+	return &found, c.getJSON(ctx, "/slurm/numbers/"+strconv.FormatUint(number, 10), &found)
 }
 
-// Info shows a job, living or over.
+// Info returns what is known of a job, active or ended. It is never nil.
 func (c *Client) Info(ctx context.Context, uid string) (*jobquery.Info, error) {
-	var i jobquery.Info
-	return &i, c.get(ctx, "/slurm/jobs/"+url.PathEscape(uid), &i)
+	var info jobquery.Info
+	return &info, c.getJSON(ctx, "/slurm/jobs/"+url.PathEscape(uid), &info)
 }
 
-// Jobs lists the living jobs, a page at a time. A page that does not come is asked
-// for again, of whichever controller answers.
-func (c *Client) Jobs(ctx context.Context, each func(p *jobquery.Page) error) error {
+// Jobs lists the active jobs and passes each page to each, whose error ends the listing. A
+// page that doesn't arrive is requested again, from whichever controller responds.
+func (c *Client) Jobs(ctx context.Context, each func(page *jobquery.Page) error) error {
 	var from jobquery.Cursor
 	for {
-		var p jobquery.Page
-		if err := c.get(ctx, fmt.Sprintf("/slurm/jobs?number=%d&on=%d&task=%d", from.Number, from.On, from.Task), &p); err != nil {
+		var page jobquery.Page
+		if err := c.getJSON(ctx, fmt.Sprintf("/slurm/jobs?number=%d&on=%d&task=%d", from.Number, from.On, from.Task), &page); err != nil {
 			return err
 		}
-		if err := each(&p); err != nil || p.Next == nil {
+		if err := each(&page); err != nil || page.Next == nil {
 			return err
 		}
-		if *p.Next == from {
+		if *page.Next == from { // else a site that repeats a page is listed without end
 			return fmt.Errorf("%w: the listing does not go on", ErrUnknown)
 		}
-		from = *p.Next
+		from = *page.Next
 	}
 }
 
-// Order asks something of a living job: hold or release.
+// Order applies a verb, "hold" or "release", to an active job, with the errors of Send.
 func (c *Client) Order(ctx context.Context, uid, verb string) error {
 	_, err := c.Send(ctx, http.MethodPost, "/slurm/jobs/"+url.PathEscape(uid)+"/"+verb, nil)
 	return err
 }
 
-// Drop cancels tasks of a living job alone.
+// Drop cancels some tasks of an active job, with the errors of Send.
 func (c *Client) Drop(ctx context.Context, uid string, tasks jobspec.Ranges) error {
 	body, err := json.Marshal(map[string]string{"tasks": tasks.String()})
 	if err != nil {
@@ -120,56 +120,3 @@
 	_, err = c.Send(ctx, http.MethodPost, "/slurm/jobs/"+url.PathEscape(uid)+"/drop", body)
 	return err
 }
-
-// Accounts hands every row of accounting of a day, which is UTC's, to each, one
-// after the other. Rows may come twice. While some pages are unpacked, on every
-// processor, the next are asked for.
-func (c *Client) Accounts(ctx context.Context, day time.Time, each func(*accounting.Row)) error {
-	rd, err := accounting.NewReader()
-	if err != nil {
-		return err
-	}
-	defer rd.Close()
-	g, ctx := errgroup.WithContext(ctx)
-	answers := make(chan []string, 1)
-	g.Go(func() error {
-		defer close(answers)
-		path := "/accounting/" + accounting.Day(day)
-		for after := ""; ; {
-			var rows jobquery.Rows
-			if err := c.get(ctx, path+"?after="+url.QueryEscape(after), &rows); err != nil {
-				return err
-			}
-			select {
-			case answers <- rows.Pages:
-			case <-ctx.Done():
-				return ctx.Err()
-			}
-			if rows.Next == "" {
-				return nil
-			}
-			after = rows.Next
-		}
-	})
-	g.Go(func() error {
-		for pages := range answers {
-			rows := make([][]accounting.Row, len(pages))
-			var unpack errgroup.Group
-			for i, p := range pages {
-				unpack.Go(func() error {
-					return rd.Unpack(p, func(r *accounting.Row) { rows[i] = append(rows[i], *r) })
-				})
-			}
-			if err := unpack.Wait(); err != nil {
-				return err
-			}
-			for _, page := range rows {
-				for i := range page {
-					each(&page[i])
-				}
-			}
-		}
-		return nil
-	})
-	return g.Wait()
-}
