--- a/cmd/wallctl/slurm_test.go
+++ b/cmd/wallctl/local_site_test.go
@@ -55,11 +55,11 @@
 	return ready, cmd.Process.Pid
 }
 
-// ctl runs a command of this program.
+// ctl runs a command of this program against a site.
 func ctl(t *testing.T, server string, args ...string) (out string, err error) {
 	t.Helper()
 	var b bytes.Buffer
-	c := command()
+	c := newRootCommand()
 	c.SetOut(&b)
 	c.SetErr(&b)
 	c.SetArgs(append([]string{"--server", server}, args...))
@@ -69,6 +69,7 @@
 	return b.String(), err
 }
 
+// must is ctl for a command that has to succeed.
 func must(t *testing.T, server string, args ...string) string {
 	t.Helper()
 	out, err := ctl(t, server, args...)
@@ -78,83 +79,105 @@
 	return strings.TrimSpace(out)
 }
 
-// Identical workloads from both clients on one machine start by priority and then
-// by when they came, whichever client brought them, and their accounting is the
-// same line for line.
-func TestBothClientsAreTreatedAlike(t *testing.T) {
-	url, _ := localSite(t, 1)
-	t.Chdir(t.TempDir())
-	// All the others wait until it is cancelled: on a busy machine submitting them took
-	// longer than a short job did, and the last to come, an urgent one, started last.
-	blocker := must(t, url, "submit", "--class", "adhoc", "--cpus", "2", "--estimate-s", "3", "--", "sleep", "300")
-	for i := 0; !strings.Contains(must(t, url, "status", blocker), "running"); i++ {
+// eventually waits until a condition holds, and fails the test with what it lacks after 30 s.
+func eventually(t *testing.T, lacks func() string, holds func() bool) {
+	t.Helper()
+	for i := 0; !holds(); i++ {
 		if i > 60 {
-			t.Fatal("the first job does not run")
+			t.Fatal(lacks())
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	var want []string
-	for _, p := range []string{"low", "normal", "urgent"} {
-		native := must(t, url, "submit", "--priority", p, "--cpus", "2", "--memory-gb", "0.125", "--estimate-s", "60", "--", "sleep", "0.1")
-		number := must(t, url, "sbatch", "--parsable", "-q", p, "-c", "2", "--mem", "128", "-t", "1", "--wrap", "sleep 0.1")
+}
+
+// submitPairs submits the same short job with both clients at each priority, lowest first,
+// and returns the jobs' names in the order in which they should start.
+func submitPairs(t *testing.T, url string) (want []string) {
+	t.Helper()
+	for _, priority := range []string{"low", "normal", "urgent"} {
+		native := must(t, url, "submit", "--priority", priority, "--cpus", "2", "--memory-gb", "0.125", "--estimate-s", "60", "--", "sleep", "0.1")
+		number := must(t, url, "sbatch", "--parsable", "-q", priority, "-c", "2", "--mem", "128", "-t", "1", "--wrap", "sleep 0.1")
 		want = append([]string{native, number}, want...)
 	}
-	for i := 0; strings.Count(must(t, url, "squeue", "-h"), "\n") != len(want); i++ { // and the blocker
-		if i > 60 {
-			t.Fatal("not all wait:\n" + must(t, url, "squeue"))
+	return want
+}
+
+// endTimes reads the end of each attempt, in ms, by the uid and by the number of its job.
+func endTimes(t *testing.T, export string) map[string]int {
+	t.Helper()
+	ended := map[string]int{}
+	for _, l := range strings.Split(export, "\n") {
+		f := strings.Split(l, ",")
+		if f[0] != "attempt" {
+			continue
 		}
-		time.Sleep(500 * time.Millisecond)
-	}
-	must(t, url, "cancel", blocker)
-	for i := 0; must(t, url, "squeue", "-h") != ""; i++ {
-		if i > 60 {
-			t.Fatal("the jobs are not over:\n" + must(t, url, "squeue"))
+		ms, err := strconv.Atoi(f[17])
+		if err != nil || ms == 0 {
+			t.Fatalf("%q: no end: %v", l, err)
 		}
-		time.Sleep(500 * time.Millisecond)
+		ended[f[1]], ended[f[2]] = ms, ms
 	}
+	return ended
+}
+
+// Identical workloads from both clients on one worker start by priority and then by
+// submission, whichever client submitted them, and their accounting is the same line for line.
+func TestNativeAndSlurmJobsStartAndAccountAlike(t *testing.T) {
+	url, _ := localSite(t, 1)
+	t.Chdir(t.TempDir())
+	// All the others wait until it is cancelled: on a busy machine submitting them took
+	// longer than a short job did, and the last to come, an urgent one, started last.
+	blocker := must(t, url, "submit", "--class", "adhoc", "--cpus", "2", "--estimate-s", "3", "--", "sleep", "300")
+	eventually(t, func() string { return "the first job does not run" }, func() bool { return strings.Contains(must(t, url, "status", blocker), "running") })
+	want := submitPairs(t, url)
+	eventually(t, func() string { return "not all wait:\n" + must(t, url, "squeue") }, func() bool {
+		return strings.Count(must(t, url, "squeue", "-h"), "\n") == len(want) // and the blocker
+	})
+	must(t, url, "cancel", blocker)
+	eventually(t, func() string { return "the jobs are not over:\n" + must(t, url, "squeue") }, func() bool { return must(t, url, "squeue", "-h") == "" })
 	lines := strings.Split(must(t, url, "sacct", "-a", "-X", "-n", "-P", "-o", "Start,JobIDRaw,WallrackUID,Account,QOS,Partition,AllocCPUS,ReqMem,State,ExitCode,Elapsed,NodeList,Restarts"), "\n")
-	slices.Sort(lines)
 	if len(lines) != 7 {
 		t.Fatalf("%d lines:\n%s", len(lines), strings.Join(lines, "\n"))
 	}
 	// They run one at a time, so they end as they started. Starts can't be compared:
 	// of a task that starts and ends between two reports only the end is on record.
 	export := must(t, url, "accounting", "export", "--format", "csv")
-	ended := map[string]int{}
-	for _, l := range strings.Split(export, "\n") {
-		f := strings.Split(l, ",")
-		if f[0] == "attempt" {
-			ms, err := strconv.Atoi(f[17])
-			if err != nil || ms == 0 {
-				t.Fatalf("%q: no end: %v", l, err)
-			}
-			ended[f[1]], ended[f[2]] = ms, ms
-		}
-	}
+	ended := endTimes(t, export)
 	got := slices.Clone(want)
 	slices.SortFunc(got, func(a, b string) int { return ended[a] - ended[b] })
 	if !slices.Equal(got, want) {
 		t.Errorf("ended as %v, not %v\n%s", got, want, export)
 	}
-	rest := map[string][]string{}
+	checkAlike(t, lines)
+	checkCancelsAlike(t, url)
+}
+
+// checkAlike compares the accounting lines of the two clients' jobs at a priority.
+func checkAlike(t *testing.T, lines []string) {
+	t.Helper()
+	slices.Sort(lines)
+	byPriority := map[string][]string{}
 	for _, l := range lines {
 		f := strings.Split(l, "|")
-		rest[f[4]] = append(rest[f[4]], strings.Join(f[3:], "|"))
+		byPriority[f[4]] = append(byPriority[f[4]], strings.Join(f[3:], "|"))
 	}
-	for _, p := range []string{"low", "urgent"} {
-		if r := rest[p]; len(r) != 2 || r[0] != r[1] || !strings.Contains(r[0], "|COMPLETED|0:0|00:00:00|") {
-			t.Errorf("%s: %q", p, r)
+	for _, priority := range []string{"low", "urgent"} {
+		if r := byPriority[priority]; len(r) != 2 || r[0] != r[1] || !strings.Contains(r[0], "|COMPLETED|0:0|00:00:00|") {
+			t.Errorf("%s: %q", priority, r)
 		}
 	}
-	// Either client cancels with the same single answer.
+}
+
+// checkCancelsAlike cancels a job with both clients, which has the same single outcome.
+func checkCancelsAlike(t *testing.T, url string) {
+	t.Helper()
 	number := must(t, url, "sbatch", "--parsable", "-H", "--wrap", "true")
 	var uid []string
-	for i := 0; uid == nil; i++ { // the owner lists it once it has heard of it from whoever accepted it
-		if i > 60 {
-			t.Fatal("the held job is not listed")
-		}
+	// The scheduler lists it once the controller that accepted it has notified it.
+	eventually(t, func() string { return "the held job is not listed" }, func() bool {
 		uid = regexp.MustCompile(`"wallrack_uid":"(j-[a-z0-9]+)"`).FindStringSubmatch(must(t, url, "squeue", "--json"))
-	}
+		return uid != nil
+	})
 	must(t, url, "cancel", uid[1])
 	must(t, url, "scancel", number)
 	if s := must(t, url, "status", number); !strings.Contains(s, "cancelled") || !strings.Contains(s, uid[1]) {
@@ -162,9 +185,9 @@
 	}
 }
 
-// deaf drops the answers to every third request after it was executed, as a
-// controller does that dies then.
-func deaf(t *testing.T, site string) string {
+// lossyProxy drops the response to every third request after it was executed, as a
+// controller does that crashes then.
+func lossyProxy(t *testing.T, site string) string {
 	to, err := url.Parse(site)
 	if err != nil {
 		t.Fatal(err)
@@ -182,13 +205,13 @@
 				_ = resp.Body.Close()
 			}
 		}
-		panic(http.ErrAbortHandler) // the connection ends without an answer
+		panic(http.ErrAbortHandler) // the connection ends without a response
 	}))
 	t.Cleanup(srv.Close)
 	return srv.URL
 }
 
-// controllers lists the controllers of a site by its own children.
+// controllers returns the process ids of a site's controllers, which are its children.
 func controllers(t *testing.T, site int) (pids []int) {
 	files, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -212,12 +235,12 @@
 	return pids
 }
 
-// Answers are lost in the middle of every command, and a controller dies besides:
-// each command goes on, and nothing is there twice.
-func TestCommandsSurviveLostAnswers(t *testing.T) {
+// Responses are lost in the middle of every command, and a controller crashes besides:
+// each command goes on, and no job is there twice.
+func TestCommandsSurviveLostResponsesAndControllerCrash(t *testing.T) {
 	site, pid := localSite(t, 2)
 	t.Chdir(t.TempDir())
-	lossy := deaf(t, site)
+	lossy := lossyProxy(t, site)
 	script := "#!/bin/sh\n#SBATCH -J once -a 0-2\necho ran >> $SLURM_SUBMIT_DIR/runs\nsleep 1\n[ $SLURM_ARRAY_TASK_ID = 2 ] && exit 4\nexit 0\n"
 	if err := os.WriteFile("job.sh", []byte(script), 0o644); err != nil {
 		t.Fatal(err)
--- a/cmd/wallctl/main_test.go
+++ b/cmd/wallctl/main_test.go
@@ -2,30 +2,32 @@
 
 import (
 	"bytes"
-	"fmt"
+	"io"
 	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
 )
 
-// Programs tell outcomes by exit codes, and wrong use by a message that names the
-// flag.
-func TestOutcomes(t *testing.T) {
+// respond writes a body; a client that left sees nothing.
+func respond(w io.Writer, body string) { _, _ = io.WriteString(w, body) }
+
+// Programs tell outcomes by exit codes, and wrong use by a message that names the flag.
+func TestExitCodesAndMessagesOfOutcomes(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case strings.HasPrefix(r.URL.Path, "/descriptions/"):
 			w.WriteHeader(http.StatusNoContent)
 		case r.Method == http.MethodPost && r.URL.Path == "/api/jobs":
 			w.WriteHeader(http.StatusCreated)
-			fmt.Fprint(w, `{"uid":"j-1","stage":"queued"}`)
+			respond(w, `{"uid":"j-1","stage":"queued"}`)
 		case strings.HasSuffix(r.URL.Path, "j-over"):
-			fmt.Fprint(w, `{"uid":"j-over","stage":"cancelled"}`)
+			respond(w, `{"uid":"j-over","stage":"cancelled"}`)
 		case r.URL.Path == "/ops/links":
-			fmt.Fprint(w, `{"node":"a","state":"by a peer","kept":3,"links":[{"to":"b","is":"known by state","since_s":7}],"controllers":[{"node":"b","reached":"known by state","lacks":["a"]}]}`)
+			respond(w, `{"node":"a","state":"by a peer","kept":3,"links":[{"to":"b","is":"known by state","since_s":7}],"controllers":[{"node":"b","reached":"known by state","lacks":["a"]}]}`)
 		case strings.HasSuffix(r.URL.Path, "/pause"):
 			w.WriteHeader(http.StatusUnprocessableEntity)
-			fmt.Fprint(w, `{"error":"bad input: service: x is unknown"}`)
+			respond(w, `{"error":"bad input: service: x is unknown"}`)
 		default:
 			w.WriteHeader(http.StatusNotFound)
 		}
@@ -48,7 +50,7 @@
 		{"links", "3 silent machines are kept", "", 0},
 		{"rollout pause x", "", "service: x is unknown", exitRefused},
 	} {
-		cmd := command()
+		cmd := newRootCommand()
 		var out bytes.Buffer
 		cmd.SetOut(&out)
 		cmd.SetErr(&out)
@@ -56,16 +58,16 @@
 		err := cmd.Execute()
 		got := 0
 		if err != nil {
-			got = code(err)
+			got = exitCode(err)
 		}
 		if got != c.code || !strings.Contains(out.String(), c.out) || err != nil && !strings.Contains(err.Error(), c.why) {
 			t.Errorf("%s: code %d, %v, printed %q", c.args, got, err, out.String())
 		}
 	}
-	cmd := command()
+	cmd := newRootCommand()
 	cmd.SetArgs([]string{"nodes"})
 	t.Setenv("WALLRACK_SERVER", "somewhere")
 	if err := cmd.Execute(); err == nil || !strings.Contains(err.Error(), "WALLRACK_SERVER") {
-		t.Errorf("a server that is none: %v", err)
+		t.Errorf("a server that is no URL: %v", err)
 	}
 }
--- a/cmd/wallctl/messages_test.go
+++ b/cmd/wallctl/messages_test.go
@@ -14,14 +14,14 @@
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/slurm/site":
-			_, _ = w.Write([]byte(`{"cluster":"c","partitions":["adhoc"],"accounts":["default"],"partition":"adhoc","account":"default"}`))
+			respond(w, `{"cluster":"c","partitions":["adhoc"],"accounts":["default"],"partition":"adhoc","account":"default"}`)
 		case "/ops/machines":
-			_, _ = w.Write([]byte(`[]`))
+			respond(w, `[]`)
 		case "/slurm/numbers/7":
 			w.WriteHeader(http.StatusNotFound)
 		default:
 			w.WriteHeader(http.StatusUnprocessableEntity)
-			_, _ = w.Write([]byte(`{"error":"no"}`))
+			respond(w, `{"error":"no"}`)
 		}
 	}))
 	defer srv.Close()
--- /dev/null
+++ b/cmd/wallctl/ops_commands.go
@@ -0,0 +1,39 @@
+package main
+
+import (
+	"github.com/goccy/go-json"
+	"github.com/spf13/cobra"
+)
+
+// opsCommand returns a command that prints the response of a path of the operators'
+// interface: with --json as it came, else indented.
+func (a *app) opsCommand(use, short, path string) *cobra.Command {
+	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+		cl, err := a.client()
+		if err != nil {
+			return err
+		}
+		out, err := cl.Raw(cmd.Context(), path)
+		if err != nil {
+			return err
+		}
+		if !a.json {
+			out = indented(out)
+		}
+		_, err = cmd.OutOrStdout().Write(out)
+		return err
+	}}
+}
+
+// indented is a JSON text with an indent for each level, or a text that isn't JSON unchanged.
+func indented(text []byte) []byte {
+	var value any
+	if json.Unmarshal(text, &value) != nil {
+		return text
+	}
+	pretty, err := json.MarshalIndent(value, "", "  ")
+	if err != nil {
+		return text
+	}
+	return append(pretty, '\n')
+}
--- a/cmd/wallctl/recorded_test.go
+++ b/cmd/wallctl/recorded_test.go
@@ -29,9 +29,9 @@
 	os.Exit(m.Run())
 }
 
-// recordedSite answers as a site does, for the commands below.
+// recordedSite responds as a site does, for the commands below.
 func recordedSite(t *testing.T) (url string) {
-	answers := map[string]struct {
+	responses := map[string]struct {
 		status int
 		body   string
 	}{
@@ -58,12 +58,12 @@
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		answer, known := answers[r.Method+" "+r.URL.Path]
+		response, known := responses[r.Method+" "+r.URL.Path]
 		if !known {
-			answer.status = http.StatusNotFound
+			response.status = http.StatusNotFound
 		}
-		w.WriteHeader(answer.status)
-		_, _ = w.Write([]byte(answer.body)) // a client that left sees nothing
+		w.WriteHeader(response.status)
+		respond(w, response.body)
 	}))
 	t.Cleanup(srv.Close)
 	return srv.URL
@@ -117,21 +117,21 @@
 	recorded.Compare(t, "outcomes.txt", []byte(text.String()))
 }
 
-// Without an answer the outcome is not known: exit code 4, when the user gives up too.
-func TestRecordedOutcomeWithoutAnswer(t *testing.T) {
-	asked := make(chan bool, 100)
+// Without a conclusive response the outcome is unknown: exit code 4, also after an interrupt.
+func TestRecordedOutcomeWithoutResponse(t *testing.T) {
+	responded := make(chan bool, 100)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
-		_, _ = w.Write([]byte(`{"error":"no owner"}`)) // a client that left sees nothing
-		asked <- true
+		respond(w, `{"error":"no owner"}`)
+		responded <- true
 	}))
 	defer srv.Close()
 	gone := httptest.NewServer(http.NotFoundHandler())
 	gone.Close()
 	var text strings.Builder
 	for _, args := range []string{"status j-done", "wait j-done", "stats"} {
-		// The answer arrives, and the program pauses for a second before it asks again.
-		text.WriteString(program(t, srv.URL, func() { <-asked; time.Sleep(300 * time.Millisecond) }, strings.Fields(args)...))
+		// The response arrives, and the program pauses for a second before it repeats the request.
+		text.WriteString(program(t, srv.URL, func() { <-responded; time.Sleep(300 * time.Millisecond) }, strings.Fields(args)...))
 	}
 	text.WriteString(program(t, gone.URL, func() { time.Sleep(3 * time.Second) }, "status", "j-done"))
 	recorded.Compare(t, "without-answer.txt", []byte(text.String()))
@@ -140,9 +140,9 @@
 // The exit code of each error, those of docs/local.md.
 func TestRecordedExitCodes(t *testing.T) {
 	for err, want := range map[error]int{
-		errors.New("other"): 1, client.ErrRefused: 2, client.ErrNotFound: 3, client.ErrUnknown: 4, context.Canceled: 4, errCancelled: 5, errStopped: 5,
+		errors.New("other"): 1, client.ErrRefused: 2, client.ErrNotFound: 3, client.ErrUnknown: 4, context.Canceled: 4, errCancelled: 5, errNotRolledOut: 5,
 	} {
-		if got := code(fmt.Errorf("job j-1: %w", err)); got != want {
+		if got := exitCode(fmt.Errorf("job j-1: %w", err)); got != want {
 			t.Errorf("%v: exit code %d, not %d", err, got, want)
 		}
 	}
--- /dev/null
+++ b/cmd/wallctl/rollout_watch.go
@@ -0,0 +1,103 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"time"
+
+	"github.com/goccy/go-json"
+	"github.com/schollz/progressbar/v3"
+	"golang.org/x/term"
+
+	"github.com/wallrack/wallrack/internal/client"
+	"github.com/wallrack/wallrack/internal/rollout"
+)
+
+const rolloutPollInterval = time.Second
+
+// watchRollout prints a service's roll-out until it ends: a bar for each step on a terminal, a
+// line for each change elsewhere. Roll-outs before the one with this id are left out. It
+// returns nil if the new version is rolled out, else an error that wraps errNotRolledOut.
+func watchRollout(ctx context.Context, cl *client.Client, service string, id int, w io.Writer) error {
+	view := newRolloutView(w)
+	for {
+		out, err := cl.Raw(ctx, rolloutPath+"/"+service)
+		if err != nil && !errors.Is(err, client.ErrUnknown) {
+			return err
+		}
+		var status rollout.Status
+		if err == nil && json.Unmarshal(out, &status) == nil && status.Run != nil && status.Run.ID >= id {
+			view.show(&status)
+			if status.Run.Phase.Final() {
+				return view.end(status.Run)
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(rolloutPollInterval):
+		}
+	}
+}
+
+// rolloutView prints the progress of a roll-out. Errors of printing are dropped: the
+// outcome, which is the exit code, must be awaited anyway.
+type rolloutView struct {
+	w        io.Writer
+	terminal bool
+	bar      *progressbar.ProgressBar // of a step, on a terminal
+	step     int                      // of the bar; -1: none yet
+	lastLine string                   // elsewhere
+}
+
+func newRolloutView(w io.Writer) *rolloutView {
+	f, isFile := w.(*os.File)
+	return &rolloutView{w: w, terminal: isFile && term.IsTerminal(int(f.Fd())), step: -1}
+}
+
+func (v *rolloutView) println(args ...any) { _, _ = fmt.Fprintln(v.w, args...) }
+
+// show prints what changed.
+func (v *rolloutView) show(status *rollout.Status) {
+	run, healthy := status.Run, 0
+	for _, batch := range run.New {
+		healthy += status.Jobs[batch.UID].Healthy
+	}
+	switch {
+	case v.terminal && !run.Phase.Final():
+		v.showBar(run, healthy)
+	case !v.terminal:
+		if line := fmt.Sprintf("%s, %d of %d healthy", describeRun(run), healthy, run.Targets[run.Step]); line != v.lastLine {
+			v.lastLine = line
+			v.println(line)
+		}
+	}
+}
+
+func (v *rolloutView) showBar(run *rollout.Run, healthy int) {
+	if run.Step != v.step {
+		if v.bar != nil {
+			_ = v.bar.Finish() // only drawing can fail, here and below
+			v.println()
+		}
+		v.step = run.Step
+		v.bar = progressbar.NewOptions(run.Targets[v.step], progressbar.OptionSetWriter(v.w), progressbar.OptionSetWidth(30), progressbar.OptionShowCount())
+	}
+	v.bar.Describe(fmt.Sprintf("step %d of %d, %s %s", v.step+1, len(run.Targets), run.Phase, run.Why))
+	_ = v.bar.Set(healthy)
+}
+
+// end prints the end on a terminal and returns the outcome.
+func (v *rolloutView) end(run *rollout.Run) error {
+	if v.terminal {
+		v.println()
+		v.println(describeRun(run))
+	}
+	if run.Phase != rollout.Done {
+		return fmt.Errorf("%w: %s", errNotRolledOut, run.Why)
+	}
+	return nil
+}
--- a/cmd/wallctl/sbatch.go
+++ b/cmd/wallctl/sbatch.go
@@ -12,29 +12,30 @@
 
 func sbatch(cmd *cobra.Command, cl *client.Client, args []string) error {
 	now := time.Now()
-	o, w, err := ask(cmd, slurm.Sbatch, args, now)
+	options, work, err := readSubmission(cmd, slurm.Sbatch, args, now)
 	if err != nil {
 		return err
 	}
-	r, err := submit(cmd.Context(), cl, slurm.Sbatch, o, w, now)
+	request, err := submitSlurm(cmd.Context(), cl, slurm.Sbatch, options, work, now)
 	if err != nil {
 		return err
 	}
-	out := cmd.OutOrStdout()
+	// Errors of printing are dropped here: after one, a script would submit the job again.
+	job, out := &request.Job, cmd.OutOrStdout()
 	switch {
-	case o.TestOnly:
-		fmt.Fprintf(cmd.ErrOrStderr(), "sbatch: Job would be accepted: %d task(s) of %g processors in partition %s\n", r.Job.Tasks, r.Job.CPUs, r.Job.Class)
+	case options.TestOnly:
+		_, _ = fmt.Fprintf(cmd.ErrOrStderr(), "sbatch: Job would be accepted: %d task(s) of %g processors in partition %s\n", job.Tasks, job.CPUs, job.Class)
 		return nil
-	case o.Parsable:
-		fmt.Fprintln(out, r.Terms.Number)
-	case !o.Quiet:
-		fmt.Fprintf(out, "Submitted batch job %d\n", r.Terms.Number)
+	case options.Parsable:
+		_, _ = fmt.Fprintln(out, request.Terms.Number)
+	case !options.Quiet:
+		_, _ = fmt.Fprintf(out, "Submitted batch job %d\n", request.Terms.Number)
 	}
-	if !o.Wait {
+	if !options.Wait {
 		return nil
 	}
-	if _, err := cl.Wait(cmd.Context(), r.Job.UID); err != nil {
-		return fmt.Errorf("job %d goes on, but its end was not seen: %w", r.Terms.Number, err)
+	if _, err := cl.Wait(cmd.Context(), job.UID); err != nil {
+		return endNotSeen(request, err)
 	}
-	return ended(cmd.Context(), cl, r)
+	return exitAsJob(cmd.Context(), cl, request)
 }
--- a/cmd/wallctl/scancel_test.go
+++ b/cmd/wallctl/scancel_test.go
@@ -16,25 +16,27 @@
 
 // A filter cancels a job as a whole if all its tasks match, else the tasks that do; if
 // the listing breaks off, nothing is cancelled.
-func TestFilteredCancelTakesWhatTheWholeListingMatches(t *testing.T) {
+func TestFilteredCancelTakesMatchesOfCompleteListingOnly(t *testing.T) {
 	job := func(uid string, number uint64, tasks int, waiting string, on ...jobquery.Placement) jobquery.Info {
 		return jobquery.Info{Job: wire.Job{UID: uid, Tasks: tasks}, Constraints: &jobspec.Constraints{Number: number}, Stage: wire.StageQueued, Waiting: waiting, Placements: on}
 	}
 	running := jobquery.Placement{Task: 0, Attempt: 1, Machine: "m", StartMs: 5}
-	first := jobquery.Page{Next: &jobquery.Cursor{Number: 40}, NowMs: 1000,
-		Jobs: []jobquery.Info{job("j-all", 10, 1, "0"), job("j-part", 20, 3, "1-2", running), job("j-none", 30, 1, "", running)}}
+	first := jobquery.Page{
+		Next: &jobquery.Cursor{Number: 40}, NowMs: 1000,
+		Jobs: []jobquery.Info{job("j-all", 10, 1, "0"), job("j-part", 20, 3, "1-2", running), job("j-none", 30, 1, "", running)},
+	}
 	last := jobquery.Page{NowMs: 1000, Jobs: []jobquery.Info{job("j-last", 40, 1, "0")}}
-	breaks := false
-	var asked []string
+	listingFails := false
+	var cancels []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Method == http.MethodPost:
-			body, _ := io.ReadAll(r.Body) // what is missing of it fails the comparison
-			asked = append(asked, strings.TrimSpace(r.URL.Path+" "+string(body)))
+			body, _ := io.ReadAll(r.Body) // a part that is missing fails the comparison
+			cancels = append(cancels, strings.TrimSpace(r.URL.Path+" "+string(body)))
 			httpjson.Write(w, http.StatusOK, wire.JobState{Stage: wire.StageCancelled})
 		case r.URL.Query().Get("number") == "0":
 			httpjson.Write(w, http.StatusOK, first)
-		case breaks:
+		case listingFails:
 			httpjson.Write(w, http.StatusUnprocessableEntity, wire.Problem{Error: "no"})
 		default:
 			httpjson.Write(w, http.StatusOK, last)
@@ -44,11 +46,11 @@
 	if out, err := ctl(t, srv.URL, "scancel", "-t", "PENDING"); err != nil || out != "" {
 		t.Fatalf("%v, printed %q", err, out)
 	}
-	if want := []string{"/api/jobs/j-all/cancel", `/slurm/jobs/j-part/drop {"tasks":"1-2"}`, "/api/jobs/j-last/cancel"}; !slices.Equal(asked, want) {
-		t.Errorf("asked for %q, not %q", asked, want)
+	if want := []string{"/api/jobs/j-all/cancel", `/slurm/jobs/j-part/drop {"tasks":"1-2"}`, "/api/jobs/j-last/cancel"}; !slices.Equal(cancels, want) {
+		t.Errorf("cancels are %q, not %q", cancels, want)
 	}
-	breaks, asked = true, nil
-	if _, err := ctl(t, srv.URL, "scancel", "-t", "PENDING"); err == nil || !strings.Contains(err.Error(), "none was cancelled") || len(asked) > 0 {
-		t.Errorf("a listing that breaks off: %v, asked for %q", err, asked)
+	listingFails, cancels = true, nil
+	if _, err := ctl(t, srv.URL, "scancel", "-t", "PENDING"); err == nil || !strings.Contains(err.Error(), "none was cancelled") || len(cancels) > 0 {
+		t.Errorf("a listing that breaks off: %v, cancels are %q", err, cancels)
 	}
 }
--- a/cmd/wallctl/scontrol.go
+++ b/cmd/wallctl/scontrol.go
@@ -25,98 +25,115 @@
 	if len(args) > 1 {
 		what = args[1]
 	}
-	ctx, out := cmd.Context(), cmd.OutOrStdout()
-	switch {
-	case verb == "show" && (what == "job" || what == "jobs" || what == "node" || what == "nodes"):
-		if strings.HasPrefix(what, "node") {
+	switch verb {
+	case "show":
+		switch what {
+		case "node", "nodes":
 			return showNodes(cmd, cl, args[2:])
+		case "job", "jobs":
+			return showJobs(cmd.Context(), cmd.OutOrStdout(), cl, args[2:])
 		}
-		return showJobs(ctx, out, cl, args[2:])
-	case (verb == "hold" || verb == "release") && len(args) > 1:
-		for _, arg := range args[1:] {
-			for _, s := range jobList(arg) {
-				uid, _, err := findJob(ctx, cl, s)
-				if err == nil {
-					err = cl.Order(ctx, uid, verb)
-				}
-				if err != nil {
-					return fmt.Errorf("%s: %w", s, err)
-				}
-			}
+	case "hold", "release":
+		if len(args) > 1 {
+			return orderJobs(cmd.Context(), cl, verb, args[1:])
 		}
-		return nil
-	case verb == "-h" || verb == "--help" || verb == "help":
-		fmt.Fprintln(out, "Usage: scontrol show job|node [NAME] | hold JOB... | release JOB...")
-		return nil
+	case "-h", "--help", "help":
+		_, err := fmt.Fprintln(cmd.OutOrStdout(), "Usage: scontrol show job|node [NAME] | hold JOB... | release JOB...")
+		return err
 	}
 	return fmt.Errorf("%s: not supported by wallrack; there are show job, show node, hold, release", strings.Join(args, " "))
 }
 
-// findJob finds a job by its number or its uid; all of an array only.
-func findJob(ctx context.Context, cl *client.Client, s string) (uid string, task int, err error) {
-	if wire.ValidJobID(s) {
-		return s, 0, nil
+// orderJobs holds or releases jobs, up to the first error.
+func orderJobs(ctx context.Context, cl *client.Client, verb string, args []string) error {
+	for _, arg := range args {
+		for _, name := range splitJobs(arg) {
+			uid, err := findJob(ctx, cl, name)
+			if err == nil {
+				err = cl.Order(ctx, uid, verb)
+			}
+			if err != nil {
+				return fmt.Errorf("%s: %w", name, err)
+			}
+		}
+	}
+	return nil
+}
+
+// findJob returns the uid of a job by its number or uid. Single tasks of an array are refused.
+func findJob(ctx context.Context, cl *client.Client, name string) (uid string, err error) {
+	if wire.ValidJobID(name) {
+		return name, nil
 	}
-	t, err := slurm.ParseTarget(s)
+	target, err := slurm.ParseTarget(name)
 	if err != nil {
-		return "", 0, err
+		return "", err
 	}
-	if !t.All {
-		return "", 0, fmt.Errorf("single tasks of an array are not supported here by wallrack")
+	if !target.All {
+		return "", errors.New("single tasks of an array are not supported here by wallrack")
 	}
-	found, err := cl.Find(ctx, t.Number)
+	found, err := cl.Find(ctx, target.Number)
 	if errors.Is(err, client.ErrNotFound) {
-		return "", 0, errInvalidJobID
+		return "", errInvalidJobID
 	}
 	if err != nil {
-		return "", 0, err
+		return "", err
 	}
-	return found.UID, int(t.Number - found.First), nil
+	return found.UID, nil
 }
 
-func showJobs(ctx context.Context, out io.Writer, cl *client.Client, args []string) error {
-	if len(args) == 0 {
-		return cl.Jobs(ctx, func(p *jobquery.Page) error {
-			for i := range p.Jobs {
-				fmt.Fprint(out, slurm.ShowJob(&p.Jobs[i], time.Local))
+// showJobs prints the jobs of these names, or all active ones.
+func showJobs(ctx context.Context, out io.Writer, cl *client.Client, names []string) error {
+	if len(names) == 0 {
+		return cl.Jobs(ctx, func(page *jobquery.Page) error {
+			for i := range page.Jobs {
+				if _, err := io.WriteString(out, slurm.ShowJob(&page.Jobs[i], time.Local)); err != nil {
+					return err
+				}
 			}
 			return nil
 		})
 	}
-	for _, a := range args {
-		uid, _, err := findJob(ctx, cl, a)
+	for _, name := range names {
+		uid, err := findJob(ctx, cl, name)
 		if err != nil {
 			return err
 		}
-		i, err := cl.Info(ctx, uid)
+		info, err := cl.Info(ctx, uid)
 		if err != nil {
 			return err
 		}
-		fmt.Fprint(out, slurm.ShowJob(i, time.Local))
+		if _, err := io.WriteString(out, slurm.ShowJob(info, time.Local)); err != nil {
+			return err
+		}
 	}
 	return nil
 }
 
-func showNodes(cmd *cobra.Command, cl *client.Client, args []string) error {
+// showNodes prints the workers of these names, or all.
+func showNodes(cmd *cobra.Command, cl *client.Client, names []string) error {
 	site, err := cl.Site(cmd.Context())
 	if err != nil {
 		return err
 	}
-	ms, err := machines(cmd.Context(), cl)
+	workers, err := listWorkers(cmd.Context(), cl)
 	if err != nil {
 		return err
 	}
-	one := *site
-	one.Classes = []string{site.Class}
+	oneClass := *site
+	oneClass.Classes = []string{site.Class} // else each worker is listed once a class
 	shown := 0
-	for _, r := range slurm.Nodes(ms, &one, true) {
-		if len(args) == 0 || slices.Contains(args, r.Name) {
-			fmt.Fprint(cmd.OutOrStdout(), slurm.ShowNode(&r))
-			shown++
+	for _, row := range slurm.Nodes(workers, &oneClass, true) {
+		if len(names) > 0 && !slices.Contains(names, row.Name) {
+			continue
+		}
+		if _, err := io.WriteString(cmd.OutOrStdout(), slurm.ShowNode(&row)); err != nil {
+			return err
 		}
+		shown++
 	}
-	if shown == 0 && len(args) > 0 {
-		return &slurm.Usage{Why: fmt.Sprintf("Node %s not found", strings.Join(args, ","))}
+	if shown == 0 && len(names) > 0 {
+		return &slurm.Usage{Why: fmt.Sprintf("Node %s not found", strings.Join(names, ","))}
 	}
 	return nil
 }
--- a/cmd/wallctl/sinfo.go
+++ b/cmd/wallctl/sinfo.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"slices"
 	"strings"
 
@@ -13,40 +14,47 @@
 )
 
 func sinfo(cmd *cobra.Command, cl *client.Client, args []string) error {
-	fs := pflag.NewFlagSet("sinfo", pflag.ContinueOnError)
-	each, noHeader := fs.BoolP("Node", "N", false, "a line for each machine"), fs.BoolP("noheader", "h", false, "no titles")
-	format, parts := fs.StringP("format", "o", "", "layout, as %N %T"), list(fs, "partition", "p", "of these partitions")
-	asJSON := fs.Bool("json", false, "JSON")
-	if err := parse(cmd, fs, args); err != nil {
+	fs := pflag.NewFlagSet("sinfo", pflag.ContinueOnError) // the help lists the options in this order
+	eachWorker := fs.BoolP("Node", "N", false, "a line for each machine")
+	withoutHeader := fs.BoolP("noheader", "h", false, "no titles")
+	format := fs.StringP("format", "o", "", "layout, as %N %T")
+	partitions := fs.StringSliceP("partition", "p", nil, "of these partitions")
+	printAsJSON := fs.Bool("json", false, "JSON")
+	if err := parseFlags(cmd, fs, args); err != nil {
 		return err
 	}
 	site, err := cl.Site(cmd.Context())
 	if err != nil {
 		return err
 	}
-	if *asJSON {
-		data, err := cl.Raw(cmd.Context(), machinesPath)
+	out := cmd.OutOrStdout()
+	if *printAsJSON {
+		data, err := cl.Raw(cmd.Context(), workersPath)
 		if err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(cmd.OutOrStdout(), "{\"sinfo\":%s}\n", strings.TrimSpace(string(data)))
+		_, err = fmt.Fprintf(out, "{\"sinfo\":%s}\n", strings.TrimSpace(string(data)))
 		return err
 	}
-	ms, err := machines(cmd.Context(), cl)
+	workers, err := listWorkers(cmd.Context(), cl)
 	if err != nil {
 		return err
 	}
-	t, err := slurm.NodeTable(*format, *each)
+	layout, err := slurm.NodeTable(*format, *eachWorker)
 	if err != nil {
 		return err
 	}
-	out := cmd.OutOrStdout()
-	if !*noHeader {
-		fmt.Fprint(out, t.Header())
+	if !*withoutHeader {
+		if _, err := io.WriteString(out, layout.Header()); err != nil {
+			return err
+		}
 	}
-	for _, r := range slurm.Nodes(ms, site, *each) {
-		if len(*parts) == 0 || slices.Contains(*parts, strings.TrimSuffix(r.Partition, "*")) {
-			fmt.Fprint(out, t.Row(&r))
+	for _, row := range slurm.Nodes(workers, site, *eachWorker) {
+		if len(*partitions) > 0 && !slices.Contains(*partitions, strings.TrimSuffix(row.Partition, "*")) {
+			continue
+		}
+		if _, err := io.WriteString(out, layout.Row(&row)); err != nil {
+			return err
 		}
 	}
 	return nil
--- a/cmd/wallctl/slurm.go
+++ b/cmd/wallctl/slurm.go
@@ -13,10 +13,10 @@
 	"github.com/wallrack/wallrack/internal/client"
 )
 
-// slurmCommands are the names under which this program speaks Slurm.
+// slurmCommands are the names under which this program is a command of Slurm.
 var slurmCommands = []string{"sbatch", "srun", "squeue", "scancel", "sacct", "sinfo", "scontrol"}
 
-func (a *app) slurm() []*cobra.Command {
+func (a *app) slurmCommands() []*cobra.Command {
 	return []*cobra.Command{
 		a.slurmCommand("sbatch", "Submit a batch script (Slurm's options)", sbatch),
 		a.slurmCommand("srun", "Run a program and wait for it (Slurm's options)", srun),
@@ -29,8 +29,12 @@
 	}
 }
 
-// slurmCommand makes a command that reads its own options, as Slurm's do.
-func (a *app) slurmCommand(name, short string, run func(cmd *cobra.Command, cl *client.Client, args []string) error) *cobra.Command {
+// slurmRun runs a command of Slurm with the arguments after its name.
+type slurmRun func(cmd *cobra.Command, cl *client.Client, args []string) error
+
+// slurmCommand returns a command that parses its own options, as cobra's parser doesn't know
+// Slurm's forms. Its errors are exitError, or slurmError with Slurm's form of messages.
+func (a *app) slurmCommand(name, short string, run slurmRun) *cobra.Command {
 	return &cobra.Command{Use: name, Short: short, DisableFlagParsing: true, RunE: func(cmd *cobra.Command, args []string) error {
 		cl, err := a.client()
 		if err == nil {
@@ -47,25 +51,29 @@
 	}}
 }
 
-// installLinks never replaces what is not a link to this program.
+// installLinks makes links to this program and prints the new ones. It fails rather than
+// replace a file or a link to something else.
 func installLinks(cmd *cobra.Command, args []string) error {
 	exe, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("this program's file: %w", err)
 	}
 	for _, name := range slurmCommands {
-		at := filepath.Join(args[0], name)
-		if to, err := os.Readlink(at); err == nil && to == exe {
+		link := filepath.Join(args[0], name)
+		if target, err := os.Readlink(link); err == nil && target == exe {
 			continue
 		}
-		if err := os.Symlink(exe, at); err != nil {
+		if err := os.Symlink(exe, link); err != nil {
+			return err
+		}
+		if _, err := fmt.Fprintln(cmd.OutOrStdout(), link); err != nil {
 			return err
 		}
-		fmt.Fprintln(cmd.OutOrStdout(), at)
 	}
 	return nil
 }
 
+// userName is the name of the user who runs this program.
 func userName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
--- a/cmd/wallctl/slurm_errors.go
+++ b/cmd/wallctl/slurm_errors.go
@@ -20,13 +20,14 @@
 func (e *slurmError) Error() string { return e.command + ": error: " + e.err.Error() }
 func (e *slurmError) Unwrap() error { return e.err }
 
-// Steps of which an error says that they failed, in Slurm's words.
+// What failed, as the start of a message in Slurm's words.
 const (
 	stepSubmit = "Batch job submission failed"
 	stepList   = "Unable to contact the site, or not to the end of the list"
 )
 
+// Messages of Slurm that scripts compare.
 var (
-	errOver         error = &slurm.Usage{Why: "Job/step already completing or completed"}
+	errAlreadyOver  error = &slurm.Usage{Why: "Job/step already completing or completed"}
 	errInvalidJobID error = &slurm.Usage{Why: "Invalid job id specified"}
 )
--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -16,57 +16,78 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// maxScript is the longest script that is taken.
+// maxScript is the size in bytes of the longest script that is accepted.
 const maxScript = 512 << 10
 
-// ask reads a submission from command line, script and environment.
-func ask(cmd *cobra.Command, name slurm.Command, args []string, now time.Time) (*slurm.Options, *slurm.Work, error) {
-	given, rest, err := slurm.ParseArgs(name, args)
+// readSubmission reads a submission from the command line, the script and the environment.
+// For --help it prints the options and returns slurm.ErrHelp.
+func readSubmission(cmd *cobra.Command, name slurm.Command, args []string, now time.Time) (*slurm.Options, *slurm.Work, error) {
+	given, program, err := slurm.ParseArgs(name, args)
 	if errors.Is(err, slurm.ErrHelp) {
-		fmt.Fprintf(cmd.OutOrStdout(), "Usage: %s [OPTIONS] [PROGRAM|SCRIPT [ARG...]]\n%s", name, slurm.Help(name))
+		if _, err := fmt.Fprintf(cmd.OutOrStdout(), "Usage: %s [OPTIONS] [PROGRAM|SCRIPT [ARG...]]\n%s", name, slurm.Help(name)); err != nil {
+			return nil, nil, err
+		}
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	w := &slurm.Work{Env: os.Environ(), User: userName()}
-	if w.Dir, err = os.Getwd(); err != nil {
+	work, err := newWork()
+	if err != nil {
 		return nil, nil, err
 	}
-	w.Host, _ = os.Hostname() // for display
 	sources := []slurm.Given{slurm.FromEnv(name, os.LookupEnv), given}
-	if name == slurm.Srun {
-		if w.Argv = rest; len(rest) == 0 {
+	switch {
+	case name == slurm.Srun:
+		if len(program) == 0 {
 			return nil, nil, &slurm.Usage{Why: "No command given to execute."}
 		}
-	} else if given["wrap"] != "" {
-		if len(rest) > 0 {
+		work.Argv = program
+	case given["wrap"] != "":
+		if len(program) > 0 {
 			return nil, nil, &slurm.Usage{Why: "Script arguments not permitted with --wrap option"}
 		}
-	} else {
-		if w.Script, w.File, err = script(cmd.InOrStdin(), rest); err != nil {
-			return nil, nil, err
-		}
-		if len(rest) > 0 {
-			w.Argv = rest[1:]
-		}
-		lines, err := slurm.FromScript(w.Script, now)
+	default:
+		fromScript, err := readScript(cmd.InOrStdin(), program, work, now)
 		if err != nil {
 			return nil, nil, err
 		}
-		sources = append([]slurm.Given{lines}, sources...)
+		sources = append([]slurm.Given{fromScript}, sources...)
+	}
+	options, err := slurm.Join(name, now, sources...)
+	return options, work, err
+}
+
+// newWork returns what a submission has of the process that submits.
+func newWork() (*slurm.Work, error) {
+	dir, err := os.Getwd()
+	if err != nil {
+		return nil, err
+	}
+	host, _ := os.Hostname() // only shown to the tasks; may be empty
+	return &slurm.Work{Env: os.Environ(), User: userName(), Dir: dir, Host: host}, nil
+}
+
+// readScript reads a batch script, and its arguments, into work, and returns its options.
+func readScript(stdin io.Reader, args []string, work *slurm.Work, now time.Time) (slurm.Given, error) {
+	var err error
+	if work.Script, work.File, err = scriptText(stdin, args); err != nil {
+		return nil, err
+	}
+	if len(args) > 0 {
+		work.Argv = args[1:]
 	}
-	o, err := slurm.Join(name, now, sources...)
-	return o, w, err
+	return slurm.FromScript(work.Script, now)
 }
 
-func script(stdin io.Reader, args []string) (text, name string, err error) {
+// scriptText reads the script that the first argument names, or standard input.
+func scriptText(stdin io.Reader, args []string) (text, name string, err error) {
 	in, name := stdin, "sbatch"
 	if len(args) > 0 {
 		f, err := os.Open(args[0])
 		if err != nil {
 			return "", "", &slurm.Usage{Why: "Unable to open file " + args[0]}
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }() // it was only read
 		in, name = f, args[0]
 	}
 	data, err := io.ReadAll(io.LimitReader(in, maxScript+1))
@@ -81,43 +102,50 @@
 	return string(data), name, nil
 }
 
-// submit translates and submits. Once numbers are taken, a repeat of anything makes
-// no second job.
-func submit(ctx context.Context, cl *client.Client, name slurm.Command, o *slurm.Options, w *slurm.Work, now time.Time) (*slurm.Request, error) {
+// submitSlurm translates and submits a job, or checks it only (options.TestOnly). Its uid is
+// made once: repeats of the requests make no second job.
+func submitSlurm(ctx context.Context, cl *client.Client, name slurm.Command, options *slurm.Options, work *slurm.Work, now time.Time) (*slurm.Request, error) {
 	site, err := cl.Site(ctx)
 	if err != nil {
 		return nil, err
 	}
-	r, err := slurm.Translate(name, o, w, site, now)
+	request, err := slurm.Translate(name, options, work, site, now)
 	if err != nil {
 		return nil, err
 	}
-	if r.Terms.Number, err = cl.Numbers(ctx, r.Job.Tasks); err != nil {
+	if request.Terms.Number, err = cl.Numbers(ctx, request.Job.Tasks); err != nil {
 		return nil, fmt.Errorf("%s: %w", stepSubmit, err)
 	}
-	r.Job.UID, r.Description.Slurm.Number = client.NewUID(), r.Terms.Number
-	_, err = cl.SubmitWith(ctx, &r.Job, &r.Terms, &r.Description, o.TestOnly)
+	request.Job.UID, request.Description.Slurm.Number = client.NewUID(), request.Terms.Number
+	_, err = cl.SubmitWith(ctx, &request.Job, &request.Terms, &request.Description, options.TestOnly)
 	switch {
 	case errors.Is(err, client.ErrUnknown):
 		return nil, fmt.Errorf("%s: no answer came in time; job %d (%s) may have been accepted or may be yet: ask with \"wallctl status %s\" before you submit again: %w",
-			stepSubmit, r.Terms.Number, r.Job.UID, r.Job.UID, err)
+			stepSubmit, request.Terms.Number, request.Job.UID, request.Job.UID, err)
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", stepSubmit, err)
 	}
-	return r, nil
+	return request, nil
+}
+
+// endNotSeen is the error of a wait that failed.
+func endNotSeen(request *slurm.Request, err error) error {
+	return fmt.Errorf("job %d goes on, but its end was not seen: %w", request.Terms.Number, err)
 }
 
-// ended ends the program as the job did.
-func ended(ctx context.Context, cl *client.Client, r *slurm.Request) error {
-	i, err := cl.Info(ctx, r.Job.UID)
+// exitAsJob returns nil if the job completed, else an exitError with the job's exit code, or
+// with 1 if it has none.
+func exitAsJob(ctx context.Context, cl *client.Client, request *slurm.Request) error {
+	info, err := cl.Info(ctx, request.Job.UID)
 	if err != nil {
-		return fmt.Errorf("job %d is over, but how is not known: %w", r.Terms.Number, err)
+		return fmt.Errorf("job %d is over, but how is not known: %w", request.Terms.Number, err)
 	}
+	ending := info.Ending
 	switch {
-	case i.Ending == nil && i.Stage == wire.StageDone, i.Ending != nil && i.Ending.State == jobspec.Completed:
+	case ending == nil && info.Stage == wire.StageDone, ending != nil && ending.State == jobspec.Completed:
 		return nil
-	case i.Ending != nil && i.Ending.Exit > 0:
-		return &exitError{i.Ending.Exit}
+	case ending != nil && ending.Exit > 0:
+		return &exitError{ending.Exit}
 	}
 	return &exitError{1}
 }
--- a/cmd/wallctl/squeue.go
+++ b/cmd/wallctl/squeue.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"time"
@@ -14,66 +13,109 @@
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
-func squeue(cmd *cobra.Command, cl *client.Client, args []string) error {
+// longQueueFormat is the layout of squeue -l.
+const longQueueFormat = "%.18i %.9P %.8j %.8u %.8T %.10M %.9l %.6D %R"
+
+// squeueFlags are squeue's options.
+type squeueFlags struct {
+	*filterFlags
+	jobs, format, names            string
+	start, withoutHeader, eachTask bool
+	longFormat, printAsJSON        bool
+}
+
+// newSqueueFlags makes the options; the help lists them in this order.
+func newSqueueFlags() (*squeueFlags, *pflag.FlagSet) {
 	fs := pflag.NewFlagSet("squeue", pflag.ContinueOnError)
-	filter := filters(fs, "states")
-	jobs := fs.StringP("jobs", "j", "", "these jobs")
-	format, long := fs.StringP("format", "o", "", "layout, as %.18i %j"), fs.StringP("Format", "O", "", "layout, as JobArrayID:18,Name")
-	start := fs.Bool("start", false, "when waiting jobs may start at the earliest")
-	noHeader, each := fs.BoolP("noheader", "h", false, "no titles"), fs.BoolP("array", "r", false, "a line for each task of an array")
-	more, asJSON := fs.BoolP("long", "l", false, "more columns"), fs.Bool("json", false, "JSON")
-	if err := parse(cmd, fs, args); err != nil {
-		return err
-	}
-	f, err := filter()
+	s := &squeueFlags{filterFlags: addFilterFlags(fs, "states")}
+	fs.StringVarP(&s.jobs, "jobs", "j", "", "these jobs")
+	fs.StringVarP(&s.format, "format", "o", "", "layout, as %.18i %j")
+	fs.StringVarP(&s.names, "Format", "O", "", "layout, as JobArrayID:18,Name")
+	fs.BoolVar(&s.start, "start", false, "when waiting jobs may start at the earliest")
+	fs.BoolVarP(&s.withoutHeader, "noheader", "h", false, "no titles")
+	fs.BoolVarP(&s.eachTask, "array", "r", false, "a line for each task of an array")
+	fs.BoolVarP(&s.longFormat, "long", "l", false, "more columns")
+	fs.BoolVar(&s.printAsJSON, "json", false, "JSON")
+	return s, fs
+}
+
+// filter returns the filter of the options.
+func (s *squeueFlags) filter() (slurm.Filter, error) {
+	f, err := s.filterFlags.filter()
 	if err != nil {
-		return err
+		return f, err
 	}
-	if *jobs != "" {
-		if f.Jobs, err = targets(jobList(*jobs)); err != nil {
-			return err
+	if s.jobs != "" {
+		if f.Jobs, err = parseTargets(splitJobs(s.jobs)); err != nil {
+			return f, err
 		}
 	}
-	if *start && len(f.States) == 0 {
+	if s.start && len(f.States) == 0 {
 		f.States = []string{"PENDING"}
 	}
-	if *more && *format == "" {
-		*format = "%.18i %.9P %.8j %.8u %.8T %.10M %.9l %.6D %R"
+	return f, nil
+}
+
+// layout returns the layout of the options.
+func (s *squeueFlags) layout() (*slurm.Table[slurm.QueueRow], error) {
+	format := s.format
+	if s.longFormat && format == "" {
+		format = longQueueFormat
+	}
+	return slurm.QueueTable(format, s.names, s.start)
+}
+
+func squeue(cmd *cobra.Command, cl *client.Client, args []string) error {
+	flags, fs := newSqueueFlags()
+	if err := parseFlags(cmd, fs, args); err != nil {
+		return err
+	}
+	filter, err := flags.filter()
+	if err != nil {
+		return err
 	}
-	t, err := slurm.QueueTable(*format, *long, *start)
+	layout, err := flags.layout()
 	if err != nil {
 		return err
 	}
 	out := cmd.OutOrStdout()
-	var all []slurm.QueueJSON
-	if !*noHeader && !*asJSON {
-		fmt.Fprint(out, t.Header())
+	if !flags.withoutHeader && !flags.printAsJSON {
+		if _, err := io.WriteString(out, layout.Header()); err != nil {
+			return err
+		}
 	}
-	err = cl.Jobs(cmd.Context(), func(p *jobquery.Page) error {
-		for i := range p.Jobs {
-			rows := slurm.Queue(&p.Jobs[i], *each, p.NowMs, time.Local)
-			for k := range rows {
-				switch r := &rows[k]; {
-				case !f.Has(r):
-				case *asJSON:
-					all = append(all, r.JSON())
-				default:
-					if _, err := io.WriteString(out, t.Row(r)); err != nil {
-						return err
-					}
-				}
+	var selected []slurm.QueueJSON
+	err = cl.Jobs(cmd.Context(), func(page *jobquery.Page) error {
+		return selectRows(page, &filter, flags.eachTask, func(row *slurm.QueueRow) error {
+			if flags.printAsJSON {
+				selected = append(selected, row.JSON())
+				return nil
 			}
-		}
-		return nil
+			_, err := io.WriteString(out, layout.Row(row))
+			return err
+		})
 	})
 	if err != nil {
 		return fmt.Errorf("%s: %w", stepList, err)
 	}
-	if *asJSON {
-		if all == nil {
-			all = []slurm.QueueJSON{}
+	if flags.printAsJSON {
+		return writeListing(out, selected)
+	}
+	return nil
+}
+
+// selectRows calls each for the rows of a page that the filter selects, until an error.
+func selectRows(page *jobquery.Page, filter *slurm.Filter, eachTask bool, each func(*slurm.QueueRow) error) error {
+	for i := range page.Jobs {
+		rows := slurm.Queue(&page.Jobs[i], eachTask, page.NowMs, time.Local)
+		for k := range rows {
+			if !filter.Has(&rows[k]) {
+				continue
+			}
+			if err := each(&rows[k]); err != nil {
+				return err
+			}
 		}
-		return json.NewEncoder(out).Encode(map[string]any{"jobs": all, "errors": []string{}})
 	}
 	return nil
 }
--- a/cmd/wallctl/srun.go
+++ b/cmd/wallctl/srun.go
@@ -15,92 +15,109 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
+const (
+	outputInterval = 500 * time.Millisecond
+	cancelTimeout  = 20 * time.Second
+)
+
 func srun(cmd *cobra.Command, cl *client.Client, args []string) error {
 	now := time.Now()
-	o, w, err := ask(cmd, slurm.Srun, args, now)
+	options, work, err := readSubmission(cmd, slurm.Srun, args, now)
 	if err != nil {
 		return err
 	}
-	r, err := submit(cmd.Context(), cl, slurm.Srun, o, w, now)
-	if err != nil || o.TestOnly {
+	request, err := submitSlurm(cmd.Context(), cl, slurm.Srun, options, work, now)
+	if err != nil || options.TestOnly {
 		return err
 	}
-	if !o.Quiet {
-		fmt.Fprintf(cmd.ErrOrStderr(), "srun: job %d queued and waiting for resources\n", r.Terms.Number)
+	if !options.Quiet {
+		// Only a note: the step runs whether it can be printed or not.
+		_, _ = fmt.Fprintf(cmd.ErrOrStderr(), "srun: job %d queued and waiting for resources\n", request.Terms.Number)
+	}
+	output := &stepOutput{
+		cl: cl, uid: request.Job.UID, tasks: request.Job.Tasks, labelled: options.Label, toFile: options.Output != "",
+		stdout: cmd.OutOrStdout(), stderr: cmd.ErrOrStderr(), printed: map[string]int{},
 	}
-	s := &stream{cl: cl, uid: r.Job.UID, tasks: r.Job.Tasks, label: o.Label, quiet: o.Output != "", out: cmd.OutOrStdout(), err: cmd.ErrOrStderr(), read: map[string]int{}}
+	err = waitPrinting(cmd.Context(), cl, request.Job.UID, output)
+	if cmd.Context().Err() != nil {
+		return cancelStep(cl, request)
+	}
+	if err != nil {
+		return endNotSeen(request, err)
+	}
+	output.printNew(cmd.Context())
+	return exitAsJob(cmd.Context(), cl, request)
+}
+
+// waitPrinting waits for the end of a step and prints its output meanwhile.
+func waitPrinting(ctx context.Context, cl *client.Client, uid string, output *stepOutput) error {
 	done := make(chan error, 1)
 	go func() {
-		_, err := cl.Wait(cmd.Context(), r.Job.UID)
+		_, err := cl.Wait(ctx, uid)
 		done <- err
 	}()
+	timer := time.NewTimer(outputInterval)
+	defer timer.Stop()
 	for {
 		select {
-		case err = <-done:
-		case <-time.After(streamEvery):
-			s.show(cmd.Context())
-			continue
-		}
-		break
-	}
-	if cmd.Context().Err() != nil {
-		// The user pressed Ctrl-C: what was started for this terminal ends with it.
-		ctx, cancel := context.WithTimeout(context.Background(), cancelWithin)
-		defer cancel()
-		if _, err := cl.Cancel(ctx, r.Job.UID); err != nil {
-			return fmt.Errorf("job %d may still run: cancel it with \"scancel %d\": %w", r.Terms.Number, r.Terms.Number, err)
+		case err := <-done:
+			return err
+		case <-timer.C:
+			output.printNew(ctx)
+			timer.Reset(outputInterval) // after the requests, so that a slow site has a pause
 		}
-		return fmt.Errorf("job %d was cancelled", r.Terms.Number)
 	}
-	if err != nil {
-		return fmt.Errorf("job %d goes on, but its end was not seen: %w", r.Terms.Number, err)
-	}
-	s.show(cmd.Context())
-	return ended(cmd.Context(), cl, r)
 }
 
-const (
-	streamEvery  = 500 * time.Millisecond
-	cancelWithin = 20 * time.Second
-)
+// cancelStep cancels a step after an interrupt: what was started for a terminal ends with it.
+// The command's context is done then, so the cancel has its own.
+func cancelStep(cl *client.Client, request *slurm.Request) error {
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
+	defer cancel()
+	if _, err := cl.Cancel(ctx, request.Job.UID); err != nil {
+		return fmt.Errorf("job %d may still run: cancel it with \"scancel %d\": %w", request.Terms.Number, request.Terms.Number, err)
+	}
+	return fmt.Errorf("job %d was cancelled", request.Terms.Number)
+}
 
-// stream shows what a step's tasks write, as it comes.
-type stream struct {
-	cl       *client.Client
-	uid      string
-	tasks    int
-	label    bool
-	quiet    bool
-	out, err io.Writer
-	read     map[string]int
+// stepOutput prints what a step's tasks write, as it arrives.
+type stepOutput struct {
+	cl             *client.Client
+	uid            string
+	tasks          int
+	labelled       bool // the task's number precedes each line
+	toFile         bool // the tasks write to files: there is nothing to print
+	stdout, stderr io.Writer
+	printed        map[string]int // bytes, by the path of a task's stream
 }
 
-func (s *stream) show(ctx context.Context) {
-	if s.quiet {
+// printNew prints what all tasks wrote since the last call.
+func (s *stepOutput) printNew(ctx context.Context) {
+	if s.toFile {
 		return
 	}
-	for n := range s.tasks {
-		for _, path := range []string{"", "?stream=stderr"} {
-			key := wire.TaskName(s.uid, n) + path
-			data, err := s.cl.Once(ctx, "/logs/"+key)
-			if err != nil {
-				continue // it has not begun, or is asked about again
-			}
-			if len(data) < s.read[key] {
-				s.read[key] = 0 // another attempt began
-			}
-			text := string(data[s.read[key]:])
-			s.read[key] = len(data)
-			to := s.out
-			if path != "" {
-				to = s.err
-			}
-			for line := range strings.Lines(text) {
-				if s.label {
-					line = strconv.Itoa(n) + ": " + line
-				}
-				_, _ = io.WriteString(to, line)
-			}
+	for task := range s.tasks {
+		s.printStream(ctx, task, "", s.stdout)
+		s.printStream(ctx, task, "?stream=stderr", s.stderr)
+	}
+}
+
+// printStream prints what one task wrote to one of its streams since the last call.
+func (s *stepOutput) printStream(ctx context.Context, task int, query string, to io.Writer) {
+	path := wire.TaskName(s.uid, task) + query
+	data, err := s.cl.Once(ctx, "/logs/"+path)
+	if err != nil {
+		return // the task hasn't started, or the next call gets it
+	}
+	if len(data) < s.printed[path] {
+		s.printed[path] = 0 // another attempt started
+	}
+	text := string(data[s.printed[path]:])
+	s.printed[path] = len(data)
+	for line := range strings.Lines(text) {
+		if s.labelled {
+			line = strconv.Itoa(task) + ": " + line
 		}
+		_, _ = io.WriteString(to, line) // the step goes on, and its exit code matters, when nobody reads
 	}
 }
