--- a/cmd/wallctl/accounting_records.go
+++ b/cmd/wallctl/accounting_records.go
@@ -28,7 +28,7 @@
 	}
 	if err := cl.Jobs(ctx, func(page *jobquery.Page) error {
 		for i := range page.Jobs {
-			collector.AddLiving(&page.Jobs[i])
+			collector.AddActive(&page.Jobs[i])
 		}
 		return nil
 	}); err != nil {
@@ -60,7 +60,7 @@
 		}
 	}
 	if to.Before(from) {
-		return from, to, &slurm.Usage{Why: "Start time is after end time"}
+		return from, to, &slurm.UsageError{Why: "Start time is after end time"}
 	}
 	return from, to, nil
 }
--- a/cmd/wallctl/main_test.go
+++ b/cmd/wallctl/main_test.go
@@ -12,26 +12,29 @@
 // respond writes a body; a client that left sees nothing.
 func respond(w io.Writer, body string) { _, _ = io.WriteString(w, body) }
 
+// respondByPath responds as a site does to the commands of the test below.
+func respondByPath(w http.ResponseWriter, r *http.Request) {
+	switch {
+	case strings.HasPrefix(r.URL.Path, "/descriptions/"):
+		w.WriteHeader(http.StatusNoContent)
+	case r.Method == http.MethodPost && r.URL.Path == "/api/jobs":
+		w.WriteHeader(http.StatusCreated)
+		respond(w, `{"uid":"j-1","stage":"queued"}`)
+	case strings.HasSuffix(r.URL.Path, "j-over"):
+		respond(w, `{"uid":"j-over","stage":"cancelled"}`)
+	case r.URL.Path == "/ops/links":
+		respond(w, `{"node":"a","state":"by a peer","kept":3,"links":[{"to":"b","is":"known by state","since_s":7}],"controllers":[{"node":"b","reached":"known by state","lacks":["a"]}]}`)
+	case strings.HasSuffix(r.URL.Path, "/pause"):
+		w.WriteHeader(http.StatusUnprocessableEntity)
+		respond(w, `{"error":"bad input: service: x is unknown"}`)
+	default:
+		w.WriteHeader(http.StatusNotFound)
+	}
+}
+
 // Programs tell outcomes by exit codes, and wrong use by a message that names the flag.
 func TestExitCodesAndMessagesOfOutcomes(t *testing.T) {
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch {
-		case strings.HasPrefix(r.URL.Path, "/descriptions/"):
-			w.WriteHeader(http.StatusNoContent)
-		case r.Method == http.MethodPost && r.URL.Path == "/api/jobs":
-			w.WriteHeader(http.StatusCreated)
-			respond(w, `{"uid":"j-1","stage":"queued"}`)
-		case strings.HasSuffix(r.URL.Path, "j-over"):
-			respond(w, `{"uid":"j-over","stage":"cancelled"}`)
-		case r.URL.Path == "/ops/links":
-			respond(w, `{"node":"a","state":"by a peer","kept":3,"links":[{"to":"b","is":"known by state","since_s":7}],"controllers":[{"node":"b","reached":"known by state","lacks":["a"]}]}`)
-		case strings.HasSuffix(r.URL.Path, "/pause"):
-			w.WriteHeader(http.StatusUnprocessableEntity)
-			respond(w, `{"error":"bad input: service: x is unknown"}`)
-		default:
-			w.WriteHeader(http.StatusNotFound)
-		}
-	}))
+	srv := httptest.NewServer(http.HandlerFunc(respondByPath))
 	defer srv.Close()
 	for _, c := range []struct {
 		args, out, why string
--- a/cmd/wallctl/scancel.go
+++ b/cmd/wallctl/scancel.go
@@ -42,7 +42,7 @@
 	}
 	filtered := len(filter.Users)+len(filter.States)+len(filter.Partitions)+len(filter.Accounts)+len(filter.Names)+len(filter.QOS) > 0
 	if !filtered && len(filter.Jobs)+len(uids) == 0 {
-		return &slurm.Usage{Why: "No job identification provided"}
+		return &slurm.UsageError{Why: "No job identification provided"}
 	}
 	c := &canceller{cl: cl, stderr: cmd.ErrOrStderr(), quiet: *quiet}
 	ctx := cmd.Context()
--- a/cmd/wallctl/scontrol.go
+++ b/cmd/wallctl/scontrol.go
@@ -133,7 +133,7 @@
 		shown++
 	}
 	if shown == 0 && len(names) > 0 {
-		return &slurm.Usage{Why: fmt.Sprintf("Node %s not found", strings.Join(names, ","))}
+		return &slurm.UsageError{Why: fmt.Sprintf("Node %s not found", strings.Join(names, ","))}
 	}
 	return nil
 }
--- a/cmd/wallctl/slurm_errors.go
+++ b/cmd/wallctl/slurm_errors.go
@@ -28,6 +28,6 @@
 
 // Messages of Slurm that scripts compare.
 var (
-	errAlreadyOver  error = &slurm.Usage{Why: "Job/step already completing or completed"}
-	errInvalidJobID error = &slurm.Usage{Why: "Invalid job id specified"}
+	errAlreadyOver  error = &slurm.UsageError{Why: "Job/step already completing or completed"}
+	errInvalidJobID error = &slurm.UsageError{Why: "Invalid job id specified"}
 )
--- a/cmd/wallctl/slurm_flags.go
+++ b/cmd/wallctl/slurm_flags.go
@@ -66,7 +66,7 @@
 		}
 		state, known := slurm.StateName(name)
 		if !known {
-			return nil, &slurm.Usage{Why: "Invalid state specified: " + name}
+			return nil, &slurm.UsageError{Why: "Invalid state specified: " + name}
 		}
 		states = append(states, state)
 	}
--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -39,12 +39,12 @@
 	switch {
 	case name == slurm.Srun:
 		if len(program) == 0 {
-			return nil, nil, &slurm.Usage{Why: "No command given to execute."}
+			return nil, nil, &slurm.UsageError{Why: "No command given to execute."}
 		}
 		work.Argv = program
 	case given["wrap"] != "":
 		if len(program) > 0 {
-			return nil, nil, &slurm.Usage{Why: "Script arguments not permitted with --wrap option"}
+			return nil, nil, &slurm.UsageError{Why: "Script arguments not permitted with --wrap option"}
 		}
 	default:
 		fromScript, err := readScript(cmd.InOrStdin(), program, work, now)
@@ -85,7 +85,7 @@
 	if len(args) > 0 {
 		f, err := os.Open(args[0])
 		if err != nil {
-			return "", "", &slurm.Usage{Why: "Unable to open file " + args[0]}
+			return "", "", &slurm.UsageError{Why: "Unable to open file " + args[0]}
 		}
 		defer func() { _ = f.Close() }() // it was only read
 		in, name = f, args[0]
@@ -95,9 +95,9 @@
 	case err != nil:
 		return "", "", err
 	case len(data) == 0:
-		return "", "", &slurm.Usage{Why: "Batch script is empty!"}
+		return "", "", &slurm.UsageError{Why: "Batch script is empty!"}
 	case len(data) > maxScript:
-		return "", "", &slurm.Usage{Why: fmt.Sprintf("Batch script is over %d bytes", maxScript)}
+		return "", "", &slurm.UsageError{Why: fmt.Sprintf("Batch script is over %d bytes", maxScript)}
 	}
 	return string(data), name, nil
 }
--- /dev/null
+++ b/internal/slurm/description.go
@@ -0,0 +1,111 @@
+package slurm
+
+import (
+	"cmp"
+	"maps"
+	"path/filepath"
+	"strconv"
+	"strings"
+
+	"github.com/wallrack/wallrack/internal/jobquery"
+	"github.com/wallrack/wallrack/internal/slurmtask"
+)
+
+// describe sets what the job's tasks run.
+func (r *Request) describe(cmd Command, o *Options, w *Work, site *jobquery.Site) {
+	job, c, d := &r.Job, &r.Terms, &r.Description
+	d.CPUs, d.GPUs, d.MemoryGB = job.CPUs, job.GPUs, job.MemoryGB
+	d.Dir = w.Dir
+	if o.Dir != "" {
+		if d.Dir = o.Dir; !filepath.IsAbs(d.Dir) {
+			d.Dir = filepath.Join(w.Dir, o.Dir)
+		}
+	}
+	d.Slurm = &slurmtask.Context{Tasks: job.Tasks, Array: c.Array, User: c.User, Output: o.Output, Error: o.Error, Step: cmd == Srun, Cluster: site.Cluster}
+	if cmd == Sbatch {
+		r.describeScript(o, w)
+	} else {
+		d.Argv = w.Argv
+		if c.Name == "" && len(w.Argv) > 0 {
+			c.Name = filepath.Base(w.Argv[0])
+		}
+	}
+	d.Slurm.Name = c.Name
+	d.Env = exported(o.Export, w.Env)
+	r.addSlurmEnv(o, w)
+}
+
+// describeScript sets the batch script, the interpreter that its first line names, and the
+// defaults that depend on it: the job's name and the output file.
+func (r *Request) describeScript(o *Options, w *Work) {
+	c, d := &r.Terms, &r.Description
+	script := w.Script
+	if o.Wrap != "" {
+		script = "#!/bin/sh\n# This script was created by sbatch --wrap.\n\n" + o.Wrap + "\n"
+		c.Name = cmp.Or(c.Name, "wrap")
+	}
+	line, _, _ := strings.Cut(strings.TrimPrefix(script, "#!"), "\n")
+	interpreter, arg, _ := strings.Cut(strings.TrimSpace(line), " ")
+	d.Argv = []string{interpreter}
+	if arg = strings.TrimSpace(arg); arg != "" {
+		d.Argv = append(d.Argv, arg)
+	}
+	d.Script, d.Args = script, w.Argv
+	if c.Name == "" {
+		c.Name = filepath.Base(w.File)
+	}
+	if d.Slurm.Output == "" {
+		d.Slurm.Output = "slurm-%j.out"
+		if c.Array != "" {
+			d.Slurm.Output = "slurm-%A_%a.out"
+		}
+	}
+}
+
+// addSlurmEnv adds the variables that are the same for all tasks of a job. The others are added
+// on the worker, by package slurmtask.
+func (r *Request) addSlurmEnv(o *Options, w *Work) {
+	job, env := &r.Job, r.Description.Env
+	maps.Copy(env, map[string]string{
+		"SLURM_SUBMIT_DIR": w.Dir, "SLURM_SUBMIT_HOST": w.Host, "SLURM_JOB_PARTITION": job.Class, "SLURM_JOB_ACCOUNT": job.Team, "SLURM_JOB_QOS": job.Priority,
+		"SLURM_NTASKS": strconv.Itoa(o.Tasks), "SLURM_NPROCS": strconv.Itoa(o.Tasks), "SLURM_CPUS_PER_TASK": strconv.Itoa(o.CPUs),
+		"SLURM_CPUS_ON_NODE": strconv.Itoa(int(job.CPUs)), "SLURM_JOB_CPUS_PER_NODE": strconv.Itoa(int(job.CPUs)), "SLURM_TASKS_PER_NODE": strconv.Itoa(o.Tasks),
+	})
+	if o.MemoryMB > 0 {
+		env["SLURM_MEM_PER_NODE"] = strconv.Itoa(int(o.MemoryMB))
+	}
+	if o.MemoryPerCPUMB > 0 {
+		env["SLURM_MEM_PER_CPU"] = strconv.Itoa(int(o.MemoryPerCPUMB))
+	}
+	if job.GPUs > 0 {
+		env["SLURM_GPUS"] = strconv.Itoa(int(job.GPUs))
+		env["SLURM_GPUS_ON_NODE"] = strconv.Itoa(int(job.GPUs))
+	}
+}
+
+// exported returns the user's variables that --export selects. Those of an enclosing job are
+// left out: its SLURM_* and SBATCH_* variables describe another job.
+func exported(export string, env []string) map[string]string {
+	all := map[string]string{}
+	for _, setting := range env {
+		name, value, found := strings.Cut(setting, "=")
+		if found && name != "" && !strings.HasPrefix(name, "SLURM_") && !strings.HasPrefix(name, "SBATCH_") {
+			all[name] = value
+		}
+	}
+	selected := map[string]string{}
+	for _, part := range strings.Split(export, ",") {
+		switch name, value, given := strings.Cut(part, "="); {
+		case part == "ALL":
+			maps.Copy(selected, all)
+		case part == "NONE":
+		case given:
+			selected[name] = value
+		default:
+			if value, found := all[part]; found {
+				selected[part] = value
+			}
+		}
+	}
+	return selected
+}
--- /dev/null
+++ b/internal/slurm/node_selection.go
@@ -0,0 +1,70 @@
+package slurm
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"github.com/wallrack/wallrack/internal/jobquery"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// nodeNames are the machine types and zones of a list.
+type nodeNames struct{ types, zones []string }
+
+// selectNodes sets the machine types and the zone that --nodelist and --exclude leave.
+func selectNodes(job *wire.Job, o *Options, site *jobquery.Site) error {
+	all := nodeNames{zones: site.Zones}
+	for _, t := range site.Types {
+		all.types = append(all.types, t.Name)
+	}
+	wanted, err := classify("nodelist", o.NodeList, all)
+	if err != nil {
+		return err
+	}
+	excluded, err := classify("exclude", o.Exclude, all)
+	if err != nil {
+		return err
+	}
+	job.Types = without(wanted.types, excluded.types, all.types)
+	if len(excluded.types) > 0 && len(job.Types) == 0 {
+		return &UsageError{Option: "exclude", Why: "leaves no machine type"}
+	}
+	zones := without(wanted.zones, excluded.zones, all.zones)
+	switch {
+	case len(zones) == 1:
+		job.Zone = &zones[0]
+	case len(zones) == 0 && len(excluded.zones) > 0:
+		return &UsageError{Option: "exclude", Why: "leaves no zone"}
+	case len(zones) > 1 && len(zones) < len(site.Zones):
+		return &UsageError{Option: "nodelist", Why: fmt.Sprintf("a job is bound to one zone or to none, not to %s", strings.Join(zones, ", "))}
+	}
+	return nil
+}
+
+// classify divides names into machine types and zones.
+func classify(option string, names []string, all nodeNames) (found nodeNames, err error) {
+	for _, name := range names {
+		switch {
+		case slices.Contains(all.types, name):
+			found.types = append(found.types, name)
+		case slices.Contains(all.zones, name):
+			found.zones = append(found.zones, name)
+		default:
+			return found, &UsageError{Option: option, Why: fmt.Sprintf("%s is no machine type (%s) and no zone (%s)", name, strings.Join(all.types, ", "), strings.Join(all.zones, ", "))}
+		}
+	}
+	return found, nil
+}
+
+// without returns the wanted names, or all if none is wanted, but for the excluded ones. If
+// none is excluded, wanted is returned as it is.
+func without(wanted, excluded, all []string) []string {
+	if len(excluded) == 0 {
+		return wanted
+	}
+	if wanted == nil {
+		wanted = slices.Clone(all)
+	}
+	return slices.DeleteFunc(wanted, func(name string) bool { return slices.Contains(excluded, name) })
+}
--- /dev/null
+++ b/internal/slurm/option_values.go
@@ -0,0 +1,231 @@
+package slurm
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/jobspec"
+)
+
+// text sets a string that must not be empty.
+func text(at func(o *Options) *string) setter {
+	return func(o *Options, v string, _ time.Time) error {
+		if v == "" {
+			return errors.New("a value is needed")
+		}
+		*at(o) = v
+		return nil
+	}
+}
+
+// flag sets an option without a value.
+func flag(at func(o *Options) *bool) setter {
+	return func(o *Options, v string, _ time.Time) error {
+		on, err := strconv.ParseBool(v)
+		*at(o) = on
+		return err
+	}
+}
+
+// count sets a number from least to a million.
+func count(least int, at func(o *Options) *int) setter {
+	return func(o *Options, v string, _ time.Time) error {
+		n, err := strconv.Atoi(v)
+		if err != nil || n < least || n > 1_000_000 {
+			return fmt.Errorf("%.40q is not a number from %d", v, least)
+		}
+		*at(o) = n
+		return nil
+	}
+}
+
+// memory sets an amount of memory in MB.
+func memory(at func(o *Options) *float64) setter {
+	return func(o *Options, v string, _ time.Time) (err error) {
+		*at(o), err = ParseMemoryMB(v)
+		return err
+	}
+}
+
+// ParseMemoryMB parses an amount of memory, in megabytes or with the unit K, M, G or T, and
+// returns it in megabytes. Zero, which is all of a node in Slurm, is refused.
+func ParseMemoryMB(v string) (float64, error) {
+	units := map[byte]float64{'K': 1. / 1024, 'M': 1, 'G': 1024, 'T': 1024 * 1024}
+	number, unit := v, 1.0
+	if v != "" {
+		if u, found := units[strings.ToUpper(v[len(v)-1:])[0]]; found {
+			number, unit = v[:len(v)-1], u
+		}
+	}
+	n, err := strconv.ParseUint(number, 10, 40)
+	if err != nil {
+		return 0, fmt.Errorf("%.40q is not an amount of memory", v)
+	}
+	if n == 0 {
+		return 0, errors.New("all of a machine's memory can't be asked for")
+	}
+	return float64(n) * unit, nil
+}
+
+// maxLimitS is the longest time limit that a job may have.
+const maxLimitS = 366 * 24 * 3600
+
+// ParseLimit parses a time limit in any of Slurm's forms and returns it in seconds; 0 is
+// unlimited.
+func ParseLimit(v string) (float64, error) {
+	invalid := fmt.Errorf("%.40q is not a time limit", v)
+	switch strings.ToUpper(v) {
+	case "INFINITE", "UNLIMITED", "-1":
+		return 0, nil
+	}
+	days, clock, withDays := strings.Cut(v, "-")
+	if !withDays {
+		days, clock = "0", v
+	}
+	units := []float64{60}
+	parts := strings.Split(clock, ":")
+	switch {
+	case withDays && len(parts) <= 3:
+		units = []float64{3600, 60, 1}[:len(parts)]
+	case len(parts) == 2:
+		units = []float64{60, 1}
+	case len(parts) == 3:
+		units = []float64{3600, 60, 1}
+	case len(parts) != 1:
+		return 0, invalid
+	}
+	sumS := 0.0
+	for i, part := range append([]string{days}, parts...) {
+		n, err := strconv.ParseUint(part, 10, 31)
+		if err != nil {
+			return 0, invalid
+		}
+		if i == 0 {
+			sumS += float64(n) * 24 * 3600
+		} else {
+			sumS += float64(n) * units[i-1]
+		}
+	}
+	if sumS > maxLimitS {
+		return 0, errors.New("is over a year")
+	}
+	return sumS, nil
+}
+
+func setArray(o *Options, v string, _ time.Time) error {
+	indices, limit, limited := strings.Cut(v, "%")
+	if limited {
+		n, err := strconv.Atoi(limit)
+		if err != nil || n < 1 {
+			return fmt.Errorf("%.40q is not a number of tasks at once", limit)
+		}
+		o.MaxConcurrent = n
+	}
+	if _, err := jobspec.ParseRanges(indices); err != nil {
+		return fmt.Errorf("invalid job array specification: %w", err)
+	}
+	o.Array = indices
+	return nil
+}
+
+func setConstraint(o *Options, v string, _ time.Time) error {
+	if v != "spot" {
+		return fmt.Errorf("%.40q: no feature but spot is supported by wallrack", v)
+	}
+	o.Spot = true
+	return nil
+}
+
+func setExport(o *Options, v string, _ time.Time) error {
+	if v == "" || strings.EqualFold(v, "NIL") {
+		return errors.New("ALL, NONE or a list of variables is needed")
+	}
+	o.Export = v
+	return nil
+}
+
+// parseGPUs parses [TYPE:]N; types of GPU are refused.
+func parseGPUs(v string) (int, error) {
+	if name, _, typed := strings.Cut(v, ":"); typed {
+		return 0, fmt.Errorf("type %.40q: types of GPU are not supported by wallrack; use --nodelist with a machine type", name)
+	}
+	n, err := strconv.Atoi(v)
+	if err != nil || n < 0 || n > 10_000 {
+		return 0, fmt.Errorf("%.40q is not a number of GPUs", v)
+	}
+	return n, nil
+}
+
+// setGPUs sets the GPUs of a task or of the job.
+func setGPUs(perTask bool) setter {
+	return func(o *Options, v string, _ time.Time) (err error) {
+		o.GPUs, err = parseGPUs(v)
+		o.GPUsPerTask = perTask
+		return err
+	}
+}
+
+func setGres(o *Options, v string, _ time.Time) (err error) {
+	if strings.EqualFold(v, "NONE") {
+		o.GPUs = 0
+		return nil
+	}
+	name, number, counted := strings.Cut(strings.TrimPrefix(v, "gres/"), ":")
+	if name != "gpu" {
+		return fmt.Errorf("%.40q: no generic resource but gpu is supported by wallrack", name)
+	}
+	if !counted {
+		number = "1"
+	}
+	o.GPUs, err = parseGPUs(number)
+	o.GPUsPerTask = false
+	return err
+}
+
+// setYes sets yes or no.
+func setYes(at func(*Options) *bool) setter {
+	return func(o *Options, v string, _ time.Time) error {
+		if v != "yes" && v != "no" {
+			return errors.New("yes or no is needed")
+		}
+		*at(o) = v == "yes"
+		return nil
+	}
+}
+
+func setNice(o *Options, v string, _ time.Time) error {
+	n, err := strconv.Atoi(v)
+	if err != nil || n > 2147483645 {
+		return fmt.Errorf("%.40q is not a nice value", v)
+	}
+	if n < 0 {
+		return errors.New("a negative value would go before others: that is nobody's to ask")
+	}
+	o.Nice = n
+	return nil
+}
+
+// setNodes accepts one node only, the one that each task has anyway.
+func setNodes(_ *Options, v string, _ time.Time) error {
+	if v != "1" && v != "1-1" {
+		return errors.New("a task is on one machine; for many, use --array or srun --ntasks")
+	}
+	return nil
+}
+
+// setList sets a list of machine types and zones. Slurm's host ranges are refused.
+func setList(at func(*Options) *[]string) setter {
+	return func(o *Options, v string, _ time.Time) error {
+		list := strings.Split(v, ",")
+		for _, name := range list {
+			if name == "" || strings.ContainsAny(name, "[]/") {
+				return fmt.Errorf("%.40q: names of machine types and zones are needed", v)
+			}
+		}
+		*at(o) = list
+		return nil
+	}
+}
--- a/internal/slurm/recorded_test.go
+++ b/internal/slurm/recorded_test.go
@@ -57,8 +57,10 @@
 func TestRecordedQueue(t *testing.T) {
 	i := &jobquery.Info{
 		Job: wire.Job{UID: "j-1", Class: "quick", Team: "brew", Priority: "urgent", Tasks: 5, CPUs: 2, GPUs: 1, MemoryGB: 4},
-		Constraints: &jobspec.Constraints{Number: 40, Name: "night", User: "mo", Array: "1-9:2", MaxConcurrent: 2, LimitS: 7200, BeginMs: 1_000_000,
-			Dependencies: []jobspec.Dependency{{Kind: "afterok", Number: 7}, {Kind: "after", Number: 8, DelayS: 120}}},
+		Constraints: &jobspec.Constraints{
+			Number: 40, Name: "night", User: "mo", Array: "1-9:2", MaxConcurrent: 2, LimitS: 7200, BeginMs: 1_000_000,
+			Dependencies: []jobspec.Dependency{{Kind: "afterok", Number: 7}, {Kind: "after", Number: 8, DelayS: 120}},
+		},
 		AcceptedMs: 500_000, Stage: wire.StageQueued, Reason: "Dependency", EligibleMs: 1_000_000, Waiting: "3-4", Queued: 2, Running: 3,
 		Placements: []jobquery.Placement{{Task: 0, Machine: "m-1", StartMs: 1_100_000}, {Task: 1, Machine: "m-2"}, {Task: 2, Machine: "m-3", StartMs: 1_200_000, Ending: true}},
 	}
--- a/internal/slurm/account_filter.go
+++ b/internal/slurm/sacct_filter.go
@@ -6,28 +6,27 @@
 	"strings"
 )
 
-// AcctFilter says which records sacct shows: those with any state in a window of
-// time that they were eligible, running or ending in.
+// AcctFilter selects records of sacct: those that existed in a period. Empty lists select all.
 type AcctFilter struct {
-	FromMs, ToMs                             int64
+	FromMs, ToMs                             int64 // Unix time; ToMs 0: no end
 	Users, Accounts, Partitions, States, QOS []string
 	Names                                    []string
 	Jobs                                     []Target
 }
 
-// Has reports whether a record is meant.
+// Has reports whether the filter selects a record, or lines of it by HasLine.
 func (f *AcctFilter) Has(r *Record) bool {
-	j := &r.Job
-	if f.ToMs > 0 && j.Submit > f.ToMs || j.End > 0 && j.End < f.FromMs {
+	job := &r.Job
+	if f.ToMs > 0 && job.Submit > f.ToMs || job.End > 0 && job.End < f.FromMs {
 		return false
 	}
-	return in(f.Users, j.User) && in(f.Accounts, j.Team) && in(f.Partitions, j.Class) && in(f.QOS, j.Priority) && in(f.Names, dash(j.Name, j.Class)) &&
+	return in(f.Users, job.User) && in(f.Accounts, job.Team) && in(f.Partitions, job.Class) && in(f.QOS, job.Priority) && in(f.Names, dash(job.Name, job.Class)) &&
 		(len(f.Jobs) == 0 || slices.ContainsFunc(f.Jobs, func(t Target) bool {
-			return t.Number >= j.Number && t.Number < j.Number+uint64(max(1, j.Tasks))
+			return t.Number >= job.Number && t.Number < job.Number+uint64(max(1, job.Tasks))
 		}))
 }
 
-// HasLine reports whether a line of a record that is meant is shown.
+// HasLine reports whether the filter selects a line of a record that it selects.
 func (f *AcctFilter) HasLine(r *AcctRow) bool {
 	if !in(f.States, r.State) {
 		return false
@@ -38,7 +37,7 @@
 			return t.Number == r.Job.Number || strings.TrimSuffix(r.RawID, ".batch") == strconv.FormatUint(t.Number, 10)
 		}
 		_, index, _ := strings.Cut(id, "_")
-		x, err := strconv.Atoi(index)
-		return t.Number == r.Job.Number && err == nil && t.Indices.Find(x) >= 0
+		n, err := strconv.Atoi(index)
+		return t.Number == r.Job.Number && err == nil && t.Indices.Find(n) >= 0
 	})
 }
--- /dev/null
+++ b/internal/slurm/sacct_sums.go
@@ -0,0 +1,88 @@
+package slurm
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Sum is what the jobs of a group took together. Its tags are the columns of exports.
+type Sum struct {
+	Key      string  `json:"key" parquet:"key"`
+	Jobs     int     `json:"jobs" parquet:"jobs"`
+	Tasks    int     `json:"tasks" parquet:"tasks"` // done
+	Attempts int     `json:"attempts" parquet:"attempts"`
+	CPUHours float64 `json:"cpu_hours" parquet:"cpu_hours"`
+	GBHours  float64 `json:"memory_gb_hours" parquet:"memory_gb_hours"`
+	UsefulH  float64 `json:"useful_cpu_hours" parquet:"useful_cpu_hours"`
+	LostH    float64 `json:"lost_cpu_hours" parquet:"lost_cpu_hours"`
+	Cost     float64 `json:"cost" parquet:"cost"`
+	WaitS    float64 `json:"wait_s" parquet:"wait_s"` // from eligible to start, of the jobs together
+}
+
+// groupings are the values of wallctl accounting report --by.
+func groupings(zone *time.Location) map[string]func(*Record) string {
+	return map[string]func(*Record) string{
+		"account": func(r *Record) string { return r.Job.Team },
+		"class":   func(r *Record) string { return r.Job.Class },
+		"user":    func(r *Record) string { return dash(r.Job.User, "-") },
+		"day": func(r *Record) string {
+			if r.Job.End == 0 {
+				return "running"
+			}
+			return time.UnixMilli(r.Job.End).In(zone).Format(time.DateOnly)
+		},
+	}
+}
+
+// Sums returns the sums of records by account, class, user or day of their end in a zone, in
+// order of these. The error is a *UsageError.
+func Sums(records []*Record, by string, zone *time.Location) ([]Sum, error) {
+	key := groupings(zone)[by]
+	if key == nil {
+		return nil, &UsageError{Option: "by", Why: fmt.Sprintf("%.40q: account, class, user or day is needed", by)}
+	}
+	byKey := map[string]*Sum{}
+	for _, r := range records {
+		k := key(r)
+		sum := byKey[k]
+		if sum == nil {
+			sum = &Sum{Key: k}
+			byKey[k] = sum
+		}
+		sum.add(r)
+	}
+	sums := make([]Sum, 0, len(byKey))
+	for _, sum := range byKey {
+		sums = append(sums, *sum)
+	}
+	slices.SortFunc(sums, func(a, b Sum) int { return strings.Compare(a.Key, b.Key) })
+	return sums, nil
+}
+
+// add adds a job with its attempts that ended.
+func (s *Sum) add(r *Record) {
+	s.Jobs++
+	s.Tasks += int(r.Job.Done)
+	if r.Job.Eligible > 0 && r.Job.Start > r.Job.Eligible {
+		s.WaitS += float64(r.Job.Start-r.Job.Eligible) / 1000
+	}
+	for i := range r.Attempts {
+		attempt := &r.Attempts[i]
+		if attempt.End == 0 {
+			continue
+		}
+		hours := attempt.Seconds() / 3600
+		cpuHours := hours * float64(attempt.CPUs)
+		s.Attempts++
+		s.CPUHours += cpuHours
+		s.GBHours += hours * float64(attempt.MemoryGB)
+		s.Cost += attempt.Cost()
+		if attempt.Useful {
+			s.UsefulH += cpuHours
+		} else {
+			s.LostH += cpuHours
+		}
+	}
+}
--- /dev/null
+++ b/internal/slurm/scontrol.go
@@ -0,0 +1,90 @@
+package slurm
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/jobquery"
+	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// ShowJob formats a job as scontrol show job does, as far as it is known. Of an ended job only
+// its final state is.
+func ShowJob(info *jobquery.Info, zone *time.Location) string {
+	if info.Constraints == nil {
+		return showEnded(info, zone)
+	}
+	var b strings.Builder
+	printf := func(format string, args ...any) { fmt.Fprintf(&b, format, args...) }
+	job, c := &info.Job, info.Constraints
+	printf("JobId=%d JobName=%s WallrackUID=%s\n", c.Number, dash(c.Name, job.Class), job.UID)
+	printf("   UserId=%s Account=%s QOS=%s Priority=%d\n", dash(c.User, "-"), job.Team, job.Priority, job.Rank())
+	printf("   JobState=%s Reason=%s Dependency=%s\n", activeState(info), dash(info.Reason, jobspec.ReasonNone), dash(formatDependencies(c), "(null)"))
+	if isArray(job.Tasks, c.Array) {
+		array := indices(job.Tasks, c.Array).String()
+		if c.MaxConcurrent > 0 {
+			array += fmt.Sprintf("%%%d", c.MaxConcurrent)
+		}
+		printf("   ArrayJobId=%d ArrayTaskId=%s\n", c.Number, array)
+	}
+	limit := "UNLIMITED"
+	if c.LimitS > 0 {
+		limit = Clock(c.LimitS, false)
+	}
+	printf("   TimeLimit=%s SubmitTime=%s EligibleTime=%s\n", limit, stamp(info.AcceptedMs, "Unknown", zone), stamp(info.EligibleMs, "Unknown", zone))
+	printf("   StartTime=%s Deadline=%s BeginTime=%s\n", stamp(info.StartMs, "Unknown", zone), stamp(c.DeadlineMs, "N/A", zone), stamp(c.BeginMs, "N/A", zone))
+	nodes := make([]string, 0, len(info.Placements))
+	for _, placement := range info.Placements {
+		nodes = append(nodes, placement.Machine)
+	}
+	printf("   Partition=%s NodeList=%s\n", job.Class, dash(strings.Join(nodes, ","), "(null)"))
+	printf("   NumTasks=%d CPUs/Task=%s Memory/Task=%s Gres/Task=%s\n", job.Tasks, amount(job.CPUs), memoryText(job.MemoryGB), gres(job.GPUs))
+	printf("   WaitingTasks=%d RunningTasks=%d DoneTasks=%d FailedTasks=%d\n", info.Queued, info.Running, info.Done, info.Failed)
+	printf("   Features=%s\n\n", dash(strings.Join(features(job), ","), "(null)"))
+	return b.String()
+}
+
+// showEnded formats an ended job: its final state is kept for ever, all else is in accounting.
+func showEnded(info *jobquery.Info, zone *time.Location) string {
+	ending := info.Ending
+	if ending == nil {
+		ending = &jobspec.Ending{State: jobspec.Cancelled}
+		if info.Stage == wire.StageDone {
+			ending.State = jobspec.Completed
+		}
+	}
+	return fmt.Sprintf("JobId=%d WallrackUID=%s\n   JobState=%s Reason=None ExitCode=%s\n   StartTime=%s EndTime=%s\n   DoneTasks=%d FailedTasks=%d\n\n",
+		ending.Number, info.Job.UID, ending.State, exitCode(ending.Exit), stamp(ending.StartMs, "Unknown", zone), stamp(ending.EndMs, "Unknown", zone), info.Done, ending.Failed)
+}
+
+// activeState is the state of a job that is listed.
+func activeState(info *jobquery.Info) string {
+	switch {
+	case info.Stage == wire.StageCancelled:
+		return jobspec.Cancelled
+	case info.Running > 0:
+		return stateRunning
+	}
+	return statePending
+}
+
+// features are the machine types, the zone and the kind of machines that a job may run on.
+func features(job *wire.Job) []string {
+	list := slices.Clone(job.Types)
+	if job.Zone != nil {
+		list = append(list, *job.Zone)
+	}
+	if job.Spot {
+		list = append(list, "spot")
+	}
+	return list
+}
+
+// ShowNode formats a worker as scontrol show node does.
+func ShowNode(r *NodeRow) string {
+	return fmt.Sprintf("NodeName=%s\n   CPUAlloc=%s CPUTot=%s RealMemory=%d Gres=gpu:%s\n   State=%s AvailableFeatures=%s,%s Tasks=%d LastBusyReport=%.0fs\n\n",
+		r.Name, amount(r.UsedCPUs), amount(r.CPUs), int(r.MemoryGB*1024), amount(r.GPUs), strings.ToUpper(r.state()), r.Type, r.Zone, r.Tasks, r.HeardS)
+}
--- /dev/null
+++ b/internal/slurm/script.go
@@ -0,0 +1,102 @@
+package slurm
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"maps"
+	"strings"
+	"time"
+
+	"github.com/kballard/go-shellquote"
+)
+
+// Line is an #SBATCH line of a script.
+type Line struct {
+	N    int      // of the line, from 1
+	Args []string // unquoted
+}
+
+// ScriptLines returns the #SBATCH lines of a script: those before its first command. The error
+// is a *UsageError.
+func ScriptLines(script string) ([]Line, error) {
+	if !strings.HasPrefix(script, "#!") {
+		return nil, &UsageError{Why: "This does not look like a batch script.  The first line must start with #! followed by the path to an interpreter."}
+	}
+	if strings.Contains(script, "\r\n") {
+		return nil, &UsageError{Why: "Batch script contains DOS line breaks (\\r\\n) instead of expected UNIX line breaks (\\n)."}
+	}
+	if strings.ContainsRune(script, 0) {
+		return nil, &UsageError{Why: "The batch script holds a zero byte."}
+	}
+	var lines []Line
+	scanner := bufio.NewScanner(strings.NewReader(script))
+	scanner.Buffer(nil, len(script)+1)
+	for n := 1; scanner.Scan(); n++ {
+		line := scanner.Text()
+		trimmed := strings.TrimSpace(line)
+		options, found := strings.CutPrefix(line, "#SBATCH")
+		switch {
+		case found && options != "" && (options[0] == ' ' || options[0] == '\t'):
+			args, err := shellquote.Split(beforeComment(options))
+			if err != nil {
+				return nil, &UsageError{Where: scriptLine(n), Why: err.Error()}
+			}
+			lines = append(lines, Line{n, args})
+		case trimmed != "" && trimmed[0] != '#':
+			return lines, nil
+		}
+	}
+	return lines, nil
+}
+
+// scriptLine is the UsageError.Where of a line.
+func scriptLine(line int) string { return fmt.Sprintf("script line %d", line) }
+
+// beforeComment cuts a comment off, which starts with a # that begins a word outside quotes.
+func beforeComment(s string) string {
+	quote := rune(0)
+	last := ' '
+	for i, c := range s {
+		switch {
+		case quote != 0:
+			if c == quote {
+				quote = 0
+			}
+		case c == '\'' || c == '"':
+			quote = c
+		case c == '#' && (last == ' ' || last == '\t'):
+			return s[:i]
+		}
+		last = c
+	}
+	return s
+}
+
+// FromScript returns the options of a script's #SBATCH lines. Each line is validated by itself,
+// so that the error, a *UsageError, names the line.
+func FromScript(script string, now time.Time) (Given, error) {
+	lines, err := ScriptLines(script)
+	if err != nil {
+		return nil, err
+	}
+	given := Given{}
+	for _, l := range lines {
+		ofLine, arguments, err := ParseArgs(Sbatch, l.Args)
+		if err == nil && len(arguments) > 0 {
+			err = &UsageError{Why: fmt.Sprintf("%.40q is not an option", arguments[0])}
+		}
+		if err == nil {
+			_, err = Join(Sbatch, now, ofLine)
+		}
+		var usage *UsageError
+		if errors.As(err, &usage) {
+			return nil, &UsageError{Where: scriptLine(l.N), Option: usage.Option, Why: usage.Why}
+		}
+		if err != nil {
+			return nil, &UsageError{Where: scriptLine(l.N), Why: err.Error()}
+		}
+		maps.Copy(given, ofLine)
+	}
+	return given, nil
+}
--- /dev/null
+++ b/internal/slurm/sinfo.go
@@ -0,0 +1,125 @@
+package slurm
+
+import (
+	"fmt"
+	"strconv"
+
+	"github.com/wallrack/wallrack/internal/jobquery"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// NodeRow is a line of sinfo: a worker, or the workers of a machine type in a state.
+type NodeRow struct {
+	wire.MachineInfo
+	Partition string
+	Cluster   string
+	MemoryGB  float64
+	GPUs      float64
+	Count     int    // of workers
+	Names     string // of them, separated by commas
+}
+
+// heartbeatTimeoutS is the age of the last heartbeat from which on sinfo calls a worker down.
+const heartbeatTimeoutS = 10
+
+// state is the long name of the state.
+func (r *NodeRow) state() string {
+	switch {
+	case r.HeardS > heartbeatTimeoutS:
+		return "down"
+	case r.Tasks == 0:
+		return "idle"
+	case r.UsedCPUs >= r.CPUs-1e-6:
+		return "allocated"
+	}
+	return "mixed"
+}
+
+// nodeStates has the short names of states by the long ones.
+var nodeStates = map[string]string{"down": "down", "idle": "idle", "allocated": "alloc", "mixed": "mix"}
+
+// nodeFields are sinfo's columns.
+var nodeFields = []field[NodeRow]{
+	{'P', "Partition", "PARTITION", 20, func(r *NodeRow) string { return r.Partition }},
+	{'a', "Available", "AVAIL", 20, func(*NodeRow) string { return "up" }},
+	{'l', "Time", "TIMELIMIT", 20, func(*NodeRow) string { return "infinite" }},
+	{'D', "Nodes", "NODES", 20, func(r *NodeRow) string { return strconv.Itoa(r.Count) }},
+	{'t', "StateCompact", "STATE", 20, func(r *NodeRow) string { return nodeStates[r.state()] }},
+	{'T', "StateLong", "STATE", 20, (*NodeRow).state},
+	{'N', "NodeList", "NODELIST", 20, func(r *NodeRow) string { return r.Names }},
+	{'n', "NodeHost", "HOSTNAMES", 20, func(r *NodeRow) string { return r.Names }},
+	{'c', "CPUs", "CPUS", 20, func(r *NodeRow) string { return amount(r.CPUs) }},
+	{'C', "CPUsState", "CPUS(A/I/O/T)", 20, func(r *NodeRow) string {
+		allocated, total := r.UsedCPUs, r.CPUs*float64(r.Count)
+		if r.state() == "down" {
+			return fmt.Sprintf("0/0/%s/%s", amount(total), amount(total))
+		}
+		return fmt.Sprintf("%s/%s/0/%s", amount(allocated), amount(max(0, total-allocated)), amount(total))
+	}},
+	{'m', "Memory", "MEMORY", 20, func(r *NodeRow) string { return strconv.Itoa(int(r.MemoryGB * 1024)) }},
+	{'G', "Gres", "GRES", 20, func(r *NodeRow) string {
+		if r.GPUs == 0 {
+			return "(null)"
+		}
+		return "gpu:" + amount(r.GPUs)
+	}},
+	{'f', "Features", "AVAIL_FEATURES", 20, func(r *NodeRow) string {
+		features := r.Type + "," + r.Zone
+		if r.Spot {
+			features += ",spot"
+		}
+		return features
+	}},
+	{'R', "PartitionName", "PARTITION", 20, func(r *NodeRow) string { return r.Partition }},
+	{'V', "Cluster", "CLUSTER", 20, func(r *NodeRow) string { return r.Cluster }},
+}
+
+// Nodes returns sinfo's lines, for each class of the site: with eachWorker (-N) one a worker,
+// else one for the workers of a machine type in a state.
+func Nodes(workers []wire.MachineInfo, site *jobquery.Site, eachWorker bool) []NodeRow {
+	var rows []NodeRow
+	for _, class := range site.Classes {
+		partition := class
+		if class == site.Class && !eachWorker {
+			partition += "*" // the default one
+		}
+		groups := map[string]int{} // index in rows by state and type
+		for _, worker := range workers {
+			row := nodeRow(worker, partition, site)
+			group := row.state() + " " + worker.Type
+			if at, found := groups[group]; found && !eachWorker {
+				first := &rows[at]
+				first.Count++
+				first.UsedCPUs += worker.UsedCPUs
+				first.Names += "," + worker.Name
+				continue
+			}
+			groups[group] = len(rows)
+			rows = append(rows, row)
+		}
+	}
+	return rows
+}
+
+// nodeRow is the line of one worker.
+func nodeRow(worker wire.MachineInfo, partition string, site *jobquery.Site) NodeRow {
+	row := NodeRow{MachineInfo: worker, Partition: partition, Cluster: site.Cluster, Count: 1, Names: worker.Name}
+	for i := range site.Types {
+		if t := &site.Types[i]; t.Name == worker.Type {
+			row.MemoryGB, row.GPUs = t.MemoryGB, t.GPUs
+		}
+	}
+	return row
+}
+
+// NodeTable returns sinfo's layout of -o, or the default one, which is another with -N. The
+// error is a *UsageError.
+func NodeTable(format string, eachWorker bool) (*Table[NodeRow], error) {
+	switch {
+	case format != "":
+		return parsePercent(format, nodeFields)
+	case eachWorker:
+		return parsePercent("%14N %.6D %.9P %6t", nodeFields)
+	}
+	return parsePercent("%9P %.5a %.10l %.6D %.6t %N", nodeFields)
+}
--- a/internal/slurm/slurm_test.go
+++ b/internal/slurm/slurm_test.go
@@ -19,14 +19,18 @@
 
 var (
 	now  = time.Date(2026, 12, 1, 15, 30, 0, 0, time.UTC)
-	here = &jobquery.Site{Cluster: "c", Class: "adhoc", Team: "ops", Classes: []string{"adhoc", "quote"}, Teams: []string{"ops", "lab"}, Zones: []string{"a", "b", "c"},
-		Types: []wire.MachineType{{Name: "m8"}, {Name: "m64"}, {Name: "g8"}}}
+	here = &jobquery.Site{
+		Cluster: "c", Class: "adhoc", Team: "ops", Classes: []string{"adhoc", "quote"}, Teams: []string{"ops", "lab"}, Zones: []string{"a", "b", "c"},
+		Types: []wire.MachineType{{Name: "m8"}, {Name: "m64"}, {Name: "g8"}},
+	}
 )
 
-// Every form of a time limit, and what is none.
-func TestTimeLimits(t *testing.T) {
-	for text, want := range map[string]float64{"5": 300, "5:30": 330, "1:05:30": 3930, "2-3": 2*86400 + 3*3600, "2-3:04": 2*86400 + 3*3600 + 240, "1-00:00:01": 86401,
-		"0": 0, "INFINITE": 0, "unlimited": 0, "": -1, "1:x": -1, "1:2:3:4": -1, "-5": -1, "1-2-3": -1, "1-": -1, "99999999": -1} {
+// Every form of a time limit, and texts that are none.
+func TestParseLimitAcceptsSlurmsFormsOnly(t *testing.T) {
+	for text, want := range map[string]float64{
+		"5": 300, "5:30": 330, "1:05:30": 3930, "2-3": 2*86400 + 3*3600, "2-3:04": 2*86400 + 3*3600 + 240, "1-00:00:01": 86401,
+		"0": 0, "INFINITE": 0, "unlimited": 0, "": -1, "1:x": -1, "1:2:3:4": -1, "-5": -1, "1-2-3": -1, "1-": -1, "99999999": -1,
+	} {
 		got, err := slurm.ParseLimit(text)
 		if want < 0 != (err != nil) || err == nil && got != want {
 			t.Errorf("%q: %v, %v", text, got, err)
@@ -41,11 +45,13 @@
 }
 
 // Points of time, in the user's zone; a time of day that is over means tomorrow's.
-func TestTimes(t *testing.T) {
-	for text, want := range map[string]string{"16:00": "2026-12-01T16:00:00", "12:00": "2026-12-02T12:00:00", "midnight": "2026-12-02T00:00:00", "noon": "2026-12-02T12:00:00",
+func TestParseTimeInUsersZone(t *testing.T) {
+	for text, want := range map[string]string{
+		"16:00": "2026-12-01T16:00:00", "12:00": "2026-12-02T12:00:00", "midnight": "2026-12-02T00:00:00", "noon": "2026-12-02T12:00:00",
 		"teatime": "2026-12-01T16:00:00", "now": "2026-12-01T15:30:00", "now+90": "2026-12-01T15:31:30", "now+2hours": "2026-12-01T17:30:00", "now-1day": "2026-11-30T15:30:00",
 		"2026-12-24": "2026-12-24T00:00:00", "2026-12-24T18:05": "2026-12-24T18:05:00", "12/24/26": "2026-12-24T00:00:00", "1224": "2026-12-24T00:00:00", "0101": "2027-01-01T00:00:00",
-		"tomorrow": "2026-12-02T00:00:00", "later": "", "now+": "", "now+3parsecs": "", "25:00": "", "2026-13-01": ""} {
+		"tomorrow": "2026-12-02T00:00:00", "later": "", "now+": "", "now+3parsecs": "", "25:00": "", "2026-13-01": "",
+	} {
 		got, err := slurm.ParseTime(text, now)
 		if (err != nil) != (want == "") || err == nil && got.Format("2006-01-02T15:04:05") != want {
 			t.Errorf("%q: %v, %v", text, got, err)
@@ -62,8 +68,8 @@
 	}
 }
 
-// The command line goes before the environment, that before the script; errors name
-// the script's line and the option.
+// The command line overrides the environment, which overrides the script; errors name the
+// script's line and the option.
 func TestLaterSourcesOverrideEarlierOnes(t *testing.T) {
 	script := "#!/bin/bash\n# a comment\n#SBATCH -J fromscript --time=10 # and why\n#SBATCH --mem=2G -p 'quote'\n#SBATCHED no\n\necho hello\n#SBATCH -J toolate\n"
 	lines, err := slurm.FromScript(script, now)
@@ -79,7 +85,7 @@
 		t.Fatalf("%v, %v", rest, err)
 	}
 	o, err := slurm.Join(slurm.Sbatch, now, lines, env, args)
-	if err != nil || o.LimitS != 1800 || o.Partition != "adhoc" || o.Name != "fromscript" || o.MemoryMB != 2048 || !o.Wait || o.Account != "" || o.Most != 2 {
+	if err != nil || o.LimitS != 1800 || o.Partition != "adhoc" || o.Name != "fromscript" || o.MemoryMB != 2048 || !o.Wait || o.Account != "" || o.MaxConcurrent != 2 {
 		t.Errorf("%+v, %v", o, err)
 	}
 	for bad, want := range map[string]string{
@@ -92,56 +98,65 @@
 		"echo\n":                                        "This does not look like a batch script.  The first line must start with #! followed by the path to an interpreter.",
 	} {
 		_, err := slurm.FromScript(bad, now)
-		var u *slurm.Usage
+		var u *slurm.UsageError
 		if !errors.As(err, &u) || err.Error() != want {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
 }
 
-// What options mean in wallrack's own words.
-func TestTranslate(t *testing.T) {
-	zone := "b"
-	for line, want := range map[string]func(r *slurm.Request) bool{
-		"": func(r *slurm.Request) bool {
-			return r.Job.Tasks == 1 && r.Job.CPUs == 1 && r.Job.MemoryGB == 0.5 && r.Job.Priority == "normal" && r.Job.Class == "adhoc" && r.Job.Team == "ops" && r.Terms.NoRetry && r.Terms.Name == "job.sh"
-		},
-		"-n 4 -c 2 --mem-per-cpu=512": func(r *slurm.Request) bool {
-			return r.Job.Tasks == 1 && r.Job.CPUs == 8 && r.Job.MemoryGB == 4 && r.Description.Env["SLURM_NTASKS"] == "4"
-		},
-		"--array=0-15:2,20%4 -t 1:00": func(r *slurm.Request) bool {
-			return r.Job.Tasks == 9 && r.Terms.MaxConcurrent == 4 && r.Terms.Array == "0-15:2,20" && r.Job.Estimate == 60 && r.Terms.LimitS == 60
-		},
-		"--gres=gpu:2 -A lab -p quote -q urgent --nice": func(r *slurm.Request) bool {
-			return r.Job.GPUs == 2 && r.Job.Team == "lab" && r.Job.Class == "quote" && r.Job.Priority == "normal"
-		},
-		"-w m8,b -C spot": func(r *slurm.Request) bool {
-			return reflect.DeepEqual(r.Job.Types, []string{"m8"}) && *r.Job.Zone == zone && r.Job.Spot
-		},
-		"-x g8,a,c": func(r *slurm.Request) bool {
-			return reflect.DeepEqual(r.Job.Types, []string{"m8", "m64"}) && *r.Job.Zone == zone
-		},
-		"-d afterok:7:8?after:9+5": func(r *slurm.Request) bool {
-			return r.Terms.AnyDependency && len(r.Terms.Dependencies) == 3 && r.Terms.Dependencies[2].DelayS == 300
-		},
-		"--deadline=16:30 --begin=16:00 -H": func(r *slurm.Request) bool {
-			return *r.Job.DueS == 3600 && r.Terms.BeginMs == now.Add(30*time.Minute).UnixMilli() && r.Terms.Held
-		},
-		"--export=NONE,A=b": func(r *slurm.Request) bool { return r.Description.Env["A"] == "b" && r.Description.Env["HOME"] == "" },
-		"--qos=root":        nil, "-p nope": nil, "-A nope": nil, "-w m9": nil, "-x m8,m64,g8": nil, "-x a": nil, "-N 2": nil, "--mem=0": nil, "--mem=1G --mem-per-cpu=1G": nil,
-		"--deadline=now": nil, "--nice=-1": nil, "--gres=fpga:1": nil, "-C gpu": nil, "--array=0-200000": nil, "-d expand:3": nil, "-d after": nil, "-c 0": nil, "--kill-on-invalid-dep=maybe": nil,
-	} {
-		given, _, err := slurm.ParseArgs(slurm.Sbatch, strings.Fields(line))
-		var r *slurm.Request
-		if err == nil {
-			var o *slurm.Options
-			if o, err = slurm.Join(slurm.Sbatch, now, given); err == nil {
-				r, err = slurm.Translate(slurm.Sbatch, o, &slurm.Work{Script: "#!/bin/sh -e\ntrue\n", File: "/x/job.sh", Env: []string{"HOME=/h", "SLURM_JOB_ID=9"}, Dir: "/d", User: "erin"}, here, now)
-			}
-		}
+// translations has a check of the request for each command line, nil for one that is refused.
+var translations = map[string]func(r *slurm.Request) bool{
+	"": func(r *slurm.Request) bool {
+		return r.Job.Tasks == 1 && r.Job.CPUs == 1 && r.Job.MemoryGB == 0.5 && r.Job.Priority == "normal" && r.Job.Class == "adhoc" && r.Job.Team == "ops" && r.Terms.NoRetry && r.Terms.Name == "job.sh"
+	},
+	"-n 4 -c 2 --mem-per-cpu=512": func(r *slurm.Request) bool {
+		return r.Job.Tasks == 1 && r.Job.CPUs == 8 && r.Job.MemoryGB == 4 && r.Description.Env["SLURM_NTASKS"] == "4"
+	},
+	"--array=0-15:2,20%4 -t 1:00": func(r *slurm.Request) bool {
+		return r.Job.Tasks == 9 && r.Terms.MaxConcurrent == 4 && r.Terms.Array == "0-15:2,20" && r.Job.Estimate == 60 && r.Terms.LimitS == 60
+	},
+	"--gres=gpu:2 -A lab -p quote -q urgent --nice": func(r *slurm.Request) bool {
+		return r.Job.GPUs == 2 && r.Job.Team == "lab" && r.Job.Class == "quote" && r.Job.Priority == "normal"
+	},
+	"-w m8,b -C spot": func(r *slurm.Request) bool {
+		return reflect.DeepEqual(r.Job.Types, []string{"m8"}) && *r.Job.Zone == "b" && r.Job.Spot
+	},
+	"-x g8,a,c": func(r *slurm.Request) bool {
+		return reflect.DeepEqual(r.Job.Types, []string{"m8", "m64"}) && *r.Job.Zone == "b"
+	},
+	"-d afterok:7:8?after:9+5": func(r *slurm.Request) bool {
+		return r.Terms.AnyDependency && len(r.Terms.Dependencies) == 3 && r.Terms.Dependencies[2].DelayS == 300
+	},
+	"--deadline=16:30 --begin=16:00 -H": func(r *slurm.Request) bool {
+		return *r.Job.DueS == 3600 && r.Terms.BeginMs == now.Add(30*time.Minute).UnixMilli() && r.Terms.Held
+	},
+	"--export=NONE,A=b": func(r *slurm.Request) bool { return r.Description.Env["A"] == "b" && r.Description.Env["HOME"] == "" },
+	"--qos=root":        nil, "-p nope": nil, "-A nope": nil, "-w m9": nil, "-x m8,m64,g8": nil, "-x a": nil, "-N 2": nil, "--mem=0": nil, "--mem=1G --mem-per-cpu=1G": nil,
+	"--deadline=now": nil, "--nice=-1": nil, "--gres=fpga:1": nil, "-C gpu": nil, "--array=0-200000": nil, "-d expand:3": nil, "-d after": nil, "-c 0": nil, "--kill-on-invalid-dep=maybe": nil,
+}
+
+// translate translates a command line of sbatch with a script.
+func translate(line string) (*slurm.Request, error) {
+	given, _, err := slurm.ParseArgs(slurm.Sbatch, strings.Fields(line))
+	if err != nil {
+		return nil, err
+	}
+	options, err := slurm.Join(slurm.Sbatch, now, given)
+	if err != nil {
+		return nil, err
+	}
+	work := &slurm.Work{Script: "#!/bin/sh -e\ntrue\n", File: "/x/job.sh", Env: []string{"HOME=/h", "SLURM_JOB_ID=9"}, Dir: "/d", User: "erin"}
+	return slurm.Translate(slurm.Sbatch, options, work, here, now)
+}
+
+// Options become the fields of a job that any site accepts, or are refused.
+func TestOptionsTranslateToValidJobs(t *testing.T) {
+	for line, want := range translations {
+		r, err := translate(line)
 		if want == nil {
 			if err == nil {
-				t.Errorf("%s: taken as %+v", line, r.Job)
+				t.Errorf("%s: accepted as %+v", line, r.Job)
 			}
 			continue
 		}
@@ -151,7 +166,7 @@
 		}
 		r.Terms.Number = 1
 		if err := r.Terms.Validate(r.Job.Tasks, r.Job.Gang(), r.Job.Service(), now); err != nil {
-			t.Errorf("%s: terms that no site takes: %v", line, err)
+			t.Errorf("%s: constraints that no site accepts: %v", line, err)
 		}
 		if r.Description.Env["SLURM_JOB_ID"] != "" || strings.Join(r.Description.Argv, " ") != "/bin/sh -e" {
 			t.Errorf("%s: %+v", line, r.Description)
@@ -159,38 +174,42 @@
 	}
 }
 
+// jobs are an array of which some tasks run, and a waiting job.
 func jobs() []jobquery.Info {
 	ms := func(s int) int64 { return now.Add(time.Duration(s) * time.Second).UnixMilli() }
 	return []jobquery.Info{
-		{Job: wire.Job{UID: "j-a", Class: "quote", Team: "ops", Priority: "urgent", Tasks: 6, CPUs: 2, MemoryGB: 1}, Constraints: &jobspec.Constraints{Number: 100, Name: "snow-quotes", User: "erin", Array: "0-10:2", MaxConcurrent: 2, LimitS: 3600},
-			AcceptedMs: ms(-600), Stage: "running", Reason: "JobArrayTaskLimit", Waiting: "2-5", Queued: 4, Running: 2, Placements: []jobquery.Placement{{Task: 0, Attempt: 1, Machine: "n-1", StartMs: ms(-95)}, {Task: 1, Attempt: 2, Machine: "n-2"}}},
-		{Job: wire.Job{UID: "j-b", Class: "adhoc", Team: "lab", Priority: "low", Tasks: 1, CPUs: 1, MemoryGB: 0.5}, Constraints: &jobspec.Constraints{Number: 106, Name: "study", User: "wren", Dependencies: []jobspec.Dependency{{Kind: "afterok", Number: 100}}},
-			AcceptedMs: ms(-60), Stage: "queued", Reason: "Dependency", Waiting: "0", Queued: 1},
+		{
+			Job: wire.Job{UID: "j-a", Class: "quote", Team: "ops", Priority: "urgent", Tasks: 6, CPUs: 2, MemoryGB: 1}, Constraints: &jobspec.Constraints{Number: 100, Name: "snow-quotes", User: "erin", Array: "0-10:2", MaxConcurrent: 2, LimitS: 3600},
+			AcceptedMs: ms(-600), Stage: "running", Reason: "JobArrayTaskLimit", Waiting: "2-5", Queued: 4, Running: 2, Placements: []jobquery.Placement{{Task: 0, Attempt: 1, Machine: "n-1", StartMs: ms(-95)}, {Task: 1, Attempt: 2, Machine: "n-2"}},
+		},
+		{
+			Job: wire.Job{UID: "j-b", Class: "adhoc", Team: "lab", Priority: "low", Tasks: 1, CPUs: 1, MemoryGB: 0.5}, Constraints: &jobspec.Constraints{Number: 106, Name: "study", User: "wren", Dependencies: []jobspec.Dependency{{Kind: "afterok", Number: 100}}},
+			AcceptedMs: ms(-60), Stage: "queued", Reason: "Dependency", Waiting: "0", Queued: 1,
+		},
 	}
 }
 
-// Listings, letter for letter.
-func TestQueueFormats(t *testing.T) {
-	for _, c := range []struct {
-		format, long string
-		each         bool
-		want         string
-	}{
-		{"", "", false, `
+// queueListings are listings of squeue, byte for byte.
+var queueListings = []struct {
+	format, names string
+	eachTask      bool
+	want          string
+}{
+	{"", "", false, `
              JOBID PARTITION     NAME     USER ST       TIME  NODES NODELIST(REASON)
   100_[4,6,8,10%2]     quote snow-quo     erin PD       0:00      1 (JobArrayTaskLimit)
              100_0     quote snow-quo     erin  R       1:35      1 n-1
              100_2     quote snow-quo     erin CF       0:00      1 n-2
                106     adhoc    study     wren PD       0:00      1 (Dependency)
 `},
-		{"%i|%T|%M|%l|%R", "", false, `
+	{"%i|%T|%M|%l|%R", "", false, `
 JOBID|STATE|TIME|TIME_LIMIT|NODELIST(REASON)
 100_[4,6,8,10%2]|PENDING|0:00|1:00:00|(JobArrayTaskLimit)
 100_0|RUNNING|1:35|1:00:00|n-1
 100_2|CONFIGURING|0:00|1:00:00|n-2
 106|PENDING|0:00|UNLIMITED|(Dependency)
 `},
-		{"%8A %.6K %t %E", "", true, `
+	{"%8A %.6K %t %E", "", true, `
 JOBID    ARRAY_ ST DEPENDENCY
 102           4 PD (null)
 103           6 PD (null)
@@ -200,37 +219,41 @@
 101           2 CF (null)
 106         N/A PD afterok:100
 `},
-		{"", "JobArrayID:10,Name:6,NumCPUs:.5,SubmitTime", false, `
+	{"", "JobArrayID:10,Name:6,NumCPUs:.5,SubmitTime", false, `
 JOBID     NAME   CPUSSUBMIT_TIME
 100_[4,6,8snow-q    22026-12-01T15:20:00
 100_0     snow-q    22026-12-01T15:20:00
 100_2     snow-q    22026-12-01T15:20:00
 106       study     12026-12-01T15:29:00
 `},
-	} {
-		tb, err := slurm.QueueTable(c.format, c.long, false)
+}
+
+// Listings have the columns, widths and states of squeue; malformed layouts are refused.
+func TestQueueFormats(t *testing.T) {
+	for _, c := range queueListings {
+		tb, err := slurm.QueueTable(c.format, c.names, false)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := "\n" + tb.Header()
 		for _, i := range jobs() {
-			rows := slurm.Queue(&i, c.each, now.UnixMilli(), time.UTC)
+			rows := slurm.Queue(&i, c.eachTask, now.UnixMilli(), time.UTC)
 			for k := range rows {
 				got += tb.Row(&rows[k])
 			}
 		}
 		if got != c.want {
-			t.Errorf("%s%s:%s", c.format, c.long, got)
+			t.Errorf("%s%s:%s", c.format, c.names, got)
 		}
 	}
 	for _, bad := range []string{"%", "%z", "%.9999i"} {
 		if _, err := slurm.QueueTable(bad, "", false); err == nil {
-			t.Errorf("%s is taken", bad)
+			t.Errorf("%s is accepted", bad)
 		}
 	}
 }
 
-// Numbers name a job, a task of its array by either name, or ranges of them.
+// Ids name a job, a task of its array by index or number, or ranges of tasks.
 func TestJobIDsNameJobsTasksAndRanges(t *testing.T) {
 	is := jobs()
 	for text, want := range map[string]int{"100": 6, "100_4": 1, "100_[2,4]": 2, "103": 1, "106": 1, "107": 0, "100_3": 0, "99": 0} {
@@ -247,7 +270,7 @@
 			}
 		}
 		if n != want {
-			t.Errorf("%s means %d rows, not %d", text, n, want)
+			t.Errorf("%s selects %d rows, not %d", text, n, want)
 		}
 	}
 	if odd, err := slurm.ParseTarget("100_[0-4]"); err != nil {
@@ -262,7 +285,7 @@
 	}
 }
 
-// Rows that come twice, or in two parts, make one record; a lost attempt costs, and
+// Repeated rows and rows in any order make one record; a lost attempt costs, and its run time
 // counts as lost.
 func TestRepeatedRowsCountOnceAndLostAttemptsCost(t *testing.T) {
 	at := func(s int) int64 { return now.Add(time.Duration(s) * time.Second).UnixMilli() }
@@ -302,7 +325,7 @@
 	}
 }
 
-// Scripts, options and formats come from strangers.
+// No script, option or layout of an unknown user makes the parsers panic.
 func FuzzInput(f *testing.F) {
 	for _, s := range []string{"#!/bin/sh\n#SBATCH -J a --array=0-3%2\n", "--time=1-2:3 -d afterok:1:2", "%.18i %j", "JobID%20,State", "123_[0-3,7]", "now+1hour", "1-2:3:4", "16G", "-w 'a b\" -n4"} {
 		f.Add(s)
--- /dev/null
+++ b/internal/slurm/sources.go
@@ -0,0 +1,123 @@
+package slurm
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/spf13/pflag"
+)
+
+// Given has the options of one source: values by the option's long name.
+type Given map[string]string
+
+// newFlagSet returns a command's options for the parser. Options after the first argument are
+// the program's, not the command's.
+func newFlagSet(cmd Command) *pflag.FlagSet {
+	fs := pflag.NewFlagSet(string(cmd), pflag.ContinueOnError)
+	fs.SetInterspersed(false)
+	fs.SortFlags = false
+	for _, o := range optionTable {
+		if o.only != "" && o.only != cmd {
+			continue
+		}
+		fs.StringP(o.name, o.short, "", o.help)
+		switch o.kind {
+		case flagged:
+			fs.Lookup(o.name).NoOptDefVal = "true"
+		case optional:
+			fs.Lookup(o.name).NoOptDefVal = "100" // as Slurm's nice
+		}
+	}
+	return fs
+}
+
+// Help returns the help text of a command's options.
+func Help(cmd Command) string { return newFlagSet(cmd).FlagUsages() }
+
+// ErrHelp is the error of ParseArgs for --help.
+var ErrHelp = pflag.ErrHelp
+
+// ParseArgs splits a command line into the options and the arguments that follow them. It
+// doesn't validate values. The error is a *UsageError or ErrHelp.
+func ParseArgs(cmd Command, args []string) (Given, []string, error) {
+	fs := newFlagSet(cmd)
+	fs.SetOutput(io.Discard)
+	fs.Usage = func() {}
+	if err := fs.Parse(args); err != nil {
+		if errors.Is(err, pflag.ErrHelp) {
+			return nil, nil, ErrHelp
+		}
+		return nil, nil, flagError(err)
+	}
+	given := Given{}
+	fs.Visit(func(f *pflag.Flag) { given[f.Name] = f.Value.String() })
+	return given, fs.Args(), nil
+}
+
+// flagError is the UsageError of a parser's error: of an option that is not supported it says
+// whether Slurm has it.
+func flagError(err error) error {
+	var unknown *pflag.NotExistError
+	if !errors.As(err, &unknown) {
+		return &UsageError{Why: err.Error()}
+	}
+	name := unknown.GetSpecifiedName()
+	if slices.Contains(unsupportedOptions, name) {
+		return &UsageError{Option: name, Why: "is not supported by wallrack"}
+	}
+	if unknown.GetSpecifiedShortnames() != "" {
+		return &UsageError{Why: fmt.Sprintf("-%s: unknown or not supported by wallrack", name)}
+	}
+	return &UsageError{Option: name, Why: "unrecognized option"}
+}
+
+// FromEnv returns the options that environment variables set: SBATCH_* for sbatch, SLURM_* for
+// srun.
+func FromEnv(cmd Command, lookup func(string) (string, bool)) Given {
+	prefix := "SBATCH_"
+	if cmd == Srun {
+		prefix = "SLURM_"
+	}
+	given := Given{}
+	for _, o := range optionTable {
+		if o.env == "" || o.only != "" && o.only != cmd {
+			continue
+		}
+		value, found := lookup(prefix + o.env)
+		switch {
+		case !found:
+		case o.kind == flagged:
+			given[o.name] = "true" // in Slurm a variable that is set means yes, whatever its value
+		case value != "":
+			given[o.name] = value
+		}
+	}
+	return given
+}
+
+// Join joins sources, of which later ones override earlier ones, and validates every value
+// against the others and now. The error is a *UsageError.
+func Join(_ Command, now time.Time, sources ...Given) (*Options, error) {
+	o := &Options{Tasks: 1, CPUs: 1, Export: "ALL"}
+	all := Given{}
+	for _, source := range sources {
+		maps.Copy(all, source)
+	}
+	for _, opt := range optionTable {
+		value, found := all[opt.name]
+		if !found {
+			continue
+		}
+		if err := opt.set(o, value, now); err != nil {
+			return nil, &UsageError{Option: opt.name, Why: err.Error()}
+		}
+	}
+	if o.MemoryMB > 0 && o.MemoryPerCPUMB > 0 {
+		return nil, &UsageError{Option: "mem", Why: "is mutually exclusive with --mem-per-cpu"}
+	}
+	return o, nil
+}
--- /dev/null
+++ b/internal/slurm/squeue_filter.go
@@ -0,0 +1,96 @@
+package slurm
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/wallrack/wallrack/internal/jobspec"
+)
+
+// Target is what an id on a command line names: a job, or tasks of its array.
+type Target struct {
+	Number  uint64
+	Indices jobspec.Ranges // of the tasks, unless All
+	All     bool           // the whole job, or the task with this number
+}
+
+// invalidID is the error of a malformed id.
+func invalidID(s string) error {
+	return &UsageError{Why: fmt.Sprintf("Invalid job id %.60s", s)}
+}
+
+// ParseTarget parses an id like 123, 123_4 or 123_[0-3,7]. The error is a *UsageError.
+func ParseTarget(s string) (Target, error) {
+	number, tasks, withTasks := strings.Cut(s, "_")
+	n, err := strconv.ParseUint(number, 10, 47)
+	if err != nil || n == 0 {
+		return Target{}, invalidID(s)
+	}
+	if !withTasks {
+		return Target{Number: n, All: true}, nil
+	}
+	if inner, bracketed := strings.CutPrefix(tasks, "["); bracketed {
+		if tasks, bracketed = strings.CutSuffix(inner, "]"); !bracketed {
+			return Target{}, invalidID(s)
+		}
+	}
+	indices, err := jobspec.ParseRanges(tasks)
+	if err != nil {
+		return Target{}, &UsageError{Why: fmt.Sprintf("Invalid job id %.60s: %v", s, err)}
+	}
+	return Target{Number: n, Indices: indices}, nil
+}
+
+// Tasks returns the tasks with these indices of a job with so many tasks and this array, which
+// must have them all.
+func Tasks(wanted jobspec.Ranges, tasks int, array string) (jobspec.Ranges, error) {
+	all := indices(tasks, array)
+	var found []int
+	for index := range wanted.All() {
+		task := all.Find(index)
+		if task < 0 {
+			return jobspec.Ranges{}, fmt.Errorf("the array has no task %d", index)
+		}
+		found = append(found, task)
+	}
+	return jobspec.RangesOf(found), nil
+}
+
+// Filter selects rows of squeue and scancel. Empty lists select all.
+type Filter struct {
+	Users, States, Partitions, Accounts, Names, QOS []string
+	Jobs                                            []Target
+}
+
+// in reports whether an option's list selects s, as an empty one does.
+func in(list []string, s string) bool { return len(list) == 0 || slices.Contains(list, s) }
+
+// Has reports whether the filter selects a row.
+func (f *Filter) Has(r *QueueRow) bool {
+	if !in(f.Users, r.Constraints.User) || !in(f.States, r.State) || !in(f.Partitions, r.Job.Class) || !in(f.Accounts, r.Job.Team) ||
+		!in(f.Names, dash(r.Constraints.Name, r.Job.Class)) || !in(f.QOS, r.Job.Priority) {
+		return false
+	}
+	if len(f.Jobs) == 0 {
+		return true
+	}
+	return slices.ContainsFunc(f.Jobs, func(t Target) bool { return t.selects(r) })
+}
+
+// selects reports whether the target names a row or one of its tasks.
+func (t Target) selects(r *QueueRow) bool {
+	last := r.Constraints.Number + uint64(max(1, r.Job.Tasks)) - 1
+	switch {
+	case t.Number < r.Constraints.Number || t.Number > last:
+		return false
+	case !t.All:
+		if t.Number != r.Constraints.Number {
+			return false
+		}
+		index, err := strconv.Atoi(r.Index)
+		return err == nil && t.Indices.Find(index) >= 0 || err != nil && r.Tasks > 1
+	}
+	return t.Number == r.Constraints.Number || t.Number == r.RawID || r.Tasks > 1
+}
--- /dev/null
+++ b/internal/slurm/times.go
@@ -0,0 +1,125 @@
+package slurm
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// parseMs parses a point of time and returns it in ms of Unix time.
+func parseMs(v string, now time.Time) (int64, error) {
+	t, err := ParseTime(v, now)
+	return t.UnixMilli(), err
+}
+
+// ParseTime parses a point of time in Slurm's forms, in now's zone. A time of day that is over
+// means tomorrow's. With an error it returns now.
+func ParseTime(v string, now time.Time) (time.Time, error) {
+	low := strings.ToLower(strings.TrimSpace(v))
+	invalid := fmt.Errorf("%.40q is not a time", v)
+	switch low {
+	case "today":
+		return now, nil
+	case "tomorrow", "midnight":
+		return midnight(now).AddDate(0, 0, 1), nil
+	}
+	if offset, relative := strings.CutPrefix(low, "now"); relative {
+		d, valid := parseOffset(offset)
+		if !valid {
+			return now, invalid
+		}
+		return now.Add(d), nil
+	}
+	if t, valid := parseClock(low, now); valid {
+		return nextClock(t, now), nil
+	}
+	if t, valid := parseDate(low, now); valid {
+		return t, nil
+	}
+	return now, invalid
+}
+
+// midnight is the start of now's day.
+func midnight(now time.Time) time.Time {
+	y, m, d := now.Date()
+	return time.Date(y, m, d, 0, 0, 0, 0, now.Location())
+}
+
+// offsetUnits are the units of an offset, without the plural's s.
+var offsetUnits = map[string]time.Duration{
+	"": time.Second, "second": time.Second, "minute": time.Minute, "hour": time.Hour, "day": 24 * time.Hour, "week": 7 * 24 * time.Hour,
+}
+
+// parseOffset parses what follows "now": nothing, or a sign, a number and a unit.
+func parseOffset(s string) (_ time.Duration, valid bool) {
+	if s == "" {
+		return 0, true
+	}
+	sign := time.Duration(1)
+	switch s[0] {
+	case '+':
+	case '-':
+		sign = -1
+	default:
+		return 0, false
+	}
+	unitName := strings.TrimLeft(s[1:], "0123456789")
+	n, err := strconv.ParseInt(s[1:len(s)-len(unitName)], 10, 32)
+	unit, known := offsetUnits[strings.TrimSuffix(unitName, "s")]
+	return sign * time.Duration(n) * unit, err == nil && known
+}
+
+// clockNames are the hours that have a name.
+var clockNames = map[string]int{"noon": 12, "fika": 15, "teatime": 16}
+
+// parseClock parses a time of day and returns it on now's day.
+func parseClock(s string, now time.Time) (_ time.Time, valid bool) {
+	if hour, known := clockNames[s]; known {
+		return midnight(now).Add(time.Duration(hour) * time.Hour), true
+	}
+	y, m, d := now.Date()
+	for _, form := range []string{"15:04", "15:04:05", "3:04pm", "3:04 pm"} {
+		if t, err := time.ParseInLocation(form, s, now.Location()); err == nil {
+			return time.Date(y, m, d, t.Hour(), t.Minute(), t.Second(), 0, now.Location()), true
+		}
+	}
+	return now, false
+}
+
+// parseDate parses a date with or without a time of day; one without a year is the next such.
+func parseDate(s string, now time.Time) (_ time.Time, valid bool) {
+	for _, form := range []string{"2006-01-02t15:04:05", "2006-01-02t15:04", "2006-01-02", "01/02/06", "010206", "01/02/06-15:04", "01/02/06-15:04:05"} {
+		if t, err := time.ParseInLocation(form, s, now.Location()); err == nil {
+			return t, true
+		}
+	}
+	for _, form := range []string{"01/02", "0102"} {
+		if t, err := time.ParseInLocation(form, s, now.Location()); err == nil {
+			date := time.Date(now.Year(), t.Month(), t.Day(), 0, 0, 0, 0, now.Location())
+			if date.Before(midnight(now)) {
+				date = date.AddDate(1, 0, 0)
+			}
+			return date, true
+		}
+	}
+	return now, false
+}
+
+// ParsePast parses the start or end of a report's period as ParseTime does, but a time of day
+// means the last such.
+func ParsePast(v string, now time.Time) (time.Time, error) {
+	t, err := ParseTime(v, now)
+	if err == nil && t.After(now) && !strings.ContainsAny(v, "-/") {
+		t = t.AddDate(0, 0, -1)
+	}
+	return t, err
+}
+
+// nextClock is a time of day on its day, or on the next if it is over.
+func nextClock(t, now time.Time) time.Time {
+	if t.Before(now) {
+		return t.AddDate(0, 0, 1)
+	}
+	return t
+}
