--- a/internal/slurmtask/recorded_test.go
+++ b/internal/slurmtask/recorded_test.go
@@ -7,8 +7,11 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-func TestContextKeepsItsBytes(t *testing.T) {
-	recorded.CheckFull(t, "context-full", slurmtask.Context{Number: 4100, Tasks: 16, Array: "0-30:2", Name: "tips", User: "erin",
-		Output: "%x-%A_%a.out", Error: "%x-%A_%a.err", Step: true, Cluster: "main"})
+// The JSON form of the context, which is stored with descriptions.
+func TestRecordedContext(t *testing.T) {
+	recorded.CheckFull(t, "context-full", slurmtask.Context{
+		Number: 4100, Tasks: 16, Array: "0-30:2", Name: "tips", User: "erin",
+		Output: "%x-%A_%a.out", Error: "%x-%A_%a.err", Step: true, Cluster: "main",
+	})
 	recorded.Check(t, "context-none", slurmtask.Context{Number: 1, Tasks: 1})
 }
--- a/internal/slurmtask/slurmtask_test.go
+++ b/internal/slurmtask/slurmtask_test.go
@@ -7,16 +7,18 @@
 	"github.com/wallrack/wallrack/internal/slurmtask"
 )
 
-// What a task sees, as sbatch's manual has it.
-func TestTaskSees(t *testing.T) {
+// The variables and files of a task of an array and of one of a step are those of sbatch's manual.
+func TestEnvironAndFilesOfArrayAndStepTasks(t *testing.T) {
 	c := &slurmtask.Context{Number: 40, Tasks: 3, Array: "2-6:2", Name: "tips", User: "erin", Output: "%x-%A_%03a.%j.out", Error: "/log/%N/%u.%%.err", Cluster: "c"}
 	task, err := c.Of(2, 2, "n-7")
 	if err != nil {
 		t.Fatal(err)
 	}
 	env := "\n" + strings.Join(task.Environ(), "\n") + "\n"
-	for _, want := range []string{"SLURM_JOB_ID=42", "SLURM_JOBID=42", "SLURM_ARRAY_JOB_ID=40", "SLURM_ARRAY_TASK_ID=6", "SLURM_ARRAY_TASK_COUNT=3", "SLURM_ARRAY_TASK_MIN=2",
-		"SLURM_ARRAY_TASK_MAX=6", "SLURM_ARRAY_TASK_STEP=2", "SLURM_RESTART_COUNT=1", "SLURM_PROCID=0", "SLURMD_NODENAME=n-7", "SLURM_JOB_NAME=tips", "SLURM_JOB_USER=erin"} {
+	for _, want := range []string{
+		"SLURM_JOB_ID=42", "SLURM_JOBID=42", "SLURM_ARRAY_JOB_ID=40", "SLURM_ARRAY_TASK_ID=6", "SLURM_ARRAY_TASK_COUNT=3", "SLURM_ARRAY_TASK_MIN=2",
+		"SLURM_ARRAY_TASK_MAX=6", "SLURM_ARRAY_TASK_STEP=2", "SLURM_RESTART_COUNT=1", "SLURM_PROCID=0", "SLURMD_NODENAME=n-7", "SLURM_JOB_NAME=tips", "SLURM_JOB_USER=erin",
+	} {
 		if !strings.Contains(env, "\n"+want+"\n") {
 			t.Errorf("%s is missing in%s", want, env)
 		}
@@ -40,6 +42,7 @@
 	}
 }
 
+// No pattern makes a file name of any length.
 func FuzzPattern(f *testing.F) {
 	f.Add("%A_%a.%9999999999j%")
 	f.Fuzz(func(t *testing.T, pattern string) {
