--- a/cmd/wallctl/local_site_test.go
+++ b/cmd/wallctl/local_site_test.go
@@ -125,7 +125,7 @@
 func TestNativeAndSlurmJobsStartAndAccountAlike(t *testing.T) {
 	url, _ := localSite(t, 1)
 	t.Chdir(t.TempDir())
-	// All the others wait until it is cancelled: on a busy machine submitting them took
+	// All the others wait until it is cancelled: on a busy computer submitting them took
 	// longer than a short job did, and the last to come, an urgent one, started last.
 	blocker := must(t, url, "submit", "--class", "adhoc", "--cpus", "2", "--estimate-s", "3", "--", "sleep", "300")
 	eventually(t, func() string { return "the first job does not run" }, func() bool { return strings.Contains(must(t, url, "status", blocker), "running") })
--- a/internal/slurm/script.go
+++ b/internal/slurm/script.go
@@ -11,15 +11,15 @@
 	"github.com/kballard/go-shellquote"
 )
 
-// Line is an #SBATCH line of a script.
-type Line struct {
-	N    int      // of the line, from 1
-	Args []string // unquoted
+// optionLine is an #SBATCH line of a script.
+type optionLine struct {
+	n    int      // of the line, from 1
+	args []string // unquoted
 }
 
-// ScriptLines returns the #SBATCH lines of a script: those before its first command. The error
+// scriptLines returns the #SBATCH lines of a script: those before its first command. The error
 // is a *UsageError.
-func ScriptLines(script string) ([]Line, error) {
+func scriptLines(script string) ([]optionLine, error) {
 	if !strings.HasPrefix(script, "#!") {
 		return nil, &UsageError{Why: "This does not look like a batch script.  The first line must start with #! followed by the path to an interpreter."}
 	}
@@ -29,7 +29,7 @@
 	if strings.ContainsRune(script, 0) {
 		return nil, &UsageError{Why: "The batch script holds a zero byte."}
 	}
-	var lines []Line
+	var lines []optionLine
 	scanner := bufio.NewScanner(strings.NewReader(script))
 	scanner.Buffer(nil, len(script)+1)
 	for n := 1; scanner.Scan(); n++ {
@@ -40,9 +40,9 @@
 		case found && options != "" && (options[0] == ' ' || options[0] == '\t'):
 			args, err := shellquote.Split(beforeComment(options))
 			if err != nil {
-				return nil, &UsageError{Where: scriptLine(n), Why: err.Error()}
+				return nil, &UsageError{Where: lineName(n), Why: err.Error()}
 			}
-			lines = append(lines, Line{n, args})
+			lines = append(lines, optionLine{n, args})
 		case trimmed != "" && trimmed[0] != '#':
 			return lines, nil
 		}
@@ -50,8 +50,8 @@
 	return lines, nil
 }
 
-// scriptLine is the UsageError.Where of a line.
-func scriptLine(line int) string { return fmt.Sprintf("script line %d", line) }
+// lineName is the UsageError.Where of a line.
+func lineName(line int) string { return fmt.Sprintf("script line %d", line) }
 
 // beforeComment cuts a comment off, which starts with a # that begins a word outside quotes.
 func beforeComment(s string) string {
@@ -76,13 +76,13 @@
 // FromScript returns the options of a script's #SBATCH lines. Each line is validated by itself,
 // so that the error, a *UsageError, names the line.
 func FromScript(script string, now time.Time) (Given, error) {
-	lines, err := ScriptLines(script)
+	lines, err := scriptLines(script)
 	if err != nil {
 		return nil, err
 	}
 	given := Given{}
 	for _, l := range lines {
-		ofLine, arguments, err := ParseArgs(Sbatch, l.Args)
+		ofLine, arguments, err := ParseArgs(Sbatch, l.args)
 		if err == nil && len(arguments) > 0 {
 			err = &UsageError{Why: fmt.Sprintf("%.40q is not an option", arguments[0])}
 		}
@@ -91,10 +91,10 @@
 		}
 		var usage *UsageError
 		if errors.As(err, &usage) {
-			return nil, &UsageError{Where: scriptLine(l.N), Option: usage.Option, Why: usage.Why}
+			return nil, &UsageError{Where: lineName(l.n), Option: usage.Option, Why: usage.Why}
 		}
 		if err != nil {
-			return nil, &UsageError{Where: scriptLine(l.N), Why: err.Error()}
+			return nil, &UsageError{Where: lineName(l.n), Why: err.Error()}
 		}
 		maps.Copy(given, ofLine)
 	}
--- a/internal/slurm/usage_error.go
+++ b/internal/slurm/usage_error.go
@@ -1,6 +1,6 @@
 package slurm
 
-// UsageError is an error in what a user typed, or asked for by number or name. Its text is printed
+// UsageError is an error in what a user typed, such as an unknown option or job id. Its text is printed
 // as it is, and scripts compare it.
 type UsageError struct {
 	Where  string // "script line 4", or ""
@@ -8,6 +8,7 @@
 	Why    string
 }
 
+// Error returns the text: the line of the script, the option and the reason, as far as known.
 func (u *UsageError) Error() string {
 	text := u.Why
 	if u.Option != "" {
