--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -102,7 +102,7 @@
 type hollow struct {
 	name, zone string
 	link       link
-	machine    *worker.Machine
+	machine    *worker.State
 	server     *http.Server
 	stop       context.CancelFunc
 	done       chan struct{}
@@ -111,7 +111,7 @@
 	gone    bool         // the cloud took the machine: what is on its way does nothing
 }
 
-// runner is what a worker's tasks need; the state of the protocol is worker.Machine's.
+// runner is what a worker's tasks need; the state of the protocol is worker.State's.
 type runner struct {
 	name  string
 	track *tracker
--- a/internal/worker/check.go
+++ b/internal/worker/check.go
@@ -11,28 +11,30 @@
 	"time"
 
 	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/wire"
 )
 
 // Outcomes of a check.
 const (
 	CheckHealthy   = "healthy"
 	CheckUnhealthy = "unhealthy"
-	CheckHung      = "hung" // nothing came in time
+	CheckHung      = "hung" // no response in time
 )
 
-const maxCheck = 30 * time.Second
+const maxCheckTimeout = 30 * time.Second
 
-// check finds out whether what listens on a task's port is well.
+// check checks what listens on a task's port: that it accepts connections, or, if a path
+// is given, that it responds with a status of 200 to 299.
 func check(ctx context.Context, port int, path string, timeout time.Duration) string {
-	ctx, cancel := context.WithTimeout(ctx, min(timeout, maxCheck))
+	ctx, cancel := context.WithTimeout(ctx, min(timeout, maxCheckTimeout))
 	defer cancel()
 	addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
 	if path == "" {
-		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		if err != nil {
-			return verdict(err)
+			return outcomeOf(err)
 		}
-		_ = c.Close()
+		_ = conn.Close() // it came about, which is what counts
 		return CheckHealthy
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
@@ -45,41 +47,47 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return verdict(err)
+		return outcomeOf(err)
 	}
-	_ = resp.Body.Close()
+	_ = resp.Body.Close() // only the status counts
 	if resp.StatusCode/100 == 2 {
 		return CheckHealthy
 	}
 	return CheckUnhealthy
 }
 
-func verdict(err error) string {
+// outcomeOf tells a timeout from other failures.
+func outcomeOf(err error) string {
 	if errors.Is(err, context.DeadlineExceeded) || os.IsTimeout(err) {
 		return CheckHung
 	}
 	return CheckUnhealthy
 }
 
+// checkResponse is the response to a check.
+type checkResponse struct {
+	Outcome string `json:"outcome"`
+}
+
 // serveCheck checks a task that runs here: GET /check/JOB/N/ATTEMPT with http=PATH
 // or tcp=1, and timeoutMs.
 func (a *Agent) serveCheck(w http.ResponseWriter, r *http.Request) {
 	attempt, err := strconv.ParseUint(r.PathValue("attempt"), 10, 64)
-	q := r.URL.Query()
-	ms, merr := strconv.Atoi(q.Get("timeoutMs"))
-	path := q.Get("http")
-	if err != nil || merr != nil || ms < 1 || path == "" && q.Get("tcp") == "" || path != "" && !strings.HasPrefix(path, "/") {
-		httpjson.Write(w, http.StatusBadRequest, map[string]string{"error": "attempt, timeoutMs and http=/PATH or tcp=1 are needed"})
+	query := r.URL.Query()
+	timeoutMs, timeoutErr := strconv.Atoi(query.Get("timeoutMs"))
+	path := query.Get("http")
+	if err != nil || timeoutErr != nil || timeoutMs < 1 || path == "" && query.Get("tcp") == "" || path != "" && !strings.HasPrefix(path, "/") {
+		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "attempt, timeoutMs and http=/PATH or tcp=1 are needed"})
 		return
 	}
 	if a.Processes == nil {
-		httpjson.Write(w, http.StatusNotFound, map[string]string{"error": "tasks here have no ports"})
+		httpjson.Write(w, http.StatusNotFound, wire.Problem{Error: "tasks here have no ports"})
 		return
 	}
 	port := a.Processes.Port(r.PathValue("job")+"/"+r.PathValue("n"), attempt)
 	if port == 0 {
-		httpjson.Write(w, http.StatusNotFound, map[string]string{"error": "no such task runs here"})
+		httpjson.Write(w, http.StatusNotFound, wire.Problem{Error: "no such task runs here"})
 		return
 	}
-	httpjson.Write(w, http.StatusOK, map[string]string{"outcome": check(r.Context(), port, path, time.Duration(ms)*time.Millisecond)})
+	httpjson.Write(w, http.StatusOK, checkResponse{Outcome: check(r.Context(), port, path, time.Duration(timeoutMs)*time.Millisecond)})
 }
--- /dev/null
+++ b/internal/worker/commands.go
@@ -0,0 +1,161 @@
+package worker
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/matching"
+	"github.com/wallrack/wallrack/internal/taskspec"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+const (
+	fetchTries   = 5 // to get a description before the task fails
+	fetchBackoff = 300 * time.Millisecond
+)
+
+// executeLocked executes commands. One that does not fit the state of its attempt, such
+// as a repeated one, does nothing.
+func (s *State) executeLocked(ctx context.Context, commands []wire.Command) {
+	changed := false
+	for _, command := range commands {
+		key := attemptKey{command.Task, command.Attempt}
+		a := s.attempts[key]
+		switch {
+		case command.Verb == wire.VerbStart && a == nil:
+			s.launchLocked(ctx, key)
+		case command.Verb == wire.VerbStop && a != nil && a.State != wire.TaskExited:
+			a.stop(command.GraceS)
+		case command.Verb == wire.VerbForget && a != nil && a.State == wire.TaskExited:
+			delete(s.attempts, key)
+		default:
+			continue
+		}
+		changed = true
+	}
+	if changed {
+		go s.changed()
+	}
+}
+
+// stop ends an attempt by command, a process with a grace period in seconds if there is
+// one.
+func (a *attempt) stop(graceS *float64) {
+	if a.State == wire.TaskFetching {
+		a.end(0)
+		a.exit(wire.CauseStopped)
+		return
+	}
+	grace := time.Duration(0)
+	if graceS != nil && *graceS > 0 {
+		grace = time.Duration(*graceS * float64(time.Second))
+	}
+	a.end(grace)
+}
+
+// launchLocked executes a start command for an attempt that is not known.
+func (s *State) launchLocked(ctx context.Context, key attemptKey) {
+	job, _, err := wire.ParseTask(key.task)
+	a := &attempt{Task: wire.Task{Task: key.task, Attempt: key.attempt, State: wire.TaskFetching}}
+	s.attempts[key] = a
+	if err != nil {
+		a.exit(wire.CauseUnknown)
+		return
+	}
+	for otherKey, other := range s.attempts {
+		if otherKey.task == key.task && otherKey != key && other.State != wire.TaskExited {
+			a.exit(wire.CauseBusy)
+			return
+		}
+	}
+	// The fetch outlives the exchange that carried the command.
+	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	a.cancel = cancel
+	session := s.session
+	s.launches.Go(func() {
+		defer cancel()
+		spec, err := s.fetch(ctx, job)
+		s.fetched(key, a, session, spec, err)
+	})
+}
+
+// fetch gets a description, in up to fetchTries tries if the service does not respond.
+func (s *State) fetch(ctx context.Context, job string) (*taskspec.Spec, error) {
+	for try := 1; ; try++ {
+		spec, err := s.descriptions.Get(ctx, job)
+		if err == nil || errors.Is(err, taskspec.ErrNotFound) || try == fetchTries {
+			return spec, err
+		}
+		select {
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		case <-time.After(time.Duration(try) * fetchBackoff):
+		}
+	}
+}
+
+// fetched starts an attempt whose description came, or makes it exit.
+func (s *State) fetched(key attemptKey, a *attempt, session uint64, spec *taskspec.Spec, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	defer func() { go s.changed() }()
+	if s.session != session || s.attempts[key] != a || a.State != wire.TaskFetching {
+		return // stopped, or the session is over
+	}
+	switch {
+	case errors.Is(err, taskspec.ErrNotFound):
+		a.exit(wire.CauseUnknown)
+		return
+	case err != nil:
+		s.log.Info("no task description", "task", key.task, "err", err)
+		a.exit(wire.CauseError)
+		return
+	case s.done.Has(key.task):
+		a.exit(wire.CauseDone) // its result is kept
+		return
+	}
+	a.size = matching.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
+	if !a.size.Fits(s.freeLocked(a)) {
+		a.exit(wire.CauseNoRoom)
+		return
+	}
+	process, err := s.runner.Start(key.task, key.attempt, spec, func(code int) { s.exited(key, a, session, code) })
+	if err != nil {
+		s.log.Info("task start failed", "task", key.task, "err", err)
+		a.exit(wire.CauseError)
+		return
+	}
+	a.State, a.process = wire.TaskRunning, process
+}
+
+// freeLocked is what the worker has left beside all attempts but one.
+func (s *State) freeLocked(but *attempt) matching.Resources {
+	free := s.id.Size
+	for _, a := range s.attempts {
+		if a != but && a.State != wire.TaskExited {
+			free = free.Add(a.size, -1)
+		}
+	}
+	return free
+}
+
+// exited notes the end of an attempt's process.
+func (s *State) exited(key attemptKey, a *attempt, session uint64, code int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.session != session || s.attempts[key] != a || a.State == wire.TaskExited {
+		return
+	}
+	switch {
+	case a.halted:
+		a.exit(wire.CauseStopped) // even with code 0: its work may be incomplete
+	case code == 0:
+		s.done.Add(key.task)
+		a.exit(wire.CauseDone)
+	default:
+		a.exit(wire.CauseError)
+		a.Exit = &code
+	}
+	go s.changed()
+}
--- a/internal/worker/leftovers.go
+++ b/internal/worker/leftovers.go
@@ -21,17 +21,18 @@
 )
 
 // EndLeftovers kills the process groups that a worker with its tasks in dir, which
-// was itself killed, may have left: the kernel ends only their first process.
+// was itself killed, may have left: the kernel ends only their first process. Processes
+// that can't be read are skipped. It does not wait for the ends.
 func EndLeftovers(dir string, log *slog.Logger) {
 	notes, _ := filepath.Glob(filepath.Join(dir, "*", pidFile)) // the pattern is well formed
 	for _, note := range notes {
 		groups, err := leftoverGroups(note)
 		if err != nil {
-			continue
+			continue // tried again at the next start
 		}
 		for _, group := range groups {
 			if err := syscall.Kill(-group, syscall.SIGKILL); err == nil {
-				log.Info("ended what an earlier worker left", "group", group)
+				log.Info("process group of an earlier worker killed", "group", group)
 			}
 		}
 		_ = os.Remove(note) // tried again at the next start if it stays
@@ -57,7 +58,7 @@
 	if group <= 1 {
 		return nil, nil
 	}
-	// The number could belong to somebody else by now.
+	// The number could be another process group's by now.
 	return groupsWithEnvironment(attemptVar+"=", group), nil
 }
 
@@ -78,13 +79,13 @@
 	found := map[int]bool{}
 	directories, _ := filepath.Glob("/proc/[0-9]*") // the pattern is well formed
 	for _, directory := range directories {
-		its, ok := processGroup(directory)
-		if !ok || found[its] || group != 0 && its != group {
+		member, ok := processGroup(directory)
+		if !ok || found[member] || group != 0 && member != group {
 			continue
 		}
 		environment, err := processEnvironment(directory)
 		if err == nil && bytes.Contains(append([]byte{0}, environment...), []byte("\x00"+prefix)) {
-			found[its] = true
+			found[member] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(found))
@@ -99,15 +100,15 @@
 
 // Limits of the wait for a process that is in exec.
 const (
-	execWithin = time.Second
-	execEvery  = time.Millisecond
+	execTimeout  = time.Second
+	execInterval = time.Millisecond
 )
 
 // processEnvironment reads the environment of the process with a directory below
 // /proc. While a process is in exec the kernel shows an empty one, which is waited
 // out.
 func processEnvironment(directory string) ([]byte, error) {
-	for deadline := time.Now().Add(execWithin); ; time.Sleep(execEvery) {
+	for deadline := time.Now().Add(execTimeout); ; time.Sleep(execInterval) {
 		environment, err := os.ReadFile(filepath.Join(directory, "environ"))
 		if err != nil || len(environment) > 0 {
 			return environment, err
--- a/internal/worker/leftovers_test.go
+++ b/internal/worker/leftovers_test.go
@@ -36,7 +36,7 @@
 
 // A process that is in exec again and again is never seen without its environment,
 // so that what an earlier worker left is found at whatever moment it is looked for.
-func TestEnvironmentIsReadOfAProcessInExec(t *testing.T) {
+func TestProcessInExecIsReadWithItsEnvironment(t *testing.T) {
 	directory := startWithEnvironment(t, `exec /bin/sh "$0"`, attemptVar+"=1")
 	for read := range 10_000 {
 		environment, err := processEnvironment(directory)
@@ -47,7 +47,7 @@
 }
 
 // A process without any environment, and one that has ended, are not waited for.
-func TestEmptyEnvironmentIsNotWaitedFor(t *testing.T) {
+func TestProcessWithoutEnvironmentOrEndedIsNotWaitedFor(t *testing.T) {
 	bare := startWithEnvironment(t, "exec /usr/bin/env -i /bin/sleep 60", attemptVar+"=1")
 	ended := startWithEnvironment(t, "exit 0", attemptVar+"=1")
 	for _, directory := range []string{bare, ended} {
@@ -57,7 +57,7 @@
 		if len(environment) > 0 || err != nil && !errors.Is(err, syscall.ESRCH) { // which some kernels say of one that has ended
 			t.Errorf("%q, %v", environment, err)
 		}
-		if took := time.Since(begin); took >= execWithin {
+		if took := time.Since(begin); took >= execTimeout {
 			t.Errorf("it took %v", took)
 		}
 	}
--- /dev/null
+++ b/internal/worker/output.go
@@ -0,0 +1,107 @@
+package worker
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+)
+
+// taskOutputs are the files that a task writes to.
+type taskOutputs struct{ files []*boundedFile }
+
+// openOutputs opens what a task's standard output and error go to: its own files in dir,
+// and those that its user named, "" for none. Each takes maxLog bytes. After an error
+// none is open.
+func openOutputs(cmd *exec.Cmd, dir string, userFiles [2]string, maxLog int64) (*taskOutputs, error) {
+	o := &taskOutputs{}
+	if err := o.connect(cmd, dir, userFiles, maxLog); err != nil {
+		o.discard()
+		return nil, err
+	}
+	return o, nil
+}
+
+func (o *taskOutputs) connect(cmd *exec.Cmd, dir string, userFiles [2]string, maxLog int64) error {
+	shared := map[string]*boundedFile{} // one file may be named for both streams
+	for i, stream := range []*io.Writer{&cmd.Stdout, &cmd.Stderr} {
+		own, err := o.create(filepath.Join(dir, [...]string{StdoutFile, StderrFile}[i]), maxLog)
+		if err != nil {
+			return err
+		}
+		*stream = own
+		name := userFiles[i]
+		if name == "" {
+			continue
+		}
+		if shared[name] == nil {
+			if shared[name], err = o.create(name, maxLog); err != nil {
+				return err
+			}
+		}
+		*stream = io.MultiWriter(own, shared[name])
+	}
+	return nil
+}
+
+func (o *taskOutputs) create(name string, maxLog int64) (*boundedFile, error) {
+	f, err := os.Create(name)
+	if err != nil {
+		return nil, fmt.Errorf("task's output: %w", err)
+	}
+	b := &boundedFile{f: f, left: maxLog}
+	o.files = append(o.files, b)
+	return b, nil
+}
+
+// close closes the files after the task.
+func (o *taskOutputs) close() {
+	for _, b := range o.files {
+		b.close()
+	}
+}
+
+// discard closes the files of a task that was not started.
+func (o *taskOutputs) discard() {
+	for _, b := range o.files {
+		_ = b.f.Close() // nothing was written
+	}
+}
+
+// boundedFile is a file that takes so many bytes and then drops the rest.
+type boundedFile struct {
+	mu      sync.Mutex
+	f       *os.File
+	left    int64
+	dropped int64
+}
+
+// Write implements io.Writer; it never fails, so that a full disk or bound ends
+// no task.
+func (b *boundedFile) Write(data []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	n := min(int64(len(data)), b.left)
+	if n > 0 {
+		written, err := b.f.Write(data[:n])
+		b.left -= int64(written)
+		if err != nil {
+			b.left = 0
+		}
+		n = int64(written)
+	}
+	b.dropped += int64(len(data)) - n
+	return len(data), nil
+}
+
+func (b *boundedFile) close() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.dropped > 0 {
+		_, _ = fmt.Fprintf(b.f, "\n[%d bytes more were dropped]\n", b.dropped) // a full disk ends no task
+	}
+	_ = b.f.Close() // likewise
+	b.left = 0
+}
--- a/internal/worker/recorded_test.go
+++ b/internal/worker/recorded_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -37,16 +38,17 @@
 	}
 }
 
-func recordedMachine() *worker.Machine {
+// recordedState is the state of the worker whose messages were recorded.
+func recordedState() *worker.State {
 	id := worker.Ident{Name: "n-000231", Endpoint: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Lease: time.Hour}
 	return worker.New(id, &site{}, &site{}, func() {}, quiet)
 }
 
 // A worker's reports keep their form.
 func TestRecordedReport(t *testing.T) {
-	m := recordedMachine()
-	defer m.Close()
-	checkRecorded(t, "report_idle.json", *m.Report())
+	state := recordedState()
+	defer state.Close()
+	checkRecorded(t, "report_idle.json", *state.Report())
 	checkRecorded(t, "report_task.json", wire.Report{
 		Machine: "n-000231", Endpoint: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Seq: 2, Token: 41,
 		Tasks: []wire.Task{{Task: "odd", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseUnknown}},
@@ -55,10 +57,10 @@
 
 // A worker understands the recorded requests, and answers by the recorded bytes.
 func TestRecordedRequests(t *testing.T) {
-	m := recordedMachine()
-	defer m.Close()
-	m.Report() // number 1, see report_idle.json
-	handler := (&worker.Agent{Machine: m, Log: quiet}).Handler()
+	state := recordedState()
+	defer state.Close()
+	state.Report() // number 1, see report_idle.json
+	handler := (&worker.Agent{Machine: state, Log: quiet}).Handler()
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -86,11 +88,11 @@
 
 // A check of a task that runs is answered by the recorded bytes; nothing listens at its port.
 func TestRecordedCheck(t *testing.T) {
-	p := processes(t, t.TempDir())
+	p := newProcesses(t, t.TempDir())
 	if _, err := p.Start("j-1/0", 3, &taskspec.Spec{Argv: []string{"sleep", "600"}, CPUs: 1}, func(int) {}); err != nil {
 		t.Fatal(err)
 	}
-	handler := (&worker.Agent{Machine: recordedMachine(), Processes: p, Log: quiet}).Handler()
+	handler := (&worker.Agent{Machine: recordedState(), Processes: p, Log: quiet}).Handler()
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, httptest.NewRequest("GET", "/check/j-1/0/3?timeoutMs=5000&http=/up", nil))
 	if w.Code != http.StatusOK || w.Body.String() != `{"outcome":"unhealthy"}` {
@@ -116,14 +118,20 @@
 		_, _ = io.WriteString(w, `{"foreman":"there"}`)
 	}))
 	defer here.Close()
-	m := recordedMachine()
-	defer m.Close()
-	agent := &worker.Agent{Machine: m, ReportEvery: time.Hour, Log: quiet, Controllers: []worker.Controller{
-		{Name: "here", Addr: here.Listener.Addr().String()}, {Name: "there", Addr: there.Listener.Addr().String()}}}
+	state := recordedState()
+	defer state.Close()
+	agent := &worker.Agent{Machine: state, ReportEvery: time.Hour, Log: quiet, Controllers: []worker.Controller{
+		{Name: "here", Addr: here.Listener.Addr().String()}, {Name: "there", Addr: there.Listener.Addr().String()},
+	}}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- agent.Run(ctx) }()
-	defer func() { cancel(); <-ended }()
+	defer func() {
+		cancel()
+		if err := <-ended; !errors.Is(err, context.Canceled) {
+			t.Errorf("the agent ended with %v", err)
+		}
+	}()
 	report := regexp.MustCompile(`^POST /v1/report application/json ` +
 		`\{"bench":"n-000231","endpoint":"10\.1\.0\.232:9000","build":"g8","yard":"a","loaners":true,"stint":1,"tally":[12],"baton":0,"warningS":null,"pieces":\[\]\}$`)
 	select {
@@ -135,10 +143,10 @@
 		t.Fatal("no report")
 	}
 	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-		if r := m.Report(); r.Token == 41 && len(r.Tasks) == 1 && r.Tasks[0].Task == "odd" && r.Tasks[0].Attempt == 3 {
+		if report := state.Report(); report.Token == 41 && len(report.Tasks) == 1 && report.Tasks[0].Task == "odd" && report.Tasks[0].Attempt == 3 {
 			return
 		} else if time.Since(start) > 20*time.Second {
-			t.Fatalf("the recorded answer was not carried out: %+v", r)
+			t.Fatalf("the recorded answer was not carried out: %+v", report)
 		}
 	}
 }
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -1,11 +1,15 @@
-// Package worker is a worker by the site's protocol that runs real processes. It
-// reports to one controller at a time, obeys the highest token it has seen, and
-// ends everything when its lease runs out.
+// Package worker is a worker by the site's protocol: it reports to one controller at a
+// time, executes commands that carry the highest fencing token it has seen, and ends all
+// its tasks when its lease expires.
+//
+// State is the state by the protocol, Agent its HTTP client and server, Processes a
+// Runner of real processes. Nothing of the state outlives the process; only the files of
+// Processes do, and what is left of an earlier worker is ended by them. The package does
+// not decide what runs where, and does not isolate tasks from each other.
 package worker
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"sync"
 	"time"
@@ -16,32 +20,31 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-const (
-	keepDone     = 10_000 // completed tasks whose result is kept
-	fetchTries   = 5      // to get a description before the task fails
-	fetchBackoff = 300 * time.Millisecond
-)
+const keepDone = 10_000 // completed tasks whose result is kept
 
-// Descriptions tells what a job's tasks run.
+// Descriptions is the source of what jobs' tasks run.
 type Descriptions interface {
+	// Get returns the description of a job's tasks; taskspec.ErrNotFound: there is none.
+	// Other errors are tried again. It is called without locks held.
 	Get(ctx context.Context, job string) (*taskspec.Spec, error)
 }
 
 // Runner runs tasks' processes.
 type Runner interface {
 	// Start starts a task. exited is called once, from another goroutine, when
-	// the task and all that it started are gone, with its exit code: 0 is success,
-	// 128 and more a signal, as shells have it.
-	Start(task string, attempt uint64, d *taskspec.Spec, exited func(code int)) (Process, error)
+	// the task and all that it started have ended, with its exit code: 0 is success,
+	// 128 and more a signal, as shells have it. It is not called if Start fails.
+	Start(task string, attempt uint64, spec *taskspec.Spec, exited func(code int)) (Process, error)
 }
 
 // Process is a running task.
 type Process interface {
-	// Stop asks the task to end, and ends it after grace.
+	// Stop requests that the task ends, and kills it after grace, at once if that is
+	// not above 0. It does not wait for the end.
 	Stop(grace time.Duration)
 }
 
-// Ident is a worker's place in the site.
+// Ident is what a worker reports of itself, its capacity and the length of its lease.
 type Ident struct {
 	Name, Endpoint, Type, Zone string
 	Spot                       bool
@@ -49,269 +52,148 @@
 	Lease                      time.Duration
 }
 
-type key struct {
+// attemptKey names an attempt of a task.
+type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-type task struct {
+// attempt is an attempt of a task that is reported.
+type attempt struct {
 	wire.Task
-	size   matching.Resources
-	proc   Process
-	cancel context.CancelFunc // ends the fetch
-	halted bool
+	size    matching.Resources // 0 before its description came
+	process Process            // nil: not started yet, or exited
+	cancel  context.CancelFunc // ends the fetch; nil: there is none
+	halted  bool               // it was stopped; an exit of 0 does not make it done
 }
 
-// Machine is a worker's state by the protocol. It is safe for concurrent use.
-type Machine struct {
-	id     Ident
-	descrs Descriptions
-	runner Runner
-	log    *slog.Logger
-	change func() // something that is reported changed
+// State is a worker's state by the protocol. It is safe for concurrent use.
+type State struct {
+	id           Ident
+	descriptions Descriptions
+	runner       Runner
+	log          *slog.Logger
+	changed      func() // something that is reported changed
 
-	mu      sync.Mutex
-	session uint64
-	seq     uint64
-	token   uint64
-	renewed time.Time // when the last answered report was sent
-	tasks   map[key]*task
-	done    *recent.Set // tasks whose result is kept
-	stops   sync.WaitGroup
+	mu       sync.Mutex
+	session  uint64
+	seq      uint64
+	token    uint64
+	renewed  time.Time // when the last report that renewed the lease was sent
+	attempts map[attemptKey]*attempt
+	done     *recent.Set    // tasks whose result is kept
+	launches sync.WaitGroup // goroutines that fetch and start tasks
 }
 
-// New returns the state of a worker that has just come up. change is called,
-// without locks held by the caller's side, whenever a report would differ.
-func New(id Ident, descrs Descriptions, runner Runner, change func(), log *slog.Logger) *Machine {
-	return &Machine{
-		id: id, descrs: descrs, runner: runner, change: change, log: log, session: 1, renewed: time.Now(),
-		tasks: map[key]*task{}, done: recent.NewSet(keepDone),
+// New returns the state of a worker that has just come up: session 1, its lease
+// beginning now. changed is called in a goroutine of its own whenever a report would
+// differ.
+func New(id Ident, descriptions Descriptions, runner Runner, changed func(), log *slog.Logger) *State {
+	return &State{
+		id: id, descriptions: descriptions, runner: runner, changed: changed, log: log, session: 1, renewed: time.Now(),
+		attempts: map[attemptKey]*attempt{}, done: recent.NewSet(keepDone),
 	}
 }
 
 // Report makes the next report; its sequence number is never used again.
-func (m *Machine) Report() *wire.Report {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.expireLocked()
-	m.seq++
-	r := &wire.Report{
-		Machine: m.id.Name, Endpoint: m.id.Endpoint, Type: m.id.Type, Zone: m.id.Zone, Spot: m.id.Spot,
-		Session: m.session, Seq: m.seq, Token: m.token, Tasks: []wire.Task{},
-	}
-	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, t.Task)
-	}
-	return r
-}
-
-// Answer takes a 200 for a report of a session that was sent at a time. An
-// answer with a lower token, or for an earlier session, is dropped: it renews
-// nothing and orders nothing.
-func (m *Machine) Answer(sent time.Time, session uint64, a wire.ReportAnswer) (taken, newToken bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.expireLocked()
-	if a.Token == 0 || a.Token < m.token || session != m.session {
+func (s *State) Report() *wire.Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireLocked()
+	s.seq++
+	report := &wire.Report{
+		Machine: s.id.Name, Endpoint: s.id.Endpoint, Type: s.id.Type, Zone: s.id.Zone, Spot: s.id.Spot,
+		Session: s.session, Seq: s.seq, Token: s.token, Tasks: []wire.Task{},
+	}
+	for _, a := range s.attempts {
+		report.Tasks = append(report.Tasks, a.Task)
+	}
+	return report
+}
+
+// HandleResponse takes the response to a report of a session: it renews the lease from the time
+// at which the report was sent, and executes the commands. A response with a lower
+// fencing token, or for an earlier session, is dropped: it renews nothing and executes
+// nothing (accepted is false). newToken: the token is higher than any before. Tasks that
+// are started outlive ctx, of which only the values are used.
+func (s *State) HandleResponse(ctx context.Context, sent time.Time, session uint64, response wire.ReportAnswer) (accepted, newToken bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireLocked()
+	if response.Token == 0 || response.Token < s.token || session != s.session {
 		return false, false
 	}
-	newToken = a.Token > m.token
-	m.token, m.renewed = a.Token, sent
-	m.executeLocked(a.Commands)
+	newToken = response.Token > s.token
+	s.token, s.renewed = response.Token, sent
+	s.executeLocked(ctx, response.Commands)
 	return true, newToken
 }
 
-// Orders takes a direct message. False: the token is lower than the highest one
-// seen, or the session does not match, and nothing was executed.
-func (m *Machine) Orders(o wire.Orders) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.expireLocked()
-	if o.Token < m.token || o.Session != m.session {
+// HandleOrders executes commands that were sent directly. It returns false if the fencing token
+// is lower than the highest one seen, or the session does not match; nothing was executed
+// then. The lease is not renewed. Tasks that are started outlive ctx, of which only the
+// values are used.
+func (s *State) HandleOrders(ctx context.Context, orders wire.Orders) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireLocked()
+	if orders.Token < s.token || orders.Session != s.session {
 		return false
 	}
-	m.token = o.Token
-	m.executeLocked(o.Commands)
+	s.token = orders.Token
+	s.executeLocked(ctx, orders.Commands)
 	return true
 }
 
-// Expire ends the session if its lease has run out; it is called often.
-func (m *Machine) Expire() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.expireLocked()
+// Expire ends all tasks and begins a new session if the lease has expired. It must be
+// called often: tasks run beyond the lease by the time between two calls.
+func (s *State) Expire() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireLocked()
 }
 
-func (m *Machine) expireLocked() {
-	if time.Since(m.renewed) <= m.id.Lease {
+func (s *State) expireLocked() {
+	if time.Since(s.renewed) <= s.id.Lease {
 		return
 	}
-	m.log.Info("lease ran out", "session", m.session, "tasks", len(m.tasks))
-	m.dropLocked()
-	m.session++
-	m.renewed = time.Now()
-	go m.change()
-}
-
-func (m *Machine) dropLocked() {
-	for k, t := range m.tasks {
-		t.end(0)
-		delete(m.tasks, k)
-	}
-}
-
-// end ends a task's fetch or process.
-func (t *task) end(grace time.Duration) {
-	t.halted = true
-	if t.cancel != nil {
-		t.cancel()
-	}
-	if t.proc != nil {
-		t.proc.Stop(grace)
-	}
-}
-
-// Close ends every task and waits for what was being fetched.
-func (m *Machine) Close() {
-	m.mu.Lock()
-	m.dropLocked()
-	m.mu.Unlock()
-	m.stops.Wait()
-}
-
-func (m *Machine) executeLocked(cmds []wire.Command) {
-	changed := false
-	for _, c := range cmds {
-		k := key{c.Task, c.Attempt}
-		t := m.tasks[k]
-		switch {
-		case c.Verb == wire.VerbStart && t == nil:
-			m.launchLocked(k)
-			changed = true
-		case c.Verb == wire.VerbStop && t != nil && t.State != wire.TaskExited:
-			grace := time.Duration(0)
-			if c.GraceS != nil && *c.GraceS > 0 {
-				grace = time.Duration(*c.GraceS * float64(time.Second))
-			}
-			if t.State == wire.TaskFetching {
-				t.end(0)
-				m.exitLocked(t, wire.CauseStopped)
-			} else {
-				t.end(grace)
-			}
-			changed = true
-		case c.Verb == wire.VerbForget && t != nil && t.State == wire.TaskExited:
-			delete(m.tasks, k)
-			changed = true
-		}
-	}
-	if changed {
-		go m.change()
-	}
-}
-
-func (m *Machine) exitLocked(t *task, cause string) {
-	t.State, t.Cause = wire.TaskExited, cause
-	t.proc = nil
+	s.log.Info("lease expired", "session", s.session, "tasks", len(s.attempts))
+	s.dropLocked()
+	s.session++
+	s.renewed = time.Now()
+	go s.changed()
 }
 
-// launchLocked takes a start command for an attempt that is not known.
-func (m *Machine) launchLocked(k key) {
-	job, _, err := wire.ParseTask(k.task)
-	t := &task{Task: wire.Task{Task: k.task, Attempt: k.attempt, State: wire.TaskFetching}}
-	m.tasks[k] = t
-	if err != nil {
-		m.exitLocked(t, wire.CauseUnknown)
-		return
-	}
-	for o, other := range m.tasks {
-		if o.task == k.task && o != k && other.State != wire.TaskExited {
-			m.exitLocked(t, wire.CauseBusy)
-			return
-		}
+// dropLocked ends and forgets all attempts.
+func (s *State) dropLocked() {
+	for key, a := range s.attempts {
+		a.end(0)
+		delete(s.attempts, key)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	t.cancel = cancel
-	session := m.session
-	m.stops.Add(1)
-	go func() {
-		defer m.stops.Done()
-		defer cancel()
-		d, err := m.fetch(ctx, job)
-		m.started(k, t, session, d, err)
-	}()
 }
 
-// fetch gets a description, again for a while if the service does not answer.
-func (m *Machine) fetch(ctx context.Context, job string) (*taskspec.Spec, error) {
-	for n := 1; ; n++ {
-		d, err := m.descrs.Get(ctx, job)
-		if err == nil || errors.Is(err, taskspec.ErrNotFound) || n == fetchTries {
-			return d, err
-		}
-		select {
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		case <-time.After(time.Duration(n) * fetchBackoff):
-		}
-	}
+// Close ends every task and waits for the descriptions that are being fetched. It does
+// not wait for the tasks' processes.
+func (s *State) Close() {
+	s.mu.Lock()
+	s.dropLocked()
+	s.mu.Unlock()
+	s.launches.Wait()
 }
 
-// started goes on with a task whose description came, or did not.
-func (m *Machine) started(k key, t *task, session uint64, d *taskspec.Spec, err error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	defer func() { go m.change() }()
-	if m.session != session || m.tasks[k] != t || t.State != wire.TaskFetching {
-		return // stopped, or the session is over
+// end ends an attempt's fetch or process.
+func (a *attempt) end(grace time.Duration) {
+	a.halted = true
+	if a.cancel != nil {
+		a.cancel()
 	}
-	switch {
-	case errors.Is(err, taskspec.ErrNotFound):
-		m.exitLocked(t, wire.CauseUnknown)
-		return
-	case err != nil:
-		m.log.Info("no description", "task", k.task, "err", err)
-		m.exitLocked(t, wire.CauseError)
-		return
-	case m.done.Has(k.task):
-		m.exitLocked(t, wire.CauseDone) // its result is kept
-		return
+	if a.process != nil {
+		a.process.Stop(grace)
 	}
-	t.size = matching.Resources{CPUs: d.CPUs, GPUs: d.GPUs, MemoryGB: d.MemoryGB}
-	free := m.id.Size
-	for _, o := range m.tasks {
-		if o != t && o.State != wire.TaskExited {
-			free = free.Add(o.size, -1)
-		}
-	}
-	if !t.size.Fits(free) {
-		m.exitLocked(t, wire.CauseNoRoom)
-		return
-	}
-	proc, err := m.runner.Start(k.task, k.attempt, d, func(code int) { m.exited(k, t, session, code) })
-	if err != nil {
-		m.log.Info("task did not start", "task", k.task, "err", err)
-		m.exitLocked(t, wire.CauseError)
-		return
-	}
-	t.State, t.proc = wire.TaskRunning, proc
 }
 
-func (m *Machine) exited(k key, t *task, session uint64, code int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.session != session || m.tasks[k] != t || t.State == wire.TaskExited {
-		return
-	}
-	switch {
-	case t.halted:
-		m.exitLocked(t, wire.CauseStopped) // even if it ended well on being asked to: its work is not whole
-	case code == 0:
-		m.done.Add(k.task)
-		m.exitLocked(t, wire.CauseDone)
-	default:
-		m.exitLocked(t, wire.CauseError)
-		t.Exit = &code
-	}
-	go m.change()
+// exit marks an attempt as ended, for a cause of the protocol.
+func (a *attempt) exit(cause string) {
+	a.State, a.Cause = wire.TaskExited, cause
+	a.process = nil
 }
