--- a/internal/worker/leftovers.go
+++ b/internal/worker/leftovers.go
@@ -131,6 +131,7 @@
 const (
 	stateField            = 0
 	groupField            = 2
+	codeStartField        = 23
 	environmentStartField = 47
 	environmentEndField   = 48
 )
@@ -150,10 +151,13 @@
 	if err != nil {
 		return processStatus{}, fmt.Errorf("%s: process group: %w", directory, err)
 	}
+	// In exec the kernel sets the environment's end to its start before it copies the
+	// entries; the code's start is set only after that.
+	execDone := fields[codeStartField] != "0"
 	start, end := fields[environmentStartField], fields[environmentEndField]
 	return processStatus{
 		group:         group,
 		ended:         fields[stateField] == "Z" || fields[stateField] == "X",
-		noEnvironment: end != "0" && start == end,
+		noEnvironment: execDone && end != "0" && start == end,
 	}, nil
 }
