--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -170,7 +170,7 @@
 	}
 	serve(inner, mux)
 	serve(users, front.mux)
-	g.Go(func() error { state.Sweep(svcCtx.Done()); return nil })
+	g.Go(func() error { state.ExpireLeases(svcCtx); return nil })
 	g.Go(func() error { front.Watch(svcCtx); return nil })
 	var controllers sync.WaitGroup
 	for _, n := range nodes {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -165,7 +165,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.Go(func() error { state.Sweep(ctx.Done()); return nil })
+	g.Go(func() error { state.ExpireLeases(ctx); return nil })
 	budget, stateHandler := standin.NewBudget(s.StateRPS, s.StateWriteRPS), state.Handler()
 	stateAddrs := make([]string, s.Controllers)
 	for i := range stateAddrs {
@@ -212,7 +212,7 @@
 	for _, z := range r.zones {
 		for {
 			r.hires++
-			names, err := r.cloud.Hire(&wire.HireRequest{Name: fmt.Sprintf("scale-run-%d", r.hires), Type: machineType, Zone: z, Number: hireAtOnce})
+			names, err := r.cloud.Provision(&wire.HireRequest{Name: fmt.Sprintf("scale-run-%d", r.hires), Type: machineType, Zone: z, Number: hireAtOnce})
 			total += len(names)
 			if err != nil { // the zone is full
 				break
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"net/http"
 	"slices"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -18,27 +17,25 @@
 )
 
 const (
-	maxHire    = 50
-	maxRelease = 100
-	maxPage    = 500
+	maxProvision   = 50  // machines in a request
+	maxRelease     = 100 // machines in a request
+	maxPage        = 500 // machines in a listing
+	maxRequestName = 200 // bytes
 )
 
-var (
-	hiresBucket    = []byte("hires")
-	machinesBucket = []byte("machines")
-	nextMachineKey = []byte("next-machine")
-)
-
-// Launcher makes machines come up and go.
+// Launcher makes machines come up, and ends them. Its methods are called from several
+// goroutines at a time, without locks held.
 type Launcher interface {
 	// Launch brings a machine's worker up and returns its address.
 	Launch(m wire.ListedMachine, t wire.MachineType) (endpoint string, err error)
-	// End is done when nothing of the machine runs any more.
+	// End ends a machine and returns when nothing of it runs any more. It may be called
+	// for one that was not launched.
 	End(name string)
 }
 
-// Cloud rents machines that a launcher makes. What it answered as rented is on
-// disk, and a name is never given twice.
+// Cloud provisions machines that a launcher makes. What it answered as provisioned is on
+// disk, if there is a database, and a name is never given twice. It is safe for
+// concurrent use.
 type Cloud struct {
 	db       *bbolt.DB
 	types    []wire.MachineType
@@ -49,180 +46,200 @@
 	PerZone  int
 	launcher Launcher
 
-	mu       sync.Mutex
-	machines map[string]*wire.ListedMachine
-	since    map[string]time.Time
-	hires    map[string][]string
-	next     uint64
+	mu          sync.Mutex
+	machines    map[string]*cloudMachine
+	provisions  map[string][]string // by the request's name: the machines that it got
+	lastMachine uint64              // the highest number in a machine's name
+}
+
+// cloudMachine is a machine that is listed.
+type cloudMachine struct {
+	wire.ListedMachine
+	since time.Time
 }
 
 // OpenCloud reads what db holds. Machines of an earlier run are listed as
-// failed: nothing runs there any more. Without a db the records are in memory alone.
-func OpenCloud(db *bbolt.DB, types []wire.MachineType, capacity int, l Launcher) (*Cloud, error) {
-	c := &Cloud{db: db, types: types, capacity: capacity, launcher: l, machines: map[string]*wire.ListedMachine{}, since: map[string]time.Time{}, hires: map[string][]string{}}
-	err := update(db, func(tx *bbolt.Tx) error {
-		for _, b := range [][]byte{hiresBucket, machinesBucket, metaBucket} {
-			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
-				return err
-			}
-		}
-		c.next = number(tx.Bucket(metaBucket).Get(nextMachineKey))
-		if err := tx.Bucket(hiresBucket).ForEach(func(k, v []byte) error {
-			var names []string
-			err := json.Unmarshal(v, &names)
-			c.hires[string(k)] = names
-			return err
-		}); err != nil {
-			return err
-		}
-		return tx.Bucket(machinesBucket).ForEach(func(k, v []byte) error {
-			var m wire.ListedMachine
-			if err := json.Unmarshal(v, &m); err != nil {
-				return fmt.Errorf("machine %s: %w", k, err)
-			}
-			m.Stage = wire.MachineFailed
-			c.machines[m.Name], c.since[m.Name] = &m, time.Now()
-			return nil
-		})
-	})
-	if err != nil {
+// failed: nothing runs there any more. Without a db the records are in memory alone. The
+// caller closes db, after the last request has ended.
+func OpenCloud(db *bbolt.DB, types []wire.MachineType, capacity int, launcher Launcher) (*Cloud, error) {
+	c := &Cloud{
+		db: db, types: types, capacity: capacity, launcher: launcher,
+		machines: map[string]*cloudMachine{}, provisions: map[string][]string{},
+	}
+	if err := update(db, c.load); err != nil {
 		return nil, fmt.Errorf("cloud's records: %w", err)
 	}
 	return c, nil
 }
 
-// Handler serves the protocol.
+// load reads the records of an earlier run.
+func (c *Cloud) load(tx *bbolt.Tx) error {
+	if err := createBuckets(tx, provisionsBucket, machinesBucket, metaBucket); err != nil {
+		return err
+	}
+	c.lastMachine = parseNumber(tx.Bucket(metaBucket).Get(nextMachineKey))
+	if err := tx.Bucket(provisionsBucket).ForEach(func(request, data []byte) error {
+		var names []string
+		err := json.Unmarshal(data, &names)
+		c.provisions[string(request)] = names
+		return err
+	}); err != nil {
+		return err
+	}
+	return tx.Bucket(machinesBucket).ForEach(func(name, data []byte) error {
+		m := &cloudMachine{since: time.Now()}
+		if err := json.Unmarshal(data, &m.ListedMachine); err != nil {
+			return fmt.Errorf("machine %s: %w", name, err)
+		}
+		m.Stage = wire.MachineFailed
+		c.machines[m.Name] = m
+		return nil
+	})
+}
+
+// Handler serves the protocol of the cloud.
 func (c *Cloud) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /machine_types", func(w http.ResponseWriter, _ *http.Request) {
 		httpjson.Write(w, http.StatusOK, wire.MachineTypes{Types: c.types})
 	})
-	mux.HandleFunc("POST /hosts", c.hire)
-	mux.HandleFunc("POST /hosts/release", c.release)
-	mux.HandleFunc("GET /hosts", c.list)
+	mux.HandleFunc("POST /hosts", c.serveProvision)
+	mux.HandleFunc("POST /hosts/release", c.serveDelete)
+	mux.HandleFunc("GET /hosts", c.serveList)
 	return mux
 }
 
-func (c *Cloud) typeOf(r *wire.HireRequest) (wire.MachineType, bool) {
-	for _, t := range c.types {
-		if t.Name == r.Type && slices.Contains(t.Zones, r.Zone) {
-			return t, true
-		}
-	}
-	return wire.MachineType{}, false
-}
-
+// Errors of Provision; their texts are part of the protocol.
 var (
 	errMalformed  = errors.New("unknown type or zone, or hire or number out of range")
 	errNoCapacity = errors.New("no capacity")
-	errTrouble    = errors.New("trouble")
+	errTrouble    = errors.New("trouble") // the records can't be written
 )
 
-func (c *Cloud) hire(w http.ResponseWriter, r *http.Request) {
+func (c *Cloud) serveProvision(w http.ResponseWriter, r *http.Request) {
 	var req wire.HireRequest
-	if !read(w, r, &req) {
+	if !readBody(w, r, &req) {
 		return
 	}
-	switch names, err := c.Hire(&req); {
+	switch names, err := c.Provision(&req); {
 	case errors.Is(err, errMalformed):
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: err.Error()})
 	case err != nil:
-		httpjson.Write(w, http.StatusServiceUnavailable, wire.Problem{Error: err.Error()})
+		unavailable(w, err)
 	default:
 		httpjson.Write(w, http.StatusOK, wire.MachineNames{Machines: names})
 	}
 }
 
-// Hire rents machines, up to the number asked for. A name that was used gets its
-// earlier answer.
-func (c *Cloud) Hire(req *wire.HireRequest) ([]string, error) {
-	t, ok := c.typeOf(req)
-	if !ok || req.Name == "" || len(req.Name) > 200 || req.Number < 1 || req.Number > maxHire {
+// Provision provisions machines, at most the number requested, and returns their names;
+// they boot afterwards. It fails if there is room for none. A request's name that was
+// used gets its earlier response.
+func (c *Cloud) Provision(req *wire.HireRequest) ([]string, error) {
+	machineType, ok := c.typeOf(req)
+	if !ok || req.Name == "" || len(req.Name) > maxRequestName || req.Number < 1 || req.Number > maxProvision {
 		return nil, errMalformed
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if names, had := c.hires[req.Name]; had {
+	if names, repeated := c.provisions[req.Name]; repeated {
 		return names, nil
 	}
-	up, inZone := 0, 0
-	for _, m := range c.machines {
-		if m.Stage != wire.MachineFailed {
-			up++
-			if m.Zone == req.Zone {
-				inZone++
-			}
-		}
-	}
-	n := min(req.Number, c.capacity-up)
-	if c.PerZone > 0 {
-		n = min(n, c.PerZone-inZone)
-	}
-	if n <= 0 || req.Spot {
+	count := min(req.Number, c.roomLocked(req.Zone))
+	if count <= 0 || req.Spot {
 		return nil, errNoCapacity
 	}
-	var made []*wire.ListedMachine
-	names := make([]string, 0, n)
-	for i := range n {
-		m := &wire.ListedMachine{Name: fmt.Sprintf("n-%06d", c.next+uint64(i)+1), Type: t.Name, Zone: req.Zone, Stage: wire.MachineBooting}
-		made, names = append(made, m), append(names, m.Name)
+	machines := make([]*cloudMachine, 0, count)
+	names := make([]string, 0, count)
+	for i := range count {
+		name := fmt.Sprintf("n-%06d", c.lastMachine+uint64(i)+1)
+		names = append(names, name)
+		machines = append(machines, &cloudMachine{ListedMachine: wire.ListedMachine{Name: name, Type: machineType.Name, Zone: req.Zone, Stage: wire.MachineBooting}})
 	}
-	if err := update(c.db, func(tx *bbolt.Tx) error {
-		for _, m := range made {
-			if err := put(tx, machinesBucket, m.Name, m); err != nil {
-				return err
-			}
-		}
-		if err := put(tx, hiresBucket, req.Name, names); err != nil {
-			return err
-		}
-		return tx.Bucket(metaBucket).Put(nextMachineKey, digits(c.next+uint64(n)))
-	}); err != nil {
+	last := c.lastMachine + uint64(count)
+	if err := c.storeProvision(req.Name, names, machines, last); err != nil {
 		return nil, errTrouble
 	}
-	c.next += uint64(n)
-	c.hires[req.Name] = names
-	for _, m := range made {
-		c.machines[m.Name], c.since[m.Name] = m, time.Now()
-		go c.boot(*m, t)
+	c.lastMachine = last
+	c.provisions[req.Name] = names
+	for _, m := range machines {
+		m.since = time.Now()
+		c.machines[m.Name] = m
+		go c.boot(m.ListedMachine, machineType)
 	}
 	return names, nil
 }
 
-func put(tx *bbolt.Tx, bucket []byte, key string, v any) error {
-	data, err := json.Marshal(v)
-	if err != nil {
-		return err
+// typeOf finds the type that a request names, if it is to be had in the zone.
+func (c *Cloud) typeOf(req *wire.HireRequest) (wire.MachineType, bool) {
+	for _, machineType := range c.types {
+		if machineType.Name == req.Type && slices.Contains(machineType.Zones, req.Zone) {
+			return machineType, true
+		}
 	}
-	return tx.Bucket(bucket).Put([]byte(key), data)
+	return wire.MachineType{}, false
+}
+
+// roomLocked is how many more machines a zone can have; it may be below 0.
+func (c *Cloud) roomLocked(zone string) int {
+	total, inZone := 0, 0
+	for _, m := range c.machines {
+		if m.Stage == wire.MachineFailed {
+			continue
+		}
+		total++
+		if m.Zone == zone {
+			inZone++
+		}
+	}
+	room := c.capacity - total
+	if c.PerZone > 0 {
+		room = min(room, c.PerZone-inZone)
+	}
+	return room
+}
+
+// storeProvision makes a request's machines durable.
+func (c *Cloud) storeProvision(request string, names []string, machines []*cloudMachine, last uint64) error {
+	return update(c.db, func(tx *bbolt.Tx) error {
+		for _, m := range machines {
+			if err := put(tx, machinesBucket, m.Name, &m.ListedMachine); err != nil {
+				return err
+			}
+		}
+		if err := put(tx, provisionsBucket, request, names); err != nil {
+			return err
+		}
+		return tx.Bucket(metaBucket).Put(nextMachineKey, formatNumber(last))
+	})
 }
 
 // boot brings a machine up after its type's time.
-func (c *Cloud) boot(m wire.ListedMachine, t wire.MachineType) {
-	time.Sleep(time.Duration(t.BootS * float64(time.Second)))
+func (c *Cloud) boot(m wire.ListedMachine, machineType wire.MachineType) {
+	time.Sleep(time.Duration(machineType.BootS * float64(time.Second)))
 	c.mu.Lock()
-	_, wanted := c.machines[m.Name]
+	wanted := c.machines[m.Name] != nil
 	c.mu.Unlock()
 	if !wanted {
 		return
 	}
-	endpoint, err := c.launcher.Launch(m, t)
+	endpoint, err := c.launcher.Launch(m, machineType)
 	c.mu.Lock()
-	at := c.machines[m.Name]
+	listed := c.machines[m.Name]
 	switch {
-	case at == nil: // returned meanwhile
+	case listed == nil: // deleted meanwhile
 	case err != nil:
-		at.Stage = wire.MachineFailed
+		listed.Stage = wire.MachineFailed
 	default:
-		at.Endpoint, at.Stage = endpoint, wire.MachineRunning
+		listed.Endpoint, listed.Stage = endpoint, wire.MachineRunning
 	}
 	c.mu.Unlock()
-	if at == nil {
+	if listed == nil {
 		c.launcher.End(m.Name)
 	}
 }
 
-// Failed tells that a machine ended by itself.
+// Failed lists a machine, which ended by itself, as failed. One that is not listed is
+// ignored.
 func (c *Cloud) Failed(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -231,98 +248,65 @@
 	}
 }
 
-func (c *Cloud) release(w http.ResponseWriter, r *http.Request) {
+func (c *Cloud) serveDelete(w http.ResponseWriter, r *http.Request) {
 	var req wire.MachineNames
-	if !read(w, r, &req) {
+	if !readBody(w, r, &req) {
 		return
 	}
 	if len(req.Machines) > maxRelease {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "too many names"})
 		return
 	}
+	if err := c.deleteMachines(req.Machines); err != nil {
+		unavailable(w, errTrouble)
+		return
+	}
+	httpjson.Write(w, http.StatusOK, struct{}{})
+}
+
+// deleteMachines ends machines, waits until nothing of them runs, and drops their records.
+// Those that are not listed are ignored.
+func (c *Cloud) deleteMachines(names []string) error {
 	c.mu.Lock()
-	var known []string
-	for _, n := range req.Machines {
-		if c.machines[n] != nil {
-			known = append(known, n)
-			delete(c.machines, n)
-			delete(c.since, n)
+	var listed []string
+	for _, name := range names {
+		if c.machines[name] != nil {
+			listed = append(listed, name)
+			delete(c.machines, name)
 		}
 	}
 	c.mu.Unlock()
-	var ended sync.WaitGroup
-	for _, n := range known {
-		ended.Add(1)
-		go func() { defer ended.Done(); c.launcher.End(n) }()
+	var ends sync.WaitGroup
+	for _, name := range listed {
+		ends.Go(func() { c.launcher.End(name) })
 	}
-	ended.Wait()
-	if err := update(c.db, func(tx *bbolt.Tx) error {
-		for _, n := range known {
-			if err := tx.Bucket(machinesBucket).Delete([]byte(n)); err != nil {
+	ends.Wait()
+	return update(c.db, func(tx *bbolt.Tx) error {
+		for _, name := range listed {
+			if err := tx.Bucket(machinesBucket).Delete([]byte(name)); err != nil {
 				return err
 			}
 		}
 		return nil
-	}); err != nil {
-		httpjson.Write(w, http.StatusServiceUnavailable, wire.Problem{Error: "trouble"})
-		return
-	}
-	httpjson.Write(w, http.StatusOK, struct{}{})
+	})
 }
 
-func (c *Cloud) list(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	limit, err := strconv.Atoi(q.Get("limit"))
-	if err != nil || limit < 1 || limit > maxPage {
-		limit = maxPage
-	}
+func (c *Cloud) serveList(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	limit, after := limitOf(query.Get("limit"), maxPage), query.Get("after")
 	c.mu.Lock()
-	out := wire.MachineList{Machines: []wire.ListedMachine{}}
+	list := wire.MachineList{Machines: []wire.ListedMachine{}}
 	for name, m := range c.machines {
-		if name > q.Get("after") {
-			l := *m
-			l.AgeS = time.Since(c.since[name]).Seconds()
-			out.Machines = append(out.Machines, l)
+		if name > after {
+			machine := m.ListedMachine
+			machine.AgeS = time.Since(m.since).Seconds()
+			list.Machines = append(list.Machines, machine)
 		}
 	}
 	c.mu.Unlock()
-	slices.SortFunc(out.Machines, func(a, b wire.ListedMachine) int { return strings.Compare(a.Name, b.Name) })
-	if len(out.Machines) > limit {
-		out.Machines, out.More = out.Machines[:limit], true
+	slices.SortFunc(list.Machines, func(a, b wire.ListedMachine) int { return strings.Compare(a.Name, b.Name) })
+	if len(list.Machines) > limit {
+		list.Machines, list.More = list.Machines[:limit], true
 	}
-	httpjson.Write(w, http.StatusOK, out)
-}
-
-// Descriptions keeps descriptions in the same file.
-type Descriptions struct{ DB *bbolt.DB }
-
-var descrBucket = []byte("descriptions")
-
-// Put implements description.Store.
-func (d Descriptions) Put(name string, data []byte) (old []byte, err error) {
-	err = d.DB.Update(func(tx *bbolt.Tx) error {
-		b, err := tx.CreateBucketIfNotExists(descrBucket)
-		if err != nil {
-			return err
-		}
-		if was := b.Get([]byte(name)); was != nil {
-			old = append([]byte(nil), was...)
-			return nil
-		}
-		return b.Put([]byte(name), data)
-	})
-	return old, err
-}
-
-// Get implements description.Store.
-func (d Descriptions) Get(name string) (data []byte, err error) {
-	err = d.DB.View(func(tx *bbolt.Tx) error {
-		if b := tx.Bucket(descrBucket); b != nil {
-			if v := b.Get([]byte(name)); v != nil {
-				data = append([]byte(nil), v...)
-			}
-		}
-		return nil
-	})
-	return data, err
+	httpjson.Write(w, http.StatusOK, list)
 }
--- /dev/null
+++ b/internal/standin/cloud_test.go
@@ -0,0 +1,35 @@
+package standin_test
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/wallrack/wallrack/internal/standin"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// noMachines launches nothing.
+type noMachines struct{}
+
+func (noMachines) Launch(wire.ListedMachine, wire.MachineType) (string, error) {
+	return "127.0.0.1:1", nil
+}
+func (noMachines) End(string) {}
+
+// Neither a zone nor the whole cloud gets more machines than it has room for.
+func TestCloudInMemoryBoundsMachinesOfAZone(t *testing.T) {
+	cloud, err := standin.OpenCloud(nil, []wire.MachineType{{Name: "m", Zones: []string{"a", "b"}}}, 7, noMachines{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	cloud.PerZone = 4
+	for i, c := range []struct {
+		zone string
+		want int
+	}{{"a", 3}, {"a", 1}, {"a", 0}, {"b", 3}, {"b", 0}} {
+		names, err := cloud.Provision(&wire.HireRequest{Name: fmt.Sprint("r-", i), Type: "m", Zone: c.zone, Number: 3})
+		if len(names) != c.want || (err == nil) != (c.want > 0) {
+			t.Errorf("request %d in %s: %d machines, want %d, %v", i, c.zone, len(names), c.want, err)
+		}
+	}
+}
--- a/internal/standin/meter.go
+++ b/internal/standin/metered.go
@@ -13,16 +13,17 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Budget bounds what all clients of a service ask together; bursts of one second's
-// worth are taken, as the protocol says. A nil budget bounds nothing.
+// Budget bounds the requests of all clients of a service together; bursts of one second's
+// worth are accepted, as the protocol says. A nil budget bounds nothing.
 type Budget struct{ requests, writes *rate.Limiter }
 
-// NewBudget returns a budget of so many requests, and puts and deletes, a second.
+// NewBudget returns a budget of rps requests, and writeRPS puts and deletes, a second.
 func NewBudget(rps, writeRPS float64) *Budget {
 	return &Budget{rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), rate.NewLimiter(rate.Limit(writeRPS), max(1, int(writeRPS)))}
 }
 
-// Counts is what one client asked of a service.
+// Counts counts the requests of one client of a service. Writes are puts and deletes, of
+// transactions that the budget had room for; Refused are those over the budget.
 type Counts struct {
 	Reads, Watches, Writes, Transactions, Refused atomic.Int64
 }
@@ -33,10 +34,11 @@
 	counts *Counts
 }
 
+// meterKey is the key of a request's meter in its context.
 type meterKey struct{}
 
 // Metered serves one client of a service: after a latency, within the budget that it
-// shares with the others, and counted.
+// shares with the others, and counted. A request over the budget gets status 429.
 func Metered(service http.Handler, latency time.Duration, budget *Budget, counts *Counts) http.Handler {
 	m := &meter{budget, counts}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -61,7 +63,7 @@
 func mayWrite(ctx context.Context, ops int) bool {
 	m, ok := ctx.Value(meterKey{}).(*meter)
 	if !ok {
-		return true
+		return true // not metered
 	}
 	if m.budget != nil && !m.budget.writes.AllowN(time.Now(), ops) {
 		m.counts.Refused.Add(1)
--- /dev/null
+++ b/internal/standin/state_http.go
@@ -0,0 +1,260 @@
+package standin
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"sort"
+	"strings"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"github.com/wallrack/wallrack/internal/httpjson"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+const (
+	maxItems      = 1000      // in a listing
+	maxListBytes  = 512 << 10 // of a listing
+	itemOverheadB = 64        // of an item in a listing, beside key and value
+	maxKeyBytes   = 200
+	maxHold       = time.Minute // of a watch without changes
+
+	minTTLMs = 100
+	maxTTLMs = 600_000
+)
+
+// Handler serves the protocol of the state service.
+func (s *State) Handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /store/{key...}", s.serveGet)
+	mux.HandleFunc("GET /store", s.serveList)
+	mux.HandleFunc("POST /txn", s.serveTxn)
+	mux.HandleFunc("POST /grants", s.serveGrant)
+	mux.HandleFunc("POST /grants/{id}/touch", s.serveRenew)
+	mux.HandleFunc("DELETE /grants/{id}", s.serveRevoke)
+	mux.HandleFunc("GET /follow", s.serveWatch)
+	return mux
+}
+
+func (s *State) serveGet(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	key := r.PathValue("key")
+	it, ok := s.items[key]
+	revision := s.revision
+	s.mu.Unlock()
+	if !ok {
+		httpjson.Write(w, http.StatusNotFound, wire.TxnAnswer{Revision: revision})
+		return
+	}
+	httpjson.Write(w, http.StatusOK, it.message(key))
+}
+
+// message is an item as the protocol has it.
+func (it item) message(key string) wire.Item {
+	return wire.Item{Key: key, Value: it.Value, Version: it.Version, Lease: it.Lease}
+}
+
+func (s *State) serveList(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	limit := limitOf(query.Get("limit"), maxItems)
+	s.mu.Lock()
+	list := s.listLocked(query.Get("starts"), query.Get("after"), limit)
+	s.mu.Unlock()
+	httpjson.Write(w, http.StatusOK, list)
+}
+
+// listLocked lists the items with a prefix and after a key, within the limits.
+func (s *State) listLocked(prefix, after string, limit int) wire.Items {
+	list := wire.Items{Items: []wire.Item{}, Revision: s.revision}
+	size := 0
+	for _, key := range s.keys[sort.SearchStrings(s.keys, max(prefix, after)):] {
+		if !strings.HasPrefix(key, prefix) {
+			if key > prefix {
+				break
+			}
+			continue
+		}
+		if after != "" && key <= after {
+			continue
+		}
+		it := s.items[key]
+		itemSize := len(it.Value) + len(key) + itemOverheadB
+		if len(list.Items) == limit || size+itemSize > maxListBytes && size > 0 {
+			list.More = true
+			break
+		}
+		size += itemSize
+		list.Items = append(list.Items, it.message(key))
+	}
+	return list
+}
+
+// checkTxn returns what is malformed about a transaction.
+func (s *State) checkTxn(txn *wire.Txn) error {
+	if len(txn.Then) > s.maxOps || len(txn.If) > 4*s.maxOps {
+		return errors.New("too many conditions or changes")
+	}
+	for _, guard := range txn.If {
+		if !validKey(guard.Key) {
+			return fmt.Errorf("key %.40q", guard.Key)
+		}
+	}
+	for i := range txn.Then {
+		op := &txn.Then[i]
+		if (op.Put == "") == (op.Delete == "") || !validKey(op.Put+op.Delete) {
+			return fmt.Errorf("change %d names no key, or two", i)
+		}
+		if data, err := json.Marshal(op.Value); err != nil || len(data) > s.valueBytes {
+			return fmt.Errorf("value of %.40q is too large", op.Put)
+		}
+	}
+	return nil
+}
+
+func validKey(key string) bool {
+	return key != "" && len(key) <= maxKeyBytes && !strings.ContainsAny(key, " ")
+}
+
+func (s *State) serveTxn(w http.ResponseWriter, r *http.Request) {
+	var txn wire.Txn
+	if !readBody(w, r, &txn) {
+		return
+	}
+	if err := s.checkTxn(&txn); err != nil {
+		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: err.Error()})
+		return
+	}
+	if !mayWrite(r.Context(), len(txn.Then)) {
+		overBudget(w)
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, op := range txn.Then {
+		if op.Lease != 0 && s.leases[op.Lease] == nil {
+			httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "no such lease"})
+			return
+		}
+	}
+	var failedKeys []string
+	for _, guard := range txn.If {
+		if s.items[guard.Key].Version != guard.Version {
+			failedKeys = append(failedKeys, guard.Key)
+		}
+	}
+	if len(failedKeys) > 0 {
+		httpjson.Write(w, http.StatusConflict, wire.TxnAnswer{Failed: failedKeys, Revision: s.revision})
+		return
+	}
+	if err := s.writeLocked(txn.Then, nil); err != nil {
+		unavailable(w, err)
+		return
+	}
+	httpjson.Write(w, http.StatusOK, wire.TxnAnswer{Revision: s.revision})
+}
+
+func (s *State) serveGrant(w http.ResponseWriter, r *http.Request) {
+	var req wire.LeaseRequest
+	if !readBody(w, r, &req) {
+		return
+	}
+	if req.TTLMs < minTTLMs || req.TTLMs > maxTTLMs {
+		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "lifeMs: out of range"})
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	id, err := s.grantLocked(int64(req.TTLMs))
+	if err != nil {
+		unavailable(w, err)
+		return
+	}
+	httpjson.Write(w, http.StatusOK, wire.LeaseAnswer{Lease: id})
+}
+
+func (s *State) serveRenew(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.leases[parseNumber([]byte(r.PathValue("id")))]
+	if l == nil {
+		noLease(w)
+		return
+	}
+	l.ends = time.Now().Add(l.ttl)
+	httpjson.Write(w, http.StatusOK, struct{}{})
+}
+
+func (s *State) serveRevoke(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	id := parseNumber([]byte(r.PathValue("id")))
+	if s.leases[id] == nil {
+		noLease(w)
+		return
+	}
+	if err := s.endLeaseLocked(id); err != nil {
+		unavailable(w, err)
+		return
+	}
+	httpjson.Write(w, http.StatusOK, struct{}{})
+}
+
+func noLease(w http.ResponseWriter) {
+	httpjson.Write(w, http.StatusNotFound, wire.Problem{Error: "no such lease"})
+}
+
+// serveWatch responds with the changes after a revision, or with none when the time to
+// hold the request is over.
+func (s *State) serveWatch(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	prefix := query.Get("starts")
+	after := parseNumber([]byte(query.Get("after")))
+	hold := min(maxHold, time.Duration(parseNumber([]byte(query.Get("holdMs"))))*time.Millisecond)
+	timeout := time.NewTimer(hold)
+	defer timeout.Stop()
+	for {
+		s.mu.Lock()
+		events, kept := s.eventsLocked(prefix, after)
+		changed := s.changed
+		s.mu.Unlock()
+		if !kept {
+			httpjson.Write(w, http.StatusGone, wire.Problem{Error: "too old"})
+			return
+		}
+		if len(events.Events) > 0 {
+			httpjson.Write(w, http.StatusOK, events)
+			return
+		}
+		after = events.Revision
+		select {
+		case <-changed:
+		case <-timeout.C:
+			httpjson.Write(w, http.StatusOK, events)
+			return
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
+
+// eventsLocked returns the changes of keys with a prefix after a revision; kept is false
+// if not all of them are kept any more.
+func (s *State) eventsLocked(prefix string, after uint64) (events wire.Events, kept bool) {
+	oldest := s.revision // a watch from here on misses nothing
+	if len(s.events) > 0 {
+		oldest = s.events[0].Version - 1
+	}
+	if after < oldest {
+		return wire.Events{}, false
+	}
+	events = wire.Events{Revision: s.revision, Events: []wire.Event{}}
+	from := sort.Search(len(s.events), func(i int) bool { return s.events[i].Version > after })
+	for _, event := range s.events[from:] {
+		if strings.HasPrefix(event.Put+event.Delete, prefix) {
+			events.Events = append(events.Events, event)
+		}
+	}
+	return events, true
+}
--- a/internal/standin/state_test.go
+++ b/internal/standin/state_test.go
@@ -6,6 +6,7 @@
 	"net/http/httptest"
 	"path/filepath"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -17,20 +18,22 @@
 )
 
 // open serves the state service on a file, as after a start.
-func open(t *testing.T, file string) (c *statestore.Client, stop func()) {
+func open(t *testing.T, file string) (client *statestore.Client, stop func()) {
 	db, err := bbolt.Open(file, 0o644, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := standin.OpenState(db, 4, 1)
+	state, err := standin.OpenState(db, 4, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := make(chan struct{})
-	go s.Sweep(done)
-	srv := httptest.NewServer(s.Handler())
+	ctx, cancel := context.WithCancel(t.Context())
+	var expiry sync.WaitGroup
+	expiry.Go(func() { state.ExpireLeases(ctx) })
+	srv := httptest.NewServer(state.Handler())
 	return statestore.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 4), func() {
-		close(done)
+		cancel()
+		expiry.Wait()
 		srv.Close()
 		if err := db.Close(); err != nil {
 			t.Error(err)
@@ -38,61 +41,81 @@
 	}
 }
 
-// What was answered as written is there after a restart, leases go on, stamps
-// never come twice, and an old watch is told to read again.
+// must fails the test if there was an error.
+func must(t *testing.T, n uint64, err error) uint64 {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+// What was answered as written is there after a restart, leases go on, revisions
+// never come twice, and an old watch has to read again.
 func TestWritesAndLeasesSurviveARestart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state.db")
-	c, stop := open(t, file)
-	ctx := context.Background()
-	must := func(rev uint64, err error) uint64 {
-		t.Helper()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return rev
+	client, stop := open(t, file)
+	ctx := t.Context()
+	long, err := client.GrantLease(ctx, time.Minute)
+	must(t, long, err)
+	short, err := client.GrantLease(ctx, 100*time.Millisecond)
+	must(t, short, err)
+	revision, err := client.Txn(ctx, []wire.Guard{{Key: "c/a"}}, wire.Op{Put: "c/a", Value: 1, Lease: long}, wire.Op{Put: "c/b", Value: 2, Lease: short})
+	must(t, revision, err)
+	events, err := client.Follow(ctx, "c/", revision, 5*time.Second)
+	if err != nil || len(events.Events) != 1 || events.Events[0].Delete != "c/b" {
+		t.Errorf("after a lease's end: %+v, %v", events, err)
 	}
-	long, err := c.GrantLease(ctx, time.Minute)
-	must(long, err)
-	short, err := c.GrantLease(ctx, 100*time.Millisecond)
-	must(short, err)
-	rev := must(c.Txn(ctx, []wire.Guard{{Key: "c/a"}}, wire.Op{Put: "c/a", Value: 1, Lease: long}, wire.Op{Put: "c/b", Value: 2, Lease: short}))
-	ev, err := c.Follow(ctx, "c/", rev, 5*time.Second)
-	if err != nil || len(ev.Events) != 1 || ev.Events[0].Delete != "c/b" {
-		t.Errorf("after a lease's end: %+v, %v", ev, err)
+	expectRefusals(t, client, short)
+	last, err := client.Txn(ctx, nil, wire.Op{Put: "d/1", Value: 1}, wire.Op{Put: "d/2", Value: 2})
+	must(t, last, err)
+	stop()
+	client, stop = open(t, file)
+	defer stop()
+	items, at, err := client.List(ctx, "")
+	if err != nil || at != last || len(items) != 3 || items[0].Key != "c/a" || items[0].Lease != long || items[0].Version != revision {
+		t.Errorf("after a restart: %+v at %d, %v", items, at, err)
 	}
+	expectGoesOn(t, client, long, last)
+}
+
+// expectRefusals expects that what a transaction may not do is refused.
+func expectRefusals(t *testing.T, client *statestore.Client, endedLease uint64) {
+	t.Helper()
+	ctx := t.Context()
 	var conflict *statestore.Conflict
-	if _, err := c.Txn(ctx, []wire.Guard{{Key: "c/a"}}, wire.Op{Delete: "c/a"}); !errors.As(err, &conflict) || !conflict.Has("c/a") {
+	if _, err := client.Txn(ctx, []wire.Guard{{Key: "c/a"}}, wire.Op{Delete: "c/a"}); !errors.As(err, &conflict) || !conflict.Has("c/a") {
 		t.Errorf("a failed condition gave %v", err)
 	}
-	if _, err := c.Txn(ctx, nil, wire.Op{Put: "d", Value: 1, Lease: short}); !errors.Is(err, statestore.ErrNoLease) {
+	if _, err := client.Txn(ctx, nil, wire.Op{Put: "d", Value: 1, Lease: endedLease}); !errors.Is(err, statestore.ErrNoLease) {
 		t.Errorf("an ended lease gave %v", err)
 	}
 	for _, ops := range [][]wire.Op{{{Put: "x", Value: strings.Repeat("x", 2000)}}, {{Put: "a b", Value: 1}}, make([]wire.Op, 9)} {
-		if _, err := c.Txn(ctx, nil, ops...); err == nil {
+		if _, err := client.Txn(ctx, nil, ops...); err == nil {
 			t.Errorf("%d changes beyond the limits were taken", len(ops))
 		}
 	}
-	last := must(c.Txn(ctx, nil, wire.Op{Put: "d/1", Value: 1}, wire.Op{Put: "d/2", Value: 2}))
-	stop()
-	c, stop = open(t, file)
-	defer stop()
-	items, at, err := c.List(ctx, "")
-	if err != nil || at != last || len(items) != 3 || items[0].Key != "c/a" || items[0].Lease != long || items[0].Version != rev {
-		t.Errorf("after a restart: %+v at %d, %v", items, at, err)
-	}
-	if err := c.RenewLease(ctx, long); err != nil {
+}
+
+// expectGoesOn expects that a restarted service goes on after the last revision, with a
+// lease of before.
+func expectGoesOn(t *testing.T, client *statestore.Client, lease, last uint64) {
+	t.Helper()
+	ctx := t.Context()
+	if err := client.RenewLease(ctx, lease); err != nil {
 		t.Errorf("a lease is gone: %v", err)
 	}
-	if _, err := c.Follow(ctx, "", last-1, 0); !errors.Is(err, statestore.ErrCompacted) {
+	if _, err := client.Follow(ctx, "", last-1, 0); !errors.Is(err, statestore.ErrCompacted) {
 		t.Errorf("an old watch got %v", err)
 	}
-	if next := must(c.Txn(ctx, nil, wire.Op{Delete: "d/1"})); next != last+1 {
+	next, err := client.Txn(ctx, nil, wire.Op{Delete: "d/1"})
+	if must(t, next, err) != last+1 {
 		t.Errorf("revision %d after %d", next, last)
 	}
-	if err := c.RevokeLease(ctx, long); err != nil {
+	if err := client.RevokeLease(ctx, lease); err != nil {
 		t.Error(err)
 	}
-	if _, err := c.Get(ctx, "c/a"); !errors.Is(err, statestore.ErrNotFound) {
+	if _, err := client.Get(ctx, "c/a"); !errors.Is(err, statestore.ErrNotFound) {
 		t.Errorf("the key of a revoked lease: %v", err)
 	}
 }
