--- a/internal/local/controllers.go
+++ b/internal/local/controllers.go
@@ -16,39 +16,40 @@
 	"github.com/wallrack/wallrack/internal/subprocess"
 )
 
-// backAfter passes before a controller that ended is started again.
-const backAfter = time.Second
+// restartDelay passes before a controller that ended is started again.
+const restartDelay = time.Second
 
 // Controller is a controller of a site on this machine.
 type Controller struct {
 	Name  string
 	Users string // its address for users and workers
-	File  string // its settings
+	File  string // path of its settings
 }
 
-// Controllers chooses addresses for n controllers, spread over the zones, and writes
-// their settings into dir. endpoints are the services' addresses for each of them.
+// Controllers chooses names, which begin with prefix, and addresses for n controllers,
+// spread over the zones, and writes their settings into dir, which is created. endpoints
+// are the services' addresses for each of them. It starts nothing.
 func Controllers(dir, prefix string, n int, params config.Params, zones []string, endpoints func(i int) config.Endpoints) ([]Controller, error) {
-	ports, err := FreeAddrs(2 * n)
+	addrs, err := FreeAddrs(2 * n)
 	if err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("--dir: %w", err)
 	}
-	out := make([]Controller, n)
-	for i := range out {
+	controllers := make([]Controller, n)
+	for i := range controllers {
 		name := fmt.Sprintf("%s-%d", prefix, i)
-		out[i] = Controller{name, ports[2*i], filepath.Join(dir, name+".toml")}
+		controllers[i] = Controller{name, addrs[2*i], filepath.Join(dir, name+".toml")}
 	}
-	for i, c := range out {
-		p := config.Platform{Node: c.Name, Zone: zones[i%len(zones)], Listen: ports[2*i], Mesh: ports[2*i+1], Endpoints: endpoints(i), Params: params}
-		for k, o := range out {
+	for i, c := range controllers {
+		platform := config.Platform{Node: c.Name, Zone: zones[i%len(zones)], Listen: addrs[2*i], Mesh: addrs[2*i+1], Endpoints: endpoints(i), Params: params}
+		for k, peer := range controllers {
 			if k != i {
-				p.Peers = append(p.Peers, config.Peer{Node: o.Name, Zone: zones[k%len(zones)], Addr: ports[2*k+1]})
+				platform.Peers = append(platform.Peers, config.Peer{Node: peer.Name, Zone: zones[k%len(zones)], Addr: addrs[2*k+1]})
 			}
 		}
-		data, err := toml.Marshal(p)
+		data, err := toml.Marshal(platform)
 		if err != nil {
 			return nil, fmt.Errorf("settings: %w", err)
 		}
@@ -56,21 +57,26 @@
 			return nil, fmt.Errorf("settings: %w", err)
 		}
 	}
-	return out, nil
+	return controllers, nil
 }
 
-// FreeAddrs finds loopback addresses that nobody listens on now.
+// FreeAddrs finds n different loopback addresses that nothing listens on now. Nothing
+// keeps another process from taking one before it is used.
 func FreeAddrs(n int) ([]string, error) {
 	ports, err := subprocess.FreePorts(n)
-	out := make([]string, len(ports))
-	for i, p := range ports {
-		out[i] = net.JoinHostPort("127.0.0.1", strconv.Itoa(p))
+	if err != nil {
+		return nil, err
 	}
-	return out, err
+	addrs := make([]string, len(ports))
+	for i, port := range ports {
+		addrs[i] = net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
+	}
+	return addrs, nil
 }
 
-// Keep runs a controller until ctx ends, again whenever it ends by itself or a
-// restart is asked for, which ends it in order.
+// Keep runs a controller until ctx ends and the controller has ended: again, after a
+// second, whenever it exits unexpectedly or a restart is requested, which ends it in
+// order. A nil restart never requests one.
 func Keep(ctx context.Context, log *slog.Logger, name string, restart <-chan struct{}, start func(context.Context) error) {
 	for ctx.Err() == nil {
 		running, stop := context.WithCancel(ctx)
@@ -79,16 +85,18 @@
 		select {
 		case err := <-done:
 			if ctx.Err() == nil {
-				log.Error("a controller ended by itself", "name", name, "err", err)
+				log.Error("controller exited unexpectedly", "controller", name, "err", err)
 			}
 		case <-restart:
 			stop()
-			<-done
+			if err := <-done; err != nil {
+				log.Debug("controller ended for a restart", "controller", name, "err", err)
+			}
 		}
 		stop()
 		select {
 		case <-ctx.Done():
-		case <-time.After(backAfter):
+		case <-time.After(restartDelay):
 		}
 	}
 }
--- a/internal/local/front.go
+++ b/internal/local/front.go
@@ -18,81 +18,87 @@
 )
 
 const (
-	probeEvery  = 300 * time.Millisecond
-	probeWithin = time.Second
+	probeInterval = 300 * time.Millisecond
+	probeTimeout  = time.Second
+	awaitInterval = 50 * time.Millisecond
 )
 
-// Front is where users come: it hands requests to controllers that are up, and
-// shows what tasks wrote.
+// Front is the load balancer that users come to: it passes requests on to controllers
+// that are up, and serves what tasks wrote.
 type Front struct {
-	mux    *http.ServeMux
-	dir    string
-	nodes  []Controller
-	client *http.Client
-	turn   atomic.Uint64
+	mux         *http.ServeMux
+	dir         string
+	controllers []Controller
+	client      *http.Client
+	turn        atomic.Uint64 // counts requests, so that controllers take turns
 
 	mu sync.Mutex
-	up []bool
+	up []bool // by controller
 }
 
-// NewFront returns a front to the controllers; what tasks wrote is below dir.
-func NewFront(nodes []Controller, dir string) *Front {
-	f := &Front{mux: http.NewServeMux(), dir: dir, nodes: nodes, up: make([]bool, len(nodes)), client: &http.Client{Timeout: probeWithin}}
+// NewFront returns a front to the controllers; what tasks wrote is below dir. Until Watch
+// runs, no controller counts as up.
+func NewFront(controllers []Controller, dir string) *Front {
+	f := &Front{
+		mux: http.NewServeMux(), dir: dir, controllers: controllers,
+		up: make([]bool, len(controllers)), client: &http.Client{Timeout: probeTimeout},
+	}
 	f.mux.HandleFunc("/", f.pass)
-	f.mux.HandleFunc("GET /logs/{job}/{n}", f.logs)
+	f.mux.HandleFunc("GET /logs/{job}/{n}", f.serveLogs)
 	return f
 }
 
-// pass hands a request to the next controller that is up.
-func (f *Front) pass(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP implements http.Handler.
+func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
+
+// reachable returns the controllers that are up.
+func (f *Front) reachable() []Controller {
 	f.mu.Lock()
+	defer f.mu.Unlock()
 	var up []Controller
-	for i, n := range f.nodes {
+	for i, c := range f.controllers {
 		if f.up[i] {
-			up = append(up, n)
+			up = append(up, c)
 		}
 	}
-	f.mu.Unlock()
-	busy := func() {
-		w.Header().Set("Retry-After", "1")
-		httpjson.Write(w, http.StatusServiceUnavailable, wire.Problem{Error: "no controller is up"})
-	}
+	return up
+}
+
+// pass passes a request on to the next controller that is up.
+func (f *Front) pass(w http.ResponseWriter, r *http.Request) {
+	up := f.reachable()
 	if len(up) == 0 {
-		busy()
+		noController(w)
 		return
 	}
-	n := up[f.turn.Add(1)%uint64(len(up))]
+	c := up[f.turn.Add(1)%uint64(len(up))]
 	proxy := httputil.ReverseProxy{
-		Rewrite:      func(p *httputil.ProxyRequest) { p.SetURL(&url.URL{Scheme: "http", Host: n.Users}) },
-		ErrorHandler: func(http.ResponseWriter, *http.Request, error) { busy() },
+		Rewrite:      func(p *httputil.ProxyRequest) { p.SetURL(&url.URL{Scheme: "http", Host: c.Users}) },
+		ErrorHandler: func(http.ResponseWriter, *http.Request, error) { noController(w) },
 	}
 	proxy.ServeHTTP(w, r)
 }
 
-// ServeHTTP implements http.Handler.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
+func noController(w http.ResponseWriter) {
+	w.Header().Set("Retry-After", "1")
+	httpjson.Write(w, http.StatusServiceUnavailable, wire.Problem{Error: "no controller is up"})
+}
 
 // Watch probes the controllers until ctx ends.
 func (f *Front) Watch(ctx context.Context) {
-	tick := time.NewTicker(probeEvery)
+	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
-		var wg sync.WaitGroup
-		for i, n := range f.nodes {
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
-				resp, err := f.client.Get("http://" + n.Users + "/up")
-				ok := err == nil && resp.StatusCode == http.StatusOK
-				if err == nil {
-					_ = resp.Body.Close()
-				}
+		var probes sync.WaitGroup
+		for i, c := range f.controllers {
+			probes.Go(func() {
+				up := f.probe(c)
 				f.mu.Lock()
-				f.up[i] = ok
+				f.up[i] = up
 				f.mu.Unlock()
-			}()
+			})
 		}
-		wg.Wait()
+		probes.Wait()
 		select {
 		case <-ctx.Done():
 			return
@@ -101,39 +107,50 @@
 	}
 }
 
-// Await waits until a controller that is up knows the machine types and reaches
-// the state service, so that a job is sure to be taken: a job of a team that
-// cannot be is refused for good then, and not for now.
+// probe reports whether a controller responds, within probeTimeout, that it is up.
+func (f *Front) probe(c Controller) bool {
+	resp, err := f.client.Get("http://" + c.Users + "/up")
+	if err != nil {
+		return false
+	}
+	_ = resp.Body.Close() // only the status counts
+	return resp.StatusCode == http.StatusOK
+}
+
+// probeJob is a job of a team that cannot be.
+const probeJob = `{"uid":"j-ready-probe","docket":"probe","crew":"\u0001","sort":"sweep","urgency":"low","pieces":1,"cpus":1,"cards":0,"memoryGb":0,` +
+	`"kit":"probe","pullGb":0,"builds":null,"yard":null,"together":false,"apart":false,"loaners":false,"reckonS":1,"markS":0,"stashS":0,"dueS":null}`
+
+// Await waits until a controller that is up knows the machine types and reaches the state
+// service, so that a job is sure to be accepted; false: ctx ended before. Watch must run.
 func (f *Front) Await(ctx context.Context) bool {
-	const probe = `{"uid":"j-ready-probe","docket":"probe","crew":"\u0001","sort":"sweep","urgency":"low","pieces":1,"cpus":1,"cards":0,"memoryGb":0,` +
-		`"kit":"probe","pullGb":0,"builds":null,"yard":null,"together":false,"apart":false,"loaners":false,"reckonS":1,"markS":0,"stashS":0,"dueS":null}`
 	for ctx.Err() == nil {
-		f.mu.Lock()
-		up := append([]bool(nil), f.up...)
-		f.mu.Unlock()
-		for i, n := range f.nodes {
-			if !up[i] {
-				continue
-			}
-			resp, err := f.client.Post("http://"+n.Users+"/api/jobs", "application/json", strings.NewReader(probe))
-			if err != nil {
-				continue
-			}
-			_ = resp.Body.Close()
-			if resp.StatusCode == http.StatusUnprocessableEntity {
+		for _, c := range f.reachable() {
+			if f.accepts(c) {
 				return true
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(50 * time.Millisecond):
+		case <-time.After(awaitInterval):
 		}
 	}
 	return false
 }
 
-// logs shows what the last attempt of a task wrote, on whatever machine.
-func (f *Front) logs(w http.ResponseWriter, r *http.Request) {
+// accepts reports whether a controller would accept jobs: it refuses probeJob for good
+// then, and for now otherwise.
+func (f *Front) accepts(c Controller) bool {
+	resp, err := f.client.Post("http://"+c.Users+"/api/jobs", "application/json", strings.NewReader(probeJob))
+	if err != nil {
+		return false
+	}
+	_ = resp.Body.Close() // only the status counts
+	return resp.StatusCode == http.StatusUnprocessableEntity
+}
+
+// serveLogs serves what the last attempt of a task wrote, on whatever worker.
+func (f *Front) serveLogs(w http.ResponseWriter, r *http.Request) {
 	task := r.PathValue("job") + "/" + r.PathValue("n")
 	if _, _, err := wire.ParseTask(task); err != nil {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "not a task's name"})
@@ -145,10 +162,10 @@
 	}
 	pattern := filepath.Join(f.dir, "machines", "*", strings.ReplaceAll(task, "/", ".")+".*", file)
 	found, _ := filepath.Glob(pattern) // the pattern is well formed
-	last, at := "", time.Time{}
-	for _, p := range found {
-		if info, err := os.Stat(p); err == nil && info.ModTime().After(at) {
-			last, at = p, info.ModTime()
+	last, written := "", time.Time{}
+	for _, path := range found {
+		if info, err := os.Stat(path); err == nil && info.ModTime().After(written) {
+			last, written = path, info.ModTime()
 		}
 	}
 	data, err := os.ReadFile(last)
@@ -157,5 +174,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_, _ = w.Write(data) // the reader asks again
+	_, _ = w.Write(data) // who did not get it requests it again
 }
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -1,6 +1,11 @@
 // Package local runs a whole site on one machine: controllers, workers that run
 // real processes, and stand-ins for state service, cloud and load balancer, all
-// spoken to by the protocol, on loopback only.
+// by their protocols, on loopback only.
+//
+// Controllers and workers are child processes that the caller starts; the services run in
+// this process. What the site holds is in one directory, and is there again at the next
+// run; tasks end with the run. There are no access rights, no encryption, and no
+// isolation between tasks.
 package local
 
 import (
@@ -21,7 +26,6 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/wallrack/wallrack/internal/config"
-	"github.com/wallrack/wallrack/internal/rollout"
 	"github.com/wallrack/wallrack/internal/standin"
 	"github.com/wallrack/wallrack/internal/taskspec"
 	"github.com/wallrack/wallrack/internal/wire"
@@ -36,19 +40,15 @@
 )
 
 const (
-	reportS  = 1.0
-	leaseS   = 10.0
-	cancelS  = 30.0
-	stateRPS = 2000.0
-	txnOps   = 48
-	valueKB  = 16.0
+	keepMachines      = 200 // machines whose files, with what their tasks wrote, are kept
+	readHeaderTimeout = 10 * time.Second
 )
 
-// Part starts a part of the site and returns when it has ended. It ends the part
-// in order when ctx ends.
+// Part starts a part of the site, "wallrack ARGS", and returns when it has ended. When ctx
+// ends it ends the part in order. name is for logs.
 type Part func(ctx context.Context, name string, args []string) error
 
-// Site says what to run.
+// Site is what to run.
 type Site struct {
 	Dir         string  // keeps jobs, settings and logs
 	Listen      string  // loopback address for users
@@ -61,7 +61,7 @@
 	Log         *slog.Logger
 }
 
-// Check says what is wrong with a site.
+// Check returns what is wrong with a site, beginning with the flag that sets it.
 func (s *Site) Check() error {
 	switch {
 	case s.Dir == "":
@@ -83,23 +83,17 @@
 	return nil
 }
 
-// Run runs the site until ctx ends. ready is called once, with the users'
-// address, when a job is sure to be taken.
+// Run runs the site until ctx ends; all its parts have ended then, and it returns nil.
+// ready is called once, with the users' address, when a job is sure to be accepted.
 func (s *Site) Run(ctx context.Context, ready func(url string)) error {
 	if err := s.Check(); err != nil {
 		return err
 	}
-	if err := os.MkdirAll(s.Dir, 0o755); err != nil {
-		return fmt.Errorf("--dir: %w", err)
-	}
-	db, err := bbolt.Open(filepath.Join(s.Dir, "site.db"), 0o644, &bbolt.Options{Timeout: time.Second})
-	if errors.Is(err, bbolterrors.ErrTimeout) {
-		return fmt.Errorf("--dir: %s is in use by another site", s.Dir)
-	}
+	db, err := s.openDatabase()
 	if err != nil {
-		return fmt.Errorf("--dir: %w", err)
+		return err
 	}
-	defer db.Close()
+	defer func() { _ = db.Close() }() // each change was made durable
 	if err := s.clear(); err != nil {
 		return err
 	}
@@ -107,105 +101,34 @@
 	if err != nil {
 		return fmt.Errorf("--listen: %w", err)
 	}
-	defer users.Close()
+	defer func() { _ = users.Close() }() // mostly closed already
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	defer inner.Close()
-	state, err := standin.OpenState(db, txnOps, valueKB)
+	defer func() { _ = inner.Close() }() // mostly closed already
+	services, err := s.prepare(db, inner.Addr().String())
 	if err != nil {
 		return err
 	}
-	// Parts end before what they need: workers, controllers, then the services.
-	svcCtx, stopServices := context.WithCancel(context.Background())
-	ctlCtx, stopControllers := context.WithCancel(context.Background())
-	defer stopServices()
-	defer stopControllers()
-	nodes, err := Controllers(filepath.Join(s.Dir, "controllers"), "local", s.Controllers, s.params(), []string{Zone}, func(int) config.Endpoints {
-		return config.Endpoints{Cloud: inner.Addr().String(), State: inner.Addr().String()}
-	})
-	if err != nil {
-		return err
-	}
-	if err := s.rollouts(inner.Addr().String()); err != nil {
-		return err
-	}
-	if err := os.WriteFile(s.slurmFile(), []byte(slurmSettings), 0o644); err != nil {
-		return fmt.Errorf("settings: %w", err)
-	}
-	m := &machines{site: s, nodes: nodes, descriptions: "http://" + inner.Addr().String(), running: map[string]*running{}}
-	cloud, err := standin.OpenCloud(db, []wire.MachineType{{Name: Type, CPUs: s.CPUs, MemoryGB: s.MemoryGB, CacheGB: 100, FetchGBPerS: 10,
-		Price: 1, SpotPrice: 1, BootS: 0.1, Zones: []string{Zone}}}, s.Machines, m)
-	if err != nil {
-		return err
-	}
-	m.failed = cloud.Failed
-	front := NewFront(nodes, s.Dir)
-	mux := http.NewServeMux()
-	stateService, cloudService := state.Handler(), cloud.Handler()
-	for _, path := range []string{"/store", "/store/", "/txn", "/grants", "/grants/", "/follow"} {
-		mux.Handle(path, stateService)
-	}
-	for _, path := range []string{"/machine_types", "/hosts", "/hosts/"} {
-		mux.Handle(path, cloudService)
-	}
-	descriptions := taskspec.Handler(standin.Descriptions{DB: db})
-	mux.Handle("/descriptions/", descriptions)
-	front.mux.Handle("/descriptions/", descriptions)
+	return services.run(ctx, users, inner, ready)
+}
 
-	g, gctx := errgroup.WithContext(ctx)
-	serve := func(lis net.Listener, h http.Handler) {
-		srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
-		g.Go(func() error {
-			if err := srv.Serve(lis); !errors.Is(err, http.ErrServerClosed) {
-				return err
-			}
-			return nil
-		})
-		g.Go(func() error {
-			<-svcCtx.Done()
-			return srv.Close()
-		})
+// openDatabase opens the site's database, which only one run can have open.
+func (s *Site) openDatabase() (*bbolt.DB, error) {
+	if err := os.MkdirAll(s.Dir, 0o755); err != nil {
+		return nil, fmt.Errorf("--dir: %w", err)
 	}
-	serve(inner, mux)
-	serve(users, front.mux)
-	g.Go(func() error { state.ExpireLeases(svcCtx); return nil })
-	g.Go(func() error { front.Watch(svcCtx); return nil })
-	var controllers sync.WaitGroup
-	for _, n := range nodes {
-		controllers.Add(1)
-		go func() {
-			defer controllers.Done()
-			Keep(ctlCtx, s.Log, n.Name, nil, func(ctx context.Context) error {
-				return s.Start(ctx, n.Name, []string{"--config", n.File, "--rollouts", s.rolloutsFile(), "--slurm", s.slurmFile()})
-			})
-		}()
+	db, err := bbolt.Open(filepath.Join(s.Dir, "site.db"), 0o644, &bbolt.Options{Timeout: time.Second})
+	if errors.Is(err, bbolterrors.ErrTimeout) {
+		return nil, fmt.Errorf("--dir: %s is in use by another site", s.Dir)
 	}
-	g.Go(func() error {
-		if front.Await(gctx) {
-			s.Log.Info("ready", "users", users.Addr().String())
-			ready("http://" + users.Addr().String())
-		}
-		return nil
-	})
-	g.Go(func() error {
-		<-gctx.Done()
-		m.close()
-		stopControllers()
-		controllers.Wait()
-		stopServices()
-		return nil
-	})
-	if err := g.Wait(); err != nil && ctx.Err() == nil {
-		return err
+	if err != nil {
+		return nil, fmt.Errorf("--dir: %w", err)
 	}
-	return nil
+	return db, nil
 }
 
-// keepMachines is how many machines' files, with what their tasks wrote, are kept.
-const keepMachines = 200
-
 // clear ends what an earlier run that was killed left behind, and drops the files
 // of the oldest machines.
 func (s *Site) clear() error {
@@ -214,10 +137,10 @@
 		return fmt.Errorf("--dir: %w", err)
 	}
 	slices.Sort(dirs) // names are given in order
-	for i, d := range dirs {
-		worker.EndLeftovers(d, s.Log)
+	for i, dir := range dirs {
+		worker.EndLeftovers(dir, s.Log)
 		if i < len(dirs)-keepMachines {
-			if err := os.RemoveAll(d); err != nil {
+			if err := os.RemoveAll(dir); err != nil {
 				return fmt.Errorf("--dir: %w", err)
 			}
 		}
@@ -225,114 +148,123 @@
 	return nil
 }
 
-// params are the figures that the platform hands over.
-func (s *Site) params() config.Params {
-	return config.Params{Zones: []string{Zone}, Teams: []config.Team{{Name: Team}},
-		Workers: config.Workers{ReportS: reportS, LeaseS: leaseS, CancelS: cancelS},
-		State:   config.State{RPS: stateRPS, WriteRPS: stateRPS, ValueKB: valueKB, TxnOps: txnOps},
-		Cloud:   config.Cloud{RPS: 50, ListLagS: 0.5}, Limits: config.Limits{CPU: 1, RAMMB: 512, Sockets: 4096}}
+// services are what a run has in this process.
+type services struct {
+	site         *Site
+	controllers  []Controller
+	state        *standin.State
+	cloud        *standin.Cloud
+	workers      *workers
+	descriptions http.Handler
+	front        *Front
 }
 
-// slurmSettings are those of Slurm-style clients: as wallctl submit has it where
-// nothing is said.
-const slurmSettings = `(slurm (cluster "local") (accounting on) (listings-per-s 50) (partition "adhoc") (account "` + Team + `"))` + "\n"
-
-func (s *Site) slurmFile() string { return filepath.Join(s.Dir, "controllers", "slurm.sexp") }
-
-func (s *Site) rolloutsFile() string { return filepath.Join(s.Dir, "controllers", "rollouts.sexp") }
-
-// rollouts writes the settings of roll-outs: the site's description service, and
-// what the operators' own file says of slots.
-func (s *Site) rollouts(inner string) error {
-	slots := ""
-	if s.Slots != "" {
-		data, err := os.ReadFile(s.Slots)
-		if err != nil {
-			return fmt.Errorf("--slots: %w", err)
-		}
-		slots = string(data)
+// prepare opens the services on their records and writes the controllers' settings.
+// inner is the services' address.
+func (s *Site) prepare(db *bbolt.DB, inner string) (*services, error) {
+	state, err := standin.OpenState(db, txnOps, valueKB)
+	if err != nil {
+		return nil, err
 	}
-	text := fmt.Sprintf("(rollouts\n  (descriptions \"http://%s\")\n%s)\n", inner, slots)
-	if _, err := rollout.ParseSettings([]byte(text)); err != nil {
-		return fmt.Errorf("--slots: %s: %w", s.Slots, err)
+	controllers, err := Controllers(s.controllersDir(), "local", s.Controllers, s.params(), []string{Zone}, func(int) config.Endpoints {
+		return config.Endpoints{Cloud: inner, State: inner}
+	})
+	if err != nil {
+		return nil, err
 	}
-	if err := os.WriteFile(s.rolloutsFile(), []byte(text), 0o644); err != nil {
-		return fmt.Errorf("settings: %w", err)
+	if err := s.writeSettings(inner); err != nil {
+		return nil, err
 	}
-	return nil
-}
-
-// machines is the cloud's launcher: a worker process each.
-type machines struct {
-	site         *Site
-	nodes        []Controller
-	descriptions string
-	failed       func(name string)
-
-	mu      sync.Mutex
-	running map[string]*running
-	closed  bool
-}
-
-type running struct {
-	stop context.CancelFunc
-	done chan struct{}
-}
-
-// Launch implements standin.Launcher.
-func (m *machines) Launch(l wire.ListedMachine, t wire.MachineType) (string, error) {
-	ports, err := FreeAddrs(1)
+	w := &workers{site: s, controllers: controllers, descriptions: "http://" + inner, running: map[string]*runningWorker{}}
+	types := []wire.MachineType{{
+		Name: Type, CPUs: s.CPUs, MemoryGB: s.MemoryGB, CacheGB: 100, FetchGBPerS: 10,
+		Price: 1, SpotPrice: 1, BootS: 0.1, Zones: []string{Zone},
+	}}
+	cloud, err := standin.OpenCloud(db, types, s.Machines, w)
 	if err != nil {
-		return "", err
+		return nil, err
 	}
-	args := []string{"worker", "--name", l.Name, "--listen", ports[0], "--type", l.Type, "--zone", l.Zone,
-		"--cpus", fmt.Sprint(t.CPUs), "--memory-gb", fmt.Sprint(t.MemoryGB), "--descriptions", m.descriptions,
-		"--report-s", fmt.Sprint(reportS), "--lease-s", fmt.Sprint(leaseS), "--dir", filepath.Join(m.site.Dir, "machines", l.Name)}
-	for _, n := range m.nodes {
-		args = append(args, "--controller", n.Name+"="+n.Users)
+	w.failed = cloud.Failed
+	return &services{
+		site: s, controllers: controllers, state: state, cloud: cloud, workers: w,
+		descriptions: taskspec.Handler(standin.Descriptions{DB: db}), front: NewFront(controllers, s.Dir),
+	}, nil
+}
+
+// handler serves state service, cloud and descriptions at one address.
+func (s *services) handler() http.Handler {
+	mux := http.NewServeMux()
+	state, cloud := s.state.Handler(), s.cloud.Handler()
+	for _, path := range []string{"/store", "/store/", "/txn", "/grants", "/grants/", "/follow"} {
+		mux.Handle(path, state)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	r := &running{stop, make(chan struct{})}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.closed {
-		stop()
-		return "", errors.New("the site is ending")
+	for _, path := range []string{"/machine_types", "/hosts", "/hosts/"} {
+		mux.Handle(path, cloud)
 	}
-	m.running[l.Name] = r
-	go func() {
-		defer close(r.done)
-		err := m.site.Start(ctx, l.Name, args)
-		if ctx.Err() == nil {
-			m.site.Log.Error("a worker ended by itself", "machine", l.Name, "err", err)
-			m.failed(l.Name)
-		}
-	}()
-	return ports[0], nil
+	mux.Handle("/descriptions/", s.descriptions)
+	return mux
 }
 
-// End implements standin.Launcher.
-func (m *machines) End(name string) {
-	m.mu.Lock()
-	r := m.running[name]
-	delete(m.running, name)
-	m.mu.Unlock()
-	if r != nil {
-		r.stop()
-		<-r.done
+// run runs the services, the controllers and, as the cloud provisions them, the workers
+// until ctx ends. Parts end before what they need: workers, controllers, then the
+// services.
+func (s *services) run(ctx context.Context, users, inner net.Listener, ready func(url string)) error {
+	servicesCtx, stopServices := context.WithCancel(context.WithoutCancel(ctx))
+	controllersCtx, stopControllers := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopServices()
+	defer stopControllers()
+	s.front.mux.Handle("/descriptions/", s.descriptions)
+	group, groupCtx := errgroup.WithContext(ctx)
+	serve(servicesCtx, group, inner, s.handler())
+	serve(servicesCtx, group, users, s.front.mux)
+	group.Go(func() error { s.state.ExpireLeases(servicesCtx); return nil })
+	group.Go(func() error { s.front.Watch(servicesCtx); return nil })
+	controllers := s.keepControllers(controllersCtx)
+	group.Go(func() error {
+		if s.front.Await(groupCtx) {
+			s.site.Log.Info("ready", "users", users.Addr().String())
+			ready("http://" + users.Addr().String())
+		}
+		return nil
+	})
+	group.Go(func() error {
+		<-groupCtx.Done()
+		s.workers.close()
+		stopControllers()
+		controllers.Wait()
+		stopServices()
+		return nil
+	})
+	if err := group.Wait(); err != nil && ctx.Err() == nil {
+		return err
 	}
+	return nil
 }
 
-func (m *machines) close() {
-	m.mu.Lock()
-	m.closed = true
-	all := m.running
-	m.running = map[string]*running{}
-	m.mu.Unlock()
-	for _, r := range all {
-		r.stop()
-	}
-	for _, r := range all {
-		<-r.done
+// keepControllers runs the controllers until ctx ends; the group is done when they have
+// ended.
+func (s *services) keepControllers(ctx context.Context) *sync.WaitGroup {
+	var group sync.WaitGroup
+	for _, c := range s.controllers {
+		args := []string{"--config", c.File, "--rollouts", s.site.rolloutsFile(), "--slurm", s.site.slurmFile()}
+		group.Go(func() {
+			Keep(ctx, s.site.Log, c.Name, nil, func(ctx context.Context) error { return s.site.Start(ctx, c.Name, args) })
+		})
 	}
+	return &group
+}
+
+// serve serves a listener until ctx ends, in goroutines of a group.
+func serve(ctx context.Context, group *errgroup.Group, listener net.Listener, handler http.Handler) {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
+	group.Go(func() error {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			return err
+		}
+		return nil
+	})
+	group.Go(func() error {
+		<-ctx.Done()
+		return server.Close()
+	})
 }
--- /dev/null
+++ b/internal/local/settings.go
@@ -0,0 +1,64 @@
+package local
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/rollout"
+)
+
+// Figures of a local site.
+const (
+	reportS  = 1.0
+	leaseS   = 10.0
+	cancelS  = 30.0
+	stateRPS = 2000.0
+	txnOps   = 48
+	valueKB  = 16.0
+)
+
+// params are the controllers' parameters, which elsewhere come from the platform.
+func (s *Site) params() config.Params {
+	return config.Params{
+		Zones: []string{Zone}, Teams: []config.Team{{Name: Team}},
+		Workers: config.Workers{ReportS: reportS, LeaseS: leaseS, CancelS: cancelS},
+		State:   config.State{RPS: stateRPS, WriteRPS: stateRPS, ValueKB: valueKB, TxnOps: txnOps},
+		Cloud:   config.Cloud{RPS: 50, ListLagS: 0.5}, Limits: config.Limits{CPU: 1, RAMMB: 512, Sockets: 4096},
+	}
+}
+
+// slurmSettings are those of Slurm-style clients: the defaults of wallctl submit.
+const slurmSettings = `(slurm (cluster "local") (accounting on) (listings-per-s 50) (partition "adhoc") (account "` + Team + `"))` + "\n"
+
+func (s *Site) controllersDir() string { return filepath.Join(s.Dir, "controllers") }
+
+func (s *Site) slurmFile() string { return filepath.Join(s.controllersDir(), "slurm.sexp") }
+
+func (s *Site) rolloutsFile() string { return filepath.Join(s.controllersDir(), "rollouts.sexp") }
+
+// writeSettings writes the settings of roll-outs, which are the address of the description
+// service and what the operators' own file has of slots, and those of Slurm-style
+// clients.
+func (s *Site) writeSettings(inner string) error {
+	slots := ""
+	if s.Slots != "" {
+		data, err := os.ReadFile(s.Slots)
+		if err != nil {
+			return fmt.Errorf("--slots: %w", err)
+		}
+		slots = string(data)
+	}
+	rollouts := fmt.Sprintf("(rollouts\n  (descriptions \"http://%s\")\n%s)\n", inner, slots)
+	if _, err := rollout.ParseSettings([]byte(rollouts)); err != nil {
+		return fmt.Errorf("--slots: %s: %w", s.Slots, err)
+	}
+	if err := os.WriteFile(s.rolloutsFile(), []byte(rollouts), 0o644); err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	if err := os.WriteFile(s.slurmFile(), []byte(slurmSettings), 0o644); err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	return nil
+}
