--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -40,8 +40,10 @@
 	}))
 	t.Cleanup(controller.Close)
 	addr := strings.TrimPrefix(controller.URL, "http://")
-	s.workers = &workers{settings: &Settings{ReportS: 0.1, LeaseS: lease.Seconds()}, track: s.track, all: map[string]*hollow{},
-		bytes: map[string]*atomic.Int64{addr: {}}, controllers: []worker.Controller{{Name: "c", Addr: addr}}, log: slog.New(slog.DiscardHandler)}
+	s.workers = &workers{
+		settings: &Settings{ReportS: 0.1, LeaseS: lease.Seconds()}, track: s.track, all: map[string]*hollowWorker{},
+		bytes: map[string]*atomic.Int64{addr: {}}, controllers: []worker.Controller{{Name: "c", Addr: addr}}, log: slog.New(slog.DiscardHandler),
+	}
 	t.Cleanup(s.workers.close)
 	endpoint, err := s.workers.Launch(wire.ListedMachine{Name: "n-1", Type: "hollow", Zone: "z"}, wire.MachineType{CPUs: 4, MemoryGB: 8})
 	if err != nil {
--- a/internal/scale/recorded_test.go
+++ b/internal/scale/recorded_test.go
@@ -106,9 +106,11 @@
 
 func TestRecordedErrors(t *testing.T) {
 	var text strings.Builder
-	for _, settings := range []string{"", "(scale", "(scale) (scale)", "(other)", "(scale (workers))", "(scale (tasks 3))", "(scale (workers 0))", "(scale (run-s 9999))",
+	for _, settings := range []string{
+		"", "(scale", "(scale) (scale)", "(other)", "(scale (workers))", "(scale (tasks 3))", "(scale (workers 0))", "(scale (run-s 9999))",
 		"(scale (zones 2.5))", `(scale (lease-s "x"))`, "(scale (workers 9) (workers 9))", "(scale (team 1 2 3))", `(scale (team "a" 2 1))`, `(scale (operator (spread 0)))`,
-		"(scale (operator (unknown 1)))", "(scale (workers 5))", "(scale (report-s 20))"} {
+		"(scale (operator (unknown 1)))", "(scale (workers 5))", "(scale (report-s 20))",
+	} {
 		_, err := ParseSettings([]byte(settings))
 		fmt.Fprintf(&text, "%s\n\t%v\n", settings, err)
 	}
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -162,9 +162,11 @@
 
 func (r *Run) phaseResult(p *phase) PhaseResult {
 	length := p.ended.Sub(p.began).Seconds()
-	out := PhaseResult{Name: p.name, Seconds: length, StartsAsked: p.asked, StartsHeld: float64(p.starts) / length, StartsLow10: lowest10(p.secondly, int(length)),
+	out := PhaseResult{
+		Name: p.name, Seconds: length, StartsAsked: p.asked, StartsHeld: float64(p.starts) / length, StartsLow10: lowest10(p.secondly, int(length)),
 		GapS: p.gap.Seconds(), Urgent: p.urgent, UrgentP50S: quantile(p.wait, 50), UrgentP99S: quantile(p.wait, 99),
-		AcceptP99S: quantile(p.accept, 99), Stopped: p.stopped, Refused: p.refused, Unanswered: p.unanswered}
+		AcceptP99S: quantile(p.accept, 99), Stopped: p.stopped, Refused: p.refused, Unanswered: p.unanswered,
+	}
 	if p.starts > 0 {
 		out.Writes = float64(p.writes) / float64(p.starts)
 	}
@@ -218,10 +220,12 @@
 func (c *controller) result(length float64) ControllerResult {
 	c.usage.mu.Lock()
 	defer c.usage.mu.Unlock()
-	return ControllerResult{Name: c.Name, CPUMean: c.usage.cpuS / length, CPUPeak: c.usage.peakCPU, MemoryMB: c.usage.memoryMB, Connections: c.usage.inbound,
+	return ControllerResult{
+		Name: c.Name, CPUMean: c.usage.cpuS / length, CPUPeak: c.usage.peakCPU, MemoryMB: c.usage.memoryMB, Connections: c.usage.inbound,
 		StateReads: float64(c.counts.Reads.Load()) / length, StateWatches: float64(c.counts.Watches.Load()) / length,
 		StateTxns: float64(c.counts.Transactions.Load()) / length, StateWrites: float64(c.counts.Writes.Load()) / length,
-		StateRefused: c.counts.Refused.Load(), ReportBytes: float64(c.bytes.Load()) / length, Unread: c.usage.failures}
+		StateRefused: c.counts.Refused.Load(), ReportBytes: float64(c.bytes.Load()) / length, Unread: c.usage.failures,
+	}
 }
 
 // Print writes the result as text.
--- /dev/null
+++ b/internal/scale/services.go
@@ -0,0 +1,162 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"path/filepath"
+	"sync/atomic"
+
+	"golang.org/x/sync/errgroup"
+
+	"github.com/wallrack/wallrack/internal/client"
+	"github.com/wallrack/wallrack/internal/config"
+	"github.com/wallrack/wallrack/internal/local"
+	"github.com/wallrack/wallrack/internal/standin"
+	"github.com/wallrack/wallrack/internal/wire"
+	"github.com/wallrack/wallrack/internal/worker"
+)
+
+const (
+	machineType  = "hollow"
+	fetchGBPerS  = 1.0
+	cacheGB      = 100
+	maxProvision = 50 // machines in one request to the cloud
+	valueKB      = 16
+)
+
+// prepare starts the services, which run until ctx ends, provisions the workers and
+// writes the controllers' settings. r.workers is set also after an error.
+func (r *Run) prepare(ctx context.Context, group *errgroup.Group) (*local.Front, error) {
+	s := r.Settings
+	r.workers = &workers{settings: s, track: r.track, all: map[string]*hollowWorker{}, bytes: map[string]*atomic.Int64{}, log: r.Log}
+	state, err := standin.OpenState(nil, s.StateTxns, valueKB)
+	if err != nil {
+		return nil, err
+	}
+	if err := r.openCloud(); err != nil {
+		return nil, err
+	}
+	cloud := standin.Metered(r.cloud.Handler(), seconds(s.CloudLatencyMs/1000), standin.NewBudget(s.CloudRPS, 1), &standin.Counts{})
+	cloudAddr, err := serve(ctx, group, cloud)
+	if err != nil {
+		return nil, err
+	}
+	group.Go(func() error { state.ExpireLeases(ctx); return nil })
+	stateAddrs, err := r.serveState(ctx, group, state)
+	if err != nil {
+		return nil, err
+	}
+	files, err := local.Controllers(filepath.Join(r.Dir, "controllers"), "scale", s.Controllers, r.params(), r.zones, func(i int) config.Endpoints {
+		return config.Endpoints{Cloud: cloudAddr, State: stateAddrs[i]}
+	})
+	if err != nil {
+		return nil, err
+	}
+	for i, c := range r.controllers {
+		c.Controller = files[i]
+		r.workers.bytes[c.Users] = &c.bytes
+		r.workers.controllers = append(r.workers.controllers, worker.Controller{Name: c.Name, Addr: c.Users})
+	}
+	front := local.NewFront(files, r.Dir)
+	addr, err := serve(ctx, group, front)
+	if err != nil {
+		return nil, err
+	}
+	group.Go(func() error { front.Watch(ctx); return nil })
+	r.users = &users{settings: s, track: r.track, client: client.New("http://" + addr)}
+	if n := r.provision(); n != s.Workers {
+		return nil, fmt.Errorf("%d workers of %d were rented", n, s.Workers)
+	}
+	return front, nil
+}
+
+// openCloud makes the zones, and a cloud that has the planned number of machines in each.
+func (r *Run) openCloud() (err error) {
+	s := r.Settings
+	for i := range s.Zones {
+		r.zones = append(r.zones, fmt.Sprintf("zone-%02d", i))
+	}
+	types := []wire.MachineType{{
+		Name: machineType, CPUs: s.WorkerCPUs, MemoryGB: s.WorkerMemoryGB, CacheGB: cacheGB,
+		FetchGBPerS: fetchGBPerS, Price: 1, SpotPrice: 1, BootS: s.BootS, Zones: r.zones,
+	}}
+	if r.cloud, err = standin.OpenCloud(nil, types, s.Workers, r.workers); err != nil {
+		return err
+	}
+	r.cloud.PerZone = s.Workers / s.Zones
+	return nil
+}
+
+// serveState serves the state service at an address for each controller, so that each is
+// counted alone; they share the budget.
+func (r *Run) serveState(ctx context.Context, group *errgroup.Group, state *standin.State) ([]string, error) {
+	s := r.Settings
+	budget, handler := standin.NewBudget(s.StateRPS, s.StateWriteRPS), state.Handler()
+	addrs := make([]string, s.Controllers)
+	for i := range addrs {
+		c := &controller{restart: make(chan struct{})}
+		r.controllers = append(r.controllers, c)
+		addr, err := serve(ctx, group, standin.Metered(handler, seconds(s.StateLatencyMs/1000), budget, &c.counts))
+		if err != nil {
+			return nil, err
+		}
+		addrs[i] = addr
+	}
+	return addrs, nil
+}
+
+// serve serves at a loopback address, which it returns, until ctx ends, in goroutines of a
+// group.
+func serve(ctx context.Context, group *errgroup.Group, handler http.Handler) (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
+	group.Go(func() error {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			return err
+		}
+		return nil
+	})
+	group.Go(func() error {
+		<-ctx.Done()
+		return server.Close()
+	})
+	return listener.Addr().String(), nil
+}
+
+// params are the controllers' parameters.
+func (r *Run) params() config.Params {
+	s := r.Settings
+	params := config.Params{
+		Zones: r.zones, Workers: config.Workers{ReportS: s.ReportS, LeaseS: s.LeaseS, CancelS: s.CancelS},
+		State:  config.State{RPS: s.StateRPS, WriteRPS: s.StateWriteRPS, ValueKB: valueKB, TxnOps: s.StateTxns},
+		Cloud:  config.Cloud{RPS: s.CloudRPS, ListLagS: s.CloudLagS},
+		Limits: config.Limits{CPU: s.ControllerCPU, RAMMB: s.ControllerMB, Sockets: s.ControllerSockets},
+	}
+	for _, team := range s.Teams {
+		params.Teams = append(params.Teams, config.Team{Name: team.Name, CPUs: team.Guarantee, CPUsMax: team.Limit})
+	}
+	return params
+}
+
+// provision provisions workers until the site has its size: at first, and in place of
+// those that were deleted. It returns how many came.
+func (r *Run) provision() int {
+	total := 0
+	for _, zone := range r.zones {
+		for {
+			r.provisions++
+			names, err := r.cloud.Provision(&wire.HireRequest{Name: fmt.Sprintf("scale-run-%d", r.provisions), Type: machineType, Zone: zone, Number: maxProvision})
+			total += len(names)
+			if err != nil { // the zone is full
+				break
+			}
+		}
+	}
+	return total
+}
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -30,8 +30,10 @@
 func (u *users) newJob(class string, team string, tasks int, intended time.Time) *job {
 	s := u.settings
 	u.number++
-	j := &job{Job: &wire.Job{UID: fmt.Sprintf("j-%s-%07d", class, u.number), Class: class, Team: team, Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
-		CPUs: s.TaskCPUs, MemoryGB: 0.1, Image: "image-" + class, ImageGB: s.FetchS * fetchGBPerS, Estimate: s.RunS}, run: seconds(s.RunS), intended: intended}
+	j := &job{Job: &wire.Job{
+		UID: fmt.Sprintf("j-%s-%07d", class, u.number), Class: class, Team: team, Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
+		CPUs: s.TaskCPUs, MemoryGB: 0.1, Image: "image-" + class, ImageGB: s.FetchS * fetchGBPerS, Estimate: s.RunS,
+	}, run: seconds(s.RunS), intended: intended}
 	switch class {
 	case classUrgent:
 		j.Priority = priorityUrgent
