--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -17,16 +17,17 @@
 	"github.com/wallrack/wallrack/internal/worker"
 )
 
-// site is one hollow worker and a controller that answers its reports.
+// site is one hollow worker and a controller that responds to its reports.
 type site struct {
 	t        *testing.T
 	track    *tracker
 	workers  *workers
 	endpoint string
 	reports  atomic.Int64
-	token    atomic.Uint64 // 0: reports are not answered
+	token    atomic.Uint64 // fencing token of responses; 0: reports are refused
 }
 
+// newSite starts a worker, and waits for its first report.
 func newSite(t *testing.T, lease time.Duration) *site {
 	s := &site{t: t, track: newTracker([]Team{{"a", 2, 2}}, time.Second)}
 	s.token.Store(5)
@@ -57,10 +58,11 @@
 	return s
 }
 
-func (s *site) until(what string, f func() bool) {
+// until waits for a condition.
+func (s *site) until(what string, holds func() bool) {
 	s.t.Helper()
 	for range 2000 {
-		if f() {
+		if holds() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -68,35 +70,37 @@
 	s.t.Fatal("did not come: " + what)
 }
 
+// show returns the worker's report.
 func (s *site) show() *wire.Report {
 	s.t.Helper()
 	resp, err := http.Get("http://" + s.endpoint + "/show")
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	defer resp.Body.Close()
-	var r wire.Report
-	if err := json.NewDecoder(resp.Body).Decode(&r); err != nil {
+	defer func() { _ = resp.Body.Close() }() // what was read counts
+	var report wire.Report
+	if err := json.NewDecoder(resp.Body).Decode(&report); err != nil {
 		s.t.Fatal(err)
 	}
-	return &r
+	return &report
 }
 
-// order sends a direct order and returns the status, 0 for no answer in time.
+// order sends a direct order and returns the status, 0 for no response in time.
 func (s *site) order(client *http.Client, token, session uint64, uid string) int {
 	body, _ := json.Marshal(wire.Orders{Token: token, Session: session, Commands: []wire.Command{{Verb: wire.VerbStart, Task: uid + "/0", Attempt: 1}}})
 	resp, err := client.Post("http://"+s.endpoint+"/orders", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0
 	}
-	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, resp.Body) // so that the connection is used again
+	defer func() { _ = resp.Body.Close() }() // what was read counts
+	_, _ = io.Copy(io.Discard, resp.Body)    // so that the connection is used again
 	return resp.StatusCode
 }
 
-func (s *site) on() int {
-	on, _ := s.track.running()
-	return on
+// running is how many tasks run.
+func (s *site) running() int {
+	running, _ := s.track.running()
+	return running
 }
 
 func TestHollowWorkerRefusesOldTokensAndSessions(t *testing.T) {
@@ -117,7 +121,7 @@
 			t.Errorf("%s: status %d, want %d", c.why, got, c.status)
 		}
 	}
-	s.until("the short task's end", func() bool { return s.on() == 1 && s.track.teams["a"].served == 1 })
+	s.until("the short task's end", func() bool { return s.running() == 1 && s.track.teams["a"].completed == 1 })
 	for _, task := range s.show().Tasks {
 		if want := map[string]string{"j-short/0": wire.TaskExited, "j-long/0": wire.TaskRunning}[task.Task]; task.State != want {
 			t.Errorf("%s is %s", task.Task, task.State)
@@ -125,13 +129,13 @@
 	}
 }
 
-func TestCutHollowWorkerEndsItsTasksWithItsLease(t *testing.T) {
+func TestCutHollowWorkerEndsItsTasksAtLeaseExpiry(t *testing.T) {
 	const lease = 1500 * time.Millisecond
 	s := newSite(t, lease)
 	if s.order(http.DefaultClient, 5, 1, "j-long") != http.StatusOK {
 		t.Fatal("not started")
 	}
-	s.until("the task", func() bool { return s.on() == 1 })
+	s.until("the task", func() bool { return s.running() == 1 })
 	cut := map[string]bool{"n-1": true}
 	s.track.lose("cut", cut)
 	s.workers.cut(cut, true)
@@ -144,10 +148,10 @@
 	if status := s.order(never, 9, 1, "j-third"); status != 0 || <-held != 0 {
 		t.Errorf("a worker that is cut off answered: %d", status)
 	}
-	if s.on() != 1 {
-		t.Errorf("%d tasks on within the lease", s.on())
+	if s.running() != 1 {
+		t.Errorf("%d tasks on within the lease", s.running())
 	}
-	s.until("the lease's end", func() bool { return s.on() == 0 })
+	s.until("the lease's end", func() bool { return s.running() == 0 })
 	if took := time.Since(began); took < lease/2 || took > lease+2*time.Second {
 		t.Errorf("tasks ended %v after the cut", took)
 	}
@@ -159,7 +163,7 @@
 	if r := s.show(); r.Session < 2 || len(r.Tasks) != 0 || r.Token != 5 {
 		t.Errorf("after the cut: %+v; orders of the earlier session must do nothing", r)
 	}
-	if len(s.track.lost) != 1 || s.track.events[0].Tasks != 1 || s.track.events[0].restored != 0 {
+	if len(s.track.lost) != 1 || s.track.events[0].tasks != 1 || s.track.events[0].restored != 0 {
 		t.Errorf("recovery: %+v", s.track.events[0])
 	}
 }
@@ -172,77 +176,47 @@
 	if s.order(stood, 5, 1, "j-long") != http.StatusOK {
 		t.Fatal("not started")
 	}
-	s.until("the task", func() bool { return s.on() == 1 })
+	s.until("the task", func() bool { return s.running() == 1 })
 	cut := map[string]bool{"n-1": true}
 	s.track.lose("cut", cut)
 	s.workers.cut(cut, true)
 	during := &http.Client{Transport: &http.Transport{}, Timeout: 300 * time.Millisecond}
-	if a, b := s.order(stood, 5, 1, "j-late"), s.order(during, 5, 1, "j-third"); a != 0 || b != 0 || s.on() != 1 {
-		t.Errorf("statuses %d and %d, %d tasks on during the cut", a, b, s.on())
+	if a, b := s.order(stood, 5, 1, "j-late"), s.order(during, 5, 1, "j-third"); a != 0 || b != 0 || s.running() != 1 {
+		t.Errorf("statuses %d and %d, %d tasks on during the cut", a, b, s.running())
 	}
 	s.workers.cut(cut, false)
 	s.track.found(cut)
-	s.until("the late order", func() bool { return s.on() >= 2 })
+	s.until("the late order", func() bool { return s.running() >= 2 })
 	time.Sleep(50 * time.Millisecond)
 	for _, task := range s.show().Tasks {
 		if task.Task == "j-third/0" {
 			t.Error("a connection that was given up delivered an order")
 		}
 	}
-	if r := s.track.events[0]; r.Tasks != 1 || r.restored != 1 || s.show().Session != 1 {
+	if r := s.track.events[0]; r.tasks != 1 || r.restored != 1 || s.show().Session != 1 {
 		t.Errorf("recovery: %+v", r)
 	}
 }
 
-// The workers' count of what the rules forbid is what a run is judged by.
-func TestTrackerCountsTasksTwiceAndTeamsAboveTheirLimit(t *testing.T) {
-	track := newTracker([]Team{{"a", 1, 2}}, time.Second)
-	for _, uid := range []string{"j-1", "j-2", "j-3"} {
-		track.add(&job{Job: &wire.Job{UID: uid, Team: "a", Tasks: 1, CPUs: 1, Priority: priorityUrgent}, intended: time.Now().Add(-2 * time.Second)})
-	}
-	track.started("j-1/0", "n-1")
-	track.started("j-2/0", "n-1")
-	if a := track.teams["a"]; a.over != 0 || track.ranTwice != 0 {
-		t.Errorf("over %d, twice %d", a.over, track.ranTwice)
-	}
-	track.lose("died", map[string]bool{"n-1": true})
-	track.ended("j-1/0", false)
-	track.started("j-1/0", "n-2")
-	track.started("j-2/0", "n-2")
-	if a := track.teams["a"]; a.over != 1 || track.ranTwice != 1 || a.most != 3 {
-		t.Errorf("over %d, twice %d, most %v", a.over, track.ranTwice, a.most)
-	}
-	track.ended("j-1/0", true)
-	if _, completed := track.started("j-1/0", "n-3"); !completed {
-		t.Error("a result was not kept")
-	}
-	if e := track.events[0]; e.Tasks != 2 || e.restored != 2 || track.phase.late != 2 || track.phase.urgent != 3 {
-		t.Errorf("restored %d of %d, %d of %d urgent late", e.restored, e.Tasks, track.phase.late, track.phase.urgent)
-	}
-	if low := lowest10([]int{9, 0, 10, 10, 10, 10, 10, 10, 10, 10, 10, 100}, 12); low != 8.9 {
-		t.Errorf("lowest ten seconds: %v", low)
-	}
-}
-
-// A machine that the cloud took runs nothing any more, not what was on its way to it
-// either: a task that began there would count as on two workers when it is started
+// A machine that was deleted runs nothing any more, nor does it execute orders that were
+// on their way: a task that began there would count as on two workers when it is started
 // elsewhere.
-func TestHeldOrdersOfAMachineThatIsGoneStartNothing(t *testing.T) {
+func TestHeldOrdersOfADeletedMachineStartNothing(t *testing.T) {
 	for range 20 {
 		s := newSite(t, time.Minute)
 		stood := &http.Client{Transport: &http.Transport{}, Timeout: 30 * time.Millisecond}
 		if s.order(stood, 5, 1, "j-short") != http.StatusOK {
-			continue // too busy to answer in time
+			continue // too busy to respond in time
 		}
-		s.until("the short task's end", func() bool { return s.track.job("j-short") != nil && s.on() == 0 })
+		s.until("the short task's end", func() bool { return s.track.job("j-short") != nil && s.running() == 0 })
 		s.workers.cut(map[string]bool{"n-1": true}, true)
 		if status := s.order(stood, 5, 1, "j-long"); status != 0 {
 			t.Errorf("status %d from a worker that is cut off", status)
 		}
 		s.workers.End("n-1")
 		time.Sleep(10 * time.Millisecond)
-		if s.on() != 0 {
-			t.Fatal("a held order was executed on a machine that is gone")
+		if s.running() != 0 {
+			t.Fatal("a held order was executed on a machine that was deleted")
 		}
 	}
 }
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	sampleEvery = time.Second
-	usageEvery  = 5 // samples between two looks at the controllers
-	usageWithin = 2 * time.Second
+	sampleInterval    = time.Second
+	samplesPerReading = 5 // of the controllers' usage
+	usageTimeout      = 2 * time.Second
 )
 
 // Sample is one second of the run.
@@ -27,7 +27,7 @@
 	Starts      int       `json:"starts"`  // in this second
 	Running     int       `json:"running"` // tasks on workers
 	Unfinished  int       `json:"unfinished"`
-	Controllers []float64 `json:"controllers_cpu,omitempty"` // share of a core since the last look
+	Controllers []float64 `json:"controllers_cpu,omitempty"` // share of a core since the last reading
 }
 
 // usageTotals adds up what a controller's processes used, over its restarts.
@@ -36,17 +36,17 @@
 	last              usage.Reading
 	at                time.Time
 	cpuS, peakCPU     float64
-	memoryMB          float64
-	inbound, failures int
+	memoryMB          float64 // most
+	inbound, failures int     // most connections; readings that failed
 }
 
 // take adds a reading and returns the share of a core since the one before.
-func (u *usageTotals) take(r usage.Reading, now time.Time) (share float64) {
+func (u *usageTotals) take(reading usage.Reading, now time.Time) (share float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	used := r.CPUSeconds - u.last.CPUSeconds
-	if r.UptimeS < u.last.UptimeS || u.at.IsZero() {
-		used = r.CPUSeconds // a new process
+	used := reading.CPUSeconds - u.last.CPUSeconds
+	if reading.UptimeS < u.last.UptimeS || u.at.IsZero() {
+		used = reading.CPUSeconds // a new process
 	}
 	if !u.at.IsZero() {
 		share = used / now.Sub(u.at).Seconds()
@@ -55,41 +55,39 @@
 	u.cpuS += used
 	// Not the peak of the resident set: a child's counter starts at that of the process
 	// that started it.
-	u.memoryMB = max(u.memoryMB, r.RuntimeMB)
-	u.inbound = max(u.inbound, r.Queues["connections"])
-	u.last, u.at = r, now
+	u.memoryMB = max(u.memoryMB, reading.RuntimeMB)
+	u.inbound = max(u.inbound, reading.Queues["connections"])
+	u.last, u.at = reading, now
 	return share
 }
 
-// sample looks at the site once a second until ctx ends.
+// sample samples the site once a second until ctx ends.
 func (r *Run) sample(ctx context.Context) {
-	began, client := time.Now(), &http.Client{Timeout: usageWithin}
-	total := 0
-	for n := 1; wait(ctx, time.Until(began.Add(time.Duration(n)*sampleEvery))); n++ {
-		on, unfinished := r.track.running()
+	began, client := time.Now(), &http.Client{Timeout: usageTimeout}
+	before := 0
+	for n := 1; wait(ctx, time.Until(began.Add(time.Duration(n)*sampleInterval))); n++ {
+		running, unfinished := r.track.running()
 		phase, starts := r.track.now()
-		s := Sample{AtS: time.Since(began).Seconds(), Phase: phase, Starts: starts - total, Running: on, Unfinished: unfinished}
-		total = starts
-		if n%usageEvery == 0 {
-			s.Controllers = r.readUsage(client)
+		sample := Sample{AtS: time.Since(began).Seconds(), Phase: phase, Starts: starts - before, Running: running, Unfinished: unfinished}
+		before = starts
+		if n%samplesPerReading == 0 {
+			sample.Controllers = r.readUsage(client)
 		}
-		r.samples = append(r.samples, s)
+		r.samples = append(r.samples, sample)
 		if r.Progress != nil {
-			r.Progress(phase, on, s.Starts)
+			r.Progress(phase, running, sample.Starts)
 		}
 	}
 	r.readUsage(client)
 }
 
-// readUsage asks all controllers what they use.
+// readUsage reads the usage of all controllers.
 func (r *Run) readUsage(client *http.Client) []float64 {
 	shares := make([]float64, len(r.controllers))
-	var asked sync.WaitGroup
+	var readings sync.WaitGroup
 	for i, c := range r.controllers {
-		asked.Add(1)
-		go func() {
-			defer asked.Done()
-			reading, err := readUsage(client, c.Users)
+		readings.Go(func() {
+			reading, err := fetchUsage(client, c.Users)
 			if err != nil {
 				c.usage.mu.Lock()
 				c.usage.failures++
@@ -97,13 +95,14 @@
 				return
 			}
 			shares[i] = c.usage.take(reading, time.Now())
-		}()
+		})
 	}
-	asked.Wait()
+	readings.Wait()
 	return shares
 }
 
-func readUsage(client *http.Client, addr string) (usage.Reading, error) {
+// fetchUsage gets the usage of a controller.
+func fetchUsage(client *http.Client, addr string) (usage.Reading, error) {
 	var stats struct {
 		Usage usage.Reading `json:"usage"`
 	}
@@ -111,7 +110,7 @@
 	if err != nil {
 		return stats.Usage, err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // what was read counts
 	return stats.Usage, json.NewDecoder(resp.Body).Decode(&stats)
 }
 
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -1,6 +1,10 @@
-// Package scale runs a site of a planned size on one machine: real controllers
-// against the stand-in services, hollow workers that keep the protocol and run
-// timers, and users at a constant rate; and measures what becomes of it.
+// Package scale runs a site of a planned size on one machine, and measures it: real
+// controllers against the stand-in services, hollow workers that keep the protocol and run
+// timers, and users at a constant rate; with failures, cuts of links and restarts.
+//
+// Controllers are child processes that the caller starts; everything else is in this
+// process, and nothing is kept after a run but settings, logs and the result. The package
+// does not judge the figures; only broken rules are called so.
 package scale
 
 import (
@@ -19,7 +23,7 @@
 	Guarantee, Limit float64
 }
 
-// Settings say what a run plays. Durations are in seconds.
+// Settings are what a run plays. Durations are in seconds, Ms in milliseconds.
 type Settings struct {
 	Workers, Controllers, Zones, Regions, RackWorkers int
 	WorkerCPUs, WorkerMemoryGB                        float64
@@ -29,10 +33,10 @@
 	teamCount int    // how many are generated
 	TeamSpare float64
 
-	Running                      int // tasks on machines in the steady state
+	Running                      int // tasks on workers in the steady state
 	TaskCPUs, RunS, FetchS       float64
 	TasksPerJob                  int
-	SteadyStarts, PeakStarts     float64 // tasks asked to start a second
+	SteadyStarts, PeakStarts     float64 // tasks requested to start a second
 	UrgentStarts, UrgentWithinS  float64
 	FillWithinS, SteadyS, PeakS  float64
 	FailuresS, RackS, ZoneS      float64
@@ -56,6 +60,7 @@
 	to                any
 }
 
+// figures are the settings that are numbers, by key.
 func (s *Settings) figures() map[string]figure {
 	return map[string]figure{
 		"workers":              {1, 20000, 2600, &s.Workers},
@@ -107,20 +112,21 @@
 	}
 }
 
-// keepFleet is for controllers that return no machine, so that the site keeps its size.
-const keepFleet = "(wallrack (idle-s 3600) (headroom-percent 500) (dear-headroom-percent 500))"
+// noScaleIn is for controllers that delete no machine, so that the site keeps its size.
+const noScaleIn = "(wallrack (idle-s 3600) (headroom-percent 500) (dear-headroom-percent 500))"
 
 // LoadSettings reads `(scale (key number) ... (team "name" guarantee limit) ...
-// (operator (key value) ...))` over the planned size.
+// (operator (key value) ...))` over the planned size. Errors begin with the path.
 func LoadSettings(path string) (*Settings, error) { return config.Load(path, ParseSettings) }
 
-// ParseSettings reads the text of the settings.
+// ParseSettings reads the text of the settings, and checks that they can be played. Errors
+// begin with the key.
 func ParseSettings(data []byte) (*Settings, error) {
 	entries, err := config.Entries(data, "scale", "(key value ...)")
 	if err != nil {
 		return nil, err
 	}
-	s := &Settings{Operator: []byte(keepFleet)}
+	s := &Settings{Operator: []byte(noScaleIn)}
 	figures, seen := s.figures(), map[string]bool{}
 	for _, f := range figures {
 		f.set(f.planned)
@@ -156,6 +162,7 @@
 	return s, s.check()
 }
 
+// take sets the figure to a value of the settings.
 func (f figure) take(value any) error {
 	v, err := config.Number(value, f.min, f.max)
 	if _, whole := f.to.(*int); err == nil && whole && v != math.Trunc(v) {
@@ -176,39 +183,44 @@
 	}
 }
 
-const maxTeamName = 120 // that a job's message holds
+const (
+	maxTeamName = 120 // bytes, that a job's message holds
+	maxTeamCPUs = 1e6
+)
 
+// addTeam adds a team that the settings name.
 func (s *Settings) addTeam(name, guarantee, limit any) error {
-	t := Team{}
-	t.Name, _ = name.(string) // another kind is an empty name
-	if t.Name == "" || len(t.Name) > maxTeamName {
-		return fmt.Errorf("%.40q: a name of 1 to %d bytes is needed", t.Name, maxTeamName)
+	team := Team{}
+	team.Name, _ = name.(string) // another kind is an empty name
+	if team.Name == "" || len(team.Name) > maxTeamName {
+		return fmt.Errorf("%.40q: a name of 1 to %d bytes is needed", team.Name, maxTeamName)
 	}
-	for i, v := range []any{guarantee, limit} {
-		n, err := config.Number(v, 0, 1e6)
-		if err != nil {
-			return fmt.Errorf("%q: %s: %w", t.Name, [...]string{"guarantee", "limit"}[i], err)
-		}
-		*[...]*float64{&t.Guarantee, &t.Limit}[i] = n
+	var err error
+	if team.Guarantee, err = config.Number(guarantee, 0, maxTeamCPUs); err != nil {
+		return fmt.Errorf("%q: guarantee: %w", team.Name, err)
+	}
+	if team.Limit, err = config.Number(limit, 0, maxTeamCPUs); err != nil {
+		return fmt.Errorf("%q: limit: %w", team.Name, err)
 	}
-	s.Teams = append(s.Teams, t)
+	s.Teams = append(s.Teams, team)
 	return s.checkTeam(len(s.Teams) - 1)
 }
 
 // checkTeam checks a team against itself and those before it.
 func (s *Settings) checkTeam(i int) error {
-	t := s.Teams[i]
-	for _, o := range s.Teams[:i] {
-		if o.Name == t.Name {
-			return fmt.Errorf("%q: given twice", t.Name)
+	team := s.Teams[i]
+	for _, earlier := range s.Teams[:i] {
+		if earlier.Name == team.Name {
+			return fmt.Errorf("%q: given twice", team.Name)
 		}
 	}
-	if t.Limit <= 0 || t.Guarantee > t.Limit {
-		return fmt.Errorf("%q: a guarantee of %v is above the limit of %v", t.Name, t.Guarantee, t.Limit)
+	if team.Limit <= 0 || team.Guarantee > team.Limit {
+		return fmt.Errorf("%q: a guarantee of %v is above the limit of %v", team.Name, team.Guarantee, team.Limit)
 	}
 	return nil
 }
 
+// takeOperator checks the settings that the controllers get, and keeps their text.
 func (s *Settings) takeOperator(entries []any) error {
 	data, err := edn.Marshal(append([]any{edn.Symbol("wallrack")}, entries...))
 	if err != nil {
@@ -227,6 +239,7 @@
 // that it stands at its limit when a job of it comes.
 const tightEvery = 10
 
+// generateTeams adds as many teams as are to be generated.
 func (s *Settings) generateTeams() error {
 	named := len(s.Teams)
 	for i := range s.teamCount {
@@ -246,7 +259,7 @@
 // don't give.
 func (s *Settings) services() int { return max(0, s.Running-int(s.SteadyStarts*s.RunS)) }
 
-// replicas is team i's part of the services; all teams are there or counted.
+// replicas is how many of the services team i of so many has.
 func (s *Settings) replicas(i, teams int) int {
 	n := s.services() / teams
 	if i < s.services()%teams {
@@ -255,16 +268,16 @@
 	return n
 }
 
-// check says which figures can't be played together.
+// check returns which figures can't be played together.
 func (s *Settings) check() error {
 	perZone := s.Workers / s.Zones
 	capacity := float64(s.Workers) * math.Floor(s.WorkerCPUs/s.TaskCPUs+1e-9)
 	peak := float64(s.services()) + s.PeakStarts*s.RunS
 	guaranteed := 0.0
-	for i, t := range s.Teams {
-		guaranteed += t.Guarantee
-		if need := float64(s.replicas(i, len(s.Teams))) * s.TaskCPUs; need > t.Limit {
-			return fmt.Errorf("running: team %q would hold %v CPUs, above its limit of %v", t.Name, need, t.Limit)
+	for i, team := range s.Teams {
+		guaranteed += team.Guarantee
+		if need := float64(s.replicas(i, len(s.Teams))) * s.TaskCPUs; need > team.Limit {
+			return fmt.Errorf("running: team %q would hold %v CPUs, above its limit of %v", team.Name, need, team.Limit)
 		}
 	}
 	planGB := (float64(s.Controllers)*s.ControllerMB + float64(s.Workers)*workerMB + baseMB) / 1024
--- a/internal/scale/settings_test.go
+++ b/internal/scale/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestDefaultsAndShippedFilesAreInOrder(t *testing.T) {
+func TestDefaultsAndShippedFilesAreAccepted(t *testing.T) {
 	s, err := ParseSettings([]byte("(scale)"))
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestBadSettingsNameKeyAndReason(t *testing.T) {
+func TestBadSettingsAreRefusedWithKeyAndReason(t *testing.T) {
 	long := strings.Repeat("x", 121)
 	for text, want := range map[string]string{
 		`(scale`:                                               "not an S-expression",
--- a/internal/scale/tracker.go
+++ b/internal/scale/tracker.go
@@ -14,26 +14,26 @@
 	*wire.Job
 	run      time.Duration // of a task; 0: until it is stopped
 	intended time.Time     // when the schedule had it sent
-	phase    *phase
+	phase    *phase        // in which it was sent
 	accepted bool
-	done     map[int]bool
-	began    bool // a task of it was started
+	done     map[int]bool // tasks that are completed
+	started  bool         // a task of it was started
 }
 
 // teamState is a team as the workers see it.
 type teamState struct {
 	Team
-	used, most float64
-	over       int // starts that brought it above its limit
-	asked      int // tasks of accepted arrays
-	served     int // of them completed
+	used, mostUsed float64 // CPUs
+	overLimit      int     // starts that brought it above its limit
+	requested      int     // tasks of accepted arrays
+	completed      int     // of them
 }
 
-// recovery is what became of the tasks that an event took, or cut off.
+// recovery is what became of the tasks that an event ended, or cut off.
 type recovery struct {
-	Event    string
-	Workers  int
-	Tasks    int
+	event    string
+	workers  int
+	tasks    int
 	took     *hdrhistogram.Histogram // ms until a task was started again
 	restored int
 }
@@ -41,12 +41,12 @@
 // phase is a stretch of the run.
 type phase struct {
 	name                string
-	asked               float64 // starts a second
+	requested           float64 // starts a second
 	began, ended        time.Time
-	starts              int // of tasks, also those started again
-	stopped             int // attempts that ended uncompleted
-	urgent, late        int // urgent jobs sent, and started too late or not at all
-	wait, accept        *hdrhistogram.Histogram
+	starts              int                     // of tasks, also those started again
+	stopped             int                     // attempts that ended uncompleted
+	urgent, late        int                     // urgent jobs sent, and started too late or not at all
+	wait, accept        *hdrhistogram.Histogram // ms of urgent jobs until the start; of all until accepted
 	lastStart           time.Time
 	gap                 time.Duration // longest time without a start
 	refused, unanswered int
@@ -54,9 +54,10 @@
 	writes              int64 // to the state service
 }
 
+// lostTask is a task that an event ended, or cut off.
 type lostTask struct {
-	since time.Time
-	event *recovery
+	since    time.Time
+	recovery *recovery
 }
 
 // tracker follows all tasks of the site as the workers see them, and counts what the
@@ -66,30 +67,42 @@
 
 	mu       sync.Mutex
 	jobs     map[string]*job
-	on       map[string]string // task to the worker that it is on
+	on       map[string]string // task to the worker that it runs on
 	teams    map[string]*teamState
 	lost     map[string]lostTask
-	phase    *phase
-	events   []*recovery
+	phase    *phase      // the current one
+	events   []*recovery // in the order of their first events
 	ranTwice int
 	starts   int // of all phases
-	notDone  int // jobs called done before all tasks were
+	notDone  int // jobs reported done before all tasks were, or cancelled
 	unknown  int // accepted jobs that got 404
 }
 
 const (
-	maxWaitMs = 3_600_000
-	precision = 3
+	maxWaitMs       = 3_600_000 // of a histogram
+	histogramDigits = 3
+	limitTolerance  = 1e-6 // CPUs, for sums of fractions
 )
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxWaitMs, precision) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxWaitMs, histogramDigits)
+}
+
+// record adds a wait to a histogram.
+func record(h *hdrhistogram.Histogram, wait time.Duration) {
+	_ = h.RecordValue(wait.Milliseconds()) // fails above an hour: no run takes so long
+}
+
+func newPhase(name string, requested float64, now time.Time) *phase {
+	return &phase{name: name, requested: requested, began: now, wait: newHistogram(), accept: newHistogram(), lastStart: now}
+}
 
 func newTracker(teams []Team, within time.Duration) *tracker {
 	t := &tracker{within: within, jobs: map[string]*job{}, on: map[string]string{}, teams: map[string]*teamState{}, lost: map[string]lostTask{}}
 	for _, team := range teams {
 		t.teams[team.Name] = &teamState{Team: team}
 	}
-	t.phase = &phase{name: "fill", began: time.Now(), wait: newHistogram(), accept: newHistogram(), lastStart: time.Now()}
+	t.phase = newPhase("fill", 0, time.Now())
 	return t
 }
 
@@ -101,24 +114,24 @@
 }
 
 // add makes a job known before it is submitted.
-func (t *tracker) add(j *job) {
+func (t *tracker) add(job *job) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	j.phase, j.done = t.phase, map[int]bool{}
-	t.jobs[j.UID] = j
-	if j.Priority == priorityUrgent {
-		j.phase.urgent++
+	job.phase, job.done = t.phase, map[int]bool{}
+	t.jobs[job.UID] = job
+	if job.Priority == priorityUrgent {
+		job.phase.urgent++
 	}
 }
 
 // started notes that a task's process starts on a worker; completed says that its
 // result is kept already.
 func (t *tracker) started(task, worker string) (run time.Duration, completed bool) {
-	uid, n, err := wire.ParseTask(task)
+	uid, number, err := wire.ParseTask(task)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	j := t.jobs[uid]
-	if err != nil || j == nil || j.done[n] {
+	job := t.jobs[uid]
+	if err != nil || job == nil || job.done[number] {
 		return 0, true
 	}
 	now := time.Now()
@@ -126,82 +139,86 @@
 		t.ranTwice++
 	}
 	t.on[task] = worker
-	team := t.teams[j.Team]
-	if team.used += j.CPUs; team.used > team.Limit+1e-6 {
-		team.over++
+	team := t.teams[job.Team]
+	if team.used += job.CPUs; team.used > team.Limit+limitTolerance {
+		team.overLimit++
 	}
-	team.most = max(team.most, team.used)
+	team.mostUsed = max(team.mostUsed, team.used)
 	t.countStart(now)
 	t.restored(task)
-	if !j.began && j.Priority == priorityUrgent {
-		t.countUrgent(j, now)
+	if !job.started && job.Priority == priorityUrgent {
+		t.countUrgent(job, now)
 	}
-	j.began = true
-	return j.run, false
+	job.started = true
+	return job.run, false
 }
 
+// countStart counts a start in the current phase.
 func (t *tracker) countStart(now time.Time) {
-	p := t.phase
+	phase := t.phase
 	t.starts++
-	p.starts++
-	p.gap = max(p.gap, now.Sub(p.lastStart))
-	p.lastStart = now
-	second := int(now.Sub(p.began) / time.Second)
-	for len(p.secondly) <= second {
-		p.secondly = append(p.secondly, 0)
+	phase.starts++
+	phase.gap = max(phase.gap, now.Sub(phase.lastStart))
+	phase.lastStart = now
+	second := int(now.Sub(phase.began) / time.Second)
+	for len(phase.secondly) <= second {
+		phase.secondly = append(phase.secondly, 0)
 	}
-	p.secondly[second]++
+	phase.secondly[second]++
 }
 
 // countUrgent counts an urgent job's wait from when it was to be sent.
-func (t *tracker) countUrgent(j *job, now time.Time) {
-	wait := now.Sub(j.intended)
+func (t *tracker) countUrgent(job *job, now time.Time) {
+	wait := now.Sub(job.intended)
 	if wait > t.within {
-		j.phase.late++
+		job.phase.late++
 	}
-	_ = j.phase.wait.RecordValue(wait.Milliseconds()) // longer than an hour no run lasts
+	record(job.phase.wait, wait)
 }
 
-// ended notes that a task is not on its worker any more.
+// ended notes that a task does not run on its worker any more.
 func (t *tracker) ended(task string, completed bool) {
-	uid, n, _ := wire.ParseTask(task) // it was started
+	uid, number, _ := wire.ParseTask(task) // it was started
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.on, task)
-	j := t.jobs[uid]
-	team := t.teams[j.Team]
-	team.used -= j.CPUs
+	job := t.jobs[uid]
+	team := t.teams[job.Team]
+	team.used -= job.CPUs
 	switch {
 	case !completed:
 		t.phase.stopped++
-	case !j.done[n]:
-		j.done[n] = true
-		team.served++
+	case !job.done[number]:
+		job.done[number] = true
+		team.completed++
 		t.restored(task)
 	}
 }
 
-// lose begins a recovery: the tasks on these workers are gone, or can't be reached.
+// lose begins a recovery: the tasks on these workers have ended, or can't be reached.
 func (t *tracker) lose(event string, workers map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var r *recovery
-	for _, e := range t.events {
-		if e.Event == event {
-			r = e
+	r := t.recoveryOf(event)
+	r.workers += len(workers)
+	for task, worker := range t.on {
+		if workers[worker] {
+			r.tasks++
+			t.lost[task] = lostTask{time.Now(), r}
 		}
 	}
-	if r == nil {
-		r = &recovery{Event: event, took: newHistogram()}
-		t.events = append(t.events, r)
-	}
-	r.Workers += len(workers)
-	for task, w := range t.on {
-		if workers[w] {
-			r.Tasks++
-			t.lost[task] = lostTask{time.Now(), r}
+}
+
+// recoveryOf returns the recovery from events of a name, which is begun by the first.
+func (t *tracker) recoveryOf(event string) *recovery {
+	for _, r := range t.events {
+		if r.event == event {
+			return r
 		}
 	}
+	r := &recovery{event: event, took: newHistogram()}
+	t.events = append(t.events, r)
+	return r
 }
 
 // found ends a recovery: the workers can be reached again, and what still runs there
@@ -219,72 +236,72 @@
 // restored ends the recovery of a task that was lost: it was started again, is
 // completed, or runs where it was.
 func (t *tracker) restored(task string) {
-	l, was := t.lost[task]
-	if !was {
+	lost, ok := t.lost[task]
+	if !ok {
 		return
 	}
 	delete(t.lost, task)
-	l.event.restored++
-	_ = l.event.took.RecordValue(time.Since(l.since).Milliseconds()) // longer than an hour no run lasts
+	lost.recovery.restored++
+	record(lost.recovery.took, time.Since(lost.since))
 }
 
 // next begins a phase and returns the one that ended.
-func (t *tracker) next(name string, asked float64) (ended *phase) {
+func (t *tracker) next(name string, requested float64) (ended *phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	ended = t.phase
 	ended.ended = now
 	ended.gap = max(ended.gap, now.Sub(ended.lastStart))
-	t.phase = &phase{name: name, asked: asked, began: now, wait: newHistogram(), accept: newHistogram(), lastStart: now}
+	t.phase = newPhase(name, requested, now)
 	return ended
 }
 
-// now is the phase that is on, and the starts since the beginning.
+// now is the current phase, and the starts since the beginning.
 func (t *tracker) now() (phase string, starts int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.phase.name, t.starts
 }
 
-// running is how many tasks are on workers, and unfinished how many tasks of accepted
+// running is how many tasks run on workers, and unfinished how many tasks of accepted
 // arrays are not completed.
-func (t *tracker) running() (on, unfinished int) {
+func (t *tracker) running() (running, unfinished int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, team := range t.teams {
-		unfinished += team.asked - team.served
+		unfinished += team.requested - team.completed
 	}
 	return len(t.on), unfinished
 }
 
-// answered notes what a user was told of a job.
-func (t *tracker) answered(j *job, stage string) {
+// responded notes the response to a user who submitted a job or polls it.
+func (t *tracker) responded(job *job, stage string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !j.accepted {
-		j.accepted = true
-		_ = j.phase.accept.RecordValue(time.Since(j.intended).Milliseconds()) // longer than an hour no run lasts
-		if !j.Service() {
-			t.teams[j.Team].asked += j.Tasks
+	if !job.accepted {
+		job.accepted = true
+		record(job.phase.accept, time.Since(job.intended))
+		if !job.Service() {
+			t.teams[job.Team].requested += job.Tasks
 		}
 	}
-	if stage == wire.StageDone && len(j.done) < j.Tasks || stage == wire.StageCancelled {
+	if stage == wire.StageDone && len(job.done) < job.Tasks || stage == wire.StageCancelled {
 		t.notDone++
 	}
 }
 
-// denied notes a job that was refused, or that nobody knows after it was accepted, or
-// whose submission got no answer.
-func (t *tracker) denied(j *job, unanswered bool) {
+// denied notes a job that was refused, or that is unknown after it was accepted, or
+// whose submission got no response.
+func (t *tracker) denied(job *job, unanswered bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case j.accepted:
+	case job.accepted:
 		t.unknown++
 	case unanswered:
-		j.phase.unanswered++
+		job.phase.unanswered++
 	default:
-		j.phase.refused++
+		job.phase.refused++
 	}
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	pollEvery      = 5 * time.Second
-	priorityUrgent = "urgent"
+	userPollInterval = 5 * time.Second
+	priorityUrgent   = "urgent"
 )
 
 // users submit jobs by a constant schedule, whatever becomes of those before, and
@@ -22,66 +22,65 @@
 	settings *Settings
 	track    *tracker
 	client   *client.Client
-	sent     sync.WaitGroup
-	number   int
+	sent     sync.WaitGroup // jobs that are followed
+	number   int            // of the last job
 }
 
+// Classes of jobs.
+const (
+	classService = "service"
+	classArray   = "array"
+	classUrgent  = "urgent"
+)
+
 // newJob makes the next job of a class.
-func (u *users) newJob(class string, team string, tasks int, intended time.Time) *job {
+func (u *users) newJob(class, team string, tasks int, intended time.Time) *job {
 	s := u.settings
 	u.number++
-	j := &job{Job: &wire.Job{
+	job := &job{Job: &wire.Job{
 		UID: fmt.Sprintf("j-%s-%07d", class, u.number), Class: class, Team: team, Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
 		CPUs: s.TaskCPUs, MemoryGB: 0.1, Image: "image-" + class, ImageGB: s.FetchS * fetchGBPerS, Estimate: s.RunS,
 	}, run: seconds(s.RunS), intended: intended}
 	switch class {
 	case classUrgent:
-		j.Priority = priorityUrgent
+		job.Priority = priorityUrgent
 	case classService:
-		j.Kind, j.Priority, j.Estimate, j.run = wire.KindService, "production", 0, 0
+		job.Kind, job.Priority, job.Estimate, job.run = wire.KindService, "production", 0, 0
 	}
-	return j
+	return job
 }
 
-// Classes of jobs.
-const (
-	classService = "service"
-	classArray   = "array"
-	classUrgent  = "urgent"
-)
+// send submits a job as users do and follows it, in a goroutine of u.sent.
+func (u *users) send(ctx context.Context, job *job) {
+	u.track.add(job)
+	u.sent.Go(func() { u.follow(ctx, job) })
+}
 
-// send submits a job as users do and follows it.
-func (u *users) send(ctx context.Context, j *job) {
-	u.track.add(j)
-	u.sent.Add(1)
-	go func() {
-		defer u.sent.Done()
-		state, err := u.client.SubmitDescribed(ctx, j.Job)
-		for err == nil || errors.Is(err, client.ErrUnknown) && j.accepted {
-			if err == nil {
-				u.track.answered(j, state.Stage)
-				if state.Stage == wire.StageDone || state.Stage == wire.StageCancelled {
-					return
-				}
-			}
-			select {
-			case <-ctx.Done():
+// follow submits a job and polls it until it is over, or denied.
+func (u *users) follow(ctx context.Context, job *job) {
+	state, err := u.client.SubmitDescribed(ctx, job.Job)
+	for err == nil || errors.Is(err, client.ErrUnknown) && job.accepted {
+		if err == nil {
+			u.track.responded(job, state.Stage)
+			if state.Stage == wire.StageDone || state.Stage == wire.StageCancelled {
 				return
-			case <-time.After(pollEvery):
 			}
-			state, err = u.client.Status(ctx, j.UID)
 		}
-		if ctx.Err() == nil {
-			u.track.denied(j, errors.Is(err, client.ErrUnknown))
+		if !wait(ctx, userPollInterval) {
+			return
 		}
-	}()
+		state, err = u.client.Status(ctx, job.UID)
+	}
+	if ctx.Err() == nil {
+		u.track.denied(job, errors.Is(err, client.ErrUnknown))
+	}
 }
 
-// fill submits what runs all the time.
+// fill submits the services, which run all the time.
 func (u *users) fill(ctx context.Context) {
-	for i, t := range u.settings.Teams {
+	for i, team := range u.settings.Teams {
 		if n := u.settings.replicas(i, len(u.settings.Teams)); n > 0 {
-			u.send(ctx, u.newJob(classService, t.Name, n, time.Now()))
+			u.send(ctx, u.newJob(classService, team.Name, n, time.Now()))
 		}
 	}
 }
@@ -112,12 +111,12 @@
 	wait(ctx, time.Until(began.Add(length)))
 }
 
-// wait waits; false: ctx has ended.
-func wait(ctx context.Context, d time.Duration) bool {
+// wait waits for so long; false: ctx has ended before.
+func wait(ctx context.Context, length time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(d):
+	case <-time.After(length):
 		return true
 	}
 }
