--- a/internal/worker/processes.go
+++ b/internal/worker/processes.go
@@ -109,11 +109,10 @@
 		return nil, err
 	}
 	proc := &process{port: ports[0], dir: dir, done: make(chan struct{})}
-	if err := p.start(cmd, proc); err != nil {
+	if err := p.start(cmd, proc, func() { exited(p.watch(cmd, proc, outputs)) }); err != nil {
 		outputs.discard()
 		return nil, err
 	}
-	p.watchers.Go(func() { exited(p.watch(cmd, proc, outputs)) })
 	return proc, nil
 }
 
@@ -141,10 +140,10 @@
 	return cmd, nil
 }
 
-// start starts a task's first process and notes it, for a later worker to find.
-// The note is there, without a number, before the process is: the worker may be
-// killed at any time.
-func (p *Processes) start(cmd *exec.Cmd, proc *process) error {
+// start starts a task's first process and notes it, for a later worker to find; watch is
+// run in a goroutine that Close waits for. The note is there, without a number, before
+// the process is: the worker may be killed at any time.
+func (p *Processes) start(cmd *exec.Cmd, proc *process, watch func()) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -164,6 +163,7 @@
 	if _, err := note.WriteString(strconv.Itoa(proc.pgid)); err != nil {
 		p.log.Error("noting a task's process group failed", "dir", proc.dir, "err", err)
 	}
+	p.watchers.Go(watch) // with the lock held, so that Close can't miss it
 	return nil
 }
 
--- a/internal/worker/recorded_test.go
+++ b/internal/worker/recorded_test.go
@@ -6,38 +6,17 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
-	"reflect"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/goccy/go-json"
-
 	"github.com/wallrack/wallrack/internal/taskspec"
+	"github.com/wallrack/wallrack/internal/testkit/recorded"
 	"github.com/wallrack/wallrack/internal/wire"
 	"github.com/wallrack/wallrack/internal/worker"
 )
 
-// checkRecorded checks that a message that was recorded reads as want, and that want is
-// still written with the very bytes that were recorded.
-func checkRecorded[T any](t *testing.T, file string, want T) {
-	t.Helper()
-	recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", file))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got T
-	if err := json.Unmarshal(recorded, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s reads as %+v, %v; it was %+v", file, got, err, want)
-	}
-	if data, err := json.Marshal(want); err != nil || string(data)+"\n" != string(recorded) {
-		t.Errorf("%s is written as\n%s, %v; it was\n%s", file, data, err, recorded)
-	}
-}
-
 // recordedState is the state of the worker whose messages were recorded.
 func recordedState() *worker.State {
 	id := worker.Ident{Name: "n-000231", Endpoint: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Lease: time.Hour}
@@ -48,14 +27,14 @@
 func TestRecordedReport(t *testing.T) {
 	state := recordedState()
 	defer state.Close()
-	checkRecorded(t, "report_idle.json", *state.Report())
-	checkRecorded(t, "report_task.json", wire.Report{
+	recorded.Check(t, "report_idle", *state.Report())
+	recorded.Check(t, "report_task", wire.Report{
 		Machine: "n-000231", Endpoint: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Seq: 2, Token: 41,
 		Tasks: []wire.Task{{Task: "odd", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseUnknown}},
 	})
 }
 
-// A worker understands the recorded requests, and answers by the recorded bytes.
+// A worker understands the recorded requests, and responds with the recorded bytes.
 func TestRecordedRequests(t *testing.T) {
 	state := recordedState()
 	defer state.Close()
@@ -64,7 +43,7 @@
 	for _, c := range []struct {
 		method, path, body string
 		status             int
-		answer             string
+		response           string
 	}{
 		{"POST", "/orders", `{"baton":41,"stint":1,"orders":[{"verb":"launch","piece":"odd","try":3}]}`, http.StatusOK, "report_task.json"},
 		{"POST", "/orders", `{"baton":40,"stint":1,"orders":[]}`, http.StatusConflict, "report_refused.json"},
@@ -76,17 +55,14 @@
 	} {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
-		recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", c.answer))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if w.Code != c.status || w.Body.String()+"\n" != string(recorded) || w.Header().Get("Content-Type") != "application/json" {
-			t.Errorf("%s %s %s: %d %s; it was %d %s", c.method, c.path, c.body, w.Code, w.Body, c.status, recorded)
+		want := string(recorded.Read(t, c.response))
+		if w.Code != c.status || w.Body.String()+"\n" != want || w.Header().Get("Content-Type") != "application/json" {
+			t.Errorf("%s %s %s: %d %s; it was %d %s", c.method, c.path, c.body, w.Code, w.Body, c.status, want)
 		}
 	}
 }
 
-// A check of a task that runs is answered by the recorded bytes; nothing listens at its port.
+// The response to a check of a running task has the recorded bytes; nothing listens at its port.
 func TestRecordedCheck(t *testing.T) {
 	p := newProcesses(t, t.TempDir())
 	if _, err := p.Start("j-1/0", 3, &taskspec.Spec{Argv: []string{"sleep", "600"}, CPUs: 1}, func(int) {}); err != nil {
@@ -96,12 +72,12 @@
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, httptest.NewRequest("GET", "/check/j-1/0/3?timeoutMs=5000&http=/up", nil))
 	if w.Code != http.StatusOK || w.Body.String() != `{"outcome":"unhealthy"}` {
-		t.Errorf("answered %d %s", w.Code, w.Body)
+		t.Errorf("responded %d %s", w.Code, w.Body)
 	}
 }
 
-// A worker sends its report by the recorded request, and does what the recorded answers say:
-// here to report to another controller, and there to begin a task.
+// A worker sends its report by the recorded request, and does what the recorded responses say:
+// here to report to another controller, and there to start a task.
 func TestRecordedExchange(t *testing.T) {
 	reports := make(chan string, 1)
 	there := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -146,12 +122,12 @@
 		if report := state.Report(); report.Token == 41 && len(report.Tasks) == 1 && report.Tasks[0].Task == "odd" && report.Tasks[0].Attempt == 3 {
 			return
 		} else if time.Since(start) > 20*time.Second {
-			t.Fatalf("the recorded answer was not carried out: %+v", report)
+			t.Fatalf("the recorded response was not executed: %+v", report)
 		}
 	}
 }
 
-// The outcomes of checks are part of their answer's form.
+// The outcomes of checks are part of their response's form.
 func TestRecordedOutcomes(t *testing.T) {
 	for _, words := range []struct{ is, was string }{
 		{worker.CheckHealthy, "healthy"}, {worker.CheckUnhealthy, "unhealthy"}, {worker.CheckHung, "hung"},
