--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -215,8 +215,8 @@
 	defer stopControllers()
 	s.front.mux.Handle("/descriptions/", s.descriptions)
 	group, groupCtx := errgroup.WithContext(ctx)
-	serve(servicesCtx, group, inner, s.handler())
-	serve(servicesCtx, group, users, s.front.mux)
+	Serve(servicesCtx, group, inner, s.handler())
+	Serve(servicesCtx, group, users, s.front.mux)
 	group.Go(func() error { s.state.ExpireLeases(servicesCtx); return nil })
 	group.Go(func() error { s.front.Watch(servicesCtx); return nil })
 	controllers := s.keepControllers(controllersCtx)
@@ -254,8 +254,9 @@
 	return &group
 }
 
-// serve serves a listener until ctx ends, in goroutines of a group.
-func serve(ctx context.Context, group *errgroup.Group, listener net.Listener, handler http.Handler) {
+// Serve serves a listener until ctx ends, in goroutines of a group; requests that are being
+// served then are cut off.
+func Serve(ctx context.Context, group *errgroup.Group, listener net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	group.Go(func() error {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/scale/failures.go
+++ b/internal/scale/failures.go
@@ -65,7 +65,7 @@
 // and come back as new ones.
 func (r *Run) failures(ctx context.Context) {
 	s := r.Settings
-	perS := (s.FailADay + s.RestartADay) * s.Pace / secondsADay
+	perS := (s.FailADay + s.RestartADay) * s.DaySpeed / secondsADay
 	if perS <= 0 {
 		return
 	}
--- a/internal/scale/recorded_test.go
+++ b/internal/scale/recorded_test.go
@@ -12,7 +12,7 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// destinations says which field each key of the settings sets.
+// destinations is the field that each key of the settings sets.
 func destinations(s *Settings) map[string]any {
 	return map[string]any{
 		"workers":              &s.Workers,
@@ -49,7 +49,7 @@
 		"drain-s":              &s.DrainS,
 		"failures-a-day":       &s.FailADay,
 		"restarts-a-day":       &s.RestartADay,
-		"day-pace":             &s.Pace,
+		"day-pace":             &s.DaySpeed,
 		"state-rps":            &s.StateRPS,
 		"state-write-rps":      &s.StateWriteRPS,
 		"state-latency-ms":     &s.StateLatencyMs,
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -35,22 +35,22 @@
 
 // PhaseResult is a phase's starts and waits.
 type PhaseResult struct {
-	Name        string  `json:"name"`
-	Seconds     float64 `json:"seconds"`
-	StartsAsked float64 `json:"starts_asked_per_s"`
-	StartsHeld  float64 `json:"starts_held_per_s"`
-	StartsLow10 float64 `json:"starts_lowest_10s_per_s"` // 0 if the phase is shorter
-	GapS        float64 `json:"longest_without_a_start_s"`
-	Urgent      int     `json:"urgent"`
-	UrgentShare float64 `json:"urgent_within_share"`
-	UrgentP50S  float64 `json:"urgent_p50_s"`
-	UrgentP99S  float64 `json:"urgent_p99_s"`
-	AcceptP99S  float64 `json:"accepted_p99_s"`
-	Writes      float64 `json:"state_writes_per_start"`
-	BusiestCPU  float64 `json:"busiest_controller_cpu"` // mean share of a core
-	Stopped     int     `json:"attempts_stopped"`
-	Refused     int     `json:"jobs_refused"`
-	Unanswered  int     `json:"jobs_unanswered"`
+	Name            string  `json:"name"`
+	Seconds         float64 `json:"seconds"`
+	StartsRequested float64 `json:"starts_asked_per_s"`
+	StartsHeld      float64 `json:"starts_held_per_s"`
+	StartsLow10     float64 `json:"starts_lowest_10s_per_s"` // 0 if the phase is shorter
+	GapS            float64 `json:"longest_without_a_start_s"`
+	Urgent          int     `json:"urgent"`
+	UrgentShare     float64 `json:"urgent_within_share"`
+	UrgentP50S      float64 `json:"urgent_p50_s"`
+	UrgentP99S      float64 `json:"urgent_p99_s"`
+	AcceptP99S      float64 `json:"accepted_p99_s"`
+	Writes          float64 `json:"state_writes_per_start"`
+	BusiestCPU      float64 `json:"busiest_controller_cpu"` // mean share of a core
+	Stopped         int     `json:"attempts_stopped"`
+	Refused         int     `json:"jobs_refused"`
+	Unanswered      int     `json:"jobs_unanswered"`
 }
 
 // RecoveryResult is when the tasks of an event were restored: started again, found
@@ -88,10 +88,10 @@
 	Name      string  `json:"name"`
 	Guarantee float64 `json:"guarantee"`
 	Limit     float64 `json:"limit"`
-	Most      float64 `json:"most_used"`
-	Over      int     `json:"starts_above_limit"`
-	Asked     int     `json:"asked"`
-	Served    int     `json:"served"`
+	MostUsed  float64 `json:"most_used"`
+	OverLimit int     `json:"starts_above_limit"`
+	Requested int     `json:"asked"`
+	Completed int     `json:"served"`
 }
 
 // ControllerResult is what a controller used.
@@ -138,8 +138,8 @@
 	for _, team := range s.Teams {
 		state := t.teams[team.Name]
 		out.Teams = append(out.Teams, TeamResult{
-			Name: team.Name, Guarantee: team.Guarantee, Limit: team.Limit, Most: state.mostUsed,
-			Over: state.overLimit, Asked: state.requested, Served: state.completed,
+			Name: team.Name, Guarantee: team.Guarantee, Limit: team.Limit, MostUsed: state.mostUsed,
+			OverLimit: state.overLimit, Requested: state.requested, Completed: state.completed,
 		})
 		out.Rules.OverLimit += state.overLimit
 		out.Tasks.Asked += state.requested
@@ -173,7 +173,7 @@
 func (r *Run) phaseResult(p *phase) PhaseResult {
 	length := p.ended.Sub(p.began).Seconds()
 	out := PhaseResult{
-		Name: p.name, Seconds: length, StartsAsked: p.requested, StartsHeld: float64(p.starts) / length, StartsLow10: lowest10(p.secondly, int(length)),
+		Name: p.name, Seconds: length, StartsRequested: p.requested, StartsHeld: float64(p.starts) / length, StartsLow10: lowest10(p.secondly, int(length)),
 		GapS: p.gap.Seconds(), Urgent: p.urgent, UrgentP50S: quantile(p.wait, 50), UrgentP99S: quantile(p.wait, 99),
 		AcceptP99S: quantile(p.accept, 99), Stopped: p.stopped, Refused: p.refused, Unanswered: p.unanswered,
 	}
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -115,17 +114,7 @@
 	if err != nil {
 		return "", err
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
-	group.Go(func() error {
-		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			return err
-		}
-		return nil
-	})
-	group.Go(func() error {
-		<-ctx.Done()
-		return server.Close()
-	})
+	local.Serve(ctx, group, listener, handler)
 	return listener.Addr().String(), nil
 }
 
@@ -144,7 +133,7 @@
 	return params
 }
 
-// provision provisions workers until the site has its size: at first, and in place of
+// provision provisions workers until the site has its size: at first, and instead of
 // those that were deleted. It returns how many came.
 func (r *Run) provision() int {
 	total := 0
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -41,7 +41,8 @@
 	FillWithinS, SteadyS, PeakS  float64
 	FailuresS, RackS, ZoneS      float64
 	RegionS, SettleS             float64
-	RestartEveryS, DrainS, Pace  float64
+	RestartEveryS, DrainS        float64
+	DaySpeed                     float64 // how many times faster than a day failures come
 	FailADay, RestartADay        float64
 	StateRPS, StateWriteRPS      float64
 	StateLatencyMs, CloudRPS     float64
@@ -97,7 +98,7 @@
 		"drain-s":              {1, 600, 60, &s.DrainS},
 		"failures-a-day":       {0, 86400, 23, &s.FailADay},
 		"restarts-a-day":       {0, 86400, 330, &s.RestartADay},
-		"day-pace":             {1, 1000, 60, &s.Pace},
+		"day-pace":             {1, 1000, 60, &s.DaySpeed},
 		"state-rps":            {1, 1e6, 600, &s.StateRPS},
 		"state-write-rps":      {1, 1e6, 240, &s.StateWriteRPS},
 		"state-latency-ms":     {0, 1000, 5, &s.StateLatencyMs},
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -33,7 +33,7 @@
 	End(name string)
 }
 
-// Cloud provisions machines that a launcher makes. What it answered as provisioned is on
+// Cloud provisions machines that a launcher makes. What it reported as provisioned is on
 // disk, if there is a database, and a name is never given twice. It is safe for
 // concurrent use.
 type Cloud struct {
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -37,7 +37,7 @@
 	ends time.Time
 }
 
-// State is the state service. What it answers as done is on disk, if there is a
+// State is the state service. What it reports as done is on disk, if there is a
 // database. It is safe for concurrent use.
 type State struct {
 	db         *bbolt.DB
--- a/internal/standin/state_test.go
+++ b/internal/standin/state_test.go
@@ -50,7 +50,7 @@
 	return n
 }
 
-// What was answered as written is there after a restart, leases go on, revisions
+// What was reported as written is there after a restart, leases go on, revisions
 // never come twice, and an old watch has to read again.
 func TestWritesAndLeasesSurviveARestart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state.db")
