--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -23,33 +23,43 @@
 	Guarantee, Limit float64
 }
 
-// Settings are what a run plays. Durations are in seconds, Ms in milliseconds.
+// Settings are what a run plays. Names end in the unit: S is seconds, Ms milliseconds.
 type Settings struct {
-	Workers, Controllers, Zones, Regions, RackWorkers int
-	WorkerCPUs, WorkerMemoryGB                        float64
-	ReportS, LeaseS, CancelS, BootS                   float64
+	// The site.
+	Workers, Controllers, Zones, Regions int
+	RackWorkers                          int // cut off together
+	WorkerCPUs, WorkerMemoryGB           float64
+	ReportS, LeaseS, CancelS, BootS      float64
 
-	Teams     []Team // named ones first, then generated ones
-	teamCount int    // how many are generated
-	TeamSpare float64
+	Teams     []Team  // named ones first, then generated ones
+	teamCount int     // how many are generated
+	TeamSpare float64 // CPUs of a generated team's limit above its guarantee
 
-	Running                      int // tasks on workers in the steady state
-	TaskCPUs, RunS, FetchS       float64
-	TasksPerJob                  int
-	SteadyStarts, PeakStarts     float64 // tasks requested to start a second
-	UrgentStarts, UrgentWithinS  float64
-	FillWithinS, SteadyS, PeakS  float64
-	FailuresS, RackS, ZoneS      float64
-	RegionS, SettleS             float64
-	RestartEveryS, DrainS        float64
-	DaySpeed                     float64 // how many times faster than a day failures come
-	FailADay, RestartADay        float64
-	StateRPS, StateWriteRPS      float64
-	StateLatencyMs, CloudRPS     float64
-	CloudLatencyMs, CloudLagS    float64
-	ControllerCPU, ControllerMB  float64
-	ControllerSockets, StateTxns int
-	MemoryGB                     float64 // most that the run may be planned to take
+	// The load.
+	Running                     int // tasks on workers in the steady state
+	TaskCPUs, RunS, FetchS      float64
+	TasksPerJob                 int
+	SteadyStarts, PeakStarts    float64 // tasks requested to start a second
+	UrgentStarts, UrgentWithinS float64 // of them urgent a second; in time if started within
+
+	// The phases' lengths. 0: the phase is left out.
+	FillWithinS, SteadyS, PeakS, FailuresS float64
+	RackS, ZoneS, RegionS, SettleS         float64
+	RestartEveryS, DrainS                  float64
+
+	DaySpeed                float64 // how many times faster than in a day failures come
+	FailADay, RestartADay   float64 // machines
+	StateRPS, StateWriteRPS float64
+	StateLatencyMs          float64
+	StateTxns               int // changes in a transaction
+	CloudRPS                float64
+	CloudLatencyMs          float64
+	CloudLagS               float64 // of listings
+
+	// What a controller may use, and the whole run.
+	ControllerCPU, ControllerMB float64
+	ControllerSockets           int
+	MemoryGB                    float64 // most that the run may be planned to take
 
 	Operator []byte // settings that the controllers get, or nil
 }
--- a/internal/scale/tracker.go
+++ b/internal/scale/tracker.go
@@ -67,7 +67,7 @@
 
 	mu       sync.Mutex
 	jobs     map[string]*job
-	on       map[string]string // task to the worker that it runs on
+	workerOf map[string]string // task to the worker that it runs on
 	teams    map[string]*teamState
 	lost     map[string]lostTask
 	phase    *phase      // the current one
@@ -98,7 +98,7 @@
 }
 
 func newTracker(teams []Team, within time.Duration) *tracker {
-	t := &tracker{within: within, jobs: map[string]*job{}, on: map[string]string{}, teams: map[string]*teamState{}, lost: map[string]lostTask{}}
+	t := &tracker{within: within, jobs: map[string]*job{}, workerOf: map[string]string{}, teams: map[string]*teamState{}, lost: map[string]lostTask{}}
 	for _, team := range teams {
 		t.teams[team.Name] = &teamState{Team: team}
 	}
@@ -135,10 +135,10 @@
 		return 0, true
 	}
 	now := time.Now()
-	if t.on[task] != "" {
+	if t.workerOf[task] != "" {
 		t.ranTwice++
 	}
-	t.on[task] = worker
+	t.workerOf[task] = worker
 	team := t.teams[job.Team]
 	if team.used += job.CPUs; team.used > team.Limit+limitTolerance {
 		team.overLimit++
@@ -181,7 +181,7 @@
 	uid, number, _ := wire.ParseTask(task) // it was started
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.on, task)
+	delete(t.workerOf, task)
 	job := t.jobs[uid]
 	team := t.teams[job.Team]
 	team.used -= job.CPUs
@@ -201,7 +201,7 @@
 	defer t.mu.Unlock()
 	r := t.recoveryOf(event)
 	r.workers += len(workers)
-	for task, worker := range t.on {
+	for task, worker := range t.workerOf {
 		if workers[worker] {
 			r.tasks++
 			t.lost[task] = lostTask{time.Now(), r}
@@ -227,7 +227,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for task := range t.lost {
-		if workers[t.on[task]] {
+		if workers[t.workerOf[task]] {
 			t.restored(task)
 		}
 	}
@@ -272,7 +272,7 @@
 	for _, team := range t.teams {
 		unfinished += team.requested - team.completed
 	}
-	return len(t.on), unfinished
+	return len(t.workerOf), unfinished
 }
 
 // responded notes the response to a user who submitted a job or polls it.
--- a/internal/worker/state_test.go
+++ b/internal/worker/state_test.go
@@ -61,6 +61,7 @@
 	return process, nil
 }
 
+// finish ends the process, with code 0 if ok.
 func (p *fakeProcess) finish(ok bool) {
 	p.site.mu.Lock()
 	if p.site.running[p.task] == p {
@@ -88,9 +89,8 @@
 	Old                              bool
 }
 
-// Kinds of steps; those below are commands.
+// Kinds of steps; those up to stepForget, and above stepOutage, are commands.
 const (
-	stepStop   = 3
 	stepForget = 4
 	stepFinish = 5 // a process ends
 	stepOutage = 6 // of the description service, or its end
