--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -25,8 +25,10 @@
 	if err != nil || len(rows) != 2 || rows["a.x"] != (Row{"a.x", 1024, 2.5, true}) || rows["a.y"] != (Row{"a.y", 0, -1, false}) {
 		t.Errorf("%+v, %v", rows, err)
 	}
-	for _, bad := range []string{"| `a.x` | b | 1 | ? | 1 | 0 | exact |", "| `a.x` | b | 1 | 1 | 2 to 3 | 0 | exact |", "| `a.x` | b | 1 | 1 | 1 | 0 | about |",
-		"| `a.x` | b | 1 | 1 | 1 | 0 | exact |\n| `a.x` | b | 1 | 1 | 1 | 0 | exact |"} {
+	for _, bad := range []string{
+		"| `a.x` | b | 1 | ? | 1 | 0 | exact |", "| `a.x` | b | 1 | 1 | 2 to 3 | 0 | exact |", "| `a.x` | b | 1 | 1 | 1 | 0 | about |",
+		"| `a.x` | b | 1 | 1 | 1 | 0 | exact |\n| `a.x` | b | 1 | 1 | 1 | 0 | exact |",
+	} {
 		if _, err := ParsePage(header + bad); err == nil || !strings.Contains(err.Error(), "line ") || !strings.Contains(err.Error(), "a.x") {
 			t.Errorf("%s: %v", bad, err)
 		}
@@ -40,9 +42,16 @@
 		fixed, slope, slack float64
 		fails               bool
 	}{
-		{100, 10, 0, false}, {109, 10.9, 0, false}, {91, 9.1, 0, false},
-		{100, 11.1, 0, true}, {111, 10, 0, true}, {100, 8.9, 0, true}, {89, 10, 0, true},
-		{111, 10, 15, false}, {116, 10, 15, true}, {100, 11.1, 15, true},
+		{100, 10, 0, false},
+		{109, 10.9, 0, false},
+		{91, 9.1, 0, false},
+		{100, 11.1, 0, true},
+		{111, 10, 0, true},
+		{100, 8.9, 0, true},
+		{89, 10, 0, true},
+		{111, 10, 15, false},
+		{116, 10, 15, true},
+		{100, 11.1, 15, true},
 	} {
 		if err := compare(row, Line{Fixed: c.fixed, Slope: c.slope}, c.slack); (err != nil) != c.fails {
 			t.Errorf("%+v: %v", c, err)
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -118,12 +118,12 @@
 	}
 }
 
-// Heap returns the bytes of live heap that what make returns takes.
-func Heap(make func() any) float64 {
+// Heap returns the bytes of live heap that what create returns takes.
+func Heap(create func() any) float64 {
 	before := liveHeap()
-	made := make()
+	created := create()
 	after := liveHeap()
-	runtime.KeepAlive(made)
+	runtime.KeepAlive(created)
 	return float64(after) - float64(before)
 }
 
