--- a/internal/submission/intake.go
+++ b/internal/submission/intake.go
@@ -240,9 +240,30 @@
 	if rep.Status == 0 && !rep.Busy {
 		rep = in.elsewhere(ctx, req)
 	}
+	if rep.Status == http.StatusOK && rep.State.Stage == wire.StageQueued {
+		rep = in.refinedByLeader(ctx, req, rep)
+	}
 	in.reply(w, rep)
 }
 
+// refineWithin limits the time for all leaders together: a poll has a response already, which they can only
+// make newer.
+const refineWithin = 300 * time.Millisecond
+
+// refinedByLeader returns what a leader adds to a polled job's stored state, or stored itself. While a
+// cancel's outcome is pending the leader does not respond to VerbKnown, and the state service has a living
+// job as queued: a poll at another controller called a running job queued for up to 5 s.
+func (in *Service) refinedByLeader(ctx context.Context, poll Request, stored Reply) Reply {
+	ctx, cancel := context.WithTimeout(ctx, refineWithin)
+	defer cancel()
+	for _, leader := range in.peers.ShardOwners() {
+		if rep, ok := in.ask(ctx, leader, poll); ok && rep.Status == http.StatusOK && rep.State.Stage != wire.StageQueued {
+			return rep
+		}
+	}
+	return stored
+}
+
 // VerbKnown asks an owner for what it has of jobs in memory.
 const VerbKnown = "known"
 
--- /dev/null
+++ b/internal/submission/refined_poll_test.go
@@ -0,0 +1,54 @@
+package submission_test
+
+import (
+	"context"
+	"net/http"
+	"testing"
+
+	"github.com/wallrack/wallrack/internal/submission"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+// unsureLeader is a peer that leads a job with a pending cancel: it has no state of it that surely is
+// current, and responds to a poll with what it read in the state service and knows of the job's tasks.
+type unsureLeader struct {
+	*stub
+	stage string // in its response to a poll
+	polls int
+}
+
+func (l *unsureLeader) ShardOwners() []string { return []string{"b"} }
+
+func (l *unsureLeader) AskPeer(_ context.Context, _ string, r submission.Request) (*submission.Reply, error) {
+	switch r.Verb {
+	case submission.VerbKnown:
+		return &submission.Reply{Status: http.StatusOK, States: make([]wire.JobState, len(r.UIDs))}, nil
+	case submission.VerbPoll:
+		l.polls++
+		return &submission.Reply{Status: http.StatusOK, State: wire.JobState{UID: r.UID, Stage: l.stage, Running: 1}}, nil
+	}
+	return &submission.Reply{}, nil
+}
+
+// While a cancel is pending the leader is not sure of a running job, and the state service has it as
+// queued: a poll at another controller responds with what the leader knows of its tasks.
+func TestPollDuringPendingCancelIsRefinedByLeader(t *testing.T) {
+	s, in, ask := serve(t)
+	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
+		t.Fatalf("submission: %d", status)
+	}
+	leader := &unsureLeader{stub: s}
+	in.SetPeers(leader)
+	for _, stage := range []string{wire.StageRunning, wire.StageCancelled, wire.StageDone, wire.StageQueued} {
+		leader.stage = stage
+		if status, _, st := ask(http.MethodGet, "/api/jobs/j-7", ""); status != http.StatusOK || st.Stage != stage {
+			t.Errorf("the leader says %s: %d %+v", stage, status, st)
+		}
+	}
+	if leader.polls != 4 {
+		t.Errorf("%d polls came to the leader", leader.polls)
+	}
+	if status, _, _ := ask(http.MethodGet, "/api/jobs/j-1", ""); status != http.StatusNotFound || leader.polls != 4 {
+		t.Errorf("a job that nobody submitted: %d, %d polls came to the leader", status, leader.polls)
+	}
+}
