--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -106,7 +106,8 @@
 	connectionLimits map[string]int            // workers that a controller has connections for; nil: all fit
 	loseViews        func(from, to *node) bool // whether a message about machines, or its reply, is lost; nil: none
 
-	onStart func(k *testkit.Worker, task string, attempt uint64) // a task starts; nil: nobody looks
+	onStart  func(k *testkit.Worker, task string, attempt uint64) // a task starts; nil: nobody looks
+	onReport func(rep *wire.Report)                               // sees a report that arrives at a controller; nil: nobody
 
 	specs        map[string]*wire.Job     // jobs that were submitted
 	startsOf     map[string]int           // tasks started so far, by job
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -38,6 +38,9 @@
 		w.mu.Unlock()
 		return
 	}
+	if w.onReport != nil {
+		w.onReport(rep)
+	}
 	status, body := n.dispatcher.HandleReport(context.Background(), rep)
 	answered := time.Now()
 	w.travel()
