--- /dev/null
+++ b/internal/testkit/cluster_checks_test.go
@@ -0,0 +1,38 @@
+package testkit_test
+
+import (
+	"strings"
+	"time"
+)
+
+func (w *cluster) check() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	on := map[string]string{}
+	use := teamUse{}
+	for _, k := range w.workers {
+		for _, task := range k.On() {
+			uid, _, _ := strings.Cut(task, "/")
+			if job := w.specs[uid]; job != nil {
+				use[job.Team] += job.CPUs
+			}
+			if at, cancelled := w.confirmedCancels[uid]; cancelled && time.Since(at).Seconds() > w.cfg.Params.Workers.CancelS {
+				w.fail("%s is on %s %v after its user heard that it is cancelled", task, k.Name, time.Since(at))
+			}
+			if other, twice := on[task]; twice {
+				w.fail("%s is on %s and %s", task, other, k.Name)
+			}
+			on[task] = k.Name
+		}
+	}
+	w.checkLimits(use)
+}
+
+// checkLimits fails if a team uses more than its limit, by what its workers have.
+func (w *cluster) checkLimits(use teamUse) {
+	for _, team := range w.cfg.Params.Teams {
+		if cpus := use[team.Name]; team.CPUsMax > 0 && cpus > team.CPUsMax+cpuTolerance {
+			w.fail("team %s uses %v CPUs of %v", team.Name, cpus, team.CPUsMax)
+		}
+	}
+}
--- /dev/null
+++ b/internal/testkit/cluster_jobs_test.go
@@ -0,0 +1,102 @@
+package testkit_test
+
+import (
+	"context"
+	"hash/fnv"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/wallrack/wallrack/internal/jobrecord"
+	"github.com/wallrack/wallrack/internal/jobspec"
+	"github.com/wallrack/wallrack/internal/quota"
+	"github.com/wallrack/wallrack/internal/testkit"
+	"github.com/wallrack/wallrack/internal/wire"
+)
+
+func (w *cluster) submit(uid string, tasks int) { w.submitWith(uid, tasks, nil) }
+
+// arrayJob describes an array of one-CPU tasks.
+func arrayJob(uid string, tasks int) *wire.Job {
+	return &wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
+		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 4, Spot: true}
+}
+
+func (w *cluster) submitWith(uid string, tasks int, t *jobspec.Constraints) {
+	w.submitJob(arrayJob(uid, tasks), t)
+}
+
+// submitJob records an accepted job.
+func (w *cluster) submitJob(job *wire.Job, t *jobspec.Constraints) {
+	w.mu.Lock()
+	w.specs[job.UID] = job
+	w.mu.Unlock()
+	guards, ops := jobrecord.AcceptanceTxn(job, t, quota.AssignShard(job, w.cfg.Params.Teams, w.operator()), time.Now().UnixMilli())
+	clean := &testkit.View{Store: w.store}
+	if _, err := clean.Txn(context.Background(), guards, ops...); err != nil {
+		w.t.Fatal(err)
+	}
+}
+
+// taskTime is how long a task runs.
+func taskTime(task string) time.Duration { return time.Duration(1+len(task)%3) * 3 * time.Second }
+
+// variedTime is how long a task runs where tasks shall not end in waves.
+func variedTime(task string) time.Duration {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(task)) // never fails
+	return time.Duration(2000+h.Sum64()>>8%7000) * time.Millisecond
+}
+
+// long makes the tasks of jobs from 80 on run for long.
+func (w *cluster) long() {
+	for _, k := range w.workers {
+		k.Run = func(task string) time.Duration {
+			if strings.HasPrefix(task, "j-8") || strings.HasPrefix(task, "j-9") {
+				return 30 * time.Minute
+			}
+			return variedTime(task)
+		}
+	}
+}
+
+// ended reports whether jobs ended.
+func (w *cluster) ended(uids ...string) func() bool {
+	return func() bool {
+		keys := w.store.Keys("final/")
+		return !slices.ContainsFunc(uids, func(uid string) bool { return !slices.Contains(keys, "final/"+uid) })
+	}
+}
+
+// onMachines counts the tasks of a job that are on.
+func (w *cluster) onMachines(uid string) (n int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, k := range w.workers {
+		for _, task := range k.On() {
+			if strings.HasPrefix(task, uid+"/") {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// job submits an array job. Tasks of jobs from 80 on run for long.
+func (w *cluster) job(uid, team, priority string, tasks int, cpus float64) {
+	job := arrayJob(uid, tasks)
+	job.Team, job.Priority, job.CPUs = team, priority, cpus
+	w.submitJob(job, nil)
+}
+
+// machinesOf lists the machines with tasks of a job.
+func (w *cluster) machinesOf(uid string) (ks []*testkit.Worker) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, k := range w.workers {
+		if slices.ContainsFunc(k.On(), func(task string) bool { return strings.HasPrefix(task, uid+"/") }) {
+			ks = append(ks, k)
+		}
+	}
+	return ks
+}
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -12,18 +12,12 @@
 	"strings"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"github.com/wallrack/wallrack/internal/cancellation"
 	"github.com/wallrack/wallrack/internal/config"
 	"github.com/wallrack/wallrack/internal/dispatch"
-	"github.com/wallrack/wallrack/internal/jobrecord"
-	"github.com/wallrack/wallrack/internal/jobspec"
 	"github.com/wallrack/wallrack/internal/membership"
-	"github.com/wallrack/wallrack/internal/quota"
 	"github.com/wallrack/wallrack/internal/scheduler"
 	"github.com/wallrack/wallrack/internal/submission"
 	"github.com/wallrack/wallrack/internal/testkit"
@@ -226,52 +220,6 @@
 	return op
 }
 
-// drawn asks a trouble that may begin and end at any time.
-func (w *cluster) drawn(f *func() time.Duration) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if *f == nil {
-		return 0
-	}
-	return (*f)()
-}
-
-// travel lets the time pass that a message takes one way.
-func (w *cluster) travel() {
-	if d := w.drawn(&w.transit) + w.drawn(&w.messageDelay); d > 0 {
-		time.Sleep(d)
-	}
-}
-
-func (w *cluster) crash(name string) {
-	w.mu.Lock()
-	n := w.nodes[name]
-	n.down = true
-	w.mu.Unlock()
-	n.stop()
-	<-n.done
-}
-
-// restart ends a controller that runs, and starts it again; false if it is down.
-func (w *cluster) restart(name string, after time.Duration) bool {
-	if w.nodes[name].down {
-		return false
-	}
-	w.crash(name)
-	time.Sleep(after)
-	w.start(name)
-	return true
-}
-
-// startAll starts the controllers that are down.
-func (w *cluster) startAll() {
-	for _, n := range w.names {
-		if w.nodes[n].down {
-			w.start(n)
-		}
-	}
-}
-
 // others names the controllers but one.
 func (w *cluster) others(name string) []string {
 	return slices.DeleteFunc(slices.Clone(w.names), func(x string) bool { return x == name })
@@ -294,33 +242,6 @@
 	return w
 }
 
-// drawnCluster plays one drawn case on a new cluster, whose first broken rule fails the case
-// and not the whole test, so that a smaller case can be looked for.
-func drawnCluster(t *testing.T, rt *rapid.T, seed uint64, controllers, workers int, play func(w *cluster)) {
-	var w *cluster
-	synctest.Test(t, func(t *testing.T) {
-		w = newCluster(t, seed)
-		w.fail = func(format string, args ...any) {
-			if w.violation == "" {
-				w.violation = fmt.Sprintf(format, args...)
-			}
-		}
-		w.bigger(controllers, workers)
-		for _, n := range w.names {
-			w.start(n)
-		}
-		time.Sleep(2 * time.Second)
-		play(w)
-		w.stopAll()
-	})
-	if w.violation != "" {
-		rt.Fatal(w.violation)
-	}
-}
-
-// taskTime is how long a task runs.
-func taskTime(task string) time.Duration { return time.Duration(1+len(task)%3) * 3 * time.Second }
-
 // join adds a worker that reports to the i-th controller first.
 func (w *cluster) join(k *testkit.Worker, i int) {
 	k.Held = w.checks.keepSender
@@ -341,138 +262,3 @@
 	w.byName[k.Name] = k
 	w.dispatcherOf[k] = i
 }
-
-func (w *cluster) submit(uid string, tasks int) { w.submitWith(uid, tasks, nil) }
-
-// arrayJob describes an array of one-CPU tasks.
-func arrayJob(uid string, tasks int) *wire.Job {
-	return &wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
-		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 4, Spot: true}
-}
-
-func (w *cluster) submitWith(uid string, tasks int, t *jobspec.Constraints) {
-	w.submitJob(arrayJob(uid, tasks), t)
-}
-
-// submitJob records an accepted job.
-func (w *cluster) submitJob(job *wire.Job, t *jobspec.Constraints) {
-	w.mu.Lock()
-	w.specs[job.UID] = job
-	w.mu.Unlock()
-	guards, ops := jobrecord.AcceptanceTxn(job, t, quota.AssignShard(job, w.cfg.Params.Teams, w.operator()), time.Now().UnixMilli())
-	clean := &testkit.View{Store: w.store}
-	if _, err := clean.Txn(context.Background(), guards, ops...); err != nil {
-		w.t.Fatal(err)
-	}
-}
-
-// draw draws a number for the test's own course. As long as only the goroutine that plays the
-// test asks, the faults and requests of a seed come at the same times in every run, whatever
-// the order in which the controllers' goroutines send their messages. Tests with several users
-// ask from a goroutine of each.
-func (w *cluster) draw(n int) int {
-	w.planMu.Lock()
-	defer w.planMu.Unlock()
-	return w.plan.IntN(n)
-}
-
-// chance draws a number for the fate of a message, from any goroutine.
-func (w *cluster) chance(n int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.rnd.IntN(n)
-}
-
-// trouble starts or ends one trouble.
-func (w *cluster) trouble() {
-	name := w.names[w.draw(len(w.names))]
-	switch w.draw(6) {
-	case 0:
-		if !w.nodes[name].down {
-			w.crash(name)
-			time.Sleep(time.Duration(w.draw(6)) * time.Second)
-			w.start(name)
-		}
-	case 1:
-		w.mu.Lock()
-		off := !w.brokenLinks[[2]string{name, name}] // that link means nothing: it remembers
-		w.brokenLinks[[2]string{name, name}] = off
-		for _, other := range w.names {
-			w.brokenLinks[[2]string{name, other}], w.brokenLinks[[2]string{other, name}] = off, off
-		}
-		w.mu.Unlock()
-	case 2:
-		w.mu.Lock()
-		w.brokenLinks[[2]string{name, stateService}] = !w.brokenLinks[[2]string{name, stateService}]
-		w.mu.Unlock()
-	case 3:
-		w.release()
-	case 4:
-		for _, n := range w.names {
-			w.nodes[n].view.Deliver()
-		}
-	}
-}
-
-// step lets a time between reports pass, with troubles until it is calm.
-func (w *cluster) step(calm time.Time) {
-	time.Sleep(reportEvery)
-	w.check()
-	w.exchange()
-	w.publish()
-	w.checkWaits()
-	if time.Now().Before(calm) {
-		if w.draw(4) == 0 {
-			w.trouble()
-		}
-		return
-	}
-	if !w.keepCuts {
-		w.healed()
-	}
-}
-
-// TestNoTaskRunsTwiceUnderDrawnFaults drives controllers through crashes, cuts, lost and
-// late transactions, lost and late orders: a task is never on two machines,
-// every accepted job ends, and none is called done before all its tasks are.
-func TestNoTaskRunsTwiceUnderDrawnFaults(t *testing.T) {
-	for seed := uint64(1); seed <= 12; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				w := newCluster(t, seed)
-				for _, n := range []string{"a", "b", "c"} {
-					w.start(n)
-				}
-				time.Sleep(2 * time.Second)
-				const jobs = 6
-				for i := range jobs {
-					w.submit(fmt.Sprintf("j-%d", i), 4+3*i)
-				}
-				deadline := time.Now().Add(20 * time.Minute)
-				calm := time.Now().Add(2 * time.Minute)
-				for len(w.store.Keys("final/")) < jobs {
-					if time.Now().After(deadline) {
-						t.Fatalf("only %v ended", w.store.Keys("final/"))
-					}
-					w.reportAll()
-					w.step(calm)
-				}
-				clean := &testkit.View{Store: w.store}
-				for i := range jobs {
-					s, err := scheduler.StoredState(context.Background(), clean, fmt.Sprintf("j-%d", i))
-					if err != nil || s.Stage != wire.StageDone || s.Done != 4+3*i {
-						t.Errorf("job %d: %+v, %v", i, s, err)
-					}
-				}
-				for _, k := range w.store.Keys("task/") {
-					if !strings.HasPrefix(k, "task/j-") {
-						t.Errorf("stray key %s", k)
-					}
-				}
-				for _, n := range []string{"a", "b", "c"} {
-					w.crash(n)
-				}
-			})
-		})
-	}
-}
--- a/internal/testkit/on_cluster_test.go
+++ b/internal/testkit/on_cluster_test.go
@@ -1,8 +1,6 @@
 package testkit_test
 
 import (
-	"slices"
-	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -58,14 +56,6 @@
 	return holds()
 }
 
-// ended reports whether jobs ended.
-func (w *cluster) ended(uids ...string) func() bool {
-	return func() bool {
-		keys := w.store.Keys("final/")
-		return !slices.ContainsFunc(uids, func(uid string) bool { return !slices.Contains(keys, "final/"+uid) })
-	}
-}
-
 // sessions sums the sessions of all workers: it grows by one with each lease that ends.
 func (w *cluster) sessions() (sum int) {
 	w.mu.Lock()
@@ -90,16 +80,28 @@
 	return w.nodes[name].down
 }
 
-// onMachines counts the tasks of a job that are on.
-func (w *cluster) onMachines(uid string) (n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, k := range w.workers {
-		for _, task := range k.On() {
-			if strings.HasPrefix(task, uid+"/") {
-				n++
-			}
+// step lets a time between reports pass, with troubles until it is calm.
+func (w *cluster) step(calm time.Time) {
+	time.Sleep(reportEvery)
+	w.check()
+	w.exchange()
+	w.publish()
+	w.checkWaits()
+	if time.Now().Before(calm) {
+		if w.draw(4) == 0 {
+			w.trouble()
 		}
+		return
+	}
+	if !w.keepCuts {
+		w.healed()
+	}
+}
+
+// live lets seconds pass, with no troubles drawn and nothing healed.
+func (w *cluster) live(seconds int) {
+	for range seconds {
+		w.reportAll()
+		w.step(time.Time{}.Add(1))
 	}
-	return n
 }
--- a/internal/testkit/partitions_test.go
+++ b/internal/testkit/partitions_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"hash/fnv"
 	"slices"
 	"testing"
 	"testing/synctest"
@@ -16,22 +15,6 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// variedTime is how long a task runs where tasks shall not end in waves.
-func variedTime(task string) time.Duration {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(task)) // never fails
-	return time.Duration(2000+h.Sum64()>>8%7000) * time.Millisecond
-}
-
-// cutAll breaks the links from one party to others, and back.
-func (w *cluster) cutAll(one string, others ...string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, o := range others {
-		w.brokenLinks[[2]string{one, o}], w.brokenLinks[[2]string{o, one}] = true, true
-	}
-}
-
 func (w *cluster) workerNames() (names []string) {
 	for _, k := range w.workers {
 		names = append(names, k.Name)
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"net/http"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/wallrack/wallrack/internal/testkit"
@@ -77,29 +76,6 @@
 	}
 }
 
-func (w *cluster) check() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	on := map[string]string{}
-	use := teamUse{}
-	for _, k := range w.workers {
-		for _, task := range k.On() {
-			uid, _, _ := strings.Cut(task, "/")
-			if job := w.specs[uid]; job != nil {
-				use[job.Team] += job.CPUs
-			}
-			if at, cancelled := w.confirmedCancels[uid]; cancelled && time.Since(at).Seconds() > w.cfg.Params.Workers.CancelS {
-				w.fail("%s is on %s %v after its user heard that it is cancelled", task, k.Name, time.Since(at))
-			}
-			if other, twice := on[task]; twice {
-				w.fail("%s is on %s and %s", task, other, k.Name)
-			}
-			on[task] = k.Name
-		}
-	}
-	w.checkLimits(use)
-}
-
 // keptCopies is how many reports may be delivered late: those of a minute or so.
 const keptCopies = 800
 
--- a/internal/testkit/team_limits_check_test.go
+++ b/internal/testkit/team_limits_check_test.go
@@ -15,15 +15,6 @@
 // teamUse is the CPUs that each team's tasks take on machines.
 type teamUse map[string]float64
 
-// checkLimits fails if a team uses more than its limit, by what its workers have.
-func (w *cluster) checkLimits(use teamUse) {
-	for _, team := range w.cfg.Params.Teams {
-		if cpus := use[team.Name]; team.CPUsMax > 0 && cpus > team.CPUsMax+cpuTolerance {
-			w.fail("team %s uses %v CPUs of %v", team.Name, cpus, team.CPUsMax)
-		}
-	}
-}
-
 // allows reports whether the job's team may use one more task of it.
 func (use teamUse) allows(teams []config.Team, job *wire.Job) bool {
 	return !slices.ContainsFunc(teams, func(t config.Team) bool {
--- a/internal/testkit/unresponsive_workers_test.go
+++ b/internal/testkit/unresponsive_workers_test.go
@@ -7,7 +7,6 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/wallrack/wallrack/internal/testkit"
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
@@ -38,32 +37,6 @@
 	return w, owner, others, live
 }
 
-// live lets seconds pass, with no troubles drawn and nothing healed.
-func (w *cluster) live(seconds int) {
-	for range seconds {
-		w.reportAll()
-		w.step(time.Time{}.Add(1))
-	}
-}
-
-func (w *cluster) stopAll() {
-	for _, n := range w.names {
-		if !w.nodes[n].down {
-			w.crash(n)
-		}
-	}
-}
-
-// unheard breaks the links from controllers to a worker, not those back: its reports
-// arrive, answers and commands do not.
-func (w *cluster) unheard(k *testkit.Worker, by ...string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, n := range by {
-		w.brokenLinks[[2]string{n, k.Name}] = true
-	}
-}
-
 // Machines whose reports arrive and which no answer and no command reaches must not
 // take one start after the other for nothing: by one machine, by a tenth, by all that
 // the owner reaches, by all. What runs goes on, those that nothing reaches are
