--- a/internal/testkit/autoscaled_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -31,13 +31,13 @@
 	hirePath  = "/hosts"
 )
 
-// rentedCluster is a cluster whose machines are rented from a stand-in cloud by the
+// rentedCluster is a cluster whose machines are provisioned from a stand-in cloud by the
 // controllers' own fleet code.
 type rentedCluster struct {
 	*cluster
 	handler http.Handler
 
-	boot      time.Duration // from a machine's rental to its first report
+	boot      time.Duration // from a machine's provisioning to its first report
 	lag       time.Duration // how old the cloud's list is
 	listTakes time.Duration // how long the cloud's list takes to come
 
@@ -45,14 +45,14 @@
 	outageUntil time.Time // until when the cloud rents nothing
 	booting     []bootingMachine
 	ended       map[string]bool
-	asked       map[string]int      // by the hire's name
-	rented      map[string][]string // by the hire's name
-	answered    map[string]bool     // hires whose asker had the answer
+	asked       map[string]int      // by the provision request's name
+	rented      map[string][]string // by the provision request's name
+	answered    map[string]bool     // provision requests whose asker had the answer
 	lists       []datedList
-	slow        time.Duration // how long the answer to a repeated hire takes; the first is lost
+	slow        time.Duration // how long the answer to a repeated provision request takes; the first is lost
 }
 
-// bootingMachine is a rented machine, and when it is up.
+// bootingMachine is a provisioned machine, and when it is up.
 type bootingMachine struct {
 	worker *testkit.Worker
 	up     time.Time
@@ -65,7 +65,7 @@
 }
 
 // newRentedCluster returns a cluster without machines, whose machines are up at the next
-// report after they were rented.
+// report after they were provisioned.
 func newRentedCluster(t *testing.T, seed uint64) *rentedCluster {
 	c := newSlowlyRentedCluster(t, seed, quickBoot)
 	c.boot = 0
@@ -172,7 +172,7 @@
 	}
 }
 
-// fleetOwner is the owner as the fleet sees it. No machine of these tests is lost.
+// fleetOwner is the leader as the fleet sees it. No machine of these tests is lost.
 type fleetOwner struct {
 	c *rentedCluster
 	*scheduler.Scheduler
@@ -251,7 +251,7 @@
 	return time.Now().Before(c.outageUntil)
 }
 
-// wait lets the time pass that the answer to a hire takes.
+// wait lets the time pass that the answer to a provision request takes.
 func (c *rentedCluster) wait(ctx context.Context, name string) error {
 	c.cloudMu.Lock()
 	slow, first := c.slow, c.asked[name] == 1
@@ -267,7 +267,7 @@
 	}
 }
 
-// hire carries a hire out, and checks that it was recorded before.
+// hire carries a provision request out, and checks that it was recorded before.
 func (c *rentedCluster) hire(rec *httptest.ResponseRecorder, req *http.Request) string {
 	body, err := io.ReadAll(req.Body)
 	var h wire.HireRequest
@@ -310,7 +310,7 @@
 	return rec
 }
 
-// machines counts those that were rented, and those that are still there.
+// machines counts those that were provisioned, and those that are still there.
 func (c *rentedCluster) machines() (rented, there int) {
 	c.cloudMu.Lock()
 	for _, names := range c.rented {
@@ -326,7 +326,7 @@
 	return rented, len(list.Machines)
 }
 
-// hires names the hires that were asked for.
+// hires names the provision requests that were asked for.
 func (c *rentedCluster) hires() (names []string) {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
@@ -336,7 +336,7 @@
 	return names
 }
 
-// times is how often a hire was asked for.
+// times is how often a provision request was asked for.
 func (c *rentedCluster) times(name string) int {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
@@ -362,7 +362,7 @@
 	c.run(3*time.Second, nil)
 }
 
-// finish waits until the jobs ended and all machines were returned.
+// finish waits until the jobs ended and all machines were deleted.
 func (c *rentedCluster) finish(uids ...string) {
 	c.startAll()
 	if !c.run(4*time.Minute, c.cluster.ended(uids...)) {
--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/testkit"
 )
 
-// endRace is a cluster, without any trouble, in which users cancel jobs, ask for them and
+// endRace is a cluster, without any fault, in which users cancel jobs, ask for them and
 // repeat their submissions about the time at which their last tasks end.
 type endRace struct {
 	*closeUsers
@@ -135,7 +135,7 @@
 
 // A cancel, questions and a repeated submission come at the end of a job's last task, in
 // 1,000 drawn interleavings at one and at two controllers, with the latencies of the state
-// service, of watches and of links down to a millisecond, and no other trouble. A job is
+// service, of watches and of links down to a millisecond, and no other fault. A job is
 // either done or cancelled, to everybody and for ever, and nothing of it starts after a
 // confirmed cancel.
 func TestCancelAtEndOfLastTaskIsFinal(t *testing.T) {
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -10,7 +10,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A cancel recorded behind the owner's back let the owner, whose watch lagged,
+// A cancel recorded behind the leader's back let the leader, whose watch lagged,
 // call the job running after its user had heard that it was cancelled.
 func TestCancelRecordedElsewhereIsSeenByLaggingLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -22,22 +22,22 @@
 		time.Sleep(2 * time.Second)
 		w.submit("j-1", 3)
 		time.Sleep(time.Second)
-		chief := w.nodes["a"].member.ShardOwners()[0]
+		leader := w.nodes["a"].member.ShardOwners()[0]
 		for name, n := range w.nodes {
-			if name == chief {
+			if name == leader {
 				continue
 			}
 			if s, err := n.scheduler.Cancel(context.Background(), "j-1"); err == nil {
 				t.Errorf("%s is not the owner and says %+v", name, s)
 			}
 		}
-		if s, ok := w.nodes[chief].scheduler.LocalState("j-1"); !ok || s.Stage != wire.StageQueued {
+		if s, ok := w.nodes[leader].scheduler.LocalState("j-1"); !ok || s.Stage != wire.StageQueued {
 			t.Errorf("the owner says %+v, %v", s, ok)
 		}
-		if s, err := w.nodes[chief].scheduler.Cancel(context.Background(), "j-1"); err != nil || s.Stage != wire.StageCancelled {
+		if s, err := w.nodes[leader].scheduler.Cancel(context.Background(), "j-1"); err != nil || s.Stage != wire.StageCancelled {
 			t.Errorf("the owner says %+v, %v", s, err)
 		}
-		if s, ok := w.nodes[chief].scheduler.LocalState("j-1"); ok && s.Stage != wire.StageCancelled {
+		if s, ok := w.nodes[leader].scheduler.LocalState("j-1"); ok && s.Stage != wire.StageCancelled {
 			t.Errorf("after the cancel the owner says %+v", s)
 		}
 		for _, n := range []string{"a", "b", "c"} {
@@ -80,7 +80,7 @@
 			if outage {
 				w.refuse(w.names...)
 			}
-			for range 3 { // less than a lease, after which no owner answers from memory in an outage
+			for range 3 { // less than a lease, after which no leader answers from memory in an outage
 				for _, name := range w.names {
 					if stage, heard := w.user(name, http.MethodGet, "j-80"); !heard || stage != wire.StageRunning {
 						t.Errorf("outage %v: %s calls the job %q, %v", outage, name, stage, heard)
--- a/internal/testkit/cancel_transfer_test.go
+++ b/internal/testkit/cancel_transfer_test.go
@@ -17,7 +17,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Steps of a hand-over, as the store and the taker show them.
+// Steps of a transfer, as the store and the taker show them.
 const (
 	stepPending = "pending" // called, and not carried out: the giver owns nothing any more
 	stepUntold  = "untold"  // carried out, and the taker's watch has not told of it
@@ -39,7 +39,7 @@
 	lateStarts          []string    // tasks that started after their users had heard of the cancel
 }
 
-// step tells how far the hand-over has come.
+// step tells how far the transfer has come.
 func (h *handOver) step() string {
 	it, err := (&testkit.View{Store: h.store}).Get(context.Background(), "c/shard/000")
 	var record struct {
@@ -63,7 +63,7 @@
 	return stepLoaded
 }
 
-// cancelIn has a user cancel a job at a controller while the hand-over is at a step, and
+// cancelIn has a user cancel a job at a controller while the transfer is at a step, and
 // reports whether its user heard that it is cancelled.
 func (h *handOver) cancelIn(step, at, uid string) bool {
 	if got := h.step(); got != step {
@@ -77,7 +77,7 @@
 	return heard && stage == wire.StageCancelled
 }
 
-// begin has the giver hand over; the transaction is held for a time before it is carried out.
+// begin has the giver transfer its shards; the transaction is held for a time before it is carried out.
 func (h *handOver) begin(held time.Duration) {
 	sending := h.nodes[h.giver].view.Sending.Get()
 	h.nodes[h.giver].view.Sending.Set(func(txn wire.Txn) {
@@ -128,7 +128,7 @@
 	})
 }
 
-// until waits, without letting workers report, until the hand-over is at a step.
+// until waits, without letting workers report, until the transfer is at a step.
 func (h *handOver) until(step string) {
 	for range 1000 {
 		if h.step() == step {
@@ -144,7 +144,7 @@
 	return state.Stage, err
 }
 
-// A cancel meets each step of a hand-over, at the giver, at the taker and at a third
+// A cancel meets each step of a transfer, at the giver, at the taker and at a third
 // controller. Where nobody may answer for the shard it is refused; once it is confirmed it
 // is final at every controller: no task of the job starts afterwards, and all are gone in
 // time, however the load of the shard and the list of cancels follow each other.
@@ -347,7 +347,7 @@
 	}
 }
 
-// running counts the tasks of all jobs that are on machines.
+// running counts the tasks of all jobs that are on workers.
 func (h *handOver) running() (n int) {
 	for _, uid := range h.jobs {
 		n += h.onMachines(uid)
@@ -355,7 +355,7 @@
 	return n
 }
 
-// settle ends the trouble, has users come back until they hear of their cancels, and checks
+// settle ends the fault, has users come back until they hear of their cancels, and checks
 // that nothing of the jobs starts or is on any more, and that nobody says anything else.
 func (h *handOver) settle() {
 	h.t.Helper()
--- a/internal/testkit/capacity_test.go
+++ b/internal/testkit/capacity_test.go
@@ -10,7 +10,7 @@
 
 const loadFor = 2 * time.Second
 
-// loaded is the processor time of a report of one of so many machines when nothing starts,
+// loaded is the processor time of a report of one of so many workers when nothing starts,
 // and of a start with its share of all that a controller does: grants, passes, records,
 // ends; see BenchmarkLoad. The workers' end of the connections is in both.
 func loaded(tb testing.TB, machines int) (ofReport, ofStart float64) {
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -48,7 +48,7 @@
 	return &r.Job, &r.Terms
 }
 
-// workload plays a workload on one machine, its jobs made by make, which may differ
+// workload plays a workload on one worker, its jobs made by make, which may differ
 // from job to job, and returns the order of starts and the rows of accounting,
 // without the names that each client gives.
 func workload(t *testing.T, make func(n int) func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)) (starts, rows []string) {
--- a/internal/testkit/cluster_faults_test.go
+++ b/internal/testkit/cluster_faults_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// resume has machines that hang go on.
+// resume has workers that hang go on.
 func (w *cluster) resume(ks ...*testkit.Worker) {
 	for _, k := range ks {
 		w.mu.Lock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// drawn asks a trouble that may begin and end at any time.
+// drawn asks a fault that may begin and end at any time.
 func (w *cluster) drawn(f *func() time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,7 +149,7 @@
 	return w.rnd.IntN(n)
 }
 
-// trouble starts or ends one trouble.
+// trouble starts or ends one fault.
 func (w *cluster) trouble() {
 	name := w.names[w.draw(len(w.names))]
 	switch w.draw(6) {
--- a/internal/testkit/cluster_jobs_test.go
+++ b/internal/testkit/cluster_jobs_test.go
@@ -89,7 +89,7 @@
 	w.submitJob(job, nil)
 }
 
-// machinesOf lists the machines with tasks of a job.
+// machinesOf lists the workers with tasks of a job.
 func (w *cluster) machinesOf(uid string) (ks []*testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -42,7 +42,7 @@
 	return []wire.MachineType{m}
 }
 
-// cluster is three controllers, their store and some workers, with troubles
+// cluster is three controllers, their store and some workers, with faults
 // drawn from a fixed seed.
 type cluster struct {
 	t                testing.TB
@@ -64,31 +64,31 @@
 	started          time.Time                        // when a task last started
 	starts           int                              // tasks started so far
 	lastHeartbeats   map[string]heartbeatTime         // of each worker, by any controller
-	returnedMachines int                              // machines returned
-	unlisted         bool                             // the cloud's list tells no owner whom to ask
+	returnedMachines int                              // machines deleted
+	unlisted         bool                             // the cloud's list tells no leader whom to ask
 	losslessReports  bool                             // no report and no answer is lost by chance
 	reliableStore    bool                             // no transaction is lost or late by chance
-	promptCommands   bool                             // no direct order is lost or late by chance
+	promptCommands   bool                             // no direct command is lost or late by chance
 	keepCuts         bool                             // whether links stay cut when it is calm
 	storeLatency     func() time.Duration             // how long the state service's answers take; nil: no time
 	transactionDelay func() time.Duration             // how much later a transaction is carried out; nil: at once
 	losesResponse    func() bool                      // whether a transaction that is carried out gets no answer; nil: few
-	holdsCommand     func() bool                      // whether an order is held back; nil: some are
+	holdsCommand     func() bool                      // whether a command is held back; nil: some are
 	watchLag         func() time.Duration             // how much later a watch tells of a change; nil: at once
-	transit          func() time.Duration             // how long a message takes one way, orders and views aside; nil: no time
-	connecting       func() time.Duration             // how long a direct order waits for its connection; nil: no time
-	outdatedCommands int                              // direct orders that were not valid any more when their connection was there
+	transit          func() time.Duration             // how long a message takes one way, commands and views aside; nil: no time
+	connecting       func() time.Duration             // how long a direct command waits for its connection; nil: no time
+	outdatedCommands int                              // direct commands that were not valid any more when their connection was there
 	fail             func(format string, args ...any) // a rule is broken
 	violation        string                           // the first broken rule of a drawn case
 
-	lapses           int                  // controllers that stopped answering workers, although they have a term
+	lapses           int                  // controllers that stopped answering workers, although they have a fencing token
 	cleared          map[string]string    // tasks that were done and cleared, where
 	doneJobs         map[string]bool      // jobs whose user heard that they are done
 	confirmedCancels map[string]time.Time // jobs, by when their user first heard that they are cancelled
 
 	accounts       bool                                 // whether accounting rows are written
-	onInstructions func(d dispatch.Instructions)        // sees what owners tell holders, before it is on its way; nil: nobody
-	onCommands     func(endpoint string, o wire.Orders) // sees a direct order before it is on its way; nil: nobody
+	onInstructions func(d dispatch.Instructions)        // sees the instructions to dispatchers before they are on their way; nil: nobody
+	onCommands     func(endpoint string, o wire.Orders) // sees a direct command before it is on its way; nil: nobody
 
 	extraDuties func(n *node) []func(context.Context) error            // what else a controller runs; nil: nothing
 	leaderCount int                                                    // controllers that shards are spread over; 0: as the settings have it
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -12,9 +12,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A leader ends while machines with long tasks can't be reached, or hear no answer. Its
+// A leader ends while workers with long tasks can't be reached, or hear no answer. Its
 // successor can't settle those tasks: it starts none of them again, and all else goes
-// on at once. The machines come back one by one, within their lease or after it.
+// on at once. The workers come back one by one, within their lease or after it.
 func TestFailoverWhileWorkersAreUnreachable(t *testing.T) {
 	for _, deaf := range []bool{false, true} {
 		for seed := range uint64(3) {
@@ -222,7 +222,7 @@
 }
 
 // Old reports come again after newer ones, from earlier sessions and attempts, to a
-// controller that has just started, to a new owner and to a former holder: they end,
+// controller that has just started, to a new leader and to a former dispatcher: they end,
 // start and settle nothing.
 func TestStaleHeartbeatsAfterFailover(t *testing.T) {
 	for seed := range uint64(6) {
@@ -237,7 +237,7 @@
 						w.live(3)
 						continue
 					}
-					// A machine loses its lease, so that its tasks have later attempts.
+					// A worker loses its lease, so that its tasks have later attempts.
 					k := w.workers[w.draw(len(w.workers))]
 					w.cutAll(k.Name, w.names...)
 					w.live(13)
@@ -266,7 +266,7 @@
 	}
 }
 
-// Commands and their answers are held up for seconds or minutes, machines hang and go
+// Commands and their answers are held up for seconds or minutes, workers hang and go
 // on, leaders change in between: what was commanded under an old token or session does
 // nothing, and what is carried out late runs nowhere else.
 func TestDelayedCommandsChangeNothing(t *testing.T) {
@@ -279,7 +279,7 @@
 				late := 0
 				for round := range 8 {
 					k := w.workers[w.draw(len(w.workers))]
-					w.unheard(k, w.names...) // half of its orders are held up
+					w.unheard(k, w.names...) // half of its commands are held up
 					w.live(2 + w.draw(4))
 					if round%2 == 1 {
 						if first := w.leader(); first != "" {
--- a/internal/testkit/concurrent_polls_test.go
+++ b/internal/testkit/concurrent_polls_test.go
@@ -22,8 +22,8 @@
 	seen    *answerObserver
 	pending sync.WaitGroup
 
-	unloaded  atomic.Int64 // questions for jobs that were recorded, of which their owner had not heard
-	endKnown  atomic.Int64 // questions for jobs whose end was recorded, which their owner did not know to be
+	unloaded  atomic.Int64 // questions for jobs that were recorded, of which their leader had not heard
+	endKnown  atomic.Int64 // questions for jobs whose end was recorded, which their leader did not know to be
 	cancelled atomic.Int64 // questions for jobs recorded as cancelled, of which the asked controller had not heard
 	repeated  atomic.Int64 // submissions repeated after the end or a confirmed cancel
 	delayed   atomic.Int64 // answers that took longer than a second on their way
@@ -228,7 +228,7 @@
 	}
 }
 
-// closeScene is a trouble during which users look closely.
+// closeScene is a fault during which users look closely.
 type closeScene struct {
 	name  string
 	each  func(u *closeUsers, second int) // what happens each second
--- a/internal/testkit/constraints_test.go
+++ b/internal/testkit/constraints_test.go
@@ -134,7 +134,7 @@
 			t.Fatalf("a dependent job runs: %v", on)
 		}
 		if !dropped {
-			// Until an owner has taken it for sure.
+			// Until a leader has taken it for sure.
 			for _, n := range w.nodes {
 				tasks, _ := jobspec.ParseRanges("2-4")
 				if !n.down && n.scheduler.CancelTasks(context.Background(), "j-drop", tasks) == nil {
--- a/internal/testkit/drawn_faults_test.go
+++ b/internal/testkit/drawn_faults_test.go
@@ -40,7 +40,7 @@
 }
 
 // TestNoTaskRunsTwiceUnderDrawnFaults drives controllers through crashes, cuts, lost and
-// late transactions, lost and late orders: a task is never on two machines,
+// late transactions, lost and late commands: a task is never on two workers,
 // every accepted job ends, and none is called done before all its tasks are.
 func TestNoTaskRunsTwiceUnderDrawnFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
--- a/internal/testkit/drawn_team_limits_test.go
+++ b/internal/testkit/drawn_team_limits_test.go
@@ -13,22 +13,22 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// drawnTroubles are the troubles of a drawn case, of which each second some begin and
+// drawnTroubles are the faults of a drawn case, of which each second some begin and
 // others end. It counts what coincided.
 type drawnTroubles struct {
 	*teamCluster
-	away     map[*testkit.Worker]int // machines cut off, by the seconds left
+	away     map[*testkit.Worker]int // workers cut off, by the seconds left
 	hung     map[*testkit.Worker]int
-	changes  int // of the leader, while a team was held by its limit and machines were away
-	confirms int // cancels of jobs with tasks on machines that were away
-	wentOn   int // cancelled tasks that went on after their machine hung
+	changes  int // of the leader, while a team was held by its limit and workers were away
+	confirms int // cancels of jobs with tasks on workers that were away
+	wentOn   int // cancelled tasks that went on after their worker hung
 	late     int // commands that came late
 }
 
-// unaskable reports whether nobody can ask the machine now.
+// unaskable reports whether nobody can ask the worker now.
 func (d *drawnTroubles) unaskable(k *testkit.Worker) bool { return d.away[k] > 0 || d.hung[k] > 0 }
 
-// strike begins a drawn trouble.
+// strike begins a drawn fault.
 func (d *drawnTroubles) strike(jobs []string) {
 	k := d.workers[d.draw(len(d.workers))]
 	if with := d.machinesOf(jobs[d.draw(len(jobs))]); len(with) > 0 {
@@ -70,7 +70,7 @@
 	}
 }
 
-// livingOnHung names one of the jobs that is not cancelled and has a task on a machine that
+// livingOnHung names one of the jobs that is not cancelled and has a task on a worker that
 // hangs; "" if there is none.
 func (d *drawnTroubles) livingOnHung(jobs []string) (uid string) {
 	d.mu.Lock()
@@ -85,9 +85,9 @@
 	return uid
 }
 
-// cancelWhileHung has a machine with tasks of a job that was not cancelled hang, out of
+// cancelWhileHung has a worker with tasks of a job that was not cancelled hang, out of
 // reach too, so that nothing that is sent to it comes before it goes on, and the job's
-// user cancel it. It returns the job, or "" if none has tasks on machines.
+// user cancel it. It returns the job, or "" if none has tasks on workers.
 func (d *drawnTroubles) cancelWhileHung(jobs []string) string {
 	for _, uid := range jobs {
 		if ks := d.machinesOf(uid); d.confirmedCancels[uid].IsZero() && len(ks) > 0 && !ks[0].Hangs() {
@@ -146,7 +146,7 @@
 	}
 }
 
-// second ends the troubles whose time is up.
+// second ends the faults whose time is up.
 func (d *drawnTroubles) second() {
 	for k := range d.away {
 		if d.away[k]--; d.away[k] <= 0 {
@@ -176,8 +176,8 @@
 	d.live(1)
 }
 
-// Teams at their limits meet drawn troubles: machines are cut off, hear nothing or hang,
-// the leader ends, is back at once, hands over or is cut from all but the workers, jobs
+// Teams at their limits meet drawn faults: workers are cut off, hear nothing or hang,
+// the leader ends, is back at once, transfers its shards or is cut from all but the workers, jobs
 // are cancelled, commands and transactions come late. No team is ever over its limit, and
 // afterwards all work is done and none waits beside room.
 func TestTeamLimitsUnderDrawnFaults(t *testing.T) {
@@ -193,7 +193,7 @@
 				}
 				long := []string{"j-80", "j-81", "j-82", "j-83"}
 				short := []string{"j-1", "j-2", "j-3", "j-4", "j-5"}
-				hung := "" // the job that is cancelled while its machine hangs
+				hung := "" // the job that is cancelled while its worker hangs
 				for second := range 60 {
 					if second%6 == 0 { // so that both teams stay at their limits
 						uid := fmt.Sprintf("j-9%d", second)
--- a/internal/testkit/fault_kinds_test.go
+++ b/internal/testkit/fault_kinds_test.go
@@ -153,7 +153,7 @@
 	}()
 }
 
-// addMachine adds a machine that is up at once, and reports to any controller.
+// addMachine adds a worker that is up at once, and reports to any controller.
 func (m *faultRun) addMachine() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -20,8 +20,8 @@
 // Stages of a job at which its user cancels it.
 const (
 	cancelAccepted  = iota // right after the answer to its submission
-	cancelPlaced           // its place is being recorded
-	cancelQueued           // its holder is told to queue it
+	cancelPlaced           // its placement is being recorded
+	cancelQueued           // its dispatcher is sent that it is queued
 	cancelLaunching        // its start command is on its way
 	cancelRunning          // it has started
 	cancelEnded            // its task has ended, and no controller knows
@@ -152,7 +152,7 @@
 }
 
 // countWrites counts what a controller sends to the state service, and sees which jobs'
-// places it records.
+// placements it records.
 func (s *jobStream) countWrites(txn wire.Txn) {
 	s.jobs.Lock()
 	defer s.jobs.Unlock()
@@ -215,7 +215,7 @@
 }
 
 // One-task jobs come four a second for three minutes, and a quarter of them is cancelled at
-// every stage, at all controllers, while the leader is back after a moment, hands over, and
+// every stage, at all controllers, while the leader is back after a moment, transfers its shards, and
 // another controller is back after a moment. Questions and cancels are answered, leases hold,
 // no job waits or is forgotten, and what is kept of jobs that are over is bounded.
 func TestStreamOfShortJobsWithCancelsAndFailovers(t *testing.T) {
@@ -343,7 +343,7 @@
 	s.publish()
 	for _, name := range s.names {
 		n := s.nodes[name]
-		_, queued, orders := n.dispatcher.Depths() // of machines that report elsewhere, so long
+		_, queued, orders := n.dispatcher.Depths() // of workers that report elsewhere, so long
 		if n.cancellations.Count()+queued+orders > 0 {
 			s.t.Errorf("%s keeps %d cancels, %d queued tasks and %d orders after 11 minutes", name, n.cancellations.Count(), queued, orders)
 		}
--- a/internal/testkit/late_starts_test.go
+++ b/internal/testkit/late_starts_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// Orders are held up while users cancel jobs at other controllers, and come afterwards:
+// Commands are held up while users cancel jobs at other controllers, and come afterwards:
 // what they start is all that starts after a confirmed cancel, and is soon gone.
 func TestOnlyCommandsInFlightStartAfterCancel(t *testing.T) {
 	late := 0
@@ -98,7 +98,7 @@
 			w.live(60)
 			t.Logf("%d cancels confirmed, %d starts after them", confirmed, w.checks.late)
 			late += w.checks.late
-			// One order is under way to a machine at a time, and starts what fits there.
+			// One command is under way to a worker at a time, and starts what fits there.
 			if most := len(w.workers) * int(w.size); w.checks.late > most {
 				t.Errorf("%d starts after confirmed cancels, %d could be under way", w.checks.late, most)
 			}
@@ -115,7 +115,7 @@
 	}
 }
 
-// Orders wait for their connections while users cancel the jobs that they would start. None
+// Commands wait for their connections while users cancel the jobs that they would start. None
 // of them leaves once its sender knows: no command was under way, and nothing starts later
 // than a message between controllers takes.
 func TestCommandsWaitingForConnectionsStartNothingAfterCancel(t *testing.T) {
--- a/internal/testkit/late_watch_test.go
+++ b/internal/testkit/late_watch_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// A job is accepted and done at one owner, which then hands over, or ends, before the
+// A job is accepted and done at one leader, which then transfers its shards, or ends, before the
 // successor's watch has told it of the acceptance. The successor has read the records after
 // the job's end, so what the watch still brings of it is old: the job is not run again, and
 // nobody calls it anything but done.
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -140,21 +140,21 @@
 	{name: "accounting page, at a new owner", prefix: accounting.Key, play: moveWhileLate},
 }
 
-// restartOwner has the owner back within half a second, while so many answers are lost.
+// restartOwner has the leader back within half a second, while so many answers are lost.
 func (w *cluster) restartOwner(t *testing.T, l *answerLoss, lost int) {
 	l.arm("", lost)
 	w.restart(w.leader(), 500*time.Millisecond)
 	w.owned(t, 25)
 }
 
-// moveWhileLate hands the jobs over while a write of their owner is under way.
+// moveWhileLate transfers the jobs while a write of their leader is under way.
 func moveWhileLate(_ *testing.T, w *cluster, l *answerLoss) {
 	l.then = func(writer *node, _ string) { w.moveJobs(writer) }
 	l.arm("", 1)
 	w.live(15)
 }
 
-// moveMeanwhile is moveWhileLate with a write that comes before the new owner has written
+// moveMeanwhile is moveWhileLate with a write that comes before the new leader has written
 // anything itself.
 func moveMeanwhile(t *testing.T, w *cluster, l *answerLoss) {
 	l.by = 300 * time.Millisecond
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -21,7 +21,7 @@
 	leases   int           // of workers, that ended
 	again    int           // long tasks that were started again
 	requests int           // to the state service
-	keys     int           // of controllers, shards and terms
+	keys     int           // of controllers, shards and fencing tokens
 	returned int           // machines
 }
 
@@ -142,7 +142,7 @@
 	}
 }
 
-// claim is the version of a shard's key: each new owner writes it.
+// claim is the version of a shard's key: each new leader writes it.
 func (c *changes) claim() uint64 {
 	it, err := (&testkit.View{Store: c.store}).Get(context.Background(), "c/shard/000")
 	if err != nil {
@@ -159,7 +159,7 @@
 	return highest
 }
 
-// seenHigher counts the workers that have seen a higher term than any controller's but one.
+// seenHigher counts the workers that have seen a higher fencing token than any controller's but one.
 func (c *changes) seenHigher(but string) (seen int) {
 	highest := c.highestTerm(but)
 	c.mu.Lock() // controllers send the workers orders meanwhile
@@ -173,7 +173,7 @@
 }
 
 // The leader, whose token is the highest that its workers have seen, ends in an outage of the
-// state service, in which nobody can draw a term. The others answer the workers with terms that
+// state service, in which nobody can draw a fencing token. The others answer the workers with fencing tokens that
 // they had reserved, as long as they know of all cancels: no lease ends within that time.
 func TestLeaderCrashDuringStateStoreOutage(t *testing.T) {
 	for _, away := range []time.Duration{300 * time.Millisecond, 3 * time.Second, time.Hour} {
@@ -229,14 +229,14 @@
 	first int                                  // seconds into the outage of the first end
 	next  func(c *changes, last string) string // who ends next
 	// known is how many ends are survived without an ended lease: as long as a controller
-	// is there that has a term and knows of all cancels.
+	// is there that has a fencing token and knows of all cancels.
 	known int
 }
 
 // Controllers end ten times in one outage of the state service, each back within seconds,
 // after a cancel was confirmed, in two scenes while its machines could not be told, and while
 // users ask for another. Nothing is started twice or
-// too long, no machine is returned, and no lease ends as long as a controller is there that
+// too long, no machine is deleted, and no lease ends as long as a controller is there that
 // began before the outage and knows of all cancels. The ends after that cost nothing more, and
 // seconds after the outage all is as before.
 func TestTenCrashesInOneStateStoreOutage(t *testing.T) {
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -133,10 +133,10 @@
 	})
 }
 
-// publishWithin is how long a message about machines is waited for.
+// publishWithin is how long a message about workers is waited for.
 const publishWithin = 4 * time.Second
 
-// publishTo tells a peer what changed on the machines held here, as cmd/wallrack does: one
+// publishTo tells a peer what changed on the workers held here, as cmd/wallrack does: one
 // message at a time.
 func (n *node) publishTo(to *node) {
 	if !n.publishing.Begin(to.name) {
@@ -186,8 +186,8 @@
 // attestLease is how long all controllers must have left a worker unanswered.
 const attestLease = workerLease + 500*time.Millisecond
 
-// attest settles silent machines as cmd/wallrack does: one after the other the peers say
-// for how long they left a machine unanswered.
+// attest settles unresponsive workers as cmd/wallrack does: one after the other the peers say
+// for how long they left a worker unanswered.
 func (n *node) attest(ctx context.Context) {
 	w := n.cluster
 	_, silent := n.scheduler.UnresponsiveWorkers(workerLease)
--- a/internal/testkit/load_test.go
+++ b/internal/testkit/load_test.go
@@ -58,7 +58,7 @@
 }
 
 // BenchmarkLoad is one controller, from sockets to the state service's
-// stand-in, with a fleet whose machines report in turn while jobs come, run
+// stand-in, with a fleet whose workers report in turn while jobs come, run
 // and end. An operation is a report with its share of everything else: grants,
 // passes, records. Tasks run for a fiftieth of what they would, since reports
 // come about as much faster.
@@ -100,7 +100,7 @@
 	submitted int
 }
 
-// newLoad starts a controller with so many machines, each of which has reported several
+// newLoad starts a controller with so many workers, each of which has reported several
 // times.
 func newLoad(tb testing.TB, machines int, cpus types, jobs int) *load {
 	w := newCluster(tb, 1)
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -21,7 +21,7 @@
 	plain  bool // no accounting rows are written, whose page would be recognised too
 }
 
-// lostAnswerCases has every kind of write that controllers make, but the rental of
+// lostAnswerCases has every kind of write that controllers make, but the provisioning of
 // machines (provisioning_test.go), and the release of shards (package membership).
 var lostAnswerCases = []lostAnswerCase{
 	{name: "acceptance", prefix: "live/j-7", play: func(t *testing.T, w *cluster, l *answerLoss) {
@@ -181,7 +181,7 @@
 		w.mu.Unlock()
 		w.atMostOneOwner(t, l)
 		go func() {
-			time.Sleep(time.Second) // the hand-over is out, and without an answer
+			time.Sleep(time.Second) // the transfer is out, and without an answer
 			l.arm(from.name, 1)
 		}()
 		w.moveJobs(from)
@@ -257,7 +257,7 @@
 	}
 	w.submit("j-81", 6)
 	w.live(8)
-	// One of its machines is away: the rows of the others go with no other record.
+	// One of its workers is away: the rows of the others go with no other record.
 	away := w.machinesOf("j-81")[0]
 	w.cutAll(away.Name, w.names...)
 	l.then, l.alone = w.look, true
--- a/internal/testkit/lost_answers_test.go
+++ b/internal/testkit/lost_answers_test.go
@@ -40,7 +40,7 @@
 	busy   sync.WaitGroup
 }
 
-// watched connects a controller's view of the store to the cluster's troubles that
+// watched connects a controller's view of the store to the cluster's faults that
 // concern chosen keys.
 func (w *cluster) watched(n *node) {
 	if w.reliableStore {
@@ -168,7 +168,7 @@
 	return rec.Code
 }
 
-// askAll has a user ask all controllers for a job, the owner last, and says what they
+// askAll has a user ask all controllers for a job, the leader last, and says what they
 // answered.
 func (w *cluster) askAll(uid string) (stages map[string]string) {
 	stages = map[string]string{}
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ObserveWorker hands a view to the owner here, as cmd/wallrack does.
+// ObserveWorker hands a view to the leader here, as cmd/wallrack does.
 func (n *node) ObserveWorker(v dispatch.WorkerView) {
 	if seen := n.linksSeen(); v.Asked && seen.SharesWorkers() {
 		v.Holder = n.LeaderFor(v.Name)
@@ -48,7 +48,7 @@
 	})
 }
 
-// SendCommands sends a direct order; some arrive, but the answer is lost, and some
+// SendCommands sends a direct command; some arrive, but the answer is lost, and some
 // arrive minutes late.
 func (n *node) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
 	if d := n.cluster.drawn(&n.cluster.connecting); d > 0 {
@@ -149,10 +149,10 @@
 	})
 }
 
-// JobFacts reads how a job that the owner does not know ended.
+// JobFacts reads how a job that the leader does not know ended.
 func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error) {
 	return scheduler.StoredFacts(ctx, n.view, uid)
 }
 
-// HasEarlier says that no owner elsewhere has such a job: there is one owner.
+// HasEarlier says that no leader elsewhere has such a job: there is one leader.
 func (n *node) HasEarlier(context.Context, string, string, uint64) (bool, error) { return false, nil }
--- a/internal/testkit/on_cluster_test.go
+++ b/internal/testkit/on_cluster_test.go
@@ -80,7 +80,7 @@
 	return w.nodes[name].down
 }
 
-// step lets a time between reports pass, with troubles until it is calm.
+// step lets a time between reports pass, with faults until it is calm.
 func (w *cluster) step(calm time.Time) {
 	time.Sleep(reportEvery)
 	w.check()
@@ -98,7 +98,7 @@
 	}
 }
 
-// live lets seconds pass, with no troubles drawn and nothing healed.
+// live lets seconds pass, with no faults drawn and nothing healed.
 func (w *cluster) live(seconds int) {
 	for range seconds {
 		w.reportAll()
--- a/internal/testkit/partitions_test.go
+++ b/internal/testkit/partitions_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestEachPartitionRestartsWorkInTime is the table of docs/partitions.md: each cut, at the owner or at
-// another controller, with the time from the cut to the next start and the machines
-// that may be returned (none).
+// TestEachPartitionRestartsWorkInTime is the table of docs/partitions.md: each cut, at the leader or at
+// another controller, with the time from the cut to the next start and the workers
+// that may be deleted (none).
 func TestEachPartitionRestartsWorkInTime(t *testing.T) {
 	type cut struct {
 		name  string
@@ -142,10 +142,10 @@
 	return s, err == nil
 }
 
-// TestDrawnPartitionsBreakNoRule draws schedules of cuts, crashes, dying machines, machines that nothing
+// TestDrawnPartitionsBreakNoRule draws schedules of cuts, crashes, dying workers, workers that nothing
 // reaches, late copies of reports and returns within a fraction of a second: a task is
-// never on two machines, none that is heard and reached is returned, every job is known
-// to everybody 20 s after the last trouble, and every job ends.
+// never on two workers, none that is heard and reached is deleted, every job is known
+// to everybody 20 s after the last fault, and every job ends.
 func TestDrawnPartitionsBreakNoRule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type step struct{ What, Who, Other, Wait int }
@@ -181,7 +181,7 @@
 					w.restart(name, 0)
 				case 5:
 					w.healed()
-				case 6: // a machine dies: nobody hears it any more
+				case 6: // a worker dies: nobody hears it any more
 					w.cutAll(k.Name, w.names...)
 				case 7:
 					w.release()
@@ -211,7 +211,7 @@
 			w.keepCuts = false
 			live(20)
 			for i := range jobs {
-				// Troubles over, every job is known to every controller within 20 s.
+				// Faults over, every job is known to every controller within 20 s.
 				for _, n := range w.names {
 					if s, ok := w.poll(w.nodes[n], fmt.Sprintf("j-%d", i)); !ok || s.Stage == wire.StageCancelled {
 						w.fail("20 s after the last trouble %s says %+v, %v of job %d", n, s, ok, i)
--- a/internal/testkit/provisioning_test.go
+++ b/internal/testkit/provisioning_test.go
@@ -16,7 +16,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// unanswered counts the machines that are up while nobody had the answer of their hire.
+// unanswered counts the machines that are up while nobody had the answer of their provision request.
 func (c *rentedCluster) unanswered() (n int) {
 	c.cloudMu.Lock()
 	var waiting []string
@@ -36,10 +36,10 @@
 	return n
 }
 
-// New machines are up in 1.5 s and work, before the answer to their hire is there and
+// New machines are up in 1.5 s and work, before the answer to their provision request is there and
 // long before the cloud lists them, while every second of the leader's records of their
 // tasks is carried out late; then it ends. Its successor knows them by their reports alone: no task is on two
-// machines, no hire is rented that was not recorded, and all machines are returned.
+// machines, nothing is provisioned that was not recorded, and all machines are deleted.
 func TestFailoverDuringUnansweredProvision(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// lostRecord plays a hire whose record is written while its writer hears nothing, and
-// returns the hire's name.
+// lostRecord plays a provision request whose record is written while its writer hears nothing, and
+// returns the provision request's name.
 func (c *rentedCluster) lostRecord(t *testing.T, jobs ...string) (name string) {
 	l := &answerLoss{w: c.cluster, prefix: "fleet/hire/"}
 	c.loseAnswers(l)
@@ -113,7 +113,7 @@
 	return strings.TrimPrefix(l.lost[0].key, "fleet/hire/")
 }
 
-// A hire's record is written, and its writer has no answer. It asks the cloud under that
+// A provision request's record is written, and its writer has no answer. It asks the cloud under that
 // name once it knows, and rents nothing beside it.
 func TestProvisionWithUnansweredRecordRentsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -132,7 +132,7 @@
 	})
 }
 
-// The writer of a hire's record ends before it has the answer, and asked the cloud for
+// The writer of a provision request's record ends before it has the answer, and asked the cloud for
 // nothing. A leader that comes soon reads the record and asks under its name, once; one
 // that comes late drops it, and rents for the work that there is then.
 func TestRecordedProvisionAfterFailover(t *testing.T) {
@@ -169,7 +169,7 @@
 	}
 }
 
-// A hire's record is carried out late, when its writer had recorded it again and rented the
+// A provision request's record is carried out late, when its writer had recorded it again and provisioned the
 // machines. While the second record is kept, the first is refused; afterwards it is written,
 // and no later leader rents for it.
 func TestLateProvisionRecordRentsNothing(t *testing.T) {
@@ -226,11 +226,11 @@
 	name    string
 	outage  time.Duration // for so long the cloud rents nothing
 	listed  bool          // the machines are listed before the leader changes
-	crashes bool          // the leader crashes; else it hands over
+	crashes bool          // the leader crashes; else it transfers its shards
 }
 
 // Machines boot when the leader of the fleet ends, or hands its work over. Its successor
-// knows them by the records of their hires alone, or by a list that takes a while to come:
+// knows them by the records of their provision requests alone, or by a list that takes a while to come:
 // it counts on them and rents nothing beside them.
 func TestMachinesBootingDuringFailoverAreRentedOnce(t *testing.T) {
 	for _, scene := range []bootingAtHandOver{
@@ -253,7 +253,7 @@
 	c.listTakes = 300 * time.Millisecond
 	c.begin()
 	first := c.leader()
-	writes := 0 // of records of hires
+	writes := 0 // of records of provision requests
 	c.mu.Lock()
 	c.delay = func(_ *node, t wire.Txn) (time.Duration, func(error)) {
 		for _, op := range t.Then {
@@ -302,7 +302,7 @@
 	}
 }
 
-// allAnswered reports whether every hire that was asked for was answered.
+// allAnswered reports whether every provision request that was asked for was answered.
 func (c *rentedCluster) allAnswered() bool {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
--- a/internal/testkit/quota_leases_test.go
+++ b/internal/testkit/quota_leases_test.go
@@ -55,7 +55,7 @@
 	return c.owningNodes()
 }
 
-// jobAt submits a job of a limited team to a shard of an owner, and returns its name: the
+// jobAt submits a job of a limited team to a shard of a leader, and returns its name: the
 // first free one from a number on.
 func (c *teamCluster) jobAt(at string, from int, team, priority string, tasks int, cpus float64) string {
 	c.t.Helper()
@@ -82,7 +82,7 @@
 	return ""
 }
 
-// bothAtWork is a cluster with two owners that both run tasks of both limited teams, and
+// bothAtWork is a cluster with two leaders that both run tasks of both limited teams, and
 // have more: short tasks, and ones that run for long.
 func bothAtWork(t *testing.T, seed uint64, play func(c *teamCluster, owners, jobs, long []string)) {
 	onLentCluster(t, seed, func(c *teamCluster) {
@@ -125,7 +125,7 @@
 	return out
 }
 
-// lentTo is how many CPUs of a team's limit the shards of an owner have.
+// lentTo is how many CPUs of a team's limit the shards of a leader have.
 func (c *teamCluster) lentTo(at, team string) (cpus float64) {
 	c.t.Helper()
 	record, err := quotalease.Parse([]byte(c.store.Text(quotalease.Key(quotalease.RecordOf(team)))), c.operator().Shards)
@@ -141,7 +141,7 @@
 	return cpus
 }
 
-// A limited team's work is at one owner, then at the other: each time the whole limit is
+// A limited team's work is at one leader, then at the other: each time the whole limit is
 // there within two seconds, and in use soon after. No message is lost.
 func TestQuotaLeasesFollowDemand(t *testing.T) {
 	onLentCluster(t, 5001, func(c *teamCluster) {
@@ -165,7 +165,7 @@
 	})
 }
 
-// Both owners run tasks of limited teams when one of them ends, is back within a second,
+// Both leaders run tasks of limited teams when one of them ends, is back within a second,
 // hands its shards over, or is cut off from all or from the state service alone, or when
 // both end, and jobs are cancelled at the same time. No limit is exceeded, what was cancelled
 // is gone in time, the other work ends, and nothing waits beside room in the end.
@@ -211,8 +211,8 @@
 	}
 }
 
-// An owner's writes of the records are held up on their way, as of a process that stood
-// still: it loses its shards meanwhile, and they arrive when its successor lends already.
+// A leader's writes of the records are held up on their way, as of a process that stood
+// still: it loses its shards meanwhile, and they arrive when its successor leases limits already.
 // Whatever comes of them, no limit is exceeded, and the work ends.
 func TestLateQuotaLeaseWritesAfterFailover(t *testing.T) {
 	for seed, by := range []time.Duration{3 * time.Second, 9 * time.Second, 20 * time.Second} {
@@ -249,7 +249,7 @@
 }
 
 // restartAllWith stops all controllers until their leases have ended, and starts them with
-// another number of owners.
+// another number of leaders.
 func (c *teamCluster) restartAllWith(spread int) {
 	c.t.Helper()
 	c.stopAll()
@@ -264,9 +264,9 @@
 	}
 }
 
-// A team's whole limit is in use in one shard, and lent to it, when one owner takes over
+// A team's whole limit is in use in one shard, and leased to it, when one leader gets all shards by failover
 // alone; under it that work is cancelled, and all of the limit used in another shard, of
-// which no record of lent limits tells. With two owners again, work for the first shard
+// which no record of leased limits tells. With two leaders again, work for the first shard
 // must not start with the part that the record has.
 func TestUnleasedUseCountsWhenQuotaIsLeasedAgain(t *testing.T) {
 	onLentCluster(t, 5500, func(c *teamCluster) {
@@ -274,7 +274,7 @@
 		c.live(5)
 		alone := c.operator()
 		alone.Spread = 1
-		home := quota.AssignShard(&wire.Job{Team: "capped"}, limitedTeams, alone) // of all such jobs that one owner accepts
+		home := quota.AssignShard(&wire.Job{Team: "capped"}, limitedTeams, alone) // of all such jobs that one leader accepts
 		first := map[int]uint64{(home + 1) % alone.Shards: 1}
 		uses := func(uid string) func() bool { return func() bool { return c.onMachines(uid) == 8 } }
 		before := c.jobIn(first, 80, "capped", "normal", 8, 1)
@@ -299,9 +299,9 @@
 	})
 }
 
-// All controllers stop until their leases have ended, and start again with one owner, and
-// then with two, while tasks of limited teams run for long in all shards: what the one owner started is in no record of
-// lent limits, and counts all the same.
+// All controllers stop until their leases have ended, and start again with one leader, and
+// then with two, while tasks of limited teams run for long in all shards: what the one leader started is in no record of
+// leased limits, and counts all the same.
 func TestQuotaHoldsWhenLeaderCountChanges(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -331,7 +331,7 @@
 	}
 }
 
-// Under drawn troubles, with lost, late and repeated writes, no limit that is lent is
+// Under drawn faults, with lost, late and repeated writes, no limit that is leased is
 // exceeded, and all work ends.
 func TestQuotaLeasesUnderDrawnFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -193,7 +193,7 @@
 	v.Self.WorkerCapacity = r.room
 }
 
-// judge returns the machines that an owner gives up. A machine whose worker a
+// judge returns the machines that a leader gives up. A machine whose worker a
 // controller heard a moment ago must not be among them.
 func (w *cluster) judge(n *node, v *reachability.View) {
 	r := &n.reach
@@ -226,7 +226,7 @@
 		if i := slices.Index(w.workers, k); i >= 0 {
 			w.workers = slices.Delete(w.workers, i, i+1)
 		}
-		if k != nil { // else another owner returned it, and it was replaced
+		if k != nil { // else another leader deleted it, and it was replaced
 			w.returnedMachines++
 			k.Started, k.OnForget = nil, nil // what is still sent to it does nothing
 			fresh := testkit.NewWorker(fmt.Sprintf("r-%d", w.returnedMachines), workerLease, k.Run)
@@ -243,7 +243,7 @@
 	}
 }
 
-// lives asks a machine, and has all peers ask it, whether it lives.
+// lives asks a worker, and has all peers ask it, whether it lives.
 func (n *node) lives(ctx context.Context, m reachability.UnresponsiveWorker) bool {
 	w := n.cluster
 	heard := m.Endpoint != "" && n.dispatcher.FetchReport(ctx, m.Name, m.Endpoint)
@@ -260,7 +260,7 @@
 // heartbeatTime is since when, without a longer gap, and when last a worker was heard.
 type heartbeatTime struct{ since, last time.Time }
 
-// surely is how long a machine must have been heard so that its return is wrong: one
+// surely is how long a worker's heartbeats must have come so that its deletion is wrong: one
 // whose links have just healed may have been asked a moment before.
 const surely = 5 * time.Second
 
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// publish hands the views of each controller to the owners elsewhere, and
-// lets the owners settle silent machines by vouching.
+// publish hands the views of each controller to the leaders elsewhere, and
+// lets the leaders settle unresponsive workers by attestation.
 func (w *cluster) publish() {
 	w.mu.Lock()
 	nodes := make([]*node, 0, len(w.names))
--- a/internal/testkit/slow_links_test.go
+++ b/internal/testkit/slow_links_test.go
@@ -17,7 +17,7 @@
 
 // There is more work than room, urgent and not, of teams with limits and without, while
 // every message to workers and peers takes up to a second and a half, and the leader
-// ends. Urgent jobs begin soon all the same, the machines are in use and keep their leases,
+// ends. Urgent jobs begin soon all the same, the workers are in use and keep their leases,
 // nobody forgets the other jobs, and when the links are quick again nothing waits beside
 // room.
 func TestOverloadOverSlowLinks(t *testing.T) {
@@ -164,7 +164,7 @@
 	}
 }
 
-// usedShare is the share of all machines' CPUs that tasks use now.
+// usedShare is the share of all workers' CPUs that tasks use now.
 func (w *cluster) usedShare() float64 {
 	free := 0.0
 	all := w.standing().free
@@ -175,7 +175,7 @@
 }
 
 // moreWorkThanRoom reports whether the tasks that wait, as far as their teams' limits let
-// them start, take more CPUs than all machines have free.
+// them start, take more CPUs than all workers have free.
 func (w *cluster) moreWorkThanRoom() bool {
 	s := w.standing()
 	free, wanted := 0.0, map[string]float64{}
--- a/internal/testkit/stale_heartbeats_test.go
+++ b/internal/testkit/stale_heartbeats_test.go
@@ -89,7 +89,7 @@
 				w.exchange()
 				first := w.leader()
 				w.submit("j-80", 1)
-				// The task starts on the first machine, by the answer to a report; direct
+				// The task starts on the first worker, by the answer to a report; direct
 				// orders, whose answers would tell of it, don't arrive.
 				w.unheard(k, w.names...)
 				for range 10 {
@@ -123,7 +123,7 @@
 				if w.onMachines("j-80") != 1 || copies[0].Session != held.Session+1 {
 					t.Fatalf("%d tasks on, session %d after %d", w.onMachines("j-80"), copies[0].Session, held.Session)
 				}
-				// From now on nothing newer comes from the machine, and it goes on.
+				// From now on nothing newer comes from the worker, and it goes on.
 				w.cutAll(k.Name, w.names...)
 				w.restart(first, 100*time.Millisecond)
 				time.Sleep(time.Second)
@@ -171,7 +171,7 @@
 	return slices.ContainsFunc(w.names, func(name string) bool { return !w.nodes[name].down && len(w.nodes[name].member.ClaimedShards()) > 0 })
 }
 
-// unheardOf counts the machines on which the records had tasks, and those of them that the
+// unheardOf counts the workers on which the records had tasks, and those of them that the
 // new leader has not heard.
 func (w *cluster) unheardOf(before map[string]jobstate.Stats) (recorded, unheard int) {
 	n := w.next(before)
@@ -316,7 +316,7 @@
 	if again > 0 {
 		t.Errorf("long tasks started %d times again", again)
 	}
-	// A lease later, in growing order, when two machines have been silent for as long.
+	// A lease later, in growing order, when two workers have been unresponsive for as long.
 	silent := w.workers[4:6]
 	for _, k := range silent {
 		w.cutAll(k.Name, w.names...)
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -21,7 +21,7 @@
 
 const outage = 70 // seconds, longer than a cancelled task may go on
 
-// on counts the tasks of the jobs that are on machines.
+// on counts the tasks of the jobs that are on workers.
 func (g *gap) on() (n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -49,7 +49,7 @@
 		least int
 		// lapses is whether a controller may have to stop answering workers for not
 		// knowing of all cancels; ends whether leases may end. They may where workers
-		// have seen a higher token than anybody's who is left.
+		// have seen a higher fencing token than anybody's who is left.
 		lapses, ends bool
 	}
 	// The leader alone has the workers, and neither state service nor peers: a new
--- a/internal/testkit/team_limits_check_test.go
+++ b/internal/testkit/team_limits_check_test.go
@@ -12,7 +12,7 @@
 // cpuTolerance is how far sums of CPUs may be off by rounding.
 const cpuTolerance = 1e-6
 
-// teamUse is the CPUs that each team's tasks take on machines.
+// teamUse is the CPUs that each team's tasks take on workers.
 type teamUse map[string]float64
 
 // allows reports whether the job's team may use one more task of it.
@@ -25,8 +25,8 @@
 // standing is what the workers have and the users know at one moment.
 type standing struct {
 	use       teamUse
-	on        map[string]int              // tasks on machines, by job
-	free      map[*testkit.Worker]float64 // CPUs of the machines that go on; none where an unknown job's task is on
+	on        map[string]int              // tasks on workers, by job
+	free      map[*testkit.Worker]float64 // CPUs of the workers that go on; none where an unknown job's task is on
 	done      map[string]int              // tasks that are done and cleared, by job
 	over      []string                    // keys of the jobs that ended
 	cancelled map[string]bool
@@ -63,7 +63,7 @@
 	return s
 }
 
-// waits reports whether a task of the job is neither on a machine nor done.
+// waits reports whether a task of the job is neither on a worker nor done.
 func (s *standing) waits(job *wire.Job) bool {
 	return !s.cancelled[job.UID] && s.on[job.UID]+s.done[job.UID] < job.Tasks && !slices.Contains(s.over, "final/"+job.UID)
 }
@@ -74,7 +74,7 @@
 }
 
 // heldByLimit reports whether a task of the team waits for nothing but its team's limit:
-// a machine that works has room for it.
+// a worker that goes on has room for it.
 func (w *cluster) heldByLimit(team string) bool {
 	s := w.standing()
 	for _, job := range w.specs {
--- a/internal/testkit/team_limits_test.go
+++ b/internal/testkit/team_limits_test.go
@@ -10,7 +10,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 )
 
-// Two teams with limits, one of them with a guarantee; team "t" has neither. The machines
+// Two teams with limits, one of them with a guarantee; team "t" has neither. The workers
 // have room for much more than both may use.
 var limitedTeams = []config.Team{{Name: "t"}, {Name: "capped", CPUsMax: 8}, {Name: "assured", CPUs: 4, CPUsMax: 6}}
 
@@ -62,10 +62,10 @@
 	}
 }
 
-// Both teams are at their limits when machines with their tasks are cut off or hang, the
+// Both teams are at their limits when workers with their tasks are cut off or hang, the
 // leader changes, and jobs of theirs are cancelled: before the change, while nobody
 // leads, or through the new leader. What may still run counts from the new leader's first
-// grant on, what goes on after its machine hung counts and is gone in time, and in the
+// grant on, what goes on after its worker hung counts and is gone in time, and in the
 // end nothing waits beside room.
 func TestTeamLimitHoldsOverFailover(t *testing.T) {
 	type change struct {
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -40,23 +40,23 @@
 	saved map[string]time.Duration
 	done  map[string]time.Time
 
-	cut     map[string]time.Time     // machines, by when their reports began to be lost
+	cut     map[string]time.Time     // workers, by when their reports began to be lost
 	left    map[string]time.Time     // tasks that ended there before they were done, by when
 	started map[string]bool          // tasks started there later than startsAfterCut
 	late    int                      // of them, those that the lease killed
 	killed  map[string]int           // tasks killed by their lease, by job
-	stopped map[string]int           // tasks stopped on machines that are cut, by job
+	stopped map[string]int           // tasks stopped on workers that are cut, by job
 	lostRun time.Duration            // run that was lost with killed tasks and with stopped ones that did not save
 	longest map[string]time.Duration // from the cut to a start elsewhere, at most, by job
-	read    int                      // tasks that were done on machines that are cut
+	read    int                      // tasks that were done on workers that are cut
 }
 
-// startsAfterCut is how long after a machine's reports began to be lost starts on it may
-// still be under way: what its owner needs to know it, and a report interval.
+// startsAfterCut is how long after a worker's reports began to be lost starts on it may
+// still be under way: what its leader needs to know it, and a report interval.
 const startsAfterCut = 5 * time.Second
 
 // readBeforeExpiry is how long before the end of its lease a task must be done so that
-// its owner surely reads it; the cluster asks once a second.
+// its leader surely reads it; the cluster asks once a second.
 const readBeforeExpiry = 3 * time.Second
 
 // follow has a ledger follow all workers.
@@ -168,7 +168,7 @@
 // Workers that reach no controller, while direct commands reach them, lose their leases.
 // Before that, what is done there is read, and not run again; what can save is stopped
 // and saves; what can't be done in time, and has not run for long, is begun elsewhere;
-// and nothing is started there that would not be done in time. None is returned, since they answer.
+// and nothing is started there that would not be done in time. None is deleted, since they answer.
 func TestWorkersReachingNoController(t *testing.T) {
 	const savers, old, young, short, tiny = "j-save", "j-old", "j-young", "j-short", "j-tiny"
 	for i, c := range []struct {
@@ -176,7 +176,7 @@
 		cut   int
 		ends  bool // the leader ends meanwhile
 		full  bool // there is more work than room
-		token bool // it has seen a higher token than the leader has
+		token bool // it has seen a higher fencing token than the leader has
 	}{
 		{name: "one", cut: 1}, {name: "one that has seen a higher token", cut: 1, token: true}, {name: "a quarter", cut: 6}, {name: "all", cut: 24},
 		{name: "a quarter, and the leader ends", cut: 6, ends: true}, {name: "a quarter, with more work than room", cut: 6, full: true},
--- a/internal/testkit/unresponsive_workers_test.go
+++ b/internal/testkit/unresponsive_workers_test.go
@@ -11,7 +11,7 @@
 )
 
 // settled starts a cluster with so many controllers, lets it run with a long job, and
-// returns the owner's name and the others'. live lets seconds pass, with no troubles
+// returns the leader's name and the others'. live lets seconds pass, with no faults
 // drawn and nothing healed.
 func settled(t *testing.T, seed uint64, controllers, workers int) (w *cluster, owner string, others []string, live func(seconds int)) {
 	w = newCluster(t, seed)
@@ -37,18 +37,18 @@
 	return w, owner, others, live
 }
 
-// Machines whose reports arrive and which no answer and no command reaches must not
-// take one start after the other for nothing: by one machine, by a tenth, by all that
-// the owner reaches, by all. What runs goes on, those that nothing reaches are
+// Workers whose reports arrive and which no answer and no command reaches must not
+// take one start after the other for nothing: by one worker, by a tenth, by all that
+// the leader reaches, by all. What runs goes on, those that nothing reaches are
 // returned in time, and no other.
 func TestWorkersUnresponsiveToCommands(t *testing.T) {
 	for i, c := range []struct {
 		name    string
-		deaf    int  // machines
-		owner   bool // by the owner alone
+		deaf    int  // workers
+		owner   bool // by the leader alone
 		gap     time.Duration
 		wasted  int // starts granted and not run, at most
-		back    int // machines returned, at most
+		back    int // machines deleted, at most
 		atLeast int
 	}{
 		{"one", 1, false, 6 * time.Second, 60, 1, 1},
@@ -99,7 +99,7 @@
 }
 
 // A controller that loses the state service and the other controllers, and not its
-// workers, lets them go: for whatever time, as owner or not, and two at once.
+// workers, lets them go: for whatever time, as leader or not, and two at once.
 func TestIsolatedControllerReleasesItsWorkers(t *testing.T) {
 	for i, long := range []int{5, 12, 120} {
 		for _, who := range []string{"owner", "another", "both"} {
@@ -146,9 +146,9 @@
 	}
 }
 
-// Jobs that were submitted with a mistake fail on every machine. They must not make
-// sound machines faulty, or take a start after the other; they stay known, and are
-// done in earnest once they can be. A machine that fails what runs elsewhere is still
+// Jobs that were submitted with a mistake fail on every worker. They must not make
+// sound workers faulty, or take a start after the other; they stay known, and are
+// done in earnest once they can be. A worker that fails what runs elsewhere is still
 // told apart.
 func TestFailingJobsDoNotMarkWorkersFaulty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/testkit/view.go
+++ b/internal/testkit/view.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func ask(f func() bool) bool { return f != nil && f() }
+func happens(f func() bool) bool { return f != nil && f() }
 
 // answer lets the time pass that an answer takes; false if nobody waits for it any
 // more.
@@ -93,8 +93,8 @@
 // that is lost.
 const noAnswer = 4 * time.Second
 
-// silence lets the time pass until a caller that hears nothing gives up.
-func silence(ctx context.Context) {
+// awaitTimeout returns when a caller without a response gives up.
+func awaitTimeout(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(noAnswer):
@@ -135,7 +135,7 @@
 
 // Get reads a key.
 func (v *View) Get(ctx context.Context, key string) (wire.Item, error) {
-	if ask(v.Down) {
+	if happens(v.Down) {
 		return wire.Item{}, statestore.ErrUnavailable
 	}
 	v.travel(ctx)
@@ -156,7 +156,7 @@
 
 // List reads the keys with a prefix.
 func (v *View) List(_ context.Context, prefix string) ([]wire.Item, uint64, error) {
-	if ask(v.Down) {
+	if happens(v.Down) {
 		return nil, 0, statestore.ErrUnavailable
 	}
 	if listing := v.Listing.Get(); listing != nil {
@@ -185,14 +185,14 @@
 	return all[:min(limit, len(all))], len(all) > limit, err
 }
 
-// BulkTxn implements the owner's Store.
+// BulkTxn implements the scheduler's Store.
 func (v *View) BulkTxn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
 	return v.Txn(ctx, guards, ops...)
 }
 
 // Txn applies a transaction.
 func (v *View) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
-	if ask(v.Down) {
+	if happens(v.Down) {
 		return 0, statestore.ErrUnavailable
 	}
 	t := wire.Txn{If: guards, Then: append([]wire.Op(nil), ops...)}
@@ -211,7 +211,7 @@
 	if refuse := v.Refuse.Get(); refuse != nil && refuse(t) {
 		return 0, statestore.ErrUnavailable
 	}
-	if ask(v.Late) {
+	if happens(v.Late) {
 		v.lateMu.Lock()
 		v.late = append(v.late, t)
 		v.lateMu.Unlock()
@@ -229,17 +229,17 @@
 				_, err := v.apply(t)
 				outcome(err)
 			})
-			silence(ctx)
+			awaitTimeout(ctx)
 			return 0, statestore.ErrUnknown
 		}
 	}
 	v.travel(ctx)
 	rev, err := v.apply(t)
 	if err == nil && v.LoseAnswer != nil && v.LoseAnswer(t, rev) {
-		silence(ctx)
+		awaitTimeout(ctx)
 		return 0, statestore.ErrUnknown
 	}
-	if ask(v.Lose) || !v.answer(ctx) || !v.travel(ctx) {
+	if happens(v.Lose) || !v.answer(ctx) || !v.travel(ctx) {
 		return 0, statestore.ErrUnknown
 	}
 	return rev, err
@@ -247,7 +247,7 @@
 
 // GrantLease opens a lease.
 func (v *View) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
-	if ask(v.Down) {
+	if happens(v.Down) {
 		return 0, statestore.ErrUnavailable
 	}
 	v.mu.Lock()
@@ -259,7 +259,7 @@
 
 // RenewLease renews a lease.
 func (v *View) RenewLease(ctx context.Context, id uint64) error {
-	if ask(v.Down) {
+	if happens(v.Down) {
 		return statestore.ErrUnavailable
 	}
 	if !v.answer(ctx) {
@@ -278,7 +278,7 @@
 
 // RevokeLease ends a lease.
 func (v *View) RevokeLease(_ context.Context, id uint64) error {
-	if ask(v.Down) {
+	if happens(v.Down) {
 		return statestore.ErrUnavailable
 	}
 	v.mu.Lock()
@@ -307,7 +307,7 @@
 	}
 	reset(items)
 	for ctx.Err() == nil {
-		if ask(v.Down) {
+		if happens(v.Down) {
 			pause()
 			continue
 		}
--- a/internal/testkit/wait_check_test.go
+++ b/internal/testkit/wait_check_test.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	waitAllowed = 90 * time.Second // for which a job may wait while a machine that fits has room
-	steadyAfter = 5 * time.Second  // from which on a machine counts as one with steady room
+	waitAllowed = 90 * time.Second // for which a job may wait while a worker that fits has room
+	steadyAfter = 5 * time.Second  // from which on a worker counts as one with steady room
 	lookPause   = 5 * time.Second  // between looks for recurring room
 )
 
-// waitCheck is the rule that no job waits for long while a machine that fits has room and
-// its team is under its limit. It is judged while there is no trouble, or, once a test
-// insists, always. Two kinds of room are judged: steady room, which may be on one machine
-// now and on another then, and recurring room, which is on one machine whenever it is
+// waitCheck is the rule that no job waits for long while a worker that fits has room and
+// its team is under its limit. It is judged while there is no fault, or, once a test
+// insists, always. Two kinds of room are judged: steady room, which may be on one worker
+// now and on another then, and recurring room, which is on one worker whenever it is
 // looked at with pauses, and may be taken in between.
 type waitCheck struct {
 	insisted bool
@@ -49,7 +49,7 @@
 		recurring: map[string]*recurringWait{}, recurringStarts: map[string]int{}}
 }
 
-// insist has the waits judged from now on whatever the links, machines and the state
+// insist has the waits judged from now on whatever the links, workers and the state
 // service do.
 func (c *waitCheck) insist() { c.insisted = true }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// judgesWaits reports whether waits are judged now. A trouble begins them anew.
+// judgesWaits reports whether waits are judged now. A fault begins them anew.
 func (w *cluster) judgesWaits() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -138,7 +138,7 @@
 	return now.Sub(wait.since)
 }
 
-// hasSteadyRoom reports whether a machine has had so many CPUs free for a while.
+// hasSteadyRoom reports whether a worker has had so many CPUs free for a while.
 func (c *waitCheck) hasSteadyRoom(s *standing, cpus float64, now time.Time) (has bool) {
 	for k, free := range s.free {
 		if c.room[k] == nil {
@@ -157,7 +157,7 @@
 	return has
 }
 
-// fitting lists the machines that have so many CPUs free now.
+// fitting lists the workers that have so many CPUs free now.
 func (s *standing) fitting(cpus float64) (ks []*testkit.Worker) {
 	for k, free := range s.free {
 		if free+cpuTolerance >= cpus {
@@ -232,12 +232,12 @@
 	return !store && w.holdsCommand == nil && w.transit == nil && w.messageDelay == nil
 }
 
-// bound reports whether a job may not use every machine that has room for it.
+// bound reports whether a job may not use every worker that has room for it.
 func bound(job *wire.Job) bool { return job.Zone != nil || job.OneZone || job.Spread }
 
 // The check of waits must see what it is for: a job that nobody places although there is
 // room, and neither one for which there is none, nor one whose team is at its limit, nor,
-// unless the test insists, one that waits beside a trouble.
+// unless the test insists, one that waits beside a fault.
 func TestWaitCheckFindsUnplacedJobs(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -278,7 +278,7 @@
 	}
 }
 
-// Room that moves from one machine to another is steady room, and room that is there at
+// Room that moves from one worker to another is steady room, and room that is there at
 // each look with pauses alone is recurring room: a job that waits beside either is noticed,
 // one whose tasks start is not.
 func TestWaitCheckFindsSteadyAndRecurringRoom(t *testing.T) {
@@ -293,7 +293,7 @@
 			if starting && at%(40*time.Second) == 0 {
 				starts++
 			}
-			// When one machine loses its room, the other has had some for more than 5 s.
+			// When one worker loses its room, the other has had some for more than 5 s.
 			s := &standing{free: map[*testkit.Worker]float64{first: 0, second: 0}}
 			turn := int(at/time.Second) % 20
 			if turn < 16 {
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -23,7 +23,7 @@
 	renewed             time.Time
 	tasks               map[ref]*running
 
-	hungAt time.Time // since when the machine hangs; zero: it does not
+	hungAt time.Time // since when the worker hangs; zero: it does not
 	heldUp []func()  // what came in the meantime, in order
 }
 
@@ -79,7 +79,7 @@
 	return &Worker{Name: name, Zone: "z", Lease: lease, Run: run, session: 1, renewed: time.Now(), tasks: map[ref]*running{}}
 }
 
-// Hang stops the machine: it executes nothing and reports nothing until Continue.
+// Hang stops the worker: it executes nothing and reports nothing until Continue.
 func (w *Worker) Hang() {
 	if w.Hangs() {
 		return
@@ -88,10 +88,10 @@
 	w.hungAt = time.Now()
 }
 
-// Hangs reports whether the machine hangs.
+// Hangs reports whether the worker hangs.
 func (w *Worker) Hangs() bool { return !w.hungAt.IsZero() }
 
-// hold keeps what came for a machine that hangs.
+// hold keeps what came for a worker that hangs.
 func (w *Worker) hold(carryOut func()) {
 	if w.Held != nil {
 		carryOut = w.Held(carryOut)
@@ -100,7 +100,7 @@
 }
 
 // Continue ends a hang. The lease is judged first; then what came in the meantime is
-// carried out, if it still may be. Tasks end as much later as the machine hung.
+// carried out, if it still may be. Tasks end as much later as the worker hung.
 func (w *Worker) Continue() {
 	if !w.Hangs() {
 		return
@@ -148,7 +148,7 @@
 	}
 }
 
-// On lists the tasks that are on the machine now. Those of a machine that hangs are on
+// On lists the tasks that are on the worker now. Those of a worker that hangs are on
 // as long as it may continue, which is within its lease.
 func (w *Worker) On() []string {
 	w.advance()
@@ -211,7 +211,7 @@
 }
 
 // Orders takes a direct message, however late it comes, and reports whether it was
-// executed now. A machine that hangs takes it when it continues.
+// executed now. A worker that hangs takes it when it continues.
 func (w *Worker) Orders(o wire.Orders) bool {
 	if w.Hangs() {
 		w.hold(func() { w.Orders(o) })
--- a/internal/testkit/worker_assignment_test.go
+++ b/internal/testkit/worker_assignment_test.go
@@ -51,7 +51,7 @@
 }
 
 // TestWorkersAreSharedByConnectionLimit: a controller that has no connections for all workers keeps as many
-// as it has, others hold the rest, each worker stays where it is, and no holder raises its
+// as it has, others hold the rest, each worker stays where it is, and no dispatcher raises its
 // term above another's again and again.
 func TestWorkersAreSharedByConnectionLimit(t *testing.T) {
 	spread(t, 1, func(w *cluster, owner, _ string) {
@@ -102,8 +102,8 @@
 	})
 }
 
-// TestFaultsOfDispatcherThatIsNotLeader: a holder that is not the owner dies, comes back at once, is cut
-// from the owner with or without a way round, or its views stop: what runs is never started
+// TestFaultsOfDispatcherThatIsNotLeader: a dispatcher that is not the leader dies, comes back at once, is cut
+// from the leader with or without a way round, or its views stop: what runs is never started
 // twice, limits and cancels hold, and all jobs end.
 func TestFaultsOfDispatcherThatIsNotLeader(t *testing.T) {
 	for name, trouble := range map[string]func(w *cluster, owner, holder string) (over func()){
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -13,14 +13,14 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// waitLimit is how long a job may wait, troubles over, while a machine has room for it.
+// waitLimit is how long a job may wait, faults over, while a worker has room for it.
 const waitLimit = 90 * time.Second
 
 // zonedJob is a job with a constraint on zones, and what is known of its tasks.
 type zonedJob struct {
 	wire.Job
 	done    map[string]bool
-	waiting time.Time // since when a task waits beside a machine with room for it; zero: none does
+	waiting time.Time // since when a task waits beside a worker with room for it; zero: none does
 }
 
 // zonedCluster checks each start against the constraints of its job.
@@ -83,7 +83,7 @@
 	}
 }
 
-// lookWaiting looks for jobs that wait beside a machine with room, troubles over.
+// lookWaiting looks for jobs that wait beside a worker with room, faults over.
 func (z *zonedCluster) lookWaiting() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// Jobs bound to a zone, to any one zone, or spread over zones lose machines; a zone with
+// Jobs bound to a zone, to any one zone, or spread over zones lose workers; a zone with
 // its workers and a controller is cut off for longer than a worker's lease; all controllers
 // are away for longer than that. No task starts where its job's other tasks, at that
 // moment, don't allow it, and afterwards all jobs end or run, none waiting beside room.
@@ -192,7 +192,7 @@
 
 // cutZoneUnheard cuts zone y off with a controller that doesn't lead, and has the others end
 // while it is: whoever then leads has never heard that controller. None of the zone's
-// machines is returned while that one may answer them.
+// machines is deleted while that one may answer them.
 func (z *zonedCluster) cutZoneUnheard(end func(leader, other string)) {
 	leader := z.leader()
 	inside, other := z.others(leader)[0], z.others(leader)[1]
