--- a/internal/testkit/autoscaled_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -345,8 +345,10 @@
 
 // order submits a job that wants ordinary machines.
 func (c *rentedCluster) order(uid string, tasks int) {
-	job := &wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
-		CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 6}
+	job := &wire.Job{
+		UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
+		CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 6,
+	}
 	guards, ops := jobrecord.AcceptanceTxn(job, nil, jobrecord.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: c.store}).Txn(context.Background(), guards, ops...); err != nil {
 		c.t.Fatal(err)
@@ -355,10 +357,7 @@
 
 // begin starts the controllers, without lost messages.
 func (c *rentedCluster) begin() {
-	for _, name := range c.names {
-		c.start(name)
-		time.Sleep(100 * time.Millisecond)
-	}
+	c.startInTurn()
 	c.run(3*time.Second, nil)
 }
 
--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -89,7 +89,7 @@
 		when := end.Add(r.aroundEnd())
 		r.pending.Go(func() { time.Sleep(time.Until(when)); act() })
 	}
-	any := func() string { return r.names[r.draw(len(r.names))] }
+	anyNode := func() string { return r.names[r.draw(len(r.names))] }
 	for range 3 {
 		at(func() {
 			h := r.seen.history(job)
@@ -98,17 +98,17 @@
 				r.betweenAsks++
 			}
 			r.mu.Unlock()
-			r.send(stateRequest, any(), job, 0)
+			r.send(stateRequest, anyNode(), job, 0)
 		})
 	}
-	at(func() { r.send(submitRequest, any(), job, r.want[job]) })
+	at(func() { r.send(submitRequest, anyNode(), job, r.want[job]) })
 	if r.draw(4) == 0 {
 		return // it is done
 	}
 	at(func() {
 		for range 20 {
 			sent, recorded := time.Now(), r.store.Text("final/"+job) != ""
-			stage := r.send(cancelRequest, any(), job, 0)
+			stage := r.send(cancelRequest, anyNode(), job, 0)
 			if stage == "" {
 				time.Sleep(time.Second)
 				continue
@@ -207,9 +207,7 @@
 			r.started(k, task)
 		}
 	}
-	for _, n := range w.names {
-		w.start(n)
-	}
+	w.startNodes()
 	time.Sleep(2 * time.Second)
 	stop := make(chan struct{})
 	var reporting sync.WaitGroup
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -16,9 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 1)
 		w.reliableStore = true
-		for _, n := range []string{"a", "b", "c"} {
-			w.start(n)
-		}
+		w.startNodes()
 		time.Sleep(2 * time.Second)
 		w.submit("j-1", 3)
 		time.Sleep(time.Second)
@@ -40,9 +38,7 @@
 		if s, ok := w.nodes[leader].scheduler.LocalState("j-1"); ok && s.Stage != wire.StageCancelled {
 			t.Errorf("after the cancel the owner says %+v", s)
 		}
-		for _, n := range []string{"a", "b", "c"} {
-			w.crash(n)
-		}
+		w.stopAll()
 	})
 }
 
@@ -54,9 +50,7 @@
 		w.bigger(3, 8)
 		w.long()
 		w.losslessReports, w.reliableStore, w.keepCuts = true, true, true
-		for _, n := range w.names {
-			w.start(n)
-		}
+		w.startNodes()
 		w.live(3)
 		w.submit("j-80", 4)
 		if !w.within(10, func() bool { return w.onMachines("j-80") == 4 }) {
--- a/internal/testkit/cancel_transfer_test.go
+++ b/internal/testkit/cancel_transfer_test.go
@@ -101,9 +101,10 @@
 	})
 }
 
-// recordUnheard records a job's cancel at the giver; nobody hears of it, since the store's
+// recordUnheard records the cancel of j-80 at the giver; nobody hears of it, since the store's
 // answer is lost and the user's connection with it, and the giver's watch lags.
-func (h *handOver) recordUnheard(uid string) {
+func (h *handOver) recordUnheard() {
+	const uid = "j-80"
 	h.delayWatch(h.giver, "live/", 3*time.Second)
 	var lose atomic.Bool
 	h.onCancel(h.giver, uid, func() { lose.Store(true) })
@@ -204,14 +205,14 @@
 			everywhere(h, stepUntold)
 		}, 0, 3},
 		{"recorded before, confirmed by a third while the taker is not told", func(h *handOver) {
-			h.recordUnheard("j-80")
+			h.recordUnheard()
 			h.delayWatch(h.taker, "c/", lag)
 			h.begin(0)
 			h.cancelIn(stepUntold, h.third, "j-80")
 		}, 1, 0},
 		{"the same, and the third reaches no peer until the taker has loaded", func(h *handOver) {
 			h.delayWatch(h.taker, "", lag)
-			h.recordUnheard("j-80")
+			h.recordUnheard()
 			h.cutAll(h.third, h.giver, h.taker)
 			h.begin(0)
 			h.cancelIn(stepUntold, h.third, "j-80")
@@ -223,7 +224,7 @@
 			h.healLinks(h.third, h.giver, h.taker)
 		}, 1, 0},
 		{"the taker has read no record", func(h *handOver) {
-			h.recordUnheard("j-80")
+			h.recordUnheard()
 			h.holdLoad("task/")
 			h.begin(0)
 			h.until(stepLoading)
@@ -232,7 +233,7 @@
 			h.cancelIn(stepLoading, h.giver, "j-82")
 		}, 1, 2},
 		{"the taker has read the jobs, and not the log", func(h *handOver) {
-			h.recordUnheard("j-80")
+			h.recordUnheard()
 			h.holdLoad("log/")
 			h.begin(0)
 			h.until(stepLoading)
@@ -266,7 +267,7 @@
 			h.start(h.giver)
 		}, 1, 2},
 		{"the taker ends before it is told, and is back", func(h *handOver) {
-			h.recordUnheard("j-80")
+			h.recordUnheard()
 			h.delayWatch(h.taker, "c/", lag)
 			h.begin(0)
 			h.cancelIn(stepUntold, h.third, "j-80")
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -48,14 +48,14 @@
 	return &r.Job, &r.Terms
 }
 
-// workload plays a workload on one worker, its jobs made by make, which may differ
+// workload plays a workload on one worker, its jobs made by submitter, which may differ
 // from job to job, and returns the order of starts and the rows of accounting,
 // without the names that each client gives.
-func workload(t *testing.T, make func(n int) func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)) (starts, rows []string) {
+func workload(t *testing.T, submitter func(n int) func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)) (starts, rows []string) {
 	w := newCluster(t, 1)
 	w.accounts = true
 	w.workers = w.workers[:1]
-	var mu = &w.mu
+	mu := &w.mu
 	w.workers[0].Run = func(string) time.Duration { return 4 * time.Second }
 	w.workers[0].Started = func(task string, _ uint64) { starts = append(starts, task) }
 	w.reliableStore = true
@@ -71,7 +71,7 @@
 		tasks                 int
 	}{{"study", "lab", "low", 3}, {"study", "t", "normal", 2}, {"tips", "t", "production", 2}, {"study", "lab", "low", 1}, {"tips", "t", "urgent", 3}, {"study", "t", "normal", 2}, {"tips", "t", "production", 1}}
 	for i, k := range jobs {
-		j, tm := make(i)(t, k.class, k.team, k.priority, k.tasks)
+		j, tm := submitter(i)(t, k.class, k.team, k.priority, k.tasks)
 		j.UID, tm.Number = fmt.Sprintf("j-%d", i), uint64(100*(i+1))
 		at := time.Now().UnixMilli()
 		guards, ops := jobrecord.AcceptanceTxn(j, tm, jobrecord.HashShard(j, nil, 4), at)
@@ -129,8 +129,10 @@
 func TestNativeAndSlurmClientsGetSameOrderAndAccounting(t *testing.T) {
 	type maker = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)
 	var starts, rows [][]string
-	for _, m := range []func(int) maker{func(int) maker { return asNative }, func(int) maker { return asSlurm },
-		func(n int) maker { return []maker{asNative, asSlurm}[n%2] }} {
+	for _, m := range []func(int) maker{
+		func(int) maker { return asNative }, func(int) maker { return asSlurm },
+		func(n int) maker { return []maker{asNative, asSlurm}[n%2] },
+	} {
 		synctest.Test(t, func(t *testing.T) {
 			s, r := workload(t, m)
 			starts, rows = append(starts, s), append(rows, r)
--- a/internal/testkit/cluster_jobs_test.go
+++ b/internal/testkit/cluster_jobs_test.go
@@ -18,8 +18,10 @@
 
 // arrayJob describes an array of one-CPU tasks.
 func arrayJob(uid string, tasks int) *wire.Job {
-	return &wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
-		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 4, Spot: true}
+	return &wire.Job{
+		UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
+		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 4, Spot: true,
+	}
 }
 
 func (w *cluster) submitWith(uid string, tasks int, t *jobspec.Constraints) {
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -147,7 +147,7 @@
 	if from == nil || to == nil || from.down || to.down {
 		return false
 	}
-	by := w.nodes[from.reach.way(from, to.name)]
+	by := w.nodes[from.reach.way(to.name)]
 	return by != nil && !by.down && w.works(from.name, by.name) && (by == to || w.works(by.name, to.name))
 }
 
@@ -155,8 +155,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &node{cluster: w, name: name, ctx: ctx, stop: cancel, done: make(chan struct{}), duties: map[string]bool{}}
 	n.reach.init(n)
-	n.view = &testkit.View{Store: w.store,
-		Down: func() bool { w.mu.Lock(); defer w.mu.Unlock(); return n.down || !w.stored(n) },
+	n.view = &testkit.View{
+		Store: w.store,
+		Down:  func() bool { w.mu.Lock(); defer w.mu.Unlock(); return n.down || !w.stored(n) },
 		Lose: func() bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -226,10 +227,12 @@
 }
 
 func newCluster(t testing.TB, seed uint64) *cluster {
-	w := &cluster{t: t, fail: t.Errorf, size: 4, rnd: rand.New(rand.NewPCG(seed, 7)), plan: rand.New(rand.NewPCG(seed, 11)), store: testkit.NewStore(), nodes: map[string]*node{},
+	w := &cluster{
+		t: t, fail: t.Errorf, size: 4, rnd: rand.New(rand.NewPCG(seed, 7)), plan: rand.New(rand.NewPCG(seed, 11)), store: testkit.NewStore(), nodes: map[string]*node{},
 		dispatcherOf: map[*testkit.Worker]int{}, byName: map[string]*testkit.Worker{},
 		names: []string{"a", "b", "c"}, brokenLinks: map[[2]string]bool{}, lastHeartbeats: map[string]heartbeatTime{}, confirmedCancels: map[string]time.Time{}, doneJobs: map[string]bool{}, cleared: map[string]string{},
-		specs: map[string]*wire.Job{}, startsOf: map[string]int{}, reporting: map[*testkit.Worker]bool{}, waits: newWaitCheck()}
+		specs: map[string]*wire.Job{}, startsOf: map[string]int{}, reporting: map[*testkit.Worker]bool{}, waits: newWaitCheck(),
+	}
 	w.cfg = &config.Platform{Params: config.Params{
 		Teams:   []config.Team{{Name: "t"}},
 		Workers: config.Workers{ReportS: 1, LeaseS: workerLease.Seconds(), CancelS: 40},
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -169,8 +169,8 @@
 				for _, n := range w.nodes {
 					trouble(n)
 				}
-				jobs := []string{}
-				for i := range 8 {
+				jobs := make([]string, 0, 8)
+				for i := range cap(jobs) {
 					uid := fmt.Sprintf("j-%d", 11+i)
 					jobs = append(jobs, uid)
 					w.submit(uid, 5+i)
--- a/internal/testkit/concurrent_polls_test.go
+++ b/internal/testkit/concurrent_polls_test.go
@@ -134,20 +134,20 @@
 // countUnheard counts questions that fall between a record and its reader.
 func (u *closeUsers) countUnheard(n *node, job string) {
 	u.mu.Lock()
-	var owning *node
+	var leader *node
 	for _, name := range u.names {
 		if x := u.nodes[name]; !x.down && len(x.member.OwnedShards()) > 0 {
-			owning = x
+			leader = x
 		}
 	}
 	u.mu.Unlock()
-	if owning == nil {
+	if leader == nil {
 		return
 	}
-	known, sure := owning.scheduler.LocalState(job)
+	known, sure := leader.scheduler.LocalState(job)
 	ended := u.store.Text("final/"+job) != ""
 	switch {
-	case ended && !(sure && (known.Stage == wire.StageDone || known.Stage == wire.StageCancelled)):
+	case ended && (!sure || known.Stage != wire.StageDone && known.Stage != wire.StageCancelled):
 		u.endKnown.Add(1)
 	case !ended && !sure && u.store.Text("live/"+job) != "":
 		u.unloaded.Add(1)
@@ -181,8 +181,8 @@
 func (u *closeUsers) follow(job string, tasks int, cancelAfter, patience time.Duration) {
 	u.submitted(job, tasks)
 	until := time.Now().Add(patience)
-	any := func() string { return u.names[u.draw(len(u.names))] }
-	for u.send(submitRequest, any(), job, tasks) == "" {
+	anyNode := func() string { return u.names[u.draw(len(u.names))] }
+	for u.send(submitRequest, anyNode(), job, tasks) == "" {
 		if time.Now().After(until) {
 			return
 		}
@@ -193,7 +193,7 @@
 		u.pending.Go(func() {
 			time.Sleep(cancelAfter)
 			for {
-				if stage := u.send(cancelRequest, any(), job, 0); stage != "" {
+				if stage := u.send(cancelRequest, anyNode(), job, 0); stage != "" {
 					u.look(job, tasks)
 					return
 				}
@@ -205,7 +205,7 @@
 		})
 	}
 	for time.Now().Before(until) {
-		if stage := u.send(stateRequest, any(), job, 0); stage == "done" || stage == "cancelled" {
+		if stage := u.send(stateRequest, anyNode(), job, 0); stage == "done" || stage == "cancelled" {
 			u.look(job, tasks)
 			for range u.later { // and later, by when lagging watches tell of the past
 				time.Sleep(time.Duration(200+u.draw(2000)) * time.Millisecond)
@@ -362,9 +362,7 @@
 			return variedTime(task) / 4
 		}
 	}
-	for _, n := range w.names {
-		w.start(n)
-	}
+	w.startNodes()
 	time.Sleep(2 * time.Second)
 	w.live(3)
 	for second := range seconds {
--- a/internal/testkit/constraints_test.go
+++ b/internal/testkit/constraints_test.go
@@ -83,9 +83,7 @@
 			return 0
 		}
 	}
-	for _, n := range []string{"a", "b", "c"} {
-		w.start(n)
-	}
+	w.startNodes()
 	time.Sleep(2 * time.Second)
 	now := time.Now()
 	dep := func(kind, uid string) []jobspec.Dependency { return []jobspec.Dependency{{Kind: kind, Job: uid}} }
@@ -188,9 +186,7 @@
 	if at := began["j-begin/0"]; at.Before(now.Add(70 * time.Second)) {
 		t.Errorf("began %v early", now.Add(70*time.Second).Sub(at))
 	}
-	for _, n := range []string{"a", "b", "c"} {
-		w.crash(n)
-	}
+	w.stopAll()
 }
 
 // The answer to every write of accounting is lost, once: the next write of the page
--- a/internal/testkit/deposed_leader_test.go
+++ b/internal/testkit/deposed_leader_test.go
@@ -30,9 +30,7 @@
 						return 4 * time.Second
 					}
 				}
-				for _, n := range w.names {
-					w.start(n)
-				}
+				w.startNodes()
 				w.live(5)
 				former := w.leader()
 				const jobs = 12
--- a/internal/testkit/drawn_faults_test.go
+++ b/internal/testkit/drawn_faults_test.go
@@ -27,9 +27,7 @@
 			}
 		}
 		w.bigger(controllers, workers)
-		for _, n := range w.names {
-			w.start(n)
-		}
+		w.startNodes()
 		time.Sleep(2 * time.Second)
 		play(w)
 		w.stopAll()
@@ -47,9 +45,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, seed)
-				for _, n := range []string{"a", "b", "c"} {
-					w.start(n)
-				}
+				w.startNodes()
 				time.Sleep(2 * time.Second)
 				const jobs = 6
 				for i := range jobs {
@@ -76,9 +72,7 @@
 						t.Errorf("stray key %s", k)
 					}
 				}
-				for _, n := range []string{"a", "b", "c"} {
-					w.crash(n)
-				}
+				w.stopAll()
 			})
 		})
 	}
--- a/internal/testkit/drawn_outages_test.go
+++ b/internal/testkit/drawn_outages_test.go
@@ -23,12 +23,16 @@
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		acts := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) act {
-			return act{rapid.IntRange(0, 30).Draw(rt, "at"), rapid.IntRange(0, 9).Draw(rt, "what"),
-				rapid.IntRange(0, 4).Draw(rt, "who"), rapid.IntRange(0, 11).Draw(rt, "other")}
+			return act{
+				rapid.IntRange(0, 30).Draw(rt, "at"), rapid.IntRange(0, 9).Draw(rt, "what"),
+				rapid.IntRange(0, 4).Draw(rt, "who"), rapid.IntRange(0, 11).Draw(rt, "other"),
+			}
 		}), 1, 7)
 		phases := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) phase {
-			return phase{rapid.Bool().Draw(rt, "refused"), rapid.Bool().Draw(rt, "apart"), rapid.Bool().Draw(rt, "alone"),
-				rapid.IntRange(0, 16).Draw(rt, "before"), rapid.IntRange(0, 75).Draw(rt, "outage"), acts.Draw(rt, "acts")}
+			return phase{
+				rapid.Bool().Draw(rt, "refused"), rapid.Bool().Draw(rt, "apart"), rapid.Bool().Draw(rt, "alone"),
+				rapid.IntRange(0, 16).Draw(rt, "before"), rapid.IntRange(0, 75).Draw(rt, "outage"), acts.Draw(rt, "acts"),
+			}
 		}), 1, 2).Draw(rt, "phases")
 		controllers := rapid.IntRange(3, 5).Draw(rt, "controllers")
 		seed := rapid.Uint64().Draw(rt, "seed")
--- a/internal/testkit/drawn_team_limits_test.go
+++ b/internal/testkit/drawn_team_limits_test.go
@@ -116,7 +116,7 @@
 }
 
 func (d *drawnTroubles) changeLeader() {
-	l := d.cluster.leader()
+	l := d.leader()
 	if l == "" {
 		return
 	}
--- a/internal/testkit/fault_kinds_test.go
+++ b/internal/testkit/fault_kinds_test.go
@@ -184,8 +184,8 @@
 	}, nil, (*faultRun).machinesBack},
 	{"the state service is slow", 8, 30, func(m *faultRun) {
 		did := m.did
-		m.cluster.storeLatency = func() time.Duration { *did++; return m.ms(300, 4000) }
-	}, nil, func(m *faultRun) { m.cluster.storeLatency = nil }},
+		m.storeLatency = func() time.Duration { *did++; return m.ms(300, 4000) }
+	}, nil, func(m *faultRun) { m.storeLatency = nil }},
 	{"transactions are carried out late", 8, 30, func(m *faultRun) {
 		did := m.did
 		m.transactionDelay = func() time.Duration {
--- a/internal/testkit/fault_pairs_test.go
+++ b/internal/testkit/fault_pairs_test.go
@@ -142,9 +142,7 @@
 			return 0
 		}
 	}
-	for _, n := range w.names {
-		w.start(n)
-	}
+	w.startNodes()
 	time.Sleep(2 * time.Second)
 	w.keepCuts = true
 	for i := range 6 {
--- a/internal/testkit/invalid_requests_test.go
+++ b/internal/testkit/invalid_requests_test.go
@@ -26,9 +26,11 @@
 
 // submissionWith is the body of a submission of one short task, with some fields changed.
 func submissionWith(uid string, change map[string]any) string {
-	fields := map[string]any{"uid": uid, "docket": "c", "crew": "t", "sort": "sweep", "urgency": "normal", "pieces": 1, "cpus": 1, "cards": 0,
+	fields := map[string]any{
+		"uid": uid, "docket": "c", "crew": "t", "sort": "sweep", "urgency": "normal", "pieces": 1, "cpus": 1, "cards": 0,
 		"memoryGb": 1, "kit": "i", "pullGb": 0.1, "builds": nil, "yard": nil, "together": false, "apart": false, "loaners": true,
-		"reckonS": 4, "markS": 0, "stashS": 0, "dueS": nil}
+		"reckonS": 4, "markS": 0, "stashS": 0, "dueS": nil,
+	}
 	for name, value := range change {
 		if fields[name] = value; value == absent {
 			delete(fields, name)
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -326,7 +326,7 @@
 	if final != jobs || live > 0 || tasks > 0 || slots > 60 {
 		s.t.Errorf("keys: %d final, %d live, %d task, %d log", final, live, tasks, slots)
 	}
-	before := []int{}
+	before := make([]int, 0, len(s.names))
 	for _, name := range s.names {
 		n := s.nodes[name]
 		queues := n.scheduler.QueueDepths()
--- a/internal/testkit/late_starts_test.go
+++ b/internal/testkit/late_starts_test.go
@@ -73,9 +73,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newCluster(t, 800+seed)
 			w.bigger(3, 12)
-			for _, n := range w.names {
-				w.start(n)
-			}
+			w.startNodes()
 			w.live(3)
 			w.keepCuts, w.holdsCommand = true, func() bool { return true }
 			jobs := []string{"j-1", "j-2", "j-3"}
@@ -126,14 +124,12 @@
 			w := newCluster(t, 860+seed)
 			w.bigger(3, 12)
 			w.promptCommands, w.reliableStore = true, true
-			for _, n := range w.names {
-				w.start(n)
-			}
+			w.startNodes()
 			w.live(3)
 			w.mu.Lock()
 			w.connecting = func() time.Duration { return wait }
 			w.mu.Unlock()
-			var all []string
+			all := make([]string, 0, jobs)
 			for i := range jobs {
 				uid := fmt.Sprintf("j-%d", i)
 				all = append(all, uid)
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -99,7 +99,7 @@
 			t.Error("the record was written again")
 		}
 	}},
-	{name: "end, after its repetition", prefix: "final/j-1", plain: true, play: func(_ *testing.T, w *cluster, l *answerLoss) {
+	{name: "end, after its repetition", prefix: "final/j-1", plain: true, play: func(_ *testing.T, _ *cluster, l *answerLoss) {
 		l.arm("", 1)
 	}},
 	{name: "end, after a cancel", prefix: "final/j-7", plain: true, play: func(t *testing.T, w *cluster, l *answerLoss) {
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -44,10 +44,7 @@
 	w.keepCuts = true
 	c := &changes{cluster: w}
 	w.storeLatency = func() time.Duration { c.requests++; return 0 }
-	for _, n := range w.names {
-		w.start(n)
-		time.Sleep(100 * time.Millisecond)
-	}
+	w.startInTurn()
 	w.live(3)
 	w.submit("j-80", 12)
 	w.live(8)
--- a/internal/testkit/load_test.go
+++ b/internal/testkit/load_test.go
@@ -190,8 +190,10 @@
 
 func (w *cluster) submitLoad(n int) {
 	due := 100.0
-	job := &wire.Job{UID: fmt.Sprintf("j-%06d", n), Class: fmt.Sprintf("c%d", n%3), Team: "t", Kind: wire.KindArray, Priority: []string{"low", "normal"}[n%2],
-		Tasks: 20 + n*37%150, CPUs: float64(1 + n%3), MemoryGB: 2, Image: fmt.Sprintf("i%d", n%10), ImageGB: 0.1, Estimate: 0.6, Spot: true, DueS: &due}
+	job := &wire.Job{
+		UID: fmt.Sprintf("j-%06d", n), Class: fmt.Sprintf("c%d", n%3), Team: "t", Kind: wire.KindArray, Priority: []string{"low", "normal"}[n%2],
+		Tasks: 20 + n*37%150, CPUs: float64(1 + n%3), MemoryGB: 2, Image: fmt.Sprintf("i%d", n%10), ImageGB: 0.1, Estimate: 0.6, Spot: true, DueS: &due,
+	}
 	guards, ops := jobrecord.AcceptanceTxn(job, nil, jobrecord.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: w.store}).Txn(context.Background(), guards, ops...); err != nil {
 		w.t.Fatal(err)
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -214,33 +214,33 @@
 			t.Errorf("terms without an answer: %v", unused)
 		}
 	}},
-	{name: "log, read by a new owner", prefix: "log/", play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "log, read by a new owner", prefix: "log/", play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = func(writer *node, _ string) { w.moveJobs(writer) }
 		l.arm("", 2)
 		w.live(8)
 	}},
-	{name: "log, repeated by its owner", prefix: "log/", plain: true, play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "log, repeated by its owner", prefix: "log/", plain: true, play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = w.look
 		l.arm("", 6)
 		w.live(20)
 	}},
-	{name: "chunk of tasks, read by a new owner", prefix: "task/", play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "chunk of tasks, read by a new owner", prefix: "task/", play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = func(writer *node, _ string) { w.moveJobs(writer) }
 		l.arm("", 2)
 		w.live(12)
 	}},
-	{name: "chunk of tasks, repeated by its owner", prefix: "task/", plain: true, play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "chunk of tasks, repeated by its owner", prefix: "task/", plain: true, play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = w.look
 		l.arm("", 4)
 		w.live(20)
 	}},
-	{name: "accounting page", prefix: accounting.Key, play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "accounting page", prefix: accounting.Key, play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = w.look
 		l.arm("", 6)
 		w.live(20)
 	}},
 	{name: "accounting page alone", prefix: accounting.Key, play: rowsAlone},
-	{name: "accounting page, and the jobs move", prefix: accounting.Key, play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "accounting page, and the jobs move", prefix: accounting.Key, play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = func(writer *node, key string) {
 			w.look(writer, key)
 			w.moveJobs(writer)
--- a/internal/testkit/lost_answers_test.go
+++ b/internal/testkit/lost_answers_test.go
@@ -259,10 +259,7 @@
 		w.accounts, w.losslessReports, w.reliableStore, w.keepCuts = !c.plain, true, true, true
 		l := &answerLoss{w: w, prefix: c.prefix}
 		begin(w, l)
-		for _, n := range w.names {
-			w.start(n)
-			time.Sleep(100 * time.Millisecond)
-		}
+		w.startInTurn()
 		w.live(3)
 		w.submit("j-80", 6)
 		jobs := []string{"j-1", "j-2", "j-3"}
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -22,6 +22,7 @@
 func (n *node) GrantLocal(r dispatch.GrantRequest) dispatch.GrantReply {
 	return n.scheduler.GrantLocal(r)
 }
+
 func (n *node) GrantRemote(ctx context.Context, at string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
 	return overPeerLink(ctx, n.cluster, func() ([]dispatch.GrantReply, error) {
 		to, err := n.peer(at)
--- a/internal/testkit/on_cluster_test.go
+++ b/internal/testkit/on_cluster_test.go
@@ -16,25 +16,42 @@
 
 // onClusterWith is onCluster with these teams.
 func onClusterWith(t *testing.T, seed uint64, teams []config.Team, controllers, workers int, play func(w *cluster)) {
+	playOn(t, seed, controllers, workers, func(w *cluster) { w.cfg.Params.Teams = teams }, play)
+}
+
+// playOn plays a test on a new cluster that setUp has prepared before its controllers start.
+func playOn(t *testing.T, seed uint64, controllers, workers int, setUp, play func(w *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, seed)
-		w.cfg.Params.Teams = teams
+		setUp(w)
 		defer func() {
 			w.stopAll()
 			time.Sleep(15 * time.Second) // what is still on its way in the store
 		}()
 		w.bigger(controllers, workers)
 		w.long()
-		for _, n := range w.names {
-			w.start(n)
-			time.Sleep(100 * time.Millisecond)
-		}
+		w.startInTurn()
 		w.keepCuts = true
 		w.live(5)
 		play(w)
 	})
 }
 
+// startNodes starts all controllers at once.
+func (w *cluster) startNodes() {
+	for _, name := range w.names {
+		w.start(name)
+	}
+}
+
+// startInTurn starts the controllers one after the other.
+func (w *cluster) startInTurn() {
+	for _, name := range w.names {
+		w.start(name)
+		time.Sleep(100 * time.Millisecond)
+	}
+}
+
 // leader is the controller that owns the jobs, or "".
 func (w *cluster) leader() string {
 	for _, n := range w.names {
--- a/internal/testkit/quota_leases_test.go
+++ b/internal/testkit/quota_leases_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/wallrack/wallrack/internal/quota"
@@ -16,24 +15,10 @@
 // onLentCluster plays a test on a new cluster whose shards are spread over two of three
 // controllers, with limited teams whose jobs belong to all shards.
 func onLentCluster(t *testing.T, seed uint64, play func(c *teamCluster)) {
-	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, seed)
+	playOn(t, seed, 3, 8, func(w *cluster) {
 		w.leaderCount = 2
 		w.cfg.Params.Teams = limitedTeams
-		defer func() {
-			w.stopAll()
-			time.Sleep(15 * time.Second) // what is still on its way in the store
-		}()
-		w.bigger(3, 8)
-		w.long()
-		for _, n := range w.names {
-			w.start(n)
-			time.Sleep(100 * time.Millisecond)
-		}
-		w.keepCuts = true
-		w.live(5)
-		play(&teamCluster{w})
-	})
+	}, func(w *cluster) { play(&teamCluster{w}) })
 }
 
 // owningNodes names the controllers that own jobs.
@@ -87,7 +72,7 @@
 func bothAtWork(t *testing.T, seed uint64, play func(c *teamCluster, owners, jobs, long []string)) {
 	onLentCluster(t, seed, func(c *teamCluster) {
 		owners := c.twoOwners()
-		var jobs, long []string
+		jobs, long := make([]string, 0, 4*len(owners)+1), make([]string, 0, 2*len(owners))
 		for _, o := range owners {
 			for _, team := range []string{"capped", "assured"} {
 				long = append(long, c.jobAt(o, 80, team, "normal", 2, 1))
@@ -338,8 +323,8 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			onLentCluster(t, 5200+seed, func(c *teamCluster) {
 				c.keepCuts = false
-				var jobs []string
-				for i := range 16 {
+				jobs := make([]string, 0, 16)
+				for i := range cap(jobs) {
 					uid := fmt.Sprintf("j-%d", 1000+i)
 					c.job(uid, []string{"capped", "assured"}[i%2], []string{"normal", "urgent", "low"}[i%3], 4+i%5, float64(1+i%3))
 					jobs = append(jobs, uid)
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -71,14 +71,16 @@
 	r.last = r.table.View(reachability.NodeStatus{Node: n.name}, time.Now())
 }
 
-func (r *reach) way(n *node, to string) string { return r.last.NextHop(to) }
+func (r *reach) way(to string) string { return r.last.NextHop(to) }
 
 func (r *reach) row(state bool) reachability.NodeStatus {
 	n, now := r.node, time.Now()
 	r.seq++
 	reports, machines := n.dispatcher.RecentHeartbeats()
-	row := reachability.NodeStatus{Node: n.name, StartedMs: r.born, Seq: r.seq, StoreReachable: state, LeaseHeld: n.member.LeaseRemaining() > 0, OwnsJobs: len(n.member.OwnedShards()) > 0,
-		Heartbeats: reports, ExpectedHeartbeats: float64(machines) / reportEvery.Seconds() * dispatch.HeartbeatWindow.Seconds(), UnreachedPeers: r.table.UnreachedPeers(now)}
+	row := reachability.NodeStatus{
+		Node: n.name, StartedMs: r.born, Seq: r.seq, StoreReachable: state, LeaseHeld: n.member.LeaseRemaining() > 0, OwnsJobs: len(n.member.OwnedShards()) > 0,
+		Heartbeats: reports, ExpectedHeartbeats: float64(machines) / reportEvery.Seconds() * dispatch.HeartbeatWindow.Seconds(), UnreachedPeers: r.table.UnreachedPeers(now),
+	}
 	if o := n.member.ShardOwners(); len(o) > 0 {
 		row.PreferredLeader = o[0]
 	}
--- a/internal/testkit/slow_links_test.go
+++ b/internal/testkit/slow_links_test.go
@@ -34,7 +34,7 @@
 			onClusterWith(t, 4000+seed, limitedTeams, 3, 6, func(w *cluster) {
 				begun, killed := map[string]time.Time{}, 0
 				for _, k := range w.workers {
-					noteStarts(w, k, begun)
+					noteStarts(k, begun)
 					k.Ended = func(task wire.Task, _ time.Duration) {
 						if task.Cause == "" {
 							killed++
@@ -92,10 +92,7 @@
 				w.mustKnow(slices.Collect(maps.Keys(at)))
 				w.delayLinks(nil)
 				w.waits.insist()
-				var all []string
-				for uid := range at {
-					all = append(all, uid)
-				}
+				all := slices.Collect(maps.Keys(at))
 				for i := 0; !w.ended(all...)(); i++ {
 					if i == 400 {
 						t.Fatalf("%d of %d jobs ended", len(w.store.Keys("final/")), len(all))
@@ -153,7 +150,7 @@
 }
 
 // noteStarts notes when the first task of each job starts.
-func noteStarts(w *cluster, k *testkit.Worker, begun map[string]time.Time) {
+func noteStarts(k *testkit.Worker, begun map[string]time.Time) {
 	started := k.Started
 	k.Started = func(task string, attempt uint64) {
 		uid, _, _ := strings.Cut(task, "/")
--- a/internal/testkit/stale_heartbeats_test.go
+++ b/internal/testkit/stale_heartbeats_test.go
@@ -81,10 +81,7 @@
 					}
 				}
 				k.Exit = func(string) int { return 3 }
-				for _, n := range w.names {
-					w.start(n)
-					time.Sleep(100 * time.Millisecond)
-				}
+				w.startInTurn()
 				time.Sleep(2 * time.Second)
 				w.exchange()
 				first := w.leader()
--- a/internal/testkit/team_limits_check_test.go
+++ b/internal/testkit/team_limits_check_test.go
@@ -33,8 +33,10 @@
 }
 
 func (w *cluster) standing() *standing {
-	s := &standing{use: teamUse{}, on: map[string]int{}, free: map[*testkit.Worker]float64{}, done: map[string]int{},
-		over: w.store.Keys("final/"), cancelled: map[string]bool{}}
+	s := &standing{
+		use: teamUse{}, on: map[string]int{}, free: map[*testkit.Worker]float64{}, done: map[string]int{},
+		over: w.store.Keys("final/"), cancelled: map[string]bool{},
+	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -61,8 +61,10 @@
 
 // follow has a ledger follow all workers.
 func (w *cluster) follow(total, save func(task string) time.Duration) *workLedger {
-	l := &workLedger{total: total, saved: map[string]time.Duration{}, done: map[string]time.Time{}, cut: map[string]time.Time{},
-		left: map[string]time.Time{}, killed: map[string]int{}, stopped: map[string]int{}, started: map[string]bool{}, longest: map[string]time.Duration{}}
+	l := &workLedger{
+		total: total, saved: map[string]time.Duration{}, done: map[string]time.Time{}, cut: map[string]time.Time{},
+		left: map[string]time.Time{}, killed: map[string]int{}, stopped: map[string]int{}, started: map[string]bool{}, longest: map[string]time.Duration{},
+	}
 	for _, k := range w.workers {
 		started := k.Started
 		k.Run = func(task string) time.Duration { return max(0, total(task)-l.saved[task]) }
@@ -71,7 +73,7 @@
 			started(task, attempt)
 			l.starts(w, k, task)
 		}
-		k.Ended = func(t wire.Task, ran time.Duration) { l.ends(w, k, t, ran) }
+		k.Ended = func(t wire.Task, ran time.Duration) { l.ends(k, t, ran) }
 	}
 	return l
 }
@@ -92,7 +94,7 @@
 	}
 }
 
-func (l *workLedger) ends(w *cluster, k *testkit.Worker, t wire.Task, ran time.Duration) {
+func (l *workLedger) ends(k *testkit.Worker, t wire.Task, ran time.Duration) {
 	uid, _, _ := strings.Cut(t.Task, "/")
 	at, cut := l.cut[k.Name]
 	switch {
@@ -178,8 +180,12 @@
 		full  bool // there is more work than room
 		token bool // it has seen a higher fencing token than the leader has
 	}{
-		{name: "one", cut: 1}, {name: "one that has seen a higher token", cut: 1, token: true}, {name: "a quarter", cut: 6}, {name: "all", cut: 24},
-		{name: "a quarter, and the leader ends", cut: 6, ends: true}, {name: "a quarter, with more work than room", cut: 6, full: true},
+		{name: "one", cut: 1},
+		{name: "one that has seen a higher token", cut: 1, token: true},
+		{name: "a quarter", cut: 6},
+		{name: "all", cut: 24},
+		{name: "a quarter, and the leader ends", cut: 6, ends: true},
+		{name: "a quarter, with more work than room", cut: 6, full: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -201,14 +207,13 @@
 					}
 					return -1
 				})
-				for _, n := range w.names {
-					w.start(n)
-					time.Sleep(100 * time.Millisecond)
-				}
+				w.startInTurn()
 				time.Sleep(2 * time.Second)
 				submit := func(uid, priority string, tasks int, estimate, mark float64) {
-					w.accept(&wire.Job{UID: uid, Class: uid, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks,
-						CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: estimate, Spot: true, MarkS: mark, SaveS: mark / 30})
+					w.accept(&wire.Job{
+						UID: uid, Class: uid, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks,
+						CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: estimate, Spot: true, MarkS: mark, SaveS: mark / 30,
+					})
 				}
 				submit(savers, "normal", 24, 40, 30)
 				submit(old, "normal", 24, 40, 0)
--- a/internal/testkit/unresponsive_workers_test.go
+++ b/internal/testkit/unresponsive_workers_test.go
@@ -16,10 +16,7 @@
 func settled(t *testing.T, seed uint64, controllers, workers int) (w *cluster, owner string, others []string, live func(seconds int)) {
 	w = newCluster(t, seed)
 	w.bigger(controllers, workers)
-	for _, n := range w.names {
-		w.start(n)
-		time.Sleep(100 * time.Millisecond)
-	}
+	w.startInTurn()
 	live = w.live
 	w.submit("j-0", 6000)
 	w.keepCuts = true
--- a/internal/testkit/wait_check_test.go
+++ b/internal/testkit/wait_check_test.go
@@ -45,8 +45,10 @@
 }
 
 func newWaitCheck() waitCheck {
-	return waitCheck{room: map[*testkit.Worker]map[float64]time.Time{}, steady: map[string]time.Time{}, starts: map[string]int{},
-		recurring: map[string]*recurringWait{}, recurringStarts: map[string]int{}}
+	return waitCheck{
+		room: map[*testkit.Worker]map[float64]time.Time{}, steady: map[string]time.Time{}, starts: map[string]int{},
+		recurring: map[string]*recurringWait{}, recurringStarts: map[string]int{},
+	}
 }
 
 // insist has the waits judged from now on whatever the links, workers and the state
--- a/internal/testkit/worker_assignment_test.go
+++ b/internal/testkit/worker_assignment_test.go
@@ -119,7 +119,7 @@
 			w.cutBetween(owner, holder, true)
 			return func() { w.cutBetween(owner, holder, false) }
 		},
-		"is cut from both": func(w *cluster, owner, holder string) func() {
+		"is cut from both": func(w *cluster, _, holder string) func() {
 			for _, other := range w.others(holder) {
 				w.cutBetween(other, holder, true)
 			}
@@ -129,12 +129,12 @@
 				}
 			}
 		},
-		"its views stop": func(w *cluster, owner, holder string) func() {
+		"its views stop": func(w *cluster, _, holder string) func() {
 			w.loseViews = func(from, to *node) bool { return from.name == holder || to.name == holder }
 			return func() { w.loseViews = nil }
 		},
-		"half of its views are lost": func(w *cluster, owner, holder string) func() {
-			w.loseViews = func(from, to *node) bool { return w.chance(2) == 0 }
+		"half of its views are lost": func(w *cluster, _, _ string) func() {
+			w.loseViews = func(*node, *node) bool { return w.chance(2) == 0 }
 			return func() { w.loseViews = nil }
 		},
 	} {
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -253,10 +253,7 @@
 			return 0
 		}
 	}
-	for _, n := range w.names {
-		w.start(n)
-		time.Sleep(100 * time.Millisecond)
-	}
+	w.startInTurn()
 	w.live(3)
 	y := "y"
 	for i := range 2 {
