--- a/internal/testkit/answer_history_test.go
+++ b/internal/testkit/answer_history_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"slices"
 	"sync"
 	"time"
 )
@@ -172,10 +173,9 @@
 	return state.Stage
 }
 
+// judgeStageLocked judges an answer's stage against what users knew before its request was sent.
 func (o *answerObserver) judgeStageLocked(a *heardAnswer, stage string, h *jobHistory, before func(time.Time) bool) {
-	switch stage {
-	case "queued", "running", "done", "cancelled":
-	default:
+	if !slices.Contains([]string{"queued", "running", "done", "cancelled"}, stage) {
 		o.failLocked(a, "no stage of the protocol")
 	}
 	switch {
--- a/internal/testkit/cluster_cancels_test.go
+++ b/internal/testkit/cluster_cancels_test.go
@@ -19,7 +19,7 @@
 }
 
 // watchCancels does what cmd/wallrack does beside the pings.
-func (w *cluster) watchCancels(living []*node) {
+func (w *cluster) watchCancels(ctx context.Context, living []*node) {
 	const unheard = 2500 * time.Millisecond
 	for _, n := range living {
 		for _, p := range n.cancellations.StalePeers(unheard) {
@@ -33,7 +33,7 @@
 		}
 		if n.cancellations.NeedsStoreRead(unheard) {
 			sent := time.Now()
-			if uids, err := scheduler.ReadCancelledJobs(context.Background(), n.view); err == nil {
+			if uids, err := scheduler.ReadCancelledJobs(ctx, n.view); err == nil {
 				n.cancellations.RecordStoreRead(sent, uids)
 			}
 		}
--- a/internal/testkit/drawn_team_limits_test.go
+++ b/internal/testkit/drawn_team_limits_test.go
@@ -192,7 +192,6 @@
 					c.delayLinks(func() time.Duration { return time.Duration(50+c.rnd.IntN(1100)) * time.Millisecond })
 				}
 				long := []string{"j-80", "j-81", "j-82", "j-83"}
-				short := []string{"j-1", "j-2", "j-3", "j-4", "j-5"}
 				hung := "" // the job that is cancelled while its worker hangs
 				for second := range 60 {
 					if second%6 == 0 { // so that both teams stay at their limits
@@ -227,7 +226,7 @@
 						c.cancelAll(n, []string{uid}, 20)
 					}
 				}
-				c.finishes(append(short, long...)...)
+				c.finishes(append(long, "j-1", "j-2", "j-3", "j-4", "j-5")...)
 				seen.changes += min(d.changes, 1)
 				seen.confirms += min(d.confirms, 1)
 				seen.wentOn += min(d.wentOn, 1)
--- a/internal/testkit/load_test.go
+++ b/internal/testkit/load_test.go
@@ -144,7 +144,7 @@
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	for {
-		w.watchCancels([]*node{n})
+		w.watchCancels(ctx, []*node{n})
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/testkit/quota_leases_test.go
+++ b/internal/testkit/quota_leases_test.go
@@ -290,7 +290,7 @@
 func TestQuotaHoldsWhenLeaderCountChanges(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			bothAtWork(t, 5400+seed, func(c *teamCluster, owners, jobs, long []string) {
+			bothAtWork(t, 5400+seed, func(c *teamCluster, _, jobs, long []string) {
 				next := 81 // what runs for long
 				for _, spread := range []int{1, 2, 1, 2} {
 					c.restartAllWith(spread)
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -159,7 +159,7 @@
 			}
 		}
 	}
-	w.watchCancels(living)
+	w.watchCancels(context.Background(), living)
 	for _, n := range living {
 		r := &n.reach
 		v := r.table.View(r.row(straight[n]), now)
