--- a/internal/testkit/partitions_test.go
+++ b/internal/testkit/partitions_test.go
@@ -36,92 +36,104 @@
 	}
 }
 
+// partition is a cut of links, and what it may cost.
+type partition struct {
+	name  string
+	cut   func(w *cluster, leader string, others []string)
+	bound time.Duration
+	moves int // transfers at most
+}
+
+// cutPeers has the controllers refuse each other.
+func (w *cluster) cutPeers() {
+	for _, a := range w.names {
+		w.cutAll(a, w.others(a)...)
+	}
+}
+
+// calmGap is the longest time between starts when nothing is cut.
+const calmGap = 3 * time.Second
+
+var partitions = []partition{
+	{"nothing", func(*cluster, string, []string) {}, calmGap, 0},
+	{"the owner loses the state service", func(w *cluster, o string, _ []string) { w.cutAll(o, stateService) }, calmGap, 0},
+	{"another loses the state service", func(w *cluster, _ string, x []string) { w.cutAll(x[0], stateService) }, calmGap, 0},
+	{"the owner loses the workers", func(w *cluster, o string, _ []string) { w.cutAll(o, w.workerNames()...) }, 5 * time.Second, 1},
+	{"another loses the workers", func(w *cluster, _ string, x []string) { w.cutAll(x[0], w.workerNames()...) }, calmGap, 0},
+	{"the owner loses its peers", func(w *cluster, o string, x []string) { w.cutAll(o, x...) }, calmGap, 0},
+	{"peers refuse each other", func(w *cluster, _ string, _ []string) { w.cutPeers() }, calmGap, 0},
+	{"the owner reaches a peer, and is not reached by it", func(w *cluster, o string, x []string) { w.brokenLinks[[2]string{x[0], o}] = true }, calmGap, 0},
+	{"the owner loses state service and workers", func(w *cluster, o string, _ []string) { w.cutAll(o, append(w.workerNames(), stateService)...) }, 7 * time.Second, 1},
+	{"the owner loses state service and peers", func(w *cluster, o string, x []string) { w.cutAll(o, append(slices.Clone(x), stateService)...) }, 7 * time.Second, 1},
+	{"the owner loses everything", func(w *cluster, o string, x []string) {
+		w.cutAll(o, append(append(slices.Clone(x), stateService), w.workerNames()...)...)
+	}, 12 * time.Second, 1},
+	{"peers refuse each other, the owner loses the workers, another the state service", func(w *cluster, o string, x []string) {
+		w.cutPeers()
+		w.cutAll(o, w.workerNames()...)
+		w.cutAll(x[0], stateService)
+	}, 12 * time.Second, 1},
+	{"the owner loses half of the workers", func(w *cluster, o string, _ []string) {
+		w.cutAll(o, w.workerNames()[:len(w.workers)/2]...)
+	}, calmGap, 1},
+	{"one after the other loses the state service", func(w *cluster, o string, x []string) {
+		w.cutAll(o, stateService)
+		w.cutAll(x[0], stateService)
+	}, calmGap, 0},
+	{"everybody but one loses the workers", func(w *cluster, o string, x []string) {
+		for _, n := range append([]string{o}, x[1:]...) {
+			w.cutAll(n, w.workerNames()...)
+		}
+	}, 5 * time.Second, 1},
+}
+
 // TestEachPartitionRestartsWorkInTime is the table of docs/partitions.md: each cut, at the leader or at
 // another controller, with the time from the cut to the next start and the workers
 // that may be deleted (none).
 func TestEachPartitionRestartsWorkInTime(t *testing.T) {
-	type cut struct {
-		name  string
-		make  func(w *cluster, owner string, others []string)
-		bound time.Duration
-		moves int // hand-overs at most
-	}
-	peers := func(w *cluster) {
-		for _, a := range w.names {
-			w.cutAll(a, w.others(a)...)
-		}
-	}
-	const calm = 3 * time.Second // between starts when nothing is cut
-	cuts := []cut{
-		{"nothing", func(*cluster, string, []string) {}, calm, 0},
-		{"the owner loses the state service", func(w *cluster, o string, _ []string) { w.cutAll(o, stateService) }, calm, 0},
-		{"another loses the state service", func(w *cluster, _ string, x []string) { w.cutAll(x[0], stateService) }, calm, 0},
-		{"the owner loses the workers", func(w *cluster, o string, _ []string) { w.cutAll(o, w.workerNames()...) }, 5 * time.Second, 1},
-		{"another loses the workers", func(w *cluster, _ string, x []string) { w.cutAll(x[0], w.workerNames()...) }, calm, 0},
-		{"the owner loses its peers", func(w *cluster, o string, x []string) { w.cutAll(o, x...) }, calm, 0},
-		{"peers refuse each other", func(w *cluster, _ string, _ []string) { peers(w) }, calm, 0},
-		{"the owner reaches a peer, and is not reached by it", func(w *cluster, o string, x []string) { w.brokenLinks[[2]string{x[0], o}] = true }, calm, 0},
-		{"the owner loses state service and workers", func(w *cluster, o string, _ []string) { w.cutAll(o, append(w.workerNames(), stateService)...) }, 7 * time.Second, 1},
-		{"the owner loses state service and peers", func(w *cluster, o string, x []string) { w.cutAll(o, append(slices.Clone(x), stateService)...) }, 7 * time.Second, 1},
-		{"the owner loses everything", func(w *cluster, o string, x []string) {
-			w.cutAll(o, append(append(slices.Clone(x), stateService), w.workerNames()...)...)
-		}, 12 * time.Second, 1},
-		{"peers refuse each other, the owner loses the workers, another the state service", func(w *cluster, o string, x []string) {
-			peers(w)
-			w.cutAll(o, w.workerNames()...)
-			w.cutAll(x[0], stateService)
-		}, 12 * time.Second, 1},
-		{"the owner loses half of the workers", func(w *cluster, o string, _ []string) {
-			w.cutAll(o, w.workerNames()[:len(w.workers)/2]...)
-		}, calm, 1},
-		{"one after the other loses the state service", func(w *cluster, o string, x []string) {
-			w.cutAll(o, stateService)
-			w.cutAll(x[0], stateService)
-		}, calm, 0},
-		{"everybody but one loses the workers", func(w *cluster, o string, x []string) {
-			for _, n := range append([]string{o}, x[1:]...) {
-				w.cutAll(n, w.workerNames()...)
-			}
-		}, 5 * time.Second, 1},
-	}
 	for _, controllers := range []int{3, 5} {
-		for i, c := range cuts {
-			t.Run(fmt.Sprintf("%d: %s", controllers, c.name), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) {
-					w, owner, others, live := settled(t, uint64(100+i), controllers, 24)
-					c.make(w, owner, others)
-					at := time.Now()
-					longest := time.Duration(0)
-					for last := w.lastStart(); time.Since(at) < 60*time.Second; {
-						live(1)
-						longest = max(longest, time.Since(last))
-						last = w.lastStart()
-					}
-					if longest > c.bound {
-						t.Errorf("%v without a start, not %v", longest, c.bound)
-					}
-					if w.returnedMachines > 0 {
-						t.Errorf("%d machines were returned", w.returnedMachines)
-					}
-					moves := 0
-					for _, n := range w.nodes {
-						moves = max(moves, n.member.RecentTransfers(time.Hour))
-					}
-					if moves > c.moves {
-						t.Errorf("%d hand-overs", moves)
-					}
-					w.healed()
-					live(30)
-					if time.Since(w.lastStart()) > 3*time.Second || w.returnedMachines > 0 {
-						t.Errorf("after the healing: last start %v ago, %d machines returned", time.Since(w.lastStart()), w.returnedMachines)
-					}
-					w.stopAll()
-				})
+		for i := range partitions {
+			p := &partitions[i]
+			t.Run(fmt.Sprintf("%d: %s", controllers, p.name), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { playPartition(t, p, uint64(100+i), controllers) })
 			})
 		}
 	}
 }
 
+// playPartition cuts the links for a minute, and checks what it costs and that it heals.
+func playPartition(t *testing.T, p *partition, seed uint64, controllers int) {
+	t.Helper()
+	w, leader, others, live := settled(t, seed, controllers, 24)
+	p.cut(w, leader, others)
+	at := time.Now()
+	longest := time.Duration(0)
+	for last := w.lastStart(); time.Since(at) < 60*time.Second; {
+		live(1)
+		longest = max(longest, time.Since(last))
+		last = w.lastStart()
+	}
+	if longest > p.bound {
+		t.Errorf("%v without a start, not %v", longest, p.bound)
+	}
+	if w.returnedMachines > 0 {
+		t.Errorf("%d machines were returned", w.returnedMachines)
+	}
+	moves := 0
+	for _, n := range w.nodes {
+		moves = max(moves, n.member.RecentTransfers(time.Hour))
+	}
+	if moves > p.moves {
+		t.Errorf("%d hand-overs", moves)
+	}
+	w.healed()
+	live(30)
+	if time.Since(w.lastStart()) > 3*time.Second || w.returnedMachines > 0 {
+		t.Errorf("after the healing: last start %v ago, %d machines returned", time.Since(w.lastStart()), w.returnedMachines)
+	}
+	w.stopAll()
+}
+
 // poll asks a controller for a job as its users' interface does.
 func (w *cluster) poll(n *node, uid string) (wire.JobState, bool) {
 	if s, ok := n.scheduler.LocalState(uid); ok {
