--- a/cmd/wallctl/nodes.go
+++ b/cmd/wallctl/nodes.go
@@ -45,7 +45,7 @@
 		t := newTable(cmd.OutOrStdout(), 0)
 		t.printf("MACHINE\tTYPE\tZONE\tSPOT\tCPUS\tUSED\tTASKS\tHEARD\n")
 		for _, w := range workers {
-			t.printf("%s\t%s\t%s\t%v\t%g\t%g\t%d\t%.0f s\n", w.Name, w.Type, w.Zone, w.Spot, w.CPUs, w.UsedCPUs, w.Tasks, w.HeardS)
+			t.printf("%s\t%s\t%s\t%v\t%g\t%g\t%d\t%.0f s\n", w.Name, w.Type, w.Zone, w.Spot, w.CPUs, w.UsedCPUs, w.Tasks, w.SinceHeartbeatS)
 		}
 		return t.flush()
 	}}
--- a/cmd/wallctl/rollout_commands.go
+++ b/cmd/wallctl/rollout_commands.go
@@ -93,8 +93,8 @@
 // describeRun is a roll-out in a line.
 func describeRun(run *rollout.Run) string {
 	line := fmt.Sprintf("%s %d to %s: %s, step %d of %d", run.Spec.Service, run.ID, run.Spec.To.Name, run.Phase, run.Step+1, len(run.Targets))
-	if run.Why != "" {
-		line += " (" + run.Why + ")"
+	if run.Reason != "" {
+		line += " (" + run.Reason + ")"
 	}
 	return line
 }
@@ -208,7 +208,7 @@
 			restoredIn = (time.Duration(run.Ended-run.Verdict) * time.Millisecond).String()
 		}
 		t.printf("%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", run.ID, run.From.Name, run.Spec.To.Name, run.Phase, time.UnixMilli(run.Begun).UTC().Format(time.RFC3339),
-			time.Duration(run.Ended-run.Begun)*time.Millisecond, restoredIn, run.Why)
+			time.Duration(run.Ended-run.Begun)*time.Millisecond, restoredIn, run.Reason)
 	}
 	return t.flush()
 }
--- a/cmd/wallctl/rollout_watch.go
+++ b/cmd/wallctl/rollout_watch.go
@@ -86,7 +86,7 @@
 		v.step = run.Step
 		v.bar = progressbar.NewOptions(run.Targets[v.step], progressbar.OptionSetWriter(v.w), progressbar.OptionSetWidth(30), progressbar.OptionShowCount())
 	}
-	v.bar.Describe(fmt.Sprintf("step %d of %d, %s %s", v.step+1, len(run.Targets), run.Phase, run.Why))
+	v.bar.Describe(fmt.Sprintf("step %d of %d, %s %s", v.step+1, len(run.Targets), run.Phase, run.Reason))
 	_ = v.bar.Set(healthy)
 }
 
@@ -97,7 +97,7 @@
 		v.println(describeRun(run))
 	}
 	if run.Phase != rollout.Done {
-		return fmt.Errorf("%w: %s", errNotRolledOut, run.Why)
+		return fmt.Errorf("%w: %s", errNotRolledOut, run.Reason)
 	}
 	return nil
 }
--- a/cmd/wallctl/sbatch.go
+++ b/cmd/wallctl/sbatch.go
@@ -27,9 +27,9 @@
 		_, _ = fmt.Fprintf(cmd.ErrOrStderr(), "sbatch: Job would be accepted: %d task(s) of %g processors in partition %s\n", job.Tasks, job.CPUs, job.Class)
 		return nil
 	case options.Parsable:
-		_, _ = fmt.Fprintln(out, request.Terms.Number)
+		_, _ = fmt.Fprintln(out, request.Constraints.Number)
 	case !options.Quiet:
-		_, _ = fmt.Fprintf(out, "Submitted batch job %d\n", request.Terms.Number)
+		_, _ = fmt.Fprintf(out, "Submitted batch job %d\n", request.Constraints.Number)
 	}
 	if !options.Wait {
 		return nil
--- a/cmd/wallctl/scancel.go
+++ b/cmd/wallctl/scancel.go
@@ -101,7 +101,7 @@
 		if match.allTasks {
 			c.report(name, cancelJob(ctx, c.cl, uid))
 		} else {
-			c.report(name, c.cl.Drop(ctx, uid, jobspec.RangesOf(match.tasks)))
+			c.report(name, c.cl.CancelTasks(ctx, uid, jobspec.RangesOf(match.tasks)))
 		}
 	}
 	return nil
@@ -163,7 +163,7 @@
 			return errInvalidJobID
 		}
 	}
-	err = cl.Drop(ctx, found.UID, tasks)
+	err = cl.CancelTasks(ctx, found.UID, tasks)
 	if errors.Is(err, client.ErrNotFound) {
 		return errAlreadyOver
 	}
--- a/cmd/wallctl/scancel_test.go
+++ b/cmd/wallctl/scancel_test.go
@@ -18,9 +18,9 @@
 // the listing breaks off, nothing is cancelled.
 func TestFilteredCancelTakesMatchesOfCompleteListingOnly(t *testing.T) {
 	job := func(uid string, number uint64, tasks int, waiting string, on ...jobquery.Placement) jobquery.Info {
-		return jobquery.Info{Job: wire.Job{UID: uid, Tasks: tasks}, Constraints: &jobspec.Constraints{Number: number}, Stage: wire.StageQueued, Waiting: waiting, Placements: on}
+		return jobquery.Info{Job: wire.Job{UID: uid, Tasks: tasks}, Constraints: &jobspec.Constraints{Number: number}, Stage: wire.StageQueued, PendingTasks: waiting, Placements: on}
 	}
-	running := jobquery.Placement{Task: 0, Attempt: 1, Machine: "m", StartMs: 5}
+	running := jobquery.Placement{Task: 0, Attempt: 1, Worker: "m", StartMs: 5}
 	first := jobquery.Page{
 		Next: &jobquery.Cursor{Number: 40}, NowMs: 1000,
 		Jobs: []jobquery.Info{job("j-all", 10, 1, "0"), job("j-part", 20, 3, "1-2", running), job("j-none", 30, 1, "", running)},
--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -113,15 +113,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if request.Terms.Number, err = cl.Numbers(ctx, request.Job.Tasks); err != nil {
+	if request.Constraints.Number, err = cl.Numbers(ctx, request.Job.Tasks); err != nil {
 		return nil, fmt.Errorf("%s: %w", stepSubmit, err)
 	}
-	request.Job.UID, request.Description.Slurm.Number = client.NewUID(), request.Terms.Number
-	_, err = cl.SubmitWith(ctx, &request.Job, &request.Terms, &request.Description, options.TestOnly)
+	request.Job.UID, request.Spec.Slurm.Number = client.NewUID(), request.Constraints.Number
+	_, err = cl.SubmitWith(ctx, &request.Job, &request.Constraints, &request.Spec, options.TestOnly)
 	switch {
 	case errors.Is(err, client.ErrUnknown):
 		return nil, fmt.Errorf("%s: no answer came in time; job %d (%s) may have been accepted or may be yet: ask with \"wallctl status %s\" before you submit again: %w",
-			stepSubmit, request.Terms.Number, request.Job.UID, request.Job.UID, err)
+			stepSubmit, request.Constraints.Number, request.Job.UID, request.Job.UID, err)
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", stepSubmit, err)
 	}
@@ -130,7 +130,7 @@
 
 // endNotSeen is the error of a wait that failed.
 func endNotSeen(request *slurm.Request, err error) error {
-	return fmt.Errorf("job %d goes on, but its end was not seen: %w", request.Terms.Number, err)
+	return fmt.Errorf("job %d goes on, but its end was not seen: %w", request.Constraints.Number, err)
 }
 
 // exitAsJob returns nil if the job completed, else an exitError with the job's exit code, or
@@ -138,7 +138,7 @@
 func exitAsJob(ctx context.Context, cl *client.Client, request *slurm.Request) error {
 	info, err := cl.Info(ctx, request.Job.UID)
 	if err != nil {
-		return fmt.Errorf("job %d is over, but how is not known: %w", request.Terms.Number, err)
+		return fmt.Errorf("job %d is over, but how is not known: %w", request.Constraints.Number, err)
 	}
 	ending := info.Ending
 	switch {
--- a/cmd/wallctl/srun.go
+++ b/cmd/wallctl/srun.go
@@ -32,7 +32,7 @@
 	}
 	if !options.Quiet {
 		// Only a note: the step runs whether it can be printed or not.
-		_, _ = fmt.Fprintf(cmd.ErrOrStderr(), "srun: job %d queued and waiting for resources\n", request.Terms.Number)
+		_, _ = fmt.Fprintf(cmd.ErrOrStderr(), "srun: job %d queued and waiting for resources\n", request.Constraints.Number)
 	}
 	output := &stepOutput{
 		cl: cl, uid: request.Job.UID, tasks: request.Job.Tasks, labelled: options.Label, toFile: options.Output != "",
@@ -75,9 +75,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	if _, err := cl.Cancel(ctx, request.Job.UID); err != nil {
-		return fmt.Errorf("job %d may still run: cancel it with \"scancel %d\": %w", request.Terms.Number, request.Terms.Number, err)
+		return fmt.Errorf("job %d may still run: cancel it with \"scancel %d\": %w", request.Constraints.Number, request.Constraints.Number, err)
 	}
-	return fmt.Errorf("job %d was cancelled", request.Terms.Number)
+	return fmt.Errorf("job %d was cancelled", request.Constraints.Number)
 }
 
 // stepOutput prints what a step's tasks write, as it arrives.
--- a/cmd/wallctl/submit.go
+++ b/cmd/wallctl/submit.go
@@ -60,7 +60,7 @@
 	fs.Float64Var(&s.job.CPUs, "cpus", 1, "CPUs of a task")
 	fs.Float64Var(&s.job.GPUs, "gpus", 0, "GPUs of a task")
 	fs.Float64Var(&s.job.MemoryGB, "memory-gb", 0.5, "memory of a task, in GB")
-	fs.Float64Var(&s.job.Estimate, "estimate-s", 30, "expected run time of a task, in seconds")
+	fs.Float64Var(&s.job.EstimateS, "estimate-s", 30, "expected run time of a task, in seconds")
 	fs.BoolVar(&s.service, "service", false, "a service: its replicas run until it is cancelled")
 	fs.StringArrayVar(&s.env, "env", nil, "NAME=VALUE for the tasks; may be repeated")
 	fs.StringVar(&s.description.Dir, "chdir", "", "working directory of the tasks")
@@ -76,7 +76,7 @@
 		return fmt.Errorf("--uid: %q is not a job id: j- and letters, digits, - or _", s.job.UID)
 	}
 	if s.service {
-		s.job.Kind, s.job.Estimate = wire.KindService, 0
+		s.job.Kind, s.job.EstimateS = wire.KindService, 0
 	}
 	d := &s.description
 	d.Argv, d.CPUs, d.GPUs, d.MemoryGB = program, s.job.CPUs, s.job.GPUs, s.job.MemoryGB
--- a/cmd/wallrack/bound.go
+++ b/cmd/wallrack/bound.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			printBound(cmd.OutOrStdout(), jobs, lowerbound.Of(jobs, spotCPUs, onDemandPrice))
+			printBound(cmd.OutOrStdout(), jobs, lowerbound.Compute(jobs, spotCPUs, onDemandPrice))
 			return nil
 		},
 	}
@@ -55,7 +55,7 @@
 
 func printBound(w io.Writer, jobs []lowerbound.Job, r lowerbound.Result) {
 	printTo(w, "jobs %d, work %.0f CPU-seconds, busiest %.0f CPUs\n", r.Jobs, r.Work, r.BusiestCPUs)
-	printTo(w, "beyond cheap capacity in time: %.1f %% of the work; price at best %.2f\n", 100*r.Dear/r.Work, r.Price)
+	printTo(w, "beyond cheap capacity in time: %.1f %% of the work; price at best %.2f\n", 100*r.OnDemandWork/r.Work, r.Price)
 	var classes []string
 	for _, job := range jobs {
 		if !slices.Contains(classes, job.Class) {
@@ -64,6 +64,6 @@
 	}
 	slices.Sort(classes)
 	for _, class := range classes {
-		printTo(w, "%s: late %.3f, on cheap capacity alone at best %.3f\n", class, r.Late[class], r.LateCheap[class])
+		printTo(w, "%s: late %.3f, on cheap capacity alone at best %.3f\n", class, r.Late[class], r.LateOnSpot[class])
 	}
 }
--- a/cmd/wallrack/local_test.go
+++ b/cmd/wallrack/local_test.go
@@ -57,7 +57,7 @@
 }
 
 func adhocJob(uid string, tasks int) *wire.Job {
-	return &wire.Job{UID: uid, Class: "adhoc", Team: "default", Kind: wire.KindArray, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 0.1, Image: "none", Estimate: 1}
+	return &wire.Job{UID: uid, Class: "adhoc", Team: "default", Kind: wire.KindArray, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 0.1, Image: "none", EstimateS: 1}
 }
 
 func submitScript(ctx context.Context, c *client.Client, job *wire.Job, script string) error {
@@ -167,11 +167,11 @@
 	first.Replicas, first.Steps = 2, []string{"100%"}
 	first.Template = wire.Job{Class: "service", Team: "default", Priority: "production", Image: "none"}
 	if r := rollOutTips(ctx, t, c, first); r.Phase != rollout.Done {
-		t.Fatalf("%s: %s", r.Phase, r.Why)
+		t.Fatalf("%s: %s", r.Phase, r.Reason)
 	}
 	r := rollOutTips(ctx, t, c, tipsVersion("v2", "bad"))
-	if back := time.Duration(r.Ended-r.Verdict) * time.Millisecond; r.Phase != rollout.Restored || back > time.Minute || !strings.Contains(r.Why, "unhealthy") {
-		t.Errorf("%s after %v: %s", r.Phase, back, r.Why)
+	if back := time.Duration(r.Ended-r.Verdict) * time.Millisecond; r.Phase != rollout.Restored || back > time.Minute || !strings.Contains(r.Reason, "unhealthy") {
+		t.Errorf("%s after %v: %s", r.Phase, back, r.Reason)
 	}
 }
 
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -40,7 +40,7 @@
 	compareAnswer[jobstate.Stats](t, "counters.json")
 	compareAnswer[jobstate.Served](t, "served.json")
 	compareAnswer[usage.Reading](t, "usage.json")
-	compareAnswer[rollout.JobSeen](t, "rollout-job.json")
+	compareAnswer[rollout.JobStatus](t, "rollout-job.json")
 	compareAnswer[wire.JobState](t, "job-state.json")
 	compareAnswer[wire.Problem](t, "problem.json")
 }
@@ -196,7 +196,7 @@
 	c, stop := site(t, filepath.Join(dir, "site"))
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	job := wire.Job{UID: "j-three", Class: "adhoc", Team: "default", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 0.1, Image: "none", Estimate: 1}
+	job := wire.Job{UID: "j-three", Class: "adhoc", Team: "default", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 0.1, Image: "none", EstimateS: 1}
 	if _, err := c.Submit(ctx, &job, &taskspec.Spec{Argv: []string{"true"}, CPUs: 1}); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/wallrack/worker.go
+++ b/cmd/wallrack/worker.go
@@ -20,7 +20,7 @@
 
 // workerSettings are a worker's flags.
 type workerSettings struct {
-	id              worker.Ident
+	id              worker.Identity
 	listen, dir     string
 	descriptions    string
 	controllers     []string // NAME=HOST:PORT
@@ -105,12 +105,12 @@
 		_ = lis.Close()
 		return err
 	}
-	procs.Machine = s.id.Name
+	procs.WorkerName = s.id.Name
 	defer procs.Close()
 	s.id.Endpoint, s.id.Lease = lis.Addr().String(), config.Seconds(s.leaseS)
 	agent := &worker.Agent{Processes: procs, Controllers: controllers, ReportEvery: config.Seconds(s.reportS), Log: log}
-	agent.Machine = worker.New(s.id, taskspec.NewClient(s.descriptions), procs, agent.Changed, log)
-	defer agent.Machine.Close()
+	agent.State = worker.New(s.id, taskspec.NewClient(s.descriptions), procs, agent.Changed, log)
+	defer agent.State.Close()
 	srv := &http.Server{Handler: agent.Handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 90 * time.Second}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
--- a/internal/accounting/export/export_test.go
+++ b/internal/accounting/export/export_test.go
@@ -27,7 +27,7 @@
 	collector := slurm.NewCollector()
 	for _, r := range []accounting.Row{
 		{Kind: accounting.RowJob, UID: "j-a", Number: 7, State: "COMPLETED", Submit: at(0), Eligible: at(0), Name: "a \"b\", c", Team: "t", Class: "c", Tasks: 1, Done: 1, Start: at(60), End: at(3660), CPUs: 2},
-		{Kind: accounting.RowAttempt, UID: "j-a", Number: 7, Attempt: 1, State: "COMPLETED", Start: at(60), End: at(3660), Machine: "n-1", CPUs: 2, MemoryGB: 4, Useful: true, Price: 6},
+		{Kind: accounting.RowAttempt, UID: "j-a", Number: 7, Attempt: 1, State: "COMPLETED", Start: at(60), End: at(3660), Worker: "n-1", CPUs: 2, MemoryGB: 4, Useful: true, Price: 6},
 		{Kind: accounting.RowJob, UID: "j-b", Number: 8, State: "CANCELLED", Submit: at(0), Eligible: at(1800), Team: "t", Class: "c", Tasks: 1, End: at(1900)},
 	} {
 		collector.Add(&r)
--- a/internal/accounting/export/line.go
+++ b/internal/accounting/export/line.go
@@ -58,7 +58,7 @@
 		Kind: "job", UID: row.UID, Number: row.Number, Task: int(row.Task), Attempt: row.Attempt, State: row.State, Exit: int(row.Exit),
 		Name: job.Name, User: job.User, Account: job.Team, Class: job.Class, Priority: job.Priority,
 		Tasks: int(job.Tasks), Done: int(job.Done), Submit: job.Submit, Eligible: job.Eligible,
-		Start: row.Start, End: row.End, Machine: row.Machine,
+		Start: row.Start, End: row.End, Machine: row.Worker,
 		CPUs: float64(row.CPUs), GPUs: float64(row.GPUs), MemoryGB: float64(row.MemoryGB),
 	}
 	if row.Kind == accounting.RowAttempt {
--- a/internal/accounting/page.go
+++ b/internal/accounting/page.go
@@ -19,8 +19,8 @@
 	windowBytes = 64 << 10 // how far back the encoder looks for repetitions
 )
 
-// Key prefixes the keys of all pages in the state service.
-const Key = "acct/"
+// KeyPrefix prefixes the keys of all pages in the state service.
+const KeyPrefix = "acct/"
 
 const dayLayout = "20060102"
 
@@ -33,7 +33,7 @@
 	if _, err := time.Parse(dayLayout, day); err != nil {
 		return "", fmt.Errorf("day: %.20q is not YYYYMMDD", day)
 	}
-	return Key + day + "/", nil
+	return KeyPrefix + day + "/", nil
 }
 
 func newEncoder() (*zstd.Encoder, error) {
--- a/internal/accounting/page_builder.go
+++ b/internal/accounting/page_builder.go
@@ -15,10 +15,10 @@
 	quotes       = 2   // bytes around a page's text in JSON
 )
 
-// Book builds the pages of one writer: it adds rows to the last page until that is full, so
+// PageBuilder builds the pages of one writer: it adds rows to the last page until that is full, so
 // that rows share a key, and each write changes one key of the state service. It is not safe
 // for concurrent use.
-type Book struct {
+type PageBuilder struct {
 	id       uint64
 	maxBytes int // of a page
 	page     page
@@ -41,22 +41,24 @@
 	next    page
 }
 
-// NewBook returns a builder of pages of at most so many bytes. The id must never be used
+// NewPageBuilder returns a builder of pages of at most so many bytes. The id must never be used
 // again: it is part of the pages' keys, which nobody else writes.
-func NewBook(id uint64, maxBytes int) *Book { return &Book{id: id, maxBytes: maxBytes} }
+func NewPageBuilder(id uint64, maxBytes int) *PageBuilder {
+	return &PageBuilder{id: id, maxBytes: maxBytes}
+}
 
 // Room returns how many bytes of rows, by Row.Bytes, one write surely takes, even if packing
 // saves nothing: base64 makes four bytes of three.
-func (b *Book) Room() int { return b.maxBytes/4*3 - pageOverhead }
+func (b *PageBuilder) Room() int { return b.maxBytes/4*3 - pageOverhead }
 
 // Bytes returns the most bytes that a row takes in a page.
 func (r *Row) Bytes() int {
-	return rowOverhead + len(r.UID) + len(r.State) + len(r.Name) + len(r.User) + len(r.Team) + len(r.Class) + len(r.Priority) + len(r.Array) + len(r.Machine)
+	return rowOverhead + len(r.UID) + len(r.State) + len(r.Name) + len(r.User) + len(r.Team) + len(r.Class) + len(r.Priority) + len(r.Array) + len(r.Worker)
 }
 
 // Add returns the write that adds rows, which must not have more bytes together than Room. The
 // book stays as it is until Done: a write that was not applied is made anew by a further Add.
-func (b *Book) Add(rows []Row, now time.Time) (Write, error) {
+func (b *PageBuilder) Add(rows []Row, now time.Time) (Write, error) {
 	day := Day(now)
 	if b.encoder == nil {
 		var err error
@@ -74,7 +76,7 @@
 			return Write{}, err
 		}
 		if text := format + base64.StdEncoding.EncodeToString(b.encoder.EncodeAll(raw, nil)); len(text)+quotes <= b.maxBytes {
-			write := Write{Key: fmt.Sprintf("%s%s/%016x-%06d", Key, day, b.id, next.number), Version: next.version, Value: text, next: next}
+			write := Write{Key: fmt.Sprintf("%s%s/%016x-%06d", KeyPrefix, day, b.id, next.number), Version: next.version, Value: text, next: next}
 			write.next.raw = raw
 			return write, nil
 		}
@@ -83,8 +85,8 @@
 	return Write{}, fmt.Errorf("%d accounting rows do not fit a page of %d bytes", len(rows), b.maxBytes)
 }
 
-// Done notes that a write was applied, and the version that its key has since.
-func (b *Book) Done(w Write, version uint64) {
+// Applied notes that a write was applied, and the version that its key has since.
+func (b *PageBuilder) Applied(w Write, version uint64) {
 	b.page = w.next
 	b.page.version = version
 }
--- a/internal/accounting/pages_test.go
+++ b/internal/accounting/pages_test.go
@@ -17,7 +17,7 @@
 		out[i] = accounting.Row{
 			Kind: accounting.RowAttempt, UID: fmt.Sprintf("j-%06d", i/10), Number: uint64(i / 10 * 100),
 			Task: uint32(i % 10), Attempt: 1 + uint64(rnd.IntN(3)), State: "COMPLETED",
-			Start: start, End: start + int64(rnd.IntN(90_000)), Machine: fmt.Sprintf("n-%06d", rnd.IntN(1300)),
+			Start: start, End: start + int64(rnd.IntN(90_000)), Worker: fmt.Sprintf("n-%06d", rnd.IntN(1300)),
 			CPUs: 2, MemoryGB: 4, Useful: true, Price: 0.37,
 		}
 		if i%10 == 9 {
@@ -35,7 +35,7 @@
 // the pages by key, and the keys in the order of their first writes.
 func writePages(t *testing.T, rnd *rand.Rand, all []accounting.Row, maxBytes int) (pages map[string]string, keys []string) {
 	t.Helper()
-	book := accounting.NewBook(9, maxBytes)
+	book := accounting.NewPageBuilder(9, maxBytes)
 	pages = map[string]string{}
 	now := time.Date(2026, 11, 30, 23, 59, 0, 0, time.UTC)
 	for from := 0; from < len(all); {
@@ -61,7 +61,7 @@
 			keys = append(keys, write.Key)
 		}
 		pages[write.Key] = write.Value
-		book.Done(write, uint64(from+1))
+		book.Applied(write, uint64(from+1))
 		from = to
 		now = now.Add(3 * time.Second)
 	}
@@ -98,7 +98,7 @@
 
 // Pages come over the network: nothing in them may do harm.
 func FuzzUnpack(f *testing.F) {
-	book := accounting.NewBook(1, 7<<10)
+	book := accounting.NewPageBuilder(1, 7<<10)
 	write, err := book.Add(rows(30, rand.New(rand.NewPCG(1, 1))), time.Unix(0, 0))
 	if err != nil {
 		f.Fatal(err)
@@ -120,7 +120,7 @@
 
 // BenchmarkUnpack reads a million rows as a client does.
 func BenchmarkUnpack(b *testing.B) {
-	book := accounting.NewBook(1, 14<<10)
+	book := accounting.NewPageBuilder(1, 14<<10)
 	all := rows(1_000_000, rand.New(rand.NewPCG(1, 2)))
 	pages := map[string]string{}
 	for from := 0; from < len(all); from += 60 {
@@ -129,7 +129,7 @@
 			b.Fatal(err)
 		}
 		pages[write.Key] = write.Value
-		book.Done(write, uint64(from+1))
+		book.Applied(write, uint64(from+1))
 	}
 	bytes := 0
 	for _, page := range pages {
--- a/internal/accounting/recorded_test.go
+++ b/internal/accounting/recorded_test.go
@@ -18,7 +18,7 @@
 	return Row{
 		Kind: RowAttempt, UID: "j-000412", Number: 4100, Task: 3, Attempt: 2, State: "COMPLETED", Exit: 7, Submit: 1_796_000_000_000,
 		Eligible: 1_796_000_000_500, Name: "tips", User: "erin", Team: "vision", Class: "train", Priority: "urgent", Tasks: 16, Array: "0-30:2",
-		Done: 14, Start: 1_796_000_001_000, End: 1_796_000_002_000, Machine: "n-000001", CPUs: 2.5, GPUs: 1, MemoryGB: 4.25, Useful: true, Price: 0.37,
+		Done: 14, Start: 1_796_000_001_000, End: 1_796_000_002_000, Worker: "n-000001", CPUs: 2.5, GPUs: 1, MemoryGB: 4.25, Useful: true, Price: 0.37,
 	}
 }
 
@@ -57,12 +57,12 @@
 // all the same then, and a new one is to be recorded beside it.
 func TestRecordedPages(t *testing.T) {
 	rows := []Row{fullRow(), {}, {Kind: RowJob, UID: "j-2", State: "CANCELLED", Tasks: 1}}
-	write, err := NewBook(0xab7, 7<<10).Add(rows, time.Date(2026, 11, 30, 23, 59, 0, 0, time.UTC))
+	write, err := NewPageBuilder(0xab7, 7<<10).Add(rows, time.Date(2026, 11, 30, 23, 59, 0, 0, time.UTC))
 	if err != nil {
 		t.Fatal(err)
 	}
 	recorded.Check(t, "page", recordedPage{Key: write.Key, Value: write.Value})
-	if write.Key != "acct/20261130/0000000000000ab7-000001" || Key != "acct/" || !strings.HasPrefix(write.Value, "1:") {
+	if write.Key != "acct/20261130/0000000000000ab7-000001" || KeyPrefix != "acct/" || !strings.HasPrefix(write.Value, "1:") {
 		t.Errorf("%s: %q", write.Key, write.Value)
 	}
 	if prefix, err := DayPrefix("20261130"); prefix != "acct/20261130/" || err != nil {
--- a/internal/accounting/row.go
+++ b/internal/accounting/row.go
@@ -36,7 +36,7 @@
 	Start int64 // of a job: of its first task
 	End   int64
 
-	Machine string // of an attempt: name of the worker
+	Worker string // of an attempt: name of the worker
 
 	CPUs     float32 // of one task
 	GPUs     float32
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -48,8 +48,8 @@
 	AdmittedWork() float64
 	// FailedWorkers maps the lost machines that are to be deleted to the reason.
 	FailedWorkers() map[string]string
-	// WorkerGone reports that a machine was deleted: its tasks have ended.
-	WorkerGone(name string)
+	// WorkerDeleted reports that a machine was deleted: its tasks have ended.
+	WorkerDeleted(name string)
 	// SetCordoned replaces the set of workers that take no new tasks.
 	SetCordoned(names map[string]bool)
 }
@@ -252,7 +252,7 @@
 
 // step plans once and starts what the plan asks for.
 func (a *Autoscaler) step(ctx context.Context, wg *sync.WaitGroup) {
-	defer usage.Count(usage.Fleet, time.Now())
+	defer usage.Count(usage.Autoscaling, time.Now())
 	demand, loads := a.scheduler.Demand(a.shortestBootS())
 	unwanted := a.scheduler.FailedWorkers()
 	now := time.Now()
@@ -320,10 +320,10 @@
 	for i := range loads {
 		load := &loads[i]
 		used += load.Used.CPUs
-		if a.vanished(load.Name, load.Existed) {
+		if a.vanished(load.Name, load.LastKnown) {
 			unwanted[load.Name] = "not in the cloud's list any more"
 		}
-		if load.Heard.IsZero() {
+		if load.LastHeartbeat.IsZero() {
 			continue
 		}
 		inst := a.instances[load.Name]
@@ -334,7 +334,7 @@
 			inst = &instance{name: load.Name, discovered: now, provisioned: now}
 			a.instances[load.Name] = inst
 		}
-		inst.load, inst.lastHeartbeat, inst.offer = load, load.Heard, offer{load.Type, load.Zone, load.Spot}
+		inst.load, inst.lastHeartbeat, inst.offer = load, load.LastHeartbeat, offer{load.Type, load.Zone, load.Spot}
 	}
 	a.usedCPUs += usedSmoothing * (used - a.usedCPUs)
 }
@@ -348,11 +348,11 @@
 	var waiting, total, used, spot float64
 	up := 0
 	for i := range demand {
-		waiting += demand[i].Shape.CPUs * float64(demand[i].Count)
+		waiting += demand[i].Resources.CPUs * float64(demand[i].Count)
 	}
 	for i := range loads {
 		t, ok := a.catalog.Type(loads[i].Type)
-		if !ok || loads[i].Heard.IsZero() {
+		if !ok || loads[i].LastHeartbeat.IsZero() {
 			continue
 		}
 		up++
--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -47,5 +47,5 @@
 // onDemandTargetCPUs is the capacity to be kept of on-demand machines: for what runs, not for
 // what may arrive, which can wait for them.
 func (a *Autoscaler) onDemandTargetCPUs() float64 {
-	return a.usedCPUs * (1 + a.op.DearHeadPct/100)
+	return a.usedCPUs * (1 + a.op.OnDemandHeadroomPct/100)
 }
--- a/internal/autoscaler/cloud.go
+++ b/internal/autoscaler/cloud.go
@@ -132,7 +132,7 @@
 
 // provision requests machines and returns the names of those provisioned, which may be fewer.
 // The same request under the same name provisions no others.
-func (c *Cloud) provision(ctx context.Context, req wire.HireRequest) ([]string, error) {
+func (c *Cloud) provision(ctx context.Context, req wire.ProvisionRequest) ([]string, error) {
 	var names wire.MachineNames
 	err := c.do(ctx, http.MethodPost, "/hosts", req, &names)
 	return names.Machines, err
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -112,7 +112,7 @@
 }
 
 // empty reports whether a machine that is up runs no tasks.
-func (i *instance) empty() bool { return i.load != nil && i.load.Places == 0 }
+func (i *instance) empty() bool { return i.load != nil && i.load.Placements == 0 }
 
 // bootFailed reports whether a machine without a heartbeat takes too long to boot. The time
 // counts from when it was first known, if that is later: provisioned may be by the clock of
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -62,7 +62,7 @@
 	lowest := math.Inf(1)
 	for _, o := range sim.offers {
 		t, ok := sim.scaler.catalog.Type(o.Type)
-		if !ok || o.Spot != spot || sim.exhausted(o) || !allows(d.Job, o) || !d.Shape.Fits(ResourcesOf(t)) {
+		if !ok || o.Spot != spot || sim.exhausted(o) || !allows(d.Job, o) || !d.Resources.Fits(ResourcesOf(t)) {
 			continue
 		}
 		if cost := costPerTask(d, n, o, t, sim.wants[o]); cost < lowest {
@@ -80,7 +80,7 @@
 
 // costPerTask rates an offer for n tasks of a demand, of which the plan wants some already.
 func costPerTask(d *planner.Demand, n int, o offer, t wire.MachineType, wanted int) float64 {
-	capacity := tasksIn(d.Shape, ResourcesOf(t))
+	capacity := tasksIn(d.Resources, ResourcesOf(t))
 	// A machine much larger than the work is mostly idle, but the rest of it serves what
 	// comes next.
 	used := min(float64(capacity), float64(n))
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -33,7 +33,7 @@
 
 // newSimulated returns a machine of a type that runs nothing yet.
 func newSimulated(o offer, t wire.MachineType, bootS float64) *simulated {
-	return &simulated{offer: o, matrix: matching.WaitMatrix{{Wait: 0, Free: ResourcesOf(t)}}, bootS: bootS}
+	return &simulated{offer: o, matrix: matching.WaitMatrix{{WaitS: 0, Free: ResourcesOf(t)}}, bootS: bootS}
 }
 
 // fill places up to n tasks, all that can start together at a time, and returns how many
@@ -41,12 +41,12 @@
 // processor for two seconds of every plan, and nothing else was done.
 func (s *simulated) fill(d *planner.Demand, n int, maxWaitS float64) int {
 	for n > 0 {
-		waitS := s.matrix.WaitWithin(d.Shape, d.Run, maxWaitS-s.bootS)
+		waitS := s.matrix.WaitWithin(d.Resources, d.RunS, maxWaitS-s.bootS)
 		if s.bootS+waitS > maxWaitS {
 			break
 		}
-		k := max(1, s.matrix.CountFitting(d.Shape, waitS, d.Run, n))
-		s.matrix = s.matrix.Reserve(d.Shape.Scale(float64(k)), waitS, d.Run)
+		k := max(1, s.matrix.CountFitting(d.Resources, waitS, d.RunS, n))
+		s.matrix = s.matrix.Reserve(d.Resources.Scale(float64(k)), waitS, d.RunS)
 		n -= k
 	}
 	return n
@@ -99,7 +99,7 @@
 			continue
 		}
 		switch {
-		case inst.load != nil && len(inst.load.Matrix) > 0 && now.Sub(inst.lastHeartbeat) < seconds(a.op.SilentS):
+		case inst.load != nil && len(inst.load.Matrix) > 0 && now.Sub(inst.lastHeartbeat) < seconds(a.op.HeartbeatTimeoutS):
 			s := &simulated{offer: inst.offer, matrix: inst.load.Matrix, instance: inst}
 			if inst.cordoned {
 				sim.cordoned = append(sim.cordoned, s)
@@ -127,17 +127,17 @@
 func (sim *simulation) serve(d *planner.Demand, bootS float64) {
 	if d.Job.Gang() || d.Job.Service() {
 		// Its tasks run side by side: none can wait for another to end.
-		d.Run = beyondPlan
+		d.RunS = beyondPlan
 	}
 	// Spot machines are provisioned for what would wait for about as long as they take to
 	// boot, on-demand ones only for what would be late without them.
-	maxWaitS := min(bootS, d.Slack)
+	maxWaitS := min(bootS, d.SlackS)
 	d.Count = sim.fill(d, maxWaitS, true)
 	d.Count = sim.provision(d, true, maxWaitS)
 	if d.Count == 0 {
 		return
 	}
-	maxWaitS = max(bootS, d.Slack/2)
+	maxWaitS = max(bootS, d.SlackS/2)
 	d.Count = sim.fill(d, maxWaitS, false)
 	d.Count = sim.uncordon(d, maxWaitS)
 	d.Count = sim.provision(d, false, maxWaitS)
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -23,13 +23,13 @@
 		{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.6, SpotPrice: 0.2, BootS: 20, Zones: []string{"a", "b"}},
 		{Name: "large", CPUs: 64, MemoryGB: 128, Price: 4, SpotPrice: 1.3, BootS: 40, Zones: []string{"a"}},
 	})
-	return New(Options{Platform: &config.Platform{}, Operator: &config.Operator{SilentS: 14}, Catalog: catalog, Log: log})
+	return New(Options{Platform: &config.Platform{}, Operator: &config.Operator{HeartbeatTimeoutS: 14}, Catalog: catalog, Log: log})
 }
 
 func demand(tasks int, spot bool, slack float64) []planner.Demand {
 	return []planner.Demand{{
-		Shape: matching.Resources{CPUs: 2, MemoryGB: 2}, Job: &wire.Job{Spot: spot, Kind: wire.KindArray, Tasks: tasks},
-		Count: tasks, Run: 30, Slack: slack,
+		Resources: matching.Resources{CPUs: 2, MemoryGB: 2}, Job: &wire.Job{Spot: spot, Kind: wire.KindArray, Tasks: tasks},
+		Count: tasks, RunS: 30, SlackS: slack,
 	}}
 }
 
@@ -133,7 +133,7 @@
 		a.dispatcher = dispatcher
 		a.op.IdleS = 20
 		var load planner.WorkerLoad
-		load.Heard = now
+		load.LastHeartbeat = now
 		for i := range 3 {
 			name := fmt.Sprintf("n-%d", i)
 			a.instances[name] = &instance{name: name, offer: offer{"small", "z", false}, provisioned: now.Add(-time.Hour), discovered: now.Add(-time.Hour), lastHeartbeat: now, idleSince: now.Add(-time.Hour), load: &load}
@@ -160,14 +160,14 @@
 	a := testAutoscaler()
 	now := time.Now()
 	load := planner.WorkerLoad{Matrix: matching.NewWaitMatrix(matching.Resources{CPUs: 64, MemoryGB: 128},
-		[]matching.Allocation{{Resources: matching.Resources{CPUs: 30, MemoryGB: 9}, RemainingS: 7}, {Resources: matching.Resources{CPUs: 3, MemoryGB: 70}, RemainingS: 12}}, nil), Heard: now}
+		[]matching.Allocation{{Resources: matching.Resources{CPUs: 30, MemoryGB: 9}, RemainingS: 7}, {Resources: matching.Resources{CPUs: 3, MemoryGB: 70}, RemainingS: 12}}, nil), LastHeartbeat: now}
 	for i := range 200 {
 		name := fmt.Sprintf("n-%d", i)
 		a.instances[name] = &instance{name: name, offer: offer{"large", "a", true}, provisioned: now, discovered: now, lastHeartbeat: now, load: &load}
 	}
 	d := demand(25_000, true, 200)
-	d[0].Shape = matching.Resources{CPUs: 0.5, MemoryGB: 1}
-	d[0].Run = 5
+	d[0].Resources = matching.Resources{CPUs: 0.5, MemoryGB: 1}
+	d[0].RunS = 5
 	start := time.Now()
 	a.plan(now, d)
 	if took := time.Since(start); took > 200*time.Millisecond {
@@ -176,7 +176,7 @@
 	// On a quick machine the time shows nothing: each step of the plan makes a matrix.
 	steps := testing.AllocsPerRun(1, func() {
 		again := demand(25_000, true, 200)
-		again[0].Shape, again[0].Run = matching.Resources{CPUs: 0.5, MemoryGB: 1}, 5
+		again[0].Resources, again[0].RunS = matching.Resources{CPUs: 0.5, MemoryGB: 1}, 5
 		a.plan(now, again)
 	})
 	if steps > 10_000 {
@@ -189,17 +189,17 @@
 		for range count {
 			running = append(running, matching.Allocation{Resources: matching.Resources{CPUs: rapid.Float64Range(0.5, 10).Draw(t, "cpus"), MemoryGB: rapid.Float64Range(0, 20).Draw(t, "memory")}, RemainingS: rapid.Float64Range(0, 50).Draw(t, "left")})
 		}
-		d := &planner.Demand{Shape: matching.Resources{CPUs: float64(rapid.IntRange(1, 40).Draw(t, "size")) / 4, MemoryGB: float64(rapid.IntRange(0, 30).Draw(t, "gb"))}, Run: rapid.Float64Range(0.5, 30).Draw(t, "run")}
+		d := &planner.Demand{Resources: matching.Resources{CPUs: float64(rapid.IntRange(1, 40).Draw(t, "size")) / 4, MemoryGB: float64(rapid.IntRange(0, 30).Draw(t, "gb"))}, RunS: rapid.Float64Range(0.5, 30).Draw(t, "run")}
 		n, maxWaitS := rapid.IntRange(0, 300).Draw(t, "tasks"), rapid.Float64Range(0, 90).Draw(t, "patience")
 		s := &simulated{matrix: matching.NewWaitMatrix(total, running, nil), bootS: 3}
 		one := s.matrix
 		left := n
 		for ; left > 0; left-- {
-			w := one.Wait(d.Shape, d.Run)
+			w := one.Wait(d.Resources, d.RunS)
 			if s.bootS+w > maxWaitS {
 				break
 			}
-			one = one.Reserve(d.Shape, w, d.Run)
+			one = one.Reserve(d.Resources, w, d.RunS)
 		}
 		if got := s.fill(d, n, maxWaitS); got != left {
 			t.Fatalf("%d of %d tasks are left, %d one by one", got, n, left)
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -26,7 +26,7 @@
 // provision is a request for machines whose outcome is unknown. Its fields other than sending
 // are used by one goroutine of scaleOut at a time, the one for which sending was set.
 type provision struct {
-	req           wire.HireRequest
+	req           wire.ProvisionRequest
 	planned       time.Time
 	sending       bool // a goroutine works on it; guarded by Autoscaler.mu
 	perhapsStored bool // a write of its record had an unknown outcome
@@ -48,7 +48,7 @@
 	a.seq++
 	// No two leaders share a fencing token, so names are unique.
 	name := fmt.Sprintf("r-%d-%d", a.member.FencingToken(), a.seq)
-	p := &provision{req: wire.HireRequest{Name: name, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Number: n}, planned: now, sending: true}
+	p := &provision{req: wire.ProvisionRequest{Name: name, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Number: n}, planned: now, sending: true}
 	a.provisions[name] = p
 	return p
 }
@@ -79,7 +79,7 @@
 func (a *Autoscaler) prepare(ctx context.Context, p *provision) readiness {
 	if !p.recorded {
 		err := a.write(ctx, p)
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		p.perhapsStored = p.perhapsStored || errors.Is(err, statestore.ErrUnknown)
 		switch {
 		case err == nil:
--- a/internal/autoscaler/provision_record.go
+++ b/internal/autoscaler/provision_record.go
@@ -28,14 +28,14 @@
 
 // provisionRecord is a provision as the state service has it. Without a time, it is old.
 type provisionRecord struct {
-	wire.HireRequest
+	wire.ProvisionRequest
 	PlannedMs  int64    `json:"planned,omitempty"`  // time of day
 	AnsweredMs int64    `json:"answered,omitempty"` // time of day; 0: perhaps not answered yet
 	Machines   []string `json:"machines,omitempty"` // that the cloud answered
 }
 
 func (p *provision) record() provisionRecord {
-	return provisionRecord{HireRequest: p.req, PlannedMs: p.planned.UnixMilli()}
+	return provisionRecord{ProvisionRequest: p.req, PlannedMs: p.planned.UnixMilli()}
 }
 
 func (r *provisionRecord) offer() offer { return offer{r.Type, r.Zone, r.Spot} }
@@ -76,7 +76,7 @@
 			old = append(old, record.Name)
 			a.dropLocked(record.Name)
 		default:
-			a.provisions[record.Name] = &provision{req: record.HireRequest, planned: planned, recorded: true}
+			a.provisions[record.Name] = &provision{req: record.ProvisionRequest, planned: planned, recorded: true}
 		}
 	}
 	return old, nil
@@ -95,7 +95,7 @@
 	defer cancel()
 	shard := a.member.ShardKey(0)
 	_, err := a.store.Txn(ctx, []wire.Guard{{Key: shard, Version: version}, {Key: key}}, wire.Op{Put: key, Value: p.record()})
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) && !conflict.Has(shard) {
 		return nil // by an earlier try, whose answer was lost: names are never shared
 	}
--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -20,8 +20,8 @@
 )
 
 // fullRequest returns a request with every field set.
-func fullRequest() wire.HireRequest {
-	return wire.HireRequest{Name: "r-12-1", Type: "large", Zone: "z1", Spot: true, Number: 50}
+func fullRequest() wire.ProvisionRequest {
+	return wire.ProvisionRequest{Name: "r-12-1", Type: "large", Zone: "z1", Spot: true, Number: 50}
 }
 
 func machineTypes() []wire.MachineType {
@@ -33,11 +33,11 @@
 
 // Controllers of different versions share the records, so their form must not change.
 func TestRecordedForms(t *testing.T) {
-	recorded.Check(t, "hire", provisionRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123, AnsweredMs: 1700000004567, Machines: []string{"m-1", "m-2"}})
+	recorded.Check(t, "hire", provisionRecord{ProvisionRequest: fullRequest(), PlannedMs: 1700000000123, AnsweredMs: 1700000004567, Machines: []string{"m-1", "m-2"}})
 	recorded.Check(t, "hire_least", provisionRecord{})
 	recorded.Check(t, "types", machineTypes())
 	recorded.Check(t, "types_least", []wire.MachineType(nil))
-	record := provisionRecord{HireRequest: fullRequest(), PlannedMs: 1700000000123}
+	record := provisionRecord{ProvisionRequest: fullRequest(), PlannedMs: 1700000000123}
 	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
 	if !reflect.DeepEqual(planned.record(), record) {
 		t.Errorf("recorded as %+v, want %+v", planned.record(), record)
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -44,7 +44,7 @@
 func (a *Autoscaler) cordonCandidates(now time.Time, demand []planner.Demand) (candidates []*instance, spareCPUs float64) {
 	spareCPUs = -a.onDemandTargetCPUs() - a.reservedCPUs()
 	for i := range demand {
-		spareCPUs -= demand[i].Shape.CPUs * float64(demand[i].Count)
+		spareCPUs -= demand[i].Resources.CPUs * float64(demand[i].Count)
 	}
 	for name, inst := range a.instances {
 		t, ok := a.catalog.Type(inst.offer.Type)
@@ -66,7 +66,7 @@
 
 // unresponsive reports whether a worker is beyond the heartbeat timeout.
 func (a *Autoscaler) unresponsive(inst *instance, now time.Time) bool {
-	return now.Sub(inst.lastHeartbeat) > seconds(a.op.SilentS)
+	return now.Sub(inst.lastHeartbeat) > seconds(a.op.HeartbeatTimeoutS)
 }
 
 // usedShare is the share of a worker's CPUs that are in use.
@@ -141,7 +141,7 @@
 		if t, ok := a.catalog.Type(inst.offer.Type); ok {
 			totalCPUs += t.CPUs
 		}
-		if inst.load.Places > 0 {
+		if inst.load.Placements > 0 {
 			inst.idleSince = time.Time{}
 			continue
 		}
@@ -174,7 +174,7 @@
 	for _, name := range batch {
 		a.log.Info("scaled in", "worker", name, "reason", reasons[name])
 		a.dispatcher.RemoveWorker(name)
-		a.scheduler.WorkerGone(name)
+		a.scheduler.WorkerDeleted(name)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/client/recorded_test.go
+++ b/internal/client/recorded_test.go
@@ -76,7 +76,7 @@
 	check(err)
 	check(c.Jobs(ctx, func(*jobquery.Page) error { return nil }))
 	check(c.Order(ctx, "j-1", "hold"))
-	check(c.Drop(ctx, "j-1", jobspec.RangesOf([]int{0, 1, 4})))
+	check(c.CancelTasks(ctx, "j-1", jobspec.RangesOf([]int{0, 1, 4})))
 	check(c.Accounts(ctx, time.Date(2026, 7, 3, 12, 0, 0, 0, time.UTC), func(*accounting.Row) {}))
 	recorded.Compare(t, "requests.txt", []byte(r.text.String()))
 }
--- a/internal/client/slurm.go
+++ b/internal/client/slurm.go
@@ -92,7 +92,7 @@
 	var from jobquery.Cursor
 	for {
 		var page jobquery.Page
-		if err := c.getJSON(ctx, fmt.Sprintf("/slurm/jobs?number=%d&on=%d&task=%d", from.Number, from.On, from.Task), &page); err != nil {
+		if err := c.getJSON(ctx, fmt.Sprintf("/slurm/jobs?number=%d&on=%d&task=%d", from.Number, from.SkipPlacements, from.Task), &page); err != nil {
 			return err
 		}
 		if err := each(&page); err != nil || page.Next == nil {
@@ -111,8 +111,8 @@
 	return err
 }
 
-// Drop cancels some tasks of an active job, with the errors of Send.
-func (c *Client) Drop(ctx context.Context, uid string, tasks jobspec.Ranges) error {
+// CancelTasks cancels some tasks of an active job, with the errors of Send.
+func (c *Client) CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error {
 	body, err := json.Marshal(map[string]string{"tasks": tasks.String()})
 	if err != nil {
 		return fmt.Errorf("encode tasks: %w", err)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -15,22 +15,22 @@
 // Operator holds the operators' own settings; every one of the design's open
 // values is here. C is the cost by which a placement is chosen.
 type Operator struct {
-	Shards      int     // shards that jobs hash to
-	Spread      int     // controllers that shards are spread over
-	LeaseS      float64 // TTL of a controller's lease in the state service
-	KFail       float64 // cost of losing a worker: K_fail of the paper
-	HorizonS    float64 // longest wait at which a match is dispatched
-	RandomS     float64 // size of the random term in C
-	PublishS    float64 // interval at which dispatchers publish to leaders elsewhere
-	WorkerShare float64 // part of a controller's connections that workers may take before they are assigned to others too; 0: they never are
-	ReplaceS    float64 // excess wait from which on a queued task gets another placement
-	SilentS     float64 // heartbeat timeout from which on a machine is deleted
-	IdleS       float64 // idle time from which on a machine is deleted
-	HeadroomPct float64 // capacity kept beyond the demand, in percent
-	PackS       float64 // seconds by which full workers are preferred to empty ones
-	DearHeadPct float64 // the headroom where only on-demand machines could give it, in percent
-	LateS       float64 // seconds that missing an objective for a start counts in C
-	DearShare   float64 // share of C by which a machine at twice the spot price is less preferred
+	Shards              int     // shards that jobs hash to
+	Spread              int     // controllers that shards are spread over
+	LeaseS              float64 // TTL of a controller's lease in the state service
+	KFail               float64 // cost of losing a worker: K_fail of the paper
+	HorizonS            float64 // longest wait at which a match is dispatched
+	RandomS             float64 // size of the random term in C
+	PublishS            float64 // interval at which dispatchers publish to leaders elsewhere
+	WorkerShare         float64 // part of a controller's connections that workers may take before they are assigned to others too; 0: they never are
+	ReplaceAfterS       float64 // excess wait from which on a queued task gets another placement
+	HeartbeatTimeoutS   float64 // heartbeat timeout from which on a machine is deleted
+	IdleS               float64 // idle time from which on a machine is deleted
+	HeadroomPct         float64 // capacity kept beyond the demand, in percent
+	PackS               float64 // seconds by which full workers are preferred to empty ones
+	OnDemandHeadroomPct float64 // the headroom where only on-demand machines could give it, in percent
+	LateStartS          float64 // seconds that missing an objective for a start counts in C
+	SpotPreferenceShare float64 // share of C by which a machine at twice the spot price is less preferred
 }
 
 // setting is a key's bounds, both included, and the field it sets.
@@ -49,13 +49,13 @@
 	"random-s":              {0, 60, func(o *Operator, v float64) { o.RandomS = v }, false},
 	"worker-share":          {0, 1, func(o *Operator, v float64) { o.WorkerShare = v }, false},
 	"publish-s":             {0.1, 60, func(o *Operator, v float64) { o.PublishS = v }, false},
-	"replace-s":             {0.5, 600, func(o *Operator, v float64) { o.ReplaceS = v }, false},
-	"silent-s":              {3, 600, func(o *Operator, v float64) { o.SilentS = v }, false},
+	"replace-s":             {0.5, 600, func(o *Operator, v float64) { o.ReplaceAfterS = v }, false},
+	"silent-s":              {3, 600, func(o *Operator, v float64) { o.HeartbeatTimeoutS = v }, false},
 	"idle-s":                {1, 3600, func(o *Operator, v float64) { o.IdleS = v }, false},
 	"pack-s":                {0, 60, func(o *Operator, v float64) { o.PackS = v }, false},
-	"dear-share":            {0, 10, func(o *Operator, v float64) { o.DearShare = v }, false},
-	"late-start-s":          {0, 3600, func(o *Operator, v float64) { o.LateS = v }, false},
-	"dear-headroom-percent": {0, 500, func(o *Operator, v float64) { o.DearHeadPct = v }, false},
+	"dear-share":            {0, 10, func(o *Operator, v float64) { o.SpotPreferenceShare = v }, false},
+	"late-start-s":          {0, 3600, func(o *Operator, v float64) { o.LateStartS = v }, false},
+	"dear-headroom-percent": {0, 500, func(o *Operator, v float64) { o.OnDemandHeadroomPct = v }, false},
 	"headroom-percent":      {0, 500, func(o *Operator, v float64) { o.HeadroomPct = v }, false},
 }
 
--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -17,8 +17,8 @@
 	return map[string]any{
 		"shards": &o.Shards, "spread": &o.Spread, "lease-s": &o.LeaseS, "k-fail": &o.KFail,
 		"queue-horizon-s": &o.HorizonS, "random-s": &o.RandomS, "worker-share": &o.WorkerShare, "publish-s": &o.PublishS,
-		"replace-s": &o.ReplaceS, "silent-s": &o.SilentS, "idle-s": &o.IdleS, "pack-s": &o.PackS,
-		"dear-share": &o.DearShare, "late-start-s": &o.LateS, "headroom-percent": &o.HeadroomPct, "dear-headroom-percent": &o.DearHeadPct,
+		"replace-s": &o.ReplaceAfterS, "silent-s": &o.HeartbeatTimeoutS, "idle-s": &o.IdleS, "pack-s": &o.PackS,
+		"dear-share": &o.SpotPreferenceShare, "late-start-s": &o.LateStartS, "headroom-percent": &o.HeadroomPct, "dear-headroom-percent": &o.OnDemandHeadroomPct,
 	}
 }
 
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -92,14 +92,14 @@
 	limit, commands := New(maxSockets, peers)
 	limited := NewListener(lis, limit)
 	budget := sockets.Budget{Limit: maxSockets, Peers: peers, Accepted: limit.Open}
-	own := budget.Limit - budget.MaxAccepted() - budget.OrdersAtOnce()
+	own := budget.Limit - budget.MaxAccepted() - budget.RequestsAtOnce()
 
-	for range 3 * budget.OrdersAtOnce() {
+	for range 3 * budget.RequestsAtOnce() {
 		worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusConflict) }))
 		defer worker.Close()
 		_, _, _ = commands.SendCommands(context.Background(), worker.Listener.Addr().String(), wire.Orders{Token: 1}, func() error { return nil }) // only the connection matters
 	}
-	if n := commands.Connections(); n != 3*budget.OrdersAtOnce() {
+	if n := commands.Connections(); n != 3*budget.RequestsAtOnce() {
 		t.Fatalf("%d connections for commands before anybody came", n)
 	}
 	for user := range budget.MaxAccepted() {
@@ -120,8 +120,8 @@
 			t.Fatalf("%d sockets of %d with %d users", total, budget.Limit, limit.Open())
 		}
 	}
-	if n := commands.Connections(); n != budget.OrdersAtOnce() {
-		t.Errorf("%d connections left for %d commands at once", n, budget.OrdersAtOnce())
+	if n := commands.Connections(); n != budget.RequestsAtOnce() {
+		t.Errorf("%d connections left for %d commands at once", n, budget.RequestsAtOnce())
 	}
 }
 
--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -195,7 +195,7 @@
 
 // receiveHealth says how well this process receives just now.
 func (c *controller) receiveHealth() reachability.ReceiveHealth {
-	return reachability.ReceiveHealth{RefusedConnections: usage.Noted(usage.RefusedConnections), TimerDelay: c.meter.Late()}
+	return reachability.ReceiveHealth{RefusedConnections: usage.Noted(usage.RefusedConnections), TimerDelay: c.meter.TimerDelay()}
 }
 
 func (c *controller) exchangeCancellations() {
@@ -244,9 +244,9 @@
 // by a peer.
 func (c *controller) observe() {
 	c.ownership = ownershipTiming{member: c.member, times: c.times, starts: &c.starts}
-	c.member.OnOwnershipChange(c.scheduler.OwnershipChanged)
-	c.member.OnOwnershipChange(c.ownership.changed)
-	c.member.OnOwnershipChange(c.links.View.Invalidate)
+	c.member.OnLeadershipChange(c.scheduler.LeadershipChanged)
+	c.member.OnLeadershipChange(c.ownership.changed)
+	c.member.OnLeadershipChange(c.links.View.Invalidate)
 	c.member.OnLinkAnnouncement(c.prober.announced)
 	c.relay = storeRelay{store: c.store, links: &c.links.View, peers: &c.links.Caller, mesh: c.mesh}
 	c.register(&c.relay)
@@ -257,7 +257,7 @@
 	options := submission.Options{
 		Platform: c.cfg, Operator: c.operator, Store: c.store, Jobs: c.scheduler, Catalog: c.catalog,
 		Peers: &userPeers{Leaders: &c.links.Leaders, member: c.member, links: &c.links.View, peers: &c.links.Caller, times: c.times}, Log: c.log,
-		Cancellations: c.cancellations, MemoryPressure: c.meter.Crowded,
+		Cancellations: c.cancellations, MemoryPressure: c.meter.MemoryPressure,
 	}
 	if o.Slurm != nil {
 		c.numbers = jobid.New(c.store)
--- a/internal/controller/cluster_demand.go
+++ b/internal/controller/cluster_demand.go
@@ -72,7 +72,7 @@
 	for i, load := range sum.Loads {
 		index[load.Name] = i
 	}
-	for _, peer := range c.leaders.ShardOwners() {
+	for _, peer := range c.leaders.ShardLeaders() {
 		reply, err := c.query(peer, bootS)
 		if err != nil {
 			c.log.Debug("demand query failed", "peer", peer, "err", err)
@@ -98,7 +98,7 @@
 		if !known {
 			continue
 		}
-		loads[i].Places += other.Places
+		loads[i].Placements += other.Placements
 		loads[i].Used = loads[i].Used.Add(other.Used, 1)
 		loads[i].Faulty = loads[i].Faulty || other.Faulty
 	}
@@ -127,8 +127,8 @@
 	return sum
 }
 
-// WorkerGone notes that a worker's machine was deleted, here and soon with every controller.
-func (c *clusterDemand) WorkerGone(name string) {
-	c.scheduler.WorkerGone(name)
+// WorkerDeleted notes that a worker's machine was deleted, here and soon with every controller.
+func (c *clusterDemand) WorkerDeleted(name string) {
+	c.scheduler.WorkerDeleted(name)
 	c.removed.add(name)
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -20,17 +20,17 @@
 
 func (l *machineList) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodMachines, func(context.Context, *empty) (*[]wire.MachineInfo, error) {
-		machines := l.scheduler.Machines()
+		machines := l.scheduler.Workers()
 		return &machines, nil
 	})
 }
 
 func (l *machineList) serve(w http.ResponseWriter, r *http.Request) {
 	if l.scheduler.LeadsAutoscaling() {
-		httpjson.Write(w, http.StatusOK, l.scheduler.Machines())
+		httpjson.Write(w, http.StatusOK, l.scheduler.Workers())
 		return
 	}
-	for _, peer := range l.leaders.ShardOwners() {
+	for _, peer := range l.leaders.ShardLeaders() {
 		if machines, err := l.query(r.Context(), peer); err == nil {
 			httpjson.Write(w, http.StatusOK, *machines)
 			return
--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -121,7 +121,7 @@
 
 func fullStatus() reachability.NodeStatus {
 	return reachability.NodeStatus{
-		Node: "c1", StartedMs: 1700000000123, Seq: 77, StoreReachable: true, LeaseHeld: true, OwnsJobs: true, PreferredLeader: "c2", CloudReachable: true,
+		Node: "c1", StartedMs: 1700000000123, Seq: 77, StoreReachable: true, LeaseHeld: true, LeadsShards: true, PreferredLeader: "c2", CloudReachable: true,
 		Heartbeats: 120, ExpectedHeartbeats: 130.5, UnreachedPeers: []string{"c3"}, ProbeSample: []string{"10.1.0.232:9000"}, Probed: true, ProbeSuccess: 0.75,
 		Assignments: []reachability.Assignment{{Node: "c2", Share: 400.5}}, WorkerCapacity: 900, WorkerCount: 850, HeardWorkers: reachability.NewNameSet([]string{"n-000231", "n-000232"}, 64),
 	}
@@ -162,7 +162,7 @@
 	return wire.Job{
 		UID: "j-000400", Class: "batch", Team: "vision", Kind: wire.KindGang, Priority: "urgent", Tasks: 8,
 		CPUs: 2.5, GPUs: 1, MemoryGB: 12.25, Image: "trainer:7", ImageGB: 4.5, Types: []string{"g8", "g16"}, Zone: &zone,
-		OneZone: true, Spread: true, Spot: true, Estimate: 900.25, MarkS: 60, SaveS: 7.5, DueS: &due,
+		OneZone: true, Spread: true, Spot: true, EstimateS: 900.25, CheckpointIntervalS: 60, CheckpointSaveS: 7.5, DueS: &due,
 	}
 }
 
@@ -172,17 +172,17 @@
 	recorded.Check(t, "demand_full", demandQuery{BootS: 90.5})
 	recorded.Check(t, "demand_empty", demandQuery{})
 	recorded.Check(t, "demand_reply_full", demandReply{
-		Demand: []planner.Demand{{Shape: shape, Job: &job, Count: 5, Run: 900.25, Rank: 2, Slack: 30.5}},
+		Demand: []planner.Demand{{Resources: shape, Job: &job, Count: 5, RunS: 900.25, Rank: 2, SlackS: 30.5}},
 		Loads: []planner.WorkerLoad{{
 			Name: "n-000231", Type: "g8", Zone: "a", Spot: true, Notice: true, Faulty: true,
-			Matrix: matching.WaitMatrix{{Wait: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 2, MemoryGB: 8.25}}}, Used: shape,
-			Heard: time.Date(2026, 3, 4, 5, 6, 7, 123456789, time.UTC), Existed: time.Date(2026, 3, 4, 5, 6, 8, 0, time.UTC), Places: 3,
+			Matrix: matching.WaitMatrix{{WaitS: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 2, MemoryGB: 8.25}}}, Used: shape,
+			LastHeartbeat: time.Date(2026, 3, 4, 5, 6, 7, 123456789, time.UTC), LastKnown: time.Date(2026, 3, 4, 5, 6, 8, 0, time.UTC), Placements: 3,
 		}},
 		FailedWorkers: map[string]string{"n-000232": "silent"}, AdmittedWork: 12345.5,
 	})
 	recorded.Check(t, "demand_reply_empty", demandReply{})
 	recorded.Check(t, "demand_reply_plain", demandReply{Demand: []planner.Demand{{}}, Loads: []planner.WorkerLoad{{}}, FailedWorkers: map[string]string{}})
-	recorded.Check(t, "machines_full", []wire.MachineInfo{{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, HeardS: 1.25}})
+	recorded.Check(t, "machines_full", []wire.MachineInfo{{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, SinceHeartbeatS: 1.25}})
 	recorded.Check(t, "machines_empty", []wire.MachineInfo{})
 }
 
@@ -202,14 +202,14 @@
 		Known: true, Facts: jobspec.JobFacts{Started: true, StartedMs: 1700000000123, Over: true, OK: true}, HasEarlier: true,
 	})
 	recorded.Check(t, "facts_reply_empty", factsReply{})
-	cursor := jobquery.Cursor{Number: 4001, On: 20, Task: 7}
+	cursor := jobquery.Cursor{Number: 4001, SkipPlacements: 20, Task: 7}
 	recorded.Check(t, "desk_full", slurmapi.Request{Verb: "drop", UID: "j-000400", From: cursor, Tasks: "3,5"})
 	recorded.Check(t, "desk_empty", slurmapi.Request{})
 	recorded.Check(t, "desk_reply_full", slurmapi.Reply{
-		Status: 200, Why: "no such job is waiting or running", Next: &cursor,
+		Status: 200, Reason: "no such job is waiting or running", Next: &cursor,
 		Jobs: []jobquery.Info{{
 			Job: fullJob(), Constraints: fullConstraints(), AcceptedMs: 1700000000123, Stage: wire.StageRunning, Reason: "Resources", EligibleMs: 1700000001123,
-			StartMs: 1700000002123, Waiting: "4-7", Queued: 4, Placements: []jobquery.Placement{{Task: 3, Attempt: 2, Machine: "n-000231", StartMs: 1700000003123, Ending: true}},
+			StartMs: 1700000002123, PendingTasks: "4-7", PendingCount: 4, Placements: []jobquery.Placement{{Task: 3, Attempt: 2, Worker: "n-000231", StartMs: 1700000003123, Halted: true}},
 			Running: 1, Done: 2, Failed: 6, Ending: &jobspec.Ending{Number: 4001, State: "FAILED", Exit: 137, Failed: 6, StartMs: 1700000002123, EndMs: 1700000009123},
 		}},
 	})
@@ -233,11 +233,11 @@
 				Check: rollout.Check{HTTP: "/up", TCP: true, EveryS: 2.5, TimeoutS: 1.5, Healthy: 2, Unhealthy: 3, Tries: 4},
 				SoakS: 30.5, PlaceS: 120.5, OnFail: rollout.OnFailPause, Anytime: true, Template: fullJob(), Replicas: 7,
 			},
-			From: version, Targets: []int{1, 3}, Step: 1, Phase: rollout.Paused, Resume: rollout.Soaking, Why: "by an operator", Outcome: rollout.Restored,
+			From: version, Targets: []int{1, 3}, Step: 1, Phase: rollout.Paused, Resume: rollout.Soaking, Reason: "by an operator", Outcome: rollout.Restored,
 			New: batches("j-000501"), Old: batches("j-000502"), Restore: batches("j-000503"), Drop: batches("j-000504"),
 			Lost: 1, Seq: 9, Since: 1700000000123, Verdict: 1700000001123, Begun: 1700000002123, Ended: 1700000003123,
 		},
-		Jobs: map[string]rollout.JobSeen{"j-000501": {Gone: true, Running: 3, Healthy: 2, Unhealthy: "j-000501/1", Hung: "j-000501/2"}},
+		Jobs: map[string]rollout.JobStatus{"j-000501": {Ended: true, Running: 3, Healthy: 2, Unhealthy: "j-000501/1", Hung: "j-000501/2"}},
 	}})
 	recorded.Check(t, "rollouts_plain", []rollout.Status{{}})
 	recorded.Check(t, "rollouts_empty", []rollout.Status{})
--- a/internal/controller/remote_jobs.go
+++ b/internal/controller/remote_jobs.go
@@ -39,7 +39,7 @@
 
 // JobFacts says how far a job is: its leader knows, or the state service how it ended.
 func (r *remoteJobs) JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error) {
-	for _, leader := range r.leaders.ShardOwners() {
+	for _, leader := range r.leaders.ShardLeaders() {
 		if reply, err := r.query(ctx, leader, methodFacts, &factsQuery{UID: uid}); err == nil && reply.Known {
 			return reply.Facts, nil
 		}
@@ -50,7 +50,7 @@
 // HasEarlier reports whether another leader has an unfinished job of the name and user with a
 // lower number; one that does not respond may have it.
 func (r *remoteJobs) HasEarlier(ctx context.Context, name, user string, number uint64) (bool, error) {
-	for _, leader := range r.leaders.ShardOwners() {
+	for _, leader := range r.leaders.ShardLeaders() {
 		reply, err := r.query(ctx, leader, methodEarlier, &factsQuery{Name: name, User: user, Number: number})
 		if err != nil || reply.HasEarlier {
 			return true, err
--- a/internal/controller/removed_workers.go
+++ b/internal/controller/removed_workers.go
@@ -40,7 +40,7 @@
 	mesh.Handle(m, methodRemoved, func(_ context.Context, msg *removedMessage) (*empty, error) {
 		for _, name := range msg.Workers {
 			r.dispatcher.RemoveWorker(name)
-			r.scheduler.WorkerGone(name)
+			r.scheduler.WorkerDeleted(name)
 		}
 		return &empty{}, nil
 	})
--- a/internal/controller/scheduler_gateway.go
+++ b/internal/controller/scheduler_gateway.go
@@ -34,11 +34,11 @@
 // ObserveWorker hands a view to the scheduler in this process; those of peers get theirs
 // from the view publisher.
 func (g *schedulerGateway) ObserveWorker(view dispatch.WorkerView) {
-	g.times.Mark(failovertiming.Heard)
-	if view.Asked && g.router.assigned.Load() {
+	g.times.Mark(failovertiming.FirstHeartbeat)
+	if view.Polled && g.router.assigned.Load() {
 		// The worker reports to its own dispatcher, which is to command it: two that took
 		// turns would each have to raise its fencing token above the other's.
-		view.Holder = g.router.LeaderFor(view.Name)
+		view.Dispatcher = g.router.LeaderFor(view.Name)
 	}
 	g.scheduler.ObserveWorker(view)
 }
@@ -101,7 +101,7 @@
 		return
 	}
 	o.times.Mark(failovertiming.Joined)
-	if len(o.member.OwnedShards()) > 0 {
+	if len(o.member.LedShards()) > 0 {
 		o.times.Mark(failovertiming.Claimed)
 		return
 	}
--- a/internal/controller/slurm.go
+++ b/internal/controller/slurm.go
@@ -15,8 +15,8 @@
 	mesh *mesh.Mesh
 }
 
-// AskOwner has a peer serve a request with its own jobs.
-func (s *slurmPeers) AskOwner(ctx context.Context, peer string, r slurmapi.Request) (*slurmapi.Reply, error) {
+// QueryLeader has a peer serve a request with its own jobs.
+func (s *slurmPeers) QueryLeader(ctx context.Context, peer string, r slurmapi.Request) (*slurmapi.Reply, error) {
 	return mesh.Call[slurmapi.Request, slurmapi.Reply](ctx, s.mesh, peer, methodSlurm, &r)
 }
 
--- a/internal/controller/unresponsive_workers.go
+++ b/internal/controller/unresponsive_workers.go
@@ -51,7 +51,7 @@
 
 func newFailureDetector(w config.Workers, op *config.Operator) reachability.FailureDetector {
 	return reachability.FailureDetector{
-		Base: config.Seconds(op.SilentS), Lease: config.Seconds(w.LeaseS), Report: config.Seconds(w.ReportS), Grace: responseGrace(w),
+		Timeout: config.Seconds(op.HeartbeatTimeoutS), Lease: config.Seconds(w.LeaseS), HeartbeatInterval: config.Seconds(w.ReportS), Grace: responseGrace(w),
 	}
 }
 
@@ -63,10 +63,10 @@
 
 // reached reports whether a worker is reached from here.
 func (u *unresponsiveWorkers) reached(ctx context.Context, q *probeQuery) bool {
-	if !q.OutboundLost && u.dispatcher.SinceHeartbeat(q.Worker).Seconds() < u.operator.SilentS {
+	if !q.OutboundLost && u.dispatcher.SinceHeartbeat(q.Worker).Seconds() < u.operator.HeartbeatTimeoutS {
 		return true
 	}
-	return q.Endpoint != "" && u.dispatcher.FetchReport(ctx, q.Worker, q.Endpoint)
+	return q.Endpoint != "" && u.dispatcher.PollWorker(ctx, q.Worker, q.Endpoint)
 }
 
 // failed names the workers that this leader gives up, and why. It starts probes of those
@@ -75,7 +75,7 @@
 	failed := u.scheduler.StuckWorkers()
 	known, unresponsive := u.scheduler.UnresponsiveWorkers(u.detector.Threshold())
 	verdict := u.judge(known, unresponsive)
-	for name, reason := range verdict.Return {
+	for name, reason := range verdict.Failed {
 		failed[name] = reason
 	}
 	for name, worker := range verdict.Probe {
@@ -106,7 +106,7 @@
 func (u *unresponsiveWorkers) probe(name string, worker reachability.UnresponsiveWorker) {
 	responsive := u.responds(worker)
 	if responsive && worker.OutboundLost {
-		u.scheduler.WorkerAnswered(name)
+		u.scheduler.WorkerResponded(name)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -117,7 +117,7 @@
 func (u *unresponsiveWorkers) responds(worker reachability.UnresponsiveWorker) bool {
 	responses := make(chan bool, 1+len(u.cfg.Peers))
 	go func() {
-		responses <- worker.Endpoint != "" && u.dispatcher.FetchReport(u.lifetime.ctx, worker.Name, worker.Endpoint)
+		responses <- worker.Endpoint != "" && u.dispatcher.PollWorker(u.lifetime.ctx, worker.Name, worker.Endpoint)
 	}()
 	for _, peer := range u.cfg.Peers {
 		go func() { responses <- u.respondsTo(peer.Node, worker) }()
--- a/internal/controller/user_peers.go
+++ b/internal/controller/user_peers.go
@@ -31,8 +31,8 @@
 	return healthy
 }
 
-// AskPeer has a peer serve a user's request.
-func (u *userPeers) AskPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
+// QueryPeer has a peer serve a user's request.
+func (u *userPeers) QueryPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
 	return peerlinks.Call[submission.Request, submission.Reply](ctx, u.peers, peer, methodUser, &r)
 }
 
--- a/internal/controller/view_publisher.go
+++ b/internal/controller/view_publisher.go
@@ -55,7 +55,7 @@
 		reply, err := p.receiver.Take(msg)
 		if errors.Is(err, viewsync.ErrMalformed) {
 			usage.Note(usage.MalformedViews)
-			p.log.Info("worker views refused", "peer", msg.Holder, "err", err)
+			p.log.Info("worker views refused", "peer", msg.Dispatcher, "err", err)
 		}
 		return &reply, nil
 	})
@@ -72,7 +72,7 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		others, leads := p.leaders.ShardOwners(), p.leaders.Owns()
+		others, leads := p.leaders.ShardLeaders(), p.leaders.Leads()
 		if leads && !led {
 			// Heartbeats from before this controller led count too.
 			for _, view := range p.dispatcher.WorkerViews() {
@@ -111,7 +111,7 @@
 			p.log.Debug("publishing worker views failed", "peer", leader, "err", err)
 			return
 		}
-		more = p.publisher.Took(p.nowMs(), leader, *reply)
+		more = p.publisher.HandleReply(p.nowMs(), leader, *reply)
 		usage.Count(usage.Peers, sent)
 	}
 }
--- a/internal/controller/worker_routing.go
+++ b/internal/controller/worker_routing.go
@@ -43,5 +43,5 @@
 
 // Isolated reports whether this controller can start nothing and knows of nobody who can.
 func (r *workerRouter) Isolated() bool {
-	return r.links.Now().Isolated() && len(r.member.OwnedShards()) == 0
+	return r.links.Now().Isolated() && len(r.member.LedShards()) == 0
 }
--- a/internal/dispatch/attestation.go
+++ b/internal/dispatch/attestation.go
@@ -19,8 +19,8 @@
 	return &Attestation{begun: begun, unansweredS: slices.Clone(unansweredS)}
 }
 
-// Asked is when the first controller was queried.
-func (a *Attestation) Asked() time.Time { return a.begun }
+// BegunAt is when the first controller was queried.
+func (a *Attestation) BegunAt() time.Time { return a.begun }
 
 // Add takes another controller's figures, in s and in the same order. It returns false, and takes
 // none, if they are not of the same number of workers.
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -52,8 +52,8 @@
 			task := wire.TaskName(fmt.Sprintf("j-%06d", i), t)
 			r.Tasks = append(r.Tasks, wire.Task{Task: task, Attempt: 20, State: wire.TaskRunning})
 			instructions.Assign = append(instructions.Assign, dispatch.QueueEntry{
-				TaskRef: dispatch.TaskRef{Machine: r.Machine, Task: task, Attempt: 20}, Owner: "a",
-				Resources: matching.Resources{CPUs: 0.1, MemoryGB: 0.1}, Run: 30, Listed: true,
+				TaskRef: dispatch.TaskRef{Worker: r.Machine, Task: task, Attempt: 20}, Leader: "a",
+				Resources: matching.Resources{CPUs: 0.1, MemoryGB: 0.1}, RunS: 30, Reported: true,
 			})
 		}
 		w.reports = append(w.reports, r)
--- a/internal/dispatch/command_sender.go
+++ b/internal/dispatch/command_sender.go
@@ -52,9 +52,9 @@
 
 // NewHTTPCommandSender returns a sender that keeps within the process's sockets.
 func NewHTTPCommandSender(budget sockets.Budget) *HTTPCommandSender {
-	slots := budget.OrdersAtOnce()
+	slots := budget.RequestsAtOnce()
 	return &HTTPCommandSender{
-		connections: newConnectionPool(budget.Orders),
+		connections: newConnectionPool(budget.WorkerConnections),
 		slots:       make(chan struct{}, slots),
 		pollSlots:   make(chan struct{}, slots/pollShare),
 	}
--- a/internal/dispatch/command_slots_test.go
+++ b/internal/dispatch/command_slots_test.go
@@ -30,7 +30,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	done := make(chan struct{})
-	unresponsive := 4 * budget.OrdersAtOnce()
+	unresponsive := 4 * budget.RequestsAtOnce()
 	for range unresponsive {
 		endpoint := newUnresponsiveWorker(t)
 		go func() {
@@ -38,7 +38,7 @@
 			done <- struct{}{}
 		}()
 	}
-	eventually(t, "unresponsive workers are polled", func() bool { return sender.Connections() >= budget.OrdersAtOnce()/2 })
+	eventually(t, "unresponsive workers are polled", func() bool { return sender.Connections() >= budget.RequestsAtOnce()/2 })
 
 	workers := newCommandedWorkers(t, 1)
 	within, stop := context.WithTimeout(t.Context(), 5*time.Second)
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -124,8 +124,8 @@
 		return false
 	}
 	d := p.dispatcher
-	request := GrantRequest{TaskRef: queued.TaskRef, Holder: d.name, Token: p.token, Session: p.worker.report.Session}
-	if queued.Owner != d.name {
+	request := GrantRequest{TaskRef: queued.TaskRef, Dispatcher: d.name, Token: p.token, Session: p.worker.report.Session}
+	if queued.Leader != d.name {
 		d.requestRemoteGrantLocked(queued, request)
 		return false
 	}
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -32,7 +32,7 @@
 // Each worker has a transport of its own, because a transport that all share has a fixed
 // bound and closes either none or all of its idle connections.
 type connectionPool struct {
-	limits func() sockets.OrderLimits
+	limits func() sockets.ConnectionLimits
 	dialer net.Dialer
 
 	mu         sync.Mutex
@@ -40,7 +40,7 @@
 	idle       list.List // of *connection without users, the longest idle first
 }
 
-func newConnectionPool(limits func() sockets.OrderLimits) *connectionPool {
+func newConnectionPool(limits func() sockets.ConnectionLimits) *connectionPool {
 	return &connectionPool{
 		limits: limits, dialer: net.Dialer{Timeout: dialTimeout}, byEndpoint: map[string]*connection{},
 	}
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -109,7 +109,7 @@
 		t.Errorf("%d connections opened and %d kept for two messages to each of %d workers", sum, sender.Connections(), workers)
 	}
 
-	for budget.Orders().Keep != workers-10 {
+	for budget.WorkerConnections().Keep != workers-10 {
 		accepted.Add(1)
 	}
 	sender.Trim()
@@ -156,8 +156,8 @@
 	}
 	accepted.Store(int64(budget.MaxAccepted()))
 	sender.Trim()
-	if n := sender.Connections(); n != budget.OrdersAtOnce() {
-		t.Errorf("%d connections with no socket to spare, %d orders at once", n, budget.OrdersAtOnce())
+	if n := sender.Connections(); n != budget.RequestsAtOnce() {
+		t.Errorf("%d connections with no socket to spare, %d orders at once", n, budget.RequestsAtOnce())
 	}
 	close(w.release)
 	<-done
@@ -165,5 +165,5 @@
 	if n := w.dialled[0].Load(); n != 1 {
 		t.Errorf("%d connections for orders to a worker whose connection was in use", n)
 	}
-	eventually(t, "no others are open", func() bool { return w.open.Load() == int64(budget.OrdersAtOnce()) })
+	eventually(t, "no others are open", func() bool { return w.open.Load() == int64(budget.RequestsAtOnce()) })
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -126,11 +126,11 @@
 }
 
 func entry(attempt uint64) dispatch.QueueEntry {
-	return dispatch.QueueEntry{TaskRef: dispatch.TaskRef{Machine: "n-1", Task: "j-1/0", Attempt: attempt}, Owner: "a", Resources: matching.Resources{CPUs: 1, MemoryGB: 1}, Run: 5}
+	return dispatch.QueueEntry{TaskRef: dispatch.TaskRef{Worker: "n-1", Task: "j-1/0", Attempt: attempt}, Leader: "a", Resources: matching.Resources{CPUs: 1, MemoryGB: 1}, RunS: 5}
 }
 
 func verbs(body any, verb string) (n int) {
-	for _, c := range body.(wire.ReportAnswer).Commands {
+	for _, c := range body.(wire.ReportResponse).Commands {
 		if c.Verb == verb {
 			n++
 		}
@@ -160,7 +160,7 @@
 		synctest.Wait()
 		if _, body := d.HandleReport(ctx, report(3, 5, exited)); verbs(body, wire.VerbForget) != 0 {
 			t.Error("cleared while the commands may still arrive")
-		} else if body.(wire.ReportAnswer).Token <= 5 {
+		} else if body.(wire.ReportResponse).Token <= 5 {
 			t.Error("the token was not raised")
 		}
 		if _, body := d.HandleReport(ctx, report(4, s.FencingToken(), exited)); verbs(body, wire.VerbForget) != 1 {
@@ -208,7 +208,7 @@
 	}
 	s.raises = true
 	status, body := d.HandleReport(t.Context(), report(2, 9))
-	if status != http.StatusOK || body.(wire.ReportAnswer).Token <= 9 {
+	if status != http.StatusOK || body.(wire.ReportResponse).Token <= 9 {
 		t.Errorf("status %d, %+v", status, body)
 	}
 }
@@ -220,7 +220,7 @@
 	s := &stub{token: 5}
 	d := newDispatcher(t.Context(), s)
 	d.HandleReport(t.Context(), report(5, 5))
-	d.FetchReport(t.Context(), "n-1", "e") // responds with report 9
+	d.PollWorker(t.Context(), "n-1", "e") // responds with report 9
 	for _, seq := range []uint64{6, 7} {
 		if status, _ := d.HandleReport(t.Context(), report(seq, 5)); status != http.StatusOK {
 			t.Errorf("report %d refused after the response to a poll", seq)
@@ -232,7 +232,7 @@
 	if status, _ := d.HandleReport(t.Context(), report(8, 5)); status == http.StatusOK {
 		t.Error("a report of an earlier session was answered")
 	}
-	if len(s.views) != 3 || !s.views[1].Asked || s.views[2].Asked {
+	if len(s.views) != 3 || !s.views[1].Polled || s.views[2].Polled {
 		t.Errorf("views of 3 reports that were new: %+v", s.views)
 	}
 }
--- a/internal/dispatch/grants.go
+++ b/internal/dispatch/grants.go
@@ -23,7 +23,7 @@
 func (d *Dispatcher) requestRemoteGrantLocked(queued *queuedTask, request GrantRequest) {
 	queued.grantRequested = true
 	if !d.stopped {
-		d.remoteGrants.Add(queued.Owner, remoteGrant{queued, request})
+		d.remoteGrants.Add(queued.Leader, remoteGrant{queued, request})
 	}
 }
 
@@ -49,7 +49,7 @@
 	for i, grant := range grants {
 		d.applyGrantLocked(grant, replies[i])
 		if replies[i].OK {
-			granted[grant.request.Machine] = true
+			granted[grant.request.Worker] = true
 		}
 	}
 	d.mu.Unlock()
@@ -61,7 +61,7 @@
 // applyGrantLocked notes a leader's reply.
 func (d *Dispatcher) applyGrantLocked(grant remoteGrant, reply GrantReply) {
 	grant.queued.grantRequested = false
-	worker := d.workers[grant.request.Machine]
+	worker := d.workers[grant.request.Worker]
 	switch {
 	case worker == nil:
 	case reply.Drop:
--- a/internal/dispatch/grants_test.go
+++ b/internal/dispatch/grants_test.go
@@ -36,7 +36,7 @@
 			d.HandleReport(ctx, report(1, 5))
 			for attempt := range uint64(4) {
 				e := entry(attempt + 1)
-				e.Owner = "b"
+				e.Leader = "b"
 				d.ApplyInstructions(dispatch.Instructions{From: "b", Assign: []dispatch.QueueEntry{e}})
 				if attempt == 0 {
 					synctest.Wait() // the first is under way when the others come
--- a/internal/dispatch/instructions.go
+++ b/internal/dispatch/instructions.go
@@ -10,7 +10,7 @@
 // dispatcher surely never launched. Those for workers that are not known here are ignored: the
 // leader repeats them. The commands that follow are pushed at once, except clears.
 func (d *Dispatcher) ApplyInstructions(instructions Instructions) Unlaunched {
-	defer usage.Count(usage.Directed, time.Now())
+	defer usage.Count(usage.Instructions, time.Now())
 	out := Unlaunched{Token: d.tokens.FencingToken()}
 	touched := map[string]bool{} // workers with something new to command
 	d.mu.Lock()
@@ -47,33 +47,33 @@
 
 // assignLocked queues a task, or notes what a task that is reported already takes.
 func (d *Dispatcher) assignLocked(entry *QueueEntry, touched map[string]bool) {
-	worker := d.workers[entry.Machine]
+	worker := d.workers[entry.Worker]
 	if worker == nil {
 		return
 	}
 	if task := worker.tasks[entry.TaskRef]; task != nil {
 		if task.entry == nil {
-			d.changed[entry.Machine] = true
+			d.changed[entry.Worker] = true
 		}
 		own := *entry // the rest of the message need not stay in memory
 		task.entry = &own
 		return
 	}
-	if entry.Listed || worker.updateQueued(entry) {
+	if entry.Reported || worker.updateQueued(entry) {
 		return
 	}
 	worker.queue = append(worker.queue, &queuedTask{QueueEntry: *entry})
-	touched[entry.Machine] = true
+	touched[entry.Worker] = true
 }
 
 // haltLocked takes a task off the queue, or has it stopped if a start may have been sent. It
 // reports whether the task surely was not launched from here.
 func (d *Dispatcher) haltLocked(halt Halt, touched map[string]bool) (unlaunched bool) {
-	worker := d.workers[halt.Machine]
+	worker := d.workers[halt.Worker]
 	if worker == nil {
 		return false
 	}
-	touched[halt.Machine] = true
+	touched[halt.Worker] = true
 	if queued := worker.dequeue(halt.TaskRef); queued != nil && !queued.startSent && worker.tasks[halt.TaskRef] == nil {
 		return true
 	}
@@ -84,7 +84,7 @@
 // clearLocked lets the worker forget an exited task. The next heartbeat's response is soon
 // enough for that: an exited task takes nothing but a line.
 func (d *Dispatcher) clearLocked(done Clear) {
-	worker := d.workers[done.Machine]
+	worker := d.workers[done.Worker]
 	if worker == nil || worker.tasks[done.TaskRef] == nil {
 		return
 	}
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -7,7 +7,7 @@
 
 // TaskRef names one attempt of a task on a worker.
 type TaskRef struct {
-	Machine string `json:"m"`
+	Worker  string `json:"m"`
 	Task    string `json:"t"`
 	Attempt uint64 `json:"a"`
 }
@@ -16,13 +16,13 @@
 // needs to queue it.
 type QueueEntry struct {
 	TaskRef
-	Owner     string             `json:"o"` // the leader
+	Leader    string             `json:"o"` // the leader
 	Resources matching.Resources `json:"s"`
-	Run       float64            `json:"r"` // expected run time, s
-	Fetch     float64            `json:"f"` // expected image fetch, s
+	RunS      float64            `json:"r"` // expected run time, s
+	FetchS    float64            `json:"f"` // expected image fetch, s
 	Rank      int                `json:"p"` // priority, larger first
 	DueAt     float64            `json:"d"` // order within a priority, earlier first
-	Listed    bool               `json:"l"` // the task is reported already: not to be queued
+	Reported  bool               `json:"l"` // the task is reported already: not to be queued
 }
 
 // Halt stops a task; the dispatcher repeats it until the task is gone.
@@ -65,9 +65,9 @@
 // and in this session of the worker.
 type GrantRequest struct {
 	TaskRef
-	Holder  string `json:"h"` // the dispatcher
-	Token   uint64 `json:"k"`
-	Session uint64 `json:"s"`
+	Dispatcher string `json:"h"` // the dispatcher
+	Token      uint64 `json:"k"`
+	Session    uint64 `json:"s"`
 }
 
 // GrantReply replies: start the task, drop it from the queue, or neither for now. Drop prevails.
@@ -95,25 +95,25 @@
 
 // WorkerView is what a dispatcher publishes of a worker.
 type WorkerView struct {
-	Name     string  `json:"name"`
-	Type     string  `json:"type"`
-	Zone     string  `json:"zone"`
-	Spot     bool    `json:"spot"`
-	Session  uint64  `json:"session"`
-	Seq      uint64  `json:"seq"`
-	Token    uint64  `json:"token"`
-	Holder   string  `json:"holder"` // the dispatcher
-	Endpoint string  `json:"endpoint,omitempty"`
-	AgeS     float64 `json:"age,omitempty"` // seconds since the report came
+	Name       string  `json:"name"`
+	Type       string  `json:"type"`
+	Zone       string  `json:"zone"`
+	Spot       bool    `json:"spot"`
+	Session    uint64  `json:"session"`
+	Seq        uint64  `json:"seq"`
+	Token      uint64  `json:"token"`
+	Dispatcher string  `json:"holder"` // the dispatcher
+	Endpoint   string  `json:"endpoint,omitempty"`
+	AgeS       float64 `json:"age,omitempty"` // seconds since the report came
 	// UnansweredS is how long ago the dispatcher last answered a heartbeat of the worker, at
 	// least: since its own start if it never has.
 	UnansweredS float64  `json:"unanswered,omitempty"`
 	NoticeS     *float64 `json:"notice"` // until the cloud takes the machine away; nil: no notice
 	Draining    bool     `json:"draining"`
-	Asked       bool     `json:"asked,omitempty"` // the report responded to a poll or to commands, which thus reached the worker
-	// Same says that the report in it tells nothing but that the worker was heard.
-	Same   bool                `json:"-"`
-	Tasks  []TaskView          `json:"tasks"`
-	Queue  []QueueView         `json:"queue"`
-	Matrix matching.WaitMatrix `json:"matrix"`
+	Polled      bool     `json:"asked,omitempty"` // the report responded to a poll or to commands, which thus reached the worker
+	// Unchanged says that the report in it tells nothing but that the worker was heard.
+	Unchanged bool                `json:"-"`
+	Tasks     []TaskView          `json:"tasks"`
+	Queue     []QueueView         `json:"queue"`
+	Matrix    matching.WaitMatrix `json:"matrix"`
 }
--- a/internal/dispatch/polls.go
+++ b/internal/dispatch/polls.go
@@ -101,9 +101,9 @@
 	_ = polls.Wait() // none returns an error
 }
 
-// FetchReport polls a worker and reports whether it responded. It is for judging whether the
+// PollWorker polls a worker and reports whether it responded. It is for judging whether the
 // worker works, and so waits longer than PollReports does.
-func (d *Dispatcher) FetchReport(ctx context.Context, name, endpoint string) bool {
+func (d *Dispatcher) PollWorker(ctx context.Context, name, endpoint string) bool {
 	return d.poll(ctx, name, endpoint, responsiveTimeout)
 }
 
--- a/internal/dispatch/recorded_test.go
+++ b/internal/dispatch/recorded_test.go
@@ -13,11 +13,11 @@
 
 // Instructions, grants and views keep the form in which controllers send them.
 func TestRecorded(t *testing.T) {
-	ref := dispatch.TaskRef{Machine: "n-000231", Task: "j-000400/7", Attempt: 3}
+	ref := dispatch.TaskRef{Worker: "n-000231", Task: "j-000400/7", Attempt: 3}
 	shape := matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
 	recorded.Check(t, "direction_full", dispatch.Instructions{
 		From:            "c1",
-		Assign:          []dispatch.QueueEntry{{TaskRef: ref, Owner: "c1", Resources: shape, Run: 900.5, Fetch: 18.25, Rank: 2, DueAt: 1234.5, Listed: true}},
+		Assign:          []dispatch.QueueEntry{{TaskRef: ref, Leader: "c1", Resources: shape, RunS: 900.5, FetchS: 18.25, Rank: 2, DueAt: 1234.5, Reported: true}},
 		Halt:            []dispatch.Halt{{TaskRef: ref, GraceS: 12.5}},
 		Clear:           []dispatch.Clear{{TaskRef: ref, Token: 41}},
 		RaiseTokenAbove: 42,
@@ -28,7 +28,7 @@
 	recorded.Check(t, "clear_empty", dispatch.Clear{})
 	recorded.Check(t, "unlaunched_full", dispatch.Unlaunched{Refs: []dispatch.TaskRef{ref}, Token: 41})
 	recorded.Check(t, "unlaunched_empty", dispatch.Unlaunched{})
-	recorded.Check(t, "grant_requests_full", []dispatch.GrantRequest{{TaskRef: ref, Holder: "c2", Token: 41, Session: 2}})
+	recorded.Check(t, "grant_requests_full", []dispatch.GrantRequest{{TaskRef: ref, Dispatcher: "c2", Token: 41, Session: 2}})
 	recorded.Check(t, "grant_requests_empty", []dispatch.GrantRequest{{}})
 	recorded.Check(t, "grant_replies_full", []dispatch.GrantReply{{OK: true, Drop: true}})
 	recorded.Check(t, "grant_replies_empty", []dispatch.GrantReply{{}})
@@ -38,21 +38,21 @@
 func TestRecordedView(t *testing.T) {
 	notice, exit := 30.5, 137
 	view := dispatch.WorkerView{
-		Name: "n-000231", Type: "g8", Zone: "a", Spot: true, Session: 2, Seq: 1088, Token: 41, Holder: "c2", Endpoint: "10.1.0.232:9000",
-		AgeS: 0.5, UnansweredS: 1.25, NoticeS: &notice, Draining: true, Asked: true,
+		Name: "n-000231", Type: "g8", Zone: "a", Spot: true, Session: 2, Seq: 1088, Token: 41, Dispatcher: "c2", Endpoint: "10.1.0.232:9000",
+		AgeS: 0.5, UnansweredS: 1.25, NoticeS: &notice, Draining: true, Polled: true,
 		Tasks: []dispatch.TaskView{{
 			Task: wire.Task{Task: "j-000400/7", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseError, Saved: true, Exit: &exit},
 			ForS: 7.75, Unknown: true,
 		}},
-		Queue:  []dispatch.QueueView{{TaskRef: dispatch.TaskRef{Machine: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
-		Matrix: matching.WaitMatrix{{Wait: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 1, MemoryGB: 8.25}}},
+		Queue:  []dispatch.QueueView{{TaskRef: dispatch.TaskRef{Worker: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
+		Matrix: matching.WaitMatrix{{WaitS: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 1, MemoryGB: 8.25}}},
 	}
 	recorded.Check(t, "view_full", view)
 	recorded.Check(t, "view_empty", dispatch.WorkerView{})
 	recorded.Check(t, "task_view_empty", dispatch.TaskView{})
 	recorded.Check(t, "queue_view_empty", dispatch.QueueView{})
 	same := view
-	same.Same = true
+	same.Unchanged = true
 	plain, err := json.Marshal(view)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatch/reports.go
+++ b/internal/dispatch/reports.go
@@ -68,7 +68,7 @@
 	d.mu.Lock()
 	commands := d.commandsLocked(rep.Machine, token, true)
 	d.mu.Unlock()
-	return http.StatusOK, wire.ReportAnswer{Token: token, Commands: commands}
+	return http.StatusOK, wire.ReportResponse{Token: token, Commands: commands}
 }
 
 // redirect decides whether a worker is to report elsewhere, and to which controller; an empty
@@ -185,6 +185,6 @@
 	worker.reconcile()
 	d.changed[rep.Machine] = true
 	view := d.viewLocked(worker)
-	view.Same = unchanged
+	view.Unchanged = unchanged
 	return view, true
 }
--- a/internal/dispatch/slow_responses_test.go
+++ b/internal/dispatch/slow_responses_test.go
@@ -58,7 +58,7 @@
 		})
 		d.HandleReport(ctx, report(1, 5))
 		e := entry(1)
-		e.Owner = "b"
+		e.Leader = "b"
 		d.ApplyInstructions(dispatch.Instructions{From: "b", Assign: []dispatch.QueueEntry{e}})
 		if q := d.WorkerViews()[0].Queue; len(q) != 1 || !q[0].Unsent {
 			t.Errorf("queue %+v before the grant", q)
@@ -71,7 +71,7 @@
 		if q := d.WorkerViews()[0].Queue; len(q) != 1 || q[0].Unsent {
 			t.Errorf("queue %+v after the start was sent", q)
 		}
-		if !d.FetchReport(ctx, "n-1", "e") {
+		if !d.PollWorker(ctx, "n-1", "e") {
 			t.Error("a worker that responds late counts as unresponsive")
 		}
 		cancel()
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -37,7 +37,7 @@
 	}
 	for _, queued := range worker.queue {
 		if queued.startSent || queued.granted {
-			allocations = append(allocations, matching.Allocation{Resources: queued.Resources, RemainingS: queued.Fetch + queued.Run})
+			allocations = append(allocations, matching.Allocation{Resources: queued.Resources, RemainingS: queued.FetchS + queued.RunS})
 		}
 	}
 	d.allocations = allocations
@@ -48,9 +48,9 @@
 func (t *reportedTask) remainingS(now time.Time) float64 {
 	elapsedS := now.Sub(t.since).Seconds()
 	if t.state == wire.TaskFetching {
-		return t.entry.Run + math.Max(leastFetchS, t.entry.Fetch-elapsedS)
+		return t.entry.RunS + math.Max(leastFetchS, t.entry.FetchS-elapsedS)
 	}
-	return matching.RemainingRun(t.entry.Run, elapsedS)
+	return matching.RemainingRun(t.entry.RunS, elapsedS)
 }
 
 // viewLocked returns the view of a worker that has reported.
@@ -59,9 +59,9 @@
 	report := &worker.report
 	view := WorkerView{
 		Name: report.Machine, Type: report.Type, Zone: report.Zone, Spot: report.Spot,
-		Session: report.Session, Seq: report.Seq, Token: report.Token, Holder: d.name, Endpoint: report.Endpoint,
+		Session: report.Session, Seq: report.Seq, Token: report.Token, Dispatcher: d.name, Endpoint: report.Endpoint,
 		AgeS: now.Sub(worker.reportedAt).Seconds(), UnansweredS: d.unansweredLocked(report.Machine).Seconds(),
-		NoticeS: report.NoticeS, Draining: worker.draining, Asked: worker.polled,
+		NoticeS: report.NoticeS, Draining: worker.draining, Polled: worker.polled,
 		Tasks: worker.taskViews(now),
 	}
 	total, known := d.capacityOf(worker)
@@ -92,7 +92,7 @@
 			v.Queue = append(v.Queue, QueueView{TaskRef: queued.TaskRef, Unsent: !queued.startSent})
 			continue
 		}
-		takesS := queued.Fetch + queued.Run
+		takesS := queued.FetchS + queued.RunS
 		waitS := v.Matrix.Wait(queued.Resources, takesS)
 		if math.IsInf(waitS, 1) {
 			waitS = neverFitsS
--- a/internal/dispatch/worker_state.go
+++ b/internal/dispatch/worker_state.go
@@ -150,7 +150,7 @@
 func (w *workerState) updateQueued(entry *QueueEntry) bool {
 	for _, queued := range w.queue {
 		if queued.TaskRef == entry.TaskRef {
-			queued.Owner = entry.Owner
+			queued.Leader = entry.Leader
 			return true
 		}
 	}
--- a/internal/failovertiming/failovertiming.go
+++ b/internal/failovertiming/failovertiming.go
@@ -17,15 +17,15 @@
 
 // Phases, in the order in which they usually come.
 const (
-	Up      Phase = iota // responds to /up with 200
-	Joined               // holds its lease
-	Claimed              // leads a shard
-	Read                 // has read the shard's jobs
-	Heard                // responded to a worker's heartbeat with 200
-	Granted              // the first start was granted
-	Half                 // half of the recorded workers sent a heartbeat
-	Most                 // 95 of 100 did
-	All                  // all did
+	Up             Phase = iota // responds to /up with 200
+	Joined                      // holds its lease
+	Claimed                     // leads a shard
+	Read                        // has read the shard's jobs
+	FirstHeartbeat              // responded to a worker's heartbeat with 200
+	Granted                     // the first start was granted
+	Half                        // half of the recorded workers sent a heartbeat
+	Most                        // 95 of 100 did
+	All                         // all did
 	phases
 )
 
--- a/internal/failovertiming/failovertiming_test.go
+++ b/internal/failovertiming/failovertiming_test.go
@@ -45,13 +45,17 @@
 		step(time.Second, func() { timeline.Mark(failovertiming.Joined); timeline.Mark(failovertiming.Up) })
 		step(time.Second, func() { timeline.Mark(failovertiming.Claimed) })
 		step(time.Second, func() { p.failovers = 1 })
-		step(time.Second, func() { timeline.Mark(failovertiming.Heard); timeline.Mark(failovertiming.Heard); p.unresponsive = 40 })
+		step(time.Second, func() {
+			timeline.Mark(failovertiming.FirstHeartbeat)
+			timeline.Mark(failovertiming.FirstHeartbeat)
+			p.unresponsive = 40
+		})
 		step(time.Second, func() { timeline.Mark(failovertiming.Granted); p.unresponsive = 4 })
 		step(time.Second, func() { p.unresponsive = 0 })
 		step(time.Second, func() {})
 		last := timeline.Last()
 		for phase, want := range map[failovertiming.Phase]float64{
-			failovertiming.Up: 1, failovertiming.Claimed: 2, failovertiming.Read: 3, failovertiming.Heard: 4, failovertiming.Half: 4,
+			failovertiming.Up: 1, failovertiming.Claimed: 2, failovertiming.Read: 3, failovertiming.FirstHeartbeat: 4, failovertiming.Half: 4,
 			failovertiming.Granted: 5, failovertiming.Most: 5, failovertiming.All: 6,
 		} {
 			if got := last[phase.String()]; got < want || got > want+0.2 {
--- a/internal/failovertiming/recorded_test.go
+++ b/internal/failovertiming/recorded_test.go
@@ -13,7 +13,7 @@
 func TestRecordedPhases(t *testing.T) {
 	var text strings.Builder
 	for _, phase := range []failovertiming.Phase{
-		failovertiming.Up, failovertiming.Joined, failovertiming.Claimed, failovertiming.Read, failovertiming.Heard, failovertiming.Granted,
+		failovertiming.Up, failovertiming.Joined, failovertiming.Claimed, failovertiming.Read, failovertiming.FirstHeartbeat, failovertiming.Granted,
 		failovertiming.Half, failovertiming.Most, failovertiming.All,
 	} {
 		fmt.Fprintln(&text, phase)
--- a/internal/jobid/jobid.go
+++ b/internal/jobid/jobid.go
@@ -99,7 +99,7 @@
 		}
 		end := c.Next + n
 		_, err = a.store.Txn(ctx, []wire.Guard{{Key: counterKey, Version: version}}, wire.Op{Put: counterKey, Value: counter{end}})
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
 			a.allocatedEnd = max(a.allocatedEnd, end)
@@ -131,10 +131,10 @@
 	return c, item.Version, nil
 }
 
-// Given reports whether count consecutive numbers from first on were allocated, by any
+// Allocated reports whether count consecutive numbers from first on were allocated, by any
 // controller. A client that names others is to be refused: a later job would get the same
 // numbers.
-func (a *Allocator) Given(ctx context.Context, first uint64, count int) (bool, error) {
+func (a *Allocator) Allocated(ctx context.Context, first uint64, count int) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	end := first + numbersOf(count)
--- a/internal/jobid/jobid_test.go
+++ b/internal/jobid/jobid_test.go
@@ -45,7 +45,7 @@
 			}
 			allocated[first+uint64(k)] = true
 		}
-		if ok, err := jobid.New(clean).Given(ctx, first, count); err != nil || !ok {
+		if ok, err := jobid.New(clean).Allocated(ctx, first, count); err != nil || !ok {
 			t.Fatalf("%d is said to be nobody's, %v", first, err)
 		}
 		if n%3 > 0 { // the others' jobs never came
@@ -56,7 +56,7 @@
 	}
 	allocator := jobid.New(clean)
 	checkFound(t, allocator, jobs, allocated)
-	if ok, err := allocator.Given(ctx, 1<<40, 1); ok || err != nil {
+	if ok, err := allocator.Allocated(ctx, 1<<40, 1); ok || err != nil {
 		t.Errorf("a number from beyond the counter: %v, %v", ok, err)
 	}
 }
--- a/internal/jobquery/messages.go
+++ b/internal/jobquery/messages.go
@@ -14,36 +14,36 @@
 type Placement struct {
 	Task    int    `json:"task"`
 	Attempt uint64 `json:"attempt"`
-	Machine string `json:"machine"`          // name of the worker
+	Worker  string `json:"machine"`          // name of the worker
 	StartMs int64  `json:"start,omitempty"`  // 0: not seen to run yet
-	Ending  bool   `json:"ending,omitempty"` // it was halted
+	Halted  bool   `json:"ending,omitempty"` // it was halted
 }
 
 // Info is a job as listings show it. A listing that continues within a job repeats the job
 // with the placements and pending tasks that follow; the counts are always of the whole job.
 type Info struct {
-	Job         wire.Job             `json:"job"`
-	Constraints *jobspec.Constraints `json:"terms"`
-	AcceptedMs  int64                `json:"at"`
-	Stage       string               `json:"stage"`            // as in wire.JobState
-	Reason      string               `json:"reason,omitempty"` // why its pending tasks wait, see package jobspec
-	EligibleMs  int64                `json:"eligible,omitempty"`
-	StartMs     int64                `json:"start,omitempty"`   // of its first task
-	Waiting     string               `json:"waiting,omitempty"` // pending tasks, as jobspec.Ranges
-	Queued      int                  `json:"queued"`            // number of pending tasks
-	Placements  []Placement          `json:"on,omitempty"`
-	Running     int                  `json:"running"`          // number of running placements
-	Done        int                  `json:"done"`             // number of completed tasks
-	Failed      int                  `json:"failed,omitempty"` // number of tasks that are over and not done
-	Ending      *jobspec.Ending      `json:"ending,omitempty"` // of a job that is over
+	Job          wire.Job             `json:"job"`
+	Constraints  *jobspec.Constraints `json:"terms"`
+	AcceptedMs   int64                `json:"at"`
+	Stage        string               `json:"stage"`            // as in wire.JobState
+	Reason       string               `json:"reason,omitempty"` // why its pending tasks wait, see package jobspec
+	EligibleMs   int64                `json:"eligible,omitempty"`
+	StartMs      int64                `json:"start,omitempty"`   // of its first task
+	PendingTasks string               `json:"waiting,omitempty"` // pending tasks, as jobspec.Ranges
+	PendingCount int                  `json:"queued"`            // number of pending tasks
+	Placements   []Placement          `json:"on,omitempty"`
+	Running      int                  `json:"running"`          // number of running placements
+	Done         int                  `json:"done"`             // number of completed tasks
+	Failed       int                  `json:"failed,omitempty"` // number of tasks that are over and not done
+	Ending       *jobspec.Ending      `json:"ending,omitempty"` // of a job that is over
 }
 
 // Cursor is where a listing continues: with the job of that number, after its first On
 // placements, and with its pending tasks from Task on.
 type Cursor struct {
-	Number uint64 `json:"number"`
-	On     int    `json:"on,omitempty"`
-	Task   int    `json:"task,omitempty"`
+	Number         uint64 `json:"number"`
+	SkipPlacements int    `json:"on,omitempty"`
+	Task           int    `json:"task,omitempty"`
 }
 
 // Page is a part of the listing of living jobs, in the order of their numbers.
--- a/internal/jobrecord/job_records.go
+++ b/internal/jobrecord/job_records.go
@@ -20,12 +20,12 @@
 
 // LiveRecord is an accepted job that has not ended.
 type LiveRecord struct {
-	Job       wire.Job `json:"job"`
-	Shard     int      `json:"shard"`
-	AtMs      int64    `json:"at"` // time of its acceptance, in milliseconds since 1970
-	Cancelled bool     `json:"cancelled,omitempty"`
+	Job        wire.Job `json:"job"`
+	Shard      int      `json:"shard"`
+	AcceptedMs int64    `json:"at"` // time of its acceptance, in milliseconds since 1970
+	Cancelled  bool     `json:"cancelled,omitempty"`
 
-	Terms *jobspec.Constraints `json:"terms,omitempty"` // nil: it has none
+	Constraints *jobspec.Constraints `json:"terms,omitempty"` // nil: it has none
 }
 
 // FinalRecord is how a job ended.
@@ -65,7 +65,7 @@
 // The time is in milliseconds since 1970.
 func AcceptanceTxn(job *wire.Job, constraints *jobspec.Constraints, shard int, atMs int64) ([]wire.Guard, []wire.Op) {
 	guards := []wire.Guard{{Key: LivePrefix + job.UID}, {Key: FinalPrefix + job.UID}}
-	ops := []wire.Op{{Put: LivePrefix + job.UID, Value: LiveRecord{Job: *job, Shard: shard, AtMs: atMs, Terms: constraints}}}
+	ops := []wire.Op{{Put: LivePrefix + job.UID, Value: LiveRecord{Job: *job, Shard: shard, AcceptedMs: atMs, Constraints: constraints}}}
 	if constraints != nil {
 		key := jobid.Key(constraints.Number, job.Tasks)
 		guards = append(guards, wire.Guard{Key: key})
--- a/internal/jobrecord/task_records.go
+++ b/internal/jobrecord/task_records.go
@@ -17,8 +17,8 @@
 	valueSlack = 64  // bytes that a record must leave of that share
 )
 
-// ValueBytes returns how many bytes a record may have.
-func ValueBytes(cfg *config.Platform) int {
+// MaxRecordBytes returns how many bytes a record may have.
+func MaxRecordBytes(cfg *config.Platform) int {
 	return int(cfg.Params.State.ValueKB*1024*valueShare) - valueSlack
 }
 
@@ -36,29 +36,29 @@
 // ChunkRecord is the state of a chunk's tasks as of the shard's log record Seq: which are over,
 // and on which workers the others may be.
 type ChunkRecord struct {
-	Seq      uint64   `json:"seq"`
-	Done     []byte   `json:"done"` // a bit for each task that is over
-	Next     uint64   `json:"next"` // attempts below it may have been used
-	Machines []string `json:"machines,omitempty"`
-	Places   []uint64 `json:"places,omitempty"` // placements
-	Failed   []uint64 `json:"failed,omitempty"` // failures
+	Seq        uint64   `json:"seq"`
+	Done       []byte   `json:"done"` // a bit for each task that is over
+	Next       uint64   `json:"next"` // attempts below it may have been used
+	Workers    []string `json:"machines,omitempty"`
+	Placements []uint64 `json:"places,omitempty"` // placements
+	Failed     []uint64 `json:"failed,omitempty"` // failures
 }
 
 // LogRecord is one write of a shard's log.
 type LogRecord struct {
-	Seq      uint64     `json:"seq"`
-	Machines []string   `json:"m,omitempty"`
-	Jobs     []JobEntry `json:"j"`
+	Seq     uint64     `json:"seq"`
+	Workers []string   `json:"m,omitempty"`
+	Jobs    []JobEntry `json:"j"`
 	QuotaMark
 }
 
 // JobEntry is what a log record states of a job's tasks.
 type JobEntry struct {
-	UID    string   `json:"u"`
-	Places []uint64 `json:"p,omitempty"` // new placements
-	Gone   []uint64 `json:"x,omitempty"` // removed placements
-	Done   []uint64 `json:"d,omitempty"` // tasks that completed
-	Failed []uint64 `json:"f,omitempty"` // failures
+	UID        string   `json:"u"`
+	Placements []uint64 `json:"p,omitempty"` // new placements
+	Removed    []uint64 `json:"x,omitempty"` // removed placements
+	Done       []uint64 `json:"d,omitempty"` // tasks that completed
+	Failed     []uint64 `json:"f,omitempty"` // failures
 }
 
 // QuotaMark is what a log record states of its writer. Without it a later leader could not know
@@ -78,10 +78,10 @@
 		return record, fmt.Errorf("read log record: %w", err)
 	}
 	for _, entry := range record.Jobs {
-		if len(entry.Places)%placementNumbers != 0 || len(entry.Gone)%removedNumbers != 0 || len(entry.Failed)%failureNumbers != 0 {
+		if len(entry.Placements)%placementNumbers != 0 || len(entry.Removed)%removedNumbers != 0 || len(entry.Failed)%failureNumbers != 0 {
 			return record, errors.New("read log record: malformed entry")
 		}
-		if !workersInRange(entry.Places, len(record.Machines)) {
+		if !workersInRange(entry.Placements, len(record.Workers)) {
 			return record, errors.New("read log record: malformed placement")
 		}
 	}
@@ -94,14 +94,14 @@
 	if err := json.Unmarshal(data, &record); err != nil {
 		return record, fmt.Errorf("read chunk record: %w", err)
 	}
-	if len(record.Places)%placementNumbers != 0 || len(record.Failed)%failureNumbers != 0 || len(record.Done) > (ChunkSize+7)/8 {
+	if len(record.Placements)%placementNumbers != 0 || len(record.Failed)%failureNumbers != 0 || len(record.Done) > (ChunkSize+7)/8 {
 		return record, errors.New("read chunk record: malformed")
 	}
-	if !workersInRange(record.Places, len(record.Machines)) {
+	if !workersInRange(record.Placements, len(record.Workers)) {
 		return record, errors.New("read chunk record: malformed placement")
 	}
-	for i := 0; i < len(record.Places); i += placementNumbers {
-		if record.Places[i] >= uint64(tasks) {
+	for i := 0; i < len(record.Placements); i += placementNumbers {
+		if record.Placements[i] >= uint64(tasks) {
 			return record, errors.New("read chunk record: malformed placement")
 		}
 	}
--- a/internal/jobstate/accounting.go
+++ b/internal/jobstate/accounting.go
@@ -42,7 +42,7 @@
 	job, worker := placement.Job, placement.Worker
 	row := &accounting.Row{
 		Kind: accounting.RowAttempt, UID: job.Spec.UID, Task: uint32(placement.Task), Attempt: placement.Attempt,
-		Exit: int32(placement.ExitCode), End: time.Now().UnixMilli(), Machine: worker.Name,
+		Exit: int32(placement.ExitCode), End: time.Now().UnixMilli(), Worker: worker.Name,
 		CPUs: float32(job.Resources.CPUs), GPUs: float32(job.Resources.GPUs), MemoryGB: float32(job.Resources.MemoryGB),
 		Price: float32(s.hourlyPrice(placement)),
 	}
@@ -62,7 +62,7 @@
 	switch {
 	case failed:
 		return failure.Outcome.AccountingState(), false
-	case p.Chunk.IsDone(p.Task) && p.ExitCause == wire.CauseDone:
+	case p.Chunk.IsOver(p.Task) && p.ExitCause == wire.CauseDone:
 		return jobspec.Completed, true
 	case p.Job.Cancelled:
 		return jobspec.Cancelled, false
--- a/internal/jobstate/cancel.go
+++ b/internal/jobstate/cancel.go
@@ -43,7 +43,7 @@
 	}
 	marked := map[int]bool{}
 	for task := range ranges.All() {
-		if task >= job.Spec.Tasks || job.ChunkOf(task).IsDone(task) {
+		if task >= job.Spec.Tasks || job.ChunkOf(task).IsOver(task) {
 			continue
 		}
 		job.ChunkOf(task).SetFailed(task, uint64(OutcomeCancelled), 0)
--- a/internal/jobstate/chunk.go
+++ b/internal/jobstate/chunk.go
@@ -20,14 +20,14 @@
 	Failed      map[int]TaskFailure // by task: those that are over and not done; also in DoneBits
 }
 
-// IsDone reports whether a task of the chunk is over: done, failed or cancelled individually.
-func (c *Chunk) IsDone(task int) bool {
+// IsOver reports whether a task of the chunk is over: done, failed or cancelled individually.
+func (c *Chunk) IsOver(task int) bool {
 	i := task % jobrecord.ChunkSize
 	return c.DoneBits[i/8]&(1<<(i%8)) != 0
 }
 
-// SetDone marks a task of the chunk as over.
-func (c *Chunk) SetDone(task int) {
+// SetOver marks a task of the chunk as over.
+func (c *Chunk) SetOver(task int) {
 	i := task % jobrecord.ChunkSize
 	c.DoneBits[i/8] |= 1 << (i % 8)
 }
@@ -35,7 +35,7 @@
 // SetFailed marks a task of the chunk as over and not done. The outcome and the exit code are
 // as records have them; bits beyond their ranges are dropped.
 func (c *Chunk) SetFailed(task int, outcome, exitCode uint64) {
-	c.SetDone(task)
+	c.SetOver(task)
 	if c.Failed == nil {
 		c.Failed = map[int]TaskFailure{}
 	}
@@ -58,11 +58,11 @@
 		}
 		i, ok := workerIndex[placement.Worker.Name]
 		if !ok {
-			i = len(record.Machines)
+			i = len(record.Workers)
 			workerIndex[placement.Worker.Name] = i
-			record.Machines = append(record.Machines, placement.Worker.Name)
+			record.Workers = append(record.Workers, placement.Worker.Name)
 		}
-		record.Places = append(record.Places, uint64(placement.Task), placement.Attempt, uint64(i))
+		record.Placements = append(record.Placements, uint64(placement.Task), placement.Attempt, uint64(i))
 	}
 	return record
 }
--- a/internal/jobstate/completion.go
+++ b/internal/jobstate/completion.go
@@ -22,7 +22,7 @@
 		job.Running--
 	}
 	s.RemovePlacement(placement)
-	taskOver := placement.Chunk.IsDone(placement.Task)
+	taskOver := placement.Chunk.IsOver(placement.Task)
 	if len(job.Placements[placement.Task]) == 0 && !taskOver {
 		job.Pending = append(job.Pending, placement.Task)
 	}
@@ -31,7 +31,7 @@
 		// reconcile the placement.
 		s.RecordChange(Change{Kind: PlacementRemoved, Placement: placement, Row: row})
 	} else if row != nil {
-		s.LooseRows = append(s.LooseRows, *row)
+		s.UnattachedRows = append(s.UnattachedRows, *row)
 		Notify(s.WriteSignal)
 	}
 	s.FinishJob(job)
@@ -82,7 +82,7 @@
 // ClearTask ends the placement of an exited task and lets its worker forget the task.
 func (s *State) ClearTask(placement *Placement) {
 	s.EndPlacement(placement)
-	instructions := s.InstructionsFor(placement.Worker.View.Holder)
+	instructions := s.InstructionsFor(placement.Worker.View.Dispatcher)
 	instructions.Clear = append(instructions.Clear, dispatch.Clear{TaskRef: placement.Ref, Token: placement.MaxToken})
 	Notify(s.SendSignal)
 }
--- a/internal/jobstate/constraints.go
+++ b/internal/jobstate/constraints.go
@@ -14,7 +14,7 @@
 	*jobspec.Constraints
 	Outcomes          []jobspec.Outcome // by dependency
 	DependencyOutcome jobspec.Outcome   // of all dependencies together
-	AskedAt           time.Time         // when other leaders were last queried about its dependencies
+	QueriedAt         time.Time         // when other leaders were last queried about its dependencies
 	StartMs           int64             // when its first task started, as far as this leader knows; 0: not yet
 	EligibleMs        int64             // since when it waits for resources only; 0: not yet
 	EndMs             int64             // when it ended; 0: not yet
--- a/internal/jobstate/estimate.go
+++ b/internal/jobstate/estimate.go
@@ -1,15 +1,15 @@
 package jobstate
 
 const (
-	// Pessimism is the factor by which runs are taken to be longer than estimated where the
+	// RunTimeMargin is the factor by which runs are taken to be longer than estimated where the
 	// estimate must not be exceeded.
-	Pessimism = 1.3
-	// RestartTakes is the time in seconds from the decision to start a task again to its
+	RunTimeMargin = 1.3
+	// RestartOverheadS is the time in seconds from the decision to start a task again to its
 	// run, image fetch included.
-	RestartTakes = 4
-	// StartTakes is the time in seconds from a match to the start, without the wait for
+	RestartOverheadS = 4
+	// StartOverheadS is the time in seconds from a match to the start, without the wait for
 	// resources and the image fetch.
-	StartTakes = 0.3
+	StartOverheadS = 0.3
 
 	defaultRunS = 60 // run time of a task of which nothing is known
 
@@ -45,8 +45,8 @@
 	switch {
 	case j.RunTimes.Count >= 2:
 		return j.RunTimes.Mean()
-	case j.Spec.Estimate > 0:
-		return j.Spec.Estimate * j.Class.EstimateRatio
+	case j.Spec.EstimateS > 0:
+		return j.Spec.EstimateS * j.Class.EstimateRatio
 	case j.Class.RunTimes.Count > 0:
 		return j.Class.RunTimes.Mean()
 	}
--- a/internal/jobstate/index.go
+++ b/internal/jobstate/index.go
@@ -28,7 +28,7 @@
 // doesn't count the use: a new placement may not run.
 func (s *State) AddPlacement(placement *Placement) {
 	job, chunk, worker := placement.Job, placement.Chunk, placement.Worker
-	placement.Ref = dispatch.TaskRef{Machine: worker.Name, Task: wire.TaskName(job.Spec.UID, placement.Task), Attempt: placement.Attempt}
+	placement.Ref = dispatch.TaskRef{Worker: worker.Name, Task: wire.TaskName(job.Spec.UID, placement.Task), Attempt: placement.Attempt}
 	job.Placements[placement.Task] = append(job.Placements[placement.Task], placement)
 	chunk.Placements = append(chunk.Placements, placement)
 	worker.Placements[placement] = struct{}{}
--- a/internal/jobstate/instructions.go
+++ b/internal/jobstate/instructions.go
@@ -14,7 +14,7 @@
 func (s *State) InstructionsFor(dispatcher string) *dispatch.Instructions {
 	instructions := s.Outbox[dispatcher]
 	if instructions == nil {
-		instructions = &dispatch.Instructions{From: s.Member.Name()}
+		instructions = &dispatch.Instructions{From: s.Membership.Name()}
 		s.Outbox[dispatcher] = instructions
 	}
 	return instructions
@@ -24,15 +24,15 @@
 // lists the task already, as facts about it. A worker without a dispatcher is left out.
 func (s *State) AssignPlacement(placement *Placement, isListed bool) {
 	worker, job := placement.Worker, placement.Job
-	if worker.View.Holder == "" {
+	if worker.View.Dispatcher == "" {
 		return
 	}
-	placement.SentTo, placement.SentAt = worker.View.Holder, time.Now()
-	instructions := s.InstructionsFor(worker.View.Holder)
+	placement.SentTo, placement.SentAt = worker.View.Dispatcher, time.Now()
+	instructions := s.InstructionsFor(worker.View.Dispatcher)
 	instructions.Assign = append(instructions.Assign, dispatch.QueueEntry{
-		TaskRef: placement.Ref, Owner: s.Member.Name(), Resources: job.Resources,
-		Run: job.RunEstimate(), Fetch: s.FetchTime(job, worker),
-		Rank: job.Spec.Rank(), DueAt: job.DueAt(), Listed: isListed,
+		TaskRef: placement.Ref, Leader: s.Membership.Name(), Resources: job.Resources,
+		RunS: job.RunEstimate(), FetchS: s.FetchTime(job, worker),
+		Rank: job.Spec.Rank(), DueAt: job.DueAt(), Reported: isListed,
 	})
 	Notify(s.SendSignal)
 }
@@ -52,7 +52,7 @@
 	if placement.HaltedAt.IsZero() {
 		placement.HaltedAt = placement.LastHaltAt
 	}
-	if dispatcher := placement.Worker.View.Holder; dispatcher != "" {
+	if dispatcher := placement.Worker.View.Dispatcher; dispatcher != "" {
 		s.sendHalt(dispatcher, dispatch.Halt{TaskRef: placement.Ref, GraceS: graceS})
 	}
 }
--- a/internal/jobstate/interfaces.go
+++ b/internal/jobstate/interfaces.go
@@ -22,9 +22,9 @@
 	// LeaseRemaining returns the time for which the controller's lease surely lasts; none is
 	// left if it is not positive.
 	LeaseRemaining() time.Duration
-	// OwnsShard reports whether the controller surely leads the shard now, and returns the
+	// LeadsShard reports whether the controller surely leads the shard now, and returns the
 	// version of the shard's key.
-	OwnsShard(shard int) (version uint64, ok bool)
+	LeadsShard(shard int) (version uint64, ok bool)
 	// ClaimedShards returns the versions of the keys of the shards that the controller has
 	// claimed, by shard, whether or not its lease lasts.
 	ClaimedShards() map[int]uint64
--- a/internal/jobstate/lease.go
+++ b/internal/jobstate/lease.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// CountedStart is the time in seconds after a start within which a stop undoes a start
+	// CountedStartS is the time in seconds after a start within which a stop undoes a start
 	// that an objective counts.
-	CountedStart = 30
+	CountedStartS = 30
 	// OverdueSlack is how much later than due a heartbeat may arrive.
 	OverdueSlack = time.Second
-	// ShowTakes is the time in seconds before the expiry of a lease at which its worker is
+	// FinalPollS is the time in seconds before the expiry of a lease at which its worker is
 	// polled for the last time: a task that ends later is not seen to be done.
-	ShowTakes = 2.0
+	FinalPollS = 2.0
 
 	// renewOverdue is the number of heartbeat intervals without contact after which a worker
 	// gets no task that the expiry of its lease may kill.
@@ -47,6 +47,6 @@
 	if worker.LeaseUnknown() || job.Spec.Service() || job.Spec.Gang() {
 		return false
 	}
-	takes := StartTakes + s.FetchTime(job, worker) + Pessimism*job.RunEstimate() + ShowTakes
+	takes := StartOverheadS + s.FetchTime(job, worker) + RunTimeMargin*job.RunEstimate() + FinalPollS
 	return takes < time.Until(s.LeaseEnd(worker)).Seconds()
 }
--- a/internal/jobstate/outcome.go
+++ b/internal/jobstate/outcome.go
@@ -62,7 +62,7 @@
 		placement.ExitCode = *task.Exit & exitCodeMask
 	}
 	switch {
-	case j.Constraints == nil || j.Cancelled || placement.Chunk.IsDone(placement.Task):
+	case j.Constraints == nil || j.Cancelled || placement.Chunk.IsOver(placement.Task):
 		return 0
 	case placement.TimedOut:
 		return OutcomeTimedOut
--- a/internal/jobstate/placement.go
+++ b/internal/jobstate/placement.go
@@ -51,7 +51,7 @@
 	Session  uint64 // highest session of the worker that a start command may be for
 	InStore  bool   // the state service may have it
 
-	PlannedWait   float64 // seconds until its start, as expected when it was placed
+	PlannedWaitS  float64 // seconds until its start, as expected when it was placed
 	CreatedAt     time.Time
 	SentTo        string // dispatcher to which it was last sent; "": none
 	SentAt        time.Time
--- a/internal/jobstate/record_update.go
+++ b/internal/jobstate/record_update.go
@@ -20,10 +20,10 @@
 // updateConstraints replaces a job's constraints by those of a newer record. A job that is now
 // held loses the placements that were not granted yet.
 func (s *State) updateConstraints(job *Job, record *jobrecord.LiveRecord) {
-	if record.Terms == nil || job.Constraints == nil {
+	if record.Constraints == nil || job.Constraints == nil {
 		return
 	}
-	constraints := *record.Terms
+	constraints := *record.Constraints
 	job.Constraints.Constraints = &constraints
 	s.CancelTasks(job)
 	if constraints.Held {
--- a/internal/jobstate/reserve.go
+++ b/internal/jobstate/reserve.go
@@ -29,7 +29,7 @@
 	// The view of another controller is older than its arrival: without the lag, resources
 	// assigned in between would be assigned again.
 	lag := time.Duration(0)
-	if worker.View.Holder != s.Member.Name() {
+	if worker.View.Dispatcher != s.Membership.Name() {
 		lag = viewLag
 	}
 	for placement := range worker.Placements {
@@ -53,5 +53,5 @@
 	case p.MayRun():
 		return p.State != PlacementGranted || lag == 0 || time.Since(p.GrantedAt) > lag
 	}
-	return p.SentTo == p.Worker.View.Holder && p.SentAt.Before(p.Worker.ViewAt.Add(-lag))
+	return p.SentTo == p.Worker.View.Dispatcher && p.SentAt.Before(p.Worker.ViewAt.Add(-lag))
 }
--- a/internal/jobstate/state.go
+++ b/internal/jobstate/state.go
@@ -28,7 +28,7 @@
 
 	Platform     *config.Platform
 	Operator     *config.Operator
-	Member       Membership
+	Membership   Membership
 	MachineTypes MachineTypes
 	// Cancellations are the cancelled jobs known here, this leader's and others'; nil: none.
 	Cancellations Cancellations
@@ -53,18 +53,18 @@
 	Teams          map[string]*Team
 	Classes        map[string]*Class
 	Images         wire.Index
-	Final          map[string]jobrecord.FinalRecord // of jobs that ended here, for queries
+	FinalRecords   map[string]jobrecord.FinalRecord // of jobs that ended here, for queries
 
-	Unwritten map[int][]Change                  // by shard: changes for the next log record
-	LooseRows []accounting.Row                  // of attempts whose end needs no log record
-	Outbox    map[string]*dispatch.Instructions // by dispatcher
+	Unwritten      map[int][]Change                  // by shard: changes for the next log record
+	UnattachedRows []accounting.Row                  // of attempts whose end needs no log record
+	Outbox         map[string]*dispatch.Instructions // by dispatcher
 
 	AdmittedWork float64                  // CPU-seconds accepted since this process began
 	Arriving     map[string]*ArrivingWork // by class
 	SpotDone     float64                  // tasks done on spot workers, decaying with each
 	SpotLost     float64                  // tasks lost on spot workers, decaying with each
 	Stats        Stats
-	Ended        Tally // of jobs that ended here
+	EndedTally   Tally // of jobs that ended here
 
 	log *slog.Logger
 }
@@ -72,12 +72,12 @@
 // New returns the state of a leader without shards.
 func New(platform *config.Platform, operator *config.Operator, member Membership, types MachineTypes, log *slog.Logger) *State {
 	s := &State{
-		Platform: platform, Operator: operator, Member: member, MachineTypes: types, log: log,
+		Platform: platform, Operator: operator, Membership: member, MachineTypes: types, log: log,
 		PlanSignal: make(chan struct{}, 1), WriteSignal: make(chan struct{}, 1), SendSignal: make(chan struct{}, 1),
 		Loaded: map[int]uint64{}, Jobs: map[string]*Job{}, Workers: map[string]*Worker{},
-		Teams: map[string]*Team{}, Classes: map[string]*Class{}, Final: map[string]jobrecord.FinalRecord{},
+		Teams: map[string]*Team{}, Classes: map[string]*Class{}, FinalRecords: map[string]jobrecord.FinalRecord{},
 		Unwritten: map[int][]Change{}, Outbox: map[string]*dispatch.Instructions{},
-		Arriving: map[string]*ArrivingWork{}, Ended: Tally{},
+		Arriving: map[string]*ArrivingWork{}, EndedTally: Tally{},
 	}
 	for _, t := range platform.Params.Teams {
 		s.Teams[t.Name] = &Team{Team: t}
@@ -85,10 +85,10 @@
 	return s
 }
 
-// OwnsJob reports whether this controller surely leads the job's shard now, and has led it
+// LeadsJob reports whether this controller surely leads the job's shard now, and has led it
 // without interruption since the shard was loaded.
-func (s *State) OwnsJob(job *Job) bool {
-	version, ok := s.Member.OwnsShard(job.Shard)
+func (s *State) LeadsJob(job *Job) bool {
+	version, ok := s.Membership.LeadsShard(job.Shard)
 	return ok && version == s.Loaded[job.Shard]
 }
 
--- a/internal/jobstate/state_test.go
+++ b/internal/jobstate/state_test.go
@@ -22,7 +22,7 @@
 
 func (soleMember) Name() string                              { return "controller-a" }
 func (soleMember) LeaseRemaining() time.Duration             { return time.Minute }
-func (soleMember) OwnsShard(int) (uint64, bool)              { return 1, true }
+func (soleMember) LeadsShard(int) (uint64, bool)             { return 1, true }
 func (soleMember) ClaimedShards() map[int]uint64             { return map[int]uint64{0: 1} }
 func (soleMember) NextToken(context.Context) (uint64, error) { return 2, nil }
 func (soleMember) ShardKey(int) string                       { return "shard/0" }
@@ -71,7 +71,7 @@
 		Job: job, Chunk: chunk, Task: task, Attempt: chunk.NextAttempt, Worker: s.WorkerOf(worker),
 		State: state, InStore: true, SentTo: "d-1",
 	}
-	p.Worker.View.Holder, p.Worker.View.Zone = "d-1", "zone-a"
+	p.Worker.View.Dispatcher, p.Worker.View.Zone = "d-1", "zone-a"
 	s.AddPlacement(p)
 	s.CountUse(p, 1)
 	return p
@@ -103,7 +103,7 @@
 	finished := place(s, job, "n-1", jobstate.PlacementReported)
 	granted := placeTask(s, job, 0, "n-2", jobstate.PlacementGranted)
 	queued := placeTask(s, job, 0, "n-3", jobstate.PlacementRecorded)
-	finished.Chunk.SetDone(0)
+	finished.Chunk.SetOver(0)
 	job.Done++
 	s.FinishTask(finished)
 	if left := job.Placements[0]; len(left) != 2 || left[0] != finished || left[1] != granted {
@@ -137,14 +137,14 @@
 	job := addJob(s, 3)
 	job.Constraints = jobstate.NewConstraintState(&jobspec.Constraints{Number: 7})
 	running := place(s, job, "n-1", jobstate.PlacementReported) // task 2
-	record := &jobrecord.LiveRecord{Terms: &jobspec.Constraints{Number: 7, CancelledTasks: "0,2"}}
+	record := &jobrecord.LiveRecord{Constraints: &jobspec.Constraints{Number: 7, CancelledTasks: "0,2"}}
 	s.UpdateRecord(job, record, 9)
 	if job.Finished != 2 || len(job.Pending) != 1 || job.Pending[0] != 1 || running.HaltedAt.IsZero() || job.Version != 9 {
 		t.Fatalf("finished %d, pending %v, version %d", job.Finished, job.Pending, job.Version)
 	}
 	s.EndPlacement(running)
 	last := place(s, job, "n-1", jobstate.PlacementReported)
-	last.Chunk.SetDone(1)
+	last.Chunk.SetOver(1)
 	job.Done++
 	s.FinishTask(last)
 	s.ClearTask(last)
--- a/internal/jobstate/stats.go
+++ b/internal/jobstate/stats.go
@@ -10,7 +10,7 @@
 	Done                int `json:"Done"`        // attempts that completed
 	Errors              int `json:"Errors"`      // attempts that ended with an error
 	Preempted           int `json:"Preempted"`   // tasks stopped for other work
-	Evacuated           int `json:"Evacuated"`   // tasks stopped to empty a worker
+	Evicted             int `json:"Evacuated"`   // tasks stopped to empty a worker
 	LeaseExpiring       int `json:"Expiring"`    // tasks stopped before their worker's lease expired
 	Failovers           int `json:"Takeovers"`   // failovers to this leader
 	QuotaRecordsRefused int `json:"LentRefused"` // unreadable records and entries of quota leases
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -26,9 +26,9 @@
 	l.UsedByShard[shard] = l.UsedByShard[shard].Add(resources, sign)
 }
 
-// Lends reports whether the team's limit is leased in parts. A team with a guarantee alone has
+// HasLeasableLimit reports whether the team's limit is leased in parts. A team with a guarantee alone has
 // no limit to lease.
-func Lends(t config.Team) bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
+func HasLeasableLimit(t config.Team) bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
 
 // LimitOf returns the team's limit, rounded down; 0 of a kind: no limit.
 func LimitOf(t config.Team) quotalease.Amount { return quotalease.LimitOf(t.CPUsMax, t.GPUsMax) }
--- a/internal/jobstate/worker.go
+++ b/internal/jobstate/worker.go
@@ -41,10 +41,10 @@
 
 	NoticeAt time.Time // when the cloud will reclaim it; zero: no notice
 	Cordoned bool      // the autoscaler wants it empty
-	Gone     bool      // the cloud has deleted it
-	// OccupiedFor is the time in seconds for which a cordoned worker stays occupied by tasks
+	Removed  bool      // the cloud has deleted it
+	// OccupiedS is the time in seconds for which a cordoned worker stays occupied by tasks
 	// that are not evicted, as of the pass in progress.
-	OccupiedFor float64
+	OccupiedS float64
 
 	RecentDone float64        // tasks done there, decaying with each
 	RecentLost float64        // tasks lost there, decaying with each
@@ -95,7 +95,7 @@
 // EndsWhileOccupied reports whether a task that takes so many seconds, image fetch included,
 // ends on a cordoned worker early enough not to delay the worker's deletion.
 func (w *Worker) EndsWhileOccupied(seconds float64) bool {
-	return seconds <= shortTaskShare*w.OccupiedFor
+	return seconds <= shortTaskShare*w.OccupiedS
 }
 
 // lastRenewal returns when a heartbeat of the worker was last responded to, by any controller,
--- a/internal/local/controllers.go
+++ b/internal/local/controllers.go
@@ -21,9 +21,9 @@
 
 // Controller is a controller of a site on this machine.
 type Controller struct {
-	Name  string
-	Users string // its address for users and workers
-	File  string // path of its settings
+	Name string
+	Addr string // its address for users and workers
+	File string // path of its settings
 }
 
 // Controllers chooses names, which begin with prefix, and addresses for n controllers,
--- a/internal/local/front.go
+++ b/internal/local/front.go
@@ -73,7 +73,7 @@
 	}
 	c := up[f.turn.Add(1)%uint64(len(up))]
 	proxy := httputil.ReverseProxy{
-		Rewrite:      func(p *httputil.ProxyRequest) { p.SetURL(&url.URL{Scheme: "http", Host: c.Users}) },
+		Rewrite:      func(p *httputil.ProxyRequest) { p.SetURL(&url.URL{Scheme: "http", Host: c.Addr}) },
 		ErrorHandler: func(http.ResponseWriter, *http.Request, error) { noController(w) },
 	}
 	proxy.ServeHTTP(w, r)
@@ -109,7 +109,7 @@
 
 // probe reports whether a controller responds, within probeTimeout, that it is up.
 func (f *Front) probe(c Controller) bool {
-	resp, err := f.client.Get("http://" + c.Users + "/up")
+	resp, err := f.client.Get("http://" + c.Addr + "/up")
 	if err != nil {
 		return false
 	}
@@ -141,7 +141,7 @@
 // accepts reports whether a controller would accept jobs: it refuses probeJob for good
 // then, and for now otherwise.
 func (f *Front) accepts(c Controller) bool {
-	resp, err := f.client.Post("http://"+c.Users+"/api/jobs", "application/json", strings.NewReader(probeJob))
+	resp, err := f.client.Post("http://"+c.Addr+"/api/jobs", "application/json", strings.NewReader(probeJob))
 	if err != nil {
 		return false
 	}
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -44,20 +44,20 @@
 	readHeaderTimeout = 10 * time.Second
 )
 
-// Part starts a part of the site, "wallrack ARGS", and returns when it has ended. When ctx
+// StartPart starts a part of the site, "wallrack ARGS", and returns when it has ended. When ctx
 // ends it ends the part in order. name is for logs.
-type Part func(ctx context.Context, name string, args []string) error
+type StartPart func(ctx context.Context, name string, args []string) error
 
 // Site is what to run.
 type Site struct {
-	Dir         string  // keeps jobs, settings and logs
-	Listen      string  // loopback address for users
-	Controllers int     // how many
-	Machines    int     // most machines up at once
-	CPUs        float64 // of a machine
-	MemoryGB    float64 // of a machine
-	Slots       string  // file with slots of roll-outs, entries alone; may be empty
-	Start       Part    // starts "wallrack ARGS"
+	Dir         string    // keeps jobs, settings and logs
+	Listen      string    // loopback address for users
+	Controllers int       // how many
+	Machines    int       // most machines up at once
+	CPUs        float64   // of a machine
+	MemoryGB    float64   // of a machine
+	Slots       string    // file with slots of roll-outs, entries alone; may be empty
+	Start       StartPart // starts "wallrack ARGS"
 	Log         *slog.Logger
 }
 
--- a/internal/local/workers.go
+++ b/internal/local/workers.go
@@ -58,7 +58,7 @@
 func (w *workers) args(m wire.ListedMachine, t wire.MachineType, addr string) []string {
 	controllers := make([]string, 0, 2*len(w.controllers))
 	for _, c := range w.controllers {
-		controllers = append(controllers, "--controller", c.Name+"="+c.Users)
+		controllers = append(controllers, "--controller", c.Name+"="+c.Addr)
 	}
 	return append([]string{
 		"worker", "--name", m.Name, "--listen", addr, "--type", m.Type, "--zone", m.Zone,
--- a/internal/lowerbound/lowerbound.go
+++ b/internal/lowerbound/lowerbound.go
@@ -13,21 +13,21 @@
 // Result is what was, and what could have been. Where it says cheap and dear, these are spot
 // and on-demand capacity.
 type Result struct {
-	Jobs        int
-	Work        float64            // CPU-seconds
-	Dear        float64            // of it, what spot capacity can't do in time, whatever the order
-	Price       float64            // cost at best, relative to that of all the work on spot capacity
-	Late        map[string]float64 // share of a class's jobs beyond their limit, as it was
-	LateCheap   map[string]float64 // the same on spot capacity alone, earliest limit first
-	BusiestCPUs float64            // most CPUs at once, if every job had run as it came
+	Jobs         int
+	Work         float64            // CPU-seconds
+	OnDemandWork float64            // of it, what spot capacity can't do in time, whatever the order
+	Price        float64            // cost at best, relative to that of all the work on spot capacity
+	Late         map[string]float64 // share of a class's jobs beyond their limit, as it was
+	LateOnSpot   map[string]float64 // the same on spot capacity alone, earliest limit first
+	BusiestCPUs  float64            // most CPUs at once, if every job had run as it came
 }
 
-// Of packs jobs, which are in the order of their arrival, onto spotCPUs, in steps of a
+// Compute packs jobs, which are in the order of their arrival, onto spotCPUs, in steps of a
 // second, earliest limit first. That order lets the most work end in time. What is not done
 // by its limit is bought on demand, at onDemandPrice times the spot price. Jobs without a
 // limit take what is left.
-func Of(jobs []Job, spotCPUs, onDemandPrice float64) Result {
-	result := Result{Jobs: len(jobs), Late: map[string]float64{}, LateCheap: map[string]float64{}}
+func Compute(jobs []Job, spotCPUs, onDemandPrice float64) Result {
+	result := Result{Jobs: len(jobs), Late: map[string]float64{}, LateOnSpot: map[string]float64{}}
 	jobsOf := map[string]float64{}
 	for i := range jobs {
 		job := &jobs[i]
@@ -38,13 +38,13 @@
 		}
 	}
 	result.pack(jobs, spotCPUs)
-	for _, late := range []map[string]float64{result.Late, result.LateCheap} {
+	for _, late := range []map[string]float64{result.Late, result.LateOnSpot} {
 		for class := range late {
 			late[class] /= jobsOf[class]
 		}
 	}
 	if result.Work > 0 {
-		result.Price = 1 + (onDemandPrice-1)*result.Dear/result.Work
+		result.Price = 1 + (onDemandPrice-1)*result.OnDemandWork/result.Work
 	}
 	return result
 }
@@ -84,8 +84,8 @@
 	for free := spotCPUs; waiting.Len() > 0; {
 		first := waiting.parts[0]
 		if first.job.Limit > 0 && first.job.Arrived+first.job.Limit <= nowS {
-			result.Dear += first.work
-			result.LateCheap[first.job.Class]++
+			result.OnDemandWork += first.work
+			result.LateOnSpot[first.job.Class]++
 			heap.Pop(waiting)
 			continue
 		}
--- a/internal/lowerbound/lowerbound_test.go
+++ b/internal/lowerbound/lowerbound_test.go
@@ -23,14 +23,14 @@
 	}
 	// 200 CPU-seconds on 8 CPUs: of the quote's 100 only 80 are done by its limit, and
 	// the study's 100 then have 10.5 s left, which is 80 in whole seconds.
-	r := lowerbound.Of(jobs, 8, 5)
-	if r.Work != 200 || r.Dear < 20 || r.Dear > 40 || math.Abs(r.Price-(1+4*r.Dear/200)) > 1e-9 {
+	r := lowerbound.Compute(jobs, 8, 5)
+	if r.Work != 200 || r.OnDemandWork < 20 || r.OnDemandWork > 40 || math.Abs(r.Price-(1+4*r.OnDemandWork/200)) > 1e-9 {
 		t.Errorf("%+v", r)
 	}
-	if r.Late["study"] != 1 || r.Late["quote"] != 0 || r.LateCheap["quote"] != 1 {
-		t.Errorf("late %v, on spot capacity alone %v", r.Late, r.LateCheap)
+	if r.Late["study"] != 1 || r.Late["quote"] != 0 || r.LateOnSpot["quote"] != 1 {
+		t.Errorf("late %v, on spot capacity alone %v", r.Late, r.LateOnSpot)
 	}
-	if r := lowerbound.Of(jobs, 100, 5); r.Dear != 0 || r.Price != 1 {
+	if r := lowerbound.Compute(jobs, 100, 5); r.OnDemandWork != 0 || r.Price != 1 {
 		t.Errorf("with room for all: %+v", r)
 	}
 	if _, err := lowerbound.Read(strings.NewReader(`msg="job ended" job=j-1 stage=done tasks=x`)); err == nil || !strings.Contains(err.Error(), "line 1") {
--- a/internal/lowerbound/recorded_test.go
+++ b/internal/lowerbound/recorded_test.go
@@ -22,7 +22,7 @@
 		fmt.Fprintf(&text, "class %s arrived %v took %v run %v limit %v CPUs %v tasks %d\n", job.Class, job.Arrived, job.Took, job.Run, job.Limit, job.CPUs, job.Tasks)
 	}
 	recorded.Compare(t, "jobs.txt", []byte(text.String()))
-	r := lowerbound.Of(jobs, 2, 3)
-	got := fmt.Sprintf("jobs %d work %.3f dear %.3f price %.4f late %v on cheap capacity %v busiest %.3f\n", r.Jobs, r.Work, r.Dear, r.Price, r.Late, r.LateCheap, r.BusiestCPUs)
+	r := lowerbound.Compute(jobs, 2, 3)
+	got := fmt.Sprintf("jobs %d work %.3f dear %.3f price %.4f late %v on cheap capacity %v busiest %.3f\n", r.Jobs, r.Work, r.OnDemandWork, r.Price, r.Late, r.LateOnSpot, r.BusiestCPUs)
 	recorded.Compare(t, "bound.txt", []byte(got))
 }
--- a/internal/matching/matrix.go
+++ b/internal/matching/matrix.go
@@ -15,8 +15,8 @@
 // WaitRow is a row of a wait-time matrix: what is free from a wait in seconds on, until the
 // next row's.
 type WaitRow struct {
-	Wait float64   `json:"w"`
-	Free Resources `json:"f"`
+	WaitS float64   `json:"w"`
+	Free  Resources `json:"f"`
 }
 
 // WaitMatrix is a worker's wait-time matrix with cells where they matter: its rows stand, in
@@ -38,7 +38,7 @@
 	for _, allocation := range sorted {
 		free = free.Add(allocation.Resources, 1)
 		remainingS := math.Max(0, allocation.RemainingS)
-		if last := &m[len(m)-1]; last.Wait >= remainingS {
+		if last := &m[len(m)-1]; last.WaitS >= remainingS {
 			last.Free = free
 			continue
 		}
@@ -63,7 +63,7 @@
 func (m WaitMatrix) WaitWithin(size Resources, runS, limitS float64) float64 {
 	start := -1
 	for i := range m {
-		if start >= 0 && m[i].Wait >= m[start].Wait+runS {
+		if start >= 0 && m[i].WaitS >= m[start].WaitS+runS {
 			break
 		}
 		switch {
@@ -72,14 +72,14 @@
 		case start < 0:
 			start = i
 		}
-		if start < 0 && i+1 < len(m) && m[i+1].Wait > limitS {
+		if start < 0 && i+1 < len(m) && m[i+1].WaitS > limitS {
 			return math.Inf(1)
 		}
 	}
 	if start < 0 {
 		return math.Inf(1)
 	}
-	return m[start].Wait
+	return m[start].WaitS
 }
 
 // CountFitting is how many tasks of this size that run for runS can start together after
@@ -87,8 +87,8 @@
 func (m WaitMatrix) CountFitting(size Resources, waitS, runS float64, limit int) int {
 	for i := range m {
 		switch {
-		case i+1 < len(m) && m[i+1].Wait <= waitS: // over by then
-		case m[i].Wait >= waitS+runS:
+		case i+1 < len(m) && m[i+1].WaitS <= waitS: // over by then
+		case m[i].WaitS >= waitS+runS:
 			return limit
 		default:
 			limit = size.CountFitting(m[i].Free, limit)
@@ -101,7 +101,7 @@
 func (m WaitMatrix) freeAt(waitS float64) Resources {
 	free := m[0].Free
 	for _, row := range m {
-		if row.Wait > waitS {
+		if row.WaitS > waitS {
 			break
 		}
 		free = row.Free
@@ -123,19 +123,19 @@
 	}
 	startPassed, endPassed := false, false
 	for _, row := range m {
-		if !startPassed && row.Wait >= waitS {
-			if row.Wait > waitS {
+		if !startPassed && row.WaitS >= waitS {
+			if row.WaitS > waitS {
 				appendRow(waitS)
 			}
 			startPassed = true
 		}
-		if !endPassed && row.Wait >= endS {
-			if row.Wait > endS {
+		if !endPassed && row.WaitS >= endS {
+			if row.WaitS > endS {
 				appendRow(endS)
 			}
 			endPassed = true
 		}
-		appendRow(row.Wait)
+		appendRow(row.WaitS)
 	}
 	if !startPassed {
 		appendRow(waitS)
--- a/internal/matching/recorded_test.go
+++ b/internal/matching/recorded_test.go
@@ -12,8 +12,8 @@
 	recorded.Check(t, "shape_full", matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25})
 	recorded.Check(t, "shape_empty", matching.Resources{})
 	recorded.Check(t, "matrix_full", matching.WaitMatrix{
-		{Wait: 0, Free: matching.Resources{CPUs: 1.5, MemoryGB: 3}},
-		{Wait: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 1, MemoryGB: 8.25}},
+		{WaitS: 0, Free: matching.Resources{CPUs: 1.5, MemoryGB: 3}},
+		{WaitS: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 1, MemoryGB: 8.25}},
 	})
 	recorded.Check(t, "matrix_empty", matching.WaitMatrix{})
 	recorded.Check(t, "matrix_none", matching.WaitMatrix(nil))
--- a/internal/membership/lost_responses_test.go
+++ b/internal/membership/lost_responses_test.go
@@ -55,13 +55,13 @@
 		if lost.Load() == 0 || read.Load() == 0 || hold.Load() {
 			t.Errorf("release carried out as of %d, read by the other controller as of %d, transfer still to come: %v", lost.Load(), read.Load(), hold.Load())
 		}
-		if len(a.OwnedShards())+len(b.OwnedShards()) != 4 {
-			t.Errorf("with both outcomes known a leads %v, b %v", a.OwnedShards(), b.OwnedShards())
+		if len(a.LedShards())+len(b.LedShards()) != 4 {
+			t.Errorf("with both outcomes known a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
 		view.Deliver()
 		time.Sleep(3 * ttl)
-		if len(a.OwnedShards()) != 2 || len(b.OwnedShards()) != 2 {
-			t.Errorf("in the end a leads %v, b %v", a.OwnedShards(), b.OwnedShards())
+		if len(a.LedShards()) != 2 || len(b.LedShards()) != 2 {
+			t.Errorf("in the end a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
 		cancel()
 		<-doneA
@@ -102,8 +102,8 @@
 		stop()
 		<-doneA
 		time.Sleep(2 * ttl)
-		if len(b.OwnedShards()) != 4 {
-			t.Errorf("b joined last and leads %v, c %v", b.OwnedShards(), c.OwnedShards())
+		if len(b.LedShards()) != 4 {
+			t.Errorf("b joined last and leads %v, c %v", b.LedShards(), c.LedShards())
 		}
 		cancel()
 		<-doneB
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -93,10 +93,10 @@
 	}
 }
 
-// OnOwnershipChange registers a callback for changes of what this controller
+// OnLeadershipChange registers a callback for changes of what this controller
 // knows of shards, controllers and its lease. It is called without locks held.
 // Call OnOwnershipChange before Run.
-func (m *Member) OnOwnershipChange(f func()) { m.ownershipCallbacks = append(m.ownershipCallbacks, f) }
+func (m *Member) OnLeadershipChange(f func()) { m.ownershipCallbacks = append(m.ownershipCallbacks, f) }
 
 // OnLinkAnnouncement registers the callback for what controllers announce of
 // their links. It is called with the member's lock held and must not call back.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -40,8 +40,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := run(ctx, m)
 		time.Sleep(3 * time.Second)
-		if txns.Load() < 2 || len(m.OwnedShards()) != 4 {
-			t.Errorf("leads %v after %d transactions", m.OwnedShards(), txns.Load())
+		if txns.Load() < 2 || len(m.LedShards()) != 4 {
+			t.Errorf("leads %v after %d transactions", m.LedShards(), txns.Load())
 		}
 		cancel()
 		<-done
@@ -125,17 +125,17 @@
 		time.Sleep(time.Second)
 		doneB := run(ctx, b)
 		time.Sleep(time.Second)
-		if len(a.OwnedShards()) != 4 || len(b.OwnedShards()) != 0 {
-			t.Fatalf("a leads %v, b %v", a.OwnedShards(), b.OwnedShards())
+		if len(a.LedShards()) != 4 || len(b.LedShards()) != 0 {
+			t.Fatalf("a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
 		down.Store(true)
 		for end := time.Now().Add(2 * ttl); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			if len(a.OwnedShards()) > 0 && len(b.OwnedShards()) > 0 {
+			if len(a.LedShards()) > 0 && len(b.LedShards()) > 0 {
 				t.Fatal("two leaders")
 			}
 		}
-		if len(b.OwnedShards()) != 4 {
-			t.Errorf("b leads %v", b.OwnedShards())
+		if len(b.LedShards()) != 4 {
+			t.Errorf("b leads %v", b.LedShards())
 		}
 		cancel()
 		<-doneA
@@ -158,8 +158,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done = run(ctx, second)
 		time.Sleep(time.Second)
-		if len(second.OwnedShards()) != 4 {
-			t.Errorf("leads %v a second after the restart", second.OwnedShards())
+		if len(second.LedShards()) != 4 {
+			t.Errorf("leads %v a second after the restart", second.LedShards())
 		}
 		if second.FencingToken() <= first.FencingToken() {
 			t.Errorf("token %d after %d", second.FencingToken(), first.FencingToken())
@@ -186,7 +186,7 @@
 		}
 		leader := func() (name string) {
 			for n, m := range members {
-				if len(m.OwnedShards()) > 0 {
+				if len(m.LedShards()) > 0 {
 					name += n
 				}
 			}
@@ -246,12 +246,12 @@
 			time.Sleep(3 * time.Second)
 			start("c")
 			time.Sleep(8 * time.Second)
-			if len(members["c"].OwnedShards()) > 0 {
+			if len(members["c"].LedShards()) > 0 {
 				times++
 			}
 		}
-		if times > 4 || len(members["a"].OwnedShards())+len(members["b"].OwnedShards()) != 4 {
-			t.Errorf("c led shards %d times; a leads %v, b %v", times, members["a"].OwnedShards(), members["b"].OwnedShards())
+		if times > 4 || len(members["a"].LedShards())+len(members["b"].LedShards()) != 4 {
+			t.Errorf("c led shards %d times; a leads %v, b %v", times, members["a"].LedShards(), members["b"].LedShards())
 		}
 		// Where all end again and again, somebody leads them all the same.
 		for range 5 {
@@ -262,7 +262,7 @@
 			}
 			time.Sleep(5 * time.Second)
 		}
-		if total := len(members["a"].OwnedShards()) + len(members["b"].OwnedShards()) + len(members["c"].OwnedShards()); total != 4 {
+		if total := len(members["a"].LedShards()) + len(members["b"].LedShards()) + len(members["c"].LedShards()); total != 4 {
 			t.Errorf("%d of 4 shards are led", total)
 		}
 		for name := range members {
@@ -305,8 +305,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		doneA := run(ctx, a)
 		time.Sleep(time.Second)
-		if len(a.OwnedShards()) != 4 {
-			t.Fatalf("a leads %v", a.OwnedShards())
+		if len(a.LedShards()) != 4 {
+			t.Fatalf("a leads %v", a.LedShards())
 		}
 		doneB := run(ctx, b)
 		for end := time.Now().Add(2 * ttl); view.delayed.Load() == nil && time.Now().Before(end); {
@@ -316,13 +316,13 @@
 			t.Fatal("nothing was released")
 		}
 		time.Sleep(2 * time.Second)
-		if len(a.OwnedShards())+len(b.OwnedShards()) != 4 {
-			t.Errorf("2 s after the release was lost a leads %v, b %v", a.OwnedShards(), b.OwnedShards())
+		if len(a.LedShards())+len(b.LedShards()) != 4 {
+			t.Errorf("2 s after the release was lost a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
 		view.deliver(ctx)
 		time.Sleep(3 * ttl)
-		if len(a.OwnedShards()) != 2 || len(b.OwnedShards()) != 2 {
-			t.Errorf("in the end a leads %v, b %v", a.OwnedShards(), b.OwnedShards())
+		if len(a.LedShards()) != 2 || len(b.LedShards()) != 2 {
+			t.Errorf("in the end a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
 		cancel()
 		<-doneA
--- a/internal/membership/shards.go
+++ b/internal/membership/shards.go
@@ -8,9 +8,9 @@
 // ShardKey returns the key that says who leads a shard.
 func (m *Member) ShardKey(shard int) string { return shardKey(shard) }
 
-// OwnedShards returns the shards led under a lease that surely holds, with the
+// LedShards returns the shards led under a lease that surely holds, with the
 // versions of their keys; nil while it does not.
-func (m *Member) OwnedShards() map[int]uint64 {
+func (m *Member) LedShards() map[int]uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.leaseRemainingLocked() <= 0 {
@@ -19,9 +19,9 @@
 	return m.claimedLocked()
 }
 
-// OwnsShard is OwnedShards for one shard, without allocation: it is called at
+// LeadsShard is OwnedShards for one shard, without allocation: it is called at
 // every grant.
-func (m *Member) OwnsShard(shard int) (version uint64, ok bool) {
+func (m *Member) LeadsShard(shard int) (version uint64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.leaseRemainingLocked() <= 0 {
@@ -46,9 +46,9 @@
 	return claimed
 }
 
-// ShardOwners returns the names of the controllers known to lead shards, the one
+// ShardLeaders returns the names of the controllers known to lead shards, the one
 // with most first.
-func (m *Member) ShardOwners() []string {
+func (m *Member) ShardLeaders() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	counts := map[string]int{}
--- a/internal/membership/token.go
+++ b/internal/membership/token.go
@@ -102,7 +102,7 @@
 		if _, err = m.store.Txn(ctx, guards, ops...); err == nil {
 			return counter, nil
 		}
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		raced := errors.As(err, &conflict) && conflict.Has(tokenKey)
 		// After an unknown outcome the number may be taken, now or later: the next one
 		// is read anew. A failover that gave up here began again from its start.
--- a/internal/membership/transfer.go
+++ b/internal/membership/transfer.go
@@ -111,7 +111,7 @@
 	defer cancel()
 	txn := assignment(shards, self)
 	revision, err := m.store.Txn(ctx, txn.If, txn.Then...)
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	if err != nil && !errors.As(err, &conflict) {
 		return // tried again
 	}
@@ -139,7 +139,7 @@
 // settle notes the outcome of a reclaim: applied as of a revision, or, with a
 // conflict, that those shards were given up for good. It reports whether any
 // shard is still pending.
-func (m *Member) settle(shards map[int]uint64, self shardRecord, revision uint64, conflict *statestore.Conflict) (left bool) {
+func (m *Member) settle(shards map[int]uint64, self shardRecord, revision uint64, conflict *statestore.ConflictError) (left bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.lease != self.Lease {
--- a/internal/membership/transfer_test.go
+++ b/internal/membership/transfer_test.go
@@ -33,8 +33,8 @@
 			t.Error(err)
 		}
 		time.Sleep(time.Second)
-		if len(a.OwnedShards()) != 0 || len(b.OwnedShards()) != 4 {
-			t.Errorf("a leads %v, b %v", a.OwnedShards(), b.OwnedShards())
+		if len(a.LedShards()) != 0 || len(b.LedShards()) != 4 {
+			t.Errorf("a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
 		c := member(&testkit.View{Store: store}, "c")
 		doneC := run(ctx, c)
@@ -72,8 +72,8 @@
 			t.Error("the joiner had its response already")
 		}
 		time.Sleep(3 * time.Second)
-		if len(a.OwnedShards()) != 0 || len(b.OwnedShards()) != 4 {
-			t.Errorf("a leads %v, b %v", a.OwnedShards(), b.OwnedShards())
+		if len(a.LedShards()) != 0 || len(b.LedShards()) != 4 {
+			t.Errorf("a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
 		cancel()
 		<-doneA
@@ -100,13 +100,13 @@
 		}
 		late.Store(false)
 		time.Sleep(3 * time.Second)
-		if len(a.OwnedShards()) != 4 {
-			t.Fatalf("not reclaimed: a leads %v", a.OwnedShards())
+		if len(a.LedShards()) != 4 {
+			t.Fatalf("not reclaimed: a leads %v", a.LedShards())
 		}
 		view.Deliver()
 		time.Sleep(time.Second)
-		if len(a.OwnedShards()) != 4 || len(b.OwnedShards()) != 0 {
-			t.Errorf("after the late copy a leads %v, b %v", a.OwnedShards(), b.OwnedShards())
+		if len(a.LedShards()) != 4 || len(b.LedShards()) != 0 {
+			t.Errorf("after the late copy a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
 		cancel()
 		<-doneA
@@ -169,7 +169,7 @@
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		leaders := map[int]int{}
 		for i, m := range c.members {
-			for shard := range m.OwnedShards() {
+			for shard := range m.LedShards() {
 				c.compare(shard, i, leaders)
 				leaders[shard] = i
 			}
@@ -184,7 +184,7 @@
 	if !two {
 		return
 	}
-	if _, still := c.members[first].OwnsShard(shard); still {
+	if _, still := c.members[first].LeadsShard(shard); still {
 		c.wrong = fmt.Sprintf("shard %d is led by %c and %c", shard, clusterNodes[first], clusterNodes[leader])
 	}
 }
@@ -199,7 +199,7 @@
 	c.watch(5 * ttl)
 	total := 0
 	for _, m := range c.members {
-		total += len(m.OwnedShards())
+		total += len(m.LedShards())
 	}
 	if total != 4 && c.wrong == "" {
 		c.wrong = fmt.Sprintf("%d of 4 shards are led in the end", total)
--- a/internal/peerlinks/leaders.go
+++ b/internal/peerlinks/leaders.go
@@ -16,19 +16,19 @@
 
 // preferredLeader is the leader of most shards as far as this controller knows, or "".
 func preferredLeader(member *membership.Member) string {
-	if owners := member.ShardOwners(); len(owners) > 0 {
+	if owners := member.ShardLeaders(); len(owners) > 0 {
 		return owners[0]
 	}
 	return ""
 }
 
-// Owns reports whether this controller leads shards.
-func (l *Leaders) Owns() bool {
-	return l.member.LeaseRemaining() > 0 && len(l.member.OwnedShards()) > 0
+// Leads reports whether this controller leads shards.
+func (l *Leaders) Leads() bool {
+	return l.member.LeaseRemaining() > 0 && len(l.member.LedShards()) > 0
 }
 
-// ShardOwners names the other controllers that lead shards.
-func (l *Leaders) ShardOwners() []string {
+// ShardLeaders names the other controllers that lead shards.
+func (l *Leaders) ShardLeaders() []string {
 	var out []string
 	add := func(name string) {
 		if name != "" && name != l.node && !slices.Contains(out, name) {
@@ -36,7 +36,7 @@
 		}
 	}
 	if l.member.LeaseRemaining() > 0 {
-		for _, owner := range l.member.ShardOwners() {
+		for _, owner := range l.member.ShardLeaders() {
 			add(owner)
 		}
 		return out
--- a/internal/peerlinks/status.go
+++ b/internal/peerlinks/status.go
@@ -65,7 +65,7 @@
 	s.seq++
 	status := reachability.NodeStatus{
 		Node: s.node, StartedMs: s.startedMs, Seq: s.seq, StoreReachable: s.store.SinceLastSuccess() < storeTimeout && !s.store.UsesRelay(),
-		LeaseHeld: s.member.LeaseRemaining() > 0, OwnsJobs: len(s.member.OwnedShards()) > 0, PreferredLeader: preferredLeader(s.member), CloudReachable: s.cloud.Reached(),
+		LeaseHeld: s.member.LeaseRemaining() > 0, LeadsShards: len(s.member.LedShards()) > 0, PreferredLeader: preferredLeader(s.member), CloudReachable: s.cloud.Reached(),
 		Heartbeats: s.heartbeats.Received, ExpectedHeartbeats: s.heartbeats.Expected, UnreachedPeers: s.table.UnreachedPeers(now),
 		ProbeSample: s.probe.sample, Probed: now.Sub(s.probe.at) < ProbeResultFor,
 		HeardWorkers: s.heartbeats.Workers, Assignments: s.assignments.Plan, WorkerCapacity: s.assignments.Capacity, WorkerCount: s.assignments.Workers,
--- a/internal/planner/autoscaling.go
+++ b/internal/planner/autoscaling.go
@@ -24,5 +24,5 @@
 	p.state.Mu.Lock()
 	defer p.state.Mu.Unlock()
 	_, leadsFirst := p.state.Loaded[0]
-	return leadsFirst && p.state.Member.LeaseRemaining() > 0
+	return leadsFirst && p.state.Membership.LeaseRemaining() > 0
 }
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -18,7 +18,7 @@
 	var open []*jobstate.Worker
 	timeout := p.heartbeatTimeout()
 	for _, worker := range p.state.WorkersByIndex {
-		if worker == nil || worker.Gone || worker.Cordoned && !p.staysOccupied(worker) {
+		if worker == nil || worker.Removed || worker.Cordoned && !p.staysOccupied(worker) {
 			continue
 		}
 		if worker.UnresponsiveSince.IsZero() && !worker.View.Draining && worker.NoticeAt.IsZero() &&
@@ -66,7 +66,7 @@
 func (p *Planner) hasRoom(job *jobstate.Job, worker *jobstate.Worker) bool {
 	horizonS := p.state.Operator.HorizonS + p.state.Now.Sub(worker.ViewAt).Seconds()
 	for _, row := range worker.Matrix {
-		if row.Wait > horizonS {
+		if row.WaitS > horizonS {
 			return false
 		}
 		if job.Resources.Fits(row.Free) {
--- a/internal/planner/cordoned.go
+++ b/internal/planner/cordoned.go
@@ -18,7 +18,7 @@
 // staysOccupied reports whether tasks that Evict doesn't stop occupy a cordoned worker for
 // at least minOccupiedS, which is paid for in any case. It sets the worker's OccupiedFor.
 func (p *Planner) staysOccupied(worker *jobstate.Worker) bool {
-	worker.OccupiedFor = 0
+	worker.OccupiedS = 0
 	for placement := range worker.Placements {
 		if placement.Exited || !placement.HaltedAt.IsZero() || placement.RunningSince.IsZero() {
 			continue
@@ -27,7 +27,7 @@
 			continue
 		}
 		leftS := placement.Job.RunEstimate() - p.state.Now.Sub(placement.RunningSince).Seconds()
-		worker.OccupiedFor = math.Max(worker.OccupiedFor, leftS)
+		worker.OccupiedS = math.Max(worker.OccupiedS, leftS)
 	}
-	return worker.OccupiedFor >= minOccupiedS
+	return worker.OccupiedS >= minOccupiedS
 }
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -53,7 +53,7 @@
 	}
 	cost := matching.Cost(fetchS, waitS, runS, p.state.SuccessRate(worker), p.state.Operator.KFail)
 	if p.startsLate(job, waitS+fetchS) {
-		cost += p.state.Operator.LateS
+		cost += p.state.Operator.LateStartS
 	}
 	return estimate{waitS, cost + p.packing(worker, cost), fetchS}, true
 }
@@ -71,5 +71,5 @@
 	if !worker.View.Spot && machine.SpotPrice > 0 {
 		surcharge = max(0, machine.Price/machine.SpotPrice-1)
 	}
-	return p.state.Operator.PackS*freeShare*(1+surcharge) + p.state.Operator.DearShare*cost*surcharge
+	return p.state.Operator.PackS*freeShare*(1+surcharge) + p.state.Operator.SpotPreferenceShare*cost*surcharge
 }
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -12,27 +12,27 @@
 
 // Demand is waiting tasks of a job, or of several jobs that are alike for planning.
 type Demand struct {
-	Shape matching.Resources `json:"Shape"` // of a task
-	Job   *wire.Job          `json:"Job"`   // one of the jobs
-	Count int                `json:"Count"` // of tasks
-	Run   float64            `json:"Run"`   // seconds that a task is expected to run, on average
-	Rank  int                `json:"Rank"`
-	Slack float64            `json:"Slack"` // seconds that it may wait and still meet an aim that a new worker can help with
+	Resources matching.Resources `json:"Shape"` // of a task
+	Job       *wire.Job          `json:"Job"`   // one of the jobs
+	Count     int                `json:"Count"` // of tasks
+	RunS      float64            `json:"Run"`   // seconds that a task is expected to run, on average
+	Rank      int                `json:"Rank"`
+	SlackS    float64            `json:"Slack"` // seconds that it may wait and still meet an aim that a new worker can help with
 }
 
 // WorkerLoad is a worker as the autoscaler sees it.
 type WorkerLoad struct {
-	Name    string              `json:"Name"`
-	Type    string              `json:"Type"`
-	Zone    string              `json:"Zone"`
-	Spot    bool                `json:"Spot"`
-	Notice  bool                `json:"Notice"` // the cloud takes the machine soon
-	Faulty  bool                `json:"Faulty"` // it fails tasks that run elsewhere
-	Matrix  matching.WaitMatrix `json:"Matrix"`
-	Used    matching.Resources  `json:"Used"`    // by tasks that may run
-	Heard   time.Time           `json:"Heard"`   // last heartbeat
-	Existed time.Time           `json:"Existed"` // last heartbeat, or when this leader first knew of the worker
-	Places  int                 `json:"Places"`  // placements
+	Name          string              `json:"Name"`
+	Type          string              `json:"Type"`
+	Zone          string              `json:"Zone"`
+	Spot          bool                `json:"Spot"`
+	Notice        bool                `json:"Notice"` // the cloud takes the machine soon
+	Faulty        bool                `json:"Faulty"` // it fails tasks that run elsewhere
+	Matrix        matching.WaitMatrix `json:"Matrix"`
+	Used          matching.Resources  `json:"Used"`    // by tasks that may run
+	LastHeartbeat time.Time           `json:"Heard"`   // last heartbeat
+	LastKnown     time.Time           `json:"Existed"` // last heartbeat, or when this leader first knew of the worker
+	Placements    int                 `json:"Places"`  // placements
 }
 
 // Demand returns the work that waits for a worker, most urgent first, and the load of each
@@ -90,13 +90,13 @@
 	indexOf := map[demandKey]int{}
 	for _, job := range jobs {
 		demand := Demand{
-			Shape: job.Resources, Job: job.Spec, Count: tasks[job], Run: job.RunEstimate(), Rank: job.Spec.Rank(), Slack: p.slack(job, bootS),
+			Resources: job.Resources, Job: job.Spec, Count: tasks[job], RunS: job.RunEstimate(), Rank: job.Spec.Rank(), SlackS: p.slack(job, bootS),
 		}
 		if job.Spec.Gang() || job.Spec.Service() {
 			groups = append(groups, demand)
 			continue
 		}
-		key := demandKey{job.Requirements(), demand.Rank, logScale(demand.Run), logScale(demand.Slack)}
+		key := demandKey{job.Requirements(), demand.Rank, logScale(demand.RunS), logScale(demand.SlackS)}
 		i, known := indexOf[key]
 		if !known {
 			indexOf[key] = len(groups)
@@ -111,8 +111,8 @@
 // merge adds the tasks of another demand that is alike.
 func (d *Demand) merge(other *Demand) {
 	sum := float64(d.Count + other.Count)
-	d.Run = (d.Run*float64(d.Count) + other.Run*float64(other.Count)) / sum
-	d.Slack = min(d.Slack, other.Slack)
+	d.RunS = (d.RunS*float64(d.Count) + other.RunS*float64(other.Count)) / sum
+	d.SlackS = min(d.SlackS, other.SlackS)
 	d.Count += other.Count
 }
 
@@ -123,8 +123,8 @@
 		worker.Type, _ = p.state.MachineTypes.Type(worker.View.Type) // prices change
 		load := WorkerLoad{
 			Name: worker.Name, Type: worker.View.Type, Zone: worker.View.Zone, Spot: worker.View.Spot, Matrix: worker.Matrix,
-			Heard: worker.LastHeartbeat, Existed: jobstate.Later(worker.LastHeartbeat, worker.KnownSince),
-			Places: len(worker.Placements), Notice: !worker.NoticeAt.IsZero(), Faulty: worker.Faulty(),
+			LastHeartbeat: worker.LastHeartbeat, LastKnown: jobstate.Later(worker.LastHeartbeat, worker.KnownSince),
+			Placements: len(worker.Placements), Notice: !worker.NoticeAt.IsZero(), Faulty: worker.Faulty(),
 		}
 		for placement := range worker.Placements {
 			if placement.MayRun() {
--- a/internal/planner/evict.go
+++ b/internal/planner/evict.go
@@ -75,8 +75,8 @@
 		job.Evicted = map[int]bool{}
 	}
 	job.Evicted[placement.Task] = true
-	p.state.HaltTask(placement, job.Spec.SaveS+1)
-	p.state.Stats.Evacuated++
+	p.state.HaltTask(placement, job.Spec.CheckpointSaveS+1)
+	p.state.Stats.Evicted++
 }
 
 // evictionCandidate is a task on a cordoned worker.
@@ -134,7 +134,7 @@
 			break
 		}
 		wasted += candidate.lossS * cpus * machine.SpotPrice / machine.CPUs
-		allSave = allSave && (job.Spec.MarkS > 0 || candidate.lossS == 0)
+		allSave = allSave && (job.Spec.CheckpointIntervalS > 0 || candidate.lossS == 0)
 		untilS := 0.0
 		if i+1 < len(candidates) {
 			untilS = candidates[i+1].leftS
@@ -161,11 +161,11 @@
 		return 0, true
 	}
 	elapsedS := p.state.Now.Sub(placement.RunningSince).Seconds()
-	if len(job.Class.StartAims) > 0 && elapsedS < jobstate.CountedStart {
+	if len(job.Class.StartAims) > 0 && elapsedS < jobstate.CountedStartS {
 		return 0, false
 	}
-	if job.Spec.MarkS > 0 {
-		return math.Min(elapsedS, job.Spec.SaveS), true
+	if job.Spec.CheckpointIntervalS > 0 {
+		return math.Min(elapsedS, job.Spec.CheckpointSaveS), true
 	}
 	// No limit that it meets by running on may be missed by starting again. What is late
 	// already must not become later still: the whole of the work waits for it in the end.
@@ -173,7 +173,7 @@
 	leftS, late := max(runS-elapsedS, 1), true
 	for _, limitS := range p.state.Limits(job) {
 		late = late && limitS < ageS+leftS
-		if limitS >= ageS+leftS && limitS < ageS+jobstate.Pessimism*runS+jobstate.RestartTakes {
+		if limitS >= ageS+leftS && limitS < ageS+jobstate.RunTimeMargin*runS+jobstate.RestartOverheadS {
 			return 0, false
 		}
 	}
--- a/internal/planner/pass.go
+++ b/internal/planner/pass.go
@@ -21,7 +21,7 @@
 // set for another pass. Without a second of lease left, or without a shard, it does
 // nothing. The caller holds the state's Mu.
 func (p *Planner) Pass() {
-	if p.state.Member.LeaseRemaining() < time.Second || len(p.state.Loaded) == 0 {
+	if p.state.Membership.LeaseRemaining() < time.Second || len(p.state.Loaded) == 0 {
 		return
 	}
 	p.state.Now = time.Now()
@@ -126,7 +126,7 @@
 func (p *Planner) placeTask(job *jobstate.Job, task int, worker *jobstate.Worker, waitS float64) {
 	chunk := job.Chunks[task/jobrecord.ChunkSize]
 	placement := &jobstate.Placement{
-		Job: job, Chunk: chunk, Task: task, Attempt: chunk.NextAttempt, Worker: worker, PlannedWait: waitS, CreatedAt: time.Now(),
+		Job: job, Chunk: chunk, Task: task, Attempt: chunk.NextAttempt, Worker: worker, PlannedWaitS: waitS, CreatedAt: time.Now(),
 	}
 	if !job.Spec.Gang() {
 		chunk.NextAttempt++
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -119,10 +119,10 @@
 		spec := placement.Job.Spec
 		elapsedS := p.state.Now.Sub(placement.RunningSince).Seconds()
 		lossS := elapsedS
-		if spec.MarkS > 0 {
-			lossS = math.Mod(elapsedS, spec.MarkS)
+		if spec.CheckpointIntervalS > 0 {
+			lossS = math.Mod(elapsedS, spec.CheckpointIntervalS)
 		}
-		if placement.Job.RunEstimate()-elapsedS < nearlyDoneS && spec.MarkS == 0 {
+		if placement.Job.RunEstimate()-elapsedS < nearlyDoneS && spec.CheckpointIntervalS == 0 {
 			continue
 		}
 		candidates = append(candidates, preemptionCandidate{placement, lossS})
--- a/internal/planner/rebalance.go
+++ b/internal/planner/rebalance.go
@@ -122,7 +122,7 @@
 			return nil, 0
 		}
 		queuedS := p.state.Now.Sub(placement.CreatedAt).Seconds()
-		if !matching.ShouldReplace(placement.PlannedWait, queuedS, waitS, max(averageS, placement.PlannedWait), p.state.Operator.ReplaceS) {
+		if !matching.ShouldReplace(placement.PlannedWaitS, queuedS, waitS, max(averageS, placement.PlannedWaitS), p.state.Operator.ReplaceAfterS) {
 			return nil, 0
 		}
 		if waitS > r.waitS[slowest] {
--- a/internal/planner/triage.go
+++ b/internal/planner/triage.go
@@ -77,7 +77,7 @@
 	var sum matching.Resources
 	timeout := p.heartbeatTimeout()
 	for _, worker := range p.state.Workers {
-		if machine := p.state.TypeOf(worker); !worker.Gone && !worker.View.Draining && now.Sub(worker.LastHeartbeat) < timeout {
+		if machine := p.state.TypeOf(worker); !worker.Removed && !worker.View.Draining && now.Sub(worker.LastHeartbeat) < timeout {
 			sum = sum.Add(matching.Resources{CPUs: machine.CPUs, GPUs: machine.GPUs, MemoryGB: machine.MemoryGB}, 1)
 		}
 	}
@@ -157,7 +157,7 @@
 	tasks := float64(job.Spec.Tasks-job.Finished) - float64(job.Running)/2 // what runs is half done
 	remaining := admission.Job{Work: max(0, tasks) * runS * share, Span: runS / 2}
 	if len(job.Pending) > 0 {
-		remaining.Span = jobstate.Pessimism*runS + jobstate.RestartTakes
+		remaining.Span = jobstate.RunTimeMargin*runS + jobstate.RestartOverheadS
 	}
 	ageS := float64(t.now.UnixMilli()-job.AcceptedMs) / 1000
 	for _, limitS := range p.state.Limits(job) {
--- a/internal/planner/urgency.go
+++ b/internal/planner/urgency.go
@@ -16,7 +16,7 @@
 // a worker which is ready in bootS seconds can help to meet.
 func (p *Planner) slack(job *jobstate.Job, bootS float64) float64 {
 	ageS := p.state.Now.Sub(job.AcceptedAt).Seconds()
-	runS := jobstate.Pessimism*job.RunEstimate() + jobstate.RestartTakes
+	runS := jobstate.RunTimeMargin*job.RunEstimate() + jobstate.RestartOverheadS
 	nextS := math.Inf(1)
 	for _, withinS := range job.Class.StartAims {
 		nextS = earlierSlack(nextS, withinS-ageS, bootS)
@@ -43,7 +43,7 @@
 func (p *Planner) startsLate(job *jobstate.Job, afterS float64) bool {
 	ageS := p.state.Now.Sub(job.AcceptedAt).Seconds()
 	for _, withinS := range job.Class.StartAims {
-		if ageS < withinS && ageS+afterS+jobstate.StartTakes > withinS {
+		if ageS < withinS && ageS+afterS+jobstate.StartOverheadS > withinS {
 			return true
 		}
 	}
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -64,7 +64,7 @@
 		}
 	}
 	for name, team := range state.Teams {
-		if jobstate.Lends(team.Team) {
+		if jobstate.HasLeasableLimit(team.Team) {
 			team.Leased = &jobstate.LeasedLimit{Team: name, Borrower: m.borrowers[quotalease.RecordOf(name)], UsedByShard: map[int]matching.Resources{}}
 		}
 	}
@@ -74,7 +74,7 @@
 // limitsByRecord returns the limits that are leased, by the record that holds their parts.
 func limitsByRecord(teams map[string]*jobstate.Team) (records [quotalease.Records]map[string]quotalease.Amount) {
 	for name, team := range teams {
-		if !jobstate.Lends(team.Team) {
+		if !jobstate.HasLeasableLimit(team.Team) {
 			continue
 		}
 		record := quotalease.RecordOf(name)
@@ -160,7 +160,7 @@
 	m.state.Mu.Lock()
 	defer m.state.Mu.Unlock()
 	// A successor may lead the shards already: what was planned could not be written.
-	if len(m.state.Loaded) == 0 || m.state.Member.LeaseRemaining() <= 0 {
+	if len(m.state.Loaded) == 0 || m.state.Membership.LeaseRemaining() <= 0 {
 		return
 	}
 	now := time.Now()
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -80,7 +80,7 @@
 	guards := make([]wire.Guard, 0, 1+len(write.Shards))
 	guards = append(guards, wire.Guard{Key: quotalease.Key(n), Version: write.Guard})
 	for _, shard := range slices.Sorted(maps.Keys(write.Shards)) {
-		guards = append(guards, wire.Guard{Key: m.state.Member.ShardKey(shard), Version: write.Shards[shard]})
+		guards = append(guards, wire.Guard{Key: m.state.Membership.ShardKey(shard), Version: write.Shards[shard]})
 	}
 	txnCtx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
 	defer cancel()
@@ -89,7 +89,7 @@
 	defer m.state.Mu.Unlock()
 	m.inFlight[n] = false
 	borrower := m.borrowers[n]
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
 		borrower.Applied(write, revision)
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -21,7 +21,7 @@
 	if LeasesQuota(op) {
 		unleased := make([]config.Team, 0, len(teams))
 		for _, team := range teams {
-			if !jobstate.Lends(team) {
+			if !jobstate.HasLeasableLimit(team) {
 				unleased = append(unleased, team)
 			}
 		}
@@ -38,11 +38,11 @@
 	}
 	limits := map[string]quotalease.Amount{}
 	for _, team := range cfg.Params.Teams {
-		if jobstate.Lends(team) {
+		if jobstate.HasLeasableLimit(team) {
 			limits[team.Name] = jobstate.LimitOf(team)
 		}
 	}
-	if err := quotalease.CheckSize(limits, op.Shards, jobrecord.ValueBytes(cfg)); err != nil {
+	if err := quotalease.CheckSize(limits, op.Shards, jobrecord.MaxRecordBytes(cfg)); err != nil {
 		return fmt.Errorf("params.teams: %w", err)
 	}
 	return nil
--- a/internal/quotalease/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -90,7 +90,7 @@
 // the shard's key that it has.
 func (b *Borrower) Adopted(shard int) bool {
 	row := b.known.row(shard)
-	return row != nil && row.OwnerVersion == b.led[shard]
+	return row != nil && row.LeaderVersion == b.led[shard]
 }
 
 // Observe takes the record as it was at a revision of the state service; version 0: there
@@ -172,7 +172,7 @@
 		}
 		for shard, version := range b.led {
 			row := b.known.row(shard)
-			if row.OwnerVersion != version {
+			if row.LeaderVersion != version {
 				continue
 			}
 			ceiling := row.Teams[team].Part
@@ -193,7 +193,7 @@
 // countUnknown counts what is refused of a record that was observed.
 func (b *Borrower) countUnknown() {
 	for _, row := range b.known.Rows {
-		if version, led := b.led[row.Shard]; led && row.OwnerVersion > version {
+		if version, led := b.led[row.Shard]; led && row.LeaderVersion > version {
 			b.UnknownEntries++ // written by a later leader of the shard: this one leads it no more
 		}
 		for team := range row.Teams {
--- a/internal/quotalease/borrower_test.go
+++ b/internal/quotalease/borrower_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("a stale leader may use %v", c)
 	}
 	w, ok := b.Plan(time.Now(), func(int, string) quotalease.Need { return quotalease.Need{} })
-	if !ok || w.Record.Rows[0].OwnerVersion != 9 || w.Record.Rows[0].Teams["gone"].Part != (quotalease.Amount{3000}) {
+	if !ok || w.Record.Rows[0].LeaderVersion != 9 || w.Record.Rows[0].Teams["gone"].Part != (quotalease.Amount{3000}) {
 		t.Errorf("wrote %v %+v", ok, w.Record)
 	}
 }
--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -322,7 +322,7 @@
 		for _, row := range r.Rows {
 			part := row.Teams[team].Part
 			sum = sum.Add(part)
-			if row.OwnerVersion < w.unleased {
+			if row.LeaderVersion < w.unleased {
 				continue // it says nothing until the next leader counts anew
 			}
 			if may := w.mayRun(row.Shard, team); !may.Fits(part) {
@@ -335,7 +335,7 @@
 		}
 	}
 	for _, row := range r.Rows {
-		complete = complete && row.OwnerVersion > w.unleased
+		complete = complete && row.LeaderVersion > w.unleased
 	}
 	w.covered = w.covered || complete && within
 }
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -55,17 +55,17 @@
 // leader that does not lease limits started tasks are removed: they cover none of those.
 func (b *Borrower) adopt(record *Record, needs Needs) (changed bool) {
 	before := len(record.Rows)
-	record.Rows = slices.DeleteFunc(record.Rows, func(row Row) bool { return row.OwnerVersion < b.unleasedVersion })
+	record.Rows = slices.DeleteFunc(record.Rows, func(row Row) bool { return row.LeaderVersion < b.unleasedVersion })
 	changed = len(record.Rows) < before
 	for shard, version := range b.led {
 		row := record.row(shard)
 		switch {
 		case row == nil:
-			record.addRow(Row{Shard: shard, OwnerVersion: version})
+			record.addRow(Row{Shard: shard, LeaderVersion: version})
 			b.countUse(record.row(shard), needs)
 			changed = true
-		case row.OwnerVersion < version:
-			row.OwnerVersion = version
+		case row.LeaderVersion < version:
+			row.LeaderVersion = version
 			changed = true
 		}
 	}
@@ -94,7 +94,7 @@
 func (p *plan) run() bool {
 	for _, shard := range slices.Sorted(maps.Keys(p.b.led)) {
 		row := p.record.row(shard)
-		if row.OwnerVersion != p.b.led[shard] {
+		if row.LeaderVersion != p.b.led[shard] {
 			continue
 		}
 		delete(p.b.withheld, p.key(row))
--- a/internal/quotalease/record.go
+++ b/internal/quotalease/record.go
@@ -35,9 +35,9 @@
 
 // Row is what a shard has of the teams' limits.
 type Row struct {
-	Shard        int              `json:"shard"`
-	OwnerVersion uint64           `json:"term"` // version of the shard's key under which its leader last wrote the row
-	Teams        map[string]Entry `json:"teams,omitempty"`
+	Shard         int              `json:"shard"`
+	LeaderVersion uint64           `json:"term"` // version of the shard's key under which its leader last wrote the row
+	Teams         map[string]Entry `json:"teams,omitempty"`
 }
 
 // Entry is what a shard has and wants of a team's limit.
@@ -98,7 +98,7 @@
 			return Record{}, fmt.Errorf("rows: unknown shard %d of %d", row.Shard, shards)
 		case row.Shard <= last:
 			return Record{}, fmt.Errorf("rows: shard %d is out of order or given twice", row.Shard)
-		case row.OwnerVersion == 0:
+		case row.LeaderVersion == 0:
 			return Record{}, fmt.Errorf("rows: shard %d has no term", row.Shard)
 		}
 		last = row.Shard
@@ -168,7 +168,7 @@
 	records := [Records]Record{}
 	for n := range records {
 		for shard := range shards {
-			records[n].Rows = append(records[n].Rows, Row{Shard: shard, OwnerVersion: anyVersion, Teams: map[string]Entry{}})
+			records[n].Rows = append(records[n].Rows, Row{Shard: shard, LeaderVersion: anyVersion, Teams: map[string]Entry{}})
 		}
 	}
 	for team, limit := range limits {
--- a/internal/quotalease/recorded_test.go
+++ b/internal/quotalease/recorded_test.go
@@ -14,17 +14,17 @@
 // entry is an array of numbers, without the zeros at its end.
 func TestRecordedForms(t *testing.T) {
 	record := quotalease.Record{Rows: []quotalease.Row{
-		{Shard: 0, OwnerVersion: 41, Teams: map[string]quotalease.Entry{
+		{Shard: 0, LeaderVersion: 41, Teams: map[string]quotalease.Entry{
 			"risk":    {Part: quotalease.Amount{8000, 1000}, Want: quotalease.Amount{64500, 8000}, Unit: quotalease.Amount{500, 250}},
 			"pricing": {Part: quotalease.Amount{2000, 0}, Want: quotalease.Amount{4000, 0}, Unit: quotalease.Amount{1000, 0}},
 		}},
-		{Shard: 3, OwnerVersion: 9007199254740993, Teams: map[string]quotalease.Entry{
+		{Shard: 3, LeaderVersion: 9007199254740993, Teams: map[string]quotalease.Entry{
 			"gpus": {Part: quotalease.Amount{0, 2000}},
 			"none": {},
 			"part": {Part: quotalease.Amount{2000, 0}},
 			"want": {Want: quotalease.Amount{1, 0}},
 		}},
-		{Shard: 4, OwnerVersion: 42},
+		{Shard: 4, LeaderVersion: 42},
 	}}
 	recorded.Check(t, "lent", record)
 	recorded.Check(t, "lent_least", quotalease.Record{})
--- a/internal/reachability/capacity_test.go
+++ b/internal/reachability/capacity_test.go
@@ -13,7 +13,7 @@
 // newStatus is what a controller says of its links to a message's receiver.
 func newStatus(heard int, unreached ...string) reachability.NodeStatus {
 	status := reachability.NodeStatus{
-		Node: "racker-1", StartedMs: 1_764_652_567_000, Seq: 100_000, StoreReachable: true, LeaseHeld: true, OwnsJobs: true, PreferredLeader: "racker-1", CloudReachable: true,
+		Node: "racker-1", StartedMs: 1_764_652_567_000, Seq: 100_000, StoreReachable: true, LeaseHeld: true, LeadsShards: true, PreferredLeader: "racker-1", CloudReachable: true,
 		Heartbeats: 1000, ExpectedHeartbeats: 1000.5, UnreachedPeers: unreached,
 	}
 	if heard > 0 {
--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -31,17 +31,17 @@
 
 // UnresponsiveWorker is one whose last heartbeat is older than FailureDetector.Threshold.
 type UnresponsiveWorker struct {
-	Name                 string
-	Endpoint             string        // "" if it is not known here: then peers can only say whether they heard it
-	SilentFor            time.Duration // since the last heartbeat; since the failover, if UnheardSinceFailover
-	Busy                 bool          // tasks may be on it
-	OutboundLost         bool          // its heartbeats arrive, but commands to it have no effect
-	UnheardSinceFailover bool          // no heartbeat since this leader's failover: the last one is older than SilentFor says
+	Name                  string
+	Endpoint              string        // "" if it is not known here: then peers can only say whether they heard it
+	UnheardFor            time.Duration // since the last heartbeat; since the failover, if UnheardSinceFailover
+	Busy                  bool          // tasks may be on it
+	OutboundLost          bool          // its heartbeats arrive, but commands to it have no effect
+	NotHeardSinceFailover bool          // no heartbeat since this leader's failover: the last one is older than SilentFor says
 }
 
 // Verdict is what to do about unresponsive workers.
 type Verdict struct {
-	Return     map[string]string             // failed workers, to be deleted, with the reason
+	Failed     map[string]string             // failed workers, to be deleted, with the reason
 	Probe      map[string]UnresponsiveWorker // to be probed now, by name; see RecordProbe
 	Kept       int                           // unresponsive for as long, but not failed
 	KeptReason string                        // of the last one kept
@@ -53,10 +53,10 @@
 // of failures that no accident has. It only decides: the caller probes and deletes. It is not
 // safe for concurrent use.
 type FailureDetector struct {
-	Base   time.Duration // heartbeat timeout of a worker with tasks
-	Lease  time.Duration // of workers
-	Report time.Duration // between a worker's heartbeats
-	Grace  time.Duration // for which a controller goes on answering workers when it is cut off from all others
+	Timeout           time.Duration // heartbeat timeout of a worker with tasks
+	Lease             time.Duration // of workers
+	HeartbeatInterval time.Duration // between a worker's heartbeats
+	Grace             time.Duration // for which a controller goes on answering workers when it is cut off from all others
 
 	probes        map[string]probe     // of workers that are unresponsive now
 	failedAt      map[string]time.Time // workers that failed within failureWindow
@@ -76,7 +76,7 @@
 
 // Threshold is the time without a heartbeat from which on a worker is to be passed to Evaluate.
 func (d *FailureDetector) Threshold() time.Duration {
-	return min(d.Base, max(time.Duration(probeFromShare*float64(d.Base)), 3*d.Report/2))
+	return min(d.Timeout, max(time.Duration(probeFromShare*float64(d.Timeout)), 3*d.HeartbeatInterval/2))
 }
 
 // RecordProbe notes whether a worker of Verdict.Probe responded to this controller or a peer, or
@@ -99,7 +99,7 @@
 	d.forget(now, unresponsive)
 	e := evaluation{
 		FailureDetector: d, now: now, view: v,
-		verdict: Verdict{Return: map[string]string{}, Probe: map[string]UnresponsiveWorker{}},
+		verdict: Verdict{Failed: map[string]string{}, Probe: map[string]UnresponsiveWorker{}},
 	}
 	e.weighAll(known, unresponsive)
 	for i := range unresponsive {
@@ -162,10 +162,10 @@
 func (e *evaluation) weighAll(known int, unresponsive []UnresponsiveWorker) {
 	responsive, late, long := known-len(unresponsive), 0, 0
 	for i := range unresponsive {
-		switch unheardFor := unresponsive[i].SilentFor; {
-		case unheardFor >= 2*e.Lease+e.Base:
+		switch unheardFor := unresponsive[i].UnheardFor; {
+		case unheardFor >= 2*e.Lease+e.Timeout:
 			long++ // that says nothing of now
-		case unheardFor >= e.Base:
+		case unheardFor >= e.Timeout:
 			late++
 		}
 	}
@@ -174,7 +174,7 @@
 	// failed goes without this judgement.
 	e.inboundLost = known > 1 && responsive == 0 ||
 		recent >= massLeast && (e.view.Self.InboundLost() || float64(responsive) < inboundLostShare*float64(recent))
-	e.timeout = e.Base
+	e.timeout = e.Timeout
 	if recent >= massLeast && 2*late > recent {
 		// Most became unresponsive together: it is likelier that they are not heard than
 		// that they failed.
@@ -193,8 +193,8 @@
 	if !worker.Busy {
 		timeout = time.Duration(idleFactor * float64(timeout))
 	}
-	if worker.SilentFor < timeout {
-		if worker.SilentFor >= e.Base && worker.Busy {
+	if worker.UnheardFor < timeout {
+		if worker.UnheardFor >= e.Timeout && worker.Busy {
 			e.keep("most workers are unresponsive, or this controller receives poorly")
 		}
 		return
@@ -207,7 +207,7 @@
 		e.failuresLeft--
 		e.failedAt[worker.Name] = e.now
 	}
-	e.verdict.Return[worker.Name] = worker.failure()
+	e.verdict.Failed[worker.Name] = worker.failure()
 }
 
 // probe has the worker probed, if it is time, and returns the state of its probe.
@@ -246,9 +246,9 @@
 // failure describes the failure of a worker. The texts travel between controllers and stand in the
 // runbook.
 func (w *UnresponsiveWorker) failure() string {
-	reason := fmt.Sprintf("silent for %.0f s", w.SilentFor.Seconds())
+	reason := fmt.Sprintf("silent for %.0f s", w.UnheardFor.Seconds())
 	if w.OutboundLost {
-		reason = fmt.Sprintf("nothing reaches it for %.0f s", w.SilentFor.Seconds())
+		reason = fmt.Sprintf("nothing reaches it for %.0f s", w.UnheardFor.Seconds())
 	}
 	if w.Busy {
 		reason += " with tasks on it"
@@ -273,7 +273,7 @@
 		switch {
 		case peer.informs(v):
 			// It would have said so, by itself or when queried.
-		case !peer.Known && !worker.UnheardSinceFailover:
+		case !peer.Known && !worker.NotHeardSinceFailover:
 			// It has never been there, and the worker was heard without it.
 		case peer.IsFresh():
 			if peer.Status.HeardWorkers.Has(worker.Name) {
@@ -294,9 +294,9 @@
 // that judged by its own time alone deleted the workers of a whole zone, which was cut
 // off together with a controller long before, and which the leader before it had kept.
 func (d *FailureDetector) lostTogether(worker *UnresponsiveWorker, statusAge time.Duration) bool {
-	apart := 2*d.Report + PeerTimeout
-	if worker.UnheardSinceFailover {
-		return worker.SilentFor < statusAge+apart
+	apart := 2*d.HeartbeatInterval + PeerTimeout
+	if worker.NotHeardSinceFailover {
+		return worker.UnheardFor < statusAge+apart
 	}
-	return (worker.SilentFor - statusAge).Abs() < apart
+	return (worker.UnheardFor - statusAge).Abs() < apart
 }
--- a/internal/reachability/failure_detector_test.go
+++ b/internal/reachability/failure_detector_test.go
@@ -13,13 +13,13 @@
 // unresponsiveWorkers makes n workers with tasks, unheard for so long.
 func unresponsiveWorkers(n int, unheardFor time.Duration) (workers []reachability.UnresponsiveWorker) {
 	for i := range n {
-		workers = append(workers, reachability.UnresponsiveWorker{Name: fmt.Sprintf("n-%d", i), Endpoint: "e", SilentFor: unheardFor, Busy: true})
+		workers = append(workers, reachability.UnresponsiveWorker{Name: fmt.Sprintf("n-%d", i), Endpoint: "e", UnheardFor: unheardFor, Busy: true})
 	}
 	return workers
 }
 
 func newDetector() *reachability.FailureDetector {
-	return &reachability.FailureDetector{Base: 14 * time.Second, Lease: 44 * time.Second, Report: 8 * time.Second, Grace: 17 * time.Second}
+	return &reachability.FailureDetector{Timeout: 14 * time.Second, Lease: 44 * time.Second, HeartbeatInterval: 8 * time.Second, Grace: 17 * time.Second}
 }
 
 // healthyPeer exchanges messages with this controller and holds its lease.
@@ -30,7 +30,7 @@
 // unheard makes workers ones that a new leader has not heard.
 func unheard(workers []reachability.UnresponsiveWorker) []reachability.UnresponsiveWorker {
 	for i := range workers {
-		workers[i].UnheardSinceFailover = true
+		workers[i].NotHeardSinceFailover = true
 	}
 	return workers
 }
@@ -110,7 +110,7 @@
 			}
 		}
 		// A Bloom filter may take one in a thousand others for a member.
-		if n := len(verdict.Return); n > c.want || n < c.want-1 {
+		if n := len(verdict.Failed); n > c.want || n < c.want-1 {
 			t.Errorf("%s: %d workers failed, not %d (kept: %d, %s)", c.name, n, c.want, verdict.Kept, verdict.KeptReason)
 		}
 	}
@@ -131,7 +131,7 @@
 		for name := range got.Probe {
 			detector.RecordProbe(name, responds, now)
 		}
-		return len(got.Return)
+		return len(got.Failed)
 	}
 	detector.Evaluate(noon.Add(-time.Minute), &reachability.View{Peers: []reachability.Peer{back}}, reachability.ReceiveHealth{}, 1000, nil)
 	evaluate(0, lost, false)
@@ -148,18 +148,18 @@
 func TestProbedBeforeFailed(t *testing.T) {
 	detector, v := newDetector(), reachability.View{Self: reachability.NodeStatus{Node: "a"}}
 	workers := unresponsiveWorkers(1, 14*time.Second)
-	if got := detector.Evaluate(noon, &v, reachability.ReceiveHealth{}, 100, workers); len(got.Return) != 0 || len(got.Probe) != 1 {
+	if got := detector.Evaluate(noon, &v, reachability.ReceiveHealth{}, 100, workers); len(got.Failed) != 0 || len(got.Probe) != 1 {
 		t.Errorf("at once: %+v", got)
 	}
-	if got := detector.Evaluate(noon.Add(time.Second), &v, reachability.ReceiveHealth{}, 100, workers); len(got.Return) != 0 || len(got.Probe) != 0 {
+	if got := detector.Evaluate(noon.Add(time.Second), &v, reachability.ReceiveHealth{}, 100, workers); len(got.Failed) != 0 || len(got.Probe) != 0 {
 		t.Errorf("while it is probed: %+v", got)
 	}
 	detector.RecordProbe("n-0", false, noon.Add(time.Second))
-	if got := detector.Evaluate(noon.Add(2*time.Second), &v, reachability.ReceiveHealth{}, 100, workers); len(got.Return) != 1 {
+	if got := detector.Evaluate(noon.Add(2*time.Second), &v, reachability.ReceiveHealth{}, 100, workers); len(got.Failed) != 1 {
 		t.Errorf("after it did not respond: %+v", got)
 	}
 	// That it did not respond a while ago says nothing of now: links heal.
-	if got := detector.Evaluate(noon.Add(5*time.Second), &v, reachability.ReceiveHealth{}, 100, workers); len(got.Return) != 0 || len(got.Probe) != 1 {
+	if got := detector.Evaluate(noon.Add(5*time.Second), &v, reachability.ReceiveHealth{}, 100, workers); len(got.Failed) != 0 || len(got.Probe) != 1 {
 		t.Errorf("later: %+v", got)
 	}
 }
--- a/internal/reachability/link_failures_test.go
+++ b/internal/reachability/link_failures_test.go
@@ -40,7 +40,7 @@
 	}
 	now := noon
 	status := func(i int, seq uint64) reachability.NodeStatus {
-		own := reachability.NodeStatus{Node: names[i], StartedMs: 1, Seq: seq, StoreReachable: w.state[i], LeaseHeld: w.state[i], OwnsJobs: i == leader, PreferredLeader: names[leader], UnreachedPeers: tables[i].UnreachedPeers(now)}
+		own := reachability.NodeStatus{Node: names[i], StartedMs: 1, Seq: seq, StoreReachable: w.state[i], LeaseHeld: w.state[i], LeadsShards: i == leader, PreferredLeader: names[leader], UnreachedPeers: tables[i].UnreachedPeers(now)}
 		if i == leader {
 			own.ExpectedHeartbeats = 400
 		}
@@ -185,7 +185,7 @@
 // one that does reaches the state service, and that is known.
 func (w *world) checkTransfer(failed *failures, v *reachability.View) {
 	var monitor reachability.TransferMonitor
-	monitor.Check(noon, &reachability.View{Self: reachability.NodeStatus{OwnsJobs: true}}, 0)
+	monitor.Check(noon, &reachability.View{Self: reachability.NodeStatus{LeadsShards: true}}, 0)
 	to := ""
 	for i := range 2 {
 		to = monitor.Check(noon.Add(time.Minute+time.Duration(i)*time.Second), v, 0)
@@ -216,8 +216,8 @@
 		for name := range verdict.Probe {
 			detector.RecordProbe(name, false, noon.Add(elapsed))
 		}
-		if len(verdict.Return) > 0 {
-			failed.add(w, "%d workers failed after %d s", len(verdict.Return), i)
+		if len(verdict.Failed) > 0 {
+			failed.add(w, "%d workers failed after %d s", len(verdict.Failed), i)
 			break
 		}
 	}
--- a/internal/reachability/node_status.go
+++ b/internal/reachability/node_status.go
@@ -31,7 +31,7 @@
 	Seq                uint64       `json:"seq"`
 	StoreReachable     bool         `json:"state"`              // the state service answers it, without a peer's help
 	LeaseHeld          bool         `json:"held"`               // it holds its lease
-	OwnsJobs           bool         `json:"owns,omitempty"`     // it leads shards
+	LeadsShards        bool         `json:"owns,omitempty"`     // it leads shards
 	PreferredLeader    string       `json:"chief,omitempty"`    // whom it takes for the leader of most jobs
 	CloudReachable     bool         `json:"cloud,omitempty"`    // the cloud answered its last request
 	Heartbeats         int          `json:"reports"`            // workers' heartbeats that reached it in a window, whatever it answered
--- a/internal/reachability/ops_status.go
+++ b/internal/reachability/ops_status.go
@@ -53,7 +53,7 @@
 
 func (s *NodeStatus) opsNode(name, reached string, age time.Duration) OpsNode {
 	return OpsNode{
-		Node: name, Reached: reached, AgeS: age.Seconds(), State: s.StoreReachable, Held: s.LeaseHeld, Owns: s.OwnsJobs,
+		Node: name, Reached: reached, AgeS: age.Seconds(), State: s.StoreReachable, Held: s.LeaseHeld, Owns: s.LeadsShards,
 		Cloud: s.CloudReachable, Reports: s.Heartbeats, Expected: s.ExpectedHeartbeats, Lacks: s.UnreachedPeers,
 	}
 }
--- a/internal/reachability/recorded_test.go
+++ b/internal/reachability/recorded_test.go
@@ -13,7 +13,7 @@
 
 func fullStatus() reachability.NodeStatus {
 	return reachability.NodeStatus{
-		Node: "c1", StartedMs: 1700000000123, Seq: 77, StoreReachable: true, LeaseHeld: true, OwnsJobs: true, PreferredLeader: "c2", CloudReachable: true,
+		Node: "c1", StartedMs: 1700000000123, Seq: 77, StoreReachable: true, LeaseHeld: true, LeadsShards: true, PreferredLeader: "c2", CloudReachable: true,
 		Heartbeats: 120, ExpectedHeartbeats: 130.5, UnreachedPeers: []string{"c3"}, ProbeSample: []string{"10.1.0.232:9000"}, Probed: true, ProbeSuccess: 0.75,
 		Assignments: []reachability.Assignment{{Node: "c2", Share: 400.5}}, WorkerCapacity: 900, WorkerCount: 850, HeardWorkers: reachability.NewNameSet([]string{"n-000231", "n-000232"}, 64),
 	}
--- a/internal/reachability/routing.go
+++ b/internal/reachability/routing.go
@@ -42,7 +42,7 @@
 // it went on answering would only wait here, and their tasks would be settled later by
 // whoever leads the jobs.
 func (v *View) Isolated() bool {
-	if v.Self.OwnsJobs || v.Self.StoreReachable {
+	if v.Self.LeadsShards || v.Self.StoreReachable {
 		return false
 	}
 	for i := range v.Peers {
--- a/internal/reachability/table_test.go
+++ b/internal/reachability/table_test.go
@@ -69,7 +69,7 @@
 					for name := range got.Probe {
 						detector.RecordProbe(name, false, time.Now().Add(time.Duration(i)*time.Second))
 					}
-					failed = len(got.Return)
+					failed = len(got.Failed)
 				}
 				if want := informed && lostFor > 44*time.Second; (failed > 0) != want {
 					t.Errorf("informed %v, lost for %v: %d workers failed", informed, lostFor, failed)
--- a/internal/reachability/transfer_monitor.go
+++ b/internal/reachability/transfer_monitor.go
@@ -33,7 +33,7 @@
 // are on record. It returns the peer that should lead the shards, or "". One check is
 // not trusted: a process that stood still receives nothing for a moment either.
 func (m *TransferMonitor) Check(now time.Time, v *View, transfers int) string {
-	if !v.Self.OwnsJobs {
+	if !v.Self.LeadsShards {
 		m.leadingSince, m.lostSince = time.Time{}, time.Time{}
 		return ""
 	}
--- a/internal/reachability/transfer_monitor_test.go
+++ b/internal/reachability/transfer_monitor_test.go
@@ -65,8 +65,8 @@
 		{"a third of the workers is cut off", time.Minute, true, 300, 480, peers(160, 0), 0, ""},
 	} {
 		var monitor reachability.TransferMonitor
-		v := reachability.View{Self: reachability.NodeStatus{Node: "o", OwnsJobs: c.leads, Heartbeats: c.heard, ExpectedHeartbeats: c.expected, Probed: true, ProbeSuccess: 0}, Peers: c.peers}
-		monitor.Check(noon, &reachability.View{Self: reachability.NodeStatus{OwnsJobs: c.leads}}, 0)
+		v := reachability.View{Self: reachability.NodeStatus{Node: "o", LeadsShards: c.leads, Heartbeats: c.heard, ExpectedHeartbeats: c.expected, Probed: true, ProbeSuccess: 0}, Peers: c.peers}
+		monitor.Check(noon, &reachability.View{Self: reachability.NodeStatus{LeadsShards: c.leads}}, 0)
 		now := noon.Add(c.after)
 		if got := monitor.Check(now, &v, c.transfers); got != "" {
 			t.Errorf("%s: one check was enough for %q", c.name, got)
--- a/internal/reconcile/grant.go
+++ b/internal/reconcile/grant.go
@@ -36,7 +36,7 @@
 // The reply is: start it, not now (the dispatcher requests it again), or drop it from the queue.
 func (r *Reconciler) grantStart(request dispatch.GrantRequest) dispatch.GrantReply {
 	notNow, drop := dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
-	if r.state.Member.LeaseRemaining() < grantLeaseMargin || len(r.state.Loaded) == 0 {
+	if r.state.Membership.LeaseRemaining() < grantLeaseMargin || len(r.state.Loaded) == 0 {
 		return notNow
 	}
 	uid, task, err := wire.ParseTask(request.Task)
@@ -48,7 +48,7 @@
 		// Another leader's, perhaps, unless all shards are led here.
 		return dispatch.GrantReply{Drop: len(r.state.Loaded) == r.state.Operator.Shards}
 	}
-	if !r.state.OwnsJob(job) {
+	if !r.state.LeadsJob(job) {
 		return notNow
 	}
 	placement, blocked := requestedPlacement(job, task, request)
@@ -60,7 +60,7 @@
 		return drop
 	}
 	switch {
-	case job.Cancelled || placement.Chunk.IsDone(task):
+	case job.Cancelled || placement.Chunk.IsOver(task):
 		return drop
 	case startedInEarlierSession(placement, request.Session):
 		r.state.EndPlacement(placement)
@@ -87,7 +87,7 @@
 // another placement of the task may run, or completed it and waits to be recorded.
 func requestedPlacement(job *jobstate.Job, task int, request dispatch.GrantRequest) (placement *jobstate.Placement, blocked bool) {
 	for _, candidate := range job.Placements[task] {
-		if candidate.Worker.Name == request.Machine && candidate.Attempt == request.Attempt {
+		if candidate.Worker.Name == request.Worker && candidate.Attempt == request.Attempt {
 			placement = candidate
 		} else if candidate.MayRun() || candidate.Exited {
 			return nil, true
@@ -114,7 +114,7 @@
 		return false
 	case !placement.LastHaltAt.IsZero():
 		return false
-	case worker.Gone || worker.View.Draining || !r.state.Allowed(job, worker):
+	case worker.Removed || worker.View.Draining || !r.state.Allowed(job, worker):
 		return false
 	case (!worker.UnresponsiveSince.IsZero() || !r.state.FitsLease(job, worker)) && placement.State != jobstate.PlacementGranted:
 		return false
--- a/internal/reconcile/grant_test.go
+++ b/internal/reconcile/grant_test.go
@@ -22,7 +22,7 @@
 
 func (l *leader) Name() string                  { return "a" }
 func (l *leader) LeaseRemaining() time.Duration { return l.lease }
-func (l *leader) OwnsShard(int) (uint64, bool)  { return l.shard, true }
+func (l *leader) LeadsShard(int) (uint64, bool) { return l.shard, true }
 
 type cancelled map[string]bool
 
@@ -51,13 +51,13 @@
 	g.state = jobstate.New(platform, &config.Operator{Shards: 1, Spread: 1}, g.member, noTypes{}, log)
 	g.state.Loaded[0] = 7
 	g.reconciler = reconcile.New(g.state, log)
-	spec := &wire.Job{UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Tasks: 2, CPUs: 2, Estimate: 5}
+	spec := &wire.Job{UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Tasks: 2, CPUs: 2, EstimateS: 5}
 	g.job = &jobstate.Job{Spec: spec, Class: g.state.ClassOf("c"), Team: g.state.Teams["t"], Placements: map[int][]*jobstate.Placement{}, Zones: map[string]int{}}
 	g.job.Resources.CPUs = 2
 	g.job.Chunks = []*jobstate.Chunk{{Job: g.job, DoneBits: make([]byte, 128)}}
 	g.state.Jobs["j-1"] = g.job
 	g.placement = g.place("w", 1)
-	g.request = dispatch.GrantRequest{TaskRef: g.placement.Ref, Holder: "a", Token: 10, Session: 3}
+	g.request = dispatch.GrantRequest{TaskRef: g.placement.Ref, Dispatcher: "a", Token: 10, Session: 3}
 	return g
 }
 
@@ -88,7 +88,7 @@
 		{"the job is unknown, and others lead shards", func(g *grantCase) { delete(g.state.Jobs, "j-1"); g.state.Operator.Shards = 2 }, notNow},
 		{"the attempt is unknown", func(g *grantCase) { g.request.Attempt = 9 }, drop},
 		{"the job is cancelled", func(g *grantCase) { g.job.Cancelled = true }, drop},
-		{"the task is done", func(g *grantCase) { g.job.Chunks[0].SetDone(0) }, drop},
+		{"the task is done", func(g *grantCase) { g.job.Chunks[0].SetOver(0) }, drop},
 		{"another controller cancelled the job", func(g *grantCase) { g.state.Cancellations = cancelled{"j-1": true} }, notNow},
 		{"it is being recorded", func(g *grantCase) { g.placement.State = jobstate.PlacementRecording }, notNow},
 		{"it is an earlier leader's", func(g *grantCase) { g.placement.State = jobstate.PlacementUnconfirmed }, notNow},
--- a/internal/reconcile/lease_expiry.go
+++ b/internal/reconcile/lease_expiry.go
@@ -48,7 +48,7 @@
 	case task.saveS >= 0:
 		return leftS <= task.saveS+haltTakesS
 	default:
-		return task.remainingS+jobstate.ShowTakes >= surelyLate*leftS && task.elapsedS < leftS
+		return task.remainingS+jobstate.FinalPollS >= surelyLate*leftS && task.elapsedS < leftS
 	}
 }
 
@@ -58,14 +58,14 @@
 func (r *Reconciler) HandleExpiringLeases() map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
-	if r.state.Member.LeaseRemaining() <= 0 {
+	if r.state.Membership.LeaseRemaining() <= 0 {
 		return nil
 	}
 	now := time.Now()
 	r.state.Now = now
 	var overdue []*jobstate.Worker
 	for _, worker := range r.state.Workers {
-		if !worker.Gone && len(worker.Placements) > 0 && worker.View.Endpoint != "" && r.expiring(worker, now) {
+		if !worker.Removed && len(worker.Placements) > 0 && worker.View.Endpoint != "" && r.expiring(worker, now) {
 			overdue = append(overdue, worker)
 		}
 	}
@@ -119,7 +119,7 @@
 		return false
 	}
 	last, leaseEnd := lastSeen(worker), r.state.LeaseEnd(worker)
-	for _, at := range []time.Time{leaseEnd.Add(-config.Seconds(jobstate.ShowTakes)), leaseEnd.Add(settleTakes)} {
+	for _, at := range []time.Time{leaseEnd.Add(-config.Seconds(jobstate.FinalPollS)), leaseEnd.Add(settleTakes)} {
 		if last.Before(at) && !now.Before(at) {
 			return true
 		}
@@ -150,7 +150,7 @@
 		if placement.State != jobstate.PlacementReported || placement.Exited || !placement.HaltedAt.IsZero() || job.Cancelled || job.Spec.Service() {
 			continue
 		}
-		saves := job.Spec.MarkS > 0
+		saves := job.Spec.CheckpointIntervalS > 0
 		if !saves && (!few || job.Spec.Gang() || !placement.StartObserved && !placement.RunningSince.IsZero()) {
 			continue // a gang's tasks stop together; how long one has run that a predecessor started is not known
 		}
@@ -171,10 +171,10 @@
 	} else {
 		task.elapsedS = now.Sub(placement.RunningSince).Seconds()
 		task.remainingS = matching.RemainingRun(task.remainingS, task.elapsedS)
-		task.startCounted = len(job.Class.StartAims) > 0 && task.elapsedS < jobstate.CountedStart
+		task.startCounted = len(job.Class.StartAims) > 0 && task.elapsedS < jobstate.CountedStartS
 	}
-	if job.Spec.MarkS > 0 {
-		task.saveS = job.Spec.SaveS
+	if job.Spec.CheckpointIntervalS > 0 {
+		task.saveS = job.Spec.CheckpointSaveS
 	}
 	return task
 }
--- a/internal/reconcile/lease_expiry_test.go
+++ b/internal/reconcile/lease_expiry_test.go
@@ -96,7 +96,7 @@
 	} {
 		worker := &jobstate.Worker{RenewedAt: ago(c.renewed), KnownSince: ago(c.known), LastHeartbeat: time.Now(), RenewedSession: c.lastHere}
 		worker.View.Session = c.session
-		job := &jobstate.Job{Spec: &wire.Job{Kind: c.kind, Estimate: c.run}, Class: &jobstate.Class{EstimateRatio: 1}}
+		job := &jobstate.Job{Spec: &wire.Job{Kind: c.kind, EstimateS: c.run}, Class: &jobstate.Class{EstimateRatio: 1}}
 		if got := r.state.FitsLease(job, worker); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -11,7 +11,7 @@
 // ObserveWorker takes a dispatcher's view of a worker and settles what it shows. A view that
 // repeats the last report does not wait for the state's Mu: it is observed later.
 func (r *Reconciler) ObserveWorker(view dispatch.WorkerView) {
-	if view.Same {
+	if view.Unchanged {
 		if !r.state.Mu.TryLock() {
 			r.deferView(view)
 			return
@@ -62,7 +62,7 @@
 		return
 	}
 	worker := r.state.WorkerOf(view.Name)
-	if worker.Gone {
+	if worker.Removed {
 		return
 	}
 	now := time.Now()
@@ -70,7 +70,7 @@
 	if r.isLateCopy(worker, view) {
 		return
 	}
-	if last := &worker.View; view.Session == last.Session && view.Seq == last.Seq && view.Holder == last.Holder {
+	if last := &worker.View; view.Session == last.Session && view.Seq == last.Seq && view.Dispatcher == last.Dispatcher {
 		// The same report with a changed queue: settling it again would only repeat the
 		// instructions that changed the queue.
 		worker.View, worker.Matrix = *view, view.Matrix
@@ -82,7 +82,7 @@
 	}
 	worker.View, worker.ViewAt, worker.Matrix = *view, now, view.Matrix
 	recordHeartbeat(worker, now)
-	if r.state.Member.LeaseRemaining() <= 0 {
+	if r.state.Membership.LeaseRemaining() <= 0 {
 		// There may be another leader by now, whose tasks would look unknown here. If there
 		// is none, the next report settles all this.
 		return
@@ -128,7 +128,7 @@
 func recordHeartbeat(worker *jobstate.Worker, now time.Time) {
 	view := &worker.View
 	worker.LastHeartbeat = now.Add(-config.Seconds(view.AgeS))
-	if !view.Asked {
+	if !view.Polled {
 		worker.LastReport = worker.LastHeartbeat
 	}
 	worker.NoticeAt = time.Time{}
@@ -143,7 +143,7 @@
 	r.viewCount++
 	for i := range view.Tasks {
 		task := &view.Tasks[i]
-		r.observeTask(worker, dispatch.TaskRef{Machine: view.Name, Task: task.Task.Task, Attempt: task.Attempt}, task)
+		r.observeTask(worker, dispatch.TaskRef{Worker: view.Name, Task: task.Task.Task, Attempt: task.Attempt}, task)
 	}
 	for placement := range worker.Placements {
 		switch {
@@ -175,9 +175,9 @@
 			continue
 		}
 		spec := placement.Job.Spec
-		saves := spec.MarkS > 0 && !placement.RunningSince.IsZero() && placement.HaltedAt.IsZero()
-		if saves && leftS < spec.SaveS+2*r.state.Platform.Params.Workers.ReportS+1 {
-			r.state.HaltTask(placement, spec.SaveS+1)
+		saves := spec.CheckpointIntervalS > 0 && !placement.RunningSince.IsZero() && placement.HaltedAt.IsZero()
+		if saves && leftS < spec.CheckpointSaveS+2*r.state.Platform.Params.Workers.ReportS+1 {
+			r.state.HaltTask(placement, spec.CheckpointSaveS+1)
 		}
 	}
 }
--- a/internal/reconcile/responsive.go
+++ b/internal/reconcile/responsive.go
@@ -47,7 +47,7 @@
 // take one task after the other for nothing until its lease expires, and again. It gets no work
 // until it responds to a poll, or reports a start. No placement is settled by this.
 func (r *Reconciler) checkResponsive(worker *jobstate.Worker, now time.Time) {
-	responsive := worker.CommandObserved || worker.View.Asked
+	responsive := worker.CommandObserved || worker.View.Polled
 	worker.CommandObserved = false
 	if responsive {
 		r.markResponsive(worker)
@@ -61,7 +61,7 @@
 	if worker.UnresponsiveReports++; worker.UnresponsiveReports >= unresponsiveReports && worker.UnresponsiveSince.IsZero() {
 		worker.UnresponsiveSince = now.Add(-timeout)
 		worker.RecentLost++
-		r.log.Info("worker unresponsive to commands", "worker", worker.Name, "controller", worker.View.Holder, "for_s", now.Sub(since).Seconds())
+		r.log.Info("worker unresponsive to commands", "worker", worker.Name, "controller", worker.View.Dispatcher, "for_s", now.Sub(since).Seconds())
 	}
 }
 
@@ -115,8 +115,8 @@
 	return config.Seconds(2 + 1.5*r.state.Platform.Params.Workers.ReportS)
 }
 
-// WorkerAnswered notes that a worker responded to a poll, by whichever controller.
-func (r *Reconciler) WorkerAnswered(name string) {
+// WorkerResponded notes that a worker responded to a poll, by whichever controller.
+func (r *Reconciler) WorkerResponded(name string) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
 	if worker := r.state.Workers[name]; worker != nil {
--- a/internal/reconcile/sweep.go
+++ b/internal/reconcile/sweep.go
@@ -9,11 +9,11 @@
 // forgetAfter is for how long an idle worker must not have been seen to be forgotten.
 const forgetAfter = 10 * time.Minute
 
-// Sweep repeats what may have been lost on the way: halts of tasks that are not to run any
+// RepeatUnconfirmed repeats what may have been lost on the way: halts of tasks that are not to run any
 // more, and writes that were not urgent. It stops tasks that exceed their time limit, and
 // forgets workers that were not seen for long. It is to be called about once a second; the
 // caller holds the state's Mu.
-func (r *Reconciler) Sweep() {
+func (r *Reconciler) RepeatUnconfirmed() {
 	for _, job := range r.state.JobOrder {
 		r.state.StopOverTime(job)
 		r.haltNeedless(job)
@@ -35,7 +35,7 @@
 	for _, placements := range job.Placements {
 		// Halting may take a placement out of the list.
 		for _, placement := range append([]*jobstate.Placement(nil), placements...) {
-			if !placement.Exited && (job.Cancelled || placement.Chunk.IsDone(placement.Task)) {
+			if !placement.Exited && (job.Cancelled || placement.Chunk.IsOver(placement.Task)) {
 				r.state.HaltTask(placement, 0)
 			}
 		}
