--- a/internal/reconcile/task_reported.go
+++ b/internal/reconcile/task_reported.go
@@ -66,7 +66,7 @@
 	}
 	if placement.State != jobstate.PlacementReported {
 		r.startReported(worker, placement, view)
-	} else if placement.SentTo != worker.View.Holder || view.Unknown && time.Since(placement.SentAt) > assignAgain {
+	} else if placement.SentTo != worker.View.Dispatcher || view.Unknown && time.Since(placement.SentAt) > assignAgain {
 		// What was sent may have come when the dispatcher had an older report, which did not
 		// list the task: it took the worker to be full as long as the task ran, and what was
 		// queued there never started.
@@ -83,7 +83,7 @@
 		job.RecordBegin(placement.RunningSince)
 		job.Constraints.RecordStart(placement.RunningSince)
 	}
-	if job.Cancelled || placement.Chunk.IsDone(placement.Task) {
+	if job.Cancelled || placement.Chunk.IsOver(placement.Task) {
 		r.state.HaltTask(placement, 0)
 	}
 }
@@ -103,7 +103,7 @@
 	if !placement.MayRun() {
 		r.log.Error("task runs without a grant", "task", placement.Ref.Task, "worker", worker.Name, "attempt", placement.Attempt,
 			"state", placement.State, "sent_to", placement.SentTo, "age_s", time.Since(placement.CreatedAt).Seconds(),
-			"controller", worker.View.Holder, "fencing_token", worker.View.Token, "reported", view.State, "for_s", view.ForS, "halted_at", placement.LastHaltAt)
+			"controller", worker.View.Dispatcher, "fencing_token", worker.View.Token, "reported", view.State, "for_s", view.ForS, "halted_at", placement.LastHaltAt)
 	}
 	unconfirmed := placement.State == jobstate.PlacementUnconfirmed
 	worker.CommandObserved = worker.CommandObserved || placement.State == jobstate.PlacementGranted
@@ -111,7 +111,7 @@
 	r.state.CountUse(placement, -1)
 	placement.State, placement.Session = jobstate.PlacementReported, worker.View.Session
 	r.state.CountUse(placement, 1)
-	if unconfirmed || placement.SentTo != worker.View.Holder {
+	if unconfirmed || placement.SentTo != worker.View.Dispatcher {
 		r.state.AssignPlacement(placement, true)
 	}
 }
@@ -122,13 +122,13 @@
 	if len(r.state.Loaded) < r.state.Operator.Shards {
 		return false
 	}
-	_, ended := r.state.Final[uid]
+	_, ended := r.state.FinalRecords[uid]
 	return ended || time.Since(r.state.LoadedAt) >= acceptanceDelay
 }
 
 // endUnknownTask stops or clears a task that has no placement in the state.
 func (r *Reconciler) endUnknownTask(worker *jobstate.Worker, ref dispatch.TaskRef, view *dispatch.TaskView) {
-	instructions := r.state.InstructionsFor(worker.View.Holder)
+	instructions := r.state.InstructionsFor(worker.View.Dispatcher)
 	if view.State == wire.TaskExited {
 		// The placement is gone, and with it which tokens its start commands carry: a clear
 		// whose message was lost is repeated here, and a start that was held up came later.
@@ -146,8 +146,8 @@
 	placement.ExitCause = view.Cause
 	if view.Cause == wire.CauseDone {
 		r.recordSuccess(worker, placement)
-		if !job.Spec.Service() && !placement.Chunk.IsDone(placement.Task) {
-			placement.Chunk.SetDone(placement.Task)
+		if !job.Spec.Service() && !placement.Chunk.IsOver(placement.Task) {
+			placement.Chunk.SetOver(placement.Task)
 			job.Done++
 			job.RecordBegin(time.Now())
 			r.state.FinishTask(placement)
@@ -180,8 +180,8 @@
 	ranS := time.Since(placement.RunningSince).Seconds()
 	job.RunTimes.Add(ranS)
 	job.Class.RunTimes.Add(ranS)
-	if job.Spec.Estimate > 0 {
-		ratio := min(mostRatio, max(leastRatio, ranS/job.Spec.Estimate))
+	if job.Spec.EstimateS > 0 {
+		ratio := min(mostRatio, max(leastRatio, ranS/job.Spec.EstimateS))
 		job.Class.EstimateRatio += estimateWeight * (ratio - job.Class.EstimateRatio)
 	}
 }
--- a/internal/reconcile/task_unreported.go
+++ b/internal/reconcile/task_unreported.go
@@ -51,7 +51,7 @@
 		// Perhaps a late command: a newer token settles it. Only what is to stop is halted:
 		// the report may be older than the start, and a halt would end a task that a
 		// predecessor started after it.
-		instructions := r.state.InstructionsFor(worker.View.Holder)
+		instructions := r.state.InstructionsFor(worker.View.Dispatcher)
 		instructions.RaiseTokenAbove = max(instructions.RaiseTokenAbove, placement.MaxToken)
 		if (placement.Job.Cancelled || !placement.LastHaltAt.IsZero()) && time.Since(placement.LastHaltAt) > haltAgain {
 			placement.LastHaltAt = time.Now()
@@ -64,7 +64,7 @@
 // assignIfDue sends a placement to the worker's dispatcher if it was sent to another one, or
 // long enough ago for the dispatcher to show it if it had come.
 func (r *Reconciler) assignIfDue(worker *jobstate.Worker, placement *jobstate.Placement) {
-	if placement.SentTo != worker.View.Holder || time.Since(placement.SentAt) > assignAgain {
+	if placement.SentTo != worker.View.Dispatcher || time.Since(placement.SentAt) > assignAgain {
 		r.state.AssignPlacement(placement, false)
 	}
 }
@@ -86,8 +86,8 @@
 		r.state.CountUse(placement, -1)
 		placement.State, placement.GrantedAt = jobstate.PlacementRecorded, time.Time{}
 		r.state.CountUse(placement, 1)
-	case now.Sub(placement.GrantedAt) > grantedFor && worker.View.Holder != "":
-		instructions := r.state.InstructionsFor(worker.View.Holder)
+	case now.Sub(placement.GrantedAt) > grantedFor && worker.View.Dispatcher != "":
+		instructions := r.state.InstructionsFor(worker.View.Dispatcher)
 		instructions.RaiseTokenAbove = max(instructions.RaiseTokenAbove, placement.MaxToken)
 		jobstate.Notify(r.state.SendSignal)
 	}
@@ -105,7 +105,7 @@
 	if err != nil || r.state.Jobs[uid] == nil && !r.surelyEnded(uid) {
 		return
 	}
-	instructions := r.state.InstructionsFor(worker.View.Holder)
+	instructions := r.state.InstructionsFor(worker.View.Dispatcher)
 	instructions.Halt = append(instructions.Halt, dispatch.Halt{TaskRef: ref})
 	jobstate.Notify(r.state.SendSignal)
 }
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -26,8 +26,8 @@
 		}
 		if unseenFor >= atLeast {
 			unresponsive = append(unresponsive, reachability.UnresponsiveWorker{
-				Name: name, Endpoint: worker.View.Endpoint, SilentFor: unseenFor, Busy: len(worker.Placements) > 0,
-				OutboundLost: outboundLost, UnheardSinceFailover: worker.LastHeartbeat.Before(worker.KnownSince),
+				Name: name, Endpoint: worker.View.Endpoint, UnheardFor: unseenFor, Busy: len(worker.Placements) > 0,
+				OutboundLost: outboundLost, NotHeardSinceFailover: worker.LastHeartbeat.Before(worker.KnownSince),
 			})
 		}
 	}
@@ -54,7 +54,7 @@
 	defer r.state.Mu.Unlock()
 	endpoints := map[string]string{}
 	for name, worker := range r.state.Workers {
-		if worker.View.Endpoint != "" && worker.View.Holder != r.state.Platform.Node {
+		if worker.View.Endpoint != "" && worker.View.Dispatcher != r.state.Platform.Node {
 			endpoints[name] = worker.View.Endpoint
 		}
 	}
@@ -81,7 +81,7 @@
 	defer r.state.Mu.Unlock()
 	endpoints := map[string]string{}
 	for _, worker := range r.workersWithUnstopped(after) {
-		if worker.View.Endpoint != "" && !worker.Gone {
+		if worker.View.Endpoint != "" && !worker.Removed {
 			endpoints[worker.Name] = worker.View.Endpoint
 		}
 	}
--- a/internal/reconcile/worker_lost.go
+++ b/internal/reconcile/worker_lost.go
@@ -6,9 +6,9 @@
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// WorkerGone ends every placement on a worker that the cloud has deleted, and forgets the
+// WorkerDeleted ends every placement on a worker that the cloud has deleted, and forgets the
 // worker. Its name never comes back; late views of it are ignored.
-func (r *Reconciler) WorkerGone(name string) {
+func (r *Reconciler) WorkerDeleted(name string) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
 	r.deleted.ContainsOrAdd(name, struct{}{})
@@ -16,7 +16,7 @@
 	if worker == nil {
 		return
 	}
-	worker.Gone = true
+	worker.Removed = true
 	r.endLost(worker, time.Now())
 	r.forgetWorker(worker)
 }
--- a/internal/rollout/health_checks.go
+++ b/internal/rollout/health_checks.go
@@ -65,7 +65,7 @@
 
 // observe starts the checks that are due, as far as there are slots, and returns what is known
 // of a job's replicas.
-func (c *healthChecks) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (seen JobSeen) {
+func (c *healthChecks) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (seen JobStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, replica := range replicas {
--- a/internal/rollout/manager_test.go
+++ b/internal/rollout/manager_test.go
@@ -27,21 +27,21 @@
 		s.begin("v2", func(x *rollout.Spec) { x.Steps = []string{"1", "50%", "100%"} })
 		held := 0.0 // room for what was retired is kept until the roll-out is over
 		s.until("unhealthy", 5*time.Minute, func(r *rollout.Run) bool {
-			held = max(held, s.managers["a"].Held())
+			held = max(held, s.managers["a"].ReservedCPUs())
 			return r.ID == 2 && r.Phase == rollout.RollingBack
 		})
 		if took := s.until("restored", time.Minute, final(2)); took > time.Minute {
 			t.Errorf("restored after %v", took)
 		}
 		r := s.run()
-		if r.Phase != rollout.Restored || !strings.Contains(r.Why, "/1") || s.most["v2"] == 8 {
-			t.Errorf("%s: %s; %d of the new version", r.Phase, r.Why, s.most["v2"])
+		if r.Phase != rollout.Restored || !strings.Contains(r.Reason, "/1") || s.most["v2"] == 8 {
+			t.Errorf("%s: %s; %d of the new version", r.Phase, r.Reason, s.most["v2"])
 		}
 		if s.least < 8 {
 			t.Errorf("only %d healthy replicas of 8 on the way", s.least)
 		}
-		if held < 1 || s.managers["a"].Held() != 0 {
-			t.Errorf("held %v CPUs, and %v in the end", held, s.managers["a"].Held())
+		if held < 1 || s.managers["a"].ReservedCPUs() != 0 {
+			t.Errorf("held %v CPUs, and %v in the end", held, s.managers["a"].ReservedCPUs())
 		}
 		past, err := s.managers["a"].History(context.Background(), "tips")
 		if err != nil || len(past) != 2 || past[1].Phase != rollout.Restored {
@@ -70,8 +70,8 @@
 		s.begin("v2", nil)
 		s.until("paused", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.Paused })
 		time.Sleep(10 * time.Minute)
-		if r := s.run(); r.Phase != rollout.Paused || !strings.Contains(r.Why, "hangs") || !strings.Contains(r.Why, "/0") || s.most["v2"] != 1 {
-			t.Errorf("%s: %s", r.Phase, r.Why)
+		if r := s.run(); r.Phase != rollout.Paused || !strings.Contains(r.Reason, "hangs") || !strings.Contains(r.Reason, "/0") || s.most["v2"] != 1 {
+			t.Errorf("%s: %s", r.Phase, r.Reason)
 		}
 		hang.Store(false)
 		if _, err := s.managers["a"].Order(context.Background(), "tips", rollout.VerbResume); err != nil {
@@ -202,7 +202,7 @@
 		t.Errorf("%s, bad %v: %v are left", fault, bad, left)
 	}
 	if r.Phase != want || running != 4 {
-		t.Errorf("%s, bad %v: %s (%s) with %d replicas", fault, bad, r.Phase, r.Why, running)
+		t.Errorf("%s, bad %v: %s (%s) with %d replicas", fault, bad, r.Phase, r.Reason, running)
 	}
 	s.close()
 }
--- a/internal/rollout/operations.go
+++ b/internal/rollout/operations.go
@@ -115,7 +115,7 @@
 func (m *Manager) Order(ctx context.Context, service, verb string) (*Run, error) {
 	for attempt := 0; ; attempt++ {
 		run, err := m.order(ctx, service, verb)
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		if !errors.As(err, &conflict) || attempt == maxOrderRetries {
 			return run, err
 		}
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -33,7 +33,7 @@
 	return wire.Job{
 		UID: "j-1", Class: "svc", Team: "risk", Kind: "service", Priority: "high", Tasks: 4, CPUs: 1.5, GPUs: 0.5, MemoryGB: 2.25,
 		Image: "img", ImageGB: 0.75, Types: []string{"large", "small"}, Zone: &zone, OneZone: true, Spread: true, Spot: true,
-		Estimate: 60, MarkS: 5, SaveS: 6, DueS: &due,
+		EstimateS: 60, CheckpointIntervalS: 5, CheckpointSaveS: 6, DueS: &due,
 	}
 }
 
@@ -57,7 +57,7 @@
 func fullRun() Run {
 	return Run{
 		ID: 3, Spec: fullSpec(), From: fullVersion("v1"), Targets: []int{1, 2, 8}, Step: 1, Phase: RollingBack, Resume: Soaking,
-		Why: "j-svc-tips-3-1/0 is <unhealthy> & é", Outcome: Restored,
+		Reason: "j-svc-tips-3-1/0 is <unhealthy> & é", Outcome: Restored,
 		New: batches("v2", "j-svc-tips-3-1", "j-svc-tips-3-2"), Old: batches("v1", "j-svc-tips-2-1"),
 		Restore: batches("v1", "j-svc-tips-3-4"), Drop: batches("v2", "j-svc-tips-3-3"),
 		Lost: 2, Seq: 4, Since: 1700000000123, Verdict: 1700000000456, Begun: 1700000000001, Ended: 1700000000789,
@@ -78,8 +78,8 @@
 	recorded.Check(t, "service", fullService())
 	recorded.Check(t, "service_least", Service{})
 	run := fullRun()
-	recorded.Check(t, "status", Status{Service: fullService(), Run: &run, Jobs: map[string]JobSeen{
-		"j-svc-tips-3-1": {Gone: true, Running: 3, Healthy: 2, Unhealthy: "j-svc-tips-3-1/0", Hung: "j-svc-tips-3-1/1"},
+	recorded.Check(t, "status", Status{Service: fullService(), Run: &run, Jobs: map[string]JobStatus{
+		"j-svc-tips-3-1": {Ended: true, Running: 3, Healthy: 2, Unhealthy: "j-svc-tips-3-1/0", Hung: "j-svc-tips-3-1/1"},
 		"j-svc-tips-3-2": {},
 	}})
 	recorded.Check(t, "status_least", Status{})
@@ -141,7 +141,7 @@
 	}
 	reader := manager()
 	reader.reset(items)
-	if want := []Status{{Service: service, Run: &run, Jobs: map[string]JobSeen{}}}; !reflect.DeepEqual(reader.Statuses(), want) {
+	if want := []Status{{Service: service, Run: &run, Jobs: map[string]JobStatus{}}}; !reflect.DeepEqual(reader.Statuses(), want) {
 		t.Errorf("read as %+v, want %+v", reader.Statuses(), want)
 	}
 	if past, err := reader.History(t.Context(), "tips"); err != nil || !reflect.DeepEqual(past, []Run{run}) {
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -28,7 +28,7 @@
 
 	submitted map[string]bool // jobs known to be accepted
 	cancelled map[string]bool // jobs known to be cancelled
-	jobs      map[string]JobSeen
+	jobs      map[string]JobStatus
 }
 
 // active reports whether a roll-out is under way.
@@ -73,7 +73,7 @@
 func (m *Manager) entryLocked(name string) *entry {
 	e := m.entries[name]
 	if e == nil {
-		e = &entry{submitted: map[string]bool{}, cancelled: map[string]bool{}, jobs: map[string]JobSeen{}}
+		e = &entry{submitted: map[string]bool{}, cancelled: map[string]bool{}, jobs: map[string]JobStatus{}}
 		m.entries[name] = e
 	}
 	return e
--- a/internal/rollout/run.go
+++ b/internal/rollout/run.go
@@ -54,7 +54,7 @@
 	Step    int     `json:"step"`    // index of the step in progress
 	Phase   Phase   `json:"phase"`
 	Resume  Phase   `json:"resume,omitempty"` // of a paused one
-	Why     string  `json:"why,omitempty"`
+	Reason  string  `json:"why,omitempty"`
 	Outcome Phase   `json:"outcome,omitempty"` // that a roll-back ends in
 	New     []Batch `json:"new"`               // submitted, or to be
 	Old     []Batch `json:"old"`               // not retired
@@ -84,7 +84,7 @@
 
 // enter begins a phase.
 func (r *Run) enter(p Phase, why string, now time.Time) {
-	r.Phase, r.Why, r.Since = p, why, now.UnixMilli()
+	r.Phase, r.Reason, r.Since = p, why, now.UnixMilli()
 	if p.Final() {
 		r.Ended = r.Since
 	}
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -65,7 +65,7 @@
 
 func (s controllerView) Submit(ctx context.Context, job *wire.Job, guards ...wire.Guard) error {
 	_, err := s.view.Txn(ctx, append(guards, wire.Guard{Key: "live/" + job.UID}), wire.Op{Put: "live/" + job.UID, Value: job.Tasks})
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) && conflict.Has("live/"+job.UID) {
 		return nil
 	}
@@ -277,7 +277,7 @@
 			return time.Since(began)
 		}
 		if time.Since(began) > most {
-			s.t.Fatalf("not %s after %v: %s, step %d: %s; new %v, old %v, drop %v, restore %v", what, most, r.Phase, r.Step, r.Why, r.New, r.Old, r.Drop, r.Restore)
+			s.t.Fatalf("not %s after %v: %s, step %d: %s; new %v, old %v, drop %v, restore %v", what, most, r.Phase, r.Step, r.Reason, r.New, r.Old, r.Drop, r.Restore)
 		}
 		s.count()
 		time.Sleep(100 * time.Millisecond)
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -17,9 +17,9 @@
 	maxLosses = 3
 )
 
-// JobSeen is the observed state of a batch's job.
-type JobSeen struct {
-	Gone      bool   `json:"Gone"` // it is cancelled, or was never accepted and never will be
+// JobStatus is the observed state of a batch's job.
+type JobStatus struct {
+	Ended     bool   `json:"Gone"` // it is cancelled, or was never accepted and never will be
 	Running   int    `json:"Running"`
 	Healthy   int    `json:"Healthy"`
 	Unhealthy string `json:"Unhealthy"` // a replica found unhealthy, or ""
@@ -28,7 +28,7 @@
 
 // Seen is the observed state that a roll-out goes on by.
 type Seen struct {
-	Jobs    map[string]JobSeen
+	Jobs    map[string]JobStatus
 	Blocked string // why no step may begin now, or ""
 }
 
@@ -59,7 +59,7 @@
 
 // ended reports whether the jobs of all batches are cancelled.
 func (s *Seen) ended(batches []Batch) bool {
-	return !slices.ContainsFunc(batches, func(batch Batch) bool { return !s.Jobs[batch.UID].Gone })
+	return !slices.ContainsFunc(batches, func(batch Batch) bool { return !s.Jobs[batch.UID].Ended })
 }
 
 // Wanted returns what a recorded roll-out needs done, repeated until it is observed: jobs that
@@ -74,7 +74,7 @@
 	switch r.Phase {
 	case Pending, WaitingSlot:
 		if seen.Blocked != "" && !r.Spec.Anytime {
-			if r.Phase == WaitingSlot && r.Why == seen.Blocked {
+			if r.Phase == WaitingSlot && r.Reason == seen.Blocked {
 				return false
 			}
 			r.enter(WaitingSlot, seen.Blocked, now)
@@ -206,7 +206,7 @@
 	case len(r.New) == 0 && restored && seen.ended(r.Drop):
 		service.Version, service.Batches = r.From, kept
 		r.Drop = nil
-		r.enter(r.Outcome, r.Why, now)
+		r.enter(r.Outcome, r.Reason, now)
 		return true
 	}
 	return false
@@ -225,7 +225,7 @@
 	case r.Phase.Final():
 		return fmt.Errorf("%w: roll-out %d of %s is over: %s", ErrInput, r.ID, r.Spec.Service, r.Phase)
 	case verb == VerbPause && r.Phase == Paused:
-		return fmt.Errorf("%w: it is paused already: %s", ErrInput, r.Why)
+		return fmt.Errorf("%w: it is paused already: %s", ErrInput, r.Reason)
 	case verb == VerbPause && r.Phase == RollingBack, verb == VerbAbort && r.Phase == RollingBack:
 		return fmt.Errorf("%w: it is rolling back, which is not stopped", ErrInput)
 	case verb == VerbPause:
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -123,12 +123,12 @@
 }
 
 func (w *world) seen() *rollout.Seen {
-	s := &rollout.Seen{Jobs: map[string]rollout.JobSeen{}}
+	s := &rollout.Seen{Jobs: map[string]rollout.JobStatus{}}
 	if w.blocked {
 		s.Blocked = "slot"
 	}
 	for uid, n := range w.jobs {
-		j := rollout.JobSeen{Running: n - w.lost[uid]}
+		j := rollout.JobStatus{Running: n - w.lost[uid]}
 		switch {
 		case w.of[uid] == w.bad:
 			j.Unhealthy = uid
@@ -140,7 +140,7 @@
 		s.Jobs[uid] = j
 	}
 	for uid := range w.ended {
-		s.Jobs[uid] = rollout.JobSeen{Gone: true}
+		s.Jobs[uid] = rollout.JobStatus{Ended: true}
 	}
 	return s
 }
@@ -287,7 +287,7 @@
 // checkEnd checks that the roll-out has ended, and that just what is recorded runs.
 func (w *world) checkEnd(t *rapid.T) {
 	if !w.run.Phase.Final() {
-		t.Fatalf("ends in %s: %s", w.run.Phase, w.run.Why)
+		t.Fatalf("ends in %s: %s", w.run.Phase, w.run.Reason)
 	}
 	all := 0
 	for _, b := range w.svc.Batches {
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -10,10 +10,10 @@
 	"github.com/goccy/go-json"
 )
 
-// Held is the capacity, in CPUs, that the old versions' replicas of unfinished roll-outs had
+// ReservedCPUs is the capacity, in CPUs, that the old versions' replicas of unfinished roll-outs had
 // and have given up: it is reserved until the roll-out has ended, so that a roll-back finds
 // room at once.
-func (m *Manager) Held() (cpus float64) {
+func (m *Manager) ReservedCPUs() (cpus float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range m.entries {
@@ -26,9 +26,9 @@
 
 // Status is a service as operators see it.
 type Status struct {
-	Service Service            `json:"service"`
-	Run     *Run               `json:"run,omitempty"`
-	Jobs    map[string]JobSeen `json:"jobs,omitempty"` // as the leader last observed them; else empty
+	Service Service              `json:"service"`
+	Run     *Run                 `json:"run,omitempty"`
+	Jobs    map[string]JobStatus `json:"jobs,omitempty"` // as the leader last observed them; else empty
 }
 
 // Statuses returns the recorded services, sorted by name. Their runs must not be changed.
@@ -38,7 +38,7 @@
 	out := []Status{}
 	for _, e := range m.entries {
 		if e.serviceVersion != 0 {
-			jobs := make(map[string]JobSeen, len(e.jobs))
+			jobs := make(map[string]JobStatus, len(e.jobs))
 			maps.Copy(jobs, e.jobs)
 			out = append(out, Status{e.service, e.run, jobs})
 		}
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -40,20 +40,20 @@
 	if err := m.write(ctx, name, &next, lead); err != nil {
 		return err
 	}
-	m.log.Info("roll-out", "service", name, "id", run.ID, "was", was, "phase", run.Phase, "step", run.Step+1, "of", len(run.Targets), "why", run.Why)
+	m.log.Info("roll-out", "service", name, "id", run.ID, "was", was, "phase", run.Phase, "step", run.Step+1, "of", len(run.Targets), "why", run.Reason)
 	return nil
 }
 
 // observe checks the replicas of submitted batches, and returns what is known of all jobs.
-func (m *Manager) observe(checkCtx context.Context, now time.Time, e *entry, check Check, submitted, dropped []Batch) map[string]JobSeen {
-	jobs := map[string]JobSeen{}
+func (m *Manager) observe(checkCtx context.Context, now time.Time, e *entry, check Check, submitted, dropped []Batch) map[string]JobStatus {
+	jobs := map[string]JobStatus{}
 	for _, batch := range submitted {
 		jobs[batch.UID] = m.checks.observe(checkCtx, now, m.core.Replicas(batch.UID), check)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, batch := range dropped {
-		jobs[batch.UID] = JobSeen{Gone: e.cancelled[batch.UID]}
+		jobs[batch.UID] = JobStatus{Ended: e.cancelled[batch.UID]}
 	}
 	e.jobs = jobs
 	return jobs
--- a/internal/rolloutapi/core.go
+++ b/internal/rolloutapi/core.go
@@ -48,7 +48,7 @@
 // Lead returns the condition under which this controller drives roll-outs; false if another
 // one does.
 func (c *core) Lead() (wire.Guard, bool) {
-	version, owns := c.Member.OwnsShard(firstShard)
+	version, owns := c.Member.LeadsShard(firstShard)
 	return wire.Guard{Key: c.Member.ShardKey(firstShard), Version: version}, owns && c.Scheduler.LeadsAutoscaling()
 }
 
@@ -91,7 +91,7 @@
 func (c *core) Replicas(uid string) []rollout.Replica {
 	var out []rollout.Replica
 	for _, task := range c.Scheduler.RunningTasks(uid) {
-		if endpoint := c.Dispatcher.Endpoint(task.Machine); endpoint != "" {
+		if endpoint := c.Dispatcher.Endpoint(task.Worker); endpoint != "" {
 			out = append(out, rollout.Replica{Task: task.Task, Attempt: task.Attempt, Endpoint: endpoint})
 		}
 	}
--- a/internal/rolloutapi/service.go
+++ b/internal/rolloutapi/service.go
@@ -33,7 +33,7 @@
 
 // Leaders knows which other controllers lead shards.
 type Leaders interface {
-	ShardOwners() []string
+	ShardLeaders() []string
 }
 
 // Service is the operators' interface of roll-outs. It is safe for concurrent use.
@@ -55,7 +55,7 @@
 func (s *Service) Run(ctx context.Context) error { return s.manager.Run(ctx) }
 
 // ReservedCPUs returns the CPUs to be kept for versions that may have to come back.
-func (s *Service) ReservedCPUs() float64 { return s.manager.Held() }
+func (s *Service) ReservedCPUs() float64 { return s.manager.ReservedCPUs() }
 
 // RegisterMethods adds what peers call. Call it before the mesh serves.
 func (s *Service) RegisterMethods(m *mesh.Mesh) {
@@ -126,7 +126,7 @@
 // or else as they are known here.
 func (s *Service) statuses(ctx context.Context) []rollout.Status {
 	if !s.scheduler.LeadsAutoscaling() {
-		for _, leader := range s.leaders.ShardOwners() {
+		for _, leader := range s.leaders.ShardLeaders() {
 			if reply, err := mesh.Call[struct{}, []rollout.Status](ctx, s.mesh, leader, Method, &struct{}{}); err == nil {
 				return *reply
 			}
@@ -138,7 +138,7 @@
 // write writes a result, or what its error means to operators.
 func write(w http.ResponseWriter, result any, err error) {
 	status := http.StatusOK
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	switch {
 	case errors.Is(err, rollout.ErrInput):
 		status, result = http.StatusUnprocessableEntity, wire.Problem{Error: err.Error()}
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -37,7 +37,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		_ = json.NewEncoder(w).Encode(wire.ReportAnswer{Token: s.token.Load()})
+		_ = json.NewEncoder(w).Encode(wire.ReportResponse{Token: s.token.Load()})
 	}))
 	t.Cleanup(controller.Close)
 	addr := strings.TrimPrefix(controller.URL, "http://")
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -87,7 +87,7 @@
 	var readings sync.WaitGroup
 	for i, c := range r.controllers {
 		readings.Go(func() {
-			reading, err := fetchUsage(client, c.Users)
+			reading, err := fetchUsage(client, c.Addr)
 			if err != nil {
 				c.usage.mu.Lock()
 				c.usage.failures++
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -31,8 +31,8 @@
 // Run is a run of the site. Do may be called once.
 type Run struct {
 	Settings *Settings
-	Dir      string     // for settings and logs
-	Start    local.Part // starts "wallrack ARGS"
+	Dir      string          // for settings and logs
+	Start    local.StartPart // starts "wallrack ARGS"
 	Log      *slog.Logger
 	Progress func(phase string, running, starts int) // once a second; may be nil
 
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -56,8 +56,8 @@
 	}
 	for i, c := range r.controllers {
 		c.Controller = files[i]
-		r.workers.bytes[c.Users] = &c.bytes
-		r.workers.controllers = append(r.workers.controllers, worker.Controller{Name: c.Name, Addr: c.Users})
+		r.workers.bytes[c.Addr] = &c.bytes
+		r.workers.controllers = append(r.workers.controllers, worker.Controller{Name: c.Name, Addr: c.Addr})
 	}
 	front := local.NewFront(files, r.Dir)
 	addr, err := serve(ctx, group, front)
@@ -140,7 +140,7 @@
 	for _, zone := range r.zones {
 		for {
 			r.provisions++
-			names, err := r.cloud.Provision(&wire.HireRequest{Name: fmt.Sprintf("scale-run-%d", r.provisions), Type: machineType, Zone: zone, Number: maxProvision})
+			names, err := r.cloud.Provision(&wire.ProvisionRequest{Name: fmt.Sprintf("scale-run-%d", r.provisions), Type: machineType, Zone: zone, Number: maxProvision})
 			total += len(names)
 			if err != nil { // the zone is full
 				break
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -39,13 +39,13 @@
 	u.number++
 	job := &job{Job: &wire.Job{
 		UID: fmt.Sprintf("j-%s-%07d", class, u.number), Class: class, Team: team, Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
-		CPUs: s.TaskCPUs, MemoryGB: 0.1, Image: "image-" + class, ImageGB: s.FetchS * fetchGBPerS, Estimate: s.RunS,
+		CPUs: s.TaskCPUs, MemoryGB: 0.1, Image: "image-" + class, ImageGB: s.FetchS * fetchGBPerS, EstimateS: s.RunS,
 	}, run: seconds(s.RunS), intended: intended}
 	switch class {
 	case classUrgent:
 		job.Priority = priorityUrgent
 	case classService:
-		job.Kind, job.Priority, job.Estimate, job.run = wire.KindService, "production", 0, 0
+		job.Kind, job.Priority, job.EstimateS, job.run = wire.KindService, "production", 0, 0
 	}
 	return job
 }
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -49,13 +49,13 @@
 		Controllers: w.controllers, ReportEvery: seconds(w.settings.ReportS), Log: w.log,
 		Transport: &reportTransport{&h.link, base, w.bytes},
 	}
-	id := worker.Ident{
+	id := worker.Identity{
 		Name: m.Name, Endpoint: listener.Addr().String(), Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 		Size: matching.Resources{CPUs: t.CPUs, MemoryGB: t.MemoryGB}, Lease: seconds(w.settings.LeaseS),
 	}
 	run := &runner{name: m.Name, track: w.track, fetch: seconds(w.settings.FetchS), images: map[string]bool{}}
 	h.state = worker.New(id, run, run, agent.Changed, w.log)
-	agent.Machine = h.state
+	agent.State = h.state
 	h.server = &http.Server{ReadHeaderTimeout: readHeaderTimeout, Handler: h.serve(agent.Handler())}
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
--- a/internal/scheduler/api.go
+++ b/internal/scheduler/api.go
@@ -22,11 +22,11 @@
 	return s.reconciler.GrantAll(requests)
 }
 
-// WorkerAnswered notes that a worker responded to a request of any controller.
-func (s *Scheduler) WorkerAnswered(name string) { s.reconciler.WorkerAnswered(name) }
+// WorkerResponded notes that a worker responded to a request of any controller.
+func (s *Scheduler) WorkerResponded(name string) { s.reconciler.WorkerResponded(name) }
 
-// WorkerGone ends every placement on a worker that the cloud has deleted.
-func (s *Scheduler) WorkerGone(name string) { s.reconciler.WorkerGone(name) }
+// WorkerDeleted ends every placement on a worker that the cloud has deleted.
+func (s *Scheduler) WorkerDeleted(name string) { s.reconciler.WorkerDeleted(name) }
 
 // LeaseAttestedExpired ends what was placed before a time on a worker whose lease no controller
 // has renewed since, as all of them attest.
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -75,7 +75,7 @@
 func BenchmarkLargeArray(b *testing.B) {
 	for b.Loop() {
 		cluster := newCluster(b, 50, 0)
-		cluster.scheduler.JobAccepted(&wire.Job{UID: "j-big", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 100_000, CPUs: 1, Estimate: 30, Spot: true},
+		cluster.scheduler.JobAccepted(&wire.Job{UID: "j-big", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 100_000, CPUs: 1, EstimateS: 30, Spot: true},
 			&jobspec.Constraints{Number: 1, Array: "0-99999", MaxConcurrent: 20}, 0, time.Now().UnixMilli(), 1)
 		cluster.scheduler.Pass()
 		tasks, pages := 0, 0
--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -55,16 +55,16 @@
 // writeCancel writes the record of a job, which has the version, as cancelled, and takes it
 // into the state if this controller leads the job's shard.
 func (s *Scheduler) writeCancel(ctx context.Context, record *jobrecord.LiveRecord, version uint64, reason string) error {
-	shardVersion, leads := s.state.Member.OwnsShard(record.Shard)
+	shardVersion, leads := s.state.Membership.LeadsShard(record.Shard)
 	job, err := s.noteCancelSent(record, version, shardVersion, leads)
 	if err != nil {
 		return err
 	}
 	record.Cancelled = true
-	if record.Terms != nil {
-		constraints := *record.Terms // the job in the state has the other
+	if record.Constraints != nil {
+		constraints := *record.Constraints // the job in the state has the other
 		constraints.CancelReason = reason
-		record.Terms = &constraints
+		record.Constraints = &constraints
 	}
 	revision, err := s.writeLive(ctx, record, version, shardVersion)
 	if job != nil && surelyFailed(err) {
--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -55,7 +55,7 @@
 // A cancel that surely failed leaves the job's state known as it was; one without a response does
 // not, until the job's record is seen to be another.
 func TestOnlyCancelWithUnknownOutcomeMakesJobStateUnknown(t *testing.T) {
-	shardTaken := &statestore.Conflict{Keys: []string{"c/shard/000"}}
+	shardTaken := &statestore.ConflictError{Keys: []string{"c/shard/000"}}
 	for _, c := range []struct {
 		name     string
 		outcomes []error // of the cancels, one after the other
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -93,7 +93,7 @@
 	for i := range tasks / 20 {
 		c.scheduler.JobAccepted(&wire.Job{
 			UID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 20,
-			CPUs: 4, MemoryGB: 4, Image: "i", ImageGB: 0.01, Estimate: 30, Spot: true,
+			CPUs: 4, MemoryGB: 4, Image: "i", ImageGB: 0.01, EstimateS: 30, Spot: true,
 		}, nil, 0, time.Now().UnixMilli(), uint64(i+1))
 	}
 }
@@ -124,7 +124,7 @@
 	for i := range jobs {
 		cluster.scheduler.JobAccepted(&wire.Job{
 			UID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1,
-			CPUs: 16, MemoryGB: 4, Estimate: 30, Spot: true,
+			CPUs: 16, MemoryGB: 4, EstimateS: 30, Spot: true,
 		}, nil, 0, time.Now().UnixMilli(), uint64(i+1))
 	}
 	cluster.placeAll(tb, jobs, jobs)
@@ -134,7 +134,7 @@
 	done := map[string][]dispatch.TaskView{}
 	for i := range jobs {
 		for _, ref := range cluster.scheduler.PlacementsOf(fmt.Sprintf("j-%06d", i)) {
-			done[ref.Machine] = append(done[ref.Machine], dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskExited, Cause: wire.CauseDone}})
+			done[ref.Worker] = append(done[ref.Worker], dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskExited, Cause: wire.CauseDone}})
 		}
 	}
 	for i := range cluster.views {
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -81,7 +81,7 @@
 		use := []matching.Allocation{{Resources: matching.Resources{CPUs: 12, MemoryGB: 12}, RemainingS: 20}}
 		cluster.views = append(cluster.views, dispatch.WorkerView{
 			Name: fmt.Sprintf("n-%06d", i), Type: "m", Zone: "z", Spot: i%3 > 0, Session: 1, Seq: 1,
-			Token: 7, Holder: "a", Matrix: matching.NewWaitMatrix(total, use, nil),
+			Token: 7, Dispatcher: "a", Matrix: matching.NewWaitMatrix(total, use, nil),
 		})
 		cluster.scheduler.ObserveWorker(cluster.views[i])
 	}
@@ -90,7 +90,7 @@
 		cluster.scheduler.JobAccepted(&wire.Job{
 			UID: fmt.Sprintf("j-%06d", i), Class: fmt.Sprintf("c%d", i%2), Team: "t", Kind: wire.KindArray,
 			Priority: []string{"normal", "urgent"}[i%2], Tasks: 100, CPUs: float64(2 + 6*(i%2)), MemoryGB: 3, Image: fmt.Sprintf("i%d", i%20),
-			ImageGB: 1, Estimate: 30, Spot: true, DueS: &due,
+			ImageGB: 1, EstimateS: 30, Spot: true, DueS: &due,
 		}, nil, 0, time.Now().UnixMilli(), uint64(i+1))
 	}
 	return cluster
@@ -108,7 +108,7 @@
 func (c *fakeCluster) acceptArray(tasks int) {
 	c.scheduler.JobAccepted(&wire.Job{
 		UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
-		CPUs: 2, MemoryGB: 1, Estimate: 5, Spot: true,
+		CPUs: 2, MemoryGB: 1, EstimateS: 5, Spot: true,
 	}, nil, 0, time.Now().UnixMilli(), 1)
 }
 
@@ -124,7 +124,7 @@
 	view.Seq++
 	view.Tasks, view.Queue, view.Matrix = tasks, nil, matching.NewWaitMatrix(total, uses, nil)
 	for _, ref := range c.scheduler.PlacementsOf("j-1") {
-		if ref.Machine == view.Name {
+		if ref.Worker == view.Name {
 			view.Queue = append(view.Queue, dispatch.QueueView{TaskRef: ref, WaitS: fullS})
 		}
 	}
@@ -134,7 +134,7 @@
 func (c *fakeCluster) Type(string) (wire.MachineType, bool)      { return machineType, true }
 func (c *fakeCluster) Name() string                              { return "a" }
 func (c *fakeCluster) LeaseRemaining() time.Duration             { return c.leaseRemaining }
-func (c *fakeCluster) OwnsShard(shard int) (uint64, bool)        { return 1, shard == 0 }
+func (c *fakeCluster) LeadsShard(shard int) (uint64, bool)       { return 1, shard == 0 }
 func (c *fakeCluster) NextToken(context.Context) (uint64, error) { return 7, nil }
 func (c *fakeCluster) ShardKey(int) string                       { return "c/shard/000" }
 
@@ -148,7 +148,7 @@
 func (c *fakeCluster) SendInstructions(_ context.Context, _ string, instructions dispatch.Instructions) (dispatch.Unlaunched, error) {
 	c.raiseTokenAbove = max(c.raiseTokenAbove, instructions.RaiseTokenAbove)
 	for _, assignment := range instructions.Assign {
-		if assignment.Listed {
+		if assignment.Reported {
 			c.listedAssigned.Add(1)
 		}
 	}
--- a/internal/scheduler/constraints.go
+++ b/internal/scheduler/constraints.go
@@ -27,7 +27,7 @@
 			return
 		case <-tick.C:
 		}
-		if s.state.Member.LeaseRemaining() > 0 {
+		if s.state.Membership.LeaseRemaining() > 0 {
 			s.resolveCancels(ctx)
 			s.enforceConstraints(ctx)
 		}
@@ -65,8 +65,8 @@
 		}
 		before := constraints.DependencyOutcome
 		unknown := s.evaluateDependencies(job, now)
-		if len(unknown) > 0 && now.Sub(constraints.AskedAt) > remoteQueryInterval && len(queries) < maxRemoteQueries && s.remoteJobs != nil {
-			constraints.AskedAt = now
+		if len(unknown) > 0 && now.Sub(constraints.QueriedAt) > remoteQueryInterval && len(queries) < maxRemoteQueries && s.remoteJobs != nil {
+			constraints.QueriedAt = now
 			queries = append(queries, dependencyQuery{job: job, dependencies: unknown})
 		}
 		s.noteEligible(job, before, now)
--- a/internal/scheduler/cordoned_test.go
+++ b/internal/scheduler/cordoned_test.go
@@ -30,7 +30,7 @@
 				// A job without objectives: its tasks aren't preempted once they run.
 				cluster.scheduler.JobAccepted(&wire.Job{
 					UID: "j-1", Class: "long", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8,
-					MemoryGB: 1, Estimate: c.occupiedS, Spot: true,
+					MemoryGB: 1, EstimateS: c.occupiedS, Spot: true,
 				}, nil, 0, time.Now().UnixMilli(), 1)
 				cluster.heartbeat(0, 0)
 				cluster.scheduler.Pass()
@@ -41,7 +41,7 @@
 				if len(first) != 1 {
 					t.Fatalf("the occupying task is placed at %v", first)
 				}
-				if !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: first[0], Holder: "a", Token: 7, Session: 1}).OK {
+				if !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: first[0], Dispatcher: "a", Token: 7, Session: 1}).OK {
 					t.Fatal("not granted")
 				}
 				observe := func() {
@@ -56,7 +56,7 @@
 				cluster.scheduler.SetCordoned(map[string]bool{cluster.views[0].Name: c.cordoned})
 				cluster.scheduler.JobAccepted(&wire.Job{
 					UID: "j-2", Class: "short", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 2,
-					MemoryGB: 1, Estimate: c.takeS, Spot: true,
+					MemoryGB: 1, EstimateS: c.takeS, Spot: true,
 				}, nil, 0, time.Now().UnixMilli(), 2)
 				cluster.scheduler.Pass()
 				if placed := cluster.scheduler.PlacedTasks("j-2") > 0; placed != c.placed {
--- a/internal/scheduler/counters.go
+++ b/internal/scheduler/counters.go
@@ -16,7 +16,7 @@
 	defer s.state.Mu.Unlock()
 	now := time.Now()
 	sum := jobstate.Tally{}
-	for key, ended := range s.state.Ended {
+	for key, ended := range s.state.EndedTally {
 		served := *ended
 		sum[key] = &served
 	}
@@ -104,8 +104,8 @@
 	return s.state.Stats.Failovers, workers, unresponsive
 }
 
-// Machines returns the workers that have sent this leader a heartbeat, by name.
-func (s *Scheduler) Machines() []wire.MachineInfo {
+// Workers returns the workers that have sent this leader a heartbeat, by name.
+func (s *Scheduler) Workers() []wire.MachineInfo {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	infos := make([]wire.MachineInfo, 0, len(s.state.Workers))
@@ -115,7 +115,7 @@
 		}
 		info := wire.MachineInfo{
 			Name: worker.Name, Type: worker.View.Type, Zone: worker.View.Zone, Spot: worker.View.Spot, CPUs: s.state.TypeOf(worker).CPUs,
-			Tasks: len(worker.Placements), HeardS: time.Since(worker.LastHeartbeat).Seconds(),
+			Tasks: len(worker.Placements), SinceHeartbeatS: time.Since(worker.LastHeartbeat).Seconds(),
 		}
 		for placement := range worker.Placements {
 			if placement.MayRun() {
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -74,7 +74,7 @@
 		}
 		return facts, true
 	}
-	if final, ended := s.state.Final[uid]; ended {
+	if final, ended := s.state.FinalRecords[uid]; ended {
 		return final.Facts(), true
 	}
 	return jobspec.JobFacts{}, false
@@ -85,7 +85,7 @@
 func (s *Scheduler) LocalFacts(uid string) (jobspec.JobFacts, bool) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
-	if s.state.Member.LeaseRemaining() <= 0 {
+	if s.state.Membership.LeaseRemaining() <= 0 {
 		return jobspec.JobFacts{}, false
 	}
 	return s.factsOf(uid)
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -43,7 +43,7 @@
 
 // Load loads every shard that the membership claims.
 func (s *Scheduler) Load(ctx context.Context) error {
-	claimed := s.state.Member.ClaimedShards()
+	claimed := s.state.Membership.ClaimedShards()
 	shards := make([]int, 0, len(claimed))
 	for shard := range claimed {
 		shards = append(shards, shard)
@@ -104,12 +104,12 @@
 	job := s.writer.Admit(&shardlog.JobRecords{Live: live, Version: 1, Chunks: []wire.Item{chunk}, Entries: entries["j-1"]}, 7)
 	for _, ofTask := range job.Placements {
 		for _, placement := range ofTask {
-			placements = append(placements, fmt.Sprintf("%s %d %s", placement.Ref.Task, placement.Attempt, placement.Ref.Machine))
+			placements = append(placements, fmt.Sprintf("%s %d %s", placement.Ref.Task, placement.Attempt, placement.Ref.Worker))
 		}
 	}
 	sort.Strings(placements)
 	for task := range tasks {
-		if job.Chunks[0].IsDone(task) {
+		if job.Chunks[0].IsOver(task) {
 			done = append(done, task)
 		}
 	}
--- a/internal/scheduler/failover.go
+++ b/internal/scheduler/failover.go
@@ -20,9 +20,9 @@
 
 // syncShards loads shards that were gained and unloads those that were lost.
 func (s *Scheduler) syncShards(ctx context.Context) {
-	claimed := s.state.Member.ClaimedShards()
+	claimed := s.state.Membership.ClaimedShards()
 	gained := s.unloadLost(claimed)
-	if len(gained) == 0 || s.state.Member.LeaseRemaining() <= 0 {
+	if len(gained) == 0 || s.state.Membership.LeaseRemaining() <= 0 {
 		return
 	}
 	loadCtx, cancel := context.WithTimeout(statestore.WithPriority(ctx, statestore.Urgent), loadTimeout)
@@ -64,7 +64,7 @@
 		}
 	}
 	if len(s.state.Loaded) == 0 {
-		s.state.LooseRows = nil // a successor may have written the same attempts' rows
+		s.state.UnattachedRows = nil // a successor may have written the same attempts' rows
 	}
 	s.log.Info("shard lost", "shard", shard)
 }
@@ -116,7 +116,7 @@
 // shard's key.
 func (s *Scheduler) readShards(ctx context.Context, shards []int, versions map[int]uint64) (f failover, err error) {
 	f.shards, f.versions = shards, versions
-	if f.token, err = s.state.Member.NextToken(ctx); err != nil {
+	if f.token, err = s.state.Membership.NextToken(ctx); err != nil {
 		return f, fmt.Errorf("take a fencing token: %w", err)
 	}
 	if f.chunks, _, err = s.store.List(ctx, jobrecord.ChunkPrefix); err != nil {
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	view := cluster.views[0]
-	view.Queue = []dispatch.QueueView{{TaskRef: dispatch.TaskRef{Machine: view.Name, Task: "j-1/0", Attempt: 1}}}
+	view.Queue = []dispatch.QueueView{{TaskRef: dispatch.TaskRef{Worker: view.Name, Task: "j-1/0", Attempt: 1}}}
 	observe := func(token uint64) (pending, halts int) {
 		view.Seq, view.Token = view.Seq+1, token
 		cluster.scheduler.ObserveWorker(view)
@@ -78,7 +78,7 @@
 func TestJobAcceptedDuringFailoverIsLoaded(t *testing.T) {
 	cluster := newCluster(t, 1, 0)
 	cluster.scheduler.Unload()
-	spec := &wire.Job{UID: "j-late", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 3, CPUs: 1, Estimate: 9}
+	spec := &wire.Job{UID: "j-late", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 3, CPUs: 1, EstimateS: 9}
 	cluster.onList = func(prefix string) {
 		if prefix == "log/" {
 			cluster.scheduler.JobAccepted(spec, nil, 0, 0, 5)
--- a/internal/scheduler/grant_test.go
+++ b/internal/scheduler/grant_test.go
@@ -26,7 +26,7 @@
 		}
 		cluster.scheduler.SetTeamCPULimit("t", 3)
 		grant := func(i int) bool {
-			return cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: refs[i], Holder: "a", Token: 7, Session: 1}).OK
+			return cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: refs[i], Dispatcher: "a", Token: 7, Session: 1}).OK
 		}
 		if !grant(0) || grant(1) || !grant(0) {
 			t.Error("the limit lets one task start, which may be granted again")
@@ -68,7 +68,7 @@
 				}
 				ref := cluster.scheduler.PlacementsOf("j-1")[0]
 				for _, token := range []uint64{c.granted, c.again} {
-					if token > 0 && !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Holder: "a", Token: token, Session: 1}).OK {
+					if token > 0 && !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Dispatcher: "a", Token: token, Session: 1}).OK {
 						t.Fatal("not granted")
 					}
 				}
@@ -97,8 +97,8 @@
 			observe := func() {
 				for i := range cluster.views {
 					view := &cluster.views[i]
-					view.Seq, view.Holder, view.Queue = view.Seq+1, "b", nil
-					if view.Asked = view.Name != ref.Machine; !view.Asked {
+					view.Seq, view.Dispatcher, view.Queue = view.Seq+1, "b", nil
+					if view.Polled = view.Name != ref.Worker; !view.Polled {
 						view.Queue = []dispatch.QueueView{{TaskRef: ref, Unsent: unsent}}
 					}
 					cluster.scheduler.ObserveWorker(*view)
@@ -110,7 +110,7 @@
 				time.Sleep(time.Second)
 			}
 			ref = cluster.scheduler.PlacementsOf("j-1")[0]
-			if !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Holder: "b", Token: 7, Session: 1}).OK {
+			if !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Dispatcher: "b", Token: 7, Session: 1}).OK {
 				t.Fatal("not granted")
 			}
 			outboundLost := false
@@ -118,7 +118,7 @@
 				observe()
 				_, unresponsive := cluster.scheduler.UnresponsiveWorkers(2 * time.Second)
 				for i := range unresponsive {
-					outboundLost = outboundLost || unresponsive[i].Name == ref.Machine && unresponsive[i].OutboundLost
+					outboundLost = outboundLost || unresponsive[i].Name == ref.Worker && unresponsive[i].OutboundLost
 				}
 			}
 			if outboundLost == unsent {
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -9,7 +9,7 @@
 // after that tasks were placed on deleted workers.
 func TestLateViewDoesNotRestoreDeletedWorker(t *testing.T) {
 	cluster := newCluster(t, 2, 0)
-	cluster.scheduler.WorkerGone(cluster.views[0].Name)
+	cluster.scheduler.WorkerDeleted(cluster.views[0].Name)
 	cluster.views[0].Seq++
 	cluster.scheduler.ObserveWorker(cluster.views[0])
 	if n := cluster.scheduler.QueueDepths()["known_machines"]; n != 1 {
@@ -22,7 +22,7 @@
 func TestUnchangedHeartbeatDoesNotWaitForPass(t *testing.T) {
 	cluster := newCluster(t, 1, 0)
 	view := cluster.views[0]
-	view.Seq, view.Same = view.Seq+1, true
+	view.Seq, view.Unchanged = view.Seq+1, true
 	time.Sleep(50 * time.Millisecond)
 	arrived := time.Now()
 	cluster.scheduler.WhileLocked(func() {
@@ -35,7 +35,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	})
-	view.Seq, view.Same = view.Seq-1, false // an older one, which has no effect of its own
+	view.Seq, view.Unchanged = view.Seq-1, false // an older one, which has no effect of its own
 	cluster.scheduler.ObserveWorker(view)
 	age, since := cluster.scheduler.HeartbeatAge(view.Name), time.Since(arrived)
 	if age > since || age < since-40*time.Millisecond {
--- a/internal/scheduler/instructions.go
+++ b/internal/scheduler/instructions.go
@@ -28,7 +28,7 @@
 		for dispatcher, instructions := range s.takeOutbox() {
 			switch dispatcher {
 			case "": // of a worker that no dispatcher has reported yet
-			case s.state.Member.Name():
+			case s.state.Membership.Name():
 				s.sendTo(ctx, dispatcher, instructions)
 			default:
 				peers.Add(dispatcher, instructions)
@@ -85,7 +85,7 @@
 		return
 	}
 	for _, placement := range append([]*jobstate.Placement(nil), job.Placements[task]...) {
-		if placement.Attempt == ref.Attempt && placement.Worker.Name == ref.Machine && placement.NeverSent(token) {
+		if placement.Attempt == ref.Attempt && placement.Worker.Name == ref.Worker && placement.NeverSent(token) {
 			s.state.EndPlacement(placement)
 		}
 	}
--- a/internal/scheduler/instructions_test.go
+++ b/internal/scheduler/instructions_test.go
@@ -22,7 +22,7 @@
 			time.Sleep(time.Second)
 		}
 		ref := cluster.scheduler.PlacementsOf("j-1")[0]
-		if !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Holder: "a", Token: 7, Session: 1}).OK {
+		if !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Dispatcher: "a", Token: 7, Session: 1}).OK {
 			t.Fatal("not granted")
 		}
 		running := dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskRunning}}
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -17,7 +17,7 @@
 func (s *Scheduler) LocalState(uid string) (wire.JobState, bool) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
-	if final, ok := s.state.Final[uid]; ok {
+	if final, ok := s.state.FinalRecords[uid]; ok {
 		return wire.JobState{UID: uid, Stage: final.Stage, Done: final.Done}, true
 	}
 	job := s.state.Jobs[uid]
@@ -38,7 +38,7 @@
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	job := s.state.Jobs[stored.UID]
-	if job == nil || !s.state.OwnsJob(job) {
+	if job == nil || !s.state.LeadsJob(job) {
 		return stored
 	}
 	return job.PublicState()
@@ -48,7 +48,7 @@
 // controller may have answered for it.
 func (s *Scheduler) surelyCurrent(job *jobstate.Job) bool {
 	// A leader whose lease may have expired could miss a later end.
-	if !s.state.OwnsJob(job) {
+	if !s.state.LeadsJob(job) {
 		return false
 	}
 	// A write of the job's end may have been applied although its response is lost: others
@@ -94,7 +94,7 @@
 type RunningTask struct {
 	Task    string
 	Attempt uint64
-	Machine string // the worker
+	Worker  string // the worker
 }
 
 // RunningTasks returns a living job's running tasks, by name; none if the job is not here.
@@ -109,7 +109,7 @@
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
 			if !placement.RunningSince.IsZero() && placement.HaltedAt.IsZero() && !placement.Exited {
-				running = append(running, RunningTask{Task: placement.Ref.Task, Attempt: placement.Attempt, Machine: placement.Worker.Name})
+				running = append(running, RunningTask{Task: placement.Ref.Task, Attempt: placement.Attempt, Worker: placement.Worker.Name})
 			}
 		}
 	}
--- a/internal/scheduler/large_array_test.go
+++ b/internal/scheduler/large_array_test.go
@@ -23,7 +23,7 @@
 	for i := range jobs {
 		cluster.scheduler.JobAccepted(&wire.Job{
 			UID: fmt.Sprintf("j-%d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "low",
-			Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1, Estimate: 30, Spot: true,
+			Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1, EstimateS: 30, Spot: true,
 		}, nil, 0, 0, uint64(i+1))
 	}
 	cluster.scheduler.Pass()
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -35,9 +35,9 @@
 		}
 		number := info.Constraints.Number
 		if i < len(snapshots)-1 || next == nil || next.Number != number {
-			next = &jobquery.Cursor{Number: number, On: len(info.Placements)}
+			next = &jobquery.Cursor{Number: number, SkipPlacements: len(info.Placements)}
 			if number == from.Number {
-				next.On += from.On
+				next.SkipPlacements += from.SkipPlacements
 			}
 		}
 		next.Task = cutTask
@@ -66,14 +66,14 @@
 		}
 		skip, firstTask := 0, 0
 		if number == from.Number {
-			skip, firstTask = from.On, from.Task
+			skip, firstTask = from.SkipPlacements, from.Task
 		}
 		snapshot := s.snapshot(job, first, firstTask)
 		placements := snapshot.Placements
 		snapshot.Placements = placements[min(skip, len(placements)):]
 		if left := maxRows - rows - 1; len(snapshot.Placements) > left {
 			snapshot.Placements = snapshot.Placements[:left]
-			next = &jobquery.Cursor{Number: number, On: skip + left, Task: wire.MaxTasks}
+			next = &jobquery.Cursor{Number: number, SkipPlacements: skip + left, Task: wire.MaxTasks}
 		}
 		rows += 1 + len(snapshot.Placements)
 		snapshots = append(snapshots, snapshot)
@@ -90,7 +90,7 @@
 	if len(s.waitingTasks) > 0 {
 		ranges := jobspec.RangesOf(s.waitingTasks)
 		cutTask = ranges.Cut()
-		s.Waiting = ranges.String()
+		s.PendingTasks = ranges.String()
 	}
 	return s.Info, cutTask
 }
@@ -122,13 +122,13 @@
 	}}
 	for task, placements := range job.Placements {
 		if snapshot.addPlacements(task, placements) {
-			snapshot.Queued++
+			snapshot.PendingCount++
 			if task >= firstTask {
 				snapshot.waitingTasks = append(snapshot.waitingTasks, task)
 			}
 		}
 	}
-	snapshot.Queued += len(job.Pending)
+	snapshot.PendingCount += len(job.Pending)
 	for _, task := range job.Pending {
 		if task >= firstTask {
 			snapshot.waitingTasks = append(snapshot.waitingTasks, task)
@@ -137,7 +137,7 @@
 	slices.SortFunc(snapshot.Placements, func(a, b jobquery.Placement) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
-	if snapshot.Queued > 0 && !job.Cancelled {
+	if snapshot.PendingCount > 0 && !job.Cancelled {
 		snapshot.Reason = s.waitReason(job, first)
 	}
 	return snapshot
@@ -156,7 +156,7 @@
 			continue
 		}
 		waits = false
-		listed := jobquery.Placement{Task: task, Attempt: placement.Attempt, Machine: placement.Worker.Name, Ending: !placement.HaltedAt.IsZero()}
+		listed := jobquery.Placement{Task: task, Attempt: placement.Attempt, Worker: placement.Worker.Name, Halted: !placement.HaltedAt.IsZero()}
 		if !placement.RunningSince.IsZero() {
 			listed.StartMs = placement.RunningSince.UnixMilli()
 		}
@@ -215,7 +215,7 @@
 func StoredJobInfo(ctx context.Context, store jobrecord.Reader, uid string) (jobquery.Info, error) {
 	record, _, err := jobrecord.ReadLive(ctx, store, uid)
 	if err == nil {
-		info := jobquery.Info{Job: record.Job, Constraints: record.Terms, AcceptedMs: record.AtMs, Stage: wire.StageQueued}
+		info := jobquery.Info{Job: record.Job, Constraints: record.Constraints, AcceptedMs: record.AcceptedMs, Stage: wire.StageQueued}
 		if record.Cancelled {
 			info.Stage = wire.StageCancelled
 		}
--- a/internal/scheduler/live_record.go
+++ b/internal/scheduler/live_record.go
@@ -15,15 +15,15 @@
 // the record has then.
 func (s *Scheduler) writeLive(ctx context.Context, record *jobrecord.LiveRecord, version, shardVersion uint64) (uint64, error) {
 	key := jobrecord.LivePrefix + record.Job.UID
-	guards := []wire.Guard{{Key: s.state.Member.ShardKey(record.Shard), Version: shardVersion}, {Key: key, Version: version}}
+	guards := []wire.Guard{{Key: s.state.Membership.ShardKey(record.Shard), Version: shardVersion}, {Key: key, Version: version}}
 	return s.store.Txn(ctx, guards, wire.Op{Put: key, Value: *record})
 }
 
 // recordChanged reports whether writeLive failed for the record's version alone, so that
 // the newer record can be read and written.
 func (s *Scheduler) recordChanged(err error, record *jobrecord.LiveRecord) bool {
-	var conflict *statestore.Conflict
-	return errors.As(err, &conflict) && !conflict.Has(s.state.Member.ShardKey(record.Shard))
+	var conflict *statestore.ConflictError
+	return errors.As(err, &conflict) && !conflict.Has(s.state.Membership.ShardKey(record.Shard))
 }
 
 // checkLoaded returns an error that wraps statestore.ErrUnavailable if this controller leads
--- a/internal/scheduler/pending_cancels.go
+++ b/internal/scheduler/pending_cancels.go
@@ -17,7 +17,7 @@
 // surelyFailed reports whether a transaction with this outcome was not applied and never
 // will be.
 func surelyFailed(err error) bool {
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, statestore.ErrUnavailable)
 }
 
@@ -56,7 +56,7 @@
 	if err != nil {
 		return fmt.Errorf("read job record: %w", err)
 	}
-	shardVersion, leads := s.state.Member.OwnsShard(record.Shard)
+	shardVersion, leads := s.state.Membership.LeadsShard(record.Shard)
 	if !leads {
 		return nil // the shard's version has changed: the cancel failed, or is its leader's
 	}
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -22,7 +22,7 @@
 		observe := func(fullS ...float64) {
 			for i, seconds := range fullS {
 				if i == len(cluster.views) {
-					cluster.views = append(cluster.views, dispatch.WorkerView{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 7, Holder: "a"})
+					cluster.views = append(cluster.views, dispatch.WorkerView{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 7, Dispatcher: "a"})
 				}
 				cluster.heartbeat(i, seconds)
 			}
@@ -34,7 +34,7 @@
 		observe(0.2, 0.2)
 		first := cluster.scheduler.PlacementsOf("j-1")[0]
 		for range 6 { // its queue takes longer than estimated, and the other worker looks better
-			if cluster.views[0].Name == first.Machine {
+			if cluster.views[0].Name == first.Worker {
 				observe(600, 0.2)
 			} else {
 				observe(0.2, 600)
@@ -51,7 +51,7 @@
 		}
 		found := false
 		for _, ref := range cluster.scheduler.PlacementsOf("j-1") {
-			found = found || ref.Machine == "n-000009"
+			found = found || ref.Worker == "n-000009"
 		}
 		if !found {
 			t.Errorf("next to an idle worker the task waits at %v", cluster.scheduler.PlacementsOf("j-1"))
@@ -80,19 +80,19 @@
 			observe(0, 0.2)
 			observe(0, 0.2)
 			ref := cluster.scheduler.PlacementsOf("j-1")[0]
-			if !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Holder: "a", Token: 7, Session: 1}).OK {
+			if !cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Dispatcher: "a", Token: 7, Session: 1}).OK {
 				t.Fatal("not granted")
 			}
-			cluster.views[0].Holder = "b"
+			cluster.views[0].Dispatcher = "b"
 			if ran {
 				observe(0, 5, dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskRunning}})
 				cluster.views[0].Session++
 			}
-			cluster.views[0].Holder = "a"
+			cluster.views[0].Dispatcher = "a"
 			if c.raised {
 				cluster.views[0].Token = 9
 			} // else the scheduler instructs to raise it, after a while
-			cluster.views = append(cluster.views, dispatch.WorkerView{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 9, Holder: "a"})
+			cluster.views = append(cluster.views, dispatch.WorkerView{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 9, Dispatcher: "a"})
 			for range 24 {
 				observe(0, 600)
 				if cluster.raiseTokenAbove > 0 {
@@ -101,7 +101,7 @@
 				observe(1, 0.1)
 			}
 			refs := cluster.scheduler.PlacementsOf("j-1")
-			if last := len(refs) - 1; last < 0 || refs[last].Machine != "n-000009" || ran && refs[0] == ref {
+			if last := len(refs) - 1; last < 0 || refs[last].Worker != "n-000009" || ran && refs[0] == ref {
 				t.Errorf("ran %v: lost, or never begun, on %v, it waits at %v", ran, ref, refs)
 			}
 			stop()
@@ -116,7 +116,7 @@
 	elsewhere := "y"
 	for i, job := range []wire.Job{{Types: []string{"x"}}, {Zone: &elsewhere}, {Spot: false}, {Spot: true}, {Types: []string{"m"}, Spot: true}} {
 		job.UID, job.Class, job.Team, job.Kind, job.Priority = fmt.Sprintf("j-%d", i), "c", "t", wire.KindArray, "normal"
-		job.Tasks, job.CPUs, job.MemoryGB, job.Image, job.Estimate = 5, 2, 1, "i", 30
+		job.Tasks, job.CPUs, job.MemoryGB, job.Image, job.EstimateS = 5, 2, 1, "i", 30
 		cluster.scheduler.JobAccepted(&job, nil, 0, int64(i), uint64(i+1))
 	}
 	cluster.scheduler.Pass()
@@ -134,12 +134,12 @@
 		observeIdle := func() {
 			view := &cluster.views[0]
 			view.Seq++
-			view.Holder = "b"
+			view.Dispatcher = "b"
 			view.Matrix = matching.NewWaitMatrix(matching.Resources{CPUs: machineType.CPUs, MemoryGB: machineType.MemoryGB}, nil, nil)
 			cluster.scheduler.ObserveWorker(*view)
 		}
 		submit := func(uid string) {
-			cluster.scheduler.JobAccepted(&wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: machineType.CPUs, MemoryGB: 1, Estimate: 30, Spot: true},
+			cluster.scheduler.JobAccepted(&wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: machineType.CPUs, MemoryGB: 1, EstimateS: 30, Spot: true},
 				nil, 0, time.Now().UnixMilli(), 1)
 		}
 		observeIdle()
@@ -155,7 +155,7 @@
 			t.Error("the resources of the first job are given away again")
 		}
 		ref := cluster.scheduler.PlacementsOf("j-1")[0]
-		if !cluster.scheduler.GrantAll([]dispatch.GrantRequest{{TaskRef: ref, Holder: "b", Token: 7, Session: 1}})[0].OK {
+		if !cluster.scheduler.GrantAll([]dispatch.GrantRequest{{TaskRef: ref, Dispatcher: "b", Token: 7, Session: 1}})[0].OK {
 			t.Fatal("no grant")
 		}
 		observeIdle()
--- a/internal/scheduler/priority_test.go
+++ b/internal/scheduler/priority_test.go
@@ -20,7 +20,7 @@
 		cluster := newCluster(t, 1, 0)
 		cluster.platform.Params.Objectives = []config.Objective{{Kind: "wait", Class: "quote", WithinS: 100, Share: 0.9}}
 		now := time.Now().UnixMilli()
-		cluster.scheduler.JobAccepted(&wire.Job{UID: "j-1", Class: "study", Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 2, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 1)
+		cluster.scheduler.JobAccepted(&wire.Job{UID: "j-1", Class: "study", Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 2, CPUs: 8, EstimateS: 300, Spot: true}, nil, 0, now, 1)
 		view := &cluster.views[0]
 		full := []matching.Allocation{{Resources: matching.Resources{CPUs: 16, MemoryGB: 1}, RemainingS: 300}}
 		observe := func() {
@@ -37,10 +37,10 @@
 		cluster.scheduler.ObserveWorker(*view)
 		cluster.scheduler.Pass()
 		for i := range 2 {
-			cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: dispatch.TaskRef{Machine: view.Name, Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1)}, Token: 7, Session: 1})
+			cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: dispatch.TaskRef{Worker: view.Name, Task: wire.TaskName("j-1", i), Attempt: uint64(i + 1)}, Token: 7, Session: 1})
 		}
 		observe()
-		cluster.scheduler.JobAccepted(&wire.Job{UID: "j-2", Class: "quote", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8, Estimate: 300, Spot: true}, nil, 0, now, 2)
+		cluster.scheduler.JobAccepted(&wire.Job{UID: "j-2", Class: "quote", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8, EstimateS: 300, Spot: true}, nil, 0, now, 2)
 		preempted := func() int {
 			observe()
 			cluster.scheduler.OutboxCounts()
@@ -67,7 +67,7 @@
 		cluster := newCluster(t, 10, 0) // 160 CPUs, free resources for one task on each worker
 		due := 60.0
 		add := func(uid, priority string, tasks int, age time.Duration) {
-			job := wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks, CPUs: 4, Estimate: 20, Spot: true, DueS: &due}
+			job := wire.Job{UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks, CPUs: 4, EstimateS: 20, Spot: true, DueS: &due}
 			cluster.revision++
 			cluster.scheduler.JobAccepted(&job, nil, 0, time.Now().Add(-age).UnixMilli(), cluster.revision)
 		}
@@ -93,7 +93,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 10, 0) // free resources for one task of 4 CPUs on each worker
 		add := func(uid, priority string, tasks int, age time.Duration) {
-			job := wire.Job{UID: uid, Class: "c" + priority, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks, CPUs: 4, Estimate: 20, Spot: true}
+			job := wire.Job{UID: uid, Class: "c" + priority, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks, CPUs: 4, EstimateS: 20, Spot: true}
 			cluster.revision++
 			cluster.scheduler.JobAccepted(&job, nil, 0, time.Now().Add(-age).UnixMilli(), cluster.revision)
 		}
--- a/internal/scheduler/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -78,21 +78,21 @@
 	refs := leader.PlacementsOf("j-1")
 	placements := make([]string, 0, len(refs))
 	for _, ref := range refs {
-		placements = append(placements, ref.Task+" "+ref.Machine+" "+string(rune('0'+ref.Attempt)))
+		placements = append(placements, ref.Task+" "+ref.Worker+" "+string(rune('0'+ref.Attempt)))
 	}
 	slices.Sort(placements)
 	if want := []string{"j-1/2 n-000000 3", "j-1/4 n-000000 5", "j-1/5 n-000000 6", "j-1/6 n-000000 7"}; !slices.Equal(placements, want) {
 		t.Errorf("placed at %q, want %q", placements, want)
 	}
 	leader.ObserveWorker(dispatch.WorkerView{
-		Name: "n-000000", Type: "m", Zone: "z", Spot: true, Session: 1, Seq: 1, Token: 7, Holder: "a",
+		Name: "n-000000", Type: "m", Zone: "z", Spot: true, Session: 1, Seq: 1, Token: 7, Dispatcher: "a",
 		Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3, State: wire.TaskRunning}}},
 	})
 	if state, ok := leader.LocalState("j-1"); !ok || state != (wire.JobState{UID: "j-1", Stage: wire.StageRunning, Done: 2, Running: 1}) {
 		t.Errorf("with a task that runs it is %+v, %v", state, ok)
 	}
 	info, ok := leader.LocalJobInfo("j-1")
-	if !ok || info.Failed != 1 || info.Done != 2 || info.Waiting != "4-6" || len(info.Placements) != 1 || info.Placements[0].Task != 2 || info.Placements[0].Attempt != 3 {
+	if !ok || info.Failed != 1 || info.Done != 2 || info.PendingTasks != "4-6" || len(info.Placements) != 1 || info.Placements[0].Task != 2 || info.Placements[0].Attempt != 3 {
 		t.Errorf("it is listed as %+v, %v", info, ok)
 	}
 	if want := (&jobspec.Constraints{Number: 100, Name: "tips", User: "erin", Array: "0-6", MaxConcurrent: 4, NoRetry: true}); !reflect.DeepEqual(info.Constraints, want) || info.AcceptedMs != 946_684_806_000 {
@@ -128,7 +128,7 @@
 			t.Fatal(err)
 		}
 		if err := reader.Unpack(text, func(r *accounting.Row) {
-			got = append(got, strings.Join([]string{r.UID, string(rune('0' + r.Task)), r.State, r.Name, r.Machine}, " "))
+			got = append(got, strings.Join([]string{r.UID, string(rune('0' + r.Task)), r.State, r.Name, r.Worker}, " "))
 		}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -26,7 +26,7 @@
 	return wire.Job{
 		UID: "j-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: "urgent", Tasks: 16,
 		CPUs: 8, GPUs: 1, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g16"}, Zone: &zone,
-		OneZone: true, Spread: true, Spot: true, Estimate: 240, MarkS: 30, SaveS: 4, DueS: &due,
+		OneZone: true, Spread: true, Spot: true, EstimateS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DueS: &due,
 	}
 }
 
@@ -47,19 +47,19 @@
 
 // What a leader stores keeps its form: a successor of any version reads it.
 func TestRecordedJobRecords(t *testing.T) {
-	recorded.CheckFull(t, "live-full", jobrecord.LiveRecord{Job: fullJob(), Shard: 5, AtMs: 1_796_000_000_123, Cancelled: true, Terms: fullConstraints()})
+	recorded.CheckFull(t, "live-full", jobrecord.LiveRecord{Job: fullJob(), Shard: 5, AcceptedMs: 1_796_000_000_123, Cancelled: true, Constraints: fullConstraints()})
 	recorded.Check(t, "live-none", jobrecord.LiveRecord{})
 	recorded.CheckFull(t, "final-full", jobrecord.FinalRecord{Stage: wire.StageDone, Done: 14, Ending: fullEnding()})
 	recorded.Check(t, "final-none", jobrecord.FinalRecord{})
 	recorded.CheckFull(t, "chunk-full", jobrecord.ChunkRecord{
 		Seq: 9, Done: []byte{0x83, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80}, Next: 12,
-		Machines: []string{"n-000001", "n-000002"}, Places: []uint64{2, 10, 1, 3, 11, 0}, Failed: []uint64{1, 1, 7, 7, 2, 0},
+		Workers: []string{"n-000001", "n-000002"}, Placements: []uint64{2, 10, 1, 3, 11, 0}, Failed: []uint64{1, 1, 7, 7, 2, 0},
 	})
 	recorded.Check(t, "chunk-none", jobrecord.ChunkRecord{})
 	recorded.CheckFull(t, "log-full", jobrecord.LogRecord{
-		Seq: 77, Machines: []string{"n-000001", "n-000002"},
+		Seq: 77, Workers: []string{"n-000001", "n-000002"},
 		Jobs: []jobrecord.JobEntry{
-			{UID: "j-000412", Places: []uint64{0, 1, 0, 1, 2, 1}, Gone: []uint64{3, 4}, Done: []uint64{5, 6}, Failed: []uint64{7, 1, 255}},
+			{UID: "j-000412", Placements: []uint64{0, 1, 0, 1, 2, 1}, Removed: []uint64{3, 4}, Done: []uint64{5, 6}, Failed: []uint64{7, 1, 255}},
 			{UID: "j-2", Done: []uint64{0}},
 		}, QuotaMark: jobrecord.QuotaMark{LeasesQuota: true, UnleasedVersion: 4321},
 	})
@@ -126,10 +126,10 @@
 // The rows of quota leases, as a leader writes them.
 func TestRecordedQuotaLeases(t *testing.T) {
 	recorded.CheckFull(t, "lent-full", quotalease.Record{Rows: []quotalease.Row{{
-		Shard: 3, OwnerVersion: 99,
+		Shard: 3, LeaderVersion: 99,
 		Teams: map[string]quotalease.Entry{"vision": {Part: quotalease.Amount{8000, 1000}, Want: quotalease.Amount{16000, 2000}, Unit: quotalease.Amount{500, 250}}},
 	}}})
-	recorded.Check(t, "lent-none", quotalease.Record{Rows: []quotalease.Row{{Shard: 0, OwnerVersion: 1}}})
+	recorded.Check(t, "lent-none", quotalease.Record{Rows: []quotalease.Row{{Shard: 0, LeaderVersion: 1}}})
 	if first, last := quotalease.Key(0), quotalease.Key(quotalease.Records-1); quotalease.Prefix != "lent/" || first != "lent/00" || last != "lent/15" {
 		t.Errorf("keys %s to %s", first, last)
 	}
@@ -180,7 +180,7 @@
 func TestRecordedCounters(t *testing.T) {
 	recorded.CheckFull(t, "counters-full", jobstate.Stats{
 		Placed: 1, Duplicates: 2, Granted: 3, Refused: 4, Lost: 5, Done: 6, Errors: 7, Preempted: 8,
-		Evacuated: 9, LeaseExpiring: 10, Failovers: 11, QuotaRecordsRefused: 12,
+		Evicted: 9, LeaseExpiring: 10, Failovers: 11, QuotaRecordsRefused: 12,
 	})
 	recorded.Check(t, "counters-none", jobstate.Stats{})
 	recorded.CheckFull(t, "served-full", jobstate.Served{Offered: 5, Begun: 4, InTime: 3, Ended: 2, Waiting: 1})
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -63,11 +63,11 @@
 		return lastReconcile
 	}
 	lastReconcile = time.Now()
-	if s.state.Member.LeaseRemaining() > 0 {
+	if s.state.Membership.LeaseRemaining() > 0 {
 		// Without the lease a successor may lead these tasks already.
 		s.planner.Rebalance()
 		s.planner.Evict()
 	}
-	s.reconciler.Sweep()
+	s.reconciler.RepeatUnconfirmed()
 	return lastReconcile
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -82,14 +82,14 @@
 	}
 }
 
-// OwnershipChanged notifies the scheduler that the shards it leads may have changed. It does
+// LeadershipChanged notifies the scheduler that the shards it leads may have changed. It does
 // not block.
-func (s *Scheduler) OwnershipChanged() { jobstate.Notify(s.state.PlanSignal) }
+func (s *Scheduler) LeadershipChanged() { jobstate.Notify(s.state.PlanSignal) }
 
-// OwnershipEpoch is 0 while this scheduler leads no shard, and so ignores views, and another
+// LeadershipEpoch is 0 while this scheduler leads no shard, and so ignores views, and another
 // number each time that it begins to lead some: whoever sent it views of workers before has
 // to send them again.
-func (s *Scheduler) OwnershipEpoch() uint64 {
+func (s *Scheduler) LeadershipEpoch() uint64 {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	if len(s.state.Loaded) == 0 {
--- a/internal/scheduler/update.go
+++ b/internal/scheduler/update.go
@@ -16,8 +16,8 @@
 // CancelTasks.
 func (s *Scheduler) Hold(ctx context.Context, uid string, held bool) error {
 	return s.updateLive(ctx, uid, func(record *jobrecord.LiveRecord) (changed bool, err error) {
-		changed = record.Terms.Held != held
-		record.Terms.Held = held
+		changed = record.Constraints.Held != held
+		record.Constraints.Held = held
 		return changed, nil
 	})
 }
@@ -35,8 +35,8 @@
 		if _, err := jobspec.ParseRanges(text); err != nil || len(text) > jobspec.MaxArray {
 			return false, fmt.Errorf("%w: too many single tasks of this job were cancelled; cancel the job, or ranges of tasks", ErrInvalidRequest)
 		}
-		changed = record.Terms.CancelledTasks != text
-		record.Terms.CancelledTasks = text
+		changed = record.Constraints.CancelledTasks != text
+		record.Constraints.CancelledTasks = text
 		return changed, nil
 	})
 }
@@ -44,8 +44,8 @@
 // addCancelledTasks returns the cancelled tasks of a job's record, and those of tasks that
 // aren't known to be over.
 func (s *Scheduler) addCancelledTasks(record *jobrecord.LiveRecord, tasks jobspec.Ranges) (cancelled []int, err error) {
-	if record.Terms.CancelledTasks != "" {
-		recorded, err := jobspec.ParseRanges(record.Terms.CancelledTasks)
+	if record.Constraints.CancelledTasks != "" {
+		recorded, err := jobspec.ParseRanges(record.Constraints.CancelledTasks)
 		if err != nil {
 			return nil, err
 		}
@@ -60,7 +60,7 @@
 		if task >= record.Job.Tasks {
 			return nil, fmt.Errorf("%w: the job has no task %d", ErrInvalidRequest, task)
 		}
-		if job == nil || !job.Chunks[task/jobrecord.ChunkSize].IsDone(task) {
+		if job == nil || !job.Chunks[task/jobrecord.ChunkSize].IsOver(task) {
 			cancelled = append(cancelled, task)
 		}
 	}
@@ -76,10 +76,10 @@
 		if err != nil {
 			return err
 		}
-		if record.Terms == nil {
+		if record.Constraints == nil {
 			return fmt.Errorf("%w: the job was accepted without a number", ErrInvalidRequest)
 		}
-		shardVersion, leads := s.state.Member.OwnsShard(record.Shard)
+		shardVersion, leads := s.state.Membership.LeadsShard(record.Shard)
 		s.state.Mu.Lock()
 		err = s.checkLoaded(record.Shard, shardVersion, leads)
 		s.state.Mu.Unlock()
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -33,7 +33,7 @@
 
 // watchInterval is the longest pause between responses of the watch.
 func (s *Scheduler) watchInterval() time.Duration {
-	if len(s.state.Member.ClaimedShards()) > 0 {
+	if len(s.state.Membership.ClaimedShards()) > 0 {
 		return leaderWatchInterval
 	}
 	return idleWatchInterval
@@ -91,7 +91,7 @@
 		}
 		return
 	}
-	if _, ended := s.state.Final[uid]; ended {
+	if _, ended := s.state.FinalRecords[uid]; ended {
 		return
 	}
 	job := s.state.Jobs[uid]
@@ -118,6 +118,6 @@
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	if s.state.Jobs[spec.UID] == nil {
-		s.takeRecord(&jobrecord.LiveRecord{Job: *spec, Shard: shard, AtMs: acceptedMs, Terms: constraints}, version)
+		s.takeRecord(&jobrecord.LiveRecord{Job: *spec, Shard: shard, AcceptedMs: acceptedMs, Constraints: constraints}, version)
 	}
 }
--- a/internal/scheduler/write_outcome_test.go
+++ b/internal/scheduler/write_outcome_test.go
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			leader.ObserveWorker(dispatch.WorkerView{
-				Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Holder: "a",
+				Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Dispatcher: "a",
 				Tasks: []dispatch.TaskView{
 					{Task: wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}},
 					{Task: wire.Task{Task: "j-2/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}},
@@ -49,7 +49,7 @@
 			if err := leader.WriteOnce(t.Context()); err == nil {
 				t.Fatal("the first write has a response")
 			}
-			store.txn = func() (uint64, error) { return 0, &statestore.Conflict{Keys: c.keys} }
+			store.txn = func() (uint64, error) { return 0, &statestore.ConflictError{Keys: c.keys} }
 			store.get = func(key string) (wire.Item, error) {
 				if key == slot {
 					return wire.Item{Key: slot, Version: 20, Value: json.RawMessage(`{"seq":2,"j":[{"u":"j-9","d":[0]}]}`)}, nil
@@ -135,7 +135,7 @@
 				t.Fatal(err)
 			}
 			leader.ObserveWorker(dispatch.WorkerView{
-				Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Holder: "a",
+				Name: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 1, Token: 7, Dispatcher: "a",
 				Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}}},
 			})
 			if err := leader.WriteOnce(t.Context()); err == nil {
@@ -149,7 +149,7 @@
 					t.Fatal(err)
 				}
 			}
-			store.txn = func() (uint64, error) { return 0, &statestore.Conflict{Keys: []string{"c/shard/000"}} }
+			store.txn = func() (uint64, error) { return 0, &statestore.ConflictError{Keys: []string{"c/shard/000"}} }
 			store.get = func(string) (wire.Item, error) { return wire.Item{}, statestore.ErrNotFound }
 			if err := leader.WriteOnce(t.Context()); err != nil {
 				t.Fatal(err)
--- a/internal/shardlog/admit.go
+++ b/internal/shardlog/admit.go
@@ -49,14 +49,14 @@
 func (w *Writer) newJob(record *jobrecord.LiveRecord, version uint64) *jobstate.Job {
 	spec := record.Job
 	job := &jobstate.Job{
-		Spec: &spec, Shard: record.Shard, Version: version, AcceptedMs: record.AtMs, Cancelled: record.Cancelled,
-		AcceptedAt: time.Now().Add(-max(0, time.Since(time.UnixMilli(record.AtMs)))),
+		Spec: &spec, Shard: record.Shard, Version: version, AcceptedMs: record.AcceptedMs, Cancelled: record.Cancelled,
+		AcceptedAt: time.Now().Add(-max(0, time.Since(time.UnixMilli(record.AcceptedMs)))),
 		Placements: map[int][]*jobstate.Placement{}, Avoid: map[int]time.Time{}, Zones: map[string]int{},
 		Resources: matching.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB},
 		Class:     w.state.ClassOf(spec.Class), Team: w.state.Teams[spec.Team],
 	}
-	if record.Terms != nil {
-		job.Constraints = jobstate.NewConstraintState(record.Terms)
+	if record.Constraints != nil {
+		job.Constraints = jobstate.NewConstraintState(record.Constraints)
 	}
 	if record.Cancelled && w.state.Cancellations != nil {
 		w.state.Cancellations.RecordCancelled(spec.UID)
@@ -93,8 +93,8 @@
 		}
 	}
 	chunk.NextAttempt, chunk.SavedSeq = max(1, record.Next), record.Seq
-	for i := 0; i < len(record.Places); i += 3 {
-		w.addPlacement(job, int(record.Places[i]), record.Places[i+1], record.Machines[record.Places[i+2]], token)
+	for i := 0; i < len(record.Placements); i += 3 {
+		w.addPlacement(job, int(record.Placements[i]), record.Placements[i+1], record.Workers[record.Placements[i+2]], token)
 	}
 }
 
@@ -103,7 +103,7 @@
 func (w *Writer) countPlacements(job *jobstate.Job) {
 	for _, chunk := range job.Chunks {
 		for _, placement := range append([]*jobstate.Placement(nil), chunk.Placements...) {
-			if chunk.IsDone(placement.Task) && chunk.Failed[placement.Task].Outcome != jobstate.OutcomeCancelled {
+			if chunk.IsOver(placement.Task) && chunk.Failed[placement.Task].Outcome != jobstate.OutcomeCancelled {
 				w.state.RemovePlacement(placement)
 				continue
 			}
@@ -116,7 +116,7 @@
 func countTasks(job *jobstate.Job) {
 	for task := job.Spec.Tasks - 1; task >= 0; task-- {
 		chunk := chunkOf(job, uint64(task))
-		if chunk.IsDone(task) {
+		if chunk.IsOver(task) {
 			job.Finished++
 			if _, failed := chunk.Failed[task]; !failed {
 				job.Done++
--- a/internal/shardlog/end_job.go
+++ b/internal/shardlog/end_job.go
@@ -19,7 +19,7 @@
 	w.collectGarbage(job)
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
-			instructions := w.state.InstructionsFor(placement.Worker.View.Holder)
+			instructions := w.state.InstructionsFor(placement.Worker.View.Dispatcher)
 			if placement.Exited {
 				instructions.Clear = append(instructions.Clear, dispatch.Clear{TaskRef: placement.Ref, Token: placement.MaxToken})
 			} else {
@@ -38,7 +38,7 @@
 		begun = job.BegunAt.Sub(job.AcceptedAt).Seconds()
 	}
 	if job.EndStage == wire.StageDone {
-		w.state.Ended.Record(job, true, time.Now(), limit)
+		w.state.EndedTally.Record(job, true, time.Now(), limit)
 	}
 	w.log.Debug("job ended", "job", job.Spec.UID, "class", job.Spec.Class, "stage", job.EndStage, "arrived_s", float64(job.AcceptedMs)/1000,
 		"took_s", time.Since(job.AcceptedAt).Seconds(), "run_s", job.RunEstimate(), "limit_s", limit, "tasks", job.Spec.Tasks, "cpus", job.Spec.CPUs, "begun_s", begun, "large", job.Large)
@@ -47,10 +47,10 @@
 // rememberFinal keeps a job's end in memory, for the last maxFinal jobs.
 func (w *Writer) rememberFinal(job *jobstate.Job) {
 	uid := job.Spec.UID
-	w.state.Final[uid] = jobrecord.FinalRecord{Stage: job.EndStage, Done: job.Done, Ending: w.state.EndStateOf(job)}
+	w.state.FinalRecords[uid] = jobrecord.FinalRecord{Stage: job.EndStage, Done: job.Done, Ending: w.state.EndStateOf(job)}
 	w.finalOrder = append(w.finalOrder, uid)
 	if len(w.finalOrder) > maxFinal {
-		delete(w.state.Final, w.finalOrder[0])
+		delete(w.state.FinalRecords, w.finalOrder[0])
 		w.finalOrder = w.finalOrder[1:]
 	}
 }
--- a/internal/shardlog/outcome.go
+++ b/internal/shardlog/outcome.go
@@ -19,9 +19,9 @@
 func (w *Writer) commit(txn *transaction, revision uint64) {
 	w.pending = nil
 	w.garbage = w.garbage[txn.garbageTaken:]
-	w.state.LooseRows = w.state.LooseRows[min(txn.unattachedRowsTaken, len(w.state.LooseRows)):]
+	w.state.UnattachedRows = w.state.UnattachedRows[min(txn.unattachedRowsTaken, len(w.state.UnattachedRows)):]
 	if txn.page.Key != "" {
-		txn.book.Done(txn.page, revision)
+		txn.book.Applied(txn.page, revision)
 		usage.Add(usage.AccountRows, len(txn.rows))
 		usage.Add(usage.AccountWrites, 1)
 		usage.Add(usage.AccountBytes, len(txn.page.Value))
@@ -76,7 +76,7 @@
 func (w *Writer) undo(txn *transaction) {
 	w.pending = nil
 	for _, change := range txn.unloggedChanges {
-		w.state.LooseRows = append(w.state.LooseRows, *change.Row)
+		w.state.UnattachedRows = append(w.state.UnattachedRows, *change.Row)
 	}
 	for i := range txn.logWrites {
 		write := &txn.logWrites[i]
@@ -158,7 +158,7 @@
 // numbers, and an end that it recorded may be another one. Without this check, jobs were
 // called done here that nobody had recorded as done.
 func (w *Writer) shardLost(failedKeys []string, shard int) bool {
-	return slices.Contains(failedKeys, w.state.Member.ShardKey(shard))
+	return slices.Contains(failedKeys, w.state.Membership.ShardKey(shard))
 }
 
 // adoptLive takes the living record of a job as it was found in the state service.
--- a/internal/shardlog/record_builder.go
+++ b/internal/shardlog/record_builder.go
@@ -55,11 +55,11 @@
 	task := uint64(placement.Task)
 	switch change.Kind {
 	case jobstate.PlacementAdded:
-		entry.Places = append(entry.Places, task, placement.Attempt, b.indexOf(placement.Worker.Name))
+		entry.Placements = append(entry.Placements, task, placement.Attempt, b.indexOf(placement.Worker.Name))
 		b.bytes += 3 * numberBytes
 		placement.InStore = true
 	case jobstate.PlacementRemoved:
-		entry.Gone = append(entry.Gone, task, placement.Attempt)
+		entry.Removed = append(entry.Removed, task, placement.Attempt)
 		b.bytes += 2 * numberBytes
 	case jobstate.TaskFinished:
 		if failure, failed := placement.Chunk.Failed[placement.Task]; failed {
@@ -90,9 +90,9 @@
 func (b *recordBuilder) indexOf(worker string) uint64 {
 	i, ok := b.workerIndex[worker]
 	if !ok {
-		i = uint64(len(b.logRecord.Machines))
+		i = uint64(len(b.logRecord.Workers))
 		b.workerIndex[worker] = i
-		b.logRecord.Machines = append(b.logRecord.Machines, worker)
+		b.logRecord.Workers = append(b.logRecord.Workers, worker)
 		b.bytes += len(worker) + quoteBytes
 	}
 	return i
@@ -109,7 +109,7 @@
 	case jobstate.PlacementAdded:
 		return attached && placement.State == jobstate.PlacementRecording && !placement.Exited
 	case jobstate.PlacementRemoved:
-		return !placement.Job.Cancelled && !placement.Chunk.IsDone(placement.Task)
+		return !placement.Job.Cancelled && !placement.Chunk.IsOver(placement.Task)
 	}
 	return attached
 }
--- a/internal/shardlog/replay.go
+++ b/internal/shardlog/replay.go
@@ -34,7 +34,7 @@
 		sort.Slice(slots, func(a, b int) bool { return slots[a].seq < slots[b].seq })
 		for _, slot := range slots {
 			for _, entry := range slot.read.Jobs {
-				entries[entry.UID] = append(entries[entry.UID], LogEntry{slot.seq, slot.read.Machines, entry})
+				entries[entry.UID] = append(entries[entry.UID], LogEntry{slot.seq, slot.read.Workers, entry})
 			}
 		}
 	}
@@ -70,19 +70,19 @@
 	uncovered := func(task uint64) bool {
 		return task < uint64(job.Spec.Tasks) && entry.seq > chunkOf(job, task).SavedSeq
 	}
-	for i := 0; i < len(entry.Places); i += 3 {
-		if task := entry.Places[i]; uncovered(task) {
-			w.addPlacement(job, int(task), entry.Places[i+1], entry.workers[entry.Places[i+2]], token)
+	for i := 0; i < len(entry.Placements); i += 3 {
+		if task := entry.Placements[i]; uncovered(task) {
+			w.addPlacement(job, int(task), entry.Placements[i+1], entry.workers[entry.Placements[i+2]], token)
 		}
 	}
-	for i := 0; i < len(entry.Gone); i += 2 {
-		if task := entry.Gone[i]; uncovered(task) {
-			w.removePlacement(job, int(task), entry.Gone[i+1])
+	for i := 0; i < len(entry.Removed); i += 2 {
+		if task := entry.Removed[i]; uncovered(task) {
+			w.removePlacement(job, int(task), entry.Removed[i+1])
 		}
 	}
 	for _, task := range entry.Done {
 		if uncovered(task) {
-			chunkOf(job, task).SetDone(int(task))
+			chunkOf(job, task).SetOver(int(task))
 		}
 	}
 	for i := 0; i < len(entry.Failed); i += 3 {
@@ -136,11 +136,11 @@
 				slot.chunks[chunkOf(job, task)] = struct{}{}
 			}
 		}
-		for i := 0; i < len(entry.Places); i += 3 {
-			add(entry.Places[i])
+		for i := 0; i < len(entry.Placements); i += 3 {
+			add(entry.Placements[i])
 		}
-		for i := 0; i < len(entry.Gone); i += 2 {
-			add(entry.Gone[i])
+		for i := 0; i < len(entry.Removed); i += 2 {
+			add(entry.Removed[i])
 		}
 		for _, task := range entry.Done {
 			add(task)
--- a/internal/shardlog/transaction.go
+++ b/internal/shardlog/transaction.go
@@ -15,7 +15,7 @@
 	chunkSaves []chunkSave
 	endedJobs  []*jobstate.Job
 
-	book                *accounting.Book // of page
+	book                *accounting.PageBuilder // of page
 	page                accounting.Write
 	rows                []accounting.Row  // on page
 	unloggedChanges     []jobstate.Change // of which only the rows are written
--- a/internal/shardlog/transaction_builder.go
+++ b/internal/shardlog/transaction_builder.go
@@ -61,7 +61,7 @@
 // startPage reserves a change for the accounting page, and takes the rows that belong to
 // no change.
 func (b *transactionBuilder) startPage() {
-	unattached := b.writer.state.LooseRows
+	unattached := b.writer.state.UnattachedRows
 	b.maxOps--
 	b.pageBytesLeft = b.writer.book.Room()
 	b.bytes += b.maxValueBytes
@@ -80,7 +80,7 @@
 func (b *transactionBuilder) guardShard(shard int) {
 	if !b.guardedShards[shard] {
 		b.guardedShards[shard] = true
-		b.guards = append(b.guards, wire.Guard{Key: b.writer.state.Member.ShardKey(shard), Version: b.writer.state.Loaded[shard]})
+		b.guards = append(b.guards, wire.Guard{Key: b.writer.state.Membership.ShardKey(shard), Version: b.writer.state.Loaded[shard]})
 	}
 }
 
--- a/internal/shardlog/write.go
+++ b/internal/shardlog/write.go
@@ -49,7 +49,7 @@
 // unknown. more reports whether something may be left to be written. After an error the
 // transaction is kept, and the next call repeats it.
 func (w *Writer) WriteOnce(ctx context.Context) (more bool, err error) {
-	if len(w.state.Member.ClaimedShards()) == 0 {
+	if len(w.state.Membership.ClaimedShards()) == 0 {
 		return false, nil
 	}
 	txn, more, err := w.nextTransaction()
@@ -59,7 +59,7 @@
 	txnCtx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
 	revision, err := w.store.BulkTxn(txnCtx, txn.guards, txn.ops...)
 	cancel()
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) {
 		return true, w.resolveConflict(ctx, txn, conflict.Keys)
 	}
--- a/internal/shardlog/writer.go
+++ b/internal/shardlog/writer.go
@@ -31,7 +31,7 @@
 	pending    *transaction // its outcome is unknown
 	garbage    []string     // keys of chunk records of ended jobs
 	finalOrder []string     // keys of state.Final, oldest first
-	book       *accounting.Book
+	book       *accounting.PageBuilder
 }
 
 // New returns a writer without shards. A shard keeps maxSlots log records before they are
@@ -67,8 +67,8 @@
 
 // StartAccounting begins a book of accounting pages under a fencing token.
 func (w *Writer) StartAccounting(token uint64) {
-	w.book = accounting.NewBook(token, w.maxValueBytes())
+	w.book = accounting.NewPageBuilder(token, w.maxValueBytes())
 }
 
 // maxValueBytes is how long a value that this leader writes may be.
-func (w *Writer) maxValueBytes() int { return jobrecord.ValueBytes(w.state.Platform) }
+func (w *Writer) maxValueBytes() int { return jobrecord.MaxRecordBytes(w.state.Platform) }
--- a/internal/slurm/description.go
+++ b/internal/slurm/description.go
@@ -13,7 +13,7 @@
 
 // describe sets what the job's tasks run.
 func (r *Request) describe(cmd Command, o *Options, w *Work, site *jobquery.Site) {
-	job, c, d := &r.Job, &r.Terms, &r.Description
+	job, c, d := &r.Job, &r.Constraints, &r.Spec
 	d.CPUs, d.GPUs, d.MemoryGB = job.CPUs, job.GPUs, job.MemoryGB
 	d.Dir = w.Dir
 	if o.Dir != "" {
@@ -38,7 +38,7 @@
 // describeScript sets the batch script, the interpreter that its first line names, and the
 // defaults that depend on it: the job's name and the output file.
 func (r *Request) describeScript(o *Options, w *Work) {
-	c, d := &r.Terms, &r.Description
+	c, d := &r.Constraints, &r.Spec
 	script := w.Script
 	if o.Wrap != "" {
 		script = "#!/bin/sh\n# This script was created by sbatch --wrap.\n\n" + o.Wrap + "\n"
@@ -65,7 +65,7 @@
 // addSlurmEnv adds the variables that are the same for all tasks of a job. The others are added
 // on the worker, by package slurmtask.
 func (r *Request) addSlurmEnv(o *Options, w *Work) {
-	job, env := &r.Job, r.Description.Env
+	job, env := &r.Job, r.Spec.Env
 	maps.Copy(env, map[string]string{
 		"SLURM_SUBMIT_DIR": w.Dir, "SLURM_SUBMIT_HOST": w.Host, "SLURM_JOB_PARTITION": job.Class, "SLURM_JOB_ACCOUNT": job.Team, "SLURM_JOB_QOS": job.Priority,
 		"SLURM_NTASKS": strconv.Itoa(o.Tasks), "SLURM_NPROCS": strconv.Itoa(o.Tasks), "SLURM_CPUS_PER_TASK": strconv.Itoa(o.CPUs),
--- a/internal/slurm/recorded_test.go
+++ b/internal/slurm/recorded_test.go
@@ -61,8 +61,8 @@
 			Number: 40, Name: "night", User: "mo", Array: "1-9:2", MaxConcurrent: 2, LimitS: 7200, BeginMs: 1_000_000,
 			Dependencies: []jobspec.Dependency{{Kind: "afterok", Number: 7}, {Kind: "after", Number: 8, DelayS: 120}},
 		},
-		AcceptedMs: 500_000, Stage: wire.StageQueued, Reason: "Dependency", EligibleMs: 1_000_000, Waiting: "3-4", Queued: 2, Running: 3,
-		Placements: []jobquery.Placement{{Task: 0, Machine: "m-1", StartMs: 1_100_000}, {Task: 1, Machine: "m-2"}, {Task: 2, Machine: "m-3", StartMs: 1_200_000, Ending: true}},
+		AcceptedMs: 500_000, Stage: wire.StageQueued, Reason: "Dependency", EligibleMs: 1_000_000, PendingTasks: "3-4", PendingCount: 2, Running: 3,
+		Placements: []jobquery.Placement{{Task: 0, Worker: "m-1", StartMs: 1_100_000}, {Task: 1, Worker: "m-2"}, {Task: 2, Worker: "m-3", StartMs: 1_200_000, Halted: true}},
 	}
 	names := slurm.QueueFieldNames()
 	var text strings.Builder
--- a/internal/slurm/sacct_lines.go
+++ b/internal/slurm/sacct_lines.go
@@ -110,7 +110,7 @@
 	step.UsefulS, step.LostS, step.Cost = 0, 0, 0
 	step.ID, step.RawID, step.Name = step.ID+".batch", step.RawID+".batch", "batch"
 	step.State, step.Exit, step.StartMs, step.EndMs = attempt.State, int(attempt.Exit), attempt.Start, attempt.End
-	step.Machine, step.CPUs, step.Price, step.Restarts = attempt.Machine, float64(attempt.CPUs), float64(attempt.Price), restarts
+	step.Machine, step.CPUs, step.Price, step.Restarts = attempt.Worker, float64(attempt.CPUs), float64(attempt.Price), restarts
 	if attempt.Start == 0 {
 		return step
 	}
--- a/internal/slurm/sacct_records.go
+++ b/internal/slurm/sacct_records.go
@@ -62,7 +62,7 @@
 	for _, placement := range info.Placements {
 		c.Add(&accounting.Row{
 			Kind: accounting.RowAttempt, UID: job.UID, Number: info.Constraints.Number, Task: uint32(placement.Task), Attempt: placement.Attempt, State: stateRunning,
-			Start: placement.StartMs, Machine: placement.Machine, CPUs: float32(job.CPUs), GPUs: float32(job.GPUs), MemoryGB: float32(job.MemoryGB),
+			Start: placement.StartMs, Worker: placement.Worker, CPUs: float32(job.CPUs), GPUs: float32(job.GPUs), MemoryGB: float32(job.MemoryGB),
 		})
 	}
 }
--- a/internal/slurm/scontrol.go
+++ b/internal/slurm/scontrol.go
@@ -38,11 +38,11 @@
 	printf("   StartTime=%s Deadline=%s BeginTime=%s\n", stamp(info.StartMs, "Unknown", zone), stamp(c.DeadlineMs, "N/A", zone), stamp(c.BeginMs, "N/A", zone))
 	nodes := make([]string, 0, len(info.Placements))
 	for _, placement := range info.Placements {
-		nodes = append(nodes, placement.Machine)
+		nodes = append(nodes, placement.Worker)
 	}
 	printf("   Partition=%s NodeList=%s\n", job.Class, dash(strings.Join(nodes, ","), "(null)"))
 	printf("   NumTasks=%d CPUs/Task=%s Memory/Task=%s Gres/Task=%s\n", job.Tasks, amount(job.CPUs), memoryText(job.MemoryGB), gres(job.GPUs))
-	printf("   WaitingTasks=%d RunningTasks=%d DoneTasks=%d FailedTasks=%d\n", info.Queued, info.Running, info.Done, info.Failed)
+	printf("   WaitingTasks=%d RunningTasks=%d DoneTasks=%d FailedTasks=%d\n", info.PendingCount, info.Running, info.Done, info.Failed)
 	printf("   Features=%s\n\n", dash(strings.Join(features(job), ","), "(null)"))
 	return b.String()
 }
@@ -86,5 +86,5 @@
 // ShowNode formats a worker as scontrol show node does.
 func ShowNode(r *NodeRow) string {
 	return fmt.Sprintf("NodeName=%s\n   CPUAlloc=%s CPUTot=%s RealMemory=%d Gres=gpu:%s\n   State=%s AvailableFeatures=%s,%s Tasks=%d LastBusyReport=%.0fs\n\n",
-		r.Name, amount(r.UsedCPUs), amount(r.CPUs), int(r.MemoryGB*1024), amount(r.GPUs), strings.ToUpper(r.state()), r.Type, r.Zone, r.Tasks, r.HeardS)
+		r.Name, amount(r.UsedCPUs), amount(r.CPUs), int(r.MemoryGB*1024), amount(r.GPUs), strings.ToUpper(r.state()), r.Type, r.Zone, r.Tasks, r.SinceHeartbeatS)
 }
--- a/internal/slurm/sinfo.go
+++ b/internal/slurm/sinfo.go
@@ -25,7 +25,7 @@
 // state is the long name of the state.
 func (r *NodeRow) state() string {
 	switch {
-	case r.HeardS > heartbeatTimeoutS:
+	case r.SinceHeartbeatS > heartbeatTimeoutS:
 		return "down"
 	case r.Tasks == 0:
 		return "idle"
--- a/internal/slurm/slurm_test.go
+++ b/internal/slurm/slurm_test.go
@@ -108,13 +108,13 @@
 // translations has a check of the request for each command line, nil for one that is refused.
 var translations = map[string]func(r *slurm.Request) bool{
 	"": func(r *slurm.Request) bool {
-		return r.Job.Tasks == 1 && r.Job.CPUs == 1 && r.Job.MemoryGB == 0.5 && r.Job.Priority == "normal" && r.Job.Class == "adhoc" && r.Job.Team == "ops" && r.Terms.NoRetry && r.Terms.Name == "job.sh"
+		return r.Job.Tasks == 1 && r.Job.CPUs == 1 && r.Job.MemoryGB == 0.5 && r.Job.Priority == "normal" && r.Job.Class == "adhoc" && r.Job.Team == "ops" && r.Constraints.NoRetry && r.Constraints.Name == "job.sh"
 	},
 	"-n 4 -c 2 --mem-per-cpu=512": func(r *slurm.Request) bool {
-		return r.Job.Tasks == 1 && r.Job.CPUs == 8 && r.Job.MemoryGB == 4 && r.Description.Env["SLURM_NTASKS"] == "4"
+		return r.Job.Tasks == 1 && r.Job.CPUs == 8 && r.Job.MemoryGB == 4 && r.Spec.Env["SLURM_NTASKS"] == "4"
 	},
 	"--array=0-15:2,20%4 -t 1:00": func(r *slurm.Request) bool {
-		return r.Job.Tasks == 9 && r.Terms.MaxConcurrent == 4 && r.Terms.Array == "0-15:2,20" && r.Job.Estimate == 60 && r.Terms.LimitS == 60
+		return r.Job.Tasks == 9 && r.Constraints.MaxConcurrent == 4 && r.Constraints.Array == "0-15:2,20" && r.Job.EstimateS == 60 && r.Constraints.LimitS == 60
 	},
 	"--gres=gpu:2 -A lab -p quote -q urgent --nice": func(r *slurm.Request) bool {
 		return r.Job.GPUs == 2 && r.Job.Team == "lab" && r.Job.Class == "quote" && r.Job.Priority == "normal"
@@ -126,12 +126,12 @@
 		return reflect.DeepEqual(r.Job.Types, []string{"m8", "m64"}) && *r.Job.Zone == "b"
 	},
 	"-d afterok:7:8?after:9+5": func(r *slurm.Request) bool {
-		return r.Terms.AnyDependency && len(r.Terms.Dependencies) == 3 && r.Terms.Dependencies[2].DelayS == 300
+		return r.Constraints.AnyDependency && len(r.Constraints.Dependencies) == 3 && r.Constraints.Dependencies[2].DelayS == 300
 	},
 	"--deadline=16:30 --begin=16:00 -H": func(r *slurm.Request) bool {
-		return *r.Job.DueS == 3600 && r.Terms.BeginMs == now.Add(30*time.Minute).UnixMilli() && r.Terms.Held
+		return *r.Job.DueS == 3600 && r.Constraints.BeginMs == now.Add(30*time.Minute).UnixMilli() && r.Constraints.Held
 	},
-	"--export=NONE,A=b": func(r *slurm.Request) bool { return r.Description.Env["A"] == "b" && r.Description.Env["HOME"] == "" },
+	"--export=NONE,A=b": func(r *slurm.Request) bool { return r.Spec.Env["A"] == "b" && r.Spec.Env["HOME"] == "" },
 	"--qos=root":        nil, "-p nope": nil, "-A nope": nil, "-w m9": nil, "-x m8,m64,g8": nil, "-x a": nil, "-N 2": nil, "--mem=0": nil, "--mem=1G --mem-per-cpu=1G": nil,
 	"--deadline=now": nil, "--nice=-1": nil, "--gres=fpga:1": nil, "-C gpu": nil, "--array=0-200000": nil, "-d expand:3": nil, "-d after": nil, "-c 0": nil, "--kill-on-invalid-dep=maybe": nil,
 }
@@ -164,12 +164,12 @@
 			t.Errorf("%s: %+v, %v", line, r, err)
 			continue
 		}
-		r.Terms.Number = 1
-		if err := r.Terms.Validate(r.Job.Tasks, r.Job.Gang(), r.Job.Service(), now); err != nil {
+		r.Constraints.Number = 1
+		if err := r.Constraints.Validate(r.Job.Tasks, r.Job.Gang(), r.Job.Service(), now); err != nil {
 			t.Errorf("%s: constraints that no site accepts: %v", line, err)
 		}
-		if r.Description.Env["SLURM_JOB_ID"] != "" || strings.Join(r.Description.Argv, " ") != "/bin/sh -e" {
-			t.Errorf("%s: %+v", line, r.Description)
+		if r.Spec.Env["SLURM_JOB_ID"] != "" || strings.Join(r.Spec.Argv, " ") != "/bin/sh -e" {
+			t.Errorf("%s: %+v", line, r.Spec)
 		}
 	}
 }
@@ -180,11 +180,11 @@
 	return []jobquery.Info{
 		{
 			Job: wire.Job{UID: "j-a", Class: "quote", Team: "ops", Priority: "urgent", Tasks: 6, CPUs: 2, MemoryGB: 1}, Constraints: &jobspec.Constraints{Number: 100, Name: "snow-quotes", User: "erin", Array: "0-10:2", MaxConcurrent: 2, LimitS: 3600},
-			AcceptedMs: ms(-600), Stage: "running", Reason: "JobArrayTaskLimit", Waiting: "2-5", Queued: 4, Running: 2, Placements: []jobquery.Placement{{Task: 0, Attempt: 1, Machine: "n-1", StartMs: ms(-95)}, {Task: 1, Attempt: 2, Machine: "n-2"}},
+			AcceptedMs: ms(-600), Stage: "running", Reason: "JobArrayTaskLimit", PendingTasks: "2-5", PendingCount: 4, Running: 2, Placements: []jobquery.Placement{{Task: 0, Attempt: 1, Worker: "n-1", StartMs: ms(-95)}, {Task: 1, Attempt: 2, Worker: "n-2"}},
 		},
 		{
 			Job: wire.Job{UID: "j-b", Class: "adhoc", Team: "lab", Priority: "low", Tasks: 1, CPUs: 1, MemoryGB: 0.5}, Constraints: &jobspec.Constraints{Number: 106, Name: "study", User: "wren", Dependencies: []jobspec.Dependency{{Kind: "afterok", Number: 100}}},
-			AcceptedMs: ms(-60), Stage: "queued", Reason: "Dependency", Waiting: "0", Queued: 1,
+			AcceptedMs: ms(-60), Stage: "queued", Reason: "Dependency", PendingTasks: "0", PendingCount: 1,
 		},
 	}
 }
@@ -290,9 +290,9 @@
 func TestRepeatedRowsCountOnceAndLostAttemptsCost(t *testing.T) {
 	at := func(s int) int64 { return now.Add(time.Duration(s) * time.Second).UnixMilli() }
 	job := accounting.Row{Kind: accounting.RowJob, UID: "j-a", Number: 100, State: "FAILED", Exit: 7, Submit: at(-100), Eligible: at(-100), Name: "n", User: "erin", Team: "ops", Class: "quote", Priority: "low", Tasks: 3, Done: 1, End: at(0), CPUs: 2}
-	lost := accounting.Row{Kind: accounting.RowAttempt, UID: "j-a", Number: 100, Task: 0, Attempt: 1, State: "NODE_FAIL", Start: at(-90), End: at(-60), Machine: "n-1", CPUs: 2, Price: 3.6}
-	done := accounting.Row{Kind: accounting.RowAttempt, UID: "j-a", Number: 100, Task: 0, Attempt: 2, State: "COMPLETED", Start: at(-50), End: at(-40), Machine: "n-2", CPUs: 2, Price: 3.6, Useful: true}
-	failed := accounting.Row{Kind: accounting.RowAttempt, UID: "j-a", Number: 100, Task: 1, Attempt: 1, State: "FAILED", Exit: 7, Start: at(-30), End: at(-20), Machine: "n-2", CPUs: 2, Price: 3.6}
+	lost := accounting.Row{Kind: accounting.RowAttempt, UID: "j-a", Number: 100, Task: 0, Attempt: 1, State: "NODE_FAIL", Start: at(-90), End: at(-60), Worker: "n-1", CPUs: 2, Price: 3.6}
+	done := accounting.Row{Kind: accounting.RowAttempt, UID: "j-a", Number: 100, Task: 0, Attempt: 2, State: "COMPLETED", Start: at(-50), End: at(-40), Worker: "n-2", CPUs: 2, Price: 3.6, Useful: true}
+	failed := accounting.Row{Kind: accounting.RowAttempt, UID: "j-a", Number: 100, Task: 1, Attempt: 1, State: "FAILED", Exit: 7, Start: at(-30), End: at(-20), Worker: "n-2", CPUs: 2, Price: 3.6}
 	c := slurm.NewCollector()
 	for _, r := range []accounting.Row{lost, done, job, failed, done, job} {
 		c.Add(&r)
--- a/internal/slurm/squeue_rows.go
+++ b/internal/slurm/squeue_rows.go
@@ -78,8 +78,8 @@
 		base: QueueRow{Info: info, ID: strconv.FormatUint(number, 10), RawID: number, NowMs: nowMs, Zone: zone, Tasks: 1},
 	}
 	var rows []QueueRow
-	if info.Waiting != "" {
-		waiting, err := jobspec.ParseRanges(info.Waiting)
+	if info.PendingTasks != "" {
+		waiting, err := jobspec.ParseRanges(info.PendingTasks)
 		if err != nil {
 			return nil
 		}
@@ -147,9 +147,9 @@
 // placed is the row of a task that has a worker.
 func (l *queueLister) placed(placement *jobquery.Placement) QueueRow {
 	row := l.task(placement.Task)
-	row.State, row.Machine, row.StartMs = stateRunning, placement.Machine, placement.StartMs
+	row.State, row.Machine, row.StartMs = stateRunning, placement.Worker, placement.StartMs
 	switch {
-	case placement.Ending || l.info.Stage == wire.StageCancelled:
+	case placement.Halted || l.info.Stage == wire.StageCancelled:
 		row.State = stateCompleting
 	case placement.StartMs == 0:
 		row.State = stateConfiguring
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -16,8 +16,8 @@
 // Request is a submission as wallrack has it.
 type Request struct {
 	Job         wire.Job
-	Terms       jobspec.Constraints
-	Description taskspec.Spec
+	Constraints jobspec.Constraints
+	Spec        taskspec.Spec
 }
 
 // Work is what a submission runs, and who submits it from where.
@@ -42,9 +42,9 @@
 func Translate(cmd Command, o *Options, w *Work, site *jobquery.Site, now time.Time) (*Request, error) {
 	r := &Request{}
 	job := &r.Job
-	job.Kind, job.Image, job.Tasks, job.Estimate, job.Spot = wire.KindArray, "none", 1, defaultEstimateS, o.Spot
+	job.Kind, job.Image, job.Tasks, job.EstimateS, job.Spot = wire.KindArray, "none", 1, defaultEstimateS, o.Spot
 	if o.LimitS > 0 {
-		job.Estimate = o.LimitS
+		job.EstimateS = o.LimitS
 	}
 	if err := setOwnership(job, o, site); err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	r.describe(cmd, o, w, site)
-	if err := r.Description.Check(); err != nil {
+	if err := r.Spec.Check(); err != nil {
 		return nil, &UsageError{Why: err.Error()}
 	}
 	return r, nil
@@ -80,7 +80,7 @@
 
 // setConstraints sets when the job may start and end.
 func (r *Request) setConstraints(o *Options, w *Work, now time.Time) (err error) {
-	c := &r.Terms
+	c := &r.Constraints
 	c.Name, c.User, c.Held, c.BeginMs, c.LimitS, c.NoRetry = o.Name, w.User, o.Hold, o.BeginMs, o.LimitS, true
 	c.Array, c.MaxConcurrent, c.CancelIfUnsatisfiable = o.Array, o.MaxConcurrent, o.KillInvalid
 	if o.DeadlineMs > 0 {
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -32,8 +32,8 @@
 	defer cancel()
 	req := Request{Verb: verbList, From: parseCursor(r.URL.Query())}
 	page := jobquery.Page{Jobs: []jobquery.Info{}, NowMs: time.Now().UnixMilli()}
-	leaders := s.peers.ShardOwners()
-	if s.peers.Owns() {
+	leaders := s.peers.ShardLeaders()
+	if s.peers.Leads() {
 		addPart(&page, s.Serve(ctx, req))
 	} else if len(leaders) == 0 {
 		refuse(w, http.StatusServiceUnavailable, 1, "nobody owns the jobs now")
@@ -56,9 +56,9 @@
 // parseCursor reads where a listing goes on: from the beginning where a value is no number.
 func parseCursor(query url.Values) (from jobquery.Cursor) {
 	from.Number, _ = strconv.ParseUint(query.Get("number"), 10, 64)
-	from.On, _ = strconv.Atoi(query.Get("on"))
+	from.SkipPlacements, _ = strconv.Atoi(query.Get("on"))
 	from.Task, _ = strconv.Atoi(query.Get("task"))
-	from.On, from.Task = max(0, from.On), max(0, from.Task)
+	from.SkipPlacements, from.Task = max(0, from.SkipPlacements), max(0, from.Task)
 	return from
 }
 
@@ -81,7 +81,7 @@
 		return
 	}
 	page.Jobs = slices.DeleteFunc(page.Jobs, func(i jobquery.Info) bool {
-		return i.Constraints.Number > next.Number || i.Constraints.Number == next.Number && next.On+next.Task == 0
+		return i.Constraints.Number > next.Number || i.Constraints.Number == next.Number && next.SkipPlacements+next.Task == 0
 	})
 }
 
@@ -133,7 +133,7 @@
 
 // serveByLeader has the peer serve a request that knows its outcome, or else serves it here.
 func (s *Server) serveByLeader(ctx context.Context, req Request) Reply {
-	for _, peer := range s.peers.ShardOwners() {
+	for _, peer := range s.peers.ShardLeaders() {
 		if rep, ok := s.query(ctx, peer, req); ok {
 			return rep
 		}
@@ -146,7 +146,7 @@
 	case rep.Status == 0:
 		refuse(w, http.StatusServiceUnavailable, 1, "can't tell now")
 	case rep.Status != http.StatusOK:
-		refuse(w, rep.Status, 1, rep.Why)
+		refuse(w, rep.Status, 1, rep.Reason)
 	case verb == verbInfo && len(rep.Jobs) == 1:
 		httpjson.Write(w, http.StatusOK, rep.Jobs[0])
 	default:
--- a/internal/slurmapi/peer_requests.go
+++ b/internal/slurmapi/peer_requests.go
@@ -32,7 +32,7 @@
 // too.
 type Reply struct {
 	Status int              `json:"status"`
-	Why    string           `json:"why,omitempty"`
+	Reason string           `json:"why,omitempty"`
 	Jobs   []jobquery.Info  `json:"jobs,omitempty"`
 	Next   *jobquery.Cursor `json:"next,omitempty"`
 }
@@ -41,7 +41,7 @@
 func (s *Server) query(ctx context.Context, peer string, req Request) (Reply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	rep, err := s.peers.AskOwner(ctx, peer, req)
+	rep, err := s.peers.QueryLeader(ctx, peer, req)
 	if err != nil {
 		s.log.Debug("peer query failed", "peer", peer, "err", err)
 		return Reply{}, false
@@ -70,15 +70,15 @@
 			err = s.jobs.CancelTasks(ctx, req.UID, tasks)
 		}
 	default:
-		return Reply{Status: http.StatusBadRequest, Why: "unknown verb"}
+		return Reply{Status: http.StatusBadRequest, Reason: "unknown verb"}
 	}
 	switch {
 	case err == nil:
 		return Reply{Status: http.StatusOK}
 	case errors.Is(err, scheduler.ErrInvalidRequest):
-		return Reply{Status: http.StatusUnprocessableEntity, Why: err.Error()}
+		return Reply{Status: http.StatusUnprocessableEntity, Reason: err.Error()}
 	case errors.Is(err, statestore.ErrNotFound):
-		return Reply{Status: http.StatusNotFound, Why: "no such job is waiting or running"}
+		return Reply{Status: http.StatusNotFound, Reason: "no such job is waiting or running"}
 	}
 	s.log.Debug("outcome unknown", "job", req.UID, "err", err)
 	return Reply{}
--- a/internal/slurmapi/recorded_test.go
+++ b/internal/slurmapi/recorded_test.go
@@ -19,7 +19,7 @@
 		Job: wire.Job{
 			UID: "j-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: "urgent", Tasks: 16,
 			CPUs: 8, GPUs: 1, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g16"}, Zone: &zone,
-			OneZone: true, Spread: true, Spot: true, Estimate: 240, MarkS: 30, SaveS: 4, DueS: &due,
+			OneZone: true, Spread: true, Spot: true, EstimateS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DueS: &due,
 		},
 		Constraints: &jobspec.Constraints{
 			Number: 4100, Name: "tips", User: "erin", Array: "0-30:2", MaxConcurrent: 4, Held: true,
@@ -27,20 +27,20 @@
 			Dependencies: []jobspec.Dependency{{Kind: jobspec.After, Job: "j-7", Number: 70, DelayS: 60}}, CancelIfUnsatisfiable: true, CancelledTasks: "3,7-9", CancelReason: jobspec.Deadline,
 		},
 		AcceptedMs: 1_796_000_000_123, Stage: wire.StageRunning, Reason: jobspec.ReasonThrottle, EligibleMs: 1_796_000_000_500, StartMs: 1_796_000_001_000,
-		Waiting: "4-9", Queued: 6, Placements: []jobquery.Placement{fullPlacement()}, Running: 1, Done: 2, Failed: 3,
+		PendingTasks: "4-9", PendingCount: 6, Placements: []jobquery.Placement{fullPlacement()}, Running: 1, Done: 2, Failed: 3,
 		Ending: &jobspec.Ending{Number: 4100, State: jobspec.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000},
 	}
 }
 
 func fullPlacement() jobquery.Placement {
-	return jobquery.Placement{Task: 3, Attempt: 2, Machine: "n-000001", StartMs: 1_796_000_001_000, Ending: true}
+	return jobquery.Placement{Task: 3, Attempt: 2, Worker: "n-000001", StartMs: 1_796_000_001_000, Halted: true}
 }
 
 // What controllers request of one another on behalf of Slurm-style clients.
 func TestRecordedRequestsAndReplies(t *testing.T) {
-	recorded.CheckFull(t, "request-full", Request{Verb: verbDrop, UID: "j-000412", From: jobquery.Cursor{Number: 4100, On: 5, Task: 9}, Tasks: "3,7-9"})
+	recorded.CheckFull(t, "request-full", Request{Verb: verbDrop, UID: "j-000412", From: jobquery.Cursor{Number: 4100, SkipPlacements: 5, Task: 9}, Tasks: "3,7-9"})
 	recorded.Check(t, "request-none", Request{Verb: verbList})
-	recorded.CheckFull(t, "reply-full", Reply{Status: 200, Why: "can't be done", Jobs: []jobquery.Info{fullInfo()}, Next: &jobquery.Cursor{Number: 4101, On: 5, Task: 9}})
+	recorded.CheckFull(t, "reply-full", Reply{Status: 200, Reason: "can't be done", Jobs: []jobquery.Info{fullInfo()}, Next: &jobquery.Cursor{Number: 4101, SkipPlacements: 5, Task: 9}})
 	recorded.Check(t, "reply-none", Reply{})
 	if got := []string{verbList, verbInfo, verbHold, verbRelease, verbDrop}; !slices.Equal(got, []string{"list", "info", "hold", "release", "drop"}) {
 		t.Errorf("verbs %q", got)
@@ -53,9 +53,9 @@
 	recorded.Check(t, "info-none", jobquery.Info{})
 	recorded.CheckFull(t, "on-full", fullPlacement())
 	recorded.Check(t, "on-none", jobquery.Placement{})
-	recorded.CheckFull(t, "cursor-full", jobquery.Cursor{Number: 4101, On: 5, Task: 9})
+	recorded.CheckFull(t, "cursor-full", jobquery.Cursor{Number: 4101, SkipPlacements: 5, Task: 9})
 	recorded.Check(t, "cursor-none", jobquery.Cursor{})
-	recorded.CheckFull(t, "page-full", jobquery.Page{Jobs: []jobquery.Info{fullInfo()}, Next: &jobquery.Cursor{Number: 4101, On: 5, Task: 9}, NowMs: 1_796_000_003_000})
+	recorded.CheckFull(t, "page-full", jobquery.Page{Jobs: []jobquery.Info{fullInfo()}, Next: &jobquery.Cursor{Number: 4101, SkipPlacements: 5, Task: 9}, NowMs: 1_796_000_003_000})
 	recorded.Check(t, "page-none", jobquery.Page{Jobs: []jobquery.Info{}})
 	recorded.CheckFull(t, "submission-full", jobquery.Submission{Job: json.RawMessage(`{"uid":"j-000412"}`), Constraints: fullInfo().Constraints, DryRun: true})
 	recorded.Check(t, "submission-none", jobquery.Submission{Job: json.RawMessage(`{}`)})
@@ -75,7 +75,7 @@
 func TestListsHaveALineForEachItem(t *testing.T) {
 	for want, items := range map[string][]jobquery.Cursor{
 		"{\"jobs\":[\n],\"next\":null}\n": nil,
-		"{\"jobs\":[\n{\"number\":1},\n{\"number\":2,\"on\":3,\"task\":4}\n],\"next\":null}\n": {{Number: 1}, {Number: 2, On: 3, Task: 4}},
+		"{\"jobs\":[\n{\"number\":1},\n{\"number\":2,\"on\":3,\"task\":4}\n],\"next\":null}\n": {{Number: 1}, {Number: 2, SkipPlacements: 3, Task: 4}},
 	} {
 		w := httptest.NewRecorder()
 		writeLines(w, "jobs", items, field{"next", (*jobquery.Cursor)(nil)})
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -55,12 +55,12 @@
 
 // Peers are the other controllers.
 type Peers interface {
-	// Owns reports whether this controller leads shards.
-	Owns() bool
-	// ShardOwners names the other controllers that lead shards.
-	ShardOwners() []string
-	// AskOwner has a peer serve a request with the jobs that it leads.
-	AskOwner(ctx context.Context, peer string, r Request) (*Reply, error)
+	// Leads reports whether this controller leads shards.
+	Leads() bool
+	// ShardLeaders names the other controllers that lead shards.
+	ShardLeaders() []string
+	// QueryLeader has a peer serve a request with the jobs that it leads.
+	QueryLeader(ctx context.Context, peer string, r Request) (*Reply, error)
 }
 
 // Submitter accepts jobs.
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -64,14 +64,14 @@
 func (s *site) CancelTasks(context.Context, string, jobspec.Ranges) error {
 	return scheduler.ErrInvalidRequest
 }
-func (s *site) Owns() bool              { return s.owns }
-func (s *site) ShardOwners() []string   { return nil }
+func (s *site) Leads() bool             { return s.owns }
+func (s *site) ShardLeaders() []string  { return nil }
 func (s *site) All() []wire.MachineType { return nil }
 func (s *site) Submit(context.Context, submission.Request) submission.Reply {
 	return submission.Reply{}
 }
 
-func (s *site) AskOwner(context.Context, string, slurmapi.Request) (*slurmapi.Reply, error) {
+func (s *site) QueryLeader(context.Context, string, slurmapi.Request) (*slurmapi.Reply, error) {
 	return nil, errors.New("cut off")
 }
 
@@ -175,13 +175,13 @@
 	if s.pages == nil {
 		s.pages = map[string]string{}
 	}
-	book := accounting.NewBook(uint64(len(s.keys)+1), 14<<10)
+	book := accounting.NewPageBuilder(uint64(len(s.keys)+1), 14<<10)
 	var batch []accounting.Row
 	for i := range rows {
 		start := day.UnixMilli() + int64(i%86_000)*1000
 		batch = append(batch, accounting.Row{
 			Kind: accounting.RowAttempt, UID: fmt.Sprintf("j-%06d", i/10), Number: uint64(i / 10 * 100), Task: uint32(i % 10), Attempt: 1,
-			State: "COMPLETED", Start: start, End: start + int64(i*7919%90_000), Machine: fmt.Sprintf("n-%06d", i*31%1300), CPUs: 2, MemoryGB: 4, Useful: true, Price: 0.37,
+			State: "COMPLETED", Start: start, End: start + int64(i*7919%90_000), Worker: fmt.Sprintf("n-%06d", i*31%1300), CPUs: 2, MemoryGB: 4, Useful: true, Price: 0.37,
 		})
 		if len(batch) < 60 && i < rows-1 {
 			continue
@@ -194,7 +194,7 @@
 			s.keys = append(s.keys, w.Key)
 		}
 		s.pages[w.Key] = w.Value
-		book.Done(w, uint64(i+1))
+		book.Applied(w, uint64(i+1))
 		batch = batch[:0]
 	}
 	sort.Strings(s.keys)
--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -21,17 +21,17 @@
 	Accepted func() int // connections from users and workers that are open now
 }
 
-// OrderLimits bounds the connections to workers, used and idle ones together. Between the
+// ConnectionLimits bounds the connections to workers, used and idle ones together. Between the
 // two bounds nothing is closed for others: connections from users that come and go must
 // not have idle ones closed and dialled again each time.
-type OrderLimits struct {
+type ConnectionLimits struct {
 	Open int // from so many on, a new connection takes the place of an idle one
 	Keep int // idle connections beyond so many are closed at once
 }
 
-// OrdersAtOnce is how many requests to workers may be under way: so many sockets are left to them
+// RequestsAtOnce is how many requests to workers may be under way: so many sockets are left to them
 // whatever else is open.
-func (b Budget) OrdersAtOnce() int { return max(minCommands, b.Limit/commandShare) }
+func (b Budget) RequestsAtOnce() int { return max(minCommands, b.Limit/commandShare) }
 
 // own is how many sockets this process keeps for its own connections, direct commands aside.
 // Without them it could not even keep its lease.
@@ -43,19 +43,19 @@
 	if b.Limit == 0 {
 		return math.MaxInt
 	}
-	return b.Limit - b.own() - b.OrdersAtOnce()
+	return b.Limit - b.own() - b.RequestsAtOnce()
 }
 
-// Orders returns how many connections to workers may be open now.
-func (b Budget) Orders() OrderLimits {
-	least := b.OrdersAtOnce()
+// WorkerConnections returns how many connections to workers may be open now.
+func (b Budget) WorkerConnections() ConnectionLimits {
+	least := b.RequestsAtOnce()
 	if b.Limit == 0 {
-		return OrderLimits{Open: least, Keep: least}
+		return ConnectionLimits{Open: least, Keep: least}
 	}
 	most := max(least, b.Limit/maxCommandPart)
 	free := b.Limit - b.own() - b.Accepted()
 	reserve := b.Limit / reserveShare
-	return OrderLimits{
+	return ConnectionLimits{
 		Open: min(most, max(least, free-reserve)),
 		Keep: min(most, max(least, free-reserve/2)),
 	}
--- a/internal/sockets/budget_test.go
+++ b/internal/sockets/budget_test.go
@@ -19,20 +19,20 @@
 		}
 		most := b.MaxAccepted()
 		accepted = rapid.IntRange(0, most).Draw(t, "accepted")
-		before := b.Orders()
-		own := b.Limit - most - b.OrdersAtOnce()
+		before := b.WorkerConnections()
+		own := b.Limit - most - b.RequestsAtOnce()
 		if own < 40+2*b.Peers {
 			t.Errorf("%d sockets are left for state service, cloud and peers", own)
 		}
 		if total := accepted + before.Keep + own; total > b.Limit {
 			t.Errorf("%d accepted and %d for commands: %d of %d sockets", accepted, before.Keep, total, b.Limit)
 		}
-		if before.Open < b.OrdersAtOnce() || before.Keep < before.Open {
-			t.Errorf("%+v with %d messages at once", before, b.OrdersAtOnce())
+		if before.Open < b.RequestsAtOnce() || before.Keep < before.Open {
+			t.Errorf("%+v with %d messages at once", before, b.RequestsAtOnce())
 		}
 		// Users that come and go, up to half of the reserve, close nothing.
 		accepted = min(most, accepted+b.Limit/32)
-		if after := b.Orders(); after.Keep < before.Open {
+		if after := b.WorkerConnections(); after.Keep < before.Open {
 			t.Errorf("%+v, and %+v with %d more accepted", before, after, b.Limit/32)
 		}
 	})
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -117,7 +117,7 @@
 )
 
 func (c *Cloud) serveProvision(w http.ResponseWriter, r *http.Request) {
-	var req wire.HireRequest
+	var req wire.ProvisionRequest
 	if !readBody(w, r, &req) {
 		return
 	}
@@ -134,7 +134,7 @@
 // Provision provisions machines, at most the number requested, and returns their names;
 // they boot afterwards. It fails if there is room for none. A request's name that was
 // used gets its earlier response.
-func (c *Cloud) Provision(req *wire.HireRequest) ([]string, error) {
+func (c *Cloud) Provision(req *wire.ProvisionRequest) ([]string, error) {
 	machineType, ok := c.typeOf(req)
 	if !ok || req.Name == "" || len(req.Name) > maxRequestName || req.Number < 1 || req.Number > maxProvision {
 		return nil, errMalformed
@@ -170,7 +170,7 @@
 }
 
 // typeOf finds the type that a request names, if it is to be had in the zone.
-func (c *Cloud) typeOf(req *wire.HireRequest) (wire.MachineType, bool) {
+func (c *Cloud) typeOf(req *wire.ProvisionRequest) (wire.MachineType, bool) {
 	for _, machineType := range c.types {
 		if machineType.Name == req.Type && slices.Contains(machineType.Zones, req.Zone) {
 			return machineType, true
--- a/internal/standin/cloud_test.go
+++ b/internal/standin/cloud_test.go
@@ -27,7 +27,7 @@
 		zone string
 		want int
 	}{{"a", 3}, {"a", 1}, {"a", 0}, {"b", 3}, {"b", 0}} {
-		names, err := cloud.Provision(&wire.HireRequest{Name: fmt.Sprint("r-", i), Type: "m", Zone: c.zone, Number: 3})
+		names, err := cloud.Provision(&wire.ProvisionRequest{Name: fmt.Sprint("r-", i), Type: "m", Zone: c.zone, Number: 3})
 		if len(names) != c.want || (err == nil) != (c.want > 0) {
 			t.Errorf("request %d in %s: %d machines, want %d, %v", i, c.zone, len(names), c.want, err)
 		}
--- a/internal/standin/state_http.go
+++ b/internal/standin/state_http.go
@@ -45,7 +45,7 @@
 	revision := s.revision
 	s.mu.Unlock()
 	if !ok {
-		httpjson.Write(w, http.StatusNotFound, wire.TxnAnswer{Revision: revision})
+		httpjson.Write(w, http.StatusNotFound, wire.TxnResponse{Revision: revision})
 		return
 	}
 	httpjson.Write(w, http.StatusOK, it.message(key))
@@ -145,14 +145,14 @@
 		}
 	}
 	if len(failedKeys) > 0 {
-		httpjson.Write(w, http.StatusConflict, wire.TxnAnswer{Failed: failedKeys, Revision: s.revision})
+		httpjson.Write(w, http.StatusConflict, wire.TxnResponse{Failed: failedKeys, Revision: s.revision})
 		return
 	}
 	if err := s.writeLocked(txn.Then, nil); err != nil {
 		unavailable(w, err)
 		return
 	}
-	httpjson.Write(w, http.StatusOK, wire.TxnAnswer{Revision: s.revision})
+	httpjson.Write(w, http.StatusOK, wire.TxnResponse{Revision: s.revision})
 }
 
 func (s *State) serveGrant(w http.ResponseWriter, r *http.Request) {
@@ -171,7 +171,7 @@
 		unavailable(w, err)
 		return
 	}
-	httpjson.Write(w, http.StatusOK, wire.LeaseAnswer{Lease: id})
+	httpjson.Write(w, http.StatusOK, wire.LeaseResponse{Lease: id})
 }
 
 func (s *State) serveRenew(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/state_test.go
+++ b/internal/standin/state_test.go
@@ -83,7 +83,7 @@
 func expectRefusals(t *testing.T, client *statestore.Client, endedLease uint64) {
 	t.Helper()
 	ctx := t.Context()
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	if _, err := client.Txn(ctx, []wire.Guard{{Key: "c/a"}}, wire.Op{Delete: "c/a"}); !errors.As(err, &conflict) || !conflict.Has("c/a") {
 		t.Errorf("a failed condition gave %v", err)
 	}
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -24,15 +24,15 @@
 	ErrCompacted = errors.New("watch too old")
 )
 
-// Conflict is the error of a transaction whose conditions failed; it was not applied.
-type Conflict struct {
+// ConflictError is the error of a transaction whose conditions failed; it was not applied.
+type ConflictError struct {
 	Keys []string // of the conditions that failed; at least one
 }
 
-func (c *Conflict) Error() string { return fmt.Sprintf("conditions failed: %v", c.Keys) }
+func (c *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", c.Keys) }
 
 // Has reports whether key is among those that failed.
-func (c *Conflict) Has(key string) bool { return slices.Contains(c.Keys, key) }
+func (c *ConflictError) Has(key string) bool { return slices.Contains(c.Keys, key) }
 
 // StatusError is a response with a status that the protocol does not have for the
 // request.
--- a/internal/statestore/lease.go
+++ b/internal/statestore/lease.go
@@ -12,7 +12,7 @@
 // GrantLease opens a lease. Calls for leases count in the budget, and do not wait for it.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	c.budget.requests.Allow()
-	var response wire.LeaseAnswer
+	var response wire.LeaseResponse
 	status, err := c.do(ctx, call{
 		method: http.MethodPost, path: "/grants",
 		body: wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, out: &response,
--- a/internal/statestore/response_test.go
+++ b/internal/statestore/response_test.go
@@ -103,7 +103,7 @@
 				t.Errorf("listed %+v, %v", items, err)
 			}
 		}
-		var conflict *Conflict
+		var conflict *ConflictError
 		if _, err := c.Txn(ctx, []wire.Guard{{Key: "a/b"}}, wire.Op{Put: "a/b", Value: 1}); errors.As(err, &conflict) && !conflict.Has("a/b") {
 			t.Errorf("conflict %v", conflict)
 		}
--- a/internal/statestore/txn.go
+++ b/internal/statestore/txn.go
@@ -22,7 +22,7 @@
 	if err := c.budget.waitWrites(ctx, priorityOf(ctx), len(ops)); err != nil {
 		return 0, err
 	}
-	var response wire.TxnAnswer
+	var response wire.TxnResponse
 	limited, cancel := context.WithTimeout(ctx, c.timeout.wait())
 	defer cancel()
 	sent := time.Now()
@@ -57,7 +57,7 @@
 	if len(keys) == 0 {
 		return fmt.Errorf("%w: a conflict over nothing", ErrUnknown)
 	}
-	return &Conflict{Keys: keys}
+	return &ConflictError{Keys: keys}
 }
 
 // noteResponse notes whether and when a transaction had its response.
--- a/internal/statestore/txn_test.go
+++ b/internal/statestore/txn_test.go
@@ -51,7 +51,7 @@
 		}
 	}
 	status, body = 409, `{"failed":["a"],"ledger":7}`
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	if _, err := txn(); !errors.As(err, &conflict) || !conflict.Has("a") {
 		t.Errorf("conflict: %v", err)
 	}
--- a/internal/submission/accept.go
+++ b/internal/submission/accept.go
@@ -63,7 +63,7 @@
 	guards, ops := jobrecord.AcceptanceTxn(job, constraints, shard, acceptedMs)
 	for attempt := 1; ; attempt++ {
 		version, err := s.write(ctx, guards, ops)
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
 			s.jobs.JobAccepted(job, constraints, shard, acceptedMs, version)
--- a/internal/submission/refined_poll_test.go
+++ b/internal/submission/refined_poll_test.go
@@ -17,9 +17,9 @@
 	polls int
 }
 
-func (l *unsureLeader) ShardOwners() []string { return []string{"b"} }
+func (l *unsureLeader) ShardLeaders() []string { return []string{"b"} }
 
-func (l *unsureLeader) AskPeer(_ context.Context, _ string, r submission.Request) (*submission.Reply, error) {
+func (l *unsureLeader) QueryPeer(_ context.Context, _ string, r submission.Request) (*submission.Reply, error) {
 	switch r.Verb {
 	case submission.VerbKnown:
 		return &submission.Reply{Status: http.StatusOK, States: make([]wire.JobState, len(r.UIDs))}, nil
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -63,12 +63,12 @@
 
 // Peers are the other controllers.
 type Peers interface {
-	// ShardOwners names the other controllers that lead shards.
-	ShardOwners() []string
+	// ShardLeaders names the other controllers that lead shards.
+	ShardLeaders() []string
 	// ServingPeers names the other controllers that reach the state service.
 	ServingPeers() []string
-	// AskPeer has a peer serve a request.
-	AskPeer(ctx context.Context, peer string, r Request) (*Reply, error)
+	// QueryPeer has a peer serve a request.
+	QueryPeer(ctx context.Context, peer string, r Request) (*Reply, error)
 	// Healthy reports whether this controller should take users.
 	Healthy() bool
 }
@@ -85,8 +85,8 @@
 type Numbers interface {
 	// Take returns the first of count numbers that nobody else gets.
 	Take(ctx context.Context, count int) (uint64, error)
-	// Given reports whether such numbers were taken.
-	Given(ctx context.Context, first uint64, count int) (bool, error)
+	// Allocated reports whether such numbers were taken.
+	Allocated(ctx context.Context, first uint64, count int) (bool, error)
 	// Find returns the job with a number, or statestore.ErrNotFound.
 	Find(ctx context.Context, n uint64) (jobid.Job, error)
 }
@@ -240,7 +240,7 @@
 	if state, ok := s.jobs.LocalState(req.UID); ok {
 		return Reply{Status: http.StatusOK, State: state}
 	}
-	for _, peer := range s.peers.ShardOwners() {
+	for _, peer := range s.peers.ShardLeaders() {
 		if state, ok := s.batcher(peer).poll(ctx, req.UID); ok {
 			return Reply{Status: http.StatusOK, State: state}
 		}
@@ -263,7 +263,7 @@
 func (s *Service) refinedByLeader(ctx context.Context, poll Request, stored Reply) Reply {
 	ctx, cancel := context.WithTimeout(ctx, refineTimeout)
 	defer cancel()
-	for _, leader := range s.peers.ShardOwners() {
+	for _, leader := range s.peers.ShardLeaders() {
 		if rep, ok := s.query(ctx, leader, poll); ok && rep.Status == http.StatusOK && rep.State.Stage != wire.StageQueued {
 			return rep
 		}
@@ -273,7 +273,7 @@
 
 // cancel cancels a job, at the controller that leads it if that responds.
 func (s *Service) cancel(ctx context.Context, req Request) Reply {
-	if rep, ok := s.queryFirst(ctx, s.peers.ShardOwners(), req); ok {
+	if rep, ok := s.queryFirst(ctx, s.peers.ShardLeaders(), req); ok {
 		return rep
 	}
 	return s.serveAnywhere(ctx, req)
@@ -283,7 +283,7 @@
 func (s *Service) query(ctx context.Context, peer string, req Request) (Reply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	rep, err := s.peers.AskPeer(ctx, peer, req)
+	rep, err := s.peers.QueryPeer(ctx, peer, req)
 	if err != nil {
 		s.log.Debug("peer query failed", "peer", peer, "err", err)
 		return Reply{}, false
--- a/internal/submission/service_test.go
+++ b/internal/submission/service_test.go
@@ -32,14 +32,14 @@
 func (s *stub) RefineState(stored wire.JobState) wire.JobState                  { return stored }
 func (s *stub) JobAccepted(*wire.Job, *jobspec.Constraints, int, int64, uint64) {}
 func (s *stub) All() []wire.MachineType                                         { return s.types }
-func (s *stub) ShardOwners() []string                                           { return nil }
+func (s *stub) ShardLeaders() []string                                          { return nil }
 func (s *stub) ServingPeers() []string                                          { return []string{"b"} }
 func (s *stub) Healthy() bool                                                   { return s.up }
 func (s *stub) Cancel(context.Context, string) (wire.JobState, error) {
 	return wire.JobState{}, statestore.ErrUnavailable
 }
 
-func (s *stub) AskPeer(context.Context, string, submission.Request) (*submission.Reply, error) {
+func (s *stub) QueryPeer(context.Context, string, submission.Request) (*submission.Reply, error) {
 	return nil, errors.New("cut off")
 }
 
--- a/internal/submission/validate.go
+++ b/internal/submission/validate.go
@@ -102,7 +102,7 @@
 	if err := requested.Validate(job.Tasks, job.Gang(), job.Service(), time.Now()); err != nil {
 		return nil, unprocessable(err.Error())
 	}
-	given, err := s.numbers.Given(ctx, requested.Number, job.Tasks)
+	given, err := s.numbers.Allocated(ctx, requested.Number, job.Tasks)
 	if err != nil {
 		return nil, s.numbersUnavailable(err)
 	}
--- a/internal/testkit/autoscaled_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -185,7 +185,7 @@
 
 func (o fleetOwner) FailedWorkers() map[string]string { return map[string]string{} }
 
-func (o fleetOwner) WorkerGone(name string) {
+func (o fleetOwner) WorkerDeleted(name string) {
 	o.c.mu.Lock()
 	nodes := make([]*node, 0, len(o.c.nodes))
 	for _, n := range o.c.nodes {
@@ -194,7 +194,7 @@
 	o.c.mu.Unlock()
 	for _, n := range nodes {
 		n.dispatcher.RemoveWorker(name)
-		n.scheduler.WorkerGone(name)
+		n.scheduler.WorkerDeleted(name)
 	}
 }
 
@@ -273,7 +273,7 @@
 // hire carries a provision request out, and checks that it was recorded before.
 func (c *rentedCluster) hire(rec *httptest.ResponseRecorder, req *http.Request) string {
 	body, err := io.ReadAll(req.Body)
-	var h wire.HireRequest
+	var h wire.ProvisionRequest
 	if err == nil {
 		err = json.Unmarshal(body, &h)
 	}
@@ -350,7 +350,7 @@
 func (c *rentedCluster) order(uid string, tasks int) {
 	job := &wire.Job{
 		UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
-		CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 6,
+		CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: 6,
 	}
 	guards, ops := jobrecord.AcceptanceTxn(job, nil, jobrecord.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: c.store}).Txn(context.Background(), guards, ops...); err != nil {
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -20,7 +20,7 @@
 		time.Sleep(2 * time.Second)
 		w.submit("j-1", 3)
 		time.Sleep(time.Second)
-		leader := w.nodes["a"].member.ShardOwners()[0]
+		leader := w.nodes["a"].member.ShardLeaders()[0]
 		for name, n := range w.nodes {
 			if name == leader {
 				continue
--- a/internal/testkit/cancel_transfer_test.go
+++ b/internal/testkit/cancel_transfer_test.go
@@ -171,7 +171,7 @@
 			h.onCancel(h.giver, "j-80", func() { time.Sleep(300 * time.Millisecond) })
 			go func() { time.Sleep(100 * time.Millisecond); h.begin(1500 * time.Millisecond) }()
 			stage, heard := h.user(h.giver, http.MethodPost, "j-80")
-			if h.step() != stepPending || len(h.nodes[h.giver].member.OwnedShards()) > 0 {
+			if h.step() != stepPending || len(h.nodes[h.giver].member.LedShards()) > 0 {
 				h.t.Errorf("the hand-over is at %q", h.step())
 			}
 			if heard && stage == wire.StageCancelled {
@@ -246,7 +246,7 @@
 			h.delayWatch(h.third, "c/", 4*lag)
 			h.begin(0)
 			h.until(stepLoaded)
-			if o := h.nodes[h.third].member.ShardOwners(); o[0] != h.giver {
+			if o := h.nodes[h.third].member.ShardLeaders(); o[0] != h.giver {
 				h.t.Errorf("the third knows of %v", o)
 			}
 			h.cancelIn(stepLoaded, h.third, "j-80")
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &r.Job, &r.Terms
+	return &r.Job, &r.Constraints
 }
 
 // workload plays a workload on one worker, its jobs made by submitter, which may differ
@@ -91,7 +91,7 @@
 		sent := time.Now()
 		mu.Unlock()
 		if _, body := n.dispatcher.HandleReport(context.Background(), rep); body != nil {
-			if a, ok := body.(wire.ReportAnswer); ok {
+			if a, ok := body.(wire.ReportResponse); ok {
 				mu.Lock()
 				w.workers[0].Answer(sent, rep.Session, a)
 				mu.Unlock()
--- a/internal/testkit/cluster_jobs_test.go
+++ b/internal/testkit/cluster_jobs_test.go
@@ -20,7 +20,7 @@
 func arrayJob(uid string, tasks int) *wire.Job {
 	return &wire.Job{
 		UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
-		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: 4, Spot: true,
+		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: 4, Spot: true,
 	}
 }
 
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -197,7 +197,7 @@
 	})
 	n.mux = http.NewServeMux()
 	n.submission.Register(n.mux)
-	n.member.OnOwnershipChange(n.scheduler.OwnershipChanged)
+	n.member.OnLeadershipChange(n.scheduler.LeadershipChanged)
 	n.member.OnLinkAnnouncement(n.reach.stored)
 	var wg sync.WaitGroup
 	runs := []func(context.Context) error{n.member.Run, n.scheduler.Run}
--- a/internal/testkit/cluster_users_test.go
+++ b/internal/testkit/cluster_users_test.go
@@ -13,15 +13,15 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ShardOwners names the other controllers that own jobs, as cmd/wallrack does.
-func (n *node) ShardOwners() (out []string) {
+// ShardLeaders names the other controllers that own jobs, as cmd/wallrack does.
+func (n *node) ShardLeaders() (out []string) {
 	add := func(name string) {
 		if name != "" && name != n.name && !slices.Contains(out, name) {
 			out = append(out, name)
 		}
 	}
 	if n.member.LeaseRemaining() > 0 {
-		for _, o := range n.member.ShardOwners() {
+		for _, o := range n.member.ShardLeaders() {
 			add(o)
 		}
 		return out
@@ -41,8 +41,8 @@
 // Healthy reports whether this controller takes users.
 func (n *node) Healthy() bool { return true }
 
-// AskPeer hands a user's request to a peer.
-func (n *node) AskPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
+// QueryPeer hands a user's request to a peer.
+func (n *node) QueryPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
 	return overPeerLink(ctx, n.cluster, func() (*submission.Reply, error) {
 		to, err := n.peer(peer)
 		if err != nil {
--- a/internal/testkit/concurrent_polls_test.go
+++ b/internal/testkit/concurrent_polls_test.go
@@ -136,7 +136,7 @@
 	u.mu.Lock()
 	var leader *node
 	for _, name := range u.names {
-		if x := u.nodes[name]; !x.down && len(x.member.OwnedShards()) > 0 {
+		if x := u.nodes[name]; !x.down && len(x.member.LedShards()) > 0 {
 			leader = x
 		}
 	}
--- a/internal/testkit/constraints_test.go
+++ b/internal/testkit/constraints_test.go
@@ -20,7 +20,7 @@
 // rows reads all accounting, and says how many rows stand there more than once.
 func (w *cluster) rows() (jobs map[string]accounting.Row, attempts map[string]accounting.Row, twice int) {
 	jobs, attempts = map[string]accounting.Row{}, map[string]accounting.Row{}
-	items, _, err := (&testkit.View{Store: w.store}).List(context.Background(), accounting.Key)
+	items, _, err := (&testkit.View{Store: w.store}).List(context.Background(), accounting.KeyPrefix)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 		if r.Useful {
 			useful[strings.Split(name, " ")[0]]++
 		}
-		if r.End < r.Start || r.Machine == "" || r.Price <= 0 {
+		if r.End < r.Start || r.Worker == "" || r.Price <= 0 {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
@@ -198,7 +198,7 @@
 		w.reliableStore = true
 		odd := false
 		pages := func() (sum uint64) {
-			items, _, _ := (&testkit.View{Store: w.store}).List(context.Background(), accounting.Key)
+			items, _, _ := (&testkit.View{Store: w.store}).List(context.Background(), accounting.KeyPrefix)
 			for _, it := range items {
 				sum += it.Version
 			}
--- a/internal/testkit/drawn_outages_test.go
+++ b/internal/testkit/drawn_outages_test.go
@@ -100,7 +100,7 @@
 func (w *cluster) playOutagePhase(ph *outagePhase) {
 	leader := w.names[0]
 	for _, n := range w.names {
-		if len(w.nodes[n].member.OwnedShards()) > 0 {
+		if len(w.nodes[n].member.LedShards()) > 0 {
 			leader = n
 		}
 	}
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -96,7 +96,7 @@
 func (s *jobStream) watchStages() {
 	s.onInstructions = func(d dispatch.Instructions) {
 		for _, e := range d.Assign {
-			if job := s.jobOf(e.Task); job != nil && !e.Listed {
+			if job := s.jobOf(e.Task); job != nil && !e.Reported {
 				s.later(job, cancelQueued)
 			}
 		}
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -34,7 +34,7 @@
 		l.w.t.Errorf("no write of %s came late", l.prefix)
 	}
 	for _, err := range l.late {
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		if !errors.As(err, &conflict) && !errors.Is(err, statestore.ErrNoLease) {
 			l.w.t.Errorf("a late write of %s: %v", l.prefix, err)
 		}
@@ -131,13 +131,13 @@
 	{name: "counter of terms", prefix: "c/term", play: func(t *testing.T, w *cluster, l *answerLoss) {
 		w.restartOwner(t, l, 2)
 	}},
-	{name: "accounting page alone, after newer ones", prefix: accounting.Key, play: rowsAlone},
+	{name: "accounting page alone, after newer ones", prefix: accounting.KeyPrefix, play: rowsAlone},
 	{name: "log, at a new owner that has just read it", prefix: "log/", plain: true, play: moveMeanwhile},
 	{name: "chunk of tasks, at a new owner that has just read it", prefix: "task/", plain: true, play: moveMeanwhile},
-	{name: "accounting page, at a new owner that has just read it", prefix: accounting.Key, play: moveMeanwhile},
+	{name: "accounting page, at a new owner that has just read it", prefix: accounting.KeyPrefix, play: moveMeanwhile},
 	{name: "log, at a new owner", prefix: "log/", plain: true, play: moveWhileLate},
 	{name: "chunk of tasks, at a new owner", prefix: "task/", plain: true, play: moveWhileLate},
-	{name: "accounting page, at a new owner", prefix: accounting.Key, play: moveWhileLate},
+	{name: "accounting page, at a new owner", prefix: accounting.KeyPrefix, play: moveWhileLate},
 }
 
 // restartOwner has the leader back within half a second, while so many answers are lost.
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -154,7 +154,7 @@
 		if err != nil {
 			return
 		}
-		more = n.published.Took(time.Since(n.started).Milliseconds(), to.name, reply)
+		more = n.published.HandleReply(time.Since(n.started).Milliseconds(), to.name, reply)
 	}
 }
 
@@ -210,7 +210,7 @@
 			all = all && err == nil && a.Add([]float64{unanswered.Seconds()})
 		}
 		if all && a.LeaseExpired(0, time.Now(), attestLease.Seconds()) {
-			n.scheduler.LeaseAttestedExpired(name, a.Asked())
+			n.scheduler.LeaseAttestedExpired(name, a.BegunAt())
 		}
 	}
 }
--- a/internal/testkit/load_test.go
+++ b/internal/testkit/load_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	var a wire.ReportAnswer
+	var a wire.ReportResponse
 	if resp.StatusCode != http.StatusOK || json.Unmarshal(data, &a) != nil {
 		tb.Fatalf("a report was answered with %d: %.100s", resp.StatusCode, data)
 	}
@@ -157,7 +157,7 @@
 // await waits until the controller answers workers: before that a report is refused, which
 // costs next to nothing.
 func (l *load) await(tb testing.TB) {
-	for began := time.Now(); len(l.node.member.OwnedShards()) == 0 || !l.node.MayAnswerWorkers(); time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); len(l.node.member.LedShards()) == 0 || !l.node.MayAnswerWorkers(); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 20*time.Second {
 			tb.Fatal("the controller does not answer workers")
 		}
@@ -193,7 +193,7 @@
 	due := 100.0
 	job := &wire.Job{
 		UID: fmt.Sprintf("j-%06d", n), Class: fmt.Sprintf("c%d", n%3), Team: "t", Kind: wire.KindArray, Priority: []string{"low", "normal"}[n%2],
-		Tasks: 20 + n*37%150, CPUs: float64(1 + n%3), MemoryGB: 2, Image: fmt.Sprintf("i%d", n%10), ImageGB: 0.1, Estimate: 0.6, Spot: true, DueS: &due,
+		Tasks: 20 + n*37%150, CPUs: float64(1 + n%3), MemoryGB: 2, Image: fmt.Sprintf("i%d", n%10), ImageGB: 0.1, EstimateS: 0.6, Spot: true, DueS: &due,
 	}
 	guards, ops := jobrecord.AcceptanceTxn(job, nil, jobrecord.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: w.store}).Txn(context.Background(), guards, ops...); err != nil {
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -234,13 +234,13 @@
 		l.arm("", 4)
 		w.live(20)
 	}},
-	{name: "accounting page", prefix: accounting.Key, play: func(_ *testing.T, w *cluster, l *answerLoss) {
+	{name: "accounting page", prefix: accounting.KeyPrefix, play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = w.look
 		l.arm("", 6)
 		w.live(20)
 	}},
-	{name: "accounting page alone", prefix: accounting.Key, play: rowsAlone},
-	{name: "accounting page, and the jobs move", prefix: accounting.Key, play: func(_ *testing.T, w *cluster, l *answerLoss) {
+	{name: "accounting page alone", prefix: accounting.KeyPrefix, play: rowsAlone},
+	{name: "accounting page, and the jobs move", prefix: accounting.KeyPrefix, play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = func(writer *node, key string) {
 			w.look(writer, key)
 			w.moveJobs(writer)
--- a/internal/testkit/lost_answers_test.go
+++ b/internal/testkit/lost_answers_test.go
@@ -220,7 +220,7 @@
 			w.mu.Unlock()
 			owners := map[string][]string{}
 			for name, m := range members {
-				for s := range m.OwnedShards() {
+				for s := range m.LedShards() {
 					key := m.ShardKey(s)
 					if owners[key] = append(owners[key], name); len(owners[key]) > 1 {
 						t.Errorf("%v own %s", owners[key], key)
@@ -238,14 +238,14 @@
 	if !w.within(seconds, func() bool {
 		owners := 0
 		for _, name := range w.names {
-			if n := w.nodes[name]; !n.down && len(n.member.OwnedShards()) > 0 {
+			if n := w.nodes[name]; !n.down && len(n.member.LedShards()) > 0 {
 				owners++
 			}
 		}
 		return owners == 1
 	}) {
 		for _, name := range w.names {
-			t.Errorf("%s owns %v", name, w.nodes[name].member.OwnedShards())
+			t.Errorf("%s owns %v", name, w.nodes[name].member.LedShards())
 		}
 	}
 }
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -13,8 +13,8 @@
 
 // ObserveWorker hands a view to the leader here, as cmd/wallrack does.
 func (n *node) ObserveWorker(v dispatch.WorkerView) {
-	if seen := n.linksSeen(); v.Asked && seen.SharesWorkers() {
-		v.Holder = n.LeaderFor(v.Name)
+	if seen := n.linksSeen(); v.Polled && seen.SharesWorkers() {
+		v.Dispatcher = n.LeaderFor(v.Name)
 	}
 	n.scheduler.ObserveWorker(v)
 }
--- a/internal/testkit/on_cluster_test.go
+++ b/internal/testkit/on_cluster_test.go
@@ -55,7 +55,7 @@
 // leader is the controller that owns the jobs, or "".
 func (w *cluster) leader() string {
 	for _, n := range w.names {
-		if x := w.nodes[n]; !x.down && len(x.member.OwnedShards()) > 0 {
+		if x := w.nodes[n]; !x.down && len(x.member.LedShards()) > 0 {
 			return n
 		}
 	}
--- a/internal/testkit/partitions_test.go
+++ b/internal/testkit/partitions_test.go
@@ -139,7 +139,7 @@
 	if s, ok := n.scheduler.LocalState(uid); ok {
 		return s, true
 	}
-	for _, o := range n.member.ShardOwners() {
+	for _, o := range n.member.ShardLeaders() {
 		w.mu.Lock()
 		to := w.nodes[o]
 		ok := w.reach(n, to)
--- a/internal/testkit/quota_leases_test.go
+++ b/internal/testkit/quota_leases_test.go
@@ -24,7 +24,7 @@
 // owningNodes names the controllers that own jobs.
 func (w *cluster) owningNodes() (names []string) {
 	for _, n := range w.names {
-		if x := w.nodes[n]; !x.down && len(x.member.OwnedShards()) > 0 {
+		if x := w.nodes[n]; !x.down && len(x.member.LedShards()) > 0 {
 			names = append(names, n)
 		}
 	}
@@ -44,7 +44,7 @@
 // first free one from a number on.
 func (c *teamCluster) jobAt(at string, from int, team, priority string, tasks int, cpus float64) string {
 	c.t.Helper()
-	return c.jobIn(c.nodes[at].member.OwnedShards(), from, team, priority, tasks, cpus)
+	return c.jobIn(c.nodes[at].member.LedShards(), from, team, priority, tasks, cpus)
 }
 
 // jobIn is jobAt for any of some shards.
@@ -117,7 +117,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	own := c.nodes[at].member.OwnedShards()
+	own := c.nodes[at].member.LedShards()
 	for _, row := range record.Rows {
 		if _, mine := own[row.Shard]; mine {
 			cpus += float64(row.Teams[team].Part[0]) / 1000
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -67,7 +67,7 @@
 func (r *reach) init(n *node) {
 	r.node = n
 	r.table, r.born = reachability.NewTable(n.name, r.peers()), time.Now().UnixMilli()
-	r.silence = reachability.FailureDetector{Base: 5 * time.Second, Lease: workerLease, Report: reportEvery, Grace: testGrace}
+	r.silence = reachability.FailureDetector{Timeout: 5 * time.Second, Lease: workerLease, HeartbeatInterval: reportEvery, Grace: testGrace}
 	r.last = r.table.View(reachability.NodeStatus{Node: n.name}, time.Now())
 }
 
@@ -78,10 +78,10 @@
 	r.seq++
 	reports, machines := n.dispatcher.RecentHeartbeats()
 	row := reachability.NodeStatus{
-		Node: n.name, StartedMs: r.born, Seq: r.seq, StoreReachable: state, LeaseHeld: n.member.LeaseRemaining() > 0, OwnsJobs: len(n.member.OwnedShards()) > 0,
+		Node: n.name, StartedMs: r.born, Seq: r.seq, StoreReachable: state, LeaseHeld: n.member.LeaseRemaining() > 0, LeadsShards: len(n.member.LedShards()) > 0,
 		Heartbeats: reports, ExpectedHeartbeats: float64(machines) / reportEvery.Seconds() * dispatch.HeartbeatWindow.Seconds(), UnreachedPeers: r.table.UnreachedPeers(now),
 	}
-	if o := n.member.ShardOwners(); len(o) > 0 {
+	if o := n.member.ShardLeaders(); len(o) > 0 {
 		row.PreferredLeader = o[0]
 	}
 	row.Assignments, row.WorkerCapacity, row.WorkerCount = r.seats, r.room, r.here
@@ -108,7 +108,7 @@
 func (n *node) LeaderFor(worker string) string {
 	v := n.linksSeen()
 	v.Self.LeaseHeld = n.member.LeaseRemaining() > 0
-	if o := n.member.ShardOwners(); len(o) > 0 {
+	if o := n.member.ShardLeaders(); len(o) > 0 {
 		v.Self.PreferredLeader = o[0]
 	}
 	return v.LeaderFor(worker)
@@ -120,7 +120,7 @@
 
 func (n *node) Isolated() bool {
 	v := n.linksSeen()
-	v.Self.OwnsJobs = len(n.member.OwnedShards()) > 0
+	v.Self.LeadsShards = len(n.member.LedShards()) > 0
 	return v.Isolated()
 }
 
@@ -177,7 +177,7 @@
 		if to := r.watch.Check(now, &v, n.member.RecentTransfers(reachability.TransferWindow)); to != "" {
 			_ = n.member.TransferShards(context.Background(), to) // tried again if it fails
 		}
-		if v.Self.OwnsJobs && w.keepCuts {
+		if v.Self.LeadsShards && w.keepCuts {
 			w.judge(n, &v)
 		}
 	}
@@ -207,14 +207,14 @@
 		n.onDuty("silence of "+name, func(ctx context.Context) {
 			heard := n.lives(ctx, m)
 			if heard && m.OutboundLost {
-				n.scheduler.WorkerAnswered(name)
+				n.scheduler.WorkerResponded(name)
 			}
 			r.silenceMu.Lock()
 			defer r.silenceMu.Unlock()
 			r.silence.RecordProbe(name, heard, time.Now())
 		})
 	}
-	for name, why := range verdict.Return {
+	for name, why := range verdict.Failed {
 		w.mu.Lock()
 		h, k := w.lastHeartbeats[name], w.byName[name]
 		if at := h.last; k != nil && time.Since(at) < 3*reportEvery && time.Since(h.since) > surely {
@@ -239,7 +239,7 @@
 		for _, x := range w.nodes {
 			if !x.down {
 				x.dispatcher.RemoveWorker(name)
-				x.scheduler.WorkerGone(name)
+				x.scheduler.WorkerDeleted(name)
 			}
 		}
 	}
@@ -248,13 +248,13 @@
 // lives asks a worker, and has all peers ask it, whether it lives.
 func (n *node) lives(ctx context.Context, m reachability.UnresponsiveWorker) bool {
 	w := n.cluster
-	heard := m.Endpoint != "" && n.dispatcher.FetchReport(ctx, m.Name, m.Endpoint)
+	heard := m.Endpoint != "" && n.dispatcher.PollWorker(ctx, m.Name, m.Endpoint)
 	for _, p := range w.names { // and its peers are asked whether they hear it
 		w.mu.Lock()
 		to := w.nodes[p]
 		ok := to != n && w.reach(n, to)
 		w.mu.Unlock()
-		heard = heard || ok && (!m.OutboundLost && to.dispatcher.SinceHeartbeat(m.Name) < n.reach.silence.Base || m.Endpoint != "" && to.dispatcher.FetchReport(ctx, m.Name, m.Endpoint))
+		heard = heard || ok && (!m.OutboundLost && to.dispatcher.SinceHeartbeat(m.Name) < n.reach.silence.Timeout || m.Endpoint != "" && to.dispatcher.PollWorker(ctx, m.Name, m.Endpoint))
 	}
 	return heard
 }
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -59,7 +59,7 @@
 		return // the answer is lost
 	}
 	switch a := body.(type) {
-	case wire.ReportAnswer:
+	case wire.ReportResponse:
 		w.checks.sent(n, answered)
 		k.Answer(sent, rep.Session, a)
 	case wire.Redirect:
@@ -124,7 +124,7 @@
 		unheard[k.Name] = k.Name
 	}
 	for _, n := range nodes {
-		if len(n.member.OwnedShards()) > 0 {
+		if len(n.member.LedShards()) > 0 {
 			if !w.unlisted {
 				n.onDuty("probe", func(ctx context.Context) { n.dispatcher.PollReports(ctx, unheard, 3*reportEvery) })
 			}
--- a/internal/testkit/stale_heartbeats_test.go
+++ b/internal/testkit/stale_heartbeats_test.go
@@ -53,7 +53,7 @@
 	_, body := w.nodes[name].dispatcher.HandleReport(context.Background(), rep)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if a, ok := body.(wire.ReportAnswer); ok {
+	if a, ok := body.(wire.ReportResponse); ok {
 		k.Answer(sent, rep.Session, a)
 	}
 	return rep
@@ -156,7 +156,7 @@
 // next returns the controller that has read the records since, or nil.
 func (w *cluster) next(before map[string]jobstate.Stats) *node {
 	for _, name := range w.names {
-		if n := w.nodes[name]; !n.down && len(n.member.OwnedShards()) > 0 && n.scheduler.Counters().Failovers > before[name].Failovers {
+		if n := w.nodes[name]; !n.down && len(n.member.LedShards()) > 0 && n.scheduler.Counters().Failovers > before[name].Failovers {
 			return n
 		}
 	}
--- a/internal/testkit/store.go
+++ b/internal/testkit/store.go
@@ -93,7 +93,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		return 0, &statestore.Conflict{Keys: failed}
+		return 0, &statestore.ConflictError{Keys: failed}
 	}
 	s.rev++
 	for _, op := range t.Then {
--- a/internal/testkit/team_limits_test.go
+++ b/internal/testkit/team_limits_test.go
@@ -112,7 +112,7 @@
 		c.cutAll(k.Name, c.names...)
 	}
 	first := c.leader()
-	before := c.nodes[first].member.OwnedShards()
+	before := c.nodes[first].member.LedShards()
 	at := c.others(first)[1]
 	confirm := func(seconds int) {
 		if n := c.cancelAll(at, jobs, seconds); n != len(jobs) {
@@ -130,7 +130,7 @@
 	if when > 0 {
 		confirm(6)
 	}
-	if l := c.leader(); l == first && maps.Equal(before, c.nodes[first].member.OwnedShards()) {
+	if l := c.leader(); l == first && maps.Equal(before, c.nodes[first].member.LedShards()) {
 		t.Fatal("the leader did not change")
 	}
 	if n := c.onMachines("j-80") + c.onMachines("j-82"); n != 6 {
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -212,7 +212,7 @@
 				submit := func(uid, priority string, tasks int, estimate, mark float64) {
 					w.accept(&wire.Job{
 						UID: uid, Class: uid, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks,
-						CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, Estimate: estimate, Spot: true, MarkS: mark, SaveS: mark / 30,
+						CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: estimate, Spot: true, CheckpointIntervalS: mark, CheckpointSaveS: mark / 30,
 					})
 				}
 				submit(savers, "normal", 24, 40, 30)
--- a/internal/testkit/unresponsive_workers_test.go
+++ b/internal/testkit/unresponsive_workers_test.go
@@ -22,7 +22,7 @@
 	w.keepCuts = true
 	live(25)
 	for _, n := range w.names {
-		if len(w.nodes[n].member.OwnedShards()) > 0 {
+		if len(w.nodes[n].member.LedShards()) > 0 {
 			owner = n
 		} else {
 			others = append(others, n)
--- a/internal/testkit/wait_check_test.go
+++ b/internal/testkit/wait_check_test.go
@@ -267,7 +267,7 @@
 				w.waits.insisted = c.insist
 				noticed := 0
 				w.fail = func(string, ...any) { noticed++ }
-				w.accept(&wire.Job{UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: c.cpus, MemoryGB: 1, Estimate: 4, Spot: true})
+				w.accept(&wire.Job{UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: c.cpus, MemoryGB: 1, EstimateS: 4, Spot: true})
 				for range 60 { // no controller runs
 					time.Sleep(2 * time.Second)
 					w.checkWaits()
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -193,7 +193,7 @@
 }
 
 // Answer takes the answer to a report sent at the given time, unless it is late.
-func (w *Worker) Answer(sent time.Time, session uint64, a wire.ReportAnswer) {
+func (w *Worker) Answer(sent time.Time, session uint64, a wire.ReportResponse) {
 	if w.Hangs() {
 		w.hold(func() { w.Answer(sent, session, a) })
 		return
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -32,7 +32,7 @@
 
 func (z *zonedCluster) submitZoned(job *wire.Job) {
 	job.Class, job.Team, job.Priority, job.CPUs, job.MemoryGB = "c", "t", "normal", 1, 1
-	job.Image, job.ImageGB, job.Estimate, job.Spot, job.Kind = "i", 0.1, 4, true, wire.KindArray
+	job.Image, job.ImageGB, job.EstimateS, job.Spot, job.Kind = "i", 0.1, 4, true, wire.KindArray
 	guards, ops := jobrecord.AcceptanceTxn(job, nil, jobrecord.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: z.store}).Txn(context.Background(), guards, ops...); err != nil {
 		z.t.Fatal(err)
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -28,14 +28,14 @@
 // The duties. What they do not cover is mostly HTTP, the collector and the scheduler of
 // goroutines.
 const (
-	Reports  Duty = iota // a worker's report, from its body to the response's
-	Passes               // scheduling passes and sweeps
-	Records              // building and committing a leader's transactions
-	Watches              // changes seen in the state service
-	Directed             // a scheduler's instructions at the dispatcher
-	Fleet                // demand and plan of the autoscaler
-	Users                // users' requests served here, waiting included
-	Peers                // views from and to other controllers
+	Reports      Duty = iota // a worker's report, from its body to the response's
+	Passes                   // scheduling passes and sweeps
+	Records                  // building and committing a leader's transactions
+	Watches                  // changes seen in the state service
+	Instructions             // a scheduler's instructions at the dispatcher
+	Autoscaling              // demand and plan of the autoscaler
+	Users                    // users' requests served here, waiting included
+	Peers                    // views from and to other controllers
 	duties
 )
 
@@ -151,12 +151,12 @@
 	return m
 }
 
-// Crowded reports whether this process holds so much memory that it must not take on more work,
+// MemoryPressure reports whether this process holds so much memory that it must not take on more work,
 // as of the last second.
-func (m *Meter) Crowded() bool { return m.pressure.Load() }
+func (m *Meter) MemoryPressure() bool { return m.pressure.Load() }
 
-// Late returns by how much a timer fired late within the last second or so.
-func (m *Meter) Late() time.Duration { return time.Duration(m.delay.Load()) }
+// TimerDelay returns by how much a timer fired late within the last second or so.
+func (m *Meter) TimerDelay() time.Duration { return time.Duration(m.delay.Load()) }
 
 // Read takes a reading.
 func (m *Meter) Read() Reading {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		m := usage.New(1, func() map[string]int { return map[string]int{"jobs": 3} }, slog.New(slog.NewTextHandler(&out, nil)))
-		if m.Crowded() {
+		if m.MemoryPressure() {
 			t.Error("short of memory before anything was read")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -28,7 +28,7 @@
 		time.Sleep(2 * time.Second)
 		usage.Count(usage.Reports, start)
 		usage.Note(usage.MalformedReports)
-		if !m.Crowded() {
+		if !m.MemoryPressure() {
 			t.Error("a process of more than a byte is not short of memory")
 		}
 		r := m.Read()
--- a/internal/viewsync/capacity_test.go
+++ b/internal/viewsync/capacity_test.go
@@ -32,7 +32,7 @@
 	for i := range workers {
 		v := dispatch.WorkerView{
 			Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z",
-			Session: 1, Seq: 1000 + uint64(atMs), Token: 7, Holder: "a", AgeS: 0.25, UnansweredS: 0.25,
+			Session: 1, Seq: 1000 + uint64(atMs), Token: 7, Dispatcher: "a", AgeS: 0.25, UnansweredS: 0.25,
 		}
 		allocations := make([]matching.Allocation, 0, tasksEach)
 		for t := range tasksEach {
--- a/internal/viewsync/change.go
+++ b/internal/viewsync/change.go
@@ -24,7 +24,7 @@
 type Condition struct {
 	NoticeS  *float64 `json:"n,omitempty"`
 	Draining bool     `json:"d,omitempty"`
-	Asked    bool     `json:"a,omitempty"`
+	Polled   bool     `json:"a,omitempty"`
 }
 
 // TaskKey names a reported task.
@@ -59,11 +59,11 @@
 func siteOf(v *dispatch.WorkerView) Site { return Site{v.Type, v.Zone, v.Spot, v.Endpoint} }
 
 func conditionOf(v *dispatch.WorkerView) Condition {
-	return Condition{v.NoticeS, v.Draining, v.Asked}
+	return Condition{v.NoticeS, v.Draining, v.Polled}
 }
 
 func (c Condition) same(o Condition) bool {
-	return samePointee(c.NoticeS, o.NoticeS) && c.Draining == o.Draining && c.Asked == o.Asked
+	return samePointee(c.NoticeS, o.NoticeS) && c.Draining == o.Draining && c.Polled == o.Polled
 }
 
 // diff returns what changed from old, nil for a worker that is not known yet, to the view
@@ -178,7 +178,7 @@
 		v.UnansweredS = float64(*c.UnansweredMs) / perSecond
 	}
 	if condition := c.Condition; condition != nil {
-		v.NoticeS, v.Draining, v.Asked = condition.NoticeS, condition.Draining, condition.Asked
+		v.NoticeS, v.Draining, v.Polled = condition.NoticeS, condition.Draining, condition.Polled
 	}
 }
 
@@ -197,7 +197,7 @@
 		return fmt.Errorf("%w: %s: %d waits of %d", ErrMalformed, c.Name, len(c.Waits), len(v.Matrix))
 	default:
 		for i := range v.Matrix {
-			v.Matrix[i].Wait = c.Waits[i] // of a copy, see advanced
+			v.Matrix[i].WaitS = c.Waits[i] // of a copy, see advanced
 		}
 	}
 	if !inOrder(v.Matrix) {
--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -57,10 +57,10 @@
 		s := &states[i]
 		d.states[s.view.Name] = s
 		view := s.aged(m.NowMs)
-		view.Holder = m.Holder
+		view.Dispatcher = m.Dispatcher
 		out = append(out, view)
 	}
-	for _, name := range frame.Gone {
+	for _, name := range frame.Removed {
 		delete(d.states, name)
 	}
 	return out, d.Reply(), nil
@@ -89,7 +89,7 @@
 		}
 		states = append(states, s)
 	}
-	for _, name := range frame.Gone {
+	for _, name := range frame.Removed {
 		if begins || d.states[name] == nil {
 			return nil, fmt.Errorf("%w: %s: removed, and was not known", ErrMalformed, name)
 		}
@@ -119,7 +119,7 @@
 	if m.Stream != d.stream || m.Seq < d.seq { // of another incarnation, or a copy
 		return d.Reply()
 	}
-	if m.Seq != d.seq || m.Machines != len(d.states) || m.Sum != digest(d.states) {
+	if m.Seq != d.seq || m.Workers != len(d.states) || m.Digest != digest(d.states) {
 		return d.refusal()
 	}
 	return d.Reply()
--- a/internal/viewsync/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -60,7 +60,7 @@
 
 // Next returns what is to be sent now, or nil.
 func (e *Encoder) Next(nowMs int64, source Source) *Message {
-	m := &Message{Holder: e.dispatcher, Stream: e.stream, After: e.after, NowMs: nowMs}
+	m := &Message{Dispatcher: e.dispatcher, Stream: e.stream, After: e.after, NowMs: nowMs}
 	switch {
 	case e.unacked != nil:
 		// Repeated as it is: whether it was applied is not known.
@@ -77,7 +77,7 @@
 	case e.hasChanges():
 		e.makeFrame(nowMs)
 	case nowMs-e.repliedMs >= heartbeatMs && len(e.sent) > 0:
-		m.Seq, m.Machines, m.Sum = e.seq, len(e.sent), digest(e.sent)
+		m.Seq, m.Workers, m.Digest = e.seq, len(e.sent), digest(e.sent)
 		return m
 	default:
 		return nil
@@ -109,11 +109,11 @@
 		frame.Changes = append(frame.Changes, change)
 	}
 	for name := range e.removed {
-		frame.Gone = append(frame.Gone, name)
+		frame.Removed = append(frame.Removed, name)
 		delete(e.sent, name)
 	}
 	clear(e.removed)
-	slices.Sort(frame.Gone)
+	slices.Sort(frame.Removed)
 	e.unacked = frame
 }
 
--- a/internal/viewsync/messages.go
+++ b/internal/viewsync/messages.go
@@ -8,20 +8,20 @@
 	AtMs    int64    `json:"t"`           // on the dispatcher's steady clock
 	Whole   bool     `json:"w,omitempty"` // the first frame: nothing is known yet
 	Changes []Change `json:"c,omitempty"`
-	Gone    []string `json:"g,omitempty"` // workers that the dispatcher does not know any more
+	Removed []string `json:"g,omitempty"` // workers that the dispatcher does not know any more
 }
 
 // Message is what a dispatcher sends to a leader. One without a frame is a heartbeat: the
 // views up to Seq, so many, still hold.
 type Message struct {
-	Holder   string `json:"h"` // the dispatcher
-	Stream   uint64 `json:"s"`
-	After    uint64 `json:"a,omitempty"` // the stream that this one replaces, for its first frame
-	Seq      uint64 `json:"q,omitempty"` // heartbeat: the last acknowledged frame
-	Machines int    `json:"m,omitempty"` // heartbeat: the workers known then
-	Sum      uint64 `json:"d,omitempty"` // heartbeat: see digest
-	NowMs    int64  `json:"t"`           // when it is sent, on the clock of its frame
-	Frame    *Frame `json:"f,omitempty"`
+	Dispatcher string `json:"h"` // the dispatcher
+	Stream     uint64 `json:"s"`
+	After      uint64 `json:"a,omitempty"` // the stream that this one replaces, for its first frame
+	Seq        uint64 `json:"q,omitempty"` // heartbeat: the last acknowledged frame
+	Workers    int    `json:"m,omitempty"` // heartbeat: the workers known then
+	Digest     uint64 `json:"d,omitempty"` // heartbeat: see digest
+	NowMs      int64  `json:"t"`           // when it is sent, on the clock of its frame
+	Frame      *Frame `json:"f,omitempty"`
 }
 
 // Reply says up to where a leader knows which stream.
--- a/internal/viewsync/model_test.go
+++ b/internal/viewsync/model_test.go
@@ -133,7 +133,7 @@
 		}
 		want, got := w.versions[n].view, s.view
 		want = rounding(want)
-		got.Holder = want.Holder
+		got.Dispatcher = want.Dispatcher
 		// How much time has passed since, the ages say: all must say the same.
 		passed := got.AgeS - want.AgeS
 		want = state{0, want}.advanced(milliseconds(passed)).view
@@ -160,14 +160,14 @@
 		return fmt.Errorf("tasks")
 	}
 	if !slices.Equal(a.Queue, b.Queue) || !slices.EqualFunc(a.Matrix, b.Matrix, func(x, y matching.WaitRow) bool {
-		return x.Free == y.Free && math.Abs(x.Wait-y.Wait) <= slack
+		return x.Free == y.Free && math.Abs(x.WaitS-y.WaitS) <= slack
 	}) {
 		return fmt.Errorf("queue or matrix")
 	}
 	if a.Type != b.Type || a.Zone != b.Zone || a.Spot != b.Spot || a.Endpoint != b.Endpoint {
 		return fmt.Errorf("site")
 	}
-	if !reflect.DeepEqual(a.NoticeS, b.NoticeS) || a.Draining != b.Draining || a.Asked != b.Asked {
+	if !reflect.DeepEqual(a.NoticeS, b.NoticeS) || a.Draining != b.Draining || a.Polled != b.Polled {
 		return fmt.Errorf("condition")
 	}
 	if a.Session != b.Session || a.Seq != b.Seq || a.Token != b.Token {
@@ -183,7 +183,7 @@
 	if rapid.Bool().Draw(t, "reported") {
 		v.Seq++
 		v.AgeS, v.UnansweredS = float64(few.Draw(t, "age"))/4, float64(few.Draw(t, "unanswered"))/4
-		v.Asked = rapid.Bool().Draw(t, "asked")
+		v.Polled = rapid.Bool().Draw(t, "asked")
 	}
 	if few.Draw(t, "moved") == 0 {
 		v.Session, v.Seq = v.Session+1, 1
@@ -210,11 +210,11 @@
 	}
 	v.Queue = nil
 	for i := range few.Draw(t, "queued") {
-		v.Queue = append(v.Queue, dispatch.QueueView{TaskRef: dispatch.TaskRef{Machine: "m", Task: "q", Attempt: uint64(i)}, WaitS: float64(few.Draw(t, "wait"))})
+		v.Queue = append(v.Queue, dispatch.QueueView{TaskRef: dispatch.TaskRef{Worker: "m", Task: "q", Attempt: uint64(i)}, WaitS: float64(few.Draw(t, "wait"))})
 	}
 	v.Matrix = nil
 	for _, ms := range slices.Sorted(slices.Values(waits.Draw(t, "waits"))) {
-		v.Matrix = append(v.Matrix, matching.WaitRow{Wait: float64(ms) / 1000, Free: matching.Resources{CPUs: float64(few.Draw(t, "free"))}})
+		v.Matrix = append(v.Matrix, matching.WaitRow{WaitS: float64(ms) / 1000, Free: matching.Resources{CPUs: float64(few.Draw(t, "free"))}})
 	}
 	return v
 }
--- a/internal/viewsync/publisher.go
+++ b/internal/viewsync/publisher.go
@@ -78,8 +78,8 @@
 	return encoder.Next(nowMs, p.source)
 }
 
-// Took handles a leader's reply, and reports whether there is more to be sent at once.
-func (p *Publisher) Took(nowMs int64, leader string, r Reply) bool {
+// HandleReply handles a leader's reply, and reports whether there is more to be sent at once.
+func (p *Publisher) HandleReply(nowMs int64, leader string, r Reply) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	encoder := p.encoders[leader]
--- a/internal/viewsync/receiver.go
+++ b/internal/viewsync/receiver.go
@@ -9,15 +9,15 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// ErrNoOwner means that a message came to a controller that leads no jobs, or has not read
+// ErrNotLeading means that a message came to a controller that leads no jobs, or has not read
 // their records yet: it would not act on what it receives.
-var ErrNoOwner = errors.New("leads no jobs")
+var ErrNotLeading = errors.New("leads no jobs")
 
 // Sink is the scheduler that observes views.
 type Sink interface {
-	// OwnershipEpoch is 0 while the scheduler acts on no views, and another number each time that
+	// LeadershipEpoch is 0 while the scheduler acts on no views, and another number each time that
 	// it begins to.
-	OwnershipEpoch() uint64
+	LeadershipEpoch() uint64
 	// ObserveWorker is called with the Receiver's lock held: it must not call the Receiver.
 	ObserveWorker(dispatch.WorkerView)
 }
@@ -42,24 +42,24 @@
 // the dispatcher with an error too: it says that the message was not applied. The errors are
 // ErrNoOwner and ErrMalformed.
 func (r *Receiver) Take(m *Message) (Reply, error) {
-	if !slices.Contains(r.dispatchers, m.Holder) {
-		return Reply{}, fmt.Errorf("%w: no such dispatcher: %q", ErrMalformed, m.Holder)
+	if !slices.Contains(r.dispatchers, m.Dispatcher) {
+		return Reply{}, fmt.Errorf("%w: no such dispatcher: %q", ErrMalformed, m.Dispatcher)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	epoch := r.sink.OwnershipEpoch()
+	epoch := r.sink.LeadershipEpoch()
 	if epoch != r.epoch {
 		// What a scheduler received before it had its jobs, it did not act on.
 		r.epoch = epoch
 		clear(r.replicas)
 	}
 	if epoch == 0 {
-		return Reply{}, ErrNoOwner
+		return Reply{}, ErrNotLeading
 	}
-	replica := r.replicas[m.Holder]
+	replica := r.replicas[m.Dispatcher]
 	if replica == nil {
 		replica = NewDecoder()
-		r.replicas[m.Holder] = replica
+		r.replicas[m.Dispatcher] = replica
 	}
 	changed, reply, err := replica.Take(m)
 	for _, view := range changed {
--- a/internal/viewsync/receiver_test.go
+++ b/internal/viewsync/receiver_test.go
@@ -13,11 +13,11 @@
 	observed []string
 }
 
-func (s *epochSink) OwnershipEpoch() uint64 { return s.epoch }
+func (s *epochSink) LeadershipEpoch() uint64 { return s.epoch }
 
 func (s *epochSink) ObserveWorker(v dispatch.WorkerView) {
 	if s.epoch > 0 {
-		s.observed = append(s.observed, v.Holder+"/"+v.Name)
+		s.observed = append(s.observed, v.Dispatcher+"/"+v.Name)
 	}
 }
 
@@ -37,10 +37,10 @@
 				return
 			}
 			reply, err := r.Take(m)
-			if err != nil && !errors.Is(err, ErrNoOwner) {
+			if err != nil && !errors.Is(err, ErrNotLeading) {
 				t.Fatal(err)
 			}
-			more = p.Took(nowMs, "o", reply)
+			more = p.HandleReply(nowMs, "o", reply)
 		}
 	}
 	for step, want := range []struct {
@@ -54,7 +54,7 @@
 			t.Errorf("step %d: observed %v, not %d times", step, sink.observed, want.observed)
 		}
 	}
-	if _, err := r.Take(&Message{Holder: "x", Stream: 3}); !errors.Is(err, ErrMalformed) {
+	if _, err := r.Take(&Message{Dispatcher: "x", Stream: 3}); !errors.Is(err, ErrMalformed) {
 		t.Errorf("a message of a dispatcher that is not known: %v", err)
 	}
 }
--- a/internal/viewsync/stream_test.go
+++ b/internal/viewsync/stream_test.go
@@ -123,7 +123,7 @@
 		e.stream, d.stream = 5, 3
 		v := dispatch.WorkerView{
 			Name: "n-1", Type: "m", Session: 1, Seq: 4, Token: 2, Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}},
-			Matrix: matching.WaitMatrix{{Free: matching.Resources{CPUs: 1}}, {Wait: 3, Free: matching.Resources{CPUs: 2}}},
+			Matrix: matching.WaitMatrix{{Free: matching.Resources{CPUs: 1}}, {WaitS: 3, Free: matching.Resources{CPUs: 2}}},
 		}
 		e.after = d.stream
 		_, r, err := d.Take(e.Next(0, oneView{v}))
@@ -137,7 +137,7 @@
 	v := d.states["n-1"].view
 	v.Seq, v.Tasks, v.Matrix = 5, nil, matching.WaitMatrix{{Free: matching.Resources{CPUs: 2}}}
 	e.Note(100, []dispatch.WorkerView{v}, nil)
-	for _, m := range []*Message{e.Next(200, nil), {Stream: d.stream, Seq: d.seq, Machines: 1}} {
+	for _, m := range []*Message{e.Next(200, nil), {Stream: d.stream, Seq: d.seq, Workers: 1}} {
 		data, err := json.Marshal(m)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/viewsync/view_state.go
+++ b/internal/viewsync/view_state.go
@@ -52,7 +52,7 @@
 	}
 	v.Matrix = slices.Clone(v.Matrix)
 	for i := range v.Matrix {
-		v.Matrix[i] = matching.WaitRow{Wait: rounded(v.Matrix[i].Wait), Free: roundedResources(v.Matrix[i].Free)}
+		v.Matrix[i] = matching.WaitRow{WaitS: rounded(v.Matrix[i].WaitS), Free: roundedResources(v.Matrix[i].Free)}
 	}
 	if !inOrder(v.Matrix) {
 		v.Matrix = nil // the leader would refuse the whole frame for it
@@ -71,8 +71,8 @@
 	}
 	view.Matrix = slices.Clone(view.Matrix)
 	for i := range view.Matrix {
-		if wait := view.Matrix[i].Wait; wait > 0 {
-			view.Matrix[i].Wait = rounded(max(0, wait-passed))
+		if wait := view.Matrix[i].WaitS; wait > 0 {
+			view.Matrix[i].WaitS = rounded(max(0, wait-passed))
 		}
 	}
 	return state{toMs, view}
@@ -82,7 +82,7 @@
 // the first row that fits for the earliest.
 func inOrder(m matching.WaitMatrix) bool {
 	for i := range m {
-		if m[i].Wait < 0 || i > 0 && m[i].Wait < m[i-1].Wait {
+		if m[i].WaitS < 0 || i > 0 && m[i].WaitS < m[i-1].WaitS {
 			return false
 		}
 	}
@@ -96,7 +96,7 @@
 func packed(m matching.WaitMatrix) []float64 {
 	figures := make([]float64, 0, rowFigures*len(m))
 	for _, row := range m {
-		figures = append(figures, row.Wait, row.Free.CPUs, row.Free.GPUs, row.Free.MemoryGB)
+		figures = append(figures, row.WaitS, row.Free.CPUs, row.Free.GPUs, row.Free.MemoryGB)
 	}
 	return figures
 }
@@ -104,7 +104,7 @@
 func unpacked(figures []float64) matching.WaitMatrix {
 	m := make(matching.WaitMatrix, 0, len(figures)/rowFigures)
 	for row := range slices.Chunk(figures, rowFigures) {
-		m = append(m, matching.WaitRow{Wait: row[0], Free: matching.Resources{CPUs: row[1], GPUs: row[2], MemoryGB: row[3]}})
+		m = append(m, matching.WaitRow{WaitS: row[0], Free: matching.Resources{CPUs: row[1], GPUs: row[2], MemoryGB: row[3]}})
 	}
 	return m
 }
@@ -112,7 +112,7 @@
 func waits(m matching.WaitMatrix) []float64 {
 	out := make([]float64, 0, len(m))
 	for _, row := range m {
-		out = append(out, row.Wait)
+		out = append(out, row.WaitS)
 	}
 	return out
 }
@@ -129,7 +129,7 @@
 
 func sameMatrix(a, b matching.WaitMatrix) bool {
 	return slices.EqualFunc(a, b, func(x, y matching.WaitRow) bool {
-		return x.Free == y.Free && near(x.Wait, y.Wait, waitToleranceS) && (x.Wait > 0) == (y.Wait > 0)
+		return x.Free == y.Free && near(x.WaitS, y.WaitS, waitToleranceS) && (x.WaitS > 0) == (y.WaitS > 0)
 	})
 }
 
--- a/internal/wire/capacity_test.go
+++ b/internal/wire/capacity_test.go
@@ -30,7 +30,7 @@
 		return bytesOf(tb, r)
 	}},
 	{Name: "wire.answer", Sizes: []int{1, 2, 5, 10, 40}, Measure: func(tb testing.TB, commands int) float64 {
-		a := wire.ReportAnswer{Token: 41}
+		a := wire.ReportResponse{Token: 41}
 		for i := range commands {
 			a.Commands = append(a.Commands, wire.Command{Verb: wire.VerbStart, Task: taskName(i), Attempt: 20})
 		}
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -19,8 +19,8 @@
 	Types []MachineType `json:"builds"`
 }
 
-// HireRequest provisions machines. The cloud answers a repeat under the same name alike.
-type HireRequest struct {
+// ProvisionRequest provisions machines. The cloud answers a repeat under the same name alike.
+type ProvisionRequest struct {
 	Name   string `json:"hire"` // unique
 	Type   string `json:"build"`
 	Zone   string `json:"yard"`
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -15,26 +15,26 @@
 
 // Job is a submission. It is stored as it is sent. Amounts are those of one task.
 type Job struct {
-	UID      string   `json:"uid"`
-	Class    string   `json:"docket"`
-	Team     string   `json:"crew"`
-	Kind     string   `json:"sort"`
-	Priority string   `json:"urgency"`
-	Tasks    int      `json:"pieces"`
-	CPUs     float64  `json:"cpus"`
-	GPUs     float64  `json:"cards"`
-	MemoryGB float64  `json:"memoryGb"`
-	Image    string   `json:"kit"`
-	ImageGB  float64  `json:"pullGb"`
-	Types    []string `json:"builds,omitempty"`   // nil: any machine type
-	Zone     *string  `json:"yard,omitempty"`     // nil: any zone
-	OneZone  bool     `json:"together,omitempty"` // all tasks in the same zone
-	Spread   bool     `json:"apart,omitempty"`    // at most half of the tasks, rounded up, in one zone
-	Spot     bool     `json:"loaners,omitempty"`  // spot machines are allowed
-	Estimate float64  `json:"reckonS"`            // run time, in seconds
-	MarkS    float64  `json:"markS,omitempty"`    // between checkpoints; 0: none
-	SaveS    float64  `json:"stashS,omitempty"`   // to save a checkpoint when it is stopped
-	DueS     *float64 `json:"dueS,omitempty"`     // deadline, after the submission
+	UID                 string   `json:"uid"`
+	Class               string   `json:"docket"`
+	Team                string   `json:"crew"`
+	Kind                string   `json:"sort"`
+	Priority            string   `json:"urgency"`
+	Tasks               int      `json:"pieces"`
+	CPUs                float64  `json:"cpus"`
+	GPUs                float64  `json:"cards"`
+	MemoryGB            float64  `json:"memoryGb"`
+	Image               string   `json:"kit"`
+	ImageGB             float64  `json:"pullGb"`
+	Types               []string `json:"builds,omitempty"`   // nil: any machine type
+	Zone                *string  `json:"yard,omitempty"`     // nil: any zone
+	OneZone             bool     `json:"together,omitempty"` // all tasks in the same zone
+	Spread              bool     `json:"apart,omitempty"`    // at most half of the tasks, rounded up, in one zone
+	Spot                bool     `json:"loaners,omitempty"`  // spot machines are allowed
+	EstimateS           float64  `json:"reckonS"`            // run time, in seconds
+	CheckpointIntervalS float64  `json:"markS,omitempty"`    // between checkpoints; 0: none
+	CheckpointSaveS     float64  `json:"stashS,omitempty"`   // to save a checkpoint when it is stopped
+	DueS                *float64 `json:"dueS,omitempty"`     // deadline, after the submission
 }
 
 // Rank returns the job's priority; a larger rank is served first.
@@ -122,7 +122,7 @@
 		CPUs: c.positive("cpus", m.CPUs), GPUs: c.amount("cards", m.GPUs), MemoryGB: c.amount("memoryGb", m.MemoryGB),
 		Image: c.name("kit", m.Image), ImageGB: c.amount("pullGb", m.ImageGB),
 		OneZone: c.flag("together", m.OneZone), Spread: c.flag("apart", m.Spread), Spot: c.flag("loaners", m.Spot),
-		Estimate: c.amount("reckonS", m.Estimate), MarkS: c.amount("markS", m.MarkS), SaveS: c.amount("stashS", m.SaveS),
+		EstimateS: c.amount("reckonS", m.Estimate), CheckpointIntervalS: c.amount("markS", m.MarkS), CheckpointSaveS: c.amount("stashS", m.SaveS),
 		Zone: m.Zone, DueS: m.DueS,
 	}
 	if m.UID != nil && !ValidJobID(job.UID) {
--- a/internal/wire/recorded_test.go
+++ b/internal/wire/recorded_test.go
@@ -20,7 +20,7 @@
 	return wire.Job{
 		UID: "j-000400", Class: "batch", Team: "vision", Kind: wire.KindGang, Priority: "urgent", Tasks: 8,
 		CPUs: 2.5, GPUs: 1, MemoryGB: 12.25, Image: "trainer:7", ImageGB: 4.5, Types: []string{"g8", "g16"}, Zone: &zone,
-		OneZone: true, Spread: true, Spot: true, Estimate: 900.25, MarkS: 60, SaveS: 7.5, DueS: &due,
+		OneZone: true, Spread: true, Spot: true, EstimateS: 900.25, CheckpointIntervalS: 60, CheckpointSaveS: 7.5, DueS: &due,
 	}
 }
 
@@ -30,7 +30,7 @@
 	recorded.Check(t, "job_empty", wire.Job{})
 	recorded.Check(t, "job_state_full", wire.JobState{UID: "j-000400", Stage: wire.StageRunning, Done: 3, Running: 5})
 	recorded.Check(t, "job_state_empty", wire.JobState{})
-	recorded.Check(t, "machine_info_full", wire.MachineInfo{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, HeardS: 1.25})
+	recorded.Check(t, "machine_info_full", wire.MachineInfo{Name: "n-000231", Type: "g8", Zone: "a", Spot: true, CPUs: 8, UsedCPUs: 6.5, Tasks: 3, SinceHeartbeatS: 1.25})
 	recorded.Check(t, "machine_info_empty", wire.MachineInfo{})
 	recorded.Check(t, "problem_full", wire.Problem{Error: "uid: missing"})
 	recorded.Check(t, "problem_empty", wire.Problem{})
@@ -62,8 +62,8 @@
 	recorded.Check(t, "task_empty", wire.Task{})
 	recorded.Check(t, "command_full", commands[0])
 	recorded.Check(t, "command_empty", wire.Command{})
-	recorded.Check(t, "report_answer_full", wire.ReportAnswer{Token: 41, Commands: commands})
-	recorded.Check(t, "report_answer_empty", wire.ReportAnswer{Commands: []wire.Command{}})
+	recorded.Check(t, "report_answer_full", wire.ReportResponse{Token: 41, Commands: commands})
+	recorded.Check(t, "report_answer_empty", wire.ReportResponse{Commands: []wire.Command{}})
 	orders := wire.Orders{Token: 41, Session: 2, Commands: commands}
 	recorded.Check(t, "orders_full", orders)
 	recorded.Check(t, "orders_empty", wire.Orders{Commands: []wire.Command{}})
@@ -87,8 +87,8 @@
 	recorded.Check(t, "machine_types_empty", wire.MachineTypes{})
 	recorded.Check(t, "machine_type_full", machineType)
 	recorded.Check(t, "machine_type_empty", wire.MachineType{})
-	recorded.Check(t, "hire_request_full", wire.HireRequest{Name: "h-17", Type: "g8", Zone: "a", Spot: true, Number: 4})
-	recorded.Check(t, "hire_request_empty", wire.HireRequest{})
+	recorded.Check(t, "hire_request_full", wire.ProvisionRequest{Name: "h-17", Type: "g8", Zone: "a", Spot: true, Number: 4})
+	recorded.Check(t, "hire_request_empty", wire.ProvisionRequest{})
 	recorded.Check(t, "machine_names_full", wire.MachineNames{Machines: []string{"n-000231", "n-000232"}})
 	recorded.Check(t, "machine_names_empty", wire.MachineNames{})
 	listed := wire.ListedMachine{Name: "n-000231", Endpoint: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Stage: wire.MachineBooting, AgeS: 61.5}
@@ -114,12 +114,12 @@
 	recorded.Check(t, "op_empty", wire.Op{})
 	recorded.Check(t, "txn_full", wire.Txn{If: []wire.Guard{guard}, Then: []wire.Op{op}})
 	recorded.Check(t, "txn_empty", wire.Txn{})
-	recorded.Check(t, "txn_answer_full", wire.TxnAnswer{Revision: 99, Failed: []string{"/store/c/term"}})
-	recorded.Check(t, "txn_answer_empty", wire.TxnAnswer{})
+	recorded.Check(t, "txn_answer_full", wire.TxnResponse{Revision: 99, Failed: []string{"/store/c/term"}})
+	recorded.Check(t, "txn_answer_empty", wire.TxnResponse{})
 	recorded.Check(t, "lease_request_full", wire.LeaseRequest{TTLMs: 8000})
 	recorded.Check(t, "lease_request_empty", wire.LeaseRequest{})
-	recorded.Check(t, "lease_answer_full", wire.LeaseAnswer{Lease: 5})
-	recorded.Check(t, "lease_answer_empty", wire.LeaseAnswer{})
+	recorded.Check(t, "lease_answer_full", wire.LeaseResponse{Lease: 5})
+	recorded.Check(t, "lease_answer_empty", wire.LeaseResponse{})
 	event := wire.Event{Put: "/store/c/term", Delete: "/store/c/old", Value: value, Version: 12}
 	recorded.Check(t, "event_full", event)
 	recorded.Check(t, "event_empty", wire.Event{Value: none})
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -37,8 +37,8 @@
 	Then []Op    `json:"apply"`
 }
 
-// TxnAnswer is the response to a transaction.
-type TxnAnswer struct {
+// TxnResponse is the response to a transaction.
+type TxnResponse struct {
 	Revision uint64   `json:"ledger"`
 	Failed   []string `json:"failed"` // keys of the guards that do not hold
 }
@@ -48,8 +48,8 @@
 	TTLMs int64 `json:"lifeMs"`
 }
 
-// LeaseAnswer is the response to a LeaseRequest.
-type LeaseAnswer struct {
+// LeaseResponse is the response to a LeaseRequest.
+type LeaseResponse struct {
 	Lease uint64 `json:"permit"`
 }
 
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -56,8 +56,8 @@
 	GraceS  *float64 `json:"windupS,omitempty"`
 }
 
-// ReportAnswer is the response to a report.
-type ReportAnswer struct {
+// ReportResponse is the response to a report.
+type ReportResponse struct {
 	Token    uint64    `json:"baton"`
 	Commands []Command `json:"orders"`
 }
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -31,7 +31,7 @@
 // Agent reports a worker's state to one of the controllers, and serves direct orders.
 // The fields must not change after the first call.
 type Agent struct {
-	Machine     *State     // the worker's state
+	State       *State     // the worker's state
 	Processes   *Processes // nil: tasks have no ports, and can't be checked
 	Controllers []Controller
 	ReportEvery time.Duration     // the mean; each interval is up to a quarter shorter or longer
@@ -114,7 +114,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			a.Machine.Expire()
+			a.State.Expire()
 		}
 	}
 }
@@ -124,7 +124,7 @@
 func (a *Agent) report(ctx context.Context, client *http.Client, current int) (next int, wait time.Duration) {
 	other := (current + 1) % len(a.Controllers)
 	controller := a.Controllers[current]
-	report := a.Machine.Report()
+	report := a.State.Report()
 	body, err := json.Marshal(report)
 	if err != nil {
 		a.Log.Error("report not encoded", "err", err)
@@ -138,7 +138,7 @@
 	}
 	switch status {
 	case http.StatusOK:
-		var response wire.ReportAnswer
+		var response wire.ReportResponse
 		if err := json.Unmarshal(data, &response); err != nil {
 			a.Log.Info("malformed response to the report", "controller", controller.Name, "err", err)
 			return other, nextAfter
@@ -173,9 +173,9 @@
 
 // execute takes a response to a report. A higher fencing token is reported soon, so that
 // it is known to be in effect, but at most twice in a lease.
-func (a *Agent) execute(ctx context.Context, sent time.Time, session uint64, response wire.ReportAnswer) {
-	_, newToken := a.Machine.HandleResponse(ctx, sent, session, response)
-	if newToken && time.Since(a.tokenRaised) > a.Machine.id.Lease/2 {
+func (a *Agent) execute(ctx context.Context, sent time.Time, session uint64, response wire.ReportResponse) {
+	_, newToken := a.State.HandleResponse(ctx, sent, session, response)
+	if newToken && time.Since(a.tokenRaised) > a.State.id.Lease/2 {
 		a.tokenRaised = time.Now()
 		a.Changed()
 	}
@@ -199,7 +199,7 @@
 func (a *Agent) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /orders", a.serveOrders)
-	mux.HandleFunc("GET /show", func(w http.ResponseWriter, _ *http.Request) { httpjson.Write(w, http.StatusOK, a.Machine.Report()) })
+	mux.HandleFunc("GET /show", func(w http.ResponseWriter, _ *http.Request) { httpjson.Write(w, http.StatusOK, a.State.Report()) })
 	mux.HandleFunc("GET /check/{job}/{n}/{attempt}", a.serveCheck)
 	return mux
 }
@@ -218,8 +218,8 @@
 		return
 	}
 	status := http.StatusOK
-	if !a.Machine.HandleOrders(r.Context(), *orders) {
+	if !a.State.HandleOrders(r.Context(), *orders) {
 		status = http.StatusConflict
 	}
-	httpjson.Write(w, status, a.Machine.Report())
+	httpjson.Write(w, status, a.State.Report())
 }
--- a/internal/worker/processes.go
+++ b/internal/worker/processes.go
@@ -29,7 +29,7 @@
 // Processes runs tasks as process groups below a directory, one each. It is safe for
 // concurrent use.
 type Processes struct {
-	Machine string // its name, for tasks; set it before the first one starts
+	WorkerName string // its name, for tasks; set it before the first one starts
 
 	dir      string
 	maxLog   int64
@@ -97,7 +97,7 @@
 	cmd.Env = append(cmd.Env, marker) // after the job's own, so that none of those replaces it
 	var userFiles [2]string
 	if spec.Slurm != nil {
-		slurm, err := spec.Slurm.Of(number, attempt, p.Machine)
+		slurm, err := spec.Slurm.Of(number, attempt, p.WorkerName)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -45,8 +45,8 @@
 	Stop(grace time.Duration)
 }
 
-// Ident is what a worker reports of itself, its capacity and the length of its lease.
-type Ident struct {
+// Identity is what a worker reports of itself, its capacity and the length of its lease.
+type Identity struct {
 	Name, Endpoint, Type, Zone string
 	Spot                       bool
 	Size                       matching.Resources
@@ -70,7 +70,7 @@
 
 // State is a worker's state by the protocol. It is safe for concurrent use.
 type State struct {
-	id           Ident
+	id           Identity
 	descriptions Descriptions
 	runner       Runner
 	log          *slog.Logger
@@ -89,7 +89,7 @@
 // New returns the state of a worker that has just come up: session 1, its lease
 // beginning now. changed is called in a goroutine of its own whenever a report would
 // differ.
-func New(id Ident, descriptions Descriptions, runner Runner, changed func(), log *slog.Logger) *State {
+func New(id Identity, descriptions Descriptions, runner Runner, changed func(), log *slog.Logger) *State {
 	done, _ := lru.New[string, struct{}](keepDone) // fails for sizes below 1 only
 	return &State{
 		id: id, descriptions: descriptions, runner: runner, changed: changed, log: log, session: 1, renewed: time.Now(),
@@ -118,7 +118,7 @@
 // fencing token, or for an earlier session, is dropped: it renews nothing and executes
 // nothing (accepted is false). newToken: the token is higher than any before. Tasks that
 // are started outlive ctx, of which only the values are used.
-func (s *State) HandleResponse(ctx context.Context, sent time.Time, session uint64, response wire.ReportAnswer) (accepted, newToken bool) {
+func (s *State) HandleResponse(ctx context.Context, sent time.Time, session uint64, response wire.ReportResponse) (accepted, newToken bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked()
--- a/internal/worker/state_test.go
+++ b/internal/worker/state_test.go
@@ -79,7 +79,7 @@
 
 // newState returns the state of a worker with 4 CPUs and a lease of 10 s.
 func newState(s *site) *worker.State {
-	return worker.New(worker.Ident{Name: "n-1", Endpoint: "127.0.0.1:1", Type: "m", Zone: "z", Size: matching.Resources{CPUs: 4, MemoryGB: 8}, Lease: 10 * time.Second},
+	return worker.New(worker.Identity{Name: "n-1", Endpoint: "127.0.0.1:1", Type: "m", Zone: "z", Size: matching.Resources{CPUs: 4, MemoryGB: 8}, Lease: 10 * time.Second},
 		s, s, func() {}, quiet)
 }
 
@@ -132,7 +132,7 @@
 		}
 	default:
 		l.token += max(0, st.Token)
-		l.state.HandleResponse(ctx, time.Now(), report.Session, wire.ReportAnswer{Token: uint64(l.token + min(0, st.Token)), Commands: commands})
+		l.state.HandleResponse(ctx, time.Now(), report.Session, wire.ReportResponse{Token: uint64(l.token + min(0, st.Token)), Commands: commands})
 	}
 	synctest.Wait()
 	if st.Token < 0 && st.Kind < stepFinish && len(l.state.Report().Tasks) != before {
@@ -178,7 +178,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := &site{running: map[string]*fakeProcess{}}
 			l := &lateCommands{site: s, state: newState(s), token: 5}
-			l.state.HandleResponse(t.Context(), time.Now(), 1, wire.ReportAnswer{Token: 5})
+			l.state.HandleResponse(t.Context(), time.Now(), 1, wire.ReportResponse{Token: 5})
 			for _, st := range steps {
 				l.play(t.Context(), st)
 				time.Sleep(time.Duration(st.Wait) * time.Millisecond)
