--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -187,9 +187,6 @@
 // A running site answers operators on the recorded paths, in the recorded forms, and
 // logs jobs so that wallrack bound reads them.
 func TestRecordedPaths(t *testing.T) {
-	if testing.Short() {
-		t.Skip("runs real processes")
-	}
 	dir := t.TempDir()
 	log := filepath.Join(dir, "log")
 	logTo(t, log)
