--- a/internal/planner/batch.go
+++ b/internal/planner/batch.go
@@ -19,7 +19,7 @@
 	for _, pair := range matching.Match(candidates, matchRounds) {
 		job := jobOf[pair.Task]
 		worker := p.state.WorkersByIndex[pair.Worker]
-		if !p.queueFitsLimit(job, 1) || !p.zoneFits(job, worker) {
+		if !p.fitsLimitWithQueued(job, 1) || !p.placementFitsZone(job, worker) {
 			continue
 		}
 		p.placePending(job, worker, pair.WaitS)
@@ -32,21 +32,21 @@
 // the job of each of these tasks. They are valid until the next call: all share an arena
 // that is kept, since else they are most of what a pass allocates.
 func (p *Planner) batchCandidates(jobs []*jobstate.Job, open []*jobstate.Worker, limit int) (candidates [][]matching.Candidate, jobOf []*jobstate.Job) {
-	arena, ofJob := p.arena[:0], p.jobArena
+	arena, jobCandidates := p.arena[:0], p.jobScratch
 	for _, job := range jobs {
 		if job.Spec.Gang() {
 			continue
 		}
-		ofJob = p.appendCandidates(ofJob[:0], job, open)
-		if len(ofJob) == 0 {
+		jobCandidates = p.appendCandidates(jobCandidates[:0], job, open)
+		if len(jobCandidates) == 0 {
 			continue
 		}
-		for range min(p.state.PlaceableTasks(job), len(ofJob)) {
+		for range min(p.state.PlaceableTasks(job), len(jobCandidates)) {
 			if len(candidates) >= limit {
 				break
 			}
 			from := len(arena)
-			for _, candidate := range ofJob {
+			for _, candidate := range jobCandidates {
 				candidate.Cost += rand.Float64() * p.state.Operator.RandomS // each task draws its own
 				arena = append(arena, candidate)
 			}
@@ -54,7 +54,7 @@
 			jobOf = append(jobOf, job)
 		}
 	}
-	p.arena, p.jobArena = arena, ofJob
+	p.arena, p.jobScratch = arena, jobCandidates
 	return candidates, jobOf
 }
 
@@ -68,9 +68,9 @@
 	return to
 }
 
-// zoneFits reports whether one more placement on the worker agrees with the zones of the
+// placementFitsZone reports whether one more placement on the worker agrees with the zones of the
 // job's other placements, granted or not.
-func (p *Planner) zoneFits(job *jobstate.Job, worker *jobstate.Worker) bool {
+func (p *Planner) placementFitsZone(job *jobstate.Job, worker *jobstate.Worker) bool {
 	if !job.Spec.OneZone && !job.Spec.Spread {
 		return true
 	}
@@ -92,10 +92,10 @@
 // maxTasksInZone is how many tasks of a job that is spread over zones may be in one.
 func maxTasksInZone(job *jobstate.Job) int { return (job.Spec.Tasks + 1) / 2 }
 
-// queueFitsLimit reports whether the job's team stays within its limit with n more tasks of
+// fitsLimitWithQueued reports whether the job's team stays within its limit with n more tasks of
 // the job, counting what is only queued too: tasks that can't be granted yet would clog the
 // queues.
-func (p *Planner) queueFitsLimit(job *jobstate.Job, n int) bool {
+func (p *Planner) fitsLimitWithQueued(job *jobstate.Job, n int) bool {
 	team := job.Team
 	if team.CPUsMax <= 0 && team.GPUsMax <= 0 {
 		return true
@@ -106,7 +106,7 @@
 	}
 	for _, other := range p.state.JobOrder {
 		if other.Team == team && (team.Leased == nil || other.Shard == job.Shard) {
-			used = addQueued(used, other)
+			used = addUngranted(used, other)
 		}
 	}
 	used = used.Add(job.Resources, float64(n))
@@ -116,8 +116,8 @@
 	return (team.CPUsMax <= 0 || used.CPUs <= team.CPUsMax+limitTolerance) && (team.GPUsMax <= 0 || used.GPUs <= team.GPUsMax+limitTolerance)
 }
 
-// addQueued adds the resources of the job's placements without a grant.
-func addQueued(used matching.Resources, job *jobstate.Job) matching.Resources {
+// addUngranted adds the resources of the job's placements without a grant.
+func addUngranted(used matching.Resources, job *jobstate.Job) matching.Resources {
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
 			if !placement.MayRun() && !placement.Exited {
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	fullSearch     = 64  // up to so many workers with room, every one is a candidate
-	sampledWorkers = 512 // workers without the image that are looked at for a job, at most
-	nearCandidates = fullSearch / 2
+	maxExhaustiveSearch     = 64  // up to so many workers with room, every one is a candidate
+	maxSampledWorkers = 512 // workers without the image that are looked at for a job, at most
+	sameZoneCandidates = maxExhaustiveSearch / 2
 	idleCandidates = 2
 )
 
-// openWorkers lists the workers that may take work, in the order of their index.
-func (p *Planner) openWorkers() []*jobstate.Worker {
+// schedulableWorkers lists the workers that may take work, in the order of their index.
+func (p *Planner) schedulableWorkers() []*jobstate.Worker {
 	var open []*jobstate.Worker
 	timeout := p.heartbeatTimeout()
 	for _, worker := range p.state.WorkersByIndex {
@@ -35,10 +35,10 @@
 	image int
 }
 
-// resetRoom begins a pass: what had room in the last one may have none.
-func (p *Planner) resetRoom() {
-	clear(p.withRoom)
-	clear(p.caching)
+// resetCaches begins a pass: what had room in the last one may have none.
+func (p *Planner) resetCaches() {
+	clear(p.roomCache)
+	clear(p.imageCache)
 }
 
 // workersWithRoom lists the workers where a task of the job may run and fits within the
@@ -48,22 +48,22 @@
 // workers times the jobs.
 func (p *Planner) workersWithRoom(job *jobstate.Job, open []*jobstate.Worker) []*jobstate.Worker {
 	key := job.Requirements()
-	if known, ok := p.withRoom[key]; ok {
+	if known, ok := p.roomCache[key]; ok {
 		return known
 	}
 	withRoom := []*jobstate.Worker{}
 	for _, worker := range open {
-		if p.state.Allowed(job, worker) && p.state.FitsLease(job, worker) && p.hasRoom(job, worker) {
+		if p.state.Allowed(job, worker) && p.state.FitsLease(job, worker) && p.hasRoomWithinHorizon(job, worker) {
 			withRoom = append(withRoom, worker)
 		}
 	}
-	p.withRoom[key] = withRoom
+	p.roomCache[key] = withRoom
 	return withRoom
 }
 
-// hasRoom reports whether a task of the job fits on the worker at some time within the
+// hasRoomWithinHorizon reports whether a task of the job fits on the worker at some time within the
 // horizon, for however short.
-func (p *Planner) hasRoom(job *jobstate.Job, worker *jobstate.Worker) bool {
+func (p *Planner) hasRoomWithinHorizon(job *jobstate.Job, worker *jobstate.Worker) bool {
 	horizonS := p.state.Operator.HorizonS + p.state.Now.Sub(worker.ViewAt).Seconds()
 	for _, row := range worker.Matrix {
 		if row.WaitS > horizonS {
@@ -76,11 +76,11 @@
 	return false
 }
 
-// workersCaching lists those of the workers with room for the job that have its image, as
+// workersWithImage lists those of the workers with room for the job that have its image, as
 // of the first call in this pass for such a job.
-func (p *Planner) workersCaching(job *jobstate.Job, image int, withRoom []*jobstate.Worker) []*jobstate.Worker {
+func (p *Planner) workersWithImage(job *jobstate.Job, image int, withRoom []*jobstate.Worker) []*jobstate.Worker {
 	key := imageRequirements{job.Requirements(), image}
-	caching, known := p.caching[key]
+	caching, known := p.imageCache[key]
 	if !known {
 		caching = []*jobstate.Worker{}
 		for _, worker := range withRoom {
@@ -88,7 +88,7 @@
 				caching = append(caching, worker)
 			}
 		}
-		p.caching[key] = caching
+		p.imageCache[key] = caching
 	}
 	return caching
 }
@@ -97,25 +97,25 @@
 // are more than fullSearch, it takes workers that cache the image, then, from a random one
 // on, workers in the zones of those and some with room now, of sampledWorkers at most.
 func (p *Planner) candidates(job *jobstate.Job, withRoom []*jobstate.Worker) []*jobstate.Worker {
-	if len(withRoom) <= fullSearch {
+	if len(withRoom) <= maxExhaustiveSearch {
 		return withRoom
 	}
 	image := p.state.Images.Of(job.Spec.Image)
 	zones := map[string]bool{}
-	picked := make([]*jobstate.Worker, 0, 2*fullSearch)
-	caching := p.workersCaching(job, image, withRoom)
-	for i, start := 0, rand.IntN(max(1, len(caching))); i < len(caching) && len(picked) < fullSearch; i++ {
+	picked := make([]*jobstate.Worker, 0, 2*maxExhaustiveSearch)
+	caching := p.workersWithImage(job, image, withRoom)
+	for i, start := 0, rand.IntN(max(1, len(caching))); i < len(caching) && len(picked) < maxExhaustiveSearch; i++ {
 		worker := caching[(start+i)%len(caching)]
 		zones[worker.View.Zone] = true
 		picked = append(picked, worker)
 	}
 	near, idle := 0, 0
 	start := rand.IntN(len(withRoom))
-	for i := 0; i < min(len(withRoom), sampledWorkers) && (near < nearCandidates || idle < idleCandidates); i++ {
+	for i := 0; i < min(len(withRoom), maxSampledWorkers) && (near < sameZoneCandidates || idle < idleCandidates); i++ {
 		worker := withRoom[(start+i)%len(withRoom)]
 		switch {
 		case worker.Images[image] != nil:
-		case near < nearCandidates && zones[worker.View.Zone]:
+		case near < sameZoneCandidates && zones[worker.View.Zone]:
 			near++
 			picked = append(picked, worker)
 		case idle < idleCandidates && job.Resources.Fits(worker.Matrix[0].Free):
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -7,10 +7,10 @@
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
-// wait is for how many seconds a task of this size that runs for runS would wait on the
+// expectedWait is for how many seconds a task of this size that runs for runS would expectedWait on the
 // worker; +Inf if it never fits. An overdue matrix is read for a larger task, since others
 // may have taken room meanwhile.
-func (p *Planner) wait(worker *jobstate.Worker, size matching.Resources, runS float64) float64 {
+func (p *Planner) expectedWait(worker *jobstate.Worker, size matching.Resources, runS float64) float64 {
 	ageS := p.state.Now.Sub(worker.ViewAt).Seconds()
 	if overdueS := ageS - 1.5*p.state.Platform.Params.Workers.ReportS; overdueS > 0 {
 		size = size.Scale(1 + min(0.5, 0.05*overdueS))
@@ -47,7 +47,7 @@
 	if worker.Cordoned && !worker.EndsWhileOccupied(fetchS+runS) {
 		return estimate{}, false
 	}
-	waitS := p.wait(worker, job.Resources, fetchS+runS)
+	waitS := p.expectedWait(worker, job.Resources, fetchS+runS)
 	if math.IsInf(waitS, 1) {
 		return estimate{}, false
 	}
@@ -55,10 +55,10 @@
 	if !hasRoomNow(job, worker) {
 		cost += matching.WaitErrorS
 	}
-	if p.startsLate(job, waitS+fetchS) {
+	if p.missesStartObjective(job, waitS+fetchS) {
 		cost += p.state.Operator.LateStartS
 	}
-	return estimate{waitS, cost + p.packing(job, worker, cost), fetchS}, true
+	return estimate{waitS, cost + p.packingCost(job, worker, cost), fetchS}, true
 }
 
 // hasRoomNow reports whether a task of the job fits on the worker without waiting for a task
@@ -68,11 +68,11 @@
 	return job.Resources.Fits(worker.Matrix[0].Free)
 }
 
-// packing is added to a cost so that of workers which would finish a task at about the
+// packingCost is added to a cost so that of workers which would finish a task at about the
 // same time the cheaper and the fuller one wins, and others become idle and can be scaled
 // in. What an on-demand worker costs more grows with the task. A worker without room now is
 // not preferred for being full: lost tasks were queued there for seconds, beside idle workers.
-func (p *Planner) packing(job *jobstate.Job, worker *jobstate.Worker, cost float64) float64 {
+func (p *Planner) packingCost(job *jobstate.Job, worker *jobstate.Worker, cost float64) float64 {
 	machine := p.state.TypeOf(worker)
 	if machine.CPUs <= 0 {
 		return 0
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -41,13 +41,13 @@
 	p.state.Mu.Lock()
 	defer p.state.Mu.Unlock()
 	p.state.Now = time.Now()
-	waiting, tasks := p.jobsInDemand()
+	waiting, tasks := p.jobsWithDemand()
 	p.SortJobs(waiting)
 	return p.groupDemand(waiting, tasks, bootS), p.workerLoads()
 }
 
-// jobsInDemand lists the jobs with tasks that wait, and how many tasks of each do.
-func (p *Planner) jobsInDemand() (waiting []*jobstate.Job, tasks map[*jobstate.Job]int) {
+// jobsWithDemand lists the jobs with tasks that wait, and how many tasks of each do.
+func (p *Planner) jobsWithDemand() (waiting []*jobstate.Job, tasks map[*jobstate.Job]int) {
 	tasks = map[*jobstate.Job]int{}
 	for _, job := range p.state.JobOrder {
 		if job.Cancelled || job.EndStage != "" {
@@ -79,8 +79,8 @@
 	run, slack   int // see logScale
 }
 
-// logScale is the same for times, in seconds, that differ by less than about a tenth.
-func logScale(s float64) int { return int(math.Log(max(s, 1)) / math.Log(1.1)) }
+// logBucket is the same for times, in seconds, that differ by less than about a tenth.
+func logBucket(s float64) int { return int(math.Log(max(s, 1)) / math.Log(1.1)) }
 
 // groupDemand returns the demand of the jobs in their order, with that of jobs alike, gangs
 // and services aside, in one: many small jobs, each planned for itself, take a small
@@ -96,7 +96,7 @@
 			groups = append(groups, demand)
 			continue
 		}
-		key := demandKey{job.Requirements(), demand.Rank, logScale(demand.RunS), logScale(demand.SlackS)}
+		key := demandKey{job.Requirements(), demand.Rank, logBucket(demand.RunS), logBucket(demand.SlackS)}
 		i, known := indexOf[key]
 		if !known {
 			indexOf[key] = len(groups)
--- a/internal/planner/evict.go
+++ b/internal/planner/evict.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	evictionGain = 3    // times what stopping tasks wastes that it must save
-	evictionLoss = 0.35 // of a task's run, at most, that stopping it may waste
+	minEvictionGain = 3    // times what stopping tasks wastes that it must save
+	maxEvictionLoss = 0.35 // of a task's run, at most, that stopping it may waste
 )
 
 // Evict stops the tasks that run longest on cordoned workers, where that wastes much less
@@ -19,13 +19,13 @@
 // minutes. There must be room for them elsewhere. It withdraws what waits there for its
 // grant for long. The caller holds the state's Mu.
 func (p *Planner) Evict() {
-	cordoned, roomCPUs := p.cordonedWorkers()
+	cordoned, freeCPUs := p.cordonedWorkers()
 	if len(cordoned) == 0 {
 		return
 	}
 	for _, job := range p.state.JobOrder {
 		if !job.Cancelled {
-			roomCPUs -= float64(len(job.Pending)) * job.Resources.CPUs
+			freeCPUs -= float64(len(job.Pending)) * job.Resources.CPUs
 		}
 	}
 	sort.Slice(cordoned, func(a, b int) bool {
@@ -37,8 +37,8 @@
 	})
 	for _, worker := range cordoned {
 		p.withdrawQueued(worker)
-		for _, candidate := range p.pickEvictions(worker, roomCPUs) {
-			roomCPUs -= candidate.placement.Job.Resources.CPUs
+		for _, candidate := range p.selectEvictions(worker, freeCPUs) {
+			freeCPUs -= candidate.placement.Job.Resources.CPUs
 			p.evictTask(candidate.placement)
 		}
 	}
@@ -82,7 +82,7 @@
 // evictionCandidate is a task on a cordoned worker.
 type evictionCandidate struct {
 	placement    *jobstate.Placement
-	leftS, lossS float64 // until it ends, and what stopping it wastes
+	remainingS, lossS float64 // until it ends, and what stopping it wastes
 	evictable    bool
 }
 
@@ -94,55 +94,55 @@
 		if placement.Exited || !placement.HaltedAt.IsZero() {
 			continue
 		}
-		candidate := evictionCandidate{placement: placement, leftS: placement.Job.RunEstimate()}
+		candidate := evictionCandidate{placement: placement, remainingS: placement.Job.RunEstimate()}
 		if !placement.RunningSince.IsZero() {
 			elapsedS := p.state.Now.Sub(placement.RunningSince).Seconds()
-			candidate.leftS = matching.RemainingRun(candidate.leftS, elapsedS)
+			candidate.remainingS = matching.RemainingRun(candidate.remainingS, elapsedS)
 		}
 		candidate.lossS, candidate.evictable = p.evictable(placement)
 		candidates = append(candidates, candidate)
 	}
 	sort.Slice(candidates, func(a, b int) bool {
-		if candidates[a].leftS != candidates[b].leftS {
-			return candidates[a].leftS > candidates[b].leftS
+		if candidates[a].remainingS != candidates[b].remainingS {
+			return candidates[a].remainingS > candidates[b].remainingS
 		}
 		return candidates[a].placement.Attempt < candidates[b].placement.Attempt
 	})
 	return candidates
 }
 
-// pickEvictions picks the tasks to be stopped on a worker: those that would keep it longest,
+// selectEvictions picks the tasks to be stopped on a worker: those that would keep it longest,
 // as far as that saves evictionGain times what it wastes and roomCPUs elsewhere suffices.
 // The others end soon by themselves.
-func (p *Planner) pickEvictions(worker *jobstate.Worker, roomCPUs float64) []evictionCandidate {
+func (p *Planner) selectEvictions(worker *jobstate.Worker, freeCPUs float64) []evictionCandidate {
 	machine := p.state.TypeOf(worker)
 	if machine.CPUs <= 0 || machine.SpotPrice <= 0 {
 		return nil
 	}
 	candidates := p.evictionCandidates(worker)
-	return candidates[:evictionCount(candidates, machine, roomCPUs)]
+	return candidates[:evictionCount(candidates, machine, freeCPUs)]
 }
 
 // evictionCount is how many of the first candidates to stop for the highest gain.
-func evictionCount(candidates []evictionCandidate, machine *wire.MachineType, roomCPUs float64) int {
+func evictionCount(candidates []evictionCandidate, machine *wire.MachineType, freeCPUs float64) int {
 	count, bestGain := 0, 0.0
-	wasted, allSave := 0.0, true
+	wasted, allResume := 0.0, true
 	for i, candidate := range candidates {
 		job := candidate.placement.Job
 		cpus := job.Resources.CPUs
-		if roomCPUs -= cpus; !candidate.evictable || roomCPUs < 0 {
+		if freeCPUs -= cpus; !candidate.evictable || freeCPUs < 0 {
 			break
 		}
 		wasted += candidate.lossS * cpus * machine.SpotPrice / machine.CPUs
-		allSave = allSave && (job.Spec.CheckpointIntervalS > 0 || candidate.lossS == 0)
-		untilS := 0.0
+		allResume = allResume && (job.Spec.CheckpointIntervalS > 0 || candidate.lossS == 0)
+		nextRemainingS := 0.0
 		if i+1 < len(candidates) {
-			untilS = candidates[i+1].leftS
+			nextRemainingS = candidates[i+1].remainingS
 		}
-		if !allSave && i+1 < len(candidates) {
+		if !allResume && i+1 < len(candidates) {
 			continue // what begins anew may come late: only to empty the worker at once
 		}
-		if gain := machine.Price*(candidates[0].leftS-untilS) - evictionGain*wasted; gain > bestGain {
+		if gain := machine.Price*(candidates[0].remainingS-nextRemainingS) - minEvictionGain*wasted; gain > bestGain {
 			count, bestGain = i+1, gain
 		}
 	}
@@ -170,12 +170,12 @@
 	// No limit that it meets by running on may be missed by starting again. What is late
 	// already must not become later still: the whole of the work waits for it in the end.
 	ageS, runS := p.state.Now.Sub(job.AcceptedAt).Seconds(), job.RunEstimate()
-	leftS, late := max(runS-elapsedS, 1), true
+	remainingS, late := max(runS-elapsedS, 1), true
 	for _, limitS := range p.state.Limits(job) {
-		late = late && limitS < ageS+leftS
-		if limitS >= ageS+leftS && limitS < ageS+jobstate.RunTimeMargin*runS+jobstate.RestartOverheadS {
+		late = late && limitS < ageS+remainingS
+		if limitS >= ageS+remainingS && limitS < ageS+jobstate.RunTimeMargin*runS+jobstate.RestartOverheadS {
 			return 0, false
 		}
 	}
-	return elapsedS, !late && elapsedS < evictionLoss*runS
+	return elapsedS, !late && elapsedS < maxEvictionLoss*runS
 }
--- a/internal/planner/gang.go
+++ b/internal/planner/gang.go
@@ -14,7 +14,7 @@
 	if len(job.Placements) > 0 {
 		return // what is left of the last try goes first
 	}
-	if n == 0 || n > placementsPerPass || !p.queueFitsLimit(job, n) {
+	if n == 0 || n > maxPlacementsPerPass || !p.fitsLimitWithQueued(job, n) {
 		return
 	}
 	zones := map[string]bool{"": true}
@@ -73,7 +73,7 @@
 	}
 	var members []gangMember
 	for len(members) < n {
-		worker, e := p.bestForGang(job, open, zone, inZone)
+		worker, e := p.bestGangWorker(job, open, zone, inZone)
 		if worker == nil {
 			return nil
 		}
@@ -87,14 +87,14 @@
 	return members
 }
 
-// bestForGang returns the worker of lowest cost, within the horizon and in the zone unless
+// bestGangWorker returns the worker of lowest cost, within the horizon and in the zone unless
 // it is "", for one more task of a gang that has inZone tasks by zone; nil if there is none.
-func (p *Planner) bestForGang(job *jobstate.Job, open []*jobstate.Worker, zone string, inZone map[string]int) (*jobstate.Worker, estimate) {
+func (p *Planner) bestGangWorker(job *jobstate.Job, open []*jobstate.Worker, zone string, inZone map[string]int) (*jobstate.Worker, estimate) {
 	var best *jobstate.Worker
 	bestEstimate := estimate{cost: math.Inf(1)}
 	for _, worker := range open {
 		z := worker.View.Zone
-		if zone != "" && z != zone || job.Spec.Spread && inZone[z]+1 > maxTasksInZone(job) || job.Spec.OneZone && !p.zoneFits(job, worker) {
+		if zone != "" && z != zone || job.Spec.Spread && inZone[z]+1 > maxTasksInZone(job) || job.Spec.OneZone && !p.placementFitsZone(job, worker) {
 			continue
 		}
 		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.HorizonS && e.cost < bestEstimate.cost {
--- a/internal/planner/pass.go
+++ b/internal/planner/pass.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	batchTasks        = 96  // tasks in a batch, at most
-	batchJobs         = 24  // jobs that a batch takes tasks from, at most
-	placementsPerPass = 400 // bounds what one pass adds to the shard's log
+	maxBatchTasks        = 96  // tasks in a batch, at most
+	maxBatchJobs         = 24  // jobs that a batch takes tasks from, at most
+	maxPlacementsPerPass = 400 // bounds what one pass adds to the shard's log
 )
 
 // Pass runs one scheduling pass: it matches waiting tasks in batches, most urgent jobs
@@ -29,11 +29,11 @@
 	if len(waiting) == 0 {
 		return
 	}
-	open := p.openWorkers()
-	p.resetRoom()
+	open := p.schedulableWorkers()
+	p.resetCaches()
 	p.SortJobs(waiting)
 	all := append([]*jobstate.Job(nil), waiting...)
-	for budget := placementsPerPass; len(waiting) > 0; {
+	for budget := maxPlacementsPerPass; len(waiting) > 0; {
 		if budget <= 0 {
 			jobstate.Notify(p.state.PlanSignal) // what is left is for the next pass
 			break
@@ -69,11 +69,11 @@
 			p.placeGang(job, open)
 		}
 	}
-	placedOf := p.placeBatch(jobs, open, min(budget, batchTasks))
+	placedOf := p.placeBatch(jobs, open, min(budget, maxBatchTasks))
 	for _, n := range placedOf {
 		placed += n
 	}
-	left = p.jobsLeft(waiting, jobs, placedOf)
+	left = p.remainingJobs(waiting, jobs, placedOf)
 	if mustBegin {
 		// Only for first tasks: what began has its turn with all others.
 		jobs = slices.DeleteFunc(jobs, func(job *jobstate.Job) bool { return !p.state.MustBegin(job) })
@@ -91,16 +91,16 @@
 	rank, tier := waiting[0].Spec.Rank(), waiting[0].Tier
 	var jobs []*jobstate.Job
 	for _, job := range waiting {
-		if len(jobs) < batchJobs && p.state.MustBegin(job) == mustBegin && (mustBegin || job.Spec.Rank() == rank && job.Tier == tier) {
+		if len(jobs) < maxBatchJobs && p.state.MustBegin(job) == mustBegin && (mustBegin || job.Spec.Rank() == rank && job.Tier == tier) {
 			jobs = append(jobs, job)
 		}
 	}
 	return jobs
 }
 
-// jobsLeft filters waiting in place: without the jobs of which nothing more waits, and
+// remainingJobs filters waiting in place: without the jobs of which nothing more waits, and
 // without those of which the batch placed nothing, which are left for later passes.
-func (p *Planner) jobsLeft(waiting, batch []*jobstate.Job, placedOf map[*jobstate.Job]int) []*jobstate.Job {
+func (p *Planner) remainingJobs(waiting, batch []*jobstate.Job, placedOf map[*jobstate.Job]int) []*jobstate.Job {
 	left := waiting[:0]
 	considered := map[*jobstate.Job]bool{}
 	for _, job := range batch {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -24,15 +24,15 @@
 type Planner struct {
 	state *jobstate.State
 
-	preemptAt  int          // index of the worker at which preemption looked last
+	lastPreemptIndex  int          // index of the worker at which preemption looked last
 	triagedAt  time.Time    // when Triage last ran
 	overloaded map[int]bool // priorities with more work than can be done even late
 
 	// As of the pass in progress.
-	withRoom map[jobstate.Requirements][]*jobstate.Worker // see workersWithRoom
-	caching  map[imageRequirements][]*jobstate.Worker     // see workersCaching
+	roomCache map[jobstate.Requirements][]*jobstate.Worker // see workersWithRoom
+	imageCache  map[imageRequirements][]*jobstate.Worker     // see workersCaching
 	arena    []matching.Candidate                         // see batchCandidates
-	jobArena []matching.Candidate                         // see batchCandidates
+	jobScratch []matching.Candidate                         // see batchCandidates
 }
 
 // New returns a planner for the jobs of a state.
@@ -40,8 +40,8 @@
 	return &Planner{
 		state:      state,
 		overloaded: map[int]bool{},
-		withRoom:   map[jobstate.Requirements][]*jobstate.Worker{},
-		caching:    map[imageRequirements][]*jobstate.Worker{},
+		roomCache:   map[jobstate.Requirements][]*jobstate.Worker{},
+		imageCache:    map[imageRequirements][]*jobstate.Worker{},
 	}
 }
 
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	preemptionsPerPass = 24  // tasks that one pass stops, at most
-	preemptionWorkers  = 200 // workers that one pass looks at, at most
-	preemptionLoss     = 0.5 // work that stopping wastes, at most, per work that it lets start
+	maxPreemptionsPerPass = 24  // tasks that one pass stops, at most
+	maxPreemptionWorkers  = 200 // workers that one pass looks at, at most
+	maxPreemptionLoss     = 0.5 // work that stopping wastes, at most, per work that it lets start
 	nearlyDoneS        = 3   // a task without checkpoints that ends within this is left alone
-	leastLossCPUs      = 0.1 // CPUs that a stopped task is taken to have, at least
+	minLossCPUs      = 0.1 // CPUs that a stopped task is taken to have, at least
 )
 
 // preemptionCandidate is a running task that may be stopped for another job.
@@ -28,33 +28,33 @@
 func (p *Planner) preempt(waiting []*jobstate.Job, open []*jobstate.Worker) {
 	var urgent []*jobstate.Job
 	for _, job := range waiting {
-		if p.state.PlaceableTasks(job) > 0 && !job.Cancelled && !job.Spec.Gang() && p.mustStartNow(job) {
+		if p.state.PlaceableTasks(job) > 0 && !job.Cancelled && !job.Spec.Gang() && p.mustStartSoon(job) {
 			urgent = append(urgent, job)
 		}
 	}
-	budget := preemptionsPerPass
-	for range min(len(open), preemptionWorkers) {
+	budget := maxPreemptionsPerPass
+	for range min(len(open), maxPreemptionWorkers) {
 		for len(urgent) > 0 && len(urgent[0].Pending) == 0 {
 			urgent = urgent[1:]
 		}
 		if budget <= 0 || len(urgent) == 0 {
 			return
 		}
-		p.preemptAt++
-		budget -= p.makeRoom(urgent[0], open[p.preemptAt%len(open)], budget)
+		p.lastPreemptIndex++
+		budget -= p.preemptOnWorker(urgent[0], open[p.lastPreemptIndex%len(open)], budget)
 	}
 }
 
-// makeRoom stops up to limit tasks on a worker and places the job's tasks there in their
+// preemptOnWorker stops up to limit tasks on a worker and places the job's tasks there in their
 // stead. It returns how many it stopped.
-func (p *Planner) makeRoom(job *jobstate.Job, worker *jobstate.Worker, limit int) int {
+func (p *Planner) preemptOnWorker(job *jobstate.Job, worker *jobstate.Worker, limit int) int {
 	if worker.Cordoned || !p.eligible(job, worker) {
 		return 0
 	}
-	if fetchS := p.state.FetchTime(job, worker); fetchS > 0 && p.startsLate(job, fetchS) && !p.startsLate(job, 0) {
+	if fetchS := p.state.FetchTime(job, worker); fetchS > 0 && p.missesStartObjective(job, fetchS) && !p.missesStartObjective(job, 0) {
 		return 0 // another worker has the image
 	}
-	stopped, starts := p.pickPreemptions(job, worker, limit)
+	stopped, starts := p.selectPreemptions(job, worker, limit)
 	if starts == 0 {
 		return 0
 	}
@@ -75,10 +75,10 @@
 	return len(stopped)
 }
 
-// pickPreemptions picks up to limit tasks to be stopped on a worker, as long as they waste
+// selectPreemptions picks up to limit tasks to be stopped on a worker, as long as they waste
 // little against the work of the job that they let start, and returns how many of its tasks
 // can start then.
-func (p *Planner) pickPreemptions(job *jobstate.Job, worker *jobstate.Worker, limit int) (picked []preemptionCandidate, starts int) {
+func (p *Planner) selectPreemptions(job *jobstate.Job, worker *jobstate.Worker, limit int) (picked []preemptionCandidate, starts int) {
 	free := worker.Matrix[0].Free
 	runS := job.RunEstimate()
 	loss := 0.0 // CPU-seconds
@@ -88,9 +88,9 @@
 		}
 		victim := candidate.placement.Job
 		freed := free.Add(victim.Resources, 1)
-		n := p.startable(job, freed, starts)
-		lossThen := loss + candidate.lossS*max(victim.Resources.CPUs, leastLossCPUs)
-		if n > 0 && lossThen > preemptionLoss*runS*job.Resources.CPUs*float64(n) {
+		n := p.startableTasks(job, freed, starts)
+		lossThen := loss + candidate.lossS*max(victim.Resources.CPUs, minLossCPUs)
+		if n > 0 && lossThen > maxPreemptionLoss*runS*job.Resources.CPUs*float64(n) {
 			break
 		}
 		free, loss, starts = freed, lossThen, n
@@ -99,9 +99,9 @@
 	return picked, starts
 }
 
-// startable is how many placeable tasks of the job fit into free together, given that at
+// startableTasks is how many placeable tasks of the job fit into free together, given that at
 // least n do.
-func (p *Planner) startable(job *jobstate.Job, free matching.Resources, n int) int {
+func (p *Planner) startableTasks(job *jobstate.Job, free matching.Resources, n int) int {
 	for n < p.state.PlaceableTasks(job) && job.Resources.Scale(float64(n+1)).Fits(free) {
 		n++
 	}
--- a/internal/planner/reserve.go
+++ b/internal/planner/reserve.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	reservedTasks  = 24 // tasks of a batch that room is reserved for, at most
-	reserveWithinS = 45 // seconds from now within which room is reserved
+	maxReservedTasks  = 24 // tasks of a batch that room is reserved for, at most
+	reservationWindowS = 45 // seconds from now within which room is reserved
 )
 
 // reserveRoom reserves, for this pass, the room that the jobs' waiting tasks would get
 // first: else small tasks of lower priority fill every gap before it grows large enough.
 func (p *Planner) reserveRoom(jobs []*jobstate.Job, open []*jobstate.Worker) {
-	budget := reservedTasks
+	budget := maxReservedTasks
 	for _, job := range jobs {
 		for n := min(p.state.PlaceableTasks(job), budget); n > 0; n-- {
-			worker, waitS := p.soonestRoom(job, open)
+			worker, waitS := p.earliestRoom(job, open)
 			if worker == nil {
 				break
 			}
@@ -28,16 +28,16 @@
 	}
 }
 
-// soonestRoom returns the worker with room for a task of the job soonest, and the seconds
+// earliestRoom returns the worker with room for a task of the job soonest, and the seconds
 // until then; nil if there is none within reserveWithinS.
-func (p *Planner) soonestRoom(job *jobstate.Job, open []*jobstate.Worker) (soonest *jobstate.Worker, waitS float64) {
+func (p *Planner) earliestRoom(job *jobstate.Job, open []*jobstate.Worker) (soonest *jobstate.Worker, waitS float64) {
 	waitS = math.Inf(1)
 	runS := job.RunEstimate()
 	for _, worker := range open {
 		if worker.Cordoned || !p.state.Allowed(job, worker) || !p.state.FitsLease(job, worker) {
 			continue
 		}
-		if s := worker.Matrix.WaitWithin(job.Resources, runS, min(waitS, reserveWithinS)); s < waitS && s <= reserveWithinS {
+		if s := worker.Matrix.WaitWithin(job.Resources, runS, min(waitS, reservationWindowS)); s < waitS && s <= reservationWindowS {
 			soonest, waitS = worker, s
 		}
 	}
--- a/internal/planner/triage.go
+++ b/internal/planner/triage.go
@@ -13,9 +13,9 @@
 const (
 	triageInterval = time.Second
 	arrivalWindowS = 40.0 // over which arriving work is averaged
-	overloadFrom   = 1.5  // times the usual first limit, that all work of a priority must take for triage to begin
-	overloadUntil  = 0.75 // times the same, below which it ends
-	leastShare     = 0.1  // of the capacity, that a priority is taken to get whatever arrives above it
+	overloadStart   = 1.5  // times the usual first limit, that all work of a priority must take for triage to begin
+	overloadEnd  = 0.75 // times the same, below which it ends
+	minCapacityShare     = 0.1  // of the capacity, that a priority is taken to get whatever arrives above it
 	usableShare    = 0.75 // of the capacity, that tasks keep busy: the rest is gaps, fetches and starts
 )
 
@@ -29,7 +29,7 @@
 	if elapsedS < triageInterval.Seconds() {
 		return
 	}
-	p.updateArrivals(elapsedS)
+	p.updateArrivalRates(elapsedS)
 	p.triagedAt = now
 	capacity := p.capacity(now)
 	if capacity.CPUs <= 0 {
@@ -46,12 +46,12 @@
 type triage struct {
 	now      time.Time
 	capacity matching.Resources
-	aboveS   float64 // that the work of higher priorities takes
-	busy     float64 // share of the capacity that the arrival of such work keeps busy
+	higherPriorityS   float64 // that the work of higher priorities takes
+	arrivalShare     float64 // share of the capacity that the arrival of such work keeps busy
 }
 
-// updateArrivals averages the rates at which work arrives, elapsedS after the last time.
-func (p *Planner) updateArrivals(elapsedS float64) {
+// updateArrivalRates averages the rates at which work arrives, elapsedS after the last time.
+func (p *Planner) updateArrivalRates(elapsedS float64) {
 	first := p.triagedAt.IsZero()
 	for _, arriving := range p.state.Arriving {
 		if !first {
@@ -114,25 +114,25 @@
 		workS += left.Work
 		remaining = append(remaining, left)
 	}
-	share := usableShare * max(leastShare, 1-t.busy)
+	share := usableShare * max(minCapacityShare, 1-t.arrivalShare)
 	// While all can be done a little late at the worst, the order of their limits
 	// serves them best: all are served, and few late.
-	if usualS := p.usualLimit(jobs); usualS > 0 {
-		takesS := t.aboveS + workS/share
-		p.overloaded[rank] = takesS > overloadFrom*usualS || p.overloaded[rank] && takesS > overloadUntil*usualS
+	if deadlineS := p.meanFirstDeadline(jobs); deadlineS > 0 {
+		completionS := t.higherPriorityS + workS/share
+		p.overloaded[rank] = completionS > overloadStart*deadlineS || p.overloaded[rank] && completionS > overloadEnd*deadlineS
 	}
 	if p.overloaded[rank] {
-		for i, tier := range admission.AssignTiers(remaining, share, t.aboveS) {
+		for i, tier := range admission.AssignTiers(remaining, share, t.higherPriorityS) {
 			jobs[i].Tier = tier
 		}
 	}
-	t.aboveS += workS / usableShare
-	t.busy += p.arrivalShare(rank, t.capacity) / usableShare
+	t.higherPriorityS += workS / usableShare
+	t.arrivalShare += p.arrivalShare(rank, t.capacity) / usableShare
 }
 
-// usualLimit is the mean of the ages, in seconds, by which jobs should be done first; 0 if
+// meanFirstDeadline is the mean of the ages, in seconds, by which jobs should be done first; 0 if
 // none has a limit.
-func (p *Planner) usualLimit(jobs []*jobstate.Job) float64 {
+func (p *Planner) meanFirstDeadline(jobs []*jobstate.Job) float64 {
 	sumS, n := 0.0, 0
 	for _, job := range jobs {
 		if limits := p.state.Limits(job); len(limits) > 0 {
--- a/internal/planner/urgency.go
+++ b/internal/planner/urgency.go
@@ -9,7 +9,7 @@
 const (
 	lateSlackS   = 20               // slack of work that meets no aim any more: it should still move on
 	urgentSlackS = 15               // slack below which an aim is in danger
-	missedKeptS  = 3 * urgentSlackS // for how long, at least, a missed aim for starts keeps a job urgent
+	minMissedUrgentS  = 3 * urgentSlackS // for how long, at least, a missed aim for starts keeps a job urgent
 )
 
 // slack is for how many seconds the job's tasks may still wait and meet the next aim that
@@ -38,9 +38,9 @@
 	return nextS
 }
 
-// startsLate reports whether a task that starts afterS seconds from now misses an aim for
+// missesStartObjective reports whether a task that starts afterS seconds from now misses an aim for
 // its class's starts that it could still meet.
-func (p *Planner) startsLate(job *jobstate.Job, afterS float64) bool {
+func (p *Planner) missesStartObjective(job *jobstate.Job, afterS float64) bool {
 	ageS := p.state.Now.Sub(job.AcceptedAt).Seconds()
 	for _, withinS := range job.Class.StartAims {
 		if ageS < withinS && ageS+afterS+jobstate.StartOverheadS > withinS {
@@ -50,17 +50,17 @@
 	return false
 }
 
-// mustStartNow reports whether the job's tasks must start now: the time left for the next
+// mustStartSoon reports whether the job's tasks must start now: the time left for the next
 // aim runs out, or an aim for their start was missed not long ago. An aim that is far off
 // stops nobody: free room goes to the higher priority anyway, and what is stopped is paid
 // for twice. A short aim is missed soon, and its tasks matter still.
-func (p *Planner) mustStartNow(job *jobstate.Job) bool {
+func (p *Planner) mustStartSoon(job *jobstate.Job) bool {
 	if p.slack(job, 0) < urgentSlackS {
 		return true
 	}
 	ageS := p.state.Now.Sub(job.AcceptedAt).Seconds()
 	for _, withinS := range job.Class.StartAims {
-		if withinS-ageS < urgentSlackS && ageS < max(2*withinS, missedKeptS) {
+		if withinS-ageS < urgentSlackS && ageS < max(2*withinS, minMissedUrgentS) {
 			return true
 		}
 	}
