--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -38,7 +38,7 @@
 	compareAnswer[reachability.OpsStatus](t, "links.json")
 	compareAnswer[[]wire.MachineInfo](t, "machines.json")
 	compareAnswer[jobstate.Stats](t, "counters.json")
-	compareAnswer[jobstate.Served](t, "served.json")
+	compareAnswer[jobstate.JobCounts](t, "served.json")
 	compareAnswer[usage.Reading](t, "usage.json")
 	compareAnswer[rollout.JobStatus](t, "rollout-job.json")
 	compareAnswer[wire.JobState](t, "job-state.json")
--- a/internal/admission/tiers.go
+++ b/internal/admission/tiers.go
@@ -14,36 +14,36 @@
 type Job struct {
 	Work   float64   // that is left, in seconds of the rate at which it is done: CPU-seconds at a rate of CPUs
 	Span   float64   // seconds that it takes at the least, on however many workers
-	Limits []float64 // seconds from now by which it should be done, ascending; negative: past
+	Deadlines []float64 // seconds from now by which it should be done, ascending; negative: past
 }
 
-// contender is a job of which it is open whether it meets its limit of the present tier, or
+// candidate is a job of which it is open whether it meets its limit of the present tier, or
 // one that meets an earlier tier's.
-type contender struct {
+type candidate struct {
 	job     int     // index
 	dueS    float64 // from now, see AssignTiers
 	work    float64
-	fixed   bool // it meets an earlier tier's limit
+	accepted   bool // it meets an earlier tier's limit
 	dropped bool // it does not meet this tier's
 }
 
-// byWork is a max-heap of contenders by their work.
-type byWork []*contender
+// workHeap is a max-heap of contenders by their work.
+type workHeap []*candidate
 
 // Len is how many there are.
-func (h byWork) Len() int { return len(h) }
+func (h workHeap) Len() int { return len(h) }
 
 // Less puts the larger work first.
-func (h byWork) Less(a, b int) bool { return h[a].work > h[b].work }
+func (h workHeap) Less(a, b int) bool { return h[a].work > h[b].work }
 
 // Swap swaps two.
-func (h byWork) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+func (h workHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
 // Push appends a *contender.
-func (h *byWork) Push(x any) { *h = append(*h, x.(*contender)) }
+func (h *workHeap) Push(x any) { *h = append(*h, x.(*candidate)) }
 
 // Pop removes the last contender.
-func (h *byWork) Pop() any {
+func (h *workHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -61,63 +61,63 @@
 // half its span before the limit.
 func AssignTiers(jobs []Job, rate, offsetS float64) []int {
 	tiers := make([]int, len(jobs))
-	left := make([]int, 0, len(jobs))
+	remaining := make([]int, 0, len(jobs))
 	for i := range jobs {
-		left = append(left, i)
+		remaining = append(remaining, i)
 	}
-	var fixed []*contender
-	for tier := 0; len(left) > 0; tier++ {
-		contenders, late := contend(jobs, left, tier, fixed, tiers)
-		dropLargest(contenders, rate, offsetS)
-		fixed = make([]*contender, 0, len(contenders))
-		for _, c := range contenders {
+	var accepted []*candidate
+	for tier := 0; len(remaining) > 0; tier++ {
+		candidates, late := tierCandidates(jobs, remaining, tier, accepted, tiers)
+		dropLargest(candidates, rate, offsetS)
+		accepted = make([]*candidate, 0, len(candidates))
+		for _, c := range candidates {
 			if c.dropped {
 				late = append(late, c.job)
 				continue
 			}
-			if !c.fixed {
-				tiers[c.job], c.fixed = tier, true
+			if !c.accepted {
+				tiers[c.job], c.accepted = tier, true
 			}
-			fixed = append(fixed, c)
+			accepted = append(accepted, c)
 		}
 		sort.Ints(late)
-		left = late
+		remaining = late
 	}
 	return tiers
 }
 
-// contend returns the contenders of a tier in the order in which they are due, the fixed
+// tierCandidates returns the contenders of a tier in the order in which they are due, the fixed
 // ones included, and the jobs that miss the tier's limit whatever others do. It sets the
 // tiers of jobs without a further limit.
-func contend(jobs []Job, left []int, tier int, fixed []*contender, tiers []int) (contenders []*contender, late []int) {
-	contenders = fixed
-	for _, i := range left {
+func tierCandidates(jobs []Job, remaining []int, tier int, accepted []*candidate, tiers []int) (candidates []*candidate, late []int) {
+	candidates = accepted
+	for _, i := range remaining {
 		job := &jobs[i]
 		switch {
-		case tier >= len(job.Limits):
-			tiers[i] = len(job.Limits)
-		case job.Limits[tier] < job.Span:
+		case tier >= len(job.Deadlines):
+			tiers[i] = len(job.Deadlines)
+		case job.Deadlines[tier] < job.Span:
 			late = append(late, i)
 		default:
-			contenders = append(contenders, &contender{job: i, dueS: job.Limits[tier] - job.Span/2, work: job.Work})
+			candidates = append(candidates, &candidate{job: i, dueS: job.Deadlines[tier] - job.Span/2, work: job.Work})
 		}
 	}
-	sort.SliceStable(contenders, func(a, b int) bool { return contenders[a].dueS < contenders[b].dueS })
-	return contenders, late
+	sort.SliceStable(candidates, func(a, b int) bool { return candidates[a].dueS < candidates[b].dueS })
+	return candidates, late
 }
 
 // dropLargest drops, in the order in which the contenders are due, the largest that are not
 // fixed until all others are done in time.
-func dropLargest(contenders []*contender, rate, offsetS float64) {
-	var droppable byWork
+func dropLargest(candidates []*candidate, rate, offsetS float64) {
+	var droppable workHeap
 	used := 0.0
-	for _, c := range contenders {
+	for _, c := range candidates {
 		used += c.work
-		if !c.fixed {
+		if !c.accepted {
 			heap.Push(&droppable, c)
 		}
 		for used > rate*(c.dueS-offsetS) && droppable.Len() > 0 {
-			largest := heap.Pop(&droppable).(*contender)
+			largest := heap.Pop(&droppable).(*candidate)
 			largest.dropped = true
 			used -= largest.work
 		}
--- a/internal/admission/tiers_test.go
+++ b/internal/admission/tiers_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// mostMet is how many of the jobs can be done by their first limit, by trying all sets.
-func mostMet(jobs []admission.Job, rate float64) int {
+// maxMetDeadlines is how many of the jobs can be done by their first limit, by trying all sets.
+func maxMetDeadlines(jobs []admission.Job, rate float64) int {
 	best := 0
 	for set := range 1 << len(jobs) {
 		met, ok := 0, true
@@ -28,11 +28,11 @@
 			met++
 			used := 0.0 // by the time that this one is due
 			for k := range jobs {
-				if set&(1<<k) != 0 && jobs[k].Limits[0] <= jobs[i].Limits[0] {
+				if set&(1<<k) != 0 && jobs[k].Deadlines[0] <= jobs[i].Deadlines[0] {
 					used += jobs[k].Work
 				}
 			}
-			ok = ok && used <= rate*jobs[i].Limits[0]
+			ok = ok && used <= rate*jobs[i].Deadlines[0]
 		}
 		if ok {
 			best = max(best, met)
@@ -42,11 +42,11 @@
 }
 
 // No choice meets more first limits, and no job is assigned a limit that it misses.
-func TestMostFirstLimitsAreMet(t *testing.T) {
+func TestMostFirstDeadlinesAreMet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		jobs := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) admission.Job {
 			first := float64(rapid.IntRange(1, 30).Draw(rt, "limit"))
-			return admission.Job{Work: float64(rapid.IntRange(1, 40).Draw(rt, "work")), Limits: []float64{first, first * 2}}
+			return admission.Job{Work: float64(rapid.IntRange(1, 40).Draw(rt, "work")), Deadlines: []float64{first, first * 2}}
 		}), 1, 9).Draw(rt, "jobs")
 		rate := float64(rapid.IntRange(1, 8).Draw(rt, "rate"))
 		tiers := admission.AssignTiers(jobs, rate, 0)
@@ -63,15 +63,15 @@
 			}
 			used := 0.0
 			for k := range jobs {
-				if tiers[k] < 2 && jobs[k].Limits[tiers[k]] <= jobs[i].Limits[tier] {
+				if tiers[k] < 2 && jobs[k].Deadlines[tiers[k]] <= jobs[i].Deadlines[tier] {
 					used += jobs[k].Work
 				}
 			}
-			if used > rate*jobs[i].Limits[tier]+1e-9 {
+			if used > rate*jobs[i].Deadlines[tier]+1e-9 {
 				rt.Fatalf("job %d is late", i)
 			}
 		}
-		if want := mostMet(jobs, rate); n != want {
+		if want := maxMetDeadlines(jobs, rate); n != want {
 			rt.Fatalf("%d are met, %d can be", n, want)
 		}
 	})
@@ -109,7 +109,7 @@
 func BenchmarkTiers(b *testing.B) {
 	jobs := make([]admission.Job, 1000)
 	for i := range jobs {
-		jobs[i] = admission.Job{Work: float64(1 + i*7919%5000), Span: 30, Limits: []float64{float64(i%90 - 20), float64(i%90 + 30), float64(i%90 + 100)}}
+		jobs[i] = admission.Job{Work: float64(1 + i*7919%5000), Span: 30, Deadlines: []float64{float64(i%90 - 20), float64(i%90 + 30), float64(i%90 + 100)}}
 	}
 	for b.Loop() {
 		admission.AssignTiers(jobs, 20000, 10)
--- a/internal/jobstate/accounting.go
+++ b/internal/jobstate/accounting.go
@@ -68,7 +68,7 @@
 		return jobspec.Cancelled, false
 	case p.ExitCause == wire.CauseError:
 		return jobspec.Failed, false
-	case p.ExitCause != "" || !p.HaltedAt.IsZero():
+	case p.ExitCause != "" || !p.FirstHaltAt.IsZero():
 		return jobspec.Preempted, false
 	}
 	return jobspec.NodeFail, false
--- a/internal/jobstate/change.go
+++ b/internal/jobstate/change.go
@@ -40,5 +40,5 @@
 // writer: the caller does that for a change that must not wait for the next write.
 func (s *State) RecordChange(c Change) {
 	shard := c.Placement.Job.Shard
-	s.Unwritten[shard] = append(s.Unwritten[shard], c)
+	s.UnwrittenChanges[shard] = append(s.UnwrittenChanges[shard], c)
 }
--- a/internal/jobstate/class.go
+++ b/internal/jobstate/class.go
@@ -1,8 +1,8 @@
 package jobstate
 
 const (
-	sizesKept  = 128  // last jobs of a class among which its largest are found
-	largestOf  = 10   // one in so many jobs of a class counts as one of its largest
+	recentSizes  = 128  // last jobs of a class among which its largest are found
+	largestOneIn  = 10   // one in so many jobs of a class counts as one of its largest
 	maxClasses = 1000 // classes remembered: their names come from users
 )
 
@@ -11,7 +11,7 @@
 	Name          string
 	EstimateRatio float64   // measured run time divided by the user's estimate
 	RunTimes      Average   // of its tasks, in seconds
-	StartAims     []float64 // objectives for the start of its tasks, in seconds from acceptance
+	StartObjectives     []float64 // objectives for the start of its tasks, in seconds from acceptance
 	Sizes         Sizes
 }
 
@@ -28,7 +28,7 @@
 	}
 	for _, objective := range s.Platform.Params.Objectives {
 		if objective.Kind == "wait" && objective.Class == name {
-			class.StartAims = append(class.StartAims, objective.WithinS)
+			class.StartObjectives = append(class.StartObjectives, objective.WithinS)
 		}
 	}
 	s.Classes[name] = class
@@ -37,7 +37,7 @@
 
 // Sizes are the sizes, in CPUs of all tasks, of a class's last jobs.
 type Sizes struct {
-	last []float64
+	recent []float64
 	next int // index in last of the oldest size, once last is full
 }
 
@@ -45,17 +45,17 @@
 // of equal size the first counts as the larger.
 func (s *Sizes) Add(size float64) (large bool) {
 	above := 0
-	for _, other := range s.last {
+	for _, other := range s.recent {
 		if other >= size {
 			above++
 		}
 	}
-	large = above*largestOf < len(s.last)+1
-	if len(s.last) < sizesKept {
-		s.last = append(s.last, size)
+	large = above*largestOneIn < len(s.recent)+1
+	if len(s.recent) < recentSizes {
+		s.recent = append(s.recent, size)
 	} else {
-		s.last[s.next] = size
-		s.next = (s.next + 1) % sizesKept
+		s.recent[s.next] = size
+		s.next = (s.next + 1) % recentSizes
 	}
 	return large
 }
--- a/internal/jobstate/completion.go
+++ b/internal/jobstate/completion.go
@@ -31,7 +31,7 @@
 		// reconcile the placement.
 		s.RecordChange(Change{Kind: PlacementRemoved, Placement: placement, Row: row})
 	} else if row != nil {
-		s.UnattachedRows = append(s.UnattachedRows, *row)
+		s.StandaloneRows = append(s.StandaloneRows, *row)
 		Notify(s.WriteSignal)
 	}
 	s.FinishJob(job)
--- a/internal/jobstate/constraints.go
+++ b/internal/jobstate/constraints.go
@@ -6,8 +6,8 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// faultyTries is the number of a faulty job's tasks that may have placements at a time.
-const faultyTries = 2
+// maxFaultyTasks is the number of a faulty job's tasks that may have placements at a time.
+const maxFaultyTasks = 2
 
 // ConstraintState is a job's constraints and what they depend on.
 type ConstraintState struct {
@@ -41,30 +41,30 @@
 	return job.Constraints.WaitReason(job.Constraints.DependencyOutcome, now.UnixMilli())
 }
 
-// MustBegin reports whether the job's first task is to be placed before all other work: a job
+// NeedsFirstStart reports whether the job's first task is to be placed before all other work: a job
 // of any priority and size has to begin in time, and one task costs the others little. Gangs
 // and faulty jobs are left out.
-func (s *State) MustBegin(job *Job) bool {
-	return job.Started == 0 && job.Done == 0 && !job.Spec.Gang() && len(job.Placements) == 0 && !job.Faulty &&
-		s.Now.Sub(job.AcceptedAt) >= beginFrom
+func (s *State) NeedsFirstStart(job *Job) bool {
+	return job.ObservedStarts == 0 && job.Done == 0 && !job.Spec.Gang() && len(job.Placements) == 0 && !job.Faulty &&
+		s.Now.Sub(job.AcceptedAt) >= firstStartPriorityAge
 }
 
 // PlaceableTasks returns how many of the job's pending tasks may be placed in this pass: as
 // many as WantedTasks, but only the first one of a job that must begin.
 func (s *State) PlaceableTasks(job *Job) int {
-	n := s.WantedTasks(job)
-	if n > 1 && s.MustBegin(job) {
+	n := s.EligibleTasks(job)
+	if n > 1 && s.NeedsFirstStart(job) {
 		return 1 // the others follow by the job's priority
 	}
 	return n
 }
 
-// WantedTasks returns how many of the job's pending tasks its constraints and its errors allow
+// EligibleTasks returns how many of the job's pending tasks its constraints and its errors allow
 // to start, as of State.Now.
-func (s *State) WantedTasks(job *Job) int {
+func (s *State) EligibleTasks(job *Job) int {
 	n := len(job.Pending)
 	if job.Faulty {
-		n = min(n, max(0, faultyTries-len(job.Placements)))
+		n = min(n, max(0, maxFaultyTasks-len(job.Placements)))
 	}
 	if job.Constraints == nil || n == 0 {
 		return n
--- a/internal/jobstate/eligibility.go
+++ b/internal/jobstate/eligibility.go
@@ -5,9 +5,9 @@
 // limitTolerance absorbs rounding where amounts are compared with limits and guarantees.
 const limitTolerance = 1e-6
 
-// Allowed reports whether the job's constraints on zone, machine type and spot workers let it
+// AllowedOn reports whether the job's constraints on zone, machine type and spot workers let it
 // run on the worker. It doesn't look at resources.
-func (s *State) Allowed(job *Job, worker *Worker) bool {
+func (s *State) AllowedOn(job *Job, worker *Worker) bool {
 	spec, view := job.Spec, &worker.View
 	if view.Spot && !spec.Spot || spec.Zone != nil && *spec.Zone != view.Zone {
 		return false
@@ -19,14 +19,14 @@
 // rules for zones. All placements by which a task may run count.
 func (s *State) FitsZone(job *Job, worker *Worker) bool {
 	zone := worker.View.Zone
-	if job.Spec.OneZone && !job.onlyIn(zone) {
+	if job.Spec.OneZone && !job.onlyInZone(zone) {
 		return false
 	}
 	return !job.Spec.Spread || job.Zones[zone]+job.Unzoned+1 <= (job.Spec.Tasks+1)/2
 }
 
-// onlyIn reports whether the job surely has no placement outside a zone.
-func (j *Job) onlyIn(zone string) bool {
+// onlyInZone reports whether the job surely has no placement outside a zone.
+func (j *Job) onlyInZone(zone string) bool {
 	if j.Unzoned > 0 {
 		return false
 	}
@@ -38,8 +38,8 @@
 	return true
 }
 
-// UnderLimit reports whether the job's team may use one more task of the job.
-func (s *State) UnderLimit(job *Job) bool {
+// FitsTeamLimit reports whether the job's team may use one more task of the job.
+func (s *State) FitsTeamLimit(job *Job) bool {
 	team := job.Team
 	if team.Leased != nil {
 		return team.Allows(job.Shard, team.Leased.UsedByShard[job.Shard].Add(job.Resources, 1))
--- a/internal/jobstate/estimate.go
+++ b/internal/jobstate/estimate.go
@@ -16,8 +16,8 @@
 	// What every worker starts with, so that a few tasks don't decide its success rate.
 	priorDone = 20
 	priorLost = 0.2
-	// spotShare is the weight of the other spot workers' tasks for a spot worker's rate.
-	spotShare = 0.25
+	// spotWeight is the weight of the other spot workers' tasks for a spot worker's rate.
+	spotWeight = 0.25
 	// failureWeight is how many lost tasks an error of a task counts as.
 	failureWeight = 2
 )
@@ -58,7 +58,7 @@
 func (s *State) SuccessRate(worker *Worker) float64 {
 	done, lost := priorDone+worker.RecentDone, priorLost+worker.RecentLost
 	if worker.View.Spot {
-		done, lost = done+s.SpotDone*spotShare, lost+s.SpotLost*spotShare
+		done, lost = done+s.SpotDone*spotWeight, lost+s.SpotLost*spotWeight
 	}
 	for _, n := range worker.Failures {
 		lost += failureWeight * float64(n)
--- a/internal/jobstate/instructions.go
+++ b/internal/jobstate/instructions.go
@@ -6,8 +6,8 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// haltInterval is the least time between two halts of a placement.
-const haltInterval = time.Second
+// minHaltInterval is the least time between two halts of a placement.
+const minHaltInterval = time.Second
 
 // InstructionsFor returns the instructions that are to be sent to a dispatcher next. The caller
 // adds to them and notifies SendSignal.
@@ -45,12 +45,12 @@
 		s.WithdrawPlacement(placement)
 		return
 	}
-	if time.Since(placement.LastHaltAt) < haltInterval {
+	if time.Since(placement.LastHaltAt) < minHaltInterval {
 		return
 	}
 	placement.LastHaltAt = time.Now()
-	if placement.HaltedAt.IsZero() {
-		placement.HaltedAt = placement.LastHaltAt
+	if placement.FirstHaltAt.IsZero() {
+		placement.FirstHaltAt = placement.LastHaltAt
 	}
 	if dispatcher := placement.Worker.View.Dispatcher; dispatcher != "" {
 		s.sendHalt(dispatcher, dispatch.Halt{TaskRef: placement.Ref, GraceS: graceS})
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -33,8 +33,8 @@
 	Done       int                  // tasks that completed
 	Finished   int                  // tasks that are done, failed or cancelled individually
 	Running    int                  // placements that were seen to run
-	Started    int                  // tasks that were ever seen to run
-	BegunAt    time.Time            // when its first task was seen to run, or the last one of a gang
+	ObservedStarts    int                  // tasks that were ever seen to run
+	StartedAt    time.Time            // when its first task was seen to run, or the last one of a gang
 	Zones      map[string]int       // placements by which a task may run, by zone
 	Unzoned    int                  // those in a zone that is not known yet, which may be any
 	RunTimes   Average              // of its tasks, in seconds
@@ -43,12 +43,12 @@
 	FailedOn  map[int]bool      // indices of workers on which a task failed, until one was done
 	Faulty    bool              // it failed on several workers and on none was a task of it done
 	NotBefore time.Time         // no task is placed until then
-	Avoid     map[int]time.Time // by worker index: no task is placed there until then
+	AvoidUntil     map[int]time.Time // by worker index: no task is placed there until then
 	Evicted   map[int]bool      // tasks that were stopped to empty a worker
 	Tier      int               // number of its limits that it cannot keep, by the last triage
 
 	requirements Requirements // computed by the first call of Requirements
-	doneLimits   []float64    // computed by the first call of State.Limits
+	deadlines   []float64    // computed by the first call of State.Limits
 }
 
 // Requirements is what a job requires of a worker, its image aside: jobs with equal
@@ -73,11 +73,11 @@
 // ChunkOf returns the chunk of a task.
 func (j *Job) ChunkOf(task int) *Chunk { return j.Chunks[task/jobrecord.ChunkSize] }
 
-// RecordBegin notes that a task of the job was seen to run, or to have run. Only the first
+// RecordStarted notes that a task of the job was seen to run, or to have run. Only the first
 // time counts, for a gang the first one after all its tasks were started.
-func (j *Job) RecordBegin(at time.Time) {
-	if j.BegunAt.IsZero() && (!j.Spec.Gang() || j.Started >= j.Spec.Tasks) {
-		j.BegunAt = at
+func (j *Job) RecordStarted(at time.Time) {
+	if j.StartedAt.IsZero() && (!j.Spec.Gang() || j.ObservedStarts >= j.Spec.Tasks) {
+		j.StartedAt = at
 	}
 }
 
--- a/internal/jobstate/lease.go
+++ b/internal/jobstate/lease.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// CountedStartS is the time in seconds after a start within which a stop undoes a start
+	// MinCountedRunS is the time in seconds after a start within which a stop undoes a start
 	// that an objective counts.
-	CountedStartS = 30
+	MinCountedRunS = 30
 	// OverdueSlack is how much later than due a heartbeat may arrive.
 	OverdueSlack = time.Second
 	// FinalPollS is the time in seconds before the expiry of a lease at which its worker is
 	// polled for the last time: a task that ends later is not seen to be done.
 	FinalPollS = 2.0
 
-	// renewOverdue is the number of heartbeat intervals without contact after which a worker
+	// renewalOverdueIntervals is the number of heartbeat intervals without contact after which a worker
 	// gets no task that the expiry of its lease may kill.
-	renewOverdue = 1.5
+	renewalOverdueIntervals = 1.5
 )
 
-// ReportOverdue reports whether, at the worker's last heartbeat, the contact before it was older
+// HeartbeatOverdue reports whether, at the worker's last heartbeat, the contact before it was older
 // than so many heartbeat intervals, which happens to workers that only respond to polls. It
 // doesn't compare with the present: a leader that was paused would find every worker overdue.
-func (s *State) ReportOverdue(worker *Worker, intervals float64) bool {
+func (s *State) HeartbeatOverdue(worker *Worker, intervals float64) bool {
 	return worker.LastHeartbeat.Sub(worker.LastContact()) > config.Seconds(intervals*s.Platform.Params.Workers.ReportS)+OverdueSlack
 }
 
-// LeaseEnd returns when the worker's lease expires, at the latest, if it is not renewed any
+// LatestLeaseEnd returns when the worker's lease expires, at the latest, if it is not renewed any
 // more: the response to its last heartbeat arrived.
-func (s *State) LeaseEnd(worker *Worker) time.Time {
+func (s *State) LatestLeaseEnd(worker *Worker) time.Time {
 	return s.leaseEndAfter(worker, worker.lastRenewal())
 }
 
@@ -54,10 +54,10 @@
 // FitsLease reports whether a task of the job that starts on the worker now would be done, and
 // seen to be done, before the worker's lease expires. It is true if the lease is being renewed.
 func (s *State) FitsLease(job *Job, worker *Worker) bool {
-	if worker.ExpiredUnreported {
+	if worker.LeaseExpiredUnreported {
 		return false
 	}
-	if !s.ReportOverdue(worker, renewOverdue) {
+	if !s.HeartbeatOverdue(worker, renewalOverdueIntervals) {
 		return true
 	}
 	if worker.LeaseUnknown() || job.Spec.Service() || job.Spec.Gang() {
--- a/internal/jobstate/objectives.go
+++ b/internal/jobstate/objectives.go
@@ -5,30 +5,30 @@
 // defaultDueS is the age at which a job is taken as due that names no time.
 const defaultDueS = 60
 
-// Limits returns the ages in seconds by which the job should be done: its class's objectives
+// Deadlines returns the ages in seconds by which the job should be done: its class's objectives
 // and its own due time. The result is computed once; it must not be changed.
-func (s *State) Limits(job *Job) []float64 {
-	if job.doneLimits == nil {
-		job.doneLimits = []float64{}
+func (s *State) Deadlines(job *Job) []float64 {
+	if job.deadlines == nil {
+		job.deadlines = []float64{}
 		for _, objective := range s.Platform.Params.Objectives {
 			switch {
 			case objective.Class != job.Spec.Class:
 			case objective.Kind == "finished":
-				job.doneLimits = append(job.doneLimits, objective.WithinS)
+				job.deadlines = append(job.deadlines, objective.WithinS)
 			case objective.Kind == "deadline" && job.Spec.DueS != nil:
-				job.doneLimits = append(job.doneLimits, *job.Spec.DueS*max(1, objective.Times))
+				job.deadlines = append(job.deadlines, *job.Spec.DueS*max(1, objective.Times))
 			}
 		}
 		if job.Spec.DueS != nil {
-			job.doneLimits = append(job.doneLimits, *job.Spec.DueS)
+			job.deadlines = append(job.deadlines, *job.Spec.DueS)
 		}
 	}
-	return job.doneLimits
+	return job.deadlines
 }
 
-// FirstLimit returns the least of Limits; 0 if there is none.
-func (s *State) FirstLimit(job *Job) float64 {
-	if limits := s.Limits(job); len(limits) > 0 {
+// FirstDeadline returns the least of Limits; 0 if there is none.
+func (s *State) FirstDeadline(job *Job) float64 {
+	if limits := s.Deadlines(job); len(limits) > 0 {
 		return slices.Min(limits)
 	}
 	return 0
--- a/internal/jobstate/placement.go
+++ b/internal/jobstate/placement.go
@@ -60,7 +60,7 @@
 	StartObserved bool      // this leader granted its start, so its run time is known
 	Compared      bool      // a heartbeat since it became known here was compared with it
 	LastHaltAt    time.Time // last halt; zero: none
-	HaltedAt      time.Time // first halt; zero: none
+	FirstHaltAt      time.Time // first halt; zero: none
 	SeenInView    uint64    // number of the last view of the worker that listed it, see package reconcile
 
 	Exited    bool   // the task is over; kept until that is recorded
--- a/internal/jobstate/reserve.go
+++ b/internal/jobstate/reserve.go
@@ -7,11 +7,11 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// viewLag is the age that a view from another controller may have when it arrives.
-const viewLag = 1500 * time.Millisecond
+// maxViewLag is the age that a view from another controller may have when it arrives.
+const maxViewLag = 1500 * time.Millisecond
 
-// Queued reports whether a dispatcher's queue contains the attempt.
-func Queued(queue []dispatch.QueueView, ref dispatch.TaskRef) bool {
+// IsQueued reports whether a dispatcher's queue contains the attempt.
+func IsQueued(queue []dispatch.QueueView, ref dispatch.TaskRef) bool {
 	for i := range queue {
 		if queue[i].Attempt == ref.Attempt && queue[i].TaskRef == ref {
 			return true
@@ -30,10 +30,10 @@
 	// assigned in between would be assigned again.
 	lag := time.Duration(0)
 	if worker.View.Dispatcher != s.Membership.Name() {
-		lag = viewLag
+		lag = maxViewLag
 	}
 	for placement := range worker.Placements {
-		if placement.inMatrix(lag) || Queued(worker.View.Queue, placement.Ref) {
+		if placement.reflectedInMatrix(lag) || IsQueued(worker.View.Queue, placement.Ref) {
 			continue
 		}
 		resources := placement.Job.Resources
@@ -44,9 +44,9 @@
 	}
 }
 
-// inMatrix reports whether the worker's matrix, as of its last view that may be lag old, needs
+// reflectedInMatrix reports whether the worker's matrix, as of its last view that may be lag old, needs
 // no reservation for the placement: the dispatcher knew the placement, or it uses nothing.
-func (p *Placement) inMatrix(lag time.Duration) bool {
+func (p *Placement) reflectedInMatrix(lag time.Duration) bool {
 	switch {
 	case p.Exited:
 		return true
--- a/internal/jobstate/state.go
+++ b/internal/jobstate/state.go
@@ -55,8 +55,8 @@
 	Images         wire.Index
 	FinalRecords   map[string]jobrecord.FinalRecord // of jobs that ended here, for queries
 
-	Unwritten      map[int][]Change                  // by shard: changes for the next log record
-	UnattachedRows []accounting.Row                  // of attempts whose end needs no log record
+	UnwrittenChanges      map[int][]Change                  // by shard: changes for the next log record
+	StandaloneRows []accounting.Row                  // of attempts whose end needs no log record
 	Outbox         map[string]*dispatch.Instructions // by dispatcher
 
 	AdmittedWork float64                  // CPU-seconds accepted since this process began
@@ -76,7 +76,7 @@
 		PlanSignal: make(chan struct{}, 1), WriteSignal: make(chan struct{}, 1), SendSignal: make(chan struct{}, 1),
 		Loaded: map[int]uint64{}, Jobs: map[string]*Job{}, Workers: map[string]*Worker{},
 		Teams: map[string]*Team{}, Classes: map[string]*Class{}, FinalRecords: map[string]jobrecord.FinalRecord{},
-		Unwritten: map[int][]Change{}, Outbox: map[string]*dispatch.Instructions{},
+		UnwrittenChanges: map[int][]Change{}, Outbox: map[string]*dispatch.Instructions{},
 		Arriving: map[string]*ArrivingWork{}, EndedTally: Tally{},
 	}
 	for _, t := range platform.Params.Teams {
@@ -98,8 +98,8 @@
 	return ok && version == s.Loaded[shard]
 }
 
-// PassShare is the pause after a scheduling pass, as a multiple of the pass's duration.
-const PassShare = 4
+// PassPauseFactor is the pause after a scheduling pass, as a multiple of the pass's duration.
+const PassPauseFactor = 4
 
 // Notify makes a signal pending, and never blocks. A signal that is pending already stands for
 // this one too.
--- a/internal/jobstate/state_test.go
+++ b/internal/jobstate/state_test.go
@@ -17,15 +17,15 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// soleMember is a controller that leads all shards.
-type soleMember struct{}
+// soleController is a controller that leads all shards.
+type soleController struct{}
 
-func (soleMember) Name() string                              { return "controller-a" }
-func (soleMember) LeaseRemaining() time.Duration             { return time.Minute }
-func (soleMember) LeadsShard(int) (uint64, bool)             { return 1, true }
-func (soleMember) ClaimedShards() map[int]uint64             { return map[int]uint64{0: 1} }
-func (soleMember) NextToken(context.Context) (uint64, error) { return 2, nil }
-func (soleMember) ShardKey(int) string                       { return "shard/0" }
+func (soleController) Name() string                              { return "controller-a" }
+func (soleController) LeaseRemaining() time.Duration             { return time.Minute }
+func (soleController) LeadsShard(int) (uint64, bool)             { return 1, true }
+func (soleController) ClaimedShards() map[int]uint64             { return map[int]uint64{0: 1} }
+func (soleController) NextToken(context.Context) (uint64, error) { return 2, nil }
+func (soleController) ShardKey(int) string                       { return "shard/0" }
 
 type noTypes struct{}
 
@@ -34,7 +34,7 @@
 // newState returns the state of a leader of one shard, with leases of 30 seconds.
 func newState() *jobstate.State {
 	platform := &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 5, LeaseS: 30}}}
-	s := jobstate.New(platform, &config.Operator{Shards: 1}, soleMember{}, noTypes{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := jobstate.New(platform, &config.Operator{Shards: 1}, soleController{}, noTypes{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.Loaded[0] = 1
 	return s
 }
@@ -77,7 +77,7 @@
 	return p
 }
 
-func TestLostPlacementMakesItsTaskPendingOnce(t *testing.T) {
+func TestEndedPlacementMakesTaskPendingOnce(t *testing.T) {
 	s := newState()
 	job := addJob(s, 1)
 	placement := place(s, job, "n-1", jobstate.PlacementGranted)
@@ -92,12 +92,12 @@
 	if job.Team.Used.CPUs != 0 || job.Zones["zone-a"] != 0 {
 		t.Errorf("still uses %v, in zones %v", job.Team.Used, job.Zones)
 	}
-	if changes := s.Unwritten[0]; len(changes) != 1 || changes[0].Kind != jobstate.PlacementRemoved {
+	if changes := s.UnwrittenChanges[0]; len(changes) != 1 || changes[0].Kind != jobstate.PlacementRemoved {
 		t.Errorf("changes to record: %v", changes)
 	}
 }
 
-func TestFinishedTaskWithdrawsItsOtherPlacementsUnlessGranted(t *testing.T) {
+func TestFinishedTaskWithdrawsOtherUngrantedPlacements(t *testing.T) {
 	s := newState()
 	job := addJob(s, 1)
 	finished := place(s, job, "n-1", jobstate.PlacementReported)
@@ -117,13 +117,13 @@
 	}
 }
 
-func TestCancelledJobEndsOnceNothingOfItMayRun(t *testing.T) {
+func TestCancelledJobEndsOnceNoTaskMayRun(t *testing.T) {
 	s := newState()
 	job := addJob(s, 3)
 	running := place(s, job, "n-1", jobstate.PlacementReported)
 	place(s, job, "n-2", jobstate.PlacementRecorded)
 	s.CancelJob(job)
-	if job.EndStage != "" || len(job.Placements) != 1 || running.HaltedAt.IsZero() {
+	if job.EndStage != "" || len(job.Placements) != 1 || running.FirstHaltAt.IsZero() {
 		t.Fatalf("stage %q, placements %v", job.EndStage, job.Placements)
 	}
 	s.EndPlacement(running)
@@ -132,14 +132,14 @@
 	}
 }
 
-func TestIndividuallyCancelledTasksEndTheJobWithTheOthers(t *testing.T) {
+func TestJobWithIndividuallyCancelledTasksEndsAsCancelled(t *testing.T) {
 	s := newState()
 	job := addJob(s, 3)
 	job.Constraints = jobstate.NewConstraintState(&jobspec.Constraints{Number: 7})
 	running := place(s, job, "n-1", jobstate.PlacementReported) // task 2
 	record := &jobrecord.LiveRecord{Constraints: &jobspec.Constraints{Number: 7, CancelledTasks: "0,2"}}
 	s.UpdateRecord(job, record, 9)
-	if job.Finished != 2 || len(job.Pending) != 1 || job.Pending[0] != 1 || running.HaltedAt.IsZero() || job.Version != 9 {
+	if job.Finished != 2 || len(job.Pending) != 1 || job.Pending[0] != 1 || running.FirstHaltAt.IsZero() || job.Version != 9 {
 		t.Fatalf("finished %d, pending %v, version %d", job.Finished, job.Pending, job.Version)
 	}
 	s.EndPlacement(running)
@@ -176,7 +176,7 @@
 	}
 }
 
-func TestChunkRecordReadsBackWithoutExitedPlacements(t *testing.T) {
+func TestChunkRecordOmitsExitedPlacements(t *testing.T) {
 	s := newState()
 	job := addJob(s, 5)
 	exited := place(s, job, "n-1", jobstate.PlacementReported)
@@ -231,13 +231,13 @@
 	worker.RenewedAt, worker.RenewedSession = worker.KnownSince.Add(time.Minute), 3
 	for session, want := range map[uint64]time.Duration{2: 30 * time.Second, 3: 30 * time.Second, 4: time.Minute} {
 		worker.View.Session = session
-		if got := s.LeaseEnd(worker).Sub(worker.RenewedAt); got != want {
+		if got := s.LatestLeaseEnd(worker).Sub(worker.RenewedAt); got != want {
 			t.Errorf("session %d: the lease expires after %v, not %v", session, got, want)
 		}
 	}
 }
 
-func TestFirstOfSeveralEqualJobsIsOneOfTheLargest(t *testing.T) {
+func TestOnlyFirstOfEqualJobsCountsAsLarge(t *testing.T) {
 	var sizes jobstate.Sizes
 	large := 0
 	for range 30 {
--- a/internal/jobstate/unconfirmed.go
+++ b/internal/jobstate/unconfirmed.go
@@ -9,9 +9,9 @@
 // stageLag is by how much the stage that users are told of a job may lag.
 const stageLag = 3 * time.Second
 
-// CompareHeartbeat notes that a heartbeat of the worker was compared with the placement. An
+// MarkCompared notes that a heartbeat of the worker was compared with the placement. An
 // older one than users may be told of proves nothing: it may be from before the task began.
-func (p *Placement) CompareHeartbeat(at time.Time) {
+func (p *Placement) MarkCompared(at time.Time) {
 	if at.After(p.CreatedAt.Add(-stageLag)) {
 		p.Compared = true
 	}
--- a/internal/jobstate/worker.go
+++ b/internal/jobstate/worker.go
@@ -26,7 +26,7 @@
 	View          dispatch.WorkerView
 	ViewAt        time.Time // when View arrived; zero: none did
 	LastHeartbeat time.Time // when the heartbeat in View reached the dispatcher
-	LastReport    time.Time // the same of the last heartbeat that was not polled
+	LastUnpolledHeartbeat    time.Time // the same of the last heartbeat that was not polled
 
 	RenewedAt      time.Time // when any controller last responded to a heartbeat, which renews the lease
 	RenewedSession uint64    // session of the worker at RenewedAt
@@ -47,10 +47,10 @@
 	Cordoned            bool  // the autoscaler wants it empty
 	Removed             bool  // the cloud has deleted it
 	CommandObserved     bool  // a start command was seen to have had an effect since the last check
-	ExpiredUnreported   bool  // its lease expired while it reached no controller, by polls alone
-	UnresponsiveReports int16 // heartbeats in a row that showed the worker to be unresponsive
+	LeaseExpiredUnreported   bool  // its lease expired while it reached no controller, by polls alone
+	UnresponsiveHeartbeats int16 // heartbeats in a row that showed the worker to be unresponsive
 
-	NoticeAt time.Time // when the cloud will reclaim it; zero: no notice
+	ReclaimAt time.Time // when the cloud will reclaim it; zero: no notice
 	// OccupiedS is the time in seconds for which a cordoned worker stays occupied by tasks
 	// that are not evicted, as of the pass in progress.
 	OccupiedS float64
@@ -129,7 +129,7 @@
 // LastContact returns when a heartbeat of the worker last arrived or was last responded to.
 // The response to a heartbeat shows in the next view only: by lastRenewal alone, a worker on
 // a slow link looked overdue at every heartbeat although all arrived.
-func (w *Worker) LastContact() time.Time { return Later(w.lastRenewal(), w.LastReport) }
+func (w *Worker) LastContact() time.Time { return Later(w.lastRenewal(), w.LastUnpolledHeartbeat) }
 
 // LeaseUnknown reports whether this leader has not surely seen the worker's lease renewed, so
 // that the lease may expire at any time.
--- a/internal/matching/estimate.go
+++ b/internal/matching/estimate.go
@@ -1,13 +1,13 @@
 package matching
 
-// WaitErrorS is for how many seconds longer than estimated a task waits, on average, for room
+// WaitUnderestimateS is for how many seconds longer than estimated a task waits, on average, for room
 // that running tasks have yet to leave: they are expected to end as soon as they may, and a
 // worker is picked because its estimate is the lowest.
-const WaitErrorS = 1.0
+const WaitUnderestimateS = 1.0
 
 const (
 	minRemainingS  = 1.0  // seconds that a running task still takes, at least
-	remainingShare = 0.15 // of the time that it has run, which is added to that
+	overrunShare = 0.15 // of the time that it has run, which is added to that
 )
 
 // Cost is the paper's estimate C = P·E + K_fail·(1 − P)·E of a task on a worker, with the
@@ -30,5 +30,5 @@
 // estimatedS and has run for elapsedS. One that has outrun its estimate is expected to go
 // on for a share of what it has taken.
 func RemainingRun(estimatedS, elapsedS float64) float64 {
-	return max(estimatedS-elapsedS, minRemainingS+remainingShare*elapsedS)
+	return max(estimatedS-elapsedS, minRemainingS+overrunShare*elapsedS)
 }
--- a/internal/matching/match.go
+++ b/internal/matching/match.go
@@ -28,18 +28,18 @@
 // cheapest worker, a worker that several want goes to the one that saves most by it, and the
 // others propose again, for at most so many rounds. Each worker gets at most one task, each
 // task at most one worker. Pairings come lowest wait first.
-func Match(options [][]Candidate, rounds int) []Pairing {
+func Match(candidatesByTask [][]Candidate, rounds int) []Pairing {
 	highest := 0
-	for _, candidates := range options {
+	for _, candidates := range candidatesByTask {
 		for i := range candidates {
 			highest = max(highest, candidates[i].Worker)
 		}
 	}
 	taken := make([]bool, highest+1)
-	matched := make([]bool, len(options))
+	matched := make([]bool, len(candidatesByTask))
 	var pairings []Pairing
 	for range rounds {
-		accepted := propose(options, taken, matched)
+		accepted := propose(candidatesByTask, taken, matched)
 		if len(accepted) == 0 {
 			break
 		}
@@ -61,13 +61,13 @@
 // propose lets every unmatched task propose to its cheapest worker that is not taken, and
 // returns the proposal that each worker accepts: the highest saving, of equal ones the
 // first task's.
-func propose(options [][]Candidate, taken, matched []bool) map[int]Pairing {
+func propose(candidatesByTask [][]Candidate, taken, matched []bool) map[int]Pairing {
 	accepted := map[int]Pairing{}
-	for task, candidates := range options {
+	for task, candidates := range candidatesByTask {
 		if matched[task] {
 			continue
 		}
-		cheapest, nextCost := cheapestFree(candidates, taken)
+		cheapest, nextCost := cheapestUntaken(candidates, taken)
 		if cheapest < 0 {
 			continue
 		}
@@ -79,9 +79,9 @@
 	return accepted
 }
 
-// cheapestFree returns the index of the cheapest candidate that is not taken, -1 if there is
+// cheapestUntaken returns the index of the cheapest candidate that is not taken, -1 if there is
 // none, and the cost of the next cheapest, +Inf if there is none.
-func cheapestFree(candidates []Candidate, taken []bool) (cheapest int, nextCost float64) {
+func cheapestUntaken(candidates []Candidate, taken []bool) (cheapest int, nextCost float64) {
 	cheapest, nextCost = -1, math.Inf(1)
 	for i, candidate := range candidates {
 		switch {
--- a/internal/matching/matrix_test.go
+++ b/internal/matching/matrix_test.go
@@ -22,15 +22,15 @@
 	return matching.Allocation{Resources: sizes.Draw(t, "shape"), RemainingS: float64(rapid.IntRange(1, 30).Draw(t, "left"))}
 })
 
-// span is an allocation from a start on.
-type span struct {
+// timedAllocation is an allocation from a start on.
+type timedAllocation struct {
 	matching.Allocation
 	fromS float64
 }
 
 // firstFit is the first whole second from which a task of this size fits for runS; +Inf if
 // there is none.
-func firstFit(total matching.Resources, spans []span, size matching.Resources, runS float64) float64 {
+func firstFit(total matching.Resources, spans []timedAllocation, size matching.Resources, runS float64) float64 {
 	fits := func(at float64) bool {
 		free := total
 		for _, used := range spans {
@@ -57,19 +57,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		total := matching.Resources{CPUs: 8, GPUs: 2, MemoryGB: 12}
 		var running []matching.Allocation
-		var spans []span
+		var spans []timedAllocation
 		free := total
 		for _, allocation := range rapid.SliceOfN(allocations, 0, 6).Draw(t, "running") {
 			if allocation.Resources.Fits(free) {
 				free = free.Add(allocation.Resources, -1)
 				running = append(running, allocation)
-				spans = append(spans, span{allocation, 0})
+				spans = append(spans, timedAllocation{allocation, 0})
 			}
 		}
 		queued := rapid.SliceOfN(allocations, 0, 5).Draw(t, "queued")
 		matrix := matching.NewWaitMatrix(total, running, queued)
 		for _, allocation := range queued {
-			spans = append(spans, span{allocation, firstFit(total, spans, allocation.Resources, allocation.RemainingS)})
+			spans = append(spans, timedAllocation{allocation, firstFit(total, spans, allocation.Resources, allocation.RemainingS)})
 		}
 		task := allocations.Draw(t, "task")
 		want := firstFit(total, spans, task.Resources, task.RemainingS)
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -21,7 +21,7 @@
 		if worker == nil || worker.Removed || worker.Cordoned && !p.staysOccupied(worker) {
 			continue
 		}
-		if worker.UnresponsiveSince.IsZero() && !worker.View.Draining && worker.NoticeAt.IsZero() &&
+		if worker.UnresponsiveSince.IsZero() && !worker.View.Draining && worker.ReclaimAt.IsZero() &&
 			len(worker.Matrix) > 0 && p.state.Now.Sub(worker.LastHeartbeat) < timeout {
 			open = append(open, worker)
 		}
@@ -53,7 +53,7 @@
 	}
 	withRoom := []*jobstate.Worker{}
 	for _, worker := range open {
-		if p.state.Allowed(job, worker) && p.state.FitsLease(job, worker) && p.hasRoomWithinHorizon(job, worker) {
+		if p.state.AllowedOn(job, worker) && p.state.FitsLease(job, worker) && p.hasRoomWithinHorizon(job, worker) {
 			withRoom = append(withRoom, worker)
 		}
 	}
--- a/internal/planner/cordoned.go
+++ b/internal/planner/cordoned.go
@@ -20,7 +20,7 @@
 func (p *Planner) staysOccupied(worker *jobstate.Worker) bool {
 	worker.OccupiedS = 0
 	for placement := range worker.Placements {
-		if placement.Exited || !placement.HaltedAt.IsZero() || placement.RunningSince.IsZero() {
+		if placement.Exited || !placement.FirstHaltAt.IsZero() || placement.RunningSince.IsZero() {
 			continue
 		}
 		if _, ok := p.evictable(placement); ok {
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -28,7 +28,7 @@
 // eligible reports whether one more task of the job may be placed on the worker, room
 // aside.
 func (p *Planner) eligible(job *jobstate.Job, worker *jobstate.Worker) bool {
-	return p.state.Allowed(job, worker) && p.state.FitsZone(job, worker) && p.state.UnderLimit(job) && p.state.FitsLease(job, worker)
+	return p.state.AllowedOn(job, worker) && p.state.FitsZone(job, worker) && p.state.FitsTeamLimit(job) && p.state.FitsLease(job, worker)
 }
 
 // estimate estimates a task of the job on the worker; ok is false if it may not be placed
@@ -37,11 +37,11 @@
 	if !p.eligible(job, worker) {
 		return estimate{}, false
 	}
-	if until, avoided := job.Avoid[worker.Index]; len(job.Avoid) > 0 && avoided {
+	if until, avoided := job.AvoidUntil[worker.Index]; len(job.AvoidUntil) > 0 && avoided {
 		if p.state.Now.Before(until) {
 			return estimate{}, false
 		}
-		delete(job.Avoid, worker.Index)
+		delete(job.AvoidUntil, worker.Index)
 	}
 	runS, fetchS := job.RunEstimate(), p.state.FetchTime(job, worker)
 	if worker.Cordoned && !worker.EndsWhileOccupied(fetchS+runS) {
@@ -53,7 +53,7 @@
 	}
 	cost := matching.Cost(fetchS, waitS, runS, p.state.SuccessRate(worker), p.state.Operator.KFail)
 	if !hasRoomNow(job, worker) {
-		cost += matching.WaitErrorS
+		cost += matching.WaitUnderestimateS
 	}
 	if p.missesStartObjective(job, waitS+fetchS) {
 		cost += p.state.Operator.LateStartS
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -53,7 +53,7 @@
 		if job.Cancelled || job.EndStage != "" {
 			continue
 		}
-		n := p.state.WantedTasks(job) // workers are provisioned for all of it
+		n := p.state.EligibleTasks(job) // workers are provisioned for all of it
 		for _, placements := range job.Placements {
 			if !slices.ContainsFunc(placements, mayRunOrExited) {
 				n++
@@ -124,7 +124,7 @@
 		load := WorkerLoad{
 			Name: worker.Name, Type: worker.View.Type, Zone: worker.View.Zone, Spot: worker.View.Spot, Matrix: worker.Matrix,
 			LastHeartbeat: worker.LastHeartbeat, LastKnown: jobstate.Later(worker.LastHeartbeat, worker.KnownSince),
-			Placements: len(worker.Placements), Notice: !worker.NoticeAt.IsZero(), Faulty: worker.Faulty(),
+			Placements: len(worker.Placements), Notice: !worker.ReclaimAt.IsZero(), Faulty: worker.Faulty(),
 		}
 		for placement := range worker.Placements {
 			if placement.MayRun() {
--- a/internal/planner/evict.go
+++ b/internal/planner/evict.go
@@ -51,7 +51,7 @@
 		case worker == nil || len(worker.Matrix) == 0:
 		case worker.Cordoned:
 			cordoned = append(cordoned, worker)
-		case !worker.View.Draining && worker.NoticeAt.IsZero():
+		case !worker.View.Draining && worker.ReclaimAt.IsZero():
 			freeCPUs += max(0, worker.Matrix[0].Free.CPUs)
 		}
 	}
@@ -91,7 +91,7 @@
 func (p *Planner) evictionCandidates(worker *jobstate.Worker) []evictionCandidate {
 	var candidates []evictionCandidate
 	for placement := range worker.Placements {
-		if placement.Exited || !placement.HaltedAt.IsZero() {
+		if placement.Exited || !placement.FirstHaltAt.IsZero() {
 			continue
 		}
 		candidate := evictionCandidate{placement: placement, remainingS: placement.Job.RunEstimate()}
@@ -153,7 +153,7 @@
 // of its run that wastes. Each task is evicted once at most.
 func (p *Planner) evictable(placement *jobstate.Placement) (lossS float64, ok bool) {
 	job := placement.Job
-	if placement.State != jobstate.PlacementReported || placement.Exited || !placement.HaltedAt.IsZero() ||
+	if placement.State != jobstate.PlacementReported || placement.Exited || !placement.FirstHaltAt.IsZero() ||
 		job.Cancelled || job.Spec.Gang() || job.Spec.Service() || job.Evicted[placement.Task] {
 		return 0, false
 	}
@@ -161,7 +161,7 @@
 		return 0, true
 	}
 	elapsedS := p.state.Now.Sub(placement.RunningSince).Seconds()
-	if len(job.Class.StartAims) > 0 && elapsedS < jobstate.CountedStartS {
+	if len(job.Class.StartObjectives) > 0 && elapsedS < jobstate.MinCountedRunS {
 		return 0, false
 	}
 	if job.Spec.CheckpointIntervalS > 0 {
@@ -171,7 +171,7 @@
 	// already must not become later still: the whole of the work waits for it in the end.
 	ageS, runS := p.state.Now.Sub(job.AcceptedAt).Seconds(), job.RunEstimate()
 	remainingS, late := max(runS-elapsedS, 1), true
-	for _, limitS := range p.state.Limits(job) {
+	for _, limitS := range p.state.Deadlines(job) {
 		late = late && limitS < ageS+remainingS
 		if limitS >= ageS+remainingS && limitS < ageS+jobstate.RunTimeMargin*runS+jobstate.RestartOverheadS {
 			return 0, false
--- a/internal/planner/order.go
+++ b/internal/planner/order.go
@@ -16,7 +16,7 @@
 func (p *Planner) SortJobs(jobs []*jobstate.Job) {
 	guaranteed, mustBegin := map[*jobstate.Job]bool{}, map[*jobstate.Job]bool{}
 	for _, job := range jobs {
-		mustBegin[job] = p.state.MustBegin(job)
+		mustBegin[job] = p.state.NeedsFirstStart(job)
 		guaranteed[job] = withinGuarantee(job)
 	}
 	sort.SliceStable(jobs, func(a, b int) bool {
--- a/internal/planner/pass.go
+++ b/internal/planner/pass.go
@@ -62,7 +62,7 @@
 // left for the next batch, in the space of waiting, and how many tasks it placed of jobs
 // other than gangs.
 func (p *Planner) placeNextBatch(waiting []*jobstate.Job, open []*jobstate.Worker, budget int) (left []*jobstate.Job, placed int) {
-	rank, mustBegin := waiting[0].Spec.Rank(), p.state.MustBegin(waiting[0])
+	rank, mustBegin := waiting[0].Spec.Rank(), p.state.NeedsFirstStart(waiting[0])
 	jobs := p.nextBatch(waiting, mustBegin)
 	for _, job := range jobs {
 		if job.Spec.Gang() {
@@ -76,7 +76,7 @@
 	left = p.remainingJobs(waiting, jobs, placedOf)
 	if mustBegin {
 		// Only for first tasks: what began has its turn with all others.
-		jobs = slices.DeleteFunc(jobs, func(job *jobstate.Job) bool { return !p.state.MustBegin(job) })
+		jobs = slices.DeleteFunc(jobs, func(job *jobstate.Job) bool { return !p.state.NeedsFirstStart(job) })
 		p.SortJobs(left)
 	}
 	if len(left) > 0 && (mustBegin || left[0].Spec.Rank() < rank) {
@@ -91,7 +91,7 @@
 	rank, tier := waiting[0].Spec.Rank(), waiting[0].Tier
 	var jobs []*jobstate.Job
 	for _, job := range waiting {
-		if len(jobs) < maxBatchJobs && p.state.MustBegin(job) == mustBegin && (mustBegin || job.Spec.Rank() == rank && job.Tier == tier) {
+		if len(jobs) < maxBatchJobs && p.state.NeedsFirstStart(job) == mustBegin && (mustBegin || job.Spec.Rank() == rank && job.Tier == tier) {
 			jobs = append(jobs, job)
 		}
 	}
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -140,7 +140,7 @@
 // job, and has time to run again.
 func (p *Planner) preemptible(placement *jobstate.Placement, job *jobstate.Job) bool {
 	victim := placement.Job
-	if placement.State != jobstate.PlacementReported || placement.RunningSince.IsZero() || !placement.HaltedAt.IsZero() || placement.Exited {
+	if placement.State != jobstate.PlacementReported || placement.RunningSince.IsZero() || !placement.FirstHaltAt.IsZero() || placement.Exited {
 		return false
 	}
 	return !victim.Cancelled && !victim.Spec.Service() && !victim.Spec.Gang() && victim.Spec.Rank() < job.Spec.Rank() && p.slack(victim, 0) >= lateSlackS
--- a/internal/planner/rebalance.go
+++ b/internal/planner/rebalance.go
@@ -111,7 +111,7 @@
 func (p *Planner) unstartable(placement *jobstate.Placement) bool {
 	worker := placement.Worker
 	lastSeen := jobstate.Later(worker.LastHeartbeat, placement.CreatedAt)
-	return p.state.Now.Sub(lastSeen) > p.heartbeatTimeout() || !worker.NoticeAt.IsZero() || worker.View.Draining ||
+	return p.state.Now.Sub(lastSeen) > p.heartbeatTimeout() || !worker.ReclaimAt.IsZero() || worker.View.Draining ||
 		!worker.UnresponsiveSince.IsZero() || !p.state.FitsLease(placement.Job, worker)
 }
 
--- a/internal/planner/reserve.go
+++ b/internal/planner/reserve.go
@@ -34,7 +34,7 @@
 	waitS = math.Inf(1)
 	runS := job.RunEstimate()
 	for _, worker := range open {
-		if worker.Cordoned || !p.state.Allowed(job, worker) || !p.state.FitsLease(job, worker) {
+		if worker.Cordoned || !p.state.AllowedOn(job, worker) || !p.state.FitsLease(job, worker) {
 			continue
 		}
 		if s := worker.Matrix.WaitWithin(job.Resources, runS, min(waitS, reservationWindowS)); s < waitS && s <= reservationWindowS {
--- a/internal/planner/triage.go
+++ b/internal/planner/triage.go
@@ -135,7 +135,7 @@
 func (p *Planner) meanFirstDeadline(jobs []*jobstate.Job) float64 {
 	sumS, n := 0.0, 0
 	for _, job := range jobs {
-		if limits := p.state.Limits(job); len(limits) > 0 {
+		if limits := p.state.Deadlines(job); len(limits) > 0 {
 			sumS += slices.Min(limits)
 			n++
 		}
@@ -160,10 +160,10 @@
 		remaining.Span = jobstate.RunTimeMargin*runS + jobstate.RestartOverheadS
 	}
 	ageS := float64(t.now.UnixMilli()-job.AcceptedMs) / 1000
-	for _, limitS := range p.state.Limits(job) {
-		remaining.Limits = append(remaining.Limits, limitS-ageS)
+	for _, limitS := range p.state.Deadlines(job) {
+		remaining.Deadlines = append(remaining.Deadlines, limitS-ageS)
 	}
-	slices.Sort(remaining.Limits)
-	remaining.Limits = slices.Compact(remaining.Limits)
+	slices.Sort(remaining.Deadlines)
+	remaining.Deadlines = slices.Compact(remaining.Deadlines)
 	return remaining
 }
--- a/internal/planner/urgency.go
+++ b/internal/planner/urgency.go
@@ -18,10 +18,10 @@
 	ageS := p.state.Now.Sub(job.AcceptedAt).Seconds()
 	runS := jobstate.RunTimeMargin*job.RunEstimate() + jobstate.RestartOverheadS
 	nextS := math.Inf(1)
-	for _, withinS := range job.Class.StartAims {
+	for _, withinS := range job.Class.StartObjectives {
 		nextS = earlierSlack(nextS, withinS-ageS, bootS)
 	}
-	for _, limitS := range p.state.Limits(job) {
+	for _, limitS := range p.state.Deadlines(job) {
 		nextS = earlierSlack(nextS, limitS-ageS-runS, bootS)
 	}
 	if math.IsInf(nextS, 1) {
@@ -42,7 +42,7 @@
 // its class's starts that it could still meet.
 func (p *Planner) missesStartObjective(job *jobstate.Job, afterS float64) bool {
 	ageS := p.state.Now.Sub(job.AcceptedAt).Seconds()
-	for _, withinS := range job.Class.StartAims {
+	for _, withinS := range job.Class.StartObjectives {
 		if ageS < withinS && ageS+afterS+jobstate.StartOverheadS > withinS {
 			return true
 		}
@@ -59,7 +59,7 @@
 		return true
 	}
 	ageS := p.state.Now.Sub(job.AcceptedAt).Seconds()
-	for _, withinS := range job.Class.StartAims {
+	for _, withinS := range job.Class.StartObjectives {
 		if withinS-ageS < urgentSlackS && ageS < max(2*withinS, minMissedUrgentS) {
 			return true
 		}
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -150,7 +150,7 @@
 		// As scheduling passes: a small part of the processor, however many teams there are.
 		select {
 		case <-ctx.Done():
-		case <-time.After(jobstate.PassShare * time.Since(start)):
+		case <-time.After(jobstate.PassPauseFactor * time.Since(start)):
 		}
 	}
 }
--- a/internal/quota/needs.go
+++ b/internal/quota/needs.go
@@ -42,7 +42,7 @@
 // waitingTasks is how many tasks of a job could start now, counted by placements for those that
 // have any.
 func (m *Manager) waitingTasks(job *jobstate.Job) int {
-	tasks := m.state.WantedTasks(job)
+	tasks := m.state.EligibleTasks(job)
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
 			if !placement.MayRun() && !placement.Exited {
--- a/internal/reconcile/grant.go
+++ b/internal/reconcile/grant.go
@@ -62,14 +62,14 @@
 	switch {
 	case job.Cancelled || placement.Chunk.IsOver(task):
 		return drop
-	case startedInEarlierSession(placement, request.Session):
+	case grantedInEarlierSession(placement, request.Session):
 		r.state.EndPlacement(placement)
 		return drop
 	case !r.mayStart(placement):
 		return notNow
 	}
 	r.state.CountUse(placement, -1)
-	fits := r.state.FitsZone(job, placement.Worker) && r.state.UnderLimit(job)
+	fits := r.state.FitsZone(job, placement.Worker) && r.state.FitsTeamLimit(job)
 	if fits {
 		r.markGranted(placement, request)
 	} else {
@@ -96,10 +96,10 @@
 	return placement, false
 }
 
-// startedInEarlierSession reports whether the placement was granted for an earlier session of
+// grantedInEarlierSession reports whether the placement was granted for an earlier session of
 // its worker than that of the request. The worker has lost whatever it was granted then, and
 // may have run it: see checkGranted.
-func startedInEarlierSession(placement *jobstate.Placement, session uint64) bool {
+func grantedInEarlierSession(placement *jobstate.Placement, session uint64) bool {
 	neverReported := placement.State == jobstate.PlacementRecorded || placement.State == jobstate.PlacementGranted
 	return !placement.Exited && placement.Session > 0 && session > placement.Session && neverReported
 }
@@ -114,7 +114,7 @@
 		return false
 	case !placement.LastHaltAt.IsZero():
 		return false
-	case worker.Removed || worker.View.Draining || !r.state.Allowed(job, worker):
+	case worker.Removed || worker.View.Draining || !r.state.AllowedOn(job, worker):
 		return false
 	case (!worker.UnresponsiveSince.IsZero() || !r.state.FitsLease(job, worker)) && placement.State != jobstate.PlacementGranted:
 		return false
--- a/internal/reconcile/grant_test.go
+++ b/internal/reconcile/grant_test.go
@@ -71,7 +71,7 @@
 
 // A start is granted only if nothing that may still run stands against it. Requests for what is
 // never to start are dropped; others may be granted later.
-func TestStartIsGrantedOnlyIfNothingStandsAgainstIt(t *testing.T) {
+func TestStartIsGrantedOnlyIfAllConditionsHold(t *testing.T) {
 	granted, notNow, drop := dispatch.GrantReply{OK: true}, dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
 	for _, c := range []struct {
 		name   string
--- a/internal/reconcile/lease_expiry_test.go
+++ b/internal/reconcile/lease_expiry_test.go
@@ -10,7 +10,7 @@
 )
 
 // A task is stopped before an unrenewed lease expires if less is lost by it.
-func TestTaskIsStoppedBeforeLeaseExpiryIfLessIsLost(t *testing.T) {
+func TestTaskIsStoppedBeforeLeaseExpiryIfThatLosesLessWork(t *testing.T) {
 	cannot := -1.0
 	for _, c := range []struct {
 		name string
@@ -19,15 +19,15 @@
 		want bool
 	}{
 		{"it saves, and there is time", expiringTask{elapsedS: 5, remainingS: 60, saveS: 4}, 20, false},
-		{"it saves, and there is just time", expiringTask{elapsedS: 90, remainingS: 60, saveS: 4}, 4 + haltTakesS, true},
+		{"it saves, and there is just time", expiringTask{elapsedS: 90, remainingS: 60, saveS: 4}, 4 + haltDeliveryS, true},
 		{"it saves, and the lease has expired", expiringTask{elapsedS: 90, remainingS: 60, saveS: 4}, 0, false},
 		{"it will be done in time", expiringTask{elapsedS: 1, remainingS: 10, saveS: cannot}, 25, false},
 		{"it may be done in time", expiringTask{elapsedS: 1, remainingS: 30, saveS: cannot}, 25, false},
 		{"it has run for less than the rest of the lease", expiringTask{elapsedS: 20, remainingS: 60, saveS: cannot}, 25, true},
 		{"it has run for longer than the rest of the lease", expiringTask{elapsedS: 30, remainingS: 60, saveS: cannot}, 25, false},
 		{"it has not begun to run", expiringTask{remainingS: 60, saveS: cannot}, 25, true},
-		{"its start would count no more", expiringTask{elapsedS: 20, remainingS: 60, saveS: cannot, startCounted: true}, 25, false},
-		{"it saves, and its start would count no more", expiringTask{elapsedS: 20, remainingS: 60, saveS: 4, startCounted: true}, 5, false},
+		{"its start would count no more", expiringTask{elapsedS: 20, remainingS: 60, saveS: cannot, stopUndoesStart: true}, 25, false},
+		{"it saves, and its start would count no more", expiringTask{elapsedS: 20, remainingS: 60, saveS: 4, stopUndoesStart: true}, 5, false},
 	} {
 		if got := stopBeforeExpiry(c.task, c.left); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
@@ -60,14 +60,14 @@
 		{"after that", 43, 42.2, 42.2, 0, false, false},
 		{"shortly after its lease expired", 45.2, 42.2, 42.2, 0, false, true},
 		{"long after its lease expired", 60, 45.2, 45.2, 0, false, false},
-		{"it responds to no poll", 30, 0, 20, maxUnanswered, false, false},
+		{"it responds to no poll", 30, 0, 20, maxUnansweredPolls, false, false},
 		{"it did not respond once", 30, 0, 20, 1, false, true},
 	} {
 		worker := &jobstate.Worker{RenewedAt: began, LastHeartbeat: at(c.seen), PolledAt: at(c.polled), UnansweredPolls: c.unanswered, Placements: map[*jobstate.Placement]struct{}{}}
 		if c.stopping {
-			worker.Placements[&jobstate.Placement{State: jobstate.PlacementReported, HaltedAt: at(19)}] = struct{}{}
+			worker.Placements[&jobstate.Placement{State: jobstate.PlacementReported, FirstHaltAt: at(19)}] = struct{}{}
 		}
-		if due := r.expiring(worker, at(c.now)) && r.pollDue(worker, at(c.now)); due != c.due {
+		if due := r.leaseExpiring(worker, at(c.now)) && r.pollDue(worker, at(c.now)); due != c.due {
 			t.Errorf("%s: %v", c.name, due)
 		}
 	}
--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -27,7 +27,7 @@
 // deferredView is a view that came while the state was locked.
 type deferredView struct {
 	view   dispatch.WorkerView
-	cameAt time.Time
+	arrivedAt time.Time
 }
 
 // deferView has a view observed later that shows nothing but a heartbeat: the response to the
@@ -48,7 +48,7 @@
 	r.deferredMu.Unlock()
 	for i := range views {
 		deferred := &views[i]
-		waitedS := time.Since(deferred.cameAt).Seconds()
+		waitedS := time.Since(deferred.arrivedAt).Seconds()
 		deferred.view.AgeS += waitedS
 		deferred.view.UnansweredS += waitedS
 		r.observe(&deferred.view)
@@ -67,7 +67,7 @@
 	}
 	now := time.Now()
 	r.recordRenewal(worker, view, now)
-	if r.isLateCopy(worker, view) {
+	if r.isStale(worker, view) {
 		return
 	}
 	if last := &worker.View; view.Session == last.Session && view.Seq == last.Seq && view.Dispatcher == last.Dispatcher {
@@ -78,9 +78,9 @@
 		return
 	}
 	if worker.View.Zone == "" && view.Zone != "" {
-		r.moveToZone(worker, view.Zone)
+		r.setZone(worker, view.Zone)
 	}
-	worker.ExpiredUnreported = view.Polled && (worker.ExpiredUnreported || r.expiredUnreported(worker, view))
+	worker.LeaseExpiredUnreported = view.Polled && (worker.LeaseExpiredUnreported || r.leaseExpiredUnreported(worker, view))
 	worker.View, worker.ViewAt, worker.Matrix = *view, now, view.Matrix
 	recordHeartbeat(worker, now)
 	if r.state.Membership.LeaseRemaining() <= 0 {
@@ -88,9 +88,9 @@
 		// is none, the next report settles all this.
 		return
 	}
-	r.settleTasks(worker, now)
+	r.reconcileTasks(worker, now)
 	r.checkResponsive(worker, now)
-	r.saveBeforeRemoval(worker)
+	r.checkpointBeforeReclaim(worker)
 	r.state.ReserveUnreported(worker)
 	jobstate.Notify(r.state.PlanSignal)
 }
@@ -99,23 +99,23 @@
 // which makes the same renewal look a little later.
 func (r *Reconciler) recordRenewal(worker *jobstate.Worker, view *dispatch.WorkerView, now time.Time) {
 	at := now.Add(-config.Seconds(view.UnansweredS))
-	if at.Sub(worker.RenewedAt) > config.Seconds(sameRenewal*r.state.Platform.Params.Workers.ReportS) {
+	if at.Sub(worker.RenewedAt) > config.Seconds(sameRenewalTolerance*r.state.Platform.Params.Workers.ReportS) {
 		worker.RecordRenewal(at, view.Session, view.Dispatcher)
 	}
 }
 
-// isLateCopy reports whether a view is older than the one that is known. After a lease without
+// isStale reports whether a view is older than the one that is known. After a lease without
 // a heartbeat it is not: it is of a worker whose sessions are counted from the beginning again.
-func (r *Reconciler) isLateCopy(worker *jobstate.Worker, view *dispatch.WorkerView) bool {
+func (r *Reconciler) isStale(worker *jobstate.Worker, view *dispatch.WorkerView) bool {
 	last := &worker.View
 	older := view.Session < last.Session || view.Session == last.Session && view.Seq < last.Seq
 	return older && time.Since(worker.LastHeartbeat) < config.Seconds(r.state.Platform.Params.Workers.LeaseS)
 }
 
-// expiredUnreported reports whether the response to a poll shows a new leader, which does not know
+// leaseExpiredUnreported reports whether the response to a poll shows a new leader, which does not know
 // the worker's lease, that it expired while no heartbeat came: the session is a new one, or the
 // tasks are gone that a predecessor had there. What such a worker is given it loses again.
-func (r *Reconciler) expiredUnreported(worker *jobstate.Worker, view *dispatch.WorkerView) bool {
+func (r *Reconciler) leaseExpiredUnreported(worker *jobstate.Worker, view *dispatch.WorkerView) bool {
 	if !worker.LeaseUnknown() {
 		return false
 	}
@@ -126,8 +126,8 @@
 	return recorded && view.Session > 1 && len(view.Tasks) == 0
 }
 
-// moveToZone moves the use of placements, counted in every zone so far, to the worker's zone.
-func (r *Reconciler) moveToZone(worker *jobstate.Worker, zone string) {
+// setZone moves the use of placements, counted in every zone so far, to the worker's zone.
+func (r *Reconciler) setZone(worker *jobstate.Worker, zone string) {
 	for placement := range worker.Placements {
 		r.state.CountUse(placement, -1)
 	}
@@ -144,16 +144,16 @@
 	view := &worker.View
 	worker.LastHeartbeat = now.Add(-config.Seconds(view.AgeS))
 	if !view.Polled {
-		worker.LastReport = worker.LastHeartbeat
+		worker.LastUnpolledHeartbeat = worker.LastHeartbeat
 	}
-	worker.NoticeAt = time.Time{}
+	worker.ReclaimAt = time.Time{}
 	if view.NoticeS != nil {
-		worker.NoticeAt = now.Add(config.Seconds(*view.NoticeS))
+		worker.ReclaimAt = now.Add(config.Seconds(*view.NoticeS))
 	}
 }
 
-// settleTasks compares the tasks and the queue in the worker's view with its placements.
-func (r *Reconciler) settleTasks(worker *jobstate.Worker, now time.Time) {
+// reconcileTasks compares the tasks and the queue in the worker's view with its placements.
+func (r *Reconciler) reconcileTasks(worker *jobstate.Worker, now time.Time) {
 	view := &worker.View
 	r.viewCount++
 	for i := range view.Tasks {
@@ -161,11 +161,11 @@
 		r.observeTask(worker, dispatch.TaskRef{Worker: view.Name, Task: task.Task.Task, Attempt: task.Attempt}, task)
 	}
 	for placement := range worker.Placements {
-		placement.CompareHeartbeat(worker.LastHeartbeat)
+		placement.MarkCompared(worker.LastHeartbeat)
 		switch {
 		case placement.SeenInView == r.viewCount:
-		case mustBeReported(worker, placement):
-			r.observeAbsent(worker, placement)
+		case settledByHeartbeat(worker, placement):
+			r.observeMissing(worker, placement)
 		case placement.State == jobstate.PlacementGranted:
 			r.checkGranted(worker, placement, now)
 		}
@@ -175,13 +175,13 @@
 	}
 }
 
-// saveBeforeRemoval has tasks save their progress, and takes back those that did not start,
+// checkpointBeforeReclaim has tasks save their progress, and takes back those that did not start,
 // if the cloud gave notice that it takes the worker's machine.
-func (r *Reconciler) saveBeforeRemoval(worker *jobstate.Worker) {
-	if worker.NoticeAt.IsZero() {
+func (r *Reconciler) checkpointBeforeReclaim(worker *jobstate.Worker) {
+	if worker.ReclaimAt.IsZero() {
 		return
 	}
-	leftS := time.Until(worker.NoticeAt).Seconds()
+	leftS := time.Until(worker.ReclaimAt).Seconds()
 	for placement := range worker.Placements {
 		if placement.Exited {
 			continue
@@ -191,7 +191,7 @@
 			continue
 		}
 		spec := placement.Job.Spec
-		saves := spec.CheckpointIntervalS > 0 && !placement.RunningSince.IsZero() && placement.HaltedAt.IsZero()
+		saves := spec.CheckpointIntervalS > 0 && !placement.RunningSince.IsZero() && placement.FirstHaltAt.IsZero()
 		if saves && leftS < spec.CheckpointSaveS+2*r.state.Platform.Params.Workers.ReportS+1 {
 			r.state.HaltTask(placement, spec.CheckpointSaveS+1)
 		}
--- a/internal/reconcile/responsive.go
+++ b/internal/reconcile/responsive.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	faultyOn            = 3 // workers on which a job must have failed, and not been done, to be faulty itself
-	unresponsiveReports = 2 // reports in a row that show that nothing sent has had an effect
-	avoidFailing        = time.Minute
+	faultyJobWorkers            = 3 // workers on which a job must have failed, and not been done, to be faulty itself
+	unresponsiveHeartbeats = 2 // reports in a row that show that nothing sent has had an effect
+	failureAvoidance        = time.Minute
 )
 
 // recordFailure notes that a task of the job ended with an error on the worker. A job that was
@@ -20,7 +20,7 @@
 // reaches back for all others, and have sound ones deleted.
 func (r *Reconciler) recordFailure(job *jobstate.Job, worker *jobstate.Worker) {
 	job.Errors++
-	job.Avoid[worker.Index] = time.Now().Add(avoidFailing)
+	job.AvoidUntil[worker.Index] = time.Now().Add(failureAvoidance)
 	if job.Faulty {
 		return
 	}
@@ -32,7 +32,7 @@
 		job.FailedOn = map[int]bool{}
 	}
 	job.FailedOn[worker.Index] = true
-	if len(job.FailedOn) < faultyOn {
+	if len(job.FailedOn) < faultyJobWorkers {
 		return
 	}
 	job.Faulty, job.FailedOn = true, nil
@@ -57,30 +57,30 @@
 		return
 	}
 	timeout := r.responseTimeout()
-	since := r.unansweredSince(worker, now.Add(-timeout))
+	since := r.unansweredCommandSince(worker, now.Add(-timeout))
 	if since.IsZero() {
 		return
 	}
 	if !worker.UnresponsiveSince.IsZero() {
 		return
 	}
-	if worker.UnresponsiveReports++; worker.UnresponsiveReports >= unresponsiveReports {
+	if worker.UnresponsiveHeartbeats++; worker.UnresponsiveHeartbeats >= unresponsiveHeartbeats {
 		worker.UnresponsiveSince = now.Add(-timeout)
 		worker.RecentLost++
 		r.log.Info("worker unresponsive to commands", "worker", worker.Name, "controller", worker.View.Dispatcher, "for_s", now.Sub(since).Seconds())
 	}
 }
 
-// unansweredSince returns when the first of the commands was sent that the worker's report
+// unansweredCommandSince returns when the first of the commands was sent that the worker's report
 // should show and does not, of those sent before a time; zero if there is none.
-func (r *Reconciler) unansweredSince(worker *jobstate.Worker, before time.Time) (since time.Time) {
+func (r *Reconciler) unansweredCommandSince(worker *jobstate.Worker, before time.Time) (since time.Time) {
 	for placement := range worker.Placements {
 		if placement.SeenInView == r.viewCount {
 			continue
 		}
 		var sentAt time.Time
 		switch {
-		case placement.State == jobstate.PlacementGranted && unsent(worker.View.Queue, placement.Ref):
+		case placement.State == jobstate.PlacementGranted && queuedUnsent(worker.View.Queue, placement.Ref):
 			// The grant has not reached the dispatcher, which says nothing of the worker: over
 			// a slow link between controllers, workers that worked were deleted as unresponsive.
 			continue
@@ -98,8 +98,8 @@
 	return since
 }
 
-// unsent reports whether a dispatcher has a placement queued and has sent no start command for it.
-func unsent(queue []dispatch.QueueView, ref dispatch.TaskRef) bool {
+// queuedUnsent reports whether a dispatcher has a placement queued and has sent no start command for it.
+func queuedUnsent(queue []dispatch.QueueView, ref dispatch.TaskRef) bool {
 	for i := range queue {
 		if queue[i].Attempt == ref.Attempt && queue[i].TaskRef == ref {
 			return queue[i].Unsent
@@ -113,7 +113,7 @@
 	if !worker.UnresponsiveSince.IsZero() {
 		r.log.Info("worker reachable again", "worker", worker.Name, "after_s", time.Since(worker.UnresponsiveSince).Seconds())
 	}
-	worker.UnresponsiveSince, worker.UnresponsiveReports = time.Time{}, 0
+	worker.UnresponsiveSince, worker.UnresponsiveHeartbeats = time.Time{}, 0
 }
 
 // responseTimeout is the time after which a report shows what was sent.
--- a/internal/reconcile/sweep.go
+++ b/internal/reconcile/sweep.go
@@ -16,7 +16,7 @@
 func (r *Reconciler) RepeatUnconfirmed() {
 	for _, job := range r.state.JobOrder {
 		r.state.StopOverTime(job)
-		r.haltNeedless(job)
+		r.haltUnneeded(job)
 	}
 	jobstate.Notify(r.state.WriteSignal)
 	for _, worker := range r.state.Workers {
@@ -26,9 +26,9 @@
 	}
 }
 
-// haltNeedless halts the tasks of a cancelled job, and those that were completed elsewhere or
+// haltUnneeded halts the tasks of a cancelled job, and those that were completed elsewhere or
 // cancelled alone.
-func (r *Reconciler) haltNeedless(job *jobstate.Job) {
+func (r *Reconciler) haltUnneeded(job *jobstate.Job) {
 	if !job.Cancelled && (job.Constraints == nil || job.Finished == job.Done) {
 		return
 	}
--- a/internal/reconcile/task_reported.go
+++ b/internal/reconcile/task_reported.go
@@ -13,23 +13,23 @@
 	// estimateWeight is the weight of a newly completed task in its class's ratio of run time
 	// to estimate, and leastRatio and mostRatio are the bounds of what one task adds to it.
 	estimateWeight = 0.08
-	leastRatio     = 0.25
-	mostRatio      = 4
+	minRatio     = 0.25
+	maxRatio      = 4
 
 	// workerDecay and spotDecay are what remains, at each new one, of the counts of recently
 	// completed and lost tasks: of a worker, and of all on spot machines.
 	workerDecay = 0.98
 	spotDecay   = 0.995
 
-	// assignAgain is how long after a placement was sent to a dispatcher it is sent again, if
+	// assignRetryInterval is how long after a placement was sent to a dispatcher it is sent again, if
 	// the dispatcher still does not know it.
-	assignAgain = 2 * time.Second
+	assignRetryInterval = 2 * time.Second
 	// acceptanceDelay is how long after a failover a job that is not known may still be one
 	// that was just accepted.
 	acceptanceDelay = 3 * time.Second
-	// avoidRefusing is for how long a worker that had no room for a job's task is avoided, and
+	// noRoomAvoidance is for how long a worker that had no room for a job's task is avoided, and
 	// unknownCauseDelay how long a job waits of which a task ended for an unknown cause.
-	avoidRefusing     = 2 * time.Second
+	noRoomAvoidance     = 2 * time.Second
 	unknownCauseDelay = 2 * time.Second
 	// A job with freeErrors more errors than completed tasks waits before it is tried again:
 	// a second, doubled with each error, up to maxErrorDelay.
@@ -46,7 +46,7 @@
 	}
 	job := r.state.Jobs[uid]
 	if job == nil {
-		if r.surelyEnded(uid) {
+		if r.knownEnded(uid) {
 			r.endUnknownTask(worker, ref, view)
 		}
 		return
@@ -65,8 +65,8 @@
 		return
 	}
 	if placement.State != jobstate.PlacementReported {
-		r.startReported(worker, placement, view)
-	} else if placement.SentTo != worker.View.Dispatcher || view.Unknown && time.Since(placement.SentAt) > assignAgain {
+		r.recordReported(worker, placement, view)
+	} else if placement.SentTo != worker.View.Dispatcher || view.Unknown && time.Since(placement.SentAt) > assignRetryInterval {
 		// What was sent may have come when the dispatcher had an older report, which did not
 		// list the task: it took the worker to be full as long as the task ran, and what was
 		// queued there never started.
@@ -79,8 +79,8 @@
 	if (view.State == wire.TaskRunning || view.State == wire.TaskSaving) && placement.RunningSince.IsZero() {
 		placement.RunningSince = time.Now().Add(-config.Seconds(view.ForS))
 		job.Running++
-		job.Started++
-		job.RecordBegin(placement.RunningSince)
+		job.ObservedStarts++
+		job.RecordStarted(placement.RunningSince)
 		job.Constraints.RecordStart(placement.RunningSince)
 	}
 	if job.Cancelled || placement.Chunk.IsOver(placement.Task) {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// startReported settles a placement that the worker reports for the first time.
-func (r *Reconciler) startReported(worker *jobstate.Worker, placement *jobstate.Placement, view *dispatch.TaskView) {
+// recordReported settles a placement that the worker reports for the first time.
+func (r *Reconciler) recordReported(worker *jobstate.Worker, placement *jobstate.Placement, view *dispatch.TaskView) {
 	if !placement.MayRun() {
 		r.log.Error("task runs without a grant", "task", placement.Ref.Task, "worker", worker.Name, "attempt", placement.Attempt,
 			"state", placement.State, "sent_to", placement.SentTo, "age_s", time.Since(placement.CreatedAt).Seconds(),
@@ -118,9 +118,9 @@
 	}
 }
 
-// surelyEnded reports whether a job that is not among the living ones has ended or was never
+// knownEnded reports whether a job that is not among the living ones has ended or was never
 // accepted. It may be another leader's, unless all shards are led here.
-func (r *Reconciler) surelyEnded(uid string) bool {
+func (r *Reconciler) knownEnded(uid string) bool {
 	if len(r.state.Loaded) < r.state.Operator.Shards {
 		return false
 	}
@@ -151,7 +151,7 @@
 		if !job.Spec.Service() && !placement.Chunk.IsOver(placement.Task) {
 			placement.Chunk.SetOver(placement.Task)
 			job.Done++
-			job.RecordBegin(time.Now())
+			job.RecordStarted(time.Now())
 			r.state.FinishTask(placement)
 			return
 		}
@@ -183,7 +183,7 @@
 	job.RunTimes.Add(ranS)
 	job.Class.RunTimes.Add(ranS)
 	if job.Spec.EstimateS > 0 {
-		ratio := min(mostRatio, max(leastRatio, ranS/job.Spec.EstimateS))
+		ratio := min(maxRatio, max(minRatio, ranS/job.Spec.EstimateS))
 		job.Class.EstimateRatio += estimateWeight * (ratio - job.Class.EstimateRatio)
 	}
 }
@@ -199,7 +199,7 @@
 			job.NotBefore = time.Now().Add(min(maxErrorDelay, time.Second<<min(job.Errors-freeErrors, maxDoublings)))
 		}
 	case wire.CauseNoRoom, wire.CauseBusy:
-		job.Avoid[worker.Index] = time.Now().Add(avoidRefusing)
+		job.AvoidUntil[worker.Index] = time.Now().Add(noRoomAvoidance)
 	case wire.CauseUnknown:
 		job.Errors++
 		job.NotBefore = time.Now().Add(unknownCauseDelay)
--- a/internal/reconcile/task_unreported.go
+++ b/internal/reconcile/task_unreported.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	// grantedFor is how long a granted start may be neither reported nor surely off its worker
+	// grantTimeout is how long a granted start may be neither reported nor surely off its worker
 	// before a newer token is to show which it is.
-	grantedFor = 10 * time.Second
-	// haltAgain is how long after a halt of a task that its worker does not report the next
+	grantTimeout = 10 * time.Second
+	// haltRetryInterval is how long after a halt of a task that its worker does not report the next
 	// one is sent.
-	haltAgain = time.Second
+	haltRetryInterval = time.Second
 )
 
-// mustBeReported reports whether the placement is settled by the worker's report alone, which
+// settledByHeartbeat reports whether the placement is settled by the worker's report alone, which
 // does not list it, and not by the dispatcher's queue. Of what a predecessor had queued, or was
 // seen to run, the queue says nothing: the dispatcher may request grants of that predecessor for
 // ever, or have the task queued from before it ran, as another dispatcher saw, and was lost.
-func mustBeReported(worker *jobstate.Worker, placement *jobstate.Placement) bool {
-	return placement.State == jobstate.PlacementUnconfirmed || placement.State == jobstate.PlacementReported || !jobstate.Queued(worker.View.Queue, placement.Ref)
+func settledByHeartbeat(worker *jobstate.Worker, placement *jobstate.Placement) bool {
+	return placement.State == jobstate.PlacementUnconfirmed || placement.State == jobstate.PlacementReported || !jobstate.IsQueued(worker.View.Queue, placement.Ref)
 }
 
-// surelyOff reports whether the task of a placement that the worker's report does not list is
+// provenAbsent reports whether the task of a placement that the worker's report does not list is
 // surely not on that worker: the report is newer than any start command for this attempt can be.
-func surelyOff(worker *jobstate.Worker, placement *jobstate.Placement) bool {
+func provenAbsent(worker *jobstate.Worker, placement *jobstate.Placement) bool {
 	return worker.View.Token > placement.MaxToken || placement.State != jobstate.PlacementUnconfirmed && worker.View.Session > placement.Session
 }
 
-// observeAbsent settles a placement that neither the worker's report nor the dispatcher's queue
+// observeMissing settles a placement that neither the worker's report nor the dispatcher's queue
 // lists.
-func (r *Reconciler) observeAbsent(worker *jobstate.Worker, placement *jobstate.Placement) {
+func (r *Reconciler) observeMissing(worker *jobstate.Worker, placement *jobstate.Placement) {
 	switch {
 	case placement.Exited: // goes when its completion is recorded
 	case !placement.MayRun():
 		if placement.State == jobstate.PlacementRecorded {
 			r.assignIfDue(worker, placement)
 		}
-	case surelyOff(worker, placement):
+	case provenAbsent(worker, placement):
 		if placement.State == jobstate.PlacementReported {
 			r.countLost(placement)
 		}
@@ -53,7 +53,7 @@
 		// predecessor started after it.
 		instructions := r.state.InstructionsFor(worker.View.Dispatcher)
 		instructions.RaiseTokenAbove = max(instructions.RaiseTokenAbove, placement.MaxToken)
-		if (placement.Job.Cancelled || !placement.LastHaltAt.IsZero()) && time.Since(placement.LastHaltAt) > haltAgain {
+		if (placement.Job.Cancelled || !placement.LastHaltAt.IsZero()) && time.Since(placement.LastHaltAt) > haltRetryInterval {
 			placement.LastHaltAt = time.Now()
 			instructions.Halt = append(instructions.Halt, dispatch.Halt{TaskRef: placement.Ref})
 		}
@@ -64,7 +64,7 @@
 // assignIfDue sends a placement to the worker's dispatcher if it was sent to another one, or
 // long enough ago for the dispatcher to show it if it had come.
 func (r *Reconciler) assignIfDue(worker *jobstate.Worker, placement *jobstate.Placement) {
-	if placement.SentTo != worker.View.Dispatcher || time.Since(placement.SentAt) > assignAgain {
+	if placement.SentTo != worker.View.Dispatcher || time.Since(placement.SentAt) > assignRetryInterval {
 		r.state.AssignPlacement(placement, false)
 	}
 }
@@ -82,11 +82,11 @@
 	switch {
 	case worker.View.Session > placement.Session:
 		r.state.WithdrawPlacement(placement)
-	case surelyOff(worker, placement):
+	case provenAbsent(worker, placement):
 		r.state.CountUse(placement, -1)
 		placement.State, placement.GrantedAt = jobstate.PlacementRecorded, time.Time{}
 		r.state.CountUse(placement, 1)
-	case now.Sub(placement.GrantedAt) > grantedFor && worker.View.Dispatcher != "":
+	case now.Sub(placement.GrantedAt) > grantTimeout && worker.View.Dispatcher != "":
 		instructions := r.state.InstructionsFor(worker.View.Dispatcher)
 		instructions.RaiseTokenAbove = max(instructions.RaiseTokenAbove, placement.MaxToken)
 		jobstate.Notify(r.state.SendSignal)
@@ -102,7 +102,7 @@
 		}
 	}
 	uid, _, err := wire.ParseTask(ref.Task)
-	if err != nil || r.state.Jobs[uid] == nil && !r.surelyEnded(uid) {
+	if err != nil || r.state.Jobs[uid] == nil && !r.knownEnded(uid) {
 		return
 	}
 	instructions := r.state.InstructionsFor(worker.View.Dispatcher)
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -18,10 +18,10 @@
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
 	now := time.Now()
-	reach := r.newCommandReach(now)
+	reach := r.newCommandReachability(now)
 	for name, worker := range r.state.Workers {
 		unseenFor := now.Sub(jobstate.Later(worker.LastHeartbeat, worker.KnownSince))
-		outboundLost := !worker.UnresponsiveSince.IsZero() && reach.mostSince(worker.UnresponsiveSince)
+		outboundLost := !worker.UnresponsiveSince.IsZero() && reach.mostRespondedSince(worker.UnresponsiveSince)
 		if outboundLost {
 			unseenFor = max(unseenFor, now.Sub(worker.UnresponsiveSince))
 		}
@@ -35,13 +35,13 @@
 	return len(r.state.Workers), unresponsive
 }
 
-// commandReach is which workers commands reach.
-type commandReach struct {
+// commandReachability is which workers commands reach.
+type commandReachability struct {
 	unreached   int         // workers that are unresponsive
 	respondedAt []time.Time // of the others that were sent something lately, in order
 }
 
-func (r *Reconciler) newCommandReach(now time.Time) (reach commandReach) {
+func (r *Reconciler) newCommandReachability(now time.Time) (reach commandReachability) {
 	for _, worker := range r.state.Workers {
 		if !worker.UnresponsiveSince.IsZero() {
 			reach.unreached++
@@ -53,10 +53,10 @@
 	return reach
 }
 
-// mostSince reports whether no more workers are unresponsive than responded to something sent
+// mostRespondedSince reports whether no more workers are unresponsive than responded to something sent
 // after a time, since which one is unresponsive. Else the way there is bad, and not that worker:
 // what was sent before, and showed later, says nothing of that.
-func (c *commandReach) mostSince(since time.Time) bool {
+func (c *commandReachability) mostRespondedSince(since time.Time) bool {
 	first, _ := slices.BinarySearchFunc(c.respondedAt, since, time.Time.Compare)
 	return c.unreached <= len(c.respondedAt)-first
 }
@@ -111,7 +111,7 @@
 		}
 		for _, placements := range job.Placements {
 			for _, placement := range placements {
-				if placement.MayRun() && !placement.HaltedAt.IsZero() && now.Sub(placement.HaltedAt) > after {
+				if placement.MayRun() && !placement.FirstHaltAt.IsZero() && now.Sub(placement.FirstHaltAt) > after {
 					workers = append(workers, placement.Worker)
 				}
 			}
--- a/internal/reconcile/unresponsive_test.go
+++ b/internal/reconcile/unresponsive_test.go
@@ -10,7 +10,7 @@
 
 // Guards against the first worker that nothing reaches being deleted when nothing reaches any of
 // them: others had responded to what was sent before.
-func TestFirstUnresponsiveWorkerIsNotJudgedByEarlierResponses(t *testing.T) {
+func TestEarlierResponsesDoNotShowOneWorkerUnresponsive(t *testing.T) {
 	now := time.Now()
 	ago := func(s float64) time.Time { return now.Add(-config.Seconds(s)) }
 	for _, c := range []struct {
--- a/internal/reconcile/worker_lost.go
+++ b/internal/reconcile/worker_lost.go
@@ -17,7 +17,7 @@
 		return
 	}
 	worker.Removed = true
-	r.endLost(worker, time.Now())
+	r.endLostPlacements(worker, time.Now())
 	r.forgetWorker(worker)
 }
 
@@ -28,12 +28,12 @@
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
 	if worker := r.state.Workers[name]; worker != nil && worker.ViewAt.Before(requestedAt) {
-		r.endLost(worker, requestedAt)
+		r.endLostPlacements(worker, requestedAt)
 	}
 }
 
-// endLost ends the placements on a lost worker that were made until a time.
-func (r *Reconciler) endLost(worker *jobstate.Worker, until time.Time) {
+// endLostPlacements ends the placements on a lost worker that were made until a time.
+func (r *Reconciler) endLostPlacements(worker *jobstate.Worker, until time.Time) {
 	for placement := range worker.Placements {
 		if placement.CreatedAt.After(until) {
 			continue
--- a/internal/scheduler/counters.go
+++ b/internal/scheduler/counters.go
@@ -11,7 +11,7 @@
 
 // Served returns, by kind (class, team ...) and name, how the jobs of this leader are served:
 // those that ended here and the living ones that are not cancelled.
-func (s *Scheduler) Served() map[string]map[string]jobstate.Served {
+func (s *Scheduler) Served() map[string]map[string]jobstate.JobCounts {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	now := time.Now()
@@ -22,14 +22,14 @@
 	}
 	for _, job := range s.state.JobOrder {
 		if !job.Cancelled {
-			sum.Record(job, false, now, s.state.FirstLimit(job))
+			sum.Record(job, false, now, s.state.FirstDeadline(job))
 		}
 	}
-	byKind := map[string]map[string]jobstate.Served{}
+	byKind := map[string]map[string]jobstate.JobCounts{}
 	for key, served := range sum {
 		kind, name := key[0], key[1]
 		if byKind[kind] == nil {
-			byKind[kind] = map[string]jobstate.Served{}
+			byKind[kind] = map[string]jobstate.JobCounts{}
 		}
 		byKind[kind][name] = *served
 	}
@@ -58,7 +58,7 @@
 		}
 		statuses = append(statuses, JobStatus{
 			UID: job.Spec.UID, Class: job.Spec.Class, Team: job.Spec.Team, Age: time.Since(job.AcceptedAt),
-			DueS: job.Spec.DueS, Tasks: job.Spec.Tasks, Started: max(job.Started, job.Done), Done: job.Done, Cancelled: job.Cancelled,
+			DueS: job.Spec.DueS, Tasks: job.Spec.Tasks, Started: max(job.ObservedStarts, job.Done), Done: job.Done, Cancelled: job.Cancelled,
 		})
 	}
 	return statuses
@@ -80,7 +80,7 @@
 	for _, job := range s.state.JobOrder {
 		depths["pending"] += len(job.Pending)
 	}
-	for _, changes := range s.state.Unwritten {
+	for _, changes := range s.state.UnwrittenChanges {
 		depths["unwritten"] += len(changes)
 	}
 	return depths
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -68,7 +68,7 @@
 // factsOf returns how far a job is that this leader has, or had until it ended.
 func (s *Scheduler) factsOf(uid string) (facts jobspec.JobFacts, known bool) {
 	if job := s.state.Jobs[uid]; job != nil {
-		facts.Started = job.Started > 0 || job.Done > 0
+		facts.Started = job.ObservedStarts > 0 || job.Done > 0
 		if job.Constraints != nil {
 			facts.StartedMs = job.Constraints.StartMs
 		}
--- a/internal/scheduler/failover.go
+++ b/internal/scheduler/failover.go
@@ -64,7 +64,7 @@
 		}
 	}
 	if len(s.state.Loaded) == 0 {
-		s.state.UnattachedRows = nil // a successor may have written the same attempts' rows
+		s.state.StandaloneRows = nil // a successor may have written the same attempts' rows
 	}
 	s.log.Info("shard lost", "shard", shard)
 }
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -152,7 +152,7 @@
 	var running []RunningTask
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
-			if !placement.RunningSince.IsZero() && placement.HaltedAt.IsZero() && !placement.Exited {
+			if !placement.RunningSince.IsZero() && placement.FirstHaltAt.IsZero() && !placement.Exited {
 				running = append(running, RunningTask{Task: placement.Ref.Task, Attempt: placement.Attempt, Worker: placement.Worker.Name})
 			}
 		}
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -170,7 +170,7 @@
 			continue
 		}
 		waits = false
-		listed := jobquery.Placement{Task: task, Attempt: placement.Attempt, Worker: placement.Worker.Name, Halted: !placement.HaltedAt.IsZero()}
+		listed := jobquery.Placement{Task: task, Attempt: placement.Attempt, Worker: placement.Worker.Name, Halted: !placement.FirstHaltAt.IsZero()}
 		if !placement.RunningSince.IsZero() {
 			listed.StartMs = placement.RunningSince.UnixMilli()
 		}
@@ -187,7 +187,7 @@
 	use := job.Team.Used.Add(job.Resources, 1)
 	const rounding = 1e-6 // of sums of fractions of CPUs and GPUs
 	switch {
-	case job.Team.Leased != nil && !s.state.UnderLimit(job):
+	case job.Team.Leased != nil && !s.state.FitsTeamLimit(job):
 		return job.Team.ExceededLimit(job.Shard, job.Team.Leased.UsedByShard[job.Shard].Add(job.Resources, 1))
 	case job.Constraints.MaxConcurrent > 0 && job.ActiveTasks(false, -1) >= job.Constraints.MaxConcurrent:
 		return jobspec.ReasonThrottle
--- a/internal/scheduler/priority_test.go
+++ b/internal/scheduler/priority_test.go
@@ -108,7 +108,7 @@
 			t.Errorf("placed: %d of the largest, %d of a younger one, %d of the urgent", large, later, urgent)
 		}
 		served := cluster.scheduler.Served()
-		if s := served["class"]["clow"]; s.Offered != 14 || s.Begun != 0 || s.Waiting != 14 {
+		if s := served["class"]["clow"]; s.Offered != 14 || s.Started != 0 || s.Waiting != 14 {
 			t.Errorf("class: %+v", s)
 		}
 		if s := served["largest"]["clow"]; s.Offered < 1 || s.Offered > 4 {
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -183,8 +183,8 @@
 		Evicted: 9, LeaseExpiring: 10, Failovers: 11, QuotaRecordsRefused: 12,
 	})
 	recorded.Check(t, "counters-none", jobstate.Stats{})
-	recorded.CheckFull(t, "served-full", jobstate.Served{Offered: 5, Begun: 4, InTime: 3, Ended: 2, Waiting: 1})
-	recorded.Check(t, "served-none", jobstate.Served{})
+	recorded.CheckFull(t, "served-full", jobstate.JobCounts{Offered: 5, Started: 4, OnTime: 3, Ended: 2, Waiting: 1})
+	recorded.Check(t, "served-none", jobstate.JobCounts{})
 }
 
 // The names of a leader's keys, in full.
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -46,7 +46,7 @@
 		// The pause keeps passes to a small part of the processor, however long they take.
 		select {
 		case <-ctx.Done():
-		case <-time.After(batchInterval + jobstate.PassShare*took):
+		case <-time.After(batchInterval + jobstate.PassPauseFactor*took):
 		}
 	}
 }
--- a/internal/shardlog/admit.go
+++ b/internal/shardlog/admit.go
@@ -34,7 +34,7 @@
 	w.countPlacements(job)
 	countTasks(job)
 	if job.Done > 0 {
-		job.RecordBegin(time.Now()) // it began earlier, under a predecessor: when is not recorded
+		job.RecordStarted(time.Now()) // it began earlier, under a predecessor: when is not recorded
 	}
 	if token == 0 {
 		w.countArrival(job)
@@ -51,7 +51,7 @@
 	job := &jobstate.Job{
 		Spec: &spec, Shard: record.Shard, Version: version, AcceptedMs: record.AcceptedMs, Cancelled: record.Cancelled,
 		AcceptedAt: time.Now().Add(-max(0, time.Since(time.UnixMilli(record.AcceptedMs)))),
-		Placements: map[int][]*jobstate.Placement{}, Avoid: map[int]time.Time{}, Zones: map[string]int{},
+		Placements: map[int][]*jobstate.Placement{}, AvoidUntil: map[int]time.Time{}, Zones: map[string]int{},
 		Resources: matching.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB},
 		Class:     w.state.ClassOf(spec.Class), Team: w.state.Teams[spec.Team],
 	}
--- a/internal/shardlog/end_job.go
+++ b/internal/shardlog/end_job.go
@@ -33,9 +33,9 @@
 
 // reportEnd counts a job's end and logs it. `wallrack bound` reads the line.
 func (w *Writer) reportEnd(job *jobstate.Job) {
-	limit, begun := w.state.FirstLimit(job), 0.0
-	if !job.BegunAt.IsZero() {
-		begun = job.BegunAt.Sub(job.AcceptedAt).Seconds()
+	limit, begun := w.state.FirstDeadline(job), 0.0
+	if !job.StartedAt.IsZero() {
+		begun = job.StartedAt.Sub(job.AcceptedAt).Seconds()
 	}
 	if job.EndStage == wire.StageDone {
 		w.state.EndedTally.Record(job, true, time.Now(), limit)
--- a/internal/shardlog/outcome.go
+++ b/internal/shardlog/outcome.go
@@ -19,7 +19,7 @@
 func (w *Writer) commit(txn *transaction, revision uint64) {
 	w.pending = nil
 	w.garbage = w.garbage[txn.garbageTaken:]
-	w.state.UnattachedRows = w.state.UnattachedRows[min(txn.unattachedRowsTaken, len(w.state.UnattachedRows)):]
+	w.state.StandaloneRows = w.state.StandaloneRows[min(txn.unattachedRowsTaken, len(w.state.StandaloneRows)):]
 	if txn.page.Key != "" {
 		txn.book.Applied(txn.page, revision)
 		usage.Add(usage.AccountRows, len(txn.rows))
@@ -76,12 +76,12 @@
 func (w *Writer) undo(txn *transaction) {
 	w.pending = nil
 	for _, change := range txn.unloggedChanges {
-		w.state.UnattachedRows = append(w.state.UnattachedRows, *change.Row)
+		w.state.StandaloneRows = append(w.state.StandaloneRows, *change.Row)
 	}
 	for i := range txn.logWrites {
 		write := &txn.logWrites[i]
 		if w.logs[write.shard] == write.log {
-			w.state.Unwritten[write.shard] = append(write.changes, w.state.Unwritten[write.shard]...)
+			w.state.UnwrittenChanges[write.shard] = append(write.changes, w.state.UnwrittenChanges[write.shard]...)
 		}
 	}
 	for _, job := range txn.endedJobs {
--- a/internal/shardlog/transaction_builder.go
+++ b/internal/shardlog/transaction_builder.go
@@ -61,7 +61,7 @@
 // startPage reserves a change for the accounting page, and takes the rows that belong to
 // no change.
 func (b *transactionBuilder) startPage() {
-	unattached := b.writer.state.UnattachedRows
+	unattached := b.writer.state.StandaloneRows
 	b.maxOps--
 	b.pageBytesLeft = b.writer.book.Room()
 	b.bytes += b.maxValueBytes
@@ -105,7 +105,7 @@
 
 // addLogs adds a log record for each shard that has something to record.
 func (b *transactionBuilder) addLogs() error {
-	for shard, queue := range b.writer.state.Unwritten {
+	for shard, queue := range b.writer.state.UnwrittenChanges {
 		if _, leads := b.writer.state.Loaded[shard]; !leads || len(queue) == 0 {
 			continue
 		}
@@ -128,7 +128,7 @@
 
 // takeQueue takes queued changes of a shard that fit a log record, and their rows.
 func (b *transactionBuilder) takeQueue(shard int, shardLog *Log) *recordBuilder {
-	queue := b.writer.state.Unwritten[shard]
+	queue := b.writer.state.UnwrittenChanges[shard]
 	record := newRecordBuilder(shardLog.seq + 1)
 	taken := 0
 	for _, change := range queue {
@@ -146,7 +146,7 @@
 		}
 	}
 	queue = append([]jobstate.Change(nil), queue[taken:]...)
-	b.writer.state.Unwritten[shard] = queue
+	b.writer.state.UnwrittenChanges[shard] = queue
 	b.more = b.more || len(queue) > 0
 	b.rowsLeft = b.rowsLeft || b.writer.book != nil && len(queue) > 0
 	return record
--- a/internal/shardlog/writer.go
+++ b/internal/shardlog/writer.go
@@ -47,7 +47,7 @@
 // admitted.
 func (w *Writer) AddLogs(logs map[int]*Log) {
 	for shard, shardLog := range logs {
-		delete(w.state.Unwritten, shard)
+		delete(w.state.UnwrittenChanges, shard)
 		w.logs[shard] = shardLog
 		for _, slot := range shardLog.slots {
 			w.resolveChunks(slot)
@@ -58,7 +58,7 @@
 // ForgetLog forgets the log of a shard that was lost, and its unwritten changes.
 func (w *Writer) ForgetLog(shard int) {
 	delete(w.logs, shard)
-	delete(w.state.Unwritten, shard)
+	delete(w.state.UnwrittenChanges, shard)
 }
 
 // DeleteChunks queues chunk records of ended jobs for deletion, which happens when there is
