--- a/internal/admission/tiers.go
+++ b/internal/admission/tiers.go
@@ -1,8 +1,8 @@
-// Package admission finds, when there is more work than can be done in time, which jobs can
-// still be done in time. To take jobs in the order of their limits is best while all can be
-// met; under overload it makes every job late by a little, since each gets its turn when its
-// time is nearly over. The package is a pure function: it keeps no state and refuses no job;
-// its callers order the jobs by the tiers that it assigns.
+// Package admission determines which jobs can still meet their deadlines when there is more work
+// than can be done in time. Running jobs in the order of their deadlines is best while all
+// deadlines can be met; under overload it makes every job slightly late, because each one gets
+// its turn just before its deadline. The package is a pure function: it holds no state and
+// rejects no job; callers order the jobs by the assigned tiers.
 package admission
 
 import (
@@ -10,39 +10,39 @@
 	"sort"
 )
 
-// Job is what is left of a job.
+// Job is the remaining work and deadlines of a job.
 type Job struct {
-	Work   float64   // that is left, in seconds of the rate at which it is done: CPU-seconds at a rate of CPUs
-	Span   float64   // seconds that it takes at the least, on however many workers
-	Deadlines []float64 // seconds from now by which it should be done, ascending; negative: past
+	Work      float64   // remaining work, in seconds times the unit of the rate: CPU-seconds if the rate is in CPUs
+	Span      float64   // minimum time in seconds that it takes, on any number of workers
+	Deadlines []float64 // seconds from now by which it should be done, ascending; negative if past
 }
 
-// candidate is a job of which it is open whether it meets its limit of the present tier, or
-// one that meets an earlier tier's.
+// candidate is a job that may meet its deadline of the current tier, or that was accepted
+// because it meets its deadline of an earlier tier.
 type candidate struct {
-	job     int     // index
-	dueS    float64 // from now, see AssignTiers
-	work    float64
-	accepted   bool // it meets an earlier tier's limit
-	dropped bool // it does not meet this tier's
+	job      int     // index
+	dueS     float64 // seconds from now, see AssignTiers
+	work     float64
+	accepted bool // it meets its deadline of an earlier tier
+	dropped  bool // it misses its deadline of the current tier
 }
 
-// workHeap is a max-heap of contenders by their work.
+// workHeap is a max-heap of candidates by their work.
 type workHeap []*candidate
 
-// Len is how many there are.
+// Len returns the number of candidates.
 func (h workHeap) Len() int { return len(h) }
 
-// Less puts the larger work first.
+// Less orders candidates by descending work.
 func (h workHeap) Less(a, b int) bool { return h[a].work > h[b].work }
 
-// Swap swaps two.
+// Swap exchanges two candidates.
 func (h workHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-// Push appends a *contender.
+// Push appends a *candidate.
 func (h *workHeap) Push(x any) { *h = append(*h, x.(*candidate)) }
 
-// Pop removes the last contender.
+// Pop removes and returns the last candidate.
 func (h *workHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -50,15 +50,15 @@
 	return last
 }
 
-// AssignTiers returns for each job its tier, the number of limits that it has to miss: 0 if
-// it can be done by its first one, the number of its limits if it can meet none. The jobs
-// share the rate from offsetS seconds on.
+// AssignTiers returns the tier of each job, the number of deadlines that it has to miss: 0 if it
+// can meet its first one, the number of its deadlines if it can meet none. The jobs share the
+// rate from offsetS seconds on.
 //
-// In each tier as many jobs as possible meet their limit, by Moore and Hodgson's rule: jobs
-// are taken in the order of their limits, and whenever one would be late, the largest so far
-// is dropped. A dropped job contends for its next limit, behind those that meet an earlier
-// one. While its last tasks end a job does not use all that it could: its work counts as due
-// half its span before the limit.
+// In each tier, as many jobs as possible meet their deadline, by the Moore-Hodgson algorithm:
+// jobs are taken in the order of their deadlines, and whenever one would be late, the job with
+// the most work so far is dropped. A dropped job is a candidate for its next deadline, after the
+// jobs that meet an earlier one. While its last tasks end, a job cannot use its full share of
+// the rate: its work therefore counts as due half its span before the deadline.
 func AssignTiers(jobs []Job, rate, offsetS float64) []int {
 	tiers := make([]int, len(jobs))
 	remaining := make([]int, 0, len(jobs))
@@ -86,9 +86,9 @@
 	return tiers
 }
 
-// tierCandidates returns the contenders of a tier in the order in which they are due, the fixed
-// ones included, and the jobs that miss the tier's limit whatever others do. It sets the
-// tiers of jobs without a further limit.
+// tierCandidates returns the candidates of a tier, including the accepted ones, in the order in
+// which they are due, and the jobs that miss the tier's deadline in any case. It sets the tiers
+// of jobs without a further deadline.
 func tierCandidates(jobs []Job, remaining []int, tier int, accepted []*candidate, tiers []int) (candidates []*candidate, late []int) {
 	candidates = accepted
 	for _, i := range remaining {
@@ -106,8 +106,8 @@
 	return candidates, late
 }
 
-// dropLargest drops, in the order in which the contenders are due, the largest that are not
-// fixed until all others are done in time.
+// dropLargest drops candidates that are not accepted, in the order in which the candidates are
+// due and largest work first, until all others are done in time.
 func dropLargest(candidates []*candidate, rate, offsetS float64) {
 	var droppable workHeap
 	used := 0.0
--- a/internal/admission/tiers_test.go
+++ b/internal/admission/tiers_test.go
@@ -9,14 +9,15 @@
 	"github.com/wallrack/wallrack/internal/admission"
 )
 
-// The generated inputs are the same at every run.
+// A fixed seed makes the generated inputs the same in every run.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// maxMetDeadlines is how many of the jobs can be done by their first limit, by trying all sets.
+// maxMetDeadlines returns how many of the jobs can be done by their first deadline, by trying
+// all subsets.
 func maxMetDeadlines(jobs []admission.Job, rate float64) int {
 	best := 0
 	for set := range 1 << len(jobs) {
@@ -26,7 +27,7 @@
 				continue
 			}
 			met++
-			used := 0.0 // by the time that this one is due
+			used := 0.0 // work due by the deadline of job i
 			for k := range jobs {
 				if set&(1<<k) != 0 && jobs[k].Deadlines[0] <= jobs[i].Deadlines[0] {
 					used += jobs[k].Work
@@ -41,7 +42,8 @@
 	return best
 }
 
-// No choice meets more first limits, and no job is assigned a limit that it misses.
+// No other assignment meets more first deadlines, and no job is assigned a deadline that it
+// misses.
 func TestMostFirstDeadlinesAreMet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		jobs := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) admission.Job {
@@ -72,12 +74,12 @@
 			}
 		}
 		if want := maxMetDeadlines(jobs, rate); n != want {
-			rt.Fatalf("%d are met, %d can be", n, want)
+			rt.Fatalf("%d deadlines are met, %d can be", n, want)
 		}
 	})
 }
 
-// Each rule by which a job's limits are missed, by itself.
+// Each rule that makes a job miss a deadline, tested separately.
 func TestTiersUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -105,7 +107,7 @@
 	}
 }
 
-// BenchmarkTiers assigns tiers to 1000 jobs, of which many miss limits.
+// BenchmarkTiers assigns tiers to 1000 jobs, many of which miss deadlines.
 func BenchmarkTiers(b *testing.B) {
 	jobs := make([]admission.Job, 1000)
 	for i := range jobs {
--- a/internal/jobstate/accounting.go
+++ b/internal/jobstate/accounting.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// JobRow returns the accounting row of a job that has ended. For a job with constraints the
-// first call also fixes its end time, which later rows and records repeat.
+// JobRow returns the accounting row of a job that has ended. For a job with constraints, the
+// first call also fixes the end time that later rows and records repeat.
 func (s *State) JobRow(job *Job) accounting.Row {
 	spec := job.Spec
 	row := accounting.Row{
@@ -30,9 +30,9 @@
 	return row
 }
 
-// attemptRow returns the accounting row of an attempt that is over, and that was seen to run
-// or ended by itself. It returns nil for any other attempt, at the second call for the same
-// one, and if accounting is off.
+// attemptRow returns the accounting row of an attempt that is over and that was seen to run or
+// ended by itself. It returns nil for any other attempt, on repeated calls for the same attempt,
+// and if accounting is disabled.
 func (s *State) attemptRow(placement *Placement) *accounting.Row {
 	endedByItself := placement.ExitCause == wire.CauseDone || placement.ExitCause == wire.CauseError
 	if !s.AccountingEnabled || placement.Accounted || placement.RunningSince.IsZero() && !endedByItself {
@@ -48,7 +48,7 @@
 	}
 	row.State, row.Useful = placement.accountingState()
 	if !placement.RunningSince.IsZero() {
-		row.Start = placement.RunningSince.UnixMilli() // else it ended before it was seen to run
+		row.Start = placement.RunningSince.UnixMilli() // zero if the attempt ended before it was seen to run
 	}
 	if job.Constraints != nil {
 		row.Number = job.Constraints.Number
@@ -74,7 +74,7 @@
 	return jobspec.NodeFail, false
 }
 
-// hourlyPrice is the price per hour of the share of its machine that a placement takes.
+// hourlyPrice returns the hourly price of the share of its machine that a placement uses.
 func (s *State) hourlyPrice(placement *Placement) float64 {
 	machine := s.TypeOf(placement.Worker)
 	price := machine.Price
--- a/internal/jobstate/cancel.go
+++ b/internal/jobstate/cancel.go
@@ -8,11 +8,11 @@
 )
 
 // CancelTasks marks the tasks that their user cancelled individually as over, and stops them.
-// Tasks that are over already stay as they ended.
+// The outcome of tasks that are already over does not change.
 func (s *State) CancelTasks(job *Job) {
 	cancelled := s.markCancelledTasks(job)
 	if cancelled == nil || s.Jobs[job.Spec.UID] != job {
-		return // a job that is being admitted counts its tasks after this
+		return // a job that is being admitted counts its finished tasks afterwards
 	}
 	job.Finished += len(cancelled)
 	remaining := job.Pending[:0]
@@ -30,8 +30,8 @@
 	s.FinishJob(job)
 }
 
-// markCancelledTasks records the outcome of the tasks that were cancelled individually and are
-// not over yet, and returns them; nil if the job names none.
+// markCancelledTasks records the outcome of the individually cancelled tasks that are not over
+// yet, and returns them; nil if no task was cancelled individually.
 func (s *State) markCancelledTasks(job *Job) map[int]bool {
 	if job.Constraints == nil || job.Constraints.CancelledTasks == "" {
 		return nil
@@ -53,7 +53,7 @@
 }
 
 // CancelJob stops all tasks of a job whose cancel the state service has recorded, and ends the
-// job once none is left. Repeated calls have no effect.
+// job once no placement is left. Repeated calls have no effect.
 func (s *State) CancelJob(job *Job) {
 	if job.Cancelled {
 		return
@@ -68,7 +68,7 @@
 	for _, placements := range job.Placements {
 		for _, placement := range slices.Clone(placements) {
 			if placement.Exited {
-				s.ClearTask(placement) // nothing of the job starts again
+				s.ClearTask(placement) // the record of its exit is not needed: no task of the job starts again
 			} else {
 				s.HaltTask(placement, 0)
 			}
--- a/internal/jobstate/change.go
+++ b/internal/jobstate/change.go
@@ -6,17 +6,17 @@
 	"github.com/wallrack/wallrack/internal/accounting"
 )
 
-// ChangeKind says what a log record states of a placement.
+// ChangeKind is the kind of a placement's change in a log record.
 type ChangeKind int
 
 // Kinds of change.
 const (
-	PlacementAdded   ChangeKind = iota // the task may be on the worker from now on
-	PlacementRemoved                   // the task is not on the worker any more
-	TaskFinished                       // the task completed there, or ended for good
+	PlacementAdded   ChangeKind = iota // the task may be on the worker from this record on
+	PlacementRemoved                   // the task is no longer on the worker
+	TaskFinished                       // the task completed on the worker, or is over for good
 )
 
-// String names the kind, for messages.
+// String returns the name of the kind for log messages.
 func (k ChangeKind) String() string {
 	switch k {
 	case PlacementAdded:
@@ -29,15 +29,15 @@
 	return "change " + strconv.Itoa(int(k))
 }
 
-// Change is a change of a placement that the shard's log has still to record.
+// Change is a change of a placement that is not yet in the shard's log.
 type Change struct {
 	Kind      ChangeKind
 	Placement *Placement
 	Row       *accounting.Row // accounting row to write in the same transaction; nil: none
 }
 
-// RecordChange queues a change for the next record of the shard's log. It doesn't signal the
-// writer: the caller does that for a change that must not wait for the next write.
+// RecordChange queues a change for the next record of the shard's log. It does not signal
+// WriteSignal: the caller does so for a change that must not wait for the next write.
 func (s *State) RecordChange(c Change) {
 	shard := c.Placement.Job.Shard
 	s.UnwrittenChanges[shard] = append(s.UnwrittenChanges[shard], c)
--- a/internal/jobstate/chunk.go
+++ b/internal/jobstate/chunk.go
@@ -7,17 +7,17 @@
 	"github.com/wallrack/wallrack/internal/jobrecord"
 )
 
-// Chunk is a run of jobrecord.ChunkSize consecutive tasks of a job, which share a record.
+// Chunk is jobrecord.ChunkSize consecutive tasks of a job, which share a record.
 type Chunk struct {
 	Number      int
-	Version     uint64 // of its own record; 0: it has none
-	SavedSeq    uint64 // sequence number of the last log record that its own record covers
+	Version     uint64 // version of the chunk's own record; 0 if there is none
+	SavedSeq    uint64 // sequence number of the last log record that the chunk's own record includes
 	DoneBits    []byte // a bit for each task that is over
-	NextAttempt uint64 // attempts below it may have been used
+	NextAttempt uint64 // lowest attempt number that was never used
 	Placements  []*Placement
 	Job         *Job
-	Closed      bool                // the job has ended, or another leader has it: write nothing
-	Failed      map[int]TaskFailure // by task: those that are over and not done; also in DoneBits
+	Closed      bool                // the job has ended or another leader has taken it over: nothing may be written
+	Failed      map[int]TaskFailure // tasks that are over and did not complete, by task; DoneBits includes them
 }
 
 // IsOver reports whether a task of the chunk is over: done, failed or cancelled individually.
@@ -32,8 +32,8 @@
 	c.DoneBits[i/8] |= 1 << (i % 8)
 }
 
-// SetFailed marks a task of the chunk as over and not done. The outcome and the exit code are
-// as records have them; bits beyond their ranges are dropped.
+// SetFailed marks a task of the chunk as over and not completed. The outcome and the exit code
+// are encoded as in records; bits beyond their ranges are dropped.
 func (c *Chunk) SetFailed(task int, outcome, exitCode uint64) {
 	c.SetOver(task)
 	if c.Failed == nil {
@@ -42,8 +42,8 @@
 	c.Failed[task] = TaskFailure{Outcome: TaskOutcome(outcome & outcomeMask), ExitCode: int(exitCode & exitCodeMask)}
 }
 
-// Record returns the chunk's own record as of the shard's log record seq. Its placements are in
-// the order of their attempts; exited ones are left out, since the log has their end.
+// Record returns the chunk's own record as of the shard's log record seq. Placements are in the
+// order of their attempts; exited ones are omitted, because the log records their end.
 func (c *Chunk) Record(seq uint64) jobrecord.ChunkRecord {
 	record := jobrecord.ChunkRecord{Seq: seq, Done: c.DoneBits, Next: c.NextAttempt}
 	for task, failure := range c.Failed {
--- a/internal/jobstate/class.go
+++ b/internal/jobstate/class.go
@@ -1,22 +1,22 @@
 package jobstate
 
 const (
-	recentSizes  = 128  // last jobs of a class among which its largest are found
-	largestOneIn  = 10   // one in so many jobs of a class counts as one of its largest
-	maxClasses = 1000 // classes remembered: their names come from users
+	recentSizes  = 128  // number of a class's most recent jobs whose sizes are compared
+	largestOneIn = 10   // one job in this many of a class counts as one of its largest
+	maxClasses   = 1000 // maximum number of classes held, because users choose their names
 )
 
-// Class is what was measured of a class of jobs.
+// Class is a class of jobs and its measured run times and sizes.
 type Class struct {
-	Name          string
-	EstimateRatio float64   // measured run time divided by the user's estimate
-	RunTimes      Average   // of its tasks, in seconds
-	StartObjectives     []float64 // objectives for the start of its tasks, in seconds from acceptance
-	Sizes         Sizes
+	Name            string
+	EstimateRatio   float64   // measured run time divided by the user's estimate
+	RunTimes        Average   // run times of its tasks, in seconds
+	StartObjectives []float64 // objectives for the start of its tasks, in seconds from acceptance
+	Sizes           Sizes
 }
 
-// ClassOf returns the class of that name, which it adds if it is new. Beyond the number of
-// classes that are remembered it returns one that is not kept.
+// ClassOf returns the class of that name, and adds it if it is new. Above maxClasses classes, a
+// new class is returned but not added.
 func (s *State) ClassOf(name string) *Class {
 	class := s.Classes[name]
 	if class != nil {
@@ -35,14 +35,14 @@
 	return class
 }
 
-// Sizes are the sizes, in CPUs of all tasks, of a class's last jobs.
+// Sizes holds the sizes, in CPUs of all tasks, of the most recent jobs of a class.
 type Sizes struct {
 	recent []float64
-	next int // index in last of the oldest size, once last is full
+	next   int // index of the oldest size in recent, once recent is full
 }
 
-// Add notes a job's size and reports whether the job is one of the class's largest. Among jobs
-// of equal size the first counts as the larger.
+// Add adds a job's size and reports whether the job is one of the class's largest. Among jobs of
+// equal size, the first counts as the largest.
 func (s *Sizes) Add(size float64) (large bool) {
 	above := 0
 	for _, other := range s.recent {
--- a/internal/jobstate/completion.go
+++ b/internal/jobstate/completion.go
@@ -8,9 +8,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// EndPlacement ends a placement whose task is surely not on its worker, or never was. A task
-// that is not over and has no other placement is pending again. A placement that was ended
-// before is ignored.
+// EndPlacement ends a placement whose task is proven not to be on its worker. The task becomes
+// pending again if it is not over and has no other placement. It ignores a placement that has
+// already ended.
 func (s *State) EndPlacement(placement *Placement) {
 	if _, ok := placement.Worker.Placements[placement]; !ok {
 		return
@@ -27,8 +27,8 @@
 		job.Pending = append(job.Pending, placement.Task)
 	}
 	if placement.InStore && !job.Cancelled && !taskOver {
-		// The writer is not notified: without the record, a new leader only has to
-		// reconcile the placement.
+		// The writer is not notified: if this record is lost, a new leader only has to reconcile
+		// the placement.
 		s.RecordChange(Change{Kind: PlacementRemoved, Placement: placement, Row: row})
 	} else if row != nil {
 		s.StandaloneRows = append(s.StandaloneRows, *row)
@@ -38,9 +38,9 @@
 	Notify(s.PlanSignal)
 }
 
-// FinishTask ends a task that has just completed, or is over for good, at one of its placements.
+// FinishTask ends a task that has just completed, or is over for good, by one of its placements.
 // The task's other placements are withdrawn unless they were granted. The placement itself
-// stays until the end is recorded, since only then may the worker forget the task.
+// remains until the end is recorded, because only then may the worker forget the task.
 func (s *State) FinishTask(placement *Placement) {
 	job := placement.Job
 	job.Finished++
@@ -62,10 +62,10 @@
 	s.FinishJob(job)
 }
 
-// FinishJob sets the final stage of a job that has nothing left to do, for the writer to record.
-// It has no effect on any other job.
+// FinishJob sets the final stage of a job that has no work left, for the writer to record. It
+// has no effect on other jobs.
 func (s *State) FinishJob(job *Job) {
-	placed := len(job.Placements) > 0 // what was halted may still run
+	placed := len(job.Placements) > 0 // halted tasks may still be running
 	switch {
 	case job.EndStage != "":
 		return
@@ -79,7 +79,7 @@
 	Notify(s.WriteSignal)
 }
 
-// ClearTask ends the placement of an exited task and lets its worker forget the task.
+// ClearTask ends the placement of an exited task and instructs the worker to forget the task.
 func (s *State) ClearTask(placement *Placement) {
 	s.EndPlacement(placement)
 	instructions := s.InstructionsFor(placement.Worker.View.Dispatcher)
--- a/internal/jobstate/eligibility.go
+++ b/internal/jobstate/eligibility.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// limitTolerance absorbs rounding where amounts are compared with limits and guarantees.
+// limitTolerance is the rounding error tolerated where amounts are compared with limits and
+// guarantees.
 const limitTolerance = 1e-6
 
-// AllowedOn reports whether the job's constraints on zone, machine type and spot workers let it
-// run on the worker. It doesn't look at resources.
+// AllowedOn reports whether the job's requirements for zone, machine type and spot workers admit
+// the worker, regardless of resources.
 func (s *State) AllowedOn(job *Job, worker *Worker) bool {
 	spec, view := job.Spec, &worker.View
 	if view.Spot && !spec.Spot || spec.Zone != nil && *spec.Zone != view.Zone {
@@ -15,8 +16,8 @@
 	return spec.Types == nil || slices.Contains(spec.Types, view.Type)
 }
 
-// FitsZone reports whether one more task of the job may run in the worker's zone, by the job's
-// rules for zones. All placements by which a task may run count.
+// FitsZone reports whether one more task of the job may run in the worker's zone under the job's
+// zone rules, given all placements whose tasks may be running.
 func (s *State) FitsZone(job *Job, worker *Worker) bool {
 	zone := worker.View.Zone
 	if job.Spec.OneZone && !job.onlyInZone(zone) {
@@ -25,7 +26,7 @@
 	return !job.Spec.Spread || job.Zones[zone]+job.Unzoned+1 <= (job.Spec.Tasks+1)/2
 }
 
-// onlyInZone reports whether the job surely has no placement outside a zone.
+// onlyInZone reports whether the job has no placement that may be outside the zone.
 func (j *Job) onlyInZone(zone string) bool {
 	if j.Unzoned > 0 {
 		return false
@@ -38,7 +39,7 @@
 	return true
 }
 
-// FitsTeamLimit reports whether the job's team may use one more task of the job.
+// FitsTeamLimit reports whether the limit of the job's team admits one more task of the job.
 func (s *State) FitsTeamLimit(job *Job) bool {
 	team := job.Team
 	if team.Leased != nil {
--- a/internal/jobstate/estimate.go
+++ b/internal/jobstate/estimate.go
@@ -1,24 +1,26 @@
 package jobstate
 
 const (
-	// RunTimeMargin is the factor by which runs are taken to be longer than estimated where the
-	// estimate must not be exceeded.
+	// RunTimeMargin is the factor applied to estimated run times where they must not be
+	// exceeded.
 	RunTimeMargin = 1.3
-	// RestartOverheadS is the time in seconds from the decision to start a task again to its
-	// run, image fetch included.
+	// RestartOverheadS is the time in seconds from the decision to restart a task until it runs,
+	// including the image fetch.
 	RestartOverheadS = 4
-	// StartOverheadS is the time in seconds from a match to the start, without the wait for
+	// StartOverheadS is the time in seconds from placement to start, excluding the wait for
 	// resources and the image fetch.
 	StartOverheadS = 0.3
 
-	defaultRunS = 60 // run time of a task of which nothing is known
+	defaultRunS = 60 // run time assumed for a task without any estimate
 
-	// What every worker starts with, so that a few tasks don't decide its success rate.
+	// Initial counts of done and lost tasks of every worker, so that a few tasks do not dominate
+	// its success rate.
 	priorDone = 20
 	priorLost = 0.2
-	// spotWeight is the weight of the other spot workers' tasks for a spot worker's rate.
+	// spotWeight is the weight of the tasks on all spot workers in the success rate of one of
+	// them.
 	spotWeight = 0.25
-	// failureWeight is how many lost tasks an error of a task counts as.
+	// failureWeight is the number of lost tasks as which an error counts.
 	failureWeight = 2
 )
 
@@ -31,7 +33,7 @@
 // Add adds a value.
 func (a *Average) Add(value float64) { a.Count++; a.Sum += value }
 
-// Mean returns the mean; 0 if there is no value.
+// Mean returns the mean, or 0 if no value was added.
 func (a *Average) Mean() float64 {
 	if a.Count == 0 {
 		return 0
@@ -39,8 +41,9 @@
 	return a.Sum / float64(a.Count)
 }
 
-// RunEstimate returns the expected run time of a task of the job in seconds: by the job's
-// own tasks, else the user's estimate corrected by the class's ratio, else the class's tasks.
+// RunEstimate returns the expected run time of a task of the job in seconds: the mean of the
+// job's own tasks, or else the user's estimate corrected by the class's ratio, or else the mean
+// of the class's tasks.
 func (j *Job) RunEstimate() float64 {
 	switch {
 	case j.RunTimes.Count >= 2:
@@ -53,8 +56,8 @@
 	return defaultRunS
 }
 
-// SuccessRate estimates the share of tasks that the worker doesn't lose or fail, by what
-// happened recently there and, for a spot worker, on all spot workers.
+// SuccessRate estimates the share of tasks that the worker neither loses nor fails, from recent
+// tasks on the worker and, for a spot worker, on all spot workers.
 func (s *State) SuccessRate(worker *Worker) float64 {
 	done, lost := priorDone+worker.RecentDone, priorLost+worker.RecentLost
 	if worker.View.Spot {
--- a/internal/jobstate/image.go
+++ b/internal/jobstate/image.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// maxImages bounds the images that are remembered of a worker.
+// maxImages is the maximum number of images remembered per worker.
 const maxImages = 256
 
-// CachedImage is an image that a worker has.
+// CachedImage is an image in a worker's cache.
 type CachedImage struct {
 	SizeGB float64
 	UsedAt time.Time
 }
 
-// FetchTime returns the seconds for which a task of the job would wait for its image on the
-// worker: 0 if the worker has the image, 1 GB per second if its type is not known.
+// FetchTime returns the time in seconds for the worker to fetch the job's image: 0 if the image
+// is cached; computed with 1 GB per second if the machine type's rate is not known.
 func (s *State) FetchTime(job *Job, worker *Worker) float64 {
 	if job.Spec.Image == "" || worker.Images[s.Images.Of(job.Spec.Image)] != nil {
 		return 0
@@ -23,8 +23,8 @@
 	return job.Spec.ImageGB
 }
 
-// CacheImage notes that a worker has a job's image, and forgets the least recently used ones
-// that the worker's cache has no room for.
+// CacheImage records that a worker has cached a job's image, and removes the least recently used
+// images for which the worker's cache has no room.
 func (s *State) CacheImage(job *Job, worker *Worker) {
 	image := s.Images.Of(job.Spec.Image)
 	if cached := worker.Images[image]; cached != nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-// cachedImages returns the least recently used image and the size of all.
+// cachedImages returns the least recently used image and the total size of all images.
 func (w *Worker) cachedImages() (oldest int, sumGB float64) {
 	oldestUse := time.Now().Add(time.Hour)
 	for image, cached := range w.Images {
--- a/internal/jobstate/index.go
+++ b/internal/jobstate/index.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ForgetJob removes a job and its placements from memory. It records nothing.
+// ForgetJob removes a job and its placements from memory. It records no change.
 func (s *State) ForgetJob(uid string, job *Job) {
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
@@ -24,8 +24,8 @@
 	}
 }
 
-// AddPlacement adds a placement to its job, its chunk and its worker, and sets its Ref. It
-// doesn't count the use: a new placement may not run.
+// AddPlacement adds a placement to its job, its chunk and its worker, and sets its Ref. It does
+// not count the use, because a new placement was not granted.
 func (s *State) AddPlacement(placement *Placement) {
 	job, chunk, worker := placement.Job, placement.Chunk, placement.Worker
 	placement.Ref = dispatch.TaskRef{Worker: worker.Name, Task: wire.TaskName(job.Spec.UID, placement.Task), Attempt: placement.Attempt}
@@ -34,8 +34,8 @@
 	worker.Placements[placement] = struct{}{}
 }
 
-// RemovePlacement removes a placement from its job, its chunk and its worker, and does nothing
-// else; see EndPlacement.
+// RemovePlacement removes a placement from its job, its chunk and its worker, without the other
+// effects of EndPlacement.
 func (s *State) RemovePlacement(placement *Placement) {
 	job, chunk := placement.Job, placement.Chunk
 	delete(placement.Worker.Placements, placement)
@@ -47,7 +47,8 @@
 	}
 }
 
-// without returns a copy of the placements without one: callers may be ranging over the old slice.
+// without returns a copy of the placements without the given one, because callers may be ranging
+// over the old slice.
 func without(placements []*Placement, placement *Placement) []*Placement {
 	i := slices.Index(placements, placement)
 	if i < 0 {
@@ -56,9 +57,9 @@
 	return slices.Concat(placements[:i], placements[i+1:])
 }
 
-// CountUse adds what a placement uses to the use of its team and zone, or subtracts it, by the
-// sign 1 or -1. A placement that may not run uses nothing, so it must be called before and
-// after each change of what MayRun reports or of the worker's zone.
+// CountUse adds a placement's resources to the use of its team and zone (sign 1) or subtracts
+// them (sign -1). A placement that may not run uses nothing, so each change of MayRun's result
+// or of the worker's zone must be enclosed by a call with -1 before and a call with 1 after.
 func (s *State) CountUse(placement *Placement, sign int) {
 	if !placement.MayRun() {
 		return
--- a/internal/jobstate/instructions.go
+++ b/internal/jobstate/instructions.go
@@ -6,11 +6,11 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// minHaltInterval is the least time between two halts of a placement.
+// minHaltInterval is the minimum time between two halts of a placement.
 const minHaltInterval = time.Second
 
-// InstructionsFor returns the instructions that are to be sent to a dispatcher next. The caller
-// adds to them and notifies SendSignal.
+// InstructionsFor returns the instructions to be sent to a dispatcher next. The caller adds to
+// them and signals SendSignal.
 func (s *State) InstructionsFor(dispatcher string) *dispatch.Instructions {
 	instructions := s.Outbox[dispatcher]
 	if instructions == nil {
@@ -20,8 +20,9 @@
 	return instructions
 }
 
-// AssignPlacement sends a placement to its worker's dispatcher: to be queued or, if the worker
-// lists the task already, as facts about it. A worker without a dispatcher is left out.
+// AssignPlacement instructs the dispatcher of the placement's worker to queue the task or, if
+// the worker already lists the task, informs the dispatcher of it. It does nothing if the worker
+// has no dispatcher.
 func (s *State) AssignPlacement(placement *Placement, isListed bool) {
 	worker, job := placement.Worker, placement.Job
 	if worker.View.Dispatcher == "" {
@@ -38,8 +39,8 @@
 }
 
 // HaltTask stops a placement's task, which gets graceS seconds to save its state. A placement
-// that was never granted is withdrawn. Callers repeat the call until the task is off its
-// worker; repetitions within a second are ignored.
+// that was never granted is withdrawn. Callers repeat the call until the task is off its worker;
+// repetitions within minHaltInterval are ignored.
 func (s *State) HaltTask(placement *Placement, graceS float64) {
 	if !placement.MayRun() {
 		s.WithdrawPlacement(placement)
@@ -57,8 +58,8 @@
 	}
 }
 
-// WithdrawPlacement ends a placement that was never granted, so that nothing can have been
-// started by it, and takes it out of the queue of the dispatcher to which it was sent.
+// WithdrawPlacement ends a placement that was never granted, so that no task can have been
+// started for it, and removes it from the queue of the dispatcher to which it was sent.
 func (s *State) WithdrawPlacement(placement *Placement) {
 	if placement.SentTo != "" {
 		s.sendHalt(placement.SentTo, dispatch.Halt{TaskRef: placement.Ref})
--- a/internal/jobstate/interfaces.go
+++ b/internal/jobstate/interfaces.go
@@ -7,11 +7,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Cancellations is what this controller knows of cancelled jobs, its own and others'.
+// Cancellations holds the cancelled jobs known to this controller, including those of other
+// leaders.
 type Cancellations interface {
 	// IsCancelled reports whether the job is known to be cancelled.
 	IsCancelled(uid string) bool
-	// RecordCancelled notes cancels that the state service has recorded.
+	// RecordCancelled adds jobs whose cancels the state service has recorded.
 	RecordCancelled(uids ...string)
 }
 
@@ -19,23 +20,23 @@
 type Membership interface {
 	// Name returns the controller's name.
 	Name() string
-	// LeaseRemaining returns the time for which the controller's lease surely lasts; none is
-	// left if it is not positive.
+	// LeaseRemaining returns the time for which the controller's lease is certain to last; the
+	// lease may have expired if it is not positive.
 	LeaseRemaining() time.Duration
-	// LeadsShard reports whether the controller surely leads the shard now, and returns the
-	// version of the shard's key.
+	// LeadsShard reports whether the controller is certain to lead the shard now, and returns
+	// the version of the shard's key.
 	LeadsShard(shard int) (version uint64, ok bool)
 	// ClaimedShards returns the versions of the keys of the shards that the controller has
-	// claimed, by shard, whether or not its lease lasts.
+	// claimed, by shard, whether or not its lease has expired.
 	ClaimedShards() map[int]uint64
-	// NextToken returns a fencing token higher than all before it.
+	// NextToken returns a fencing token higher than all previous ones.
 	NextToken(ctx context.Context) (uint64, error)
-	// ShardKey returns the key of the state service that names the shard's leader.
+	// ShardKey returns the key under which the state service stores the shard's leader.
 	ShardKey(shard int) string
 }
 
 // MachineTypes are the machine types of the cloud.
 type MachineTypes interface {
-	// Type returns the type of that name; false if it is not known.
+	// Type returns the machine type of that name; false if it is unknown.
 	Type(name string) (wire.MachineType, bool)
 }
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -9,57 +9,57 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Job is a living job: one that was accepted and whose end is not recorded yet.
+// Job is a live job: one that was accepted and whose end is not recorded yet.
 type Job struct {
 	Spec        *wire.Job
 	Shard       int
-	Version     uint64 // of its live record
+	Version     uint64 // version of its live record
 	AcceptedAt  time.Time
-	AcceptedMs  int64 // AcceptedAt as its record has it, in milliseconds since 1970
+	AcceptedMs  int64 // AcceptedAt as recorded, in milliseconds since 1970
 	Class       *Class
 	Team        *Team
-	Resources   matching.Resources // of one task
-	Constraints *ConstraintState   // nil: it has none
-	Large       bool               // it is one of its class's largest
+	Resources   matching.Resources // resources of one task
+	Constraints *ConstraintState   // nil if the job has none
+	Large       bool               // the job is one of its class's largest
 
-	Cancelled      bool // the state service has recorded its cancel
+	Cancelled      bool // the state service has recorded the job's cancel
 	PendingCancels PendingCancels
-	EndStage       string // final stage, once nothing is left to do; "": not yet
-	EndWriteSent   bool   // the outcome of the write of its end is pending
+	EndStage       string // final stage, set once no work is left; "" before that
+	EndWriteSent   bool   // the write that records the job's end is in flight
 
-	Chunks     []*Chunk
-	Pending    []int                // tasks without a placement; the last is placed first
-	Placements map[int][]*Placement // by task; a task without a placement has no entry
-	Done       int                  // tasks that completed
-	Finished   int                  // tasks that are done, failed or cancelled individually
-	Running    int                  // placements that were seen to run
-	ObservedStarts    int                  // tasks that were ever seen to run
-	StartedAt    time.Time            // when its first task was seen to run, or the last one of a gang
-	Zones      map[string]int       // placements by which a task may run, by zone
-	Unzoned    int                  // those in a zone that is not known yet, which may be any
-	RunTimes   Average              // of its tasks, in seconds
+	Chunks         []*Chunk
+	Pending        []int                // tasks without a placement; the last one is placed first
+	Placements     map[int][]*Placement // by task; a task without a placement has no entry
+	Done           int                  // number of completed tasks
+	Finished       int                  // number of tasks that are done, failed or cancelled individually
+	Running        int                  // number of placements that are running, by heartbeats
+	ObservedStarts int                  // number of times that a placement was first seen to run
+	StartedAt      time.Time            // when the first task (for a gang: the last) was seen to run; zero if none was
+	Zones          map[string]int       // number of placements whose task may be running, by zone
+	Unzoned        int                  // number of such placements in workers whose zone is unknown
+	RunTimes       Average              // run times of its tasks, in seconds
 
-	Errors    int               // attempts that ended with an error or by an unknown cause
-	FailedOn  map[int]bool      // indices of workers on which a task failed, until one was done
-	Faulty    bool              // it failed on several workers and on none was a task of it done
-	NotBefore time.Time         // no task is placed until then
-	AvoidUntil     map[int]time.Time // by worker index: no task is placed there until then
-	Evicted   map[int]bool      // tasks that were stopped to empty a worker
-	Tier      int               // number of its limits that it cannot keep, by the last triage
+	Errors     int               // number of attempts that ended with an error or for an unknown cause
+	FailedOn   map[int]bool      // indices of workers on which a task failed; cleared when a task is done
+	Faulty     bool              // tasks failed on several workers and none was done since
+	NotBefore  time.Time         // no task is placed before this time
+	AvoidUntil map[int]time.Time // time before which no task is placed on a worker, by worker index
+	Evicted    map[int]bool      // tasks that were evicted from a cordoned worker
+	Tier       int               // number of deadlines that the job will miss, by the last triage
 
 	requirements Requirements // computed by the first call of Requirements
-	deadlines   []float64    // computed by the first call of State.Limits
+	deadlines    []float64    // computed by the first call of State.Deadlines
 }
 
-// Requirements is what a job requires of a worker, its image aside: jobs with equal
-// requirements fit on the same workers. Values can be compared and used as map keys.
+// Requirements are a job's requirements for a worker, except its image: jobs with equal
+// requirements fit on the same workers. Values are comparable and can be used as map keys.
 type Requirements struct {
 	resources   matching.Resources
 	zone, types string
 	spot        bool
 }
 
-// Requirements returns what the job requires of a worker.
+// Requirements returns the job's requirements for a worker.
 func (j *Job) Requirements() Requirements {
 	if j.requirements == (Requirements{}) {
 		j.requirements = Requirements{resources: j.Resources, types: strings.Join(j.Spec.Types, "\x00"), spot: j.Spec.Spot}
@@ -73,16 +73,16 @@
 // ChunkOf returns the chunk of a task.
 func (j *Job) ChunkOf(task int) *Chunk { return j.Chunks[task/jobrecord.ChunkSize] }
 
-// RecordStarted notes that a task of the job was seen to run, or to have run. Only the first
-// time counts, for a gang the first one after all its tasks were started.
+// RecordStarted records that a task of the job was seen to run, or to have run. Only the first
+// call has an effect; for a gang, the first one after all its tasks have started.
 func (j *Job) RecordStarted(at time.Time) {
 	if j.StartedAt.IsZero() && (!j.Spec.Gang() || j.ObservedStarts >= j.Spec.Tasks) {
 		j.StartedAt = at
 	}
 }
 
-// ActiveTasks counts the tasks other than except that have a placement which has not exited;
-// with grantedOnly, one by which the task may run. No task has the number -1.
+// ActiveTasks returns the number of tasks, other than except, with a placement that has not
+// exited and, with grantedOnly, was granted. No task has the number -1.
 func (j *Job) ActiveTasks(grantedOnly bool, except int) int {
 	n := 0
 	for task, placements := range j.Placements {
@@ -96,7 +96,7 @@
 	return n
 }
 
-// PublicState returns the job's state as clients see it.
+// PublicState returns the job's state as reported to clients.
 func (j *Job) PublicState() wire.JobState {
 	state := wire.JobState{UID: j.Spec.UID, Stage: wire.StageQueued, Done: j.Done, Running: j.Running}
 	switch {
--- a/internal/jobstate/objectives.go
+++ b/internal/jobstate/objectives.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// defaultDueS is the age at which a job is taken as due that names no time.
+// defaultDueS is the age in seconds at which a job without a due time counts as due.
 const defaultDueS = 60
 
-// Deadlines returns the ages in seconds by which the job should be done: its class's objectives
-// and its own due time. The result is computed once; it must not be changed.
+// Deadlines returns the times by which the job should be done, in seconds from its acceptance:
+// those of its class's objectives and its own due time. The result is computed once and must not
+// be modified.
 func (s *State) Deadlines(job *Job) []float64 {
 	if job.deadlines == nil {
 		job.deadlines = []float64{}
@@ -26,16 +27,16 @@
 	return job.deadlines
 }
 
-// FirstDeadline returns the least of Limits; 0 if there is none.
+// FirstDeadline returns the earliest of Deadlines; 0 if there is none.
 func (s *State) FirstDeadline(job *Job) float64 {
-	if limits := s.Deadlines(job); len(limits) > 0 {
-		return slices.Min(limits)
+	if deadlines := s.Deadlines(job); len(deadlines) > 0 {
+		return slices.Min(deadlines)
 	}
 	return 0
 }
 
-// DueAt returns the time of day by which the job is due, in seconds since 1970. A job that
-// names none is taken as due a minute after its acceptance, so that older jobs come first.
+// DueAt returns when the job is due, in seconds since 1970. A job without a due time
+// counts as due a minute after its acceptance, so that older jobs come first.
 func (j *Job) DueAt() float64 {
 	at := float64(j.AcceptedMs) / 1000
 	if j.Spec.DueS != nil {
--- a/internal/jobstate/outcome.go
+++ b/internal/jobstate/outcome.go
@@ -9,14 +9,15 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// TaskOutcome is how a task ended that is over and not done. Records hold its number.
+// TaskOutcome is the outcome of a task that is over and did not complete. Records contain its
+// number.
 type TaskOutcome uint8
 
 // Outcomes of a task; 0 stands for none.
 const (
 	OutcomeFailed    TaskOutcome = 1
 	OutcomeTimedOut  TaskOutcome = 2
-	OutcomeCancelled TaskOutcome = 3 // individually, by its user
+	OutcomeCancelled TaskOutcome = 3 // cancelled individually by its user
 )
 
 const (
@@ -24,7 +25,7 @@
 	exitCodeMask = 0xff // bits of an exit code
 )
 
-// String names the outcome, for messages.
+// String returns the name of the outcome for log messages.
 func (o TaskOutcome) String() string {
 	switch o {
 	case 0:
@@ -39,24 +40,25 @@
 	return "outcome " + strconv.Itoa(int(o))
 }
 
-// AccountingState returns Slurm's name for the outcome; that of a completed task for 0.
+// AccountingState returns Slurm's name for the outcome, or the name for a completed task if the
+// outcome is 0.
 func (o TaskOutcome) AccountingState() string {
 	return [...]string{jobspec.Completed, jobspec.Failed, jobspec.Timeout, jobspec.Cancelled}[o&outcomeMask]
 }
 
-// TaskFailure is the end of a task that is over and not done.
+// TaskFailure is the outcome and the exit code of a task that is over and did not complete.
 type TaskFailure struct {
 	Outcome  TaskOutcome
 	ExitCode int // 0 to 255
 }
 
-// Triple returns the failure as records have it: task, outcome, exit code.
+// Triple returns the failure as encoded in records: task, outcome, exit code.
 func (f TaskFailure) Triple(task int) []uint64 {
 	return []uint64{uint64(task), uint64(f.Outcome), uint64(f.ExitCode)}
 }
 
-// FinalOutcome returns the outcome of a task that the exit of a placement ends for good, or 0
-// if the task is to be tried again. It also notes the exit code at the placement.
+// FinalOutcome returns the outcome of a task if the exit of the placement ends the task for
+// good, or 0 if the task is to be retried. It also sets the placement's exit code.
 func (j *Job) FinalOutcome(placement *Placement, task *dispatch.TaskView) TaskOutcome {
 	if task.Exit != nil {
 		placement.ExitCode = *task.Exit & exitCodeMask
@@ -72,13 +74,13 @@
 	return 0
 }
 
-// FailTask ends a placement's task, which will not be tried again.
+// FailTask ends a placement's task, which is not retried.
 func (s *State) FailTask(placement *Placement, outcome TaskOutcome) {
 	placement.Chunk.SetFailed(placement.Task, uint64(outcome), uint64(placement.ExitCode))
 	s.FinishTask(placement)
 }
 
-// StopOverTime stops the tasks that have run longer than their job's time limit.
+// StopOverTime stops the job's tasks that have run longer than its time limit.
 func (s *State) StopOverTime(job *Job) {
 	if job.Constraints == nil || job.Constraints.LimitS <= 0 || job.Cancelled {
 		return
@@ -93,8 +95,8 @@
 	}
 }
 
-// EndStateOf returns how a job with constraints ended; nil for a job without. The first call
-// fixes the end time.
+// EndStateOf returns how a job with constraints ended; nil for a job without constraints. The
+// first call fixes the end time.
 func (s *State) EndStateOf(job *Job) *jobspec.Ending {
 	constraints := job.Constraints
 	if constraints == nil {
@@ -121,8 +123,8 @@
 	return end
 }
 
-// worstFailure returns the first outcome in the order of their numbers, 0 if no task failed,
-// and the highest exit code of the tasks that failed.
+// worstFailure returns the lowest-numbered outcome of the failed tasks, or 0 if no task failed,
+// and their highest exit code.
 func (j *Job) worstFailure() (outcome TaskOutcome, exitCode int) {
 	for _, chunk := range j.Chunks {
 		for _, failure := range chunk.Failed {
--- a/internal/jobstate/placement.go
+++ b/internal/jobstate/placement.go
@@ -7,19 +7,20 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// PlacementState is how far a placement has come. From PlacementGranted on the task may run.
+// PlacementState is the progress of a placement. From PlacementGranted on, the task may be
+// running.
 type PlacementState int
 
 // States of a placement.
 const (
-	PlacementRecording   PlacementState = iota // its record is pending; the dispatcher doesn't have it
+	PlacementRecording   PlacementState = iota // being recorded; the dispatcher does not know it
 	PlacementRecorded                          // recorded; the dispatcher may queue it
-	PlacementGranted                           // a start was granted, so the task may have been started
+	PlacementGranted                           // its start was granted, so the task may have been started
 	PlacementReported                          // a heartbeat of the worker listed the task
-	PlacementUnconfirmed                       // read from the state service at a failover
+	PlacementUnconfirmed                       // loaded from the state service at a failover, not seen in a heartbeat yet
 )
 
-// String names the state, for log lines.
+// String returns the name of the state for log messages.
 func (s PlacementState) String() string {
 	switch s {
 	case PlacementRecording:
@@ -36,7 +37,7 @@
 	return "placement state " + strconv.Itoa(int(s))
 }
 
-// Placement is an attempt of a task on a worker: the task is, or may be, there.
+// Placement is an attempt to run a task on a worker, where the task may be running.
 type Placement struct {
 	Job     *Job
 	Chunk   *Chunk
@@ -49,34 +50,35 @@
 	MaxToken uint64 // highest fencing token that a start command may carry
 	MinToken uint64 // lowest fencing token for which the start was granted
 	Session  uint64 // highest session of the worker that a start command may be for
-	InStore  bool   // the state service may have it
+	InStore  bool   // the state service may contain the placement
 
-	PlannedWaitS  float64 // seconds until its start, as expected when it was placed
+	PlannedWaitS  float64 // seconds until the start, as estimated at placement
 	CreatedAt     time.Time
-	SentTo        string // dispatcher to which it was last sent; "": none
+	SentTo        string // dispatcher to which it was last sent; "" if none
 	SentAt        time.Time
-	GrantedAt     time.Time // first grant
-	RunningSince  time.Time // by the heartbeat that first showed it running; zero: none did, or it has ended
+	GrantedAt     time.Time // time of the first grant
+	RunningSince  time.Time // start by the heartbeat that first showed it running; zero if none did or the task finished
 	StartObserved bool      // this leader granted its start, so its run time is known
-	Compared      bool      // a heartbeat since it became known here was compared with it
-	LastHaltAt    time.Time // last halt; zero: none
-	FirstHaltAt      time.Time // first halt; zero: none
-	SeenInView    uint64    // number of the last view of the worker that listed it, see package reconcile
+	Compared      bool      // see MarkCompared
+	LastHaltAt    time.Time // time of the last halt; zero if none
+	FirstHaltAt   time.Time // time of the first halt; zero if none
+	SeenInView    uint64    // number of the last view of the worker that listed the task, see reconcile.Reconciler
 
-	Exited    bool   // the task is over; kept until that is recorded
-	ExitCode  int    // 0 to 255; 0 also if it ended without
-	ExitCause string // cause by which it exited, see package wire; "": it did not
-	TimedOut  bool   // halted because it ran over its job's time limit
-	Accounted bool   // its accounting row was made
+	Exited    bool   // the task is over; the placement remains until that is recorded
+	ExitCode  int    // 0 to 255; also 0 if the task ended without an exit code
+	ExitCause string // cause of the exit, see package wire; "" if it has not exited
+	TimedOut  bool   // halted because it exceeded its job's time limit
+	Accounted bool   // its accounting row was created
 }
 
 // MayRun reports whether the task may have been started by this placement.
 func (p *Placement) MayRun() bool { return p.State >= PlacementGranted }
 
-// NeverSent reports whether no start command for a halted placement can be under way, given
-// that the dispatcher with that fencing token states that it sent none. That holds only if
-// the start was granted for this token alone. A start granted for another one may still be
-// delayed: if it were taken off its team's use, it would run beside what the limit then admits.
+// NeverSent reports whether no start command for a halted placement can be in flight, given that
+// the dispatcher with that fencing token states that it sent none. This is certain only if the
+// start was granted for that token alone: a start command with another token may still be
+// delayed. If the placement were no longer counted in its team's use, such a task would run in
+// excess of the limit.
 func (p *Placement) NeverSent(token uint64) bool {
 	return p.State == PlacementGranted && !p.LastHaltAt.IsZero() && p.MinToken == token && p.MaxToken == token
 }
--- a/internal/jobstate/record_update.go
+++ b/internal/jobstate/record_update.go
@@ -6,7 +6,7 @@
 	"github.com/wallrack/wallrack/internal/jobrecord"
 )
 
-// UpdateRecord applies a newer live record of a job, which has that version.
+// UpdateRecord applies a newer live record of a job with the given version.
 func (s *State) UpdateRecord(job *Job, record *jobrecord.LiveRecord, version uint64) {
 	job.Version = max(job.Version, version)
 	s.updateConstraints(job, record)
@@ -17,8 +17,8 @@
 	}
 }
 
-// updateConstraints replaces a job's constraints by those of a newer record. A job that is now
-// held loses the placements that were not granted yet.
+// updateConstraints replaces a job's constraints with those of a newer record. If the job is now
+// held, its ungranted placements are withdrawn.
 func (s *State) updateConstraints(job *Job, record *jobrecord.LiveRecord) {
 	if record.Constraints == nil || job.Constraints == nil {
 		return
--- a/internal/jobstate/reserve.go
+++ b/internal/jobstate/reserve.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// maxViewLag is the age that a view from another controller may have when it arrives.
+// maxViewLag is the maximum age assumed for a view from another controller when it arrives.
 const maxViewLag = 1500 * time.Millisecond
 
 // IsQueued reports whether a dispatcher's queue contains the attempt.
@@ -21,13 +21,13 @@
 }
 
 // ReserveUnreported reserves, in the worker's published matrix, the resources of the placements
-// that the dispatcher may not have known when it published the matrix.
+// of which the dispatcher may not have known when it published the matrix.
 func (s *State) ReserveUnreported(worker *Worker) {
 	if len(worker.Matrix) == 0 {
 		return
 	}
-	// The view of another controller is older than its arrival: without the lag, resources
-	// assigned in between would be assigned again.
+	// A view from another controller is older than its arrival. Without the lag, resources
+	// assigned in the meantime would be assigned twice.
 	lag := time.Duration(0)
 	if worker.View.Dispatcher != s.Membership.Name() {
 		lag = maxViewLag
@@ -44,8 +44,9 @@
 	}
 }
 
-// reflectedInMatrix reports whether the worker's matrix, as of its last view that may be lag old, needs
-// no reservation for the placement: the dispatcher knew the placement, or it uses nothing.
+// reflectedInMatrix reports whether the placement needs no reservation in the worker's matrix,
+// given that the view may be lag old on arrival: the dispatcher knew the placement, or it uses
+// no resources.
 func (p *Placement) reflectedInMatrix(lag time.Duration) bool {
 	switch {
 	case p.Exited:
--- a/internal/jobstate/served.go
+++ b/internal/jobstate/served.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	startDeadline   = 240 * time.Second // age by which every job is to have begun, as the operators require
-	firstStartPriorityAge = startDeadline / 2       // age from which its first task is placed before all other work
+	startDeadline         = 240 * time.Second // age by which every job must have started, as required by the operators
+	firstStartPriorityAge = startDeadline / 2 // age from which a job's first task is placed before all other work
 )
 
-// JobCounts counts the jobs of a class, of a class's largest or of a team that live here or ended
-// under this leader. Cancelled jobs are not counted.
+// JobCounts counts the jobs of a class, of the largest jobs of a class, or of a team that are
+// live on this leader or ended under it. Cancelled jobs are not counted.
 type JobCounts struct {
-	Offered int `json:"offered"`       // all that are counted
-	Started   int `json:"begun"`         // their first task ran within beginBy, or all tasks of a gang
-	OnTime  int `json:"in_time"`       // ended by their first limit
-	Ended   int `json:"ended"`         // of those offered
-	Waiting int `json:"waiting_begin"` // not begun yet, and younger than beginBy
+	Offered int `json:"offered"`       // all counted jobs
+	Started int `json:"begun"`         // jobs whose first task, or all of whose tasks for a gang, started within startDeadline
+	OnTime  int `json:"in_time"`       // jobs that ended by their first deadline, or that have none
+	Ended   int `json:"ended"`         // jobs that ended
+	Waiting int `json:"waiting_begin"` // jobs that have not started and are younger than startDeadline
 }
 
-// count adds a job. Its limit is in seconds; 0: none.
-func (s *JobCounts) count(job *Job, ended bool, now time.Time, limitS float64) {
+// count adds a job. deadlineS is its first deadline in seconds from acceptance; 0 if it has
+// none.
+func (s *JobCounts) count(job *Job, ended bool, now time.Time, deadlineS float64) {
 	s.Offered++
 	age := now.Sub(job.AcceptedAt)
 	switch {
@@ -29,34 +30,36 @@
 	}
 	if ended {
 		s.Ended++
-		if limitS <= 0 || age.Seconds() <= limitS {
+		if deadlineS <= 0 || age.Seconds() <= deadlineS {
 			s.OnTime++
 		}
 	}
 }
 
-// Tally is Served by kind ("class", "largest" or "team") and name.
+// Tally is JobCounts by kind ("class", "largest" or "team") and name.
 type Tally map[[2]string]*JobCounts
 
-// maxTallied bounds the classes and teams that are counted: their names come from users.
+// maxTallied is the maximum number of entries of a Tally, because users choose the names of
+// classes and teams.
 const maxTallied = 1000
 
-// Record adds a job to the numbers of its class and its team. Its first limit is in seconds;
-// 0: none. Names beyond a bound are not counted.
-func (t Tally) Record(job *Job, ended bool, now time.Time, limitS float64) {
+// Record adds a job to the counts of its class and its team. deadlineS is its first deadline in
+// seconds from acceptance; 0 if it has none. New names beyond maxTallied entries are not
+// counted.
+func (t Tally) Record(job *Job, ended bool, now time.Time, deadlineS float64) {
 	keys := [][2]string{{"class", job.Spec.Class}, {"team", job.Spec.Team}}
 	if job.Large {
 		keys = append(keys, [2]string{"largest", job.Spec.Class})
 	}
 	for _, key := range keys {
-		served := t[key]
-		if served == nil {
+		counts := t[key]
+		if counts == nil {
 			if len(t) >= maxTallied {
 				continue
 			}
-			served = &JobCounts{}
-			t[key] = served
+			counts = &JobCounts{}
+			t[key] = counts
 		}
-		served.count(job, ended, now, limitS)
+		counts.count(job, ended, now, deadlineS)
 	}
 }
--- a/internal/jobstate/state.go
+++ b/internal/jobstate/state.go
@@ -1,9 +1,9 @@
-// Package jobstate is the state of a shard leader in memory: the living jobs of its shards,
-// the placements of their tasks, the workers, and what each team uses. Its methods keep
-// these consistent with one another, and note what follows from a change: log records to be
-// written, accounting rows, and instructions for the dispatchers of workers. They do no
-// input or output, take no lock and decide nothing: where a task runs is up to package
-// planner, what a heartbeat means to package reconcile.
+// Package jobstate is the in-memory state of a shard leader: the live jobs of its shards, the
+// placements of their tasks, the workers, and the use of each team. Its methods keep these
+// consistent with one another, and queue the results of a change: log records, accounting rows,
+// and instructions for the workers' dispatchers. They do no input or output, take no locks and
+// make no decisions: package planner decides where a task runs, and package reconcile what a
+// heartbeat implies.
 package jobstate
 
 import (
@@ -18,11 +18,11 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// State is everything that a leader knows of its shards. It is shared by the scheduler's
-// event loop and the packages that decide for it (planner, reconcile, quota, shardlog):
-// each of them holds Mu around every use, also of the jobs, workers, placements and teams
-// reached through it, and none holds it over input or output. Only the interfaces, the
-// settings and the signals, which are set before the scheduler starts, may be used without Mu.
+// State is the state of a leader's shards. It is shared by the scheduler's event loop and the
+// packages that make decisions for it (planner, reconcile, quota, shardlog). Each of them holds
+// Mu around every use, including that of the jobs, workers, placements and teams reachable from
+// the state, and none holds it during input or output. Only the interfaces, the settings and the
+// signals, which are set before the scheduler starts, may be used without Mu.
 type State struct {
 	Mu sync.Mutex
 
@@ -30,41 +30,42 @@
 	Operator     *config.Operator
 	Membership   Membership
 	MachineTypes MachineTypes
-	// Cancellations are the cancelled jobs known here, this leader's and others'; nil: none.
+	// Cancellations holds the cancelled jobs known to this controller, including those of other
+	// leaders; it may be nil.
 	Cancellations Cancellations
-	// AccountingEnabled states that accounting rows are made.
+	// AccountingEnabled reports whether accounting rows are created.
 	AccountingEnabled bool
 
 	PlanSignal  chan struct{} // tasks may be placeable
-	WriteSignal chan struct{} // there is something to write
-	SendSignal  chan struct{} // Outbox has something
+	WriteSignal chan struct{} // there are changes to write
+	SendSignal  chan struct{} // there are instructions to send
 
-	Loaded   map[int]uint64 // the shards led here: version of the shard's key when it was loaded
-	LoadedAt time.Time      // of the last failover
-	// PredecessorToken is the highest fencing token for which an earlier leader may have
-	// granted a start.
+	Loaded   map[int]uint64 // shards led by this controller: version of the shard's key when it was loaded
+	LoadedAt time.Time      // time of the last failover
+	// PredecessorToken is the highest fencing token for which an earlier leader may have granted
+	// a start.
 	PredecessorToken uint64
-	Now              time.Time // when the decision in progress began
+	Now              time.Time // start time of the current pass or decision
 
 	Jobs           map[string]*Job
-	JobOrder       []*Job // in the order of acceptance here
+	JobOrder       []*Job // in the order in which this leader accepted or loaded them
 	Workers        map[string]*Worker
-	WorkersByIndex []*Worker // nil: deleted
+	WorkersByIndex []*Worker // nil for deleted workers
 	Teams          map[string]*Team
 	Classes        map[string]*Class
 	Images         wire.Index
-	FinalRecords   map[string]jobrecord.FinalRecord // of jobs that ended here, for queries
+	FinalRecords   map[string]jobrecord.FinalRecord // records of jobs that ended under this leader, for queries
 
-	UnwrittenChanges      map[int][]Change                  // by shard: changes for the next log record
-	StandaloneRows []accounting.Row                  // of attempts whose end needs no log record
-	Outbox         map[string]*dispatch.Instructions // by dispatcher
+	UnwrittenChanges map[int][]Change                  // changes for the next log record, by shard
+	StandaloneRows   []accounting.Row                  // rows of attempts whose end needs no log record
+	Outbox           map[string]*dispatch.Instructions // instructions to be sent, by dispatcher
 
-	AdmittedWork float64                  // CPU-seconds accepted since this process began
+	AdmittedWork float64                  // CPU-seconds accepted since this process started
 	Arriving     map[string]*ArrivingWork // by class
-	SpotDone     float64                  // tasks done on spot workers, decaying with each
-	SpotLost     float64                  // tasks lost on spot workers, decaying with each
+	SpotDone     float64                  // tasks done on spot workers, decayed on each one
+	SpotLost     float64                  // tasks lost on spot workers, decayed on each one
 	Stats        Stats
-	EndedTally   Tally // of jobs that ended here
+	EndedTally   Tally // counts of jobs that ended under this leader
 
 	log *slog.Logger
 }
@@ -85,24 +86,23 @@
 	return s
 }
 
-// LeadsJob reports whether this controller surely leads the job's shard now, and has led it
-// without interruption since the shard was loaded.
+// LeadsJob reports whether this controller is certain to lead the job's shard now, without
+// interruption since the shard was loaded.
 func (s *State) LeadsJob(job *Job) bool {
 	return s.LeadsShard(job.Shard)
 }
 
-// LeadsShard reports whether this controller surely leads the shard now, and has led it
-// without interruption since the shard was loaded.
+// LeadsShard reports whether this controller is certain to lead the shard now, without
+// interruption since the shard was loaded.
 func (s *State) LeadsShard(shard int) bool {
 	version, ok := s.Membership.LeadsShard(shard)
 	return ok && version == s.Loaded[shard]
 }
 
-// PassPauseFactor is the pause after a scheduling pass, as a multiple of the pass's duration.
+// PassPauseFactor is the ratio of the pause after a scheduling pass to the duration of the pass.
 const PassPauseFactor = 4
 
-// Notify makes a signal pending, and never blocks. A signal that is pending already stands for
-// this one too.
+// Notify sends a signal without blocking. Signals that are not yet received are merged into one.
 func Notify(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
--- a/internal/jobstate/state_test.go
+++ b/internal/jobstate/state_test.go
@@ -31,7 +31,7 @@
 
 func (noTypes) Type(string) (wire.MachineType, bool) { return wire.MachineType{}, false }
 
-// newState returns the state of a leader of one shard, with leases of 30 seconds.
+// newState returns the state of a leader of one shard; leases last 30 seconds.
 func newState() *jobstate.State {
 	platform := &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 5, LeaseS: 30}}}
 	s := jobstate.New(platform, &config.Operator{Shards: 1}, soleController{}, noTypes{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -39,7 +39,7 @@
 	return s
 }
 
-// addJob adds a living job with so many pending tasks.
+// addJob adds a live job with the given number of pending tasks.
 func addJob(s *jobstate.State, tasks int) *jobstate.Job {
 	job := &jobstate.Job{
 		Spec: &wire.Job{UID: "j-1", Tasks: tasks}, AcceptedAt: time.Now(), Class: s.ClassOf("batch"), Team: &jobstate.Team{},
@@ -82,15 +82,15 @@
 	job := addJob(s, 1)
 	placement := place(s, job, "n-1", jobstate.PlacementGranted)
 	if job.Team.Used.CPUs != 2 || job.Zones["zone-a"] != 1 {
-		t.Fatalf("a granted placement uses %v, in zones %v", job.Team.Used, job.Zones)
+		t.Fatalf("use after the grant: %v, in zones %v", job.Team.Used, job.Zones)
 	}
 	s.EndPlacement(placement)
-	s.EndPlacement(placement) // as by a second message of the loss
+	s.EndPlacement(placement) // as for a repeated report of the loss
 	if len(job.Pending) != 1 || len(job.Placements) != 0 || len(placement.Worker.Placements) != 0 {
 		t.Errorf("pending %v, placements %v", job.Pending, job.Placements)
 	}
 	if job.Team.Used.CPUs != 0 || job.Zones["zone-a"] != 0 {
-		t.Errorf("still uses %v, in zones %v", job.Team.Used, job.Zones)
+		t.Errorf("use after the end: %v, in zones %v", job.Team.Used, job.Zones)
 	}
 	if changes := s.UnwrittenChanges[0]; len(changes) != 1 || changes[0].Kind != jobstate.PlacementRemoved {
 		t.Errorf("changes to record: %v", changes)
@@ -160,19 +160,19 @@
 	job.PendingCancels.RecordSent(7, time.Now())
 	job.PendingCancels.RecordFailed(7)
 	if !job.PendingCancels.Any() {
-		t.Fatal("one of two cancels failed, and the other is forgotten")
+		t.Fatal("no cancel is pending after one of two has failed")
 	}
 	s.UpdateRecord(job, &jobrecord.LiveRecord{}, 7)
 	if !job.PendingCancels.Any() {
-		t.Fatal("the record that a cancel guards was read, and the cancel is forgotten")
+		t.Fatal("no cancel is pending after a read of the record version on which it is conditional")
 	}
 	s.UpdateRecord(job, &jobrecord.LiveRecord{}, 8)
 	if job.PendingCancels.Any() {
-		t.Error("a newer record is not cancelled, and the cancel stays pending")
+		t.Error("a cancel is still pending after a newer record that is not cancelled")
 	}
 	job.PendingCancels.RecordFailed(7) // late
 	if job.PendingCancels.Any() {
-		t.Error("a late answer brings a cancel back")
+		t.Error("a late failure makes a cancel pending again")
 	}
 }
 
@@ -249,6 +249,6 @@
 		t.Errorf("%d of 30 equal jobs are large", large)
 	}
 	if !sizes.Add(9) || sizes.Add(1) {
-		t.Error("a larger job is not large, or a small one is")
+		t.Error("a larger job does not count as large, or a smaller one does")
 	}
 }
--- a/internal/jobstate/unconfirmed.go
+++ b/internal/jobstate/unconfirmed.go
@@ -6,24 +6,25 @@
 	"github.com/wallrack/wallrack/internal/config"
 )
 
-// stageLag is by how much the stage that users are told of a job may lag.
+// stageLag is the maximum delay with which a job's stage is reported to users.
 const stageLag = 3 * time.Second
 
-// MarkCompared notes that a heartbeat of the worker was compared with the placement. An
-// older one than users may be told of proves nothing: it may be from before the task began.
+// MarkCompared records that a heartbeat which arrived at that time was compared with the
+// placement. A heartbeat older than stageLag before the placement proves nothing: it may have
+// been sent before the task started.
 func (p *Placement) MarkCompared(at time.Time) {
 	if at.After(p.CreatedAt.Add(-stageLag)) {
 		p.Compared = true
 	}
 }
 
-// MayRunUnseen reports whether a task of the job may run that a predecessor started and that
-// this leader has not seen: no heartbeat of its worker was compared with it since the
-// failover, and the worker's lease may hold still.
+// MayRunUnseen reports whether a task of the job that a predecessor started may be running
+// without this leader having observed it: no heartbeat of its worker has been compared with the
+// placement since the failover, and the worker's lease may not have expired yet.
 func (s *State) MayRunUnseen(job *Job, now time.Time) bool {
 	lease := config.Seconds(s.Platform.Params.Workers.LongestLeaseS())
 	if !now.Before(s.LoadedAt.Add(lease)) {
-		return false // all placements of predecessors were known by then
+		return false // every lease from before the failover has expired
 	}
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
--- a/internal/jobstate/worker.go
+++ b/internal/jobstate/worker.go
@@ -9,65 +9,65 @@
 )
 
 const (
-	faultyErrors = 4 // errors since the last completed task from which a worker is faulty ...
-	faultyJobs   = 2 // ... if they are of at least as many jobs
-	// shortTaskShare is the share of the time for which a cordoned worker stays occupied
-	// that a further task may take, image fetch included.
+	faultyErrors = 4 // errors since the last completed task for a worker to be faulty, ...
+	faultyJobs   = 2 // ... from at least this many jobs
+	// shortTaskShare is the share of the remaining occupied time of a cordoned worker that a
+	// further task may take, including the image fetch.
 	shortTaskShare = 0.8
 )
 
-// Worker is a worker as its dispatcher's views show it.
+// Worker is a worker as shown by its dispatcher's views.
 type Worker struct {
-	Index      int // in State.WorkersByIndex; not reused after its deletion
+	Index      int // index in State.WorkersByIndex; not reused after the worker's deletion
 	Name       string
 	Type       wire.MachineType // computed by State.TypeOf
-	KnownSince time.Time        // when this leader first learnt of it
+	KnownSince time.Time        // time at which this leader first learned of the worker
 
-	View          dispatch.WorkerView
-	ViewAt        time.Time // when View arrived; zero: none did
-	LastHeartbeat time.Time // when the heartbeat in View reached the dispatcher
-	LastUnpolledHeartbeat    time.Time // the same of the last heartbeat that was not polled
+	View                  dispatch.WorkerView
+	ViewAt                time.Time // arrival of View; zero if none arrived
+	LastHeartbeat         time.Time // arrival of View's heartbeat at the dispatcher; zero if none was received
+	LastUnpolledHeartbeat time.Time // the same for the last heartbeat that was not a response to a poll
 
-	RenewedAt      time.Time // when any controller last responded to a heartbeat, which renews the lease
+	RenewedAt      time.Time // time at which any controller last responded to a heartbeat, which renews the lease
 	RenewedSession uint64    // session of the worker at RenewedAt
-	RenewedBy      string    // the controller that responded at RenewedAt
-	// ConfirmedLag is how much earlier than RenewedAt the last response was that surely arrived,
-	// see RecordRenewal.
+	RenewedBy      string    // controller that responded at RenewedAt
+	// ConfirmedLag is the time from the last response that is known to have arrived until
+	// RenewedAt, see RecordRenewal.
 	ConfirmedLag    time.Duration
-	PolledAt        time.Time // when it was last polled since its heartbeat was overdue
-	UnansweredPolls int       // polls in a row without a response
+	PolledAt        time.Time // time of the last poll for an overdue heartbeat
+	UnansweredPolls int       // consecutive polls without a response
 
-	Matrix     matching.WaitMatrix // waits for room, as published, less what is reserved
+	Matrix     matching.WaitMatrix // published wait-time matrix, less reservations
 	Placements map[*Placement]struct{}
 	MaxToken   uint64               // highest fencing token that a start command granted by this leader may carry
-	Images     map[int]*CachedImage // by number in State.Images
-
-	// These stand together to save memory: there are thousands of workers.
-	RoomReserved        bool  // Matrix holds a reservation of the pass in progress only
-	Cordoned            bool  // the autoscaler wants it empty
-	Removed             bool  // the cloud has deleted it
-	CommandObserved     bool  // a start command was seen to have had an effect since the last check
-	LeaseExpiredUnreported   bool  // its lease expired while it reached no controller, by polls alone
-	UnresponsiveHeartbeats int16 // heartbeats in a row that showed the worker to be unresponsive
-
-	ReclaimAt time.Time // when the cloud will reclaim it; zero: no notice
-	// OccupiedS is the time in seconds for which a cordoned worker stays occupied by tasks
-	// that are not evicted, as of the pass in progress.
+	Images     map[int]*CachedImage // cached images, by number in State.Images
+
+	// Small fields are grouped to save memory, because there are thousands of workers.
+	RoomReserved           bool  // Matrix includes a reservation that lasts only for the current pass
+	Cordoned               bool  // the autoscaler is emptying the worker
+	Removed                bool  // the cloud has deleted the worker
+	CommandObserved        bool  // a granted start was reported since the last check, see package reconcile
+	LeaseExpiredUnreported bool  // responses to polls show that its lease expired while no heartbeat arrived
+	UnresponsiveHeartbeats int16 // consecutive heartbeats that showed no effect of the commands sent
+
+	ReclaimAt time.Time // time at which the cloud reclaims the machine; zero without notice
+	// OccupiedS is the time in seconds for which a cordoned worker stays occupied by tasks that
+	// are not evicted, as of the current pass.
 	OccupiedS float64
 
-	RecentDone float64        // tasks done there, decaying with each
-	RecentLost float64        // tasks lost there, decaying with each
-	Failures   map[string]int // by job: errors there since a task was last done there
+	RecentDone float64        // tasks done on the worker, decayed on each one
+	RecentLost float64        // tasks lost on the worker, decayed on each one
+	Failures   map[string]int // errors since a task was last done on the worker, by job
 
-	// UnresponsiveSince is the time since which commands have had no effect on the worker, by
-	// its heartbeats; zero: they have, or nothing is known.
+	// UnresponsiveSince is the time since which commands have had no effect on the worker,
+	// according to its heartbeats; zero if they have had effect or nothing is known.
 	UnresponsiveSince time.Time
-	RespondedAt       time.Time // when the command or poll was sent that last had an effect
+	RespondedAt       time.Time // grant time of the last start known to have reached the worker, or time of its last response to a poll
 
-	RecordedFailover int // number of the last failover whose records had tasks on it; 0: none
+	RecordedFailover int // number of the last failover that loaded records of tasks on the worker; 0 if none
 }
 
-// WorkerOf returns the worker of that name, which it adds if it is new.
+// WorkerOf returns the worker of that name, and adds it if it is new.
 func (s *State) WorkerOf(name string) *Worker {
 	worker := s.Workers[name]
 	if worker == nil {
@@ -81,8 +81,8 @@
 	return worker
 }
 
-// TypeOf returns the worker's machine type; one without a name if it is not known. The result
-// is valid until the next call for the same worker.
+// TypeOf returns the worker's machine type, without a name if the type is unknown. The result is
+// valid until the next call for the same worker.
 func (s *State) TypeOf(worker *Worker) *wire.MachineType {
 	if worker.Type.Name != worker.View.Type {
 		worker.Type, _ = s.MachineTypes.Type(worker.View.Type)
@@ -90,7 +90,8 @@
 	return &worker.Type
 }
 
-// Faulty reports whether tasks of several jobs fail on the worker, and none is done there.
+// Faulty reports whether tasks of several jobs have failed on the worker and none has completed
+// since.
 func (w *Worker) Faulty() bool {
 	sum := 0
 	for _, n := range w.Failures {
@@ -99,16 +100,16 @@
 	return sum >= faultyErrors && len(w.Failures) >= faultyJobs
 }
 
-// EndsWhileOccupied reports whether a task that takes so many seconds, image fetch included,
-// ends on a cordoned worker early enough not to delay the worker's deletion.
+// EndsWhileOccupied reports whether a task that takes that many seconds, including the image
+// fetch, ends on a cordoned worker early enough not to delay the worker's deletion.
 func (w *Worker) EndsWhileOccupied(seconds float64) bool {
 	return seconds <= shortTaskShare*w.OccupiedS
 }
 
-// RecordRenewal notes that a controller responded to a heartbeat of the worker, in a session of
-// the worker. Whether the response arrived shows in the next heartbeat only: a worker that got
-// it comes back to that controller, and one that did not tries another. The lease of a new
-// session began after the heartbeat before.
+// RecordRenewal records that a controller responded to a heartbeat of the worker in the given
+// session. Only the next heartbeat shows whether the response arrived: a worker that received it
+// returns to the same controller, and one that did not tries another. The lease of a new session
+// started after the previous heartbeat.
 func (w *Worker) RecordRenewal(at time.Time, session uint64, controller string) {
 	confirmed := w.RenewedAt
 	if session == w.RenewedSession && controller != w.RenewedBy {
@@ -118,19 +119,19 @@
 	w.ConfirmedLag = at.Sub(confirmed)
 }
 
-// confirmedRenewal returns when a response to a heartbeat of the worker last surely arrived.
-// Without any that this leader can know of it is before KnownSince.
+// confirmedRenewal returns the time of the last response to a heartbeat of the worker that is
+// known to have arrived. It is before KnownSince if this leader knows of none.
 func (w *Worker) confirmedRenewal() time.Time { return w.RenewedAt.Add(-w.ConfirmedLag) }
 
-// lastRenewal returns when a heartbeat of the worker was last responded to, by any controller,
-// as far as this leader can know: not before it learnt of the worker.
+// lastRenewal returns the time of the last response to a heartbeat of the worker by any
+// controller, but not before KnownSince, before which this leader knows of none.
 func (w *Worker) lastRenewal() time.Time { return Later(w.RenewedAt, w.KnownSince) }
 
-// LastContact returns when a heartbeat of the worker last arrived or was last responded to.
-// The response to a heartbeat shows in the next view only: by lastRenewal alone, a worker on
-// a slow link looked overdue at every heartbeat although all arrived.
+// LastContact returns the time at which a heartbeat of the worker last arrived or was last
+// responded to. The response to a heartbeat is only visible in the next view: by lastRenewal
+// alone, a worker on a slow link would look overdue at every heartbeat although all arrive.
 func (w *Worker) LastContact() time.Time { return Later(w.lastRenewal(), w.LastUnpolledHeartbeat) }
 
-// LeaseUnknown reports whether this leader has not surely seen the worker's lease renewed, so
+// LeaseUnknown reports whether this leader has no confirmed renewal of the worker's lease, so
 // that the lease may expire at any time.
 func (w *Worker) LeaseUnknown() bool { return w.confirmedRenewal().Before(w.KnownSince) }
--- a/internal/matching/estimate_test.go
+++ b/internal/matching/estimate_test.go
@@ -7,14 +7,14 @@
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
-// A failure costs the completion time K_fail times.
+// The completion time counts K_fail times for the share of failures.
 func TestCostWeighsFailures(t *testing.T) {
 	if got := matching.Cost(1, 2, 7, 0.9, 4); math.Abs(got-13) > 1e-9 {
 		t.Errorf("C = %v, want 0.9*10 + 4*0.1*10", got)
 	}
 }
 
-// Each of the three conditions alone has a queued task placed again.
+// Each of the three conditions alone causes a queued task to be placed again.
 func TestShouldReplaceOnLongWait(t *testing.T) {
 	for _, c := range []struct {
 		plannedS, elapsedS, expectedS, averageS float64
--- a/internal/matching/match.go
+++ b/internal/matching/match.go
@@ -1,8 +1,8 @@
-// Package matching holds the pure decisions of placement: wait-time matrices of workers, the
-// cost of a worker for a task, stable matching of a batch of tasks to workers, and when a
-// queued task is to be placed again. It keeps no state, knows neither jobs nor workers, and
-// draws no random numbers: which workers are candidates at what cost its callers decide.
-// Times are seconds.
+// Package matching contains the pure decisions of placement: wait-time matrices of workers, the
+// cost of a worker for a task, stable matching of a batch of tasks to workers, and when a queued
+// task is to be placed again. It holds no state, does not depend on jobs or workers, and draws
+// no random numbers: its callers decide which workers are candidates and at what cost. Times are
+// in seconds.
 package matching
 
 import (
@@ -10,7 +10,7 @@
 	"sort"
 )
 
-// Candidate is a worker that a task may be placed on.
+// Candidate is a worker on which a task may be placed.
 type Candidate struct {
 	Worker int // index; not negative
 	WaitS  float64
@@ -19,15 +19,15 @@
 
 // Pairing is a task matched to a worker.
 type Pairing struct {
-	Task int // index into the options
+	Task int // index into the argument of Match
 	Candidate
-	Saving float64 // by which the worker is cheaper than the task's next best one; +Inf: it has none
+	Saving float64 // cost difference to the task's next cheapest worker; +Inf if there is none
 }
 
 // Match is the paper's variant of stable matching for one batch: every task proposes to its
-// cheapest worker, a worker that several want goes to the one that saves most by it, and the
-// others propose again, for at most so many rounds. Each worker gets at most one task, each
-// task at most one worker. Pairings come lowest wait first.
+// cheapest worker, a worker with several proposals accepts the one with the highest saving, and
+// the other tasks propose again, for at most the given number of rounds. Each worker gets at
+// most one task, and each task at most one worker. Pairings are in ascending order of wait.
 func Match(candidatesByTask [][]Candidate, rounds int) []Pairing {
 	highest := 0
 	for _, candidates := range candidatesByTask {
@@ -58,9 +58,9 @@
 	return pairings
 }
 
-// propose lets every unmatched task propose to its cheapest worker that is not taken, and
-// returns the proposal that each worker accepts: the highest saving, of equal ones the
-// first task's.
+// propose makes every unmatched task propose to its cheapest worker that is not taken, and
+// returns the proposal that each worker accepts: the one with the highest saving, and of equal
+// ones the one of the first task.
 func propose(candidatesByTask [][]Candidate, taken, matched []bool) map[int]Pairing {
 	accepted := map[int]Pairing{}
 	for task, candidates := range candidatesByTask {
@@ -79,8 +79,8 @@
 	return accepted
 }
 
-// cheapestUntaken returns the index of the cheapest candidate that is not taken, -1 if there is
-// none, and the cost of the next cheapest, +Inf if there is none.
+// cheapestUntaken returns the index of the cheapest candidate whose worker is not taken, -1 if
+// there is none, and the cost of the next cheapest, +Inf if there is none.
 func cheapestUntaken(candidates []Candidate, taken []bool) (cheapest int, nextCost float64) {
 	cheapest, nextCost = -1, math.Inf(1)
 	for i, candidate := range candidates {
--- a/internal/matching/match_test.go
+++ b/internal/matching/match_test.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
-// Every worker gets a task while there are any, none gets two, and no task would rather have
-// a worker that is left: checked against every pair.
+// As many tasks are matched as possible, no worker gets two tasks, and no task would be cheaper
+// on a worker that is left without one; every pair is checked.
 func TestMatchIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks, workers := rapid.IntRange(1, 5).Draw(t, "tasks"), rapid.IntRange(1, 5).Draw(t, "workers")
@@ -39,7 +39,7 @@
 			worker, ok := workerOf[i]
 			for other := range cost[i] {
 				if _, busy := taskOf[other]; !busy && (!ok || cost[i][other] < cost[i][worker]) {
-					t.Fatalf("task %d would rather have free worker %d", i, other)
+					t.Fatalf("task %d would be cheaper on unmatched worker %d", i, other)
 				}
 			}
 		}
--- a/internal/matching/matrix.go
+++ b/internal/matching/matrix.go
@@ -9,23 +9,23 @@
 // Allocation is a task that holds, or will hold, resources of a worker.
 type Allocation struct {
 	Resources  Resources
-	RemainingS float64 // seconds it will still hold them
+	RemainingS float64 // time for which it will hold them, in seconds
 }
 
-// WaitRow is a row of a wait-time matrix: what is free from a wait in seconds on, until the
-// next row's.
+// WaitRow is a row of a wait-time matrix: the resources that are free after WaitS seconds, until
+// those of the next row.
 type WaitRow struct {
 	WaitS float64   `json:"w"`
 	Free  Resources `json:"f"`
 }
 
-// WaitMatrix is a worker's wait-time matrix with cells where they matter: its rows stand, in
-// ascending order, at the waits at which the free amounts change, the first at 0. So a
-// look-up is exact for every size of task, GPUs included.
+// WaitMatrix is a worker's sparse wait-time matrix: its rows are, in ascending order, the waits
+// at which the free amounts change, starting at 0. Look-ups are therefore exact for every size
+// of task, including GPUs.
 type WaitMatrix []WaitRow
 
-// NewWaitMatrix simulates a worker: what runs leaves after its remaining time, and what is
-// queued starts in order as soon as it fits.
+// NewWaitMatrix returns the matrix of a worker, simulating it: running tasks release their
+// resources after their remaining time, and queued tasks start in order as soon as they fit.
 func NewWaitMatrix(total Resources, running, queued []Allocation) WaitMatrix {
 	sorted := append([]Allocation(nil), running...)
 	slices.SortFunc(sorted, func(a, b Allocation) int { return cmp.Compare(a.RemainingS, b.RemainingS) })
@@ -52,14 +52,13 @@
 	return m
 }
 
-// Wait is for how many seconds a task of this size that runs for runS would wait; +Inf if
-// it never fits for as long as it runs.
+// Wait returns how many seconds a task of this size that runs for runS would wait; +Inf if it
+// never fits for its whole run.
 func (m WaitMatrix) Wait(size Resources, runS float64) float64 {
 	return m.WaitWithin(size, runS, math.Inf(1))
 }
 
-// WaitWithin is Wait for a caller to whom any wait above limitS is the same as an infinite
-// one.
+// WaitWithin is like Wait, but may return +Inf for any wait above limitS.
 func (m WaitMatrix) WaitWithin(size Resources, runS, limitS float64) float64 {
 	start := -1
 	for i := range m {
@@ -82,7 +81,7 @@
 	return m[start].WaitS
 }
 
-// CountFitting is how many tasks of this size that run for runS can start together after
+// CountFitting returns how many tasks of this size that run for runS can start together after
 // waitS, at most limit.
 func (m WaitMatrix) CountFitting(size Resources, waitS, runS float64, limit int) int {
 	for i := range m {
@@ -97,7 +96,7 @@
 	return limit
 }
 
-// freeAt is what is free after waitS.
+// freeAt returns the free resources after waitS.
 func (m WaitMatrix) freeAt(waitS float64) Resources {
 	free := m[0].Free
 	for _, row := range m {
@@ -109,8 +108,8 @@
 	return free
 }
 
-// Reserve returns the matrix after a task takes its resources from waitS on for runS. It
-// leaves m as it is.
+// Reserve returns the matrix with a task's resources taken from waitS on for runS. It does not
+// modify m.
 func (m WaitMatrix) Reserve(size Resources, waitS, runS float64) WaitMatrix {
 	endS := waitS + runS
 	out := make(WaitMatrix, 0, len(m)+2)
--- a/internal/matching/matrix_test.go
+++ b/internal/matching/matrix_test.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
-// sizes generates what a task takes.
+// sizes generates the resources of a task.
 var sizes = rapid.Custom(func(t *rapid.T) matching.Resources {
 	return matching.Resources{
 		CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
@@ -17,18 +17,18 @@
 	}
 })
 
-// allocations generates tasks that hold resources for a while.
+// allocations generates tasks that hold resources for some time.
 var allocations = rapid.Custom(func(t *rapid.T) matching.Allocation {
 	return matching.Allocation{Resources: sizes.Draw(t, "shape"), RemainingS: float64(rapid.IntRange(1, 30).Draw(t, "left"))}
 })
 
-// timedAllocation is an allocation from a start on.
+// timedAllocation is an allocation with a start time.
 type timedAllocation struct {
 	matching.Allocation
 	fromS float64
 }
 
-// firstFit is the first whole second from which a task of this size fits for runS; +Inf if
+// firstFit returns the first whole second from which a task of this size fits for runS; +Inf if
 // there is none.
 func firstFit(total matching.Resources, spans []timedAllocation, size matching.Resources, runS float64) float64 {
 	fits := func(at float64) bool {
@@ -52,7 +52,7 @@
 	return math.Inf(1)
 }
 
-// A matrix gives the same wait as a simulation second by second, GPUs included.
+// A matrix returns the same waits as a simulation in steps of one second, including GPUs.
 func TestWaitMatrixEqualsSimulationBySeconds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := matching.Resources{CPUs: 8, GPUs: 2, MemoryGB: 12}
--- a/internal/matching/recorded_test.go
+++ b/internal/matching/recorded_test.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// Resources and matrices keep the form in which controllers send them to one another.
+// The encoding of resources and matrices, which controllers exchange, does not change.
 func TestRecorded(t *testing.T) {
 	recorded.Check(t, "shape_full", matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25})
 	recorded.Check(t, "shape_empty", matching.Resources{})
--- a/internal/matching/resources.go
+++ b/internal/matching/resources.go
@@ -9,7 +9,7 @@
 	MemoryGB float64 `json:"m"`
 }
 
-// tolerance is by how much, for rounding, an amount may exceed what it is to fit into.
+// tolerance is the rounding error by which an amount may exceed the free one and still fit.
 const tolerance = 1e-6
 
 // Fits reports whether r fits into free.
@@ -22,7 +22,7 @@
 	return Resources{r.CPUs + factor*other.CPUs, r.GPUs + factor*other.GPUs, r.MemoryGB + factor*other.MemoryGB}
 }
 
-// CountFitting is how many of r fit into free side by side, at most limit.
+// CountFitting returns how many times r fits into free at once, at most limit.
 func (r Resources) CountFitting(free Resources, limit int) int {
 	count := float64(limit)
 	for _, kind := range [...]struct{ needed, free float64 }{{r.CPUs, free.CPUs}, {r.GPUs, free.GPUs}, {r.MemoryGB, free.MemoryGB}} {
--- a/internal/planner/autoscaling.go
+++ b/internal/planner/autoscaling.go
@@ -1,15 +1,15 @@
 package planner
 
-// AdmittedWork returns how much work, in CPU-seconds, was accepted since this process
-// began. It takes the state's Mu.
+// AdmittedWork returns the work accepted since this process started, in CPU-seconds. It locks
+// the state's Mu.
 func (p *Planner) AdmittedWork() float64 {
 	p.state.Mu.Lock()
 	defer p.state.Mu.Unlock()
 	return p.state.AdmittedWork
 }
 
-// SetCordoned cordons the named workers, which take no new work so that they become idle
-// and can be scaled in, and no others. It takes the state's Mu.
+// SetCordoned cordons exactly the named workers and uncordons all others. A cordoned worker
+// takes no new work, so that it becomes idle and can be scaled in. It locks the state's Mu.
 func (p *Planner) SetCordoned(names map[string]bool) {
 	p.state.Mu.Lock()
 	defer p.state.Mu.Unlock()
@@ -19,7 +19,7 @@
 }
 
 // LeadsAutoscaling reports whether this controller leads the autoscaler: it leads the first
-// shard and its lease holds. It takes the state's Mu.
+// shard and its lease has not expired. It locks the state's Mu.
 func (p *Planner) LeadsAutoscaling() bool {
 	p.state.Mu.Lock()
 	defer p.state.Mu.Unlock()
--- a/internal/planner/batch.go
+++ b/internal/planner/batch.go
@@ -10,11 +10,11 @@
 // matchRounds is the number of rounds of proposals in a batch.
 const matchRounds = 4
 
-// placeBatch matches up to limit tasks of the jobs, gangs aside, to workers where they
-// start within the horizon, and places them, the lowest wait first. It returns how many
-// tasks of each job it placed.
-func (p *Planner) placeBatch(jobs []*jobstate.Job, open []*jobstate.Worker, limit int) map[*jobstate.Job]int {
-	candidates, jobOf := p.batchCandidates(jobs, open, limit)
+// placeBatch matches up to limit tasks of the jobs, except gangs, to workers on which they start
+// within the horizon, and places them in ascending order of wait. It returns the number of tasks
+// placed for each job.
+func (p *Planner) placeBatch(jobs []*jobstate.Job, schedulable []*jobstate.Worker, limit int) map[*jobstate.Job]int {
+	candidates, jobOf := p.batchCandidates(jobs, schedulable, limit)
 	placed := map[*jobstate.Job]int{}
 	for _, pair := range matching.Match(candidates, matchRounds) {
 		job := jobOf[pair.Task]
@@ -28,16 +28,16 @@
 	return placed
 }
 
-// batchCandidates returns the candidates of up to limit tasks of the jobs, gangs aside, and
-// the job of each of these tasks. They are valid until the next call: all share an arena
-// that is kept, since else they are most of what a pass allocates.
-func (p *Planner) batchCandidates(jobs []*jobstate.Job, open []*jobstate.Worker, limit int) (candidates [][]matching.Candidate, jobOf []*jobstate.Job) {
+// batchCandidates returns the candidate workers for up to limit tasks of the jobs, except gangs,
+// and the job of each of these tasks. The results are valid until the next call: they share a
+// reused arena, because allocating them anew would dominate the allocations of a pass.
+func (p *Planner) batchCandidates(jobs []*jobstate.Job, schedulable []*jobstate.Worker, limit int) (candidates [][]matching.Candidate, jobOf []*jobstate.Job) {
 	arena, jobCandidates := p.arena[:0], p.jobScratch
 	for _, job := range jobs {
 		if job.Spec.Gang() {
 			continue
 		}
-		jobCandidates = p.appendCandidates(jobCandidates[:0], job, open)
+		jobCandidates = p.appendCandidates(jobCandidates[:0], job, schedulable)
 		if len(jobCandidates) == 0 {
 			continue
 		}
@@ -47,7 +47,7 @@
 			}
 			from := len(arena)
 			for _, candidate := range jobCandidates {
-				candidate.Cost += rand.Float64() * p.state.Operator.RandomS // each task draws its own
+				candidate.Cost += rand.Float64() * p.state.Operator.RandomS // drawn separately for each task
 				arena = append(arena, candidate)
 			}
 			candidates = append(candidates, arena[from:len(arena):len(arena)])
@@ -58,9 +58,9 @@
 	return candidates, jobOf
 }
 
-// appendCandidates appends the workers where a task of the job starts within the horizon.
-func (p *Planner) appendCandidates(to []matching.Candidate, job *jobstate.Job, open []*jobstate.Worker) []matching.Candidate {
-	for _, worker := range p.candidates(job, p.workersWithRoom(job, open)) {
+// appendCandidates appends the workers on which a task of the job starts within the horizon.
+func (p *Planner) appendCandidates(to []matching.Candidate, job *jobstate.Job, schedulable []*jobstate.Worker) []matching.Candidate {
+	for _, worker := range p.candidates(job, p.workersWithRoom(job, schedulable)) {
 		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.HorizonS {
 			to = append(to, matching.Candidate{Worker: worker.Index, WaitS: e.waitS, Cost: e.cost})
 		}
@@ -68,8 +68,8 @@
 	return to
 }
 
-// placementFitsZone reports whether one more placement on the worker agrees with the zones of the
-// job's other placements, granted or not.
+// placementFitsZone reports whether one more placement on the worker satisfies the job's zone
+// rules, given its other placements, granted or not.
 func (p *Planner) placementFitsZone(job *jobstate.Job, worker *jobstate.Worker) bool {
 	if !job.Spec.OneZone && !job.Spec.Spread {
 		return true
@@ -89,12 +89,11 @@
 	return !job.Spec.Spread || inZone <= maxTasksInZone(job)
 }
 
-// maxTasksInZone is how many tasks of a job that is spread over zones may be in one.
+// maxTasksInZone returns how many tasks of a job that is spread over zones may run in one zone.
 func maxTasksInZone(job *jobstate.Job) int { return (job.Spec.Tasks + 1) / 2 }
 
 // fitsLimitWithQueued reports whether the job's team stays within its limit with n more tasks of
-// the job, counting what is only queued too: tasks that can't be granted yet would clog the
-// queues.
+// the job, including queued placements: tasks that cannot be granted yet would block the queues.
 func (p *Planner) fitsLimitWithQueued(job *jobstate.Job, n int) bool {
 	team := job.Team
 	if team.CPUsMax <= 0 && team.GPUsMax <= 0 {
@@ -116,7 +115,7 @@
 	return (team.CPUsMax <= 0 || used.CPUs <= team.CPUsMax+limitTolerance) && (team.GPUsMax <= 0 || used.GPUs <= team.GPUsMax+limitTolerance)
 }
 
-// addUngranted adds the resources of the job's placements without a grant.
+// addUngranted adds the resources of the job's placements that were not granted.
 func addUngranted(used matching.Resources, job *jobstate.Job) matching.Resources {
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	maxExhaustiveSearch     = 64  // up to so many workers with room, every one is a candidate
-	maxSampledWorkers = 512 // workers without the image that are looked at for a job, at most
-	sameZoneCandidates = maxExhaustiveSearch / 2
-	idleCandidates = 2
+	maxExhaustiveSearch = 64  // with at most this many workers with room, all of them are candidates
+	maxSampledWorkers   = 512 // maximum number of workers examined per job beyond those that cache its image
+	sameZoneCandidates  = maxExhaustiveSearch / 2
+	idleCandidates      = 2
 )
 
-// schedulableWorkers lists the workers that may take work, in the order of their index.
+// schedulableWorkers returns the workers that may take tasks, in the order of their index.
 func (p *Planner) schedulableWorkers() []*jobstate.Worker {
-	var open []*jobstate.Worker
+	var schedulable []*jobstate.Worker
 	timeout := p.heartbeatTimeout()
 	for _, worker := range p.state.WorkersByIndex {
 		if worker == nil || worker.Removed || worker.Cordoned && !p.staysOccupied(worker) {
@@ -23,36 +23,36 @@
 		}
 		if worker.UnresponsiveSince.IsZero() && !worker.View.Draining && worker.ReclaimAt.IsZero() &&
 			len(worker.Matrix) > 0 && p.state.Now.Sub(worker.LastHeartbeat) < timeout {
-			open = append(open, worker)
+			schedulable = append(schedulable, worker)
 		}
 	}
-	return open
+	return schedulable
 }
 
-// imageRequirements is what a job requires of a worker that caches its image.
+// imageRequirements are the requirements of a job for a worker that caches its image.
 type imageRequirements struct {
 	jobstate.Requirements
 	image int
 }
 
-// resetCaches begins a pass: what had room in the last one may have none.
+// resetCaches clears the caches of the previous pass, whose workers may have no room left.
 func (p *Planner) resetCaches() {
 	clear(p.roomCache)
 	clear(p.imageCache)
 }
 
-// workersWithRoom lists the workers where a task of the job may run and fits within the
-// horizon, as of the first call in this pass for a job with the same requirements. Room
-// only shrinks within a pass: estimate drops the workers that have none any more. Jobs
-// alike share a list, so that the cost of a pass grows with the room and not with the
-// workers times the jobs.
-func (p *Planner) workersWithRoom(job *jobstate.Job, open []*jobstate.Worker) []*jobstate.Worker {
+// workersWithRoom returns the workers on which a task of the job may run and fits within the
+// horizon, as of the first call in this pass for a job with the same requirements. Room only
+// shrinks within a pass, and estimate rejects workers that have run out of it. Jobs with equal
+// requirements share a list, so that the cost of a pass grows with the number of workers with
+// room and not with workers times jobs.
+func (p *Planner) workersWithRoom(job *jobstate.Job, schedulable []*jobstate.Worker) []*jobstate.Worker {
 	key := job.Requirements()
 	if known, ok := p.roomCache[key]; ok {
 		return known
 	}
 	withRoom := []*jobstate.Worker{}
-	for _, worker := range open {
+	for _, worker := range schedulable {
 		if p.state.AllowedOn(job, worker) && p.state.FitsLease(job, worker) && p.hasRoomWithinHorizon(job, worker) {
 			withRoom = append(withRoom, worker)
 		}
@@ -61,8 +61,8 @@
 	return withRoom
 }
 
-// hasRoomWithinHorizon reports whether a task of the job fits on the worker at some time within the
-// horizon, for however short.
+// hasRoomWithinHorizon reports whether a task of the job fits on the worker at any time within
+// the horizon, for however short a time.
 func (p *Planner) hasRoomWithinHorizon(job *jobstate.Job, worker *jobstate.Worker) bool {
 	horizonS := p.state.Operator.HorizonS + p.state.Now.Sub(worker.ViewAt).Seconds()
 	for _, row := range worker.Matrix {
@@ -76,8 +76,8 @@
 	return false
 }
 
-// workersWithImage lists those of the workers with room for the job that have its image, as
-// of the first call in this pass for such a job.
+// workersWithImage returns the workers with room for the job that cache its image, as of the
+// first call in this pass for a job with the same requirements and image.
 func (p *Planner) workersWithImage(job *jobstate.Job, image int, withRoom []*jobstate.Worker) []*jobstate.Worker {
 	key := imageRequirements{job.Requirements(), image}
 	caching, known := p.imageCache[key]
@@ -93,9 +93,9 @@
 	return caching
 }
 
-// candidates picks from the workers with room for a job those to be estimated. Where they
-// are more than fullSearch, it takes workers that cache the image, then, from a random one
-// on, workers in the zones of those and some with room now, of sampledWorkers at most.
+// candidates selects the workers to estimate from those with room for a job. Above
+// maxExhaustiveSearch workers, it selects workers that cache the image and then, among up to
+// maxSampledWorkers workers from a random start, some in the same zones and some with room now.
 func (p *Planner) candidates(job *jobstate.Job, withRoom []*jobstate.Worker) []*jobstate.Worker {
 	if len(withRoom) <= maxExhaustiveSearch {
 		return withRoom
--- a/internal/planner/cordoned.go
+++ b/internal/planner/cordoned.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// cordonedQueueWait is how long a task may wait on a cordoned worker for its grant.
+	// cordonedQueueWait is how long a placement on a cordoned worker may wait for its grant.
 	cordonedQueueWait = 3 * time.Second
-	// minOccupiedS is the least number of seconds for which a cordoned worker must stay
-	// occupied to take short tasks meanwhile.
+	// minOccupiedS is the minimum time in seconds for which a cordoned worker must stay occupied
+	// to be given short tasks in the meantime.
 	minOccupiedS = 15
 )
 
-// staysOccupied reports whether tasks that Evict doesn't stop occupy a cordoned worker for
-// at least minOccupiedS, which is paid for in any case. It sets the worker's OccupiedFor.
+// staysOccupied reports whether tasks that Evict does not stop will occupy a cordoned worker for
+// at least minOccupiedS, a time that is paid for in any case. It sets the worker's OccupiedS.
 func (p *Planner) staysOccupied(worker *jobstate.Worker) bool {
 	worker.OccupiedS = 0
 	for placement := range worker.Placements {
@@ -26,8 +26,8 @@
 		if _, ok := p.evictable(placement); ok {
 			continue
 		}
-		leftS := placement.Job.RunEstimate() - p.state.Now.Sub(placement.RunningSince).Seconds()
-		worker.OccupiedS = math.Max(worker.OccupiedS, leftS)
+		remainingS := placement.Job.RunEstimate() - p.state.Now.Sub(placement.RunningSince).Seconds()
+		worker.OccupiedS = math.Max(worker.OccupiedS, remainingS)
 	}
 	return worker.OccupiedS >= minOccupiedS
 }
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -7,9 +7,9 @@
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
-// expectedWait is for how many seconds a task of this size that runs for runS would expectedWait on the
-// worker; +Inf if it never fits. An overdue matrix is read for a larger task, since others
-// may have taken room meanwhile.
+// expectedWait returns how many seconds a task of this size that runs for runS would wait on the
+// worker; +Inf if it never fits. If the worker's view is overdue, the size is scaled up, because
+// other tasks may have taken room in the meantime.
 func (p *Planner) expectedWait(worker *jobstate.Worker, size matching.Resources, runS float64) float64 {
 	ageS := p.state.Now.Sub(worker.ViewAt).Seconds()
 	if overdueS := ageS - 1.5*p.state.Platform.Params.Workers.ReportS; overdueS > 0 {
@@ -18,21 +18,22 @@
 	return max(0, worker.Matrix.WaitWithin(size, runS, p.state.Operator.HorizonS+ageS)-ageS)
 }
 
-// estimate is what a task is expected to meet on a worker.
+// estimate is the expected delays and cost of a task on a worker.
 type estimate struct {
-	waitS  float64 // until its resources are free
-	cost   float64 // see matching.Cost; the operator's additions included
-	fetchS float64 // of its image
+	waitS  float64 // time until its resources are free
+	cost   float64 // see matching.Cost; includes the operator's surcharges
+	fetchS float64 // time to fetch its image
 }
 
-// eligible reports whether one more task of the job may be placed on the worker, room
-// aside.
+// eligible reports whether one more task of the job may be placed on the worker, regardless of
+// free room.
 func (p *Planner) eligible(job *jobstate.Job, worker *jobstate.Worker) bool {
 	return p.state.AllowedOn(job, worker) && p.state.FitsZone(job, worker) && p.state.FitsTeamLimit(job) && p.state.FitsLease(job, worker)
 }
 
-// estimate estimates a task of the job on the worker; ok is false if it may not be placed
-// there or never fits. It forgets that the job avoids the worker once that is over.
+// estimate estimates a task of the job on the worker; ok is false if the task may not be placed
+// there or never fits. It deletes the job's AvoidUntil entry for the worker once that time has
+// passed.
 func (p *Planner) estimate(job *jobstate.Job, worker *jobstate.Worker) (e estimate, ok bool) {
 	if !p.eligible(job, worker) {
 		return estimate{}, false
@@ -61,17 +62,18 @@
 	return estimate{waitS, cost + p.packingCost(job, worker, cost), fetchS}, true
 }
 
-// hasRoomNow reports whether a task of the job fits on the worker without waiting for a task
-// there to end, as far as the worker's last view shows. A view that is old does not show
-// whether a task that should have ended by now has.
+// hasRoomNow reports whether, by the worker's last view, a task of the job fits without waiting
+// for another task to end. An old view does not show whether a task that should have ended since
+// then has done so.
 func hasRoomNow(job *jobstate.Job, worker *jobstate.Worker) bool {
 	return job.Resources.Fits(worker.Matrix[0].Free)
 }
 
-// packingCost is added to a cost so that of workers which would finish a task at about the
-// same time the cheaper and the fuller one wins, and others become idle and can be scaled
-// in. What an on-demand worker costs more grows with the task. A worker without room now is
-// not preferred for being full: lost tasks were queued there for seconds, beside idle workers.
+// packingCost returns an addition to a task's cost. Among workers that would finish the task at
+// about the same time, it favors the cheaper and the fuller one, so that others become idle and
+// can be scaled in. The surcharge for an on-demand worker grows with the task's cost. A worker
+// without room now gets no advantage for being full: otherwise tasks queue there for seconds
+// while other workers are idle.
 func (p *Planner) packingCost(job *jobstate.Job, worker *jobstate.Worker, cost float64) float64 {
 	machine := p.state.TypeOf(worker)
 	if machine.CPUs <= 0 {
@@ -81,7 +83,7 @@
 	if hasRoomNow(job, worker) {
 		freeShare = max(0, worker.Matrix[0].Free.CPUs) / machine.CPUs
 	}
-	surcharge := 0.0 // of the on-demand price, relative to the spot price
+	surcharge := 0.0 // excess of the on-demand price, relative to the spot price
 	if !worker.View.Spot && machine.SpotPrice > 0 {
 		surcharge = max(0, machine.Price/machine.SpotPrice-1)
 	}
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -10,14 +10,15 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Demand is waiting tasks of a job, or of several jobs that are alike for planning.
+// Demand is a group of waiting tasks, of one job or of several jobs that are equivalent for
+// planning.
 type Demand struct {
-	Resources matching.Resources `json:"Shape"` // of a task
+	Resources matching.Resources `json:"Shape"` // of one task
 	Job       *wire.Job          `json:"Job"`   // one of the jobs
-	Count     int                `json:"Count"` // of tasks
-	RunS      float64            `json:"Run"`   // seconds that a task is expected to run, on average
+	Count     int                `json:"Count"` // number of tasks
+	RunS      float64            `json:"Run"`   // expected run time of a task in seconds, on average
 	Rank      int                `json:"Rank"`
-	SlackS    float64            `json:"Slack"` // seconds that it may wait and still meet an aim that a new worker can help with
+	SlackS    float64            `json:"Slack"` // seconds that a task may still wait and meet an objective that a new worker can help to meet
 }
 
 // WorkerLoad is a worker as the autoscaler sees it.
@@ -26,17 +27,17 @@
 	Type          string              `json:"Type"`
 	Zone          string              `json:"Zone"`
 	Spot          bool                `json:"Spot"`
-	Notice        bool                `json:"Notice"` // the cloud takes the machine soon
-	Faulty        bool                `json:"Faulty"` // it fails tasks that run elsewhere
+	Notice        bool                `json:"Notice"` // the cloud has given notice that it reclaims the machine
+	Faulty        bool                `json:"Faulty"` // tasks of several jobs fail on it
 	Matrix        matching.WaitMatrix `json:"Matrix"`
-	Used          matching.Resources  `json:"Used"`    // by tasks that may run
-	LastHeartbeat time.Time           `json:"Heard"`   // last heartbeat
-	LastKnown     time.Time           `json:"Existed"` // last heartbeat, or when this leader first knew of the worker
-	Placements    int                 `json:"Places"`  // placements
+	Used          matching.Resources  `json:"Used"`    // by placements that may be running
+	LastHeartbeat time.Time           `json:"Heard"`   // time of the last heartbeat
+	LastKnown     time.Time           `json:"Existed"` // time of the last heartbeat, or when this leader first learned of the worker if that is later
+	Placements    int                 `json:"Places"`  // number of placements
 }
 
-// Demand returns the work that waits for a worker, most urgent first, and the load of each
-// worker. A new worker is ready after bootS seconds. It takes the state's Mu.
+// Demand returns the work that waits for workers, in scheduling order, and the load of each
+// worker. bootS is the time in seconds until a new worker is ready. It locks the state's Mu.
 func (p *Planner) Demand(bootS float64) ([]Demand, []WorkerLoad) {
 	p.state.Mu.Lock()
 	defer p.state.Mu.Unlock()
@@ -46,14 +47,14 @@
 	return p.groupDemand(waiting, tasks, bootS), p.workerLoads()
 }
 
-// jobsWithDemand lists the jobs with tasks that wait, and how many tasks of each do.
+// jobsWithDemand returns the jobs with waiting tasks, and the number of waiting tasks of each.
 func (p *Planner) jobsWithDemand() (waiting []*jobstate.Job, tasks map[*jobstate.Job]int) {
 	tasks = map[*jobstate.Job]int{}
 	for _, job := range p.state.JobOrder {
 		if job.Cancelled || job.EndStage != "" {
 			continue
 		}
-		n := p.state.EligibleTasks(job) // workers are provisioned for all of it
+		n := p.state.EligibleTasks(job) // all eligible tasks, not only those placeable in this pass
 		for _, placements := range job.Placements {
 			if !slices.ContainsFunc(placements, mayRunOrExited) {
 				n++
@@ -67,23 +68,24 @@
 	return waiting, tasks
 }
 
-// mayRunOrExited reports whether a placement is more than queued.
+// mayRunOrExited reports whether a placement was granted or has exited.
 func mayRunOrExited(placement *jobstate.Placement) bool {
 	return placement.MayRun() || placement.Exited
 }
 
-// demandKey is what makes waiting work alike for planning.
+// demandKey identifies jobs whose waiting tasks are equivalent for planning.
 type demandKey struct {
 	requirements jobstate.Requirements
 	rank         int
-	run, slack   int // see logScale
+	run, slack   int // see logBucket
 }
 
-// logBucket is the same for times, in seconds, that differ by less than about a tenth.
+// logBucket maps a time in seconds to a logarithmic bucket: times that differ by less than about
+// a tenth share one.
 func logBucket(s float64) int { return int(math.Log(max(s, 1)) / math.Log(1.1)) }
 
-// groupDemand returns the demand of the jobs in their order, with that of jobs alike, gangs
-// and services aside, in one: many small jobs, each planned for itself, take a small
+// groupDemand returns the demand of the jobs in their order. Equivalent jobs, except gangs and
+// services, are merged into one entry: planning many small jobs one by one would occupy a small
 // controller's processor for seconds.
 func (p *Planner) groupDemand(jobs []*jobstate.Job, tasks map[*jobstate.Job]int, bootS float64) []Demand {
 	groups := make([]Demand, 0, len(jobs))
@@ -108,7 +110,7 @@
 	return groups
 }
 
-// merge adds the tasks of another demand that is alike.
+// merge adds the tasks of an equivalent demand.
 func (d *Demand) merge(other *Demand) {
 	sum := float64(d.Count + other.Count)
 	d.RunS = (d.RunS*float64(d.Count) + other.RunS*float64(other.Count)) / sum
@@ -116,11 +118,11 @@
 	d.Count += other.Count
 }
 
-// workerLoads describes all workers; nil if there are none.
+// workerLoads returns the load of every worker; nil if there are none.
 func (p *Planner) workerLoads() []WorkerLoad {
 	loads := slices.Grow([]WorkerLoad(nil), len(p.state.Workers))
 	for _, worker := range p.state.Workers {
-		worker.Type, _ = p.state.MachineTypes.Type(worker.View.Type) // prices change
+		worker.Type, _ = p.state.MachineTypes.Type(worker.View.Type) // refreshed, because prices change
 		load := WorkerLoad{
 			Name: worker.Name, Type: worker.View.Type, Zone: worker.View.Zone, Spot: worker.View.Spot, Matrix: worker.Matrix,
 			LastHeartbeat: worker.LastHeartbeat, LastKnown: jobstate.Later(worker.LastHeartbeat, worker.KnownSince),
--- a/internal/planner/evict.go
+++ b/internal/planner/evict.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	minEvictionGain = 3    // times what stopping tasks wastes that it must save
-	maxEvictionLoss = 0.35 // of a task's run, at most, that stopping it may waste
+	minEvictionGain = 3    // minimum ratio of the cost that evictions save to the cost of the work that they waste
+	maxEvictionLoss = 0.35 // maximum share of a task's run that its eviction may waste
 )
 
-// Evict stops the tasks that run longest on cordoned workers, where that wastes much less
-// than the machine costs until they end: a few small tasks would keep a large machine for
-// minutes. There must be room for them elsewhere. It withdraws what waits there for its
-// grant for long. The caller holds the state's Mu.
+// Evict stops the longest-running tasks on cordoned workers where that wastes much less than the
+// machine would cost until they end: otherwise a few small tasks would occupy a large machine
+// for minutes. There must be room for them on other workers. It also withdraws placements that
+// have waited for a grant on a cordoned worker for more than cordonedQueueWait. The caller holds
+// the state's Mu.
 func (p *Planner) Evict() {
 	cordoned, freeCPUs := p.cordonedWorkers()
 	if len(cordoned) == 0 {
@@ -44,7 +45,8 @@
 	}
 }
 
-// cordonedWorkers lists the cordoned workers, and returns the free CPUs of those that stay.
+// cordonedWorkers returns the cordoned workers, and the free CPUs of the workers that are not
+// cordoned, draining or about to be reclaimed.
 func (p *Planner) cordonedWorkers() (cordoned []*jobstate.Worker, freeCPUs float64) {
 	for _, worker := range p.state.WorkersByIndex {
 		switch {
@@ -58,8 +60,8 @@
 	return cordoned, freeCPUs
 }
 
-// withdrawQueued withdraws the placements on a cordoned worker that were not granted for
-// cordonedQueueWait: their tasks can simply be placed elsewhere.
+// withdrawQueued withdraws the placements on a cordoned worker that have waited for a grant for
+// more than cordonedQueueWait: their tasks can be placed elsewhere at no loss.
 func (p *Planner) withdrawQueued(worker *jobstate.Worker) {
 	for placement := range worker.Placements {
 		if !placement.MayRun() && !placement.Exited && p.state.Now.Sub(placement.CreatedAt) > cordonedQueueWait {
@@ -81,13 +83,13 @@
 
 // evictionCandidate is a task on a cordoned worker.
 type evictionCandidate struct {
-	placement    *jobstate.Placement
-	remainingS, lossS float64 // until it ends, and what stopping it wastes
-	evictable    bool
+	placement         *jobstate.Placement
+	remainingS, lossS float64 // time until it ends, and run time that stopping it wastes
+	evictable         bool
 }
 
-// evictionCandidates lists the tasks on a worker that are not being stopped, the one that
-// ends last first.
+// evictionCandidates returns the tasks on a worker that are not being stopped, in descending
+// order of remaining time.
 func (p *Planner) evictionCandidates(worker *jobstate.Worker) []evictionCandidate {
 	var candidates []evictionCandidate
 	for placement := range worker.Placements {
@@ -111,9 +113,9 @@
 	return candidates
 }
 
-// selectEvictions picks the tasks to be stopped on a worker: those that would keep it longest,
-// as far as that saves evictionGain times what it wastes and roomCPUs elsewhere suffices.
-// The others end soon by themselves.
+// selectEvictions selects the tasks to stop on a worker: those that would occupy it longest, as
+// long as the saving is at least minEvictionGain times the waste and freeCPUs on other workers
+// suffice. The remaining tasks end soon by themselves.
 func (p *Planner) selectEvictions(worker *jobstate.Worker, freeCPUs float64) []evictionCandidate {
 	machine := p.state.TypeOf(worker)
 	if machine.CPUs <= 0 || machine.SpotPrice <= 0 {
@@ -123,7 +125,7 @@
 	return candidates[:evictionCount(candidates, machine, freeCPUs)]
 }
 
-// evictionCount is how many of the first candidates to stop for the highest gain.
+// evictionCount returns how many of the first candidates to stop for the highest gain.
 func evictionCount(candidates []evictionCandidate, machine *wire.MachineType, freeCPUs float64) int {
 	count, bestGain := 0, 0.0
 	wasted, allResume := 0.0, true
@@ -140,7 +142,7 @@
 			nextRemainingS = candidates[i+1].remainingS
 		}
 		if !allResume && i+1 < len(candidates) {
-			continue // what begins anew may come late: only to empty the worker at once
+			continue // a task without checkpoints starts over and may finish late: stop it only if the worker becomes empty
 		}
 		if gain := machine.Price*(candidates[0].remainingS-nextRemainingS) - minEvictionGain*wasted; gain > bestGain {
 			count, bestGain = i+1, gain
@@ -149,8 +151,8 @@
 	return count
 }
 
-// evictable reports whether a task may be stopped to empty its worker, and how many seconds
-// of its run that wastes. Each task is evicted once at most.
+// evictable reports whether a task may be stopped to empty its worker, and how many seconds of
+// its run that wastes. Each task is evicted at most once.
 func (p *Planner) evictable(placement *jobstate.Placement) (lossS float64, ok bool) {
 	job := placement.Job
 	if placement.State != jobstate.PlacementReported || placement.Exited || !placement.FirstHaltAt.IsZero() ||
@@ -167,8 +169,8 @@
 	if job.Spec.CheckpointIntervalS > 0 {
 		return math.Min(elapsedS, job.Spec.CheckpointSaveS), true
 	}
-	// No limit that it meets by running on may be missed by starting again. What is late
-	// already must not become later still: the whole of the work waits for it in the end.
+	// A restart must not miss a deadline that the task meets by running on. A task that is
+	// already late is not stopped either: its job as a whole would finish even later.
 	ageS, runS := p.state.Now.Sub(job.AcceptedAt).Seconds(), job.RunEstimate()
 	remainingS, late := max(runS-elapsedS, 1), true
 	for _, limitS := range p.state.Deadlines(job) {
--- a/internal/planner/gang.go
+++ b/internal/planner/gang.go
@@ -7,12 +7,12 @@
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
-// placeGang places all pending tasks of a gang, or none: the first ones would only hold
-// their workers until the last one starts.
-func (p *Planner) placeGang(job *jobstate.Job, open []*jobstate.Worker) {
+// placeGang places all pending tasks of a gang, or none: a part of the gang would only occupy
+// its workers until the last task starts.
+func (p *Planner) placeGang(job *jobstate.Job, schedulable []*jobstate.Worker) {
 	n := len(job.Pending)
 	if len(job.Placements) > 0 {
-		return // what is left of the last try goes first
+		return // placements of the previous attempt must end first
 	}
 	if n == 0 || n > maxPlacementsPerPass || !p.fitsLimitWithQueued(job, n) {
 		return
@@ -20,20 +20,20 @@
 	zones := map[string]bool{"": true}
 	if job.Spec.OneZone {
 		clear(zones)
-		for _, worker := range open {
+		for _, worker := range schedulable {
 			zones[worker.View.Zone] = true
 		}
 	}
 	for zone := range zones {
-		if members := p.matchGang(job, open, zone, n); members != nil {
+		if members := p.matchGang(job, schedulable, zone, n); members != nil {
 			p.placeMembers(job, members)
 			return
 		}
 	}
 }
 
-// placeMembers places a gang's pending tasks, all under one new attempt: by it workers let
-// its tasks wait for each other.
+// placeMembers places a gang's pending tasks under one new attempt, by which workers recognize
+// the tasks that must wait for one another.
 func (p *Planner) placeMembers(job *jobstate.Job, members []gangMember) {
 	attempt := uint64(1)
 	for _, chunk := range job.Chunks {
@@ -50,15 +50,15 @@
 	}
 }
 
-// gangMember is the worker for one task of a gang.
+// gangMember is the worker selected for one task of a gang.
 type gangMember struct {
 	worker *jobstate.Worker
 	waitS  float64
 }
 
-// matchGang finds a worker for each of n tasks, in one zone unless it is ""; nil if there
-// are not enough. It leaves the workers' matrices as they are.
-func (p *Planner) matchGang(job *jobstate.Job, open []*jobstate.Worker, zone string, n int) []gangMember {
+// matchGang returns a worker for each of n tasks, all in the given zone unless it is ""; nil if
+// there are not enough. It restores the workers' matrices before it returns.
+func (p *Planner) matchGang(job *jobstate.Job, schedulable []*jobstate.Worker, zone string, n int) []gangMember {
 	saved := map[*jobstate.Worker]matching.WaitMatrix{}
 	defer func() {
 		for worker, matrix := range saved {
@@ -73,7 +73,7 @@
 	}
 	var members []gangMember
 	for len(members) < n {
-		worker, e := p.bestGangWorker(job, open, zone, inZone)
+		worker, e := p.bestGangWorker(job, schedulable, zone, inZone)
 		if worker == nil {
 			return nil
 		}
@@ -87,14 +87,15 @@
 	return members
 }
 
-// bestGangWorker returns the worker of lowest cost, within the horizon and in the zone unless
-// it is "", for one more task of a gang that has inZone tasks by zone; nil if there is none.
-func (p *Planner) bestGangWorker(job *jobstate.Job, open []*jobstate.Worker, zone string, inZone map[string]int) (*jobstate.Worker, estimate) {
+// bestGangWorker returns the worker with the lowest cost for one more task of a gang, within the
+// horizon and in the given zone unless it is ""; nil if there is none. inZone is the number of
+// the gang's tasks by zone.
+func (p *Planner) bestGangWorker(job *jobstate.Job, schedulable []*jobstate.Worker, zone string, inZone map[string]int) (*jobstate.Worker, estimate) {
 	var best *jobstate.Worker
 	bestEstimate := estimate{cost: math.Inf(1)}
-	for _, worker := range open {
-		z := worker.View.Zone
-		if zone != "" && z != zone || job.Spec.Spread && inZone[z]+1 > maxTasksInZone(job) || job.Spec.OneZone && !p.placementFitsZone(job, worker) {
+	for _, worker := range schedulable {
+		workerZone := worker.View.Zone
+		if zone != "" && workerZone != zone || job.Spec.Spread && inZone[workerZone]+1 > maxTasksInZone(job) || job.Spec.OneZone && !p.placementFitsZone(job, worker) {
 			continue
 		}
 		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.HorizonS && e.cost < bestEstimate.cost {
--- a/internal/planner/order.go
+++ b/internal/planner/order.go
@@ -6,24 +6,24 @@
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// limitTolerance is by how much, for rounding, use may exceed a team's limit.
+// limitTolerance is the rounding error by which use may exceed a team's limit.
 const limitTolerance = 1e-6
 
-// SortJobs sorts jobs into the order in which they are placed: those that must begin, then
-// those within their team's guarantee, then by priority, then by the number of limits that
-// Triage lets them miss, then by when they are due. Jobs alike in all keep their order.
-// The caller holds the state's Mu.
+// SortJobs sorts jobs into the order in which they are placed: first those that need their first
+// start, then those within their team's guarantee, then by priority, then by the number of
+// deadlines that Triage expects them to miss, then by due time. The sort is stable. The caller
+// holds the state's Mu.
 func (p *Planner) SortJobs(jobs []*jobstate.Job) {
-	guaranteed, mustBegin := map[*jobstate.Job]bool{}, map[*jobstate.Job]bool{}
+	guaranteed, needsFirstStart := map[*jobstate.Job]bool{}, map[*jobstate.Job]bool{}
 	for _, job := range jobs {
-		mustBegin[job] = p.state.NeedsFirstStart(job)
+		needsFirstStart[job] = p.state.NeedsFirstStart(job)
 		guaranteed[job] = withinGuarantee(job)
 	}
 	sort.SliceStable(jobs, func(a, b int) bool {
 		x, y := jobs[a], jobs[b]
 		switch {
-		case mustBegin[x] != mustBegin[y]:
-			return mustBegin[x]
+		case needsFirstStart[x] != needsFirstStart[y]:
+			return needsFirstStart[x]
 		case guaranteed[x] != guaranteed[y]:
 			return guaranteed[x]
 		case x.Spec.Rank() != y.Spec.Rank():
@@ -35,8 +35,9 @@
 	})
 }
 
-// withinGuarantee reports whether the job's team stays within its guarantee, in CPUs or in
-// GPUs, with one more task of the job; with a leased limit, whether it is below it now.
+// withinGuarantee reports whether the job's team stays within its guarantee, in CPUs or in GPUs,
+// with one more task of the job. If the team's limit is leased, it reports whether current use
+// is below the guarantee.
 func withinGuarantee(job *jobstate.Job) bool {
 	team := job.Team
 	if team.Leased != nil {
--- a/internal/planner/pass.go
+++ b/internal/planner/pass.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	maxBatchTasks        = 96  // tasks in a batch, at most
-	maxBatchJobs         = 24  // jobs that a batch takes tasks from, at most
-	maxPlacementsPerPass = 400 // bounds what one pass adds to the shard's log
+	maxBatchTasks        = 96  // maximum number of tasks in a batch
+	maxBatchJobs         = 24  // maximum number of jobs from which a batch takes tasks
+	maxPlacementsPerPass = 400 // bounds the records that one pass adds to the shard's log
 )
 
-// Pass runs one scheduling pass: it matches waiting tasks in batches, most urgent jobs
-// first, until nothing more starts within the horizon or the budget of placements is used
-// up, and then preempts for urgent jobs that are left. In the second case PlanSignal is
-// set for another pass. Without a second of lease left, or without a shard, it does
-// nothing. The caller holds the state's Mu.
+// Pass runs one scheduling pass: it matches waiting tasks in batches, in the order of SortJobs,
+// until no further task starts within the horizon or the budget of placements is spent, and then
+// preempts for urgent jobs that still wait. If the budget is spent, it signals PlanSignal for
+// another pass. It does nothing if the lease has less than a second remaining or no shard is loaded.
+// The caller holds the state's Mu.
 func (p *Planner) Pass() {
 	if p.state.Membership.LeaseRemaining() < time.Second || len(p.state.Loaded) == 0 {
 		return
@@ -29,24 +29,24 @@
 	if len(waiting) == 0 {
 		return
 	}
-	open := p.schedulableWorkers()
+	schedulable := p.schedulableWorkers()
 	p.resetCaches()
 	p.SortJobs(waiting)
 	all := append([]*jobstate.Job(nil), waiting...)
 	for budget := maxPlacementsPerPass; len(waiting) > 0; {
 		if budget <= 0 {
-			jobstate.Notify(p.state.PlanSignal) // what is left is for the next pass
+			jobstate.Notify(p.state.PlanSignal) // the next pass places the remaining tasks
 			break
 		}
 		var placed int
-		waiting, placed = p.placeNextBatch(waiting, open, budget)
+		waiting, placed = p.placeNextBatch(waiting, schedulable, budget)
 		budget -= placed
 	}
-	p.preempt(all, open)
-	p.releaseReservedRoom(open)
+	p.preempt(all, schedulable)
+	p.releaseReservedRoom(schedulable)
 }
 
-// waitingJobs lists the jobs of which a task may be placed now.
+// waitingJobs returns the jobs with tasks that may be placed now.
 func (p *Planner) waitingJobs() []*jobstate.Job {
 	var waiting []*jobstate.Job
 	for _, job := range p.state.JobOrder {
@@ -57,61 +57,62 @@
 	return waiting
 }
 
-// placeNextBatch places tasks of the first jobs in line, and reserves room for those of
-// them that got none if jobs of lower priority come next. It returns the jobs that are
-// left for the next batch, in the space of waiting, and how many tasks it placed of jobs
-// other than gangs.
-func (p *Planner) placeNextBatch(waiting []*jobstate.Job, open []*jobstate.Worker, budget int) (left []*jobstate.Job, placed int) {
-	rank, mustBegin := waiting[0].Spec.Rank(), p.state.NeedsFirstStart(waiting[0])
-	jobs := p.nextBatch(waiting, mustBegin)
+// placeNextBatch places tasks of the first jobs in waiting. If jobs of lower priority come next,
+// it reserves room for the jobs of the batch that still wait. It returns the jobs that remain
+// for the next batch, reusing the array of waiting, and the number of tasks placed, except those
+// of gangs.
+func (p *Planner) placeNextBatch(waiting []*jobstate.Job, schedulable []*jobstate.Worker, budget int) (remaining []*jobstate.Job, placed int) {
+	rank, needsFirstStart := waiting[0].Spec.Rank(), p.state.NeedsFirstStart(waiting[0])
+	jobs := p.nextBatch(waiting, needsFirstStart)
 	for _, job := range jobs {
 		if job.Spec.Gang() {
-			p.placeGang(job, open)
+			p.placeGang(job, schedulable)
 		}
 	}
-	placedOf := p.placeBatch(jobs, open, min(budget, maxBatchTasks))
+	placedOf := p.placeBatch(jobs, schedulable, min(budget, maxBatchTasks))
 	for _, n := range placedOf {
 		placed += n
 	}
-	left = p.remainingJobs(waiting, jobs, placedOf)
-	if mustBegin {
-		// Only for first tasks: what began has its turn with all others.
+	remaining = p.remainingJobs(waiting, jobs, placedOf)
+	if needsFirstStart {
+		// Room is reserved for first starts only: jobs that have started are sorted among the
+		// others again.
 		jobs = slices.DeleteFunc(jobs, func(job *jobstate.Job) bool { return !p.state.NeedsFirstStart(job) })
-		p.SortJobs(left)
+		p.SortJobs(remaining)
 	}
-	if len(left) > 0 && (mustBegin || left[0].Spec.Rank() < rank) {
-		p.reserveRoom(jobs, open)
+	if len(remaining) > 0 && (needsFirstStart || remaining[0].Spec.Rank() < rank) {
+		p.reserveRoom(jobs, schedulable)
 	}
-	return left, placed
+	return remaining, placed
 }
 
-// nextBatch picks the jobs of a batch: those that must begin, or those of the first job's
-// priority and tier.
-func (p *Planner) nextBatch(waiting []*jobstate.Job, mustBegin bool) []*jobstate.Job {
+// nextBatch returns the jobs of a batch: those that need their first start, or those with the
+// priority and tier of the first job.
+func (p *Planner) nextBatch(waiting []*jobstate.Job, needsFirstStart bool) []*jobstate.Job {
 	rank, tier := waiting[0].Spec.Rank(), waiting[0].Tier
 	var jobs []*jobstate.Job
 	for _, job := range waiting {
-		if len(jobs) < maxBatchJobs && p.state.NeedsFirstStart(job) == mustBegin && (mustBegin || job.Spec.Rank() == rank && job.Tier == tier) {
+		if len(jobs) < maxBatchJobs && p.state.NeedsFirstStart(job) == needsFirstStart && (needsFirstStart || job.Spec.Rank() == rank && job.Tier == tier) {
 			jobs = append(jobs, job)
 		}
 	}
 	return jobs
 }
 
-// remainingJobs filters waiting in place: without the jobs of which nothing more waits, and
-// without those of which the batch placed nothing, which are left for later passes.
+// remainingJobs filters waiting in place: it removes the jobs without placeable tasks, and those
+// for which the batch placed nothing, which wait for a later pass.
 func (p *Planner) remainingJobs(waiting, batch []*jobstate.Job, placedOf map[*jobstate.Job]int) []*jobstate.Job {
-	left := waiting[:0]
+	remaining := waiting[:0]
 	considered := map[*jobstate.Job]bool{}
 	for _, job := range batch {
 		considered[job] = true
 	}
 	for _, job := range waiting {
 		if p.state.PlaceableTasks(job) > 0 && (!considered[job] || placedOf[job] > 0) {
-			left = append(left, job)
+			remaining = append(remaining, job)
 		}
 	}
-	return left
+	return remaining
 }
 
 // placePending places the job's last pending task on a worker.
@@ -121,8 +122,8 @@
 	p.placeTask(job, task, worker, waitS)
 }
 
-// placeTask places a task on a worker; the dispatcher is notified once the placement is
-// recorded. A gang's tasks share an attempt, which placeGang sets.
+// placeTask places a task on a worker; the dispatcher is told once the placement is recorded. A
+// gang's tasks share an attempt, which placeGang sets.
 func (p *Planner) placeTask(job *jobstate.Job, task int, worker *jobstate.Worker, waitS float64) {
 	chunk := job.Chunks[task/jobrecord.ChunkSize]
 	placement := &jobstate.Placement{
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	maxPreemptionsPerPass = 24  // tasks that one pass stops, at most
-	maxPreemptionWorkers  = 200 // workers that one pass looks at, at most
-	maxPreemptionLoss     = 0.5 // work that stopping wastes, at most, per work that it lets start
-	nearlyDoneS        = 3   // a task without checkpoints that ends within this is left alone
-	minLossCPUs      = 0.1 // CPUs that a stopped task is taken to have, at least
+	maxPreemptionsPerPass = 24  // maximum number of tasks stopped in one pass
+	maxPreemptionWorkers  = 200 // maximum number of workers examined in one pass
+	maxPreemptionLoss     = 0.5 // maximum ratio of the work wasted to the work that can start
+	nearlyDoneS           = 3   // a task without checkpoints that ends within this time is not stopped
+	minLossCPUs           = 0.1 // minimum number of CPUs assumed for a stopped task
 )
 
 // preemptionCandidate is a running task that may be stopped for another job.
 type preemptionCandidate struct {
 	placement *jobstate.Placement
-	lossS     float64 // of its run that stopping it now wastes
+	lossS     float64 // run time that stopping it now wastes
 }
 
-// preempt makes room for urgent jobs whose aim to start soon is in danger, by stopping
-// tasks of lower priority that lose little and have time left. One pass looks at a part of
-// the workers, the next one goes on from there.
-func (p *Planner) preempt(waiting []*jobstate.Job, open []*jobstate.Worker) {
+// preempt makes room for urgent jobs that are about to miss a start objective or a deadline, by
+// stopping tasks of lower priority that lose little work and have time left. One pass examines a
+// part of the workers; the next pass continues from there.
+func (p *Planner) preempt(waiting []*jobstate.Job, schedulable []*jobstate.Worker) {
 	var urgent []*jobstate.Job
 	for _, job := range waiting {
 		if p.state.PlaceableTasks(job) > 0 && !job.Cancelled && !job.Spec.Gang() && p.mustStartSoon(job) {
@@ -33,7 +33,7 @@
 		}
 	}
 	budget := maxPreemptionsPerPass
-	for range min(len(open), maxPreemptionWorkers) {
+	for range min(len(schedulable), maxPreemptionWorkers) {
 		for len(urgent) > 0 && len(urgent[0].Pending) == 0 {
 			urgent = urgent[1:]
 		}
@@ -41,25 +41,25 @@
 			return
 		}
 		p.lastPreemptIndex++
-		budget -= p.preemptOnWorker(urgent[0], open[p.lastPreemptIndex%len(open)], budget)
+		budget -= p.preemptOnWorker(urgent[0], schedulable[p.lastPreemptIndex%len(schedulable)], budget)
 	}
 }
 
-// preemptOnWorker stops up to limit tasks on a worker and places the job's tasks there in their
-// stead. It returns how many it stopped.
+// preemptOnWorker stops up to limit tasks on a worker and places tasks of the job there instead.
+// It returns how many it stopped.
 func (p *Planner) preemptOnWorker(job *jobstate.Job, worker *jobstate.Worker, limit int) int {
 	if worker.Cordoned || !p.eligible(job, worker) {
 		return 0
 	}
 	if fetchS := p.state.FetchTime(job, worker); fetchS > 0 && p.missesStartObjective(job, fetchS) && !p.missesStartObjective(job, 0) {
-		return 0 // another worker has the image
+		return 0 // the image fetch would miss a start objective; prefer a worker that caches the image
 	}
 	stopped, starts := p.selectPreemptions(job, worker, limit)
 	if starts == 0 {
 		return 0
 	}
 	for placement := range worker.Placements {
-		// What is queued here must not take the room.
+		// Tasks queued on the worker must not take the freed room.
 		if placement.State == jobstate.PlacementRecorded && placement.Job.Spec.Rank() < job.Spec.Rank() {
 			p.state.WithdrawPlacement(placement)
 		}
@@ -75,9 +75,9 @@
 	return len(stopped)
 }
 
-// selectPreemptions picks up to limit tasks to be stopped on a worker, as long as they waste
-// little against the work of the job that they let start, and returns how many of its tasks
-// can start then.
+// selectPreemptions selects up to limit tasks to stop on a worker, as long as they waste little
+// work compared with the work of the job that can then start. It also returns how many tasks of
+// the job can start.
 func (p *Planner) selectPreemptions(job *jobstate.Job, worker *jobstate.Worker, limit int) (picked []preemptionCandidate, starts int) {
 	free := worker.Matrix[0].Free
 	runS := job.RunEstimate()
@@ -89,18 +89,18 @@
 		victim := candidate.placement.Job
 		freed := free.Add(victim.Resources, 1)
 		n := p.startableTasks(job, freed, starts)
-		lossThen := loss + candidate.lossS*max(victim.Resources.CPUs, minLossCPUs)
-		if n > 0 && lossThen > maxPreemptionLoss*runS*job.Resources.CPUs*float64(n) {
+		newLoss := loss + candidate.lossS*max(victim.Resources.CPUs, minLossCPUs)
+		if n > 0 && newLoss > maxPreemptionLoss*runS*job.Resources.CPUs*float64(n) {
 			break
 		}
-		free, loss, starts = freed, lossThen, n
+		free, loss, starts = freed, newLoss, n
 		picked = append(picked, candidate)
 	}
 	return picked, starts
 }
 
-// startableTasks is how many placeable tasks of the job fit into free together, given that at
-// least n do.
+// startableTasks returns how many placeable tasks of the job fit into free together; the caller
+// knows that at least n do.
 func (p *Planner) startableTasks(job *jobstate.Job, free matching.Resources, n int) int {
 	for n < p.state.PlaceableTasks(job) && job.Resources.Scale(float64(n+1)).Fits(free) {
 		n++
@@ -108,8 +108,8 @@
 	return n
 }
 
-// preemptionCandidates lists the tasks that may be stopped on a worker for a job, least
-// loss first.
+// preemptionCandidates returns the tasks on a worker that may be stopped for a job, in ascending
+// order of loss.
 func (p *Planner) preemptionCandidates(job *jobstate.Job, worker *jobstate.Worker) []preemptionCandidate {
 	var candidates []preemptionCandidate
 	for placement := range worker.Placements {
@@ -136,8 +136,8 @@
 	return candidates
 }
 
-// preemptible reports whether the task of a placement runs, is of lower priority than the
-// job, and has time to run again.
+// preemptible reports whether the task of a placement is running, has lower priority than the
+// job, and has enough slack to run again.
 func (p *Planner) preemptible(placement *jobstate.Placement, job *jobstate.Job) bool {
 	victim := placement.Job
 	if placement.State != jobstate.PlacementReported || placement.RunningSince.IsZero() || !placement.FirstHaltAt.IsZero() || placement.Exited {
--- a/internal/planner/rebalance.go
+++ b/internal/planner/rebalance.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	maxPlacements   = 2   // workers where a task is queued at once, at most
-	maxRebalancedTasks = 32  // queued tasks that one Rebalance looks for another worker for, at most
-	maxCountedWaitS    = 600 // a longer wait counts as this in its job's average
+	maxPlacements      = 2   // maximum number of workers on which a task is queued at the same time
+	maxRebalancedTasks = 32  // maximum number of overdue tasks handled by one Rebalance
+	maxCountedWaitS    = 600 // cap of a single wait in its job's average
 )
 
-// rebalanceState is what one Rebalance knows of the queues.
+// rebalanceState is the view of the queues and the scratch space of one run of Rebalance.
 type rebalanceState struct {
-	schedulable        []*jobstate.Worker
-	waitS       map[*jobstate.Placement]float64     // still, of queued placements
-	average     map[*jobstate.Job]*jobstate.Average // of these, by job
+	schedulable []*jobstate.Worker
+	waitS       map[*jobstate.Placement]float64     // remaining wait of queued placements
+	average     map[*jobstate.Job]*jobstate.Average // of these waits, by job
 	unstartable []*jobstate.Placement               // scratch space
 }
 
-// Rebalance looks at tasks that are queued and not granted yet. It withdraws those on
-// workers where none may start, and places those that wait much longer than planned on a
-// second worker where that is now better; of two placements of a task that both wait too
-// long the longer one makes room for a third. A task for which no worker is better now goes
-// back to those that wait for room, in its place in line: later tasks took all room before
-// the next look, and it waited for minutes beside them. The caller holds the state's Mu.
+// Rebalance examines tasks that are queued and not granted yet. It withdraws placements on
+// workers where the task may not start, and places tasks that wait much longer than planned on a
+// second worker if that is now cheaper; if both placements of a task wait too long, the slower
+// one is replaced. A task without a better worker becomes pending again and keeps its place in
+// the scheduling order: otherwise later tasks take all the room before the next run, and the
+// task waits for minutes. The caller holds the state's Mu.
 func (p *Planner) Rebalance() {
 	p.state.Now = time.Now()
 	r := &rebalanceState{schedulable: p.schedulableWorkers()}
@@ -41,7 +41,7 @@
 		}
 		for _, placements := range job.Placements {
 			if p.withdrawUnstartable(r, placements) {
-				continue // never granted: the task can simply be placed elsewhere
+				continue // never granted, so the task can be placed elsewhere at no loss
 			}
 			task := p.findOverdue(r, job, placements)
 			if task == nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// readQueues notes the waits that the workers' views report of queued placements.
+// readQueues records the waits of queued placements that the workers' views report.
 func (p *Planner) readQueues(r *rebalanceState) {
 	r.waitS = map[*jobstate.Placement]float64{}
 	r.average = map[*jobstate.Job]*jobstate.Average{}
@@ -72,7 +72,7 @@
 	}
 }
 
-// recordWait notes for how many seconds a queued placement still waits.
+// recordWait records the remaining wait in seconds of a queued placement.
 func (r *rebalanceState) recordWait(placement *jobstate.Placement, waitS float64) {
 	r.waitS[placement] = waitS
 	average := r.average[placement.Job]
@@ -83,7 +83,8 @@
 	average.Add(min(waitS, maxCountedWaitS))
 }
 
-// averageWaitS is the average wait of the job's queued placements; 0: none is known.
+// averageWaitS returns the average remaining wait of the job's queued placements; 0 if none is
+// known.
 func (r *rebalanceState) averageWaitS(job *jobstate.Job) float64 {
 	if average := r.average[job]; average != nil {
 		return average.Mean()
@@ -91,8 +92,8 @@
 	return 0
 }
 
-// withdrawUnstartable withdraws those of a task's placements that are queued on workers
-// where the task may not start, and reports whether there were any.
+// withdrawUnstartable withdraws those of a task's placements that are queued on workers where
+// the task may not start, and reports whether there were any.
 func (p *Planner) withdrawUnstartable(r *rebalanceState, placements []*jobstate.Placement) bool {
 	r.unstartable = r.unstartable[:0]
 	for _, placement := range placements {
@@ -106,8 +107,9 @@
 	return len(r.unstartable) > 0
 }
 
-// unstartable reports whether the worker of a queued placement is unresponsive, about to
-// leave, or without enough of its lease left for the task.
+// unstartable reports whether a queued placement can no longer be expected to start: its worker
+// is silent, unresponsive, draining, about to be reclaimed, or has too little of its lease left
+// for the task.
 func (p *Planner) unstartable(placement *jobstate.Placement) bool {
 	worker := placement.Worker
 	lastSeen := jobstate.Later(worker.LastHeartbeat, placement.CreatedAt)
@@ -115,15 +117,15 @@
 		!worker.UnresponsiveSince.IsZero() || !p.state.FitsLease(placement.Job, worker)
 }
 
-// overdueTask is a task all of whose placements are queued and wait longer than planned.
+// overdueTask is a task whose placements are all queued and wait longer than planned.
 type overdueTask struct {
-	slowest    *jobstate.Placement // the one that waits longest
-	minWaitS float64             // that any of them still waits
-	cost       float64             // the lowest of any
+	slowest  *jobstate.Placement // placement with the longest remaining wait
+	minWaitS float64             // shortest remaining wait of its placements
+	cost     float64             // lowest cost of its placements
 }
 
-// findOverdue returns a task if all its placements are queued and wait longer than planned; else
-// nil.
+// findOverdue returns the task if all its placements are queued and wait longer than planned;
+// nil otherwise.
 func (p *Planner) findOverdue(r *rebalanceState, job *jobstate.Job, placements []*jobstate.Placement) *overdueTask {
 	averageS := r.averageWaitS(job)
 	task := &overdueTask{slowest: placements[0], minWaitS: math.Inf(1), cost: math.Inf(1)}
@@ -148,15 +150,15 @@
 
 // withdrawAll withdraws a task's placements, none of which was granted.
 func (p *Planner) withdrawAll(placements []*jobstate.Placement) {
-	for _, placement := range slices.Clone(placements) { // withdrawing takes each out of the list
+	for _, placement := range slices.Clone(placements) { // withdrawing modifies the list
 		p.state.WithdrawPlacement(placement)
 	}
 }
 
-// placeDuplicate places a queued task on another worker too if that costs at least a second
-// less than its cost, and reports whether one does. If it has maxPlacements already, the
-// slowest is withdrawn: else a task that waits on two workers behind long ones stays there
-// beside an idle worker.
+// placeDuplicate places a queued task on a further worker if that costs at least a second less
+// than its cheapest placement, and reports whether there is such a worker. If the task already
+// has maxPlacements, the slowest is withdrawn: otherwise a task that waits on two workers behind
+// long-running tasks stays there while other workers are idle.
 func (p *Planner) placeDuplicate(r *rebalanceState, placements []*jobstate.Placement, task *overdueTask) bool {
 	slowest := task.slowest
 	job := slowest.Job
--- a/internal/planner/reserve.go
+++ b/internal/planner/reserve.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	maxReservedTasks  = 24 // tasks of a batch that room is reserved for, at most
-	reservationWindowS = 45 // seconds from now within which room is reserved
+	maxReservedTasks   = 24 // maximum number of tasks in a batch for which room is reserved
+	reservationWindowS = 45 // room is reserved only if it becomes free within this many seconds
 )
 
-// reserveRoom reserves, for this pass, the room that the jobs' waiting tasks would get
-// first: else small tasks of lower priority fill every gap before it grows large enough.
-func (p *Planner) reserveRoom(jobs []*jobstate.Job, open []*jobstate.Worker) {
+// reserveRoom reserves, for this pass, the earliest room that fits the jobs' waiting tasks:
+// otherwise small tasks of lower priority fill every gap before it grows large enough.
+func (p *Planner) reserveRoom(jobs []*jobstate.Job, schedulable []*jobstate.Worker) {
 	budget := maxReservedTasks
 	for _, job := range jobs {
 		for n := min(p.state.PlaceableTasks(job), budget); n > 0; n-- {
-			worker, waitS := p.earliestRoom(job, open)
+			worker, waitS := p.earliestRoom(job, schedulable)
 			if worker == nil {
 				break
 			}
@@ -28,26 +28,26 @@
 	}
 }
 
-// earliestRoom returns the worker with room for a task of the job soonest, and the seconds
-// until then; nil if there is none within reserveWithinS.
-func (p *Planner) earliestRoom(job *jobstate.Job, open []*jobstate.Worker) (soonest *jobstate.Worker, waitS float64) {
+// earliestRoom returns the worker that has room for a task of the job first, and the seconds
+// until then; nil if there is none within reservationWindowS.
+func (p *Planner) earliestRoom(job *jobstate.Job, schedulable []*jobstate.Worker) (earliest *jobstate.Worker, waitS float64) {
 	waitS = math.Inf(1)
 	runS := job.RunEstimate()
-	for _, worker := range open {
+	for _, worker := range schedulable {
 		if worker.Cordoned || !p.state.AllowedOn(job, worker) || !p.state.FitsLease(job, worker) {
 			continue
 		}
 		if s := worker.Matrix.WaitWithin(job.Resources, runS, min(waitS, reservationWindowS)); s < waitS && s <= reservationWindowS {
-			soonest, waitS = worker, s
+			earliest, waitS = worker, s
 		}
 	}
-	return soonest, waitS
+	return earliest, waitS
 }
 
-// releaseReservedRoom undoes reserveRoom: the workers' matrices are as published again,
-// less what was placed since.
-func (p *Planner) releaseReservedRoom(open []*jobstate.Worker) {
-	for _, worker := range open {
+// releaseReservedRoom undoes reserveRoom: it resets the workers' matrices to the published ones,
+// less the placements that they do not include yet.
+func (p *Planner) releaseReservedRoom(schedulable []*jobstate.Worker) {
+	for _, worker := range schedulable {
 		if worker.RoomReserved {
 			worker.RoomReserved = false
 			worker.Matrix = worker.View.Matrix
--- a/internal/planner/triage.go
+++ b/internal/planner/triage.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	triageInterval = time.Second
-	arrivalWindowS = 40.0 // over which arriving work is averaged
-	overloadStart   = 1.5  // times the usual first limit, that all work of a priority must take for triage to begin
-	overloadEnd  = 0.75 // times the same, below which it ends
-	minCapacityShare     = 0.1  // of the capacity, that a priority is taken to get whatever arrives above it
-	usableShare    = 0.75 // of the capacity, that tasks keep busy: the rest is gaps, fetches and starts
+	triageInterval   = time.Second
+	arrivalWindowS   = 40.0 // time constant in seconds for averaging the arrival of work
+	overloadStart    = 1.5  // triage of a priority starts if its work takes longer than this multiple of the mean first deadline
+	overloadEnd      = 0.75 // and ends if it takes less than this multiple
+	minCapacityShare = 0.1  // minimum share of the capacity assumed for a priority, whatever work of higher priority arrives
+	usableShare      = 0.75 // share of the capacity that tasks can use; the rest is lost to gaps, fetches and starts
 )
 
-// Triage finds, at most once in triageInterval, which jobs can still be done in time, and
-// sets their tiers: see package admission. The capacity of the workers goes to priorities
-// from the highest on; what a lower one gets is what the work above it, and its arrival,
-// leave. The caller holds the state's Mu.
+// Triage determines, at most once per triageInterval, which jobs can still meet their deadlines,
+// and sets their tiers: see package admission. The capacity of the workers is assigned to
+// priorities in descending order; a lower priority gets what the current and the arriving work
+// of higher priorities leaves. The caller holds the state's Mu.
 func (p *Planner) Triage() {
 	now := time.Now()
 	elapsedS := now.Sub(p.triagedAt).Seconds()
@@ -42,15 +42,16 @@
 	}
 }
 
-// triage is one run of Triage, on its way from the highest priority to the lowest.
+// triage is the progress of one run of Triage, from the highest priority to the lowest.
 type triage struct {
-	now      time.Time
-	capacity matching.Resources
-	higherPriorityS   float64 // that the work of higher priorities takes
-	arrivalShare     float64 // share of the capacity that the arrival of such work keeps busy
+	now             time.Time
+	capacity        matching.Resources
+	higherPriorityS float64 // time that the work of higher priorities takes
+	arrivalShare    float64 // share of the capacity used by arriving work of higher priorities
 }
 
-// updateArrivalRates averages the rates at which work arrives, elapsedS after the last time.
+// updateArrivalRates updates the averages of the rates at which work arrives, elapsedS after the
+// last update.
 func (p *Planner) updateArrivalRates(elapsedS float64) {
 	first := p.triagedAt.IsZero()
 	for _, arriving := range p.state.Arriving {
@@ -61,7 +62,7 @@
 	}
 }
 
-// arrivalShare is the share of the capacity that arriving work of a priority keeps busy.
+// arrivalShare returns the share of the capacity that arriving work of a priority uses.
 func (p *Planner) arrivalShare(rank int, capacity matching.Resources) float64 {
 	share := 0.0
 	for _, arriving := range p.state.Arriving {
@@ -72,7 +73,8 @@
 	return share
 }
 
-// capacity sums up the machines of the workers that are here to stay.
+// capacity returns the total resources of the workers that send heartbeats, are not draining and
+// were not deleted.
 func (p *Planner) capacity(now time.Time) matching.Resources {
 	var sum matching.Resources
 	timeout := p.heartbeatTimeout()
@@ -84,8 +86,8 @@
 	return sum
 }
 
-// jobsByRank returns the living jobs that end by themselves, by priority, and the
-// priorities, highest first. It clears the tiers of all jobs.
+// jobsByRank returns the unfinished jobs, except services, by priority, and the priorities in
+// descending order. It clears the tiers of all jobs.
 func (p *Planner) jobsByRank() (byRank map[int][]*jobstate.Job, ranks []int) {
 	byRank = map[int][]*jobstate.Job{}
 	for _, job := range p.state.JobOrder {
@@ -104,8 +106,8 @@
 	return byRank, ranks
 }
 
-// triageRank sets the tiers of the jobs of a priority if it is overloaded, and counts them to
-// what is above the next one.
+// triageRank sets the tiers of the jobs of a priority if the priority is overloaded, and adds
+// their work to that of the priorities above the next one.
 func (p *Planner) triageRank(t *triage, rank int, jobs []*jobstate.Job) {
 	workS := 0.0
 	remaining := make([]admission.Job, 0, len(jobs))
@@ -115,8 +117,8 @@
 		remaining = append(remaining, left)
 	}
 	share := usableShare * max(minCapacityShare, 1-t.arrivalShare)
-	// While all can be done a little late at the worst, the order of their limits
-	// serves them best: all are served, and few late.
+	// While all jobs finish on time or only slightly late, the order of their deadlines is best:
+	// all make progress, and few are late.
 	if deadlineS := p.meanFirstDeadline(jobs); deadlineS > 0 {
 		completionS := t.higherPriorityS + workS/share
 		p.overloaded[rank] = completionS > overloadStart*deadlineS || p.overloaded[rank] && completionS > overloadEnd*deadlineS
@@ -130,20 +132,21 @@
 	t.arrivalShare += p.arrivalShare(rank, t.capacity) / usableShare
 }
 
-// meanFirstDeadline is the mean of the ages, in seconds, by which jobs should be done first; 0 if
-// none has a limit.
+// meanFirstDeadline returns the mean of the jobs' first deadlines, in seconds from acceptance; 0
+// if no job has a deadline.
 func (p *Planner) meanFirstDeadline(jobs []*jobstate.Job) float64 {
 	sumS, n := 0.0, 0
 	for _, job := range jobs {
-		if limits := p.state.Deadlines(job); len(limits) > 0 {
-			sumS += slices.Min(limits)
+		if deadlines := p.state.Deadlines(job); len(deadlines) > 0 {
+			sumS += slices.Min(deadlines)
 			n++
 		}
 	}
 	return sumS / float64(max(1, n))
 }
 
-// remainingWork is what is left of a job, with its work in seconds of the whole capacity.
+// remainingWork returns the remaining work and deadlines of a job. Its work is in seconds of the
+// whole capacity.
 func (p *Planner) remainingWork(job *jobstate.Job, t *triage) admission.Job {
 	capacity := t.capacity
 	share := job.Resources.CPUs / capacity.CPUs
@@ -154,14 +157,14 @@
 		share = max(share, job.Resources.MemoryGB/capacity.MemoryGB)
 	}
 	runS := job.RunEstimate()
-	tasks := float64(job.Spec.Tasks-job.Finished) - float64(job.Running)/2 // what runs is half done
+	tasks := float64(job.Spec.Tasks-job.Finished) - float64(job.Running)/2 // running tasks are half done on average
 	remaining := admission.Job{Work: max(0, tasks) * runS * share, Span: runS / 2}
 	if len(job.Pending) > 0 {
 		remaining.Span = jobstate.RunTimeMargin*runS + jobstate.RestartOverheadS
 	}
 	ageS := float64(t.now.UnixMilli()-job.AcceptedMs) / 1000
-	for _, limitS := range p.state.Deadlines(job) {
-		remaining.Deadlines = append(remaining.Deadlines, limitS-ageS)
+	for _, deadlineS := range p.state.Deadlines(job) {
+		remaining.Deadlines = append(remaining.Deadlines, deadlineS-ageS)
 	}
 	slices.Sort(remaining.Deadlines)
 	remaining.Deadlines = slices.Compact(remaining.Deadlines)
--- a/internal/planner/urgency.go
+++ b/internal/planner/urgency.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	lateSlackS   = 20               // slack of work that meets no aim any more: it should still move on
-	urgentSlackS = 15               // slack below which an aim is in danger
-	minMissedUrgentS  = 3 * urgentSlackS // for how long, at least, a missed aim for starts keeps a job urgent
+	lateSlackS       = 20               // slack assumed for jobs that can meet no objective or deadline any more, so that they still make progress
+	urgentSlackS     = 15               // slack below which an objective or deadline is about to be missed
+	minMissedUrgentS = 3 * urgentSlackS // minimum age in seconds up to which a missed start objective keeps a job urgent
 )
 
-// slack is for how many seconds the job's tasks may still wait and meet the next aim that
-// a worker which is ready in bootS seconds can help to meet.
+// slack returns how many seconds the job's tasks may still wait and meet the next start
+// objective or deadline that a worker which is ready in bootS seconds can help to meet.
 func (p *Planner) slack(job *jobstate.Job, bootS float64) float64 {
 	ageS := p.state.Now.Sub(job.AcceptedAt).Seconds()
 	runS := jobstate.RunTimeMargin*job.RunEstimate() + jobstate.RestartOverheadS
@@ -21,8 +21,8 @@
 	for _, withinS := range job.Class.StartObjectives {
 		nextS = earlierSlack(nextS, withinS-ageS, bootS)
 	}
-	for _, limitS := range p.state.Deadlines(job) {
-		nextS = earlierSlack(nextS, limitS-ageS-runS, bootS)
+	for _, deadlineS := range p.state.Deadlines(job) {
+		nextS = earlierSlack(nextS, deadlineS-ageS-runS, bootS)
 	}
 	if math.IsInf(nextS, 1) {
 		return lateSlackS
@@ -38,8 +38,8 @@
 	return nextS
 }
 
-// missesStartObjective reports whether a task that starts afterS seconds from now misses an aim for
-// its class's starts that it could still meet.
+// missesStartObjective reports whether a task that starts afterS seconds from now misses one of
+// its class's start objectives that it could still meet.
 func (p *Planner) missesStartObjective(job *jobstate.Job, afterS float64) bool {
 	ageS := p.state.Now.Sub(job.AcceptedAt).Seconds()
 	for _, withinS := range job.Class.StartObjectives {
@@ -50,10 +50,11 @@
 	return false
 }
 
-// mustStartSoon reports whether the job's tasks must start now: the time left for the next
-// aim runs out, or an aim for their start was missed not long ago. An aim that is far off
-// stops nobody: free room goes to the higher priority anyway, and what is stopped is paid
-// for twice. A short aim is missed soon, and its tasks matter still.
+// mustStartSoon reports whether the job's tasks justify preemption: little time is left for the
+// next start objective or deadline, or a start objective was missed recently. A distant deadline
+// does not justify it: free room goes to the higher priority anyway, and the work of a stopped
+// task is paid for twice. A short start objective is missed quickly, and the start of its tasks
+// still matters.
 func (p *Planner) mustStartSoon(job *jobstate.Job) bool {
 	if p.slack(job, 0) < urgentSlackS {
 		return true
--- a/internal/reconcile/grant.go
+++ b/internal/reconcile/grant.go
@@ -8,20 +8,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// grantLeaseMargin is how much of the leader's own lease must remain for it to grant a start.
+// grantLeaseMargin is the minimum remaining time of the leader's own lease for it to grant a
+// start.
 const grantLeaseMargin = 200 * time.Millisecond
 
-// GrantLocal decides whether a task may start now: it is the single grant without which no
-// dispatcher sends a start command. At most one placement of a task is granted at a time;
-// quota, zone and constraints are checked against everything that may still run.
+// GrantLocal decides whether a task may start now. No dispatcher sends a start command without
+// this grant. At most one placement of a task is granted at a time; quota, zone and constraints
+// are checked against all placements whose tasks may still be running.
 func (r *Reconciler) GrantLocal(request dispatch.GrantRequest) dispatch.GrantReply {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
 	return r.grantStart(request)
 }
 
-// GrantAll decides a dispatcher's batched requests under one lock. The replies are in the
-// order of the requests.
+// GrantAll decides a batch of requests from a dispatcher while it holds the lock once. The
+// replies are in the order of the requests.
 func (r *Reconciler) GrantAll(requests []dispatch.GrantRequest) []dispatch.GrantReply {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -33,7 +34,8 @@
 }
 
 // grantStart decides one request. A repeated request for a granted placement is granted again.
-// The reply is: start it, not now (the dispatcher requests it again), or drop it from the queue.
+// The reply is to start the task, to request the grant again later, or to drop the task from the
+// dispatcher's queue.
 func (r *Reconciler) grantStart(request dispatch.GrantRequest) dispatch.GrantReply {
 	notNow, drop := dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
 	if r.state.Membership.LeaseRemaining() < grantLeaseMargin || len(r.state.Loaded) == 0 {
@@ -45,7 +47,7 @@
 	}
 	job := r.state.Jobs[uid]
 	if job == nil {
-		// Another leader's, perhaps, unless all shards are led here.
+		// Another leader may have the job, unless this one leads all shards.
 		return dispatch.GrantReply{Drop: len(r.state.Loaded) == r.state.Operator.Shards}
 	}
 	if !r.state.LeadsJob(job) {
@@ -54,7 +56,7 @@
 	placement, blocked := requestedPlacement(job, task, request)
 	if blocked {
 		r.state.Stats.Refused++
-		return notNow // the other placement is settled later, or withdrawn
+		return notNow // until the other placement ends or is withdrawn
 	}
 	if placement == nil {
 		return drop
@@ -83,8 +85,8 @@
 	return dispatch.GrantReply{OK: true}
 }
 
-// requestedPlacement returns the placement that a request is for, or nil. blocked says that
-// another placement of the task may run, or completed it and waits to be recorded.
+// requestedPlacement returns the placement that a request is for, or nil. blocked is true if
+// another placement of the task may be running, or has completed the task and is being recorded.
 func requestedPlacement(job *jobstate.Job, task int, request dispatch.GrantRequest) (placement *jobstate.Placement, blocked bool) {
 	for _, candidate := range job.Placements[task] {
 		if candidate.Worker.Name == request.Worker && candidate.Attempt == request.Attempt {
@@ -97,19 +99,19 @@
 }
 
 // grantedInEarlierSession reports whether the placement was granted for an earlier session of
-// its worker than that of the request. The worker has lost whatever it was granted then, and
-// may have run it: see checkGranted.
+// its worker than that of the request. The worker has lost everything granted in that session,
+// and may have run it: see checkGranted.
 func grantedInEarlierSession(placement *jobstate.Placement, session uint64) bool {
 	neverReported := placement.State == jobstate.PlacementRecorded || placement.State == jobstate.PlacementGranted
 	return !placement.Exited && placement.Session > 0 && session > placement.Session && neverReported
 }
 
-// mayStart reports whether nothing but zone and quota keeps the placement from being granted.
+// mayStart reports whether the placement may be granted, zone and quota aside.
 func (r *Reconciler) mayStart(placement *jobstate.Placement) bool {
 	job, worker := placement.Job, placement.Worker
 	switch {
 	case r.state.Cancellations != nil && r.state.Cancellations.IsCancelled(job.Spec.UID):
-		return false // recorded by another controller; the record is on its way here
+		return false // cancelled by another controller; the record has not arrived here yet
 	case placement.State != jobstate.PlacementRecorded && placement.State != jobstate.PlacementGranted:
 		return false
 	case !placement.LastHaltAt.IsZero():
@@ -122,7 +124,7 @@
 	return job.Constraints == nil || r.state.ConstraintsAllow(job, placement.Task)
 }
 
-// markGranted records a grant, or its repetition, on the placement and its worker.
+// markGranted records a grant, or a repeated grant, on the placement and its worker.
 func (r *Reconciler) markGranted(placement *jobstate.Placement, request dispatch.GrantRequest) {
 	if placement.State != jobstate.PlacementGranted {
 		placement.State, placement.GrantedAt, placement.MinToken = jobstate.PlacementGranted, time.Now(), request.Token
@@ -135,9 +137,9 @@
 	worker.MaxToken = max(worker.MaxToken, request.Token)
 }
 
-// withdrawOthers withdraws the other placements of a task whose start was just granted.
+// withdrawOthers withdraws the task's other placements after one was granted.
 func (r *Reconciler) withdrawOthers(granted *jobstate.Placement) {
-	// Withdrawing takes a placement out of the list.
+	// Withdrawing modifies the list.
 	for _, placement := range append([]*jobstate.Placement(nil), granted.Job.Placements[granted.Task]...) {
 		if placement != granted {
 			r.state.WithdrawPlacement(placement)
--- a/internal/reconcile/grant_test.go
+++ b/internal/reconcile/grant_test.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// leader leads shard 0 as long as its lease lasts.
+// leader is a controller that leads shard 0 until its lease expires.
 type leader struct {
 	jobstate.Membership
 	lease time.Duration
@@ -33,8 +33,8 @@
 
 func (noTypes) Type(string) (wire.MachineType, bool) { return wire.MachineType{}, false }
 
-// grantCase is a job of two tasks, of which the first has a recorded placement on worker w, and a
-// request for its start.
+// grantCase is a job of two tasks, the first of which has a recorded placement on worker w, and
+// a request for its start.
 type grantCase struct {
 	state      *jobstate.State
 	member     *leader
@@ -61,7 +61,7 @@
 	return g
 }
 
-// place records a placement of the first task.
+// place adds a recorded placement of the first task.
 func (g *grantCase) place(worker string, attempt uint64) *jobstate.Placement {
 	placement := &jobstate.Placement{Job: g.job, Chunk: g.job.Chunks[0], Attempt: attempt, Worker: g.state.WorkerOf(worker), State: jobstate.PlacementRecorded}
 	placement.Worker.View.Zone = "z"
@@ -69,8 +69,8 @@
 	return placement
 }
 
-// A start is granted only if nothing that may still run stands against it. Requests for what is
-// never to start are dropped; others may be granted later.
+// A start is granted only if no condition forbids it and no other placement of the task may be
+// running. Requests for tasks that can never start are dropped; others may be granted later.
 func TestStartIsGrantedOnlyIfAllConditionsHold(t *testing.T) {
 	granted, notNow, drop := dispatch.GrantReply{OK: true}, dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
 	for _, c := range []struct {
--- a/internal/reconcile/lease_expiry.go
+++ b/internal/reconcile/lease_expiry.go
@@ -9,39 +9,39 @@
 	"github.com/wallrack/wallrack/internal/matching"
 )
 
-// In units of a worker's report interval; jobstate.OverdueSlack is added to the first two.
+// In heartbeat intervals; jobstate.OverdueSlack is added to the first two.
 const (
-	pollAfterHeartbeats = 1.25 // without an answered report, after which a worker is polled
-	haltAfterHeartbeats = 2    // the same, after which tasks on it are stopped, unless its lease may expire at any time
-	sameRenewalTolerance      = 0.25 // between two times that are of one renewal, at most
+	pollAfterHeartbeats  = 1.25 // time without contact after which a worker is polled
+	haltAfterHeartbeats  = 2    // time without contact after which its tasks may be stopped; pollAfterHeartbeats if its lease is unknown
+	sameRenewalTolerance = 0.25 // maximum difference between two times of the same renewal
 )
 
 const (
-	haltDeliveryS       = 3.0 // seconds from the decision to stop a task until its worker has surely got the command
-	lateFactor       = 1.5 // by which a task's estimated remaining run exceeds its lease's rest if it is surely not done in time
-	settleDelay      = time.Second
-	haltingPollS    = 1   // seconds between polls while a task is being stopped
-	maxUnansweredPolls    = 2   // polls without a response after which only the rules for unresponsive workers apply
-	minPollsPerRound       = 6   // workers polled in one round, at least
-	pollDivisor      = 16  // one in so many of those whose report is overdue, if that is more
-	minLeaseLeftS  = 0.1 // rest of a lease that may have expired, unless it surely has
-	maxOverdueShare = 0.5 // of the workers; if more are overdue the fault is hardly theirs, and there is no room elsewhere
+	haltDeliveryS      = 3.0         // maximum seconds from the decision to stop a task until the command reaches its worker
+	lateFactor         = 1.5         // a task is certain not to finish in time if its remaining run exceeds the rest of the lease by this factor
+	settleDelay        = time.Second // time after the end of a lease at which its worker is polled for the effects
+	haltingPollS       = 1           // seconds between polls of a worker while one of its tasks is being stopped
+	maxUnansweredPolls = 2           // consecutive polls without a response after which a worker is not polled again
+	minPollsPerRound   = 6           // minimum number of workers that may be polled in one round
+	pollDivisor        = 16          // or one in this many of the overdue workers, if that is more
+	minLeaseLeftS      = 0.1         // minimum rest assumed for a lease that is not certain to have expired
+	maxOverdueShare    = 0.5         // share of overdue workers above which the fault is probably not theirs, and other workers have no room
 )
 
-// expiringTask is a task on a worker whose lease is not renewed. Times are in seconds.
+// expiringTask is a task on a worker whose lease is not being renewed. Times are in seconds.
 type expiringTask struct {
-	elapsedS     float64 // it has run for
-	remainingS   float64 // until it ends, as estimated, its image's fetch included
-	saveS        float64 // that it takes to save; negative: it can't
-	stopUndoesStart bool    // to stop it now would undo a start that an objective counts
+	elapsedS        float64 // time that it has run
+	remainingS      float64 // estimated time until it ends, including the image fetch
+	saveS           float64 // time to save its state; negative if it cannot
+	stopUndoesStart bool    // a stop now would undo a start that an objective counts
 }
 
-// stopBeforeExpiry decides whether to stop a task now, leftS seconds before its worker kills
-// it. One that saves runs on as long as it can be saved. Any other that surely will not be done
-// in time loses its run if the lease expires, and the rest of the lease too: it is stopped while
-// it has run for less than that, so that no more is lost than twice the least possible, whether
-// or not the worker's heartbeats come again. What may be done runs on: its worker is of use to
-// nobody else.
+// stopBeforeExpiry decides whether to stop a task now, leftS seconds before its worker kills it.
+// A task that can save its state runs on as long as there is time to save. A task that cannot,
+// and that is certain not to finish in time, loses its run and the rest of the lease if the
+// lease expires: it is stopped while it has run for less than the rest of the lease. The loss is
+// then at most twice the minimum, whether or not the worker's heartbeats resume. A task that may
+// finish in time runs on, because no other task can use its worker.
 func stopBeforeExpiry(task expiringTask, leftS float64) bool {
 	switch {
 	case leftS <= 0 || task.stopUndoesStart:
@@ -53,9 +53,9 @@
 	}
 }
 
-// HandleExpiringLeases stops tasks on workers whose leases are about to expire unrenewed, and
-// returns the addresses of those to be polled now, by name. It is to be called several times a
-// second.
+// HandleExpiringLeases stops tasks on workers whose leases are about to expire without renewal,
+// and returns the addresses, by name, of the workers to be polled now. It is to be called
+// several times a second.
 func (r *Reconciler) HandleExpiringLeases() map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -79,8 +79,9 @@
 	return r.pollTargets(overdue, now)
 }
 
-// pollTargets returns the addresses of those overdue workers that are to be polled now, and
-// notes that they are: in turn, so that none waits for ever behind others.
+// pollTargets returns the addresses of the overdue workers to be polled now, and marks them as
+// polled. Workers are polled in the order of their last heartbeat or poll, so that none waits
+// indefinitely behind others.
 func (r *Reconciler) pollTargets(overdue []*jobstate.Worker, now time.Time) map[string]string {
 	slices.SortFunc(overdue, func(a, b *jobstate.Worker) int { return lastHeartbeatOrPoll(a).Compare(lastHeartbeatOrPoll(b)) })
 	endpoints := map[string]string{}
@@ -99,23 +100,22 @@
 	return endpoints
 }
 
-// lastHeartbeatOrPoll is when a worker's last heartbeat came, or when it was last polled for one.
+// lastHeartbeatOrPoll returns the time of a worker's last heartbeat or poll, whichever is later.
 func lastHeartbeatOrPoll(worker *jobstate.Worker) time.Time {
 	return jobstate.Later(worker.LastHeartbeat, worker.PolledAt)
 }
 
-// leaseExpiring reports whether a worker's report is overdue, and its lease has not been expired for
-// long.
+// leaseExpiring reports whether a worker's heartbeat is overdue and its lease has not been
+// expired for long.
 func (r *Reconciler) leaseExpiring(worker *jobstate.Worker, now time.Time) bool {
 	report := r.state.Platform.Params.Workers.ReportS
 	overdue := now.Sub(worker.LastContact()) > config.Seconds(pollAfterHeartbeats*report)+jobstate.OverdueSlack
 	return overdue && now.Before(r.state.LatestLeaseEnd(worker).Add(config.Seconds(report)+settleDelay))
 }
 
-// pollDue reports whether a worker whose report is overdue is to be polled for it: as often as
-// it would report, shortly before its lease expires for what is done, shortly after it for what
-// is lost, at the earliest and at the latest end of the lease, and each second while a task is
-// being stopped.
+// pollDue reports whether a worker with an overdue heartbeat is to be polled for it: at the
+// interval of pollIntervalS, and additionally shortly before and after both the earliest and the
+// latest end of its lease, to observe the tasks that are done and those that are lost.
 func (r *Reconciler) pollDue(worker *jobstate.Worker, now time.Time) bool {
 	if worker.PolledAt.After(worker.LastHeartbeat) && worker.UnansweredPolls >= maxUnansweredPolls {
 		return false
@@ -131,11 +131,12 @@
 	return now.Sub(last) >= config.Seconds(r.pollIntervalS(worker))
 }
 
-// pollIntervalS is how many seconds after a worker was last seen it is polled.
+// pollIntervalS returns the time in seconds after a worker's last heartbeat or poll at which it
+// is polled.
 func (r *Reconciler) pollIntervalS(worker *jobstate.Worker) float64 {
 	intervalS := r.state.Platform.Params.Workers.ReportS
 	if !r.state.HeartbeatOverdue(worker, haltAfterHeartbeats) {
-		intervalS /= 2 // whether it is lost is not clear yet
+		intervalS /= 2 // shorter until it is clear whether the worker is lost
 	}
 	for placement := range worker.Placements {
 		if placement.MayRun() && !placement.FirstHaltAt.IsZero() {
@@ -145,8 +146,9 @@
 	return intervalS
 }
 
-// stopExpiringTasks stops what is to be stopped on a worker whose lease is about to expire. Tasks
-// that can't save are stopped only if few workers are overdue.
+// stopExpiringTasks stops the tasks selected by stopBeforeExpiry on a worker whose lease is
+// about to expire. Tasks that cannot save their state are stopped only if few workers are
+// overdue.
 func (r *Reconciler) stopExpiringTasks(worker *jobstate.Worker, now time.Time, fewOverdue bool) {
 	stopped := 0
 	for placement := range worker.Placements {
@@ -156,7 +158,7 @@
 		}
 		saves := job.Spec.CheckpointIntervalS > 0
 		if !saves && (!fewOverdue || job.Spec.Gang() || !placement.StartObserved && !placement.RunningSince.IsZero()) {
-			continue // a gang's tasks stop together; how long one has run that a predecessor started is not known
+			continue // a gang's tasks stop together; the run time of a task that a predecessor started is unknown
 		}
 		task := r.newExpiringTask(placement, now)
 		if stopBeforeExpiry(task, r.leaseLeftS(worker, task, now)) || worker.LeaseUnknown() && task.saveS >= 0 {
@@ -172,10 +174,11 @@
 	}
 }
 
-// leaseLeftS is the rest of the worker's lease in seconds that the stop of a task goes by; 0 or
-// less if the lease has surely expired. A task that saves has to be stopped in time even if the
-// last response to its worker was lost. For any other the likely end of the lease counts:
-// whether it is worth stopping depends on how long it would wait for that end.
+// leaseLeftS returns the rest of the worker's lease in seconds for the decision whether to stop
+// a task; 0 or less if the lease is certain to have expired. A task that can save its state has
+// to be stopped in time even if the last response to its worker was lost. For any other task,
+// the likely end of the lease counts: whether a stop is worthwhile depends on the time until
+// then.
 func (r *Reconciler) leaseLeftS(worker *jobstate.Worker, task expiringTask, now time.Time) float64 {
 	leftS := r.state.LatestLeaseEnd(worker).Sub(now).Seconds()
 	if task.saveS < 0 || leftS <= 0 {
@@ -184,7 +187,7 @@
 	return max(r.state.EarliestLeaseEnd(worker).Sub(now).Seconds(), minLeaseLeftS)
 }
 
-// newExpiringTask returns what decides whether a placement's task is stopped.
+// newExpiringTask returns the inputs of stopBeforeExpiry for a placement's task.
 func (r *Reconciler) newExpiringTask(placement *jobstate.Placement, now time.Time) expiringTask {
 	job := placement.Job
 	task := expiringTask{remainingS: job.RunEstimate(), saveS: -1}
--- a/internal/reconcile/lease_expiry_test.go
+++ b/internal/reconcile/lease_expiry_test.go
@@ -9,7 +9,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A task is stopped before an unrenewed lease expires if less is lost by it.
+// A task is stopped before a lease without renewal expires if that loses less work than the
+// expiry.
 func TestTaskIsStoppedBeforeLeaseExpiryIfThatLosesLessWork(t *testing.T) {
 	cannot := -1.0
 	for _, c := range []struct {
@@ -35,9 +36,9 @@
 	}
 }
 
-// A worker whose reports are overdue is polled as often as it would report, and around the end
-// of its lease; one that responds to no poll is left alone. Seconds are since its last report
-// was answered.
+// A worker with an overdue heartbeat is polled at the heartbeat interval and around the end of
+// its lease; a worker that responds to no poll is not polled again. Times are seconds since the
+// last heartbeat that was responded to.
 func TestWorkerWithOverdueReportIsPolled(t *testing.T) {
 	r := &Reconciler{state: &jobstate.State{Platform: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}}
 	began := time.Now()
@@ -73,8 +74,8 @@
 	}
 }
 
-// Each session of a worker has a lease of its own, and what is started in the rest of it must be
-// done before it expires.
+// Each session of a worker has its own lease, and a task that starts in the rest of it must
+// finish before it expires.
 func TestTaskStartsOnlyIfItFitsRestOfUnrenewedLease(t *testing.T) {
 	r := &Reconciler{state: &jobstate.State{Platform: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}}
 	ago := func(s float64) time.Time { return time.Now().Add(-config.Seconds(s)) }
--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// ObserveWorker takes a dispatcher's view of a worker and settles what it shows. A view that
-// repeats the last report does not wait for the state's Mu: it is observed later.
+// ObserveWorker applies a dispatcher's view of a worker to the state. A view that repeats the
+// last heartbeat does not wait for the state's Mu: it is applied later.
 func (r *Reconciler) ObserveWorker(view dispatch.WorkerView) {
 	if view.Unchanged {
 		if !r.state.Mu.TryLock() {
@@ -24,13 +24,13 @@
 	r.observe(&view)
 }
 
-// deferredView is a view that came while the state was locked.
+// deferredView is a view that arrived while the state was locked.
 type deferredView struct {
-	view   dispatch.WorkerView
+	view      dispatch.WorkerView
 	arrivedAt time.Time
 }
 
-// deferView has a view observed later that shows nothing but a heartbeat: the response to the
+// deferView queues a view that shows nothing new but a heartbeat, because the response to the
 // worker must not wait for a scheduling pass.
 func (r *Reconciler) deferView(view dispatch.WorkerView) {
 	r.deferredMu.Lock()
@@ -38,9 +38,9 @@
 	r.deferred = append(r.deferred, deferredView{view, time.Now()})
 }
 
-// ObserveDeferred takes the deferred views, with their ages as of now. A later view of the same
-// worker may have been observed before one of them, which is then ignored as a late copy. The
-// caller holds the state's Mu.
+// ObserveDeferred applies the deferred views, with their ages updated. If a later view of the
+// same worker was applied in the meantime, the deferred one is ignored as stale. The caller
+// holds the state's Mu.
 func (r *Reconciler) ObserveDeferred() {
 	r.deferredMu.Lock()
 	views := r.deferred
@@ -55,8 +55,8 @@
 	}
 }
 
-// observe takes a view: first what it says of the worker, then, while this leader's lease
-// holds, what it says of tasks.
+// observe applies a view: first its data on the worker and then, if this leader's lease has not
+// expired, its data on tasks.
 func (r *Reconciler) observe(view *dispatch.WorkerView) {
 	if len(r.state.Loaded) == 0 || r.deleted.Contains(view.Name) {
 		return
@@ -71,7 +71,7 @@
 		return
 	}
 	if last := &worker.View; view.Session == last.Session && view.Seq == last.Seq && view.Dispatcher == last.Dispatcher {
-		// The same report with a changed queue: settling it again would only repeat the
+		// The same heartbeat with a changed queue: reconciling it again would only repeat the
 		// instructions that changed the queue.
 		worker.View, worker.Matrix = *view, view.Matrix
 		r.state.ReserveUnreported(worker)
@@ -84,8 +84,8 @@
 	worker.View, worker.ViewAt, worker.Matrix = *view, now, view.Matrix
 	recordHeartbeat(worker, now)
 	if r.state.Membership.LeaseRemaining() <= 0 {
-		// There may be another leader by now, whose tasks would look unknown here. If there
-		// is none, the next report settles all this.
+		// Another leader may have taken over, whose tasks would be unknown to this one. If not,
+		// the next heartbeat is reconciled instead.
 		return
 	}
 	r.reconcileTasks(worker, now)
@@ -95,8 +95,9 @@
 	jobstate.Notify(r.state.PlanSignal)
 }
 
-// recordRenewal notes when the worker's lease was last renewed. A view takes time to come,
-// which makes the same renewal look a little later.
+// recordRenewal records the time of the last renewal of the worker's lease. The delay of a view
+// makes the same renewal appear slightly later, so differences up to sameRenewalTolerance are
+// ignored.
 func (r *Reconciler) recordRenewal(worker *jobstate.Worker, view *dispatch.WorkerView, now time.Time) {
 	at := now.Add(-config.Seconds(view.UnansweredS))
 	if at.Sub(worker.RenewedAt) > config.Seconds(sameRenewalTolerance*r.state.Platform.Params.Workers.ReportS) {
@@ -104,17 +105,19 @@
 	}
 }
 
-// isStale reports whether a view is older than the one that is known. After a lease without
-// a heartbeat it is not: it is of a worker whose sessions are counted from the beginning again.
+// isStale reports whether a view is older than the known one. After a full lease without a
+// heartbeat it is not considered stale: the worker has been restarted and counts its sessions
+// from the start again.
 func (r *Reconciler) isStale(worker *jobstate.Worker, view *dispatch.WorkerView) bool {
 	last := &worker.View
 	older := view.Session < last.Session || view.Session == last.Session && view.Seq < last.Seq
 	return older && time.Since(worker.LastHeartbeat) < config.Seconds(r.state.Platform.Params.Workers.LeaseS)
 }
 
-// leaseExpiredUnreported reports whether the response to a poll shows a new leader, which does not know
-// the worker's lease, that it expired while no heartbeat came: the session is a new one, or the
-// tasks are gone that a predecessor had there. What such a worker is given it loses again.
+// leaseExpiredUnreported reports whether the response to a poll proves to a new leader, which
+// does not know the worker's lease, that the lease expired while no heartbeat arrived: the
+// worker is in a new session, or the tasks are gone that a predecessor had placed on it. Tasks
+// given to such a worker are lost again.
 func (r *Reconciler) leaseExpiredUnreported(worker *jobstate.Worker, view *dispatch.WorkerView) bool {
 	if !worker.LeaseUnknown() {
 		return false
@@ -126,7 +129,8 @@
 	return recorded && view.Session > 1 && len(view.Tasks) == 0
 }
 
-// setZone moves the use of placements, counted in every zone so far, to the worker's zone.
+// setZone sets the worker's zone and moves the use of its placements, counted under an unknown
+// zone so far, to it.
 func (r *Reconciler) setZone(worker *jobstate.Worker, zone string) {
 	for placement := range worker.Placements {
 		r.state.CountUse(placement, -1)
@@ -137,9 +141,9 @@
 	}
 }
 
-// recordHeartbeat notes when the report in the worker's view came, and when the cloud takes
-// the worker's machine. The age of the report counts: without it tasks were placed on workers
-// that had long been deleted.
+// recordHeartbeat records when the heartbeat in the worker's view arrived, and when the cloud
+// reclaims the machine. It subtracts the age of the heartbeat: otherwise tasks are placed on
+// workers that were deleted long ago.
 func recordHeartbeat(worker *jobstate.Worker, now time.Time) {
 	view := &worker.View
 	worker.LastHeartbeat = now.Add(-config.Seconds(view.AgeS))
@@ -175,8 +179,8 @@
 	}
 }
 
-// checkpointBeforeReclaim has tasks save their progress, and takes back those that did not start,
-// if the cloud gave notice that it takes the worker's machine.
+// checkpointBeforeReclaim makes tasks save their state and withdraws ungranted placements if the
+// cloud has given notice that it reclaims the worker's machine.
 func (r *Reconciler) checkpointBeforeReclaim(worker *jobstate.Worker) {
 	if worker.ReclaimAt.IsZero() {
 		return
--- a/internal/reconcile/responsive.go
+++ b/internal/reconcile/responsive.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	faultyJobWorkers            = 3 // workers on which a job must have failed, and not been done, to be faulty itself
-	unresponsiveHeartbeats = 2 // reports in a row that show that nothing sent has had an effect
-	failureAvoidance        = time.Minute
+	faultyJobWorkers       = 3 // number of workers on which a job must have failed, without a completed task, to be faulty itself
+	unresponsiveHeartbeats = 2 // consecutive heartbeats without an effect of the commands sent
+	failureAvoidance       = time.Minute
 )
 
-// recordFailure notes that a task of the job ended with an error on the worker. A job that was
-// submitted with a mistake fails wherever it is tried: it counts against no worker, and only a
-// few of its tasks are tried at a time, until one is done: else it would put every worker that it
-// reaches back for all others, and have sound ones deleted.
+// recordFailure records that a task of the job ended with an error on the worker. A job
+// submitted with a mistake fails on every worker: its failures count against no worker, and only
+// a few of its tasks are tried at a time until one is done. Otherwise it would make every worker
+// it reaches less preferred for all jobs, and cause healthy workers to be deleted.
 func (r *Reconciler) recordFailure(job *jobstate.Job, worker *jobstate.Worker) {
 	job.Errors++
 	job.AvoidUntil[worker.Index] = time.Now().Add(failureAvoidance)
@@ -42,10 +42,10 @@
 	r.log.Info("job fails on every worker", "job", job.Spec.UID, "class", job.Spec.Class, "errors", job.Errors)
 }
 
-// checkResponsive decides, by what the newest report shows, whether commands reach the worker.
-// One whose reports arrive, and which no response and no command reaches, looks idle, and would
-// take one task after the other for nothing until its lease expires, and again. It gets no work
-// until it responds to a poll, or reports a start. No placement is settled by this.
+// checkResponsive decides, by the latest heartbeat, whether commands reach the worker. A worker
+// whose heartbeats arrive but which no response and no command reaches looks idle: it would be
+// assigned one task after another in vain until its lease expires, and again after that. It gets
+// no work until it responds to a poll or reports a start. No placement is ended by this check.
 func (r *Reconciler) checkResponsive(worker *jobstate.Worker, now time.Time) {
 	responsive := worker.CommandObserved || worker.View.Polled
 	worker.CommandObserved = false
@@ -71,8 +71,8 @@
 	}
 }
 
-// unansweredCommandSince returns when the first of the commands was sent that the worker's report
-// should show and does not, of those sent before a time; zero if there is none.
+// unansweredCommandSince returns when the first command was sent that the worker's heartbeat
+// should reflect and does not, of those sent before the given time; zero if there is none.
 func (r *Reconciler) unansweredCommandSince(worker *jobstate.Worker, before time.Time) (since time.Time) {
 	for placement := range worker.Placements {
 		if placement.SeenInView == r.viewCount {
@@ -81,8 +81,9 @@
 		var sentAt time.Time
 		switch {
 		case placement.State == jobstate.PlacementGranted && queuedUnsent(worker.View.Queue, placement.Ref):
-			// The grant has not reached the dispatcher, which says nothing of the worker: over
-			// a slow link between controllers, workers that worked were deleted as unresponsive.
+			// The grant has not reached the dispatcher, which proves nothing about the worker:
+			// otherwise, over a slow link between controllers, working workers are deleted as
+			// unresponsive.
 			continue
 		case placement.State == jobstate.PlacementGranted:
 			sentAt = placement.GrantedAt
@@ -98,7 +99,8 @@
 	return since
 }
 
-// queuedUnsent reports whether a dispatcher has a placement queued and has sent no start command for it.
+// queuedUnsent reports whether a dispatcher has queued a placement and has sent no start command
+// for it.
 func queuedUnsent(queue []dispatch.QueueView, ref dispatch.TaskRef) bool {
 	for i := range queue {
 		if queue[i].Attempt == ref.Attempt && queue[i].TaskRef == ref {
@@ -108,7 +110,7 @@
 	return false
 }
 
-// markResponsive notes that something that was sent to the worker reached it.
+// markResponsive records that a command or response has reached the worker.
 func (r *Reconciler) markResponsive(worker *jobstate.Worker) {
 	if !worker.UnresponsiveSince.IsZero() {
 		r.log.Info("worker reachable again", "worker", worker.Name, "after_s", time.Since(worker.UnresponsiveSince).Seconds())
@@ -116,12 +118,13 @@
 	worker.UnresponsiveSince, worker.UnresponsiveHeartbeats = time.Time{}, 0
 }
 
-// responseTimeout is the time after which a report shows what was sent.
+// responseTimeout returns the time after which a worker's heartbeat reflects a command sent to
+// it.
 func (r *Reconciler) responseTimeout() time.Duration {
 	return config.Seconds(2 + 1.5*r.state.Platform.Params.Workers.ReportS)
 }
 
-// WorkerResponded notes that a worker responded to a poll, by whichever controller.
+// WorkerResponded records that a worker responded to a poll by any controller.
 func (r *Reconciler) WorkerResponded(name string) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
--- a/internal/reconcile/sweep.go
+++ b/internal/reconcile/sweep.go
@@ -6,13 +6,13 @@
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// forgetAfter is for how long an idle worker must not have been seen to be forgotten.
+// forgetAfter is the time without a view after which an idle worker is forgotten.
 const forgetAfter = 10 * time.Minute
 
-// RepeatUnconfirmed repeats what may have been lost on the way: halts of tasks that are not to run any
-// more, and writes that were not urgent. It stops tasks that exceed their time limit, and
-// forgets workers that were not seen for long. It is to be called about once a second; the
-// caller holds the state's Mu.
+// RepeatUnconfirmed repeats messages that may have been lost and starts deferred writes: halts
+// of tasks that must not run any more, and writes that were not urgent. It stops tasks that
+// exceed their time limit, and forgets idle workers without a recent view. It is to be called
+// about once a second; the caller holds the state's Mu.
 func (r *Reconciler) RepeatUnconfirmed() {
 	for _, job := range r.state.JobOrder {
 		r.state.StopOverTime(job)
@@ -27,13 +27,13 @@
 }
 
 // haltUnneeded halts the tasks of a cancelled job, and those that were completed elsewhere or
-// cancelled alone.
+// cancelled individually.
 func (r *Reconciler) haltUnneeded(job *jobstate.Job) {
 	if !job.Cancelled && (job.Constraints == nil || job.Finished == job.Done) {
 		return
 	}
 	for _, placements := range job.Placements {
-		// Halting may take a placement out of the list.
+		// Halting may modify the list.
 		for _, placement := range append([]*jobstate.Placement(nil), placements...) {
 			if !placement.Exited && (job.Cancelled || placement.Chunk.IsOver(placement.Task)) {
 				r.state.HaltTask(placement, 0)
