--- a/internal/reconcile/task_reported.go
+++ b/internal/reconcile/task_reported.go
@@ -10,39 +10,41 @@
 )
 
 const (
-	// estimateWeight is the weight of a newly completed task in its class's ratio of run time
-	// to estimate, and leastRatio and mostRatio are the bounds of what one task adds to it.
+	// estimateWeight is the weight of a newly completed task in its class's ratio of run time to
+	// estimate; minRatio and maxRatio bound the ratio of a single task.
 	estimateWeight = 0.08
-	minRatio     = 0.25
-	maxRatio      = 4
+	minRatio       = 0.25
+	maxRatio       = 4
 
-	// workerDecay and spotDecay are what remains, at each new one, of the counts of recently
-	// completed and lost tasks: of a worker, and of all on spot machines.
+	// workerDecay and spotDecay are the factors by which the counts of recently completed and
+	// lost tasks are multiplied at each new one: those of a worker, and those of all spot
+	// workers.
 	workerDecay = 0.98
 	spotDecay   = 0.995
 
-	// assignRetryInterval is how long after a placement was sent to a dispatcher it is sent again, if
+	// assignRetryInterval is the time after which a placement is sent to a dispatcher again if
 	// the dispatcher still does not know it.
 	assignRetryInterval = 2 * time.Second
-	// acceptanceDelay is how long after a failover a job that is not known may still be one
-	// that was just accepted.
+	// acceptanceDelay is the time after a failover during which an unknown job may be one that
+	// was just accepted.
 	acceptanceDelay = 3 * time.Second
-	// noRoomAvoidance is for how long a worker that had no room for a job's task is avoided, and
-	// unknownCauseDelay how long a job waits of which a task ended for an unknown cause.
-	noRoomAvoidance     = 2 * time.Second
+	// noRoomAvoidance is the time for which a job avoids a worker that had no room for one of
+	// its tasks, and unknownCauseDelay the time for which a job waits after one of its tasks
+	// ended for an unknown cause.
+	noRoomAvoidance   = 2 * time.Second
 	unknownCauseDelay = 2 * time.Second
-	// A job with freeErrors more errors than completed tasks waits before it is tried again:
-	// a second, doubled with each error, up to maxErrorDelay.
+	// A job with more than freeErrors errors beyond its number of completed tasks is delayed
+	// before its next attempt: by a second, doubled with each error, up to maxErrorDelay.
 	freeErrors    = 3
 	maxErrorDelay = 30 * time.Second
 	maxDoublings  = 5
 )
 
-// observeTask settles what a worker's report says of one task.
+// observeTask applies the state of one task in a worker's heartbeat.
 func (r *Reconciler) observeTask(worker *jobstate.Worker, ref dispatch.TaskRef, view *dispatch.TaskView) {
 	uid, task, err := wire.ParseTask(ref.Task)
 	if err != nil {
-		return // not a task of ours: the worker's own affair
+		return // not a task of this scheduler
 	}
 	job := r.state.Jobs[uid]
 	if job == nil {
@@ -58,7 +60,7 @@
 	}
 	placement.SeenInView = r.viewCount
 	if placement.Exited {
-		return // until its completion is recorded
+		return // waiting for its completion to be recorded
 	}
 	if view.State == wire.TaskExited {
 		r.taskExited(worker, placement, view)
@@ -67,9 +69,9 @@
 	if placement.State != jobstate.PlacementReported {
 		r.recordReported(worker, placement, view)
 	} else if placement.SentTo != worker.View.Dispatcher || view.Unknown && time.Since(placement.SentAt) > assignRetryInterval {
-		// What was sent may have come when the dispatcher had an older report, which did not
-		// list the task: it took the worker to be full as long as the task ran, and what was
-		// queued there never started.
+		// The assignment may have arrived when the dispatcher had an older heartbeat, which did
+		// not list the task. The dispatcher would then consider the worker full as long as the
+		// task runs, and tasks queued there would never start.
 		r.state.AssignPlacement(placement, true)
 	}
 	placement.Session = max(placement.Session, worker.View.Session)
@@ -88,7 +90,8 @@
 	}
 }
 
-// placementOn returns the one of a task's placements that is this attempt on the worker, or nil.
+// placementOn returns the placement of this attempt on the worker from a task's placements, or
+// nil.
 func placementOn(worker *jobstate.Worker, placements []*jobstate.Placement, attempt uint64) *jobstate.Placement {
 	for _, placement := range placements {
 		if placement.Worker == worker && placement.Attempt == attempt {
@@ -98,7 +101,7 @@
 	return nil
 }
 
-// recordReported settles a placement that the worker reports for the first time.
+// recordReported updates a placement that the worker reports for the first time.
 func (r *Reconciler) recordReported(worker *jobstate.Worker, placement *jobstate.Placement, view *dispatch.TaskView) {
 	if !placement.MayRun() {
 		r.log.Error("task runs without a grant", "task", placement.Ref.Task, "worker", worker.Name, "attempt", placement.Attempt,
@@ -118,8 +121,8 @@
 	}
 }
 
-// knownEnded reports whether a job that is not among the living ones has ended or was never
-// accepted. It may be another leader's, unless all shards are led here.
+// knownEnded reports whether a job that is not live here is certain to have ended or never to
+// have been accepted. Unless this controller leads all shards, another leader may have the job.
 func (r *Reconciler) knownEnded(uid string) bool {
 	if len(r.state.Loaded) < r.state.Operator.Shards {
 		return false
@@ -128,12 +131,13 @@
 	return ended || time.Since(r.state.LoadedAt) >= acceptanceDelay
 }
 
-// endUnknownTask stops or clears a task that has no placement in the state.
+// endUnknownTask stops or clears a task without a placement in the state.
 func (r *Reconciler) endUnknownTask(worker *jobstate.Worker, ref dispatch.TaskRef, view *dispatch.TaskView) {
 	instructions := r.state.InstructionsFor(worker.View.Dispatcher)
 	if view.State == wire.TaskExited {
-		// The placement is gone, and with it which tokens its start commands carry: a clear
-		// whose message was lost is repeated here, and a start that was held up came later.
+		// The placement is gone, and with it the tokens of its start commands. The clear repeats
+		// one whose message may have been lost; its token covers every start command that may
+		// still be delayed, so that none takes effect after it.
 		instructions.Clear = append(instructions.Clear, dispatch.Clear{TaskRef: ref, Token: max(worker.MaxToken, r.state.PredecessorToken)})
 	} else {
 		instructions.Halt = append(instructions.Halt, dispatch.Halt{TaskRef: ref})
@@ -141,8 +145,8 @@
 	jobstate.Notify(r.state.SendSignal)
 }
 
-// taskExited settles the end of an attempt: the task is completed, failed for good, or goes
-// back to those that wait.
+// taskExited applies the end of an attempt: the task is completed, has failed for good, or
+// becomes pending again.
 func (r *Reconciler) taskExited(worker *jobstate.Worker, placement *jobstate.Placement, view *dispatch.TaskView) {
 	job := placement.Job
 	placement.ExitCause = view.Cause
@@ -164,8 +168,8 @@
 	r.state.ClearTask(placement)
 }
 
-// recordSuccess counts an attempt that was done in favour of its worker and its job, and learns
-// from its run time.
+// recordSuccess counts a completed attempt in favor of its worker and its job, and updates the
+// run time estimates.
 func (r *Reconciler) recordSuccess(worker *jobstate.Worker, placement *jobstate.Placement) {
 	job := placement.Job
 	r.state.Stats.Done++
@@ -177,19 +181,19 @@
 	}
 	r.state.CacheImage(job, worker)
 	if !placement.StartObserved || placement.RunningSince.IsZero() || job.Cancelled {
-		return // how long it ran is not known
+		return // the run time is unknown
 	}
-	ranS := time.Since(placement.RunningSince).Seconds()
-	job.RunTimes.Add(ranS)
-	job.Class.RunTimes.Add(ranS)
+	runS := time.Since(placement.RunningSince).Seconds()
+	job.RunTimes.Add(runS)
+	job.Class.RunTimes.Add(runS)
 	if job.Spec.EstimateS > 0 {
-		ratio := min(maxRatio, max(minRatio, ranS/job.Spec.EstimateS))
+		ratio := min(maxRatio, max(minRatio, runS/job.Spec.EstimateS))
 		job.Class.EstimateRatio += estimateWeight * (ratio - job.Class.EstimateRatio)
 	}
 }
 
-// delayRetry notes why an attempt ended without its task being completed, and when and where
-// the job is tried again.
+// delayRetry counts an attempt that ended without completing its task, and restricts when and
+// where the job is retried, depending on the cause.
 func (r *Reconciler) delayRetry(job *jobstate.Job, worker *jobstate.Worker, cause string) {
 	switch cause {
 	case wire.CauseError:
@@ -206,7 +210,7 @@
 	}
 }
 
-// countLost counts a task that was lost against its worker.
+// countLost counts a lost task against its worker.
 func (r *Reconciler) countLost(placement *jobstate.Placement) {
 	r.state.Stats.Lost++
 	placement.Worker.RecentLost = placement.Worker.RecentLost*workerDecay + 1
--- a/internal/reconcile/task_unreported.go
+++ b/internal/reconcile/task_unreported.go
@@ -9,33 +9,35 @@
 )
 
 const (
-	// grantTimeout is how long a granted start may be neither reported nor surely off its worker
-	// before a newer token is to show which it is.
+	// grantTimeout is the time for which a granted start may be neither reported nor proven
+	// absent from its worker before the fencing token is raised to find out.
 	grantTimeout = 10 * time.Second
-	// haltRetryInterval is how long after a halt of a task that its worker does not report the next
-	// one is sent.
+	// haltRetryInterval is the time after which the halt of a task that its worker does not
+	// report is sent again.
 	haltRetryInterval = time.Second
 )
 
-// settledByHeartbeat reports whether the placement is settled by the worker's report alone, which
-// does not list it, and not by the dispatcher's queue. Of what a predecessor had queued, or was
-// seen to run, the queue says nothing: the dispatcher may request grants of that predecessor for
-// ever, or have the task queued from before it ran, as another dispatcher saw, and was lost.
+// settledByHeartbeat reports whether the absence of the placement from the worker's heartbeat is
+// decisive, whatever the dispatcher's queue contains. The queue proves nothing about placements
+// that a predecessor queued, or that were seen to run: the dispatcher may keep requesting grants
+// from that predecessor, or may still have a task queued that another dispatcher saw run and
+// that was lost since.
 func settledByHeartbeat(worker *jobstate.Worker, placement *jobstate.Placement) bool {
 	return placement.State == jobstate.PlacementUnconfirmed || placement.State == jobstate.PlacementReported || !jobstate.IsQueued(worker.View.Queue, placement.Ref)
 }
 
-// provenAbsent reports whether the task of a placement that the worker's report does not list is
-// surely not on that worker: the report is newer than any start command for this attempt can be.
+// provenAbsent reports whether the task of a placement that the worker's heartbeat does not list
+// is proven not to be on the worker: the heartbeat is newer than any start command for this
+// attempt can be.
 func provenAbsent(worker *jobstate.Worker, placement *jobstate.Placement) bool {
 	return worker.View.Token > placement.MaxToken || placement.State != jobstate.PlacementUnconfirmed && worker.View.Session > placement.Session
 }
 
-// observeMissing settles a placement that neither the worker's report nor the dispatcher's queue
-// lists.
+// observeMissing handles a placement that the worker's heartbeat does not list and that the
+// dispatcher's queue does not list or cannot settle.
 func (r *Reconciler) observeMissing(worker *jobstate.Worker, placement *jobstate.Placement) {
 	switch {
-	case placement.Exited: // goes when its completion is recorded
+	case placement.Exited: // ends when its completion is recorded
 	case !placement.MayRun():
 		if placement.State == jobstate.PlacementRecorded {
 			r.assignIfDue(worker, placement)
@@ -48,9 +50,9 @@
 	case placement.State == jobstate.PlacementGranted && !placement.Job.Cancelled && placement.LastHaltAt.IsZero():
 		r.assignIfDue(worker, placement)
 	default:
-		// Perhaps a late command: a newer token settles it. Only what is to stop is halted:
-		// the report may be older than the start, and a halt would end a task that a
-		// predecessor started after it.
+		// A start command may still be delayed: a newer token settles that. Only tasks that are
+		// to be stopped are halted: the heartbeat may be older than the start, and a halt would
+		// end a task that a predecessor started after the heartbeat.
 		instructions := r.state.InstructionsFor(worker.View.Dispatcher)
 		instructions.RaiseTokenAbove = max(instructions.RaiseTokenAbove, placement.MaxToken)
 		if (placement.Job.Cancelled || !placement.LastHaltAt.IsZero()) && time.Since(placement.LastHaltAt) > haltRetryInterval {
@@ -61,23 +63,25 @@
 	}
 }
 
-// assignIfDue sends a placement to the worker's dispatcher if it was sent to another one, or
-// long enough ago for the dispatcher to show it if it had come.
+// assignIfDue sends a placement to the worker's dispatcher if it was last sent to another one,
+// or if the dispatcher should have received it by now.
 func (r *Reconciler) assignIfDue(worker *jobstate.Worker, placement *jobstate.Placement) {
 	if placement.SentTo != worker.View.Dispatcher || time.Since(placement.SentAt) > assignRetryInterval {
 		r.state.AssignPlacement(placement, false)
 	}
 }
 
-// checkGranted settles a placement whose start was granted, which the worker does not report
-// and the dispatcher still has queued. One that surely came to nothing waits for its turn: it
-// may be placed elsewhere, like all that waits. One that is not sure for long is settled by a
-// newer token: its start command may be lost, and its room taken by what another dispatcher
-// started. Both kinds stood for ever behind tasks that ran for long, beside idle workers.
+// checkGranted handles a placement whose start was granted, which the worker does not report and
+// which the dispatcher still has queued. If the task is proven absent, the grant is revoked, so
+// that the task can be placed elsewhere like any other queued task. If that stays uncertain for
+// grantTimeout, a newer token is requested to settle it: the start command may be lost, and
+// another dispatcher's task may have taken the room. Otherwise such placements wait indefinitely
+// behind long-running tasks while other workers are idle.
 //
-// An attempt is started in one session of its worker only. It may have run, and ended, in a
-// session of which no report came. A report of that session that comes late, to the next
-// leader too, would be taken for what became of the attempt in the session after it.
+// A placement granted in an earlier session of the worker is withdrawn, because an attempt is
+// started in only one session: it may have run, and ended, in a session of which no heartbeat
+// arrived. A late heartbeat of that session, possibly received by the next leader, would be
+// mistaken for the result of the attempt in the following session.
 func (r *Reconciler) checkGranted(worker *jobstate.Worker, placement *jobstate.Placement, now time.Time) {
 	switch {
 	case worker.View.Session > placement.Session:
@@ -93,8 +97,8 @@
 	}
 }
 
-// checkQueued takes an entry that has no placement in the state out of the dispatcher's queue.
-// Nobody would ever grant it, but it would keep its room.
+// checkQueued removes an entry without a placement in the state from the dispatcher's queue: it
+// would never be granted, but would still reserve its room.
 func (r *Reconciler) checkQueued(worker *jobstate.Worker, ref dispatch.TaskRef) {
 	for placement := range worker.Placements {
 		if placement.Attempt == ref.Attempt && placement.Ref == ref {
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -9,11 +9,12 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// unstoppedReason is why a worker with a cancelled task that can't be stopped is deleted.
+// unstoppedReason is the reason for the deletion of a worker with a cancelled task that cannot
+// be stopped.
 const unstoppedReason = "a cancelled task can't be stopped"
 
-// UnresponsiveWorkers returns how many workers there are, and those without a heartbeat, or on
-// which what was sent had no effect, for atLeast or longer.
+// UnresponsiveWorkers returns the number of workers, and the workers without a heartbeat or on
+// which commands have had no effect for at least atLeast.
 func (r *Reconciler) UnresponsiveWorkers(atLeast time.Duration) (known int, unresponsive []reachability.UnresponsiveWorker) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -35,10 +36,10 @@
 	return len(r.state.Workers), unresponsive
 }
 
-// commandReachability is which workers commands reach.
+// commandReachability describes which workers commands reach.
 type commandReachability struct {
-	unreached   int         // workers that are unresponsive
-	respondedAt []time.Time // of the others that were sent something lately, in order
+	unreached   int         // number of unresponsive workers
+	respondedAt []time.Time // RespondedAt of the responsive workers that responded lately, ascending
 }
 
 func (r *Reconciler) newCommandReachability(now time.Time) (reach commandReachability) {
@@ -53,15 +54,17 @@
 	return reach
 }
 
-// mostRespondedSince reports whether no more workers are unresponsive than responded to something sent
-// after a time, since which one is unresponsive. Else the way there is bad, and not that worker:
-// what was sent before, and showed later, says nothing of that.
+// mostRespondedSince reports whether at least as many workers responded to something sent after
+// the given time, at which a worker became unresponsive, as workers are unresponsive. If not,
+// the network is at fault and not that worker. Responses to earlier commands prove nothing about
+// the network since then, even if they were observed later.
 func (c *commandReachability) mostRespondedSince(since time.Time) bool {
 	first, _ := slices.BinarySearchFunc(c.respondedAt, since, time.Time.Compare)
 	return c.unreached <= len(c.respondedAt)-first
 }
 
-// RemoteWorkers returns the addresses of workers whose dispatcher is another controller, by name.
+// RemoteWorkers returns the addresses, by name, of the workers whose dispatcher is another
+// controller.
 func (r *Reconciler) RemoteWorkers() map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -74,8 +77,8 @@
 	return endpoints
 }
 
-// StuckWorkers returns workers with a cancelled task that can't be stopped in time, by name,
-// and why they are to be deleted: the task goes with its worker.
+// StuckWorkers returns the workers with a cancelled task that could not be stopped in time, by
+// name, and the reason to delete them: deleting the worker ends the task.
 func (r *Reconciler) StuckWorkers() map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -86,9 +89,9 @@
 	return reasons
 }
 
-// UnstoppedWorkers returns the addresses of workers, by name, on which cancelled tasks may
-// still run that were first halted longer ago than after, as far as this controller knows: its
-// lease need not hold.
+// UnstoppedWorkers returns the addresses, by name, of the workers on which cancelled tasks may
+// still be running that were first halted more than after ago, as far as this controller knows:
+// its lease may have expired.
 func (r *Reconciler) UnstoppedWorkers(after time.Duration) map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -101,8 +104,8 @@
 	return endpoints
 }
 
-// workersWithUnstopped lists the workers, some more than once, on which cancelled tasks may
-// still run that were first halted longer ago than after.
+// workersWithUnstopped returns the workers, possibly repeated, on which cancelled tasks may
+// still be running that were first halted more than after ago.
 func (r *Reconciler) workersWithUnstopped(after time.Duration) (workers []*jobstate.Worker) {
 	now := time.Now()
 	for _, job := range r.state.JobOrder {
--- a/internal/reconcile/unresponsive_test.go
+++ b/internal/reconcile/unresponsive_test.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// Guards against the first worker that nothing reaches being deleted when nothing reaches any of
-// them: others had responded to what was sent before.
+// If commands reach no worker at all, the first unresponsive worker must not be deleted because
+// other workers responded to earlier commands.
 func TestEarlierResponsesDoNotShowOneWorkerUnresponsive(t *testing.T) {
 	now := time.Now()
 	ago := func(s float64) time.Time { return now.Add(-config.Seconds(s)) }
--- a/internal/reconcile/worker_lost.go
+++ b/internal/reconcile/worker_lost.go
@@ -7,7 +7,7 @@
 )
 
 // WorkerDeleted ends every placement on a worker that the cloud has deleted, and forgets the
-// worker. Its name never comes back; late views of it are ignored.
+// worker. Its name is never used again; late views of it are ignored.
 func (r *Reconciler) WorkerDeleted(name string) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -21,9 +21,10 @@
 	r.forgetWorker(worker)
 }
 
-// LeaseAttestedExpired ends what was placed on a worker until requestedAt. All controllers have
-// attested, by requests sent then, that none has answered the worker for a full lease: it has
-// killed every task. A worker of which a view came since is left as it is.
+// LeaseAttestedExpired ends the placements created on a worker until requestedAt. All
+// controllers have attested, in response to requests sent at that time, that none has responded
+// to the worker for a full lease, so that the worker has killed every task. It does nothing if a
+// view of the worker has arrived since.
 func (r *Reconciler) LeaseAttestedExpired(name string, requestedAt time.Time) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -32,7 +33,7 @@
 	}
 }
 
-// endLostPlacements ends the placements on a lost worker that were made until a time.
+// endLostPlacements ends the placements on a lost worker that were created until the given time.
 func (r *Reconciler) endLostPlacements(worker *jobstate.Worker, until time.Time) {
 	for placement := range worker.Placements {
 		if placement.CreatedAt.After(until) {
@@ -47,7 +48,7 @@
 	}
 }
 
-// forgetWorker drops a worker from memory. Its index is not used again.
+// forgetWorker removes a worker from memory. Its index is not reused.
 func (r *Reconciler) forgetWorker(worker *jobstate.Worker) {
 	r.state.WorkersByIndex[worker.Index] = nil
 	delete(r.state.Workers, worker.Name)
