--- a/internal/jobstate/estimate.go
+++ b/internal/jobstate/estimate.go
@@ -20,7 +20,7 @@
 	// spotWeight is the weight of the tasks on all spot workers in the success rate of one of
 	// them.
 	spotWeight = 0.25
-	// failureWeight is the number of lost tasks as which an error counts.
+	// failureWeight is the number of lost tasks that one error counts as.
 	failureWeight = 2
 )
 
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -40,7 +40,7 @@
 	RunTimes       Average              // run times of its tasks, in seconds
 
 	Errors     int               // number of attempts that ended with an error or for an unknown cause
-	FailedOn   map[int]bool      // indices of workers on which a task failed; cleared when a task is done
+	FailedOn   map[int]bool      // indices of workers on which a task failed; cleared when a task is done or the job is faulty
 	Faulty     bool              // tasks failed on several workers and none was done since
 	NotBefore  time.Time         // no task is placed before this time
 	AvoidUntil map[int]time.Time // time before which no task is placed on a worker, by worker index
--- a/internal/jobstate/objectives.go
+++ b/internal/jobstate/objectives.go
@@ -35,8 +35,8 @@
 	return 0
 }
 
-// DueAt returns when the job is due, in seconds since 1970. A job without a due time
-// counts as due a minute after its acceptance, so that older jobs come first.
+// DueAt returns when the job is due, in seconds since 1970. A job without a due time counts as
+// due a minute after its acceptance, so that older jobs come first.
 func (j *Job) DueAt() float64 {
 	at := float64(j.AcceptedMs) / 1000
 	if j.Spec.DueS != nil {
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	maxExhaustiveSearch = 64  // with at most this many workers with room, all of them are candidates
-	maxSampledWorkers   = 512 // maximum number of workers examined per job beyond those that cache its image
-	sameZoneCandidates  = maxExhaustiveSearch / 2
-	idleCandidates      = 2
+	maxExhaustiveSearch = 64                      // with at most this many workers with room, all of them are candidates
+	maxSampledWorkers   = 512                     // maximum number of workers examined per job beyond those that cache its image
+	sameZoneCandidates  = maxExhaustiveSearch / 2 // maximum number of sampled candidates in the zones of those that cache the image
+	idleCandidates      = 2                       // maximum number of other sampled candidates, with room now
 )
 
 // schedulableWorkers returns the workers that may take tasks, in the order of their index.
--- a/internal/planner/evict.go
+++ b/internal/planner/evict.go
@@ -173,9 +173,9 @@
 	// already late is not stopped either: its job as a whole would finish even later.
 	ageS, runS := p.state.Now.Sub(job.AcceptedAt).Seconds(), job.RunEstimate()
 	remainingS, late := max(runS-elapsedS, 1), true
-	for _, limitS := range p.state.Deadlines(job) {
-		late = late && limitS < ageS+remainingS
-		if limitS >= ageS+remainingS && limitS < ageS+jobstate.RunTimeMargin*runS+jobstate.RestartOverheadS {
+	for _, deadlineS := range p.state.Deadlines(job) {
+		late = late && deadlineS < ageS+remainingS
+		if deadlineS >= ageS+remainingS && deadlineS < ageS+jobstate.RunTimeMargin*runS+jobstate.RestartOverheadS {
 			return 0, false
 		}
 	}
--- a/internal/planner/pass.go
+++ b/internal/planner/pass.go
@@ -18,8 +18,8 @@
 // Pass runs one scheduling pass: it matches waiting tasks in batches, in the order of SortJobs,
 // until no further task starts within the horizon or the budget of placements is spent, and then
 // preempts for urgent jobs that still wait. If the budget is spent, it signals PlanSignal for
-// another pass. It does nothing if the lease has less than a second remaining or no shard is loaded.
-// The caller holds the state's Mu.
+// another pass. It does nothing if less than a second of the lease remains or no shard is
+// loaded. The caller holds the state's Mu.
 func (p *Planner) Pass() {
 	if p.state.Membership.LeaseRemaining() < time.Second || len(p.state.Loaded) == 0 {
 		return
--- a/internal/planner/triage.go
+++ b/internal/planner/triage.go
@@ -47,7 +47,7 @@
 	now             time.Time
 	capacity        matching.Resources
 	higherPriorityS float64 // time that the work of higher priorities takes
-	arrivalShare    float64 // share of the capacity used by arriving work of higher priorities
+	arrivingShare   float64 // share of the capacity used by arriving work of higher priorities
 }
 
 // updateArrivalRates updates the averages of the rates at which work arrives, elapsedS after the
@@ -116,7 +116,7 @@
 		workS += left.Work
 		remaining = append(remaining, left)
 	}
-	share := usableShare * max(minCapacityShare, 1-t.arrivalShare)
+	share := usableShare * max(minCapacityShare, 1-t.arrivingShare)
 	// While all jobs finish on time or only slightly late, the order of their deadlines is best:
 	// all make progress, and few are late.
 	if deadlineS := p.meanFirstDeadline(jobs); deadlineS > 0 {
@@ -129,7 +129,7 @@
 		}
 	}
 	t.higherPriorityS += workS / usableShare
-	t.arrivalShare += p.arrivalShare(rank, t.capacity) / usableShare
+	t.arrivingShare += p.arrivalShare(rank, t.capacity) / usableShare
 }
 
 // meanFirstDeadline returns the mean of the jobs' first deadlines, in seconds from acceptance; 0
--- a/internal/reconcile/grant.go
+++ b/internal/reconcile/grant.go
@@ -37,9 +37,9 @@
 // The reply is to start the task, to request the grant again later, or to drop the task from the
 // dispatcher's queue.
 func (r *Reconciler) grantStart(request dispatch.GrantRequest) dispatch.GrantReply {
-	notNow, drop := dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
+	retryLater, drop := dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
 	if r.state.Membership.LeaseRemaining() < grantLeaseMargin || len(r.state.Loaded) == 0 {
-		return notNow
+		return retryLater
 	}
 	uid, task, err := wire.ParseTask(request.Task)
 	if err != nil {
@@ -51,12 +51,12 @@
 		return dispatch.GrantReply{Drop: len(r.state.Loaded) == r.state.Operator.Shards}
 	}
 	if !r.state.LeadsJob(job) {
-		return notNow
+		return retryLater
 	}
 	placement, blocked := requestedPlacement(job, task, request)
 	if blocked {
 		r.state.Stats.Refused++
-		return notNow // until the other placement ends or is withdrawn
+		return retryLater // until the other placement ends or is withdrawn
 	}
 	if placement == nil {
 		return drop
@@ -68,7 +68,7 @@
 		r.state.EndPlacement(placement)
 		return drop
 	case !r.mayStart(placement):
-		return notNow
+		return retryLater
 	}
 	r.state.CountUse(placement, -1)
 	fits := r.state.FitsZone(job, placement.Worker) && r.state.FitsTeamLimit(job)
@@ -79,7 +79,7 @@
 	}
 	r.state.CountUse(placement, 1)
 	if !fits {
-		return notNow
+		return retryLater
 	}
 	r.withdrawOthers(placement)
 	return dispatch.GrantReply{OK: true}
--- a/internal/reconcile/grant_test.go
+++ b/internal/reconcile/grant_test.go
@@ -72,34 +72,34 @@
 // A start is granted only if no condition forbids it and no other placement of the task may be
 // running. Requests for tasks that can never start are dropped; others may be granted later.
 func TestStartIsGrantedOnlyIfAllConditionsHold(t *testing.T) {
-	granted, notNow, drop := dispatch.GrantReply{OK: true}, dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
+	granted, retryLater, drop := dispatch.GrantReply{OK: true}, dispatch.GrantReply{}, dispatch.GrantReply{Drop: true}
 	for _, c := range []struct {
 		name   string
 		change func(g *grantCase)
 		want   dispatch.GrantReply
 	}{
-		{"nothing stands against it", func(*grantCase) {}, granted},
+		{"all conditions hold", func(*grantCase) {}, granted},
 		{"it was granted before", func(g *grantCase) { g.reconciler.GrantLocal(g.request) }, granted},
-		{"the leader's lease is about to end", func(g *grantCase) { g.member.lease = 100 * time.Millisecond }, notNow},
-		{"no shard is led", func(g *grantCase) { delete(g.state.Loaded, 0) }, notNow},
-		{"the shard is led anew", func(g *grantCase) { g.member.shard = 8 }, notNow},
-		{"the task's name is none", func(g *grantCase) { g.request.Task = "j-1" }, drop},
+		{"the leader's lease is about to expire", func(g *grantCase) { g.member.lease = 100 * time.Millisecond }, retryLater},
+		{"no shard is led", func(g *grantCase) { delete(g.state.Loaded, 0) }, retryLater},
+		{"the shard was claimed again since it was loaded", func(g *grantCase) { g.member.shard = 8 }, retryLater},
+		{"the task's name is invalid", func(g *grantCase) { g.request.Task = "j-1" }, drop},
 		{"the job is unknown, and all shards are led", func(g *grantCase) { delete(g.state.Jobs, "j-1") }, drop},
-		{"the job is unknown, and others lead shards", func(g *grantCase) { delete(g.state.Jobs, "j-1"); g.state.Operator.Shards = 2 }, notNow},
+		{"the job is unknown, and others lead shards", func(g *grantCase) { delete(g.state.Jobs, "j-1"); g.state.Operator.Shards = 2 }, retryLater},
 		{"the attempt is unknown", func(g *grantCase) { g.request.Attempt = 9 }, drop},
 		{"the job is cancelled", func(g *grantCase) { g.job.Cancelled = true }, drop},
 		{"the task is done", func(g *grantCase) { g.job.Chunks[0].SetOver(0) }, drop},
-		{"another controller cancelled the job", func(g *grantCase) { g.state.Cancellations = cancelled{"j-1": true} }, notNow},
-		{"it is being recorded", func(g *grantCase) { g.placement.State = jobstate.PlacementRecording }, notNow},
-		{"it is an earlier leader's", func(g *grantCase) { g.placement.State = jobstate.PlacementUnconfirmed }, notNow},
-		{"it runs", func(g *grantCase) { g.placement.State = jobstate.PlacementReported }, notNow},
-		{"it was halted", func(g *grantCase) { g.placement.LastHaltAt = time.Now() }, notNow},
-		{"another placement of the task may run", func(g *grantCase) { g.place("x", 2).State = jobstate.PlacementUnconfirmed }, notNow},
+		{"another controller cancelled the job", func(g *grantCase) { g.state.Cancellations = cancelled{"j-1": true} }, retryLater},
+		{"it is being recorded", func(g *grantCase) { g.placement.State = jobstate.PlacementRecording }, retryLater},
+		{"it is an earlier leader's", func(g *grantCase) { g.placement.State = jobstate.PlacementUnconfirmed }, retryLater},
+		{"it runs", func(g *grantCase) { g.placement.State = jobstate.PlacementReported }, retryLater},
+		{"it was halted", func(g *grantCase) { g.placement.LastHaltAt = time.Now() }, retryLater},
+		{"another placement of the task may run", func(g *grantCase) { g.place("x", 2).State = jobstate.PlacementUnconfirmed }, retryLater},
 		{"another placement of the task waits", func(g *grantCase) { g.place("x", 2) }, granted},
-		{"another placement completed the task", func(g *grantCase) { g.place("x", 2).Exited = true }, notNow},
-		{"its worker is drained", func(g *grantCase) { g.placement.Worker.View.Draining = true }, notNow},
-		{"its worker is on a spot machine", func(g *grantCase) { g.placement.Worker.View.Spot = true }, notNow},
-		{"its worker is unresponsive", func(g *grantCase) { g.placement.Worker.UnresponsiveSince = time.Now() }, notNow},
+		{"another placement completed the task", func(g *grantCase) { g.place("x", 2).Exited = true }, retryLater},
+		{"its worker is drained", func(g *grantCase) { g.placement.Worker.View.Draining = true }, retryLater},
+		{"its worker is on a spot machine", func(g *grantCase) { g.placement.Worker.View.Spot = true }, retryLater},
+		{"its worker is unresponsive", func(g *grantCase) { g.placement.Worker.UnresponsiveSince = time.Now() }, retryLater},
 		{"granted before its worker became unresponsive", func(g *grantCase) {
 			g.reconciler.GrantLocal(g.request)
 			g.placement.Worker.UnresponsiveSince = time.Now()
@@ -108,10 +108,10 @@
 			g.reconciler.GrantLocal(g.request)
 			g.request.Session++
 		}, drop},
-		{"the user holds the job", func(g *grantCase) { g.job.Constraints = jobstate.NewConstraintState(&jobspec.Constraints{Held: true}) }, notNow},
-		{"the team's limit is reached", func(g *grantCase) { g.job.Team.Used.CPUs = 3 }, notNow},
+		{"the user holds the job", func(g *grantCase) { g.job.Constraints = jobstate.NewConstraintState(&jobspec.Constraints{Held: true}) }, retryLater},
+		{"the team's limit is reached", func(g *grantCase) { g.job.Team.Used.CPUs = 3 }, retryLater},
 		{"the team's limit has just enough room", func(g *grantCase) { g.job.Team.Used.CPUs = 2 }, granted},
-		{"the gang is in another zone", func(g *grantCase) { g.job.Spec.OneZone = true; g.job.Zones["y"] = 1 }, notNow},
+		{"the gang is in another zone", func(g *grantCase) { g.job.Spec.OneZone = true; g.job.Zones["y"] = 1 }, retryLater},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newGrantCase()
--- a/internal/reconcile/lease_expiry.go
+++ b/internal/reconcile/lease_expiry.go
@@ -108,9 +108,9 @@
 // leaseExpiring reports whether a worker's heartbeat is overdue and its lease has not been
 // expired for long.
 func (r *Reconciler) leaseExpiring(worker *jobstate.Worker, now time.Time) bool {
-	report := r.state.Platform.Params.Workers.ReportS
-	overdue := now.Sub(worker.LastContact()) > config.Seconds(pollAfterHeartbeats*report)+jobstate.OverdueSlack
-	return overdue && now.Before(r.state.LatestLeaseEnd(worker).Add(config.Seconds(report)+settleDelay))
+	intervalS := r.state.Platform.Params.Workers.ReportS
+	overdue := now.Sub(worker.LastContact()) > config.Seconds(pollAfterHeartbeats*intervalS)+jobstate.OverdueSlack
+	return overdue && now.Before(r.state.LatestLeaseEnd(worker).Add(config.Seconds(intervalS)+settleDelay))
 }
 
 // pollDue reports whether a worker with an overdue heartbeat is to be polled for it: at the
--- a/internal/reconcile/lease_expiry_test.go
+++ b/internal/reconcile/lease_expiry_test.go
@@ -27,8 +27,8 @@
 		{"it has run for less than the rest of the lease", expiringTask{elapsedS: 20, remainingS: 60, saveS: cannot}, 25, true},
 		{"it has run for longer than the rest of the lease", expiringTask{elapsedS: 30, remainingS: 60, saveS: cannot}, 25, false},
 		{"it has not begun to run", expiringTask{remainingS: 60, saveS: cannot}, 25, true},
-		{"its start would count no more", expiringTask{elapsedS: 20, remainingS: 60, saveS: cannot, stopUndoesStart: true}, 25, false},
-		{"it saves, and its start would count no more", expiringTask{elapsedS: 20, remainingS: 60, saveS: 4, stopUndoesStart: true}, 5, false},
+		{"a stop would undo its start", expiringTask{elapsedS: 20, remainingS: 60, saveS: cannot, stopUndoesStart: true}, 25, false},
+		{"it saves, and a stop would undo its start", expiringTask{elapsedS: 20, remainingS: 60, saveS: 4, stopUndoesStart: true}, 5, false},
 	} {
 		if got := stopBeforeExpiry(c.task, c.left); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
@@ -39,7 +39,7 @@
 // A worker with an overdue heartbeat is polled at the heartbeat interval and around the end of
 // its lease; a worker that responds to no poll is not polled again. Times are seconds since the
 // last heartbeat that was responded to.
-func TestWorkerWithOverdueReportIsPolled(t *testing.T) {
+func TestWorkerWithOverdueHeartbeatIsPolled(t *testing.T) {
 	r := &Reconciler{state: &jobstate.State{Platform: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}}
 	began := time.Now()
 	at := func(s float64) time.Time { return began.Add(config.Seconds(s)) }
@@ -50,12 +50,12 @@
 		stopping          bool
 		due               bool
 	}{
-		{"its report is not overdue", 10, 0, 0, 0, false, false},
-		{"its report is overdue", 11.5, 0, 0, 0, false, true},
+		{"its heartbeat is not overdue", 10, 0, 0, 0, false, false},
+		{"its heartbeat is overdue", 11.5, 0, 0, 0, false, true},
 		{"it was polled a moment ago", 14, 11.5, 11.5, 0, false, false},
-		{"more often while it is not clear", 16, 11.5, 11.5, 0, false, true},
-		{"as often as it would report", 26, 19, 19, 0, false, false},
-		{"as often as it would report, again", 27.5, 19, 19, 0, false, true},
+		{"at half the interval while it is unclear whether it is lost", 16, 11.5, 11.5, 0, false, true},
+		{"at the heartbeat interval, not yet due", 26, 19, 19, 0, false, false},
+		{"at the heartbeat interval, due", 27.5, 19, 19, 0, false, true},
 		{"a task is being stopped", 20.5, 19, 19, 0, true, true},
 		{"shortly before its lease expires", 42.2, 40, 40, 0, false, true},
 		{"after that", 43, 42.2, 42.2, 0, false, false},
@@ -80,14 +80,14 @@
 	r := &Reconciler{state: &jobstate.State{Platform: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}}
 	ago := func(s float64) time.Time { return time.Now().Add(-config.Seconds(s)) }
 	for _, c := range []struct {
-		name              string
-		renewed, known    float64 // seconds ago
-		session, lastHere uint64  // now, and when it was renewed
-		run               float64
-		kind              string
-		want              bool
+		name                    string
+		renewed, known          float64 // seconds ago
+		session, renewedSession uint64  // now, and when it was renewed
+		run                     float64
+		kind                    string
+		want                    bool
 	}{
-		{"its reports are answered", 5, 100, 1, 1, 600, wire.KindArray, true},
+		{"its heartbeats are responded to", 5, 100, 1, 1, 600, wire.KindArray, true},
 		{"a short task in the rest of the lease", 20, 100, 1, 1, 10, wire.KindArray, true},
 		{"a long task in the rest of the lease", 20, 100, 1, 1, 20, wire.KindArray, false},
 		{"the same in the next session's lease", 46, 100, 2, 1, 20, wire.KindArray, true},
@@ -95,7 +95,7 @@
 		{"a service", 20, 100, 1, 1, 1, wire.KindService, false},
 		{"an earlier leader renewed it last", 40, 20, 1, 1, 1, wire.KindArray, false},
 	} {
-		worker := &jobstate.Worker{RenewedAt: ago(c.renewed), KnownSince: ago(c.known), LastHeartbeat: time.Now(), RenewedSession: c.lastHere}
+		worker := &jobstate.Worker{RenewedAt: ago(c.renewed), KnownSince: ago(c.known), LastHeartbeat: time.Now(), RenewedSession: c.renewedSession}
 		worker.View.Session = c.session
 		job := &jobstate.Job{Spec: &wire.Job{Kind: c.kind, EstimateS: c.run}, Class: &jobstate.Class{EstimateRatio: 1}}
 		if got := r.state.FitsLease(job, worker); got != c.want {
--- a/internal/reconcile/sweep.go
+++ b/internal/reconcile/sweep.go
@@ -9,8 +9,8 @@
 // forgetAfter is the time without a view after which an idle worker is forgotten.
 const forgetAfter = 10 * time.Minute
 
-// RepeatUnconfirmed repeats messages that may have been lost and starts deferred writes: halts
-// of tasks that must not run any more, and writes that were not urgent. It stops tasks that
+// RepeatUnconfirmed repeats halts of tasks that must not run any more, because the messages may
+// have been lost, and signals the writer for changes that were not urgent. It stops tasks that
 // exceed their time limit, and forgets idle workers without a recent view. It is to be called
 // about once a second; the caller holds the state's Mu.
 func (r *Reconciler) RepeatUnconfirmed() {
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -9,12 +9,12 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// unstoppedReason is the reason for the deletion of a worker with a cancelled task that cannot
+// deletionReason is the reason for the deletion of a worker with a cancelled task that cannot
 // be stopped.
-const unstoppedReason = "a cancelled task can't be stopped"
+const deletionReason = "a cancelled task can't be stopped"
 
-// UnresponsiveWorkers returns the number of workers, and the workers without a heartbeat or on
-// which commands have had no effect for at least atLeast.
+// UnresponsiveWorkers returns the number of workers, and those that have sent no heartbeat, or
+// on which commands have had no effect, for at least atLeast.
 func (r *Reconciler) UnresponsiveWorkers(atLeast time.Duration) (known int, unresponsive []reachability.UnresponsiveWorker) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -38,14 +38,14 @@
 
 // commandReachability describes which workers commands reach.
 type commandReachability struct {
-	unreached   int         // number of unresponsive workers
-	respondedAt []time.Time // RespondedAt of the responsive workers that responded lately, ascending
+	unresponsive int         // number of unresponsive workers
+	respondedAt  []time.Time // RespondedAt of the responsive workers that responded lately, ascending
 }
 
 func (r *Reconciler) newCommandReachability(now time.Time) (reach commandReachability) {
 	for _, worker := range r.state.Workers {
 		if !worker.UnresponsiveSince.IsZero() {
-			reach.unreached++
+			reach.unresponsive++
 		} else if now.Sub(worker.RespondedAt) < r.responseTimeout() {
 			reach.respondedAt = append(reach.respondedAt, worker.RespondedAt)
 		}
@@ -54,13 +54,13 @@
 	return reach
 }
 
-// mostRespondedSince reports whether at least as many workers responded to something sent after
-// the given time, at which a worker became unresponsive, as workers are unresponsive. If not,
-// the network is at fault and not that worker. Responses to earlier commands prove nothing about
-// the network since then, even if they were observed later.
+// mostRespondedSince reports whether the number of workers that responded to commands sent after
+// the given time, when a worker became unresponsive, is at least the number of unresponsive
+// workers. If it is not, the network is at fault and not that worker. Responses to earlier
+// commands prove nothing about the network since then, even if they were observed later.
 func (c *commandReachability) mostRespondedSince(since time.Time) bool {
 	first, _ := slices.BinarySearchFunc(c.respondedAt, since, time.Time.Compare)
-	return c.unreached <= len(c.respondedAt)-first
+	return c.unresponsive <= len(c.respondedAt)-first
 }
 
 // RemoteWorkers returns the addresses, by name, of the workers whose dispatcher is another
@@ -84,7 +84,7 @@
 	defer r.state.Mu.Unlock()
 	reasons := map[string]string{}
 	for _, worker := range r.workersWithUnstopped(config.Seconds(r.state.Platform.Params.Workers.CancelS / 3)) {
-		reasons[worker.Name] = unstoppedReason
+		reasons[worker.Name] = deletionReason
 	}
 	return reasons
 }
--- a/internal/reconcile/unresponsive_test.go
+++ b/internal/reconcile/unresponsive_test.go
@@ -10,7 +10,7 @@
 
 // If commands reach no worker at all, the first unresponsive worker must not be deleted because
 // other workers responded to earlier commands.
-func TestEarlierResponsesDoNotShowOneWorkerUnresponsive(t *testing.T) {
+func TestResponsesToEarlierCommandsProveNothing(t *testing.T) {
 	now := time.Now()
 	ago := func(s float64) time.Time { return now.Add(-config.Seconds(s)) }
 	for _, c := range []struct {
@@ -18,9 +18,9 @@
 		responded []float64 // seconds ago, of the other workers
 		lost      bool
 	}{
-		{"others responded to what was sent before", []float64{6, 5, 5.5}, false},
-		{"one responded to something sent since", []float64{6, 2}, true},
-		{"nothing was sent to others", nil, false},
+		{"others responded to earlier commands", []float64{6, 5, 5.5}, false},
+		{"one responded to a later command", []float64{6, 2}, true},
+		{"no commands were sent to others", nil, false},
 	} {
 		state := &jobstate.State{
 			Platform: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 4, LeaseS: 22}}},
