--- a/internal/admission/tiers.go
+++ b/internal/admission/tiers.go
@@ -1,8 +1,8 @@
-// Package admission finds, when there is more work than can be done in time, which jobs can
-// still be done in time. To take jobs in the order of their limits is best while all can be
-// met; under overload it makes every job late by a little, since each gets its turn when its
-// time is nearly over. The package is a pure function: it keeps no state and refuses no job;
-// its callers order the jobs by the tiers that it assigns.
+// Package admission determines which jobs can still meet their deadlines when there is more work
+// than can be done in time. Running jobs in the order of their deadlines is best while all
+// deadlines can be met; under overload it makes every job slightly late, because each one gets
+// its turn just before its deadline. The package is a pure function: it holds no state and
+// rejects no job; callers order the jobs by the assigned tiers.
 package admission
 
 import (
@@ -10,114 +10,114 @@
 	"sort"
 )
 
-// Job is what is left of a job.
+// Job is the remaining work and deadlines of a job.
 type Job struct {
-	Work   float64   // that is left, in seconds of the rate at which it is done: CPU-seconds at a rate of CPUs
-	Span   float64   // seconds that it takes at the least, on however many workers
-	Limits []float64 // seconds from now by which it should be done, ascending; negative: past
+	Work      float64   // remaining work, in seconds times the unit of the rate: CPU-seconds if the rate is in CPUs
+	Span      float64   // minimum time in seconds that it takes, on any number of workers
+	Deadlines []float64 // seconds from now by which it should be done, ascending; negative if past
 }
 
-// contender is a job of which it is open whether it meets its limit of the present tier, or
-// one that meets an earlier tier's.
-type contender struct {
-	job     int     // index
-	dueS    float64 // from now, see AssignTiers
-	work    float64
-	fixed   bool // it meets an earlier tier's limit
-	dropped bool // it does not meet this tier's
+// candidate is a job that may meet its deadline of the current tier, or that was accepted
+// because it meets its deadline of an earlier tier.
+type candidate struct {
+	job      int     // index
+	dueS     float64 // seconds from now, see AssignTiers
+	work     float64
+	accepted bool // it meets its deadline of an earlier tier
+	dropped  bool // it misses its deadline of the current tier
 }
 
-// byWork is a max-heap of contenders by their work.
-type byWork []*contender
+// workHeap is a max-heap of candidates by their work.
+type workHeap []*candidate
 
-// Len is how many there are.
-func (h byWork) Len() int { return len(h) }
+// Len returns the number of candidates.
+func (h workHeap) Len() int { return len(h) }
 
-// Less puts the larger work first.
-func (h byWork) Less(a, b int) bool { return h[a].work > h[b].work }
+// Less orders candidates by descending work.
+func (h workHeap) Less(a, b int) bool { return h[a].work > h[b].work }
 
-// Swap swaps two.
-func (h byWork) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+// Swap exchanges two candidates.
+func (h workHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-// Push appends a *contender.
-func (h *byWork) Push(x any) { *h = append(*h, x.(*contender)) }
+// Push appends a *candidate.
+func (h *workHeap) Push(x any) { *h = append(*h, x.(*candidate)) }
 
-// Pop removes the last contender.
-func (h *byWork) Pop() any {
+// Pop removes and returns the last candidate.
+func (h *workHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return last
 }
 
-// AssignTiers returns for each job its tier, the number of limits that it has to miss: 0 if
-// it can be done by its first one, the number of its limits if it can meet none. The jobs
-// share the rate from offsetS seconds on.
+// AssignTiers returns the tier of each job, the number of deadlines that it has to miss: 0 if it
+// can meet its first one, the number of its deadlines if it can meet none. The jobs share the
+// rate from offsetS seconds on.
 //
-// In each tier as many jobs as possible meet their limit, by Moore and Hodgson's rule: jobs
-// are taken in the order of their limits, and whenever one would be late, the largest so far
-// is dropped. A dropped job contends for its next limit, behind those that meet an earlier
-// one. While its last tasks end a job does not use all that it could: its work counts as due
-// half its span before the limit.
+// In each tier, as many jobs as possible meet their deadline, by the Moore-Hodgson algorithm:
+// jobs are taken in the order of their deadlines, and whenever one would be late, the job with
+// the most work so far is dropped. A dropped job is a candidate for its next deadline, after the
+// jobs that meet an earlier one. While its last tasks end, a job cannot use its full share of
+// the rate: its work therefore counts as due half its span before the deadline.
 func AssignTiers(jobs []Job, rate, offsetS float64) []int {
 	tiers := make([]int, len(jobs))
-	left := make([]int, 0, len(jobs))
+	remaining := make([]int, 0, len(jobs))
 	for i := range jobs {
-		left = append(left, i)
+		remaining = append(remaining, i)
 	}
-	var fixed []*contender
-	for tier := 0; len(left) > 0; tier++ {
-		contenders, late := contend(jobs, left, tier, fixed, tiers)
-		dropLargest(contenders, rate, offsetS)
-		fixed = make([]*contender, 0, len(contenders))
-		for _, c := range contenders {
+	var accepted []*candidate
+	for tier := 0; len(remaining) > 0; tier++ {
+		candidates, late := tierCandidates(jobs, remaining, tier, accepted, tiers)
+		dropLargest(candidates, rate, offsetS)
+		accepted = make([]*candidate, 0, len(candidates))
+		for _, c := range candidates {
 			if c.dropped {
 				late = append(late, c.job)
 				continue
 			}
-			if !c.fixed {
-				tiers[c.job], c.fixed = tier, true
+			if !c.accepted {
+				tiers[c.job], c.accepted = tier, true
 			}
-			fixed = append(fixed, c)
+			accepted = append(accepted, c)
 		}
 		sort.Ints(late)
-		left = late
+		remaining = late
 	}
 	return tiers
 }
 
-// contend returns the contenders of a tier in the order in which they are due, the fixed
-// ones included, and the jobs that miss the tier's limit whatever others do. It sets the
-// tiers of jobs without a further limit.
-func contend(jobs []Job, left []int, tier int, fixed []*contender, tiers []int) (contenders []*contender, late []int) {
-	contenders = fixed
-	for _, i := range left {
+// tierCandidates returns the candidates of a tier, including the accepted ones, in the order in
+// which they are due, and the jobs that miss the tier's deadline in any case. It sets the tiers
+// of jobs without a further deadline.
+func tierCandidates(jobs []Job, remaining []int, tier int, accepted []*candidate, tiers []int) (candidates []*candidate, late []int) {
+	candidates = accepted
+	for _, i := range remaining {
 		job := &jobs[i]
 		switch {
-		case tier >= len(job.Limits):
-			tiers[i] = len(job.Limits)
-		case job.Limits[tier] < job.Span:
+		case tier >= len(job.Deadlines):
+			tiers[i] = len(job.Deadlines)
+		case job.Deadlines[tier] < job.Span:
 			late = append(late, i)
 		default:
-			contenders = append(contenders, &contender{job: i, dueS: job.Limits[tier] - job.Span/2, work: job.Work})
+			candidates = append(candidates, &candidate{job: i, dueS: job.Deadlines[tier] - job.Span/2, work: job.Work})
 		}
 	}
-	sort.SliceStable(contenders, func(a, b int) bool { return contenders[a].dueS < contenders[b].dueS })
-	return contenders, late
+	sort.SliceStable(candidates, func(a, b int) bool { return candidates[a].dueS < candidates[b].dueS })
+	return candidates, late
 }
 
-// dropLargest drops, in the order in which the contenders are due, the largest that are not
-// fixed until all others are done in time.
-func dropLargest(contenders []*contender, rate, offsetS float64) {
-	var droppable byWork
+// dropLargest drops candidates that are not accepted, in the order in which the candidates are
+// due and largest work first, until all others are done in time.
+func dropLargest(candidates []*candidate, rate, offsetS float64) {
+	var droppable workHeap
 	used := 0.0
-	for _, c := range contenders {
+	for _, c := range candidates {
 		used += c.work
-		if !c.fixed {
+		if !c.accepted {
 			heap.Push(&droppable, c)
 		}
 		for used > rate*(c.dueS-offsetS) && droppable.Len() > 0 {
-			largest := heap.Pop(&droppable).(*contender)
+			largest := heap.Pop(&droppable).(*candidate)
 			largest.dropped = true
 			used -= largest.work
 		}
--- a/internal/planner/batch.go
+++ b/internal/planner/batch.go
@@ -10,16 +10,16 @@
 // matchRounds is the number of rounds of proposals in a batch.
 const matchRounds = 4
 
-// placeBatch matches up to limit tasks of the jobs, gangs aside, to workers where they
-// start within the horizon, and places them, the lowest wait first. It returns how many
-// tasks of each job it placed.
-func (p *Planner) placeBatch(jobs []*jobstate.Job, open []*jobstate.Worker, limit int) map[*jobstate.Job]int {
-	candidates, jobOf := p.batchCandidates(jobs, open, limit)
+// placeBatch matches up to limit tasks of the jobs, except gangs, to workers on which they start
+// within the horizon, and places them in ascending order of wait. It returns the number of tasks
+// placed for each job.
+func (p *Planner) placeBatch(jobs []*jobstate.Job, schedulable []*jobstate.Worker, limit int) map[*jobstate.Job]int {
+	candidates, jobOf := p.batchCandidates(jobs, schedulable, limit)
 	placed := map[*jobstate.Job]int{}
 	for _, pair := range matching.Match(candidates, matchRounds) {
 		job := jobOf[pair.Task]
 		worker := p.state.WorkersByIndex[pair.Worker]
-		if !p.queueFitsLimit(job, 1) || !p.zoneFits(job, worker) {
+		if !p.fitsLimitWithQueued(job, 1) || !p.placementFitsZone(job, worker) {
 			continue
 		}
 		p.placePending(job, worker, pair.WaitS)
@@ -28,39 +28,39 @@
 	return placed
 }
 
-// batchCandidates returns the candidates of up to limit tasks of the jobs, gangs aside, and
-// the job of each of these tasks. They are valid until the next call: all share an arena
-// that is kept, since else they are most of what a pass allocates.
-func (p *Planner) batchCandidates(jobs []*jobstate.Job, open []*jobstate.Worker, limit int) (candidates [][]matching.Candidate, jobOf []*jobstate.Job) {
-	arena, ofJob := p.arena[:0], p.jobArena
+// batchCandidates returns the candidate workers for up to limit tasks of the jobs, except gangs,
+// and the job of each of these tasks. The results are valid until the next call: they share a
+// reused arena, because allocating them anew would dominate the allocations of a pass.
+func (p *Planner) batchCandidates(jobs []*jobstate.Job, schedulable []*jobstate.Worker, limit int) (candidates [][]matching.Candidate, jobOf []*jobstate.Job) {
+	arena, jobCandidates := p.arena[:0], p.jobScratch
 	for _, job := range jobs {
 		if job.Spec.Gang() {
 			continue
 		}
-		ofJob = p.appendCandidates(ofJob[:0], job, open)
-		if len(ofJob) == 0 {
+		jobCandidates = p.appendCandidates(jobCandidates[:0], job, schedulable)
+		if len(jobCandidates) == 0 {
 			continue
 		}
-		for range min(p.state.PlaceableTasks(job), len(ofJob)) {
+		for range min(p.state.PlaceableTasks(job), len(jobCandidates)) {
 			if len(candidates) >= limit {
 				break
 			}
 			from := len(arena)
-			for _, candidate := range ofJob {
-				candidate.Cost += rand.Float64() * p.state.Operator.RandomS // each task draws its own
+			for _, candidate := range jobCandidates {
+				candidate.Cost += rand.Float64() * p.state.Operator.RandomS // drawn separately for each task
 				arena = append(arena, candidate)
 			}
 			candidates = append(candidates, arena[from:len(arena):len(arena)])
 			jobOf = append(jobOf, job)
 		}
 	}
-	p.arena, p.jobArena = arena, ofJob
+	p.arena, p.jobScratch = arena, jobCandidates
 	return candidates, jobOf
 }
 
-// appendCandidates appends the workers where a task of the job starts within the horizon.
-func (p *Planner) appendCandidates(to []matching.Candidate, job *jobstate.Job, open []*jobstate.Worker) []matching.Candidate {
-	for _, worker := range p.candidates(job, p.workersWithRoom(job, open)) {
+// appendCandidates appends the workers on which a task of the job starts within the horizon.
+func (p *Planner) appendCandidates(to []matching.Candidate, job *jobstate.Job, schedulable []*jobstate.Worker) []matching.Candidate {
+	for _, worker := range p.candidates(job, p.workersWithRoom(job, schedulable)) {
 		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.HorizonS {
 			to = append(to, matching.Candidate{Worker: worker.Index, WaitS: e.waitS, Cost: e.cost})
 		}
@@ -68,9 +68,9 @@
 	return to
 }
 
-// zoneFits reports whether one more placement on the worker agrees with the zones of the
-// job's other placements, granted or not.
-func (p *Planner) zoneFits(job *jobstate.Job, worker *jobstate.Worker) bool {
+// placementFitsZone reports whether one more placement on the worker satisfies the job's zone
+// rules, given its other placements, granted or not.
+func (p *Planner) placementFitsZone(job *jobstate.Job, worker *jobstate.Worker) bool {
 	if !job.Spec.OneZone && !job.Spec.Spread {
 		return true
 	}
@@ -89,13 +89,12 @@
 	return !job.Spec.Spread || inZone <= maxTasksInZone(job)
 }
 
-// maxTasksInZone is how many tasks of a job that is spread over zones may be in one.
+// maxTasksInZone returns how many tasks of a job that is spread over zones may run in one zone.
 func maxTasksInZone(job *jobstate.Job) int { return (job.Spec.Tasks + 1) / 2 }
 
-// queueFitsLimit reports whether the job's team stays within its limit with n more tasks of
-// the job, counting what is only queued too: tasks that can't be granted yet would clog the
-// queues.
-func (p *Planner) queueFitsLimit(job *jobstate.Job, n int) bool {
+// fitsLimitWithQueued reports whether the job's team stays within its limit with n more tasks of
+// the job, including queued placements: tasks that cannot be granted yet would block the queues.
+func (p *Planner) fitsLimitWithQueued(job *jobstate.Job, n int) bool {
 	team := job.Team
 	if team.CPUsMax <= 0 && team.GPUsMax <= 0 {
 		return true
@@ -106,7 +105,7 @@
 	}
 	for _, other := range p.state.JobOrder {
 		if other.Team == team && (team.Leased == nil || other.Shard == job.Shard) {
-			used = addQueued(used, other)
+			used = addUngranted(used, other)
 		}
 	}
 	used = used.Add(job.Resources, float64(n))
@@ -116,8 +115,8 @@
 	return (team.CPUsMax <= 0 || used.CPUs <= team.CPUsMax+limitTolerance) && (team.GPUsMax <= 0 || used.GPUs <= team.GPUsMax+limitTolerance)
 }
 
-// addQueued adds the resources of the job's placements without a grant.
-func addQueued(used matching.Resources, job *jobstate.Job) matching.Resources {
+// addUngranted adds the resources of the job's placements that were not granted.
+func addUngranted(used matching.Resources, job *jobstate.Job) matching.Resources {
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
 			if !placement.MayRun() && !placement.Exited {
--- a/internal/planner/evict.go
+++ b/internal/planner/evict.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	evictionGain = 3    // times what stopping tasks wastes that it must save
-	evictionLoss = 0.35 // of a task's run, at most, that stopping it may waste
+	minEvictionGain = 3    // minimum ratio of the cost that evictions save to the cost of the work that they waste
+	maxEvictionLoss = 0.35 // maximum share of a task's run that its eviction may waste
 )
 
-// Evict stops the tasks that run longest on cordoned workers, where that wastes much less
-// than the machine costs until they end: a few small tasks would keep a large machine for
-// minutes. There must be room for them elsewhere. It withdraws what waits there for its
-// grant for long. The caller holds the state's Mu.
+// Evict stops the longest-running tasks on cordoned workers where that wastes much less than the
+// machine would cost until they end: otherwise a few small tasks would occupy a large machine
+// for minutes. There must be room for them on other workers. It also withdraws placements that
+// have waited for a grant on a cordoned worker for more than cordonedQueueWait. The caller holds
+// the state's Mu.
 func (p *Planner) Evict() {
-	cordoned, roomCPUs := p.cordonedWorkers()
+	cordoned, freeCPUs := p.cordonedWorkers()
 	if len(cordoned) == 0 {
 		return
 	}
 	for _, job := range p.state.JobOrder {
 		if !job.Cancelled {
-			roomCPUs -= float64(len(job.Pending)) * job.Resources.CPUs
+			freeCPUs -= float64(len(job.Pending)) * job.Resources.CPUs
 		}
 	}
 	sort.Slice(cordoned, func(a, b int) bool {
@@ -37,29 +38,30 @@
 	})
 	for _, worker := range cordoned {
 		p.withdrawQueued(worker)
-		for _, candidate := range p.pickEvictions(worker, roomCPUs) {
-			roomCPUs -= candidate.placement.Job.Resources.CPUs
+		for _, candidate := range p.selectEvictions(worker, freeCPUs) {
+			freeCPUs -= candidate.placement.Job.Resources.CPUs
 			p.evictTask(candidate.placement)
 		}
 	}
 }
 
-// cordonedWorkers lists the cordoned workers, and returns the free CPUs of those that stay.
+// cordonedWorkers returns the cordoned workers, and the free CPUs of the workers that are not
+// cordoned, draining or about to be reclaimed.
 func (p *Planner) cordonedWorkers() (cordoned []*jobstate.Worker, freeCPUs float64) {
 	for _, worker := range p.state.WorkersByIndex {
 		switch {
 		case worker == nil || len(worker.Matrix) == 0:
 		case worker.Cordoned:
 			cordoned = append(cordoned, worker)
-		case !worker.View.Draining && worker.NoticeAt.IsZero():
+		case !worker.View.Draining && worker.ReclaimAt.IsZero():
 			freeCPUs += max(0, worker.Matrix[0].Free.CPUs)
 		}
 	}
 	return cordoned, freeCPUs
 }
 
-// withdrawQueued withdraws the placements on a cordoned worker that were not granted for
-// cordonedQueueWait: their tasks can simply be placed elsewhere.
+// withdrawQueued withdraws the placements on a cordoned worker that have waited for a grant for
+// more than cordonedQueueWait: their tasks can be placed elsewhere at no loss.
 func (p *Planner) withdrawQueued(worker *jobstate.Worker) {
 	for placement := range worker.Placements {
 		if !placement.MayRun() && !placement.Exited && p.state.Now.Sub(placement.CreatedAt) > cordonedQueueWait {
@@ -81,79 +83,79 @@
 
 // evictionCandidate is a task on a cordoned worker.
 type evictionCandidate struct {
-	placement    *jobstate.Placement
-	leftS, lossS float64 // until it ends, and what stopping it wastes
-	evictable    bool
+	placement         *jobstate.Placement
+	remainingS, lossS float64 // time until it ends, and run time that stopping it wastes
+	evictable         bool
 }
 
-// evictionCandidates lists the tasks on a worker that are not being stopped, the one that
-// ends last first.
+// evictionCandidates returns the tasks on a worker that are not being stopped, in descending
+// order of remaining time.
 func (p *Planner) evictionCandidates(worker *jobstate.Worker) []evictionCandidate {
 	var candidates []evictionCandidate
 	for placement := range worker.Placements {
-		if placement.Exited || !placement.HaltedAt.IsZero() {
+		if placement.Exited || !placement.FirstHaltAt.IsZero() {
 			continue
 		}
-		candidate := evictionCandidate{placement: placement, leftS: placement.Job.RunEstimate()}
+		candidate := evictionCandidate{placement: placement, remainingS: placement.Job.RunEstimate()}
 		if !placement.RunningSince.IsZero() {
 			elapsedS := p.state.Now.Sub(placement.RunningSince).Seconds()
-			candidate.leftS = matching.RemainingRun(candidate.leftS, elapsedS)
+			candidate.remainingS = matching.RemainingRun(candidate.remainingS, elapsedS)
 		}
 		candidate.lossS, candidate.evictable = p.evictable(placement)
 		candidates = append(candidates, candidate)
 	}
 	sort.Slice(candidates, func(a, b int) bool {
-		if candidates[a].leftS != candidates[b].leftS {
-			return candidates[a].leftS > candidates[b].leftS
+		if candidates[a].remainingS != candidates[b].remainingS {
+			return candidates[a].remainingS > candidates[b].remainingS
 		}
 		return candidates[a].placement.Attempt < candidates[b].placement.Attempt
 	})
 	return candidates
 }
 
-// pickEvictions picks the tasks to be stopped on a worker: those that would keep it longest,
-// as far as that saves evictionGain times what it wastes and roomCPUs elsewhere suffices.
-// The others end soon by themselves.
-func (p *Planner) pickEvictions(worker *jobstate.Worker, roomCPUs float64) []evictionCandidate {
+// selectEvictions selects the tasks to stop on a worker: those that would occupy it longest, as
+// long as the saving is at least minEvictionGain times the waste and freeCPUs on other workers
+// suffice. The remaining tasks end soon by themselves.
+func (p *Planner) selectEvictions(worker *jobstate.Worker, freeCPUs float64) []evictionCandidate {
 	machine := p.state.TypeOf(worker)
 	if machine.CPUs <= 0 || machine.SpotPrice <= 0 {
 		return nil
 	}
 	candidates := p.evictionCandidates(worker)
-	return candidates[:evictionCount(candidates, machine, roomCPUs)]
+	return candidates[:evictionCount(candidates, machine, freeCPUs)]
 }
 
-// evictionCount is how many of the first candidates to stop for the highest gain.
-func evictionCount(candidates []evictionCandidate, machine *wire.MachineType, roomCPUs float64) int {
+// evictionCount returns how many of the first candidates to stop for the highest gain.
+func evictionCount(candidates []evictionCandidate, machine *wire.MachineType, freeCPUs float64) int {
 	count, bestGain := 0, 0.0
-	wasted, allSave := 0.0, true
+	wasted, allResume := 0.0, true
 	for i, candidate := range candidates {
 		job := candidate.placement.Job
 		cpus := job.Resources.CPUs
-		if roomCPUs -= cpus; !candidate.evictable || roomCPUs < 0 {
+		if freeCPUs -= cpus; !candidate.evictable || freeCPUs < 0 {
 			break
 		}
 		wasted += candidate.lossS * cpus * machine.SpotPrice / machine.CPUs
-		allSave = allSave && (job.Spec.CheckpointIntervalS > 0 || candidate.lossS == 0)
-		untilS := 0.0
+		allResume = allResume && (job.Spec.CheckpointIntervalS > 0 || candidate.lossS == 0)
+		nextRemainingS := 0.0
 		if i+1 < len(candidates) {
-			untilS = candidates[i+1].leftS
+			nextRemainingS = candidates[i+1].remainingS
 		}
-		if !allSave && i+1 < len(candidates) {
-			continue // what begins anew may come late: only to empty the worker at once
+		if !allResume && i+1 < len(candidates) {
+			continue // a task without checkpoints starts over and may finish late: stop it only if the worker becomes empty
 		}
-		if gain := machine.Price*(candidates[0].leftS-untilS) - evictionGain*wasted; gain > bestGain {
+		if gain := machine.Price*(candidates[0].remainingS-nextRemainingS) - minEvictionGain*wasted; gain > bestGain {
 			count, bestGain = i+1, gain
 		}
 	}
 	return count
 }
 
-// evictable reports whether a task may be stopped to empty its worker, and how many seconds
-// of its run that wastes. Each task is evicted once at most.
+// evictable reports whether a task may be stopped to empty its worker, and how many seconds of
+// its run that wastes. Each task is evicted at most once.
 func (p *Planner) evictable(placement *jobstate.Placement) (lossS float64, ok bool) {
 	job := placement.Job
-	if placement.State != jobstate.PlacementReported || placement.Exited || !placement.HaltedAt.IsZero() ||
+	if placement.State != jobstate.PlacementReported || placement.Exited || !placement.FirstHaltAt.IsZero() ||
 		job.Cancelled || job.Spec.Gang() || job.Spec.Service() || job.Evicted[placement.Task] {
 		return 0, false
 	}
@@ -161,21 +163,21 @@
 		return 0, true
 	}
 	elapsedS := p.state.Now.Sub(placement.RunningSince).Seconds()
-	if len(job.Class.StartAims) > 0 && elapsedS < jobstate.CountedStartS {
+	if len(job.Class.StartObjectives) > 0 && elapsedS < jobstate.MinCountedRunS {
 		return 0, false
 	}
 	if job.Spec.CheckpointIntervalS > 0 {
 		return math.Min(elapsedS, job.Spec.CheckpointSaveS), true
 	}
-	// No limit that it meets by running on may be missed by starting again. What is late
-	// already must not become later still: the whole of the work waits for it in the end.
+	// A restart must not miss a deadline that the task meets by running on. A task that is
+	// already late is not stopped either: its job as a whole would finish even later.
 	ageS, runS := p.state.Now.Sub(job.AcceptedAt).Seconds(), job.RunEstimate()
-	leftS, late := max(runS-elapsedS, 1), true
-	for _, limitS := range p.state.Limits(job) {
-		late = late && limitS < ageS+leftS
-		if limitS >= ageS+leftS && limitS < ageS+jobstate.RunTimeMargin*runS+jobstate.RestartOverheadS {
+	remainingS, late := max(runS-elapsedS, 1), true
+	for _, deadlineS := range p.state.Deadlines(job) {
+		late = late && deadlineS < ageS+remainingS
+		if deadlineS >= ageS+remainingS && deadlineS < ageS+jobstate.RunTimeMargin*runS+jobstate.RestartOverheadS {
 			return 0, false
 		}
 	}
-	return elapsedS, !late && elapsedS < evictionLoss*runS
+	return elapsedS, !late && elapsedS < maxEvictionLoss*runS
 }
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -9,19 +9,20 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// unstoppedReason is why a worker with a cancelled task that can't be stopped is deleted.
-const unstoppedReason = "a cancelled task can't be stopped"
+// deletionReason is the reason for the deletion of a worker with a cancelled task that cannot
+// be stopped.
+const deletionReason = "a cancelled task can't be stopped"
 
-// UnresponsiveWorkers returns how many workers there are, and those without a heartbeat, or on
-// which what was sent had no effect, for atLeast or longer.
+// UnresponsiveWorkers returns the number of workers, and those that have sent no heartbeat, or
+// on which commands have had no effect, for at least atLeast.
 func (r *Reconciler) UnresponsiveWorkers(atLeast time.Duration) (known int, unresponsive []reachability.UnresponsiveWorker) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
 	now := time.Now()
-	reach := r.newCommandReach(now)
+	reach := r.newCommandReachability(now)
 	for name, worker := range r.state.Workers {
 		unseenFor := now.Sub(jobstate.Later(worker.LastHeartbeat, worker.KnownSince))
-		outboundLost := !worker.UnresponsiveSince.IsZero() && reach.mostSince(worker.UnresponsiveSince)
+		outboundLost := !worker.UnresponsiveSince.IsZero() && reach.mostRespondedSince(worker.UnresponsiveSince)
 		if outboundLost {
 			unseenFor = max(unseenFor, now.Sub(worker.UnresponsiveSince))
 		}
@@ -35,16 +36,16 @@
 	return len(r.state.Workers), unresponsive
 }
 
-// commandReach is which workers commands reach.
-type commandReach struct {
-	unreached   int         // workers that are unresponsive
-	respondedAt []time.Time // of the others that were sent something lately, in order
+// commandReachability describes which workers commands reach.
+type commandReachability struct {
+	unresponsive int         // number of unresponsive workers
+	respondedAt  []time.Time // RespondedAt of the responsive workers that responded lately, ascending
 }
 
-func (r *Reconciler) newCommandReach(now time.Time) (reach commandReach) {
+func (r *Reconciler) newCommandReachability(now time.Time) (reach commandReachability) {
 	for _, worker := range r.state.Workers {
 		if !worker.UnresponsiveSince.IsZero() {
-			reach.unreached++
+			reach.unresponsive++
 		} else if now.Sub(worker.RespondedAt) < r.responseTimeout() {
 			reach.respondedAt = append(reach.respondedAt, worker.RespondedAt)
 		}
@@ -53,15 +54,17 @@
 	return reach
 }
 
-// mostSince reports whether no more workers are unresponsive than responded to something sent
-// after a time, since which one is unresponsive. Else the way there is bad, and not that worker:
-// what was sent before, and showed later, says nothing of that.
-func (c *commandReach) mostSince(since time.Time) bool {
+// mostRespondedSince reports whether the number of workers that responded to commands sent after
+// the given time, when a worker became unresponsive, is at least the number of unresponsive
+// workers. If it is not, the network is at fault and not that worker. Responses to earlier
+// commands prove nothing about the network since then, even if they were observed later.
+func (c *commandReachability) mostRespondedSince(since time.Time) bool {
 	first, _ := slices.BinarySearchFunc(c.respondedAt, since, time.Time.Compare)
-	return c.unreached <= len(c.respondedAt)-first
+	return c.unresponsive <= len(c.respondedAt)-first
 }
 
-// RemoteWorkers returns the addresses of workers whose dispatcher is another controller, by name.
+// RemoteWorkers returns the addresses, by name, of the workers whose dispatcher is another
+// controller.
 func (r *Reconciler) RemoteWorkers() map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -74,21 +77,21 @@
 	return endpoints
 }
 
-// StuckWorkers returns workers with a cancelled task that can't be stopped in time, by name,
-// and why they are to be deleted: the task goes with its worker.
+// StuckWorkers returns the workers with a cancelled task that could not be stopped in time, by
+// name, and the reason to delete them: deleting the worker ends the task.
 func (r *Reconciler) StuckWorkers() map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
 	reasons := map[string]string{}
 	for _, worker := range r.workersWithUnstopped(config.Seconds(r.state.Platform.Params.Workers.CancelS / 3)) {
-		reasons[worker.Name] = unstoppedReason
+		reasons[worker.Name] = deletionReason
 	}
 	return reasons
 }
 
-// UnstoppedWorkers returns the addresses of workers, by name, on which cancelled tasks may
-// still run that were first halted longer ago than after, as far as this controller knows: its
-// lease need not hold.
+// UnstoppedWorkers returns the addresses, by name, of the workers on which cancelled tasks may
+// still be running that were first halted more than after ago, as far as this controller knows:
+// its lease may have expired.
 func (r *Reconciler) UnstoppedWorkers(after time.Duration) map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -101,8 +104,8 @@
 	return endpoints
 }
 
-// workersWithUnstopped lists the workers, some more than once, on which cancelled tasks may
-// still run that were first halted longer ago than after.
+// workersWithUnstopped returns the workers, possibly repeated, on which cancelled tasks may
+// still be running that were first halted more than after ago.
 func (r *Reconciler) workersWithUnstopped(after time.Duration) (workers []*jobstate.Worker) {
 	now := time.Now()
 	for _, job := range r.state.JobOrder {
@@ -111,7 +114,7 @@
 		}
 		for _, placements := range job.Placements {
 			for _, placement := range placements {
-				if placement.MayRun() && !placement.HaltedAt.IsZero() && now.Sub(placement.HaltedAt) > after {
+				if placement.MayRun() && !placement.FirstHaltAt.IsZero() && now.Sub(placement.FirstHaltAt) > after {
 					workers = append(workers, placement.Worker)
 				}
 			}
