--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -46,7 +46,7 @@
 		if err == nil {
 			return cancelled, nil
 		}
-		if !s.recordChanged(err, &record) {
+		if !s.isRecordConflict(err, &record) {
 			return wire.JobState{}, err
 		}
 	}
@@ -56,7 +56,7 @@
 // into the state if this controller leads the job's shard.
 func (s *Scheduler) writeCancel(ctx context.Context, record *jobrecord.LiveRecord, version uint64, reason string) error {
 	shardVersion, leads := s.state.Membership.LeadsShard(record.Shard)
-	job, err := s.noteCancelSent(record, version, shardVersion, leads)
+	job, err := s.recordCancelSent(record, version, shardVersion, leads)
 	if err != nil {
 		return err
 	}
@@ -67,22 +67,22 @@
 		record.Constraints = &constraints
 	}
 	revision, err := s.writeLive(ctx, record, version, shardVersion)
-	if job != nil && surelyFailed(err) {
+	if job != nil && definitelyFailed(err) {
 		s.state.Mu.Lock()
 		job.PendingCancels.RecordFailed(version)
 		s.state.Mu.Unlock()
 	}
 	if err == nil && leads {
 		s.state.Mu.Lock()
-		s.takeRecord(record, revision)
+		s.applyRecord(record, revision)
 		s.state.Mu.Unlock()
 	}
 	return err
 }
 
-// noteCancelSent notes that a cancel of the job is about to be sent, and returns the job if
+// recordCancelSent notes that a cancel of the job is about to be sent, and returns the job if
 // it is in the state.
-func (s *Scheduler) noteCancelSent(record *jobrecord.LiveRecord, version, shardVersion uint64, leads bool) (*jobstate.Job, error) {
+func (s *Scheduler) recordCancelSent(record *jobrecord.LiveRecord, version, shardVersion uint64, leads bool) (*jobstate.Job, error) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	if err := s.checkLoaded(record.Shard, shardVersion, leads); err != nil {
@@ -92,7 +92,7 @@
 		// A watch that lags may not have returned the job yet. If it were admitted only after
 		// the cancel is written, it would be called queued, although others, who read that
 		// write, had answered its user that it is cancelled.
-		s.takeRecord(record, version)
+		s.applyRecord(record, version)
 	}
 	job := s.state.Jobs[record.Job.UID]
 	if job != nil {
--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -14,7 +14,7 @@
 // leader, whose watch had not returned the job before, must not call it queued once the watch
 // returns its acceptance.
 func TestLostCancelResponseBeforeWatchLeavesJobStateUnknown(t *testing.T) {
-	leader, store := newScripted(t)
+	leader, store := newScriptedScheduler(t)
 	if err := leader.Load(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 
 // A cancel of a job that is accepted between its two reads is not answered "queued".
 func TestCancelRacingAcceptanceIsNotAnsweredQueued(t *testing.T) {
-	leader, store := newScripted(t)
+	leader, store := newScriptedScheduler(t)
 	if err := leader.Load(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				leader, store, _ := newScriptedWithJob(t)
+				leader, store, _ := newScriptedSchedulerWithJob(t)
 				for _, outcome := range c.outcomes {
 					store.txn = func() (uint64, error) { return 0, outcome }
 					if state, err := leader.Cancel(t.Context(), "j-1"); err == nil {
@@ -106,9 +106,9 @@
 
 // A cancel without a response was applied: that the record is cancelled is found when it would be
 // written again.
-func TestAppliedCancelWithLostResponseIsFound(t *testing.T) {
+func TestAppliedCancelWithLostResponseIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		leader, _, record := newScriptedWithJob(t)
+		leader, _, record := newScriptedSchedulerWithJob(t)
 		if state, err := leader.Cancel(t.Context(), "j-1"); err == nil {
 			t.Fatalf("the cancel is answered %+v", state)
 		}
@@ -123,9 +123,9 @@
 }
 
 // While a cancel is under way that will be refused, another is found to have been applied.
-func TestAppliedCancelIsFoundWhileAnotherIsRefused(t *testing.T) {
+func TestAppliedCancelIsDetectedWhileAnotherIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		leader, store, record := newScriptedWithJob(t)
+		leader, store, record := newScriptedSchedulerWithJob(t)
 		store.txn = func() (uint64, error) {
 			time.Sleep(10 * time.Second)
 			record.Version = 12
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -17,12 +17,12 @@
 
 // Sizes of the clusters in series that vary another number.
 const (
-	someWorkers = 400
-	someJobs    = 100
+	fixedWorkers = 400
+	fixedJobs    = 100
 )
 
-// newSchedulerOfTeams returns a scheduler whose settings name so many teams.
-func newSchedulerOfTeams(tb testing.TB, teams int) *scheduler.Scheduler {
+// newSchedulerWithTeams returns a scheduler whose settings name so many teams.
+func newSchedulerWithTeams(tb testing.TB, teams int) *scheduler.Scheduler {
 	operator, err := config.LoadOperator("")
 	if err != nil {
 		tb.Fatal(err)
@@ -35,19 +35,19 @@
 	return newScheduler(platform, operator, cluster, cluster)
 }
 
-// idleHeartbeat observes a heartbeat of the i-th worker, which has all resources free and
+// sendIdleHeartbeat observes a heartbeat of the i-th worker, which has all resources free and
 // these tasks.
-func (c *fakeCluster) idleHeartbeat(i int, tasks ...dispatch.TaskView) {
+func (c *fakeCluster) sendIdleHeartbeat(i int, tasks ...dispatch.TaskView) {
 	view := &c.views[i]
 	view.Seq++
 	view.Tasks, view.Matrix = tasks, matching.NewWaitMatrix(matching.Resources{CPUs: machineType.CPUs, MemoryGB: machineType.MemoryGB}, nil, nil)
 	c.scheduler.ObserveWorker(*view)
 }
 
-// idleWorkers makes the first workers idle, so that each takes placements.
-func (c *fakeCluster) idleWorkers(workers int) {
+// makeWorkersIdle makes the first workers idle, so that each takes placements.
+func (c *fakeCluster) makeWorkersIdle(workers int) {
 	for i := range workers {
-		c.idleHeartbeat(i)
+		c.sendIdleHeartbeat(i)
 	}
 }
 
@@ -61,7 +61,7 @@
 // newIdleCluster returns a cluster with free resources for just so many tasks, which wait.
 func newIdleCluster(tb testing.TB, tasks int) *fakeCluster {
 	cluster := newCluster(tb, tasks/4, 0)
-	cluster.idleWorkers(tasks / 4)
+	cluster.makeWorkersIdle(tasks / 4)
 	cluster.submit(tasks)
 	return cluster
 }
@@ -77,7 +77,7 @@
 			tb.Fatalf("%d of %d tasks placed in %d passes", placed, tasks, passes)
 		}
 		if time.Since(heartbeats) > time.Second {
-			c.idleWorkers(tasks / 4)
+			c.makeWorkersIdle(tasks / 4)
 			heartbeats = time.Now()
 		}
 		c.scheduler.Pass()
@@ -98,9 +98,9 @@
 	}
 }
 
-// writesOfPlacements returns what the state service is requested to write for so many
+// measurePlacementWrites returns what the state service is requested to write for so many
 // placements.
-func writesOfPlacements(tb testing.TB, tasks int) (requests, writes, bytes float64) {
+func measurePlacementWrites(tb testing.TB, tasks int) (requests, writes, bytes float64) {
 	cluster := newPlacedCluster(tb, tasks)
 	cluster.onTxn = func(ops []wire.Op) {
 		data, err := json.Marshal(ops)
@@ -117,10 +117,10 @@
 	return requests, writes, bytes
 }
 
-// writesOfEnds returns the writes for so many jobs of one task that are done.
-func writesOfEnds(tb testing.TB, jobs int) (writes float64) {
+// measureJobEndWrites returns the writes for so many jobs of one task that are done.
+func measureJobEndWrites(tb testing.TB, jobs int) (writes float64) {
 	cluster := newCluster(tb, jobs, 0)
-	cluster.idleWorkers(jobs)
+	cluster.makeWorkersIdle(jobs)
 	for i := range jobs {
 		cluster.scheduler.JobAccepted(&wire.Job{
 			UID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1,
@@ -138,7 +138,7 @@
 		}
 	}
 	for i := range cluster.views {
-		cluster.idleHeartbeat(i, done[cluster.views[i].Name]...)
+		cluster.sendIdleHeartbeat(i, done[cluster.views[i].Name]...)
 	}
 	cluster.onTxn = func(ops []wire.Op) { writes += float64(len(ops)) }
 	if err := cluster.scheduler.WriteAll(context.Background()); err != nil {
@@ -174,8 +174,8 @@
 	}
 }
 
-// heapOfPlacements returns the bytes that the placements of so many waiting tasks take.
-func heapOfPlacements(tb testing.TB, tasks int) float64 {
+// measurePlacementHeap returns the bytes that the placements of so many waiting tasks take.
+func measurePlacementHeap(tb testing.TB, tasks int) float64 {
 	cluster := newIdleCluster(tb, tasks)
 	return capacity.Heap(func() any {
 		cluster.placeAll(tb, tasks/20, tasks)
@@ -195,24 +195,24 @@
 		return capacity.Heap(func() any { return newCluster(tb, 0, jobs).scheduler })
 	}},
 	{Name: "scheduler.heapOfPlaces", Sizes: []int{800, 1600, 3200, 6400}, FixedSlack: 86_000, Measure: func(tb testing.TB, tasks int) float64 {
-		return capacity.Median(func() float64 { return heapOfPlacements(tb, tasks) }) // candidates are drawn at random
+		return capacity.Median(func() float64 { return measurePlacementHeap(tb, tasks) }) // candidates are drawn at random
 	}},
 	{Name: "scheduler.heapOfTeams", Sizes: []int{50, 100, 200, 400}, FixedSlack: 10_000, Measure: func(tb testing.TB, teams int) float64 {
-		return capacity.Heap(func() any { return newSchedulerOfTeams(tb, teams) })
+		return capacity.Heap(func() any { return newSchedulerWithTeams(tb, teams) })
 	}},
 	{Name: "scheduler.requestsOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, tasks int) float64 {
-		requests, _, _ := writesOfPlacements(tb, tasks)
+		requests, _, _ := measurePlacementWrites(tb, tasks)
 		return requests
 	}},
 	{Name: "scheduler.writesOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, tasks int) float64 {
-		_, writes, _ := writesOfPlacements(tb, tasks)
+		_, writes, _ := measurePlacementWrites(tb, tasks)
 		return writes
 	}},
 	{Name: "scheduler.bytesOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1000, Measure: func(tb testing.TB, tasks int) float64 {
-		_, _, bytes := writesOfPlacements(tb, tasks)
+		_, _, bytes := measurePlacementWrites(tb, tasks)
 		return bytes
 	}},
-	{Name: "scheduler.writesOfEnds", Sizes: []int{25, 50, 100, 200}, FixedSlack: 1, Measure: func(tb testing.TB, jobs int) float64 { return writesOfEnds(tb, jobs) }},
+	{Name: "scheduler.writesOfEnds", Sizes: []int{25, 50, 100, 200}, FixedSlack: 1, Measure: func(tb testing.TB, jobs int) float64 { return measureJobEndWrites(tb, jobs) }},
 	{Name: "scheduler.allocsOfReport", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, workers int) float64 {
 		cluster, i := newCluster(tb, workers, 0), 0
 		return testing.AllocsPerRun(workers, func() {
@@ -227,7 +227,7 @@
 		return testing.AllocsPerRun(1, func() { cluster.failOver(tb) })
 	}},
 	{Name: "scheduler.report", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
-		cluster, i := newCluster(tb, workers, someJobs), 0
+		cluster, i := newCluster(tb, workers, fixedJobs), 0
 		cluster.scheduler.Pass()
 		return capacity.ProcessorTime(tb, func() {
 			view := &cluster.views[i%workers]
@@ -237,11 +237,11 @@
 		})
 	}},
 	{Name: "scheduler.passOfMachines", Scatters: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
-		cluster := newCluster(tb, workers, someJobs)
+		cluster := newCluster(tb, workers, fixedJobs)
 		return capacity.ProcessorTime(tb, cluster.scheduler.Pass)
 	}},
 	{Name: "scheduler.passOfJobs", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: func(tb testing.TB, jobs int) float64 {
-		cluster := newCluster(tb, someWorkers, jobs)
+		cluster := newCluster(tb, fixedWorkers, jobs)
 		return capacity.ProcessorTime(tb, cluster.scheduler.Pass)
 	}},
 	{Name: "scheduler.placeTasks", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, tasks int) float64 {
@@ -256,7 +256,7 @@
 		})
 	}},
 	{Name: "scheduler.demand", Scatters: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
-		cluster := newCluster(tb, workers, someJobs)
+		cluster := newCluster(tb, workers, fixedJobs)
 		cluster.scheduler.Pass()
 		return capacity.ProcessorTime(tb, func() { cluster.scheduler.Demand(20) })
 	}},
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -27,16 +27,16 @@
 	revision  uint64                // of the state service
 
 	leaseRemaining time.Duration
-	leadsNothing   atomic.Bool            // no shard is claimed
+	leadsNoShard   atomic.Bool            // no shard is claimed
 	items          map[string][]wire.Item // in the state service, by prefix
 
 	onList  func(prefix string)   // called at every listing, if set
 	onTxn   func(ops []wire.Op)   // called at every transaction, if set
 	onWatch func(context.Context) // called with each watch, if set
 
-	raiseTokenAbove uint64              // the highest that instructions contained
-	listedAssigned  atomic.Int64        // assigned tasks in instructions that their workers list
-	unlaunched      dispatch.Unlaunched // the response to all instructions with halts
+	raiseTokenAbove     uint64              // the highest that instructions contained
+	reportedAssignments atomic.Int64        // assigned tasks in instructions that their workers list
+	unlaunched          dispatch.Unlaunched // the response to all instructions with halts
 }
 
 // machineType is the type of all workers.
@@ -112,9 +112,9 @@
 	}, nil, 0, time.Now().UnixMilli(), 1)
 }
 
-// heartbeat observes a heartbeat of the i-th worker, which has no free resources for so many
+// sendHeartbeat observes a sendHeartbeat of the i-th worker, which has no free resources for so many
 // seconds, has these tasks, and has queued what j-1 has placed there.
-func (c *fakeCluster) heartbeat(i int, fullS float64, tasks ...dispatch.TaskView) {
+func (c *fakeCluster) sendHeartbeat(i int, fullS float64, tasks ...dispatch.TaskView) {
 	total := matching.Resources{CPUs: machineType.CPUs, MemoryGB: machineType.MemoryGB}
 	var uses []matching.Allocation
 	if fullS > 0 {
@@ -139,7 +139,7 @@
 func (c *fakeCluster) ShardKey(int) string                       { return "c/shard/000" }
 
 func (c *fakeCluster) ClaimedShards() map[int]uint64 {
-	if c.leadsNothing.Load() {
+	if c.leadsNoShard.Load() {
 		return nil
 	}
 	return map[int]uint64{0: 1}
@@ -149,7 +149,7 @@
 	c.raiseTokenAbove = max(c.raiseTokenAbove, instructions.RaiseTokenAbove)
 	for _, assignment := range instructions.Assign {
 		if assignment.Reported {
-			c.listedAssigned.Add(1)
+			c.reportedAssignments.Add(1)
 		}
 	}
 	if len(instructions.Halt) == 0 {
--- a/internal/scheduler/constraints.go
+++ b/internal/scheduler/constraints.go
@@ -63,7 +63,7 @@
 			constraints.QueriedAt = now
 			queries = append(queries, dependencyQuery{job: job, dependencies: unknown})
 		}
-		s.noteEligible(job, before, now)
+		s.recordEligible(job, before, now)
 		if reason := cancelReason(constraints, now); reason != "" {
 			cancels[job.Spec.UID] = reason
 		}
@@ -71,9 +71,9 @@
 	return queries, cancels
 }
 
-// noteEligible notes since when nothing but free resources keeps a job from starting, once
+// recordEligible notes since when nothing but free resources keeps a job from starting, once
 // that is so. before is the outcome of its dependencies as it was before this evaluation.
-func (s *Scheduler) noteEligible(job *jobstate.Job, before jobspec.Outcome, now time.Time) {
+func (s *Scheduler) recordEligible(job *jobstate.Job, before jobspec.Outcome, now time.Time) {
 	constraints := job.Constraints
 	if constraints.EligibleMs != 0 || constraints.WaitReason(constraints.DependencyOutcome, now.UnixMilli()) != "" {
 		return
--- a/internal/scheduler/cordoned_test.go
+++ b/internal/scheduler/cordoned_test.go
@@ -32,7 +32,7 @@
 					UID: "j-1", Class: "long", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8,
 					MemoryGB: 1, EstimateS: c.occupiedS, Spot: true,
 				}, nil, 0, time.Now().UnixMilli(), 1)
-				cluster.heartbeat(0, 0)
+				cluster.sendHeartbeat(0, 0)
 				cluster.scheduler.Pass()
 				if err := cluster.scheduler.WriteAll(t.Context()); err != nil {
 					t.Fatal(err)
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -141,8 +141,8 @@
 // ResolveCancels settles cancels whose outcome has been unknown for a while.
 func (s *Scheduler) ResolveCancels(ctx context.Context) { s.resolveCancels(ctx) }
 
-// WhileLocked calls a function while the state is locked, as during a pass.
-func (s *Scheduler) WhileLocked(call func()) {
+// WithStateLocked calls a function while the state is locked, as during a pass.
+func (s *Scheduler) WithStateLocked(call func()) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	call()
--- a/internal/scheduler/failover.go
+++ b/internal/scheduler/failover.go
@@ -69,8 +69,8 @@
 	s.log.Info("shard lost", "shard", shard)
 }
 
-// failover is what is read of shards when their leadership is gained.
-type failover struct {
+// failoverRecords is what is read of shards when their leadership is gained.
+type failoverRecords struct {
 	shards   []int
 	versions map[int]uint64 // of the shards' keys
 	token    uint64         // fencing token, above all that predecessors granted starts under
@@ -97,7 +97,7 @@
 		uid, _, _ := strings.Cut(strings.TrimPrefix(item.Key, jobrecord.ChunkPrefix), "/")
 		chunksByJob[uid] = append(chunksByJob[uid], item)
 	}
-	jobs := s.adopt(&f, chunksByJob)
+	jobs := s.applyFailover(&f, chunksByJob)
 	s.log.Info("failover complete", "shards", shards, "jobs", jobs, "fencing_token", f.token)
 	jobstate.Notify(s.state.PlanSignal)
 	jobstate.Notify(s.state.WriteSignal)
@@ -108,13 +108,13 @@
 func (s *Scheduler) setLoading(loading bool) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
-	s.loading, s.earlyRecords = loading, nil
+	s.loading, s.bufferedRecords = loading, nil
 }
 
 // readShards takes a fencing token and reads what predecessors have recorded. Nobody else
 // writes chunks and logs of the shards any more, since each such write is guarded by the
 // shard's key.
-func (s *Scheduler) readShards(ctx context.Context, shards []int, versions map[int]uint64) (f failover, err error) {
+func (s *Scheduler) readShards(ctx context.Context, shards []int, versions map[int]uint64) (f failoverRecords, err error) {
 	f.shards, f.versions = shards, versions
 	if f.token, err = s.state.Membership.NextToken(ctx); err != nil {
 		return f, fmt.Errorf("take a fencing token: %w", err)
@@ -131,21 +131,21 @@
 	return f, nil
 }
 
-// adopt adds the living jobs of a failover to the state and begins to lead its shards. It
+// applyFailover adds the living jobs of a failover to the state and begins to lead its shards. It
 // returns how many jobs there are.
-func (s *Scheduler) adopt(f *failover, chunksByJob map[string][]wire.Item) (jobs int) {
+func (s *Scheduler) applyFailover(f *failoverRecords, chunksByJob map[string][]wire.Item) (jobs int) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	s.state.PredecessorToken = max(s.state.PredecessorToken, f.token-1)
 	logs, entries := s.writer.ReadLogs(f.logs, f.shards)
 	jobs = s.admitJobs(f, chunksByJob, entries)
 	if len(s.state.Loaded) == 0 {
-		s.ownershipEpoch++
+		s.leadershipEpoch++
 	}
 	s.writer.AddLogs(logs)
 	if len(s.state.Loaded)+len(f.shards) == s.state.Operator.Shards {
 		// A chunk's key does not name its shard: else the chunk may be another leader's.
-		s.deleteUnattachedChunks(chunksByJob)
+		s.deleteOrphanedChunks(chunksByJob)
 	}
 	for _, shard := range f.shards {
 		s.state.Loaded[shard], s.listedRevision[shard] = f.versions[shard], f.revision
@@ -158,10 +158,10 @@
 	for _, worker := range s.state.Workers {
 		worker.KnownSince = time.Now()
 	}
-	for i := range s.earlyRecords {
-		s.takeRecord(&s.earlyRecords[i].record, s.earlyRecords[i].version)
+	for i := range s.bufferedRecords {
+		s.applyRecord(&s.bufferedRecords[i].record, s.bufferedRecords[i].version)
 	}
-	s.loading, s.earlyRecords = false, nil
+	s.loading, s.bufferedRecords = false, nil
 	s.state.Stats.Failovers++
 	for _, worker := range s.state.Workers {
 		if len(worker.Placements) > 0 {
@@ -173,7 +173,7 @@
 
 // admitJobs admits the living jobs of the failover's shards. It deletes every living job's
 // chunks, of whatever shard, from chunksByJob.
-func (s *Scheduler) admitJobs(f *failover, chunksByJob map[string][]wire.Item, entries map[string][]shardlog.LogEntry) (admitted int) {
+func (s *Scheduler) admitJobs(f *failoverRecords, chunksByJob map[string][]wire.Item, entries map[string][]shardlog.LogEntry) (admitted int) {
 	for _, item := range f.jobs {
 		var record jobrecord.LiveRecord
 		if err := json.Unmarshal(item.Value, &record); err != nil {
@@ -192,8 +192,8 @@
 	return admitted
 }
 
-// deleteUnattachedChunks deletes the chunk records of jobs that aren't living.
-func (s *Scheduler) deleteUnattachedChunks(chunksByJob map[string][]wire.Item) {
+// deleteOrphanedChunks deletes the chunk records of jobs that aren't living.
+func (s *Scheduler) deleteOrphanedChunks(chunksByJob map[string][]wire.Item) {
 	for uid, items := range chunksByJob {
 		if s.state.Jobs[uid] != nil {
 			continue
--- a/internal/scheduler/grant_test.go
+++ b/internal/scheduler/grant_test.go
@@ -17,7 +17,7 @@
 		stop := cluster.run()
 		cluster.acceptArray(2)
 		for range 3 {
-			cluster.heartbeat(0, 0)
+			cluster.sendHeartbeat(0, 0)
 			time.Sleep(time.Second)
 		}
 		refs := cluster.scheduler.PlacementsOf("j-1")
@@ -32,7 +32,7 @@
 			t.Error("the limit lets one task start, which may be granted again")
 		}
 		task := wire.Task{Task: refs[0].Task, Attempt: refs[0].Attempt, State: wire.TaskExited, Cause: wire.CauseDone}
-		cluster.heartbeat(0, 0, dispatch.TaskView{Task: task})
+		cluster.sendHeartbeat(0, 0, dispatch.TaskView{Task: task})
 		if !grant(1) {
 			t.Error("refused although the other task has exited")
 		}
@@ -63,7 +63,7 @@
 				stop := cluster.run()
 				cluster.acceptArray(1)
 				for range 2 {
-					cluster.heartbeat(0, 0.2)
+					cluster.sendHeartbeat(0, 0.2)
 					time.Sleep(time.Second)
 				}
 				ref := cluster.scheduler.PlacementsOf("j-1")[0]
@@ -87,7 +87,7 @@
 // A start was granted to a dispatcher that has the task queued still, since the grant takes long
 // to reach it: the worker was taken for one whose outbound is lost, and deleted. Outbound is lost
 // if the dispatcher sent the start, and the worker's heartbeats do not show it.
-func TestGrantNotYetAtDispatcherIsNotTakenForOutboundLost(t *testing.T) {
+func TestDelayedGrantIsNotReportedAsOutboundLost(t *testing.T) {
 	for _, unsent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			cluster := newCluster(t, 2, 0)
@@ -106,7 +106,7 @@
 				time.Sleep(time.Second)
 			}
 			for range 2 {
-				cluster.heartbeat(0, 0.2)
+				cluster.sendHeartbeat(0, 0.2)
 				time.Sleep(time.Second)
 			}
 			ref = cluster.scheduler.PlacementsOf("j-1")[0]
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -25,7 +25,7 @@
 	view.Seq, view.Unchanged = view.Seq+1, true
 	time.Sleep(50 * time.Millisecond)
 	arrived := time.Now()
-	cluster.scheduler.WhileLocked(func() {
+	cluster.scheduler.WithStateLocked(func() {
 		observed := make(chan struct{})
 		go func() { cluster.scheduler.ObserveWorker(view); close(observed) }()
 		select {
--- a/internal/scheduler/instructions.go
+++ b/internal/scheduler/instructions.go
@@ -16,7 +16,7 @@
 // of peers in batches, until ctx ends.
 func (s *Scheduler) sendInstructions(ctx context.Context) {
 	peers := batching.Sender[*dispatch.Instructions]{Send: func(dispatcher string, batch []*dispatch.Instructions) {
-		s.sendTo(ctx, dispatcher, merged(batch))
+		s.sendTo(ctx, dispatcher, mergeInstructions(batch))
 	}}
 	defer peers.Wait()
 	for ctx.Err() == nil {
@@ -46,8 +46,8 @@
 	return outbox
 }
 
-// merged makes one message of several, in their order.
-func merged(batch []*dispatch.Instructions) *dispatch.Instructions {
+// mergeInstructions makes one message of several, in their order.
+func mergeInstructions(batch []*dispatch.Instructions) *dispatch.Instructions {
 	all := *batch[0]
 	for _, instructions := range batch[1:] {
 		all.Assign = append(all.Assign, instructions.Assign...)
--- a/internal/scheduler/instructions_test.go
+++ b/internal/scheduler/instructions_test.go
@@ -18,7 +18,7 @@
 		stop := cluster.run()
 		cluster.acceptArray(1)
 		for range 2 {
-			cluster.heartbeat(0, 0.2)
+			cluster.sendHeartbeat(0, 0.2)
 			time.Sleep(time.Second)
 		}
 		ref := cluster.scheduler.PlacementsOf("j-1")[0]
@@ -27,13 +27,13 @@
 		}
 		running := dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskRunning}}
 		assigned := func(unknown bool) int64 {
-			before := cluster.listedAssigned.Load()
+			before := cluster.reportedAssignments.Load()
 			running.Unknown = unknown
 			for range 12 {
-				cluster.heartbeat(0, 3, running)
+				cluster.sendHeartbeat(0, 3, running)
 				time.Sleep(time.Second)
 			}
-			return cluster.listedAssigned.Load() - before
+			return cluster.reportedAssignments.Load() - before
 		}
 		if n := assigned(false); n > 0 {
 			t.Errorf("a task that the dispatcher knows was assigned %d times", n)
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -22,7 +22,7 @@
 		return wire.JobState{UID: uid, Stage: final.Stage, Done: final.Done}, true
 	}
 	job := s.state.Jobs[uid]
-	if job == nil || !s.surelyCurrent(job) {
+	if job == nil || !s.isCurrent(job) {
 		return wire.JobState{}, false
 	}
 	return job.PublicState(), true
@@ -65,9 +65,9 @@
 	return job.Running == 0 && s.state.LeadsJob(job) && !s.state.MayRunUnseen(job, time.Now())
 }
 
-// surelyCurrent reports whether what is in memory of a living job is not older than what any
+// isCurrent reports whether what is in memory of a living job is not older than what any
 // controller may have answered for it.
-func (s *Scheduler) surelyCurrent(job *jobstate.Job) bool {
+func (s *Scheduler) isCurrent(job *jobstate.Job) bool {
 	// A leader whose lease may have expired could miss a later end.
 	if !s.state.LeadsJob(job) {
 		return false
@@ -89,14 +89,14 @@
 	return job.State, err
 }
 
-// newJobAge is the time since its acceptance for which a job may be called queued without the
+// justAcceptedPeriod is the time since its acceptance for which a job may be called queued without the
 // word of its leader: less than the stage that users are told of may lag.
-const newJobAge = 2 * time.Second
+const justAcceptedPeriod = 2 * time.Second
 
 // JustAccepted reports whether a job was accepted, at a time of day in milliseconds since 1970,
 // so recently that it may be called queued although no leader says so.
 func JustAccepted(acceptedMs int64) bool {
-	return time.Since(time.UnixMilli(acceptedMs)) < newJobAge
+	return time.Since(time.UnixMilli(acceptedMs)) < justAcceptedPeriod
 }
 
 // StoredJob is what the state service has of a job.
--- a/internal/scheduler/large_array_test.go
+++ b/internal/scheduler/large_array_test.go
@@ -10,7 +10,7 @@
 
 // The largest arrays must fit the smallest controller: of a task that waits, only its number is
 // kept.
-func TestWaitingTasksOfLargestArrayTakeLittleMemory(t *testing.T) {
+func TestWaitingTasksOfLargestArrayUseLittleMemory(t *testing.T) {
 	cluster := newCluster(t, 1, 0)
 	heap := func() uint64 {
 		runtime.GC()
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -71,7 +71,7 @@
 		}
 	}
 	slices.SortFunc(jobs, func(a, b *jobstate.Job) int { return cmp.Compare(a.Constraints.Number, b.Constraints.Number) })
-	first := s.firstWaiting()
+	first := s.nextWaitingJob()
 	rows := 0
 	for _, job := range jobs {
 		number := job.Constraints.Number
@@ -109,8 +109,8 @@
 	return s.Info, cutTask
 }
 
-// firstWaiting returns the job whose tasks are placed next, nil if none waits.
-func (s *Scheduler) firstWaiting() *jobstate.Job {
+// nextWaitingJob returns the job whose tasks are placed next, nil if none waits.
+func (s *Scheduler) nextWaitingJob() *jobstate.Job {
 	s.state.Now = time.Now()
 	var waiting []*jobstate.Job
 	for _, job := range s.state.JobOrder {
@@ -217,10 +217,10 @@
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	job := s.state.Jobs[uid]
-	if job == nil || job.Constraints == nil || !s.surelyCurrent(job) {
+	if job == nil || job.Constraints == nil || !s.isCurrent(job) {
 		return jobSnapshot{}, false
 	}
-	return s.snapshot(job, s.firstWaiting(), 0), true
+	return s.snapshot(job, s.nextWaitingJob(), 0), true
 }
 
 // StoredJobInfo returns what the state service has of a job: of a living one only what was
--- a/internal/scheduler/live_record.go
+++ b/internal/scheduler/live_record.go
@@ -19,9 +19,9 @@
 	return s.store.Txn(ctx, guards, wire.Op{Put: key, Value: *record})
 }
 
-// recordChanged reports whether writeLive failed for the record's version alone, so that
+// isRecordConflict reports whether writeLive failed for the record's version alone, so that
 // the newer record can be read and written.
-func (s *Scheduler) recordChanged(err error, record *jobrecord.LiveRecord) bool {
+func (s *Scheduler) isRecordConflict(err error, record *jobrecord.LiveRecord) bool {
 	var conflict *statestore.ConflictError
 	return errors.As(err, &conflict) && !conflict.Has(s.state.Membership.ShardKey(record.Shard))
 }
--- a/internal/scheduler/pending_cancels.go
+++ b/internal/scheduler/pending_cancels.go
@@ -10,13 +10,13 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// resolveAfter is how long a cancel's outcome may be unknown before its job's record is
+// cancelResolveDelay is how long a cancel's outcome may be unknown before its job's record is
 // written again. Most users repeat the cancel before that, which settles it too.
-const resolveAfter = 5 * time.Second
+const cancelResolveDelay = 5 * time.Second
 
-// surelyFailed reports whether a transaction with this outcome was not applied and never
+// definitelyFailed reports whether a transaction with this outcome was not applied and never
 // will be.
-func surelyFailed(err error) bool {
+func definitelyFailed(err error) bool {
 	var conflict *statestore.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, statestore.ErrUnavailable)
 }
@@ -26,9 +26,9 @@
 // more. Without it, a job whose cancel was lost, and not repeated by its user, was looked up
 // in the state service at every query, and called queued while it ran.
 func (s *Scheduler) resolveCancels(ctx context.Context) {
-	for _, uid := range s.jobsWithOldCancels(time.Now()) {
+	for _, uid := range s.jobsWithUnresolvedCancels(time.Now()) {
 		renewCtx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
-		err := s.renewRecord(renewCtx, uid)
+		err := s.rewriteRecord(renewCtx, uid)
 		cancel()
 		if err != nil {
 			s.log.Debug("cancel outcome still unknown", "job", uid, "err", err)
@@ -36,22 +36,22 @@
 	}
 }
 
-// jobsWithOldCancels returns the jobs whose last cancel was sent longer ago than resolveAfter
+// jobsWithUnresolvedCancels returns the jobs whose last cancel was sent longer ago than resolveAfter
 // and has an unknown outcome.
-func (s *Scheduler) jobsWithOldCancels(now time.Time) (uids []string) {
+func (s *Scheduler) jobsWithUnresolvedCancels(now time.Time) (uids []string) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	for _, job := range s.state.JobOrder {
-		if job.PendingCancels.Any() && now.Sub(job.PendingCancels.LastSentAt) > resolveAfter {
+		if job.PendingCancels.Any() && now.Sub(job.PendingCancels.LastSentAt) > cancelResolveDelay {
 			uids = append(uids, job.Spec.UID)
 		}
 	}
 	return uids
 }
 
-// renewRecord writes a living job's record again, unless it is cancelled, and takes it into
+// rewriteRecord writes a living job's record again, unless it is cancelled, and takes it into
 // the state.
-func (s *Scheduler) renewRecord(ctx context.Context, uid string) error {
+func (s *Scheduler) rewriteRecord(ctx context.Context, uid string) error {
 	record, version, err := jobrecord.ReadLive(ctx, s.store, uid)
 	if err != nil {
 		return fmt.Errorf("read job record: %w", err)
@@ -67,6 +67,6 @@
 	}
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
-	s.takeRecord(&record, version)
+	s.applyRecord(&record, version)
 	return nil
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -24,7 +24,7 @@
 				if i == len(cluster.views) {
 					cluster.views = append(cluster.views, dispatch.WorkerView{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 7, Dispatcher: "a"})
 				}
-				cluster.heartbeat(i, seconds)
+				cluster.sendHeartbeat(i, seconds)
 			}
 			time.Sleep(time.Second)
 			cluster.scheduler.Pass()
@@ -72,7 +72,7 @@
 			cluster := newCluster(t, 1, 0)
 			stop := cluster.run()
 			observe := func(i int, fullS float64, tasks ...dispatch.TaskView) {
-				cluster.heartbeat(i, fullS, tasks...)
+				cluster.sendHeartbeat(i, fullS, tasks...)
 				time.Sleep(time.Second)
 				cluster.scheduler.Pass()
 			}
@@ -111,7 +111,7 @@
 
 // Jobs that are alike share the candidate workers that a pass found for them; a job that may run
 // nowhere must not take them from others of the same size.
-func TestJobsOfSameSizeShareCandidatesOnlyIfAlike(t *testing.T) {
+func TestJobsShareCandidatesOnlyIfRequirementsAreEqual(t *testing.T) {
 	cluster := newCluster(t, 90, 0)
 	elsewhere := "y"
 	for i, job := range []wire.Job{{Types: []string{"x"}}, {Zone: &elsewhere}, {Spot: false}, {Spot: true}, {Types: []string{"m"}, Spot: true}} {
@@ -127,7 +127,7 @@
 
 // What a leader has just placed on a worker of a peer's dispatcher takes resources there,
 // although a view arrives that was made before the dispatcher got the instructions.
-func TestOwnPlacementTakesResourcesDespiteOlderView(t *testing.T) {
+func TestOwnPlacementReservesResourcesDespiteOlderView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0)
 		stop := cluster.run()
--- a/internal/scheduler/priority_test.go
+++ b/internal/scheduler/priority_test.go
@@ -15,7 +15,7 @@
 // Only a job whose objective is in danger preempts others. An objective for starts that was far
 // off (100 s) made every job of its class preempt work of lower priority at once: three fifths of
 // all that was started had to start again.
-func TestOnlyObjectiveInDangerPreempts(t *testing.T) {
+func TestOnlyJobAtRiskOfMissingObjectivePreempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0)
 		cluster.platform.Params.Objectives = []config.Objective{{Kind: "wait", Class: "quote", WithinS: 100, Share: 0.9}}
@@ -89,7 +89,7 @@
 // Every job has to begin within four minutes, the largest of the lowest priority too, while more
 // urgent work could fill all workers for ever. After two minutes its first task is placed before
 // all others, and only that.
-func TestOldJobBeginsBeforeUrgentWork(t *testing.T) {
+func TestLongWaitingJobBeginsBeforeUrgentWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 10, 0) // free resources for one task of 4 CPUs on each worker
 		add := func(uid, priority string, tasks int, age time.Duration) {
--- a/internal/scheduler/hopeless_queue_test.go
+++ b/internal/scheduler/queued_behind_long_task_test.go
@@ -17,7 +17,7 @@
 
 // A queued task whose wait has proved much worse than planned gets the room of tasks that come
 // after it in line.
-func TestTaskBehindLongOnesGetsRoomBeforeLaterJobs(t *testing.T) {
+func TestTaskQueuedBehindLongTasksIsPlacedBeforeLaterJobs(t *testing.T) {
 	const long, busy, allowedS = 0, 1, 90 // workers, and the seconds for which a job may wait beside room
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 2, 0)
@@ -25,8 +25,8 @@
 		defer stop()
 		cluster.acceptArray(1)
 		for range 3 {
-			cluster.heartbeat(long, 0.2)
-			cluster.heartbeat(busy, 600)
+			cluster.sendHeartbeat(long, 0.2)
+			cluster.sendHeartbeat(busy, 600)
 			time.Sleep(time.Second)
 		}
 		refs := cluster.scheduler.PlacementsOf("j-1")
@@ -48,8 +48,8 @@
 					done = append(done, dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskExited, Cause: wire.CauseDone}})
 				}
 			}
-			cluster.heartbeat(long, float64(second))
-			cluster.heartbeat(busy, 0, done...)
+			cluster.sendHeartbeat(long, float64(second))
+			cluster.sendHeartbeat(busy, 0, done...)
 			time.Sleep(time.Second)
 			for _, ref := range cluster.scheduler.PlacementsOf("j-1") {
 				if ref.Worker == cluster.views[busy].Name {
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -43,7 +43,7 @@
 
 // More quota leases than the records hold are refused at the start, by key and reason; with one
 // leader nothing is leased, and nothing refused.
-func TestMoreQuotaLeasesThanRecordsHoldAreRefused(t *testing.T) {
+func TestQuotaLeasesExceedingRecordCapacityAreRejected(t *testing.T) {
 	platform := &config.Platform{Params: config.Params{State: config.State{ValueKB: 16}}}
 	for i := range 410 {
 		platform.Params.Teams = append(platform.Params.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 640, GPUsMax: 16})
--- a/internal/scheduler/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -35,8 +35,8 @@
 	return shard.Items
 }
 
-// byPrefix groups items by what their keys begin with, as they are listed.
-func byPrefix(items []wire.Item) map[string][]wire.Item {
+// groupByPrefix groups items by what their keys begin with, as they are listed.
+func groupByPrefix(items []wire.Item) map[string][]wire.Item {
 	groups := map[string][]wire.Item{}
 	for _, item := range items {
 		prefix, _, _ := strings.Cut(item.Key, "/")
@@ -48,8 +48,8 @@
 // newSuccessor returns a scheduler that has loaded the recorded shard, with its store.
 func newSuccessor(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
 	t.Helper()
-	leader, store := newScripted(t)
-	store.items = byPrefix(recordedShard(t))
+	leader, store := newScriptedScheduler(t)
+	store.items = groupByPrefix(recordedShard(t))
 	byKey := map[string]wire.Item{}
 	for _, item := range recordedShard(t) {
 		byKey[item.Key] = item
@@ -145,7 +145,7 @@
 func TestSuccessorContinuesRecordedShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0, withLogSlots(3))
-		cluster.items = byPrefix(recordedShard(t))
+		cluster.items = groupByPrefix(recordedShard(t))
 		cluster.scheduler.Unload()
 		if err := cluster.scheduler.Load(t.Context()); err != nil {
 			t.Fatal(err)
@@ -171,12 +171,12 @@
 		}
 		for i := range tasks {
 			tasks[i].State, tasks[i].Cause = wire.TaskExited, wire.CauseDone
-			cluster.heartbeat(0, 0, tasks...)
+			cluster.sendHeartbeat(0, 0, tasks...)
 			if err := cluster.scheduler.WriteAll(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		cluster.heartbeat(0, 0) // its worker has forgotten the tasks
+		cluster.sendHeartbeat(0, 0) // its worker has forgotten the tasks
 		if err := cluster.scheduler.WriteAll(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -96,15 +96,15 @@
 	}
 }
 
-// listing is a state service whose every listing returns the same items.
-type listing []wire.Item
+// fixedLister is a state service whose every fixedLister returns the same items.
+type fixedLister []wire.Item
 
-func (l listing) List(context.Context, string) ([]wire.Item, uint64, error) { return l, 0, nil }
+func (l fixedLister) List(context.Context, string) ([]wire.Item, uint64, error) { return l, 0, nil }
 
 // Cancels are found in recorded jobs without parsing all of them in full.
 func TestRecordedCancelsAreFound(t *testing.T) {
 	names := []string{"live-full", "live-none"}
-	items := make(listing, 0, len(names))
+	items := make(fixedLister, 0, len(names))
 	for _, name := range names {
 		data, err := os.ReadFile("testdata/recorded/" + name + ".json")
 		if err != nil {
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	passInterval      = 250 * time.Millisecond // at the longest, when no pass is requested
+	maxPassInterval   = 250 * time.Millisecond // at the longest, when no pass is requested
 	reconcileInterval = time.Second
-	batchInterval     = 20 * time.Millisecond // between passes at the least: what arrives then shares one
+	minPassPause      = 20 * time.Millisecond // between passes at the least: what arrives then shares one
 )
 
 // Run leads the shards that this controller is elected for until ctx ends. It returns the
@@ -29,7 +29,7 @@
 
 // runPasses loads and unloads shards and makes scheduling passes until ctx ends.
 func (s *Scheduler) runPasses(ctx context.Context) {
-	tick := time.NewTicker(passInterval)
+	tick := time.NewTicker(maxPassInterval)
 	defer tick.Stop()
 	var lastReconcile time.Time
 	for ctx.Err() == nil {
@@ -46,7 +46,7 @@
 		// The pause keeps passes to a small part of the processor, however long they take.
 		select {
 		case <-ctx.Done():
-		case <-time.After(batchInterval + jobstate.PassShare*took):
+		case <-time.After(minPassPause + jobstate.PassShare*took):
 		}
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -60,10 +60,10 @@
 	log         *slog.Logger
 
 	// Guarded by state.Mu.
-	listedRevision map[int]uint64 // shard -> revision of the listing of living jobs that it was loaded with
-	ownershipEpoch uint64         // counts the times that this scheduler began to lead shards
-	loading        bool           // shards are being read
-	earlyRecords   []earlyRecord  // records that arrived while loading
+	listedRevision  map[int]uint64   // shard -> revision of the listing of living jobs that it was loaded with
+	leadershipEpoch uint64           // counts the times that this scheduler began to lead shards
+	loading         bool             // shards are being read
+	bufferedRecords []bufferedRecord // records that arrived while loading
 }
 
 // New returns a scheduler that leads no shard yet. Run makes it work.
@@ -95,5 +95,5 @@
 	if len(s.state.Loaded) == 0 {
 		return 0
 	}
-	return s.ownershipEpoch
+	return s.leadershipEpoch
 }
--- a/internal/scheduler/scripted_store_test.go
+++ b/internal/scheduler/scripted_store_test.go
@@ -39,8 +39,8 @@
 // notFound is a get for which no key exists.
 func notFound(string) (wire.Item, error) { return wire.Item{}, statestore.ErrNotFound }
 
-// newScripted returns a scheduler that has loaded no shard, with its store.
-func newScripted(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
+// newScriptedScheduler returns a scheduler that has loaded no shard, with its store.
+func newScriptedScheduler(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
 	t.Helper()
 	operator, err := config.LoadOperator("")
 	if err != nil {
@@ -52,25 +52,25 @@
 	return newScheduler(cluster.platform, operator, store, cluster), store
 }
 
-// oneTask is job j-1, of one task, as it is submitted.
-const oneTask = `{"uid":"j-1","docket":"c","crew":"t","sort":"sweep","urgency":"normal","pieces":1,"cpus":1,"cards":0,"memoryGb":1,
+// oneTaskJob is job j-1, of one task, as it is submitted.
+const oneTaskJob = `{"uid":"j-1","docket":"c","crew":"t","sort":"sweep","urgency":"normal","pieces":1,"cpus":1,"cards":0,"memoryGb":1,
 	"kit":"i","pullGb":0.1,"builds":null,"yard":null,"together":false,"apart":false,"loaners":true,"reckonS":9,"markS":0,"stashS":0,"dueS":null}`
 
 // acceptedJob returns j-1 and its living record, written at a version.
 func acceptedJob(t *testing.T, version uint64) (*wire.Job, wire.Item) {
 	t.Helper()
-	job, err := wire.ParseJob([]byte(oneTask))
+	job, err := wire.ParseJob([]byte(oneTaskJob))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return job, wire.Item{Key: "live/j-1", Version: version, Value: json.RawMessage(fmt.Sprintf(`{"job":%s,"shard":0,"at":0}`, oneTask))}
+	return job, wire.Item{Key: "live/j-1", Version: version, Value: json.RawMessage(fmt.Sprintf(`{"job":%s,"shard":0,"at":0}`, oneTaskJob))}
 }
 
-// newScriptedWithJob returns a scheduler that leads the shard of j-1, with its store and the
+// newScriptedSchedulerWithJob returns a scheduler that leads the shard of j-1, with its store and the
 // job's record there, which a test may change.
-func newScriptedWithJob(t *testing.T) (*scheduler.Scheduler, *scriptedStore, *wire.Item) {
+func newScriptedSchedulerWithJob(t *testing.T) (*scheduler.Scheduler, *scriptedStore, *wire.Item) {
 	t.Helper()
-	leader, store := newScripted(t)
+	leader, store := newScriptedScheduler(t)
 	if err := leader.Load(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scheduler/update.go
+++ b/internal/scheduler/update.go
@@ -91,7 +91,7 @@
 			return err
 		}
 		revision, err := s.writeLive(ctx, &record, version, shardVersion)
-		if s.recordChanged(err, &record) {
+		if s.isRecordConflict(err, &record) {
 			continue
 		}
 		if err == nil && leads {
--- a/internal/scheduler/uncertain_wait_test.go
+++ b/internal/scheduler/wait_estimate_test.go
@@ -27,10 +27,10 @@
 				for range 20 { // the costs have a random part
 					cluster := newCluster(t, 3, 0)
 					cluster.acceptArray(1)
-					cluster.heartbeat(full, 600)
-					cluster.heartbeat(endsSoon, c.remainingS)
+					cluster.sendHeartbeat(full, 600)
+					cluster.sendHeartbeat(endsSoon, c.remainingS)
 					time.Sleep(time.Duration(c.ageS * float64(time.Second)))
-					cluster.heartbeat(idle, 0)
+					cluster.sendHeartbeat(idle, 0)
 					cluster.scheduler.Pass()
 					refs := cluster.scheduler.PlacementsOf("j-1")
 					if len(refs) != 1 || refs[0].Worker != cluster.views[idle].Name {
@@ -48,7 +48,7 @@
 		cluster := newCluster(t, 3, 0)
 		cluster.acceptArray(1)
 		for i, fullS := range []float64{600, 0.9, 0.1} {
-			cluster.heartbeat(i, fullS)
+			cluster.sendHeartbeat(i, fullS)
 		}
 		cluster.scheduler.Pass()
 		if refs := cluster.scheduler.PlacementsOf("j-1"); len(refs) != 1 || refs[0].Worker != cluster.views[2].Name {
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -46,7 +46,7 @@
 		s.state.Mu.Lock()
 		defer s.state.Mu.Unlock()
 		for _, item := range items {
-			s.takeEncoded(item.Key, item.Value, item.Version)
+			s.applyEncodedRecord(item.Key, item.Value, item.Version)
 		}
 	}, func(events []wire.Event) {
 		defer usage.Count(usage.Watches, time.Now())
@@ -54,31 +54,31 @@
 		defer s.state.Mu.Unlock()
 		for _, event := range events {
 			if event.Put != "" {
-				s.takeEncoded(event.Put, event.Value, event.Version)
+				s.applyEncodedRecord(event.Put, event.Value, event.Version)
 			}
 		}
 	})
 }
 
-// takeEncoded is takeRecord for a record as it is stored.
-func (s *Scheduler) takeEncoded(key string, value json.RawMessage, version uint64) {
+// applyEncodedRecord is takeRecord for a record as it is stored.
+func (s *Scheduler) applyEncodedRecord(key string, value json.RawMessage, version uint64) {
 	var record jobrecord.LiveRecord
 	if err := json.Unmarshal(value, &record); err != nil {
 		s.log.Error("unreadable job record", "key", key, "err", err)
 		return
 	}
-	s.takeRecord(&record, version)
+	s.applyRecord(&record, version)
 }
 
-// earlyRecord is a living job's record that arrived while shards were being loaded.
-type earlyRecord struct {
+// bufferedRecord is a living job's record that arrived while shards were being loaded.
+type bufferedRecord struct {
 	record  jobrecord.LiveRecord
 	version uint64
 }
 
-// takeRecord applies a living job's record, as it was written at a version, to the state.
+// applyRecord applies a living job's record, as it was written at a version, to the state.
 // Older and repeated ones have no effect.
-func (s *Scheduler) takeRecord(record *jobrecord.LiveRecord, version uint64) {
+func (s *Scheduler) applyRecord(record *jobrecord.LiveRecord, version uint64) {
 	uid := record.Job.UID
 	if record.Cancelled && s.state.Cancellations != nil {
 		s.state.Cancellations.RecordCancelled(uid) // whoever leads its shard
@@ -87,7 +87,7 @@
 		if s.loading {
 			// The listing that is being read may be older: without this, the job would
 			// wait until the next failover.
-			s.earlyRecords = append(s.earlyRecords, earlyRecord{*record, version})
+			s.bufferedRecords = append(s.bufferedRecords, bufferedRecord{*record, version})
 		}
 		return
 	}
@@ -118,6 +118,6 @@
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	if s.state.Jobs[spec.UID] == nil {
-		s.takeRecord(&jobrecord.LiveRecord{Job: *spec, Shard: shard, AcceptedMs: acceptedMs, Constraints: constraints}, version)
+		s.applyRecord(&jobrecord.LiveRecord{Job: *spec, Shard: shard, AcceptedMs: acceptedMs, Constraints: constraints}, version)
 	}
 }
--- a/internal/scheduler/watch_test.go
+++ b/internal/scheduler/watch_test.go
@@ -32,7 +32,7 @@
 			if took := responses(20); took != time.Second {
 				t.Errorf("20 responses take a leader %v", took)
 			}
-			cluster.leadsNothing.Store(true)
+			cluster.leadsNoShard.Store(true)
 			if took := responses(5); took != time.Second {
 				t.Errorf("5 responses take a controller without shards %v", took)
 			}
@@ -45,7 +45,7 @@
 // predecessor: it does not become a living job again. One that was accepted after the listing does.
 func TestLaggingWatchDoesNotReviveEndedJob(t *testing.T) {
 	for version, alive := range map[uint64]bool{9: false, 10: false, 11: true} {
-		leader, _ := newScripted(t)
+		leader, _ := newScriptedScheduler(t)
 		if err := leader.Load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/write_outcome_test.go
+++ b/internal/scheduler/write_outcome_test.go
@@ -14,7 +14,7 @@
 // no response. What its successor wrote meanwhile (a log record with the same key and number, or
 // the end as cancelled) is not its own write: it must call no job done and clear no task, of which
 // the successor would then never get a heartbeat.
-func TestSuccessorsLogRecordIsNotTakenForOwnWrite(t *testing.T) {
+func TestSuccessorsLogRecordIsNotMistakenForOwnWrite(t *testing.T) {
 	const slot, shard = "log/000/00001", "c/shard/000"
 	for _, c := range []struct {
 		name string
@@ -27,7 +27,7 @@
 		{"applied, and the response lost", []string{slot, "live/j-1"}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			leader, store := newScripted(t)
+			leader, store := newScriptedScheduler(t)
 			_, record := acceptedJob(t, 5)
 			other := wire.Item{Key: "live/j-2", Version: 5, // a job that goes on, so that the log is written too
 				Value: json.RawMessage(strings.NewReplacer("j-1", "j-2", `"pieces":1`, `"pieces":2`).Replace(string(record.Value)))}
@@ -123,7 +123,7 @@
 		{"the shard was lost", true, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			leader, store := newScripted(t)
+			leader, store := newScriptedScheduler(t)
 			_, record := acceptedJob(t, 5)
 			record.Value = json.RawMessage(strings.Replace(string(record.Value), `"pieces":1`, `"pieces":2`, 1))
 			store.items["live/"] = []wire.Item{record}
