--- a/internal/jobrecord/read.go
+++ b/internal/jobrecord/read.go
@@ -10,18 +10,18 @@
 // ReadLive reads a job's live record and its version. The error is statestore.ErrNotFound if
 // the job ended or was never accepted.
 func ReadLive(ctx context.Context, store Reader, uid string) (record LiveRecord, version uint64, err error) {
-	version, err = readJob(ctx, store, LivePrefix+uid, &record)
+	version, err = readJobRecord(ctx, store, LivePrefix+uid, &record)
 	return record, version, err
 }
 
 // ReadFinal reads the record of a job that ended. The error is statestore.ErrNotFound if
 // there is none.
 func ReadFinal(ctx context.Context, store Reader, uid string) (record FinalRecord, err error) {
-	_, err = readJob(ctx, store, FinalPrefix+uid, &record)
+	_, err = readJobRecord(ctx, store, FinalPrefix+uid, &record)
 	return record, err
 }
 
-func readJob(ctx context.Context, store Reader, key string, into any) (version uint64, err error) {
+func readJobRecord(ctx context.Context, store Reader, key string, into any) (version uint64, err error) {
 	item, err := store.Get(ctx, key)
 	if err != nil {
 		return 0, err
--- a/internal/jobrecord/records_test.go
+++ b/internal/jobrecord/records_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestJobsOfALimitedTeamShareAShard(t *testing.T) {
+func TestJobsOfTeamWithLimitOrGuaranteeShareShard(t *testing.T) {
 	teams := []config.Team{{Name: "limited", CPUsMax: 10}, {Name: "guaranteed", GPUs: 1}, {Name: "free"}}
 	for team, shared := range map[string]bool{"limited": true, "guaranteed": true, "free": false, "unknown": false} {
 		shards := map[int]bool{}
@@ -76,10 +76,10 @@
 	}
 }
 
-// items is a state service that holds these values, all as of version 5.
-type items map[string]string
+// fakeReader is a state service that holds these values, all as of version 5.
+type fakeReader map[string]string
 
-func (i items) Get(_ context.Context, key string) (wire.Item, error) {
+func (i fakeReader) Get(_ context.Context, key string) (wire.Item, error) {
 	value, ok := i[key]
 	if !ok {
 		return wire.Item{}, statestore.ErrNotFound
@@ -87,8 +87,8 @@
 	return wire.Item{Key: key, Value: []byte(value), Version: 5}, nil
 }
 
-func TestReadingAJobTellsMissingFromUnreadable(t *testing.T) {
-	store := items{"live/j-1": `{"shard":3,"cancelled":true}`, "live/j-2": `{`, "final/j-3": `{"stage":"done","done":2}`}
+func TestReadDistinguishesMissingFromUnreadableRecord(t *testing.T) {
+	store := fakeReader{"live/j-1": `{"shard":3,"cancelled":true}`, "live/j-2": `{`, "final/j-3": `{"stage":"done","done":2}`}
 	if r, version, err := jobrecord.ReadLive(t.Context(), store, "j-1"); r.Shard != 3 || !r.Cancelled || version != 5 || err != nil {
 		t.Errorf("read as %+v, version %d, %v", r, version, err)
 	}
--- a/internal/jobrecord/task_records.go
+++ b/internal/jobrecord/task_records.go
@@ -13,13 +13,13 @@
 const ChunkSize = 96
 
 const (
-	valueShare = 0.9 // share of the state service's value limit that a record may take
-	valueSlack = 64  // bytes that a record must leave of that share
+	valueLimitShare = 0.9 // share of the state service's value limit that a record may take
+	valueSlackBytes = 64  // bytes that a record must leave of that share
 )
 
 // MaxRecordBytes returns how many bytes a record may have.
 func MaxRecordBytes(cfg *config.Platform) int {
-	return int(cfg.Params.State.ValueKB*1024*valueShare) - valueSlack
+	return int(cfg.Params.State.ValueKB*1024*valueLimitShare) - valueSlackBytes
 }
 
 // Placements and failures stand in records as plain numbers, one after the other:
@@ -28,20 +28,20 @@
 //	removed placement: task, attempt
 //	failure: task, jobstate.TaskOutcome, exit code
 const (
-	placementNumbers = 3
-	removedNumbers   = 2
-	failureNumbers   = 3
+	numbersPerPlacement = 3
+	numbersPerRemoval   = 2
+	numbersPerFailure   = 3
 )
 
 // ChunkRecord is the state of a chunk's tasks as of the shard's log record Seq: which are over,
 // and on which workers the others may be.
 type ChunkRecord struct {
-	Seq        uint64   `json:"seq"`
-	Done       []byte   `json:"done"` // a bit for each task that is over
-	Next       uint64   `json:"next"` // attempts below it may have been used
-	Workers    []string `json:"machines,omitempty"`
-	Placements []uint64 `json:"places,omitempty"` // placements
-	Failed     []uint64 `json:"failed,omitempty"` // failures
+	Seq         uint64   `json:"seq"`
+	DoneBits    []byte   `json:"done"` // a bit for each task that is over
+	NextAttempt uint64   `json:"next"` // attempts below it may have been used
+	Workers     []string `json:"machines,omitempty"`
+	Placements  []uint64 `json:"places,omitempty"` // placements
+	Failed      []uint64 `json:"failed,omitempty"` // failures
 }
 
 // LogRecord is one write of a shard's log.
@@ -78,7 +78,7 @@
 		return record, fmt.Errorf("read log record: %w", err)
 	}
 	for _, entry := range record.Jobs {
-		if len(entry.Placements)%placementNumbers != 0 || len(entry.Removed)%removedNumbers != 0 || len(entry.Failed)%failureNumbers != 0 {
+		if len(entry.Placements)%numbersPerPlacement != 0 || len(entry.Removed)%numbersPerRemoval != 0 || len(entry.Failed)%numbersPerFailure != 0 {
 			return record, errors.New("read log record: malformed entry")
 		}
 		if !workersInRange(entry.Placements, len(record.Workers)) {
@@ -94,13 +94,13 @@
 	if err := json.Unmarshal(data, &record); err != nil {
 		return record, fmt.Errorf("read chunk record: %w", err)
 	}
-	if len(record.Placements)%placementNumbers != 0 || len(record.Failed)%failureNumbers != 0 || len(record.Done) > (ChunkSize+7)/8 {
+	if len(record.Placements)%numbersPerPlacement != 0 || len(record.Failed)%numbersPerFailure != 0 || len(record.DoneBits) > (ChunkSize+7)/8 {
 		return record, errors.New("read chunk record: malformed")
 	}
 	if !workersInRange(record.Placements, len(record.Workers)) {
 		return record, errors.New("read chunk record: malformed placement")
 	}
-	for i := 0; i < len(record.Placements); i += placementNumbers {
+	for i := 0; i < len(record.Placements); i += numbersPerPlacement {
 		if record.Placements[i] >= uint64(tasks) {
 			return record, errors.New("read chunk record: malformed placement")
 		}
@@ -110,7 +110,7 @@
 
 // workersInRange reports whether the workers of all placements are in a list of that length.
 func workersInRange(placements []uint64, workers int) bool {
-	for i := placementNumbers - 1; i < len(placements); i += placementNumbers {
+	for i := numbersPerPlacement - 1; i < len(placements); i += numbersPerPlacement {
 		if placements[i] >= uint64(workers) {
 			return false
 		}
--- a/internal/jobspec/constraints_test.go
+++ b/internal/jobspec/constraints_test.go
@@ -8,7 +8,7 @@
 )
 
 // A job that is over decides a dependency for good; before, the dependency is pending.
-func TestDependencyOutcomeByFactsOfTheOtherJob(t *testing.T) {
+func TestDependencyOutcomeByStateOfOtherJob(t *testing.T) {
 	var waiting jobspec.JobFacts
 	running := jobspec.JobFacts{Started: true, StartedMs: 1000}
 	done, failed := jobspec.JobFacts{Over: true, OK: true}, jobspec.JobFacts{Over: true}
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestHeldJobWaitsForItsUserBeforeItsBeginTime(t *testing.T) {
+func TestHoldTakesPrecedenceOverBeginTime(t *testing.T) {
 	held := &jobspec.Constraints{Number: 1, Held: true, BeginMs: 5}
 	if reason := held.WaitReason(jobspec.Satisfied, 1); reason != jobspec.ReasonHeld {
 		t.Error(reason)
@@ -75,7 +75,7 @@
 }
 
 // Users see these texts; scripts may match them.
-func TestValidateNamesTheFieldAtFault(t *testing.T) {
+func TestValidateErrorNamesInvalidField(t *testing.T) {
 	now := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	for _, c := range []struct {
 		name        string
--- a/internal/jobspec/ranges.go
+++ b/internal/jobspec/ranges.go
@@ -134,8 +134,8 @@
 	return -1
 }
 
-// Find is the inverse of At: it returns the position of a number in All, or -1.
-func (r Ranges) Find(n int) int {
+// IndexOf is the inverse of At: it returns the position of a number in All, or -1.
+func (r Ranges) IndexOf(n int) int {
 	before := 0
 	for _, s := range r.spans {
 		if n >= s.first && n <= s.last && (n-s.first)%s.step == 0 {
@@ -165,9 +165,9 @@
 	return r.spans[0].step
 }
 
-// Cut drops the ranges beyond the number that ParseRanges takes, and returns the first number
+// Truncate drops the ranges beyond the number that ParseRanges takes, and returns the first number
 // that it dropped, or 0 if it dropped none.
-func (r *Ranges) Cut() int {
+func (r *Ranges) Truncate() int {
 	if len(r.spans) <= maxSpans {
 		return 0
 	}
--- a/internal/jobspec/ranges_test.go
+++ b/internal/jobspec/ranges_test.go
@@ -23,8 +23,8 @@
 			t.Fatalf("%s gives %v, not %v", written, got, numbers)
 		}
 		for k, n := range numbers {
-			if read.At(k) != n || read.Find(n) != k {
-				t.Fatalf("%s: position %d has %d, number %d is at %d", read.String(), k, read.At(k), n, read.Find(n))
+			if read.At(k) != n || read.IndexOf(n) != k {
+				t.Fatalf("%s: position %d has %d, number %d is at %d", read.String(), k, read.At(k), n, read.IndexOf(n))
 			}
 		}
 		if least, most := read.Bounds(); least != numbers[0] || most != numbers[len(numbers)-1] {
--- a/internal/jobstate/chunk.go
+++ b/internal/jobstate/chunk.go
@@ -45,7 +45,7 @@
 // Record returns the chunk's own record as of the shard's log record seq. Its placements are in
 // the order of their attempts; exited ones are left out, since the log has their end.
 func (c *Chunk) Record(seq uint64) jobrecord.ChunkRecord {
-	record := jobrecord.ChunkRecord{Seq: seq, Done: c.DoneBits, Next: c.NextAttempt}
+	record := jobrecord.ChunkRecord{Seq: seq, DoneBits: c.DoneBits, NextAttempt: c.NextAttempt}
 	for task, failure := range c.Failed {
 		record.Failed = append(record.Failed, failure.Triple(task)...)
 	}
--- a/internal/scheduler/failover.go
+++ b/internal/scheduler/failover.go
@@ -199,7 +199,7 @@
 			continue
 		}
 		for _, item := range items {
-			s.writer.DeleteChunks(item.Key)
+			s.writer.QueueChunkDeletions(item.Key)
 		}
 	}
 }
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -103,7 +103,7 @@
 func (s jobSnapshot) info() (info jobquery.Info, cutTask int) {
 	if len(s.waitingTasks) > 0 {
 		ranges := jobspec.RangesOf(s.waitingTasks)
-		cutTask = ranges.Cut()
+		cutTask = ranges.Truncate()
 		s.PendingTasks = ranges.String()
 	}
 	return s.Info, cutTask
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -52,7 +52,7 @@
 	recorded.CheckFull(t, "final-full", jobrecord.FinalRecord{Stage: wire.StageDone, Done: 14, Ending: fullEnding()})
 	recorded.Check(t, "final-none", jobrecord.FinalRecord{})
 	recorded.CheckFull(t, "chunk-full", jobrecord.ChunkRecord{
-		Seq: 9, Done: []byte{0x83, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80}, Next: 12,
+		Seq: 9, DoneBits: []byte{0x83, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80}, NextAttempt: 12,
 		Workers: []string{"n-000001", "n-000002"}, Placements: []uint64{2, 10, 1, 3, 11, 0}, Failed: []uint64{1, 1, 7, 7, 2, 0},
 	})
 	recorded.Check(t, "chunk-none", jobrecord.ChunkRecord{})
--- a/internal/shardlog/admit.go
+++ b/internal/shardlog/admit.go
@@ -31,13 +31,13 @@
 		w.replay(job, &records.Entries[i], token)
 	}
 	w.state.CancelTasks(job)
-	w.countPlacements(job)
+	w.pruneAndCountPlacements(job)
 	countTasks(job)
 	if job.Done > 0 {
 		job.RecordBegin(time.Now()) // it began earlier, under a predecessor: when is not recorded
 	}
 	if token == 0 {
-		w.countArrival(job)
+		w.recordArrival(job)
 	}
 	w.state.Jobs[job.Spec.UID] = job
 	w.state.JobOrder = append(w.state.JobOrder, job)
@@ -86,21 +86,21 @@
 		w.log.Error("unreadable chunk record", "key", item.Key, "err", err)
 		return
 	}
-	copy(chunk.DoneBits, record.Done)
+	copy(chunk.DoneBits, record.DoneBits)
 	for i := 0; i < len(record.Failed); i += 3 {
 		if task := record.Failed[i]; task/jobrecord.ChunkSize == uint64(number) {
 			chunk.SetFailed(int(task), record.Failed[i+1], record.Failed[i+2])
 		}
 	}
-	chunk.NextAttempt, chunk.SavedSeq = max(1, record.Next), record.Seq
+	chunk.NextAttempt, chunk.SavedSeq = max(1, record.NextAttempt), record.Seq
 	for i := 0; i < len(record.Placements); i += 3 {
 		w.addPlacement(job, int(record.Placements[i]), record.Placements[i+1], record.Workers[record.Placements[i+2]], token)
 	}
 }
 
-// countPlacements removes the placements of finished tasks, except of cancelled ones, which
+// pruneAndCountPlacements removes the placements of finished tasks, except of cancelled ones, which
 // may run still, and counts the use of the others.
-func (w *Writer) countPlacements(job *jobstate.Job) {
+func (w *Writer) pruneAndCountPlacements(job *jobstate.Job) {
 	for _, chunk := range job.Chunks {
 		for _, placement := range append([]*jobstate.Placement(nil), chunk.Placements...) {
 			if chunk.IsOver(placement.Task) && chunk.Failed[placement.Task].Outcome != jobstate.OutcomeCancelled {
@@ -127,9 +127,9 @@
 	}
 }
 
-// countArrival counts the work of a job that was accepted just now, unless it is a service
+// recordArrival counts the work of a job that was accepted just now, unless it is a service
 // or waits by its own constraints.
-func (w *Writer) countArrival(job *jobstate.Job) {
+func (w *Writer) recordArrival(job *jobstate.Job) {
 	spec := job.Spec
 	if spec.Service() || job.Constraints != nil && w.state.WaitReason(job, time.Now()) != "" {
 		return
--- a/internal/shardlog/end_job.go
+++ b/internal/shardlog/end_job.go
@@ -9,14 +9,14 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-const maxFinal = 20_000 // ended jobs that are kept in memory, so that queries for them need no read
+const maxCachedFinalRecords = 20_000 // ended jobs that are kept in memory, so that queries for them need no read
 
-// endJob forgets a job whose end is recorded, and has what is left of it on workers cleared
+// removeEndedJob forgets a job whose end is recorded, and has what is left of it on workers cleared
 // or halted.
-func (w *Writer) endJob(job *jobstate.Job) {
+func (w *Writer) removeEndedJob(job *jobstate.Job) {
 	w.reportEnd(job)
-	w.rememberFinal(job)
-	w.collectGarbage(job)
+	w.cacheFinalRecord(job)
+	w.queueRemainingChunks(job)
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
 			instructions := w.state.InstructionsFor(placement.Worker.View.Dispatcher)
@@ -44,27 +44,27 @@
 		"took_s", time.Since(job.AcceptedAt).Seconds(), "run_s", job.RunEstimate(), "limit_s", limit, "tasks", job.Spec.Tasks, "cpus", job.Spec.CPUs, "begun_s", begun, "large", job.Large)
 }
 
-// rememberFinal keeps a job's end in memory, for the last maxFinal jobs.
-func (w *Writer) rememberFinal(job *jobstate.Job) {
+// cacheFinalRecord keeps a job's end in memory, for the last maxFinal jobs.
+func (w *Writer) cacheFinalRecord(job *jobstate.Job) {
 	uid := job.Spec.UID
 	w.state.FinalRecords[uid] = jobrecord.FinalRecord{Stage: job.EndStage, Done: job.Done, Ending: w.state.EndStateOf(job)}
-	w.finalOrder = append(w.finalOrder, uid)
-	if len(w.finalOrder) > maxFinal {
-		delete(w.state.FinalRecords, w.finalOrder[0])
-		w.finalOrder = w.finalOrder[1:]
+	w.finalRecordOrder = append(w.finalRecordOrder, uid)
+	if len(w.finalRecordOrder) > maxCachedFinalRecords {
+		delete(w.state.FinalRecords, w.finalRecordOrder[0])
+		w.finalRecordOrder = w.finalRecordOrder[1:]
 	}
 }
 
-// collectGarbage queues the chunk records for deletion that were too many for the
+// queueRemainingChunks queues the chunk records for deletion that were too many for the
 // transaction of the job's end.
-func (w *Writer) collectGarbage(job *jobstate.Job) {
-	deleted := w.state.Platform.Params.State.TxnOps - endChangesMin // with the end
+func (w *Writer) queueRemainingChunks(job *jobstate.Job) {
+	deleted := w.state.Platform.Params.State.TxnOps - minEndChanges // with the end
 	for _, chunk := range job.Chunks {
 		if chunk.Version == 0 {
 			continue
 		}
 		if deleted--; deleted < 0 {
-			w.garbage = append(w.garbage, jobrecord.ChunkKey(job.Spec.UID, chunk.Number))
+			w.chunkDeletions = append(w.chunkDeletions, jobrecord.ChunkKey(job.Spec.UID, chunk.Number))
 		}
 	}
 }
--- a/internal/shardlog/log.go
+++ b/internal/shardlog/log.go
@@ -12,15 +12,15 @@
 
 // logSlot is a key of a shard's log and what is stored under it.
 type logSlot struct {
-	number  int // in the key
-	version uint64
-	seq     uint64
-	chunks  map[*jobstate.Chunk]struct{} // named by the record
-	read    jobrecord.LogRecord          // of a predecessor, until its chunks are known
+	number            int // in the key
+	version           uint64
+	seq               uint64
+	chunks            map[*jobstate.Chunk]struct{} // named by the record
+	predecessorRecord jobrecord.LogRecord          // of a predecessor, until its chunks are known
 }
 
-// release drops the chunks that no longer need the record, and reports whether none is left.
-func (s *logSlot) release() bool {
+// dropSavedChunks drops the chunks that no longer need the record, and reports whether none is left.
+func (s *logSlot) dropSavedChunks() bool {
 	for chunk := range s.chunks {
 		if chunk.Closed || chunk.SavedSeq >= s.seq {
 			delete(s.chunks, chunk)
--- a/internal/shardlog/outcome.go
+++ b/internal/shardlog/outcome.go
@@ -18,10 +18,10 @@
 // commit applies a transaction that was written at a revision to the state.
 func (w *Writer) commit(txn *transaction, revision uint64) {
 	w.pending = nil
-	w.garbage = w.garbage[txn.garbageTaken:]
+	w.chunkDeletions = w.chunkDeletions[txn.chunkDeletionsTaken:]
 	w.state.UnattachedRows = w.state.UnattachedRows[min(txn.unattachedRowsTaken, len(w.state.UnattachedRows)):]
 	if txn.page.Key != "" {
-		txn.book.Applied(txn.page, revision)
+		txn.pageBuilder.Applied(txn.page, revision)
 		usage.Add(usage.AccountRows, len(txn.rows))
 		usage.Add(usage.AccountWrites, 1)
 		usage.Add(usage.AccountBytes, len(txn.page.Value))
@@ -34,7 +34,7 @@
 	}
 	for _, job := range txn.endedJobs {
 		if w.state.Jobs[job.Spec.UID] == job {
-			w.endJob(job)
+			w.removeEndedJob(job)
 		}
 	}
 }
@@ -50,13 +50,13 @@
 	write.slot.version, write.slot.seq, write.slot.chunks = revision, write.seq, write.chunks
 	write.log.slots = append(write.log.slots, write.slot)
 	for _, change := range write.changes {
-		w.applyRecorded(change)
+		w.applyRecordedChange(change)
 	}
 }
 
-// applyRecorded acts on a change that has just been written: only now a placement is sent
+// applyRecordedChange acts on a change that has just been written: only now a placement is sent
 // to its worker, or a finished task cleared there.
-func (w *Writer) applyRecorded(change jobstate.Change) {
+func (w *Writer) applyRecordedChange(change jobstate.Change) {
 	placement := change.Placement
 	if _, attached := placement.Worker.Placements[placement]; !attached {
 		return
@@ -111,7 +111,7 @@
 	for _, job := range txn.endedJobs {
 		item, failed := items[jobrecord.LivePrefix+job.Spec.UID]
 		if failed && !w.shardLost(keys, job.Shard) && w.state.Jobs[job.Spec.UID] == job {
-			w.adoptLive(job, item)
+			w.applyStoredRecord(job, item)
 		}
 	}
 	return nil
@@ -161,12 +161,12 @@
 	return slices.Contains(failedKeys, w.state.Membership.ShardKey(shard))
 }
 
-// adoptLive takes the living record of a job as it was found in the state service.
-func (w *Writer) adoptLive(job *jobstate.Job, item wire.Item) {
+// applyStoredRecord takes the living record of a job as it was found in the state service.
+func (w *Writer) applyStoredRecord(job *jobstate.Job, item wire.Item) {
 	uid := job.Spec.UID
 	if item.Version == 0 {
 		if job.EndStage != "" {
-			w.endJob(job) // its end was recorded, and the response lost
+			w.removeEndedJob(job) // its end was recorded, and the response lost
 		} else {
 			w.log.Error("record of living job missing", "job", uid)
 			w.state.ForgetJob(uid, job)
--- a/internal/shardlog/record_builder.go
+++ b/internal/shardlog/record_builder.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// keepRowChanges adds the changes that were taken for their rows alone, so that undo puts
+// includeRowChanges adds the changes that were taken for their rows alone, so that undo puts
 // them back with the others.
-func (b *recordBuilder) keepRowChanges() {
+func (b *recordBuilder) includeRowChanges() {
 	if len(b.rowChanges) == 0 {
 		return
 	}
@@ -55,7 +55,7 @@
 	task := uint64(placement.Task)
 	switch change.Kind {
 	case jobstate.PlacementAdded:
-		entry.Placements = append(entry.Placements, task, placement.Attempt, b.indexOf(placement.Worker.Name))
+		entry.Placements = append(entry.Placements, task, placement.Attempt, b.workerIndexOf(placement.Worker.Name))
 		b.bytes += 3 * numberBytes
 		placement.InStore = true
 	case jobstate.PlacementRemoved:
@@ -86,8 +86,8 @@
 	return &b.logRecord.Jobs[i]
 }
 
-// indexOf returns the worker's index in the record.
-func (b *recordBuilder) indexOf(worker string) uint64 {
+// workerIndexOf returns the worker's index in the record.
+func (b *recordBuilder) workerIndexOf(worker string) uint64 {
 	i, ok := b.workerIndex[worker]
 	if !ok {
 		i = uint64(len(b.logRecord.Workers))
--- a/internal/shardlog/replay.go
+++ b/internal/shardlog/replay.go
@@ -33,8 +33,8 @@
 		slots := shardLog.slots
 		sort.Slice(slots, func(a, b int) bool { return slots[a].seq < slots[b].seq })
 		for _, slot := range slots {
-			for _, entry := range slot.read.Jobs {
-				entries[entry.UID] = append(entries[entry.UID], LogEntry{slot.seq, slot.read.Workers, entry})
+			for _, entry := range slot.predecessorRecord.Jobs {
+				entries[entry.UID] = append(entries[entry.UID], LogEntry{slot.seq, slot.predecessorRecord.Workers, entry})
 			}
 		}
 	}
@@ -61,7 +61,7 @@
 		}
 	}
 	shardLog.nextSlot, shardLog.seq = max(shardLog.nextSlot, number+1), max(shardLog.seq, record.Seq)
-	shardLog.slots = append(shardLog.slots, &logSlot{number: number, version: item.Version, seq: record.Seq, chunks: map[*jobstate.Chunk]struct{}{}, read: record})
+	shardLog.slots = append(shardLog.slots, &logSlot{number: number, version: item.Version, seq: record.Seq, chunks: map[*jobstate.Chunk]struct{}{}, predecessorRecord: record})
 }
 
 // replay applies a log record's entry to a job, except what the record of a chunk covers
@@ -125,8 +125,8 @@
 
 // resolveChunks finds the chunks of living jobs that a predecessor's record names.
 func (w *Writer) resolveChunks(slot *logSlot) {
-	for i := range slot.read.Jobs {
-		entry := &slot.read.Jobs[i]
+	for i := range slot.predecessorRecord.Jobs {
+		entry := &slot.predecessorRecord.Jobs[i]
 		job := w.state.Jobs[entry.UID]
 		if job == nil {
 			continue
@@ -149,5 +149,5 @@
 			add(entry.Failed[i])
 		}
 	}
-	slot.read = jobrecord.LogRecord{}
+	slot.predecessorRecord = jobrecord.LogRecord{}
 }
--- a/internal/shardlog/transaction.go
+++ b/internal/shardlog/transaction.go
@@ -15,12 +15,12 @@
 	chunkSaves []chunkSave
 	endedJobs  []*jobstate.Job
 
-	book                *accounting.PageBuilder // of page
+	pageBuilder         *accounting.PageBuilder // of page
 	page                accounting.Write
 	rows                []accounting.Row  // on page
 	unloggedChanges     []jobstate.Change // of which only the rows are written
 	unattachedRowsTaken int               // rows taken from the front of state.LooseRows
-	garbageTaken        int               // keys taken from the front of Writer.garbage
+	chunkDeletionsTaken int               // keys taken from the front of Writer.garbage
 }
 
 // logWrite is a transaction's write of one log record.
--- a/internal/shardlog/transaction_builder.go
+++ b/internal/shardlog/transaction_builder.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	txnBytes       = 56 << 10 // below the state service's limit for a transaction
-	endBytes       = 200      // upper bound of what a job's end writes besides its accounting row
-	endChangeBytes = 80       // for each key that the end changes
-	endChangesMin  = 2        // the living record is deleted, the final one written
+	maxTxnBytes       = 56 << 10 // below the state service's limit for a transaction
+	maxEndBytes       = 200      // upper bound of what a job's end writes besides its accounting row
+	maxEndChangeBytes = 80       // for each key that the end changes
+	minEndChanges     = 2        // the living record is deleted, the final one written
 )
 
 // transactionBuilder collects what is to be written into one transaction.
 type transactionBuilder struct {
 	*transaction
-	writer        *Writer
-	maxOps        int          // changes that the transaction may have besides the accounting page
-	maxValueBytes int          // that one value may have
-	bytes         int          // so far, as an upper bound
-	pageBytesLeft int          // on the accounting page
-	more          bool         // something is left for the next transaction
-	rowsLeft      bool         // rows of attempts are left, which must precede the rows of their jobs
-	guardedShards map[int]bool // shards whose leadership is a condition
+	writer          *Writer
+	maxOps          int          // changes that the transaction may have besides the accounting page
+	maxValueBytes   int          // that one value may have
+	bytes           int          // so far, as an upper bound
+	pageBytesLeft   int          // on the accounting page
+	more            bool         // something is left for the next transaction
+	attemptRowsLeft bool         // rows of attempts are left, which must precede the rows of their jobs
+	guardedShards   map[int]bool // shards whose leadership is a condition
 }
 
 // buildTransaction makes a transaction of what is to be written; nil if there is nothing.
@@ -39,15 +39,15 @@
 		transaction: &transaction{}, writer: w, maxOps: w.state.Platform.Params.State.TxnOps,
 		maxValueBytes: w.maxValueBytes(), guardedShards: map[int]bool{},
 	}
-	if w.book != nil {
-		b.startPage()
+	if w.pageBuilder != nil {
+		b.reservePage()
 	}
 	if err := b.addLogs(); err != nil {
 		return nil, false, err
 	}
 	b.addEnds()
 	if len(b.ops) == 0 && len(b.rows) == 0 {
-		b.addGarbage()
+		b.addChunkDeletions()
 	}
 	if len(b.rows) > 0 {
 		b.addPage()
@@ -58,12 +58,12 @@
 	return b.transaction, b.more, nil
 }
 
-// startPage reserves a change for the accounting page, and takes the rows that belong to
+// reservePage reserves a change for the accounting page, and takes the rows that belong to
 // no change.
-func (b *transactionBuilder) startPage() {
+func (b *transactionBuilder) reservePage() {
 	unattached := b.writer.state.UnattachedRows
 	b.maxOps--
-	b.pageBytesLeft = b.writer.book.Room()
+	b.pageBytesLeft = b.writer.pageBuilder.Room()
 	b.bytes += b.maxValueBytes
 	taken := 0
 	for taken < len(unattached) && b.pageBytesLeft >= unattached[taken].Bytes() {
@@ -73,7 +73,7 @@
 	b.unattachedRowsTaken = taken
 	b.rows = append(b.rows, unattached[:taken]...)
 	b.more = taken < len(unattached)
-	b.rowsLeft = b.more
+	b.attemptRowsLeft = b.more
 }
 
 // guardShard makes it a condition that this controller still leads the shard.
@@ -109,12 +109,12 @@
 		if _, leads := b.writer.state.Loaded[shard]; !leads || len(queue) == 0 {
 			continue
 		}
-		if len(b.ops) >= b.maxOps || b.bytes+b.maxValueBytes > txnBytes {
+		if len(b.ops) >= b.maxOps || b.bytes+b.maxValueBytes > maxTxnBytes {
 			b.more = true
 			break
 		}
 		shardLog := b.writer.logOf(shard)
-		record := b.takeQueue(shard, shardLog)
+		record := b.takeChanges(shard, shardLog)
 		if len(record.changes) == 0 {
 			b.unloggedChanges = append(b.unloggedChanges, record.rowChanges...)
 			continue
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// takeQueue takes queued changes of a shard that fit a log record, and their rows.
-func (b *transactionBuilder) takeQueue(shard int, shardLog *Log) *recordBuilder {
+// takeChanges takes queued changes of a shard that fit a log record, and their rows.
+func (b *transactionBuilder) takeChanges(shard int, shardLog *Log) *recordBuilder {
 	queue := b.writer.state.Unwritten[shard]
 	record := newRecordBuilder(shardLog.seq + 1)
 	taken := 0
@@ -148,23 +148,23 @@
 	queue = append([]jobstate.Change(nil), queue[taken:]...)
 	b.writer.state.Unwritten[shard] = queue
 	b.more = b.more || len(queue) > 0
-	b.rowsLeft = b.rowsLeft || b.writer.book != nil && len(queue) > 0
+	b.attemptRowsLeft = b.attemptRowsLeft || b.writer.pageBuilder != nil && len(queue) > 0
 	return record
 }
 
 // addLog adds a shard's log record, over the oldest one if that is not needed any more.
 func (b *transactionBuilder) addLog(shard int, shardLog *Log, record *recordBuilder) error {
-	record.keepRowChanges()
+	record.includeRowChanges()
 	record.logRecord.QuotaMark = b.writer.quota.Mark(shard)
 	shardLog.seq++
 	b.guardShard(shard)
 	write := logWrite{shard: shard, log: shardLog, seq: shardLog.seq, changes: record.changes, chunks: record.chunks}
-	if len(shardLog.slots) >= b.writer.maxSlots && !shardLog.slots[0].release() {
-		if err := b.saveOldest(shardLog); err != nil {
+	if len(shardLog.slots) >= b.writer.maxSlots && !shardLog.slots[0].dropSavedChunks() {
+		if err := b.saveOldestChunks(shardLog); err != nil {
 			return err
 		}
 	}
-	if len(shardLog.slots) > 0 && shardLog.slots[0].release() {
+	if len(shardLog.slots) > 0 && shardLog.slots[0].dropSavedChunks() {
 		write.slot = shardLog.slots[0]
 	} else {
 		write.slot, write.slotIsNew = &logSlot{number: shardLog.nextSlot}, true
@@ -176,16 +176,16 @@
 	return nil
 }
 
-// saveOldest saves chunks that a shard's oldest log record is still needed for, as many
+// saveOldestChunks saves chunks that a shard's oldest log record is still needed for, as many
 // as fit.
-func (b *transactionBuilder) saveOldest(shardLog *Log) error {
+func (b *transactionBuilder) saveOldestChunks(shardLog *Log) error {
 	for chunk := range shardLog.slots[0].chunks {
 		if chunk.Job.EndStage != "" {
 			// The job's end frees the slot. That end, maybe in this very transaction,
 			// would not delete a chunk record saved now, and the record would stay.
 			continue
 		}
-		if len(b.ops) >= b.maxOps/2 || b.bytes+2*b.maxValueBytes > txnBytes {
+		if len(b.ops) >= b.maxOps/2 || b.bytes+2*b.maxValueBytes > maxTxnBytes {
 			break
 		}
 		for _, placement := range chunk.Placements {
@@ -206,31 +206,31 @@
 			continue
 		}
 		var row accounting.Row
-		if b.writer.book != nil {
+		if b.writer.pageBuilder != nil {
 			row = b.writer.state.JobRow(job)
-			if b.rowsLeft || b.pageBytesLeft < row.Bytes() {
+			if b.attemptRowsLeft || b.pageBytesLeft < row.Bytes() {
 				b.more = true // its attempts' rows come first
 				continue
 			}
 		}
-		changes := b.endChanges(job)
-		bytes := endBytes + endChangeBytes*changes
-		if len(b.ops)+changes > b.maxOps || b.bytes+bytes > txnBytes {
+		changes := b.countEndChanges(job)
+		bytes := maxEndBytes + maxEndChangeBytes*changes
+		if len(b.ops)+changes > b.maxOps || b.bytes+bytes > maxTxnBytes {
 			b.more = true
 			continue
 		}
 		b.bytes += bytes
 		b.addEnd(job, changes)
-		if b.writer.book != nil {
+		if b.writer.pageBuilder != nil {
 			b.pageBytesLeft -= row.Bytes()
 			b.rows = append(b.rows, row)
 		}
 	}
 }
 
-// endChanges is how many keys a job's end changes in its transaction.
-func (b *transactionBuilder) endChanges(job *jobstate.Job) int {
-	changes := endChangesMin
+// countEndChanges is how many keys a job's end changes in its transaction.
+func (b *transactionBuilder) countEndChanges(job *jobstate.Job) int {
+	changes := minEndChanges
 	for _, chunk := range job.Chunks {
 		if chunk.Version != 0 && changes < b.maxOps {
 			changes++
@@ -247,7 +247,7 @@
 	final := jobrecord.FinalRecord{Stage: job.EndStage, Done: job.Done, Ending: b.writer.state.EndStateOf(job)}
 	b.guards = append(b.guards, wire.Guard{Key: jobrecord.LivePrefix + uid, Version: job.Version})
 	b.ops = append(b.ops, wire.Op{Put: jobrecord.FinalPrefix + uid, Value: final}, wire.Op{Delete: jobrecord.LivePrefix + uid})
-	left := changes - endChangesMin
+	left := changes - minEndChanges
 	for _, chunk := range job.Chunks {
 		if chunk.Version != 0 && left > 0 {
 			left--
@@ -258,11 +258,11 @@
 	b.endedJobs = append(b.endedJobs, job)
 }
 
-// addGarbage deletes chunk records of ended jobs.
-func (b *transactionBuilder) addGarbage() {
-	for b.garbageTaken < len(b.writer.garbage) && len(b.ops) < b.maxOps {
-		b.ops = append(b.ops, wire.Op{Delete: b.writer.garbage[b.garbageTaken]})
-		b.garbageTaken++
+// addChunkDeletions deletes chunk records of ended jobs.
+func (b *transactionBuilder) addChunkDeletions() {
+	for b.chunkDeletionsTaken < len(b.writer.chunkDeletions) && len(b.ops) < b.maxOps {
+		b.ops = append(b.ops, wire.Op{Delete: b.writer.chunkDeletions[b.chunkDeletionsTaken]})
+		b.chunkDeletionsTaken++
 	}
 	b.guardAllShards()
 }
@@ -270,14 +270,14 @@
 // addPage adds the accounting page with the rows. Rows that can't be written are lost:
 // scheduling does not stop for them.
 func (b *transactionBuilder) addPage() {
-	book := b.writer.book
+	book := b.writer.pageBuilder
 	page, err := book.Add(b.rows, time.Now())
 	b.page = page
 	if err != nil {
 		b.writer.log.Error("accounting rows lost", "rows", len(b.rows), "err", err)
 		return
 	}
-	b.book = book
+	b.pageBuilder = book
 	if len(b.guards) == 0 {
 		b.guardAllShards()
 	}
--- a/internal/shardlog/write.go
+++ b/internal/shardlog/write.go
@@ -12,15 +12,15 @@
 	"github.com/wallrack/wallrack/internal/usage"
 )
 
-// writeShare is the share of the state service's write rate that logs may use. It bounds
+// writeRateShare is the share of the state service's write rate that logs may use. It bounds
 // how often they are written.
-const writeShare = 0.2
+const writeRateShare = 0.2
 
 // Run writes what the state notes as unwritten, one transaction at a time and at most
 // writeShare of the state service's writes a second, until ctx ends. Failed writes are
 // repeated with a backoff.
 func (w *Writer) Run(ctx context.Context) {
-	interval := config.Seconds(1 / max(1, writeShare*w.state.Platform.Params.State.WriteRPS))
+	interval := config.Seconds(1 / max(1, writeRateShare*w.state.Platform.Params.State.WriteRPS))
 	for failures := 0; ctx.Err() == nil; {
 		start := time.Now()
 		more, err := w.WriteOnce(ctx)
@@ -70,7 +70,7 @@
 	w.state.Mu.Lock()
 	defer w.state.Mu.Unlock()
 	w.commit(txn, revision)
-	return more || len(w.garbage) > 0, nil
+	return more || len(w.chunkDeletions) > 0, nil
 }
 
 // nextTransaction returns the transaction whose outcome is unknown, or else a new one of
--- a/internal/shardlog/writer.go
+++ b/internal/shardlog/writer.go
@@ -26,12 +26,12 @@
 	quota *quota.Manager
 	log   *slog.Logger
 
-	maxSlots   int // log records of a shard that are kept before they are written over
-	logs       map[int]*Log
-	pending    *transaction // its outcome is unknown
-	garbage    []string     // keys of chunk records of ended jobs
-	finalOrder []string     // keys of state.Final, oldest first
-	book       *accounting.PageBuilder
+	maxSlots         int // log records of a shard that are kept before they are written over
+	logs             map[int]*Log
+	pending          *transaction // its outcome is unknown
+	chunkDeletions   []string     // keys of chunk records of ended jobs
+	finalRecordOrder []string     // keys of state.Final, oldest first
+	pageBuilder      *accounting.PageBuilder
 }
 
 // New returns a writer without shards. A shard keeps maxSlots log records before they are
@@ -61,13 +61,15 @@
 	delete(w.state.Unwritten, shard)
 }
 
-// DeleteChunks queues chunk records of ended jobs for deletion, which happens when there is
+// QueueChunkDeletions queues chunk records of ended jobs for deletion, which happens when there is
 // nothing else to write.
-func (w *Writer) DeleteChunks(keys ...string) { w.garbage = append(w.garbage, keys...) }
+func (w *Writer) QueueChunkDeletions(keys ...string) {
+	w.chunkDeletions = append(w.chunkDeletions, keys...)
+}
 
 // StartAccounting begins a book of accounting pages under a fencing token.
 func (w *Writer) StartAccounting(token uint64) {
-	w.book = accounting.NewPageBuilder(token, w.maxValueBytes())
+	w.pageBuilder = accounting.NewPageBuilder(token, w.maxValueBytes())
 }
 
 // maxValueBytes is how long a value that this leader writes may be.
--- a/internal/slurm/sacct_filter.go
+++ b/internal/slurm/sacct_filter.go
@@ -38,6 +38,6 @@
 		}
 		_, index, _ := strings.Cut(id, "_")
 		n, err := strconv.Atoi(index)
-		return t.Number == r.Job.Number && err == nil && t.Indices.Find(n) >= 0
+		return t.Number == r.Job.Number && err == nil && t.Indices.IndexOf(n) >= 0
 	})
 }
--- a/internal/slurm/squeue_filter.go
+++ b/internal/slurm/squeue_filter.go
@@ -49,7 +49,7 @@
 	all := indices(tasks, array)
 	var found []int
 	for index := range wanted.All() {
-		task := all.Find(index)
+		task := all.IndexOf(index)
 		if task < 0 {
 			return jobspec.Ranges{}, fmt.Errorf("the array has no task %d", index)
 		}
@@ -90,7 +90,7 @@
 			return false
 		}
 		index, err := strconv.Atoi(r.Index)
-		return err == nil && t.Indices.Find(index) >= 0 || err != nil && r.Tasks > 1
+		return err == nil && t.Indices.IndexOf(index) >= 0 || err != nil && r.Tasks > 1
 	}
 	return t.Number == r.Constraints.Number || t.Number == r.RawID || r.Tasks > 1
 }
