--- a/internal/scheduler/api.go
+++ b/internal/scheduler/api.go
@@ -8,71 +8,76 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// ObserveWorker applies a dispatcher's view of a worker to the state. It does not wait for a
-// pass if the view says nothing new.
+// ObserveWorker applies a dispatcher's view of a worker to the state. A view without changes is
+// applied later, so that the caller does not wait for a scheduling pass.
 func (s *Scheduler) ObserveWorker(v dispatch.WorkerView) { s.reconciler.ObserveWorker(v) }
 
-// GrantLocal decides whether a task may start now. Repeating a granted request grants it again.
+// GrantLocal decides whether a task may start now. A request that was granted before is granted
+// again.
 func (s *Scheduler) GrantLocal(r dispatch.GrantRequest) dispatch.GrantReply {
 	return s.reconciler.GrantLocal(r)
 }
 
-// GrantAll decides a batch of requests under one lock; the replies are in their order.
+// GrantAll decides a batch of requests while holding the state's lock once. The replies are in
+// the order of the requests.
 func (s *Scheduler) GrantAll(requests []dispatch.GrantRequest) []dispatch.GrantReply {
 	return s.reconciler.GrantAll(requests)
 }
 
-// WorkerResponded notes that a worker responded to a request of any controller.
+// WorkerResponded records that a worker responded to a request of any controller.
 func (s *Scheduler) WorkerResponded(name string) { s.reconciler.WorkerResponded(name) }
 
 // WorkerDeleted ends every placement on a worker that the cloud has deleted.
 func (s *Scheduler) WorkerDeleted(name string) { s.reconciler.WorkerDeleted(name) }
 
-// LeaseAttestedExpired ends what was placed before a time on a worker whose lease no controller
-// has renewed since, as all of them attest.
+// LeaseAttestedExpired ends the placements made before placedBefore on a worker whose lease has
+// expired: all controllers attest that they have not renewed it since.
 func (s *Scheduler) LeaseAttestedExpired(name string, placedBefore time.Time) {
 	s.reconciler.LeaseAttestedExpired(name, placedBefore)
 }
 
-// UnresponsiveWorkers returns how many workers there are, and those that sent no heartbeat, or
-// on which no command had an effect, for at least so long.
+// UnresponsiveWorkers returns the number of known workers, and the workers that have sent no
+// heartbeat, or on which no command has had an effect, for at least atLeast.
 func (s *Scheduler) UnresponsiveWorkers(atLeast time.Duration) (known int, unresponsive []reachability.UnresponsiveWorker) {
 	return s.reconciler.UnresponsiveWorkers(atLeast)
 }
 
-// RemoteWorkers returns, by name, the addresses of workers whose last heartbeat another
-// controller received.
+// RemoteWorkers returns the addresses, by worker name, of the workers whose last heartbeat was
+// received by another controller.
 func (s *Scheduler) RemoteWorkers() map[string]string { return s.reconciler.RemoteWorkers() }
 
-// StuckWorkers returns the names of workers with a cancelled task that can't be stopped in
-// time, each with the reason to delete the worker.
+// StuckWorkers returns the workers with a cancelled task that can't be stopped in time, as a
+// map from the worker's name to the reason for deleting the worker.
 func (s *Scheduler) StuckWorkers() map[string]string { return s.reconciler.StuckWorkers() }
 
-// UnstoppedWorkers returns, by name, the addresses of workers on which cancelled tasks may run
-// that were sent a halt longer ago than after. This controller's lease need not hold.
+// UnstoppedWorkers returns the addresses, by worker name, of the workers that were sent a halt
+// for a cancelled task longer than after ago and may still be running that task. It works
+// without this controller's lease.
 func (s *Scheduler) UnstoppedWorkers(after time.Duration) map[string]string {
 	return s.reconciler.UnstoppedWorkers(after)
 }
 
-// HandleExpiringLeases stops tasks on workers whose leases are about to end unrenewed, and
-// returns the addresses of those to be polled now. Call it several times a second.
+// HandleExpiringLeases stops tasks on workers whose leases are about to expire without being
+// renewed, and returns the addresses, by worker name, of the workers to poll now. The caller
+// must call it several times a second.
 func (s *Scheduler) HandleExpiringLeases() map[string]string {
 	return s.reconciler.HandleExpiringLeases()
 }
 
-// Demand returns the work that has no worker yet, most urgent first, and how long each worker
-// is expected to be in use. bootS is how many seconds a new machine takes to start.
+// Demand returns the work for which there is no worker yet, most urgent first, and how long
+// each worker is expected to be in use. bootS is the time in seconds that a new machine takes
+// to start.
 func (s *Scheduler) Demand(bootS float64) ([]planner.Demand, []planner.WorkerLoad) {
 	return s.planner.Demand(bootS)
 }
 
-// AdmittedWork returns the CPU-seconds of work accepted since this process began.
+// AdmittedWork returns the work accepted since this process started, in CPU-seconds.
 func (s *Scheduler) AdmittedWork() float64 { return s.planner.AdmittedWork() }
 
-// SetCordoned replaces the set of workers, by name, that take only tasks which end before the
-// worker would be empty anyway.
+// SetCordoned replaces the set of cordoned workers, by name. A cordoned worker gets only tasks
+// that are expected to end before the worker would be empty without them.
 func (s *Scheduler) SetCordoned(names map[string]bool) { s.planner.SetCordoned(names) }
 
-// LeadsAutoscaling reports whether this controller leads the first shard, and with it the
-// autoscaling.
+// LeadsAutoscaling reports whether this controller leads the first shard, whose leader runs the
+// autoscaler.
 func (s *Scheduler) LeadsAutoscaling() bool { return s.planner.LeadsAutoscaling() }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// BenchmarkPass is one scheduling pass.
+// BenchmarkPass measures one scheduling pass.
 func BenchmarkPass(b *testing.B) {
 	for _, size := range []struct{ workers, jobs int }{{1700, 120}, {5400, 900}} {
 		b.Run(fmt.Sprintf("machines=%d", size.workers), func(b *testing.B) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// BenchmarkTakeover is a failover: a new leader loads 130 jobs and a full log.
+// BenchmarkTakeover measures a failover: a new leader loads 130 jobs and a full log.
 func BenchmarkTakeover(b *testing.B) {
 	cluster := newCluster(b, 0, 0)
 	cluster.items = map[string][]wire.Item{}
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkReport is one heartbeat without changes.
+// BenchmarkReport measures one heartbeat without changes.
 func BenchmarkReport(b *testing.B) {
 	cluster := newCluster(b, 1700, 120)
 	cluster.scheduler.Pass()
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkDemand is one query for the work that has no worker.
+// BenchmarkDemand measures one query for the work for which there is no worker.
 func BenchmarkDemand(b *testing.B) {
 	cluster := newCluster(b, 1700, 120)
 	cluster.scheduler.Pass()
@@ -70,8 +70,8 @@
 	}
 }
 
-// BenchmarkLargeArray is a job of 100,000 tasks: accepted, placed as far as its limit of
-// concurrent tasks lets it, and listed in pages, with a row for each task.
+// BenchmarkLargeArray measures a job of 100,000 tasks: it is accepted, placed up to its limit
+// of concurrent tasks, and listed in pages with a row for each task.
 func BenchmarkLargeArray(b *testing.B) {
 	for b.Loop() {
 		cluster := newCluster(b, 50, 0)
--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -15,24 +15,25 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Cancel records that a job is cancelled, and returns its state then: that of its end if it
-// is over. Only the shard's leader may do so, or any controller while nobody leads it:
-// otherwise a leader that answers from memory would go on calling the job running after its
-// user got a response that it is cancelled.
+// Cancel records that a job is cancelled and returns the job's resulting state: its final state
+// if it has already ended. Only the leader of the job's shard may cancel, or any controller
+// while the shard has no leader: otherwise a leader that answers from memory would report the
+// job as running after its user was told that it is cancelled.
 //
-// The error wraps statestore.ErrNotFound if there was never such a job. After any other error
+// The error wraps statestore.ErrNotFound if the job was never accepted. After any other error
 // the cancel may have been applied.
 func (s *Scheduler) Cancel(ctx context.Context, uid string) (wire.JobState, error) {
 	return s.cancelWithReason(ctx, uid, "")
 }
 
-// cancelWithReason is Cancel; reason, if it is given, is how the job's constraints end it.
+// cancelWithReason is Cancel with a reason: the end state that the job's constraints impose, or
+// "" for a cancel by the user.
 func (s *Scheduler) cancelWithReason(ctx context.Context, uid, reason string) (wire.JobState, error) {
 	for {
 		record, version, err := jobrecord.ReadLive(ctx, s.store, uid)
 		if errors.Is(err, statestore.ErrNotFound) {
-			// The living record is not read again: a job that was accepted in the
-			// meantime would have its cancel answered with "queued".
+			// The live record is not read again: the cancel of a job that was accepted in the
+			// meantime would be answered with "queued".
 			return storedEnd(ctx, s.store, uid)
 		}
 		if err != nil {
@@ -52,8 +53,8 @@
 	}
 }
 
-// writeCancel writes the record of a job, which has the version, as cancelled, and takes it
-// into the state if this controller leads the job's shard.
+// writeCancel writes the job's record, whose current version is given, as cancelled, and
+// applies it to the state if this controller leads the job's shard.
 func (s *Scheduler) writeCancel(ctx context.Context, record *jobrecord.LiveRecord, version uint64, reason string) error {
 	shardVersion, leads := s.state.Membership.LeadsShard(record.Shard)
 	job, err := s.recordCancelSent(record, version, shardVersion, leads)
@@ -62,7 +63,7 @@
 	}
 	record.Cancelled = true
 	if record.Constraints != nil {
-		constraints := *record.Constraints // the job in the state has the other
+		constraints := *record.Constraints // a copy: the job in the state shares the original
 		constraints.CancelReason = reason
 		record.Constraints = &constraints
 	}
@@ -80,8 +81,8 @@
 	return err
 }
 
-// recordCancelSent notes that a cancel of the job is about to be sent, and returns the job if
-// it is in the state.
+// recordCancelSent records that a cancel of the job is about to be sent, and returns the job,
+// nil if it is not in the state.
 func (s *Scheduler) recordCancelSent(record *jobrecord.LiveRecord, version, shardVersion uint64, leads bool) (*jobstate.Job, error) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -89,9 +90,9 @@
 		return nil, err
 	}
 	if leads {
-		// A watch that lags may not have returned the job yet. If it were admitted only after
-		// the cancel is written, it would be called queued, although others, who read that
-		// write, had answered its user that it is cancelled.
+		// A lagging watch may not have returned the job yet. If the job were admitted only
+		// after the cancel is written, this leader would report it as queued, although a
+		// controller that read the cancelled record may already have reported it as cancelled.
 		s.applyRecord(record, version)
 	}
 	job := s.state.Jobs[record.Job.UID]
@@ -101,7 +102,7 @@
 	return job, nil
 }
 
-// ReadCancelledJobs reads which living jobs are cancelled, whoever leads their shards.
+// ReadCancelledJobs returns the live jobs that are cancelled, whoever leads their shards.
 func ReadCancelledJobs(ctx context.Context, store jobrecord.Lister) (uids []string, err error) {
 	items, _, err := store.List(ctx, jobrecord.LivePrefix)
 	if err != nil {
@@ -109,7 +110,7 @@
 	}
 	for _, item := range items {
 		if !bytes.Contains(item.Value, []byte(`"cancelled"`)) {
-			continue // most are not, and parsing them in full is costly
+			continue // parsing every record in full is costly, and few are cancelled
 		}
 		var record jobrecord.LiveRecord
 		if err := json.Unmarshal(item.Value, &record); err != nil {
--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -10,9 +10,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A cancel whose response is lost may have been read, and reported to the user, by others: the
-// leader, whose watch had not returned the job before, must not call it queued once the watch
-// returns its acceptance.
+// A cancel whose response was lost may have been applied, and other controllers may have
+// reported the job as cancelled. The leader, whose watch returns the job's acceptance only
+// afterwards, must not report the job as queued.
 func TestLostCancelResponseBeforeWatchLeavesJobStateUnknown(t *testing.T) {
 	leader, store := newScriptedScheduler(t)
 	if err := leader.Load(t.Context()); err != nil {
@@ -29,7 +29,8 @@
 	}
 }
 
-// A cancel of a job that is accepted between its two reads is not answered "queued".
+// The cancel of a job that is accepted between the cancel's two reads is not answered with
+// "queued".
 func TestCancelRacingAcceptanceIsNotAnsweredQueued(t *testing.T) {
 	leader, store := newScriptedScheduler(t)
 	if err := leader.Load(t.Context()); err != nil {
@@ -48,20 +49,20 @@
 		t.Fatal("the job was not accepted between two reads")
 	}
 	if !errors.Is(err, statestore.ErrNotFound) {
-		t.Errorf("answered %+v, %v", state, err)
+		t.Errorf("the cancel is answered with %+v, %v", state, err)
 	}
 }
 
-// A cancel that surely failed leaves the job's state known as it was; one without a response does
-// not, until the job's record is seen to be another.
+// The state of a job stays known after a cancel that definitely failed. After a cancel without
+// a response it is unknown until a newer version of the job's live record is seen.
 func TestOnlyCancelWithUnknownOutcomeMakesJobStateUnknown(t *testing.T) {
 	shardTaken := &statestore.ConflictError{Keys: []string{"c/shard/000"}}
 	for _, c := range []struct {
 		name     string
-		outcomes []error // of the cancels, one after the other
-		renewed  error   // the outcome of writing the record again
-		known    bool    // the job's state is known after the cancels
-		settled  bool    // and after the record is written again
+		outcomes []error // of the successive cancels
+		renewed  error   // outcome of rewriting the live record
+		known    bool    // whether the job's state is known after the cancels
+		settled  bool    // whether it is known after the live record is rewritten
 	}{
 		{name: "refused", outcomes: []error{statestore.ErrUnavailable}, known: true, settled: true},
 		{name: "no budget", outcomes: []error{statestore.ErrBusy}, known: true, settled: true},
@@ -88,24 +89,24 @@
 				store.txn = func() (uint64, error) { writes++; return 12, c.renewed }
 				leader.ResolveCancels(t.Context())
 				if writes > 0 {
-					t.Error("written again before the user could repeat the cancel")
+					t.Error("the live record is rewritten before the user could repeat the cancel")
 				}
 				time.Sleep(10 * time.Second)
 				leader.ResolveCancels(t.Context())
 				if state, ok := leader.LocalState("j-1"); ok != c.settled || ok && state.Stage != wire.StageQueued {
-					t.Errorf("settled: %+v, %v", state, ok)
+					t.Errorf("after rewriting the live record: %+v, %v", state, ok)
 				}
 				leader.ResolveCancels(t.Context())
 				if again := !c.settled; (writes > 0) == c.known || (writes > 1) != again {
-					t.Errorf("written again %d times", writes)
+					t.Errorf("the live record is rewritten %d times", writes)
 				}
 			})
 		})
 	}
 }
 
-// A cancel without a response was applied: that the record is cancelled is found when it would be
-// written again.
+// A cancel was applied although its response was lost. The leader detects this when it reads
+// the live record in order to rewrite it.
 func TestAppliedCancelWithLostResponseIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, _, record := newScriptedSchedulerWithJob(t)
@@ -122,7 +123,8 @@
 	})
 }
 
-// While a cancel is under way that will be refused, another is found to have been applied.
+// While a cancel that will be rejected is in flight, the leader detects that another cancel was
+// applied.
 func TestAppliedCancelIsDetectedWhileAnotherIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, store, record := newScriptedSchedulerWithJob(t)
@@ -132,12 +134,12 @@
 			record.Value = cancelledRecord(record.Value)
 			leader.ResolveCancels(t.Context())
 			if state, ok := leader.LocalState("j-1"); !ok || state.Stage != wire.StageCancelled {
-				t.Errorf("the applied cancel is not found: %+v, %v", state, ok)
+				t.Errorf("the applied cancel is not detected: %+v, %v", state, ok)
 			}
 			return 0, statestore.ErrUnavailable
 		}
 		if state, err := leader.Cancel(t.Context(), "j-1"); err == nil {
-			t.Errorf("the refused cancel is answered %+v", state)
+			t.Errorf("the rejected cancel is answered with %+v", state)
 		}
 		if state, ok := leader.LocalState("j-1"); !ok || state.Stage != wire.StageCancelled {
 			t.Errorf("%+v, %v", state, ok)
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -15,13 +15,13 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Sizes of the clusters in series that vary another number.
+// Sizes of the clusters in those series that vary another parameter.
 const (
 	fixedWorkers = 400
 	fixedJobs    = 100
 )
 
-// newSchedulerWithTeams returns a scheduler whose settings name so many teams.
+// newSchedulerWithTeams returns a scheduler with the given number of teams in its settings.
 func newSchedulerWithTeams(tb testing.TB, teams int) *scheduler.Scheduler {
 	operator, err := config.LoadOperator("")
 	if err != nil {
@@ -35,8 +35,8 @@
 	return newScheduler(platform, operator, cluster, cluster)
 }
 
-// sendIdleHeartbeat observes a heartbeat of the i-th worker, which has all resources free and
-// these tasks.
+// sendIdleHeartbeat makes the scheduler observe a heartbeat of the i-th worker with the given
+// tasks and with all resources free.
 func (c *fakeCluster) sendIdleHeartbeat(i int, tasks ...dispatch.TaskView) {
 	view := &c.views[i]
 	view.Seq++
@@ -44,21 +44,24 @@
 	c.scheduler.ObserveWorker(*view)
 }
 
-// makeWorkersIdle makes the first workers idle, so that each takes placements.
+// makeWorkersIdle sends a heartbeat of each of the first workers with all resources free, so
+// that tasks are placed on them.
 func (c *fakeCluster) makeWorkersIdle(workers int) {
 	for i := range workers {
 		c.sendIdleHeartbeat(i)
 	}
 }
 
-// newPlacedCluster returns a cluster whose passes placed so many tasks, four on each worker.
+// newPlacedCluster returns a cluster in which the given number of tasks is placed, four on each
+// worker.
 func newPlacedCluster(tb testing.TB, tasks int) *fakeCluster {
 	cluster := newIdleCluster(tb, tasks)
 	cluster.placeAll(tb, tasks/20, tasks)
 	return cluster
 }
 
-// newIdleCluster returns a cluster with free resources for just so many tasks, which wait.
+// newIdleCluster returns a cluster in which the given number of tasks wait, with free resources
+// for exactly these tasks.
 func newIdleCluster(tb testing.TB, tasks int) *fakeCluster {
 	cluster := newCluster(tb, tasks/4, 0)
 	cluster.makeWorkersIdle(tasks / 4)
@@ -66,11 +69,11 @@
 	return cluster
 }
 
-// placeAll makes passes until so many tasks of these jobs are placed. The workers go on
-// sending heartbeats meanwhile: on a busy machine they would count as unheard after some
-// seconds, and nothing more would be placed.
+// placeAll runs scheduling passes until the given number of tasks of the first jobs is placed.
+// The workers continue to send heartbeats meanwhile: on a busy machine they would otherwise
+// become unresponsive after some seconds, and no further task would be placed.
 func (c *fakeCluster) placeAll(tb testing.TB, jobs, tasks int) {
-	const maxPasses = 5000 // a pass ends with its time, in which a busy machine places few
+	const maxPasses = 5000 // a pass ends when its time is used up, and on a busy machine it places few tasks
 	heartbeats := time.Now()
 	for passes, placed := 0, 0; placed < tasks; passes++ {
 		if passes == maxPasses {
@@ -88,7 +91,7 @@
 	}
 }
 
-// submit accepts jobs of 20 tasks, four of which fill a worker.
+// submit accepts jobs of 20 tasks each. Four tasks fill a worker.
 func (c *fakeCluster) submit(tasks int) {
 	for i := range tasks / 20 {
 		c.scheduler.JobAccepted(&wire.Job{
@@ -98,8 +101,8 @@
 	}
 }
 
-// measurePlacementWrites returns what the state service is requested to write for so many
-// placements.
+// measurePlacementWrites returns the requests, writes and bytes sent to the state service to
+// record the placements of the given number of tasks.
 func measurePlacementWrites(tb testing.TB, tasks int) (requests, writes, bytes float64) {
 	cluster := newPlacedCluster(tb, tasks)
 	cluster.onTxn = func(ops []wire.Op) {
@@ -117,7 +120,8 @@
 	return requests, writes, bytes
 }
 
-// measureJobEndWrites returns the writes for so many jobs of one task that are done.
+// measureJobEndWrites returns the number of writes for the ends of the given number of jobs of
+// one task each.
 func measureJobEndWrites(tb testing.TB, jobs int) (writes float64) {
 	cluster := newCluster(tb, jobs, 0)
 	cluster.makeWorkersIdle(jobs)
@@ -147,8 +151,8 @@
 	return writes
 }
 
-// newFailoverCluster returns a cluster whose scheduler is to load so many jobs, with all
-// placements of their tasks in the log.
+// newFailoverCluster returns a cluster whose state service has the given number of jobs, with
+// all placements of their tasks in the log, for the scheduler to load.
 func newFailoverCluster(tb testing.TB, jobs int) *fakeCluster {
 	cluster := newCluster(tb, 0, 0)
 	cluster.items = map[string][]wire.Item{}
@@ -174,7 +178,8 @@
 	}
 }
 
-// measurePlacementHeap returns the bytes that the placements of so many waiting tasks take.
+// measurePlacementHeap returns the heap bytes used by placing the given number of waiting
+// tasks.
 func measurePlacementHeap(tb testing.TB, tasks int) float64 {
 	cluster := newIdleCluster(tb, tasks)
 	return capacity.Heap(func() any {
@@ -186,7 +191,7 @@
 	})
 }
 
-// capacitySeries are the series of docs/CAPACITY.md that this package measures.
+// capacitySeries are the series in docs/CAPACITY.md that this package measures.
 var capacitySeries = []capacity.Series{
 	{Name: "scheduler.heapOfMachines", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 20_000, Measure: func(tb testing.TB, workers int) float64 {
 		return capacity.Heap(func() any { return newCluster(tb, workers, 0).scheduler })
@@ -195,7 +200,7 @@
 		return capacity.Heap(func() any { return newCluster(tb, 0, jobs).scheduler })
 	}},
 	{Name: "scheduler.heapOfPlaces", Sizes: []int{800, 1600, 3200, 6400}, FixedSlack: 86_000, Measure: func(tb testing.TB, tasks int) float64 {
-		return capacity.Median(func() float64 { return measurePlacementHeap(tb, tasks) }) // candidates are drawn at random
+		return capacity.Median(func() float64 { return measurePlacementHeap(tb, tasks) }) // the candidate workers are random
 	}},
 	{Name: "scheduler.heapOfTeams", Sizes: []int{50, 100, 200, 400}, FixedSlack: 10_000, Measure: func(tb testing.TB, teams int) float64 {
 		return capacity.Heap(func() any { return newSchedulerWithTeams(tb, teams) })
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -17,32 +17,33 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// fakeCluster is a scheduler that leads the only shard, with generated workers. It stands in
-// for the state service, the membership, the dispatchers and the cloud's machine types; all of
-// them accept everything.
+// fakeCluster is a scheduler that leads the only shard, with generated workers. It also
+// implements the scheduler's dependencies (state service, membership, dispatchers and machine
+// types), which accept every request.
 type fakeCluster struct {
 	scheduler *scheduler.Scheduler
 	platform  *config.Platform
-	views     []dispatch.WorkerView // of the workers, as last observed
-	revision  uint64                // of the state service
+	views     []dispatch.WorkerView // last observed views, by index of the worker
+	revision  uint64                // last revision of the state service
 
 	leaseRemaining time.Duration
 	leadsNoShard   atomic.Bool            // no shard is claimed
-	items          map[string][]wire.Item // in the state service, by prefix
+	items          map[string][]wire.Item // stored in the state service, by prefix
 
-	onList  func(prefix string)   // called at every listing, if set
-	onTxn   func(ops []wire.Op)   // called at every transaction, if set
-	onWatch func(context.Context) // called with each watch, if set
+	onList  func(prefix string)   // called at every listing; nil: not called
+	onTxn   func(ops []wire.Op)   // called at every transaction; nil: not called
+	onWatch func(context.Context) // called at every watch; nil: not called
 
-	raiseTokenAbove     uint64              // the highest that instructions contained
-	reportedAssignments atomic.Int64        // assigned tasks in instructions that their workers list
-	unlaunched          dispatch.Unlaunched // the response to all instructions with halts
+	raiseTokenAbove     uint64              // highest value in instructions sent so far
+	reportedAssignments atomic.Int64        // number of assignments sent for tasks that their workers report
+	unlaunched          dispatch.Unlaunched // response to instructions that contain halts
 }
 
-// machineType is the type of all workers.
+// machineType is the machine type of all workers.
 var machineType = wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []string{"z"}}
 
-// newScheduler returns a scheduler over a store, with the cluster in place of all else.
+// newScheduler returns a scheduler that uses the store, and the cluster for all other
+// dependencies.
 func newScheduler(platform *config.Platform, operator *config.Operator, store jobrecord.Store, cluster *fakeCluster, options ...func(*scheduler.Options)) *scheduler.Scheduler {
 	o := scheduler.Options{
 		Platform: platform, Operator: operator, Store: store, Member: cluster, Dispatchers: cluster, MachineTypes: cluster,
@@ -54,13 +55,13 @@
 	return scheduler.New(o)
 }
 
-// withLogSlots makes a shard keep so many log records.
+// withLogSlots sets the number of log records that a shard keeps.
 func withLogSlots(n int) func(*scheduler.Options) {
 	return func(o *scheduler.Options) { o.LogSlots = n }
 }
 
-// newCluster returns a cluster whose scheduler has loaded its shard, with workers that have
-// one task each and jobs of more tasks than there are free resources for.
+// newCluster returns a cluster whose scheduler has loaded its shard. Each worker has 12 of its
+// 16 CPUs in use, and the jobs have more tasks than fit the free resources.
 func newCluster(tb testing.TB, workers, jobs int, options ...func(*scheduler.Options)) *fakeCluster {
 	operator, err := config.LoadOperator("")
 	if err != nil {
@@ -96,7 +97,7 @@
 	return cluster
 }
 
-// run runs the scheduler until stop is called.
+// run starts the scheduler. stop stops it and waits for its end.
 func (c *fakeCluster) run() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -104,7 +105,7 @@
 	return func() { cancel(); <-done }
 }
 
-// acceptArray accepts j-1, an array of so many tasks of 2 CPUs.
+// acceptArray accepts job j-1, an array of the given number of tasks of 2 CPUs each.
 func (c *fakeCluster) acceptArray(tasks int) {
 	c.scheduler.JobAccepted(&wire.Job{
 		UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
@@ -112,8 +113,9 @@
 	}, nil, 0, time.Now().UnixMilli(), 1)
 }
 
-// sendHeartbeat observes a sendHeartbeat of the i-th worker, which has no free resources for so many
-// seconds, has these tasks, and has queued what j-1 has placed there.
+// sendHeartbeat makes the scheduler observe a heartbeat of the i-th worker, which reports the
+// given tasks, has no free resources for fullS seconds, and has the tasks of j-1 that are
+// placed on it in its queue.
 func (c *fakeCluster) sendHeartbeat(i int, fullS float64, tasks ...dispatch.TaskView) {
 	total := matching.Resources{CPUs: machineType.CPUs, MemoryGB: machineType.MemoryGB}
 	var uses []matching.Allocation
--- a/internal/scheduler/constraints.go
+++ b/internal/scheduler/constraints.go
@@ -12,13 +12,13 @@
 
 const (
 	constraintInterval  = 500 * time.Millisecond
-	remoteQueryInterval = 2 * time.Second // between queries of other leaders for one job's dependencies
-	maxRemoteQueries    = 16              // jobs whose dependencies are queried in one round
+	remoteQueryInterval = 2 * time.Second // minimum pause between remote queries for one job's dependencies
+	maxRemoteQueries    = 16              // jobs per round whose dependencies are queried remotely
 )
 
-// watchConstraints carries out what jobs' constraints bring about by themselves, until ctx
-// ends: dependencies that are fulfilled or never can be, and deadlines. Without a lease it
-// does nothing.
+// watchConstraints resolves cancels with an unknown outcome and enforces jobs' constraints,
+// such as dependencies and deadlines, periodically until ctx ends. It does nothing while this
+// controller's lease does not hold.
 func (s *Scheduler) watchConstraints(ctx context.Context) {
 	_ = periodic.Run(ctx, constraintInterval, func() { // ends with ctx
 		if s.state.Membership.LeaseRemaining() > 0 {
@@ -29,7 +29,7 @@
 }
 
 // enforceConstraints evaluates the constraints of all jobs once, queries other leaders where
-// needed, and cancels the jobs that are to end.
+// needed, and cancels the jobs that their constraints end.
 func (s *Scheduler) enforceConstraints(ctx context.Context) {
 	queries, cancels := s.evaluateConstraints(time.Now())
 	for _, query := range queries {
@@ -46,8 +46,9 @@
 	}
 }
 
-// evaluateConstraints evaluates what can be known here. It returns the dependencies that
-// other leaders are to be queried for, and the jobs to be cancelled, each with the reason.
+// evaluateConstraints evaluates the constraints of all jobs by what this leader knows. It
+// returns the dependencies for which other leaders must be queried, and the jobs to cancel,
+// each with the reason.
 func (s *Scheduler) evaluateConstraints(now time.Time) (queries []dependencyQuery, cancels map[string]string) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -71,8 +72,9 @@
 	return queries, cancels
 }
 
-// recordEligible notes since when nothing but free resources keeps a job from starting, once
-// that is so. before is the outcome of its dependencies as it was before this evaluation.
+// recordEligible sets the time since which the job waits for free resources alone, once its
+// constraints allow a start. before is the combined outcome of its dependencies before this
+// evaluation.
 func (s *Scheduler) recordEligible(job *jobstate.Job, before jobspec.Outcome, now time.Time) {
 	constraints := job.Constraints
 	if constraints.EligibleMs != 0 || constraints.WaitReason(constraints.DependencyOutcome, now.UnixMilli()) != "" {
@@ -85,7 +87,8 @@
 	jobstate.Notify(s.state.PlanSignal)
 }
 
-// cancelReason returns how its constraints end a job now, "" if they don't.
+// cancelReason returns the end state that the constraints impose on the job now, or "" if they
+// impose none.
 func cancelReason(constraints *jobstate.ConstraintState, now time.Time) string {
 	switch {
 	case constraints.DeadlineMs > 0 && now.UnixMilli() > constraints.DeadlineMs:
--- a/internal/scheduler/cordoned_test.go
+++ b/internal/scheduler/cordoned_test.go
@@ -10,13 +10,13 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A cordoned worker that a task which can't be moved occupies for long takes tasks that end well
-// before that one, and no others; a worker that is soon empty takes none.
+// A cordoned worker that is occupied for long by a task which can't be moved gets only tasks
+// that end well before that task. A worker that will be empty soon gets none.
 func TestCordonedWorkerTakesOnlyTasksThatEndBeforeItIsEmpty(t *testing.T) {
 	for _, c := range []struct {
 		name             string
-		occupiedS, takeS float64 // how long the occupying task takes, and the other one
-		cordoned, placed bool    // the worker is cordoned, and gets the other task
+		occupiedS, takeS float64 // estimated run times in seconds of the occupying task and of the other task
+		cordoned, placed bool    // whether the worker is cordoned, and whether it gets the other task
 	}{
 		{"ends before", 300, 20, true, true},
 		{"ends after", 300, 400, true, false},
@@ -27,7 +27,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cluster := newCluster(t, 1, 0)
-				// A job without objectives: its tasks aren't preempted once they run.
+				// The job has no objective, so its tasks aren't preempted once they run.
 				cluster.scheduler.JobAccepted(&wire.Job{
 					UID: "j-1", Class: "long", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 8,
 					MemoryGB: 1, EstimateS: c.occupiedS, Spot: true,
--- a/internal/scheduler/counters.go
+++ b/internal/scheduler/counters.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Served returns, by kind (class, team ...) and name, how the jobs of this leader are served:
-// those that ended here and the living ones that are not cancelled.
+// Served returns service statistics of this leader's jobs, by kind (class, team and so on) and
+// name. They cover the jobs that ended here and the live jobs that are not cancelled.
 func (s *Scheduler) Served() map[string]map[string]jobstate.Served {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -36,18 +36,18 @@
 	return byKind
 }
 
-// JobStatus is a living job as alerts see it.
+// JobStatus is the state of a live job that alerts are computed from.
 type JobStatus struct {
 	UID, Class, Team string
-	Age              time.Duration // since its acceptance
-	DueS             *float64      // seconds after its acceptance; nil: no deadline
+	Age              time.Duration // time since the job was accepted
+	DueS             *float64      // deadline in seconds after acceptance; nil: none
 	Tasks, Started   int
 	Done             int
 	Cancelled        bool
 }
 
-// JobStatuses returns the living jobs, in the order of acceptance here, except those that
-// wait by their own constraints.
+// JobStatuses returns the live jobs in the order in which this leader admitted them, except
+// those whose own constraints keep them waiting.
 func (s *Scheduler) JobStatuses() []JobStatus {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -64,15 +64,15 @@
 	return statuses
 }
 
-// Counters returns the counters for operators, since this process began.
+// Counters returns the operators' counters since this process started.
 func (s *Scheduler) Counters() jobstate.Stats {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	return s.state.Stats
 }
 
-// QueueDepths returns, by the names that operators read, the living jobs, their tasks without
-// a placement, the known workers, and the changes that wait to be written.
+// QueueDepths returns the number of live jobs, of their tasks without a placement, of known
+// workers, and of changes that are not written yet, under the names that operators read.
 func (s *Scheduler) QueueDepths() map[string]int {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -86,9 +86,9 @@
 	return depths
 }
 
-// FailoverProgress returns the failovers to this controller so far, the workers on which the
-// records that the last one read had tasks, and how many of those have sent no heartbeat since
-// and have placements still.
+// FailoverProgress returns the number of failovers to this controller, the number of workers to
+// which the records read at the last failover assign tasks, and how many of those workers still
+// have placements and have sent no heartbeat since the failover.
 func (s *Scheduler) FailoverProgress() (failovers, workers, unresponsive int) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -104,7 +104,7 @@
 	return s.state.Stats.Failovers, workers, unresponsive
 }
 
-// Workers returns the workers that have sent this leader a heartbeat, by name.
+// Workers returns the workers from which this leader has received a heartbeat, sorted by name.
 func (s *Scheduler) Workers() []wire.MachineInfo {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -10,23 +10,23 @@
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// RemoteJobs queries other leaders for jobs that this one does not have.
+// RemoteJobs queries other leaders for jobs whose shards this leader does not lead.
 type RemoteJobs interface {
-	// JobFacts returns how far a job is, whoever leads its shard.
+	// JobFacts returns a job's progress as known to the leader of its shard.
 	JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error)
-	// HasEarlier reports whether another leader has an unfinished job of the name and user
+	// HasEarlier reports whether another leader has an unfinished job of the same name and user
 	// with a lower number.
 	HasEarlier(ctx context.Context, name, user string, number uint64) (bool, error)
 }
 
-// dependencyQuery is dependencies of a job that this leader can't evaluate.
+// dependencyQuery holds the dependencies of a job that this leader can't evaluate by itself.
 type dependencyQuery struct {
 	job          *jobstate.Job
-	dependencies []int // indexes
+	dependencies []int // indices into the job's Constraints.Dependencies
 }
 
-// evaluateDependencies evaluates the pending dependencies of a job by what is known here, and
-// returns those that it can't evaluate.
+// evaluateDependencies evaluates the job's pending dependencies by what this leader knows, and
+// returns the indices of those that it can't evaluate.
 func (s *Scheduler) evaluateDependencies(job *jobstate.Job, now time.Time) (unknown []int) {
 	constraints := job.Constraints
 	for i, dependency := range constraints.Dependencies {
@@ -43,7 +43,8 @@
 	return unknown
 }
 
-// dependencyFacts returns what this leader surely knows of what a job depends on.
+// dependencyFacts returns the facts that decide a job's dependency. known is false if this
+// leader does not know them for certain.
 func (s *Scheduler) dependencyFacts(job *jobstate.Job, dependency jobspec.Dependency) (facts jobspec.JobFacts, known bool) {
 	if dependency.Kind != jobspec.Singleton {
 		return s.factsOf(dependency.Job)
@@ -55,7 +56,8 @@
 	return jobspec.JobFacts{Over: true, OK: true}, leadsAllShards
 }
 
-// hasEarlier reports whether an unfinished job of the name and user with a lower number is here.
+// hasEarlier reports whether this leader has an unfinished job of the name and user with a
+// lower number.
 func (s *Scheduler) hasEarlier(name, user string, number uint64) bool {
 	for _, job := range s.state.JobOrder {
 		if job.Constraints != nil && job.Constraints.Name == name && job.Constraints.User == user && job.Constraints.Number < number {
@@ -65,7 +67,7 @@
 	return false
 }
 
-// factsOf returns how far a job is that this leader has, or had until it ended.
+// factsOf returns the progress of a job that this leader has, or whose end it still remembers.
 func (s *Scheduler) factsOf(uid string) (facts jobspec.JobFacts, known bool) {
 	if job := s.state.Jobs[uid]; job != nil {
 		facts.Started = job.Started > 0 || job.Done > 0
@@ -80,8 +82,9 @@
 	return jobspec.JobFacts{}, false
 }
 
-// LocalFacts returns how far a job is that this leader has, or had until it ended. It reports
-// false for other jobs, and for all while the lease does not hold.
+// LocalFacts returns the progress of a job that this leader has, or whose end it still
+// remembers. It reports false for other jobs, and for all jobs while this controller's lease
+// does not hold.
 func (s *Scheduler) LocalFacts(uid string) (jobspec.JobFacts, bool) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -91,16 +94,16 @@
 	return s.factsOf(uid)
 }
 
-// HasEarlierLocal reports whether an unfinished job of the name and user with a lower
-// number is here.
+// HasEarlierLocal reports whether this leader has an unfinished job of the name and user with a
+// lower number.
 func (s *Scheduler) HasEarlierLocal(name, user string, number uint64) bool {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	return s.hasEarlier(name, user, number)
 }
 
-// StoredFacts returns how a job ended, as the state service has it. The error wraps
-// statestore.ErrNotFound for a living job: how far that is only its leader knows.
+// StoredFacts returns how a job ended according to the state service. The error wraps
+// statestore.ErrNotFound for a live job, whose progress only the leader of its shard knows.
 func StoredFacts(ctx context.Context, store jobrecord.Reader, uid string) (jobspec.JobFacts, error) {
 	final, err := jobrecord.ReadFinal(ctx, store, uid)
 	if err != nil {
@@ -109,7 +112,7 @@
 	return final.Facts(), nil
 }
 
-// queryRemote evaluates dependencies of a job by what other leaders know.
+// queryRemote evaluates dependencies of a job by querying other leaders.
 func (s *Scheduler) queryRemote(ctx context.Context, query dependencyQuery) error {
 	ctx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
 	defer cancel()
@@ -128,7 +131,8 @@
 	return nil
 }
 
-// remoteFacts returns what other leaders know of what a job with the constraints depends on.
+// remoteFacts queries other leaders for the facts that decide a dependency of a job with the
+// constraints.
 func (s *Scheduler) remoteFacts(ctx context.Context, constraints *jobstate.ConstraintState, dependency jobspec.Dependency) (jobspec.JobFacts, error) {
 	if dependency.Kind == jobspec.Singleton {
 		earlier, err := s.remoteJobs.HasEarlier(ctx, constraints.Name, constraints.User, constraints.Number)
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Pass makes one scheduling pass.
+// Pass runs one scheduling pass.
 func (s *Scheduler) Pass() {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -22,14 +22,14 @@
 	s.planner.Rebalance()
 }
 
-// PlacedTasks counts a job's tasks that have a placement.
+// PlacedTasks returns the number of the job's tasks that have a placement.
 func (s *Scheduler) PlacedTasks(uid string) int {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	return len(s.state.Jobs[uid].Placements)
 }
 
-// PlacementsOf lists the placements of a job's tasks.
+// PlacementsOf returns the placements of the job's tasks.
 func (s *Scheduler) PlacementsOf(uid string) (refs []dispatch.TaskRef) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -41,7 +41,7 @@
 	return refs
 }
 
-// Load loads every shard that the membership claims.
+// Load loads every claimed shard.
 func (s *Scheduler) Load(ctx context.Context) error {
 	claimed := s.state.Membership.ClaimedShards()
 	shards := make([]int, 0, len(claimed))
@@ -60,14 +60,14 @@
 	}
 }
 
-// WriteOnce writes one transaction of what is unwritten, or repeats the one whose outcome is
+// WriteOnce writes one transaction of unwritten changes, or repeats the one whose outcome is
 // unknown.
 func (s *Scheduler) WriteOnce(ctx context.Context) error {
 	_, err := s.writer.WriteOnce(ctx)
 	return err
 }
 
-// WriteAll writes all that is unwritten.
+// WriteAll writes all unwritten changes.
 func (s *Scheduler) WriteAll(ctx context.Context) error {
 	for more := true; more; {
 		var err error
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// OutboxCounts counts the halts and clears that wait to be sent.
+// OutboxCounts returns the number of halts and clears in the outbox.
 func (s *Scheduler) OutboxCounts() (halts, clears int) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -89,8 +89,9 @@
 	return halts, clears
 }
 
-// ReplayRecords makes a job of so many tasks of log records, with a chunk record that covers
-// nothing up to log record savedSeq. It returns the job's placements and finished tasks.
+// ReplayRecords creates a job with the given number of tasks from log records and from a chunk
+// record that covers log records up to savedSeq and is otherwise empty. It returns the job's
+// placements and finished tasks.
 func (s *Scheduler) ReplayRecords(tasks int, savedSeq uint64, records []string) (placements []string, done []int) {
 	items := make([]wire.Item, 0, len(records))
 	for i, record := range records {
@@ -102,8 +103,8 @@
 	chunk := wire.Item{Key: jobrecord.ChunkKey("j-1", 0), Value: json.RawMessage(fmt.Sprintf(`{"seq":%d,"next":1}`, savedSeq)), Version: 9}
 	live := &jobrecord.LiveRecord{Job: wire.Job{UID: "j-1", Kind: wire.KindArray, Tasks: tasks}}
 	job := s.writer.Admit(&shardlog.JobRecords{Live: live, Version: 1, Chunks: []wire.Item{chunk}, Entries: entries["j-1"]}, 7)
-	for _, ofTask := range job.Placements {
-		for _, placement := range ofTask {
+	for _, taskPlacements := range job.Placements {
+		for _, placement := range taskPlacements {
 			placements = append(placements, fmt.Sprintf("%s %d %s", placement.Ref.Task, placement.Attempt, placement.Ref.Worker))
 		}
 	}
@@ -124,31 +125,32 @@
 	s.state.CancelJob(s.state.Jobs[uid])
 }
 
-// TeamCPUs returns the CPUs that a team's tasks may use now.
+// TeamCPUs returns the CPUs that count against a team's limit.
 func (s *Scheduler) TeamCPUs(team string) float64 {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	return s.state.Teams[team].Used.CPUs
 }
 
-// SetTeamCPULimit sets a team's limit of CPUs.
+// SetTeamCPULimit sets a team's CPU limit.
 func (s *Scheduler) SetTeamCPULimit(team string, cpus float64) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	s.state.Teams[team].CPUsMax = cpus
 }
 
-// ResolveCancels settles cancels whose outcome has been unknown for a while.
+// ResolveCancels settles cancels whose outcome has been unknown for longer than
+// cancelResolveDelay.
 func (s *Scheduler) ResolveCancels(ctx context.Context) { s.resolveCancels(ctx) }
 
-// WithStateLocked calls a function while the state is locked, as during a pass.
+// WithStateLocked calls a function while the state is locked, as it is during a pass.
 func (s *Scheduler) WithStateLocked(call func()) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	call()
 }
 
-// HeartbeatAge returns how long ago a worker's last heartbeat arrived.
+// HeartbeatAge returns the time since a worker's last heartbeat arrived.
 func (s *Scheduler) HeartbeatAge(worker string) time.Duration {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
--- a/internal/scheduler/failover.go
+++ b/internal/scheduler/failover.go
@@ -18,7 +18,8 @@
 
 const loadTimeout = 8 * time.Second
 
-// syncShards loads shards that were gained and unloads those that were lost.
+// syncShards unloads the shards that this controller no longer leads and loads the ones it has
+// gained.
 func (s *Scheduler) syncShards(ctx context.Context) {
 	claimed := s.state.Membership.ClaimedShards()
 	gained := s.unloadLost(claimed)
@@ -34,8 +35,8 @@
 	}
 }
 
-// unloadLost unloads the shards that are not claimed as they were loaded, and returns the
-// claimed ones that are to be loaded.
+// unloadLost unloads the shards that are no longer claimed under the version with which they
+// were loaded, and returns the claimed shards that are not loaded.
 func (s *Scheduler) unloadLost(claimed map[int]uint64) (gained []int) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -52,7 +53,7 @@
 	return gained
 }
 
-// unload forgets a shard and its jobs.
+// unload removes a shard and its jobs from the state.
 func (s *Scheduler) unload(shard int) {
 	delete(s.state.Loaded, shard)
 	delete(s.listedRevision, shard)
@@ -64,27 +65,29 @@
 		}
 	}
 	if len(s.state.Loaded) == 0 {
-		s.state.UnattachedRows = nil // a successor may have written the same attempts' rows
+		s.state.UnattachedRows = nil // a successor may have written rows for the same attempts
 	}
 	s.log.Info("shard lost", "shard", shard)
 }
 
-// failoverRecords is what is read of shards when their leadership is gained.
+// failoverRecords holds the records read for the shards that this controller gains in a
+// failover.
 type failoverRecords struct {
 	shards   []int
-	versions map[int]uint64 // of the shards' keys
-	token    uint64         // fencing token, above all that predecessors granted starts under
+	versions map[int]uint64 // of the shards' keys, by shard
+	token    uint64         // fencing token, higher than any under which a predecessor granted a start
 
-	jobs     []wire.Item // living jobs of all shards
+	jobs     []wire.Item // live jobs of all shards, not only the gained ones
 	revision uint64      // of the listing of jobs
 	chunks   []wire.Item // of all shards
 	logs     []wire.Item // of all shards
 }
 
-// load makes this controller the acting leader of shards whose keys have the versions. Each
-// placement found in the state service is unconfirmed: the last leader may have granted its
-// start. All tokens given out so far are below the fresh one, so a heartbeat that shows the
-// fresh one, and not the task, settles the placement.
+// load makes this controller the acting leader of the shards, whose keys must have the given
+// versions. Each placement found in the state service is unconfirmed: the predecessor may have
+// granted its start. All earlier fencing tokens are lower than the new one, so a heartbeat that
+// reports the new token but not the task settles the placement: no earlier start command can
+// still take effect.
 func (s *Scheduler) load(ctx context.Context, shards []int, versions map[int]uint64) error {
 	s.setLoading(true)
 	defer s.setLoading(false)
@@ -104,15 +107,16 @@
 	return nil
 }
 
-// setLoading says whether records of shards that aren't loaded are kept for a load under way.
+// setLoading sets whether records of shards that aren't loaded are buffered for the load in
+// progress, and discards the records buffered so far.
 func (s *Scheduler) setLoading(loading bool) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	s.loading, s.bufferedRecords = loading, nil
 }
 
-// readShards takes a fencing token and reads what predecessors have recorded. Nobody else
-// writes chunks and logs of the shards any more, since each such write is guarded by the
+// readShards obtains a fencing token and reads the records of the shards. No other controller
+// writes the shards' chunks and logs any more, because each such write is guarded by the
 // shard's key.
 func (s *Scheduler) readShards(ctx context.Context, shards []int, versions map[int]uint64) (f failoverRecords, err error) {
 	f.shards, f.versions = shards, versions
@@ -123,7 +127,7 @@
 		return f, fmt.Errorf("list chunk records: %w", err)
 	}
 	if f.jobs, f.revision, err = s.store.List(ctx, jobrecord.LivePrefix); err != nil {
-		return f, fmt.Errorf("list living jobs: %w", err)
+		return f, fmt.Errorf("list live jobs: %w", err)
 	}
 	if f.logs, _, err = s.store.List(ctx, jobrecord.LogPrefix); err != nil {
 		return f, fmt.Errorf("list log records: %w", err)
@@ -131,8 +135,8 @@
 	return f, nil
 }
 
-// applyFailover adds the living jobs of a failover to the state and begins to lead its shards. It
-// returns how many jobs there are.
+// applyFailover adds the live jobs of the gained shards to the state, starts leading the
+// shards, and returns the number of jobs added.
 func (s *Scheduler) applyFailover(f *failoverRecords, chunksByJob map[string][]wire.Item) (jobs int) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -144,7 +148,8 @@
 	}
 	s.writer.AddLogs(logs)
 	if len(s.state.Loaded)+len(f.shards) == s.state.Operator.Shards {
-		// A chunk's key does not name its shard: else the chunk may be another leader's.
+		// Only with all shards loaded: a chunk's key does not name its shard, so the chunk may
+		// otherwise belong to another leader's job.
 		s.deleteOrphanedChunks(chunksByJob)
 	}
 	for _, shard := range f.shards {
@@ -171,8 +176,8 @@
 	return jobs
 }
 
-// admitJobs admits the living jobs of the failover's shards. It deletes every living job's
-// chunks, of whatever shard, from chunksByJob.
+// admitJobs admits the live jobs of the gained shards and returns their number. From
+// chunksByJob it removes the chunks of every live job, whatever its shard.
 func (s *Scheduler) admitJobs(f *failoverRecords, chunksByJob map[string][]wire.Item, entries map[string][]shardlog.LogEntry) (admitted int) {
 	for _, item := range f.jobs {
 		var record jobrecord.LiveRecord
@@ -192,7 +197,7 @@
 	return admitted
 }
 
-// deleteOrphanedChunks deletes the chunk records of jobs that aren't living.
+// deleteOrphanedChunks queues the chunk records of jobs that are no longer live for deletion.
 func (s *Scheduler) deleteOrphanedChunks(chunksByJob map[string][]wire.Item) {
 	for uid, items := range chunksByJob {
 		if s.state.Jobs[uid] != nil {
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -8,9 +8,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A log that is written over must still give a new leader all that it may not forget: records
-// replayed in order give the placements and ended tasks that a chunk's own record, if it is
-// newer, does not cover.
+// After old log records are overwritten, a new leader must still restore the whole state: log
+// records replayed in order yield the placements and ended tasks that a newer chunk record does
+// not cover.
 func TestReplayAppliesOnlyWhatChunkRecordDoesNotCover(t *testing.T) {
 	cluster := newCluster(t, 0, 0)
 	placements, done := cluster.scheduler.ReplayRecords(4, 2, []string{
@@ -19,7 +19,7 @@
 		`{"seq":3,"m":["n-3"],"j":[{"u":"j-1","x":[0,1],"p":[0,4,0]}]}`,
 		`{"seq":4,"j":[{"u":"j-1","d":[1], "x":[9,9]}]}`,
 	})
-	// The chunk's record covers log records up to 2: placement 1 of task 1 was in it.
+	// The chunk record covers log records up to 2, which include the placement of task 1.
 	if len(placements) != 1 || placements[0] != "j-1/0 4 n-3" || len(done) != 1 || done[0] != 1 {
 		t.Errorf("placements %v, done %v", placements, done)
 	}
@@ -30,7 +30,7 @@
 	if len(placements) != 2 || len(done) != 1 || done[0] != 3 {
 		t.Errorf("placements %v, done %v", placements, done)
 	}
-	// A task that failed for good is not tried again by a new leader.
+	// A new leader does not retry a task that failed for good.
 	placements, done = cluster.scheduler.ReplayRecords(4, 0, []string{
 		`{"seq":1,"m":["n-1"],"j":[{"u":"j-1","p":[0,1,0, 1,2,0]}]}`,
 		`{"seq":2,"j":[{"u":"j-1","f":[1,1,7]}]}`,
@@ -40,9 +40,10 @@
 	}
 }
 
-// A dispatcher kept the queue of a former leader and requested grants of it for ever; the new
-// leader took the queued placements for confirmed, and 19 jobs were never done. A heartbeat with a
-// newer token settles them, and the entries that nobody will grant leave the queue.
+// A dispatcher may keep the queue of a former leader and request grants for it indefinitely. If
+// the new leader took the queued placements as confirmed, their jobs would never end. A
+// heartbeat with a newer token settles these placements, and the queue entries that no leader
+// will grant are removed.
 func TestHeartbeatWithFreshTokenSettlesPredecessorsQueue(t *testing.T) {
 	cluster := newCluster(t, 1, 0)
 	cluster.items = map[string][]wire.Item{
@@ -62,19 +63,20 @@
 		return cluster.scheduler.QueueDepths()["pending"], halts
 	}
 	if pending, _ := observe(6); pending != 0 {
-		t.Error("settled by a heartbeat with an old token: its start may yet arrive")
+		t.Error("the placement is settled by a heartbeat with an old token, although its start may still arrive")
 	}
 	pending, halts := observe(7)
 	if pending != 1 {
-		t.Error("not settled by a heartbeat with the new token")
+		t.Error("the placement is not settled by a heartbeat with the new token")
 	}
 	if halts == 0 {
-		t.Error("the entry stays in the queue")
+		t.Error("the entry is not removed from the queue")
 	}
 }
 
-// A job that is accepted after a new leader has listed the jobs, and before it has read the rest,
-// was in no leader's state: its user saw it queued for ever.
+// A job that is accepted after a new leader has listed the jobs, but before it has read the
+// other records, must be added to its state: otherwise no leader has the job, and it stays
+// queued forever.
 func TestJobAcceptedDuringFailoverIsLoaded(t *testing.T) {
 	cluster := newCluster(t, 1, 0)
 	cluster.scheduler.Unload()
--- a/internal/scheduler/grant_test.go
+++ b/internal/scheduler/grant_test.go
@@ -9,8 +9,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A queued placement does not count against the team's limit until its start is granted: the
-// grant itself keeps the limit, whatever was queued, until a task has left its worker.
+// A queued placement does not count against the team's limit until its start is granted. The
+// grant itself enforces the limit, however many tasks are queued, until a task has left its
+// worker.
 func TestGrantIsRefusedAtTeamLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0)
@@ -29,26 +30,27 @@
 			return cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: refs[i], Dispatcher: "a", Token: 7, Session: 1}).OK
 		}
 		if !grant(0) || grant(1) || !grant(0) {
-			t.Error("the limit lets one task start, which may be granted again")
+			t.Error("want grants of one task only, repeated if requested again")
 		}
 		task := wire.Task{Task: refs[0].Task, Attempt: refs[0].Attempt, State: wire.TaskExited, Cause: wire.CauseDone}
 		cluster.sendHeartbeat(0, 0, dispatch.TaskView{Task: task})
 		if !grant(1) {
-			t.Error("refused although the other task has exited")
+			t.Error("the grant is refused although the other task has exited")
 		}
 		stop()
 	})
 }
 
-// A cancelled task's start was granted to a dispatcher whose command is delayed; its worker's
-// heartbeats then reach another dispatcher, or the first one after a restart, which has the task
-// queued and did not send it. The start still counts against the team's limit: only a dispatcher
-// that was the only one to get the grant can attest that nothing is under way.
+// The start of a cancelled task was granted to a dispatcher whose start command is delayed. Its
+// worker's heartbeats then reach another dispatcher, or the restarted first one, which has the
+// task in its queue and did not send a start. The start must still count against the team's
+// limit: only a dispatcher that alone received the grant can attest that no start command is in
+// flight.
 func TestCancelledGrantCountsUntilItsOnlyDispatcherReportsItUnsent(t *testing.T) {
 	for _, c := range []struct {
 		name           string
-		granted, again uint64 // tokens of the dispatchers that were granted the start
-		dispatcher     uint64 // token of the one that reports it unsent
+		granted, again uint64 // tokens of the dispatchers to which the start was granted
+		dispatcher     uint64 // token of the dispatcher that reports the start as not sent
 		counts         bool
 	}{
 		{"the only dispatcher", 7, 0, 7, false},
@@ -76,7 +78,7 @@
 				cluster.scheduler.ApplyCancel("j-1")
 				time.Sleep(3 * time.Second)
 				if used := cluster.scheduler.TeamCPUs("t"); (used > 0) != c.counts {
-					t.Errorf("%v CPUs are counted", used)
+					t.Errorf("%v CPUs count against the team's limit", used)
 				}
 				stop()
 			})
@@ -84,9 +86,10 @@
 	}
 }
 
-// A start was granted to a dispatcher that has the task queued still, since the grant takes long
-// to reach it: the worker was taken for one whose outbound is lost, and deleted. Outbound is lost
-// if the dispatcher sent the start, and the worker's heartbeats do not show it.
+// A dispatcher that has not received a grant yet still has the task in its queue. Its worker
+// must not be reported as unreachable by commands (outbound lost), which leads to its deletion.
+// Outbound is lost if the dispatcher has sent the start and the worker's heartbeats do not
+// report it.
 func TestDelayedGrantIsNotReportedAsOutboundLost(t *testing.T) {
 	for _, unsent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -122,7 +125,7 @@
 				}
 			}
 			if outboundLost == unsent {
-				t.Errorf("start not sent: %v; taken for outbound lost: %v", unsent, outboundLost)
+				t.Errorf("start not sent: %v; reported as outbound lost: %v", unsent, outboundLost)
 			}
 			stop()
 		})
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A dispatcher that had a heartbeat of a worker before its deletion went on publishing it, and
-// after that tasks were placed on deleted workers.
+// A dispatcher may publish a heartbeat that a worker sent before its deletion. The late view
+// must not restore the worker, or tasks would be placed on it.
 func TestLateViewDoesNotRestoreDeletedWorker(t *testing.T) {
 	cluster := newCluster(t, 2, 0)
 	cluster.scheduler.WorkerDeleted(cluster.views[0].Name)
@@ -17,8 +17,8 @@
 	}
 }
 
-// A heartbeat without changes does not wait for a pass, which would delay the response to its
-// worker; the leader applies it soon after, as of when it arrived.
+// A heartbeat without changes does not wait for a scheduling pass, which would delay the
+// response to its worker. The leader applies it afterwards, with its time of arrival.
 func TestUnchangedHeartbeatDoesNotWaitForPass(t *testing.T) {
 	cluster := newCluster(t, 1, 0)
 	view := cluster.views[0]
@@ -31,14 +31,14 @@
 		select {
 		case <-observed:
 		case <-time.After(5 * time.Second):
-			t.Error("the heartbeat waits")
+			t.Error("the heartbeat waits for the state's lock")
 		}
 		time.Sleep(50 * time.Millisecond)
 	})
-	view.Seq, view.Unchanged = view.Seq-1, false // an older one, which has no effect of its own
+	view.Seq, view.Unchanged = view.Seq-1, false // an outdated view, which has no effect by itself
 	cluster.scheduler.ObserveWorker(view)
 	age, since := cluster.scheduler.HeartbeatAge(view.Name), time.Since(arrived)
 	if age > since || age < since-40*time.Millisecond {
-		t.Errorf("last heartbeat %v ago, when it arrived %v ago", age, since)
+		t.Errorf("the last heartbeat is recorded as %v ago, but arrived %v ago", age, since)
 	}
 }
--- a/internal/scheduler/instructions.go
+++ b/internal/scheduler/instructions.go
@@ -12,8 +12,8 @@
 
 const instructionsTimeout = 2 * time.Second
 
-// sendInstructions sends the instructions in the state's outbox to the dispatchers, to those
-// of peers in batches, until ctx ends.
+// sendInstructions sends the instructions in the state's outbox to the dispatchers until ctx
+// ends. Instructions for a peer's dispatcher are sent in batches.
 func (s *Scheduler) sendInstructions(ctx context.Context) {
 	peers := batching.Sender[*dispatch.Instructions]{Send: func(dispatcher string, batch []*dispatch.Instructions) {
 		s.sendTo(ctx, dispatcher, mergeInstructions(batch))
@@ -27,7 +27,7 @@
 		}
 		for dispatcher, instructions := range s.takeOutbox() {
 			switch dispatcher {
-			case "": // of a worker that no dispatcher has reported yet
+			case "": // for a worker that no dispatcher has reported yet
 			case s.state.Membership.Name():
 				s.sendTo(ctx, dispatcher, instructions)
 			default:
@@ -37,7 +37,7 @@
 	}
 }
 
-// takeOutbox empties the outbox and returns what was in it, by dispatcher.
+// takeOutbox empties the outbox and returns its instructions by dispatcher.
 func (s *Scheduler) takeOutbox() map[string]*dispatch.Instructions {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -46,7 +46,7 @@
 	return outbox
 }
 
-// mergeInstructions makes one message of several, in their order.
+// mergeInstructions merges several messages into one, in their order.
 func mergeInstructions(batch []*dispatch.Instructions) *dispatch.Instructions {
 	all := *batch[0]
 	for _, instructions := range batch[1:] {
@@ -58,9 +58,9 @@
 	return &all
 }
 
-// sendTo sends instructions to a dispatcher, and ends the halted placements that it never
-// started. Instructions that are lost are repeated when workers are reconciled, where they
-// still matter.
+// sendTo sends instructions to a dispatcher and ends the halted placements for which the
+// dispatcher sent no start command. Lost instructions are sent again when workers are
+// reconciled, if they are still needed.
 func (s *Scheduler) sendTo(ctx context.Context, dispatcher string, instructions *dispatch.Instructions) {
 	ctx, cancel := context.WithTimeout(ctx, instructionsTimeout)
 	defer cancel()
@@ -76,8 +76,8 @@
 	}
 }
 
-// endUnlaunched ends a placement that the dispatcher with the token never sent a start for,
-// unless another may have.
+// endUnlaunched ends a halted placement for which the dispatcher with the fencing token sent no
+// start command, unless another dispatcher may have sent one.
 func (s *Scheduler) endUnlaunched(ref dispatch.TaskRef, token uint64) {
 	uid, task, err := wire.ParseTask(ref.Task)
 	job := s.state.Jobs[uid]
--- a/internal/scheduler/instructions_test.go
+++ b/internal/scheduler/instructions_test.go
@@ -10,8 +10,8 @@
 )
 
 // A dispatcher reports that it doesn't know the resources of a task that runs on one of its
-// workers: an old heartbeat, without the task, reached it when the task was assigned. The task is
-// assigned again, now and then, until the dispatcher knows it.
+// workers: it received an old heartbeat, without the task, when the task was assigned. The
+// leader must repeat the assignment at intervals until the dispatcher knows the task.
 func TestTaskUnknownToDispatcherIsAssignedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0)
@@ -42,7 +42,7 @@
 			t.Errorf("a task that the dispatcher does not know was assigned %d times in 12 s", n)
 		}
 		if n := assigned(false); n > 0 {
-			t.Errorf("assigned %d times again, once the dispatcher knew it", n)
+			t.Errorf("the task was assigned %d more times after the dispatcher knew it", n)
 		}
 		stop()
 	})
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -13,8 +13,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// LocalState returns the state of a living or ended job from memory. It reports false unless
-// that is surely current, as only the leader of the job's shard can know.
+// LocalState returns the state of a live or ended job from memory. It reports false unless that
+// state is known to be current, which only the leader of the job's shard can know.
 func (s *Scheduler) LocalState(uid string) (wire.JobState, bool) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -28,10 +28,10 @@
 	return job.PublicState(), true
 }
 
-// RefineState adds to a job's state, as StoredState has just returned it, what this controller
-// knows of the job's tasks if it surely leads the job's shard. The state service has every
-// living job as queued: without this, a running job whose cancel has an unknown outcome, so
-// that LocalState does not answer for it, was called queued.
+// RefineState returns the state that StoredState has just returned for a job, refined by what
+// this controller knows of the job's tasks if it leads the job's shard. The state service
+// records every live job as queued: without this function a running job whose cancel has an
+// unknown outcome, for which LocalState reports false, would be reported as queued.
 func (s *Scheduler) RefineState(stored wire.JobState) wire.JobState {
 	if stored.Stage != wire.StageQueued {
 		return stored
@@ -39,7 +39,7 @@
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	if final, ended := s.state.FinalRecords[stored.UID]; ended {
-		return wire.JobState{UID: stored.UID, Stage: final.Stage, Done: final.Done} // since it was read
+		return wire.JobState{UID: stored.UID, Stage: final.Stage, Done: final.Done} // it ended after the read
 	}
 	job := s.state.Jobs[stored.UID]
 	if job == nil || !s.state.LeadsJob(job) {
@@ -48,68 +48,71 @@
 	return job.PublicState()
 }
 
-// SurelyQueued reports whether this controller leads the shard of a living job and knows that
-// no task of the job runs. It does not know that after a failover, until the workers on which
-// a predecessor may have started the job's tasks have sent a heartbeat, or their leases have
-// expired: for workers.lease_s at most.
+// SurelyQueued reports whether this controller leads the shard of a live job and knows that
+// none of the job's tasks run. After a failover it does not know that until the workers on
+// which a predecessor may have started the job's tasks have sent a heartbeat, or their leases
+// have expired: after workers.lease_s at most.
 func (s *Scheduler) SurelyQueued(uid string, shard int) bool {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	job := s.state.Jobs[uid]
 	if job == nil {
-		// Accepted since the shard was loaded and not heard of yet, so never placed. One that
-		// has ended meanwhile is not queued either.
+		// The job was accepted after the shard was loaded and is not admitted yet, so it was
+		// never placed. A job that has ended in the meantime is not queued either.
 		_, ended := s.state.FinalRecords[uid]
 		return !ended && s.state.LeadsShard(shard)
 	}
 	return job.Running == 0 && s.state.LeadsJob(job) && !s.state.MayRunUnseen(job, time.Now())
 }
 
-// isCurrent reports whether what is in memory of a living job is not older than what any
-// controller may have answered for it.
+// isCurrent reports whether the state of a live job in memory is at least as recent as any
+// state that another controller may have reported for it.
 func (s *Scheduler) isCurrent(job *jobstate.Job) bool {
-	// A leader whose lease may have expired could miss a later end.
+	// A leader whose lease may have expired could miss that the job has ended since.
 	if !s.state.LeadsJob(job) {
 		return false
 	}
-	// A write of the job's end may have been applied although its response is lost: others
-	// may have told its user already, so only the state service is sure. Before that write
-	// the job is alive to everybody. Had ends that only wait to be written counted too, then
-	// in a burst of tiny jobs hundreds of queries would go to the state service.
+	// A write of the job's end may have been applied although its response was lost: another
+	// controller may already have reported the end to the user, so only the state service can
+	// tell. Before that write is sent, every controller reports the job as live. If ends that
+	// are only queued for writing counted as well, a burst of very short jobs would send
+	// hundreds of queries to the state service.
 	if job.EndWriteSent || job.PendingCancels.Any() {
 		return false
 	}
-	// The user may have got the response to a cancel that was not recorded here.
+	// The user may have received the response to a cancel that this controller did not record.
 	return job.Cancelled || s.state.Cancellations == nil || !s.state.Cancellations.IsCancelled(job.Spec.UID)
 }
 
-// StoredState returns the state of ReadStoredJob.
+// StoredState returns a job's state as ReadStoredJob reads it.
 func StoredState(ctx context.Context, store jobrecord.Reader, uid string) (wire.JobState, error) {
 	job, err := ReadStoredJob(ctx, store, uid)
 	return job.State, err
 }
 
-// justAcceptedPeriod is the time since its acceptance for which a job may be called queued without the
-// word of its leader: less than the stage that users are told of may lag.
+// justAcceptedPeriod is the time after its acceptance for which a job may be reported as queued
+// without confirmation by its leader. It is shorter than the delay with which users may learn
+// of a job's stage.
 const justAcceptedPeriod = 2 * time.Second
 
-// JustAccepted reports whether a job was accepted, at a time of day in milliseconds since 1970,
-// so recently that it may be called queued although no leader says so.
+// JustAccepted reports whether a job was accepted so recently that it may be reported as queued
+// without confirmation by its leader. acceptedMs is the time of acceptance in milliseconds
+// since 1970.
 func JustAccepted(acceptedMs int64) bool {
 	return time.Since(time.UnixMilli(acceptedMs)) < justAcceptedPeriod
 }
 
-// StoredJob is what the state service has of a job.
+// StoredJob is what the state service records of a job.
 type StoredJob struct {
-	State      wire.JobState // a living job that is not cancelled is queued, running or not
-	Shard      int           // of a living job
-	AcceptedMs int64         // of a living job, by the time of day of the controller that accepted it
+	State      wire.JobState // a live job that is not cancelled is recorded as queued, also while it runs
+	Shard      int           // of a live job
+	AcceptedMs int64         // of a live job: milliseconds since 1970, by the clock of the controller that accepted it
 }
 
 // ReadStoredJob reads a job from the state service. The error wraps statestore.ErrNotFound if
-// there was never such a job.
+// the job was never accepted.
 func ReadStoredJob(ctx context.Context, store jobrecord.Reader, uid string) (StoredJob, error) {
-	// The living record first: it is deleted only when the final one is there.
+	// The live record is read first: it is deleted only once the final record exists.
 	record, _, err := jobrecord.ReadLive(ctx, store, uid)
 	if err == nil {
 		state := wire.JobState{UID: uid, Stage: wire.StageQueued}
@@ -125,7 +128,7 @@
 	return StoredJob{State: state}, err
 }
 
-// storedEnd returns the state of a job that has no living record.
+// storedEnd returns the state of a job that has no live record.
 func storedEnd(ctx context.Context, store jobrecord.Reader, uid string) (wire.JobState, error) {
 	final, err := jobrecord.ReadFinal(ctx, store, uid)
 	if err != nil {
@@ -134,14 +137,15 @@
 	return wire.JobState{UID: uid, Stage: final.Stage, Done: final.Done}, nil
 }
 
-// RunningTask is a task that a worker reported as running.
+// RunningTask is a task that a worker has reported as running.
 type RunningTask struct {
 	Task    string
 	Attempt uint64
-	Worker  string // the worker
+	Worker  string // the worker's name
 }
 
-// RunningTasks returns a living job's running tasks, by name; none if the job is not here.
+// RunningTasks returns a live job's running tasks, sorted by name. It returns none if this
+// leader does not have the job.
 func (s *Scheduler) RunningTasks(uid string) []RunningTask {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -161,7 +165,8 @@
 	return running
 }
 
-// HasUnfinishedJobs reports whether a living job of the class, not cancelled, is here.
+// HasUnfinishedJobs reports whether this leader has a live job of the class that is not
+// cancelled.
 func (s *Scheduler) HasUnfinishedJobs(class string) bool {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
--- a/internal/scheduler/large_array_test.go
+++ b/internal/scheduler/large_array_test.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// The largest arrays must fit the smallest controller: of a task that waits, only its number is
-// kept.
+// The largest arrays must fit into the memory of the smallest controller: only the number of a
+// waiting task is stored.
 func TestWaitingTasksOfLargestArrayUseLittleMemory(t *testing.T) {
 	cluster := newCluster(t, 1, 0)
 	heap := func() uint64 {
@@ -28,9 +28,9 @@
 	}
 	cluster.scheduler.Pass()
 	if each := (heap() - before) / jobs; each > 2<<20 {
-		t.Errorf("%d KB for a job of %d tasks", each>>10, wire.MaxTasks)
+		t.Errorf("%d KB of heap for a job of %d tasks", each>>10, wire.MaxTasks)
 	}
 	if got := cluster.scheduler.QueueDepths()["pending"]; got < jobs*wire.MaxTasks-1000 {
-		t.Errorf("%d pending", got)
+		t.Errorf("%d tasks pending", got)
 	}
 }
--- a/internal/scheduler/lease_test.go
+++ b/internal/scheduler/lease_test.go
@@ -9,9 +9,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Without a lease a leader halts and clears no unknown tasks. A leader that was cut off from the
-// state service halted and cleared the tasks that its successor had started on workers which
-// still sent heartbeats here; some were never settled, and their jobs never done.
+// A leader without a lease must not halt or clear tasks that it does not know. A leader that is
+// cut off from the state service would otherwise halt and clear tasks that its successor has
+// started on workers whose heartbeats still reach the old leader. The successor could then
+// never settle some of them, and their jobs would never end.
 func TestUnknownTasksAreNotHaltedOrClearedWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0)
@@ -31,7 +32,7 @@
 		cluster.leaseRemaining = time.Minute
 		observe(wire.TaskExited, wire.CauseError)
 		if _, clears := cluster.scheduler.OutboxCounts(); clears != 1 {
-			t.Error("with the lease the unknown task is not cleared")
+			t.Error("the unknown task is not cleared although the lease holds")
 		}
 	})
 }
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -15,16 +15,16 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// jobSnapshot is what a listing copies of a job under the lock. Its texts are made of it
-// after the lock is released.
+// jobSnapshot is the part of a job that a listing copies under the lock. Its texts are
+// formatted after the lock is released.
 type jobSnapshot struct {
 	jobquery.Info
 	waitingTasks []int
 }
 
-// ListJobs lists the living jobs that have numbers, in the order of these, from a cursor on:
-// at most so many rows, one for each job and one for each placement. next is where the listing
-// goes on, nil at its end.
+// ListJobs returns the live jobs that have numbers, in ascending order of number, starting at
+// the cursor. It returns at most maxRows rows, counting one for each job and one for each
+// placement. next is the cursor of the next page, nil on the last page.
 func (s *Scheduler) ListJobs(from jobquery.Cursor, maxRows int) (jobs []jobquery.Info, next *jobquery.Cursor) {
 	snapshots, next := s.snapshotPage(from, maxRows)
 	for i, snapshot := range snapshots {
@@ -46,8 +46,8 @@
 	return jobs, next
 }
 
-// ShardsLoaded reports whether the jobs of all shards that this controller leads are in memory:
-// between the claim of a shard and its load a listing would lack its jobs.
+// ShardsLoaded reports whether the jobs of all shards claimed by this controller are in memory.
+// Between the claim of a shard and its load, a listing would lack the shard's jobs.
 func (s *Scheduler) ShardsLoaded() bool {
 	claimed := s.state.Membership.ClaimedShards()
 	s.state.Mu.Lock()
@@ -60,7 +60,8 @@
 	return true
 }
 
-// snapshotPage copies the jobs of a listing from a cursor on, at most so many rows.
+// snapshotPage copies the jobs of one page of a listing, starting at the cursor, with at most
+// maxRows rows.
 func (s *Scheduler) snapshotPage(from jobquery.Cursor, maxRows int) (snapshots []jobSnapshot, next *jobquery.Cursor) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -98,8 +99,8 @@
 	return snapshots, nil
 }
 
-// info makes the texts of a listing. cutTask is the first waiting task that does not fit
-// them, 0 if all do.
+// info formats the texts of a listing. cutTask is the first waiting task that does not fit into
+// them, 0 if all fit.
 func (s jobSnapshot) info() (info jobquery.Info, cutTask int) {
 	if len(s.waitingTasks) > 0 {
 		ranges := jobspec.RangesOf(s.waitingTasks)
@@ -109,7 +110,7 @@
 	return s.Info, cutTask
 }
 
-// nextWaitingJob returns the job whose tasks are placed next, nil if none waits.
+// nextWaitingJob returns the job whose tasks are placed next, nil if no job has tasks to place.
 func (s *Scheduler) nextWaitingJob() *jobstate.Job {
 	s.state.Now = time.Now()
 	var waiting []*jobstate.Job
@@ -125,8 +126,8 @@
 	return waiting[0]
 }
 
-// snapshot copies what a listing shows of a job, its waiting tasks from one on. first is what
-// firstWaiting returns.
+// snapshot copies the parts of a job that a listing shows, with its waiting tasks from
+// firstTask on. first is the job that nextWaitingJob returns.
 func (s *Scheduler) snapshot(job, first *jobstate.Job, firstTask int) jobSnapshot {
 	constraints := *job.Constraints.Constraints
 	snapshot := jobSnapshot{Info: jobquery.Info{
@@ -157,8 +158,8 @@
 	return snapshot
 }
 
-// addPlacements adds the placements at which a task may run, and reports whether the task
-// waits still: it may run at none, and has exited at none.
+// addPlacements adds the placements by which a task may be running, and reports whether the
+// task is still waiting: none of its placements may be running or has exited.
 func (s *jobSnapshot) addPlacements(task int, placements []*jobstate.Placement) (waits bool) {
 	waits = true
 	for _, placement := range placements {
@@ -179,13 +180,13 @@
 	return waits
 }
 
-// waitReason returns why a job's waiting tasks wait, in Slurm's words.
+// waitReason returns why a job's waiting tasks wait, as one of Slurm's reason names.
 func (s *Scheduler) waitReason(job, first *jobstate.Job) string {
 	if reason := s.state.WaitReason(job, time.Now()); reason != "" {
 		return reason
 	}
 	use := job.Team.Used.Add(job.Resources, 1)
-	const rounding = 1e-6 // of sums of fractions of CPUs and GPUs
+	const rounding = 1e-6 // tolerance for sums of fractional CPUs and GPUs
 	switch {
 	case job.Team.Leased != nil && !s.state.UnderLimit(job):
 		return job.Team.ExceededLimit(job.Shard, job.Team.Leased.UsedByShard[job.Shard].Add(job.Resources, 1))
@@ -201,8 +202,8 @@
 	return jobspec.ReasonResources
 }
 
-// LocalJobInfo returns a living job that has a number as a listing shows it. It reports false
-// unless that is surely current, as only the leader of the job's shard can know.
+// LocalJobInfo returns the listing entry of a live job that has a number. It reports false
+// unless the entry is known to be current, which only the leader of the job's shard can know.
 func (s *Scheduler) LocalJobInfo(uid string) (jobquery.Info, bool) {
 	snapshot, ok := s.currentSnapshot(uid)
 	if !ok {
@@ -212,7 +213,8 @@
 	return info, true
 }
 
-// currentSnapshot returns a snapshot of a living job that has a number and is surely current.
+// currentSnapshot returns a snapshot of a live job that has a number. It reports false unless
+// the snapshot is known to be current.
 func (s *Scheduler) currentSnapshot(uid string) (jobSnapshot, bool) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -223,9 +225,9 @@
 	return s.snapshot(job, s.nextWaitingJob(), 0), true
 }
 
-// StoredJobInfo returns what the state service has of a job: of a living one only what was
-// submitted, of an ended one how it ended. The error wraps statestore.ErrNotFound if there was
-// never such a job.
+// StoredJobInfo returns what the state service records of a job: the submission of a live job,
+// or the end of an ended one. The error wraps statestore.ErrNotFound if the job was never
+// accepted.
 func StoredJobInfo(ctx context.Context, store jobrecord.Reader, uid string) (jobquery.Info, error) {
 	record, _, err := jobrecord.ReadLive(ctx, store, uid)
 	if err == nil {
--- a/internal/scheduler/pending_cancels.go
+++ b/internal/scheduler/pending_cancels.go
@@ -10,21 +10,23 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// cancelResolveDelay is how long a cancel's outcome may be unknown before its job's record is
-// written again. Most users repeat the cancel before that, which settles it too.
+// cancelResolveDelay is the time for which a cancel's outcome may be unknown before the job's
+// live record is rewritten to settle it. Most users repeat the cancel earlier, which settles it
+// too.
 const cancelResolveDelay = 5 * time.Second
 
-// definitelyFailed reports whether a transaction with this outcome was not applied and never
-// will be.
+// definitelyFailed reports whether the error proves that a transaction was not applied and
+// never will be.
 func definitelyFailed(err error) bool {
 	var conflict *statestore.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, statestore.ErrUnavailable)
 }
 
-// resolveCancels settles cancels whose outcome has been unknown for a while: the jobs' records
-// are written again as they are, after which such a cancel was either applied or can't be any
-// more. Without it, a job whose cancel was lost, and not repeated by its user, was looked up
-// in the state service at every query, and called queued while it ran.
+// resolveCancels settles cancels whose outcome has been unknown for longer than
+// cancelResolveDelay. It rewrites the jobs' live records unchanged: afterwards such a cancel
+// has either been applied or can no longer be applied. Otherwise a job whose cancel was lost,
+// and whose user does not repeat it, would be looked up in the state service at every query and
+// reported as queued while it runs.
 func (s *Scheduler) resolveCancels(ctx context.Context) {
 	for _, uid := range s.jobsWithUnresolvedCancels(time.Now()) {
 		renewCtx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
@@ -36,8 +38,8 @@
 	}
 }
 
-// jobsWithUnresolvedCancels returns the jobs whose last cancel was sent longer ago than resolveAfter
-// and has an unknown outcome.
+// jobsWithUnresolvedCancels returns the jobs that have a cancel with an unknown outcome and
+// whose last cancel was sent more than cancelResolveDelay ago.
 func (s *Scheduler) jobsWithUnresolvedCancels(now time.Time) (uids []string) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -49,8 +51,8 @@
 	return uids
 }
 
-// rewriteRecord writes a living job's record again, unless it is cancelled, and takes it into
-// the state.
+// rewriteRecord writes a job's live record again, unless the job is cancelled, and applies the
+// record to the state.
 func (s *Scheduler) rewriteRecord(ctx context.Context, uid string) error {
 	record, version, err := jobrecord.ReadLive(ctx, s.store, uid)
 	if err != nil {
@@ -58,7 +60,7 @@
 	}
 	shardVersion, leads := s.state.Membership.LeadsShard(record.Shard)
 	if !leads {
-		return nil // the shard's version has changed: the cancel failed, or is its leader's
+		return nil // the cancel failed because the shard's version has changed, or the shard's new leader settles it
 	}
 	if !record.Cancelled {
 		if version, err = s.writeLive(ctx, &record, version, shardVersion); err != nil {
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -11,14 +11,15 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A task whose two queues both make no progress, behind tasks that run far longer than
-// estimated, is placed on a third worker when that has free resources. It waited for ever, next
-// to idle workers.
+// A task may be queued on two workers whose tasks run far longer than estimated, so that
+// neither queue makes progress. It must then be placed on a third worker that has free
+// resources, instead of waiting indefinitely while workers are idle.
 func TestTaskStuckInTwoQueuesIsPlacedOnThirdWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 2, 0)
 		stop := cluster.run()
-		// Workers are full for so many seconds; a third one comes later, and is idle.
+		// observe sends heartbeats of workers that are full for fullS seconds each. The third
+		// worker joins later and is idle.
 		observe := func(fullS ...float64) {
 			for i, seconds := range fullS {
 				if i == len(cluster.views) {
@@ -33,7 +34,7 @@
 		observe(0.2, 0.2)
 		observe(0.2, 0.2)
 		first := cluster.scheduler.PlacementsOf("j-1")[0]
-		for range 6 { // its queue takes longer than estimated, and the other worker looks better
+		for range 6 { // the queue moves more slowly than estimated, and the other worker has a shorter wait
 			if cluster.views[0].Name == first.Worker {
 				observe(600, 0.2)
 			} else {
@@ -41,7 +42,7 @@
 			}
 		}
 		if n := len(cluster.scheduler.PlacementsOf("j-1")); n != 2 {
-			t.Fatalf("the task waits on %d workers", n)
+			t.Fatalf("the task is queued on %d workers", n)
 		}
 		for range 20 {
 			observe(600, 600)
@@ -54,17 +55,17 @@
 			found = found || ref.Worker == "n-000009"
 		}
 		if !found {
-			t.Errorf("next to an idle worker the task waits at %v", cluster.scheduler.PlacementsOf("j-1"))
+			t.Errorf("the task is queued at %v although a worker is idle", cluster.scheduler.PlacementsOf("j-1"))
 		}
 		stop()
 	})
 }
 
-// A worker's heartbeats reach one dispatcher and then another, which has its task queued still.
-// If the task was seen running and was lost with the worker's lease, or if its start was granted
-// and surely had no effect, the worker's heartbeats show it, and the task is placed elsewhere.
-// The first was taken as running for ever, the second as granted for ever, behind tasks that ran
-// for long.
+// A worker's heartbeats reach one dispatcher and then another, which still has the task in its
+// queue. If the task was reported as running and was lost with the worker's lease, or if its
+// start was granted and can no longer take effect, the worker's heartbeats show that, and the
+// task must be placed on another worker. Otherwise a lost task counts as running, or an
+// ineffective grant as granted, for as long as other tasks occupy the worker.
 func TestTaskWithLostStartQueuedAtOtherDispatcherIsPlacedElsewhere(t *testing.T) {
 	for _, c := range []struct{ ran, raised bool }{{true, true}, {false, true}, {false, false}} {
 		ran := c.ran
@@ -91,7 +92,7 @@
 			cluster.views[0].Dispatcher = "a"
 			if c.raised {
 				cluster.views[0].Token = 9
-			} // else the scheduler instructs to raise it, after a while
+			} // else the scheduler instructs the dispatcher to raise the token after a while
 			cluster.views = append(cluster.views, dispatch.WorkerView{Name: "n-000009", Type: "m", Zone: "z", Spot: true, Session: 1, Token: 9, Dispatcher: "a"})
 			for range 24 {
 				observe(0, 600)
@@ -102,15 +103,15 @@
 			}
 			refs := cluster.scheduler.PlacementsOf("j-1")
 			if last := len(refs) - 1; last < 0 || refs[last].Worker != "n-000009" || ran && refs[0] == ref {
-				t.Errorf("ran %v: lost, or never begun, on %v, it waits at %v", ran, ref, refs)
+				t.Errorf("ran: %v; after the task was lost or not started on %v, it is placed at %v", ran, ref, refs)
 			}
 			stop()
 		})
 	}
 }
 
-// Jobs that are alike share the candidate workers that a pass found for them; a job that may run
-// nowhere must not take them from others of the same size.
+// Jobs with equal requirements share the candidate workers that a pass finds for them. A job
+// that fits no worker must not hide the candidates from other jobs of the same size.
 func TestJobsShareCandidatesOnlyIfRequirementsAreEqual(t *testing.T) {
 	cluster := newCluster(t, 90, 0)
 	elsewhere := "y"
@@ -121,12 +122,12 @@
 	}
 	cluster.scheduler.Pass()
 	if pending := cluster.scheduler.QueueDepths()["pending"]; pending != 10 {
-		t.Errorf("%d tasks wait, and not the 10 that may run nowhere", pending)
+		t.Errorf("%d tasks wait, want only the 10 that fit no worker", pending)
 	}
 }
 
-// What a leader has just placed on a worker of a peer's dispatcher takes resources there,
-// although a view arrives that was made before the dispatcher got the instructions.
+// A placement that a leader has just made on a worker of a peer's dispatcher reserves resources
+// there, even if a view arrives that the dispatcher made before it received the instructions.
 func TestOwnPlacementReservesResourcesDespiteOlderView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0)
@@ -152,16 +153,16 @@
 		submit("j-2")
 		time.Sleep(300 * time.Millisecond)
 		if cluster.scheduler.PlacedTasks("j-2") != 0 {
-			t.Error("the resources of the first job are given away again")
+			t.Error("the resources reserved for the first job are assigned again")
 		}
 		ref := cluster.scheduler.PlacementsOf("j-1")[0]
 		if !cluster.scheduler.GrantAll([]dispatch.GrantRequest{{TaskRef: ref, Dispatcher: "b", Token: 7, Session: 1}})[0].OK {
-			t.Fatal("no grant")
+			t.Fatal("not granted")
 		}
 		observeIdle()
 		time.Sleep(300 * time.Millisecond)
 		if cluster.scheduler.PlacedTasks("j-2") != 0 {
-			t.Error("the resources of the first job, which was just granted, are given away again")
+			t.Error("the resources of the first job, whose start was just granted, are assigned again")
 		}
 		stop()
 	})
--- a/internal/scheduler/priority_test.go
+++ b/internal/scheduler/priority_test.go
@@ -12,9 +12,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Only a job whose objective is in danger preempts others. An objective for starts that was far
-// off (100 s) made every job of its class preempt work of lower priority at once: three fifths of
-// all that was started had to start again.
+// Only a job at risk of missing its objective may preempt other tasks. If an objective for
+// starts with a distant limit (100 s) made every job of its class preempt work of lower
+// priority at once, most started tasks (three in five) would have to start again.
 func TestOnlyJobAtRiskOfMissingObjectivePreempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0)
@@ -50,18 +50,18 @@
 		}
 		time.Sleep(20 * time.Second)
 		if n := preempted(); n != 0 {
-			t.Errorf("%d tasks preempted 80 s before the objective", n)
+			t.Errorf("%d tasks preempted 80 s before the objective's limit", n)
 		}
 		time.Sleep(75 * time.Second)
 		if preempted() == 0 {
-			t.Error("nothing preempted 5 s before the objective")
+			t.Error("no task preempted 5 s before the objective's limit")
 		}
 	})
 }
 
-// Jobs that can't meet their deadline are placed after those that can, and never before work of
-// higher priority. Under overload the jobs of one priority were placed in the order of their
-// deadlines, and nearly all were late by a little: a share of 0.14 was in time.
+// Jobs that can't meet their deadline are placed after jobs of the same priority that can, and
+// never before work of higher priority. If under overload the jobs of one priority were placed
+// in the order of their deadlines, nearly all would be slightly late (a share of 0.14 in time).
 func TestJobsThatCanMeetTheirDeadlineArePlacedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 10, 0) // 160 CPUs, free resources for one task on each worker
@@ -71,8 +71,8 @@
 			cluster.revision++
 			cluster.scheduler.JobAccepted(&job, nil, 0, time.Now().Add(-age).UnixMilli(), cluster.revision)
 		}
-		add("j-over", "normal", 12, 70*time.Second)   // its deadline is over
-		add("j-large", "normal", 400, 20*time.Second) // due first, but far more than can be done
+		add("j-over", "normal", 12, 70*time.Second)   // its deadline has passed
+		add("j-large", "normal", 400, 20*time.Second) // earliest deadline, but too much work to meet it
 		add("j-small", "normal", 4, 0)
 		add("j-urgent", "urgent", 3, 70*time.Second)
 		cluster.scheduler.Pass()
@@ -86,9 +86,9 @@
 	})
 }
 
-// Every job has to begin within four minutes, the largest of the lowest priority too, while more
-// urgent work could fill all workers for ever. After two minutes its first task is placed before
-// all others, and only that.
+// Every job must begin within four minutes, including the largest job of the lowest priority,
+// even while more urgent work could fill all workers indefinitely. After two minutes the job's
+// first task, and only that one, is placed before all others.
 func TestLongWaitingJobBeginsBeforeUrgentWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 10, 0) // free resources for one task of 4 CPUs on each worker
@@ -105,17 +105,17 @@
 		add("j-urgent", "urgent", 500, 0)
 		cluster.scheduler.Pass()
 		if large, later, urgent := cluster.scheduler.PlacedTasks("j-largest"), cluster.scheduler.PlacedTasks("j-later"), cluster.scheduler.PlacedTasks("j-urgent"); large != 1 || later != 0 || urgent != 9 {
-			t.Errorf("placed: %d of the largest, %d of a younger one, %d of the urgent", large, later, urgent)
+			t.Errorf("placed tasks: %d of the largest job, %d of a younger one, %d of the urgent one", large, later, urgent)
 		}
 		served := cluster.scheduler.Served()
 		if s := served["class"]["clow"]; s.Offered != 14 || s.Begun != 0 || s.Waiting != 14 {
-			t.Errorf("class: %+v", s)
+			t.Errorf("served by class: %+v", s)
 		}
 		if s := served["largest"]["clow"]; s.Offered < 1 || s.Offered > 4 {
-			t.Errorf("largest: %+v", s)
+			t.Errorf("served of the largest jobs: %+v", s)
 		}
 		if s := served["team"]["t"]; s.Offered != 15 {
-			t.Errorf("team: %+v", s)
+			t.Errorf("served by team: %+v", s)
 		}
 	})
 }
--- a/internal/scheduler/queued_behind_long_task_test.go
+++ b/internal/scheduler/queued_behind_long_task_test.go
@@ -9,16 +9,17 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A task is queued on a worker whose tasks run a thousand times their estimate. A duplicate of it
-// was to go to a worker with room, and none ever had: the tasks of a later job took all room in
-// the pass before the look for duplicates, at every turn. After an outage tasks waited so for
-// minutes (one seed of ten of TestTenCrashesInOneStateStoreOutage, which counts tasks "behind
-// long" ones apart), although they were the first in line and others started every second.
+// A task is queued on a worker whose tasks run a thousand times longer than estimated. A
+// duplicate of the task is to go to a worker with free resources, but the tasks of a later job
+// take all free resources in each pass before the pass looks for duplicates. The task then
+// waits for minutes although it is first in line and later tasks start every second.
+// TestTenCrashesInOneStateStoreOutage reaches this situation after an outage in one seed of
+// ten; it counts tasks behind long-running ones separately.
 
-// A queued task whose wait has proved much worse than planned gets the room of tasks that come
-// after it in line.
+// A queued task whose wait has turned out much longer than planned gets free resources before
+// tasks that come later in line.
 func TestTaskQueuedBehindLongTasksIsPlacedBeforeLaterJobs(t *testing.T) {
-	const long, busy, allowedS = 0, 1, 90 // workers, and the seconds for which a job may wait beside room
+	const long, busy, allowedS = 0, 1, 90 // indices of workers, and how long in seconds a job may wait despite free resources
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 2, 0)
 		stop := cluster.run()
@@ -39,7 +40,7 @@
 		}, nil, 0, time.Now().UnixMilli(), 2)
 		started := 0
 		for second := range allowedS {
-			var done []dispatch.TaskView // what began on the busy worker a second ago
+			var done []dispatch.TaskView // tasks that started on the busy worker a second ago
 			for _, ref := range cluster.scheduler.PlacementsOf("j-2") {
 				granted := ref.Worker == cluster.views[busy].Name &&
 					cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Dispatcher: "a", Token: 7, Session: 1}).OK
@@ -53,11 +54,11 @@
 			time.Sleep(time.Second)
 			for _, ref := range cluster.scheduler.PlacementsOf("j-1") {
 				if ref.Worker == cluster.views[busy].Name {
-					t.Logf("placed again after %d s, beside %d starts of later tasks", second, started)
+					t.Logf("placed on the other worker after %d s, after %d starts of later tasks", second, started)
 					return
 				}
 			}
 		}
-		t.Errorf("for %d s it waits at %v, while %d later tasks started elsewhere", allowedS, cluster.scheduler.PlacementsOf("j-1"), started)
+		t.Errorf("after %d s the task is still queued at %v, while %d later tasks started elsewhere", allowedS, cluster.scheduler.PlacementsOf("j-1"), started)
 	})
 }
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -11,8 +11,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// With one leader every job's shard is that of its hash. With several, jobs of a team with a limit
-// belong to many shards; those of a team with only a guarantee stay in one.
+// With one leader every job belongs to the shard of its hash. With several leaders the jobs of
+// a team with a limit are spread over many shards; those of a team with only a guarantee stay
+// in one shard.
 func TestJobsOfLimitedTeamsSpreadOnlyWithSeveralLeaders(t *testing.T) {
 	teams := []config.Team{{Name: "free"}, {Name: "capped", CPUsMax: 8}, {Name: "gpus", GPUs: 1, GPUsMax: 8}, {Name: "assured", CPUs: 4}}
 	for _, c := range []struct {
@@ -27,7 +28,7 @@
 				shard := quota.AssignShard(job, teams, operator)
 				shards[shard] = true
 				if c.spread == 1 && shard != jobrecord.HashShard(job, teams, operator.Shards) {
-					t.Errorf("spread 1: %s of team %s moved to shard %d", job.UID, team.Name, shard)
+					t.Errorf("spread 1: %s of team %s is assigned to shard %d, not to that of its hash", job.UID, team.Name, shard)
 				}
 			}
 			want := 1
@@ -41,8 +42,8 @@
 	}
 }
 
-// More quota leases than the records hold are refused at the start, by key and reason; with one
-// leader nothing is leased, and nothing refused.
+// Settings with more quota leases than the records can hold are rejected at startup, with the
+// key and the reason. With one leader no quota is leased, so nothing is rejected.
 func TestQuotaLeasesExceedingRecordCapacityAreRejected(t *testing.T) {
 	platform := &config.Platform{Params: config.Params{State: config.State{ValueKB: 16}}}
 	for i := range 410 {
--- a/internal/scheduler/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -19,9 +19,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// recordedShard reads a shard as a leader wrote it that was set to write its log over after two
-// records. Of j-1, tasks 0 and 3 are done, the latter by the log alone; task 1 failed for good
-// with exit code 7; task 2 ran; 4 to 6 were placed, the last by the log alone. j-2 is done.
+// recordedShard returns the recorded items of a shard whose leader overwrote its log after two
+// records. Of j-1, tasks 0 and 3 are done (3 only according to the log), task 1 failed for good
+// with exit code 7, task 2 was running, and tasks 4 to 6 were placed (6 only according to the
+// log). j-2 is done.
 func recordedShard(t *testing.T) []wire.Item {
 	t.Helper()
 	data, err := os.ReadFile("testdata/recorded/shard.json")
@@ -35,7 +36,7 @@
 	return shard.Items
 }
 
-// groupByPrefix groups items by what their keys begin with, as they are listed.
+// groupByPrefix groups items by the prefix of their keys, under which they are listed.
 func groupByPrefix(items []wire.Item) map[string][]wire.Item {
 	groups := map[string][]wire.Item{}
 	for _, item := range items {
@@ -45,7 +46,7 @@
 	return groups
 }
 
-// newSuccessor returns a scheduler that has loaded the recorded shard, with its store.
+// newSuccessor returns a scheduler that has loaded the recorded shard, and its store.
 func newSuccessor(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
 	t.Helper()
 	leader, store := newScriptedScheduler(t)
@@ -68,12 +69,12 @@
 	return leader, store
 }
 
-// A recorded shard is loaded as it was: its jobs' tasks are done, failed and placed as they were,
-// and a heartbeat shows what runs.
+// A recorded shard is loaded unchanged: the tasks of its jobs are done, failed or placed as
+// recorded, and a heartbeat reports the running ones.
 func TestRecordedShardIsLoadedAtFailover(t *testing.T) {
 	leader, store := newSuccessor(t)
 	if state, ok := leader.LocalState("j-1"); !ok || state != (wire.JobState{UID: "j-1", Stage: wire.StageQueued, Done: 2}) {
-		t.Errorf("the living job is %+v, %v", state, ok)
+		t.Errorf("the live job is %+v, %v", state, ok)
 	}
 	refs := leader.PlacementsOf("j-1")
 	placements := make([]string, 0, len(refs))
@@ -89,11 +90,11 @@
 		Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3, State: wire.TaskRunning}}},
 	})
 	if state, ok := leader.LocalState("j-1"); !ok || state != (wire.JobState{UID: "j-1", Stage: wire.StageRunning, Done: 2, Running: 1}) {
-		t.Errorf("with a task that runs it is %+v, %v", state, ok)
+		t.Errorf("the job with a running task is %+v, %v", state, ok)
 	}
 	info, ok := leader.LocalJobInfo("j-1")
 	if !ok || info.Failed != 1 || info.Done != 2 || info.PendingTasks != "4-6" || len(info.Placements) != 1 || info.Placements[0].Task != 2 || info.Placements[0].Attempt != 3 {
-		t.Errorf("it is listed as %+v, %v", info, ok)
+		t.Errorf("the live job is listed as %+v, %v", info, ok)
 	}
 	if want := (&jobspec.Constraints{Number: 100, Name: "tips", User: "erin", Array: "0-6", MaxConcurrent: 4, NoRetry: true}); !reflect.DeepEqual(info.Constraints, want) || info.AcceptedMs != 946_684_806_000 {
 		t.Errorf("its constraints are %+v, accepted at %d; want %+v", info.Constraints, info.AcceptedMs, want)
@@ -110,8 +111,8 @@
 	}
 }
 
-// The recorded shard's accounting page has a row for each attempt that ended, and for the job that
-// did.
+// The recorded shard's accounting page has a row for each attempt that ended, and one for the
+// job that ended.
 func TestRecordedShardAccountingIsRead(t *testing.T) {
 	reader, err := accounting.NewReader()
 	if err != nil {
@@ -139,9 +140,9 @@
 	}
 }
 
-// A new leader continues a recorded shard as its predecessor would have: it writes over the log's
-// oldest record that is not needed any more, saves a chunk that the oldest one is needed for, and
-// deletes, at the job's end, what is stored of the job.
+// A new leader continues a recorded shard as its predecessor would have: it overwrites the
+// oldest log record that is no longer needed, saves a chunk for which the oldest log record is
+// still needed, and deletes the records of a job when the job ends.
 func TestSuccessorContinuesRecordedShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0, withLogSlots(3))
@@ -176,7 +177,7 @@
 				t.Fatal(err)
 			}
 		}
-		cluster.sendHeartbeat(0, 0) // its worker has forgotten the tasks
+		cluster.sendHeartbeat(0, 0) // the worker no longer reports the tasks
 		if err := cluster.scheduler.WriteAll(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -20,7 +20,7 @@
 )
 
 // fullJob returns a job with a value in each field. The state service accepts such a record,
-// although no job may be in one zone and spread at a time.
+// although a valid job can't both be confined to one zone and be spread over zones.
 func fullJob() wire.Job {
 	zone, due := "eu-1", 900.5
 	return wire.Job{
@@ -45,7 +45,8 @@
 	return &jobspec.Ending{Number: 4100, State: jobspec.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000}
 }
 
-// What a leader stores keeps its form: a successor of any version reads it.
+// The format of the records that a leader stores is stable, so that a successor of any version
+// can read them.
 func TestRecordedJobRecords(t *testing.T) {
 	recorded.CheckFull(t, "live-full", jobrecord.LiveRecord{Job: fullJob(), Shard: 5, AcceptedMs: 1_796_000_000_123, Cancelled: true, Constraints: fullConstraints()})
 	recorded.Check(t, "live-none", jobrecord.LiveRecord{})
@@ -66,7 +67,7 @@
 	recorded.Check(t, "log-none", jobrecord.LogRecord{})
 }
 
-// Each record of a shard that a leader wrote is read, and written again as it was.
+// Each record of a recorded shard is decoded and encoded again without a change.
 func TestRecordedShardIsWrittenAgainUnchanged(t *testing.T) {
 	data, err := os.ReadFile("testdata/recorded/shard.json")
 	if err != nil {
@@ -81,7 +82,7 @@
 		prefix, _, _ := strings.Cut(item.Key, "/")
 		record := map[string]any{"live": &jobrecord.LiveRecord{}, "final": &jobrecord.FinalRecord{}, "task": &jobrecord.ChunkRecord{}, "log": &jobrecord.LogRecord{}, "number": &jobid.Job{}}[prefix]
 		if record == nil {
-			continue // accounting, which is not JSON within
+			continue // accounting pages, whose values are not JSON records
 		}
 		if err := json.Unmarshal(item.Value, record); err != nil {
 			t.Errorf("%s: %v", item.Key, err)
@@ -96,12 +97,12 @@
 	}
 }
 
-// fixedLister is a state service whose every fixedLister returns the same items.
+// fixedLister is a state service in which every listing returns the same items.
 type fixedLister []wire.Item
 
 func (l fixedLister) List(context.Context, string) ([]wire.Item, uint64, error) { return l, 0, nil }
 
-// Cancels are found in recorded jobs without parsing all of them in full.
+// Cancelled jobs are found among recorded jobs without decoding all of these in full.
 func TestRecordedCancelsAreFound(t *testing.T) {
 	names := []string{"live-full", "live-none"}
 	items := make(fixedLister, 0, len(names))
@@ -117,13 +118,13 @@
 	}
 }
 
-// What a user submitted is stored as the job's part of its record.
+// A submitted job is stored as the job part of its live record.
 func TestRecordedSubmission(t *testing.T) {
 	recorded.CheckFull(t, "job-full", fullJob())
 	recorded.Check(t, "job-none", wire.Job{})
 }
 
-// The rows of quota leases, as a leader writes them.
+// The format of quota lease records, as a leader writes them.
 func TestRecordedQuotaLeases(t *testing.T) {
 	recorded.CheckFull(t, "lent-full", quotalease.Record{Rows: []quotalease.Row{{
 		Shard: 3, LeaderVersion: 99,
@@ -134,11 +135,11 @@
 		t.Errorf("keys %s to %s", first, last)
 	}
 	if mark := quotaMarkBytes(t, jobrecord.QuotaMark{}); mark != `{}` {
-		t.Errorf("a log record of a leader that leases no quota is marked %s", mark)
+		t.Errorf("a log record of a leader that leases no quota has the quota mark %s", mark)
 	}
 }
 
-// quotaMarkBytes returns a log record's mark as it is written.
+// quotaMarkBytes returns the encoded quota mark of a log record.
 func quotaMarkBytes(t *testing.T, mark jobrecord.QuotaMark) string {
 	t.Helper()
 	data, err := json.Marshal(mark)
@@ -148,7 +149,7 @@
 	return string(data)
 }
 
-// acceptance is the transaction that accepts a job, as it is sent.
+// acceptance is the transaction that accepts a job, in its encoded form.
 type acceptance struct {
 	Guards []wire.Guard `json:"guards"`
 	Apply  []struct {
@@ -157,7 +158,7 @@
 	} `json:"apply"`
 }
 
-// The transaction that accepts a job is sent in its recorded form.
+// The transaction that accepts a job is encoded as recorded.
 func TestRecordedAcceptance(t *testing.T) {
 	job := fullJob()
 	for name, constraints := range map[string]*jobspec.Constraints{"accept-full": fullConstraints(), "accept-none": nil} {
@@ -176,7 +177,7 @@
 	recorded.Check(t, "number-none", jobid.Job{})
 }
 
-// The counters that operators read keep their names.
+// The names of the counters that operators read are stable.
 func TestRecordedCounters(t *testing.T) {
 	recorded.CheckFull(t, "counters-full", jobstate.Stats{
 		Placed: 1, Duplicates: 2, Granted: 3, Refused: 4, Lost: 5, Done: 6, Errors: 7, Preempted: 8,
@@ -187,7 +188,7 @@
 	recorded.Check(t, "served-none", jobstate.Served{})
 }
 
-// The names of a leader's keys, in full.
+// The keys that a leader uses, in full.
 func TestRecordedKeys(t *testing.T) {
 	job := &wire.Job{UID: "j-1", Tasks: 3}
 	guards, ops := jobrecord.AcceptanceTxn(job, &jobspec.Constraints{Number: 40}, 0, 0)
@@ -210,12 +211,12 @@
 		t.Errorf("keys %q, want %q", got, want)
 	}
 	if shard, n, err := jobrecord.ParseLogKey("log/007/00012"); shard != 7 || n != 12 || err != nil {
-		t.Errorf("the log's key is read as %d, %d, %v", shard, n, err)
+		t.Errorf("the log key is parsed as %d, %d, %v", shard, n, err)
 	}
 }
 
-// A record encodes as numbers which tasks a chunk has and how a task ended; a job's shard follows
-// from a hash. These are a part of its form.
+// Records encode as numbers which tasks belong to a chunk and how a task ended, and a job's
+// shard is computed from a hash. These numbers are part of the stored format.
 func TestRecordedNumbers(t *testing.T) {
 	if jobrecord.ChunkSize != 96 || jobstate.OutcomeFailed != 1 || jobstate.OutcomeTimedOut != 2 || jobstate.OutcomeCancelled != 3 {
 		t.Errorf("chunks of %d tasks; ends %d, %d, %d", jobrecord.ChunkSize, jobstate.OutcomeFailed, jobstate.OutcomeTimedOut, jobstate.OutcomeCancelled)
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxPassInterval   = 250 * time.Millisecond // at the longest, when no pass is requested
+	maxPassInterval   = 250 * time.Millisecond // maximum interval between passes when none is requested
 	reconcileInterval = time.Second
-	minPassPause      = 20 * time.Millisecond // between passes at the least: what arrives then shares one
+	minPassPause      = 20 * time.Millisecond // minimum pause between passes; changes that arrive during it share the next pass
 )
 
-// Run leads the shards that this controller is elected for until ctx ends. It returns the
-// context's error, once all its goroutines have ended.
+// Run leads the shards for which this controller is elected until ctx ends. It returns
+// ctx.Err() after all its goroutines have ended.
 func (s *Scheduler) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	for _, run := range []func(context.Context){s.writer.Run, s.sendInstructions, s.watch, s.watchConstraints, s.quota.Run} {
@@ -27,7 +27,7 @@
 	return ctx.Err()
 }
 
-// runPasses loads and unloads shards and makes scheduling passes until ctx ends.
+// runPasses loads and unloads shards and runs scheduling passes until ctx ends.
 func (s *Scheduler) runPasses(ctx context.Context) {
 	tick := time.NewTicker(maxPassInterval)
 	defer tick.Stop()
@@ -43,7 +43,7 @@
 		lastReconcile = s.pass(lastReconcile)
 		took := time.Since(start)
 		usage.Count(usage.Passes, start)
-		// The pause keeps passes to a small part of the processor, however long they take.
+		// The pause limits passes to a small share of CPU time, however long they take.
 		select {
 		case <-ctx.Done():
 		case <-time.After(minPassPause + jobstate.PassShare*took):
@@ -51,8 +51,8 @@
 	}
 }
 
-// pass makes one scheduling pass, and reconciles all workers if that is due.
-// It returns when workers were last reconciled.
+// pass runs one scheduling pass, and reconciles all workers if that is due. It returns the time
+// of the last reconciliation.
 func (s *Scheduler) pass(lastReconcile time.Time) time.Time {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 	lastReconcile = time.Now()
 	if s.state.Membership.LeaseRemaining() > 0 {
-		// Without the lease a successor may lead these tasks already.
+		// Without the lease, a successor may already lead the shards of these tasks.
 		s.planner.Rebalance()
 		s.planner.Evict()
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,12 +1,12 @@
-// Package scheduler leads shards of jobs: each shard is led by at most one controller at a
-// time. It runs the event loop over the state (package jobstate) with the packages that
-// decide for it: planner places tasks, reconcile compares workers' heartbeats with the state
-// and grants starts, shardlog writes what happened before it is acted on, quota leases parts
-// of teams' limits. It loads shards at a failover, cancels and updates jobs, and answers
-// queries for them.
+// Package scheduler leads shards of jobs. Each shard has at most one leader among the
+// controllers at a time. The package runs the event loop over the in-memory state (package
+// jobstate) and calls the packages that make the decisions: planner places tasks, reconcile
+// compares workers' heartbeats with the state and grants starts, shardlog persists changes
+// before they take effect, and quota leases parts of teams' limits. The package also loads
+// shards at a failover, cancels and updates jobs, and answers queries for them.
 //
-// It does not elect leaders (package membership), speak to workers (package dispatch), or
-// accept submissions (package submission).
+// It does not elect leaders (package membership), communicate with workers (package dispatch),
+// or accept submissions (package submission).
 package scheduler
 
 import (
@@ -25,12 +25,12 @@
 
 // Dispatchers sends instructions to the dispatcher of a worker, on this controller or a peer.
 type Dispatchers interface {
-	// SendInstructions returns the halted tasks for which the dispatcher has sent no start.
-	// After an error the instructions may have had an effect all the same.
+	// SendInstructions returns the halted tasks for which the dispatcher has sent no start
+	// command. If it returns an error, the instructions may nevertheless have been carried out.
 	SendInstructions(ctx context.Context, dispatcher string, instructions dispatch.Instructions) (dispatch.Unlaunched, error)
 }
 
-// Options are what a scheduler needs of the rest of its process.
+// Options holds the dependencies and settings of a scheduler.
 type Options struct {
 	Platform     *config.Platform
 	Operator     *config.Operator
@@ -40,10 +40,10 @@
 	MachineTypes jobstate.MachineTypes
 	Log          *slog.Logger
 
-	Cancellations     jobstate.Cancellations // cancelled jobs known here, this leader's and others'; nil: none
-	RemoteJobs        RemoteJobs             // queries other leaders for their jobs; nil: they are not queried
+	Cancellations     jobstate.Cancellations // cancelled jobs known to this controller, whoever leads their shards; nil: none are tracked
+	RemoteJobs        RemoteJobs             // queries other leaders for their jobs; nil: other leaders are not queried
 	AccountingEnabled bool                   // accounting rows are written
-	LogSlots          int                    // log records of a shard before they are written over; 0: the default
+	LogSlots          int                    // log records per shard before the oldest is overwritten; 0: shardlog.DefaultSlots
 }
 
 // Scheduler leads shards of jobs. It is safe for concurrent use.
@@ -60,13 +60,13 @@
 	log         *slog.Logger
 
 	// Guarded by state.Mu.
-	listedRevision  map[int]uint64   // shard -> revision of the listing of living jobs that it was loaded with
-	leadershipEpoch uint64           // counts the times that this scheduler began to lead shards
-	loading         bool             // shards are being read
-	bufferedRecords []bufferedRecord // records that arrived while loading
+	listedRevision  map[int]uint64   // shard -> revision of the listing of live jobs from which the shard was loaded
+	leadershipEpoch uint64           // incremented each time this scheduler begins to lead shards after leading none
+	loading         bool             // shards are being loaded
+	bufferedRecords []bufferedRecord // live records received while loading
 }
 
-// New returns a scheduler that leads no shard yet. Run makes it work.
+// New returns a scheduler that leads no shard. It does nothing until Run is called.
 func New(o Options) *Scheduler {
 	state := jobstate.New(o.Platform, o.Operator, o.Member, o.MachineTypes, o.Log)
 	state.Cancellations, state.AccountingEnabled = o.Cancellations, o.AccountingEnabled
@@ -82,13 +82,13 @@
 	}
 }
 
-// LeadershipChanged notifies the scheduler that the shards it leads may have changed. It does
-// not block.
+// LeadershipChanged notifies the scheduler that the set of shards it leads may have changed. It
+// does not block.
 func (s *Scheduler) LeadershipChanged() { jobstate.Notify(s.state.PlanSignal) }
 
-// LeadershipEpoch is 0 while this scheduler leads no shard, and so ignores views, and another
-// number each time that it begins to lead some: whoever sent it views of workers before has
-// to send them again.
+// LeadershipEpoch returns 0 while this scheduler leads no shard and therefore ignores views.
+// Each time it begins to lead shards it returns a new number: views of workers that were sent
+// before must then be sent again.
 func (s *Scheduler) LeadershipEpoch() uint64 {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
--- a/internal/scheduler/scripted_store_test.go
+++ b/internal/scheduler/scripted_store_test.go
@@ -13,12 +13,13 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// scriptedStore is a state service that responds as a test says, in front of a fake cluster.
+// scriptedStore is a state service whose responses are set by the test. Other requests go to a
+// fake cluster.
 type scriptedStore struct {
 	*fakeCluster
 	get    func(key string) (wire.Item, error)
 	txn    func() (uint64, error)
-	listed uint64 // revision of every listing
+	listed uint64 // revision returned by every listing
 }
 
 func (s *scriptedStore) Get(_ context.Context, key string) (wire.Item, error) { return s.get(key) }
@@ -36,10 +37,10 @@
 	return items, s.listed, err
 }
 
-// notFound is a get for which no key exists.
+// notFound is a get function that finds no key.
 func notFound(string) (wire.Item, error) { return wire.Item{}, statestore.ErrNotFound }
 
-// newScriptedScheduler returns a scheduler that has loaded no shard, with its store.
+// newScriptedScheduler returns a scheduler that has loaded no shard, and its store.
 func newScriptedScheduler(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
 	t.Helper()
 	operator, err := config.LoadOperator("")
@@ -52,11 +53,11 @@
 	return newScheduler(cluster.platform, operator, store, cluster), store
 }
 
-// oneTaskJob is job j-1, of one task, as it is submitted.
+// oneTaskJob is the submission of job j-1, which has one task.
 const oneTaskJob = `{"uid":"j-1","docket":"c","crew":"t","sort":"sweep","urgency":"normal","pieces":1,"cpus":1,"cards":0,"memoryGb":1,
 	"kit":"i","pullGb":0.1,"builds":null,"yard":null,"together":false,"apart":false,"loaners":true,"reckonS":9,"markS":0,"stashS":0,"dueS":null}`
 
-// acceptedJob returns j-1 and its living record, written at a version.
+// acceptedJob returns j-1 and its live record with the given version.
 func acceptedJob(t *testing.T, version uint64) (*wire.Job, wire.Item) {
 	t.Helper()
 	job, err := wire.ParseJob([]byte(oneTaskJob))
@@ -66,8 +67,8 @@
 	return job, wire.Item{Key: "live/j-1", Version: version, Value: json.RawMessage(fmt.Sprintf(`{"job":%s,"shard":0,"at":0}`, oneTaskJob))}
 }
 
-// newScriptedSchedulerWithJob returns a scheduler that leads the shard of j-1, with its store and the
-// job's record there, which a test may change.
+// newScriptedSchedulerWithJob returns a scheduler that leads the shard of j-1, its store, and
+// the job's live record in the store, which the test may change.
 func newScriptedSchedulerWithJob(t *testing.T) (*scheduler.Scheduler, *scriptedStore, *wire.Item) {
 	t.Helper()
 	leader, store := newScriptedScheduler(t)
@@ -80,7 +81,7 @@
 	return leader, store, &record
 }
 
-// cancelledRecord returns a living job's record as it is once the job is cancelled.
+// cancelledRecord returns the live record of a job with the job cancelled.
 func cancelledRecord(record json.RawMessage) json.RawMessage {
 	return json.RawMessage(strings.Replace(string(record), `"at":0`, `"at":0,"cancelled":true`, 1))
 }
--- a/internal/scheduler/update.go
+++ b/internal/scheduler/update.go
@@ -9,11 +9,11 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// ErrInvalidRequest means that what was requested can't be done as it was requested.
+// ErrInvalidRequest is returned for requests that can't be carried out as specified.
 var ErrInvalidRequest = errors.New("can't be done")
 
-// Hold holds a job's tasks that have not started, or releases them. Its errors are those of
-// CancelTasks.
+// Hold holds the tasks of a job that have not started, or releases them if held is false. It
+// returns the same errors as CancelTasks.
 func (s *Scheduler) Hold(ctx context.Context, uid string, held bool) error {
 	return s.updateLive(ctx, uid, func(record *jobrecord.LiveRecord) (changed bool, err error) {
 		changed = record.Constraints.Held != held
@@ -22,9 +22,9 @@
 	})
 }
 
-// CancelTasks cancels single tasks of a job. Those that are over stay as they are. The error
-// wraps ErrInvalidRequest, or statestore.ErrNotFound if there is no such living job; after any
-// other error the cancel may have been applied.
+// CancelTasks cancels individual tasks of a job. Tasks that have ended are not changed. The
+// error wraps ErrInvalidRequest, or statestore.ErrNotFound if there is no such live job. After
+// any other error the cancel may have been applied.
 func (s *Scheduler) CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error {
 	return s.updateLive(ctx, uid, func(record *jobrecord.LiveRecord) (changed bool, err error) {
 		cancelled, err := s.addCancelledTasks(record, tasks)
@@ -41,8 +41,9 @@
 	})
 }
 
-// addCancelledTasks returns the cancelled tasks of a job's record, and those of tasks that
-// aren't known to be over.
+// addCancelledTasks returns the tasks that the job's record has as cancelled, and those of the
+// given tasks that aren't known to have ended. It returns an error for a task that the job does
+// not have.
 func (s *Scheduler) addCancelledTasks(record *jobrecord.LiveRecord, tasks jobspec.Ranges) (cancelled []int, err error) {
 	if record.Constraints.CancelledTasks != "" {
 		recorded, err := jobspec.ParseRanges(record.Constraints.CancelledTasks)
@@ -67,9 +68,10 @@
 	return cancelled, nil
 }
 
-// updateLive changes a living job's constraints, again and again while others change its
-// record at the same time. As with Cancel, only the shard's leader may do so, or any
-// controller while nobody leads it. A cancelled job stays as it is.
+// updateLive applies a change to a job's live record, and retries whenever another writer
+// changes the record at the same time. As with Cancel, only the leader of the job's shard may
+// do so, or any controller while the shard has no leader. The record of a cancelled job is not
+// changed.
 func (s *Scheduler) updateLive(ctx context.Context, uid string, change func(*jobrecord.LiveRecord) (changed bool, err error)) error {
 	for {
 		record, version, err := jobrecord.ReadLive(ctx, s.store, uid)
@@ -101,7 +103,8 @@
 	}
 }
 
-// applyUpdate takes a record that was just written into the state, if the job is in it.
+// applyUpdate applies a live record that was just written to the state, if the job is in the
+// state.
 func (s *Scheduler) applyUpdate(record *jobrecord.LiveRecord, version uint64) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
--- a/internal/scheduler/wait_estimate_test.go
+++ b/internal/scheduler/wait_estimate_test.go
@@ -7,24 +7,23 @@
 	"time"
 )
 
-// A worker that reaches no controller is given up, or its tasks are stopped, and they are to run
-// elsewhere at once. They were queued on workers without room, beside idle ones: a wait that
-// was estimated at 0 to 1 s costs less than the second (pack-s) by which full workers are
-// preferred. The estimate was of tasks that were to end by then, by a report that was up to
-// two seconds old, or lost; they ran on, and the wait took 4 to 6 s, until it counted as proved
-// worse than planned. The traces of TestWorkersReachingNoController that failed with "until
-// tasks ran elsewhere" all show such a placement: "wait=0.0" on a worker with 8 of 8 CPUs in
-// use and a report 2.02 s old, "wait=0.4" and "wait=1.0" on others, next to workers that had
-// none in use.
+// Tasks of a worker that reaches no controller must run elsewhere at once. An estimated wait of
+// 0 to 1 s costs less than the advantage of one second (pack-s) by which full workers are
+// preferred, so such tasks are queued on full workers although others are idle. The estimate
+// assumes that running tasks end on time, and the report it is made from may be up to two
+// seconds old, or lost. If the tasks run on, the wait takes 4 to 6 s, until it counts as longer
+// than planned. TestWorkersReachingNoController then fails with "until tasks ran elsewhere":
+// the traces show a wait of 0.0 s for a worker with 8 of 8 CPUs in use and a report 2.02 s old,
+// or of 0.4 s or 1.0 s for others, although other workers have no CPU in use.
 
-// A task is placed where it starts now, and not where it has to wait for a task that may
-// outrun its estimate, whatever the age of the report that the estimate was made of.
+// A task is placed where it can start now instead of behind a task that may exceed its
+// estimate, however old the report is from which the wait was estimated.
 func TestTaskIsPlacedOnIdleWorkerNotBehindRunningTask(t *testing.T) {
-	const full, endsSoon, idle = 0, 1, 2 // workers, the last two of the same price
+	const full, endsSoon, idle = 0, 1, 2 // indices of workers; the last two have the same price
 	for _, c := range []struct{ remainingS, ageS float64 }{{0.4, 0}, {1, 0}, {1.4, 1}, {2, 1}, {2, 2.1}, {3, 2.1}} {
 		t.Run(fmt.Sprintf("%v s at a report %v s old", c.remainingS, c.ageS), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				for range 20 { // the costs have a random part
+				for range 20 { // the placement costs have a random part
 					cluster := newCluster(t, 3, 0)
 					cluster.acceptArray(1)
 					cluster.sendHeartbeat(full, 600)
@@ -34,7 +33,7 @@
 					cluster.scheduler.Pass()
 					refs := cluster.scheduler.PlacementsOf("j-1")
 					if len(refs) != 1 || refs[0].Worker != cluster.views[idle].Name {
-						t.Fatalf("placed on %v, and not on %s, which is idle", refs, cluster.views[idle].Name)
+						t.Fatalf("placed on %v, want %s, which is idle", refs, cluster.views[idle].Name)
 					}
 				}
 			})
@@ -42,7 +41,7 @@
 	}
 }
 
-// With no room anywhere a task is still queued where its wait is shortest.
+// If no worker has free resources, a task is queued where its wait is shortest.
 func TestTaskIsQueuedWhereWaitIsShortest(t *testing.T) {
 	for range 20 {
 		cluster := newCluster(t, 3, 0)
@@ -52,7 +51,7 @@
 		}
 		cluster.scheduler.Pass()
 		if refs := cluster.scheduler.PlacementsOf("j-1"); len(refs) != 1 || refs[0].Worker != cluster.views[2].Name {
-			t.Fatalf("queued on %v, and not on %s", refs, cluster.views[2].Name)
+			t.Fatalf("queued on %v, want %s", refs, cluster.views[2].Name)
 		}
 	}
 }
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -15,23 +15,24 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Each job changes its living record at least twice, and each controller watches all of them:
-// without a rate limit, requests to the state service grow with jobs times controllers.
-// Cancels don't wait for this watch, unless the response to the write of one was lost: a
-// leader takes them from its own writes, other controllers get them from their peers.
+// Each job's live record changes at least twice, and each controller watches all live records:
+// without a rate limit, requests to the state service grow with the product of jobs and
+// controllers. Cancels don't wait for this watch, unless the response to the write of one was
+// lost: a leader applies them after its own writes, and other controllers get them from their
+// peers.
 const (
-	watchBurst   = 4 // responses after a quiet time that are followed by no pause
+	watchBurst   = 4 // responses after a period without changes that are followed by no pause
 	watchTimeout = 20 * time.Second
-	// leaderWatchInterval is short: a job that another controller accepted starts only once
-	// its leader's watch has returned it.
+	// leaderWatchInterval is short because a job that another controller accepted starts only
+	// once its leader's watch has returned it.
 	leaderWatchInterval = 50 * time.Millisecond
-	// idleWatchInterval is for a controller without shards, to which the watch only brings
-	// cancels. What a watch returns late, after a failover to this controller, takeRecord
-	// recognizes by the revision that the shard was loaded at.
+	// idleWatchInterval applies to a controller without shards, for which the watch only
+	// reports cancels. After a failover to this controller, applyRecord recognizes outdated
+	// responses of the watch by the revision at which the shard was loaded.
 	idleWatchInterval = 200 * time.Millisecond
 )
 
-// watchInterval is the longest pause between responses of the watch.
+// watchInterval returns the maximum pause between responses of the watch.
 func (s *Scheduler) watchInterval() time.Duration {
 	if len(s.state.Membership.ClaimedShards()) > 0 {
 		return leaderWatchInterval
@@ -39,7 +40,8 @@
 	return idleWatchInterval
 }
 
-// watch follows the records of living jobs, which any controller may write.
+// watch watches the live records, which any controller may write, and applies each to the state
+// until ctx ends.
 func (s *Scheduler) watch(ctx context.Context) {
 	ctx = statestore.WithPacing(statestore.WithPriority(ctx, statestore.Urgent), statestore.Pacing{Burst: watchBurst, Pause: s.watchInterval})
 	s.store.Watch(ctx, jobrecord.LivePrefix, watchTimeout, func(items []wire.Item) {
@@ -60,7 +62,7 @@
 	})
 }
 
-// applyEncodedRecord is takeRecord for a record as it is stored.
+// applyEncodedRecord decodes a live record and passes it to applyRecord.
 func (s *Scheduler) applyEncodedRecord(key string, value json.RawMessage, version uint64) {
 	var record jobrecord.LiveRecord
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -70,23 +72,23 @@
 	s.applyRecord(&record, version)
 }
 
-// bufferedRecord is a living job's record that arrived while shards were being loaded.
+// bufferedRecord is a live record that was received while shards were being loaded.
 type bufferedRecord struct {
 	record  jobrecord.LiveRecord
 	version uint64
 }
 
-// applyRecord applies a living job's record, as it was written at a version, to the state.
-// Older and repeated ones have no effect.
+// applyRecord applies a live record of the given version to the state. Older and repeated
+// records have no effect.
 func (s *Scheduler) applyRecord(record *jobrecord.LiveRecord, version uint64) {
 	uid := record.Job.UID
 	if record.Cancelled && s.state.Cancellations != nil {
-		s.state.Cancellations.RecordCancelled(uid) // whoever leads its shard
+		s.state.Cancellations.RecordCancelled(uid) // also for a shard led elsewhere
 	}
 	if _, leads := s.state.Loaded[record.Shard]; !leads {
 		if s.loading {
-			// The listing that is being read may be older: without this, the job would
-			// wait until the next failover.
+			// The listing that is being read may not have this record yet. Without the buffer,
+			// the job would be missing from the state until the next failover.
 			s.bufferedRecords = append(s.bufferedRecords, bufferedRecord{*record, version})
 		}
 		return
@@ -102,18 +104,19 @@
 		return
 	}
 	if version <= s.listedRevision[record.Shard] {
-		// The listing that the shard was loaded with does not have the job: it ended under
-		// a predecessor, and the watch lags. Otherwise its user would get "queued" after
-		// "done", and its tasks would start again.
+		// The listing with which the shard was loaded does not contain the job: it ended under
+		// a predecessor, and the watch lags. Without this check the user would be told "queued"
+		// after "done", and the job's tasks would start again.
 		return
 	}
 	s.writer.Admit(&shardlog.JobRecords{Live: record, Version: version}, 0)
 	jobstate.Notify(s.state.PlanSignal)
 }
 
-// JobAccepted adds a job that this process has just recorded: its constraints if it has any,
-// its shard, when it was accepted (milliseconds since 1970), and the version of its record.
-// It has no effect if another controller leads the shard, or if the job is known.
+// JobAccepted adds a job that this process has just accepted and recorded: its constraints (nil
+// if it has none), its shard, its time of acceptance in milliseconds since 1970, and the
+// version of its live record. It has no effect if another controller leads the shard, or if the
+// job is already known.
 func (s *Scheduler) JobAccepted(spec *wire.Job, constraints *jobspec.Constraints, shard int, acceptedMs int64, version uint64) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
--- a/internal/scheduler/watch_test.go
+++ b/internal/scheduler/watch_test.go
@@ -9,9 +9,9 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// However many changes there are, a leader polls for changes of living jobs 20 times a second, so
-// that a job starts soon after another controller accepted it, and a controller without shards 5
-// times. A few changes are returned at once.
+// However many changes there are, a leader polls for changed live records 20 times a second, so
+// that a job accepted by another controller starts soon, and a controller without shards polls
+// 5 times a second. A few changes are returned without delay.
 func TestWatchOfLivingJobsIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0)
@@ -41,8 +41,9 @@
 	})
 }
 
-// A watch that lags returns a job's acceptance to a new leader when the job has ended under its
-// predecessor: it does not become a living job again. One that was accepted after the listing does.
+// A lagging watch returns the acceptance of a job that ended under the predecessor of a new
+// leader. The job must not become live again. A job that was accepted after the listing becomes
+// live.
 func TestLaggingWatchDoesNotReviveEndedJob(t *testing.T) {
 	for version, alive := range map[uint64]bool{9: false, 10: false, 11: true} {
 		leader, _ := newScriptedScheduler(t)
--- a/internal/scheduler/write_outcome_test.go
+++ b/internal/scheduler/write_outcome_test.go
@@ -10,16 +10,17 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A controller that lost its shard to a failover repeats the write of a job's end to which it had
-// no response. What its successor wrote meanwhile (a log record with the same key and number, or
-// the end as cancelled) is not its own write: it must call no job done and clear no task, of which
-// the successor would then never get a heartbeat.
+// A controller that lost its shard in a failover repeats the write of a job's end for which it
+// received no response. Its successor may have written a log record with the same key and
+// sequence number, or the job's end as cancelled. The controller must not mistake these for its
+// own write: it must not report the job as done, and must not clear the task, because the
+// successor would then never receive a heartbeat with the task.
 func TestSuccessorsLogRecordIsNotMistakenForOwnWrite(t *testing.T) {
 	const slot, shard = "log/000/00001", "c/shard/000"
 	for _, c := range []struct {
 		name string
 		keys []string
-		own  bool // the write was surely applied
+		own  bool // the write was definitely applied
 	}{
 		{"successor wrote the log", []string{shard, slot}, false},
 		{"successor wrote the log and the end", []string{shard, slot, "live/j-1"}, false},
@@ -29,7 +30,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			leader, store := newScriptedScheduler(t)
 			_, record := acceptedJob(t, 5)
-			other := wire.Item{Key: "live/j-2", Version: 5, // a job that goes on, so that the log is written too
+			other := wire.Item{Key: "live/j-2", Version: 5, // a job that is not over, so that the log is written too
 				Value: json.RawMessage(strings.NewReplacer("j-1", "j-2", `"pieces":1`, `"pieces":2`).Replace(string(record.Value)))}
 			store.items["live/"] = []wire.Item{record, other}
 			store.items["log/"] = []wire.Item{{
@@ -70,8 +71,9 @@
 	}
 }
 
-// A job ends in the transaction that writes over the log record which names it: a chunk record
-// that the same transaction saved would stay in the state service until the next failover.
+// A job ends in the same transaction that overwrites the log record which names it. If that
+// transaction also saved a chunk record of the job, the record would remain in the state
+// service until the next failover.
 func TestEndedJobLeavesNoChunkRecord(t *testing.T) {
 	cluster := newCluster(t, 1, 0, withLogSlots(1))
 	cluster.items = map[string][]wire.Item{
@@ -102,17 +104,18 @@
 		t.Fatal(err)
 	}
 	if state, ok := cluster.scheduler.LocalState("j-1"); !ok || state.Stage != wire.StageDone || !keys["final/j-1"] || !keys["task/j-2/00000"] {
-		t.Errorf("the ended job is %+v, %v, and the other's chunk is not saved: %v", state, ok, keys)
+		t.Errorf("the ended job is %+v, %v, or the other job's chunk is not saved: %v", state, ok, keys)
 	}
 	for key := range keys {
 		if strings.HasPrefix(key, "task/j-1/") {
-			t.Errorf("%s stays", key)
+			t.Errorf("%s is not deleted", key)
 		}
 	}
 }
 
-// The changes of a write that surely failed are written again by the leadership that made
-// them, and by no later one of the same controller.
+// The changes of a write that definitely failed are written again if the controller has led the
+// shard without interruption. They are not written again after the controller has lost the
+// shard, even if it leads the shard again.
 func TestFailedWriteIsRepeatedByItsOwnLeadershipOnly(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -155,7 +158,7 @@
 				t.Fatal(err)
 			}
 			if n := leader.QueueDepths()["unwritten"]; n > 0 != c.repeat {
-				t.Errorf("%d changes are to be written", n)
+				t.Errorf("%d changes are queued for writing", n)
 			}
 		})
 	}
