--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -21,11 +21,11 @@
 	job, record := acceptedJob(t, 11)
 	store.get = func(string) (wire.Item, error) { return record, nil }
 	if state, err := leader.Cancel(t.Context(), "j-1"); err == nil {
-		t.Fatalf("the cancel is answered %+v without a response of the state service", state)
+		t.Fatalf("the cancel is answered with %+v without a response of the state service", state)
 	}
 	leader.JobAccepted(job, nil, 0, 0, 11)
 	if state, ok := leader.LocalState("j-1"); ok {
-		t.Errorf("the leader answers %+v after a cancel that may have been applied", state)
+		t.Errorf("the leader reports %+v after a cancel that may have been applied", state)
 	}
 }
 
@@ -79,11 +79,11 @@
 				for _, outcome := range c.outcomes {
 					store.txn = func() (uint64, error) { return 0, outcome }
 					if state, err := leader.Cancel(t.Context(), "j-1"); err == nil {
-						t.Fatalf("the cancel is answered %+v", state)
+						t.Fatalf("the cancel is answered with %+v", state)
 					}
 				}
 				if state, ok := leader.LocalState("j-1"); ok != c.known || ok && state.Stage != wire.StageQueued {
-					t.Errorf("after the cancels: %+v, %v", state, ok)
+					t.Errorf("state after the cancels: %+v, %v", state, ok)
 				}
 				writes := 0
 				store.txn = func() (uint64, error) { writes++; return 12, c.renewed }
@@ -111,14 +111,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		leader, _, record := newScriptedSchedulerWithJob(t)
 		if state, err := leader.Cancel(t.Context(), "j-1"); err == nil {
-			t.Fatalf("the cancel is answered %+v", state)
+			t.Fatalf("the cancel is answered with %+v", state)
 		}
 		record.Version = 12
 		record.Value = cancelledRecord(record.Value)
 		time.Sleep(10 * time.Second)
 		leader.ResolveCancels(t.Context())
 		if state, ok := leader.LocalState("j-1"); !ok || state.Stage != wire.StageCancelled {
-			t.Errorf("%+v, %v", state, ok)
+			t.Errorf("the job's state is %+v, %v", state, ok)
 		}
 	})
 }
@@ -142,7 +142,7 @@
 			t.Errorf("the rejected cancel is answered with %+v", state)
 		}
 		if state, ok := leader.LocalState("j-1"); !ok || state.Stage != wire.StageCancelled {
-			t.Errorf("%+v, %v", state, ok)
+			t.Errorf("the job's state is %+v, %v", state, ok)
 		}
 	})
 }
--- a/internal/scheduler/cordoned_test.go
+++ b/internal/scheduler/cordoned_test.go
@@ -60,7 +60,7 @@
 				}, nil, 0, time.Now().UnixMilli(), 2)
 				cluster.scheduler.Pass()
 				if placed := cluster.scheduler.PlacedTasks("j-2") > 0; placed != c.placed {
-					t.Errorf("placed: %v", placed)
+					t.Errorf("the other task is placed: %v", placed)
 				}
 			})
 		})
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -137,7 +137,7 @@
 	if dependency.Kind == jobspec.Singleton {
 		earlier, err := s.remoteJobs.HasEarlier(ctx, constraints.Name, constraints.User, constraints.Number)
 		if err != nil {
-			return jobspec.JobFacts{}, fmt.Errorf("query earlier jobs of the name: %w", err)
+			return jobspec.JobFacts{}, fmt.Errorf("query earlier jobs of the same name: %w", err)
 		}
 		return jobspec.JobFacts{Over: !earlier, OK: true}, nil
 	}
--- a/internal/scheduler/failover.go
+++ b/internal/scheduler/failover.go
@@ -121,7 +121,7 @@
 func (s *Scheduler) readShards(ctx context.Context, shards []int, versions map[int]uint64) (f failoverRecords, err error) {
 	f.shards, f.versions = shards, versions
 	if f.token, err = s.state.Membership.NextToken(ctx); err != nil {
-		return f, fmt.Errorf("take a fencing token: %w", err)
+		return f, fmt.Errorf("obtain a fencing token: %w", err)
 	}
 	if f.chunks, _, err = s.store.List(ctx, jobrecord.ChunkPrefix); err != nil {
 		return f, fmt.Errorf("list chunk records: %w", err)
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -93,6 +93,6 @@
 		t.Errorf("after the failover: %v", depths)
 	}
 	if state, ok := cluster.scheduler.LocalState("j-late"); !ok || state.Stage != wire.StageQueued {
-		t.Errorf("state %+v, %v", state, ok)
+		t.Errorf("the job's state is %+v, %v", state, ok)
 	}
 }
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -28,9 +28,9 @@
 func (s *Scheduler) ListJobs(from jobquery.Cursor, maxRows int) (jobs []jobquery.Info, next *jobquery.Cursor) {
 	snapshots, next := s.snapshotPage(from, maxRows)
 	for i, snapshot := range snapshots {
-		info, cutTask := snapshot.info()
+		info, firstOmitted := snapshot.info()
 		jobs = append(jobs, info)
-		if cutTask == 0 {
+		if firstOmitted == 0 {
 			continue
 		}
 		number := info.Constraints.Number
@@ -40,7 +40,7 @@
 				next.SkipPlacements += from.SkipPlacements
 			}
 		}
-		next.Task = cutTask
+		next.Task = firstOmitted
 		break
 	}
 	return jobs, next
@@ -99,15 +99,15 @@
 	return snapshots, nil
 }
 
-// info formats the texts of a listing. cutTask is the first waiting task that does not fit into
-// them, 0 if all fit.
-func (s jobSnapshot) info() (info jobquery.Info, cutTask int) {
+// info formats the texts of a listing. firstOmitted is the first waiting task that does not fit
+// into them, 0 if all fit.
+func (s jobSnapshot) info() (info jobquery.Info, firstOmitted int) {
 	if len(s.waitingTasks) > 0 {
 		ranges := jobspec.RangesOf(s.waitingTasks)
-		cutTask = ranges.Truncate()
+		firstOmitted = ranges.Truncate()
 		s.PendingTasks = ranges.String()
 	}
-	return s.Info, cutTask
+	return s.Info, firstOmitted
 }
 
 // nextWaitingJob returns the job whose tasks are placed next, nil if no job has tasks to place.
--- a/internal/scheduler/queued_behind_long_task_test.go
+++ b/internal/scheduler/queued_behind_long_task_test.go
@@ -9,10 +9,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A task is queued on a worker whose tasks run a thousand times longer than estimated. A
-// duplicate of the task is to go to a worker with free resources, but the tasks of a later job
-// take all free resources in each pass before the pass looks for duplicates. The task then
-// waits for minutes although it is first in line and later tasks start every second.
+// A task is queued on a worker whose tasks run a thousand times longer than estimated, and a
+// duplicate of it is to go to a worker with free resources. If in each pass the tasks of a
+// later job take all free resources before the pass looks for duplicates, the task waits for
+// minutes although it is first in line and later tasks start every second.
 // TestTenCrashesInOneStateStoreOutage reaches this situation after an outage in one seed of
 // ten; it counts tasks behind long-running ones separately.
 
--- a/internal/scheduler/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -97,7 +97,7 @@
 		t.Errorf("the live job is listed as %+v, %v", info, ok)
 	}
 	if want := (&jobspec.Constraints{Number: 100, Name: "tips", User: "erin", Array: "0-6", MaxConcurrent: 4, NoRetry: true}); !reflect.DeepEqual(info.Constraints, want) || info.AcceptedMs != 946_684_806_000 {
-		t.Errorf("its constraints are %+v, accepted at %d; want %+v", info.Constraints, info.AcceptedMs, want)
+		t.Errorf("the live job's constraints are %+v, accepted at %d; want %+v", info.Constraints, info.AcceptedMs, want)
 	}
 	if state, err := scheduler.StoredState(t.Context(), store, "j-2"); err != nil || state != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
 		t.Errorf("the ended job is %+v, %v", state, err)
--- a/internal/scheduler/wait_estimate_test.go
+++ b/internal/scheduler/wait_estimate_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Tasks of a worker that reaches no controller must run elsewhere at once. An estimated wait of
-// 0 to 1 s costs less than the advantage of one second (pack-s) by which full workers are
-// preferred, so such tasks are queued on full workers although others are idle. The estimate
-// assumes that running tasks end on time, and the report it is made from may be up to two
-// seconds old, or lost. If the tasks run on, the wait takes 4 to 6 s, until it counts as longer
-// than planned. TestWorkersReachingNoController then fails with "until tasks ran elsewhere":
-// the traces show a wait of 0.0 s for a worker with 8 of 8 CPUs in use and a report 2.02 s old,
-// or of 0.4 s or 1.0 s for others, although other workers have no CPU in use.
+// Tasks of a worker that reaches no controller must run elsewhere at once. If a short estimated
+// wait (0 to 1 s) costs less than the second (pack-s) by which full workers are preferred, the
+// tasks are queued on full workers although others are idle. The estimate assumes that running
+// tasks end on time, and the report that it is made from may be up to two seconds old, or lost:
+// when those tasks run on, the wait takes 4 to 6 s, until it counts as longer than planned.
+// TestWorkersReachingNoController then fails with "until tasks ran elsewhere"; its traces show
+// waits of 0.0 s, 0.4 s and 1.0 s for full workers (8 of 8 CPUs in use, one with a report 2.02
+// s old) next to workers without a CPU in use.
 
 // A task is placed where it can start now instead of behind a task that may exceed its
 // estimate, however old the report is from which the wait was estimated.
--- a/internal/scheduler/watch_test.go
+++ b/internal/scheduler/watch_test.go
@@ -30,11 +30,11 @@
 				t.Errorf("the first 4 responses take %v", took)
 			}
 			if took := responses(20); took != time.Second {
-				t.Errorf("20 responses take a leader %v", took)
+				t.Errorf("20 responses to a leader take %v", took)
 			}
 			cluster.leadsNoShard.Store(true)
 			if took := responses(5); took != time.Second {
-				t.Errorf("5 responses take a controller without shards %v", took)
+				t.Errorf("5 responses to a controller without shards take %v", took)
 			}
 		}
 		_ = cluster.scheduler.Run(ctx) // ends with the context
@@ -53,7 +53,7 @@
 		job, _ := acceptedJob(t, version)
 		leader.JobAccepted(job, nil, 0, 0, version)
 		if state, ok := leader.LocalState("j-1"); ok != alive {
-			t.Errorf("accepted at %d, listed at 10: %+v, %v", version, state, ok)
+			t.Errorf("job accepted at version %d, listing at revision 10: %+v, %v", version, state, ok)
 		}
 	}
 }
--- a/internal/scheduler/write_outcome_test.go
+++ b/internal/scheduler/write_outcome_test.go
@@ -65,7 +65,7 @@
 				t.Errorf("the job is %+v, %v", state, ok)
 			}
 			if _, clears := leader.OutboxCounts(); clears > 0 != c.own {
-				t.Errorf("%d clears", clears)
+				t.Errorf("%d clears in the outbox", clears)
 			}
 		})
 	}
