--- a/internal/jobrecord/job_records.go
+++ b/internal/jobrecord/job_records.go
@@ -1,12 +1,12 @@
-// Package jobrecord has the records in which the state service holds jobs, their keys, and the
-// store interface by which schedulers read and write them.
+// Package jobrecord defines the records and keys under which the state service stores jobs, and
+// the store interfaces by which schedulers read and write them.
 //
-// A job has a live record from its acceptance to its end, and a final record ever after. What
-// happens to its tasks is recorded in the log of its shard, where one record takes the changes
-// of many jobs. A chunk of tasks gets a record of its own only when the slot of a log record
-// that names it is reused.
+// A job has a live record from its acceptance to its end, and afterwards a permanent final
+// record. Changes to its tasks are recorded in the log of its shard, in which one record holds
+// changes of many jobs. A chunk of tasks gets its own record only when the slot of a log record
+// that names the chunk is reused.
 //
-// The package holds no state. Which records are written when is up to package shardlog.
+// The package holds no state. Package shardlog decides which records are written and when.
 package jobrecord
 
 import (
@@ -22,21 +22,21 @@
 type LiveRecord struct {
 	Job        wire.Job `json:"job"`
 	Shard      int      `json:"shard"`
-	AcceptedMs int64    `json:"at"` // time of its acceptance, in milliseconds since 1970
+	AcceptedMs int64    `json:"at"` // time of acceptance in milliseconds since 1970
 	Cancelled  bool     `json:"cancelled,omitempty"`
 
-	Constraints *jobspec.Constraints `json:"terms,omitempty"` // nil: it has none
+	Constraints *jobspec.Constraints `json:"terms,omitempty"` // nil: the job has none
 }
 
-// FinalRecord is how a job ended.
+// FinalRecord describes how a job ended.
 type FinalRecord struct {
 	Stage string `json:"stage"` // as in wire.JobState
 	Done  int    `json:"done"`  // tasks that completed
 
-	Ending *jobspec.Ending `json:"end,omitempty"` // of a job with constraints
+	Ending *jobspec.Ending `json:"end,omitempty"` // nil: the job has no constraints
 }
 
-// Facts returns what jobs that depend on the ended job need to know.
+// Facts returns the facts of the ended job from which dependencies on it are evaluated.
 func (f FinalRecord) Facts() jobspec.JobFacts {
 	done := f.Stage == wire.StageDone
 	facts := jobspec.JobFacts{Over: true, OK: done, Started: done}
@@ -46,8 +46,8 @@
 	return facts
 }
 
-// HashShard returns the shard of a job. The jobs of a team with a limit or a guarantee share a
-// shard, so that one leader counts all that the team uses.
+// HashShard returns the shard of a job by a hash. The jobs of a team with a limit or a
+// guarantee share a shard, so that one leader counts everything that the team uses.
 func HashShard(job *wire.Job, teams []config.Team, shards int) int {
 	key := job.UID
 	for _, t := range teams {
@@ -60,9 +60,10 @@
 	return int(hash.Sum32() % uint32(shards))
 }
 
-// AcceptanceTxn returns the transaction that accepts a job, with its constraints unless they
-// are nil. It fails if the job is known, live or ended, or if its number belongs to another.
-// The time is in milliseconds since 1970.
+// AcceptanceTxn returns the guards and operations of the transaction that accepts a job. If
+// constraints is not nil, they are stored in the live record, and the job's number is claimed.
+// The transaction fails if the job was accepted before, whether it is live or has ended, or if
+// the number belongs to another job. atMs is the time of acceptance in milliseconds since 1970.
 func AcceptanceTxn(job *wire.Job, constraints *jobspec.Constraints, shard int, atMs int64) ([]wire.Guard, []wire.Op) {
 	guards := []wire.Guard{{Key: LivePrefix + job.UID}, {Key: FinalPrefix + job.UID}}
 	ops := []wire.Op{{Put: LivePrefix + job.UID, Value: LiveRecord{Job: *job, Shard: shard, AcceptedMs: atMs, Constraints: constraints}}}
--- a/internal/jobrecord/keys.go
+++ b/internal/jobrecord/keys.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// Prefixes of the keys. The key of a job's live or final record is the prefix and its uid.
+// Key prefixes. The key of a job's live or final record is the prefix followed by the job's
+// uid.
 const (
 	LivePrefix  = "live/"
 	FinalPrefix = "final/"
@@ -13,10 +14,10 @@
 	LogPrefix   = "log/"
 )
 
-// LogKey returns the key of a slot of a shard's log.
+// LogKey returns the key of a slot in the log of a shard.
 func LogKey(shard, slot int) string { return fmt.Sprintf("%s%03d/%05d", LogPrefix, shard, slot) }
 
-// ParseLogKey is the inverse of LogKey.
+// ParseLogKey is the inverse of LogKey. Its error names a key that is not a log key.
 func ParseLogKey(key string) (shard, slot int, err error) {
 	if _, err := fmt.Sscanf(strings.TrimPrefix(key, LogPrefix), "%d/%d", &shard, &slot); err != nil || slot < 0 {
 		return 0, 0, fmt.Errorf("not a log key: %.60q", key)
@@ -24,5 +25,5 @@
 	return shard, slot, nil
 }
 
-// ChunkKey returns the key of the own record of a job's chunk.
+// ChunkKey returns the key of the record of a job's chunk.
 func ChunkKey(uid string, chunk int) string { return fmt.Sprintf("%s%s/%05d", ChunkPrefix, uid, chunk) }
--- a/internal/jobrecord/read.go
+++ b/internal/jobrecord/read.go
@@ -7,14 +7,14 @@
 	"github.com/goccy/go-json"
 )
 
-// ReadLive reads a job's live record and its version. The error is statestore.ErrNotFound if
-// the job ended or was never accepted.
+// ReadLive reads a job's live record and the record's version. The error wraps
+// statestore.ErrNotFound if the job has ended or was never accepted.
 func ReadLive(ctx context.Context, store Reader, uid string) (record LiveRecord, version uint64, err error) {
 	version, err = readJobRecord(ctx, store, LivePrefix+uid, &record)
 	return record, version, err
 }
 
-// ReadFinal reads the record of a job that ended. The error is statestore.ErrNotFound if
+// ReadFinal reads the final record of an ended job. The error wraps statestore.ErrNotFound if
 // there is none.
 func ReadFinal(ctx context.Context, store Reader, uid string) (record FinalRecord, err error) {
 	_, err = readJobRecord(ctx, store, FinalPrefix+uid, &record)
--- a/internal/jobrecord/records_test.go
+++ b/internal/jobrecord/records_test.go
@@ -15,8 +15,8 @@
 	for data, valid := range map[string]bool{
 		`{"seq":1,"j":[]}`: true,
 		`{"seq":1,"m":["n-1"],"j":[{"u":"j-1","p":[0,1,0],"x":[0,1],"f":[2,1,7]}]}`: true,
-		`{"seq":1,"m":["n-1"],"j":[{"u":"j-1","p":[0,1]}]}`:                         false, // cut
-		`{"seq":1,"m":["n-1"],"j":[{"u":"j-1","p":[0,1,1]}]}`:                       false, // no such worker
+		`{"seq":1,"m":["n-1"],"j":[{"u":"j-1","p":[0,1]}]}`:                         false, // incomplete element
+		`{"seq":1,"m":["n-1"],"j":[{"u":"j-1","p":[0,1,1]}]}`:                       false, // worker index out of range
 		`{"seq":1,"j":[{"u":"j-1","x":[0]}]}`:                                       false,
 		`{"seq":1,"j":[{"u":"j-1","f":[2,1]}]}`:                                     false,
 		`{"seq":"1"}`:                                                               false,
@@ -36,11 +36,11 @@
 	for data, valid := range map[string]bool{
 		`{"seq":1,"done":"BQ==","next":2}`:                                 true,
 		`{"seq":1,"done":"","next":2,"machines":["n-1"],"places":[2,1,0]}`: true,
-		`{"seq":1,"done":"","next":2,"machines":["n-1"],"places":[2,1]}`:   false, // cut
-		`{"seq":1,"done":"","next":2,"machines":["n-1"],"places":[3,1,0]}`: false, // no such task
-		`{"seq":1,"done":"","next":2,"machines":["n-1"],"places":[2,1,1]}`: false, // no such worker
+		`{"seq":1,"done":"","next":2,"machines":["n-1"],"places":[2,1]}`:   false, // incomplete element
+		`{"seq":1,"done":"","next":2,"machines":["n-1"],"places":[3,1,0]}`: false, // task number out of range
+		`{"seq":1,"done":"","next":2,"machines":["n-1"],"places":[2,1,1]}`: false, // worker index out of range
 		`{"seq":1,"done":"","next":2,"failed":[0]}`:                        false,
-		`{"seq":1,"done":"AAAAAAAAAAAAAAAAAA==","next":2}`:                 false, // longer than a chunk
+		`{"seq":1,"done":"AAAAAAAAAAAAAAAAAA==","next":2}`:                 false, // more bits than a chunk has tasks
 		`[]`: false,
 	} {
 		if _, err := jobrecord.ParseChunk([]byte(data), tasks); (err == nil) != valid {
@@ -58,7 +58,7 @@
 	}
 	for _, key := range []string{"", "log/", "log/1", "log/1/-2", "live/j-1"} {
 		if _, _, err := jobrecord.ParseLogKey(key); err == nil {
-			t.Errorf("%q is taken for a log key", key)
+			t.Errorf("%q is accepted as a log key", key)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// fakeReader is a state service that holds these values, all as of version 5.
+// fakeReader is a state service that holds the given values, each with version 5.
 type fakeReader map[string]string
 
 func (i fakeReader) Get(_ context.Context, key string) (wire.Item, error) {
@@ -90,18 +90,18 @@
 func TestReadDistinguishesMissingFromUnreadableRecord(t *testing.T) {
 	store := fakeReader{"live/j-1": `{"shard":3,"cancelled":true}`, "live/j-2": `{`, "final/j-3": `{"stage":"done","done":2}`}
 	if r, version, err := jobrecord.ReadLive(t.Context(), store, "j-1"); r.Shard != 3 || !r.Cancelled || version != 5 || err != nil {
-		t.Errorf("read as %+v, version %d, %v", r, version, err)
+		t.Errorf("the live record is read as %+v, version %d, %v", r, version, err)
 	}
 	if _, _, err := jobrecord.ReadLive(t.Context(), store, "j-2"); err == nil || errors.Is(err, statestore.ErrNotFound) {
-		t.Errorf("an unreadable record: %v", err)
+		t.Errorf("reading an undecodable record: %v", err)
 	}
 	if _, _, err := jobrecord.ReadLive(t.Context(), store, "j-3"); !errors.Is(err, statestore.ErrNotFound) {
-		t.Errorf("a job that ended: %v", err)
+		t.Errorf("reading the live record of an ended job: %v", err)
 	}
 	if r, err := jobrecord.ReadFinal(t.Context(), store, "j-3"); r.Done != 2 || err != nil {
-		t.Errorf("read as %+v, %v", r, err)
+		t.Errorf("the final record is read as %+v, %v", r, err)
 	}
 	if _, err := jobrecord.ReadFinal(t.Context(), store, "j-1"); !errors.Is(err, statestore.ErrNotFound) {
-		t.Errorf("a living job: %v", err)
+		t.Errorf("reading the final record of a live job: %v", err)
 	}
 }
--- a/internal/jobrecord/task_records.go
+++ b/internal/jobrecord/task_records.go
@@ -9,20 +9,22 @@
 	"github.com/wallrack/wallrack/internal/config"
 )
 
-// ChunkSize is the number of tasks in a chunk: its record fits the smallest value limit.
+// ChunkSize is the number of tasks in a chunk. It is small enough for a chunk record to fit the
+// lowest value size limit of a state service.
 const ChunkSize = 96
 
 const (
-	valueLimitShare = 0.9 // share of the state service's value limit that a record may take
-	valueSlackBytes = 64  // bytes that a record must leave of that share
+	valueLimitShare = 0.9 // share of the state service's value size limit that a record may use
+	valueSlackBytes = 64  // bytes of that share that remain unused
 )
 
-// MaxRecordBytes returns how many bytes a record may have.
+// MaxRecordBytes returns the maximum size of a record in bytes.
 func MaxRecordBytes(cfg *config.Platform) int {
 	return int(cfg.Params.State.ValueKB*1024*valueLimitShare) - valueSlackBytes
 }
 
-// Placements and failures stand in records as plain numbers, one after the other:
+// Records encode placements, removed placements and failures as flat lists of numbers, with
+// these numbers for each element:
 //
 //	placement: task, attempt, index into the record's list of workers
 //	removed placement: task, attempt
@@ -33,18 +35,18 @@
 	numbersPerFailure   = 3
 )
 
-// ChunkRecord is the state of a chunk's tasks as of the shard's log record Seq: which are over,
-// and on which workers the others may be.
+// ChunkRecord is the state of a chunk's tasks as of the shard's log record Seq: which tasks are
+// over, and on which workers the others may be.
 type ChunkRecord struct {
 	Seq         uint64   `json:"seq"`
-	DoneBits    []byte   `json:"done"` // a bit for each task that is over
-	NextAttempt uint64   `json:"next"` // attempts below it may have been used
+	DoneBits    []byte   `json:"done"` // one bit for each task; set if the task is over: done, failed or cancelled
+	NextAttempt uint64   `json:"next"` // lower attempt numbers may have been used
 	Workers     []string `json:"machines,omitempty"`
-	Placements  []uint64 `json:"places,omitempty"` // placements
-	Failed      []uint64 `json:"failed,omitempty"` // failures
+	Placements  []uint64 `json:"places,omitempty"` // encoded placements
+	Failed      []uint64 `json:"failed,omitempty"` // encoded failures
 }
 
-// LogRecord is one write of a shard's log.
+// LogRecord is one record of a shard's log.
 type LogRecord struct {
 	Seq     uint64     `json:"seq"`
 	Workers []string   `json:"m,omitempty"`
@@ -52,26 +54,29 @@
 	QuotaMark
 }
 
-// JobEntry is what a log record states of a job's tasks.
+// JobEntry lists the changes to a job's tasks in a log record.
 type JobEntry struct {
 	UID        string   `json:"u"`
-	Placements []uint64 `json:"p,omitempty"` // new placements
-	Removed    []uint64 `json:"x,omitempty"` // removed placements
-	Done       []uint64 `json:"d,omitempty"` // tasks that completed
-	Failed     []uint64 `json:"f,omitempty"` // failures
+	Placements []uint64 `json:"p,omitempty"` // added placements, encoded
+	Removed    []uint64 `json:"x,omitempty"` // removed placements, encoded
+	Done       []uint64 `json:"d,omitempty"` // numbers of the tasks that completed
+	Failed     []uint64 `json:"f,omitempty"` // failures, encoded
 }
 
-// QuotaMark is what a log record states of its writer. Without it a later leader could not know
-// that the quota leases on record are older than tasks started by a leader that used none.
+// QuotaMark describes how the writer of a log record uses quota leases. Without it, a later
+// leader could not tell that recorded quota leases do not cover tasks that a leader without
+// quota leases started after them.
 type QuotaMark struct {
-	LeasesQuota bool `json:"l,omitempty"` // the writer starts tasks within leased limits only
-	// UnleasedVersion is the version of the latest record of a writer that leases no limits,
-	// until the quota leases account for its tasks: the log record itself may be overwritten.
+	LeasesQuota bool `json:"l,omitempty"` // the writer starts tasks only within leased limits
+	// UnleasedVersion is the version of the latest log record whose writer did not lease
+	// limits; 0: none. It is repeated in later records until the quota leases account for the
+	// tasks of that writer, because its own record may be overwritten.
 	UnleasedVersion uint64 `json:"u,omitempty"`
 }
 
-// ParseLog reads a log record. Task numbers are not checked, since the record doesn't state how
-// many tasks a job has. On an error the record holds what could be read: its Seq still counts.
+// ParseLog decodes a log record. It does not check task numbers, because the record does not
+// contain the number of tasks of a job. On an error it returns the part that could be decoded:
+// its Seq remains valid.
 func ParseLog(data json.RawMessage) (LogRecord, error) {
 	var record LogRecord
 	if err := json.Unmarshal(data, &record); err != nil {
@@ -88,7 +93,7 @@
 	return record, nil
 }
 
-// ParseChunk reads the own record of a chunk of a job with so many tasks.
+// ParseChunk decodes the record of a chunk of a job with the given number of tasks.
 func ParseChunk(data json.RawMessage, tasks int) (ChunkRecord, error) {
 	var record ChunkRecord
 	if err := json.Unmarshal(data, &record); err != nil {
@@ -108,7 +113,7 @@
 	return record, nil
 }
 
-// workersInRange reports whether the workers of all placements are in a list of that length.
+// workersInRange reports whether all placements refer to one of the given number of workers.
 func workersInRange(placements []uint64, workers int) bool {
 	for i := numbersPerPlacement - 1; i < len(placements); i += numbersPerPlacement {
 		if placements[i] >= uint64(workers) {
