--- a/internal/jobspec/constraints.go
+++ b/internal/jobspec/constraints.go
@@ -1,7 +1,8 @@
-// Package jobspec has what a job requires beyond its resources: holds, begin times, deadlines,
-// dependencies, limits on concurrency and run time. Here these constraints are checked and
-// evaluated, as pure functions of what is known and of the time; package scheduler records
-// them with the job, learns what they depend on and acts on them. Names and syntax are Slurm's.
+// Package jobspec defines what a job requires beyond its resources: holds, begin times,
+// deadlines, dependencies, and limits on concurrency and run time. It validates these
+// constraints and evaluates them as pure functions of the known facts and of the time. Package
+// scheduler stores the constraints with the job, collects the facts and enforces the outcome.
+// Names and syntax are those of Slurm.
 package jobspec
 
 import (
@@ -10,7 +11,7 @@
 	"time"
 )
 
-// Reasons why a job's tasks wait, by Slurm's names.
+// Slurm's names of the reasons why a job's tasks wait.
 const (
 	ReasonNone          = "None"
 	ReasonHeld          = "JobHeldUser"
@@ -24,7 +25,7 @@
 	ReasonResources     = "Resources"
 )
 
-// How a job, or a task of it, ended, by Slurm's names.
+// Slurm's names of the states in which a job or one of its tasks ended.
 const (
 	Completed = "COMPLETED"
 	Failed    = "FAILED"
@@ -32,43 +33,43 @@
 	Cancelled = "CANCELLED"
 	Deadline  = "DEADLINE"
 	NodeFail  = "NODE_FAIL" // of an attempt: its worker was lost
-	Preempted = "PREEMPTED" // of an attempt: it was stopped, and its task is tried again
+	Preempted = "PREEMPTED" // of an attempt: it was stopped, and its task is retried
 )
 
-// Bounds that keep a job's record small.
+// Limits on the size of a job's record.
 const (
 	MaxDependencies = 32
-	MaxName         = 200  // bytes of a job's or user's name
-	MaxArray        = 2048 // bytes of an array's indices
+	MaxName         = 200  // length of a job's or user's name in bytes
+	MaxArray        = 2048 // length of an array's indices in bytes
 )
 
 const (
-	maxFuture = 10 * 365 * 24 * time.Hour // how far ahead times may lie
-	maxLimitS = 1e9
+	maxFuture = 10 * 365 * 24 * time.Hour // maximum distance of begin times and deadlines from now
+	maxLimitS = 1e9                       // exclusive upper bound of run time limits, in seconds
 )
 
-// Constraints are what a job requires beyond its resources. Times of day are in milliseconds
-// since 1970, 0 if there is none.
+// Constraints holds what a job requires beyond its resources. Times are in milliseconds since
+// 1970, 0 if there is none.
 type Constraints struct {
-	Number                uint64       `json:"n"` // the job's; task k also has the number Number+k
+	Number                uint64       `json:"n"` // number of the job; task k also has the number Number+k
 	Name                  string       `json:"name,omitempty"`
 	User                  string       `json:"user,omitempty"`
-	Array                 string       `json:"array,omitempty"`   // indices of an array's tasks, as Ranges; "": not an array
-	MaxConcurrent         int          `json:"most,omitempty"`    // tasks that may run at once; 0: all
-	Held                  bool         `json:"held,omitempty"`    // no start until its user releases it
-	BeginMs               int64        `json:"begin,omitempty"`   // no start before it
-	DeadlineMs            int64        `json:"until,omitempty"`   // cancelled if not done by then
-	LimitS                float64      `json:"limit,omitempty"`   // run time of a task, in seconds; 0: unlimited
-	NoRetry               bool         `json:"final,omitempty"`   // a task that ends with an exit code of its own is not tried again
+	Array                 string       `json:"array,omitempty"`   // indices of an array's tasks, in the syntax of Ranges; "": not an array
+	MaxConcurrent         int          `json:"most,omitempty"`    // maximum number of tasks that run at the same time; 0: unlimited
+	Held                  bool         `json:"held,omitempty"`    // no task starts until the user releases the job
+	BeginMs               int64        `json:"begin,omitempty"`   // no task starts before this time
+	DeadlineMs            int64        `json:"until,omitempty"`   // the job is cancelled if it is not done by this time
+	LimitS                float64      `json:"limit,omitempty"`   // maximum run time of a task in seconds; 0: unlimited
+	NoRetry               bool         `json:"final,omitempty"`   // a task that ends with its own exit code is not retried
 	AnyDependency         bool         `json:"any,omitempty"`     // one satisfied dependency is enough
-	Dependencies          []Dependency `json:"after,omitempty"`   // on other jobs
-	CancelIfUnsatisfiable bool         `json:"never,omitempty"`   // cancelled once its dependencies are unsatisfiable
-	CancelledTasks        string       `json:"dropped,omitempty"` // tasks that were cancelled individually, as Ranges
-	CancelReason          string       `json:"why,omitempty"`     // how it ended, if its own constraints cancelled it
+	Dependencies          []Dependency `json:"after,omitempty"`   // dependencies on other jobs
+	CancelIfUnsatisfiable bool         `json:"never,omitempty"`   // the job is cancelled once its dependencies are unsatisfiable
+	CancelledTasks        string       `json:"dropped,omitempty"` // tasks that were cancelled individually, in the syntax of Ranges
+	CancelReason          string       `json:"why,omitempty"`     // state in which the job ended, if its own constraints cancelled it
 }
 
-// Validate checks the constraints of a submitted job of so many tasks. Errors start with the
-// JSON name of the field at fault; users see them.
+// Validate checks the constraints of a submitted job with the given number of tasks. Errors are
+// shown to users and start with the JSON name of the invalid field.
 func (c *Constraints) Validate(tasks int, gang, service bool, now time.Time) error {
 	switch {
 	case c.Number == 0:
@@ -128,8 +129,9 @@
 	return nil
 }
 
-// WaitReason returns why no task may start now, given the outcome of the dependencies, or "" if
-// tasks may start. Of several reasons the first one counts in the order below.
+// WaitReason returns the reason why no task may start now, given the combined outcome of the
+// dependencies, or "" if tasks may start. If several reasons apply, it returns the first in the
+// order of the cases below.
 func (c *Constraints) WaitReason(dependencies Outcome, nowMs int64) string {
 	switch {
 	case c.Held:
@@ -144,13 +146,13 @@
 	return ""
 }
 
-// Ending is how a job with constraints ended; it is kept with the job's final record. Times of
-// day are in milliseconds since 1970.
+// Ending describes how a job with constraints ended. It is stored in the job's final record.
+// Times are in milliseconds since 1970.
 type Ending struct {
 	Number  uint64 `json:"n"`
-	State   string `json:"s"`           // Slurm's name
-	Exit    int    `json:"x,omitempty"` // the highest of the tasks' exit codes
-	Failed  int    `json:"f,omitempty"` // tasks that are over and not done
-	StartMs int64  `json:"b,omitempty"` // 0: never, or not known
+	State   string `json:"s"`           // one of Slurm's names
+	Exit    int    `json:"x,omitempty"` // highest exit code of the tasks
+	Failed  int    `json:"f,omitempty"` // number of tasks that are over but not done
+	StartMs int64  `json:"b,omitempty"` // 0: never started, or not known
 	EndMs   int64  `json:"e"`
 }
--- a/internal/jobspec/constraints_test.go
+++ b/internal/jobspec/constraints_test.go
@@ -7,7 +7,8 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// A job that is over decides a dependency for good; before, the dependency is pending.
+// The end of the other job decides a dependency permanently. Until then the dependency is
+// pending, or already satisfied if it requires only the other job's start.
 func TestDependencyOutcomeByStateOfOtherJob(t *testing.T) {
 	var waiting jobspec.JobFacts
 	running := jobspec.JobFacts{Started: true, StartedMs: 1000}
@@ -35,7 +36,7 @@
 		{jobspec.Singleton, 0, done, jobspec.Satisfied},
 	} {
 		if got := (jobspec.Dependency{Kind: c.kind, DelayS: c.delayS}).Evaluate(c.facts, nowMs); got != c.want {
-			t.Errorf("%s+%d, %+v: %v, not %v", c.kind, c.delayS, c.facts, got, c.want)
+			t.Errorf("%s+%d, %+v: got %v, want %v", c.kind, c.delayS, c.facts, got, c.want)
 		}
 	}
 }
@@ -55,7 +56,7 @@
 		{[]jobspec.Outcome{unsatisfiable, unsatisfiable}, unsatisfiable, unsatisfiable},
 	} {
 		if a, b := requireAll.Combine(c.outcomes), requireAny.Combine(c.outcomes); a != c.all || b != c.any {
-			t.Errorf("%v: all %v, any %v", c.outcomes, a, b)
+			t.Errorf("%v: outcome %v if all are required, %v if any is", c.outcomes, a, b)
 		}
 	}
 }
@@ -74,7 +75,7 @@
 	}
 }
 
-// Users see these texts; scripts may match them.
+// Users see these error texts, and scripts may match them.
 func TestValidateErrorNamesInvalidField(t *testing.T) {
 	now := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	for _, c := range []struct {
@@ -100,7 +101,7 @@
 			got = err.Error()
 		}
 		if got != c.want {
-			t.Errorf("%s: %q, not %q", c.name, got, c.want)
+			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/jobspec/dependency.go
+++ b/internal/jobspec/dependency.go
@@ -6,24 +6,24 @@
 	"strconv"
 )
 
-// Kinds of dependency, by Slurm's names.
+// Slurm's names of the kinds of dependency.
 const (
-	After      = "after"      // the other job has started, or was cancelled
-	AfterAny   = "afterany"   // it is over
-	AfterOK    = "afterok"    // all its tasks are done
-	AfterNotOK = "afternotok" // it is over, and not all its tasks are done
-	Singleton  = "singleton"  // no earlier job of the same name and user is left
+	After      = "after"      // the other job has started or has ended, also by a cancel
+	AfterAny   = "afterany"   // the other job has ended
+	AfterOK    = "afterok"    // the other job has ended, and all its tasks are done
+	AfterNotOK = "afternotok" // the other job has ended, and not all its tasks are done
+	Singleton  = "singleton"  // all earlier jobs of the same name and user have ended
 )
 
 // Dependency is a dependency on another job.
 type Dependency struct {
 	Kind   string `json:"k"`
-	Job    string `json:"j,omitempty"` // uid; "" for Singleton
-	Number uint64 `json:"n,omitempty"` // the other job's
-	DelayS int64  `json:"d,omitempty"` // of After: seconds after the other job's start
+	Job    string `json:"j,omitempty"` // uid of the other job; "" for Singleton
+	Number uint64 `json:"n,omitempty"` // number of the other job
+	DelayS int64  `json:"d,omitempty"` // for After: minimum delay in seconds after the other job's start
 }
 
-// validate checks a dependency of a submitted job of that name.
+// validate checks a dependency of a submitted job with the given name.
 func (d Dependency) validate(jobName string) error {
 	switch d.Kind {
 	case After, AfterAny, AfterOK, AfterNotOK:
@@ -43,26 +43,26 @@
 	return nil
 }
 
-// JobFacts are what is known of a job on which another depends. A job that is over stays over,
-// and OK doesn't change then.
+// JobFacts holds the known facts of a job on which another job depends. Once Over is set,
+// neither Over nor OK changes.
 type JobFacts struct {
 	Started   bool  `json:"started"`
 	StartedMs int64 `json:"startedMs,omitempty"` // milliseconds since 1970; 0: not known
 	Over      bool  `json:"over"`
-	OK        bool  `json:"ok"` // all its tasks are done
+	OK        bool  `json:"ok"` // all tasks are done
 }
 
-// Outcome is what has become of a dependency, or of all of a job.
+// Outcome is the outcome of a dependency, or of all dependencies of a job combined.
 type Outcome int
 
-// Outcomes of a dependency. The last two are final.
+// Outcomes of a dependency. Satisfied and Unsatisfiable are final.
 const (
 	Pending Outcome = iota
 	Satisfied
 	Unsatisfiable
 )
 
-// String names the outcome, for messages.
+// String returns the outcome's name for messages.
 func (o Outcome) String() string {
 	switch o {
 	case Pending:
@@ -75,8 +75,8 @@
 	return "outcome " + strconv.Itoa(int(o))
 }
 
-// Evaluate returns the outcome of a dependency by the facts of the other job. For Singleton,
-// Over states that no earlier job of the name is left.
+// Evaluate returns the outcome of a dependency from the facts of the other job. For Singleton,
+// facts.Over states that all earlier jobs of the name have ended.
 func (d Dependency) Evaluate(facts JobFacts, nowMs int64) Outcome {
 	if d.Kind == After {
 		if !facts.Started && !facts.Over || facts.StartedMs+1000*d.DelayS > nowMs {
@@ -93,8 +93,8 @@
 	return Satisfied
 }
 
-// Combine returns the outcome of all the job's dependencies together. Without any, it is
-// Satisfied.
+// Combine returns the combined outcome of the outcomes of the job's dependencies. It is
+// Satisfied if there are none.
 func (c *Constraints) Combine(outcomes []Outcome) Outcome {
 	var pending, satisfied int
 	for _, outcome := range outcomes {
--- a/internal/jobspec/example_test.go
+++ b/internal/jobspec/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// A job waits for another one to be done, and then for its begin time.
+// A job waits until another job is done, and then for its begin time.
 func ExampleConstraints_WaitReason() {
 	submitted := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	constraints := &jobspec.Constraints{
--- a/internal/jobspec/ranges.go
+++ b/internal/jobspec/ranges.go
@@ -9,22 +9,24 @@
 )
 
 const (
-	maxIndex = 4_000_000 // largest index of an array's task, and largest number of tasks
-	maxSpans = 512       // ranges in one text
+	maxIndex = 4_000_000 // largest index of an array's task, and maximum number of tasks
+	maxSpans = 512       // maximum number of ranges in one text
 )
 
-// span is the numbers from first to last, both included, by step.
+// span is an arithmetic sequence of numbers: from first to last, both included, in steps of
+// step.
 type span struct{ first, last, step int }
 
 func (s span) len() int { return (s.last-s.first)/s.step + 1 }
 
-// Ranges is a set of numbers from 0 in the order in which an array's tasks have them, which
-// Slurm writes as "0-15:2,20". The zero value is empty; ParseRanges never returns that without
-// an error.
+// Ranges is a set of non-negative numbers, in the order of the tasks of an array. Slurm writes
+// it as "0-15:2,20". The zero value is the empty set, which ParseRanges returns only with an
+// error.
 type Ranges struct{ spans []span }
 
-// ParseRanges reads a set as Slurm writes it. The ranges may stand in any order; no number may
-// stand twice, be larger than four million, or be one of more than that. Users see its errors.
+// ParseRanges parses a set in Slurm's syntax. The ranges may be in any order. A number must not
+// occur twice or exceed four million, and the set must not have more numbers than that. Users
+// see the errors.
 func ParseRanges(text string) (Ranges, error) {
 	var r Ranges
 	for _, part := range strings.Split(text, ",") {
@@ -41,7 +43,7 @@
 	return r, r.checkDistinct()
 }
 
-// parseSpan reads "first", "first-last" or "first-last:step".
+// parseSpan parses "first", "first-last" or "first-last:step".
 func parseSpan(text string) (span, error) {
 	bounds, step, hasStep := strings.Cut(text, ":")
 	first, last, hasLast := strings.Cut(bounds, "-")
@@ -76,19 +78,20 @@
 	return n, nil
 }
 
-// checkDistinct returns an error if a number stands twice, or if there are too many. Spans may lie
-// in one another's gaps; only then the numbers are looked at one by one.
+// checkDistinct returns an error if a number occurs twice, or if there are too many numbers.
+// Spans may be interleaved, as in "0-8:2,1-9:2"; only if their bounds overlap does it compare
+// the numbers one by one.
 func (r Ranges) checkDistinct() error {
 	total := r.Len()
 	if total > maxIndex {
 		return errors.New("too many numbers")
 	}
-	end, nested := -1, false
+	end, overlapping := -1, false
 	for _, s := range r.spans {
-		nested = nested || s.first <= end
+		overlapping = overlapping || s.first <= end
 		end = max(end, s.last)
 	}
-	if !nested {
+	if !overlapping {
 		return nil
 	}
 	seen := make(map[int]struct{}, total)
@@ -101,7 +104,7 @@
 	return nil
 }
 
-// Len returns how many numbers there are.
+// Len returns the number of elements.
 func (r Ranges) Len() int {
 	n := 0
 	for _, s := range r.spans {
@@ -110,7 +113,8 @@
 	return n
 }
 
-// All returns the numbers, span by span: in the order of an array's tasks.
+// All iterates over the numbers in the order of the tasks of an array: span by span, each in
+// ascending order.
 func (r Ranges) All() func(yield func(int) bool) {
 	return func(yield func(int) bool) {
 		for _, s := range r.spans {
@@ -123,7 +127,8 @@
 	}
 }
 
-// At returns the k-th number of All, counted from 0, or -1 if there are fewer.
+// At returns the number at position k in the order of All, counted from 0, or -1 if there is
+// none.
 func (r Ranges) At(k int) int {
 	for _, s := range r.spans {
 		if k < s.len() {
@@ -134,7 +139,8 @@
 	return -1
 }
 
-// IndexOf is the inverse of At: it returns the position of a number in All, or -1.
+// IndexOf is the inverse of At: it returns the position of a number in the order of All, or -1
+// if the set does not contain the number.
 func (r Ranges) IndexOf(n int) int {
 	before := 0
 	for _, s := range r.spans {
@@ -146,18 +152,19 @@
 	return -1
 }
 
-// Bounds returns the least and the largest number; 0 and 0 if there is none.
-func (r Ranges) Bounds() (least, most int) {
+// Bounds returns the lowest and the highest number, or 0 and 0 for the empty set.
+func (r Ranges) Bounds() (lowest, highest int) {
 	for i, s := range r.spans {
 		if i == 0 {
-			least = s.first
+			lowest = s.first
 		}
-		least, most = min(least, s.first), max(most, s.last)
+		lowest, highest = min(lowest, s.first), max(highest, s.last)
 	}
-	return least, most
+	return lowest, highest
 }
 
-// Step returns the step of the first range, as in SLURM_ARRAY_TASK_STEP; 1 if there is none.
+// Step returns the step of the first range, as in SLURM_ARRAY_TASK_STEP, or 1 for the empty
+// set.
 func (r Ranges) Step() int {
 	if len(r.spans) == 0 {
 		return 1
@@ -165,8 +172,8 @@
 	return r.spans[0].step
 }
 
-// Truncate drops the ranges beyond the number that ParseRanges takes, and returns the first number
-// that it dropped, or 0 if it dropped none.
+// Truncate removes the ranges beyond the maximum number that ParseRanges accepts. It returns
+// the first number that it removed, or 0 if it removed none.
 func (r *Ranges) Truncate() int {
 	if len(r.spans) <= maxSpans {
 		return 0
@@ -176,7 +183,7 @@
 	return first
 }
 
-// String returns the ranges as ParseRanges reads them.
+// String returns the set in the syntax of ParseRanges.
 func (r Ranges) String() string {
 	var b strings.Builder
 	for i, s := range r.spans {
@@ -196,8 +203,8 @@
 	return b.String()
 }
 
-// RangesOf returns the set of the numbers, which must not be negative. It sorts the slice and
-// overwrites what follows its distinct numbers.
+// RangesOf returns the set of the given numbers, which must not be negative. It sorts the
+// slice, moves the distinct numbers to its front and overwrites the rest.
 func RangesOf(numbers []int) Ranges {
 	slices.Sort(numbers)
 	numbers = slices.Compact(numbers)
--- a/internal/jobspec/ranges_test.go
+++ b/internal/jobspec/ranges_test.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// What is written is what was read, and At and Find are inverse to each other.
+// Parsing the text of a set yields the same set, and At and IndexOf are inverse to each other.
 func TestRangesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		numbers := rapid.SliceOfNDistinct(rapid.IntRange(0, 900), 1, 60, rapid.ID[int]).Draw(t, "numbers")
@@ -20,20 +20,20 @@
 		}
 		slices.Sort(numbers)
 		if got := slices.Collect(read.All()); !slices.Equal(got, numbers) || read.Len() != len(numbers) {
-			t.Fatalf("%s gives %v, not %v", written, got, numbers)
+			t.Fatalf("%s is parsed as %v, want %v", written, got, numbers)
 		}
 		for k, n := range numbers {
 			if read.At(k) != n || read.IndexOf(n) != k {
-				t.Fatalf("%s: position %d has %d, number %d is at %d", read.String(), k, read.At(k), n, read.IndexOf(n))
+				t.Fatalf("%s: At(%d) is %d, IndexOf(%d) is %d", read.String(), k, read.At(k), n, read.IndexOf(n))
 			}
 		}
-		if least, most := read.Bounds(); least != numbers[0] || most != numbers[len(numbers)-1] {
-			t.Fatalf("bounds %d, %d of %v", least, most, numbers)
+		if lowest, highest := read.Bounds(); lowest != numbers[0] || highest != numbers[len(numbers)-1] {
+			t.Fatalf("bounds %d, %d of %v", lowest, highest, numbers)
 		}
 	})
 }
 
-// An array's indices may lie in each other's gaps, but none may stand twice.
+// The ranges of an array may be interleaved, but no index may occur twice.
 func TestParseRangesAcceptsSlurmSyntaxOnly(t *testing.T) {
 	const invalid = -1
 	for text, numbers := range map[string]int{
@@ -43,7 +43,7 @@
 	} {
 		r, err := jobspec.ParseRanges(text)
 		if numbers == invalid && err == nil || numbers != invalid && (err != nil || r.Len() != numbers) {
-			t.Errorf("%q: %d numbers, %v", text, r.Len(), err)
+			t.Errorf("%q is parsed as %d numbers, %v", text, r.Len(), err)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 		}
 		again, err := jobspec.ParseRanges(r.String())
 		if err != nil || again.Len() != r.Len() {
-			t.Fatalf("%q is written %q: %v", text, r.String(), err)
+			t.Fatalf("%q is formatted as %q: %v", text, r.String(), err)
 		}
 	})
 }
--- a/internal/jobspec/recorded_test.go
+++ b/internal/jobspec/recorded_test.go
@@ -24,7 +24,7 @@
 	recorded.Check(t, "facts-none", jobspec.JobFacts{})
 }
 
-// These names are stored, and shown by clients.
+// These names are stored in records and shown by clients.
 func TestRecordedNames(t *testing.T) {
 	got := []string{
 		jobspec.After, jobspec.AfterAny, jobspec.AfterOK, jobspec.AfterNotOK, jobspec.Singleton,
@@ -42,6 +42,6 @@
 		t.Errorf("names %q, want %q", got, want)
 	}
 	if text := jobspec.RangesOf([]int{20, 0, 2, 4, 7, 8, 9}).String(); text != "0,2,4,7-9,20" {
-		t.Errorf("numbers are written %q", text)
+		t.Errorf("numbers are formatted as %q", text)
 	}
 }
