--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -144,8 +144,8 @@
 	switch {
 	case ending == nil && info.Stage == wire.StageDone, ending != nil && ending.State == jobspec.Completed:
 		return nil
-	case ending != nil && ending.Exit > 0:
-		return &exitError{ending.Exit}
+	case ending != nil && ending.ExitCode > 0:
+		return &exitError{ending.ExitCode}
 	}
 	return &exitError{1}
 }
--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -210,7 +210,7 @@
 		Jobs: []jobquery.Info{{
 			Job: fullJob(), Constraints: fullConstraints(), AcceptedMs: 1700000000123, Stage: wire.StageRunning, Reason: "Resources", EligibleMs: 1700000001123,
 			StartMs: 1700000002123, PendingTasks: "4-7", PendingCount: 4, Placements: []jobquery.Placement{{Task: 3, Attempt: 2, Worker: "n-000231", StartMs: 1700000003123, Halted: true}},
-			Running: 1, Done: 2, Failed: 6, Ending: &jobspec.Ending{Number: 4001, State: "FAILED", Exit: 137, Failed: 6, StartMs: 1700000002123, EndMs: 1700000009123},
+			Running: 1, Done: 2, Failed: 6, Ending: &jobspec.Ending{Number: 4001, State: "FAILED", ExitCode: 137, Failed: 6, StartMs: 1700000002123, EndMs: 1700000009123},
 		}},
 	})
 	recorded.Check(t, "desk_reply_empty", slurmapi.Reply{})
--- a/internal/controller/remote_jobs.go
+++ b/internal/controller/remote_jobs.go
@@ -44,7 +44,7 @@
 			return reply.Facts, nil
 		}
 	}
-	return scheduler.StoredFacts(ctx, r.store, uid)
+	return scheduler.ReadStoredFacts(ctx, r.store, uid)
 }
 
 // HasEarlier reports whether another leader has an unfinished job of the name and user with a
--- a/internal/jobspec/constraints.go
+++ b/internal/jobspec/constraints.go
@@ -44,8 +44,8 @@
 )
 
 const (
-	maxFuture = 10 * 365 * 24 * time.Hour // maximum distance of begin times and deadlines from now
-	maxLimitS = 1e9                       // exclusive upper bound of run time limits, in seconds
+	maxTimeAhead = 10 * 365 * 24 * time.Hour // maximum distance of begin times and deadlines from now
+	maxLimitS    = 1e9                       // exclusive upper bound of run time limits, in seconds
 )
 
 // Constraints holds what a job requires beyond its resources. Times are in milliseconds since
@@ -102,7 +102,7 @@
 }
 
 func (c *Constraints) validateTimes(service bool, now time.Time) error {
-	inRange := func(ms int64) bool { return ms >= 0 && ms < now.Add(maxFuture).UnixMilli() }
+	inRange := func(ms int64) bool { return ms >= 0 && ms < now.Add(maxTimeAhead).UnixMilli() }
 	limitInRange := c.LimitS >= 0 && c.LimitS < maxLimitS // false for NaN
 	switch {
 	case !inRange(c.BeginMs) || !inRange(c.DeadlineMs):
@@ -149,10 +149,10 @@
 // Ending describes how a job with constraints ended. It is stored in the job's final record.
 // Times are in milliseconds since 1970.
 type Ending struct {
-	Number  uint64 `json:"n"`
-	State   string `json:"s"`           // one of Slurm's names
-	Exit    int    `json:"x,omitempty"` // highest exit code of the tasks
-	Failed  int    `json:"f,omitempty"` // number of tasks that are over but not done
-	StartMs int64  `json:"b,omitempty"` // 0: never started, or not known
-	EndMs   int64  `json:"e"`
+	Number   uint64 `json:"n"`
+	State    string `json:"s"`           // one of Slurm's names
+	ExitCode int    `json:"x,omitempty"` // highest exit code of the tasks
+	Failed   int    `json:"f,omitempty"` // number of tasks that are over but not done
+	StartMs  int64  `json:"b,omitempty"` // 0: never started, or not known
+	EndMs    int64  `json:"e"`
 }
--- a/internal/jobspec/recorded_test.go
+++ b/internal/jobspec/recorded_test.go
@@ -18,7 +18,7 @@
 		CancelIfUnsatisfiable: true, CancelledTasks: "3,7-9", CancelReason: jobspec.Cancelled,
 	})
 	recorded.Check(t, "terms-none", jobspec.Constraints{Number: 1})
-	recorded.CheckFull(t, "ending-full", jobspec.Ending{Number: 4100, State: jobspec.Timeout, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000})
+	recorded.CheckFull(t, "ending-full", jobspec.Ending{Number: 4100, State: jobspec.Timeout, ExitCode: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000})
 	recorded.Check(t, "ending-none", jobspec.Ending{Number: 1, State: jobspec.Completed})
 	recorded.CheckFull(t, "facts-full", jobspec.JobFacts{Started: true, StartedMs: 1_796_000_001_000, Over: true, OK: true})
 	recorded.Check(t, "facts-none", jobspec.JobFacts{})
--- a/internal/jobstate/accounting.go
+++ b/internal/jobstate/accounting.go
@@ -24,7 +24,7 @@
 	}
 	if c := job.Constraints; c != nil {
 		end := s.EndStateOf(job)
-		row.Number, row.State, row.Exit, row.Start, row.End = c.Number, end.State, int32(end.Exit), end.StartMs, end.EndMs
+		row.Number, row.State, row.Exit, row.Start, row.End = c.Number, end.State, int32(end.ExitCode), end.StartMs, end.EndMs
 		row.Name, row.User, row.Array, row.Eligible = c.Name, c.User, c.Array, c.EligibleMs
 	}
 	return row
--- a/internal/jobstate/outcome.go
+++ b/internal/jobstate/outcome.go
@@ -108,7 +108,7 @@
 		StartMs: constraints.StartMs, EndMs: constraints.EndMs,
 	}
 	outcome, exitCode := job.worstFailure()
-	end.Exit = exitCode
+	end.ExitCode = exitCode
 	switch {
 	case job.EndStage == wire.StageDone:
 	case constraints.CancelReason != "":
--- a/internal/rolloutapi/core.go
+++ b/internal/rolloutapi/core.go
@@ -55,7 +55,7 @@
 // Submit records a job's acceptance under further conditions. A job that is known already is
 // no error.
 func (c *core) Submit(ctx context.Context, job *wire.Job, guards ...wire.Guard) error {
-	if _, err := scheduler.StoredState(ctx, c.Store, job.UID); err == nil {
+	if _, err := scheduler.ReadStoredState(ctx, c.Store, job.UID); err == nil {
 		return nil
 	} else if !errors.Is(err, statestore.ErrNotFound) {
 		return err
--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -34,7 +34,7 @@
 		if errors.Is(err, statestore.ErrNotFound) {
 			// The live record is not read again: the cancel of a job that was accepted in the
 			// meantime would be answered with "queued".
-			return storedEnd(ctx, s.store, uid)
+			return readStoredEnd(ctx, s.store, uid)
 		}
 		if err != nil {
 			return wire.JobState{}, err
@@ -67,7 +67,7 @@
 		constraints.CancelReason = reason
 		record.Constraints = &constraints
 	}
-	revision, err := s.writeLive(ctx, record, version, shardVersion)
+	revision, err := s.writeLiveRecord(ctx, record, version, shardVersion)
 	if job != nil && definitelyFailed(err) {
 		s.state.Mu.Lock()
 		job.PendingCancels.RecordFailed(version)
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -67,7 +67,8 @@
 	return false
 }
 
-// factsOf returns the progress of a job that this leader has, or whose end it still remembers.
+// factsOf returns the progress of a job whose shard this leader leads, or the end of a job
+// whose final record is still in memory.
 func (s *Scheduler) factsOf(uid string) (facts jobspec.JobFacts, known bool) {
 	if job := s.state.Jobs[uid]; job != nil {
 		facts.Started = job.Started > 0 || job.Done > 0
@@ -82,9 +83,9 @@
 	return jobspec.JobFacts{}, false
 }
 
-// LocalFacts returns the progress of a job that this leader has, or whose end it still
-// remembers. It reports false for other jobs, and for all jobs while this controller's lease
-// does not hold.
+// LocalFacts returns the progress of a job whose shard this leader leads, or the end of a job
+// whose final record is still in memory. It reports false for other jobs, and for all jobs
+// while this controller's lease does not hold.
 func (s *Scheduler) LocalFacts(uid string) (jobspec.JobFacts, bool) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -102,9 +103,9 @@
 	return s.hasEarlier(name, user, number)
 }
 
-// StoredFacts returns how a job ended according to the state service. The error wraps
+// ReadStoredFacts returns how a job ended according to the state service. The error wraps
 // statestore.ErrNotFound for a live job, whose progress only the leader of its shard knows.
-func StoredFacts(ctx context.Context, store jobrecord.Reader, uid string) (jobspec.JobFacts, error) {
+func ReadStoredFacts(ctx context.Context, store jobrecord.Reader, uid string) (jobspec.JobFacts, error) {
 	final, err := jobrecord.ReadFinal(ctx, store, uid)
 	if err != nil {
 		return jobspec.JobFacts{}, err
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -28,7 +28,7 @@
 	return job.PublicState(), true
 }
 
-// RefineState returns the state that StoredState has just returned for a job, refined by what
+// RefineState returns the state that ReadStoredState has just returned for a job, refined by what
 // this controller knows of the job's tasks if it leads the job's shard. The state service
 // records every live job as queued: without this function a running job whose cancel has an
 // unknown outcome, for which LocalState reports false, would be reported as queued.
@@ -84,8 +84,8 @@
 	return job.Cancelled || s.state.Cancellations == nil || !s.state.Cancellations.IsCancelled(job.Spec.UID)
 }
 
-// StoredState returns a job's state as ReadStoredJob reads it.
-func StoredState(ctx context.Context, store jobrecord.Reader, uid string) (wire.JobState, error) {
+// ReadStoredState returns a job's state as ReadStoredJob reads it.
+func ReadStoredState(ctx context.Context, store jobrecord.Reader, uid string) (wire.JobState, error) {
 	job, err := ReadStoredJob(ctx, store, uid)
 	return job.State, err
 }
@@ -124,12 +124,12 @@
 	if !errors.Is(err, statestore.ErrNotFound) {
 		return StoredJob{}, err
 	}
-	state, err := storedEnd(ctx, store, uid)
+	state, err := readStoredEnd(ctx, store, uid)
 	return StoredJob{State: state}, err
 }
 
-// storedEnd returns the state of a job that has no live record.
-func storedEnd(ctx context.Context, store jobrecord.Reader, uid string) (wire.JobState, error) {
+// readStoredEnd returns the final state of a job that has no live record.
+func readStoredEnd(ctx context.Context, store jobrecord.Reader, uid string) (wire.JobState, error) {
 	final, err := jobrecord.ReadFinal(ctx, store, uid)
 	if err != nil {
 		return wire.JobState{}, err
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -28,7 +28,7 @@
 func (s *Scheduler) ListJobs(from jobquery.Cursor, maxRows int) (jobs []jobquery.Info, next *jobquery.Cursor) {
 	snapshots, next := s.snapshotPage(from, maxRows)
 	for i, snapshot := range snapshots {
-		info, firstOmitted := snapshot.info()
+		info, firstOmitted := snapshot.listingInfo()
 		jobs = append(jobs, info)
 		if firstOmitted == 0 {
 			continue
@@ -99,9 +99,9 @@
 	return snapshots, nil
 }
 
-// info formats the texts of a listing. firstOmitted is the first waiting task that does not fit
-// into them, 0 if all fit.
-func (s jobSnapshot) info() (info jobquery.Info, firstOmitted int) {
+// listingInfo formats the texts of a listing. firstOmitted is the first waiting task that does
+// not fit into them, 0 if all fit.
+func (s jobSnapshot) listingInfo() (info jobquery.Info, firstOmitted int) {
 	if len(s.waitingTasks) > 0 {
 		ranges := jobspec.RangesOf(s.waitingTasks)
 		firstOmitted = ranges.Truncate()
@@ -209,7 +209,7 @@
 	if !ok {
 		return jobquery.Info{}, false
 	}
-	info, _ := snapshot.info()
+	info, _ := snapshot.listingInfo()
 	return info, true
 }
 
@@ -225,10 +225,10 @@
 	return s.snapshot(job, s.nextWaitingJob(), 0), true
 }
 
-// StoredJobInfo returns what the state service records of a job: the submission of a live job,
-// or the end of an ended one. The error wraps statestore.ErrNotFound if the job was never
+// ReadStoredJobInfo returns what the state service records of a job: the submission of a live
+// job, or the end of an ended one. The error wraps statestore.ErrNotFound if the job was never
 // accepted.
-func StoredJobInfo(ctx context.Context, store jobrecord.Reader, uid string) (jobquery.Info, error) {
+func ReadStoredJobInfo(ctx context.Context, store jobrecord.Reader, uid string) (jobquery.Info, error) {
 	record, _, err := jobrecord.ReadLive(ctx, store, uid)
 	if err == nil {
 		info := jobquery.Info{Job: record.Job, Constraints: record.Constraints, AcceptedMs: record.AcceptedMs, Stage: wire.StageQueued}
--- a/internal/scheduler/live_record.go
+++ b/internal/scheduler/live_record.go
@@ -10,16 +10,16 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// writeLive replaces a job's live record, whose current version is given, provided that the key
-// of its shard still has shardVersion (0 if the shard has no leader). It returns the new
-// version of the record.
-func (s *Scheduler) writeLive(ctx context.Context, record *jobrecord.LiveRecord, version, shardVersion uint64) (uint64, error) {
+// writeLiveRecord replaces a job's live record, whose current version is given, provided that
+// the key of its shard still has shardVersion (0 if the shard has no leader). It returns the
+// new version of the record.
+func (s *Scheduler) writeLiveRecord(ctx context.Context, record *jobrecord.LiveRecord, version, shardVersion uint64) (uint64, error) {
 	key := jobrecord.LivePrefix + record.Job.UID
 	guards := []wire.Guard{{Key: s.state.Membership.ShardKey(record.Shard), Version: shardVersion}, {Key: key, Version: version}}
 	return s.store.Txn(ctx, guards, wire.Op{Put: key, Value: *record})
 }
 
-// isRecordConflict reports whether writeLive failed only because the record's version has
+// isRecordConflict reports whether writeLiveRecord failed only because the record's version has
 // changed, so that the caller can read the newer record and retry.
 func (s *Scheduler) isRecordConflict(err error, record *jobrecord.LiveRecord) bool {
 	var conflict *statestore.ConflictError
--- a/internal/scheduler/pending_cancels.go
+++ b/internal/scheduler/pending_cancels.go
@@ -63,7 +63,7 @@
 		return nil // the cancel failed because the shard's version has changed, or the shard's new leader settles it
 	}
 	if !record.Cancelled {
-		if version, err = s.writeLive(ctx, &record, version, shardVersion); err != nil {
+		if version, err = s.writeLiveRecord(ctx, &record, version, shardVersion); err != nil {
 			return fmt.Errorf("write job record again: %w", err)
 		}
 	}
--- a/internal/scheduler/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -99,14 +99,14 @@
 	if want := (&jobspec.Constraints{Number: 100, Name: "tips", User: "erin", Array: "0-6", MaxConcurrent: 4, NoRetry: true}); !reflect.DeepEqual(info.Constraints, want) || info.AcceptedMs != 946_684_806_000 {
 		t.Errorf("the live job's constraints are %+v, accepted at %d; want %+v", info.Constraints, info.AcceptedMs, want)
 	}
-	if state, err := scheduler.StoredState(t.Context(), store, "j-2"); err != nil || state != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
+	if state, err := scheduler.ReadStoredState(t.Context(), store, "j-2"); err != nil || state != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
 		t.Errorf("the ended job is %+v, %v", state, err)
 	}
 	want := jobquery.Info{
 		Job: wire.Job{UID: "j-2"}, Stage: wire.StageDone, Done: 1,
 		Ending: &jobspec.Ending{Number: 90, State: jobspec.Completed, StartMs: 946_684_802_000, EndMs: 946_684_805_000},
 	}
-	if got, err := scheduler.StoredJobInfo(t.Context(), store, "j-2"); err != nil || !reflect.DeepEqual(got, want) {
+	if got, err := scheduler.ReadStoredJobInfo(t.Context(), store, "j-2"); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("the ended job is listed as %+v, %v", got, err)
 	}
 }
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -42,7 +42,7 @@
 
 // fullEnding returns an ending with a value in each field.
 func fullEnding() *jobspec.Ending {
-	return &jobspec.Ending{Number: 4100, State: jobspec.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000}
+	return &jobspec.Ending{Number: 4100, State: jobspec.Failed, ExitCode: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000}
 }
 
 // The format of the records that a leader stores is stable, so that a successor of any version
@@ -68,7 +68,7 @@
 }
 
 // Each record of a recorded shard is decoded and encoded again without a change.
-func TestRecordedShardIsWrittenAgainUnchanged(t *testing.T) {
+func TestRecordedShardIsReencodedUnchanged(t *testing.T) {
 	data, err := os.ReadFile("testdata/recorded/shard.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scheduler/update.go
+++ b/internal/scheduler/update.go
@@ -15,7 +15,7 @@
 // Hold holds the tasks of a job that have not started, or releases them if held is false. It
 // returns the same errors as CancelTasks.
 func (s *Scheduler) Hold(ctx context.Context, uid string, held bool) error {
-	return s.updateLive(ctx, uid, func(record *jobrecord.LiveRecord) (changed bool, err error) {
+	return s.updateLiveRecord(ctx, uid, func(record *jobrecord.LiveRecord) (changed bool, err error) {
 		changed = record.Constraints.Held != held
 		record.Constraints.Held = held
 		return changed, nil
@@ -26,7 +26,7 @@
 // error wraps ErrInvalidRequest, or statestore.ErrNotFound if there is no such live job. After
 // any other error the cancel may have been applied.
 func (s *Scheduler) CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error {
-	return s.updateLive(ctx, uid, func(record *jobrecord.LiveRecord) (changed bool, err error) {
+	return s.updateLiveRecord(ctx, uid, func(record *jobrecord.LiveRecord) (changed bool, err error) {
 		cancelled, err := s.addCancelledTasks(record, tasks)
 		if err != nil || len(cancelled) == 0 {
 			return false, err
@@ -68,11 +68,11 @@
 	return cancelled, nil
 }
 
-// updateLive applies a change to a job's live record, and retries whenever another writer
+// updateLiveRecord applies a change to a job's live record, and retries whenever another writer
 // changes the record at the same time. As with Cancel, only the leader of the job's shard may
 // do so, or any controller while the shard has no leader. The record of a cancelled job is not
 // changed.
-func (s *Scheduler) updateLive(ctx context.Context, uid string, change func(*jobrecord.LiveRecord) (changed bool, err error)) error {
+func (s *Scheduler) updateLiveRecord(ctx context.Context, uid string, change func(*jobrecord.LiveRecord) (changed bool, err error)) error {
 	for {
 		record, version, err := jobrecord.ReadLive(ctx, s.store, uid)
 		if err != nil {
@@ -92,7 +92,7 @@
 		if err != nil || !changed || record.Cancelled {
 			return err
 		}
-		revision, err := s.writeLive(ctx, &record, version, shardVersion)
+		revision, err := s.writeLiveRecord(ctx, &record, version, shardVersion)
 		if s.isRecordConflict(err, &record) {
 			continue
 		}
--- a/internal/scheduler/watch_test.go
+++ b/internal/scheduler/watch_test.go
@@ -12,7 +12,7 @@
 // However many changes there are, a leader polls for changed live records 20 times a second, so
 // that a job accepted by another controller starts soon, and a controller without shards polls
 // 5 times a second. A few changes are returned without delay.
-func TestWatchOfLivingJobsIsRateLimited(t *testing.T) {
+func TestWatchOfLiveRecordsIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/shardlog/admit.go
+++ b/internal/shardlog/admit.go
@@ -33,7 +33,7 @@
 	}
 	w.state.CancelTasks(job)
 	w.pruneAndCountPlacements(job)
-	countTasks(job)
+	countAndQueueTasks(job)
 	if job.Done > 0 {
 		job.RecordBegin(time.Now()) // it began under a predecessor, at a time that is not recorded
 	}
@@ -114,9 +114,9 @@
 	}
 }
 
-// countTasks counts the job's finished tasks and adds the tasks without a placement to its
-// pending ones.
-func countTasks(job *jobstate.Job) {
+// countAndQueueTasks counts the job's finished tasks and adds the tasks without a placement to
+// its pending ones.
+func countAndQueueTasks(job *jobstate.Job) {
 	for task := job.Spec.Tasks - 1; task >= 0; task-- {
 		chunk := chunkOf(job, uint64(task))
 		if chunk.IsOver(task) {
--- a/internal/shardlog/transaction_builder.go
+++ b/internal/shardlog/transaction_builder.go
@@ -27,7 +27,7 @@
 	maxValueBytes   int          // maximum size of one value
 	bytes           int          // upper bound of the transaction's size so far
 	pageBytesLeft   int          // bytes available on the accounting page
-	more            bool         // changes are left for the next transaction
+	hasMore         bool         // changes are left for the next transaction
 	attemptRowsLeft bool         // rows of attempts are left; they must precede the rows of their jobs
 	guardedShards   map[int]bool // shards whose leadership is guarded
 }
@@ -54,9 +54,9 @@
 		b.addPage()
 	}
 	if len(b.ops) == 0 {
-		return nil, b.more, nil
+		return nil, b.hasMore, nil
 	}
-	return b.transaction, b.more, nil
+	return b.transaction, b.hasMore, nil
 }
 
 // reservePage reserves an operation for the accounting page and takes the rows that belong to
@@ -73,8 +73,8 @@
 	}
 	b.unattachedRowsTaken = taken
 	b.rows = append(b.rows, unattached[:taken]...)
-	b.more = taken < len(unattached)
-	b.attemptRowsLeft = b.more
+	b.hasMore = taken < len(unattached)
+	b.attemptRowsLeft = b.hasMore
 }
 
 // guardShard adds the guard that this controller still leads the shard.
@@ -111,7 +111,7 @@
 			continue
 		}
 		if len(b.ops) >= b.maxOps || b.bytes+b.maxValueBytes > maxTxnBytes {
-			b.more = true
+			b.hasMore = true
 			break
 		}
 		shardLog := b.writer.logOf(shard)
@@ -149,7 +149,7 @@
 	}
 	queue = append([]jobstate.Change(nil), queue[taken:]...)
 	b.writer.state.Unwritten[shard] = queue
-	b.more = b.more || len(queue) > 0
+	b.hasMore = b.hasMore || len(queue) > 0
 	b.attemptRowsLeft = b.attemptRowsLeft || b.writer.pageBuilder != nil && len(queue) > 0
 	return record
 }
@@ -212,14 +212,14 @@
 		if b.writer.pageBuilder != nil {
 			row = b.writer.state.JobRow(job)
 			if b.attemptRowsLeft || b.pageBytesLeft < row.Bytes() {
-				b.more = true // the rows of its attempts must be written first
+				b.hasMore = true // the rows of its attempts must be written first
 				continue
 			}
 		}
 		changes := b.countEndChanges(job)
 		bytes := maxEndBytes + maxEndChangeBytes*changes
 		if len(b.ops)+changes > b.maxOps || b.bytes+bytes > maxTxnBytes {
-			b.more = true
+			b.hasMore = true
 			continue
 		}
 		b.bytes += bytes
--- a/internal/slurm/scontrol.go
+++ b/internal/slurm/scontrol.go
@@ -57,7 +57,7 @@
 		}
 	}
 	return fmt.Sprintf("JobId=%d WallrackUID=%s\n   JobState=%s Reason=None ExitCode=%s\n   StartTime=%s EndTime=%s\n   DoneTasks=%d FailedTasks=%d\n\n",
-		ending.Number, info.Job.UID, ending.State, exitCode(ending.Exit), stamp(ending.StartMs, "Unknown", zone), stamp(ending.EndMs, "Unknown", zone), info.Done, ending.Failed)
+		ending.Number, info.Job.UID, ending.State, exitCode(ending.ExitCode), stamp(ending.StartMs, "Unknown", zone), stamp(ending.EndMs, "Unknown", zone), info.Done, ending.Failed)
 }
 
 // activeState is the state of a job that is listed.
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -110,7 +110,7 @@
 		defer cancel()
 		rep := s.serveByLeader(ctx, req)
 		if rep.Status == 0 && verb == verbInfo {
-			info, err := scheduler.StoredJobInfo(ctx, s.store, req.UID)
+			info, err := scheduler.ReadStoredJobInfo(ctx, s.store, req.UID)
 			if err != nil {
 				s.writeError(w, err)
 				return
--- a/internal/slurmapi/recorded_test.go
+++ b/internal/slurmapi/recorded_test.go
@@ -28,7 +28,7 @@
 		},
 		AcceptedMs: 1_796_000_000_123, Stage: wire.StageRunning, Reason: jobspec.ReasonThrottle, EligibleMs: 1_796_000_000_500, StartMs: 1_796_000_001_000,
 		PendingTasks: "4-9", PendingCount: 6, Placements: []jobquery.Placement{fullPlacement()}, Running: 1, Done: 2, Failed: 3,
-		Ending: &jobspec.Ending{Number: 4100, State: jobspec.Failed, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000},
+		Ending: &jobspec.Ending{Number: 4100, State: jobspec.Failed, ExitCode: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000},
 	}
 }
 
--- a/internal/testkit/cancel_transfer_test.go
+++ b/internal/testkit/cancel_transfer_test.go
@@ -141,7 +141,7 @@
 }
 
 func storedStage(w *cluster, uid string) (string, error) {
-	state, err := scheduler.StoredState(context.Background(), &testkit.View{Store: w.store}, uid)
+	state, err := scheduler.ReadStoredState(context.Background(), &testkit.View{Store: w.store}, uid)
 	return state.Stage, err
 }
 
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -211,7 +211,7 @@
 				}
 				clean := &testkit.View{Store: w.store}
 				for i, uid := range jobs {
-					s, err := scheduler.StoredState(context.Background(), clean, uid)
+					s, err := scheduler.ReadStoredState(context.Background(), clean, uid)
 					if w.confirmedCancels[uid].IsZero() && s.Stage == wire.StageCancelled && i >= 4 || err != nil {
 						t.Errorf("%s: %+v, %v", uid, s, err)
 					}
--- a/internal/testkit/constraints_test.go
+++ b/internal/testkit/constraints_test.go
@@ -154,7 +154,7 @@
 		}
 	}
 	for _, j := range jobs {
-		i, err := scheduler.StoredJobInfo(context.Background(), &testkit.View{Store: w.store}, j.uid)
+		i, err := scheduler.ReadStoredJobInfo(context.Background(), &testkit.View{Store: w.store}, j.uid)
 		if err != nil || i.Ending == nil || i.Ending.State != j.state || i.Ending.Number != j.t.Number {
 			t.Errorf("%s: %+v, %v", j.uid, i.Ending, err)
 		}
--- a/internal/testkit/drawn_faults_test.go
+++ b/internal/testkit/drawn_faults_test.go
@@ -62,7 +62,7 @@
 				}
 				clean := &testkit.View{Store: w.store}
 				for i := range jobs {
-					s, err := scheduler.StoredState(context.Background(), clean, fmt.Sprintf("j-%d", i))
+					s, err := scheduler.ReadStoredState(context.Background(), clean, fmt.Sprintf("j-%d", i))
 					if err != nil || s.Stage != wire.StageDone || s.Done != 4+3*i {
 						t.Errorf("job %d: %+v, %v", i, s, err)
 					}
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -118,7 +118,7 @@
 			t.Error("the job did not end")
 		}
 		w.live(10)
-		if s, err := scheduler.StoredState(context.Background(), &testkit.View{Store: w.store}, "j-7"); err != nil || s.Stage != wire.StageCancelled {
+		if s, err := scheduler.ReadStoredState(context.Background(), &testkit.View{Store: w.store}, "j-7"); err != nil || s.Stage != wire.StageCancelled {
 			t.Errorf("recorded in the end: %+v, %v", s, err)
 		}
 	}},
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -152,7 +152,7 @@
 
 // JobFacts reads how a job that the leader does not know ended.
 func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error) {
-	return scheduler.StoredFacts(ctx, n.view, uid)
+	return scheduler.ReadStoredFacts(ctx, n.view, uid)
 }
 
 // HasEarlier says that no leader elsewhere has such a job: there is one leader.
--- a/internal/testkit/partitions_test.go
+++ b/internal/testkit/partitions_test.go
@@ -150,7 +150,7 @@
 			}
 		}
 	}
-	s, err := scheduler.StoredState(context.Background(), n.view, uid)
+	s, err := scheduler.ReadStoredState(context.Background(), n.view, uid)
 	return s, err == nil
 }
 
