--- a/internal/jobrecord/store.go
+++ b/internal/jobrecord/store.go
@@ -20,7 +20,7 @@
 	// keys whose guards failed, and after statestore.ErrUnknown the operations may or may not
 	// have been applied.
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
-	// BulkTxn is Txn with a lower priority, for writes that must not delay others.
+	// BulkTxn is Txn with an additional rate limit, for writes that must not delay others.
 	BulkTxn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
 	// Watch calls reset with all items under the prefix, then change with each later batch of
 	// events, and reset again whenever events may have been missed. It returns when ctx ends. A
--- a/internal/scheduler/api.go
+++ b/internal/scheduler/api.go
@@ -31,7 +31,8 @@
 func (s *Scheduler) WorkerDeleted(name string) { s.reconciler.WorkerDeleted(name) }
 
 // LeaseAttestedExpired ends the placements made before placedBefore on a worker whose lease has
-// expired: all controllers attest that they have not renewed it since.
+// expired: all controllers attest that they have not renewed it for a full lease, so the worker
+// has killed its tasks. It has no effect if a view of the worker has arrived since.
 func (s *Scheduler) LeaseAttestedExpired(name string, placedBefore time.Time) {
 	s.reconciler.LeaseAttestedExpired(name, placedBefore)
 }
@@ -50,9 +51,9 @@
 // map from the worker's name to the reason for deleting the worker.
 func (s *Scheduler) StuckWorkers() map[string]string { return s.reconciler.StuckWorkers() }
 
-// UnstoppedWorkers returns the addresses, by worker name, of the workers that were sent a halt
-// for a cancelled task longer than after ago and may still be running that task. It works
-// without this controller's lease.
+// UnstoppedWorkers returns the addresses, by worker name, of the workers on which a cancelled
+// task may still be running that was first sent a halt longer than after ago. This controller's
+// lease need not hold.
 func (s *Scheduler) UnstoppedWorkers(after time.Duration) map[string]string {
 	return s.reconciler.UnstoppedWorkers(after)
 }
