--- a/internal/jobspec/recorded_test.go
+++ b/internal/jobspec/recorded_test.go
@@ -18,13 +18,13 @@
 		CancelIfUnsatisfiable: true, CancelledTasks: "3,7-9", CancelReason: jobspec.Cancelled,
 	})
 	recorded.Check(t, "terms-none", jobspec.Constraints{Number: 1})
-	recorded.CheckFull(t, "ending-full", jobspec.Ending{Number: 4100, State: jobspec.Timeout, Exit: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000})
+	recorded.CheckFull(t, "ending-full", jobspec.Ending{Number: 4100, State: jobspec.Timeout, ExitCode: 7, Failed: 2, StartMs: 1_796_000_001_000, EndMs: 1_796_000_002_000})
 	recorded.Check(t, "ending-none", jobspec.Ending{Number: 1, State: jobspec.Completed})
 	recorded.CheckFull(t, "facts-full", jobspec.JobFacts{Started: true, StartedMs: 1_796_000_001_000, Over: true, OK: true})
 	recorded.Check(t, "facts-none", jobspec.JobFacts{})
 }
 
-// These names are stored, and shown by clients.
+// These names are stored in records and shown by clients.
 func TestRecordedNames(t *testing.T) {
 	got := []string{
 		jobspec.After, jobspec.AfterAny, jobspec.AfterOK, jobspec.AfterNotOK, jobspec.Singleton,
@@ -42,6 +42,6 @@
 		t.Errorf("names %q, want %q", got, want)
 	}
 	if text := jobspec.RangesOf([]int{20, 0, 2, 4, 7, 8, 9}).String(); text != "0,2,4,7-9,20" {
-		t.Errorf("numbers are written %q", text)
+		t.Errorf("numbers are formatted as %q", text)
 	}
 }
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -15,14 +15,14 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Sizes of the clusters in series that vary another number.
+// Sizes of the clusters in those series that vary another parameter.
 const (
-	someWorkers = 400
-	someJobs    = 100
+	fixedWorkers = 400
+	fixedJobs    = 100
 )
 
-// newSchedulerOfTeams returns a scheduler whose settings name so many teams.
-func newSchedulerOfTeams(tb testing.TB, teams int) *scheduler.Scheduler {
+// newSchedulerWithTeams returns a scheduler with the given number of teams in its settings.
+func newSchedulerWithTeams(tb testing.TB, teams int) *scheduler.Scheduler {
 	operator, err := config.LoadOperator("")
 	if err != nil {
 		tb.Fatal(err)
@@ -35,49 +35,52 @@
 	return newScheduler(platform, operator, cluster, cluster)
 }
 
-// idleHeartbeat observes a heartbeat of the i-th worker, which has all resources free and
-// these tasks.
-func (c *fakeCluster) idleHeartbeat(i int, tasks ...dispatch.TaskView) {
+// sendIdleHeartbeat makes the scheduler observe a heartbeat of the i-th worker with the given
+// tasks and with all resources free.
+func (c *fakeCluster) sendIdleHeartbeat(i int, tasks ...dispatch.TaskView) {
 	view := &c.views[i]
 	view.Seq++
 	view.Tasks, view.Matrix = tasks, matching.NewWaitMatrix(matching.Resources{CPUs: machineType.CPUs, MemoryGB: machineType.MemoryGB}, nil, nil)
 	c.scheduler.ObserveWorker(*view)
 }
 
-// idleWorkers makes the first workers idle, so that each takes placements.
-func (c *fakeCluster) idleWorkers(workers int) {
+// makeWorkersIdle sends a heartbeat of each of the first workers with all resources free, so
+// that tasks are placed on them.
+func (c *fakeCluster) makeWorkersIdle(workers int) {
 	for i := range workers {
-		c.idleHeartbeat(i)
+		c.sendIdleHeartbeat(i)
 	}
 }
 
-// newPlacedCluster returns a cluster whose passes placed so many tasks, four on each worker.
+// newPlacedCluster returns a cluster in which the given number of tasks is placed, four on each
+// worker.
 func newPlacedCluster(tb testing.TB, tasks int) *fakeCluster {
 	cluster := newIdleCluster(tb, tasks)
 	cluster.placeAll(tb, tasks/20, tasks)
 	return cluster
 }
 
-// newIdleCluster returns a cluster with free resources for just so many tasks, which wait.
+// newIdleCluster returns a cluster in which the given number of tasks wait, with free resources
+// for exactly these tasks.
 func newIdleCluster(tb testing.TB, tasks int) *fakeCluster {
 	cluster := newCluster(tb, tasks/4, 0)
-	cluster.idleWorkers(tasks / 4)
+	cluster.makeWorkersIdle(tasks / 4)
 	cluster.submit(tasks)
 	return cluster
 }
 
-// placeAll makes passes until so many tasks of these jobs are placed. The workers go on
-// sending heartbeats meanwhile: on a busy machine they would count as unheard after some
-// seconds, and nothing more would be placed.
+// placeAll runs scheduling passes until the given number of tasks of the first jobs is placed.
+// The workers continue to send heartbeats meanwhile: on a busy machine they would otherwise
+// become unresponsive after some seconds, and no further task would be placed.
 func (c *fakeCluster) placeAll(tb testing.TB, jobs, tasks int) {
-	const maxPasses = 5000 // a pass ends with its time, in which a busy machine places few
+	const maxPasses = 5000 // a pass ends when its time is used up, and on a busy machine it places few tasks
 	heartbeats := time.Now()
 	for passes, placed := 0, 0; placed < tasks; passes++ {
 		if passes == maxPasses {
 			tb.Fatalf("%d of %d tasks placed in %d passes", placed, tasks, passes)
 		}
 		if time.Since(heartbeats) > time.Second {
-			c.idleWorkers(tasks / 4)
+			c.makeWorkersIdle(tasks / 4)
 			heartbeats = time.Now()
 		}
 		c.scheduler.Pass()
@@ -88,7 +91,7 @@
 	}
 }
 
-// submit accepts jobs of 20 tasks, four of which fill a worker.
+// submit accepts jobs of 20 tasks each. Four tasks fill a worker.
 func (c *fakeCluster) submit(tasks int) {
 	for i := range tasks / 20 {
 		c.scheduler.JobAccepted(&wire.Job{
@@ -98,9 +101,9 @@
 	}
 }
 
-// writesOfPlacements returns what the state service is requested to write for so many
-// placements.
-func writesOfPlacements(tb testing.TB, tasks int) (requests, writes, bytes float64) {
+// measurePlacementWrites returns the requests, writes and bytes sent to the state service to
+// record the placements of the given number of tasks.
+func measurePlacementWrites(tb testing.TB, tasks int) (requests, writes, bytes float64) {
 	cluster := newPlacedCluster(tb, tasks)
 	cluster.onTxn = func(ops []wire.Op) {
 		data, err := json.Marshal(ops)
@@ -117,10 +120,11 @@
 	return requests, writes, bytes
 }
 
-// writesOfEnds returns the writes for so many jobs of one task that are done.
-func writesOfEnds(tb testing.TB, jobs int) (writes float64) {
+// measureJobEndWrites returns the number of writes for the ends of the given number of jobs of
+// one task each.
+func measureJobEndWrites(tb testing.TB, jobs int) (writes float64) {
 	cluster := newCluster(tb, jobs, 0)
-	cluster.idleWorkers(jobs)
+	cluster.makeWorkersIdle(jobs)
 	for i := range jobs {
 		cluster.scheduler.JobAccepted(&wire.Job{
 			UID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1,
@@ -138,7 +142,7 @@
 		}
 	}
 	for i := range cluster.views {
-		cluster.idleHeartbeat(i, done[cluster.views[i].Name]...)
+		cluster.sendIdleHeartbeat(i, done[cluster.views[i].Name]...)
 	}
 	cluster.onTxn = func(ops []wire.Op) { writes += float64(len(ops)) }
 	if err := cluster.scheduler.WriteAll(context.Background()); err != nil {
@@ -147,8 +151,8 @@
 	return writes
 }
 
-// newFailoverCluster returns a cluster whose scheduler is to load so many jobs, with all
-// placements of their tasks in the log.
+// newFailoverCluster returns a cluster whose state service has the given number of jobs, with
+// all placements of their tasks in the log, for the scheduler to load.
 func newFailoverCluster(tb testing.TB, jobs int) *fakeCluster {
 	cluster := newCluster(tb, 0, 0)
 	cluster.items = map[string][]wire.Item{}
@@ -174,8 +178,9 @@
 	}
 }
 
-// heapOfPlacements returns the bytes that the placements of so many waiting tasks take.
-func heapOfPlacements(tb testing.TB, tasks int) float64 {
+// measurePlacementHeap returns the heap bytes used by placing the given number of waiting
+// tasks.
+func measurePlacementHeap(tb testing.TB, tasks int) float64 {
 	cluster := newIdleCluster(tb, tasks)
 	return capacity.Heap(func() any {
 		cluster.placeAll(tb, tasks/20, tasks)
@@ -186,7 +191,7 @@
 	})
 }
 
-// capacitySeries are the series of docs/CAPACITY.md that this package measures.
+// capacitySeries are the series in docs/CAPACITY.md that this package measures.
 var capacitySeries = []capacity.Series{
 	{Name: "scheduler.heapOfMachines", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 20_000, Measure: func(tb testing.TB, workers int) float64 {
 		return capacity.Heap(func() any { return newCluster(tb, workers, 0).scheduler })
@@ -195,24 +200,24 @@
 		return capacity.Heap(func() any { return newCluster(tb, 0, jobs).scheduler })
 	}},
 	{Name: "scheduler.heapOfPlaces", Sizes: []int{800, 1600, 3200, 6400}, FixedSlack: 86_000, Measure: func(tb testing.TB, tasks int) float64 {
-		return capacity.Median(func() float64 { return heapOfPlacements(tb, tasks) }) // candidates are drawn at random
+		return capacity.Median(func() float64 { return measurePlacementHeap(tb, tasks) }) // the candidate workers are random
 	}},
 	{Name: "scheduler.heapOfTeams", Sizes: []int{50, 100, 200, 400}, FixedSlack: 10_000, Measure: func(tb testing.TB, teams int) float64 {
-		return capacity.Heap(func() any { return newSchedulerOfTeams(tb, teams) })
+		return capacity.Heap(func() any { return newSchedulerWithTeams(tb, teams) })
 	}},
 	{Name: "scheduler.requestsOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, tasks int) float64 {
-		requests, _, _ := writesOfPlacements(tb, tasks)
+		requests, _, _ := measurePlacementWrites(tb, tasks)
 		return requests
 	}},
 	{Name: "scheduler.writesOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, tasks int) float64 {
-		_, writes, _ := writesOfPlacements(tb, tasks)
+		_, writes, _ := measurePlacementWrites(tb, tasks)
 		return writes
 	}},
 	{Name: "scheduler.bytesOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1000, Measure: func(tb testing.TB, tasks int) float64 {
-		_, _, bytes := writesOfPlacements(tb, tasks)
+		_, _, bytes := measurePlacementWrites(tb, tasks)
 		return bytes
 	}},
-	{Name: "scheduler.writesOfEnds", Sizes: []int{25, 50, 100, 200}, FixedSlack: 1, Measure: func(tb testing.TB, jobs int) float64 { return writesOfEnds(tb, jobs) }},
+	{Name: "scheduler.writesOfEnds", Sizes: []int{25, 50, 100, 200}, FixedSlack: 1, Measure: func(tb testing.TB, jobs int) float64 { return measureJobEndWrites(tb, jobs) }},
 	{Name: "scheduler.allocsOfReport", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, workers int) float64 {
 		cluster, i := newCluster(tb, workers, 0), 0
 		return testing.AllocsPerRun(workers, func() {
@@ -227,7 +232,7 @@
 		return testing.AllocsPerRun(1, func() { cluster.failOver(tb) })
 	}},
 	{Name: "scheduler.report", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
-		cluster, i := newCluster(tb, workers, someJobs), 0
+		cluster, i := newCluster(tb, workers, fixedJobs), 0
 		cluster.scheduler.Pass()
 		return capacity.ProcessorTime(tb, func() {
 			view := &cluster.views[i%workers]
@@ -237,11 +242,11 @@
 		})
 	}},
 	{Name: "scheduler.passOfMachines", Scatters: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
-		cluster := newCluster(tb, workers, someJobs)
+		cluster := newCluster(tb, workers, fixedJobs)
 		return capacity.ProcessorTime(tb, cluster.scheduler.Pass)
 	}},
 	{Name: "scheduler.passOfJobs", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: func(tb testing.TB, jobs int) float64 {
-		cluster := newCluster(tb, someWorkers, jobs)
+		cluster := newCluster(tb, fixedWorkers, jobs)
 		return capacity.ProcessorTime(tb, cluster.scheduler.Pass)
 	}},
 	{Name: "scheduler.placeTasks", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, tasks int) float64 {
@@ -256,7 +261,7 @@
 		})
 	}},
 	{Name: "scheduler.demand", Scatters: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
-		cluster := newCluster(tb, workers, someJobs)
+		cluster := newCluster(tb, workers, fixedJobs)
 		cluster.scheduler.Pass()
 		return capacity.ProcessorTime(tb, func() { cluster.scheduler.Demand(20) })
 	}},
--- a/internal/scheduler/failover.go
+++ b/internal/scheduler/failover.go
@@ -18,7 +18,8 @@
 
 const loadTimeout = 8 * time.Second
 
-// syncShards loads shards that were gained and unloads those that were lost.
+// syncShards unloads the shards that this controller no longer leads and loads the ones it has
+// gained.
 func (s *Scheduler) syncShards(ctx context.Context) {
 	claimed := s.state.Membership.ClaimedShards()
 	gained := s.unloadLost(claimed)
@@ -34,8 +35,8 @@
 	}
 }
 
-// unloadLost unloads the shards that are not claimed as they were loaded, and returns the
-// claimed ones that are to be loaded.
+// unloadLost unloads the shards that are no longer claimed under the version with which they
+// were loaded, and returns the claimed shards that are not loaded.
 func (s *Scheduler) unloadLost(claimed map[int]uint64) (gained []int) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -52,7 +53,7 @@
 	return gained
 }
 
-// unload forgets a shard and its jobs.
+// unload removes a shard and its jobs from the state.
 func (s *Scheduler) unload(shard int) {
 	delete(s.state.Loaded, shard)
 	delete(s.listedRevision, shard)
@@ -64,27 +65,29 @@
 		}
 	}
 	if len(s.state.Loaded) == 0 {
-		s.state.StandaloneRows = nil // a successor may have written the same attempts' rows
+		s.state.StandaloneRows = nil // a successor may have written rows for the same attempts
 	}
 	s.log.Info("shard lost", "shard", shard)
 }
 
-// failover is what is read of shards when their leadership is gained.
-type failover struct {
+// failoverRecords holds the records read for the shards that this controller gains in a
+// failover.
+type failoverRecords struct {
 	shards   []int
-	versions map[int]uint64 // of the shards' keys
-	token    uint64         // fencing token, above all that predecessors granted starts under
+	versions map[int]uint64 // of the shards' keys, by shard
+	token    uint64         // fencing token, higher than any under which a predecessor granted a start
 
-	jobs     []wire.Item // living jobs of all shards
+	jobs     []wire.Item // live jobs of all shards, not only the gained ones
 	revision uint64      // of the listing of jobs
 	chunks   []wire.Item // of all shards
 	logs     []wire.Item // of all shards
 }
 
-// load makes this controller the acting leader of shards whose keys have the versions. Each
-// placement found in the state service is unconfirmed: the last leader may have granted its
-// start. All tokens given out so far are below the fresh one, so a heartbeat that shows the
-// fresh one, and not the task, settles the placement.
+// load makes this controller the acting leader of the shards, whose keys must have the given
+// versions. Each placement found in the state service is unconfirmed: the predecessor may have
+// granted its start. All earlier fencing tokens are lower than the new one, so a heartbeat that
+// reports the new token but not the task settles the placement: no earlier start command can
+// still take effect.
 func (s *Scheduler) load(ctx context.Context, shards []int, versions map[int]uint64) error {
 	s.setLoading(true)
 	defer s.setLoading(false)
@@ -97,33 +100,34 @@
 		uid, _, _ := strings.Cut(strings.TrimPrefix(item.Key, jobrecord.ChunkPrefix), "/")
 		chunksByJob[uid] = append(chunksByJob[uid], item)
 	}
-	jobs := s.adopt(&f, chunksByJob)
+	jobs := s.applyFailover(&f, chunksByJob)
 	s.log.Info("failover complete", "shards", shards, "jobs", jobs, "fencing_token", f.token)
 	jobstate.Notify(s.state.PlanSignal)
 	jobstate.Notify(s.state.WriteSignal)
 	return nil
 }
 
-// setLoading says whether records of shards that aren't loaded are kept for a load under way.
+// setLoading sets whether records of shards that aren't loaded are buffered for the load in
+// progress, and discards the records buffered so far.
 func (s *Scheduler) setLoading(loading bool) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
-	s.loading, s.earlyRecords = loading, nil
+	s.loading, s.bufferedRecords = loading, nil
 }
 
-// readShards takes a fencing token and reads what predecessors have recorded. Nobody else
-// writes chunks and logs of the shards any more, since each such write is guarded by the
+// readShards obtains a fencing token and reads the records of the shards. No other controller
+// writes the shards' chunks and logs any more, because each such write is guarded by the
 // shard's key.
-func (s *Scheduler) readShards(ctx context.Context, shards []int, versions map[int]uint64) (f failover, err error) {
+func (s *Scheduler) readShards(ctx context.Context, shards []int, versions map[int]uint64) (f failoverRecords, err error) {
 	f.shards, f.versions = shards, versions
 	if f.token, err = s.state.Membership.NextToken(ctx); err != nil {
-		return f, fmt.Errorf("take a fencing token: %w", err)
+		return f, fmt.Errorf("obtain a fencing token: %w", err)
 	}
 	if f.chunks, _, err = s.store.List(ctx, jobrecord.ChunkPrefix); err != nil {
 		return f, fmt.Errorf("list chunk records: %w", err)
 	}
 	if f.jobs, f.revision, err = s.store.List(ctx, jobrecord.LivePrefix); err != nil {
-		return f, fmt.Errorf("list living jobs: %w", err)
+		return f, fmt.Errorf("list live jobs: %w", err)
 	}
 	if f.logs, _, err = s.store.List(ctx, jobrecord.LogPrefix); err != nil {
 		return f, fmt.Errorf("list log records: %w", err)
@@ -131,21 +135,22 @@
 	return f, nil
 }
 
-// adopt adds the living jobs of a failover to the state and begins to lead its shards. It
-// returns how many jobs there are.
-func (s *Scheduler) adopt(f *failover, chunksByJob map[string][]wire.Item) (jobs int) {
+// applyFailover adds the live jobs of the gained shards to the state, starts leading the
+// shards, and returns the number of jobs added.
+func (s *Scheduler) applyFailover(f *failoverRecords, chunksByJob map[string][]wire.Item) (jobs int) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
 	s.state.PredecessorToken = max(s.state.PredecessorToken, f.token-1)
 	logs, entries := s.writer.ReadLogs(f.logs, f.shards)
 	jobs = s.admitJobs(f, chunksByJob, entries)
 	if len(s.state.Loaded) == 0 {
-		s.ownershipEpoch++
+		s.leadershipEpoch++
 	}
 	s.writer.AddLogs(logs)
 	if len(s.state.Loaded)+len(f.shards) == s.state.Operator.Shards {
-		// A chunk's key does not name its shard: else the chunk may be another leader's.
-		s.deleteUnattachedChunks(chunksByJob)
+		// Only with all shards loaded: a chunk's key does not name its shard, so the chunk may
+		// otherwise belong to another leader's job.
+		s.deleteOrphanedChunks(chunksByJob)
 	}
 	for _, shard := range f.shards {
 		s.state.Loaded[shard], s.listedRevision[shard] = f.versions[shard], f.revision
@@ -158,10 +163,10 @@
 	for _, worker := range s.state.Workers {
 		worker.KnownSince = time.Now()
 	}
-	for i := range s.earlyRecords {
-		s.takeRecord(&s.earlyRecords[i].record, s.earlyRecords[i].version)
+	for i := range s.bufferedRecords {
+		s.applyRecord(&s.bufferedRecords[i].record, s.bufferedRecords[i].version)
 	}
-	s.loading, s.earlyRecords = false, nil
+	s.loading, s.bufferedRecords = false, nil
 	s.state.Stats.Failovers++
 	for _, worker := range s.state.Workers {
 		if len(worker.Placements) > 0 {
@@ -171,9 +176,9 @@
 	return jobs
 }
 
-// admitJobs admits the living jobs of the failover's shards. It deletes every living job's
-// chunks, of whatever shard, from chunksByJob.
-func (s *Scheduler) admitJobs(f *failover, chunksByJob map[string][]wire.Item, entries map[string][]shardlog.LogEntry) (admitted int) {
+// admitJobs admits the live jobs of the gained shards and returns their number. From
+// chunksByJob it removes the chunks of every live job, whatever its shard.
+func (s *Scheduler) admitJobs(f *failoverRecords, chunksByJob map[string][]wire.Item, entries map[string][]shardlog.LogEntry) (admitted int) {
 	for _, item := range f.jobs {
 		var record jobrecord.LiveRecord
 		if err := json.Unmarshal(item.Value, &record); err != nil {
@@ -192,14 +197,14 @@
 	return admitted
 }
 
-// deleteUnattachedChunks deletes the chunk records of jobs that aren't living.
-func (s *Scheduler) deleteUnattachedChunks(chunksByJob map[string][]wire.Item) {
+// deleteOrphanedChunks queues the chunk records of jobs that are no longer live for deletion.
+func (s *Scheduler) deleteOrphanedChunks(chunksByJob map[string][]wire.Item) {
 	for uid, items := range chunksByJob {
 		if s.state.Jobs[uid] != nil {
 			continue
 		}
 		for _, item := range items {
-			s.writer.DeleteChunks(item.Key)
+			s.writer.QueueChunkDeletions(item.Key)
 		}
 	}
 }
--- a/internal/scheduler/instructions_test.go
+++ b/internal/scheduler/instructions_test.go
@@ -10,15 +10,15 @@
 )
 
 // A dispatcher reports that it doesn't know the resources of a task that runs on one of its
-// workers: an old heartbeat, without the task, reached it when the task was assigned. The task is
-// assigned again, now and then, until the dispatcher knows it.
+// workers: it received an old heartbeat, without the task, when the task was assigned. The
+// leader must repeat the assignment at intervals until the dispatcher knows the task.
 func TestTaskUnknownToDispatcherIsAssignedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0)
 		stop := cluster.run()
 		cluster.acceptArray(1)
 		for range 2 {
-			cluster.heartbeat(0, 0.2)
+			cluster.sendHeartbeat(0, 0.2)
 			time.Sleep(time.Second)
 		}
 		ref := cluster.scheduler.PlacementsOf("j-1")[0]
@@ -27,13 +27,13 @@
 		}
 		running := dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskRunning}}
 		assigned := func(unknown bool) int64 {
-			before := cluster.listedAssigned.Load()
+			before := cluster.reportedAssignments.Load()
 			running.Unknown = unknown
 			for range 12 {
-				cluster.heartbeat(0, 3, running)
+				cluster.sendHeartbeat(0, 3, running)
 				time.Sleep(time.Second)
 			}
-			return cluster.listedAssigned.Load() - before
+			return cluster.reportedAssignments.Load() - before
 		}
 		if n := assigned(false); n > 0 {
 			t.Errorf("a task that the dispatcher knows was assigned %d times", n)
@@ -42,7 +42,7 @@
 			t.Errorf("a task that the dispatcher does not know was assigned %d times in 12 s", n)
 		}
 		if n := assigned(false); n > 0 {
-			t.Errorf("assigned %d times again, once the dispatcher knew it", n)
+			t.Errorf("the task was assigned %d more times after the dispatcher knew it", n)
 		}
 		stop()
 	})
--- a/internal/scheduler/hopeless_queue_test.go
+++ b/internal/scheduler/queued_behind_long_task_test.go
@@ -9,24 +9,25 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A task is queued on a worker whose tasks run a thousand times their estimate. A duplicate of it
-// was to go to a worker with room, and none ever had: the tasks of a later job took all room in
-// the pass before the look for duplicates, at every turn. After an outage tasks waited so for
-// minutes (one seed of ten of TestTenCrashesInOneStateStoreOutage, which counts tasks "behind
-// long" ones apart), although they were the first in line and others started every second.
+// A task is queued on a worker whose tasks run a thousand times longer than estimated, and a
+// duplicate of it is to go to a worker with free resources. If in each pass the tasks of a
+// later job take all free resources before the pass looks for duplicates, the task waits for
+// minutes although it is first in line and later tasks start every second.
+// TestTenCrashesInOneStateStoreOutage reaches this situation after an outage in one seed of
+// ten; it counts tasks behind long-running ones separately.
 
-// A queued task whose wait has proved much worse than planned gets the room of tasks that come
-// after it in line.
-func TestTaskBehindLongOnesGetsRoomBeforeLaterJobs(t *testing.T) {
-	const long, busy, allowedS = 0, 1, 90 // workers, and the seconds for which a job may wait beside room
+// A queued task whose wait has turned out much longer than planned gets free resources before
+// tasks that come later in line.
+func TestTaskQueuedBehindLongTasksIsPlacedBeforeLaterJobs(t *testing.T) {
+	const long, busy, allowedS = 0, 1, 90 // indices of workers, and how long in seconds a job may wait despite free resources
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 2, 0)
 		stop := cluster.run()
 		defer stop()
 		cluster.acceptArray(1)
 		for range 3 {
-			cluster.heartbeat(long, 0.2)
-			cluster.heartbeat(busy, 600)
+			cluster.sendHeartbeat(long, 0.2)
+			cluster.sendHeartbeat(busy, 600)
 			time.Sleep(time.Second)
 		}
 		refs := cluster.scheduler.PlacementsOf("j-1")
@@ -39,7 +40,7 @@
 		}, nil, 0, time.Now().UnixMilli(), 2)
 		started := 0
 		for second := range allowedS {
-			var done []dispatch.TaskView // what began on the busy worker a second ago
+			var done []dispatch.TaskView // tasks that started on the busy worker a second ago
 			for _, ref := range cluster.scheduler.PlacementsOf("j-2") {
 				granted := ref.Worker == cluster.views[busy].Name &&
 					cluster.scheduler.GrantLocal(dispatch.GrantRequest{TaskRef: ref, Dispatcher: "a", Token: 7, Session: 1}).OK
@@ -48,16 +49,16 @@
 					done = append(done, dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskExited, Cause: wire.CauseDone}})
 				}
 			}
-			cluster.heartbeat(long, float64(second))
-			cluster.heartbeat(busy, 0, done...)
+			cluster.sendHeartbeat(long, float64(second))
+			cluster.sendHeartbeat(busy, 0, done...)
 			time.Sleep(time.Second)
 			for _, ref := range cluster.scheduler.PlacementsOf("j-1") {
 				if ref.Worker == cluster.views[busy].Name {
-					t.Logf("placed again after %d s, beside %d starts of later tasks", second, started)
+					t.Logf("placed on the other worker after %d s, after %d starts of later tasks", second, started)
 					return
 				}
 			}
 		}
-		t.Errorf("for %d s it waits at %v, while %d later tasks started elsewhere", allowedS, cluster.scheduler.PlacementsOf("j-1"), started)
+		t.Errorf("after %d s the task is still queued at %v, while %d later tasks started elsewhere", allowedS, cluster.scheduler.PlacementsOf("j-1"), started)
 	})
 }
--- a/internal/scheduler/recorded_shard_test.go
+++ b/internal/scheduler/recorded_shard_test.go
@@ -19,9 +19,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// recordedShard reads a shard as a leader wrote it that was set to write its log over after two
-// records. Of j-1, tasks 0 and 3 are done, the latter by the log alone; task 1 failed for good
-// with exit code 7; task 2 ran; 4 to 6 were placed, the last by the log alone. j-2 is done.
+// recordedShard returns the recorded items of a shard whose leader overwrote its log after two
+// records. Of j-1, tasks 0 and 3 are done (3 only according to the log), task 1 failed for good
+// with exit code 7, task 2 was running, and tasks 4 to 6 were placed (6 only according to the
+// log). j-2 is done.
 func recordedShard(t *testing.T) []wire.Item {
 	t.Helper()
 	data, err := os.ReadFile("testdata/recorded/shard.json")
@@ -35,8 +36,8 @@
 	return shard.Items
 }
 
-// byPrefix groups items by what their keys begin with, as they are listed.
-func byPrefix(items []wire.Item) map[string][]wire.Item {
+// groupByPrefix groups items by the prefix of their keys, under which they are listed.
+func groupByPrefix(items []wire.Item) map[string][]wire.Item {
 	groups := map[string][]wire.Item{}
 	for _, item := range items {
 		prefix, _, _ := strings.Cut(item.Key, "/")
@@ -45,11 +46,11 @@
 	return groups
 }
 
-// newSuccessor returns a scheduler that has loaded the recorded shard, with its store.
+// newSuccessor returns a scheduler that has loaded the recorded shard, and its store.
 func newSuccessor(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
 	t.Helper()
-	leader, store := newScripted(t)
-	store.items = byPrefix(recordedShard(t))
+	leader, store := newScriptedScheduler(t)
+	store.items = groupByPrefix(recordedShard(t))
 	byKey := map[string]wire.Item{}
 	for _, item := range recordedShard(t) {
 		byKey[item.Key] = item
@@ -68,12 +69,12 @@
 	return leader, store
 }
 
-// A recorded shard is loaded as it was: its jobs' tasks are done, failed and placed as they were,
-// and a heartbeat shows what runs.
+// A recorded shard is loaded unchanged: the tasks of its jobs are done, failed or placed as
+// recorded, and a heartbeat reports the running ones.
 func TestRecordedShardIsLoadedAtFailover(t *testing.T) {
 	leader, store := newSuccessor(t)
 	if state, ok := leader.LocalState("j-1"); !ok || state != (wire.JobState{UID: "j-1", Stage: wire.StageQueued, Done: 2}) {
-		t.Errorf("the living job is %+v, %v", state, ok)
+		t.Errorf("the live job is %+v, %v", state, ok)
 	}
 	refs := leader.PlacementsOf("j-1")
 	placements := make([]string, 0, len(refs))
@@ -89,29 +90,29 @@
 		Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j-1/2", Attempt: 3, State: wire.TaskRunning}}},
 	})
 	if state, ok := leader.LocalState("j-1"); !ok || state != (wire.JobState{UID: "j-1", Stage: wire.StageRunning, Done: 2, Running: 1}) {
-		t.Errorf("with a task that runs it is %+v, %v", state, ok)
+		t.Errorf("the job with a running task is %+v, %v", state, ok)
 	}
 	info, ok := leader.LocalJobInfo("j-1")
 	if !ok || info.Failed != 1 || info.Done != 2 || info.PendingTasks != "4-6" || len(info.Placements) != 1 || info.Placements[0].Task != 2 || info.Placements[0].Attempt != 3 {
-		t.Errorf("it is listed as %+v, %v", info, ok)
+		t.Errorf("the live job is listed as %+v, %v", info, ok)
 	}
 	if want := (&jobspec.Constraints{Number: 100, Name: "tips", User: "erin", Array: "0-6", MaxConcurrent: 4, NoRetry: true}); !reflect.DeepEqual(info.Constraints, want) || info.AcceptedMs != 946_684_806_000 {
-		t.Errorf("its constraints are %+v, accepted at %d; want %+v", info.Constraints, info.AcceptedMs, want)
+		t.Errorf("the live job's constraints are %+v, accepted at %d; want %+v", info.Constraints, info.AcceptedMs, want)
 	}
-	if state, err := scheduler.StoredState(t.Context(), store, "j-2"); err != nil || state != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
+	if state, err := scheduler.ReadStoredState(t.Context(), store, "j-2"); err != nil || state != (wire.JobState{UID: "j-2", Stage: wire.StageDone, Done: 1}) {
 		t.Errorf("the ended job is %+v, %v", state, err)
 	}
 	want := jobquery.Info{
 		Job: wire.Job{UID: "j-2"}, Stage: wire.StageDone, Done: 1,
 		Ending: &jobspec.Ending{Number: 90, State: jobspec.Completed, StartMs: 946_684_802_000, EndMs: 946_684_805_000},
 	}
-	if got, err := scheduler.StoredJobInfo(t.Context(), store, "j-2"); err != nil || !reflect.DeepEqual(got, want) {
+	if got, err := scheduler.ReadStoredJobInfo(t.Context(), store, "j-2"); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("the ended job is listed as %+v, %v", got, err)
 	}
 }
 
-// The recorded shard's accounting page has a row for each attempt that ended, and for the job that
-// did.
+// The recorded shard's accounting page has a row for each attempt that ended, and one for the
+// job that ended.
 func TestRecordedShardAccountingIsRead(t *testing.T) {
 	reader, err := accounting.NewReader()
 	if err != nil {
@@ -139,13 +140,13 @@
 	}
 }
 
-// A new leader continues a recorded shard as its predecessor would have: it writes over the log's
-// oldest record that is not needed any more, saves a chunk that the oldest one is needed for, and
-// deletes, at the job's end, what is stored of the job.
+// A new leader continues a recorded shard as its predecessor would have: it overwrites the
+// oldest log record that is no longer needed, saves a chunk for which the oldest log record is
+// still needed, and deletes the records of a job when the job ends.
 func TestSuccessorContinuesRecordedShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 1, 0, withLogSlots(3))
-		cluster.items = byPrefix(recordedShard(t))
+		cluster.items = groupByPrefix(recordedShard(t))
 		cluster.scheduler.Unload()
 		if err := cluster.scheduler.Load(t.Context()); err != nil {
 			t.Fatal(err)
@@ -171,12 +172,12 @@
 		}
 		for i := range tasks {
 			tasks[i].State, tasks[i].Cause = wire.TaskExited, wire.CauseDone
-			cluster.heartbeat(0, 0, tasks...)
+			cluster.sendHeartbeat(0, 0, tasks...)
 			if err := cluster.scheduler.WriteAll(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		cluster.heartbeat(0, 0) // its worker has forgotten the tasks
+		cluster.sendHeartbeat(0, 0) // the worker no longer reports the tasks
 		if err := cluster.scheduler.WriteAll(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/scripted_store_test.go
+++ b/internal/scheduler/scripted_store_test.go
@@ -13,12 +13,13 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// scriptedStore is a state service that responds as a test says, in front of a fake cluster.
+// scriptedStore is a state service whose responses are set by the test. Other requests go to a
+// fake cluster.
 type scriptedStore struct {
 	*fakeCluster
 	get    func(key string) (wire.Item, error)
 	txn    func() (uint64, error)
-	listed uint64 // revision of every listing
+	listed uint64 // revision returned by every listing
 }
 
 func (s *scriptedStore) Get(_ context.Context, key string) (wire.Item, error) { return s.get(key) }
@@ -36,11 +37,11 @@
 	return items, s.listed, err
 }
 
-// notFound is a get for which no key exists.
+// notFound is a get function that finds no key.
 func notFound(string) (wire.Item, error) { return wire.Item{}, statestore.ErrNotFound }
 
-// newScripted returns a scheduler that has loaded no shard, with its store.
-func newScripted(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
+// newScriptedScheduler returns a scheduler that has loaded no shard, and its store.
+func newScriptedScheduler(t *testing.T) (*scheduler.Scheduler, *scriptedStore) {
 	t.Helper()
 	operator, err := config.LoadOperator("")
 	if err != nil {
@@ -52,25 +53,25 @@
 	return newScheduler(cluster.platform, operator, store, cluster), store
 }
 
-// oneTask is job j-1, of one task, as it is submitted.
-const oneTask = `{"uid":"j-1","docket":"c","crew":"t","sort":"sweep","urgency":"normal","pieces":1,"cpus":1,"cards":0,"memoryGb":1,
+// oneTaskJob is the submission of job j-1, which has one task.
+const oneTaskJob = `{"uid":"j-1","docket":"c","crew":"t","sort":"sweep","urgency":"normal","pieces":1,"cpus":1,"cards":0,"memoryGb":1,
 	"kit":"i","pullGb":0.1,"builds":null,"yard":null,"together":false,"apart":false,"loaners":true,"reckonS":9,"markS":0,"stashS":0,"dueS":null}`
 
-// acceptedJob returns j-1 and its living record, written at a version.
+// acceptedJob returns j-1 and its live record with the given version.
 func acceptedJob(t *testing.T, version uint64) (*wire.Job, wire.Item) {
 	t.Helper()
-	job, err := wire.ParseJob([]byte(oneTask))
+	job, err := wire.ParseJob([]byte(oneTaskJob))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return job, wire.Item{Key: "live/j-1", Version: version, Value: json.RawMessage(fmt.Sprintf(`{"job":%s,"shard":0,"at":0}`, oneTask))}
+	return job, wire.Item{Key: "live/j-1", Version: version, Value: json.RawMessage(fmt.Sprintf(`{"job":%s,"shard":0,"at":0}`, oneTaskJob))}
 }
 
-// newScriptedWithJob returns a scheduler that leads the shard of j-1, with its store and the
-// job's record there, which a test may change.
-func newScriptedWithJob(t *testing.T) (*scheduler.Scheduler, *scriptedStore, *wire.Item) {
+// newScriptedSchedulerWithJob returns a scheduler that leads the shard of j-1, its store, and
+// the job's live record in the store, which the test may change.
+func newScriptedSchedulerWithJob(t *testing.T) (*scheduler.Scheduler, *scriptedStore, *wire.Item) {
 	t.Helper()
-	leader, store := newScripted(t)
+	leader, store := newScriptedScheduler(t)
 	if err := leader.Load(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +81,7 @@
 	return leader, store, &record
 }
 
-// cancelledRecord returns a living job's record as it is once the job is cancelled.
+// cancelledRecord returns the live record of a job with the job cancelled.
 func cancelledRecord(record json.RawMessage) json.RawMessage {
 	return json.RawMessage(strings.Replace(string(record), `"at":0`, `"at":0,"cancelled":true`, 1))
 }
--- a/internal/shardlog/end_job.go
+++ b/internal/shardlog/end_job.go
@@ -9,14 +9,16 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-const maxFinal = 20_000 // ended jobs that are kept in memory, so that queries for them need no read
+// maxCachedFinalRecords is the number of ended jobs whose final records are kept in memory, so
+// that queries for them need no read.
+const maxCachedFinalRecords = 20_000
 
-// endJob forgets a job whose end is recorded, and has what is left of it on workers cleared
-// or halted.
-func (w *Writer) endJob(job *jobstate.Job) {
+// removeEndedJob removes a job whose end is recorded from the state, and instructs the
+// dispatchers to clear or halt its remaining tasks on workers.
+func (w *Writer) removeEndedJob(job *jobstate.Job) {
 	w.reportEnd(job)
-	w.rememberFinal(job)
-	w.collectGarbage(job)
+	w.cacheFinalRecord(job)
+	w.queueRemainingChunks(job)
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
 			instructions := w.state.InstructionsFor(placement.Worker.View.Dispatcher)
@@ -31,7 +33,7 @@
 	w.state.ForgetJob(job.Spec.UID, job)
 }
 
-// reportEnd counts a job's end and logs it. `wallrack bound` reads the line.
+// reportEnd counts and logs a job's end. The `wallrack bound` command parses the log line.
 func (w *Writer) reportEnd(job *jobstate.Job) {
 	limit, begun := w.state.FirstDeadline(job), 0.0
 	if !job.StartedAt.IsZero() {
@@ -44,27 +46,28 @@
 		"took_s", time.Since(job.AcceptedAt).Seconds(), "run_s", job.RunEstimate(), "limit_s", limit, "tasks", job.Spec.Tasks, "cpus", job.Spec.CPUs, "begun_s", begun, "large", job.Large)
 }
 
-// rememberFinal keeps a job's end in memory, for the last maxFinal jobs.
-func (w *Writer) rememberFinal(job *jobstate.Job) {
+// cacheFinalRecord keeps a job's final record in memory. Only the last maxCachedFinalRecords
+// are kept.
+func (w *Writer) cacheFinalRecord(job *jobstate.Job) {
 	uid := job.Spec.UID
 	w.state.FinalRecords[uid] = jobrecord.FinalRecord{Stage: job.EndStage, Done: job.Done, Ending: w.state.EndStateOf(job)}
-	w.finalOrder = append(w.finalOrder, uid)
-	if len(w.finalOrder) > maxFinal {
-		delete(w.state.FinalRecords, w.finalOrder[0])
-		w.finalOrder = w.finalOrder[1:]
+	w.finalRecordOrder = append(w.finalRecordOrder, uid)
+	if len(w.finalRecordOrder) > maxCachedFinalRecords {
+		delete(w.state.FinalRecords, w.finalRecordOrder[0])
+		w.finalRecordOrder = w.finalRecordOrder[1:]
 	}
 }
 
-// collectGarbage queues the chunk records for deletion that were too many for the
+// queueRemainingChunks queues for deletion the chunk records that did not fit into the
 // transaction of the job's end.
-func (w *Writer) collectGarbage(job *jobstate.Job) {
-	deleted := w.state.Platform.Params.State.TxnOps - endChangesMin // with the end
+func (w *Writer) queueRemainingChunks(job *jobstate.Job) {
+	deleted := w.state.Platform.Params.State.TxnOps - minEndChanges // chunk records that the end's transaction deleted
 	for _, chunk := range job.Chunks {
 		if chunk.Version == 0 {
 			continue
 		}
 		if deleted--; deleted < 0 {
-			w.garbage = append(w.garbage, jobrecord.ChunkKey(job.Spec.UID, chunk.Number))
+			w.chunkDeletions = append(w.chunkDeletions, jobrecord.ChunkKey(job.Spec.UID, chunk.Number))
 		}
 	}
 }
--- a/internal/shardlog/transaction_builder.go
+++ b/internal/shardlog/transaction_builder.go
@@ -13,57 +13,58 @@
 )
 
 const (
-	txnBytes       = 56 << 10 // below the state service's limit for a transaction
-	endBytes       = 200      // upper bound of what a job's end writes besides its accounting row
-	endChangeBytes = 80       // for each key that the end changes
-	endChangesMin  = 2        // the living record is deleted, the final one written
+	maxTxnBytes       = 56 << 10 // less than the state service's size limit of a transaction
+	maxEndBytes       = 200      // upper bound for a job's end, without its accounting row and the keys that it changes
+	maxEndChangeBytes = 80       // upper bound for each key that a job's end changes
+	minEndChanges     = 2        // the live record is deleted and the final record written
 )
 
-// transactionBuilder collects what is to be written into one transaction.
+// transactionBuilder collects unwritten changes into one transaction.
 type transactionBuilder struct {
 	*transaction
-	writer        *Writer
-	maxOps        int          // changes that the transaction may have besides the accounting page
-	maxValueBytes int          // that one value may have
-	bytes         int          // so far, as an upper bound
-	pageBytesLeft int          // on the accounting page
-	more          bool         // something is left for the next transaction
-	rowsLeft      bool         // rows of attempts are left, which must precede the rows of their jobs
-	guardedShards map[int]bool // shards whose leadership is a condition
+	writer          *Writer
+	maxOps          int          // maximum number of operations besides the one for the accounting page
+	maxValueBytes   int          // maximum size of one value
+	bytes           int          // upper bound of the transaction's size so far
+	pageBytesLeft   int          // bytes available on the accounting page
+	hasMore         bool         // changes are left for the next transaction
+	attemptRowsLeft bool         // rows of attempts are left; they must precede the rows of their jobs
+	guardedShards   map[int]bool // shards whose leadership is guarded
 }
 
-// buildTransaction makes a transaction of what is to be written; nil if there is nothing.
-// Garbage is deleted only when there is nothing else.
+// buildTransaction builds a transaction from unwritten changes. It returns nil if there is
+// nothing to write. Chunk records of ended jobs are deleted only when there is nothing else to
+// write.
 func (w *Writer) buildTransaction() (txn *transaction, more bool, err error) {
 	b := &transactionBuilder{
 		transaction: &transaction{}, writer: w, maxOps: w.state.Platform.Params.State.TxnOps,
 		maxValueBytes: w.maxValueBytes(), guardedShards: map[int]bool{},
 	}
-	if w.book != nil {
-		b.startPage()
+	if w.pageBuilder != nil {
+		b.reservePage()
 	}
 	if err := b.addLogs(); err != nil {
 		return nil, false, err
 	}
 	b.addEnds()
 	if len(b.ops) == 0 && len(b.rows) == 0 {
-		b.addGarbage()
+		b.addChunkDeletions()
 	}
 	if len(b.rows) > 0 {
 		b.addPage()
 	}
 	if len(b.ops) == 0 {
-		return nil, b.more, nil
+		return nil, b.hasMore, nil
 	}
-	return b.transaction, b.more, nil
+	return b.transaction, b.hasMore, nil
 }
 
-// startPage reserves a change for the accounting page, and takes the rows that belong to
+// reservePage reserves an operation for the accounting page and takes the rows that belong to
 // no change.
-func (b *transactionBuilder) startPage() {
+func (b *transactionBuilder) reservePage() {
 	unattached := b.writer.state.StandaloneRows
 	b.maxOps--
-	b.pageBytesLeft = b.writer.book.Room()
+	b.pageBytesLeft = b.writer.pageBuilder.Room()
 	b.bytes += b.maxValueBytes
 	taken := 0
 	for taken < len(unattached) && b.pageBytesLeft >= unattached[taken].Bytes() {
@@ -72,11 +73,11 @@
 	}
 	b.unattachedRowsTaken = taken
 	b.rows = append(b.rows, unattached[:taken]...)
-	b.more = taken < len(unattached)
-	b.rowsLeft = b.more
+	b.hasMore = taken < len(unattached)
+	b.attemptRowsLeft = b.hasMore
 }
 
-// guardShard makes it a condition that this controller still leads the shard.
+// guardShard adds the guard that this controller still leads the shard.
 func (b *transactionBuilder) guardShard(shard int) {
 	if !b.guardedShards[shard] {
 		b.guardedShards[shard] = true
@@ -84,14 +85,14 @@
 	}
 }
 
-// guardAllShards makes it a condition that this controller still leads all its shards.
+// guardAllShards adds the guards that this controller still leads all its shards.
 func (b *transactionBuilder) guardAllShards() {
 	for shard := range b.writer.state.Loaded {
 		b.guardShard(shard)
 	}
 }
 
-// put writes a record whose key must have the version.
+// put adds the write of a record, guarded by the current version of its key.
 func (b *transactionBuilder) put(key string, version uint64, record any) error {
 	data, err := json.Marshal(record)
 	if err != nil {
@@ -103,18 +104,18 @@
 	return nil
 }
 
-// addLogs adds a log record for each shard that has something to record.
+// addLogs adds a log record for each shard with unwritten changes.
 func (b *transactionBuilder) addLogs() error {
 	for shard, queue := range b.writer.state.UnwrittenChanges {
 		if _, leads := b.writer.state.Loaded[shard]; !leads || len(queue) == 0 {
 			continue
 		}
-		if len(b.ops) >= b.maxOps || b.bytes+b.maxValueBytes > txnBytes {
-			b.more = true
+		if len(b.ops) >= b.maxOps || b.bytes+b.maxValueBytes > maxTxnBytes {
+			b.hasMore = true
 			break
 		}
 		shardLog := b.writer.logOf(shard)
-		record := b.takeQueue(shard, shardLog)
+		record := b.takeChanges(shard, shardLog)
 		if len(record.changes) == 0 {
 			b.unloggedChanges = append(b.unloggedChanges, record.rowChanges...)
 			continue
@@ -126,8 +127,9 @@
 	return nil
 }
 
-// takeQueue takes queued changes of a shard that fit a log record, and their rows.
-func (b *transactionBuilder) takeQueue(shard int, shardLog *Log) *recordBuilder {
+// takeChanges takes as many of a shard's unwritten changes as fit into a log record, and their
+// accounting rows as far as the page has room.
+func (b *transactionBuilder) takeChanges(shard int, shardLog *Log) *recordBuilder {
 	queue := b.writer.state.UnwrittenChanges[shard]
 	record := newRecordBuilder(shardLog.seq + 1)
 	taken := 0
@@ -147,24 +149,25 @@
 	}
 	queue = append([]jobstate.Change(nil), queue[taken:]...)
 	b.writer.state.UnwrittenChanges[shard] = queue
-	b.more = b.more || len(queue) > 0
-	b.rowsLeft = b.rowsLeft || b.writer.book != nil && len(queue) > 0
+	b.hasMore = b.hasMore || len(queue) > 0
+	b.attemptRowsLeft = b.attemptRowsLeft || b.writer.pageBuilder != nil && len(queue) > 0
 	return record
 }
 
-// addLog adds a shard's log record, over the oldest one if that is not needed any more.
+// addLog adds the write of a shard's log record. It overwrites the oldest record if no chunk
+// needs that one any more, and uses a new slot otherwise.
 func (b *transactionBuilder) addLog(shard int, shardLog *Log, record *recordBuilder) error {
-	record.keepRowChanges()
+	record.includeRowChanges()
 	record.logRecord.QuotaMark = b.writer.quota.Mark(shard)
 	shardLog.seq++
 	b.guardShard(shard)
 	write := logWrite{shard: shard, log: shardLog, seq: shardLog.seq, changes: record.changes, chunks: record.chunks}
-	if len(shardLog.slots) >= b.writer.maxSlots && !shardLog.slots[0].release() {
-		if err := b.saveOldest(shardLog); err != nil {
+	if len(shardLog.slots) >= b.writer.maxSlots && !shardLog.slots[0].dropSavedChunks() {
+		if err := b.saveOldestChunks(shardLog); err != nil {
 			return err
 		}
 	}
-	if len(shardLog.slots) > 0 && shardLog.slots[0].release() {
+	if len(shardLog.slots) > 0 && shardLog.slots[0].dropSavedChunks() {
 		write.slot = shardLog.slots[0]
 	} else {
 		write.slot, write.slotIsNew = &logSlot{number: shardLog.nextSlot}, true
@@ -176,16 +179,16 @@
 	return nil
 }
 
-// saveOldest saves chunks that a shard's oldest log record is still needed for, as many
-// as fit.
-func (b *transactionBuilder) saveOldest(shardLog *Log) error {
+// saveOldestChunks saves chunks that still need the shard's oldest log record, as many as fit
+// into the transaction.
+func (b *transactionBuilder) saveOldestChunks(shardLog *Log) error {
 	for chunk := range shardLog.slots[0].chunks {
 		if chunk.Job.EndStage != "" {
-			// The job's end frees the slot. That end, maybe in this very transaction,
-			// would not delete a chunk record saved now, and the record would stay.
+			// The job's end releases the slot. The end may be part of this very transaction and
+			// would not delete a chunk record saved now, so the chunk record would remain.
 			continue
 		}
-		if len(b.ops) >= b.maxOps/2 || b.bytes+2*b.maxValueBytes > txnBytes {
+		if len(b.ops) >= b.maxOps/2 || b.bytes+2*b.maxValueBytes > maxTxnBytes {
 			break
 		}
 		for _, placement := range chunk.Placements {
@@ -199,38 +202,39 @@
 	return nil
 }
 
-// addEnds adds the ends of jobs that are over.
+// addEnds adds the ends of jobs that have ended, as many as fit into the transaction.
 func (b *transactionBuilder) addEnds() {
 	for _, job := range b.writer.state.JobOrder {
 		if job.EndStage == "" {
 			continue
 		}
 		var row accounting.Row
-		if b.writer.book != nil {
+		if b.writer.pageBuilder != nil {
 			row = b.writer.state.JobRow(job)
-			if b.rowsLeft || b.pageBytesLeft < row.Bytes() {
-				b.more = true // its attempts' rows come first
+			if b.attemptRowsLeft || b.pageBytesLeft < row.Bytes() {
+				b.hasMore = true // the rows of its attempts must be written first
 				continue
 			}
 		}
-		changes := b.endChanges(job)
-		bytes := endBytes + endChangeBytes*changes
-		if len(b.ops)+changes > b.maxOps || b.bytes+bytes > txnBytes {
-			b.more = true
+		changes := b.countEndChanges(job)
+		bytes := maxEndBytes + maxEndChangeBytes*changes
+		if len(b.ops)+changes > b.maxOps || b.bytes+bytes > maxTxnBytes {
+			b.hasMore = true
 			continue
 		}
 		b.bytes += bytes
 		b.addEnd(job, changes)
-		if b.writer.book != nil {
+		if b.writer.pageBuilder != nil {
 			b.pageBytesLeft -= row.Bytes()
 			b.rows = append(b.rows, row)
 		}
 	}
 }
 
-// endChanges is how many keys a job's end changes in its transaction.
-func (b *transactionBuilder) endChanges(job *jobstate.Job) int {
-	changes := endChangesMin
+// countEndChanges returns the number of keys that the transaction changes for a job's end,
+// limited by the operations that a transaction may have.
+func (b *transactionBuilder) countEndChanges(job *jobstate.Job) int {
+	changes := minEndChanges
 	for _, chunk := range job.Chunks {
 		if chunk.Version != 0 && changes < b.maxOps {
 			changes++
@@ -239,15 +243,15 @@
 	return changes
 }
 
-// addEnd adds a job's end, with at most so many changes. Chunk records beyond them are
-// deleted later.
+// addEnd adds a job's end with at most the given number of changed keys. Chunk records beyond
+// that number are deleted later.
 func (b *transactionBuilder) addEnd(job *jobstate.Job, changes int) {
 	b.guardShard(job.Shard)
 	uid := job.Spec.UID
 	final := jobrecord.FinalRecord{Stage: job.EndStage, Done: job.Done, Ending: b.writer.state.EndStateOf(job)}
 	b.guards = append(b.guards, wire.Guard{Key: jobrecord.LivePrefix + uid, Version: job.Version})
 	b.ops = append(b.ops, wire.Op{Put: jobrecord.FinalPrefix + uid, Value: final}, wire.Op{Delete: jobrecord.LivePrefix + uid})
-	left := changes - endChangesMin
+	left := changes - minEndChanges
 	for _, chunk := range job.Chunks {
 		if chunk.Version != 0 && left > 0 {
 			left--
@@ -258,26 +262,26 @@
 	b.endedJobs = append(b.endedJobs, job)
 }
 
-// addGarbage deletes chunk records of ended jobs.
-func (b *transactionBuilder) addGarbage() {
-	for b.garbageTaken < len(b.writer.garbage) && len(b.ops) < b.maxOps {
-		b.ops = append(b.ops, wire.Op{Delete: b.writer.garbage[b.garbageTaken]})
-		b.garbageTaken++
+// addChunkDeletions adds deletions of queued chunk records of ended jobs.
+func (b *transactionBuilder) addChunkDeletions() {
+	for b.chunkDeletionsTaken < len(b.writer.chunkDeletions) && len(b.ops) < b.maxOps {
+		b.ops = append(b.ops, wire.Op{Delete: b.writer.chunkDeletions[b.chunkDeletionsTaken]})
+		b.chunkDeletionsTaken++
 	}
 	b.guardAllShards()
 }
 
-// addPage adds the accounting page with the rows. Rows that can't be written are lost:
-// scheduling does not stop for them.
+// addPage adds the accounting page with the rows. Rows that can't be encoded are logged and
+// dropped, so that they do not block scheduling.
 func (b *transactionBuilder) addPage() {
-	book := b.writer.book
-	page, err := book.Add(b.rows, time.Now())
+	builder := b.writer.pageBuilder
+	page, err := builder.Add(b.rows, time.Now())
 	b.page = page
 	if err != nil {
 		b.writer.log.Error("accounting rows lost", "rows", len(b.rows), "err", err)
 		return
 	}
-	b.book = book
+	b.pageBuilder = builder
 	if len(b.guards) == 0 {
 		b.guardAllShards()
 	}
