--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -188,7 +188,7 @@
 // queues are the depths that the meter shows.
 func (c *controller) queues() map[string]int {
 	depths := c.scheduler.QueueDepths()
-	depths["machines"], depths["queued"], depths["orders"] = c.dispatcher.Depths()
+	depths["machines"], depths["queued"], depths["orders"] = c.dispatcher.Counts()
 	depths["connections"], depths["order_connections"] = c.connections.Open(), c.commands.Connections()
 	return depths
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -117,7 +117,7 @@
 	}
 	e.chased = time.Now()
 	if workers := e.scheduler.UnstoppedWorkers(chaseAfter); len(workers) > 0 {
-		go e.dispatcher.ChaseCancelledTasks(ctx, workers)
+		go e.dispatcher.PollAndHaltCancelledTasks(ctx, workers)
 	}
 }
 
--- a/internal/controller/expiring_leases.go
+++ b/internal/controller/expiring_leases.go
@@ -27,7 +27,7 @@
 			return
 		}
 		if workers := e.scheduler.HandleExpiringLeases(); len(workers) > 0 {
-			e.dispatcher.ChaseCancelledTasks(ctx, workers)
+			e.dispatcher.PollAndHaltCancelledTasks(ctx, workers)
 		}
 	})
 }
--- a/internal/controller/lease_attestation.go
+++ b/internal/controller/lease_attestation.go
@@ -80,7 +80,7 @@
 	for i, worker := range q.Workers {
 		if attestation.LeaseExpired(i, now, leaseS) {
 			a.log.Info("worker lease expired by attestation", "worker", worker)
-			a.scheduler.LeaseAttestedExpired(worker, attestation.BegunAt())
+			a.scheduler.LeaseAttestedExpired(worker, attestation.StartedAt())
 		}
 	}
 }
--- a/internal/controller/link_monitor.go
+++ b/internal/controller/link_monitor.go
@@ -122,7 +122,7 @@
 	received, workers := l.dispatcher.RecentHeartbeats()
 	var names *reachability.NameSet
 	if now := time.Now(); len(l.table.UnreachedPeers(now)) > 0 || l.table.UnreachedByPeers(now) {
-		heard := l.dispatcher.WorkersHeardWithin(config.Seconds(l.cfg.Params.Workers.LeaseS))
+		heard := l.dispatcher.WorkersSeenWithin(config.Seconds(l.cfg.Params.Workers.LeaseS))
 		names = reachability.NewNameSet(heard, int(l.cfg.Params.State.ValueKB*nameShare*1024))
 	}
 	l.status.SetHeartbeats(peerlinks.HeartbeatCount{
--- a/internal/controller/prober.go
+++ b/internal/controller/prober.go
@@ -59,7 +59,7 @@
 func (p *prober) suspicionChanged(timerDelay time.Duration) bool {
 	expected, before := p.status.Suspicion()
 	perSecond := expected / dispatch.HeartbeatWindow.Seconds()
-	suspected := len(p.member.LedShards()) > 0 && reachability.ShouldProbe(perSecond, p.dispatcher.SinceLastHeartbeat()) && timerDelay < watchLinksEvery
+	suspected := len(p.member.LedShards()) > 0 && reachability.ShouldProbe(perSecond, p.dispatcher.SinceAnyHeartbeat()) && timerDelay < watchLinksEvery
 	if suspected == before {
 		return false
 	}
--- a/internal/controller/unresponsive_workers.go
+++ b/internal/controller/unresponsive_workers.go
@@ -63,7 +63,7 @@
 
 // reached reports whether a worker is reached from here.
 func (u *unresponsiveWorkers) reached(ctx context.Context, q *probeQuery) bool {
-	if !q.OutboundLost && u.dispatcher.SinceHeartbeat(q.Worker).Seconds() < u.operator.HeartbeatTimeoutS {
+	if !q.OutboundLost && u.dispatcher.SinceWorkerHeartbeat(q.Worker).Seconds() < u.operator.HeartbeatTimeoutS {
 		return true
 	}
 	return q.Endpoint != "" && u.dispatcher.PollWorker(ctx, q.Worker, q.Endpoint)
--- a/internal/dispatch/attestation.go
+++ b/internal/dispatch/attestation.go
@@ -9,18 +9,18 @@
 // each controller has left their heartbeats unanswered. The controllers are queried one after
 // the other, so that their figures are of different moments. It is not safe for concurrent use.
 type Attestation struct {
-	begun       time.Time
+	startedAt       time.Time
 	unansweredS []float64 // the least of all controllers, by worker
 }
 
 // NewAttestation begins one at the given time with the querying controller's own figures, in s,
 // one for each worker.
-func NewAttestation(begun time.Time, unansweredS []float64) *Attestation {
-	return &Attestation{begun: begun, unansweredS: slices.Clone(unansweredS)}
+func NewAttestation(startedAt time.Time, unansweredS []float64) *Attestation {
+	return &Attestation{startedAt: startedAt, unansweredS: slices.Clone(unansweredS)}
 }
 
-// BegunAt is when the first controller was queried.
-func (a *Attestation) BegunAt() time.Time { return a.begun }
+// StartedAt is when the first controller was queried.
+func (a *Attestation) StartedAt() time.Time { return a.startedAt }
 
 // Add takes another controller's figures, in s and in the same order. It returns false, and takes
 // none, if they are not of the same number of workers.
@@ -39,5 +39,5 @@
 // took is subtracted: else a controller that attests late counts time in which another, queried
 // before it, may have answered the worker again while its lease still held.
 func (a *Attestation) LeaseExpired(i int, now time.Time, leaseS float64) bool {
-	return a.unansweredS[i]-now.Sub(a.begun).Seconds() > leaseS
+	return a.unansweredS[i]-now.Sub(a.startedAt).Seconds() > leaseS
 }
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -35,13 +35,13 @@
 	}
 }
 
-// discard is a stub that keeps no views.
-type discard struct{ *stub }
+// discardingStub is a stub that keeps no views.
+type discardingStub struct{ *stub }
 
-func (discard) ObserveWorker(dispatch.WorkerView) {}
+func (discardingStub) ObserveWorker(dispatch.WorkerView) {}
 
 func newReportingWorkers(tb testing.TB, workers, tasks int) *reportingWorkers {
-	s := discard{&stub{token: 7}}
+	s := discardingStub{&stub{token: 7}}
 	w := &reportingWorkers{dispatcher: dispatch.New(context.Background(), dispatch.Options{
 		Node: "a", WorkerLease: 44 * time.Second, Schedulers: s, Tokens: s, MachineTypes: s, Routing: s, Commands: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})}
@@ -73,46 +73,46 @@
 	return float64(len(data))
 }
 
-// largeSite is the sockets of a controller of today's larger fleet as one of six, with so
+// largeFleetBudget is the sockets of a controller of today's larger fleet as one of six, with so
 // many workers that report there.
-func largeSite(workers int) sockets.Budget {
+func largeFleetBudget(workers int) sockets.Budget {
 	return sockets.Budget{Limit: 2157, Peers: 5, Accepted: func() int { return workers }}
 }
 
-// commandTime is the processor time of direct commands to one of so many workers, each with an
+// commandCPUTime is the processor time of direct commands to one of so many workers, each with an
 // address of its own, which next picks; the workers' end is in it.
-func commandTime(tb testing.TB, workers int, next func() int) float64 {
-	sender, w := dispatch.NewHTTPCommandSender(largeSite(workers)), newCommandedWorkers(tb, workers)
+func commandCPUTime(tb testing.TB, workers int, next func() int) float64 {
+	sender, w := dispatch.NewHTTPCommandSender(largeFleetBudget(workers)), newFakeWorkers(tb, workers)
 	commands := wire.Orders{Token: 7, Session: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000400/10", Attempt: 20}}}
 	for worker := range workers {
 		w.command(tb, sender, worker) // first ones are always dialled
 	}
 	return capacity.ProcessorTime(tb, func() {
-		if _, _, err := sender.SendCommands(context.Background(), w.endpoints[next()], commands, stillValid); err != nil {
+		if _, _, err := sender.SendCommands(context.Background(), w.endpoints[next()], commands, alwaysValid); err != nil {
 			tb.Fatal(err)
 		}
 	})
 }
 
-func commandsInTurn(tb testing.TB, workers int) float64 {
+func commandsRoundRobin(tb testing.TB, workers int) float64 {
 	i := 0
-	return commandTime(tb, workers, func() int { i++; return i % workers })
+	return commandCPUTime(tb, workers, func() int { i++; return i % workers })
 }
 
-func commandsAtRandom(tb testing.TB, workers int) float64 {
+func commandsRandomOrder(tb testing.TB, workers int) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
-	return commandTime(tb, workers, func() int { return random.IntN(workers) })
+	return commandCPUTime(tb, workers, func() int { return random.IntN(workers) })
 }
 
-// keptConnections is the memory, heap and stacks, of so many idle connections for commands.
+// idleConnectionBytes is the memory, heap and stacks, of so many idle connections for commands.
 // Of the workers' end, only the sockets' own memory is in it.
-func keptConnections(tb testing.TB, connections int) float64 {
+func idleConnectionBytes(tb testing.TB, connections int) float64 {
 	answer, err := json.Marshal(report(9, 7))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
-	sender := dispatch.NewHTTPCommandSender(largeSite(connections))
+	sender := dispatch.NewHTTPCommandSender(largeFleetBudget(connections))
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC() // what other series left is gone after the second
@@ -124,7 +124,7 @@
 		}
 		answered := make(chan net.Conn, 1)
 		go func() { answered <- answerOnce(tb, lis, response) }()
-		if _, _, err := sender.SendCommands(context.Background(), lis.Addr().String(), wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
+		if _, _, err := sender.SendCommands(context.Background(), lis.Addr().String(), wire.Orders{Token: 7, Session: 1}, alwaysValid); err != nil {
 			tb.Fatal(err)
 		}
 		worker := <-answered
@@ -155,17 +155,17 @@
 	return conn
 }
 
-const tasksEach = 4 // 11,000 tasks on 2,600 workers
+const tasksPerWorker = 4 // 11,000 tasks on 2,600 workers
 
 var capacitySeries = []capacity.Series{
 	{Name: "dispatch.heap", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 10_000, Measure: func(tb testing.TB, workers int) float64 {
-		return capacity.Heap(func() any { return newReportingWorkers(tb, workers, tasksEach).dispatcher })
+		return capacity.Heap(func() any { return newReportingWorkers(tb, workers, tasksPerWorker).dispatcher })
 	}},
 	{Name: "dispatch.heapOfTask", Sizes: []int{2, 4, 8, 16}, FixedSlack: 100, Measure: func(tb testing.TB, tasks int) float64 {
 		return capacity.Heap(func() any { return newReportingWorkers(tb, 500, tasks).dispatcher }) / 500
 	}},
 	{Name: "dispatch.views", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
-		return publishedBytes(tb, newReportingWorkers(tb, workers, tasksEach))
+		return publishedBytes(tb, newReportingWorkers(tb, workers, tasksPerWorker))
 	}},
 	{Name: "dispatch.viewOfTasks", Sizes: []int{1, 2, 4, 8}, Measure: func(tb testing.TB, tasks int) float64 {
 		return publishedBytes(tb, newReportingWorkers(tb, 100, tasks)) / 100
@@ -175,14 +175,14 @@
 		return testing.AllocsPerRun(200, func() { w.report(tb, 0) })
 	}},
 	{Name: "dispatch.report", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
-		w, i := newReportingWorkers(tb, workers, tasksEach), 0
+		w, i := newReportingWorkers(tb, workers, tasksPerWorker), 0
 		return capacity.ProcessorTime(tb, func() { w.report(tb, i%workers); i++ })
 	}},
-	{Name: "dispatch.order", Scatters: true, Sizes: []int{50, 100, 200, 400, 800}, Measure: commandsInTurn},
-	{Name: "dispatch.orderBeyond", Scatters: true, Sizes: []int{1000, 1200, 1400, 1600}, Measure: commandsAtRandom},
-	{Name: "dispatch.keptConnections", Scatters: true, Sizes: []int{200, 400, 600, 900}, Measure: keptConnections},
+	{Name: "dispatch.order", Scatters: true, Sizes: []int{50, 100, 200, 400, 800}, Measure: commandsRoundRobin},
+	{Name: "dispatch.orderBeyond", Scatters: true, Sizes: []int{1000, 1200, 1400, 1600}, Measure: commandsRandomOrder},
+	{Name: "dispatch.keptConnections", Scatters: true, Sizes: []int{200, 400, 600, 900}, Measure: idleConnectionBytes},
 	{Name: "dispatch.makeViews", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
-		w := newReportingWorkers(tb, workers, tasksEach)
+		w := newReportingWorkers(tb, workers, tasksPerWorker)
 		return capacity.ProcessorTime(tb, func() { publishedBytes(tb, w) })
 	}},
 }
--- a/internal/dispatch/command_sender.go
+++ b/internal/dispatch/command_sender.go
@@ -42,13 +42,13 @@
 	pollSlots   chan struct{} // of slots, those that polls may take
 }
 
-// pollShare is the part of the slots, one in so many, that polls may take.
+// pollSlotDivisor is the part of the slots, one in so many, that polls may take.
 // Mostly unresponsive workers are polled, each of which keeps its slot until the timeout: with
 // all slots taken by them, commands to responsive workers waited, left with next to no time for
 // a response, and counted as of unknown outcome.
-const pollShare = 2
+const pollSlotDivisor = 2
 
-const maxReport = 8 << 20 // bytes
+const maxReportBytes = 8 << 20 // bytes
 
 // NewHTTPCommandSender returns a sender that keeps within the process's sockets.
 func NewHTTPCommandSender(budget sockets.Budget) *HTTPCommandSender {
@@ -56,7 +56,7 @@
 	return &HTTPCommandSender{
 		connections: newConnectionPool(budget.WorkerConnections),
 		slots:       make(chan struct{}, slots),
-		pollSlots:   make(chan struct{}, slots/pollShare),
+		pollSlots:   make(chan struct{}, slots/pollSlotDivisor),
 	}
 }
 
@@ -67,8 +67,8 @@
 // Connections returns how many connections to workers are open, at most.
 func (s *HTTPCommandSender) Connections() int { return s.connections.count() }
 
-// takeSlot waits for one of the slots.
-func takeSlot(ctx context.Context, slots chan struct{}) error {
+// acquireSlot waits for one of the slots.
+func acquireSlot(ctx context.Context, slots chan struct{}) error {
 	select {
 	case slots <- struct{}{}:
 		return nil
@@ -79,11 +79,11 @@
 
 // FetchReport implements CommandSender.
 func (s *HTTPCommandSender) FetchReport(ctx context.Context, endpoint string) (*wire.Report, error) {
-	if err := takeSlot(ctx, s.pollSlots); err != nil {
+	if err := acquireSlot(ctx, s.pollSlots); err != nil {
 		return nil, err
 	}
 	defer func() { <-s.pollSlots }()
-	if err := takeSlot(ctx, s.slots); err != nil {
+	if err := acquireSlot(ctx, s.slots); err != nil {
 		return nil, err
 	}
 	defer func() { <-s.slots }()
@@ -103,7 +103,7 @@
 
 // SendCommands implements CommandSender.
 func (s *HTTPCommandSender) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
-	if err := takeSlot(ctx, s.slots); err != nil {
+	if err := acquireSlot(ctx, s.slots); err != nil {
 		return nil, false, err
 	}
 	defer func() { <-s.slots }()
@@ -140,7 +140,7 @@
 
 // readReport reads the report in a response with one of the statuses.
 func readReport(resp *http.Response, statuses ...int) (*wire.Report, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReport))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
 		return nil, fmt.Errorf("reading the worker's response: %w", err)
 	}
@@ -158,7 +158,7 @@
 
 	mu      sync.Mutex
 	checked bool
-	refused error
+	checkErr error
 }
 
 // Read implements io.Reader.
@@ -173,14 +173,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.checked {
-		b.checked, b.refused = true, b.valid()
+		b.checked, b.checkErr = true, b.valid()
 	}
-	return b.refused
+	return b.checkErr
 }
 
 // err is why the body was not sent; nil if it was, or nobody asked for it.
 func (b *checkedBody) err() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.refused
+	return b.checkErr
 }
--- a/internal/dispatch/command_slots_test.go
+++ b/internal/dispatch/command_slots_test.go
@@ -40,11 +40,11 @@
 	}
 	eventually(t, "unresponsive workers are polled", func() bool { return sender.Connections() >= budget.RequestsAtOnce()/2 })
 
-	workers := newCommandedWorkers(t, 1)
+	workers := newFakeWorkers(t, 1)
 	within, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
 	for range 50 { // while ever more of the unresponsive ones are polled
-		if _, _, err := sender.SendCommands(within, workers.endpoints[0], wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
+		if _, _, err := sender.SendCommands(within, workers.endpoints[0], wire.Orders{Token: 7, Session: 1}, alwaysValid); err != nil {
 			t.Fatalf("commands while %d unresponsive workers are polled: %v", unresponsive, err)
 		}
 	}
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -66,7 +66,7 @@
 	slices.SortStableFunc(worker.queue, byPriority)
 	kept := worker.queue[:0]
 	for _, queued := range worker.queue {
-		if pass.keep(queued) {
+		if pass.process(queued) {
 			kept = append(kept, queued)
 		}
 	}
@@ -89,8 +89,8 @@
 	commands   []wire.Command
 }
 
-// keep decides on the next task, and returns false if it leaves the queue.
-func (p *startPass) keep(queued *queuedTask) bool {
+// process decides on the next task, and returns false if it leaves the queue.
+func (p *startPass) process(queued *queuedTask) bool {
 	if p.dispatcher.cancelled(queued.Task) {
 		// Whatever was granted: its leader takes it out. A command that was sent may be
 		// on its way, and the task is halted when it is reported.
@@ -108,7 +108,7 @@
 	dropped := fits && p.requestGrant(queued)
 	starts := fits && !dropped
 	if starts && queued.granted && len(p.commands) < maxCommands {
-		queued.startSent, queued.startSentSeq, queued.startAbsent = true, p.worker.report.Seq, false
+		queued.startSent, queued.startSentSeq, queued.startNotReported = true, p.worker.report.Seq, false
 		p.commands = append(p.commands, wire.Command{Verb: wire.VerbStart, Task: queued.Task, Attempt: queued.Attempt})
 	}
 	if allocated || starts && (queued.granted || queued.grantRequested) {
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -13,7 +13,7 @@
 const (
 	dialTimeout = time.Second
 	idleTimeout = time.Minute // after which an idle connection to a worker is closed
-	bufferBytes = 2 << 10     // of each direction: commands and most reports are smaller, and connections are many
+	connBufferBytes = 2 << 10     // of each direction: commands and most reports are smaller, and connections are many
 )
 
 // connection is the HTTP client for one worker, with at most one connection.
@@ -50,11 +50,11 @@
 // dialled by the first request.
 func (p *connectionPool) acquire(endpoint string) *connection {
 	p.mu.Lock()
-	closing := p.removeStale(time.Now())
+	closing := p.removeIdleExpired(time.Now())
 	c := p.byEndpoint[endpoint]
 	if c == nil {
 		if len(p.byEndpoint) >= p.limits().Open {
-			closing = p.removeOldest(closing)
+			closing = p.removeLongestIdle(closing)
 		}
 		c = p.open(endpoint)
 	}
@@ -72,7 +72,7 @@
 	c := &connection{endpoint: endpoint}
 	c.client.Transport = &http.Transport{
 		MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout,
-		ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes, DialContext: p.dialer.DialContext,
+		ReadBufferSize: connBufferBytes, WriteBufferSize: connBufferBytes, DialContext: p.dialer.DialContext,
 	}
 	p.byEndpoint[endpoint] = c
 	return c
@@ -93,26 +93,26 @@
 	p.mu.Lock()
 	var closing []*connection
 	for keep := p.limits().Keep; len(p.byEndpoint) > keep && p.idle.Len() > 0; {
-		closing = p.removeOldest(closing)
+		closing = p.removeLongestIdle(closing)
 	}
 	p.mu.Unlock()
 	closeAll(closing)
 }
 
-// removeStale removes the connections that their transport closes for idleness: else they
+// removeIdleExpired removes the connections that their transport closes for idleness: else they
 // would count as open until their worker's next commands, which may never come.
-func (p *connectionPool) removeStale(now time.Time) (removed []*connection) {
+func (p *connectionPool) removeIdleExpired(now time.Time) (removed []*connection) {
 	for oldest := p.idle.Front(); oldest != nil; oldest = p.idle.Front() {
 		if now.Sub(oldest.Value.(*connection).idleSince) < idleTimeout {
 			break
 		}
-		removed = p.removeOldest(removed)
+		removed = p.removeLongestIdle(removed)
 	}
 	return removed
 }
 
-// removeOldest adds the longest idle connection, if there is one, to those removed.
-func (p *connectionPool) removeOldest(removed []*connection) []*connection {
+// removeLongestIdle adds the longest idle connection, if there is one, to those removed.
+func (p *connectionPool) removeLongestIdle(removed []*connection) []*connection {
 	oldest := p.idle.Front()
 	if oldest == nil {
 		return removed
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -17,30 +17,30 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// commandedWorkers are workers that respond to direct commands and count the connections to them.
-type commandedWorkers struct {
+// fakeWorkers are workers that respond to direct commands and count the connections to them.
+type fakeWorkers struct {
 	endpoints []string
 	dialled   []atomic.Int64 // connections that were opened
 	open      atomic.Int64   // connections that are open now
-	held      atomic.Bool    // commands to the first worker wait for release
-	waiting   atomic.Bool    // one does
+	blockFirst      atomic.Bool    // commands to the first worker wait for release
+	firstBlocked   atomic.Bool    // one does
 	release   chan struct{}
 }
 
-// stillValid is the check of commands that may be sent.
-func stillValid() error { return nil }
+// alwaysValid is the check of commands that may be sent.
+func alwaysValid() error { return nil }
 
-func newCommandedWorkers(tb testing.TB, n int) *commandedWorkers {
+func newFakeWorkers(tb testing.TB, n int) *fakeWorkers {
 	answer, err := json.Marshal(report(9, 7))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	w := &commandedWorkers{dialled: make([]atomic.Int64, n), release: make(chan struct{})}
+	w := &fakeWorkers{dialled: make([]atomic.Int64, n), release: make(chan struct{})}
 	for i := range n {
 		srv := httptest.NewUnstartedServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			if i == 0 && w.held.Load() {
-				w.waiting.Store(true)
+			if i == 0 && w.blockFirst.Load() {
+				w.firstBlocked.Store(true)
 				<-w.release
 			}
 			_, _ = rw.Write(answer)
@@ -61,23 +61,23 @@
 	return w
 }
 
-func (w *commandedWorkers) command(tb testing.TB, sender *dispatch.HTTPCommandSender, worker int) {
+func (w *fakeWorkers) command(tb testing.TB, sender *dispatch.HTTPCommandSender, worker int) {
 	tb.Helper()
-	if _, _, err := sender.SendCommands(context.Background(), w.endpoints[worker], wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
+	if _, _, err := sender.SendCommands(context.Background(), w.endpoints[worker], wire.Orders{Token: 7, Session: 1}, alwaysValid); err != nil {
 		tb.Errorf("commands to worker %d: %v", worker, err)
 	}
 }
 
-func (w *commandedWorkers) commandAll(tb testing.TB, sender *dispatch.HTTPCommandSender) {
+func (w *fakeWorkers) commandAll(tb testing.TB, sender *dispatch.HTTPCommandSender) {
 	tb.Helper()
 	for worker := range w.endpoints {
 		w.command(tb, sender, worker)
 	}
 }
 
-// dials returns how many connections were opened since the last call, from the first worker
+// newDials returns how many connections were opened since the last call, from the first worker
 // on.
-func (w *commandedWorkers) dials() (each []int64, sum int64) {
+func (w *fakeWorkers) newDials() (each []int64, sum int64) {
 	for i := range w.dialled {
 		n := w.dialled[i].Swap(0)
 		each, sum = append(each, n), sum+n
@@ -102,10 +102,10 @@
 	const workers = 40 // four times the messages at once
 	var accepted atomic.Int64
 	budget := sockets.Budget{Limit: 200, Accepted: func() int { return int(accepted.Load()) }}
-	sender, w := dispatch.NewHTTPCommandSender(budget), newCommandedWorkers(t, workers)
+	sender, w := dispatch.NewHTTPCommandSender(budget), newFakeWorkers(t, workers)
 	w.commandAll(t, sender)
 	w.commandAll(t, sender)
-	if _, sum := w.dials(); sum != workers || sender.Connections() != workers {
+	if _, sum := w.newDials(); sum != workers || sender.Connections() != workers {
 		t.Errorf("%d connections opened and %d kept for two messages to each of %d workers", sum, sender.Connections(), workers)
 	}
 
@@ -120,7 +120,7 @@
 	for worker := workers - 1; worker >= 0; worker-- {
 		w.command(t, sender, worker)
 	}
-	if each, sum := w.dials(); sum != 10 || each[9] != 1 || each[10] != 0 {
+	if each, sum := w.newDials(); sum != 10 || each[9] != 1 || each[10] != 0 {
 		t.Errorf("not the 10 longest idle ones were closed: opened anew %v", each)
 	}
 
@@ -144,13 +144,13 @@
 func TestConnectionKeptDuringCommands(t *testing.T) {
 	var accepted atomic.Int64
 	budget := sockets.Budget{Limit: 96, Accepted: func() int { return int(accepted.Load()) }}
-	sender, w := dispatch.NewHTTPCommandSender(budget), newCommandedWorkers(t, 20)
+	sender, w := dispatch.NewHTTPCommandSender(budget), newFakeWorkers(t, 20)
 	w.command(t, sender, 0) // its connection was idle before
-	w.held.Store(true)
+	w.blockFirst.Store(true)
 	done := make(chan struct{})
 	go func() { defer close(done); w.command(t, sender, 0) }()
-	eventually(t, "the commands wait at their worker", func() bool { return w.waiting.Load() })
-	w.held.Store(false)
+	eventually(t, "the commands wait at their worker", func() bool { return w.firstBlocked.Load() })
+	w.blockFirst.Store(false)
 	for worker := 1; worker < len(w.endpoints); worker++ {
 		w.command(t, sender, worker)
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	forgetAfter   = 10 * time.Minute // after which an unheard worker is forgotten
-	maxTombstones = 4096             // deleted workers that are remembered
+	workerRetention   = 10 * time.Minute // after which an unheard worker is forgotten
+	maxDeletedWorkers = 4096             // deleted workers that are remembered
 	maxWorkers    = 20_000
 )
 
@@ -79,7 +79,7 @@
 
 // New returns a dispatcher without workers; ctx bounds the goroutines it starts.
 func New(ctx context.Context, o Options) *Dispatcher {
-	deleted, _ := lru.New[string, struct{}](maxTombstones) // fails for sizes below 1 only
+	deleted, _ := lru.New[string, struct{}](maxDeletedWorkers) // fails for sizes below 1 only
 	d := &Dispatcher{
 		name: o.Node, lease: o.WorkerLease, schedulers: o.Schedulers, tokens: o.Tokens, types: o.MachineTypes, routing: o.Routing,
 		sender: o.Commands, cancellations: o.Cancellations, log: o.Log,
@@ -100,9 +100,9 @@
 	d.goroutines.Wait()
 }
 
-// startLocked runs a goroutine that Wait waits for. A peer's message may come while the
+// startGoroutineLocked runs a goroutine that Wait waits for. A peer's message may come while the
 // process ends: a goroutine that started then could be missed by Wait.
-func (d *Dispatcher) startLocked(run func()) {
+func (d *Dispatcher) startGoroutineLocked(run func()) {
 	if !d.stopped {
 		d.goroutines.Go(run)
 	}
@@ -144,9 +144,9 @@
 	d.deleted.ContainsOrAdd(name, struct{}{})
 }
 
-// Depths counts the workers known here, the tasks queued for them, and the direct commands under
+// Counts counts the workers known here, the tasks queued for them, and the direct commands under
 // way.
-func (d *Dispatcher) Depths() (workers, queued, pushes int) {
+func (d *Dispatcher) Counts() (workers, queued, pushes int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, worker := range d.workers {
@@ -158,11 +158,11 @@
 	return len(d.workers), queued, pushes
 }
 
-// forgetLocked forgets the workers that were not heard for long.
-func (d *Dispatcher) forgetLocked() {
+// removeExpiredWorkersLocked forgets the workers that were not heard for long.
+func (d *Dispatcher) removeExpiredWorkersLocked() {
 	d.lastExpiry = time.Now()
 	for name, worker := range d.workers {
-		if time.Since(worker.reportedAt) > forgetAfter && time.Since(worker.redirectedAt) > forgetAfter {
+		if time.Since(worker.reportedAt) > workerRetention && time.Since(worker.redirectedAt) > workerRetention {
 			delete(d.workers, name)
 			d.changed[name] = true
 		}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -22,14 +22,14 @@
 type stub struct {
 	tokenMu  sync.Mutex // the dispatcher raises the token in the background
 	token    uint64
-	raises   bool
+	canRaiseToken   bool
 	respond  func(wire.Orders) (*wire.Report, bool, error)
 	sent     []wire.Orders
 	views    []dispatch.WorkerView
 	isolated bool
-	barred   bool // may not answer workers
+	answeringForbidden   bool // may not answer workers
 
-	connect func() // is waited for before commands leave; nil: nothing
+	beforeSend func() // is waited for before commands leave; nil: nothing
 
 	leader      string
 	grantRemote func([]dispatch.GrantRequest) []dispatch.GrantReply // a leader elsewhere; nil: none
@@ -55,7 +55,7 @@
 }
 
 func (s *stub) RaiseTokenAbove(_ context.Context, above uint64) (uint64, error) {
-	if !s.raises {
+	if !s.canRaiseToken {
 		return 0, errors.New("state service out")
 	}
 	s.tokenMu.Lock()
@@ -74,11 +74,11 @@
 	}
 	return "a"
 }
-func (s *stub) MayAnswerWorkers() bool { return !s.barred }
+func (s *stub) MayAnswerWorkers() bool { return !s.answeringForbidden }
 func (s *stub) Isolated() bool         { return s.isolated }
 func (s *stub) SendCommands(_ context.Context, _ string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
-	if s.connect != nil {
-		s.connect()
+	if s.beforeSend != nil {
+		s.beforeSend()
 	}
 	if err := valid(); err != nil {
 		return nil, false, err
@@ -129,7 +129,7 @@
 	return dispatch.QueueEntry{TaskRef: dispatch.TaskRef{Worker: "n-1", Task: "j-1/0", Attempt: attempt}, Leader: "a", Resources: matching.Resources{CPUs: 1, MemoryGB: 1}, RunS: 5}
 }
 
-func verbs(body any, verb string) (n int) {
+func countVerb(body any, verb string) (n int) {
 	for _, c := range body.(wire.ReportResponse).Commands {
 		if c.Verb == verb {
 			n++
@@ -143,7 +143,7 @@
 // again beside its next attempt.
 func TestNoClearWhileCommandsHaveUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stub{token: 5, raises: true, respond: func(wire.Orders) (*wire.Report, bool, error) {
+		s := &stub{token: 5, canRaiseToken: true, respond: func(wire.Orders) (*wire.Report, bool, error) {
 			return nil, false, context.DeadlineExceeded
 		}}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -158,12 +158,12 @@
 		d.HandleReport(ctx, report(2, 5, exited))
 		d.ApplyInstructions(dispatch.Instructions{From: "a", Clear: []dispatch.Clear{{TaskRef: entry(1).TaskRef, Token: 5}}})
 		synctest.Wait()
-		if _, body := d.HandleReport(ctx, report(3, 5, exited)); verbs(body, wire.VerbForget) != 0 {
+		if _, body := d.HandleReport(ctx, report(3, 5, exited)); countVerb(body, wire.VerbForget) != 0 {
 			t.Error("cleared while the commands may still arrive")
 		} else if body.(wire.ReportResponse).Token <= 5 {
 			t.Error("the token was not raised")
 		}
-		if _, body := d.HandleReport(ctx, report(4, s.FencingToken(), exited)); verbs(body, wire.VerbForget) != 1 {
+		if _, body := d.HandleReport(ctx, report(4, s.FencingToken(), exited)); countVerb(body, wire.VerbForget) != 1 {
 			t.Error("not cleared although the commands are fenced off")
 		}
 		cancel()
@@ -176,13 +176,13 @@
 // command to forget it, and ran it again.
 func TestNoClearBelowTokenOfAnotherDispatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stub{token: 5, raises: true}
+		s := &stub{token: 5, canRaiseToken: true}
 		ctx, cancel := context.WithCancel(context.Background())
 		d := newDispatcher(ctx, s)
 		exited := wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}
 		d.HandleReport(ctx, report(1, 5, exited))
 		d.ApplyInstructions(dispatch.Instructions{From: "a", Clear: []dispatch.Clear{{TaskRef: entry(1).TaskRef, Token: 9}}})
-		if _, body := d.HandleReport(ctx, report(2, 5, exited)); verbs(body, wire.VerbForget) != 0 {
+		if _, body := d.HandleReport(ctx, report(2, 5, exited)); countVerb(body, wire.VerbForget) != 0 {
 			t.Error("cleared while the other's commands may still start it")
 		}
 		synctest.Wait()
@@ -190,7 +190,7 @@
 			t.Fatalf("the token was not raised: %d", token)
 		}
 		d.HandleReport(ctx, report(3, 5, exited)) // is answered with the new token
-		if _, body := d.HandleReport(ctx, report(4, s.FencingToken(), exited)); verbs(body, wire.VerbForget) != 1 {
+		if _, body := d.HandleReport(ctx, report(4, s.FencingToken(), exited)); countVerb(body, wire.VerbForget) != 1 {
 			t.Error("not cleared although all older commands are fenced off")
 		}
 		cancel()
@@ -206,7 +206,7 @@
 	if status, _ := d.HandleReport(t.Context(), report(1, 9)); status != http.StatusMisdirectedRequest {
 		t.Errorf("status %d", status)
 	}
-	s.raises = true
+	s.canRaiseToken = true
 	status, body := d.HandleReport(t.Context(), report(2, 9))
 	if status != http.StatusOK || body.(wire.ReportResponse).Token <= 9 {
 		t.Errorf("status %d, %+v", status, body)
@@ -262,7 +262,7 @@
 				time.Sleep(time.Second)
 			}
 			time.Sleep(wait)
-			views, seen, unanswered := len(s.views), d.SinceHeartbeat("n-1"), d.UnansweredFor("n-1")
+			views, seen, unanswered := len(s.views), d.SinceWorkerHeartbeat("n-1"), d.UnansweredFor("n-1")
 			for i, seq := range copies {
 				if i > 0 && seq > copies[i-1] && wait > 9*time.Second {
 					break // that would be a worker epoch reset
@@ -272,7 +272,7 @@
 					wrong = "a copy was answered"
 				}
 			}
-			if len(s.views) != views || d.SinceHeartbeat("n-1") < seen || d.UnansweredFor("n-1") < unanswered {
+			if len(s.views) != views || d.SinceWorkerHeartbeat("n-1") < seen || d.UnansweredFor("n-1") < unanswered {
 				wrong = "a copy counted"
 			}
 			if n, _ := d.RecentHeartbeats(); n > 0 && wait > dispatch.HeartbeatWindow+time.Second {
@@ -334,13 +334,13 @@
 	if len(s.sent) != 1 || len(s.sent[0].Commands) != 1 || s.sent[0].Commands[0].Verb != wire.VerbStart {
 		t.Errorf("sent %+v", s.sent)
 	}
-	if _, body := d.HandleReport(t.Context(), report(2, 5, exited)); verbs(body, wire.VerbForget) != 1 {
+	if _, body := d.HandleReport(t.Context(), report(2, 5, exited)); countVerb(body, wire.VerbForget) != 1 {
 		t.Error("not cleared by the response")
 	}
 }
 
 // After a failover, workers that did not report here yet are polled.
-func TestPollAfterFailoverOnlyUnheardWorkers(t *testing.T) {
+func TestPollAfterFailoverSkipsRecentlyReportedWorkers(t *testing.T) {
 	s := &stub{token: 5}
 	d := newDispatcher(t.Context(), s)
 	d.PollReports(t.Context(), map[string]string{"n-1": "e", "n-2": "e"}, time.Second)
@@ -355,7 +355,7 @@
 
 // Starts keep within the worker's size, and a start is repeated until the worker
 // reports it.
-func TestStartsOnlyWhatFits(t *testing.T) {
+func TestStartsFitFreeCapacity(t *testing.T) {
 	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	d := newDispatcher(t.Context(), s)
 	d.HandleReport(t.Context(), report(1, 5))
@@ -368,8 +368,8 @@
 	d.ApplyInstructions(dispatch.Instructions{From: "a", Assign: entries})
 	d.Wait()
 	for seq := uint64(2); seq < 4; seq++ {
-		if _, body := d.HandleReport(t.Context(), report(seq, 5)); verbs(body, wire.VerbStart) != 4 {
-			t.Errorf("started %d of 9 one-CPU tasks on 4 CPUs", verbs(body, wire.VerbStart))
+		if _, body := d.HandleReport(t.Context(), report(seq, 5)); countVerb(body, wire.VerbStart) != 4 {
+			t.Errorf("started %d of 9 one-CPU tasks on 4 CPUs", countVerb(body, wire.VerbStart))
 		}
 	}
 }
@@ -392,8 +392,8 @@
 			t.Errorf("%d workers are expected, %d heartbeats in whole seconds", workers, reports)
 		}
 		time.Sleep(time.Second)
-		if reports, _ := d.RecentHeartbeats(); reports != 1 || d.SinceLastHeartbeat() != time.Second {
-			t.Errorf("%d heartbeats, none for %v", reports, d.SinceLastHeartbeat())
+		if reports, _ := d.RecentHeartbeats(); reports != 1 || d.SinceAnyHeartbeat() != time.Second {
+			t.Errorf("%d heartbeats, none for %v", reports, d.SinceAnyHeartbeat())
 		}
 		time.Sleep(time.Minute)
 		if _, workers := d.RecentHeartbeats(); workers != 0 {
--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -23,8 +23,8 @@
 	c.count[i]++
 }
 
-// last counts the whole seconds of the window before this one.
-func (c *heartbeatCounter) last(second int64) (sum int) {
+// countBefore counts the whole seconds of the window before this one.
+func (c *heartbeatCounter) countBefore(second int64) (sum int) {
 	for i, counted := range c.second {
 		if counted < second && counted >= second-int64(HeartbeatWindow/time.Second) {
 			sum += c.count[i]
@@ -33,7 +33,7 @@
 	return sum
 }
 
-func (d *Dispatcher) second() int64 { return 1 + int64(time.Since(d.started)/time.Second) }
+func (d *Dispatcher) currentSecond() int64 { return 1 + int64(time.Since(d.started)/time.Second) }
 
 // acceptHeartbeat notes a heartbeat, and returns false for a copy of one that came before or
 // one that came late. A worker keeps one heartbeat in flight at a time, so that what is not
@@ -60,7 +60,7 @@
 		worker.heartbeatAt = now
 	}
 	d.lastHeartbeat.Store(int64(time.Since(d.started)))
-	d.heartbeatCount.add(d.second())
+	d.heartbeatCount.add(d.currentSecond())
 	return true
 }
 
@@ -71,7 +71,7 @@
 func (d *Dispatcher) RecentHeartbeats() (reports, workers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.heartbeatCount.last(d.second()), d.countReportingLocked(time.Minute)
+	return d.heartbeatCount.countBefore(d.currentSecond()), d.countReportingLocked(time.Minute)
 }
 
 // CountReporting counts the workers whose heartbeats were answered here within a time.
@@ -90,9 +90,9 @@
 	return workers
 }
 
-// WorkersHeardWithin names the workers of which a heartbeat or a polled report came within a
+// WorkersSeenWithin names the workers of which a heartbeat or a polled report came within a
 // time, in no order.
-func (d *Dispatcher) WorkersHeardWithin(within time.Duration) (names []string) {
+func (d *Dispatcher) WorkersSeenWithin(within time.Duration) (names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, worker := range d.workers {
@@ -103,8 +103,8 @@
 	return names
 }
 
-// LastHeartbeats returns how long ago each worker's newest report came, polled or not.
-func (d *Dispatcher) LastHeartbeats() map[string]time.Duration {
+// ReportAges returns how long ago each worker's newest report came, polled or not.
+func (d *Dispatcher) ReportAges() map[string]time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make(map[string]time.Duration, len(d.workers))
@@ -116,16 +116,16 @@
 	return out
 }
 
-// SinceLastHeartbeat is how long ago the last heartbeat of any worker came, whatever was
+// SinceAnyHeartbeat is how long ago the last heartbeat of any worker came, whatever was
 // answered; without one, since this process's start.
-func (d *Dispatcher) SinceLastHeartbeat() time.Duration {
+func (d *Dispatcher) SinceAnyHeartbeat() time.Duration {
 	return time.Since(d.started) - time.Duration(d.lastHeartbeat.Load())
 }
 
-// SinceHeartbeat returns how long ago any heartbeat of the worker came here, whatever was
+// SinceWorkerHeartbeat returns how long ago any heartbeat of the worker came here, whatever was
 // answered: one that is redirected lives, even if it can't get there. Without one it is more
 // than a lease.
-func (d *Dispatcher) SinceHeartbeat(name string) time.Duration {
+func (d *Dispatcher) SinceWorkerHeartbeat(name string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if worker := d.workers[name]; worker != nil && !worker.heartbeatAt.IsZero() {
--- a/internal/dispatch/lost_start_test.go
+++ b/internal/dispatch/lost_start_test.go
@@ -9,13 +9,13 @@
 
 // Guards against a task whose start was lost looking as if it were about to run behind long tasks
 // that took its room: its leader found no worker better, and it stood still.
-func TestTaskWhoseStartWasLostWaitsBehindRunningTasks(t *testing.T) {
+func TestLostStartQueuesBehindRunningTasks(t *testing.T) {
 	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	d := newDispatcher(t.Context(), s)
 	d.HandleReport(t.Context(), report(1, 5))
 	d.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1)}})
 	d.Wait()
-	if _, body := d.HandleReport(t.Context(), report(2, 5)); verbs(body, wire.VerbStart) != 1 {
+	if _, body := d.HandleReport(t.Context(), report(2, 5)); countVerb(body, wire.VerbStart) != 1 {
 		t.Fatalf("no start: %+v", body)
 	}
 	// The response is lost, and other controllers fill the worker.
@@ -33,7 +33,7 @@
 	d.Wait()
 	_, body := d.HandleReport(t.Context(), report(4, 5, others...))
 	view := s.views[len(s.views)-1]
-	if verbs(body, wire.VerbStart) != 0 || len(view.Queue) != 1 || view.Queue[0].WaitS < 100 || view.Queue[0].Unsent {
+	if countVerb(body, wire.VerbStart) != 0 || len(view.Queue) != 1 || view.Queue[0].WaitS < 100 || view.Queue[0].Unsent {
 		t.Errorf("behind tasks of 10 minutes: %+v, %+v", body, view.Queue)
 	}
 	if free := view.Matrix[0].Free.CPUs; free != 0 {
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -79,10 +79,10 @@
 // TaskView is a reported task.
 type TaskView struct {
 	wire.Task
-	ForS float64 `json:"for"` // seconds since the dispatcher first saw it in this state
-	// Unknown says that no leader has sent the dispatcher what the task takes; the dispatcher
+	StateAgeS float64 `json:"for"` // seconds since the dispatcher first saw it in this state
+	// ResourcesUnknown says that no leader has sent the dispatcher what the task takes; the dispatcher
 	// takes its worker for full meanwhile.
-	Unknown bool `json:"u,omitempty"`
+	ResourcesUnknown bool `json:"u,omitempty"`
 }
 
 // QueueView is a queued task and its expected wait.
--- a/internal/dispatch/outdated_commands_test.go
+++ b/internal/dispatch/outdated_commands_test.go
@@ -107,7 +107,7 @@
 				cancelled := cancelledJobs{}
 				s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 				waits := 0
-				s.connect = func() {
+				s.beforeSend = func() {
 					if waits++; waits == 1 {
 						change(s, cancelled)
 					}
@@ -134,14 +134,14 @@
 }
 
 // A controller that may not answer workers any more sends no commands that waited.
-func TestNoCommandsAfterLosingTheRightToAnswer(t *testing.T) {
+func TestNoCommandsOnceAnsweringIsForbidden(t *testing.T) {
 	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
-	s.connect = func() { s.barred = true }
+	s.beforeSend = func() { s.answeringForbidden = true }
 	d := newDispatcher(t.Context(), s)
 	d.HandleReport(t.Context(), report(1, 5))
 	d.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1)}})
 	d.Wait()
-	if !s.barred || len(s.sent) > 0 {
-		t.Errorf("barred %v, sent %+v", s.barred, s.sent)
+	if !s.answeringForbidden || len(s.sent) > 0 {
+		t.Errorf("barred %v, sent %+v", s.answeringForbidden, s.sent)
 	}
 }
--- a/internal/dispatch/polls.go
+++ b/internal/dispatch/polls.go
@@ -10,10 +10,10 @@
 
 const (
 	pollTimeout = 1500 * time.Millisecond // in rounds of polls
-	// responsiveTimeout is for judging whether a worker works, and so longer: one at the end of
+	// livenessPollTimeout is for judging whether a worker works, and so longer: one at the end of
 	// a slow link was deleted as unresponsive.
-	responsiveTimeout = 3500 * time.Millisecond
-	pollsAtOnce       = 32
+	livenessPollTimeout = 3500 * time.Millisecond
+	maxConcurrentPolls       = 32
 )
 
 // Endpoint is the address of a worker that reported here within a lease, or "".
@@ -66,9 +66,9 @@
 // where to report to, and has done so.
 func (d *Dispatcher) PollReports(ctx context.Context, endpoints map[string]string, unheard time.Duration) {
 	polls, ctx := errgroup.WithContext(ctx)
-	polls.SetLimit(pollsAtOnce)
+	polls.SetLimit(maxConcurrentPolls)
 	for name, endpoint := range endpoints {
-		if !d.worthPolling(name, unheard) || !d.routing.MayAnswerWorkers() {
+		if !d.needsPoll(name, unheard) || !d.routing.MayAnswerWorkers() {
 			continue
 		}
 		polls.Go(func() error { d.poll(ctx, name, endpoint, pollTimeout); return nil })
@@ -76,20 +76,20 @@
 	_ = polls.Wait() // none returns an error
 }
 
-// worthPolling reports whether a worker's report would be stored, and none came for a while.
-func (d *Dispatcher) worthPolling(name string, unheard time.Duration) bool {
+// needsPoll reports whether a worker's report would be stored, and none came for a while.
+func (d *Dispatcher) needsPoll(name string, unheard time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	worker := d.workers[name]
 	return !d.deleted.Contains(name) && (worker == nil || time.Since(worker.reportedAt) >= unheard) && len(d.workers) < maxWorkers
 }
 
-// ChaseCancelledTasks polls workers on which cancelled tasks may be, and halts
+// PollAndHaltCancelledTasks polls workers on which cancelled tasks may be, and halts
 // those tasks by direct commands: their worker may report to no controller that knows of the
 // cancel.
-func (d *Dispatcher) ChaseCancelledTasks(ctx context.Context, endpoints map[string]string) {
+func (d *Dispatcher) PollAndHaltCancelledTasks(ctx context.Context, endpoints map[string]string) {
 	polls, ctx := errgroup.WithContext(ctx)
-	polls.SetLimit(pollsAtOnce)
+	polls.SetLimit(maxConcurrentPolls)
 	for name, endpoint := range endpoints {
 		polls.Go(func() error {
 			if d.poll(ctx, name, endpoint, pollTimeout) {
@@ -104,7 +104,7 @@
 // PollWorker polls a worker and reports whether it responded. It is for judging whether the
 // worker works, and so waits longer than PollReports does.
 func (d *Dispatcher) PollWorker(ctx context.Context, name, endpoint string) bool {
-	return d.poll(ctx, name, endpoint, responsiveTimeout)
+	return d.poll(ctx, name, endpoint, livenessPollTimeout)
 }
 
 // poll stores the report of a worker and reports whether the worker responded.
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -45,7 +45,7 @@
 	}
 	worker.pushInFlight, worker.pushPending = true, false
 	endpoint, session := worker.report.Endpoint, worker.report.Session
-	d.startLocked(func() {
+	d.startGoroutineLocked(func() {
 		d.push(name, endpoint, wire.Orders{Token: token, Session: session, Commands: commands})
 	})
 }
@@ -134,7 +134,7 @@
 		return
 	}
 	d.raisingToken = true
-	d.startLocked(func() { d.raiseToken(above) })
+	d.startGoroutineLocked(func() { d.raiseToken(above) })
 }
 
 func (d *Dispatcher) raiseToken(above uint64) {
--- a/internal/dispatch/recorded_test.go
+++ b/internal/dispatch/recorded_test.go
@@ -42,7 +42,7 @@
 		AgeS: 0.5, UnansweredS: 1.25, NoticeS: &notice, Draining: true, Polled: true,
 		Tasks: []dispatch.TaskView{{
 			Task: wire.Task{Task: "j-000400/7", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseError, Saved: true, Exit: &exit},
-			ForS: 7.75, Unknown: true,
+			StateAgeS: 7.75, ResourcesUnknown: true,
 		}},
 		Queue:  []dispatch.QueueView{{TaskRef: dispatch.TaskRef{Worker: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
 		Matrix: matching.WaitMatrix{{WaitS: 20.5, Free: matching.Resources{CPUs: 4, GPUs: 1, MemoryGB: 8.25}}},
--- a/internal/dispatch/reports.go
+++ b/internal/dispatch/reports.go
@@ -16,20 +16,20 @@
 const (
 	// heartbeatRaiseTimeout bounds how long a heartbeat waits for a higher token.
 	heartbeatRaiseTimeout = 1500 * time.Millisecond
-	// A worker that returns within bounceWindow of a redirect could not reach the other
+	// A worker that returns within redirectReturnWindow of a redirect could not reach the other
 	// controller and is kept for keepFor.
-	bounceWindow = 15 * time.Second
-	keepFor      = 30 * time.Second
+	redirectReturnWindow = 15 * time.Second
+	redirectPause      = 30 * time.Second
 )
 
-// bodies are buffers for reports: each would otherwise grow one anew.
-var bodies = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+// bodyBuffers are buffers for reports: each would otherwise grow one anew.
+var bodyBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // ServeReport answers a worker's heartbeat over HTTP.
 func (d *Dispatcher) ServeReport(w http.ResponseWriter, r *http.Request) {
 	defer usage.Count(usage.Reports, time.Now())
-	body := bodies.Get().(*bytes.Buffer)
-	defer bodies.Put(body)
+	body := bodyBuffers.Get().(*bytes.Buffer)
+	defer bodyBuffers.Put(body)
 	body.Reset()
 	if _, err := body.ReadFrom(http.MaxBytesReader(w, r.Body, wire.MaxBody)); err != nil {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "body unreadable or too large"})
@@ -62,7 +62,7 @@
 	}
 	if view, stored := d.storeReport(rep, true); stored {
 		d.schedulers.ObserveWorker(view)
-	} else if !d.renewsOlder(rep) {
+	} else if !d.renewLeaseForStaleReport(rep) {
 		return http.StatusServiceUnavailable, wire.Problem{Error: "late report"}
 	}
 	d.mu.Lock()
@@ -81,9 +81,9 @@
 			leader = ""
 		}
 		return wire.Redirect{ReportTo: leader}, true
-	case leader != "" && leader != d.name && d.leavesWorker(rep, false):
+	case leader != "" && leader != d.name && d.shouldRedirect(rep, false):
 		return wire.Redirect{ReportTo: leader}, true
-	case d.routing.Isolated() && d.leavesWorker(rep, true):
+	case d.routing.Isolated() && d.shouldRedirect(rep, true):
 		// Others may be able to start work. A worker that finds none is back soon,
 		// and kept.
 		return wire.Redirect{}, true
@@ -91,11 +91,11 @@
 	return wire.Redirect{}, false
 }
 
-// leavesWorker notes the heartbeat of a worker that should report elsewhere, and reports
+// shouldRedirect notes the heartbeat of a worker that should report elsewhere, and reports
 // whether it is sent there: to the leader, or to anybody if this controller is isolated. A
 // worker that is back soon could not reach the leader and is kept for a while; what it could
 // not reach then says nothing of the other case.
-func (d *Dispatcher) leavesWorker(rep *wire.Report, isolated bool) bool {
+func (d *Dispatcher) shouldRedirect(rep *wire.Report, isolated bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -104,14 +104,14 @@
 		return true
 	}
 	worker.heartbeatAt, worker.newestHeartbeat, worker.newestHeartbeatAt = now, versionOf(rep), now
-	if worker.redirectedIsolated != isolated {
-		worker.redirectedIsolated, worker.keptUntil, worker.redirectedAt = isolated, time.Time{}, time.Time{}
+	if worker.redirectedWhileIsolated != isolated {
+		worker.redirectedWhileIsolated, worker.noRedirectUntil, worker.redirectedAt = isolated, time.Time{}, time.Time{}
 	}
-	if now.Before(worker.keptUntil) {
+	if now.Before(worker.noRedirectUntil) {
 		return false
 	}
-	if !worker.redirectedAt.IsZero() && now.Sub(worker.redirectedAt) < bounceWindow {
-		worker.keptUntil, worker.redirectedAt = now.Add(keepFor), time.Time{}
+	if !worker.redirectedAt.IsZero() && now.Sub(worker.redirectedAt) < redirectReturnWindow {
+		worker.noRedirectUntil, worker.redirectedAt = now.Add(redirectPause), time.Time{}
 		return false
 	}
 	worker.redirectedAt = now
@@ -137,10 +137,10 @@
 	return token
 }
 
-// renewsOlder renews the lease of a worker whose heartbeat storeReport refused, if it is only
+// renewLeaseForStaleReport renews the lease of a worker whose heartbeat storeReport refused, if it is only
 // older than the response to direct commands that came in between, and reports whether it did.
 // Its list is of no use, but without an answer the worker would look for another controller.
-func (d *Dispatcher) renewsOlder(rep *wire.Report) bool {
+func (d *Dispatcher) renewLeaseForStaleReport(rep *wire.Report) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	worker := d.workers[rep.Machine]
--- a/internal/dispatch/slow_responses_test.go
+++ b/internal/dispatch/slow_responses_test.go
@@ -12,23 +12,23 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// slowLinks are around a dispatcher whose requests to leaders elsewhere and to workers are
+// delayedStub are around a dispatcher whose requests to leaders elsewhere and to workers are
 // answered late.
-type slowLinks struct {
+type delayedStub struct {
 	*stub
-	responseTakes time.Duration
+	responseDelay time.Duration
 }
 
-func (s *slowLinks) wait(ctx context.Context) error {
+func (s *delayedStub) wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(s.responseTakes):
+	case <-time.After(s.responseDelay):
 		return nil
 	}
 }
 
-func (s *slowLinks) GrantRemote(ctx context.Context, _ string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
+func (s *delayedStub) GrantRemote(ctx context.Context, _ string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
 	if err := s.wait(ctx); err != nil {
 		return nil, err
 	}
@@ -39,7 +39,7 @@
 	return replies, nil
 }
 
-func (s *slowLinks) FetchReport(ctx context.Context, endpoint string) (*wire.Report, error) {
+func (s *delayedStub) FetchReport(ctx context.Context, endpoint string) (*wire.Report, error) {
 	if err := s.wait(ctx); err != nil {
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 // the response of a worker that is polled is waited for.
 func TestGrantsAndPollsOverSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slowLinks{&stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return report(2, 5), true, nil }}, 2900 * time.Millisecond}
+		s := &delayedStub{&stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return report(2, 5), true, nil }}, 2900 * time.Millisecond}
 		ctx, cancel := context.WithCancel(context.Background())
 		d := dispatch.New(ctx, dispatch.Options{
 			Node: "a", WorkerLease: 10 * time.Second, Schedulers: s, Tokens: s, MachineTypes: s, Routing: s, Commands: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -63,7 +63,7 @@
 		if q := d.WorkerViews()[0].Queue; len(q) != 1 || !q[0].Unsent {
 			t.Errorf("queue %+v before the grant", q)
 		}
-		time.Sleep(s.responseTakes + time.Millisecond)
+		time.Sleep(s.responseDelay + time.Millisecond)
 		synctest.Wait()
 		if len(s.sent) != 1 || s.sent[0].Commands[0].Verb != wire.VerbStart {
 			t.Errorf("sent %+v", s.sent)
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -10,8 +10,8 @@
 
 const (
 	unknownRemainingS = 3   // remaining time assumed for a task whose leader sent no entry yet
-	leastFetchS       = 0.5 // remaining time assumed for an image fetch that takes longer than expected
-	neverFitsS        = 1e6 // wait shown for a task that its worker can't run
+	minRemainingFetchS       = 0.5 // remaining time assumed for an image fetch that takes longer than expected
+	neverFitsWaitS        = 1e6 // wait shown for a task that its worker can't run
 )
 
 // capacityOf is the worker's size; false if its machine type is not known.
@@ -48,7 +48,7 @@
 func (t *reportedTask) remainingS(now time.Time) float64 {
 	elapsedS := now.Sub(t.since).Seconds()
 	if t.state == wire.TaskFetching {
-		return t.entry.RunS + math.Max(leastFetchS, t.entry.FetchS-elapsedS)
+		return t.entry.RunS + math.Max(minRemainingFetchS, t.entry.FetchS-elapsedS)
 	}
 	return matching.RemainingRun(t.entry.RunS, elapsedS)
 }
@@ -78,8 +78,8 @@
 	for _, reported := range w.report.Tasks {
 		task := w.tasks[TaskRef{w.report.Machine, reported.Task, reported.Attempt}]
 		views = append(views, TaskView{
-			Task: reported, ForS: now.Sub(task.since).Seconds(),
-			Unknown: task.entry == nil && task.state != wire.TaskExited,
+			Task: reported, StateAgeS: now.Sub(task.since).Seconds(),
+			ResourcesUnknown: task.entry == nil && task.state != wire.TaskExited,
 		})
 	}
 	return views
@@ -95,7 +95,7 @@
 		takesS := queued.FetchS + queued.RunS
 		waitS := v.Matrix.Wait(queued.Resources, takesS)
 		if math.IsInf(waitS, 1) {
-			waitS = neverFitsS
+			waitS = neverFitsWaitS
 		} else {
 			v.Matrix = v.Matrix.Reserve(queued.Resources, waitS, takesS)
 		}
@@ -109,7 +109,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if time.Since(d.lastExpiry) > time.Minute {
-		d.forgetLocked()
+		d.removeExpiredWorkersLocked()
 	}
 	for name := range d.changed {
 		switch worker := d.workers[name]; {
@@ -127,7 +127,7 @@
 func (d *Dispatcher) WorkerViews() []WorkerView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.forgetLocked()
+	d.removeExpiredWorkersLocked()
 	var out []WorkerView
 	for _, worker := range d.workers {
 		if d.recentlyReported(worker) {
--- a/internal/dispatch/worker_state.go
+++ b/internal/dispatch/worker_state.go
@@ -16,13 +16,13 @@
 	grantSession   uint64 // of the worker, likewise
 	startSent      bool   // a start command may have left this process
 	startSentSeq   uint64 // of the worker's newest report then
-	startAbsent    bool   // a newer report does not show the task
+	startNotReported    bool   // a newer report does not show the task
 }
 
 // allocated reports whether the task counts as using the worker: its start was granted, or a start
 // command is under way. Counted for good, a start that was lost would look as if it were about
 // to run behind whatever took its room, and its leader would place it nowhere else.
-func (q *queuedTask) allocated() bool { return q.granted || q.startSent && !q.startAbsent }
+func (q *queuedTask) allocated() bool { return q.granted || q.startSent && !q.startNotReported }
 
 // reportedTask is a task that the worker reported.
 type reportedTask struct {
@@ -48,9 +48,9 @@
 	// unknownOutcome is the highest token of direct commands that may still arrive; 0: none.
 	unknownOutcome uint64
 
-	keptUntil          time.Time // not redirected until then
+	noRedirectUntil          time.Time // not redirected until then
 	redirectedAt       time.Time
-	redirectedIsolated bool // keptUntil and redirectedAt are of a time when this controller was isolated
+	redirectedWhileIsolated bool // keptUntil and redirectedAt are of a time when this controller was isolated
 
 	newestHeartbeat   reportVersion // whatever was answered
 	newestHeartbeatAt time.Time
@@ -120,7 +120,7 @@
 		if queued.startSent && (w.report.Session > queued.grantSession || w.report.Seq > queued.startSentSeq) {
 			// The start command did not arrive, or not yet: it may be
 			// repeated, but only under a new grant.
-			queued.granted, queued.startAbsent = false, true
+			queued.granted, queued.startNotReported = false, true
 		}
 		kept = append(kept, queued)
 	}
--- a/internal/reconcile/task_reported.go
+++ b/internal/reconcile/task_reported.go
@@ -66,7 +66,7 @@
 	}
 	if placement.State != jobstate.PlacementReported {
 		r.startReported(worker, placement, view)
-	} else if placement.SentTo != worker.View.Dispatcher || view.Unknown && time.Since(placement.SentAt) > assignAgain {
+	} else if placement.SentTo != worker.View.Dispatcher || view.ResourcesUnknown && time.Since(placement.SentAt) > assignAgain {
 		// What was sent may have come when the dispatcher had an older report, which did not
 		// list the task: it took the worker to be full as long as the task ran, and what was
 		// queued there never started.
@@ -77,7 +77,7 @@
 		r.state.CacheImage(job, worker)
 	}
 	if (view.State == wire.TaskRunning || view.State == wire.TaskSaving) && placement.RunningSince.IsZero() {
-		placement.RunningSince = time.Now().Add(-config.Seconds(view.ForS))
+		placement.RunningSince = time.Now().Add(-config.Seconds(view.StateAgeS))
 		job.Running++
 		job.Started++
 		job.RecordBegin(placement.RunningSince)
@@ -103,7 +103,7 @@
 	if !placement.MayRun() {
 		r.log.Error("task runs without a grant", "task", placement.Ref.Task, "worker", worker.Name, "attempt", placement.Attempt,
 			"state", placement.State, "sent_to", placement.SentTo, "age_s", time.Since(placement.CreatedAt).Seconds(),
-			"controller", worker.View.Dispatcher, "fencing_token", worker.View.Token, "reported", view.State, "for_s", view.ForS, "halted_at", placement.LastHaltAt)
+			"controller", worker.View.Dispatcher, "fencing_token", worker.View.Token, "reported", view.State, "for_s", view.StateAgeS, "halted_at", placement.LastHaltAt)
 	}
 	unconfirmed := placement.State == jobstate.PlacementUnconfirmed
 	if placement.State == jobstate.PlacementGranted {
--- a/internal/scheduler/instructions_test.go
+++ b/internal/scheduler/instructions_test.go
@@ -28,7 +28,7 @@
 		running := dispatch.TaskView{Task: wire.Task{Task: ref.Task, Attempt: ref.Attempt, State: wire.TaskRunning}}
 		assigned := func(unknown bool) int64 {
 			before := cluster.listedAssigned.Load()
-			running.Unknown = unknown
+			running.ResourcesUnknown = unknown
 			for range 12 {
 				cluster.heartbeat(0, 3, running)
 				time.Sleep(time.Second)
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -343,7 +343,7 @@
 	s.publish()
 	for _, name := range s.names {
 		n := s.nodes[name]
-		_, queued, orders := n.dispatcher.Depths() // of workers that report elsewhere, so long
+		_, queued, orders := n.dispatcher.Counts() // of workers that report elsewhere, so long
 		if n.cancellations.Count()+queued+orders > 0 {
 			s.t.Errorf("%s keeps %d cancels, %d queued tasks and %d orders after 11 minutes", name, n.cancellations.Count(), queued, orders)
 		}
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -210,7 +210,7 @@
 			all = all && err == nil && a.Add([]float64{unanswered.Seconds()})
 		}
 		if all && a.LeaseExpired(0, time.Now(), attestLease.Seconds()) {
-			n.scheduler.LeaseAttestedExpired(name, a.BegunAt())
+			n.scheduler.LeaseAttestedExpired(name, a.StartedAt())
 		}
 	}
 }
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -86,7 +86,7 @@
 	}
 	row.Assignments, row.WorkerCapacity, row.WorkerCount = r.seats, r.room, r.here
 	if len(row.UnreachedPeers) > 0 || r.table.UnreachedByPeers(now) {
-		row.HeardWorkers = reachability.NewNameSet(n.dispatcher.WorkersHeardWithin(workerLease), 4096)
+		row.HeardWorkers = reachability.NewNameSet(n.dispatcher.WorkersSeenWithin(workerLease), 4096)
 	}
 	return row
 }
@@ -223,7 +223,7 @@
 		if at := h.last; k != nil && time.Since(at) < 3*reportEvery && time.Since(h.since) > surely {
 			seen := ""
 			for _, x := range w.names {
-				seen += fmt.Sprintf(" %s %v", x, w.nodes[x].dispatcher.SinceHeartbeat(name))
+				seen += fmt.Sprintf(" %s %v", x, w.nodes[x].dispatcher.SinceWorkerHeartbeat(name))
 			}
 			w.fail("%s gives %s back (%s), which was heard %v ago (by%s), asked now: %v; %+v", n.name, name, why, time.Since(h.last), seen, verdict.Probe[name], v)
 		}
@@ -257,7 +257,7 @@
 		to := w.nodes[p]
 		ok := to != n && w.reach(n, to)
 		w.mu.Unlock()
-		heard = heard || ok && (!m.OutboundLost && to.dispatcher.SinceHeartbeat(m.Name) < n.reach.silence.Timeout || m.Endpoint != "" && to.dispatcher.PollWorker(ctx, m.Name, m.Endpoint))
+		heard = heard || ok && (!m.OutboundLost && to.dispatcher.SinceWorkerHeartbeat(m.Name) < n.reach.silence.Timeout || m.Endpoint != "" && to.dispatcher.PollWorker(ctx, m.Name, m.Endpoint))
 	}
 	return heard
 }
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -19,7 +19,7 @@
 	const timesASecond = 4
 	for range timesASecond {
 		if ask := n.scheduler.HandleExpiringLeases(); len(ask) > 0 && n.MayAnswerWorkers() {
-			n.dispatcher.ChaseCancelledTasks(ctx, ask)
+			n.dispatcher.PollAndHaltCancelledTasks(ctx, ask)
 		}
 	}
 }
--- a/internal/viewsync/capacity_test.go
+++ b/internal/viewsync/capacity_test.go
@@ -36,10 +36,10 @@
 		}
 		allocations := make([]matching.Allocation, 0, tasksEach)
 		for t := range tasksEach {
-			task := dispatch.TaskView{Task: wire.Task{Task: wire.TaskName(fmt.Sprintf("j-%06d", i), t), Attempt: 20, State: wire.TaskRunning}, ForS: 10 + passed}
+			task := dispatch.TaskView{Task: wire.Task{Task: wire.TaskName(fmt.Sprintf("j-%06d", i), t), Attempt: 20, State: wire.TaskRunning}, StateAgeS: 10 + passed}
 			left := max(overrunWait, 10*float64(t)-passed)
 			if t < started {
-				task.Attempt, task.ForS, left = 21, 0, 30
+				task.Attempt, task.StateAgeS, left = 21, 0, 30
 			}
 			v.Tasks = append(v.Tasks, task)
 			allocations = append(allocations, matching.Allocation{Resources: matching.Resources{CPUs: 2, MemoryGB: 8}, RemainingS: left})
--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -109,7 +109,7 @@
 	view.AgeS, view.UnansweredS = view.AgeS+passed, view.UnansweredS+passed
 	view.Tasks = append([]dispatch.TaskView(nil), view.Tasks...)
 	for i := range view.Tasks {
-		view.Tasks[i].ForS += passed
+		view.Tasks[i].StateAgeS += passed
 	}
 	return view
 }
--- a/internal/viewsync/model_test.go
+++ b/internal/viewsync/model_test.go
@@ -155,7 +155,7 @@
 		return fmt.Errorf("ages")
 	}
 	if !slices.EqualFunc(a.Tasks, b.Tasks, func(x, y dispatch.TaskView) bool {
-		return reflect.DeepEqual(x.Task, y.Task) && math.Abs(x.ForS-y.ForS) <= slack
+		return reflect.DeepEqual(x.Task, y.Task) && math.Abs(x.StateAgeS-y.StateAgeS) <= slack
 	}) {
 		return fmt.Errorf("tasks")
 	}
--- a/internal/viewsync/recorded_test.go
+++ b/internal/viewsync/recorded_test.go
@@ -18,7 +18,7 @@
 		AllTasks:  true,
 		Tasks: []dispatch.TaskView{{
 			Task: wire.Task{Task: "j-000400/7", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseError, Saved: true, Exit: &exit},
-			ForS: 7.75, Unknown: true,
+			StateAgeS: 7.75, ResourcesUnknown: true,
 		}},
 		Unlisted: []TaskKey{{Task: "j-000402/1", Attempt: 4}},
 		Queue:    []dispatch.QueueView{{TaskRef: dispatch.TaskRef{Worker: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
--- a/internal/viewsync/view_state.go
+++ b/internal/viewsync/view_state.go
@@ -43,7 +43,7 @@
 	v.AgeS, v.UnansweredS = rounded(v.AgeS), rounded(v.UnansweredS)
 	v.Tasks = slices.Clone(v.Tasks)
 	for i := range v.Tasks {
-		v.Tasks[i].ForS = rounded(v.Tasks[i].ForS)
+		v.Tasks[i].StateAgeS = rounded(v.Tasks[i].StateAgeS)
 	}
 	slices.SortStableFunc(v.Tasks, byKey)
 	v.Queue = slices.Clone(v.Queue)
@@ -67,7 +67,7 @@
 	view.AgeS, view.UnansweredS = rounded(view.AgeS+passed), rounded(view.UnansweredS+passed)
 	view.Tasks = slices.Clone(view.Tasks)
 	for i := range view.Tasks {
-		view.Tasks[i].ForS = rounded(view.Tasks[i].ForS + passed)
+		view.Tasks[i].StateAgeS = rounded(view.Tasks[i].StateAgeS + passed)
 	}
 	view.Matrix = slices.Clone(view.Matrix)
 	for i := range view.Matrix {
@@ -136,7 +136,7 @@
 func sameTasks(a, b []dispatch.TaskView) bool { return slices.EqualFunc(a, b, sameTask) }
 
 func sameTask(a, b dispatch.TaskView) bool {
-	return sameReport(a.Task, b.Task) && a.Unknown == b.Unknown && near(a.ForS, b.ForS, forToleranceS)
+	return sameReport(a.Task, b.Task) && a.ResourcesUnknown == b.ResourcesUnknown && near(a.StateAgeS, b.StateAgeS, forToleranceS)
 }
 
 func sameReport(a, b wire.Task) bool {
