--- a/internal/dispatch/attestation.go
+++ b/internal/dispatch/attestation.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Attestation gathers what the controllers attest of unresponsive workers: for how many seconds
-// each controller has left their heartbeats unanswered. The controllers are queried one after
-// the other, so that their figures are of different moments. It is not safe for concurrent use.
+// Attestation collects the controllers' statements on unresponsive workers: for how many seconds
+// each controller has not answered their heartbeats. The controllers are queried one after the
+// other, so that their figures are of different times. It is not safe for concurrent use.
 type Attestation struct {
-	startedAt       time.Time
-	unansweredS []float64 // the least of all controllers, by worker
+	startedAt   time.Time // time of the first query
+	unansweredS []float64 // lowest figure of all controllers, by index of the worker
 }
 
-// NewAttestation begins one at the given time with the querying controller's own figures, in s,
-// one for each worker.
+// NewAttestation returns an attestation that was started at the given time, with the querying
+// controller's own figures in seconds, one for each worker.
 func NewAttestation(startedAt time.Time, unansweredS []float64) *Attestation {
 	return &Attestation{startedAt: startedAt, unansweredS: slices.Clone(unansweredS)}
 }
 
-// StartedAt is when the first controller was queried.
+// StartedAt returns the time at which the first controller was queried.
 func (a *Attestation) StartedAt() time.Time { return a.startedAt }
 
-// Add takes another controller's figures, in s and in the same order. It returns false, and takes
-// none, if they are not of the same number of workers.
+// Add merges another controller's figures, in seconds and for the same workers in the same order.
+// It returns false and changes nothing if their number differs.
 func (a *Attestation) Add(unansweredS []float64) bool {
 	if len(unansweredS) != len(a.unansweredS) {
 		return false
@@ -34,10 +34,11 @@
 	return true
 }
 
-// LeaseExpired reports whether no controller had answered the i-th worker for leaseS seconds when
-// the first controller was queried; now is after the last one responded. What the queries
-// took is subtracted: else a controller that attests late counts time in which another, queried
-// before it, may have answered the worker again while its lease still held.
+// LeaseExpired reports whether no controller had answered the i-th worker for more than leaseS
+// seconds when the first controller was queried. now is a time after the last response. The
+// duration of the queries is subtracted: it would otherwise count towards the figure of the
+// controller queried last, while one queried earlier may have answered the worker again within its
+// lease.
 func (a *Attestation) LeaseExpired(i int, now time.Time, leaseS float64) bool {
 	return a.unansweredS[i]-now.Sub(a.startedAt).Seconds() > leaseS
 }
--- a/internal/dispatch/attestation_test.go
+++ b/internal/dispatch/attestation_test.go
@@ -7,13 +7,13 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// A worker whose lease lasts 10 s is answered by one controller, and 9.7 s later by another
-// that has attested a moment before; the first attests 0.9 s after that. Each left the
-// worker unanswered for more than a lease when it was queried, and yet the lease never expired.
+// The controllers are queried while the worker's lease of 10 s holds: the first answers the
+// worker, 9.7 s later the second attests, and the first attests 0.9 s after that. Each figure
+// alone exceeds the lease, but the lease never expired.
 func TestLeaseHeldDuringSlowAttestation(t *testing.T) {
 	const lease = 10.5
 	begun := time.Now()
-	sinceAnswer := 9.7 // of the first, when the other attests
+	sinceAnswer := 9.7 // s since the first controller's answer when the second attests
 	a := dispatch.NewAttestation(begun, []float64{30, 30})
 	if !a.Add([]float64{25, 25}) || !a.Add([]float64{sinceAnswer + 0.9, 25}) {
 		t.Fatal("figures of the same workers are refused")
--- a/internal/dispatch/cancelled_tasks.go
+++ b/internal/dispatch/cancelled_tasks.go
@@ -7,18 +7,18 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A cancel is final, so that any controller with a valid token may stop its tasks, leader or
-// not: a leader that lost its lease, or never learned of the cancel, would let them run
-// for as long as the state service is out.
+// A cancel is final, so that any controller with a valid token may stop the job's tasks, whether it
+// leads the job or not. A leader that lost its lease or has not learned of the cancel would let
+// them run until the state service is available again.
 
-// cancelled reports whether the job of a task is known to be cancelled.
+// cancelled reports whether the task's job is known to be cancelled.
 func (d *Dispatcher) cancelled(task string) bool {
 	uid, _, _ := strings.Cut(task, "/")
 	return d.cancellations != nil && d.cancellations.IsCancelled(uid)
 }
 
-// haltCancelledLocked marks the reported tasks of cancelled jobs to be halted, and reports
-// whether there are new ones.
+// haltCancelledLocked marks the worker's reported tasks of cancelled jobs to be halted, and
+// returns whether any were newly marked.
 func (d *Dispatcher) haltCancelledLocked(worker *workerState) (found bool) {
 	for ref, task := range worker.tasks {
 		if task.state == wire.TaskExited {
@@ -35,8 +35,8 @@
 	return found
 }
 
-// HaltCancelledTasks halts the tasks of cancelled jobs on all workers that report here, at once.
-// It is called when there are new ones.
+// HaltCancelledTasks halts the tasks of cancelled jobs on all workers that report here, without
+// waiting for their heartbeats. It is to be called when further jobs were cancelled.
 func (d *Dispatcher) HaltCancelledTasks() {
 	var push []string
 	d.mu.Lock()
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -22,7 +22,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// reportingWorkers are a dispatcher and workers that run so many tasks each.
+// reportingWorkers are a dispatcher and workers that each run a number of tasks.
 type reportingWorkers struct {
 	dispatcher *dispatch.Dispatcher
 	reports    []*wire.Report
@@ -35,7 +35,7 @@
 	}
 }
 
-// discardingStub is a stub that keeps no views.
+// discardingStub is a stub that does not keep views.
 type discardingStub struct{ *stub }
 
 func (discardingStub) ObserveWorker(dispatch.WorkerView) {}
@@ -64,7 +64,7 @@
 	return w
 }
 
-// publishedBytes is the size of all workers' views as a peer gets them.
+// publishedBytes returns the size of all workers' views as sent to a peer.
 func publishedBytes(tb testing.TB, w *reportingWorkers) float64 {
 	data, err := json.Marshal(w.dispatcher.WorkerViews())
 	if err != nil {
@@ -73,19 +73,19 @@
 	return float64(len(data))
 }
 
-// largeFleetBudget is the sockets of a controller of today's larger fleet as one of six, with so
-// many workers that report there.
+// largeFleetBudget returns the socket budget of one of six controllers of a large fleet, with the
+// given number of workers that report to it.
 func largeFleetBudget(workers int) sockets.Budget {
 	return sockets.Budget{Limit: 2157, Peers: 5, Accepted: func() int { return workers }}
 }
 
-// commandCPUTime is the processor time of direct commands to one of so many workers, each with an
-// address of its own, which next picks; the workers' end is in it.
+// commandCPUTime measures the processor time of sending commands to one of many workers, chosen by
+// next, each with its own address. It includes the workers' servers.
 func commandCPUTime(tb testing.TB, workers int, next func() int) float64 {
 	sender, w := dispatch.NewHTTPCommandSender(largeFleetBudget(workers)), newFakeWorkers(tb, workers)
 	commands := wire.Orders{Token: 7, Session: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000400/10", Attempt: 20}}}
 	for worker := range workers {
-		w.command(tb, sender, worker) // first ones are always dialled
+		w.command(tb, sender, worker) // the first commands to a worker always dial
 	}
 	return capacity.ProcessorTime(tb, func() {
 		if _, _, err := sender.SendCommands(context.Background(), w.endpoints[next()], commands, alwaysValid); err != nil {
@@ -104,8 +104,8 @@
 	return commandCPUTime(tb, workers, func() int { return random.IntN(workers) })
 }
 
-// idleConnectionBytes is the memory, heap and stacks, of so many idle connections for commands.
-// Of the workers' end, only the sockets' own memory is in it.
+// idleConnectionBytes measures the memory, heap and stacks, of idle connections for commands. Of
+// the workers' side it includes only the sockets.
 func idleConnectionBytes(tb testing.TB, connections int) float64 {
 	answer, err := json.Marshal(report(9, 7))
 	if err != nil {
@@ -115,7 +115,7 @@
 	sender := dispatch.NewHTTPCommandSender(largeFleetBudget(connections))
 	var before, after runtime.MemStats
 	runtime.GC()
-	runtime.GC() // what other series left is gone after the second
+	runtime.GC() // the second collection frees what earlier series left
 	runtime.ReadMemStats(&before)
 	for range connections {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -128,8 +128,8 @@
 			tb.Fatal(err)
 		}
 		worker := <-answered
-		_ = lis.Close()                       // nobody else connects
-		defer func() { _ = worker.Close() }() // nothing is written to it any more
+		_ = lis.Close()                       // nothing else connects
+		defer func() { _ = worker.Close() }() // nothing more is written to it
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -139,7 +139,7 @@
 	return float64(after.HeapAlloc+after.StackInuse) - float64(before.HeapAlloc+before.StackInuse)
 }
 
-// answerOnce responds to one message without a server, and returns the open connection.
+// answerOnce responds to one request without an HTTP server and returns the open connection.
 func answerOnce(tb testing.TB, lis net.Listener, response string) net.Conn {
 	conn, err := lis.Accept()
 	if err != nil {
--- a/internal/dispatch/command_sender.go
+++ b/internal/dispatch/command_sender.go
@@ -17,40 +17,39 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ErrNotSent means that commands surely never left this process.
+// ErrNotSent means that the commands never left this process.
 var ErrNotSent = errors.New("commands not sent")
 
-// errOutdated means that commands were not sent since they may not be executed any more.
+// errOutdated means that commands were not sent because they were invalidated while they waited.
 var errOutdated = fmt.Errorf("%w: outdated while waiting for a connection", ErrNotSent)
 
 // CommandSender sends direct commands to workers and polls them.
 type CommandSender interface {
 	// SendCommands returns the worker's report and whether the worker executed the commands. It
-	// calls valid right before they leave, when the connection is there, and returns valid's
-	// error, if there is one, without sending. An error that is not ErrNotSent, and not of
-	// valid, leaves it unknown whether the commands were, or will be, executed.
+	// calls valid once the connection is established, right before sending, and if valid fails,
+	// returns its error without sending. After any other error except ErrNotSent it is unknown
+	// whether the commands were executed or still will be.
 	SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error)
 	// FetchReport polls a worker for its report.
 	FetchReport(ctx context.Context, endpoint string) (*wire.Report, error)
 }
 
-// HTTPCommandSender sends commands over HTTP. It keeps one connection per worker, while there
-// are sockets to spare. It is safe for concurrent use.
+// HTTPCommandSender sends commands over HTTP. It reuses one connection per worker as long as the
+// process has sockets to spare. It is safe for concurrent use.
 type HTTPCommandSender struct {
 	connections *connectionPool
-	slots       chan struct{} // one for each request under way
-	pollSlots   chan struct{} // of slots, those that polls may take
+	slots       chan struct{} // one for each request in flight
+	pollSlots   chan struct{} // limits how many of the slots polls may use
 }
 
-// pollSlotDivisor is the part of the slots, one in so many, that polls may take.
-// Mostly unresponsive workers are polled, each of which keeps its slot until the timeout: with
-// all slots taken by them, commands to responsive workers waited, left with next to no time for
-// a response, and counted as of unknown outcome.
+// pollSlotDivisor limits polls to one in so many slots. Polled workers are often unresponsive and
+// hold their slot until the timeout. If they held all slots, commands to responsive workers would
+// wait, be left with little time for a response, and end with an unknown outcome.
 const pollSlotDivisor = 2
 
 const maxReportBytes = 8 << 20 // bytes
 
-// NewHTTPCommandSender returns a sender that keeps within the process's sockets.
+// NewHTTPCommandSender returns a sender that stays within the process's socket budget.
 func NewHTTPCommandSender(budget sockets.Budget) *HTTPCommandSender {
 	slots := budget.RequestsAtOnce()
 	return &HTTPCommandSender{
@@ -60,14 +59,14 @@
 	}
 }
 
-// Trim closes idle connections, the longest idle first, if there are fewer sockets to
-// spare than before.
+// Trim closes the connections that have been idle longest if fewer sockets are available than
+// before.
 func (s *HTTPCommandSender) Trim() { s.connections.trim() }
 
-// Connections returns how many connections to workers are open, at most.
+// Connections returns an upper bound of the number of open connections to workers.
 func (s *HTTPCommandSender) Connections() int { return s.connections.count() }
 
-// acquireSlot waits for one of the slots.
+// acquireSlot waits for a free slot.
 func acquireSlot(ctx context.Context, slots chan struct{}) error {
 	select {
 	case slots <- struct{}{}:
@@ -97,7 +96,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("polling the worker: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // of a body that was only read
+	defer func() { _ = resp.Body.Close() }() // closing a body that was only read can't lose data
 	return readReport(resp, http.StatusOK)
 }
 
@@ -117,15 +116,15 @@
 		return nil, false, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	req.ContentLength = int64(len(data))
-	req.GetBody = nil // never repeated by the transport on its own
+	req.GetBody = nil // the transport must not repeat the request on its own
 	worker := s.connections.acquire(endpoint)
 	defer s.connections.release(worker)
 	resp, err := worker.client.Do(req)
 	if err == nil {
-		defer func() { _ = resp.Body.Close() }() // of a body that was only read
+		defer func() { _ = resp.Body.Close() }() // closing a body that was only read can't lose data
 	}
 	if refused := body.err(); refused != nil {
-		return nil, false, refused // whatever was answered to a request without its body
+		return nil, false, refused // whatever the worker answered to a request without a body
 	}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -138,7 +137,7 @@
 	return rep, resp.StatusCode == http.StatusOK, err
 }
 
-// readReport reads the report in a response with one of the statuses.
+// readReport reads the report from a response, whose status must be one of statuses.
 func readReport(resp *http.Response, statuses ...int) (*wire.Report, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
@@ -150,14 +149,14 @@
 	return wire.ParseReport(body)
 }
 
-// checkedBody is the body of a request that may have waited for its connection: of one that
-// isn't valid any more when its first byte is asked for, none is sent.
+// checkedBody is a request body that is validated when its first byte is read, that is, once the
+// connection is established. If validation fails, no body is sent.
 type checkedBody struct {
 	data  *bytes.Reader
 	valid func() error
 
-	mu      sync.Mutex
-	checked bool
+	mu       sync.Mutex
+	checked  bool
 	checkErr error
 }
 
@@ -178,7 +177,7 @@
 	return b.checkErr
 }
 
-// err is why the body was not sent; nil if it was, or nobody asked for it.
+// err returns why the body was not sent, or nil if it was sent or never read.
 func (b *checkedBody) err() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/dispatch/command_slots_test.go
+++ b/internal/dispatch/command_slots_test.go
@@ -11,7 +11,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// newUnresponsiveWorker returns the address of a worker that takes connections and never responds.
+// newUnresponsiveWorker returns the address of a worker that accepts connections and never
+// responds.
 func newUnresponsiveWorker(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -22,8 +23,8 @@
 	return listener.Addr().String()
 }
 
-// Commands to responsive workers don't wait for polls of unresponsive ones, however many those
-// are.
+// Commands to responsive workers don't wait for polls of unresponsive ones, no matter how many of
+// those there are.
 func TestCommandsDuringPollsOfUnresponsiveWorkers(t *testing.T) {
 	budget := sockets.Budget{Limit: 200, Accepted: func() int { return 0 }}
 	sender := dispatch.NewHTTPCommandSender(budget)
@@ -34,7 +35,7 @@
 	for range unresponsive {
 		endpoint := newUnresponsiveWorker(t)
 		go func() {
-			_, _ = sender.FetchReport(ctx, endpoint) // it fails when the test ends
+			_, _ = sender.FetchReport(ctx, endpoint) // fails when the test ends
 			done <- struct{}{}
 		}()
 	}
@@ -43,7 +44,7 @@
 	workers := newFakeWorkers(t, 1)
 	within, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
-	for range 50 { // while ever more of the unresponsive ones are polled
+	for range 50 { // while polls of further unresponsive workers start
 		if _, _, err := sender.SendCommands(within, workers.endpoints[0], wire.Orders{Token: 7, Session: 1}, alwaysValid); err != nil {
 			t.Fatalf("commands while %d unresponsive workers are polled: %v", unresponsive, err)
 		}
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -9,13 +9,13 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-const maxCommands = 200 // keeps each message well under 64 KiB
+const maxCommands = 200 // keeps each message well below 64 KiB
 
-// commandsLocked collects the commands for a worker: what to stop, what to forget and what to
-// start, at most maxCommands. inResponse says that they go out in the response to a heartbeat.
+// commandsLocked collects at most maxCommands commands for a worker: tasks to stop, to forget and
+// to start. inResponse is true if they are sent in the response to a heartbeat.
 func (d *Dispatcher) commandsLocked(name string, token uint64, inResponse bool) []wire.Command {
 	worker := d.workers[name]
-	commands := []wire.Command{} // never null on the wire
+	commands := []wire.Command{} // encoded as an empty list, not as null
 	if worker == nil || worker.report.Machine == "" {
 		return commands
 	}
@@ -35,11 +35,10 @@
 	return commands
 }
 
-// appendForgets adds the tasks that the worker may forget. After that a late copy of a start
-// command would start the task again: first all direct commands must be fenced off; those in
-// flight count too, since they may yet be held back. For the same reason they go out only in
-// responses to heartbeats, of which the worker drops late ones: among direct commands they could
-// overtake a start in such a response.
+// appendForgets adds commands to forget exited tasks. Once a worker has forgotten a task, a late
+// copy of its start command would run it again. So no direct command may be in flight or have an
+// unknown outcome. Forget commands are sent only in responses to heartbeats, late copies of which
+// the worker drops: a direct one could overtake a start command in such a response.
 func (w *workerState) appendForgets(commands []wire.Command) []wire.Command {
 	if w.unknownOutcome != 0 || w.pushInFlight {
 		return commands
@@ -52,8 +51,8 @@
 	return commands
 }
 
-// appendStartsLocked adds the queued tasks that fit, were granted, and are not reported yet.
-// It requests missing grants, and removes the tasks that their leader drops.
+// appendStartsLocked adds start commands for the queued tasks that fit, are granted and have not
+// been reported. It requests missing grants and removes the tasks that their leader drops.
 func (d *Dispatcher) appendStartsLocked(commands []wire.Command, worker *workerState, token uint64) []wire.Command {
 	total, known := d.capacityOf(worker)
 	if !known || worker.draining || len(worker.queue) == 0 {
@@ -75,7 +74,7 @@
 	return pass.commands
 }
 
-// byPriority orders a queue: higher ranks first, within a rank by due time.
+// byPriority orders a queue by rank, highest first, and within a rank by due time.
 func byPriority(a, b *queuedTask) int {
 	return cmp.Or(cmp.Compare(b.Rank, a.Rank), cmp.Compare(a.DueAt, b.DueAt))
 }
@@ -85,15 +84,16 @@
 	dispatcher *Dispatcher
 	worker     *workerState
 	token      uint64
-	free       matching.Resources // what is neither allocated nor reserved by a task before
+	free       matching.Resources // neither allocated nor reserved by an earlier task of the queue
 	commands   []wire.Command
 }
 
-// process decides on the next task, and returns false if it leaves the queue.
+// process handles the next task of the queue. It returns false if the task is to be removed from
+// it.
 func (p *startPass) process(queued *queuedTask) bool {
 	if p.dispatcher.cancelled(queued.Task) {
-		// Whatever was granted: its leader takes it out. A command that was sent may be
-		// on its way, and the task is halted when it is reported.
+		// Not started even if granted; its leader removes it from the queue. If a start command was
+		// sent before, the task is halted once it is reported.
 		queued.granted = false
 		return true
 	}
@@ -117,8 +117,8 @@
 	return !dropped
 }
 
-// requestGrant requests the grant of a task, if it is missing and not requested yet, and reports
-// whether the leader drops the task.
+// requestGrant requests a missing grant unless a request is pending, and reports whether the
+// leader drops the task.
 func (p *startPass) requestGrant(queued *queuedTask) (dropped bool) {
 	if queued.granted || queued.grantRequested {
 		return false
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	dialTimeout = time.Second
-	idleTimeout = time.Minute // after which an idle connection to a worker is closed
-	connBufferBytes = 2 << 10     // of each direction: commands and most reports are smaller, and connections are many
+	dialTimeout     = time.Second
+	idleTimeout     = time.Minute // idle connections to workers are closed after this time
+	connBufferBytes = 2 << 10     // per direction: commands and most reports are smaller, and there are many connections
 )
 
-// connection is the HTTP client for one worker, with at most one connection.
+// connection is the HTTP client of one worker, with at most one connection.
 type connection struct {
 	endpoint    string
 	client      http.Client
-	users       int // requests that use it or wait for it
+	users       int // requests that use the connection or wait for it
 	idleSince   time.Time
-	idleElement *list.Element // in connectionPool.idle while it has no users
+	idleElement *list.Element // in connectionPool.idle while there are no users
 }
 
-// connectionPool keeps connections to workers open between requests, as many as there are
-// sockets to spare. A connection that is in use is never closed: commands whose connection
-// breaks have an unknown outcome.
+// connectionPool keeps connections to workers open between requests, as many as there are sockets
+// to spare. A connection in use is never closed: if the connection breaks, the outcome of its
+// commands is unknown.
 //
-// Each worker has a transport of its own, because a transport that all share has a fixed
-// bound and closes either none or all of its idle connections.
+// Each worker has its own transport: a shared transport has a fixed limit and can close only all
+// of its idle connections at once.
 type connectionPool struct {
 	limits func() sockets.ConnectionLimits
 	dialer net.Dialer
 
 	mu         sync.Mutex
 	byEndpoint map[string]*connection
-	idle       list.List // of *connection without users, the longest idle first
+	idle       list.List // of *connection without users, longest idle first
 }
 
 func newConnectionPool(limits func() sockets.ConnectionLimits) *connectionPool {
@@ -46,8 +46,8 @@
 	}
 }
 
-// acquire returns the worker's connection, which the caller releases after use. It is
-// dialled by the first request.
+// acquire returns the worker's connection, which the caller must release. The first request dials
+// it.
 func (p *connectionPool) acquire(endpoint string) *connection {
 	p.mu.Lock()
 	closing := p.removeIdleExpired(time.Now())
@@ -64,7 +64,7 @@
 	}
 	c.users++
 	p.mu.Unlock()
-	closeAll(closing) // before the caller dials: their sockets may be needed
+	closeAll(closing) // before the caller dials, which may need their sockets
 	return c
 }
 
@@ -88,7 +88,7 @@
 	}
 }
 
-// trim closes the longest idle connections beyond the sockets to spare.
+// trim closes the longest idle connections until the number of connections is within the limit.
 func (p *connectionPool) trim() {
 	p.mu.Lock()
 	var closing []*connection
@@ -99,8 +99,8 @@
 	closeAll(closing)
 }
 
-// removeIdleExpired removes the connections that their transport closes for idleness: else they
-// would count as open until their worker's next commands, which may never come.
+// removeIdleExpired removes the connections that their transport has closed because of
+// idleTimeout. Otherwise they would count as open until the next commands to their worker.
 func (p *connectionPool) removeIdleExpired(now time.Time) (removed []*connection) {
 	for oldest := p.idle.Front(); oldest != nil; oldest = p.idle.Front() {
 		if now.Sub(oldest.Value.(*connection).idleSince) < idleTimeout {
@@ -111,7 +111,8 @@
 	return removed
 }
 
-// removeLongestIdle adds the longest idle connection, if there is one, to those removed.
+// removeLongestIdle removes the connection that has been idle longest, if any, and appends it to
+// removed.
 func (p *connectionPool) removeLongestIdle(removed []*connection) []*connection {
 	oldest := p.idle.Front()
 	if oldest == nil {
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -17,17 +17,17 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// fakeWorkers are workers that respond to direct commands and count the connections to them.
+// fakeWorkers are workers that respond to commands and count the connections to them.
 type fakeWorkers struct {
-	endpoints []string
-	dialled   []atomic.Int64 // connections that were opened
-	open      atomic.Int64   // connections that are open now
-	blockFirst      atomic.Bool    // commands to the first worker wait for release
-	firstBlocked   atomic.Bool    // one does
-	release   chan struct{}
+	endpoints    []string
+	dialled      []atomic.Int64 // connections opened, by worker
+	open         atomic.Int64   // connections open now
+	blockFirst   atomic.Bool    // the first worker withholds its responses until release is closed
+	firstBlocked atomic.Bool    // a request waits there
+	release      chan struct{}
 }
 
-// alwaysValid is the check of commands that may be sent.
+// alwaysValid accepts all commands.
 func alwaysValid() error { return nil }
 
 func newFakeWorkers(tb testing.TB, n int) *fakeWorkers {
@@ -75,8 +75,7 @@
 	}
 }
 
-// newDials returns how many connections were opened since the last call, from the first worker
-// on.
+// newDials returns the number of connections opened since the last call, by worker and in total.
 func (w *fakeWorkers) newDials() (each []int64, sum int64) {
 	for i := range w.dialled {
 		n := w.dialled[i].Swap(0)
@@ -85,7 +84,7 @@
 	return each, sum
 }
 
-// eventually waits for what the workers' servers notice a little later.
+// eventually waits for a condition that the workers' servers bring about with a delay.
 func eventually(tb testing.TB, what string, holds func() bool) {
 	tb.Helper()
 	for start := time.Now(); !holds(); time.Sleep(time.Millisecond) {
@@ -95,18 +94,18 @@
 	}
 }
 
-// Commands to many workers in turn keep their connections while there are sockets to spare.
-// When users take those, idle connections are closed, the longest idle first, and are not
-// closed again and again by users that come and go.
+// Connections to workers stay open while there are sockets to spare. When clients take those, the
+// connections that have been idle longest are closed. Clients that come and go don't cause
+// connections to be closed again and again.
 func TestConnectionsKeptWithinFreeSockets(t *testing.T) {
-	const workers = 40 // four times the messages at once
+	const workers = 40 // four times the number of concurrent requests
 	var accepted atomic.Int64
 	budget := sockets.Budget{Limit: 200, Accepted: func() int { return int(accepted.Load()) }}
 	sender, w := dispatch.NewHTTPCommandSender(budget), newFakeWorkers(t, workers)
 	w.commandAll(t, sender)
 	w.commandAll(t, sender)
 	if _, sum := w.newDials(); sum != workers || sender.Connections() != workers {
-		t.Errorf("%d connections opened and %d kept for two messages to each of %d workers", sum, sender.Connections(), workers)
+		t.Errorf("%d connections opened and %d kept for two requests to each of %d workers", sum, sender.Connections(), workers)
 	}
 
 	for budget.WorkerConnections().Keep != workers-10 {
@@ -121,10 +120,10 @@
 		w.command(t, sender, worker)
 	}
 	if each, sum := w.newDials(); sum != 10 || each[9] != 1 || each[10] != 0 {
-		t.Errorf("not the 10 longest idle ones were closed: opened anew %v", each)
+		t.Errorf("the closed connections are not the 10 longest idle ones: reopened by worker: %v", each)
 	}
 
-	half := int64(budget.Limit) / 32 // of the reserve
+	half := int64(budget.Limit) / 32 // half of the reserve that the budget holds back
 	accepted.Add(-half)
 	w.commandAll(t, sender)
 	full := sender.Connections()
@@ -135,17 +134,17 @@
 		sender.Trim()
 	}
 	if n := sender.Connections(); n != full {
-		t.Errorf("%d of %d connections left after users came and went", n, full)
+		t.Errorf("%d of %d connections left after clients came and went", n, full)
 	}
 }
 
-// Commands under way keep their connection, however few sockets there are: else their outcome
-// would be unknown, and only a newer fencing token ends that.
+// A connection with commands in flight is not closed, however few sockets there are. Otherwise the
+// commands' outcome would be unknown until a newer fencing token invalidates them.
 func TestConnectionKeptDuringCommands(t *testing.T) {
 	var accepted atomic.Int64
 	budget := sockets.Budget{Limit: 96, Accepted: func() int { return int(accepted.Load()) }}
 	sender, w := dispatch.NewHTTPCommandSender(budget), newFakeWorkers(t, 20)
-	w.command(t, sender, 0) // its connection was idle before
+	w.command(t, sender, 0) // so that the connection is an idle one that is reused
 	w.blockFirst.Store(true)
 	done := make(chan struct{})
 	go func() { defer close(done); w.command(t, sender, 0) }()
@@ -157,13 +156,13 @@
 	accepted.Store(int64(budget.MaxAccepted()))
 	sender.Trim()
 	if n := sender.Connections(); n != budget.RequestsAtOnce() {
-		t.Errorf("%d connections with no socket to spare, %d orders at once", n, budget.RequestsAtOnce())
+		t.Errorf("%d connections with no socket to spare, limit of concurrent requests: %d", n, budget.RequestsAtOnce())
 	}
 	close(w.release)
 	<-done
 	w.command(t, sender, 0)
 	if n := w.dialled[0].Load(); n != 1 {
-		t.Errorf("%d connections for orders to a worker whose connection was in use", n)
+		t.Errorf("%d connections opened to a worker whose connection was in use", n)
 	}
 	eventually(t, "no others are open", func() bool { return w.open.Load() == int64(budget.RequestsAtOnce()) })
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,11 +1,11 @@
-// Package dispatch keeps a queue for each worker that reports to this controller and sends
-// the worker its commands.
+// Package dispatch maintains a queue for each worker that reports to this controller and sends the
+// worker its commands.
 //
-// A Dispatcher answers heartbeats, sends urgent commands directly, publishes a view with a
-// wait-time matrix of each worker, and starts a task only after the task's leader granted it.
-// All state is in memory and is rebuilt from the workers' reports. The package does not decide
-// where tasks run, which worker has failed or which controller leads: see Schedulers and
-// Routing.
+// A Dispatcher answers heartbeats, pushes urgent commands directly, publishes a view of each
+// worker with a matrix of expected wait times, and starts a task only after the task's leader has
+// granted the start. All state is held in memory and is rebuilt from the workers' reports. The
+// package does not decide where tasks run, which workers have failed or which controller leads:
+// see Schedulers and Routing.
 package dispatch
 
 import (
@@ -22,16 +22,16 @@
 )
 
 const (
-	workerRetention   = 10 * time.Minute // after which an unheard worker is forgotten
-	maxDeletedWorkers = 4096             // deleted workers that are remembered
-	maxWorkers    = 20_000
+	workerRetention   = 10 * time.Minute // a worker without a report or redirect for so long is removed
+	maxDeletedWorkers = 4096             // deleted workers whose late reports are still recognised
+	maxWorkers        = 20_000
 )
 
-// Dispatcher keeps the queues of the workers that report to this controller and sends their
+// Dispatcher holds the queues of the workers that report to this controller and sends their
 // commands. It is safe for concurrent use.
 type Dispatcher struct {
 	name       string
-	lease      time.Duration // of workers
+	lease      time.Duration // of a worker
 	schedulers Schedulers
 	tokens     Tokens
 	types      MachineTypes
@@ -47,24 +47,24 @@
 
 	cancellations Cancellations
 
-	lastHeartbeat atomic.Int64 // ns since started
+	lastHeartbeat atomic.Int64 // time of the last accepted heartbeat of any worker, in ns since started
 
 	mu             sync.Mutex
 	workers        map[string]*workerState
-	answeredAt     map[string]time.Time         // last answered heartbeat, by worker
-	deleted        *lru.Cache[string, struct{}] // workers that the cloud deleted, the latest ones
-	changed        map[string]bool              // or forgotten, since ChangedViews was last called
-	lastExpiry     time.Time                    // when unheard workers were last forgotten
-	raisingToken   bool
-	stopped        bool                  // Wait was called after lifetime had ended
-	allocations    []matching.Allocation // buffer of allocated
+	answeredAt     map[string]time.Time         // time of the last answered heartbeat, by worker
+	deleted        *lru.Cache[string, struct{}] // the latest workers whose machines the cloud has deleted
+	changed        map[string]bool              // workers that changed or were removed since the last call of ChangedViews
+	lastExpiry     time.Time                    // last call of removeExpiredWorkersLocked
+	raisingToken   bool                         // a background raise of the token is running
+	stopped        bool                         // Wait was called after lifetime ended: no goroutine may start
+	allocations    []matching.Allocation        // buffer reused by allocatedLocked
 	heartbeatCount heartbeatCounter
 }
 
-// Options are what a dispatcher needs of the rest of its process.
+// Options are a dispatcher's dependencies and settings.
 type Options struct {
 	Node         string        // this controller
-	WorkerLease  time.Duration // without a response for so long a worker ends its tasks
+	WorkerLease  time.Duration // a worker ends its tasks when no response has come for this time
 	Schedulers   Schedulers
 	Tokens       Tokens
 	MachineTypes MachineTypes
@@ -72,8 +72,8 @@
 	Commands     CommandSender
 	Log          *slog.Logger
 
-	// Cancellations are the cancelled jobs, whoever leads them: none of their tasks is
-	// launched here, and each that a worker lists is halted. nil: none.
+	// Cancellations are the cancelled jobs of all leaders. None of their tasks is started from here,
+	// and each one that a worker reports is halted. May be nil.
 	Cancellations Cancellations
 }
 
@@ -90,8 +90,8 @@
 	return d
 }
 
-// Wait waits for the goroutines that the dispatcher started. Once its context has ended, none
-// starts any more.
+// Wait waits for the goroutines that the dispatcher started. After the dispatcher's context has
+// ended, no new ones start.
 func (d *Dispatcher) Wait() {
 	d.mu.Lock()
 	d.stopped = d.lifetime.Err() != nil
@@ -100,16 +100,16 @@
 	d.goroutines.Wait()
 }
 
-// startGoroutineLocked runs a goroutine that Wait waits for. A peer's message may come while the
-// process ends: a goroutine that started then could be missed by Wait.
+// startGoroutineLocked starts a goroutine that Wait waits for, unless the dispatcher has stopped:
+// a peer's message may arrive during shutdown, and Wait could miss a goroutine started by then.
 func (d *Dispatcher) startGoroutineLocked(run func()) {
 	if !d.stopped {
 		d.goroutines.Go(run)
 	}
 }
 
-// workerLocked returns the state of a worker, new if it is not known. It returns nil if there
-// are too many.
+// workerLocked returns the state of a worker, which it creates if the worker is not known. It
+// returns nil if there are already maxWorkers.
 func (d *Dispatcher) workerLocked(name string) *workerState {
 	worker := d.workers[name]
 	if worker == nil && len(d.workers) < maxWorkers {
@@ -119,8 +119,7 @@
 	return worker
 }
 
-// Drain stops starts on an idle worker. It returns false if the worker is not idle or not known
-// here.
+// Drain stops task starts on an idle worker. It returns false if the worker is busy or unknown.
 func (d *Dispatcher) Drain(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -133,8 +132,7 @@
 	return true
 }
 
-// RemoveWorker forgets a worker whose machine the cloud has deleted, and ignores its late
-// reports.
+// RemoveWorker removes a worker whose machine the cloud has deleted; its late reports are ignored.
 func (d *Dispatcher) RemoveWorker(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,8 +142,7 @@
 	d.deleted.ContainsOrAdd(name, struct{}{})
 }
 
-// Counts counts the workers known here, the tasks queued for them, and the direct commands under
-// way.
+// Counts returns the number of known workers, of tasks in their queues, and of pushes in flight.
 func (d *Dispatcher) Counts() (workers, queued, pushes int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,7 +155,8 @@
 	return len(d.workers), queued, pushes
 }
 
-// removeExpiredWorkersLocked forgets the workers that were not heard for long.
+// removeExpiredWorkersLocked removes the workers that have neither reported nor been redirected
+// within workerRetention.
 func (d *Dispatcher) removeExpiredWorkersLocked() {
 	d.lastExpiry = time.Now()
 	for name, worker := range d.workers {
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -18,21 +18,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// stub is everything around a dispatcher.
+// stub implements all dependencies of a dispatcher.
 type stub struct {
-	tokenMu  sync.Mutex // the dispatcher raises the token in the background
-	token    uint64
-	canRaiseToken   bool
-	respond  func(wire.Orders) (*wire.Report, bool, error)
-	sent     []wire.Orders
-	views    []dispatch.WorkerView
-	isolated bool
-	answeringForbidden   bool // may not answer workers
+	tokenMu            sync.Mutex // the dispatcher raises the token on another goroutine
+	token              uint64
+	canRaiseToken      bool
+	respond            func(wire.Orders) (*wire.Report, bool, error)
+	sent               []wire.Orders
+	views              []dispatch.WorkerView
+	isolated           bool
+	answeringForbidden bool // MayAnswerWorkers returns false
 
-	beforeSend func() // is waited for before commands leave; nil: nothing
+	beforeSend func() // called before commands are validated and sent; may be nil
 
 	leader      string
-	grantRemote func([]dispatch.GrantRequest) []dispatch.GrantReply // a leader elsewhere; nil: none
+	grantRemote func([]dispatch.GrantRequest) []dispatch.GrantReply // answers requests to other controllers; nil: they fail
 }
 
 func (s *stub) ObserveWorker(v dispatch.WorkerView) { s.views = append(s.views, v) }
@@ -95,7 +95,7 @@
 	return newCancellingDispatcher(ctx, s, nil)
 }
 
-// newCancellingDispatcher returns a dispatcher that knows cancelled jobs.
+// newCancellingDispatcher returns a dispatcher that knows of cancelled jobs.
 func newCancellingDispatcher(ctx context.Context, s *stub, cancelled dispatch.Cancellations) *dispatch.Dispatcher {
 	return dispatch.New(ctx, dispatch.Options{
 		Node: "a", WorkerLease: 10 * time.Second, Schedulers: s, Tokens: s, MachineTypes: s, Routing: s, Commands: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -103,8 +103,7 @@
 	})
 }
 
-// A peer's instructions come when the dispatcher's process ends: nothing is sent that nobody
-// waits for.
+// Instructions that arrive during shutdown cause no push: no Wait would wait for it.
 func TestInstructionsAfterShutdownSendNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
@@ -138,9 +137,9 @@
 	return n
 }
 
-// Direct commands without a response may still arrive: until a report shows a
-// newer token, nothing may be cleared, or the late commands would start the task
-// again beside its next attempt.
+// Pushed commands without a response may still arrive. Until a report shows a newer token, the
+// worker must not be told to forget an exited task: the late commands would run it again,
+// concurrently with its next attempt.
 func TestNoClearWhileCommandsHaveUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stub{token: 5, canRaiseToken: true, respond: func(wire.Orders) (*wire.Report, bool, error) {
@@ -171,9 +170,9 @@
 	})
 }
 
-// Another dispatcher's direct commands may carry a higher token than this one's, and be
-// delayed: a worker that had received neither ran the task by this one's response, got the
-// command to forget it, and ran it again.
+// Another dispatcher's start command may carry a higher token than this one's and be delayed. If
+// this dispatcher's start ran the task and the worker then forgot it, the delayed command would
+// run it again.
 func TestNoClearBelowTokenOfAnotherDispatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stub{token: 5, canRaiseToken: true}
@@ -183,13 +182,13 @@
 		d.HandleReport(ctx, report(1, 5, exited))
 		d.ApplyInstructions(dispatch.Instructions{From: "a", Clear: []dispatch.Clear{{TaskRef: entry(1).TaskRef, Token: 9}}})
 		if _, body := d.HandleReport(ctx, report(2, 5, exited)); countVerb(body, wire.VerbForget) != 0 {
-			t.Error("cleared while the other's commands may still start it")
+			t.Error("cleared while the other dispatcher's commands may still start it")
 		}
 		synctest.Wait()
 		if token := s.FencingToken(); token <= 9 {
 			t.Fatalf("the token was not raised: %d", token)
 		}
-		d.HandleReport(ctx, report(3, 5, exited)) // is answered with the new token
+		d.HandleReport(ctx, report(3, 5, exited)) // answered with the new token
 		if _, body := d.HandleReport(ctx, report(4, s.FencingToken(), exited)); countVerb(body, wire.VerbForget) != 1 {
 			t.Error("not cleared although all older commands are fenced off")
 		}
@@ -198,8 +197,8 @@
 	})
 }
 
-// A worker that saw a higher token must not get 200 with a lower one: it would
-// stay and lose its lease.
+// A worker that has seen a higher token must not get status 200 with a lower one: it would
+// continue to report here and lose its lease.
 func TestNoResponseWithLowerToken(t *testing.T) {
 	s := &stub{token: 5}
 	d := newDispatcher(t.Context(), s)
@@ -213,14 +212,14 @@
 	}
 }
 
-// A heartbeat that the response to a poll overtook tells nothing, whatever it lists;
-// but unless its session is over the worker gets its answer: refused, it looked
-// for another controller whenever the response to direct commands overtook it.
+// A heartbeat that was overtaken by the response to a poll or push has no effect on the worker's
+// state, but is answered unless its session is over. If it were rejected, the worker would look
+// for another controller.
 func TestHeartbeatOlderThanPolledReportIsAnswered(t *testing.T) {
 	s := &stub{token: 5}
 	d := newDispatcher(t.Context(), s)
 	d.HandleReport(t.Context(), report(5, 5))
-	d.PollWorker(t.Context(), "n-1", "e") // responds with report 9
+	d.PollWorker(t.Context(), "n-1", "e") // returns report 9
 	for _, seq := range []uint64{6, 7} {
 		if status, _ := d.HandleReport(t.Context(), report(seq, 5)); status != http.StatusOK {
 			t.Errorf("report %d refused after the response to a poll", seq)
@@ -233,14 +232,14 @@
 		t.Error("a report of an earlier session was answered")
 	}
 	if len(s.views) != 3 || !s.views[1].Polled || s.views[2].Polled {
-		t.Errorf("views of 3 reports that were new: %+v", s.views)
+		t.Errorf("not the views of the 3 new reports: %+v", s.views)
 	}
 }
 
-// Copies of heartbeats arrive late, by seconds or by well over a lease, in any order and
-// more than once, here and where the worker was redirected from. None counts as
-// hearing the worker, renews its lease or changes what is known of it; a worker
-// whose sequence numbers really begin anew is accepted after a lease.
+// Copies of heartbeats may arrive seconds or more than a lease late, in any order and more than
+// once, also at a controller that has redirected the worker. They don't count as a sign of life,
+// renew no lease and change no state. A worker whose sequence numbers were reset is accepted after
+// a lease.
 func TestHeartbeatCopiesHaveNoEffect(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		redirected := rapid.Bool().Draw(rt, "redirected")
@@ -265,7 +264,7 @@
 			views, seen, unanswered := len(s.views), d.SinceWorkerHeartbeat("n-1"), d.UnansweredFor("n-1")
 			for i, seq := range copies {
 				if i > 0 && seq > copies[i-1] && wait > 9*time.Second {
-					break // that would be a worker epoch reset
+					break // sequence numbers that increase again count as a worker epoch reset
 				}
 				status, _ := d.HandleReport(t.Context(), report(seq, 5))
 				if status == http.StatusOK {
@@ -300,8 +299,8 @@
 	})
 }
 
-// A controller that can start nothing and reaches nobody who could has its workers
-// look for one, and keeps those that are soon back.
+// An isolated controller, which can start no tasks and reaches no controller that can, sends its
+// workers to look for another one, and does not redirect those that return soon.
 func TestIsolatedControllerRedirectsWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stub{token: 5}
@@ -316,13 +315,13 @@
 		}
 		time.Sleep(time.Minute)
 		if status, _ := d.HandleReport(t.Context(), report(9, 5)); status == http.StatusOK {
-			t.Error("kept for ever by one that starts nothing")
+			t.Error("an isolated controller stopped redirecting its workers")
 		}
 	})
 }
 
-// A clear in direct commands could arrive before a start in the response to a
-// heartbeat, which would then start the attempt again.
+// A pushed forget command could overtake a start command in the response to a heartbeat, which
+// would then run the attempt again.
 func TestClearsOnlyInHeartbeatResponses(t *testing.T) {
 	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	d := newDispatcher(t.Context(), s)
@@ -339,22 +338,22 @@
 	}
 }
 
-// After a failover, workers that did not report here yet are polled.
+// After a failover, only workers that have not reported here recently are polled.
 func TestPollAfterFailoverSkipsRecentlyReportedWorkers(t *testing.T) {
 	s := &stub{token: 5}
 	d := newDispatcher(t.Context(), s)
 	d.PollReports(t.Context(), map[string]string{"n-1": "e", "n-2": "e"}, time.Second)
 	if len(s.views) != 1 || s.views[0].Name != "n-1" || s.views[0].Seq != 9 {
-		t.Errorf("views %+v", s.views) // the one that responded as n-2 is another worker
+		t.Errorf("views %+v", s.views) // n-2's response names another worker and is dropped
 	}
 	d.PollReports(t.Context(), map[string]string{"n-1": "e"}, time.Minute)
 	if len(s.views) != 1 {
-		t.Error("polled again although just heard")
+		t.Error("polled again right after its report")
 	}
 }
 
-// Starts keep within the worker's size, and a start is repeated until the worker
-// reports it.
+// Started tasks fit the worker's capacity, and a start command is repeated until the worker
+// reports the task.
 func TestStartsFitFreeCapacity(t *testing.T) {
 	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	d := newDispatcher(t.Context(), s)
@@ -374,8 +373,9 @@
 	}
 }
 
-// A new leader that had polled all workers expected heartbeats from all of them, received none,
-// took its inbound links for lost and transferred the shards.
+// Workers that were only polled don't count as expected to report. Otherwise a new leader that has
+// polled all workers misses their heartbeats, takes its inbound links for lost and transfers its
+// shards.
 func TestPolledWorkersAreNotExpectedToReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stub{token: 3}
--- a/internal/dispatch/grants.go
+++ b/internal/dispatch/grants.go
@@ -8,7 +8,7 @@
 
 const grantTimeout = 3 * time.Second
 
-// remoteGrant is a request for a grant that goes to a leader elsewhere.
+// remoteGrant is a grant request to a leader on another controller.
 type remoteGrant struct {
 	queued  *queuedTask
 	request GrantRequest
@@ -18,8 +18,8 @@
 	q.granted, q.grantToken, q.grantSession = true, request.Token, request.Session
 }
 
-// requestRemoteGrantLocked requests a grant from a leader on another controller, together with
-// what else it is to be requested.
+// requestRemoteGrantLocked requests a grant from a leader on another controller. Requests to the
+// same leader are batched.
 func (d *Dispatcher) requestRemoteGrantLocked(queued *queuedTask, request GrantRequest) {
 	queued.grantRequested = true
 	if !d.stopped {
@@ -27,8 +27,8 @@
 	}
 }
 
-// requestRemoteGrants requests grants from a leader elsewhere, and pushes the starts of the tasks
-// that it granted.
+// requestRemoteGrants sends a batch of grant requests to a leader on another controller, and
+// pushes the start commands of the tasks that it granted.
 func (d *Dispatcher) requestRemoteGrants(leader string, grants []remoteGrant) {
 	requests := make([]GrantRequest, len(grants))
 	for i := range grants {
@@ -58,7 +58,7 @@
 	}
 }
 
-// applyGrantLocked notes a leader's reply.
+// applyGrantLocked applies a leader's reply to the queue.
 func (d *Dispatcher) applyGrantLocked(grant remoteGrant, reply GrantReply) {
 	grant.queued.grantRequested = false
 	worker := d.workers[grant.request.Worker]
--- a/internal/dispatch/grants_test.go
+++ b/internal/dispatch/grants_test.go
@@ -10,9 +10,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// What is to be requested from a leader elsewhere while requests to it are under way goes
-// with the next message, all together; each task starts by its own reply, and replies that
-// don't fit the requests start nothing.
+// Grant requests to a leader on another controller that arise while one is in flight are sent
+// together afterwards. Each task starts according to its own reply. If the number of replies does
+// not match the requests, nothing starts.
 func TestGrantRequestsBatchedDuringRoundTrip(t *testing.T) {
 	const roundTrip = 50 * time.Millisecond
 	for _, short := range []bool{false, true} {
@@ -39,11 +39,11 @@
 				e.Leader = "b"
 				d.ApplyInstructions(dispatch.Instructions{From: "b", Assign: []dispatch.QueueEntry{e}})
 				if attempt == 0 {
-					synctest.Wait() // the first is under way when the others come
+					synctest.Wait() // the first request is in flight when the others follow
 				}
 			}
 			time.Sleep(3 * roundTrip)
-			synctest.Wait() // orders what the goroutines wrote before what is read here
+			synctest.Wait() // orders the goroutines' writes before the reads below
 			if len(batches) != 2 || batches[0] != 1 || batches[1] != 3 {
 				t.Errorf("requested in batches of %v", batches)
 			}
--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -6,10 +6,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// HeartbeatWindow is the time over which heartbeats are counted.
+// HeartbeatWindow is the period over which recent heartbeats are counted.
 const HeartbeatWindow = 3 * time.Second
 
-// heartbeatCounter counts heartbeats by second.
+// heartbeatCounter counts heartbeats per second.
 type heartbeatCounter struct {
 	second [4]int64
 	count  [4]int
@@ -23,7 +23,8 @@
 	c.count[i]++
 }
 
-// countBefore counts the whole seconds of the window before this one.
+// countBefore returns the number of heartbeats in the whole seconds of HeartbeatWindow before the
+// given second.
 func (c *heartbeatCounter) countBefore(second int64) (sum int) {
 	for i, counted := range c.second {
 		if counted < second && counted >= second-int64(HeartbeatWindow/time.Second) {
@@ -35,12 +36,12 @@
 
 func (d *Dispatcher) currentSecond() int64 { return 1 + int64(time.Since(d.started)/time.Second) }
 
-// acceptHeartbeat notes a heartbeat, and returns false for a copy of one that came before or
-// one that came late. A worker keeps one heartbeat in flight at a time, so that what is not
-// newer than the newest of them tells nothing of now: it must not count as hearing the worker,
-// renew its lease or be acted on. Copies arrive up to well over a lease late. A worker whose
-// sequence numbers began anew is recognised by this: nothing newer has come for a lease, and
-// its heartbeats grow among themselves.
+// acceptHeartbeat records a heartbeat. It returns false for a duplicate or late copy, which may
+// arrive more than a lease after the original. A worker has one heartbeat in flight at a time, so
+// that one which is not newer than the newest says nothing of the worker's present state: it must
+// not count as a sign of life, renew the lease or be acted on. A worker whose sequence numbers
+// were reset is recognised by two conditions: no newer heartbeat has arrived for a lease, and the
+// rejected ones increase among themselves.
 func (d *Dispatcher) acceptHeartbeat(rep *wire.Report) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,17 +65,17 @@
 	return true
 }
 
-// RecentHeartbeats returns the heartbeats that came in the last HeartbeatWindow, whatever was
-// answered, and the number of workers whose heartbeats were answered here in the last minute.
-// Workers that were only polled don't count: a new leader that had polled all of them
-// took its inbound links for lost.
+// RecentHeartbeats returns the number of heartbeats received in the last HeartbeatWindow, answered
+// or not, and the number of workers whose heartbeats were answered here in the last minute.
+// Workers that were only polled don't count: otherwise a new leader that has polled all workers
+// expects heartbeats from them and takes its inbound links for lost.
 func (d *Dispatcher) RecentHeartbeats() (reports, workers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.heartbeatCount.countBefore(d.currentSecond()), d.countReportingLocked(time.Minute)
 }
 
-// CountReporting counts the workers whose heartbeats were answered here within a time.
+// CountReporting counts the workers whose heartbeats were answered here within the given time.
 func (d *Dispatcher) CountReporting(within time.Duration) (workers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,8 +91,8 @@
 	return workers
 }
 
-// WorkersSeenWithin names the workers of which a heartbeat or a polled report came within a
-// time, in no order.
+// WorkersSeenWithin returns the names of the workers whose heartbeat or polled report arrived
+// within the given time, in no particular order.
 func (d *Dispatcher) WorkersSeenWithin(within time.Duration) (names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,7 +104,7 @@
 	return names
 }
 
-// ReportAges returns how long ago each worker's newest report came, polled or not.
+// ReportAges returns the time since the newest report of each worker arrived, polled or not.
 func (d *Dispatcher) ReportAges() map[string]time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,15 +117,15 @@
 	return out
 }
 
-// SinceAnyHeartbeat is how long ago the last heartbeat of any worker came, whatever was
-// answered; without one, since this process's start.
+// SinceAnyHeartbeat returns the time since the last heartbeat of any worker, answered or not, or
+// since the start of this process if there was none.
 func (d *Dispatcher) SinceAnyHeartbeat() time.Duration {
 	return time.Since(d.started) - time.Duration(d.lastHeartbeat.Load())
 }
 
-// SinceWorkerHeartbeat returns how long ago any heartbeat of the worker came here, whatever was
-// answered: one that is redirected lives, even if it can't get there. Without one it is more
-// than a lease.
+// SinceWorkerHeartbeat returns the time since the worker's last heartbeat here, answered or not: a
+// redirected worker is alive even if it can't reach the other controller. If there was none, the
+// result exceeds a lease.
 func (d *Dispatcher) SinceWorkerHeartbeat(name string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,8 +135,8 @@
 	return time.Since(d.started) + d.lease
 }
 
-// UnansweredFor attests for how long this controller has not answered a heartbeat of the
-// worker; without memory of one, it is the time since this process's start.
+// UnansweredFor returns the time since this controller last answered a heartbeat of the worker, or
+// since the start of this process if it has not answered any. Attestations rely on it.
 func (d *Dispatcher) UnansweredFor(name string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -149,7 +150,7 @@
 	return time.Since(d.started)
 }
 
-// HasWorkers reports whether a report of any worker came within a lease.
+// HasWorkers reports whether any worker reported within a lease.
 func (d *Dispatcher) HasWorkers() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -161,7 +162,7 @@
 	return false
 }
 
-// recentlyReported reports whether a report of the worker came within a lease.
+// recentlyReported reports whether the worker reported within a lease.
 func (d *Dispatcher) recentlyReported(worker *workerState) bool {
 	return worker.report.Machine != "" && time.Since(worker.reportedAt) < d.lease
 }
--- a/internal/dispatch/instructions.go
+++ b/internal/dispatch/instructions.go
@@ -7,12 +7,13 @@
 )
 
 // ApplyInstructions applies a leader's instructions and returns the halted tasks that this
-// dispatcher surely never launched. Those for workers that are not known here are ignored: the
-// leader repeats them. The commands that follow are pushed at once, except clears.
+// dispatcher certainly never started. Instructions for workers that are not known here are
+// ignored; the leader repeats them. The resulting commands are pushed at once, except forget
+// commands.
 func (d *Dispatcher) ApplyInstructions(instructions Instructions) Unlaunched {
 	defer usage.Count(usage.Instructions, time.Now())
 	out := Unlaunched{Token: d.tokens.FencingToken()}
-	touched := map[string]bool{} // workers with something new to command
+	touched := map[string]bool{} // workers with new commands to be pushed
 	d.mu.Lock()
 	for i := range instructions.Assign {
 		d.assignLocked(&instructions.Assign[i], touched)
@@ -45,7 +46,7 @@
 	return out
 }
 
-// assignLocked queues a task, or notes what a task that is reported already takes.
+// assignLocked queues a task, or stores the queue entry of a task that the worker already reports.
 func (d *Dispatcher) assignLocked(entry *QueueEntry, touched map[string]bool) {
 	worker := d.workers[entry.Worker]
 	if worker == nil {
@@ -55,7 +56,7 @@
 		if task.entry == nil {
 			d.changed[entry.Worker] = true
 		}
-		own := *entry // the rest of the message need not stay in memory
+		own := *entry // a copy, so that the rest of the message can be freed
 		task.entry = &own
 		return
 	}
@@ -66,8 +67,8 @@
 	touched[entry.Worker] = true
 }
 
-// haltLocked takes a task off the queue, or has it stopped if a start may have been sent. It
-// reports whether the task surely was not launched from here.
+// haltLocked removes a task from the queue, or has the worker stop it if a start command may have
+// been sent. It returns true if the task was certainly not started from here.
 func (d *Dispatcher) haltLocked(halt Halt, touched map[string]bool) (unlaunched bool) {
 	worker := d.workers[halt.Worker]
 	if worker == nil {
@@ -81,8 +82,8 @@
 	return false
 }
 
-// clearLocked lets the worker forget an exited task. The next heartbeat's response is soon
-// enough for that: an exited task takes nothing but a line.
+// clearLocked has the worker forget an exited task. The command waits for the next heartbeat: an
+// exited task costs the worker only an entry in its reports.
 func (d *Dispatcher) clearLocked(done Clear) {
 	worker := d.workers[done.Worker]
 	if worker == nil || worker.tasks[done.TaskRef] == nil {
--- a/internal/dispatch/lost_start_test.go
+++ b/internal/dispatch/lost_start_test.go
@@ -7,8 +7,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Guards against a task whose start was lost looking as if it were about to run behind long tasks
-// that took its room: its leader found no worker better, and it stood still.
+// A task whose start command was lost waits behind long tasks that have since taken its resources.
+// If it still counted as starting, its expected wait would be about 0, and its leader would find
+// no better worker for it.
 func TestLostStartQueuesBehindRunningTasks(t *testing.T) {
 	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	d := newDispatcher(t.Context(), s)
@@ -18,7 +19,7 @@
 	if _, body := d.HandleReport(t.Context(), report(2, 5)); countVerb(body, wire.VerbStart) != 1 {
 		t.Fatalf("no start: %+v", body)
 	}
-	// The response is lost, and other controllers fill the worker.
+	// The response is lost, and other controllers start tasks that fill the worker.
 	const tasks = 4
 	others := make([]wire.Task, 0, tasks)
 	entries := make([]dispatch.QueueEntry, 0, tasks)
@@ -34,7 +35,7 @@
 	_, body := d.HandleReport(t.Context(), report(4, 5, others...))
 	view := s.views[len(s.views)-1]
 	if countVerb(body, wire.VerbStart) != 0 || len(view.Queue) != 1 || view.Queue[0].WaitS < 100 || view.Queue[0].Unsent {
-		t.Errorf("behind tasks of 10 minutes: %+v, %+v", body, view.Queue)
+		t.Errorf("queued behind tasks of 10 minutes: %+v, %+v", body, view.Queue)
 	}
 	if free := view.Matrix[0].Free.CPUs; free != 0 {
 		t.Errorf("%v CPUs are free on a full worker", free)
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -5,95 +5,95 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// TaskRef names one attempt of a task on a worker.
+// TaskRef identifies one attempt of a task on a worker.
 type TaskRef struct {
 	Worker  string `json:"m"`
 	Task    string `json:"t"`
 	Attempt uint64 `json:"a"`
 }
 
-// QueueEntry is a task placed on a worker by its leader, with what the dispatcher
-// needs to queue it.
+// QueueEntry is a task that its leader has placed on a worker, with the data needed to queue it.
 type QueueEntry struct {
 	TaskRef
-	Leader    string             `json:"o"` // the leader
+	Leader    string             `json:"o"` // controller that leads the task
 	Resources matching.Resources `json:"s"`
-	RunS      float64            `json:"r"` // expected run time, s
-	FetchS    float64            `json:"f"` // expected image fetch, s
-	Rank      int                `json:"p"` // priority, larger first
-	DueAt     float64            `json:"d"` // order within a priority, earlier first
-	Reported  bool               `json:"l"` // the task is reported already: not to be queued
+	RunS      float64            `json:"r"` // expected run time in s
+	FetchS    float64            `json:"f"` // expected time of the image fetch in s
+	Rank      int                `json:"p"` // priority, higher first
+	DueAt     float64            `json:"d"` // order within a priority, lower first
+	Reported  bool               `json:"l"` // the worker already reports the task: do not queue it
 }
 
-// Halt stops a task; the dispatcher repeats it until the task is gone.
+// Halt stops a task. The dispatcher repeats the stop command until the worker no longer reports
+// the task as running.
 type Halt struct {
 	TaskRef
 	GraceS float64 `json:"g"`
 }
 
-// Clear is an exited task that its worker may forget.
+// Clear lets a worker forget an exited task.
 type Clear struct {
 	TaskRef
-	// Token is the highest that a start command for it may carry, by whichever dispatcher:
-	// a late one from another, with a higher token than this dispatcher's, would start the
-	// task again.
+	// Token is the highest token that a start command for the attempt may carry, from any
+	// dispatcher. If it is higher than this dispatcher's, a late start command of another dispatcher
+	// could run the task again, and the token is raised first.
 	Token uint64 `json:"k,omitempty"`
 }
 
-// Instructions is what a leader sends to a dispatcher. It may be repeated: what is done already
-// has no effect.
+// Instructions is sent by a leader to a dispatcher. Applying it again has no further effect.
 type Instructions struct {
 	From   string       `json:"from"`
 	Assign []QueueEntry `json:"assign,omitempty"`
 	Halt   []Halt       `json:"halt,omitempty"`
 	Clear  []Clear      `json:"clear,omitempty"`
-	// RaiseTokenAbove has the dispatcher answer workers with a higher token, so
-	// that their reports prove which late commands can no longer run. 0: no need.
+	// RaiseTokenAbove, if not 0, has the dispatcher answer workers with a token above it. The
+	// workers' reports then show that commands with lower tokens can no longer be executed.
 	RaiseTokenAbove uint64 `json:"raise,omitempty"`
 }
 
-// Unlaunched replies to instructions: the halted tasks for which no start command
-// was ever sent by this incarnation of the dispatcher.
+// Unlaunched is the reply to Instructions: the halted tasks for which this incarnation of the
+// dispatcher never sent a start command.
 type Unlaunched struct {
 	Refs []TaskRef `json:"refs"`
-	// Token is the dispatcher's now: a task that was granted for another one may have been
-	// launched by another dispatcher, or before this one restarted.
+	// Token is the dispatcher's present token. A task that was granted under another token may have
+	// been started by another dispatcher, or by this one before its restart.
 	Token uint64 `json:"k,omitempty"`
 }
 
-// GrantRequest requests of a task's leader that it may start now, with this token
-// and in this session of the worker.
+// GrantRequest asks a task's leader for permission to start the task now, with this token and in
+// this session of the worker.
 type GrantRequest struct {
 	TaskRef
-	Dispatcher string `json:"h"` // the dispatcher
+	Dispatcher string `json:"h"` // requesting controller
 	Token      uint64 `json:"k"`
 	Session    uint64 `json:"s"`
 }
 
-// GrantReply replies: start the task, drop it from the queue, or neither for now. Drop prevails.
+// GrantReply is the leader's decision: start the task, drop it from the queue, or, if neither is
+// set, wait. Drop takes precedence.
 type GrantReply struct {
 	OK   bool `json:"ok"`
 	Drop bool `json:"drop"`
 }
 
-// TaskView is a reported task.
+// TaskView is a task in a worker's report.
 type TaskView struct {
 	wire.Task
-	StateAgeS float64 `json:"for"` // seconds since the dispatcher first saw it in this state
-	// ResourcesUnknown says that no leader has sent the dispatcher what the task takes; the dispatcher
-	// takes its worker for full meanwhile.
+	StateAgeS float64 `json:"for"` // seconds since the dispatcher first saw the task in this state
+	// ResourcesUnknown is set while the dispatcher has no queue entry for the task; until then it
+	// treats the worker as full.
 	ResourcesUnknown bool `json:"u,omitempty"`
 }
 
-// QueueView is a queued task and its expected wait.
+// QueueView is a queued task and its expected wait in seconds.
 type QueueView struct {
 	TaskRef
 	WaitS float64 `json:"w"`
-	// Unsent says that this dispatcher has sent no start command for the task yet.
+	// Unsent is set while this dispatcher has not sent a start command for the task.
 	Unsent bool `json:"unsent,omitempty"`
 }
 
-// WorkerView is what a dispatcher publishes of a worker.
+// WorkerView is the state of a worker as published by its dispatcher.
 type WorkerView struct {
 	Name       string  `json:"name"`
 	Type       string  `json:"type"`
@@ -102,16 +102,17 @@
 	Session    uint64  `json:"session"`
 	Seq        uint64  `json:"seq"`
 	Token      uint64  `json:"token"`
-	Dispatcher string  `json:"holder"` // the dispatcher
+	Dispatcher string  `json:"holder"` // controller to which the worker reports
 	Endpoint   string  `json:"endpoint,omitempty"`
-	AgeS       float64 `json:"age,omitempty"` // seconds since the report came
-	// UnansweredS is how long ago the dispatcher last answered a heartbeat of the worker, at
-	// least: since its own start if it never has.
+	AgeS       float64 `json:"age,omitempty"` // seconds since the report arrived
+	// UnansweredS is the time in seconds since the dispatcher last answered a heartbeat of the
+	// worker, or since the dispatcher's start if it has answered none.
 	UnansweredS float64  `json:"unanswered,omitempty"`
-	NoticeS     *float64 `json:"notice"` // until the cloud takes the machine away; nil: no notice
+	NoticeS     *float64 `json:"notice"` // seconds until the cloud takes the machine away; nil: no notice
 	Draining    bool     `json:"draining"`
-	Polled      bool     `json:"asked,omitempty"` // the report responded to a poll or to commands, which thus reached the worker
-	// Unchanged says that the report in it tells nothing but that the worker was heard.
+	Polled      bool     `json:"asked,omitempty"` // the report answered a poll or a push, so that messages do reach the worker
+	// Unchanged is set for a heartbeat that reports nothing new, so that it only shows that the
+	// worker is alive.
 	Unchanged bool                `json:"-"`
 	Tasks     []TaskView          `json:"tasks"`
 	Queue     []QueueView         `json:"queue"`
--- a/internal/dispatch/outdated_commands_test.go
+++ b/internal/dispatch/outdated_commands_test.go
@@ -18,18 +18,18 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// cancelledJobs are the jobs that are known to be cancelled.
+// cancelledJobs are the jobs known to be cancelled.
 type cancelledJobs map[string]bool
 
 func (c cancelledJobs) IsCancelled(uid string) bool { return c[uid] }
 
-// busyWorker is a worker whose response to /show is held back, so that whatever else is sent
-// to it waits for the connection.
+// busyWorker is a worker that withholds its response to /show, so that further requests wait for
+// the connection.
 type busyWorker struct {
 	*httptest.Server
-	polled   chan struct{} // is closed when /show is requested
-	release  chan struct{} // holds the response back until it is closed
-	commands atomic.Int32  // messages that arrived whole
+	polled   chan struct{} // closed when /show is requested
+	release  chan struct{} // closed to send the response
+	commands atomic.Int32  // complete requests received
 }
 
 func newBusyWorker(t *testing.T) *busyWorker {
@@ -45,14 +45,14 @@
 		} else if body, err := io.ReadAll(r.Body); err == nil && len(body) > 0 {
 			b.commands.Add(1)
 		}
-		_, _ = w.Write(answer) // the caller may be gone
+		_, _ = w.Write(answer) // fails if the caller is gone
 	}))
 	t.Cleanup(b.Close)
 	return b
 }
 
-// Commands wait for the connection to their worker while they become invalid: they are not sent,
-// and surely so. Those that stay valid are.
+// Commands are validated only once their connection is available. Those that have become invalid
+// are certainly not sent; valid ones are.
 func TestCommandsCheckedOnceConnected(t *testing.T) {
 	for _, valid := range []bool{true, false} {
 		b := newBusyWorker(t)
@@ -95,8 +95,8 @@
 	}
 }
 
-// While commands wait for their connection a job is cancelled, or the token is raised: they
-// are not sent, and what remains of them is sent at once, under the new token.
+// A job is cancelled or the token is raised while commands wait for their connection: these
+// commands are not sent, and the ones that remain valid are sent at once under the new token.
 func TestOutdatedCommandsAreReplaced(t *testing.T) {
 	for name, change := range map[string]func(s *stub, cancelled cancelledJobs){
 		"cancelled": func(_ *stub, cancelled cancelledJobs) { cancelled["j-1"] = true },
@@ -119,7 +119,7 @@
 				d.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1), other}})
 				d.Wait()
 				if waits != 2 || len(s.sent) != 1 {
-					t.Fatalf("%d messages were made, and sent were %+v", waits, s.sent)
+					t.Fatalf("%d attempts to send, sent %+v", waits, s.sent)
 				}
 				starts, want := s.sent[0].Commands, 2
 				if len(cancelled) > 0 {
@@ -133,7 +133,8 @@
 	}
 }
 
-// A controller that may not answer workers any more sends no commands that waited.
+// Commands that waited for their connection are not sent by a controller that may no longer answer
+// workers.
 func TestNoCommandsOnceAnsweringIsForbidden(t *testing.T) {
 	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	s.beforeSend = func() { s.answeringForbidden = true }
@@ -142,6 +143,6 @@
 	d.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1)}})
 	d.Wait()
 	if !s.answeringForbidden || len(s.sent) > 0 {
-		t.Errorf("barred %v, sent %+v", s.answeringForbidden, s.sent)
+		t.Errorf("answering forbidden: %v, sent %+v", s.answeringForbidden, s.sent)
 	}
 }
--- a/internal/dispatch/polls.go
+++ b/internal/dispatch/polls.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	pollTimeout = 1500 * time.Millisecond // in rounds of polls
-	// livenessPollTimeout is for judging whether a worker works, and so longer: one at the end of
-	// a slow link was deleted as unresponsive.
+	pollTimeout = 1500 * time.Millisecond // when many workers are polled
+	// livenessPollTimeout applies when a poll decides whether a worker is responsive. It is longer
+	// so that a worker behind a slow link is not deleted as unresponsive.
 	livenessPollTimeout = 3500 * time.Millisecond
-	maxConcurrentPolls       = 32
+	maxConcurrentPolls  = 32
 )
 
-// Endpoint is the address of a worker that reported here within a lease, or "".
+// Endpoint returns the address of a worker that reported here within a lease, or "".
 func (d *Dispatcher) Endpoint(name string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -30,7 +30,7 @@
 func (d *Dispatcher) SampleEndpoints(n int) (endpoints []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, worker := range d.workers { // in no order
+	for _, worker := range d.workers { // in random order
 		if len(endpoints) == n {
 			break
 		}
@@ -41,8 +41,8 @@
 	return endpoints
 }
 
-// ProbeEndpoints polls workers and returns the share of them, from 0 to 1, that responded within
-// a time. Their reports are not stored.
+// ProbeEndpoints polls workers and returns the share of them, 0 to 1, that responded within the
+// given time. Their reports are not stored.
 func (d *Dispatcher) ProbeEndpoints(ctx context.Context, endpoints []string, within time.Duration) float64 {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -56,14 +56,13 @@
 			return nil
 		})
 	}
-	_ = probes.Wait() // none returns an error
+	_ = probes.Wait() // the functions return no errors
 	return float64(responded.Load()) / float64(max(1, len(endpoints)))
 }
 
-// PollReports polls workers, whose endpoints are given by name, that were not heard here for a
-// while, and returns when all have responded or timed out.
-// After a failover this tells what runs long before every worker has found out
-// where to report to, and has done so.
+// PollReports polls the workers, given as endpoints by name, whose last report is older than
+// unheard, and returns when all have responded or timed out. After a failover it reveals the
+// running tasks long before all workers have found the new leader and reported to it.
 func (d *Dispatcher) PollReports(ctx context.Context, endpoints map[string]string, unheard time.Duration) {
 	polls, ctx := errgroup.WithContext(ctx)
 	polls.SetLimit(maxConcurrentPolls)
@@ -73,10 +72,11 @@
 		}
 		polls.Go(func() error { d.poll(ctx, name, endpoint, pollTimeout); return nil })
 	}
-	_ = polls.Wait() // none returns an error
+	_ = polls.Wait() // the functions return no errors
 }
 
-// needsPoll reports whether a worker's report would be stored, and none came for a while.
+// needsPoll reports whether the last report of a worker is older than unheard, and a new one would
+// be stored.
 func (d *Dispatcher) needsPoll(name string, unheard time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,9 +84,8 @@
 	return !d.deleted.Contains(name) && (worker == nil || time.Since(worker.reportedAt) >= unheard) && len(d.workers) < maxWorkers
 }
 
-// PollAndHaltCancelledTasks polls workers on which cancelled tasks may be, and halts
-// those tasks by direct commands: their worker may report to no controller that knows of the
-// cancel.
+// PollAndHaltCancelledTasks polls workers that may run cancelled tasks and halts those tasks by
+// pushed commands: the workers may not be reporting to any controller that knows of the cancel.
 func (d *Dispatcher) PollAndHaltCancelledTasks(ctx context.Context, endpoints map[string]string) {
 	polls, ctx := errgroup.WithContext(ctx)
 	polls.SetLimit(maxConcurrentPolls)
@@ -98,16 +97,16 @@
 			return nil
 		})
 	}
-	_ = polls.Wait() // none returns an error
+	_ = polls.Wait() // the functions return no errors
 }
 
-// PollWorker polls a worker and reports whether it responded. It is for judging whether the
-// worker works, and so waits longer than PollReports does.
+// PollWorker polls a worker and reports whether it responded. The result decides whether the
+// worker counts as responsive, so that it waits longer than PollReports.
 func (d *Dispatcher) PollWorker(ctx context.Context, name, endpoint string) bool {
 	return d.poll(ctx, name, endpoint, livenessPollTimeout)
 }
 
-// poll stores the report of a worker and reports whether the worker responded.
+// poll polls a worker, stores its report and returns whether it responded.
 func (d *Dispatcher) poll(ctx context.Context, name, endpoint string, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	rep, err := d.sender.FetchReport(ctx, endpoint)
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -13,8 +13,9 @@
 	backgroundRaiseTimeout = 5 * time.Second
 )
 
-// PushCommands sends the worker's commands directly, instead of waiting for its next
-// heartbeat. One push to a worker is under way at a time. It returns at once.
+// PushCommands sends the worker's commands directly instead of waiting for its next heartbeat. At
+// most one push to a worker is in flight; another request meanwhile is carried out after it. It
+// returns at once.
 func (d *Dispatcher) PushCommands(name string) {
 	if !d.routing.MayAnswerWorkers() {
 		return
@@ -34,8 +35,8 @@
 		return
 	}
 	if token < worker.report.Token {
-		// The next heartbeat raises the token too, but may never come: a worker that had seen
-		// another controller's token, and reached nobody any more, got no command.
+		// The next heartbeat would raise the token too, but may never arrive: a worker that has seen
+		// another controller's higher token and can reach no controller would get no commands.
 		d.raiseTokenLocked(worker.report.Token)
 		return
 	}
@@ -50,12 +51,12 @@
 	})
 }
 
-// needsToken reports whether a worker is to be shown a fencing token by a push without commands:
-// it only responds to polls, and no response to a heartbeat shows it one. Until its report has
-// the leader's token, what a predecessor placed on it can't be settled.
+// needsToken reports whether a push without commands must show the worker the fencing token. A
+// worker that only answers polls gets no heartbeat responses, which carry it otherwise. Until its
+// report shows the leader's token, tasks placed on it by a previous leader can't be reconciled.
 func (w *workerState) needsToken(token uint64) bool { return w.polled && w.report.Token < token }
 
-// push sends commands and handles the worker's response.
+// push sends commands and processes the worker's response.
 func (d *Dispatcher) push(name, endpoint string, orders wire.Orders) {
 	ctx, cancel := context.WithTimeout(d.lifetime, pushTimeout)
 	rep, executed, err := d.sender.SendCommands(ctx, endpoint, orders, func() error { return d.checkCurrent(orders) })
@@ -72,7 +73,7 @@
 		return
 	}
 	if rep.Machine != name {
-		d.log.Info("another worker responded", "worker", name, "responded", rep.Machine)
+		d.log.Info("another worker responded at this worker's endpoint", "worker", name, "responded", rep.Machine)
 		return
 	}
 	if view, stored := d.storeReport(rep, false); stored {
@@ -83,8 +84,8 @@
 	}
 }
 
-// finishPush notes the outcome of a push. It returns false if the worker is not known any more,
-// and whether to push again.
+// finishPush records the result of a push. It returns whether the worker is still known, and
+// whether to push again.
 func (d *Dispatcher) finishPush(name string, orders *wire.Orders, executed bool, err error) (known, pushAgain bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,13 +97,13 @@
 	worker.pushInFlight, worker.pushPending = false, false
 	switch {
 	case err != nil && !errors.Is(err, ErrNotSent) && len(orders.Commands) > 0:
-		// The commands may still arrive, minutes late, while their token and
-		// session match: only a newer token ends that.
+		// The commands may still arrive, minutes later, and are valid as long as their token and
+		// session match: only a newer token invalidates them.
 		worker.unknownOutcome = max(worker.unknownOutcome, orders.Token)
 		d.raiseTokenLocked(worker.unknownOutcome)
 		return true, false
 	case errors.Is(err, errOutdated):
-		return true, true // the other commands are still to be sent
+		return true, true // the remaining commands still have to be sent
 	case err != nil:
 		return true, false
 	case !executed:
@@ -113,9 +114,9 @@
 	return true, pushAgain
 }
 
-// checkCurrent returns errOutdated if direct commands must not leave any more. They may have
-// waited for their connection while a job was cancelled, the token was raised, or this controller
-// lost the right to answer workers: sent then, they would start a task after a confirmed cancel.
+// checkCurrent returns errOutdated if a push must no longer be sent. While it waited for its
+// connection, a job may have been cancelled, the token raised, or this controller lost the right
+// to answer workers: sent then, it could start a task after its cancel was confirmed.
 func (d *Dispatcher) checkCurrent(orders wire.Orders) error {
 	if !d.routing.MayAnswerWorkers() || d.tokens.FencingToken() != orders.Token {
 		return errOutdated
@@ -128,7 +129,8 @@
 	return nil
 }
 
-// raiseTokenLocked raises the fencing token in the background, one raise at a time.
+// raiseTokenLocked raises the fencing token above the given one in the background, one raise at a
+// time.
 func (d *Dispatcher) raiseTokenLocked(above uint64) {
 	if d.raisingToken || d.tokens.FencingToken() > above {
 		return
--- a/internal/dispatch/recorded_test.go
+++ b/internal/dispatch/recorded_test.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Instructions, grants and views keep the form in which controllers send them.
+// The JSON encoding of instructions, grants and their replies is stable.
 func TestRecorded(t *testing.T) {
 	ref := dispatch.TaskRef{Worker: "n-000231", Task: "j-000400/7", Attempt: 3}
 	shape := matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
@@ -34,14 +34,14 @@
 	recorded.Check(t, "grant_replies_empty", []dispatch.GrantReply{{}})
 }
 
-// A view keeps its form; what it says of sameness stays here.
+// The JSON encoding of views is stable and does not include Unchanged.
 func TestRecordedView(t *testing.T) {
 	notice, exit := 30.5, 137
 	view := dispatch.WorkerView{
 		Name: "n-000231", Type: "g8", Zone: "a", Spot: true, Session: 2, Seq: 1088, Token: 41, Dispatcher: "c2", Endpoint: "10.1.0.232:9000",
 		AgeS: 0.5, UnansweredS: 1.25, NoticeS: &notice, Draining: true, Polled: true,
 		Tasks: []dispatch.TaskView{{
-			Task: wire.Task{Task: "j-000400/7", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseError, Saved: true, Exit: &exit},
+			Task:      wire.Task{Task: "j-000400/7", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseError, Saved: true, Exit: &exit},
 			StateAgeS: 7.75, ResourcesUnknown: true,
 		}},
 		Queue:  []dispatch.QueueView{{TaskRef: dispatch.TaskRef{Worker: "n-000231", Task: "j-000401/0", Attempt: 1}, WaitS: 20.5, Unsent: true}},
@@ -58,6 +58,6 @@
 		t.Fatal(err)
 	}
 	if data, err := json.Marshal(same); err != nil || string(data) != string(plain) {
-		t.Errorf("sameness is sent: %s, %v", data, err)
+		t.Errorf("Unchanged is sent: %s, %v", data, err)
 	}
 }
--- a/internal/dispatch/reports.go
+++ b/internal/dispatch/reports.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// heartbeatRaiseTimeout bounds how long a heartbeat waits for a higher token.
+	// heartbeatRaiseTimeout bounds how long the response to a heartbeat waits for a higher token.
 	heartbeatRaiseTimeout = 1500 * time.Millisecond
 	// A worker that returns within redirectReturnWindow of a redirect could not reach the other
-	// controller and is kept for keepFor.
+	// controller, and is not redirected again for redirectPause.
 	redirectReturnWindow = 15 * time.Second
-	redirectPause      = 30 * time.Second
+	redirectPause        = 30 * time.Second
 )
 
-// bodyBuffers are buffers for reports: each would otherwise grow one anew.
+// bodyBuffers are reused for the bodies of reports.
 var bodyBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // ServeReport answers a worker's heartbeat over HTTP.
@@ -46,9 +46,9 @@
 	httpjson.Write(w, status, answer)
 }
 
-// HandleReport takes a worker's heartbeat and returns the HTTP status and body to answer: 200
-// with commands, 421 with the controller to report to, or 503 for one that is not newer than
-// what is known.
+// HandleReport processes a worker's heartbeat and returns the HTTP status and body of the
+// response: 200 with commands, 421 with the controller to report to, or 503 for a heartbeat that
+// is not newer than the newest known report.
 func (d *Dispatcher) HandleReport(ctx context.Context, rep *wire.Report) (int, any) {
 	if !d.acceptHeartbeat(rep) {
 		return http.StatusServiceUnavailable, wire.Problem{Error: "late report"}
@@ -71,8 +71,8 @@
 	return http.StatusOK, wire.ReportResponse{Token: token, Commands: commands}
 }
 
-// redirect decides whether a worker is to report elsewhere, and to which controller; an empty
-// redirect leaves the choice to the worker.
+// redirect decides whether a worker should report to another controller, and to which one. An
+// empty redirect leaves the choice to the worker.
 func (d *Dispatcher) redirect(rep *wire.Report) (wire.Redirect, bool) {
 	leader := d.routing.LeaderFor(rep.Machine)
 	switch {
@@ -84,17 +84,17 @@
 	case leader != "" && leader != d.name && d.shouldRedirect(rep, false):
 		return wire.Redirect{ReportTo: leader}, true
 	case d.routing.Isolated() && d.shouldRedirect(rep, true):
-		// Others may be able to start work. A worker that finds none is back soon,
-		// and kept.
+		// Another controller may be able to start tasks. A worker that finds none returns soon, and is
+		// then not redirected.
 		return wire.Redirect{}, true
 	}
 	return wire.Redirect{}, false
 }
 
-// shouldRedirect notes the heartbeat of a worker that should report elsewhere, and reports
-// whether it is sent there: to the leader, or to anybody if this controller is isolated. A
-// worker that is back soon could not reach the leader and is kept for a while; what it could
-// not reach then says nothing of the other case.
+// shouldRedirect records the heartbeat of a worker that should report to another controller: to
+// the leader or, if isolated is true, to any controller because this one is isolated. It returns
+// false for a worker that returned soon after a redirect, since it could not reach the other
+// controller. A return from one kind of redirect says nothing about the other kind.
 func (d *Dispatcher) shouldRedirect(rep *wire.Report, isolated bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,8 +118,9 @@
 	return true
 }
 
-// responseToken returns a token that is not below the worker's, or 0 if there is none: a
-// response with a lower token would keep the worker here while its lease expires.
+// responseToken returns a token that is not lower than the worker's, or 0 if none can be obtained.
+// With a lower token in the response, the worker would continue to report here while its lease
+// expires.
 func (d *Dispatcher) responseToken(ctx context.Context, rep *wire.Report) uint64 {
 	token := d.tokens.FencingToken()
 	if token != 0 && token >= rep.Token {
@@ -137,9 +138,9 @@
 	return token
 }
 
-// renewLeaseForStaleReport renews the lease of a worker whose heartbeat storeReport refused, if it is only
-// older than the response to direct commands that came in between, and reports whether it did.
-// Its list is of no use, but without an answer the worker would look for another controller.
+// renewLeaseForStaleReport renews the lease of a worker whose heartbeat storeReport rejected only
+// because the response to a push or poll overtook it, and reports whether it did. The heartbeat's
+// task list is outdated, but without an answer the worker would look for another controller.
 func (d *Dispatcher) renewLeaseForStaleReport(rep *wire.Report) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -148,12 +149,12 @@
 		return false
 	}
 	d.answeredAt[rep.Machine] = time.Now()
-	d.changed[rep.Machine] = true // its leader counts its lease from then
+	d.changed[rep.Machine] = true // the worker's leader counts the lease from this answer
 	return true
 }
 
-// storeReport stores a report and returns the worker's view, or false if a newer report came
-// before. renewsLease says that it is a heartbeat that will be answered.
+// storeReport stores a report and returns the worker's view, or false if a newer report is stored
+// already. renewsLease is true for a heartbeat that will be answered.
 func (d *Dispatcher) storeReport(rep *wire.Report, renewsLease bool) (WorkerView, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/slow_responses_test.go
+++ b/internal/dispatch/slow_responses_test.go
@@ -12,8 +12,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// delayedStub are around a dispatcher whose requests to leaders elsewhere and to workers are
-// answered late.
+// delayedStub is a stub whose responses to grant requests and polls are delayed.
 type delayedStub struct {
 	*stub
 	responseDelay time.Duration
@@ -46,9 +45,9 @@
 	return s.stub.FetchReport(ctx, endpoint)
 }
 
-// Over links on which a message takes well over a second each way, a grant of a leader
-// elsewhere comes in time to be used, the leader sees until then that nothing was sent, and
-// the response of a worker that is polled is waited for.
+// Over links with a latency of well over a second each way, a grant from a leader on another
+// controller arrives in time to be used, the view shows the start as unsent until then, and a
+// polled worker's response is waited for.
 func TestGrantsAndPollsOverSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &delayedStub{&stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return report(2, 5), true, nil }}, 2900 * time.Millisecond}
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -9,27 +9,26 @@
 )
 
 const (
-	unknownRemainingS = 3   // remaining time assumed for a task whose leader sent no entry yet
-	minRemainingFetchS       = 0.5 // remaining time assumed for an image fetch that takes longer than expected
-	neverFitsWaitS        = 1e6 // wait shown for a task that its worker can't run
+	unknownRemainingS  = 3   // assumed remaining time of a task whose queue entry has not arrived from its leader
+	minRemainingFetchS = 0.5 // least remaining time assumed for an image fetch, also when it takes longer than expected
+	neverFitsWaitS     = 1e6 // wait published for a task that its worker is too small for
 )
 
-// capacityOf is the worker's size; false if its machine type is not known.
+// capacityOf returns the worker's total resources, or false if its machine type is unknown.
 func (d *Dispatcher) capacityOf(worker *workerState) (matching.Resources, bool) {
 	machineType, ok := d.types.Type(worker.report.Type)
 	return matching.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}, ok
 }
 
-// allocatedLocked lists what takes resources now: reported tasks that have not
-// exited, and starts that may be under way.
-// The result is good until the next call.
+// allocatedLocked lists the allocations on a worker: reported tasks that have not exited, and
+// queued tasks whose start is granted or in flight. The result is valid until the next call.
 func (d *Dispatcher) allocatedLocked(worker *workerState, total matching.Resources, now time.Time) []matching.Allocation {
 	allocations := d.allocations[:0]
 	for _, task := range worker.tasks {
 		switch {
 		case task.state == wire.TaskExited:
 		case task.entry == nil:
-			// What it takes is not known yet: count the whole worker.
+			// The task's resources are not known yet: allocate the whole worker.
 			allocations = append(allocations, matching.Allocation{Resources: total, RemainingS: unknownRemainingS})
 		default:
 			allocations = append(allocations, matching.Allocation{Resources: task.entry.Resources, RemainingS: task.remainingS(now)})
@@ -44,7 +43,7 @@
 	return allocations
 }
 
-// remainingS is the expected time until a task with an entry exits, in s.
+// remainingS returns the expected time in seconds until a task with a queue entry exits.
 func (t *reportedTask) remainingS(now time.Time) float64 {
 	elapsedS := now.Sub(t.since).Seconds()
 	if t.state == wire.TaskFetching {
@@ -53,7 +52,7 @@
 	return matching.RemainingRun(t.entry.RunS, elapsedS)
 }
 
-// viewLocked returns the view of a worker that has reported.
+// viewLocked returns the view of a worker that has reported at least once.
 func (d *Dispatcher) viewLocked(worker *workerState) WorkerView {
 	now := time.Now()
 	report := &worker.report
@@ -85,7 +84,7 @@
 	return views
 }
 
-// setQueue adds the queue, and reserves in the matrix what its tasks will take.
+// setQueue adds the queued tasks to the view and reserves their resources in the matrix.
 func (v *WorkerView) setQueue(queue []*queuedTask) {
 	for _, queued := range queue {
 		if queued.allocated() {
@@ -103,8 +102,8 @@
 	}
 }
 
-// ChangedViews returns views of the workers that changed since the last call, and the names
-// of those that are not known here any more.
+// ChangedViews returns the views of the workers that changed since the last call, and the names of
+// the workers removed since then.
 func (d *Dispatcher) ChangedViews() (changed []WorkerView, removed []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,7 +122,7 @@
 	return changed, removed
 }
 
-// WorkerViews returns views of all workers that reported within a lease.
+// WorkerViews returns the views of all workers that reported within a lease.
 func (d *Dispatcher) WorkerViews() []WorkerView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/worker_state.go
+++ b/internal/dispatch/worker_state.go
@@ -10,58 +10,59 @@
 // queuedTask is an entry in a worker's queue.
 type queuedTask struct {
 	QueueEntry
-	grantRequested bool // and not yet replied to
-	granted        bool
-	grantToken     uint64 // that the grant was given for
-	grantSession   uint64 // of the worker, likewise
-	startSent      bool   // a start command may have left this process
-	startSentSeq   uint64 // of the worker's newest report then
-	startNotReported    bool   // a newer report does not show the task
+	grantRequested   bool // a grant request has no reply yet
+	granted          bool
+	grantToken       uint64 // fencing token for which the start was granted
+	grantSession     uint64 // session of the worker for which the start was granted
+	startSent        bool   // a start command may have left this process
+	startSentSeq     uint64 // sequence number of the worker's newest report when the start command was last sent
+	startNotReported bool   // a report newer than the start command does not list the task
 }
 
-// allocated reports whether the task counts as using the worker: its start was granted, or a start
-// command is under way. Counted for good, a start that was lost would look as if it were about
-// to run behind whatever took its room, and its leader would place it nowhere else.
+// allocated reports whether the task's resources count as used: its start is granted, or a start
+// command is in flight. A lost start command does not count: the task would appear about to run
+// although running tasks have taken its resources, and its leader would not place it elsewhere.
 func (q *queuedTask) allocated() bool { return q.granted || q.startSent && !q.startNotReported }
 
 // reportedTask is a task that the worker reported.
 type reportedTask struct {
 	state string
 	since time.Time
-	entry *QueueEntry // nil until its leader sent it
+	entry *QueueEntry // nil until its leader has sent it
 }
 
-// workerState is what is known of a worker, guarded by Dispatcher.mu.
+// workerState is the state of one worker, guarded by Dispatcher.mu.
 type workerState struct {
 	report       wire.Report // the newest, polled or not
-	reportedAt   time.Time   // when report came
-	polled       bool        // report responded to a poll or to commands
-	heartbeatAt  time.Time   // when any heartbeat came, whatever was answered
-	answeredAt   time.Time   // when a heartbeat last came and was answered here
+	reportedAt   time.Time   // time at which report arrived
+	polled       bool        // report answered a poll or a push
+	heartbeatAt  time.Time   // time of the last heartbeat, answered or not
+	answeredAt   time.Time   // time of the last heartbeat that was answered
 	queue        []*queuedTask
 	tasks        map[TaskRef]*reportedTask
-	halts        map[TaskRef]float64 // grace periods in s
-	clears       map[TaskRef]bool
+	halts        map[TaskRef]float64 // tasks to stop, with their grace periods in s
+	clears       map[TaskRef]bool    // exited tasks that the worker may forget
 	draining     bool
-	pushInFlight bool // direct commands are under way
-	pushPending  bool // push again when they return
-	// unknownOutcome is the highest token of direct commands that may still arrive; 0: none.
+	pushInFlight bool // a push has been sent and not returned
+	pushPending  bool // another push is due when it returns
+	// unknownOutcome is the highest token of pushed commands that may still arrive, 0 if there are
+	// none.
 	unknownOutcome uint64
 
-	noRedirectUntil          time.Time // not redirected until then
-	redirectedAt       time.Time
-	redirectedWhileIsolated bool // keptUntil and redirectedAt are of a time when this controller was isolated
+	noRedirectUntil         time.Time // the worker is not redirected before
+	redirectedAt            time.Time // time of the last redirect; zero if the worker returned from it
+	redirectedWhileIsolated bool      // the last redirect was made because this controller was isolated
 
-	newestHeartbeat   reportVersion // whatever was answered
+	newestHeartbeat   reportVersion // answered or not
 	newestHeartbeatAt time.Time
-	rejectedHeartbeat reportVersion // the last one that was not newer than the newest
+	rejectedHeartbeat reportVersion // the last one that was not newer than newestHeartbeat
 }
 
 func newWorkerState() *workerState {
 	return &workerState{tasks: map[TaskRef]*reportedTask{}, halts: map[TaskRef]float64{}, clears: map[TaskRef]bool{}}
 }
 
-// reportVersion orders a worker's reports.
+// reportVersion orders the reports of a worker.
 type reportVersion struct{ session, seq uint64 }
 
 func versionOf(rep *wire.Report) reportVersion { return reportVersion{rep.Session, rep.Seq} }
@@ -70,7 +71,7 @@
 	return v.session > than.session || v.session == than.session && v.seq > than.seq
 }
 
-// idle reports whether no task is queued or runs.
+// idle reports whether no task is queued or running.
 func (w *workerState) idle() bool {
 	if len(w.queue) > 0 {
 		return false
@@ -83,7 +84,7 @@
 	return true
 }
 
-// unchanged reports whether a heartbeat tells nothing but that the worker was heard.
+// unchanged reports whether a heartbeat reports nothing new.
 func (w *workerState) unchanged(rep *wire.Report, sameTasks bool) bool {
 	old := &w.report
 	return sameTasks && len(w.queue) == 0 &&
@@ -91,7 +92,7 @@
 		old.NoticeS == nil && rep.NoticeS == nil && old.Zone == rep.Zone && old.Type == rep.Type && old.Spot == rep.Spot
 }
 
-// setTasks replaces the reported tasks; a task whose state is as before keeps its age.
+// setTasks replaces the reported tasks. A task whose state is the same keeps its since time.
 func (w *workerState) setTasks(rep *wire.Report, now time.Time) {
 	tasks := make(map[TaskRef]*reportedTask, len(rep.Tasks))
 	for _, reported := range rep.Tasks {
@@ -108,8 +109,9 @@
 	w.tasks = tasks
 }
 
-// reconcile drops what the newest report shows to be done: queued tasks that run, halts and
-// clears that had their effect, and commands that can no longer arrive.
+// reconcile removes what the newest report shows to be completed: queued tasks that are now
+// reported, halts and clears that took effect, and commands that are fenced off by the worker's
+// newer token.
 func (w *workerState) reconcile() {
 	kept := w.queue[:0]
 	for _, queued := range w.queue {
@@ -118,8 +120,7 @@
 			continue
 		}
 		if queued.startSent && (w.report.Session > queued.grantSession || w.report.Seq > queued.startSentSeq) {
-			// The start command did not arrive, or not yet: it may be
-			// repeated, but only under a new grant.
+			// The start command has not arrived. It may be sent again, but only under a new grant.
 			queued.granted, queued.startNotReported = false, true
 		}
 		kept = append(kept, queued)
@@ -141,7 +142,7 @@
 	}
 }
 
-// dequeue removes a task from the queue and returns it, nil if it is not there.
+// dequeue removes a task from the queue and returns it, or nil if it is not queued.
 func (w *workerState) dequeue(ref TaskRef) *queuedTask {
 	for i, queued := range w.queue {
 		if queued.TaskRef == ref {
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// updateQueued sets the leader of a queued task and reports whether it is queued.
+// updateQueued updates the leader of a queued task. It returns false if the task is not queued.
 func (w *workerState) updateQueued(entry *QueueEntry) bool {
 	for _, queued := range w.queue {
 		if queued.TaskRef == entry.TaskRef {
--- a/internal/viewsync/recorded_test.go
+++ b/internal/viewsync/recorded_test.go
@@ -17,7 +17,7 @@
 		Condition: &Condition{NoticeS: &notice, Draining: true, Polled: true},
 		AllTasks:  true,
 		Tasks: []dispatch.TaskView{{
-			Task: wire.Task{Task: "j-000400/7", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseError, Saved: true, Exit: &exit},
+			Task:      wire.Task{Task: "j-000400/7", Attempt: 3, State: wire.TaskExited, Cause: wire.CauseError, Saved: true, Exit: &exit},
 			StateAgeS: 7.75, ResourcesUnknown: true,
 		}},
 		Unlisted: []TaskKey{{Task: "j-000402/1", Attempt: 4}},
