--- a/internal/controller/link_monitor.go
+++ b/internal/controller/link_monitor.go
@@ -78,7 +78,7 @@
 // readShards reads who leads the shards if peers take this controller for the leader and it does
 // not know that it is.
 func (l *linkMonitor) readShards(ctx context.Context, now time.Time, view *reachability.View) {
-	if !view.TakenForLeader() || now.Sub(l.shardsRead) < readShardsEvery {
+	if !view.SeenAsLeaderByPeer() || now.Sub(l.shardsRead) < readShardsEvery {
 		return
 	}
 	l.shardsRead = now
@@ -89,7 +89,7 @@
 // announce writes this controller's status to the state service when that is due and a living
 // peer is not reached.
 func (l *linkMonitor) announce(ctx context.Context, now time.Time, view *reachability.View) {
-	pause := reachability.AnnouncePause(len(l.cfg.Peers) + 1)
+	pause := reachability.AnnounceInterval(len(l.cfg.Peers) + 1)
 	if !l.status.AnnouncementDue(now, l.announced, pause) || !view.Self.LeaseHeld || !slices.ContainsFunc(view.UnreachedPeers(), l.member.Alive) {
 		return
 	}
@@ -121,7 +121,7 @@
 func (l *linkMonitor) countHeartbeats() {
 	received, workers := l.dispatcher.RecentHeartbeats()
 	var names *reachability.NameSet
-	if now := time.Now(); len(l.table.UnreachedPeers(now)) > 0 || l.table.UnreachedByPeers(now) {
+	if now := time.Now(); len(l.table.UnreachedPeers(now)) > 0 || l.table.UnreachedByAnyPeer(now) {
 		heard := l.dispatcher.WorkersSeenWithin(config.Seconds(l.cfg.Params.Workers.LeaseS))
 		names = reachability.NewNameSet(heard, int(l.cfg.Params.State.ValueKB*nameShare*1024))
 	}
@@ -143,7 +143,7 @@
 		capacity = int(l.operator.WorkerShare * float64(most))
 	}
 	next := peerlinks.WorkerAssignments{Plan: l.assignments.Plan(now, view, workers, capacity, config.Seconds(reportS))}
-	if view.SharesWorkers() {
+	if view.HasAssignments() {
 		next.Workers = workers
 		next.Capacity = max(0, min(capacity, most-max(0, open-workers)-most/10))
 	}
@@ -152,6 +152,6 @@
 	}
 	l.planned = len(next.Plan)
 	l.status.SetAssignments(next)
-	l.router.assigned.Store(view.SharesWorkers())
+	l.router.assigned.Store(view.HasAssignments())
 	l.links.Invalidate()
 }
--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -60,7 +60,7 @@
 	defer tick.Stop()
 	for {
 		for _, peer := range p.cfg.Peers {
-			if !p.table.HeardWithin(peer.Node, pingEvery*3/4, time.Now()) {
+			if !p.table.ReachedWithin(peer.Node, pingEvery*3/4, time.Now()) {
 				go p.ping(ctx, peer.Node)
 			}
 		}
--- a/internal/controller/store_relay.go
+++ b/internal/controller/store_relay.go
@@ -25,13 +25,13 @@
 }
 
 // Ready reports whether a peer reaches the state service.
-func (r *storeRelay) Ready() bool { return len(r.links.Now().ServingPeers()) > 0 }
+func (r *storeRelay) Ready() bool { return len(r.links.Now().StoreReachablePeers()) > 0 }
 
 // Forward has a peer make a request. The error is statestore.ErrUnavailable if there was
 // no such peer; with any other one the request may have been made: a connection that breaks after
 // it was sent looks like a refused one.
 func (r *storeRelay) Forward(ctx context.Context, req statestore.RelayedRequest) (*statestore.RelayedResponse, error) {
-	serving := r.links.Now().ServingPeers()
+	serving := r.links.Now().StoreReachablePeers()
 	if len(serving) == 0 {
 		return nil, fmt.Errorf("%w: no peer reaches it", statestore.ErrUnavailable)
 	}
--- a/internal/controller/unresponsive_workers.go
+++ b/internal/controller/unresponsive_workers.go
@@ -51,7 +51,7 @@
 
 func newFailureDetector(w config.Workers, op *config.Operator) reachability.FailureDetector {
 	return reachability.FailureDetector{
-		Timeout: config.Seconds(op.HeartbeatTimeoutS), Lease: config.Seconds(w.LeaseS), HeartbeatInterval: config.Seconds(w.ReportS), Grace: responseGrace(w),
+		Timeout: config.Seconds(op.HeartbeatTimeoutS), Lease: config.Seconds(w.LeaseS), HeartbeatInterval: config.Seconds(w.ReportS), IsolationGrace: responseGrace(w),
 	}
 }
 
--- a/internal/controller/user_peers.go
+++ b/internal/controller/user_peers.go
@@ -20,7 +20,7 @@
 }
 
 // ServingPeers names the other controllers that reach the state service.
-func (u *userPeers) ServingPeers() []string { return u.links.Now().ServingPeers() }
+func (u *userPeers) ServingPeers() []string { return u.links.Now().StoreReachablePeers() }
 
 // Healthy fails only when this controller can't serve and a peer can.
 func (u *userPeers) Healthy() bool {
--- a/internal/reachability/assignments.go
+++ b/internal/reachability/assignments.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// fillTo is how full of workers a leader stays that assigns some to others, so that it does
+	// leaderFillShare is how full of workers a leader stays that assigns some to others, so that it does
 	// not begin anew with each that joins.
-	fillTo = 0.95
+	leaderFillShare = 0.95
 	// underloadedShare is the part of its capacity below which all workers must be, for
 	// underloadedFor, before a leader takes them back.
-	underloadedShare = 0.9
-	underloadedFor   = 30 * time.Second
-	// planSlack is by how much of its capacity the workers of others must change before
+	underloadedShare    = 0.9
+	underloadedDuration = 30 * time.Second
+	// planChangeShare is by how much of its capacity the workers of others must change before
 	// the plan does: with each change some workers move.
-	planSlack = 0.05
+	planChangeShare = 0.05
 	// Plans are made by counts that have a worker which moves at both ends for a while. In
 	// times of the pause between heartbeats: for how long another plan must be better before
 	// it is taken, and how soon after the last one if this controller is over its capacity.
-	settleReports     = 5
-	overloadedReports = 3
+	planChangeIntervals = 5
+	overloadedIntervals = 3
 )
 
 // Assignment is a controller's part of the workers while one has no room for them all.
@@ -59,14 +59,14 @@
 	}
 	next := planAssignments(v, all, capacity)
 	switch {
-	case !p.differs(next, capacity):
+	case !p.differsEnough(next, capacity):
 		p.betterSince = time.Time{}
 	case p.betterSince.IsZero():
 		p.betterSince = now
 	}
 	first := p.assignments == nil || len(p.assignments) < 2 && len(next) >= 2
-	overloaded := count > capacity && now.Sub(p.plannedAt) >= overloadedReports*interval
-	better := !p.betterSince.IsZero() && now.Sub(p.betterSince) >= settleReports*interval
+	overloaded := count > capacity && now.Sub(p.plannedAt) >= overloadedIntervals*interval
+	better := !p.betterSince.IsZero() && now.Sub(p.betterSince) >= planChangeIntervals*interval
 	if first || overloaded || better {
 		p.assignments, p.plannedAt, p.betterSince = next, now, time.Time{}
 	}
@@ -93,7 +93,7 @@
 		p.underloadedSince = time.Time{}
 	case p.underloadedSince.IsZero():
 		p.underloadedSince = now
-	case now.Sub(p.underloadedSince) >= underloadedFor:
+	case now.Sub(p.underloadedSince) >= underloadedDuration:
 		return true
 	}
 	return false
@@ -101,7 +101,7 @@
 
 // planAssignments assigns the workers that have no room here, by the capacity that others have.
 func planAssignments(v *View, all, capacity int) []Assignment {
-	own := fillTo * float64(capacity)
+	own := leaderFillShare * float64(capacity)
 	out := []Assignment{{v.Self.Node, own}}
 	total := 0
 	for i := range v.Peers {
@@ -131,8 +131,8 @@
 // hears some, of many that have left it within the last minute, is well.
 func (p *Peer) lostWorkers() bool { return p.Status.InboundLost() && p.Status.WorkerCount == 0 }
 
-// differs reports whether a plan differs by so much that workers are to move for it.
-func (p *AssignmentPlanner) differs(next []Assignment, capacity int) bool {
+// differsEnough reports whether a plan differsEnough by so much that workers are to move for it.
+func (p *AssignmentPlanner) differsEnough(next []Assignment, capacity int) bool {
 	if !slices.EqualFunc(next, p.assignments, func(a, b Assignment) bool { return a.Node == b.Node }) {
 		return true
 	}
@@ -140,12 +140,12 @@
 	for i := range next {
 		moved += math.Abs(next[i].Share - p.assignments[i].Share)
 	}
-	return moved > max(1, planSlack*float64(capacity))
+	return moved > max(1, planChangeShare*float64(capacity))
 }
 
-// SharesWorkers reports whether any controller that is known of assigns workers to others: then
+// HasAssignments reports whether any controller that is known of assigns workers to others: then
 // the others say how many they have room for.
-func (v *View) SharesWorkers() bool {
+func (v *View) HasAssignments() bool {
 	if v.Self.Assignments != nil {
 		return true
 	}
@@ -163,7 +163,7 @@
 	if leader == v.Self.Node && v.Self.PreferredLeader != v.Self.Node || len(plan) < 2 {
 		return leader
 	}
-	assigned := assignmentOf(worker, plan)
+	assigned := assignedNode(worker, plan)
 	switch peer := v.peer(assigned); {
 	case assigned == v.Self.Node:
 		return assigned
@@ -173,9 +173,9 @@
 	return leader
 }
 
-// assignmentOf chooses a worker's controller by rendezvous hashing, weighted by the shares: when
+// assignedNode chooses a worker's controller by rendezvous hashing, weighted by the shares: when
 // a share changes, only as many workers move as it changes by.
-func assignmentOf(worker string, plan []Assignment) (node string) {
+func assignedNode(worker string, plan []Assignment) (node string) {
 	earliest := math.Inf(1)
 	for _, assignment := range plan {
 		if assignment.Share <= 0 {
@@ -186,16 +186,16 @@
 		_, _ = hash.Write([]byte{0})
 		_, _ = hash.Write([]byte(worker))
 		// The first of several exponential clocks whose rates are the shares.
-		if at := -math.Log(uniform(hash.Sum64())) / assignment.Share; at < earliest {
+		if at := -math.Log(hashToUniform(hash.Sum64())) / assignment.Share; at < earliest {
 			node, earliest = assignment.Node, at
 		}
 	}
 	return node
 }
 
-// uniform makes a number above 0, and at most 1, of a hash, whose upper bits names that
+// hashToUniform makes a number above 0, and at most 1, of a hash, whose upper bits names that
 // differ in their last digits hardly change.
-func uniform(h uint64) float64 {
+func hashToUniform(h uint64) float64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
--- a/internal/reachability/assignments_test.go
+++ b/internal/reachability/assignments_test.go
@@ -28,7 +28,7 @@
 		count := map[string]int{}
 		for i := range workers {
 			name := fmt.Sprintf("n-%06d", i)
-			before, after := assignmentOf(name, plan), assignmentOf(name, next)
+			before, after := assignedNode(name, plan), assignedNode(name, next)
 			count[before]++
 			if before != after && after != next[grown].Node {
 				t.Fatalf("%s moves from %s to %s, when the share of %s grows", name, before, after, next[grown].Node)
@@ -92,14 +92,14 @@
 	if again := planAfter(time.Hour, view(peer(400, 1700), peer(270, 850), peer(0, 0)), capacity); others(again) != others(plan) {
 		t.Errorf("one count changes the plan: %v", again)
 	}
-	if again := planAfter(settleReports*interval, view(peer(400, 1700), peer(270, 850), peer(0, 0)), capacity); others(again) < others(plan)+200 {
+	if again := planAfter(planChangeIntervals*interval, view(peer(400, 1700), peer(270, 850), peer(0, 0)), capacity); others(again) < others(plan)+200 {
 		t.Errorf("with 370 more for long the plan is %v", again)
 	}
 	few := view(peer(100, 1700), peer(50, 850), peer(0, 0))
 	if planAfter(time.Second, few, 1000) == nil {
 		t.Error("the leader takes all back at once")
 	}
-	if planAfter(underloadedFor-time.Second, few, 1000) == nil {
+	if planAfter(underloadedDuration-time.Second, few, 1000) == nil {
 		t.Error("the leader takes all back soon")
 	}
 	if plan := planAfter(2*time.Second, few, 1000); plan != nil {
@@ -114,7 +114,7 @@
 	assigned := map[string]string{}
 	for i := range 60 {
 		name := fmt.Sprintf("n-%06d", i)
-		assigned[name] = assignmentOf(name, plan)
+		assigned[name] = assignedNode(name, plan)
 	}
 	view := func(self string, fresh ...string) *View {
 		v := &View{Self: NodeStatus{Node: self, PreferredLeader: "a", LeaseHeld: true}}
--- a/internal/reachability/capacity_test.go
+++ b/internal/reachability/capacity_test.go
@@ -34,9 +34,9 @@
 	return float64(len(data))
 }
 
-// newRelayingTable is a table in which nobody else hears the last peer, so that its status is
+// newTableWithUnreachedPeer is a table in which nobody else hears the last peer, so that its status is
 // passed on to all others.
-func newRelayingTable(controllers int) (*reachability.Table, []string) {
+func newTableWithUnreachedPeer(controllers int) (*reachability.Table, []string) {
 	now := time.Now()
 	var peers []string
 	for i := 1; i < controllers; i++ {
@@ -60,7 +60,7 @@
 		return jsonBytes(tb, newStatus(heard))
 	}},
 	{Name: "reachability.passed", Sizes: []int{3, 4, 6, 12}, FixedSlack: 20, Measure: func(tb testing.TB, controllers int) float64 {
-		t, peers := newRelayingTable(controllers)
+		t, peers := newTableWithUnreachedPeer(controllers)
 		total := 0.0
 		for _, p := range peers {
 			total += jsonBytes(tb, t.RelayFor(p, time.Now()))
--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// massLeast is from how many workers on it can be told whether most are unresponsive, and
+	// minWorkersForShares is from how many workers on it can be told whether most are unresponsive, and
 	// how many may fail in failureWindow however few there are.
-	massLeast       = 8
-	failureWindow   = time.Minute
-	maxFailureShare = 0.4 // of the known workers, that may fail within failureWindow
+	minWorkersForShares = 8
+	failureWindow       = time.Minute
+	maxFailureShare     = 0.4 // of the known workers, that may fail within failureWindow
 
-	probeFromShare = 0.6 // of Base: unresponsive for so long, a worker is probed
-	probeAgain     = 2 * time.Second
-	maxProbes      = 200 // at a time
+	probeThresholdShare    = 0.6 // of Base: unresponsive for so long, a worker is probed
+	probeInterval          = 2 * time.Second
+	maxProbesPerEvaluation = 200 // at a time
 
-	degradedFor    = 10 * time.Second // after a refused connection or a late timer
-	degradedFactor = 2                // by which the timeout is longer while this process receives poorly
-	lateTimer      = 500 * time.Millisecond
-	idleFactor     = 2.5 // by which the timeout of a worker without tasks is longer
+	degradedDuration      = 10 * time.Second // after a refused connection or a late timer
+	degradedTimeoutFactor = 2                // by which the timeout is longer while this process receives poorly
+	maxTimerDelay         = 500 * time.Millisecond
+	idleTimeoutFactor     = 2.5 // by which the timeout of a worker without tasks is longer
 )
 
 // ReceiveHealth is how well this process receives heartbeats just now.
@@ -56,34 +56,34 @@
 	Timeout           time.Duration // heartbeat timeout of a worker with tasks
 	Lease             time.Duration // of workers
 	HeartbeatInterval time.Duration // between a worker's heartbeats
-	Grace             time.Duration // for which a controller goes on answering workers when it is cut off from all others
+	IsolationGrace    time.Duration // for which a controller goes on answering workers when it is cut off from all others
 
-	probes        map[string]probe     // of workers that are unresponsive now
-	failedAt      map[string]time.Time // workers that failed within failureWindow
-	refused       int64                // ReceiveHealth.RefusedConnections as of the last call
-	degradedUntil time.Time            // this process receives poorly until then
-	informed      map[string]bool      // peers that informed this controller of workers as of the last call
-	peerJoinedAt  time.Time            // when a peer last began to
+	probes          map[string]probe     // of workers that are unresponsive now
+	failedAt        map[string]time.Time // workers that failed within failureWindow
+	refused         int64                // ReceiveHealth.RefusedConnections as of the last call
+	degradedUntil   time.Time            // this process receives poorly until then
+	mutuallyReached map[string]bool      // peers that informed this controller of workers as of the last call
+	peerJoinedAt    time.Time            // when a peer last began to
 }
 
 // probe is the outcome of probing a worker.
 type probe struct {
 	pending    bool
-	begunAt    time.Time
+	startedAt  time.Time
 	finishedAt time.Time // of the last outcome
 	failed     bool
 }
 
 // Threshold is the time without a heartbeat from which on a worker is to be passed to Evaluate.
 func (d *FailureDetector) Threshold() time.Duration {
-	return min(d.Timeout, max(time.Duration(probeFromShare*float64(d.Timeout)), 3*d.HeartbeatInterval/2))
+	return min(d.Timeout, max(time.Duration(probeThresholdShare*float64(d.Timeout)), 3*d.HeartbeatInterval/2))
 }
 
 // RecordProbe notes whether a worker of Verdict.Probe responded to this controller or a peer, or
 // was heard by a peer.
 func (d *FailureDetector) RecordProbe(name string, responded bool, now time.Time) {
 	if outcome, ok := d.probes[name]; ok {
-		d.probes[name] = probe{begunAt: outcome.begunAt, finishedAt: now, failed: !responded}
+		d.probes[name] = probe{startedAt: outcome.startedAt, finishedAt: now, failed: !responded}
 	}
 }
 
@@ -92,45 +92,45 @@
 // earlier call, failed; see evaluation.reasonToKeep for what else speaks against it.
 func (d *FailureDetector) Evaluate(now time.Time, v *View, health ReceiveHealth, known int, unresponsive []UnresponsiveWorker) Verdict {
 	if d.probes == nil {
-		d.probes, d.failedAt, d.informed = map[string]probe{}, map[string]time.Time{}, map[string]bool{}
+		d.probes, d.failedAt, d.mutuallyReached = map[string]probe{}, map[string]time.Time{}, map[string]bool{}
 	}
-	d.notePeers(now, v)
-	d.noteHealth(now, health)
-	d.forget(now, unresponsive)
+	d.updatePeers(now, v)
+	d.updateHealth(now, health)
+	d.removeStale(now, unresponsive)
 	e := evaluation{
 		FailureDetector: d, now: now, view: v,
 		verdict: Verdict{Failed: map[string]string{}, Probe: map[string]UnresponsiveWorker{}},
 	}
-	e.weighAll(known, unresponsive)
+	e.assessAll(known, unresponsive)
 	for i := range unresponsive {
-		e.judge(&unresponsive[i])
+		e.evaluateWorker(&unresponsive[i])
 	}
 	return e.verdict
 }
 
-// notePeers notes when a peer begins to inform this controller. One that was apart may have
+// updatePeers notes when a peer begins to inform this controller. One that was apart may have
 // heard all the while what is unresponsive here: probes from before it could be queried say
 // nothing.
-func (d *FailureDetector) notePeers(now time.Time, v *View) {
+func (d *FailureDetector) updatePeers(now time.Time, v *View) {
 	for i := range v.Peers {
 		peer := &v.Peers[i]
-		informs := peer.informs(v)
-		if informs && !d.informed[peer.Name] {
+		informs := peer.reachesMutually(v)
+		if informs && !d.mutuallyReached[peer.Name] {
 			d.peerJoinedAt = now
 		}
-		d.informed[peer.Name] = informs
+		d.mutuallyReached[peer.Name] = informs
 	}
 }
 
-func (d *FailureDetector) noteHealth(now time.Time, health ReceiveHealth) {
-	if health.RefusedConnections > d.refused || health.TimerDelay > lateTimer {
-		d.degradedUntil = now.Add(degradedFor)
+func (d *FailureDetector) updateHealth(now time.Time, health ReceiveHealth) {
+	if health.RefusedConnections > d.refused || health.TimerDelay > maxTimerDelay {
+		d.degradedUntil = now.Add(degradedDuration)
 	}
 	d.refused = health.RefusedConnections
 }
 
-// forget drops the probes of workers that are responsive again, and old failures.
-func (d *FailureDetector) forget(now time.Time, unresponsive []UnresponsiveWorker) {
+// removeStale drops the probes of workers that are responsive again, and old failures.
+func (d *FailureDetector) removeStale(now time.Time, unresponsive []UnresponsiveWorker) {
 	still := make(map[string]bool, len(unresponsive))
 	for i := range unresponsive {
 		still[unresponsive[i].Name] = true
@@ -158,8 +158,8 @@
 	verdict      Verdict
 }
 
-// weighAll judges this controller by all workers together.
-func (e *evaluation) weighAll(known int, unresponsive []UnresponsiveWorker) {
+// assessAll judges this controller by all workers together.
+func (e *evaluation) assessAll(known int, unresponsive []UnresponsiveWorker) {
 	responsive, late, long := known-len(unresponsive), 0, 0
 	for i := range unresponsive {
 		switch unheardFor := unresponsive[i].UnheardFor; {
@@ -173,55 +173,55 @@
 	// A controller that receives next to nothing can't tell; what the cloud lists as
 	// failed goes without this judgement.
 	e.inboundLost = known > 1 && responsive == 0 ||
-		recent >= massLeast && (e.view.Self.InboundLost() || float64(responsive) < inboundLostShare*float64(recent))
+		recent >= minWorkersForShares && (e.view.Self.InboundLost() || float64(responsive) < inboundLostShare*float64(recent))
 	e.timeout = e.Timeout
-	if recent >= massLeast && 2*late > recent {
+	if recent >= minWorkersForShares && 2*late > recent {
 		// Most became unresponsive together: it is likelier that they are not heard than
 		// that they failed.
 		e.timeout = max(e.timeout, e.Lease+e.Lease/500+time.Second)
 	}
 	if e.now.Before(e.degradedUntil) {
-		e.timeout *= degradedFactor
+		e.timeout *= degradedTimeoutFactor
 	}
-	e.failuresLeft = max(massLeast, int(maxFailureShare*float64(known))) - len(e.failedAt)
+	e.failuresLeft = max(minWorkersForShares, int(maxFailureShare*float64(known))) - len(e.failedAt)
 }
 
-// judge adds one worker to the verdict.
-func (e *evaluation) judge(worker *UnresponsiveWorker) {
+// evaluateWorker adds one worker to the verdict.
+func (e *evaluation) evaluateWorker(worker *UnresponsiveWorker) {
 	outcome := e.probe(worker)
 	timeout := e.timeout
 	if !worker.Busy {
-		timeout = time.Duration(idleFactor * float64(timeout))
+		timeout = time.Duration(idleTimeoutFactor * float64(timeout))
 	}
 	if worker.UnheardFor < timeout {
 		if worker.UnheardFor >= e.Timeout && worker.Busy {
-			e.keep("most workers are unresponsive, or this controller receives poorly")
+			e.recordKept("most workers are unresponsive, or this controller receives poorly")
 		}
 		return
 	}
 	if reason := e.reasonToKeep(worker, outcome); reason != "" {
-		e.keep(reason)
+		e.recordKept(reason)
 		return
 	}
 	if _, failed := e.failedAt[worker.Name]; !failed {
 		e.failuresLeft--
 		e.failedAt[worker.Name] = e.now
 	}
-	e.verdict.Failed[worker.Name] = worker.failure()
+	e.verdict.Failed[worker.Name] = worker.failureReason()
 }
 
 // probe has the worker probed, if it is time, and returns the state of its probe.
 func (e *evaluation) probe(worker *UnresponsiveWorker) probe {
 	current := e.probes[worker.Name]
-	if !current.pending && e.now.Sub(current.finishedAt) >= probeAgain && len(e.verdict.Probe) < maxProbes {
+	if !current.pending && e.now.Sub(current.finishedAt) >= probeInterval && len(e.verdict.Probe) < maxProbesPerEvaluation {
 		e.verdict.Probe[worker.Name] = *worker
-		current.pending, current.begunAt = true, e.now
+		current.pending, current.startedAt = true, e.now
 		e.probes[worker.Name] = current
 	}
 	return current
 }
 
-func (e *evaluation) keep(reason string) {
+func (e *evaluation) recordKept(reason string) {
 	e.verdict.Kept++
 	e.verdict.KeptReason = reason
 }
@@ -231,10 +231,10 @@
 	if e.inboundLost {
 		return "this controller receives next to no heartbeats"
 	}
-	if reason := e.heardElsewhere(e.view, worker); reason != "" {
+	if reason := e.mayBeHeardByPeer(e.view, worker); reason != "" {
 		return reason
 	}
-	if outcome.pending || !outcome.failed || outcome.begunAt.Before(e.peerJoinedAt) {
+	if outcome.pending || !outcome.failed || outcome.startedAt.Before(e.peerJoinedAt) {
 		return "probe pending"
 	}
 	if _, failed := e.failedAt[worker.Name]; !failed && e.failuresLeft <= 0 {
@@ -243,9 +243,9 @@
 	return ""
 }
 
-// failure describes the failure of a worker. The texts travel between controllers and stand in the
+// failureReason describes the failureReason of a worker. The texts travel between controllers and stand in the
 // runbook.
-func (w *UnresponsiveWorker) failure() string {
+func (w *UnresponsiveWorker) failureReason() string {
 	reason := fmt.Sprintf("silent for %.0f s", w.UnheardFor.Seconds())
 	if w.OutboundLost {
 		reason = fmt.Sprintf("nothing reaches it for %.0f s", w.UnheardFor.Seconds())
@@ -256,22 +256,22 @@
 	return reason
 }
 
-// informs reports whether the peer and this controller hear and reach each other, so that each
+// reachesMutually reports whether the peer and this controller hear and reach each other, so that each
 // learns directly which workers the other hears.
-func (p *Peer) informs(v *View) bool {
+func (p *Peer) reachesMutually(v *View) bool {
 	return p.DirectlyReached() && !slices.Contains(p.Status.UnreachedPeers, v.Self.Node) && !slices.Contains(v.Self.UnreachedPeers, p.Name)
 }
 
-// heardElsewhere says why a peer may hear the worker without being able to
+// mayBeHeardByPeer says why a peer may hear the worker without being able to
 // say so here, or "".
-func (d *FailureDetector) heardElsewhere(v *View, worker *UnresponsiveWorker) string {
+func (d *FailureDetector) mayBeHeardByPeer(v *View, worker *UnresponsiveWorker) string {
 	if worker.OutboundLost {
 		return "" // that it is heard is not enough: all peers were queried
 	}
 	for i := range v.Peers {
 		peer := &v.Peers[i]
 		switch {
-		case peer.informs(v):
+		case peer.reachesMutually(v):
 			// It would have said so, by itself or when queried.
 		case !peer.Known && !worker.NotHeardSinceFailover:
 			// It has never been there, and the worker was heard without it.
@@ -279,7 +279,7 @@
 			if peer.Status.HeardWorkers.Has(worker.Name) {
 				return peer.Name + " receives its heartbeats, and can't say so directly"
 			}
-		case peer.Age < d.Grace+d.Lease && d.lostTogether(worker, peer.Age):
+		case peer.Age < d.IsolationGrace+d.Lease && d.lostTogether(worker, peer.Age):
 			// Both may be cut off together: then the peer goes on
 			// answering the worker for so long. Of a worker without a heartbeat since the
 			// failover it is known that the last one is older than that.
--- a/internal/reachability/failure_detector_test.go
+++ b/internal/reachability/failure_detector_test.go
@@ -19,7 +19,7 @@
 }
 
 func newDetector() *reachability.FailureDetector {
-	return &reachability.FailureDetector{Timeout: 14 * time.Second, Lease: 44 * time.Second, HeartbeatInterval: 8 * time.Second, Grace: 17 * time.Second}
+	return &reachability.FailureDetector{Timeout: 14 * time.Second, Lease: 44 * time.Second, HeartbeatInterval: 8 * time.Second, IsolationGrace: 17 * time.Second}
 }
 
 // healthyPeer exchanges messages with this controller and holds its lease.
@@ -27,8 +27,8 @@
 	return reachability.Peer{Name: name, Known: true, OutboundReachable: true, Status: reachability.NodeStatus{Node: name, StoreReachable: true, LeaseHeld: true, Heartbeats: reports}}
 }
 
-// unheard makes workers ones that a new leader has not heard.
-func unheard(workers []reachability.UnresponsiveWorker) []reachability.UnresponsiveWorker {
+// notHeardSinceFailover makes workers ones that a new leader has not heard.
+func notHeardSinceFailover(workers []reachability.UnresponsiveWorker) []reachability.UnresponsiveWorker {
 	for i := range workers {
 		workers[i].NotHeardSinceFailover = true
 	}
@@ -83,12 +83,12 @@
 		{"a peer hears three, and can't be queried", reachability.NodeStatus{Node: "a", UnreachedPeers: []string{"b"}}, []reachability.Peer{unreached}, 1000, unresponsiveWorkers(70, 14*time.Second), reachability.ReceiveHealth{}, false, 67},
 		{"a peer was lost with them", healthy, []reachability.Peer{unheardPeer(14 * time.Second)}, 1000, unresponsiveWorkers(70, 15*time.Second), reachability.ReceiveHealth{}, false, 0},
 		{"a peer was lost before the failover, and they were heard since", healthy, []reachability.Peer{unheardPeer(36 * time.Second)}, 1000, unresponsiveWorkers(70, 14*time.Second), reachability.ReceiveHealth{}, false, 70},
-		{"the leader before was lost, and they were not heard since", healthy, []reachability.Peer{unheardPeer(36 * time.Second)}, 1000, unheard(unresponsiveWorkers(70, 14*time.Second)), reachability.ReceiveHealth{}, false, 0},
-		{"a peer was lost long before the failover", healthy, []reachability.Peer{unheardPeer(50 * time.Second)}, 1000, unheard(unresponsiveWorkers(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 0},
-		{"a peer was lost so long before the failover that it answers nobody", healthy, []reachability.Peer{unheardPeer(62 * time.Second)}, 1000, unheard(unresponsiveWorkers(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 70},
-		{"a peer was lost long after the failover", healthy, []reachability.Peer{unheardPeer(3 * time.Second)}, 1000, unheard(unresponsiveWorkers(70, 40*time.Second)), reachability.ReceiveHealth{}, false, 70},
-		{"a peer was never heard, nor were they", healthy, []reachability.Peer{{Name: "b", Age: 59 * time.Second, SinceHeard: time.Hour}}, 1000, unheard(unresponsiveWorkers(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 0},
-		{"a peer was never heard for longer than it may answer", healthy, []reachability.Peer{{Name: "b", Age: 62 * time.Second, SinceHeard: time.Hour}}, 1000, unheard(unresponsiveWorkers(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 70},
+		{"the leader before was lost, and they were not heard since", healthy, []reachability.Peer{unheardPeer(36 * time.Second)}, 1000, notHeardSinceFailover(unresponsiveWorkers(70, 14*time.Second)), reachability.ReceiveHealth{}, false, 0},
+		{"a peer was lost long before the failover", healthy, []reachability.Peer{unheardPeer(50 * time.Second)}, 1000, notHeardSinceFailover(unresponsiveWorkers(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 0},
+		{"a peer was lost so long before the failover that it answers nobody", healthy, []reachability.Peer{unheardPeer(62 * time.Second)}, 1000, notHeardSinceFailover(unresponsiveWorkers(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 70},
+		{"a peer was lost long after the failover", healthy, []reachability.Peer{unheardPeer(3 * time.Second)}, 1000, notHeardSinceFailover(unresponsiveWorkers(70, 40*time.Second)), reachability.ReceiveHealth{}, false, 70},
+		{"a peer was never heard, nor were they", healthy, []reachability.Peer{{Name: "b", Age: 59 * time.Second, SinceHeard: time.Hour}}, 1000, notHeardSinceFailover(unresponsiveWorkers(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 0},
+		{"a peer was never heard for longer than it may answer", healthy, []reachability.Peer{{Name: "b", Age: 62 * time.Second, SinceHeard: time.Hour}}, 1000, notHeardSinceFailover(unresponsiveWorkers(70, 15*time.Second)), reachability.ReceiveHealth{}, false, 70},
 		{"a peer was never heard, and they were", healthy, []reachability.Peer{{Name: "b", Age: 15 * time.Second, SinceHeard: time.Hour}}, 1000, unresponsiveWorkers(70, 15*time.Second), reachability.ReceiveHealth{}, false, 70},
 		{"a peer was lost long before", healthy, []reachability.Peer{unheardPeer(50 * time.Second)}, 1000, unresponsiveWorkers(70, 15*time.Second), reachability.ReceiveHealth{}, false, 70},
 		{"a peer has been lost for longer than it may answer", healthy, []reachability.Peer{unheardPeer(62 * time.Second)}, 1000, unresponsiveWorkers(70, 62*time.Second), reachability.ReceiveHealth{}, false, 70},
--- a/internal/reachability/link_failures_test.go
+++ b/internal/reachability/link_failures_test.go
@@ -8,18 +8,18 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// world is which links of three controllers work: to the state service, to the
+// linkState is which links of three controllers work: to the state service, to the
 // workers, and between each two, one way and the other.
-type world struct {
+type linkState struct {
 	state, workers [3]bool
 	mesh           [3][3]bool // calls of the one reach the other, and bring a reply
 }
 
 var names = [3]string{"a", "b", "c"}
 
-func worlds(f func(w world)) {
+func forEachLinkState(f func(w linkState)) {
 	for bits := range 1 << 12 {
-		var w world
+		var w linkState
 		next := func() bool { bit := bits&1 == 1; bits >>= 1; return bit }
 		for i := range 3 {
 			w.state[i], w.workers[i] = next(), next()
@@ -33,7 +33,7 @@
 
 // views has the controllers of a world exchange what they know for some seconds,
 // as they do, with leader the leader of all jobs, and returns their views.
-func (w *world) views(leader int) [3]reachability.View {
+func (w *linkState) views(leader int) [3]reachability.View {
 	var tables [3]*reachability.Table
 	for i := range tables {
 		tables[i] = reachability.NewTable(names[i], []string{names[(i+1)%3], names[(i+2)%3]})
@@ -87,7 +87,7 @@
 }
 
 // reached reports whether i learns of j by any way.
-func (w *world) reached(i, j int) bool {
+func (w *linkState) reached(i, j int) bool {
 	k := 3 - i - j
 	direct := func(x, y int) bool { return w.mesh[x][y] || w.mesh[y][x] }
 	return direct(i, j) || w.state[i] && w.state[j] || direct(i, k) && direct(k, j)
@@ -99,7 +99,7 @@
 	count int
 }
 
-func (f *failures) add(w *world, format string, args ...any) {
+func (f *failures) add(w *linkState, format string, args ...any) {
 	if f.count++; f.count < 20 {
 		f.t.Errorf("%+v: %s", *w, fmt.Sprintf(format, args...))
 	}
@@ -109,7 +109,7 @@
 // leader at one of them: 4,096 worlds.
 func TestDecisionsUnderEveryLinkFailure(t *testing.T) {
 	failed := &failures{t: t}
-	worlds(func(w world) {
+	forEachLinkState(func(w linkState) {
 		views := w.views(0)
 		healthy := 0
 		for i := range views {
@@ -132,7 +132,7 @@
 
 // checkPeers checks what controller i knows of the others, by which way it sends to them, and
 // whether it takes users.
-func (w *world) checkPeers(failed *failures, i int, v *reachability.View) {
+func (w *linkState) checkPeers(failed *failures, i int, v *reachability.View) {
 	better := false // another controller, which is known, reaches the state service
 	for j := range names {
 		if i == j {
@@ -149,7 +149,7 @@
 	if v.Healthy() != (w.state[i] || !better) {
 		failed.add(w, "%s is healthy: %v", names[i], v.Healthy())
 	}
-	for _, p := range v.ServingPeers() {
+	for _, p := range v.StoreReachablePeers() {
 		if j := int(p[0] - 'a'); !w.state[j] || !w.mesh[i][j] {
 			failed.add(w, "%s calls %s to relay requests", names[i], p)
 		}
@@ -157,7 +157,7 @@
 }
 
 // checkNextHop checks that a message goes straight, or by a third that reaches the other.
-func (w *world) checkNextHop(failed *failures, i, j int, v *reachability.View) {
+func (w *linkState) checkNextHop(failed *failures, i, j int, v *reachability.View) {
 	hop, third := v.NextHop(names[j]), 3-i-j
 	relays := w.mesh[i][third] && w.mesh[third][j]
 	switch {
@@ -171,7 +171,7 @@
 }
 
 // checkLeader checks to whom controller i sends workers.
-func (w *world) checkLeader(failed *failures, i int, v *reachability.View) {
+func (w *linkState) checkLeader(failed *failures, i int, v *reachability.View) {
 	if leader := v.Leader(); leader != names[i] && leader != names[0] {
 		failed.add(w, "%s sends workers to %s, which leads nothing", names[i], leader)
 	} else if i > 0 && leader == names[0] && !w.workers[0] {
@@ -183,7 +183,7 @@
 
 // checkTransfer checks that the leader transfers its shards if, and only if, it hears nobody and
 // one that does reaches the state service, and that is known.
-func (w *world) checkTransfer(failed *failures, v *reachability.View) {
+func (w *linkState) checkTransfer(failed *failures, v *reachability.View) {
 	var monitor reachability.TransferMonitor
 	monitor.Check(noon, &reachability.View{Self: reachability.NodeStatus{LeadsShards: true}}, 0)
 	to := ""
@@ -205,7 +205,7 @@
 
 // checkNoWorkerFails checks that no worker fails at a leader that hears nobody, however long that
 // lasts.
-func (w *world) checkNoWorkerFails(failed *failures, v *reachability.View) {
+func (w *linkState) checkNoWorkerFails(failed *failures, v *reachability.View) {
 	if w.workers[0] {
 		return
 	}
--- a/internal/reachability/name_set.go
+++ b/internal/reachability/name_set.go
@@ -14,14 +14,14 @@
 
 const (
 	bitsPerName = 15 // one in a thousand others is taken for a member
-	leastBits   = 64
+	minBits     = 64
 	maxHashes   = 10
 )
 
 // NewNameSet returns the set of names in at most maxBytes bytes, but not less than 8. In fewer
 // bytes than bitsPerName asks for, more others are taken for members.
 func NewNameSet(names []string, maxBytes int) *NameSet {
-	bits := max(leastBits, min(bitsPerName*len(names), 8*maxBytes))
+	bits := max(minBits, min(bitsPerName*len(names), 8*maxBytes))
 	hashes := max(1, int(math.Round(float64(bits)/float64(max(1, len(names)))*math.Ln2)))
 	set := &NameSet{*bloom.New(uint(bits), uint(min(hashes, maxHashes)))}
 	for _, name := range names {
--- a/internal/reachability/node_status.go
+++ b/internal/reachability/node_status.go
@@ -6,21 +6,21 @@
 	// PeerTimeout is how long a controller may be unheard, on any way that messages take,
 	// before it counts as not reached.
 	PeerTimeout = 3 * time.Second
-	// storedTimeout is the same for what only the state service brought: statuses are
+	// storeStatusTimeout is the same for what only the state service brought: statuses are
 	// written there every AnnounceEvery at most.
-	storedTimeout = 6 * time.Second
-	// AnnounceEvery is the least time between two statuses that a controller writes to
+	storeStatusTimeout = 6 * time.Second
+	// MinAnnounceInterval is the least time between two statuses that a controller writes to
 	// the state service.
-	AnnounceEvery = 2 * time.Second
-	// announceSharePerNode is the seconds between statuses for each controller: each status
+	MinAnnounceInterval = 2 * time.Second
+	// announceSecondsPerNode is the seconds between statuses for each controller: each status
 	// reaches all of them.
-	announceSharePerNode = 0.4
+	announceSecondsPerNode = 0.4
 )
 
-// AnnouncePause is the pause between a controller's statuses in the state service, for a number
+// AnnounceInterval is the pause between a controller's statuses in the state service, for a number
 // of controllers in all.
-func AnnouncePause(controllers int) time.Duration {
-	return max(AnnounceEvery, time.Duration(float64(controllers)*announceSharePerNode*float64(time.Second)))
+func AnnounceInterval(controllers int) time.Duration {
+	return max(MinAnnounceInterval, time.Duration(float64(controllers)*announceSecondsPerNode*float64(time.Second)))
 }
 
 // NodeStatus is what one controller says of its own links. The zero value is that of a controller
@@ -55,25 +55,25 @@
 }
 
 const (
-	inboundLostShare = 0.25 // of the heartbeats expected, below which a controller's inbound links count as lost
-	leastExpected    = 12   // heartbeats expected, below which nothing can be told
+	inboundLostShare      = 0.25 // of the heartbeats expected, below which a controller's inbound links count as lost
+	minExpectedHeartbeats = 12   // heartbeats expected, below which nothing can be told
 )
 
 // InboundLost reports whether the controller receives far fewer heartbeats than its workers
 // should send. Nothing can be told of one that heard few workers lately.
 func (s *NodeStatus) InboundLost() bool {
-	return s.ExpectedHeartbeats >= leastExpected && float64(s.Heartbeats) < inboundLostShare*s.ExpectedHeartbeats
+	return s.ExpectedHeartbeats >= minExpectedHeartbeats && float64(s.Heartbeats) < inboundLostShare*s.ExpectedHeartbeats
 }
 
 const (
 	// SampleSize is how many workers are probed.
-	SampleSize   = 8
-	leastMissing = 20                     // heartbeats that must be missing in a row before workers are probed
-	leastPause   = 750 * time.Millisecond // for at least so long
+	SampleSize          = 8
+	minMissedHeartbeats = 20                     // heartbeats that must be missing in a row before workers are probed
+	minHeartbeatGap     = 750 * time.Millisecond // for at least so long
 )
 
 // ShouldProbe reports whether a controller that expects so many heartbeats a second, and received
 // none for some time, should find out whether it still reaches the workers.
 func ShouldProbe(perSecond float64, sinceLast time.Duration) bool {
-	return sinceLast >= leastPause && perSecond*sinceLast.Seconds() >= leastMissing
+	return sinceLast >= minHeartbeatGap && perSecond*sinceLast.Seconds() >= minMissedHeartbeats
 }
--- a/internal/reachability/routing.go
+++ b/internal/reachability/routing.go
@@ -37,10 +37,10 @@
 	return v.Self.Node
 }
 
-// TakenForLeader reports whether a peer takes this controller for the leader although it leads
+// SeenAsLeaderByPeer reports whether a peer takes this controller for the leader although it leads
 // nothing, as far as it knows itself: shards were transferred to it, and its watch of the state
 // service is behind.
-func (v *View) TakenForLeader() bool {
+func (v *View) SeenAsLeaderByPeer() bool {
 	if v.Self.LeadsShards || !v.Self.LeaseHeld {
 		return false
 	}
@@ -65,8 +65,8 @@
 	return len(v.Peers) > 0
 }
 
-// ServingPeers names the peers that reach the state service and that can be called.
-func (v *View) ServingPeers() []string {
+// StoreReachablePeers names the peers that reach the state service and that can be called.
+func (v *View) StoreReachablePeers() []string {
 	var out []string
 	for i := range v.Peers {
 		if peer := &v.Peers[i]; peer.DirectlyReached() && peer.OutboundReachable && peer.Status.StoreReachable {
--- a/internal/reachability/table.go
+++ b/internal/reachability/table.go
@@ -9,7 +9,7 @@
 // peerRecord is what is known of a peer: its newest status, and how calls to it end.
 type peerRecord struct {
 	status           NodeStatus
-	madeAt           time.Time // of status, as near as can be told; without one, when this process began
+	statusAt         time.Time // of status, as near as can be told; without one, when this process began
 	incarnationSince time.Time // when the first status of the peer's present process came
 	path             Path
 	heardAt          time.Time // when a message last came from it directly, or a reply
@@ -31,7 +31,7 @@
 	t := &Table{self: self, peers: peers, records: map[string]*peerRecord{}}
 	now := time.Now()
 	for _, name := range peers {
-		t.records[name] = &peerRecord{madeAt: now}
+		t.records[name] = &peerRecord{statusAt: now}
 	}
 	return t
 }
@@ -53,7 +53,7 @@
 		if status.StartedMs != record.status.StartedMs {
 			record.incarnationSince = now
 		}
-		record.status, record.madeAt, record.path = status, now.Add(-age), path
+		record.status, record.statusAt, record.path = status, now.Add(-age), path
 	} else if status.StartedMs == record.status.StartedMs && status.Seq == record.status.Seq && path < record.path {
 		record.path = path
 	}
@@ -92,16 +92,16 @@
 	for _, name := range t.peers {
 		record := t.records[name]
 		v.Peers = append(v.Peers, Peer{
-			Name: name, Status: record.status, Known: record.status.Node != "", Path: record.path, Age: now.Sub(record.madeAt),
+			Name: name, Status: record.status, Known: record.status.Node != "", Path: record.path, Age: now.Sub(record.statusAt),
 			SinceHeard: now.Sub(record.heardAt), OutboundReachable: record.failures < outboundLostWeight,
 		})
 	}
 	return v
 }
 
-// HeardWithin reports whether a peer was heard directly within a time, and calls to it
+// ReachedWithin reports whether a peer was heard directly within a time, and calls to it
 // work.
-func (t *Table) HeardWithin(peer string, within time.Duration, now time.Time) bool {
+func (t *Table) ReachedWithin(peer string, within time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	record := t.records[peer]
@@ -133,13 +133,13 @@
 	return out
 }
 
-// UnreachedByPeers reports whether a peer does not reach this controller: it can't query this
+// UnreachedByAnyPeer reports whether a peer does not reach this controller: it can't query this
 // one, or be sent to, so that the status must say which workers are heard here.
-func (t *Table) UnreachedByPeers(now time.Time) bool {
+func (t *Table) UnreachedByAnyPeer(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, record := range t.records {
-		if now.Sub(record.madeAt) < storedTimeout && slices.Contains(record.status.UnreachedPeers, t.self) {
+		if now.Sub(record.statusAt) < storeStatusTimeout && slices.Contains(record.status.UnreachedPeers, t.self) {
 			return true
 		}
 	}
@@ -152,10 +152,10 @@
 	AgeS   float64    `json:"age"` // s, when it was passed on
 }
 
-// introduceFor is how long after a peer's process began it is sent old statuses too, of
+// newIncarnationWindow is how long after a peer's process began it is sent old statuses too, of
 // controllers that are not heard any more: it may never have heard them, and their age says
 // whether they may still answer workers that it doesn't hear either.
-const introduceFor = 10 * time.Second
+const newIncarnationWindow = 10 * time.Second
 
 // RelayFor returns the statuses to be passed on to a peer: none while all controllers
 // exchange theirs with each other, else those that came directly and that the peer
@@ -170,11 +170,11 @@
 		if name == to || record.status.Node == "" || record.path != Direct {
 			continue
 		}
-		if now.Sub(record.madeAt) >= PeerTimeout && now.Sub(receiver.incarnationSince) >= introduceFor {
+		if now.Sub(record.statusAt) >= PeerTimeout && now.Sub(receiver.incarnationSince) >= newIncarnationWindow {
 			continue
 		}
 		if slices.Contains(record.status.UnreachedPeers, to) || slices.Contains(receiver.status.UnreachedPeers, name) {
-			out = append(out, RelayedStatus{record.status, now.Sub(record.madeAt).Seconds()})
+			out = append(out, RelayedStatus{record.status, now.Sub(record.statusAt).Seconds()})
 		}
 	}
 	return out
--- a/internal/reachability/table_test.go
+++ b/internal/reachability/table_test.go
@@ -65,7 +65,7 @@
 				v := table.View(reachability.NodeStatus{Node: "a", Heartbeats: 380, ExpectedHeartbeats: 400}, time.Now())
 				detector, failed := newDetector(), 0
 				for i := range 2 {
-					got := detector.Evaluate(time.Now().Add(time.Duration(i)*time.Second), &v, reachability.ReceiveHealth{}, 1000, unheard(unresponsiveWorkers(70, 15*time.Second)))
+					got := detector.Evaluate(time.Now().Add(time.Duration(i)*time.Second), &v, reachability.ReceiveHealth{}, 1000, notHeardSinceFailover(unresponsiveWorkers(70, 15*time.Second)))
 					for name := range got.Probe {
 						detector.RecordProbe(name, false, time.Now().Add(time.Duration(i)*time.Second))
 					}
--- a/internal/reachability/transfer_monitor.go
+++ b/internal/reachability/transfer_monitor.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	leastHeartbeatShare = 0.1  // of the heartbeats expected, that a peer must receive to take the shards
-	heartbeatFactor     = 3    // how many times as many heartbeats as the leader a peer must receive
-	probesReach         = 0.75 // share of probed workers, from which on they count as reached
-	probesMiss          = 0.25 // up to which they do not
-	settleTime          = 15 * time.Second
-	maxDoublings        = 4 // of settleTime
+	minCandidateHeartbeatShare = 0.1  // of the heartbeats expected, that a peer must receive to take the shards
+	candidateHeartbeatFactor   = 3    // how many times as many heartbeats as the leader a peer must receive
+	reachedProbeSuccess        = 0.75 // share of probed workers, from which on they count as reached
+	lostProbeSuccess           = 0.25 // up to which they do not
+	baseTransferDelay          = 15 * time.Second
+	maxDelayDoublings          = 4 // of settleTime
 
-	heartbeatsAgree = time.Second            // for which checks must agree on what is received
-	probesAgree     = 200 * time.Millisecond // and on what was probed
+	heartbeatConfirmTime = time.Second            // for which checks must agree on what is received
+	probeConfirmTime     = 200 * time.Millisecond // and on what was probed
 )
 
 // TransferWindow is the time over which transfers are counted; see TransferDelay.
@@ -20,7 +20,9 @@
 // TransferDelay is how long a leader waits before it transfers its shards, after so many
 // transfers within the TransferWindow: it leaves its workers time to find it, and a
 // flapping link moves the shards less and less.
-func TransferDelay(transfers int) time.Duration { return settleTime << min(transfers, maxDoublings) }
+func TransferDelay(transfers int) time.Duration {
+	return baseTransferDelay << min(transfers, maxDelayDoublings)
+}
 
 // TransferMonitor finds out when a leader receives its workers' heartbeats no more and a peer
 // does. The zero value is ready for use; it is not safe for concurrent use.
@@ -40,18 +42,18 @@
 	if m.leadingSince.IsZero() {
 		m.leadingSince = now
 	}
-	to, agree := "", heartbeatsAgree
+	to, confirmTime := "", heartbeatConfirmTime
 	// The first transfer of a window may come after the plain settling time; of
 	// those before this leader's time each doubles it.
 	if now.Sub(m.leadingSince) >= TransferDelay(max(0, transfers-1)) {
-		to, agree = v.transferCandidate()
+		to, confirmTime = v.transferCandidate()
 	}
 	switch {
 	case to == "":
 		m.lostSince = time.Time{}
 	case m.lostSince.IsZero():
 		m.lostSince = now
-	case now.Sub(m.lostSince) >= agree:
+	case now.Sub(m.lostSince) >= confirmTime:
 		m.lostSince = time.Time{}
 		return to
 	}
@@ -60,12 +62,12 @@
 
 // transferCandidate returns the peer that reaches the workers best, "" if this controller does,
 // or no peer does, and for how long checks must agree on that.
-func (v *View) transferCandidate() (name string, agree time.Duration) {
-	agree = heartbeatsAgree
-	mostHeartbeats := max(heartbeatFactor*v.Self.Heartbeats, int(leastHeartbeatShare*v.Self.ExpectedHeartbeats))
+func (v *View) transferCandidate() (name string, confirmTime time.Duration) {
+	confirmTime = heartbeatConfirmTime
+	mostHeartbeats := max(candidateHeartbeatFactor*v.Self.Heartbeats, int(minCandidateHeartbeatShare*v.Self.ExpectedHeartbeats))
 	// Workers take seconds to look for another controller: what peers reach when
 	// they probe says it sooner than what they receive.
-	outboundLost := v.Self.Probed && v.Self.ProbeSuccess <= probesMiss
+	outboundLost := v.Self.Probed && v.Self.ProbeSuccess <= lostProbeSuccess
 	bestProbes := 0.0
 	for i := range v.Peers {
 		peer := &v.Peers[i]
@@ -73,10 +75,10 @@
 		switch {
 		case !peer.IsFresh() || !status.StoreReachable || !status.LeaseHeld:
 		case v.Self.InboundLost() && status.Heartbeats > mostHeartbeats:
-			name, mostHeartbeats, bestProbes, agree = peer.Name, status.Heartbeats, 1, heartbeatsAgree
-		case outboundLost && status.Probed && status.ProbeSuccess >= probesReach && status.ProbeSuccess > bestProbes:
-			name, bestProbes, agree = peer.Name, status.ProbeSuccess, probesAgree
+			name, mostHeartbeats, bestProbes, confirmTime = peer.Name, status.Heartbeats, 1, heartbeatConfirmTime
+		case outboundLost && status.Probed && status.ProbeSuccess >= reachedProbeSuccess && status.ProbeSuccess > bestProbes:
+			name, bestProbes, confirmTime = peer.Name, status.ProbeSuccess, probeConfirmTime
 		}
 	}
-	return name, agree
+	return name, confirmTime
 }
--- a/internal/reachability/view.go
+++ b/internal/reachability/view.go
@@ -45,7 +45,7 @@
 		return false
 	}
 	if p.Path == ViaStore {
-		return p.Age < storedTimeout
+		return p.Age < storeStatusTimeout
 	}
 	return p.Age < PeerTimeout
 }
--- a/internal/testkit/cluster_users_test.go
+++ b/internal/testkit/cluster_users_test.go
@@ -36,7 +36,7 @@
 }
 
 // ServingPeers names the controllers that reach the state service.
-func (n *node) ServingPeers() []string { v := n.linksSeen(); return v.ServingPeers() }
+func (n *node) ServingPeers() []string { v := n.linksSeen(); return v.StoreReachablePeers() }
 
 // Healthy reports whether this controller takes users.
 func (n *node) Healthy() bool { return true }
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -13,7 +13,7 @@
 
 // ObserveWorker hands a view to the leader here, as cmd/wallrack does.
 func (n *node) ObserveWorker(v dispatch.WorkerView) {
-	if seen := n.linksSeen(); v.Polled && seen.SharesWorkers() {
+	if seen := n.linksSeen(); v.Polled && seen.HasAssignments() {
 		v.Dispatcher = n.LeaderFor(v.Name)
 	}
 	n.scheduler.ObserveWorker(v)
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -67,7 +67,7 @@
 func (r *reach) init(n *node) {
 	r.node = n
 	r.table, r.born = reachability.NewTable(n.name, r.peers()), time.Now().UnixMilli()
-	r.silence = reachability.FailureDetector{Timeout: 5 * time.Second, Lease: workerLease, HeartbeatInterval: reportEvery, Grace: testGrace}
+	r.silence = reachability.FailureDetector{Timeout: 5 * time.Second, Lease: workerLease, HeartbeatInterval: reportEvery, IsolationGrace: testGrace}
 	r.last = r.table.View(reachability.NodeStatus{Node: n.name}, time.Now())
 }
 
@@ -85,7 +85,7 @@
 		row.PreferredLeader = o[0]
 	}
 	row.Assignments, row.WorkerCapacity, row.WorkerCount = r.seats, r.room, r.here
-	if len(row.UnreachedPeers) > 0 || r.table.UnreachedByPeers(now) {
+	if len(row.UnreachedPeers) > 0 || r.table.UnreachedByAnyPeer(now) {
 		row.HeardWorkers = reachability.NewNameSet(n.dispatcher.WorkersSeenWithin(workerLease), 4096)
 	}
 	return row
@@ -166,18 +166,18 @@
 		r.seat(now, &v)
 		w.mu.Lock()
 		r.last, r.by = v, ""
-		if served := v.ServingPeers(); !straight[n] && len(served) > 0 {
+		if served := v.StoreReachablePeers(); !straight[n] && len(served) > 0 {
 			r.by = served[0]
 		}
 		w.mu.Unlock()
-		if v.Self.LeaseHeld && now.Sub(r.announced) >= reachability.AnnounceEvery && len(v.UnreachedPeers()) > 0 {
+		if v.Self.LeaseHeld && now.Sub(r.announced) >= reachability.MinAnnounceInterval && len(v.UnreachedPeers()) > 0 {
 			r.announced = now
 			_ = n.member.AnnounceLinks(context.Background(), v.Self) // a row that is lost is followed by the next
 		}
 		if to := r.watch.Check(now, &v, n.member.RecentTransfers(reachability.TransferWindow)); to != "" {
 			_ = n.member.TransferShards(context.Background(), to) // tried again if it fails
 		}
-		if v.TakenForLeader() {
+		if v.SeenAsLeaderByPeer() {
 			n.member.ReadShards(context.Background())
 		}
 		if v.Self.LeadsShards && w.keepCuts {
@@ -192,7 +192,7 @@
 	here := r.node.dispatcher.CountReporting(5 * reportEvery / 2)
 	r.seats = r.plan.Plan(now, v, here, room, reportEvery)
 	r.room, r.here = 0, 0
-	if v.Self.Assignments = r.seats; v.SharesWorkers() {
+	if v.Self.Assignments = r.seats; v.HasAssignments() {
 		r.room, r.here = room, here
 	}
 	v.Self.WorkerCapacity = r.room
