--- a/internal/controller/view_publisher.go
+++ b/internal/controller/view_publisher.go
@@ -45,14 +45,14 @@
 	log        *slog.Logger
 
 	started  time.Time // of run
-	turns    viewsync.Turns
+	turns    viewsync.SendSlots
 	timeouts publishTimeouts
 }
 
 func (p *viewPublisher) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodViews, func(_ context.Context, msg *viewsync.Message) (*viewsync.Reply, error) {
 		defer usage.Count(usage.Peers, time.Now())
-		reply, err := p.receiver.Take(msg)
+		reply, err := p.receiver.HandleMessage(msg)
 		if errors.Is(err, viewsync.ErrMalformed) {
 			usage.Note(usage.MalformedViews)
 			p.log.Info("worker views refused", "peer", msg.Dispatcher, "err", err)
@@ -81,11 +81,11 @@
 			go p.pollRemoteWorkers(ctx)
 		}
 		led = leads
-		p.publisher.Gather(p.nowMs(), others)
+		p.publisher.CollectChanges(p.nowMs(), others)
 		for _, leader := range others {
-			if p.turns.Begin(leader) {
+			if p.turns.TryAcquire(leader) {
 				go func() {
-					defer p.turns.End(leader)
+					defer p.turns.Release(leader)
 					p.publish(ctx, leader)
 				}()
 			}
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -136,7 +136,7 @@
 	published *viewsync.Publisher
 	pictures  *viewsync.Receiver
 
-	publishing viewsync.Turns
+	publishing viewsync.SendSlots
 }
 
 var errCut = errors.New("cut off")
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -139,10 +139,10 @@
 // publishTo tells a peer what changed on the workers held here, as cmd/wallrack does: one
 // message at a time.
 func (n *node) publishTo(to *node) {
-	if !n.publishing.Begin(to.name) {
+	if !n.publishing.TryAcquire(to.name) {
 		return
 	}
-	defer n.publishing.End(to.name)
+	defer n.publishing.Release(to.name)
 	for more := true; more; {
 		m := n.published.Next(time.Since(n.started).Milliseconds(), to.name)
 		if m == nil {
@@ -173,7 +173,7 @@
 		w.fail("%s's views can't be decoded: %v", from.name, err)
 		return viewsync.Reply{}, err
 	}
-	reply, err := to.pictures.Take(&arrived)
+	reply, err := to.pictures.HandleMessage(&arrived)
 	if errors.Is(err, viewsync.ErrMalformed) {
 		w.fail("%s refused %s's views: %v", to.name, from.name, err)
 	}
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -109,7 +109,7 @@
 	}
 	w.mu.Unlock()
 	for _, n := range nodes {
-		n.published.Gather(time.Since(n.started).Milliseconds(), w.others(n.name))
+		n.published.CollectChanges(time.Since(n.started).Milliseconds(), w.others(n.name))
 		for _, to := range nodes {
 			w.mu.Lock()
 			ok := to != n && w.reach(n, to)
--- a/internal/viewsync/capacity_test.go
+++ b/internal/viewsync/capacity_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	tasksEach   = 4     // 11,000 tasks on 2,600 workers
-	reportMs    = 8_000 // between a worker's reports
-	overrunWait = 2.2   // seconds, of a task that has outrun its estimate
+	tasksPerWorker   = 4     // 11,000 tasks on 2,600 workers
+	reportIntervalMs = 8_000 // between a worker's reports
+	overrunWaitS     = 2.2   // seconds, of a task that has outrun its estimate
 )
 
 // workerViews are so many workers as their dispatcher sees them.
@@ -28,16 +28,16 @@
 // workersAt are workers with reports as of a time, each of whose first started tasks
 // began anew then.
 func workersAt(workers int, atMs int64, started int) (views workerViews) {
-	passed := float64(atMs) / perSecond
+	passed := float64(atMs) / msPerSecond
 	for i := range workers {
 		v := dispatch.WorkerView{
 			Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z",
 			Session: 1, Seq: 1000 + uint64(atMs), Token: 7, Dispatcher: "a", AgeS: 0.25, UnansweredS: 0.25,
 		}
-		allocations := make([]matching.Allocation, 0, tasksEach)
-		for t := range tasksEach {
+		allocations := make([]matching.Allocation, 0, tasksPerWorker)
+		for t := range tasksPerWorker {
 			task := dispatch.TaskView{Task: wire.Task{Task: wire.TaskName(fmt.Sprintf("j-%06d", i), t), Attempt: 20, State: wire.TaskRunning}, StateAgeS: 10 + passed}
-			left := max(overrunWait, 10*float64(t)-passed)
+			left := max(overrunWaitS, 10*float64(t)-passed)
 			if t < started {
 				task.Attempt, task.StateAgeS, left = 21, 0, 30
 			}
@@ -55,7 +55,7 @@
 func sentBytes(tb testing.TB, workers, started int) (whole, change float64) {
 	e, d := NewEncoder("a"), NewDecoder()
 	first := workersAt(workers, 0, 0)
-	e.after = d.stream
+	e.replaces = d.stream
 	send := func(nowMs int64) (bytes float64) {
 		for more := true; more; {
 			m := e.Next(nowMs, first)
@@ -67,17 +67,17 @@
 				tb.Fatal(err)
 			}
 			bytes += float64(len(data))
-			_, reply, err := d.Take(m)
+			_, reply, err := d.Apply(m)
 			if err != nil {
 				tb.Fatal(err)
 			}
-			more = e.Took(nowMs, reply)
+			more = e.HandleReply(nowMs, reply)
 		}
 		return bytes
 	}
 	whole = send(0)
-	e.Note(reportMs, workersAt(workers, reportMs, started), nil)
-	return whole, send(reportMs)
+	e.Update(reportIntervalMs, workersAt(workers, reportIntervalMs, started), nil)
+	return whole, send(reportIntervalMs)
 }
 
 var capacitySeries = []capacity.Series{
--- a/internal/viewsync/change.go
+++ b/internal/viewsync/change.go
@@ -12,8 +12,8 @@
 // ErrMalformed means that a change does not fit what it is to change.
 var ErrMalformed = errors.New("malformed change")
 
-// Site is what a worker's reports say that hardly ever changes.
-type Site struct {
+// Attributes is what a worker's reports say that hardly ever changes.
+type Attributes struct {
 	Type     string `json:"t"`
 	Zone     string `json:"z"`
 	Spot     bool   `json:"s,omitempty"`
@@ -37,9 +37,9 @@
 // go on by themselves.
 type Change struct {
 	Name         string               `json:"n"`
-	BackMs       int64                `json:"b,omitempty"` // by which the view is older than its frame
-	Anew         bool                 `json:"f,omitempty"` // whatever was known of the worker is replaced
-	Site         *Site                `json:"i,omitempty"`
+	LagMs        int64                `json:"b,omitempty"` // by which the view is older than its frame
+	Replace      bool                 `json:"f,omitempty"` // whatever was known of the worker is replaced
+	Attributes   *Attributes          `json:"i,omitempty"`
 	Session      uint64               `json:"e,omitempty"`
 	Seq          uint64               `json:"s,omitempty"`
 	Token        uint64               `json:"k,omitempty"`
@@ -48,7 +48,7 @@
 	Condition    *Condition           `json:"c,omitempty"`
 	AllTasks     bool                 `json:"l,omitempty"` // Tasks is the whole list
 	Tasks        []dispatch.TaskView  `json:"t,omitempty"` // new or changed
-	Unlisted     []TaskKey            `json:"x,omitempty"` // not reported any more
+	RemovedTasks []TaskKey            `json:"x,omitempty"` // not reported any more
 	Queue        []dispatch.QueueView `json:"q,omitempty"`
 	NoQueue      bool                 `json:"o,omitempty"` // the queue is empty now
 	Matrix       []float64            `json:"m,omitempty"` // see packed
@@ -56,7 +56,9 @@
 	Waits        []float64            `json:"w,omitempty"` // of the matrix, whose amounts are as before
 }
 
-func siteOf(v *dispatch.WorkerView) Site { return Site{v.Type, v.Zone, v.Spot, v.Endpoint} }
+func attributesOf(v *dispatch.WorkerView) Attributes {
+	return Attributes{v.Type, v.Zone, v.Spot, v.Endpoint}
+}
 
 func conditionOf(v *dispatch.WorkerView) Condition {
 	return Condition{v.NoticeS, v.Draining, v.Polled}
@@ -71,19 +73,19 @@
 func diff(old *state, now state) Change {
 	was := state{atMs: now.atMs}
 	if old != nil {
-		was = old.advanced(now.atMs)
+		was = old.advancedTo(now.atMs)
 	}
 	from, to := &was.view, &now.view
 	if to.Session == 0 && from.Session != 0 || to.Seq == 0 && from.Seq != 0 || to.Token == 0 && from.Token != 0 {
 		return diff(nil, now) // 0 says that nothing changed
 	}
 	c := Change{
-		Name: to.Name, Anew: old == nil,
+		Name: to.Name, Replace: old == nil,
 		Session: ifChanged(from.Session, to.Session), Seq: ifChanged(from.Seq, to.Seq), Token: ifChanged(from.Token, to.Token),
 		AgeMs: ifAgeChanged(from.AgeS, to.AgeS), UnansweredMs: ifAgeChanged(from.UnansweredS, to.UnansweredS),
 	}
-	if site := siteOf(to); old == nil || site != siteOf(from) {
-		c.Site = &site
+	if site := attributesOf(to); old == nil || site != attributesOf(from) {
+		c.Attributes = &site
 	}
 	if condition := conditionOf(to); !condition.same(conditionOf(from)) {
 		c.Condition = &condition
@@ -97,9 +99,9 @@
 	case len(to.Matrix) == 0:
 		c.NoMatrix = true
 	case sameFree(to.Matrix, from.Matrix):
-		c.Waits = waits(to.Matrix)
+		c.Waits = matrixWaits(to.Matrix)
 	default:
-		c.Matrix = packed(to.Matrix)
+		c.Matrix = packMatrix(to.Matrix)
 	}
 	return c
 }
@@ -114,7 +116,7 @@
 
 // ifAgeChanged returns an age in ms, or nil if it is as before but for the time that passed.
 func ifAgeChanged(beforeS, nowS float64) *int64 {
-	if near(nowS, beforeS, ageToleranceS) {
+	if withinTolerance(nowS, beforeS, ageToleranceS) {
 		return nil
 	}
 	ms := milliseconds(nowS)
@@ -124,8 +126,8 @@
 // apply returns what a change makes of a worker's state, nil for one that is not known
 // yet. The old state stays as it is.
 func (c *Change) apply(old *state, atMs int64) (state, error) {
-	atMs -= c.BackMs
-	if c.Anew {
+	atMs -= c.LagMs
+	if c.Replace {
 		old = nil
 	}
 	if err := c.check(old, atMs); err != nil {
@@ -133,7 +135,7 @@
 	}
 	now := state{atMs: atMs, view: dispatch.WorkerView{Name: c.Name}}
 	if old != nil {
-		now = old.advanced(atMs)
+		now = old.advancedTo(atMs)
 	}
 	view := &now.view
 	c.applyReport(view)
@@ -153,9 +155,9 @@
 // check checks that the change fits the old state and the time that the new one is of.
 func (c *Change) check(old *state, atMs int64) error {
 	switch {
-	case c.Name == "" || c.BackMs < 0:
+	case c.Name == "" || c.LagMs < 0:
 		return fmt.Errorf("%w: no worker, or of a later time", ErrMalformed)
-	case old == nil && (c.Site == nil || !c.Anew):
+	case old == nil && (c.Attributes == nil || !c.Replace):
 		return fmt.Errorf("%w: %s: not known here", ErrMalformed, c.Name)
 	case c.AgeMs != nil && *c.AgeMs < 0 || c.UnansweredMs != nil && *c.UnansweredMs < 0:
 		return fmt.Errorf("%w: %s: reported or answered in the future", ErrMalformed, c.Name)
@@ -167,15 +169,15 @@
 
 // applyReport applies what the worker's report says apart from its tasks.
 func (c *Change) applyReport(v *dispatch.WorkerView) {
-	if site := c.Site; site != nil {
+	if site := c.Attributes; site != nil {
 		v.Type, v.Zone, v.Spot, v.Endpoint = site.Type, site.Zone, site.Spot, site.Endpoint
 	}
 	v.Session, v.Seq, v.Token = cmp.Or(c.Session, v.Session), cmp.Or(c.Seq, v.Seq), cmp.Or(c.Token, v.Token)
 	if c.AgeMs != nil {
-		v.AgeS = float64(*c.AgeMs) / perSecond
+		v.AgeS = float64(*c.AgeMs) / msPerSecond
 	}
 	if c.UnansweredMs != nil {
-		v.UnansweredS = float64(*c.UnansweredMs) / perSecond
+		v.UnansweredS = float64(*c.UnansweredMs) / msPerSecond
 	}
 	if condition := c.Condition; condition != nil {
 		v.NoticeS, v.Draining, v.Polled = condition.NoticeS, condition.Draining, condition.Polled
@@ -187,10 +189,10 @@
 	switch {
 	case c.NoMatrix:
 		v.Matrix = nil
-	case len(c.Matrix)%rowFigures != 0:
+	case len(c.Matrix)%valuesPerRow != 0:
 		return fmt.Errorf("%w: %s: a matrix of %d figures", ErrMalformed, c.Name, len(c.Matrix))
 	case len(c.Matrix) > 0:
-		v.Matrix = unpacked(c.Matrix)
+		v.Matrix = unpackMatrix(c.Matrix)
 	case len(c.Waits) == 0:
 		return nil // as it was, and was checked then
 	case len(c.Waits) != len(v.Matrix):
@@ -200,7 +202,7 @@
 			v.Matrix[i].WaitS = c.Waits[i] // of a copy, see advanced
 		}
 	}
-	if !inOrder(v.Matrix) {
+	if !sortedByWait(v.Matrix) {
 		return fmt.Errorf("%w: %s: waits not in order", ErrMalformed, c.Name)
 	}
 	return nil
--- a/internal/viewsync/change_tasks.go
+++ b/internal/viewsync/change_tasks.go
@@ -30,12 +30,12 @@
 	}
 	for i := range was {
 		if key := keyOf(&was[i]); before[key] != nil {
-			c.Unlisted = append(c.Unlisted, key)
+			c.RemovedTasks = append(c.RemovedTasks, key)
 			delete(before, key)
 		}
 	}
 	if applied, err := c.applyTasks(was); err != nil || !sameTasks(applied, now) {
-		c.AllTasks, c.Tasks, c.Unlisted = true, now, nil
+		c.AllTasks, c.Tasks, c.RemovedTasks = true, now, nil
 	}
 }
 
@@ -44,12 +44,12 @@
 	if c.AllTasks {
 		return c.Tasks, nil
 	}
-	if len(c.Tasks) == 0 && len(c.Unlisted) == 0 {
+	if len(c.Tasks) == 0 && len(c.RemovedTasks) == 0 {
 		return was, nil
 	}
 	changed := tasksByKey(c.Tasks)
-	unlisted := make(map[TaskKey]bool, len(c.Unlisted))
-	for _, key := range c.Unlisted {
+	unlisted := make(map[TaskKey]bool, len(c.RemovedTasks))
+	for _, key := range c.RemovedTasks {
 		unlisted[key] = true
 	}
 	out := make([]dispatch.TaskView, 0, len(was)+len(c.Tasks))
--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -28,27 +28,27 @@
 // Reply says up to where this leader knows which stream.
 func (d *Decoder) Reply() Reply { return Reply{Stream: d.stream, Seq: d.seq} }
 
-// Take applies a message, and returns the views that changed, as of now. A malformed one
+// Apply applies a message, and returns the views that changed, as of now. A malformed one
 // changes nothing; its error is ErrMalformed.
-func (d *Decoder) Take(m *Message) ([]dispatch.WorkerView, Reply, error) {
+func (d *Decoder) Apply(m *Message) ([]dispatch.WorkerView, Reply, error) {
 	if m.Frame == nil {
 		return nil, d.heartbeat(m), nil
 	}
-	frame, begins := m.Frame, m.Frame.Seq == 1
+	frame, initial := m.Frame, m.Frame.Seq == 1
 	switch {
-	case begins && m.Stream != d.stream && m.After == d.stream && frame.Whole && m.Stream != 0:
+	case initial && m.Stream != d.stream && m.Replaces == d.stream && frame.Initial && m.Stream != 0:
 	case m.Stream != d.stream:
 		return nil, d.Reply(), nil // of another incarnation, of the dispatcher or of this leader
 	case frame.Seq <= d.seq:
 		return nil, d.Reply(), nil // a copy
-	case frame.Seq != d.seq+1 || frame.Whole:
+	case frame.Seq != d.seq+1 || frame.Initial:
 		return nil, d.refusal(), fmt.Errorf("%w: frame %d after %d", ErrMalformed, frame.Seq, d.seq)
 	}
-	states, err := d.applied(frame, begins)
+	states, err := d.applyFrame(frame, initial)
 	if err != nil {
 		return nil, d.refusal(), err
 	}
-	if begins {
+	if initial {
 		d.stream, d.states = m.Stream, map[string]*state{}
 	}
 	d.seq = frame.Seq
@@ -56,7 +56,7 @@
 	for i := range states {
 		s := &states[i]
 		d.states[s.view.Name] = s
-		view := s.aged(m.NowMs)
+		view := s.viewAt(m.NowMs)
 		view.Dispatcher = m.Dispatcher
 		out = append(out, view)
 	}
@@ -66,10 +66,10 @@
 	return out, d.Reply(), nil
 }
 
-// applied returns what a frame's changes make of the replica, which stays as it is.
-func (d *Decoder) applied(frame *Frame, begins bool) ([]state, error) {
+// applyFrame returns what a frame's changes make of the replica, which stays as it is.
+func (d *Decoder) applyFrame(frame *Frame, initial bool) ([]state, error) {
 	states := make([]state, 0, len(frame.Changes))
-	if len(d.states)+len(frame.Changes) > maxWorkers && !begins || len(frame.Changes) > maxWorkers {
+	if len(d.states)+len(frame.Changes) > maxWorkers && !initial || len(frame.Changes) > maxWorkers {
 		return nil, fmt.Errorf("%w: too many workers", ErrMalformed)
 	}
 	seen := make(map[string]bool, len(frame.Changes))
@@ -80,7 +80,7 @@
 		}
 		seen[change.Name] = true
 		var old *state
-		if !begins {
+		if !initial {
 			old = d.states[change.Name]
 		}
 		s, err := change.apply(old, frame.AtMs)
@@ -90,19 +90,19 @@
 		states = append(states, s)
 	}
 	for _, name := range frame.Removed {
-		if begins || d.states[name] == nil {
+		if initial || d.states[name] == nil {
 			return nil, fmt.Errorf("%w: %s: removed, and was not known", ErrMalformed, name)
 		}
 	}
 	return states, nil
 }
 
-// aged is the view with the ages as of a later time; its matrix stays, since leaders take
+// viewAt is the view with the ages as of a later time; its matrix stays, since leaders take
 // the time since a view came off by themselves.
-func (s *state) aged(nowMs int64) dispatch.WorkerView {
+func (s *state) viewAt(nowMs int64) dispatch.WorkerView {
 	view := s.view
 	view.Matrix = slices.Clone(view.Matrix) // leaders take room off it
-	passed := max(0, float64(nowMs-s.atMs)/perSecond)
+	passed := max(0, float64(nowMs-s.atMs)/msPerSecond)
 	if passed == 0 {
 		return view
 	}
--- a/internal/viewsync/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -17,15 +17,15 @@
 type Encoder struct {
 	dispatcher string
 	stream     uint64
-	after      uint64 // the stream that the leader knows, to be replaced by this one
+	replaces   uint64 // the stream that the leader knows, to be replaced by this one
 	seq        uint64 // of the last frame
-	begun      bool   // the first frame of the stream was made
+	started    bool   // the first frame of the stream was made
 
 	sent      map[string]*state // as of the last frame
 	pending   map[string]state  // changed since
 	removed   map[string]bool   // likewise
 	unacked   *Frame            // sent, and not acknowledged
-	repliedMs int64             // when the leader last acknowledged anything
+	lastAckMs int64             // when the leader last acknowledged anything
 }
 
 // NewEncoder returns the dispatcher's end of a stream that the leader does not know yet.
@@ -35,19 +35,19 @@
 	return e
 }
 
-func (e *Encoder) restart(after uint64) {
-	e.stream, e.after, e.seq, e.begun, e.unacked = newStream(), after, 0, false, nil
+func (e *Encoder) restart(replaces uint64) {
+	e.stream, e.replaces, e.seq, e.started, e.unacked = newStream(), replaces, 0, false, nil
 	e.sent, e.pending, e.removed = map[string]*state{}, map[string]state{}, map[string]bool{}
 }
 
-// Note takes changed views, made now, and the names of workers that the dispatcher does not know
+// Update takes changed views, made now, and the names of workers that the dispatcher does not know
 // any more.
-func (e *Encoder) Note(nowMs int64, changed []dispatch.WorkerView, removed []string) {
-	if !e.begun {
+func (e *Encoder) Update(nowMs int64, changed []dispatch.WorkerView, removed []string) {
+	if !e.started {
 		return // the first frame has all views
 	}
 	for _, view := range changed {
-		e.pending[view.Name] = state{nowMs, rounding(view)}
+		e.pending[view.Name] = state{nowMs, roundedView(view)}
 		delete(e.removed, view.Name)
 	}
 	for _, name := range removed {
@@ -60,23 +60,23 @@
 
 // Next returns what is to be sent now, or nil.
 func (e *Encoder) Next(nowMs int64, source Source) *Message {
-	m := &Message{Dispatcher: e.dispatcher, Stream: e.stream, After: e.after, NowMs: nowMs}
+	m := &Message{Dispatcher: e.dispatcher, Stream: e.stream, Replaces: e.replaces, NowMs: nowMs}
 	switch {
 	case e.unacked != nil:
 		// Repeated as it is: whether it was applied is not known.
-	case !e.begun && e.after == 0 && !source.HasWorkers():
+	case !e.started && e.replaces == 0 && !source.HasWorkers():
 		return nil // a dispatcher without workers sends nothing
-	case !e.begun && e.after == 0:
+	case !e.started && e.replaces == 0:
 		// Which stream the leader knows, it has to say first: a heartbeat of an unknown
 		// stream has it say so.
 		return m
-	case !e.begun:
-		e.begun = true
-		e.Note(nowMs, source.WorkerViews(), nil)
+	case !e.started:
+		e.started = true
+		e.Update(nowMs, source.WorkerViews(), nil)
 		e.makeFrame(nowMs)
 	case e.hasChanges():
 		e.makeFrame(nowMs)
-	case nowMs-e.repliedMs >= heartbeatMs && len(e.sent) > 0:
+	case nowMs-e.lastAckMs >= heartbeatMs && len(e.sent) > 0:
 		m.Seq, m.Workers, m.Digest = e.seq, len(e.sent), digest(e.sent)
 		return m
 	default:
@@ -91,18 +91,18 @@
 // makeFrame makes a frame of what changed, up to its bound.
 func (e *Encoder) makeFrame(nowMs int64) {
 	e.seq++
-	frame := &Frame{Seq: e.seq, AtMs: nowMs, Whole: e.seq == 1}
+	frame := &Frame{Seq: e.seq, AtMs: nowMs, Initial: e.seq == 1}
 	for name, now := range e.pending {
 		if len(frame.Changes) == maxFrameViews {
 			break
 		}
 		delete(e.pending, name)
 		change := diff(e.sent[name], now)
-		change.BackMs = nowMs - now.atMs
+		change.LagMs = nowMs - now.atMs
 		applied, err := change.apply(e.sent[name], nowMs)
 		if err != nil {
 			change = diff(nil, now) // whatever it is that can't be sent as a change
-			change.BackMs = nowMs - now.atMs
+			change.LagMs = nowMs - now.atMs
 			applied = now
 		}
 		e.sent[name] = &applied
@@ -117,9 +117,9 @@
 	e.unacked = frame
 }
 
-// Took handles the leader's reply to the last message, and reports whether there is more to
+// HandleReply handles the leader's reply to the last message, and reports whether there is more to
 // be sent at once.
-func (e *Encoder) Took(nowMs int64, r Reply) (more bool) {
+func (e *Encoder) HandleReply(nowMs int64, r Reply) (more bool) {
 	switch {
 	case r.Stream != e.stream:
 		e.restart(r.Stream)
@@ -128,10 +128,10 @@
 		e.restart(r.Stream)
 		return false // after a pause: it may be refused again
 	case e.unacked != nil && r.Seq >= e.unacked.Seq:
-		e.unacked, e.repliedMs = nil, nowMs
+		e.unacked, e.lastAckMs = nil, nowMs
 		return e.hasChanges()
 	case e.unacked == nil:
-		e.repliedMs = nowMs
+		e.lastAckMs = nowMs
 	}
 	return false
 }
--- a/internal/viewsync/messages.go
+++ b/internal/viewsync/messages.go
@@ -6,7 +6,7 @@
 type Frame struct {
 	Seq     uint64   `json:"q"`           // from 1 on, without gaps
 	AtMs    int64    `json:"t"`           // on the dispatcher's steady clock
-	Whole   bool     `json:"w,omitempty"` // the first frame: nothing is known yet
+	Initial bool     `json:"w,omitempty"` // the first frame: nothing is known yet
 	Changes []Change `json:"c,omitempty"`
 	Removed []string `json:"g,omitempty"` // workers that the dispatcher does not know any more
 }
@@ -16,7 +16,7 @@
 type Message struct {
 	Dispatcher string `json:"h"` // the dispatcher
 	Stream     uint64 `json:"s"`
-	After      uint64 `json:"a,omitempty"` // the stream that this one replaces, for its first frame
+	Replaces   uint64 `json:"a,omitempty"` // the stream that this one replaces, for its first frame
 	Seq        uint64 `json:"q,omitempty"` // heartbeat: the last acknowledged frame
 	Workers    int    `json:"m,omitempty"` // heartbeat: the workers known then
 	Digest     uint64 `json:"d,omitempty"` // heartbeat: see digest
@@ -31,12 +31,12 @@
 	Refused bool   `json:"r,omitempty"` // it can't go on with the stream that was sent
 }
 
-// streamIDs is how many stream identifiers there are: those that every reader of JSON
+// streamIDCount is how many stream identifiers there are: those that every reader of JSON
 // keeps exact.
-const streamIDs = 1 << 53
+const streamIDCount = 1 << 53
 
 // newStream draws the identifier of a stream, never 0.
-func newStream() uint64 { return 1 + rand.Uint64N(streamIDs-1) }
+func newStream() uint64 { return 1 + rand.Uint64N(streamIDCount-1) }
 
 // Odd numbers that spread bits in digest.
 const (
--- a/internal/viewsync/model_test.go
+++ b/internal/viewsync/model_test.go
@@ -40,7 +40,7 @@
 
 func (w *model) clock() int64 { return w.nowMs - w.startMs }
 
-func (w *model) note(name string, v dispatch.WorkerView, known bool) {
+func (w *model) recordVersion(name string, v dispatch.WorkerView, known bool) {
 	n := len(w.versions)
 	v.Name, v.Token = name, uint64(n)
 	w.versions = append(w.versions, version{known, w.nowMs, v})
@@ -68,10 +68,10 @@
 
 func (w *model) asOf(n int, ms int64) dispatch.WorkerView {
 	v := w.versions[n]
-	return state{v.atMs, rounding(v.view)}.advanced(ms).view
+	return state{v.atMs, roundedView(v.view)}.advancedTo(ms).view
 }
 
-func (w *model) gather() {
+func (w *model) updateEncoder() {
 	var changed []dispatch.WorkerView
 	var removed []string
 	for _, name := range slices.Sorted(maps.Keys(w.changed)) {
@@ -82,11 +82,11 @@
 		}
 	}
 	clear(w.changed)
-	w.encoder.Note(w.clock(), changed, removed)
+	w.encoder.Update(w.clock(), changed, removed)
 }
 
 func (w *model) send() {
-	w.gather()
+	w.updateEncoder()
 	m := w.encoder.Next(w.clock(), w)
 	if m == nil {
 		return
@@ -98,22 +98,22 @@
 	w.messages = append(w.messages, data)
 }
 
-func (w *model) arrive(i int) {
+func (w *model) handleMessage(i int) {
 	var m Message
 	if err := json.Unmarshal(w.messages[i], &m); err != nil {
 		w.t.Fatal(err)
 	}
-	_, reply, err := w.decoder.Take(&m)
+	_, reply, err := w.decoder.Apply(&m)
 	if err != nil {
 		w.t.Fatalf("refused: %v", err)
 	}
 	w.replies = append(w.replies, reply)
 }
 
-func (w *model) reply(i int) {
+func (w *model) handleReply(i int) {
 	stream := w.encoder.stream
-	w.encoder.Took(w.clock(), w.replies[i])
-	if e := w.encoder; e.stream != stream || !e.begun || e.unacked != nil || w.replies[i].Stream != e.stream || w.replies[i].Seq < e.seq || w.decoder.stream != e.stream {
+	w.encoder.HandleReply(w.clock(), w.replies[i])
+	if e := w.encoder; e.stream != stream || !e.started || e.unacked != nil || w.replies[i].Stream != e.stream || w.replies[i].Seq < e.seq || w.decoder.stream != e.stream {
 		return
 	}
 	for name, s := range w.encoder.sent {
@@ -132,11 +132,11 @@
 			w.t.Fatalf("%s: version %d, when %d was acknowledged", name, n, w.acked[name])
 		}
 		want, got := w.versions[n].view, s.view
-		want = rounding(want)
+		want = roundedView(want)
 		got.Dispatcher = want.Dispatcher
 		// How much time has passed since, the ages say: all must say the same.
 		passed := got.AgeS - want.AgeS
-		want = state{0, want}.advanced(milliseconds(passed)).view
+		want = state{0, want}.advancedTo(milliseconds(passed)).view
 		if err := sameViews(got, want); err != nil {
 			w.t.Fatalf("%s: a mix, version %d: %v\n%+v\n%+v", name, n, err, got, want)
 		}
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// viewAfter draws what a worker's view becomes.
-func viewAfter(t *rapid.T, v dispatch.WorkerView) dispatch.WorkerView {
+// drawNextView draws what a worker's view becomes.
+func drawNextView(t *rapid.T, v dispatch.WorkerView) dispatch.WorkerView {
 	few := rapid.IntRange(0, 3)
 	waits := rapid.SliceOfN(rapid.IntRange(0, 20_000), 0, 3)
 	if rapid.Bool().Draw(t, "reported") {
@@ -219,8 +219,8 @@
 	return v
 }
 
-// settle lets messages through until nothing is left to be sent.
-func (w *model) settle() {
+// syncUntilIdle lets messages through until nothing is left to be sent.
+func (w *model) syncUntilIdle() {
 	w.messages, w.replies = nil, nil
 	w.nowMs += heartbeatMs // else nobody would query a leader that has just restarted
 	for range 20 {
@@ -228,12 +228,12 @@
 		if len(w.messages) == 0 {
 			break
 		}
-		w.arrive(0)
-		w.reply(0)
+		w.handleMessage(0)
+		w.handleReply(0)
 		w.check()
 		w.messages, w.replies = nil, nil
 	}
-	if len(w.current) == 0 && !w.encoder.begun {
+	if len(w.current) == 0 && !w.encoder.started {
 		return // a dispatcher that has restarted, and has no workers, sends nothing
 	}
 	if len(w.decoder.states) != len(w.current) {
@@ -252,7 +252,7 @@
 	if len(w.messages) != 1 {
 		w.t.Fatal("no heartbeat")
 	}
-	w.arrive(0)
+	w.handleMessage(0)
 	if w.replies[0].Refused || w.replies[0].Stream != w.encoder.stream {
 		w.t.Fatal("a heartbeat of equal ends is refused")
 	}
--- a/internal/viewsync/publisher.go
+++ b/internal/viewsync/publisher.go
@@ -42,9 +42,9 @@
 	return &Publisher{dispatcher: dispatcher, source: source, encoders: map[string]*Encoder{}}
 }
 
-// Gather takes up what changed since the last call, for these leaders; streams to others end. A
+// CollectChanges takes up what changed since the last call, for these leaders; streams to others end. A
 // view costs a matrix: none is made for nobody.
-func (p *Publisher) Gather(nowMs int64, leaders []string) {
+func (p *Publisher) CollectChanges(nowMs int64, leaders []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name := range p.encoders {
@@ -62,7 +62,7 @@
 	}
 	changed, removed := p.source.ChangedViews()
 	for _, encoder := range p.encoders {
-		encoder.Note(nowMs, changed, removed)
+		encoder.Update(nowMs, changed, removed)
 	}
 }
 
@@ -83,5 +83,5 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	encoder := p.encoders[leader]
-	return encoder != nil && encoder.Took(nowMs, r)
+	return encoder != nil && encoder.HandleReply(nowMs, r)
 }
--- a/internal/viewsync/receiver.go
+++ b/internal/viewsync/receiver.go
@@ -38,10 +38,10 @@
 	return &Receiver{sink: sink, dispatchers: dispatchers, replicas: map[string]*Decoder{}}
 }
 
-// Take applies a dispatcher's message and passes what changed to the scheduler. The reply goes to
+// HandleMessage applies a dispatcher's message and passes what changed to the scheduler. The reply goes to
 // the dispatcher with an error too: it says that the message was not applied. The errors are
 // ErrNoOwner and ErrMalformed.
-func (r *Receiver) Take(m *Message) (Reply, error) {
+func (r *Receiver) HandleMessage(m *Message) (Reply, error) {
 	if !slices.Contains(r.dispatchers, m.Dispatcher) {
 		return Reply{}, fmt.Errorf("%w: no such dispatcher: %q", ErrMalformed, m.Dispatcher)
 	}
@@ -61,7 +61,7 @@
 		replica = NewDecoder()
 		r.replicas[m.Dispatcher] = replica
 	}
-	changed, reply, err := replica.Take(m)
+	changed, reply, err := replica.Apply(m)
 	for _, view := range changed {
 		r.sink.ObserveWorker(view)
 	}
--- a/internal/viewsync/receiver_test.go
+++ b/internal/viewsync/receiver_test.go
@@ -26,17 +26,17 @@
 func TestAllViewsObservedAfterFailover(t *testing.T) {
 	sink := &epochSink{}
 	r := NewReceiver(sink, []string{"h"})
-	p := NewPublisher("h", oneView{dispatch.WorkerView{Name: "n-1", Type: "m"}})
+	p := NewPublisher("h", singleWorkerSource{dispatch.WorkerView{Name: "n-1", Type: "m"}})
 	nowMs := int64(0)
 	sync := func() {
 		nowMs += heartbeatMs
-		p.Gather(nowMs, []string{"o"})
+		p.CollectChanges(nowMs, []string{"o"})
 		for more := true; more; {
 			m := p.Next(nowMs, "o")
 			if m == nil {
 				return
 			}
-			reply, err := r.Take(m)
+			reply, err := r.HandleMessage(m)
 			if err != nil && !errors.Is(err, ErrNotLeading) {
 				t.Fatal(err)
 			}
@@ -54,7 +54,7 @@
 			t.Errorf("step %d: observed %v, not %d times", step, sink.observed, want.observed)
 		}
 	}
-	if _, err := r.Take(&Message{Dispatcher: "x", Stream: 3}); !errors.Is(err, ErrMalformed) {
+	if _, err := r.HandleMessage(&Message{Dispatcher: "x", Stream: 3}); !errors.Is(err, ErrMalformed) {
 		t.Errorf("a message of a dispatcher that is not known: %v", err)
 	}
 }
--- a/internal/viewsync/stream_test.go
+++ b/internal/viewsync/stream_test.go
@@ -12,16 +12,16 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// pick draws one of n messages or replies that are under way.
-func pick(t *rapid.T, n int) int {
+// drawIndex draws one of n messages or replies that are under way.
+func drawIndex(t *rapid.T, n int) int {
 	if n == 0 {
 		t.Skip("nothing is under way")
 	}
 	return rapid.IntRange(0, n-1).Draw(t, "which")
 }
 
-// delivered removes what was delivered, unless a copy of it stays under way.
-func delivered[T any](t *rapid.T, underWay []T, i int) []T {
+// removeOrDuplicate removes what was removeOrDuplicate, unless a copy of it stays under way.
+func removeOrDuplicate[T any](t *rapid.T, underWay []T, i int) []T {
 	if rapid.IntRange(0, 2).Draw(t, "copy") > 0 {
 		return slices.Delete(underWay, i, i+1)
 	}
@@ -34,39 +34,39 @@
 	if n, ok := w.current[name]; ok {
 		old = w.asOf(n, w.nowMs)
 	}
-	w.note(name, viewAfter(t, old), true)
+	w.recordVersion(name, drawNextView(t, old), true)
 }
 
 func (w *model) remove(t *rapid.T) {
 	name := workerNames.Draw(t, "worker")
 	if n, ok := w.current[name]; ok {
-		w.note(name, w.versions[n].view, false)
+		w.recordVersion(name, w.versions[n].view, false)
 	}
 }
 
 func (w *model) deliverMessage(t *rapid.T) {
-	i := pick(t, len(w.messages))
-	w.arrive(i)
-	w.messages = delivered(t, w.messages, i)
+	i := drawIndex(t, len(w.messages))
+	w.handleMessage(i)
+	w.messages = removeOrDuplicate(t, w.messages, i)
 }
 
 func (w *model) deliverReply(t *rapid.T) {
-	i := pick(t, len(w.replies))
-	w.reply(i)
-	w.replies = delivered(t, w.replies, i)
+	i := drawIndex(t, len(w.replies))
+	w.handleReply(i)
+	w.replies = removeOrDuplicate(t, w.replies, i)
 }
 
 func (w *model) loseMessage(t *rapid.T) {
-	i := pick(t, len(w.messages))
+	i := drawIndex(t, len(w.messages))
 	w.messages = slices.Delete(w.messages, i, i+1)
 }
 
-// call sends a message, which is replied to without trouble.
-func (w *model) call(*rapid.T) {
+// roundTrip sends a message, which is replied to without trouble.
+func (w *model) roundTrip(*rapid.T) {
 	w.send()
 	if len(w.messages) > 0 {
-		w.arrive(len(w.messages) - 1)
-		w.reply(len(w.replies) - 1)
+		w.handleMessage(len(w.messages) - 1)
+		w.handleReply(len(w.replies) - 1)
 	}
 }
 
@@ -97,7 +97,7 @@
 			"send": send, "send again": send,
 			"arrive": w.deliverMessage, "arrive again": w.deliverMessage,
 			"answer": w.deliverReply, "answer again": w.deliverReply,
-			"answered":            w.call,
+			"answered":            w.roundTrip,
 			"remove":              w.remove,
 			"time":                func(t *rapid.T) { w.nowMs += rapid.Int64Range(1, 7000).Draw(t, "ms") },
 			"lose":                w.loseMessage,
@@ -105,16 +105,16 @@
 			"leader restarts":     w.restartLeader,
 			"":                    func(*rapid.T) { w.check() },
 		})
-		w.settle()
+		w.syncUntilIdle()
 	})
 }
 
-// oneView is a dispatcher of one worker.
-type oneView struct{ view dispatch.WorkerView }
+// singleWorkerSource is a dispatcher of one worker.
+type singleWorkerSource struct{ view dispatch.WorkerView }
 
-func (oneView) HasWorkers() bool                                { return true }
-func (o oneView) WorkerViews() []dispatch.WorkerView            { return []dispatch.WorkerView{o.view} }
-func (oneView) ChangedViews() ([]dispatch.WorkerView, []string) { return nil, nil }
+func (singleWorkerSource) HasWorkers() bool                                { return true }
+func (o singleWorkerSource) WorkerViews() []dispatch.WorkerView            { return []dispatch.WorkerView{o.view} }
+func (singleWorkerSource) ChangedViews() ([]dispatch.WorkerView, []string) { return nil, nil }
 
 // FuzzMalformedMessage checks that whatever comes, a message that is refused changes nothing.
 func FuzzMalformedMessage(f *testing.F) {
@@ -125,18 +125,18 @@
 			Name: "n-1", Type: "m", Session: 1, Seq: 4, Token: 2, Tasks: []dispatch.TaskView{{Task: wire.Task{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}},
 			Matrix: matching.WaitMatrix{{Free: matching.Resources{CPUs: 1}}, {WaitS: 3, Free: matching.Resources{CPUs: 2}}},
 		}
-		e.after = d.stream
-		_, r, err := d.Take(e.Next(0, oneView{v}))
+		e.replaces = d.stream
+		_, r, err := d.Apply(e.Next(0, singleWorkerSource{v}))
 		if err != nil {
 			f.Fatal(err)
 		}
-		e.Took(0, r)
+		e.HandleReply(0, r)
 		return e, d
 	}
 	e, d := known()
 	v := d.states["n-1"].view
 	v.Seq, v.Tasks, v.Matrix = 5, nil, matching.WaitMatrix{{Free: matching.Resources{CPUs: 2}}}
-	e.Note(100, []dispatch.WorkerView{v}, nil)
+	e.Update(100, []dispatch.WorkerView{v}, nil)
 	for _, m := range []*Message{e.Next(200, nil), {Stream: d.stream, Seq: d.seq, Workers: 1}} {
 		data, err := json.Marshal(m)
 		if err != nil {
@@ -161,7 +161,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		changed, reply, err := d.Take(&m)
+		changed, reply, err := d.Apply(&m)
 		if err == nil && !reply.Refused {
 			return
 		}
@@ -179,17 +179,17 @@
 // both ends agree.
 func TestWorkerRemovedBeforeItWasSent(t *testing.T) {
 	e, d := NewEncoder("h"), NewDecoder()
-	e.after = d.stream
-	m := e.Next(0, oneView{dispatch.WorkerView{Name: "n-1", Type: "m"}})
-	e.Note(1, []dispatch.WorkerView{{Name: "n-2", Type: "m"}}, nil)
-	e.Note(2, nil, []string{"n-2"})
+	e.replaces = d.stream
+	m := e.Next(0, singleWorkerSource{dispatch.WorkerView{Name: "n-1", Type: "m"}})
+	e.Update(1, []dispatch.WorkerView{{Name: "n-2", Type: "m"}}, nil)
+	e.Update(2, nil, []string{"n-2"})
 	for at := int64(3); m != nil; at += heartbeatMs {
-		_, r, err := d.Take(m)
+		_, r, err := d.Apply(m)
 		if err != nil || r.Refused {
 			t.Fatalf("refused: %+v, %v", m, err)
 		}
-		e.Took(at, r)
-		if m = e.Next(at, oneView{}); m != nil && m.Frame != nil {
+		e.HandleReply(at, r)
+		if m = e.Next(at, singleWorkerSource{}); m != nil && m.Frame != nil {
 			t.Fatalf("there was nothing to send, but: %+v", m.Frame)
 		}
 	}
--- a/internal/viewsync/view_state.go
+++ b/internal/viewsync/view_state.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// forToleranceS is by how many seconds the age of a task's state may be off before it
+	// stateAgeToleranceS is by how many seconds the age of a task's state may be off before it
 	// is sent anew.
-	forToleranceS = 0.05
+	stateAgeToleranceS = 0.05
 	// waitToleranceS is the same for the waits of a matrix.
 	waitToleranceS = 0.1
 	// ageToleranceS is the same for the age of a report, and of its answer.
 	ageToleranceS = 0.02
 
-	perSecond = 1000 // times are sent in ms
-	perAmount = 1e9  // and amounts rounded: sums of fractions take 17 digits otherwise
+	msPerSecond = 1000 // times are sent in ms
+	amountScale = 1e9  // and amounts rounded: sums of fractions take 17 digits otherwise
 )
 
 // state is a worker's view as of a time on its dispatcher's steady clock.
@@ -29,17 +29,17 @@
 	view dispatch.WorkerView
 }
 
-func milliseconds(seconds float64) int64 { return int64(math.Round(seconds * perSecond)) }
+func milliseconds(seconds float64) int64 { return int64(math.Round(seconds * msPerSecond)) }
 
-func rounded(seconds float64) float64 { return float64(milliseconds(seconds)) / perSecond }
+func rounded(seconds float64) float64 { return float64(milliseconds(seconds)) / msPerSecond }
 
 func roundedResources(r matching.Resources) matching.Resources {
-	round := func(x float64) float64 { return math.Round(x*perAmount) / perAmount }
+	round := func(x float64) float64 { return math.Round(x*amountScale) / amountScale }
 	return matching.Resources{CPUs: round(r.CPUs), GPUs: round(r.GPUs), MemoryGB: round(r.MemoryGB)}
 }
 
-// rounding gives a view the precision in which it is sent.
-func rounding(v dispatch.WorkerView) dispatch.WorkerView {
+// roundedView gives a view the precision in which it is sent.
+func roundedView(v dispatch.WorkerView) dispatch.WorkerView {
 	v.AgeS, v.UnansweredS = rounded(v.AgeS), rounded(v.UnansweredS)
 	v.Tasks = slices.Clone(v.Tasks)
 	for i := range v.Tasks {
@@ -54,15 +54,15 @@
 	for i := range v.Matrix {
 		v.Matrix[i] = matching.WaitRow{WaitS: rounded(v.Matrix[i].WaitS), Free: roundedResources(v.Matrix[i].Free)}
 	}
-	if !inOrder(v.Matrix) {
+	if !sortedByWait(v.Matrix) {
 		v.Matrix = nil // the leader would refuse the whole frame for it
 	}
 	return v
 }
 
-// advanced lets time pass: ages grow, waits shrink.
-func (s state) advanced(toMs int64) state {
-	passed := float64(toMs-s.atMs) / perSecond
+// advancedTo lets time pass: ages grow, waits shrink.
+func (s state) advancedTo(toMs int64) state {
+	passed := float64(toMs-s.atMs) / msPerSecond
 	view := s.view
 	view.AgeS, view.UnansweredS = rounded(view.AgeS+passed), rounded(view.UnansweredS+passed)
 	view.Tasks = slices.Clone(view.Tasks)
@@ -78,9 +78,9 @@
 	return state{toMs, view}
 }
 
-// inOrder reports whether a matrix's rows stand in the order of their waits: look-ups take
+// sortedByWait reports whether a matrix's rows stand in the order of their waits: look-ups take
 // the first row that fits for the earliest.
-func inOrder(m matching.WaitMatrix) bool {
+func sortedByWait(m matching.WaitMatrix) bool {
 	for i := range m {
 		if m[i].WaitS < 0 || i > 0 && m[i].WaitS < m[i-1].WaitS {
 			return false
@@ -89,27 +89,27 @@
 	return true
 }
 
-// rowFigures is how many figures a row of a matrix takes: its wait, CPUs, GPUs, memory.
-const rowFigures = 4
+// valuesPerRow is how many figures a row of a matrix takes: its wait, CPUs, GPUs, memory.
+const valuesPerRow = 4
 
-// packed is a matrix row by row without names, which would take half of a change.
-func packed(m matching.WaitMatrix) []float64 {
-	figures := make([]float64, 0, rowFigures*len(m))
+// packMatrix is a matrix row by row without names, which would take half of a change.
+func packMatrix(m matching.WaitMatrix) []float64 {
+	figures := make([]float64, 0, valuesPerRow*len(m))
 	for _, row := range m {
 		figures = append(figures, row.WaitS, row.Free.CPUs, row.Free.GPUs, row.Free.MemoryGB)
 	}
 	return figures
 }
 
-func unpacked(figures []float64) matching.WaitMatrix {
-	m := make(matching.WaitMatrix, 0, len(figures)/rowFigures)
-	for row := range slices.Chunk(figures, rowFigures) {
+func unpackMatrix(figures []float64) matching.WaitMatrix {
+	m := make(matching.WaitMatrix, 0, len(figures)/valuesPerRow)
+	for row := range slices.Chunk(figures, valuesPerRow) {
 		m = append(m, matching.WaitRow{WaitS: row[0], Free: matching.Resources{CPUs: row[1], GPUs: row[2], MemoryGB: row[3]}})
 	}
 	return m
 }
 
-func waits(m matching.WaitMatrix) []float64 {
+func matrixWaits(m matching.WaitMatrix) []float64 {
 	out := make([]float64, 0, len(m))
 	for _, row := range m {
 		out = append(out, row.WaitS)
@@ -117,7 +117,7 @@
 	return out
 }
 
-func near(a, b, tolerance float64) bool { return math.Abs(a-b) <= tolerance }
+func withinTolerance(a, b, tolerance float64) bool { return math.Abs(a-b) <= tolerance }
 
 func samePointee[T comparable](a, b *T) bool {
 	return a == b || a != nil && b != nil && *a == *b
@@ -129,14 +129,14 @@
 
 func sameMatrix(a, b matching.WaitMatrix) bool {
 	return slices.EqualFunc(a, b, func(x, y matching.WaitRow) bool {
-		return x.Free == y.Free && near(x.WaitS, y.WaitS, waitToleranceS) && (x.WaitS > 0) == (y.WaitS > 0)
+		return x.Free == y.Free && withinTolerance(x.WaitS, y.WaitS, waitToleranceS) && (x.WaitS > 0) == (y.WaitS > 0)
 	})
 }
 
 func sameTasks(a, b []dispatch.TaskView) bool { return slices.EqualFunc(a, b, sameTask) }
 
 func sameTask(a, b dispatch.TaskView) bool {
-	return sameReport(a.Task, b.Task) && a.ResourcesUnknown == b.ResourcesUnknown && near(a.StateAgeS, b.StateAgeS, forToleranceS)
+	return sameReport(a.Task, b.Task) && a.ResourcesUnknown == b.ResourcesUnknown && withinTolerance(a.StateAgeS, b.StateAgeS, stateAgeToleranceS)
 }
 
 func sameReport(a, b wire.Task) bool {
