--- a/internal/cancellation/capacity_test.go
+++ b/internal/cancellation/capacity_test.go
@@ -9,9 +9,9 @@
 	"github.com/wallrack/wallrack/internal/capacity"
 )
 
-// confirmed is a registry that confirmed so many cancels, of which its peer has not
+// newRegistryWithCancels is a registry that newRegistryWithCancels so many cancels, of which its peer has not
 // acknowledged any.
-func confirmed(tb testing.TB, cancels int) *Registry {
+func newRegistryWithCancels(tb testing.TB, cancels int) *Registry {
 	r := New(Options{Peers: []string{"b"}, Limit: time.Minute, LeaseRemaining: func() time.Duration { return time.Minute }})
 	r.mayConfirm = true
 	for i := range cancels {
@@ -24,7 +24,7 @@
 
 var capacitySeries = []capacity.Series{
 	{Name: "cancellation.message", Sizes: []int{1, 10, 100, 1000}, FixedSlack: 20, Measure: func(tb testing.TB, cancels int) float64 {
-		r := confirmed(tb, cancels)
+		r := newRegistryWithCancels(tb, cancels)
 		r.lastStamp = 1_000_000_000_000 // of a fixed number of digits
 		r.incarnation = 1 << 63
 		data, err := json.Marshal(r.MessageFor("b"))
@@ -35,7 +35,7 @@
 	}},
 	{Name: "cancellation.heap", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 4000, Measure: func(tb testing.TB, cancels int) float64 {
 		// How a map splits its groups depends on the seed of its hashes.
-		return capacity.Median(func() float64 { return capacity.Heap(func() any { return confirmed(tb, cancels) }) })
+		return capacity.Median(func() float64 { return capacity.Heap(func() any { return newRegistryWithCancels(tb, cancels) }) })
 	}},
 }
 
--- a/internal/cancellation/confirm.go
+++ b/internal/cancellation/confirm.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// armTimeout is how long a controller that has reported that it can't confirm cancels
+// resumeConfirmTimeout is how long a controller that has reported that it can't confirm cancels
 // confirms none, unless all peers have received that it can again: longer than a process
 // usually takes to restart.
-const armTimeout = 10 * time.Second
+const resumeConfirmTimeout = 10 * time.Second
 
 // ErrCannotConfirm means that a cancel can't be confirmed at present: peers that might
 // not receive it were notified that nothing is confirmed here.
@@ -45,19 +45,19 @@
 // armTimeout.
 func (r *Registry) mayConfirmLocked(now time.Time) bool {
 	if r.leaseRemaining() <= 0 {
-		r.mayConfirm, r.rearmStamp = false, 0
+		r.mayConfirm, r.resumeStamp = false, 0
 		return false
 	}
 	if r.mayConfirm || len(r.peers) == 0 {
 		return true // without peers nobody is notified, and there is nobody to miss a cancel
 	}
-	if r.rearmStamp == 0 {
+	if r.resumeStamp == 0 {
 		return false // no message has said so yet
 	}
 	received := true
 	for _, p := range r.peers {
-		received = received && p.echoedStamp >= r.rearmStamp
+		received = received && p.echoedStamp >= r.resumeStamp
 	}
-	r.mayConfirm = received || now.Sub(r.disarmedAt) > armTimeout
+	r.mayConfirm = received || now.Sub(r.suspendedAt) > resumeConfirmTimeout
 	return r.mayConfirm
 }
--- a/internal/cancellation/known.go
+++ b/internal/cancellation/known.go
@@ -4,10 +4,10 @@
 
 const (
 	maxPastIncarnations = 32 // of a peer that are remembered
-	// driftRate is four times what two steady clocks may differ by.
-	driftRate  = 0.002
-	quietSlack = 100 * time.Millisecond
-	stampLead  = time.Millisecond // more than stamps, which are never equal, may run ahead of time
+	// clockDriftMargin is four times what two steady clocks may differ by.
+	clockDriftMargin = 0.002
+	noConfirmSlack   = 100 * time.Millisecond
+	stampLead        = time.Millisecond // more than stamps, which are never equal, may run ahead of time
 )
 
 // peer is what is known of another controller from its messages.
@@ -19,15 +19,15 @@
 	updatesAcknowledged uint64    // this controller's updates up to this number are known there
 	echoedStamp         int64     // of this controller's newest message that it echoed
 	knownUntil          time.Time // all that it confirmed before is known here
-	quietUntil          time.Time // it confirms nothing before, unless a message says otherwise
-	covered             bool      // what its earlier incarnations confirmed is known here
+	noConfirmUntil      time.Time // it confirms nothing before, unless a message says otherwise
+	pastCovered         bool      // what its earlier incarnations confirmed is known here
 	needsReadAfter      time.Time // the send from which on a read of the state service makes it so
 }
 
-// until is the time before which nothing unknown was confirmed.
-func (p *peer) until() time.Time {
-	if p.quietUntil.After(p.knownUntil) {
-		return p.quietUntil
+// coveredUntil is the time before which nothing unknown was confirmed.
+func (p *peer) coveredUntil() time.Time {
+	if p.noConfirmUntil.After(p.knownUntil) {
+		return p.noConfirmUntil
 	}
 	return p.knownUntil
 }
@@ -36,9 +36,9 @@
 // before confirmed after its last message is known only if it had said that it confirms
 // nothing, or from the state service, by a read sent after this incarnation's start.
 func (p *peer) beginIncarnation(m *Message, storeReadSent, now time.Time) {
-	began := now.Add(stampLead - time.Duration(float64(m.Stamp)*(1-driftRate))*time.Microsecond)
-	p.covered = p.covered && p.until().After(now) || storeReadSent.After(began)
-	p.needsReadAfter = began
+	latestStart := now.Add(stampLead - time.Duration(float64(m.Stamp)*(1-clockDriftMargin))*time.Microsecond)
+	p.pastCovered = p.pastCovered && p.coveredUntil().After(now) || storeReadSent.After(latestStart)
+	p.needsReadAfter = latestStart
 	if p.incarnation != 0 {
 		recent := p.pastIncarnations[max(0, len(p.pastIncarnations)-maxPastIncarnations+1):]
 		p.pastIncarnations = append(recent, p.incarnation)
@@ -55,7 +55,7 @@
 		r.storeReadSent = sent
 	}
 	for _, p := range r.peers {
-		p.covered = p.covered || sent.After(p.needsReadAfter)
+		p.pastCovered = p.pastCovered || sent.After(p.needsReadAfter)
 	}
 	r.mu.Unlock()
 	r.notifyCancelled(fresh)
@@ -75,7 +75,7 @@
 	}
 	earliest := time.Now()
 	for _, p := range r.peers {
-		if until := p.until(); until.Before(earliest) {
+		if until := p.coveredUntil(); until.Before(earliest) {
 			earliest = until
 		}
 	}
@@ -95,7 +95,7 @@
 		return true
 	}
 	for _, p := range r.peers {
-		if !p.covered && p.incarnation != 0 {
+		if !p.pastCovered && p.incarnation != 0 {
 			return true
 		}
 	}
@@ -109,7 +109,7 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	for name, p := range r.peers {
-		if now.Sub(p.until()) > age {
+		if now.Sub(p.coveredUntil()) > age {
 			names = append(names, name)
 		}
 	}
--- a/internal/cancellation/known_test.go
+++ b/internal/cancellation/known_test.go
@@ -27,11 +27,11 @@
 // process is a controller's process.
 type process struct {
 	*cancellation.Registry
-	held bool // its lease
+	leaseHeld bool // its lease
 }
 
-// transitMessage is a message under way.
-type transitMessage struct {
+// inFlightMessage is a message under way.
+type inFlightMessage struct {
 	from, to int
 	message  cancellation.Message
 	response bool
@@ -50,7 +50,7 @@
 	processes []*process
 	recorded  []string             // cancels in the state service
 	confirmed map[string]time.Time // by whomever, first
-	transit   []transitMessage
+	inFlight  []inFlightMessage
 	reads     []storeRead
 	next      int // number of the next job
 }
@@ -63,7 +63,7 @@
 	return c
 }
 
-func name(i int) string { return string(rune('a' + i)) }
+func controllerName(i int) string { return string(rune('a' + i)) }
 
 // start starts a controller's process, in place of the one before.
 func (c *cluster) start(i int) {
@@ -71,11 +71,11 @@
 	var peers []string
 	for j := range c.processes {
 		if j != i {
-			peers = append(peers, name(j))
+			peers = append(peers, controllerName(j))
 		}
 	}
 	p.Registry = cancellation.New(cancellation.Options{Peers: peers, Limit: limit, LeaseRemaining: func() time.Duration {
-		if p.held {
+		if p.leaseHeld {
 			return time.Second
 		}
 		return 0
@@ -84,16 +84,16 @@
 }
 
 func (c *cluster) send(from, to int, response bool) {
-	c.transit = append(c.transit, transitMessage{from, to, c.processes[from].MessageFor(name(to)), response})
+	c.inFlight = append(c.inFlight, inFlightMessage{from, to, c.processes[from].MessageFor(controllerName(to)), response})
 }
 
 // deliver delivers the k-th message under way; with keep it may come again.
 func (c *cluster) deliver(k int, keep bool) {
-	m := c.transit[k]
+	m := c.inFlight[k]
 	if !keep {
-		c.transit = append(c.transit[:k], c.transit[k+1:]...)
+		c.inFlight = append(c.inFlight[:k], c.inFlight[k+1:]...)
 	}
-	if err := c.processes[m.to].HandleMessage(name(m.from), &m.message); err != nil {
+	if err := c.processes[m.to].HandleMessage(controllerName(m.from), &m.message); err != nil {
 		panic(err)
 	}
 	if !m.response {
@@ -103,8 +103,8 @@
 
 // deliverLast delivers the newest message and the response to it.
 func (c *cluster) deliverLast() {
-	c.deliver(len(c.transit)-1, false)
-	c.deliver(len(c.transit)-1, false)
+	c.deliver(len(c.inFlight)-1, false)
+	c.deliver(len(c.inFlight)-1, false)
 }
 
 // check is what the package guarantees: who claims to know all up to a time does.
@@ -114,7 +114,7 @@
 		for uid, at := range c.confirmed {
 			if at.Before(known) && !p.IsCancelled(uid) {
 				fail("%s claims to know all that was confirmed until %v ago, and does not know of %s, confirmed %v ago",
-					name(i), time.Since(known), uid, time.Since(at))
+					controllerName(i), time.Since(known), uid, time.Since(at))
 			}
 		}
 	}
@@ -122,8 +122,8 @@
 
 // clusterStep is one message, fault, read or cancel.
 type clusterStep struct {
-	What, Who, Other, Message, Ms int
-	Again                         bool
+	Kind, Controller, Peer, Message, Ms int
+	Again                               bool
 }
 
 func drawClusterStep(rt *rapid.T) clusterStep {
@@ -136,20 +136,20 @@
 
 func (c *cluster) apply(step clusterStep) {
 	controllers := len(c.processes)
-	i := step.Who % controllers
-	other := (i + 1 + step.Other%(controllers-1)) % controllers
-	switch step.What {
+	i := step.Controller % controllers
+	other := (i + 1 + step.Peer%(controllers-1)) % controllers
+	switch step.Kind {
 	case 0, 1, 2: // a ping and its response
 		c.send(i, other, false)
 		c.deliverLast()
 	case 3: // one that is under way for a while
 		c.send(i, other, false)
 	case 4:
-		if len(c.transit) > 0 {
-			c.deliver(step.Message%len(c.transit), step.Again)
+		if len(c.inFlight) > 0 {
+			c.deliver(step.Message%len(c.inFlight), step.Again)
 		}
 	case 5:
-		c.processes[i].held = !c.processes[i].held
+		c.processes[i].leaseHeld = !c.processes[i].leaseHeld
 	case 6, 7, 8:
 		c.cancel(c.processes[i])
 	case 9:
@@ -200,7 +200,7 @@
 		synctest.Test(t, func(*testing.T) {
 			c := newCluster(controllers)
 			for _, p := range c.processes {
-				p.held = true
+				p.leaseHeld = true
 				p.RecordStoreRead(time.Now(), c.recorded)
 			}
 			for _, step := range steps {
@@ -219,7 +219,7 @@
 func TestLateMessageOfEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2)
-		c.processes[0].held = true
+		c.processes[0].leaseHeld = true
 		ping := func() {
 			time.Sleep(100 * time.Millisecond)
 			c.send(0, 1, false)
@@ -230,7 +230,7 @@
 		ping()
 		c.send(1, 0, true) // delayed
 		c.start(1)
-		c.processes[1].held = true
+		c.processes[1].leaseHeld = true
 		for range 4 {
 			ping()
 		}
@@ -248,12 +248,12 @@
 // and a process that restarts within seconds, when nobody could confirm anything, changes
 // nothing for the others: in an outage of the state service no worker need be left
 // without responses.
-func TestKnownUntilFollowsDuringStateStoreOutage(t *testing.T) {
+func TestKnownUntilStaysRecentDuringStateStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(5)
 		time.Sleep(time.Millisecond)
 		for i := range c.processes {
-			c.processes[i].held = true
+			c.processes[i].leaseHeld = true
 			c.processes[i].RecordStoreRead(time.Now(), nil)
 		}
 		round := func() {
@@ -269,21 +269,21 @@
 		for sec := range 200 {
 			round()
 			for _, l := range c.processes {
-				if l.held && l.NeedsStoreRead(3*time.Second) {
+				if l.leaseHeld && l.NeedsStoreRead(3*time.Second) {
 					l.RecordStoreRead(time.Now(), nil)
 				}
 			}
 			switch {
 			case sec == 10: // the outage
 				for _, l := range c.processes {
-					l.held = false
+					l.leaseHeld = false
 				}
 			case sec == 30:
 				c.start(3)
 			case sec > 3:
 				for i, l := range c.processes {
 					if old := time.Since(l.KnownUntil()); old > 2100*time.Millisecond && (i != 3 || sec < 30) {
-						t.Fatalf("after %d s %s knows of all only up to %v ago", sec, name(i), old)
+						t.Fatalf("after %d s %s knows of all only up to %v ago", sec, controllerName(i), old)
 					}
 				}
 			}
@@ -299,7 +299,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2)
 		for _, p := range c.processes {
-			p.held = true
+			p.leaseHeld = true
 		}
 		ping := func() {
 			time.Sleep(time.Second)
--- a/internal/cancellation/message.go
+++ b/internal/cancellation/message.go
@@ -34,15 +34,15 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	r.trimLocked(now)
-	r.lastStamp = max(r.lastStamp+1, now.Sub(r.start).Microseconds())
+	r.lastStamp = max(r.lastStamp+1, now.Sub(r.startedAt).Microseconds())
 	m := Message{Incarnation: r.incarnation, Stamp: r.lastStamp}
 	if r.leaseRemaining() > 0 {
-		if r.rearmStamp == 0 {
-			r.rearmStamp = m.Stamp
+		if r.resumeStamp == 0 {
+			r.resumeStamp = m.Stamp
 		}
 		m.MayConfirm = true
 	} else {
-		r.mayConfirm, r.rearmStamp, r.disarmedAt = false, 0, now
+		r.mayConfirm, r.resumeStamp, r.suspendedAt = false, 0, now
 	}
 	if p := r.peers[to]; p != nil {
 		m.EchoIncarnation, m.Echo, m.Ack = p.incarnation, p.newestStamp, p.updatesReceived
@@ -109,7 +109,7 @@
 	if m.MayConfirm {
 		// Before the sender has this message echoed it confirms nothing, so
 		// that what it had promised ends here, at the latest.
-		p.quietUntil = time.Time{}
+		p.noConfirmUntil = time.Time{}
 	}
 	if m.EchoIncarnation != r.incarnation || m.Echo > r.lastStamp || m.Ack > r.droppedUpdates+uint64(len(r.updates)) {
 		return // it echoes nothing of this incarnation
@@ -118,14 +118,14 @@
 	if last := m.First + uint64(len(m.Updates)) - 1; m.First > 0 && last > p.updatesReceived {
 		p.updatesReceived = last
 	}
-	if m.More || !p.covered {
+	if m.More || !p.pastCovered {
 		return
 	}
-	echo := r.start.Add(time.Duration(m.Echo)*time.Microsecond - stampLead)
+	echo := r.startedAt.Add(time.Duration(m.Echo)*time.Microsecond - stampLead)
 	if echo.After(p.knownUntil) {
 		p.knownUntil = echo
 	}
 	if !m.MayConfirm {
-		p.quietUntil = echo.Add(time.Duration(float64(armTimeout)*(1-driftRate)) - quietSlack)
+		p.noConfirmUntil = echo.Add(time.Duration(float64(resumeConfirmTimeout)*(1-clockDriftMargin)) - noConfirmSlack)
 	}
 }
--- a/internal/cancellation/registry.go
+++ b/internal/cancellation/registry.go
@@ -41,7 +41,7 @@
 	retention      time.Duration        // for which a cancelled job is kept
 	minRetention   time.Duration        // the same beyond MaxJobs
 	incarnation    uint64               // of this process; never 0
-	start          time.Time
+	startedAt      time.Time
 
 	onCancelled func(uids []string)
 	onUpdates   func()
@@ -55,8 +55,8 @@
 	droppedUpdates uint64               // from the front
 	storeReadSent  time.Time            // the send of the newest read of the state service
 	mayConfirm     bool
-	disarmedAt     time.Time // when a message of this controller last said that it confirms nothing
-	rearmStamp     int64     // of the first message since that says otherwise; 0: none
+	suspendedAt    time.Time // when a message of this controller last said that it confirms nothing
+	resumeStamp    int64     // of the first message since that says otherwise; 0: none
 	lastStamp      int64     // of the last message
 }
 
@@ -80,8 +80,8 @@
 	now := time.Now()
 	r := &Registry{
 		leaseRemaining: o.LeaseRemaining, retention: recordRetention + o.Limit, minRetention: 2 * o.Limit,
-		incarnation: rand.Uint64() | 1, start: now, onCancelled: o.OnCancelled, onUpdates: o.OnUpdates,
-		peers: map[string]*peer{}, jobs: map[string]time.Time{}, confirmedHere: map[string]bool{}, disarmedAt: now,
+		incarnation: rand.Uint64() | 1, startedAt: now, onCancelled: o.OnCancelled, onUpdates: o.OnUpdates,
+		peers: map[string]*peer{}, jobs: map[string]time.Time{}, confirmedHere: map[string]bool{}, suspendedAt: now,
 	}
 	for _, name := range o.Peers {
 		r.peers[name] = &peer{needsReadAfter: now}
