--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -83,7 +83,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pingEvery)
 	defer cancel()
 	reply, err := mesh.Call[pingMessage, pingMessage](ctx, p.mesh, peer, methodPing, p.message(peer, time.Now()))
-	p.peers.Record(peer, err, true)
+	p.peers.RecordResult(peer, err, true)
 	if err == nil {
 		p.received(peer, reply)
 	}
--- a/internal/controller/prober.go
+++ b/internal/controller/prober.go
@@ -14,7 +14,7 @@
 
 const (
 	probeTimeout = 500 * time.Millisecond
-	probePause   = peerlinks.ProbeResultFor / 2 // between probes that peers requested
+	probePause   = peerlinks.ProbeResultValidity / 2 // between probes that peers requested
 )
 
 // prober finds out whether this controller reaches workers when it, or a peer, suspects that
@@ -36,7 +36,7 @@
 		return
 	}
 	success := p.dispatcher.ProbeEndpoints(p.lifetime.ctx, sample[:min(len(sample), reachability.SampleSize)], probeTimeout)
-	p.status.SetProbe(success)
+	p.status.SetProbeResult(success)
 	p.links.Invalidate()
 }
 
@@ -67,7 +67,7 @@
 	if suspected {
 		sample = p.dispatcher.SampleEndpoints(reachability.SampleSize)
 	}
-	p.status.SetSuspicion(sample, suspected)
+	p.status.SetProbeSample(sample, suspected)
 	p.links.Invalidate()
 	if suspected {
 		go p.probe(sample)
--- a/internal/controller/store_relay.go
+++ b/internal/controller/store_relay.go
@@ -36,6 +36,6 @@
 		return nil, fmt.Errorf("%w: no peer reaches it", statestore.ErrUnavailable)
 	}
 	rep, err := mesh.Call[statestore.RelayedRequest, statestore.RelayedResponse](ctx, r.mesh, serving[0], methodStore, &req)
-	r.peers.Record(serving[0], err, false)
+	r.peers.RecordResult(serving[0], err, false)
 	return rep, err
 }
--- a/internal/peerlinks/caller.go
+++ b/internal/peerlinks/caller.go
@@ -39,9 +39,9 @@
 	})
 }
 
-// Record notes how a call to a peer ended; Call does so itself. Only pings, which take no time,
+// RecordResult notes how a call to a peer ended; Call does so itself. Only pings, which take no time,
 // count against the link when they are late.
-func (c *Caller) Record(peer string, err error, ping bool) {
+func (c *Caller) RecordResult(peer string, err error, ping bool) {
 	refused, late := mesh.Unanswered(err)
 	if refused || !late || ping {
 		c.table.RecordCall(peer, !refused && !late, refused)
@@ -55,7 +55,7 @@
 	hop := c.view.Now().NextHop(peer)
 	if hop == peer {
 		rep, err := mesh.Call[Req, Rep](ctx, c.mesh, peer, method, req)
-		c.Record(peer, err, false)
+		c.RecordResult(peer, err, false)
 		return rep, err
 	}
 	body, err := json.Marshal(req)
--- a/internal/peerlinks/status.go
+++ b/internal/peerlinks/status.go
@@ -10,12 +10,12 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// ProbeResultFor is how long the outcome of a probe counts as this controller's present reach.
-const ProbeResultFor = 3 * time.Second
+// ProbeResultValidity is how long the outcome of a probe counts as this controller's present reach.
+const ProbeResultValidity = 3 * time.Second
 
 const (
-	storeTimeout        = 3 * time.Second        // without a response for so long the state service counts as unreachable
-	urgentAnnouncePause = 500 * time.Millisecond // between announcements that others wait for
+	storeTimeout           = 3 * time.Second        // without a response for so long the state service counts as unreachable
+	urgentAnnounceInterval = 500 * time.Millisecond // between announcements that others wait for
 )
 
 // Status is what this controller says of itself to the others. Other parts set what they
@@ -67,7 +67,7 @@
 		Node: s.node, StartedMs: s.startedMs, Seq: s.seq, StoreReachable: s.store.SinceLastSuccess() < storeTimeout && !s.store.UsesRelay(),
 		LeaseHeld: s.member.LeaseRemaining() > 0, LeadsShards: len(s.member.LedShards()) > 0, PreferredLeader: preferredLeader(s.member), CloudReachable: s.cloud.Reached(),
 		Heartbeats: s.heartbeats.Received, ExpectedHeartbeats: s.heartbeats.Expected, UnreachedPeers: s.table.UnreachedPeers(now),
-		ProbeSample: s.probe.sample, Probed: now.Sub(s.probe.at) < ProbeResultFor,
+		ProbeSample: s.probe.sample, Probed: now.Sub(s.probe.at) < ProbeResultValidity,
 		HeardWorkers: s.heartbeats.Workers, Assignments: s.assignments.Plan, WorkerCapacity: s.assignments.Capacity, WorkerCount: s.assignments.Workers,
 	}
 	if status.Probed {
@@ -98,9 +98,9 @@
 	return s.heartbeats.Expected, len(s.probe.sample) > 0
 }
 
-// SetSuspicion sets the endpoints that peers shall probe too; urgent if they are to get it
+// SetProbeSample sets the endpoints that peers shall probe too; urgent if they are to get it
 // at once.
-func (s *Status) SetSuspicion(sample []string, urgent bool) {
+func (s *Status) SetProbeSample(sample []string, urgent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probe.sample, s.probe.urgent = sample, urgent
@@ -113,8 +113,8 @@
 	return time.Since(s.probe.at)
 }
 
-// SetProbe notes the share of probed workers that responded. Others wait for it.
-func (s *Status) SetProbe(success float64) {
+// SetProbeResult notes the share of probed workers that responded. Others wait for it.
+func (s *Status) SetProbeResult(success float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probe.at, s.probe.success, s.probe.urgent = time.Now(), success, true
@@ -125,7 +125,7 @@
 func (s *Status) AnnouncementDue(now, last time.Time, pause time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.probe.urgent && now.Sub(last) >= urgentAnnouncePause {
+	if s.probe.urgent && now.Sub(last) >= urgentAnnounceInterval {
 		s.probe.urgent = false
 		return true
 	}
--- a/internal/peerlinks/view.go
+++ b/internal/peerlinks/view.go
@@ -7,8 +7,8 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// viewFor is how long a view is used before it is made anew.
-const viewFor = 100 * time.Millisecond
+// viewCacheTime is how long a view is used before it is made anew.
+const viewCacheTime = 100 * time.Millisecond
 
 // View is this controller's view of the links between controllers, workers and the state
 // service. It is safe for concurrent use.
@@ -26,7 +26,7 @@
 // Now returns the links as they are seen here now. The view must not be changed.
 func (v *View) Now() *reachability.View {
 	now := time.Now()
-	if cached := v.cached.Load(); cached != nil && now.Sub(cached.at) < viewFor {
+	if cached := v.cached.Load(); cached != nil && now.Sub(cached.at) < viewCacheTime {
 		return &cached.View
 	}
 	cached := &cachedView{v.table.View(v.status.Current(now), now), now}
