--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -106,7 +106,7 @@
 	for {
 		unreadable := 5 // no message is a number
 		_, err := mesh.Call[int, json.RawMessage](ctx, caller, "here", method, &unreadable)
-		if refused, _ := mesh.Unanswered(err); !refused || ctx.Err() != nil {
+		if refused, _ := mesh.ClassifyError(err); !refused || ctx.Err() != nil {
 			return status.Code(err)
 		}
 		time.Sleep(10 * time.Millisecond) // it does not listen yet
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	service        = "wallrack.Mesh"
-	maxMessage     = 4 << 20 // bytes
-	window         = 1 << 20 // bytes under way, in a connection or stream
-	maxConcurrent  = 64      // calls under way from a peer
-	connectTimeout = time.Second
-	pingEvery      = 10 * time.Second // on a connection with calls under way
-	pingTimeout    = 3 * time.Second
-	// leastPingPause is what a server tolerates; it must be below pingEvery.
-	leastPingPause = 2 * time.Second
+	service            = "wallrack.Mesh"
+	maxMessageBytes    = 4 << 20 // bytes
+	windowBytes        = 1 << 20 // bytes under way, in a connection or stream
+	maxConcurrentCalls = 64      // calls under way from a peer
+	connectTimeout     = time.Second
+	keepaliveInterval  = 10 * time.Second // on a connection with calls under way
+	keepaliveTimeout   = 3 * time.Second
+	// minKeepaliveInterval is what a server tolerates; it must be below pingEvery.
+	minKeepaliveInterval = 2 * time.Second
 )
 
 // ErrNoPeer means that no such controller is configured.
@@ -71,22 +71,22 @@
 func dialOptions() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.CallContentSubtype("json"), grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithDefaultCallOptions(grpc.CallContentSubtype("json"), grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.3, MaxDelay: time.Second},
 			MinConnectTimeout: connectTimeout,
 		}),
 		// A window that is set turns off the probing for a better one,
 		// which costs packets with every message.
-		grpc.WithInitialWindowSize(window), grpc.WithInitialConnWindowSize(window),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingEvery, Timeout: pingTimeout}),
+		grpc.WithInitialWindowSize(windowBytes), grpc.WithInitialConnWindowSize(windowBytes),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.WithNoProxy(), grpc.WithDisableServiceConfig(),
 	}
 }
 
-// Unanswered tells apart the ways in which a Call can end without a reply by the
+// ClassifyError tells apart the ways in which a Call can end without a reply by the
 // peer's handler: refused, if it could not even be sent, or late, if its context ended.
-func Unanswered(err error) (refused, late bool) {
+func ClassifyError(err error) (refused, late bool) {
 	code := status.Code(err)
 	return code == codes.Unavailable, code == codes.DeadlineExceeded || code == codes.Canceled
 }
@@ -131,20 +131,20 @@
 
 // A busy address is tried again for so long: a predecessor's connections may still hold it.
 const (
-	listenFor  = 20 * time.Second
-	listenWait = 200 * time.Millisecond
+	listenTimeout       = 20 * time.Second
+	listenRetryInterval = 200 * time.Millisecond
 )
 
 // Listen opens a TCP address, waiting for a predecessor to release it, and until ctx ends.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	for start := time.Now(); ; {
 		lis, err := net.Listen("tcp", addr)
-		if err == nil || ctx.Err() != nil || time.Since(start) > listenFor || !errors.Is(err, syscall.EADDRINUSE) {
+		if err == nil || ctx.Err() != nil || time.Since(start) > listenTimeout || !errors.Is(err, syscall.EADDRINUSE) {
 			return lis, err
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(listenWait):
+		case <-time.After(listenRetryInterval):
 		}
 	}
 }
@@ -156,9 +156,9 @@
 	if err != nil {
 		return fmt.Errorf("mesh: %w", err)
 	}
-	srv := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(maxConcurrent),
-		grpc.InitialWindowSize(window), grpc.InitialConnWindowSize(window),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: leastPingPause, PermitWithoutStream: true}))
+	srv := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxConcurrentCalls),
+		grpc.InitialWindowSize(windowBytes), grpc.InitialConnWindowSize(windowBytes),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minKeepaliveInterval, PermitWithoutStream: true}))
 	srv.RegisterService(&grpc.ServiceDesc{ServiceName: service, HandlerType: (*any)(nil), Methods: m.methods}, m)
 	stop := context.AfterFunc(ctx, srv.Stop)
 	defer stop()
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/mesh"
 )
 
-type note struct {
+type textMessage struct {
 	Text string `json:"text"`
 }
 
@@ -29,22 +29,22 @@
 		t.Fatal(err)
 	}
 	defer m.Close()
-	mesh.Handle(m, "Shout", func(_ context.Context, n *note) (*note, error) {
+	mesh.Handle(m, "Shout", func(_ context.Context, n *textMessage) (*textMessage, error) {
 		if n.Text == "" {
 			return nil, errors.New("nothing to say")
 		}
-		return &note{strings.ToUpper(n.Text)}, nil
+		return &textMessage{strings.ToUpper(n.Text)}, nil
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan struct{})
 	go func() { defer close(served); _ = m.Serve(ctx, here) }()
 	defer func() { cancel(); <-served }()
-	call := func(peer, text string) (*note, error) {
+	call := func(peer, text string) (*textMessage, error) {
 		callCtx, done := context.WithTimeout(ctx, 5*time.Second)
 		defer done()
-		return mesh.Call[note, note](callCtx, m, peer, "Shout", &note{text})
+		return mesh.Call[textMessage, textMessage](callCtx, m, peer, "Shout", &textMessage{text})
 	}
-	var rep *note
+	var rep *textMessage
 	for start := time.Now(); time.Since(start) < 5*time.Second; time.Sleep(10 * time.Millisecond) {
 		if rep, err = call("a", "hey"); err == nil {
 			break
--- a/internal/mesh/recorded_test.go
+++ b/internal/mesh/recorded_test.go
@@ -58,7 +58,7 @@
 	defer m.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	reply, err := mesh.Call[note, note](ctx, m, "a", "Shout", &note{"hey <you>"})
+	reply, err := mesh.Call[textMessage, textMessage](ctx, m, "a", "Shout", &textMessage{"hey <you>"})
 	if err != nil || reply.Text != "HEY" {
 		t.Fatalf("%+v, %v", reply, err)
 	}
@@ -82,9 +82,9 @@
 	}
 	defer m.Close()
 	var got string
-	mesh.Handle(m, "Shout", func(_ context.Context, n *note) (*note, error) {
+	mesh.Handle(m, "Shout", func(_ context.Context, n *textMessage) (*textMessage, error) {
 		got = n.Text
-		return &note{"HEY"}, nil
+		return &textMessage{"HEY"}, nil
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	served := make(chan struct{})
--- a/internal/peerlinks/caller.go
+++ b/internal/peerlinks/caller.go
@@ -42,7 +42,7 @@
 // RecordResult notes how a call to a peer ended; Call does so itself. Only pings, which take no time,
 // count against the link when they are late.
 func (c *Caller) RecordResult(peer string, err error, ping bool) {
-	refused, late := mesh.Unanswered(err)
+	refused, late := mesh.ClassifyError(err)
 	if refused || !late || ping {
 		c.table.RecordCall(peer, !refused && !late, refused)
 	}
