--- a/internal/reachability/assignments.go
+++ b/internal/reachability/assignments.go
@@ -8,42 +8,43 @@
 )
 
 const (
-	// leaderFillShare is how full of workers a leader stays that assigns some to others, so that it does
-	// not begin anew with each that joins.
+	// leaderFillShare is the share of its capacity that a leader fills with workers when it assigns
+	// some to others, so that it does not plan anew with each worker that joins.
 	leaderFillShare = 0.95
-	// underloadedShare is the part of its capacity below which all workers must be, for
-	// underloadedFor, before a leader takes them back.
+	// underloadedShare is the share of the leader's capacity below which the number of all workers
+	// must stay for underloadedDuration before the leader takes all of them back.
 	underloadedShare    = 0.9
 	underloadedDuration = 30 * time.Second
-	// planChangeShare is by how much of its capacity the workers of others must change before
-	// the plan does: with each change some workers move.
+	// planChangeShare is the share of the leader's capacity by which the planned shares must change
+	// in total before the plan changes: each change moves some workers.
 	planChangeShare = 0.05
-	// Plans are made by counts that have a worker which moves at both ends for a while. In
-	// times of the pause between heartbeats: for how long another plan must be better before
-	// it is taken, and how soon after the last one if this controller is over its capacity.
+	// A worker that moves is counted at both controllers for a while, so that plans are made from
+	// imprecise counts. planChangeIntervals is the number of heartbeat intervals for which a
+	// different plan must be better before it is applied. overloadedIntervals is the least number of
+	// heartbeat intervals between plans while this controller is above its capacity.
 	planChangeIntervals = 5
 	overloadedIntervals = 3
 )
 
-// Assignment is a controller's part of the workers while one has no room for them all.
+// Assignment is a controller's share of the workers while one controller has no capacity for all.
 type Assignment struct {
 	Node  string  `json:"n"`
-	Share float64 `json:"s"` // workers that are to report there
+	Share float64 `json:"s"` // number of workers that should report there
 }
 
-// AssignmentPlanner decides, at the controller to which workers should report, which of them
-// report to others for want of connections. The zero value is ready for use; it is not
-// safe for concurrent use.
+// AssignmentPlanner decides, on the controller to which workers should report, how many of them
+// report to other controllers because it lacks connections. The zero value is ready for use. It is
+// not safe for concurrent use.
 type AssignmentPlanner struct {
 	assignments      []Assignment
-	underloadedSince time.Time // since when all workers would have room here; zero: they don't
-	plannedAt        time.Time // when assignments last changed
-	betterSince      time.Time // since when another plan would be better; zero: it would not
+	underloadedSince time.Time // since when all workers have fit here; zero: they don't
+	plannedAt        time.Time // time when assignments last changed
+	betterSince      time.Time // since when a different plan has been better; zero: none is
 }
 
-// Plan returns the assignments, nil while one controller has room for all workers. count is how
-// many workers report to this controller, capacity how many may, and interval the pause between
-// a worker's heartbeats.
+// Plan returns the assignments, nil while one controller has capacity for all workers. count is
+// the number of workers that report to this controller, capacity the number that may, and interval
+// the pause between a worker's heartbeats.
 func (p *AssignmentPlanner) Plan(now time.Time, v *View, count, capacity int, interval time.Duration) []Assignment {
 	if v.Self.PreferredLeader != v.Self.Node || capacity <= 0 {
 		*p = AssignmentPlanner{}
@@ -73,8 +74,9 @@
 	return p.assignments
 }
 
-// countWorkers adds the peers' workers to those here. Peers say how many they have once some
-// controller, perhaps this one's predecessor as leader, has assigned workers: shared.
+// countWorkers returns the number of workers that report here or to peers. Peers publish their
+// counts only while some controller, perhaps this one's predecessor as leader, assigns workers;
+// shared is true if any does.
 func (v *View) countWorkers(here int) (all int, shared bool) {
 	all = here
 	for i := range v.Peers {
@@ -86,7 +88,7 @@
 	return all, shared
 }
 
-// underloaded reports whether all workers would have had room here for long.
+// underloaded reports whether all workers have fit here for underloadedDuration.
 func (p *AssignmentPlanner) underloaded(now time.Time, all, capacity int) bool {
 	switch {
 	case float64(all) >= underloadedShare*float64(capacity):
@@ -99,7 +101,8 @@
 	return false
 }
 
-// planAssignments assigns the workers that have no room here, by the capacity that others have.
+// planAssignments assigns the workers beyond this controller's capacity to peers, in proportion to
+// their capacities.
 func planAssignments(v *View, all, capacity int) []Assignment {
 	own := leaderFillShare * float64(capacity)
 	out := []Assignment{{v.Self.Node, own}}
@@ -122,16 +125,17 @@
 }
 
 // assignable reports whether workers may be assigned to a peer: it exchanges messages with this
-// controller, hears workers and has connections left.
+// controller, receives heartbeats and has connections left.
 func (p *Peer) assignable() bool {
 	return p.DirectlyReached() && p.OutboundReachable && p.Status.LeaseHeld && !p.lostWorkers() && p.Status.WorkerCapacity > 0
 }
 
-// lostWorkers reports whether a peer hears none of the workers that it should. One that
-// hears some, of many that have left it within the last minute, is well.
+// lostWorkers reports whether a peer receives no heartbeats although it should. A peer that most
+// of its workers left within the last minute, but that still has some, is not meant.
 func (p *Peer) lostWorkers() bool { return p.Status.InboundLost() && p.Status.WorkerCount == 0 }
 
-// differsEnough reports whether a plan differsEnough by so much that workers are to move for it.
+// differsEnough reports whether a plan is for other controllers than the present one, or differs
+// from it by so much that workers should move.
 func (p *AssignmentPlanner) differsEnough(next []Assignment, capacity int) bool {
 	if !slices.EqualFunc(next, p.assignments, func(a, b Assignment) bool { return a.Node == b.Node }) {
 		return true
@@ -143,8 +147,8 @@
 	return moved > max(1, planChangeShare*float64(capacity))
 }
 
-// HasAssignments reports whether any controller that is known of assigns workers to others: then
-// the others say how many they have room for.
+// HasAssignments reports whether any known controller assigns workers to others. If so, the other
+// controllers publish their capacity.
 func (v *View) HasAssignments() bool {
 	if v.Self.Assignments != nil {
 		return true
@@ -152,8 +156,8 @@
 	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.IsFresh() && p.Status.Assignments != nil })
 }
 
-// LeaderFor names the controller to which a worker should report: Leader, or the one to which
-// that controller's plan assigns the worker, if it can be seen to be there.
+// LeaderFor returns the controller to which a worker should report: the one that the leader's plan
+// assigns it to, if that one is known to receive heartbeats, or else the result of Leader.
 func (v *View) LeaderFor(worker string) string {
 	leader := v.Leader()
 	plan := v.Self.Assignments
@@ -173,8 +177,8 @@
 	return leader
 }
 
-// assignedNode chooses a worker's controller by rendezvous hashing, weighted by the shares: when
-// a share changes, only as many workers move as it changes by.
+// assignedNode chooses a worker's controller by rendezvous hashing weighted by the shares: when a
+// share changes, only as many workers move as it changes by.
 func assignedNode(worker string, plan []Assignment) (node string) {
 	earliest := math.Inf(1)
 	for _, assignment := range plan {
@@ -182,10 +186,11 @@
 			continue
 		}
 		hash := fnv.New64a()
-		_, _ = hash.Write([]byte(assignment.Node)) // returns no error, as all hashes
+		_, _ = hash.Write([]byte(assignment.Node)) // hashes return no errors
 		_, _ = hash.Write([]byte{0})
 		_, _ = hash.Write([]byte(worker))
-		// The first of several exponential clocks whose rates are the shares.
+		// The controller is the minimum of exponentially distributed values whose rates are the
+		// shares.
 		if at := -math.Log(hashToUniform(hash.Sum64())) / assignment.Share; at < earliest {
 			node, earliest = assignment.Node, at
 		}
@@ -193,8 +198,8 @@
 	return node
 }
 
-// hashToUniform makes a number above 0, and at most 1, of a hash, whose upper bits names that
-// differ in their last digits hardly change.
+// hashToUniform maps a hash to a number above 0 and at most 1. It mixes the bits first, since the
+// upper bits of the hash hardly differ between names that differ only in their last digits.
 func hashToUniform(h uint64) float64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/internal/reachability/assignments_test.go
+++ b/internal/reachability/assignments_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Workers are assigned as the plan says, and when one share grows, a
-// worker moves to that controller or not at all.
+// Workers are distributed according to the shares. When one share grows, workers move only to that
+// controller.
 func TestFewWorkersMoveWhenAShareGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const workers = 4000
@@ -44,9 +44,9 @@
 	})
 }
 
-// Nothing is assigned to others while all have capacity; then as many as needed, at once; a
-// worker that is counted twice while it moves changes nothing; and the leader takes all
-// back only once they have had capacity for a while.
+// While all workers fit the leader, none are assigned to others. Beyond that, as many as necessary
+// are assigned at once. Workers that are counted twice while they move don't change the plan. The
+// leader takes all workers back only after they have fit for a while.
 func TestWorkersBeyondCapacityAreAssigned(t *testing.T) {
 	const capacity, interval = 1700, 8 * time.Second
 	now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
@@ -74,41 +74,41 @@
 		return sum
 	}
 	if plan := planAfter(0, view(peer(0, 0)), capacity); plan != nil {
-		t.Errorf("all have room, but: %v", plan)
+		t.Errorf("all workers fit here, but the plan is %v", plan)
 	}
 	if plan := planAfter(time.Second, view(peer(0, 0)), capacity+1); len(plan) != 1 {
-		t.Errorf("others are to say their capacity first, but: %v", plan)
+		t.Errorf("before peers have published their capacity the plan is %v", plan)
 	}
 	plan := planAfter(time.Second, view(peer(0, 1700), peer(0, 850), peer(0, 0)), capacity+300)
 	if len(plan) != 3 || math.Abs(others(plan)-385) > 2 || math.Abs(plan[1].Share-2*plan[2].Share) > 2 {
-		t.Errorf("385 of 2,000 are to go, two thirds of them to b, but: %v", plan)
+		t.Errorf("385 of 2,000 workers should be assigned to peers, two thirds of them to b, but the plan is %v", plan)
 	}
-	for range 20 { // they move, and count twice for a while
+	for range 20 { // they move, and are counted twice for a while
 		if again := planAfter(time.Second, view(peer(250, 1700), peer(120, 850), peer(0, 0)), capacity); others(again) != others(plan) {
-			t.Fatalf("workers that move change the plan: %v", again)
+			t.Fatalf("workers that are moving change the plan: %v", again)
 		}
 	}
 	planAfter(time.Second, view(peer(250, 1700), peer(120, 850), peer(0, 0)), capacity-70)
 	if again := planAfter(time.Hour, view(peer(400, 1700), peer(270, 850), peer(0, 0)), capacity); others(again) != others(plan) {
-		t.Errorf("one count changes the plan: %v", again)
+		t.Errorf("a single count changes the plan: %v", again)
 	}
 	if again := planAfter(planChangeIntervals*interval, view(peer(400, 1700), peer(270, 850), peer(0, 0)), capacity); others(again) < others(plan)+200 {
-		t.Errorf("with 370 more for long the plan is %v", again)
+		t.Errorf("after 370 more workers for planChangeIntervals the plan is %v", again)
 	}
 	few := view(peer(100, 1700), peer(50, 850), peer(0, 0))
 	if planAfter(time.Second, few, 1000) == nil {
-		t.Error("the leader takes all back at once")
+		t.Error("the leader takes all workers back at once")
 	}
 	if planAfter(underloadedDuration-time.Second, few, 1000) == nil {
-		t.Error("the leader takes all back soon")
+		t.Error("the leader takes all workers back before underloadedDuration")
 	}
 	if plan := planAfter(2*time.Second, few, 1000); plan != nil {
-		t.Errorf("all have had room for long, but: %v", plan)
+		t.Errorf("all workers have fit for underloadedDuration, but the plan is %v", plan)
 	}
 }
 
-// A worker's assignment counts at every controller alike, but a controller that is not
-// reached has none, and one that does not know the plan keeps what comes to it.
+// All controllers send a worker to the same assigned controller, except to one that can't be
+// reached. A controller that does not know the plan keeps the workers that report to it.
 func TestLeaderForAssignedWorker(t *testing.T) {
 	plan := []Assignment{{"a", 10}, {"b", 10}, {"c", 10}}
 	assigned := map[string]string{}
--- a/internal/reachability/capacity_test.go
+++ b/internal/reachability/capacity_test.go
@@ -10,7 +10,7 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// newStatus is what a controller says of its links to a message's receiver.
+// newStatus returns the status of a controller that receives heartbeats from so many workers.
 func newStatus(heard int, unreached ...string) reachability.NodeStatus {
 	status := reachability.NodeStatus{
 		Node: "racker-1", StartedMs: 1_764_652_567_000, Seq: 100_000, StoreReachable: true, LeaseHeld: true, LeadsShards: true, PreferredLeader: "racker-1", CloudReachable: true,
@@ -34,8 +34,8 @@
 	return float64(len(data))
 }
 
-// newTableWithUnreachedPeer is a table in which nobody else hears the last peer, so that its status is
-// passed on to all others.
+// newTableWithUnreachedPeer returns a table in which only this controller hears the last peer, so
+// that it relays that peer's status to all others.
 func newTableWithUnreachedPeer(controllers int) (*reachability.Table, []string) {
 	now := time.Now()
 	var peers []string
--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -7,89 +7,91 @@
 )
 
 const (
-	// minWorkersForShares is from how many workers on it can be told whether most are unresponsive, and
-	// how many may fail in failureWindow however few there are.
+	// minWorkersForShares is the least number of workers at which the share of unresponsive ones is
+	// significant. As many may fail within failureWindow in any case.
 	minWorkersForShares = 8
 	failureWindow       = time.Minute
-	maxFailureShare     = 0.4 // of the known workers, that may fail within failureWindow
+	maxFailureShare     = 0.4 // of the known workers may fail within failureWindow
 
-	probeThresholdShare    = 0.6 // of Base: unresponsive for so long, a worker is probed
-	probeInterval          = 2 * time.Second
-	maxProbesPerEvaluation = 200 // at a time
+	probeThresholdShare    = 0.6             // of Timeout: a worker that is unresponsive for so long is probed
+	probeInterval          = 2 * time.Second // between the end of a probe of a worker and the next one
+	maxProbesPerEvaluation = 200             // started by one call of Evaluate
 
-	degradedDuration      = 10 * time.Second // after a refused connection or a late timer
-	degradedTimeoutFactor = 2                // by which the timeout is longer while this process receives poorly
-	maxTimerDelay         = 500 * time.Millisecond
-	idleTimeoutFactor     = 2.5 // by which the timeout of a worker without tasks is longer
+	degradedDuration      = 10 * time.Second       // for which a refused connection or a late timer counts as poor reception
+	degradedTimeoutFactor = 2                      // of the timeout while this process receives poorly
+	maxTimerDelay         = 500 * time.Millisecond // above which a timer counts as late
+	idleTimeoutFactor     = 2.5                    // of the timeout for a worker without tasks
 )
 
-// ReceiveHealth is how well this process receives heartbeats just now.
+// ReceiveHealth describes how well this process can receive heartbeats at present.
 type ReceiveHealth struct {
-	RefusedConnections int64         // connections refused for want of sockets, since its start
-	TimerDelay         time.Duration // by which its timers fired late lately
+	RefusedConnections int64         // connections refused for lack of sockets since the process started
+	TimerDelay         time.Duration // by which timers recently fired late
 }
 
-// UnresponsiveWorker is one whose last heartbeat is older than FailureDetector.Threshold.
+// UnresponsiveWorker is a worker whose last heartbeat is at least FailureDetector.Threshold old.
 type UnresponsiveWorker struct {
 	Name                  string
-	Endpoint              string        // "" if it is not known here: then peers can only say whether they heard it
-	UnheardFor            time.Duration // since the last heartbeat; since the failover, if UnheardSinceFailover
-	Busy                  bool          // tasks may be on it
+	Endpoint              string        // "" if unknown; then only peers can tell whether they receive its heartbeats
+	UnheardFor            time.Duration // since the last heartbeat, or since the failover if NotHeardSinceFailover
+	Busy                  bool          // it may be running tasks
 	OutboundLost          bool          // its heartbeats arrive, but commands to it have no effect
-	NotHeardSinceFailover bool          // no heartbeat since this leader's failover: the last one is older than SilentFor says
+	NotHeardSinceFailover bool          // no heartbeat since this leader's failover; the last one is older than UnheardFor
 }
 
-// Verdict is what to do about unresponsive workers.
+// Verdict is the result of an evaluation of the unresponsive workers.
 type Verdict struct {
 	Failed     map[string]string             // failed workers, to be deleted, with the reason
-	Probe      map[string]UnresponsiveWorker // to be probed now, by name; see RecordProbe
-	Kept       int                           // unresponsive for as long, but not failed
-	KeptReason string                        // of the last one kept
+	Probe      map[string]UnresponsiveWorker // workers to be probed now, by name; see RecordProbe
+	Kept       int                           // workers past the timeout that have not failed
+	KeptReason string                        // for the last of the kept workers
 }
 
-// FailureDetector decides which unresponsive workers have failed. To delete a worker that works
-// throws away all that runs on it, so that a late heartbeat is weighed against how well this
-// controller receives, against what peers receive, against a direct probe, and against a rate
-// of failures that no accident has. It only decides: the caller probes and deletes. It is not
-// safe for concurrent use.
+// FailureDetector decides which unresponsive workers have failed. Deleting a working worker loses
+// all its tasks, so that missing heartbeats are weighed against this controller's ability to
+// receive, the heartbeats that peers receive, a direct probe, and an upper bound of the failure
+// rate that accidents cause. It only decides: the caller probes and deletes. It is not safe for
+// concurrent use.
 type FailureDetector struct {
 	Timeout           time.Duration // heartbeat timeout of a worker with tasks
-	Lease             time.Duration // of workers
+	Lease             time.Duration // of a worker
 	HeartbeatInterval time.Duration // between a worker's heartbeats
-	IsolationGrace    time.Duration // for which a controller goes on answering workers when it is cut off from all others
+	IsolationGrace    time.Duration // for which a controller that is cut off from all others still answers workers
 
-	probes          map[string]probe     // of workers that are unresponsive now
-	failedAt        map[string]time.Time // workers that failed within failureWindow
-	refused         int64                // ReceiveHealth.RefusedConnections as of the last call
-	degradedUntil   time.Time            // this process receives poorly until then
-	mutuallyReached map[string]bool      // peers that informed this controller of workers as of the last call
-	peerJoinedAt    time.Time            // when a peer last began to
+	probes          map[string]probe     // of the workers that are unresponsive now
+	failedAt        map[string]time.Time // time of failure, for workers that failed within failureWindow
+	refused         int64                // ReceiveHealth.RefusedConnections at the last call
+	degradedUntil   time.Time            // until when this process counts as receiving poorly
+	mutuallyReached map[string]bool      // result of Peer.reachesMutually at the last call, by peer
+	peerJoinedAt    time.Time            // when a peer last became mutually reachable
 }
 
-// probe is the outcome of probing a worker.
+// probe is the state of the probes of one worker.
 type probe struct {
 	pending    bool
-	startedAt  time.Time
-	finishedAt time.Time // of the last outcome
-	failed     bool
+	startedAt  time.Time // of the last probe
+	finishedAt time.Time // of the last finished probe
+	failed     bool      // result of the last finished probe
 }
 
-// Threshold is the time without a heartbeat from which on a worker is to be passed to Evaluate.
+// Threshold returns the least time without a heartbeat after which a worker is to be passed to
+// Evaluate.
 func (d *FailureDetector) Threshold() time.Duration {
 	return min(d.Timeout, max(time.Duration(probeThresholdShare*float64(d.Timeout)), 3*d.HeartbeatInterval/2))
 }
 
-// RecordProbe notes whether a worker of Verdict.Probe responded to this controller or a peer, or
-// was heard by a peer.
+// RecordProbe records the result of probing a worker of Verdict.Probe: whether it responded to
+// this controller or to a peer, or a peer received its heartbeat.
 func (d *FailureDetector) RecordProbe(name string, responded bool, now time.Time) {
 	if outcome, ok := d.probes[name]; ok {
 		d.probes[name] = probe{startedAt: outcome.startedAt, finishedAt: now, failed: !responded}
 	}
 }
 
-// Evaluate decides which workers have failed: of a leader that knows so many, those that are
-// unresponsive for longer than Threshold. A worker fails only if a probe of it, begun by an
-// earlier call, failed; see evaluation.reasonToKeep for what else speaks against it.
+// Evaluate decides which workers have failed. known is the number of workers that the leader
+// knows, and unresponsive are those among them without a heartbeat for Threshold. A worker fails
+// only if a probe started by an earlier call failed; see evaluation.reasonToKeep for the other
+// conditions.
 func (d *FailureDetector) Evaluate(now time.Time, v *View, health ReceiveHealth, known int, unresponsive []UnresponsiveWorker) Verdict {
 	if d.probes == nil {
 		d.probes, d.failedAt, d.mutuallyReached = map[string]probe{}, map[string]time.Time{}, map[string]bool{}
@@ -108,9 +110,9 @@
 	return e.verdict
 }
 
-// updatePeers notes when a peer begins to inform this controller. One that was apart may have
-// heard all the while what is unresponsive here: probes from before it could be queried say
-// nothing.
+// updatePeers records when a peer becomes mutually reachable. Until then the peer may have
+// received heartbeats of workers that are unresponsive here, and probes could not include it:
+// those probes don't count.
 func (d *FailureDetector) updatePeers(now time.Time, v *View) {
 	for i := range v.Peers {
 		peer := &v.Peers[i]
@@ -129,7 +131,8 @@
 	d.refused = health.RefusedConnections
 }
 
-// removeStale drops the probes of workers that are responsive again, and old failures.
+// removeStale removes the probes of workers that are responsive again, and failures older than
+// failureWindow.
 func (d *FailureDetector) removeStale(now time.Time, unresponsive []UnresponsiveWorker) {
 	still := make(map[string]bool, len(unresponsive))
 	for i := range unresponsive {
@@ -152,32 +155,32 @@
 	*FailureDetector
 	now          time.Time
 	view         *View
-	inboundLost  bool          // this controller receives next to no heartbeats
-	timeout      time.Duration // heartbeat timeout of workers with tasks
-	failuresLeft int           // within failureWindow
+	inboundLost  bool          // this controller receives almost no heartbeats
+	timeout      time.Duration // heartbeat timeout of workers with tasks, adjusted to the situation
+	failuresLeft int           // workers that may still fail within failureWindow
 	verdict      Verdict
 }
 
-// assessAll judges this controller by all workers together.
+// assessAll assesses this controller's reception and sets the timeout, by all workers together.
 func (e *evaluation) assessAll(known int, unresponsive []UnresponsiveWorker) {
 	responsive, late, long := known-len(unresponsive), 0, 0
 	for i := range unresponsive {
 		switch unheardFor := unresponsive[i].UnheardFor; {
 		case unheardFor >= 2*e.Lease+e.Timeout:
-			long++ // that says nothing of now
+			long++ // says nothing about the present
 		case unheardFor >= e.Timeout:
 			late++
 		}
 	}
 	recent := known - long
-	// A controller that receives next to nothing can't tell; what the cloud lists as
-	// failed goes without this judgement.
+	// A controller that receives almost no heartbeats can't tell failed workers from lost links.
+	// Workers that the cloud lists as failed are handled without this check.
 	e.inboundLost = known > 1 && responsive == 0 ||
 		recent >= minWorkersForShares && (e.view.Self.InboundLost() || float64(responsive) < inboundLostShare*float64(recent))
 	e.timeout = e.Timeout
 	if recent >= minWorkersForShares && 2*late > recent {
-		// Most became unresponsive together: it is likelier that they are not heard than
-		// that they failed.
+		// Most workers became unresponsive at the same time: lost heartbeats are more likely than that
+		// many failures.
 		e.timeout = max(e.timeout, e.Lease+e.Lease/500+time.Second)
 	}
 	if e.now.Before(e.degradedUntil) {
@@ -186,7 +189,7 @@
 	e.failuresLeft = max(minWorkersForShares, int(maxFailureShare*float64(known))) - len(e.failedAt)
 }
 
-// evaluateWorker adds one worker to the verdict.
+// evaluateWorker adds the decision on one worker to the verdict.
 func (e *evaluation) evaluateWorker(worker *UnresponsiveWorker) {
 	outcome := e.probe(worker)
 	timeout := e.timeout
@@ -210,7 +213,7 @@
 	e.verdict.Failed[worker.Name] = worker.failureReason()
 }
 
-// probe has the worker probed, if it is time, and returns the state of its probe.
+// probe requests a probe of the worker if one is due, and returns the state of its probes.
 func (e *evaluation) probe(worker *UnresponsiveWorker) probe {
 	current := e.probes[worker.Name]
 	if !current.pending && e.now.Sub(current.finishedAt) >= probeInterval && len(e.verdict.Probe) < maxProbesPerEvaluation {
@@ -226,7 +229,7 @@
 	e.verdict.KeptReason = reason
 }
 
-// reasonToKeep says why a worker past its timeout has not failed, or "".
+// reasonToKeep returns the reason why a worker past its timeout has not failed, or "" if it has.
 func (e *evaluation) reasonToKeep(worker *UnresponsiveWorker, outcome probe) string {
 	if e.inboundLost {
 		return "this controller receives next to no heartbeats"
@@ -243,8 +246,8 @@
 	return ""
 }
 
-// failureReason describes the failureReason of a worker. The texts travel between controllers and stand in the
-// runbook.
+// failureReason describes the failure of a worker. Controllers exchange these texts, and the
+// runbook lists them.
 func (w *UnresponsiveWorker) failureReason() string {
 	reason := fmt.Sprintf("silent for %.0f s", w.UnheardFor.Seconds())
 	if w.OutboundLost {
@@ -256,43 +259,45 @@
 	return reason
 }
 
-// reachesMutually reports whether the peer and this controller hear and reach each other, so that each
-// learns directly which workers the other hears.
+// reachesMutually reports whether the peer and this controller receive each other's messages, so
+// that each learns directly which workers the other hears.
 func (p *Peer) reachesMutually(v *View) bool {
 	return p.DirectlyReached() && !slices.Contains(p.Status.UnreachedPeers, v.Self.Node) && !slices.Contains(v.Self.UnreachedPeers, p.Name)
 }
 
-// mayBeHeardByPeer says why a peer may hear the worker without being able to
-// say so here, or "".
+// mayBeHeardByPeer returns the reason why a peer may be receiving the worker's heartbeats without
+// being able to tell this controller, or "".
 func (d *FailureDetector) mayBeHeardByPeer(v *View, worker *UnresponsiveWorker) string {
 	if worker.OutboundLost {
-		return "" // that it is heard is not enough: all peers were queried
+		return "" // heartbeats alone don't count, and all peers were queried
 	}
 	for i := range v.Peers {
 		peer := &v.Peers[i]
 		switch {
 		case peer.reachesMutually(v):
-			// It would have said so, by itself or when queried.
+		// The peer has sent no status since this controller started, and the worker was heard without
+		// it.
 		case !peer.Known && !worker.NotHeardSinceFailover:
-			// It has never been there, and the worker was heard without it.
+		// The peer would have reported the worker by itself or when queried.
 		case peer.IsFresh():
 			if peer.Status.HeardWorkers.Has(worker.Name) {
 				return peer.Name + " receives its heartbeats, and can't say so directly"
 			}
 		case peer.Age < d.IsolationGrace+d.Lease && d.lostTogether(worker, peer.Age):
-			// Both may be cut off together: then the peer goes on
-			// answering the worker for so long. Of a worker without a heartbeat since the
-			// failover it is known that the last one is older than that.
+			// The peer and the worker may be cut off together, in which case the peer still answers the
+			// worker for this time. For a worker without a heartbeat since the failover, only a lower
+			// bound of the time is known.
 			return "lost together with " + peer.Name
 		}
 	}
 	return ""
 }
 
-// lostTogether reports whether a worker was last heard when a peer was whose status is so old.
-// How long a worker was unresponsive before this leader's failover is not known: a new leader
-// that judged by its own time alone deleted the workers of a whole zone, which was cut
-// off together with a controller long before, and which the leader before it had kept.
+// lostTogether reports whether a worker was last heard at about the time of a peer's last status,
+// which is statusAge old. For a worker not heard since this leader's failover, the time of the
+// last heartbeat is unknown. Judged by the time since the failover alone, the workers of a zone
+// that was cut off together with a controller long before would be deleted, although the previous
+// leader had kept them.
 func (d *FailureDetector) lostTogether(worker *UnresponsiveWorker, statusAge time.Duration) bool {
 	apart := 2*d.HeartbeatInterval + PeerTimeout
 	if worker.NotHeardSinceFailover {
--- a/internal/reachability/failure_detector_test.go
+++ b/internal/reachability/failure_detector_test.go
@@ -10,7 +10,7 @@
 
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
-// unresponsiveWorkers makes n workers with tasks, unheard for so long.
+// unresponsiveWorkers returns n workers with tasks, all unheard for the given time.
 func unresponsiveWorkers(n int, unheardFor time.Duration) (workers []reachability.UnresponsiveWorker) {
 	for i := range n {
 		workers = append(workers, reachability.UnresponsiveWorker{Name: fmt.Sprintf("n-%d", i), Endpoint: "e", UnheardFor: unheardFor, Busy: true})
@@ -22,12 +22,12 @@
 	return &reachability.FailureDetector{Timeout: 14 * time.Second, Lease: 44 * time.Second, HeartbeatInterval: 8 * time.Second, IsolationGrace: 17 * time.Second}
 }
 
-// healthyPeer exchanges messages with this controller and holds its lease.
+// healthyPeer returns a peer that exchanges messages with this controller and holds its lease.
 func healthyPeer(name string, reports int) reachability.Peer {
 	return reachability.Peer{Name: name, Known: true, OutboundReachable: true, Status: reachability.NodeStatus{Node: name, StoreReachable: true, LeaseHeld: true, Heartbeats: reports}}
 }
 
-// notHeardSinceFailover makes workers ones that a new leader has not heard.
+// notHeardSinceFailover marks workers as not heard since the failover.
 func notHeardSinceFailover(workers []reachability.UnresponsiveWorker) []reachability.UnresponsiveWorker {
 	for i := range workers {
 		workers[i].NotHeardSinceFailover = true
@@ -35,7 +35,7 @@
 	return workers
 }
 
-// evaluationCase is what a leader knows of unresponsive workers, and how many of them fail.
+// evaluationCase is a leader's knowledge of unresponsive workers and how many of them should fail.
 type evaluationCase struct {
 	name         string
 	self         reachability.NodeStatus
@@ -43,8 +43,8 @@
 	known        int
 	unresponsive []reachability.UnresponsiveWorker
 	health       reachability.ReceiveHealth
-	respond      bool // whether they respond to probes
-	want         int  // failed at the second evaluation
+	respond      bool // the workers respond to probes
+	want         int  // number of failed workers in the second evaluation
 }
 
 func evaluationCases() []evaluationCase {
@@ -95,9 +95,10 @@
 	}
 }
 
-// A leader that heard nobody deleted 1,300 working machines in a minute; another,
-// whose sockets were full, 1,000 in every 50 s. A late heartbeat is weighed against how well
-// this controller receives, what peers receive, and what no accident does.
+// Without these rules, a leader that receives no heartbeats deletes 1,300 working machines within
+// a minute, and one whose sockets are exhausted deletes 1,000 every 50 s. Late heartbeats are
+// weighed against this controller's reception, the heartbeats that peers receive, and the number
+// of failures that an accident can cause.
 func TestOnlyFailedWorkersAreDeleted(t *testing.T) {
 	for _, c := range evaluationCases() {
 		detector, v := newDetector(), reachability.View{Self: c.self, Peers: c.peers}
@@ -109,21 +110,21 @@
 				detector.RecordProbe(name, c.respond, now)
 			}
 		}
-		// A Bloom filter may take one in a thousand others for a member.
+		// The Bloom filter has a false positive rate of one in a thousand.
 		if n := len(verdict.Failed); n > c.want || n < c.want-1 {
 			t.Errorf("%s: %d workers failed, not %d (kept: %d, %s)", c.name, n, c.want, verdict.Kept, verdict.KeptReason)
 		}
 	}
 }
 
-// A controller that was apart heard a worker all the while. When the link heals, it no
-// longer says so in its status, and probes from before are of a time when it could
-// not be queried: working machines were deleted in that second.
+// A peer that was cut off heard a worker all the time. When the link heals, the peer's status no
+// longer lists the worker, and earlier probes could not query the peer: unless workers are probed
+// again, working machines are deleted at that moment.
 func TestProbedAgainAfterPeerRejoins(t *testing.T) {
 	detector := newDetector()
 	lost, back := healthyPeer("b", 0), healthyPeer("b", 0)
 	lost.Age, lost.SinceHeard = 8*time.Second, 8*time.Second
-	unresponsive := unresponsiveWorkers(3, 5*time.Second) // probed, and not failed yet
+	unresponsive := unresponsiveWorkers(3, 5*time.Second) // probed, but not past the timeout
 	evaluate := func(sec int, p reachability.Peer, responds bool) int {
 		now := noon.Add(time.Duration(sec) * time.Second)
 		v := reachability.View{Self: reachability.NodeStatus{Node: "a", Heartbeats: 380, ExpectedHeartbeats: 400}, Peers: []reachability.Peer{p}}
@@ -137,14 +138,14 @@
 	evaluate(0, lost, false)
 	unresponsive = unresponsiveWorkers(3, 30*time.Second)
 	if n := evaluate(1, back, true); n > 0 {
-		t.Errorf("%d workers failed in the second in which the peer is back", n)
+		t.Errorf("%d workers failed when the peer rejoined", n)
 	}
 	if n := evaluate(3, back, true); n > 0 {
 		t.Errorf("%d workers that the peer hears failed", n)
 	}
 }
 
-// A worker does not fail before it was probed and did not respond.
+// A worker fails only after it was probed and did not respond.
 func TestProbedBeforeFailed(t *testing.T) {
 	detector, v := newDetector(), reachability.View{Self: reachability.NodeStatus{Node: "a"}}
 	workers := unresponsiveWorkers(1, 14*time.Second)
@@ -158,7 +159,7 @@
 	if got := detector.Evaluate(noon.Add(2*time.Second), &v, reachability.ReceiveHealth{}, 100, workers); len(got.Failed) != 1 {
 		t.Errorf("after it did not respond: %+v", got)
 	}
-	// That it did not respond a while ago says nothing of now: links heal.
+	// An earlier failed probe says nothing about the present: links heal.
 	if got := detector.Evaluate(noon.Add(5*time.Second), &v, reachability.ReceiveHealth{}, 100, workers); len(got.Failed) != 0 || len(got.Probe) != 1 {
 		t.Errorf("later: %+v", got)
 	}
--- a/internal/reachability/link_failures_test.go
+++ b/internal/reachability/link_failures_test.go
@@ -8,11 +8,11 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// linkState is which links of three controllers work: to the state service, to the
-// workers, and between each two, one way and the other.
+// linkState tells which links of three controllers work: to the state service, to the workers, and
+// between each pair in either direction.
 type linkState struct {
 	state, workers [3]bool
-	mesh           [3][3]bool // calls of the one reach the other, and bring a reply
+	mesh           [3][3]bool // mesh[i][j]: calls of i reach j and are answered
 }
 
 var names = [3]string{"a", "b", "c"}
@@ -31,8 +31,8 @@
 	}
 }
 
-// views has the controllers of a world exchange what they know for some seconds,
-// as they do, with leader the leader of all jobs, and returns their views.
+// views lets the controllers exchange statuses over the working links for some seconds, with all
+// shards led by one of them, and returns their views.
 func (w *linkState) views(leader int) [3]reachability.View {
 	var tables [3]*reachability.Table
 	for i := range tables {
@@ -47,7 +47,7 @@
 		if w.workers[i] {
 			own.Heartbeats = 400
 			if w.workers[leader] && i != leader {
-				own.Heartbeats = 0 // all report to the leader
+				own.Heartbeats = 0 // all workers report to the leader
 			}
 		}
 		return own
@@ -86,14 +86,14 @@
 	return out
 }
 
-// reached reports whether i learns of j by any way.
+// reached reports whether controller i learns of j on any path.
 func (w *linkState) reached(i, j int) bool {
 	k := 3 - i - j
 	direct := func(x, y int) bool { return w.mesh[x][y] || w.mesh[y][x] }
 	return direct(i, j) || w.state[i] && w.state[j] || direct(i, k) && direct(k, j)
 }
 
-// failures counts what is wrong in worlds, and reports the first.
+// failures counts wrong decisions and reports the first ones.
 type failures struct {
 	t     *testing.T
 	count int
@@ -105,8 +105,8 @@
 	}
 }
 
-// Every combination of links of three controllers that work or don't, with the
-// leader at one of them: 4,096 worlds.
+// All 4,096 combinations of working and failed links between three controllers, one of which leads
+// all shards.
 func TestDecisionsUnderEveryLinkFailure(t *testing.T) {
 	failed := &failures{t: t}
 	forEachLinkState(func(w linkState) {
@@ -130,10 +130,10 @@
 	}
 }
 
-// checkPeers checks what controller i knows of the others, by which way it sends to them, and
-// whether it takes users.
+// checkPeers checks controller i's knowledge of the others, the path of its messages to them, and
+// whether it serves clients.
 func (w *linkState) checkPeers(failed *failures, i int, v *reachability.View) {
-	better := false // another controller, which is known, reaches the state service
+	better := false // another known controller reaches the state service
 	for j := range names {
 		if i == j {
 			continue
@@ -156,7 +156,8 @@
 	}
 }
 
-// checkNextHop checks that a message goes straight, or by a third that reaches the other.
+// checkNextHop checks that a message is sent directly or through a third controller that reaches
+// the receiver.
 func (w *linkState) checkNextHop(failed *failures, i, j int, v *reachability.View) {
 	hop, third := v.NextHop(names[j]), 3-i-j
 	relays := w.mesh[i][third] && w.mesh[third][j]
@@ -170,7 +171,7 @@
 	}
 }
 
-// checkLeader checks to whom controller i sends workers.
+// checkLeader checks to which controller controller i sends workers.
 func (w *linkState) checkLeader(failed *failures, i int, v *reachability.View) {
 	if leader := v.Leader(); leader != names[i] && leader != names[0] {
 		failed.add(w, "%s sends workers to %s, which leads nothing", names[i], leader)
@@ -181,8 +182,8 @@
 	}
 }
 
-// checkTransfer checks that the leader transfers its shards if, and only if, it hears nobody and
-// one that does reaches the state service, and that is known.
+// checkTransfer checks that the leader transfers its shards if and only if it receives no
+// heartbeats and knows of a controller that does and reaches the state service.
 func (w *linkState) checkTransfer(failed *failures, v *reachability.View) {
 	var monitor reachability.TransferMonitor
 	monitor.Check(noon, &reachability.View{Self: reachability.NodeStatus{LeadsShards: true}}, 0)
@@ -203,8 +204,8 @@
 	}
 }
 
-// checkNoWorkerFails checks that no worker fails at a leader that hears nobody, however long that
-// lasts.
+// checkNoWorkerFails checks that a leader that receives no heartbeats lets no worker fail, however
+// long that lasts.
 func (w *linkState) checkNoWorkerFails(failed *failures, v *reachability.View) {
 	if w.workers[0] {
 		return
--- a/internal/reachability/name_set.go
+++ b/internal/reachability/name_set.go
@@ -6,20 +6,20 @@
 	"github.com/bits-and-blooms/bloom/v3"
 )
 
-// NameSet is a set of names, as a Bloom filter: it may contain a name that was
-// never added, but never lacks one that was.
+// NameSet is a set of names, stored as a Bloom filter: Has may return true for a name that was not
+// added, but never returns false for one that was.
 type NameSet struct {
 	bloom.BloomFilter
 }
 
 const (
-	bitsPerName = 15 // one in a thousand others is taken for a member
+	bitsPerName = 15 // false positive rate of about one in a thousand
 	minBits     = 64
 	maxHashes   = 10
 )
 
-// NewNameSet returns the set of names in at most maxBytes bytes, but not less than 8. In fewer
-// bytes than bitsPerName asks for, more others are taken for members.
+// NewNameSet returns the set of names, in at most maxBytes bytes but at least 8. If that is less
+// than bitsPerName requires, the false positive rate is higher.
 func NewNameSet(names []string, maxBytes int) *NameSet {
 	bits := max(minBits, min(bitsPerName*len(names), 8*maxBytes))
 	hashes := max(1, int(math.Round(float64(bits)/float64(max(1, len(names)))*math.Ln2)))
--- a/internal/reachability/ops_status.go
+++ b/internal/reachability/ops_status.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// OpsStatus is a controller's view of the links, for operators.
+// OpsStatus is a controller's view of the links as shown to operators.
 type OpsStatus struct {
 	Node        string    `json:"node"`
 	State       string    `json:"state"`         // see View.StorePath
-	Kept        int       `json:"kept"`          // workers that are unresponsive and kept, by the last verdict
-	CancelsAgeS float64   `json:"cancels_age_s"` // cancels confirmed by any controller are known here up to so long ago
-	Cancelled   int       `json:"cancelled"`     // jobs whose tasks are halted wherever they are seen
-	Answers     bool      `json:"answers"`       // whether it may answer workers
+	Kept        int       `json:"kept"`          // unresponsive workers that were kept by the last verdict
+	CancelsAgeS float64   `json:"cancels_age_s"` // age in s of the time up to which all cancels confirmed by any controller are known here
+	Cancelled   int       `json:"cancelled"`     // cancelled jobs whose tasks are halted wherever they are reported
+	Answers     bool      `json:"answers"`       // this controller may answer workers
 	Links       []OpsLink `json:"links"`
 	Controllers []OpsNode `json:"controllers"`
 }
 
-// OpsLink is one of the links of the controller that was queried.
+// OpsLink is a link of the queried controller.
 type OpsLink struct {
 	To     string  `json:"to"`
 	Is     string  `json:"is"` // see Peer.ReachedBy
 	SinceS float64 `json:"since_s"`
 }
 
-// OpsNode is what is known of a controller there.
+// OpsNode is the queried controller's knowledge of one controller.
 type OpsNode struct {
 	Node     string   `json:"node"`
-	Reached  string   `json:"reached"` // how, from the controller that was queried
-	AgeS     float64  `json:"age_s"`   // of what is known of it
+	Reached  string   `json:"reached"` // how the queried controller reaches it, see Peer.ReachedBy
+	AgeS     float64  `json:"age_s"`   // age of its status in s
 	State    bool     `json:"state"`
 	Held     bool     `json:"held"`
 	Owns     bool     `json:"owns"`
@@ -35,8 +35,8 @@
 	Lacks    []string `json:"lacks"`
 }
 
-// OpsStatus makes of the view what operators see. relayed says that requests to the state service
-// go by a peer. Kept, CancelsAgeS, Cancelled, Answers and Links are left to the caller.
+// OpsStatus converts the view for operators. relayed is true if requests to the state service go
+// through a peer. The caller sets Kept, CancelsAgeS, Cancelled, Answers and Links.
 func (v *View) OpsStatus(relayed bool) OpsStatus {
 	out := OpsStatus{Node: v.Self.Node, State: v.StorePath(relayed)}
 	out.Controllers = append(out.Controllers, v.Self.opsNode(v.Self.Node, "self", 0))
@@ -58,7 +58,7 @@
 	}
 }
 
-// ReachedBy says in a word how the peer is reached.
+// ReachedBy describes for operators how the peer is reached.
 func (p *Peer) ReachedBy() string {
 	switch {
 	case p.DirectlyReached() && p.OutboundReachable:
@@ -73,7 +73,7 @@
 	return "never heard"
 }
 
-// StorePath says in a word how this controller reaches the state service.
+// StorePath describes for operators how this controller reaches the state service.
 func (v *View) StorePath(relayed bool) string {
 	switch {
 	case relayed:
--- a/internal/reachability/recorded_test.go
+++ b/internal/reachability/recorded_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// A controller's status, which it sends and stores, keeps its form.
+// The JSON encoding of a status, which controllers exchange and store, is stable.
 func TestRecordedNodeStatus(t *testing.T) {
 	recorded.Check(t, "row_full", fullStatus())
 	recorded.Check(t, "row_empty", reachability.NodeStatus{})
@@ -29,7 +29,7 @@
 	recorded.Check(t, "names_full", reachability.NewNameSet([]string{"n-000231", "n-000232"}, 64))
 }
 
-// The names in a recorded set are found in it.
+// A recorded set contains the names that were added to it.
 func TestRecordedNames(t *testing.T) {
 	recorded, err := os.ReadFile(filepath.Join("testdata", "recorded", "names_full.json"))
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// What operators see of the links keeps its form.
+// The JSON encoding shown to operators is stable.
 func TestRecordedOpsStatus(t *testing.T) {
 	recorded.Check(t, "shown_full", reachability.OpsStatus{
 		Node: "c1", State: "straight", Kept: 2, CancelsAgeS: 0.25, Cancelled: 3, Answers: true,
--- a/internal/reachability/routing.go
+++ b/internal/reachability/routing.go
@@ -2,9 +2,8 @@
 
 import "slices"
 
-// UnreachedPeers names the peers of whom nothing came by the mesh lately, neither
-// directly nor through a third: what can be known of them, and they of this
-// controller, only the state service can tell.
+// UnreachedPeers returns the peers without a recent status received over the mesh, directly or
+// relayed. Statuses can be exchanged with them only through the state service.
 func (v *View) UnreachedPeers() []string {
 	var out []string
 	for i := range v.Peers {
@@ -15,10 +14,10 @@
 	return out
 }
 
-// Leader names the controller to which workers should report: the one that leads the
-// jobs, so that grants need no round trip, unless it is known not to hear
-// workers. A peer of which only the state service tells is named too: this dispatcher, which the
-// leader can't reach then, is of no use to the worker.
+// Leader returns the controller to which workers should report: the one that leads most shards, so
+// that grants need no round trip, unless it is known to receive no heartbeats. It is returned even
+// if its status is known only from the state service: a worker gains nothing from reporting to
+// this controller when the leader can't reach it.
 func (v *View) Leader() string {
 	leader := v.Self.PreferredLeader
 	if !v.Self.LeaseHeld {
@@ -37,9 +36,9 @@
 	return v.Self.Node
 }
 
-// SeenAsLeaderByPeer reports whether a peer takes this controller for the leader although it leads
-// nothing, as far as it knows itself: shards were transferred to it, and its watch of the state
-// service is behind.
+// SeenAsLeaderByPeer reports whether a peer takes this controller for the leader although this one
+// leads no shards as far as it knows: shards were transferred to it, and its watch of the state
+// service lags behind.
 func (v *View) SeenAsLeaderByPeer() bool {
 	if v.Self.LeadsShards || !v.Self.LeaseHeld {
 		return false
@@ -49,10 +48,9 @@
 	})
 }
 
-// Isolated reports whether this controller leads no jobs, or none any more, and knows of
-// nobody who could start work: it reaches no peer, nor the state service. Workers that
-// it went on answering would only wait here, and their tasks would be settled later by
-// whoever leads the jobs.
+// Isolated reports whether this controller leads no shards and knows of no controller that could
+// start tasks: it reaches neither a peer nor the state service. If it continued to answer workers,
+// they would receive no tasks, and the leader would learn of the tasks that they run only later.
 func (v *View) Isolated() bool {
 	if v.Self.LeadsShards || v.Self.StoreReachable {
 		return false
@@ -65,7 +63,7 @@
 	return len(v.Peers) > 0
 }
 
-// StoreReachablePeers names the peers that reach the state service and that can be called.
+// StoreReachablePeers returns the peers that can be called and reach the state service.
 func (v *View) StoreReachablePeers() []string {
 	var out []string
 	for i := range v.Peers {
@@ -76,8 +74,8 @@
 	return out
 }
 
-// Healthy reports whether this controller should take users. It should not if, and
-// only if, it lost the state service and a peer did not.
+// Healthy reports whether this controller should serve clients. It returns false only if this
+// controller lost the state service and a peer did not.
 func (v *View) Healthy() bool {
 	if v.Self.StoreReachable {
 		return true
@@ -90,8 +88,8 @@
 	return true
 }
 
-// NextHop names the controller to send a message for a peer to: the peer itself, or a
-// third that reaches it if this controller does not. Messages are relayed once at most.
+// NextHop returns the controller to which a message for a peer is to be sent: the peer itself, or
+// if it is not reached, a third controller that reaches it. A message is relayed at most once.
 func (v *View) NextHop(to string) string {
 	peer := v.peer(to)
 	if peer == nil || peer.OutboundReachable {
--- a/internal/reachability/table.go
+++ b/internal/reachability/table.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// peerRecord is what is known of a peer: its newest status, and how calls to it end.
+// peerRecord is the newest status of a peer and the state of the calls to it.
 type peerRecord struct {
 	status           NodeStatus
-	statusAt         time.Time // of status, as near as can be told; without one, when this process began
-	incarnationSince time.Time // when the first status of the peer's present process came
+	statusAt         time.Time // estimated time at which status was made; this process's start if there is none
+	incarnationSince time.Time // when the first status of the peer's present incarnation arrived
 	path             Path
-	heardAt          time.Time // when a message last came from it directly, or a reply
-	undeliveredUntil time.Time // until when what this controller hears of workers counts as not delivered there
-	failures         int       // weight of the calls to it, in a row, that brought no reply
+	heardAt          time.Time // when a message or reply last arrived from the peer directly
+	undeliveredUntil time.Time // until when the peer counts as not receiving the list of workers heard here
+	failures         int       // weighted number of consecutive calls without a reply
 }
 
-// Table keeps the newest status of every peer. It is safe for concurrent use.
+// Table holds the newest status of every peer. It is safe for concurrent use.
 type Table struct {
 	self  string
 	peers []string
 
 	mu      sync.Mutex
-	records map[string]*peerRecord // of all peers
+	records map[string]*peerRecord // by name, of all peers
 }
 
-// NewTable returns a table of peers that nobody has heard yet.
+// NewTable returns a table for peers of which no status is known yet.
 func NewTable(self string, peers []string) *Table {
 	t := &Table{self: self, peers: peers, records: map[string]*peerRecord{}}
 	now := time.Now()
@@ -36,9 +36,9 @@
 	return t
 }
 
-// Update keeps a status that is age old, unless a newer one is known. Those of
-// controllers that are not configured, and of this one, are dropped. A status that a
-// controller sent itself also shows that this controller hears it now.
+// Update stores a status of the given age unless a newer one is known. Statuses of this controller
+// and of unconfigured ones are dropped. A direct status also shows that its controller is heard
+// now.
 func (t *Table) Update(status NodeStatus, path Path, age time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,15 +60,15 @@
 }
 
 const (
-	// outboundLostWeight is the weight of failed calls in a row from which on a peer counts as
-	// out of reach: one is a lost packet, or a busy moment.
+	// outboundLostWeight is the weight of consecutive failed calls at which a peer counts as
+	// unreachable: a single failure may be a lost packet or a busy moment.
 	outboundLostWeight = 4
-	refusedWeight      = 2 // of a call that could not even be sent
-	timeoutWeight      = 1 // of one that got no reply in time
+	refusedWeight      = 2 // of a call that could not be sent
+	timeoutWeight      = 1 // of a call without a reply in time
 )
 
-// RecordCall notes whether a call to a peer brought a reply, and if not, whether it
-// could not even be sent.
+// RecordCall records whether a call to a peer was answered and, if not, whether it was refused,
+// that is, could not even be sent.
 func (t *Table) RecordCall(peer string, answered, refused bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// View returns the view at now, with this controller's own status.
+// View returns the view at the given time, with this controller's own status.
 func (t *Table) View(self NodeStatus, now time.Time) View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,8 +99,8 @@
 	return v
 }
 
-// ReachedWithin reports whether a peer was heard directly within a time, and calls to it
-// work.
+// ReachedWithin reports whether a peer was heard directly within the given time and the last call
+// to it succeeded.
 func (t *Table) ReachedWithin(peer string, within time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,8 +108,8 @@
 	return record != nil && now.Sub(record.heardAt) < within && record.failures == 0
 }
 
-// RecordUndelivered notes that what this controller hears of workers did not reach a peer
-// that leads jobs.
+// RecordUndelivered records that a peer that leads shards could not be told which workers are
+// heard here.
 func (t *Table) RecordUndelivered(peer string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,8 +118,8 @@
 	}
 }
 
-// UnreachedPeers names the peers that are not heard directly, whom calls don't reach, or
-// who are too busy to take what is heard here.
+// UnreachedPeers returns the peers that are not heard directly, that calls don't reach, or that
+// recently did not receive the list of workers heard here.
 func (t *Table) UnreachedPeers(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,8 +133,8 @@
 	return out
 }
 
-// UnreachedByAnyPeer reports whether a peer does not reach this controller: it can't query this
-// one, or be sent to, so that the status must say which workers are heard here.
+// UnreachedByAnyPeer reports whether any peer says that it does not reach this controller. Such a
+// peer can't query this one, so that this controller's status must list the workers heard here.
 func (t *Table) UnreachedByAnyPeer(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,20 +146,20 @@
 	return false
 }
 
-// RelayedStatus is a status that a controller passes on for another.
+// RelayedStatus is the status of another controller that the sender passes on.
 type RelayedStatus struct {
 	Status NodeStatus `json:"row"`
-	AgeS   float64    `json:"age"` // s, when it was passed on
+	AgeS   float64    `json:"age"` // age in s when it was passed on
 }
 
-// newIncarnationWindow is how long after a peer's process began it is sent old statuses too, of
-// controllers that are not heard any more: it may never have heard them, and their age says
-// whether they may still answer workers that it doesn't hear either.
+// newIncarnationWindow is the time after a peer's start during which it is also sent outdated
+// statuses, of controllers that are no longer heard: it may never have received them, and their
+// age tells whether those controllers may still answer workers.
 const newIncarnationWindow = 10 * time.Second
 
-// RelayFor returns the statuses to be passed on to a peer: none while all controllers
-// exchange theirs with each other, else those that came directly and that the peer
-// does not get, as it or their author says. A status is passed on once.
+// RelayFor returns the statuses to be relayed to a peer: those that arrived here directly and that
+// the peer does not receive itself, according to it or to their author. It returns none while all
+// controllers exchange their statuses directly. A status is relayed only once.
 func (t *Table) RelayFor(to string, now time.Time) []RelayedStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,7 +180,7 @@
 	return out
 }
 
-// UpdateRelayed keeps statuses that a peer passed on.
+// UpdateRelayed stores statuses that a peer relayed.
 func (t *Table) UpdateRelayed(statuses []RelayedStatus, now time.Time) {
 	for _, relayed := range statuses {
 		t.Update(relayed.Status, ViaPeer, time.Duration(relayed.AgeS*float64(time.Second)), now)
--- a/internal/reachability/table_test.go
+++ b/internal/reachability/table_test.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// What a controller said before it was restarted, or earlier, changes nothing; nor
-// does what others say of it once it spoke itself.
+// A status of an earlier incarnation or with a lower sequence number is dropped, on whichever path
+// it arrives.
 func TestOldStatusesAreDropped(t *testing.T) {
 	table := reachability.NewTable("a", []string{"b"})
 	update := func(startedMs int64, seq uint64, reports int, path reachability.Path) {
@@ -33,9 +33,10 @@
 	}
 }
 
-// A controller restarts while another is cut off, or has ended: a third sends it when that
-// one was last heard, and it weighs unresponsive workers by that. Without a third it has
-// to take the other for cut off since its own start. It is sent so only after its start.
+// A controller restarts while another one is cut off or stopped. A third controller relays when it
+// last heard that one, and the restarted controller uses this to judge unresponsive workers.
+// Without the third controller it must assume that the other was cut off when it started itself.
+// Outdated statuses are relayed only shortly after the start.
 func TestRestartedControllerLearnsOfLostPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		third := reachability.NewTable("c", []string{"a", "b"})
@@ -44,10 +45,10 @@
 		}
 		third.Update(status("a", 1), reachability.Direct, 0, time.Now())
 		third.Update(status("b", 1), reachability.Direct, 0, time.Now())
-		for _, lostFor := range []time.Duration{20 * time.Second, 50 * time.Second} { // since the status of b, after which it may answer for 61 s
+		for _, lostFor := range []time.Duration{20 * time.Second, 50 * time.Second} { // since b's last status, after which b may answer workers for 61 s
 			time.Sleep(lostFor)
 			if passed := third.RelayFor("a", time.Now()); len(passed) > 0 {
-				t.Errorf("an old process is sent %+v", passed)
+				t.Errorf("relayed to a process that has not restarted: %+v", passed)
 			}
 			incarnation := int64(lostFor)
 			third.Update(status("a", incarnation, "b"), reachability.Direct, 0, time.Now())
@@ -56,7 +57,7 @@
 				if informed {
 					passed := third.RelayFor("a", time.Now())
 					if len(passed) != 1 || passed[0].Status.Node != "b" {
-						t.Fatalf("a new process is sent %+v", passed)
+						t.Fatalf("relayed to a restarted process: %+v", passed)
 					}
 					table.UpdateRelayed(passed, time.Now())
 				}
@@ -77,7 +78,7 @@
 			}
 			time.Sleep(10 * time.Second)
 			if passed := third.RelayFor("a", time.Now()); len(passed) > 0 {
-				t.Errorf("sent for ever: %+v", passed)
+				t.Errorf("relayed long after the restart: %+v", passed)
 			}
 		}
 	})
--- a/internal/reachability/transfer_monitor.go
+++ b/internal/reachability/transfer_monitor.go
@@ -3,37 +3,37 @@
 import "time"
 
 const (
-	minCandidateHeartbeatShare = 0.1  // of the heartbeats expected, that a peer must receive to take the shards
-	candidateHeartbeatFactor   = 3    // how many times as many heartbeats as the leader a peer must receive
-	reachedProbeSuccess        = 0.75 // share of probed workers, from which on they count as reached
-	lostProbeSuccess           = 0.25 // up to which they do not
-	baseTransferDelay          = 15 * time.Second
-	maxDelayDoublings          = 4 // of settleTime
+	minCandidateHeartbeatShare = 0.1              // of the leader's expected heartbeats, which a peer must receive to take over the shards
+	candidateHeartbeatFactor   = 3                // how many times the leader's heartbeats a peer must receive
+	reachedProbeSuccess        = 0.75             // least share of responses to probes with which the workers count as reached
+	lostProbeSuccess           = 0.25             // greatest share with which they count as not reached
+	baseTransferDelay          = 15 * time.Second // TransferDelay without earlier transfers; each one doubles it
+	maxDelayDoublings          = 4                // of baseTransferDelay
 
-	heartbeatConfirmTime = time.Second            // for which checks must agree on what is received
-	probeConfirmTime     = 200 * time.Millisecond // and on what was probed
+	heartbeatConfirmTime = time.Second            // for which checks by heartbeats must give the same result
+	probeConfirmTime     = 200 * time.Millisecond // for which checks by probes must give the same result
 )
 
-// TransferWindow is the time over which transfers are counted; see TransferDelay.
+// TransferWindow is the period over which transfers are counted; see TransferDelay.
 const TransferWindow = 5 * time.Minute
 
-// TransferDelay is how long a leader waits before it transfers its shards, after so many
-// transfers within the TransferWindow: it leaves its workers time to find it, and a
-// flapping link moves the shards less and less.
+// TransferDelay returns how long a leader waits before it transfers its shards, given the number
+// of transfers within TransferWindow. The delay gives workers time to find the new leader, and its
+// growth limits transfers caused by a flapping link.
 func TransferDelay(transfers int) time.Duration {
 	return baseTransferDelay << min(transfers, maxDelayDoublings)
 }
 
-// TransferMonitor finds out when a leader receives its workers' heartbeats no more and a peer
-// does. The zero value is ready for use; it is not safe for concurrent use.
+// TransferMonitor detects that a leader no longer receives its workers' heartbeats while a peer
+// does. The zero value is ready for use. It is not safe for concurrent use.
 type TransferMonitor struct {
 	leadingSince time.Time // zero if this controller leads no shards
-	lostSince    time.Time // since when checks found that a peer should lead them
+	lostSince    time.Time // since when checks have found that a peer should lead the shards
 }
 
-// Check is called at least once a second, with the transfers within the TransferWindow that
-// are on record. It returns the peer that should lead the shards, or "". One check is
-// not trusted: a process that stood still receives nothing for a moment either.
+// Check is to be called at least once a second, with the number of recorded transfers within
+// TransferWindow. It returns the peer that should lead the shards, or "". A single check is not
+// sufficient, since a process that was paused receives nothing for a moment either.
 func (m *TransferMonitor) Check(now time.Time, v *View, transfers int) string {
 	if !v.Self.LeadsShards {
 		m.leadingSince, m.lostSince = time.Time{}, time.Time{}
@@ -43,8 +43,8 @@
 		m.leadingSince = now
 	}
 	to, confirmTime := "", heartbeatConfirmTime
-	// The first transfer of a window may come after the plain settling time; of
-	// those before this leader's time each doubles it.
+	// Each transfer within TransferWindow doubles the delay, except for the one that made this
+	// controller the leader.
 	if now.Sub(m.leadingSince) >= TransferDelay(max(0, transfers-1)) {
 		to, confirmTime = v.transferCandidate()
 	}
@@ -60,13 +60,13 @@
 	return ""
 }
 
-// transferCandidate returns the peer that reaches the workers best, "" if this controller does,
-// or no peer does, and for how long checks must agree on that.
+// transferCandidate returns the peer that reaches the workers best, or "" if this controller
+// reaches them or no peer does, and for how long checks must confirm the result.
 func (v *View) transferCandidate() (name string, confirmTime time.Duration) {
 	confirmTime = heartbeatConfirmTime
 	mostHeartbeats := max(candidateHeartbeatFactor*v.Self.Heartbeats, int(minCandidateHeartbeatShare*v.Self.ExpectedHeartbeats))
-	// Workers take seconds to look for another controller: what peers reach when
-	// they probe says it sooner than what they receive.
+	// Workers take seconds to look for another controller, so that the peers' probes show earlier
+	// than their heartbeats that they reach the workers.
 	outboundLost := v.Self.Probed && v.Self.ProbeSuccess <= lostProbeSuccess
 	bestProbes := 0.0
 	for i := range v.Peers {
--- a/internal/reachability/transfer_monitor_test.go
+++ b/internal/reachability/transfer_monitor_test.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// Heartbeats come at random: what has workers probed must not happen by chance.
+// Heartbeats arrive at random times. A pause that occurs by chance must not cause probes.
 func TestShouldProbeOnlyAfterUnlikelyPause(t *testing.T) {
 	for _, c := range []struct {
 		perSecond float64
@@ -20,9 +20,9 @@
 	}
 }
 
-// A leader that lost its workers for a minute, and nothing else, deleted 700 of
-// 1,300 machines as failed, with their tasks, and provisioned others. Flapping links
-// move the shards less and less.
+// A leader that receives no heartbeats for a minute while a peer does transfers its shards.
+// Otherwise it would delete working machines as failed, such as 700 of 1,300, with their tasks.
+// Repeated transfers over flapping links are delayed more and more.
 func TestTransferWhenInboundLost(t *testing.T) {
 	peers := func(a, b int) []reachability.Peer {
 		noStore := healthyPeer("c", 900)
