--- a/internal/viewsync/capacity_test.go
+++ b/internal/viewsync/capacity_test.go
@@ -15,18 +15,18 @@
 const (
 	tasksPerWorker   = 4     // 11,000 tasks on 2,600 workers
 	reportIntervalMs = 8_000 // between a worker's reports
-	overrunWaitS     = 2.2   // seconds, of a task that has outrun its estimate
+	overrunWaitS     = 2.2   // expected wait in s for a task that has exceeded its estimated run time
 )
 
-// workerViews are so many workers as their dispatcher sees them.
+// workerViews are the views of a dispatcher's workers.
 type workerViews []dispatch.WorkerView
 
 func (workerViews) HasWorkers() bool                                { return true }
 func (w workerViews) WorkerViews() []dispatch.WorkerView            { return w }
 func (workerViews) ChangedViews() ([]dispatch.WorkerView, []string) { return nil, nil }
 
-// workersAt are workers with reports as of a time, each of whose first started tasks
-// began anew then.
+// workersAt returns views of so many workers whose reports are of the given time. On each of them,
+// the first started tasks have just been replaced by new ones.
 func workersAt(workers int, atMs int64, started int) (views workerViews) {
 	passed := float64(atMs) / msPerSecond
 	for i := range workers {
@@ -50,8 +50,9 @@
 	return views
 }
 
-// sentBytes is the size of the messages that send workers' views to a leader, first whole and then
-// once the workers have reported again, with so many tasks started in between.
+// sentBytes returns the size of the messages that send workers' views to a leader: first all
+// views, and then the changes after the workers have reported again, with so many tasks of each
+// worker started in between.
 func sentBytes(tb testing.TB, workers, started int) (whole, change float64) {
 	e, d := NewEncoder("a"), NewDecoder()
 	first := workersAt(workers, 0, 0)
--- a/internal/viewsync/change.go
+++ b/internal/viewsync/change.go
@@ -9,10 +9,10 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// ErrMalformed means that a change does not fit what it is to change.
+// ErrMalformed means that a message does not fit the replica that it should change.
 var ErrMalformed = errors.New("malformed change")
 
-// Attributes is what a worker's reports say that hardly ever changes.
+// Attributes are the parts of a worker's reports that rarely change.
 type Attributes struct {
 	Type     string `json:"t"`
 	Zone     string `json:"z"`
@@ -20,25 +20,25 @@
 	Endpoint string `json:"e,omitempty"`
 }
 
-// Condition is a worker's state apart from its tasks.
+// Condition is the state of a worker apart from its tasks.
 type Condition struct {
 	NoticeS  *float64 `json:"n,omitempty"`
 	Draining bool     `json:"d,omitempty"`
 	Polled   bool     `json:"a,omitempty"`
 }
 
-// TaskKey names a reported task.
+// TaskKey identifies a reported task.
 type TaskKey struct {
 	Task    string `json:"t"`
 	Attempt uint64 `json:"a"`
 }
 
-// Change is what changed in the view of one worker. What is left out is as before; times
-// go on by themselves.
+// Change is the difference between two views of one worker. Omitted fields are unchanged, apart
+// from times, which both ends advance.
 type Change struct {
 	Name         string               `json:"n"`
-	LagMs        int64                `json:"b,omitempty"` // by which the view is older than its frame
-	Replace      bool                 `json:"f,omitempty"` // whatever was known of the worker is replaced
+	LagMs        int64                `json:"b,omitempty"` // age of the view when its frame was made
+	Replace      bool                 `json:"f,omitempty"` // replaces the whole state of the worker
 	Attributes   *Attributes          `json:"i,omitempty"`
 	Session      uint64               `json:"e,omitempty"`
 	Seq          uint64               `json:"s,omitempty"`
@@ -48,12 +48,12 @@
 	Condition    *Condition           `json:"c,omitempty"`
 	AllTasks     bool                 `json:"l,omitempty"` // Tasks is the whole list
 	Tasks        []dispatch.TaskView  `json:"t,omitempty"` // new or changed
-	RemovedTasks []TaskKey            `json:"x,omitempty"` // not reported any more
+	RemovedTasks []TaskKey            `json:"x,omitempty"` // no longer reported
 	Queue        []dispatch.QueueView `json:"q,omitempty"`
 	NoQueue      bool                 `json:"o,omitempty"` // the queue is empty now
-	Matrix       []float64            `json:"m,omitempty"` // see packed
-	NoMatrix     bool                 `json:"y,omitempty"` // there is no matrix any more
-	Waits        []float64            `json:"w,omitempty"` // of the matrix, whose amounts are as before
+	Matrix       []float64            `json:"m,omitempty"` // see packMatrix
+	NoMatrix     bool                 `json:"y,omitempty"` // the matrix is removed
+	Waits        []float64            `json:"w,omitempty"` // new waits of the matrix, whose amounts are unchanged
 }
 
 func attributesOf(v *dispatch.WorkerView) Attributes {
@@ -68,8 +68,8 @@
 	return samePointee(c.NoticeS, o.NoticeS) && c.Draining == o.Draining && c.Polled == o.Polled
 }
 
-// diff returns what changed from old, nil for a worker that is not known yet, to the view
-// now, both rounded.
+// diff returns the change from old, nil for a worker that is not known yet, to now. Both are
+// rounded.
 func diff(old *state, now state) Change {
 	was := state{atMs: now.atMs}
 	if old != nil {
@@ -77,7 +77,7 @@
 	}
 	from, to := &was.view, &now.view
 	if to.Session == 0 && from.Session != 0 || to.Seq == 0 && from.Seq != 0 || to.Token == 0 && from.Token != 0 {
-		return diff(nil, now) // 0 says that nothing changed
+		return diff(nil, now) // 0 stands for an unchanged number
 	}
 	c := Change{
 		Name: to.Name, Replace: old == nil,
@@ -106,7 +106,7 @@
 	return c
 }
 
-// ifChanged returns now, or 0 if it is as before.
+// ifChanged returns now, or 0 if it equals before.
 func ifChanged(before, now uint64) uint64 {
 	if now == before {
 		return 0
@@ -114,7 +114,7 @@
 	return now
 }
 
-// ifAgeChanged returns an age in ms, or nil if it is as before but for the time that passed.
+// ifAgeChanged returns an age in ms, or nil if it is as expected from the time that has passed.
 func ifAgeChanged(beforeS, nowS float64) *int64 {
 	if withinTolerance(nowS, beforeS, ageToleranceS) {
 		return nil
@@ -123,8 +123,8 @@
 	return &ms
 }
 
-// apply returns what a change makes of a worker's state, nil for one that is not known
-// yet. The old state stays as it is.
+// apply returns the state of a worker after the change. old is nil if the worker is not known yet,
+// and is not modified.
 func (c *Change) apply(old *state, atMs int64) (state, error) {
 	atMs -= c.LagMs
 	if c.Replace {
@@ -152,22 +152,22 @@
 	return now, nil
 }
 
-// check checks that the change fits the old state and the time that the new one is of.
+// check returns an error if the change does not fit the old state or the time of the new one.
 func (c *Change) check(old *state, atMs int64) error {
 	switch {
 	case c.Name == "" || c.LagMs < 0:
-		return fmt.Errorf("%w: no worker, or of a later time", ErrMalformed)
+		return fmt.Errorf("%w: no worker name, or negative lag", ErrMalformed)
 	case old == nil && (c.Attributes == nil || !c.Replace):
-		return fmt.Errorf("%w: %s: not known here", ErrMalformed, c.Name)
+		return fmt.Errorf("%w: %s: change of an unknown worker", ErrMalformed, c.Name)
 	case c.AgeMs != nil && *c.AgeMs < 0 || c.UnansweredMs != nil && *c.UnansweredMs < 0:
-		return fmt.Errorf("%w: %s: reported or answered in the future", ErrMalformed, c.Name)
+		return fmt.Errorf("%w: %s: negative age", ErrMalformed, c.Name)
 	case old != nil && atMs < old.atMs:
-		return fmt.Errorf("%w: %s: older than what is known", ErrMalformed, c.Name)
+		return fmt.Errorf("%w: %s: older than the known state", ErrMalformed, c.Name)
 	}
 	return nil
 }
 
-// applyReport applies what the worker's report says apart from its tasks.
+// applyReport applies the changes of the worker's report apart from its tasks.
 func (c *Change) applyReport(v *dispatch.WorkerView) {
 	if site := c.Attributes; site != nil {
 		v.Type, v.Zone, v.Spot, v.Endpoint = site.Type, site.Zone, site.Spot, site.Endpoint
@@ -184,26 +184,26 @@
 	}
 }
 
-// applyMatrix applies the change to a view's matrix.
+// applyMatrix applies the change of the matrix.
 func (c *Change) applyMatrix(v *dispatch.WorkerView) error {
 	switch {
 	case c.NoMatrix:
 		v.Matrix = nil
 	case len(c.Matrix)%valuesPerRow != 0:
-		return fmt.Errorf("%w: %s: a matrix of %d figures", ErrMalformed, c.Name, len(c.Matrix))
+		return fmt.Errorf("%w: %s: matrix of %d values", ErrMalformed, c.Name, len(c.Matrix))
 	case len(c.Matrix) > 0:
 		v.Matrix = unpackMatrix(c.Matrix)
 	case len(c.Waits) == 0:
-		return nil // as it was, and was checked then
+		return nil // unchanged, and checked before
 	case len(c.Waits) != len(v.Matrix):
-		return fmt.Errorf("%w: %s: %d waits of %d", ErrMalformed, c.Name, len(c.Waits), len(v.Matrix))
+		return fmt.Errorf("%w: %s: %d waits for %d rows", ErrMalformed, c.Name, len(c.Waits), len(v.Matrix))
 	default:
 		for i := range v.Matrix {
-			v.Matrix[i].WaitS = c.Waits[i] // of a copy, see advanced
+			v.Matrix[i].WaitS = c.Waits[i] // a copy, see advancedTo
 		}
 	}
 	if !sortedByWait(v.Matrix) {
-		return fmt.Errorf("%w: %s: waits not in order", ErrMalformed, c.Name)
+		return fmt.Errorf("%w: %s: waits not sorted", ErrMalformed, c.Name)
 	}
 	return nil
 }
--- a/internal/viewsync/change_tasks.go
+++ b/internal/viewsync/change_tasks.go
@@ -9,7 +9,7 @@
 
 func keyOf(t *dispatch.TaskView) TaskKey { return TaskKey{t.Task.Task, t.Attempt} }
 
-// tasksByKey indexes a list; of tasks with the same key, the last one.
+// tasksByKey indexes tasks by their keys. Of tasks with the same key, the last one is kept.
 func tasksByKey(tasks []dispatch.TaskView) map[TaskKey]*dispatch.TaskView {
 	index := make(map[TaskKey]*dispatch.TaskView, len(tasks))
 	for i := range tasks {
@@ -18,7 +18,8 @@
 	return index
 }
 
-// diffTasks notes which reported tasks changed, or all of them if that would not give their list.
+// diffTasks records which reported tasks changed, or the whole list if the changes don't reproduce
+// it.
 func (c *Change) diffTasks(was, now []dispatch.TaskView) {
 	before := tasksByKey(was)
 	for i := range now {
@@ -39,7 +40,8 @@
 	}
 }
 
-// applyTasks applies the changed tasks to a worker's list, which stays as it is.
+// applyTasks returns a worker's task list with the changes applied. It does not modify the old
+// list.
 func (c *Change) applyTasks(was []dispatch.TaskView) ([]dispatch.TaskView, error) {
 	if c.AllTasks {
 		return c.Tasks, nil
@@ -66,7 +68,7 @@
 		out = append(out, task)
 	}
 	if len(unlisted) > 0 {
-		return nil, fmt.Errorf("%w: %s: a task that was not reported is reported no more", ErrMalformed, c.Name)
+		return nil, fmt.Errorf("%w: %s: removed task was not reported before", ErrMalformed, c.Name)
 	}
 	for i := range c.Tasks {
 		if key := keyOf(&c.Tasks[i]); changed[key] != nil {
--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -7,29 +7,29 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// maxWorkers bounds the workers of a Decoder: no dispatcher has more.
+// maxWorkers bounds the workers of a Decoder; dispatchers have the same limit.
 const maxWorkers = 20_000
 
-// Decoder is a leader's end of a dispatcher's stream: its replica of that dispatcher's views.
-// It is not safe for concurrent use.
+// Decoder is the leader's end of a dispatcher's stream and holds a replica of its views. It is not
+// safe for concurrent use.
 type Decoder struct {
 	stream uint64
 	seq    uint64
 	states map[string]*state
 }
 
-// NewDecoder returns an empty replica. The identifier of the stream that it pretends to know is
-// drawn anew, so that only a dispatcher that received it can begin: not a message that was
-// sent to a predecessor.
+// NewDecoder returns an empty replica. It claims to know a stream with a random identifier, so
+// that only a dispatcher that has received the identifier can begin a stream: a message that was
+// sent to a predecessor can't.
 func NewDecoder() *Decoder {
 	return &Decoder{stream: newStream(), states: map[string]*state{}}
 }
 
-// Reply says up to where this leader knows which stream.
+// Reply returns up to which frame of which stream this leader knows the views.
 func (d *Decoder) Reply() Reply { return Reply{Stream: d.stream, Seq: d.seq} }
 
-// Apply applies a message, and returns the views that changed, as of now. A malformed one
-// changes nothing; its error is ErrMalformed.
+// Apply applies a message and returns the views that changed, as of now. A malformed message has
+// no effect and returns ErrMalformed.
 func (d *Decoder) Apply(m *Message) ([]dispatch.WorkerView, Reply, error) {
 	if m.Frame == nil {
 		return nil, d.heartbeat(m), nil
@@ -38,9 +38,9 @@
 	switch {
 	case initial && m.Stream != d.stream && m.Replaces == d.stream && frame.Initial && m.Stream != 0:
 	case m.Stream != d.stream:
-		return nil, d.Reply(), nil // of another incarnation, of the dispatcher or of this leader
+		return nil, d.Reply(), nil // from another incarnation of the dispatcher, or meant for another one of this leader
 	case frame.Seq <= d.seq:
-		return nil, d.Reply(), nil // a copy
+		return nil, d.Reply(), nil // a duplicate
 	case frame.Seq != d.seq+1 || frame.Initial:
 		return nil, d.refusal(), fmt.Errorf("%w: frame %d after %d", ErrMalformed, frame.Seq, d.seq)
 	}
@@ -66,7 +66,8 @@
 	return out, d.Reply(), nil
 }
 
-// applyFrame returns what a frame's changes make of the replica, which stays as it is.
+// applyFrame returns the new states of the workers that a frame changes. It does not modify the
+// replica.
 func (d *Decoder) applyFrame(frame *Frame, initial bool) ([]state, error) {
 	states := make([]state, 0, len(frame.Changes))
 	if len(d.states)+len(frame.Changes) > maxWorkers && !initial || len(frame.Changes) > maxWorkers {
@@ -97,11 +98,11 @@
 	return states, nil
 }
 
-// viewAt is the view with the ages as of a later time; its matrix stays, since leaders take
-// the time since a view came off by themselves.
+// viewAt returns the view with the ages as of a later time. The matrix is not changed, since
+// leaders account for a view's age themselves.
 func (s *state) viewAt(nowMs int64) dispatch.WorkerView {
 	view := s.view
-	view.Matrix = slices.Clone(view.Matrix) // leaders take room off it
+	view.Matrix = slices.Clone(view.Matrix) // leaders subtract resources from it
 	passed := max(0, float64(nowMs-s.atMs)/msPerSecond)
 	if passed == 0 {
 		return view
@@ -114,9 +115,9 @@
 	return view
 }
 
-// heartbeat checks that both ends have the same.
+// heartbeat checks that both ends have the same views.
 func (d *Decoder) heartbeat(m *Message) Reply {
-	if m.Stream != d.stream || m.Seq < d.seq { // of another incarnation, or a copy
+	if m.Stream != d.stream || m.Seq < d.seq { // from another incarnation, or a duplicate
 		return d.Reply()
 	}
 	if m.Seq != d.seq || m.Workers != len(d.states) || m.Digest != digest(d.states) {
--- a/internal/viewsync/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// maxFrameViews bounds the workers in a frame, and so its size.
+	// maxFrameViews bounds the number of workers in a frame, and thereby its size.
 	maxFrameViews = 500
-	// heartbeatMs is after how long without a frame the leader is sent a heartbeat.
+	// heartbeatMs is the time without an acknowledgement after which the leader is sent a heartbeat.
 	heartbeatMs = 1000
 )
 
-// Encoder is a dispatcher's end of a stream to one leader. It is not safe for concurrent use.
+// Encoder is the dispatcher's end of a stream to one leader. It is not safe for concurrent use.
 type Encoder struct {
 	dispatcher string
 	stream     uint64
-	replaces   uint64 // the stream that the leader knows, to be replaced by this one
+	replaces   uint64 // the stream known to the leader, which this one replaces; 0 if unknown
 	seq        uint64 // of the last frame
-	started    bool   // the first frame of the stream was made
+	started    bool   // the first frame was made
 
-	sent      map[string]*state // as of the last frame
-	pending   map[string]state  // changed since
-	removed   map[string]bool   // likewise
-	unacked   *Frame            // sent, and not acknowledged
-	lastAckMs int64             // when the leader last acknowledged anything
+	sent      map[string]*state // states as of the last frame
+	pending   map[string]state  // states that changed since then
+	removed   map[string]bool   // workers that were sent and removed since then
+	unacked   *Frame            // the last frame, until it is acknowledged
+	lastAckMs int64             // time of the leader's last acknowledgement
 }
 
-// NewEncoder returns the dispatcher's end of a stream that the leader does not know yet.
+// NewEncoder returns the dispatcher's end of a new stream; which stream the leader knows is not
+// known yet.
 func NewEncoder(dispatcher string) *Encoder {
 	e := &Encoder{dispatcher: dispatcher}
 	e.restart(0)
@@ -40,11 +41,11 @@
 	e.sent, e.pending, e.removed = map[string]*state{}, map[string]state{}, map[string]bool{}
 }
 
-// Update takes changed views, made now, and the names of workers that the dispatcher does not know
-// any more.
+// Update records changed views as of now and the names of workers that the dispatcher no longer
+// knows.
 func (e *Encoder) Update(nowMs int64, changed []dispatch.WorkerView, removed []string) {
 	if !e.started {
-		return // the first frame has all views
+		return // the first frame will contain all views
 	}
 	for _, view := range changed {
 		e.pending[view.Name] = state{nowMs, roundedView(view)}
@@ -58,17 +59,17 @@
 	}
 }
 
-// Next returns what is to be sent now, or nil.
+// Next returns the message to be sent now, or nil.
 func (e *Encoder) Next(nowMs int64, source Source) *Message {
 	m := &Message{Dispatcher: e.dispatcher, Stream: e.stream, Replaces: e.replaces, NowMs: nowMs}
 	switch {
 	case e.unacked != nil:
-		// Repeated as it is: whether it was applied is not known.
+		// Repeated unchanged, since it may have been applied.
 	case !e.started && e.replaces == 0 && !source.HasWorkers():
-		return nil // a dispatcher without workers sends nothing
+		return nil // a dispatcher without workers has nothing to send
 	case !e.started && e.replaces == 0:
-		// Which stream the leader knows, it has to say first: a heartbeat of an unknown
-		// stream has it say so.
+		// Ask which stream the leader knows: it states it in reply to a heartbeat of an
+		// unknown stream.
 		return m
 	case !e.started:
 		e.started = true
@@ -88,7 +89,7 @@
 
 func (e *Encoder) hasChanges() bool { return len(e.pending)+len(e.removed) > 0 }
 
-// makeFrame makes a frame of what changed, up to its bound.
+// makeFrame makes a frame of at most maxFrameViews pending changes.
 func (e *Encoder) makeFrame(nowMs int64) {
 	e.seq++
 	frame := &Frame{Seq: e.seq, AtMs: nowMs, Initial: e.seq == 1}
@@ -101,7 +102,7 @@
 		change.LagMs = nowMs - now.atMs
 		applied, err := change.apply(e.sent[name], nowMs)
 		if err != nil {
-			change = diff(nil, now) // whatever it is that can't be sent as a change
+			change = diff(nil, now) // replace the state if the change can't be applied
 			change.LagMs = nowMs - now.atMs
 			applied = now
 		}
@@ -117,8 +118,8 @@
 	e.unacked = frame
 }
 
-// HandleReply handles the leader's reply to the last message, and reports whether there is more to
-// be sent at once.
+// HandleReply processes the leader's reply to the last message and reports whether another message
+// should be sent at once.
 func (e *Encoder) HandleReply(nowMs int64, r Reply) (more bool) {
 	switch {
 	case r.Stream != e.stream:
@@ -126,7 +127,7 @@
 		return r.Stream != 0
 	case r.Refused:
 		e.restart(r.Stream)
-		return false // after a pause: it may be refused again
+		return false // not at once: it may be refused again
 	case e.unacked != nil && r.Seq >= e.unacked.Seq:
 		e.unacked, e.lastAckMs = nil, nowMs
 		return e.hasChanges()
--- a/internal/viewsync/model_test.go
+++ b/internal/viewsync/model_test.go
@@ -15,25 +15,26 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// version is what a dispatcher knew of a worker from a time on; its number is the view's token.
+// version is the dispatcher's knowledge of a worker from a time on. The view's token is the number
+// of the version.
 type version struct {
 	known bool
 	atMs  int64
 	view  dispatch.WorkerView
 }
 
-// model is a dispatcher, a leader, and what is under way between them.
+// model simulates a dispatcher, a leader, and the messages in flight between them.
 type model struct {
 	t        *rapid.T
 	nowMs    int64
-	versions []version        // by number, of all workers; the first is nobody's
-	current  map[string]int   // version of each worker that the dispatcher knows
-	changed  map[string]bool  // since the encoder last noted changes
-	startMs  int64            // when the dispatcher's clock began
-	acked    map[string]int   // versions that the leader acknowledged, in this incarnation of its
-	removed  map[string][]int // versions at which workers were removed
-	messages [][]byte         // under way, any of them perhaps a copy
-	replies  []Reply          // the same
+	versions []version        // of all workers, by number; the first is unused
+	current  map[string]int   // version number of each worker that the dispatcher knows
+	changed  map[string]bool  // workers changed since the last Encoder.Update
+	startMs  int64            // start of the dispatcher's clock
+	acked    map[string]int   // version numbers acknowledged by the present incarnation of the leader
+	removed  map[string][]int // version numbers of removals, by worker
+	messages [][]byte         // in flight, possibly duplicates
+	replies  []Reply          // likewise
 	encoder  *Encoder
 	decoder  *Decoder
 }
@@ -55,9 +56,11 @@
 
 func (w *model) HasWorkers() bool { return len(w.current) > 0 }
 
-func (w *model) ChangedViews() ([]dispatch.WorkerView, []string) { panic("gather notes them") }
+func (w *model) ChangedViews() ([]dispatch.WorkerView, []string) {
+	panic("updateEncoder passes changes to the encoder")
+}
 
-// WorkerViews are those of all workers, as of now.
+// WorkerViews returns the views of all workers as of now.
 func (w *model) WorkerViews() []dispatch.WorkerView {
 	out := make([]dispatch.WorkerView, 0, len(w.current))
 	for _, name := range slices.Sorted(maps.Keys(w.current)) {
@@ -121,30 +124,30 @@
 	}
 }
 
-// check compares the leader's replica with what the dispatcher knew.
+// check compares the leader's replica with the dispatcher's versions.
 func (w *model) check() {
 	for name, s := range w.decoder.states {
 		n := int(s.view.Token)
 		if n >= len(w.versions) || !w.versions[n].known || w.versions[n].view.Name != name {
-			w.t.Fatalf("%s: the dispatcher never knew this: %+v", name, s.view)
+			w.t.Fatalf("%s: the dispatcher never had this view: %+v", name, s.view)
 		}
 		if n < w.acked[name] {
-			w.t.Fatalf("%s: version %d, when %d was acknowledged", name, n, w.acked[name])
+			w.t.Fatalf("%s: version %d, but %d was acknowledged", name, n, w.acked[name])
 		}
 		want, got := w.versions[n].view, s.view
 		want = roundedView(want)
 		got.Dispatcher = want.Dispatcher
-		// How much time has passed since, the ages say: all must say the same.
+		// The age of the report tells how much time has passed; all other ages must agree with it.
 		passed := got.AgeS - want.AgeS
 		want = state{0, want}.advancedTo(milliseconds(passed)).view
 		if err := sameViews(got, want); err != nil {
-			w.t.Fatalf("%s: a mix, version %d: %v\n%+v\n%+v", name, n, err, got, want)
+			w.t.Fatalf("%s: differs from version %d: %v\n%+v\n%+v", name, n, err, got, want)
 		}
 	}
 	for name, n := range w.acked {
 		last := slices.Max(append(w.removed[name], 0))
 		if w.decoder.states[name] == nil && last < n {
-			w.t.Fatalf("%s: not known any more, when version %d was acknowledged and it was never removed", name, n)
+			w.t.Fatalf("%s: missing, but version %d was acknowledged and it was not removed since", name, n)
 		}
 	}
 }
@@ -176,7 +179,7 @@
 	return nil
 }
 
-// drawNextView draws what a worker's view becomes.
+// drawNextView draws the next view of a worker.
 func drawNextView(t *rapid.T, v dispatch.WorkerView) dispatch.WorkerView {
 	few := rapid.IntRange(0, 3)
 	waits := rapid.SliceOfN(rapid.IntRange(0, 20_000), 0, 3)
@@ -219,10 +222,10 @@
 	return v
 }
 
-// syncUntilIdle lets messages through until nothing is left to be sent.
+// syncUntilIdle delivers all messages until nothing is left to be sent.
 func (w *model) syncUntilIdle() {
 	w.messages, w.replies = nil, nil
-	w.nowMs += heartbeatMs // else nobody would query a leader that has just restarted
+	w.nowMs += heartbeatMs // a leader that has just restarted is noticed only by a heartbeat
 	for range 20 {
 		w.send()
 		if len(w.messages) == 0 {
@@ -234,14 +237,14 @@
 		w.messages, w.replies = nil, nil
 	}
 	if len(w.current) == 0 && !w.encoder.started {
-		return // a dispatcher that has restarted, and has no workers, sends nothing
+		return // a restarted dispatcher without workers sends nothing
 	}
 	if len(w.decoder.states) != len(w.current) {
 		w.t.Fatalf("the leader knows %d workers of %d", len(w.decoder.states), len(w.current))
 	}
 	for name, n := range w.current {
 		if s := w.decoder.states[name]; s == nil || int(s.view.Token) != n {
-			w.t.Fatalf("%s is not known as it is, version %d", name, n)
+			w.t.Fatalf("%s: the leader does not know the present version %d", name, n)
 		}
 	}
 	w.nowMs += heartbeatMs
@@ -254,6 +257,6 @@
 	}
 	w.handleMessage(0)
 	if w.replies[0].Refused || w.replies[0].Stream != w.encoder.stream {
-		w.t.Fatal("a heartbeat of equal ends is refused")
+		w.t.Fatal("a heartbeat was refused although both ends agree")
 	}
 }
--- a/internal/viewsync/publisher.go
+++ b/internal/viewsync/publisher.go
@@ -1,13 +1,13 @@
-// Package viewsync replicates a dispatcher's views of its workers to leaders elsewhere: it sends
-// only what changed since what the leader has acknowledged. It holds the state machines of both
-// ends and does no input or output.
+// Package viewsync replicates a dispatcher's views of its workers to leaders on other controllers.
+// It sends only the differences from what the leader has acknowledged. It contains the state
+// machines of both ends and does no input or output.
 //
-// A dispatcher's Encoder sends a stream of numbered frames, one at a time, each repeated as it
-// is until it is acknowledged. A leader's Decoder applies each once, in order. A stream
-// begins with all views and names the stream that it replaces, as the leader said: so a
-// message of an earlier stream, or incarnation, of either end, however late, changes nothing. A
-// leader that does not know the stream, has restarted, or leads its jobs anew after a failover,
-// says so, and a new stream begins.
+// A dispatcher's Encoder sends a stream of numbered frames, one at a time, and repeats each
+// unchanged until it is acknowledged. A leader's Decoder applies each frame once, in order. A
+// stream begins with all views and names the stream that it replaces, as stated by the leader. So
+// a late message of an earlier stream or incarnation of either end has no effect. A leader that
+// does not know the stream, because it restarted or began to lead shards after a failover, says so
+// in its reply, and the dispatcher begins a new stream.
 package viewsync
 
 import (
@@ -21,14 +21,15 @@
 type Source interface {
 	// HasWorkers reports whether any worker reported within a lease.
 	HasWorkers() bool
-	// WorkerViews makes the views of all workers that reported within a lease.
+	// WorkerViews returns views of all workers that reported within a lease.
 	WorkerViews() []dispatch.WorkerView
-	// ChangedViews makes the views that changed since the last call, and names the workers
-	// that are not known any more.
+	// ChangedViews returns views of the workers that changed since the last call, and the names of
+	// those that are no longer known.
 	ChangedViews() (views []dispatch.WorkerView, gone []string)
 }
 
-// Publisher keeps a stream to each leader elsewhere. It is safe for concurrent use.
+// Publisher maintains a stream to each leader on another controller. It is safe for concurrent
+// use.
 type Publisher struct {
 	dispatcher string
 	source     Source
@@ -37,13 +38,14 @@
 	encoders map[string]*Encoder // by leader
 }
 
-// NewPublisher returns the publisher of a dispatcher's views.
+// NewPublisher returns a publisher of a dispatcher's views.
 func NewPublisher(dispatcher string, source Source) *Publisher {
 	return &Publisher{dispatcher: dispatcher, source: source, encoders: map[string]*Encoder{}}
 }
 
-// CollectChanges takes up what changed since the last call, for these leaders; streams to others end. A
-// view costs a matrix: none is made for nobody.
+// CollectChanges passes the changes since the last call to the streams to the given leaders, and
+// ends streams to other ones. Without leaders it makes no views, since each view requires
+// computing a wait matrix.
 func (p *Publisher) CollectChanges(nowMs int64, leaders []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,8 +68,8 @@
 	}
 }
 
-// Next returns what is to be sent to a leader now, or nil. The reply must be given to
-// Took, or the message is repeated.
+// Next returns the message to be sent to a leader now, or nil. Until the reply is passed to
+// HandleReply, the message is repeated.
 func (p *Publisher) Next(nowMs int64, leader string) *Message {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +80,8 @@
 	return encoder.Next(nowMs, p.source)
 }
 
-// HandleReply handles a leader's reply, and reports whether there is more to be sent at once.
+// HandleReply processes a leader's reply and reports whether another message should be sent at
+// once.
 func (p *Publisher) HandleReply(nowMs int64, leader string, r Reply) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/viewsync/receiver.go
+++ b/internal/viewsync/receiver.go
@@ -9,21 +9,21 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// ErrNotLeading means that a message came to a controller that leads no jobs, or has not read
-// their records yet: it would not act on what it receives.
+// ErrNotLeading means that a message reached a controller that leads no shards or has not loaded
+// their jobs yet, and so would not act on it.
 var ErrNotLeading = errors.New("leads no jobs")
 
 // Sink is the scheduler that observes views.
 type Sink interface {
-	// LeadershipEpoch is 0 while the scheduler acts on no views, and another number each time that
-	// it begins to.
+	// LeadershipEpoch returns 0 while the scheduler does not act on views, and a different number
+	// each time it begins to.
 	LeadershipEpoch() uint64
-	// ObserveWorker is called with the Receiver's lock held: it must not call the Receiver.
+	// ObserveWorker is called with the Receiver's lock held and must not call the Receiver.
 	ObserveWorker(dispatch.WorkerView)
 }
 
-// Receiver keeps a replica of each dispatcher's views for a scheduler. It is safe for concurrent
-// use.
+// Receiver maintains a replica of each dispatcher's views for a scheduler. It is safe for
+// concurrent use.
 type Receiver struct {
 	sink        Sink
 	dispatchers []string
@@ -33,14 +33,14 @@
 	replicas map[string]*Decoder // by dispatcher
 }
 
-// NewReceiver returns the receiver of a scheduler, for the views of these dispatchers only.
+// NewReceiver returns a receiver that accepts the views of the given dispatchers only.
 func NewReceiver(sink Sink, dispatchers []string) *Receiver {
 	return &Receiver{sink: sink, dispatchers: dispatchers, replicas: map[string]*Decoder{}}
 }
 
-// HandleMessage applies a dispatcher's message and passes what changed to the scheduler. The reply goes to
-// the dispatcher with an error too: it says that the message was not applied. The errors are
-// ErrNoOwner and ErrMalformed.
+// HandleMessage applies a dispatcher's message and passes the changed views to the scheduler. The
+// reply is sent to the dispatcher also in case of an error, and then states that the message was
+// not applied. The errors are ErrNotLeading and ErrMalformed.
 func (r *Receiver) HandleMessage(m *Message) (Reply, error) {
 	if !slices.Contains(r.dispatchers, m.Dispatcher) {
 		return Reply{}, fmt.Errorf("%w: no such dispatcher: %q", ErrMalformed, m.Dispatcher)
@@ -49,7 +49,7 @@
 	defer r.mu.Unlock()
 	epoch := r.sink.LeadershipEpoch()
 	if epoch != r.epoch {
-		// What a scheduler received before it had its jobs, it did not act on.
+		// The scheduler did not act on views received before it loaded its jobs.
 		r.epoch = epoch
 		clear(r.replicas)
 	}
--- a/internal/viewsync/receiver_test.go
+++ b/internal/viewsync/receiver_test.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// epochSink is a scheduler that leads its jobs at times.
+// epochSink is a scheduler with a settable leadership epoch.
 type epochSink struct {
 	epoch    uint64
 	observed []string
@@ -21,8 +21,8 @@
 	}
 }
 
-// A scheduler without jobs observes nothing, and one that comes to lead some, for the first time or
-// again, observes all views; it takes nothing from dispatchers that it does not know.
+// A scheduler that leads no shards observes no views, and one that begins to lead, for the first
+// time or again, observes all of them. Messages from unknown dispatchers are refused.
 func TestAllViewsObservedAfterFailover(t *testing.T) {
 	sink := &epochSink{}
 	r := NewReceiver(sink, []string{"h"})
@@ -55,6 +55,6 @@
 		}
 	}
 	if _, err := r.HandleMessage(&Message{Dispatcher: "x", Stream: 3}); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a message of a dispatcher that is not known: %v", err)
+		t.Errorf("a message from an unknown dispatcher: %v", err)
 	}
 }
--- a/internal/viewsync/recorded_test.go
+++ b/internal/viewsync/recorded_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// Messages of the streams of views keep their short names.
+// The JSON encoding of the messages of a stream is stable.
 func TestRecorded(t *testing.T) {
 	recorded.Check(t, "message_full", Message{
 		Dispatcher: "c2", Stream: 7001, Replaces: 7000, Seq: 12, Workers: 300, Digest: 987654321, NowMs: 65000,
--- a/internal/viewsync/turns.go
+++ b/internal/viewsync/send_slots.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// SendSlots lets one message be under way to each leader. The zero value is ready for use. It is
+// SendSlots allows one message in flight to each leader. The zero value is ready for use. It is
 // safe for concurrent use.
 type SendSlots struct {
 	mu       sync.Mutex
-	inFlight map[string]bool
+	inFlight map[string]bool // by leader
 }
 
-// TryAcquire takes the turn for a leader; false if a message to it is under way. Each that it took is
-// ended by End.
+// TryAcquire reserves the slot of a leader. It returns false if a message to that leader is in
+// flight. After true, the caller must call Release.
 func (t *SendSlots) TryAcquire(leader string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -24,7 +24,7 @@
 	return true
 }
 
-// Release gives the turn back.
+// Release frees the slot of a leader.
 func (t *SendSlots) Release(leader string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/viewsync/stream_test.go
+++ b/internal/viewsync/stream_test.go
@@ -12,15 +12,15 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// drawIndex draws one of n messages or replies that are under way.
+// drawIndex draws one of n messages or replies in flight.
 func drawIndex(t *rapid.T, n int) int {
 	if n == 0 {
-		t.Skip("nothing is under way")
+		t.Skip("nothing is in flight")
 	}
 	return rapid.IntRange(0, n-1).Draw(t, "which")
 }
 
-// removeOrDuplicate removes what was removeOrDuplicate, unless a copy of it stays under way.
+// removeOrDuplicate removes a delivered message or, at random, keeps it in flight as a duplicate.
 func removeOrDuplicate[T any](t *rapid.T, underWay []T, i int) []T {
 	if rapid.IntRange(0, 2).Draw(t, "copy") > 0 {
 		return slices.Delete(underWay, i, i+1)
@@ -61,7 +61,7 @@
 	w.messages = slices.Delete(w.messages, i, i+1)
 }
 
-// roundTrip sends a message, which is replied to without trouble.
+// roundTrip sends a message and delivers it and its reply.
 func (w *model) roundTrip(*rapid.T) {
 	w.send()
 	if len(w.messages) > 0 {
@@ -82,9 +82,9 @@
 
 var workerNames = rapid.SampledFrom([]string{"n-1", "n-2", "n-3"})
 
-// Whatever messages are lost, repeated or reordered, and whichever end restarts, the leader's
-// replica of each worker's view is the dispatcher's at one time, no older than what the leader
-// acknowledged; once messages come through it is the dispatcher's now.
+// Messages are lost, duplicated and reordered, and either end restarts. The leader's replica of
+// each worker's view always equals the dispatcher's view at some time, no earlier than the last
+// one acknowledged. Once messages are delivered again, it equals the dispatcher's present view.
 func TestReplicaConsistentDuringMessageLossAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &model{
@@ -109,14 +109,14 @@
 	})
 }
 
-// singleWorkerSource is a dispatcher of one worker.
+// singleWorkerSource is a dispatcher with one worker.
 type singleWorkerSource struct{ view dispatch.WorkerView }
 
 func (singleWorkerSource) HasWorkers() bool                                { return true }
 func (o singleWorkerSource) WorkerViews() []dispatch.WorkerView            { return []dispatch.WorkerView{o.view} }
 func (singleWorkerSource) ChangedViews() ([]dispatch.WorkerView, []string) { return nil, nil }
 
-// FuzzMalformedMessage checks that whatever comes, a message that is refused changes nothing.
+// FuzzMalformedMessage checks that a refused message does not modify the replica.
 func FuzzMalformedMessage(f *testing.F) {
 	known := func() (*Encoder, *Decoder) {
 		e, d := NewEncoder("h"), NewDecoder()
@@ -167,16 +167,16 @@
 		}
 		after, _ := json.Marshal(d.states["n-1"].view)
 		if len(changed) > 0 || len(d.states) != 1 || d.seq != 1 || d.stream != 5 || string(before) != string(after) {
-			t.Fatalf("refused (%v), but the replica is %d/%d %s, before %s", err, d.stream, d.seq, after, before)
+			t.Fatalf("refused (%v), but the replica changed: %d/%d %s, before %s", err, d.stream, d.seq, after, before)
 		}
 		if err != nil && !reply.Refused {
-			t.Fatalf("the dispatcher does not learn that its message was refused: %v", err)
+			t.Fatalf("the reply does not say that the message was refused: %v", err)
 		}
 	})
 }
 
-// A worker that came and was removed while a frame was under way is not sent, and heartbeats of
-// both ends agree.
+// A worker that is added and removed while a frame is in flight is not sent, and both ends agree
+// in the following heartbeats.
 func TestWorkerRemovedBeforeItWasSent(t *testing.T) {
 	e, d := NewEncoder("h"), NewDecoder()
 	e.replaces = d.stream
@@ -190,7 +190,7 @@
 		}
 		e.HandleReply(at, r)
 		if m = e.Next(at, singleWorkerSource{}); m != nil && m.Frame != nil {
-			t.Fatalf("there was nothing to send, but: %+v", m.Frame)
+			t.Fatalf("a frame without changes was sent: %+v", m.Frame)
 		}
 	}
 	if len(d.states) != 1 {
--- a/internal/viewsync/view_state.go
+++ b/internal/viewsync/view_state.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// stateAgeToleranceS is by how many seconds the age of a task's state may be off before it
-	// is sent anew.
+	// stateAgeToleranceS is the difference in seconds up to which the age of a task's state is not
+	// sent anew.
 	stateAgeToleranceS = 0.05
 	// waitToleranceS is the same for the waits of a matrix.
 	waitToleranceS = 0.1
-	// ageToleranceS is the same for the age of a report, and of its answer.
+	// ageToleranceS is the same for the age of a report and for the time since a heartbeat was
+	// answered.
 	ageToleranceS = 0.02
 
 	msPerSecond = 1000 // times are sent in ms
-	amountScale = 1e9  // and amounts rounded: sums of fractions take 17 digits otherwise
+	amountScale = 1e9  // amounts of resources are rounded to 1/amountScale: sums of fractions would take 17 digits
 )
 
-// state is a worker's view as of a time on its dispatcher's steady clock.
+// state is a worker's view at a time of its dispatcher's monotonic clock.
 type state struct {
 	atMs int64
 	view dispatch.WorkerView
@@ -38,7 +39,7 @@
 	return matching.Resources{CPUs: round(r.CPUs), GPUs: round(r.GPUs), MemoryGB: round(r.MemoryGB)}
 }
 
-// roundedView gives a view the precision in which it is sent.
+// roundedView rounds a view to the precision in which it is sent.
 func roundedView(v dispatch.WorkerView) dispatch.WorkerView {
 	v.AgeS, v.UnansweredS = rounded(v.AgeS), rounded(v.UnansweredS)
 	v.Tasks = slices.Clone(v.Tasks)
@@ -55,12 +56,12 @@
 		v.Matrix[i] = matching.WaitRow{WaitS: rounded(v.Matrix[i].WaitS), Free: roundedResources(v.Matrix[i].Free)}
 	}
 	if !sortedByWait(v.Matrix) {
-		v.Matrix = nil // the leader would refuse the whole frame for it
+		v.Matrix = nil // the leader would refuse the whole frame because of it
 	}
 	return v
 }
 
-// advancedTo lets time pass: ages grow, waits shrink.
+// advancedTo returns the state at a later time: ages grow and waits shrink.
 func (s state) advancedTo(toMs int64) state {
 	passed := float64(toMs-s.atMs) / msPerSecond
 	view := s.view
@@ -78,8 +79,8 @@
 	return state{toMs, view}
 }
 
-// sortedByWait reports whether a matrix's rows stand in the order of their waits: look-ups take
-// the first row that fits for the earliest.
+// sortedByWait reports whether the rows of a matrix are sorted by non-negative waits: look-ups
+// take the first row that fits as the earliest.
 func sortedByWait(m matching.WaitMatrix) bool {
 	for i := range m {
 		if m[i].WaitS < 0 || i > 0 && m[i].WaitS < m[i-1].WaitS {
@@ -89,10 +90,11 @@
 	return true
 }
 
-// valuesPerRow is how many figures a row of a matrix takes: its wait, CPUs, GPUs, memory.
+// valuesPerRow is the number of values in a packed matrix row: wait, CPUs, GPUs, memory.
 const valuesPerRow = 4
 
-// packMatrix is a matrix row by row without names, which would take half of a change.
+// packMatrix encodes a matrix row by row without field names, which would make up half of a
+// change.
 func packMatrix(m matching.WaitMatrix) []float64 {
 	figures := make([]float64, 0, valuesPerRow*len(m))
 	for _, row := range m {
@@ -145,8 +147,8 @@
 	return exit && a == b
 }
 
-// byKey orders tasks, whose order in a report means nothing: else one that is new among
-// them had all sent.
+// byKey orders tasks by name and attempt. Their order in a report has no meaning, and without a
+// fixed order one new task could cause all to be sent.
 func byKey(a, b dispatch.TaskView) int {
 	return cmp.Or(cmp.Compare(a.Task.Task, b.Task.Task), cmp.Compare(a.Attempt, b.Attempt))
 }
