--- a/internal/cancellation/capacity_test.go
+++ b/internal/cancellation/capacity_test.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/capacity"
 )
 
-// newRegistryWithCancels is a registry that newRegistryWithCancels so many cancels, of which its peer has not
-// acknowledged any.
+// newRegistryWithCancels returns a registry that has confirmed cancels of which its peer has
+// acknowledged none.
 func newRegistryWithCancels(tb testing.TB, cancels int) *Registry {
 	r := New(Options{Peers: []string{"b"}, Limit: time.Minute, LeaseRemaining: func() time.Duration { return time.Minute }})
 	r.mayConfirm = true
@@ -25,7 +25,7 @@
 var capacitySeries = []capacity.Series{
 	{Name: "cancellation.message", Sizes: []int{1, 10, 100, 1000}, FixedSlack: 20, Measure: func(tb testing.TB, cancels int) float64 {
 		r := newRegistryWithCancels(tb, cancels)
-		r.lastStamp = 1_000_000_000_000 // of a fixed number of digits
+		r.lastStamp = 1_000_000_000_000 // with a fixed number of digits
 		r.incarnation = 1 << 63
 		data, err := json.Marshal(r.MessageFor("b"))
 		if err != nil {
@@ -34,7 +34,7 @@
 		return float64(len(data))
 	}},
 	{Name: "cancellation.heap", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 4000, Measure: func(tb testing.TB, cancels int) float64 {
-		// How a map splits its groups depends on the seed of its hashes.
+		// The division of a map into groups depends on the random seed of its hash function.
 		return capacity.Median(func() float64 { return capacity.Heap(func() any { return newRegistryWithCancels(tb, cancels) }) })
 	}},
 }
--- a/internal/cancellation/confirm.go
+++ b/internal/cancellation/confirm.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// resumeConfirmTimeout is how long a controller that has reported that it can't confirm cancels
-// confirms none, unless all peers have received that it can again: longer than a process
-// usually takes to restart.
+// resumeConfirmTimeout is the time after a message that this controller confirms no cancels during
+// which it must not confirm any, unless all peers have received a message that it does again. It
+// exceeds the usual time of a restart.
 const resumeConfirmTimeout = 10 * time.Second
 
-// ErrCannotConfirm means that a cancel can't be confirmed at present: peers that might
-// not receive it were notified that nothing is confirmed here.
+// ErrCannotConfirm means that a cancel can't be confirmed at present, since peers that might not
+// receive it were told that this controller confirms none.
 var ErrCannotConfirm = errors.New("no cancel can be confirmed here now")
 
-// Confirm is called before a user is told that a job is cancelled, by this controller
-// or from another's message. The job counts as cancelled in any case; with an error,
-// ErrCannotConfirm, the user must not be told so.
+// Confirm is to be called before a user is told that a job is cancelled, for the user's request
+// and for one that another controller forwards. The job counts as cancelled in any case, but if
+// Confirm returns ErrCannotConfirm, the user must not be told so.
 func (r *Registry) Confirm(uid string) error {
 	r.mu.Lock()
 	now := time.Now()
@@ -38,21 +38,20 @@
 	return nil
 }
 
-// mayConfirmLocked reports whether cancels may be confirmed. A controller whose lease
-// does not hold confirms none, and its messages say so: if its process then ends, its
-// peers know that it confirmed nothing that they have not received. So after such a
-// message it confirms none until all peers have received that it does again, or for
-// armTimeout.
+// mayConfirmLocked reports whether cancels may be confirmed. A controller without a valid lease
+// confirms none, and its messages say so: if its process then ends, the peers know that they have
+// received all cancels that it confirmed. After such a message it confirms none until all peers
+// have received a later message that it does again, or for resumeConfirmTimeout.
 func (r *Registry) mayConfirmLocked(now time.Time) bool {
 	if r.leaseRemaining() <= 0 {
 		r.mayConfirm, r.resumeStamp = false, 0
 		return false
 	}
 	if r.mayConfirm || len(r.peers) == 0 {
-		return true // without peers nobody is notified, and there is nobody to miss a cancel
+		return true // no peers were told that nothing is confirmed, and none can miss a cancel
 	}
 	if r.resumeStamp == 0 {
-		return false // no message has said so yet
+		return false // no message has announced it yet
 	}
 	received := true
 	for _, p := range r.peers {
--- a/internal/cancellation/confirm_test.go
+++ b/internal/cancellation/confirm_test.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/cancellation"
 )
 
-// A controller without peers confirms cancels while its lease holds, and none after it.
+// A controller without peers confirms cancels if and only if its lease holds.
 func TestControllerWithoutPeersConfirmsUnderLease(t *testing.T) {
 	held := time.Minute
 	r := cancellation.New(cancellation.Options{Limit: time.Minute, LeaseRemaining: func() time.Duration { return held }})
@@ -16,6 +16,6 @@
 	}
 	held = 0
 	if err := r.Confirm("j-2"); err == nil {
-		t.Error("a cancel is confirmed without the lease")
+		t.Error("a cancel was confirmed without a valid lease")
 	}
 }
--- a/internal/cancellation/fuzz_test.go
+++ b/internal/cancellation/fuzz_test.go
@@ -9,9 +9,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A message of a peer, whatever it holds, is taken whole, or is an error that says what was
-// wrong and changes nothing: no job counts as cancelled, and the time up to which all is
-// known stays.
+// A message either is applied as a whole or returns an error and has no effect: no further job
+// counts as cancelled, and KnownUntil is unchanged.
 func FuzzHandleMessage(f *testing.F) {
 	for _, m := range []cancellation.Message{
 		{Incarnation: 3, Stamp: 9, MayConfirm: true, First: 1, Updates: []string{"j-1", "j-2"}},
@@ -38,18 +37,18 @@
 		after := r.KnownUntil()
 		switch {
 		case err != nil && (err.Error() == "" || r.Count() != 1 || !after.Equal(before)):
-			t.Errorf("%v, and %d jobs are known, up to %v later", err, r.Count(), after.Sub(before))
+			t.Errorf("%v, but %d jobs are known, and KnownUntil advanced by %v", err, r.Count(), after.Sub(before))
 		case err == nil && from != "b":
-			t.Errorf("a message from %q is taken", from)
+			t.Errorf("a message from %q was accepted", from)
 		case after.Before(before) || after.After(time.Now()):
-			t.Errorf("all is known up to %v after what was known before", after.Sub(before))
+			t.Errorf("KnownUntil advanced by %v", after.Sub(before))
 		}
 		for _, uid := range m.Updates {
 			if r.IsCancelled(uid) && (!wire.ValidJobID(uid) || err != nil && uid != "j-known") {
 				t.Errorf("%q counts as cancelled", uid)
 			}
 		}
-		next := r.MessageFor("b") // what it says to the peer still fits what was taken
+		next := r.MessageFor("b") // the next message must agree with what was accepted
 		if next.Ack > 0 && (err != nil || next.EchoIncarnation != m.Incarnation) {
 			t.Errorf("acknowledges %d of incarnation %d", next.Ack, next.EchoIncarnation)
 		}
--- a/internal/cancellation/known.go
+++ b/internal/cancellation/known.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	maxPastIncarnations = 32 // of a peer that are remembered
-	// clockDriftMargin is four times what two steady clocks may differ by.
+	maxPastIncarnations = 32 // remembered for each peer
+	// clockDriftMargin is four times the relative rate by which two monotonic clocks may differ.
 	clockDriftMargin = 0.002
-	noConfirmSlack   = 100 * time.Millisecond
-	stampLead        = time.Millisecond // more than stamps, which are never equal, may run ahead of time
+	noConfirmSlack   = 100 * time.Millisecond // subtracted from the time for which a peer confirms no cancels
+	stampLead        = time.Millisecond       // more than stamps can run ahead of the clock, since each is at least 1 µs above the last
 )
 
-// peer is what is known of another controller from its messages.
+// peer is the knowledge of another controller from its messages.
 type peer struct {
 	incarnation         uint64
-	pastIncarnations    []uint64  // what still comes of them is late
-	newestStamp         int64     // of its messages
-	updatesReceived     uint64    // its updates up to this number are known here
-	updatesAcknowledged uint64    // this controller's updates up to this number are known there
-	echoedStamp         int64     // of this controller's newest message that it echoed
-	knownUntil          time.Time // all that it confirmed before is known here
-	noConfirmUntil      time.Time // it confirms nothing before, unless a message says otherwise
-	pastCovered         bool      // what its earlier incarnations confirmed is known here
-	needsReadAfter      time.Time // the send from which on a read of the state service makes it so
+	pastIncarnations    []uint64  // their messages are late and ignored
+	newestStamp         int64     // highest stamp of its messages
+	updatesReceived     uint64    // number of its last update that was received here
+	updatesAcknowledged uint64    // number of this controller's last update that it received
+	echoedStamp         int64     // stamp of this controller's newest message that it echoed
+	knownUntil          time.Time // all cancels that it confirmed before are known here
+	noConfirmUntil      time.Time // it confirms no cancels before, unless a message revokes this
+	pastCovered         bool      // all cancels that its earlier incarnations confirmed are known here
+	needsReadAfter      time.Time // pastCovered becomes true by a read of the state service sent after this time
 }
 
-// coveredUntil is the time before which nothing unknown was confirmed.
+// coveredUntil returns the time before which the peer confirmed no cancels that are unknown here.
 func (p *peer) coveredUntil() time.Time {
 	if p.noConfirmUntil.After(p.knownUntil) {
 		return p.noConfirmUntil
@@ -32,9 +32,9 @@
 	return p.knownUntil
 }
 
-// beginIncarnation takes the first message of a new incarnation. What the incarnation
-// before confirmed after its last message is known only if it had said that it confirms
-// nothing, or from the state service, by a read sent after this incarnation's start.
+// beginIncarnation processes the first message of a new incarnation. Cancels that the previous
+// incarnation confirmed after its last message are known only if it had announced that it confirms
+// none, or from a read of the state service sent after the start of the new incarnation.
 func (p *peer) beginIncarnation(m *Message, storeReadSent, now time.Time) {
 	latestStart := now.Add(stampLead - time.Duration(float64(m.Stamp)*(1-clockDriftMargin))*time.Microsecond)
 	p.pastCovered = p.pastCovered && p.coveredUntil().After(now) || storeReadSent.After(latestStart)
@@ -46,8 +46,8 @@
 	p.incarnation, p.updatesReceived, p.updatesAcknowledged, p.echoedStamp = m.Incarnation, 0, 0, 0
 }
 
-// RecordStoreRead takes the cancelled jobs from a read of all living jobs in the state
-// service. sent is the time before the read's first request.
+// RecordStoreRead records the cancelled jobs from a read of all living jobs in the state service.
+// sent is a time before the first request of the read.
 func (r *Registry) RecordStoreRead(sent time.Time, cancelled []string) {
 	r.mu.Lock()
 	fresh := r.recordLocked(cancelled, time.Now())
@@ -61,8 +61,8 @@
 	r.notifyCancelled(fresh)
 }
 
-// KnownUntil returns the time up to which this controller knows of every cancel that any
-// controller confirmed; the zero time before the first RecordStoreRead.
+// KnownUntil returns the time up to which every cancel confirmed by any controller is known here.
+// It is the zero time before the first RecordStoreRead.
 func (r *Registry) KnownUntil() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +71,7 @@
 
 func (r *Registry) knownUntilLocked() time.Time {
 	if r.storeReadSent.IsZero() {
-		return time.Time{} // nothing is known of what peers had confirmed before this start
+		return time.Time{} // cancels that peers confirmed before this start may be unknown
 	}
 	earliest := time.Now()
 	for _, p := range r.peers {
@@ -85,8 +85,8 @@
 	return r.storeReadSent
 }
 
-// NeedsStoreRead reports whether the state service should be read: what peers sent does
-// not cover the time up to age ago.
+// NeedsStoreRead reports whether the state service should be read, because knowledge of the peers'
+// cancels is older than age or an earlier incarnation's cancels may be unknown.
 func (r *Registry) NeedsStoreRead(age time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +102,7 @@
 	return now.Sub(r.knownUntilLocked()) > age
 }
 
-// StalePeers returns the names of the peers whose messages do not cover the time up to
+// StalePeers returns the names of the peers whose cancels are known only up to a time more than
 // age ago.
 func (r *Registry) StalePeers(age time.Duration) (names []string) {
 	r.mu.Lock()
--- a/internal/cancellation/known_test.go
+++ b/internal/cancellation/known_test.go
@@ -13,9 +13,9 @@
 	"github.com/wallrack/wallrack/internal/cancellation"
 )
 
-// The generated inputs are the same at every run.
+// A fixed seed makes the generated inputs reproducible.
 func init() {
-	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "20000"} { // these take some seconds
+	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "20000"} { // the checks take some seconds
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
 		}
@@ -24,32 +24,31 @@
 
 const limit = 40 * time.Second
 
-// process is a controller's process.
+// process is a controller process.
 type process struct {
 	*cancellation.Registry
-	leaseHeld bool // its lease
+	leaseHeld bool // its lease is valid
 }
 
-// inFlightMessage is a message under way.
+// inFlightMessage is a message that was sent and may be delivered.
 type inFlightMessage struct {
 	from, to int
 	message  cancellation.Message
 	response bool
 }
 
-// storeRead is a read of the state service whose response is under way.
+// storeRead is a read of the state service whose response has not arrived.
 type storeRead struct {
 	by   *process
 	sent time.Time
 	uids []string
 }
 
-// cluster is some controllers, what they confirmed, and messages that may come late, in
-// any order, more than once or never.
+// cluster simulates controllers whose messages may be late, reordered, duplicated or lost.
 type cluster struct {
 	processes []*process
-	recorded  []string             // cancels in the state service
-	confirmed map[string]time.Time // by whomever, first
+	recorded  []string             // cancels recorded in the state service
+	confirmed map[string]time.Time // time at which a cancel was first confirmed by any controller
 	inFlight  []inFlightMessage
 	reads     []storeRead
 	next      int // number of the next job
@@ -65,7 +64,7 @@
 
 func controllerName(i int) string { return string(rune('a' + i)) }
 
-// start starts a controller's process, in place of the one before.
+// start starts a controller process, replacing the previous one.
 func (c *cluster) start(i int) {
 	p := &process{}
 	var peers []string
@@ -87,7 +86,7 @@
 	c.inFlight = append(c.inFlight, inFlightMessage{from, to, c.processes[from].MessageFor(controllerName(to)), response})
 }
 
-// deliver delivers the k-th message under way; with keep it may come again.
+// deliver delivers the k-th message in flight. With keep, it remains in flight as a duplicate.
 func (c *cluster) deliver(k int, keep bool) {
 	m := c.inFlight[k]
 	if !keep {
@@ -107,7 +106,8 @@
 	c.deliver(len(c.inFlight)-1, false)
 }
 
-// check is what the package guarantees: who claims to know all up to a time does.
+// check checks the guarantee of the package: a controller knows all cancels confirmed before its
+// KnownUntil.
 func (c *cluster) check(fail func(string, ...any)) {
 	for i, p := range c.processes {
 		known := p.KnownUntil()
@@ -120,7 +120,7 @@
 	}
 }
 
-// clusterStep is one message, fault, read or cancel.
+// clusterStep is a message, fault, read or cancel.
 type clusterStep struct {
 	Kind, Controller, Peer, Message, Ms int
 	Again                               bool
@@ -142,7 +142,7 @@
 	case 0, 1, 2: // a ping and its response
 		c.send(i, other, false)
 		c.deliverLast()
-	case 3: // one that is under way for a while
+	case 3: // a ping that stays in flight
 		c.send(i, other, false)
 	case 4:
 		if len(c.inFlight) > 0 {
@@ -163,7 +163,7 @@
 	}
 }
 
-// cancel records a cancel in the state service, and confirms it if it may be.
+// cancel records a cancel in the state service and confirms it if possible.
 func (c *cluster) cancel(by *process) {
 	uid := fmt.Sprintf("j-%06d", c.next)
 	c.next++
@@ -173,7 +173,8 @@
 	}
 }
 
-// read sends a read of the state service; with Again the response to one arrives.
+// read sends a read of the state service. If step.Again is set, the response to one of the reads
+// arrives.
 func (c *cluster) read(by *process, step clusterStep) {
 	c.reads = append(c.reads, storeRead{by, time.Now(), slices.Clone(c.recorded)})
 	if k := step.Message % len(c.reads); step.Again {
@@ -183,10 +184,9 @@
 	}
 }
 
-// Messages are lost, late, reordered and doubled, leases end and are regained, processes
-// end and start again, the state service is read and jobs are cancelled: no controller
-// ever claims to know of all cancels up to a time if one was confirmed before that it has
-// not received.
+// Messages are lost, delayed, reordered and duplicated, leases expire and are regained, processes
+// restart, the state service is read, and jobs are cancelled. No controller's KnownUntil is ever
+// later than the confirmation of a cancel that the controller does not know.
 func TestKnownUntilUnderMessageFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		controllers := rapid.IntRange(2, 4).Draw(rt, "controllers")
@@ -214,8 +214,8 @@
 	})
 }
 
-// A process said that it confirms nothing, its message is delayed, and its successor
-// confirms: the late message must not count for the successor.
+// A process announces that it confirms no cancels, but the message is delayed, and its successor
+// confirms one. The late message must not count for the successor.
 func TestLateMessageOfEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2)
@@ -244,10 +244,9 @@
 	})
 }
 
-// While all controllers reach each other, what each knows is never older than two rounds,
-// and a process that restarts within seconds, when nobody could confirm anything, changes
-// nothing for the others: in an outage of the state service no worker need be left
-// without responses.
+// While all controllers reach each other, KnownUntil is at most two rounds old. A process that
+// restarts within seconds while no controller can confirm cancels does not affect the others. So
+// in an outage of the state service workers can be answered all the time.
 func TestKnownUntilStaysRecentDuringStateStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(5)
@@ -274,7 +273,7 @@
 				}
 			}
 			switch {
-			case sec == 10: // the outage
+			case sec == 10: // the outage begins
 				for _, l := range c.processes {
 					l.leaseHeld = false
 				}
@@ -283,7 +282,7 @@
 			case sec > 3:
 				for i, l := range c.processes {
 					if old := time.Since(l.KnownUntil()); old > 2100*time.Millisecond && (i != 3 || sec < 30) {
-						t.Fatalf("after %d s %s knows of all only up to %v ago", sec, controllerName(i), old)
+						t.Fatalf("after %d s %s knows all cancels only up to %v ago", sec, controllerName(i), old)
 					}
 				}
 			}
@@ -294,7 +293,8 @@
 	})
 }
 
-// More updates than fit a message: nothing is claimed before all of them have come.
+// With more updates than fit into a message, KnownUntil does not advance before all of them have
+// arrived.
 func TestKnownUntilWaitsForAllUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2)
@@ -325,13 +325,13 @@
 			c.check(t.Errorf)
 		}
 		if !c.processes[1].IsCancelled("j-004999") || time.Since(c.processes[1].KnownUntil()) > time.Second {
-			t.Errorf("all is known up to %v ago", time.Since(c.processes[1].KnownUntil()))
+			t.Errorf("KnownUntil is %v ago", time.Since(c.processes[1].KnownUntil()))
 		}
 	})
 }
 
-// Many cancels in a short time, messages from unknown controllers and invalid job IDs stay
-// in bounds.
+// A registry's size stays bounded under many cancels in a short time, and messages from unknown
+// controllers or with invalid job IDs have no effect.
 func TestCancelStormAndInvalidMessagesStayBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := cancellation.New(cancellation.Options{Peers: []string{"b"}, Limit: limit, LeaseRemaining: func() time.Duration { return time.Second }})
@@ -365,7 +365,7 @@
 			{"b", cancellation.Message{Incarnation: 1, Stamp: 1, Updates: slices.Repeat([]string{"j-7000000"}, 3000)}},
 		} {
 			if err := r.HandleMessage(bad.from, &bad.m); err == nil {
-				t.Errorf("taken: %.200v", bad)
+				t.Errorf("accepted: %.200v", bad)
 			}
 		}
 		for _, uid := range []string{"j-7000000", "", "j-", "../x", "j-1/0"} {
@@ -375,7 +375,7 @@
 		}
 		time.Sleep(15 * time.Minute)
 		if err := r.Confirm("j-900000"); err != nil || r.IsCancelled("j-000001") {
-			t.Errorf("after a quarter of an hour: %v, still known: %v", err, r.IsCancelled("j-000001"))
+			t.Errorf("after 15 minutes: %v, an old cancel is still known: %v", err, r.IsCancelled("j-000001"))
 		}
 	})
 }
--- a/internal/cancellation/message.go
+++ b/internal/cancellation/message.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	maxUpdates = 2000 // jobs in one message; the remaining ones follow in the next
-	// maxStamp is a century, in µs: what is beyond is no stamp.
+	maxUpdates = 2000 // in one message; further ones follow in the next
+	// maxStamp is 100 years in µs: a higher stamp is invalid.
 	maxStamp = 100 * 365 * 24 * 3600 * 1_000_000
 )
 
-// Message is what one controller sends another of cancels, with every ping and its
-// response. Stamps are µs since the start of the process that made them.
+// Message is exchanged between two controllers with every ping and its response. Stamps are in µs
+// since the start of the process that made them.
 type Message struct {
 	Incarnation     uint64   `json:"life"`            // of the sender's process
-	Stamp           int64    `json:"at"`              // when it was made
-	EchoIncarnation uint64   `json:"el,omitempty"`    // of the receiver, from its newest message received
-	Echo            int64    `json:"ea,omitempty"`    // that message's stamp
+	Stamp           int64    `json:"at"`              // time at which the message was made
+	EchoIncarnation uint64   `json:"el,omitempty"`    // receiver's incarnation, from its newest message that the sender received
+	Echo            int64    `json:"ea,omitempty"`    // stamp of that message
 	MayConfirm      bool     `json:"armed,omitempty"` // the sender may confirm cancels
-	Ack             uint64   `json:"ack,omitempty"`   // how many of the receiver's updates were received
-	First           uint64   `json:"first,omitempty"` // number of the first of Updates; the first ever is 1
-	Updates         []string `json:"news,omitempty"`  // jobs whose cancel the sender confirmed, or may have
-	More            bool     `json:"more,omitempty"`  // there are more updates than fit
+	Ack             uint64   `json:"ack,omitempty"`   // number of the receiver's last update that the sender received
+	First           uint64   `json:"first,omitempty"` // number of the first of Updates; numbers start at 1
+	Updates         []string `json:"news,omitempty"`  // jobs whose cancel the sender has confirmed or may have confirmed
+	More            bool     `json:"more,omitempty"`  // further updates did not fit
 }
 
-// MessageFor makes the message for a peer.
+// MessageFor returns the message to be sent to a peer now.
 func (r *Registry) MessageFor(to string) Message {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,7 +51,7 @@
 	return m
 }
 
-// addUpdatesLocked puts into a message the updates that the peer has not acknowledged.
+// addUpdatesLocked adds the updates that the peer has not acknowledged to a message.
 func (r *Registry) addUpdatesLocked(m *Message, p *peer) {
 	m.First = max(p.updatesAcknowledged, r.droppedUpdates) + 1
 	for _, job := range r.updates[min(m.First-1-r.droppedUpdates, uint64(len(r.updates))):] {
@@ -63,8 +63,8 @@
 	}
 }
 
-// HandleMessage takes a peer's message. One from a controller that is not configured, or
-// with values that no controller sends, is an error and changes nothing.
+// HandleMessage processes a peer's message. A message from an unconfigured controller or with
+// invalid values returns an error and has no effect.
 func (r *Registry) HandleMessage(from string, m *Message) error {
 	if err := m.validate(); err != nil {
 		return fmt.Errorf("cancellation message from %.40q: %w", from, err)
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// validate returns an error for values that no controller sends.
+// validate returns an error if the message has values that no controller sends.
 func (m *Message) validate() error {
 	invalid := slices.IndexFunc(m.Updates, func(uid string) bool { return !wire.ValidJobID(uid) })
 	switch {
@@ -97,22 +97,22 @@
 	return nil
 }
 
-// handleLocked takes what a valid message says of its sender.
+// handleLocked updates the knowledge of the sender from a valid message.
 func (r *Registry) handleLocked(p *peer, m *Message, now time.Time) {
 	if slices.Contains(p.pastIncarnations, m.Incarnation) || m.Incarnation == p.incarnation && m.Stamp <= p.newestStamp {
-		return // late: what it says of its sender is no longer so
+		return // late: no longer true of its sender
 	}
 	if m.Incarnation != p.incarnation {
 		p.beginIncarnation(m, r.storeReadSent, now)
 	}
 	p.newestStamp = m.Stamp
 	if m.MayConfirm {
-		// Before the sender has this message echoed it confirms nothing, so
-		// that what it had promised ends here, at the latest.
+		// The message revokes an earlier announcement that no cancels are confirmed. The sender
+		// confirms none until this message is echoed, so that now is early enough.
 		p.noConfirmUntil = time.Time{}
 	}
 	if m.EchoIncarnation != r.incarnation || m.Echo > r.lastStamp || m.Ack > r.droppedUpdates+uint64(len(r.updates)) {
-		return // it echoes nothing of this incarnation
+		return // not an echo of this incarnation
 	}
 	p.updatesAcknowledged, p.echoedStamp = max(p.updatesAcknowledged, m.Ack), max(p.echoedStamp, m.Echo)
 	if last := m.First + uint64(len(m.Updates)) - 1; m.First > 0 && last > p.updatesReceived {
--- a/internal/cancellation/recorded_test.go
+++ b/internal/cancellation/recorded_test.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// Controllers of different versions exchange the messages, so their form must not change.
+// The JSON encoding is stable, since controllers of different versions exchange these messages.
 func TestRecordedForms(t *testing.T) {
 	recorded.Check(t, "message", cancellation.Message{
 		Incarnation: 18446744073709551615, Stamp: 123456789, EchoIncarnation: 9007199254740993, Echo: 987654, MayConfirm: true,
--- a/internal/cancellation/registry.go
+++ b/internal/cancellation/registry.go
@@ -1,17 +1,17 @@
-// Package cancellation is what a controller knows of cancelled jobs: which ones, so
-// that any controller may stop their tasks and none starts them, and up to which time
-// it surely knows all of them, so that one that can't know stops responding to workers
-// before a task can outlive the limit for cancels.
+// Package cancellation maintains a controller's knowledge of cancelled jobs, so that any
+// controller can stop their tasks and none starts them. It also determines up to which time this
+// knowledge is complete: a controller whose knowledge is too old stops answering workers before a
+// cancelled task can run longer than the limit for cancels.
 //
-// A controller confirms a cancel to a user only through Confirm, which first puts it
-// into its updates for every peer. What it knows from a peer's message counts up to the
-// send of its own message that the peer's message echoes: whatever the peer had
-// confirmed by then is in the peer's updates. What it knows from the state service
-// counts up to the send of a read of all living jobs, since a cancel is recorded there
-// before it is confirmed. docs/combined-faults.md has the arithmetic.
+// A controller confirms a cancel to a user only through Confirm, which first adds it to the
+// updates for every peer. A message from a peer makes the knowledge of the peer's cancels complete
+// up to the time at which this controller sent the message that the peer's message echoes: the
+// peer's updates include all cancels that it had confirmed by then. A read of all living jobs from
+// the state service makes the knowledge complete up to the time at which the read was sent, since
+// a cancel is recorded there before it is confirmed. docs/combined-faults.md has the calculation.
 //
-// The package sends no messages and reads no state service itself: its caller carries
-// messages between controllers, and reports what it read.
+// The package neither sends messages nor reads the state service. Its caller carries messages
+// between controllers and passes in what it read.
 package cancellation
 
 import (
@@ -23,24 +23,24 @@
 )
 
 const (
-	// MaxJobs bounds the jobs that are kept.
+	// MaxJobs is the number of cancelled jobs above which the oldest are dropped early.
 	MaxJobs = 16384
-	// recordRetention is how long a cancelled job is kept beyond the limit for cancels.
+	// recordRetention is how long a cancelled job is kept in addition to the limit for cancels.
 	recordRetention = 10 * time.Minute
 )
 
-// cancelledJob is a job and when its cancel was first known.
+// cancelledJob is a job and the time at which its cancel became known here.
 type cancelledJob struct {
 	uid string
 	at  time.Time
 }
 
-// Registry is a controller's knowledge of cancels. It is safe for concurrent use.
+// Registry holds a controller's knowledge of cancels. It is safe for concurrent use.
 type Registry struct {
-	leaseRemaining func() time.Duration // how much longer this controller's lease surely holds
+	leaseRemaining func() time.Duration // remaining time of this controller's lease, at least
 	retention      time.Duration        // for which a cancelled job is kept
-	minRetention   time.Duration        // the same beyond MaxJobs
-	incarnation    uint64               // of this process; never 0
+	minRetention   time.Duration        // the same while there are more than MaxJobs
+	incarnation    uint64               // of this process, not 0
 	startedAt      time.Time
 
 	onCancelled func(uids []string)
@@ -48,34 +48,33 @@
 
 	mu             sync.Mutex
 	peers          map[string]*peer
-	jobs           map[string]time.Time // since when known
-	order          []cancelledJob       // of jobs, the oldest first
-	updates        []cancelledJob       // confirmed here
+	jobs           map[string]time.Time // cancelled jobs and the time at which each became known here
+	order          []cancelledJob       // the same, oldest first
+	updates        []cancelledJob       // cancels confirmed here, oldest first
 	confirmedHere  map[string]bool      // the jobs in updates
-	droppedUpdates uint64               // from the front
-	storeReadSent  time.Time            // the send of the newest read of the state service
-	mayConfirm     bool
-	suspendedAt    time.Time // when a message of this controller last said that it confirms nothing
-	resumeStamp    int64     // of the first message since that says otherwise; 0: none
-	lastStamp      int64     // of the last message
+	droppedUpdates uint64               // number of updates dropped from the front
+	storeReadSent  time.Time            // when the latest read of the state service was sent
+	mayConfirm     bool                 // cancels may be confirmed, see mayConfirmLocked
+	suspendedAt    time.Time            // when a message last said that this controller confirms no cancels
+	resumeStamp    int64                // stamp of the first message since then that says it does again; 0: none
+	lastStamp      int64                // stamp of the last message
 }
 
-// Options are what a registry needs of the rest of its process.
+// Options are a registry's dependencies and settings.
 type Options struct {
 	Peers          []string
-	Limit          time.Duration        // how long a cancelled task may go on
-	LeaseRemaining func() time.Duration // how much longer this controller's lease surely holds
+	Limit          time.Duration        // how long a cancelled task may run on
+	LeaseRemaining func() time.Duration // remaining time of this controller's lease, at least
 
-	// OnCancelled is called, without any lock held, with jobs that were not known to be
-	// cancelled; nil: nobody is told.
+	// OnCancelled is called without a lock held with jobs that were not known to be cancelled. May
+	// be nil.
 	OnCancelled func(uids []string)
-	// OnUpdates is called, without any lock held, when there are updates for the peers;
-	// nil: nobody is told.
+	// OnUpdates is called without a lock held when there are updates for the peers. May be nil.
 	OnUpdates func()
 }
 
-// New returns a registry that knows nothing: it has to read the state service before it
-// attests anything.
+// New returns a registry without any knowledge. KnownUntil returns the zero time until the first
+// RecordStoreRead.
 func New(o Options) *Registry {
 	now := time.Now()
 	r := &Registry{
@@ -104,8 +103,8 @@
 	return len(r.jobs)
 }
 
-// RecordCancelled notes jobs that the state service has as cancelled. Those with
-// invalid IDs are left out.
+// RecordCancelled records jobs that are cancelled according to the state service. Invalid job IDs
+// are ignored.
 func (r *Registry) RecordCancelled(uids ...string) {
 	r.mu.Lock()
 	fresh := r.recordLocked(uids, time.Now())
@@ -113,7 +112,7 @@
 	r.notifyCancelled(fresh)
 }
 
-// recordLocked notes cancelled jobs, and returns those that were not known.
+// recordLocked records cancelled jobs and returns those that were not known before.
 func (r *Registry) recordLocked(uids []string, now time.Time) (fresh []string) {
 	for _, uid := range uids {
 		if _, known := r.jobs[uid]; known || !wire.ValidJobID(uid) {
@@ -133,8 +132,8 @@
 	}
 }
 
-// trimLocked drops jobs whose tasks are surely over. Jobs beyond MaxJobs are dropped
-// early, but not before their tasks must have ended.
+// trimLocked drops jobs whose tasks have certainly ended. While there are more than MaxJobs, jobs
+// are dropped earlier, but not before their tasks must have ended.
 func (r *Registry) trimLocked(now time.Time) {
 	for r.expired(r.order, now) {
 		delete(r.jobs, r.order[0].uid)
@@ -147,7 +146,7 @@
 	}
 }
 
-// expired reports whether the first of jobs is to be dropped.
+// expired reports whether the first of the jobs is to be dropped.
 func (r *Registry) expired(jobs []cancelledJob, now time.Time) bool {
 	if len(jobs) == 0 {
 		return false
