--- a/internal/peerlinks/caller.go
+++ b/internal/peerlinks/caller.go
@@ -10,26 +10,26 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// MethodForward is the mesh's method for calls that are passed on. Controllers of other versions
-// call it by this name.
+// MethodForward is the mesh method for calls that the receiver passes on to a third controller.
+// Its name is part of the protocol between controllers.
 const MethodForward = "Forward"
 
-// forwardMessage is a call that a third controller passes on.
+// forwardMessage is a call to be passed on to another controller.
 type forwardMessage struct {
 	To     string          `json:"to"`
 	Method string          `json:"method"`
 	Body   json.RawMessage `json:"body"`
 }
 
-// Caller calls the other controllers, and passes their calls of each other on. It is safe for
-// concurrent use.
+// Caller calls the other controllers and forwards calls between them. It is safe for concurrent
+// use.
 type Caller struct {
 	mesh  *mesh.Mesh
 	view  *View
 	table *reachability.Table
 }
 
-// Register adds what peers call. Call it before the mesh serves.
+// Register registers the handler for forwarded calls. It must be called before the mesh serves.
 func (c *Caller) Register(m *mesh.Mesh) {
 	mesh.Handle(m, MethodForward, func(ctx context.Context, f *forwardMessage) (*json.RawMessage, error) {
 		if f.Method == MethodForward {
@@ -39,8 +39,8 @@
 	})
 }
 
-// RecordResult notes how a call to a peer ended; Call does so itself. Only pings, which take no time,
-// count against the link when they are late.
+// RecordResult records the outcome of a call to a peer; Call does so itself. A late reply counts
+// against the link only for pings, which take the peer no time to answer.
 func (c *Caller) RecordResult(peer string, err error, ping bool) {
 	refused, late := mesh.ClassifyError(err)
 	if refused || !late || ping {
@@ -48,9 +48,9 @@
 	}
 }
 
-// Call calls a peer's method, by way of a third if it is not reached from here. An error says
-// which peer was called, and is one of mesh.Call's or of the message's encoding. The peer may have
-// carried out a call that failed.
+// Call calls a method of a peer, through a third controller if the peer is not reached from here.
+// An error names the peer and wraps an error of mesh.Call or of encoding. The peer may have
+// executed a call that returns an error.
 func Call[Req, Rep any](ctx context.Context, c *Caller, peer, method string, req *Req) (*Rep, error) {
 	hop := c.view.Now().NextHop(peer)
 	if hop == peer {
--- a/internal/peerlinks/leaders.go
+++ b/internal/peerlinks/leaders.go
@@ -6,15 +6,17 @@
 	"github.com/wallrack/wallrack/internal/membership"
 )
 
-// Leaders knows which controllers lead shards. Without the lease, when the membership's
-// records may be old, it goes by what peers said of themselves. It is safe for concurrent use.
+// Leaders tells which controllers lead shards. While this controller does not hold its lease, its
+// membership records may be outdated, and the statuses of the peers are used instead. It is safe
+// for concurrent use.
 type Leaders struct {
 	node   string
 	member *membership.Member
 	view   *View
 }
 
-// preferredLeader is the leader of most shards as far as this controller knows, or "".
+// preferredLeader returns the controller that leads most shards as far as this controller knows,
+// or "".
 func preferredLeader(member *membership.Member) string {
 	if owners := member.ShardLeaders(); len(owners) > 0 {
 		return owners[0]
@@ -27,7 +29,7 @@
 	return l.member.LeaseRemaining() > 0 && len(l.member.LedShards()) > 0
 }
 
-// ShardLeaders names the other controllers that lead shards.
+// ShardLeaders returns the names of the other controllers that lead shards.
 func (l *Leaders) ShardLeaders() []string {
 	var out []string
 	add := func(name string) {
--- a/internal/peerlinks/peerlinks.go
+++ b/internal/peerlinks/peerlinks.go
@@ -1,6 +1,7 @@
-// Package peerlinks is a controller's links to the others: its status, which it says to them, its
-// view of who reaches whom, calls of peers by the way that works, and who of them leads shards. It
-// measures nothing itself: those who exchange statuses and count heartbeats fill it.
+// Package peerlinks holds a controller's links to the other controllers: the status that it
+// publishes to them, its view of who reaches whom, calls to peers over whichever path works, and
+// which of them lead shards. It measures nothing itself: the parts of the controller that exchange
+// statuses and count heartbeats supply the data.
 package peerlinks
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// Options are what the links need of the rest of their process.
+// Options are the dependencies of a controller's links.
 type Options struct {
 	Node   string   // this controller
 	Peers  []string // the others
@@ -23,16 +24,17 @@
 	Cloud  *autoscaler.Cloud
 }
 
-// Links are a controller's links to the others. Each part is safe for concurrent use.
+// Links are a controller's links to the other controllers. Each part is safe for concurrent use.
 type Links struct {
-	Table   *reachability.Table // what peers said last
+	Table   *reachability.Table // latest statuses of the peers
 	Status  Status
 	View    View
 	Caller  Caller
 	Leaders Leaders
 }
 
-// New returns the links of a process that starts now and knows nothing of the others.
+// New returns the links of a controller whose process starts now and that has no statuses of its
+// peers yet.
 func New(o Options) *Links {
 	l := &Links{Table: reachability.NewTable(o.Node, o.Peers)}
 	l.Status = Status{node: o.Node, store: o.Store, member: o.Member, cloud: o.Cloud, table: l.Table, startedMs: time.Now().UnixMilli()}
--- a/internal/peerlinks/status.go
+++ b/internal/peerlinks/status.go
@@ -10,16 +10,17 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// ProbeResultValidity is how long the outcome of a probe counts as this controller's present reach.
+// ProbeResultValidity is the time for which the result of a probe is part of this controller's
+// status.
 const ProbeResultValidity = 3 * time.Second
 
 const (
-	storeTimeout           = 3 * time.Second        // without a response for so long the state service counts as unreachable
-	urgentAnnounceInterval = 500 * time.Millisecond // between announcements that others wait for
+	storeTimeout           = 3 * time.Second        // the state service counts as unreachable when it has not responded for this time
+	urgentAnnounceInterval = 500 * time.Millisecond // between announcements that other controllers wait for
 )
 
-// Status is what this controller says of itself to the others. Other parts set what they
-// measured. It is safe for concurrent use.
+// Status is the status that this controller publishes to the others. Other parts of the controller
+// set what they measured. It is safe for concurrent use.
 type Status struct {
 	node   string
 	store  *statestore.Client
@@ -36,29 +37,30 @@
 	probe       probeState
 }
 
-// HeartbeatCount is what came from workers within dispatch.HeartbeatWindow.
+// HeartbeatCount describes the heartbeats received within dispatch.HeartbeatWindow.
 type HeartbeatCount struct {
 	Received int
 	Expected float64
-	Workers  *reachability.NameSet // nil: all peers are reached and need none
+	Workers  *reachability.NameSet // workers heard; nil while all peers are reached and don't need the list
 }
 
-// WorkerAssignments are how workers are divided among controllers, and how many fit here.
+// WorkerAssignments describes how workers are distributed among the controllers, and this
+// controller's capacity and number of workers.
 type WorkerAssignments struct {
 	Plan     []reachability.Assignment
 	Capacity int
 	Workers  int
 }
 
-// probeState is the last probe of workers that were suspected to be out of reach.
+// probeState is the last probe of workers that may be unreachable.
 type probeState struct {
-	sample  []string // of the endpoints that peers shall probe too; empty: nothing is suspected
-	at      time.Time
-	success float64 // share of the probed workers that responded
-	urgent  bool    // others wait for this status
+	sample  []string  // endpoints that peers should probe too; empty: no workers are suspected to be unreachable
+	at      time.Time // end of the last probe
+	success float64   // share of the probed workers that responded
+	urgent  bool      // other controllers wait for this status
 }
 
-// Current returns the status as of now, under a new sequence number.
+// Current returns the status as of now, with a new sequence number.
 func (s *Status) Current(now time.Time) reachability.NodeStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,52 +78,53 @@
 	return status
 }
 
-// SetHeartbeats notes what came from workers.
+// SetHeartbeats sets the received and expected heartbeats.
 func (s *Status) SetHeartbeats(count HeartbeatCount) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.heartbeats = count
 }
 
-// SetAssignments notes how workers are divided.
+// SetAssignments sets the distribution of the workers.
 func (s *Status) SetAssignments(assignments WorkerAssignments) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.assignments = assignments
 }
 
-// Suspicion returns how many heartbeats are expected within dispatch.HeartbeatWindow, and
-// whether workers are suspected to be out of reach.
+// Suspicion returns the number of heartbeats expected within dispatch.HeartbeatWindow, and whether
+// workers are suspected to be unreachable.
 func (s *Status) Suspicion() (expected float64, suspected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.heartbeats.Expected, len(s.probe.sample) > 0
 }
 
-// SetProbeSample sets the endpoints that peers shall probe too; urgent if they are to get it
-// at once.
+// SetProbeSample sets the endpoints that peers should probe too. urgent requests an announcement
+// without waiting for the next regular one.
 func (s *Status) SetProbeSample(sample []string, urgent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probe.sample, s.probe.urgent = sample, urgent
 }
 
-// SinceProbe returns how long ago the last probe ended.
+// SinceProbe returns the time since the last probe ended.
 func (s *Status) SinceProbe() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(s.probe.at)
 }
 
-// SetProbeResult notes the share of probed workers that responded. Others wait for it.
+// SetProbeResult sets the share of probed workers that responded, and requests an urgent
+// announcement.
 func (s *Status) SetProbeResult(success float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probe.at, s.probe.success, s.probe.urgent = time.Now(), success, true
 }
 
-// AnnouncementDue reports whether this status is to be announced: after each pause, or at
-// once if others wait for it.
+// AnnouncementDue reports whether the status should be announced: when the pause since the last
+// announcement is over, or sooner if an urgent announcement was requested.
 func (s *Status) AnnouncementDue(now, last time.Time, pause time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peerlinks/view.go
+++ b/internal/peerlinks/view.go
@@ -7,10 +7,10 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// viewCacheTime is how long a view is used before it is made anew.
+// viewCacheTime is the time for which a view is reused.
 const viewCacheTime = 100 * time.Millisecond
 
-// View is this controller's view of the links between controllers, workers and the state
+// View provides this controller's view of the links between controllers, workers and the state
 // service. It is safe for concurrent use.
 type View struct {
 	table  *reachability.Table
@@ -23,7 +23,7 @@
 	at time.Time
 }
 
-// Now returns the links as they are seen here now. The view must not be changed.
+// Now returns the present view, at most viewCacheTime old. The caller must not modify it.
 func (v *View) Now() *reachability.View {
 	now := time.Now()
 	if cached := v.cached.Load(); cached != nil && now.Sub(cached.at) < viewCacheTime {
@@ -34,5 +34,5 @@
 	return &cached.View
 }
 
-// Invalidate has the next view made afresh.
+// Invalidate makes the next call of Now compute a new view.
 func (v *View) Invalidate() { v.cached.Store(nil) }
