--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,7 +1,7 @@
-// Package mesh carries messages between controllers over gRPC: each controller has a server, and
-// a connection to each other one. Messages are plain structs of the packages that use them, and
-// travel as JSON. The package knows no method by itself, repeats no call, and keeps no view of which
-// peers are reached: see package reachability.
+// Package mesh carries messages between controllers over gRPC. Each controller runs a server and
+// has a connection to every other controller. Messages are plain structs of the packages that use
+// them, encoded as JSON. The package defines no methods, repeats no calls, and does not track
+// which peers are reachable: see package reachability.
 package mesh
 
 import (
@@ -25,16 +25,17 @@
 const (
 	service            = "wallrack.Mesh"
 	maxMessageBytes    = 4 << 20 // bytes
-	windowBytes        = 1 << 20 // bytes under way, in a connection or stream
-	maxConcurrentCalls = 64      // calls under way from a peer
+	windowBytes        = 1 << 20 // flow control window of a connection or stream
+	maxConcurrentCalls = 64      // from one peer
 	connectTimeout     = time.Second
-	keepaliveInterval  = 10 * time.Second // on a connection with calls under way
+	keepaliveInterval  = 10 * time.Second // on a connection with calls in flight
 	keepaliveTimeout   = 3 * time.Second
-	// minKeepaliveInterval is what a server tolerates; it must be below pingEvery.
+	// minKeepaliveInterval is the shortest interval that a server accepts; it must be below
+	// keepaliveInterval.
 	minKeepaliveInterval = 2 * time.Second
 )
 
-// ErrNoPeer means that no such controller is configured.
+// ErrNoPeer means that no controller of that name is configured.
 var ErrNoPeer = errors.New("no such controller")
 
 // codec encodes messages as JSON.
@@ -46,15 +47,15 @@
 
 func init() { encoding.RegisterCodec(codec{}) }
 
-// Mesh is the connections to the other controllers and this one's server. After Handle was called for
-// all methods it is safe for concurrent use.
+// Mesh holds the connections to the other controllers and this controller's server. It is safe for
+// concurrent use after all calls of Handle.
 type Mesh struct {
 	peers   map[string]*grpc.ClientConn // by name
 	methods []grpc.MethodDesc
 }
 
-// New prepares connections to the peers, whose addresses are given by name; nothing is dialled
-// before the first call. The caller closes the mesh.
+// New prepares connections to the peers, given as addresses by name. A peer is dialled by the
+// first call to it. The caller must close the mesh.
 func New(peers map[string]string) (*Mesh, error) {
 	m := &Mesh{peers: map[string]*grpc.ClientConn{}}
 	for name, addr := range peers {
@@ -76,22 +77,22 @@
 			Backoff:           backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.3, MaxDelay: time.Second},
 			MinConnectTimeout: connectTimeout,
 		}),
-		// A window that is set turns off the probing for a better one,
-		// which costs packets with every message.
+		// A fixed window turns off gRPC's bandwidth estimation, which sends additional packets with
+		// every message.
 		grpc.WithInitialWindowSize(windowBytes), grpc.WithInitialConnWindowSize(windowBytes),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.WithNoProxy(), grpc.WithDisableServiceConfig(),
 	}
 }
 
-// ClassifyError tells apart the ways in which a Call can end without a reply by the
-// peer's handler: refused, if it could not even be sent, or late, if its context ended.
+// ClassifyError tells why a Call ended without a reply of the peer's handler: it could not even be
+// sent (refused), or its context ended first (late). Both are false if the handler replied.
 func ClassifyError(err error) (refused, late bool) {
 	code := status.Code(err)
 	return code == codes.Unavailable, code == codes.DeadlineExceeded || code == codes.Canceled
 }
 
-// Peers returns the names of the other controllers, in no order.
+// Peers returns the names of the other controllers in no particular order.
 func (m *Mesh) Peers() []string {
 	names := make([]string, 0, len(m.peers))
 	for name := range m.peers {
@@ -100,8 +101,9 @@
 	return names
 }
 
-// Handle registers the handler of a method; call it before Serve. The handler runs on a goroutine of
-// its own for each call, at most 64 for each peer; its context ends with the call.
+// Handle registers the handler of a method. It must be called before Serve. Each call runs the
+// handler on its own goroutine, at most 64 at a time for each peer; its context ends with the
+// call.
 func Handle[Req, Rep any](m *Mesh, method string, handler func(context.Context, *Req) (*Rep, error)) {
 	m.methods = append(m.methods, grpc.MethodDesc{
 		MethodName: method,
@@ -115,8 +117,9 @@
 	})
 }
 
-// Call sends a request to a peer and returns its reply. While the peer is not connected, it fails at
-// once. The error is ErrNoPeer, or one that Unanswered tells apart, or the text of the handler's.
+// Call sends a request to a peer and returns its reply. It fails at once if the peer is not
+// connected. The error is ErrNoPeer, one that ClassifyError recognises, or the text of the
+// handler's error.
 func Call[Req, Rep any](ctx context.Context, m *Mesh, peer, method string, req *Req) (*Rep, error) {
 	conn, ok := m.peers[peer]
 	if !ok {
@@ -129,13 +132,15 @@
 	return rep, nil
 }
 
-// A busy address is tried again for so long: a predecessor's connections may still hold it.
+// Listen retries an address in use for listenTimeout, since connections of the previous process
+// may still occupy it.
 const (
 	listenTimeout       = 20 * time.Second
 	listenRetryInterval = 200 * time.Millisecond
 )
 
-// Listen opens a TCP address, waiting for a predecessor to release it, and until ctx ends.
+// Listen opens a TCP address. While the address is in use it retries until listenTimeout or ctx
+// ends.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	for start := time.Now(); ; {
 		lis, err := net.Listen("tcp", addr)
@@ -149,8 +154,8 @@
 	}
 }
 
-// Serve answers the peers until ctx ends, and then returns its error. Handlers that still run are
-// not waited for: their contexts end.
+// Serve answers the peers until ctx ends, and then returns the error of ctx. It does not wait for
+// running handlers; their contexts end.
 func (m *Mesh) Serve(ctx context.Context, addr string) error {
 	lis, err := Listen(ctx, addr)
 	if err != nil {
@@ -168,9 +173,9 @@
 	return ctx.Err()
 }
 
-// Close ends the connections, and the calls that are under way.
+// Close closes the connections, which aborts calls in flight.
 func (m *Mesh) Close() {
 	for _, conn := range m.peers {
-		_ = conn.Close() // fails only if it was closed before
+		_ = conn.Close() // fails only if the connection is closed already
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -15,8 +15,8 @@
 	Text string `json:"text"`
 }
 
-// A call reaches the peer's handler and brings its reply or its error back; a
-// peer that does not listen, or is not configured, fails the call at once.
+// A call returns the reply or the error of the peer's handler. A call to a peer that does not
+// listen or is not configured fails at once.
 func TestCallToUnreachablePeerFailsAtOnce(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	if start := time.Now(); true {
 		if _, err := call("gone", "hey"); err == nil || time.Since(start) > 4*time.Second {
-			t.Errorf("a refused connection: %v after %v", err, time.Since(start))
+			t.Errorf("call to a peer that does not listen: %v after %v", err, time.Since(start))
 		}
 	}
 }
--- a/internal/mesh/recorded_test.go
+++ b/internal/mesh/recorded_test.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/mesh"
 )
 
-// rawCodec carries messages as the bytes that they are.
+// rawCodec passes messages through as bytes.
 type rawCodec struct{}
 
 func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
@@ -30,7 +30,7 @@
 	recordedReply   = `{"text":"HEY"}`
 )
 
-// A call is sent under the names, and in the bytes, that other controllers know.
+// A call is sent with the names and in the encoding that other controllers expect.
 func TestRecordedCall(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 		request, body = string(body), []byte(recordedReply)
 		return stream.SendMsg(&body)
 	}))
-	go func() { _ = srv.Serve(listener) }() // until it is stopped
+	go func() { _ = srv.Serve(listener) }() // until srv.Stop
 	defer srv.Stop()
 	m, err := mesh.New(map[string]string{"a": listener.Addr().String()})
 	if err != nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// A call by the names, and in the bytes, that other controllers send is answered in those
-// that they know.
+// A call with the names and in the encoding that other controllers send is answered in the
+// encoding that they expect.
 func TestRecordedReply(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // fails only if it was closed before
+	defer func() { _ = conn.Close() }() // fails only if the connection is closed already
 	request, reply := []byte(recordedRequest), []byte(nil)
 	if err := conn.Invoke(ctx, recordedMethod, &request, &reply, grpc.ForceCodec(rawCodec{}), grpc.WaitForReady(true)); err != nil {
 		t.Fatal(err)
