--- a/internal/dispatch/attestation_test.go
+++ b/internal/dispatch/attestation_test.go
@@ -7,9 +7,9 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// The controllers are queried while the worker's lease of 10 s holds: the first answers the
-// worker, 9.7 s later the second attests, and the first attests 0.9 s after that. Each figure
-// alone exceeds the lease, but the lease never expired.
+// The first controller answers a worker whose lease lasts 10 s. The second attests 9.7 s later and
+// then answers the worker, and the first attests 0.9 s after that. Both figures exceed the lease,
+// but the lease never expired.
 func TestLeaseHeldDuringSlowAttestation(t *testing.T) {
 	const lease = 10.5
 	begun := time.Now()
