--- a/internal/cancellation/known_test.go
+++ b/internal/cancellation/known_test.go
@@ -267,21 +267,21 @@
 		}
 		for sec := range 200 {
 			round()
-			for _, l := range c.processes {
-				if l.leaseHeld && l.NeedsStoreRead(3*time.Second) {
-					l.RecordStoreRead(time.Now(), nil)
+			for _, p := range c.processes {
+				if p.leaseHeld && p.NeedsStoreRead(3*time.Second) {
+					p.RecordStoreRead(time.Now(), nil)
 				}
 			}
 			switch {
 			case sec == 10: // the outage begins
-				for _, l := range c.processes {
-					l.leaseHeld = false
+				for _, p := range c.processes {
+					p.leaseHeld = false
 				}
 			case sec == 30:
 				c.start(3)
 			case sec > 3:
-				for i, l := range c.processes {
-					if old := time.Since(l.KnownUntil()); old > 2100*time.Millisecond && (i != 3 || sec < 30) {
+				for i, p := range c.processes {
+					if old := time.Since(p.KnownUntil()); old > 2100*time.Millisecond && (i != 3 || sec < 30) {
 						t.Fatalf("after %d s %s knows all cancels only up to %v ago", sec, controllerName(i), old)
 					}
 				}
@@ -309,8 +309,8 @@
 		}
 		for range 3 {
 			ping()
-			for _, l := range c.processes {
-				l.RecordStoreRead(time.Now(), nil)
+			for _, p := range c.processes {
+				p.RecordStoreRead(time.Now(), nil)
 			}
 		}
 		for i := range 5000 {
--- a/internal/dispatch/instructions.go
+++ b/internal/dispatch/instructions.go
@@ -13,13 +13,13 @@
 func (d *Dispatcher) ApplyInstructions(instructions Instructions) Unlaunched {
 	defer usage.Count(usage.Instructions, time.Now())
 	out := Unlaunched{Token: d.tokens.FencingToken()}
-	touched := map[string]bool{} // workers with new commands to be pushed
+	updated := map[string]bool{} // workers with new commands to be pushed
 	d.mu.Lock()
 	for i := range instructions.Assign {
-		d.assignLocked(&instructions.Assign[i], touched)
+		d.assignLocked(&instructions.Assign[i], updated)
 	}
 	for _, halt := range instructions.Halt {
-		if d.haltLocked(halt, touched) {
+		if d.haltLocked(halt, updated) {
 			out.Refs = append(out.Refs, halt.TaskRef)
 		}
 	}
@@ -30,7 +30,7 @@
 		d.raiseTokenLocked(instructions.RaiseTokenAbove)
 	}
 	var views []WorkerView
-	for name := range touched {
+	for name := range updated {
 		d.changed[name] = true
 		if worker := d.workers[name]; worker.report.Machine != "" {
 			views = append(views, d.viewLocked(worker))
@@ -40,14 +40,14 @@
 	for _, view := range views {
 		d.schedulers.ObserveWorker(view)
 	}
-	for name := range touched {
+	for name := range updated {
 		d.PushCommands(name)
 	}
 	return out
 }
 
 // assignLocked queues a task, or stores the queue entry of a task that the worker already reports.
-func (d *Dispatcher) assignLocked(entry *QueueEntry, touched map[string]bool) {
+func (d *Dispatcher) assignLocked(entry *QueueEntry, updated map[string]bool) {
 	worker := d.workers[entry.Worker]
 	if worker == nil {
 		return
@@ -64,17 +64,17 @@
 		return
 	}
 	worker.queue = append(worker.queue, &queuedTask{QueueEntry: *entry})
-	touched[entry.Worker] = true
+	updated[entry.Worker] = true
 }
 
 // haltLocked removes a task from the queue, or has the worker stop it if a start command may have
 // been sent. It returns true if the task was certainly not started from here.
-func (d *Dispatcher) haltLocked(halt Halt, touched map[string]bool) (unlaunched bool) {
+func (d *Dispatcher) haltLocked(halt Halt, updated map[string]bool) (unlaunched bool) {
 	worker := d.workers[halt.Worker]
 	if worker == nil {
 		return false
 	}
-	touched[halt.Worker] = true
+	updated[halt.Worker] = true
 	if queued := worker.dequeue(halt.TaskRef); queued != nil && !queued.startSent && worker.tasks[halt.TaskRef] == nil {
 		return true
 	}
--- a/internal/dispatch/outdated_commands_test.go
+++ b/internal/dispatch/outdated_commands_test.go
@@ -58,10 +58,10 @@
 		b := newBusyWorker(t)
 		sender, endpoint := dispatch.NewHTTPCommandSender(sockets.Budget{Limit: 100, Accepted: func() int { return 0 }}), b.Listener.Addr().String()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
-		shown := make(chan error, 1)
+		polled := make(chan error, 1)
 		go func() {
 			_, err := sender.FetchReport(ctx, endpoint)
-			shown <- err
+			polled <- err
 		}()
 		<-b.polled
 		refused := errors.New("refused")
@@ -82,7 +82,7 @@
 			t.Errorf("checked %d times while there was no connection", n)
 		}
 		close(b.release)
-		if err := <-shown; err != nil {
+		if err := <-polled; err != nil {
 			t.Error(err)
 		}
 		if err := <-outcome; valid && err != nil || !valid && !errors.Is(err, refused) {
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -91,12 +91,12 @@
 			v.Queue = append(v.Queue, QueueView{TaskRef: queued.TaskRef, Unsent: !queued.startSent})
 			continue
 		}
-		takesS := queued.FetchS + queued.RunS
-		waitS := v.Matrix.Wait(queued.Resources, takesS)
+		durationS := queued.FetchS + queued.RunS
+		waitS := v.Matrix.Wait(queued.Resources, durationS)
 		if math.IsInf(waitS, 1) {
 			waitS = neverFitsWaitS
 		} else {
-			v.Matrix = v.Matrix.Reserve(queued.Resources, waitS, takesS)
+			v.Matrix = v.Matrix.Reserve(queued.Resources, waitS, durationS)
 		}
 		v.Queue = append(v.Queue, QueueView{TaskRef: queued.TaskRef, WaitS: waitS, Unsent: !queued.startSent})
 	}
--- a/internal/reachability/assignments.go
+++ b/internal/reachability/assignments.go
@@ -115,10 +115,10 @@
 	if total == 0 {
 		return out
 	}
-	part := min(1, max(0, float64(all)-own)/float64(total))
+	fill := min(1, max(0, float64(all)-own)/float64(total))
 	for i := range v.Peers {
 		if peer := &v.Peers[i]; peer.assignable() {
-			out = append(out, Assignment{peer.Name, math.Round(part * float64(peer.Status.WorkerCapacity))})
+			out = append(out, Assignment{peer.Name, math.Round(fill * float64(peer.Status.WorkerCapacity))})
 		}
 	}
 	return out
--- a/internal/reachability/capacity_test.go
+++ b/internal/reachability/capacity_test.go
@@ -42,11 +42,11 @@
 	for i := 1; i < controllers; i++ {
 		peers = append(peers, fmt.Sprintf("racker-%d", i+1))
 	}
-	last := peers[len(peers)-1]
+	unreached := peers[len(peers)-1]
 	t := reachability.NewTable("racker-1", peers)
 	for _, p := range peers {
-		status := newStatus(0, last)
-		if p == last {
+		status := newStatus(0, unreached)
+		if p == unreached {
 			status = newStatus(0, peers[:len(peers)-1]...)
 		}
 		status.Node = p
--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -116,11 +116,11 @@
 func (d *FailureDetector) updatePeers(now time.Time, v *View) {
 	for i := range v.Peers {
 		peer := &v.Peers[i]
-		informs := peer.reachesMutually(v)
-		if informs && !d.mutuallyReached[peer.Name] {
+		reachable := peer.reachesMutually(v)
+		if reachable && !d.mutuallyReached[peer.Name] {
 			d.peerJoinedAt = now
 		}
-		d.mutuallyReached[peer.Name] = informs
+		d.mutuallyReached[peer.Name] = reachable
 	}
 }
 
@@ -134,12 +134,12 @@
 // removeStale removes the probes of workers that are responsive again, and failures older than
 // failureWindow.
 func (d *FailureDetector) removeStale(now time.Time, unresponsive []UnresponsiveWorker) {
-	still := make(map[string]bool, len(unresponsive))
+	isUnresponsive := make(map[string]bool, len(unresponsive))
 	for i := range unresponsive {
-		still[unresponsive[i].Name] = true
+		isUnresponsive[unresponsive[i].Name] = true
 	}
 	for name := range d.probes {
-		if !still[name] {
+		if !isUnresponsive[name] {
 			delete(d.probes, name)
 		}
 	}
@@ -299,9 +299,9 @@
 // that was cut off together with a controller long before would be deleted, although the previous
 // leader had kept them.
 func (d *FailureDetector) lostTogether(worker *UnresponsiveWorker, statusAge time.Duration) bool {
-	apart := 2*d.HeartbeatInterval + PeerTimeout
+	tolerance := 2*d.HeartbeatInterval + PeerTimeout
 	if worker.NotHeardSinceFailover {
-		return worker.UnheardFor < statusAge+apart
+		return worker.UnheardFor < statusAge+tolerance
 	}
-	return (worker.UnheardFor - statusAge).Abs() < apart
+	return (worker.UnheardFor - statusAge).Abs() < tolerance
 }
--- a/internal/reachability/routing.go
+++ b/internal/reachability/routing.go
@@ -96,9 +96,9 @@
 		return to
 	}
 	for i := range v.Peers {
-		third := &v.Peers[i]
-		if third.Name != to && third.DirectlyReached() && third.OutboundReachable && !slices.Contains(third.Status.UnreachedPeers, to) {
-			return third.Name
+		relay := &v.Peers[i]
+		if relay.Name != to && relay.DirectlyReached() && relay.OutboundReachable && !slices.Contains(relay.Status.UnreachedPeers, to) {
+			return relay.Name
 		}
 	}
 	return to
--- a/internal/viewsync/capacity_test.go
+++ b/internal/viewsync/capacity_test.go
@@ -28,7 +28,7 @@
 // workersAt returns views of so many workers whose reports are of the given time. On each of them,
 // the first started tasks have just been replaced by new ones.
 func workersAt(workers int, atMs int64, started int) (views workerViews) {
-	passed := float64(atMs) / msPerSecond
+	elapsedS := float64(atMs) / msPerSecond
 	for i := range workers {
 		v := dispatch.WorkerView{
 			Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z",
@@ -36,8 +36,8 @@
 		}
 		allocations := make([]matching.Allocation, 0, tasksPerWorker)
 		for t := range tasksPerWorker {
-			task := dispatch.TaskView{Task: wire.Task{Task: wire.TaskName(fmt.Sprintf("j-%06d", i), t), Attempt: 20, State: wire.TaskRunning}, StateAgeS: 10 + passed}
-			left := max(overrunWaitS, 10*float64(t)-passed)
+			task := dispatch.TaskView{Task: wire.Task{Task: wire.TaskName(fmt.Sprintf("j-%06d", i), t), Attempt: 20, State: wire.TaskRunning}, StateAgeS: 10 + elapsedS}
+			left := max(overrunWaitS, 10*float64(t)-elapsedS)
 			if t < started {
 				task.Attempt, task.StateAgeS, left = 21, 0, 30
 			}
--- a/internal/viewsync/change.go
+++ b/internal/viewsync/change.go
@@ -84,8 +84,8 @@
 		Session: ifChanged(from.Session, to.Session), Seq: ifChanged(from.Seq, to.Seq), Token: ifChanged(from.Token, to.Token),
 		AgeMs: ifAgeChanged(from.AgeS, to.AgeS), UnansweredMs: ifAgeChanged(from.UnansweredS, to.UnansweredS),
 	}
-	if site := attributesOf(to); old == nil || site != attributesOf(from) {
-		c.Attributes = &site
+	if attributes := attributesOf(to); old == nil || attributes != attributesOf(from) {
+		c.Attributes = &attributes
 	}
 	if condition := conditionOf(to); !condition.same(conditionOf(from)) {
 		c.Condition = &condition
@@ -169,8 +169,8 @@
 
 // applyReport applies the changes of the worker's report apart from its tasks.
 func (c *Change) applyReport(v *dispatch.WorkerView) {
-	if site := c.Attributes; site != nil {
-		v.Type, v.Zone, v.Spot, v.Endpoint = site.Type, site.Zone, site.Spot, site.Endpoint
+	if attributes := c.Attributes; attributes != nil {
+		v.Type, v.Zone, v.Spot, v.Endpoint = attributes.Type, attributes.Zone, attributes.Spot, attributes.Endpoint
 	}
 	v.Session, v.Seq, v.Token = cmp.Or(c.Session, v.Session), cmp.Or(c.Seq, v.Seq), cmp.Or(c.Token, v.Token)
 	if c.AgeMs != nil {
--- a/internal/viewsync/change_tasks.go
+++ b/internal/viewsync/change_tasks.go
@@ -50,15 +50,15 @@
 		return was, nil
 	}
 	changed := tasksByKey(c.Tasks)
-	unlisted := make(map[TaskKey]bool, len(c.RemovedTasks))
+	removed := make(map[TaskKey]bool, len(c.RemovedTasks))
 	for _, key := range c.RemovedTasks {
-		unlisted[key] = true
+		removed[key] = true
 	}
 	out := make([]dispatch.TaskView, 0, len(was)+len(c.Tasks))
 	for _, task := range was {
 		key := keyOf(&task)
-		if unlisted[key] {
-			delete(unlisted, key)
+		if removed[key] {
+			delete(removed, key)
 			continue
 		}
 		if now := changed[key]; now != nil {
@@ -67,7 +67,7 @@
 		}
 		out = append(out, task)
 	}
-	if len(unlisted) > 0 {
+	if len(removed) > 0 {
 		return nil, fmt.Errorf("%w: %s: removed task was not reported before", ErrMalformed, c.Name)
 	}
 	for i := range c.Tasks {
--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -77,7 +77,7 @@
 	for i := range frame.Changes {
 		change := &frame.Changes[i]
 		if seen[change.Name] {
-			return nil, fmt.Errorf("%w: %s: twice", ErrMalformed, change.Name)
+			return nil, fmt.Errorf("%w: %s: changed twice in one frame", ErrMalformed, change.Name)
 		}
 		seen[change.Name] = true
 		var old *state
@@ -92,7 +92,7 @@
 	}
 	for _, name := range frame.Removed {
 		if initial || d.states[name] == nil {
-			return nil, fmt.Errorf("%w: %s: removed, and was not known", ErrMalformed, name)
+			return nil, fmt.Errorf("%w: %s: removed worker is not known", ErrMalformed, name)
 		}
 	}
 	return states, nil
@@ -103,14 +103,14 @@
 func (s *state) viewAt(nowMs int64) dispatch.WorkerView {
 	view := s.view
 	view.Matrix = slices.Clone(view.Matrix) // leaders subtract resources from it
-	passed := max(0, float64(nowMs-s.atMs)/msPerSecond)
-	if passed == 0 {
+	elapsedS := max(0, float64(nowMs-s.atMs)/msPerSecond)
+	if elapsedS == 0 {
 		return view
 	}
-	view.AgeS, view.UnansweredS = view.AgeS+passed, view.UnansweredS+passed
+	view.AgeS, view.UnansweredS = view.AgeS+elapsedS, view.UnansweredS+elapsedS
 	view.Tasks = append([]dispatch.TaskView(nil), view.Tasks...)
 	for i := range view.Tasks {
-		view.Tasks[i].StateAgeS += passed
+		view.Tasks[i].StateAgeS += elapsedS
 	}
 	return view
 }
--- a/internal/viewsync/model_test.go
+++ b/internal/viewsync/model_test.go
@@ -138,8 +138,8 @@
 		want = roundedView(want)
 		got.Dispatcher = want.Dispatcher
 		// The age of the report tells how much time has passed; all other ages must agree with it.
-		passed := got.AgeS - want.AgeS
-		want = state{0, want}.advancedTo(milliseconds(passed)).view
+		elapsedS := got.AgeS - want.AgeS
+		want = state{0, want}.advancedTo(milliseconds(elapsedS)).view
 		if err := sameViews(got, want); err != nil {
 			w.t.Fatalf("%s: differs from version %d: %v\n%+v\n%+v", name, n, err, got, want)
 		}
--- a/internal/viewsync/receiver.go
+++ b/internal/viewsync/receiver.go
@@ -11,7 +11,7 @@
 
 // ErrNotLeading means that a message reached a controller that leads no shards or has not loaded
 // their jobs yet, and so would not act on it.
-var ErrNotLeading = errors.New("leads no jobs")
+var ErrNotLeading = errors.New("this controller leads no shards")
 
 // Sink is the scheduler that observes views.
 type Sink interface {
@@ -43,7 +43,7 @@
 // not applied. The errors are ErrNotLeading and ErrMalformed.
 func (r *Receiver) HandleMessage(m *Message) (Reply, error) {
 	if !slices.Contains(r.dispatchers, m.Dispatcher) {
-		return Reply{}, fmt.Errorf("%w: no such dispatcher: %q", ErrMalformed, m.Dispatcher)
+		return Reply{}, fmt.Errorf("%w: unknown dispatcher: %q", ErrMalformed, m.Dispatcher)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/viewsync/view_state.go
+++ b/internal/viewsync/view_state.go
@@ -63,17 +63,17 @@
 
 // advancedTo returns the state at a later time: ages grow and waits shrink.
 func (s state) advancedTo(toMs int64) state {
-	passed := float64(toMs-s.atMs) / msPerSecond
+	elapsedS := float64(toMs-s.atMs) / msPerSecond
 	view := s.view
-	view.AgeS, view.UnansweredS = rounded(view.AgeS+passed), rounded(view.UnansweredS+passed)
+	view.AgeS, view.UnansweredS = rounded(view.AgeS+elapsedS), rounded(view.UnansweredS+elapsedS)
 	view.Tasks = slices.Clone(view.Tasks)
 	for i := range view.Tasks {
-		view.Tasks[i].StateAgeS = rounded(view.Tasks[i].StateAgeS + passed)
+		view.Tasks[i].StateAgeS = rounded(view.Tasks[i].StateAgeS + elapsedS)
 	}
 	view.Matrix = slices.Clone(view.Matrix)
 	for i := range view.Matrix {
 		if wait := view.Matrix[i].WaitS; wait > 0 {
-			view.Matrix[i].WaitS = rounded(max(0, wait-passed))
+			view.Matrix[i].WaitS = rounded(max(0, wait-elapsedS))
 		}
 	}
 	return state{toMs, view}
@@ -96,16 +96,16 @@
 // packMatrix encodes a matrix row by row without field names, which would make up half of a
 // change.
 func packMatrix(m matching.WaitMatrix) []float64 {
-	figures := make([]float64, 0, valuesPerRow*len(m))
+	values := make([]float64, 0, valuesPerRow*len(m))
 	for _, row := range m {
-		figures = append(figures, row.WaitS, row.Free.CPUs, row.Free.GPUs, row.Free.MemoryGB)
+		values = append(values, row.WaitS, row.Free.CPUs, row.Free.GPUs, row.Free.MemoryGB)
 	}
-	return figures
+	return values
 }
 
-func unpackMatrix(figures []float64) matching.WaitMatrix {
-	m := make(matching.WaitMatrix, 0, len(figures)/valuesPerRow)
-	for row := range slices.Chunk(figures, valuesPerRow) {
+func unpackMatrix(values []float64) matching.WaitMatrix {
+	m := make(matching.WaitMatrix, 0, len(values)/valuesPerRow)
+	for row := range slices.Chunk(values, valuesPerRow) {
 		m = append(m, matching.WaitRow{WaitS: row[0], Free: matching.Resources{CPUs: row[1], GPUs: row[2], MemoryGB: row[3]}})
 	}
 	return m
