--- a/internal/controller/unresponsive_workers.go
+++ b/internal/controller/unresponsive_workers.go
@@ -51,7 +51,7 @@
 
 func newFailureDetector(w config.Workers, op *config.Operator) reachability.FailureDetector {
 	return reachability.FailureDetector{
-		Timeout: config.Seconds(op.HeartbeatTimeoutS), Lease: config.Seconds(w.LeaseS), HeartbeatInterval: config.Seconds(w.ReportS), Grace: responseGrace(w),
+		Timeout: config.Seconds(op.HeartbeatTimeoutS), Lease: config.Seconds(w.LeaseS), HeartbeatInterval: config.Seconds(w.ReportS), IsolationGrace: responseGrace(w),
 	}
 }
 
@@ -63,7 +63,7 @@
 
 // reached reports whether a worker is reached from here.
 func (u *unresponsiveWorkers) reached(ctx context.Context, q *probeQuery) bool {
-	if !q.OutboundLost && u.dispatcher.SinceHeartbeat(q.Worker).Seconds() < u.operator.HeartbeatTimeoutS {
+	if !q.OutboundLost && u.dispatcher.SinceWorkerHeartbeat(q.Worker).Seconds() < u.operator.HeartbeatTimeoutS {
 		return true
 	}
 	return q.Endpoint != "" && u.dispatcher.PollWorker(ctx, q.Worker, q.Endpoint)
--- a/internal/mesh/recorded_test.go
+++ b/internal/mesh/recorded_test.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/mesh"
 )
 
-// rawCodec carries messages as the bytes that they are.
+// rawCodec passes messages through as bytes.
 type rawCodec struct{}
 
 func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
@@ -30,7 +30,7 @@
 	recordedReply   = `{"text":"HEY"}`
 )
 
-// A call is sent under the names, and in the bytes, that other controllers know.
+// A call is sent with the names and in the encoding that other controllers expect.
 func TestRecordedCall(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 		request, body = string(body), []byte(recordedReply)
 		return stream.SendMsg(&body)
 	}))
-	go func() { _ = srv.Serve(listener) }() // until it is stopped
+	go func() { _ = srv.Serve(listener) }() // until srv.Stop
 	defer srv.Stop()
 	m, err := mesh.New(map[string]string{"a": listener.Addr().String()})
 	if err != nil {
@@ -58,7 +58,7 @@
 	defer m.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	reply, err := mesh.Call[note, note](ctx, m, "a", "Shout", &note{"hey <you>"})
+	reply, err := mesh.Call[textMessage, textMessage](ctx, m, "a", "Shout", &textMessage{"hey <you>"})
 	if err != nil || reply.Text != "HEY" {
 		t.Fatalf("%+v, %v", reply, err)
 	}
@@ -67,14 +67,14 @@
 	}
 }
 
-// A call by the names, and in the bytes, that other controllers send is answered in those
-// that they know.
+// A call with the names and in the encoding that other controllers send is answered in the
+// encoding that they expect.
 func TestRecordedReply(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	here := listener.Addr().String()
+	addr := listener.Addr().String()
 	_ = listener.Close()
 	m, err := mesh.New(nil)
 	if err != nil {
@@ -82,19 +82,19 @@
 	}
 	defer m.Close()
 	var got string
-	mesh.Handle(m, "Shout", func(_ context.Context, n *note) (*note, error) {
+	mesh.Handle(m, "Shout", func(_ context.Context, n *textMessage) (*textMessage, error) {
 		got = n.Text
-		return &note{"HEY"}, nil
+		return &textMessage{"HEY"}, nil
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	served := make(chan struct{})
-	go func() { defer close(served); _ = m.Serve(ctx, here) }()
+	go func() { defer close(served); _ = m.Serve(ctx, addr) }()
 	defer func() { cancel(); <-served }()
-	conn, err := grpc.NewClient("passthrough:///"+here, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy())
+	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // fails only if it was closed before
+	defer func() { _ = conn.Close() }() // fails only if the connection is closed already
 	request, reply := []byte(recordedRequest), []byte(nil)
 	if err := conn.Invoke(ctx, recordedMethod, &request, &reply, grpc.ForceCodec(rawCodec{}), grpc.WaitForReady(true)); err != nil {
 		t.Fatal(err)
--- a/internal/reachability/capacity_test.go
+++ b/internal/reachability/capacity_test.go
@@ -10,7 +10,7 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// newStatus is what a controller says of its links to a message's receiver.
+// newStatus returns the status of a controller that receives heartbeats from so many workers.
 func newStatus(heard int, unreached ...string) reachability.NodeStatus {
 	status := reachability.NodeStatus{
 		Node: "racker-1", StartedMs: 1_764_652_567_000, Seq: 100_000, StoreReachable: true, LeaseHeld: true, LeadsShards: true, PreferredLeader: "racker-1", CloudReachable: true,
@@ -34,19 +34,19 @@
 	return float64(len(data))
 }
 
-// newRelayingTable is a table in which nobody else hears the last peer, so that its status is
-// passed on to all others.
-func newRelayingTable(controllers int) (*reachability.Table, []string) {
+// newTableWithUnreachedPeer returns a table in which only this controller hears the last peer, so
+// that it relays that peer's status to all others.
+func newTableWithUnreachedPeer(controllers int) (*reachability.Table, []string) {
 	now := time.Now()
 	var peers []string
 	for i := 1; i < controllers; i++ {
 		peers = append(peers, fmt.Sprintf("racker-%d", i+1))
 	}
-	last := peers[len(peers)-1]
+	unreached := peers[len(peers)-1]
 	t := reachability.NewTable("racker-1", peers)
 	for _, p := range peers {
-		status := newStatus(0, last)
-		if p == last {
+		status := newStatus(0, unreached)
+		if p == unreached {
 			status = newStatus(0, peers[:len(peers)-1]...)
 		}
 		status.Node = p
@@ -60,7 +60,7 @@
 		return jsonBytes(tb, newStatus(heard))
 	}},
 	{Name: "reachability.passed", Sizes: []int{3, 4, 6, 12}, FixedSlack: 20, Measure: func(tb testing.TB, controllers int) float64 {
-		t, peers := newRelayingTable(controllers)
+		t, peers := newTableWithUnreachedPeer(controllers)
 		total := 0.0
 		for _, p := range peers {
 			total += jsonBytes(tb, t.RelayFor(p, time.Now()))
--- a/internal/reconcile/task_reported.go
+++ b/internal/reconcile/task_reported.go
@@ -68,7 +68,7 @@
 	}
 	if placement.State != jobstate.PlacementReported {
 		r.recordReported(worker, placement, view)
-	} else if placement.SentTo != worker.View.Dispatcher || view.Unknown && time.Since(placement.SentAt) > assignRetryInterval {
+	} else if placement.SentTo != worker.View.Dispatcher || view.ResourcesUnknown && time.Since(placement.SentAt) > assignRetryInterval {
 		// The assignment may have arrived when the dispatcher had an older heartbeat, which did
 		// not list the task. The dispatcher would then consider the worker full as long as the
 		// task runs, and tasks queued there would never start.
@@ -79,7 +79,7 @@
 		r.state.CacheImage(job, worker)
 	}
 	if (view.State == wire.TaskRunning || view.State == wire.TaskSaving) && placement.RunningSince.IsZero() {
-		placement.RunningSince = time.Now().Add(-config.Seconds(view.ForS))
+		placement.RunningSince = time.Now().Add(-config.Seconds(view.StateAgeS))
 		job.Running++
 		job.ObservedStarts++
 		job.RecordStarted(placement.RunningSince)
@@ -106,7 +106,7 @@
 	if !placement.MayRun() {
 		r.log.Error("task runs without a grant", "task", placement.Ref.Task, "worker", worker.Name, "attempt", placement.Attempt,
 			"state", placement.State, "sent_to", placement.SentTo, "age_s", time.Since(placement.CreatedAt).Seconds(),
-			"controller", worker.View.Dispatcher, "fencing_token", worker.View.Token, "reported", view.State, "for_s", view.ForS, "halted_at", placement.LastHaltAt)
+			"controller", worker.View.Dispatcher, "fencing_token", worker.View.Token, "reported", view.State, "for_s", view.StateAgeS, "halted_at", placement.LastHaltAt)
 	}
 	unconfirmed := placement.State == jobstate.PlacementUnconfirmed
 	if placement.State == jobstate.PlacementGranted {
--- a/internal/viewsync/capacity_test.go
+++ b/internal/viewsync/capacity_test.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	tasksEach   = 4     // 11,000 tasks on 2,600 workers
-	reportMs    = 8_000 // between a worker's reports
-	overrunWait = 2.2   // seconds, of a task that has outrun its estimate
+	tasksPerWorker   = 4     // 11,000 tasks on 2,600 workers
+	reportIntervalMs = 8_000 // between a worker's reports
+	overrunWaitS     = 2.2   // expected wait in s for a task that has exceeded its estimated run time
 )
 
-// workerViews are so many workers as their dispatcher sees them.
+// workerViews are the views of a dispatcher's workers.
 type workerViews []dispatch.WorkerView
 
 func (workerViews) HasWorkers() bool                                { return true }
 func (w workerViews) WorkerViews() []dispatch.WorkerView            { return w }
 func (workerViews) ChangedViews() ([]dispatch.WorkerView, []string) { return nil, nil }
 
-// workersAt are workers with reports as of a time, each of whose first started tasks
-// began anew then.
+// workersAt returns views of so many workers whose reports are of the given time. On each of them,
+// the first started tasks have just been replaced by new ones.
 func workersAt(workers int, atMs int64, started int) (views workerViews) {
-	passed := float64(atMs) / perSecond
+	elapsedS := float64(atMs) / msPerSecond
 	for i := range workers {
 		v := dispatch.WorkerView{
 			Name: fmt.Sprintf("n-%06d", i), Endpoint: fmt.Sprintf("10.1.%03d.%03d:9000", i/250, i%250), Type: "m", Zone: "z",
 			Session: 1, Seq: 1000 + uint64(atMs), Token: 7, Dispatcher: "a", AgeS: 0.25, UnansweredS: 0.25,
 		}
-		allocations := make([]matching.Allocation, 0, tasksEach)
-		for t := range tasksEach {
-			task := dispatch.TaskView{Task: wire.Task{Task: wire.TaskName(fmt.Sprintf("j-%06d", i), t), Attempt: 20, State: wire.TaskRunning}, ForS: 10 + passed}
-			left := max(overrunWait, 10*float64(t)-passed)
+		allocations := make([]matching.Allocation, 0, tasksPerWorker)
+		for t := range tasksPerWorker {
+			task := dispatch.TaskView{Task: wire.Task{Task: wire.TaskName(fmt.Sprintf("j-%06d", i), t), Attempt: 20, State: wire.TaskRunning}, StateAgeS: 10 + elapsedS}
+			left := max(overrunWaitS, 10*float64(t)-elapsedS)
 			if t < started {
-				task.Attempt, task.ForS, left = 21, 0, 30
+				task.Attempt, task.StateAgeS, left = 21, 0, 30
 			}
 			v.Tasks = append(v.Tasks, task)
 			allocations = append(allocations, matching.Allocation{Resources: matching.Resources{CPUs: 2, MemoryGB: 8}, RemainingS: left})
@@ -50,12 +50,13 @@
 	return views
 }
 
-// sentBytes is the size of the messages that send workers' views to a leader, first whole and then
-// once the workers have reported again, with so many tasks started in between.
+// sentBytes returns the size of the messages that send workers' views to a leader: first all
+// views, and then the changes after the workers have reported again, with so many tasks of each
+// worker started in between.
 func sentBytes(tb testing.TB, workers, started int) (whole, change float64) {
 	e, d := NewEncoder("a"), NewDecoder()
 	first := workersAt(workers, 0, 0)
-	e.after = d.stream
+	e.replaces = d.stream
 	send := func(nowMs int64) (bytes float64) {
 		for more := true; more; {
 			m := e.Next(nowMs, first)
@@ -67,17 +68,17 @@
 				tb.Fatal(err)
 			}
 			bytes += float64(len(data))
-			_, reply, err := d.Take(m)
+			_, reply, err := d.Apply(m)
 			if err != nil {
 				tb.Fatal(err)
 			}
-			more = e.Took(nowMs, reply)
+			more = e.HandleReply(nowMs, reply)
 		}
 		return bytes
 	}
 	whole = send(0)
-	e.Note(reportMs, workersAt(workers, reportMs, started), nil)
-	return whole, send(reportMs)
+	e.Update(reportIntervalMs, workersAt(workers, reportIntervalMs, started), nil)
+	return whole, send(reportIntervalMs)
 }
 
 var capacitySeries = []capacity.Series{
--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -7,48 +7,48 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// maxWorkers bounds the workers of a Decoder: no dispatcher has more.
+// maxWorkers bounds the workers of a Decoder; dispatchers have the same limit.
 const maxWorkers = 20_000
 
-// Decoder is a leader's end of a dispatcher's stream: its replica of that dispatcher's views.
-// It is not safe for concurrent use.
+// Decoder is the leader's end of a dispatcher's stream and holds a replica of its views. It is not
+// safe for concurrent use.
 type Decoder struct {
 	stream uint64
 	seq    uint64
 	states map[string]*state
 }
 
-// NewDecoder returns an empty replica. The identifier of the stream that it pretends to know is
-// drawn anew, so that only a dispatcher that received it can begin: not a message that was
-// sent to a predecessor.
+// NewDecoder returns an empty replica. It claims to know a stream with a random identifier, so
+// that only a dispatcher that has received the identifier can begin a stream: a message that was
+// sent to a predecessor can't.
 func NewDecoder() *Decoder {
 	return &Decoder{stream: newStream(), states: map[string]*state{}}
 }
 
-// Reply says up to where this leader knows which stream.
+// Reply returns up to which frame of which stream this leader knows the views.
 func (d *Decoder) Reply() Reply { return Reply{Stream: d.stream, Seq: d.seq} }
 
-// Take applies a message, and returns the views that changed, as of now. A malformed one
-// changes nothing; its error is ErrMalformed.
-func (d *Decoder) Take(m *Message) ([]dispatch.WorkerView, Reply, error) {
+// Apply applies a message and returns the views that changed, as of now. A malformed message has
+// no effect and returns ErrMalformed.
+func (d *Decoder) Apply(m *Message) ([]dispatch.WorkerView, Reply, error) {
 	if m.Frame == nil {
 		return nil, d.heartbeat(m), nil
 	}
-	frame, begins := m.Frame, m.Frame.Seq == 1
+	frame, initial := m.Frame, m.Frame.Seq == 1
 	switch {
-	case begins && m.Stream != d.stream && m.After == d.stream && frame.Whole && m.Stream != 0:
+	case initial && m.Stream != d.stream && m.Replaces == d.stream && frame.Initial && m.Stream != 0:
 	case m.Stream != d.stream:
-		return nil, d.Reply(), nil // of another incarnation, of the dispatcher or of this leader
+		return nil, d.Reply(), nil // from another incarnation of the dispatcher, or meant for another one of this leader
 	case frame.Seq <= d.seq:
-		return nil, d.Reply(), nil // a copy
-	case frame.Seq != d.seq+1 || frame.Whole:
+		return nil, d.Reply(), nil // a duplicate
+	case frame.Seq != d.seq+1 || frame.Initial:
 		return nil, d.refusal(), fmt.Errorf("%w: frame %d after %d", ErrMalformed, frame.Seq, d.seq)
 	}
-	states, err := d.applied(frame, begins)
+	states, err := d.applyFrame(frame, initial)
 	if err != nil {
 		return nil, d.refusal(), err
 	}
-	if begins {
+	if initial {
 		d.stream, d.states = m.Stream, map[string]*state{}
 	}
 	d.seq = frame.Seq
@@ -56,7 +56,7 @@
 	for i := range states {
 		s := &states[i]
 		d.states[s.view.Name] = s
-		view := s.aged(m.NowMs)
+		view := s.viewAt(m.NowMs)
 		view.Dispatcher = m.Dispatcher
 		out = append(out, view)
 	}
@@ -66,21 +66,22 @@
 	return out, d.Reply(), nil
 }
 
-// applied returns what a frame's changes make of the replica, which stays as it is.
-func (d *Decoder) applied(frame *Frame, begins bool) ([]state, error) {
+// applyFrame returns the new states of the workers that a frame changes. It does not modify the
+// replica.
+func (d *Decoder) applyFrame(frame *Frame, initial bool) ([]state, error) {
 	states := make([]state, 0, len(frame.Changes))
-	if len(d.states)+len(frame.Changes) > maxWorkers && !begins || len(frame.Changes) > maxWorkers {
+	if len(d.states)+len(frame.Changes) > maxWorkers && !initial || len(frame.Changes) > maxWorkers {
 		return nil, fmt.Errorf("%w: too many workers", ErrMalformed)
 	}
 	seen := make(map[string]bool, len(frame.Changes))
 	for i := range frame.Changes {
 		change := &frame.Changes[i]
 		if seen[change.Name] {
-			return nil, fmt.Errorf("%w: %s: twice", ErrMalformed, change.Name)
+			return nil, fmt.Errorf("%w: %s: changed twice in one frame", ErrMalformed, change.Name)
 		}
 		seen[change.Name] = true
 		var old *state
-		if !begins {
+		if !initial {
 			old = d.states[change.Name]
 		}
 		s, err := change.apply(old, frame.AtMs)
@@ -90,33 +91,33 @@
 		states = append(states, s)
 	}
 	for _, name := range frame.Removed {
-		if begins || d.states[name] == nil {
-			return nil, fmt.Errorf("%w: %s: removed, and was not known", ErrMalformed, name)
+		if initial || d.states[name] == nil {
+			return nil, fmt.Errorf("%w: %s: removed worker is not known", ErrMalformed, name)
 		}
 	}
 	return states, nil
 }
 
-// aged is the view with the ages as of a later time; its matrix stays, since leaders take
-// the time since a view came off by themselves.
-func (s *state) aged(nowMs int64) dispatch.WorkerView {
+// viewAt returns the view with the ages as of a later time. The matrix is not changed, since
+// leaders account for a view's age themselves.
+func (s *state) viewAt(nowMs int64) dispatch.WorkerView {
 	view := s.view
-	view.Matrix = slices.Clone(view.Matrix) // leaders take room off it
-	passed := max(0, float64(nowMs-s.atMs)/perSecond)
-	if passed == 0 {
+	view.Matrix = slices.Clone(view.Matrix) // leaders subtract resources from it
+	elapsedS := max(0, float64(nowMs-s.atMs)/msPerSecond)
+	if elapsedS == 0 {
 		return view
 	}
-	view.AgeS, view.UnansweredS = view.AgeS+passed, view.UnansweredS+passed
+	view.AgeS, view.UnansweredS = view.AgeS+elapsedS, view.UnansweredS+elapsedS
 	view.Tasks = append([]dispatch.TaskView(nil), view.Tasks...)
 	for i := range view.Tasks {
-		view.Tasks[i].ForS += passed
+		view.Tasks[i].StateAgeS += elapsedS
 	}
 	return view
 }
 
-// heartbeat checks that both ends have the same.
+// heartbeat checks that both ends have the same views.
 func (d *Decoder) heartbeat(m *Message) Reply {
-	if m.Stream != d.stream || m.Seq < d.seq { // of another incarnation, or a copy
+	if m.Stream != d.stream || m.Seq < d.seq { // from another incarnation, or a duplicate
 		return d.Reply()
 	}
 	if m.Seq != d.seq || m.Workers != len(d.states) || m.Digest != digest(d.states) {
--- a/internal/viewsync/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -7,47 +7,48 @@
 )
 
 const (
-	// maxFrameViews bounds the workers in a frame, and so its size.
+	// maxFrameViews bounds the number of workers in a frame, and thereby its size.
 	maxFrameViews = 500
-	// heartbeatMs is after how long without a frame the leader is sent a heartbeat.
+	// heartbeatMs is the time without an acknowledgement after which the leader is sent a heartbeat.
 	heartbeatMs = 1000
 )
 
-// Encoder is a dispatcher's end of a stream to one leader. It is not safe for concurrent use.
+// Encoder is the dispatcher's end of a stream to one leader. It is not safe for concurrent use.
 type Encoder struct {
 	dispatcher string
 	stream     uint64
-	after      uint64 // the stream that the leader knows, to be replaced by this one
+	replaces   uint64 // the stream known to the leader, which this one replaces; 0 if unknown
 	seq        uint64 // of the last frame
-	begun      bool   // the first frame of the stream was made
+	started    bool   // the first frame was made
 
-	sent      map[string]*state // as of the last frame
-	pending   map[string]state  // changed since
-	removed   map[string]bool   // likewise
-	unacked   *Frame            // sent, and not acknowledged
-	repliedMs int64             // when the leader last acknowledged anything
+	sent      map[string]*state // states as of the last frame
+	pending   map[string]state  // states that changed since then
+	removed   map[string]bool   // workers that were sent and removed since then
+	unacked   *Frame            // the last frame, until it is acknowledged
+	lastAckMs int64             // time of the leader's last acknowledgement
 }
 
-// NewEncoder returns the dispatcher's end of a stream that the leader does not know yet.
+// NewEncoder returns the dispatcher's end of a new stream; which stream the leader knows is not
+// known yet.
 func NewEncoder(dispatcher string) *Encoder {
 	e := &Encoder{dispatcher: dispatcher}
 	e.restart(0)
 	return e
 }
 
-func (e *Encoder) restart(after uint64) {
-	e.stream, e.after, e.seq, e.begun, e.unacked = newStream(), after, 0, false, nil
+func (e *Encoder) restart(replaces uint64) {
+	e.stream, e.replaces, e.seq, e.started, e.unacked = newStream(), replaces, 0, false, nil
 	e.sent, e.pending, e.removed = map[string]*state{}, map[string]state{}, map[string]bool{}
 }
 
-// Note takes changed views, made now, and the names of workers that the dispatcher does not know
-// any more.
-func (e *Encoder) Note(nowMs int64, changed []dispatch.WorkerView, removed []string) {
-	if !e.begun {
-		return // the first frame has all views
+// Update records changed views as of now and the names of workers that the dispatcher no longer
+// knows.
+func (e *Encoder) Update(nowMs int64, changed []dispatch.WorkerView, removed []string) {
+	if !e.started {
+		return // the first frame will contain all views
 	}
 	for _, view := range changed {
-		e.pending[view.Name] = state{nowMs, rounding(view)}
+		e.pending[view.Name] = state{nowMs, roundedView(view)}
 		delete(e.removed, view.Name)
 	}
 	for _, name := range removed {
@@ -58,25 +59,25 @@
 	}
 }
 
-// Next returns what is to be sent now, or nil.
+// Next returns the message to be sent now, or nil.
 func (e *Encoder) Next(nowMs int64, source Source) *Message {
-	m := &Message{Dispatcher: e.dispatcher, Stream: e.stream, After: e.after, NowMs: nowMs}
+	m := &Message{Dispatcher: e.dispatcher, Stream: e.stream, Replaces: e.replaces, NowMs: nowMs}
 	switch {
 	case e.unacked != nil:
-		// Repeated as it is: whether it was applied is not known.
-	case !e.begun && e.after == 0 && !source.HasWorkers():
-		return nil // a dispatcher without workers sends nothing
-	case !e.begun && e.after == 0:
-		// Which stream the leader knows, it has to say first: a heartbeat of an unknown
-		// stream has it say so.
+		// Repeated unchanged, since it may have been applied.
+	case !e.started && e.replaces == 0 && !source.HasWorkers():
+		return nil // a dispatcher without workers has nothing to send
+	case !e.started && e.replaces == 0:
+		// Ask which stream the leader knows: it states it in reply to a heartbeat of an
+		// unknown stream.
 		return m
-	case !e.begun:
-		e.begun = true
-		e.Note(nowMs, source.WorkerViews(), nil)
+	case !e.started:
+		e.started = true
+		e.Update(nowMs, source.WorkerViews(), nil)
 		e.makeFrame(nowMs)
 	case e.hasChanges():
 		e.makeFrame(nowMs)
-	case nowMs-e.repliedMs >= heartbeatMs && len(e.sent) > 0:
+	case nowMs-e.lastAckMs >= heartbeatMs && len(e.sent) > 0:
 		m.Seq, m.Workers, m.Digest = e.seq, len(e.sent), digest(e.sent)
 		return m
 	default:
@@ -88,21 +89,21 @@
 
 func (e *Encoder) hasChanges() bool { return len(e.pending)+len(e.removed) > 0 }
 
-// makeFrame makes a frame of what changed, up to its bound.
+// makeFrame makes a frame of at most maxFrameViews pending changes.
 func (e *Encoder) makeFrame(nowMs int64) {
 	e.seq++
-	frame := &Frame{Seq: e.seq, AtMs: nowMs, Whole: e.seq == 1}
+	frame := &Frame{Seq: e.seq, AtMs: nowMs, Initial: e.seq == 1}
 	for name, now := range e.pending {
 		if len(frame.Changes) == maxFrameViews {
 			break
 		}
 		delete(e.pending, name)
 		change := diff(e.sent[name], now)
-		change.BackMs = nowMs - now.atMs
+		change.LagMs = nowMs - now.atMs
 		applied, err := change.apply(e.sent[name], nowMs)
 		if err != nil {
-			change = diff(nil, now) // whatever it is that can't be sent as a change
-			change.BackMs = nowMs - now.atMs
+			change = diff(nil, now) // replace the state if the change can't be applied
+			change.LagMs = nowMs - now.atMs
 			applied = now
 		}
 		e.sent[name] = &applied
@@ -117,21 +118,21 @@
 	e.unacked = frame
 }
 
-// Took handles the leader's reply to the last message, and reports whether there is more to
-// be sent at once.
-func (e *Encoder) Took(nowMs int64, r Reply) (more bool) {
+// HandleReply processes the leader's reply to the last message and reports whether another message
+// should be sent at once.
+func (e *Encoder) HandleReply(nowMs int64, r Reply) (more bool) {
 	switch {
 	case r.Stream != e.stream:
 		e.restart(r.Stream)
 		return r.Stream != 0
 	case r.Refused:
 		e.restart(r.Stream)
-		return false // after a pause: it may be refused again
+		return false // not at once: it may be refused again
 	case e.unacked != nil && r.Seq >= e.unacked.Seq:
-		e.unacked, e.repliedMs = nil, nowMs
+		e.unacked, e.lastAckMs = nil, nowMs
 		return e.hasChanges()
 	case e.unacked == nil:
-		e.repliedMs = nowMs
+		e.lastAckMs = nowMs
 	}
 	return false
 }
--- a/internal/viewsync/receiver_test.go
+++ b/internal/viewsync/receiver_test.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/dispatch"
 )
 
-// epochSink is a scheduler that leads its jobs at times.
+// epochSink is a scheduler with a settable leadership epoch.
 type epochSink struct {
 	epoch    uint64
 	observed []string
@@ -21,22 +21,22 @@
 	}
 }
 
-// A scheduler without jobs observes nothing, and one that comes to lead some, for the first time or
-// again, observes all views; it takes nothing from dispatchers that it does not know.
+// A scheduler that leads no shards observes no views, and one that begins to lead, for the first
+// time or again, observes all of them. Messages from unknown dispatchers are refused.
 func TestAllViewsObservedAfterFailover(t *testing.T) {
 	sink := &epochSink{}
 	r := NewReceiver(sink, []string{"h"})
-	p := NewPublisher("h", oneView{dispatch.WorkerView{Name: "n-1", Type: "m"}})
+	p := NewPublisher("h", singleWorkerSource{dispatch.WorkerView{Name: "n-1", Type: "m"}})
 	nowMs := int64(0)
 	sync := func() {
 		nowMs += heartbeatMs
-		p.Gather(nowMs, []string{"o"})
+		p.CollectChanges(nowMs, []string{"o"})
 		for more := true; more; {
 			m := p.Next(nowMs, "o")
 			if m == nil {
 				return
 			}
-			reply, err := r.Take(m)
+			reply, err := r.HandleMessage(m)
 			if err != nil && !errors.Is(err, ErrNotLeading) {
 				t.Fatal(err)
 			}
@@ -54,7 +54,7 @@
 			t.Errorf("step %d: observed %v, not %d times", step, sink.observed, want.observed)
 		}
 	}
-	if _, err := r.Take(&Message{Dispatcher: "x", Stream: 3}); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a message of a dispatcher that is not known: %v", err)
+	if _, err := r.HandleMessage(&Message{Dispatcher: "x", Stream: 3}); !errors.Is(err, ErrMalformed) {
+		t.Errorf("a message from an unknown dispatcher: %v", err)
 	}
 }
