--- a/internal/membership/capacity_test.go
+++ b/internal/membership/capacity_test.go
@@ -16,34 +16,34 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// counted counts what controllers request of the state service.
-type counted struct {
+// countingView counts what controllers request of the state service.
+type countingView struct {
 	*testkit.View
 	requests, writes, events *atomic.Int64
 }
 
-func (c counted) Get(ctx context.Context, key string) (wire.Item, error) {
+func (c countingView) Get(ctx context.Context, key string) (wire.Item, error) {
 	c.requests.Add(1)
 	return c.View.Get(ctx, key)
 }
 
-func (c counted) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
+func (c countingView) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
 	c.requests.Add(1)
 	c.writes.Add(int64(len(ops)))
 	return c.View.Txn(ctx, guards, ops...)
 }
 
-func (c counted) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (c countingView) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	c.requests.Add(1)
 	return c.View.GrantLease(ctx, ttl)
 }
 
-func (c counted) RenewLease(ctx context.Context, lease uint64) error {
+func (c countingView) RenewLease(ctx context.Context, lease uint64) error {
 	c.requests.Add(1)
 	return c.View.RenewLease(ctx, lease)
 }
 
-func (c counted) Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
+func (c countingView) Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
 	c.View.Watch(ctx, prefix, hold, reset, func(events []wire.Event) {
 		c.requests.Add(1) // the watch is opened anew
 		c.events.Add(int64(len(events)))
@@ -51,22 +51,22 @@
 	})
 }
 
-// cost is what a minute takes.
-type cost struct{ requests, writes, events float64 }
+// stateServiceLoad is what a minute takes.
+type stateServiceLoad struct{ requests, writes, events float64 }
 
-// minutes is what so many controllers cost the state service in their first minute, in
+// measureMinutes is what so many controllers cost the state service in their first minute, in
 // which they start one a second, and in one after it.
-func minutes(controllers int) (first, later cost) {
+func measureMinutes(controllers int) (first, later stateServiceLoad) {
 	var requests, writes, events atomic.Int64
 	store := testkit.NewStore()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make([]<-chan struct{}, 0, controllers)
 	for i := range controllers {
-		view := counted{&testkit.View{Store: store}, &requests, &writes, &events}
+		view := countingView{&testkit.View{Store: store}, &requests, &writes, &events}
 		done = append(done, run(ctx, membership.New(view, fmt.Sprintf("racker-%d", i+1), 5*time.Second, 1, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))))
 		time.Sleep(time.Second)
 	}
-	read := func() cost { return cost{float64(requests.Load()), float64(writes.Load()), float64(events.Load())} }
+	read := func() stateServiceLoad { return stateServiceLoad{float64(requests.Load()), float64(writes.Load()), float64(events.Load())} }
 	time.Sleep(time.Minute - time.Duration(controllers)*time.Second)
 	first = read()
 	time.Sleep(time.Minute)
@@ -75,27 +75,27 @@
 	for _, d := range done {
 		<-d
 	}
-	return first, cost{later.requests - first.requests, later.writes - first.writes, later.events - first.events}
+	return first, stateServiceLoad{later.requests - first.requests, later.writes - first.writes, later.events - first.events}
 }
 
-// minute measures minutes in simulated time.
-func minute(controllers int, of func(first, later cost) float64) (value float64) {
-	synctest.Test(&testing.T{}, func(*testing.T) { value = of(minutes(controllers)) })
+// simulateMinutes measures minutes in simulated time.
+func simulateMinutes(controllers int, of func(first, later stateServiceLoad) float64) (value float64) {
+	synctest.Test(&testing.T{}, func(*testing.T) { value = of(measureMinutes(controllers)) })
 	return value
 }
 
 var capacitySeries = []capacity.Series{
 	{Name: "membership.requests", Sizes: []int{1, 3, 6, 12}, FixedSlack: 5, Measure: func(_ testing.TB, controllers int) float64 {
-		return minute(controllers, func(_, later cost) float64 { return later.requests })
+		return simulateMinutes(controllers, func(_, later stateServiceLoad) float64 { return later.requests })
 	}},
 	{Name: "membership.writes", Sizes: []int{1, 3, 6, 12}, FixedSlack: 1, Measure: func(_ testing.TB, controllers int) float64 {
-		return minute(controllers, func(_, later cost) float64 { return later.writes })
+		return simulateMinutes(controllers, func(_, later stateServiceLoad) float64 { return later.writes })
 	}},
 	{Name: "membership.writesOfStarting", Sizes: []int{1, 3, 6, 12}, Scatters: true, Measure: func(_ testing.TB, controllers int) float64 {
-		return minute(controllers, func(first, _ cost) float64 { return first.writes })
+		return simulateMinutes(controllers, func(first, _ stateServiceLoad) float64 { return first.writes })
 	}},
 	{Name: "membership.eventsOfStarting", Sizes: []int{1, 3, 6, 12}, Scatters: true, Measure: func(_ testing.TB, controllers int) float64 {
-		return minute(controllers, func(first, _ cost) float64 { return first.events })
+		return simulateMinutes(controllers, func(first, _ stateServiceLoad) float64 { return first.events })
 	}},
 }
 
--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// stagger is how long a controller leaves a freed shard to each one that joined
+	// claimStagger is how long a controller leaves a freed shard to each one that joined
 	// after it, and to one whose key has just gone, since that may be a restart: in
 	// a rolling restart the jobs then go to a controller that was restarted already,
 	// and stay there. It covers the requests of a joining.
-	stagger = 250 * time.Millisecond
-	// restartWait is how long a controller whose key has gone is waited for.
-	restartWait = time.Second
+	claimStagger = 250 * time.Millisecond
+	// restartGracePeriod is how long a controller whose key has gone is waited for.
+	restartGracePeriod = time.Second
 )
 
 // claim takes free shards, up to this controller's share, in one transaction: of
@@ -31,11 +31,11 @@
 	if len(free) == 0 {
 		return wait
 	}
-	unled := make(map[int]uint64, len(free))
+	leaderless := make(map[int]uint64, len(free))
 	for _, shard := range free {
-		unled[shard] = 0
+		leaderless[shard] = 0
 	}
-	revision, err := m.writeClaim(ctx, unled, self)
+	revision, err := m.writeClaim(ctx, leaderless, self)
 	if err != nil {
 		m.log.Debug("claim failed", "shards", free, "err", err)
 		if !errors.Is(err, statestore.ErrUnavailable) {
@@ -58,10 +58,10 @@
 }
 
 // writeClaim writes that this controller leads shards which nobody led, and returns the revision.
-func (m *Member) writeClaim(ctx context.Context, unled map[int]uint64, self shardRecord) (revision uint64, err error) {
+func (m *Member) writeClaim(ctx context.Context, leaderless map[int]uint64, self shardRecord) (revision uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, txnTimeout)
 	defer cancel()
-	txn := assignment(unled, self)
+	txn := assignment(leaderless, self)
 	return m.store.Txn(ctx, txn.If, txn.Then...)
 }
 
@@ -72,7 +72,7 @@
 
 // claimableLocked returns the shards to claim now, and when to look again.
 func (m *Member) claimableLocked() (free []int, wait time.Duration) {
-	if !m.listed || m.leaseRemainingLocked() <= claimableRemain {
+	if !m.listed || m.leaseRemainingLocked() <= minRemainingToClaim {
 		return nil, 0
 	}
 	room := m.shareLocked() - len(m.claimed)
@@ -98,26 +98,26 @@
 // those that joined after it, to one that may be restarting, and, if it ends again
 // and again itself, to any that does not.
 func (m *Member) claimDelayLocked() time.Duration {
-	ahead := 0
+	preferred := 0
 	wait := time.Duration(0)
 	for name, node := range m.nodes {
-		if name == m.name || !node.steady() {
+		if name == m.name || !node.stable() {
 			continue
 		}
 		if node.Token > m.joinedToken {
-			ahead++
+			preferred++
 		}
-		if m.shortIncarnations >= unsteadyFrom {
-			wait = restartWait
+		if m.shortIncarnations >= unstableThreshold {
+			wait = restartGracePeriod
 		}
 	}
 	for name, leftAt := range m.leftAt {
-		if _, back := m.nodes[name]; !back && time.Since(leftAt) < restartWait && !m.leftUnsteady[name] {
-			ahead++
+		if _, returned := m.nodes[name]; !returned && time.Since(leftAt) < restartGracePeriod && !m.leftUnstable[name] {
+			preferred++
 			break
 		}
 	}
-	return wait + time.Duration(ahead)*stagger
+	return wait + time.Duration(preferred)*claimStagger
 }
 
 // assignment is the transaction that writes who leads shards, if their keys still
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -29,7 +29,7 @@
 		return fmt.Errorf("open lease: %w", err)
 	}
 	record := nodeRecord{Lease: lease, JoinedMs: sent.UnixMilli()}
-	record.ShortIncarnations = m.countShort(&predecessor, &record)
+	record.ShortIncarnations = m.countShortIncarnations(&predecessor, &record)
 	token, err := m.register(ctx, record)
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
@@ -63,12 +63,12 @@
 	return predecessor, nil
 }
 
-// countShort returns the short incarnations in a row before record's, and notes
+// countShortIncarnations returns the short incarnations in a row before record's, and notes
 // the attempt to join.
-func (m *Member) countShort(predecessor, record *nodeRecord) int {
+func (m *Member) countShortIncarnations(predecessor, record *nodeRecord) int {
 	m.mu.Lock()
-	ownAttempt := predecessor.Lease != 0 && predecessor.Lease == m.lastTriedLease
-	m.lastTriedLease = record.Lease
+	ownAttempt := predecessor.Lease != 0 && predecessor.Lease == m.lastAttemptLease
+	m.lastAttemptLease = record.Lease
 	m.mu.Unlock()
 	switch {
 	case ownAttempt:
@@ -81,13 +81,13 @@
 
 // register draws a fencing token and writes the registration in one transaction.
 func (m *Member) register(ctx context.Context, record nodeRecord) (token uint64, err error) {
-	if err := m.startRaise(ctx); err != nil {
+	if err := m.lockToken(ctx); err != nil {
 		return 0, err
 	}
-	defer m.endRaise()
+	defer m.unlockToken()
 	last := m.FencingToken() // of this process's last incarnation; a reserved one may be above the counter's next
-	next := func(counter tokenRecord) tokenRecord { return counter.above(last) }
-	return m.raise(ctx, next, func(token uint64) wire.Txn {
+	next := func(counter tokenRecord) tokenRecord { return counter.withTokenAbove(last) }
+	return m.raiseToken(ctx, next, func(token uint64) wire.Txn {
 		record.Token = token
 		key := nodePrefix + m.name
 		return wire.Txn{If: []wire.Guard{{Key: key}}, Then: []wire.Op{{Put: key, Value: record, Lease: record.Lease}}}
--- a/internal/membership/late_response_test.go
+++ b/internal/membership/late_response_test.go
@@ -17,19 +17,19 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// lateClaim is a state service in which another controller takes the shards over between a
+// takeoverStore is a state service in which another controller takes the shards over between a
 // claim and its response.
-type lateClaim struct {
+type takeoverStore struct {
 	*testkit.View
-	taken bool
+	takenOver bool
 }
 
-func (l *lateClaim) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
+func (l *takeoverStore) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
 	revision, err := l.View.Txn(ctx, guards, ops...)
-	if l.taken || err != nil || !strings.HasPrefix(ops[0].Put, "c/shard/") {
+	if l.takenOver || err != nil || !strings.HasPrefix(ops[0].Put, "c/shard/") {
 		return revision, err
 	}
-	l.taken = true
+	l.takenOver = true
 	clean := &testkit.View{Store: l.Store}
 	for _, op := range ops {
 		record := map[string]any{}
@@ -58,12 +58,12 @@
 // claim came after the watch had told of the next leader.
 func TestLateResponseToClaimDoesNotHideNewerLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &lateClaim{View: &testkit.View{Store: testkit.NewStore()}}
+		store := &takeoverStore{View: &testkit.View{Store: testkit.NewStore()}}
 		member := membership.New(store, "a", ttl, 4, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		ctx, cancel := context.WithCancel(context.Background())
 		done := run(ctx, member)
 		time.Sleep(3 * time.Second)
-		if !store.taken {
+		if !store.takenOver {
 			t.Error("nothing was claimed")
 		}
 		if leaders := member.ShardLeaders(); !slices.Equal(leaders, []string{"b"}) || len(member.LedShards()) > 0 {
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	driftRate       = 0.002                 // four times the largest drift between two steady clocks
-	timerSlack      = 60 * time.Millisecond // timers fire late
+	clockDriftRate       = 0.002                 // four times the largest drift between two steady clocks
+	timerLatency      = 60 * time.Millisecond // timers fire late
 	renewalsPerTTL  = 5
 	retriesPerTTL   = 20 // after a renewal that the state service refused
 	watchHold       = 20 * time.Second
-	claimableRemain = time.Second // of the lease, below which no shard is claimed
+	minRemainingToClaim = time.Second // of the lease, below which no shard is claimed
 )
 
 // Alive reports whether a controller's lease has not ended, as far as is known here.
@@ -37,7 +37,7 @@
 	if m.lease == 0 {
 		return 0
 	}
-	safe := m.ttl - time.Duration(float64(m.ttl)*driftRate) - timerSlack
+	safe := m.ttl - time.Duration(float64(m.ttl)*clockDriftRate) - timerLatency
 	return max(0, safe-time.Since(m.renewalSentAt))
 }
 
@@ -48,7 +48,7 @@
 	watching := make(chan struct{})
 	go func() {
 		defer close(watching)
-		m.store.Watch(ctx, keyPrefix, watchHold, m.reset, m.change)
+		m.store.Watch(ctx, keyPrefix, watchHold, m.applyListing, m.applyEvents)
 	}()
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		if err := m.join(ctx); err != nil {
@@ -57,17 +57,17 @@
 			continue
 		}
 		attempt = 0
-		m.hold(ctx)
+		m.runIncarnation(ctx)
 		m.endIncarnation()
 	}
 	<-watching
-	m.reservationsUnderWay.Wait()
+	m.reservationsInFlight.Wait()
 	return ctx.Err()
 }
 
-// hold renews the lease and keeps this controller's share of the shards until
+// runIncarnation renews the lease and keeps this controller's share of the shards until
 // the lease is lost or ctx ends.
-func (m *Member) hold(ctx context.Context) {
+func (m *Member) runIncarnation(ctx context.Context) {
 	renewal := time.NewTimer(m.ttl / renewalsPerTTL)
 	defer renewal.Stop()
 	claimAgain := time.NewTimer(m.ttl)
@@ -99,7 +99,7 @@
 		}
 		switch {
 		case err == nil:
-			m.renewed(ctx, sent)
+			m.recordRenewal(ctx, sent)
 		case errors.Is(err, statestore.ErrNotFound):
 			m.log.Info("lease expired", "lease", lease)
 			return
@@ -115,13 +115,13 @@
 	return m.store.RenewLease(ctx, lease)
 }
 
-// renewed notes a renewal that was sent then and succeeded.
-func (m *Member) renewed(ctx context.Context, sent time.Time) {
+// recordRenewal notes a renewal that was sent then and succeeded.
+func (m *Member) recordRenewal(ctx context.Context, sent time.Time) {
 	m.mu.Lock()
 	before := m.leaseRemainingLocked()
 	m.renewalSentAt = sent
 	m.mu.Unlock()
-	m.reserve(ctx)
+	m.reserveToken(ctx)
 	if before <= 0 {
 		m.log.Info("lease regained")
 		m.notifyChange()
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -51,7 +51,7 @@
 	log    *slog.Logger
 	wake   chan struct{} // has hold look at the shards again
 
-	raising        chan struct{} // full while a change of the fencing token is under way: one at a time
+	tokenLock        chan struct{} // full while a change of the fencing token is under way: one at a time
 	raiseRefusedAt time.Time     // when the state service last refused one; guarded by raising
 
 	mu                   sync.Mutex
@@ -67,18 +67,18 @@
 	newestVersions       map[int]uint64 // highest known version of each shard's key; what is older is out of date
 	listed               bool           // the records were listed once
 	joinedToken          uint64         // the fencing token at this incarnation's registration
-	lastTriedLease       uint64         // of the last attempt to join
+	lastAttemptLease       uint64         // of the last attempt to join
 	shortIncarnations    int            // in a row before this one
 	freedAt              map[int]time.Time
 	leftAt               map[string]time.Time
-	leftUnsteady         map[string]bool // whether a controller that left was unsteady
+	leftUnstable         map[string]bool // whether a controller that left was unsteady
 	pending              map[int]uint64  // shards given up in a transaction of unknown outcome, by the version it replaces
 	transferInFlight     bool            // such a transaction is still under way
 	transfers            transfersRecord
 	reservedAt           time.Time // when a token was last reserved
-	ownershipCallbacks   []func()
+	leadershipCallbacks   []func()
 	onLinkAnnouncement   func(value json.RawMessage)
-	reservationsUnderWay sync.WaitGroup
+	reservationsInFlight sync.WaitGroup
 }
 
 // New returns a member that has not joined yet. ttl is the lease's, shards the
@@ -86,17 +86,17 @@
 func New(store Store, name string, ttl time.Duration, shards, spread int, log *slog.Logger) *Member {
 	return &Member{
 		store: store, name: name, ttl: ttl, shards: shards, spread: spread, log: log,
-		wake: make(chan struct{}, 1), raising: make(chan struct{}, 1),
+		wake: make(chan struct{}, 1), tokenLock: make(chan struct{}, 1),
 		nodes: map[string]nodeRecord{}, leaders: map[int]shardRecord{},
 		claimed: map[int]uint64{}, newestVersions: map[int]uint64{}, pending: map[int]uint64{},
-		freedAt: map[int]time.Time{}, leftAt: map[string]time.Time{}, leftUnsteady: map[string]bool{},
+		freedAt: map[int]time.Time{}, leftAt: map[string]time.Time{}, leftUnstable: map[string]bool{},
 	}
 }
 
 // OnLeadershipChange registers a callback for changes of what this controller
 // knows of shards, controllers and its lease. It is called without locks held.
 // Call OnOwnershipChange before Run.
-func (m *Member) OnLeadershipChange(f func()) { m.ownershipCallbacks = append(m.ownershipCallbacks, f) }
+func (m *Member) OnLeadershipChange(f func()) { m.leadershipCallbacks = append(m.leadershipCallbacks, f) }
 
 // OnLinkAnnouncement registers the callback for what controllers announce of
 // their links. It is called with the member's lock held and must not call back.
@@ -128,7 +128,7 @@
 
 // notifyChange runs the callbacks and wakes hold. No lock may be held.
 func (m *Member) notifyChange() {
-	for _, callback := range m.ownershipCallbacks {
+	for _, callback := range m.leadershipCallbacks {
 		callback()
 	}
 	m.wakeUp()
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -287,7 +287,7 @@
 	return d.View.Txn(ctx, guards, ops...)
 }
 
-func (d *releaseDelayer) deliver(ctx context.Context) {
+func (d *releaseDelayer) deliverDelayed(ctx context.Context) {
 	txn := d.delayed.Load()
 	_, _ = d.View.Txn(ctx, txn.If, txn.Then...) // may find its conditions failed
 }
@@ -319,7 +319,7 @@
 		if len(a.LedShards())+len(b.LedShards()) != 4 {
 			t.Errorf("2 s after the release was lost a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
-		view.deliver(ctx)
+		view.deliverDelayed(ctx)
 		time.Sleep(3 * ttl)
 		if len(a.LedShards()) != 2 || len(b.LedShards()) != 2 {
 			t.Errorf("in the end a leads %v, b %v", a.LedShards(), b.LedShards())
--- a/internal/membership/records.go
+++ b/internal/membership/records.go
@@ -26,10 +26,10 @@
 
 const (
 	shortIncarnation = 15 * time.Second
-	unsteadyFrom     = 3 // short incarnations in a row from which on a controller leaves shards to others
+	unstableThreshold     = 3 // short incarnations in a row from which on a controller leaves shards to others
 )
 
-func (r *nodeRecord) steady() bool { return r.ShortIncarnations < unsteadyFrom }
+func (r *nodeRecord) stable() bool { return r.ShortIncarnations < unstableThreshold }
 
 // shardRecord says which controller leads a shard. Its key is attached to that
 // controller's lease.
--- a/internal/membership/reserved_token.go
+++ b/internal/membership/reserved_token.go
@@ -10,8 +10,8 @@
 const (
 	reserveInterval = 5 * time.Second // between two tokens that a controller reserves
 	reserveTimeout  = 2 * time.Second
-	reserveAbove    = 4096 // tokens that may be raised before reserved ones are overtaken
-	mostReserved    = 2    // tokens that a controller reserves
+	reservedTokenGap    = 4096 // tokens that may be raised before reserved ones are overtaken
+	maxReserved    = 2    // tokens that a controller reserves
 )
 
 // tokenRecord is the counter of fencing tokens. Reserved ones are taken from above those
@@ -23,46 +23,46 @@
 	HighestFirstReserve uint64 `json:"first,omitempty"` // the highest reserved by a controller that had no other
 }
 
-// inUse is the highest token that was not merely reserved.
-func (r tokenRecord) inUse() uint64 {
+// highestInUse is the highest token that was not merely reserved.
+func (r tokenRecord) highestInUse() uint64 {
 	if r.LowestReserved == 0 {
 		return r.Highest
 	}
 	return r.HighestUnreserved
 }
 
-// above gives out a token that is larger than above.
-func (r tokenRecord) above(above uint64) tokenRecord {
+// withTokenAbove gives out a token that is larger than withTokenAbove.
+func (r tokenRecord) withTokenAbove(above uint64) tokenRecord {
 	if next := max(r.HighestUnreserved, above) + 1; next < r.LowestReserved {
 		r.HighestUnreserved = next
 		return r
 	}
-	return r.highest(above)
+	return r.withHighestToken(above)
 }
 
-// highest gives out a token that is larger than all that were given out, and than above.
-func (r tokenRecord) highest(above uint64) tokenRecord {
+// withHighestToken gives out a token that is larger than all that were given out, and than above.
+func (r tokenRecord) withHighestToken(above uint64) tokenRecord {
 	return tokenRecord{Highest: max(r.Highest, above) + 1}
 }
 
-// reserved gives out a token, Highest, that is larger than all, and leaves room below it.
-func (r tokenRecord) reserved() tokenRecord {
+// withReservedToken gives out a token, Highest, that is larger than all, and leaves room below it.
+func (r tokenRecord) withReservedToken() tokenRecord {
 	if r.LowestReserved > 0 {
 		r.Highest++
 		return r
 	}
-	token := r.Highest + reserveAbove
+	token := r.Highest + reservedTokenGap
 	return tokenRecord{Highest: token, HighestUnreserved: r.Highest, LowestReserved: token}
 }
 
-// reservedFirst is reserved for a controller that has no other.
-func (r tokenRecord) reservedFirst() tokenRecord {
-	next := r.reserved()
+// withFirstReservedToken is reserved for a controller that has no other.
+func (r tokenRecord) withFirstReservedToken() tokenRecord {
+	next := r.withReservedToken()
 	next.HighestFirstReserve = next.Highest
 	return next
 }
 
-// reserve draws a fencing token ahead of time, unless one is reserved here that is
+// reserveToken draws a fencing token ahead of time, unless one is reserved here that is
 // higher than every token known to be in use. In an outage of the state service nobody
 // can draw one: when a dispatcher ended then, whose token its workers had seen, no other
 // could respond to them, and their leases ended. The token comes from the one counter,
@@ -72,15 +72,15 @@
 // A second one is drawn when another controller's first is above all reserved here: when
 // that one had used it in an outage and ended in its turn, nobody could respond to its
 // workers. So two failovers, one after the other, are covered, by whichever controllers.
-func (m *Member) reserve(ctx context.Context) {
+func (m *Member) reserveToken(ctx context.Context) {
 	next, lease := m.nextReservation()
 	if next == nil {
 		return
 	}
-	m.reservationsUnderWay.Go(func() {
+	m.reservationsInFlight.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 		defer cancel()
-		counter, err := m.draw(ctx, next, nil)
+		counter, err := m.updateCounter(ctx, next, nil)
 		if err != nil {
 			m.log.Debug("reserving a fencing token failed", "err", err)
 			return
@@ -91,7 +91,7 @@
 
 // nextReservation drops reserved tokens that are overtaken, and returns how to draw
 // the next one, if one is due, with the lease it is for.
-func (m *Member) nextReservation() (next nextToken, lease uint64) {
+func (m *Member) nextReservation() (next counterUpdate, lease uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for len(m.reservedTokens) > 0 && m.reservedTokens[0] <= m.highestTokenInUse {
@@ -102,9 +102,9 @@
 	}
 	switch count := len(m.reservedTokens); {
 	case count == 0:
-		next = tokenRecord.reservedFirst
+		next = tokenRecord.withFirstReservedToken
 	case m.reservedTokens[count-1] < m.highestFirstReserve:
-		next = tokenRecord.reserved
+		next = tokenRecord.withReservedToken
 	default:
 		return nil, 0
 	}
@@ -119,8 +119,8 @@
 	if m.lease != lease {
 		return
 	}
-	if len(m.reservedTokens) == mostReserved {
-		m.reservedTokens = m.reservedTokens[:mostReserved-1] // the highest is not high enough any more
+	if len(m.reservedTokens) == maxReserved {
+		m.reservedTokens = m.reservedTokens[:maxReserved-1] // the highest is not high enough any more
 	}
 	m.reservedTokens = append(m.reservedTokens, token)
 }
@@ -153,7 +153,7 @@
 func (m *Member) observeCounterLocked(value json.RawMessage) {
 	var counter tokenRecord
 	if json.Unmarshal(value, &counter) == nil {
-		m.highestTokenInUse = max(m.highestTokenInUse, counter.inUse())
+		m.highestTokenInUse = max(m.highestTokenInUse, counter.highestInUse())
 		m.highestFirstReserve = counter.HighestFirstReserve
 	}
 }
--- a/internal/membership/reserved_token_test.go
+++ b/internal/membership/reserved_token_test.go
@@ -22,23 +22,23 @@
 	t            *testing.T
 	rnd          *rand.Rand
 	view         *testkit.View
-	down, lossy  atomic.Bool
+	down, losingResponses  atomic.Bool
 	requests     atomic.Int32 // while responses are lost
 	members      [tokenControllers]*membership.Member
 	stops        [tokenControllers]func()
 	incarnations [tokenControllers]int
-	last         [tokenControllers]uint64 // token of each process, as last seen
+	lastTokens         [tokenControllers]uint64 // token of each process, as last seen
 	users        map[uint64]tokenUser
-	highest      uint64
+	highestUsed      uint64
 
-	reservedUsed, aboveOthers int
+	reservedTokensUsed, usedAboveOthers int
 }
 
 func newTokenCluster(t *testing.T, seed uint64) *tokenCluster {
 	c := &tokenCluster{t: t, rnd: rand.New(rand.NewPCG(seed, 3)), users: map[uint64]tokenUser{}}
 	c.view = &testkit.View{
 		Store: testkit.NewStore(), Down: c.down.Load,
-		Lose: func() bool { return c.lossy.Load() && c.requests.Add(1)%7 == 0 },
+		Lose: func() bool { return c.losingResponses.Load() && c.requests.Add(1)%7 == 0 },
 	}
 	for i := range c.members {
 		c.start(i)
@@ -51,11 +51,11 @@
 	c.members[i] = member(c.view, string(rune('a'+i)))
 	done := run(ctx, c.members[i])
 	c.stops[i] = func() { cancel(); <-done }
-	c.incarnations[i], c.last[i] = c.incarnations[i]+1, 0
+	c.incarnations[i], c.lastTokens[i] = c.incarnations[i]+1, 0
 }
 
-// note checks and notes a controller's token, and returns it.
-func (c *tokenCluster) note(i int) uint64 {
+// recordToken checks and notes a controller's token, and returns it.
+func (c *tokenCluster) recordToken(i int) uint64 {
 	token := c.members[i].FencingToken()
 	if token == 0 {
 		return 0
@@ -64,10 +64,10 @@
 	if was, used := c.users[token]; used && was != user {
 		c.t.Errorf("token %d is used by %v and %v", token, was, user)
 	}
-	if token < c.last[i] {
-		c.t.Errorf("a controller's token falls from %d to %d", c.last[i], token)
+	if token < c.lastTokens[i] {
+		c.t.Errorf("a controller's token falls from %d to %d", c.lastTokens[i], token)
 	}
-	c.users[token], c.last[i], c.highest = user, token, max(c.highest, token)
+	c.users[token], c.lastTokens[i], c.highestUsed = user, token, max(c.highestUsed, token)
 	return token
 }
 
@@ -84,9 +84,9 @@
 	if token == 0 {
 		return
 	}
-	c.reservedUsed++
-	if token > others && c.note(i) == token {
-		c.aboveOthers++
+	c.reservedTokensUsed++
+	if token > others && c.recordToken(i) == token {
+		c.usedAboveOthers++
 	}
 }
 
@@ -97,7 +97,7 @@
 	case 0, 1:
 		_, _ = c.members[i].RaiseTokenAbove(context.Background(), c.members[i].FencingToken()) // may fail
 	case 2:
-		before := c.highest
+		before := c.highestUsed
 		if token, err := c.members[i].NextToken(context.Background()); err == nil && token <= before {
 			c.t.Errorf("a new leader's token is %d, when %d was given out", token, before)
 		}
@@ -109,11 +109,11 @@
 		c.stops[i]()
 		c.start(i)
 	case 6:
-		c.lossy.Store(!c.lossy.Load())
+		c.losingResponses.Store(!c.losingResponses.Load())
 	}
 	time.Sleep(time.Duration(c.rnd.IntN(4000)) * time.Millisecond)
 	for k := range c.members {
-		c.note(k)
+		c.recordToken(k)
 	}
 }
 
@@ -132,8 +132,8 @@
 			for _, stop := range c.stops {
 				stop()
 			}
-			reservedUsed += c.reservedUsed
-			aboveOthers += c.aboveOthers
+			reservedUsed += c.reservedTokensUsed
+			aboveOthers += c.usedAboveOthers
 		})
 	}
 	if aboveOthers < 50 {
--- a/internal/membership/shards.go
+++ b/internal/membership/shards.go
@@ -93,7 +93,7 @@
 		}
 		m.mu.Lock()
 		before, led := m.leaders[shard]
-		m.applyLocked(item.Key, item.Value, item.Version)
+		m.applyRecordLocked(item.Key, item.Value, item.Version)
 		changed = changed || !led || m.leaders[shard] != before
 		m.mu.Unlock()
 	}
--- a/internal/membership/token.go
+++ b/internal/membership/token.go
@@ -17,8 +17,8 @@
 // leader has ended.
 const raiseInterval = 250 * time.Millisecond
 
-// nextToken is a step of the counter of fencing tokens.
-type nextToken func(counter tokenRecord) tokenRecord
+// counterUpdate is a step of the counter of fencing tokens.
+type counterUpdate func(counter tokenRecord) tokenRecord
 
 // FencingToken returns the token that this controller's responses to workers carry;
 // 0 before it has joined.
@@ -32,17 +32,17 @@
 // whose transaction was not surely applied by this incarnation is never used. The
 // error is statestore.ErrUnavailable, without a request, shortly after one was refused.
 func (m *Member) RaiseTokenAbove(ctx context.Context, above uint64) (uint64, error) {
-	if err := m.startRaise(ctx); err != nil {
+	if err := m.lockToken(ctx); err != nil {
 		return 0, err
 	}
-	defer m.endRaise()
+	defer m.unlockToken()
 	if token := m.FencingToken(); token > above {
 		return token, nil
 	}
 	if time.Since(m.raiseRefusedAt) < raiseInterval {
 		return 0, fmt.Errorf("raise fencing token: refused just now: %w", statestore.ErrUnavailable)
 	}
-	token, err := m.raise(ctx, func(counter tokenRecord) tokenRecord { return counter.above(above) }, nil)
+	token, err := m.raiseToken(ctx, func(counter tokenRecord) tokenRecord { return counter.withTokenAbove(above) }, nil)
 	if errors.Is(err, statestore.ErrUnavailable) {
 		m.raiseRefusedAt = time.Now()
 	}
@@ -52,41 +52,41 @@
 // NextToken takes and returns a fencing token larger than every one given out before,
 // reserved ones included.
 func (m *Member) NextToken(ctx context.Context) (uint64, error) {
-	if err := m.startRaise(ctx); err != nil {
+	if err := m.lockToken(ctx); err != nil {
 		return 0, err
 	}
-	defer m.endRaise()
-	return m.raise(ctx, func(counter tokenRecord) tokenRecord { return counter.highest(0) }, nil)
+	defer m.unlockToken()
+	return m.raiseToken(ctx, func(counter tokenRecord) tokenRecord { return counter.withHighestToken(0) }, nil)
 }
 
-// startRaise waits for its turn to change the fencing token, but not beyond ctx.
-func (m *Member) startRaise(ctx context.Context) error {
+// lockToken waits for its turn to change the fencing token, but not beyond ctx.
+func (m *Member) lockToken(ctx context.Context) error {
 	select {
-	case m.raising <- struct{}{}:
+	case m.tokenLock <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("raise fencing token: %w", ctx.Err())
 	}
 }
 
-func (m *Member) endRaise() { <-m.raising }
+func (m *Member) unlockToken() { <-m.tokenLock }
 
-// raise draws a token and uses it. It is called between startRaise and endRaise.
-func (m *Member) raise(ctx context.Context, next nextToken, with func(token uint64) wire.Txn) (uint64, error) {
-	counter, err := m.draw(ctx, next, with)
+// raiseToken draws a token and uses it. It is called between startRaise and endRaise.
+func (m *Member) raiseToken(ctx context.Context, next counterUpdate, extra func(token uint64) wire.Txn) (uint64, error) {
+	counter, err := m.updateCounter(ctx, next, extra)
 	if err != nil {
 		return 0, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.token = max(m.token, counter.inUse())
+	m.token = max(m.token, counter.highestInUse())
 	m.highestTokenInUse = max(m.highestTokenInUse, m.token)
 	return m.token, nil
 }
 
-// draw changes the counter of fencing tokens, in one transaction with what with
+// updateCounter changes the counter of fencing tokens, in one transaction with what with
 // returns for the token that is then in use; with may be nil.
-func (m *Member) draw(ctx context.Context, next nextToken, with func(token uint64) wire.Txn) (tokenRecord, error) {
+func (m *Member) updateCounter(ctx context.Context, next counterUpdate, extra func(token uint64) wire.Txn) (tokenRecord, error) {
 	for attempt := 0; ; attempt++ {
 		counter, version, err := m.readCounter(ctx)
 		if err != nil {
@@ -95,19 +95,19 @@
 		counter = next(counter)
 		guards := []wire.Guard{{Key: tokenKey, Version: version}}
 		ops := []wire.Op{{Put: tokenKey, Value: counter}}
-		if with != nil {
-			txn := with(counter.inUse())
+		if extra != nil {
+			txn := extra(counter.highestInUse())
 			guards, ops = append(guards, txn.If...), append(ops, txn.Then...)
 		}
 		if _, err = m.store.Txn(ctx, guards, ops...); err == nil {
 			return counter, nil
 		}
 		var conflict *statestore.ConflictError
-		raced := errors.As(err, &conflict) && conflict.Has(tokenKey)
+		conflicted := errors.As(err, &conflict) && conflict.Has(tokenKey)
 		// After an unknown outcome the number may be taken, now or later: the next one
 		// is read anew. A failover that gave up here began again from its start.
 		unknown := errors.Is(err, statestore.ErrUnknown) && ctx.Err() == nil
-		if !raced && !unknown {
+		if !conflicted && !unknown {
 			return counter, fmt.Errorf("raise fencing token: %w", err)
 		}
 		statestore.Backoff(ctx, attempt, 20*time.Millisecond, 200*time.Millisecond)
--- a/internal/membership/transfer.go
+++ b/internal/membership/transfer.go
@@ -12,8 +12,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// maxTransfers is how many transfers are remembered.
-const maxTransfers = 16
+// maxRecordedTransfers is how many transfers are remembered.
+const maxRecordedTransfers = 16
 
 // RecentTransfers returns how often shards were transferred, by any controller,
 // within the given time before now.
@@ -32,7 +32,7 @@
 // transfer is one transaction that moves all shards led here to a peer.
 type transfer struct {
 	shards map[int]uint64 // by the version that it replaces
-	from   uint64         // this controller's lease
+	fromLease   uint64         // this controller's lease
 	to     shardRecord
 	record transfersRecord
 }
@@ -72,13 +72,13 @@
 		return nil, fmt.Errorf("transfer shards to %s: not there, or nothing to transfer", to)
 	}
 	started := &transfer{
-		shards: m.claimed, from: m.lease,
+		shards: m.claimed, fromLease: m.lease,
 		to: shardRecord{Node: to, Token: peer.Token, Lease: peer.Lease},
 	}
 	m.claimed = map[int]uint64{}
 	maps.Copy(m.pending, started.shards)
 	m.transferInFlight = true
-	recent := m.transfers.At[max(0, len(m.transfers.At)-maxTransfers+1):]
+	recent := m.transfers.At[max(0, len(m.transfers.At)-maxRecordedTransfers+1):]
 	started.record.At = append(slices.Clone(recent), time.Now().UnixMilli())
 	return started, nil
 }
@@ -89,7 +89,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.transferInFlight = false
-	if err != nil || m.lease != ended.from {
+	if err != nil || m.lease != ended.fromLease {
 		return
 	}
 	for shard, version := range ended.shards {
@@ -115,7 +115,7 @@
 	if err != nil && !errors.As(err, &conflict) {
 		return // tried again
 	}
-	left := m.settle(shards, self, revision, conflict)
+	remaining := m.applyReclaimOutcome(shards, self, revision, conflict)
 	if err == nil {
 		m.notifyChange()
 		return
@@ -123,7 +123,7 @@
 	// Who leads them now shows in the watch too, but that may be behind: until then this
 	// controller took itself for the leader, and told everybody so.
 	m.readShards(ctx, slices.Collect(maps.Keys(shards)))
-	if left {
+	if remaining {
 		m.wakeUp()
 	}
 }
@@ -134,16 +134,16 @@
 	defer m.mu.Unlock()
 	// While a transfer is under way, this would race with it, and mostly win: the
 	// jobs would stay with a leader that wanted to be rid of them.
-	if m.leaseRemainingLocked() > claimableRemain && !m.transferInFlight {
+	if m.leaseRemainingLocked() > minRemainingToClaim && !m.transferInFlight {
 		shards = maps.Clone(m.pending)
 	}
 	return shards, m.selfLocked()
 }
 
-// settle notes the outcome of a reclaim: applied as of a revision, or, with a
+// applyReclaimOutcome notes the outcome of a reclaim: applied as of a revision, or, with a
 // conflict, that those shards were given up for good. It reports whether any
 // shard is still pending.
-func (m *Member) settle(shards map[int]uint64, self shardRecord, revision uint64, conflict *statestore.ConflictError) (left bool) {
+func (m *Member) applyReclaimOutcome(shards map[int]uint64, self shardRecord, revision uint64, conflict *statestore.ConflictError) (remaining bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.lease != self.Lease {
--- a/internal/membership/transfer_test.go
+++ b/internal/membership/transfer_test.go
@@ -123,14 +123,14 @@
 // lose and delay requests, until calm is set.
 type faultyCluster struct {
 	store   *testkit.Store
-	calm    atomic.Bool
+	faultsEnded    atomic.Bool
 	members [clusterSize]*membership.Member
 	stops   [clusterSize]func()
 	down    [clusterSize]*atomic.Bool
 	views   [clusterSize]*testkit.View
-	wrong   string // the first state in which a shard had two leaders
+	violation   string // the first state in which a shard had two leaders
 
-	drawing sync.Mutex // all members draw
+	rndMu sync.Mutex // all members draw
 	rnd     *rand.Rand
 }
 
@@ -143,17 +143,17 @@
 }
 
 func (c *faultyCluster) draw(n int) int {
-	c.drawing.Lock()
-	defer c.drawing.Unlock()
+	c.rndMu.Lock()
+	defer c.rndMu.Unlock()
 	return c.rnd.IntN(n)
 }
 
-func (c *faultyCluster) oneInSix() bool { return !c.calm.Load() && c.draw(6) == 0 }
+func (c *faultyCluster) drawFault() bool { return !c.faultsEnded.Load() && c.draw(6) == 0 }
 
 func (c *faultyCluster) start(i int) {
 	c.down[i] = &atomic.Bool{}
-	c.views[i] = &testkit.View{Store: c.store, Down: c.down[i].Load, Lose: c.oneInSix, Late: c.oneInSix}
-	if !c.calm.Load() {
+	c.views[i] = &testkit.View{Store: c.store, Down: c.down[i].Load, Lose: c.drawFault, Late: c.drawFault}
+	if !c.faultsEnded.Load() {
 		// Else both controllers would get an update at the same instant.
 		lag := time.Duration(c.draw(120)) * time.Millisecond
 		c.views[i].Lag = func() time.Duration { return lag }
@@ -164,45 +164,45 @@
 	c.stops[i] = func() { cancel(); <-done }
 }
 
-// watch notes for a while whether a shard has two leaders.
-func (c *faultyCluster) watch(d time.Duration) {
+// checkLeadersFor notes for a while whether a shard has two leaders.
+func (c *faultyCluster) checkLeadersFor(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		leaders := map[int]int{}
 		for i, m := range c.members {
 			for shard := range m.LedShards() {
-				c.compare(shard, i, leaders)
+				c.checkSecondLeader(shard, i, leaders)
 				leaders[shard] = i
 			}
 		}
 	}
 }
 
-// compare notes a second leader of a shard. A transfer may end between one look and
+// checkSecondLeader notes a second leader of a shard. A transfer may end between one look and
 // the next: two lead a shard only if the first still does.
-func (c *faultyCluster) compare(shard, leader int, leaders map[int]int) {
+func (c *faultyCluster) checkSecondLeader(shard, leader int, leaders map[int]int) {
 	first, two := leaders[shard]
 	if !two {
 		return
 	}
 	if _, still := c.members[first].LeadsShard(shard); still {
-		c.wrong = fmt.Sprintf("shard %d is led by %c and %c", shard, clusterNodes[first], clusterNodes[leader])
+		c.violation = fmt.Sprintf("shard %d is led by %c and %c", shard, clusterNodes[first], clusterNodes[leader])
 	}
 }
 
-// settle ends all faults, and notes whether every shard is led in the end.
-func (c *faultyCluster) settle() {
-	c.calm.Store(true)
+// endFaults ends all faults, and notes whether every shard is led in the end.
+func (c *faultyCluster) endFaults() {
+	c.faultsEnded.Store(true)
 	for i := range clusterSize {
 		c.down[i].Store(false)
 		c.views[i].Deliver()
 	}
-	c.watch(5 * ttl)
+	c.checkLeadersFor(5 * ttl)
 	total := 0
 	for _, m := range c.members {
 		total += len(m.LedShards())
 	}
-	if total != 4 && c.wrong == "" {
-		c.wrong = fmt.Sprintf("%d of 4 shards are led in the end", total)
+	if total != 4 && c.violation == "" {
+		c.violation = fmt.Sprintf("%d of 4 shards are led in the end", total)
 	}
 	for _, stop := range c.stops {
 		stop()
@@ -211,8 +211,8 @@
 
 // clusterStep is one fault or transfer, and the time after it.
 type clusterStep struct {
-	Act, Who, To int
-	Wait         int // ms
+	Action, Member, To int
+	WaitMs         int // ms
 }
 
 func drawClusterStep(rt *rapid.T) clusterStep {
@@ -223,19 +223,19 @@
 }
 
 func (c *faultyCluster) apply(step clusterStep) {
-	switch step.Act {
+	switch step.Action {
 	case 0, 1, 2:
-		from := c.members[step.Who]
+		from := c.members[step.Member]
 		go func() { _ = from.TransferShards(context.Background(), clusterNodes[step.To:step.To+1]) }() // may fail
 	case 3:
-		c.down[step.Who].Store(!c.down[step.Who].Load())
+		c.down[step.Member].Store(!c.down[step.Member].Load())
 	case 4:
-		c.stops[step.Who]()
-		c.start(step.Who)
+		c.stops[step.Member]()
+		c.start(step.Member)
 	case 5:
-		c.views[step.Who].Deliver()
+		c.views[step.Member].Deliver()
 	}
-	c.watch(time.Duration(step.Wait) * time.Millisecond)
+	c.checkLeadersFor(time.Duration(step.WaitMs) * time.Millisecond)
 }
 
 // No two controllers lead a shard at a time, whatever is transferred, crashes, is cut
@@ -247,12 +247,12 @@
 		wrong := ""
 		synctest.Test(t, func(*testing.T) {
 			c := newFaultyCluster(seed)
-			c.watch(time.Second)
+			c.checkLeadersFor(time.Second)
 			for _, step := range steps {
 				c.apply(step)
 			}
-			c.settle()
-			wrong = c.wrong
+			c.endFaults()
+			wrong = c.violation
 		})
 		if wrong != "" {
 			rt.Fatal(wrong)
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -9,13 +9,13 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// reset takes a listing of all records.
-func (m *Member) reset(items []wire.Item) {
+// applyListing takes a listing of all records.
+func (m *Member) applyListing(items []wire.Item) {
 	m.mu.Lock()
 	known := m.leaders
 	m.nodes, m.leaders = map[string]nodeRecord{}, map[int]shardRecord{}
 	for _, item := range items {
-		m.applyLocked(item.Key, item.Value, item.Version)
+		m.applyRecordLocked(item.Key, item.Value, item.Version)
 		if shard, ok := shardOfKey(item.Key); ok && item.Version < m.newestVersions[shard] {
 			if leader, ok := known[shard]; ok {
 				m.leaders[shard] = leader // the listing is older than what is known
@@ -34,9 +34,9 @@
 	m.notifyChange()
 }
 
-// change takes changes of records since the listing. Callbacks run only for what
-// may change who is alive or who leads what.
-func (m *Member) change(events []wire.Event) {
+// applyEvents takes changes of records since the listing. Callbacks run only for what
+// may applyEvents who is alive or who leads what.
+func (m *Member) applyEvents(events []wire.Event) {
 	m.mu.Lock()
 	relevant := false
 	for _, event := range events {
@@ -50,10 +50,10 @@
 			}
 		case event.Delete != "":
 			relevant = true
-			m.deleteLocked(event.Delete, event.Version)
+			m.deleteRecordLocked(event.Delete, event.Version)
 		default:
 			relevant = true
-			m.applyLocked(event.Put, event.Value, event.Version)
+			m.applyRecordLocked(event.Put, event.Value, event.Version)
 		}
 	}
 	m.mu.Unlock()
@@ -62,9 +62,9 @@
 	}
 }
 
-// applyLocked takes a record that was written. Records that can't be decoded are
+// applyRecordLocked takes a record that was written. Records that can't be decoded are
 // left out: a later version may have another form.
-func (m *Member) applyLocked(key string, value json.RawMessage, version uint64) {
+func (m *Member) applyRecordLocked(key string, value json.RawMessage, version uint64) {
 	switch {
 	case key == tokenKey:
 		m.observeCounterLocked(value)
@@ -118,22 +118,22 @@
 	}
 }
 
-// deleteLocked takes the deletion of a record as of a version.
-func (m *Member) deleteLocked(key string, version uint64) {
+// deleteRecordLocked takes the deletion of a record as of a version.
+func (m *Member) deleteRecordLocked(key string, version uint64) {
 	if name, ok := strings.CutPrefix(key, nodePrefix); ok {
 		node := m.nodes[name]
-		m.leftUnsteady[name] = !node.steady()
+		m.leftUnstable[name] = !node.stable()
 		delete(m.nodes, name)
 		m.leftAt[name] = time.Now()
 		return
 	}
 	if shard, ok := shardOfKey(key); ok {
-		m.freeLocked(shard, version)
+		m.deleteShardLocked(shard, version)
 	}
 }
 
-// freeLocked takes the deletion of a shard's key as of a version.
-func (m *Member) freeLocked(shard int, version uint64) {
+// deleteShardLocked takes the deletion of a shard's key as of a version.
+func (m *Member) deleteShardLocked(shard int, version uint64) {
 	if claimed, ok := m.claimed[shard]; ok {
 		if version <= claimed {
 			return // from before the claim
