--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -18,10 +18,10 @@
 	// lookupShare is the part of the service's requests for one controller's lookups.
 	lookupShare = 0.2
 
-	leastPart    = 0.05                   // of a class's full rate that is always left to it
-	cutInterval  = 250 * time.Millisecond // between two cuts
-	regain       = 0.1                    // of the full rate, in a second without a refusal
-	regainLookup = 0.05                   // the same of lookups: each time they are too many, a submission may be refused
+	minRateFraction    = 0.05                   // of a class's full rate that is always left to it
+	rateCutInterval  = 250 * time.Millisecond // between two cuts
+	recoveryPerSecond       = 0.1                    // of the full rate, in a second without a refusal
+	lookupRecoveryPerSecond = 0.05                   // the same of lookups: each time they are too many, a submission may be refused
 )
 
 // requestClass is a part of the budget that is cut by itself, in the order in which classes give
@@ -32,20 +32,20 @@
 	lookupClass requestClass = iota
 	bulkClass
 	ordinaryClass
-	requestClasses
+	requestClassCount
 )
 
 // limiter is a rate limiter whose rate can be cut.
 type limiter struct {
 	*rate.Limiter
-	full rate.Limit
+	fullRate rate.Limit
 }
 
 func newLimiter(perSecond float64, burst int) limiter {
 	return limiter{rate.NewLimiter(rate.Limit(perSecond), burst), rate.Limit(perSecond)}
 }
 
-func (l *limiter) setPart(part float64) { l.SetLimit(l.full * rate.Limit(part)) }
+func (l *limiter) setFraction(part float64) { l.SetLimit(l.fullRate * rate.Limit(part)) }
 
 // budget keeps a controller's requests within its part of the service's limits, and
 // gives way when the service refuses: controllers don't know what the others use.
@@ -54,7 +54,7 @@
 	requests, lookups, writes, bulk limiter
 
 	mu        sync.Mutex
-	parts     [requestClasses]float64 // of the full rates
+	fractions     [requestClassCount]float64 // of the full rates
 	cutAt     time.Time               // last
 	changedAt time.Time               // last cut or regain
 }
@@ -65,14 +65,14 @@
 		lookups:  newLimiter(rps*lookupShare, max(2, int(rps*lookupShare/2))),
 		writes:   newLimiter(writeRPS*controllerShare, max(maxOps, int(writeRPS*controllerShare))),
 		bulk:     newLimiter(writeRPS*controllerShare*bulkShare, maxOps),
-		parts:    [requestClasses]float64{1, 1, 1},
+		fractions:    [requestClassCount]float64{1, 1, 1},
 	}
 }
 
 // wait waits for a request's turn, which an urgent one need not. If ctx ends before, it
 // returns ErrBusy.
 func (b *budget) wait(ctx context.Context, priority PriorityClass) error {
-	b.regain()
+	b.recoverRate()
 	if priority == Urgent {
 		b.requests.Allow()
 		return nil
@@ -101,59 +101,59 @@
 	return nil
 }
 
-// admits waits for the turn of a request for a peer, and reports whether it came.
-func (b *budget) admits(ctx context.Context, request *RelayedRequest) bool {
+// admit waits for the turn of a request for a peer, and reports whether it came.
+func (b *budget) admit(ctx context.Context, request *RelayedRequest) bool {
 	if b.wait(ctx, request.Priority) != nil {
 		return false
 	}
 	return request.Writes <= 0 || b.waitWrites(ctx, request.Priority, request.Writes) == nil
 }
 
-// cut cuts a class: the service has just refused a request as one too many.
-func (b *budget) cut() {
+// cutRate cuts a class: the service has just refused a request as one too many.
+func (b *budget) cutRate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	if now.Sub(b.cutAt) < cutInterval {
+	if now.Sub(b.cutAt) < rateCutInterval {
 		return
 	}
 	b.cutAt, b.changedAt = now, now
-	for class, by := range [requestClasses]float64{lookupClass: 0.5, bulkClass: 0.7, ordinaryClass: 0.8} {
-		if b.parts[class] > leastPart {
-			b.parts[class] = max(leastPart, b.parts[class]*by)
+	for class, by := range [requestClassCount]float64{lookupClass: 0.5, bulkClass: 0.7, ordinaryClass: 0.8} {
+		if b.fractions[class] > minRateFraction {
+			b.fractions[class] = max(minRateFraction, b.fractions[class]*by)
 			break
 		}
 	}
-	b.applyLocked()
+	b.applyFractionsLocked()
 }
 
-// regain gives back what was cut, the last cut first.
-func (b *budget) regain() {
+// recoverRate gives back what was cut, the last cut first.
+func (b *budget) recoverRate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	since := now.Sub(b.changedAt)
-	if b.parts == [requestClasses]float64{1, 1, 1} || now.Sub(b.cutAt) < 2*cutInterval || since < cutInterval {
+	if b.fractions == [requestClassCount]float64{1, 1, 1} || now.Sub(b.cutAt) < 2*rateCutInterval || since < rateCutInterval {
 		return
 	}
 	b.changedAt = now
-	for class := requestClasses - 1; class >= 0; class-- {
-		if b.parts[class] >= 1 {
+	for class := requestClassCount - 1; class >= 0; class-- {
+		if b.fractions[class] >= 1 {
 			continue
 		}
-		by := regain
+		by := recoveryPerSecond
 		if class == lookupClass {
-			by = regainLookup
+			by = lookupRecoveryPerSecond
 		}
-		b.parts[class] = min(1, b.parts[class]+by*min(1, since.Seconds()))
+		b.fractions[class] = min(1, b.fractions[class]+by*min(1, since.Seconds()))
 		break
 	}
-	b.applyLocked()
+	b.applyFractionsLocked()
 }
 
-func (b *budget) applyLocked() {
-	b.lookups.setPart(b.parts[lookupClass])
-	b.bulk.setPart(b.parts[bulkClass])
-	b.requests.setPart(b.parts[ordinaryClass])
-	b.writes.setPart(b.parts[ordinaryClass])
+func (b *budget) applyFractionsLocked() {
+	b.lookups.setFraction(b.fractions[lookupClass])
+	b.bulk.setFraction(b.fractions[bulkClass])
+	b.requests.setFraction(b.fractions[ordinaryClass])
+	b.writes.setFraction(b.fractions[ordinaryClass])
 }
--- a/internal/statestore/budget_test.go
+++ b/internal/statestore/budget_test.go
@@ -16,14 +16,14 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// limited is a state service that refuses what is above its limits, as the protocol
+// rateLimitedService is a state service that refuses what is above its limits, as the protocol
 // has it.
-type limited struct {
+type rateLimitedService struct {
 	reqs, writes *rate.Limiter
 	refused      atomic.Int64
 }
 
-func (l *limited) RoundTrip(r *http.Request) (*http.Response, error) {
+func (l *rateLimitedService) RoundTrip(r *http.Request) (*http.Response, error) {
 	time.Sleep(3 * time.Millisecond)
 	if !l.reqs.Allow() || r.URL.Path == "/txn" && !l.writes.Allow() {
 		l.refused.Add(1)
@@ -42,8 +42,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 		defer cancel()
 		const rps, writes = 80, 30
-		service := &limited{reqs: rate.NewLimiter(rps, rps), writes: rate.NewLimiter(writes, writes)}
-		var load stormLoad
+		service := &rateLimitedService{reqs: rate.NewLimiter(rps, rps), writes: rate.NewLimiter(writes, writes)}
+		var load pollStorm
 		for range 5 {
 			c := New("x", rps, writes, 24)
 			c.http.Transport = service
@@ -66,14 +66,14 @@
 	})
 }
 
-// stormLoad is what controllers request of a state service, each until ctx ends.
-type stormLoad struct {
+// pollStorm is what controllers request of a state service, each until ctx ends.
+type pollStorm struct {
 	wg                          sync.WaitGroup
 	lookedUp, accepted, refused atomic.Int64
 	longestGap                  atomic.Int64 // ns between successful renewals
 }
 
-func (l *stormLoad) poll(ctx context.Context, c *Client) {
+func (l *pollStorm) poll(ctx context.Context, c *Client) {
 	for ctx.Err() == nil {
 		pctx, cancel := context.WithTimeout(WithPriority(ctx, Lookup), 1500*time.Millisecond)
 		if _, err := c.Get(pctx, "live/j"); err == nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-func (l *stormLoad) renew(ctx context.Context, c *Client) {
+func (l *pollStorm) renew(ctx context.Context, c *Client) {
 	good := time.Now()
 	for ctx.Err() == nil {
 		if err := c.RenewLease(ctx, 1); err == nil {
@@ -100,7 +100,7 @@
 }
 
 // submit makes four submissions a second.
-func (l *stormLoad) submit(ctx context.Context, c *Client) {
+func (l *pollStorm) submit(ctx context.Context, c *Client) {
 	for ctx.Err() == nil {
 		sctx, cancel := context.WithTimeout(ctx, time.Second)
 		if _, err := c.Txn(sctx, nil, wire.Op{Put: "live/j", Value: 1}); err == nil {
@@ -119,24 +119,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBudget(80, 30, 24)
 		for range 200 {
-			b.cut()
-			time.Sleep(cutInterval)
+			b.cutRate()
+			time.Sleep(rateCutInterval)
 		}
-		for class, part := range b.parts {
-			if part > leastPart*1.3 || part <= 0 {
+		for class, part := range b.fractions {
+			if part > minRateFraction*1.3 || part <= 0 {
 				t.Errorf("class %d keeps %v", class, part)
 			}
 		}
 		for range 400 {
-			time.Sleep(cutInterval)
-			b.regain()
+			time.Sleep(rateCutInterval)
+			b.recoverRate()
 		}
-		if b.parts != [requestClasses]float64{1, 1, 1} || b.lookups.Limit() != 80*lookupShare {
-			t.Errorf("after the refusals: %v", b.parts)
+		if b.fractions != [requestClassCount]float64{1, 1, 1} || b.lookups.Limit() != 80*lookupShare {
+			t.Errorf("after the refusals: %v", b.fractions)
 		}
 	})
 	c := New("x", 80, 30, 24)
-	c.http.Transport = &limited{reqs: rate.NewLimiter(0, 0), writes: rate.NewLimiter(0, 0)}
+	c.http.Transport = &rateLimitedService{reqs: rate.NewLimiter(0, 0), writes: rate.NewLimiter(0, 0)}
 	if _, err := c.Get(t.Context(), "k"); !errors.Is(err, ErrBusy) || !errors.Is(err, ErrUnavailable) || !strings.Contains(err.Error(), "too many") {
 		t.Errorf("refused as one too many: %v", err)
 	}
--- a/internal/statestore/capacity_test.go
+++ b/internal/statestore/capacity_test.go
@@ -18,9 +18,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// transaction measures a transaction of so many changes, of 200 bytes each: its request
+// measureTransaction measures a measureTransaction of so many changes, of 200 bytes each: its request
 // and response in bytes, and the processor time of both ends.
-func transaction(tb testing.TB, changes int, measure func(call func()) float64) (bytes, time float64) {
+func measureTransaction(tb testing.TB, changes int, measure func(call func()) float64) (bytes, time float64) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.Copy(io.Discard, r.Body) // a broken body shows in the sum
 		const response = `{"ledger":431}`
@@ -43,8 +43,8 @@
 	return bytes, time
 }
 
-// followed counts the requests of a watch that so many changes reach one by one.
-func followed(_ testing.TB, changes int) float64 {
+// watchRequests counts the requests of a watch that so many changes reach one by one.
+func watchRequests(_ testing.TB, changes int) float64 {
 	var opened atomic.Int64
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -67,13 +67,13 @@
 	return float64(opened.Load())
 }
 
-// pacedFor is how long, in simulated time, a paced watch is measured.
-const pacedFor = 10 * time.Second
+// pacedDuration is how long, in simulated time, a paced watch is measured.
+const pacedDuration = 10 * time.Second
 
-// followedPaced counts the requests of a paced watch while so many changes come a second.
-func followedPaced(_ testing.TB, changes int) (requests float64) {
+// pacedWatchRequests counts the requests of a paced watch while so many changes come a second.
+func pacedWatchRequests(_ testing.TB, changes int) (requests float64) {
 	gap := time.Second / time.Duration(changes)
-	gaps := slices.Repeat([]time.Duration{gap}, int(pacedFor/gap))
+	gaps := slices.Repeat([]time.Duration{gap}, int(pacedDuration/gap))
 	pacing := statestore.Pacing{Burst: 4, Pause: func() time.Duration { return 200 * time.Millisecond }}
 	synctest.Test(&testing.T{}, func(*testing.T) {
 		store, _ := watchChanges(pacing, gaps)
@@ -84,13 +84,13 @@
 
 var capacitySeries = []capacity.Series{
 	{Name: "statestore.bytesOfChanges", Sizes: []int{1, 4, 12, 48}, Measure: func(tb testing.TB, changes int) float64 {
-		bytes, _ := transaction(tb, changes, func(call func()) float64 { call(); return 0 })
+		bytes, _ := measureTransaction(tb, changes, func(call func()) float64 { call(); return 0 })
 		return bytes
 	}},
-	{Name: "statestore.requestsOfWatch", Sizes: []int{5, 10, 20, 40}, Measure: followed},
-	{Name: "statestore.requestsOfPacedWatch", Sizes: []int{10, 25, 50, 100}, Measure: followedPaced},
+	{Name: "statestore.requestsOfWatch", Sizes: []int{5, 10, 20, 40}, Measure: watchRequests},
+	{Name: "statestore.requestsOfPacedWatch", Sizes: []int{10, 25, 50, 100}, Measure: pacedWatchRequests},
 	{Name: "statestore.changes", Scatters: true, Sizes: []int{1, 4, 12, 48}, Measure: func(tb testing.TB, changes int) float64 {
-		_, time := transaction(tb, changes, func(call func()) float64 { return capacity.ProcessorTime(tb, call) })
+		_, time := measureTransaction(tb, changes, func(call func()) float64 { return capacity.ProcessorTime(tb, call) })
 		return time
 	}},
 }
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -69,12 +69,12 @@
 
 // do makes a call, directly or by a peer, and returns the response's status. Statuses
 // that mean the same for every call are errors.
-func (c *Client) do(ctx context.Context, made call) (status int, err error) {
-	request := RelayedRequest{Method: made.method, Path: made.path, Writes: made.writes, Priority: priorityOf(ctx)}
-	if made.body != nil {
-		data, err := json.Marshal(made.body)
+func (c *Client) do(ctx context.Context, outgoing call) (status int, err error) {
+	request := RelayedRequest{Method: outgoing.method, Path: outgoing.path, Writes: outgoing.writes, Priority: priorityOf(ctx)}
+	if outgoing.body != nil {
+		data, err := json.Marshal(outgoing.body)
 		if err != nil {
-			return 0, fmt.Errorf("encode %s: %w", made.path, err)
+			return 0, fmt.Errorf("encode %s: %w", outgoing.path, err)
 		}
 		request.Body = data
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return status, made.decode(status, data)
+	return status, outgoing.decode(status, data)
 }
 
 // decode reads a response into out.
--- a/internal/statestore/pacing_test.go
+++ b/internal/statestore/pacing_test.go
@@ -36,8 +36,8 @@
 	s.updated = make(chan struct{})
 }
 
-// after returns the response with the changes after a revision, if there are any.
-func (s *changingStore) after(revision int) (response string, updated chan struct{}) {
+// changesAfter returns the response with the changes changesAfter a revision, if there are any.
+func (s *changingStore) changesAfter(revision int) (response string, updated chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var log []string
@@ -62,7 +62,7 @@
 		s.opened = append(s.opened, time.Now())
 		s.mu.Unlock()
 		var updated chan struct{}
-		for response, updated = s.after(revision); response == ""; response, updated = s.after(revision) {
+		for response, updated = s.changesAfter(revision); response == ""; response, updated = s.changesAfter(revision) {
 			select {
 			case <-updated:
 			case <-r.Context().Done():
@@ -73,19 +73,19 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(response)), Request: r}, nil
 }
 
-// reported is when a watch reported each change, in the order of their revisions.
-type reported struct {
+// watchReport is when a watch watchReport each change, in the order of their revisions.
+type watchReport struct {
 	at  []time.Time
 	err error
 }
 
 // watchChanges watches a store, with pacing, while changes come with the gaps before them.
-func watchChanges(pacing statestore.Pacing, gaps []time.Duration) (*changingStore, *reported) {
+func watchChanges(pacing statestore.Pacing, gaps []time.Duration) (*changingStore, *watchReport) {
 	store := newChangingStore()
 	client := statestore.New("state", 1e6, 1e6, 48)
 	client.SetTransport(store)
 	ctx, cancel := context.WithCancel(context.Background())
-	done, seen := make(chan struct{}), &reported{}
+	done, seen := make(chan struct{}), &watchReport{}
 	go func() {
 		defer close(done)
 		client.Watch(statestore.WithPacing(ctx, pacing), "live/", time.Hour, func([]wire.Item) {}, func(events []wire.Event) {
@@ -122,7 +122,7 @@
 			gaps = append(gaps, time.Duration(ms)*time.Millisecond)
 		}
 		var store *changingStore
-		var seen *reported
+		var seen *watchReport
 		synctest.Test(t, func(*testing.T) { store, seen = watchChanges(pacing, gaps) })
 		if seen.err != nil || len(seen.at) != len(gaps) {
 			rt.Fatalf("%d of %d changes reported, %v", len(seen.at), len(gaps), seen.err)
--- a/internal/statestore/relay.go
+++ b/internal/statestore/relay.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxRelayed  = 3 << 20  // bytes of a response that a peer passes back
+	maxRelayedResponse  = 3 << 20  // bytes of a response that a peer passes back
 	maxResponse = 32 << 20 // bytes that are read of a response
 )
 
@@ -48,22 +48,22 @@
 	if strings.HasPrefix(req.Path, "/grants") {
 		req.Priority = Urgent
 	}
-	if !c.budget.admits(ctx, &req) {
+	if !c.budget.admit(ctx, &req) {
 		return &RelayedResponse{Status: http.StatusServiceUnavailable}, nil
 	}
-	status, body, err := c.exchange(ctx, req)
+	status, body, err := c.roundTrip(ctx, req)
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxRelayed {
+	if len(body) > maxRelayedResponse {
 		// Only a watch's response has no bound: one that is too far behind lists anew.
 		return &RelayedResponse{Status: http.StatusGone}, nil
 	}
 	return &RelayedResponse{Status: status, Body: body}, nil
 }
 
-// exchange makes one request directly.
-func (c *Client) exchange(ctx context.Context, r RelayedRequest) (int, []byte, error) {
+// roundTrip makes one request directly.
+func (c *Client) roundTrip(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	var body io.Reader
 	if r.Body != nil {
 		body = bytes.NewReader(r.Body)
@@ -83,7 +83,7 @@
 	}
 	switch response.StatusCode {
 	case http.StatusTooManyRequests:
-		c.budget.cut()
+		c.budget.cutRate()
 	case http.StatusServiceUnavailable, http.StatusUnauthorized:
 	default:
 		c.lastSuccess.Store(int64(time.Since(c.start)))
@@ -96,59 +96,59 @@
 func (c *Client) send(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	direct, end, ok := c.route.startDirect(ctx)
 	if !ok {
-		return c.sendByPeer(ctx, r)
+		return c.sendViaPeer(ctx, r)
 	}
-	status, data, err := c.exchangeWatched(direct, r)
+	status, data, err := c.roundTripWithStallDetector(direct, r)
 	end()
 	switch {
 	case err == nil && (status == http.StatusServiceUnavailable || status == http.StatusUnauthorized):
-		return c.sendRefused(ctx, r, status, data)
+		return c.retryViaPeer(ctx, r, status, data)
 	case err == nil || ctx.Err() != nil:
 		return status, data, err
 	}
 	if c.SinceLastSuccess() >= stallTimeout {
-		c.route.lose("no connection")
+		c.route.switchToRelay("no connection")
 	}
-	if !c.UsesRelay() || !repeatable(&r) {
+	if !c.UsesRelay() || !idempotent(&r) {
 		return status, data, err
 	}
-	return c.sendByPeer(ctx, r)
+	return c.sendViaPeer(ctx, r)
 }
 
-// exchangeWatched makes one request directly, and finds out if its link is lost
+// roundTripWithStallDetector makes one request directly, and finds out if its link is lost
 // meanwhile. A watch has no response for long without that.
-func (c *Client) exchangeWatched(ctx context.Context, r RelayedRequest) (int, []byte, error) {
+func (c *Client) roundTripWithStallDetector(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	if c.route.relay != nil && !strings.HasPrefix(r.Path, "/follow") {
-		stall := c.watchStall()
+		stall := c.startStallDetector()
 		defer stall.stop()
 	}
-	return c.exchange(ctx, r)
+	return c.roundTrip(ctx, r)
 }
 
-// sendRefused makes a request by a peer that was refused directly: it was surely not
+// retryViaPeer makes a request by a peer that was refused directly: it was surely not
 // made, and perhaps refused to this controller alone.
-func (c *Client) sendRefused(ctx context.Context, r RelayedRequest, status int, data []byte) (int, []byte, error) {
-	if !c.route.relayUseful() {
+func (c *Client) retryViaPeer(ctx context.Context, r RelayedRequest, status int, data []byte) (int, []byte, error) {
+	if !c.route.relayUsable() {
 		return status, data, nil
 	}
-	status, data, err := c.sendByPeer(ctx, r)
+	status, data, err := c.sendViaPeer(ctx, r)
 	if err == nil && status != http.StatusServiceUnavailable {
-		c.route.lose("refused")
+		c.route.switchToRelay("refused")
 	}
 	return status, data, err // without a response it may have been made
 }
 
-// repeatable reports whether to make a request twice is like making it once.
-func repeatable(r *RelayedRequest) bool {
+// idempotent reports whether to make a request twice is like making it once.
+func idempotent(r *RelayedRequest) bool {
 	return r.Method == http.MethodGet || strings.HasSuffix(r.Path, "/touch")
 }
 
-// sendByPeer has a peer make a request.
-func (c *Client) sendByPeer(ctx context.Context, r RelayedRequest) (int, []byte, error) {
+// sendViaPeer has a peer make a request.
+func (c *Client) sendViaPeer(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	response, err := c.route.relay.Forward(ctx, r)
 	if err != nil {
 		if !c.route.relay.Ready() {
-			c.route.find("no peer relays")
+			c.route.switchToDirect("no peer relays")
 		}
 		if errors.Is(err, ErrUnavailable) {
 			return 0, nil, err
@@ -159,7 +159,7 @@
 		c.route.mu.Lock()
 		c.route.relayRefusedAt = time.Now()
 		c.route.mu.Unlock()
-		c.route.find("peer is refused too")
+		c.route.switchToDirect("peer is refused too")
 	}
 	return response.Status, response.Body, nil
 }
--- a/internal/statestore/relay_test.go
+++ b/internal/statestore/relay_test.go
@@ -21,7 +21,7 @@
 type service struct {
 	mu   sync.Mutex
 	txns map[string]int // by body
-	got  int
+	executed  int
 }
 
 // link is the way to it from one controller.
@@ -41,7 +41,7 @@
 	faults
 )
 
-func (l *link) set(fault int) { l.mu.Lock(); l.fault = fault; l.mu.Unlock() }
+func (l *link) setFault(fault int) { l.mu.Lock(); l.fault = fault; l.mu.Unlock() }
 
 func (l *link) count() int { l.mu.Lock(); defer l.mu.Unlock(); return l.requests }
 
@@ -63,7 +63,7 @@
 	}
 	if fault == noFault || fault == responseLost {
 		l.service.mu.Lock()
-		l.service.got++
+		l.service.executed++
 		if r.Body != nil {
 			data, _ := io.ReadAll(r.Body)
 			l.service.txns[string(data)]++
@@ -94,8 +94,8 @@
 	return r.client.ServeRelayed(ctx, req)
 }
 
-// pair returns a client that is relayed by a peer, and both their links to a service.
-func pair(ctx context.Context) (c *Client, mine, theirs *link, relay *clientRelay, s *service) {
+// newRelayedClient returns a client that is relayed by a peer, and both their links to a service.
+func newRelayedClient(ctx context.Context) (c *Client, mine, theirs *link, relay *clientRelay, s *service) {
 	s = &service{txns: map[string]int{}}
 	mine, theirs = &link{service: s}, &link{service: s}
 	c, peer := New("x", 1000, 1000, 24), New("x", 1000, 1000, 24)
@@ -116,7 +116,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			c, mine, _, _, _ := pair(ctx)
+			c, mine, _, _, _ := newRelayedClient(ctx)
 			renew := func(n int) {
 				for range n {
 					tctx, cancel := context.WithTimeout(ctx, 1250*time.Millisecond)
@@ -128,12 +128,12 @@
 				}
 			}
 			renew(5)
-			mine.set(fault)
+			mine.setFault(fault)
 			renew(30)
 			if !c.UsesRelay() {
 				t.Errorf("fault %d: not by the peer", fault)
 			}
-			mine.set(noFault)
+			mine.setFault(noFault)
 			renew(5)
 			before := mine.count()
 			renew(3)
@@ -155,11 +155,11 @@
 		wrong := ""
 		synctest.Test(t, func(*testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			c, mine, theirs, relay, s := pair(ctx)
+			c, mine, theirs, relay, s := newRelayedClient(ctx)
 			var wg sync.WaitGroup
 			for i, st := range steps {
-				mine.set(st.Mine)
-				theirs.set(st.Theirs)
+				mine.setFault(st.Mine)
+				theirs.setFault(st.Theirs)
 				relay.mu.Lock()
 				relay.unreachable = st.Gone == 0
 				relay.mu.Unlock()
@@ -199,10 +199,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c, mine, _, _, _ := pair(ctx)
+		c, mine, _, _, _ := newRelayedClient(ctx)
 		changes, was := 0, false
 		for i := range 300 { // on and off every 4 s
-			mine.set([]int{noFault, requestLost}[i/4%2])
+			mine.setFault([]int{noFault, requestLost}[i/4%2])
 			tctx, cancel := context.WithTimeout(ctx, time.Second)
 			_ = c.RenewLease(tctx, 1)
 			cancel()
@@ -222,8 +222,8 @@
 func TestStoppedStallWatchStaysStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		c, _, _, _, _ := pair(ctx)
-		watch := c.watchStall()
+		c, _, _, _, _ := newRelayedClient(ctx)
+		watch := c.startStallDetector()
 		time.Sleep(stallTimeout / 2)
 		watch.stop()
 		watch.check()
--- a/internal/statestore/response_test.go
+++ b/internal/statestore/response_test.go
@@ -20,7 +20,7 @@
 	return response(f.status, f.body), nil
 }
 
-func respondedWith(status int, body string) *Client {
+func clientRespondingWith(status int, body string) *Client {
 	c := New("x", 1000, 1000, 24)
 	c.http.Transport = fixedResponse{status, body}
 	return c
@@ -74,7 +74,7 @@
 		{"an update of no key", follow, 200, `{"ledger":6,"log":[{"stamp":6}]}`, false},
 		{"an update from beyond", follow, 200, `{"ledger":6,"log":[{"set":"a/1","data":1,"stamp":7}]}`, false},
 	} {
-		err := k.call(respondedWith(k.status, k.body))
+		err := k.call(clientRespondingWith(k.status, k.body))
 		if k.ok != (err == nil) || !k.ok && !errors.Is(err, ErrUnknown) {
 			t.Errorf("%s: %v", k.name, err)
 		}
@@ -93,7 +93,7 @@
 	f.Fuzz(func(t *testing.T, status int, body string) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		c := respondedWith(status, body)
+		c := clientRespondingWith(status, body)
 		if it, err := c.Get(ctx, "a/b"); err == nil && (it.Key != "a/b" || it.Version == 0) {
 			t.Errorf("read %+v", it)
 		}
--- a/internal/statestore/response_timeout.go
+++ b/internal/statestore/response_timeout.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// leastWait is how long the response to a transaction is waited for, from its send,
+	// minResponseTimeout is how long the response to a transaction is waited for, from its send,
 	// before it counts as lost. It is longer than stallTimeout, so that a lost link is
 	// found first.
-	leastWait = 750 * time.Millisecond
-	// mostWait bounds that time, however slow the service is.
-	mostWait = 8 * leastWait
+	minResponseTimeout = 750 * time.Millisecond
+	// maxResponseTimeout bounds that time, however slow the service is.
+	maxResponseTimeout = 8 * minResponseTimeout
 	// slowFactor is how much longer than the slowest recent response one may take.
 	slowFactor = 2
-	// missesByChance is how many responses in a row may be lost before the service is
+	// toleratedMisses is how many responses in a row may be lost before the service is
 	// taken for slow.
-	missesByChance = 1
-	// decay is the share of the slowest response that each faster one takes off: one in
-	// decay.
-	decay = 8
+	toleratedMisses = 1
+	// slowestDecay is the share of the slowest response that each faster one takes off: one in
+	// slowestDecay.
+	slowestDecay = 8
 )
 
 // responseTimeout is how long transactions' responses are waited for. A caller that waits
@@ -34,27 +34,27 @@
 	misses  int           // since the last response that came
 }
 
-// wait returns how long the next response is waited for.
-func (r *responseTimeout) wait() time.Duration {
+// current returns how long the next response is waited for.
+func (r *responseTimeout) current() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait := max(leastWait, slowFactor*r.slowest)
-	for n := missesByChance; n < r.misses && wait < mostWait; n++ {
+	wait := max(minResponseTimeout, slowFactor*r.slowest)
+	for n := toleratedMisses; n < r.misses && wait < maxResponseTimeout; n++ {
 		wait *= 2
 	}
-	return min(wait, mostWait)
+	return min(wait, maxResponseTimeout)
 }
 
-// responded notes a response that took so long.
-func (r *responseTimeout) responded(took time.Duration) {
+// recordResponse notes a response that took so long.
+func (r *responseTimeout) recordResponse(took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.misses = 0
-	r.slowest = max(took, r.slowest-r.slowest/decay)
+	r.slowest = max(took, r.slowest-r.slowest/slowestDecay)
 }
 
-// missed notes a response that did not come in time.
-func (r *responseTimeout) missed() {
+// recordMiss notes a response that did not come in time.
+func (r *responseTimeout) recordMiss() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.misses++
--- a/internal/statestore/response_timeout_test.go
+++ b/internal/statestore/response_timeout_test.go
@@ -12,21 +12,21 @@
 // service that gives the others is quick. When each lost response doubled the wait and each
 // other one halved it, a leader did nothing for 2.8 s after a lost one.
 func TestLostShareOfResponsesKeepsTimeoutShort(t *testing.T) {
-	const tries, most = 10000, 1500 * time.Millisecond
+	const tries, maxMean = 10000, 1500 * time.Millisecond
 	draw := rand.New(rand.NewPCG(1, 2))
 	var timeout responseTimeout
 	var waited time.Duration
 	lost := 0
 	for range tries {
 		if draw.IntN(2) == 0 {
-			timeout.responded(10 * time.Millisecond)
+			timeout.recordResponse(10 * time.Millisecond)
 			continue
 		}
-		waited += timeout.wait()
+		waited += timeout.current()
 		lost++
-		timeout.missed()
+		timeout.recordMiss()
 	}
-	if mean := waited / time.Duration(lost); mean > most {
+	if mean := waited / time.Duration(lost); mean > maxMean {
 		t.Errorf("a lost response is waited for %v", mean)
 	}
 }
@@ -39,20 +39,20 @@
 		took := time.Duration(rapid.IntRange(1, 3500).Draw(t, "ms")) * time.Millisecond
 		misses := 0
 		for range 40 {
-			if timeout.wait() < took {
-				timeout.missed()
+			if timeout.current() < took {
+				timeout.recordMiss()
 				misses++
 				continue
 			}
-			timeout.responded(took)
+			timeout.recordResponse(took)
 		}
 		if misses > 5 {
 			t.Fatalf("%d responses after %v each were given up", misses, took)
 		}
 		for range 40 {
-			timeout.responded(time.Millisecond)
+			timeout.recordResponse(time.Millisecond)
 		}
-		if wait := timeout.wait(); wait != leastWait {
+		if wait := timeout.current(); wait != minResponseTimeout {
 			t.Fatalf("a quick service is waited for %v", wait)
 		}
 	})
--- a/internal/statestore/route.go
+++ b/internal/statestore/route.go
@@ -17,11 +17,11 @@
 	stallTimeout = 600 * time.Millisecond
 	// probeInterval is the time between probes of a lost link.
 	probeInterval = time.Second
-	// probesNeeded must succeed in a row; each loss soon after the last doubles them,
+	// minProbes must succeed in a row; each loss soon after the last doubles them,
 	// so that a flapping link is left alone for longer.
-	probesNeeded     = 2
-	mostProbesNeeded = 32
-	flapWithin       = time.Minute
+	minProbes     = 2
+	maxProbes = 32
+	flapWindow       = time.Minute
 	// probePath is read to find out whether a lost link works; it need not exist.
 	probePath = "/store/c/term"
 )
@@ -33,11 +33,11 @@
 	log   *slog.Logger
 
 	mu             sync.Mutex
-	lost           bool                        // the direct link
-	needed         int                         // probes in a row before the link is used again
+	directLost           bool                        // the direct link
+	probesRequired         int                         // probes in a row before the link is used again
 	changedAt      time.Time                   // when it was last lost or found
 	relayRefusedAt time.Time                   // when the service last refused a relayed request
-	direct         map[*directRequest]struct{} // under way
+	directRequests         map[*directRequest]struct{} // under way
 }
 
 // directRequest is a request to the service itself; cancel ends it.
@@ -47,14 +47,14 @@
 // Call it before the first request; Run must run.
 func (c *Client) SetRelay(relay Relay, log *slog.Logger) {
 	c.route.relay, c.route.log = relay, log
-	c.route.direct = map[*directRequest]struct{}{}
+	c.route.directRequests = map[*directRequest]struct{}{}
 }
 
 // UsesRelay reports whether requests go by a peer at present.
 func (c *Client) UsesRelay() bool {
 	c.route.mu.Lock()
 	defer c.route.mu.Unlock()
-	return c.route.lost
+	return c.route.directLost
 }
 
 // startDirect returns a context for a request that goes to the service directly: it
@@ -65,25 +65,25 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lost {
+	if r.directLost {
 		return ctx, func() {}, false
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	request := &directRequest{cancel: cancel}
-	r.direct[request] = struct{}{}
+	r.directRequests[request] = struct{}{}
 	return ctx, func() { r.endDirect(request) }, true
 }
 
 func (r *route) endDirect(request *directRequest) {
 	r.mu.Lock()
-	delete(r.direct, request)
+	delete(r.directRequests, request)
 	r.mu.Unlock()
 	request.cancel()
 }
 
-// relayUseful reports whether there is a peer to go by whose requests were not refused
+// relayUsable reports whether there is a peer to go by whose requests were not refused
 // just now: in an outage the peers are refused too, and must not be kept busy.
-func (r *route) relayUseful() bool {
+func (r *route) relayUsable() bool {
 	if r.relay == nil || !r.relay.Ready() {
 		return false
 	}
@@ -92,43 +92,43 @@
 	return time.Since(r.relayRefusedAt) >= probeInterval
 }
 
-// lose has requests go by a peer from now on, and reports whether there is one.
-func (r *route) lose(reason string) bool {
-	if !r.relayUseful() {
+// switchToRelay has requests go by a peer from now on, and reports whether there is one.
+func (r *route) switchToRelay(reason string) bool {
+	if !r.relayUsable() {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lost {
+	if r.directLost {
 		return true
 	}
-	r.needed = min(mostProbesNeeded, 2*max(1, r.needed))
-	if time.Since(r.changedAt) > flapWithin {
-		r.needed = probesNeeded
+	r.probesRequired = min(maxProbes, 2*max(1, r.probesRequired))
+	if time.Since(r.changedAt) > flapWindow {
+		r.probesRequired = minProbes
 	}
-	r.lost, r.changedAt = true, time.Now()
-	for request := range r.direct {
+	r.directLost, r.changedAt = true, time.Now()
+	for request := range r.directRequests {
 		request.cancel()
 	}
 	r.log.Info("state service relayed by peer", "reason", reason)
 	return true
 }
 
-// find has requests go directly again.
-func (r *route) find(reason string) {
+// switchToDirect has requests go directly again.
+func (r *route) switchToDirect(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.lost {
+	if !r.directLost {
 		return
 	}
-	r.lost, r.changedAt = false, time.Now()
+	r.directLost, r.changedAt = false, time.Now()
 	r.log.Info("state service reached directly again", "reason", reason)
 }
 
-func (r *route) probesNeeded() int {
+func (r *route) requiredProbes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.needed
+	return r.probesRequired
 }
 
 // Run probes a lost link until ctx ends, and returns ctx's error.
@@ -139,9 +139,9 @@
 			succeeded = 0
 			return
 		}
-		if succeeded++; succeeded >= c.route.probesNeeded() {
+		if succeeded++; succeeded >= c.route.requiredProbes() {
 			succeeded = 0
-			c.route.find("probes succeed")
+			c.route.switchToDirect("probes succeed")
 		}
 	})
 }
@@ -150,13 +150,13 @@
 func (c *Client) probe(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeInterval)
 	defer cancel()
-	status, _, err := c.exchange(ctx, RelayedRequest{Method: http.MethodGet, Path: probePath})
+	status, _, err := c.roundTrip(ctx, RelayedRequest{Method: http.MethodGet, Path: probePath})
 	return err == nil && status < http.StatusInternalServerError && status != http.StatusTooManyRequests
 }
 
-// stallWatch finds out that a request gets no response, nor any other one does: then
+// stallDetector finds out that a request gets no response, nor any other one does: then
 // the link is lost. Stop it when the request is over.
-type stallWatch struct {
+type stallDetector struct {
 	client *Client
 	sent   time.Time
 
@@ -165,30 +165,30 @@
 	stopped bool
 }
 
-func (c *Client) watchStall() *stallWatch {
-	w := &stallWatch{client: c, sent: time.Now()}
+func (c *Client) startStallDetector() *stallDetector {
+	w := &stallDetector{client: c, sent: time.Now()}
 	w.mu.Lock() // check may run before the timer is set
 	defer w.mu.Unlock()
 	w.timer = time.AfterFunc(stallTimeout, w.check)
 	return w
 }
 
-func (w *stallWatch) check() {
+func (w *stallDetector) check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped {
 		return
 	}
-	quiet := min(time.Since(w.sent), w.client.SinceLastSuccess())
-	if quiet < stallTimeout || !w.client.route.lose("no response") {
+	silence := min(time.Since(w.sent), w.client.SinceLastSuccess())
+	if silence < stallTimeout || !w.client.route.switchToRelay("no response") {
 		// Without a peer to go by, one may appear.
-		w.timer.Reset(stallTimeout - min(quiet, stallTimeout/2))
+		w.timer.Reset(stallTimeout - min(silence, stallTimeout/2))
 	}
 }
 
 // stop ends the watch, also if check is just about to run: it would set the timer again,
 // and later take the link for lost without any request under way.
-func (w *stallWatch) stop() {
+func (w *stallDetector) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
--- a/internal/statestore/txn.go
+++ b/internal/statestore/txn.go
@@ -23,7 +23,7 @@
 		return 0, err
 	}
 	var response wire.TxnResponse
-	limited, cancel := context.WithTimeout(ctx, c.timeout.wait())
+	limited, cancel := context.WithTimeout(ctx, c.timeout.current())
 	defer cancel()
 	sent := time.Now()
 	status, err := c.do(limited, call{
@@ -31,13 +31,13 @@
 		body: wire.Txn{If: guards, Then: ops}, out: &response,
 	})
 	if ctx.Err() == nil { // else the caller gave up sooner
-		c.noteResponse(err, time.Since(sent))
+		c.recordResponse(err, time.Since(sent))
 	}
 	switch {
 	case err != nil:
 		return 0, err
 	case status == http.StatusConflict:
-		return 0, conflictOf(guards, response.Failed)
+		return 0, newConflictError(guards, response.Failed)
 	case status != http.StatusOK:
 		return 0, &StatusError{Status: status, Err: ErrUnknown}
 	case len(ops) > 0 && response.Revision == 0:
@@ -46,9 +46,9 @@
 	return response.Revision, nil
 }
 
-// conflictOf returns the error of a transaction whose conditions on keys failed. A
+// newConflictError returns the error of a transaction whose conditions on keys failed. A
 // conflict over others is one of another transaction.
-func conflictOf(guards []wire.Guard, keys []string) error {
+func newConflictError(guards []wire.Guard, keys []string) error {
 	for _, key := range keys {
 		if !slices.ContainsFunc(guards, func(guard wire.Guard) bool { return guard.Key == key }) {
 			return fmt.Errorf("%w: a conflict over %q, which was no condition", ErrUnknown, key)
@@ -60,13 +60,13 @@
 	return &ConflictError{Keys: keys}
 }
 
-// noteResponse notes whether and when a transaction had its response.
-func (c *Client) noteResponse(err error, took time.Duration) {
+// recordResponse notes whether and when a transaction had its response.
+func (c *Client) recordResponse(err error, took time.Duration) {
 	if errors.Is(err, ErrUnknown) {
-		c.timeout.missed()
+		c.timeout.recordMiss()
 		return
 	}
-	c.timeout.responded(took)
+	c.timeout.recordResponse(took)
 }
 
 // BulkTxn is Txn for writes that must not delay others.
--- a/internal/statestore/txn_test.go
+++ b/internal/statestore/txn_test.go
@@ -15,10 +15,10 @@
 // What a transaction's response, or the lack of one, means decides whether it may be
 // repeated: a refused one was surely not applied, one without a response may yet be.
 func TestTxnErrorsTellRefusedFromUnknown(t *testing.T) {
-	status, body, hang := 0, "", false
+	status, body, dropConnection := 0, "", false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		if hang {
+		if dropConnection {
 			c, _, err := http.NewResponseController(w).Hijack()
 			if err == nil {
 				_ = c.Close()
@@ -59,7 +59,7 @@
 	if rev, err := txn(); err != nil || rev != 8 {
 		t.Errorf("applied: %d, %v", rev, err)
 	}
-	hang = true
+	dropConnection = true
 	if _, err := txn(); !errors.Is(err, statestore.ErrUnknown) {
 		t.Errorf("no response: %v", err)
 	}
--- a/internal/statestore/watch.go
+++ b/internal/statestore/watch.go
@@ -18,7 +18,7 @@
 	listTimeout  = 5 * time.Second // of a watch
 	followMargin = 5 * time.Second // beyond the time for which the service holds a watch
 	firstBackoff = 100 * time.Millisecond
-	mostBackoff  = time.Second
+	maxBackoff  = time.Second
 )
 
 // Follow returns the changes under the prefix after a revision. The service waits for one
@@ -57,8 +57,8 @@
 
 // Backoff sleeps for about the n-th step of a jittered exponential delay, at most until
 // ctx ends.
-func Backoff(ctx context.Context, n int, first, most time.Duration) {
-	delay := min(most, first<<min(n, 10))
+func Backoff(ctx context.Context, n int, first, longest time.Duration) {
+	delay := min(longest, first<<min(n, 10))
 	timer := time.NewTimer(delay/2 + rand.N(delay))
 	defer timer.Stop()
 	select {
@@ -75,7 +75,7 @@
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		items, revision, err := w.list(ctx)
 		if err != nil {
-			Backoff(ctx, attempt, firstBackoff, mostBackoff)
+			Backoff(ctx, attempt, firstBackoff, maxBackoff)
 			continue
 		}
 		attempt = 0
@@ -101,13 +101,13 @@
 // follow reports changes after a revision until the watch fell behind or ctx ends.
 func (w *watch) follow(ctx context.Context, revision uint64) {
 	for failures := 0; ctx.Err() == nil; {
-		response, err := w.next(ctx, revision)
+		response, err := w.followOnce(ctx, revision)
 		if errors.Is(err, ErrCompacted) {
 			return
 		}
 		if err != nil {
 			failures++
-			Backoff(ctx, failures, firstBackoff, mostBackoff)
+			Backoff(ctx, failures, firstBackoff, maxBackoff)
 			continue
 		}
 		failures = 0
@@ -119,7 +119,7 @@
 	}
 }
 
-func (w *watch) next(ctx context.Context, revision uint64) (wire.Events, error) {
+func (w *watch) followOnce(ctx context.Context, revision uint64) (wire.Events, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.hold+followMargin)
 	defer cancel()
 	return w.client.Follow(ctx, w.prefix, revision, w.hold)
