--- a/internal/quotalease/amount.go
+++ b/internal/quotalease/amount.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// thousandths is how finely amounts are recorded. Whole numbers keep sums exact.
-const thousandths = 1000
+// milliPerUnit is how finely amounts are recorded. Whole numbers keep sums exact.
+const milliPerUnit = 1000
 
-// rounding is what sums of CPUs may be off by, in thousandths.
-const rounding = 1e-2
+// roundingTolerance is what sums of CPUs may be off by, in thousandths.
+const roundingTolerance = 1e-2
 
 // Kinds of what a team's limit counts, as indices of an Amount.
 const (
@@ -20,13 +20,13 @@
 
 // AmountOf returns an amount in use, rounded up.
 func AmountOf(cpuCount, gpuCount float64) Amount {
-	up := func(v float64) int64 { return max(0, int64(math.Ceil(v*thousandths-rounding))) }
+	up := func(v float64) int64 { return max(0, int64(math.Ceil(v*milliPerUnit-roundingTolerance))) }
 	return Amount{up(cpuCount), up(gpuCount)}
 }
 
 // LimitOf returns a limit, rounded down; 0 of a kind is no limit of it.
 func LimitOf(cpuCount, gpuCount float64) Amount {
-	down := func(v float64) int64 { return max(0, int64(math.Floor(v*thousandths+rounding))) }
+	down := func(v float64) int64 { return max(0, int64(math.Floor(v*milliPerUnit+roundingTolerance))) }
 	return Amount{down(cpuCount), down(gpuCount)}
 }
 
@@ -42,22 +42,22 @@
 func (a Amount) IsZero() bool { return a == Amount{} }
 
 // Add returns a and b together.
-func (a Amount) Add(b Amount) Amount { return a.each(b, func(x, y int64) int64 { return x + y }) }
+func (a Amount) Add(b Amount) Amount { return a.perKind(b, func(x, y int64) int64 { return x + y }) }
 
 // Sub returns what of a is beyond b, of each kind: 0 where b is more.
 func (a Amount) Sub(b Amount) Amount {
-	return a.each(b, func(x, y int64) int64 { return max(0, x-y) })
+	return a.perKind(b, func(x, y int64) int64 { return max(0, x-y) })
 }
 
 // Min returns the lesser of each kind.
-func (a Amount) Min(b Amount) Amount { return a.each(b, func(x, y int64) int64 { return min(x, y) }) }
+func (a Amount) Min(b Amount) Amount { return a.perKind(b, func(x, y int64) int64 { return min(x, y) }) }
 
 // Max returns the greater of each kind.
-func (a Amount) Max(b Amount) Amount { return a.each(b, func(x, y int64) int64 { return max(x, y) }) }
+func (a Amount) Max(b Amount) Amount { return a.perKind(b, func(x, y int64) int64 { return max(x, y) }) }
 
-// within returns what of a the limit counts.
-func (a Amount) within(limit Amount) Amount {
-	return a.each(limit, func(x, y int64) int64 {
+// countedBy returns what of a the limit counts.
+func (a Amount) countedBy(limit Amount) Amount {
+	return a.perKind(limit, func(x, y int64) int64 {
 		if y == 0 {
 			return 0
 		}
@@ -65,7 +65,7 @@
 	})
 }
 
-// each applies f to each kind of a and b.
-func (a Amount) each(b Amount, f func(x, y int64) int64) Amount {
+// perKind applies f to perKind kind of a and b.
+func (a Amount) perKind(b Amount, f func(x, y int64) int64) Amount {
 	return Amount{f(a[cpus], b[cpus]), f(a[gpus], b[gpus])}
 }
--- a/internal/quotalease/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -50,11 +50,11 @@
 	version          uint64 // of known, 0: there is none
 	observedRevision uint64 // as of which known was last observed
 	pending          *Write // sent, and its outcome is unknown
-	reread           bool   // known may be older than a write of this leader
+	rereadNeeded           bool   // known may be older than a write of this leader
 
 	withheld map[shardTeam]Amount // of led shards' parts, to be given away once it is free
-	excess   map[shardTeam]excess // of led shards' parts, that is not needed
-	idling   map[shardTeam]idling // of led shards' parts, what is not in use although there is work
+	unneeded   map[shardTeam]unneededSince // of led shards' parts, that is not needed
+	idle   map[shardTeam]idleState // of led shards' parts, what is not in use although there is work
 	ceilings map[shardTeam]Amount // see Ceiling
 }
 
@@ -63,7 +63,7 @@
 func New(limits map[string]Amount, shards int) *Borrower {
 	return &Borrower{
 		limits: limits, teams: sortedKeys(limits), shards: shards, led: map[int]uint64{},
-		withheld: map[shardTeam]Amount{}, excess: map[shardTeam]excess{}, idling: map[shardTeam]idling{}, ceilings: map[shardTeam]Amount{},
+		withheld: map[shardTeam]Amount{}, unneeded: map[shardTeam]unneededSince{}, idle: map[shardTeam]idleState{}, ceilings: map[shardTeam]Amount{},
 	}
 }
 
@@ -78,8 +78,8 @@
 		delete(b.led, shard)
 		for _, team := range b.teams {
 			delete(b.withheld, shardTeam{shard, team})
-			delete(b.excess, shardTeam{shard, team})
-			delete(b.idling, shardTeam{shard, team})
+			delete(b.unneeded, shardTeam{shard, team})
+			delete(b.idle, shardTeam{shard, team})
 		}
 	}
 	maps.Copy(b.led, shards)
@@ -104,11 +104,11 @@
 		return
 	}
 	b.known, b.version = record, version
-	b.countUnknown()
+	b.countUnknownEntries()
 	// If the pending write was not carried out, it can't be any more: the record has another
 	// version than its guard.
 	if b.pending != nil && version != b.pending.Guard {
-		b.pending, b.reread = nil, false
+		b.pending, b.rereadNeeded = nil, false
 	}
 	b.updateCeilings()
 }
@@ -116,14 +116,14 @@
 // Reread takes the record as it was read because of NeedsReread.
 func (b *Borrower) Reread(record Record, version, revision uint64) {
 	b.Observe(record, version, revision)
-	if b.reread {
-		b.pending, b.reread = nil, false
+	if b.rereadNeeded {
+		b.pending, b.rereadNeeded = nil, false
 	}
 	b.updateCeilings()
 }
 
 // NeedsReread reports whether the record has to be read before it is written again.
-func (b *Borrower) NeedsReread() bool { return b.reread }
+func (b *Borrower) NeedsReread() bool { return b.rereadNeeded }
 
 // Applied notes that a write was carried out, and gave the record that version.
 func (b *Borrower) Applied(write Write, version uint64) {
@@ -140,7 +140,7 @@
 // Rejected notes that a condition of a write did not hold. An earlier copy of it may have been
 // carried out, so that the record has to be read before the write is given up.
 func (b *Borrower) Rejected(write Write) {
-	b.reread = b.pending != nil && b.pending.Guard == write.Guard
+	b.rereadNeeded = b.pending != nil && b.pending.Guard == write.Guard
 }
 
 // Ceiling returns how much of a team's limit the tasks of a shard may use for one more to
@@ -190,8 +190,8 @@
 // complete reports whether every shard has a row.
 func (b *Borrower) complete(record *Record) bool { return len(record.Rows) == b.shards }
 
-// countUnknown counts what is refused of a record that was observed.
-func (b *Borrower) countUnknown() {
+// countUnknownEntries counts what is refused of a record that was observed.
+func (b *Borrower) countUnknownEntries() {
 	for _, row := range b.known.Rows {
 		if version, led := b.led[row.Shard]; led && row.LeaderVersion > version {
 			b.UnknownEntries++ // written by a later leader of the shard: this one leads it no more
--- a/internal/quotalease/borrower_test.go
+++ b/internal/quotalease/borrower_test.go
@@ -23,17 +23,17 @@
 		w.t = rt
 		started += len(w.tasks)
 		for _, t := range w.tasks {
-			t.over = true
+			t.ended = true
 		}
 		for _, c := range w.controllers {
 			clear(c.demand)
 		}
 		team, shard := rapid.SampledFrom(teams).Draw(rt, "team"), rapid.IntRange(0, shards-1).Draw(rt, "shard")
-		w.growsToLimit(team, shard)
+		w.checkPartGrowsToLimit(team, shard)
 		grown++
-		w.bothStart(team, shard, (shard+rapid.IntRange(1, shards-1).Draw(rt, "other"))%shards)
+		w.checkBothStart(team, shard, (shard+rapid.IntRange(1, shards-1).Draw(rt, "other"))%shards)
 		alternated++
-		w.fill(team, shard, (shard+rapid.IntRange(1, shards-1).Draw(rt, "third"))%shards)
+		w.checkLimitFills(team, shard, (shard+rapid.IntRange(1, shards-1).Draw(rt, "third"))%shards)
 	})
 	t.Logf("%d tasks started, %d parts grew to their limit, %d pairs alternated", started, grown, alternated)
 }
--- a/internal/quotalease/liveness_test.go
+++ b/internal/quotalease/liveness_test.go
@@ -8,12 +8,12 @@
 
 const (
 	growRounds      = 8 // two seconds
-	alternateRounds = 60
+	bothStartRounds = 60
 	fillRounds      = 240
-	longest         = 6 // rounds that a task of theirs runs
+	maxTaskRounds         = 6 // rounds that a task of theirs runs
 )
 
-func (w *model) growsToLimit(team string, shard int) {
+func (w *model) checkPartGrowsToLimit(team string, shard int) {
 	w.round()
 	c := w.leaderOf[shard]
 	c.demand[key(shard, team)], c.unit[key(shard, team)] = limits[team], limits[team]
@@ -23,12 +23,12 @@
 			return
 		}
 	}
-	w.t.Fatalf("shard %d has %v of team %s after %d rounds, of %v; record %+v", shard, c.borrower.Ceiling(shard, team), team, growRounds, limits[team], w.newest().record)
+	w.t.Fatalf("shard %d has %v of team %s after %d rounds, of %v; record %+v", shard, c.borrower.Ceiling(shard, team), team, growRounds, limits[team], w.latest().record)
 }
 
-// bothStart has two shards with as much work as the limit allows, in tasks of any size.
+// checkBothStart has two shards with as much work as the limit allows, in tasks of any size.
 // The first one has all of the limit in use.
-func (w *model) bothStart(team string, first, second int) {
+func (w *model) checkBothStart(team string, first, second int) {
 	waits := map[int]*task{}
 	for _, s := range []int{first, second} {
 		waits[s] = &task{shard: s, team: team, size: drawAmount(w.t, limits[team])}
@@ -36,33 +36,33 @@
 		c.demand[key(s, team)], c.unit[key(s, team)] = limits[team], waits[s].size
 	}
 	begun, ends, round := map[int]bool{}, map[*task]int{}, 0
-	w.refill = func() {
+	w.startWaiting = func() {
 		for _, s := range []int{first, second} {
 			next := *waits[s]
 			if w.start(&next) {
 				begun[s] = true
-				ends[&next] = round + rapid.IntRange(1, longest).Draw(w.t, "rounds")
+				ends[&next] = round + rapid.IntRange(1, maxTaskRounds).Draw(w.t, "rounds")
 			}
 		}
 	}
-	defer func() { w.refill = nil }()
-	for round = range alternateRounds {
+	defer func() { w.startWaiting = nil }()
+	for round = range bothStartRounds {
 		w.round()
 		if begun[first] && begun[second] {
 			return
 		}
 		for t, at := range ends {
-			t.over = round >= at
+			t.ended = round >= at
 		}
 	}
-	w.t.Fatalf("only shards %v of %d and %d started, tasks of %v and %v; record %+v", begun, first, second, waits[first].size, waits[second].size, w.newest().record)
+	w.t.Fatalf("only shards %v of %d and %d started, tasks of %v and %v; record %+v", begun, first, second, waits[first].size, waits[second].size, w.latest().record)
 }
 
-// fill has two shards start tasks that don't end, as many as they may: in the end the
+// checkLimitFills has two shards start tasks that don't end, as many as they may: in the end the
 // limit has room for no other one.
-func (w *model) fill(team string, first, second int) {
+func (w *model) checkLimitFills(team string, first, second int) {
 	for _, t := range w.tasks {
-		t.over = true
+		t.ended = true
 	}
 	sizes := map[int]quotalease.Amount{}
 	for _, s := range []int{first, second} {
@@ -85,5 +85,5 @@
 		w.round()
 	}
 	w.t.Fatalf("%v of %v of team %s in use, and tasks of %v and %v wait in shards %d and %d; record %+v",
-		w.inUse(team), limits[team], team, sizes[first], sizes[second], first, second, w.newest().record)
+		w.inUse(team), limits[team], team, sizes[first], sizes[second], first, second, w.latest().record)
 }
--- a/internal/quotalease/model_actions_test.go
+++ b/internal/quotalease/model_actions_test.go
@@ -36,10 +36,10 @@
 		},
 		"end": func() {
 			if len(w.tasks) > 0 {
-				rapid.SampledFrom(w.tasks).Draw(w.t, "task").over = true
+				rapid.SampledFrom(w.tasks).Draw(w.t, "task").ended = true
 			}
 		},
-		"settle": func() { w.settle(w.drawController()) },
+		"settle": func() { w.observeEndedTasks(w.drawController()) },
 		"demand": func() {
 			task := w.drawTask()
 			c := w.drawController()
@@ -56,13 +56,13 @@
 	return map[string]func(){
 		"send": func() { w.send(w.drawController()) },
 		"exchange": func() {
-			w.exchange(w.drawController(), true)
+			w.sendAndDeliver(w.drawController(), true)
 		},
 		"lost answer": func() { // and the same write again
 			c := w.drawController()
-			w.exchange(c, false)
+			w.sendAndDeliver(c, false)
 			c.busy = false
-			w.exchange(c, true)
+			w.sendAndDeliver(c, true)
 		},
 		"deliver": func() {
 			if len(w.inFlight) == 0 {
@@ -80,7 +80,7 @@
 			c.busy = false
 			w.send(c)
 		},
-		"watch": func() { w.observe(w.drawController(), w.newest()) },
+		"watch": func() { w.observe(w.drawController(), w.latest()) },
 		"late watch": func() {
 			w.observe(w.drawController(), rapid.SampledFrom(w.history).Draw(w.t, "past"))
 		},
@@ -95,21 +95,21 @@
 				w.round()
 			}
 		},
-		"hear": func() { w.learnShards(w.drawController()) },
-		"free": func() { w.free(rapid.IntRange(0, shards-1).Draw(w.t, "shard")) },
+		"hear": func() { w.observeLostShards(w.drawController()) },
+		"free": func() { w.freeShard(rapid.IntRange(0, shards-1).Draw(w.t, "shard")) },
 		"take": func() {
-			w.take(w.drawController(), rapid.IntRange(0, shards-1).Draw(w.t, "shard"), rapid.Bool().Draw(w.t, "all"))
+			w.assignShard(w.drawController(), rapid.IntRange(0, shards-1).Draw(w.t, "shard"), rapid.Bool().Draw(w.t, "all"))
 		},
 		"lease ends": func() {
 			c := w.drawController()
 			for s := range shards {
 				if w.leaderOf[s] == c {
-					w.free(s)
+					w.freeShard(s)
 				}
 			}
 		},
 		"crash":     func() { w.drawController().restart() },
-		"interlude": w.unleasedInterlude,
+		"interlude": w.runUnleasedLeader,
 	}
 }
 
@@ -118,16 +118,16 @@
 	w.now = w.now.Add(250 * time.Millisecond)
 	for i := range shards {
 		if c := w.leaderOf[i]; c == nil || c.led[i] != w.keys[i] {
-			w.take(w.controllers[i%controllers], i, false)
+			w.assignShard(w.controllers[i%controllers], i, false)
 		}
 	}
 	for _, c := range w.controllers {
-		w.learnShards(c)
-		w.settle(c)
-		if w.refill != nil {
-			w.refill()
+		w.observeLostShards(c)
+		w.observeEndedTasks(c)
+		if w.startWaiting != nil {
+			w.startWaiting()
 		}
-		w.observe(c, w.newest())
+		w.observe(c, w.latest())
 		c.busy = false
 		w.send(c)
 		for n := len(w.inFlight); n > 0; n = len(w.inFlight) {
--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -27,11 +27,11 @@
 	shard int
 	team  string
 	size  quotalease.Amount
-	over  bool // it ended; its leader may not know yet
+	ended  bool // it ended; its leader may not know yet
 }
 
-// sent is a copy of a write that is under way.
-type sent struct {
+// inFlightWrite is a copy of a write that is under way.
+type inFlightWrite struct {
 	from  *controller
 	call  int
 	write quotalease.Write
@@ -71,8 +71,8 @@
 	return quotalease.Need{Use: use, Demand: use.Add(c.demand[key(shard, team)]), Unit: c.unit[key(shard, team)]}
 }
 
-// past is the record as it was at a revision.
-type past struct {
+// recordSnapshot is the record as it was at a revision.
+type recordSnapshot struct {
 	record            quotalease.Record
 	version, revision uint64
 }
@@ -84,18 +84,18 @@
 	revision    uint64
 	keys        map[int]uint64 // versions of the shards' keys, none: free
 	leaderOf    map[int]*controller
-	history     []past
+	history     []recordSnapshot
 	controllers []*controller
-	inFlight    []sent
+	inFlight    []inFlightWrite
 	tasks       []*task
-	covered     bool // the parts were within the limits once: they stay so
+	withinLimits     bool // the parts were within the limits once: they stay so
 
-	refill   func() // starts what waits, as soon as a leader knows that a task ended
-	unleased uint64 // revision up to which leaders that don't lease limits started tasks
+	startWaiting   func() // starts what waits, as soon as a leader knows that a task ended
+	unleasedRevision uint64 // revision up to which leaders that don't lease limits started tasks
 }
 
 func newModel(t *rapid.T) *model {
-	w := &model{t: t, now: time.Unix(1e9, 0), keys: map[int]uint64{}, leaderOf: map[int]*controller{}, history: []past{{}}}
+	w := &model{t: t, now: time.Unix(1e9, 0), keys: map[int]uint64{}, leaderOf: map[int]*controller{}, history: []recordSnapshot{{}}}
 	for i := range controllers {
 		c := &controller{name: fmt.Sprint("controller-", i), demand: map[string]quotalease.Amount{}, unit: map[string]quotalease.Amount{}}
 		c.restart()
@@ -105,16 +105,16 @@
 	// leader does not know.
 	for range rapid.IntRange(0, 6).Draw(t, "earlier") {
 		task := w.drawTask()
-		task.over = !w.inUse(task.team).Add(task.size).Fits(limits[task.team])
+		task.ended = !w.inUse(task.team).Add(task.size).Fits(limits[task.team])
 		w.tasks = append(w.tasks, task)
 	}
 	if rapid.Bool().Draw(t, "owned") {
 		for s := range shards {
-			w.take(w.drawController(), s, true)
+			w.assignShard(w.drawController(), s, true)
 		}
 		for _, c := range w.controllers {
-			w.observe(c, w.newest())
-			w.exchange(c, true)
+			w.observe(c, w.latest())
+			w.sendAndDeliver(c, true)
 		}
 	}
 	return w
@@ -148,14 +148,14 @@
 
 func (w *model) inUseOf(shard int, team string) (sum quotalease.Amount) {
 	for _, t := range w.tasks {
-		if !t.over && t.shard == shard && t.team == team {
+		if !t.ended && t.shard == shard && t.team == team {
 			sum = sum.Add(t.size)
 		}
 	}
 	return sum
 }
 
-func (w *model) newest() past { return w.history[len(w.history)-1] }
+func (w *model) latest() recordSnapshot { return w.history[len(w.history)-1] }
 
 // start starts a task if its shard's leader may. A stale leader's lease has ended before its
 // shard's key went, so that it starts nothing.
@@ -172,13 +172,13 @@
 	return true
 }
 
-// settle has a controller learn which tasks ended.
-func (w *model) settle(c *controller) {
-	maps.DeleteFunc(c.counted, func(t *task, _ bool) bool { return t.over })
+// observeEndedTasks has a controller learn which tasks ended.
+func (w *model) observeEndedTasks(c *controller) {
+	maps.DeleteFunc(c.counted, func(t *task, _ bool) bool { return t.ended })
 }
 
-// free has a shard's key go, as its leader's lease ends. The leader learns of it later.
-func (w *model) free(shard int) {
+// freeShard has a shard's key go, as its leader's lease ends. The leader learns of it later.
+func (w *model) freeShard(shard int) {
 	if w.keys[shard] != 0 {
 		w.revision++
 		delete(w.keys, shard)
@@ -186,50 +186,50 @@
 	}
 }
 
-// take gives a shard to a controller, which counts all that may run there: also what ended,
+// assignShard gives a shard to a controller, which counts all that may run there: also what ended,
 // as far as nobody wrote that down.
-func (w *model) take(c *controller, shard int, all bool) {
-	w.free(shard)
+func (w *model) assignShard(c *controller, shard int, all bool) {
+	w.freeShard(shard)
 	w.revision++
 	w.keys[shard], w.leaderOf[shard] = w.revision, c
 	maps.DeleteFunc(c.counted, func(t *task, _ bool) bool { return t.shard == shard })
 	for _, t := range w.tasks {
-		if t.shard == shard && (all || !t.over) {
+		if t.shard == shard && (all || !t.ended) {
 			c.counted[t] = true
 		}
 	}
 	c.led[shard] = w.revision
-	c.borrower.SetShards(c.led, w.unleased)
+	c.borrower.SetShards(c.led, w.unleasedRevision)
 }
 
-// unleasedInterlude has one controller that does not lease limits lead all shards for a while,
+// runUnleasedLeader has one controller that does not lease limits lead all shards for a while,
 // and start tasks within the limits wherever it likes. All others have ended before.
-func (w *model) unleasedInterlude() {
+func (w *model) runUnleasedLeader() {
 	for s := range shards {
-		w.free(s)
+		w.freeShard(s)
 	}
 	for _, c := range w.controllers {
 		c.restart()
 	}
 	for range rapid.IntRange(1, 6).Draw(w.t, "tasks") {
 		for _, t := range w.tasks {
-			t.over = t.over || rapid.Bool().Draw(w.t, "over")
+			t.ended = t.ended || rapid.Bool().Draw(w.t, "over")
 		}
 		task := w.drawTask()
 		if w.inUse(task.team).Add(task.size).Fits(limits[task.team]) {
 			w.tasks = append(w.tasks, task)
 			w.revision++
-			w.unleased = w.revision
-			w.covered = false
+			w.unleasedRevision = w.revision
+			w.withinLimits = false
 		}
 	}
 }
 
-// learnShards has a controller learn which shards it lost.
-func (w *model) learnShards(c *controller) {
+// observeLostShards has a controller learn which shards it lost.
+func (w *model) observeLostShards(c *controller) {
 	maps.DeleteFunc(c.led, func(s int, version uint64) bool { return w.keys[s] != version })
 	maps.DeleteFunc(c.counted, func(t *task, _ bool) bool { _, mine := c.led[t.shard]; return !mine })
-	c.borrower.SetShards(c.led, w.unleased)
+	c.borrower.SetShards(c.led, w.unleasedRevision)
 }
 
 // send has a controller send what it has to write.
@@ -238,19 +238,19 @@
 		return
 	}
 	if c.borrower.NeedsReread() {
-		p := w.newest()
+		p := w.latest()
 		c.borrower.Reread(p.record, p.version, p.version)
 		return
 	}
 	if write, ok := c.borrower.Plan(w.now, c.need); ok {
 		c.call++
 		c.busy = true
-		w.inFlight = append(w.inFlight, sent{c, c.call, write})
+		w.inFlight = append(w.inFlight, inFlightWrite{c, c.call, write})
 	}
 }
 
-// exchange has a controller send what it has to write, which is carried out at once.
-func (w *model) exchange(c *controller, answered bool) {
+// sendAndDeliver has a controller send what it has to write, which is carried out at once.
+func (w *model) sendAndDeliver(c *controller, answered bool) {
 	w.send(c)
 	if n := len(w.inFlight); n > 0 && w.inFlight[n-1].from == c {
 		f := w.inFlight[n-1]
@@ -260,14 +260,14 @@
 }
 
 // deliver carries out a write that is under way; the response may be lost.
-func (w *model) deliver(f sent, answered bool) {
-	applied := f.write.Guard == w.newest().version
+func (w *model) deliver(f inFlightWrite, answered bool) {
+	applied := f.write.Guard == w.latest().version
 	for s, version := range f.write.Shards {
 		applied = applied && w.keys[s] == version
 	}
 	if applied {
 		w.revision++
-		w.history = append(w.history, past{copyOf(w.t, f.write.Record), w.revision, w.revision})
+		w.history = append(w.history, recordSnapshot{copyOf(w.t, f.write.Record), w.revision, w.revision})
 	}
 	if !answered || !f.from.busy || f.from.call != f.call {
 		return
@@ -293,11 +293,11 @@
 	return out
 }
 
-func (w *model) observe(c *controller, p past) { c.borrower.Observe(p.record, p.version, p.revision) }
+func (w *model) observe(c *controller, p recordSnapshot) { c.borrower.Observe(p.record, p.version, p.revision) }
 
-// mayRun is what runs of a team in a shard, or would if its leader started at once all that
+// maxUse is what runs of a team in a shard, or would if its leader started at once all that
 // it may.
-func (w *model) mayRun(shard int, team string) quotalease.Amount {
+func (w *model) maxUse(shard int, team string) quotalease.Amount {
 	runs := w.inUseOf(shard, team)
 	c := w.leaderOf[shard]
 	if c == nil || c.led[shard] != w.keys[shard] {
@@ -309,12 +309,12 @@
 // check fails if a limit may be exceeded from here, or a shard's tasks are not covered by
 // its part.
 func (w *model) check() {
-	r := w.newest().record
+	r := w.latest().record
 	complete, within := len(r.Rows) == shards, true
 	for _, team := range teams {
 		var sum, may quotalease.Amount
 		for s := range shards {
-			may = may.Add(w.mayRun(s, team))
+			may = may.Add(w.maxUse(s, team))
 		}
 		if !may.Fits(limits[team]) {
 			w.t.Fatalf("team %s uses %v, and may use %v, of %v; record %+v", team, w.inUse(team), may, limits[team], r)
@@ -322,20 +322,20 @@
 		for _, row := range r.Rows {
 			part := row.Teams[team].Part
 			sum = sum.Add(part)
-			if row.LeaderVersion < w.unleased {
+			if row.LeaderVersion < w.unleasedRevision {
 				continue // it says nothing until the next leader counts anew
 			}
-			if may := w.mayRun(row.Shard, team); !may.Fits(part) {
+			if may := w.maxUse(row.Shard, team); !may.Fits(part) {
 				w.t.Fatalf("shard %d may use %v of team %s with a part of %v; record %+v", row.Shard, may, team, part, r)
 			}
 		}
 		within = within && sum.Fits(limits[team])
-		if w.covered && !sum.Fits(limits[team]) {
+		if w.withinLimits && !sum.Fits(limits[team]) {
 			w.t.Fatalf("parts of team %s are %v of %v; record %+v", team, sum, limits[team], r)
 		}
 	}
 	for _, row := range r.Rows {
-		complete = complete && row.LeaderVersion > w.unleased
+		complete = complete && row.LeaderVersion > w.unleasedRevision
 	}
-	w.covered = w.covered || complete && within
+	w.withinLimits = w.withinLimits || complete && within
 }
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// returnAfter is for how long a part must not have been needed before it is returned
+	// excessReturnDelay is for how long a part must not have been needed before it is returned
 	// without another shard's want. Less, and each pause between two tasks would cost two
 	// writes.
-	returnAfter = 2 * time.Second
-	// wantSteps: a want is written again if it changed by more than one part in so many.
-	wantSteps = 4
+	excessReturnDelay = 2 * time.Second
+	// wantTolerance: a want is written again if it changed by more than one part in so many.
+	wantTolerance = 4
 )
 
-// excess is the least that was not needed of a part since a time.
-type excess struct {
-	least Amount
+// unneededSince is the least that was not needed of a part since a time.
+type unneededSince struct {
+	minimum Amount
 	since time.Time
 }
 
@@ -26,7 +26,7 @@
 // Plan returns the next write, if there is anything to write, or again the one whose outcome is
 // unknown.
 func (b *Borrower) Plan(now time.Time, needs Needs) (Write, bool) {
-	if b.reread {
+	if b.rereadNeeded {
 		return Write{}, false
 	}
 	if b.pending != nil {
@@ -36,7 +36,7 @@
 	changed := b.adopt(&next, needs)
 	if b.complete(&next) {
 		for _, team := range b.teams {
-			p := plan{b: b, now: now, team: team, limit: b.limits[team], record: &next, needs: needs}
+			p := teamPlan{b: b, now: now, team: team, limit: b.limits[team], record: &next, needs: needs}
 			changed = p.run() || changed
 		}
 	}
@@ -62,7 +62,7 @@
 		switch {
 		case row == nil:
 			record.addRow(Row{Shard: shard, LeaderVersion: version})
-			b.countUse(record.row(shard), needs)
+			b.leaseCurrentUse(record.row(shard), needs)
 			changed = true
 		case row.LeaderVersion < version:
 			row.LeaderVersion = version
@@ -72,15 +72,15 @@
 	return changed
 }
 
-// countUse gives a new row the parts that its shard's tasks use already.
-func (b *Borrower) countUse(row *Row, needs Needs) {
+// leaseCurrentUse gives a new row the parts that its shard's tasks use already.
+func (b *Borrower) leaseCurrentUse(row *Row, needs Needs) {
 	for _, team := range b.teams {
-		row.set(team, Entry{Part: needs(row.Shard, team).Use.within(b.limits[team])})
+		row.setEntry(team, Entry{Part: needs(row.Shard, team).Use.countedBy(b.limits[team])})
 	}
 }
 
-// plan decides on one team's parts.
-type plan struct {
+// teamPlan decides on one team's parts.
+type teamPlan struct {
 	b       *Borrower
 	now     time.Time
 	team    string
@@ -91,20 +91,20 @@
 }
 
 // run changes the entries of the led shards, one after the other, and reports whether it did.
-func (p *plan) run() bool {
+func (p *teamPlan) run() bool {
 	for _, shard := range slices.Sorted(maps.Keys(p.b.led)) {
 		row := p.record.row(shard)
 		if row.LeaderVersion != p.b.led[shard] {
 			continue
 		}
 		delete(p.b.withheld, p.key(row))
-		need := p.watchIdling(row, p.need(shard))
+		need := p.updateIdleState(row, p.need(shard))
 		if leased := p.record.leased(p.team); !leased.Fits(p.limit) {
 			p.reduce(row, need, leased.Sub(p.limit))
 		} else {
 			p.borrow(row, need)
-			p.give(row, need)
-			p.giveRemnant(row, need)
+			p.reallocate(row, need)
+			p.reallocateRemainder(row, need)
 			p.returnExcess(row, need)
 		}
 		p.recordWant(row, need)
@@ -113,64 +113,64 @@
 }
 
 // key names the team's part for a row's shard.
-func (p *plan) key(row *Row) shardTeam { return shardTeam{row.Shard, p.team} }
+func (p *teamPlan) key(row *Row) shardTeam { return shardTeam{row.Shard, p.team} }
 
 // need is what a shard needs, as far as the limit counts it and allows.
-func (p *plan) need(shard int) Need {
+func (p *teamPlan) need(shard int) Need {
 	need := p.needs(shard, p.team)
-	need.Use = need.Use.within(p.limit)
-	need.Demand = need.Demand.within(p.limit).Min(p.limit).Max(need.Use)
-	need.Unit = need.Unit.within(p.limit).Min(p.limit)
+	need.Use = need.Use.countedBy(p.limit)
+	need.Demand = need.Demand.countedBy(p.limit).Min(p.limit).Max(need.Use)
+	need.Unit = need.Unit.countedBy(p.limit).Min(p.limit)
 	return need
 }
 
-// update changes what a row has of the team.
-func (p *plan) update(row *Row, entry Entry) {
+// setEntry changes what a row has of the team.
+func (p *teamPlan) setEntry(row *Row, entry Entry) {
 	if row.Teams[p.team] != entry {
-		row.set(p.team, entry)
+		row.setEntry(p.team, entry)
 		p.changed = true
 	}
 }
 
 // reduce gives up what is not in use while more is leased than the limit, by over at most.
-func (p *plan) reduce(row *Row, need Need, over Amount) {
+func (p *teamPlan) reduce(row *Row, need Need, over Amount) {
 	entry := row.Teams[p.team]
 	entry.Part = entry.Part.Sub(entry.Part.Sub(need.Use).Min(over))
-	p.update(row, entry)
+	p.setEntry(row, entry)
 }
 
 // borrow takes what is needed and no shard has.
-func (p *plan) borrow(row *Row, need Need) {
+func (p *teamPlan) borrow(row *Row, need Need) {
 	entry := row.Teams[p.team]
 	free := p.limit.Sub(p.record.leased(p.team))
 	entry.Part = entry.Part.Add(need.Demand.Sub(entry.Part).Min(free))
-	p.update(row, entry)
+	p.setEntry(row, entry)
 }
 
 // returnExcess returns what was not needed for returnAfter.
-func (p *plan) returnExcess(row *Row, need Need) {
+func (p *teamPlan) returnExcess(row *Row, need Need) {
 	key := p.key(row)
 	entry := row.Teams[p.team]
 	unneeded := entry.Part.Sub(need.Demand)
-	last, seen := p.b.excess[key]
+	last, seen := p.b.unneeded[key]
 	switch {
 	case unneeded.IsZero():
-		delete(p.b.excess, key)
-	case !seen || last.least.Min(unneeded).IsZero():
-		p.b.excess[key] = excess{unneeded, p.now}
-	case p.now.Sub(last.since) < returnAfter:
-		p.b.excess[key] = excess{last.least.Min(unneeded), last.since}
+		delete(p.b.unneeded, key)
+	case !seen || last.minimum.Min(unneeded).IsZero():
+		p.b.unneeded[key] = unneededSince{unneeded, p.now}
+	case p.now.Sub(last.since) < excessReturnDelay:
+		p.b.unneeded[key] = unneededSince{last.minimum.Min(unneeded), last.since}
 	default:
-		delete(p.b.excess, key)
-		entry.Part = entry.Part.Sub(last.least.Min(unneeded))
-		p.update(row, entry)
+		delete(p.b.unneeded, key)
+		entry.Part = entry.Part.Sub(last.minimum.Min(unneeded))
+		p.setEntry(row, entry)
 	}
 }
 
 // recordWant records what a shard could use beyond its part.
-func (p *plan) recordWant(row *Row, need Need) {
+func (p *teamPlan) recordWant(row *Row, need Need) {
 	entry, unit := row.Teams[p.team], need.Unit
-	if p.b.idling[p.key(row)].stalled() {
+	if p.b.idle[p.key(row)].stalled() {
 		unit = Amount{}
 	}
 	switch {
@@ -179,16 +179,16 @@
 			return // a want that is met needs no write to go
 		}
 		entry.Want, entry.Unit = Amount{}, Amount{}
-	case entry.Want.Fits(entry.Part) || differs(entry.Want, need.Demand) || differs(entry.Unit, unit):
+	case entry.Want.Fits(entry.Part) || differsMuch(entry.Want, need.Demand) || differsMuch(entry.Unit, unit):
 		entry.Want, entry.Unit = need.Demand, unit
 	}
-	p.update(row, entry)
+	p.setEntry(row, entry)
 }
 
-// differs reports whether b differs from a by more than one part in wantSteps of a.
-func differs(a, b Amount) bool {
+// differsMuch reports whether b differsMuch from a by more than one part in wantSteps of a.
+func differsMuch(a, b Amount) bool {
 	for kind := range kinds {
-		if d := max(a[kind], b[kind]) - min(a[kind], b[kind]); d*wantSteps > a[kind] {
+		if d := max(a[kind], b[kind]) - min(a[kind], b[kind]); d*wantTolerance > a[kind] {
 			return true
 		}
 	}
--- a/internal/quotalease/record.go
+++ b/internal/quotalease/record.go
@@ -47,11 +47,11 @@
 	Unit Amount // least by which its use can grow: a task, or a gang; 0: it starts nothing
 }
 
-const entryNumbers = 3 * kinds
+const numbersPerEntry = 3 * kinds
 
 // MarshalJSON writes an entry as its numbers, without the zeros at the end.
 func (e Entry) MarshalJSON() ([]byte, error) {
-	numbers := make([]int64, 0, entryNumbers)
+	numbers := make([]int64, 0, numbersPerEntry)
 	for _, a := range []Amount{e.Part, e.Want, e.Unit} {
 		numbers = append(numbers, a[:]...)
 	}
@@ -68,20 +68,20 @@
 	if err := json.Unmarshal(data, &numbers); err != nil {
 		return err // the record's reader says what it was reading
 	}
-	if len(numbers) > entryNumbers {
+	if len(numbers) > numbersPerEntry {
 		return fmt.Errorf("an entry of %d numbers", len(numbers))
 	}
-	if slices.ContainsFunc(numbers, func(n int64) bool { return n < 0 || n > largestNumber }) {
+	if slices.ContainsFunc(numbers, func(n int64) bool { return n < 0 || n > maxNumber }) {
 		return errors.New("an amount out of bounds")
 	}
-	var all [entryNumbers]int64
+	var all [numbersPerEntry]int64
 	copy(all[:], numbers)
 	*e = Entry{Part: Amount(all[:kinds]), Want: Amount(all[kinds : 2*kinds]), Unit: Amount(all[2*kinds:])}
 	return nil
 }
 
-// largestNumber is the largest number in an entry, so that sums of them can't overflow.
-const largestNumber = 1 << 50
+// maxNumber is the largest number in an entry, so that sums of them can't overflow.
+const maxNumber = 1 << 50
 
 // Parse reads a record for so many shards. It refuses unknown shards, rows that are out of order
 // or written by nobody, and amounts out of bounds. Teams are checked by their Borrower, which
@@ -130,8 +130,8 @@
 	slices.SortFunc(r.Rows, func(a, b Row) int { return a.Shard - b.Shard })
 }
 
-// set changes what a row has of a team; an entry without a part and a want is not kept.
-func (r *Row) set(team string, entry Entry) {
+// setEntry changes what a row has of a team; an entry without a part and a want is not kept.
+func (r *Row) setEntry(team string, entry Entry) {
 	if entry.Part.IsZero() && entry.Want.IsZero() {
 		delete(r.Teams, team)
 		return
@@ -164,16 +164,16 @@
 // CheckSize returns an error if the parts of teams with these limits may not fit the records,
 // whose values have at most so many bytes.
 func CheckSize(limits map[string]Amount, shards, valueBytes int) error {
-	const anyVersion = 1 << 53
+	const longVersion = 1 << 53
 	records := [Records]Record{}
 	for n := range records {
 		for shard := range shards {
-			records[n].Rows = append(records[n].Rows, Row{Shard: shard, LeaderVersion: anyVersion, Teams: map[string]Entry{}})
+			records[n].Rows = append(records[n].Rows, Row{Shard: shard, LeaderVersion: longVersion, Teams: map[string]Entry{}})
 		}
 	}
 	for team, limit := range limits {
 		for i := range records[RecordOf(team)].Rows {
-			records[RecordOf(team)].Rows[i].set(team, Entry{Part: limit, Want: limit, Unit: limit})
+			records[RecordOf(team)].Rows[i].setEntry(team, Entry{Part: limit, Want: limit, Unit: limit})
 		}
 	}
 	for n := range records {
