--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -164,7 +164,7 @@
 		return
 	}
 	now := time.Now()
-	needs := m.needs(now)
+	needs := m.currentNeeds(now)
 	first := m.nextRecord
 	for i := range quotalease.Records {
 		record := (first + i) % quotalease.Records
--- a/internal/quota/manager_test.go
+++ b/internal/quota/manager_test.go
@@ -17,24 +17,24 @@
 // slowStore is a state service whose writes and watches end a while after their context.
 type slowStore struct {
 	jobrecord.Store
-	writing chan struct{} // gets a value when a write has begun
+	writeStarted chan struct{} // gets a value when a write has begun
 	ended   atomic.Int32  // writes and watches that have ended
 }
 
-func (s *slowStore) endLate(ctx context.Context) {
+func (s *slowStore) endAfterDelay(ctx context.Context) {
 	<-ctx.Done()
 	time.Sleep(20 * time.Millisecond)
 	s.ended.Add(1)
 }
 
 func (s *slowStore) Txn(ctx context.Context, _ []wire.Guard, _ ...wire.Op) (uint64, error) {
-	jobstate.Notify(s.writing)
-	s.endLate(ctx)
+	jobstate.Notify(s.writeStarted)
+	s.endAfterDelay(ctx)
 	return 0, ctx.Err()
 }
 
 func (s *slowStore) Watch(ctx context.Context, _ string, _ time.Duration, _ func([]wire.Item), _ func([]wire.Event)) {
-	s.endLate(ctx)
+	s.endAfterDelay(ctx)
 }
 
 // leader leads shard 0.
@@ -55,12 +55,12 @@
 
 // Run returns only when its write and its watch have ended: nothing changes the state after it.
 func TestRunWaitsForItsRequests(t *testing.T) {
-	store := &slowStore{writing: make(chan struct{}, 1)}
+	store := &slowStore{writeStarted: make(chan struct{}, 1)}
 	_, manager := newManager(2, store)
 	ctx, cancel := context.WithCancel(t.Context())
 	returned := make(chan struct{})
 	go func() { defer close(returned); manager.Run(ctx) }()
-	<-store.writing
+	<-store.writeStarted
 	cancel()
 	<-returned
 	if ended := store.ended.Load(); ended != 2 {
--- a/internal/quota/needs.go
+++ b/internal/quota/needs.go
@@ -13,8 +13,8 @@
 	team  string
 }
 
-// needs is what this leader's shards need of the limits that are leased.
-func (m *Manager) needs(now time.Time) map[shardTeam]quotalease.Need {
+// currentNeeds is what this leader's shards need of the limits that are leased.
+func (m *Manager) currentNeeds(now time.Time) map[shardTeam]quotalease.Need {
 	m.state.Now = now
 	needs := map[shardTeam]quotalease.Need{}
 	for _, team := range m.state.Teams {
@@ -31,17 +31,17 @@
 		if job.Team.Leased == nil || job.Cancelled || job.EndStage != "" || now.Before(job.NotBefore) {
 			continue
 		}
-		if tasks := m.waitingTasks(job); tasks > 0 {
+		if tasks := m.startableTasks(job); tasks > 0 {
 			key := shardTeam{job.Shard, job.Team.Leased.Team}
-			needs[key] = withWaiting(needs[key], job, tasks)
+			needs[key] = addWaitingTasks(needs[key], job, tasks)
 		}
 	}
 	return needs
 }
 
-// waitingTasks is how many tasks of a job could start now, counted by placements for those that
+// startableTasks is how many tasks of a job could start now, counted by placements for those that
 // have any.
-func (m *Manager) waitingTasks(job *jobstate.Job) int {
+func (m *Manager) startableTasks(job *jobstate.Job) int {
 	tasks := m.state.WantedTasks(job)
 	for _, placements := range job.Placements {
 		for _, placement := range placements {
@@ -53,8 +53,8 @@
 	return tasks
 }
 
-// withWaiting adds a job's waiting tasks to a need.
-func withWaiting(need quotalease.Need, job *jobstate.Job, tasks int) quotalease.Need {
+// addWaitingTasks adds a job's waiting tasks to a need.
+func addWaitingTasks(need quotalease.Need, job *jobstate.Job, tasks int) quotalease.Need {
 	all := jobstate.AmountOf(job.Resources.Scale(float64(tasks)))
 	need.Demand = need.Demand.Add(all)
 	unit := jobstate.AmountOf(job.Resources)
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -42,14 +42,14 @@
 		if borrower == nil || quotalease.Key(n) != item.Key {
 			continue
 		}
-		if record, ok := m.parse(item); ok {
-			m.take(item.Key, borrower, func() { borrower.Observe(record, item.Version, item.Version) })
+		if record, ok := m.parseRecord(item); ok {
+			m.passToBorrower(item.Key, borrower, func() { borrower.Observe(record, item.Version, item.Version) })
 		}
 	}
 }
 
-// parse parses a record; one that can't be read is counted and logged. Version 0: there is none.
-func (m *Manager) parse(item wire.Item) (quotalease.Record, bool) {
+// parseRecord parses a record; one that can't be read is counted and logged. Version 0: there is none.
+func (m *Manager) parseRecord(item wire.Item) (quotalease.Record, bool) {
 	if item.Version == 0 {
 		return quotalease.Record{}, true
 	}
@@ -62,11 +62,11 @@
 	return record, true
 }
 
-// take calls pass, which gives a record to a borrower, and counts and logs what the borrower
+// passToBorrower calls pass, which gives a record to a borrower, and counts and logs what the borrower
 // refused of it.
-func (m *Manager) take(key string, borrower *quotalease.Borrower, pass func()) {
+func (m *Manager) passToBorrower(key string, borrower *quotalease.Borrower, observe func()) {
 	before := borrower.UnknownEntries
-	pass()
+	observe()
 	if refused := borrower.UnknownEntries - before; refused > 0 {
 		m.state.Stats.QuotaRecordsRefused += refused
 		m.log.Warn("unknown leaders or teams in quota record", "key", key, "refused", refused)
@@ -116,9 +116,9 @@
 		return
 	}
 	item.Key = quotalease.Key(n)
-	if record, ok := m.parse(item); ok {
+	if record, ok := m.parseRecord(item); ok {
 		borrower := m.borrowers[n]
-		m.take(item.Key, borrower, func() { borrower.Reread(record, item.Version, item.Version) })
+		m.passToBorrower(item.Key, borrower, func() { borrower.Reread(record, item.Version, item.Version) })
 		jobstate.Notify(m.wake)
 	}
 }
