--- a/internal/batching/sender.go
+++ b/internal/batching/sender.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxItems    = 256 // of a batch, which bounds the size of its message
-	maxUnderWay = 8   // batches on their way to one peer
-	// overlapAfter is how long a batch may be under way before the next one leaves all the
+	maxBatchItems    = 256 // of a batch, which bounds the size of its message
+	maxBatchesInFlight = 8   // batches on their way to one peer
+	// overlapDelay is how long a batch may be under way before the next one leaves all the
 	// same: over a slow link, one batch a round trip would add that much to every wait.
-	overlapAfter = 100 * time.Millisecond
+	overlapDelay = 100 * time.Millisecond
 )
 
 // Sender collects items for each peer. It is safe for concurrent use.
@@ -32,8 +32,8 @@
 // peerQueue is what is to go to one peer.
 type peerQueue[T any] struct {
 	waiting    []T
-	underWay   int       // batches
-	lastLeftAt time.Time // when the last batch left
+	inFlight   int       // batches
+	lastSentAt time.Time // when the last batch left
 	timerSet   bool      // a timer will try to send again
 }
 
@@ -58,24 +58,24 @@
 
 // trySend lets a batch leave if it may, with all items that arrive until its goroutine runs.
 func (s *Sender[T]) trySend(peer string, queue *peerQueue[T]) {
-	if len(queue.waiting) == 0 || queue.underWay == maxUnderWay {
+	if len(queue.waiting) == 0 || queue.inFlight == maxBatchesInFlight {
 		return // the next batch that comes back tries again
 	}
 	now := time.Now()
-	if remaining := overlapAfter - now.Sub(queue.lastLeftAt); queue.underWay > 0 && remaining > 0 {
-		s.tryLater(peer, queue, remaining)
+	if remaining := overlapDelay - now.Sub(queue.lastSentAt); queue.inFlight > 0 && remaining > 0 {
+		s.trySendLater(peer, queue, remaining)
 		return
 	}
-	queue.underWay++
-	queue.lastLeftAt = now
+	queue.inFlight++
+	queue.lastSentAt = now
 	s.sending.Add(1)
 	go s.sendBatch(peer, queue)
 }
 
-// tryLater tries to send again when the peer's last batch has been under way for long. The
+// trySendLater tries to send again when the peer's last batch has been under way for long. The
 // timer needs no stop: it fires within overlapAfter, and while there are items for it to
 // send, a batch is under way, for which Wait waits.
-func (s *Sender[T]) tryLater(peer string, queue *peerQueue[T], after time.Duration) {
+func (s *Sender[T]) trySendLater(peer string, queue *peerQueue[T], after time.Duration) {
 	if queue.timerSet {
 		return
 	}
@@ -92,7 +92,7 @@
 func (s *Sender[T]) sendBatch(peer string, queue *peerQueue[T]) {
 	defer s.sending.Done()
 	s.mu.Lock()
-	count := min(len(queue.waiting), maxItems)
+	count := min(len(queue.waiting), maxBatchItems)
 	items := queue.waiting[:count:count]
 	queue.waiting = queue.waiting[count:]
 	s.mu.Unlock()
@@ -101,6 +101,6 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	queue.underWay--
+	queue.inFlight--
 	s.trySend(peer, queue)
 }
--- a/internal/batching/sender_test.go
+++ b/internal/batching/sender_test.go
@@ -17,31 +17,31 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		roundTrip := time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms of a round trip")) * time.Millisecond
 		pauses := rapid.SliceOfN(rapid.IntRange(0, 200), 1, 40).Draw(rt, "ms before each burst")
-		burst := rapid.SampledFrom([]int{1, 3, maxItems + 10}).Draw(rt, "items in a burst")
-		var fault string
+		burst := rapid.SampledFrom([]int{1, 3, maxBatchItems + 10}).Draw(rt, "items in a burst")
+		var failure string
 		synctest.Test(t, func(*testing.T) {
 			var mu sync.Mutex
 			added := make([]time.Time, 0, burst*len(pauses)) // when each item was
 			var got []int
-			underWay, wasFull := 0, false // wasFull: maxUnderWay batches were under way at some time
+			inFlight, reachedMaximum := 0, false // wasFull: maxUnderWay batches were under way at some time
 			check := func(ok bool, what string) {
-				if !ok && fault == "" {
-					fault = what
+				if !ok && failure == "" {
+					failure = what
 				}
 			}
 			sender := Sender[int]{Send: func(peer string, items []int) {
 				mu.Lock()
-				underWay++
-				wasFull = wasFull || underWay == maxUnderWay
-				check(peer == "a" && len(items) > 0 && len(items) <= maxItems && underWay <= maxUnderWay, "a batch too large, or too many at a time")
+				inFlight++
+				reachedMaximum = reachedMaximum || inFlight == maxBatchesInFlight
+				check(peer == "a" && len(items) > 0 && len(items) <= maxBatchItems && inFlight <= maxBatchesInFlight, "a batch too large, or too many at a time")
 				for _, i := range items {
-					check(wasFull || burst > maxItems || time.Since(added[i]) <= overlapAfter, "an item waited for a slow round trip")
+					check(reachedMaximum || burst > maxBatchItems || time.Since(added[i]) <= overlapDelay, "an item waited for a slow round trip")
 				}
 				got = append(got, items...)
 				mu.Unlock()
 				time.Sleep(roundTrip)
 				mu.Lock()
-				underWay--
+				inFlight--
 				mu.Unlock()
 			}}
 			for n, ms := range pauses {
@@ -57,14 +57,14 @@
 				check(n > 0 || len(got) > 0, "the first item was not sent at once")
 				mu.Unlock()
 			}
-			time.Sleep(time.Duration(len(pauses)) * (roundTrip + overlapAfter) * 2)
+			time.Sleep(time.Duration(len(pauses)) * (roundTrip + overlapDelay) * 2)
 			mu.Lock()
 			defer mu.Unlock()
 			slices.Sort(got)
 			check(len(got) == len(added) && slices.Equal(slices.Compact(got), got), "items are lost, or were sent twice")
 		})
-		if fault != "" {
-			rt.Fatal(fault)
+		if failure != "" {
+			rt.Fatal(failure)
 		}
 	})
 }
