--- a/internal/membership/capacity_test.go
+++ b/internal/membership/capacity_test.go
@@ -16,7 +16,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// countingView counts what controllers request of the state service.
+// countingView counts controllers' requests to the state service, their writes and the events
+// they receive.
 type countingView struct {
 	*testkit.View
 	requests, writes, events *atomic.Int64
@@ -45,17 +46,17 @@
 
 func (c countingView) Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
 	c.View.Watch(ctx, prefix, hold, reset, func(events []wire.Event) {
-		c.requests.Add(1) // the watch is opened anew
+		c.requests.Add(1) // the watch sends its next request
 		c.events.Add(int64(len(events)))
 		change(events)
 	})
 }
 
-// stateServiceLoad is what a minute takes.
+// stateServiceLoad is the load in one minute.
 type stateServiceLoad struct{ requests, writes, events float64 }
 
-// measureMinutes is what so many controllers cost the state service in their first minute, in
-// which they start one a second, and in one after it.
+// measureMinutes returns the load that so many controllers put on the state service in their
+// first minute, in which they start one a second, and in the minute after it.
 func measureMinutes(controllers int) (first, later stateServiceLoad) {
 	var requests, writes, events atomic.Int64
 	store := testkit.NewStore()
@@ -66,7 +67,9 @@
 		done = append(done, run(ctx, membership.New(view, fmt.Sprintf("racker-%d", i+1), 5*time.Second, 1, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))))
 		time.Sleep(time.Second)
 	}
-	read := func() stateServiceLoad { return stateServiceLoad{float64(requests.Load()), float64(writes.Load()), float64(events.Load())} }
+	read := func() stateServiceLoad {
+		return stateServiceLoad{float64(requests.Load()), float64(writes.Load()), float64(events.Load())}
+	}
 	time.Sleep(time.Minute - time.Duration(controllers)*time.Second)
 	first = read()
 	time.Sleep(time.Minute)
@@ -78,7 +81,7 @@
 	return first, stateServiceLoad{later.requests - first.requests, later.writes - first.writes, later.events - first.events}
 }
 
-// simulateMinutes measures minutes in simulated time.
+// simulateMinutes runs measureMinutes in simulated time, and returns one value of its results.
 func simulateMinutes(controllers int, of func(first, later stateServiceLoad) float64) (value float64) {
 	synctest.Test(&testing.T{}, func(*testing.T) { value = of(measureMinutes(controllers)) })
 	return value
--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -11,18 +11,20 @@
 )
 
 const (
-	// claimStagger is how long a controller leaves a freed shard to each one that joined
-	// after it, and to one whose key has just gone, since that may be a restart: in
-	// a rolling restart the jobs then go to a controller that was restarted already,
-	// and stay there. It covers the requests of a joining.
+	// claimStagger is the delay before this controller claims a freed shard, for each
+	// controller that is preferred: those that joined after it, and one whose registration was
+	// just deleted, since it may be restarting. In a rolling restart the jobs then move to a
+	// controller that has been restarted already, and stay there. It is longer than the
+	// requests for joining take.
 	claimStagger = 250 * time.Millisecond
-	// restartGracePeriod is how long a controller whose key has gone is waited for.
+	// restartGracePeriod is how long after its registration was deleted a controller is
+	// expected to return.
 	restartGracePeriod = time.Second
 )
 
-// claim takes free shards, up to this controller's share, in one transaction: of
-// two controllers that race, one takes them all. It returns after which time the
-// next shard that is left to others for now may be claimed; 0: none is.
+// claim claims free shards, up to this controller's share, in one transaction: of two
+// controllers that race, one gets them all. It returns the time until the next shard that is
+// left to others for now may be claimed; 0 if there is none.
 func (m *Member) claim(ctx context.Context) (wait time.Duration) {
 	m.mu.Lock()
 	free, wait := m.claimableLocked()
@@ -39,8 +41,8 @@
 	if err != nil {
 		m.log.Debug("claim failed", "shards", free, "err", err)
 		if !errors.Is(err, statestore.ErrUnavailable) {
-			// Others claimed them, or this claim was applied and its response lost: the
-			// watch tells too, but may be behind.
+			// Another controller claimed them, or this claim was applied and its response lost.
+			// The watch reports either, but may lag.
 			m.readShards(ctx, free)
 		}
 		return wait
@@ -48,7 +50,7 @@
 	m.mu.Lock()
 	if m.lease == self.Lease {
 		for _, shard := range free {
-			m.applyShardLocked(shard, self, revision) // unless the watch has told of a newer leader meanwhile
+			m.applyShardLocked(shard, self, revision) // ignored if the watch has reported a newer leader meanwhile
 		}
 	}
 	m.mu.Unlock()
@@ -57,7 +59,8 @@
 	return wait
 }
 
-// writeClaim writes that this controller leads shards which nobody led, and returns the revision.
+// writeClaim writes this controller as the leader of shards that have none, and returns the
+// revision.
 func (m *Member) writeClaim(ctx context.Context, leaderless map[int]uint64, self shardRecord) (revision uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, txnTimeout)
 	defer cancel()
@@ -65,12 +68,13 @@
 	return m.store.Txn(ctx, txn.If, txn.Then...)
 }
 
-// selfLocked is the record of a shard that this controller leads.
+// selfLocked returns the record of a shard that this controller leads.
 func (m *Member) selfLocked() shardRecord {
 	return shardRecord{Node: m.name, Token: m.token, Lease: m.lease}
 }
 
-// claimableLocked returns the shards to claim now, and when to look again.
+// claimableLocked returns the shards to claim now, and the time until the next one that is
+// left to others may be claimed; 0 if there is none.
 func (m *Member) claimableLocked() (free []int, wait time.Duration) {
 	if !m.listed || m.leaseRemainingLocked() <= minRemainingToClaim {
 		return nil, 0
@@ -94,9 +98,10 @@
 	return free, wait
 }
 
-// claimDelayLocked is how long this controller leaves a freed shard to others: to
-// those that joined after it, to one that may be restarting, and, if it ends again
-// and again itself, to any that does not.
+// claimDelayLocked returns how long this controller leaves a freed shard to others:
+// claimStagger for each stable controller that joined after it and for one that may be
+// restarting, and restartGracePeriod more if this controller is unstable and a stable one is
+// registered.
 func (m *Member) claimDelayLocked() time.Duration {
 	preferred := 0
 	wait := time.Duration(0)
@@ -120,8 +125,8 @@
 	return wait + time.Duration(preferred)*claimStagger
 }
 
-// assignment is the transaction that writes who leads shards, if their keys still
-// have these versions; 0: the key does not exist.
+// assignment returns the transaction that writes the leader of shards, on condition that their
+// keys still have the given versions; version 0: the key does not exist.
 func assignment(shards map[int]uint64, to shardRecord) (txn wire.Txn) {
 	for shard, version := range shards {
 		txn.If = append(txn.If, wire.Guard{Key: shardKey(shard), Version: version})
@@ -130,8 +135,9 @@
 	return txn
 }
 
-// releaseExcess releases shards once this controller has had more than its share
-// for longer than the lease's TTL. It takes and returns since when; zero: it has not.
+// releaseExcess releases shards if this controller has led more than its share for longer than
+// the lease's TTL. since is the time at which this was first seen, zero if it is not the case;
+// the updated time is returned.
 func (m *Member) releaseExcess(ctx context.Context, since time.Time) time.Time {
 	m.mu.Lock()
 	excess := len(m.claimed) > m.shareLocked()
@@ -147,8 +153,8 @@
 	return since
 }
 
-// release gives up shards beyond this controller's share. If the outcome is unknown
-// they are reclaimed, as after a transfer: else nobody might serve them.
+// release releases the shards beyond this controller's share. If the outcome is unknown they
+// are reclaimed, as after a transfer: otherwise nobody might serve them.
 func (m *Member) release(ctx context.Context) {
 	released, txn, lease := m.startRelease()
 	m.notifyChange()
@@ -164,8 +170,9 @@
 	}
 }
 
-// startRelease stops leading the shards beyond this controller's share, the
-// highest first, and returns them by version with the transaction that frees them.
+// startRelease stops leading the shards beyond this controller's share, the highest first. It
+// returns them with the versions of their keys, the transaction that frees them, and the
+// lease.
 func (m *Member) startRelease() (released map[int]uint64, txn wire.Txn, lease uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -14,8 +14,8 @@
 
 const joinTimeout = 5 * time.Second
 
-// join ends the predecessor's lease, opens one, and registers this controller
-// under it with a new fencing token.
+// join revokes the predecessor's lease, opens one, and registers this controller under it with
+// a new fencing token.
 func (m *Member) join(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -40,10 +40,10 @@
 	return nil
 }
 
-// endPredecessor reads the registration under this controller's name and revokes
-// its lease. The predecessor has ended, or is this process before it lost its
-// lease: its shards are freed at once instead of when the lease ends. Without a
-// registration the record is zero.
+// endPredecessor reads the registration under this controller's name and revokes its lease.
+// The predecessor is an earlier process, or this process before it lost its lease. Its shards
+// become free at once instead of when the lease expires. Without a registration the record is
+// zero.
 func (m *Member) endPredecessor(ctx context.Context) (nodeRecord, error) {
 	var predecessor nodeRecord
 	key := nodePrefix + m.name
@@ -63,8 +63,8 @@
 	return predecessor, nil
 }
 
-// countShortIncarnations returns the short incarnations in a row before record's, and notes
-// the attempt to join.
+// countShortIncarnations returns the number of consecutive short incarnations before record's,
+// and remembers the lease of this attempt to join.
 func (m *Member) countShortIncarnations(predecessor, record *nodeRecord) int {
 	m.mu.Lock()
 	ownAttempt := predecessor.Lease != 0 && predecessor.Lease == m.lastAttemptLease
@@ -72,7 +72,7 @@
 	m.mu.Unlock()
 	switch {
 	case ownAttempt:
-		return predecessor.ShortIncarnations // its response was lost: no incarnation that was short
+		return predecessor.ShortIncarnations // an attempt whose response was lost, not a short incarnation
 	case predecessor.Lease != 0 && record.JoinedMs-predecessor.JoinedMs < shortIncarnation.Milliseconds():
 		return predecessor.ShortIncarnations + 1
 	}
@@ -85,7 +85,7 @@
 		return 0, err
 	}
 	defer m.unlockToken()
-	last := m.FencingToken() // of this process's last incarnation; a reserved one may be above the counter's next
+	last := m.FencingToken() // of this process's last incarnation; a reserved token may exceed the counter's next
 	next := func(counter tokenRecord) tokenRecord { return counter.withTokenAbove(last) }
 	return m.raiseToken(ctx, next, func(token uint64) wire.Txn {
 		record.Token = token
@@ -94,7 +94,8 @@
 	})
 }
 
-// beginIncarnation takes up a lease that was opened by a request sent then.
+// beginIncarnation starts an incarnation under a new lease; sent is the time at which the
+// request for the lease was sent.
 func (m *Member) beginIncarnation(record *nodeRecord, token uint64, sent time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,9 +103,9 @@
 	m.claimed, m.pending = map[int]uint64{}, map[int]uint64{}
 	for shard, leader := range m.leaders {
 		if leader.Lease == record.Lease {
-			// Transferred by a peer that saw the new lease before this controller
-			// had the response: the watch brought it too early, and nobody would
-			// serve the shard.
+			// Transferred by a peer that saw the new lease before this controller received its
+			// response. The watch reported the shard before the lease was known as this
+			// controller's; without this, nobody would serve the shard.
 			m.claimed[shard] = m.newestVersions[shard]
 		}
 	}
--- a/internal/membership/late_response_test.go
+++ b/internal/membership/late_response_test.go
@@ -17,7 +17,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// takeoverStore is a state service in which another controller takes the shards over between a
+// takeoverStore is a state service in which another controller takes over the shards between a
 // claim and its response.
 type takeoverStore struct {
 	*testkit.View
@@ -50,12 +50,12 @@
 			return 0, err
 		}
 	}
-	time.Sleep(time.Second) // the watch tells of all that
+	time.Sleep(time.Second) // the watch reports all of these changes
 	return revision, nil
 }
 
-// Guards against a controller that takes itself for the leader for good, as the response to its
-// claim came after the watch had told of the next leader.
+// Guards against a controller that regards itself as the leader for good because the response
+// to its claim arrives after the watch has reported the next leader.
 func TestLateResponseToClaimDoesNotHideNewerLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &takeoverStore{View: &testkit.View{Store: testkit.NewStore()}}
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	clockDriftRate       = 0.002                 // four times the largest drift between two steady clocks
-	timerLatency      = 60 * time.Millisecond // timers fire late
-	renewalsPerTTL  = 5
-	retriesPerTTL   = 20 // after a renewal that the state service refused
-	watchHold       = 20 * time.Second
-	minRemainingToClaim = time.Second // of the lease, below which no shard is claimed
+	clockDriftRate      = 0.002                 // four times the largest relative drift between two monotonic clocks
+	timerLatency        = 60 * time.Millisecond // by which timers may fire late
+	renewalsPerTTL      = 5
+	retriesPerTTL       = 20 // after the state service refused a renewal
+	watchHold           = 20 * time.Second
+	minRemainingToClaim = time.Second // remaining time of the lease below which no shard is claimed
 )
 
-// Alive reports whether a controller's lease has not ended, as far as is known here.
+// Alive reports whether a controller is registered, as far as this controller knows: its lease
+// has not ended.
 func (m *Member) Alive(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -25,8 +26,8 @@
 	return ok
 }
 
-// LeaseRemaining returns how much longer the lease surely holds. It counts from
-// the send of the last renewal that succeeded, less clock drift.
+// LeaseRemaining returns the time for which the lease is certain to hold. It counts from the
+// send of the last renewal that succeeded, less clock drift.
 func (m *Member) LeaseRemaining() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -41,9 +42,9 @@
 	return max(0, safe-time.Since(m.renewalSentAt))
 }
 
-// Run joins, renews the lease, follows the other controllers and claims shards
-// until ctx ends, and returns ctx's error. After a lost lease it joins again as a
-// new incarnation. All it started has ended when it returns.
+// Run joins, renews the lease, watches the other controllers and claims shards until ctx ends,
+// and returns ctx's error. After a lost lease it joins again as a new incarnation. All
+// goroutines that it started have ended when it returns.
 func (m *Member) Run(ctx context.Context) error {
 	watching := make(chan struct{})
 	go func() {
@@ -65,8 +66,8 @@
 	return ctx.Err()
 }
 
-// runIncarnation renews the lease and keeps this controller's share of the shards until
-// the lease is lost or ctx ends.
+// runIncarnation renews the lease and claims and releases shards until the lease is lost or
+// ctx ends.
 func (m *Member) runIncarnation(ctx context.Context) {
 	renewal := time.NewTimer(m.ttl / renewalsPerTTL)
 	defer renewal.Stop()
@@ -93,7 +94,7 @@
 		sent := time.Now()
 		err := m.renew(ctx, lease)
 		if errors.Is(err, statestore.ErrUnavailable) {
-			renewal.Reset(m.ttl / retriesPerTTL) // refused at once, perhaps as one request too many
+			renewal.Reset(m.ttl / retriesPerTTL) // refused at once, perhaps by a rate limit
 		} else {
 			renewal.Reset(m.ttl / renewalsPerTTL)
 		}
@@ -115,7 +116,7 @@
 	return m.store.RenewLease(ctx, lease)
 }
 
-// recordRenewal notes a renewal that was sent then and succeeded.
+// recordRenewal records a successful renewal that was sent at the given time.
 func (m *Member) recordRenewal(ctx context.Context, sent time.Time) {
 	m.mu.Lock()
 	before := m.leaseRemainingLocked()
@@ -128,7 +129,7 @@
 	}
 }
 
-// endIncarnation forgets what was held under a lost lease.
+// endIncarnation clears the state that was held under a lost lease.
 func (m *Member) endIncarnation() {
 	m.mu.Lock()
 	m.lease, m.reservedTokens = 0, nil
--- a/internal/membership/lost_responses_test.go
+++ b/internal/membership/lost_responses_test.go
@@ -15,14 +15,14 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A release is carried out and its response lost; another controller reads it, and claims
-// what was released. Then a transfer of the remaining shards gets no response and is
-// carried out late. The outcome of the one says nothing of the other: every shard has a
-// leader again.
+// A release is applied and its response lost; another controller reads the released shards and
+// claims them. Then a transfer of the remaining shards gets no response and is applied late.
+// The outcome of one transaction must not be taken for the other's: every shard has a leader
+// again.
 func TestReleaseAndTransferWithUnknownOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
-		var hold atomic.Bool // the next transfer is carried out late
+		var hold atomic.Bool // the next transfer is applied late
 		var lost, read atomic.Uint64
 		view := &testkit.View{
 			Store: store, Late: func() bool { return hold.CompareAndSwap(true, false) },
@@ -53,7 +53,7 @@
 		}
 		time.Sleep(4 * time.Second)
 		if lost.Load() == 0 || read.Load() == 0 || hold.Load() {
-			t.Errorf("release carried out as of %d, read by the other controller as of %d, transfer still to come: %v", lost.Load(), read.Load(), hold.Load())
+			t.Errorf("release applied as of %d, read by the other controller as of %d, transfer not sent yet: %v", lost.Load(), read.Load(), hold.Load())
 		}
 		if len(a.LedShards())+len(b.LedShards()) != 4 {
 			t.Errorf("with both outcomes known a leads %v, b %v", a.LedShards(), b.LedShards())
@@ -69,9 +69,9 @@
 	})
 }
 
-// A controller whose attempts to join are carried out while their responses are lost is
-// not unsteady: it takes freed shards first, as the last that joined.
-func TestJoiningWithLostResponsesIsNotUnsteady(t *testing.T) {
+// A controller whose attempts to join are applied while their responses are lost is not
+// unstable: it claims freed shards first, as the last one that joined.
+func TestJoiningWithLostResponsesIsNotUnstable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		left := 4
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,14 +1,13 @@
-// Package membership keeps a controller's lease in the state service, its
-// fencing token and the shards it leads.
+// Package membership maintains a controller's lease in the state service, its fencing token
+// and the shards it leads.
 //
-// An incarnation of a controller holds one lease. Attached to it are the key of
-// its registration and the keys of the shards it leads, so that all of them go
-// when the lease ends. A Member claims free shards up to its share, releases
-// what it has beyond, transfers shards to a peer on request, and follows the
-// records of all controllers. It also draws fencing tokens from the common
-// counter, and reserves some for outages of the state service.
+// An incarnation of a controller holds one lease. The keys of its registration and of the
+// shards it leads are attached to the lease, so that all of them are deleted when it ends. A
+// Member claims free shards up to its share, releases those beyond it, transfers shards to a
+// peer on request, and watches the records of all controllers. It also draws fencing tokens
+// from the common counter, and reserves some for outages of the state service.
 //
-// It does not read or write jobs: whoever does guards each write by the version
+// It does not read or write jobs: code that does makes each write conditional on the version
 // of the shard's key.
 package membership
 
@@ -25,12 +24,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// txnTimeout bounds the transactions on shards: an outcome that stays unknown
-// for longer is settled by writing the keys again.
+// txnTimeout bounds the transactions on shards. If the outcome is unknown by then, it is
+// settled by writing the keys again.
 const txnTimeout = 2 * time.Second
 
-// Store is what membership needs of the state service. Its errors are those of
-// package statestore.
+// Store is the part of the state service's client that membership uses. Its errors are those
+// of package statestore.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, error)
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
@@ -40,49 +39,49 @@
 	Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event))
 }
 
-// Member is this controller among the others. Its methods may be called
-// concurrently, but for those that register callbacks.
+// Member represents this controller among the others. Its methods may be called concurrently,
+// except those that register callbacks.
 type Member struct {
 	store  Store
 	name   string
 	ttl    time.Duration // of the lease
-	shards int           // that there are
-	spread int           // controllers that they are spread over
+	shards int           // total number
+	spread int           // number of controllers that the shards are spread over
 	log    *slog.Logger
-	wake   chan struct{} // has hold look at the shards again
+	wake   chan struct{} // makes runIncarnation check the shards again
 
-	tokenLock        chan struct{} // full while a change of the fencing token is under way: one at a time
-	raiseRefusedAt time.Time     // when the state service last refused one; guarded by raising
+	tokenLock      chan struct{} // holds a value while the fencing token is being changed: one change at a time
+	raiseRefusedAt time.Time     // time of the last change that the state service refused; guarded by tokenLock
 
 	mu                   sync.Mutex
 	lease                uint64    // 0: none
-	renewalSentAt        time.Time // send of the last renewal that succeeded
+	renewalSentAt        time.Time // when the last successful renewal was sent
 	token                uint64
 	reservedTokens       []uint64 // the lowest first
-	highestFirstReserve  uint64   // highest token reserved by a controller that had no other, as far as is known here
-	highestTokenInUse    uint64   // as far as is known here
+	highestFirstReserve  uint64   // highest token known to be reserved by a controller that had no other reserved one
+	highestTokenInUse    uint64   // as far as this controller knows
 	nodes                map[string]nodeRecord
 	leaders              map[int]shardRecord
-	claimed              map[int]uint64 // shards led here, by the version of their keys
-	newestVersions       map[int]uint64 // highest known version of each shard's key; what is older is out of date
-	listed               bool           // the records were listed once
-	joinedToken          uint64         // the fencing token at this incarnation's registration
-	lastAttemptLease       uint64         // of the last attempt to join
-	shortIncarnations    int            // in a row before this one
+	claimed              map[int]uint64 // shards led here, with the versions of their keys
+	newestVersions       map[int]uint64 // older records are out of date
+	listed               bool           // the watch has listed the records at least once
+	joinedToken          uint64         // the fencing token of this incarnation's registration
+	lastAttemptLease     uint64         // lease of the last attempt to join
+	shortIncarnations    int            // consecutive, before this one
 	freedAt              map[int]time.Time
 	leftAt               map[string]time.Time
-	leftUnstable         map[string]bool // whether a controller that left was unsteady
-	pending              map[int]uint64  // shards given up in a transaction of unknown outcome, by the version it replaces
-	transferInFlight     bool            // such a transaction is still under way
+	leftUnstable         map[string]bool // whether a controller that left was unstable
+	pending              map[int]uint64  // shards given up by a transaction of unknown outcome, with the versions that it replaces
+	transferInFlight     bool            // a transfer's outcome is not known yet
 	transfers            transfersRecord
 	reservedAt           time.Time // when a token was last reserved
-	leadershipCallbacks   []func()
+	leadershipCallbacks  []func()
 	onLinkAnnouncement   func(value json.RawMessage)
 	reservationsInFlight sync.WaitGroup
 }
 
-// New returns a member that has not joined yet. ttl is the lease's, shards the
-// number of shards, and spread the number of controllers they are spread over.
+// New returns a member that has not joined yet. ttl is the lease's, shards the number of
+// shards, and spread the number of controllers that the shards are spread over.
 func New(store Store, name string, ttl time.Duration, shards, spread int, log *slog.Logger) *Member {
 	return &Member{
 		store: store, name: name, ttl: ttl, shards: shards, spread: spread, log: log,
@@ -93,19 +92,21 @@
 	}
 }
 
-// OnLeadershipChange registers a callback for changes of what this controller
-// knows of shards, controllers and its lease. It is called without locks held.
-// Call OnOwnershipChange before Run.
-func (m *Member) OnLeadershipChange(f func()) { m.leadershipCallbacks = append(m.leadershipCallbacks, f) }
+// OnLeadershipChange registers a callback for changes in this controller's knowledge of
+// shards, controllers and its lease. It is called without locks held. Call OnLeadershipChange
+// before Run.
+func (m *Member) OnLeadershipChange(f func()) {
+	m.leadershipCallbacks = append(m.leadershipCallbacks, f)
+}
 
-// OnLinkAnnouncement registers the callback for what controllers announce of
-// their links. It is called with the member's lock held and must not call back.
-// Call OnLinkAnnouncement before Run.
+// OnLinkAnnouncement registers the callback for controllers' announcements of their links. It
+// is called with the member's lock held and must not call the member. Call OnLinkAnnouncement
+// before Run.
 func (m *Member) OnLinkAnnouncement(f func(value json.RawMessage)) { m.onLinkAnnouncement = f }
 
-// AnnounceLinks writes what this controller reports of its links to where every
-// controller that reaches the state service reads it. The key goes when the
-// lease ends. Without a lease it is an error.
+// AnnounceLinks writes this controller's report on its links to a key that every controller
+// with access to the state service reads. The key is deleted when the lease ends. Without a
+// lease it returns an error.
 func (m *Member) AnnounceLinks(ctx context.Context, value any) error {
 	lease := m.currentLease()
 	if lease == 0 {
@@ -126,7 +127,7 @@
 	return m.lease
 }
 
-// notifyChange runs the callbacks and wakes hold. No lock may be held.
+// notifyChange runs the callbacks and wakes runIncarnation. The caller must hold no lock.
 func (m *Member) notifyChange() {
 	for _, callback := range m.leadershipCallbacks {
 		callback()
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -30,8 +30,8 @@
 	return done
 }
 
-// Shards whose claim's response is lost are led all the same; once nobody knew of
-// them, and no job went on.
+// Shards are led even if the response to their claim is lost: otherwise nobody knows that they
+// are led, and no job proceeds.
 func TestClaimWithLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var txns atomic.Int32
@@ -48,9 +48,9 @@
 	})
 }
 
-// A new token whose first transactions' responses are lost is tried for again with the next
-// number: a new leader that gave up began its failover anew. A number that may be taken is
-// never used.
+// A new token is drawn again, with the next number, if the responses to its first transactions
+// are lost: a new leader that gave up would restart its failover. A number that may have been
+// drawn is never used.
 func TestNextTokenWithLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var losing atomic.Int32
@@ -60,7 +60,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := run(ctx, m)
 		time.Sleep(3 * time.Second)
-		var given struct{ N uint64 } // the highest token given out, reserved ones included
+		var given struct{ N uint64 } // the highest token drawn, reserved ones included
 		if err := json.Unmarshal([]byte(store.Text("c/term")), &given); err != nil {
 			t.Fatal(err)
 		}
@@ -79,9 +79,9 @@
 	})
 }
 
-// In an outage of the state service every worker that has seen a higher token causes a
-// change of the token with each of its heartbeats: few of them reach the state service, and
-// the first after the outage does.
+// In an outage of the state service every worker that has seen a higher token causes a change
+// of the token with each of its heartbeats. Few of these changes reach the state service, and
+// the first one after the outage does.
 func TestRefusedRaiseIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var requests atomic.Int32
@@ -99,7 +99,7 @@
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
-		if n := requests.Load() - before; n > 60 { // the lease and the watch make some too
+		if n := requests.Load() - before; n > 60 { // the lease and the watch send some too
 			t.Errorf("%d requests in a second of an outage", n)
 		}
 		down.Store(false)
@@ -112,8 +112,8 @@
 	})
 }
 
-// The lease counts from the send of the last renewal that succeeded: a leader that
-// loses the state service stops before another can begin.
+// The lease counts from the send of the last renewal that succeeded: a leader that loses the
+// state service stops before another can start.
 func TestOneLeaderDuringStateStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
@@ -169,9 +169,9 @@
 	})
 }
 
-// In a rolling restart every step moved all shards to a controller that was still
-// to be restarted: three failovers instead of one. A freed shard goes to the one
-// that joined last.
+// A freed shard goes to the controller that joined last. Otherwise each step of a rolling
+// restart moves all shards to a controller that is still to be restarted: three failovers
+// instead of one.
 func TestFreedShardsGoToLastJoined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
@@ -180,7 +180,7 @@
 		dones := map[string]<-chan struct{}{}
 		start := func(name string) {
 			ctx, cancel := context.WithCancel(context.Background())
-			slow := func() bool { time.Sleep(10 * time.Millisecond); return false } // a request takes so long
+			slow := func() bool { time.Sleep(10 * time.Millisecond); return false } // the duration of a request
 			members[name] = member(&testkit.View{Store: store, Down: slow}, name)
 			stops[name], dones[name] = cancel, run(ctx, members[name])
 		}
@@ -197,7 +197,7 @@
 			time.Sleep(time.Second)
 		}
 		moves := 0
-		for range 3 { // the leader first, then whoever leads, as a busiest-first roll does
+		for range 3 { // the leader first, as in a rolling restart that starts with the busiest
 			was := leader()
 			for _, n := range []string{was, "b", "c"} {
 				stops[n]()
@@ -223,9 +223,9 @@
 	})
 }
 
-// A controller that ended every ten seconds took the shards back each time, since it had
-// joined last: 16 failovers. One that ends again and again leaves them to others.
-func TestUnsteadyControllerLeavesShardsToOthers(t *testing.T) {
+// An unstable controller leaves shards to others. Otherwise one that ends every ten seconds
+// takes the shards back each time, since it has joined last: 16 failovers.
+func TestUnstableControllerLeavesShardsToOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		members, stops, dones := map[string]*membership.Member{}, map[string]context.CancelFunc{}, map[string]<-chan struct{}{}
@@ -253,7 +253,7 @@
 		if times > 4 || len(members["a"].LedShards())+len(members["b"].LedShards()) != 4 {
 			t.Errorf("c led shards %d times; a leads %v, b %v", times, members["a"].LedShards(), members["b"].LedShards())
 		}
-		// Where all end again and again, somebody leads them all the same.
+		// If all controllers are unstable, every shard is led nevertheless.
 		for range 5 {
 			for _, name := range []string{"a", "b"} {
 				stops[name]()
@@ -272,8 +272,8 @@
 	})
 }
 
-// releaseDelayer holds back the first release of shards until deliver: its outcome is
-// unknown.
+// releaseDelayer delays the first release of shards until deliverDelayed is called: its
+// outcome is unknown.
 type releaseDelayer struct {
 	*testkit.View
 	delayed atomic.Pointer[wire.Txn]
@@ -289,11 +289,11 @@
 
 func (d *releaseDelayer) deliverDelayed(ctx context.Context) {
 	txn := d.delayed.Load()
-	_, _ = d.View.Txn(ctx, txn.If, txn.Then...) // may find its conditions failed
+	_, _ = d.View.Txn(ctx, txn.If, txn.Then...) // its conditions may fail
 }
 
-// A release whose response is lost, and that is carried out late or never, leaves no
-// shard that nobody serves.
+// A release whose response is lost, and that is applied late or never, leaves no shard without
+// a leader.
 func TestReleaseWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// What controllers write when they join, claim shards, reserve tokens, announce links and
-// transfer shards, as the state service has it.
+// The records that controllers write when they join, claim shards, reserve tokens, announce
+// links and transfer shards.
 func TestRecordedByControllers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -85,7 +85,7 @@
 	})
 }
 
-// checkStored compares all that is stored with want, by key.
+// checkStored compares all stored records with want, by key.
 func checkStored(t *testing.T, store *testkit.Store, want map[string]string) {
 	t.Helper()
 	got := map[string]string{}
--- a/internal/membership/records.go
+++ b/internal/membership/records.go
@@ -11,8 +11,8 @@
 	tokenKey     = "c/term"
 	nodePrefix   = "c/node/"
 	shardPrefix  = "c/shard/"
-	linkPrefix   = "c/link/" // what a controller reports of its links to those that the mesh does not reach
-	transfersKey = "c/moves" // when shards were last transferred
+	linkPrefix   = "c/link/" // a controller's report on its links, for those that the mesh does not reach
+	transfersKey = "c/moves" // times of the last transfers of shards
 )
 
 // nodeRecord is a controller's registration. Its key is attached to the
@@ -20,18 +20,18 @@
 type nodeRecord struct {
 	Lease             uint64 `json:"lease"`
 	Token             uint64 `json:"term"`
-	JoinedMs          int64  `json:"joined,omitempty"` // by the controller's own time of day
-	ShortIncarnations int    `json:"short,omitempty"`  // in a row before this one
+	JoinedMs          int64  `json:"joined,omitempty"` // by the controller's own wall clock
+	ShortIncarnations int    `json:"short,omitempty"`  // consecutive, before this one
 }
 
 const (
-	shortIncarnation = 15 * time.Second
-	unstableThreshold     = 3 // short incarnations in a row from which on a controller leaves shards to others
+	shortIncarnation  = 15 * time.Second
+	unstableThreshold = 3 // consecutive short incarnations after which a controller leaves shards to others
 )
 
 func (r *nodeRecord) stable() bool { return r.ShortIncarnations < unstableThreshold }
 
-// shardRecord says which controller leads a shard. Its key is attached to that
+// shardRecord names the controller that leads a shard. Its key is attached to that
 // controller's lease.
 type shardRecord struct {
 	Node  string `json:"node"`
@@ -39,8 +39,8 @@
 	Lease uint64 `json:"lease"`
 }
 
-// transfersRecord is when shards were transferred, by time of day in ms. It is
-// attached to no lease, so that a successor counts them too.
+// transfersRecord holds the times of transfers of shards, in ms of Unix time. It is attached
+// to no lease, so that a successor counts them too.
 type transfersRecord struct {
 	At []int64 `json:"at"`
 }
--- a/internal/membership/reserved_token.go
+++ b/internal/membership/reserved_token.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	reserveInterval = 5 * time.Second // between two tokens that a controller reserves
-	reserveTimeout  = 2 * time.Second
-	reservedTokenGap    = 4096 // tokens that may be raised before reserved ones are overtaken
-	maxReserved    = 2    // tokens that a controller reserves
+	reserveInterval  = 5 * time.Second // between two reservations by a controller
+	reserveTimeout   = 2 * time.Second
+	reservedTokenGap = 4096 // unreserved tokens that can be drawn before the reserved ones are overtaken
+	maxReserved      = 2    // reserved tokens that a controller holds at most
 )
 
-// tokenRecord is the counter of fencing tokens. Reserved ones are taken from above those
-// that are raised as usual, so that they stay the highest until a failover.
+// tokenRecord is the counter of fencing tokens. Reserved tokens come from a range above the
+// unreserved ones, so that they stay the highest until a failover.
 type tokenRecord struct {
-	Highest             uint64 `json:"n"`               // that was given to any controller, reserved or not
+	Highest             uint64 `json:"n"`               // highest token drawn by any controller, reserved or not
 	HighestUnreserved   uint64 `json:"low,omitempty"`   // 0: none is reserved
 	LowestReserved      uint64 `json:"floor,omitempty"` // 0: none is reserved
-	HighestFirstReserve uint64 `json:"first,omitempty"` // the highest reserved by a controller that had no other
+	HighestFirstReserve uint64 `json:"first,omitempty"` // highest token reserved by a controller that had no other reserved one
 }
 
-// highestInUse is the highest token that was not merely reserved.
+// highestInUse returns the highest token that is not reserved.
 func (r tokenRecord) highestInUse() uint64 {
 	if r.LowestReserved == 0 {
 		return r.Highest
@@ -31,7 +31,8 @@
 	return r.HighestUnreserved
 }
 
-// withTokenAbove gives out a token that is larger than withTokenAbove.
+// withTokenAbove returns the counter after a token larger than above is drawn, below the
+// reserved ones if possible.
 func (r tokenRecord) withTokenAbove(above uint64) tokenRecord {
 	if next := max(r.HighestUnreserved, above) + 1; next < r.LowestReserved {
 		r.HighestUnreserved = next
@@ -40,12 +41,15 @@
 	return r.withHighestToken(above)
 }
 
-// withHighestToken gives out a token that is larger than all that were given out, and than above.
+// withHighestToken returns the counter after a token larger than all drawn before, and than
+// above, is drawn. It ends the reservations.
 func (r tokenRecord) withHighestToken(above uint64) tokenRecord {
 	return tokenRecord{Highest: max(r.Highest, above) + 1}
 }
 
-// withReservedToken gives out a token, Highest, that is larger than all, and leaves room below it.
+// withReservedToken returns the counter after a token, Highest, is reserved. The token is
+// larger than all others, and the first reserved one leaves a gap for unreserved ones below
+// it.
 func (r tokenRecord) withReservedToken() tokenRecord {
 	if r.LowestReserved > 0 {
 		r.Highest++
@@ -55,23 +59,25 @@
 	return tokenRecord{Highest: token, HighestUnreserved: r.Highest, LowestReserved: token}
 }
 
-// withFirstReservedToken is reserved for a controller that has no other.
+// withFirstReservedToken is withReservedToken for a controller that holds no other reserved
+// token.
 func (r tokenRecord) withFirstReservedToken() tokenRecord {
 	next := r.withReservedToken()
 	next.HighestFirstReserve = next.Highest
 	return next
 }
 
-// reserveToken draws a fencing token ahead of time, unless one is reserved here that is
-// higher than every token known to be in use. In an outage of the state service nobody
-// can draw one: when a dispatcher ended then, whose token its workers had seen, no other
-// could respond to them, and their leases ended. The token comes from the one counter,
-// so that it is nobody else's, and is lower than any that a leader draws later to settle
-// what ran before.
+// reserveToken draws a fencing token ahead of time, unless this controller holds a reserved
+// one that is higher than every token known to be in use. In an outage of the state service no
+// token can be drawn: if a dispatcher then ends whose token its workers have seen, no other
+// controller could respond to them, and their leases would end. The token comes from the
+// common counter, so that no other controller uses it, and is lower than any that a leader
+// draws later in its failover.
 //
-// A second one is drawn when another controller's first is above all reserved here: when
-// that one had used it in an outage and ended in its turn, nobody could respond to its
-// workers. So two failovers, one after the other, are covered, by whichever controllers.
+// A second one is drawn when another controller's first one is above all reserved here. If
+// that controller used its token in an outage and ended in turn, nobody could respond to its
+// workers otherwise. So two consecutive failovers are covered, whichever controllers they
+// involve.
 func (m *Member) reserveToken(ctx context.Context) {
 	next, lease := m.nextReservation()
 	if next == nil {
@@ -89,8 +95,8 @@
 	})
 }
 
-// nextReservation drops reserved tokens that are overtaken, and returns how to draw
-// the next one, if one is due, with the lease it is for.
+// nextReservation drops reserved tokens that are overtaken. If a reservation is due, it
+// returns the counter's update and the lease that the token is for.
 func (m *Member) nextReservation() (next counterUpdate, lease uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -112,7 +118,7 @@
 	return next, m.lease
 }
 
-// addReserved keeps a token that was reserved under a lease, if that is still held.
+// addReserved adds a token that was reserved under a lease, if the lease is still held.
 func (m *Member) addReserved(token, lease uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -120,15 +126,16 @@
 		return
 	}
 	if len(m.reservedTokens) == maxReserved {
-		m.reservedTokens = m.reservedTokens[:maxReserved-1] // the highest is not high enough any more
+		m.reservedTokens = m.reservedTokens[:maxReserved-1] // the last one is no longer high enough
 	}
 	m.reservedTokens = append(m.reservedTokens, token)
 }
 
 // ReservedTokenAbove makes the lowest reserved token that is larger than above this
-// controller's fencing token, and returns it; 0: there is none. It is for responding to
-// workers when RaiseTokenAbove fails, and there is none while the lease holds: a token
-// used for one lost response would overtake all that others reserved.
+// controller's fencing token, and returns it; 0 if there is none. A current token that is
+// large enough is returned unchanged. It is for responses to workers when RaiseTokenAbove
+// fails. While the lease holds no reserved token is used: one used after a single lost
+// response would overtake all that others reserved.
 func (m *Member) ReservedTokenAbove(above uint64) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -149,7 +156,8 @@
 	return 0
 }
 
-// observeCounterLocked notes which tokens are in use.
+// observeCounterLocked updates the highest tokens in use and reserved from the counter's
+// record.
 func (m *Member) observeCounterLocked(value json.RawMessage) {
 	var counter tokenRecord
 	if json.Unmarshal(value, &counter) == nil {
--- a/internal/membership/reserved_token_test.go
+++ b/internal/membership/reserved_token_test.go
@@ -17,19 +17,19 @@
 // tokenUser is the incarnation of a controller's process that used a token.
 type tokenUser struct{ controller, incarnation int }
 
-// tokenCluster is controllers that draw, reserve and use fencing tokens.
+// tokenCluster is a set of controllers that draw, reserve and use fencing tokens.
 type tokenCluster struct {
-	t            *testing.T
-	rnd          *rand.Rand
-	view         *testkit.View
-	down, losingResponses  atomic.Bool
-	requests     atomic.Int32 // while responses are lost
-	members      [tokenControllers]*membership.Member
-	stops        [tokenControllers]func()
-	incarnations [tokenControllers]int
-	lastTokens         [tokenControllers]uint64 // token of each process, as last seen
-	users        map[uint64]tokenUser
-	highestUsed      uint64
+	t                     *testing.T
+	rnd                   *rand.Rand
+	view                  *testkit.View
+	down, losingResponses atomic.Bool
+	requests              atomic.Int32 // number of requests while responses are lost
+	members               [tokenControllers]*membership.Member
+	stops                 [tokenControllers]func()
+	incarnations          [tokenControllers]int
+	lastTokens            [tokenControllers]uint64 // token of each process, as last seen
+	users                 map[uint64]tokenUser
+	highestUsed           uint64
 
 	reservedTokensUsed, usedAboveOthers int
 }
@@ -54,7 +54,7 @@
 	c.incarnations[i], c.lastTokens[i] = c.incarnations[i]+1, 0
 }
 
-// recordToken checks and notes a controller's token, and returns it.
+// recordToken checks and records a controller's token, and returns it.
 func (c *tokenCluster) recordToken(i int) uint64 {
 	token := c.members[i].FencingToken()
 	if token == 0 {
@@ -71,7 +71,7 @@
 	return token
 }
 
-// useReserved has a controller use a reserved token above all others' in an outage.
+// useReserved makes a controller use a reserved token above those of all others, in an outage.
 func (c *tokenCluster) useReserved(i int) {
 	if !c.down.Load() {
 		return
@@ -90,7 +90,7 @@
 	}
 }
 
-// step is one draw of a token, or one fault.
+// step draws a token or injects a fault.
 func (c *tokenCluster) step() {
 	i := c.rnd.IntN(tokenControllers)
 	switch c.rnd.IntN(8) {
@@ -99,7 +99,7 @@
 	case 2:
 		before := c.highestUsed
 		if token, err := c.members[i].NextToken(context.Background()); err == nil && token <= before {
-			c.t.Errorf("a new leader's token is %d, when %d was given out", token, before)
+			c.t.Errorf("a new leader's token is %d, although %d was drawn before", token, before)
 		}
 	case 3:
 		c.down.Store(!c.down.Load())
@@ -117,10 +117,10 @@
 	}
 }
 
-// Controllers draw tokens, reserve them and use reserved ones in outages of the state service;
-// processes end and start, leases end, responses are lost. No two use the same token, a
-// controller's tokens only grow, those drawn by a new leader are above all that were given out
-// before, and a reserved token is above those that others raised since, up to a failover.
+// Controllers draw tokens, reserve them and use reserved ones in outages of the state service,
+// while processes end and start, leases end and responses are lost. No two controllers use the
+// same token, a controller's tokens only grow, a new leader's token is above all drawn before,
+// and a reserved token is above those that others have raised since, up to a failover.
 func TestReservedTokensAreUnique(t *testing.T) {
 	reservedUsed, aboveOthers := 0, 0
 	for seed := range uint64(20) {
@@ -141,9 +141,9 @@
 	}
 }
 
-// In an outage any controller takes the place of a leader, ends, and any other takes its
-// place: both have reserved tokens above those of whoever was there before. Once they have
-// them nobody draws more.
+// In an outage any controller succeeds a leader, ends, and any other succeeds it in turn: both
+// have reserved tokens above those of their predecessors. Once they have reserved them, no
+// more tokens are drawn.
 func TestTwoFailoversInStateStoreOutage(t *testing.T) {
 	const controllers = 4
 	for leader := range controllers {
--- a/internal/membership/shards.go
+++ b/internal/membership/shards.go
@@ -6,11 +6,11 @@
 	"sort"
 )
 
-// ShardKey returns the key that says who leads a shard.
+// ShardKey returns the key of the record that names a shard's leader.
 func (m *Member) ShardKey(shard int) string { return shardKey(shard) }
 
-// LedShards returns the shards led under a lease that surely holds, with the
-// versions of their keys; nil while it does not.
+// LedShards returns the shards led under a lease that is certain to hold, with the versions of
+// their keys; nil if the lease may have ended.
 func (m *Member) LedShards() map[int]uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -20,8 +20,7 @@
 	return m.claimedLocked()
 }
 
-// LeadsShard is LedShards for one shard, without allocation: it is called at
-// every grant.
+// LeadsShard is LedShards for one shard, without allocation: it is called for every grant.
 func (m *Member) LeadsShard(shard int) (version uint64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -32,9 +31,8 @@
 	return version, ok
 }
 
-// ClaimedShards returns the shards that this incarnation has claimed and not
-// lost, with the versions of their keys, even while its lease can't be shown to
-// hold.
+// ClaimedShards returns the shards that this incarnation has claimed and not lost, with the
+// versions of their keys, even if its lease may have ended.
 func (m *Member) ClaimedShards() map[int]uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,8 +45,8 @@
 	return claimed
 }
 
-// ShardLeaders returns the names of the controllers known to lead shards, the one
-// with most first.
+// ShardLeaders returns the names of the controllers known to lead shards, in descending order
+// of their number of shards.
 func (m *Member) ShardLeaders() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,9 +67,9 @@
 	return names
 }
 
-// ReadShards reads who leads the shards, for when the watch may be behind: a controller that
-// shards were transferred to led them seconds later than it could. A key that is not there is
-// left to the watch.
+// ReadShards reads the leaders of all shards from the state service, for use when the watch
+// may lag: a controller to which shards are transferred would otherwise lead them seconds
+// later than it could. Deletions of keys are left to the watch.
 func (m *Member) ReadShards(ctx context.Context) {
 	shards := make([]int, m.shards)
 	for shard := range shards {
@@ -80,7 +78,7 @@
 	m.readShards(ctx, shards)
 }
 
-// readShards reads who leads some shards.
+// readShards reads the leaders of some shards.
 func (m *Member) readShards(ctx context.Context, shards []int) {
 	ctx, cancel := context.WithTimeout(ctx, txnTimeout)
 	defer cancel()
@@ -102,7 +100,7 @@
 	}
 }
 
-// shareLocked is how many shards each controller should lead.
+// shareLocked returns the number of shards that each controller should lead.
 func (m *Member) shareLocked() int {
 	controllers := max(1, min(m.spread, len(m.nodes)))
 	return (m.shards + controllers - 1) / controllers
--- a/internal/membership/token.go
+++ b/internal/membership/token.go
@@ -12,12 +12,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// raiseInterval is the time from a refused change of the fencing token to the next. In
-// an outage every heartbeat with a higher token causes one: hundreds a second, where a
+// raiseInterval is the time from a refused change of the fencing token to the next attempt. In
+// an outage every heartbeat with a higher token causes an attempt: hundreds a second if a
 // leader has ended.
 const raiseInterval = 250 * time.Millisecond
 
-// counterUpdate is a step of the counter of fencing tokens.
+// counterUpdate returns the counter of fencing tokens after a token is drawn.
 type counterUpdate func(counter tokenRecord) tokenRecord
 
 // FencingToken returns the token that this controller's responses to workers carry;
@@ -28,9 +28,9 @@
 	return m.token
 }
 
-// RaiseTokenAbove makes the fencing token larger than above, and returns it. A token
-// whose transaction was not surely applied by this incarnation is never used. The
-// error is statestore.ErrUnavailable, without a request, shortly after one was refused.
+// RaiseTokenAbove makes the fencing token larger than above, and returns it. A token is used
+// only if this incarnation's transaction is certain to have been applied. Shortly after a
+// refused change the error is statestore.ErrUnavailable, without a request.
 func (m *Member) RaiseTokenAbove(ctx context.Context, above uint64) (uint64, error) {
 	if err := m.lockToken(ctx); err != nil {
 		return 0, err
@@ -49,8 +49,8 @@
 	return token, err
 }
 
-// NextToken takes and returns a fencing token larger than every one given out before,
-// reserved ones included.
+// NextToken draws and returns a fencing token larger than all drawn before, reserved ones
+// included.
 func (m *Member) NextToken(ctx context.Context) (uint64, error) {
 	if err := m.lockToken(ctx); err != nil {
 		return 0, err
@@ -59,7 +59,7 @@
 	return m.raiseToken(ctx, func(counter tokenRecord) tokenRecord { return counter.withHighestToken(0) }, nil)
 }
 
-// lockToken waits for its turn to change the fencing token, but not beyond ctx.
+// lockToken waits until no other change of the fencing token is in progress, or ctx ends.
 func (m *Member) lockToken(ctx context.Context) error {
 	select {
 	case m.tokenLock <- struct{}{}:
@@ -71,7 +71,8 @@
 
 func (m *Member) unlockToken() { <-m.tokenLock }
 
-// raiseToken draws a token and uses it. It is called between startRaise and endRaise.
+// raiseToken draws a token and makes it this controller's. It is called between lockToken and
+// unlockToken.
 func (m *Member) raiseToken(ctx context.Context, next counterUpdate, extra func(token uint64) wire.Txn) (uint64, error) {
 	counter, err := m.updateCounter(ctx, next, extra)
 	if err != nil {
@@ -84,8 +85,9 @@
 	return m.token, nil
 }
 
-// updateCounter changes the counter of fencing tokens, in one transaction with what with
-// returns for the token that is then in use; with may be nil.
+// updateCounter applies next to the counter of fencing tokens. The same transaction has the
+// conditions and operations that extra returns for the highest token then in use; extra may be
+// nil.
 func (m *Member) updateCounter(ctx context.Context, next counterUpdate, extra func(token uint64) wire.Txn) (tokenRecord, error) {
 	for attempt := 0; ; attempt++ {
 		counter, version, err := m.readCounter(ctx)
@@ -104,8 +106,8 @@
 		}
 		var conflict *statestore.ConflictError
 		conflicted := errors.As(err, &conflict) && conflict.Has(tokenKey)
-		// After an unknown outcome the number may be taken, now or later: the next one
-		// is read anew. A failover that gave up here began again from its start.
+		// After an unknown outcome the token may be drawn, now or later: the counter is read
+		// again and the next token drawn. A failover that gave up here would start over.
 		unknown := errors.Is(err, statestore.ErrUnknown) && ctx.Err() == nil
 		if !conflicted && !unknown {
 			return counter, fmt.Errorf("raise fencing token: %w", err)
--- a/internal/membership/transfer.go
+++ b/internal/membership/transfer.go
@@ -12,11 +12,11 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// maxRecordedTransfers is how many transfers are remembered.
+// maxRecordedTransfers is the number of transfers whose times are recorded.
 const maxRecordedTransfers = 16
 
-// RecentTransfers returns how often shards were transferred, by any controller,
-// within the given time before now.
+// RecentTransfers returns the number of transfers of shards, by any controller, within the
+// given time before now.
 func (m *Member) RecentTransfers(within time.Duration) (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -31,18 +31,18 @@
 
 // transfer is one transaction that moves all shards led here to a peer.
 type transfer struct {
-	shards map[int]uint64 // by the version that it replaces
-	fromLease   uint64         // this controller's lease
-	to     shardRecord
-	record transfersRecord
+	shards    map[int]uint64 // with the versions of their keys, which the transaction replaces
+	fromLease uint64         // this controller's lease
+	to        shardRecord
+	record    transfersRecord
 }
 
-// TransferShards moves all shards led here to another controller, in one
-// transaction that attaches their keys to its lease: nobody waits for a lease to
-// end, and no shard has two leaders. From the call on this controller leads
-// nothing. After an error the shards are reclaimed by writing their keys again,
-// which a late copy of the transaction can't survive. It is an error, and nothing
-// changes, if the other is not known or nothing is led here.
+// TransferShards moves all shards led here to another controller, in one transaction that
+// attaches their keys to its lease: no lease has to expire first, and no shard has two
+// leaders. As soon as it is called, this controller leads no shards. After an error the shards
+// are reclaimed by writing their keys again, so that a late copy of the transaction fails its
+// conditions. If the other controller is not known, or this one leads nothing or its lease may
+// have ended, it returns an error and changes nothing.
 func (m *Member) TransferShards(ctx context.Context, to string) error {
 	started, err := m.startTransfer(to)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// startTransfer stops leading all shards; their outcome is pending.
+// startTransfer stops leading all shards, and marks them as pending.
 func (m *Member) startTransfer(to string) (*transfer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,8 +83,8 @@
 	return started, nil
 }
 
-// endTransfer notes the outcome of a transfer: applied as of a revision, or, with
-// an error, pending until reclaim settles it.
+// endTransfer records the outcome of a transfer: applied as of a revision, or, with an error,
+// pending until reclaim settles it.
 func (m *Member) endTransfer(ended *transfer, revision uint64, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,14 +94,14 @@
 	}
 	for shard, version := range ended.shards {
 		m.newestVersions[shard] = max(m.newestVersions[shard], revision)
-		if m.pending[shard] == version { // else the watch was faster
+		if m.pending[shard] == version { // otherwise the watch has already reported a newer record
 			m.leaders[shard] = ended.to
 			delete(m.pending, shard)
 		}
 	}
 }
 
-// reclaim takes back shards that were given up with an unknown outcome.
+// reclaim reclaims shards that were given up by a transaction of unknown outcome.
 func (m *Member) reclaim(ctx context.Context) {
 	shards, self := m.reclaimable()
 	if len(shards) == 0 {
@@ -113,36 +113,37 @@
 	revision, err := m.store.Txn(ctx, txn.If, txn.Then...)
 	var conflict *statestore.ConflictError
 	if err != nil && !errors.As(err, &conflict) {
-		return // tried again
+		return // the next call tries again
 	}
 	remaining := m.applyReclaimOutcome(shards, self, revision, conflict)
 	if err == nil {
 		m.notifyChange()
 		return
 	}
-	// Who leads them now shows in the watch too, but that may be behind: until then this
-	// controller took itself for the leader, and told everybody so.
+	// The watch reports the present leaders too, but may lag: until then this controller would
+	// regard itself as the leader, and tell all others so.
 	m.readShards(ctx, slices.Collect(maps.Keys(shards)))
 	if remaining {
 		m.wakeUp()
 	}
 }
 
-// reclaimable returns the shards to reclaim, by version, and what to write.
+// reclaimable returns the shards to reclaim, with the versions of their keys, and the record
+// to write.
 func (m *Member) reclaimable() (shards map[int]uint64, self shardRecord) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// While a transfer is under way, this would race with it, and mostly win: the
-	// jobs would stay with a leader that wanted to be rid of them.
+	// During a transfer the reclaim would race with it, and usually win: the jobs would stay
+	// with a leader that is giving them up.
 	if m.leaseRemainingLocked() > minRemainingToClaim && !m.transferInFlight {
 		shards = maps.Clone(m.pending)
 	}
 	return shards, m.selfLocked()
 }
 
-// applyReclaimOutcome notes the outcome of a reclaim: applied as of a revision, or, with a
-// conflict, that those shards were given up for good. It reports whether any
-// shard is still pending.
+// applyReclaimOutcome records the outcome of a reclaim: applied as of a revision, or, with a
+// conflict, that the shards in conflict were given up for good. It reports whether any shard
+// is still pending.
 func (m *Member) applyReclaimOutcome(shards map[int]uint64, self shardRecord, revision uint64, conflict *statestore.ConflictError) (remaining bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -151,15 +152,16 @@
 	}
 	for shard, version := range shards {
 		if conflict != nil && !conflict.Has(shardKey(shard)) {
-			// Given up by another transaction, whose outcome is still unknown: dropped
-			// with the others, it would stay this controller's, and nobody would serve it.
+			// Given up by another transaction, whose outcome is still unknown. If it were dropped
+			// from pending with the others, it could remain this controller's, and nobody would
+			// serve it.
 			continue
 		}
 		delete(m.pending, shard)
 		if conflict == nil {
-			m.applyShardLocked(shard, self, revision) // unless the watch has told of a newer leader meanwhile
+			m.applyShardLocked(shard, self, revision) // ignored if the watch has reported a newer leader meanwhile
 		}
-		// What the watch still brings from before this is out of date.
+		// Records that the watch still reports from before this are out of date.
 		m.newestVersions[shard] = max(m.newestVersions[shard], revision, version+1)
 	}
 	return len(m.pending) > 0
--- a/internal/membership/transfer_test.go
+++ b/internal/membership/transfer_test.go
@@ -16,9 +16,9 @@
 	"github.com/wallrack/wallrack/internal/testkit"
 )
 
-// A controller that looked for shards to reclaim while its transfer was under way won
-// against itself: the jobs stayed two seconds longer with a leader that got no
-// heartbeats. Transfers are counted, also by a controller that joins later.
+// A controller must not reclaim shards while their transfer is in flight: the reclaim usually
+// wins, and the jobs stay two seconds longer with a leader that receives no heartbeats.
+// Transfers are counted, also by a controller that joins later.
 func TestTransferInFlightIsNotReclaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
@@ -49,10 +49,10 @@
 	})
 }
 
-// A peer sees a joining controller's key before that has its own response, and may
-// transfer the shards to it then. The watch brought the joiner shards under a lease that
-// it did not know as its own yet: it led nothing, all others took it for the leader, and
-// nobody served any job again.
+// A peer sees a joining controller's key before the joiner receives its own response, and may
+// transfer the shards to it then. The watch reports to the joiner shards under a lease that it
+// does not know as its own yet. It must lead them nevertheless: otherwise all others regard it
+// as the leader, and nobody serves the jobs.
 func TestTransferToJoiningController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
@@ -69,7 +69,7 @@
 			t.Error(err)
 		}
 		if b.FencingToken() != 0 {
-			t.Error("the joiner had its response already")
+			t.Error("the joiner has received its response already")
 		}
 		time.Sleep(3 * time.Second)
 		if len(a.LedShards()) != 0 || len(b.LedShards()) != 4 {
@@ -81,8 +81,8 @@
 	})
 }
 
-// A transfer that is applied minutes late, when its outcome was long settled, must
-// not move the shards: its guards name the keys as they were.
+// A transfer that is applied minutes late, after its outcome was settled, must not move the
+// shards: its conditions name the earlier versions of the keys.
 func TestLateTransferMovesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
@@ -119,19 +119,19 @@
 	clusterNodes = "abc"
 )
 
-// faultyCluster is three controllers whose connections to the state service fail,
-// lose and delay requests, until calm is set.
+// faultyCluster is three controllers whose connections to the state service fail, lose
+// responses and delay requests, until faultsEnded is set.
 type faultyCluster struct {
-	store   *testkit.Store
-	faultsEnded    atomic.Bool
-	members [clusterSize]*membership.Member
-	stops   [clusterSize]func()
-	down    [clusterSize]*atomic.Bool
-	views   [clusterSize]*testkit.View
-	violation   string // the first state in which a shard had two leaders
+	store       *testkit.Store
+	faultsEnded atomic.Bool
+	members     [clusterSize]*membership.Member
+	stops       [clusterSize]func()
+	down        [clusterSize]*atomic.Bool
+	views       [clusterSize]*testkit.View
+	violation   string // a violation found: a shard with two leaders, or without one in the end
 
-	rndMu sync.Mutex // all members draw
-	rnd     *rand.Rand
+	rndMu sync.Mutex // guards rnd, which all members use
+	rnd   *rand.Rand
 }
 
 func newFaultyCluster(seed uint64) *faultyCluster {
@@ -154,7 +154,7 @@
 	c.down[i] = &atomic.Bool{}
 	c.views[i] = &testkit.View{Store: c.store, Down: c.down[i].Load, Lose: c.drawFault, Late: c.drawFault}
 	if !c.faultsEnded.Load() {
-		// Else both controllers would get an update at the same instant.
+		// Otherwise all controllers would receive an update at the same instant.
 		lag := time.Duration(c.draw(120)) * time.Millisecond
 		c.views[i].Lag = func() time.Duration { return lag }
 	}
@@ -164,7 +164,7 @@
 	c.stops[i] = func() { cancel(); <-done }
 }
 
-// checkLeadersFor notes for a while whether a shard has two leaders.
+// checkLeadersFor checks for the given time that no shard has two leaders.
 func (c *faultyCluster) checkLeadersFor(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		leaders := map[int]int{}
@@ -177,8 +177,8 @@
 	}
 }
 
-// checkSecondLeader notes a second leader of a shard. A transfer may end between one look and
-// the next: two lead a shard only if the first still does.
+// checkSecondLeader records a violation if a shard has a second leader. A transfer may end
+// between the two checks: the shard has two leaders only if the first one still leads it.
 func (c *faultyCluster) checkSecondLeader(shard, leader int, leaders map[int]int) {
 	first, two := leaders[shard]
 	if !two {
@@ -189,7 +189,7 @@
 	}
 }
 
-// endFaults ends all faults, and notes whether every shard is led in the end.
+// endFaults ends all faults, and checks that every shard is led in the end.
 func (c *faultyCluster) endFaults() {
 	c.faultsEnded.Store(true)
 	for i := range clusterSize {
@@ -212,7 +212,7 @@
 // clusterStep is one fault or transfer, and the time after it.
 type clusterStep struct {
 	Action, Member, To int
-	WaitMs         int // ms
+	WaitMs             int // ms
 }
 
 func drawClusterStep(rt *rapid.T) clusterStep {
@@ -238,8 +238,8 @@
 	c.checkLeadersFor(time.Duration(step.WaitMs) * time.Millisecond)
 }
 
-// No two controllers lead a shard at a time, whatever is transferred, crashes, is cut
-// off, lost or late; and in the end somebody leads every one.
+// No two controllers lead a shard at a time, whatever transfers, crashes, partitions, lost
+// responses and delays occur; and in the end every shard is led.
 func TestTransferKeepsOneLeaderPerShard(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawClusterStep), 1, 12).Draw(rt, "steps")
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// applyListing takes a listing of all records.
+// applyListing replaces the known records by a listing of all records.
 func (m *Member) applyListing(items []wire.Item) {
 	m.mu.Lock()
 	known := m.leaders
@@ -18,14 +18,14 @@
 		m.applyRecordLocked(item.Key, item.Value, item.Version)
 		if shard, ok := shardOfKey(item.Key); ok && item.Version < m.newestVersions[shard] {
 			if leader, ok := known[shard]; ok {
-				m.leaders[shard] = leader // the listing is older than what is known
+				m.leaders[shard] = leader // the listing is older than the known record
 			}
 		}
 	}
 	for shard := range m.claimed {
 		if leader, ok := m.leaders[shard]; !ok || leader.Node != m.name {
-			// A listing may be older than the claim: keep what the claim
-			// said, since every write is guarded anyway.
+			// The listing may be older than the claim. Keeping the claim is safe, since every
+			// write is conditional on the key's version.
 			m.leaders[shard] = m.selfLocked()
 		}
 	}
@@ -34,8 +34,8 @@
 	m.notifyChange()
 }
 
-// applyEvents takes changes of records since the listing. Callbacks run only for what
-// may applyEvents who is alive or who leads what.
+// applyEvents applies changes of records since the listing. Callbacks run only for changes
+// that may affect which controllers are alive or which shards they lead.
 func (m *Member) applyEvents(events []wire.Event) {
 	m.mu.Lock()
 	relevant := false
@@ -62,8 +62,8 @@
 	}
 }
 
-// applyRecordLocked takes a record that was written. Records that can't be decoded are
-// left out: a later version may have another form.
+// applyRecordLocked applies a record that was written. Records that can't be decoded are
+// ignored: a later version of the program may have written them in another form.
 func (m *Member) applyRecordLocked(key string, value json.RawMessage, version uint64) {
 	switch {
 	case key == tokenKey:
@@ -92,33 +92,33 @@
 	}
 }
 
-// applyShardLocked takes a shard's record as of a version.
+// applyShardLocked applies a shard's record as of a version.
 func (m *Member) applyShardLocked(shard int, leader shardRecord, version uint64) {
 	if version < m.newestVersions[shard] {
-		// Out of date. A leader whose watch was behind took the update of its own
-		// claim, after it had transferred the shard, for a new claim of its own.
+		// Out of date: a leader whose watch lags would take the update of its own claim, after
+		// it has transferred the shard, for a new claim of its own.
 		return
 	}
 	if replaced, ok := m.pending[shard]; ok {
 		if version <= replaced {
-			return // from before the transaction whose outcome is unknown
+			return // older than the transaction of unknown outcome
 		}
 		delete(m.pending, shard)
 	}
 	m.newestVersions[shard] = version
 	m.leaders[shard] = leader
 	if m.lease != 0 && leader.Lease == m.lease {
-		// A claim whose response was lost: without this, the shard would stay
-		// with a leader that does not know of it.
+		// A claim whose response was lost: without this, the shard's leader would not know that
+		// it leads it.
 		m.claimed[shard] = max(m.claimed[shard], version)
 		return
 	}
 	if claimed, ok := m.claimed[shard]; ok && version > claimed {
-		delete(m.claimed, shard) // another controller wrote it since
+		delete(m.claimed, shard) // another controller has written it since
 	}
 }
 
-// deleteRecordLocked takes the deletion of a record as of a version.
+// deleteRecordLocked applies the deletion of a record as of a version.
 func (m *Member) deleteRecordLocked(key string, version uint64) {
 	if name, ok := strings.CutPrefix(key, nodePrefix); ok {
 		node := m.nodes[name]
@@ -132,11 +132,11 @@
 	}
 }
 
-// deleteShardLocked takes the deletion of a shard's key as of a version.
+// deleteShardLocked applies the deletion of a shard's key as of a version.
 func (m *Member) deleteShardLocked(shard int, version uint64) {
 	if claimed, ok := m.claimed[shard]; ok {
 		if version <= claimed {
-			return // from before the claim
+			return // older than the claim
 		}
 		delete(m.claimed, shard)
 	}
