--- a/internal/batching/sender.go
+++ b/internal/batching/sender.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxBatchItems    = 256 // of a batch, which bounds the size of its message
+	maxBatchItems      = 256 // of a batch, which bounds the size of its message
 	maxBatchesInFlight = 8   // batches on their way to one peer
 	// overlapDelay is how long a batch may be under way before the next one leaves all the
 	// same: over a slow link, one batch a round trip would add that much to every wait.
--- a/internal/membership/transfer.go
+++ b/internal/membership/transfer.go
@@ -69,7 +69,7 @@
 	defer m.mu.Unlock()
 	peer, known := m.nodes[to]
 	if !known || to == m.name || len(m.claimed) == 0 || m.leaseRemainingLocked() <= 0 {
-		return nil, fmt.Errorf("transfer shards to %s: not there, or nothing to transfer", to)
+		return nil, fmt.Errorf("transfer shards to %s: unknown peer, or no shards to transfer", to)
 	}
 	started := &transfer{
 		shards: m.claimed, fromLease: m.lease,
--- a/internal/quota/manager_test.go
+++ b/internal/quota/manager_test.go
@@ -18,7 +18,7 @@
 type slowStore struct {
 	jobrecord.Store
 	writeStarted chan struct{} // gets a value when a write has begun
-	ended   atomic.Int32  // writes and watches that have ended
+	ended        atomic.Int32  // writes and watches that have ended
 }
 
 func (s *slowStore) endAfterDelay(ctx context.Context) {
--- a/internal/quotalease/amount.go
+++ b/internal/quotalease/amount.go
@@ -50,10 +50,14 @@
 }
 
 // Min returns the lesser of each kind.
-func (a Amount) Min(b Amount) Amount { return a.perKind(b, func(x, y int64) int64 { return min(x, y) }) }
+func (a Amount) Min(b Amount) Amount {
+	return a.perKind(b, func(x, y int64) int64 { return min(x, y) })
+}
 
 // Max returns the greater of each kind.
-func (a Amount) Max(b Amount) Amount { return a.perKind(b, func(x, y int64) int64 { return max(x, y) }) }
+func (a Amount) Max(b Amount) Amount {
+	return a.perKind(b, func(x, y int64) int64 { return max(x, y) })
+}
 
 // countedBy returns what of a the limit counts.
 func (a Amount) countedBy(limit Amount) Amount {
--- a/internal/quotalease/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -50,12 +50,12 @@
 	version          uint64 // of known, 0: there is none
 	observedRevision uint64 // as of which known was last observed
 	pending          *Write // sent, and its outcome is unknown
-	rereadNeeded           bool   // known may be older than a write of this leader
+	rereadNeeded     bool   // known may be older than a write of this leader
 
-	withheld map[shardTeam]Amount // of led shards' parts, to be given away once it is free
-	unneeded   map[shardTeam]unneededSince // of led shards' parts, that is not needed
-	idle   map[shardTeam]idleState // of led shards' parts, what is not in use although there is work
-	ceilings map[shardTeam]Amount // see Ceiling
+	withheld map[shardTeam]Amount        // of led shards' parts, to be given away once it is free
+	unneeded map[shardTeam]unneededSince // of led shards' parts, that is not needed
+	idle     map[shardTeam]idleState     // of led shards' parts, what is not in use although there is work
+	ceilings map[shardTeam]Amount        // see Ceiling
 }
 
 // New returns the borrower of a record, which holds the parts of teams with these limits for so
--- a/internal/quotalease/give.go
+++ b/internal/quotalease/give.go
@@ -9,8 +9,8 @@
 	// accumulationPeriod is for how long a part that is too little for any task is kept all the
 	// same: what others can spare comes in pieces. It is kept in the first of gatherPeriods
 	// such periods, and given to the shard whose turn it is in the rest of them.
-	accumulationPeriod  = 5 * time.Second
-	accumulationCycle = 4
+	accumulationPeriod = 5 * time.Second
+	accumulationCycle  = 4
 	// turnDuration is how long the same one of the shards that want more is served first. Shorter,
 	// and clocks that differ by a second would have leaders serve different ones.
 	turnDuration = 2 * time.Second
--- a/internal/quotalease/idling.go
+++ b/internal/quotalease/idling.go
@@ -8,11 +8,11 @@
 
 // idleState is since when a part has stood with that use.
 type idleState struct {
-	use, part       Amount
-	since, checkedAt time.Time     // of that use and part; of the last look
-	grownAt         time.Time     // when the part last grew
-	accumulatingSince  time.Time     // since when it is too little for any task; zero: it is not
-	unusedFor          time.Duration // with room for one more task, since the last start
+	use, part         Amount
+	since, checkedAt  time.Time     // of that use and part; of the last look
+	grownAt           time.Time     // when the part last grew
+	accumulatingSince time.Time     // since when it is too little for any task; zero: it is not
+	unusedFor         time.Duration // with room for one more task, since the last start
 }
 
 // stalled reports whether nothing started for long although there was room for it.
--- a/internal/quotalease/liveness_test.go
+++ b/internal/quotalease/liveness_test.go
@@ -10,7 +10,7 @@
 	growRounds      = 8 // two seconds
 	bothStartRounds = 60
 	fillRounds      = 240
-	maxTaskRounds         = 6 // rounds that a task of theirs runs
+	maxTaskRounds   = 6 // rounds that a task of theirs runs
 )
 
 func (w *model) checkPartGrowsToLimit(team string, shard int) {
--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -27,7 +27,7 @@
 	shard int
 	team  string
 	size  quotalease.Amount
-	ended  bool // it ended; its leader may not know yet
+	ended bool // it ended; its leader may not know yet
 }
 
 // inFlightWrite is a copy of a write that is under way.
@@ -79,18 +79,18 @@
 
 // model is the state service, the controllers and what runs.
 type model struct {
-	t           *rapid.T
-	now         time.Time
-	revision    uint64
-	keys        map[int]uint64 // versions of the shards' keys, none: free
-	leaderOf    map[int]*controller
-	history     []recordSnapshot
-	controllers []*controller
-	inFlight    []inFlightWrite
-	tasks       []*task
-	withinLimits     bool // the parts were within the limits once: they stay so
-
-	startWaiting   func() // starts what waits, as soon as a leader knows that a task ended
+	t            *rapid.T
+	now          time.Time
+	revision     uint64
+	keys         map[int]uint64 // versions of the shards' keys, none: free
+	leaderOf     map[int]*controller
+	history      []recordSnapshot
+	controllers  []*controller
+	inFlight     []inFlightWrite
+	tasks        []*task
+	withinLimits bool // the parts were within the limits once: they stay so
+
+	startWaiting     func() // starts what waits, as soon as a leader knows that a task ended
 	unleasedRevision uint64 // revision up to which leaders that don't lease limits started tasks
 }
 
@@ -293,7 +293,9 @@
 	return out
 }
 
-func (w *model) observe(c *controller, p recordSnapshot) { c.borrower.Observe(p.record, p.version, p.revision) }
+func (w *model) observe(c *controller, p recordSnapshot) {
+	c.borrower.Observe(p.record, p.version, p.revision)
+}
 
 // maxUse is what runs of a team in a shard, or would if its leader started at once all that
 // it may.
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -18,7 +18,7 @@
 // unneededSince is the least that was not needed of a part since a time.
 type unneededSince struct {
 	minimum Amount
-	since time.Time
+	since   time.Time
 }
 
 func sortedKeys(m map[string]Amount) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// controllerShare is the part of the service's limits that one controller may use:
-	// the leader needs most of it, and the others hardly any.
+	// controllerShare is the fraction of the service's limits that one controller may use: the
+	// leader needs most of it, and the others hardly any.
 	controllerShare = 0.6
-	// bulkShare is the part of the writes' budget that bulk may use, so that
-	// acceptances, cancels and provisioning never queue behind it.
+	// bulkShare is the fraction of a controller's writes that bulk writes may use, so that
+	// acceptances, cancels and provisioning never queue behind them.
 	bulkShare = 0.7
-	// lookupShare is the part of the service's requests for one controller's lookups.
+	// lookupShare is the fraction of the service's requests that one controller's lookups may
+	// use.
 	lookupShare = 0.2
 
-	minRateFraction    = 0.05                   // of a class's full rate that is always left to it
-	rateCutInterval  = 250 * time.Millisecond // between two cuts
-	recoveryPerSecond       = 0.1                    // of the full rate, in a second without a refusal
-	lookupRecoveryPerSecond = 0.05                   // the same of lookups: each time they are too many, a submission may be refused
+	minRateFraction         = 0.05                   // fraction of its full rate below which no class is cut
+	rateCutInterval         = 250 * time.Millisecond // between two cuts
+	recoveryPerSecond       = 0.1                    // fraction of the full rate regained in a second without a refusal
+	lookupRecoveryPerSecond = 0.05                   // the same for lookups: each time they exceed the limit, a submission may be refused
 )
 
-// requestClass is a part of the budget that is cut by itself, in the order in which classes give
-// way.
+// requestClass is a part of the budget whose rate is cut separately. Classes are cut in this
+// order.
 type requestClass int
 
 const (
@@ -47,30 +48,30 @@
 
 func (l *limiter) setFraction(part float64) { l.SetLimit(l.fullRate * rate.Limit(part)) }
 
-// budget keeps a controller's requests within its part of the service's limits, and
-// gives way when the service refuses: controllers don't know what the others use.
-// Lookups give way first, then bulk, then ordinary requests; leases never do.
+// budget keeps a controller's requests within its part of the service's limits, and cuts its
+// rates when the service refuses a request: controllers don't know how much the others use.
+// Lookups are cut first, then bulk, then ordinary requests; lease requests never are.
 type budget struct {
 	requests, lookups, writes, bulk limiter
 
 	mu        sync.Mutex
-	fractions     [requestClassCount]float64 // of the full rates
-	cutAt     time.Time               // last
-	changedAt time.Time               // last cut or regain
+	fractions [requestClassCount]float64 // of the full rates
+	cutAt     time.Time                  // time of the last cut
+	changedAt time.Time                  // time of the last cut or recovery
 }
 
 func newBudget(rps, writeRPS float64, maxOps int) *budget {
 	return &budget{
-		requests: newLimiter(rps*controllerShare, max(1, int(rps*controllerShare))),
-		lookups:  newLimiter(rps*lookupShare, max(2, int(rps*lookupShare/2))),
-		writes:   newLimiter(writeRPS*controllerShare, max(maxOps, int(writeRPS*controllerShare))),
-		bulk:     newLimiter(writeRPS*controllerShare*bulkShare, maxOps),
-		fractions:    [requestClassCount]float64{1, 1, 1},
+		requests:  newLimiter(rps*controllerShare, max(1, int(rps*controllerShare))),
+		lookups:   newLimiter(rps*lookupShare, max(2, int(rps*lookupShare/2))),
+		writes:    newLimiter(writeRPS*controllerShare, max(maxOps, int(writeRPS*controllerShare))),
+		bulk:      newLimiter(writeRPS*controllerShare*bulkShare, maxOps),
+		fractions: [requestClassCount]float64{1, 1, 1},
 	}
 }
 
-// wait waits for a request's turn, which an urgent one need not. If ctx ends before, it
-// returns ErrBusy.
+// wait waits until the budget allows a request; an urgent one is only counted. If ctx ends
+// first, it returns ErrBusy.
 func (b *budget) wait(ctx context.Context, priority PriorityClass) error {
 	b.recoverRate()
 	if priority == Urgent {
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// waitWrites waits for the turn of so many changes, as wait does.
+// waitWrites waits until the budget allows so many changes, as wait does.
 func (b *budget) waitWrites(ctx context.Context, priority PriorityClass, changes int) error {
 	changes = min(max(1, changes), b.writes.Burst())
 	if priority == Urgent {
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// admit waits for the turn of a request for a peer, and reports whether it came.
+// admit waits until the budget allows a request for a peer, and reports whether it did.
 func (b *budget) admit(ctx context.Context, request *RelayedRequest) bool {
 	if b.wait(ctx, request.Priority) != nil {
 		return false
@@ -109,7 +110,8 @@
 	return request.Writes <= 0 || b.waitWrites(ctx, request.Priority, request.Writes) == nil
 }
 
-// cutRate cuts a class: the service has just refused a request as one too many.
+// cutRate cuts the rate of the first class that is not at its minimum, after the service has
+// refused a request over its limits.
 func (b *budget) cutRate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,7 +129,7 @@
 	b.applyFractionsLocked()
 }
 
-// recoverRate gives back what was cut, the last cut first.
+// recoverRate raises rates that were cut, those of the class that is cut last first.
 func (b *budget) recoverRate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/statestore/budget_test.go
+++ b/internal/statestore/budget_test.go
@@ -16,8 +16,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// rateLimitedService is a state service that refuses what is above its limits, as the protocol
-// has it.
+// rateLimitedService is a state service that refuses requests above its limits, as the
+// protocol specifies.
 type rateLimitedService struct {
 	reqs, writes *rate.Limiter
 	refused      atomic.Int64
@@ -32,11 +32,11 @@
 	return response(http.StatusOK, `{"path":"`+strings.TrimPrefix(r.URL.Path, "/store/")+`","stamp":1,"ledger":1,"permit":1}`), nil
 }
 
-// In incident d184 the leader ended while 800 users polled for tiny jobs. Every poll went
-// to the state service, which refused 103,000 requests in ten minutes, lease renewals and
-// joinings among them: nobody could lead the shards again, and all jobs were forgotten.
-// However many polls there are, leases hold, what joins gets through, and submissions are
-// taken.
+// Without a leader every poll of every user goes to the state service. In incident d184, 800
+// users polled for tiny jobs when the leader ended: the service refused 103,000 requests in
+// ten minutes, among them lease renewals and joins, so that no controller could lead the
+// shards again and all jobs were lost. However many polls there are, leases must hold,
+// controllers must be able to join, and submissions must be accepted.
 func TestLeasesHoldDuringPollStorm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
@@ -47,7 +47,7 @@
 		for range 5 {
 			c := New("x", rps, writes, 24)
 			c.http.Transport = service
-			for range 60 { // users, each with a request at a time
+			for range 60 { // users, each with one request in flight
 				load.wg.Go(func() { load.poll(ctx, c) })
 			}
 			load.wg.Go(func() { load.renew(ctx, c) })
@@ -58,7 +58,7 @@
 			t.Errorf("%v without a successful renewal", d)
 		}
 		if a, r := load.accepted.Load(), load.refused.Load(); r > a/10 {
-			t.Errorf("%d submissions taken, %d not", a, r)
+			t.Errorf("%d submissions accepted, %d not", a, r)
 		}
 		if n := load.lookedUp.Load(); n < 90*rps/10 {
 			t.Errorf("only %d polls had a response", n)
@@ -66,7 +66,8 @@
 	})
 }
 
-// pollStorm is what controllers request of a state service, each until ctx ends.
+// pollStorm makes controllers' requests to a state service, each kind until ctx ends, and
+// counts the results.
 type pollStorm struct {
 	wg                          sync.WaitGroup
 	lookedUp, accepted, refused atomic.Int64
@@ -113,8 +114,8 @@
 	}
 }
 
-// A service that refuses for a while must not leave a controller slow for ever, and
-// what was refused is told apart from what may have been executed.
+// After a service has refused requests for a while, a controller regains its full rates.
+// Refused requests are distinguished from those that may have been executed.
 func TestBudgetRegainsAfterRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBudget(80, 30, 24)
@@ -124,7 +125,7 @@
 		}
 		for class, part := range b.fractions {
 			if part > minRateFraction*1.3 || part <= 0 {
-				t.Errorf("class %d keeps %v", class, part)
+				t.Errorf("class %d is cut to %v", class, part)
 			}
 		}
 		for range 400 {
@@ -138,6 +139,6 @@
 	c := New("x", 80, 30, 24)
 	c.http.Transport = &rateLimitedService{reqs: rate.NewLimiter(0, 0), writes: rate.NewLimiter(0, 0)}
 	if _, err := c.Get(t.Context(), "k"); !errors.Is(err, ErrBusy) || !errors.Is(err, ErrUnavailable) || !strings.Contains(err.Error(), "too many") {
-		t.Errorf("refused as one too many: %v", err)
+		t.Errorf("refused for exceeding a limit: %v", err)
 	}
 }
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -1,14 +1,14 @@
 // Package statestore is the client of the state service: keys, transactions, leases and
 // watches.
 //
-// It keeps a controller's requests within its part of the service's budgets, leases
-// first, and tells apart the three ways in which a request can fail: refused by a
-// condition, not executed (ErrUnavailable), and unknown (ErrUnknown). A response that is
-// not one to the request made is an error. When this controller alone does not reach the
-// service, requests go by a peer.
+// It keeps a controller's requests within its part of the service's budgets, leases first, and
+// distinguishes three kinds of failed requests: those whose conditions failed, those that were
+// not executed (ErrUnavailable), and those of unknown outcome (ErrUnknown). A response that
+// does not match its request is an error. If only this controller can't reach the service, a
+// peer relays its requests.
 //
-// It repeats no request that may have been executed and is not repeatable, and caches
-// nothing.
+// It repeats no request that may have been executed, unless the request is idempotent, and
+// caches nothing.
 package statestore
 
 import (
@@ -32,7 +32,7 @@
 	http        *http.Client
 	budget      *budget
 	start       time.Time
-	lastSuccess atomic.Int64 // ns since start, of the last response that was no refusal; 0: none
+	lastSuccess atomic.Int64 // time of the last response that was not a refusal, in ns since start; 0: none
 	route       route
 	timeout     responseTimeout
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// SinceLastSuccess returns how long ago the service last executed a request that went to
+// SinceLastSuccess returns the time since the service last executed a request that was sent to
 // it directly; an hour if it never did.
 func (c *Client) SinceLastSuccess() time.Duration {
 	at := c.lastSuccess.Load()
@@ -59,16 +59,16 @@
 	return time.Since(c.start) - time.Duration(at)
 }
 
-// call is one request and where its response goes.
+// call is one request and the destination of its response.
 type call struct {
 	method, path string
 	writes       int // puts and deletes in it
 	body         any // nil: none
-	out          any // nil: the response's body does not matter
+	out          any // the response's body is ignored
 }
 
-// do makes a call, directly or by a peer, and returns the response's status. Statuses
-// that mean the same for every call are errors.
+// do sends a call, directly or through a peer, and returns the response's status. Statuses
+// that mean the same for every call are returned as errors.
 func (c *Client) do(ctx context.Context, outgoing call) (status int, err error) {
 	request := RelayedRequest{Method: outgoing.method, Path: outgoing.path, Writes: outgoing.writes, Priority: priorityOf(ctx)}
 	if outgoing.body != nil {
@@ -85,7 +85,8 @@
 	return status, outgoing.decode(status, data)
 }
 
-// decode reads a response into out.
+// decode reads a response's body into out, and returns errors for statuses that mean the same
+// for every call.
 func (c *call) decode(status int, data []byte) error {
 	switch status {
 	case http.StatusTooManyRequests:
@@ -105,7 +106,7 @@
 		return nil
 	}
 	var problem wire.Problem
-	_ = json.Unmarshal(data, &problem) // the status alone decides when the body says nothing
+	_ = json.Unmarshal(data, &problem) // without a valid body the status alone decides
 	if problem.Error == ErrNoLease.Error() {
 		return ErrNoLease
 	}
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -11,15 +11,15 @@
 	ErrNotFound = errors.New("not found")
 	// ErrUnavailable means that the request was not executed.
 	ErrUnavailable = errors.New("state service unavailable")
-	// ErrBusy is ErrUnavailable because the budget is used up, here or at the
-	// service: more requests would only make it worse.
+	// ErrBusy is an ErrUnavailable because the budget is used up, here or at the service: more
+	// requests would only make it worse.
 	ErrBusy = fmt.Errorf("%w: too many requests", ErrUnavailable)
 	// ErrUnknown means that the request may have been executed, or may be later.
 	ErrUnknown = errors.New("no answer from the state service")
-	// ErrNoLease means that a write named a lease that has ended. Its text is the
-	// state service's.
+	// ErrNoLease means that a write was to be attached to a lease that has ended. Its text is
+	// the state service's.
 	ErrNoLease = errors.New("no such lease")
-	// ErrCompacted means that a watch fell too far behind: the keys are to be listed
+	// ErrCompacted means that a watch has fallen too far behind: the keys have to be listed
 	// again.
 	ErrCompacted = errors.New("watch too old")
 )
@@ -31,11 +31,10 @@
 
 func (c *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", c.Keys) }
 
-// Has reports whether key is among those that failed.
+// Has reports whether the condition on key failed.
 func (c *ConflictError) Has(key string) bool { return slices.Contains(c.Keys, key) }
 
-// StatusError is a response with a status that the protocol does not have for the
-// request.
+// StatusError is a response with a status that the protocol does not define for the request.
 type StatusError struct {
 	Status int
 	Err    error // ErrUnavailable or ErrUnknown: whether the request may have been executed
@@ -43,7 +42,7 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("%v: status %d", e.Err, e.Status) }
 
-// Unwrap returns whether the request may have been executed.
+// Unwrap returns Err.
 func (e *StatusError) Unwrap() error { return e.Err }
 
 // BadRequestError is a request that the service found invalid; it was not executed, and
--- a/internal/statestore/export_test.go
+++ b/internal/statestore/export_test.go
@@ -2,5 +2,5 @@
 
 import "net/http"
 
-// SetTransport has requests answered by a store of a test, without a connection.
+// SetTransport makes a test's store respond to requests, without a connection.
 func (c *Client) SetTransport(t http.RoundTripper) { c.http.Transport = t }
--- a/internal/statestore/lease.go
+++ b/internal/statestore/lease.go
@@ -9,7 +9,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// GrantLease opens a lease. Calls for leases count in the budget, and do not wait for it.
+// GrantLease opens a lease. Requests for leases count towards the budget, but do not wait for
+// it.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	c.budget.requests.Allow()
 	var response wire.LeaseResponse
@@ -26,12 +27,12 @@
 	return response.Lease, nil
 }
 
-// RenewLease renews a lease. If it has ended the error is ErrNotFound.
+// RenewLease renews a lease. If the lease has ended, the error is ErrNotFound.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	return c.callLease(ctx, http.MethodPost, "/grants/"+strconv.FormatUint(lease, 10)+"/touch")
 }
 
-// RevokeLease ends a lease. If it has ended already the error is ErrNotFound.
+// RevokeLease ends a lease. If the lease has ended already, the error is ErrNotFound.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	return c.callLease(ctx, http.MethodDelete, "/grants/"+strconv.FormatUint(lease, 10))
 }
--- a/internal/statestore/lost_response_test.go
+++ b/internal/statestore/lost_response_test.go
@@ -31,8 +31,8 @@
 	return statestore.New(strings.TrimPrefix(srv.URL, "http://"), 1000, 1000, 24)
 }
 
-// A transaction whose response is lost is over soon, however long its caller could wait: a
-// leader repeats it, and did nothing for two seconds before each repeat.
+// A transaction whose response is lost times out soon, however long its caller could wait: a
+// leader repeats it, and would otherwise do nothing for two seconds before each repeat.
 func TestLostResponseTimesOutSoon(t *testing.T) {
 	t.Parallel()
 	c := slowService(t, func(n int32) time.Duration {
@@ -55,8 +55,8 @@
 	}
 }
 
-// A service that responds slowly, but responds, is waited for after a few tries, and then at
-// least every other time.
+// Responses of a slow service are waited for after a few timeouts, and then at least every
+// other time.
 func TestSlowResponsesAreWaitedFor(t *testing.T) {
 	t.Parallel()
 	const slow = time.Second
--- a/internal/statestore/pacing.go
+++ b/internal/statestore/pacing.go
@@ -7,21 +7,22 @@
 	"golang.org/x/time/rate"
 )
 
-// Pacing bounds how often a watch gets responses while changes come fast. Without it, each
-// change that comes by itself is a request of every controller that watches. Changes that
-// come during a pause are in one response.
+// Pacing limits how often a watch gets responses while changes are frequent. Without it, each
+// single change costs a request of every controller that watches. Changes made during a pause
+// are in one response.
 type Pacing struct {
-	// Burst is how many responses, after a time without any, are followed by no pause.
+	// Burst is the number of responses that, after a time without any, are followed by no
+	// pause.
 	Burst int
-	// Pause returns the time in which one more response without a pause is earned, and so
-	// the longest pause. It is called at each response.
+	// Pause returns the time in which one more response without a pause is earned, which is
+	// also the longest pause. It is called for each response.
 	Pause func() time.Duration
 }
 
 type pacingKey struct{}
 
-// WithPacing limits the rate of the watches that are opened with ctx. Others are opened
-// again at once.
+// WithPacing limits the rate of the watches that are started with ctx. Others send their next
+// request at once.
 func WithPacing(ctx context.Context, pacing Pacing) context.Context {
 	return context.WithValue(ctx, pacingKey{}, pacing)
 }
@@ -32,7 +33,7 @@
 	responses *rate.Limiter
 }
 
-// NewPacer returns a pacer for a watch that is opened with ctx.
+// NewPacer returns a pacer for a watch that is started with ctx.
 func NewPacer(ctx context.Context) *Pacer {
 	pacing, ok := ctx.Value(pacingKey{}).(Pacing)
 	if !ok {
@@ -41,7 +42,7 @@
 	return &Pacer{pause: pacing.Pause, responses: rate.NewLimiter(rate.Every(pacing.Pause()), pacing.Burst)}
 }
 
-// Wait is called after each response. It returns when the watch may be opened again, or
+// Wait is called after each response. It returns when the watch may send its next request, or
 // when ctx ends.
 func (p *Pacer) Wait(ctx context.Context) {
 	if p.pause == nil {
--- a/internal/statestore/pacing_test.go
+++ b/internal/statestore/pacing_test.go
@@ -36,7 +36,8 @@
 	s.updated = make(chan struct{})
 }
 
-// changesAfter returns the response with the changes changesAfter a revision, if there are any.
+// changesAfter returns the response with the changes after a revision; if there are none, it
+// returns a channel that is closed at the next change.
 func (s *changingStore) changesAfter(revision int) (response string, updated chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,13 +74,13 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(response)), Request: r}, nil
 }
 
-// watchReport is when a watch watchReport each change, in the order of their revisions.
+// watchReport records when a watch reported each change, in the order of their revisions.
 type watchReport struct {
 	at  []time.Time
 	err error
 }
 
-// watchChanges watches a store, with pacing, while changes come with the gaps before them.
+// watchChanges watches a store, with pacing, while a change is made after each of the gaps.
 func watchChanges(pacing statestore.Pacing, gaps []time.Duration) (*changingStore, *watchReport) {
 	store := newChangingStore()
 	client := statestore.New("state", 1e6, 1e6, 48)
@@ -109,9 +110,9 @@
 	return store, seen
 }
 
-// However changes come, a paced watch reports each once and in order, late by a pause at
-// most and by nothing after a time without any (in which the whole burst is earned again),
-// and is opened no oftener than its pacing allows.
+// A paced watch reports each change once and in order, at most one pause late, and without
+// delay after a time without changes, in which the whole burst is earned again. It sends
+// requests no more often than its pacing allows.
 func TestPacedWatchReportsEachChangeInTime(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		pause := time.Duration(rapid.IntRange(1, 100).Draw(rt, "pause")) * time.Millisecond
@@ -147,7 +148,7 @@
 	})
 }
 
-// A controller that ends does not wait for the end of a pause.
+// A watch whose context ends does not wait for the end of a pause.
 func TestPacedWatchEndsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, client := newChangingStore(), statestore.New("state", 1e6, 1e6, 48)
--- a/internal/statestore/priority.go
+++ b/internal/statestore/priority.go
@@ -8,18 +8,18 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// PriorityClass says what a request is for, and so what it may cost others. The values
-// are those in messages between controllers.
+// PriorityClass determines how a request shares the budget with others. The values are those
+// in messages between controllers.
 type PriorityClass int
 
 const (
 	// Ordinary requests share a controller's part of the budget.
 	Ordinary PriorityClass = iota
-	// Urgent ones never wait: leases, fencing tokens, who leads what, and failovers.
+	// Urgent requests never wait: leases, fencing tokens, leaders of shards, and failovers.
 	Urgent
-	// Lookup is for reads that answer a user whose job's leader can't be queried.
-	// They are the first to give way: without a leader every poll of every user
-	// comes to this, and so many would keep every controller from joining.
+	// Lookup is for reads on behalf of a user whose job's leader can't be queried. They are
+	// limited first: without a leader every poll of every user causes one, and so many would
+	// keep every controller from joining.
 	Lookup
 )
 
@@ -38,7 +38,7 @@
 
 type priorityKey struct{}
 
-// WithPriority gives the requests made with ctx a priority; those without are Ordinary.
+// WithPriority sets the priority of the requests made with ctx; others are Ordinary.
 func WithPriority(ctx context.Context, priority PriorityClass) context.Context {
 	return context.WithValue(ctx, priorityKey{}, priority)
 }
--- a/internal/statestore/read.go
+++ b/internal/statestore/read.go
@@ -13,7 +13,7 @@
 
 const listLimit = 1000 // keys in a page of a listing
 
-// Get reads a key. Without it the error is ErrNotFound.
+// Get reads a key. If the key does not exist, the error is ErrNotFound.
 func (c *Client) Get(ctx context.Context, key string) (wire.Item, error) {
 	var item wire.Item
 	if err := c.budget.wait(ctx, priorityOf(ctx)); err != nil {
@@ -33,8 +33,8 @@
 	return item, nil
 }
 
-// List reads every key with the prefix, in order, and returns with them the revision
-// from which on a Follow misses no change. Changes between its pages may show.
+// List reads every key with the prefix, in order, and returns with them a revision after which
+// Follow misses no change. Changes made while it reads may be included.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.Item, uint64, error) {
 	var all []wire.Item
 	var revision uint64
@@ -55,8 +55,8 @@
 	}
 }
 
-// Page reads at most limit keys with the prefix, in order, beyond after, and reports
-// whether there are more.
+// Page reads at most limit keys with the prefix, in order, that come after the key after, and
+// reports whether there are more.
 func (c *Client) Page(ctx context.Context, prefix, after string, limit int) ([]wire.Item, bool, error) {
 	page, err := c.page(ctx, prefix, after, limit)
 	return page.Items, page.More, err
@@ -84,9 +84,9 @@
 	return page, nil
 }
 
-// checkPage returns an error for a response that is not one to a request for the keys
-// with a prefix beyond after. A page of another request, or one that leaves out what it
-// says there is, would be taken for all that is stored: a new leader would forget jobs.
+// checkPage returns an error if a response does not match a request for the keys with a prefix
+// after a key. A page of another request, or one that omits keys, would be taken for all that
+// is stored: a new leader would lose jobs.
 func checkPage(page *wire.Items, prefix, after string) error {
 	for _, item := range page.Items {
 		if !strings.HasPrefix(item.Key, prefix) || item.Key <= after || item.Version == 0 {
--- a/internal/statestore/recorded_test.go
+++ b/internal/statestore/recorded_test.go
@@ -15,7 +15,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Controllers of different versions pass requests on for each other, so the messages' form
+// Controllers of different versions relay requests for each other, so the form of the messages
 // must not change.
 func TestRecordedForms(t *testing.T) {
 	recorded.Check(t, "passed", statestore.RelayedRequest{
@@ -33,14 +33,14 @@
 	}
 }
 
-// The state service's text for a write that named a lease that has ended.
+// The state service's text for a write with a lease that has ended.
 func TestRecordedProblem(t *testing.T) {
 	if text := statestore.ErrNoLease.Error(); text != "no such lease" {
 		t.Errorf("%q", text)
 	}
 }
 
-// The requests that the client makes, as the state service gets them.
+// The requests that the client sends, as the state service receives them.
 func TestRecordedRequests(t *testing.T) {
 	var requests []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/statestore/relay.go
+++ b/internal/statestore/relay.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	maxRelayedResponse  = 3 << 20  // bytes of a response that a peer passes back
-	maxResponse = 32 << 20 // bytes that are read of a response
+	maxRelayedResponse = 3 << 20  // limit of a response that a peer passes back, in bytes
+	maxResponse        = 32 << 20 // limit of a response, in bytes
 )
 
-// RelayedRequest is a request to the state service that a peer passes on, within its own
-// budget, and never further.
+// RelayedRequest is a request to the state service that a peer sends for this controller,
+// within the peer's budget. It is never relayed further.
 type RelayedRequest struct {
 	Method   string        `json:"method"`
 	Path     string        `json:"path"`
@@ -26,24 +26,24 @@
 	Priority PriorityClass `json:"lane,omitempty"`
 }
 
-// RelayedResponse is the service's response to it.
+// RelayedResponse is the service's response to a RelayedRequest.
 type RelayedResponse struct {
 	Status int    `json:"status"`
 	Body   []byte `json:"body,omitempty"`
 }
 
-// Relay carries requests by way of a peer that reaches the state service.
+// Relay sends requests through a peer that reaches the state service.
 type Relay interface {
 	// Ready reports whether there is such a peer.
 	Ready() bool
-	// Forward has a request made. With an error it is not known whether it was, unless
-	// that is ErrUnavailable.
+	// Forward has a peer send a request. After an error the request may have been executed,
+	// unless the error is ErrUnavailable.
 	Forward(ctx context.Context, req RelayedRequest) (*RelayedResponse, error)
 }
 
-// ServeRelayed makes a request for a peer, within this controller's budget: leases first,
-// and never by another peer. With an error it is not known whether it was made; when it
-// surely was not, the response's status is 503.
+// ServeRelayed sends a request for a peer, within this controller's budget: requests for
+// leases are urgent, and none is relayed further. After an error the request may have been
+// executed; if it certainly was not, the response's status is 503.
 func (c *Client) ServeRelayed(ctx context.Context, req RelayedRequest) (*RelayedResponse, error) {
 	if strings.HasPrefix(req.Path, "/grants") {
 		req.Priority = Urgent
@@ -56,13 +56,13 @@
 		return nil, err
 	}
 	if len(body) > maxRelayedResponse {
-		// Only a watch's response has no bound: one that is too far behind lists anew.
+		// Only the size of a watch's response is unbounded: the watch lists the keys again.
 		return &RelayedResponse{Status: http.StatusGone}, nil
 	}
 	return &RelayedResponse{Status: status, Body: body}, nil
 }
 
-// roundTrip makes one request directly.
+// roundTrip sends one request directly.
 func (c *Client) roundTrip(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	var body io.Reader
 	if r.Body != nil {
@@ -76,7 +76,7 @@
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	defer func() { _ = response.Body.Close() }() // all that matters was read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
@@ -91,8 +91,8 @@
 	return response.StatusCode, data, nil
 }
 
-// send makes a request, directly or by a peer. A request that may have been made is
-// never made again here, unless making it twice changes nothing.
+// send sends a request, directly or through a peer. A request that may have been executed is
+// not sent again, unless it is idempotent.
 func (c *Client) send(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	direct, end, ok := c.route.startDirect(ctx)
 	if !ok {
@@ -115,8 +115,8 @@
 	return c.sendViaPeer(ctx, r)
 }
 
-// roundTripWithStallDetector makes one request directly, and finds out if its link is lost
-// meanwhile. A watch has no response for long without that.
+// roundTripWithStallDetector sends one request directly, and detects whether the link is lost
+// meanwhile. Watches are excluded, since they may get no response for long on a working link.
 func (c *Client) roundTripWithStallDetector(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	if c.route.relay != nil && !strings.HasPrefix(r.Path, "/follow") {
 		stall := c.startStallDetector()
@@ -125,8 +125,8 @@
 	return c.roundTrip(ctx, r)
 }
 
-// retryViaPeer makes a request by a peer that was refused directly: it was surely not
-// made, and perhaps refused to this controller alone.
+// retryViaPeer sends a request through a peer after it was refused directly: it was certainly
+// not executed, and perhaps only this controller is refused.
 func (c *Client) retryViaPeer(ctx context.Context, r RelayedRequest, status int, data []byte) (int, []byte, error) {
 	if !c.route.relayUsable() {
 		return status, data, nil
@@ -135,15 +135,15 @@
 	if err == nil && status != http.StatusServiceUnavailable {
 		c.route.switchToRelay("refused")
 	}
-	return status, data, err // without a response it may have been made
+	return status, data, err // after an error it may have been executed
 }
 
-// idempotent reports whether to make a request twice is like making it once.
+// idempotent reports whether sending a request twice has the same effect as sending it once.
 func idempotent(r *RelayedRequest) bool {
 	return r.Method == http.MethodGet || strings.HasSuffix(r.Path, "/touch")
 }
 
-// sendViaPeer has a peer make a request.
+// sendViaPeer has a peer send a request.
 func (c *Client) sendViaPeer(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	response, err := c.route.relay.Forward(ctx, r)
 	if err != nil {
--- a/internal/statestore/relay_test.go
+++ b/internal/statestore/relay_test.go
@@ -17,25 +17,25 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// service is a state service that counts what it executes.
+// service is a state service that counts the requests it executes.
 type service struct {
-	mu   sync.Mutex
-	txns map[string]int // by body
-	executed  int
+	mu       sync.Mutex
+	txns     map[string]int // by body
+	executed int
 }
 
-// link is the way to it from one controller.
+// link is a controller's connection to the service.
 type link struct {
 	service  *service
 	mu       sync.Mutex
 	fault    int
-	requests int // that came this way
+	requests int // sent over this link
 }
 
 const (
 	noFault      = iota
-	requestLost  // nothing arrives
-	responseLost // requests are executed
+	requestLost  // requests do not arrive
+	responseLost // requests are executed, their responses do not arrive
 	reset
 	refused
 	faults
@@ -78,7 +78,7 @@
 	return response(http.StatusOK, `{"ledger":1,"permit":1}`), nil
 }
 
-// clientRelay relays by another client, which can be out of reach.
+// clientRelay relays through another client, which can be unreachable.
 type clientRelay struct {
 	client      *Client
 	mu          sync.Mutex
@@ -94,7 +94,8 @@
 	return r.client.ServeRelayed(ctx, req)
 }
 
-// newRelayedClient returns a client that is relayed by a peer, and both their links to a service.
+// newRelayedClient returns a client whose requests a peer can relay, and the links of both to
+// a service.
 func newRelayedClient(ctx context.Context) (c *Client, mine, theirs *link, relay *clientRelay, s *service) {
 	s = &service{txns: map[string]int{}}
 	mine, theirs = &link{service: s}, &link{service: s}
@@ -103,14 +104,14 @@
 	relay = &clientRelay{client: peer}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c.SetRelay(relay, log)
-	peer.SetRelay(&clientRelay{client: c}, log) // never used: what is relayed goes directly
+	peer.SetRelay(&clientRelay{client: c}, log) // never used: relayed requests are sent directly
 	go func() { _ = c.Run(ctx) }()
 	return c, mine, theirs, relay, s
 }
 
-// A controller that lost the state service, and nothing else, lost its lease and
-// with it five seconds of starts. By a peer no renewal fails, whatever way the link is
-// lost, and when it is back requests go directly again.
+// A controller that loses only its link to the state service keeps its lease: otherwise no
+// task starts for five seconds. With a peer that relays no renewal fails, however the link
+// fails, and when the link works again, requests are sent directly.
 func TestRenewalsGoByPeerWhileLinkIsLost(t *testing.T) {
 	for fault := requestLost; fault < faults; fault++ {
 		synctest.Test(t, func(t *testing.T) {
@@ -131,21 +132,21 @@
 			mine.setFault(fault)
 			renew(30)
 			if !c.UsesRelay() {
-				t.Errorf("fault %d: not by the peer", fault)
+				t.Errorf("fault %d: not relayed by the peer", fault)
 			}
 			mine.setFault(noFault)
 			renew(5)
 			before := mine.count()
 			renew(3)
 			if c.UsesRelay() || mine.count() < before+3 {
-				t.Errorf("fault %d: not directly again", fault)
+				t.Errorf("fault %d: not sent directly again", fault)
 			}
 		})
 	}
 }
 
-// Whatever fails when, a transaction is sent a second time only if the first was
-// surely not executed: what a caller gets back stands.
+// Whatever fails when, a transaction is sent a second time only if the first was certainly not
+// executed, and the result that its caller gets is true.
 func TestTransactionIsExecutedAtMostOnceUnderLinkFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type step struct{ Mine, Theirs, Gone, Wait int }
@@ -177,9 +178,9 @@
 					case n > 1:
 						wrong = "a transaction was executed twice"
 					case err == nil && n != 1:
-						wrong = "believed in a write that was not made"
+						wrong = "a write that was not executed was reported as applied"
 					case errors.Is(err, ErrUnavailable) && n != 0:
-						wrong = "a write that was made was called not made"
+						wrong = "a write that was executed was reported as not executed"
 					}
 				}()
 				time.Sleep(time.Duration(st.Wait) * time.Millisecond)
@@ -194,7 +195,7 @@
 	})
 }
 
-// A link that comes and goes is left alone for longer each time.
+// A link that fails again and again stays unused for longer each time.
 func TestFlappingLinkStaysRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -217,19 +218,19 @@
 	})
 }
 
-// A watch for a lost link that is stopped while its check is about to run stays stopped.
-// It set its timer again, and later took the link for lost without a request under way.
-func TestStoppedStallWatchStaysStopped(t *testing.T) {
+// A stall detector that is stopped while its check is about to run stays stopped. Otherwise it
+// would set its timer again, and later regard the link as lost without a request in flight.
+func TestStoppedStallDetectorStaysStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		c, _, _, _, _ := newRelayedClient(ctx)
-		watch := c.startStallDetector()
+		detector := c.startStallDetector()
 		time.Sleep(stallTimeout / 2)
-		watch.stop()
-		watch.check()
+		detector.stop()
+		detector.check()
 		time.Sleep(2 * stallTimeout)
-		if watch.timer.Stop() || c.UsesRelay() {
-			t.Errorf("the timer runs on, or the link counts as lost: %v", c.UsesRelay())
+		if detector.timer.Stop() || c.UsesRelay() {
+			t.Errorf("the timer still runs, or the link counts as lost: %v", c.UsesRelay())
 		}
 		cancel()
 	})
--- a/internal/statestore/response_test.go
+++ b/internal/statestore/response_test.go
@@ -26,9 +26,10 @@
 	return c
 }
 
-// Responses that are cut short, repeated, or of another request are errors, of which
-// nobody concludes anything: an empty page was taken for an empty store, a conflict of
-// another transaction for this one's, a response without a revision for an applied write.
+// Responses that are truncated, repeated, or belong to another request are errors, and nothing
+// is concluded from them. Otherwise an empty page would be taken for an empty store, a
+// conflict of another transaction for this one's, and a response without a revision for an
+// applied write.
 func TestResponseOfAnotherRequestIsAnError(t *testing.T) {
 	get := func(c *Client) error { _, err := c.Get(t.Context(), "a/b"); return err }
 	list := func(c *Client) error { _, _, err := c.List(t.Context(), "a/"); return err }
@@ -81,7 +82,8 @@
 	}
 }
 
-// FuzzResponses: whatever the service responds, nothing is read that was not requested.
+// FuzzResponses checks that, whatever the service responds, the client returns only data that
+// was requested.
 func FuzzResponses(f *testing.F) {
 	for _, s := range []string{
 		`{"rows":[{"path":"a/1","stamp":1}],"truncated":true,"ledger":9}`, `{"path":"a/b","data":{},"stamp":4}`,
--- a/internal/statestore/response_timeout.go
+++ b/internal/statestore/response_timeout.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// minResponseTimeout is how long the response to a transaction is waited for, from its send,
-	// before it counts as lost. It is longer than stallTimeout, so that a lost link is
-	// found first.
+	// minResponseTimeout is the shortest time, from the send of a transaction, after which its
+	// response counts as lost. It is longer than stallTimeout, so that a lost link is detected
+	// first.
 	minResponseTimeout = 750 * time.Millisecond
-	// maxResponseTimeout bounds that time, however slow the service is.
+	// maxResponseTimeout is the longest such time, however slow the service is.
 	maxResponseTimeout = 8 * minResponseTimeout
-	// slowFactor is how much longer than the slowest recent response one may take.
+	// slowFactor is the ratio of the timeout to the slowest recent response.
 	slowFactor = 2
-	// toleratedMisses is how many responses in a row may be lost before the service is
-	// taken for slow.
+	// toleratedMisses is the number of consecutive lost responses that do not lengthen the
+	// timeout.
 	toleratedMisses = 1
-	// slowestDecay is the share of the slowest response that each faster one takes off: one in
-	// slowestDecay.
+	// slowestDecay sets how fast the slowest recent response is forgotten: each faster one
+	// lowers it by one part in slowestDecay.
 	slowestDecay = 8
 )
 
-// responseTimeout is how long transactions' responses are waited for. A caller that waits
-// for a lost response for as long as it may does nothing meanwhile: a leader records no
-// placement, and a new one does not finish its failover. So the wait follows what responses
-// take that do come. Only while none comes at all it doubles, so that a slow service is not
-// taken for one that never responds: a share of responses that gets lost says nothing of
-// the others. It is safe for concurrent use; the zero value is ready.
+// responseTimeout is the time after which the response to a transaction counts as lost. A
+// caller does nothing while it waits for a lost response: a leader records no placement, and a
+// new one does not finish its failover. So the timeout follows the times that responses take
+// which do arrive. It doubles only while none arrives at all, so that a slow service is not
+// regarded as one that never responds: a lost response among others says nothing about the
+// service's speed. It is safe for concurrent use; the zero value is ready.
 type responseTimeout struct {
 	mu      sync.Mutex
 	slowest time.Duration // of recent responses
-	misses  int           // since the last response that came
+	misses  int           // consecutive lost responses
 }
 
-// current returns how long the next response is waited for.
+// current returns the timeout for the next response.
 func (r *responseTimeout) current() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +45,7 @@
 	return min(wait, maxResponseTimeout)
 }
 
-// recordResponse notes a response that took so long.
+// recordResponse records the time that a response took.
 func (r *responseTimeout) recordResponse(took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +53,7 @@
 	r.slowest = max(took, r.slowest-r.slowest/slowestDecay)
 }
 
-// recordMiss notes a response that did not come in time.
+// recordMiss records a response that did not arrive in time.
 func (r *responseTimeout) recordMiss() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/statestore/response_timeout_test.go
+++ b/internal/statestore/response_timeout_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// That half of the responses get lost hardly lengthens the wait for the next ones: the
-// service that gives the others is quick. When each lost response doubled the wait and each
-// other one halved it, a leader did nothing for 2.8 s after a lost one.
+// If half of the responses are lost, the timeout for the next ones stays short: the service
+// responds quickly to the others. With a timeout that each lost response doubles and each
+// other one halves, a leader does nothing for 2.8 s after a lost one.
 func TestLostShareOfResponsesKeepsTimeoutShort(t *testing.T) {
 	const tries, maxMean = 10000, 1500 * time.Millisecond
 	draw := rand.New(rand.NewPCG(1, 2))
@@ -31,8 +31,8 @@
 	}
 }
 
-// A service that takes long, but responds, is waited for after a few tries, and always from
-// then on until it is quick again.
+// Responses of a slow service are waited for after a few timeouts, and always from then on
+// until the service is fast again.
 func TestSlowServiceIsWaitedFor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var timeout responseTimeout
@@ -47,13 +47,13 @@
 			timeout.recordResponse(took)
 		}
 		if misses > 5 {
-			t.Fatalf("%d responses after %v each were given up", misses, took)
+			t.Fatalf("%d responses timed out that take %v each", misses, took)
 		}
 		for range 40 {
 			timeout.recordResponse(time.Millisecond)
 		}
 		if wait := timeout.current(); wait != minResponseTimeout {
-			t.Fatalf("a quick service is waited for %v", wait)
+			t.Fatalf("the timeout for a fast service is %v", wait)
 		}
 	})
 }
--- a/internal/statestore/route.go
+++ b/internal/statestore/route.go
@@ -11,54 +11,56 @@
 )
 
 const (
-	// stallTimeout is how long the service may give no response, to any request, before
-	// its link counts as lost while a peer reaches it. Responses usually take under
-	// 10 ms, and now and then a few hundred.
+	// stallTimeout is the time without a response to any request after which the direct link
+	// counts as lost, if a peer reaches the service. Responses usually take under 10 ms, and
+	// now and then a few hundred.
 	stallTimeout = 600 * time.Millisecond
 	// probeInterval is the time between probes of a lost link.
 	probeInterval = time.Second
-	// minProbes must succeed in a row; each loss soon after the last doubles them,
-	// so that a flapping link is left alone for longer.
-	minProbes     = 2
-	maxProbes = 32
-	flapWindow       = time.Minute
-	// probePath is read to find out whether a lost link works; it need not exist.
+	// minProbes is the number of consecutive probes that must succeed before a lost link is
+	// used again. Each loss within flapWindow of the last change doubles it, up to maxProbes,
+	// so that a flapping link stays unused for longer.
+	minProbes  = 2
+	maxProbes  = 32
+	flapWindow = time.Minute
+	// probePath is the path that probes read; the key need not exist.
 	probePath = "/store/c/term"
 )
 
-// route is whether requests go to the service directly or by a peer. The zero value is
-// direct, for ever.
+// route determines whether requests are sent to the service directly or through a peer. The
+// zero value always sends them directly.
 type route struct {
-	relay Relay // nil: there is no other way
+	relay Relay // requests are always sent directly
 	log   *slog.Logger
 
 	mu             sync.Mutex
-	directLost           bool                        // the direct link
-	probesRequired         int                         // probes in a row before the link is used again
-	changedAt      time.Time                   // when it was last lost or found
+	directLost     bool                        // the direct link is lost
+	probesRequired int                         // consecutive probes that must succeed before the direct link is used again
+	changedAt      time.Time                   // when directLost last changed
 	relayRefusedAt time.Time                   // when the service last refused a relayed request
-	directRequests         map[*directRequest]struct{} // under way
+	directRequests map[*directRequest]struct{} // in flight
 }
 
-// directRequest is a request to the service itself; cancel ends it.
+// directRequest is a request sent to the service directly; cancel aborts it.
 type directRequest struct{ cancel context.CancelFunc }
 
-// SetRelay sets the way by a peer, for when the link to the service is lost here alone.
-// Call it before the first request; Run must run.
+// SetRelay sets the relay that is used while only this controller's link to the service is
+// lost. Call it before the first request. Run must be running.
 func (c *Client) SetRelay(relay Relay, log *slog.Logger) {
 	c.route.relay, c.route.log = relay, log
 	c.route.directRequests = map[*directRequest]struct{}{}
 }
 
-// UsesRelay reports whether requests go by a peer at present.
+// UsesRelay reports whether requests are currently sent through a peer.
 func (c *Client) UsesRelay() bool {
 	c.route.mu.Lock()
 	defer c.route.mu.Unlock()
 	return c.route.directLost
 }
 
-// startDirect returns a context for a request that goes to the service directly: it
-// ends when that link is found lost. ok is false while it is.
+// startDirect returns a context for a request to the service itself, which is cancelled when
+// the direct link is lost, and the function to call when the request ends. ok is false while
+// the link is lost.
 func (r *route) startDirect(ctx context.Context) (_ context.Context, end func(), ok bool) {
 	if r.relay == nil {
 		return ctx, func() {}, true
@@ -81,8 +83,9 @@
 	request.cancel()
 }
 
-// relayUsable reports whether there is a peer to go by whose requests were not refused
-// just now: in an outage the peers are refused too, and must not be kept busy.
+// relayUsable reports whether there is a peer that can relay, and whose relayed requests were
+// not refused recently: in an outage the peers are refused too, and must not get additional
+// load.
 func (r *route) relayUsable() bool {
 	if r.relay == nil || !r.relay.Ready() {
 		return false
@@ -92,7 +95,7 @@
 	return time.Since(r.relayRefusedAt) >= probeInterval
 }
 
-// switchToRelay has requests go by a peer from now on, and reports whether there is one.
+// switchToRelay sends requests through a peer from now on, and reports whether there is one.
 func (r *route) switchToRelay(reason string) bool {
 	if !r.relayUsable() {
 		return false
@@ -114,7 +117,7 @@
 	return true
 }
 
-// switchToDirect has requests go directly again.
+// switchToDirect sends requests directly again.
 func (r *route) switchToDirect(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,9 +134,9 @@
 	return r.probesRequired
 }
 
-// Run probes a lost link until ctx ends, and returns ctx's error.
+// Run probes the direct link while it is lost, until ctx ends, and returns ctx's error.
 func (c *Client) Run(ctx context.Context) error {
-	succeeded := 0 // in a row
+	succeeded := 0 // consecutive
 	return periodic.Run(ctx, probeInterval, func() {
 		if !c.UsesRelay() || !c.probe(ctx) {
 			succeeded = 0
@@ -154,8 +157,8 @@
 	return err == nil && status < http.StatusInternalServerError && status != http.StatusTooManyRequests
 }
 
-// stallDetector finds out that a request gets no response, nor any other one does: then
-// the link is lost. Stop it when the request is over.
+// stallDetector detects that neither its request nor any other one gets a response: the direct
+// link is lost then. Stop it when the request ends.
 type stallDetector struct {
 	client *Client
 	sent   time.Time
@@ -181,13 +184,14 @@
 	}
 	silence := min(time.Since(w.sent), w.client.SinceLastSuccess())
 	if silence < stallTimeout || !w.client.route.switchToRelay("no response") {
-		// Without a peer to go by, one may appear.
+		// Check again later: the service may stop responding, or a peer that can relay may
+		// appear.
 		w.timer.Reset(stallTimeout - min(silence, stallTimeout/2))
 	}
 }
 
-// stop ends the watch, also if check is just about to run: it would set the timer again,
-// and later take the link for lost without any request under way.
+// stop stops the detector, even if check is about to run: otherwise check would set the timer
+// again, and later regard the link as lost without a request in flight.
 func (w *stallDetector) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/statestore/txn.go
+++ b/internal/statestore/txn.go
@@ -11,10 +11,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Txn applies all ops if every guard holds, and returns the revision. If a guard fails
-// the error is a *Conflict. With ErrUnknown it may have been applied, or may be later;
-// with any other error it was not. A response is waited for only as long as recent ones
-// took, even if ctx lasts longer.
+// Txn applies all ops if every guard holds, and returns the revision. If a guard fails, the
+// error is a *ConflictError. After ErrUnknown the ops may have been applied, or may be later;
+// after any other error they were not. The response times out according to the times of recent
+// responses, even if ctx lasts longer.
 func (c *Client) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
 	if err := c.budget.wait(ctx, priorityOf(ctx)); err != nil {
 		return 0, err
@@ -30,7 +30,7 @@
 		method: http.MethodPost, path: "/txn", writes: len(ops),
 		body: wire.Txn{If: guards, Then: ops}, out: &response,
 	})
-	if ctx.Err() == nil { // else the caller gave up sooner
+	if ctx.Err() == nil { // otherwise the caller gave up first
 		c.recordResponse(err, time.Since(sent))
 	}
 	switch {
@@ -47,7 +47,7 @@
 }
 
 // newConflictError returns the error of a transaction whose conditions on keys failed. A
-// conflict over others is one of another transaction.
+// response that names a key without a condition belongs to another transaction.
 func newConflictError(guards []wire.Guard, keys []string) error {
 	for _, key := range keys {
 		if !slices.ContainsFunc(guards, func(guard wire.Guard) bool { return guard.Key == key }) {
@@ -60,7 +60,7 @@
 	return &ConflictError{Keys: keys}
 }
 
-// recordResponse notes whether and when a transaction had its response.
+// recordResponse records the time that a transaction's response took, or that none arrived.
 func (c *Client) recordResponse(err error, took time.Duration) {
 	if errors.Is(err, ErrUnknown) {
 		c.timeout.recordMiss()
@@ -72,7 +72,7 @@
 // BulkTxn is Txn for writes that must not delay others.
 func (c *Client) BulkTxn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
 	if err := c.budget.bulk.WaitN(ctx, max(1, len(ops))); err != nil {
-		return 0, ErrUnavailable // by the limiter: ctx ends before the turn
+		return 0, ErrUnavailable // ctx ends before the limiter allows the writes
 	}
 	return c.Txn(ctx, guards, ops...)
 }
--- a/internal/statestore/txn_test.go
+++ b/internal/statestore/txn_test.go
@@ -12,8 +12,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// What a transaction's response, or the lack of one, means decides whether it may be
-// repeated: a refused one was surely not applied, one without a response may yet be.
+// The error of a transaction decides whether it may be repeated: a refused one was certainly
+// not applied, one without a response may still be.
 func TestTxnErrorsTellRefusedFromUnknown(t *testing.T) {
 	status, body, dropConnection := 0, "", false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/statestore/watch.go
+++ b/internal/statestore/watch.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	listTimeout  = 5 * time.Second // of a watch
-	followMargin = 5 * time.Second // beyond the time for which the service holds a watch
+	listTimeout  = 5 * time.Second // for the listing of a watch
+	followMargin = 5 * time.Second // timeout of a request beyond the time for which the service holds it
 	firstBackoff = 100 * time.Millisecond
-	maxBackoff  = time.Second
+	maxBackoff   = time.Second
 )
 
-// Follow returns the changes under the prefix after a revision. The service waits for one
-// for as long as hold. ErrCompacted means that it does not have them all any more.
+// Follow returns the changes under the prefix after a revision. If there are none, the service
+// waits for one for as long as hold. ErrCompacted means that the service no longer has all of
+// them.
 func (c *Client) Follow(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.Events, error) {
 	var response wire.Events
 	if err := c.budget.wait(ctx, priorityOf(ctx)); err != nil {
@@ -47,7 +48,7 @@
 			return wire.Events{}, fmt.Errorf("%w: follow %q from %d to %d: response with %q as of %d",
 				ErrUnknown, prefix, after, response.Revision, key, event.Version)
 		}
-		if event.Version > after { // else of a repeated response
+		if event.Version > after { // otherwise it is repeated from an earlier response
 			updates = append(updates, event)
 		}
 	}
@@ -55,8 +56,8 @@
 	return response, nil
 }
 
-// Backoff sleeps for about the n-th step of a jittered exponential delay, at most until
-// ctx ends.
+// Backoff sleeps for the n-th step of an exponential delay with jitter, or until ctx ends. The
+// delay doubles from first to at most longest, before jitter.
 func Backoff(ctx context.Context, n int, first, longest time.Duration) {
 	delay := min(longest, first<<min(n, 10))
 	timer := time.NewTimer(delay/2 + rand.N(delay))
@@ -67,9 +68,9 @@
 	}
 }
 
-// Watch lists the prefix, calls reset with the result, and then change with
-// every later change, until ctx ends. It lists again whenever it fell behind. See
-// WithPacing for how often it makes requests.
+// Watch lists the prefix, calls reset with the result, and then change with every later
+// change, until ctx ends. It lists again if it has fallen too far behind. See WithPacing for
+// how often it sends requests.
 func (c *Client) Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
 	w := &watch{client: c, prefix: prefix, hold: hold, change: change, pacer: NewPacer(ctx)}
 	for attempt := 0; ctx.Err() == nil; attempt++ {
@@ -98,7 +99,8 @@
 	return w.client.List(ctx, w.prefix)
 }
 
-// follow reports changes after a revision until the watch fell behind or ctx ends.
+// follow reports changes after a revision until the watch has fallen too far behind or ctx
+// ends.
 func (w *watch) follow(ctx context.Context, revision uint64) {
 	for failures := 0; ctx.Err() == nil; {
 		response, err := w.followOnce(ctx, revision)
