--- a/internal/quotalease/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -1,64 +1,65 @@
-// Package quotalease divides the limits of teams among the shards of jobs, so that several
-// leaders can start tasks of one team and its limit holds whatever crashes, comes late or is
-// carried out twice.
+// Package quotalease divides teams' limits among the shards of jobs, so that several leaders
+// can start tasks of one team within its limit, even if leaders crash and writes are delayed
+// or applied twice.
 //
-// A part of a limit belongs to a shard. It is recorded in the state service; only the shard's
-// leader takes from it, by a write that is conditional on the version of the shard's key and of
-// the record. A leader that ends leaves its parts to whoever leads its shards next.
+// A part of a limit is leased to a shard and recorded in the state service. Only the shard's
+// leader takes from it, by a write that is conditional on the versions of the shard's key and
+// of the record. When a leader ends, the next leaders of its shards take over its parts.
 //
-// A Borrower is one leader's side of one record, without any input or output: package quota
-// reads and writes for it. A Borrower is not safe for concurrent use.
+// A Borrower tracks one record for one leader and plans the leader's writes of it. It does no
+// input or output: package quota reads and writes for it. A Borrower is not safe for
+// concurrent use.
 package quotalease
 
 import "maps"
 
-// Need is what a shard uses of a team's limit, and could use.
+// Need is the amount of a team's limit that a shard uses and could use.
 type Need struct {
-	Use    Amount // of all that may run
-	Demand Amount // of all that may run, and of all that waits
+	Use    Amount // of all tasks that may be running
+	Demand Amount // of all tasks that may be running or wait to start
 	Unit   Amount // least by which the use can grow: the smallest waiting task, or gang
 }
 
-// Needs returns what a shard needs of a team's limit.
+// Needs returns the need of a shard for a team's limit.
 type Needs func(shard int, team string) Need
 
-// Write is a change of the record. It is to be carried out only if the record still has the
-// version Guard, and the key of each shard the version in Shards.
+// Write is a change of the record. It must be applied only if the record still has the version
+// Guard, and the key of each shard the version in Shards.
 type Write struct {
 	Record Record
 	Guard  uint64
 	Shards map[int]uint64
 }
 
-// shardTeam names a team's part for a shard.
+// shardTeam identifies a team's part for a shard.
 type shardTeam struct {
 	shard int
 	team  string
 }
 
-// Borrower is a leader's side of one record.
+// Borrower tracks one record for one leader.
 type Borrower struct {
-	UnknownEntries int // rows of unknown leaders, and entries of unknown teams, that were refused
+	UnknownEntries int // rows of later leaders of the led shards, and entries of unknown teams, that were ignored
 
 	limits map[string]Amount
-	teams  []string // of limits, in order
+	teams  []string // names in limits, sorted
 	shards int
 
-	led              map[int]uint64 // shards of this leader, by the version of their keys
+	led              map[int]uint64 // shards of this leader, with the versions of their keys
 	unleasedVersion  uint64         // see SetShards
 	known            Record
 	version          uint64 // of known, 0: there is none
-	observedRevision uint64 // as of which known was last observed
-	pending          *Write // sent, and its outcome is unknown
+	observedRevision uint64 // revision of the last observation
+	pending          *Write // was sent, and its outcome is unknown
 	rereadNeeded     bool   // known may be older than a write of this leader
 
-	withheld map[shardTeam]Amount        // of led shards' parts, to be given away once it is free
-	unneeded map[shardTeam]unneededSince // of led shards' parts, that is not needed
-	idle     map[shardTeam]idleState     // of led shards' parts, what is not in use although there is work
+	withheld map[shardTeam]Amount        // of led shards' parts: promised to other shards, and not used for new tasks
+	unneeded map[shardTeam]unneededSince // of led shards' parts: what is not needed
+	idle     map[shardTeam]idleState     // of led shards' parts: what is not in use although there is work
 	ceilings map[shardTeam]Amount        // see Ceiling
 }
 
-// New returns the borrower of a record, which holds the parts of teams with these limits for so
+// New returns the borrower of a record that holds the parts of teams with these limits for so
 // many shards.
 func New(limits map[string]Amount, shards int) *Borrower {
 	return &Borrower{
@@ -67,8 +68,8 @@
 	}
 }
 
-// SetShards sets which shards this leader has, by the version of their keys, and the revision
-// up to which leaders that do not lease limits may have started tasks in any shard.
+// SetShards sets the shards that this leader leads, with the versions of their keys, and the
+// revision up to which leaders that do not lease limits may have started tasks in any shard.
 func (b *Borrower) SetShards(shards map[int]uint64, unleasedVersion uint64) {
 	b.unleasedVersion = max(b.unleasedVersion, unleasedVersion)
 	for shard, version := range b.led {
@@ -86,18 +87,18 @@
 	b.updateCeilings()
 }
 
-// Adopted reports whether this leader has written a shard's row itself, under the version of
-// the shard's key that it has.
+// Adopted reports whether this leader has written a shard's row under its version of the
+// shard's key.
 func (b *Borrower) Adopted(shard int) bool {
 	row := b.known.row(shard)
 	return row != nil && row.LeaderVersion == b.led[shard]
 }
 
-// Observe takes the record as it was at a revision of the state service; version 0: there
-// was none. An observation older than the last one is ignored.
+// Observe updates the borrower with the record as of a revision of the state service; version
+// 0 means that there was none. An observation older than the last one is ignored.
 func (b *Borrower) Observe(record Record, version, revision uint64) {
 	if revision < b.observedRevision {
-		return // its version would only make the next write fail
+		return // with an older version the next write would fail
 	}
 	b.observedRevision = revision
 	if version == b.version {
@@ -105,15 +106,15 @@
 	}
 	b.known, b.version = record, version
 	b.countUnknownEntries()
-	// If the pending write was not carried out, it can't be any more: the record has another
-	// version than its guard.
+	// If the pending write was not applied, it never will be: the record's version is no longer
+	// the one in its guard.
 	if b.pending != nil && version != b.pending.Guard {
 		b.pending, b.rereadNeeded = nil, false
 	}
 	b.updateCeilings()
 }
 
-// Reread takes the record as it was read because of NeedsReread.
+// Reread updates the borrower with the record that was read because of NeedsReread.
 func (b *Borrower) Reread(record Record, version, revision uint64) {
 	b.Observe(record, version, revision)
 	if b.rereadNeeded {
@@ -125,10 +126,10 @@
 // NeedsReread reports whether the record has to be read before it is written again.
 func (b *Borrower) NeedsReread() bool { return b.rereadNeeded }
 
-// Applied notes that a write was carried out, and gave the record that version.
+// Applied records that a write was applied, and gave the record that version.
 func (b *Borrower) Applied(write Write, version uint64) {
 	if b.pending == nil || b.pending.Guard != write.Guard {
-		return // known by what was observed since
+		return // the outcome is known from a later observation
 	}
 	b.pending = nil
 	if version > b.observedRevision {
@@ -137,19 +138,19 @@
 	b.updateCeilings()
 }
 
-// Rejected notes that a condition of a write did not hold. An earlier copy of it may have been
-// carried out, so that the record has to be read before the write is given up.
+// Rejected records that a condition of a write failed. An earlier copy of the write may have
+// been applied, so that the record has to be read before the write is given up.
 func (b *Borrower) Rejected(write Write) {
 	b.rereadNeeded = b.pending != nil && b.pending.Guard == write.Guard
 }
 
-// Ceiling returns how much of a team's limit the tasks of a shard may use for one more to
-// start. It is nothing while this leader has not written the row itself: what it knows may be
-// from before its predecessor's last write.
+// Ceiling returns the amount of a team's limit that a shard's tasks may use in total,
+// including one that is about to start. It is zero until this leader has written the shard's
+// row: the row that it knows may be older than its predecessor's last write.
 func (b *Borrower) Ceiling(shard int, team string) Amount { return b.ceilings[shardTeam{shard, team}] }
 
-// GuaranteeShare returns which share of a team's guarantee falls to a shard, from 0 to 1: as
-// large as its part of the limit.
+// GuaranteeShare returns the share of a team's guarantee that a shard gets, from 0 to 1: its
+// part's share of all that is leased of the team's limit, in the kind where that is largest.
 func (b *Borrower) GuaranteeShare(shard int, team string) float64 {
 	part, sum, share := b.known.part(shard, team), b.known.leased(team), 0.0
 	for kind := range kinds {
@@ -160,15 +161,15 @@
 	return share
 }
 
-// updateCeilings works out the ceilings anew.
+// updateCeilings recomputes the ceilings.
 func (b *Borrower) updateCeilings() {
 	clear(b.ceilings)
 	if !b.complete(&b.known) {
-		return // a shard's tasks that nobody has counted yet may use any part of a limit
+		return // the tasks of a shard without a row may use any part of a limit
 	}
 	for _, team := range b.teams {
 		if !b.known.leased(team).Fits(b.limits[team]) {
-			continue // what was adopted is too much already, or the limit was lowered
+			continue // the adopted use exceeds the limit, or the limit was lowered
 		}
 		for shard, version := range b.led {
 			row := b.known.row(shard)
@@ -177,7 +178,8 @@
 			}
 			ceiling := row.Teams[team].Part
 			if b.pending != nil {
-				// It may be carried out at any time, whatever became of the response.
+				// The pending write may be applied at any time, whether or not its response
+				// arrives.
 				ceiling = ceiling.Min(b.pending.Record.part(shard, team))
 			}
 			if ceiling = ceiling.Sub(b.withheld[shardTeam{shard, team}]); !ceiling.IsZero() {
@@ -190,11 +192,11 @@
 // complete reports whether every shard has a row.
 func (b *Borrower) complete(record *Record) bool { return len(record.Rows) == b.shards }
 
-// countUnknownEntries counts what is refused of a record that was observed.
+// countUnknownEntries counts the entries of an observed record that are ignored.
 func (b *Borrower) countUnknownEntries() {
 	for _, row := range b.known.Rows {
 		if version, led := b.led[row.Shard]; led && row.LeaderVersion > version {
-			b.UnknownEntries++ // written by a later leader of the shard: this one leads it no more
+			b.UnknownEntries++ // written by a later leader: this one no longer leads the shard
 		}
 		for team := range row.Teams {
 			if _, known := b.limits[team]; !known {
--- a/internal/quotalease/borrower_test.go
+++ b/internal/quotalease/borrower_test.go
@@ -10,11 +10,11 @@
 	"github.com/wallrack/wallrack/internal/quotalease"
 )
 
-// Leaders borrow, start, end, crash, transfer and lose shards, while their writes are lost, late,
-// and carried out twice and their watches are behind. No team ever runs more than its limit.
-// When all is well again, and only one shard has work, its part grows to the limit within two
-// seconds; when two have, both start a task within fifteen, and within a minute the limit is
-// full.
+// Leaders borrow parts, start and end tasks, crash, transfer and lose shards, while their
+// writes are lost, delayed and applied twice and their watches lag. No team ever runs more
+// than its limit. Once there are no more faults, and only one shard has work, its part grows
+// to the limit within two seconds; if two have work, both start a task within fifteen seconds,
+// and within a minute the limit is full.
 func TestPartsKeepLimitAndFollowDemand(t *testing.T) {
 	var started, grown, alternated int
 	rapid.Check(t, func(rt *rapid.T) {
@@ -38,8 +38,9 @@
 	t.Logf("%d tasks started, %d parts grew to their limit, %d pairs alternated", started, grown, alternated)
 }
 
-// A record with a later leader's row, and with a team that the settings don't have: neither gives
-// this leader anything to use, both are counted, and the unknown team's part stays as it is.
+// A record with a row of a later leader, and with a team that the settings don't have: neither
+// lets this leader use anything, both are counted, and the unknown team's part is left
+// unchanged.
 func TestUnknownLeadersAndTeamsAreRefusedAndCounted(t *testing.T) {
 	data := `{"rows":[{"shard":0,"term":9,"teams":{"a":[8000],"gone":[3000]}},{"shard":1,"term":2},{"shard":2,"term":2}]}`
 	r, err := quotalease.Parse([]byte(data), shards)
@@ -61,8 +62,8 @@
 	}
 }
 
-// BenchmarkRound is one look of a leader of half the shards at all records, with 410 teams
-// that all want more than they have.
+// BenchmarkRound measures one round of a leader of half the shards over all records, with 410
+// teams that all want more than they have.
 func BenchmarkRound(b *testing.B) {
 	const shards = 6
 	var borrowers [quotalease.Records]*quotalease.Borrower
--- a/internal/quotalease/idling.go
+++ b/internal/quotalease/idle_state.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// stallTimeout is for how long a part must have had room for one more task, and none started,
-// before it counts as not needed.
+// stallTimeout is how long a part must have had room for one more task, without a task being
+// started, before all beyond that task counts as not needed.
 const stallTimeout = 4 * time.Second
 
-// idleState is since when a part has stood with that use.
+// idleState records for how long a shard's use of its part has been unchanged.
 type idleState struct {
 	use, part         Amount
-	since, checkedAt  time.Time     // of that use and part; of the last look
+	since, checkedAt  time.Time     // start of this use and part; time of the last update
 	grownAt           time.Time     // when the part last grew
-	accumulatingSince time.Time     // since when it is too little for any task; zero: it is not
-	unusedFor         time.Duration // with room for one more task, since the last start
+	accumulatingSince time.Time     // start of the time in which the part has been too small for any task; zero: it is not
+	unusedFor         time.Duration // time with room for one more task, since the last start
 }
 
-// stalled reports whether nothing started for long although there was room for it.
+// stalled reports whether no task has started for long although there was room for one.
 func (i idleState) stalled() bool { return i.unusedFor >= stallTimeout }
 
-// settled reports whether a part has not grown just now: else its leader has had no time to
-// use it.
+// settled reports whether the part has not grown recently: after it grows, its leader needs
+// time to use it.
 func (i idleState) settled(now time.Time) bool { return now.Sub(i.grownAt) >= settleTime }
 
-// updateIdleState notes since when a part has stood partly unused. For a shard that starts nothing,
-// because no worker has room for its tasks, it lowers what counts as needed.
+// updateIdleState records for how long a part has been partly unused. For a shard that starts
+// nothing, because no worker has room for its tasks, it lowers the demand.
 func (p *teamPlan) updateIdleState(row *Row, need Need) Need {
 	key, part := p.key(row), row.Teams[p.team].Part
 	i, seen := p.b.idle[key]
@@ -43,7 +43,7 @@
 	case need.Unit.Fits(part):
 		i.accumulatingSince = time.Time{}
 	case i.accumulatingSince.IsZero() && !part.IsZero():
-		i.accumulatingSince = p.now // kept while pieces come and go
+		i.accumulatingSince = p.now // unchanged while amounts are added and taken
 	}
 	i.use, i.part, i.checkedAt = need.Use, part, p.now
 	p.b.idle[key] = i
--- a/internal/quotalease/liveness_test.go
+++ b/internal/quotalease/liveness_test.go
@@ -10,7 +10,7 @@
 	growRounds      = 8 // two seconds
 	bothStartRounds = 60
 	fillRounds      = 240
-	maxTaskRounds   = 6 // rounds that a task of theirs runs
+	maxTaskRounds   = 6 // longest run of a task of two competing shards
 )
 
 func (w *model) checkPartGrowsToLimit(team string, shard int) {
@@ -26,8 +26,8 @@
 	w.t.Fatalf("shard %d has %v of team %s after %d rounds, of %v; record %+v", shard, c.borrower.Ceiling(shard, team), team, growRounds, limits[team], w.latest().record)
 }
 
-// checkBothStart has two shards with as much work as the limit allows, in tasks of any size.
-// The first one has all of the limit in use.
+// checkBothStart checks that both of two shards with as much work as the limit allows, in
+// tasks of any size, start a task. The first one holds all of the limit in the beginning.
 func (w *model) checkBothStart(team string, first, second int) {
 	waits := map[int]*task{}
 	for _, s := range []int{first, second} {
@@ -58,8 +58,8 @@
 	w.t.Fatalf("only shards %v of %d and %d started, tasks of %v and %v; record %+v", begun, first, second, waits[first].size, waits[second].size, w.latest().record)
 }
 
-// checkLimitFills has two shards start tasks that don't end, as many as they may: in the end the
-// limit has room for no other one.
+// checkLimitFills checks that two shards that start as many tasks as they may, which don't
+// end, fill the limit: in the end it has no room for another task.
 func (w *model) checkLimitFills(team string, first, second int) {
 	for _, t := range w.tasks {
 		t.ended = true
--- a/internal/quotalease/model_actions_test.go
+++ b/internal/quotalease/model_actions_test.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/quotalease"
 )
 
-// actions are what may happen at any time, by name. The generated inputs depend on the order of
-// the names.
+// actions returns the actions that may occur at any time, by name. The generated inputs depend
+// on the order of the names.
 func (w *model) actions() map[string]func(*rapid.T) {
 	all := map[string]func(*rapid.T){}
 	for _, some := range []map[string]func(){w.taskActions(), w.writeActions(), w.shardActions()} {
@@ -21,11 +21,11 @@
 	return all
 }
 
-// taskActions start and end tasks, and change what is wanted.
+// taskActions start and end tasks, and change the demand.
 func (w *model) taskActions() map[string]func() {
 	return map[string]func(){
 		"": w.check,
-		"start": func() { // what may not start asks for its part
+		"start": func() { // a task that may not start adds to the demand
 			for range 4 {
 				task := w.drawTask()
 				if c := w.leaderOf[task.shard]; c != nil && !w.start(task) {
@@ -51,14 +51,14 @@
 	}
 }
 
-// writeActions send and carry out writes, and have controllers observe the record.
+// writeActions send and apply writes, and have controllers observe the record.
 func (w *model) writeActions() map[string]func() {
 	return map[string]func(){
 		"send": func() { w.send(w.drawController()) },
 		"exchange": func() {
 			w.sendAndDeliver(w.drawController(), true)
 		},
-		"lost answer": func() { // and the same write again
+		"lost answer": func() { // then the same write is sent again
 			c := w.drawController()
 			w.sendAndDeliver(c, false)
 			c.busy = false
@@ -70,7 +70,7 @@
 			}
 			i := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.t, "write")
 			w.deliver(w.inFlight[i], rapid.IntRange(0, 3).Draw(w.t, "answered") > 0)
-			if rapid.IntRange(0, 2).Draw(w.t, "once") > 0 { // else it is carried out again
+			if rapid.IntRange(0, 2).Draw(w.t, "once") > 0 { // otherwise it is delivered again
 				w.inFlight = slices.Delete(w.inFlight, i, i+1)
 			}
 		},
@@ -87,7 +87,7 @@
 	}
 }
 
-// shardActions change who leads the shards.
+// shardActions change the leaders of shards.
 func (w *model) shardActions() map[string]func() {
 	return map[string]func(){
 		"all is well": func() {
@@ -113,7 +113,7 @@
 	}
 }
 
-// round is a quarter of a second in which everything works.
+// round is a quarter of a second without faults.
 func (w *model) round() {
 	w.now = w.now.Add(250 * time.Millisecond)
 	for i := range shards {
--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -22,27 +22,27 @@
 
 var teams = slices.Sorted(maps.Keys(limits))
 
-// task may run, as a shard's leader granted its start.
+// task is a task whose start a shard's leader has granted.
 type task struct {
 	shard int
 	team  string
 	size  quotalease.Amount
-	ended bool // it ended; its leader may not know yet
+	ended bool // its leader may not know yet
 }
 
-// inFlightWrite is a copy of a write that is under way.
+// inFlightWrite is a copy of a write in flight.
 type inFlightWrite struct {
 	from  *controller
 	call  int
 	write quotalease.Write
 }
 
-// controller is a controller with its side of the record.
+// controller is a controller with its borrower of the record.
 type controller struct {
 	name     string
 	borrower *quotalease.Borrower
 	led      map[int]uint64 // as far as it knows
-	counted  map[*task]bool // what it counts as in use
+	counted  map[*task]bool // tasks that it counts as in use
 	demand   map[string]quotalease.Amount
 	unit     map[string]quotalease.Amount
 	call     int  // number of its last request
@@ -71,26 +71,26 @@
 	return quotalease.Need{Use: use, Demand: use.Add(c.demand[key(shard, team)]), Unit: c.unit[key(shard, team)]}
 }
 
-// recordSnapshot is the record as it was at a revision.
+// recordSnapshot is the record as of a revision.
 type recordSnapshot struct {
 	record            quotalease.Record
 	version, revision uint64
 }
 
-// model is the state service, the controllers and what runs.
+// model is the state service, the controllers and the running tasks.
 type model struct {
 	t            *rapid.T
 	now          time.Time
 	revision     uint64
-	keys         map[int]uint64 // versions of the shards' keys, none: free
+	keys         map[int]uint64 // versions of the shards' keys; a free shard has none
 	leaderOf     map[int]*controller
 	history      []recordSnapshot
 	controllers  []*controller
 	inFlight     []inFlightWrite
 	tasks        []*task
-	withinLimits bool // the parts were within the limits once: they stay so
+	withinLimits bool // the parts were within the limits once, so that they must stay so
 
-	startWaiting     func() // starts what waits, as soon as a leader knows that a task ended
+	startWaiting     func() // starts waiting tasks, as soon as a leader knows that a task ended
 	unleasedRevision uint64 // revision up to which leaders that don't lease limits started tasks
 }
 
@@ -101,7 +101,7 @@
 		c.restart()
 		w.controllers = append(w.controllers, c)
 	}
-	// What runs from before the limits were leased, and what ended of it, of which a new
+	// Tasks that were started before the limits were leased. Some have ended, which a new
 	// leader does not know.
 	for range rapid.IntRange(0, 6).Draw(t, "earlier") {
 		task := w.drawTask()
@@ -158,7 +158,7 @@
 func (w *model) latest() recordSnapshot { return w.history[len(w.history)-1] }
 
 // start starts a task if its shard's leader may. A stale leader's lease has ended before its
-// shard's key went, so that it starts nothing.
+// shard's key is deleted, so that it starts nothing.
 func (w *model) start(task *task) bool {
 	c := w.leaderOf[task.shard]
 	if c == nil || c.led[task.shard] != w.keys[task.shard] {
@@ -172,12 +172,13 @@
 	return true
 }
 
-// observeEndedTasks has a controller learn which tasks ended.
+// observeEndedTasks makes a controller learn which tasks ended.
 func (w *model) observeEndedTasks(c *controller) {
 	maps.DeleteFunc(c.counted, func(t *task, _ bool) bool { return t.ended })
 }
 
-// freeShard has a shard's key go, as its leader's lease ends. The leader learns of it later.
+// freeShard deletes a shard's key, as when its leader's lease ends. The leader learns of it
+// later.
 func (w *model) freeShard(shard int) {
 	if w.keys[shard] != 0 {
 		w.revision++
@@ -186,8 +187,9 @@
 	}
 }
 
-// assignShard gives a shard to a controller, which counts all that may run there: also what ended,
-// as far as nobody wrote that down.
+// assignShard makes a controller the leader of a shard. The controller counts all tasks that
+// may run there, and with all also those that ended, as their ends need not have been
+// recorded.
 func (w *model) assignShard(c *controller, shard int, all bool) {
 	w.freeShard(shard)
 	w.revision++
@@ -202,8 +204,8 @@
 	c.borrower.SetShards(c.led, w.unleasedRevision)
 }
 
-// runUnleasedLeader has one controller that does not lease limits lead all shards for a while,
-// and start tasks within the limits wherever it likes. All others have ended before.
+// runUnleasedLeader makes a controller that does not lease limits lead all shards for a while,
+// and start tasks within the limits in any shard. All other controllers have ended before.
 func (w *model) runUnleasedLeader() {
 	for s := range shards {
 		w.freeShard(s)
@@ -225,14 +227,14 @@
 	}
 }
 
-// observeLostShards has a controller learn which shards it lost.
+// observeLostShards makes a controller learn which shards it lost.
 func (w *model) observeLostShards(c *controller) {
 	maps.DeleteFunc(c.led, func(s int, version uint64) bool { return w.keys[s] != version })
 	maps.DeleteFunc(c.counted, func(t *task, _ bool) bool { _, mine := c.led[t.shard]; return !mine })
 	c.borrower.SetShards(c.led, w.unleasedRevision)
 }
 
-// send has a controller send what it has to write.
+// send makes a controller send its next write, if there is one.
 func (w *model) send(c *controller) {
 	if c.busy {
 		return
@@ -249,7 +251,7 @@
 	}
 }
 
-// sendAndDeliver has a controller send what it has to write, which is carried out at once.
+// sendAndDeliver makes a controller send its next write, which is delivered at once.
 func (w *model) sendAndDeliver(c *controller, answered bool) {
 	w.send(c)
 	if n := len(w.inFlight); n > 0 && w.inFlight[n-1].from == c {
@@ -259,7 +261,7 @@
 	}
 }
 
-// deliver carries out a write that is under way; the response may be lost.
+// deliver applies a write in flight if its conditions hold; the response may be lost.
 func (w *model) deliver(f inFlightWrite, answered bool) {
 	applied := f.write.Guard == w.latest().version
 	for s, version := range f.write.Shards {
@@ -280,7 +282,7 @@
 	}
 }
 
-// copyOf passes a record through its form in the state service.
+// copyOf returns a record as it is after encoding and decoding.
 func copyOf(t *rapid.T, r quotalease.Record) quotalease.Record {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -297,8 +299,8 @@
 	c.borrower.Observe(p.record, p.version, p.revision)
 }
 
-// maxUse is what runs of a team in a shard, or would if its leader started at once all that
-// it may.
+// maxUse returns what a shard's tasks use of a team's limit, or would use if the leader at
+// once started all that it may.
 func (w *model) maxUse(shard int, team string) quotalease.Amount {
 	runs := w.inUseOf(shard, team)
 	c := w.leaderOf[shard]
@@ -308,8 +310,8 @@
 	return runs.Add(c.borrower.Ceiling(shard, team).Sub(c.use(shard, team)))
 }
 
-// check fails if a limit may be exceeded from here, or a shard's tasks are not covered by
-// its part.
+// check fails if a limit may be exceeded from this state on, or if a shard's tasks are not
+// covered by its part.
 func (w *model) check() {
 	r := w.latest().record
 	complete, within := len(r.Rows) == shards, true
@@ -325,7 +327,7 @@
 			part := row.Teams[team].Part
 			sum = sum.Add(part)
 			if row.LeaderVersion < w.unleasedRevision {
-				continue // it says nothing until the next leader counts anew
+				continue // not valid until the next leader counts the use again
 			}
 			if may := w.maxUse(row.Shard, team); !may.Fits(part) {
 				w.t.Fatalf("shard %d may use %v of team %s with a part of %v; record %+v", row.Shard, may, team, part, r)
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// excessReturnDelay is for how long a part must not have been needed before it is returned
-	// without another shard's want. Less, and each pause between two tasks would cost two
-	// writes.
+	// excessReturnDelay is how long a part must not have been needed before it is returned even
+	// though no other shard wants it. With a shorter time, each pause between two tasks would
+	// cost two writes.
 	excessReturnDelay = 2 * time.Second
-	// wantTolerance: a want is written again if it changed by more than one part in so many.
-	wantTolerance = 4
+	// wantChangeDivisor: a want is written again if it has changed by more than
+	// 1/wantChangeDivisor.
+	wantChangeDivisor = 4
 )
 
-// unneededSince is the least that was not needed of a part since a time.
+// unneededSince is the amount of a part that has never been needed since a time.
 type unneededSince struct {
 	minimum Amount
 	since   time.Time
@@ -23,8 +24,8 @@
 
 func sortedKeys(m map[string]Amount) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Plan returns the next write, if there is anything to write, or again the one whose outcome is
-// unknown.
+// Plan returns the next write, if there is anything to write. While the outcome of a write is
+// unknown, it returns that write again.
 func (b *Borrower) Plan(now time.Time, needs Needs) (Write, bool) {
 	if b.rereadNeeded {
 		return Write{}, false
@@ -50,9 +51,10 @@
 	return *b.pending, true
 }
 
-// adopt puts the versions of this leader's shards into their rows. A shard without one gets a
-// row with all that its tasks may use, which nobody has counted so far. Rows from before a
-// leader that does not lease limits started tasks are removed: they cover none of those.
+// adopt writes the versions of this leader's shards into their rows. A shard without a row
+// gets one that covers all that its tasks may use, which no row has counted so far. Rows that
+// were written before a leader that does not lease limits started tasks are removed: they do
+// not cover those tasks.
 func (b *Borrower) adopt(record *Record, needs Needs) (changed bool) {
 	before := len(record.Rows)
 	record.Rows = slices.DeleteFunc(record.Rows, func(row Row) bool { return row.LeaderVersion < b.unleasedVersion })
@@ -72,14 +74,14 @@
 	return changed
 }
 
-// leaseCurrentUse gives a new row the parts that its shard's tasks use already.
+// leaseCurrentUse gives a new row parts that cover what its shard's tasks already use.
 func (b *Borrower) leaseCurrentUse(row *Row, needs Needs) {
 	for _, team := range b.teams {
 		row.setEntry(team, Entry{Part: needs(row.Shard, team).Use.countedBy(b.limits[team])})
 	}
 }
 
-// teamPlan decides on one team's parts.
+// teamPlan plans the changes of one team's parts.
 type teamPlan struct {
 	b       *Borrower
 	now     time.Time
@@ -90,7 +92,8 @@
 	changed bool
 }
 
-// run changes the entries of the led shards, one after the other, and reports whether it did.
+// run changes the entries of the led shards, one after the other, and reports whether any
+// changed.
 func (p *teamPlan) run() bool {
 	for _, shard := range slices.Sorted(maps.Keys(p.b.led)) {
 		row := p.record.row(shard)
@@ -112,10 +115,11 @@
 	return p.changed
 }
 
-// key names the team's part for a row's shard.
+// key identifies the team's part for a row's shard.
 func (p *teamPlan) key(row *Row) shardTeam { return shardTeam{row.Shard, p.team} }
 
-// need is what a shard needs, as far as the limit counts it and allows.
+// need returns a shard's need in the kinds that are limited, with the demand and unit capped
+// by the limit.
 func (p *teamPlan) need(shard int) Need {
 	need := p.needs(shard, p.team)
 	need.Use = need.Use.countedBy(p.limit)
@@ -124,7 +128,7 @@
 	return need
 }
 
-// setEntry changes what a row has of the team.
+// setEntry sets a row's entry of the team.
 func (p *teamPlan) setEntry(row *Row, entry Entry) {
 	if row.Teams[p.team] != entry {
 		row.setEntry(p.team, entry)
@@ -132,14 +136,14 @@
 	}
 }
 
-// reduce gives up what is not in use while more is leased than the limit, by over at most.
+// reduce gives up at most over of what is not in use, while more is leased than the limit.
 func (p *teamPlan) reduce(row *Row, need Need, over Amount) {
 	entry := row.Teams[p.team]
 	entry.Part = entry.Part.Sub(entry.Part.Sub(need.Use).Min(over))
 	p.setEntry(row, entry)
 }
 
-// borrow takes what is needed and no shard has.
+// borrow adds to a row's part what is needed and not leased to any shard.
 func (p *teamPlan) borrow(row *Row, need Need) {
 	entry := row.Teams[p.team]
 	free := p.limit.Sub(p.record.leased(p.team))
@@ -147,7 +151,7 @@
 	p.setEntry(row, entry)
 }
 
-// returnExcess returns what was not needed for returnAfter.
+// returnExcess returns the amount that was not needed for excessReturnDelay.
 func (p *teamPlan) returnExcess(row *Row, need Need) {
 	key := p.key(row)
 	entry := row.Teams[p.team]
@@ -167,7 +171,7 @@
 	}
 }
 
-// recordWant records what a shard could use beyond its part.
+// recordWant records the amount that a shard could use if it is more than its part.
 func (p *teamPlan) recordWant(row *Row, need Need) {
 	entry, unit := row.Teams[p.team], need.Unit
 	if p.b.idle[p.key(row)].stalled() {
@@ -176,7 +180,7 @@
 	switch {
 	case need.Demand.Fits(entry.Part):
 		if entry.Want.Fits(entry.Part) {
-			return // a want that is met needs no write to go
+			return // a want that is met need not be removed by a write of its own
 		}
 		entry.Want, entry.Unit = Amount{}, Amount{}
 	case entry.Want.Fits(entry.Part) || differsMuch(entry.Want, need.Demand) || differsMuch(entry.Unit, unit):
@@ -185,10 +189,11 @@
 	p.setEntry(row, entry)
 }
 
-// differsMuch reports whether b differsMuch from a by more than one part in wantSteps of a.
+// differsMuch reports whether b differs from a by more than 1/wantChangeDivisor of a in any
+// kind.
 func differsMuch(a, b Amount) bool {
 	for kind := range kinds {
-		if d := max(a[kind], b[kind]) - min(a[kind], b[kind]); d*wantTolerance > a[kind] {
+		if d := max(a[kind], b[kind]) - min(a[kind], b[kind]); d*wantChangeDivisor > a[kind] {
 			return true
 		}
 	}
--- a/internal/quotalease/give.go
+++ b/internal/quotalease/reallocate.go
@@ -3,21 +3,23 @@
 import "time"
 
 const (
-	// settleTime is for how long a use must have stood before what is left of its part,
-	// too little for one more task, is given away.
+	// settleTime is how long a shard's use must have been unchanged before the rest of its
+	// part, too small for one more task, is given away, and how long a part that has grown is
+	// left to its shard.
 	settleTime = time.Second
-	// accumulationPeriod is for how long a part that is too little for any task is kept all the
-	// same: what others can spare comes in pieces. It is kept in the first of gatherPeriods
-	// such periods, and given to the shard whose turn it is in the rest of them.
+	// accumulationPeriod is how long a part that is too small for any task is kept
+	// nevertheless, since other shards give up amounts in pieces. It is kept in the first of
+	// every accumulationCycle such periods, and given to the shard whose turn it is in the
+	// others.
 	accumulationPeriod = 5 * time.Second
 	accumulationCycle  = 4
-	// turnDuration is how long the same one of the shards that want more is served first. Shorter,
-	// and clocks that differ by a second would have leaders serve different ones.
+	// turnDuration is how long one of the shards that want more is served first. With shorter
+	// turns, leaders whose clocks differ by a second would serve different shards.
 	turnDuration = 2 * time.Second
 )
 
-// reallocate gives to the shards that want more what is not needed here, at once. To the one
-// whose turn it is it gives of what is needed here, too.
+// reallocate gives what is not needed here to the shards that want more, at once. The shard
+// whose turn it is also gets some of what is needed here.
 func (p *teamPlan) reallocate(row *Row, need Need) {
 	for _, other := range p.rowsWantingMore(row.Shard) {
 		from, to := row.Teams[p.team], other.Teams[p.team]
@@ -33,17 +35,18 @@
 	owed := amountOwed(from, to)
 	free := owed.Min(from.Part.Sub(need.Use))
 	if free != owed && to.Unit.Fits(to.Part) {
-		free = Amount{} // it can use whole tasks only; one that has too little for any gathers it
+		free = Amount{} // the receiver has enough for one task, so that less than a whole task more is of no use
 	}
 	p.moveAmount(row, other, free)
-	// Nothing new starts with the rest here, so that it comes free. It ends with the turn:
-	// the limit would have room for what waits here as long as no task ends.
+	// No new task here uses the rest, so that it becomes free. This ends with the turn:
+	// otherwise it would stay unused, with tasks waiting here, as long as no running task ends.
 	p.b.withheld[p.key(row)] = owed.Sub(free)
 }
 
-// reallocateRemainder gives what is left of a part to the shard whose turn it is, if it is too
-// little for one more task, or nothing starts with it. Two shards had room for half a task
-// each, and the team stayed below its limit with work that waited.
+// reallocateRemainder gives the unused rest of a part to the shard whose turn it is, if the
+// rest is too small for one more task, or no task starts with it. Otherwise two shards could
+// each hold half of what a task needs, and the team would stay below its limit while tasks
+// wait.
 func (p *teamPlan) reallocateRemainder(row *Row, need Need) {
 	remainder := row.Teams[p.team].Part.Sub(need.Use)
 	idling := p.b.idle[p.key(row)]
@@ -67,9 +70,10 @@
 	}
 }
 
-// rowInTurn is the row that wants more and whose turn it is, or nil. Those that have what they
-// want have their turns too, in which they keep it. Every second turn is for those that
-// can't start even one task. All leaders choose the same one, as far as their clocks agree.
+// rowInTurn returns the row whose turn it is, or nil if that row does not want more. Rows that
+// have all they want get turns too, in which they keep it. Every second turn is for rows that
+// can't start even one task, if there are any. All leaders choose the same row, as far as
+// their clocks agree.
 func (p *teamPlan) rowInTurn() *Row {
 	var all, starving []*Row
 	for i := range p.record.Rows {
@@ -97,8 +101,8 @@
 	return row
 }
 
-// rowsWantingMore returns the other rows that want more, beginning after a shard, so that several
-// givers don't all give to the same one.
+// rowsWantingMore returns the other rows that want more, beginning after a shard, so that
+// leaders do not all give to the same one.
 func (p *teamPlan) rowsWantingMore(shard int) (rows []*Row) {
 	n := len(p.record.Rows)
 	for i := 1; i < n; i++ {
@@ -110,9 +114,10 @@
 	return rows
 }
 
-// amountOwed is what a shard with the entry from, which needs all it has, is to give to the one whose
-// turn it is, which has the entry to: as much as makes parts even, or what the other lacks to
-// start one task.
+// amountOwed returns the amount that a shard with the entry from, which needs all it has, is
+// to give to the shard whose turn it is, which has the entry to: what the receiver needs to
+// start one more task, if its part then does not exceed the giver's, and otherwise what it
+// lacks to start its first.
 func amountOwed(from, to Entry) Amount {
 	unmet := to.Want.Sub(to.Part)
 	unit, lacks := to.Unit.Min(unmet), to.Unit.Sub(to.Part)
@@ -128,7 +133,7 @@
 	return lacks.Min(from.Part)
 }
 
-// stalled reports whether an entry is of a shard that wants a part and starts nothing.
+// stalled reports whether the entry's shard wants a part but starts no tasks.
 func (e Entry) stalled() bool { return e.Unit.IsZero() }
 
 // moveAmount moves an amount from one row's part to another's.
--- a/internal/quotalease/record.go
+++ b/internal/quotalease/record.go
@@ -27,29 +27,29 @@
 // Key returns the key of a record in the state service.
 func Key(record int) string { return fmt.Sprintf("%s%02d", Prefix, record) }
 
-// Record is how the limits of some teams are divided among the shards. A shard without a row
-// was never led by a leader that leases limits: what runs under it is not known.
+// Record holds the division of some teams' limits among the shards. A shard without a row was
+// never led by a leader that leases limits: the use of its tasks is unknown.
 type Record struct {
 	Rows []Row `json:"rows"` // by shard, ascending
 }
 
-// Row is what a shard has of the teams' limits.
+// Row holds a shard's parts of the teams' limits.
 type Row struct {
 	Shard         int              `json:"shard"`
 	LeaderVersion uint64           `json:"term"` // version of the shard's key under which its leader last wrote the row
 	Teams         map[string]Entry `json:"teams,omitempty"`
 }
 
-// Entry is what a shard has and wants of a team's limit.
+// Entry is a shard's part of a team's limit, and what it wants of the limit.
 type Entry struct {
 	Part Amount // leased to the shard
-	Want Amount // that it could use in all, if that is more than its part
-	Unit Amount // least by which its use can grow: a task, or a gang; 0: it starts nothing
+	Want Amount // amount that it could use in total, if that is more than its part
+	Unit Amount // least by which its use can grow: a task, or a gang; 0: it starts no tasks
 }
 
 const numbersPerEntry = 3 * kinds
 
-// MarshalJSON writes an entry as its numbers, without the zeros at the end.
+// MarshalJSON encodes an entry as an array of its numbers, without trailing zeros.
 func (e Entry) MarshalJSON() ([]byte, error) {
 	numbers := make([]int64, 0, numbersPerEntry)
 	for _, a := range []Amount{e.Part, e.Want, e.Unit} {
@@ -61,12 +61,12 @@
 	return json.Marshal(numbers)
 }
 
-// UnmarshalJSON reads what MarshalJSON writes. It refuses amounts that are negative or so large
-// that sums of them could overflow.
+// UnmarshalJSON decodes the form that MarshalJSON encodes. It refuses amounts that are
+// negative or so large that sums of them could overflow.
 func (e *Entry) UnmarshalJSON(data []byte) error {
 	var numbers []int64
 	if err := json.Unmarshal(data, &numbers); err != nil {
-		return err // the record's reader says what it was reading
+		return err // the caller says what it was reading
 	}
 	if len(numbers) > numbersPerEntry {
 		return fmt.Errorf("an entry of %d numbers", len(numbers))
@@ -83,9 +83,9 @@
 // maxNumber is the largest number in an entry, so that sums of them can't overflow.
 const maxNumber = 1 << 50
 
-// Parse reads a record for so many shards. It refuses unknown shards, rows that are out of order
-// or written by nobody, and amounts out of bounds. Teams are checked by their Borrower, which
-// knows the settings.
+// Parse parses a record for so many shards. It refuses unknown shards, rows that are out of
+// order or have no leader's version, and amounts out of bounds. Teams are checked by the
+// Borrower, which knows the settings.
 func Parse(data []byte, shards int) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// part is a shard's part of a team's limit.
+// part returns a shard's part of a team's limit.
 func (r *Record) part(shard int, team string) Amount {
 	if row := r.row(shard); row != nil {
 		return row.Teams[team].Part
@@ -130,7 +130,7 @@
 	slices.SortFunc(r.Rows, func(a, b Row) int { return a.Shard - b.Shard })
 }
 
-// setEntry changes what a row has of a team; an entry without a part and a want is not kept.
+// setEntry sets a row's entry of a team; an entry without a part and a want is removed.
 func (r *Row) setEntry(team string, entry Entry) {
 	if entry.Part.IsZero() && entry.Want.IsZero() {
 		delete(r.Teams, team)
@@ -142,7 +142,7 @@
 	r.Teams[team] = entry
 }
 
-// leased is the sum of a team's parts.
+// leased returns the sum of a team's parts.
 func (r *Record) leased(team string) (sum Amount) {
 	for i := range r.Rows {
 		sum = sum.Add(r.Rows[i].Teams[team].Part)
@@ -161,8 +161,8 @@
 	return out
 }
 
-// CheckSize returns an error if the parts of teams with these limits may not fit the records,
-// whose values have at most so many bytes.
+// CheckSize returns an error if the parts of teams with these limits may exceed the size of a
+// record, valueBytes.
 func CheckSize(limits map[string]Amount, shards, valueBytes int) error {
 	const longVersion = 1 << 53
 	records := [Records]Record{}
--- a/internal/quotalease/record_test.go
+++ b/internal/quotalease/record_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// FuzzParse parses whatever stands in the state service; what it could parse is parsed again as
-// it was encoded.
+// FuzzParse parses arbitrary data, and checks that a parsed record can be parsed again after
+// it is encoded.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"rows":[{"shard":1,"term":7,"teams":{"a":[8000,0,9000,0,1000],"b":[0,1]}},{"shard":2,"term":2}]}`))
 	f.Add([]byte(`{"rows":[{"shard":1,"term":7,"teams":{"a":null}}]}`))
@@ -47,7 +47,8 @@
 	})
 }
 
-// As many teams and shards as fit the records are accepted, and more are refused.
+// Settings whose parts fit the records are accepted, and those whose parts may not fit are
+// refused.
 func TestMorePartsThanFitRecordsAreRefused(t *testing.T) {
 	many := map[string]quotalease.Amount{}
 	for i := range 410 {
--- a/internal/quotalease/recorded_test.go
+++ b/internal/quotalease/recorded_test.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// Controllers of different versions share the records, so their form must not change. An
-// entry is an array of numbers, without the zeros at its end.
+// Controllers of different versions share the records, so their form must not change. An entry
+// is an array of numbers, without trailing zeros.
 func TestRecordedForms(t *testing.T) {
 	record := quotalease.Record{Rows: []quotalease.Row{
 		{Shard: 0, LeaderVersion: 41, Teams: map[string]quotalease.Entry{
