--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -1,9 +1,9 @@
 // Package quota leases parts of teams' limits, as recorded in the state service, for the
 // shards of a leader, so that several leaders can start tasks of one team within its limit.
 //
-// A Manager watches the records, works out what the leader's shards need, and reads and writes
-// records in the background. What to write is decided by package quotalease; whether a start is
-// within the leased part is checked by package jobstate. Limits are leased only if shards are
+// A Manager watches the records, computes the needs of the leader's shards, and reads and
+// writes records in the background. Package quotalease plans the writes; package jobstate
+// checks whether a start is within the leased part. Limits are leased only if shards are
 // spread over several leaders (LeasesQuota).
 package quota
 
@@ -24,33 +24,35 @@
 )
 
 const (
-	roundInterval = 200 * time.Millisecond // between looks at what is needed
-	// writeShare is the part of the state service's writes that a leader uses for quota
+	roundInterval = 200 * time.Millisecond // between computations of the needs
+	// writeShare is the fraction of the state service's writes that a leader uses for quota
 	// records, on average. A failover writes every record once, at once.
 	writeShare = 0.05
 )
 
-// Manager leases parts of teams' limits for the shards of this leader. If limits are not leased
-// its methods do nothing. Its fields are guarded by the state's Mu, unless they say otherwise.
+// Manager leases parts of teams' limits for the shards of this leader. If limits are not
+// leased, its methods do nothing. Its fields are guarded by the state's Mu, unless they say
+// otherwise.
 type Manager struct {
 	state *jobstate.State
 	store jobrecord.Store
 	log   *slog.Logger
 
 	enabled    bool                                     // limits are leased; never changes
-	borrowers  [quotalease.Records]*quotalease.Borrower // by record; nil: it holds no team
-	inFlight   [quotalease.Records]bool                 // a request for the record is under way
-	nextRecord int                                      // with which the next round begins
+	borrowers  [quotalease.Records]*quotalease.Borrower // the record holds no team
+	inFlight   [quotalease.Records]bool                 // a request for the record is in flight
+	nextRecord int                                      // record with which the next round begins
 	writeLimit *rate.Limiter                            // of writes
 	// unleasedVersion is the version of the latest log record, of any shard, whose writer did
 	// not lease limits.
 	unleasedVersion uint64
 
-	wake     chan struct{}  // there may be something to read or write; not guarded
-	requests sync.WaitGroup // what Run has started; used by Run alone
+	wake     chan struct{}  // signals that there may be something to read or write; not guarded
+	requests sync.WaitGroup // requests that Run has started; used by Run alone
 }
 
-// New returns the manager of a leader's leases, and makes the teams of the state use them.
+// New returns the manager of a leader's leases, and connects it to the teams in state whose
+// limits are leased.
 func New(state *jobstate.State, store jobrecord.Store, log *slog.Logger) *Manager {
 	m := &Manager{state: state, store: store, log: log, enabled: LeasesQuota(state.Operator)}
 	if !m.enabled {
@@ -86,8 +88,8 @@
 	return records
 }
 
-// OwnershipChanged has the leases follow the shards that this controller leads. It is to be
-// called whenever they change, before anything can start under the new ones. The caller holds
+// OwnershipChanged updates the leases for the shards that this controller leads. Call it
+// whenever they change, before any task can start under the new leadership. The caller holds
 // the state's Mu.
 func (m *Manager) OwnershipChanged() {
 	if !m.enabled {
@@ -101,7 +103,7 @@
 	jobstate.Notify(m.wake)
 }
 
-// Mark returns what this leader's log records of a shard say of leases. The caller holds the
+// Mark returns the quota mark of this leader's log records of a shard. The caller holds the
 // state's Mu.
 func (m *Manager) Mark(shard int) jobrecord.QuotaMark {
 	if !m.enabled {
@@ -115,7 +117,7 @@
 	return jobrecord.QuotaMark{LeasesQuota: true}
 }
 
-// NoteRecord notes what a log record of an earlier leader, of any shard, says of leases. One
+// NoteRecord takes the quota mark of a log record of an earlier leader, of any shard. A record
 // without a readable mark was written by a leader that does not lease limits. The caller holds
 // the state's Mu.
 func (m *Manager) NoteRecord(item wire.Item) {
@@ -147,7 +149,8 @@
 		}
 		start := time.Now()
 		m.round(ctx)
-		// As scheduling passes: a small part of the processor, however many teams there are.
+		// Like scheduling passes, rounds use a small share of the processor, however many teams
+		// there are.
 		select {
 		case <-ctx.Done():
 		case <-time.After(jobstate.PassShare * time.Since(start)):
@@ -155,11 +158,11 @@
 	}
 }
 
-// round starts what is to be read and written, as far as the write limit allows.
+// round starts the reads and writes that are due, as far as the write limit allows.
 func (m *Manager) round(ctx context.Context) {
 	m.state.Mu.Lock()
 	defer m.state.Mu.Unlock()
-	// A successor may lead the shards already: what was planned could not be written.
+	// A successor may lead the shards already: planned writes would fail.
 	if len(m.state.Loaded) == 0 || m.state.Membership.LeaseRemaining() <= 0 {
 		return
 	}
@@ -189,7 +192,7 @@
 
 // startRequest sends a request for a record in the background; Run waits for it.
 func (m *Manager) startRequest(record int, send func()) {
-	m.writeLimit.Allow() // there is a token: round has looked
+	m.writeLimit.Allow() // round has checked that there is a token
 	m.inFlight[record] = true
 	m.requests.Go(send)
 }
--- a/internal/quota/manager_test.go
+++ b/internal/quota/manager_test.go
@@ -14,10 +14,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// slowStore is a state service whose writes and watches end a while after their context.
+// slowStore is a state service whose writes and watches end some time after their context.
 type slowStore struct {
 	jobrecord.Store
-	writeStarted chan struct{} // gets a value when a write has begun
+	writeStarted chan struct{} // receives a value when a write has started
 	ended        atomic.Int32  // writes and watches that have ended
 }
 
@@ -37,7 +37,7 @@
 	s.endAfterDelay(ctx)
 }
 
-// leader leads shard 0.
+// leader is the membership of a controller that leads shard 0.
 type leader struct{ jobstate.Membership }
 
 func (leader) LeaseRemaining() time.Duration { return time.Hour }
@@ -53,7 +53,8 @@
 	return state, manager
 }
 
-// Run returns only when its write and its watch have ended: nothing changes the state after it.
+// Run returns only after its write and its watch have ended: nothing changes the state after
+// it.
 func TestRunWaitsForItsRequests(t *testing.T) {
 	store := &slowStore{writeStarted: make(chan struct{}, 1)}
 	_, manager := newManager(2, store)
@@ -69,7 +70,7 @@
 }
 
 // With one leader no limit is leased, and nothing is read or written; with several, the limits
-// are, of the teams that have any.
+// of the teams that have one are leased.
 func TestLimitsAreLeasedOnlyToSeveralLeaders(t *testing.T) {
 	for _, c := range []struct {
 		spread int
@@ -83,7 +84,7 @@
 			t.Errorf("spread %d: a team without a limit leases it", c.spread)
 		}
 		if mark := manager.Mark(0); mark.LeasesQuota != c.leased {
-			t.Errorf("spread %d: log records say %+v", c.spread, mark)
+			t.Errorf("spread %d: mark of log records: %+v", c.spread, mark)
 		}
 		if !c.leased {
 			manager.Run(t.Context()) // returns at once, without a store
--- a/internal/quota/needs.go
+++ b/internal/quota/needs.go
@@ -7,13 +7,13 @@
 	"github.com/wallrack/wallrack/internal/quotalease"
 )
 
-// shardTeam names a team's part for a shard.
+// shardTeam identifies a team's part for a shard.
 type shardTeam struct {
 	shard int
 	team  string
 }
 
-// currentNeeds is what this leader's shards need of the limits that are leased.
+// currentNeeds returns the needs of this leader's shards for the limits that are leased.
 func (m *Manager) currentNeeds(now time.Time) map[shardTeam]quotalease.Need {
 	m.state.Now = now
 	needs := map[shardTeam]quotalease.Need{}
@@ -39,8 +39,8 @@
 	return needs
 }
 
-// startableTasks is how many tasks of a job could start now, counted by placements for those that
-// have any.
+// startableTasks returns the number of a job's tasks that could start now; tasks with
+// placements are counted by placement.
 func (m *Manager) startableTasks(job *jobstate.Job) int {
 	tasks := m.state.WantedTasks(job)
 	for _, placements := range job.Placements {
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -17,7 +17,7 @@
 // watchHold is how long the state service may hold a request for changes.
 const watchHold = 20 * time.Second
 
-// watchRecords follows the records until ctx ends.
+// watchRecords watches the records until ctx ends.
 func (m *Manager) watchRecords(ctx context.Context) {
 	m.store.Watch(ctx, quotalease.Prefix, watchHold, func(items []wire.Item) {
 		for _, item := range items {
@@ -34,7 +34,7 @@
 	})
 }
 
-// observe takes a record as the watch shows it.
+// observe passes a record that the watch reports to its borrower.
 func (m *Manager) observe(item wire.Item) {
 	m.state.Mu.Lock()
 	defer m.state.Mu.Unlock()
@@ -48,7 +48,8 @@
 	}
 }
 
-// parseRecord parses a record; one that can't be read is counted and logged. Version 0: there is none.
+// parseRecord parses a record; one that can't be parsed is counted and logged. Version 0 means
+// that there is none.
 func (m *Manager) parseRecord(item wire.Item) (quotalease.Record, bool) {
 	if item.Version == 0 {
 		return quotalease.Record{}, true
@@ -62,8 +63,8 @@
 	return record, true
 }
 
-// passToBorrower calls pass, which gives a record to a borrower, and counts and logs what the borrower
-// refused of it.
+// passToBorrower calls observe, which passes a record to a borrower, and counts and logs the
+// entries that the borrower ignored.
 func (m *Manager) passToBorrower(key string, borrower *quotalease.Borrower, observe func()) {
 	before := borrower.UnknownEntries
 	observe()
@@ -74,8 +75,8 @@
 	jobstate.Notify(m.state.PlanSignal)
 }
 
-// write carries out a write of a record. If its outcome stays unknown, the borrower plans the
-// same write again.
+// write writes a record. If the outcome stays unknown, the borrower plans the same write
+// again.
 func (m *Manager) write(ctx context.Context, n int, write quotalease.Write) {
 	guards := make([]wire.Guard, 0, 1+len(write.Shards))
 	guards = append(guards, wire.Guard{Key: quotalease.Key(n), Version: write.Guard})
@@ -102,7 +103,7 @@
 	}
 }
 
-// reread reads a record anew after a write of it was rejected. If that fails, the next round
+// reread reads a record again after a write of it was rejected. If that fails, the next round
 // reads it again.
 func (m *Manager) reread(ctx context.Context, n int) {
 	getCtx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -10,13 +10,13 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// LeasesQuota reports whether limits are leased to several leaders: then a team's jobs need not
-// belong to one shard.
+// LeasesQuota reports whether limits are leased to several leaders: a team's jobs then need
+// not belong to one shard.
 func LeasesQuota(op *config.Operator) bool { return op.Spread > 1 }
 
-// AssignShard returns the shard that a new job belongs to: jobs of a team stay together unless
-// the team's limit is leased. The job's record keeps the shard, so that jobs that were accepted
-// under another setting stay where they are.
+// AssignShard returns the shard that a new job belongs to: jobs of a team are in one shard
+// unless the team's limit is leased. The job's record contains the shard, so that jobs that
+// were accepted under another setting stay where they are.
 func AssignShard(job *wire.Job, teams []config.Team, op *config.Operator) int {
 	if LeasesQuota(op) {
 		unleased := make([]config.Team, 0, len(teams))
