--- a/internal/batching/sender.go
+++ b/internal/batching/sender.go
@@ -1,7 +1,7 @@
-// Package batching collects what is to be sent to a peer: items that arrive while a round trip
-// to the peer is under way leave with the next one, all at once. An item waits only for a
-// round trip, and not for long when that is slow. The package keeps items in memory and
-// neither repeats nor bounds them: what Send does with a failure is the caller's.
+// Package batching collects items that are to be sent to a peer: those that arrive while a
+// round trip to the peer is in progress are sent together with the next one. An item waits for
+// at most one round trip, and only for a limited time if that is slow. The package keeps items
+// in memory and neither repeats nor bounds them: Send has to handle failures.
 package batching
 
 import (
@@ -10,18 +10,19 @@
 )
 
 const (
-	maxBatchItems      = 256 // of a batch, which bounds the size of its message
-	maxBatchesInFlight = 8   // batches on their way to one peer
-	// overlapDelay is how long a batch may be under way before the next one leaves all the
-	// same: over a slow link, one batch a round trip would add that much to every wait.
+	maxBatchItems      = 256 // per batch, which bounds the size of its message
+	maxBatchesInFlight = 8   // to one peer
+	// overlapDelay is how long a batch may be in flight before the next one is sent
+	// nevertheless: over a slow link, sending one batch per round trip would add up to a round
+	// trip to every wait.
 	overlapDelay = 100 * time.Millisecond
 )
 
 // Sender collects items for each peer. It is safe for concurrent use.
 type Sender[T any] struct {
-	// Send carries a batch of at most 256 items, in the order of Add, to a peer and returns
-	// when the peer has responded or won't. Up to 8 calls for a peer run at a time. It is to
-	// be set before the first Add, and not changed.
+	// Send sends a batch of at most 256 items, in the order of Add, to a peer and returns when
+	// the peer has responded or the attempt has failed. Up to 8 calls for a peer run at a time.
+	// Set it before the first Add, and do not change it.
 	Send func(peer string, items []T)
 
 	sending sync.WaitGroup
@@ -29,11 +30,11 @@
 	queues  map[string]*peerQueue[T] // by peer
 }
 
-// peerQueue is what is to go to one peer.
+// peerQueue holds the items for one peer.
 type peerQueue[T any] struct {
 	waiting    []T
 	inFlight   int       // batches
-	lastSentAt time.Time // when the last batch left
+	lastSentAt time.Time // when the last batch was sent
 	timerSet   bool      // a timer will try to send again
 }
 
@@ -53,13 +54,14 @@
 	s.trySend(peer, queue)
 }
 
-// Wait waits until all items are sent. No Add may be called meanwhile.
+// Wait waits until all items are sent. Add must not be called meanwhile.
 func (s *Sender[T]) Wait() { s.sending.Wait() }
 
-// trySend lets a batch leave if it may, with all items that arrive until its goroutine runs.
+// trySend starts to send a batch if one may be sent, with all items that arrive until its
+// goroutine runs.
 func (s *Sender[T]) trySend(peer string, queue *peerQueue[T]) {
 	if len(queue.waiting) == 0 || queue.inFlight == maxBatchesInFlight {
-		return // the next batch that comes back tries again
+		return // the next batch that ends tries again
 	}
 	now := time.Now()
 	if remaining := overlapDelay - now.Sub(queue.lastSentAt); queue.inFlight > 0 && remaining > 0 {
@@ -72,9 +74,9 @@
 	go s.sendBatch(peer, queue)
 }
 
-// trySendLater tries to send again when the peer's last batch has been under way for long. The
-// timer needs no stop: it fires within overlapAfter, and while there are items for it to
-// send, a batch is under way, for which Wait waits.
+// trySendLater tries to send again when the peer's last batch has been in flight for
+// overlapDelay. The timer needs no stop: it fires within overlapDelay, and while there are
+// items for it to send, a batch is in flight, for which Wait waits.
 func (s *Sender[T]) trySendLater(peer string, queue *peerQueue[T], after time.Duration) {
 	if queue.timerSet {
 		return
@@ -88,7 +90,7 @@
 	})
 }
 
-// sendBatch sends the first items that wait for a peer, and then tries to send the next ones.
+// sendBatch sends the first queued items of a peer, and then tries to send the next ones.
 func (s *Sender[T]) sendBatch(peer string, queue *peerQueue[T]) {
 	defer s.sending.Done()
 	s.mu.Lock()
--- a/internal/batching/sender_test.go
+++ b/internal/batching/sender_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whenever items arrive, and however long round trips take, each item is sent to its peer once,
-// and at once while nothing is under way; there are never more than maxUnderWay batches at a
-// time, and no item waits for a slow round trip.
+// Whenever items arrive, and however long round trips take, each item is sent to its peer
+// once, and at once while no batch is in flight; there are never more than maxBatchesInFlight
+// batches in flight, and no item waits for a slow round trip.
 func TestEachItemIsSentOnceAndWaitsForNoSlowRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		roundTrip := time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms of a round trip")) * time.Millisecond
@@ -21,9 +21,9 @@
 		var failure string
 		synctest.Test(t, func(*testing.T) {
 			var mu sync.Mutex
-			added := make([]time.Time, 0, burst*len(pauses)) // when each item was
+			added := make([]time.Time, 0, burst*len(pauses)) // when each item was added
 			var got []int
-			inFlight, reachedMaximum := 0, false // wasFull: maxUnderWay batches were under way at some time
+			inFlight, reachedMaximum := 0, false // reachedMaximum: maxBatchesInFlight batches were in flight at some time
 			check := func(ok bool, what string) {
 				if !ok && failure == "" {
 					failure = what
