--- a/internal/membership/capacity_test.go
+++ b/internal/membership/capacity_test.go
@@ -64,16 +64,16 @@
 	done := make([]<-chan struct{}, 0, controllers)
 	for i := range controllers {
 		view := countingView{&testkit.View{Store: store}, &requests, &writes, &events}
-		done = append(done, run(ctx, membership.New(view, fmt.Sprintf("racker-%d", i+1), 5*time.Second, 1, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))))
+		done = append(done, runMember(ctx, membership.New(view, fmt.Sprintf("racker-%d", i+1), 5*time.Second, 1, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))))
 		time.Sleep(time.Second)
 	}
-	read := func() stateServiceLoad {
+	total := func() stateServiceLoad {
 		return stateServiceLoad{float64(requests.Load()), float64(writes.Load()), float64(events.Load())}
 	}
 	time.Sleep(time.Minute - time.Duration(controllers)*time.Second)
-	first = read()
+	first = total()
 	time.Sleep(time.Minute)
-	later = read()
+	later = total()
 	cancel()
 	for _, d := range done {
 		<-d
@@ -82,8 +82,8 @@
 }
 
 // simulateMinutes runs measureMinutes in simulated time, and returns one value of its results.
-func simulateMinutes(controllers int, of func(first, later stateServiceLoad) float64) (value float64) {
-	synctest.Test(&testing.T{}, func(*testing.T) { value = of(measureMinutes(controllers)) })
+func simulateMinutes(controllers int, pick func(first, later stateServiceLoad) float64) (value float64) {
+	synctest.Test(&testing.T{}, func(*testing.T) { value = pick(measureMinutes(controllers)) })
 	return value
 }
 
--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -86,9 +86,9 @@
 			continue
 		}
 		if freedAt, seen := m.freedAt[shard]; seen {
-			if early := time.Until(freedAt.Add(delay)); early > 0 {
-				if wait == 0 || early < wait {
-					wait = early
+			if remaining := time.Until(freedAt.Add(delay)); remaining > 0 {
+				if wait == 0 || remaining < wait {
+					wait = remaining
 				}
 				continue
 			}
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -73,7 +73,7 @@
 	switch {
 	case ownAttempt:
 		return predecessor.ShortIncarnations // an attempt whose response was lost, not a short incarnation
-	case predecessor.Lease != 0 && record.JoinedMs-predecessor.JoinedMs < shortIncarnation.Milliseconds():
+	case predecessor.Lease != 0 && record.JoinedMs-predecessor.JoinedMs < shortIncarnationLimit.Milliseconds():
 		return predecessor.ShortIncarnations + 1
 	}
 	return 0
--- a/internal/membership/lost_responses_test.go
+++ b/internal/membership/lost_responses_test.go
@@ -22,10 +22,10 @@
 func TestReleaseAndTransferWithUnknownOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
-		var hold atomic.Bool // the next transfer is applied late
+		var delayTransfer atomic.Bool // the next transfer is applied late
 		var lost, read atomic.Uint64
 		view := &testkit.View{
-			Store: store, Late: func() bool { return hold.CompareAndSwap(true, false) },
+			Store: store, Late: func() bool { return delayTransfer.CompareAndSwap(true, false) },
 			LoseAnswer: func(txn wire.Txn, version uint64) bool {
 				return strings.HasPrefix(txn.Then[0].Delete, "c/shard/") && lost.CompareAndSwap(0, version)
 			},
@@ -35,25 +35,25 @@
 				read.Store(version)
 			}
 		}}
-		spread := func(v *testkit.View, name string) *membership.Member {
+		newSpreadMember := func(v *testkit.View, name string) *membership.Member {
 			return membership.New(v, name, ttl, 4, 2, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		}
-		a, b := spread(view, "a"), spread(other, "b")
+		a, b := newSpreadMember(view, "a"), newSpreadMember(other, "b")
 		ctx, cancel := context.WithCancel(context.Background())
-		doneA := run(ctx, a)
+		doneA := runMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := run(ctx, b)
+		doneB := runMember(ctx, b)
 		for end := time.Now().Add(2 * ttl); lost.Load() == 0 && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
 		// While the release is pending, the remaining shards are transferred.
-		hold.Store(true)
+		delayTransfer.Store(true)
 		if err := a.TransferShards(ctx, "b"); err == nil {
 			t.Error("transferred without a response")
 		}
 		time.Sleep(4 * time.Second)
-		if lost.Load() == 0 || read.Load() == 0 || hold.Load() {
-			t.Errorf("release applied as of %d, read by the other controller as of %d, transfer not sent yet: %v", lost.Load(), read.Load(), hold.Load())
+		if lost.Load() == 0 || read.Load() == 0 || delayTransfer.Load() {
+			t.Errorf("release applied as of %d, read by the other controller as of %d, transfer not sent yet: %v", lost.Load(), read.Load(), delayTransfer.Load())
 		}
 		if len(a.LedShards())+len(b.LedShards()) != 4 {
 			t.Errorf("with both outcomes known a leads %v, b %v", a.LedShards(), b.LedShards())
@@ -74,11 +74,11 @@
 func TestJoiningWithLostResponsesIsNotUnstable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
-		left := 4
+		lossesLeft := 4
 		view := &testkit.View{Store: store, LoseAnswer: func(txn wire.Txn, _ uint64) bool {
 			for _, op := range txn.Then {
-				if op.Put == "c/node/b" && left > 0 {
-					left--
+				if op.Put == "c/node/b" && lossesLeft > 0 {
+					lossesLeft--
 					return true
 				}
 			}
@@ -86,17 +86,17 @@
 		}}
 		ctx, cancel := context.WithCancel(context.Background())
 		actx, stop := context.WithCancel(ctx)
-		a, b, c := member(&testkit.View{Store: store}, "a"), member(view, "b"), member(&testkit.View{Store: store}, "c")
-		doneA := run(actx, a)
+		a, b, c := newMember(&testkit.View{Store: store}, "a"), newMember(view, "b"), newMember(&testkit.View{Store: store}, "c")
+		doneA := runMember(actx, a)
 		time.Sleep(time.Second)
-		doneC := run(ctx, c)
+		doneC := runMember(ctx, c)
 		time.Sleep(time.Second)
-		doneB := run(ctx, b)
+		doneB := runMember(ctx, b)
 		for end := time.Now().Add(time.Minute); b.FencingToken() == 0 && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if left > 0 || b.FencingToken() == 0 {
-			t.Fatalf("%d responses still to be lost, fencing token %d", left, b.FencingToken())
+		if lossesLeft > 0 || b.FencingToken() == 0 {
+			t.Fatalf("%d responses still to be lost, fencing token %d", lossesLeft, b.FencingToken())
 		}
 		time.Sleep(time.Second)
 		stop()
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -20,11 +20,11 @@
 
 const ttl = 7 * time.Second
 
-func member(view *testkit.View, name string) *membership.Member {
+func newMember(view *testkit.View, name string) *membership.Member {
 	return membership.New(view, name, ttl, 4, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func run(ctx context.Context, m *membership.Member) <-chan struct{} {
+func runMember(ctx context.Context, m *membership.Member) <-chan struct{} {
 	done := make(chan struct{})
 	go func() { defer close(done); _ = m.Run(ctx) }()
 	return done
@@ -36,9 +36,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		var txns atomic.Int32
 		view := &testkit.View{Store: testkit.NewStore(), Lose: func() bool { return txns.Add(1) == 2 }}
-		m := member(view, "a")
+		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done := run(ctx, m)
+		done := runMember(ctx, m)
 		time.Sleep(3 * time.Second)
 		if txns.Load() < 2 || len(m.LedShards()) != 4 {
 			t.Errorf("leads %v after %d transactions", m.LedShards(), txns.Load())
@@ -56,22 +56,22 @@
 		var losing atomic.Int32
 		store := testkit.NewStore()
 		view := &testkit.View{Store: store, Lose: func() bool { return losing.Add(-1) >= 0 }}
-		m := member(view, "a")
+		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done := run(ctx, m)
+		done := runMember(ctx, m)
 		time.Sleep(3 * time.Second)
-		var given struct{ N uint64 } // the highest token drawn, reserved ones included
-		if err := json.Unmarshal([]byte(store.Text("c/term")), &given); err != nil {
+		var counter struct{ N uint64 } // the highest token drawn, reserved ones included
+		if err := json.Unmarshal([]byte(store.Text("c/term")), &counter); err != nil {
 			t.Fatal(err)
 		}
-		was := given.N
+		highest := counter.N
 		losing.Store(2)
-		at := time.Now()
+		start := time.Now()
 		token, err := m.NextToken(ctx)
-		if err != nil || token != was+3 || losing.Load() >= 0 {
-			t.Errorf("token %d after %d, %v; %d responses left to lose", token, was, err, losing.Load())
+		if err != nil || token != highest+3 || losing.Load() >= 0 {
+			t.Errorf("token %d after %d, %v; %d responses left to lose", token, highest, err, losing.Load())
 		}
-		if took := time.Since(at); took > time.Second {
+		if took := time.Since(start); took > time.Second {
 			t.Errorf("took %v", took)
 		}
 		cancel()
@@ -87,9 +87,9 @@
 		var requests atomic.Int32
 		var down atomic.Bool
 		view := &testkit.View{Store: testkit.NewStore(), Down: func() bool { requests.Add(1); return down.Load() }}
-		m := member(view, "a")
+		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done := run(ctx, m)
+		done := runMember(ctx, m)
 		time.Sleep(3 * time.Second)
 		was, before := m.FencingToken(), requests.Load()
 		down.Store(true)
@@ -118,12 +118,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		var down atomic.Bool
-		a := member(&testkit.View{Store: store, Down: down.Load}, "a")
-		b := member(&testkit.View{Store: store}, "b")
+		a := newMember(&testkit.View{Store: store, Down: down.Load}, "a")
+		b := newMember(&testkit.View{Store: store}, "b")
 		ctx, cancel := context.WithCancel(context.Background())
-		doneA := run(ctx, a)
+		doneA := runMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := run(ctx, b)
+		doneB := runMember(ctx, b)
 		time.Sleep(time.Second)
 		if len(a.LedShards()) != 4 || len(b.LedShards()) != 0 {
 			t.Fatalf("a leads %v, b %v", a.LedShards(), b.LedShards())
@@ -148,15 +148,15 @@
 func TestRestartEndsPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
-		first := member(&testkit.View{Store: store}, "a")
+		first := newMember(&testkit.View{Store: store}, "a")
 		ctx, kill := context.WithCancel(context.Background())
-		done := run(ctx, first)
+		done := runMember(ctx, first)
 		time.Sleep(time.Second)
 		kill()
 		<-done
-		second := member(&testkit.View{Store: store}, "a")
+		second := newMember(&testkit.View{Store: store}, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done = run(ctx, second)
+		done = runMember(ctx, second)
 		time.Sleep(time.Second)
 		if len(second.LedShards()) != 4 {
 			t.Errorf("leads %v a second after the restart", second.LedShards())
@@ -181,8 +181,8 @@
 		start := func(name string) {
 			ctx, cancel := context.WithCancel(context.Background())
 			slow := func() bool { time.Sleep(10 * time.Millisecond); return false } // the duration of a request
-			members[name] = member(&testkit.View{Store: store, Down: slow}, name)
-			stops[name], dones[name] = cancel, run(ctx, members[name])
+			members[name] = newMember(&testkit.View{Store: store, Down: slow}, name)
+			stops[name], dones[name] = cancel, runMember(ctx, members[name])
 		}
 		leader := func() (name string) {
 			for n, m := range members {
@@ -231,15 +231,15 @@
 		members, stops, dones := map[string]*membership.Member{}, map[string]context.CancelFunc{}, map[string]<-chan struct{}{}
 		start := func(name string) {
 			ctx, cancel := context.WithCancel(context.Background())
-			members[name] = member(&testkit.View{Store: store}, name)
-			stops[name], dones[name] = cancel, run(ctx, members[name])
+			members[name] = newMember(&testkit.View{Store: store}, name)
+			stops[name], dones[name] = cancel, runMember(ctx, members[name])
 		}
 		for _, name := range []string{"a", "b", "c"} {
 			start(name)
 			time.Sleep(time.Second)
 		}
 		time.Sleep(time.Minute)
-		times := 0
+		timesLeading := 0
 		for range 12 {
 			stops["c"]()
 			<-dones["c"]
@@ -247,11 +247,11 @@
 			start("c")
 			time.Sleep(8 * time.Second)
 			if len(members["c"].LedShards()) > 0 {
-				times++
+				timesLeading++
 			}
 		}
-		if times > 4 || len(members["a"].LedShards())+len(members["b"].LedShards()) != 4 {
-			t.Errorf("c led shards %d times; a leads %v, b %v", times, members["a"].LedShards(), members["b"].LedShards())
+		if timesLeading > 4 || len(members["a"].LedShards())+len(members["b"].LedShards()) != 4 {
+			t.Errorf("c led shards %d times; a leads %v, b %v", timesLeading, members["a"].LedShards(), members["b"].LedShards())
 		}
 		// If all controllers are unstable, every shard is led nevertheless.
 		for range 5 {
@@ -298,17 +298,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		view := &releaseDelayer{View: &testkit.View{Store: store}}
-		spread := func(store membership.Store, name string) *membership.Member {
+		newSpreadMember := func(store membership.Store, name string) *membership.Member {
 			return membership.New(store, name, ttl, 4, 2, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		}
-		a, b := spread(view, "a"), spread(&testkit.View{Store: store}, "b")
+		a, b := newSpreadMember(view, "a"), newSpreadMember(&testkit.View{Store: store}, "b")
 		ctx, cancel := context.WithCancel(context.Background())
-		doneA := run(ctx, a)
+		doneA := runMember(ctx, a)
 		time.Sleep(time.Second)
 		if len(a.LedShards()) != 4 {
 			t.Fatalf("a leads %v", a.LedShards())
 		}
-		doneB := run(ctx, b)
+		doneB := runMember(ctx, b)
 		for end := time.Now().Add(2 * ttl); view.delayed.Load() == nil && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/internal/membership/records.go
+++ b/internal/membership/records.go
@@ -25,8 +25,8 @@
 }
 
 const (
-	shortIncarnation  = 15 * time.Second
-	unstableThreshold = 3 // consecutive short incarnations after which a controller leaves shards to others
+	shortIncarnationLimit = 15 * time.Second
+	unstableThreshold     = 3 // consecutive short incarnations after which a controller leaves shards to others
 )
 
 func (r *nodeRecord) stable() bool { return r.ShortIncarnations < unstableThreshold }
--- a/internal/membership/reserved_token_test.go
+++ b/internal/membership/reserved_token_test.go
@@ -48,8 +48,8 @@
 
 func (c *tokenCluster) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c.members[i] = member(c.view, string(rune('a'+i)))
-	done := run(ctx, c.members[i])
+	c.members[i] = newMember(c.view, string(rune('a'+i)))
+	done := runMember(ctx, c.members[i])
 	c.stops[i] = func() { cancel(); <-done }
 	c.incarnations[i], c.lastTokens[i] = c.incarnations[i]+1, 0
 }
@@ -165,8 +165,8 @@
 	members := make([]*membership.Member, 0, controllers)
 	done := make([]<-chan struct{}, 0, controllers)
 	for i := range controllers {
-		m := member(view, string(rune('a'+i)))
-		members, done = append(members, m), append(done, run(ctx, m))
+		m := newMember(view, string(rune('a'+i)))
+		members, done = append(members, m), append(done, runMember(ctx, m))
 		time.Sleep(700 * time.Millisecond)
 	}
 	time.Sleep(20 * time.Second)
--- a/internal/membership/token.go
+++ b/internal/membership/token.go
@@ -106,10 +106,10 @@
 		}
 		var conflict *statestore.ConflictError
 		conflicted := errors.As(err, &conflict) && conflict.Has(tokenKey)
-		// After an unknown outcome the token may be drawn, now or later: the counter is read
+		// After an outcomeUnknown outcome the token may be drawn, now or later: the counter is read
 		// again and the next token drawn. A failover that gave up here would start over.
-		unknown := errors.Is(err, statestore.ErrUnknown) && ctx.Err() == nil
-		if !conflicted && !unknown {
+		outcomeUnknown := errors.Is(err, statestore.ErrUnknown) && ctx.Err() == nil
+		if !conflicted && !outcomeUnknown {
 			return counter, fmt.Errorf("raise fencing token: %w", err)
 		}
 		statestore.Backoff(ctx, attempt, 20*time.Millisecond, 200*time.Millisecond)
--- a/internal/membership/transfer_test.go
+++ b/internal/membership/transfer_test.go
@@ -24,10 +24,10 @@
 		store := testkit.NewStore()
 		slow := func() bool { time.Sleep(20 * time.Millisecond); return false }
 		ctx, cancel := context.WithCancel(context.Background())
-		a, b := member(&testkit.View{Store: store, Down: slow}, "a"), member(&testkit.View{Store: store}, "b")
-		doneA := run(ctx, a)
+		a, b := newMember(&testkit.View{Store: store, Down: slow}, "a"), newMember(&testkit.View{Store: store}, "b")
+		doneA := runMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := run(ctx, b)
+		doneB := runMember(ctx, b)
 		time.Sleep(time.Second)
 		if err := a.TransferShards(ctx, "b"); err != nil {
 			t.Error(err)
@@ -36,8 +36,8 @@
 		if len(a.LedShards()) != 0 || len(b.LedShards()) != 4 {
 			t.Errorf("a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
-		c := member(&testkit.View{Store: store}, "c")
-		doneC := run(ctx, c)
+		c := newMember(&testkit.View{Store: store}, "c")
+		doneC := runMember(ctx, c)
 		time.Sleep(time.Second)
 		if a.RecentTransfers(time.Minute) != 1 || c.RecentTransfers(time.Minute) != 1 || c.RecentTransfers(time.Second) != 0 {
 			t.Errorf("transfers: a knows of %d, c of %d", a.RecentTransfers(time.Minute), c.RecentTransfers(time.Minute))
@@ -57,11 +57,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		ctx, cancel := context.WithCancel(context.Background())
-		a := member(&testkit.View{Store: store}, "a")
-		b := member(&testkit.View{Store: store, Slow: func() time.Duration { return 800 * time.Millisecond }}, "b")
-		doneA := run(ctx, a)
+		a := newMember(&testkit.View{Store: store}, "a")
+		b := newMember(&testkit.View{Store: store, Slow: func() time.Duration { return 800 * time.Millisecond }}, "b")
+		doneA := runMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := run(ctx, b)
+		doneB := runMember(ctx, b)
 		for !a.Alive("b") {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -89,10 +89,10 @@
 		var late atomic.Bool
 		view := &testkit.View{Store: store, Late: late.Load}
 		ctx, cancel := context.WithCancel(context.Background())
-		a, b := member(view, "a"), member(&testkit.View{Store: store}, "b")
-		doneA := run(ctx, a)
+		a, b := newMember(view, "a"), newMember(&testkit.View{Store: store}, "b")
+		doneA := runMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := run(ctx, b)
+		doneB := runMember(ctx, b)
 		time.Sleep(time.Second)
 		late.Store(true)
 		if err := a.TransferShards(ctx, "b"); err == nil {
@@ -159,8 +159,8 @@
 		c.views[i].Lag = func() time.Duration { return lag }
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c.members[i] = member(c.views[i], clusterNodes[i:i+1])
-	done := run(ctx, c.members[i])
+	c.members[i] = newMember(c.views[i], clusterNodes[i:i+1])
+	done := runMember(ctx, c.members[i])
 	c.stops[i] = func() { cancel(); <-done }
 }
 
@@ -180,11 +180,11 @@
 // checkSecondLeader records a violation if a shard has a second leader. A transfer may end
 // between the two checks: the shard has two leaders only if the first one still leads it.
 func (c *faultyCluster) checkSecondLeader(shard, leader int, leaders map[int]int) {
-	first, two := leaders[shard]
-	if !two {
+	first, alreadyLed := leaders[shard]
+	if !alreadyLed {
 		return
 	}
-	if _, still := c.members[first].LeadsShard(shard); still {
+	if _, stillLeads := c.members[first].LeadsShard(shard); stillLeads {
 		c.violation = fmt.Sprintf("shard %d is led by %c and %c", shard, clusterNodes[first], clusterNodes[leader])
 	}
 }
@@ -244,7 +244,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawClusterStep), 1, 12).Draw(rt, "steps")
 		seed := rapid.Uint64().Draw(rt, "seed")
-		wrong := ""
+		violation := ""
 		synctest.Test(t, func(*testing.T) {
 			c := newFaultyCluster(seed)
 			c.checkLeadersFor(time.Second)
@@ -252,10 +252,10 @@
 				c.apply(step)
 			}
 			c.endFaults()
-			wrong = c.violation
+			violation = c.violation
 		})
-		if wrong != "" {
-			rt.Fatal(wrong)
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
--- a/internal/quotalease/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -47,8 +47,8 @@
 
 	led              map[int]uint64 // shards of this leader, with the versions of their keys
 	unleasedVersion  uint64         // see SetShards
-	known            Record
-	version          uint64 // of known, 0: there is none
+	record           Record
+	recordVersion    uint64 // of known, 0: there is none
 	observedRevision uint64 // revision of the last observation
 	pending          *Write // was sent, and its outcome is unknown
 	rereadNeeded     bool   // known may be older than a write of this leader
@@ -90,7 +90,7 @@
 // Adopted reports whether this leader has written a shard's row under its version of the
 // shard's key.
 func (b *Borrower) Adopted(shard int) bool {
-	row := b.known.row(shard)
+	row := b.record.row(shard)
 	return row != nil && row.LeaderVersion == b.led[shard]
 }
 
@@ -101,10 +101,10 @@
 		return // with an older version the next write would fail
 	}
 	b.observedRevision = revision
-	if version == b.version {
+	if version == b.recordVersion {
 		return
 	}
-	b.known, b.version = record, version
+	b.record, b.recordVersion = record, version
 	b.countUnknownEntries()
 	// If the pending write was not applied, it never will be: the record's version is no longer
 	// the one in its guard.
@@ -133,7 +133,7 @@
 	}
 	b.pending = nil
 	if version > b.observedRevision {
-		b.known, b.version, b.observedRevision = write.Record, version, version
+		b.record, b.recordVersion, b.observedRevision = write.Record, version, version
 	}
 	b.updateCeilings()
 }
@@ -152,7 +152,7 @@
 // GuaranteeShare returns the share of a team's guarantee that a shard gets, from 0 to 1: its
 // part's share of all that is leased of the team's limit, in the kind where that is largest.
 func (b *Borrower) GuaranteeShare(shard int, team string) float64 {
-	part, sum, share := b.known.part(shard, team), b.known.leased(team), 0.0
+	part, sum, share := b.record.part(shard, team), b.record.leased(team), 0.0
 	for kind := range kinds {
 		if sum[kind] > 0 {
 			share = max(share, float64(part[kind])/float64(sum[kind]))
@@ -164,15 +164,15 @@
 // updateCeilings recomputes the ceilings.
 func (b *Borrower) updateCeilings() {
 	clear(b.ceilings)
-	if !b.complete(&b.known) {
+	if !b.complete(&b.record) {
 		return // the tasks of a shard without a row may use any part of a limit
 	}
 	for _, team := range b.teams {
-		if !b.known.leased(team).Fits(b.limits[team]) {
+		if !b.record.leased(team).Fits(b.limits[team]) {
 			continue // the adopted use exceeds the limit, or the limit was lowered
 		}
 		for shard, version := range b.led {
-			row := b.known.row(shard)
+			row := b.record.row(shard)
 			if row.LeaderVersion != version {
 				continue
 			}
@@ -194,7 +194,7 @@
 
 // countUnknownEntries counts the entries of an observed record that are ignored.
 func (b *Borrower) countUnknownEntries() {
-	for _, row := range b.known.Rows {
+	for _, row := range b.record.Rows {
 		if version, led := b.led[row.Shard]; led && row.LeaderVersion > version {
 			b.UnknownEntries++ // written by a later leader: this one no longer leads the shard
 		}
--- a/internal/quotalease/liveness_test.go
+++ b/internal/quotalease/liveness_test.go
@@ -16,7 +16,7 @@
 func (w *model) checkPartGrowsToLimit(team string, shard int) {
 	w.round()
 	c := w.leaderOf[shard]
-	c.demand[key(shard, team)], c.unit[key(shard, team)] = limits[team], limits[team]
+	c.demand[demandKey(shard, team)], c.unit[demandKey(shard, team)] = limits[team], limits[team]
 	for range growRounds {
 		w.round()
 		if limits[team].Fits(c.borrower.Ceiling(shard, team)) {
@@ -33,7 +33,7 @@
 	for _, s := range []int{first, second} {
 		waits[s] = &task{shard: s, team: team, size: drawAmount(w.t, limits[team])}
 		c := w.leaderOf[s]
-		c.demand[key(s, team)], c.unit[key(s, team)] = limits[team], waits[s].size
+		c.demand[demandKey(s, team)], c.unit[demandKey(s, team)] = limits[team], waits[s].size
 	}
 	begun, ends, round := map[int]bool{}, map[*task]int{}, 0
 	w.startWaiting = func() {
@@ -72,7 +72,7 @@
 	}
 	for _, s := range []int{first, second} {
 		c := w.leaderOf[s]
-		c.demand[key(s, team)], c.unit[key(s, team)] = limits[team], sizes[s]
+		c.demand[demandKey(s, team)], c.unit[demandKey(s, team)] = limits[team], sizes[s]
 	}
 	fits := func(s int) bool { return w.inUse(team).Add(sizes[s]).Fits(limits[team]) }
 	for range fillRounds {
--- a/internal/quotalease/model_actions_test.go
+++ b/internal/quotalease/model_actions_test.go
@@ -13,8 +13,8 @@
 // on the order of the names.
 func (w *model) actions() map[string]func(*rapid.T) {
 	all := map[string]func(*rapid.T){}
-	for _, some := range []map[string]func(){w.taskActions(), w.writeActions(), w.shardActions()} {
-		for name, act := range some {
+	for _, group := range []map[string]func(){w.taskActions(), w.writeActions(), w.shardActions()} {
+		for name, act := range group {
 			all[name] = func(t *rapid.T) { w.t = t; act() }
 		}
 	}
@@ -29,8 +29,8 @@
 			for range 4 {
 				task := w.drawTask()
 				if c := w.leaderOf[task.shard]; c != nil && !w.start(task) {
-					c.demand[key(task.shard, task.team)] = task.size
-					c.unit[key(task.shard, task.team)] = task.size
+					c.demand[demandKey(task.shard, task.team)] = task.size
+					c.unit[demandKey(task.shard, task.team)] = task.size
 				}
 			}
 		},
@@ -43,8 +43,8 @@
 		"demand": func() {
 			task := w.drawTask()
 			c := w.drawController()
-			c.unit[key(task.shard, task.team)] = task.size
-			c.demand[key(task.shard, task.team)] = drawAmount(w.t, limits[task.team])
+			c.unit[demandKey(task.shard, task.team)] = task.size
+			c.demand[demandKey(task.shard, task.team)] = drawAmount(w.t, limits[task.team])
 		},
 		"no demand": func() { w.drawController().demand = map[string]quotalease.Amount{} },
 		"time":      func() { w.now = w.now.Add(time.Duration(rapid.IntRange(50, 5000).Draw(w.t, "ms")) * time.Millisecond) },
--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -64,11 +64,11 @@
 	return sum
 }
 
-func key(shard int, team string) string { return fmt.Sprint(team, shard) }
+func demandKey(shard int, team string) string { return fmt.Sprint(team, shard) }
 
 func (c *controller) need(shard int, team string) quotalease.Need {
 	use := c.use(shard, team)
-	return quotalease.Need{Use: use, Demand: use.Add(c.demand[key(shard, team)]), Unit: c.unit[key(shard, team)]}
+	return quotalease.Need{Use: use, Demand: use.Add(c.demand[demandKey(shard, team)]), Unit: c.unit[demandKey(shard, team)]}
 }
 
 // recordSnapshot is the record as of a revision.
@@ -255,9 +255,9 @@
 func (w *model) sendAndDeliver(c *controller, answered bool) {
 	w.send(c)
 	if n := len(w.inFlight); n > 0 && w.inFlight[n-1].from == c {
-		f := w.inFlight[n-1]
+		sent := w.inFlight[n-1]
 		w.inFlight = w.inFlight[:n-1]
-		w.deliver(f, answered)
+		w.deliver(sent, answered)
 	}
 }
 
@@ -269,7 +269,7 @@
 	}
 	if applied {
 		w.revision++
-		w.history = append(w.history, recordSnapshot{copyOf(w.t, f.write.Record), w.revision, w.revision})
+		w.history = append(w.history, recordSnapshot{encodeAndParse(w.t, f.write.Record), w.revision, w.revision})
 	}
 	if !answered || !f.from.busy || f.from.call != f.call {
 		return
@@ -282,8 +282,8 @@
 	}
 }
 
-// copyOf returns a record as it is after encoding and decoding.
-func copyOf(t *rapid.T, r quotalease.Record) quotalease.Record {
+// encodeAndParse returns a record as it is after encoding and decoding.
+func encodeAndParse(t *rapid.T, r quotalease.Record) quotalease.Record {
 	data, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
@@ -316,12 +316,12 @@
 	r := w.latest().record
 	complete, within := len(r.Rows) == shards, true
 	for _, team := range teams {
-		var sum, may quotalease.Amount
+		var sum, mayUse quotalease.Amount
 		for s := range shards {
-			may = may.Add(w.maxUse(s, team))
+			mayUse = mayUse.Add(w.maxUse(s, team))
 		}
-		if !may.Fits(limits[team]) {
-			w.t.Fatalf("team %s uses %v, and may use %v, of %v; record %+v", team, w.inUse(team), may, limits[team], r)
+		if !mayUse.Fits(limits[team]) {
+			w.t.Fatalf("team %s uses %v, and may use %v, of %v; record %+v", team, w.inUse(team), mayUse, limits[team], r)
 		}
 		for _, row := range r.Rows {
 			part := row.Teams[team].Part
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -33,7 +33,7 @@
 	if b.pending != nil {
 		return *b.pending, true
 	}
-	next := b.known.clone()
+	next := b.record.clone()
 	changed := b.adopt(&next, needs)
 	if b.complete(&next) {
 		for _, team := range b.teams {
@@ -42,7 +42,7 @@
 		}
 	}
 	if changed {
-		b.pending = &Write{Record: next, Guard: b.version, Shards: maps.Clone(b.led)}
+		b.pending = &Write{Record: next, Guard: b.recordVersion, Shards: maps.Clone(b.led)}
 	}
 	b.updateCeilings()
 	if b.pending == nil {
@@ -146,8 +146,8 @@
 // borrow adds to a row's part what is needed and not leased to any shard.
 func (p *teamPlan) borrow(row *Row, need Need) {
 	entry := row.Teams[p.team]
-	free := p.limit.Sub(p.record.leased(p.team))
-	entry.Part = entry.Part.Add(need.Demand.Sub(entry.Part).Min(free))
+	unleased := p.limit.Sub(p.record.leased(p.team))
+	entry.Part = entry.Part.Add(need.Demand.Sub(entry.Part).Min(unleased))
 	p.setEntry(row, entry)
 }
 
--- a/internal/quotalease/reallocate.go
+++ b/internal/quotalease/reallocate.go
@@ -49,15 +49,15 @@
 // wait.
 func (p *teamPlan) reallocateRemainder(row *Row, need Need) {
 	remainder := row.Teams[p.team].Part.Sub(need.Use)
-	idling := p.b.idle[p.key(row)]
+	idle := p.b.idle[p.key(row)]
 	switch {
-	case remainder.IsZero() || need.Unit.Fits(remainder) && !idling.stalled():
+	case remainder.IsZero() || need.Unit.Fits(remainder) && !idle.stalled():
 		return
-	case !idling.accumulatingSince.IsZero():
-		if p.now.Sub(idling.accumulatingSince)/accumulationPeriod%accumulationCycle == 0 {
+	case !idle.accumulatingSince.IsZero():
+		if p.now.Sub(idle.accumulatingSince)/accumulationPeriod%accumulationCycle == 0 {
 			return
 		}
-	case p.now.Sub(idling.since) < settleTime:
+	case p.now.Sub(idle.since) < settleTime:
 		return
 	}
 	other := p.rowInTurn()
@@ -78,8 +78,8 @@
 	var all, starving []*Row
 	for i := range p.record.Rows {
 		row := &p.record.Rows[i]
-		entry, takesPart := row.Teams[p.team]
-		if !takesPart {
+		entry, hasEntry := row.Teams[p.team]
+		if !hasEntry {
 			continue
 		}
 		all = append(all, row)
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -46,7 +46,7 @@
 	return limiter{rate.NewLimiter(rate.Limit(perSecond), burst), rate.Limit(perSecond)}
 }
 
-func (l *limiter) setFraction(part float64) { l.SetLimit(l.fullRate * rate.Limit(part)) }
+func (l *limiter) setFraction(fraction float64) { l.SetLimit(l.fullRate * rate.Limit(fraction)) }
 
 // budget keeps a controller's requests within its part of the service's limits, and cuts its
 // rates when the service refuses a request: controllers don't know how much the others use.
@@ -120,9 +120,9 @@
 		return
 	}
 	b.cutAt, b.changedAt = now, now
-	for class, by := range [requestClassCount]float64{lookupClass: 0.5, bulkClass: 0.7, ordinaryClass: 0.8} {
+	for class, factor := range [requestClassCount]float64{lookupClass: 0.5, bulkClass: 0.7, ordinaryClass: 0.8} {
 		if b.fractions[class] > minRateFraction {
-			b.fractions[class] = max(minRateFraction, b.fractions[class]*by)
+			b.fractions[class] = max(minRateFraction, b.fractions[class]*factor)
 			break
 		}
 	}
@@ -143,11 +143,11 @@
 		if b.fractions[class] >= 1 {
 			continue
 		}
-		by := recoveryPerSecond
+		increase := recoveryPerSecond
 		if class == lookupClass {
-			by = lookupRecoveryPerSecond
+			increase = lookupRecoveryPerSecond
 		}
-		b.fractions[class] = min(1, b.fractions[class]+by*min(1, since.Seconds()))
+		b.fractions[class] = min(1, b.fractions[class]+increase*min(1, since.Seconds()))
 		break
 	}
 	b.applyFractionsLocked()
--- a/internal/statestore/budget_test.go
+++ b/internal/statestore/budget_test.go
@@ -27,9 +27,9 @@
 	time.Sleep(3 * time.Millisecond)
 	if !l.reqs.Allow() || r.URL.Path == "/txn" && !l.writes.Allow() {
 		l.refused.Add(1)
-		return response(http.StatusTooManyRequests, `{}`), nil
+		return newResponse(http.StatusTooManyRequests, `{}`), nil
 	}
-	return response(http.StatusOK, `{"path":"`+strings.TrimPrefix(r.URL.Path, "/store/")+`","stamp":1,"ledger":1,"permit":1}`), nil
+	return newResponse(http.StatusOK, `{"path":"`+strings.TrimPrefix(r.URL.Path, "/store/")+`","stamp":1,"ledger":1,"permit":1}`), nil
 }
 
 // Without a leader every poll of every user goes to the state service. In incident d184, 800
@@ -86,15 +86,15 @@
 }
 
 func (l *pollStorm) renew(ctx context.Context, c *Client) {
-	good := time.Now()
+	lastRenewal := time.Now()
 	for ctx.Err() == nil {
 		if err := c.RenewLease(ctx, 1); err == nil {
-			good = time.Now()
+			lastRenewal = time.Now()
 			time.Sleep(time.Second)
 		} else {
 			time.Sleep(250 * time.Millisecond)
 		}
-		if gap := int64(time.Since(good)); gap > l.longestGap.Load() {
+		if gap := int64(time.Since(lastRenewal)); gap > l.longestGap.Load() {
 			l.longestGap.Store(gap)
 		}
 	}
--- a/internal/statestore/lost_response_test.go
+++ b/internal/statestore/lost_response_test.go
@@ -15,8 +15,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// slowService starts a state service whose response to the n-th transaction takes delay(n).
-func slowService(t *testing.T, delay func(n int32) time.Duration) *statestore.Client {
+// newSlowServiceClient starts a state service whose response to the n-th transaction takes delay(n).
+func newSlowServiceClient(t *testing.T, delay func(n int32) time.Duration) *statestore.Client {
 	t.Helper()
 	var requests atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -35,7 +35,7 @@
 // leader repeats it, and would otherwise do nothing for two seconds before each repeat.
 func TestLostResponseTimesOutSoon(t *testing.T) {
 	t.Parallel()
-	c := slowService(t, func(n int32) time.Duration {
+	c := newSlowServiceClient(t, func(n int32) time.Duration {
 		if n == 1 {
 			return time.Minute
 		}
@@ -43,11 +43,11 @@
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 8*time.Second)
 	defer cancel()
-	at := time.Now()
+	start := time.Now()
 	if _, err := c.Txn(ctx, nil, wire.Op{Put: "a", Value: 1}); !errors.Is(err, statestore.ErrUnknown) {
 		t.Errorf("no response: %v", err)
 	}
-	if took := time.Since(at); took > 1500*time.Millisecond {
+	if took := time.Since(start); took > 1500*time.Millisecond {
 		t.Errorf("a lost response was waited for %v", took)
 	}
 	if rev, err := c.Txn(ctx, nil, wire.Op{Put: "a", Value: 1}); err != nil || rev != 8 {
@@ -60,18 +60,18 @@
 func TestSlowResponsesAreWaitedFor(t *testing.T) {
 	t.Parallel()
 	const slow = time.Second
-	c := slowService(t, func(int32) time.Duration { return slow })
-	good := 0
+	c := newSlowServiceClient(t, func(int32) time.Duration { return slow })
+	succeeded := 0
 	for range 5 {
 		_, err := c.Txn(t.Context(), nil, wire.Op{Put: "a", Value: 1})
 		switch {
 		case err == nil:
-			good++
+			succeeded++
 		case !errors.Is(err, statestore.ErrUnknown):
 			t.Fatal(err)
 		}
 	}
-	if good < 2 {
-		t.Errorf("%d of 5 slow responses were waited for", good)
+	if succeeded < 2 {
+		t.Errorf("%d of 5 slow responses were waited for", succeeded)
 	}
 }
--- a/internal/statestore/relay_test.go
+++ b/internal/statestore/relay_test.go
@@ -45,7 +45,7 @@
 
 func (l *link) count() int { l.mu.Lock(); defer l.mu.Unlock(); return l.requests }
 
-func response(status int, body string) *http.Response {
+func newResponse(status int, body string) *http.Response {
 	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(body))}
 }
 
@@ -59,7 +59,7 @@
 		return nil, errors.New("connection reset")
 	}
 	if fault == refused {
-		return response(http.StatusServiceUnavailable, `{}`), nil
+		return newResponse(http.StatusServiceUnavailable, `{}`), nil
 	}
 	if fault == noFault || fault == responseLost {
 		l.service.mu.Lock()
@@ -75,7 +75,7 @@
 		return nil, r.Context().Err()
 	}
 	time.Sleep(3 * time.Millisecond)
-	return response(http.StatusOK, `{"ledger":1,"permit":1}`), nil
+	return newResponse(http.StatusOK, `{"ledger":1,"permit":1}`), nil
 }
 
 // clientRelay relays through another client, which can be unreachable.
@@ -153,7 +153,7 @@
 		steps := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
 			return step{rapid.IntRange(0, faults-1).Draw(rt, "mine"), rapid.IntRange(0, faults-1).Draw(rt, "theirs"), rapid.IntRange(0, 3).Draw(rt, "gone"), rapid.IntRange(0, 2500).Draw(rt, "wait")}
 		}), 1, 15).Draw(rt, "steps")
-		wrong := ""
+		violation := ""
 		synctest.Test(t, func(*testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			c, mine, theirs, relay, s := newRelayedClient(ctx)
@@ -176,11 +176,11 @@
 					n := s.txns[`{"guards":[],"apply":[{"drop":"`+key+`"}]}`] + s.txns[`{"guards":null,"apply":[{"drop":"`+key+`"}]}`]
 					switch {
 					case n > 1:
-						wrong = "a transaction was executed twice"
+						violation = "a transaction was executed twice"
 					case err == nil && n != 1:
-						wrong = "a write that was not executed was reported as applied"
+						violation = "a write that was not executed was reported as applied"
 					case errors.Is(err, ErrUnavailable) && n != 0:
-						wrong = "a write that was executed was reported as not executed"
+						violation = "a write that was executed was reported as not executed"
 					}
 				}()
 				time.Sleep(time.Duration(st.Wait) * time.Millisecond)
@@ -189,8 +189,8 @@
 			cancel()
 			synctest.Wait()
 		})
-		if wrong != "" {
-			rt.Fatal(wrong)
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
--- a/internal/statestore/response_test.go
+++ b/internal/statestore/response_test.go
@@ -17,7 +17,7 @@
 }
 
 func (f fixedResponse) RoundTrip(*http.Request) (*http.Response, error) {
-	return response(f.status, f.body), nil
+	return newResponse(f.status, f.body), nil
 }
 
 func clientRespondingWith(status int, body string) *Client {
--- a/internal/statestore/response_timeout.go
+++ b/internal/statestore/response_timeout.go
@@ -38,11 +38,11 @@
 func (r *responseTimeout) current() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait := max(minResponseTimeout, slowFactor*r.slowest)
-	for n := toleratedMisses; n < r.misses && wait < maxResponseTimeout; n++ {
-		wait *= 2
+	timeout := max(minResponseTimeout, slowFactor*r.slowest)
+	for n := toleratedMisses; n < r.misses && timeout < maxResponseTimeout; n++ {
+		timeout *= 2
 	}
-	return min(wait, maxResponseTimeout)
+	return min(timeout, maxResponseTimeout)
 }
 
 // recordResponse records the time that a response took.
--- a/internal/statestore/route.go
+++ b/internal/statestore/route.go
@@ -169,32 +169,32 @@
 }
 
 func (c *Client) startStallDetector() *stallDetector {
-	w := &stallDetector{client: c, sent: time.Now()}
-	w.mu.Lock() // check may run before the timer is set
-	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(stallTimeout, w.check)
-	return w
+	d := &stallDetector{client: c, sent: time.Now()}
+	d.mu.Lock() // check may run before the timer is set
+	defer d.mu.Unlock()
+	d.timer = time.AfterFunc(stallTimeout, d.check)
+	return d
 }
 
-func (w *stallDetector) check() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.stopped {
+func (d *stallDetector) check() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.stopped {
 		return
 	}
-	silence := min(time.Since(w.sent), w.client.SinceLastSuccess())
-	if silence < stallTimeout || !w.client.route.switchToRelay("no response") {
+	silence := min(time.Since(d.sent), d.client.SinceLastSuccess())
+	if silence < stallTimeout || !d.client.route.switchToRelay("no response") {
 		// Check again later: the service may stop responding, or a peer that can relay may
 		// appear.
-		w.timer.Reset(stallTimeout - min(silence, stallTimeout/2))
+		d.timer.Reset(stallTimeout - min(silence, stallTimeout/2))
 	}
 }
 
 // stop stops the detector, even if check is about to run: otherwise check would set the timer
 // again, and later regard the link as lost without a request in flight.
-func (w *stallDetector) stop() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.stopped = true
-	w.timer.Stop()
+func (d *stallDetector) stop() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.stopped = true
+	d.timer.Stop()
 }
