--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// claimStagger is the delay before this controller claims a freed shard, for each
+	// claimStagger is the delay before this controller claims a freed shard, for each other
 	// controller that is preferred: those that joined after it, and one whose registration was
 	// just deleted, since it may be restarting. In a rolling restart the jobs then move to a
-	// controller that has been restarted already, and stay there. It is longer than the
+	// controller that has been restarted already, and stay there. The delay is longer than the
 	// requests for joining take.
 	claimStagger = 250 * time.Millisecond
 	// restartGracePeriod is how long after its registration was deleted a controller is
--- a/internal/membership/late_response_test.go
+++ b/internal/membership/late_response_test.go
@@ -50,7 +50,7 @@
 			return 0, err
 		}
 	}
-	time.Sleep(time.Second) // the watch reports all of these changes
+	time.Sleep(time.Second) // until the watch has reported all of these changes
 	return revision, nil
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -63,7 +63,7 @@
 	nodes                map[string]nodeRecord
 	leaders              map[int]shardRecord
 	claimed              map[int]uint64 // shards led here, with the versions of their keys
-	newestVersions       map[int]uint64 // older records are out of date
+	newestVersions       map[int]uint64 // highest known version of each shard's key; older records are out of date
 	listed               bool           // the watch has listed the records at least once
 	joinedToken          uint64         // the fencing token of this incarnation's registration
 	lastAttemptLease     uint64         // lease of the last attempt to join
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -80,8 +80,8 @@
 }
 
 // In an outage of the state service every worker that has seen a higher token causes a change
-// of the token with each of its heartbeats. Few of these changes reach the state service, and
-// the first one after the outage does.
+// of the token with each of its heartbeats. Only few of these changes may reach the state
+// service, but the first one after the outage must.
 func TestRefusedRaiseIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var requests atomic.Int32
@@ -143,8 +143,8 @@
 	})
 }
 
-// A restarted controller ends its predecessor's lease at once, and never
-// shares its fencing token.
+// A restarted controller ends its predecessor's lease at once, and never shares its
+// predecessor's fencing token.
 func TestRestartEndsPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
--- a/internal/membership/records.go
+++ b/internal/membership/records.go
@@ -26,7 +26,7 @@
 
 const (
 	shortIncarnationLimit = 15 * time.Second
-	unstableThreshold     = 3 // consecutive short incarnations after which a controller leaves shards to others
+	unstableThreshold     = 3 // number of consecutive short incarnations after which a controller leaves shards to others
 )
 
 func (r *nodeRecord) stable() bool { return r.ShortIncarnations < unstableThreshold }
--- a/internal/membership/reserved_token.go
+++ b/internal/membership/reserved_token.go
@@ -42,7 +42,7 @@
 }
 
 // withHighestToken returns the counter after a token larger than all drawn before, and than
-// above, is drawn. It ends the reservations.
+// above, is drawn. The tokens reserved so far are overtaken.
 func (r tokenRecord) withHighestToken(above uint64) tokenRecord {
 	return tokenRecord{Highest: max(r.Highest, above) + 1}
 }
--- a/internal/membership/transfer_test.go
+++ b/internal/membership/transfer_test.go
@@ -212,7 +212,7 @@
 // clusterStep is one fault or transfer, and the time after it.
 type clusterStep struct {
 	Action, Member, To int
-	WaitMs             int // ms
+	WaitMs             int
 }
 
 func drawClusterStep(rt *rapid.T) clusterStep {
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -38,11 +38,11 @@
 	store jobrecord.Store
 	log   *slog.Logger
 
-	enabled    bool                                     // limits are leased; never changes
-	borrowers  [quotalease.Records]*quotalease.Borrower // the record holds no team
-	inFlight   [quotalease.Records]bool                 // a request for the record is in flight
-	nextRecord int                                      // record with which the next round begins
-	writeLimit *rate.Limiter                            // of writes
+	enabled    bool                                         // limits are leased; never changes
+	borrowers  [quotalease.RecordCount]*quotalease.Borrower // by record; nil: the record holds no team
+	inFlight   [quotalease.RecordCount]bool                 // a request for the record is in flight
+	nextRecord int                                          // record with which the next round begins
+	writeLimit *rate.Limiter                                // of writes
 	// unleasedVersion is the version of the latest log record, of any shard, whose writer did
 	// not lease limits.
 	unleasedVersion uint64
@@ -58,7 +58,7 @@
 	if !m.enabled {
 		return m
 	}
-	m.writeLimit = rate.NewLimiter(rate.Limit(max(1, writeShare*state.Platform.Params.State.WriteRPS)), quotalease.Records)
+	m.writeLimit = rate.NewLimiter(rate.Limit(max(1, writeShare*state.Platform.Params.State.WriteRPS)), quotalease.RecordCount)
 	m.wake = make(chan struct{}, 1)
 	for record, limits := range limitsByRecord(state.Teams) {
 		if limits != nil {
@@ -74,7 +74,7 @@
 }
 
 // limitsByRecord returns the limits that are leased, by the record that holds their parts.
-func limitsByRecord(teams map[string]*jobstate.Team) (records [quotalease.Records]map[string]quotalease.Amount) {
+func limitsByRecord(teams map[string]*jobstate.Team) (records [quotalease.RecordCount]map[string]quotalease.Amount) {
 	for name, team := range teams {
 		if !jobstate.HasLeasableLimit(team.Team) {
 			continue
@@ -169,8 +169,8 @@
 	now := time.Now()
 	needs := m.currentNeeds(now)
 	first := m.nextRecord
-	for i := range quotalease.Records {
-		record := (first + i) % quotalease.Records
+	for i := range quotalease.RecordCount {
+		record := (first + i) % quotalease.RecordCount
 		borrower := m.borrowers[record]
 		if borrower == nil || m.inFlight[record] {
 			continue
--- a/internal/quotalease/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -48,14 +48,14 @@
 	led              map[int]uint64 // shards of this leader, with the versions of their keys
 	unleasedVersion  uint64         // see SetShards
 	record           Record
-	recordVersion    uint64 // of known, 0: there is none
+	recordVersion    uint64 // version of record; 0: there is none
 	observedRevision uint64 // revision of the last observation
 	pending          *Write // was sent, and its outcome is unknown
-	rereadNeeded     bool   // known may be older than a write of this leader
+	rereadNeeded     bool   // record may be older than a write of this leader
 
-	withheld map[shardTeam]Amount        // of led shards' parts: promised to other shards, and not used for new tasks
-	unneeded map[shardTeam]unneededSince // of led shards' parts: what is not needed
-	idle     map[shardTeam]idleState     // of led shards' parts: what is not in use although there is work
+	withheld map[shardTeam]Amount        // amounts of led shards' parts that are promised to other shards, and not used for new tasks
+	unneeded map[shardTeam]unneededSince // amounts of led shards' parts that are not needed
+	idle     map[shardTeam]idleState     // use of led shards' parts, if it is less than the part although there is work
 	ceilings map[shardTeam]Amount        // see Ceiling
 }
 
--- a/internal/quotalease/borrower_test.go
+++ b/internal/quotalease/borrower_test.go
@@ -66,8 +66,8 @@
 // teams that all want more than they have.
 func BenchmarkRound(b *testing.B) {
 	const shards = 6
-	var borrowers [quotalease.Records]*quotalease.Borrower
-	var all [quotalease.Records]map[string]quotalease.Amount
+	var borrowers [quotalease.RecordCount]*quotalease.Borrower
+	var all [quotalease.RecordCount]map[string]quotalease.Amount
 	for i := range 410 {
 		team := fmt.Sprintf("team-%03d", i)
 		n := quotalease.RecordOf(team)
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -16,7 +16,7 @@
 	wantChangeDivisor = 4
 )
 
-// unneededSince is the amount of a part that has never been needed since a time.
+// unneededSince is the amount of a part that has not been needed at any time since then.
 type unneededSince struct {
 	minimum Amount
 	since   time.Time
--- a/internal/quotalease/record.go
+++ b/internal/quotalease/record.go
@@ -10,18 +10,18 @@
 	"github.com/goccy/go-json"
 )
 
-// Prefix begins the keys of the records in the state service.
+// Prefix is the prefix of the records' keys in the state service.
 const Prefix = "lent/"
 
-// Records is how many records the teams are divided among. It never changes: the limit of a
-// team whose record moved would be leased twice.
-const Records = 16
+// RecordCount is the number of records that the teams are divided among. It never changes: the
+// limit of a team whose record moved would be leased twice.
+const RecordCount = 16
 
 // RecordOf returns the number of the record that holds a team's parts.
 func RecordOf(team string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(team)) // never fails
-	return int(h.Sum32() % Records)
+	return int(h.Sum32() % RecordCount)
 }
 
 // Key returns the key of a record in the state service.
@@ -165,7 +165,7 @@
 // record, valueBytes.
 func CheckSize(limits map[string]Amount, shards, valueBytes int) error {
 	const longVersion = 1 << 53
-	records := [Records]Record{}
+	records := [RecordCount]Record{}
 	for n := range records {
 		for shard := range shards {
 			records[n].Rows = append(records[n].Rows, Row{Shard: shard, LeaderVersion: longVersion, Teams: map[string]Entry{}})
--- a/internal/quotalease/recorded_test.go
+++ b/internal/quotalease/recorded_test.go
@@ -40,8 +40,8 @@
 
 // The limit of a team whose record moved would be leased twice.
 func TestRecordedKeys(t *testing.T) {
-	if quotalease.Prefix != "lent/" || quotalease.Key(0) != "lent/00" || quotalease.Key(15) != "lent/15" || quotalease.Records != 16 {
-		t.Errorf("prefix %q, keys %q to %q, %d records", quotalease.Prefix, quotalease.Key(0), quotalease.Key(15), quotalease.Records)
+	if quotalease.Prefix != "lent/" || quotalease.Key(0) != "lent/00" || quotalease.Key(15) != "lent/15" || quotalease.RecordCount != 16 {
+		t.Errorf("prefix %q, keys %q to %q, %d records", quotalease.Prefix, quotalease.Key(0), quotalease.Key(15), quotalease.RecordCount)
 	}
 	for team, want := range map[string]int{"": 5, "risk": 10, "pricing": 13, "équipe": 9} {
 		if got := quotalease.RecordOf(team); got != want {
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -130,7 +130,7 @@
 		Teams: map[string]quotalease.Entry{"vision": {Part: quotalease.Amount{8000, 1000}, Want: quotalease.Amount{16000, 2000}, Unit: quotalease.Amount{500, 250}}},
 	}}})
 	recorded.Check(t, "lent-none", quotalease.Record{Rows: []quotalease.Row{{Shard: 0, LeaderVersion: 1}}})
-	if first, last := quotalease.Key(0), quotalease.Key(quotalease.Records-1); quotalease.Prefix != "lent/" || first != "lent/00" || last != "lent/15" {
+	if first, last := quotalease.Key(0), quotalease.Key(quotalease.RecordCount-1); quotalease.Prefix != "lent/" || first != "lent/00" || last != "lent/15" {
 		t.Errorf("keys %s to %s", first, last)
 	}
 	if mark := quotaMarkBytes(t, jobrecord.QuotaMark{}); mark != `{}` {
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -64,7 +64,7 @@
 	method, path string
 	writes       int // puts and deletes in it
 	body         any // nil: none
-	out          any // the response's body is ignored
+	out          any // nil: the response's body is ignored
 }
 
 // do sends a call, directly or through a peer, and returns the response's status. Statuses
--- a/internal/statestore/lost_response_test.go
+++ b/internal/statestore/lost_response_test.go
@@ -15,7 +15,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// newSlowServiceClient starts a state service whose response to the n-th transaction takes delay(n).
+// newSlowServiceClient returns a client of a new state service whose response to the n-th
+// transaction takes delay(n).
 func newSlowServiceClient(t *testing.T, delay func(n int32) time.Duration) *statestore.Client {
 	t.Helper()
 	var requests atomic.Int32
--- a/internal/statestore/relay_test.go
+++ b/internal/statestore/relay_test.go
@@ -146,7 +146,7 @@
 }
 
 // Whatever fails when, a transaction is sent a second time only if the first was certainly not
-// executed, and the result that its caller gets is true.
+// executed, and the outcome reported to its caller is correct.
 func TestTransactionIsExecutedAtMostOnceUnderLinkFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type step struct{ Mine, Theirs, Gone, Wait int }
--- a/internal/statestore/response_timeout.go
+++ b/internal/statestore/response_timeout.go
@@ -24,10 +24,10 @@
 
 // responseTimeout is the time after which the response to a transaction counts as lost. A
 // caller does nothing while it waits for a lost response: a leader records no placement, and a
-// new one does not finish its failover. So the timeout follows the times that responses take
-// which do arrive. It doubles only while none arrives at all, so that a slow service is not
-// regarded as one that never responds: a lost response among others says nothing about the
-// service's speed. It is safe for concurrent use; the zero value is ready.
+// new one does not finish its failover. So the timeout follows the response times of the
+// requests that do get a response. It doubles only while none arrives at all, so that a slow
+// service is not regarded as one that never responds: a lost response among others says
+// nothing about the service's speed. It is safe for concurrent use; the zero value is ready.
 type responseTimeout struct {
 	mu      sync.Mutex
 	slowest time.Duration // of recent responses
--- a/internal/statestore/route.go
+++ b/internal/statestore/route.go
@@ -30,7 +30,7 @@
 // route determines whether requests are sent to the service directly or through a peer. The
 // zero value always sends them directly.
 type route struct {
-	relay Relay // requests are always sent directly
+	relay Relay // nil: requests are always sent directly
 	log   *slog.Logger
 
 	mu             sync.Mutex
