--- a/internal/membership/capacity_test.go
+++ b/internal/membership/capacity_test.go
@@ -64,7 +64,7 @@
 	done := make([]<-chan struct{}, 0, controllers)
 	for i := range controllers {
 		view := countingView{&testkit.View{Store: store}, &requests, &writes, &events}
-		done = append(done, runMember(ctx, membership.New(view, fmt.Sprintf("racker-%d", i+1), 5*time.Second, 1, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))))
+		done = append(done, startMember(ctx, membership.New(view, fmt.Sprintf("racker-%d", i+1), 5*time.Second, 1, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))))
 		time.Sleep(time.Second)
 	}
 	total := func() stateServiceLoad {
--- a/internal/membership/late_response_test.go
+++ b/internal/membership/late_response_test.go
@@ -61,7 +61,7 @@
 		store := &takeoverStore{View: &testkit.View{Store: testkit.NewStore()}}
 		member := membership.New(store, "a", ttl, 4, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		ctx, cancel := context.WithCancel(context.Background())
-		done := runMember(ctx, member)
+		done := startMember(ctx, member)
 		time.Sleep(3 * time.Second)
 		if !store.takenOver {
 			t.Error("nothing was claimed")
--- a/internal/membership/lost_responses_test.go
+++ b/internal/membership/lost_responses_test.go
@@ -40,9 +40,9 @@
 		}
 		a, b := newSpreadMember(view, "a"), newSpreadMember(other, "b")
 		ctx, cancel := context.WithCancel(context.Background())
-		doneA := runMember(ctx, a)
+		doneA := startMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := runMember(ctx, b)
+		doneB := startMember(ctx, b)
 		for end := time.Now().Add(2 * ttl); lost.Load() == 0 && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -87,11 +87,11 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		actx, stop := context.WithCancel(ctx)
 		a, b, c := newMember(&testkit.View{Store: store}, "a"), newMember(view, "b"), newMember(&testkit.View{Store: store}, "c")
-		doneA := runMember(actx, a)
+		doneA := startMember(actx, a)
 		time.Sleep(time.Second)
-		doneC := runMember(ctx, c)
+		doneC := startMember(ctx, c)
 		time.Sleep(time.Second)
-		doneB := runMember(ctx, b)
+		doneB := startMember(ctx, b)
 		for end := time.Now().Add(time.Minute); b.FencingToken() == 0 && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -24,7 +24,7 @@
 	return membership.New(view, name, ttl, 4, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func runMember(ctx context.Context, m *membership.Member) <-chan struct{} {
+func startMember(ctx context.Context, m *membership.Member) <-chan struct{} {
 	done := make(chan struct{})
 	go func() { defer close(done); _ = m.Run(ctx) }()
 	return done
@@ -38,7 +38,7 @@
 		view := &testkit.View{Store: testkit.NewStore(), Lose: func() bool { return txns.Add(1) == 2 }}
 		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done := runMember(ctx, m)
+		done := startMember(ctx, m)
 		time.Sleep(3 * time.Second)
 		if txns.Load() < 2 || len(m.LedShards()) != 4 {
 			t.Errorf("leads %v after %d transactions", m.LedShards(), txns.Load())
@@ -58,7 +58,7 @@
 		view := &testkit.View{Store: store, Lose: func() bool { return losing.Add(-1) >= 0 }}
 		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done := runMember(ctx, m)
+		done := startMember(ctx, m)
 		time.Sleep(3 * time.Second)
 		var counter struct{ N uint64 } // the highest token drawn, reserved ones included
 		if err := json.Unmarshal([]byte(store.Text("c/term")), &counter); err != nil {
@@ -89,7 +89,7 @@
 		view := &testkit.View{Store: testkit.NewStore(), Down: func() bool { requests.Add(1); return down.Load() }}
 		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done := runMember(ctx, m)
+		done := startMember(ctx, m)
 		time.Sleep(3 * time.Second)
 		was, before := m.FencingToken(), requests.Load()
 		down.Store(true)
@@ -121,9 +121,9 @@
 		a := newMember(&testkit.View{Store: store, Down: down.Load}, "a")
 		b := newMember(&testkit.View{Store: store}, "b")
 		ctx, cancel := context.WithCancel(context.Background())
-		doneA := runMember(ctx, a)
+		doneA := startMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := runMember(ctx, b)
+		doneB := startMember(ctx, b)
 		time.Sleep(time.Second)
 		if len(a.LedShards()) != 4 || len(b.LedShards()) != 0 {
 			t.Fatalf("a leads %v, b %v", a.LedShards(), b.LedShards())
@@ -150,13 +150,13 @@
 		store := testkit.NewStore()
 		first := newMember(&testkit.View{Store: store}, "a")
 		ctx, kill := context.WithCancel(context.Background())
-		done := runMember(ctx, first)
+		done := startMember(ctx, first)
 		time.Sleep(time.Second)
 		kill()
 		<-done
 		second := newMember(&testkit.View{Store: store}, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done = runMember(ctx, second)
+		done = startMember(ctx, second)
 		time.Sleep(time.Second)
 		if len(second.LedShards()) != 4 {
 			t.Errorf("leads %v a second after the restart", second.LedShards())
@@ -182,7 +182,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			slow := func() bool { time.Sleep(10 * time.Millisecond); return false } // the duration of a request
 			members[name] = newMember(&testkit.View{Store: store, Down: slow}, name)
-			stops[name], dones[name] = cancel, runMember(ctx, members[name])
+			stops[name], dones[name] = cancel, startMember(ctx, members[name])
 		}
 		leader := func() (name string) {
 			for n, m := range members {
@@ -232,7 +232,7 @@
 		start := func(name string) {
 			ctx, cancel := context.WithCancel(context.Background())
 			members[name] = newMember(&testkit.View{Store: store}, name)
-			stops[name], dones[name] = cancel, runMember(ctx, members[name])
+			stops[name], dones[name] = cancel, startMember(ctx, members[name])
 		}
 		for _, name := range []string{"a", "b", "c"} {
 			start(name)
@@ -303,12 +303,12 @@
 		}
 		a, b := newSpreadMember(view, "a"), newSpreadMember(&testkit.View{Store: store}, "b")
 		ctx, cancel := context.WithCancel(context.Background())
-		doneA := runMember(ctx, a)
+		doneA := startMember(ctx, a)
 		time.Sleep(time.Second)
 		if len(a.LedShards()) != 4 {
 			t.Fatalf("a leads %v", a.LedShards())
 		}
-		doneB := runMember(ctx, b)
+		doneB := startMember(ctx, b)
 		for end := time.Now().Add(2 * ttl); view.delayed.Load() == nil && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/internal/membership/reserved_token_test.go
+++ b/internal/membership/reserved_token_test.go
@@ -49,7 +49,7 @@
 func (c *tokenCluster) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.members[i] = newMember(c.view, string(rune('a'+i)))
-	done := runMember(ctx, c.members[i])
+	done := startMember(ctx, c.members[i])
 	c.stops[i] = func() { cancel(); <-done }
 	c.incarnations[i], c.lastTokens[i] = c.incarnations[i]+1, 0
 }
@@ -166,7 +166,7 @@
 	done := make([]<-chan struct{}, 0, controllers)
 	for i := range controllers {
 		m := newMember(view, string(rune('a'+i)))
-		members, done = append(members, m), append(done, runMember(ctx, m))
+		members, done = append(members, m), append(done, startMember(ctx, m))
 		time.Sleep(700 * time.Millisecond)
 	}
 	time.Sleep(20 * time.Second)
--- a/internal/membership/transfer_test.go
+++ b/internal/membership/transfer_test.go
@@ -25,9 +25,9 @@
 		slow := func() bool { time.Sleep(20 * time.Millisecond); return false }
 		ctx, cancel := context.WithCancel(context.Background())
 		a, b := newMember(&testkit.View{Store: store, Down: slow}, "a"), newMember(&testkit.View{Store: store}, "b")
-		doneA := runMember(ctx, a)
+		doneA := startMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := runMember(ctx, b)
+		doneB := startMember(ctx, b)
 		time.Sleep(time.Second)
 		if err := a.TransferShards(ctx, "b"); err != nil {
 			t.Error(err)
@@ -37,7 +37,7 @@
 			t.Errorf("a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
 		c := newMember(&testkit.View{Store: store}, "c")
-		doneC := runMember(ctx, c)
+		doneC := startMember(ctx, c)
 		time.Sleep(time.Second)
 		if a.RecentTransfers(time.Minute) != 1 || c.RecentTransfers(time.Minute) != 1 || c.RecentTransfers(time.Second) != 0 {
 			t.Errorf("transfers: a knows of %d, c of %d", a.RecentTransfers(time.Minute), c.RecentTransfers(time.Minute))
@@ -59,9 +59,9 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		a := newMember(&testkit.View{Store: store}, "a")
 		b := newMember(&testkit.View{Store: store, Slow: func() time.Duration { return 800 * time.Millisecond }}, "b")
-		doneA := runMember(ctx, a)
+		doneA := startMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := runMember(ctx, b)
+		doneB := startMember(ctx, b)
 		for !a.Alive("b") {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -90,9 +90,9 @@
 		view := &testkit.View{Store: store, Late: late.Load}
 		ctx, cancel := context.WithCancel(context.Background())
 		a, b := newMember(view, "a"), newMember(&testkit.View{Store: store}, "b")
-		doneA := runMember(ctx, a)
+		doneA := startMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := runMember(ctx, b)
+		doneB := startMember(ctx, b)
 		time.Sleep(time.Second)
 		late.Store(true)
 		if err := a.TransferShards(ctx, "b"); err == nil {
@@ -135,11 +135,11 @@
 }
 
 func newFaultyCluster(seed uint64) *faultyCluster {
-	c := &faultyCluster{store: testkit.NewStore(), rnd: rand.New(rand.NewPCG(seed, 1))}
+	cluster := &faultyCluster{store: testkit.NewStore(), rnd: rand.New(rand.NewPCG(seed, 1))}
 	for i := range clusterSize {
-		c.start(i)
+		cluster.start(i)
 	}
-	return c
+	return cluster
 }
 
 func (c *faultyCluster) draw(n int) int {
@@ -160,7 +160,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.members[i] = newMember(c.views[i], clusterNodes[i:i+1])
-	done := runMember(ctx, c.members[i])
+	done := startMember(ctx, c.members[i])
 	c.stops[i] = func() { cancel(); <-done }
 }
 
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -38,8 +38,8 @@
 func (m *Manager) observe(item wire.Item) {
 	m.state.Mu.Lock()
 	defer m.state.Mu.Unlock()
-	for n, borrower := range m.borrowers {
-		if borrower == nil || quotalease.Key(n) != item.Key {
+	for index, borrower := range m.borrowers {
+		if borrower == nil || quotalease.Key(index) != item.Key {
 			continue
 		}
 		if record, ok := m.parseRecord(item); ok {
@@ -77,19 +77,19 @@
 
 // write writes a record. If the outcome stays unknown, the borrower plans the same write
 // again.
-func (m *Manager) write(ctx context.Context, n int, write quotalease.Write) {
+func (m *Manager) write(ctx context.Context, index int, write quotalease.Write) {
 	guards := make([]wire.Guard, 0, 1+len(write.Shards))
-	guards = append(guards, wire.Guard{Key: quotalease.Key(n), Version: write.Guard})
+	guards = append(guards, wire.Guard{Key: quotalease.Key(index), Version: write.Guard})
 	for _, shard := range slices.Sorted(maps.Keys(write.Shards)) {
 		guards = append(guards, wire.Guard{Key: m.state.Membership.ShardKey(shard), Version: write.Shards[shard]})
 	}
 	txnCtx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
 	defer cancel()
-	revision, err := m.store.Txn(txnCtx, guards, wire.Op{Put: quotalease.Key(n), Value: write.Record})
+	revision, err := m.store.Txn(txnCtx, guards, wire.Op{Put: quotalease.Key(index), Value: write.Record})
 	m.state.Mu.Lock()
 	defer m.state.Mu.Unlock()
-	m.inFlight[n] = false
-	borrower := m.borrowers[n]
+	m.inFlight[index] = false
+	borrower := m.borrowers[index]
 	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
@@ -99,26 +99,26 @@
 		borrower.Rejected(write)
 		jobstate.Notify(m.wake)
 	default:
-		m.log.Debug("quota write of unknown outcome", "key", quotalease.Key(n), "err", err)
+		m.log.Debug("quota write of unknown outcome", "key", quotalease.Key(index), "err", err)
 	}
 }
 
 // reread reads a record again after a write of it was rejected. If that fails, the next round
 // reads it again.
-func (m *Manager) reread(ctx context.Context, n int) {
+func (m *Manager) reread(ctx context.Context, index int) {
 	getCtx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
 	defer cancel()
-	item, err := m.store.Get(getCtx, quotalease.Key(n))
+	item, err := m.store.Get(getCtx, quotalease.Key(index))
 	m.state.Mu.Lock()
 	defer m.state.Mu.Unlock()
-	m.inFlight[n] = false
+	m.inFlight[index] = false
 	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
-		m.log.Debug("reading quota record failed", "key", quotalease.Key(n), "err", err)
+		m.log.Debug("reading quota record failed", "key", quotalease.Key(index), "err", err)
 		return
 	}
-	item.Key = quotalease.Key(n)
+	item.Key = quotalease.Key(index)
 	if record, ok := m.parseRecord(item); ok {
-		borrower := m.borrowers[n]
+		borrower := m.borrowers[index]
 		m.passToBorrower(item.Key, borrower, func() { borrower.Reread(record, item.Version, item.Version) })
 		jobstate.Notify(m.wake)
 	}
--- a/internal/quotalease/borrower_test.go
+++ b/internal/quotalease/borrower_test.go
@@ -18,22 +18,22 @@
 func TestPartsKeepLimitAndFollowDemand(t *testing.T) {
 	var started, grown, alternated int
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newModel(rt)
-		rt.Repeat(w.actions())
-		w.t = rt
-		started += len(w.tasks)
-		for _, t := range w.tasks {
+		m := newModel(rt)
+		rt.Repeat(m.actions())
+		m.t = rt
+		started += len(m.tasks)
+		for _, t := range m.tasks {
 			t.ended = true
 		}
-		for _, c := range w.controllers {
+		for _, c := range m.controllers {
 			clear(c.demand)
 		}
 		team, shard := rapid.SampledFrom(teams).Draw(rt, "team"), rapid.IntRange(0, shards-1).Draw(rt, "shard")
-		w.checkPartGrowsToLimit(team, shard)
+		m.checkPartGrowsToLimit(team, shard)
 		grown++
-		w.checkBothStart(team, shard, (shard+rapid.IntRange(1, shards-1).Draw(rt, "other"))%shards)
+		m.checkBothStart(team, shard, (shard+rapid.IntRange(1, shards-1).Draw(rt, "other"))%shards)
 		alternated++
-		w.checkLimitFills(team, shard, (shard+rapid.IntRange(1, shards-1).Draw(rt, "third"))%shards)
+		m.checkLimitFills(team, shard, (shard+rapid.IntRange(1, shards-1).Draw(rt, "third"))%shards)
 	})
 	t.Logf("%d tasks started, %d parts grew to their limit, %d pairs alternated", started, grown, alternated)
 }
--- a/internal/quotalease/model_actions_test.go
+++ b/internal/quotalease/model_actions_test.go
@@ -61,7 +61,7 @@
 		"lost answer": func() { // then the same write is sent again
 			c := w.drawController()
 			w.sendAndDeliver(c, false)
-			c.busy = false
+			c.awaitingResponse = false
 			w.sendAndDeliver(c, true)
 		},
 		"deliver": func() {
@@ -74,10 +74,10 @@
 				w.inFlight = slices.Delete(w.inFlight, i, i+1)
 			}
 		},
-		"give up": func() { w.drawController().busy = false },
+		"give up": func() { w.drawController().awaitingResponse = false },
 		"try again": func() {
 			c := w.drawController()
-			c.busy = false
+			c.awaitingResponse = false
 			w.send(c)
 		},
 		"watch": func() { w.observe(w.drawController(), w.latest()) },
@@ -128,7 +128,7 @@
 			w.startWaiting()
 		}
 		w.observe(c, w.latest())
-		c.busy = false
+		c.awaitingResponse = false
 		w.send(c)
 		for n := len(w.inFlight); n > 0; n = len(w.inFlight) {
 			w.deliver(w.inFlight[0], true)
--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -46,12 +46,12 @@
 	demand   map[string]quotalease.Amount
 	unit     map[string]quotalease.Amount
 	call     int  // number of its last request
-	busy     bool // it waits for the response
+	awaitingResponse     bool // it waits for the response
 }
 
 func (c *controller) restart() {
 	c.borrower = quotalease.New(limits, shards)
-	c.led, c.counted, c.busy = map[int]uint64{}, map[*task]bool{}, false
+	c.led, c.counted, c.awaitingResponse = map[int]uint64{}, map[*task]bool{}, false
 	c.call++
 }
 
@@ -95,29 +95,29 @@
 }
 
 func newModel(t *rapid.T) *model {
-	w := &model{t: t, now: time.Unix(1e9, 0), keys: map[int]uint64{}, leaderOf: map[int]*controller{}, history: []recordSnapshot{{}}}
+	m := &model{t: t, now: time.Unix(1e9, 0), keys: map[int]uint64{}, leaderOf: map[int]*controller{}, history: []recordSnapshot{{}}}
 	for i := range controllers {
 		c := &controller{name: fmt.Sprint("controller-", i), demand: map[string]quotalease.Amount{}, unit: map[string]quotalease.Amount{}}
 		c.restart()
-		w.controllers = append(w.controllers, c)
+		m.controllers = append(m.controllers, c)
 	}
 	// Tasks that were started before the limits were leased. Some have ended, which a new
 	// leader does not know.
 	for range rapid.IntRange(0, 6).Draw(t, "earlier") {
-		task := w.drawTask()
-		task.ended = !w.inUse(task.team).Add(task.size).Fits(limits[task.team])
-		w.tasks = append(w.tasks, task)
+		task := m.drawTask()
+		task.ended = !m.inUse(task.team).Add(task.size).Fits(limits[task.team])
+		m.tasks = append(m.tasks, task)
 	}
 	if rapid.Bool().Draw(t, "owned") {
 		for s := range shards {
-			w.assignShard(w.drawController(), s, true)
+			m.assignShard(m.drawController(), s, true)
 		}
-		for _, c := range w.controllers {
-			w.observe(c, w.latest())
-			w.sendAndDeliver(c, true)
+		for _, c := range m.controllers {
+			m.observe(c, m.latest())
+			m.sendAndDeliver(c, true)
 		}
 	}
-	return w
+	return m
 }
 
 func drawAmount(t *rapid.T, most quotalease.Amount) quotalease.Amount {
@@ -236,7 +236,7 @@
 
 // send makes a controller send its next write, if there is one.
 func (w *model) send(c *controller) {
-	if c.busy {
+	if c.awaitingResponse {
 		return
 	}
 	if c.borrower.NeedsReread() {
@@ -246,7 +246,7 @@
 	}
 	if write, ok := c.borrower.Plan(w.now, c.need); ok {
 		c.call++
-		c.busy = true
+		c.awaitingResponse = true
 		w.inFlight = append(w.inFlight, inFlightWrite{c, c.call, write})
 	}
 }
@@ -262,23 +262,23 @@
 }
 
 // deliver applies a write in flight if its conditions hold; the response may be lost.
-func (w *model) deliver(f inFlightWrite, answered bool) {
-	applied := f.write.Guard == w.latest().version
-	for s, version := range f.write.Shards {
+func (w *model) deliver(sent inFlightWrite, answered bool) {
+	applied := sent.write.Guard == w.latest().version
+	for s, version := range sent.write.Shards {
 		applied = applied && w.keys[s] == version
 	}
 	if applied {
 		w.revision++
-		w.history = append(w.history, recordSnapshot{encodeAndParse(w.t, f.write.Record), w.revision, w.revision})
+		w.history = append(w.history, recordSnapshot{encodeAndParse(w.t, sent.write.Record), w.revision, w.revision})
 	}
-	if !answered || !f.from.busy || f.from.call != f.call {
+	if !answered || !sent.from.awaitingResponse || sent.from.call != sent.call {
 		return
 	}
-	f.from.busy = false
+	sent.from.awaitingResponse = false
 	if applied {
-		f.from.borrower.Applied(f.write, w.revision)
+		sent.from.borrower.Applied(sent.write, w.revision)
 	} else {
-		f.from.borrower.Rejected(f.write)
+		sent.from.borrower.Rejected(sent.write)
 	}
 }
 
--- a/internal/statestore/relay_test.go
+++ b/internal/statestore/relay_test.go
@@ -223,14 +223,14 @@
 func TestStoppedStallDetectorStaysStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		c, _, _, _, _ := newRelayedClient(ctx)
-		detector := c.startStallDetector()
+		client, _, _, _, _ := newRelayedClient(ctx)
+		detector := client.startStallDetector()
 		time.Sleep(stallTimeout / 2)
 		detector.stop()
 		detector.check()
 		time.Sleep(2 * stallTimeout)
-		if detector.timer.Stop() || c.UsesRelay() {
-			t.Errorf("the timer still runs, or the link counts as lost: %v", c.UsesRelay())
+		if detector.timer.Stop() || client.UsesRelay() {
+			t.Errorf("the timer still runs, or the link counts as lost: %v", client.UsesRelay())
 		}
 		cancel()
 	})
