--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -39,14 +39,14 @@
 
 // controller is a controller with its borrower of the record.
 type controller struct {
-	name     string
-	borrower *quotalease.Borrower
-	led      map[int]uint64 // as far as it knows
-	counted  map[*task]bool // tasks that it counts as in use
-	demand   map[string]quotalease.Amount
-	unit     map[string]quotalease.Amount
-	call     int  // number of its last request
-	awaitingResponse     bool // it waits for the response
+	name             string
+	borrower         *quotalease.Borrower
+	led              map[int]uint64 // as far as it knows
+	counted          map[*task]bool // tasks that it counts as in use
+	demand           map[string]quotalease.Amount
+	unit             map[string]quotalease.Amount
+	call             int  // number of its last request
+	awaitingResponse bool // it waits for the response
 }
 
 func (c *controller) restart() {
