--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -20,25 +20,25 @@
 
 const ttl = 7 * time.Second
 
-func member(view *testkit.View, name string) *membership.Member {
+func newMember(view *testkit.View, name string) *membership.Member {
 	return membership.New(view, name, ttl, 4, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func run(ctx context.Context, m *membership.Member) <-chan struct{} {
+func startMember(ctx context.Context, m *membership.Member) <-chan struct{} {
 	done := make(chan struct{})
 	go func() { defer close(done); _ = m.Run(ctx) }()
 	return done
 }
 
-// Shards whose claim's response is lost are led all the same; once nobody knew of
-// them, and no job went on.
+// Shards are led even if the response to their claim is lost: otherwise nobody knows that they
+// are led, and no job proceeds.
 func TestClaimWithLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var txns atomic.Int32
 		view := &testkit.View{Store: testkit.NewStore(), Lose: func() bool { return txns.Add(1) == 2 }}
-		m := member(view, "a")
+		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done := run(ctx, m)
+		done := startMember(ctx, m)
 		time.Sleep(3 * time.Second)
 		if txns.Load() < 2 || len(m.LedShards()) != 4 {
 			t.Errorf("leads %v after %d transactions", m.LedShards(), txns.Load())
@@ -48,30 +48,30 @@
 	})
 }
 
-// A new token whose first transactions' responses are lost is tried for again with the next
-// number: a new leader that gave up began its failover anew. A number that may be taken is
-// never used.
+// A new token is drawn again, with the next number, if the responses to its first transactions
+// are lost: a new leader that gave up would restart its failover. A number that may have been
+// drawn is never used.
 func TestNextTokenWithLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var losing atomic.Int32
 		store := testkit.NewStore()
 		view := &testkit.View{Store: store, Lose: func() bool { return losing.Add(-1) >= 0 }}
-		m := member(view, "a")
+		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done := run(ctx, m)
+		done := startMember(ctx, m)
 		time.Sleep(3 * time.Second)
-		var given struct{ N uint64 } // the highest token given out, reserved ones included
-		if err := json.Unmarshal([]byte(store.Text("c/term")), &given); err != nil {
+		var counter struct{ N uint64 } // the highest token drawn, reserved ones included
+		if err := json.Unmarshal([]byte(store.Text("c/term")), &counter); err != nil {
 			t.Fatal(err)
 		}
-		was := given.N
+		highest := counter.N
 		losing.Store(2)
-		at := time.Now()
+		start := time.Now()
 		token, err := m.NextToken(ctx)
-		if err != nil || token != was+3 || losing.Load() >= 0 {
-			t.Errorf("token %d after %d, %v; %d responses left to lose", token, was, err, losing.Load())
+		if err != nil || token != highest+3 || losing.Load() >= 0 {
+			t.Errorf("token %d after %d, %v; %d responses left to lose", token, highest, err, losing.Load())
 		}
-		if took := time.Since(at); took > time.Second {
+		if took := time.Since(start); took > time.Second {
 			t.Errorf("took %v", took)
 		}
 		cancel()
@@ -79,17 +79,17 @@
 	})
 }
 
-// In an outage of the state service every worker that has seen a higher token causes a
-// change of the token with each of its heartbeats: few of them reach the state service, and
-// the first after the outage does.
+// In an outage of the state service every worker that has seen a higher token causes a change
+// of the token with each of its heartbeats. Only few of these changes may reach the state
+// service, but the first one after the outage must.
 func TestRefusedRaiseIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var requests atomic.Int32
 		var down atomic.Bool
 		view := &testkit.View{Store: testkit.NewStore(), Down: func() bool { requests.Add(1); return down.Load() }}
-		m := member(view, "a")
+		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done := run(ctx, m)
+		done := startMember(ctx, m)
 		time.Sleep(3 * time.Second)
 		was, before := m.FencingToken(), requests.Load()
 		down.Store(true)
@@ -99,7 +99,7 @@
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
-		if n := requests.Load() - before; n > 60 { // the lease and the watch make some too
+		if n := requests.Load() - before; n > 60 { // the lease and the watch send some too
 			t.Errorf("%d requests in a second of an outage", n)
 		}
 		down.Store(false)
@@ -112,18 +112,18 @@
 	})
 }
 
-// The lease counts from the send of the last renewal that succeeded: a leader that
-// loses the state service stops before another can begin.
+// The lease counts from the send of the last renewal that succeeded: a leader that loses the
+// state service stops before another can start.
 func TestOneLeaderDuringStateStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		var down atomic.Bool
-		a := member(&testkit.View{Store: store, Down: down.Load}, "a")
-		b := member(&testkit.View{Store: store}, "b")
+		a := newMember(&testkit.View{Store: store, Down: down.Load}, "a")
+		b := newMember(&testkit.View{Store: store}, "b")
 		ctx, cancel := context.WithCancel(context.Background())
-		doneA := run(ctx, a)
+		doneA := startMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := run(ctx, b)
+		doneB := startMember(ctx, b)
 		time.Sleep(time.Second)
 		if len(a.LedShards()) != 4 || len(b.LedShards()) != 0 {
 			t.Fatalf("a leads %v, b %v", a.LedShards(), b.LedShards())
@@ -143,20 +143,20 @@
 	})
 }
 
-// A restarted controller ends its predecessor's lease at once, and never
-// shares its fencing token.
+// A restarted controller ends its predecessor's lease at once, and never shares its
+// predecessor's fencing token.
 func TestRestartEndsPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
-		first := member(&testkit.View{Store: store}, "a")
+		first := newMember(&testkit.View{Store: store}, "a")
 		ctx, kill := context.WithCancel(context.Background())
-		done := run(ctx, first)
+		done := startMember(ctx, first)
 		time.Sleep(time.Second)
 		kill()
 		<-done
-		second := member(&testkit.View{Store: store}, "a")
+		second := newMember(&testkit.View{Store: store}, "a")
 		ctx, cancel := context.WithCancel(context.Background())
-		done = run(ctx, second)
+		done = startMember(ctx, second)
 		time.Sleep(time.Second)
 		if len(second.LedShards()) != 4 {
 			t.Errorf("leads %v a second after the restart", second.LedShards())
@@ -169,9 +169,9 @@
 	})
 }
 
-// In a rolling restart every step moved all shards to a controller that was still
-// to be restarted: three failovers instead of one. A freed shard goes to the one
-// that joined last.
+// A freed shard goes to the controller that joined last. Otherwise each step of a rolling
+// restart moves all shards to a controller that is still to be restarted: three failovers
+// instead of one.
 func TestFreedShardsGoToLastJoined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
@@ -180,9 +180,9 @@
 		dones := map[string]<-chan struct{}{}
 		start := func(name string) {
 			ctx, cancel := context.WithCancel(context.Background())
-			slow := func() bool { time.Sleep(10 * time.Millisecond); return false } // a request takes so long
-			members[name] = member(&testkit.View{Store: store, Down: slow}, name)
-			stops[name], dones[name] = cancel, run(ctx, members[name])
+			slow := func() bool { time.Sleep(10 * time.Millisecond); return false } // the duration of a request
+			members[name] = newMember(&testkit.View{Store: store, Down: slow}, name)
+			stops[name], dones[name] = cancel, startMember(ctx, members[name])
 		}
 		leader := func() (name string) {
 			for n, m := range members {
@@ -197,7 +197,7 @@
 			time.Sleep(time.Second)
 		}
 		moves := 0
-		for range 3 { // the leader first, then whoever leads, as a busiest-first roll does
+		for range 3 { // the leader first, as in a rolling restart that starts with the busiest
 			was := leader()
 			for _, n := range []string{was, "b", "c"} {
 				stops[n]()
@@ -223,23 +223,23 @@
 	})
 }
 
-// A controller that ended every ten seconds took the shards back each time, since it had
-// joined last: 16 failovers. One that ends again and again leaves them to others.
-func TestUnsteadyControllerLeavesShardsToOthers(t *testing.T) {
+// An unstable controller leaves shards to others. Otherwise one that ends every ten seconds
+// takes the shards back each time, since it has joined last: 16 failovers.
+func TestUnstableControllerLeavesShardsToOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		members, stops, dones := map[string]*membership.Member{}, map[string]context.CancelFunc{}, map[string]<-chan struct{}{}
 		start := func(name string) {
 			ctx, cancel := context.WithCancel(context.Background())
-			members[name] = member(&testkit.View{Store: store}, name)
-			stops[name], dones[name] = cancel, run(ctx, members[name])
+			members[name] = newMember(&testkit.View{Store: store}, name)
+			stops[name], dones[name] = cancel, startMember(ctx, members[name])
 		}
 		for _, name := range []string{"a", "b", "c"} {
 			start(name)
 			time.Sleep(time.Second)
 		}
 		time.Sleep(time.Minute)
-		times := 0
+		timesLeading := 0
 		for range 12 {
 			stops["c"]()
 			<-dones["c"]
@@ -247,13 +247,13 @@
 			start("c")
 			time.Sleep(8 * time.Second)
 			if len(members["c"].LedShards()) > 0 {
-				times++
+				timesLeading++
 			}
 		}
-		if times > 4 || len(members["a"].LedShards())+len(members["b"].LedShards()) != 4 {
-			t.Errorf("c led shards %d times; a leads %v, b %v", times, members["a"].LedShards(), members["b"].LedShards())
+		if timesLeading > 4 || len(members["a"].LedShards())+len(members["b"].LedShards()) != 4 {
+			t.Errorf("c led shards %d times; a leads %v, b %v", timesLeading, members["a"].LedShards(), members["b"].LedShards())
 		}
-		// Where all end again and again, somebody leads them all the same.
+		// If all controllers are unstable, every shard is led nevertheless.
 		for range 5 {
 			for _, name := range []string{"a", "b"} {
 				stops[name]()
@@ -272,8 +272,8 @@
 	})
 }
 
-// releaseDelayer holds back the first release of shards until deliver: its outcome is
-// unknown.
+// releaseDelayer delays the first release of shards until deliverDelayed is called: its
+// outcome is unknown.
 type releaseDelayer struct {
 	*testkit.View
 	delayed atomic.Pointer[wire.Txn]
@@ -287,28 +287,28 @@
 	return d.View.Txn(ctx, guards, ops...)
 }
 
-func (d *releaseDelayer) deliver(ctx context.Context) {
+func (d *releaseDelayer) deliverDelayed(ctx context.Context) {
 	txn := d.delayed.Load()
-	_, _ = d.View.Txn(ctx, txn.If, txn.Then...) // may find its conditions failed
+	_, _ = d.View.Txn(ctx, txn.If, txn.Then...) // its conditions may fail
 }
 
-// A release whose response is lost, and that is carried out late or never, leaves no
-// shard that nobody serves.
+// A release whose response is lost, and that is applied late or never, leaves no shard without
+// a leader.
 func TestReleaseWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		view := &releaseDelayer{View: &testkit.View{Store: store}}
-		spread := func(store membership.Store, name string) *membership.Member {
+		newSpreadMember := func(store membership.Store, name string) *membership.Member {
 			return membership.New(store, name, ttl, 4, 2, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		}
-		a, b := spread(view, "a"), spread(&testkit.View{Store: store}, "b")
+		a, b := newSpreadMember(view, "a"), newSpreadMember(&testkit.View{Store: store}, "b")
 		ctx, cancel := context.WithCancel(context.Background())
-		doneA := run(ctx, a)
+		doneA := startMember(ctx, a)
 		time.Sleep(time.Second)
 		if len(a.LedShards()) != 4 {
 			t.Fatalf("a leads %v", a.LedShards())
 		}
-		doneB := run(ctx, b)
+		doneB := startMember(ctx, b)
 		for end := time.Now().Add(2 * ttl); view.delayed.Load() == nil && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -319,7 +319,7 @@
 		if len(a.LedShards())+len(b.LedShards()) != 4 {
 			t.Errorf("2 s after the release was lost a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
-		view.deliver(ctx)
+		view.deliverDelayed(ctx)
 		time.Sleep(3 * ttl)
 		if len(a.LedShards()) != 2 || len(b.LedShards()) != 2 {
 			t.Errorf("in the end a leads %v, b %v", a.LedShards(), b.LedShards())
--- a/internal/membership/reserved_token_test.go
+++ b/internal/membership/reserved_token_test.go
@@ -17,28 +17,28 @@
 // tokenUser is the incarnation of a controller's process that used a token.
 type tokenUser struct{ controller, incarnation int }
 
-// tokenCluster is controllers that draw, reserve and use fencing tokens.
+// tokenCluster is a set of controllers that draw, reserve and use fencing tokens.
 type tokenCluster struct {
-	t            *testing.T
-	rnd          *rand.Rand
-	view         *testkit.View
-	down, lossy  atomic.Bool
-	requests     atomic.Int32 // while responses are lost
-	members      [tokenControllers]*membership.Member
-	stops        [tokenControllers]func()
-	incarnations [tokenControllers]int
-	last         [tokenControllers]uint64 // token of each process, as last seen
-	users        map[uint64]tokenUser
-	highest      uint64
+	t                     *testing.T
+	rnd                   *rand.Rand
+	view                  *testkit.View
+	down, losingResponses atomic.Bool
+	requests              atomic.Int32 // number of requests while responses are lost
+	members               [tokenControllers]*membership.Member
+	stops                 [tokenControllers]func()
+	incarnations          [tokenControllers]int
+	lastTokens            [tokenControllers]uint64 // token of each process, as last seen
+	users                 map[uint64]tokenUser
+	highestUsed           uint64
 
-	reservedUsed, aboveOthers int
+	reservedTokensUsed, usedAboveOthers int
 }
 
 func newTokenCluster(t *testing.T, seed uint64) *tokenCluster {
 	c := &tokenCluster{t: t, rnd: rand.New(rand.NewPCG(seed, 3)), users: map[uint64]tokenUser{}}
 	c.view = &testkit.View{
 		Store: testkit.NewStore(), Down: c.down.Load,
-		Lose: func() bool { return c.lossy.Load() && c.requests.Add(1)%7 == 0 },
+		Lose: func() bool { return c.losingResponses.Load() && c.requests.Add(1)%7 == 0 },
 	}
 	for i := range c.members {
 		c.start(i)
@@ -48,14 +48,14 @@
 
 func (c *tokenCluster) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c.members[i] = member(c.view, string(rune('a'+i)))
-	done := run(ctx, c.members[i])
+	c.members[i] = newMember(c.view, string(rune('a'+i)))
+	done := startMember(ctx, c.members[i])
 	c.stops[i] = func() { cancel(); <-done }
-	c.incarnations[i], c.last[i] = c.incarnations[i]+1, 0
+	c.incarnations[i], c.lastTokens[i] = c.incarnations[i]+1, 0
 }
 
-// note checks and notes a controller's token, and returns it.
-func (c *tokenCluster) note(i int) uint64 {
+// recordToken checks and records a controller's token, and returns it.
+func (c *tokenCluster) recordToken(i int) uint64 {
 	token := c.members[i].FencingToken()
 	if token == 0 {
 		return 0
@@ -64,14 +64,14 @@
 	if was, used := c.users[token]; used && was != user {
 		c.t.Errorf("token %d is used by %v and %v", token, was, user)
 	}
-	if token < c.last[i] {
-		c.t.Errorf("a controller's token falls from %d to %d", c.last[i], token)
+	if token < c.lastTokens[i] {
+		c.t.Errorf("a controller's token falls from %d to %d", c.lastTokens[i], token)
 	}
-	c.users[token], c.last[i], c.highest = user, token, max(c.highest, token)
+	c.users[token], c.lastTokens[i], c.highestUsed = user, token, max(c.highestUsed, token)
 	return token
 }
 
-// useReserved has a controller use a reserved token above all others' in an outage.
+// useReserved makes a controller use a reserved token above those of all others, in an outage.
 func (c *tokenCluster) useReserved(i int) {
 	if !c.down.Load() {
 		return
@@ -84,22 +84,22 @@
 	if token == 0 {
 		return
 	}
-	c.reservedUsed++
-	if token > others && c.note(i) == token {
-		c.aboveOthers++
+	c.reservedTokensUsed++
+	if token > others && c.recordToken(i) == token {
+		c.usedAboveOthers++
 	}
 }
 
-// step is one draw of a token, or one fault.
+// step draws a token or injects a fault.
 func (c *tokenCluster) step() {
 	i := c.rnd.IntN(tokenControllers)
 	switch c.rnd.IntN(8) {
 	case 0, 1:
 		_, _ = c.members[i].RaiseTokenAbove(context.Background(), c.members[i].FencingToken()) // may fail
 	case 2:
-		before := c.highest
+		before := c.highestUsed
 		if token, err := c.members[i].NextToken(context.Background()); err == nil && token <= before {
-			c.t.Errorf("a new leader's token is %d, when %d was given out", token, before)
+			c.t.Errorf("a new leader's token is %d, although %d was drawn before", token, before)
 		}
 	case 3:
 		c.down.Store(!c.down.Load())
@@ -109,18 +109,18 @@
 		c.stops[i]()
 		c.start(i)
 	case 6:
-		c.lossy.Store(!c.lossy.Load())
+		c.losingResponses.Store(!c.losingResponses.Load())
 	}
 	time.Sleep(time.Duration(c.rnd.IntN(4000)) * time.Millisecond)
 	for k := range c.members {
-		c.note(k)
+		c.recordToken(k)
 	}
 }
 
-// Controllers draw tokens, reserve them and use reserved ones in outages of the state service;
-// processes end and start, leases end, responses are lost. No two use the same token, a
-// controller's tokens only grow, those drawn by a new leader are above all that were given out
-// before, and a reserved token is above those that others raised since, up to a failover.
+// Controllers draw tokens, reserve them and use reserved ones in outages of the state service,
+// while processes end and start, leases end and responses are lost. No two controllers use the
+// same token, a controller's tokens only grow, a new leader's token is above all drawn before,
+// and a reserved token is above those that others have raised since, up to a failover.
 func TestReservedTokensAreUnique(t *testing.T) {
 	reservedUsed, aboveOthers := 0, 0
 	for seed := range uint64(20) {
@@ -132,8 +132,8 @@
 			for _, stop := range c.stops {
 				stop()
 			}
-			reservedUsed += c.reservedUsed
-			aboveOthers += c.aboveOthers
+			reservedUsed += c.reservedTokensUsed
+			aboveOthers += c.usedAboveOthers
 		})
 	}
 	if aboveOthers < 50 {
@@ -141,9 +141,9 @@
 	}
 }
 
-// In an outage any controller takes the place of a leader, ends, and any other takes its
-// place: both have reserved tokens above those of whoever was there before. Once they have
-// them nobody draws more.
+// In an outage any controller succeeds a leader, ends, and any other succeeds it in turn: both
+// have reserved tokens above those of their predecessors. Once they have reserved them, no
+// more tokens are drawn.
 func TestTwoFailoversInStateStoreOutage(t *testing.T) {
 	const controllers = 4
 	for leader := range controllers {
@@ -165,8 +165,8 @@
 	members := make([]*membership.Member, 0, controllers)
 	done := make([]<-chan struct{}, 0, controllers)
 	for i := range controllers {
-		m := member(view, string(rune('a'+i)))
-		members, done = append(members, m), append(done, run(ctx, m))
+		m := newMember(view, string(rune('a'+i)))
+		members, done = append(members, m), append(done, startMember(ctx, m))
 		time.Sleep(700 * time.Millisecond)
 	}
 	time.Sleep(20 * time.Second)
--- a/internal/membership/transfer_test.go
+++ b/internal/membership/transfer_test.go
@@ -16,18 +16,18 @@
 	"github.com/wallrack/wallrack/internal/testkit"
 )
 
-// A controller that looked for shards to reclaim while its transfer was under way won
-// against itself: the jobs stayed two seconds longer with a leader that got no
-// heartbeats. Transfers are counted, also by a controller that joins later.
+// A controller must not reclaim shards while their transfer is in flight: the reclaim usually
+// wins, and the jobs stay two seconds longer with a leader that receives no heartbeats.
+// Transfers are counted, also by a controller that joins later.
 func TestTransferInFlightIsNotReclaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		slow := func() bool { time.Sleep(20 * time.Millisecond); return false }
 		ctx, cancel := context.WithCancel(context.Background())
-		a, b := member(&testkit.View{Store: store, Down: slow}, "a"), member(&testkit.View{Store: store}, "b")
-		doneA := run(ctx, a)
+		a, b := newMember(&testkit.View{Store: store, Down: slow}, "a"), newMember(&testkit.View{Store: store}, "b")
+		doneA := startMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := run(ctx, b)
+		doneB := startMember(ctx, b)
 		time.Sleep(time.Second)
 		if err := a.TransferShards(ctx, "b"); err != nil {
 			t.Error(err)
@@ -36,8 +36,8 @@
 		if len(a.LedShards()) != 0 || len(b.LedShards()) != 4 {
 			t.Errorf("a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
-		c := member(&testkit.View{Store: store}, "c")
-		doneC := run(ctx, c)
+		c := newMember(&testkit.View{Store: store}, "c")
+		doneC := startMember(ctx, c)
 		time.Sleep(time.Second)
 		if a.RecentTransfers(time.Minute) != 1 || c.RecentTransfers(time.Minute) != 1 || c.RecentTransfers(time.Second) != 0 {
 			t.Errorf("transfers: a knows of %d, c of %d", a.RecentTransfers(time.Minute), c.RecentTransfers(time.Minute))
@@ -49,19 +49,19 @@
 	})
 }
 
-// A peer sees a joining controller's key before that has its own response, and may
-// transfer the shards to it then. The watch brought the joiner shards under a lease that
-// it did not know as its own yet: it led nothing, all others took it for the leader, and
-// nobody served any job again.
+// A peer sees a joining controller's key before the joiner receives its own response, and may
+// transfer the shards to it then. The watch reports to the joiner shards under a lease that it
+// does not know as its own yet. It must lead them nevertheless: otherwise all others regard it
+// as the leader, and nobody serves the jobs.
 func TestTransferToJoiningController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		ctx, cancel := context.WithCancel(context.Background())
-		a := member(&testkit.View{Store: store}, "a")
-		b := member(&testkit.View{Store: store, Slow: func() time.Duration { return 800 * time.Millisecond }}, "b")
-		doneA := run(ctx, a)
+		a := newMember(&testkit.View{Store: store}, "a")
+		b := newMember(&testkit.View{Store: store, Slow: func() time.Duration { return 800 * time.Millisecond }}, "b")
+		doneA := startMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := run(ctx, b)
+		doneB := startMember(ctx, b)
 		for !a.Alive("b") {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -69,7 +69,7 @@
 			t.Error(err)
 		}
 		if b.FencingToken() != 0 {
-			t.Error("the joiner had its response already")
+			t.Error("the joiner has received its response already")
 		}
 		time.Sleep(3 * time.Second)
 		if len(a.LedShards()) != 0 || len(b.LedShards()) != 4 {
@@ -81,18 +81,18 @@
 	})
 }
 
-// A transfer that is applied minutes late, when its outcome was long settled, must
-// not move the shards: its guards name the keys as they were.
+// A transfer that is applied minutes late, after its outcome was settled, must not move the
+// shards: its conditions name the earlier versions of the keys.
 func TestLateTransferMovesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		var late atomic.Bool
 		view := &testkit.View{Store: store, Late: late.Load}
 		ctx, cancel := context.WithCancel(context.Background())
-		a, b := member(view, "a"), member(&testkit.View{Store: store}, "b")
-		doneA := run(ctx, a)
+		a, b := newMember(view, "a"), newMember(&testkit.View{Store: store}, "b")
+		doneA := startMember(ctx, a)
 		time.Sleep(time.Second)
-		doneB := run(ctx, b)
+		doneB := startMember(ctx, b)
 		time.Sleep(time.Second)
 		late.Store(true)
 		if err := a.TransferShards(ctx, "b"); err == nil {
@@ -119,90 +119,90 @@
 	clusterNodes = "abc"
 )
 
-// faultyCluster is three controllers whose connections to the state service fail,
-// lose and delay requests, until calm is set.
+// faultyCluster is three controllers whose connections to the state service fail, lose
+// responses and delay requests, until faultsEnded is set.
 type faultyCluster struct {
-	store   *testkit.Store
-	calm    atomic.Bool
-	members [clusterSize]*membership.Member
-	stops   [clusterSize]func()
-	down    [clusterSize]*atomic.Bool
-	views   [clusterSize]*testkit.View
-	wrong   string // the first state in which a shard had two leaders
+	store       *testkit.Store
+	faultsEnded atomic.Bool
+	members     [clusterSize]*membership.Member
+	stops       [clusterSize]func()
+	down        [clusterSize]*atomic.Bool
+	views       [clusterSize]*testkit.View
+	violation   string // a violation found: a shard with two leaders, or without one in the end
 
-	drawing sync.Mutex // all members draw
-	rnd     *rand.Rand
+	rndMu sync.Mutex // guards rnd, which all members use
+	rnd   *rand.Rand
 }
 
 func newFaultyCluster(seed uint64) *faultyCluster {
-	c := &faultyCluster{store: testkit.NewStore(), rnd: rand.New(rand.NewPCG(seed, 1))}
+	cluster := &faultyCluster{store: testkit.NewStore(), rnd: rand.New(rand.NewPCG(seed, 1))}
 	for i := range clusterSize {
-		c.start(i)
+		cluster.start(i)
 	}
-	return c
+	return cluster
 }
 
 func (c *faultyCluster) draw(n int) int {
-	c.drawing.Lock()
-	defer c.drawing.Unlock()
+	c.rndMu.Lock()
+	defer c.rndMu.Unlock()
 	return c.rnd.IntN(n)
 }
 
-func (c *faultyCluster) oneInSix() bool { return !c.calm.Load() && c.draw(6) == 0 }
+func (c *faultyCluster) drawFault() bool { return !c.faultsEnded.Load() && c.draw(6) == 0 }
 
 func (c *faultyCluster) start(i int) {
 	c.down[i] = &atomic.Bool{}
-	c.views[i] = &testkit.View{Store: c.store, Down: c.down[i].Load, Lose: c.oneInSix, Late: c.oneInSix}
-	if !c.calm.Load() {
-		// Else both controllers would get an update at the same instant.
+	c.views[i] = &testkit.View{Store: c.store, Down: c.down[i].Load, Lose: c.drawFault, Late: c.drawFault}
+	if !c.faultsEnded.Load() {
+		// Otherwise all controllers would receive an update at the same instant.
 		lag := time.Duration(c.draw(120)) * time.Millisecond
 		c.views[i].Lag = func() time.Duration { return lag }
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c.members[i] = member(c.views[i], clusterNodes[i:i+1])
-	done := run(ctx, c.members[i])
+	c.members[i] = newMember(c.views[i], clusterNodes[i:i+1])
+	done := startMember(ctx, c.members[i])
 	c.stops[i] = func() { cancel(); <-done }
 }
 
-// watch notes for a while whether a shard has two leaders.
-func (c *faultyCluster) watch(d time.Duration) {
+// checkLeadersFor checks for the given time that no shard has two leaders.
+func (c *faultyCluster) checkLeadersFor(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		leaders := map[int]int{}
 		for i, m := range c.members {
 			for shard := range m.LedShards() {
-				c.compare(shard, i, leaders)
+				c.checkSecondLeader(shard, i, leaders)
 				leaders[shard] = i
 			}
 		}
 	}
 }
 
-// compare notes a second leader of a shard. A transfer may end between one look and
-// the next: two lead a shard only if the first still does.
-func (c *faultyCluster) compare(shard, leader int, leaders map[int]int) {
-	first, two := leaders[shard]
-	if !two {
+// checkSecondLeader records a violation if a shard has a second leader. A transfer may end
+// between the two checks: the shard has two leaders only if the first one still leads it.
+func (c *faultyCluster) checkSecondLeader(shard, leader int, leaders map[int]int) {
+	first, alreadyLed := leaders[shard]
+	if !alreadyLed {
 		return
 	}
-	if _, still := c.members[first].LeadsShard(shard); still {
-		c.wrong = fmt.Sprintf("shard %d is led by %c and %c", shard, clusterNodes[first], clusterNodes[leader])
+	if _, stillLeads := c.members[first].LeadsShard(shard); stillLeads {
+		c.violation = fmt.Sprintf("shard %d is led by %c and %c", shard, clusterNodes[first], clusterNodes[leader])
 	}
 }
 
-// settle ends all faults, and notes whether every shard is led in the end.
-func (c *faultyCluster) settle() {
-	c.calm.Store(true)
+// endFaults ends all faults, and checks that every shard is led in the end.
+func (c *faultyCluster) endFaults() {
+	c.faultsEnded.Store(true)
 	for i := range clusterSize {
 		c.down[i].Store(false)
 		c.views[i].Deliver()
 	}
-	c.watch(5 * ttl)
+	c.checkLeadersFor(5 * ttl)
 	total := 0
 	for _, m := range c.members {
 		total += len(m.LedShards())
 	}
-	if total != 4 && c.wrong == "" {
-		c.wrong = fmt.Sprintf("%d of 4 shards are led in the end", total)
+	if total != 4 && c.violation == "" {
+		c.violation = fmt.Sprintf("%d of 4 shards are led in the end", total)
 	}
 	for _, stop := range c.stops {
 		stop()
@@ -211,8 +211,8 @@
 
 // clusterStep is one fault or transfer, and the time after it.
 type clusterStep struct {
-	Act, Who, To int
-	Wait         int // ms
+	Action, Member, To int
+	WaitMs             int
 }
 
 func drawClusterStep(rt *rapid.T) clusterStep {
@@ -223,39 +223,39 @@
 }
 
 func (c *faultyCluster) apply(step clusterStep) {
-	switch step.Act {
+	switch step.Action {
 	case 0, 1, 2:
-		from := c.members[step.Who]
+		from := c.members[step.Member]
 		go func() { _ = from.TransferShards(context.Background(), clusterNodes[step.To:step.To+1]) }() // may fail
 	case 3:
-		c.down[step.Who].Store(!c.down[step.Who].Load())
+		c.down[step.Member].Store(!c.down[step.Member].Load())
 	case 4:
-		c.stops[step.Who]()
-		c.start(step.Who)
+		c.stops[step.Member]()
+		c.start(step.Member)
 	case 5:
-		c.views[step.Who].Deliver()
+		c.views[step.Member].Deliver()
 	}
-	c.watch(time.Duration(step.Wait) * time.Millisecond)
+	c.checkLeadersFor(time.Duration(step.WaitMs) * time.Millisecond)
 }
 
-// No two controllers lead a shard at a time, whatever is transferred, crashes, is cut
-// off, lost or late; and in the end somebody leads every one.
+// No two controllers lead a shard at a time, whatever transfers, crashes, partitions, lost
+// responses and delays occur; and in the end every shard is led.
 func TestTransferKeepsOneLeaderPerShard(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawClusterStep), 1, 12).Draw(rt, "steps")
 		seed := rapid.Uint64().Draw(rt, "seed")
-		wrong := ""
+		violation := ""
 		synctest.Test(t, func(*testing.T) {
 			c := newFaultyCluster(seed)
-			c.watch(time.Second)
+			c.checkLeadersFor(time.Second)
 			for _, step := range steps {
 				c.apply(step)
 			}
-			c.settle()
-			wrong = c.wrong
+			c.endFaults()
+			violation = c.violation
 		})
-		if wrong != "" {
-			rt.Fatal(wrong)
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
--- a/internal/quota/manager_test.go
+++ b/internal/quota/manager_test.go
@@ -14,30 +14,30 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// slowStore is a state service whose writes and watches end a while after their context.
+// slowStore is a state service whose writes and watches end some time after their context.
 type slowStore struct {
 	jobrecord.Store
-	writing chan struct{} // gets a value when a write has begun
-	ended   atomic.Int32  // writes and watches that have ended
+	writeStarted chan struct{} // receives a value when a write has started
+	ended        atomic.Int32  // writes and watches that have ended
 }
 
-func (s *slowStore) endLate(ctx context.Context) {
+func (s *slowStore) endAfterDelay(ctx context.Context) {
 	<-ctx.Done()
 	time.Sleep(20 * time.Millisecond)
 	s.ended.Add(1)
 }
 
 func (s *slowStore) Txn(ctx context.Context, _ []wire.Guard, _ ...wire.Op) (uint64, error) {
-	jobstate.Notify(s.writing)
-	s.endLate(ctx)
+	jobstate.Notify(s.writeStarted)
+	s.endAfterDelay(ctx)
 	return 0, ctx.Err()
 }
 
 func (s *slowStore) Watch(ctx context.Context, _ string, _ time.Duration, _ func([]wire.Item), _ func([]wire.Event)) {
-	s.endLate(ctx)
+	s.endAfterDelay(ctx)
 }
 
-// leader leads shard 0.
+// leader is the membership of a controller that leads shard 0.
 type leader struct{ jobstate.Membership }
 
 func (leader) LeaseRemaining() time.Duration { return time.Hour }
@@ -53,14 +53,15 @@
 	return state, manager
 }
 
-// Run returns only when its write and its watch have ended: nothing changes the state after it.
+// Run returns only after its write and its watch have ended: nothing changes the state after
+// it.
 func TestRunWaitsForItsRequests(t *testing.T) {
-	store := &slowStore{writing: make(chan struct{}, 1)}
+	store := &slowStore{writeStarted: make(chan struct{}, 1)}
 	_, manager := newManager(2, store)
 	ctx, cancel := context.WithCancel(t.Context())
 	returned := make(chan struct{})
 	go func() { defer close(returned); manager.Run(ctx) }()
-	<-store.writing
+	<-store.writeStarted
 	cancel()
 	<-returned
 	if ended := store.ended.Load(); ended != 2 {
@@ -69,7 +70,7 @@
 }
 
 // With one leader no limit is leased, and nothing is read or written; with several, the limits
-// are, of the teams that have any.
+// of the teams that have one are leased.
 func TestLimitsAreLeasedOnlyToSeveralLeaders(t *testing.T) {
 	for _, c := range []struct {
 		spread int
@@ -83,7 +84,7 @@
 			t.Errorf("spread %d: a team without a limit leases it", c.spread)
 		}
 		if mark := manager.Mark(0); mark.LeasesQuota != c.leased {
-			t.Errorf("spread %d: log records say %+v", c.spread, mark)
+			t.Errorf("spread %d: mark of log records: %+v", c.spread, mark)
 		}
 		if !c.leased {
 			manager.Run(t.Context()) // returns at once, without a store
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -17,7 +17,7 @@
 // watchHold is how long the state service may hold a request for changes.
 const watchHold = 20 * time.Second
 
-// watchRecords follows the records until ctx ends.
+// watchRecords watches the records until ctx ends.
 func (m *Manager) watchRecords(ctx context.Context) {
 	m.store.Watch(ctx, quotalease.Prefix, watchHold, func(items []wire.Item) {
 		for _, item := range items {
@@ -34,22 +34,23 @@
 	})
 }
 
-// observe takes a record as the watch shows it.
+// observe passes a record that the watch reports to its borrower.
 func (m *Manager) observe(item wire.Item) {
 	m.state.Mu.Lock()
 	defer m.state.Mu.Unlock()
-	for n, borrower := range m.borrowers {
-		if borrower == nil || quotalease.Key(n) != item.Key {
+	for index, borrower := range m.borrowers {
+		if borrower == nil || quotalease.Key(index) != item.Key {
 			continue
 		}
-		if record, ok := m.parse(item); ok {
-			m.take(item.Key, borrower, func() { borrower.Observe(record, item.Version, item.Version) })
+		if record, ok := m.parseRecord(item); ok {
+			m.passToBorrower(item.Key, borrower, func() { borrower.Observe(record, item.Version, item.Version) })
 		}
 	}
 }
 
-// parse parses a record; one that can't be read is counted and logged. Version 0: there is none.
-func (m *Manager) parse(item wire.Item) (quotalease.Record, bool) {
+// parseRecord parses a record; one that can't be parsed is counted and logged. Version 0 means
+// that there is none.
+func (m *Manager) parseRecord(item wire.Item) (quotalease.Record, bool) {
 	if item.Version == 0 {
 		return quotalease.Record{}, true
 	}
@@ -62,11 +63,11 @@
 	return record, true
 }
 
-// take calls pass, which gives a record to a borrower, and counts and logs what the borrower
-// refused of it.
-func (m *Manager) take(key string, borrower *quotalease.Borrower, pass func()) {
+// passToBorrower calls observe, which passes a record to a borrower, and counts and logs the
+// entries that the borrower ignored.
+func (m *Manager) passToBorrower(key string, borrower *quotalease.Borrower, observe func()) {
 	before := borrower.UnknownEntries
-	pass()
+	observe()
 	if refused := borrower.UnknownEntries - before; refused > 0 {
 		m.state.Stats.QuotaRecordsRefused += refused
 		m.log.Warn("unknown leaders or teams in quota record", "key", key, "refused", refused)
@@ -74,21 +75,21 @@
 	jobstate.Notify(m.state.PlanSignal)
 }
 
-// write carries out a write of a record. If its outcome stays unknown, the borrower plans the
-// same write again.
-func (m *Manager) write(ctx context.Context, n int, write quotalease.Write) {
+// write writes a record. If the outcome stays unknown, the borrower plans the same write
+// again.
+func (m *Manager) write(ctx context.Context, index int, write quotalease.Write) {
 	guards := make([]wire.Guard, 0, 1+len(write.Shards))
-	guards = append(guards, wire.Guard{Key: quotalease.Key(n), Version: write.Guard})
+	guards = append(guards, wire.Guard{Key: quotalease.Key(index), Version: write.Guard})
 	for _, shard := range slices.Sorted(maps.Keys(write.Shards)) {
 		guards = append(guards, wire.Guard{Key: m.state.Membership.ShardKey(shard), Version: write.Shards[shard]})
 	}
 	txnCtx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
 	defer cancel()
-	revision, err := m.store.Txn(txnCtx, guards, wire.Op{Put: quotalease.Key(n), Value: write.Record})
+	revision, err := m.store.Txn(txnCtx, guards, wire.Op{Put: quotalease.Key(index), Value: write.Record})
 	m.state.Mu.Lock()
 	defer m.state.Mu.Unlock()
-	m.inFlight[n] = false
-	borrower := m.borrowers[n]
+	m.inFlight[index] = false
+	borrower := m.borrowers[index]
 	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
@@ -98,27 +99,27 @@
 		borrower.Rejected(write)
 		jobstate.Notify(m.wake)
 	default:
-		m.log.Debug("quota write of unknown outcome", "key", quotalease.Key(n), "err", err)
+		m.log.Debug("quota write of unknown outcome", "key", quotalease.Key(index), "err", err)
 	}
 }
 
-// reread reads a record anew after a write of it was rejected. If that fails, the next round
+// reread reads a record again after a write of it was rejected. If that fails, the next round
 // reads it again.
-func (m *Manager) reread(ctx context.Context, n int) {
+func (m *Manager) reread(ctx context.Context, index int) {
 	getCtx, cancel := context.WithTimeout(ctx, jobrecord.TxnTimeout)
 	defer cancel()
-	item, err := m.store.Get(getCtx, quotalease.Key(n))
+	item, err := m.store.Get(getCtx, quotalease.Key(index))
 	m.state.Mu.Lock()
 	defer m.state.Mu.Unlock()
-	m.inFlight[n] = false
+	m.inFlight[index] = false
 	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
-		m.log.Debug("reading quota record failed", "key", quotalease.Key(n), "err", err)
+		m.log.Debug("reading quota record failed", "key", quotalease.Key(index), "err", err)
 		return
 	}
-	item.Key = quotalease.Key(n)
-	if record, ok := m.parse(item); ok {
-		borrower := m.borrowers[n]
-		m.take(item.Key, borrower, func() { borrower.Reread(record, item.Version, item.Version) })
+	item.Key = quotalease.Key(index)
+	if record, ok := m.parseRecord(item); ok {
+		borrower := m.borrowers[index]
+		m.passToBorrower(item.Key, borrower, func() { borrower.Reread(record, item.Version, item.Version) })
 		jobstate.Notify(m.wake)
 	}
 }
--- /dev/null
+++ b/internal/quotalease/idle_state.go
@@ -0,0 +1,54 @@
+package quotalease
+
+import "time"
+
+// stallTimeout is how long a part must have had room for one more task, without a task being
+// started, before all beyond that task counts as not needed.
+const stallTimeout = 4 * time.Second
+
+// idleState records for how long a shard's use of its part has been unchanged.
+type idleState struct {
+	use, part         Amount
+	since, checkedAt  time.Time     // start of this use and part; time of the last update
+	grownAt           time.Time     // when the part last grew
+	accumulatingSince time.Time     // start of the time in which the part has been too small for any task; zero: it is not
+	unusedFor         time.Duration // time with room for one more task, since the last start
+}
+
+// stalled reports whether no task has started for long although there was room for one.
+func (i idleState) stalled() bool { return i.unusedFor >= stallTimeout }
+
+// settled reports whether the part has not grown recently: after it grows, its leader needs
+// time to use it.
+func (i idleState) settled(now time.Time) bool { return now.Sub(i.grownAt) >= settleTime }
+
+// updateIdleState records for how long a part has been partly unused. For a shard that starts
+// nothing, because no worker has room for its tasks, it lowers the demand.
+func (p *teamPlan) updateIdleState(row *Row, need Need) Need {
+	key, part := p.key(row), row.Teams[p.team].Part
+	i, seen := p.b.idle[key]
+	if !seen || !need.Use.Fits(i.use) || need.Demand == need.Use {
+		i = idleState{part: i.part, grownAt: i.grownAt, since: p.now, checkedAt: p.now}
+	}
+	if !part.Fits(i.part) {
+		i.grownAt, i.since = p.now, p.now
+	}
+	if need.Use != i.use || need.Use == part {
+		i.since = p.now
+	}
+	if startable := p.b.Ceiling(row.Shard, p.team).Sub(need.Use); !startable.IsZero() && need.Unit.Fits(startable) && i.settled(p.now) {
+		i.unusedFor += p.now.Sub(i.checkedAt)
+	}
+	switch {
+	case need.Unit.Fits(part):
+		i.accumulatingSince = time.Time{}
+	case i.accumulatingSince.IsZero() && !part.IsZero():
+		i.accumulatingSince = p.now // unchanged while amounts are added and taken
+	}
+	i.use, i.part, i.checkedAt = need.Use, part, p.now
+	p.b.idle[key] = i
+	if i.stalled() {
+		need.Demand = need.Demand.Min(need.Use.Add(need.Unit))
+	}
+	return need
+}
--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -22,36 +22,36 @@
 
 var teams = slices.Sorted(maps.Keys(limits))
 
-// task may run, as a shard's leader granted its start.
+// task is a task whose start a shard's leader has granted.
 type task struct {
 	shard int
 	team  string
 	size  quotalease.Amount
-	over  bool // it ended; its leader may not know yet
+	ended bool // its leader may not know yet
 }
 
-// sent is a copy of a write that is under way.
-type sent struct {
+// inFlightWrite is a copy of a write in flight.
+type inFlightWrite struct {
 	from  *controller
 	call  int
 	write quotalease.Write
 }
 
-// controller is a controller with its side of the record.
+// controller is a controller with its borrower of the record.
 type controller struct {
-	name     string
-	borrower *quotalease.Borrower
-	led      map[int]uint64 // as far as it knows
-	counted  map[*task]bool // what it counts as in use
-	demand   map[string]quotalease.Amount
-	unit     map[string]quotalease.Amount
-	call     int  // number of its last request
-	busy     bool // it waits for the response
+	name             string
+	borrower         *quotalease.Borrower
+	led              map[int]uint64 // as far as it knows
+	counted          map[*task]bool // tasks that it counts as in use
+	demand           map[string]quotalease.Amount
+	unit             map[string]quotalease.Amount
+	call             int  // number of its last request
+	awaitingResponse bool // it waits for the response
 }
 
 func (c *controller) restart() {
 	c.borrower = quotalease.New(limits, shards)
-	c.led, c.counted, c.busy = map[int]uint64{}, map[*task]bool{}, false
+	c.led, c.counted, c.awaitingResponse = map[int]uint64{}, map[*task]bool{}, false
 	c.call++
 }
 
@@ -64,60 +64,60 @@
 	return sum
 }
 
-func key(shard int, team string) string { return fmt.Sprint(team, shard) }
+func demandKey(shard int, team string) string { return fmt.Sprint(team, shard) }
 
 func (c *controller) need(shard int, team string) quotalease.Need {
 	use := c.use(shard, team)
-	return quotalease.Need{Use: use, Demand: use.Add(c.demand[key(shard, team)]), Unit: c.unit[key(shard, team)]}
+	return quotalease.Need{Use: use, Demand: use.Add(c.demand[demandKey(shard, team)]), Unit: c.unit[demandKey(shard, team)]}
 }
 
-// past is the record as it was at a revision.
-type past struct {
+// recordSnapshot is the record as of a revision.
+type recordSnapshot struct {
 	record            quotalease.Record
 	version, revision uint64
 }
 
-// model is the state service, the controllers and what runs.
+// model is the state service, the controllers and the running tasks.
 type model struct {
-	t           *rapid.T
-	now         time.Time
-	revision    uint64
-	keys        map[int]uint64 // versions of the shards' keys, none: free
-	leaderOf    map[int]*controller
-	history     []past
-	controllers []*controller
-	inFlight    []sent
-	tasks       []*task
-	covered     bool // the parts were within the limits once: they stay so
-
-	refill   func() // starts what waits, as soon as a leader knows that a task ended
-	unleased uint64 // revision up to which leaders that don't lease limits started tasks
+	t            *rapid.T
+	now          time.Time
+	revision     uint64
+	keys         map[int]uint64 // versions of the shards' keys; a free shard has none
+	leaderOf     map[int]*controller
+	history      []recordSnapshot
+	controllers  []*controller
+	inFlight     []inFlightWrite
+	tasks        []*task
+	withinLimits bool // the parts were within the limits once, so that they must stay so
+
+	startWaiting     func() // starts waiting tasks, as soon as a leader knows that a task ended
+	unleasedRevision uint64 // revision up to which leaders that don't lease limits started tasks
 }
 
 func newModel(t *rapid.T) *model {
-	w := &model{t: t, now: time.Unix(1e9, 0), keys: map[int]uint64{}, leaderOf: map[int]*controller{}, history: []past{{}}}
+	m := &model{t: t, now: time.Unix(1e9, 0), keys: map[int]uint64{}, leaderOf: map[int]*controller{}, history: []recordSnapshot{{}}}
 	for i := range controllers {
 		c := &controller{name: fmt.Sprint("controller-", i), demand: map[string]quotalease.Amount{}, unit: map[string]quotalease.Amount{}}
 		c.restart()
-		w.controllers = append(w.controllers, c)
+		m.controllers = append(m.controllers, c)
 	}
-	// What runs from before the limits were leased, and what ended of it, of which a new
+	// Tasks that were started before the limits were leased. Some have ended, which a new
 	// leader does not know.
 	for range rapid.IntRange(0, 6).Draw(t, "earlier") {
-		task := w.drawTask()
-		task.over = !w.inUse(task.team).Add(task.size).Fits(limits[task.team])
-		w.tasks = append(w.tasks, task)
+		task := m.drawTask()
+		task.ended = !m.inUse(task.team).Add(task.size).Fits(limits[task.team])
+		m.tasks = append(m.tasks, task)
 	}
 	if rapid.Bool().Draw(t, "owned") {
 		for s := range shards {
-			w.take(w.drawController(), s, true)
+			m.assignShard(m.drawController(), s, true)
 		}
-		for _, c := range w.controllers {
-			w.observe(c, w.newest())
-			w.exchange(c, true)
+		for _, c := range m.controllers {
+			m.observe(c, m.latest())
+			m.sendAndDeliver(c, true)
 		}
 	}
-	return w
+	return m
 }
 
 func drawAmount(t *rapid.T, most quotalease.Amount) quotalease.Amount {
@@ -148,17 +148,17 @@
 
 func (w *model) inUseOf(shard int, team string) (sum quotalease.Amount) {
 	for _, t := range w.tasks {
-		if !t.over && t.shard == shard && t.team == team {
+		if !t.ended && t.shard == shard && t.team == team {
 			sum = sum.Add(t.size)
 		}
 	}
 	return sum
 }
 
-func (w *model) newest() past { return w.history[len(w.history)-1] }
+func (w *model) latest() recordSnapshot { return w.history[len(w.history)-1] }
 
 // start starts a task if its shard's leader may. A stale leader's lease has ended before its
-// shard's key went, so that it starts nothing.
+// shard's key is deleted, so that it starts nothing.
 func (w *model) start(task *task) bool {
 	c := w.leaderOf[task.shard]
 	if c == nil || c.led[task.shard] != w.keys[task.shard] {
@@ -172,13 +172,14 @@
 	return true
 }
 
-// settle has a controller learn which tasks ended.
-func (w *model) settle(c *controller) {
-	maps.DeleteFunc(c.counted, func(t *task, _ bool) bool { return t.over })
+// observeEndedTasks makes a controller learn which tasks ended.
+func (w *model) observeEndedTasks(c *controller) {
+	maps.DeleteFunc(c.counted, func(t *task, _ bool) bool { return t.ended })
 }
 
-// free has a shard's key go, as its leader's lease ends. The leader learns of it later.
-func (w *model) free(shard int) {
+// freeShard deletes a shard's key, as when its leader's lease ends. The leader learns of it
+// later.
+func (w *model) freeShard(shard int) {
 	if w.keys[shard] != 0 {
 		w.revision++
 		delete(w.keys, shard)
@@ -186,102 +187,103 @@
 	}
 }
 
-// take gives a shard to a controller, which counts all that may run there: also what ended,
-// as far as nobody wrote that down.
-func (w *model) take(c *controller, shard int, all bool) {
-	w.free(shard)
+// assignShard makes a controller the leader of a shard. The controller counts all tasks that
+// may run there, and with all also those that ended, as their ends need not have been
+// recorded.
+func (w *model) assignShard(c *controller, shard int, all bool) {
+	w.freeShard(shard)
 	w.revision++
 	w.keys[shard], w.leaderOf[shard] = w.revision, c
 	maps.DeleteFunc(c.counted, func(t *task, _ bool) bool { return t.shard == shard })
 	for _, t := range w.tasks {
-		if t.shard == shard && (all || !t.over) {
+		if t.shard == shard && (all || !t.ended) {
 			c.counted[t] = true
 		}
 	}
 	c.led[shard] = w.revision
-	c.borrower.SetShards(c.led, w.unleased)
+	c.borrower.SetShards(c.led, w.unleasedRevision)
 }
 
-// unleasedInterlude has one controller that does not lease limits lead all shards for a while,
-// and start tasks within the limits wherever it likes. All others have ended before.
-func (w *model) unleasedInterlude() {
+// runUnleasedLeader makes a controller that does not lease limits lead all shards for a while,
+// and start tasks within the limits in any shard. All other controllers have ended before.
+func (w *model) runUnleasedLeader() {
 	for s := range shards {
-		w.free(s)
+		w.freeShard(s)
 	}
 	for _, c := range w.controllers {
 		c.restart()
 	}
 	for range rapid.IntRange(1, 6).Draw(w.t, "tasks") {
 		for _, t := range w.tasks {
-			t.over = t.over || rapid.Bool().Draw(w.t, "over")
+			t.ended = t.ended || rapid.Bool().Draw(w.t, "over")
 		}
 		task := w.drawTask()
 		if w.inUse(task.team).Add(task.size).Fits(limits[task.team]) {
 			w.tasks = append(w.tasks, task)
 			w.revision++
-			w.unleased = w.revision
-			w.covered = false
+			w.unleasedRevision = w.revision
+			w.withinLimits = false
 		}
 	}
 }
 
-// learnShards has a controller learn which shards it lost.
-func (w *model) learnShards(c *controller) {
+// observeLostShards makes a controller learn which shards it lost.
+func (w *model) observeLostShards(c *controller) {
 	maps.DeleteFunc(c.led, func(s int, version uint64) bool { return w.keys[s] != version })
 	maps.DeleteFunc(c.counted, func(t *task, _ bool) bool { _, mine := c.led[t.shard]; return !mine })
-	c.borrower.SetShards(c.led, w.unleased)
+	c.borrower.SetShards(c.led, w.unleasedRevision)
 }
 
-// send has a controller send what it has to write.
+// send makes a controller send its next write, if there is one.
 func (w *model) send(c *controller) {
-	if c.busy {
+	if c.awaitingResponse {
 		return
 	}
 	if c.borrower.NeedsReread() {
-		p := w.newest()
+		p := w.latest()
 		c.borrower.Reread(p.record, p.version, p.version)
 		return
 	}
 	if write, ok := c.borrower.Plan(w.now, c.need); ok {
 		c.call++
-		c.busy = true
-		w.inFlight = append(w.inFlight, sent{c, c.call, write})
+		c.awaitingResponse = true
+		w.inFlight = append(w.inFlight, inFlightWrite{c, c.call, write})
 	}
 }
 
-// exchange has a controller send what it has to write, which is carried out at once.
-func (w *model) exchange(c *controller, answered bool) {
+// sendAndDeliver makes a controller send its next write, which is delivered at once.
+func (w *model) sendAndDeliver(c *controller, answered bool) {
 	w.send(c)
 	if n := len(w.inFlight); n > 0 && w.inFlight[n-1].from == c {
-		f := w.inFlight[n-1]
+		sent := w.inFlight[n-1]
 		w.inFlight = w.inFlight[:n-1]
-		w.deliver(f, answered)
+		w.deliver(sent, answered)
 	}
 }
 
-// deliver carries out a write that is under way; the response may be lost.
-func (w *model) deliver(f sent, answered bool) {
-	applied := f.write.Guard == w.newest().version
-	for s, version := range f.write.Shards {
+// deliver applies a write in flight if its conditions hold; the response may be lost.
+func (w *model) deliver(sent inFlightWrite, answered bool) {
+	applied := sent.write.Guard == w.latest().version
+	for s, version := range sent.write.Shards {
 		applied = applied && w.keys[s] == version
 	}
 	if applied {
 		w.revision++
-		w.history = append(w.history, past{copyOf(w.t, f.write.Record), w.revision, w.revision})
+		w.history = append(w.history, recordSnapshot{encodeAndParse(w.t, sent.write.Record), w.revision, w.revision})
 	}
-	if !answered || !f.from.busy || f.from.call != f.call {
+	if !answered || !sent.from.awaitingResponse || sent.from.call != sent.call {
 		return
 	}
-	f.from.busy = false
+	sent.from.awaitingResponse = false
 	if applied {
-		f.from.borrower.Applied(f.write, w.revision)
+		sent.from.borrower.Applied(sent.write, w.revision)
 	} else {
-		f.from.borrower.Rejected(f.write)
+		sent.from.borrower.Rejected(sent.write)
 	}
 }
 
-// copyOf passes a record through its form in the state service.
-func copyOf(t *rapid.T, r quotalease.Record) quotalease.Record {
+// encodeAndParse returns a record as it is after encoding and decoding.
+func encodeAndParse(t *rapid.T, r quotalease.Record) quotalease.Record {
 	data, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
@@ -293,11 +295,13 @@
 	return out
 }
 
-func (w *model) observe(c *controller, p past) { c.borrower.Observe(p.record, p.version, p.revision) }
+func (w *model) observe(c *controller, p recordSnapshot) {
+	c.borrower.Observe(p.record, p.version, p.revision)
+}
 
-// mayRun is what runs of a team in a shard, or would if its leader started at once all that
-// it may.
-func (w *model) mayRun(shard int, team string) quotalease.Amount {
+// maxUse returns what a shard's tasks use of a team's limit, or would use if the leader at
+// once started all that it may.
+func (w *model) maxUse(shard int, team string) quotalease.Amount {
 	runs := w.inUseOf(shard, team)
 	c := w.leaderOf[shard]
 	if c == nil || c.led[shard] != w.keys[shard] {
@@ -306,36 +310,36 @@
 	return runs.Add(c.borrower.Ceiling(shard, team).Sub(c.use(shard, team)))
 }
 
-// check fails if a limit may be exceeded from here, or a shard's tasks are not covered by
-// its part.
+// check fails if a limit may be exceeded from this state on, or if a shard's tasks are not
+// covered by its part.
 func (w *model) check() {
-	r := w.newest().record
+	r := w.latest().record
 	complete, within := len(r.Rows) == shards, true
 	for _, team := range teams {
-		var sum, may quotalease.Amount
+		var sum, mayUse quotalease.Amount
 		for s := range shards {
-			may = may.Add(w.mayRun(s, team))
+			mayUse = mayUse.Add(w.maxUse(s, team))
 		}
-		if !may.Fits(limits[team]) {
-			w.t.Fatalf("team %s uses %v, and may use %v, of %v; record %+v", team, w.inUse(team), may, limits[team], r)
+		if !mayUse.Fits(limits[team]) {
+			w.t.Fatalf("team %s uses %v, and may use %v, of %v; record %+v", team, w.inUse(team), mayUse, limits[team], r)
 		}
 		for _, row := range r.Rows {
 			part := row.Teams[team].Part
 			sum = sum.Add(part)
-			if row.LeaderVersion < w.unleased {
-				continue // it says nothing until the next leader counts anew
+			if row.LeaderVersion < w.unleasedRevision {
+				continue // not valid until the next leader counts the use again
 			}
-			if may := w.mayRun(row.Shard, team); !may.Fits(part) {
+			if may := w.maxUse(row.Shard, team); !may.Fits(part) {
 				w.t.Fatalf("shard %d may use %v of team %s with a part of %v; record %+v", row.Shard, may, team, part, r)
 			}
 		}
 		within = within && sum.Fits(limits[team])
-		if w.covered && !sum.Fits(limits[team]) {
+		if w.withinLimits && !sum.Fits(limits[team]) {
 			w.t.Fatalf("parts of team %s are %v of %v; record %+v", team, sum, limits[team], r)
 		}
 	}
 	for _, row := range r.Rows {
-		complete = complete && row.LeaderVersion > w.unleased
+		complete = complete && row.LeaderVersion > w.unleasedRevision
 	}
-	w.covered = w.covered || complete && within
+	w.withinLimits = w.withinLimits || complete && within
 }
--- /dev/null
+++ b/internal/quotalease/reallocate.go
@@ -0,0 +1,145 @@
+package quotalease
+
+import "time"
+
+const (
+	// settleTime is how long a shard's use must have been unchanged before the rest of its
+	// part, too small for one more task, is given away, and how long a part that has grown is
+	// left to its shard.
+	settleTime = time.Second
+	// accumulationPeriod is how long a part that is too small for any task is kept
+	// nevertheless, since other shards give up amounts in pieces. It is kept in the first of
+	// every accumulationCycle such periods, and given to the shard whose turn it is in the
+	// others.
+	accumulationPeriod = 5 * time.Second
+	accumulationCycle  = 4
+	// turnDuration is how long one of the shards that want more is served first. With shorter
+	// turns, leaders whose clocks differ by a second would serve different shards.
+	turnDuration = 2 * time.Second
+)
+
+// reallocate gives what is not needed here to the shards that want more, at once. The shard
+// whose turn it is also gets some of what is needed here.
+func (p *teamPlan) reallocate(row *Row, need Need) {
+	for _, other := range p.rowsWantingMore(row.Shard) {
+		from, to := row.Teams[p.team], other.Teams[p.team]
+		if unneeded := from.Part.Sub(need.Demand).Min(to.Want.Sub(to.Part)); !unneeded.IsZero() {
+			p.moveAmount(row, other, unneeded)
+		}
+	}
+	other := p.rowInTurn()
+	if other == nil || other.Shard == row.Shard || !p.b.idle[p.key(row)].settled(p.now) {
+		return
+	}
+	from, to := row.Teams[p.team], other.Teams[p.team]
+	owed := amountOwed(from, to)
+	free := owed.Min(from.Part.Sub(need.Use))
+	if free != owed && to.Unit.Fits(to.Part) {
+		free = Amount{} // the receiver has enough for one task, so that less than a whole task more is of no use
+	}
+	p.moveAmount(row, other, free)
+	// No new task here uses the rest, so that it becomes free. This ends with the turn:
+	// otherwise it would stay unused, with tasks waiting here, as long as no running task ends.
+	p.b.withheld[p.key(row)] = owed.Sub(free)
+}
+
+// reallocateRemainder gives the unused rest of a part to the shard whose turn it is, if the
+// rest is too small for one more task, or no task starts with it. Otherwise two shards could
+// each hold half of what a task needs, and the team would stay below its limit while tasks
+// wait.
+func (p *teamPlan) reallocateRemainder(row *Row, need Need) {
+	remainder := row.Teams[p.team].Part.Sub(need.Use)
+	idle := p.b.idle[p.key(row)]
+	switch {
+	case remainder.IsZero() || need.Unit.Fits(remainder) && !idle.stalled():
+		return
+	case !idle.accumulatingSince.IsZero():
+		if p.now.Sub(idle.accumulatingSince)/accumulationPeriod%accumulationCycle == 0 {
+			return
+		}
+	case p.now.Sub(idle.since) < settleTime:
+		return
+	}
+	other := p.rowInTurn()
+	if other == nil || other.Shard == row.Shard {
+		return
+	}
+	to := other.Teams[p.team]
+	if more := remainder.Min(to.Want.Sub(to.Part)); !more.IsZero() {
+		p.moveAmount(row, other, more)
+	}
+}
+
+// rowInTurn returns the row whose turn it is, or nil if that row does not want more. Rows that
+// have all they want get turns too, in which they keep it. Every second turn is for rows that
+// can't start even one task, if there are any. All leaders choose the same row, as far as
+// their clocks agree.
+func (p *teamPlan) rowInTurn() *Row {
+	var all, starving []*Row
+	for i := range p.record.Rows {
+		row := &p.record.Rows[i]
+		entry, hasEntry := row.Teams[p.team]
+		if !hasEntry {
+			continue
+		}
+		all = append(all, row)
+		if !entry.Want.Fits(entry.Part) && !entry.Unit.Fits(entry.Part) {
+			starving = append(starving, row)
+		}
+	}
+	n := p.now.UnixNano() / int64(turnDuration)
+	if len(starving) > 0 && n%2 == 0 {
+		return starving[n/2%int64(len(starving))]
+	}
+	if len(all) == 0 {
+		return nil
+	}
+	row := all[n/2%int64(len(all))]
+	if entry := row.Teams[p.team]; entry.Want.Fits(entry.Part) {
+		return nil
+	}
+	return row
+}
+
+// rowsWantingMore returns the other rows that want more, beginning after a shard, so that
+// leaders do not all give to the same one.
+func (p *teamPlan) rowsWantingMore(shard int) (rows []*Row) {
+	n := len(p.record.Rows)
+	for i := 1; i < n; i++ {
+		row := &p.record.Rows[(shard+i)%n]
+		if entry := row.Teams[p.team]; !entry.Want.Fits(entry.Part) {
+			rows = append(rows, row)
+		}
+	}
+	return rows
+}
+
+// amountOwed returns the amount that a shard with the entry from, which needs all it has, is
+// to give to the shard whose turn it is, which has the entry to: what the receiver needs to
+// start one more task, if its part then does not exceed the giver's, and otherwise what it
+// lacks to start its first.
+func amountOwed(from, to Entry) Amount {
+	unmet := to.Want.Sub(to.Part)
+	unit, lacks := to.Unit.Min(unmet), to.Unit.Sub(to.Part)
+	if to.stalled() {
+		unit = unmet
+		if to.Part.IsZero() {
+			lacks = unmet
+		}
+	}
+	if unit.Fits(from.Part) && to.Part.Add(unit).Fits(from.Part.Sub(unit)) {
+		return unit
+	}
+	return lacks.Min(from.Part)
+}
+
+// stalled reports whether the entry's shard wants a part but starts no tasks.
+func (e Entry) stalled() bool { return e.Unit.IsZero() }
+
+// moveAmount moves an amount from one row's part to another's.
+func (p *teamPlan) moveAmount(from, to *Row, amount Amount) {
+	fromEntry, toEntry := from.Teams[p.team], to.Teams[p.team]
+	fromEntry.Part, toEntry.Part = fromEntry.Part.Sub(amount), toEntry.Part.Add(amount)
+	p.setEntry(from, fromEntry)
+	p.setEntry(to, toEntry)
+}
--- a/internal/statestore/relay.go
+++ b/internal/statestore/relay.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	maxRelayed  = 3 << 20  // bytes of a response that a peer passes back
-	maxResponse = 32 << 20 // bytes that are read of a response
+	maxRelayedResponse = 3 << 20  // limit of a response that a peer passes back, in bytes
+	maxResponse        = 32 << 20 // limit of a response, in bytes
 )
 
-// RelayedRequest is a request to the state service that a peer passes on, within its own
-// budget, and never further.
+// RelayedRequest is a request to the state service that a peer sends for this controller,
+// within the peer's budget. It is never relayed further.
 type RelayedRequest struct {
 	Method   string        `json:"method"`
 	Path     string        `json:"path"`
@@ -26,44 +26,44 @@
 	Priority PriorityClass `json:"lane,omitempty"`
 }
 
-// RelayedResponse is the service's response to it.
+// RelayedResponse is the service's response to a RelayedRequest.
 type RelayedResponse struct {
 	Status int    `json:"status"`
 	Body   []byte `json:"body,omitempty"`
 }
 
-// Relay carries requests by way of a peer that reaches the state service.
+// Relay sends requests through a peer that reaches the state service.
 type Relay interface {
 	// Ready reports whether there is such a peer.
 	Ready() bool
-	// Forward has a request made. With an error it is not known whether it was, unless
-	// that is ErrUnavailable.
+	// Forward has a peer send a request. After an error the request may have been executed,
+	// unless the error is ErrUnavailable.
 	Forward(ctx context.Context, req RelayedRequest) (*RelayedResponse, error)
 }
 
-// ServeRelayed makes a request for a peer, within this controller's budget: leases first,
-// and never by another peer. With an error it is not known whether it was made; when it
-// surely was not, the response's status is 503.
+// ServeRelayed sends a request for a peer, within this controller's budget: requests for
+// leases are urgent, and none is relayed further. After an error the request may have been
+// executed; if it certainly was not, the response's status is 503.
 func (c *Client) ServeRelayed(ctx context.Context, req RelayedRequest) (*RelayedResponse, error) {
 	if strings.HasPrefix(req.Path, "/grants") {
 		req.Priority = Urgent
 	}
-	if !c.budget.admits(ctx, &req) {
+	if !c.budget.admit(ctx, &req) {
 		return &RelayedResponse{Status: http.StatusServiceUnavailable}, nil
 	}
-	status, body, err := c.exchange(ctx, req)
+	status, body, err := c.roundTrip(ctx, req)
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxRelayed {
-		// Only a watch's response has no bound: one that is too far behind lists anew.
+	if len(body) > maxRelayedResponse {
+		// Only the size of a watch's response is unbounded: the watch lists the keys again.
 		return &RelayedResponse{Status: http.StatusGone}, nil
 	}
 	return &RelayedResponse{Status: status, Body: body}, nil
 }
 
-// exchange makes one request directly.
-func (c *Client) exchange(ctx context.Context, r RelayedRequest) (int, []byte, error) {
+// roundTrip sends one request directly.
+func (c *Client) roundTrip(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	var body io.Reader
 	if r.Body != nil {
 		body = bytes.NewReader(r.Body)
@@ -76,14 +76,14 @@
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	defer func() { _ = response.Body.Close() }() // all that matters was read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
 	switch response.StatusCode {
 	case http.StatusTooManyRequests:
-		c.budget.cut()
+		c.budget.cutRate()
 	case http.StatusServiceUnavailable, http.StatusUnauthorized:
 	default:
 		c.lastSuccess.Store(int64(time.Since(c.start)))
@@ -91,64 +91,64 @@
 	return response.StatusCode, data, nil
 }
 
-// send makes a request, directly or by a peer. A request that may have been made is
-// never made again here, unless making it twice changes nothing.
+// send sends a request, directly or through a peer. A request that may have been executed is
+// not sent again, unless it is idempotent.
 func (c *Client) send(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	direct, end, ok := c.route.startDirect(ctx)
 	if !ok {
-		return c.sendByPeer(ctx, r)
+		return c.sendViaPeer(ctx, r)
 	}
-	status, data, err := c.exchangeWatched(direct, r)
+	status, data, err := c.roundTripWithStallDetector(direct, r)
 	end()
 	switch {
 	case err == nil && (status == http.StatusServiceUnavailable || status == http.StatusUnauthorized):
-		return c.sendRefused(ctx, r, status, data)
+		return c.retryViaPeer(ctx, r, status, data)
 	case err == nil || ctx.Err() != nil:
 		return status, data, err
 	}
 	if c.SinceLastSuccess() >= stallTimeout {
-		c.route.lose("no connection")
+		c.route.switchToRelay("no connection")
 	}
-	if !c.UsesRelay() || !repeatable(&r) {
+	if !c.UsesRelay() || !idempotent(&r) {
 		return status, data, err
 	}
-	return c.sendByPeer(ctx, r)
+	return c.sendViaPeer(ctx, r)
 }
 
-// exchangeWatched makes one request directly, and finds out if its link is lost
-// meanwhile. A watch has no response for long without that.
-func (c *Client) exchangeWatched(ctx context.Context, r RelayedRequest) (int, []byte, error) {
+// roundTripWithStallDetector sends one request directly, and detects whether the link is lost
+// meanwhile. Watches are excluded, since they may get no response for long on a working link.
+func (c *Client) roundTripWithStallDetector(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	if c.route.relay != nil && !strings.HasPrefix(r.Path, "/follow") {
-		stall := c.watchStall()
+		stall := c.startStallDetector()
 		defer stall.stop()
 	}
-	return c.exchange(ctx, r)
+	return c.roundTrip(ctx, r)
 }
 
-// sendRefused makes a request by a peer that was refused directly: it was surely not
-// made, and perhaps refused to this controller alone.
-func (c *Client) sendRefused(ctx context.Context, r RelayedRequest, status int, data []byte) (int, []byte, error) {
-	if !c.route.relayUseful() {
+// retryViaPeer sends a request through a peer after it was refused directly: it was certainly
+// not executed, and perhaps only this controller is refused.
+func (c *Client) retryViaPeer(ctx context.Context, r RelayedRequest, status int, data []byte) (int, []byte, error) {
+	if !c.route.relayUsable() {
 		return status, data, nil
 	}
-	status, data, err := c.sendByPeer(ctx, r)
+	status, data, err := c.sendViaPeer(ctx, r)
 	if err == nil && status != http.StatusServiceUnavailable {
-		c.route.lose("refused")
+		c.route.switchToRelay("refused")
 	}
-	return status, data, err // without a response it may have been made
+	return status, data, err // after an error it may have been executed
 }
 
-// repeatable reports whether to make a request twice is like making it once.
-func repeatable(r *RelayedRequest) bool {
+// idempotent reports whether sending a request twice has the same effect as sending it once.
+func idempotent(r *RelayedRequest) bool {
 	return r.Method == http.MethodGet || strings.HasSuffix(r.Path, "/touch")
 }
 
-// sendByPeer has a peer make a request.
-func (c *Client) sendByPeer(ctx context.Context, r RelayedRequest) (int, []byte, error) {
+// sendViaPeer has a peer send a request.
+func (c *Client) sendViaPeer(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	response, err := c.route.relay.Forward(ctx, r)
 	if err != nil {
 		if !c.route.relay.Ready() {
-			c.route.find("no peer relays")
+			c.route.switchToDirect("no peer relays")
 		}
 		if errors.Is(err, ErrUnavailable) {
 			return 0, nil, err
@@ -159,7 +159,7 @@
 		c.route.mu.Lock()
 		c.route.relayRefusedAt = time.Now()
 		c.route.mu.Unlock()
-		c.route.find("peer is refused too")
+		c.route.switchToDirect("peer is refused too")
 	}
 	return response.Status, response.Body, nil
 }
--- a/internal/statestore/response_test.go
+++ b/internal/statestore/response_test.go
@@ -17,18 +17,19 @@
 }
 
 func (f fixedResponse) RoundTrip(*http.Request) (*http.Response, error) {
-	return response(f.status, f.body), nil
+	return newResponse(f.status, f.body), nil
 }
 
-func respondedWith(status int, body string) *Client {
+func clientRespondingWith(status int, body string) *Client {
 	c := New("x", 1000, 1000, 24)
 	c.http.Transport = fixedResponse{status, body}
 	return c
 }
 
-// Responses that are cut short, repeated, or of another request are errors, of which
-// nobody concludes anything: an empty page was taken for an empty store, a conflict of
-// another transaction for this one's, a response without a revision for an applied write.
+// Responses that are truncated, repeated, or belong to another request are errors, and nothing
+// is concluded from them. Otherwise an empty page would be taken for an empty store, a
+// conflict of another transaction for this one's, and a response without a revision for an
+// applied write.
 func TestResponseOfAnotherRequestIsAnError(t *testing.T) {
 	get := func(c *Client) error { _, err := c.Get(t.Context(), "a/b"); return err }
 	list := func(c *Client) error { _, _, err := c.List(t.Context(), "a/"); return err }
@@ -74,14 +75,15 @@
 		{"an update of no key", follow, 200, `{"ledger":6,"log":[{"stamp":6}]}`, false},
 		{"an update from beyond", follow, 200, `{"ledger":6,"log":[{"set":"a/1","data":1,"stamp":7}]}`, false},
 	} {
-		err := k.call(respondedWith(k.status, k.body))
+		err := k.call(clientRespondingWith(k.status, k.body))
 		if k.ok != (err == nil) || !k.ok && !errors.Is(err, ErrUnknown) {
 			t.Errorf("%s: %v", k.name, err)
 		}
 	}
 }
 
-// FuzzResponses: whatever the service responds, nothing is read that was not requested.
+// FuzzResponses checks that, whatever the service responds, the client returns only data that
+// was requested.
 func FuzzResponses(f *testing.F) {
 	for _, s := range []string{
 		`{"rows":[{"path":"a/1","stamp":1}],"truncated":true,"ledger":9}`, `{"path":"a/b","data":{},"stamp":4}`,
@@ -93,7 +95,7 @@
 	f.Fuzz(func(t *testing.T, status int, body string) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		c := respondedWith(status, body)
+		c := clientRespondingWith(status, body)
 		if it, err := c.Get(ctx, "a/b"); err == nil && (it.Key != "a/b" || it.Version == 0) {
 			t.Errorf("read %+v", it)
 		}
--- a/internal/statestore/response_timeout.go
+++ b/internal/statestore/response_timeout.go
@@ -6,55 +6,55 @@
 )
 
 const (
-	// leastWait is how long the response to a transaction is waited for, from its send,
-	// before it counts as lost. It is longer than stallTimeout, so that a lost link is
-	// found first.
-	leastWait = 750 * time.Millisecond
-	// mostWait bounds that time, however slow the service is.
-	mostWait = 8 * leastWait
-	// slowFactor is how much longer than the slowest recent response one may take.
+	// minResponseTimeout is the shortest time, from the send of a transaction, after which its
+	// response counts as lost. It is longer than stallTimeout, so that a lost link is detected
+	// first.
+	minResponseTimeout = 750 * time.Millisecond
+	// maxResponseTimeout is the longest such time, however slow the service is.
+	maxResponseTimeout = 8 * minResponseTimeout
+	// slowFactor is the ratio of the timeout to the slowest recent response.
 	slowFactor = 2
-	// missesByChance is how many responses in a row may be lost before the service is
-	// taken for slow.
-	missesByChance = 1
-	// decay is the share of the slowest response that each faster one takes off: one in
-	// decay.
-	decay = 8
+	// toleratedMisses is the number of consecutive lost responses that do not lengthen the
+	// timeout.
+	toleratedMisses = 1
+	// slowestDecay sets how fast the slowest recent response is forgotten: each faster one
+	// lowers it by one part in slowestDecay.
+	slowestDecay = 8
 )
 
-// responseTimeout is how long transactions' responses are waited for. A caller that waits
-// for a lost response for as long as it may does nothing meanwhile: a leader records no
-// placement, and a new one does not finish its failover. So the wait follows what responses
-// take that do come. Only while none comes at all it doubles, so that a slow service is not
-// taken for one that never responds: a share of responses that gets lost says nothing of
-// the others. It is safe for concurrent use; the zero value is ready.
+// responseTimeout is the time after which the response to a transaction counts as lost. A
+// caller does nothing while it waits for a lost response: a leader records no placement, and a
+// new one does not finish its failover. So the timeout follows the response times of the
+// requests that do get a response. It doubles only while none arrives at all, so that a slow
+// service is not regarded as one that never responds: a lost response among others says
+// nothing about the service's speed. It is safe for concurrent use; the zero value is ready.
 type responseTimeout struct {
 	mu      sync.Mutex
 	slowest time.Duration // of recent responses
-	misses  int           // since the last response that came
+	misses  int           // consecutive lost responses
 }
 
-// wait returns how long the next response is waited for.
-func (r *responseTimeout) wait() time.Duration {
+// current returns the timeout for the next response.
+func (r *responseTimeout) current() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait := max(leastWait, slowFactor*r.slowest)
-	for n := missesByChance; n < r.misses && wait < mostWait; n++ {
-		wait *= 2
+	timeout := max(minResponseTimeout, slowFactor*r.slowest)
+	for n := toleratedMisses; n < r.misses && timeout < maxResponseTimeout; n++ {
+		timeout *= 2
 	}
-	return min(wait, mostWait)
+	return min(timeout, maxResponseTimeout)
 }
 
-// responded notes a response that took so long.
-func (r *responseTimeout) responded(took time.Duration) {
+// recordResponse records the time that a response took.
+func (r *responseTimeout) recordResponse(took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.misses = 0
-	r.slowest = max(took, r.slowest-r.slowest/decay)
+	r.slowest = max(took, r.slowest-r.slowest/slowestDecay)
 }
 
-// missed notes a response that did not come in time.
-func (r *responseTimeout) missed() {
+// recordMiss records a response that did not arrive in time.
+func (r *responseTimeout) recordMiss() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.misses++
