--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -50,11 +50,11 @@
 	pinger      pinger
 	prober      prober
 
-	scheduler *scheduler.Scheduler
-	gateway   schedulerGateway
-	times     *failovertiming.Timeline
-	starts    startLog
-	ownership ownershipTiming
+	scheduler          *scheduler.Scheduler
+	gateway            schedulerGateway
+	timeline           *failovertiming.Timeline
+	starts             startLog
+	leadershipRecorder leadershipRecorder
 
 	connections  *connlimit.Limit
 	commands     *dispatch.HTTPCommandSender
@@ -90,11 +90,11 @@
 // address for users and workers, waiting for a predecessor to let go of it.
 func assemble(ctx context.Context, o Options) (*controller, error) {
 	c := &controller{cfg: o.Platform, operator: o.Operator, log: o.Log, lifetime: lifetime{ctx}}
-	if err := c.connect(); err != nil {
+	if err := c.assembleClients(); err != nil {
 		return nil, err
 	}
-	c.schedule(o.Slurm != nil && o.Slurm.Accounts)
-	c.dispatch(ctx)
+	c.assembleScheduler(o.Slurm != nil && o.Slurm.Accounts)
+	c.assembleDispatcher(ctx)
 	c.alerts = slo.New(c.cfg.Params.Objectives, c.scheduler, c.log)
 	lis, err := mesh.Listen(ctx, c.cfg.Listen)
 	if err != nil {
@@ -102,19 +102,19 @@
 		return nil, fmt.Errorf("serve_on: %w", err)
 	}
 	c.listener = connlimit.NewListener(lis, c.connections)
-	c.meter = usage.New(int64(c.cfg.Params.Limits.RAMMB*pressureShare*bytesPerMB), c.queues, c.log)
-	c.times.Restart()
-	c.exchangeCancellations()
-	c.watchLinks()
-	c.watchWorkers()
-	c.publishViews()
-	c.observe()
+	c.meter = usage.New(int64(c.cfg.Params.Limits.RAMMB*memoryPressureShare*bytesPerMB), c.queueDepths, c.log)
+	c.timeline.Restart()
+	c.assembleCancellationExchange()
+	c.assembleLinkMonitor()
+	c.assembleWorkerMonitors()
+	c.assembleViewPublisher()
+	c.subscribe()
 
 	mux := http.NewServeMux()
-	c.serveUsers(o, mux)
-	c.rollOut(o, mux)
-	c.autoscale()
-	c.serveOperators(mux)
+	c.assembleUserServices(o, mux)
+	c.assembleRollouts(o, mux)
+	c.assembleAutoscaler()
+	c.registerOperatorPaths(mux)
 	mux.HandleFunc("POST /v1/report", c.dispatcher.ServeReport)
 	c.server = newServer(mux, c.log)
 	return c, nil
@@ -123,8 +123,8 @@
 // register has a part serve its methods of the mesh.
 func (c *controller) register(service peerService) { service.register(c.mesh) }
 
-// connect makes the clients of what is outside of this process, and the links to the peers.
-func (c *controller) connect() error {
+// assembleClients makes the clients of what is outside of this process, and the links to the peers.
+func (c *controller) assembleClients() error {
 	addrs := map[string]string{}
 	for _, peer := range c.cfg.Peers {
 		addrs[peer.Node] = peer.Addr
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// schedule makes the scheduler, and the registry of cancellations that it fills.
-func (c *controller) schedule(accounting bool) {
+// assembleScheduler makes the scheduler, and the registry of cancellations that it fills.
+func (c *controller) assembleScheduler(accounting bool) {
 	halter := &taskHalter{local: &c.local, log: c.log}
 	c.cancelUpdates = make(chan struct{}, 1)
 	c.cancellations = cancellation.New(cancellation.Options{
@@ -158,7 +158,7 @@
 		Platform: c.cfg, Operator: c.operator, Store: c.store, Member: c.member, Dispatchers: &c.instructions, MachineTypes: c.catalog, Log: c.log,
 		Cancellations: c.cancellations, RemoteJobs: &remoteJobs{store: c.store, mesh: c.mesh, leaders: &c.links.Leaders}, AccountingEnabled: accounting,
 	})
-	c.register(&jobFacts{scheduler: c.scheduler})
+	c.register(&jobFactsService{scheduler: c.scheduler})
 }
 
 // notifyCancelUpdates has the exchange send updates to the peers.
@@ -169,13 +169,13 @@
 	}
 }
 
-// dispatch makes the dispatcher, which ends the cycle of those that act through it.
-func (c *controller) dispatch(ctx context.Context) {
+// assembleDispatcher makes the dispatcher, which ends the cycle of those that act through it.
+func (c *controller) assembleDispatcher(ctx context.Context) {
 	c.connections, c.commands = connlimit.New(c.cfg.Params.Limits.Sockets, len(c.cfg.Peers))
-	c.times = failovertiming.New(c.scheduler, config.Seconds(c.cfg.Params.Workers.LeaseS), c.log)
+	c.timeline = failovertiming.New(c.scheduler, config.Seconds(c.cfg.Params.Workers.LeaseS), c.log)
 	c.starts = startLog{log: c.log}
 	c.router = workerRouter{member: c.member, links: &c.links.View, cancellations: c.cancellations, grace: responseGrace(c.cfg.Params.Workers)}
-	c.gateway = schedulerGateway{scheduler: c.scheduler, router: &c.router, peers: &c.links.Caller, times: c.times, starts: &c.starts}
+	c.gateway = schedulerGateway{scheduler: c.scheduler, router: &c.router, peers: &c.links.Caller, timeline: c.timeline, starts: &c.starts}
 	c.register(&c.gateway)
 	c.dispatcher = dispatch.New(ctx, dispatch.Options{
 		Node: c.cfg.Node, WorkerLease: config.Seconds(c.cfg.Params.Workers.LeaseS),
@@ -185,8 +185,8 @@
 	c.local.commandTarget = c.dispatcher
 }
 
-// queues are the depths that the meter shows.
-func (c *controller) queues() map[string]int {
+// queueDepths are the depths that the meter shows.
+func (c *controller) queueDepths() map[string]int {
 	depths := c.scheduler.QueueDepths()
 	depths["machines"], depths["queued"], depths["orders"] = c.dispatcher.Depths()
 	depths["connections"], depths["order_connections"] = c.connections.Open(), c.commands.Connections()
@@ -198,7 +198,7 @@
 	return reachability.ReceiveHealth{RefusedConnections: usage.Noted(usage.RefusedConnections), TimerDelay: c.meter.TimerDelay()}
 }
 
-func (c *controller) exchangeCancellations() {
+func (c *controller) assembleCancellationExchange() {
 	c.exchange = cancellationExchange{
 		cfg: c.cfg, registry: c.cancellations, updates: c.cancelUpdates, scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.router, peers: &c.links.Caller,
 		reader: cancellationReader{registry: c.cancellations, store: c.store, log: c.log}, log: c.log,
@@ -206,7 +206,7 @@
 	c.register(&c.exchange)
 }
 
-func (c *controller) watchLinks() {
+func (c *controller) assembleLinkMonitor() {
 	c.prober = prober{
 		node: c.cfg.Node, member: c.member, table: c.links.Table, status: &c.links.Status, links: &c.links.View, dispatcher: c.dispatcher, lifetime: c.lifetime, log: c.log,
 	}
@@ -221,7 +221,7 @@
 	}
 }
 
-func (c *controller) watchWorkers() {
+func (c *controller) assembleWorkerMonitors() {
 	c.unresponsive = unresponsiveWorkers{
 		cfg: c.cfg, operator: c.operator, scheduler: c.scheduler, dispatcher: c.dispatcher, links: &c.links.View, peers: &c.links.Caller,
 		health: c.receiveHealth, lifetime: c.lifetime, log: c.log, detector: newFailureDetector(c.cfg.Params.Workers, c.operator),
@@ -232,7 +232,7 @@
 	c.expiring = expiringLeases{scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.router}
 }
 
-func (c *controller) publishViews() {
+func (c *controller) assembleViewPublisher() {
 	c.views = viewPublisher{
 		cfg: c.cfg, interval: config.Seconds(c.operator.PublishS), scheduler: c.scheduler, dispatcher: c.dispatcher, leaders: &c.links.Leaders, peers: &c.links.Caller, table: c.links.Table,
 		publisher: viewsync.NewPublisher(c.cfg.Node, c.dispatcher), receiver: viewsync.NewReceiver(c.scheduler, c.nodes), log: c.log,
@@ -240,23 +240,23 @@
 	c.register(&c.views)
 }
 
-// observe has the parts hear of changes in the state service, and its client of the way round
+// subscribe has the parts hear of changes in the state service, and its client of the way round
 // by a peer.
-func (c *controller) observe() {
-	c.ownership = ownershipTiming{member: c.member, times: c.times, starts: &c.starts}
+func (c *controller) subscribe() {
+	c.leadershipRecorder = leadershipRecorder{member: c.member, timeline: c.timeline, starts: &c.starts}
 	c.member.OnLeadershipChange(c.scheduler.LeadershipChanged)
-	c.member.OnLeadershipChange(c.ownership.changed)
+	c.member.OnLeadershipChange(c.leadershipRecorder.leadershipChanged)
 	c.member.OnLeadershipChange(c.links.View.Invalidate)
-	c.member.OnLinkAnnouncement(c.prober.announced)
+	c.member.OnLinkAnnouncement(c.prober.handleAnnouncement)
 	c.relay = storeRelay{store: c.store, links: &c.links.View, peers: &c.links.Caller, mesh: c.mesh}
 	c.register(&c.relay)
 	c.store.SetRelay(&c.relay, c.log)
 }
 
-func (c *controller) serveUsers(o Options, mux *http.ServeMux) {
+func (c *controller) assembleUserServices(o Options, mux *http.ServeMux) {
 	options := submission.Options{
 		Platform: c.cfg, Operator: c.operator, Store: c.store, Jobs: c.scheduler, Catalog: c.catalog,
-		Peers: &userPeers{Leaders: &c.links.Leaders, member: c.member, links: &c.links.View, peers: &c.links.Caller, times: c.times}, Log: c.log,
+		Peers: &userPeers{Leaders: &c.links.Leaders, member: c.member, links: &c.links.View, peers: &c.links.Caller, timeline: c.timeline}, Log: c.log,
 		Cancellations: c.cancellations, MemoryPressure: c.meter.MemoryPressure,
 	}
 	if o.Slurm != nil {
@@ -274,7 +274,7 @@
 	server.Register(mux)
 }
 
-func (c *controller) rollOut(o Options, mux *http.ServeMux) {
+func (c *controller) assembleRollouts(o Options, mux *http.ServeMux) {
 	if o.Rollouts == nil {
 		return
 	}
@@ -286,7 +286,7 @@
 	c.rollouts.Register(mux)
 }
 
-func (c *controller) autoscale() {
+func (c *controller) assembleAutoscaler() {
 	c.demand = localDemand{scheduler: c.scheduler, unresponsive: &c.unresponsive}
 	c.register(&c.demand)
 	c.removed = removedWorkers{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.links.Caller, lifetime: c.lifetime, log: c.log}
--- a/internal/controller/cancellation_reads.go
+++ b/internal/controller/cancellation_reads.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	readEvery       = 2500 * time.Millisecond // the state service, while peers' messages don't do
-	readCost        = 20                      // and at most one part in so many of the time
-	readTimeout     = 5 * time.Second
-	readNeededEvery = exchangeEvery / 2 // between looks whether a read is needed
+	storeReadInterval      = 2500 * time.Millisecond // the state service, while peers' messages don't do
+	storeReadPauseFactor   = 20                      // and at most one part in so many of the time
+	storeReadTimeout       = 5 * time.Second
+	storeReadCheckInterval = exchangeInterval / 2 // between looks whether a read is needed
 )
 
 // cancellationReader reads the cancelled jobs from the state service while peers' messages do
@@ -30,7 +30,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(max(pause, readNeededEvery)):
+		case <-time.After(max(pause, storeReadCheckInterval)):
 		}
 		pause = 0
 		if r.registry.NeedsStoreRead(stalePeerAfter) {
@@ -42,13 +42,13 @@
 // read reads the cancelled jobs once, and returns how long to wait before the next read.
 func (r *cancellationReader) read(ctx context.Context) time.Duration {
 	sent := time.Now()
-	ctx, cancel := context.WithTimeout(statestore.WithPriority(ctx, statestore.Urgent), readTimeout)
+	ctx, cancel := context.WithTimeout(statestore.WithPriority(ctx, statestore.Urgent), storeReadTimeout)
 	defer cancel()
 	jobs, err := scheduler.ReadCancelledJobs(ctx, r.store)
 	if err != nil {
 		r.log.Debug("reading cancellations failed", "err", err)
-		return exchangeEvery
+		return exchangeInterval
 	}
 	r.registry.RecordStoreRead(sent, jobs)
-	return max(readEvery, readCost*time.Since(sent))
+	return max(storeReadInterval, storeReadPauseFactor*time.Since(sent))
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	exchangeEvery   = 500 * time.Millisecond
-	exchangeTimeout = time.Second
-	stalePeerAfter  = 2500 * time.Millisecond // pings bring a peer's message at most so late
-	chaseAfter      = 3 * time.Second         // for which dispatchers have time to stop a task
-	chaseEvery      = 2 * time.Second
-	malformedEvery  = time.Minute // between log lines about malformed messages
+	exchangeInterval     = 500 * time.Millisecond
+	exchangeTimeout      = time.Second
+	stalePeerAfter       = 2500 * time.Millisecond // pings bring a peer's message at most so late
+	stopRetryAfter       = 3 * time.Second         // for which dispatchers have time to stop a task
+	stopRetryInterval    = 2 * time.Second
+	malformedLogInterval = time.Minute // between log lines about malformed messages
 )
 
 // cancellationMessage is what one controller sends another of cancels outside of pings.
@@ -42,29 +42,29 @@
 	reader     cancellationReader
 	log        *slog.Logger
 
-	malformed atomic.Int64 // when a malformed message was last logged, by time of day, ns
+	malformedLoggedAt atomic.Int64 // when a malformed message was last logged, by time of day, ns
 
 	// Of run alone.
-	answering bool
-	chased    time.Time
+	answering      bool
+	stopsRetriedAt time.Time
 }
 
 func (e *cancellationExchange) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodCancellations, func(_ context.Context, msg *cancellationMessage) (*cancellation.Message, error) {
-		e.received(msg.From, &msg.Message)
+		e.handleMessage(msg.From, &msg.Message)
 		reply := e.registry.MessageFor(msg.From)
 		return &reply, nil
 	})
 }
 
-// received takes what a peer says of cancels; nil if it says nothing.
-func (e *cancellationExchange) received(from string, msg *cancellation.Message) {
+// handleMessage takes what a peer says of cancels; nil if it says nothing.
+func (e *cancellationExchange) handleMessage(from string, msg *cancellation.Message) {
 	if msg == nil {
 		return
 	}
 	if err := e.registry.HandleMessage(from, msg); err != nil {
-		if last := e.malformed.Load(); last == 0 || time.Since(time.Unix(0, last)) > malformedEvery {
-			e.malformed.Store(time.Now().UnixNano())
+		if last := e.malformedLoggedAt.Load(); last == 0 || time.Since(time.Unix(0, last)) > malformedLogInterval {
+			e.malformedLoggedAt.Store(time.Now().UnixNano())
 			e.log.Info("malformed cancellation updates dropped", "err", err)
 		}
 	}
@@ -77,12 +77,12 @@
 	msg := &cancellationMessage{e.cfg.Node, e.registry.MessageFor(peer)}
 	reply, err := peerlinks.Call[cancellationMessage, cancellation.Message](ctx, e.peers, peer, methodCancellations, msg)
 	if err == nil {
-		e.received(peer, reply)
+		e.handleMessage(peer, reply)
 	}
 }
 
 func (e *cancellationExchange) run(ctx context.Context) error {
-	tick := time.NewTicker(exchangeEvery)
+	tick := time.NewTicker(exchangeInterval)
 	defer tick.Stop()
 	go e.reader.run(ctx)
 	for {
@@ -91,7 +91,7 @@
 		for _, peer := range stale {
 			go e.exchange(ctx, peer)
 		}
-		e.chase(ctx)
+		e.retryStops(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -110,13 +110,13 @@
 	}
 }
 
-// chase has the workers polled on which cancelled tasks go on.
-func (e *cancellationExchange) chase(ctx context.Context) {
-	if time.Since(e.chased) < chaseEvery || !e.router.MayAnswerWorkers() {
+// retryStops has the workers polled on which cancelled tasks go on.
+func (e *cancellationExchange) retryStops(ctx context.Context) {
+	if time.Since(e.stopsRetriedAt) < stopRetryInterval || !e.router.MayAnswerWorkers() {
 		return
 	}
-	e.chased = time.Now()
-	if workers := e.scheduler.UnstoppedWorkers(chaseAfter); len(workers) > 0 {
+	e.stopsRetriedAt = time.Now()
+	if workers := e.scheduler.UnstoppedWorkers(stopRetryAfter); len(workers) > 0 {
 		go e.dispatcher.ChaseCancelledTasks(ctx, workers)
 	}
 }
@@ -129,6 +129,6 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(exchangeEvery / 5):
+	case <-time.After(exchangeInterval / 5):
 	}
 }
--- a/internal/controller/cluster_demand.go
+++ b/internal/controller/cluster_demand.go
@@ -41,7 +41,7 @@
 
 func (d *localDemand) demand(bootS float64) *demandReply {
 	demand, loads := d.scheduler.Demand(bootS)
-	return &demandReply{Demand: demand, Loads: loads, FailedWorkers: d.unresponsive.failed(), AdmittedWork: d.scheduler.AdmittedWork()}
+	return &demandReply{Demand: demand, Loads: loads, FailedWorkers: d.unresponsive.failedWorkers(), AdmittedWork: d.scheduler.AdmittedWork()}
 }
 
 // clusterDemand is what the autoscaler sees: this process's scheduler, together with the
@@ -57,7 +57,7 @@
 	lifetime     lifetime
 	log          *slog.Logger
 
-	elsewhere []*demandReply // as of the last Demand
+	remoteReplies []*demandReply // as of the last Demand
 }
 
 // Ready reports whether this controller leads autoscaling.
@@ -67,7 +67,7 @@
 // seconds that a machine takes to boot. A leader that does not respond in time is left out.
 func (c *clusterDemand) Demand(bootS float64) ([]planner.Demand, []planner.WorkerLoad) {
 	sum := c.local.demand(bootS)
-	c.elsewhere = c.elsewhere[:0]
+	c.remoteReplies = c.remoteReplies[:0]
 	index := map[string]int{}
 	for i, load := range sum.Loads {
 		index[load.Name] = i
@@ -78,7 +78,7 @@
 			c.log.Debug("demand query failed", "peer", peer, "err", err)
 			continue
 		}
-		c.elsewhere = append(c.elsewhere, reply)
+		c.remoteReplies = append(c.remoteReplies, reply)
 		sum.Demand = append(sum.Demand, reply.Demand...)
 		addLoads(sum.Loads, index, reply.Loads)
 	}
@@ -111,8 +111,8 @@
 // FailedWorkers returns the failed workers that any leader's tasks may be on, and why they
 // count as failed.
 func (c *clusterDemand) FailedWorkers() map[string]string {
-	failed := c.unresponsive.failed()
-	for _, reply := range c.elsewhere {
+	failed := c.unresponsive.failedWorkers()
+	for _, reply := range c.remoteReplies {
 		maps.Copy(failed, reply.FailedWorkers)
 	}
 	return failed
@@ -121,7 +121,7 @@
 // AdmittedWork returns how much work all leaders have accepted.
 func (c *clusterDemand) AdmittedWork() float64 {
 	sum := c.scheduler.AdmittedWork()
-	for _, reply := range c.elsewhere {
+	for _, reply := range c.remoteReplies {
 		sum += reply.AdmittedWork
 	}
 	return sum
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -26,17 +26,17 @@
 const bytesPerMB = 1 << 20
 
 const (
-	// memoryShare is the part of the memory limit that the runtime aims to stay below;
+	// memoryTargetShare is the part of the memory limit that the runtime aims to stay below;
 	// the rest is the program itself and what the runtime does not count.
-	memoryShare = 0.7
+	memoryTargetShare = 0.7
 
-	// pressureShare is the part of the memory limit from which on no new jobs are taken:
+	// memoryPressureShare is the part of the memory limit from which on no new jobs are taken:
 	// the collector has not been able to stay within memoryShare.
-	pressureShare = 0.85
+	memoryPressureShare = 0.85
 
-	// garbagePercent trades memory, of which there is enough below the limit, for
+	// gcPercent trades memory, of which there is enough below the limit, for
 	// processor time, of which there is not.
-	garbagePercent = 500
+	gcPercent = 500
 )
 
 // Options are a controller's settings.
@@ -54,8 +54,8 @@
 // a controller has a share of one core, and of the memory what the settings say.
 func Run(ctx context.Context, o Options) error {
 	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(garbagePercent)
-	debug.SetMemoryLimit(int64(o.Platform.Params.Limits.RAMMB * memoryShare * bytesPerMB))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(o.Platform.Params.Limits.RAMMB * memoryTargetShare * bytesPerMB))
 
 	group, ctx := errgroup.WithContext(ctx)
 	c, err := assemble(ctx, o)
--- a/internal/controller/expiring_leases.go
+++ b/internal/controller/expiring_leases.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// expiringLeasesEvery is the time between looks at workers whose reports are overdue.
-const expiringLeasesEvery = 250 * time.Millisecond
+// expiringLeasesInterval is the time between looks at workers whose reports are overdue.
+const expiringLeasesInterval = 250 * time.Millisecond
 
 // expiringLeases polls workers whose leases are not renewed for their reports, by requests
 // that may reach them although theirs reach no controller, and sends them the commands
@@ -22,7 +22,7 @@
 }
 
 func (e *expiringLeases) run(ctx context.Context) error {
-	return periodic.Run(ctx, expiringLeasesEvery, func() {
+	return periodic.Run(ctx, expiringLeasesInterval, func() {
 		if !e.router.MayAnswerWorkers() {
 			return
 		}
--- a/internal/controller/lease_attestation.go
+++ b/internal/controller/lease_attestation.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	attestEvery   = 2 * time.Second
-	attestTimeout = time.Second // for each peer
-	maxAttested   = 500         // workers in one round
+	attestInterval     = 2 * time.Second
+	attestTimeout      = time.Second // for each peer
+	maxAttestedWorkers = 500         // workers in one round
 )
 
 // attestationQuery is for how long a controller has left workers without a response.
@@ -54,16 +54,16 @@
 }
 
 func (a *leaseAttestor) run(ctx context.Context) error {
-	return periodic.Run(ctx, attestEvery, func() { a.round(ctx) })
+	return periodic.Run(ctx, attestInterval, func() { a.attestUnresponsive(ctx) })
 }
 
-// round notifies the scheduler of unresponsive workers whose leases expired for certain.
-func (a *leaseAttestor) round(ctx context.Context) {
+// attestUnresponsive notifies the scheduler of unresponsive workers whose leases expired for certain.
+func (a *leaseAttestor) attestUnresponsive(ctx context.Context) {
 	leaseS := a.cfg.Params.Workers.LongestLeaseS() + 0.5
 	q := &attestationQuery{}
 	_, unresponsive := a.scheduler.UnresponsiveWorkers(config.Seconds(leaseS))
 	for i := range unresponsive {
-		if unresponsive[i].Busy && len(q.Workers) < maxAttested {
+		if unresponsive[i].Busy && len(q.Workers) < maxAttestedWorkers {
 			q.Workers = append(q.Workers, unresponsive[i].Name)
 		}
 	}
--- a/internal/controller/link_monitor.go
+++ b/internal/controller/link_monitor.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	watchLinksEvery = 250 * time.Millisecond
-	countEvery      = time.Second // between counts of heartbeats and connections
-	readShardsEvery = time.Second // between reads of who leads, while peers take this controller for the leader
-	announceTimeout = time.Second
-	nameShare       = 0.5 // of a value's limit in the state service, for the names of workers
-	missedReports   = 2.5 // pauses between reports without one after which a worker does not count as reporting here
+	linkCheckInterval      = 250 * time.Millisecond
+	heartbeatCountInterval = time.Second // between counts of heartbeats and connections
+	readShardsInterval     = time.Second // between reads of who leads, while peers take this controller for the leader
+	announceTimeout        = time.Second
+	workerNamesShare       = 0.5 // of a value's limit in the state service, for the names of workers
+	missedReportIntervals  = 2.5 // pauses between reports without one after which a worker does not count as reporting here
 )
 
 // linkMonitor measures this controller's links to the workers, announces its status to those
@@ -45,26 +45,26 @@
 	log         *slog.Logger
 
 	// Of run alone.
-	assignments reachability.AssignmentPlanner
-	planned     int // assignments, as last planned
-	transfers   reachability.TransferMonitor
-	announced   time.Time
-	counted     time.Time
-	shardsRead  time.Time
+	assignments        reachability.AssignmentPlanner
+	plannedAssignments int // assignments, as last planned
+	transfers          reachability.TransferMonitor
+	announcedAt        time.Time
+	countedAt          time.Time
+	shardsReadAt       time.Time
 }
 
 func (l *linkMonitor) run(ctx context.Context) error {
-	return periodic.Run(ctx, watchLinksEvery, func() { l.look(ctx) })
+	return periodic.Run(ctx, linkCheckInterval, func() { l.check(ctx) })
 }
 
-// look takes one look at the links, and acts by them.
-func (l *linkMonitor) look(ctx context.Context) {
+// check takes one check at the links, and acts by them.
+func (l *linkMonitor) check(ctx context.Context) {
 	now := time.Now()
-	if l.prober.suspicionChanged(l.health().TimerDelay) {
+	if l.prober.updateSuspicion(l.health().TimerDelay) {
 		l.pinger.pingAll(ctx)
 	}
-	if time.Since(l.counted) >= countEvery {
-		l.counted = now
+	if time.Since(l.countedAt) >= heartbeatCountInterval {
+		l.countedAt = now
 		l.countHeartbeats()
 		l.assignWorkers(now)
 		l.changes.update(l.links.Now())
@@ -78,10 +78,10 @@
 // readShards reads who leads the shards if peers take this controller for the leader and it does
 // not know that it is.
 func (l *linkMonitor) readShards(ctx context.Context, now time.Time, view *reachability.View) {
-	if !view.TakenForLeader() || now.Sub(l.shardsRead) < readShardsEvery {
+	if !view.TakenForLeader() || now.Sub(l.shardsReadAt) < readShardsInterval {
 		return
 	}
-	l.shardsRead = now
+	l.shardsReadAt = now
 	l.log.Info("taken for the leader by a peer, reading shards")
 	l.member.ReadShards(ctx)
 }
@@ -90,10 +90,10 @@
 // peer is not reached.
 func (l *linkMonitor) announce(ctx context.Context, now time.Time, view *reachability.View) {
 	pause := reachability.AnnouncePause(len(l.cfg.Peers) + 1)
-	if !l.status.AnnouncementDue(now, l.announced, pause) || !view.Self.LeaseHeld || !slices.ContainsFunc(view.UnreachedPeers(), l.member.Alive) {
+	if !l.status.AnnouncementDue(now, l.announcedAt, pause) || !view.Self.LeaseHeld || !slices.ContainsFunc(view.UnreachedPeers(), l.member.Alive) {
 		return
 	}
-	l.announced = now
+	l.announcedAt = now
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	if err := l.member.AnnounceLinks(ctx, l.status.Current(now)); err != nil {
@@ -123,7 +123,7 @@
 	var names *reachability.NameSet
 	if now := time.Now(); len(l.table.UnreachedPeers(now)) > 0 || l.table.UnreachedByPeers(now) {
 		heard := l.dispatcher.WorkersHeardWithin(config.Seconds(l.cfg.Params.Workers.LeaseS))
-		names = reachability.NewNameSet(heard, int(l.cfg.Params.State.ValueKB*nameShare*1024))
+		names = reachability.NewNameSet(heard, int(l.cfg.Params.State.ValueKB*workerNamesShare*1024))
 	}
 	l.status.SetHeartbeats(peerlinks.HeartbeatCount{
 		Received: received, Workers: names,
@@ -137,7 +137,7 @@
 	open, most := l.connections.Open(), l.connections.Max()
 	view := l.links.Now()
 	reportS := l.cfg.Params.Workers.ReportS
-	workers := l.dispatcher.CountReporting(config.Seconds(missedReports * reportS))
+	workers := l.dispatcher.CountReporting(config.Seconds(missedReportIntervals * reportS))
 	capacity := 0 // without a limit, or a share, all fit
 	if most < math.MaxInt32 {
 		capacity = int(l.operator.WorkerShare * float64(most))
@@ -147,10 +147,10 @@
 		next.Workers = workers
 		next.Capacity = max(0, min(capacity, most-max(0, open-workers)-most/10))
 	}
-	if len(next.Plan) != l.planned {
+	if len(next.Plan) != l.plannedAssignments {
 		l.log.Info("workers assigned to several controllers", "assignments", next.Plan, "workers", workers, "capacity", capacity)
 	}
-	l.planned = len(next.Plan)
+	l.plannedAssignments = len(next.Plan)
 	l.status.SetAssignments(next)
 	l.router.assigned.Store(view.SharesWorkers())
 	l.links.Invalidate()
--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-const pingEvery = time.Second
+const pingInterval = time.Second
 
 // pingMessage carries a controller's status, and others' statuses to those who lack them.
 type pingMessage struct {
@@ -34,7 +34,7 @@
 
 func (p *pinger) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodPing, func(_ context.Context, ping *pingMessage) (*pingMessage, error) {
-		p.received(ping.Status.Node, ping)
+		p.handleMessage(ping.Status.Node, ping)
 		p.prober.probe(ping.Status.ProbeSample)
 		return p.message(ping.Status.Node, time.Now()), nil
 	})
@@ -45,22 +45,22 @@
 	return &pingMessage{Status: p.status.Current(now), Relayed: p.table.RelayFor(to, now), Cancellations: &cancellations}
 }
 
-// received takes what a peer says. from is the peer as the message came from it: a response
+// handleMessage takes what a peer says. from is the peer as the message came from it: a response
 // counts for the peer that was called.
-func (p *pinger) received(from string, ping *pingMessage) {
+func (p *pinger) handleMessage(from string, ping *pingMessage) {
 	now := time.Now()
 	p.table.Update(ping.Status, reachability.Direct, 0, now)
 	p.table.UpdateRelayed(ping.Relayed, now)
-	p.cancellations.received(from, ping.Cancellations)
+	p.cancellations.handleMessage(from, ping.Cancellations)
 }
 
 // run pings each peer that has not just pinged this controller, until ctx ends.
 func (p *pinger) run(ctx context.Context) error {
-	tick := time.NewTicker(pingEvery)
+	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
 	for {
 		for _, peer := range p.cfg.Peers {
-			if !p.table.HeardWithin(peer.Node, pingEvery*3/4, time.Now()) {
+			if !p.table.HeardWithin(peer.Node, pingInterval*3/4, time.Now()) {
 				go p.ping(ctx, peer.Node)
 			}
 		}
@@ -80,11 +80,11 @@
 }
 
 func (p *pinger) ping(ctx context.Context, peer string) {
-	ctx, cancel := context.WithTimeout(ctx, pingEvery)
+	ctx, cancel := context.WithTimeout(ctx, pingInterval)
 	defer cancel()
 	reply, err := mesh.Call[pingMessage, pingMessage](ctx, p.mesh, peer, methodPing, p.message(peer, time.Now()))
 	p.peers.Record(peer, err, true)
 	if err == nil {
-		p.received(peer, reply)
+		p.handleMessage(peer, reply)
 	}
 }
--- a/internal/controller/prober.go
+++ b/internal/controller/prober.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	probeTimeout = 500 * time.Millisecond
-	probePause   = peerlinks.ProbeResultFor / 2 // between probes that peers requested
+	probeTimeout     = 500 * time.Millisecond
+	minProbeInterval = peerlinks.ProbeResultFor / 2 // between probes that peers requested
 )
 
 // prober finds out whether this controller reaches workers when it, or a peer, suspects that
@@ -32,7 +32,7 @@
 
 // probe tries some workers' endpoints, unless that was just done. It waits for the outcome.
 func (p *prober) probe(sample []string) {
-	if len(sample) == 0 || p.status.SinceProbe() < probePause {
+	if len(sample) == 0 || p.status.SinceProbe() < minProbeInterval {
 		return
 	}
 	success := p.dispatcher.ProbeEndpoints(p.lifetime.ctx, sample[:min(len(sample), reachability.SampleSize)], probeTimeout)
@@ -40,8 +40,8 @@
 	p.links.Invalidate()
 }
 
-// announced takes a status that a controller wrote to the state service.
-func (p *prober) announced(value json.RawMessage) {
+// handleAnnouncement takes a status that a controller wrote to the state service.
+func (p *prober) handleAnnouncement(value json.RawMessage) {
 	var status reachability.NodeStatus
 	if err := json.Unmarshal(value, &status); err != nil {
 		p.log.Debug("unreadable node status", "err", err)
@@ -53,13 +53,13 @@
 	}
 }
 
-// suspicionChanged looks whether this leader has come to suspect that it lost the workers, as
+// updateSuspicion looks whether this leader has come to suspect that it lost the workers, as
 // none reports any more, or ceased to. If it has, it probes some and returns true: the peers
 // are to probe them too. timerDelay is by how much timers are late here.
-func (p *prober) suspicionChanged(timerDelay time.Duration) bool {
+func (p *prober) updateSuspicion(timerDelay time.Duration) bool {
 	expected, before := p.status.Suspicion()
 	perSecond := expected / dispatch.HeartbeatWindow.Seconds()
-	suspected := len(p.member.LedShards()) > 0 && reachability.ShouldProbe(perSecond, p.dispatcher.SinceLastHeartbeat()) && timerDelay < watchLinksEvery
+	suspected := len(p.member.LedShards()) > 0 && reachability.ShouldProbe(perSecond, p.dispatcher.SinceLastHeartbeat()) && timerDelay < linkCheckInterval
 	if suspected == before {
 		return false
 	}
--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	defer c.mesh.Close()
-	defer closeNow(t, c.listener)
+	defer mustClose(t, c.listener)
 	served := make(chan struct{})
 	go func() { defer close(served); _ = c.mesh.Serve(ctx, here) }()
 	defer func() { cancel(); <-served }()
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeNow(t, lis)
+	mustClose(t, lis)
 	return lis.Addr().String()
 }
 
@@ -243,7 +243,7 @@
 	recorded.Check(t, "rollouts_empty", []rollout.Status{})
 }
 
-func closeNow(t *testing.T, c io.Closer) {
+func mustClose(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
 		t.Error(err)
--- a/internal/controller/remote_jobs.go
+++ b/internal/controller/remote_jobs.go
@@ -65,13 +65,13 @@
 	return mesh.Call[factsQuery, factsReply](ctx, r.mesh, leader, method, q)
 }
 
-// jobFacts responds to other leaders for the jobs that are led here. It serves also where
+// jobFactsService responds to other leaders for the jobs that are led here. It serves also where
 // Slurm-style clients are off, for jobs from before.
-type jobFacts struct {
+type jobFactsService struct {
 	scheduler *scheduler.Scheduler
 }
 
-func (j *jobFacts) register(m *mesh.Mesh) {
+func (j *jobFactsService) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodFacts, func(_ context.Context, q *factsQuery) (*factsReply, error) {
 		facts, known := j.scheduler.LocalFacts(q.UID)
 		return &factsReply{Known: known, Facts: facts}, nil
--- a/internal/controller/scheduler_gateway.go
+++ b/internal/controller/scheduler_gateway.go
@@ -20,7 +20,7 @@
 	scheduler *scheduler.Scheduler
 	router    *workerRouter
 	peers     *peerlinks.Caller
-	times     *failovertiming.Timeline
+	timeline  *failovertiming.Timeline
 	starts    *startLog
 }
 
@@ -34,7 +34,7 @@
 // ObserveWorker hands a view to the scheduler in this process; those of peers get theirs
 // from the view publisher.
 func (g *schedulerGateway) ObserveWorker(view dispatch.WorkerView) {
-	g.times.Mark(failovertiming.FirstHeartbeat)
+	g.timeline.Mark(failovertiming.FirstHeartbeat)
 	if view.Polled && g.router.assigned.Load() {
 		// The worker reports to its own dispatcher, which is to command it: two that took
 		// turns would each have to raise its fencing token above the other's.
@@ -47,8 +47,8 @@
 func (g *schedulerGateway) GrantLocal(request dispatch.GrantRequest) dispatch.GrantReply {
 	reply := g.scheduler.GrantLocal(request)
 	if reply.OK {
-		g.times.Mark(failovertiming.Granted)
-		g.starts.granted()
+		g.timeline.Mark(failovertiming.Granted)
+		g.starts.startGranted()
 	}
 	return reply
 }
@@ -63,47 +63,47 @@
 	return *replies, nil
 }
 
-// noStartsAfter is the time without a start from which on its end is logged.
-const noStartsAfter = time.Second
+// startPauseThreshold is the time without a start from which on its end is logged.
+const startPauseThreshold = time.Second
 
 // startLog logs when starts begin, pause and end here.
 type startLog struct {
-	log  *slog.Logger
-	last atomic.Int64 // start, by time of day, ns; 0: none since this controller leads shards
+	log         *slog.Logger
+	lastStartNs atomic.Int64 // start, by time of day, ns; 0: none since this controller leads shards
 }
 
-func (s *startLog) granted() {
+func (s *startLog) startGranted() {
 	now := time.Now()
-	switch before := s.last.Swap(now.UnixNano()); {
+	switch before := s.lastStartNs.Swap(now.UnixNano()); {
 	case before == 0:
 		s.log.Info("first start granted")
-	case now.Sub(time.Unix(0, before)) > noStartsAfter:
+	case now.Sub(time.Unix(0, before)) > startPauseThreshold:
 		s.log.Info("starts resumed", "after_s", now.Sub(time.Unix(0, before)).Seconds())
 	}
 }
 
-func (s *startLog) leadsNothing() {
-	if last := s.last.Swap(0); last != 0 {
+func (s *startLog) leadershipEnded() {
+	if last := s.lastStartNs.Swap(0); last != 0 {
 		s.log.Info("no longer leads shards", "last_start_s", time.Since(time.Unix(0, last)).Seconds())
 	}
 }
 
-// ownershipTiming notes changes of ownership for the timeline of failovers and in the log.
-type ownershipTiming struct {
-	member *membership.Member
-	times  *failovertiming.Timeline
-	starts *startLog
+// leadershipRecorder notes changes of ownership for the timeline of failovers and in the log.
+type leadershipRecorder struct {
+	member   *membership.Member
+	timeline *failovertiming.Timeline
+	starts   *startLog
 }
 
-func (o *ownershipTiming) changed() {
+func (o *leadershipRecorder) leadershipChanged() {
 	if o.member.LeaseRemaining() <= 0 {
-		o.times.Reset()
+		o.timeline.Reset()
 		return
 	}
-	o.times.Mark(failovertiming.Joined)
+	o.timeline.Mark(failovertiming.Joined)
 	if len(o.member.LedShards()) > 0 {
-		o.times.Mark(failovertiming.Claimed)
+		o.timeline.Mark(failovertiming.Claimed)
 		return
 	}
-	o.starts.leadsNothing()
+	o.starts.leadershipEnded()
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// serveOperators adds what operators read.
-func (c *controller) serveOperators(mux *http.ServeMux) {
+// registerOperatorPaths adds what operators read.
+func (c *controller) registerOperatorPaths(mux *http.ServeMux) {
 	c.alerts.Register(mux)
 	mux.HandleFunc("GET /ops/stats", c.serveStats)
 	c.machines = machineList{scheduler: c.scheduler, leaders: &c.links.Leaders, peers: &c.links.Caller}
@@ -40,7 +40,7 @@
 func (c *controller) serveStats(w http.ResponseWriter, _ *http.Request) {
 	stats := c.alerts.Stats()
 	stats["counters"], stats["usage"] = c.scheduler.Counters(), c.meter.Read()
-	stats["recovery"], stats["served"] = c.times.Last(), c.scheduler.Served()
+	stats["recovery"], stats["served"] = c.timeline.Last(), c.scheduler.Served()
 	httpjson.Write(w, http.StatusOK, stats)
 }
 
@@ -58,7 +58,7 @@
 	group.Go(func() error { return c.autoscaler.Run(ctx) })
 	group.Go(func() error { return c.alerts.Run(ctx) })
 	group.Go(func() error { return c.meter.Run(ctx) })
-	group.Go(func() error { return c.times.Run(ctx) })
+	group.Go(func() error { return c.timeline.Run(ctx) })
 	group.Go(func() error { return c.pinger.run(ctx) })
 	group.Go(func() error { return c.linkMonitor.run(ctx) })
 	group.Go(func() error { return c.exchange.run(ctx) })
--- a/internal/controller/start_test.go
+++ b/internal/controller/start_test.go
@@ -56,8 +56,8 @@
 	return Options{Platform: p, Operator: op, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
-// start runs a controller that reaches nobody for a while.
-func start(t testing.TB, d time.Duration) {
+// runFor runs a controller that reaches nobody for a while.
+func runFor(t testing.TB, d time.Duration) {
 	o := options(t)
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
@@ -68,9 +68,9 @@
 
 // A controller that reaches neither the state service nor the cloud nor a peer goes on
 // trying, and stops in good order when its context ends.
-func TestStartWithoutPeersAndServicesAndStop(t *testing.T) {
+func TestRunWithoutReachableServicesEndsWithContext(t *testing.T) {
 	began := time.Now()
-	start(t, 300*time.Millisecond)
+	runFor(t, 300*time.Millisecond)
 	if took := time.Since(began); took < 300*time.Millisecond || took > 10*time.Second {
 		t.Errorf("ran for %v", took)
 	}
@@ -81,6 +81,6 @@
 func BenchmarkStart(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		start(b, time.Microsecond)
+		runFor(b, time.Microsecond)
 	}
 }
--- a/internal/controller/unresponsive_workers.go
+++ b/internal/controller/unresponsive_workers.go
@@ -57,24 +57,24 @@
 
 func (u *unresponsiveWorkers) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodProbe, func(ctx context.Context, q *probeQuery) (*probeReply, error) {
-		return &probeReply{u.reached(ctx, q)}, nil
+		return &probeReply{u.reachable(ctx, q)}, nil
 	})
 }
 
-// reached reports whether a worker is reached from here.
-func (u *unresponsiveWorkers) reached(ctx context.Context, q *probeQuery) bool {
+// reachable reports whether a worker is reachable from here.
+func (u *unresponsiveWorkers) reachable(ctx context.Context, q *probeQuery) bool {
 	if !q.OutboundLost && u.dispatcher.SinceHeartbeat(q.Worker).Seconds() < u.operator.HeartbeatTimeoutS {
 		return true
 	}
 	return q.Endpoint != "" && u.dispatcher.PollWorker(ctx, q.Worker, q.Endpoint)
 }
 
-// failed names the workers that this leader gives up, and why. It starts probes of those
+// failedWorkers names the workers that this leader gives up, and why. It starts probes of those
 // that it is not certain of; their outcome counts the next time.
-func (u *unresponsiveWorkers) failed() map[string]string {
+func (u *unresponsiveWorkers) failedWorkers() map[string]string {
 	failed := u.scheduler.StuckWorkers()
 	known, unresponsive := u.scheduler.UnresponsiveWorkers(u.detector.Threshold())
-	verdict := u.judge(known, unresponsive)
+	verdict := u.evaluate(known, unresponsive)
 	for name, reason := range verdict.Failed {
 		failed[name] = reason
 	}
@@ -84,7 +84,7 @@
 	return failed
 }
 
-func (u *unresponsiveWorkers) judge(known int, unresponsive []reachability.UnresponsiveWorker) reachability.Verdict {
+func (u *unresponsiveWorkers) evaluate(known int, unresponsive []reachability.UnresponsiveWorker) reachability.Verdict {
 	view := u.links.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -104,7 +104,7 @@
 }
 
 func (u *unresponsiveWorkers) probe(name string, worker reachability.UnresponsiveWorker) {
-	responsive := u.responds(worker)
+	responsive := u.respondsToAny(worker)
 	if responsive && worker.OutboundLost {
 		u.scheduler.WorkerResponded(name)
 	}
@@ -113,14 +113,14 @@
 	u.detector.RecordProbe(name, responsive, time.Now())
 }
 
-// responds probes a worker from here and from all peers.
-func (u *unresponsiveWorkers) responds(worker reachability.UnresponsiveWorker) bool {
+// respondsToAny probes a worker from here and from all peers.
+func (u *unresponsiveWorkers) respondsToAny(worker reachability.UnresponsiveWorker) bool {
 	responses := make(chan bool, 1+len(u.cfg.Peers))
 	go func() {
 		responses <- worker.Endpoint != "" && u.dispatcher.PollWorker(u.lifetime.ctx, worker.Name, worker.Endpoint)
 	}()
 	for _, peer := range u.cfg.Peers {
-		go func() { responses <- u.respondsTo(peer.Node, worker) }()
+		go func() { responses <- u.respondsToPeer(peer.Node, worker) }()
 	}
 	for range cap(responses) {
 		if <-responses {
@@ -130,7 +130,7 @@
 	return false
 }
 
-func (u *unresponsiveWorkers) respondsTo(peer string, worker reachability.UnresponsiveWorker) bool {
+func (u *unresponsiveWorkers) respondsToPeer(peer string, worker reachability.UnresponsiveWorker) bool {
 	ctx, cancel := context.WithTimeout(u.lifetime.ctx, peerProbeTimeout)
 	defer cancel()
 	reply, err := peerlinks.Call[probeQuery, probeReply](ctx, u.peers, peer, methodProbe, &probeQuery{worker.Name, worker.Endpoint, worker.OutboundLost})
--- a/internal/controller/user_peers.go
+++ b/internal/controller/user_peers.go
@@ -13,10 +13,10 @@
 // userPeers are the other controllers for users' requests. It implements submission.Peers.
 type userPeers struct {
 	*peerlinks.Leaders
-	member *membership.Member
-	links  *peerlinks.View
-	peers  *peerlinks.Caller
-	times  *failovertiming.Timeline
+	member   *membership.Member
+	links    *peerlinks.View
+	peers    *peerlinks.Caller
+	timeline *failovertiming.Timeline
 }
 
 // ServingPeers names the other controllers that reach the state service.
@@ -26,7 +26,7 @@
 func (u *userPeers) Healthy() bool {
 	healthy := u.member.FencingToken() != 0 && u.links.Now().Healthy()
 	if healthy {
-		u.times.Mark(failovertiming.Up)
+		u.timeline.Mark(failovertiming.Up)
 	}
 	return healthy
 }
--- a/internal/controller/view_publisher.go
+++ b/internal/controller/view_publisher.go
@@ -21,13 +21,13 @@
 // took for the last one. One that takes longer may have applied it, so that it is repeated
 // as it was; over a slow link none would ever be acknowledged within a fixed time.
 const (
-	leastPublishTimeout = time.Second
-	mostPublishTimeout  = 4 * time.Second
+	minPublishTimeout = time.Second
+	maxPublishTimeout = 4 * time.Second
 )
 
 const (
-	pollRemoteFor   = 4 * time.Second
-	pollRemoteEvery = 250 * time.Millisecond
+	pollRemoteTimeout  = 4 * time.Second
+	pollRemoteInterval = 250 * time.Millisecond
 )
 
 // viewPublisher brings what changed on the workers that report here to the leaders elsewhere,
@@ -44,9 +44,9 @@
 	receiver   *viewsync.Receiver
 	log        *slog.Logger
 
-	started  time.Time // of run
-	turns    viewsync.Turns
-	timeouts publishTimeouts
+	startedAt time.Time // of run
+	turns     viewsync.Turns
+	timeouts  publishTimeouts
 }
 
 func (p *viewPublisher) register(m *mesh.Mesh) {
@@ -64,7 +64,7 @@
 func (p *viewPublisher) run(ctx context.Context) error {
 	tick := time.NewTicker(p.interval)
 	defer tick.Stop()
-	p.started = time.Now()
+	p.startedAt = time.Now()
 	led := false
 	for {
 		select {
@@ -81,7 +81,7 @@
 			go p.pollRemoteWorkers(ctx)
 		}
 		led = leads
-		p.publisher.Gather(p.nowMs(), others)
+		p.publisher.Gather(p.elapsedMs(), others)
 		for _, leader := range others {
 			if p.turns.Begin(leader) {
 				go func() {
@@ -93,13 +93,13 @@
 	}
 }
 
-// nowMs is the time of the publisher, which counts from its start.
-func (p *viewPublisher) nowMs() int64 { return time.Since(p.started).Milliseconds() }
+// elapsedMs is the time of the publisher, which counts from its start.
+func (p *viewPublisher) elapsedMs() int64 { return time.Since(p.startedAt).Milliseconds() }
 
 // publish sends a leader what there is for it.
 func (p *viewPublisher) publish(ctx context.Context, leader string) {
 	for more := true; more; {
-		msg := p.publisher.Next(p.nowMs(), leader)
+		msg := p.publisher.Next(p.elapsedMs(), leader)
 		if msg == nil {
 			return
 		}
@@ -111,13 +111,13 @@
 			p.log.Debug("publishing worker views failed", "peer", leader, "err", err)
 			return
 		}
-		more = p.publisher.HandleReply(p.nowMs(), leader, *reply)
+		more = p.publisher.HandleReply(p.elapsedMs(), leader, *reply)
 		usage.Count(usage.Peers, sent)
 	}
 }
 
 func (p *viewPublisher) send(ctx context.Context, leader string, msg *viewsync.Message) (*viewsync.Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.timeouts.of(leader))
+	ctx, cancel := context.WithTimeout(ctx, p.timeouts.forLeader(leader))
 	defer cancel()
 	return peerlinks.Call[viewsync.Message, viewsync.Reply](ctx, p.peers, leader, methodViews, msg)
 }
@@ -126,7 +126,7 @@
 // shards, named: workers that can't reach it any more take seconds to find out, and the cloud's
 // list is slow.
 func (p *viewPublisher) pollRemoteWorkers(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, pollRemoteFor)
+	ctx, cancel := context.WithTimeout(ctx, pollRemoteTimeout)
 	defer cancel()
 	polled := map[string]bool{}
 	for ctx.Err() == nil {
@@ -139,7 +139,7 @@
 		p.dispatcher.PollReports(ctx, endpoints, config.Seconds(p.cfg.Params.Workers.ReportS))
 		select {
 		case <-ctx.Done():
-		case <-time.After(pollRemoteEvery):
+		case <-time.After(pollRemoteInterval):
 		}
 	}
 }
@@ -147,22 +147,22 @@
 // publishTimeouts are how long each leader has for a message. The zero value is ready for
 // use; it is safe for concurrent use.
 type publishTimeouts struct {
-	mu      sync.Mutex
-	leaders map[string]time.Duration
+	mu       sync.Mutex
+	byLeader map[string]time.Duration
 }
 
-func (p *publishTimeouts) of(leader string) time.Duration {
+func (p *publishTimeouts) forLeader(leader string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return min(mostPublishTimeout, max(leastPublishTimeout, p.leaders[leader]))
+	return min(maxPublishTimeout, max(minPublishTimeout, p.byLeader[leader]))
 }
 
 // record notes what the last message took.
 func (p *publishTimeouts) record(leader string, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.leaders == nil {
-		p.leaders = map[string]time.Duration{}
+	if p.byLeader == nil {
+		p.byLeader = map[string]time.Duration{}
 	}
-	p.leaders[leader] = 2 * took
+	p.byLeader[leader] = 2 * took
 }
--- a/internal/controller/worker_routing.go
+++ b/internal/controller/worker_routing.go
@@ -10,9 +10,9 @@
 	"github.com/wallrack/wallrack/internal/peerlinks"
 )
 
-// cancelSlackS are the seconds kept between the last response of a controller that is cut
+// cancelMarginS are the seconds kept between the last response of a controller that is cut
 // off and the time by which a cancelled task must have ended.
-const cancelSlackS = 3.0
+const cancelMarginS = 3.0
 
 // workerRouter decides which controller a worker reports to, and whether this one may
 // respond. It implements dispatch.Routing.
@@ -29,7 +29,7 @@
 // controller may respond to workers: a worker's lease counts from the send of the report that
 // was responded to last, and what it runs may have been cancelled just after that time.
 func responseGrace(w config.Workers) time.Duration {
-	return config.Seconds(max(2, w.CancelS-w.LongestLeaseS()-cancelSlackS))
+	return config.Seconds(max(2, w.CancelS-w.LongestLeaseS()-cancelMarginS))
 }
 
 // LeaderFor names the controller that a worker should report to, "" for none.
