--- a/internal/submission/accept.go
+++ b/internal/submission/accept.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	recordTimeout = 1200 * time.Millisecond // of one write; maxRecordings fit into a user's time
-	maxRecordings = 3
+	recordTimeout     = 1200 * time.Millisecond // of one write; maxRecordings fit into a user's time
+	maxRecordAttempts = 3
 )
 
 // accept records a submission. A known id is answered with its state, whatever the body
@@ -26,12 +26,12 @@
 	if rejected != nil {
 		return s.rejectUnlessKnown(ctx, job, rejected)
 	}
-	if rep, ok := s.local(job.UID); ok {
+	if rep, ok := s.localReply(job.UID); ok {
 		return rep
 	}
 	if s.memoryPressure != nil && s.memoryPressure() {
 		// Else the process ends for want of memory, with all that it leads.
-		if rep := s.stored(ctx, job.UID); rep.succeeded() {
+		if rep := s.storedReply(ctx, job.UID); rep.succeeded() {
 			return rep
 		}
 		usage.Note(usage.RefusedJobs)
@@ -71,14 +71,14 @@
 				return Reply{Status: http.StatusUnprocessableEntity, Reason: "number: belongs to another job"}
 			}
 			// Known already, or an attempt of ours whose answer was lost.
-			return s.stored(ctx, job.UID)
-		case !errors.Is(err, statestore.ErrUnknown) || ctx.Err() != nil || attempt == maxRecordings:
+			return s.storedReply(ctx, job.UID)
+		case !errors.Is(err, statestore.ErrUnknown) || ctx.Err() != nil || attempt == maxRecordAttempts:
 			s.log.Debug("submission not recorded", "job", job.UID, "err", err)
 			return unknownOutcome(err)
 		}
 		// Mostly it was carried out, and only its answer was lost. A repeat would show
 		// that too, but may lose its answer like the first.
-		if rep := s.stored(ctx, job.UID); rep.succeeded() {
+		if rep := s.storedReply(ctx, job.UID); rep.succeeded() {
 			return rep
 		}
 	}
--- a/internal/submission/batched_polls.go
+++ b/internal/submission/batched_polls.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	maxBatches   = 2   // in flight to a peer that responds soon
-	maxBatchSize = 200 // polls in a batch
-
-	// Over a slow link a further batch is sent after slowBatch, up to maxSlowBatches in flight.
-	slowBatch      = 250 * time.Millisecond
-	maxSlowBatches = 16
-	batchTimeout   = 4 * time.Second
-	lateStateFor   = 3 * time.Second // for which a reply is kept that came too late for its poll
+	maxBatchesInFlight = 2   // in flight to a peer that responds soon
+	maxBatchSize       = 200 // polls in a batch
+
+	// Over a slow link a further batch is sent after slowBatchAfter, up to maxSlowBatches in flight.
+	slowBatchAfter         = 250 * time.Millisecond
+	maxSlowBatchesInFlight = 16
+	batchTimeout           = 4 * time.Second
+	lateStateTTL           = 3 * time.Second // for which a reply is kept that came too late for its poll
 )
 
 // pollBatcher passes users' polls to the peer that leads the jobs. While batches are in
@@ -28,11 +28,11 @@
 type pollBatcher struct {
 	query func(ctx context.Context, r Request) (Reply, bool)
 
-	mu       sync.Mutex
-	inFlight int       // goroutines of run
-	sentAt   time.Time // of the last batch
-	pending  []*pendingPoll
-	late     map[string]lateState // replies that came too late, by job
+	mu         sync.Mutex
+	inFlight   int       // goroutines of run
+	lastSentAt time.Time // of the last batch
+	pending    []*pendingPoll
+	lateStates map[string]lateState // replies that came too late, by job
 }
 
 type pendingPoll struct {
@@ -43,8 +43,8 @@
 
 // lateState is a state that came too late for the poll that asked for it.
 type lateState struct {
-	state  wire.JobState
-	cameAt time.Time
+	state      wire.JobState
+	receivedAt time.Time
 }
 
 // poll reads a job's state from the peer; false if the peer does not know it, or not in time.
@@ -52,11 +52,11 @@
 	p := &pendingPoll{uid: uid, state: make(chan wire.JobState, 1)}
 	b.mu.Lock()
 	b.pending = append(b.pending, p)
-	if b.inFlight < maxBatches || b.inFlight < maxSlowBatches && time.Since(b.sentAt) > slowBatch {
+	if b.inFlight < maxBatchesInFlight || b.inFlight < maxSlowBatchesInFlight && time.Since(b.lastSentAt) > slowBatchAfter {
 		b.inFlight++
 		// It serves other users' polls too, so it outlives this one's context. It ends
 		// by itself: each query has a timeout.
-		go b.run(context.WithoutCancel(ctx))
+		go b.sendBatches(context.WithoutCancel(ctx))
 	}
 	b.mu.Unlock()
 	select {
@@ -75,31 +75,31 @@
 func (b *pollBatcher) lateState(uid string) (wire.JobState, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	late, ok := b.late[uid]
-	return late.state, ok && time.Since(late.cameAt) < lateStateFor
+	late, ok := b.lateStates[uid]
+	return late.state, ok && time.Since(late.receivedAt) < lateStateTTL
 }
 
 // deliver hands the polls of a batch their states, and keeps those whose users wait no more.
 func (b *pollBatcher) deliver(batch []*pendingPoll, rep *Reply, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	maps.DeleteFunc(b.late, func(_ string, late lateState) bool { return time.Since(late.cameAt) >= lateStateFor })
-	if b.late == nil {
-		b.late = map[string]lateState{}
+	maps.DeleteFunc(b.lateStates, func(_ string, late lateState) bool { return time.Since(late.receivedAt) >= lateStateTTL })
+	if b.lateStates == nil {
+		b.lateStates = map[string]lateState{}
 	}
 	for i, p := range batch {
 		state := stateInBatch(rep, ok, i, p.uid)
 		p.state <- state // has room for it
 		if p.expired && state.UID != "" {
-			b.late[p.uid] = lateState{state, time.Now()}
+			b.lateStates[p.uid] = lateState{state, time.Now()}
 		}
 	}
 }
 
-// run sends batches until no poll is pending.
-func (b *pollBatcher) run(ctx context.Context) {
-	for batch := b.next(); batch != nil; batch = b.next() {
-		req := Request{Verb: VerbKnown}
+// sendBatches sends batches until no poll is pending.
+func (b *pollBatcher) sendBatches(ctx context.Context) {
+	for batch := b.nextBatch(); batch != nil; batch = b.nextBatch() {
+		req := Request{Verb: VerbBatchPoll}
 		for _, p := range batch {
 			req.UIDs = append(req.UIDs, p.uid)
 		}
@@ -114,17 +114,17 @@
 	switch {
 	case !ok:
 		return wire.JobState{}
-	case slices.Contains(rep.Unsettled, uid):
-		return wire.JobState{UID: uid, Stage: stageUnsettled}
+	case slices.Contains(rep.StageUnknown, uid):
+		return wire.JobState{UID: uid, Stage: stageUnknown}
 	case i < len(rep.States) && rep.States[i].UID == uid:
 		return rep.States[i]
 	}
 	return wire.JobState{}
 }
 
-// next takes a batch of the pending polls. With none it returns nil, and its goroutine no
+// nextBatch takes a batch of the pending polls. With none it returns nil, and its goroutine no
 // longer counts as in flight.
-func (b *pollBatcher) next() []*pendingPoll {
+func (b *pollBatcher) nextBatch() []*pendingPoll {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := min(len(b.pending), maxBatchSize)
@@ -134,7 +134,7 @@
 	}
 	batch := b.pending[:n:n]
 	b.pending = b.pending[n:]
-	b.sentAt = time.Now()
+	b.lastSentAt = time.Now()
 	return batch
 }
 
@@ -161,13 +161,13 @@
 func (s *Service) localStates(uids []string) Reply {
 	rep := Reply{Status: http.StatusOK, States: make([]wire.JobState, len(uids))}
 	for i, uid := range uids {
-		known, ok := s.local(uid)
+		known, ok := s.localReply(uid)
 		switch {
 		case !ok: // without a uid
 		case known.succeeded():
 			rep.States[i] = known.State
 		default:
-			rep.Unsettled = append(rep.Unsettled, uid)
+			rep.StageUnknown = append(rep.StageUnknown, uid)
 		}
 	}
 	return rep
--- a/internal/submission/capacity_test.go
+++ b/internal/submission/capacity_test.go
@@ -19,8 +19,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// listener is the users' interface of a site with so many teams, the last of which submits.
-func listener(tb testing.TB, teams int) *http.ServeMux {
+// newMux is the users' interface of a site with so many teams, the last of which submits.
+func newMux(tb testing.TB, teams int) *http.ServeMux {
 	s := &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
 	cfg := &config.Platform{Node: "a"}
 	for i := range teams - 1 {
@@ -49,7 +49,7 @@
 // connectionMemory is the bytes, heap and stacks, of so many users' connections that have
 // made a request, both ends.
 func connectionMemory(tb testing.TB, connections int) float64 {
-	srv := httptest.NewServer(listener(tb, 1))
+	srv := httptest.NewServer(newMux(tb, 1))
 	defer srv.Close()
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -81,12 +81,12 @@
 
 var capacitySeries = []capacity.Series{
 	{Name: "submission.allocsOfSubmission", Sizes: []int{50, 100, 200, 400}, FixedSlack: 3, Measure: func(tb testing.TB, teams int) float64 {
-		mux := listener(tb, teams)
+		mux := newMux(tb, teams)
 		submit(tb, mux, 1)
 		return testing.AllocsPerRun(100, func() { submit(tb, mux, 1) })
 	}},
 	{Name: "submission.submission", Scatters: true, Sizes: []int{50, 100, 200, 400}, Measure: func(tb testing.TB, teams int) float64 {
-		mux, number := listener(tb, teams), 0
+		mux, number := newMux(tb, teams), 0
 		return capacity.ProcessorTime(tb, func() { number++; submit(tb, mux, number) })
 	}},
 	{Name: "submission.connections", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: connectionMemory},
--- a/internal/submission/malformed_test.go
+++ b/internal/submission/malformed_test.go
@@ -14,24 +14,24 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// fieldKinds are the fields of a submission as the protocol's table has them, each with
+// fieldTypes are the fields of a submission as the protocol's table has them, each with
 // the Go type that encoding/json gives its value. A trailing ? marks one that may be null,
 // and so left out.
-var fieldKinds = map[string]string{
+var fieldTypes = map[string]string{
 	"uid": "string", "docket": "string", "crew": "string", "sort": "string", "urgency": "string", "pieces": "float64",
 	"cpus": "float64", "cards": "float64", "memoryGb": "float64", "kit": "string", "pullGb": "float64",
 	"builds": "[]interface {}?", "yard": "string?", "together": "bool", "apart": "bool", "loaners": "bool",
 	"reckonS": "float64", "markS": "float64", "stashS": "float64", "dueS": "float64?",
 }
 
-// lacks names a field that a submission lacks or has with a wrong type, or "". It reads the
+// missingField names a field that a submission missingField or has with a wrong type, or "". It reads the
 // body with another library than the service does, by exact names.
-func lacks(body []byte) string {
+func missingField(body []byte) string {
 	var given map[string]any
 	if json.Unmarshal(body, &given) != nil {
 		return "all"
 	}
-	for name, kind := range fieldKinds {
+	for name, kind := range fieldTypes {
 		kind, nullable := strings.CutSuffix(kind, "?")
 		if value := given[name]; (value != nil || !nullable) && fmt.Sprintf("%T", value) != kind {
 			return name
@@ -40,9 +40,9 @@
 	return ""
 }
 
-// fits reports whether a submission that lacks nothing can run on the one machine type that
+// canRun reports whether a submission that lacks nothing can run on the one machine type that
 // serve has, within the limit of the one team.
-func fits(body []byte) bool {
+func canRun(body []byte) bool {
 	var given map[string]any
 	if json.Unmarshal(body, &given) != nil {
 		return false
@@ -83,7 +83,7 @@
 // none of it is refused and leaves nothing in the state service.
 func FuzzSubmission(f *testing.F) {
 	f.Add([]byte(job))
-	for name := range fieldKinds {
+	for name := range fieldTypes {
 		f.Add([]byte(strings.Replace(job, `"`+name+`"`, `"`+strings.ToUpper(name)+`"`, 1)))
 	}
 	f.Add([]byte(strings.Replace(job, `"sweep"`, `"daemon"`, 1)))
@@ -98,8 +98,8 @@
 		rep := service.Serve(t.Context(), submission.Request{Verb: submission.VerbSubmit, Body: body})
 		switch kept := stub.Keys(""); rep.Status {
 		case http.StatusCreated:
-			if missing := lacks(body); missing != "" || !fits(body) || len(kept) != 1 {
-				t.Errorf("accepted %q, which lacks %q; it can run: %v; kept %v", body, missing, fits(body), kept)
+			if missing := missingField(body); missing != "" || !canRun(body) || len(kept) != 1 {
+				t.Errorf("accepted %q, which lacks %q; it can run: %v; kept %v", body, missing, canRun(body), kept)
 			}
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			if len(kept) > 0 {
@@ -113,12 +113,12 @@
 
 // A repeated submission of a known job is answered with its state, however little of its
 // body can be read beside the id: 400 would tell its user that it was never accepted.
-func TestRepeatWithUnreadableFieldsIsAnsweredById(t *testing.T) {
+func TestRepeatedSubmissionWithInvalidFieldsReturnsState(t *testing.T) {
 	_, request := serve(t)
 	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
 		t.Fatalf("submission: %d", status)
 	}
-	for name := range fieldKinds {
+	for name := range fieldTypes {
 		if name == "uid" {
 			continue
 		}
--- a/internal/submission/messages.go
+++ b/internal/submission/messages.go
@@ -23,11 +23,11 @@
 
 // Verbs of a Request.
 const (
-	VerbSubmit = "submit"
-	VerbPoll   = "poll"
-	VerbCancel = "cancel"
-	VerbCheck  = "check" // reports whether a submission would be accepted, and records nothing
-	VerbKnown  = "known" // reads the states of UIDs from the memory of the controller that leads the jobs
+	VerbSubmit    = "submit"
+	VerbPoll      = "poll"
+	VerbCancel    = "cancel"
+	VerbCheck     = "check" // reports whether a submission would be accepted, and records nothing
+	VerbBatchPoll = "known" // reads the states of UIDs from the memory of the controller that leads the jobs
 )
 
 // Reply is the response to a Request. Status 0 means that the outcome is unknown to the peer
@@ -38,15 +38,15 @@
 	Reason string        `json:"reason,omitempty"` // of a refusal, for the user
 	Busy   bool          `json:"busy,omitempty"`   // the outcome is unknown for want of the state service's rate limit
 
-	Settled bool `json:"settled,omitempty"` // the stage is known, not only what the state service has of every living job
+	StageKnown bool `json:"settled,omitempty"` // the stage is known, not only what the state service has of every living job
 
-	States    []wire.JobState `json:"states,omitempty"`    // of batched polls, in their order; unknown ones have no uid
-	Unsettled []string        `json:"unsettled,omitempty"` // of batched polls: living jobs of which the leader can't say yet whether they run
+	States       []wire.JobState `json:"states,omitempty"`    // of batched polls, in their order; unknown ones have no uid
+	StageUnknown []string        `json:"unsettled,omitempty"` // of batched polls: living jobs of which the leader can't say yet whether they run
 }
 
-// unknown reports whether another controller may do better: a state service that is busy is
+// retriableAtPeer reports whether another controller may do better: a state service that is busy is
 // so for all.
-func (r *Reply) unknown() bool { return r.Status == 0 && !r.Busy }
+func (r *Reply) retriableAtPeer() bool { return r.Status == 0 && !r.Busy }
 
 // succeeded reports whether the reply carries a state.
 func (r *Reply) succeeded() bool { return r.Status/100 == 2 }
--- a/internal/submission/refined_poll_test.go
+++ b/internal/submission/refined_poll_test.go
@@ -9,19 +9,19 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// unsureLeader is a peer that leads a job with a pending cancel: it has no state of it that surely is
+// leaderWithPendingCancel is a peer that leads a job with a pending cancel: it has no state of it that surely is
 // current, and responds to a poll with what it read in the state service and knows of the job's tasks.
-type unsureLeader struct {
+type leaderWithPendingCancel struct {
 	*stub
 	stage string // in its response to a poll
 	polls int
 }
 
-func (l *unsureLeader) ShardLeaders() []string { return []string{"b"} }
+func (l *leaderWithPendingCancel) ShardLeaders() []string { return []string{"b"} }
 
-func (l *unsureLeader) QueryPeer(_ context.Context, _ string, r submission.Request) (*submission.Reply, error) {
+func (l *leaderWithPendingCancel) QueryPeer(_ context.Context, _ string, r submission.Request) (*submission.Reply, error) {
 	switch r.Verb {
-	case submission.VerbKnown:
+	case submission.VerbBatchPoll:
 		return &submission.Reply{Status: http.StatusOK, States: make([]wire.JobState, len(r.UIDs))}, nil
 	case submission.VerbPoll:
 		l.polls++
@@ -37,7 +37,7 @@
 	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
 		t.Fatalf("submission: %d", status)
 	}
-	leader := &unsureLeader{stub: s}
+	leader := &leaderWithPendingCancel{stub: s}
 	ask = serveWith(t, s, submission.Options{Peers: leader})
 	for _, stage := range []string{wire.StageRunning, wire.StageCancelled, wire.StageDone, wire.StageQueued} {
 		leader.stage = stage
--- a/internal/submission/refined_submission_test.go
+++ b/internal/submission/refined_submission_test.go
@@ -12,21 +12,21 @@
 
 // Guards against a running job that is called queued to a user who repeats its submission.
 
-// relay is a leader, b, beside a controller, c, that reaches the state service and passes on
+// leaderBesideRelay is a leader, b, beside a controller, c, that reaches the state service and passes on
 // what is stored.
-type relay struct {
-	*unsureLeader
+type leaderBesideRelay struct {
+	*leaderWithPendingCancel
 	relayed int // submissions that c served
 }
 
-func (r *relay) ServingPeers() []string { return []string{"c"} }
+func (r *leaderBesideRelay) ServingPeers() []string { return []string{"c"} }
 
-func (r *relay) QueryPeer(ctx context.Context, peer string, request submission.Request) (*submission.Reply, error) {
+func (r *leaderBesideRelay) QueryPeer(ctx context.Context, peer string, request submission.Request) (*submission.Reply, error) {
 	if peer == "c" && request.Verb == submission.VerbSubmit {
 		r.relayed++
 		return &submission.Reply{Status: http.StatusOK, State: wire.JobState{UID: "j-7", Stage: wire.StageQueued}}, nil
 	}
-	return r.unsureLeader.QueryPeer(ctx, peer, request)
+	return r.leaderWithPendingCancel.QueryPeer(ctx, peer, request)
 }
 
 // A repeated submission at any controller, in whatever way its answer was found, is answered
@@ -49,7 +49,7 @@
 				t.Fatalf("submission: %d", status)
 			}
 			s.Down = func() bool { return c.down }
-			leader := &relay{unsureLeader: &unsureLeader{stub: s}}
+			leader := &leaderBesideRelay{leaderWithPendingCancel: &leaderWithPendingCancel{stub: s}}
 			request = serveWith(t, s, submission.Options{Peers: leader, MemoryPressure: func() bool { return c.memoryPressure }})
 			stages := []string{wire.StageRunning, wire.StageCancelled, wire.StageDone, wire.StageQueued}
 			for _, stage := range stages {
@@ -70,9 +70,9 @@
 
 // A new job is answered without its leader, which cannot know it yet; and a check of a
 // submission, which records nothing, asks no leader either.
-func TestNewSubmissionAsksNoLeader(t *testing.T) {
+func TestNewSubmissionDoesNotQueryLeader(t *testing.T) {
 	s := newStub()
-	leader := &unsureLeader{stub: s, stage: wire.StageRunning}
+	leader := &leaderWithPendingCancel{stub: s, stage: wire.StageRunning}
 	service := newService(t, s, submission.Options{Peers: leader})
 	for _, verb := range []string{submission.VerbCheck, submission.VerbSubmit} {
 		reply := service.Submit(context.Background(), submission.Request{Verb: verb, Body: []byte(job)})
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -105,17 +105,17 @@
 	cancellations  Cancellations // nil: nothing need be confirmed
 	memoryPressure func() bool   // nil: never
 
-	cfg         *config.Platform
-	op          *config.Operator
-	store       Store
-	jobs        Jobs
-	stages      StageAuthority // nil: the stored stage of a living job is the answer
-	catalog     Catalog
-	peers       Peers
-	log         *slog.Logger
-	submitSlots chan struct{} // apart, so that a burst of submissions leaves room for polls and cancels
-	otherSlots  chan struct{}
-	unsettled   unsettledLog
+	cfg             *config.Platform
+	op              *config.Operator
+	store           Store
+	jobs            Jobs
+	stages          StageAuthority // nil: the stored stage of a living job is the answer
+	catalog         Catalog
+	peers           Peers
+	log             *slog.Logger
+	submitSlots     chan struct{} // apart, so that a burst of submissions leaves room for polls and cancels
+	otherSlots      chan struct{}
+	stageUnknownLog stageUnknownLog
 
 	mu       sync.Mutex
 	batchers map[string]*pollBatcher // by peer
@@ -151,7 +151,7 @@
 	mux.HandleFunc("POST /api/jobs", limited(s.submitSlots, s.submit))
 	mux.HandleFunc("GET /api/jobs/{id}", limited(s.otherSlots, s.jobRequest(VerbPoll, pollTimeout, s.poll)))
 	mux.HandleFunc("POST /api/jobs/{id}/cancel", limited(s.otherSlots, s.jobRequest(VerbCancel, writeTimeout, s.cancel)))
-	mux.HandleFunc("GET /up", s.up)
+	mux.HandleFunc("GET /up", s.serveHealth)
 }
 
 // limited refuses requests beyond the slots.
@@ -176,7 +176,7 @@
 	httpjson.Write(w, status, wire.Problem{Error: reason})
 }
 
-func (s *Service) up(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	if !s.peers.Healthy() {
 		refuse(w, http.StatusServiceUnavailable, "another controller serves better")
 		return
@@ -252,7 +252,7 @@
 // poll reads a job's state: from the memory of the controller that leads it, if that responds,
 // which saves the state service a request.
 func (s *Service) poll(ctx context.Context, req Request) Reply {
-	if rep, ok := s.local(req.UID); ok {
+	if rep, ok := s.localReply(req.UID); ok {
 		return rep
 	}
 	for _, peer := range s.peers.ShardLeaders() {
@@ -302,7 +302,7 @@
 // outcome is unknown here.
 func (s *Service) serveAnywhere(ctx context.Context, req Request) Reply {
 	rep := s.Serve(ctx, req)
-	if rep.unknown() {
+	if rep.retriableAtPeer() {
 		rep, _ = s.queryFirst(ctx, s.peers.ServingPeers(), req)
 	}
 	return rep
@@ -316,12 +316,12 @@
 		return s.accept(ctx, req.Body, req.Constraints)
 	case VerbCheck:
 		return s.check(ctx, req)
-	case VerbKnown:
+	case VerbBatchPoll:
 		return s.localStates(req.UIDs)
 	case VerbPoll:
 		rep := s.lookup(statestore.WithPriority(ctx, statestore.Lookup), req.UID)
-		if req.AsLeader && s.stages != nil && rep.unsettled() {
-			return s.unsettledReply(req.UID)
+		if req.AsLeader && s.stages != nil && rep.needsLeader() {
+			return s.stageUnknownReply(req.UID)
 		}
 		return rep
 	case VerbCancel:
@@ -344,8 +344,8 @@
 
 // lookup answers for a job from memory, or else from the state service.
 func (s *Service) lookup(ctx context.Context, uid string) Reply {
-	if rep, ok := s.local(uid); ok {
+	if rep, ok := s.localReply(uid); ok {
 		return rep
 	}
-	return s.stored(ctx, uid)
+	return s.storedReply(ctx, uid)
 }
--- a/internal/submission/service_test.go
+++ b/internal/submission/service_test.go
@@ -84,7 +84,7 @@
 
 // A submission is answered by what is recorded: 201 once, 200 ever after, and
 // refusals only for jobs that nobody knows.
-func TestSubmissionAnswers(t *testing.T) {
+func TestSubmissionResponses(t *testing.T) {
 	s, request := serve(t)
 	with := func(old, replacement string) string { return strings.Replace(job, old, replacement, 1) }
 	for _, c := range []struct {
@@ -139,17 +139,17 @@
 	}
 }
 
-// unconfirmed confirms no cancel.
-type unconfirmed struct{ queried []string }
+// neverConfirmed confirms no cancel.
+type neverConfirmed struct{ queried []string }
 
-func (u *unconfirmed) Confirm(uid string) error {
+func (u *neverConfirmed) Confirm(uid string) error {
 	u.queried = append(u.queried, uid)
 	return cancellation.ErrCannotConfirm
 }
 
 // No response says that a job is cancelled before that is confirmed, neither that to a poll
 // nor that to a repeated submission.
-func TestCancelledIsReportedOnceConfirmed(t *testing.T) {
+func TestCancelledStageRequiresConfirmation(t *testing.T) {
 	s, request := serve(t)
 	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != 201 {
 		t.Fatalf("submission: %d", status)
@@ -166,7 +166,7 @@
 	if _, err := s.Txn(t.Context(), nil, wire.Op{Put: "live/j-7", Value: record}); err != nil {
 		t.Fatal(err)
 	}
-	cancellations := &unconfirmed{}
+	cancellations := &neverConfirmed{}
 	for _, confirm := range []bool{false, true} {
 		o := submission.Options{Cancellations: cancellations}
 		if confirm {
@@ -207,7 +207,7 @@
 
 // A submission that was recorded is accepted at once, though neither its own answer nor
 // that of any repeat comes.
-func TestSubmissionIsAcceptedThoughAllAnswersAreLost(t *testing.T) {
+func TestRecordedSubmissionIsAcceptedWhenResponsesAreLost(t *testing.T) {
 	s, request := serve(t)
 	tries := 0
 	s.Lose = func() bool { tries++; return true }
--- a/internal/submission/validate.go
+++ b/internal/submission/validate.go
@@ -14,8 +14,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// rounding is how far a demand may be above a limit: sums of float64 are not exact.
-const rounding = 1e-6
+// roundingTolerance is how far a demand may be above a limit: sums of float64 are not exact.
+const roundingTolerance = 1e-6
 
 // rejection is why a submission can't be accepted, as its user reads it.
 type rejection struct {
@@ -36,15 +36,15 @@
 	if err != nil {
 		return job, nil, &rejection{http.StatusBadRequest, err.Error()}
 	}
-	if rejected := s.checkRunnable(job); rejected != nil {
+	if rejected := s.checkSatisfiable(job); rejected != nil {
 		return job, nil, rejected
 	}
 	constraints, rejected := s.resolveConstraints(ctx, job, requested)
 	return job, constraints, rejected
 }
 
-// checkRunnable rejects a job that can never run, or of which that is not known yet.
-func (s *Service) checkRunnable(job *wire.Job) *rejection {
+// checkSatisfiable rejects a job that can never run, or of which that is not known yet.
+func (s *Service) checkSatisfiable(job *wire.Job) *rejection {
 	types := s.catalog.All()
 	if len(types) == 0 {
 		return &rejection{http.StatusServiceUnavailable, "machine types not known yet"}
@@ -53,11 +53,11 @@
 	if team == nil {
 		return unprocessable("unknown team")
 	}
-	parallel := 1.0 // tasks that run side by side at least
+	minParallel := 1.0 // tasks that run side by side at least
 	if job.Service() || job.Gang() {
-		parallel = float64(job.Tasks)
+		minParallel = float64(job.Tasks)
 	}
-	if team.CPUsMax > 0 && parallel*job.CPUs > team.CPUsMax+rounding || team.GPUsMax > 0 && parallel*job.GPUs > team.GPUsMax+rounding {
+	if team.CPUsMax > 0 && minParallel*job.CPUs > team.CPUsMax+roundingTolerance || team.GPUsMax > 0 && minParallel*job.GPUs > team.GPUsMax+roundingTolerance {
 		return unprocessable("more than the team's limit")
 	}
 	if !slices.ContainsFunc(types, func(t wire.MachineType) bool { return fits(job, &t) }) {
@@ -79,7 +79,7 @@
 
 // fits reports whether a task of a job fits on an empty machine of a type that the job allows.
 func fits(job *wire.Job, t *wire.MachineType) bool {
-	return job.CPUs <= t.CPUs+rounding && job.GPUs <= t.GPUs+rounding && job.MemoryGB <= t.MemoryGB+rounding &&
+	return job.CPUs <= t.CPUs+roundingTolerance && job.GPUs <= t.GPUs+roundingTolerance && job.MemoryGB <= t.MemoryGB+roundingTolerance &&
 		(job.Types == nil || slices.Contains(job.Types, t.Name)) && (job.Zone == nil || slices.Contains(t.Zones, *job.Zone))
 }
 
@@ -102,11 +102,11 @@
 	if err := requested.Validate(job.Tasks, job.Gang(), job.Service(), time.Now()); err != nil {
 		return nil, unprocessable(err.Error())
 	}
-	given, err := s.numbers.Allocated(ctx, requested.Number, job.Tasks)
+	allocated, err := s.numbers.Allocated(ctx, requested.Number, job.Tasks)
 	if err != nil {
 		return nil, s.numbersUnavailable(err)
 	}
-	if !given {
+	if !allocated {
 		return nil, unprocessable("number: was given to nobody")
 	}
 	if rejected := s.resolveDependencies(ctx, job, requested.Dependencies); rejected != nil {
