--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	minBillingS      = 60 // the cloud bills a machine for at least so many seconds
-	maxProvision     = 50 // machines in one request
-	maxDelete        = 100
-	planInterval     = time.Second
-	leaderCheck      = planInterval / 4
-	logInterval      = 10 * time.Second
-	settleTime       = 20 * time.Second // a new leader cordons nothing for so long
-	forgottenAfter   = 30 * time.Second // without heartbeat and not listed for so long: the cloud took the machine
-	refusalPause     = 12 * time.Second // before a refused offer is requested again, if machines of it went since
-	longRefusalPause = 40 * time.Second // if none went
-	usedSmoothing    = 0.1              // weight of the newest sample in the average of CPUs in use
-	scaleInGap       = 2                // a scale in starts at most once in the time of so many cloud requests
+	minBillingS         = 60 // the cloud bills a machine for at least so many seconds
+	maxProvision        = 50 // machines in one request
+	maxDelete           = 100
+	planInterval        = time.Second
+	leaderCheckInterval = planInterval / 4
+	logInterval         = 10 * time.Second
+	cordonDelay         = 20 * time.Second // a new leader cordons nothing for so long
+	forgetAfter         = 30 * time.Second // without heartbeat and not listed for so long: the cloud took the machine
+	refusalBackoff      = 12 * time.Second // before a refused offer is requested again, if machines of it went since
+	longRefusalBackoff  = 40 * time.Second // if none went
+	usedSmoothing       = 0.1              // weight of the newest sample in the average of CPUs in use
+	scaleInRequestGap   = 2                // a scale in starts at most once in the time of so many cloud requests
 )
 
 // Scheduler is what the autoscaler needs of the scheduler of jobs. All methods are safe for
@@ -90,9 +90,9 @@
 type instance struct {
 	name          string
 	offer         offer
-	provisioned   time.Time // as near as known
-	discovered    time.Time // when the autoscaler first knew of it
-	listed        time.Time // when the newest list with it was requested
+	provisionedAt time.Time // as near as known
+	discoveredAt  time.Time // when the autoscaler first knew of it
+	listedAt      time.Time // when the newest list with it was requested
 	lastHeartbeat time.Time // zero: none yet
 	idleSince     time.Time // zero: it runs tasks
 	drainingSince time.Time // zero: it is not drained
@@ -126,21 +126,21 @@
 	loaded        bool // the records of provisions are read
 	listRequested time.Time
 
-	mu         sync.Mutex
-	instances  map[string]*instance
-	provisions map[string]*provision         // without an outcome, by name
-	answered   map[string]*answeredProvision // whose records are still to be changed, by name
-	recording  bool                          // a transaction for answered is under way
-	seq        int                           // of the last provision's name
-	refusals   map[offer]refusal
-	deleting   map[string]time.Time // machines to be deleted; if they are, until when lists may show them
+	mu                 sync.Mutex
+	instances          map[string]*instance
+	provisions         map[string]*provision         // without an outcome, by name
+	answeredProvisions map[string]*answeredProvision // whose records are still to be changed, by name
+	recordingAnswers   bool                          // a transaction for answered is under way
+	seq                int                           // of the last provision's name
+	refusals           map[offer]refusal
+	deleting           map[string]time.Time // machines to be deleted; if they are, until when lists may show them
 
 	usedCPUs       float64   // running average of CPUs in use
 	arrivalCPUs    float64   // running average of CPUs that new work keeps in use
 	admittedWork   float64   // when arrivalCPUs was updated last
 	admittedWorkAt time.Time // zero: never
 
-	newestList   time.Time // when the newest list that came was requested
+	newestListAt time.Time // when the newest list that came was requested
 	listPages    int       // of the last list
 	stateLogged  time.Time
 	leadingSince time.Time
@@ -171,7 +171,7 @@
 		reservedCPUs: o.ReservedCPUs,
 		cfg:          o.Platform, op: o.Operator, cloud: o.Cloud, catalog: o.Catalog, store: o.Store, member: o.Member,
 		scheduler: o.Scheduler, dispatcher: o.Dispatcher, log: o.Log,
-		instances: map[string]*instance{}, provisions: map[string]*provision{}, answered: map[string]*answeredProvision{},
+		instances: map[string]*instance{}, provisions: map[string]*provision{}, answeredProvisions: map[string]*answeredProvision{},
 		refusals: map[offer]refusal{}, deleting: map[string]time.Time{},
 	}
 }
@@ -183,7 +183,7 @@
 func (a *Autoscaler) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	tick := time.NewTicker(leaderCheck)
+	tick := time.NewTicker(leaderCheckInterval)
 	defer tick.Stop()
 	var stepped time.Time
 	for {
@@ -220,14 +220,14 @@
 	a.listRequested = time.Time{}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.instances, a.provisions, a.answered = map[string]*instance{}, map[string]*provision{}, map[string]*answeredProvision{}
-	a.leadingSince, a.newestList = time.Now(), time.Time{}
+	a.instances, a.provisions, a.answeredProvisions = map[string]*instance{}, map[string]*provision{}, map[string]*answeredProvision{}
+	a.leadingSince, a.newestListAt = time.Now(), time.Time{}
 	a.forgetDeleted(a.leadingSince)
 }
 
 // loadProvisions reads the records of provisions; false if that failed.
 func (a *Autoscaler) loadProvisions(ctx context.Context) bool {
-	old, err := a.load(ctx)
+	old, err := a.loadRecords(ctx)
 	if err != nil {
 		a.log.Info("loading provisions failed", "err", err)
 		return false
@@ -265,7 +265,7 @@
 		wg.Go(func() {
 			a.recordAnswers(ctx)
 			a.mu.Lock()
-			a.recording = false
+			a.recordingAnswers = false
 			a.mu.Unlock()
 		})
 	}
@@ -289,7 +289,7 @@
 	a.forgetDeleted(now)
 	a.observe(now, loads, unwanted)
 	a.updateArrivals(now, a.scheduler.AdmittedWork())
-	a.triage(now, unwanted)
+	a.collectUnwanted(now, unwanted)
 	a.logState(now, demand, loads)
 	var todo decisions
 	todo.wants, todo.order = a.plan(now, demand)
@@ -304,9 +304,9 @@
 	if a.mayScaleOut(now) {
 		todo.slots = a.maxInFlight() - len(a.provisions)
 	}
-	todo.record = len(a.answered) > 0 && !a.recording
-	a.recording = a.recording || todo.record
-	if len(unwanted) > 0 && now.Sub(a.lastScaleIn) > seconds(scaleInGap/a.cfg.Params.Cloud.RPS) {
+	todo.record = len(a.answeredProvisions) > 0 && !a.recordingAnswers
+	a.recordingAnswers = a.recordingAnswers || todo.record
+	if len(unwanted) > 0 && now.Sub(a.lastScaleIn) > seconds(scaleInRequestGap/a.cfg.Params.Cloud.RPS) {
 		a.lastScaleIn = now
 		todo.scaleIn = unwanted
 	}
@@ -331,7 +331,7 @@
 			if a.isDeleting(load.Name) {
 				continue
 			}
-			inst = &instance{name: load.Name, discovered: now, provisioned: now}
+			inst = &instance{name: load.Name, discoveredAt: now, provisionedAt: now}
 			a.instances[load.Name] = inst
 		}
 		inst.load, inst.lastHeartbeat, inst.offer = load, load.LastHeartbeat, offer{load.Type, load.Zone, load.Spot}
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// listShare is the seconds between lists, for each request a second that the cloud
+	// listRateDivisor is the seconds between lists, for each request a second that the cloud
 	// allows and each page: lists take a fifth of the rate limit.
-	listShare    = 5
-	minListGapS  = 3
-	reportMargin = 1.5 // of the report interval, after which a listed worker is polled
-	// listMargin is added to the most that a list may lag, for the way of the request.
-	listMargin = 5 * time.Second
+	listRateDivisor          = 5
+	minListIntervalS         = 3
+	pollAfterReportIntervals = 1.5 // of the report interval, after which a listed worker is polled
+	// listRequestMargin is added to the most that a list may lag, for the way of the request.
+	listRequestMargin = 5 * time.Second
 	// bootFactor times its type's boot time, and bootMarginS, is how long a machine may take
 	// until its first heartbeat.
 	bootFactor  = 3
@@ -25,7 +25,7 @@
 func (a *Autoscaler) listInterval() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return seconds(max(minListGapS, listShare*float64(max(1, a.listPages))/a.cfg.Params.Cloud.RPS))
+	return seconds(max(minListIntervalS, listRateDivisor*float64(max(1, a.listPages))/a.cfg.Params.Cloud.RPS))
 }
 
 // refresh reads the cloud's list, which lags and may be older than the last, deletes failed
@@ -38,20 +38,20 @@
 		a.log.Info("machine list failed", "err", err)
 		return
 	}
-	failed, endpoints := a.takeList(list, requested)
+	failed, endpoints := a.applyList(list, requested)
 	if len(failed) > 0 {
 		a.scaleIn(ctx, failed)
 	}
-	a.dispatcher.PollReports(ctx, endpoints, seconds(reportMargin*a.cfg.Params.Workers.ReportS))
+	a.dispatcher.PollReports(ctx, endpoints, seconds(pollAfterReportIntervals*a.cfg.Params.Workers.ReportS))
 }
 
-// takeList updates the instances by a list. It returns the failed machines with the reason
+// applyList updates the instances by a list. It returns the failed machines with the reason
 // for their deletion, and the endpoints of the running ones.
-func (a *Autoscaler) takeList(list []wire.ListedMachine, requested time.Time) (failed, endpoints map[string]string) {
+func (a *Autoscaler) applyList(list []wire.ListedMachine, requested time.Time) (failed, endpoints map[string]string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.listPages = 1 + len(list)/listPage
-	a.newestList = later(a.newestList, requested)
+	a.newestListAt = later(a.newestListAt, requested)
 	failed, endpoints = map[string]string{}, map[string]string{}
 	for _, machine := range list {
 		if a.isDeleting(machine.Name) {
@@ -59,10 +59,10 @@
 		}
 		inst := a.instances[machine.Name]
 		if inst == nil {
-			inst = &instance{name: machine.Name, discovered: requested, provisioned: requested.Add(-seconds(machine.AgeS))}
+			inst = &instance{name: machine.Name, discoveredAt: requested, provisionedAt: requested.Add(-seconds(machine.AgeS))}
 			a.instances[machine.Name] = inst
 		}
-		inst.offer, inst.listed, inst.stage = offer{machine.Type, machine.Zone, machine.Spot}, later(inst.listed, requested), machine.Stage
+		inst.offer, inst.listedAt, inst.stage = offer{machine.Type, machine.Zone, machine.Spot}, later(inst.listedAt, requested), machine.Stage
 		if machine.Stage == wire.MachineFailed {
 			failed[machine.Name] = "failed"
 		}
@@ -77,23 +77,23 @@
 func (a *Autoscaler) maxListLag() time.Duration { return seconds(2 * a.cfg.Params.Cloud.ListLagS) }
 
 // maxListAge is how much older than the request for it a list may be.
-func (a *Autoscaler) maxListAge() time.Duration { return a.maxListLag() + listMargin }
+func (a *Autoscaler) maxListAge() time.Duration { return a.maxListLag() + listRequestMargin }
 
 // vanished reports whether a machine that existed at a time is gone by the cloud's list: a
 // list that shows a later time lacks it. Such a machine may be unresponsive for other reasons
 // by all that controllers know, as when it became so together with one of them, and its tasks
 // would wait for a lease and more. To delete it makes sure. Called with mu held.
 func (a *Autoscaler) vanished(name string, existed time.Time) bool {
-	if a.isDeleting(name) || a.newestList.Sub(existed) <= a.maxListAge() {
+	if a.isDeleting(name) || a.newestListAt.Sub(existed) <= a.maxListAge() {
 		return false
 	}
 	inst := a.instances[name]
-	return inst == nil || inst.listed.Before(a.newestList) && a.newestList.Sub(inst.discovered) > a.maxListAge()
+	return inst == nil || inst.listedAt.Before(a.newestListAt) && a.newestListAt.Sub(inst.discoveredAt) > a.maxListAge()
 }
 
-// triage forgets machines that the cloud took, and adds those to unwanted that never came up,
+// collectUnwanted forgets machines that the cloud took, and adds those to unwanted that never came up,
 // are faulty, or are idle and drained. Called with mu held.
-func (a *Autoscaler) triage(now time.Time, unwanted map[string]string) {
+func (a *Autoscaler) collectUnwanted(now time.Time, unwanted map[string]string) {
 	for name, inst := range a.instances {
 		if a.isDeleting(name) {
 			continue
@@ -103,7 +103,7 @@
 			unwanted[name] = "idle"
 		case a.bootFailed(inst, now):
 			unwanted[name] = "did not come up"
-		case inst.lastHeartbeat.IsZero() && now.Sub(inst.listed) > forgottenAfter && now.Sub(inst.discovered) > a.maxListAge()+forgottenAfter:
+		case inst.lastHeartbeat.IsZero() && now.Sub(inst.listedAt) > forgetAfter && now.Sub(inst.discoveredAt) > a.maxListAge()+forgetAfter:
 			delete(a.instances, name)
 		case inst.empty() && inst.load.Faulty:
 			unwanted[name] = "faulty"
@@ -119,5 +119,5 @@
 // another controller.
 func (a *Autoscaler) bootFailed(inst *instance, now time.Time) bool {
 	t, _ := a.catalog.Type(inst.offer.Type) // an unknown type boots at once
-	return inst.lastHeartbeat.IsZero() && now.Sub(later(inst.provisioned, inst.discovered)) > seconds(bootFactor*t.BootS+bootMarginS)
+	return inst.lastHeartbeat.IsZero() && now.Sub(later(inst.provisionedAt, inst.discoveredAt)) > seconds(bootFactor*t.BootS+bootMarginS)
 }
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -36,7 +36,7 @@
 				o := offer{t.Name, zone, spot}
 				r, refused := a.refusals[o]
 				since := now.Sub(r.at)
-				if !refused || since > longRefusalPause || since > refusalPause && count[o] < r.machines {
+				if !refused || since > longRefusalBackoff || since > refusalBackoff && count[o] < r.machines {
 					out = append(out, o)
 				}
 			}
@@ -54,14 +54,14 @@
 	return out
 }
 
-// best is the offer at which n waiting tasks cost least: the price of a machine by the tasks
+// cheapestOffer is the offer at which n waiting tasks cost least: the price of a machine by the tasks
 // that it would run. It is false if none suits.
-func (sim *simulation) best(d *planner.Demand, n int, spot bool) (offer, wire.MachineType, bool) {
+func (sim *simulation) cheapestOffer(d *planner.Demand, n int, spot bool) (offer, wire.MachineType, bool) {
 	var best offer
 	var bestType wire.MachineType
 	lowest := math.Inf(1)
 	for _, o := range sim.offers {
-		t, ok := sim.scaler.catalog.Type(o.Type)
+		t, ok := sim.autoscaler.catalog.Type(o.Type)
 		if !ok || o.Spot != spot || sim.exhausted(o) || !allows(d.Job, o) || !d.Resources.Fits(ResourcesOf(t)) {
 			continue
 		}
@@ -75,12 +75,12 @@
 // exhausted reports whether the plan wants as many machines of an offer as provisions can be
 // in flight for.
 func (sim *simulation) exhausted(o offer) bool {
-	return sim.wants[o] >= maxProvision*sim.scaler.maxInFlight()
+	return sim.wants[o] >= maxProvision*sim.autoscaler.maxInFlight()
 }
 
 // costPerTask rates an offer for n tasks of a demand, of which the plan wants some already.
 func costPerTask(d *planner.Demand, n int, o offer, t wire.MachineType, wanted int) float64 {
-	capacity := tasksIn(d.Resources, ResourcesOf(t))
+	capacity := tasksPerMachine(d.Resources, ResourcesOf(t))
 	// A machine much larger than the work is mostly idle, but the rest of it serves what
 	// comes next.
 	used := min(float64(capacity), float64(n))
@@ -90,18 +90,18 @@
 	return cost * (1 + 0.1*t.BootS/minBillingS + w/(w+maxProvision))
 }
 
-// tasksIn is how many tasks a machine of that size runs side by side, at least one.
-func tasksIn(task, size matching.Resources) int { return max(1, task.CountFitting(size, 1e6)) }
+// tasksPerMachine is how many tasks a machine of that size runs side by side, at least one.
+func tasksPerMachine(task, size matching.Resources) int { return max(1, task.CountFitting(size, 1e6)) }
 
 // addHeadroom adds spot machines ahead of the demand, up to the target.
 func (sim *simulation) addHeadroom() {
-	target := sim.scaler.targetCPUs()
+	target := sim.autoscaler.targetCPUs()
 	for total := sim.totalCPUs(); total < target; {
 		missing := target - total
 		var best offer
 		size, lowest := 0.0, math.Inf(1)
 		for _, o := range sim.offers {
-			t, ok := sim.scaler.catalog.Type(o.Type)
+			t, ok := sim.autoscaler.catalog.Type(o.Type)
 			if ok && o.Spot && t.GPUs == 0 && t.CPUs <= 2*missing && t.SpotPrice/t.CPUs < lowest {
 				best, size, lowest = o, t.CPUs, t.SpotPrice/t.CPUs
 			}
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// beyondPlan is longer, in seconds, than any plan looks ahead.
-	beyondPlan = 1e6
+	// unboundedRunS is longer, in seconds, than any plan looks ahead.
+	unboundedRunS = 1e6
 	// bootGraceS is how much longer than a booting machine's own boot waiting work may wait.
 	bootGraceS = 5
-	// slowBoot is how many times its type's figure a machine takes to boot at most, if
+	// maxBootFactor is how many times its type's figure a machine takes to boot at most, if
 	// nothing is wrong with it.
-	slowBoot     = 1.5
-	minBootLeftS = 3
-	// busyShare of all CPUs in use: beyond it machines are provisioned ahead of demand though
+	maxBootFactor     = 1.5
+	minBootRemainingS = 3
+	// headroomUsedShare of all CPUs in use: beyond it machines are provisioned ahead of demand though
 	// nothing waits.
-	busyShare = 0.7
+	headroomUsedShare = 0.7
 )
 
-// simulated is a machine in the plan: one that is up, one that boots, or one to be provisioned.
-type simulated struct {
+// simulatedMachine is a machine in the plan: one that is up, one that boots, or one to be provisioned.
+type simulatedMachine struct {
 	offer    offer
 	matrix   matching.WaitMatrix // of the time from its boot on
 	bootS    float64             // until it is up
@@ -32,14 +32,14 @@
 }
 
 // newSimulated returns a machine of a type that runs nothing yet.
-func newSimulated(o offer, t wire.MachineType, bootS float64) *simulated {
-	return &simulated{offer: o, matrix: matching.WaitMatrix{{WaitS: 0, Free: ResourcesOf(t)}}, bootS: bootS}
+func newSimulated(o offer, t wire.MachineType, bootS float64) *simulatedMachine {
+	return &simulatedMachine{offer: o, matrix: matching.WaitMatrix{{WaitS: 0, Free: ResourcesOf(t)}}, bootS: bootS}
 }
 
 // fill places up to n tasks, all that can start together at a time, and returns how many
 // are left: an array of 25,000 small tasks, taken one by one, held a small controller's
 // processor for two seconds of every plan, and nothing else was done.
-func (s *simulated) fill(d *planner.Demand, n int, maxWaitS float64) int {
+func (s *simulatedMachine) fill(d *planner.Demand, n int, maxWaitS float64) int {
 	for n > 0 {
 		waitS := s.matrix.WaitWithin(d.Resources, d.RunS, maxWaitS-s.bootS)
 		if s.bootS+waitS > maxWaitS {
@@ -62,12 +62,12 @@
 
 // simulation is a plan under way.
 type simulation struct {
-	scaler   *Autoscaler
-	machines []*simulated // that take work
-	cordoned []*simulated
-	offers   []offer
-	wants    map[offer]int
-	order    []offer // of wants, by need
+	autoscaler *Autoscaler
+	machines   []*simulatedMachine // that take work
+	cordoned   []*simulatedMachine
+	offers     []offer
+	wants      map[offer]int
+	order      []offer // of wants, by need
 }
 
 // plan simulates the waiting work on what there is, and returns what to provision for
@@ -77,10 +77,10 @@
 	sim := a.simulate(now)
 	bootS := a.shortestBootS()
 	for i := range demand {
-		sim.serve(&demand[i], bootS)
+		sim.planDemand(&demand[i], bootS)
 	}
 	// With nothing waiting and much unused, arrivals are dying down.
-	if len(demand) > 0 || a.usedCPUs > busyShare*sim.totalCPUs() {
+	if len(demand) > 0 || a.usedCPUs > headroomUsedShare*sim.totalCPUs() {
 		sim.addHeadroom()
 	}
 	return sim.wants, sim.order
@@ -89,7 +89,7 @@
 // simulate starts a plan with the machines that are up, boot, or are requested. Called with
 // mu held.
 func (a *Autoscaler) simulate(now time.Time) simulation {
-	sim := simulation{scaler: a, wants: map[offer]int{}}
+	sim := simulation{autoscaler: a, wants: map[offer]int{}}
 	for name, inst := range a.instances {
 		if a.isDeleting(name) || !inst.drainingSince.IsZero() || inst.load != nil && (inst.load.Notice || inst.load.Faulty) {
 			continue
@@ -100,14 +100,14 @@
 		}
 		switch {
 		case inst.load != nil && len(inst.load.Matrix) > 0 && now.Sub(inst.lastHeartbeat) < seconds(a.op.HeartbeatTimeoutS):
-			s := &simulated{offer: inst.offer, matrix: inst.load.Matrix, instance: inst}
+			s := &simulatedMachine{offer: inst.offer, matrix: inst.load.Matrix, instance: inst}
 			if inst.cordoned {
 				sim.cordoned = append(sim.cordoned, s)
 			} else {
 				sim.machines = append(sim.machines, s)
 			}
 		case inst.lastHeartbeat.IsZero() && inst.stage != wire.MachineFailed:
-			leftS := bootLeftS(t.BootS, now.Sub(inst.provisioned).Seconds())
+			leftS := bootRemainingS(t.BootS, now.Sub(inst.provisionedAt).Seconds())
 			sim.machines = append(sim.machines, newSimulated(inst.offer, t, leftS))
 		}
 	}
@@ -122,12 +122,12 @@
 	return sim
 }
 
-// serve places a demand on what there is, and provisions for the rest. It lowers the demand's
+// planDemand places a demand on what there is, and provisions for the rest. It lowers the demand's
 // count to what no machine is to be had for.
-func (sim *simulation) serve(d *planner.Demand, bootS float64) {
+func (sim *simulation) planDemand(d *planner.Demand, bootS float64) {
 	if d.Job.Gang() || d.Job.Service() {
 		// Its tasks run side by side: none can wait for another to end.
-		d.RunS = beyondPlan
+		d.RunS = unboundedRunS
 	}
 	// Spot machines are provisioned for what would wait for about as long as they take to
 	// boot, on-demand ones only for what would be late without them.
@@ -167,7 +167,7 @@
 // returns how many tasks are left.
 func (sim *simulation) uncordon(d *planner.Demand, maxWaitS float64) int {
 	n := d.Count
-	var remaining []*simulated
+	var remaining []*simulatedMachine
 	for _, s := range sim.cordoned {
 		if n > 0 && allows(d.Job, s.offer) {
 			if left := s.fill(d, n, maxWaitS); left < n {
@@ -187,7 +187,7 @@
 func (sim *simulation) provision(d *planner.Demand, spot bool, maxWaitS float64) int {
 	n := d.Count
 	for n > 0 {
-		o, t, ok := sim.best(d, n, spot)
+		o, t, ok := sim.cheapestOffer(d, n, spot)
 		if !ok {
 			break
 		}
@@ -214,19 +214,19 @@
 func (sim *simulation) totalCPUs() float64 {
 	total := 0.0
 	for _, s := range sim.machines {
-		if t, ok := sim.scaler.catalog.Type(s.offer.Type); ok {
+		if t, ok := sim.autoscaler.catalog.Type(s.offer.Type); ok {
 			total += t.CPUs
 		}
 	}
 	return total
 }
 
-// bootLeftS is how much longer a machine that has booted for so long will take, in
+// bootRemainingS is how much longer a machine that has booted for so long will take, in
 // seconds. One that is up later than machines usually are may take several times
 // as long, or never come: work that can't wait as long again gets another.
-func bootLeftS(bootS, elapsedS float64) float64 {
-	if elapsedS > slowBoot*bootS {
+func bootRemainingS(bootS, elapsedS float64) float64 {
+	if elapsedS > maxBootFactor*bootS {
 		return elapsedS
 	}
-	return max(minBootLeftS, bootS-elapsedS)
+	return max(minBootRemainingS, bootS-elapsedS)
 }
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -78,7 +78,7 @@
 }
 
 // For a job that names zone and types only machines of these are provisioned.
-func TestPlanKeepsToJobsZoneAndTypes(t *testing.T) {
+func TestPlanHonorsZoneAndTypes(t *testing.T) {
 	a := testAutoscaler()
 	d := demand(40, true, 60)
 	zone := "b"
@@ -110,14 +110,14 @@
 		}
 		return false
 	}
-	if offered(refusalPause + time.Second) {
+	if offered(refusalBackoff + time.Second) {
 		t.Error("requested again although no machine was lost")
 	}
 	delete(a.instances, "n-1")
-	if !offered(refusalPause + time.Second) {
+	if !offered(refusalBackoff + time.Second) {
 		t.Error("not requested again although a machine was lost")
 	}
-	if offered(time.Second) || !offered(longRefusalPause+time.Second) {
+	if offered(time.Second) || !offered(longRefusalBackoff+time.Second) {
 		t.Error("the pauses do not hold")
 	}
 }
@@ -136,7 +136,7 @@
 		load.LastHeartbeat = now
 		for i := range 3 {
 			name := fmt.Sprintf("n-%d", i)
-			a.instances[name] = &instance{name: name, offer: offer{"small", "z", false}, provisioned: now.Add(-time.Hour), discovered: now.Add(-time.Hour), lastHeartbeat: now, idleSince: now.Add(-time.Hour), load: &load}
+			a.instances[name] = &instance{name: name, offer: offer{"small", "z", false}, provisionedAt: now.Add(-time.Hour), discoveredAt: now.Add(-time.Hour), lastHeartbeat: now, idleSince: now.Add(-time.Hour), load: &load}
 		}
 		a.drainIdle(now, nil)
 		if (dispatcher.drained > 0) != (reserved == 0) {
@@ -156,14 +156,14 @@
 // Many small tasks on machines that are up: planned task by task they held a small
 // controller's processor for seconds at a time, and nothing was started (incident d184 of
 // kitaboard-ops). The result must be that of one task after the other.
-func TestPlanOfManySmallTasksIsQuickAndExact(t *testing.T) {
+func TestPlanOfManySmallTasksIsFastAndExact(t *testing.T) {
 	a := testAutoscaler()
 	now := time.Now()
 	load := planner.WorkerLoad{Matrix: matching.NewWaitMatrix(matching.Resources{CPUs: 64, MemoryGB: 128},
 		[]matching.Allocation{{Resources: matching.Resources{CPUs: 30, MemoryGB: 9}, RemainingS: 7}, {Resources: matching.Resources{CPUs: 3, MemoryGB: 70}, RemainingS: 12}}, nil), LastHeartbeat: now}
 	for i := range 200 {
 		name := fmt.Sprintf("n-%d", i)
-		a.instances[name] = &instance{name: name, offer: offer{"large", "a", true}, provisioned: now, discovered: now, lastHeartbeat: now, load: &load}
+		a.instances[name] = &instance{name: name, offer: offer{"large", "a", true}, provisionedAt: now, discoveredAt: now, lastHeartbeat: now, load: &load}
 	}
 	d := demand(25_000, true, 200)
 	d[0].Resources = matching.Resources{CPUs: 0.5, MemoryGB: 1}
@@ -191,7 +191,7 @@
 		}
 		d := &planner.Demand{Resources: matching.Resources{CPUs: float64(rapid.IntRange(1, 40).Draw(t, "size")) / 4, MemoryGB: float64(rapid.IntRange(0, 30).Draw(t, "gb"))}, RunS: rapid.Float64Range(0.5, 30).Draw(t, "run")}
 		n, maxWaitS := rapid.IntRange(0, 300).Draw(t, "tasks"), rapid.Float64Range(0, 90).Draw(t, "patience")
-		s := &simulated{matrix: matching.NewWaitMatrix(total, running, nil), bootS: 3}
+		s := &simulatedMachine{matrix: matching.NewWaitMatrix(total, running, nil), bootS: 3}
 		one := s.matrix
 		left := n
 		for ; left > 0; left-- {
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -78,7 +78,7 @@
 // reports whether it may still be requested.
 func (a *Autoscaler) prepare(ctx context.Context, p *provision) readiness {
 	if !p.recorded {
-		err := a.write(ctx, p)
+		err := a.writeRecord(ctx, p)
 		var conflict *statestore.ConflictError
 		p.perhapsStored = p.perhapsStored || errors.Is(err, statestore.ErrUnknown)
 		switch {
@@ -149,7 +149,7 @@
 	defer a.mu.Unlock()
 	record := p.record()
 	record.AnsweredMs, record.Machines = now.UnixMilli(), names
-	a.provisionedLocked(record, now)
+	a.addAnsweredLocked(record, now)
 	if len(names) < p.req.Number {
 		a.refuse(o)
 	} else {
@@ -162,12 +162,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refuse(o)
-	a.dropLocked(p.req.Name)
+	a.dropRecordLocked(p.req.Name)
 }
 
 // mayScaleOut reports whether enough is known of the machines that there are: those of
 // provisions whose records are deleted are in the first list of a new leader. Called with mu
 // held.
 func (a *Autoscaler) mayScaleOut(now time.Time) bool {
-	return a.newestList.After(a.leadingSince) || now.Sub(a.leadingSince) > firstListTimeout
+	return a.newestListAt.After(a.leadingSince) || now.Sub(a.leadingSince) > firstListTimeout
 }
--- a/internal/autoscaler/provision_record.go
+++ b/internal/autoscaler/provision_record.go
@@ -48,10 +48,10 @@
 	until    time.Time // when the record may be deleted
 }
 
-// load reads the recorded provisions: those perhaps not answered are repeated under their
+// loadRecords reads the recorded provisions: those perhaps not answered are repeated under their
 // names, and the machines of the others are counted on. It returns the names of those that
 // are too old for either.
-func (a *Autoscaler) load(ctx context.Context) (old []string, err error) {
+func (a *Autoscaler) loadRecords(ctx context.Context) (old []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	items, _, err := a.store.List(ctx, provisionKey)
@@ -69,12 +69,12 @@
 		}
 		planned, answered := time.UnixMilli(record.PlannedMs), time.UnixMilli(record.AnsweredMs)
 		switch {
-		case record.AnsweredMs > 0 && now.Sub(answered) < a.unlistedTime():
-			a.provisionedLocked(record, now)
-			a.answered[record.Name].recorded = true
+		case record.AnsweredMs > 0 && now.Sub(answered) < a.maxUnlistedTime():
+			a.addAnsweredLocked(record, now)
+			a.answeredProvisions[record.Name].recorded = true
 		case record.AnsweredMs > 0 || expired(planned, now):
 			old = append(old, record.Name)
-			a.dropLocked(record.Name)
+			a.dropRecordLocked(record.Name)
 		default:
 			a.provisions[record.Name] = &provision{req: record.ProvisionRequest, planned: planned, recorded: true}
 		}
@@ -82,10 +82,10 @@
 	return old, nil
 }
 
-// write records a provision, so that the next leader repeats it under its name. It fails
+// writeRecord records a provision, so that the next leader repeats it under its name. It fails
 // with errNotLeading, or as the state service does; with statestore.ErrUnknown the record may
 // have been written.
-func (a *Autoscaler) write(ctx context.Context, p *provision) error {
+func (a *Autoscaler) writeRecord(ctx context.Context, p *provision) error {
 	key := provisionKey + p.req.Name
 	version, ok := a.member.ClaimedShards()[0]
 	if !ok {
@@ -105,36 +105,36 @@
 	return nil
 }
 
-// unlistedTime is how long after the answer to a provision its machines may be missing from
+// maxUnlistedTime is how long after the answer to a provision its machines may be missing from
 // the cloud's list.
-func (a *Autoscaler) unlistedTime() time.Duration { return a.maxListLag() + time.Second }
+func (a *Autoscaler) maxUnlistedTime() time.Duration { return a.maxListLag() + time.Second }
 
-// provisionedLocked takes in the machines that the cloud answered to a provision. Its record
+// addAnsweredLocked takes in the machines that the cloud answered to a provision. Its record
 // stays: a leader that begins before they are listed would provision them again. Called with mu
 // held.
-func (a *Autoscaler) provisionedLocked(record provisionRecord, now time.Time) {
-	a.expect(record, now)
+func (a *Autoscaler) addAnsweredLocked(record provisionRecord, now time.Time) {
+	a.addBooting(record, now)
 	answered := time.UnixMilli(record.AnsweredMs)
 	if answered.After(now) {
 		answered = now // by the clock of another controller, which is ahead
 	}
-	a.answered[record.Name] = &answeredProvision{record: record, until: answered.Add(a.unlistedTime())}
+	a.answeredProvisions[record.Name] = &answeredProvision{record: record, until: answered.Add(a.maxUnlistedTime())}
 }
 
-// expect adds the machines of an answered provision to the instances, as booting. Called with
+// addBooting adds the machines of an answered provision to the instances, as booting. Called with
 // mu held.
-func (a *Autoscaler) expect(record provisionRecord, now time.Time) {
+func (a *Autoscaler) addBooting(record provisionRecord, now time.Time) {
 	for _, name := range record.Machines {
 		if a.instances[name] == nil && !a.isDeleting(name) {
-			a.instances[name] = &instance{name: name, offer: record.offer(), provisioned: time.UnixMilli(record.PlannedMs), discovered: now, listed: now, stage: wire.MachineBooting}
+			a.instances[name] = &instance{name: name, offer: record.offer(), provisionedAt: time.UnixMilli(record.PlannedMs), discoveredAt: now, listedAt: now, stage: wire.MachineBooting}
 		}
 	}
 }
 
-// dropLocked has the record of a provision deleted of which no machines come. Called with mu
+// dropRecordLocked has the record of a provision deleted of which no machines come. Called with mu
 // held.
-func (a *Autoscaler) dropLocked(name string) {
-	a.answered[name] = &answeredProvision{recorded: true}
+func (a *Autoscaler) dropRecordLocked(name string) {
+	a.answeredProvisions[name] = &answeredProvision{recorded: true}
 }
 
 // recordAnswers writes the answers of provisions into their records, and deletes the records
@@ -160,10 +160,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, name := range deleted {
-		delete(a.answered, name)
+		delete(a.answeredProvisions, name)
 	}
 	for _, name := range recorded {
-		if answer := a.answered[name]; answer != nil {
+		if answer := a.answeredProvisions[name]; answer != nil {
 			answer.recorded = true
 		}
 	}
@@ -174,7 +174,7 @@
 func (a *Autoscaler) answerOps(now time.Time) (ops []wire.Op, recorded, deleted []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for name, answer := range a.answered {
+	for name, answer := range a.answeredProvisions {
 		if len(ops) == max(1, a.cfg.Params.State.TxnOps) {
 			break
 		}
--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -78,13 +78,13 @@
 	catalog := NewCatalog(nil, view, log)
 	a := New(Options{Platform: &config.Platform{}, Operator: &config.Operator{}, Catalog: catalog, Store: view, Member: leader{version}, Log: log})
 	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
-	if err := a.write(t.Context(), planned); err != nil {
+	if err := a.writeRecord(t.Context(), planned); err != nil {
 		t.Fatal(err)
 	}
 	checkText(t, store, "fleet/hire/r-12-1", "hire_planned.json")
 	answered := planned.record()
 	answered.AnsweredMs, answered.Machines = 1700000004567, []string{"m-1", "m-2"}
-	a.answered["r-12-1"] = &answeredProvision{record: answered, until: time.Now().Add(time.Hour)}
+	a.answeredProvisions["r-12-1"] = &answeredProvision{record: answered, until: time.Now().Add(time.Hour)}
 	a.recordAnswers(t.Context())
 	checkText(t, store, "fleet/hire/r-12-1", "hire.json")
 	catalog.persist(t.Context(), machineTypes())
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -19,7 +19,7 @@
 // that could as well run elsewhere keeps every one of them from falling idle. Called with mu
 // held.
 func (a *Autoscaler) cordon(now time.Time, demand []planner.Demand) map[string]bool {
-	if now.Sub(a.leadingSince) < settleTime {
+	if now.Sub(a.leadingSince) < cordonDelay {
 		return nil // what runs is not known well yet
 	}
 	candidates, spareCPUs := a.cordonCandidates(now, demand)
@@ -106,7 +106,7 @@
 	for _, inst := range idle {
 		t, _ := a.catalog.Type(inst.offer.Type)
 		// A cordoned worker gets no tasks: waiting would only cost.
-		if !inst.cordoned && now.Sub(inst.idleSince) < seconds(a.op.IdleS*lowestPrice/a.pricePerCPU(inst)) || now.Sub(inst.provisioned) < minUptimeS*time.Second {
+		if !inst.cordoned && now.Sub(inst.idleSince) < seconds(a.op.IdleS*lowestPrice/a.pricePerCPU(inst)) || now.Sub(inst.provisionedAt) < minUptimeS*time.Second {
 			continue
 		}
 		if !inst.cordoned && (wanted[inst.offer.Spot] || a.needed(inst.offer, t, totalCPUs)) {
