--- a/internal/slo/monitor.go
+++ b/internal/slo/monitor.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	checkInterval = time.Second
-	clearedKept   = 200              // cleared alerts that are kept, the latest
-	longestMs     = int64(3_600_000) // longer times are not counted
+	checkInterval    = time.Second
+	maxClearedAlerts = 200              // cleared alerts that are kept, the latest
+	maxRecordedMs    = int64(3_600_000) // longer times are not counted
 )
 
 // Jobs gives the living jobs.
@@ -32,17 +32,17 @@
 
 // Alert is one objective that one job misses, or missed.
 type Alert struct {
-	Job     string     `json:"job"`
-	Class   string     `json:"class"`
-	Aim     string     `json:"aim"`     // kind of the objective
-	Page    string     `json:"page"`    // for on-call
-	Message string     `json:"message"` // for support and sales to pass on
-	Since   time.Time  `json:"since"`
-	Cleared *time.Time `json:"cleared,omitempty"` // nil: it is still missed
+	Job           string     `json:"job"`
+	Class         string     `json:"class"`
+	ObjectiveKind string     `json:"aim"`     // kind of the objective
+	Page          string     `json:"page"`    // for on-call
+	Message       string     `json:"message"` // for support and sales to pass on
+	Since         time.Time  `json:"since"`
+	Cleared       *time.Time `json:"cleared,omitempty"` // nil: it is still missed
 }
 
-// occurrence names a job and an objective, by its index, that it misses.
-type occurrence struct {
+// alertKey names a job and an objective, by its index, that it misses.
+type alertKey struct {
 	uid       string
 	objective int
 }
@@ -53,20 +53,20 @@
 	jobs       Jobs
 	log        *slog.Logger
 
-	mu      sync.Mutex
-	open    map[occurrence]*Alert
-	cleared []Alert                        // in the order in which they were
-	last    map[string]scheduler.JobStatus // the jobs as of the last check, by uid
-	waitMs  *hdrhistogram.Histogram        // from a job's submission to its last task's start
-	lateMs  *hdrhistogram.Histogram        // of jobs that ended past their deadline, by how much
+	mu           sync.Mutex
+	open         map[alertKey]*Alert
+	cleared      []Alert                        // in the order in which they were
+	lastStatuses map[string]scheduler.JobStatus // the jobs as of the last check, by uid
+	waitMs       *hdrhistogram.Histogram        // from a job's submission to its last task's start
+	lateMs       *hdrhistogram.Histogram        // of jobs that ended past their deadline, by how much
 }
 
 // New returns a monitor of the objectives. It checks nothing until Run.
 func New(objectives []config.Objective, jobs Jobs, log *slog.Logger) *Monitor {
 	return &Monitor{
 		objectives: objectives, jobs: jobs, log: log,
-		open: map[occurrence]*Alert{}, last: map[string]scheduler.JobStatus{},
-		waitMs: hdrhistogram.New(1, longestMs, 2), lateMs: hdrhistogram.New(1, longestMs, 2),
+		open: map[alertKey]*Alert{}, lastStatuses: map[string]scheduler.JobStatus{},
+		waitMs: hdrhistogram.New(1, maxRecordedMs, 2), lateMs: hdrhistogram.New(1, maxRecordedMs, 2),
 	}
 }
 
@@ -82,42 +82,42 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	living := make(map[string]scheduler.JobStatus, len(jobs))
-	stillMissed := map[occurrence]bool{}
+	stillMissed := map[alertKey]bool{}
 	for i := range jobs {
 		job := &jobs[i]
 		living[job.UID] = *job
-		if last := m.last[job.UID]; last.Started < job.Tasks && job.Started >= job.Tasks {
+		if last := m.lastStatuses[job.UID]; last.Started < job.Tasks && job.Started >= job.Tasks {
 			_ = m.waitMs.RecordValue(max(1, job.Age.Milliseconds())) // above longestMs it is not counted
 		}
 		m.raiseAlerts(job, now, stillMissed)
 	}
 	m.countLate(living)
-	m.last = living
+	m.lastStatuses = living
 	m.clearAlerts(now, stillMissed)
 }
 
 // raiseAlerts raises an alert for each objective that the job misses and has none for, and
 // adds all that it misses to stillMissed.
-func (m *Monitor) raiseAlerts(job *scheduler.JobStatus, now time.Time, stillMissed map[occurrence]bool) {
+func (m *Monitor) raiseAlerts(job *scheduler.JobStatus, now time.Time, stillMissed map[alertKey]bool) {
 	for i := range m.objectives {
 		objective := &m.objectives[i]
 		if !missed(objective, job) {
 			continue
 		}
-		key := occurrence{job.UID, i}
+		key := alertKey{job.UID, i}
 		stillMissed[key] = true
 		if m.open[key] != nil {
 			continue
 		}
 		page, message := describe(objective, job)
-		m.open[key] = &Alert{Job: job.UID, Class: job.Class, Aim: objective.Kind, Page: page, Message: message, Since: now}
+		m.open[key] = &Alert{Job: job.UID, Class: job.Class, ObjectiveKind: objective.Kind, Page: page, Message: message, Since: now}
 		m.log.Warn("aim missed", "job", job.UID, "class", job.Class, "aim", objective.Kind, "page", page, "message", message)
 	}
 }
 
 // countLate counts the jobs that ended since the last check past their deadline.
 func (m *Monitor) countLate(living map[string]scheduler.JobStatus) {
-	for uid, job := range m.last {
+	for uid, job := range m.lastStatuses {
 		if _, ok := living[uid]; ok || job.DueS == nil || job.Cancelled {
 			continue
 		}
@@ -128,7 +128,7 @@
 }
 
 // clearAlerts clears the alerts of what is not missed any more.
-func (m *Monitor) clearAlerts(now time.Time, stillMissed map[occurrence]bool) {
+func (m *Monitor) clearAlerts(now time.Time, stillMissed map[alertKey]bool) {
 	for key, alert := range m.open {
 		if stillMissed[key] {
 			continue
@@ -136,8 +136,8 @@
 		delete(m.open, key)
 		alert.Cleared = &now
 		m.cleared = append(m.cleared, *alert)
-		m.cleared = m.cleared[max(0, len(m.cleared)-clearedKept):]
-		m.log.Info("aim missed: over", "job", alert.Job, "class", alert.Class, "aim", alert.Aim, "after_s", now.Sub(alert.Since).Seconds())
+		m.cleared = m.cleared[max(0, len(m.cleared)-maxClearedAlerts):]
+		m.log.Info("aim missed: over", "job", alert.Job, "class", alert.Class, "aim", alert.ObjectiveKind, "after_s", now.Sub(alert.Since).Seconds())
 	}
 }
 
--- a/internal/slo/monitor_test.go
+++ b/internal/slo/monitor_test.go
@@ -60,7 +60,7 @@
 		cancelled := scheduler.JobStatus{UID: "j-2", Class: "c", Age: time.Minute, Tasks: 4, Cancelled: true}
 		living.set(waits, cancelled)
 		first := alerts().Open
-		if len(first) != 1 || first[0].Job != "j-1" || first[0].Aim != "wait" || first[0].Message == "" || first[0].Page == "" {
+		if len(first) != 1 || first[0].Job != "j-1" || first[0].ObjectiveKind != "wait" || first[0].Message == "" || first[0].Page == "" {
 			t.Fatalf("open %+v", first)
 		}
 		if again := alerts(); len(again.Open) != 1 || !again.Open[0].Since.Equal(first[0].Since) || len(again.Past) != 0 {
