--- a/internal/jobid/jobid.go
+++ b/internal/jobid/jobid.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	counterKey = "numbers"
-	jobPrefix  = "number/" // and the last number of a job: see Find
-	blockSize  = 10_000    // numbers reserved at once: a few arrays would use up less in no time
-	attempts   = 4         // to advance the counter
-	numberEnd  = 1e14      // numbers from here on have more digits than keys, and are nobody's
+	counterKey         = "numbers"
+	jobPrefix          = "number/" // and the last number of a job: see Find
+	blockSize          = 10_000    // numbers reserved at once: a few arrays would use up less in no time
+	maxReserveAttempts = 4         // to advance the counter
+	numberLimit        = 1e14      // numbers from here on have more digits than keys, and are nobody's
 )
 
 // Store is the part of the state service that an Allocator uses.
@@ -65,7 +65,7 @@
 func (a *Allocator) Take(ctx context.Context, count int) (uint64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := numbersOf(count)
+	n := numberCount(count)
 	if a.end-a.next < n || a.next == 0 {
 		size := max(blockSize, n)
 		first, err := a.reserve(ctx, size)
@@ -84,16 +84,16 @@
 func (a *Allocator) Next(ctx context.Context, count int) (uint64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.reserve(ctx, numbersOf(count))
+	return a.reserve(ctx, numberCount(count))
 }
 
-// numbersOf is how many numbers a job of so many tasks has.
-func numbersOf(tasks int) uint64 { return uint64(max(1, tasks)) }
+// numberCount is how many numbers a job of so many tasks has.
+func numberCount(tasks int) uint64 { return uint64(max(1, tasks)) }
 
 // reserve advances the counter by n and returns the first number reserved. The caller holds mu.
 func (a *Allocator) reserve(ctx context.Context, n uint64) (uint64, error) {
-	for range attempts {
-		c, version, err := a.read(ctx)
+	for range maxReserveAttempts {
+		c, version, err := a.readCounter(ctx)
 		if err != nil {
 			return 0, err
 		}
@@ -111,11 +111,11 @@
 			return 0, fmt.Errorf("reserve numbers: %w", err)
 		}
 	}
-	return 0, fmt.Errorf("reserve numbers: given up after %d attempts: %w", attempts, statestore.ErrUnavailable)
+	return 0, fmt.Errorf("reserve numbers: given up after %d attempts: %w", maxReserveAttempts, statestore.ErrUnavailable)
 }
 
-// read reads the counter and the version of its record, 0 if there is none. The caller holds mu.
-func (a *Allocator) read(ctx context.Context) (counter, uint64, error) {
+// readCounter reads the counter and the version of its record, 0 if there is none. The caller holds mu.
+func (a *Allocator) readCounter(ctx context.Context) (counter, uint64, error) {
 	c := counter{Next: 1}
 	item, err := a.store.Get(ctx, counterKey)
 	if errors.Is(err, statestore.ErrNotFound) {
@@ -137,12 +137,12 @@
 func (a *Allocator) Allocated(ctx context.Context, first uint64, count int) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	end := first + numbersOf(count)
+	end := first + numberCount(count)
 	if first == 0 || end < first {
 		return false, nil
 	}
 	if end > a.allocatedEnd {
-		if _, _, err := a.read(ctx); err != nil {
+		if _, _, err := a.readCounter(ctx); err != nil {
 			return false, err
 		}
 	}
@@ -158,18 +158,18 @@
 
 // Key returns the key that ties a job to its numbers. It is to be written along with the job's
 // acceptance, if it does not exist.
-func Key(first uint64, tasks int) string { return keyOf(first + numbersOf(tasks) - 1) }
+func Key(first uint64, tasks int) string { return keyOfLast(first + numberCount(tasks) - 1) }
 
-// keyOf is the key of the job whose last number is n.
-func keyOf(n uint64) string { return fmt.Sprintf("%s%014d", jobPrefix, n) }
+// keyOfLast is the key of the job whose last number is n.
+func keyOfLast(n uint64) string { return fmt.Sprintf("%s%014d", jobPrefix, n) }
 
 // Find returns the job that a number belongs to, or statestore.ErrNotFound. The first key at or
 // beyond the number is that of the job with the next higher last number.
 func (a *Allocator) Find(ctx context.Context, n uint64) (Job, error) {
-	if n == 0 || n >= numberEnd {
+	if n == 0 || n >= numberLimit {
 		return Job{}, statestore.ErrNotFound
 	}
-	items, _, err := a.store.Page(ctx, jobPrefix, keyOf(n-1), 1)
+	items, _, err := a.store.Page(ctx, jobPrefix, keyOfLast(n-1), 1)
 	if err != nil {
 		return Job{}, fmt.Errorf("find number %d: %w", n, err)
 	}
--- a/internal/jobid/recorded_test.go
+++ b/internal/jobid/recorded_test.go
@@ -20,7 +20,7 @@
 
 func TestRecordedKeys(t *testing.T) {
 	for got, want := range map[string]string{
-		counterKey: "numbers", jobPrefix: "number/", keyOf(0): "number/00000000000000",
+		counterKey: "numbers", jobPrefix: "number/", keyOfLast(0): "number/00000000000000",
 		Key(1001, 40): "number/00000000001040", Key(1001, 0): "number/00000000001001",
 		Key(99999999999998, 1): "number/99999999999998",
 	} {
