--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -27,14 +27,14 @@
 	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
-// controller is the parts of this process, which live as long as it. Only their assembly sees
-// all of them.
+// controller holds the components of this process. They live as long as the process. Only the
+// assembly code accesses all of them.
 type controller struct {
 	cfg      *config.Platform
 	operator *config.Operator
 	log      *slog.Logger
 	lifetime lifetime
-	nodes    []string // the names of the peers
+	nodes    []string // names of the peers
 
 	mesh    *mesh.Mesh
 	store   *statestore.Client
@@ -64,7 +64,7 @@
 	dispatcher   *dispatch.Dispatcher
 	views        viewPublisher
 
-	cancelUpdates chan struct{} // there are updates of cancels for the peers
+	cancelUpdates chan struct{} // signals that there are cancellation updates for the peers
 	cancellations *cancellation.Registry
 	exchange      cancellationExchange
 
@@ -77,8 +77,8 @@
 	removed       removedWorkers
 	autoscaler    *autoscaler.Autoscaler
 
-	numbers  *jobid.Allocator    // nil: jobs have none
-	rollouts *rolloutapi.Service // nil: there are none
+	numbers  *jobid.Allocator    // nil if jobs have no numbers
+	rollouts *rolloutapi.Service // nil if roll-outs are off
 	machines machineList
 	alerts   *slo.Monitor
 	meter    *usage.Meter
@@ -86,8 +86,9 @@
 	server   *http.Server
 }
 
-// assemble makes the parts and joins them; nothing runs yet. ctx is the process's. It opens the
-// address for users and workers, waiting for a predecessor to let go of it.
+// assemble creates the components and connects them to each other; it starts none of them. ctx
+// is the context of the process. assemble opens the address for users and workers, and waits
+// until a predecessor has closed it.
 func assemble(ctx context.Context, o Options) (*controller, error) {
 	c := &controller{cfg: o.Platform, operator: o.Operator, log: o.Log, lifetime: lifetime{ctx}}
 	if err := c.assembleClients(); err != nil {
@@ -120,10 +121,10 @@
 	return c, nil
 }
 
-// register has a part serve its methods of the mesh.
+// register registers a component's methods on the mesh.
 func (c *controller) register(service peerService) { service.register(c.mesh) }
 
-// assembleClients makes the clients of what is outside of this process, and the links to the peers.
+// assembleClients creates the clients of the external services and the links to the peers.
 func (c *controller) assembleClients() error {
 	addrs := map[string]string{}
 	for _, peer := range c.cfg.Peers {
@@ -144,7 +145,8 @@
 	return nil
 }
 
-// assembleScheduler makes the scheduler, and the registry of cancellations that it fills.
+// assembleScheduler creates the scheduler and the cancellation registry, which the scheduler
+// fills.
 func (c *controller) assembleScheduler(accounting bool) {
 	halter := &taskHalter{local: &c.local, log: c.log}
 	c.cancelUpdates = make(chan struct{}, 1)
@@ -161,7 +163,7 @@
 	c.register(&jobFactsService{scheduler: c.scheduler})
 }
 
-// notifyCancelUpdates has the exchange send updates to the peers.
+// notifyCancelUpdates makes the cancellation exchange send updates to the peers.
 func (c *controller) notifyCancelUpdates() {
 	select {
 	case c.cancelUpdates <- struct{}{}:
@@ -169,7 +171,8 @@
 	}
 }
 
-// assembleDispatcher makes the dispatcher, which ends the cycle of those that act through it.
+// assembleDispatcher creates the dispatcher and sets it in localDispatcher, for the components
+// that were created before it.
 func (c *controller) assembleDispatcher(ctx context.Context) {
 	c.connections, c.commands = connlimit.New(c.cfg.Params.Limits.Sockets, len(c.cfg.Peers))
 	c.timeline = failovertiming.New(c.scheduler, config.Seconds(c.cfg.Params.Workers.LeaseS), c.log)
@@ -185,7 +188,7 @@
 	c.local.commandTarget = c.dispatcher
 }
 
-// queueDepths are the depths that the meter shows.
+// queueDepths returns the queue depths that the usage meter reports.
 func (c *controller) queueDepths() map[string]int {
 	depths := c.scheduler.QueueDepths()
 	depths["machines"], depths["queued"], depths["orders"] = c.dispatcher.Depths()
@@ -193,7 +196,7 @@
 	return depths
 }
 
-// receiveHealth says how well this process receives just now.
+// receiveHealth returns how well this process can receive messages at present.
 func (c *controller) receiveHealth() reachability.ReceiveHealth {
 	return reachability.ReceiveHealth{RefusedConnections: usage.Noted(usage.RefusedConnections), TimerDelay: c.meter.TimerDelay()}
 }
@@ -240,8 +243,8 @@
 	c.register(&c.views)
 }
 
-// subscribe has the parts hear of changes in the state service, and its client of the way round
-// by a peer.
+// subscribe registers the callbacks for changes in the state service, and sets the relay that
+// the state service's client uses when it can't reach the service.
 func (c *controller) subscribe() {
 	c.leadershipRecorder = leadershipRecorder{member: c.member, timeline: c.timeline, starts: &c.starts}
 	c.member.OnLeadershipChange(c.scheduler.LeadershipChanged)
--- a/internal/controller/cancellation_reads.go
+++ b/internal/controller/cancellation_reads.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	storeReadInterval      = 2500 * time.Millisecond // the state service, while peers' messages don't do
-	storeReadPauseFactor   = 20                      // and at most one part in so many of the time
+	storeReadInterval      = 2500 * time.Millisecond // minimum pause between reads of the state service
+	storeReadPauseFactor   = 20                      // minimum pause as a multiple of the read's duration, to bound the load
 	storeReadTimeout       = 5 * time.Second
-	storeReadCheckInterval = exchangeInterval / 2 // between looks whether a read is needed
+	storeReadCheckInterval = exchangeInterval / 2 // between checks whether a read is needed
 )
 
-// cancellationReader reads the cancelled jobs from the state service while peers' messages do
-// not cover all that may have been confirmed.
+// cancellationReader reads the cancelled jobs from the state service while the peers' messages
+// do not cover all cancels that may have been confirmed.
 type cancellationReader struct {
 	registry *cancellation.Registry
 	store    *statestore.Client
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -17,24 +17,24 @@
 const (
 	exchangeInterval     = 500 * time.Millisecond
 	exchangeTimeout      = time.Second
-	stalePeerAfter       = 2500 * time.Millisecond // pings bring a peer's message at most so late
-	stopRetryAfter       = 3 * time.Second         // for which dispatchers have time to stop a task
+	stalePeerAfter       = 2500 * time.Millisecond // maximum delay of a peer's message when it arrives with pings
+	stopRetryAfter       = 3 * time.Second         // time that dispatchers have to stop a task of a cancelled job
 	stopRetryInterval    = 2 * time.Second
 	malformedLogInterval = time.Minute // between log lines about malformed messages
 )
 
-// cancellationMessage is what one controller sends another of cancels outside of pings.
+// cancellationMessage carries a controller's cancellation updates to a peer outside of pings.
 type cancellationMessage struct {
 	From string `json:"from"`
 	cancellation.Message
 }
 
-// cancellationExchange keeps this controller's knowledge of cancels fresh by the peers, and
-// stops cancelled tasks that their workers' dispatchers did not stop.
+// cancellationExchange exchanges cancellation updates with the peers, and halts tasks of
+// cancelled jobs that their workers' dispatchers did not stop.
 type cancellationExchange struct {
 	cfg        *config.Platform
 	registry   *cancellation.Registry
-	updates    <-chan struct{} // there are updates for the peers
+	updates    <-chan struct{} // signals that there are updates for the peers
 	scheduler  *scheduler.Scheduler
 	dispatcher *dispatch.Dispatcher
 	router     *workerRouter
@@ -42,9 +42,9 @@
 	reader     cancellationReader
 	log        *slog.Logger
 
-	malformedLoggedAt atomic.Int64 // when a malformed message was last logged, by time of day, ns
+	malformedLoggedAt atomic.Int64 // time of the last log line about a malformed message, Unix ns; 0 if none
 
-	// Of run alone.
+	// Accessed by run only.
 	answering      bool
 	stopsRetriedAt time.Time
 }
@@ -57,7 +57,7 @@
 	})
 }
 
-// handleMessage takes what a peer says of cancels; nil if it says nothing.
+// handleMessage applies a peer's cancellation updates; msg may be nil.
 func (e *cancellationExchange) handleMessage(from string, msg *cancellation.Message) {
 	if msg == nil {
 		return
@@ -70,7 +70,8 @@
 	}
 }
 
-// exchange queries a peer for what it knows of cancels, by way of a third if need be.
+// exchange sends this controller's cancellation updates to a peer and applies the peer's, via
+// another peer if there is no direct link.
 func (e *cancellationExchange) exchange(ctx context.Context, peer string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -102,7 +103,7 @@
 	}
 }
 
-// logAnswering logs when this controller begins and ceases to respond to workers.
+// logAnswering logs when this controller starts or stops to respond to workers.
 func (e *cancellationExchange) logAnswering(stale []string) {
 	if now := e.router.MayAnswerWorkers(); now != e.answering {
 		e.answering = now
@@ -110,7 +111,7 @@
 	}
 }
 
-// retryStops has the workers polled on which cancelled tasks go on.
+// retryStops polls the workers that may still run tasks of cancelled jobs, and halts those tasks.
 func (e *cancellationExchange) retryStops(ctx context.Context) {
 	if time.Since(e.stopsRetriedAt) < stopRetryInterval || !e.router.MayAnswerWorkers() {
 		return
@@ -121,8 +122,8 @@
 	}
 }
 
-// sendUpdates sends confirmed cancels to the peers at once: pings would bring them a second
-// later. What comes in the meantime shares a message.
+// sendUpdates sends confirmed cancels to the peers at once; pings would delay them by up to a
+// second. Updates that arrive during the pause at the end are sent together.
 func (e *cancellationExchange) sendUpdates(ctx context.Context) {
 	for _, peer := range e.cfg.Peers {
 		go e.exchange(ctx, peer.Node)
--- a/internal/controller/cluster_demand.go
+++ b/internal/controller/cluster_demand.go
@@ -12,22 +12,22 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// peerQueryTimeout is how long autoscaling, and operators, wait for another leader.
+// peerQueryTimeout bounds each query of the autoscaler, or of an operator, to another leader.
 const peerQueryTimeout = 500 * time.Millisecond
 
 type demandQuery struct {
 	BootS float64 `json:"boot"`
 }
 
-// demandReply is what a leader has for autoscaling.
+// demandReply is a leader's input to autoscaling.
 type demandReply struct {
 	Demand        []planner.Demand     `json:"demand"`
 	Loads         []planner.WorkerLoad `json:"loads"`
-	FailedWorkers map[string]string    `json:"suspects"` // why, by name
+	FailedWorkers map[string]string    `json:"suspects"` // reason by worker name
 	AdmittedWork  float64              `json:"admitted"`
 }
 
-// localDemand is the demand of the shards that this controller leads.
+// localDemand reports the demand of the shards that this controller leads.
 type localDemand struct {
 	scheduler    *scheduler.Scheduler
 	unresponsive *unresponsiveWorkers
@@ -44,9 +44,9 @@
 	return &demandReply{Demand: demand, Loads: loads, FailedWorkers: d.unresponsive.failedWorkers(), AdmittedWork: d.scheduler.AdmittedWork()}
 }
 
-// clusterDemand is what the autoscaler sees: this process's scheduler, together with the
-// leaders elsewhere when shards are spread. It implements autoscaler.Scheduler, whose methods
-// but WorkerGone are called by one goroutine.
+// clusterDemand combines this process's scheduler with the leaders elsewhere, as the
+// autoscaler's view of the cluster. It implements autoscaler.Scheduler. Demand, FailedWorkers
+// and AdmittedWork must be called by the same goroutine.
 type clusterDemand struct {
 	scheduler    *scheduler.Scheduler
 	local        *localDemand
@@ -57,14 +57,14 @@
 	lifetime     lifetime
 	log          *slog.Logger
 
-	remoteReplies []*demandReply // as of the last Demand
+	remoteReplies []*demandReply // of the other leaders, as of the last Demand
 }
 
 // Ready reports whether this controller leads autoscaling.
 func (c *clusterDemand) Ready() bool { return c.scheduler.LeadsAutoscaling() }
 
-// Demand gathers the waiting work of all leaders, and the workers' loads. bootS is the
-// seconds that a machine takes to boot. A leader that does not respond in time is left out.
+// Demand returns the pending work of all leaders and the loads of the workers. bootS is the
+// boot time of a machine in seconds. A leader that does not respond in time is left out.
 func (c *clusterDemand) Demand(bootS float64) ([]planner.Demand, []planner.WorkerLoad) {
 	sum := c.local.demand(bootS)
 	c.remoteReplies = c.remoteReplies[:0]
@@ -91,7 +91,7 @@
 	return peerlinks.Call[demandQuery, demandReply](ctx, c.peers, peer, methodDemand, &demandQuery{BootS: bootS})
 }
 
-// addLoads adds another leader's loads to those of the workers that are known here.
+// addLoads adds another leader's loads to the workers that this controller knows.
 func addLoads(loads []planner.WorkerLoad, index map[string]int, others []planner.WorkerLoad) {
 	for _, other := range others {
 		i, known := index[other.Name]
@@ -104,12 +104,11 @@
 	}
 }
 
-// SetCordoned sets the workers that take no new tasks, with the scheduler here; leaders
-// elsewhere only make it take longer until they have none.
+// SetCordoned cordons the named workers in the local scheduler. Leaders elsewhere don't learn
+// of it and may still place tasks on them, so that draining takes longer.
 func (c *clusterDemand) SetCordoned(names map[string]bool) { c.scheduler.SetCordoned(names) }
 
-// FailedWorkers returns the failed workers that any leader's tasks may be on, and why they
-// count as failed.
+// FailedWorkers returns the failed workers that may run tasks of any leader, with the reasons.
 func (c *clusterDemand) FailedWorkers() map[string]string {
 	failed := c.unresponsive.failedWorkers()
 	for _, reply := range c.remoteReplies {
@@ -118,7 +117,7 @@
 	return failed
 }
 
-// AdmittedWork returns how much work all leaders have accepted.
+// AdmittedWork returns the sum of the work that all leaders have accepted, in CPU-seconds.
 func (c *clusterDemand) AdmittedWork() float64 {
 	sum := c.scheduler.AdmittedWork()
 	for _, reply := range c.remoteReplies {
@@ -127,7 +126,7 @@
 	return sum
 }
 
-// WorkerDeleted notes that a worker's machine was deleted, here and soon with every controller.
+// WorkerDeleted records that a worker's machine was deleted, and notifies all controllers.
 func (c *clusterDemand) WorkerDeleted(name string) {
 	c.scheduler.WorkerDeleted(name)
 	c.removed.add(name)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,11 +1,11 @@
-// Package controller assembles a controller of the parts in the other packages, joins them
-// with those of its peers over the mesh, and runs them.
+// Package controller assembles a controller from the components in the other packages, connects
+// it to its peers over the mesh, and runs it.
 //
-// Each file holds a part with one duty: an adapter by which a part of another package reaches
-// the rest of the process or the peers, or a loop that nobody else runs, with its state. The
-// parts are made by assemble, whole and in an order in which each finds what it needs; only the
-// dispatcher is filled in later, see localDispatcher. The package decides nothing about jobs
-// and workers; it holds no setting and reads no file.
+// Each file holds one component: an adapter that connects a component of another package to the
+// rest of the process or to the peers, or a loop that belongs to no other package, with its
+// state. assemble creates the components in the order of their dependencies; only the dispatcher
+// is set later, see localDispatcher. The package makes no decisions about jobs and workers,
+// defines no settings and reads no files.
 package controller
 
 import (
@@ -22,20 +22,20 @@
 	"github.com/wallrack/wallrack/internal/slurmapi"
 )
 
-// bytesPerMB are those of a megabyte as the settings count it.
+// bytesPerMB is the size of a megabyte in the settings.
 const bytesPerMB = 1 << 20
 
 const (
 	// memoryTargetShare is the part of the memory limit that the runtime aims to stay below;
-	// the rest is the program itself and what the runtime does not count.
+	// the rest is for the program itself and for memory that the runtime does not count.
 	memoryTargetShare = 0.7
 
-	// memoryPressureShare is the part of the memory limit from which on no new jobs are taken:
-	// the collector has not been able to stay within memoryShare.
+	// memoryPressureShare is the part of the memory limit above which no new jobs are accepted:
+	// the garbage collector could not stay within memoryTargetShare.
 	memoryPressureShare = 0.85
 
-	// gcPercent trades memory, of which there is enough below the limit, for
-	// processor time, of which there is not.
+	// gcPercent saves processor time, which is scarce, at the cost of memory, of which there is
+	// enough below the limit.
 	gcPercent = 500
 )
 
@@ -43,15 +43,15 @@
 type Options struct {
 	Platform *config.Platform
 	Operator *config.Operator
-	Rollouts *rollout.Settings  // nil: there are no roll-outs
-	Slurm    *slurmapi.Settings // nil: Slurm-style clients and accounting are off
+	Rollouts *rollout.Settings  // nil if roll-outs are off
+	Slurm    *slurmapi.Settings // nil if Slurm-style clients and accounting are off
 	Version  string             // for the log
 	Log      *slog.Logger
 }
 
-// Run runs a controller until ctx ends, and then returns nil; else it returns the error of the
-// part that failed first, wrapped with what it was doing. It sets limits of the whole process:
-// a controller has a share of one core, and of the memory what the settings say.
+// Run runs a controller until ctx ends, and then returns nil; otherwise it returns the wrapped
+// error of the component that failed first. It sets limits of the whole process, which has a
+// share of one core and the memory limit of the settings.
 func Run(ctx context.Context, o Options) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
--- a/internal/controller/expiring_leases.go
+++ b/internal/controller/expiring_leases.go
@@ -9,12 +9,12 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// expiringLeasesInterval is the time between looks at workers whose reports are overdue.
+// expiringLeasesInterval is the time between checks for workers whose reports are overdue.
 const expiringLeasesInterval = 250 * time.Millisecond
 
-// expiringLeases polls workers whose leases are not renewed for their reports, by requests
-// that may reach them although theirs reach no controller, and sends them the commands
-// that still help before their leases end. One round of requests is out at a time.
+// expiringLeases polls workers whose leases are not being renewed for their reports: requests
+// may reach a worker although its own reach no controller. It also sends the commands that
+// still take effect before the leases end. At most one round of requests is in flight.
 type expiringLeases struct {
 	scheduler  *scheduler.Scheduler
 	dispatcher *dispatch.Dispatcher
--- a/internal/controller/instructions.go
+++ b/internal/controller/instructions.go
@@ -9,21 +9,21 @@
 	"github.com/wallrack/wallrack/internal/peerlinks"
 )
 
-// localDispatcher is this process's dispatcher for those parts that are made before it: the
-// scheduler and the registry of cancellations act through it, and it consults them before each
-// start. It is filled once, before anything runs.
+// localDispatcher refers to this process's dispatcher for the components that are created
+// before it: the scheduler and the cancellation registry send commands through the dispatcher,
+// and the dispatcher consults them before each start. It is set once, before anything runs.
 type localDispatcher struct {
 	commandTarget
 }
 
-// commandTarget is what is done through the dispatcher.
+// commandTarget is the part of the dispatcher that those components use.
 type commandTarget interface {
 	ApplyInstructions(instructions dispatch.Instructions) dispatch.Unlaunched
 	HaltCancelledTasks()
 }
 
-// instructionRouter carries a scheduler's instructions to the dispatcher of a worker, here
-// or at a peer. It implements scheduler.Dispatchers.
+// instructionRouter sends a scheduler's instructions to the dispatcher of a worker, here or at
+// a peer. It implements scheduler.Dispatchers.
 type instructionRouter struct {
 	node  string
 	local *localDispatcher
@@ -37,7 +37,8 @@
 	})
 }
 
-// SendInstructions has a dispatcher apply instructions, and returns what it had not launched.
+// SendInstructions makes a dispatcher apply instructions, and returns the placements that it
+// had not launched.
 func (r *instructionRouter) SendInstructions(ctx context.Context, dispatcher string, instructions dispatch.Instructions) (dispatch.Unlaunched, error) {
 	if dispatcher == r.node {
 		return r.local.ApplyInstructions(instructions), nil
@@ -49,14 +50,14 @@
 	return *rep, nil
 }
 
-// taskHalter stops the tasks of jobs that were just found to be cancelled.
+// taskHalter halts the tasks of jobs that were just found to be cancelled.
 type taskHalter struct {
 	local *localDispatcher
 	log   *slog.Logger
 }
 
-// halt is called with the jobs' ids. The caller may hold the scheduler's lock, which the
-// dispatcher takes too, so that it must not wait.
+// halt halts the tasks of jobs, given by id, without waiting: the caller may hold the
+// scheduler's lock, which the dispatcher acquires too.
 func (h *taskHalter) halt(jobs []string) {
 	go h.local.HaltCancelledTasks()
 	h.log.Debug("jobs cancelled", "jobs", jobs)
--- a/internal/controller/lease_attestation.go
+++ b/internal/controller/lease_attestation.go
@@ -15,21 +15,21 @@
 
 const (
 	attestInterval     = 2 * time.Second
-	attestTimeout      = time.Second // for each peer
+	attestTimeout      = time.Second // per peer
 	maxAttestedWorkers = 500         // workers in one round
 )
 
-// attestationQuery is for how long a controller has left workers without a response.
+// attestationQuery asks a controller how long ago it last responded to each of the workers.
 type attestationQuery struct {
 	Workers []string `json:"machines"`
 }
 
 type attestationReply struct {
-	UnansweredS []float64 `json:"unanswered"` // in the order of the query
+	UnansweredS []float64 `json:"unanswered"` // seconds since the last response, in the order of the query
 }
 
-// leaseAttestor finds out without the cloud that workers' leases expired: when every
-// controller has left a worker without a response for its full lease, it has ended its tasks.
+// leaseAttestor detects expired worker leases without the cloud's list: if no controller has
+// responded to a worker for its full lease, the worker has ended its tasks.
 type leaseAttestor struct {
 	cfg        *config.Platform
 	scheduler  *scheduler.Scheduler
@@ -44,7 +44,7 @@
 	})
 }
 
-// attest says how long this controller has left workers without a response.
+// attest returns how long ago this controller last responded to each of the workers.
 func (a *leaseAttestor) attest(q *attestationQuery) *attestationReply {
 	reply := &attestationReply{}
 	for _, worker := range q.Workers {
@@ -57,7 +57,8 @@
 	return periodic.Run(ctx, attestInterval, func() { a.attestUnresponsive(ctx) })
 }
 
-// attestUnresponsive notifies the scheduler of unresponsive workers whose leases expired for certain.
+// attestUnresponsive notifies the scheduler of the unresponsive workers whose leases have
+// expired according to all controllers.
 func (a *leaseAttestor) attestUnresponsive(ctx context.Context) {
 	leaseS := a.cfg.Params.Workers.LongestLeaseS() + 0.5
 	q := &attestationQuery{}
@@ -85,7 +86,8 @@
 	}
 }
 
-// query adds a peer's attestation; false without one, and then no lease is known to have expired.
+// query adds a peer's attestation. It returns false if the peer did not provide one; then no
+// lease is known to have expired.
 func (a *leaseAttestor) query(ctx context.Context, peer string, q *attestationQuery, attestation *dispatch.Attestation) bool {
 	ctx, cancel := context.WithTimeout(ctx, attestTimeout)
 	defer cancel()
--- a/internal/controller/link_monitor.go
+++ b/internal/controller/link_monitor.go
@@ -19,15 +19,15 @@
 const (
 	linkCheckInterval      = 250 * time.Millisecond
 	heartbeatCountInterval = time.Second // between counts of heartbeats and connections
-	readShardsInterval     = time.Second // between reads of who leads, while peers take this controller for the leader
+	readShardsInterval     = time.Second // between reads of the shards' leaders, while peers take this controller for the leader
 	announceTimeout        = time.Second
-	workerNamesShare       = 0.5 // of a value's limit in the state service, for the names of workers
-	missedReportIntervals  = 2.5 // pauses between reports without one after which a worker does not count as reporting here
+	workerNamesShare       = 0.5 // share of the state service's limit of a value's size that the names of workers may use
+	missedReportIntervals  = 2.5 // report intervals without a report after which a worker no longer counts as reporting here
 )
 
-// linkMonitor measures this controller's links to the workers, announces its status to those
-// that the mesh does not reach, and transfers its shards to a controller that gets the workers'
-// heartbeats when this one does not any more.
+// linkMonitor measures this controller's links to the workers, announces its status via the
+// state service to peers that the mesh does not reach, and transfers its shards to a controller
+// that receives the workers' heartbeats when this one no longer does.
 type linkMonitor struct {
 	cfg         *config.Platform
 	operator    *config.Operator
@@ -44,9 +44,9 @@
 	changes     *linkLog
 	log         *slog.Logger
 
-	// Of run alone.
+	// Accessed by run only.
 	assignments        reachability.AssignmentPlanner
-	plannedAssignments int // assignments, as last planned
+	plannedAssignments int // number of assignments in the last plan
 	transfers          reachability.TransferMonitor
 	announcedAt        time.Time
 	countedAt          time.Time
@@ -57,7 +57,7 @@
 	return periodic.Run(ctx, linkCheckInterval, func() { l.check(ctx) })
 }
 
-// check takes one check at the links, and acts by them.
+// check evaluates the links once, and announces, transfers or reads shards if needed.
 func (l *linkMonitor) check(ctx context.Context) {
 	now := time.Now()
 	if l.prober.updateSuspicion(l.health().TimerDelay) {
@@ -75,7 +75,7 @@
 	l.readShards(ctx, now, view)
 }
 
-// readShards reads who leads the shards if peers take this controller for the leader and it does
+// readShards reads the shards' leaders if peers take this controller for the leader and it does
 // not know that it is.
 func (l *linkMonitor) readShards(ctx context.Context, now time.Time, view *reachability.View) {
 	if !view.TakenForLeader() || now.Sub(l.shardsReadAt) < readShardsInterval {
@@ -86,8 +86,8 @@
 	l.member.ReadShards(ctx)
 }
 
-// announce writes this controller's status to the state service when that is due and a living
-// peer is not reached.
+// announce writes this controller's status to the state service when that is due and a live
+// peer can't be reached.
 func (l *linkMonitor) announce(ctx context.Context, now time.Time, view *reachability.View) {
 	pause := reachability.AnnouncePause(len(l.cfg.Peers) + 1)
 	if !l.status.AnnouncementDue(now, l.announcedAt, pause) || !view.Self.LeaseHeld || !slices.ContainsFunc(view.UnreachedPeers(), l.member.Alive) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// transfer transfers the shards when a peer gets the workers' heartbeats and this controller
+// transfer transfers the shards when a peer receives the workers' heartbeats and this controller
 // does not.
 func (l *linkMonitor) transfer(ctx context.Context, now time.Time, view *reachability.View) {
 	to := l.transfers.Check(now, view, l.member.RecentTransfers(reachability.TransferWindow))
@@ -113,11 +113,11 @@
 	if err := l.member.TransferShards(ctx, to); err != nil {
 		l.log.Info("shard transfer failed", "err", err)
 	}
-	l.pinger.pingAll(ctx) // the peer learns at once that it leads: its watch may be behind
+	l.pinger.pingAll(ctx) // notifies the peer at once that it leads, since its watch may lag
 }
 
-// countHeartbeats counts what came from workers. The status names them while a peer is not
-// reached.
+// countHeartbeats updates the heartbeat count in the status. The status names the workers only
+// while a peer can't be reached.
 func (l *linkMonitor) countHeartbeats() {
 	received, workers := l.dispatcher.RecentHeartbeats()
 	var names *reachability.NameSet
@@ -131,14 +131,14 @@
 	})
 }
 
-// assignWorkers looks whether this controller has connections for all workers. While they are
-// assigned to several controllers, the status says how many it has room for.
+// assignWorkers checks whether this controller has connections for all workers. While workers
+// are assigned to several controllers, the status includes this one's remaining capacity.
 func (l *linkMonitor) assignWorkers(now time.Time) {
 	open, most := l.connections.Open(), l.connections.Max()
 	view := l.links.Now()
 	reportS := l.cfg.Params.Workers.ReportS
 	workers := l.dispatcher.CountReporting(config.Seconds(missedReportIntervals * reportS))
-	capacity := 0 // without a limit, or a share, all fit
+	capacity := 0 // 0: no limit, all workers fit
 	if most < math.MaxInt32 {
 		capacity = int(l.operator.WorkerShare * float64(most))
 	}
--- a/internal/controller/link_report.go
+++ b/internal/controller/link_report.go
@@ -15,7 +15,7 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// Names of links, beside those of the peers, and states of the workers'.
+// Names of links other than those to peers, and states of the link to the workers.
 const (
 	linkStore    = "state service"
 	linkWorkers  = "workers"
@@ -23,13 +23,13 @@
 	workersLost  = "not heard"
 )
 
-// linkState is how a link was when it last changed, and when.
+// linkState is the state of a link and the time of its last change.
 type linkState struct {
 	state string
 	since time.Time
 }
 
-// linkLog logs each change of a link. It is safe for concurrent use.
+// linkLog logs each change of a link's state. It is safe for concurrent use.
 type linkLog struct {
 	store *statestore.Client
 	log   *slog.Logger
@@ -63,7 +63,7 @@
 	l.links[link] = linkState{state, time.Now()}
 }
 
-// list returns the links by name.
+// list returns the links in the order of their names.
 func (l *linkLog) list() []reachability.OpsLink {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +75,7 @@
 	return out
 }
 
-// linkReport shows operators this controller's view of the links.
+// linkReport serves this controller's view of the links to operators.
 type linkReport struct {
 	store         *statestore.Client
 	links         *peerlinks.View
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -11,7 +11,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// machineList shows operators the machines. The controller that leads autoscaling knows them.
+// machineList serves the list of machines to operators. The controller that leads autoscaling
+// has it; others query that one.
 type machineList struct {
 	scheduler *scheduler.Scheduler
 	leaders   *peerlinks.Leaders
--- a/internal/controller/methods.go
+++ b/internal/controller/methods.go
@@ -25,16 +25,16 @@
 	methodEarlier       = "Earlier"
 )
 
-// empty is a message that says all by its method.
+// empty is a message without fields.
 type empty struct{}
 
-// peerService is a part that serves methods of the mesh.
+// peerService is a component that serves methods of the mesh.
 type peerService interface {
 	register(m *mesh.Mesh)
 }
 
-// lifetime is that of this process, for calls whose callers pass no context, or one that
-// ends before what they started shall.
+// lifetime holds the context of the process, for calls whose callers pass no context, or one
+// that ends too early.
 type lifetime struct {
-	ctx context.Context //nolint:containedctx // bounds what callbacks start that are given no context
+	ctx context.Context //nolint:containedctx // bounds calls that callbacks without a context start
 }
--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -13,15 +13,15 @@
 
 const pingInterval = time.Second
 
-// pingMessage carries a controller's status, and others' statuses to those who lack them.
+// pingMessage carries a controller's status, and the statuses of others that the receiver lacks.
 type pingMessage struct {
 	Status        reachability.NodeStatus      `json:"row"`
 	Cancellations *cancellation.Message        `json:"cancels,omitempty"`
 	Relayed       []reachability.RelayedStatus `json:"passed,omitempty"`
 }
 
-// pinger exchanges statuses and cancellations with the peers: a ping carries this
-// controller's, its response the peer's.
+// pinger exchanges statuses and cancellation updates with the peers: a ping carries those of
+// this controller, its response those of the peer.
 type pinger struct {
 	cfg           *config.Platform
 	mesh          *mesh.Mesh
@@ -45,8 +45,8 @@
 	return &pingMessage{Status: p.status.Current(now), Relayed: p.table.RelayFor(to, now), Cancellations: &cancellations}
 }
 
-// handleMessage takes what a peer says. from is the peer as the message came from it: a response
-// counts for the peer that was called.
+// handleMessage applies a ping or a response to one. from is the peer that sent it; for a
+// response, the peer that was called.
 func (p *pinger) handleMessage(from string, ping *pingMessage) {
 	now := time.Now()
 	p.table.Update(ping.Status, reachability.Direct, 0, now)
@@ -54,7 +54,7 @@
 	p.cancellations.handleMessage(from, ping.Cancellations)
 }
 
-// run pings each peer that has not just pinged this controller, until ctx ends.
+// run pings each peer from which no ping arrived recently, until ctx ends.
 func (p *pinger) run(ctx context.Context) error {
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
@@ -72,7 +72,7 @@
 	}
 }
 
-// pingAll pings all peers now, so that they get this controller's status.
+// pingAll pings all peers now, so that they learn this controller's current status.
 func (p *pinger) pingAll(ctx context.Context) {
 	for _, peer := range p.cfg.Peers {
 		go p.ping(ctx, peer.Node)
--- a/internal/controller/prober.go
+++ b/internal/controller/prober.go
@@ -17,8 +17,8 @@
 	minProbeInterval = peerlinks.ProbeResultFor / 2 // between probes that peers requested
 )
 
-// prober finds out whether this controller reaches workers when it, or a peer, suspects that
-// it lost them.
+// prober checks whether this controller reaches workers when it, or a peer, suspects that it
+// has lost the connection to them.
 type prober struct {
 	node       string
 	member     *membership.Member
@@ -30,7 +30,8 @@
 	log        *slog.Logger
 }
 
-// probe tries some workers' endpoints, unless that was just done. It waits for the outcome.
+// probe calls the endpoints of some workers and waits for the result. It does nothing within
+// minProbeInterval of the last probe.
 func (p *prober) probe(sample []string) {
 	if len(sample) == 0 || p.status.SinceProbe() < minProbeInterval {
 		return
@@ -40,7 +41,7 @@
 	p.links.Invalidate()
 }
 
-// handleAnnouncement takes a status that a controller wrote to the state service.
+// handleAnnouncement applies a status that a controller wrote to the state service.
 func (p *prober) handleAnnouncement(value json.RawMessage) {
 	var status reachability.NodeStatus
 	if err := json.Unmarshal(value, &status); err != nil {
@@ -53,9 +54,10 @@
 	}
 }
 
-// updateSuspicion looks whether this leader has come to suspect that it lost the workers, as
-// none reports any more, or ceased to. If it has, it probes some and returns true: the peers
-// are to probe them too. timerDelay is by how much timers are late here.
+// updateSuspicion updates whether this leader suspects that it has lost the workers, as none
+// reports any more. If the suspicion is new, it probes some workers and returns true: the
+// caller is to ping the peers, so that they probe them too. timerDelay is the current delay of
+// timers in this process.
 func (p *prober) updateSuspicion(timerDelay time.Duration) bool {
 	expected, before := p.status.Suspicion()
 	perSecond := expected / dispatch.HeartbeatWindow.Seconds()
--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -29,7 +29,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// The mesh's methods keep the names under which other controllers call them.
+// The mesh's methods keep the names by which other controllers call them.
 func TestRecordedMethods(t *testing.T) {
 	for _, method := range []struct{ is, was string }{
 		{methodPing, "Ping"},
@@ -56,8 +56,8 @@
 	}
 }
 
-// A controller with all that can be switched on serves every method by its recorded name:
-// a message that can't be read is refused for that, not for want of the method.
+// A controller with all optional services on serves every method under its recorded name: a
+// malformed message is rejected as such, not because the method is unknown.
 func TestRecordedMethodsServed(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	here := freeAddress(t)
@@ -90,7 +90,7 @@
 	}
 }
 
-// freeAddress is one that nobody listens on just now.
+// freeAddress returns an address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,15 +101,15 @@
 	return lis.Addr().String()
 }
 
-// codeOf is the status code of the response to an unreadable message.
+// codeOf returns the status code of the response to a malformed message.
 func codeOf(ctx context.Context, caller *mesh.Mesh, method string) codes.Code {
 	for {
-		unreadable := 5 // no message is a number
+		unreadable := 5 // no method takes a number
 		_, err := mesh.Call[int, json.RawMessage](ctx, caller, "here", method, &unreadable)
 		if refused, _ := mesh.Unanswered(err); !refused || ctx.Err() != nil {
 			return status.Code(err)
 		}
-		time.Sleep(10 * time.Millisecond) // it does not listen yet
+		time.Sleep(10 * time.Millisecond) // the server does not listen yet
 	}
 }
 
@@ -127,7 +127,7 @@
 	}
 }
 
-// Messages between controllers about links, workers and cancels keep their form.
+// Messages between controllers about links, workers and cancels keep their encoding.
 func TestRecordedLinkMessages(t *testing.T) {
 	cancellations := fullCancellations()
 	recorded.Check(t, "ping_full", pingMessage{Status: fullStatus(), Cancellations: &cancellations, Relayed: []reachability.RelayedStatus{{Status: fullStatus(), AgeS: 1.25}}})
@@ -149,7 +149,7 @@
 	recorded.Check(t, "cancels_reply_empty", cancellation.Message{})
 }
 
-// Relayed requests to the state service, and their responses, keep their form.
+// Relayed requests to the state service, and their responses, keep their encoding.
 func TestRecordedStoreMessages(t *testing.T) {
 	recorded.Check(t, "store_full", statestore.RelayedRequest{Method: "POST", Path: "/store/txn", Body: []byte(`{"guards":[]}`), Writes: 3, Priority: statestore.Urgent})
 	recorded.Check(t, "store_empty", statestore.RelayedRequest{})
@@ -166,7 +166,7 @@
 	}
 }
 
-// Messages about the waiting work, and about machines, keep their form.
+// Messages about pending work and machines keep their encoding.
 func TestRecordedDemandMessages(t *testing.T) {
 	job, shape := fullJob(), matching.Resources{CPUs: 2.5, GPUs: 1, MemoryGB: 12.25}
 	recorded.Check(t, "demand_full", demandQuery{BootS: 90.5})
@@ -194,7 +194,7 @@
 	}
 }
 
-// Messages for Slurm-style clients keep their form.
+// Messages for Slurm-style clients keep their encoding.
 func TestRecordedSlurmMessages(t *testing.T) {
 	recorded.Check(t, "facts_full", factsQuery{UID: "j-000400", Name: "train", User: "ada", Number: 4001})
 	recorded.Check(t, "facts_empty", factsQuery{})
@@ -216,7 +216,7 @@
 	recorded.Check(t, "desk_reply_empty", slurmapi.Reply{})
 }
 
-// The statuses of roll-outs between controllers keep their form.
+// The statuses of roll-outs between controllers keep their encoding.
 func TestRecordedRolloutMessages(t *testing.T) {
 	version := rollout.Version{Name: "v7", Desc: taskspec.Spec{
 		Argv: []string{"serve"}, Env: map[string]string{"MODE": "fast"}, Dir: "/srv", Script: "#!/bin/sh", Args: []string{"-v"},
--- a/internal/controller/remote_jobs.go
+++ b/internal/controller/remote_jobs.go
@@ -11,11 +11,11 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// factsTimeout is for each leader that is queried for facts of jobs.
+// factsTimeout bounds the query to each leader for facts of jobs.
 const factsTimeout = 700 * time.Millisecond
 
-// factsQuery is for the facts of the job with the UID, or whether there is an unfinished
-// job of the name and user with a number below Number.
+// factsQuery asks for the facts of the job UID, or whether there is an unfinished job of the
+// name and user with a number below Number.
 type factsQuery struct {
 	UID    string `json:"uid,omitempty"`
 	Name   string `json:"name,omitempty"`
@@ -29,7 +29,7 @@
 	HasEarlier bool             `json:"earlier"`
 }
 
-// remoteJobs are the jobs of other leaders, on which jobs here depend. It implements
+// remoteJobs queries other leaders for the jobs on which local jobs depend. It implements
 // scheduler.RemoteJobs.
 type remoteJobs struct {
 	store   *statestore.Client
@@ -37,7 +37,8 @@
 	leaders *peerlinks.Leaders
 }
 
-// JobFacts says how far a job is: its leader knows, or the state service how it ended.
+// JobFacts returns the facts of a job from its leader, or from the state service if no leader
+// knows the job any more.
 func (r *remoteJobs) JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error) {
 	for _, leader := range r.leaders.ShardLeaders() {
 		if reply, err := r.query(ctx, leader, methodFacts, &factsQuery{UID: uid}); err == nil && reply.Known {
@@ -48,7 +49,7 @@
 }
 
 // HasEarlier reports whether another leader has an unfinished job of the name and user with a
-// lower number; one that does not respond may have it.
+// lower number. It returns true if a leader does not respond, since that one may have such a job.
 func (r *remoteJobs) HasEarlier(ctx context.Context, name, user string, number uint64) (bool, error) {
 	for _, leader := range r.leaders.ShardLeaders() {
 		reply, err := r.query(ctx, leader, methodEarlier, &factsQuery{Name: name, User: user, Number: number})
@@ -65,8 +66,8 @@
 	return mesh.Call[factsQuery, factsReply](ctx, r.mesh, leader, method, q)
 }
 
-// jobFactsService responds to other leaders for the jobs that are led here. It serves also where
-// Slurm-style clients are off, for jobs from before.
+// jobFactsService responds to other leaders' queries for the jobs that this controller leads.
+// It runs also where Slurm-style clients are off, for jobs that were accepted while they were on.
 type jobFactsService struct {
 	scheduler *scheduler.Scheduler
 }
--- a/internal/controller/removed_workers.go
+++ b/internal/controller/removed_workers.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// removedBatchDelay gathers workers that were removed into one message.
+// removedBatchDelay is the time over which removed workers are collected into one message.
 const removedBatchDelay = 300 * time.Millisecond
 
 // removedMessage names workers whose machines were deleted.
@@ -21,9 +21,9 @@
 	Workers []string `json:"machines"`
 }
 
-// removedWorkers notifies every controller of workers whose machines were deleted: a later
-// leader would take one for unresponsive, and expect its heartbeats. It is safe for concurrent
-// use.
+// removedWorkers notifies every controller of workers whose machines were deleted. Otherwise a
+// later leader would expect their heartbeats and treat them as unresponsive. It is safe for
+// concurrent use.
 type removedWorkers struct {
 	cfg        *config.Platform
 	scheduler  *scheduler.Scheduler
--- a/internal/controller/scheduler_gateway.go
+++ b/internal/controller/scheduler_gateway.go
@@ -14,8 +14,8 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// schedulerGateway brings workers' views and requests for grants to the schedulers, here and
-// at peers. It implements dispatch.Schedulers.
+// schedulerGateway passes workers' views and grant requests to the schedulers, here and at
+// peers. It implements dispatch.Schedulers.
 type schedulerGateway struct {
 	scheduler *scheduler.Scheduler
 	router    *workerRouter
@@ -31,13 +31,13 @@
 	})
 }
 
-// ObserveWorker hands a view to the scheduler in this process; those of peers get theirs
-// from the view publisher.
+// ObserveWorker passes a view to the scheduler in this process; the view publisher sends it to
+// those of peers.
 func (g *schedulerGateway) ObserveWorker(view dispatch.WorkerView) {
 	g.timeline.Mark(failovertiming.FirstHeartbeat)
 	if view.Polled && g.router.assigned.Load() {
-		// The worker reports to its own dispatcher, which is to command it: two that took
-		// turns would each have to raise its fencing token above the other's.
+		// The dispatcher that the worker reports to is to command it: two dispatchers that take
+		// turns would each have to raise their fencing token above the other's.
 		view.Dispatcher = g.router.LeaderFor(view.Name)
 	}
 	g.scheduler.ObserveWorker(view)
@@ -63,13 +63,13 @@
 	return *replies, nil
 }
 
-// startPauseThreshold is the time without a start from which on its end is logged.
+// startPauseThreshold is the time without a start after which the next start is logged.
 const startPauseThreshold = time.Second
 
-// startLog logs when starts begin, pause and end here.
+// startLog logs when task starts begin, resume and end at this controller.
 type startLog struct {
 	log         *slog.Logger
-	lastStartNs atomic.Int64 // start, by time of day, ns; 0: none since this controller leads shards
+	lastStartNs atomic.Int64 // Unix ns; 0 if none was granted since this controller leads shards
 }
 
 func (s *startLog) startGranted() {
@@ -88,7 +88,7 @@
 	}
 }
 
-// leadershipRecorder notes changes of ownership for the timeline of failovers and in the log.
+// leadershipRecorder records changes of shard leadership in the failover timeline and in the log.
 type leadershipRecorder struct {
 	member   *membership.Member
 	timeline *failovertiming.Timeline
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/httpjson"
 )
 
-// shutdownTimeout is for requests under way when the process is to end.
+// shutdownTimeout bounds the wait for requests in flight when the process ends.
 const shutdownTimeout = 2 * time.Second
 
 func newServer(handler http.Handler, log *slog.Logger) *http.Server {
@@ -24,7 +24,7 @@
 	}
 }
 
-// registerOperatorPaths adds what operators read.
+// registerOperatorPaths registers the HTTP paths for operators.
 func (c *controller) registerOperatorPaths(mux *http.ServeMux) {
 	c.alerts.Register(mux)
 	mux.HandleFunc("GET /ops/stats", c.serveStats)
@@ -44,7 +44,7 @@
 	httpjson.Write(w, http.StatusOK, stats)
 }
 
-// start starts what runs until ctx ends.
+// start starts the loops that run until ctx ends.
 func (c *controller) start(ctx context.Context, group *errgroup.Group) {
 	if c.rollouts != nil {
 		group.Go(func() error { return c.rollouts.Run(ctx) })
--- a/internal/controller/slurm.go
+++ b/internal/controller/slurm.go
@@ -8,19 +8,19 @@
 	"github.com/wallrack/wallrack/internal/slurmapi"
 )
 
-// slurmPeers are the other controllers for Slurm-style clients' requests. It implements
+// slurmPeers passes the requests of Slurm-style clients to other controllers. It implements
 // slurmapi.Peers.
 type slurmPeers struct {
 	*peerlinks.Leaders
 	mesh *mesh.Mesh
 }
 
-// QueryLeader has a peer serve a request with its own jobs.
+// QueryLeader makes a peer serve a request from its own jobs.
 func (s *slurmPeers) QueryLeader(ctx context.Context, peer string, r slurmapi.Request) (*slurmapi.Reply, error) {
 	return mesh.Call[slurmapi.Request, slurmapi.Reply](ctx, s.mesh, peer, methodSlurm, &r)
 }
 
-// slurmService serves the requests of Slurm-style clients that peers pass on.
+// slurmService serves the requests of Slurm-style clients that peers forward.
 type slurmService struct {
 	server *slurmapi.Server
 }
--- a/internal/controller/start_test.go
+++ b/internal/controller/start_test.go
@@ -42,7 +42,7 @@
 sockets = 600
 `
 
-// options are those of a controller that reaches nobody.
+// options returns the options of a controller that reaches no other process.
 func options(t testing.TB) Options {
 	t.Helper()
 	p, err := config.ParsePlatform([]byte(settings))
@@ -56,7 +56,7 @@
 	return Options{Platform: p, Operator: op, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
-// runFor runs a controller that reaches nobody for a while.
+// runFor runs a controller that reaches no other process for the duration d.
 func runFor(t testing.TB, d time.Duration) {
 	o := options(t)
 	ctx, cancel := context.WithTimeout(t.Context(), d)
@@ -66,8 +66,8 @@
 	}
 }
 
-// A controller that reaches neither the state service nor the cloud nor a peer goes on
-// trying, and stops in good order when its context ends.
+// A controller that reaches neither the state service nor the cloud nor a peer keeps retrying,
+// and shuts down cleanly when its context ends.
 func TestRunWithoutReachableServicesEndsWithContext(t *testing.T) {
 	began := time.Now()
 	runFor(t, 300*time.Millisecond)
@@ -76,8 +76,8 @@
 	}
 }
 
-// BenchmarkStart is all that a process does from its settings to its loops' first steps, and
-// back.
+// BenchmarkStart measures the start of a process from its settings to the first iterations of
+// its loops, and its shutdown.
 func BenchmarkStart(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/controller/store_relay.go
+++ b/internal/controller/store_relay.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/statestore"
 )
 
-// storeRelay passes requests to the state service on: this controller's to a peer that
-// reaches the service, and peers' to the service. It implements statestore.Relay.
+// storeRelay relays requests to the state service: this controller's to a peer that reaches the
+// service, and peers' to the service. It implements statestore.Relay.
 type storeRelay struct {
 	store *statestore.Client
 	links *peerlinks.View
@@ -27,9 +27,9 @@
 // Ready reports whether a peer reaches the state service.
 func (r *storeRelay) Ready() bool { return len(r.links.Now().ServingPeers()) > 0 }
 
-// Forward has a peer make a request. The error is statestore.ErrUnavailable if there was
-// no such peer; with any other one the request may have been made: a connection that breaks after
-// it was sent looks like a refused one.
+// Forward makes a peer send a request. The error is statestore.ErrUnavailable if no peer reaches
+// the service; after any other error the request may have been applied, since a connection that
+// breaks after the request was sent looks like a refused one.
 func (r *storeRelay) Forward(ctx context.Context, req statestore.RelayedRequest) (*statestore.RelayedResponse, error) {
 	serving := r.links.Now().ServingPeers()
 	if len(serving) == 0 {
--- a/internal/controller/unresponsive_workers.go
+++ b/internal/controller/unresponsive_workers.go
@@ -14,25 +14,25 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// peerProbeTimeout is for a peer that probes an unresponsive worker.
+// peerProbeTimeout bounds a peer's probe of an unresponsive worker.
 const peerProbeTimeout = 2 * time.Second
 
-// receiveHealth says how well this process receives just now.
+// receiveHealth returns how well this process can receive messages at present.
 type receiveHealth func() reachability.ReceiveHealth
 
-// probeQuery is whether a worker is reached.
+// probeQuery asks a controller whether it reaches a worker.
 type probeQuery struct {
 	Worker       string `json:"machine"`
 	Endpoint     string `json:"endpoint"`
-	OutboundLost bool   `json:"deaf,omitempty"` // that its heartbeats arrive is known, not whether it responds
+	OutboundLost bool   `json:"deaf,omitempty"` // its heartbeats arrive; the query is whether it responds to requests
 }
 
 type probeReply struct {
-	Responsive bool `json:"lives"` // it sent a heartbeat lately, or responds
+	Responsive bool `json:"lives"` // it sent a heartbeat recently, or responds to requests
 }
 
-// unresponsiveWorkers judges the workers whose heartbeats this leader does not get any more. It
-// is safe for concurrent use.
+// unresponsiveWorkers decides which of the workers without recent heartbeats at this leader have
+// failed. It is safe for concurrent use.
 type unresponsiveWorkers struct {
 	cfg        *config.Platform
 	operator   *config.Operator
@@ -46,7 +46,7 @@
 
 	mu       sync.Mutex
 	detector reachability.FailureDetector
-	kept     int // unresponsive workers that were kept, when last judged
+	kept     int // unresponsive workers that the last evaluation did not count as failed
 }
 
 func newFailureDetector(w config.Workers, op *config.Operator) reachability.FailureDetector {
@@ -61,7 +61,7 @@
 	})
 }
 
-// reachable reports whether a worker is reachable from here.
+// reachable reports whether this controller reaches a worker.
 func (u *unresponsiveWorkers) reachable(ctx context.Context, q *probeQuery) bool {
 	if !q.OutboundLost && u.dispatcher.SinceHeartbeat(q.Worker).Seconds() < u.operator.HeartbeatTimeoutS {
 		return true
@@ -69,8 +69,8 @@
 	return q.Endpoint != "" && u.dispatcher.PollWorker(ctx, q.Worker, q.Endpoint)
 }
 
-// failedWorkers names the workers that this leader gives up, and why. It starts probes of those
-// that it is not certain of; their outcome counts the next time.
+// failedWorkers returns the workers that this leader treats as failed, with the reasons. It
+// starts probes of the workers whose state is uncertain; the next call uses their results.
 func (u *unresponsiveWorkers) failedWorkers() map[string]string {
 	failed := u.scheduler.StuckWorkers()
 	known, unresponsive := u.scheduler.UnresponsiveWorkers(u.detector.Threshold())
@@ -96,7 +96,7 @@
 	return verdict
 }
 
-// keptCount returns how many unresponsive workers were kept when last judged.
+// keptCount returns how many unresponsive workers the last evaluation did not count as failed.
 func (u *unresponsiveWorkers) keptCount() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -113,7 +113,8 @@
 	u.detector.RecordProbe(name, responsive, time.Now())
 }
 
-// respondsToAny probes a worker from here and from all peers.
+// respondsToAny probes a worker from here and from all peers, and reports whether it responds to
+// any of them.
 func (u *unresponsiveWorkers) respondsToAny(worker reachability.UnresponsiveWorker) bool {
 	responses := make(chan bool, 1+len(u.cfg.Peers))
 	go func() {
--- a/internal/controller/user_peers.go
+++ b/internal/controller/user_peers.go
@@ -10,7 +10,7 @@
 	"github.com/wallrack/wallrack/internal/submission"
 )
 
-// userPeers are the other controllers for users' requests. It implements submission.Peers.
+// userPeers passes users' requests to the other controllers. It implements submission.Peers.
 type userPeers struct {
 	*peerlinks.Leaders
 	member   *membership.Member
@@ -19,10 +19,10 @@
 	timeline *failovertiming.Timeline
 }
 
-// ServingPeers names the other controllers that reach the state service.
+// ServingPeers returns the names of the other controllers that reach the state service.
 func (u *userPeers) ServingPeers() []string { return u.links.Now().ServingPeers() }
 
-// Healthy fails only when this controller can't serve and a peer can.
+// Healthy returns false only if this controller can't serve users and a peer can.
 func (u *userPeers) Healthy() bool {
 	healthy := u.member.FencingToken() != 0 && u.links.Now().Healthy()
 	if healthy {
@@ -31,12 +31,12 @@
 	return healthy
 }
 
-// QueryPeer has a peer serve a user's request.
+// QueryPeer makes a peer serve a user's request.
 func (u *userPeers) QueryPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
 	return peerlinks.Call[submission.Request, submission.Reply](ctx, u.peers, peer, methodUser, &r)
 }
 
-// userService serves the requests of users that peers pass on.
+// userService serves the users' requests that peers forward.
 type userService struct {
 	submissions *submission.Service
 }
--- a/internal/controller/view_publisher.go
+++ b/internal/controller/view_publisher.go
@@ -17,9 +17,9 @@
 	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
-// A leader has so long for a message about workers: at first the least, then twice what it
-// took for the last one. One that takes longer may have applied it, so that it is repeated
-// as it was; over a slow link none would ever be acknowledged within a fixed time.
+// Bounds of the time-out of a message with worker views. A leader's time-out is twice the duration
+// of its last message: a message that times out may have been applied and is sent again unchanged,
+// so that over a slow link none would be acknowledged within a fixed time-out.
 const (
 	minPublishTimeout = time.Second
 	maxPublishTimeout = 4 * time.Second
@@ -30,8 +30,8 @@
 	pollRemoteInterval = 250 * time.Millisecond
 )
 
-// viewPublisher brings what changed on the workers that report here to the leaders elsewhere,
-// and to the scheduler here when it begins to lead.
+// viewPublisher sends changes of the workers that report here to the leaders elsewhere, and to
+// the local scheduler when it starts to lead.
 type viewPublisher struct {
 	cfg        *config.Platform
 	interval   time.Duration
@@ -44,7 +44,7 @@
 	receiver   *viewsync.Receiver
 	log        *slog.Logger
 
-	startedAt time.Time // of run
+	startedAt time.Time // when run began
 	turns     viewsync.Turns
 	timeouts  publishTimeouts
 }
@@ -74,7 +74,7 @@
 		}
 		others, leads := p.leaders.ShardLeaders(), p.leaders.Leads()
 		if leads && !led {
-			// Heartbeats from before this controller led count too.
+			// Heartbeats received before this controller led are used too.
 			for _, view := range p.dispatcher.WorkerViews() {
 				p.scheduler.ObserveWorker(view)
 			}
@@ -93,10 +93,10 @@
 	}
 }
 
-// elapsedMs is the time of the publisher, which counts from its start.
+// elapsedMs returns the time since run began, which is the clock of the publisher.
 func (p *viewPublisher) elapsedMs() int64 { return time.Since(p.startedAt).Milliseconds() }
 
-// publish sends a leader what there is for it.
+// publish sends a leader all pending changes.
 func (p *viewPublisher) publish(ctx context.Context, leader string) {
 	for more := true; more; {
 		msg := p.publisher.Next(p.elapsedMs(), leader)
@@ -122,9 +122,9 @@
 	return peerlinks.Call[viewsync.Message, viewsync.Reply](ctx, p.peers, leader, methodViews, msg)
 }
 
-// pollRemoteWorkers polls workers for their reports that a predecessor, which transferred its
-// shards, named: workers that can't reach it any more take seconds to find out, and the cloud's
-// list is slow.
+// pollRemoteWorkers polls the reports of workers that a predecessor named when it transferred
+// its shards. Without it the new leader waits for seconds: workers that no longer reach the
+// predecessor need that long to detect it, and the cloud's list lags.
 func (p *viewPublisher) pollRemoteWorkers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pollRemoteTimeout)
 	defer cancel()
@@ -144,8 +144,8 @@
 	}
 }
 
-// publishTimeouts are how long each leader has for a message. The zero value is ready for
-// use; it is safe for concurrent use.
+// publishTimeouts holds the time-out of each leader's next message. The zero value is ready for
+// use. It is safe for concurrent use.
 type publishTimeouts struct {
 	mu       sync.Mutex
 	byLeader map[string]time.Duration
@@ -157,7 +157,7 @@
 	return min(maxPublishTimeout, max(minPublishTimeout, p.byLeader[leader]))
 }
 
-// record notes what the last message took.
+// record sets a leader's time-out from the duration of its last message.
 func (p *publishTimeouts) record(leader string, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controller/worker_routing.go
+++ b/internal/controller/worker_routing.go
@@ -10,12 +10,12 @@
 	"github.com/wallrack/wallrack/internal/peerlinks"
 )
 
-// cancelMarginS are the seconds kept between the last response of a controller that is cut
-// off and the time by which a cancelled task must have ended.
+// cancelMarginS is the time in seconds between the last response of an isolated controller to a
+// worker and the time by which a cancelled task must have ended.
 const cancelMarginS = 3.0
 
-// workerRouter decides which controller a worker reports to, and whether this one may
-// respond. It implements dispatch.Routing.
+// workerRouter determines which controller a worker reports to, and whether this controller may
+// respond to workers. It implements dispatch.Routing.
 type workerRouter struct {
 	member        *membership.Member
 	links         *peerlinks.View
@@ -25,23 +25,23 @@
 	assigned atomic.Bool // workers are assigned to several controllers
 }
 
-// responseGrace is how long after the last time up to which it knows of all cancels this
-// controller may respond to workers: a worker's lease counts from the send of the report that
-// was responded to last, and what it runs may have been cancelled just after that time.
+// responseGrace returns how long a controller may respond to workers after the time up to which
+// it knows all cancels: a worker's lease counts from the time at which it sent the last report
+// that got a response, and its tasks may have been cancelled just after the known time.
 func responseGrace(w config.Workers) time.Duration {
 	return config.Seconds(max(2, w.CancelS-w.LongestLeaseS()-cancelMarginS))
 }
 
-// LeaderFor names the controller that a worker should report to, "" for none.
+// LeaderFor returns the name of the controller that a worker should report to, "" if there is none.
 func (r *workerRouter) LeaderFor(worker string) string { return r.links.Now().LeaderFor(worker) }
 
 // MayAnswerWorkers reports whether this controller may respond to workers: it knows of all
-// cancels that any controller confirmed up to a moment ago.
+// cancels that any controller confirmed more than the grace period ago.
 func (r *workerRouter) MayAnswerWorkers() bool {
 	return r.member.FencingToken() != 0 && time.Since(r.cancellations.KnownUntil()) < r.grace
 }
 
-// Isolated reports whether this controller can start nothing and knows of nobody who can.
+// Isolated reports whether this controller can't start tasks and knows of no controller that can.
 func (r *workerRouter) Isolated() bool {
 	return r.links.Now().Isolated() && len(r.member.LedShards()) == 0
 }
