--- a/internal/submission/accept.go
+++ b/internal/submission/accept.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	recordTimeout     = 1200 * time.Millisecond // of one write; maxRecordings fit into a user's time
+	recordTimeout     = 1200 * time.Millisecond // of one write; maxRecordAttempts writes fit into the time that a user waits
 	maxRecordAttempts = 3
 )
 
-// accept records a submission. A known id is answered with its state, whatever the body
-// says: a user that repeats a submission must not read that it was never accepted.
+// accept records a submission. If the id is known, it returns the job's state, whatever the body
+// contains: a user that repeats a submission must not read that it was never accepted.
 func (s *Service) accept(ctx context.Context, body []byte, requested *jobspec.Constraints) Reply {
 	job, constraints, rejected := s.validate(ctx, body, requested)
 	if rejected != nil {
@@ -30,7 +30,7 @@
 		return rep
 	}
 	if s.memoryPressure != nil && s.memoryPressure() {
-		// Else the process ends for want of memory, with all that it leads.
+		// Without this the process runs out of memory, and all shards that it leads stop.
 		if rep := s.storedReply(ctx, job.UID); rep.succeeded() {
 			return rep
 		}
@@ -40,8 +40,8 @@
 	return s.record(ctx, job, constraints)
 }
 
-// rejectUnlessKnown answers an invalid submission, by its id if that is known. The job is nil
-// if the body holds none.
+// rejectUnlessKnown returns the rejection of an invalid submission, or the job's state if its id
+// is known. The job is nil if the body contains none.
 func (s *Service) rejectUnlessKnown(ctx context.Context, job *wire.Job, rejected *rejection) Reply {
 	if job == nil || !wire.ValidJobID(job.UID) {
 		return rejected.reply()
@@ -66,18 +66,18 @@
 			s.jobs.JobAccepted(job, constraints, shard, acceptedMs, version)
 			return Reply{Status: http.StatusCreated, State: wire.JobState{UID: job.UID, Stage: wire.StageQueued}}
 		case errors.As(err, &conflict):
-			// With constraints the third guard is that of the job's number.
+			// If the job has constraints, the third guard is on the key of its number.
 			if constraints != nil && len(conflict.Keys) == 1 && conflict.Keys[0] == guards[2].Key {
 				return Reply{Status: http.StatusUnprocessableEntity, Reason: "number: belongs to another job"}
 			}
-			// Known already, or an attempt of ours whose answer was lost.
+			// The job was known, or an earlier attempt wrote it and its response was lost.
 			return s.storedReply(ctx, job.UID)
 		case !errors.Is(err, statestore.ErrUnknown) || ctx.Err() != nil || attempt == maxRecordAttempts:
 			s.log.Debug("submission not recorded", "job", job.UID, "err", err)
 			return unknownOutcome(err)
 		}
-		// Mostly it was carried out, and only its answer was lost. A repeat would show
-		// that too, but may lose its answer like the first.
+		// Usually the write was applied and only its response was lost. Another attempt
+		// would show that too, but its response may be lost as well.
 		if rep := s.storedReply(ctx, job.UID); rep.succeeded() {
 			return rep
 		}
--- a/internal/submission/batched_polls.go
+++ b/internal/submission/batched_polls.go
@@ -12,50 +12,52 @@
 )
 
 const (
-	maxBatchesInFlight = 2   // in flight to a peer that responds soon
+	maxBatchesInFlight = 2   // per peer, if it responds within slowBatchAfter
 	maxBatchSize       = 200 // polls in a batch
 
-	// Over a slow link a further batch is sent after slowBatchAfter, up to maxSlowBatches in flight.
+	// Over a slow link another batch is sent slowBatchAfter the last one, while fewer than
+	// maxSlowBatchesInFlight are in flight.
 	slowBatchAfter         = 250 * time.Millisecond
 	maxSlowBatchesInFlight = 16
 	batchTimeout           = 4 * time.Second
-	lateStateTTL           = 3 * time.Second // for which a reply is kept that came too late for its poll
+	lateStateTTL           = 3 * time.Second // how long a state is retained that arrived after its poll had timed out
 )
 
-// pollBatcher passes users' polls to the peer that leads the jobs. While batches are in
-// flight the next polls collect into one: in a burst of small jobs the peer would otherwise
-// spend its processor on a message a poll.
+// pollBatcher forwards users' polls to the peer that leads the jobs. Polls that arrive while
+// enough batches are in flight share the next batch. With one message per poll, a burst of small
+// jobs would occupy the peer's processor.
 type pollBatcher struct {
 	query func(ctx context.Context, r Request) (Reply, bool)
 
 	mu         sync.Mutex
-	inFlight   int       // goroutines of run
+	inFlight   int       // goroutines that run sendBatches
 	lastSentAt time.Time // of the last batch
 	pending    []*pendingPoll
-	lateStates map[string]lateState // replies that came too late, by job
+	lateStates map[string]lateState // states that arrived after their polls had timed out, by job
 }
 
 type pendingPoll struct {
 	uid     string
-	state   chan wire.JobState // gets one; without a uid: the peer does not know it
-	expired bool               // its user waits no more
+	state   chan wire.JobState // receives one state, without a UID if the peer does not know the job
+	expired bool               // the poll has timed out
 }
 
-// lateState is a state that came too late for the poll that asked for it.
+// lateState is a state that arrived after its poll had timed out.
 type lateState struct {
 	state      wire.JobState
 	receivedAt time.Time
 }
 
-// poll reads a job's state from the peer; false if the peer does not know it, or not in time.
+// poll reads a job's state from the peer. It returns false if the peer does not know the job or
+// does not respond before ctx ends.
 func (b *pollBatcher) poll(ctx context.Context, uid string) (wire.JobState, bool) {
 	p := &pendingPoll{uid: uid, state: make(chan wire.JobState, 1)}
 	b.mu.Lock()
 	b.pending = append(b.pending, p)
 	if b.inFlight < maxBatchesInFlight || b.inFlight < maxSlowBatchesInFlight && time.Since(b.lastSentAt) > slowBatchAfter {
 		b.inFlight++
-		// It serves other users' polls too, so it outlives this one's context. It ends
-		// by itself: each query has a timeout.
+		// The goroutine serves other users' polls too, so it must outlive this poll's
+		// context. It ends on its own, since each query has a time-out.
 		go b.sendBatches(context.WithoutCancel(ctx))
 	}
 	b.mu.Unlock()
@@ -70,8 +72,8 @@
 	}
 }
 
-// lateState returns the state of a job by a reply that came too late for the poll that asked
-// for it. The job may have ended since.
+// lateState returns a job's state from a response that arrived after its poll had timed out. The
+// job may have ended since.
 func (b *pollBatcher) lateState(uid string) (wire.JobState, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,7 +81,8 @@
 	return late.state, ok && time.Since(late.receivedAt) < lateStateTTL
 }
 
-// deliver hands the polls of a batch their states, and keeps those whose users wait no more.
+// deliver passes the states of a batch to its polls, and retains those of expired polls in
+// lateStates.
 func (b *pollBatcher) deliver(batch []*pendingPoll, rep *Reply, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,7 +92,7 @@
 	}
 	for i, p := range batch {
 		state := stateInBatch(rep, ok, i, p.uid)
-		p.state <- state // has room for it
+		p.state <- state // does not block: the channel has capacity 1
 		if p.expired && state.UID != "" {
 			b.lateStates[p.uid] = lateState{state, time.Now()}
 		}
@@ -108,8 +111,8 @@
 	}
 }
 
-// stateInBatch returns the state of the i-th job of a batch, without a uid if the peer does not
-// know it.
+// stateInBatch returns the state of the i-th job of a batch, without a UID if the peer does not
+// know the job.
 func stateInBatch(rep *Reply, ok bool, i int, uid string) wire.JobState {
 	switch {
 	case !ok:
@@ -122,8 +125,8 @@
 	return wire.JobState{}
 }
 
-// nextBatch takes a batch of the pending polls. With none it returns nil, and its goroutine no
-// longer counts as in flight.
+// nextBatch removes a batch from the pending polls. If none are pending, it returns nil, and the
+// calling goroutine no longer counts as in flight.
 func (b *pollBatcher) nextBatch() []*pendingPoll {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,13 +160,13 @@
 	return b
 }
 
-// localStates serves a peer's batched polls.
+// localStates serves a peer's batched polls from memory.
 func (s *Service) localStates(uids []string) Reply {
 	rep := Reply{Status: http.StatusOK, States: make([]wire.JobState, len(uids))}
 	for i, uid := range uids {
 		known, ok := s.localReply(uid)
 		switch {
-		case !ok: // without a uid
+		case !ok: // unknown: the state has no UID
 		case known.succeeded():
 			rep.States[i] = known.State
 		default:
--- a/internal/submission/batched_polls_test.go
+++ b/internal/submission/batched_polls_test.go
@@ -11,8 +11,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// slowPeer responds to batches after 50 ms with the states of all jobs but j-13, or not at all
-// while it is down.
+// slowPeer responds to batches after 50 ms with the states of all jobs but j-13, or with a
+// failure while it is down.
 type slowPeer struct {
 	mu       sync.Mutex
 	messages int
@@ -38,9 +38,9 @@
 	return rep, true
 }
 
-// Of a thousand polls at once the peer gets a few messages. Each poll gets its own job's
-// state, one for a job that is unknown there none, and a peer that does not respond delays
-// no poll beyond its timeout.
+// A thousand concurrent polls cost the peer at most 10 messages. Each poll gets its own job's
+// state, or none if the job is unknown there, and a peer that does not respond delays no poll
+// beyond its time-out.
 func TestPollsAreBatchedAndBoundByTheirTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peer := &slowPeer{}
--- a/internal/submission/capacity_test.go
+++ b/internal/submission/capacity_test.go
@@ -19,7 +19,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// newMux is the users' interface of a site with so many teams, the last of which submits.
+// newMux returns the handler of a site with the given number of teams, of which the last submits.
 func newMux(tb testing.TB, teams int) *http.ServeMux {
 	s := &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
 	cfg := &config.Platform{Node: "a"}
@@ -36,8 +36,7 @@
 	return mux
 }
 
-// submit submits a job; a repeat of one that is known takes the same way up to the state
-// service.
+// submit submits a job. A repeated submission takes the same path up to the state service.
 func submit(tb testing.TB, mux *http.ServeMux, number int) {
 	w := httptest.NewRecorder()
 	mux.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/api/jobs", strings.NewReader(strings.Replace(job, "j-7", fmt.Sprintf("j-%06d", number), 1))))
@@ -46,8 +45,8 @@
 	}
 }
 
-// connectionMemory is the bytes, heap and stacks, of so many users' connections that have
-// made a request, both ends.
+// connectionMemory returns the bytes of heap and stacks used by both ends of users' connections
+// that have each made a request.
 func connectionMemory(tb testing.TB, connections int) float64 {
 	srv := httptest.NewServer(newMux(tb, 1))
 	defer srv.Close()
@@ -68,7 +67,7 @@
 		if err != nil {
 			tb.Fatal(err)
 		}
-		_, _ = io.Copy(io.Discard, resp.Body) // a memory reader that has all
+		_, _ = io.Copy(io.Discard, resp.Body) // drains the body
 		_ = resp.Body.Close()
 	}
 	runtime.GC()
--- a/internal/submission/malformed_test.go
+++ b/internal/submission/malformed_test.go
@@ -14,9 +14,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// fieldTypes are the fields of a submission as the protocol's table has them, each with
-// the Go type that encoding/json gives its value. A trailing ? marks one that may be null,
-// and so left out.
+// fieldTypes maps the fields of a submission, as the protocol defines them, to the Go types that
+// encoding/json decodes their values into. A trailing ? marks a field that may be null or absent.
 var fieldTypes = map[string]string{
 	"uid": "string", "docket": "string", "crew": "string", "sort": "string", "urgency": "string", "pieces": "float64",
 	"cpus": "float64", "cards": "float64", "memoryGb": "float64", "kit": "string", "pullGb": "float64",
@@ -24,8 +23,8 @@
 	"reckonS": "float64", "markS": "float64", "stashS": "float64", "dueS": "float64?",
 }
 
-// missingField names a field that a submission missingField or has with a wrong type, or "". It reads the
-// body with another library than the service does, by exact names.
+// missingField returns a field that is absent from a submission or has a wrong type, or "". It
+// decodes the body with another library than the service does, and matches names exactly.
 func missingField(body []byte) string {
 	var given map[string]any
 	if json.Unmarshal(body, &given) != nil {
@@ -40,8 +39,8 @@
 	return ""
 }
 
-// canRun reports whether a submission that lacks nothing can run on the one machine type that
-// serve has, within the limit of the one team.
+// canRun reports whether a submission with all fields can run on the one machine type of the
+// stub, within the limit of the one team.
 func canRun(body []byte) bool {
 	var given map[string]any
 	if json.Unmarshal(body, &given) != nil {
@@ -73,14 +72,14 @@
 		strings.Contains(" low normal urgent production ", fmt.Sprintf(" %v ", given["urgency"]))
 }
 
-// allows reports whether a list of machine types is null or has one.
+// allows reports whether a list of machine types is null or contains machineType.
 func allows(types any, machineType string) bool {
 	list, _ := types.([]any)
 	return types == nil || slices.Contains(list, any(machineType))
 }
 
-// A submission that is accepted has every field, with its type, and can run; one that has
-// none of it is refused and leaves nothing in the state service.
+// An accepted submission has every field with its type, and can run; a rejected one leaves
+// nothing in the state service.
 func FuzzSubmission(f *testing.F) {
 	f.Add([]byte(job))
 	for name := range fieldTypes {
@@ -111,8 +110,8 @@
 	})
 }
 
-// A repeated submission of a known job is answered with its state, however little of its
-// body can be read beside the id: 400 would tell its user that it was never accepted.
+// A repeated submission of a known job returns the job's state even if every other field than the
+// id is invalid: 400 would tell the user that the job was never accepted.
 func TestRepeatedSubmissionWithInvalidFieldsReturnsState(t *testing.T) {
 	_, request := serve(t)
 	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
--- a/internal/submission/messages.go
+++ b/internal/submission/messages.go
@@ -16,7 +16,7 @@
 
 	UIDs []string `json:"uids,omitempty"` // of batched polls
 
-	AsLeader bool `json:"asLeader,omitempty"` // of a poll: only the leader's word that a job is queued will do
+	AsLeader bool `json:"asLeader,omitempty"` // of a poll: report the job as queued only if this controller leads it and is certain
 
 	Constraints *jobspec.Constraints `json:"terms,omitempty"` // of a submission
 }
@@ -30,26 +30,26 @@
 	VerbBatchPoll = "known" // reads the states of UIDs from the memory of the controller that leads the jobs
 )
 
-// Reply is the response to a Request. Status 0 means that the outcome is unknown to the peer
-// too.
+// Reply is the response to a Request. Status 0 means that the peer does not know the outcome
+// either.
 type Reply struct {
-	Status int           `json:"status"` // of HTTP
+	Status int           `json:"status"` // HTTP status code
 	State  wire.JobState `json:"state"`
-	Reason string        `json:"reason,omitempty"` // of a refusal, for the user
-	Busy   bool          `json:"busy,omitempty"`   // the outcome is unknown for want of the state service's rate limit
+	Reason string        `json:"reason,omitempty"` // of a rejection, for the user
+	Busy   bool          `json:"busy,omitempty"`   // the outcome is unknown because the state service's rate limit is exhausted
 
-	StageKnown bool `json:"settled,omitempty"` // the stage is known, not only what the state service has of every living job
+	StageKnown bool `json:"settled,omitempty"` // the stage is certain; the state service alone records every living job as queued
 
-	States       []wire.JobState `json:"states,omitempty"`    // of batched polls, in their order; unknown ones have no uid
-	StageUnknown []string        `json:"unsettled,omitempty"` // of batched polls: living jobs of which the leader can't say yet whether they run
+	States       []wire.JobState `json:"states,omitempty"`    // of batched polls, in their order; those of unknown jobs have no UID
+	StageUnknown []string        `json:"unsettled,omitempty"` // of batched polls: living jobs of which the leader does not know yet whether they run
 }
 
-// retriableAtPeer reports whether another controller may do better: a state service that is busy is
-// so for all.
+// retriableAtPeer reports whether the outcome is unknown but a peer may know it. If the state
+// service is busy, it is so for all controllers.
 func (r *Reply) retriableAtPeer() bool { return r.Status == 0 && !r.Busy }
 
-// succeeded reports whether the reply carries a state.
+// succeeded reports whether the reply contains a state.
 func (r *Reply) succeeded() bool { return r.Status/100 == 2 }
 
-// unknownOutcome is the reply for an error that leaves the outcome unknown.
+// unknownOutcome returns the reply for an error that leaves the outcome unknown.
 func unknownOutcome(err error) Reply { return Reply{Busy: errors.Is(err, statestore.ErrBusy)} }
--- a/internal/submission/recorded_test.go
+++ b/internal/submission/recorded_test.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Users' requests that one controller passes to another keep their form.
+// Users' requests that one controller forwards to another keep their encoding.
 func TestRecorded(t *testing.T) {
 	recorded.Check(t, "request_full", submission.Request{
 		Verb: submission.VerbSubmit, UID: "j-000400", Body: []byte(`{"uid":"j-000400"}`), UIDs: []string{"j-000401", "j-000402"},
--- a/internal/submission/refined_poll_test.go
+++ b/internal/submission/refined_poll_test.go
@@ -9,8 +9,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// leaderWithPendingCancel is a peer that leads a job with a pending cancel: it has no state of it that surely is
-// current, and responds to a poll with what it read in the state service and knows of the job's tasks.
+// leaderWithPendingCancel is a peer that leads a job with a pending cancel. It has no certain
+// state of the job in memory, and responds to a poll with the stored state, refined by what it
+// knows of the job's tasks.
 type leaderWithPendingCancel struct {
 	*stub
 	stage string // in its response to a poll
@@ -30,8 +31,9 @@
 	return &submission.Reply{}, nil
 }
 
-// While a cancel is pending the leader is not sure of a running job, and the state service has it as
-// queued: a poll at another controller responds with what the leader knows of its tasks.
+// While a cancel is pending, the leader is not certain of a running job's state, and the state
+// service records the job as queued. A poll at another controller must return what the leader
+// knows of the job's tasks.
 func TestPollDuringPendingCancelIsRefinedByLeader(t *testing.T) {
 	s, ask := serve(t)
 	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
--- a/internal/submission/refined_submission_test.go
+++ b/internal/submission/refined_submission_test.go
@@ -10,10 +10,11 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Guards against a running job that is called queued to a user who repeats its submission.
+// The tests guard against a running job that is reported as queued to a user who repeats its
+// submission.
 
-// leaderBesideRelay is a leader, b, beside a controller, c, that reaches the state service and passes on
-// what is stored.
+// leaderBesideRelay is the leader b beside a controller c, which reaches the state service and
+// returns stored states.
 type leaderBesideRelay struct {
 	*leaderWithPendingCancel
 	relayed int // submissions that c served
@@ -29,13 +30,13 @@
 	return r.leaderWithPendingCancel.QueryPeer(ctx, peer, request)
 }
 
-// A repeated submission at any controller, in whatever way its answer was found, is answered
-// with what the job's leader knows of its tasks, and costs the leader one poll.
+// A repeated submission returns what the job's leader knows of its tasks, at any controller and
+// however the controller found the job, and costs the leader one poll.
 func TestRepeatedSubmissionIsRefinedByLeader(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		body           string
-		memoryPressure bool // no new jobs are taken here
+		memoryPressure bool // this controller accepts no new jobs
 		down           bool // this controller does not reach the state service
 	}{
 		{name: "as it was", body: job},
@@ -68,8 +69,8 @@
 	}
 }
 
-// A new job is answered without its leader, which cannot know it yet; and a check of a
-// submission, which records nothing, asks no leader either.
+// A new job, which its leader can't know yet, is accepted without a query to the leader, and so
+// is the check of a submission, which records nothing.
 func TestNewSubmissionDoesNotQueryLeader(t *testing.T) {
 	s := newStub()
 	leader := &leaderWithPendingCancel{stub: s, stage: wire.StageRunning}
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -1,10 +1,10 @@
 // Package submission serves users over HTTP: submissions, polls and cancels, on any
 // controller, and the health check of the load balancer.
 //
-// A request is answered from this controller's own jobs and the state service. What that
-// leaves unknown goes to a peer. A response never states more than is recorded: 201 and 200
-// only for a stored job, 404 only for a name that is no job's in the state service, 503 for
-// all that is unknown. The package keeps no jobs and starts none; package scheduler does.
+// A request is served from this controller's own jobs and the state service. If the outcome is
+// unknown, the request goes to a peer. A response never states more than is recorded: 201 and
+// 200 only for a stored job, 404 only if the state service has no job of that id, 503 if the
+// outcome is unknown. The package stores no jobs and starts none; package scheduler does.
 package submission
 
 import (
@@ -31,11 +31,11 @@
 	writeTimeout = 3500 * time.Millisecond // of submissions and cancels; users wait 5 s
 	pollTimeout  = 1500 * time.Millisecond // users wait 2 s
 	peerTimeout  = 700 * time.Millisecond
-	busyRetryS   = 2   // and up to twice that, after which to retry when the state service is busy
-	maxInFlight  = 128 // submissions at once, and as many polls and cancels; more are refused
+	busyRetryS   = 2   // lower bound of Retry-After while the state service is busy; the upper one is nearly twice that
+	maxInFlight  = 128 // submissions in flight, and as many polls and cancels together; more are refused
 )
 
-// Store is what the Service needs of the state service.
+// Store is the part of the state service that a Service uses.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, error)
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
@@ -46,24 +46,24 @@
 type Jobs interface {
 	// LocalState returns the state of a job that this controller leads.
 	LocalState(uid string) (wire.JobState, bool)
-	// RefineState adds to a stored state what this controller knows besides.
+	// RefineState adds to a stored state what this controller knows of the job's tasks.
 	RefineState(stored wire.JobState) wire.JobState
 	// JobAccepted notifies the scheduler of a job that was recorded.
 	JobAccepted(job *wire.Job, t *jobspec.Constraints, shard int, atMs int64, version uint64)
-	// Cancel cancels a job for good and returns its state.
+	// Cancel cancels a job permanently and returns its state.
 	Cancel(ctx context.Context, uid string) (wire.JobState, error)
 }
 
-// StageAuthority may be implemented by Jobs. The state service has every living job as queued,
-// running or not: with a StageAuthority a user is told so only by a leader that is sure, and
-// gets 503 otherwise; without one the stored stage is the answer.
+// StageAuthority may be implemented by Jobs. The state service records every living job as
+// queued, running or not. With a StageAuthority, "queued" is reported only by a leader that is
+// certain of it, and the response is 503 otherwise; without one, the stored stage is reported.
 type StageAuthority interface {
 	// SurelyQueued reports whether this controller leads the shard of a living job and knows
 	// that no task of the job runs.
 	SurelyQueued(uid string, shard int) bool
 }
 
-// Catalog knows the machine types.
+// Catalog returns the machine types.
 type Catalog interface {
 	// All returns every machine type, or none while they are unknown.
 	All() []wire.MachineType
@@ -71,49 +71,49 @@
 
 // Peers are the other controllers.
 type Peers interface {
-	// ShardLeaders names the other controllers that lead shards.
+	// ShardLeaders returns the names of the other controllers that lead shards.
 	ShardLeaders() []string
-	// ServingPeers names the other controllers that reach the state service.
+	// ServingPeers returns the names of the other controllers that reach the state service.
 	ServingPeers() []string
-	// QueryPeer has a peer serve a request.
+	// QueryPeer makes a peer serve a request.
 	QueryPeer(ctx context.Context, peer string, r Request) (*Reply, error)
-	// Healthy reports whether this controller should take users.
+	// Healthy reports whether this controller should receive users' requests.
 	Healthy() bool
 }
 
-// Cancellations knows which cancels hold at all controllers.
+// Cancellations reports which cancels are effective at all controllers.
 type Cancellations interface {
-	// Confirm returns nil if all controllers know of a job's cancel, or stop answering workers
-	// before they could start tasks of it. On an error no user may read that the job is
-	// cancelled.
+	// Confirm returns nil if every controller knows of the job's cancel, or stops responding to
+	// workers before it could start tasks of the job. After an error the job must not be
+	// reported as cancelled.
 	Confirm(uid string) error
 }
 
-// Numbers gives jobs numbers, and finds them by those.
+// Numbers allocates job numbers and finds jobs by number.
 type Numbers interface {
-	// Take returns the first of count numbers that nobody else gets.
+	// Take allocates count consecutive numbers and returns the first.
 	Take(ctx context.Context, count int) (uint64, error)
-	// Allocated reports whether such numbers were taken.
+	// Allocated reports whether count numbers from first on were allocated.
 	Allocated(ctx context.Context, first uint64, count int) (bool, error)
 	// Find returns the job with a number, or statestore.ErrNotFound.
 	Find(ctx context.Context, n uint64) (jobid.Job, error)
 }
 
-// Service serves users. It is safe for concurrent use once Register was called.
+// Service serves users. It is safe for concurrent use after Register.
 type Service struct {
-	numbers        Numbers       // nil: jobs have none, and no constraints
-	cancellations  Cancellations // nil: nothing need be confirmed
-	memoryPressure func() bool   // nil: never
+	numbers        Numbers       // nil if jobs have no numbers and no constraints
+	cancellations  Cancellations // nil if cancels need no confirmation
+	memoryPressure func() bool   // nil if new jobs are never refused for memory
 
 	cfg             *config.Platform
 	op              *config.Operator
 	store           Store
 	jobs            Jobs
-	stages          StageAuthority // nil: the stored stage of a living job is the answer
+	stages          StageAuthority // nil if the stored stage of a living job is reported
 	catalog         Catalog
 	peers           Peers
 	log             *slog.Logger
-	submitSlots     chan struct{} // apart, so that a burst of submissions leaves room for polls and cancels
+	submitSlots     chan struct{} // separate, so that a burst of submissions leaves room for polls and cancels
 	otherSlots      chan struct{}
 	stageUnknownLog stageUnknownLog
 
@@ -121,7 +121,7 @@
 	batchers map[string]*pollBatcher // by peer
 }
 
-// Options are what the users' interface needs of the rest of its process.
+// Options are the settings and dependencies of a Service.
 type Options struct {
 	Platform *config.Platform
 	Operator *config.Operator
@@ -131,12 +131,12 @@
 	Peers    Peers
 	Log      *slog.Logger
 
-	Numbers        Numbers       // nil: jobs have none, and no constraints
-	Cancellations  Cancellations // nil: cancels need no confirmation
-	MemoryPressure func() bool   // whether to take no new jobs; nil: never
+	Numbers        Numbers       // nil if jobs have no numbers and no constraints
+	Cancellations  Cancellations // nil if cancels need no confirmation
+	MemoryPressure func() bool   // reports whether to refuse new jobs; nil if never
 }
 
-// New returns the users' interface.
+// New returns a Service.
 func New(o Options) *Service {
 	stages, _ := o.Jobs.(StageAuthority)
 	return &Service{
@@ -146,7 +146,7 @@
 	}
 }
 
-// Register adds the interface's paths.
+// Register registers the HTTP paths for users on mux.
 func (s *Service) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST /api/jobs", limited(s.submitSlots, s.submit))
 	mux.HandleFunc("GET /api/jobs/{id}", limited(s.otherSlots, s.jobRequest(VerbPoll, pollTimeout, s.poll)))
@@ -154,7 +154,7 @@
 	mux.HandleFunc("GET /up", s.serveHealth)
 }
 
-// limited refuses requests beyond the slots.
+// limited refuses requests while all slots are in use.
 func limited(slots chan struct{}, serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -184,7 +184,7 @@
 	httpjson.Write(w, http.StatusOK, struct{}{})
 }
 
-// respond answers a user.
+// respond writes a reply as the HTTP response.
 func (s *Service) respond(w http.ResponseWriter, rep Reply) {
 	switch rep = s.confirmed(rep); {
 	case rep.succeeded():
@@ -196,9 +196,9 @@
 	}
 }
 
-// confirmed replaces a reply that a job is cancelled unless the cancel holds at all
-// controllers: else a user reads of a cancel, by a poll or a repeated submission, after which
-// a task still starts.
+// confirmed replaces a reply that a job is cancelled unless the cancel is effective at all
+// controllers. Otherwise a user could read, by a poll or a repeated submission, that a job is
+// cancelled, and a task of it could still start.
 func (s *Service) confirmed(rep Reply) Reply {
 	if s.cancellations == nil || !rep.succeeded() || rep.State.Stage != wire.StageCancelled {
 		return rep
@@ -235,7 +235,7 @@
 	return s.confirmed(rep)
 }
 
-// jobRequest serves requests about the job in the path, in the given time at most.
+// jobRequest returns a handler for requests about the job in the path, bounded by timeout.
 func (s *Service) jobRequest(verb string, timeout time.Duration, serve func(ctx context.Context, req Request) Reply) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), timeout)
@@ -249,8 +249,8 @@
 	}
 }
 
-// poll reads a job's state: from the memory of the controller that leads it, if that responds,
-// which saves the state service a request.
+// poll reads a job's state, preferably from the memory of the controller that leads it, which
+// saves the state service a request.
 func (s *Service) poll(ctx context.Context, req Request) Reply {
 	if rep, ok := s.localReply(req.UID); ok {
 		return rep
@@ -263,7 +263,7 @@
 	return s.refinedByLeader(ctx, s.serveAnywhere(ctx, req))
 }
 
-// cancel cancels a job, at the controller that leads it if that responds.
+// cancel cancels a job, preferably at the controller that leads it.
 func (s *Service) cancel(ctx context.Context, req Request) Reply {
 	if rep, ok := s.queryFirst(ctx, s.peers.ShardLeaders(), req); ok {
 		return rep
@@ -271,8 +271,8 @@
 	return s.serveAnywhere(ctx, req)
 }
 
-// query has a peer serve a request within peerTimeout; false if it fails or the outcome stays
-// unknown.
+// query makes a peer serve a request within peerTimeout. It returns false if that fails or the
+// outcome remains unknown.
 func (s *Service) query(ctx context.Context, peer string, req Request) (Reply, bool) {
 	return s.queryWithin(ctx, peer, req, peerTimeout)
 }
@@ -308,8 +308,8 @@
 	return rep
 }
 
-// Serve serves a request with this controller's own jobs and the state service, without
-// peers. The caller confirms a cancel before a user reads of it.
+// Serve serves a request from this controller's own jobs and the state service, without peers.
+// The caller must confirm a cancel before it is reported to a user.
 func (s *Service) Serve(ctx context.Context, req Request) Reply {
 	switch req.Verb {
 	case VerbSubmit:
@@ -330,7 +330,7 @@
 	return Reply{Status: http.StatusBadRequest, Reason: "unknown verb"}
 }
 
-// stateReply is the reply for a job's state, or the error in its place.
+// stateReply returns the reply for a job's state, or for the error if err is not nil.
 func (s *Service) stateReply(state wire.JobState, err error) Reply {
 	switch {
 	case err == nil:
@@ -342,7 +342,7 @@
 	return unknownOutcome(err)
 }
 
-// lookup answers for a job from memory, or else from the state service.
+// lookup returns a job's state from memory, or else from the state service.
 func (s *Service) lookup(ctx context.Context, uid string) Reply {
 	if rep, ok := s.localReply(uid); ok {
 		return rep
--- a/internal/submission/service_test.go
+++ b/internal/submission/service_test.go
@@ -20,8 +20,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// stub is everything around the users' interface: no jobs in this process, and peers that
-// respond to nothing.
+// stub implements the dependencies of a Service: no jobs in this process, and peers that never
+// respond.
 type stub struct {
 	*testkit.View
 	types []wire.MachineType
@@ -55,7 +55,7 @@
 	return s, serveWith(t, s, submission.Options{})
 }
 
-// serveWith serves users from the stub's state, with the options that are given beside.
+// serveWith serves users from the stub's state with the options o.
 func serveWith(t testing.TB, s *stub, o submission.Options) (request func(method, path, body string) (int, http.Header, wire.JobState)) {
 	mux := http.NewServeMux()
 	newService(t, s, o).Register(mux)
@@ -82,8 +82,8 @@
 	return submission.New(o)
 }
 
-// A submission is answered by what is recorded: 201 once, 200 ever after, and
-// refusals only for jobs that nobody knows.
+// The response to a submission follows the recorded state: 201 once, 200 for each repeat, and
+// rejections only for unknown jobs.
 func TestSubmissionResponses(t *testing.T) {
 	s, request := serve(t)
 	with := func(old, replacement string) string { return strings.Replace(job, old, replacement, 1) }
@@ -112,7 +112,7 @@
 	}
 }
 
-// What is unknown during an outage of the state service is 503, never 404.
+// During an outage of the state service the response for an unknown job is 503, never 404.
 func TestUnknownOutcomeIsNeverNotFound(t *testing.T) {
 	s, request := serve(t)
 	if status, _, _ := request(http.MethodGet, "/api/jobs/j-1", ""); status != 404 {
@@ -147,8 +147,8 @@
 	return cancellation.ErrCannotConfirm
 }
 
-// No response says that a job is cancelled before that is confirmed, neither that to a poll
-// nor that to a repeated submission.
+// Neither a poll nor a repeated submission reports a job as cancelled before the cancel is
+// confirmed.
 func TestCancelledStageRequiresConfirmation(t *testing.T) {
 	s, request := serve(t)
 	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != 201 {
@@ -186,7 +186,7 @@
 	}
 }
 
-// Under memory pressure a controller takes no new job, but goes on answering for those that
+// Under memory pressure a controller refuses new jobs but still serves requests for those that
 // it has accepted.
 func TestMemoryPressureRefusesNewJobsOnly(t *testing.T) {
 	s, request := serve(t)
@@ -205,8 +205,8 @@
 	}
 }
 
-// A submission that was recorded is accepted at once, though neither its own answer nor
-// that of any repeat comes.
+// A submission that was recorded is accepted after one write, although the responses to all
+// writes are lost.
 func TestRecordedSubmissionIsAcceptedWhenResponsesAreLost(t *testing.T) {
 	s, request := serve(t)
 	tries := 0
--- a/internal/submission/stage.go
+++ b/internal/submission/stage.go
@@ -11,12 +11,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// stageUnknown is the stage of a living job of which its leader does not know yet whether a
-// task runs. No user is told of it.
+// stageUnknown is the stage of a living job whose leader does not know yet whether a task runs.
+// It is never reported to users.
 const stageUnknown = "unsettled"
 
-// localReply answers for a job that this controller leads; false if it does not, or is not sure of
-// the job's end.
+// localReply returns the state of a job that this controller leads. It returns false if this
+// controller does not lead the job or is not certain of its state.
 func (s *Service) localReply(uid string) (Reply, bool) {
 	state, ok := s.jobs.LocalState(uid)
 	if !ok {
@@ -28,7 +28,7 @@
 	return s.leaderReply(state), true
 }
 
-// leaderReply is the reply for a state that a job's leader gave.
+// leaderReply returns the reply for a state from a job's leader.
 func (s *Service) leaderReply(state wire.JobState) Reply {
 	if state.Stage == stageUnknown {
 		return s.stageUnknownReply(state.UID)
@@ -36,14 +36,14 @@
 	return Reply{Status: http.StatusOK, State: state, StageKnown: true}
 }
 
-// stageUnknownReply is the reply for a living job of which no leader says yet whether it runs.
+// stageUnknownReply returns the reply for a living job of which no leader knows yet whether it runs.
 func (s *Service) stageUnknownReply(uid string) Reply {
 	s.stageUnknownLog.record(s.log, uid)
 	return Reply{Status: http.StatusServiceUnavailable, Reason: "can't tell now"}
 }
 
-// storedReply answers for a job by what the state service has, and what this controller knows
-// besides.
+// storedReply returns the state of a job from the state service, refined by what this controller
+// knows of the job's tasks.
 func (s *Service) storedReply(ctx context.Context, uid string) Reply {
 	job, err := scheduler.ReadStoredJob(ctx, s.store, uid)
 	if err != nil {
@@ -56,15 +56,15 @@
 	return rep
 }
 
-// needsLeader reports whether a reply says "queued" by the state service alone, which has every
-// living job as queued. A new job (201) is queued surely.
+// needsLeader reports whether a reply says "queued" from the state service alone, which records
+// every living job as queued. A new job (201) is certainly queued.
 func (r *Reply) needsLeader() bool {
 	return r.Status == http.StatusOK && r.State.Stage == wire.StageQueued && !r.StageKnown
 }
 
-// refinedByLeader returns the reply of the job's leader in place of an unsettled one. Without
-// it a running job would be called queued: in the second after a transfer, beside a pending
-// cancel, to a user that repeats a submission.
+// refinedByLeader replaces a reply that needs the leader by the reply of the job's leader.
+// Without it a running job would be reported as queued in the second after a transfer of shards,
+// during a pending cancel, or to a user that repeats a submission.
 func (s *Service) refinedByLeader(ctx context.Context, rep Reply) Reply {
 	if !rep.needsLeader() {
 		return rep
@@ -77,7 +77,7 @@
 		if ok && refined.Status == http.StatusOK {
 			return refined
 		}
-		// The job was alive a moment ago: a reply of before can't be older than its end.
+		// The job was alive a moment ago, so it had not ended when the late state arrived.
 		if state, ok := s.batcher(leader).lateState(uid); ok {
 			return s.leaderReply(state)
 		}
@@ -88,17 +88,17 @@
 	return s.stageUnknownReply(uid)
 }
 
-// timeLeft returns the time until the deadline of a context, which has one.
+// timeLeft returns the time until the deadline of ctx, which must have one.
 func timeLeft(ctx context.Context) time.Duration {
 	deadline, _ := ctx.Deadline()
 	return time.Until(deadline)
 }
 
-// stageUnknownLogInterval is the least time between log lines about refused requests.
+// stageUnknownLogInterval is the minimum time between log lines about refused requests.
 const stageUnknownLogInterval = 10 * time.Second
 
-// stageUnknownLog counts the requests that were refused since no leader knew yet whether the job
-// runs, and logs their number. It is safe for concurrent use; its zero value is ready.
+// stageUnknownLog counts the requests that were refused because no leader knew yet whether the
+// job runs, and logs their number. It is safe for concurrent use. The zero value is ready for use.
 type stageUnknownLog struct {
 	mu       sync.Mutex
 	refused  int // since loggedAt
--- a/internal/submission/validate.go
+++ b/internal/submission/validate.go
@@ -14,10 +14,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// roundingTolerance is how far a demand may be above a limit: sums of float64 are not exact.
+// roundingTolerance is how far a request may exceed a limit: sums of float64 are not exact.
 const roundingTolerance = 1e-6
 
-// rejection is why a submission can't be accepted, as its user reads it.
+// rejection is the reason why a submission can't be accepted, with the text for its user.
 type rejection struct {
 	status int
 	reason string
@@ -29,8 +29,8 @@
 	return &rejection{http.StatusUnprocessableEntity, reason}
 }
 
-// validate reads a submission and returns the job with the constraints that it is to be
-// recorded with. The job comes with a rejection too wherever the body is an object.
+// validate parses a submission and returns the job with the constraints to be recorded. The job
+// is returned even with a rejection if the body is a JSON object.
 func (s *Service) validate(ctx context.Context, body []byte, requested *jobspec.Constraints) (*wire.Job, *jobspec.Constraints, *rejection) {
 	job, err := wire.ParseJob(body)
 	if err != nil {
@@ -43,7 +43,8 @@
 	return job, constraints, rejected
 }
 
-// checkSatisfiable rejects a job that can never run, or of which that is not known yet.
+// checkSatisfiable rejects a job whose team is unknown, that exceeds its team's limit or fits on
+// no machine type. It also rejects every job while the machine types are unknown.
 func (s *Service) checkSatisfiable(job *wire.Job) *rejection {
 	types := s.catalog.All()
 	if len(types) == 0 {
@@ -53,7 +54,7 @@
 	if team == nil {
 		return unprocessable("unknown team")
 	}
-	minParallel := 1.0 // tasks that run side by side at least
+	minParallel := 1.0 // minimum number of tasks that run at the same time
 	if job.Service() || job.Gang() {
 		minParallel = float64(job.Tasks)
 	}
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// team returns a team's settings, nil if there are none.
+// team returns a team's settings, nil if the team is unknown.
 func (s *Service) team(name string) *config.Team {
 	teams := s.cfg.Params.Teams
 	for i := range teams {
@@ -77,15 +78,16 @@
 	return nil
 }
 
-// fits reports whether a task of a job fits on an empty machine of a type that the job allows.
+// fits reports whether a task of a job fits on an empty machine of type t and the job allows the
+// type.
 func fits(job *wire.Job, t *wire.MachineType) bool {
 	return job.CPUs <= t.CPUs+roundingTolerance && job.GPUs <= t.GPUs+roundingTolerance && job.MemoryGB <= t.MemoryGB+roundingTolerance &&
 		(job.Types == nil || slices.Contains(job.Types, t.Name)) && (job.Zone == nil || slices.Contains(t.Zones, *job.Zone))
 }
 
-// resolveConstraints checks a submission's constraints and sets the ids of the jobs that it
-// depends on. Where jobs have numbers, one without constraints gets a number; where they have
-// none, the result is nil.
+// resolveConstraints validates a submission's constraints and sets the ids of the jobs that it
+// depends on. If jobs have numbers, a job without constraints gets a number; otherwise the
+// result is nil.
 func (s *Service) resolveConstraints(ctx context.Context, job *wire.Job, requested *jobspec.Constraints) (*jobspec.Constraints, *rejection) {
 	switch {
 	case s.numbers == nil && requested == nil:
