--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,11 +1,11 @@
-// Package autoscaler provisions machines of the cloud for the work that would otherwise wait
-// too long, and deletes those that are idle, faulty or lost. One controller does so at a
-// time: the one that leads the first shard.
+// Package autoscaler provisions cloud machines for work that would otherwise wait too long, and
+// deletes machines that are idle, faulty or lost. Only the controller that leads the first shard
+// does so.
 //
-// An Autoscaler keeps its view of the machines in memory. Only provisions are written to
-// the state service, each before the cloud gets the request, so that a successor repeats
-// it under the same name instead of provisioning twice. The package starts no tasks and moves
-// none: it cordons and drains workers and leaves the rest to the scheduler.
+// An Autoscaler holds its view of the machines in memory. Only provisions are written to the
+// state service, each before it is requested from the cloud, so that a successor repeats it
+// under the same name instead of provisioning twice. The package neither starts nor moves tasks:
+// it cordons and drains workers and leaves the rest to the scheduler.
 package autoscaler
 
 import (
@@ -22,63 +22,63 @@
 )
 
 const (
-	minBillingS         = 60 // the cloud bills a machine for at least so many seconds
+	minBillingS         = 60 // the cloud bills a machine for at least this many seconds
 	maxProvision        = 50 // machines in one request
 	maxDelete           = 100
 	planInterval        = time.Second
 	leaderCheckInterval = planInterval / 4
 	logInterval         = 10 * time.Second
-	cordonDelay         = 20 * time.Second // a new leader cordons nothing for so long
-	forgetAfter         = 30 * time.Second // without heartbeat and not listed for so long: the cloud took the machine
-	refusalBackoff      = 12 * time.Second // before a refused offer is requested again, if machines of it went since
-	longRefusalBackoff  = 40 * time.Second // if none went
+	cordonDelay         = 20 * time.Second // after a new leader begins, before it cordons workers
+	forgetAfter         = 30 * time.Second // after its last listing a machine without heartbeats is forgotten: the cloud took it
+	refusalBackoff      = 12 * time.Second // before a refused offer is requested again, if machines of it were lost or deleted since
+	longRefusalBackoff  = 40 * time.Second // the same, if none were
 	usedSmoothing       = 0.1              // weight of the newest sample in the average of CPUs in use
-	scaleInRequestGap   = 2                // a scale in starts at most once in the time of so many cloud requests
+	scaleInRequestGap   = 2                // minimum time between scale-ins, in the time that the rate limit allots to one request
 )
 
-// Scheduler is what the autoscaler needs of the scheduler of jobs. All methods are safe for
-// concurrent use.
+// Scheduler is the part of the job scheduler that the autoscaler uses. Ready and WorkerDeleted
+// must be safe for concurrent use; the goroutine of Run calls the other methods.
 type Scheduler interface {
 	// Ready reports whether this controller leads the autoscaler and knows its state.
 	Ready() bool
-	// Demand returns the waiting work, and the load of each worker. bootS is how long the
-	// quickest machine type takes to boot.
+	// Demand returns the pending work and the load of each worker. bootS is the boot time in
+	// seconds of the machine type that boots fastest.
 	Demand(bootS float64) ([]planner.Demand, []planner.WorkerLoad)
-	// AdmittedWork is the sum of all work accepted so far, in CPU-seconds.
+	// AdmittedWork returns the sum of all work accepted so far, in CPU-seconds.
 	AdmittedWork() float64
-	// FailedWorkers maps the lost machines that are to be deleted to the reason.
+	// FailedWorkers returns the lost machines to be deleted, with the reasons.
 	FailedWorkers() map[string]string
-	// WorkerDeleted reports that a machine was deleted: its tasks have ended.
+	// WorkerDeleted notifies the scheduler that a machine was deleted, so that its tasks have ended.
 	WorkerDeleted(name string)
-	// SetCordoned replaces the set of workers that take no new tasks.
+	// SetCordoned replaces the set of workers that accept no new tasks.
 	SetCordoned(names map[string]bool)
 }
 
-// Dispatcher is what the autoscaler needs of the dispatcher of workers.
+// Dispatcher is the part of the worker dispatcher that the autoscaler uses.
 type Dispatcher interface {
-	// Drain stops a worker from taking tasks; false if the worker is unknown.
+	// Drain stops a worker from accepting tasks. It returns false if the worker is unknown.
 	Drain(name string) bool
 	RemoveWorker(name string)
-	// PollReports polls those of the workers that had no heartbeat for so long.
+	// PollReports polls the workers without a heartbeat for at least sinceHeartbeat.
 	PollReports(ctx context.Context, endpoints map[string]string, sinceHeartbeat time.Duration)
 }
 
-// Membership guards what the autoscaler writes.
+// Membership provides the fencing token, and the versions of shard keys that guard writes.
 type Membership interface {
 	FencingToken() uint64
-	// ClaimedShards maps the shards that this controller leads to the versions of their keys.
+	// ClaimedShards returns the versions of the keys of the shards that this controller leads.
 	ClaimedShards() map[int]uint64
 	ShardKey(shard int) string
 }
 
-// offer is a kind of machine that the cloud has.
+// offer is a machine type in a zone, spot or on-demand.
 type offer struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// price is what a machine of the offer costs an hour, given its type.
+// price returns the hourly price of a machine of the offer, whose type is t.
 func (o offer) price(t wire.MachineType) float64 {
 	if o.Spot {
 		return t.SpotPrice
@@ -90,26 +90,26 @@
 type instance struct {
 	name          string
 	offer         offer
-	provisionedAt time.Time // as near as known
-	discoveredAt  time.Time // when the autoscaler first knew of it
-	listedAt      time.Time // when the newest list with it was requested
-	lastHeartbeat time.Time // zero: none yet
-	idleSince     time.Time // zero: it runs tasks
-	drainingSince time.Time // zero: it is not drained
+	provisionedAt time.Time // estimate if the machine is known only from a list or a heartbeat
+	discoveredAt  time.Time // when the autoscaler first learned of the machine
+	listedAt      time.Time // when the newest list that contains the machine was requested
+	lastHeartbeat time.Time // zero if none was received
+	idleSince     time.Time // zero if it runs tasks
+	drainingSince time.Time // zero if it is not being drained
 	cordoned      bool
-	stage         string              // by the cloud's list
-	load          *planner.WorkerLoad // nil: no heartbeat yet
+	stage         string              // in the cloud's list
+	load          *planner.WorkerLoad // nil before the first heartbeat
 }
 
-// refusal is when an offer was refused, and how many machines of it there were then.
+// refusal records when an offer was refused, and the number of its machines at that time.
 type refusal struct {
 	at       time.Time
 	machines int
 }
 
-// Autoscaler provisions and deletes machines. Run drives it; it has no other entry.
+// Autoscaler provisions and deletes machines while Run runs.
 type Autoscaler struct {
-	reservedCPUs func() float64 // capacity that must not be deleted although nothing runs on it
+	reservedCPUs func() float64 // CPUs of idle machines that must not be deleted
 
 	cfg        *config.Platform
 	op         *config.Operator
@@ -121,33 +121,33 @@
 	dispatcher Dispatcher
 	log        *slog.Logger
 
-	// Of the goroutine of Run alone.
+	// Accessed by Run only.
 	leading       bool
-	loaded        bool // the records of provisions are read
+	loaded        bool // the records of provisions were read
 	listRequested time.Time
 
 	mu                 sync.Mutex
 	instances          map[string]*instance
 	provisions         map[string]*provision         // without an outcome, by name
-	answeredProvisions map[string]*answeredProvision // whose records are still to be changed, by name
-	recordingAnswers   bool                          // a transaction for answered is under way
-	seq                int                           // of the last provision's name
+	answeredProvisions map[string]*answeredProvision // whose records are still to be updated or deleted, by name
+	recordingAnswers   bool                          // a transaction for answeredProvisions is in flight
+	seq                int                           // number in the name of the last provision
 	refusals           map[offer]refusal
-	deleting           map[string]time.Time // machines to be deleted; if they are, until when lists may show them
+	deleting           map[string]time.Time // machines being deleted (zero time), or deleted and possibly listed until the time
 
 	usedCPUs       float64   // running average of CPUs in use
-	arrivalCPUs    float64   // running average of CPUs that new work keeps in use
-	admittedWork   float64   // when arrivalCPUs was updated last
-	admittedWorkAt time.Time // zero: never
+	arrivalCPUs    float64   // running average of CPUs that newly accepted work occupies
+	admittedWork   float64   // at the last update of arrivalCPUs
+	admittedWorkAt time.Time // time of the last update of arrivalCPUs, zero if there was none
 
-	newestListAt time.Time // when the newest list that came was requested
-	listPages    int       // of the last list
+	newestListAt time.Time // when the newest list received was requested
+	listPages    int       // pages of the last list
 	stateLogged  time.Time
 	leadingSince time.Time
 	lastScaleIn  time.Time
 }
 
-// Options are what an autoscaler needs of the rest of its process.
+// Options are the settings and dependencies of an Autoscaler.
 type Options struct {
 	Platform   *config.Platform
 	Operator   *config.Operator
@@ -159,7 +159,7 @@
 	Dispatcher Dispatcher
 	Log        *slog.Logger
 
-	ReservedCPUs func() float64 // CPUs to be kept for what may come back; nil: none
+	ReservedCPUs func() float64 // CPUs to be retained for work that may return; nil if none
 }
 
 // New returns an autoscaler that knows no machines yet.
@@ -178,8 +178,8 @@
 
 var seconds = config.Seconds
 
-// Run scales whenever this controller leads the autoscaler. It returns the context's error
-// once the context has ended and all requests of its own have.
+// Run scales while this controller leads autoscaling. It returns the context's error after the
+// context and all of its own requests have ended.
 func (a *Autoscaler) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -214,7 +214,7 @@
 	}
 }
 
-// startLeading forgets what an earlier time as leader left.
+// startLeading resets the state from an earlier term as leader.
 func (a *Autoscaler) startLeading() {
 	a.leading = true
 	a.listRequested = time.Time{}
@@ -225,7 +225,7 @@
 	a.forgetDeleted(a.leadingSince)
 }
 
-// loadProvisions reads the records of provisions; false if that failed.
+// loadProvisions reads the records of provisions. It returns false if that failed.
 func (a *Autoscaler) loadProvisions(ctx context.Context) bool {
 	old, err := a.loadRecords(ctx)
 	if err != nil {
@@ -239,18 +239,18 @@
 	return true
 }
 
-// decisions are what a step found to be done outside the lock.
+// decisions are the results of one planning step that are carried out without the lock.
 type decisions struct {
 	cordoned map[string]bool
-	scaleIn  map[string]string // the reason by machine; nil: nothing now
+	scaleIn  map[string]string // reason by machine; nil if nothing is to be deleted now
 	record   bool              // the answers of provisions are to be recorded
 	repeat   []*provision
-	slots    int // provisions that may be made
+	slots    int // number of provisions that may be started
 	wants    map[offer]int
-	order    []offer // of wants, by need
+	order    []offer // keys of wants, most needed first
 }
 
-// step plans once and starts what the plan asks for.
+// step plans once and starts the resulting requests.
 func (a *Autoscaler) step(ctx context.Context, wg *sync.WaitGroup) {
 	defer usage.Count(usage.Autoscaling, time.Now())
 	demand, loads := a.scheduler.Demand(a.shortestBootS())
@@ -281,8 +281,8 @@
 	}
 }
 
-// decide updates the instances and plans. unwanted maps machines to be deleted to the
-// reason; decide adds to it.
+// decide updates the instances and plans. unwanted holds the machines to be deleted with the
+// reasons; decide adds to it.
 func (a *Autoscaler) decide(now time.Time, demand []planner.Demand, loads []planner.WorkerLoad, unwanted map[string]string) decisions {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -313,8 +313,8 @@
 	return todo
 }
 
-// observe takes in the workers' loads, and adds vanished machines to unwanted. Called with
-// mu held.
+// observe applies the workers' loads to the instances, and adds vanished machines to unwanted.
+// Called with mu held.
 func (a *Autoscaler) observe(now time.Time, loads []planner.WorkerLoad, unwanted map[string]string) {
 	used := 0.0
 	for i := range loads {
@@ -339,7 +339,7 @@
 	a.usedCPUs += usedSmoothing * (used - a.usedCPUs)
 }
 
-// logState logs the state each logInterval. Called with mu held.
+// logState logs the state at most once in logInterval. Called with mu held.
 func (a *Autoscaler) logState(now time.Time, demand []planner.Demand, loads []planner.WorkerLoad) {
 	if now.Sub(a.stateLogged) < logInterval {
 		return
--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// arrivalWindowS is the time over which arrivals are averaged.
+	// arrivalWindowS is the time constant of the average of arriving work, in seconds.
 	arrivalWindowS = 40.0
-	// unknownBootS stands for the boot time while the machine types are unknown.
+	// unknownBootS is the boot time, in seconds, assumed while the machine types are unknown.
 	unknownBootS = 30
 )
 
-// shortestBootS is how long the quickest machine type takes to boot, in seconds.
+// shortestBootS returns the boot time in seconds of the machine type that boots fastest.
 func (a *Autoscaler) shortestBootS() float64 {
 	shortest := math.Inf(1)
 	for _, t := range a.catalog.All() {
@@ -24,8 +24,8 @@
 	return shortest
 }
 
-// updateArrivals follows how many CPUs the arriving work keeps in use, given the sum of all
-// work accepted, in CPU-seconds. Called with mu held.
+// updateArrivals updates the average number of CPUs that newly accepted work occupies.
+// admittedWork is the sum of all work accepted so far, in CPU-seconds. Called with mu held.
 func (a *Autoscaler) updateArrivals(now time.Time, admittedWork float64) {
 	if a.admittedWorkAt.IsZero() || admittedWork < a.admittedWork {
 		a.admittedWork, a.admittedWorkAt = admittedWork, now
@@ -39,13 +39,13 @@
 	a.admittedWork, a.admittedWorkAt = admittedWork, now
 }
 
-// targetCPUs is the capacity to be kept for what runs and what arrives.
+// targetCPUs returns the capacity to provide for running and arriving work, with headroom.
 func (a *Autoscaler) targetCPUs() float64 {
 	return max(a.usedCPUs, a.arrivalCPUs) * (1 + a.op.HeadroomPct/100)
 }
 
-// onDemandTargetCPUs is the capacity to be kept of on-demand machines: for what runs, not for
-// what may arrive, which can wait for them.
+// onDemandTargetCPUs returns the capacity to provide before on-demand machines are cordoned or
+// drained: running work with headroom. Arriving work is left out, as it can wait for a machine.
 func (a *Autoscaler) onDemandTargetCPUs() float64 {
 	return a.usedCPUs * (1 + a.op.OnDemandHeadroomPct/100)
 }
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	refreshInterval = 45 * time.Second // of the types at the leader
+	refreshInterval = 45 * time.Second // between reads of the machine types at the leader
 	minRetry        = 200 * time.Millisecond
 	maxRetry        = 2 * time.Second
 )
 
-// Store is what the autoscaler needs of the state service.
+// Store is the part of the state service that the autoscaler uses.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, error)
 	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
 }
 
-// Catalog knows the machine types. A copy in the state service lets a controller start
-// during an outage of the cloud. It is safe for concurrent use.
+// Catalog holds the machine types. A copy in the state service lets a controller start during
+// an outage of the cloud. It is safe for concurrent use.
 type Catalog struct {
 	cloud *Cloud
 	store Store
@@ -39,7 +39,7 @@
 	types map[string]wire.MachineType
 }
 
-// NewCatalog returns an empty catalog; Run fills it.
+// NewCatalog returns an empty catalog, which Run fills.
 func NewCatalog(cloud *Cloud, store Store, log *slog.Logger) *Catalog {
 	return &Catalog{cloud: cloud, store: store, log: log}
 }
@@ -52,7 +52,7 @@
 	return t, ok
 }
 
-// All returns every machine type in no order, or none while they are unknown.
+// All returns every machine type in no particular order, or none while they are unknown.
 func (c *Catalog) All() []wire.MachineType {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -63,12 +63,12 @@
 	return out
 }
 
-// ResourcesOf is a machine type's size.
+// ResourcesOf returns the resources of an empty machine of type t.
 func ResourcesOf(t wire.MachineType) matching.Resources {
 	return matching.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
-// set replaces the types by the usable ones of a list, if there are any.
+// set replaces the types by the valid ones of a list, unless there are none.
 func (c *Catalog) set(types []wire.MachineType) {
 	byName := make(map[string]wire.MachineType, len(types))
 	for _, t := range types {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Run reads the types, first from the state service, and keeps prices fresh at the
-// controller that leads. It returns the context's error once the context has ended.
+// Run reads the types, first from the state service, and refreshes prices at the controller
+// that leads autoscaling. It returns the context's error once the context has ended.
 func (c *Catalog) Run(ctx context.Context, leads func() bool) error {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		known := len(c.All()) > 0
@@ -115,7 +115,7 @@
 	return ctx.Err()
 }
 
-// load takes the types from the state service. Without them the cloud's are awaited.
+// load reads the types from the state service, and leaves the catalog unchanged if that fails.
 func (c *Catalog) load(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
@@ -126,7 +126,7 @@
 	}
 }
 
-// persist stores the types unless all but the spot prices are stored already.
+// persist stores the types unless the stored ones differ only in spot prices.
 func (c *Catalog) persist(ctx context.Context, types []wire.MachineType) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
@@ -143,7 +143,7 @@
 	}
 }
 
-// withoutSpotPrices returns a copy of the types without what changes by the minute.
+// withoutSpotPrices returns a copy of the types without the spot prices, which change often.
 func withoutSpotPrices(types []wire.MachineType) []wire.MachineType {
 	out := append([]wire.MachineType(nil), types...)
 	for i := range out {
--- a/internal/autoscaler/cloud.go
+++ b/internal/autoscaler/cloud.go
@@ -19,9 +19,9 @@
 )
 
 var (
-	// errNoCapacity means that the cloud has no machine of an offer. Its text is the cloud's.
+	// errNoCapacity means that the cloud has no machine of an offer. The cloud sends the same text.
 	errNoCapacity = errors.New("no capacity")
-	// errUnavailable means that the cloud did not carry out the request, or that its outcome
+	// errUnavailable means that the cloud did not execute the request, or that its outcome
 	// is unknown.
 	errUnavailable = errors.New("cloud unavailable")
 	// errRejected means that the cloud will never accept the request.
@@ -30,8 +30,8 @@
 
 const (
 	cloudTimeout = 4 * time.Second
-	listPage     = 500  // machines in an answer
-	rateShare    = 0.85 // of the cloud's rate limit, which requests keep within
+	listPage     = 500  // machines in a page of the list
+	rateShare    = 0.85 // share of the cloud's rate limit that requests may use
 	maxResponse  = 8 << 20
 )
 
@@ -40,19 +40,19 @@
 	base       string
 	http       *http.Client
 	limit      *rate.Limiter
-	unanswered atomic.Bool // the last request
+	unanswered atomic.Bool // whether the last request got no response
 }
 
-// Reached reports whether the cloud answered the last request, or got none yet.
+// Reached reports whether the cloud responded to the last request, or none was sent yet.
 func (c *Cloud) Reached() bool { return !c.unanswered.Load() }
 
-// NewCloud returns a client of the cloud at HOST:PORT that keeps within a rate limit, in
-// requests a second.
+// NewCloud returns a client of the cloud at HOST:PORT that stays within a rate limit, in
+// requests per second.
 func NewCloud(addr string, rps float64) *Cloud {
 	return NewCloudOver(&http.Transport{MaxConnsPerHost: 6, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}, addr, rps)
 }
 
-// NewCloudOver is NewCloud with requests carried by the given transport.
+// NewCloudOver is like NewCloud, with the given transport.
 func NewCloudOver(transport http.RoundTripper, addr string, rps float64) *Cloud {
 	return &Cloud{
 		base:  "http://" + addr,
@@ -61,11 +61,11 @@
 	}
 }
 
-// do makes a request with body, if there is one, as JSON, and decodes the response into out,
-// unless it is nil. It fails with errNoCapacity, errUnavailable or errRejected, wrapped.
+// do sends a request with body as JSON, unless it is nil, and decodes the response into out,
+// unless that is nil. Errors wrap errNoCapacity, errUnavailable or errRejected.
 func (c *Cloud) do(ctx context.Context, method, path string, body, out any) error {
-	// The wait for the rate limit is not part of the cloud's time to answer: else a queue
-	// of requests would look like an outage.
+	// The wait for the rate limit does not count towards cloudTimeout: otherwise a queue of
+	// requests would look like an outage.
 	if err := c.limit.Wait(ctx); err != nil {
 		return fmt.Errorf("wait for the rate limit: %w: %w", errUnavailable, err)
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		return fmt.Errorf("%s %s: %w: %w", method, path, errUnavailable, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // the body is read, or the error is known
+	defer func() { _ = resp.Body.Close() }() // the body was read, or reading failed
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err != nil {
 		return fmt.Errorf("%s %s: %w: %w", method, path, errUnavailable, err)
@@ -104,14 +104,14 @@
 	return nil
 }
 
-// statusError is the error that a response stands for, if any.
+// statusError returns the error that a response stands for, nil if it succeeded.
 func statusError(status int, body []byte) error {
 	switch status {
 	case http.StatusOK:
 		return nil
 	case http.StatusServiceUnavailable:
 		var problem wire.Problem
-		_ = json.Unmarshal(body, &problem) // without a reason the cloud counts as unavailable
+		_ = json.Unmarshal(body, &problem) // an unreadable body counts as errUnavailable
 		if problem.Error == errNoCapacity.Error() {
 			return errNoCapacity
 		}
@@ -131,19 +131,19 @@
 }
 
 // provision requests machines and returns the names of those provisioned, which may be fewer.
-// The same request under the same name provisions no others.
+// Repeating a request under the same name provisions no further machines.
 func (c *Cloud) provision(ctx context.Context, req wire.ProvisionRequest) ([]string, error) {
 	var names wire.MachineNames
 	err := c.do(ctx, http.MethodPost, "/hosts", req, &names)
 	return names.Machines, err
 }
 
-// deleteMachines gives machines back to the cloud; those that are gone already are no error.
+// deleteMachines deletes machines. It is no error if some are gone already.
 func (c *Cloud) deleteMachines(ctx context.Context, names []string) error {
 	return c.do(ctx, http.MethodPost, "/hosts/release", wire.MachineNames{Machines: names}, nil)
 }
 
-// listMachines reads the list of all machines, a page a request.
+// listMachines reads the list of all machines, one page per request.
 func (c *Cloud) listMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	for after := ""; ; {
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// listRateDivisor is the seconds between lists, for each request a second that the cloud
-	// allows and each page: lists take a fifth of the rate limit.
+	// Lists use one in listRateDivisor of the requests that the rate limit allows: the interval
+	// in seconds is listRateDivisor, times the pages of a list, over the requests per second.
 	listRateDivisor          = 5
 	minListIntervalS         = 3
-	pollAfterReportIntervals = 1.5 // of the report interval, after which a listed worker is polled
-	// listRequestMargin is added to the most that a list may lag, for the way of the request.
+	pollAfterReportIntervals = 1.5 // report intervals without a heartbeat after which a listed worker is polled
+	// listRequestMargin is added to the maximum lag of a list, for the duration of the request.
 	listRequestMargin = 5 * time.Second
-	// bootFactor times its type's boot time, and bootMarginS, is how long a machine may take
-	// until its first heartbeat.
+	// A machine's first heartbeat must arrive within bootFactor times its type's boot time,
+	// and bootMarginS more.
 	bootFactor  = 3
 	bootMarginS = 25
 )
 
-// listInterval is the time between two requests for the cloud's list.
+// listInterval returns the time between two requests for the cloud's list.
 func (a *Autoscaler) listInterval() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return seconds(max(minListIntervalS, listRateDivisor*float64(max(1, a.listPages))/a.cfg.Params.Cloud.RPS))
 }
 
-// refresh reads the cloud's list, which lags and may be older than the last, deletes failed
-// machines and polls workers without heartbeats.
+// refresh reads the cloud's list, which lags and may show an earlier state than the list before
+// it, deletes failed machines and polls workers without heartbeats.
 func (a *Autoscaler) refresh(ctx context.Context) { a.refreshAt(ctx, time.Now()) }
 
 func (a *Autoscaler) refreshAt(ctx context.Context, requested time.Time) {
@@ -45,7 +45,7 @@
 	a.dispatcher.PollReports(ctx, endpoints, seconds(pollAfterReportIntervals*a.cfg.Params.Workers.ReportS))
 }
 
-// applyList updates the instances by a list. It returns the failed machines with the reason
+// applyList updates the instances from a list. It returns the failed machines with the reason
 // for their deletion, and the endpoints of the running ones.
 func (a *Autoscaler) applyList(list []wire.ListedMachine, requested time.Time) (failed, endpoints map[string]string) {
 	a.mu.Lock()
@@ -73,16 +73,17 @@
 	return failed, endpoints
 }
 
-// maxListLag is the most that a list lags behind: at times twice what it mostly does.
+// maxListLag returns the maximum lag of a list, which is twice the usual one.
 func (a *Autoscaler) maxListLag() time.Duration { return seconds(2 * a.cfg.Params.Cloud.ListLagS) }
 
-// maxListAge is how much older than the request for it a list may be.
+// maxListAge returns how much older than the request for it the state in a list may be.
 func (a *Autoscaler) maxListAge() time.Duration { return a.maxListLag() + listRequestMargin }
 
-// vanished reports whether a machine that existed at a time is gone by the cloud's list: a
-// list that shows a later time lacks it. Such a machine may be unresponsive for other reasons
-// by all that controllers know, as when it became so together with one of them, and its tasks
-// would wait for a lease and more. To delete it makes sure. Called with mu held.
+// vanished reports whether a machine that existed at a time is missing from a list that shows a
+// later time. For all that controllers know, such a machine may be unresponsive for another
+// reason, such as an outage that hit it together with a controller; its tasks would then wait for
+// its lease to expire. Deleting the machine makes certain that they have ended. Called with mu
+// held.
 func (a *Autoscaler) vanished(name string, existed time.Time) bool {
 	if a.isDeleting(name) || a.newestListAt.Sub(existed) <= a.maxListAge() {
 		return false
@@ -91,8 +92,8 @@
 	return inst == nil || inst.listedAt.Before(a.newestListAt) && a.newestListAt.Sub(inst.discoveredAt) > a.maxListAge()
 }
 
-// collectUnwanted forgets machines that the cloud took, and adds those to unwanted that never came up,
-// are faulty, or are idle and drained. Called with mu held.
+// collectUnwanted forgets machines that the cloud took, and adds machines to unwanted that never
+// came up, are faulty, or are idle and drained. Called with mu held.
 func (a *Autoscaler) collectUnwanted(now time.Time, unwanted map[string]string) {
 	for name, inst := range a.instances {
 		if a.isDeleting(name) {
@@ -114,10 +115,10 @@
 // empty reports whether a machine that is up runs no tasks.
 func (i *instance) empty() bool { return i.load != nil && i.load.Placements == 0 }
 
-// bootFailed reports whether a machine without a heartbeat takes too long to boot. The time
-// counts from when it was first known, if that is later: provisioned may be by the clock of
+// bootFailed reports whether a machine without a heartbeat exceeds the time to boot. The time
+// counts from discoveredAt if that is later than provisionedAt, which may be by the clock of
 // another controller.
 func (a *Autoscaler) bootFailed(inst *instance, now time.Time) bool {
-	t, _ := a.catalog.Type(inst.offer.Type) // an unknown type boots at once
+	t, _ := a.catalog.Type(inst.offer.Type) // the boot time of an unknown type is 0
 	return inst.lastHeartbeat.IsZero() && now.Sub(later(inst.provisionedAt, inst.discoveredAt)) > seconds(bootFactor*t.BootS+bootMarginS)
 }
--- a/internal/autoscaler/machine_list_test.go
+++ b/internal/autoscaler/machine_list_test.go
@@ -13,10 +13,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// listingCloud is a cloud of one machine. Its lists show an earlier time.
+// listingCloud is a cloud with one machine, whose lists show an earlier time.
 type listingCloud struct {
 	age     time.Duration // of the lists
-	created time.Duration // from which on, and until when, the machine exists
+	created time.Duration // time since the start of the test at which the machine is created
 	deleted time.Duration
 	now     time.Duration
 }
@@ -35,8 +35,8 @@
 	return w.Result(), nil
 }
 
-// A machine counts as vanished only when it is deleted, and within some lists after that,
-// whatever the age of each list, and however old the machine's last heartbeat is.
+// A machine counts as vanished only after it is deleted, whatever the age of each list and of
+// the machine's last heartbeat, and at the latest by a list that shows the present.
 func TestMachineVanishesOnlyOnceDeleted(t *testing.T) {
 	const lag, step = 6 * time.Second, time.Second
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// countByOffer counts the machines that there are. Called with mu held.
+// countByOffer counts the machines that are not being deleted. Called with mu held.
 func (a *Autoscaler) countByOffer() map[offer]int {
 	n := map[offer]int{}
 	for name, inst := range a.instances {
@@ -22,11 +22,11 @@
 	return n
 }
 
-// refuse notes that no more of an offer is to be had: to request it again is a waste of the
-// cloud's rate limit unless machines of it were lost or deleted since. Called with mu held.
+// refuse records that the cloud has no more machines of an offer. Unless machines of it are lost
+// or deleted, another request would only use up the cloud's rate limit. Called with mu held.
 func (a *Autoscaler) refuse(o offer) { a.refusals[o] = refusal{time.Now(), a.countByOffer()[o]} }
 
-// offers lists what may be provisioned now, in a fixed order. Called with mu held.
+// offers returns the offers that may be requested now, in a fixed order. Called with mu held.
 func (a *Autoscaler) offers(now time.Time) []offer {
 	var out []offer
 	count := a.countByOffer()
@@ -54,8 +54,8 @@
 	return out
 }
 
-// cheapestOffer is the offer at which n waiting tasks cost least: the price of a machine by the tasks
-// that it would run. It is false if none suits.
+// cheapestOffer returns the offer with the lowest cost per task for n pending tasks of a demand,
+// see costPerTask. It returns false if no offer suits.
 func (sim *simulation) cheapestOffer(d *planner.Demand, n int, spot bool) (offer, wire.MachineType, bool) {
 	var best offer
 	var bestType wire.MachineType
@@ -72,28 +72,28 @@
 	return best, bestType, !math.IsInf(lowest, 1)
 }
 
-// exhausted reports whether the plan wants as many machines of an offer as provisions can be
-// in flight for.
+// exhausted reports whether the plan wants as many machines of an offer as the provisions in
+// flight may request at most.
 func (sim *simulation) exhausted(o offer) bool {
 	return sim.wants[o] >= maxProvision*sim.autoscaler.maxInFlight()
 }
 
-// costPerTask rates an offer for n tasks of a demand, of which the plan wants some already.
+// costPerTask rates an offer for n tasks of a demand. wanted is the number of machines of the
+// offer that the plan wants already.
 func costPerTask(d *planner.Demand, n int, o offer, t wire.MachineType, wanted int) float64 {
 	capacity := tasksPerMachine(d.Resources, ResourcesOf(t))
-	// A machine much larger than the work is mostly idle, but the rest of it serves what
-	// comes next.
+	// The unused part of a machine counts half: it is idle now, but may serve later work.
 	used := min(float64(capacity), float64(n))
 	cost := o.price(t) / (0.5*used + 0.5*float64(capacity))
 	w := float64(wanted)
-	// A long boot, and machines that are wanted of the offer already, count against it.
+	// A long boot time, and machines of the offer that the plan wants already, raise the cost.
 	return cost * (1 + 0.1*t.BootS/minBillingS + w/(w+maxProvision))
 }
 
-// tasksPerMachine is how many tasks a machine of that size runs side by side, at least one.
+// tasksPerMachine returns how many tasks fit on a machine of the size, at least 1.
 func tasksPerMachine(task, size matching.Resources) int { return max(1, task.CountFitting(size, 1e6)) }
 
-// addHeadroom adds spot machines ahead of the demand, up to the target.
+// addHeadroom adds spot machines ahead of demand, up to the target capacity.
 func (sim *simulation) addHeadroom() {
 	target := sim.autoscaler.targetCPUs()
 	for total := sim.totalCPUs(); total < target; {
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// unboundedRunS is longer, in seconds, than any plan looks ahead.
+	// unboundedRunS is longer, in seconds, than the horizon of any plan.
 	unboundedRunS = 1e6
-	// bootGraceS is how much longer than a booting machine's own boot waiting work may wait.
+	// bootGraceS is how much longer, in seconds, than the remaining boot time pending work may
+	// wait for a booting machine.
 	bootGraceS = 5
-	// maxBootFactor is how many times its type's figure a machine takes to boot at most, if
-	// nothing is wrong with it.
+	// maxBootFactor bounds the boot time of a healthy machine, as a multiple of its type's.
 	maxBootFactor     = 1.5
 	minBootRemainingS = 3
-	// headroomUsedShare of all CPUs in use: beyond it machines are provisioned ahead of demand though
-	// nothing waits.
+	// headroomUsedShare is the share of CPUs in use above which machines are provisioned ahead
+	// of demand although nothing is pending.
 	headroomUsedShare = 0.7
 )
 
-// simulatedMachine is a machine in the plan: one that is up, one that boots, or one to be provisioned.
+// simulatedMachine is a machine in the plan: one that is up, booting, or to be provisioned.
 type simulatedMachine struct {
 	offer    offer
-	matrix   matching.WaitMatrix // of the time from its boot on
-	bootS    float64             // until it is up
-	instance *instance           // nil: it is not up
+	matrix   matching.WaitMatrix // of the time after it has booted
+	bootS    float64             // remaining boot time in seconds
+	instance *instance           // nil if it is not up
 }
 
-// newSimulated returns a machine of a type that runs nothing yet.
+// newSimulated returns an empty machine of type t.
 func newSimulated(o offer, t wire.MachineType, bootS float64) *simulatedMachine {
 	return &simulatedMachine{offer: o, matrix: matching.WaitMatrix{{WaitS: 0, Free: ResourcesOf(t)}}, bootS: bootS}
 }
 
-// fill places up to n tasks, all that can start together at a time, and returns how many
-// are left: an array of 25,000 small tasks, taken one by one, held a small controller's
-// processor for two seconds of every plan, and nothing else was done.
+// fill places up to n tasks within the wait time and returns how many are left. It places all
+// tasks that can start at the same time in one step: placing 25,000 small tasks one by one
+// occupies a small controller's processor for two seconds of every plan.
 func (s *simulatedMachine) fill(d *planner.Demand, n int, maxWaitS float64) int {
 	for n > 0 {
 		waitS := s.matrix.WaitWithin(d.Resources, d.RunS, maxWaitS-s.bootS)
@@ -60,34 +60,34 @@
 	return job.Types == nil || slices.Contains(job.Types, o.Type)
 }
 
-// simulation is a plan under way.
+// simulation is a plan in progress.
 type simulation struct {
 	autoscaler *Autoscaler
-	machines   []*simulatedMachine // that take work
+	machines   []*simulatedMachine // that accept tasks
 	cordoned   []*simulatedMachine
 	offers     []offer
 	wants      map[offer]int
-	order      []offer // of wants, by need
+	order      []offer // keys of wants, most needed first
 }
 
-// plan simulates the waiting work on what there is, and returns what to provision for
-// the work that would wait longer than a new machine takes to boot, and the offers in the order in
-// which they are needed. It uncordons workers that the work needs. Called with mu held.
+// plan simulates the pending work on the existing machines. It returns the machines to provision
+// for work that would wait longer than a new machine takes to boot, and their offers, most needed
+// first. It uncordons workers that the work needs. Called with mu held.
 func (a *Autoscaler) plan(now time.Time, demand []planner.Demand) (wants map[offer]int, order []offer) {
 	sim := a.simulate(now)
 	bootS := a.shortestBootS()
 	for i := range demand {
 		sim.planDemand(&demand[i], bootS)
 	}
-	// With nothing waiting and much unused, arrivals are dying down.
+	// If nothing is pending and much capacity is unused, no headroom is needed: arrivals are declining.
 	if len(demand) > 0 || a.usedCPUs > headroomUsedShare*sim.totalCPUs() {
 		sim.addHeadroom()
 	}
 	return sim.wants, sim.order
 }
 
-// simulate starts a plan with the machines that are up, boot, or are requested. Called with
-// mu held.
+// simulate starts a plan with the machines that are up, booting or requested. Called with mu
+// held.
 func (a *Autoscaler) simulate(now time.Time) simulation {
 	sim := simulation{autoscaler: a, wants: map[offer]int{}}
 	for name, inst := range a.instances {
@@ -122,15 +122,15 @@
 	return sim
 }
 
-// planDemand places a demand on what there is, and provisions for the rest. It lowers the demand's
-// count to what no machine is to be had for.
+// planDemand places a demand on the existing machines and provisions for the rest. It sets the
+// demand's count to the number of tasks for which no machine is available.
 func (sim *simulation) planDemand(d *planner.Demand, bootS float64) {
 	if d.Job.Gang() || d.Job.Service() {
-		// Its tasks run side by side: none can wait for another to end.
+		// All tasks run at the same time, so none can wait for another to end.
 		d.RunS = unboundedRunS
 	}
-	// Spot machines are provisioned for what would wait for about as long as they take to
-	// boot, on-demand ones only for what would be late without them.
+	// Spot machines are provisioned for tasks that would wait at least about as long as a machine
+	// takes to boot, on-demand machines only for tasks that would otherwise be late.
 	maxWaitS := min(bootS, d.SlackS)
 	d.Count = sim.fill(d, maxWaitS, true)
 	d.Count = sim.provision(d, true, maxWaitS)
@@ -143,8 +143,8 @@
 	d.Count = sim.provision(d, false, maxWaitS)
 }
 
-// fill places waiting tasks on the machines and returns how many are left. With untilBoot
-// work waits for a booting machine until it is up; else a boot is no reason to wait longer.
+// fill places pending tasks on the machines and returns how many are left. With untilBoot, tasks
+// may exceed maxWaitS to wait for a booting machine.
 func (sim *simulation) fill(d *planner.Demand, maxWaitS float64, untilBoot bool) int {
 	n := d.Count
 	for _, s := range sim.machines {
@@ -163,8 +163,8 @@
 	return n
 }
 
-// uncordon lets cordoned workers take tasks again before machines are provisioned, and
-// returns how many tasks are left.
+// uncordon places tasks on cordoned workers, which it uncordons, and returns how many tasks are
+// left.
 func (sim *simulation) uncordon(d *planner.Demand, maxWaitS float64) int {
 	n := d.Count
 	var remaining []*simulatedMachine
@@ -182,7 +182,7 @@
 	return n
 }
 
-// provision adds machines for a demand while an offer suits it, and returns how many tasks are
+// provision adds machines for a demand as long as an offer suits, and returns how many tasks are
 // left.
 func (sim *simulation) provision(d *planner.Demand, spot bool, maxWaitS float64) int {
 	n := d.Count
@@ -210,7 +210,7 @@
 	}
 }
 
-// totalCPUs is the CPUs of all machines in the plan.
+// totalCPUs returns the CPUs of all machines in the plan.
 func (sim *simulation) totalCPUs() float64 {
 	total := 0.0
 	for _, s := range sim.machines {
@@ -221,9 +221,9 @@
 	return total
 }
 
-// bootRemainingS is how much longer a machine that has booted for so long will take, in
-// seconds. One that is up later than machines usually are may take several times
-// as long, or never come: work that can't wait as long again gets another.
+// bootRemainingS returns the expected remaining boot time, in seconds, of a machine that has
+// booted for elapsedS. A machine that exceeds the usual boot time may take several times as long
+// or never come up, so it is expected to take as long again: work that can't wait gets another.
 func bootRemainingS(bootS, elapsedS float64) float64 {
 	if elapsedS > maxBootFactor*bootS {
 		return elapsedS
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -33,7 +33,7 @@
 	}}
 }
 
-// A job of the largest size must make no plan provision, or take time, without bound.
+// The plan for a job of the maximum size must be bounded in time and in the machines that it wants.
 func TestPlanOfLargestJobIsBounded(t *testing.T) {
 	a := testAutoscaler()
 	start := time.Now()
@@ -48,8 +48,8 @@
 	}
 }
 
-// Spot machines are provisioned where allowed and available; on-demand ones for work
-// that may not use them, or would be late.
+// Spot machines are provisioned where allowed and available; on-demand ones for work that may
+// not run on spot machines, or would otherwise be late.
 func TestPlanPrefersSpot(t *testing.T) {
 	a := testAutoscaler()
 	now := time.Now()
@@ -77,7 +77,7 @@
 	}
 }
 
-// For a job that names zone and types only machines of these are provisioned.
+// For a job with a zone and types, only machines of that zone and these types are provisioned.
 func TestPlanHonorsZoneAndTypes(t *testing.T) {
 	a := testAutoscaler()
 	d := demand(40, true, 60)
@@ -94,9 +94,8 @@
 	}
 }
 
-// Once an offer is refused, a request for it can only succeed when machines of it were
-// lost since; an autoscaler that requested every few seconds all that it could not
-// have left nothing of the cloud's rate limit for what it could.
+// After an offer is refused, a request for it can only succeed if machines of it were lost since.
+// Requesting all refused offers every few seconds would use up the cloud's rate limit.
 func TestRefusedOfferIsRequestedAgainAfterLossOrPause(t *testing.T) {
 	a := testAutoscaler()
 	o := offer{"small", "a", true}
@@ -122,8 +121,8 @@
 	}
 }
 
-// While a roll-out may be rolled back, the machines that its old version ran on
-// are kept although they are idle.
+// While a roll-out may be rolled back, the machines on which its old version ran must be
+// retained although they are idle.
 func TestReservedCapacityIsNotDrained(t *testing.T) {
 	now := time.Now()
 	for _, reserved := range []float64{0, 1e6} {
@@ -153,9 +152,9 @@
 func (d *drainCounter) PollReports(context.Context, map[string]string, time.Duration) {
 }
 
-// Many small tasks on machines that are up: planned task by task they held a small
-// controller's processor for seconds at a time, and nothing was started (incident d184 of
-// kitaboard-ops). The result must be that of one task after the other.
+// Planning many small tasks one by one occupies a small controller's processor for seconds, in
+// which nothing is started (incident d184 of kitaboard-ops). The batched plan must leave as
+// many tasks as the plan of one task after the other.
 func TestPlanOfManySmallTasksIsFastAndExact(t *testing.T) {
 	a := testAutoscaler()
 	now := time.Now()
@@ -173,7 +172,8 @@
 	if took := time.Since(start); took > 200*time.Millisecond {
 		t.Errorf("a plan took %v", took)
 	}
-	// On a quick machine the time shows nothing: each step of the plan makes a matrix.
+	// On a fast machine the time alone would not show a regression. Each step of the plan
+	// allocates a matrix, so that the allocations count the steps.
 	steps := testing.AllocsPerRun(1, func() {
 		again := demand(25_000, true, 200)
 		again[0].Resources, again[0].RunS = matching.Resources{CPUs: 0.5, MemoryGB: 1}, 5
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -13,35 +13,35 @@
 // errNotLeading means that another controller may lead the autoscaler by now.
 var errNotLeading = errors.New("no longer leads the autoscaler")
 
-// provisionExpires is how long after it was planned a provision may first be requested of the
-// cloud. A record may be written although its writer never learns of it, also minutes late,
-// and a later leader can't tell whether the cloud got the request: the work that it was for
-// is mostly done by then. Machines that were provisioned all the same are in the cloud's list.
-// It covers a failover by the end of the leader's lease.
+// provisionExpires is how long after it was planned a provision may first be requested from the
+// cloud. A record may be written minutes late without its writer learning of it, and a later leader
+// can't tell whether the cloud received the request; by then the work that it was for is mostly
+// done. Machines that were provisioned anyway appear in the cloud's list. The duration covers a
+// failover after the leader's lease expires.
 const provisionExpires = 30 * time.Second
 
-// repeatDelay is how long a provision without an answer waits before it may be repeated.
+// repeatDelay is the pause before a provision without an answer may be repeated.
 const repeatDelay = time.Second
 
-// provision is a request for machines whose outcome is unknown. Its fields other than sending
-// are used by one goroutine of scaleOut at a time, the one for which sending was set.
+// provision is a request for machines whose outcome is unknown. All fields except sending are
+// accessed only by the goroutine of scaleOut that sending was set for.
 type provision struct {
 	req           wire.ProvisionRequest
 	planned       time.Time
-	sending       bool // a goroutine works on it; guarded by Autoscaler.mu
+	sending       bool // a goroutine of scaleOut handles it; guarded by Autoscaler.mu
 	perhapsStored bool // a write of its record had an unknown outcome
-	recorded      bool // its record is written
-	requested     bool // the cloud may know of it
+	recorded      bool // the record is written
+	requested     bool // the cloud may have received the request
 }
 
 // expired reports whether a provision must not be requested any more, unless it was before.
 func expired(planned, now time.Time) bool { return now.Sub(planned) > provisionExpires }
 
-// maxInFlight is how many provisions may be without an outcome at once. More would only queue
-// for the cloud's rate limit, and the plan would count on machines that nobody requested.
+// maxInFlight returns how many provisions may be without an outcome. More would only queue for
+// the cloud's rate limit, and the plan would count on machines that were not requested yet.
 func (a *Autoscaler) maxInFlight() int { return max(2, int(2*a.cfg.Params.Cloud.RPS)) }
 
-// newProvision adds a provision of n machines, marked as being sent.
+// newProvision adds a provision of n machines and sets its field sending.
 func (a *Autoscaler) newProvision(o offer, n int, now time.Time) *provision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -53,12 +53,12 @@
 	return p
 }
 
-// readiness says what is to be done with a provision.
+// readiness is what is to be done with a provision.
 type readiness int
 
 const (
-	ready readiness = iota // request it of the cloud
-	retry                  // not known yet; try again
+	ready readiness = iota // request it from the cloud
+	retry                  // not known yet whether it is recorded; try again
 	drop                   // it must not be requested
 )
 
@@ -74,8 +74,8 @@
 	}
 }
 
-// prepare makes sure that a provision is recorded before the cloud gets the request, and
-// reports whether it may still be requested.
+// prepare ensures that a provision is recorded before it is requested from the cloud, and
+// returns whether it may still be requested.
 func (a *Autoscaler) prepare(ctx context.Context, p *provision) readiness {
 	if !p.recorded {
 		err := a.writeRecord(ctx, p)
@@ -94,7 +94,7 @@
 		}
 	}
 	if !p.requested && (expired(p.planned, time.Now()) || !a.scheduler.Ready()) {
-		// After a standstill a successor may have provisioned for the same work.
+		// If this process was paused, a successor may have provisioned for the same work.
 		a.log.Info("provision dropped", "provision", p.req.Name)
 		return drop
 	}
@@ -102,8 +102,8 @@
 	return ready
 }
 
-// scaleOut requests a provision of the cloud once it is recorded. Without an answer the
-// provision stays, to be repeated under its name by a later step.
+// scaleOut records a provision and requests it from the cloud. Without an answer the provision
+// remains, and a later step repeats it under its name.
 func (a *Autoscaler) scaleOut(ctx context.Context, p *provision) {
 	decided := false
 	defer func() {
@@ -142,7 +142,7 @@
 	}
 }
 
-// provisionAnswered takes in the machines that the cloud provisioned.
+// provisionAnswered adds the machines that the cloud provisioned.
 func (a *Autoscaler) provisionAnswered(p *provision, o offer, names []string) {
 	now := time.Now()
 	a.mu.Lock()
@@ -157,7 +157,7 @@
 	}
 }
 
-// provisionRefused notes that the cloud provisions nothing.
+// provisionRefused records that the cloud refused a provision, and has its record deleted.
 func (a *Autoscaler) provisionRefused(p *provision, o offer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -165,9 +165,9 @@
 	a.dropRecordLocked(p.req.Name)
 }
 
-// mayScaleOut reports whether enough is known of the machines that there are: those of
-// provisions whose records are deleted are in the first list of a new leader. Called with mu
-// held.
+// mayScaleOut reports whether a new leader knows enough machines to scale out: the first list
+// that it requested contains the machines of provisions whose records are deleted. Called with
+// mu held.
 func (a *Autoscaler) mayScaleOut(now time.Time) bool {
 	return a.newestListAt.After(a.leadingSince) || now.Sub(a.leadingSince) > firstListTimeout
 }
--- a/internal/autoscaler/provision_record.go
+++ b/internal/autoscaler/provision_record.go
@@ -14,7 +14,7 @@
 
 // Keys in the state service. Controllers of other versions share them.
 const (
-	provisionKey = "fleet/hire/" // and a provision's name
+	provisionKey = "fleet/hire/" // prefix of a provision's name
 	typesKey     = "fleet/types"
 )
 
@@ -26,12 +26,13 @@
 	firstListTimeout = 10 * time.Second
 )
 
-// provisionRecord is a provision as the state service has it. Without a time, it is old.
+// provisionRecord is a provision as stored in the state service. A record without times counts
+// as too old to be repeated.
 type provisionRecord struct {
 	wire.ProvisionRequest
-	PlannedMs  int64    `json:"planned,omitempty"`  // time of day
-	AnsweredMs int64    `json:"answered,omitempty"` // time of day; 0: perhaps not answered yet
-	Machines   []string `json:"machines,omitempty"` // that the cloud answered
+	PlannedMs  int64    `json:"planned,omitempty"`  // Unix ms
+	AnsweredMs int64    `json:"answered,omitempty"` // Unix ms; 0 if the answer is not recorded
+	Machines   []string `json:"machines,omitempty"` // names from the cloud's answer
 }
 
 func (p *provision) record() provisionRecord {
@@ -40,17 +41,17 @@
 
 func (r *provisionRecord) offer() offer { return offer{r.Type, r.Zone, r.Spot} }
 
-// answeredProvision is a provision that the cloud has answered, and whose record is kept until
-// its machines are in every list that a later leader may read.
+// answeredProvision is a provision that the cloud has answered. Its record is retained until its
+// machines are in every list that a later leader may read.
 type answeredProvision struct {
 	record   provisionRecord
-	recorded bool      // the record in the state service has the answer
+	recorded bool      // the stored record contains the answer
 	until    time.Time // when the record may be deleted
 }
 
-// loadRecords reads the recorded provisions: those perhaps not answered are repeated under their
-// names, and the machines of the others are counted on. It returns the names of those that
-// are too old for either.
+// loadRecords reads the records of provisions: those without a recorded answer are to be
+// repeated under their names, and the machines of the answered ones are added to the instances.
+// It returns the names of those that are too old for either, whose records are to be deleted.
 func (a *Autoscaler) loadRecords(ctx context.Context) (old []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -82,9 +83,9 @@
 	return old, nil
 }
 
-// writeRecord records a provision, so that the next leader repeats it under its name. It fails
-// with errNotLeading, or as the state service does; with statestore.ErrUnknown the record may
-// have been written.
+// writeRecord records a provision, so that the next leader repeats it under its name. The error
+// is errNotLeading, or that of the state service; after statestore.ErrUnknown the record may have
+// been written.
 func (a *Autoscaler) writeRecord(ctx context.Context, p *provision) error {
 	key := provisionKey + p.req.Name
 	version, ok := a.member.ClaimedShards()[0]
@@ -97,7 +98,7 @@
 	_, err := a.store.Txn(ctx, []wire.Guard{{Key: shard, Version: version}, {Key: key}}, wire.Op{Put: key, Value: p.record()})
 	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) && !conflict.Has(shard) {
-		return nil // by an earlier try, whose answer was lost: names are never shared
+		return nil // written by an earlier attempt whose response was lost: names are unique
 	}
 	if err != nil {
 		return fmt.Errorf("record provision %s: %w", p.req.Name, err)
@@ -105,18 +106,17 @@
 	return nil
 }
 
-// maxUnlistedTime is how long after the answer to a provision its machines may be missing from
-// the cloud's list.
+// maxUnlistedTime returns how long after the answer to a provision its machines may be missing
+// from the cloud's list.
 func (a *Autoscaler) maxUnlistedTime() time.Duration { return a.maxListLag() + time.Second }
 
-// addAnsweredLocked takes in the machines that the cloud answered to a provision. Its record
-// stays: a leader that begins before they are listed would provision them again. Called with mu
-// held.
+// addAnsweredLocked adds the machines of an answered provision. Its record is retained: a leader
+// that starts before they are listed would otherwise provision them again. Called with mu held.
 func (a *Autoscaler) addAnsweredLocked(record provisionRecord, now time.Time) {
 	a.addBooting(record, now)
 	answered := time.UnixMilli(record.AnsweredMs)
 	if answered.After(now) {
-		answered = now // by the clock of another controller, which is ahead
+		answered = now // the clock of the controller that recorded it is ahead
 	}
 	a.answeredProvisions[record.Name] = &answeredProvision{record: record, until: answered.Add(a.maxUnlistedTime())}
 }
@@ -131,15 +131,15 @@
 	}
 }
 
-// dropRecordLocked has the record of a provision deleted of which no machines come. Called with mu
-// held.
+// dropRecordLocked schedules the deletion of the record of a provision that yields no machines.
+// Called with mu held.
 func (a *Autoscaler) dropRecordLocked(name string) {
 	a.answeredProvisions[name] = &answeredProvision{recorded: true}
 }
 
-// recordAnswers writes the answers of provisions into their records, and deletes the records
-// that aren't needed any more, all in one transaction. What fails is tried again by a later
-// step; what is left when this controller leads no more is the next leader's.
+// recordAnswers writes the answers of provisions into their records, and deletes the records that
+// are no longer needed, in one transaction. A later step retries after a failure; if this
+// controller no longer leads, the next leader handles the records.
 func (a *Autoscaler) recordAnswers(ctx context.Context) {
 	version, ok := a.member.ClaimedShards()[0]
 	if !ok {
@@ -169,8 +169,8 @@
 	}
 }
 
-// answerOps returns the operations that the records of answered provisions need, as many as
-// fit into a transaction, and the names of those that they write and delete.
+// answerOps returns the operations that update the records of answered provisions, at most as
+// many as fit into a transaction, and the names of the records that they write and delete.
 func (a *Autoscaler) answerOps(now time.Time) (ops []wire.Op, recorded, deleted []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Controllers of different versions share the records, so their form must not change.
+// Controllers of different versions share the records, so their encoding must not change.
 func TestRecordedForms(t *testing.T) {
 	recorded.Check(t, "hire", provisionRecord{ProvisionRequest: fullRequest(), PlannedMs: 1700000000123, AnsweredMs: 1700000004567, Machines: []string{"m-1", "m-2"}})
 	recorded.Check(t, "hire_least", provisionRecord{})
@@ -51,22 +51,22 @@
 	}
 }
 
-// The cloud's text for an offer without capacity.
+// The cloud's text for an offer without capacity must not change.
 func TestRecordedProblem(t *testing.T) {
 	if text := errNoCapacity.Error(); text != "no capacity" {
 		t.Errorf("%q", text)
 	}
 }
 
-// leader leads shard 0 as of a version of its key.
+// leader is a Membership that leads shard 0, whose key has the given version.
 type leader struct{ version uint64 }
 
 func (l leader) FencingToken() uint64          { return 12 }
 func (l leader) ClaimedShards() map[int]uint64 { return map[int]uint64{0: l.version} }
 func (l leader) ShardKey(int) string           { return "c/shard/000" }
 
-// What the autoscaler writes, as the state service has it: a provision before the cloud gets
-// the request and after it has answered, and the machine types.
+// The autoscaler's writes to the state service: a provision before it is requested from the cloud
+// and after the answer, and the machine types.
 func TestRecordedByAutoscaler(t *testing.T) {
 	store := testkit.NewStore()
 	view := &testkit.View{Store: store}
@@ -91,7 +91,7 @@
 	checkText(t, store, "fleet/types", "types.json")
 }
 
-// checkText compares what is stored under a key with a file of testdata/recorded.
+// checkText compares the value stored under a key with a file of testdata/recorded.
 func checkText(t *testing.T, store *testkit.Store, key, file string) {
 	t.Helper()
 	text := recorded.Read(t, file)
@@ -100,7 +100,7 @@
 	}
 }
 
-// The requests that the cloud's client makes, as the cloud gets them.
+// The requests of the cloud's client, as the cloud receives them.
 func TestRecordedRequests(t *testing.T) {
 	var requests []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -11,16 +11,17 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// minUptimeS is for how long a machine is kept at least: less saves next to nothing.
+// minUptimeS is the minimum uptime, in seconds, of a machine. Deleting it earlier saves next to
+// nothing, since the cloud bills at least minBillingS.
 const minUptimeS = minBillingS - 5
 
-// cordon chooses on-demand workers to cordon, the emptiest first, while there is more
-// than what runs and the headroom need, and returns all that are cordoned. Without it, work
-// that could as well run elsewhere keeps every one of them from falling idle. Called with mu
-// held.
+// cordon cordons on-demand workers, those with the smallest share of CPUs in use first, while the
+// capacity exceeds what running work and headroom need. It returns all cordoned workers. Without
+// it, tasks that could run elsewhere would prevent on-demand workers from becoming idle. Called
+// with mu held.
 func (a *Autoscaler) cordon(now time.Time, demand []planner.Demand) map[string]bool {
 	if now.Sub(a.leadingSince) < cordonDelay {
-		return nil // what runs is not known well yet
+		return nil // the loads are not known completely yet
 	}
 	candidates, spareCPUs := a.cordonCandidates(now, demand)
 	slices.SortFunc(candidates, func(x, y *instance) int {
@@ -39,8 +40,8 @@
 	return names
 }
 
-// cordonCandidates returns the on-demand workers, and how many CPUs of workers that are not
-// cordoned are beyond what runs, what waits, the headroom and the reserve.
+// cordonCandidates returns the on-demand workers, and by how many CPUs the workers that are not
+// cordoned exceed the running and pending work, the headroom and the reserve.
 func (a *Autoscaler) cordonCandidates(now time.Time, demand []planner.Demand) (candidates []*instance, spareCPUs float64) {
 	spareCPUs = -a.onDemandTargetCPUs() - a.reservedCPUs()
 	for i := range demand {
@@ -61,27 +62,27 @@
 	return candidates, spareCPUs
 }
 
-// onDemand reports whether an offer is on-demand where there are spot machines of the type.
+// onDemand reports whether an offer is on-demand although the type has spot machines too.
 func (o offer) onDemand(t wire.MachineType) bool { return !o.Spot && t.SpotPrice > 0 }
 
-// unresponsive reports whether a worker is beyond the heartbeat timeout.
+// unresponsive reports whether a worker's last heartbeat is older than the heartbeat timeout.
 func (a *Autoscaler) unresponsive(inst *instance, now time.Time) bool {
 	return now.Sub(inst.lastHeartbeat) > seconds(a.op.HeartbeatTimeoutS)
 }
 
-// usedShare is the share of a worker's CPUs that are in use.
+// usedShare returns the share of a worker's CPUs that are in use.
 func (a *Autoscaler) usedShare(inst *instance) float64 {
 	t, _ := a.catalog.Type(inst.offer.Type)
 	return inst.load.Used.CPUs / max(1, t.CPUs)
 }
 
-// pricePerCPU is what a machine costs an hour and CPU.
+// pricePerCPU returns the hourly price of a machine per CPU.
 func (a *Autoscaler) pricePerCPU(inst *instance) float64 {
 	t, _ := a.catalog.Type(inst.offer.Type)
 	return inst.offer.price(t) / max(1, t.CPUs)
 }
 
-// lowestPricePerCPU is that of the machine type that costs least.
+// lowestPricePerCPU returns the lowest hourly price per CPU of all machine types.
 func (a *Autoscaler) lowestPricePerCPU() float64 {
 	lowest := math.Inf(1)
 	for _, t := range a.catalog.All() {
@@ -90,9 +91,10 @@
 	return lowest
 }
 
-// drainIdle drains machines that have done nothing for a while, the most expensive first, as
-// long as the headroom stays; none of a kind, spot or on-demand, that the plan wants. A later
-// step deletes them. Called with mu held.
+// drainIdle drains machines that have been idle for a while, the most expensive first, as long as
+// the target capacity remains. It drains no spot machines if the plan wants spot machines, and no
+// on-demand ones if it wants those, unless they are cordoned. A later step deletes the drained
+// machines. Called with mu held.
 func (a *Autoscaler) drainIdle(now time.Time, wants map[offer]int) {
 	wanted := map[bool]bool{} // by whether they are spot machines
 	for o := range wants {
@@ -105,7 +107,7 @@
 	lowestPrice := a.lowestPricePerCPU()
 	for _, inst := range idle {
 		t, _ := a.catalog.Type(inst.offer.Type)
-		// A cordoned worker gets no tasks: waiting would only cost.
+		// A cordoned worker gets no tasks, so it is drained as soon as it is idle.
 		if !inst.cordoned && now.Sub(inst.idleSince) < seconds(a.op.IdleS*lowestPrice/a.pricePerCPU(inst)) || now.Sub(inst.provisionedAt) < minUptimeS*time.Second {
 			continue
 		}
@@ -119,9 +121,9 @@
 	}
 }
 
-// needed reports whether the capacity would be too far below its target without a machine.
-// The number of machines that is nearest to the target stays, so that the last ones go too
-// when nothing more arrives.
+// needed reports whether the capacity would fall too far below its target without a machine. It
+// retains the number of machines closest to the target, so that the last machines are drained
+// too when no more work arrives.
 func (a *Autoscaler) needed(o offer, t wire.MachineType, totalCPUs float64) bool {
 	target := a.targetCPUs()
 	if o.onDemand(t) {
@@ -131,8 +133,8 @@
 	return totalCPUs-t.CPUs < target-t.CPUs/2
 }
 
-// idleWorkers follows since when each worker is idle, and returns those that are, and the
-// CPUs of all.
+// idleWorkers updates since when each worker is idle. It returns the idle workers, and the CPUs
+// of all workers.
 func (a *Autoscaler) idleWorkers(now time.Time) (idle []*instance, totalCPUs float64) {
 	for name, inst := range a.instances {
 		if inst.load == nil || a.isDeleting(name) || a.unresponsive(inst, now) {
@@ -153,15 +155,15 @@
 	return idle, totalCPUs
 }
 
-// scaleIn deletes machines, given with the reasons, up to maxDelete of them. Once the cloud
-// has answered, they are gone, and the scheduler and the dispatcher are notified.
+// scaleIn deletes up to maxDelete machines, given with the reasons. After the cloud's answer it
+// notifies the scheduler and the dispatcher.
 func (a *Autoscaler) scaleIn(ctx context.Context, reasons map[string]string) {
 	batch := a.startDeleting(reasons)
 	if len(batch) == 0 {
 		return
 	}
-	// What was decided before a standstill is not acted on after it: a successor may use
-	// these machines by now.
+	// If this process was paused since the decision, a successor may use these machines by
+	// now.
 	err := errNotLeading
 	if a.scheduler.Ready() {
 		err = a.cloud.deleteMachines(ctx, batch)
@@ -185,14 +187,14 @@
 	}
 }
 
-// isDeleting reports whether a machine is being deleted, or was and may still be listed. Called
-// with mu held.
+// isDeleting reports whether a machine is being deleted, or was deleted and may still be listed.
+// Called with mu held.
 func (a *Autoscaler) isDeleting(name string) bool {
 	_, ok := a.deleting[name]
 	return ok
 }
 
-// forgetDeleted drops the deleted machines that no list shows any more. Called with mu held.
+// forgetDeleted removes the deleted machines that no list contains any more. Called with mu held.
 func (a *Autoscaler) forgetDeleted(now time.Time) {
 	for name, unlisted := range a.deleting {
 		if !unlisted.IsZero() && now.After(unlisted) {
@@ -201,7 +203,8 @@
 	}
 }
 
-// startDeleting marks machines as being deleted that aren't yet, and returns them.
+// startDeleting marks up to maxDelete machines that are not marked yet as being deleted, and
+// returns their names.
 func (a *Autoscaler) startDeleting(reasons map[string]string) (batch []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -214,7 +217,7 @@
 	return batch
 }
 
-// stopDeleting takes the marks back.
+// stopDeleting removes the marks of startDeleting.
 func (a *Autoscaler) stopDeleting(batch []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
