--- a/internal/slo/monitor.go
+++ b/internal/slo/monitor.go
@@ -1,8 +1,8 @@
-// Package slo watches the living jobs for missed service-level objectives. It raises one
-// alert for each objective that a job misses, with a message that support or sales can pass
-// on, clears it once that is over, and keeps quantiles of how late starts and ends were. All
-// of it is of the jobs that this controller leads, in memory, and lost with the process. It
-// changes nothing about the jobs.
+// Package slo monitors the living jobs for missed service-level objectives. It raises one alert
+// for each objective that a job misses, with a message that support or sales can pass on, and
+// clears the alert when the objective is no longer missed. It also records quantiles of how late
+// jobs started and ended. It covers the jobs that this controller leads, holds its state in
+// memory only, and does not change the jobs.
 package slo
 
 import (
@@ -23,31 +23,31 @@
 
 const (
 	checkInterval    = time.Second
-	maxClearedAlerts = 200              // cleared alerts that are kept, the latest
-	maxRecordedMs    = int64(3_600_000) // longer times are not counted
+	maxClearedAlerts = 200              // most recent cleared alerts that are retained
+	maxRecordedMs    = int64(3_600_000) // longer durations are not recorded
 )
 
-// Jobs gives the living jobs.
+// Jobs provides the living jobs.
 type Jobs interface{ JobStatuses() []scheduler.JobStatus }
 
-// Alert is one objective that one job misses, or missed.
+// Alert is an objective that a job misses or has missed.
 type Alert struct {
 	Job           string     `json:"job"`
 	Class         string     `json:"class"`
-	ObjectiveKind string     `json:"aim"`     // kind of the objective
+	ObjectiveKind string     `json:"aim"`     // see config.Objective
 	Page          string     `json:"page"`    // for on-call
 	Message       string     `json:"message"` // for support and sales to pass on
 	Since         time.Time  `json:"since"`
-	Cleared       *time.Time `json:"cleared,omitempty"` // nil: it is still missed
+	Cleared       *time.Time `json:"cleared,omitempty"` // nil while the objective is missed
 }
 
-// alertKey names a job and an objective, by its index, that it misses.
+// alertKey identifies an alert by the job and the index of the objective.
 type alertKey struct {
 	uid       string
 	objective int
 }
 
-// Monitor watches the living jobs. Its methods may be called concurrently.
+// Monitor monitors the living jobs. It is safe for concurrent use.
 type Monitor struct {
 	objectives []config.Objective
 	jobs       Jobs
@@ -55,10 +55,10 @@
 
 	mu           sync.Mutex
 	open         map[alertKey]*Alert
-	cleared      []Alert                        // in the order in which they were
-	lastStatuses map[string]scheduler.JobStatus // the jobs as of the last check, by uid
-	waitMs       *hdrhistogram.Histogram        // from a job's submission to its last task's start
-	lateMs       *hdrhistogram.Histogram        // of jobs that ended past their deadline, by how much
+	cleared      []Alert                        // in the order in which they were cleared
+	lastStatuses map[string]scheduler.JobStatus // statuses at the last check, by UID
+	waitMs       *hdrhistogram.Histogram        // time from a job's submission to the start of its last task
+	lateMs       *hdrhistogram.Histogram        // by how much jobs ended past their deadlines
 }
 
 // New returns a monitor of the objectives. It checks nothing until Run.
@@ -75,8 +75,7 @@
 	return periodic.Run(ctx, checkInterval, func() { m.check(time.Now()) })
 }
 
-// check compares the living jobs with the objectives, and with what they were at the last
-// check.
+// check compares the living jobs with the objectives and with their statuses at the last check.
 func (m *Monitor) check(now time.Time) {
 	jobs := m.jobs.JobStatuses()
 	m.mu.Lock()
@@ -87,7 +86,7 @@
 		job := &jobs[i]
 		living[job.UID] = *job
 		if last := m.lastStatuses[job.UID]; last.Started < job.Tasks && job.Started >= job.Tasks {
-			_ = m.waitMs.RecordValue(max(1, job.Age.Milliseconds())) // above longestMs it is not counted
+			_ = m.waitMs.RecordValue(max(1, job.Age.Milliseconds())) // an error means that the value exceeds maxRecordedMs
 		}
 		m.raiseAlerts(job, now, stillMissed)
 	}
@@ -96,8 +95,8 @@
 	m.clearAlerts(now, stillMissed)
 }
 
-// raiseAlerts raises an alert for each objective that the job misses and has none for, and
-// adds all that it misses to stillMissed.
+// raiseAlerts raises an alert for each objective that the job misses unless it is open already,
+// and adds all missed objectives to stillMissed.
 func (m *Monitor) raiseAlerts(job *scheduler.JobStatus, now time.Time, stillMissed map[alertKey]bool) {
 	for i := range m.objectives {
 		objective := &m.objectives[i]
@@ -115,19 +114,19 @@
 	}
 }
 
-// countLate counts the jobs that ended since the last check past their deadline.
+// countLate records the lateness of jobs that ended since the last check past their deadlines.
 func (m *Monitor) countLate(living map[string]scheduler.JobStatus) {
 	for uid, job := range m.lastStatuses {
 		if _, ok := living[uid]; ok || job.DueS == nil || job.Cancelled {
 			continue
 		}
 		if lateS := job.Age.Seconds() - *job.DueS; lateS > 0 {
-			_ = m.lateMs.RecordValue(int64(lateS * 1000)) // above longestMs it is not counted
+			_ = m.lateMs.RecordValue(int64(lateS * 1000)) // an error means that the value exceeds maxRecordedMs
 		}
 	}
 }
 
-// clearAlerts clears the alerts of what is not missed any more.
+// clearAlerts clears the open alerts whose objectives are no longer missed.
 func (m *Monitor) clearAlerts(now time.Time, stillMissed map[alertKey]bool) {
 	for key, alert := range m.open {
 		if stillMissed[key] {
@@ -147,14 +146,14 @@
 	Past []Alert `json:"past"` // cleared ones, earliest first
 }
 
-// Register adds the operators' path GET /ops/alerts.
+// Register registers the operators' path GET /ops/alerts.
 func (m *Monitor) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /ops/alerts", func(w http.ResponseWriter, _ *http.Request) {
 		httpjson.Write(w, http.StatusOK, m.alerts())
 	})
 }
 
-// alerts copies the open and the cleared alerts.
+// alerts returns copies of the open and the cleared alerts.
 func (m *Monitor) alerts() alertsResponse {
 	m.mu.Lock()
 	open := make([]Alert, 0, len(m.open))
@@ -167,7 +166,7 @@
 	return alertsResponse{Open: open, Past: cleared}
 }
 
-// quantiles describes a histogram, in its unit.
+// quantiles summarizes a histogram, in the unit of its values.
 type quantiles struct {
 	Count int64 `json:"count"`
 	Max   int64 `json:"max"`
@@ -176,16 +175,16 @@
 	P99   int64 `json:"p99"`
 }
 
-// Stats returns, for the operators' statistics, quantiles of the milliseconds from jobs'
-// submissions to their last starts ("wait_ms"), and from deadlines to ends past them
-// ("late_ms"), each since this process began. The map is the caller's.
+// Stats returns quantiles, in milliseconds, since this process began, for the operators'
+// statistics: "wait_ms" from jobs' submissions to the starts of their last tasks, and "late_ms"
+// from deadlines to ends past them. The caller owns the map.
 func (m *Monitor) Stats() map[string]any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return map[string]any{"wait_ms": quantilesOf(m.waitMs), "late_ms": quantilesOf(m.lateMs)}
 }
 
-// quantilesOf reads the quantiles of a histogram.
+// quantilesOf returns the quantiles of a histogram.
 func quantilesOf(h *hdrhistogram.Histogram) quantiles {
 	return quantiles{
 		Count: h.TotalCount(), Max: h.Max(),
--- a/internal/slo/monitor_test.go
+++ b/internal/slo/monitor_test.go
@@ -17,7 +17,7 @@
 	"github.com/wallrack/wallrack/internal/slo"
 )
 
-// jobs are living jobs that a test sets.
+// jobs is a set of living jobs that a test controls.
 type jobs struct {
 	mu     sync.Mutex
 	living []scheduler.JobStatus
@@ -36,8 +36,8 @@
 	j.living = living
 }
 
-// A job that waits past its objective raises one alert, not one at every check, which is
-// cleared when it is over; a cancelled one raises none.
+// A job that waits beyond its objective raises one alert, not one at every check. The alert is
+// cleared once the job has started. A cancelled job raises none.
 func TestMissedObjectiveAlertsOnceUntilOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		living := &jobs{}
--- a/internal/slo/objective.go
+++ b/internal/slo/objective.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// The kinds of objectives, as the platform's settings name them.
+// Kinds of objectives in the platform's settings.
 const (
 	kindWait     = "wait"     // all tasks start within a time
 	kindFinished = "finished" // all tasks are done within a time
@@ -31,7 +31,7 @@
 	return false
 }
 
-// describe says how a job misses an objective: to on-call, and in words to be passed on.
+// describe describes a missed objective: page for on-call, message for support and sales.
 func describe(objective *config.Objective, job *scheduler.JobStatus) (page, message string) {
 	ageS := job.Age.Seconds()
 	switch objective.Kind {
--- a/internal/slo/recorded_test.go
+++ b/internal/slo/recorded_test.go
@@ -25,8 +25,8 @@
 	jsonTime = regexp.MustCompile(`"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(Z|[+-]\d\d:\d\d)"`)
 )
 
-// The response about alerts of each kind, open and cleared, their log lines, and the keys of
-// the statistics stay as recorded.
+// The response with alerts of each kind, open and cleared, their log lines, and the keys of the
+// statistics stay as recorded.
 func TestRecordedAlerts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log strings.Builder
@@ -52,7 +52,7 @@
 			mux.ServeHTTP(response, httptest.NewRequest(http.MethodGet, "/ops/alerts", nil))
 			fmt.Fprintf(&text, "%d %s %s\n", response.Code, response.Header().Get("Content-Type"), jsonTime.ReplaceAllString(response.Body.String(), "TIME"))
 		}
-		for _, job := range late { // one after the other, which gives their order
+		for _, job := range late { // one at a time, so that the order of the alerts is fixed
 			living.add(job)
 			query()
 		}
