--- a/internal/jobid/jobid.go
+++ b/internal/jobid/jobid.go
@@ -1,12 +1,12 @@
-// Package jobid allocates the numbers by which Slurm's users name jobs, and finds jobs by them.
+// Package jobid allocates the numbers by which Slurm's users name jobs, and finds jobs by number.
 //
-// Controllers reserve blocks of one counter in the state service, so that no number is allocated
-// twice; numbers that a controller reserved and did not use stay unused. Each job has a key there
-// under its last number, by which any of its numbers finds it. Task k of a job with number n also
-// has the number n+k.
+// Controllers reserve blocks of numbers from one counter in the state service, so that no number
+// is allocated twice; numbers that a controller reserved and did not use stay unused. Task k of a
+// job with number n has the number n+k. Each job has one key in the state service, which contains
+// its last number; a range read finds the key by any of the job's numbers.
 //
-// The package does not write the keys of jobs: that is done along with a job's acceptance, which
-// tells whether the job exists.
+// The package does not write these keys. A job's key is written in the transaction that records
+// the job's acceptance, so that the key exists exactly if the job does.
 package jobid
 
 import (
@@ -23,20 +23,21 @@
 
 const (
 	counterKey         = "numbers"
-	jobPrefix          = "number/" // and the last number of a job: see Find
-	blockSize          = 10_000    // numbers reserved at once: a few arrays would use up less in no time
+	jobPrefix          = "number/" // prefix of a job's last number, see Find
+	blockSize          = 10_000    // numbers reserved at a time; a few job arrays would exhaust a smaller block
 	maxReserveAttempts = 4         // to advance the counter
-	numberLimit        = 1e14      // numbers from here on have more digits than keys, and are nobody's
+	numberLimit        = 1e14      // numbers from here on have more digits than keys do, and are never allocated
 )
 
 // Store is the part of the state service that an Allocator uses.
 type Store interface {
-	// Get reads a key; statestore.ErrNotFound: there is none.
+	// Get reads a key. The error is statestore.ErrNotFound if it does not exist.
 	Get(ctx context.Context, key string) (wire.Item, error)
-	// Txn applies ops if all guards hold, and returns the version that they gave; else the
-	// error is a *statestore.Conflict, or statestore.ErrUnknown if they may have been applied.
+	// Txn applies ops if all guards hold, and returns the version of the written keys. Otherwise
+	// the error is a *statestore.ConflictError, or statestore.ErrUnknown if the ops may have been
+	// applied.
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
-	// Page reads at most so many keys with the prefix, in order, beyond after.
+	// Page returns up to limit keys with the prefix that follow after, in order.
 	Page(ctx context.Context, prefix, after string, limit int) (items []wire.Item, more bool, err error)
 }
 
@@ -44,24 +45,24 @@
 type Allocator struct {
 	store Store
 
-	mu           sync.Mutex // held over requests: a second one would only conflict with the first
-	next         uint64     // the first number of the reserved block that is not taken; 0: there is no block
-	end          uint64     // the first number after the reserved block
-	allocatedEnd uint64     // every number below is known to be allocated
+	mu           sync.Mutex // held during requests: a concurrent one would only conflict with the first
+	next         uint64     // first unallocated number of the reserved block; 0 if no block is reserved
+	end          uint64     // first number after the reserved block
+	allocatedEnd uint64     // all numbers below are known to be allocated
 }
 
 // New returns an allocator that has reserved no block yet.
 func New(store Store) *Allocator { return &Allocator{store: store} }
 
-// counter is the record of the counter.
+// counter is the stored record of the counter.
 type counter struct {
 	Next uint64 `json:"next"`
 }
 
-// Take allocates count consecutive numbers, one at least, of the reserved block and returns the
-// first: seldom a write, but in no order with those of other controllers. What is left of a
-// block that has too few is not used. The error is statestore.ErrUnavailable if no block could
-// be reserved just now, or that of the state service.
+// Take allocates count consecutive numbers, at least one, from the reserved block and returns the
+// first. It seldom writes to the state service, but the numbers have no order across controllers.
+// If the block has too few numbers, the rest of it stays unused. The error is
+// statestore.ErrUnavailable if no block could be reserved, or that of the state service.
 func (a *Allocator) Take(ctx context.Context, count int) (uint64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,15 +80,15 @@
 	return first, nil
 }
 
-// Next allocates count consecutive numbers, one at least, from the counter itself, at a write for
-// each call: numbers grow in the order of the calls, over all controllers. Errors are as Take's.
+// Next allocates count consecutive numbers, at least one, from the counter with a write for each
+// call: numbers increase in the order of the calls across all controllers. Errors are as for Take.
 func (a *Allocator) Next(ctx context.Context, count int) (uint64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.reserve(ctx, numberCount(count))
 }
 
-// numberCount is how many numbers a job of so many tasks has.
+// numberCount returns how many numbers a job of the given number of tasks has.
 func numberCount(tasks int) uint64 { return uint64(max(1, tasks)) }
 
 // reserve advances the counter by n and returns the first number reserved. The caller holds mu.
@@ -105,8 +106,8 @@
 			a.allocatedEnd = max(a.allocatedEnd, end)
 			return c.Next, nil
 		case errors.As(err, &conflict), errors.Is(err, statestore.ErrUnknown):
-			// Another controller reserved them, or this one did and lost the response: they
-			// stay unused.
+			// Another controller advanced the counter, or this one did and the response was
+			// lost; then the numbers stay unused.
 		default:
 			return 0, fmt.Errorf("reserve numbers: %w", err)
 		}
@@ -114,7 +115,8 @@
 	return 0, fmt.Errorf("reserve numbers: given up after %d attempts: %w", maxReserveAttempts, statestore.ErrUnavailable)
 }
 
-// readCounter reads the counter and the version of its record, 0 if there is none. The caller holds mu.
+// readCounter reads the counter and the version of its record, 0 if there is none. The caller
+// holds mu.
 func (a *Allocator) readCounter(ctx context.Context) (counter, uint64, error) {
 	c := counter{Next: 1}
 	item, err := a.store.Get(ctx, counterKey)
@@ -131,9 +133,9 @@
 	return c, item.Version, nil
 }
 
-// Allocated reports whether count consecutive numbers from first on were allocated, by any
-// controller. A client that names others is to be refused: a later job would get the same
-// numbers.
+// Allocated reports whether count consecutive numbers from first on were allocated by any
+// controller. Numbers of a client that were not allocated must be rejected, since a later job
+// would get the same ones.
 func (a *Allocator) Allocated(ctx context.Context, first uint64, count int) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -149,22 +151,22 @@
 	return end <= a.allocatedEnd, nil
 }
 
-// Job is the job that numbers belong to.
+// Job is the job that a range of numbers belongs to.
 type Job struct {
 	UID   string `json:"uid"`
 	First uint64 `json:"first"` // its first number
-	Tasks int    `json:"tasks"` // and it has as many, one at least
+	Tasks int    `json:"tasks"` // number of tasks; the job has as many numbers, at least one
 }
 
-// Key returns the key that ties a job to its numbers. It is to be written along with the job's
-// acceptance, if it does not exist.
+// Key returns the key that maps a job's numbers to the job. It must be written in the transaction
+// that records the job's acceptance, guarded to not exist yet.
 func Key(first uint64, tasks int) string { return keyOfLast(first + numberCount(tasks) - 1) }
 
-// keyOfLast is the key of the job whose last number is n.
+// keyOfLast returns the key of the job whose last number is n.
 func keyOfLast(n uint64) string { return fmt.Sprintf("%s%014d", jobPrefix, n) }
 
 // Find returns the job that a number belongs to, or statestore.ErrNotFound. The first key at or
-// beyond the number is that of the job with the next higher last number.
+// after the number belongs to the job with the next higher last number.
 func (a *Allocator) Find(ctx context.Context, n uint64) (Job, error) {
 	if n == 0 || n >= numberLimit {
 		return Job{}, statestore.ErrNotFound
--- a/internal/jobid/jobid_test.go
+++ b/internal/jobid/jobid_test.go
@@ -11,8 +11,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Controllers that lose responses, and start anew, never allocate a number twice; every number of
-// a job finds it, and one that no job has finds none.
+// Controllers that lose responses and restart never allocate a number twice. Each number of a job
+// finds the job, and a number without a job finds none.
 func TestNumbersStayUniqueWhenResponsesAreLost(t *testing.T) {
 	ctx := t.Context()
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -25,7 +25,7 @@
 	for n := range 400 {
 		i := rnd.IntN(len(allocators))
 		if rnd.IntN(20) == 0 {
-			allocators[i] = jobid.New(view) // its controller crashed
+			allocators[i] = jobid.New(view) // the controller restarted
 			view.Deliver()
 		}
 		count, take := 1+rnd.IntN(50), allocators[i].Take
@@ -48,7 +48,7 @@
 		if ok, err := jobid.New(clean).Allocated(ctx, first, count); err != nil || !ok {
 			t.Fatalf("%d is said to be nobody's, %v", first, err)
 		}
-		if n%3 > 0 { // the others' jobs never came
+		if n%3 > 0 { // the other numbers are never used by a job
 			job := jobid.Job{UID: "j-" + string(rune('a'+n%26)), First: first, Tasks: count}
 			accept(t, clean, job)
 			jobs = append(jobs, job)
@@ -70,7 +70,7 @@
 	}
 }
 
-// checkFound fails unless all numbers of the jobs, and no others that were allocated, find them.
+// checkFound fails unless all numbers of the jobs, and no other allocated numbers, find them.
 func checkFound(t *testing.T, allocator *jobid.Allocator, jobs []jobid.Job, allocated map[uint64]bool) {
 	t.Helper()
 	used := map[uint64]bool{}
--- a/internal/jobid/recorded_test.go
+++ b/internal/jobid/recorded_test.go
@@ -10,7 +10,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Controllers of different versions share the records, so their form must not change.
+// Controllers of different versions share the records, so their encoding must not change.
 func TestRecordedForms(t *testing.T) {
 	recorded.Check(t, "counter", counter{Next: 9007199254740993})
 	recorded.Check(t, "counter_least", counter{})
@@ -30,7 +30,7 @@
 	}
 }
 
-// What an allocator writes, as the state service has it, and what it finds there.
+// The records that an allocator writes to the state service and finds there.
 func TestRecordedByAllocator(t *testing.T) {
 	store := testkit.NewStore()
 	view := &testkit.View{Store: store}
