--- a/internal/jobquery/messages.go
+++ b/internal/jobquery/messages.go
@@ -1,6 +1,6 @@
-// Package jobquery has the messages in which controllers list jobs and their accounting to
-// clients and to one another, and in which Slurm's commands submit jobs. It has types only:
-// packages scheduler and slurmapi fill them. Times of day are in milliseconds since 1970.
+// Package jobquery defines the messages with which controllers list jobs and accounting to
+// clients and to one another, and with which Slurm's commands submit jobs. It contains types
+// only; packages scheduler and slurmapi fill them. Times of day are in milliseconds since 1970.
 package jobquery
 
 import (
@@ -10,62 +10,62 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Placement is a task that is, or may be, on a worker.
+// Placement is a task that runs, or may run, on a worker.
 type Placement struct {
 	Task    int    `json:"task"`
 	Attempt uint64 `json:"attempt"`
 	Worker  string `json:"machine"`          // name of the worker
-	StartMs int64  `json:"start,omitempty"`  // 0: not seen to run yet
-	Halted  bool   `json:"ending,omitempty"` // it was halted
+	StartMs int64  `json:"start,omitempty"`  // 0 if it was not seen running yet
+	Halted  bool   `json:"ending,omitempty"` // it was told to halt
 }
 
-// Info is a job as listings show it. A listing that continues within a job repeats the job
-// with the placements and pending tasks that follow; the counts are always of the whole job.
+// Info describes a job in a listing. If a page ends within a job, the next page repeats the job
+// with its remaining placements and pending tasks; the counts always cover the whole job.
 type Info struct {
 	Job          wire.Job             `json:"job"`
 	Constraints  *jobspec.Constraints `json:"terms"`
 	AcceptedMs   int64                `json:"at"`
-	Stage        string               `json:"stage"`            // as in wire.JobState
-	Reason       string               `json:"reason,omitempty"` // why its pending tasks wait, see package jobspec
-	EligibleMs   int64                `json:"eligible,omitempty"`
-	StartMs      int64                `json:"start,omitempty"`   // of its first task
-	PendingTasks string               `json:"waiting,omitempty"` // pending tasks, as jobspec.Ranges
-	PendingCount int                  `json:"queued"`            // number of pending tasks
+	Stage        string               `json:"stage"`              // as in wire.JobState
+	Reason       string               `json:"reason,omitempty"`   // why its pending tasks wait, see package jobspec
+	EligibleMs   int64                `json:"eligible,omitempty"` // since when it waits only for resources; 0 if it does not yet
+	StartMs      int64                `json:"start,omitempty"`    // start of its first task
+	PendingTasks string               `json:"waiting,omitempty"`  // pending tasks, as jobspec.Ranges
+	PendingCount int                  `json:"queued"`             // number of pending tasks
 	Placements   []Placement          `json:"on,omitempty"`
 	Running      int                  `json:"running"`          // number of running placements
 	Done         int                  `json:"done"`             // number of completed tasks
-	Failed       int                  `json:"failed,omitempty"` // number of tasks that are over and not done
-	Ending       *jobspec.Ending      `json:"ending,omitempty"` // of a job that is over
+	Failed       int                  `json:"failed,omitempty"` // number of tasks that ended without completing
+	Ending       *jobspec.Ending      `json:"ending,omitempty"` // nil unless the job has ended
 }
 
-// Cursor is where a listing continues: with the job of that number, after its first On
-// placements, and with its pending tasks from Task on.
+// Cursor is the position at which a listing continues: the job with the number, without its first
+// SkipPlacements placements and with its pending tasks from Task on.
 type Cursor struct {
 	Number         uint64 `json:"number"`
 	SkipPlacements int    `json:"on,omitempty"`
 	Task           int    `json:"task,omitempty"`
 }
 
-// Page is a part of the listing of living jobs, in the order of their numbers.
+// Page is a page of the listing of living jobs, in the order of their numbers.
 type Page struct {
 	Jobs  []Info  `json:"jobs"`
-	Next  *Cursor `json:"next,omitempty"` // where the next page starts; nil: this is the last
-	NowMs int64   `json:"now"`            // the controller's time of day
+	Next  *Cursor `json:"next,omitempty"` // start of the next page; nil if this is the last
+	NowMs int64   `json:"now"`            // time of day at the controller
 }
 
 // Submission is a job with its constraints.
 type Submission struct {
 	Job         json.RawMessage      `json:"job"` // a wire.Job
 	Constraints *jobspec.Constraints `json:"terms"`
-	DryRun      bool                 `json:"test,omitempty"` // validate it only
+	DryRun      bool                 `json:"test,omitempty"` // only validate the job
 }
 
-// Site is what clients need to know of a site.
+// Site describes a site to clients.
 type Site struct {
 	Cluster  string             `json:"cluster"`
-	Accounts bool               `json:"accounting"` // accounting is on
-	Class    string             `json:"partition"`  // of jobs that name none
-	Team     string             `json:"account"`    // of jobs that name none
+	Accounts bool               `json:"accounting"` // whether accounting is on
+	Class    string             `json:"partition"`  // default for jobs
+	Team     string             `json:"account"`    // default for jobs
 	Classes  []string           `json:"partitions"`
 	Teams    []string           `json:"accounts"`
 	Zones    []string           `json:"zones"`
@@ -74,6 +74,6 @@
 
 // Rows is a part of a day's accounting.
 type Rows struct {
-	Pages []string `json:"pages"`          // for accounting.Reader.Unpack
-	Next  string   `json:"next,omitempty"` // names the next part; "": this is the last
+	Pages []string `json:"pages"`          // packed; see accounting.Reader.Unpack
+	Next  string   `json:"next,omitempty"` // name of the next part; empty if this is the last
 }
