--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -36,12 +36,12 @@
 	lifetime lifetime
 	nodes    []string // names of the peers
 
-	mesh    *mesh.Mesh
-	store   *statestore.Client
-	relay   storeRelay
-	member  *membership.Member
-	cloud   *autoscaler.Cloud
-	catalog *autoscaler.Catalog
+	mesh       *mesh.Mesh
+	store      *statestore.Client
+	storeRelay storeRelay
+	member     *membership.Member
+	cloud      *autoscaler.Cloud
+	catalog    *autoscaler.Catalog
 
 	links       *peerlinks.Links
 	linkChanges linkLog
@@ -53,29 +53,29 @@
 	scheduler          *scheduler.Scheduler
 	gateway            schedulerGateway
 	timeline           *failovertiming.Timeline
-	starts             startLog
+	startLog           startLog
 	leadershipRecorder leadershipRecorder
 
-	connections  *connlimit.Limit
-	commands     *dispatch.HTTPCommandSender
-	router       workerRouter
-	instructions instructionRouter
-	local        localDispatcher
-	dispatcher   *dispatch.Dispatcher
-	views        viewPublisher
+	connections     *connlimit.Limit
+	commands        *dispatch.HTTPCommandSender
+	workerRouter    workerRouter
+	instructions    instructionRouter
+	localDispatcher localDispatcher
+	dispatcher      *dispatch.Dispatcher
+	viewPublisher   viewPublisher
 
-	cancelUpdates chan struct{} // signals that there are cancellation updates for the peers
-	cancellations *cancellation.Registry
-	exchange      cancellationExchange
+	cancelUpdates        chan struct{} // signals that there are cancellation updates for the peers
+	cancellations        *cancellation.Registry
+	cancellationExchange cancellationExchange
 
-	unresponsive unresponsiveWorkers
-	attestor     leaseAttestor
-	expiring     expiringLeases
+	unresponsiveWorkers unresponsiveWorkers
+	leaseAttestor       leaseAttestor
+	expiringLeases      expiringLeases
 
-	demand        localDemand
-	clusterDemand clusterDemand
-	removed       removedWorkers
-	autoscaler    *autoscaler.Autoscaler
+	localDemand    localDemand
+	clusterDemand  clusterDemand
+	removedWorkers removedWorkers
+	autoscaler     *autoscaler.Autoscaler
 
 	numbers  *jobid.Allocator    // nil if jobs have no numbers
 	rollouts *rolloutapi.Service // nil if roll-outs are off
@@ -148,13 +148,13 @@
 // assembleScheduler creates the scheduler and the cancellation registry, which the scheduler
 // fills.
 func (c *controller) assembleScheduler(accounting bool) {
-	halter := &taskHalter{local: &c.local, log: c.log}
+	halter := &taskHalter{local: &c.localDispatcher, log: c.log}
 	c.cancelUpdates = make(chan struct{}, 1)
 	c.cancellations = cancellation.New(cancellation.Options{
 		Peers: c.nodes, Limit: config.Seconds(c.cfg.Params.Workers.CancelS), LeaseRemaining: c.member.LeaseRemaining,
 		OnCancelled: halter.halt, OnUpdates: c.notifyCancelUpdates,
 	})
-	c.instructions = instructionRouter{node: c.cfg.Node, local: &c.local, peers: &c.links.Caller}
+	c.instructions = instructionRouter{node: c.cfg.Node, local: &c.localDispatcher, peers: &c.links.Caller}
 	c.register(&c.instructions)
 	c.scheduler = scheduler.New(scheduler.Options{
 		Platform: c.cfg, Operator: c.operator, Store: c.store, Member: c.member, Dispatchers: &c.instructions, MachineTypes: c.catalog, Log: c.log,
@@ -176,16 +176,16 @@
 func (c *controller) assembleDispatcher(ctx context.Context) {
 	c.connections, c.commands = connlimit.New(c.cfg.Params.Limits.Sockets, len(c.cfg.Peers))
 	c.timeline = failovertiming.New(c.scheduler, config.Seconds(c.cfg.Params.Workers.LeaseS), c.log)
-	c.starts = startLog{log: c.log}
-	c.router = workerRouter{member: c.member, links: &c.links.View, cancellations: c.cancellations, grace: responseGrace(c.cfg.Params.Workers)}
-	c.gateway = schedulerGateway{scheduler: c.scheduler, router: &c.router, peers: &c.links.Caller, timeline: c.timeline, starts: &c.starts}
+	c.startLog = startLog{log: c.log}
+	c.workerRouter = workerRouter{member: c.member, links: &c.links.View, cancellations: c.cancellations, grace: responseGrace(c.cfg.Params.Workers)}
+	c.gateway = schedulerGateway{scheduler: c.scheduler, router: &c.workerRouter, peers: &c.links.Caller, timeline: c.timeline, startLog: &c.startLog}
 	c.register(&c.gateway)
 	c.dispatcher = dispatch.New(ctx, dispatch.Options{
 		Node: c.cfg.Node, WorkerLease: config.Seconds(c.cfg.Params.Workers.LeaseS),
-		Schedulers: &c.gateway, Tokens: c.member, MachineTypes: c.catalog, Routing: &c.router, Commands: c.commands, Log: c.log,
+		Schedulers: &c.gateway, Tokens: c.member, MachineTypes: c.catalog, Routing: &c.workerRouter, Commands: c.commands, Log: c.log,
 		Cancellations: c.cancellations,
 	})
-	c.local.commandTarget = c.dispatcher
+	c.localDispatcher.commandTarget = c.dispatcher
 }
 
 // queueDepths returns the queue depths that the usage meter reports.
@@ -202,11 +202,11 @@
 }
 
 func (c *controller) assembleCancellationExchange() {
-	c.exchange = cancellationExchange{
-		cfg: c.cfg, registry: c.cancellations, updates: c.cancelUpdates, scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.router, peers: &c.links.Caller,
+	c.cancellationExchange = cancellationExchange{
+		cfg: c.cfg, registry: c.cancellations, updates: c.cancelUpdates, scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.workerRouter, peers: &c.links.Caller,
 		reader: cancellationReader{registry: c.cancellations, store: c.store, log: c.log}, log: c.log,
 	}
-	c.register(&c.exchange)
+	c.register(&c.cancellationExchange)
 }
 
 func (c *controller) assembleLinkMonitor() {
@@ -214,46 +214,46 @@
 		node: c.cfg.Node, member: c.member, table: c.links.Table, status: &c.links.Status, links: &c.links.View, dispatcher: c.dispatcher, lifetime: c.lifetime, log: c.log,
 	}
 	c.pinger = pinger{
-		cfg: c.cfg, mesh: c.mesh, table: c.links.Table, status: &c.links.Status, peers: &c.links.Caller, cancellations: &c.exchange, prober: &c.prober,
+		cfg: c.cfg, mesh: c.mesh, table: c.links.Table, status: &c.links.Status, peers: &c.links.Caller, cancellations: &c.cancellationExchange, prober: &c.prober,
 	}
 	c.register(&c.pinger)
 	c.linkChanges = linkLog{store: c.store, log: c.log, links: map[string]linkState{}}
 	c.linkMonitor = linkMonitor{
 		cfg: c.cfg, operator: c.operator, member: c.member, dispatcher: c.dispatcher, table: c.links.Table, status: &c.links.Status, links: &c.links.View,
-		router: &c.router, prober: &c.prober, pinger: &c.pinger, connections: c.connections, health: c.receiveHealth, changes: &c.linkChanges, log: c.log,
+		router: &c.workerRouter, prober: &c.prober, pinger: &c.pinger, connections: c.connections, health: c.receiveHealth, changes: &c.linkChanges, log: c.log,
 	}
 }
 
 func (c *controller) assembleWorkerMonitors() {
-	c.unresponsive = unresponsiveWorkers{
+	c.unresponsiveWorkers = unresponsiveWorkers{
 		cfg: c.cfg, operator: c.operator, scheduler: c.scheduler, dispatcher: c.dispatcher, links: &c.links.View, peers: &c.links.Caller,
 		health: c.receiveHealth, lifetime: c.lifetime, log: c.log, detector: newFailureDetector(c.cfg.Params.Workers, c.operator),
 	}
-	c.register(&c.unresponsive)
-	c.attestor = leaseAttestor{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.links.Caller, log: c.log}
-	c.register(&c.attestor)
-	c.expiring = expiringLeases{scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.router}
+	c.register(&c.unresponsiveWorkers)
+	c.leaseAttestor = leaseAttestor{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.links.Caller, log: c.log}
+	c.register(&c.leaseAttestor)
+	c.expiringLeases = expiringLeases{scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.workerRouter}
 }
 
 func (c *controller) assembleViewPublisher() {
-	c.views = viewPublisher{
+	c.viewPublisher = viewPublisher{
 		cfg: c.cfg, interval: config.Seconds(c.operator.PublishS), scheduler: c.scheduler, dispatcher: c.dispatcher, leaders: &c.links.Leaders, peers: &c.links.Caller, table: c.links.Table,
 		publisher: viewsync.NewPublisher(c.cfg.Node, c.dispatcher), receiver: viewsync.NewReceiver(c.scheduler, c.nodes), log: c.log,
 	}
-	c.register(&c.views)
+	c.register(&c.viewPublisher)
 }
 
 // subscribe registers the callbacks for changes in the state service, and sets the relay that
 // the state service's client uses when it can't reach the service.
 func (c *controller) subscribe() {
-	c.leadershipRecorder = leadershipRecorder{member: c.member, timeline: c.timeline, starts: &c.starts}
+	c.leadershipRecorder = leadershipRecorder{member: c.member, timeline: c.timeline, startLog: &c.startLog}
 	c.member.OnLeadershipChange(c.scheduler.LeadershipChanged)
 	c.member.OnLeadershipChange(c.leadershipRecorder.leadershipChanged)
 	c.member.OnLeadershipChange(c.links.View.Invalidate)
 	c.member.OnLinkAnnouncement(c.prober.handleAnnouncement)
-	c.relay = storeRelay{store: c.store, links: &c.links.View, peers: &c.links.Caller, mesh: c.mesh}
-	c.register(&c.relay)
-	c.store.SetRelay(&c.relay, c.log)
+	c.storeRelay = storeRelay{store: c.store, links: &c.links.View, peers: &c.links.Caller, mesh: c.mesh}
+	c.register(&c.storeRelay)
+	c.store.SetRelay(&c.storeRelay, c.log)
 }
 
 func (c *controller) assembleUserServices(o Options, mux *http.ServeMux) {
@@ -290,12 +290,12 @@
 }
 
 func (c *controller) assembleAutoscaler() {
-	c.demand = localDemand{scheduler: c.scheduler, unresponsive: &c.unresponsive}
-	c.register(&c.demand)
-	c.removed = removedWorkers{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.links.Caller, lifetime: c.lifetime, log: c.log}
-	c.register(&c.removed)
+	c.localDemand = localDemand{scheduler: c.scheduler, unresponsive: &c.unresponsiveWorkers}
+	c.register(&c.localDemand)
+	c.removedWorkers = removedWorkers{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.links.Caller, lifetime: c.lifetime, log: c.log}
+	c.register(&c.removedWorkers)
 	c.clusterDemand = clusterDemand{
-		scheduler: c.scheduler, local: &c.demand, unresponsive: &c.unresponsive, leaders: &c.links.Leaders, peers: &c.links.Caller, removed: &c.removed, lifetime: c.lifetime, log: c.log,
+		scheduler: c.scheduler, local: &c.localDemand, unresponsive: &c.unresponsiveWorkers, leaders: &c.links.Leaders, peers: &c.links.Caller, removed: &c.removedWorkers, lifetime: c.lifetime, log: c.log,
 	}
 	options := autoscaler.Options{
 		Platform: c.cfg, Operator: c.operator, Cloud: c.cloud, Catalog: c.catalog, Store: c.store, Member: c.member, Dispatcher: c.dispatcher, Log: c.log,
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -45,7 +45,7 @@
 	malformedLoggedAt atomic.Int64 // time of the last log line about a malformed message, Unix ns; 0 if none
 
 	// Accessed by run only.
-	answering      bool
+	mayAnswer      bool
 	stopsRetriedAt time.Time
 }
 
@@ -88,7 +88,7 @@
 	go e.reader.run(ctx)
 	for {
 		stale := e.registry.StalePeers(stalePeerAfter)
-		e.logAnswering(stale)
+		e.logMayAnswer(stale)
 		for _, peer := range stale {
 			go e.exchange(ctx, peer)
 		}
@@ -103,10 +103,10 @@
 	}
 }
 
-// logAnswering logs when this controller starts or stops to respond to workers.
-func (e *cancellationExchange) logAnswering(stale []string) {
-	if now := e.router.MayAnswerWorkers(); now != e.answering {
-		e.answering = now
+// logMayAnswer logs when this controller starts or stops to respond to workers.
+func (e *cancellationExchange) logMayAnswer(stale []string) {
+	if now := e.router.MayAnswerWorkers(); now != e.mayAnswer {
+		e.mayAnswer = now
 		e.log.Info("answering workers", "is", now, "cancels_known_s", time.Since(e.registry.KnownUntil()).Seconds(), "stale_peers", stale)
 	}
 }
--- a/internal/controller/cluster_demand.go
+++ b/internal/controller/cluster_demand.go
@@ -35,11 +35,11 @@
 
 func (d *localDemand) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodDemand, func(_ context.Context, q *demandQuery) (*demandReply, error) {
-		return d.demand(q.BootS), nil //nolint:contextcheck // the probes of unresponsive workers that it starts outlive the query
+		return d.collect(q.BootS), nil //nolint:contextcheck // the probes of unresponsive workers that it starts outlive the query
 	})
 }
 
-func (d *localDemand) demand(bootS float64) *demandReply {
+func (d *localDemand) collect(bootS float64) *demandReply {
 	demand, loads := d.scheduler.Demand(bootS)
 	return &demandReply{Demand: demand, Loads: loads, FailedWorkers: d.unresponsive.failedWorkers(), AdmittedWork: d.scheduler.AdmittedWork()}
 }
@@ -66,14 +66,14 @@
 // Demand returns the pending work of all leaders and the loads of the workers. bootS is the
 // boot time of a machine in seconds. A leader that does not respond in time is left out.
 func (c *clusterDemand) Demand(bootS float64) ([]planner.Demand, []planner.WorkerLoad) {
-	sum := c.local.demand(bootS)
+	sum := c.local.collect(bootS)
 	c.remoteReplies = c.remoteReplies[:0]
 	index := map[string]int{}
 	for i, load := range sum.Loads {
 		index[load.Name] = i
 	}
 	for _, peer := range c.leaders.ShardLeaders() {
-		reply, err := c.query(peer, bootS)
+		reply, err := c.queryPeer(peer, bootS)
 		if err != nil {
 			c.log.Debug("demand query failed", "peer", peer, "err", err)
 			continue
@@ -85,7 +85,7 @@
 	return sum.Demand, sum.Loads
 }
 
-func (c *clusterDemand) query(peer string, bootS float64) (*demandReply, error) {
+func (c *clusterDemand) queryPeer(peer string, bootS float64) (*demandReply, error) {
 	ctx, cancel := context.WithTimeout(c.lifetime.ctx, peerQueryTimeout)
 	defer cancel()
 	return peerlinks.Call[demandQuery, demandReply](ctx, c.peers, peer, methodDemand, &demandQuery{BootS: bootS})
--- a/internal/controller/instructions.go
+++ b/internal/controller/instructions.go
@@ -56,8 +56,8 @@
 	log   *slog.Logger
 }
 
-// halt halts the tasks of jobs, given by id, without waiting: the caller may hold the
-// scheduler's lock, which the dispatcher acquires too.
+// halt starts to halt the tasks of cancelled jobs, given by id, and returns at once: the caller may
+// hold the scheduler's lock, which the dispatcher acquires too.
 func (h *taskHalter) halt(jobs []string) {
 	go h.local.HaltCancelledTasks()
 	h.log.Debug("jobs cancelled", "jobs", jobs)
--- a/internal/controller/lease_attestation.go
+++ b/internal/controller/lease_attestation.go
@@ -73,7 +73,7 @@
 	}
 	attestation := dispatch.NewAttestation(time.Now(), a.attest(q).UnansweredS)
 	for _, peer := range a.cfg.Peers {
-		if !a.query(ctx, peer.Node, q, attestation) {
+		if !a.queryPeer(ctx, peer.Node, q, attestation) {
 			return
 		}
 	}
@@ -86,9 +86,9 @@
 	}
 }
 
-// query adds a peer's attestation. It returns false if the peer did not provide one; then no
+// queryPeer adds a peer's attestation. It returns false if the peer did not provide one; then no
 // lease is known to have expired.
-func (a *leaseAttestor) query(ctx context.Context, peer string, q *attestationQuery, attestation *dispatch.Attestation) bool {
+func (a *leaseAttestor) queryPeer(ctx context.Context, peer string, q *attestationQuery, attestation *dispatch.Attestation) bool {
 	ctx, cancel := context.WithTimeout(ctx, attestTimeout)
 	defer cancel()
 	reply, err := peerlinks.Call[attestationQuery, attestationReply](ctx, a.peers, peer, methodAttest, q)
--- a/internal/controller/link_monitor.go
+++ b/internal/controller/link_monitor.go
@@ -138,7 +138,7 @@
 	view := l.links.Now()
 	reportS := l.cfg.Params.Workers.ReportS
 	workers := l.dispatcher.CountReporting(config.Seconds(missedReportIntervals * reportS))
-	capacity := 0 // 0: no limit, all workers fit
+	capacity := 0 // 0: no limit or no share is set, all workers fit
 	if most < math.MaxInt32 {
 		capacity = int(l.operator.WorkerShare * float64(most))
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -11,8 +11,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// machineList serves the list of machines to operators. The controller that leads autoscaling
-// has it; others query that one.
+// machineList serves the list of machines to operators. Controllers that don't lead autoscaling
+// query the one that does.
 type machineList struct {
 	scheduler *scheduler.Scheduler
 	leaders   *peerlinks.Leaders
@@ -32,7 +32,7 @@
 		return
 	}
 	for _, peer := range l.leaders.ShardLeaders() {
-		if machines, err := l.query(r.Context(), peer); err == nil {
+		if machines, err := l.queryPeer(r.Context(), peer); err == nil {
 			httpjson.Write(w, http.StatusOK, *machines)
 			return
 		}
@@ -41,7 +41,7 @@
 	httpjson.Write(w, http.StatusServiceUnavailable, wire.Problem{Error: "no owner answers"})
 }
 
-func (l *machineList) query(ctx context.Context, peer string) (*[]wire.MachineInfo, error) {
+func (l *machineList) queryPeer(ctx context.Context, peer string) (*[]wire.MachineInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
 	return peerlinks.Call[empty, []wire.MachineInfo](ctx, l.peers, peer, methodMachines, &empty{})
--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -36,11 +36,11 @@
 	mesh.Handle(m, methodPing, func(_ context.Context, ping *pingMessage) (*pingMessage, error) {
 		p.handleMessage(ping.Status.Node, ping)
 		p.prober.probe(ping.Status.ProbeSample)
-		return p.message(ping.Status.Node, time.Now()), nil
+		return p.messageFor(ping.Status.Node, time.Now()), nil
 	})
 }
 
-func (p *pinger) message(to string, now time.Time) *pingMessage {
+func (p *pinger) messageFor(to string, now time.Time) *pingMessage {
 	cancellations := p.cancellations.registry.MessageFor(to)
 	return &pingMessage{Status: p.status.Current(now), Relayed: p.table.RelayFor(to, now), Cancellations: &cancellations}
 }
@@ -82,7 +82,7 @@
 func (p *pinger) ping(ctx context.Context, peer string) {
 	ctx, cancel := context.WithTimeout(ctx, pingInterval)
 	defer cancel()
-	reply, err := mesh.Call[pingMessage, pingMessage](ctx, p.mesh, peer, methodPing, p.message(peer, time.Now()))
+	reply, err := mesh.Call[pingMessage, pingMessage](ctx, p.mesh, peer, methodPing, p.messageFor(peer, time.Now()))
 	p.peers.Record(peer, err, true)
 	if err == nil {
 		p.handleMessage(peer, reply)
--- a/internal/controller/prober.go
+++ b/internal/controller/prober.go
@@ -45,7 +45,7 @@
 func (p *prober) handleAnnouncement(value json.RawMessage) {
 	var status reachability.NodeStatus
 	if err := json.Unmarshal(value, &status); err != nil {
-		p.log.Debug("unreadable node status", "err", err)
+		p.log.Debug("malformed node status", "err", err)
 		return
 	}
 	p.table.Update(status, reachability.ViaStore, 0, time.Now())
--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -31,7 +31,7 @@
 
 // The mesh's methods keep the names by which other controllers call them.
 func TestRecordedMethods(t *testing.T) {
-	for _, method := range []struct{ is, was string }{
+	for _, method := range []struct{ got, want string }{
 		{methodPing, "Ping"},
 		{peerlinks.MethodForward, "Forward"},
 		{methodStore, "Store"},
@@ -50,8 +50,8 @@
 		{methodEarlier, "Earlier"},
 		{rolloutapi.Method, "Rollouts"},
 	} {
-		if method.is != method.was {
-			t.Errorf("the method %q is called %q", method.was, method.is)
+		if method.got != method.want {
+			t.Errorf("method %q is called %q", method.want, method.got)
 		}
 	}
 }
@@ -78,14 +78,14 @@
 	}
 	defer caller.Close()
 	if code := codeOf(ctx, caller, "NoSuch"); code != codes.Unimplemented {
-		t.Fatalf("a method that is not served: %v", code)
+		t.Fatalf("unknown method: code %v", code)
 	}
 	for _, method := range []string{
 		"Ping", "Forward", "Store", "Seen", "Views", "Direct", "Grants", "User", "Vouch", "Cancels",
 		"Demand", "Gone", "Machines", "Desk", "Facts", "Earlier", "Rollouts",
 	} {
 		if code := codeOf(ctx, caller, method); code != codes.Internal {
-			t.Errorf("%s: %v", method, code)
+			t.Errorf("%s: code %v, want Internal", method, code)
 		}
 	}
 }
--- a/internal/controller/remote_jobs.go
+++ b/internal/controller/remote_jobs.go
@@ -41,7 +41,7 @@
 // knows the job any more.
 func (r *remoteJobs) JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error) {
 	for _, leader := range r.leaders.ShardLeaders() {
-		if reply, err := r.query(ctx, leader, methodFacts, &factsQuery{UID: uid}); err == nil && reply.Known {
+		if reply, err := r.queryLeader(ctx, leader, methodFacts, &factsQuery{UID: uid}); err == nil && reply.Known {
 			return reply.Facts, nil
 		}
 	}
@@ -52,7 +52,7 @@
 // lower number. It returns true if a leader does not respond, since that one may have such a job.
 func (r *remoteJobs) HasEarlier(ctx context.Context, name, user string, number uint64) (bool, error) {
 	for _, leader := range r.leaders.ShardLeaders() {
-		reply, err := r.query(ctx, leader, methodEarlier, &factsQuery{Name: name, User: user, Number: number})
+		reply, err := r.queryLeader(ctx, leader, methodEarlier, &factsQuery{Name: name, User: user, Number: number})
 		if err != nil || reply.HasEarlier {
 			return true, err
 		}
@@ -60,7 +60,7 @@
 	return false, nil
 }
 
-func (r *remoteJobs) query(ctx context.Context, leader, method string, q *factsQuery) (*factsReply, error) {
+func (r *remoteJobs) queryLeader(ctx context.Context, leader, method string, q *factsQuery) (*factsReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, factsTimeout)
 	defer cancel()
 	return mesh.Call[factsQuery, factsReply](ctx, r.mesh, leader, method, q)
--- a/internal/controller/scheduler_gateway.go
+++ b/internal/controller/scheduler_gateway.go
@@ -21,7 +21,7 @@
 	router    *workerRouter
 	peers     *peerlinks.Caller
 	timeline  *failovertiming.Timeline
-	starts    *startLog
+	startLog  *startLog
 }
 
 func (g *schedulerGateway) register(m *mesh.Mesh) {
@@ -48,7 +48,7 @@
 	reply := g.scheduler.GrantLocal(request)
 	if reply.OK {
 		g.timeline.Mark(failovertiming.Granted)
-		g.starts.startGranted()
+		g.startLog.startGranted()
 	}
 	return reply
 }
@@ -92,18 +92,18 @@
 type leadershipRecorder struct {
 	member   *membership.Member
 	timeline *failovertiming.Timeline
-	starts   *startLog
+	startLog *startLog
 }
 
-func (o *leadershipRecorder) leadershipChanged() {
-	if o.member.LeaseRemaining() <= 0 {
-		o.timeline.Reset()
+func (r *leadershipRecorder) leadershipChanged() {
+	if r.member.LeaseRemaining() <= 0 {
+		r.timeline.Reset()
 		return
 	}
-	o.timeline.Mark(failovertiming.Joined)
-	if len(o.member.LedShards()) > 0 {
-		o.timeline.Mark(failovertiming.Claimed)
+	r.timeline.Mark(failovertiming.Joined)
+	if len(r.member.LedShards()) > 0 {
+		r.timeline.Mark(failovertiming.Claimed)
 		return
 	}
-	o.starts.leadershipEnded()
+	r.startLog.leadershipEnded()
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -32,7 +32,7 @@
 	c.register(&c.machines)
 	mux.HandleFunc("GET /ops/machines", c.machines.serve)
 	c.linkReport = linkReport{
-		store: c.store, links: &c.links.View, changes: &c.linkChanges, cancellations: c.cancellations, router: &c.router, unresponsive: &c.unresponsive,
+		store: c.store, links: &c.links.View, changes: &c.linkChanges, cancellations: c.cancellations, router: &c.workerRouter, unresponsive: &c.unresponsiveWorkers,
 	}
 	mux.HandleFunc("GET /ops/links", c.linkReport.serve)
 }
@@ -61,11 +61,11 @@
 	group.Go(func() error { return c.timeline.Run(ctx) })
 	group.Go(func() error { return c.pinger.run(ctx) })
 	group.Go(func() error { return c.linkMonitor.run(ctx) })
-	group.Go(func() error { return c.exchange.run(ctx) })
+	group.Go(func() error { return c.cancellationExchange.run(ctx) })
 	group.Go(func() error { return c.store.Run(ctx) })
-	group.Go(func() error { return c.views.run(ctx) })
-	group.Go(func() error { return c.attestor.run(ctx) })
-	group.Go(func() error { return c.expiring.run(ctx) })
+	group.Go(func() error { return c.viewPublisher.run(ctx) })
+	group.Go(func() error { return c.leaseAttestor.run(ctx) })
+	group.Go(func() error { return c.expiringLeases.run(ctx) })
 }
 
 func (c *controller) serveHTTP() error {
--- a/internal/controller/start_test.go
+++ b/internal/controller/start_test.go
@@ -72,7 +72,7 @@
 	began := time.Now()
 	runFor(t, 300*time.Millisecond)
 	if took := time.Since(began); took < 300*time.Millisecond || took > 10*time.Second {
-		t.Errorf("ran for %v", took)
+		t.Errorf("Run returned after %v, want 300ms to 10s", took)
 	}
 }
 
--- a/internal/controller/view_publisher.go
+++ b/internal/controller/view_publisher.go
@@ -17,9 +17,9 @@
 	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
-// Bounds of the time-out of a message with worker views. A leader's time-out is twice the duration
+// Bounds of the timeout of a message with worker views. A leader's timeout is twice the duration
 // of its last message: a message that times out may have been applied and is sent again unchanged,
-// so that over a slow link none would be acknowledged within a fixed time-out.
+// so that over a slow link none would be acknowledged within a fixed timeout.
 const (
 	minPublishTimeout = time.Second
 	maxPublishTimeout = 4 * time.Second
@@ -55,7 +55,7 @@
 		reply, err := p.receiver.Take(msg)
 		if errors.Is(err, viewsync.ErrMalformed) {
 			usage.Note(usage.MalformedViews)
-			p.log.Info("worker views refused", "peer", msg.Dispatcher, "err", err)
+			p.log.Info("malformed worker views rejected", "peer", msg.Dispatcher, "err", err)
 		}
 		return &reply, nil
 	})
@@ -144,7 +144,7 @@
 	}
 }
 
-// publishTimeouts holds the time-out of each leader's next message. The zero value is ready for
+// publishTimeouts holds the timeout of each leader's next message. The zero value is ready for
 // use. It is safe for concurrent use.
 type publishTimeouts struct {
 	mu       sync.Mutex
@@ -157,7 +157,7 @@
 	return min(maxPublishTimeout, max(minPublishTimeout, p.byLeader[leader]))
 }
 
-// record sets a leader's time-out from the duration of its last message.
+// record sets a leader's timeout from the duration of its last message.
 func (p *publishTimeouts) record(leader string, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
