--- a/internal/submission/accept.go
+++ b/internal/submission/accept.go
@@ -37,7 +37,7 @@
 		usage.Note(usage.RefusedJobs)
 		return Reply{Status: http.StatusServiceUnavailable, Reason: "too much work at once"}
 	}
-	return s.record(ctx, job, constraints)
+	return s.recordAcceptance(ctx, job, constraints)
 }
 
 // rejectUnlessKnown returns the rejection of an invalid submission, or the job's state if its id
@@ -46,15 +46,15 @@
 	if job == nil || !wire.ValidJobID(job.UID) {
 		return rejected.reply()
 	}
-	rep := s.lookup(ctx, job.UID)
+	rep := s.lookupReply(ctx, job.UID)
 	if rep.Status == http.StatusNotFound {
 		return rejected.reply()
 	}
 	return rep
 }
 
-// record writes the acceptance of a job to the state service.
-func (s *Service) record(ctx context.Context, job *wire.Job, constraints *jobspec.Constraints) Reply {
+// recordAcceptance writes the acceptance of a job to the state service.
+func (s *Service) recordAcceptance(ctx context.Context, job *wire.Job, constraints *jobspec.Constraints) Reply {
 	shard := quota.AssignShard(job, s.cfg.Params.Teams, s.op)
 	acceptedMs := time.Now().UnixMilli()
 	guards, ops := jobrecord.AcceptanceTxn(job, constraints, shard, acceptedMs)
@@ -90,8 +90,8 @@
 	return s.store.Txn(ctx, guards, ops...)
 }
 
-// check reports whether a submission would be accepted. It records nothing.
-func (s *Service) check(ctx context.Context, req Request) Reply {
+// checkSubmission reports whether a submission would be accepted. It records nothing.
+func (s *Service) checkSubmission(ctx context.Context, req Request) Reply {
 	job, _, rejected := s.validate(ctx, req.Body, req.Constraints)
 	if rejected != nil {
 		return rejected.reply()
--- a/internal/submission/batched_polls.go
+++ b/internal/submission/batched_polls.go
@@ -57,7 +57,7 @@
 	if b.inFlight < maxBatchesInFlight || b.inFlight < maxSlowBatchesInFlight && time.Since(b.lastSentAt) > slowBatchAfter {
 		b.inFlight++
 		// The goroutine serves other users' polls too, so it must outlive this poll's
-		// context. It ends on its own, since each query has a time-out.
+		// context. It ends on its own, since each query has a timeout.
 		go b.sendBatches(context.WithoutCancel(ctx))
 	}
 	b.mu.Unlock()
--- a/internal/submission/batched_polls_test.go
+++ b/internal/submission/batched_polls_test.go
@@ -40,7 +40,7 @@
 
 // A thousand concurrent polls cost the peer at most 10 messages. Each poll gets its own job's
 // state, or none if the job is unknown there, and a peer that does not respond delays no poll
-// beyond its time-out.
+// beyond its timeout.
 func TestPollsAreBatchedAndBoundByTheirTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peer := &slowPeer{}
@@ -61,7 +61,7 @@
 		}
 		wg.Wait()
 		if peer.messages > 10 {
-			t.Errorf("%d messages", peer.messages)
+			t.Errorf("the peer received %d messages", peer.messages)
 		}
 		peer.down = true
 		for i := range 1000 {
--- a/internal/submission/capacity_test.go
+++ b/internal/submission/capacity_test.go
@@ -21,7 +21,7 @@
 
 // newMux returns the handler of a site with the given number of teams, of which the last submits.
 func newMux(tb testing.TB, teams int) *http.ServeMux {
-	s := &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
+	s := &stub{View: &testkit.View{Store: testkit.NewStore()}, healthy: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
 	cfg := &config.Platform{Node: "a"}
 	for i := range teams - 1 {
 		cfg.Params.Teams = append(cfg.Params.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 8})
--- a/internal/submission/malformed_test.go
+++ b/internal/submission/malformed_test.go
@@ -95,17 +95,17 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		stub.View = &testkit.View{Store: testkit.NewStore()}
 		rep := service.Serve(t.Context(), submission.Request{Verb: submission.VerbSubmit, Body: body})
-		switch kept := stub.Keys(""); rep.Status {
+		switch stored := stub.Keys(""); rep.Status {
 		case http.StatusCreated:
-			if missing := missingField(body); missing != "" || !canRun(body) || len(kept) != 1 {
-				t.Errorf("accepted %q, which lacks %q; it can run: %v; kept %v", body, missing, canRun(body), kept)
+			if missing := missingField(body); missing != "" || !canRun(body) || len(stored) != 1 {
+				t.Errorf("accepted %q, missing field %q, can run: %v, stored %v", body, missing, canRun(body), stored)
 			}
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			if len(kept) > 0 {
-				t.Errorf("refused %q, and kept %v", body, kept)
+			if len(stored) > 0 {
+				t.Errorf("rejected %q, but stored %v", body, stored)
 			}
 		default:
-			t.Errorf("%q is answered %d", body, rep.Status)
+			t.Errorf("%q: status %d", body, rep.Status)
 		}
 	})
 }
--- a/internal/submission/recorded_test.go
+++ b/internal/submission/recorded_test.go
@@ -26,11 +26,11 @@
 		States: []wire.JobState{state, {UID: "j-000402", Stage: wire.StageDone, Done: 8}},
 	})
 	recorded.Check(t, "reply_empty", submission.Reply{})
-	for _, verb := range []struct{ is, was string }{
+	for _, verb := range []struct{ got, want string }{
 		{submission.VerbSubmit, "submit"}, {submission.VerbPoll, "poll"}, {submission.VerbCancel, "cancel"}, {submission.VerbCheck, "check"},
 	} {
-		if verb.is != verb.was {
-			t.Errorf("the request %q is sent as %q", verb.was, verb.is)
+		if verb.got != verb.want {
+			t.Errorf("verb %q is sent as %q", verb.want, verb.got)
 		}
 	}
 }
--- a/internal/submission/refined_poll_test.go
+++ b/internal/submission/refined_poll_test.go
@@ -35,22 +35,22 @@
 // service records the job as queued. A poll at another controller must return what the leader
 // knows of the job's tasks.
 func TestPollDuringPendingCancelIsRefinedByLeader(t *testing.T) {
-	s, ask := serve(t)
-	if status, _, _ := ask(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
+	s, request := serve(t)
+	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
 		t.Fatalf("submission: %d", status)
 	}
 	leader := &leaderWithPendingCancel{stub: s}
-	ask = serveWith(t, s, submission.Options{Peers: leader})
+	request = serveWith(t, s, submission.Options{Peers: leader})
 	for _, stage := range []string{wire.StageRunning, wire.StageCancelled, wire.StageDone, wire.StageQueued} {
 		leader.stage = stage
-		if status, _, st := ask(http.MethodGet, "/api/jobs/j-7", ""); status != http.StatusOK || st.Stage != stage {
+		if status, _, st := request(http.MethodGet, "/api/jobs/j-7", ""); status != http.StatusOK || st.Stage != stage {
 			t.Errorf("the leader says %s: %d %+v", stage, status, st)
 		}
 	}
 	if leader.polls != 4 {
-		t.Errorf("%d polls came to the leader", leader.polls)
+		t.Errorf("the leader received %d polls", leader.polls)
 	}
-	if status, _, _ := ask(http.MethodGet, "/api/jobs/j-1", ""); status != http.StatusNotFound || leader.polls != 4 {
-		t.Errorf("a job that nobody submitted: %d, %d polls came to the leader", status, leader.polls)
+	if status, _, _ := request(http.MethodGet, "/api/jobs/j-1", ""); status != http.StatusNotFound || leader.polls != 4 {
+		t.Errorf("a job that nobody submitted: %d, the leader received %d polls", status, leader.polls)
 	}
 }
--- a/internal/submission/refined_submission_test.go
+++ b/internal/submission/refined_submission_test.go
@@ -60,7 +60,7 @@
 				}
 			}
 			if leader.polls != len(stages) {
-				t.Errorf("%d polls came to the leader, not %d", leader.polls, len(stages))
+				t.Errorf("the leader received %d polls, want %d", leader.polls, len(stages))
 			}
 			if c.down != (leader.relayed == len(stages)) {
 				t.Errorf("%d submissions were relayed", leader.relayed)
@@ -82,6 +82,6 @@
 		}
 	}
 	if leader.polls > 0 {
-		t.Errorf("%d polls came to the leader", leader.polls)
+		t.Errorf("the leader received %d polls", leader.polls)
 	}
 }
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -186,7 +186,7 @@
 
 // respond writes a reply as the HTTP response.
 func (s *Service) respond(w http.ResponseWriter, rep Reply) {
-	switch rep = s.confirmed(rep); {
+	switch rep = s.requireConfirmedCancel(rep); {
 	case rep.succeeded():
 		httpjson.Write(w, rep.Status, rep.State)
 	case rep.Status == 0:
@@ -196,10 +196,10 @@
 	}
 }
 
-// confirmed replaces a reply that a job is cancelled unless the cancel is effective at all
+// requireConfirmedCancel replaces a reply that a job is cancelled unless the cancel is effective at all
 // controllers. Otherwise a user could read, by a poll or a repeated submission, that a job is
 // cancelled, and a task of it could still start.
-func (s *Service) confirmed(rep Reply) Reply {
+func (s *Service) requireConfirmedCancel(rep Reply) Reply {
 	if s.cancellations == nil || !rep.succeeded() || rep.State.Stage != wire.StageCancelled {
 		return rep
 	}
@@ -228,11 +228,11 @@
 func (s *Service) Submit(ctx context.Context, req Request) Reply {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	rep := s.serveAnywhere(ctx, req)
+	rep := s.serveHereOrAtPeer(ctx, req)
 	if req.Verb == VerbSubmit {
-		rep = s.refinedByLeader(ctx, rep)
+		rep = s.refineByLeader(ctx, rep)
 	}
-	return s.confirmed(rep)
+	return s.requireConfirmedCancel(rep)
 }
 
 // jobRequest returns a handler for requests about the job in the path, bounded by timeout.
@@ -260,15 +260,15 @@
 			return s.leaderReply(state)
 		}
 	}
-	return s.refinedByLeader(ctx, s.serveAnywhere(ctx, req))
+	return s.refineByLeader(ctx, s.serveHereOrAtPeer(ctx, req))
 }
 
 // cancel cancels a job, preferably at the controller that leads it.
 func (s *Service) cancel(ctx context.Context, req Request) Reply {
-	if rep, ok := s.queryFirst(ctx, s.peers.ShardLeaders(), req); ok {
+	if rep, ok := s.queryUntilKnown(ctx, s.peers.ShardLeaders(), req); ok {
 		return rep
 	}
-	return s.serveAnywhere(ctx, req)
+	return s.serveHereOrAtPeer(ctx, req)
 }
 
 // query makes a peer serve a request within peerTimeout. It returns false if that fails or the
@@ -288,8 +288,8 @@
 	return *rep, rep.Status != 0
 }
 
-// queryFirst queries peers one after another until one knows the outcome.
-func (s *Service) queryFirst(ctx context.Context, peers []string, req Request) (Reply, bool) {
+// queryUntilKnown queries peers one after another until one knows the outcome.
+func (s *Service) queryUntilKnown(ctx context.Context, peers []string, req Request) (Reply, bool) {
 	for _, peer := range peers {
 		if rep, ok := s.query(ctx, peer, req); ok {
 			return rep, true
@@ -298,12 +298,12 @@
 	return Reply{}, false
 }
 
-// serveAnywhere serves a request here, or at a peer that reaches the state service if the
+// serveHereOrAtPeer serves a request here, or at a peer that reaches the state service if the
 // outcome is unknown here.
-func (s *Service) serveAnywhere(ctx context.Context, req Request) Reply {
+func (s *Service) serveHereOrAtPeer(ctx context.Context, req Request) Reply {
 	rep := s.Serve(ctx, req)
 	if rep.retriableAtPeer() {
-		rep, _ = s.queryFirst(ctx, s.peers.ServingPeers(), req)
+		rep, _ = s.queryUntilKnown(ctx, s.peers.ServingPeers(), req)
 	}
 	return rep
 }
@@ -315,11 +315,11 @@
 	case VerbSubmit:
 		return s.accept(ctx, req.Body, req.Constraints)
 	case VerbCheck:
-		return s.check(ctx, req)
+		return s.checkSubmission(ctx, req)
 	case VerbBatchPoll:
 		return s.localStates(req.UIDs)
 	case VerbPoll:
-		rep := s.lookup(statestore.WithPriority(ctx, statestore.Lookup), req.UID)
+		rep := s.lookupReply(statestore.WithPriority(ctx, statestore.Lookup), req.UID)
 		if req.AsLeader && s.stages != nil && rep.needsLeader() {
 			return s.stageUnknownReply(req.UID)
 		}
@@ -342,8 +342,8 @@
 	return unknownOutcome(err)
 }
 
-// lookup returns a job's state from memory, or else from the state service.
-func (s *Service) lookup(ctx context.Context, uid string) Reply {
+// lookupReply returns a job's state from memory, or else from the state service.
+func (s *Service) lookupReply(ctx context.Context, uid string) Reply {
 	if rep, ok := s.localReply(uid); ok {
 		return rep
 	}
--- a/internal/submission/service_test.go
+++ b/internal/submission/service_test.go
@@ -24,8 +24,8 @@
 // respond.
 type stub struct {
 	*testkit.View
-	types []wire.MachineType
-	up    bool
+	types   []wire.MachineType
+	healthy bool
 }
 
 func (s *stub) LocalState(string) (wire.JobState, bool)                         { return wire.JobState{}, false }
@@ -34,7 +34,7 @@
 func (s *stub) All() []wire.MachineType                                         { return s.types }
 func (s *stub) ShardLeaders() []string                                          { return nil }
 func (s *stub) ServingPeers() []string                                          { return []string{"b"} }
-func (s *stub) Healthy() bool                                                   { return s.up }
+func (s *stub) Healthy() bool                                                   { return s.healthy }
 func (s *stub) Cancel(context.Context, string) (wire.JobState, error) {
 	return wire.JobState{}, statestore.ErrUnavailable
 }
@@ -47,7 +47,7 @@
 	"kit":"i","pullGb":1,"builds":null,"yard":null,"together":false,"apart":false,"loaners":true,"reckonS":9,"markS":0,"stashS":0,"dueS":null}`
 
 func newStub() *stub {
-	return &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
+	return &stub{View: &testkit.View{Store: testkit.NewStore()}, healthy: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
 }
 
 func serve(t testing.TB) (s *stub, request func(method, path, body string) (int, http.Header, wire.JobState)) {
@@ -103,7 +103,7 @@
 		{"over 64 KiB", with(`"kit":"i"`, `"kit":"`+strings.Repeat("i", 70_000)+`"`), 400},
 	} {
 		if status, _, _ := request(http.MethodPost, "/api/jobs", c.body); status != c.status {
-			t.Errorf("%s: %d, not %d", c.name, status, c.status)
+			t.Errorf("%s: status %d, want %d", c.name, status, c.status)
 		}
 	}
 	s.types = nil
@@ -127,15 +127,15 @@
 	s.Down = func() bool { return true }
 	for _, path := range []string{"/api/jobs/j-1", "/api/jobs/j-7"} {
 		if status, header, _ := request(http.MethodGet, path, ""); status != 503 || header.Get("Retry-After") == "" {
-			t.Errorf("%s with the state service out: %d", path, status)
+			t.Errorf("%s while the state service is down: %d", path, status)
 		}
 	}
 	if status, _, _ := request(http.MethodPost, "/api/jobs/j-7/cancel", ""); status != 503 {
-		t.Errorf("cancel with the state service out: %d", status)
+		t.Errorf("cancel while the state service is down: %d", status)
 	}
-	s.up = false
+	s.healthy = false
 	if status, _, _ := request(http.MethodGet, "/up", ""); status != 503 {
-		t.Errorf("up: %d", status)
+		t.Errorf("health check of an unhealthy controller: %d", status)
 	}
 }
 
@@ -181,7 +181,7 @@
 			}
 		}
 		if !confirm && len(cancellations.queried) != 2 {
-			t.Errorf("confirmation was requested for %v", cancellations.queried)
+			t.Errorf("confirmation was requested for %v, want twice", cancellations.queried)
 		}
 	}
 }
@@ -212,9 +212,9 @@
 	tries := 0
 	s.Lose = func() bool { tries++; return true }
 	if code, _, state := request("POST", "/api/jobs", job); code != http.StatusOK || state.Stage != wire.StageQueued {
-		t.Errorf("all answers lost: %d %+v", code, state)
+		t.Errorf("all responses lost: %d %+v", code, state)
 	}
 	if tries != 1 {
-		t.Errorf("recorded, it was written %d times", tries)
+		t.Errorf("recorded submission was written %d times", tries)
 	}
 }
--- a/internal/submission/stage.go
+++ b/internal/submission/stage.go
@@ -62,10 +62,10 @@
 	return r.Status == http.StatusOK && r.State.Stage == wire.StageQueued && !r.StageKnown
 }
 
-// refinedByLeader replaces a reply that needs the leader by the reply of the job's leader.
+// refineByLeader replaces a reply that needs the leader by the reply of the job's leader.
 // Without it a running job would be reported as queued in the second after a transfer of shards,
 // during a pending cancel, or to a user that repeats a submission.
-func (s *Service) refinedByLeader(ctx context.Context, rep Reply) Reply {
+func (s *Service) refineByLeader(ctx context.Context, rep Reply) Reply {
 	if !rep.needsLeader() {
 		return rep
 	}
