--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -122,16 +122,16 @@
 	log        *slog.Logger
 
 	// Accessed by Run only.
-	leading       bool
-	loaded        bool // the records of provisions were read
-	listRequested time.Time
+	leading         bool
+	loaded          bool // the records of provisions were read
+	listRequestedAt time.Time
 
 	mu                 sync.Mutex
 	instances          map[string]*instance
 	provisions         map[string]*provision         // without an outcome, by name
 	answeredProvisions map[string]*answeredProvision // whose records are still to be updated or deleted, by name
 	recordingAnswers   bool                          // a transaction for answeredProvisions is in flight
-	seq                int                           // number in the name of the last provision
+	lastSeq            int                           // number in the name of the last provision
 	refusals           map[offer]refusal
 	deleting           map[string]time.Time // machines being deleted (zero time), or deleted and possibly listed until the time
 
@@ -140,11 +140,11 @@
 	admittedWork   float64   // at the last update of arrivalCPUs
 	admittedWorkAt time.Time // time of the last update of arrivalCPUs, zero if there was none
 
-	newestListAt time.Time // when the newest list received was requested
-	listPages    int       // pages of the last list
-	stateLogged  time.Time
-	leadingSince time.Time
-	lastScaleIn  time.Time
+	newestListAt  time.Time // when the newest list received was requested
+	listPages     int       // pages of the last list
+	stateLoggedAt time.Time
+	leadingSince  time.Time
+	lastScaleInAt time.Time
 }
 
 // Options are the settings and dependencies of an Autoscaler.
@@ -206,8 +206,8 @@
 		if !a.loaded && !a.loadProvisions(ctx) {
 			continue
 		}
-		if time.Since(a.listRequested) > a.listInterval() {
-			a.listRequested = time.Now()
+		if time.Since(a.listRequestedAt) > a.listInterval() {
+			a.listRequestedAt = time.Now()
 			wg.Go(func() { a.refresh(ctx) })
 		}
 		a.step(ctx, &wg)
@@ -217,7 +217,7 @@
 // startLeading resets the state from an earlier term as leader.
 func (a *Autoscaler) startLeading() {
 	a.leading = true
-	a.listRequested = time.Time{}
+	a.listRequestedAt = time.Time{}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.instances, a.provisions, a.answeredProvisions = map[string]*instance{}, map[string]*provision{}, map[string]*answeredProvision{}
@@ -246,8 +246,8 @@
 	record   bool              // the answers of provisions are to be recorded
 	repeat   []*provision
 	slots    int // number of provisions that may be started
-	wants    map[offer]int
-	order    []offer // keys of wants, most needed first
+	wanted   map[offer]int
+	order    []offer // keys of wanted, most needed first
 }
 
 // step plans once and starts the resulting requests.
@@ -273,7 +273,7 @@
 		wg.Go(func() { a.scaleOut(ctx, p) })
 	}
 	for _, o := range todo.order {
-		for n := todo.wants[o]; n > 0 && todo.slots > 0; n -= maxProvision {
+		for n := todo.wanted[o]; n > 0 && todo.slots > 0; n -= maxProvision {
 			todo.slots--
 			p := a.newProvision(o, min(n, maxProvision), now)
 			wg.Go(func() { a.scaleOut(ctx, p) })
@@ -292,9 +292,9 @@
 	a.collectUnwanted(now, unwanted)
 	a.logState(now, demand, loads)
 	var todo decisions
-	todo.wants, todo.order = a.plan(now, demand)
+	todo.wanted, todo.order = a.plan(now, demand)
 	todo.cordoned = a.cordon(now, demand)
-	a.drainIdle(now, todo.wants)
+	a.drainIdle(now, todo.wanted)
 	for _, p := range a.provisions {
 		if !p.sending {
 			p.sending = true
@@ -306,8 +306,8 @@
 	}
 	todo.record = len(a.answeredProvisions) > 0 && !a.recordingAnswers
 	a.recordingAnswers = a.recordingAnswers || todo.record
-	if len(unwanted) > 0 && now.Sub(a.lastScaleIn) > seconds(scaleInRequestGap/a.cfg.Params.Cloud.RPS) {
-		a.lastScaleIn = now
+	if len(unwanted) > 0 && now.Sub(a.lastScaleInAt) > seconds(scaleInRequestGap/a.cfg.Params.Cloud.RPS) {
+		a.lastScaleInAt = now
 		todo.scaleIn = unwanted
 	}
 	return todo
@@ -341,10 +341,10 @@
 
 // logState logs the state at most once in logInterval. Called with mu held.
 func (a *Autoscaler) logState(now time.Time, demand []planner.Demand, loads []planner.WorkerLoad) {
-	if now.Sub(a.stateLogged) < logInterval {
+	if now.Sub(a.stateLoggedAt) < logInterval {
 		return
 	}
-	a.stateLogged = now
+	a.stateLoggedAt = now
 	var waiting, total, used, spot float64
 	up := 0
 	for i := range demand {
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -35,7 +35,7 @@
 func (a *Autoscaler) refreshAt(ctx context.Context, requested time.Time) {
 	list, err := a.cloud.listMachines(ctx)
 	if err != nil {
-		a.log.Info("machine list failed", "err", err)
+		a.log.Info("reading machine list failed", "err", err)
 		return
 	}
 	failed, endpoints := a.applyList(list, requested)
--- a/internal/autoscaler/machine_list_test.go
+++ b/internal/autoscaler/machine_list_test.go
@@ -42,7 +42,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := testAutoscaler()
 		a.cfg.Params.Cloud.ListLagS = lag.Seconds()
-		a.dispatcher = &drainCounter{}
+		a.dispatcher = &fakeDispatcher{}
 		cloud := &listingCloud{
 			created: time.Duration(rapid.IntRange(0, 20).Draw(t, "created")) * step,
 			deleted: time.Duration(rapid.IntRange(21, 60).Draw(t, "gone")) * step,
@@ -64,13 +64,13 @@
 			}
 			vanished := a.vanished("n-1", start.Add(heartbeat))
 			if vanished && cloud.now < cloud.deleted {
-				t.Fatalf("%v before it is deleted, the machine has vanished", cloud.deleted-cloud.now)
+				t.Fatalf("machine counts as vanished %v before it is deleted", cloud.deleted-cloud.now)
 			}
 		}
 		cloud.age = 0
 		a.refreshAt(context.Background(), start.Add(cloud.now))
 		if !a.vanished("n-1", start.Add(heartbeat)) {
-			t.Fatal("a deleted machine has not vanished")
+			t.Fatal("deleted machine does not count as vanished")
 		}
 	})
 }
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -22,9 +22,9 @@
 	return n
 }
 
-// refuse records that the cloud has no more machines of an offer. Unless machines of it are lost
+// recordRefusal records that the cloud has no more machines of an offer. Unless machines of it are lost
 // or deleted, another request would only use up the cloud's rate limit. Called with mu held.
-func (a *Autoscaler) refuse(o offer) { a.refusals[o] = refusal{time.Now(), a.countByOffer()[o]} }
+func (a *Autoscaler) recordRefusal(o offer) { a.refusals[o] = refusal{time.Now(), a.countByOffer()[o]} }
 
 // offers returns the offers that may be requested now, in a fixed order. Called with mu held.
 func (a *Autoscaler) offers(now time.Time) []offer {
@@ -65,7 +65,7 @@
 		if !ok || o.Spot != spot || sim.exhausted(o) || !allows(d.Job, o) || !d.Resources.Fits(ResourcesOf(t)) {
 			continue
 		}
-		if cost := costPerTask(d, n, o, t, sim.wants[o]); cost < lowest {
+		if cost := costPerTask(d, n, o, t, sim.wanted[o]); cost < lowest {
 			best, bestType, lowest = o, t, cost
 		}
 	}
@@ -75,7 +75,7 @@
 // exhausted reports whether the plan wants as many machines of an offer as the provisions in
 // flight may request at most.
 func (sim *simulation) exhausted(o offer) bool {
-	return sim.wants[o] >= maxProvision*sim.autoscaler.maxInFlight()
+	return sim.wanted[o] >= maxProvision*sim.autoscaler.maxInFlight()
 }
 
 // costPerTask rates an offer for n tasks of a demand. wanted is the number of machines of the
@@ -109,7 +109,7 @@
 		if size == 0 || sim.exhausted(best) {
 			break
 		}
-		sim.want(best)
+		sim.addWanted(best)
 		total += size
 	}
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -66,14 +66,14 @@
 	machines   []*simulatedMachine // that accept tasks
 	cordoned   []*simulatedMachine
 	offers     []offer
-	wants      map[offer]int
-	order      []offer // keys of wants, most needed first
+	wanted     map[offer]int
+	order      []offer // keys of wanted, most needed first
 }
 
 // plan simulates the pending work on the existing machines. It returns the machines to provision
 // for work that would wait longer than a new machine takes to boot, and their offers, most needed
 // first. It uncordons workers that the work needs. Called with mu held.
-func (a *Autoscaler) plan(now time.Time, demand []planner.Demand) (wants map[offer]int, order []offer) {
+func (a *Autoscaler) plan(now time.Time, demand []planner.Demand) (wanted map[offer]int, order []offer) {
 	sim := a.simulate(now)
 	bootS := a.shortestBootS()
 	for i := range demand {
@@ -83,13 +83,13 @@
 	if len(demand) > 0 || a.usedCPUs > headroomUsedShare*sim.totalCPUs() {
 		sim.addHeadroom()
 	}
-	return sim.wants, sim.order
+	return sim.wanted, sim.order
 }
 
 // simulate starts a plan with the machines that are up, booting or requested. Called with mu
 // held.
 func (a *Autoscaler) simulate(now time.Time) simulation {
-	sim := simulation{autoscaler: a, wants: map[offer]int{}}
+	sim := simulation{autoscaler: a, wanted: map[offer]int{}}
 	for name, inst := range a.instances {
 		if a.isDeleting(name) || !inst.drainingSince.IsZero() || inst.load != nil && (inst.load.Notice || inst.load.Faulty) {
 			continue
@@ -191,7 +191,7 @@
 		if !ok {
 			break
 		}
-		sim.want(o)
+		sim.addWanted(o)
 		s := newSimulated(o, t, t.BootS)
 		sim.machines = append(sim.machines, s)
 		left := s.fill(d, n, maxWaitS+t.BootS)
@@ -203,9 +203,9 @@
 	return n
 }
 
-// want adds a machine of an offer to the plan's result.
-func (sim *simulation) want(o offer) {
-	if sim.wants[o]++; sim.wants[o] == 1 {
+// addWanted adds a machine of an offer to the plan's result.
+func (sim *simulation) addWanted(o offer) {
+	if sim.wanted[o]++; sim.wanted[o] == 1 {
 		sim.order = append(sim.order, o)
 	}
 }
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -37,14 +37,14 @@
 func TestPlanOfLargestJobIsBounded(t *testing.T) {
 	a := testAutoscaler()
 	start := time.Now()
-	wants, _ := a.plan(time.Now(), demand(wire.MaxTasks, true, 20))
-	for o, n := range wants {
+	wanted, _ := a.plan(time.Now(), demand(wire.MaxTasks, true, 20))
+	for o, n := range wanted {
 		if n > maxProvision*a.maxInFlight() {
-			t.Errorf("%d of %+v", n, o)
+			t.Errorf("plan wants %d machines of %+v", n, o)
 		}
 	}
 	if took := time.Since(start); took > time.Second {
-		t.Errorf("took %v", took)
+		t.Errorf("plan took %v", took)
 	}
 }
 
@@ -53,8 +53,8 @@
 func TestPlanPrefersSpot(t *testing.T) {
 	a := testAutoscaler()
 	now := time.Now()
-	count := func(wants map[offer]int, spot bool) (n int) {
-		for o, k := range wants {
+	count := func(wanted map[offer]int, spot bool) (n int) {
+		for o, k := range wanted {
 			if o.Spot == spot {
 				n += k
 			}
@@ -62,10 +62,10 @@
 		return n
 	}
 	if w, _ := a.plan(now, demand(8, true, 60)); count(w, true) == 0 || count(w, false) != 0 {
-		t.Errorf("spot allowed: %v", w)
+		t.Errorf("spot allowed: plan wants %v", w)
 	}
 	if w, _ := a.plan(now, demand(8, false, 60)); count(w, true) != 0 || count(w, false) == 0 {
-		t.Errorf("spot not allowed: %v", w)
+		t.Errorf("spot not allowed: plan wants %v", w)
 	}
 	for _, o := range a.offers(now) {
 		if o.Spot {
@@ -73,7 +73,7 @@
 		}
 	}
 	if w, _ := a.plan(now, demand(8, true, 60)); count(w, true) != 0 {
-		t.Errorf("refused a moment ago: %v", w)
+		t.Errorf("spot offers refused recently: plan wants %v", w)
 	}
 }
 
@@ -100,7 +100,7 @@
 	a := testAutoscaler()
 	o := offer{"small", "a", true}
 	a.instances["n-1"] = &instance{name: "n-1", offer: o}
-	a.refuse(o)
+	a.recordRefusal(o)
 	offered := func(after time.Duration) bool {
 		for _, x := range a.offers(time.Now().Add(after)) {
 			if x == o {
@@ -117,7 +117,7 @@
 		t.Error("not requested again although a machine was lost")
 	}
 	if offered(time.Second) || !offered(longRefusalBackoff+time.Second) {
-		t.Error("the pauses do not hold")
+		t.Error("requested within the backoff, or not after the long backoff")
 	}
 }
 
@@ -128,7 +128,7 @@
 	for _, reserved := range []float64{0, 1e6} {
 		a := testAutoscaler()
 		a.reservedCPUs = func() float64 { return reserved }
-		dispatcher := &drainCounter{}
+		dispatcher := &fakeDispatcher{}
 		a.dispatcher = dispatcher
 		a.op.IdleS = 20
 		var load planner.WorkerLoad
@@ -139,17 +139,17 @@
 		}
 		a.drainIdle(now, nil)
 		if (dispatcher.drained > 0) != (reserved == 0) {
-			t.Errorf("with %v CPUs reserved %d machines are drained", reserved, dispatcher.drained)
+			t.Errorf("with %v CPUs reserved, %d machines were drained", reserved, dispatcher.drained)
 		}
 	}
 }
 
-// drainCounter is a Dispatcher that counts drained workers.
-type drainCounter struct{ drained int }
+// fakeDispatcher is a Dispatcher that counts drained workers.
+type fakeDispatcher struct{ drained int }
 
-func (d *drainCounter) Drain(string) bool   { d.drained++; return true }
-func (d *drainCounter) RemoveWorker(string) {}
-func (d *drainCounter) PollReports(context.Context, map[string]string, time.Duration) {
+func (d *fakeDispatcher) Drain(string) bool   { d.drained++; return true }
+func (d *fakeDispatcher) RemoveWorker(string) {}
+func (d *fakeDispatcher) PollReports(context.Context, map[string]string, time.Duration) {
 }
 
 // Planning many small tasks one by one occupies a small controller's processor for seconds, in
@@ -202,7 +202,7 @@
 			one = one.Reserve(d.Resources, w, d.RunS)
 		}
 		if got := s.fill(d, n, maxWaitS); got != left {
-			t.Fatalf("%d of %d tasks are left, %d one by one", got, n, left)
+			t.Fatalf("fill leaves %d of %d tasks, want %d as when placed one by one", got, n, left)
 		}
 	})
 }
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -27,9 +27,9 @@
 // accessed only by the goroutine of scaleOut that sending was set for.
 type provision struct {
 	req           wire.ProvisionRequest
-	planned       time.Time
+	plannedAt     time.Time
 	sending       bool // a goroutine of scaleOut handles it; guarded by Autoscaler.mu
-	perhapsStored bool // a write of its record had an unknown outcome
+	maybeRecorded bool // a write of its record had an unknown outcome
 	recorded      bool // the record is written
 	requested     bool // the cloud may have received the request
 }
@@ -45,10 +45,10 @@
 func (a *Autoscaler) newProvision(o offer, n int, now time.Time) *provision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.seq++
+	a.lastSeq++
 	// No two leaders share a fencing token, so names are unique.
-	name := fmt.Sprintf("r-%d-%d", a.member.FencingToken(), a.seq)
-	p := &provision{req: wire.ProvisionRequest{Name: name, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Number: n}, planned: now, sending: true}
+	name := fmt.Sprintf("r-%d-%d", a.member.FencingToken(), a.lastSeq)
+	p := &provision{req: wire.ProvisionRequest{Name: name, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Number: n}, plannedAt: now, sending: true}
 	a.provisions[name] = p
 	return p
 }
@@ -80,12 +80,12 @@
 	if !p.recorded {
 		err := a.writeRecord(ctx, p)
 		var conflict *statestore.ConflictError
-		p.perhapsStored = p.perhapsStored || errors.Is(err, statestore.ErrUnknown)
+		p.maybeRecorded = p.maybeRecorded || errors.Is(err, statestore.ErrUnknown)
 		switch {
 		case err == nil:
 			p.recorded = true
-		case p.perhapsStored && !errors.As(err, &conflict) && !errors.Is(err, errNotLeading) && !expired(p.planned, time.Now()):
-			a.log.Info("provision perhaps recorded", "provision", p.req.Name, "err", err)
+		case p.maybeRecorded && !errors.As(err, &conflict) && !errors.Is(err, errNotLeading) && !expired(p.plannedAt, time.Now()):
+			a.log.Info("provision may be recorded, retrying", "provision", p.req.Name, "err", err)
 			return retry
 		default:
 			// Nothing was provisioned, and the name is not used again.
@@ -93,9 +93,9 @@
 			return drop
 		}
 	}
-	if !p.requested && (expired(p.planned, time.Now()) || !a.scheduler.Ready()) {
+	if !p.requested && (expired(p.plannedAt, time.Now()) || !a.scheduler.Ready()) {
 		// If this process was paused, a successor may have provisioned for the same work.
-		a.log.Info("provision dropped", "provision", p.req.Name)
+		a.log.Info("provision not requested: expired or no longer leading", "provision", p.req.Name)
 		return drop
 	}
 	p.requested = true
@@ -151,7 +151,7 @@
 	record.AnsweredMs, record.Machines = now.UnixMilli(), names
 	a.addAnsweredLocked(record, now)
 	if len(names) < p.req.Number {
-		a.refuse(o)
+		a.recordRefusal(o)
 	} else {
 		delete(a.refusals, o)
 	}
@@ -161,7 +161,7 @@
 func (a *Autoscaler) provisionRefused(p *provision, o offer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.refuse(o)
+	a.recordRefusal(o)
 	a.dropRecordLocked(p.req.Name)
 }
 
--- a/internal/autoscaler/provision_record.go
+++ b/internal/autoscaler/provision_record.go
@@ -36,7 +36,7 @@
 }
 
 func (p *provision) record() provisionRecord {
-	return provisionRecord{ProvisionRequest: p.req, PlannedMs: p.planned.UnixMilli()}
+	return provisionRecord{ProvisionRequest: p.req, PlannedMs: p.plannedAt.UnixMilli()}
 }
 
 func (r *provisionRecord) offer() offer { return offer{r.Type, r.Zone, r.Spot} }
@@ -77,7 +77,7 @@
 			old = append(old, record.Name)
 			a.dropRecordLocked(record.Name)
 		default:
-			a.provisions[record.Name] = &provision{req: record.ProvisionRequest, planned: planned, recorded: true}
+			a.provisions[record.Name] = &provision{req: record.ProvisionRequest, plannedAt: planned, recorded: true}
 		}
 	}
 	return old, nil
--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -38,7 +38,7 @@
 	recorded.Check(t, "types", machineTypes())
 	recorded.Check(t, "types_least", []wire.MachineType(nil))
 	record := provisionRecord{ProvisionRequest: fullRequest(), PlannedMs: 1700000000123}
-	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
+	planned := &provision{req: fullRequest(), plannedAt: time.UnixMilli(1700000000123)}
 	if !reflect.DeepEqual(planned.record(), record) {
 		t.Errorf("recorded as %+v, want %+v", planned.record(), record)
 	}
@@ -58,12 +58,12 @@
 	}
 }
 
-// leader is a Membership that leads shard 0, whose key has the given version.
-type leader struct{ version uint64 }
+// shardLeader is a Membership that leads shard 0, whose key has the given version.
+type shardLeader struct{ version uint64 }
 
-func (l leader) FencingToken() uint64          { return 12 }
-func (l leader) ClaimedShards() map[int]uint64 { return map[int]uint64{0: l.version} }
-func (l leader) ShardKey(int) string           { return "c/shard/000" }
+func (l shardLeader) FencingToken() uint64          { return 12 }
+func (l shardLeader) ClaimedShards() map[int]uint64 { return map[int]uint64{0: l.version} }
+func (l shardLeader) ShardKey(int) string           { return "c/shard/000" }
 
 // The autoscaler's writes to the state service: a provision before it is requested from the cloud
 // and after the answer, and the machine types.
@@ -76,23 +76,23 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	catalog := NewCatalog(nil, view, log)
-	a := New(Options{Platform: &config.Platform{}, Operator: &config.Operator{}, Catalog: catalog, Store: view, Member: leader{version}, Log: log})
-	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
+	a := New(Options{Platform: &config.Platform{}, Operator: &config.Operator{}, Catalog: catalog, Store: view, Member: shardLeader{version}, Log: log})
+	planned := &provision{req: fullRequest(), plannedAt: time.UnixMilli(1700000000123)}
 	if err := a.writeRecord(t.Context(), planned); err != nil {
 		t.Fatal(err)
 	}
-	checkText(t, store, "fleet/hire/r-12-1", "hire_planned.json")
+	checkStored(t, store, "fleet/hire/r-12-1", "hire_planned.json")
 	answered := planned.record()
 	answered.AnsweredMs, answered.Machines = 1700000004567, []string{"m-1", "m-2"}
 	a.answeredProvisions["r-12-1"] = &answeredProvision{record: answered, until: time.Now().Add(time.Hour)}
 	a.recordAnswers(t.Context())
-	checkText(t, store, "fleet/hire/r-12-1", "hire.json")
+	checkStored(t, store, "fleet/hire/r-12-1", "hire.json")
 	catalog.persist(t.Context(), machineTypes())
-	checkText(t, store, "fleet/types", "types.json")
+	checkStored(t, store, "fleet/types", "types.json")
 }
 
-// checkText compares the value stored under a key with a file of testdata/recorded.
-func checkText(t *testing.T, store *testkit.Store, key, file string) {
+// checkStored compares the value stored under a key with a file of testdata/recorded.
+func checkStored(t *testing.T, store *testkit.Store, key, file string) {
 	t.Helper()
 	text := recorded.Read(t, file)
 	if got := store.Text(key); got+"\n" != string(text) {
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -95,10 +95,10 @@
 // the target capacity remains. It drains no spot machines if the plan wants spot machines, and no
 // on-demand ones if it wants those, unless they are cordoned. A later step deletes the drained
 // machines. Called with mu held.
-func (a *Autoscaler) drainIdle(now time.Time, wants map[offer]int) {
-	wanted := map[bool]bool{} // by whether they are spot machines
-	for o := range wants {
-		wanted[o.Spot] = true
+func (a *Autoscaler) drainIdle(now time.Time, wanted map[offer]int) {
+	wantedKinds := map[bool]bool{} // by offer.Spot
+	for o := range wanted {
+		wantedKinds[o.Spot] = true
 	}
 	idle, totalCPUs := a.idleWorkers(now)
 	slices.SortFunc(idle, func(x, y *instance) int {
@@ -111,7 +111,7 @@
 		if !inst.cordoned && now.Sub(inst.idleSince) < seconds(a.op.IdleS*lowestPrice/a.pricePerCPU(inst)) || now.Sub(inst.provisionedAt) < minUptimeS*time.Second {
 			continue
 		}
-		if !inst.cordoned && (wanted[inst.offer.Spot] || a.needed(inst.offer, t, totalCPUs)) {
+		if !inst.cordoned && (wantedKinds[inst.offer.Spot] || a.needed(inst.offer, t, totalCPUs)) {
 			continue
 		}
 		totalCPUs -= t.CPUs
