--- a/internal/slo/monitor.go
+++ b/internal/slo/monitor.go
@@ -90,7 +90,7 @@
 		}
 		m.raiseAlerts(job, now, stillMissed)
 	}
-	m.countLate(living)
+	m.recordLateness(living)
 	m.lastStatuses = living
 	m.clearAlerts(now, stillMissed)
 }
@@ -100,7 +100,7 @@
 func (m *Monitor) raiseAlerts(job *scheduler.JobStatus, now time.Time, stillMissed map[alertKey]bool) {
 	for i := range m.objectives {
 		objective := &m.objectives[i]
-		if !missed(objective, job) {
+		if !isMissed(objective, job) {
 			continue
 		}
 		key := alertKey{job.UID, i}
@@ -114,8 +114,8 @@
 	}
 }
 
-// countLate records the lateness of jobs that ended since the last check past their deadlines.
-func (m *Monitor) countLate(living map[string]scheduler.JobStatus) {
+// recordLateness records the lateness of jobs that ended since the last check past their deadlines.
+func (m *Monitor) recordLateness(living map[string]scheduler.JobStatus) {
 	for uid, job := range m.lastStatuses {
 		if _, ok := living[uid]; ok || job.DueS == nil || job.Cancelled {
 			continue
--- a/internal/slo/monitor_test.go
+++ b/internal/slo/monitor_test.go
@@ -61,15 +61,15 @@
 		living.set(waits, cancelled)
 		first := alerts().Open
 		if len(first) != 1 || first[0].Job != "j-1" || first[0].ObjectiveKind != "wait" || first[0].Message == "" || first[0].Page == "" {
-			t.Fatalf("open %+v", first)
+			t.Fatalf("open alerts %+v", first)
 		}
 		if again := alerts(); len(again.Open) != 1 || !again.Open[0].Since.Equal(first[0].Since) || len(again.Past) != 0 {
-			t.Errorf("alerted again: %+v", again)
+			t.Errorf("alert raised again: %+v", again)
 		}
 		waits.Started = 4
 		living.set(waits)
 		if over := alerts(); len(over.Open) != 0 || len(over.Past) != 1 || over.Past[0].Cleared == nil {
-			t.Errorf("not cleared: %+v", over)
+			t.Errorf("alert not cleared: %+v", over)
 		}
 		cancel()
 		<-ended
--- a/internal/slo/objective.go
+++ b/internal/slo/objective.go
@@ -14,8 +14,8 @@
 	kindDeadline = "deadline" // all tasks are done within a multiple of the job's own deadline
 )
 
-// missed reports whether a living job misses an objective now.
-func missed(objective *config.Objective, job *scheduler.JobStatus) bool {
+// isMissed reports whether a living job misses an objective now.
+func isMissed(objective *config.Objective, job *scheduler.JobStatus) bool {
 	if job.Cancelled || objective.Class != job.Class {
 		return false
 	}
