--- a/internal/jobid/jobid_test.go
+++ b/internal/jobid/jobid_test.go
@@ -46,7 +46,7 @@
 			allocated[first+uint64(k)] = true
 		}
 		if ok, err := jobid.New(clean).Allocated(ctx, first, count); err != nil || !ok {
-			t.Fatalf("%d is said to be nobody's, %v", first, err)
+			t.Fatalf("allocated number %d is reported as not allocated, %v", first, err)
 		}
 		if n%3 > 0 { // the other numbers are never used by a job
 			job := jobid.Job{UID: "j-" + string(rune('a'+n%26)), First: first, Tasks: count}
@@ -57,7 +57,7 @@
 	allocator := jobid.New(clean)
 	checkFound(t, allocator, jobs, allocated)
 	if ok, err := allocator.Allocated(ctx, 1<<40, 1); ok || err != nil {
-		t.Errorf("a number from beyond the counter: %v, %v", ok, err)
+		t.Errorf("a number beyond the counter: allocated %v, %v", ok, err)
 	}
 }
 
@@ -79,13 +79,13 @@
 			n := job.First + uint64(k)
 			used[n] = true
 			if got, err := allocator.Find(t.Context(), n); err != nil || got != job {
-				t.Fatalf("%d finds %+v, not %+v: %v", n, got, job, err)
+				t.Fatalf("%d finds %+v, want %+v: %v", n, got, job, err)
 			}
 		}
 	}
 	for n := range allocated {
 		if _, err := allocator.Find(t.Context(), n); !used[n] && !errors.Is(err, statestore.ErrNotFound) {
-			t.Fatalf("%d, which no job has: %v", n, err)
+			t.Fatalf("number %d without a job: %v", n, err)
 		}
 	}
 }
