--- a/internal/autoscaler/machine_list_test.go
+++ b/internal/autoscaler/machine_list_test.go
@@ -13,10 +13,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// listingCloud is a cloud of one machine. Its lists show an earlier time.
+// listingCloud is a cloud with one machine, whose lists show an earlier time.
 type listingCloud struct {
 	age     time.Duration // of the lists
-	created time.Duration // from which on, and until when, the machine exists
+	created time.Duration // time since the start of the test at which the machine is created
 	deleted time.Duration
 	now     time.Duration
 }
@@ -35,14 +35,14 @@
 	return w.Result(), nil
 }
 
-// A machine counts as vanished only when it is deleted, and within some lists after that,
-// whatever the age of each list, and however old the machine's last heartbeat is.
+// A machine counts as vanished only after it is deleted, whatever the age of each list and of
+// the machine's last heartbeat, and at the latest by a list that shows the present.
 func TestMachineVanishesOnlyOnceDeleted(t *testing.T) {
 	const lag, step = 6 * time.Second, time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		a := testAutoscaler()
 		a.cfg.Params.Cloud.ListLagS = lag.Seconds()
-		a.dispatcher = &drainCounter{}
+		a.dispatcher = &fakeDispatcher{}
 		cloud := &listingCloud{
 			created: time.Duration(rapid.IntRange(0, 20).Draw(t, "created")) * step,
 			deleted: time.Duration(rapid.IntRange(21, 60).Draw(t, "gone")) * step,
@@ -64,13 +64,13 @@
 			}
 			vanished := a.vanished("n-1", start.Add(heartbeat))
 			if vanished && cloud.now < cloud.deleted {
-				t.Fatalf("%v before it is deleted, the machine has vanished", cloud.deleted-cloud.now)
+				t.Fatalf("machine counts as vanished %v before it is deleted", cloud.deleted-cloud.now)
 			}
 		}
 		cloud.age = 0
 		a.refreshAt(context.Background(), start.Add(cloud.now))
 		if !a.vanished("n-1", start.Add(heartbeat)) {
-			t.Fatal("a deleted machine has not vanished")
+			t.Fatal("deleted machine does not count as vanished")
 		}
 	})
 }
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -33,28 +33,28 @@
 	}}
 }
 
-// A job of the largest size must make no plan provision, or take time, without bound.
+// The plan for a job of the maximum size must be bounded in time and in the machines that it wants.
 func TestPlanOfLargestJobIsBounded(t *testing.T) {
 	a := testAutoscaler()
 	start := time.Now()
-	wants, _ := a.plan(time.Now(), demand(wire.MaxTasks, true, 20))
-	for o, n := range wants {
+	wanted, _ := a.plan(time.Now(), demand(wire.MaxTasks, true, 20))
+	for o, n := range wanted {
 		if n > maxProvision*a.maxInFlight() {
-			t.Errorf("%d of %+v", n, o)
+			t.Errorf("plan wants %d machines of %+v", n, o)
 		}
 	}
 	if took := time.Since(start); took > time.Second {
-		t.Errorf("took %v", took)
+		t.Errorf("plan took %v", took)
 	}
 }
 
-// Spot machines are provisioned where allowed and available; on-demand ones for work
-// that may not use them, or would be late.
+// Spot machines are provisioned where allowed and available; on-demand ones for work that may
+// not run on spot machines, or would otherwise be late.
 func TestPlanPrefersSpot(t *testing.T) {
 	a := testAutoscaler()
 	now := time.Now()
-	count := func(wants map[offer]int, spot bool) (n int) {
-		for o, k := range wants {
+	count := func(wanted map[offer]int, spot bool) (n int) {
+		for o, k := range wanted {
 			if o.Spot == spot {
 				n += k
 			}
@@ -62,10 +62,10 @@
 		return n
 	}
 	if w, _ := a.plan(now, demand(8, true, 60)); count(w, true) == 0 || count(w, false) != 0 {
-		t.Errorf("spot allowed: %v", w)
+		t.Errorf("spot allowed: plan wants %v", w)
 	}
 	if w, _ := a.plan(now, demand(8, false, 60)); count(w, true) != 0 || count(w, false) == 0 {
-		t.Errorf("spot not allowed: %v", w)
+		t.Errorf("spot not allowed: plan wants %v", w)
 	}
 	for _, o := range a.offers(now) {
 		if o.Spot {
@@ -73,12 +73,12 @@
 		}
 	}
 	if w, _ := a.plan(now, demand(8, true, 60)); count(w, true) != 0 {
-		t.Errorf("refused a moment ago: %v", w)
+		t.Errorf("spot offers refused recently: plan wants %v", w)
 	}
 }
 
-// For a job that names zone and types only machines of these are provisioned.
-func TestPlanKeepsToJobsZoneAndTypes(t *testing.T) {
+// For a job with a zone and types, only machines of that zone and these types are provisioned.
+func TestPlanHonorsZoneAndTypes(t *testing.T) {
 	a := testAutoscaler()
 	d := demand(40, true, 60)
 	zone := "b"
@@ -94,14 +94,13 @@
 	}
 }
 
-// Once an offer is refused, a request for it can only succeed when machines of it were
-// lost since; an autoscaler that requested every few seconds all that it could not
-// have left nothing of the cloud's rate limit for what it could.
+// After an offer is refused, a request for it can only succeed if machines of it were lost since.
+// Requesting all refused offers every few seconds would use up the cloud's rate limit.
 func TestRefusedOfferIsRequestedAgainAfterLossOrPause(t *testing.T) {
 	a := testAutoscaler()
 	o := offer{"small", "a", true}
 	a.instances["n-1"] = &instance{name: "n-1", offer: o}
-	a.refuse(o)
+	a.recordRefusal(o)
 	offered := func(after time.Duration) bool {
 		for _, x := range a.offers(time.Now().Add(after)) {
 			if x == o {
@@ -110,60 +109,60 @@
 		}
 		return false
 	}
-	if offered(refusalPause + time.Second) {
+	if offered(refusalBackoff + time.Second) {
 		t.Error("requested again although no machine was lost")
 	}
 	delete(a.instances, "n-1")
-	if !offered(refusalPause + time.Second) {
+	if !offered(refusalBackoff + time.Second) {
 		t.Error("not requested again although a machine was lost")
 	}
-	if offered(time.Second) || !offered(longRefusalPause+time.Second) {
-		t.Error("the pauses do not hold")
+	if offered(time.Second) || !offered(longRefusalBackoff+time.Second) {
+		t.Error("requested within the backoff, or not after the long backoff")
 	}
 }
 
-// While a roll-out may be rolled back, the machines that its old version ran on
-// are kept although they are idle.
+// While a roll-out may be rolled back, the machines on which its old version ran must be
+// retained although they are idle.
 func TestReservedCapacityIsNotDrained(t *testing.T) {
 	now := time.Now()
 	for _, reserved := range []float64{0, 1e6} {
 		a := testAutoscaler()
 		a.reservedCPUs = func() float64 { return reserved }
-		dispatcher := &drainCounter{}
+		dispatcher := &fakeDispatcher{}
 		a.dispatcher = dispatcher
 		a.op.IdleS = 20
 		var load planner.WorkerLoad
 		load.LastHeartbeat = now
 		for i := range 3 {
 			name := fmt.Sprintf("n-%d", i)
-			a.instances[name] = &instance{name: name, offer: offer{"small", "z", false}, provisioned: now.Add(-time.Hour), discovered: now.Add(-time.Hour), lastHeartbeat: now, idleSince: now.Add(-time.Hour), load: &load}
+			a.instances[name] = &instance{name: name, offer: offer{"small", "z", false}, provisionedAt: now.Add(-time.Hour), discoveredAt: now.Add(-time.Hour), lastHeartbeat: now, idleSince: now.Add(-time.Hour), load: &load}
 		}
 		a.drainIdle(now, nil)
 		if (dispatcher.drained > 0) != (reserved == 0) {
-			t.Errorf("with %v CPUs reserved %d machines are drained", reserved, dispatcher.drained)
+			t.Errorf("with %v CPUs reserved, %d machines were drained", reserved, dispatcher.drained)
 		}
 	}
 }
 
-// drainCounter is a Dispatcher that counts drained workers.
-type drainCounter struct{ drained int }
+// fakeDispatcher is a Dispatcher that counts drained workers.
+type fakeDispatcher struct{ drained int }
 
-func (d *drainCounter) Drain(string) bool   { d.drained++; return true }
-func (d *drainCounter) RemoveWorker(string) {}
-func (d *drainCounter) PollReports(context.Context, map[string]string, time.Duration) {
+func (d *fakeDispatcher) Drain(string) bool   { d.drained++; return true }
+func (d *fakeDispatcher) RemoveWorker(string) {}
+func (d *fakeDispatcher) PollReports(context.Context, map[string]string, time.Duration) {
 }
 
-// Many small tasks on machines that are up: planned task by task they held a small
-// controller's processor for seconds at a time, and nothing was started (incident d184 of
-// kitaboard-ops). The result must be that of one task after the other.
-func TestPlanOfManySmallTasksIsQuickAndExact(t *testing.T) {
+// Planning many small tasks one by one occupies a small controller's processor for seconds, in
+// which nothing is started (incident d184 of kitaboard-ops). The batched plan must leave as
+// many tasks as the plan of one task after the other.
+func TestPlanOfManySmallTasksIsFastAndExact(t *testing.T) {
 	a := testAutoscaler()
 	now := time.Now()
 	load := planner.WorkerLoad{Matrix: matching.NewWaitMatrix(matching.Resources{CPUs: 64, MemoryGB: 128},
 		[]matching.Allocation{{Resources: matching.Resources{CPUs: 30, MemoryGB: 9}, RemainingS: 7}, {Resources: matching.Resources{CPUs: 3, MemoryGB: 70}, RemainingS: 12}}, nil), LastHeartbeat: now}
 	for i := range 200 {
 		name := fmt.Sprintf("n-%d", i)
-		a.instances[name] = &instance{name: name, offer: offer{"large", "a", true}, provisioned: now, discovered: now, lastHeartbeat: now, load: &load}
+		a.instances[name] = &instance{name: name, offer: offer{"large", "a", true}, provisionedAt: now, discoveredAt: now, lastHeartbeat: now, load: &load}
 	}
 	d := demand(25_000, true, 200)
 	d[0].Resources = matching.Resources{CPUs: 0.5, MemoryGB: 1}
@@ -173,7 +172,8 @@
 	if took := time.Since(start); took > 200*time.Millisecond {
 		t.Errorf("a plan took %v", took)
 	}
-	// On a quick machine the time shows nothing: each step of the plan makes a matrix.
+	// On a fast machine the time alone would not show a regression. Each step of the plan
+	// allocates a matrix, so that the allocations count the steps.
 	steps := testing.AllocsPerRun(1, func() {
 		again := demand(25_000, true, 200)
 		again[0].Resources, again[0].RunS = matching.Resources{CPUs: 0.5, MemoryGB: 1}, 5
@@ -191,7 +191,7 @@
 		}
 		d := &planner.Demand{Resources: matching.Resources{CPUs: float64(rapid.IntRange(1, 40).Draw(t, "size")) / 4, MemoryGB: float64(rapid.IntRange(0, 30).Draw(t, "gb"))}, RunS: rapid.Float64Range(0.5, 30).Draw(t, "run")}
 		n, maxWaitS := rapid.IntRange(0, 300).Draw(t, "tasks"), rapid.Float64Range(0, 90).Draw(t, "patience")
-		s := &simulated{matrix: matching.NewWaitMatrix(total, running, nil), bootS: 3}
+		s := &simulatedMachine{matrix: matching.NewWaitMatrix(total, running, nil), bootS: 3}
 		one := s.matrix
 		left := n
 		for ; left > 0; left-- {
@@ -202,7 +202,7 @@
 			one = one.Reserve(d.Resources, w, d.RunS)
 		}
 		if got := s.fill(d, n, maxWaitS); got != left {
-			t.Fatalf("%d of %d tasks are left, %d one by one", got, n, left)
+			t.Fatalf("fill leaves %d of %d tasks, want %d as when placed one by one", got, n, left)
 		}
 	})
 }
--- a/internal/autoscaler/provision_record.go
+++ b/internal/autoscaler/provision_record.go
@@ -14,7 +14,7 @@
 
 // Keys in the state service. Controllers of other versions share them.
 const (
-	provisionKey = "fleet/hire/" // and a provision's name
+	provisionKey = "fleet/hire/" // prefix of a provision's name
 	typesKey     = "fleet/types"
 )
 
@@ -26,32 +26,33 @@
 	firstListTimeout = 10 * time.Second
 )
 
-// provisionRecord is a provision as the state service has it. Without a time, it is old.
+// provisionRecord is a provision as stored in the state service. A record without times counts
+// as too old to be repeated.
 type provisionRecord struct {
 	wire.ProvisionRequest
-	PlannedMs  int64    `json:"planned,omitempty"`  // time of day
-	AnsweredMs int64    `json:"answered,omitempty"` // time of day; 0: perhaps not answered yet
-	Machines   []string `json:"machines,omitempty"` // that the cloud answered
+	PlannedMs  int64    `json:"planned,omitempty"`  // Unix ms
+	AnsweredMs int64    `json:"answered,omitempty"` // Unix ms; 0 if the answer is not recorded
+	Machines   []string `json:"machines,omitempty"` // names from the cloud's answer
 }
 
 func (p *provision) record() provisionRecord {
-	return provisionRecord{ProvisionRequest: p.req, PlannedMs: p.planned.UnixMilli()}
+	return provisionRecord{ProvisionRequest: p.req, PlannedMs: p.plannedAt.UnixMilli()}
 }
 
 func (r *provisionRecord) offer() offer { return offer{r.Type, r.Zone, r.Spot} }
 
-// answeredProvision is a provision that the cloud has answered, and whose record is kept until
-// its machines are in every list that a later leader may read.
+// answeredProvision is a provision that the cloud has answered. Its record is retained until its
+// machines are in every list that a later leader may read.
 type answeredProvision struct {
 	record   provisionRecord
-	recorded bool      // the record in the state service has the answer
+	recorded bool      // the stored record contains the answer
 	until    time.Time // when the record may be deleted
 }
 
-// load reads the recorded provisions: those perhaps not answered are repeated under their
-// names, and the machines of the others are counted on. It returns the names of those that
-// are too old for either.
-func (a *Autoscaler) load(ctx context.Context) (old []string, err error) {
+// loadRecords reads the records of provisions: those without a recorded answer are to be
+// repeated under their names, and the machines of the answered ones are added to the instances.
+// It returns the names of those that are too old for either, whose records are to be deleted.
+func (a *Autoscaler) loadRecords(ctx context.Context) (old []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	items, _, err := a.store.List(ctx, provisionKey)
@@ -69,23 +70,23 @@
 		}
 		planned, answered := time.UnixMilli(record.PlannedMs), time.UnixMilli(record.AnsweredMs)
 		switch {
-		case record.AnsweredMs > 0 && now.Sub(answered) < a.unlistedTime():
-			a.provisionedLocked(record, now)
-			a.answered[record.Name].recorded = true
+		case record.AnsweredMs > 0 && now.Sub(answered) < a.maxUnlistedTime():
+			a.addAnsweredLocked(record, now)
+			a.answeredProvisions[record.Name].recorded = true
 		case record.AnsweredMs > 0 || expired(planned, now):
 			old = append(old, record.Name)
-			a.dropLocked(record.Name)
+			a.dropRecordLocked(record.Name)
 		default:
-			a.provisions[record.Name] = &provision{req: record.ProvisionRequest, planned: planned, recorded: true}
+			a.provisions[record.Name] = &provision{req: record.ProvisionRequest, plannedAt: planned, recorded: true}
 		}
 	}
 	return old, nil
 }
 
-// write records a provision, so that the next leader repeats it under its name. It fails
-// with errNotLeading, or as the state service does; with statestore.ErrUnknown the record may
-// have been written.
-func (a *Autoscaler) write(ctx context.Context, p *provision) error {
+// writeRecord records a provision, so that the next leader repeats it under its name. The error
+// is errNotLeading, or that of the state service; after statestore.ErrUnknown the record may have
+// been written.
+func (a *Autoscaler) writeRecord(ctx context.Context, p *provision) error {
 	key := provisionKey + p.req.Name
 	version, ok := a.member.ClaimedShards()[0]
 	if !ok {
@@ -97,7 +98,7 @@
 	_, err := a.store.Txn(ctx, []wire.Guard{{Key: shard, Version: version}, {Key: key}}, wire.Op{Put: key, Value: p.record()})
 	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) && !conflict.Has(shard) {
-		return nil // by an earlier try, whose answer was lost: names are never shared
+		return nil // written by an earlier attempt whose response was lost: names are unique
 	}
 	if err != nil {
 		return fmt.Errorf("record provision %s: %w", p.req.Name, err)
@@ -105,41 +106,40 @@
 	return nil
 }
 
-// unlistedTime is how long after the answer to a provision its machines may be missing from
-// the cloud's list.
-func (a *Autoscaler) unlistedTime() time.Duration { return a.maxListLag() + time.Second }
+// maxUnlistedTime returns how long after the answer to a provision its machines may be missing
+// from the cloud's list.
+func (a *Autoscaler) maxUnlistedTime() time.Duration { return a.maxListLag() + time.Second }
 
-// provisionedLocked takes in the machines that the cloud answered to a provision. Its record
-// stays: a leader that begins before they are listed would provision them again. Called with mu
-// held.
-func (a *Autoscaler) provisionedLocked(record provisionRecord, now time.Time) {
-	a.expect(record, now)
+// addAnsweredLocked adds the machines of an answered provision. Its record is retained: a leader
+// that starts before they are listed would otherwise provision them again. Called with mu held.
+func (a *Autoscaler) addAnsweredLocked(record provisionRecord, now time.Time) {
+	a.addBooting(record, now)
 	answered := time.UnixMilli(record.AnsweredMs)
 	if answered.After(now) {
-		answered = now // by the clock of another controller, which is ahead
+		answered = now // the clock of the controller that recorded it is ahead
 	}
-	a.answered[record.Name] = &answeredProvision{record: record, until: answered.Add(a.unlistedTime())}
+	a.answeredProvisions[record.Name] = &answeredProvision{record: record, until: answered.Add(a.maxUnlistedTime())}
 }
 
-// expect adds the machines of an answered provision to the instances, as booting. Called with
+// addBooting adds the machines of an answered provision to the instances, as booting. Called with
 // mu held.
-func (a *Autoscaler) expect(record provisionRecord, now time.Time) {
+func (a *Autoscaler) addBooting(record provisionRecord, now time.Time) {
 	for _, name := range record.Machines {
 		if a.instances[name] == nil && !a.isDeleting(name) {
-			a.instances[name] = &instance{name: name, offer: record.offer(), provisioned: time.UnixMilli(record.PlannedMs), discovered: now, listed: now, stage: wire.MachineBooting}
+			a.instances[name] = &instance{name: name, offer: record.offer(), provisionedAt: time.UnixMilli(record.PlannedMs), discoveredAt: now, listedAt: now, stage: wire.MachineBooting}
 		}
 	}
 }
 
-// dropLocked has the record of a provision deleted of which no machines come. Called with mu
-// held.
-func (a *Autoscaler) dropLocked(name string) {
-	a.answered[name] = &answeredProvision{recorded: true}
+// dropRecordLocked schedules the deletion of the record of a provision that yields no machines.
+// Called with mu held.
+func (a *Autoscaler) dropRecordLocked(name string) {
+	a.answeredProvisions[name] = &answeredProvision{recorded: true}
 }
 
-// recordAnswers writes the answers of provisions into their records, and deletes the records
-// that aren't needed any more, all in one transaction. What fails is tried again by a later
-// step; what is left when this controller leads no more is the next leader's.
+// recordAnswers writes the answers of provisions into their records, and deletes the records that
+// are no longer needed, in one transaction. A later step retries after a failure; if this
+// controller no longer leads, the next leader handles the records.
 func (a *Autoscaler) recordAnswers(ctx context.Context) {
 	version, ok := a.member.ClaimedShards()[0]
 	if !ok {
@@ -160,21 +160,21 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, name := range deleted {
-		delete(a.answered, name)
+		delete(a.answeredProvisions, name)
 	}
 	for _, name := range recorded {
-		if answer := a.answered[name]; answer != nil {
+		if answer := a.answeredProvisions[name]; answer != nil {
 			answer.recorded = true
 		}
 	}
 }
 
-// answerOps returns the operations that the records of answered provisions need, as many as
-// fit into a transaction, and the names of those that they write and delete.
+// answerOps returns the operations that update the records of answered provisions, at most as
+// many as fit into a transaction, and the names of the records that they write and delete.
 func (a *Autoscaler) answerOps(now time.Time) (ops []wire.Op, recorded, deleted []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for name, answer := range a.answered {
+	for name, answer := range a.answeredProvisions {
 		if len(ops) == max(1, a.cfg.Params.State.TxnOps) {
 			break
 		}
--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -31,14 +31,14 @@
 	}
 }
 
-// Controllers of different versions share the records, so their form must not change.
+// Controllers of different versions share the records, so their encoding must not change.
 func TestRecordedForms(t *testing.T) {
 	recorded.Check(t, "hire", provisionRecord{ProvisionRequest: fullRequest(), PlannedMs: 1700000000123, AnsweredMs: 1700000004567, Machines: []string{"m-1", "m-2"}})
 	recorded.Check(t, "hire_least", provisionRecord{})
 	recorded.Check(t, "types", machineTypes())
 	recorded.Check(t, "types_least", []wire.MachineType(nil))
 	record := provisionRecord{ProvisionRequest: fullRequest(), PlannedMs: 1700000000123}
-	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
+	planned := &provision{req: fullRequest(), plannedAt: time.UnixMilli(1700000000123)}
 	if !reflect.DeepEqual(planned.record(), record) {
 		t.Errorf("recorded as %+v, want %+v", planned.record(), record)
 	}
@@ -51,22 +51,22 @@
 	}
 }
 
-// The cloud's text for an offer without capacity.
+// The cloud's text for an offer without capacity must not change.
 func TestRecordedProblem(t *testing.T) {
 	if text := errNoCapacity.Error(); text != "no capacity" {
 		t.Errorf("%q", text)
 	}
 }
 
-// leader leads shard 0 as of a version of its key.
-type leader struct{ version uint64 }
+// shardLeader is a Membership that leads shard 0, whose key has the given version.
+type shardLeader struct{ version uint64 }
 
-func (l leader) FencingToken() uint64          { return 12 }
-func (l leader) ClaimedShards() map[int]uint64 { return map[int]uint64{0: l.version} }
-func (l leader) ShardKey(int) string           { return "c/shard/000" }
+func (l shardLeader) FencingToken() uint64          { return 12 }
+func (l shardLeader) ClaimedShards() map[int]uint64 { return map[int]uint64{0: l.version} }
+func (l shardLeader) ShardKey(int) string           { return "c/shard/000" }
 
-// What the autoscaler writes, as the state service has it: a provision before the cloud gets
-// the request and after it has answered, and the machine types.
+// The autoscaler's writes to the state service: a provision before it is requested from the cloud
+// and after the answer, and the machine types.
 func TestRecordedByAutoscaler(t *testing.T) {
 	store := testkit.NewStore()
 	view := &testkit.View{Store: store}
@@ -76,23 +76,23 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	catalog := NewCatalog(nil, view, log)
-	a := New(Options{Platform: &config.Platform{}, Operator: &config.Operator{}, Catalog: catalog, Store: view, Member: leader{version}, Log: log})
-	planned := &provision{req: fullRequest(), planned: time.UnixMilli(1700000000123)}
-	if err := a.write(t.Context(), planned); err != nil {
+	a := New(Options{Platform: &config.Platform{}, Operator: &config.Operator{}, Catalog: catalog, Store: view, Member: shardLeader{version}, Log: log})
+	planned := &provision{req: fullRequest(), plannedAt: time.UnixMilli(1700000000123)}
+	if err := a.writeRecord(t.Context(), planned); err != nil {
 		t.Fatal(err)
 	}
-	checkText(t, store, "fleet/hire/r-12-1", "hire_planned.json")
+	checkStored(t, store, "fleet/hire/r-12-1", "hire_planned.json")
 	answered := planned.record()
 	answered.AnsweredMs, answered.Machines = 1700000004567, []string{"m-1", "m-2"}
-	a.answered["r-12-1"] = &answeredProvision{record: answered, until: time.Now().Add(time.Hour)}
+	a.answeredProvisions["r-12-1"] = &answeredProvision{record: answered, until: time.Now().Add(time.Hour)}
 	a.recordAnswers(t.Context())
-	checkText(t, store, "fleet/hire/r-12-1", "hire.json")
+	checkStored(t, store, "fleet/hire/r-12-1", "hire.json")
 	catalog.persist(t.Context(), machineTypes())
-	checkText(t, store, "fleet/types", "types.json")
+	checkStored(t, store, "fleet/types", "types.json")
 }
 
-// checkText compares what is stored under a key with a file of testdata/recorded.
-func checkText(t *testing.T, store *testkit.Store, key, file string) {
+// checkStored compares the value stored under a key with a file of testdata/recorded.
+func checkStored(t *testing.T, store *testkit.Store, key, file string) {
 	t.Helper()
 	text := recorded.Read(t, file)
 	if got := store.Text(key); got+"\n" != string(text) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// The requests that the cloud's client makes, as the cloud gets them.
+// The requests of the cloud's client, as the cloud receives them.
 func TestRecordedRequests(t *testing.T) {
 	var requests []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -27,21 +27,21 @@
 	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
-// controller is the parts of this process, which live as long as it. Only their assembly sees
-// all of them.
+// controller holds the components of this process. They live as long as the process. Only the
+// assembly code accesses all of them.
 type controller struct {
 	cfg      *config.Platform
 	operator *config.Operator
 	log      *slog.Logger
 	lifetime lifetime
-	nodes    []string // the names of the peers
+	nodes    []string // names of the peers
 
-	mesh    *mesh.Mesh
-	store   *statestore.Client
-	relay   storeRelay
-	member  *membership.Member
-	cloud   *autoscaler.Cloud
-	catalog *autoscaler.Catalog
+	mesh       *mesh.Mesh
+	store      *statestore.Client
+	storeRelay storeRelay
+	member     *membership.Member
+	cloud      *autoscaler.Cloud
+	catalog    *autoscaler.Catalog
 
 	links       *peerlinks.Links
 	linkChanges linkLog
@@ -50,35 +50,35 @@
 	pinger      pinger
 	prober      prober
 
-	scheduler *scheduler.Scheduler
-	gateway   schedulerGateway
-	times     *failovertiming.Timeline
-	starts    startLog
-	ownership ownershipTiming
+	scheduler          *scheduler.Scheduler
+	gateway            schedulerGateway
+	timeline           *failovertiming.Timeline
+	startLog           startLog
+	leadershipRecorder leadershipRecorder
 
-	connections  *connlimit.Limit
-	commands     *dispatch.HTTPCommandSender
-	router       workerRouter
-	instructions instructionRouter
-	local        localDispatcher
-	dispatcher   *dispatch.Dispatcher
-	views        viewPublisher
+	connections     *connlimit.Limit
+	commands        *dispatch.HTTPCommandSender
+	workerRouter    workerRouter
+	instructions    instructionRouter
+	localDispatcher localDispatcher
+	dispatcher      *dispatch.Dispatcher
+	viewPublisher   viewPublisher
 
-	cancelUpdates chan struct{} // there are updates of cancels for the peers
-	cancellations *cancellation.Registry
-	exchange      cancellationExchange
+	cancelUpdates        chan struct{} // signals that there are cancellation updates for the peers
+	cancellations        *cancellation.Registry
+	cancellationExchange cancellationExchange
 
-	unresponsive unresponsiveWorkers
-	attestor     leaseAttestor
-	expiring     expiringLeases
+	unresponsiveWorkers unresponsiveWorkers
+	leaseAttestor       leaseAttestor
+	expiringLeases      expiringLeases
 
-	demand        localDemand
-	clusterDemand clusterDemand
-	removed       removedWorkers
-	autoscaler    *autoscaler.Autoscaler
+	localDemand    localDemand
+	clusterDemand  clusterDemand
+	removedWorkers removedWorkers
+	autoscaler     *autoscaler.Autoscaler
 
-	numbers  *jobid.Allocator    // nil: jobs have none
-	rollouts *rolloutapi.Service // nil: there are none
+	numbers  *jobid.Allocator    // nil if jobs have no numbers
+	rollouts *rolloutapi.Service // nil if roll-outs are off
 	machines machineList
 	alerts   *slo.Monitor
 	meter    *usage.Meter
@@ -86,15 +86,16 @@
 	server   *http.Server
 }
 
-// assemble makes the parts and joins them; nothing runs yet. ctx is the process's. It opens the
-// address for users and workers, waiting for a predecessor to let go of it.
+// assemble creates the components and connects them to each other; it starts none of them. ctx
+// is the context of the process. assemble opens the address for users and workers, and waits
+// until a predecessor has closed it.
 func assemble(ctx context.Context, o Options) (*controller, error) {
 	c := &controller{cfg: o.Platform, operator: o.Operator, log: o.Log, lifetime: lifetime{ctx}}
-	if err := c.connect(); err != nil {
+	if err := c.assembleClients(); err != nil {
 		return nil, err
 	}
-	c.schedule(o.Slurm != nil && o.Slurm.Accounts)
-	c.dispatch(ctx)
+	c.assembleScheduler(o.Slurm != nil && o.Slurm.Accounts)
+	c.assembleDispatcher(ctx)
 	c.alerts = slo.New(c.cfg.Params.Objectives, c.scheduler, c.log)
 	lis, err := mesh.Listen(ctx, c.cfg.Listen)
 	if err != nil {
@@ -102,29 +103,29 @@
 		return nil, fmt.Errorf("serve_on: %w", err)
 	}
 	c.listener = connlimit.NewListener(lis, c.connections)
-	c.meter = usage.New(int64(c.cfg.Params.Limits.RAMMB*pressureShare*bytesPerMB), c.queues, c.log)
-	c.times.Restart()
-	c.exchangeCancellations()
-	c.watchLinks()
-	c.watchWorkers()
-	c.publishViews()
-	c.observe()
+	c.meter = usage.New(int64(c.cfg.Params.Limits.RAMMB*memoryPressureShare*bytesPerMB), c.queueDepths, c.log)
+	c.timeline.Restart()
+	c.assembleCancellationExchange()
+	c.assembleLinkMonitor()
+	c.assembleWorkerMonitors()
+	c.assembleViewPublisher()
+	c.subscribe()
 
 	mux := http.NewServeMux()
-	c.serveUsers(o, mux)
-	c.rollOut(o, mux)
-	c.autoscale()
-	c.serveOperators(mux)
+	c.assembleUserServices(o, mux)
+	c.assembleRollouts(o, mux)
+	c.assembleAutoscaler()
+	c.registerOperatorPaths(mux)
 	mux.HandleFunc("POST /v1/report", c.dispatcher.ServeReport)
 	c.server = newServer(mux, c.log)
 	return c, nil
 }
 
-// register has a part serve its methods of the mesh.
+// register registers a component's methods on the mesh.
 func (c *controller) register(service peerService) { service.register(c.mesh) }
 
-// connect makes the clients of what is outside of this process, and the links to the peers.
-func (c *controller) connect() error {
+// assembleClients creates the clients of the external services and the links to the peers.
+func (c *controller) assembleClients() error {
 	addrs := map[string]string{}
 	for _, peer := range c.cfg.Peers {
 		addrs[peer.Node] = peer.Addr
@@ -144,24 +145,25 @@
 	return nil
 }
 
-// schedule makes the scheduler, and the registry of cancellations that it fills.
-func (c *controller) schedule(accounting bool) {
-	halter := &taskHalter{local: &c.local, log: c.log}
+// assembleScheduler creates the scheduler and the cancellation registry, which the scheduler
+// fills.
+func (c *controller) assembleScheduler(accounting bool) {
+	halter := &taskHalter{local: &c.localDispatcher, log: c.log}
 	c.cancelUpdates = make(chan struct{}, 1)
 	c.cancellations = cancellation.New(cancellation.Options{
 		Peers: c.nodes, Limit: config.Seconds(c.cfg.Params.Workers.CancelS), LeaseRemaining: c.member.LeaseRemaining,
 		OnCancelled: halter.halt, OnUpdates: c.notifyCancelUpdates,
 	})
-	c.instructions = instructionRouter{node: c.cfg.Node, local: &c.local, peers: &c.links.Caller}
+	c.instructions = instructionRouter{node: c.cfg.Node, local: &c.localDispatcher, peers: &c.links.Caller}
 	c.register(&c.instructions)
 	c.scheduler = scheduler.New(scheduler.Options{
 		Platform: c.cfg, Operator: c.operator, Store: c.store, Member: c.member, Dispatchers: &c.instructions, MachineTypes: c.catalog, Log: c.log,
 		Cancellations: c.cancellations, RemoteJobs: &remoteJobs{store: c.store, mesh: c.mesh, leaders: &c.links.Leaders}, AccountingEnabled: accounting,
 	})
-	c.register(&jobFacts{scheduler: c.scheduler})
+	c.register(&jobFactsService{scheduler: c.scheduler})
 }
 
-// notifyCancelUpdates has the exchange send updates to the peers.
+// notifyCancelUpdates makes the cancellation exchange send updates to the peers.
 func (c *controller) notifyCancelUpdates() {
 	select {
 	case c.cancelUpdates <- struct{}{}:
@@ -169,94 +171,95 @@
 	}
 }
 
-// dispatch makes the dispatcher, which ends the cycle of those that act through it.
-func (c *controller) dispatch(ctx context.Context) {
+// assembleDispatcher creates the dispatcher and sets it in localDispatcher, for the components
+// that were created before it.
+func (c *controller) assembleDispatcher(ctx context.Context) {
 	c.connections, c.commands = connlimit.New(c.cfg.Params.Limits.Sockets, len(c.cfg.Peers))
-	c.times = failovertiming.New(c.scheduler, config.Seconds(c.cfg.Params.Workers.LeaseS), c.log)
-	c.starts = startLog{log: c.log}
-	c.router = workerRouter{member: c.member, links: &c.links.View, cancellations: c.cancellations, grace: responseGrace(c.cfg.Params.Workers)}
-	c.gateway = schedulerGateway{scheduler: c.scheduler, router: &c.router, peers: &c.links.Caller, times: c.times, starts: &c.starts}
+	c.timeline = failovertiming.New(c.scheduler, config.Seconds(c.cfg.Params.Workers.LeaseS), c.log)
+	c.startLog = startLog{log: c.log}
+	c.workerRouter = workerRouter{member: c.member, links: &c.links.View, cancellations: c.cancellations, grace: responseGrace(c.cfg.Params.Workers)}
+	c.gateway = schedulerGateway{scheduler: c.scheduler, router: &c.workerRouter, peers: &c.links.Caller, timeline: c.timeline, startLog: &c.startLog}
 	c.register(&c.gateway)
 	c.dispatcher = dispatch.New(ctx, dispatch.Options{
 		Node: c.cfg.Node, WorkerLease: config.Seconds(c.cfg.Params.Workers.LeaseS),
-		Schedulers: &c.gateway, Tokens: c.member, MachineTypes: c.catalog, Routing: &c.router, Commands: c.commands, Log: c.log,
+		Schedulers: &c.gateway, Tokens: c.member, MachineTypes: c.catalog, Routing: &c.workerRouter, Commands: c.commands, Log: c.log,
 		Cancellations: c.cancellations,
 	})
-	c.local.commandTarget = c.dispatcher
+	c.localDispatcher.commandTarget = c.dispatcher
 }
 
-// queues are the depths that the meter shows.
-func (c *controller) queues() map[string]int {
+// queueDepths returns the queue depths that the usage meter reports.
+func (c *controller) queueDepths() map[string]int {
 	depths := c.scheduler.QueueDepths()
 	depths["machines"], depths["queued"], depths["orders"] = c.dispatcher.Counts()
 	depths["connections"], depths["order_connections"] = c.connections.Open(), c.commands.Connections()
 	return depths
 }
 
-// receiveHealth says how well this process receives just now.
+// receiveHealth returns how well this process can receive messages at present.
 func (c *controller) receiveHealth() reachability.ReceiveHealth {
 	return reachability.ReceiveHealth{RefusedConnections: usage.Noted(usage.RefusedConnections), TimerDelay: c.meter.TimerDelay()}
 }
 
-func (c *controller) exchangeCancellations() {
-	c.exchange = cancellationExchange{
-		cfg: c.cfg, registry: c.cancellations, updates: c.cancelUpdates, scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.router, peers: &c.links.Caller,
+func (c *controller) assembleCancellationExchange() {
+	c.cancellationExchange = cancellationExchange{
+		cfg: c.cfg, registry: c.cancellations, updates: c.cancelUpdates, scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.workerRouter, peers: &c.links.Caller,
 		reader: cancellationReader{registry: c.cancellations, store: c.store, log: c.log}, log: c.log,
 	}
-	c.register(&c.exchange)
+	c.register(&c.cancellationExchange)
 }
 
-func (c *controller) watchLinks() {
+func (c *controller) assembleLinkMonitor() {
 	c.prober = prober{
 		node: c.cfg.Node, member: c.member, table: c.links.Table, status: &c.links.Status, links: &c.links.View, dispatcher: c.dispatcher, lifetime: c.lifetime, log: c.log,
 	}
 	c.pinger = pinger{
-		cfg: c.cfg, mesh: c.mesh, table: c.links.Table, status: &c.links.Status, peers: &c.links.Caller, cancellations: &c.exchange, prober: &c.prober,
+		cfg: c.cfg, mesh: c.mesh, table: c.links.Table, status: &c.links.Status, peers: &c.links.Caller, cancellations: &c.cancellationExchange, prober: &c.prober,
 	}
 	c.register(&c.pinger)
 	c.linkChanges = linkLog{store: c.store, log: c.log, links: map[string]linkState{}}
 	c.linkMonitor = linkMonitor{
 		cfg: c.cfg, operator: c.operator, member: c.member, dispatcher: c.dispatcher, table: c.links.Table, status: &c.links.Status, links: &c.links.View,
-		router: &c.router, prober: &c.prober, pinger: &c.pinger, connections: c.connections, health: c.receiveHealth, changes: &c.linkChanges, log: c.log,
+		router: &c.workerRouter, prober: &c.prober, pinger: &c.pinger, connections: c.connections, health: c.receiveHealth, changes: &c.linkChanges, log: c.log,
 	}
 }
 
-func (c *controller) watchWorkers() {
-	c.unresponsive = unresponsiveWorkers{
+func (c *controller) assembleWorkerMonitors() {
+	c.unresponsiveWorkers = unresponsiveWorkers{
 		cfg: c.cfg, operator: c.operator, scheduler: c.scheduler, dispatcher: c.dispatcher, links: &c.links.View, peers: &c.links.Caller,
 		health: c.receiveHealth, lifetime: c.lifetime, log: c.log, detector: newFailureDetector(c.cfg.Params.Workers, c.operator),
 	}
-	c.register(&c.unresponsive)
-	c.attestor = leaseAttestor{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.links.Caller, log: c.log}
-	c.register(&c.attestor)
-	c.expiring = expiringLeases{scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.router}
+	c.register(&c.unresponsiveWorkers)
+	c.leaseAttestor = leaseAttestor{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.links.Caller, log: c.log}
+	c.register(&c.leaseAttestor)
+	c.expiringLeases = expiringLeases{scheduler: c.scheduler, dispatcher: c.dispatcher, router: &c.workerRouter}
 }
 
-func (c *controller) publishViews() {
-	c.views = viewPublisher{
+func (c *controller) assembleViewPublisher() {
+	c.viewPublisher = viewPublisher{
 		cfg: c.cfg, interval: config.Seconds(c.operator.PublishS), scheduler: c.scheduler, dispatcher: c.dispatcher, leaders: &c.links.Leaders, peers: &c.links.Caller, table: c.links.Table,
 		publisher: viewsync.NewPublisher(c.cfg.Node, c.dispatcher), receiver: viewsync.NewReceiver(c.scheduler, c.nodes), log: c.log,
 	}
-	c.register(&c.views)
+	c.register(&c.viewPublisher)
 }
 
-// observe has the parts hear of changes in the state service, and its client of the way round
-// by a peer.
-func (c *controller) observe() {
-	c.ownership = ownershipTiming{member: c.member, times: c.times, starts: &c.starts}
+// subscribe registers the callbacks for changes in the state service, and sets the relay that
+// the state service's client uses when it can't reach the service.
+func (c *controller) subscribe() {
+	c.leadershipRecorder = leadershipRecorder{member: c.member, timeline: c.timeline, startLog: &c.startLog}
 	c.member.OnLeadershipChange(c.scheduler.LeadershipChanged)
-	c.member.OnLeadershipChange(c.ownership.changed)
+	c.member.OnLeadershipChange(c.leadershipRecorder.leadershipChanged)
 	c.member.OnLeadershipChange(c.links.View.Invalidate)
-	c.member.OnLinkAnnouncement(c.prober.announced)
-	c.relay = storeRelay{store: c.store, links: &c.links.View, peers: &c.links.Caller, mesh: c.mesh}
-	c.register(&c.relay)
-	c.store.SetRelay(&c.relay, c.log)
+	c.member.OnLinkAnnouncement(c.prober.handleAnnouncement)
+	c.storeRelay = storeRelay{store: c.store, links: &c.links.View, peers: &c.links.Caller, mesh: c.mesh}
+	c.register(&c.storeRelay)
+	c.store.SetRelay(&c.storeRelay, c.log)
 }
 
-func (c *controller) serveUsers(o Options, mux *http.ServeMux) {
+func (c *controller) assembleUserServices(o Options, mux *http.ServeMux) {
 	options := submission.Options{
 		Platform: c.cfg, Operator: c.operator, Store: c.store, Jobs: c.scheduler, Catalog: c.catalog,
-		Peers: &userPeers{Leaders: &c.links.Leaders, member: c.member, links: &c.links.View, peers: &c.links.Caller, times: c.times}, Log: c.log,
+		Peers: &userPeers{Leaders: &c.links.Leaders, member: c.member, links: &c.links.View, peers: &c.links.Caller, timeline: c.timeline}, Log: c.log,
 		Cancellations: c.cancellations, MemoryPressure: c.meter.MemoryPressure,
 	}
 	if o.Slurm != nil {
@@ -274,7 +277,7 @@
 	server.Register(mux)
 }
 
-func (c *controller) rollOut(o Options, mux *http.ServeMux) {
+func (c *controller) assembleRollouts(o Options, mux *http.ServeMux) {
 	if o.Rollouts == nil {
 		return
 	}
@@ -286,13 +289,13 @@
 	c.rollouts.Register(mux)
 }
 
-func (c *controller) autoscale() {
-	c.demand = localDemand{scheduler: c.scheduler, unresponsive: &c.unresponsive}
-	c.register(&c.demand)
-	c.removed = removedWorkers{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.links.Caller, lifetime: c.lifetime, log: c.log}
-	c.register(&c.removed)
+func (c *controller) assembleAutoscaler() {
+	c.localDemand = localDemand{scheduler: c.scheduler, unresponsive: &c.unresponsiveWorkers}
+	c.register(&c.localDemand)
+	c.removedWorkers = removedWorkers{cfg: c.cfg, scheduler: c.scheduler, dispatcher: c.dispatcher, peers: &c.links.Caller, lifetime: c.lifetime, log: c.log}
+	c.register(&c.removedWorkers)
 	c.clusterDemand = clusterDemand{
-		scheduler: c.scheduler, local: &c.demand, unresponsive: &c.unresponsive, leaders: &c.links.Leaders, peers: &c.links.Caller, removed: &c.removed, lifetime: c.lifetime, log: c.log,
+		scheduler: c.scheduler, local: &c.localDemand, unresponsive: &c.unresponsiveWorkers, leaders: &c.links.Leaders, peers: &c.links.Caller, removed: &c.removedWorkers, lifetime: c.lifetime, log: c.log,
 	}
 	options := autoscaler.Options{
 		Platform: c.cfg, Operator: c.operator, Cloud: c.cloud, Catalog: c.catalog, Store: c.store, Member: c.member, Dispatcher: c.dispatcher, Log: c.log,
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	exchangeEvery   = 500 * time.Millisecond
-	exchangeTimeout = time.Second
-	stalePeerAfter  = 2500 * time.Millisecond // pings bring a peer's message at most so late
-	chaseAfter      = 3 * time.Second         // for which dispatchers have time to stop a task
-	chaseEvery      = 2 * time.Second
-	malformedEvery  = time.Minute // between log lines about malformed messages
+	exchangeInterval     = 500 * time.Millisecond
+	exchangeTimeout      = time.Second
+	stalePeerAfter       = 2500 * time.Millisecond // maximum delay of a peer's message when it arrives with pings
+	stopRetryAfter       = 3 * time.Second         // time that dispatchers have to stop a task of a cancelled job
+	stopRetryInterval    = 2 * time.Second
+	malformedLogInterval = time.Minute // between log lines about malformed messages
 )
 
-// cancellationMessage is what one controller sends another of cancels outside of pings.
+// cancellationMessage carries a controller's cancellation updates to a peer outside of pings.
 type cancellationMessage struct {
 	From string `json:"from"`
 	cancellation.Message
 }
 
-// cancellationExchange keeps this controller's knowledge of cancels fresh by the peers, and
-// stops cancelled tasks that their workers' dispatchers did not stop.
+// cancellationExchange exchanges cancellation updates with the peers, and halts tasks of
+// cancelled jobs that their workers' dispatchers did not stop.
 type cancellationExchange struct {
 	cfg        *config.Platform
 	registry   *cancellation.Registry
-	updates    <-chan struct{} // there are updates for the peers
+	updates    <-chan struct{} // signals that there are updates for the peers
 	scheduler  *scheduler.Scheduler
 	dispatcher *dispatch.Dispatcher
 	router     *workerRouter
@@ -42,56 +42,57 @@
 	reader     cancellationReader
 	log        *slog.Logger
 
-	malformed atomic.Int64 // when a malformed message was last logged, by time of day, ns
+	malformedLoggedAt atomic.Int64 // time of the last log line about a malformed message, Unix ns; 0 if none
 
-	// Of run alone.
-	answering bool
-	chased    time.Time
+	// Accessed by run only.
+	mayAnswer      bool
+	stopsRetriedAt time.Time
 }
 
 func (e *cancellationExchange) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodCancellations, func(_ context.Context, msg *cancellationMessage) (*cancellation.Message, error) {
-		e.received(msg.From, &msg.Message)
+		e.handleMessage(msg.From, &msg.Message)
 		reply := e.registry.MessageFor(msg.From)
 		return &reply, nil
 	})
 }
 
-// received takes what a peer says of cancels; nil if it says nothing.
-func (e *cancellationExchange) received(from string, msg *cancellation.Message) {
+// handleMessage applies a peer's cancellation updates; msg may be nil.
+func (e *cancellationExchange) handleMessage(from string, msg *cancellation.Message) {
 	if msg == nil {
 		return
 	}
 	if err := e.registry.HandleMessage(from, msg); err != nil {
-		if last := e.malformed.Load(); last == 0 || time.Since(time.Unix(0, last)) > malformedEvery {
-			e.malformed.Store(time.Now().UnixNano())
+		if last := e.malformedLoggedAt.Load(); last == 0 || time.Since(time.Unix(0, last)) > malformedLogInterval {
+			e.malformedLoggedAt.Store(time.Now().UnixNano())
 			e.log.Info("malformed cancellation updates dropped", "err", err)
 		}
 	}
 }
 
-// exchange queries a peer for what it knows of cancels, by way of a third if need be.
+// exchange sends this controller's cancellation updates to a peer and applies the peer's, via
+// another peer if there is no direct link.
 func (e *cancellationExchange) exchange(ctx context.Context, peer string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	msg := &cancellationMessage{e.cfg.Node, e.registry.MessageFor(peer)}
 	reply, err := peerlinks.Call[cancellationMessage, cancellation.Message](ctx, e.peers, peer, methodCancellations, msg)
 	if err == nil {
-		e.received(peer, reply)
+		e.handleMessage(peer, reply)
 	}
 }
 
 func (e *cancellationExchange) run(ctx context.Context) error {
-	tick := time.NewTicker(exchangeEvery)
+	tick := time.NewTicker(exchangeInterval)
 	defer tick.Stop()
 	go e.reader.run(ctx)
 	for {
 		stale := e.registry.StalePeers(stalePeerAfter)
-		e.logAnswering(stale)
+		e.logMayAnswer(stale)
 		for _, peer := range stale {
 			go e.exchange(ctx, peer)
 		}
-		e.chase(ctx)
+		e.retryStops(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -102,33 +103,33 @@
 	}
 }
 
-// logAnswering logs when this controller begins and ceases to respond to workers.
-func (e *cancellationExchange) logAnswering(stale []string) {
-	if now := e.router.MayAnswerWorkers(); now != e.answering {
-		e.answering = now
+// logMayAnswer logs when this controller starts or stops to respond to workers.
+func (e *cancellationExchange) logMayAnswer(stale []string) {
+	if now := e.router.MayAnswerWorkers(); now != e.mayAnswer {
+		e.mayAnswer = now
 		e.log.Info("answering workers", "is", now, "cancels_known_s", time.Since(e.registry.KnownUntil()).Seconds(), "stale_peers", stale)
 	}
 }
 
-// chase has the workers polled on which cancelled tasks go on.
-func (e *cancellationExchange) chase(ctx context.Context) {
-	if time.Since(e.chased) < chaseEvery || !e.router.MayAnswerWorkers() {
+// retryStops polls the workers that may still run tasks of cancelled jobs, and halts those tasks.
+func (e *cancellationExchange) retryStops(ctx context.Context) {
+	if time.Since(e.stopsRetriedAt) < stopRetryInterval || !e.router.MayAnswerWorkers() {
 		return
 	}
-	e.chased = time.Now()
-	if workers := e.scheduler.UnstoppedWorkers(chaseAfter); len(workers) > 0 {
+	e.stopsRetriedAt = time.Now()
+	if workers := e.scheduler.UnstoppedWorkers(stopRetryAfter); len(workers) > 0 {
 		go e.dispatcher.PollAndHaltCancelledTasks(ctx, workers)
 	}
 }
 
-// sendUpdates sends confirmed cancels to the peers at once: pings would bring them a second
-// later. What comes in the meantime shares a message.
+// sendUpdates sends confirmed cancels to the peers at once; pings would delay them by up to a
+// second. Updates that arrive during the pause at the end are sent together.
 func (e *cancellationExchange) sendUpdates(ctx context.Context) {
 	for _, peer := range e.cfg.Peers {
 		go e.exchange(ctx, peer.Node)
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(exchangeEvery / 5):
+	case <-time.After(exchangeInterval / 5):
 	}
 }
--- a/internal/controller/link_monitor.go
+++ b/internal/controller/link_monitor.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	watchLinksEvery = 250 * time.Millisecond
-	countEvery      = time.Second // between counts of heartbeats and connections
-	readShardsEvery = time.Second // between reads of who leads, while peers take this controller for the leader
-	announceTimeout = time.Second
-	nameShare       = 0.5 // of a value's limit in the state service, for the names of workers
-	missedReports   = 2.5 // pauses between reports without one after which a worker does not count as reporting here
+	linkCheckInterval      = 250 * time.Millisecond
+	heartbeatCountInterval = time.Second // between counts of heartbeats and connections
+	readShardsInterval     = time.Second // between reads of the shards' leaders, while peers take this controller for the leader
+	announceTimeout        = time.Second
+	workerNamesShare       = 0.5 // share of the state service's limit of a value's size that the names of workers may use
+	missedReportIntervals  = 2.5 // report intervals without a report after which a worker no longer counts as reporting here
 )
 
-// linkMonitor measures this controller's links to the workers, announces its status to those
-// that the mesh does not reach, and transfers its shards to a controller that gets the workers'
-// heartbeats when this one does not any more.
+// linkMonitor measures this controller's links to the workers, announces its status via the
+// state service to peers that the mesh does not reach, and transfers its shards to a controller
+// that receives the workers' heartbeats when this one no longer does.
 type linkMonitor struct {
 	cfg         *config.Platform
 	operator    *config.Operator
@@ -44,27 +44,27 @@
 	changes     *linkLog
 	log         *slog.Logger
 
-	// Of run alone.
-	assignments reachability.AssignmentPlanner
-	planned     int // assignments, as last planned
-	transfers   reachability.TransferMonitor
-	announced   time.Time
-	counted     time.Time
-	shardsRead  time.Time
+	// Accessed by run only.
+	assignments        reachability.AssignmentPlanner
+	plannedAssignments int // number of assignments in the last plan
+	transfers          reachability.TransferMonitor
+	announcedAt        time.Time
+	countedAt          time.Time
+	shardsReadAt       time.Time
 }
 
 func (l *linkMonitor) run(ctx context.Context) error {
-	return periodic.Run(ctx, watchLinksEvery, func() { l.look(ctx) })
+	return periodic.Run(ctx, linkCheckInterval, func() { l.check(ctx) })
 }
 
-// look takes one look at the links, and acts by them.
-func (l *linkMonitor) look(ctx context.Context) {
+// check evaluates the links once, and announces, transfers or reads shards if needed.
+func (l *linkMonitor) check(ctx context.Context) {
 	now := time.Now()
-	if l.prober.suspicionChanged(l.health().TimerDelay) {
+	if l.prober.updateSuspicion(l.health().TimerDelay) {
 		l.pinger.pingAll(ctx)
 	}
-	if time.Since(l.counted) >= countEvery {
-		l.counted = now
+	if time.Since(l.countedAt) >= heartbeatCountInterval {
+		l.countedAt = now
 		l.countHeartbeats()
 		l.assignWorkers(now)
 		l.changes.update(l.links.Now())
@@ -75,25 +75,25 @@
 	l.readShards(ctx, now, view)
 }
 
-// readShards reads who leads the shards if peers take this controller for the leader and it does
+// readShards reads the shards' leaders if peers take this controller for the leader and it does
 // not know that it is.
 func (l *linkMonitor) readShards(ctx context.Context, now time.Time, view *reachability.View) {
-	if !view.SeenAsLeaderByPeer() || now.Sub(l.shardsRead) < readShardsEvery {
+	if !view.SeenAsLeaderByPeer() || now.Sub(l.shardsReadAt) < readShardsInterval {
 		return
 	}
-	l.shardsRead = now
+	l.shardsReadAt = now
 	l.log.Info("taken for the leader by a peer, reading shards")
 	l.member.ReadShards(ctx)
 }
 
-// announce writes this controller's status to the state service when that is due and a living
-// peer is not reached.
+// announce writes this controller's status to the state service when that is due and a live
+// peer can't be reached.
 func (l *linkMonitor) announce(ctx context.Context, now time.Time, view *reachability.View) {
 	pause := reachability.AnnounceInterval(len(l.cfg.Peers) + 1)
-	if !l.status.AnnouncementDue(now, l.announced, pause) || !view.Self.LeaseHeld || !slices.ContainsFunc(view.UnreachedPeers(), l.member.Alive) {
+	if !l.status.AnnouncementDue(now, l.announcedAt, pause) || !view.Self.LeaseHeld || !slices.ContainsFunc(view.UnreachedPeers(), l.member.Alive) {
 		return
 	}
-	l.announced = now
+	l.announcedAt = now
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	if err := l.member.AnnounceLinks(ctx, l.status.Current(now)); err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// transfer transfers the shards when a peer gets the workers' heartbeats and this controller
+// transfer transfers the shards when a peer receives the workers' heartbeats and this controller
 // does not.
 func (l *linkMonitor) transfer(ctx context.Context, now time.Time, view *reachability.View) {
 	to := l.transfers.Check(now, view, l.member.RecentTransfers(reachability.TransferWindow))
@@ -113,17 +113,17 @@
 	if err := l.member.TransferShards(ctx, to); err != nil {
 		l.log.Info("shard transfer failed", "err", err)
 	}
-	l.pinger.pingAll(ctx) // the peer learns at once that it leads: its watch may be behind
+	l.pinger.pingAll(ctx) // notifies the peer at once that it leads, since its watch may lag
 }
 
-// countHeartbeats counts what came from workers. The status names them while a peer is not
-// reached.
+// countHeartbeats updates the heartbeat count in the status. The status names the workers only
+// while a peer can't be reached.
 func (l *linkMonitor) countHeartbeats() {
 	received, workers := l.dispatcher.RecentHeartbeats()
 	var names *reachability.NameSet
 	if now := time.Now(); len(l.table.UnreachedPeers(now)) > 0 || l.table.UnreachedByAnyPeer(now) {
 		heard := l.dispatcher.WorkersSeenWithin(config.Seconds(l.cfg.Params.Workers.LeaseS))
-		names = reachability.NewNameSet(heard, int(l.cfg.Params.State.ValueKB*nameShare*1024))
+		names = reachability.NewNameSet(heard, int(l.cfg.Params.State.ValueKB*workerNamesShare*1024))
 	}
 	l.status.SetHeartbeats(peerlinks.HeartbeatCount{
 		Received: received, Workers: names,
@@ -131,14 +131,14 @@
 	})
 }
 
-// assignWorkers looks whether this controller has connections for all workers. While they are
-// assigned to several controllers, the status says how many it has room for.
+// assignWorkers checks whether this controller has connections for all workers. While workers
+// are assigned to several controllers, the status includes this one's remaining capacity.
 func (l *linkMonitor) assignWorkers(now time.Time) {
 	open, most := l.connections.Open(), l.connections.Max()
 	view := l.links.Now()
 	reportS := l.cfg.Params.Workers.ReportS
-	workers := l.dispatcher.CountReporting(config.Seconds(missedReports * reportS))
-	capacity := 0 // without a limit, or a share, all fit
+	workers := l.dispatcher.CountReporting(config.Seconds(missedReportIntervals * reportS))
+	capacity := 0 // 0: no limit or no share is set, all workers fit
 	if most < math.MaxInt32 {
 		capacity = int(l.operator.WorkerShare * float64(most))
 	}
@@ -147,10 +147,10 @@
 		next.Workers = workers
 		next.Capacity = max(0, min(capacity, most-max(0, open-workers)-most/10))
 	}
-	if len(next.Plan) != l.planned {
+	if len(next.Plan) != l.plannedAssignments {
 		l.log.Info("workers assigned to several controllers", "assignments", next.Plan, "workers", workers, "capacity", capacity)
 	}
-	l.planned = len(next.Plan)
+	l.plannedAssignments = len(next.Plan)
 	l.status.SetAssignments(next)
 	l.router.assigned.Store(view.HasAssignments())
 	l.links.Invalidate()
--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -11,17 +11,17 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-const pingEvery = time.Second
+const pingInterval = time.Second
 
-// pingMessage carries a controller's status, and others' statuses to those who lack them.
+// pingMessage carries a controller's status, and the statuses of others that the receiver lacks.
 type pingMessage struct {
 	Status        reachability.NodeStatus      `json:"row"`
 	Cancellations *cancellation.Message        `json:"cancels,omitempty"`
 	Relayed       []reachability.RelayedStatus `json:"passed,omitempty"`
 }
 
-// pinger exchanges statuses and cancellations with the peers: a ping carries this
-// controller's, its response the peer's.
+// pinger exchanges statuses and cancellation updates with the peers: a ping carries those of
+// this controller, its response those of the peer.
 type pinger struct {
 	cfg           *config.Platform
 	mesh          *mesh.Mesh
@@ -34,33 +34,33 @@
 
 func (p *pinger) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodPing, func(_ context.Context, ping *pingMessage) (*pingMessage, error) {
-		p.received(ping.Status.Node, ping)
+		p.handleMessage(ping.Status.Node, ping)
 		p.prober.probe(ping.Status.ProbeSample)
-		return p.message(ping.Status.Node, time.Now()), nil
+		return p.messageFor(ping.Status.Node, time.Now()), nil
 	})
 }
 
-func (p *pinger) message(to string, now time.Time) *pingMessage {
+func (p *pinger) messageFor(to string, now time.Time) *pingMessage {
 	cancellations := p.cancellations.registry.MessageFor(to)
 	return &pingMessage{Status: p.status.Current(now), Relayed: p.table.RelayFor(to, now), Cancellations: &cancellations}
 }
 
-// received takes what a peer says. from is the peer as the message came from it: a response
-// counts for the peer that was called.
-func (p *pinger) received(from string, ping *pingMessage) {
+// handleMessage applies a ping or a response to one. from is the peer that sent it; for a
+// response, the peer that was called.
+func (p *pinger) handleMessage(from string, ping *pingMessage) {
 	now := time.Now()
 	p.table.Update(ping.Status, reachability.Direct, 0, now)
 	p.table.UpdateRelayed(ping.Relayed, now)
-	p.cancellations.received(from, ping.Cancellations)
+	p.cancellations.handleMessage(from, ping.Cancellations)
 }
 
-// run pings each peer that has not just pinged this controller, until ctx ends.
+// run pings each peer from which no ping arrived recently, until ctx ends.
 func (p *pinger) run(ctx context.Context) error {
-	tick := time.NewTicker(pingEvery)
+	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
 	for {
 		for _, peer := range p.cfg.Peers {
-			if !p.table.ReachedWithin(peer.Node, pingEvery*3/4, time.Now()) {
+			if !p.table.ReachedWithin(peer.Node, pingInterval*3/4, time.Now()) {
 				go p.ping(ctx, peer.Node)
 			}
 		}
@@ -72,7 +72,7 @@
 	}
 }
 
-// pingAll pings all peers now, so that they get this controller's status.
+// pingAll pings all peers now, so that they learn this controller's current status.
 func (p *pinger) pingAll(ctx context.Context) {
 	for _, peer := range p.cfg.Peers {
 		go p.ping(ctx, peer.Node)
@@ -80,11 +80,11 @@
 }
 
 func (p *pinger) ping(ctx context.Context, peer string) {
-	ctx, cancel := context.WithTimeout(ctx, pingEvery)
+	ctx, cancel := context.WithTimeout(ctx, pingInterval)
 	defer cancel()
-	reply, err := mesh.Call[pingMessage, pingMessage](ctx, p.mesh, peer, methodPing, p.message(peer, time.Now()))
+	reply, err := mesh.Call[pingMessage, pingMessage](ctx, p.mesh, peer, methodPing, p.messageFor(peer, time.Now()))
 	p.peers.RecordResult(peer, err, true)
 	if err == nil {
-		p.received(peer, reply)
+		p.handleMessage(peer, reply)
 	}
 }
--- a/internal/controller/prober.go
+++ b/internal/controller/prober.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	probeTimeout = 500 * time.Millisecond
-	probePause   = peerlinks.ProbeResultValidity / 2 // between probes that peers requested
+	probeTimeout     = 500 * time.Millisecond
+	minProbeInterval = peerlinks.ProbeResultValidity / 2 // between probes that peers requested
 )
 
-// prober finds out whether this controller reaches workers when it, or a peer, suspects that
-// it lost them.
+// prober checks whether this controller reaches workers when it, or a peer, suspects that it
+// has lost the connection to them.
 type prober struct {
 	node       string
 	member     *membership.Member
@@ -30,9 +30,10 @@
 	log        *slog.Logger
 }
 
-// probe tries some workers' endpoints, unless that was just done. It waits for the outcome.
+// probe calls the endpoints of some workers and waits for the result. It does nothing within
+// minProbeInterval of the last probe.
 func (p *prober) probe(sample []string) {
-	if len(sample) == 0 || p.status.SinceProbe() < probePause {
+	if len(sample) == 0 || p.status.SinceProbe() < minProbeInterval {
 		return
 	}
 	success := p.dispatcher.ProbeEndpoints(p.lifetime.ctx, sample[:min(len(sample), reachability.SampleSize)], probeTimeout)
@@ -40,11 +41,11 @@
 	p.links.Invalidate()
 }
 
-// announced takes a status that a controller wrote to the state service.
-func (p *prober) announced(value json.RawMessage) {
+// handleAnnouncement applies a status that a controller wrote to the state service.
+func (p *prober) handleAnnouncement(value json.RawMessage) {
 	var status reachability.NodeStatus
 	if err := json.Unmarshal(value, &status); err != nil {
-		p.log.Debug("unreadable node status", "err", err)
+		p.log.Debug("malformed node status", "err", err)
 		return
 	}
 	p.table.Update(status, reachability.ViaStore, 0, time.Now())
@@ -53,13 +54,14 @@
 	}
 }
 
-// suspicionChanged looks whether this leader has come to suspect that it lost the workers, as
-// none reports any more, or ceased to. If it has, it probes some and returns true: the peers
-// are to probe them too. timerDelay is by how much timers are late here.
-func (p *prober) suspicionChanged(timerDelay time.Duration) bool {
+// updateSuspicion updates whether this leader suspects that it has lost the workers, as none
+// reports any more. If the suspicion is new, it probes some workers and returns true: the
+// caller is to ping the peers, so that they probe them too. timerDelay is the current delay of
+// timers in this process.
+func (p *prober) updateSuspicion(timerDelay time.Duration) bool {
 	expected, before := p.status.Suspicion()
 	perSecond := expected / dispatch.HeartbeatWindow.Seconds()
-	suspected := len(p.member.LedShards()) > 0 && reachability.ShouldProbe(perSecond, p.dispatcher.SinceAnyHeartbeat()) && timerDelay < watchLinksEvery
+	suspected := len(p.member.LedShards()) > 0 && reachability.ShouldProbe(perSecond, p.dispatcher.SinceAnyHeartbeat()) && timerDelay < linkCheckInterval
 	if suspected == before {
 		return false
 	}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/httpjson"
 )
 
-// shutdownTimeout is for requests under way when the process is to end.
+// shutdownTimeout bounds the wait for requests in flight when the process ends.
 const shutdownTimeout = 2 * time.Second
 
 func newServer(handler http.Handler, log *slog.Logger) *http.Server {
@@ -24,15 +24,15 @@
 	}
 }
 
-// serveOperators adds what operators read.
-func (c *controller) serveOperators(mux *http.ServeMux) {
+// registerOperatorPaths registers the HTTP paths for operators.
+func (c *controller) registerOperatorPaths(mux *http.ServeMux) {
 	c.alerts.Register(mux)
 	mux.HandleFunc("GET /ops/stats", c.serveStats)
 	c.machines = machineList{scheduler: c.scheduler, leaders: &c.links.Leaders, peers: &c.links.Caller}
 	c.register(&c.machines)
 	mux.HandleFunc("GET /ops/machines", c.machines.serve)
 	c.linkReport = linkReport{
-		store: c.store, links: &c.links.View, changes: &c.linkChanges, cancellations: c.cancellations, router: &c.router, unresponsive: &c.unresponsive,
+		store: c.store, links: &c.links.View, changes: &c.linkChanges, cancellations: c.cancellations, router: &c.workerRouter, unresponsive: &c.unresponsiveWorkers,
 	}
 	mux.HandleFunc("GET /ops/links", c.linkReport.serve)
 }
@@ -40,11 +40,11 @@
 func (c *controller) serveStats(w http.ResponseWriter, _ *http.Request) {
 	stats := c.alerts.Stats()
 	stats["counters"], stats["usage"] = c.scheduler.Counters(), c.meter.Read()
-	stats["recovery"], stats["served"] = c.times.Last(), c.scheduler.Served()
+	stats["recovery"], stats["served"] = c.timeline.Last(), c.scheduler.Served()
 	httpjson.Write(w, http.StatusOK, stats)
 }
 
-// start starts what runs until ctx ends.
+// start starts the loops that run until ctx ends.
 func (c *controller) start(ctx context.Context, group *errgroup.Group) {
 	if c.rollouts != nil {
 		group.Go(func() error { return c.rollouts.Run(ctx) })
@@ -58,14 +58,14 @@
 	group.Go(func() error { return c.autoscaler.Run(ctx) })
 	group.Go(func() error { return c.alerts.Run(ctx) })
 	group.Go(func() error { return c.meter.Run(ctx) })
-	group.Go(func() error { return c.times.Run(ctx) })
+	group.Go(func() error { return c.timeline.Run(ctx) })
 	group.Go(func() error { return c.pinger.run(ctx) })
 	group.Go(func() error { return c.linkMonitor.run(ctx) })
-	group.Go(func() error { return c.exchange.run(ctx) })
+	group.Go(func() error { return c.cancellationExchange.run(ctx) })
 	group.Go(func() error { return c.store.Run(ctx) })
-	group.Go(func() error { return c.views.run(ctx) })
-	group.Go(func() error { return c.attestor.run(ctx) })
-	group.Go(func() error { return c.expiring.run(ctx) })
+	group.Go(func() error { return c.viewPublisher.run(ctx) })
+	group.Go(func() error { return c.leaseAttestor.run(ctx) })
+	group.Go(func() error { return c.expiringLeases.run(ctx) })
 }
 
 func (c *controller) serveHTTP() error {
--- a/internal/controller/unresponsive_workers.go
+++ b/internal/controller/unresponsive_workers.go
@@ -14,25 +14,25 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// peerProbeTimeout is for a peer that probes an unresponsive worker.
+// peerProbeTimeout bounds a peer's probe of an unresponsive worker.
 const peerProbeTimeout = 2 * time.Second
 
-// receiveHealth says how well this process receives just now.
+// receiveHealth returns how well this process can receive messages at present.
 type receiveHealth func() reachability.ReceiveHealth
 
-// probeQuery is whether a worker is reached.
+// probeQuery asks a controller whether it reaches a worker.
 type probeQuery struct {
 	Worker       string `json:"machine"`
 	Endpoint     string `json:"endpoint"`
-	OutboundLost bool   `json:"deaf,omitempty"` // that its heartbeats arrive is known, not whether it responds
+	OutboundLost bool   `json:"deaf,omitempty"` // its heartbeats arrive; the query is whether it responds to requests
 }
 
 type probeReply struct {
-	Responsive bool `json:"lives"` // it sent a heartbeat lately, or responds
+	Responsive bool `json:"lives"` // it sent a heartbeat recently, or responds to requests
 }
 
-// unresponsiveWorkers judges the workers whose heartbeats this leader does not get any more. It
-// is safe for concurrent use.
+// unresponsiveWorkers decides which of the workers without recent heartbeats at this leader have
+// failed. It is safe for concurrent use.
 type unresponsiveWorkers struct {
 	cfg        *config.Platform
 	operator   *config.Operator
@@ -46,7 +46,7 @@
 
 	mu       sync.Mutex
 	detector reachability.FailureDetector
-	kept     int // unresponsive workers that were kept, when last judged
+	kept     int // unresponsive workers that the last evaluation did not count as failed
 }
 
 func newFailureDetector(w config.Workers, op *config.Operator) reachability.FailureDetector {
@@ -57,24 +57,24 @@
 
 func (u *unresponsiveWorkers) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodProbe, func(ctx context.Context, q *probeQuery) (*probeReply, error) {
-		return &probeReply{u.reached(ctx, q)}, nil
+		return &probeReply{u.reachable(ctx, q)}, nil
 	})
 }
 
-// reached reports whether a worker is reached from here.
-func (u *unresponsiveWorkers) reached(ctx context.Context, q *probeQuery) bool {
+// reachable reports whether this controller reaches a worker.
+func (u *unresponsiveWorkers) reachable(ctx context.Context, q *probeQuery) bool {
 	if !q.OutboundLost && u.dispatcher.SinceWorkerHeartbeat(q.Worker).Seconds() < u.operator.HeartbeatTimeoutS {
 		return true
 	}
 	return q.Endpoint != "" && u.dispatcher.PollWorker(ctx, q.Worker, q.Endpoint)
 }
 
-// failed names the workers that this leader gives up, and why. It starts probes of those
-// that it is not certain of; their outcome counts the next time.
-func (u *unresponsiveWorkers) failed() map[string]string {
+// failedWorkers returns the workers that this leader treats as failed, with the reasons. It
+// starts probes of the workers whose state is uncertain; the next call uses their results.
+func (u *unresponsiveWorkers) failedWorkers() map[string]string {
 	failed := u.scheduler.StuckWorkers()
 	known, unresponsive := u.scheduler.UnresponsiveWorkers(u.detector.Threshold())
-	verdict := u.judge(known, unresponsive)
+	verdict := u.evaluate(known, unresponsive)
 	for name, reason := range verdict.Failed {
 		failed[name] = reason
 	}
@@ -84,7 +84,7 @@
 	return failed
 }
 
-func (u *unresponsiveWorkers) judge(known int, unresponsive []reachability.UnresponsiveWorker) reachability.Verdict {
+func (u *unresponsiveWorkers) evaluate(known int, unresponsive []reachability.UnresponsiveWorker) reachability.Verdict {
 	view := u.links.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -96,7 +96,7 @@
 	return verdict
 }
 
-// keptCount returns how many unresponsive workers were kept when last judged.
+// keptCount returns how many unresponsive workers the last evaluation did not count as failed.
 func (u *unresponsiveWorkers) keptCount() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -104,7 +104,7 @@
 }
 
 func (u *unresponsiveWorkers) probe(name string, worker reachability.UnresponsiveWorker) {
-	responsive := u.responds(worker)
+	responsive := u.respondsToAny(worker)
 	if responsive && worker.OutboundLost {
 		u.scheduler.WorkerResponded(name)
 	}
@@ -113,14 +113,15 @@
 	u.detector.RecordProbe(name, responsive, time.Now())
 }
 
-// responds probes a worker from here and from all peers.
-func (u *unresponsiveWorkers) responds(worker reachability.UnresponsiveWorker) bool {
+// respondsToAny probes a worker from here and from all peers, and reports whether it responds to
+// any of them.
+func (u *unresponsiveWorkers) respondsToAny(worker reachability.UnresponsiveWorker) bool {
 	responses := make(chan bool, 1+len(u.cfg.Peers))
 	go func() {
 		responses <- worker.Endpoint != "" && u.dispatcher.PollWorker(u.lifetime.ctx, worker.Name, worker.Endpoint)
 	}()
 	for _, peer := range u.cfg.Peers {
-		go func() { responses <- u.respondsTo(peer.Node, worker) }()
+		go func() { responses <- u.respondsToPeer(peer.Node, worker) }()
 	}
 	for range cap(responses) {
 		if <-responses {
@@ -130,7 +131,7 @@
 	return false
 }
 
-func (u *unresponsiveWorkers) respondsTo(peer string, worker reachability.UnresponsiveWorker) bool {
+func (u *unresponsiveWorkers) respondsToPeer(peer string, worker reachability.UnresponsiveWorker) bool {
 	ctx, cancel := context.WithTimeout(u.lifetime.ctx, peerProbeTimeout)
 	defer cancel()
 	reply, err := peerlinks.Call[probeQuery, probeReply](ctx, u.peers, peer, methodProbe, &probeQuery{worker.Name, worker.Endpoint, worker.OutboundLost})
--- a/internal/controller/view_publisher.go
+++ b/internal/controller/view_publisher.go
@@ -17,21 +17,21 @@
 	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
-// A leader has so long for a message about workers: at first the least, then twice what it
-// took for the last one. One that takes longer may have applied it, so that it is repeated
-// as it was; over a slow link none would ever be acknowledged within a fixed time.
+// Bounds of the timeout of a message with worker views. A leader's timeout is twice the duration
+// of its last message: a message that times out may have been applied and is sent again unchanged,
+// so that over a slow link none would be acknowledged within a fixed timeout.
 const (
-	leastPublishTimeout = time.Second
-	mostPublishTimeout  = 4 * time.Second
+	minPublishTimeout = time.Second
+	maxPublishTimeout = 4 * time.Second
 )
 
 const (
-	pollRemoteFor   = 4 * time.Second
-	pollRemoteEvery = 250 * time.Millisecond
+	pollRemoteTimeout  = 4 * time.Second
+	pollRemoteInterval = 250 * time.Millisecond
 )
 
-// viewPublisher brings what changed on the workers that report here to the leaders elsewhere,
-// and to the scheduler here when it begins to lead.
+// viewPublisher sends changes of the workers that report here to the leaders elsewhere, and to
+// the local scheduler when it starts to lead.
 type viewPublisher struct {
 	cfg        *config.Platform
 	interval   time.Duration
@@ -44,9 +44,9 @@
 	receiver   *viewsync.Receiver
 	log        *slog.Logger
 
-	started  time.Time // of run
-	turns    viewsync.SendSlots
-	timeouts publishTimeouts
+	startedAt time.Time // when run began
+	turns     viewsync.SendSlots
+	timeouts  publishTimeouts
 }
 
 func (p *viewPublisher) register(m *mesh.Mesh) {
@@ -55,7 +55,7 @@
 		reply, err := p.receiver.HandleMessage(msg)
 		if errors.Is(err, viewsync.ErrMalformed) {
 			usage.Note(usage.MalformedViews)
-			p.log.Info("worker views refused", "peer", msg.Dispatcher, "err", err)
+			p.log.Info("malformed worker views rejected", "peer", msg.Dispatcher, "err", err)
 		}
 		return &reply, nil
 	})
@@ -64,7 +64,7 @@
 func (p *viewPublisher) run(ctx context.Context) error {
 	tick := time.NewTicker(p.interval)
 	defer tick.Stop()
-	p.started = time.Now()
+	p.startedAt = time.Now()
 	led := false
 	for {
 		select {
@@ -74,14 +74,14 @@
 		}
 		others, leads := p.leaders.ShardLeaders(), p.leaders.Leads()
 		if leads && !led {
-			// Heartbeats from before this controller led count too.
+			// Heartbeats received before this controller led are used too.
 			for _, view := range p.dispatcher.WorkerViews() {
 				p.scheduler.ObserveWorker(view)
 			}
 			go p.pollRemoteWorkers(ctx)
 		}
 		led = leads
-		p.publisher.CollectChanges(p.nowMs(), others)
+		p.publisher.CollectChanges(p.elapsedMs(), others)
 		for _, leader := range others {
 			if p.turns.TryAcquire(leader) {
 				go func() {
@@ -93,13 +93,13 @@
 	}
 }
 
-// nowMs is the time of the publisher, which counts from its start.
-func (p *viewPublisher) nowMs() int64 { return time.Since(p.started).Milliseconds() }
+// elapsedMs returns the time since run began, which is the clock of the publisher.
+func (p *viewPublisher) elapsedMs() int64 { return time.Since(p.startedAt).Milliseconds() }
 
-// publish sends a leader what there is for it.
+// publish sends a leader all pending changes.
 func (p *viewPublisher) publish(ctx context.Context, leader string) {
 	for more := true; more; {
-		msg := p.publisher.Next(p.nowMs(), leader)
+		msg := p.publisher.Next(p.elapsedMs(), leader)
 		if msg == nil {
 			return
 		}
@@ -111,22 +111,22 @@
 			p.log.Debug("publishing worker views failed", "peer", leader, "err", err)
 			return
 		}
-		more = p.publisher.HandleReply(p.nowMs(), leader, *reply)
+		more = p.publisher.HandleReply(p.elapsedMs(), leader, *reply)
 		usage.Count(usage.Peers, sent)
 	}
 }
 
 func (p *viewPublisher) send(ctx context.Context, leader string, msg *viewsync.Message) (*viewsync.Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.timeouts.of(leader))
+	ctx, cancel := context.WithTimeout(ctx, p.timeouts.forLeader(leader))
 	defer cancel()
 	return peerlinks.Call[viewsync.Message, viewsync.Reply](ctx, p.peers, leader, methodViews, msg)
 }
 
-// pollRemoteWorkers polls workers for their reports that a predecessor, which transferred its
-// shards, named: workers that can't reach it any more take seconds to find out, and the cloud's
-// list is slow.
+// pollRemoteWorkers polls the reports of workers that a predecessor named when it transferred
+// its shards. Without it the new leader waits for seconds: workers that no longer reach the
+// predecessor need that long to detect it, and the cloud's list lags.
 func (p *viewPublisher) pollRemoteWorkers(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, pollRemoteFor)
+	ctx, cancel := context.WithTimeout(ctx, pollRemoteTimeout)
 	defer cancel()
 	polled := map[string]bool{}
 	for ctx.Err() == nil {
@@ -139,30 +139,30 @@
 		p.dispatcher.PollReports(ctx, endpoints, config.Seconds(p.cfg.Params.Workers.ReportS))
 		select {
 		case <-ctx.Done():
-		case <-time.After(pollRemoteEvery):
+		case <-time.After(pollRemoteInterval):
 		}
 	}
 }
 
-// publishTimeouts are how long each leader has for a message. The zero value is ready for
-// use; it is safe for concurrent use.
+// publishTimeouts holds the timeout of each leader's next message. The zero value is ready for
+// use. It is safe for concurrent use.
 type publishTimeouts struct {
-	mu      sync.Mutex
-	leaders map[string]time.Duration
+	mu       sync.Mutex
+	byLeader map[string]time.Duration
 }
 
-func (p *publishTimeouts) of(leader string) time.Duration {
+func (p *publishTimeouts) forLeader(leader string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return min(mostPublishTimeout, max(leastPublishTimeout, p.leaders[leader]))
+	return min(maxPublishTimeout, max(minPublishTimeout, p.byLeader[leader]))
 }
 
-// record notes what the last message took.
+// record sets a leader's timeout from the duration of its last message.
 func (p *publishTimeouts) record(leader string, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.leaders == nil {
-		p.leaders = map[string]time.Duration{}
+	if p.byLeader == nil {
+		p.byLeader = map[string]time.Duration{}
 	}
-	p.leaders[leader] = 2 * took
+	p.byLeader[leader] = 2 * took
 }
--- a/internal/jobid/recorded_test.go
+++ b/internal/jobid/recorded_test.go
@@ -10,7 +10,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Controllers of different versions share the records, so their form must not change.
+// Controllers of different versions share the records, so their encoding must not change.
 func TestRecordedForms(t *testing.T) {
 	recorded.Check(t, "counter", counter{Next: 9007199254740993})
 	recorded.Check(t, "counter_least", counter{})
@@ -20,7 +20,7 @@
 
 func TestRecordedKeys(t *testing.T) {
 	for got, want := range map[string]string{
-		counterKey: "numbers", jobPrefix: "number/", keyOf(0): "number/00000000000000",
+		counterKey: "numbers", jobPrefix: "number/", keyOfLast(0): "number/00000000000000",
 		Key(1001, 40): "number/00000000001040", Key(1001, 0): "number/00000000001001",
 		Key(99999999999998, 1): "number/99999999999998",
 	} {
@@ -30,7 +30,7 @@
 	}
 }
 
-// What an allocator writes, as the state service has it, and what it finds there.
+// The records that an allocator writes to the state service and finds there.
 func TestRecordedByAllocator(t *testing.T) {
 	store := testkit.NewStore()
 	view := &testkit.View{Store: store}
--- a/internal/slo/monitor_test.go
+++ b/internal/slo/monitor_test.go
@@ -17,7 +17,7 @@
 	"github.com/wallrack/wallrack/internal/slo"
 )
 
-// jobs are living jobs that a test sets.
+// jobs is a set of living jobs that a test controls.
 type jobs struct {
 	mu     sync.Mutex
 	living []scheduler.JobStatus
@@ -36,8 +36,8 @@
 	j.living = living
 }
 
-// A job that waits past its objective raises one alert, not one at every check, which is
-// cleared when it is over; a cancelled one raises none.
+// A job that waits beyond its objective raises one alert, not one at every check. The alert is
+// cleared once the job has started. A cancelled job raises none.
 func TestMissedObjectiveAlertsOnceUntilOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		living := &jobs{}
@@ -60,16 +60,16 @@
 		cancelled := scheduler.JobStatus{UID: "j-2", Class: "c", Age: time.Minute, Tasks: 4, Cancelled: true}
 		living.set(waits, cancelled)
 		first := alerts().Open
-		if len(first) != 1 || first[0].Job != "j-1" || first[0].Aim != "wait" || first[0].Message == "" || first[0].Page == "" {
-			t.Fatalf("open %+v", first)
+		if len(first) != 1 || first[0].Job != "j-1" || first[0].ObjectiveKind != "wait" || first[0].Message == "" || first[0].Page == "" {
+			t.Fatalf("open alerts %+v", first)
 		}
 		if again := alerts(); len(again.Open) != 1 || !again.Open[0].Since.Equal(first[0].Since) || len(again.Past) != 0 {
-			t.Errorf("alerted again: %+v", again)
+			t.Errorf("alert raised again: %+v", again)
 		}
 		waits.Started = 4
 		living.set(waits)
 		if over := alerts(); len(over.Open) != 0 || len(over.Past) != 1 || over.Past[0].Cleared == nil {
-			t.Errorf("not cleared: %+v", over)
+			t.Errorf("alert not cleared: %+v", over)
 		}
 		cancel()
 		<-ended
--- a/internal/slo/objective.go
+++ b/internal/slo/objective.go
@@ -7,15 +7,15 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// The kinds of objectives, as the platform's settings name them.
+// Kinds of objectives in the platform's settings.
 const (
 	kindWait     = "wait"     // all tasks start within a time
 	kindFinished = "finished" // all tasks are done within a time
 	kindDeadline = "deadline" // all tasks are done within a multiple of the job's own deadline
 )
 
-// missed reports whether a living job misses an objective now.
-func missed(objective *config.Objective, job *scheduler.JobStatus) bool {
+// isMissed reports whether a living job misses an objective now.
+func isMissed(objective *config.Objective, job *scheduler.JobStatus) bool {
 	if job.Cancelled || objective.Class != job.Class {
 		return false
 	}
@@ -31,7 +31,7 @@
 	return false
 }
 
-// describe says how a job misses an objective: to on-call, and in words to be passed on.
+// describe describes a missed objective: page for on-call, message for support and sales.
 func describe(objective *config.Objective, job *scheduler.JobStatus) (page, message string) {
 	ageS := job.Age.Seconds()
 	switch objective.Kind {
--- a/internal/submission/capacity_test.go
+++ b/internal/submission/capacity_test.go
@@ -19,9 +19,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// listener is the users' interface of a site with so many teams, the last of which submits.
-func listener(tb testing.TB, teams int) *http.ServeMux {
-	s := &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
+// newMux returns the handler of a site with the given number of teams, of which the last submits.
+func newMux(tb testing.TB, teams int) *http.ServeMux {
+	s := &stub{View: &testkit.View{Store: testkit.NewStore()}, healthy: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
 	cfg := &config.Platform{Node: "a"}
 	for i := range teams - 1 {
 		cfg.Params.Teams = append(cfg.Params.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 8})
@@ -36,8 +36,7 @@
 	return mux
 }
 
-// submit submits a job; a repeat of one that is known takes the same way up to the state
-// service.
+// submit submits a job. A repeated submission takes the same path up to the state service.
 func submit(tb testing.TB, mux *http.ServeMux, number int) {
 	w := httptest.NewRecorder()
 	mux.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/api/jobs", strings.NewReader(strings.Replace(job, "j-7", fmt.Sprintf("j-%06d", number), 1))))
@@ -46,10 +45,10 @@
 	}
 }
 
-// connectionMemory is the bytes, heap and stacks, of so many users' connections that have
-// made a request, both ends.
+// connectionMemory returns the bytes of heap and stacks used by both ends of users' connections
+// that have each made a request.
 func connectionMemory(tb testing.TB, connections int) float64 {
-	srv := httptest.NewServer(listener(tb, 1))
+	srv := httptest.NewServer(newMux(tb, 1))
 	defer srv.Close()
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -68,7 +67,7 @@
 		if err != nil {
 			tb.Fatal(err)
 		}
-		_, _ = io.Copy(io.Discard, resp.Body) // a memory reader that has all
+		_, _ = io.Copy(io.Discard, resp.Body) // drains the body
 		_ = resp.Body.Close()
 	}
 	runtime.GC()
@@ -81,12 +80,12 @@
 
 var capacitySeries = []capacity.Series{
 	{Name: "submission.allocsOfSubmission", Sizes: []int{50, 100, 200, 400}, FixedSlack: 3, Measure: func(tb testing.TB, teams int) float64 {
-		mux := listener(tb, teams)
+		mux := newMux(tb, teams)
 		submit(tb, mux, 1)
 		return testing.AllocsPerRun(100, func() { submit(tb, mux, 1) })
 	}},
 	{Name: "submission.submission", Scatters: true, Sizes: []int{50, 100, 200, 400}, Measure: func(tb testing.TB, teams int) float64 {
-		mux, number := listener(tb, teams), 0
+		mux, number := newMux(tb, teams), 0
 		return capacity.ProcessorTime(tb, func() { number++; submit(tb, mux, number) })
 	}},
 	{Name: "submission.connections", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: connectionMemory},
--- a/internal/submission/malformed_test.go
+++ b/internal/submission/malformed_test.go
@@ -14,24 +14,23 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// fieldKinds are the fields of a submission as the protocol's table has them, each with
-// the Go type that encoding/json gives its value. A trailing ? marks one that may be null,
-// and so left out.
-var fieldKinds = map[string]string{
+// fieldTypes maps the fields of a submission, as the protocol defines them, to the Go types that
+// encoding/json decodes their values into. A trailing ? marks a field that may be null or absent.
+var fieldTypes = map[string]string{
 	"uid": "string", "docket": "string", "crew": "string", "sort": "string", "urgency": "string", "pieces": "float64",
 	"cpus": "float64", "cards": "float64", "memoryGb": "float64", "kit": "string", "pullGb": "float64",
 	"builds": "[]interface {}?", "yard": "string?", "together": "bool", "apart": "bool", "loaners": "bool",
 	"reckonS": "float64", "markS": "float64", "stashS": "float64", "dueS": "float64?",
 }
 
-// lacks names a field that a submission lacks or has with a wrong type, or "". It reads the
-// body with another library than the service does, by exact names.
-func lacks(body []byte) string {
+// missingField returns a field that is absent from a submission or has a wrong type, or "". It
+// decodes the body with another library than the service does, and matches names exactly.
+func missingField(body []byte) string {
 	var given map[string]any
 	if json.Unmarshal(body, &given) != nil {
 		return "all"
 	}
-	for name, kind := range fieldKinds {
+	for name, kind := range fieldTypes {
 		kind, nullable := strings.CutSuffix(kind, "?")
 		if value := given[name]; (value != nil || !nullable) && fmt.Sprintf("%T", value) != kind {
 			return name
@@ -40,9 +39,9 @@
 	return ""
 }
 
-// fits reports whether a submission that lacks nothing can run on the one machine type that
-// serve has, within the limit of the one team.
-func fits(body []byte) bool {
+// canRun reports whether a submission with all fields can run on the one machine type of the
+// stub, within the limit of the one team.
+func canRun(body []byte) bool {
 	var given map[string]any
 	if json.Unmarshal(body, &given) != nil {
 		return false
@@ -73,17 +72,17 @@
 		strings.Contains(" low normal urgent production ", fmt.Sprintf(" %v ", given["urgency"]))
 }
 
-// allows reports whether a list of machine types is null or has one.
+// allows reports whether a list of machine types is null or contains machineType.
 func allows(types any, machineType string) bool {
 	list, _ := types.([]any)
 	return types == nil || slices.Contains(list, any(machineType))
 }
 
-// A submission that is accepted has every field, with its type, and can run; one that has
-// none of it is refused and leaves nothing in the state service.
+// An accepted submission has every field with its type, and can run; a rejected one leaves
+// nothing in the state service.
 func FuzzSubmission(f *testing.F) {
 	f.Add([]byte(job))
-	for name := range fieldKinds {
+	for name := range fieldTypes {
 		f.Add([]byte(strings.Replace(job, `"`+name+`"`, `"`+strings.ToUpper(name)+`"`, 1)))
 	}
 	f.Add([]byte(strings.Replace(job, `"sweep"`, `"daemon"`, 1)))
@@ -96,29 +95,29 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		stub.View = &testkit.View{Store: testkit.NewStore()}
 		rep := service.Serve(t.Context(), submission.Request{Verb: submission.VerbSubmit, Body: body})
-		switch kept := stub.Keys(""); rep.Status {
+		switch stored := stub.Keys(""); rep.Status {
 		case http.StatusCreated:
-			if missing := lacks(body); missing != "" || !fits(body) || len(kept) != 1 {
-				t.Errorf("accepted %q, which lacks %q; it can run: %v; kept %v", body, missing, fits(body), kept)
+			if missing := missingField(body); missing != "" || !canRun(body) || len(stored) != 1 {
+				t.Errorf("accepted %q, missing field %q, can run: %v, stored %v", body, missing, canRun(body), stored)
 			}
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			if len(kept) > 0 {
-				t.Errorf("refused %q, and kept %v", body, kept)
+			if len(stored) > 0 {
+				t.Errorf("rejected %q, but stored %v", body, stored)
 			}
 		default:
-			t.Errorf("%q is answered %d", body, rep.Status)
+			t.Errorf("%q: status %d", body, rep.Status)
 		}
 	})
 }
 
-// A repeated submission of a known job is answered with its state, however little of its
-// body can be read beside the id: 400 would tell its user that it was never accepted.
-func TestRepeatWithUnreadableFieldsIsAnsweredById(t *testing.T) {
+// A repeated submission of a known job returns the job's state even if every other field than the
+// id is invalid: 400 would tell the user that the job was never accepted.
+func TestRepeatedSubmissionWithInvalidFieldsReturnsState(t *testing.T) {
 	_, request := serve(t)
 	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
 		t.Fatalf("submission: %d", status)
 	}
-	for name := range fieldKinds {
+	for name := range fieldTypes {
 		if name == "uid" {
 			continue
 		}
--- a/internal/submission/recorded_test.go
+++ b/internal/submission/recorded_test.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Users' requests that one controller passes to another keep their form.
+// Users' requests that one controller forwards to another keep their encoding.
 func TestRecorded(t *testing.T) {
 	recorded.Check(t, "request_full", submission.Request{
 		Verb: submission.VerbSubmit, UID: "j-000400", Body: []byte(`{"uid":"j-000400"}`), UIDs: []string{"j-000401", "j-000402"},
@@ -26,11 +26,11 @@
 		States: []wire.JobState{state, {UID: "j-000402", Stage: wire.StageDone, Done: 8}},
 	})
 	recorded.Check(t, "reply_empty", submission.Reply{})
-	for _, verb := range []struct{ is, was string }{
+	for _, verb := range []struct{ got, want string }{
 		{submission.VerbSubmit, "submit"}, {submission.VerbPoll, "poll"}, {submission.VerbCancel, "cancel"}, {submission.VerbCheck, "check"},
 	} {
-		if verb.is != verb.was {
-			t.Errorf("the request %q is sent as %q", verb.was, verb.is)
+		if verb.got != verb.want {
+			t.Errorf("verb %q is sent as %q", verb.want, verb.got)
 		}
 	}
 }
--- a/internal/submission/refined_submission_test.go
+++ b/internal/submission/refined_submission_test.go
@@ -10,32 +10,33 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Guards against a running job that is called queued to a user who repeats its submission.
+// The tests guard against a running job that is reported as queued to a user who repeats its
+// submission.
 
-// relay is a leader, b, beside a controller, c, that reaches the state service and passes on
-// what is stored.
-type relay struct {
-	*unsureLeader
+// leaderBesideRelay is the leader b beside a controller c, which reaches the state service and
+// returns stored states.
+type leaderBesideRelay struct {
+	*leaderWithPendingCancel
 	relayed int // submissions that c served
 }
 
-func (r *relay) ServingPeers() []string { return []string{"c"} }
+func (r *leaderBesideRelay) ServingPeers() []string { return []string{"c"} }
 
-func (r *relay) QueryPeer(ctx context.Context, peer string, request submission.Request) (*submission.Reply, error) {
+func (r *leaderBesideRelay) QueryPeer(ctx context.Context, peer string, request submission.Request) (*submission.Reply, error) {
 	if peer == "c" && request.Verb == submission.VerbSubmit {
 		r.relayed++
 		return &submission.Reply{Status: http.StatusOK, State: wire.JobState{UID: "j-7", Stage: wire.StageQueued}}, nil
 	}
-	return r.unsureLeader.QueryPeer(ctx, peer, request)
+	return r.leaderWithPendingCancel.QueryPeer(ctx, peer, request)
 }
 
-// A repeated submission at any controller, in whatever way its answer was found, is answered
-// with what the job's leader knows of its tasks, and costs the leader one poll.
+// A repeated submission returns what the job's leader knows of its tasks, at any controller and
+// however the controller found the job, and costs the leader one poll.
 func TestRepeatedSubmissionIsRefinedByLeader(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		body           string
-		memoryPressure bool // no new jobs are taken here
+		memoryPressure bool // this controller accepts no new jobs
 		down           bool // this controller does not reach the state service
 	}{
 		{name: "as it was", body: job},
@@ -49,7 +50,7 @@
 				t.Fatalf("submission: %d", status)
 			}
 			s.Down = func() bool { return c.down }
-			leader := &relay{unsureLeader: &unsureLeader{stub: s}}
+			leader := &leaderBesideRelay{leaderWithPendingCancel: &leaderWithPendingCancel{stub: s}}
 			request = serveWith(t, s, submission.Options{Peers: leader, MemoryPressure: func() bool { return c.memoryPressure }})
 			stages := []string{wire.StageRunning, wire.StageCancelled, wire.StageDone, wire.StageQueued}
 			for _, stage := range stages {
@@ -59,7 +60,7 @@
 				}
 			}
 			if leader.polls != len(stages) {
-				t.Errorf("%d polls came to the leader, not %d", leader.polls, len(stages))
+				t.Errorf("the leader received %d polls, want %d", leader.polls, len(stages))
 			}
 			if c.down != (leader.relayed == len(stages)) {
 				t.Errorf("%d submissions were relayed", leader.relayed)
@@ -68,11 +69,11 @@
 	}
 }
 
-// A new job is answered without its leader, which cannot know it yet; and a check of a
-// submission, which records nothing, asks no leader either.
-func TestNewSubmissionAsksNoLeader(t *testing.T) {
+// A new job, which its leader can't know yet, is accepted without a query to the leader, and so
+// is the check of a submission, which records nothing.
+func TestNewSubmissionDoesNotQueryLeader(t *testing.T) {
 	s := newStub()
-	leader := &unsureLeader{stub: s, stage: wire.StageRunning}
+	leader := &leaderWithPendingCancel{stub: s, stage: wire.StageRunning}
 	service := newService(t, s, submission.Options{Peers: leader})
 	for _, verb := range []string{submission.VerbCheck, submission.VerbSubmit} {
 		reply := service.Submit(context.Background(), submission.Request{Verb: verb, Body: []byte(job)})
@@ -81,6 +82,6 @@
 		}
 	}
 	if leader.polls > 0 {
-		t.Errorf("%d polls came to the leader", leader.polls)
+		t.Errorf("the leader received %d polls", leader.polls)
 	}
 }
--- a/internal/submission/service_test.go
+++ b/internal/submission/service_test.go
@@ -20,12 +20,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// stub is everything around the users' interface: no jobs in this process, and peers that
-// respond to nothing.
+// stub implements the dependencies of a Service: no jobs in this process, and peers that never
+// respond.
 type stub struct {
 	*testkit.View
-	types []wire.MachineType
-	up    bool
+	types   []wire.MachineType
+	healthy bool
 }
 
 func (s *stub) LocalState(string) (wire.JobState, bool)                         { return wire.JobState{}, false }
@@ -34,7 +34,7 @@
 func (s *stub) All() []wire.MachineType                                         { return s.types }
 func (s *stub) ShardLeaders() []string                                          { return nil }
 func (s *stub) ServingPeers() []string                                          { return []string{"b"} }
-func (s *stub) Healthy() bool                                                   { return s.up }
+func (s *stub) Healthy() bool                                                   { return s.healthy }
 func (s *stub) Cancel(context.Context, string) (wire.JobState, error) {
 	return wire.JobState{}, statestore.ErrUnavailable
 }
@@ -47,7 +47,7 @@
 	"kit":"i","pullGb":1,"builds":null,"yard":null,"together":false,"apart":false,"loaners":true,"reckonS":9,"markS":0,"stashS":0,"dueS":null}`
 
 func newStub() *stub {
-	return &stub{View: &testkit.View{Store: testkit.NewStore()}, up: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
+	return &stub{View: &testkit.View{Store: testkit.NewStore()}, healthy: true, types: []wire.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}}
 }
 
 func serve(t testing.TB) (s *stub, request func(method, path, body string) (int, http.Header, wire.JobState)) {
@@ -55,7 +55,7 @@
 	return s, serveWith(t, s, submission.Options{})
 }
 
-// serveWith serves users from the stub's state, with the options that are given beside.
+// serveWith serves users from the stub's state with the options o.
 func serveWith(t testing.TB, s *stub, o submission.Options) (request func(method, path, body string) (int, http.Header, wire.JobState)) {
 	mux := http.NewServeMux()
 	newService(t, s, o).Register(mux)
@@ -82,9 +82,9 @@
 	return submission.New(o)
 }
 
-// A submission is answered by what is recorded: 201 once, 200 ever after, and
-// refusals only for jobs that nobody knows.
-func TestSubmissionAnswers(t *testing.T) {
+// The response to a submission follows the recorded state: 201 once, 200 for each repeat, and
+// rejections only for unknown jobs.
+func TestSubmissionResponses(t *testing.T) {
 	s, request := serve(t)
 	with := func(old, replacement string) string { return strings.Replace(job, old, replacement, 1) }
 	for _, c := range []struct {
@@ -103,7 +103,7 @@
 		{"over 64 KiB", with(`"kit":"i"`, `"kit":"`+strings.Repeat("i", 70_000)+`"`), 400},
 	} {
 		if status, _, _ := request(http.MethodPost, "/api/jobs", c.body); status != c.status {
-			t.Errorf("%s: %d, not %d", c.name, status, c.status)
+			t.Errorf("%s: status %d, want %d", c.name, status, c.status)
 		}
 	}
 	s.types = nil
@@ -112,7 +112,7 @@
 	}
 }
 
-// What is unknown during an outage of the state service is 503, never 404.
+// During an outage of the state service the response for an unknown job is 503, never 404.
 func TestUnknownOutcomeIsNeverNotFound(t *testing.T) {
 	s, request := serve(t)
 	if status, _, _ := request(http.MethodGet, "/api/jobs/j-1", ""); status != 404 {
@@ -127,29 +127,29 @@
 	s.Down = func() bool { return true }
 	for _, path := range []string{"/api/jobs/j-1", "/api/jobs/j-7"} {
 		if status, header, _ := request(http.MethodGet, path, ""); status != 503 || header.Get("Retry-After") == "" {
-			t.Errorf("%s with the state service out: %d", path, status)
+			t.Errorf("%s while the state service is down: %d", path, status)
 		}
 	}
 	if status, _, _ := request(http.MethodPost, "/api/jobs/j-7/cancel", ""); status != 503 {
-		t.Errorf("cancel with the state service out: %d", status)
+		t.Errorf("cancel while the state service is down: %d", status)
 	}
-	s.up = false
+	s.healthy = false
 	if status, _, _ := request(http.MethodGet, "/up", ""); status != 503 {
-		t.Errorf("up: %d", status)
+		t.Errorf("health check of an unhealthy controller: %d", status)
 	}
 }
 
-// unconfirmed confirms no cancel.
-type unconfirmed struct{ queried []string }
+// neverConfirmed confirms no cancel.
+type neverConfirmed struct{ queried []string }
 
-func (u *unconfirmed) Confirm(uid string) error {
+func (u *neverConfirmed) Confirm(uid string) error {
 	u.queried = append(u.queried, uid)
 	return cancellation.ErrCannotConfirm
 }
 
-// No response says that a job is cancelled before that is confirmed, neither that to a poll
-// nor that to a repeated submission.
-func TestCancelledIsReportedOnceConfirmed(t *testing.T) {
+// Neither a poll nor a repeated submission reports a job as cancelled before the cancel is
+// confirmed.
+func TestCancelledStageRequiresConfirmation(t *testing.T) {
 	s, request := serve(t)
 	if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != 201 {
 		t.Fatalf("submission: %d", status)
@@ -166,7 +166,7 @@
 	if _, err := s.Txn(t.Context(), nil, wire.Op{Put: "live/j-7", Value: record}); err != nil {
 		t.Fatal(err)
 	}
-	cancellations := &unconfirmed{}
+	cancellations := &neverConfirmed{}
 	for _, confirm := range []bool{false, true} {
 		o := submission.Options{Cancellations: cancellations}
 		if confirm {
@@ -181,12 +181,12 @@
 			}
 		}
 		if !confirm && len(cancellations.queried) != 2 {
-			t.Errorf("confirmation was requested for %v", cancellations.queried)
+			t.Errorf("confirmation was requested for %v, want twice", cancellations.queried)
 		}
 	}
 }
 
-// Under memory pressure a controller takes no new job, but goes on answering for those that
+// Under memory pressure a controller refuses new jobs but still serves requests for those that
 // it has accepted.
 func TestMemoryPressureRefusesNewJobsOnly(t *testing.T) {
 	s, request := serve(t)
@@ -205,16 +205,16 @@
 	}
 }
 
-// A submission that was recorded is accepted at once, though neither its own answer nor
-// that of any repeat comes.
-func TestSubmissionIsAcceptedThoughAllAnswersAreLost(t *testing.T) {
+// A submission that was recorded is accepted after one write, although the responses to all
+// writes are lost.
+func TestRecordedSubmissionIsAcceptedWhenResponsesAreLost(t *testing.T) {
 	s, request := serve(t)
 	tries := 0
 	s.Lose = func() bool { tries++; return true }
 	if code, _, state := request("POST", "/api/jobs", job); code != http.StatusOK || state.Stage != wire.StageQueued {
-		t.Errorf("all answers lost: %d %+v", code, state)
+		t.Errorf("all responses lost: %d %+v", code, state)
 	}
 	if tries != 1 {
-		t.Errorf("recorded, it was written %d times", tries)
+		t.Errorf("recorded submission was written %d times", tries)
 	}
 }
--- a/internal/submission/validate.go
+++ b/internal/submission/validate.go
@@ -14,10 +14,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// rounding is how far a demand may be above a limit: sums of float64 are not exact.
-const rounding = 1e-6
+// roundingTolerance is how far a request may exceed a limit: sums of float64 are not exact.
+const roundingTolerance = 1e-6
 
-// rejection is why a submission can't be accepted, as its user reads it.
+// rejection is the reason why a submission can't be accepted, with the text for its user.
 type rejection struct {
 	status int
 	reason string
@@ -29,22 +29,23 @@
 	return &rejection{http.StatusUnprocessableEntity, reason}
 }
 
-// validate reads a submission and returns the job with the constraints that it is to be
-// recorded with. The job comes with a rejection too wherever the body is an object.
+// validate parses a submission and returns the job with the constraints to be recorded. The job
+// is returned even with a rejection if the body is a JSON object.
 func (s *Service) validate(ctx context.Context, body []byte, requested *jobspec.Constraints) (*wire.Job, *jobspec.Constraints, *rejection) {
 	job, err := wire.ParseJob(body)
 	if err != nil {
 		return job, nil, &rejection{http.StatusBadRequest, err.Error()}
 	}
-	if rejected := s.checkRunnable(job); rejected != nil {
+	if rejected := s.checkSatisfiable(job); rejected != nil {
 		return job, nil, rejected
 	}
 	constraints, rejected := s.resolveConstraints(ctx, job, requested)
 	return job, constraints, rejected
 }
 
-// checkRunnable rejects a job that can never run, or of which that is not known yet.
-func (s *Service) checkRunnable(job *wire.Job) *rejection {
+// checkSatisfiable rejects a job whose team is unknown, that exceeds its team's limit or fits on
+// no machine type. It also rejects every job while the machine types are unknown.
+func (s *Service) checkSatisfiable(job *wire.Job) *rejection {
 	types := s.catalog.All()
 	if len(types) == 0 {
 		return &rejection{http.StatusServiceUnavailable, "machine types not known yet"}
@@ -53,11 +54,11 @@
 	if team == nil {
 		return unprocessable("unknown team")
 	}
-	parallel := 1.0 // tasks that run side by side at least
+	minParallel := 1.0 // minimum number of tasks that run at the same time
 	if job.Service() || job.Gang() {
-		parallel = float64(job.Tasks)
+		minParallel = float64(job.Tasks)
 	}
-	if team.CPUsMax > 0 && parallel*job.CPUs > team.CPUsMax+rounding || team.GPUsMax > 0 && parallel*job.GPUs > team.GPUsMax+rounding {
+	if team.CPUsMax > 0 && minParallel*job.CPUs > team.CPUsMax+roundingTolerance || team.GPUsMax > 0 && minParallel*job.GPUs > team.GPUsMax+roundingTolerance {
 		return unprocessable("more than the team's limit")
 	}
 	if !slices.ContainsFunc(types, func(t wire.MachineType) bool { return fits(job, &t) }) {
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// team returns a team's settings, nil if there are none.
+// team returns a team's settings, nil if the team is unknown.
 func (s *Service) team(name string) *config.Team {
 	teams := s.cfg.Params.Teams
 	for i := range teams {
@@ -77,15 +78,16 @@
 	return nil
 }
 
-// fits reports whether a task of a job fits on an empty machine of a type that the job allows.
+// fits reports whether a task of a job fits on an empty machine of type t and the job allows the
+// type.
 func fits(job *wire.Job, t *wire.MachineType) bool {
-	return job.CPUs <= t.CPUs+rounding && job.GPUs <= t.GPUs+rounding && job.MemoryGB <= t.MemoryGB+rounding &&
+	return job.CPUs <= t.CPUs+roundingTolerance && job.GPUs <= t.GPUs+roundingTolerance && job.MemoryGB <= t.MemoryGB+roundingTolerance &&
 		(job.Types == nil || slices.Contains(job.Types, t.Name)) && (job.Zone == nil || slices.Contains(t.Zones, *job.Zone))
 }
 
-// resolveConstraints checks a submission's constraints and sets the ids of the jobs that it
-// depends on. Where jobs have numbers, one without constraints gets a number; where they have
-// none, the result is nil.
+// resolveConstraints validates a submission's constraints and sets the ids of the jobs that it
+// depends on. If jobs have numbers, a job without constraints gets a number; otherwise the
+// result is nil.
 func (s *Service) resolveConstraints(ctx context.Context, job *wire.Job, requested *jobspec.Constraints) (*jobspec.Constraints, *rejection) {
 	switch {
 	case s.numbers == nil && requested == nil:
@@ -102,11 +104,11 @@
 	if err := requested.Validate(job.Tasks, job.Gang(), job.Service(), time.Now()); err != nil {
 		return nil, unprocessable(err.Error())
 	}
-	given, err := s.numbers.Allocated(ctx, requested.Number, job.Tasks)
+	allocated, err := s.numbers.Allocated(ctx, requested.Number, job.Tasks)
 	if err != nil {
 		return nil, s.numbersUnavailable(err)
 	}
-	if !given {
+	if !allocated {
 		return nil, unprocessable("number: was given to nobody")
 	}
 	if rejected := s.resolveDependencies(ctx, job, requested.Dependencies); rejected != nil {
