--- a/cmd/wallctl/main.go
+++ b/cmd/wallctl/main.go
@@ -69,7 +69,7 @@
 		return exitCancelled
 	case errors.Is(err, client.ErrNotFound):
 		return exitNotFound
-	case errors.Is(err, client.ErrRefused), errors.Is(err, taskspec.ErrDiffers):
+	case errors.Is(err, client.ErrRefused), errors.Is(err, taskspec.ErrConflict):
 		return exitRefused
 	case errors.Is(err, client.ErrUnknown), errors.Is(err, context.Canceled):
 		return exitUnknown
--- a/cmd/wallrack/local.go
+++ b/cmd/wallrack/local.go
@@ -35,7 +35,7 @@
 	f.IntVar(&site.Machines, "machines", 8, "most machines up at once")
 	f.Float64Var(&site.CPUs, "cpus", 4, "CPUs of a machine")
 	f.Float64Var(&site.MemoryGB, "memory-gb", 8, "memory of a machine, in GB")
-	f.StringVar(&site.Slots, "slots", "", "file with slots of roll-outs: (slot ...) and (slot-class ...) entries")
+	f.StringVar(&site.SlotsFile, "slots", "", "file with slots of roll-outs: (slot ...) and (slot-class ...) entries")
 	f.BoolVar(&inProcess, "in-process", false, "run controllers and workers inside this process")
 	return c
 }
--- a/cmd/wallrack/local_test.go
+++ b/cmd/wallrack/local_test.go
@@ -109,7 +109,7 @@
 
 func checkLocalRefusals(ctx context.Context, t *testing.T, c *client.Client) {
 	t.Helper()
-	if err := submitScript(ctx, c, adhocJob("j-hello", 3), "false"); !errors.Is(err, taskspec.ErrDiffers) {
+	if err := submitScript(ctx, c, adhocJob("j-hello", 3), "false"); !errors.Is(err, taskspec.ErrConflict) {
 		t.Errorf("another description for the same job: %v", err)
 	}
 	big := adhocJob("j-big", 1)
--- a/cmd/wallrack/parts.go
+++ b/cmd/wallrack/parts.go
@@ -18,7 +18,7 @@
 
 // partsOf returns what starts the parts of a site: inside this process, or as child processes
 // that log to files of their own in the directory's logs.
-func partsOf(dir string, inProcess bool) (local.StartPart, error) {
+func partsOf(dir string, inProcess bool) (local.StartFunc, error) {
 	if inProcess {
 		return runInProcess, nil
 	}
@@ -37,7 +37,7 @@
 }
 
 // childProcesses runs parts as child processes.
-func childProcesses(exe, logs string) local.StartPart {
+func childProcesses(exe, logs string) local.StartFunc {
 	return func(ctx context.Context, name string, args []string) error {
 		if err := os.MkdirAll(logs, 0o755); err != nil {
 			return fmt.Errorf("logs: %w", err)
@@ -65,12 +65,12 @@
 		return err
 	case <-ctx.Done():
 	}
-	subprocess.Signal(cmd, syscall.SIGTERM)
+	subprocess.SignalGroup(cmd, syscall.SIGTERM)
 	select {
 	case err := <-done:
 		return err
 	case <-time.After(stopTimeout):
 	}
-	subprocess.Signal(cmd, syscall.SIGKILL)
+	subprocess.SignalGroup(cmd, syscall.SIGKILL)
 	return <-done
 }
--- a/cmd/wallrack/scale_test.go
+++ b/cmd/wallrack/scale_test.go
@@ -63,7 +63,7 @@
 	for _, p := range r.Phases {
 		phases[p.Name] = p
 	}
-	if p := phases["peak"]; p.StartsHeld < 10 || p.Urgent != 4 || phases["region cut"].Seconds < 1.2 || phases["rolling restart"].Seconds < 0.6 {
+	if p := phases["peak"]; p.StartsAchieved < 10 || p.Urgent != 4 || phases["region cut"].Seconds < 1.2 || phases["rolling restart"].Seconds < 0.6 {
 		t.Errorf("%s", out)
 	}
 	if len(r.Recoveries) < 2 || r.Controllers[0].StateTxns+r.Controllers[1].StateTxns == 0 || r.Controllers[0].ReportBytes+r.Controllers[1].ReportBytes == 0 {
--- a/cmd/wallrack/worker.go
+++ b/cmd/wallrack/worker.go
@@ -108,8 +108,8 @@
 	procs.WorkerName = s.id.Name
 	defer procs.Close()
 	s.id.Endpoint, s.id.Lease = lis.Addr().String(), config.Seconds(s.leaseS)
-	agent := &worker.Agent{Processes: procs, Controllers: controllers, ReportEvery: config.Seconds(s.reportS), Log: log}
-	agent.State = worker.New(s.id, taskspec.NewClient(s.descriptions), procs, agent.Changed, log)
+	agent := &worker.Agent{Processes: procs, Controllers: controllers, ReportInterval: config.Seconds(s.reportS), Log: log}
+	agent.State = worker.New(s.id, taskspec.NewClient(s.descriptions), procs, agent.ReportSoon, log)
 	defer agent.State.Close()
 	srv := &http.Server{Handler: agent.Handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 90 * time.Second}
 	g, ctx := errgroup.WithContext(ctx)
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -76,7 +76,7 @@
 	upload := &taskspec.Client{Base: c.Base, HTTP: &c.httpClient}
 	err := c.retry(ctx, func(ctx context.Context) attempt {
 		err := upload.Put(ctx, uid, description)
-		return attempt{conclusive: err == nil || errors.Is(err, taskspec.ErrDiffers), err: err}
+		return attempt{conclusive: err == nil || errors.Is(err, taskspec.ErrConflict), err: err}
 	})
 	if err != nil {
 		return fmt.Errorf("upload description: %w", err)
--- a/internal/local/controllers.go
+++ b/internal/local/controllers.go
@@ -21,15 +21,15 @@
 
 // Controller is a controller of a site on this machine.
 type Controller struct {
-	Name string
-	Addr string // its address for users and workers
-	File string // path of its settings
+	Name         string
+	Addr         string // its address for users and workers
+	SettingsFile string // path of its settings
 }
 
-// Controllers chooses names, which begin with prefix, and addresses for n controllers,
+// PrepareControllers chooses names, which begin with prefix, and addresses for n controllers,
 // spread over the zones, and writes their settings into dir, which is created. endpoints
 // are the services' addresses for each of them. It starts nothing.
-func Controllers(dir, prefix string, n int, params config.Params, zones []string, endpoints func(i int) config.Endpoints) ([]Controller, error) {
+func PrepareControllers(dir, prefix string, n int, params config.Params, zones []string, endpoints func(i int) config.Endpoints) ([]Controller, error) {
 	addrs, err := FreeAddrs(2 * n)
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("settings: %w", err)
 		}
-		if err := os.WriteFile(c.File, data, 0o644); err != nil {
+		if err := os.WriteFile(c.SettingsFile, data, 0o644); err != nil {
 			return nil, fmt.Errorf("settings: %w", err)
 		}
 	}
@@ -74,10 +74,10 @@
 	return addrs, nil
 }
 
-// Keep runs a controller until ctx ends and the controller has ended: again, after a
+// Supervise runs a controller until ctx ends and the controller has ended: again, after a
 // second, whenever it exits unexpectedly or a restart is requested, which ends it in
 // order. A nil restart never requests one.
-func Keep(ctx context.Context, log *slog.Logger, name string, restart <-chan struct{}, start func(context.Context) error) {
+func Supervise(ctx context.Context, log *slog.Logger, name string, restart <-chan struct{}, start func(context.Context) error) {
 	for ctx.Err() == nil {
 		running, stop := context.WithCancel(ctx)
 		done := make(chan error, 1)
--- a/internal/local/front.go
+++ b/internal/local/front.go
@@ -18,74 +18,74 @@
 )
 
 const (
-	probeInterval = 300 * time.Millisecond
-	probeTimeout  = time.Second
-	awaitInterval = 50 * time.Millisecond
+	probeInterval     = 300 * time.Millisecond
+	probeTimeout      = time.Second
+	readyPollInterval = 50 * time.Millisecond
 )
 
-// Front is the load balancer that users come to: it passes requests on to controllers
+// LoadBalancer is the load balancer that users come to: it passes requests on to controllers
 // that are up, and serves what tasks wrote.
-type Front struct {
-	mux         *http.ServeMux
-	dir         string
-	controllers []Controller
-	client      *http.Client
-	turn        atomic.Uint64 // counts requests, so that controllers take turns
-
-	mu sync.Mutex
-	up []bool // by controller
+type LoadBalancer struct {
+	mux          *http.ServeMux
+	dir          string
+	controllers  []Controller
+	client       *http.Client
+	requestCount atomic.Uint64 // counts requests, so that controllers take turns
+
+	mu      sync.Mutex
+	healthy []bool // by controller
 }
 
-// NewFront returns a front to the controllers; what tasks wrote is below dir. Until Watch
+// NewLoadBalancer returns a front to the controllers; what tasks wrote is below dir. Until Watch
 // runs, no controller counts as up.
-func NewFront(controllers []Controller, dir string) *Front {
-	f := &Front{
+func NewLoadBalancer(controllers []Controller, dir string) *LoadBalancer {
+	f := &LoadBalancer{
 		mux: http.NewServeMux(), dir: dir, controllers: controllers,
-		up: make([]bool, len(controllers)), client: &http.Client{Timeout: probeTimeout},
+		healthy: make([]bool, len(controllers)), client: &http.Client{Timeout: probeTimeout},
 	}
-	f.mux.HandleFunc("/", f.pass)
+	f.mux.HandleFunc("/", f.proxyRequest)
 	f.mux.HandleFunc("GET /logs/{job}/{n}", f.serveLogs)
 	return f
 }
 
 // ServeHTTP implements http.Handler.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
+func (f *LoadBalancer) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
 
-// reachable returns the controllers that are up.
-func (f *Front) reachable() []Controller {
+// healthyControllers returns the controllers that are up.
+func (f *LoadBalancer) healthyControllers() []Controller {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var up []Controller
 	for i, c := range f.controllers {
-		if f.up[i] {
+		if f.healthy[i] {
 			up = append(up, c)
 		}
 	}
 	return up
 }
 
-// pass passes a request on to the next controller that is up.
-func (f *Front) pass(w http.ResponseWriter, r *http.Request) {
-	up := f.reachable()
+// proxyRequest passes a request on to the next controller that is up.
+func (f *LoadBalancer) proxyRequest(w http.ResponseWriter, r *http.Request) {
+	up := f.healthyControllers()
 	if len(up) == 0 {
-		noController(w)
+		writeNoController(w)
 		return
 	}
-	c := up[f.turn.Add(1)%uint64(len(up))]
+	c := up[f.requestCount.Add(1)%uint64(len(up))]
 	proxy := httputil.ReverseProxy{
 		Rewrite:      func(p *httputil.ProxyRequest) { p.SetURL(&url.URL{Scheme: "http", Host: c.Addr}) },
-		ErrorHandler: func(http.ResponseWriter, *http.Request, error) { noController(w) },
+		ErrorHandler: func(http.ResponseWriter, *http.Request, error) { writeNoController(w) },
 	}
 	proxy.ServeHTTP(w, r)
 }
 
-func noController(w http.ResponseWriter) {
+func writeNoController(w http.ResponseWriter) {
 	w.Header().Set("Retry-After", "1")
 	httpjson.Write(w, http.StatusServiceUnavailable, wire.Problem{Error: "no controller is up"})
 }
 
-// Watch probes the controllers until ctx ends.
-func (f *Front) Watch(ctx context.Context) {
+// RunProbes probes the controllers until ctx ends.
+func (f *LoadBalancer) RunProbes(ctx context.Context) {
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
@@ -94,7 +94,7 @@
 			probes.Go(func() {
 				up := f.probe(c)
 				f.mu.Lock()
-				f.up[i] = up
+				f.healthy[i] = up
 				f.mu.Unlock()
 			})
 		}
@@ -108,7 +108,7 @@
 }
 
 // probe reports whether a controller responds, within probeTimeout, that it is up.
-func (f *Front) probe(c Controller) bool {
+func (f *LoadBalancer) probe(c Controller) bool {
 	resp, err := f.client.Get("http://" + c.Addr + "/up")
 	if err != nil {
 		return false
@@ -121,26 +121,26 @@
 const probeJob = `{"uid":"j-ready-probe","docket":"probe","crew":"\u0001","sort":"sweep","urgency":"low","pieces":1,"cpus":1,"cards":0,"memoryGb":0,` +
 	`"kit":"probe","pullGb":0,"builds":null,"yard":null,"together":false,"apart":false,"loaners":false,"reckonS":1,"markS":0,"stashS":0,"dueS":null}`
 
-// Await waits until a controller that is up knows the machine types and reaches the state
+// AwaitReady waits until a controller that is up knows the machine types and reaches the state
 // service, so that a job is sure to be accepted; false: ctx ended before. Watch must run.
-func (f *Front) Await(ctx context.Context) bool {
+func (f *LoadBalancer) AwaitReady(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		for _, c := range f.reachable() {
-			if f.accepts(c) {
+		for _, c := range f.healthyControllers() {
+			if f.acceptsJobs(c) {
 				return true
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(awaitInterval):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	return false
 }
 
-// accepts reports whether a controller would accept jobs: it refuses probeJob for good
+// acceptsJobs reports whether a controller would accept jobs: it refuses probeJob for good
 // then, and for now otherwise.
-func (f *Front) accepts(c Controller) bool {
+func (f *LoadBalancer) acceptsJobs(c Controller) bool {
 	resp, err := f.client.Post("http://"+c.Addr+"/api/jobs", "application/json", strings.NewReader(probeJob))
 	if err != nil {
 		return false
@@ -150,7 +150,7 @@
 }
 
 // serveLogs serves what the last attempt of a task wrote, on whatever worker.
-func (f *Front) serveLogs(w http.ResponseWriter, r *http.Request) {
+func (f *LoadBalancer) serveLogs(w http.ResponseWriter, r *http.Request) {
 	task := r.PathValue("job") + "/" + r.PathValue("n")
 	if _, _, err := wire.ParseTask(task); err != nil {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "not a task's name"})
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -40,13 +40,13 @@
 )
 
 const (
-	keepMachines      = 200 // machines whose files, with what their tasks wrote, are kept
+	maxMachineDirs    = 200 // machines whose files, with what their tasks wrote, are kept
 	readHeaderTimeout = 10 * time.Second
 )
 
-// StartPart starts a part of the site, "wallrack ARGS", and returns when it has ended. When ctx
+// StartFunc starts a part of the site, "wallrack ARGS", and returns when it has ended. When ctx
 // ends it ends the part in order. name is for logs.
-type StartPart func(ctx context.Context, name string, args []string) error
+type StartFunc func(ctx context.Context, name string, args []string) error
 
 // Site is what to run.
 type Site struct {
@@ -56,8 +56,8 @@
 	Machines    int       // most machines up at once
 	CPUs        float64   // of a machine
 	MemoryGB    float64   // of a machine
-	Slots       string    // file with slots of roll-outs, entries alone; may be empty
-	Start       StartPart // starts "wallrack ARGS"
+	SlotsFile   string    // file with slots of roll-outs, entries alone; may be empty
+	Start       StartFunc // starts "wallrack ARGS"
 	Log         *slog.Logger
 }
 
@@ -94,7 +94,7 @@
 		return err
 	}
 	defer func() { _ = db.Close() }() // each change was made durable
-	if err := s.clear(); err != nil {
+	if err := s.removeOldMachines(); err != nil {
 		return err
 	}
 	users, err := net.Listen("tcp", s.Listen)
@@ -129,17 +129,17 @@
 	return db, nil
 }
 
-// clear ends what an earlier run that was killed left behind, and drops the files
+// removeOldMachines ends what an earlier run that was killed left behind, and drops the files
 // of the oldest machines.
-func (s *Site) clear() error {
+func (s *Site) removeOldMachines() error {
 	dirs, err := filepath.Glob(filepath.Join(s.Dir, "machines", "*"))
 	if err != nil {
 		return fmt.Errorf("--dir: %w", err)
 	}
 	slices.Sort(dirs) // names are given in order
 	for i, dir := range dirs {
-		worker.EndLeftovers(dir, s.Log)
-		if i < len(dirs)-keepMachines {
+		worker.KillOrphanedProcesses(dir, s.Log)
+		if i < len(dirs)-maxMachineDirs {
 			if err := os.RemoveAll(dir); err != nil {
 				return fmt.Errorf("--dir: %w", err)
 			}
@@ -156,7 +156,7 @@
 	cloud        *standin.Cloud
 	workers      *workers
 	descriptions http.Handler
-	front        *Front
+	loadBalancer *LoadBalancer
 }
 
 // prepare opens the services on their records and writes the controllers' settings.
@@ -166,7 +166,7 @@
 	if err != nil {
 		return nil, err
 	}
-	controllers, err := Controllers(s.controllersDir(), "local", s.Controllers, s.params(), []string{Zone}, func(int) config.Endpoints {
+	controllers, err := PrepareControllers(s.controllersDir(), "local", s.Controllers, s.controllerParams(), []string{Zone}, func(int) config.Endpoints {
 		return config.Endpoints{Cloud: inner, State: inner}
 	})
 	if err != nil {
@@ -184,10 +184,10 @@
 	if err != nil {
 		return nil, err
 	}
-	w.failed = cloud.Failed
+	w.markFailed = cloud.MarkFailed
 	return &services{
 		site: s, controllers: controllers, state: state, cloud: cloud, workers: w,
-		descriptions: taskspec.Handler(standin.Descriptions{DB: db}), front: NewFront(controllers, s.Dir),
+		descriptions: taskspec.Handler(standin.DescriptionStore{DB: db}), loadBalancer: NewLoadBalancer(controllers, s.Dir),
 	}, nil
 }
 
@@ -213,15 +213,15 @@
 	controllersCtx, stopControllers := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopServices()
 	defer stopControllers()
-	s.front.mux.Handle("/descriptions/", s.descriptions)
+	s.loadBalancer.mux.Handle("/descriptions/", s.descriptions)
 	group, groupCtx := errgroup.WithContext(ctx)
 	Serve(servicesCtx, group, inner, s.handler())
-	Serve(servicesCtx, group, users, s.front.mux)
+	Serve(servicesCtx, group, users, s.loadBalancer.mux)
 	group.Go(func() error { s.state.ExpireLeases(servicesCtx); return nil })
-	group.Go(func() error { s.front.Watch(servicesCtx); return nil })
-	controllers := s.keepControllers(controllersCtx)
+	group.Go(func() error { s.loadBalancer.RunProbes(servicesCtx); return nil })
+	controllers := s.superviseControllers(controllersCtx)
 	group.Go(func() error {
-		if s.front.Await(groupCtx) {
+		if s.loadBalancer.AwaitReady(groupCtx) {
 			s.site.Log.Info("ready", "users", users.Addr().String())
 			ready("http://" + users.Addr().String())
 		}
@@ -241,14 +241,14 @@
 	return nil
 }
 
-// keepControllers runs the controllers until ctx ends; the group is done when they have
+// superviseControllers runs the controllers until ctx ends; the group is done when they have
 // ended.
-func (s *services) keepControllers(ctx context.Context) *sync.WaitGroup {
+func (s *services) superviseControllers(ctx context.Context) *sync.WaitGroup {
 	var group sync.WaitGroup
 	for _, c := range s.controllers {
-		args := []string{"--config", c.File, "--rollouts", s.site.rolloutsFile(), "--slurm", s.site.slurmFile()}
+		args := []string{"--config", c.SettingsFile, "--rollouts", s.site.rolloutsFile(), "--slurm", s.site.slurmFile()}
 		group.Go(func() {
-			Keep(ctx, s.site.Log, c.Name, nil, func(ctx context.Context) error { return s.site.Start(ctx, c.Name, args) })
+			Supervise(ctx, s.site.Log, c.Name, nil, func(ctx context.Context) error { return s.site.Start(ctx, c.Name, args) })
 		})
 	}
 	return &group
--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -19,8 +19,8 @@
 	valueKB  = 16.0
 )
 
-// params are the controllers' parameters, which elsewhere come from the platform.
-func (s *Site) params() config.Params {
+// controllerParams are the controllers' parameters, which elsewhere come from the platform.
+func (s *Site) controllerParams() config.Params {
 	return config.Params{
 		Zones: []string{Zone}, Teams: []config.Team{{Name: Team}},
 		Workers: config.Workers{ReportS: reportS, LeaseS: leaseS, CancelS: cancelS},
@@ -43,8 +43,8 @@
 // clients.
 func (s *Site) writeSettings(inner string) error {
 	slots := ""
-	if s.Slots != "" {
-		data, err := os.ReadFile(s.Slots)
+	if s.SlotsFile != "" {
+		data, err := os.ReadFile(s.SlotsFile)
 		if err != nil {
 			return fmt.Errorf("--slots: %w", err)
 		}
@@ -52,7 +52,7 @@
 	}
 	rollouts := fmt.Sprintf("(rollouts\n  (descriptions \"http://%s\")\n%s)\n", inner, slots)
 	if _, err := rollout.ParseSettings([]byte(rollouts)); err != nil {
-		return fmt.Errorf("--slots: %s: %w", s.Slots, err)
+		return fmt.Errorf("--slots: %s: %w", s.SlotsFile, err)
 	}
 	if err := os.WriteFile(s.rolloutsFile(), []byte(rollouts), 0o644); err != nil {
 		return fmt.Errorf("settings: %w", err)
--- a/internal/local/workers.go
+++ b/internal/local/workers.go
@@ -15,7 +15,7 @@
 	site         *Site
 	controllers  []Controller
 	descriptions string            // base URL
-	failed       func(name string) // a worker ended by itself
+	markFailed   func(name string) // a worker ended by itself
 
 	mu      sync.Mutex
 	running map[string]*runningWorker // by machine
@@ -33,7 +33,7 @@
 	if err != nil {
 		return "", err
 	}
-	args := w.args(m, t, addrs[0])
+	args := w.workerArgs(m, t, addrs[0])
 	ctx, stop := context.WithCancel(context.Background())
 	r := &runningWorker{stop, make(chan struct{})}
 	w.mu.Lock()
@@ -48,14 +48,14 @@
 		err := w.site.Start(ctx, m.Name, args)
 		if ctx.Err() == nil {
 			w.site.Log.Error("worker exited unexpectedly", "worker", m.Name, "err", err)
-			w.failed(m.Name)
+			w.markFailed(m.Name)
 		}
 	}()
 	return addrs[0], nil
 }
 
-// args are the arguments that start a machine's worker.
-func (w *workers) args(m wire.ListedMachine, t wire.MachineType, addr string) []string {
+// workerArgs are the arguments that start a machine's worker.
+func (w *workers) workerArgs(m wire.ListedMachine, t wire.MachineType, addr string) []string {
 	controllers := make([]string, 0, 2*len(w.controllers))
 	for _, c := range w.controllers {
 		controllers = append(controllers, "--controller", c.Name+"="+c.Addr)
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -12,33 +12,33 @@
 
 // hollowWorker is a worker that runs nothing but a timer per task.
 type hollowWorker struct {
-	name, zone string
-	link       link
-	state      *worker.State
-	server     *http.Server
-	stop       context.CancelFunc // ends reports
-	done       chan struct{}      // closed when reports have ended
+	name, zone  string
+	link        link
+	state       *worker.State
+	server      *http.Server
+	stopReports context.CancelFunc // ends reports
+	reportsDone chan struct{}      // closed when reports have ended
 
 	serving sync.RWMutex // held while a request is served
 	deleted bool         // with its machine: requests on their way do nothing
 }
 
-// end ends the worker with all that runs there, and waits for it.
-func (h *hollowWorker) end() {
-	h.stop()
+// shutDown ends the worker with all that runs there, and waits for it.
+func (h *hollowWorker) shutDown() {
+	h.stopReports()
 	h.serving.Lock()
 	h.deleted = true
 	h.serving.Unlock()
 	_ = h.server.Close() // responses on their way are lost
-	h.link.set(false)
-	<-h.done
+	h.link.setCut(false)
+	<-h.reportsDone
 	h.state.Close()
 }
 
-// serve returns a handler that holds requests while the link is cut.
-func (h *hollowWorker) serve(agent http.Handler) http.Handler {
+// holdRequests returns a handler that holds requests while the link is cut.
+func (h *hollowWorker) holdRequests(agent http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-h.link.mended()
+		<-h.link.restored()
 		h.serving.RLock()
 		defer h.serving.RUnlock()
 		if !h.deleted {
@@ -86,17 +86,17 @@
 	finish func(completed bool)
 }
 
-// stoppedCode is the exit code of a stopped task, as after SIGKILL.
-const stoppedCode = 137
+// killedExitCode is the exit code of a stopped task, as after SIGKILL.
+const killedExitCode = 137
 
 // Start implements worker.Runner.
 func (r *runner) Start(task string, _ uint64, _ *taskspec.Spec, exited func(code int)) (worker.Process, error) {
-	run, completed := r.track.started(task, r.name)
+	run, completed := r.track.taskStarted(task, r.name)
 	p := &process{finish: func(completed bool) {
-		r.track.ended(task, completed)
+		r.track.taskEnded(task, completed)
 		code := 0
 		if !completed {
-			code = stoppedCode
+			code = killedExitCode
 		}
 		go exited(code)
 	}}
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -14,8 +14,8 @@
 	cut chan struct{} // closed when the cut ends; nil: none
 }
 
-// set cuts the link or mends it.
-func (l *link) set(cut bool) {
+// setCut cuts the link or mends it.
+func (l *link) setCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if cut == (l.cut != nil) {
@@ -29,8 +29,8 @@
 	l.cut = nil
 }
 
-// mended is closed while the link is whole.
-func (l *link) mended() <-chan struct{} {
+// restored is closed while the link is whole.
+func (l *link) restored() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cut == nil {
@@ -55,7 +55,7 @@
 // RoundTrip implements http.RoundTripper.
 func (t *reportTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	select {
-	case <-t.link.mended():
+	case <-t.link.restored():
 	case <-req.Context().Done():
 		return nil, req.Context().Err()
 	}
@@ -83,7 +83,7 @@
 		if err != nil {
 			return nil, err
 		}
-		mended := l.link.mended()
+		mended := l.link.restored()
 		select {
 		case <-mended:
 			return conn, nil
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	sampleInterval    = time.Second
-	samplesPerReading = 5 // of the controllers' usage
-	usageTimeout      = 2 * time.Second
+	sampleInterval         = time.Second
+	samplesPerUsageReading = 5 // of the controllers' usage
+	usageTimeout           = 2 * time.Second
 )
 
 // Sample is one second of the run.
@@ -34,22 +34,22 @@
 type usageTotals struct {
 	mu                sync.Mutex
 	last              usage.Reading
-	at                time.Time
+	lastAt            time.Time
 	cpuS, peakCPU     float64
 	memoryMB          float64 // most
 	inbound, failures int     // most connections; readings that failed
 }
 
-// take adds a reading and returns the share of a core since the one before.
-func (u *usageTotals) take(reading usage.Reading, now time.Time) (share float64) {
+// add adds a reading and returns the share of a core since the one before.
+func (u *usageTotals) add(reading usage.Reading, now time.Time) (share float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	used := reading.CPUSeconds - u.last.CPUSeconds
-	if reading.UptimeS < u.last.UptimeS || u.at.IsZero() {
+	if reading.UptimeS < u.last.UptimeS || u.lastAt.IsZero() {
 		used = reading.CPUSeconds // a new process
 	}
-	if !u.at.IsZero() {
-		share = used / now.Sub(u.at).Seconds()
+	if !u.lastAt.IsZero() {
+		share = used / now.Sub(u.lastAt).Seconds()
 		u.peakCPU = max(u.peakCPU, share)
 	}
 	u.cpuS += used
@@ -57,20 +57,20 @@
 	// that started it.
 	u.memoryMB = max(u.memoryMB, reading.RuntimeMB)
 	u.inbound = max(u.inbound, reading.Queues["connections"])
-	u.last, u.at = reading, now
+	u.last, u.lastAt = reading, now
 	return share
 }
 
-// sample samples the site once a second until ctx ends.
-func (r *Run) sample(ctx context.Context) {
+// collectSamples samples the site once a second until ctx ends.
+func (r *Run) collectSamples(ctx context.Context) {
 	began, client := time.Now(), &http.Client{Timeout: usageTimeout}
 	before := 0
-	for n := 1; wait(ctx, time.Until(began.Add(time.Duration(n)*sampleInterval))); n++ {
-		running, unfinished := r.track.running()
-		phase, starts := r.track.now()
+	for n := 1; sleep(ctx, time.Until(began.Add(time.Duration(n)*sampleInterval))); n++ {
+		running, unfinished := r.track.taskCounts()
+		phase, starts := r.track.phaseAndStarts()
 		sample := Sample{AtS: time.Since(began).Seconds(), Phase: phase, Starts: starts - before, Running: running, Unfinished: unfinished}
 		before = starts
-		if n%samplesPerReading == 0 {
+		if n%samplesPerUsageReading == 0 {
 			sample.Controllers = r.readUsage(client)
 		}
 		r.samples = append(r.samples, sample)
@@ -94,7 +94,7 @@
 				c.usage.mu.Unlock()
 				return
 			}
-			shares[i] = c.usage.take(reading, time.Now())
+			shares[i] = c.usage.add(reading, time.Now())
 		})
 	}
 	readings.Wait()
--- a/internal/scale/recorded_test.go
+++ b/internal/scale/recorded_test.go
@@ -12,8 +12,8 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// destinations is the field that each key of the settings sets.
-func destinations(s *Settings) map[string]any {
+// fieldsByKey is the field that each key of the settings sets.
+func fieldsByKey(s *Settings) map[string]any {
 	return map[string]any{
 		"workers":              &s.Workers,
 		"controllers":          &s.Controllers,
@@ -41,19 +41,19 @@
 		"steady-s":             &s.SteadyS,
 		"peak-s":               &s.PeakS,
 		"failures-s":           &s.FailuresS,
-		"rack-cut-s":           &s.RackS,
-		"zone-cut-s":           &s.ZoneS,
-		"region-cut-s":         &s.RegionS,
+		"rack-cut-s":           &s.RackCutS,
+		"zone-cut-s":           &s.ZoneCutS,
+		"region-cut-s":         &s.RegionCutS,
 		"settle-s":             &s.SettleS,
 		"restart-every-s":      &s.RestartEveryS,
 		"drain-s":              &s.DrainS,
-		"failures-a-day":       &s.FailADay,
-		"restarts-a-day":       &s.RestartADay,
-		"day-pace":             &s.DaySpeed,
+		"failures-a-day":       &s.FailuresPerDay,
+		"restarts-a-day":       &s.RestartsPerDay,
+		"day-pace":             &s.FailureSpeedup,
 		"state-rps":            &s.StateRPS,
 		"state-write-rps":      &s.StateWriteRPS,
 		"state-latency-ms":     &s.StateLatencyMs,
-		"state-txn-ops":        &s.StateTxns,
+		"state-txn-ops":        &s.StateTxnOps,
 		"cloud-rps":            &s.CloudRPS,
 		"cloud-latency-ms":     &s.CloudLatencyMs,
 		"cloud-lag-s":          &s.CloudLagS,
@@ -71,8 +71,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := destinations(defaults)
-	figures := defaults.figures()
+	at := fieldsByKey(defaults)
+	figures := defaults.numericSettings()
 	if len(figures) != len(at) {
 		t.Errorf("%d keys are accepted, %d are recorded", len(figures), len(at))
 	}
@@ -88,10 +88,10 @@
 			t.Errorf("%s: no key", key)
 			continue
 		}
-		if reflect.ValueOf(f.to).Pointer() != reflect.ValueOf(at[key]).Pointer() {
+		if reflect.ValueOf(f.dest).Pointer() != reflect.ValueOf(at[key]).Pointer() {
 			t.Errorf("%s sets another field", key)
 		}
-		fmt.Fprintf(&text, "%s %s %v from %v to %v\n", key, reflect.TypeOf(f.to).Elem(), reflect.ValueOf(at[key]).Elem(), f.min, f.max)
+		fmt.Fprintf(&text, "%s %s %v from %v to %v\n", key, reflect.TypeOf(f.dest).Elem(), reflect.ValueOf(at[key]).Elem(), f.min, f.max)
 	}
 	recorded.Compare(t, "keys.txt", []byte(text.String()))
 	recorded.Compare(t, "operator-default.txt", append(defaults.Operator, '\n'))
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -31,7 +31,7 @@
 		r.Size.Teams, r.Size.Running, r.Host.LoadBefore, r.Host.LoadAfter, r.Host.CPUs)
 	fmt.Fprintln(text, "PHASE\tS\tSTARTS/S ASKED\tHELD\tLOWEST 10 S\tNO START S\tURGENT\tIN TIME\tP50 S\tP99 S\tACCEPTED P99 S\tWRITES/START\tBUSIEST CPU\tSTOPPED\tREFUSED\tUNANSWERED")
 	for _, p := range r.Phases {
-		fmt.Fprintf(text, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%d\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%d\n", p.Name, p.Seconds, p.StartsRequested, p.StartsHeld, p.StartsLow10, p.GapS,
+		fmt.Fprintf(text, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%d\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%d\n", p.Name, p.Seconds, p.StartsRequested, p.StartsAchieved, p.StartsLow10, p.GapS,
 			p.Urgent, p.UrgentShare, p.UrgentP50S, p.UrgentP99S, p.AcceptP99S, p.Writes, p.BusiestCPU, p.Stopped, p.Refused, p.Unanswered)
 	}
 	fmt.Fprintln(text, "\nEVENT\tWORKERS\tTASKS\tRESTORED\tP50 S\tP99 S\tMAX S")
@@ -54,7 +54,7 @@
 	least := slices.MinFunc(r.Teams, func(a, b TeamResult) int { return a.Completed*max(1, b.Requested) - b.Completed*max(1, a.Requested) })
 	fmt.Fprintf(text, "\narrays' tasks: %d of %d completed, %d left\tteam served least: %s, %d of %d\n", r.Tasks.Completed, r.Tasks.Asked, r.Tasks.Left, least.Name, least.Completed, least.Requested)
 	fmt.Fprintf(text, "hollow workers, services and users together: %.0f s of processor, %.0f MB\n", r.Host.CPUSeconds, r.Host.MemoryMB)
-	fmt.Fprintf(text, "rules: ran twice %d, starts above a limit %d, called over too early %d, accepted jobs unknown %d\n", r.Rules.RanTwice, r.Rules.OverLimit, r.Rules.NotDone, r.Rules.Unknown)
+	fmt.Fprintf(text, "rules: ran twice %d, starts above a limit %d, called over too early %d, accepted jobs unknown %d\n", r.Rules.RanTwice, r.Rules.OverLimit, r.Rules.PrematureEnds, r.Rules.Unknown)
 }
 
 // plotSeries are the lines of a chart, by name.
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -38,7 +38,7 @@
 	Name            string  `json:"name"`
 	Seconds         float64 `json:"seconds"`
 	StartsRequested float64 `json:"starts_asked_per_s"`
-	StartsHeld      float64 `json:"starts_held_per_s"`
+	StartsAchieved  float64 `json:"starts_held_per_s"`
 	StartsLow10     float64 `json:"starts_lowest_10s_per_s"` // 0 if the phase is shorter
 	GapS            float64 `json:"longest_without_a_start_s"`
 	Urgent          int     `json:"urgent"`
@@ -67,10 +67,10 @@
 
 // Rules counts what must never happen.
 type Rules struct {
-	RanTwice  int `json:"ran_twice"`
-	OverLimit int `json:"starts_above_a_limit"`
-	NotDone   int `json:"called_over_too_early"`
-	Unknown   int `json:"accepted_jobs_unknown"`
+	RanTwice      int `json:"ran_twice"`
+	OverLimit     int `json:"starts_above_a_limit"`
+	PrematureEnds int `json:"called_over_too_early"`
+	Unknown       int `json:"accepted_jobs_unknown"`
 }
 
 // Broken reports whether a rule was broken.
@@ -134,7 +134,7 @@
 	for _, e := range t.events {
 		out.Recoveries = append(out.Recoveries, e.result())
 	}
-	out.Rules = Rules{RanTwice: t.ranTwice, NotDone: t.notDone, Unknown: t.unknown}
+	out.Rules = Rules{RanTwice: t.ranTwice, PrematureEnds: t.prematureEnds, Unknown: t.unknown}
 	for _, team := range s.Teams {
 		state := t.teams[team.Name]
 		out.Teams = append(out.Teams, TeamResult{
@@ -146,7 +146,7 @@
 		out.Tasks.Completed += state.completed
 	}
 	out.Tasks.Left = out.Tasks.Asked - out.Tasks.Completed
-	length := r.phases[len(r.phases)-1].ended.Sub(r.phases[0].began).Seconds()
+	length := r.phases[len(r.phases)-1].endedAt.Sub(r.phases[0].startedAt).Seconds()
 	for _, c := range r.controllers {
 		out.Controllers = append(out.Controllers, c.result(length))
 	}
@@ -166,29 +166,29 @@
 func (r *recovery) result() RecoveryResult {
 	return RecoveryResult{
 		Event: r.event, Workers: r.workers, Tasks: r.tasks, Restored: r.restored,
-		P50S: quantile(r.took, 50), P99S: quantile(r.took, 99), MaxS: float64(r.took.Max()) / 1000,
+		P50S: quantile(r.duration, 50), P99S: quantile(r.duration, 99), MaxS: float64(r.duration.Max()) / 1000,
 	}
 }
 
 func (r *Run) phaseResult(p *phase) PhaseResult {
-	length := p.ended.Sub(p.began).Seconds()
+	length := p.endedAt.Sub(p.startedAt).Seconds()
 	out := PhaseResult{
-		Name: p.name, Seconds: length, StartsRequested: p.requested, StartsHeld: float64(p.starts) / length, StartsLow10: lowest10(p.secondly, int(length)),
-		GapS: p.gap.Seconds(), Urgent: p.urgent, UrgentP50S: quantile(p.wait, 50), UrgentP99S: quantile(p.wait, 99),
-		AcceptP99S: quantile(p.accept, 99), Stopped: p.stopped, Refused: p.refused, Unanswered: p.unanswered,
+		Name: p.name, Seconds: length, StartsRequested: p.requested, StartsAchieved: float64(p.starts) / length, StartsLow10: lowestRate10s(p.startsPerSecond, int(length)),
+		GapS: p.longestGap.Seconds(), Urgent: p.urgent, UrgentP50S: quantile(p.urgentWait, 50), UrgentP99S: quantile(p.urgentWait, 99),
+		AcceptP99S: quantile(p.acceptWait, 99), Stopped: p.stopped, Refused: p.refused, Unanswered: p.unanswered,
 	}
 	if p.starts > 0 {
 		out.Writes = float64(p.writes) / float64(p.starts)
 	}
-	out.BusiestCPU = r.busiest(p.name)
+	out.BusiestCPU = r.busiestController(p.name)
 	if p.urgent > 0 {
 		out.UrgentShare = 1 - float64(p.late)/float64(p.urgent)
 	}
 	return out
 }
 
-// busiest is the mean share of a core of the controller that used most in a phase.
-func (r *Run) busiest(phase string) (share float64) {
+// busiestController is the mean share of a core of the controller that used most in a phase.
+func (r *Run) busiestController(phase string) (share float64) {
 	sums, readings := make([]float64, len(r.controllers)), 0.0
 	for _, s := range r.samples {
 		if s.Phase != phase || s.Controllers == nil {
@@ -205,9 +205,9 @@
 	return slices.Max(sums) / readings
 }
 
-// lowest10 is the lowest rate a second over ten seconds in a row of the first length
+// lowestRate10s is the lowest rate a second over ten seconds in a row of the first length
 // seconds, 0 if they are fewer.
-func lowest10(secondly []int, length int) float64 {
+func lowestRate10s(secondly []int, length int) float64 {
 	const window = 10
 	for len(secondly) < length {
 		secondly = append(secondly, 0)
@@ -235,6 +235,6 @@
 		Name: c.Name, CPUMean: c.usage.cpuS / length, CPUPeak: c.usage.peakCPU, MemoryMB: c.usage.memoryMB, Connections: c.usage.inbound,
 		StateReads: float64(c.counts.Reads.Load()) / length, StateWatches: float64(c.counts.Watches.Load()) / length,
 		StateTxns: float64(c.counts.Transactions.Load()) / length, StateWrites: float64(c.counts.Writes.Load()) / length,
-		StateRefused: c.counts.Refused.Load(), ReportBytes: float64(c.bytes.Load()) / length, Unread: c.usage.failures,
+		StateRefused: c.counts.Refused.Load(), ReportBytes: float64(c.reportBytes.Load()) / length, Unread: c.usage.failures,
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	filledShare  = 0.99 // of the services, that is enough to go on
-	readyTimeout = time.Minute
-	endTimeout   = time.Minute
-	pollInterval = 100 * time.Millisecond // of what a phase waits for
+	minFilledShare        = 0.99 // of the services, that is enough to go on
+	readyTimeout          = time.Minute
+	shutdownTimeout       = time.Minute
+	conditionPollInterval = 100 * time.Millisecond // of what a phase waits for
 )
 
 var seconds = config.Seconds
@@ -32,30 +32,30 @@
 type Run struct {
 	Settings *Settings
 	Dir      string          // for settings and logs
-	Start    local.StartPart // starts "wallrack ARGS"
+	Start    local.StartFunc // starts "wallrack ARGS"
 	Log      *slog.Logger
 	Progress func(phase string, running, starts int) // once a second; may be nil
 
-	track       *tracker
-	workers     *workers
-	users       *users
-	cloud       *standin.Cloud
-	controllers []*controller
-	phases      []*phase // that have ended
-	zones       []string
-	provisions  int   // requests to the cloud
-	writes      int64 // to the state service up to the last phase's end
-	samples     []Sample
-	random      *rand.Rand
+	track          *tracker
+	workers        *workers
+	users          *users
+	cloud          *standin.Cloud
+	controllers    []*controller
+	phases         []*phase // that have ended
+	zones          []string
+	provisionCount int   // requests to the cloud
+	writesBefore   int64 // to the state service up to the last phase's end
+	samples        []Sample
+	random         *rand.Rand
 }
 
 // controller is a controller with what is measured of it.
 type controller struct {
 	local.Controller
-	restart chan struct{}
-	counts  standin.Counts
-	bytes   atomic.Int64 // of reports and their responses
-	usage   usageTotals
+	restart     chan struct{}
+	counts      standin.RequestCounts
+	reportBytes atomic.Int64 // of reports and their responses
+	usage       usageTotals
 }
 
 // Do plays the run and returns what was measured, up to the error if there is one;
@@ -82,7 +82,7 @@
 	}
 	controllersCtx, stopControllers := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopControllers()
-	controllers := r.keepControllers(controllersCtx, args)
+	controllers := r.superviseControllers(controllersCtx, args)
 	group.Go(func() error {
 		defer func() {
 			stopControllers()
@@ -90,8 +90,8 @@
 			r.workers.close()
 			stopServices()
 		}()
-		defer r.next("end", 0)
-		return r.play(groupCtx, front)
+		defer r.beginPhase("end", 0)
+		return r.runPhases(groupCtx, front)
 	})
 	err = group.Wait()
 	return r.result(loadBefore), err
@@ -100,8 +100,8 @@
 // timeout bounds the run in time.
 func (r *Run) timeout() time.Duration {
 	s := r.Settings
-	cuts := s.RackS + s.ZoneS + s.RegionS + 3*s.SettleS
-	return readyTimeout + seconds(s.FillWithinS+s.SteadyS+s.PeakS+s.FailuresS+cuts+s.RestartEveryS*float64(s.Controllers)+s.SettleS*2+s.DrainS) + endTimeout
+	cuts := s.RackCutS + s.ZoneCutS + s.RegionCutS + 3*s.SettleS
+	return readyTimeout + seconds(s.FillWithinS+s.SteadyS+s.PeakS+s.FailuresS+cuts+s.RestartEveryS*float64(s.Controllers)+s.SettleS*2+s.DrainS) + shutdownTimeout
 }
 
 // operatorArgs writes the operator's settings and returns the arguments that name them.
@@ -116,48 +116,48 @@
 	return []string{"--operator", file}, nil
 }
 
-// keepControllers runs the controllers until ctx ends; the group is done when they have
+// superviseControllers runs the controllers until ctx ends; the group is done when they have
 // ended.
-func (r *Run) keepControllers(ctx context.Context, args []string) *sync.WaitGroup {
+func (r *Run) superviseControllers(ctx context.Context, args []string) *sync.WaitGroup {
 	var group sync.WaitGroup
 	for _, c := range r.controllers {
 		group.Go(func() {
-			local.Keep(ctx, r.Log, c.Name, c.restart, func(ctx context.Context) error {
-				return r.Start(ctx, c.Name, append([]string{"--config", c.File}, args...))
+			local.Supervise(ctx, r.Log, c.Name, c.restart, func(ctx context.Context) error {
+				return r.Start(ctx, c.Name, append([]string{"--config", c.SettingsFile}, args...))
 			})
 		})
 	}
 	return &group
 }
 
-// play goes through the phases.
-func (r *Run) play(ctx context.Context, front *local.Front) error {
+// runPhases goes through the phases.
+func (r *Run) runPhases(ctx context.Context, front *local.LoadBalancer) error {
 	s := r.Settings
 	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if !front.Await(ready) {
+	if !front.AwaitReady(ready) {
 		return errors.New("no controller took jobs in time")
 	}
 	ctx, stop := context.WithCancel(ctx)
 	var sampling sync.WaitGroup
-	sampling.Go(func() { r.sample(ctx) })
+	sampling.Go(func() { r.collectSamples(ctx) })
 	defer func() {
 		stop()
 		sampling.Wait()
-		r.users.sent.Wait()
+		r.users.followers.Wait()
 	}()
-	r.users.fill(ctx)
+	r.users.submitServices(ctx)
 	if err := r.awaitFilled(ctx); err != nil {
 		return err
 	}
-	r.phase(ctx, "steady", s.SteadyStarts, seconds(s.SteadyS), nil)
-	r.phase(ctx, "peak", s.PeakStarts, seconds(s.PeakS), nil)
+	r.runPhase(ctx, "steady", s.SteadyStarts, seconds(s.SteadyS), nil)
+	r.runPhase(ctx, "peak", s.PeakStarts, seconds(s.PeakS), nil)
 	if s.PeakS > 0 {
-		r.phase(ctx, "after the peak", s.SteadyStarts, seconds(s.SettleS), nil)
+		r.runPhase(ctx, "after the peak", s.SteadyStarts, seconds(s.SettleS), nil)
 	}
-	r.phase(ctx, "failures", s.SteadyStarts, seconds(s.FailuresS), r.failures)
-	r.cuts(ctx)
-	r.phase(ctx, "rolling restart", s.SteadyStarts, seconds(s.RestartEveryS*float64(s.Controllers)), r.restarts)
+	r.runPhase(ctx, "failures", s.SteadyStarts, seconds(s.FailuresS), r.injectFailures)
+	r.runPartitions(ctx)
+	r.runPhase(ctx, "rolling restart", s.SteadyStarts, seconds(s.RestartEveryS*float64(s.Controllers)), r.restartControllers)
 	r.drain(ctx)
 	return ctx.Err()
 }
@@ -166,42 +166,42 @@
 func (r *Run) awaitFilled(ctx context.Context) error {
 	deadline := time.Now().Add(seconds(r.Settings.FillWithinS))
 	for {
-		running, _ := r.track.running()
-		if float64(running) >= filledShare*float64(r.Settings.services()) {
+		running, _ := r.track.taskCounts()
+		if float64(running) >= minFilledShare*float64(r.Settings.serviceTasks()) {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("fill-within-s: %d of %d tasks run after %v s", running, r.Settings.services(), r.Settings.FillWithinS)
+			return fmt.Errorf("fill-within-s: %d of %d tasks run after %v s", running, r.Settings.serviceTasks(), r.Settings.FillWithinS)
 		}
-		if !wait(ctx, pollInterval) {
+		if !sleep(ctx, conditionPollInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// phase plays a load for so long, with something that happens meanwhile.
-func (r *Run) phase(ctx context.Context, name string, starts float64, length time.Duration, meanwhile func(context.Context)) {
+// runPhase plays a load for so long, with something that happens meanwhile.
+func (r *Run) runPhase(ctx context.Context, name string, starts float64, length time.Duration, meanwhile func(context.Context)) {
 	if length <= 0 || ctx.Err() != nil {
 		return
 	}
-	r.next(name, starts)
+	r.beginPhase(name, starts)
 	var events sync.WaitGroup
 	if meanwhile != nil {
 		events.Go(func() { meanwhile(ctx) })
 	}
-	r.users.load(ctx, starts, length)
+	r.users.submitAtRate(ctx, starts, length)
 	events.Wait()
 }
 
-// next begins a phase, with so many starts a second requested.
-func (r *Run) next(name string, requested float64) {
-	ended := r.track.next(name, requested)
+// beginPhase begins a phase, with so many starts a second requested.
+func (r *Run) beginPhase(name string, requested float64) {
+	ended := r.track.beginPhase(name, requested)
 	r.phases = append(r.phases, ended)
 	writes := int64(0)
 	for _, c := range r.controllers {
 		writes += c.counts.Writes.Load()
 	}
-	ended.writes, r.writes = writes-r.writes, writes
+	ended.writes, r.writesBefore = writes-r.writesBefore, writes
 }
 
 // drain waits, without new jobs, until all tasks of arrays are completed.
@@ -209,10 +209,10 @@
 	if ctx.Err() != nil {
 		return
 	}
-	r.next("drain", 0)
+	r.beginPhase("drain", 0)
 	deadline := time.Now().Add(seconds(r.Settings.DrainS))
-	for time.Now().Before(deadline) && wait(ctx, pollInterval) {
-		if _, unfinished := r.track.running(); unfinished == 0 {
+	for time.Now().Before(deadline) && sleep(ctx, conditionPollInterval) {
+		if _, unfinished := r.track.taskCounts(); unfinished == 0 {
 			break
 		}
 	}
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -28,17 +28,17 @@
 
 // prepare starts the services, which run until ctx ends, provisions the workers and
 // writes the controllers' settings. r.workers is set also after an error.
-func (r *Run) prepare(ctx context.Context, group *errgroup.Group) (*local.Front, error) {
+func (r *Run) prepare(ctx context.Context, group *errgroup.Group) (*local.LoadBalancer, error) {
 	s := r.Settings
-	r.workers = &workers{settings: s, track: r.track, all: map[string]*hollowWorker{}, bytes: map[string]*atomic.Int64{}, log: r.Log}
-	state, err := standin.OpenState(nil, s.StateTxns, valueKB)
+	r.workers = &workers{settings: s, track: r.track, byName: map[string]*hollowWorker{}, reportBytes: map[string]*atomic.Int64{}, log: r.Log}
+	state, err := standin.OpenState(nil, s.StateTxnOps, valueKB)
 	if err != nil {
 		return nil, err
 	}
 	if err := r.openCloud(); err != nil {
 		return nil, err
 	}
-	cloud := standin.Metered(r.cloud.Handler(), seconds(s.CloudLatencyMs/1000), standin.NewBudget(s.CloudRPS, 1), &standin.Counts{})
+	cloud := standin.Metered(r.cloud.Handler(), seconds(s.CloudLatencyMs/1000), standin.NewRateLimits(s.CloudRPS, 1), &standin.RequestCounts{})
 	cloudAddr, err := serve(ctx, group, cloud)
 	if err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	files, err := local.Controllers(filepath.Join(r.Dir, "controllers"), "scale", s.Controllers, r.params(), r.zones, func(i int) config.Endpoints {
+	files, err := local.PrepareControllers(filepath.Join(r.Dir, "controllers"), "scale", s.Controllers, r.controllerParams(), r.zones, func(i int) config.Endpoints {
 		return config.Endpoints{Cloud: cloudAddr, State: stateAddrs[i]}
 	})
 	if err != nil {
@@ -56,17 +56,17 @@
 	}
 	for i, c := range r.controllers {
 		c.Controller = files[i]
-		r.workers.bytes[c.Addr] = &c.bytes
+		r.workers.reportBytes[c.Addr] = &c.reportBytes
 		r.workers.controllers = append(r.workers.controllers, worker.Controller{Name: c.Name, Addr: c.Addr})
 	}
-	front := local.NewFront(files, r.Dir)
+	front := local.NewLoadBalancer(files, r.Dir)
 	addr, err := serve(ctx, group, front)
 	if err != nil {
 		return nil, err
 	}
-	group.Go(func() error { front.Watch(ctx); return nil })
+	group.Go(func() error { front.RunProbes(ctx); return nil })
 	r.users = &users{settings: s, track: r.track, client: client.New("http://" + addr)}
-	if n := r.provision(); n != s.Workers {
+	if n := r.provisionWorkers(); n != s.Workers {
 		return nil, fmt.Errorf("%d workers of %d were rented", n, s.Workers)
 	}
 	return front, nil
@@ -85,7 +85,7 @@
 	if r.cloud, err = standin.OpenCloud(nil, types, s.Workers, r.workers); err != nil {
 		return err
 	}
-	r.cloud.PerZone = s.Workers / s.Zones
+	r.cloud.MaxPerZone = s.Workers / s.Zones
 	return nil
 }
 
@@ -93,7 +93,7 @@
 // counted alone; they share the budget.
 func (r *Run) serveState(ctx context.Context, group *errgroup.Group, state *standin.State) ([]string, error) {
 	s := r.Settings
-	budget, handler := standin.NewBudget(s.StateRPS, s.StateWriteRPS), state.Handler()
+	budget, handler := standin.NewRateLimits(s.StateRPS, s.StateWriteRPS), state.Handler()
 	addrs := make([]string, s.Controllers)
 	for i := range addrs {
 		c := &controller{restart: make(chan struct{})}
@@ -118,12 +118,12 @@
 	return listener.Addr().String(), nil
 }
 
-// params are the controllers' parameters.
-func (r *Run) params() config.Params {
+// controllerParams are the controllers' parameters.
+func (r *Run) controllerParams() config.Params {
 	s := r.Settings
 	params := config.Params{
 		Zones: r.zones, Workers: config.Workers{ReportS: s.ReportS, LeaseS: s.LeaseS, CancelS: s.CancelS},
-		State:  config.State{RPS: s.StateRPS, WriteRPS: s.StateWriteRPS, ValueKB: valueKB, TxnOps: s.StateTxns},
+		State:  config.State{RPS: s.StateRPS, WriteRPS: s.StateWriteRPS, ValueKB: valueKB, TxnOps: s.StateTxnOps},
 		Cloud:  config.Cloud{RPS: s.CloudRPS, ListLagS: s.CloudLagS},
 		Limits: config.Limits{CPU: s.ControllerCPU, RAMMB: s.ControllerMB, Sockets: s.ControllerSockets},
 	}
@@ -133,14 +133,14 @@
 	return params
 }
 
-// provision provisions workers until the site has its size: at first, and instead of
+// provisionWorkers provisions workers until the site has its size: at first, and instead of
 // those that were deleted. It returns how many came.
-func (r *Run) provision() int {
+func (r *Run) provisionWorkers() int {
 	total := 0
 	for _, zone := range r.zones {
 		for {
-			r.provisions++
-			names, err := r.cloud.Provision(&wire.ProvisionRequest{Name: fmt.Sprintf("scale-run-%d", r.provisions), Type: machineType, Zone: zone, Number: maxProvision})
+			r.provisionCount++
+			names, err := r.cloud.Provision(&wire.ProvisionRequest{Name: fmt.Sprintf("scale-run-%d", r.provisionCount), Type: machineType, Zone: zone, Number: maxProvision})
 			total += len(names)
 			if err != nil { // the zone is full
 				break
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -43,18 +43,18 @@
 	UrgentStarts, UrgentWithinS float64 // of them urgent a second; in time if started within
 
 	// The phases' lengths. 0: the phase is left out.
-	FillWithinS, SteadyS, PeakS, FailuresS float64
-	RackS, ZoneS, RegionS, SettleS         float64
-	RestartEveryS, DrainS                  float64
+	FillWithinS, SteadyS, PeakS, FailuresS  float64
+	RackCutS, ZoneCutS, RegionCutS, SettleS float64
+	RestartEveryS, DrainS                   float64
 
-	DaySpeed                float64 // how many times faster than in a day failures come
-	FailADay, RestartADay   float64 // machines
-	StateRPS, StateWriteRPS float64
-	StateLatencyMs          float64
-	StateTxns               int // changes in a transaction
-	CloudRPS                float64
-	CloudLatencyMs          float64
-	CloudLagS               float64 // of listings
+	FailureSpeedup                 float64 // how many times faster than in a day failures come
+	FailuresPerDay, RestartsPerDay float64 // machines
+	StateRPS, StateWriteRPS        float64
+	StateLatencyMs                 float64
+	StateTxnOps                    int // changes in a transaction
+	CloudRPS                       float64
+	CloudLatencyMs                 float64
+	CloudLagS                      float64 // of listings
 
 	// What a controller may use, and the whole run.
 	ControllerCPU, ControllerMB float64
@@ -64,16 +64,16 @@
 	Operator []byte // settings that the controllers get, or nil
 }
 
-// figure is a setting that is a number, with its bounds, its value at the planned size
+// numericSetting is a setting that is a number, with its bounds, its value at the planned size
 // and where it goes: an *int or a *float64.
-type figure struct {
-	min, max, planned float64
-	to                any
+type numericSetting struct {
+	min, max, defaultValue float64
+	dest                   any
 }
 
-// figures are the settings that are numbers, by key.
-func (s *Settings) figures() map[string]figure {
-	return map[string]figure{
+// numericSettings are the settings that are numbers, by key.
+func (s *Settings) numericSettings() map[string]numericSetting {
+	return map[string]numericSetting{
 		"workers":              {1, 20000, 2600, &s.Workers},
 		"controllers":          {1, 16, 6, &s.Controllers},
 		"zones":                {1, 100, 10, &s.Zones},
@@ -100,19 +100,19 @@
 		"steady-s":             {0, 3600, 60, &s.SteadyS},
 		"peak-s":               {0, 3600, 60, &s.PeakS},
 		"failures-s":           {0, 3600, 180, &s.FailuresS},
-		"rack-cut-s":           {0, 3600, 180, &s.RackS},
-		"zone-cut-s":           {0, 3600, 180, &s.ZoneS},
-		"region-cut-s":         {0, 3600, 180, &s.RegionS},
+		"rack-cut-s":           {0, 3600, 180, &s.RackCutS},
+		"zone-cut-s":           {0, 3600, 180, &s.ZoneCutS},
+		"region-cut-s":         {0, 3600, 180, &s.RegionCutS},
 		"settle-s":             {0, 600, 30, &s.SettleS},
 		"restart-every-s":      {0, 600, 20, &s.RestartEveryS},
 		"drain-s":              {1, 600, 60, &s.DrainS},
-		"failures-a-day":       {0, 86400, 23, &s.FailADay},
-		"restarts-a-day":       {0, 86400, 330, &s.RestartADay},
-		"day-pace":             {1, 1000, 60, &s.DaySpeed},
+		"failures-a-day":       {0, 86400, 23, &s.FailuresPerDay},
+		"restarts-a-day":       {0, 86400, 330, &s.RestartsPerDay},
+		"day-pace":             {1, 1000, 60, &s.FailureSpeedup},
 		"state-rps":            {1, 1e6, 600, &s.StateRPS},
 		"state-write-rps":      {1, 1e6, 240, &s.StateWriteRPS},
 		"state-latency-ms":     {0, 1000, 5, &s.StateLatencyMs},
-		"state-txn-ops":        {4, 1000, 48, &s.StateTxns},
+		"state-txn-ops":        {4, 1000, 48, &s.StateTxnOps},
 		"cloud-rps":            {0.1, 1e4, 6, &s.CloudRPS},
 		"cloud-latency-ms":     {0, 10000, 150, &s.CloudLatencyMs},
 		"cloud-lag-s":          {0, 60, 4, &s.CloudLagS},
@@ -138,9 +138,9 @@
 		return nil, err
 	}
 	s := &Settings{Operator: []byte(noScaleIn)}
-	figures, seen := s.figures(), map[string]bool{}
+	figures, seen := s.numericSettings(), map[string]bool{}
 	for _, f := range figures {
-		f.set(f.planned)
+		f.set(f.defaultValue)
 	}
 	for i, e := range entries {
 		entry, ok := e.([]any)
@@ -155,11 +155,11 @@
 		seen[key] = true
 		switch f, isFigure := figures[key]; {
 		case isFigure && len(entry) == 2:
-			err = f.take(entry[1])
+			err = f.setFrom(entry[1])
 		case key == "team" && len(entry) == 4:
 			err = s.addTeam(entry[1], entry[2], entry[3])
 		case key == "operator":
-			err = s.takeOperator(entry[1:])
+			err = s.setOperator(entry[1:])
 		default:
 			return nil, fmt.Errorf("%s: unknown key, or not as many values as it takes", key)
 		}
@@ -173,10 +173,10 @@
 	return s, s.check()
 }
 
-// take sets the figure to a value of the settings.
-func (f figure) take(value any) error {
+// setFrom sets the figure to a value of the settings.
+func (f numericSetting) setFrom(value any) error {
 	v, err := config.Number(value, f.min, f.max)
-	if _, whole := f.to.(*int); err == nil && whole && v != math.Trunc(v) {
+	if _, whole := f.dest.(*int); err == nil && whole && v != math.Trunc(v) {
 		err = fmt.Errorf("%v is not a whole number", v)
 	}
 	if err == nil {
@@ -185,8 +185,8 @@
 	return err
 }
 
-func (f figure) set(v float64) {
-	switch to := f.to.(type) {
+func (f numericSetting) set(v float64) {
+	switch to := f.dest.(type) {
 	case *int:
 		*to = int(v)
 	case *float64:
@@ -231,8 +231,8 @@
 	return nil
 }
 
-// takeOperator checks the settings that the controllers get, and keeps their text.
-func (s *Settings) takeOperator(entries []any) error {
+// setOperator checks the settings that the controllers get, and keeps their text.
+func (s *Settings) setOperator(entries []any) error {
 	data, err := edn.Marshal(append([]any{edn.Symbol("wallrack")}, entries...))
 	if err != nil {
 		return err
@@ -246,16 +246,16 @@
 	return err
 }
 
-// tightEvery is how often a generated team has a sixth of the others' spare CPUs, so
+// tightTeamInterval is how often a generated team has a sixth of the others' spare CPUs, so
 // that it stands at its limit when a job of it comes.
-const tightEvery = 10
+const tightTeamInterval = 10
 
 // generateTeams adds as many teams as are to be generated.
 func (s *Settings) generateTeams() error {
 	named := len(s.Teams)
 	for i := range s.teamCount {
 		base, spare := float64(s.replicas(named+i, named+s.teamCount))*s.TaskCPUs, s.TeamSpare
-		if i%tightEvery == 0 {
+		if i%tightTeamInterval == 0 {
 			spare /= 6
 		}
 		s.Teams = append(s.Teams, Team{fmt.Sprintf("team-%03d", i), base, base + max(spare, s.TaskCPUs)})
@@ -266,14 +266,14 @@
 	return nil
 }
 
-// services is how many tasks run all the time: what short tasks at the steady rate
+// serviceTasks is how many tasks run all the time: what short tasks at the steady rate
 // don't give.
-func (s *Settings) services() int { return max(0, s.Running-int(s.SteadyStarts*s.RunS)) }
+func (s *Settings) serviceTasks() int { return max(0, s.Running-int(s.SteadyStarts*s.RunS)) }
 
 // replicas is how many of the services team i of so many has.
 func (s *Settings) replicas(i, teams int) int {
-	n := s.services() / teams
-	if i < s.services()%teams {
+	n := s.serviceTasks() / teams
+	if i < s.serviceTasks()%teams {
 		n++
 	}
 	return n
@@ -283,7 +283,7 @@
 func (s *Settings) check() error {
 	perZone := s.Workers / s.Zones
 	capacity := float64(s.Workers) * math.Floor(s.WorkerCPUs/s.TaskCPUs+1e-9)
-	peak := float64(s.services()) + s.PeakStarts*s.RunS
+	peak := float64(s.serviceTasks()) + s.PeakStarts*s.RunS
 	guaranteed := 0.0
 	for i, team := range s.Teams {
 		guaranteed += team.Guarantee
@@ -291,7 +291,7 @@
 			return fmt.Errorf("running: team %q would hold %v CPUs, above its limit of %v", team.Name, need, team.Limit)
 		}
 	}
-	planGB := (float64(s.Controllers)*s.ControllerMB + float64(s.Workers)*workerMB + baseMB) / 1024
+	planGB := (float64(s.Controllers)*s.ControllerMB + float64(s.Workers)*hollowWorkerMB + baseMB) / 1024
 	switch {
 	case len(s.Teams) == 0:
 		return errors.New("teams: at least one is needed")
@@ -316,6 +316,6 @@
 }
 
 const (
-	workerMB = 0.4 // of a hollow worker with its connections and tasks
-	baseMB   = 512 // of the services and users
+	hollowWorkerMB = 0.4 // of a hollow worker with its connections and tasks
+	baseMB         = 512 // of the services and users
 )
--- a/internal/scale/settings_test.go
+++ b/internal/scale/settings_test.go
@@ -17,8 +17,8 @@
 	for i := range s.Teams {
 		replicas += s.replicas(i, len(s.Teams))
 	}
-	if replicas != s.services() {
-		t.Errorf("teams hold %d services of %d", replicas, s.services())
+	if replicas != s.serviceTasks() {
+		t.Errorf("teams hold %d services of %d", replicas, s.serviceTasks())
 	}
 	for _, f := range []string{"scale.sexp", "scale-small.sexp"} {
 		if _, err := LoadSettings("../../deploy/" + f); err != nil {
--- a/internal/scale/tracker.go
+++ b/internal/scale/tracker.go
@@ -12,12 +12,12 @@
 // job is what the run knows of a job that a user submits.
 type job struct {
 	*wire.Job
-	run      time.Duration // of a task; 0: until it is stopped
-	intended time.Time     // when the schedule had it sent
-	phase    *phase        // in which it was sent
-	accepted bool
-	done     map[int]bool // tasks that are completed
-	started  bool         // a task of it was started
+	runTime     time.Duration // of a task; 0: until it is stopped
+	scheduledAt time.Time     // when the schedule had it sent
+	phase       *phase        // in which it was sent
+	accepted    bool
+	done        map[int]bool // tasks that are completed
+	started     bool         // a task of it was started
 }
 
 // teamState is a team as the workers see it.
@@ -34,24 +34,24 @@
 	event    string
 	workers  int
 	tasks    int
-	took     *hdrhistogram.Histogram // ms until a task was started again
+	duration *hdrhistogram.Histogram // ms until a task was started again
 	restored int
 }
 
 // phase is a stretch of the run.
 type phase struct {
-	name                string
-	requested           float64 // starts a second
-	began, ended        time.Time
-	starts              int                     // of tasks, also those started again
-	stopped             int                     // attempts that ended uncompleted
-	urgent, late        int                     // urgent jobs sent, and started too late or not at all
-	wait, accept        *hdrhistogram.Histogram // ms of urgent jobs until the start; of all until accepted
-	lastStart           time.Time
-	gap                 time.Duration // longest time without a start
-	refused, unanswered int
-	secondly            []int // starts in each second
-	writes              int64 // to the state service
+	name                   string
+	requested              float64 // starts a second
+	startedAt, endedAt     time.Time
+	starts                 int                     // of tasks, also those started again
+	stopped                int                     // attempts that ended uncompleted
+	urgent, late           int                     // urgent jobs sent, and started too late or not at all
+	urgentWait, acceptWait *hdrhistogram.Histogram // ms of urgent jobs until the start; of all until accepted
+	lastStart              time.Time
+	longestGap             time.Duration // longest time without a start
+	refused, unanswered    int
+	startsPerSecond        []int // starts in each second
+	writes                 int64 // to the state service
 }
 
 // lostTask is a task that an event ended, or cut off.
@@ -63,19 +63,19 @@
 // tracker follows all tasks of the site as the workers see them, and counts what the
 // rules forbid.
 type tracker struct {
-	within time.Duration // in which urgent work is to start
+	urgentWithin time.Duration // in which urgent work is to start
 
-	mu       sync.Mutex
-	jobs     map[string]*job
-	workerOf map[string]string // task to the worker that it runs on
-	teams    map[string]*teamState
-	lost     map[string]lostTask
-	phase    *phase      // the current one
-	events   []*recovery // in the order of their first events
-	ranTwice int
-	starts   int // of all phases
-	notDone  int // jobs reported done before all tasks were, or cancelled
-	unknown  int // accepted jobs that got 404
+	mu            sync.Mutex
+	jobs          map[string]*job
+	workerOf      map[string]string // task to the worker that it runs on
+	teams         map[string]*teamState
+	lost          map[string]lostTask
+	phase         *phase      // the current one
+	events        []*recovery // in the order of their first events
+	ranTwice      int
+	starts        int // of all phases
+	prematureEnds int // jobs reported done before all tasks were, or cancelled
+	unknown       int // accepted jobs that got 404
 }
 
 const (
@@ -88,17 +88,17 @@
 	return hdrhistogram.New(1, maxWaitMs, histogramDigits)
 }
 
-// record adds a wait to a histogram.
-func record(h *hdrhistogram.Histogram, wait time.Duration) {
+// recordWait adds a wait to a histogram.
+func recordWait(h *hdrhistogram.Histogram, wait time.Duration) {
 	_ = h.RecordValue(wait.Milliseconds()) // fails above an hour: no run takes so long
 }
 
 func newPhase(name string, requested float64, now time.Time) *phase {
-	return &phase{name: name, requested: requested, began: now, wait: newHistogram(), accept: newHistogram(), lastStart: now}
+	return &phase{name: name, requested: requested, startedAt: now, urgentWait: newHistogram(), acceptWait: newHistogram(), lastStart: now}
 }
 
 func newTracker(teams []Team, within time.Duration) *tracker {
-	t := &tracker{within: within, jobs: map[string]*job{}, workerOf: map[string]string{}, teams: map[string]*teamState{}, lost: map[string]lostTask{}}
+	t := &tracker{urgentWithin: within, jobs: map[string]*job{}, workerOf: map[string]string{}, teams: map[string]*teamState{}, lost: map[string]lostTask{}}
 	for _, team := range teams {
 		t.teams[team.Name] = &teamState{Team: team}
 	}
@@ -124,9 +124,9 @@
 	}
 }
 
-// started notes that a task's process starts on a worker; completed says that its
+// taskStarted notes that a task's process starts on a worker; completed says that its
 // result is kept already.
-func (t *tracker) started(task, worker string) (run time.Duration, completed bool) {
+func (t *tracker) taskStarted(task, worker string) (run time.Duration, completed bool) {
 	uid, number, err := wire.ParseTask(task)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,12 +145,12 @@
 	}
 	team.mostUsed = max(team.mostUsed, team.used)
 	t.countStart(now)
-	t.restored(task)
+	t.endRecovery(task)
 	if !job.started && job.Priority == priorityUrgent {
 		t.countUrgent(job, now)
 	}
 	job.started = true
-	return job.run, false
+	return job.runTime, false
 }
 
 // countStart counts a start in the current phase.
@@ -158,26 +158,26 @@
 	phase := t.phase
 	t.starts++
 	phase.starts++
-	phase.gap = max(phase.gap, now.Sub(phase.lastStart))
+	phase.longestGap = max(phase.longestGap, now.Sub(phase.lastStart))
 	phase.lastStart = now
-	second := int(now.Sub(phase.began) / time.Second)
-	for len(phase.secondly) <= second {
-		phase.secondly = append(phase.secondly, 0)
+	second := int(now.Sub(phase.startedAt) / time.Second)
+	for len(phase.startsPerSecond) <= second {
+		phase.startsPerSecond = append(phase.startsPerSecond, 0)
 	}
-	phase.secondly[second]++
+	phase.startsPerSecond[second]++
 }
 
 // countUrgent counts an urgent job's wait from when it was to be sent.
 func (t *tracker) countUrgent(job *job, now time.Time) {
-	wait := now.Sub(job.intended)
-	if wait > t.within {
+	wait := now.Sub(job.scheduledAt)
+	if wait > t.urgentWithin {
 		job.phase.late++
 	}
-	record(job.phase.wait, wait)
+	recordWait(job.phase.urgentWait, wait)
 }
 
-// ended notes that a task does not run on its worker any more.
-func (t *tracker) ended(task string, completed bool) {
+// taskEnded notes that a task does not run on its worker any more.
+func (t *tracker) taskEnded(task string, completed bool) {
 	uid, number, _ := wire.ParseTask(task) // it was started
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -191,12 +191,12 @@
 	case !job.done[number]:
 		job.done[number] = true
 		team.completed++
-		t.restored(task)
+		t.endRecovery(task)
 	}
 }
 
-// lose begins a recovery: the tasks on these workers have ended, or can't be reached.
-func (t *tracker) lose(event string, workers map[string]bool) {
+// markLost begins a recovery: the tasks on these workers have ended, or can't be reached.
+func (t *tracker) markLost(event string, workers map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.recoveryOf(event)
@@ -216,57 +216,57 @@
 			return r
 		}
 	}
-	r := &recovery{event: event, took: newHistogram()}
+	r := &recovery{event: event, duration: newHistogram()}
 	t.events = append(t.events, r)
 	return r
 }
 
-// found ends a recovery: the workers can be reached again, and what still runs there
+// markReachable ends a recovery: the workers can be reached again, and what still runs there
 // was not lost.
-func (t *tracker) found(workers map[string]bool) {
+func (t *tracker) markReachable(workers map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for task := range t.lost {
 		if workers[t.workerOf[task]] {
-			t.restored(task)
+			t.endRecovery(task)
 		}
 	}
 }
 
-// restored ends the recovery of a task that was lost: it was started again, is
+// endRecovery ends the recovery of a task that was lost: it was started again, is
 // completed, or runs where it was.
-func (t *tracker) restored(task string) {
+func (t *tracker) endRecovery(task string) {
 	lost, ok := t.lost[task]
 	if !ok {
 		return
 	}
 	delete(t.lost, task)
 	lost.recovery.restored++
-	record(lost.recovery.took, time.Since(lost.since))
+	recordWait(lost.recovery.duration, time.Since(lost.since))
 }
 
-// next begins a phase and returns the one that ended.
-func (t *tracker) next(name string, requested float64) (ended *phase) {
+// beginPhase begins a phase and returns the one that ended.
+func (t *tracker) beginPhase(name string, requested float64) (ended *phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	ended = t.phase
-	ended.ended = now
-	ended.gap = max(ended.gap, now.Sub(ended.lastStart))
+	ended.endedAt = now
+	ended.longestGap = max(ended.longestGap, now.Sub(ended.lastStart))
 	t.phase = newPhase(name, requested, now)
 	return ended
 }
 
-// now is the current phase, and the starts since the beginning.
-func (t *tracker) now() (phase string, starts int) {
+// phaseAndStarts is the current phase, and the starts since the beginning.
+func (t *tracker) phaseAndStarts() (phase string, starts int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.phase.name, t.starts
 }
 
-// running is how many tasks run on workers, and unfinished how many tasks of accepted
+// taskCounts is how many tasks run on workers, and unfinished how many tasks of accepted
 // arrays are not completed.
-func (t *tracker) running() (running, unfinished int) {
+func (t *tracker) taskCounts() (running, unfinished int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, team := range t.teams {
@@ -275,25 +275,25 @@
 	return len(t.workerOf), unfinished
 }
 
-// responded notes the response to a user who submitted a job or polls it.
-func (t *tracker) responded(job *job, stage string) {
+// recordResponse notes the response to a user who submitted a job or polls it.
+func (t *tracker) recordResponse(job *job, stage string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !job.accepted {
 		job.accepted = true
-		record(job.phase.accept, time.Since(job.intended))
+		recordWait(job.phase.acceptWait, time.Since(job.scheduledAt))
 		if !job.Service() {
 			t.teams[job.Team].requested += job.Tasks
 		}
 	}
 	if stage == wire.StageDone && len(job.done) < job.Tasks || stage == wire.StageCancelled {
-		t.notDone++
+		t.prematureEnds++
 	}
 }
 
-// denied notes a job that was refused, or that is unknown after it was accepted, or
+// recordRejection notes a job that was refused, or that is unknown after it was accepted, or
 // whose submission got no response.
-func (t *tracker) denied(job *job, unanswered bool) {
+func (t *tracker) recordRejection(job *job, unanswered bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
--- a/internal/scale/tracker_test.go
+++ b/internal/scale/tracker_test.go
@@ -8,31 +8,31 @@
 )
 
 // The workers' count of what the rules forbid is what a run is judged by.
-func TestTrackerCountsTasksTwiceAndTeamsAboveTheirLimit(t *testing.T) {
+func TestTrackerCountsDuplicateRunsAndLimitViolations(t *testing.T) {
 	track := newTracker([]Team{{"a", 1, 2}}, time.Second)
 	for _, uid := range []string{"j-1", "j-2", "j-3"} {
-		track.add(&job{Job: &wire.Job{UID: uid, Team: "a", Tasks: 1, CPUs: 1, Priority: priorityUrgent}, intended: time.Now().Add(-2 * time.Second)})
+		track.add(&job{Job: &wire.Job{UID: uid, Team: "a", Tasks: 1, CPUs: 1, Priority: priorityUrgent}, scheduledAt: time.Now().Add(-2 * time.Second)})
 	}
-	track.started("j-1/0", "n-1")
-	track.started("j-2/0", "n-1")
+	track.taskStarted("j-1/0", "n-1")
+	track.taskStarted("j-2/0", "n-1")
 	if a := track.teams["a"]; a.overLimit != 0 || track.ranTwice != 0 {
 		t.Errorf("over %d, twice %d", a.overLimit, track.ranTwice)
 	}
-	track.lose("died", map[string]bool{"n-1": true})
-	track.ended("j-1/0", false)
-	track.started("j-1/0", "n-2")
-	track.started("j-2/0", "n-2")
+	track.markLost("died", map[string]bool{"n-1": true})
+	track.taskEnded("j-1/0", false)
+	track.taskStarted("j-1/0", "n-2")
+	track.taskStarted("j-2/0", "n-2")
 	if a := track.teams["a"]; a.overLimit != 1 || track.ranTwice != 1 || a.mostUsed != 3 {
 		t.Errorf("over %d, twice %d, most %v", a.overLimit, track.ranTwice, a.mostUsed)
 	}
-	track.ended("j-1/0", true)
-	if _, completed := track.started("j-1/0", "n-3"); !completed {
+	track.taskEnded("j-1/0", true)
+	if _, completed := track.taskStarted("j-1/0", "n-3"); !completed {
 		t.Error("a result was not kept")
 	}
 	if e := track.events[0]; e.tasks != 2 || e.restored != 2 || track.phase.late != 2 || track.phase.urgent != 3 {
 		t.Errorf("restored %d of %d, %d of %d urgent late", e.restored, e.tasks, track.phase.late, track.phase.urgent)
 	}
-	if low := lowest10([]int{9, 0, 10, 10, 10, 10, 10, 10, 10, 10, 10, 100}, 12); low != 8.9 {
+	if low := lowestRate10s([]int{9, 0, 10, 10, 10, 10, 10, 10, 10, 10, 10, 100}, 12); low != 8.9 {
 		t.Errorf("lowest ten seconds: %v", low)
 	}
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -19,11 +19,11 @@
 // users submit jobs by a constant schedule, whatever becomes of those before, and
 // poll them until they are done.
 type users struct {
-	settings *Settings
-	track    *tracker
-	client   *client.Client
-	sent     sync.WaitGroup // jobs that are followed
-	number   int            // of the last job
+	settings   *Settings
+	track      *tracker
+	client     *client.Client
+	followers  sync.WaitGroup // jobs that are followed
+	lastNumber int            // of the last job
 }
 
 // Classes of jobs.
@@ -36,59 +36,59 @@
 // newJob makes the next job of a class.
 func (u *users) newJob(class, team string, tasks int, intended time.Time) *job {
 	s := u.settings
-	u.number++
+	u.lastNumber++
 	job := &job{Job: &wire.Job{
-		UID: fmt.Sprintf("j-%s-%07d", class, u.number), Class: class, Team: team, Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
+		UID: fmt.Sprintf("j-%s-%07d", class, u.lastNumber), Class: class, Team: team, Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
 		CPUs: s.TaskCPUs, MemoryGB: 0.1, Image: "image-" + class, ImageGB: s.FetchS * fetchGBPerS, EstimateS: s.RunS,
-	}, run: seconds(s.RunS), intended: intended}
+	}, runTime: seconds(s.RunS), scheduledAt: intended}
 	switch class {
 	case classUrgent:
 		job.Priority = priorityUrgent
 	case classService:
-		job.Kind, job.Priority, job.EstimateS, job.run = wire.KindService, "production", 0, 0
+		job.Kind, job.Priority, job.EstimateS, job.runTime = wire.KindService, "production", 0, 0
 	}
 	return job
 }
 
-// send submits a job as users do and follows it, in a goroutine of u.sent.
-func (u *users) send(ctx context.Context, job *job) {
+// submitAsync submits a job as users do and follows it, in a goroutine of u.sent.
+func (u *users) submitAsync(ctx context.Context, job *job) {
 	u.track.add(job)
-	u.sent.Go(func() { u.follow(ctx, job) })
+	u.followers.Go(func() { u.submitAndPoll(ctx, job) })
 }
 
-// follow submits a job and polls it until it is over, or denied.
-func (u *users) follow(ctx context.Context, job *job) {
+// submitAndPoll submits a job and polls it until it is over, or denied.
+func (u *users) submitAndPoll(ctx context.Context, job *job) {
 	state, err := u.client.SubmitDescribed(ctx, job.Job)
 	for err == nil || errors.Is(err, client.ErrUnknown) && job.accepted {
 		if err == nil {
-			u.track.responded(job, state.Stage)
+			u.track.recordResponse(job, state.Stage)
 			if state.Stage == wire.StageDone || state.Stage == wire.StageCancelled {
 				return
 			}
 		}
-		if !wait(ctx, userPollInterval) {
+		if !sleep(ctx, userPollInterval) {
 			return
 		}
 		state, err = u.client.Status(ctx, job.UID)
 	}
 	if ctx.Err() == nil {
-		u.track.denied(job, errors.Is(err, client.ErrUnknown))
+		u.track.recordRejection(job, errors.Is(err, client.ErrUnknown))
 	}
 }
 
-// fill submits the services, which run all the time.
-func (u *users) fill(ctx context.Context) {
+// submitServices submits the services, which run all the time.
+func (u *users) submitServices(ctx context.Context) {
 	for i, team := range u.settings.Teams {
 		if n := u.settings.replicas(i, len(u.settings.Teams)); n > 0 {
-			u.send(ctx, u.newJob(classService, team.Name, n, time.Now()))
+			u.submitAsync(ctx, u.newJob(classService, team.Name, n, time.Now()))
 		}
 	}
 }
 
-// load sends jobs for so long, tasks to start at a rate. Each is counted from when
+// submitAtRate sends jobs for so long, tasks to start at a rate. Each is counted from when
 // the schedule has it sent: one that comes late, because those before it held up the
 // sender, has waited already.
-func (u *users) load(ctx context.Context, starts float64, length time.Duration) {
+func (u *users) submitAtRate(ctx context.Context, starts float64, length time.Duration) {
 	s := u.settings
 	arrays := (starts - s.UrgentStarts) / float64(s.TasksPerJob)
 	began := time.Now()
@@ -103,16 +103,16 @@
 			break
 		}
 		next[class] = at.Add(every)
-		if !wait(ctx, time.Until(at)) {
+		if !sleep(ctx, time.Until(at)) {
 			return
 		}
-		u.send(ctx, u.newJob(class, s.Teams[u.number%len(s.Teams)].Name, tasks, at))
+		u.submitAsync(ctx, u.newJob(class, s.Teams[u.lastNumber%len(s.Teams)].Name, tasks, at))
 	}
-	wait(ctx, time.Until(began.Add(length)))
+	sleep(ctx, time.Until(began.Add(length)))
 }
 
-// wait waits for so long; false: ctx has ended before.
-func wait(ctx context.Context, length time.Duration) bool {
+// sleep waits for so long; false: ctx has ended before.
+func sleep(ctx context.Context, length time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -23,11 +23,11 @@
 	settings    *Settings
 	track       *tracker
 	controllers []worker.Controller
-	bytes       map[string]*atomic.Int64 // of reports and their responses, by address
+	reportBytes map[string]*atomic.Int64 // of reports and their responses, by address
 	log         *slog.Logger
 
 	mu     sync.Mutex
-	all    map[string]*hollowWorker
+	byName map[string]*hollowWorker
 	closed bool
 }
 
@@ -43,49 +43,49 @@
 		_ = listener.Close() // nothing was accepted
 		return "", errors.New("the run is ending")
 	}
-	h := &hollowWorker{name: m.Name, zone: m.Zone, done: make(chan struct{})}
+	h := &hollowWorker{name: m.Name, zone: m.Zone, reportsDone: make(chan struct{})}
 	base := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
 	agent := &worker.Agent{
-		Controllers: w.controllers, ReportEvery: seconds(w.settings.ReportS), Log: w.log,
-		Transport: &reportTransport{&h.link, base, w.bytes},
+		Controllers: w.controllers, ReportInterval: seconds(w.settings.ReportS), Log: w.log,
+		Transport: &reportTransport{&h.link, base, w.reportBytes},
 	}
 	id := worker.Identity{
 		Name: m.Name, Endpoint: listener.Addr().String(), Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 		Size: matching.Resources{CPUs: t.CPUs, MemoryGB: t.MemoryGB}, Lease: seconds(w.settings.LeaseS),
 	}
 	run := &runner{name: m.Name, track: w.track, fetch: seconds(w.settings.FetchS), images: map[string]bool{}}
-	h.state = worker.New(id, run, run, agent.Changed, w.log)
+	h.state = worker.New(id, run, run, agent.ReportSoon, w.log)
 	agent.State = h.state
-	h.server = &http.Server{ReadHeaderTimeout: readHeaderTimeout, Handler: h.serve(agent.Handler())}
+	h.server = &http.Server{ReadHeaderTimeout: readHeaderTimeout, Handler: h.holdRequests(agent.Handler())}
 	ctx, stop := context.WithCancel(context.Background())
-	h.stop = stop
+	h.stopReports = stop
 	go func() { _ = h.server.Serve(&linkListener{listener, &h.link}) }() // until end closes it
 	go func() {
-		defer close(h.done)
+		defer close(h.reportsDone)
 		_ = agent.Run(ctx) // until end stops it
 		base.CloseIdleConnections()
 	}()
-	w.all[m.Name] = h
+	w.byName[m.Name] = h
 	return listener.Addr().String(), nil
 }
 
 // End implements standin.Launcher.
 func (w *workers) End(name string) {
 	w.mu.Lock()
-	h := w.all[name]
-	delete(w.all, name)
+	h := w.byName[name]
+	delete(w.byName, name)
 	w.mu.Unlock()
 	if h != nil {
-		h.end()
+		h.shutDown()
 	}
 }
 
-// pick returns the workers that a choice takes, by name.
-func (w *workers) pick(choose func(*hollowWorker) bool) map[string]bool {
+// selectNames returns the workers that a choice takes, by name.
+func (w *workers) selectNames(choose func(*hollowWorker) bool) map[string]bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	names := map[string]bool{}
-	for name, h := range w.all {
+	for name, h := range w.byName {
 		if choose(h) {
 			names[name] = true
 		}
@@ -93,13 +93,13 @@
 	return names
 }
 
-// cut cuts these workers' links, or mends them.
-func (w *workers) cut(names map[string]bool, cut bool) {
+// setCut cuts these workers' links, or mends them.
+func (w *workers) setCut(names map[string]bool, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for name := range names {
-		if h := w.all[name]; h != nil {
-			h.link.set(cut)
+		if h := w.byName[name]; h != nil {
+			h.link.setCut(cut)
 		}
 	}
 }
@@ -108,12 +108,12 @@
 func (w *workers) close() {
 	w.mu.Lock()
 	w.closed = true
-	all := w.all
-	w.all = map[string]*hollowWorker{}
+	all := w.byName
+	w.byName = map[string]*hollowWorker{}
 	w.mu.Unlock()
 	var ended sync.WaitGroup
 	for _, h := range all {
-		ended.Go(h.end)
+		ended.Go(h.shutDown)
 	}
 	ended.Wait()
 }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -18,7 +18,7 @@
 
 const (
 	maxProvision   = 50  // machines in a request
-	maxRelease     = 100 // machines in a request
+	maxDelete      = 100 // machines in a request
 	maxPage        = 500 // machines in a listing
 	maxRequestName = 200 // bytes
 )
@@ -37,14 +37,14 @@
 // disk, if there is a database, and a name is never given twice. It is safe for
 // concurrent use.
 type Cloud struct {
-	db       *bbolt.DB
-	types    []wire.MachineType
-	capacity int // machines of all types together
+	db          *bbolt.DB
+	types       []wire.MachineType
+	maxMachines int // machines of all types together
 
-	// PerZone bounds the machines of a zone; 0 is no bound. Set it before the first
+	// MaxPerZone bounds the machines of a zone; 0 is no bound. Set it before the first
 	// request.
-	PerZone  int
-	launcher Launcher
+	MaxPerZone int
+	launcher   Launcher
 
 	mu          sync.Mutex
 	machines    map[string]*cloudMachine
@@ -55,7 +55,7 @@
 // cloudMachine is a machine that is listed.
 type cloudMachine struct {
 	wire.ListedMachine
-	since time.Time
+	createdAt time.Time
 }
 
 // OpenCloud reads what db holds. Machines of an earlier run are listed as
@@ -63,7 +63,7 @@
 // caller closes db, after the last request has ended.
 func OpenCloud(db *bbolt.DB, types []wire.MachineType, capacity int, launcher Launcher) (*Cloud, error) {
 	c := &Cloud{
-		db: db, types: types, capacity: capacity, launcher: launcher,
+		db: db, types: types, maxMachines: capacity, launcher: launcher,
 		machines: map[string]*cloudMachine{}, provisions: map[string][]string{},
 	}
 	if err := update(db, c.load); err != nil {
@@ -87,7 +87,7 @@
 		return err
 	}
 	return tx.Bucket(machinesBucket).ForEach(func(name, data []byte) error {
-		m := &cloudMachine{since: time.Now()}
+		m := &cloudMachine{createdAt: time.Now()}
 		if err := json.Unmarshal(data, &m.ListedMachine); err != nil {
 			return fmt.Errorf("machine %s: %w", name, err)
 		}
@@ -111,21 +111,21 @@
 
 // Errors of Provision; their texts are part of the protocol.
 var (
-	errMalformed  = errors.New("unknown type or zone, or hire or number out of range")
-	errNoCapacity = errors.New("no capacity")
-	errTrouble    = errors.New("trouble") // the records can't be written
+	errInvalidRequest = errors.New("unknown type or zone, or hire or number out of range")
+	errNoCapacity     = errors.New("no capacity")
+	errStorage        = errors.New("trouble") // the records can't be written
 )
 
 func (c *Cloud) serveProvision(w http.ResponseWriter, r *http.Request) {
 	var req wire.ProvisionRequest
-	if !readBody(w, r, &req) {
+	if !decodeBody(w, r, &req) {
 		return
 	}
 	switch names, err := c.Provision(&req); {
-	case errors.Is(err, errMalformed):
+	case errors.Is(err, errInvalidRequest):
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: err.Error()})
 	case err != nil:
-		unavailable(w, err)
+		writeUnavailable(w, err)
 	default:
 		httpjson.Write(w, http.StatusOK, wire.MachineNames{Machines: names})
 	}
@@ -135,16 +135,16 @@
 // they boot afterwards. It fails if there is room for none. A request's name that was
 // used gets its earlier response.
 func (c *Cloud) Provision(req *wire.ProvisionRequest) ([]string, error) {
-	machineType, ok := c.typeOf(req)
+	machineType, ok := c.findMachineType(req)
 	if !ok || req.Name == "" || len(req.Name) > maxRequestName || req.Number < 1 || req.Number > maxProvision {
-		return nil, errMalformed
+		return nil, errInvalidRequest
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if names, repeated := c.provisions[req.Name]; repeated {
 		return names, nil
 	}
-	count := min(req.Number, c.roomLocked(req.Zone))
+	count := min(req.Number, c.remainingLocked(req.Zone))
 	if count <= 0 || req.Spot {
 		return nil, errNoCapacity
 	}
@@ -157,20 +157,20 @@
 	}
 	last := c.lastMachine + uint64(count)
 	if err := c.storeProvision(req.Name, names, machines, last); err != nil {
-		return nil, errTrouble
+		return nil, errStorage
 	}
 	c.lastMachine = last
 	c.provisions[req.Name] = names
 	for _, m := range machines {
-		m.since = time.Now()
+		m.createdAt = time.Now()
 		c.machines[m.Name] = m
 		go c.boot(m.ListedMachine, machineType)
 	}
 	return names, nil
 }
 
-// typeOf finds the type that a request names, if it is to be had in the zone.
-func (c *Cloud) typeOf(req *wire.ProvisionRequest) (wire.MachineType, bool) {
+// findMachineType finds the type that a request names, if it is to be had in the zone.
+func (c *Cloud) findMachineType(req *wire.ProvisionRequest) (wire.MachineType, bool) {
 	for _, machineType := range c.types {
 		if machineType.Name == req.Type && slices.Contains(machineType.Zones, req.Zone) {
 			return machineType, true
@@ -179,8 +179,8 @@
 	return wire.MachineType{}, false
 }
 
-// roomLocked is how many more machines a zone can have; it may be below 0.
-func (c *Cloud) roomLocked(zone string) int {
+// remainingLocked is how many more machines a zone can have; it may be below 0.
+func (c *Cloud) remainingLocked(zone string) int {
 	total, inZone := 0, 0
 	for _, m := range c.machines {
 		if m.Stage == wire.MachineFailed {
@@ -191,9 +191,9 @@
 			inZone++
 		}
 	}
-	room := c.capacity - total
-	if c.PerZone > 0 {
-		room = min(room, c.PerZone-inZone)
+	room := c.maxMachines - total
+	if c.MaxPerZone > 0 {
+		room = min(room, c.MaxPerZone-inZone)
 	}
 	return room
 }
@@ -202,11 +202,11 @@
 func (c *Cloud) storeProvision(request string, names []string, machines []*cloudMachine, last uint64) error {
 	return update(c.db, func(tx *bbolt.Tx) error {
 		for _, m := range machines {
-			if err := put(tx, machinesBucket, m.Name, &m.ListedMachine); err != nil {
+			if err := putJSON(tx, machinesBucket, m.Name, &m.ListedMachine); err != nil {
 				return err
 			}
 		}
-		if err := put(tx, provisionsBucket, request, names); err != nil {
+		if err := putJSON(tx, provisionsBucket, request, names); err != nil {
 			return err
 		}
 		return tx.Bucket(metaBucket).Put(nextMachineKey, formatNumber(last))
@@ -238,9 +238,9 @@
 	}
 }
 
-// Failed lists a machine, which ended by itself, as failed. One that is not listed is
+// MarkFailed lists a machine, which ended by itself, as failed. One that is not listed is
 // ignored.
-func (c *Cloud) Failed(name string) {
+func (c *Cloud) MarkFailed(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if m := c.machines[name]; m != nil {
@@ -250,15 +250,15 @@
 
 func (c *Cloud) serveDelete(w http.ResponseWriter, r *http.Request) {
 	var req wire.MachineNames
-	if !readBody(w, r, &req) {
+	if !decodeBody(w, r, &req) {
 		return
 	}
-	if len(req.Machines) > maxRelease {
+	if len(req.Machines) > maxDelete {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "too many names"})
 		return
 	}
 	if err := c.deleteMachines(req.Machines); err != nil {
-		unavailable(w, errTrouble)
+		writeUnavailable(w, errStorage)
 		return
 	}
 	httpjson.Write(w, http.StatusOK, struct{}{})
@@ -293,13 +293,13 @@
 
 func (c *Cloud) serveList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	limit, after := limitOf(query.Get("limit"), maxPage), query.Get("after")
+	limit, after := parseLimit(query.Get("limit"), maxPage), query.Get("after")
 	c.mu.Lock()
 	list := wire.MachineList{Machines: []wire.ListedMachine{}}
 	for name, m := range c.machines {
 		if name > after {
 			machine := m.ListedMachine
-			machine.AgeS = time.Since(m.since).Seconds()
+			machine.AgeS = time.Since(m.createdAt).Seconds()
 			list.Machines = append(list.Machines, machine)
 		}
 	}
--- a/internal/standin/cloud_test.go
+++ b/internal/standin/cloud_test.go
@@ -8,21 +8,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// noMachines launches nothing.
-type noMachines struct{}
+// noopLauncher launches nothing.
+type noopLauncher struct{}
 
-func (noMachines) Launch(wire.ListedMachine, wire.MachineType) (string, error) {
+func (noopLauncher) Launch(wire.ListedMachine, wire.MachineType) (string, error) {
 	return "127.0.0.1:1", nil
 }
-func (noMachines) End(string) {}
+func (noopLauncher) End(string) {}
 
 // Neither a zone nor the whole cloud gets more machines than it has room for.
-func TestCloudInMemoryBoundsMachinesOfAZone(t *testing.T) {
-	cloud, err := standin.OpenCloud(nil, []wire.MachineType{{Name: "m", Zones: []string{"a", "b"}}}, 7, noMachines{})
+func TestCloudLimitsMachinesPerZone(t *testing.T) {
+	cloud, err := standin.OpenCloud(nil, []wire.MachineType{{Name: "m", Zones: []string{"a", "b"}}}, 7, noopLauncher{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	cloud.PerZone = 4
+	cloud.MaxPerZone = 4
 	for i, c := range []struct {
 		zone string
 		want int
--- a/internal/standin/descriptions.go
+++ b/internal/standin/descriptions.go
@@ -2,12 +2,12 @@
 
 import "go.etcd.io/bbolt"
 
-// Descriptions is a store of task descriptions, in the same file as the other records. It
+// DescriptionStore is a store of task descriptions, in the same file as the other records. It
 // implements taskspec.Store and is safe for concurrent use.
-type Descriptions struct{ DB *bbolt.DB }
+type DescriptionStore struct{ DB *bbolt.DB }
 
 // Put stores a description unless the name has one, which is returned then and kept.
-func (d Descriptions) Put(name string, data []byte) (old []byte, err error) {
+func (d DescriptionStore) Put(name string, data []byte) (old []byte, err error) {
 	err = d.DB.Update(func(tx *bbolt.Tx) error {
 		bucket, err := tx.CreateBucketIfNotExists(descriptionsBucket)
 		if err != nil {
@@ -23,7 +23,7 @@
 }
 
 // Get returns a name's description, nil if there is none.
-func (d Descriptions) Get(name string) (data []byte, err error) {
+func (d DescriptionStore) Get(name string) (data []byte, err error) {
 	err = d.DB.View(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(descriptionsBucket)
 		if bucket == nil {
--- a/internal/standin/metered.go
+++ b/internal/standin/metered.go
@@ -13,25 +13,25 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Budget bounds the requests of all clients of a service together; bursts of one second's
+// RateLimits bounds the requests of all clients of a service together; bursts of one second's
 // worth are accepted, as the protocol says. A nil budget bounds nothing.
-type Budget struct{ requests, writes *rate.Limiter }
+type RateLimits struct{ requests, writes *rate.Limiter }
 
-// NewBudget returns a budget of rps requests, and writeRPS puts and deletes, a second.
-func NewBudget(rps, writeRPS float64) *Budget {
-	return &Budget{rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), rate.NewLimiter(rate.Limit(writeRPS), max(1, int(writeRPS)))}
+// NewRateLimits returns a budget of rps requests, and writeRPS puts and deletes, a second.
+func NewRateLimits(rps, writeRPS float64) *RateLimits {
+	return &RateLimits{rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), rate.NewLimiter(rate.Limit(writeRPS), max(1, int(writeRPS)))}
 }
 
-// Counts counts the requests of one client of a service. Writes are puts and deletes, of
+// RequestCounts counts the requests of one client of a service. Writes are puts and deletes, of
 // transactions that the budget had room for; Refused are those over the budget.
-type Counts struct {
+type RequestCounts struct {
 	Reads, Watches, Writes, Transactions, Refused atomic.Int64
 }
 
 // meter is what a request is counted and bounded by.
 type meter struct {
-	budget *Budget
-	counts *Counts
+	limits *RateLimits
+	counts *RequestCounts
 }
 
 // meterKey is the key of a request's meter in its context.
@@ -39,13 +39,13 @@
 
 // Metered serves one client of a service: after a latency, within the budget that it
 // shares with the others, and counted. A request over the budget gets status 429.
-func Metered(service http.Handler, latency time.Duration, budget *Budget, counts *Counts) http.Handler {
+func Metered(service http.Handler, latency time.Duration, budget *RateLimits, counts *RequestCounts) http.Handler {
 	m := &meter{budget, counts}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(latency)
 		if budget != nil && !budget.requests.Allow() {
 			counts.Refused.Add(1)
-			overBudget(w)
+			writeTooManyRequests(w)
 			return
 		}
 		switch {
@@ -58,14 +58,14 @@
 	})
 }
 
-// mayWrite counts a transaction's puts and deletes, failed conditions or not, and
+// allowWrites counts a transaction's puts and deletes, failed conditions or not, and
 // reports whether the budget has room for them.
-func mayWrite(ctx context.Context, ops int) bool {
+func allowWrites(ctx context.Context, ops int) bool {
 	m, ok := ctx.Value(meterKey{}).(*meter)
 	if !ok {
 		return true // not metered
 	}
-	if m.budget != nil && !m.budget.writes.AllowN(time.Now(), ops) {
+	if m.limits != nil && !m.limits.writes.AllowN(time.Now(), ops) {
 		m.counts.Refused.Add(1)
 		return false
 	}
@@ -74,6 +74,6 @@
 	return true
 }
 
-func overBudget(w http.ResponseWriter) {
+func writeTooManyRequests(w http.ResponseWriter) {
 	httpjson.Write(w, http.StatusTooManyRequests, wire.Problem{Error: "too many requests"})
 }
--- a/internal/standin/metered_test.go
+++ b/internal/standin/metered_test.go
@@ -11,13 +11,13 @@
 )
 
 // Two clients of a service in memory share its budget, and each is counted alone.
-func TestMeteredClientsShareTheBudget(t *testing.T) {
+func TestMeteredClientsShareRateLimits(t *testing.T) {
 	state, err := standin.OpenState(nil, 8, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	budget := standin.NewBudget(6, 3) // bursts of a second's worth; the test is over sooner than one is back
-	var counts [2]standin.Counts
+	budget := standin.NewRateLimits(6, 3) // bursts of a second's worth; the test is over sooner than one is back
+	var counts [2]standin.RequestCounts
 	clients := [2]http.Handler{standin.Metered(state.Handler(), 0, budget, &counts[0]), standin.Metered(state.Handler(), 0, budget, &counts[1])}
 	request := func(client int, method, path, body string, want int) {
 		t.Helper()
--- a/internal/standin/records.go
+++ b/internal/standin/records.go
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// put writes a value in JSON.
-func put(tx *bbolt.Tx, bucket []byte, key string, value any) error {
+// putJSON writes a value in JSON.
+func putJSON(tx *bbolt.Tx, bucket []byte, key string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return err
@@ -63,8 +63,8 @@
 
 func formatNumber(n uint64) []byte { return strconv.AppendUint(nil, n, 10) }
 
-// limitOf reads a listing's limit; one that is missing, malformed or over most is most.
-func limitOf(text string, most int) int {
+// parseLimit reads a listing's limit; one that is missing, malformed or over most is most.
+func parseLimit(text string, most int) int {
 	limit, err := strconv.Atoi(text)
 	if err != nil || limit < 1 || limit > most {
 		return most
@@ -72,8 +72,8 @@
 	return limit
 }
 
-// readBody takes a request's JSON body; false: it was malformed, and has been refused.
-func readBody(w http.ResponseWriter, r *http.Request, into any) bool {
+// decodeBody takes a request's JSON body; false: it was malformed, and has been refused.
+func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = json.Unmarshal(data, into)
@@ -85,7 +85,7 @@
 	return true
 }
 
-// unavailable responds to a change that could not be made now, with status 503.
-func unavailable(w http.ResponseWriter, err error) {
+// writeUnavailable responds to a change that could not be made now, with status 503.
+func writeUnavailable(w http.ResponseWriter, err error) {
 	httpjson.Write(w, http.StatusServiceUnavailable, wire.Problem{Error: err.Error()})
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	keepChanges    = 10_000 // that a watch may be behind
-	expiryInterval = 50 * time.Millisecond
+	maxRetainedEvents = 10_000 // that a watch may be behind
+	expiryInterval    = 50 * time.Millisecond
 )
 
 // item is a key's record, in memory and on disk.
@@ -34,25 +34,25 @@
 }
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // State is the state service. What it reports as done is on disk, if there is a
 // database. It is safe for concurrent use.
 type State struct {
-	db         *bbolt.DB
-	maxOps     int
-	valueBytes int // most of a value
-
-	mu        sync.Mutex
-	items     map[string]item
-	keys      []string // of items, sorted
-	leases    map[uint64]*lease
-	revision  uint64
-	lastLease uint64 // the highest lease id given
-	events    []wire.Event
-	changed   chan struct{} // closed at every change
+	db            *bbolt.DB
+	maxOps        int
+	maxValueBytes int // most of a value
+
+	mu          sync.Mutex
+	items       map[string]item
+	keys        []string // of items, sorted
+	leases      map[uint64]*lease
+	revision    uint64
+	lastLeaseID uint64 // the highest lease id given
+	events      []wire.Event
+	changed     chan struct{} // closed at every change
 }
 
 // OpenState reads what db holds. All leases get their full time again, as after
@@ -61,7 +61,7 @@
 // caller closes db, after the last request and ExpireLeases have ended.
 func OpenState(db *bbolt.DB, txnOps int, valueKB float64) (*State, error) {
 	s := &State{
-		db: db, maxOps: txnOps, valueBytes: int(valueKB * 1024),
+		db: db, maxOps: txnOps, maxValueBytes: int(valueKB * 1024),
 		items: map[string]item{}, leases: map[uint64]*lease{}, changed: make(chan struct{}),
 	}
 	if err := update(db, s.load); err != nil {
@@ -76,7 +76,7 @@
 		return err
 	}
 	meta := tx.Bucket(metaBucket)
-	s.revision, s.lastLease = parseNumber(meta.Get(revisionKey)), parseNumber(meta.Get(nextLeaseKey))
+	s.revision, s.lastLeaseID = parseNumber(meta.Get(revisionKey)), parseNumber(meta.Get(nextLeaseKey))
 	if err := tx.Bucket(leasesBucket).ForEach(func(id, ttlMs []byte) error {
 		ttl := time.Duration(parseNumber(ttlMs)) * time.Millisecond
 		s.leases[parseNumber(id)] = &lease{ttl, time.Now().Add(ttl)}
@@ -97,26 +97,26 @@
 
 // ExpireLeases ends leases that nobody renewed in time, until ctx ends.
 func (s *State) ExpireLeases(ctx context.Context) {
-	_ = periodic.Run(ctx, expiryInterval, s.endExpired) // ends with ctx
+	_ = periodic.Run(ctx, expiryInterval, s.revokeExpiredLeases) // ends with ctx
 }
 
-// endExpired ends the leases that nobody renewed in time.
-func (s *State) endExpired() {
+// revokeExpiredLeases ends the leases that nobody renewed in time.
+func (s *State) revokeExpiredLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.After(l.ends) {
-			_ = s.endLeaseLocked(id) // tried again at the next tick
+		if now.After(l.expiresAt) {
+			_ = s.revokeLeaseLocked(id) // tried again at the next tick
 		}
 	}
 }
 
-// grantLocked makes a lease and returns its id, which is never given again.
-func (s *State) grantLocked(ttlMs int64) (uint64, error) {
+// grantLeaseLocked makes a lease and returns its id, which is never given again.
+func (s *State) grantLeaseLocked(ttlMs int64) (uint64, error) {
 	ttl := time.Duration(ttlMs) * time.Millisecond
-	id := s.lastLease + 1
-	if err := s.writeLocked(nil, func(tx *bbolt.Tx) error {
+	id := s.lastLeaseID + 1
+	if err := s.commitLocked(nil, func(tx *bbolt.Tx) error {
 		if err := tx.Bucket(metaBucket).Put(nextLeaseKey, formatNumber(id)); err != nil {
 			return err
 		}
@@ -124,28 +124,28 @@
 	}); err != nil {
 		return 0, err
 	}
-	s.lastLease, s.leases[id] = id, &lease{ttl, time.Now().Add(ttl)}
+	s.lastLeaseID, s.leases[id] = id, &lease{ttl, time.Now().Add(ttl)}
 	return id, nil
 }
 
-// endLeaseLocked ends a lease and deletes the keys attached to it.
-func (s *State) endLeaseLocked(id uint64) error {
+// revokeLeaseLocked ends a lease and deletes the keys attached to it.
+func (s *State) revokeLeaseLocked(id uint64) error {
 	var deletes []wire.Op
 	for _, key := range s.keys {
 		if s.items[key].Lease == id {
 			deletes = append(deletes, wire.Op{Delete: key})
 		}
 	}
-	if err := s.writeLocked(deletes, func(tx *bbolt.Tx) error { return tx.Bucket(leasesBucket).Delete(formatNumber(id)) }); err != nil {
+	if err := s.commitLocked(deletes, func(tx *bbolt.Tx) error { return tx.Bucket(leasesBucket).Delete(formatNumber(id)) }); err != nil {
 		return err
 	}
 	delete(s.leases, id)
 	return nil
 }
 
-// writeLocked makes changes durable, together with what also writes, then visible. The
+// commitLocked makes changes durable, together with what also writes, then visible. The
 // revision rises by one if there are changes. After an error nothing has changed.
-func (s *State) writeLocked(ops []wire.Op, also func(*bbolt.Tx) error) error {
+func (s *State) commitLocked(ops []wire.Op, also func(*bbolt.Tx) error) error {
 	revision := s.revision
 	if len(ops) > 0 {
 		revision++
@@ -161,7 +161,7 @@
 		}
 	}
 	if err := update(s.db, func(tx *bbolt.Tx) error {
-		if err := writeItems(tx, ops, values, revision); err != nil {
+		if err := storeItems(tx, ops, values, revision); err != nil {
 			return err
 		}
 		if also != nil {
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// writeItems writes changes to the records on disk.
-func writeItems(tx *bbolt.Tx, ops []wire.Op, values []json.RawMessage, revision uint64) error {
+// storeItems writes changes to the records on disk.
+func storeItems(tx *bbolt.Tx, ops []wire.Op, values []json.RawMessage, revision uint64) error {
 	items := tx.Bucket(itemsBucket)
 	for i, op := range ops {
 		if op.Delete != "" {
@@ -188,7 +188,7 @@
 			}
 			continue
 		}
-		if err := put(tx, itemsBucket, op.Put, item{values[i], revision, op.Lease}); err != nil {
+		if err := putJSON(tx, itemsBucket, op.Put, item{values[i], revision, op.Lease}); err != nil {
 			return err
 		}
 	}
@@ -214,7 +214,7 @@
 		s.items[key] = item{values[i], s.revision, op.Lease}
 		s.events = append(s.events, wire.Event{Put: key, Value: values[i], Version: s.revision})
 	}
-	if over := len(s.events) - keepChanges; over > 0 {
+	if over := len(s.events) - maxRetainedEvents; over > 0 {
 		s.events = slices.Delete(s.events, 0, over)
 	}
 	if len(ops) > 0 {
--- a/internal/standin/state_http.go
+++ b/internal/standin/state_http.go
@@ -19,7 +19,7 @@
 	maxListBytes  = 512 << 10 // of a listing
 	itemOverheadB = 64        // of an item in a listing, beside key and value
 	maxKeyBytes   = 200
-	maxHold       = time.Minute // of a watch without changes
+	maxWatchWait  = time.Minute // of a watch without changes
 
 	minTTLMs = 100
 	maxTTLMs = 600_000
@@ -48,17 +48,17 @@
 		httpjson.Write(w, http.StatusNotFound, wire.TxnResponse{Revision: revision})
 		return
 	}
-	httpjson.Write(w, http.StatusOK, it.message(key))
+	httpjson.Write(w, http.StatusOK, it.toWire(key))
 }
 
-// message is an item as the protocol has it.
-func (it item) message(key string) wire.Item {
+// toWire is an item as the protocol has it.
+func (it item) toWire(key string) wire.Item {
 	return wire.Item{Key: key, Value: it.Value, Version: it.Version, Lease: it.Lease}
 }
 
 func (s *State) serveList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	limit := limitOf(query.Get("limit"), maxItems)
+	limit := parseLimit(query.Get("limit"), maxItems)
 	s.mu.Lock()
 	list := s.listLocked(query.Get("starts"), query.Get("after"), limit)
 	s.mu.Unlock()
@@ -86,7 +86,7 @@
 			break
 		}
 		size += itemSize
-		list.Items = append(list.Items, it.message(key))
+		list.Items = append(list.Items, it.toWire(key))
 	}
 	return list
 }
@@ -106,7 +106,7 @@
 		if (op.Put == "") == (op.Delete == "") || !validKey(op.Put+op.Delete) {
 			return fmt.Errorf("change %d names no key, or two", i)
 		}
-		if data, err := json.Marshal(op.Value); err != nil || len(data) > s.valueBytes {
+		if data, err := json.Marshal(op.Value); err != nil || len(data) > s.maxValueBytes {
 			return fmt.Errorf("value of %.40q is too large", op.Put)
 		}
 	}
@@ -119,15 +119,15 @@
 
 func (s *State) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var txn wire.Txn
-	if !readBody(w, r, &txn) {
+	if !decodeBody(w, r, &txn) {
 		return
 	}
 	if err := s.checkTxn(&txn); err != nil {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: err.Error()})
 		return
 	}
-	if !mayWrite(r.Context(), len(txn.Then)) {
-		overBudget(w)
+	if !allowWrites(r.Context(), len(txn.Then)) {
+		writeTooManyRequests(w)
 		return
 	}
 	s.mu.Lock()
@@ -148,8 +148,8 @@
 		httpjson.Write(w, http.StatusConflict, wire.TxnResponse{Failed: failedKeys, Revision: s.revision})
 		return
 	}
-	if err := s.writeLocked(txn.Then, nil); err != nil {
-		unavailable(w, err)
+	if err := s.commitLocked(txn.Then, nil); err != nil {
+		writeUnavailable(w, err)
 		return
 	}
 	httpjson.Write(w, http.StatusOK, wire.TxnResponse{Revision: s.revision})
@@ -157,7 +157,7 @@
 
 func (s *State) serveGrant(w http.ResponseWriter, r *http.Request) {
 	var req wire.LeaseRequest
-	if !readBody(w, r, &req) {
+	if !decodeBody(w, r, &req) {
 		return
 	}
 	if req.TTLMs < minTTLMs || req.TTLMs > maxTTLMs {
@@ -166,9 +166,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id, err := s.grantLocked(int64(req.TTLMs))
+	id, err := s.grantLeaseLocked(int64(req.TTLMs))
 	if err != nil {
-		unavailable(w, err)
+		writeUnavailable(w, err)
 		return
 	}
 	httpjson.Write(w, http.StatusOK, wire.LeaseResponse{Lease: id})
@@ -179,10 +179,10 @@
 	defer s.mu.Unlock()
 	l := s.leases[parseNumber([]byte(r.PathValue("id")))]
 	if l == nil {
-		noLease(w)
+		writeNoLease(w)
 		return
 	}
-	l.ends = time.Now().Add(l.ttl)
+	l.expiresAt = time.Now().Add(l.ttl)
 	httpjson.Write(w, http.StatusOK, struct{}{})
 }
 
@@ -191,17 +191,17 @@
 	defer s.mu.Unlock()
 	id := parseNumber([]byte(r.PathValue("id")))
 	if s.leases[id] == nil {
-		noLease(w)
+		writeNoLease(w)
 		return
 	}
-	if err := s.endLeaseLocked(id); err != nil {
-		unavailable(w, err)
+	if err := s.revokeLeaseLocked(id); err != nil {
+		writeUnavailable(w, err)
 		return
 	}
 	httpjson.Write(w, http.StatusOK, struct{}{})
 }
 
-func noLease(w http.ResponseWriter) {
+func writeNoLease(w http.ResponseWriter) {
 	httpjson.Write(w, http.StatusNotFound, wire.Problem{Error: "no such lease"})
 }
 
@@ -211,7 +211,7 @@
 	query := r.URL.Query()
 	prefix := query.Get("starts")
 	after := parseNumber([]byte(query.Get("after")))
-	hold := min(maxHold, time.Duration(parseNumber([]byte(query.Get("holdMs"))))*time.Millisecond)
+	hold := min(maxWatchWait, time.Duration(parseNumber([]byte(query.Get("holdMs"))))*time.Millisecond)
 	timeout := time.NewTimer(hold)
 	defer timeout.Stop()
 	for {
--- a/internal/standin/state_test.go
+++ b/internal/standin/state_test.go
@@ -17,8 +17,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// open serves the state service on a file, as after a start.
-func open(t *testing.T, file string) (client *statestore.Client, stop func()) {
+// openClient serves the state service on a file, as after a start.
+func openClient(t *testing.T, file string) (client *statestore.Client, stop func()) {
 	db, err := bbolt.Open(file, 0o644, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 // never come twice, and an old watch has to read again.
 func TestWritesAndLeasesSurviveARestart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state.db")
-	client, stop := open(t, file)
+	client, stop := openClient(t, file)
 	ctx := t.Context()
 	long, err := client.GrantLease(ctx, time.Minute)
 	must(t, long, err)
@@ -70,13 +70,13 @@
 	last, err := client.Txn(ctx, nil, wire.Op{Put: "d/1", Value: 1}, wire.Op{Put: "d/2", Value: 2})
 	must(t, last, err)
 	stop()
-	client, stop = open(t, file)
+	client, stop = openClient(t, file)
 	defer stop()
 	items, at, err := client.List(ctx, "")
 	if err != nil || at != last || len(items) != 3 || items[0].Key != "c/a" || items[0].Lease != long || items[0].Version != revision {
 		t.Errorf("after a restart: %+v at %d, %v", items, at, err)
 	}
-	expectGoesOn(t, client, long, last)
+	expectStateContinues(t, client, long, last)
 }
 
 // expectRefusals expects that what a transaction may not do is refused.
@@ -97,9 +97,9 @@
 	}
 }
 
-// expectGoesOn expects that a restarted service goes on after the last revision, with a
+// expectStateContinues expects that a restarted service goes on after the last revision, with a
 // lease of before.
-func expectGoesOn(t *testing.T, client *statestore.Client, lease, last uint64) {
+func expectStateContinues(t *testing.T, client *statestore.Client, lease, last uint64) {
 	t.Helper()
 	ctx := t.Context()
 	if err := client.RenewLease(ctx, lease); err != nil {
--- a/internal/subprocess/subprocess.go
+++ b/internal/subprocess/subprocess.go
@@ -14,13 +14,13 @@
 )
 
 var (
-	startThread sync.Once
-	starts      = make(chan func())
+	startThreadOnce sync.Once
+	starts          = make(chan func())
 )
 
-// runStarts runs starts on a thread of its own, which never ends: the kernel would kill
+// runStartLoop runs starts on a thread of its own, which never ends: the kernel would kill
 // all children with it.
-func runStarts() {
+func runStartLoop() {
 	runtime.LockOSThread()
 	for start := range starts {
 		start()
@@ -31,7 +31,7 @@
 // The kernel sends SIGKILL to that process, not to its own children, when this process
 // ends in whatever way. SysProcAttr is replaced.
 func Start(cmd *exec.Cmd) error {
-	startThread.Do(func() { go runStarts() })
+	startThreadOnce.Do(func() { go runStartLoop() })
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	result := make(chan error, 1)
 	starts <- func() { result <- cmd.Start() }
@@ -53,9 +53,9 @@
 	return ports, nil
 }
 
-// Signal sends a signal to the whole group of a child that Start started; if it was not
+// SignalGroup sends a signal to the whole group of a child that Start started; if it was not
 // started, or its group has ended, nothing is done.
-func Signal(cmd *exec.Cmd, sig syscall.Signal) {
+func SignalGroup(cmd *exec.Cmd, sig syscall.Signal) {
 	if cmd.Process != nil {
 		_ = syscall.Kill(-cmd.Process.Pid, sig) // the group has ended: nothing to do
 	}
--- a/internal/taskspec/client.go
+++ b/internal/taskspec/client.go
@@ -39,9 +39,9 @@
 	case err != nil:
 		return err
 	case status == http.StatusConflict:
-		return ErrDiffers
+		return ErrConflict
 	case status/100 != 2:
-		return fmt.Errorf("description of %s: status %d: %s", job, status, reason(body))
+		return fmt.Errorf("description of %s: status %d: %s", job, status, errorMessage(body))
 	}
 	return nil
 }
@@ -55,7 +55,7 @@
 	case status == http.StatusNotFound:
 		return nil, ErrNotFound
 	case status != http.StatusOK:
-		return nil, fmt.Errorf("description of %s: status %d: %s", job, status, reason(body))
+		return nil, fmt.Errorf("description of %s: status %d: %s", job, status, errorMessage(body))
 	}
 	var spec Spec
 	if err := json.Unmarshal(body, &spec); err != nil {
@@ -82,8 +82,8 @@
 	return resp.StatusCode, data, nil
 }
 
-// reason is why the service refused a request.
-func reason(body []byte) string {
+// errorMessage is why the service refused a request.
+func errorMessage(body []byte) string {
 	var problem wire.Problem
 	if json.Unmarshal(body, &problem) == nil && problem.Error != "" {
 		return problem.Error
--- a/internal/taskspec/recorded_test.go
+++ b/internal/taskspec/recorded_test.go
@@ -21,10 +21,10 @@
 	recorded.Check(t, "description-none", taskspec.Spec{Argv: []string{"/bin/true"}, CPUs: 1})
 }
 
-// storedDescriptions is a store in memory.
-type storedDescriptions map[string]string
+// memoryStore is a store in memory.
+type memoryStore map[string]string
 
-func (s storedDescriptions) Put(name string, data []byte) ([]byte, error) {
+func (s memoryStore) Put(name string, data []byte) ([]byte, error) {
 	if old, known := s[name]; known {
 		return []byte(old), nil
 	}
@@ -32,7 +32,7 @@
 	return nil, nil
 }
 
-func (s storedDescriptions) Get(name string) ([]byte, error) { return []byte(s[name]), nil }
+func (s memoryStore) Get(name string) ([]byte, error) { return []byte(s[name]), nil }
 
 // What is uploaded to the path of a job is stored, and served, in the recorded form.
 func TestRecordedUploadIsStoredAndServed(t *testing.T) {
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		body := strings.TrimSuffix(string(data), "\n")
-		stored := storedDescriptions{}
+		stored := memoryStore{}
 		handler := taskspec.Handler(stored)
 		put, get := httptest.NewRecorder(), httptest.NewRecorder()
 		handler.ServeHTTP(put, httptest.NewRequest(http.MethodPut, "/descriptions/j-1", strings.NewReader(body)))
--- a/internal/taskspec/server.go
+++ b/internal/taskspec/server.go
@@ -24,34 +24,34 @@
 // Handler serves PUT and GET /descriptions/JOB from a store.
 func Handler(store Store) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) { put(store, w, r) })
-	mux.HandleFunc("GET "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) { get(store, w, r) })
+	mux.HandleFunc("PUT "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) { servePut(store, w, r) })
+	mux.HandleFunc("GET "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) { serveGet(store, w, r) })
 	return mux
 }
 
-// put stores an uploaded description, encoded anew: what differs in spaces alone is the same.
-func put(store Store, w http.ResponseWriter, r *http.Request) {
+// servePut stores an uploaded description, encoded anew: what differs in spaces alone is the same.
+func servePut(store Store, w http.ResponseWriter, r *http.Request) {
 	job := r.PathValue("job")
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBytes))
 	switch {
 	case !wire.ValidJobID(job):
-		problem(w, http.StatusBadRequest, "not a job id")
+		writeProblem(w, http.StatusBadRequest, "not a job id")
 		return
 	case err != nil:
-		problem(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("unreadable or over %d bytes", MaxBytes))
+		writeProblem(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("unreadable or over %d bytes", MaxBytes))
 		return
 	}
 	data, err := normalize(body)
 	if err != nil {
-		problem(w, http.StatusBadRequest, err.Error())
+		writeProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	old, err := store.Put(job, data)
 	switch {
 	case err != nil:
-		unavailable(w, err)
+		writeUnavailable(w, err)
 	case old != nil && !bytes.Equal(old, data):
-		problem(w, http.StatusConflict, ErrDiffers.Error())
+		writeProblem(w, http.StatusConflict, ErrConflict.Error())
 	default:
 		w.WriteHeader(http.StatusNoContent)
 	}
@@ -69,26 +69,26 @@
 	return json.Marshal(&spec)
 }
 
-// get serves a stored description.
-func get(store Store, w http.ResponseWriter, r *http.Request) {
+// serveGet serves a stored description.
+func serveGet(store Store, w http.ResponseWriter, r *http.Request) {
 	data, err := store.Get(r.PathValue("job"))
 	switch {
 	case err != nil:
-		unavailable(w, err)
+		writeUnavailable(w, err)
 	case data == nil:
-		problem(w, http.StatusNotFound, ErrNotFound.Error())
+		writeProblem(w, http.StatusNotFound, ErrNotFound.Error())
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(data) // a worker that did not get it retries
 	}
 }
 
-// unavailable answers that the store failed.
-func unavailable(w http.ResponseWriter, err error) {
+// writeUnavailable answers that the store failed.
+func writeUnavailable(w http.ResponseWriter, err error) {
 	w.Header().Set("Retry-After", "1")
-	problem(w, http.StatusServiceUnavailable, err.Error())
+	writeProblem(w, http.StatusServiceUnavailable, err.Error())
 }
 
-func problem(w http.ResponseWriter, status int, reason string) {
+func writeProblem(w http.ResponseWriter, status int, reason string) {
 	httpjson.Write(w, status, wire.Problem{Error: reason})
 }
--- a/internal/taskspec/spec.go
+++ b/internal/taskspec/spec.go
@@ -22,8 +22,8 @@
 var (
 	// ErrNotFound means that no description was uploaded for the job.
 	ErrNotFound = errors.New("no such description")
-	// ErrDiffers means that another description was uploaded for the job.
-	ErrDiffers = errors.New("the job has another description already")
+	// ErrConflict means that another description was uploaded for the job.
+	ErrConflict = errors.New("the job has another description already")
 )
 
 // Spec is what a job's tasks run.
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	responseTimeout   = 4 * time.Second        // of a report
-	nextAfter         = time.Second            // before the next controller is tried
-	minReportInterval = 500 * time.Millisecond // of reports because something changed
-	expireInterval    = 100 * time.Millisecond
-	maxResponse       = 4 << 20 // bytes
+	reportTimeout      = 4 * time.Second        // of a report
+	retryDelay         = time.Second            // before the next controller is tried
+	minReportInterval  = 500 * time.Millisecond // of reports because something changed
+	leaseCheckInterval = 100 * time.Millisecond
+	maxResponseBytes   = 4 << 20 // bytes
 )
 
 // Controller is a controller that a worker may report to.
@@ -32,22 +32,22 @@
 // Agent reports a worker's state to one of the controllers, and serves direct orders.
 // The fields must not change after the first call.
 type Agent struct {
-	State       *State     // the worker's state
-	Processes   *Processes // nil: tasks have no ports, and can't be checked
-	Controllers []Controller
-	ReportEvery time.Duration     // the mean; each interval is up to a quarter shorter or longer
-	Transport   http.RoundTripper // for reports; nil: one connection of its own
-	Log         *slog.Logger
-
-	once        sync.Once
-	wake        chan struct{}
-	tokenRaised time.Time // when a higher fencing token last counted as a change
+	State          *State     // the worker's state
+	Processes      *Processes // nil: tasks have no ports, and can't be checked
+	Controllers    []Controller
+	ReportInterval time.Duration     // the mean; each interval is up to a quarter shorter or longer
+	Transport      http.RoundTripper // for reports; nil: one connection of its own
+	Log            *slog.Logger
+
+	once            sync.Once
+	wake            chan struct{}
+	lastTokenChange time.Time // when a higher fencing token last counted as a change
 }
 
 func (a *Agent) init() { a.once.Do(func() { a.wake = make(chan struct{}, 1) }) }
 
-// Changed makes the next report come soon. It never blocks.
-func (a *Agent) Changed() {
+// ReportSoon makes the next report come soon. It never blocks.
+func (a *Agent) ReportSoon() {
 	a.init()
 	select {
 	case a.wake <- struct{}{}:
@@ -63,7 +63,7 @@
 	}
 	a.init()
 	var expiry sync.WaitGroup
-	expiry.Go(func() { a.expire(ctx) })
+	expiry.Go(func() { a.runLeaseExpiry(ctx) })
 	defer expiry.Wait() // ctx has ended
 	client := &http.Client{Transport: a.Transport}
 	if a.Transport == nil {
@@ -72,25 +72,25 @@
 	current := rand.IntN(len(a.Controllers))
 	for {
 		sent := time.Now()
-		next, wait := a.report(ctx, client, current)
+		next, wait := a.sendReport(ctx, client, current)
 		if next != current {
 			client.CloseIdleConnections()
 			current = next
 		}
-		a.pause(ctx, sent, wait)
+		a.waitForNextReport(ctx, sent, wait)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
 }
 
-// pause waits before the next report: for so long, or, if that is 0, for the usual
+// waitForNextReport waits before the next report: for so long, or, if that is 0, for the usual
 // interval or until something changed.
-func (a *Agent) pause(ctx context.Context, sent time.Time, wait time.Duration) {
+func (a *Agent) waitForNextReport(ctx context.Context, sent time.Time, wait time.Duration) {
 	var wake <-chan struct{} // changes don't hasten the next controller's turn
 	if wait == 0 {
 		wake = a.wake
-		wait = time.Duration((0.75 + 0.5*rand.Float64()) * float64(a.ReportEvery))
+		wait = time.Duration((0.75 + 0.5*rand.Float64()) * float64(a.ReportInterval))
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -106,48 +106,48 @@
 	}
 }
 
-// expire expires the lease until ctx ends.
-func (a *Agent) expire(ctx context.Context) {
-	_ = periodic.Run(ctx, expireInterval, a.State.Expire) // ends with ctx
+// runLeaseExpiry expires the lease until ctx ends.
+func (a *Agent) runLeaseExpiry(ctx context.Context) {
+	_ = periodic.Run(ctx, leaseCheckInterval, a.State.Expire) // ends with ctx
 }
 
-// report sends one report. It returns the controller to go on with, and how long
+// sendReport sends one sendReport. It returns the controller to go on with, and how long
 // to wait before; 0 means the usual interval.
-func (a *Agent) report(ctx context.Context, client *http.Client, current int) (next int, wait time.Duration) {
+func (a *Agent) sendReport(ctx context.Context, client *http.Client, current int) (next int, wait time.Duration) {
 	other := (current + 1) % len(a.Controllers)
 	controller := a.Controllers[current]
 	report := a.State.Report()
 	body, err := json.Marshal(report)
 	if err != nil {
 		a.Log.Error("report not encoded", "err", err)
-		return other, nextAfter
+		return other, retryDelay
 	}
 	sent := time.Now()
-	status, data, err := post(ctx, client, "http://"+controller.Addr+"/v1/report", body)
+	status, data, err := postReport(ctx, client, "http://"+controller.Addr+"/v1/report", body)
 	if err != nil {
 		a.Log.Debug("no response to the report", "controller", controller.Name, "err", err)
-		return other, nextAfter
+		return other, retryDelay
 	}
 	switch status {
 	case http.StatusOK:
 		var response wire.ReportResponse
 		if err := json.Unmarshal(data, &response); err != nil {
 			a.Log.Info("malformed response to the report", "controller", controller.Name, "err", err)
-			return other, nextAfter
+			return other, retryDelay
 		}
-		a.execute(ctx, sent, report.Session, response)
+		a.handleResponse(ctx, sent, report.Session, response)
 		return current, 0
 	case http.StatusMisdirectedRequest:
-		if i, ok := a.redirected(data, current); ok {
+		if i, ok := a.redirectTarget(data, current); ok {
 			return i, time.Duration(1 + rand.Int64N(int64(minReportInterval)))
 		}
 	}
-	return other, nextAfter
+	return other, retryDelay
 }
 
-// post sends a report and returns the response.
-func post(ctx context.Context, client *http.Client, url string, body []byte) (status int, data []byte, err error) {
-	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
+// postReport sends a report and returns the response.
+func postReport(ctx context.Context, client *http.Client, url string, body []byte) (status int, data []byte, err error) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -159,22 +159,22 @@
 		return 0, nil, err
 	}
 	defer func() { _ = resp.Body.Close() }() // what was read counts
-	data, err = io.ReadAll(io.LimitReader(resp.Body, maxResponse))
+	data, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return resp.StatusCode, data, err
 }
 
-// execute takes a response to a report. A higher fencing token is reported soon, so that
+// handleResponse takes a response to a report. A higher fencing token is reported soon, so that
 // it is known to be in effect, but at most twice in a lease.
-func (a *Agent) execute(ctx context.Context, sent time.Time, session uint64, response wire.ReportResponse) {
+func (a *Agent) handleResponse(ctx context.Context, sent time.Time, session uint64, response wire.ReportResponse) {
 	_, newToken := a.State.HandleResponse(ctx, sent, session, response)
-	if newToken && time.Since(a.tokenRaised) > a.State.id.Lease/2 {
-		a.tokenRaised = time.Now()
-		a.Changed()
+	if newToken && time.Since(a.lastTokenChange) > a.State.id.Lease/2 {
+		a.lastTokenChange = time.Now()
+		a.ReportSoon()
 	}
 }
 
-// redirected finds the controller, other than the current one, that a response names.
-func (a *Agent) redirected(data []byte, current int) (next int, ok bool) {
+// redirectTarget finds the controller, other than the current one, that a response names.
+func (a *Agent) redirectTarget(data []byte, current int) (next int, ok bool) {
 	var redirect wire.Redirect
 	if json.Unmarshal(data, &redirect) != nil {
 		return 0, false // as one that names nobody
--- a/internal/worker/check.go
+++ b/internal/worker/check.go
@@ -32,7 +32,7 @@
 	if path == "" {
 		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		if err != nil {
-			return outcomeOf(err)
+			return outcomeOfError(err)
 		}
 		_ = conn.Close() // it came about, which is what counts
 		return CheckHealthy
@@ -47,7 +47,7 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return outcomeOf(err)
+		return outcomeOfError(err)
 	}
 	_ = resp.Body.Close() // only the status counts
 	if resp.StatusCode/100 == 2 {
@@ -56,8 +56,8 @@
 	return CheckUnhealthy
 }
 
-// outcomeOf tells a timeout from other failures.
-func outcomeOf(err error) string {
+// outcomeOfError tells a timeout from other failures.
+func outcomeOfError(err error) string {
 	if errors.Is(err, context.DeadlineExceeded) || os.IsTimeout(err) {
 		return CheckHung
 	}
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -35,7 +35,7 @@
 		changed = true
 	}
 	if changed {
-		go s.changed()
+		go s.onChange()
 	}
 }
 
@@ -43,15 +43,15 @@
 // one.
 func (a *attempt) stop(graceS *float64) {
 	if a.State == wire.TaskFetching {
-		a.end(0)
-		a.exit(wire.CauseStopped)
+		a.terminate(0)
+		a.markExited(wire.CauseStopped)
 		return
 	}
 	grace := time.Duration(0)
 	if graceS != nil && *graceS > 0 {
 		grace = time.Duration(*graceS * float64(time.Second))
 	}
-	a.end(grace)
+	a.terminate(grace)
 }
 
 // launchLocked executes a start command for an attempt that is not known.
@@ -60,12 +60,12 @@
 	a := &attempt{Task: wire.Task{Task: key.task, Attempt: key.attempt, State: wire.TaskFetching}}
 	s.attempts[key] = a
 	if err != nil {
-		a.exit(wire.CauseUnknown)
+		a.markExited(wire.CauseUnknown)
 		return
 	}
 	for otherKey, other := range s.attempts {
 		if otherKey.task == key.task && otherKey != key && other.State != wire.TaskExited {
-			a.exit(wire.CauseBusy)
+			a.markExited(wire.CauseBusy)
 			return
 		}
 	}
@@ -75,13 +75,13 @@
 	session := s.session
 	s.launches.Go(func() {
 		defer cancel()
-		spec, err := s.fetch(ctx, job)
-		s.fetched(key, a, session, spec, err)
+		spec, err := s.fetchSpec(ctx, job)
+		s.finishLaunch(key, a, session, spec, err)
 	})
 }
 
-// fetch gets a description, in up to fetchTries tries if the service does not respond.
-func (s *State) fetch(ctx context.Context, job string) (*taskspec.Spec, error) {
+// fetchSpec gets a description, in up to fetchTries tries if the service does not respond.
+func (s *State) fetchSpec(ctx context.Context, job string) (*taskspec.Spec, error) {
 	for try := 1; ; try++ {
 		spec, err := s.descriptions.Get(ctx, job)
 		if err == nil || errors.Is(err, taskspec.ErrNotFound) || try == fetchTries {
@@ -95,67 +95,67 @@
 	}
 }
 
-// fetched starts an attempt whose description came, or makes it exit.
-func (s *State) fetched(key attemptKey, a *attempt, session uint64, spec *taskspec.Spec, err error) {
+// finishLaunch starts an attempt whose description came, or makes it exit.
+func (s *State) finishLaunch(key attemptKey, a *attempt, session uint64, spec *taskspec.Spec, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer func() { go s.changed() }()
+	defer func() { go s.onChange() }()
 	if s.session != session || s.attempts[key] != a || a.State != wire.TaskFetching {
 		return // stopped, or the session is over
 	}
 	switch {
 	case errors.Is(err, taskspec.ErrNotFound):
-		a.exit(wire.CauseUnknown)
+		a.markExited(wire.CauseUnknown)
 		return
 	case err != nil:
 		s.log.Info("no task description", "task", key.task, "err", err)
-		a.exit(wire.CauseError)
+		a.markExited(wire.CauseError)
 		return
-	case s.done.Contains(key.task):
-		a.exit(wire.CauseDone) // its result is kept
+	case s.completed.Contains(key.task):
+		a.markExited(wire.CauseDone) // its result is kept
 		return
 	}
 	a.size = matching.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 	if !a.size.Fits(s.freeLocked(a)) {
-		a.exit(wire.CauseNoRoom)
+		a.markExited(wire.CauseNoRoom)
 		return
 	}
-	process, err := s.runner.Start(key.task, key.attempt, spec, func(code int) { s.exited(key, a, session, code) })
+	process, err := s.runner.Start(key.task, key.attempt, spec, func(code int) { s.processExited(key, a, session, code) })
 	if err != nil {
 		s.log.Info("task start failed", "task", key.task, "err", err)
-		a.exit(wire.CauseError)
+		a.markExited(wire.CauseError)
 		return
 	}
 	a.State, a.process = wire.TaskRunning, process
 }
 
 // freeLocked is what the worker has left beside all attempts but one.
-func (s *State) freeLocked(but *attempt) matching.Resources {
+func (s *State) freeLocked(except *attempt) matching.Resources {
 	free := s.id.Size
 	for _, a := range s.attempts {
-		if a != but && a.State != wire.TaskExited {
+		if a != except && a.State != wire.TaskExited {
 			free = free.Add(a.size, -1)
 		}
 	}
 	return free
 }
 
-// exited notes the end of an attempt's process.
-func (s *State) exited(key attemptKey, a *attempt, session uint64, code int) {
+// processExited notes the end of an attempt's process.
+func (s *State) processExited(key attemptKey, a *attempt, session uint64, code int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.session != session || s.attempts[key] != a || a.State == wire.TaskExited {
 		return
 	}
 	switch {
-	case a.halted:
-		a.exit(wire.CauseStopped) // even with code 0: its work may be incomplete
+	case a.stopRequested:
+		a.markExited(wire.CauseStopped) // even with code 0: its work may be incomplete
 	case code == 0:
-		s.done.ContainsOrAdd(key.task, struct{}{})
-		a.exit(wire.CauseDone)
+		s.completed.ContainsOrAdd(key.task, struct{}{})
+		a.markExited(wire.CauseDone)
 	default:
-		a.exit(wire.CauseError)
+		a.markExited(wire.CauseError)
 		a.Exit = &code
 	}
-	go s.changed()
+	go s.onChange()
 }
--- a/internal/worker/leftovers.go
+++ b/internal/worker/leftovers.go
@@ -20,13 +20,13 @@
 	taskDirVar = "WALLRACK_TASK_DIR"
 )
 
-// EndLeftovers kills the process groups that a worker with its tasks in dir, which
+// KillOrphanedProcesses kills the process groups that a worker with its tasks in dir, which
 // was itself killed, may have left: the kernel ends only their first process. Processes
 // that can't be read are skipped. It does not wait for the ends.
-func EndLeftovers(dir string, log *slog.Logger) {
-	notes, _ := filepath.Glob(filepath.Join(dir, "*", pidFile)) // the pattern is well formed
-	for _, note := range notes {
-		groups, err := leftoverGroups(note)
+func KillOrphanedProcesses(dir string, log *slog.Logger) {
+	pidFiles, _ := filepath.Glob(filepath.Join(dir, "*", pidFile)) // the pattern is well formed
+	for _, file := range pidFiles {
+		groups, err := orphanedGroups(file)
 		if err != nil {
 			continue // tried again at the next start
 		}
@@ -35,25 +35,25 @@
 				log.Info("process group of an earlier worker killed", "group", group)
 			}
 		}
-		_ = os.Remove(note) // tried again at the next start if it stays
+		_ = os.Remove(file) // tried again at the next start if it stays
 	}
 }
 
-// leftoverGroups finds the process groups of the task that a note belongs to. A
+// orphanedGroups finds the process groups of the task that a note belongs to. A
 // note without a number is of a task whose worker was killed while it started it;
 // its processes are found by their environment.
-func leftoverGroups(note string) ([]int, error) {
-	data, err := os.ReadFile(note)
+func orphanedGroups(file string) ([]int, error) {
+	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
 	group, err := strconv.Atoi(strings.TrimSpace(string(data)))
 	if err != nil {
-		marker, err := taskMarker(filepath.Dir(note))
+		dirEntry, err := taskDirEntry(filepath.Dir(file))
 		if err != nil {
 			return nil, err
 		}
-		return groupsWithEnvironment(marker+"\x00", 0), nil
+		return groupsWithEnvironment(dirEntry+"\x00", 0), nil
 	}
 	if group <= 1 {
 		return nil, nil
@@ -62,9 +62,9 @@
 	return groupsWithEnvironment(attemptVar+"=", group), nil
 }
 
-// taskMarker is the entry of a task's environment that names its directory. It
+// taskDirEntry is the entry of a task's environment that names its directory. It
 // differs between the workers of a machine, which the other entries don't.
-func taskMarker(taskDir string) (string, error) {
+func taskDirEntry(taskDir string) (string, error) {
 	absolute, err := filepath.Abs(taskDir)
 	if err != nil {
 		return "", fmt.Errorf("task's directory: %w", err)
@@ -114,7 +114,7 @@
 			return environment, err
 		}
 		status, err := readProcessStatus(directory)
-		if err != nil || status.ended || status.noEnvironment || time.Now().After(deadline) {
+		if err != nil || status.ended || status.emptyEnvironment || time.Now().After(deadline) {
 			return nil, err
 		}
 	}
@@ -124,7 +124,7 @@
 type processStatus struct {
 	group         int
 	ended         bool // but not yet waited for
-	noEnvironment bool // it has exec behind it, and an environment without entries
+	emptyEnvironment bool // it has exec behind it, and an environment without entries
 }
 
 // Fields of a stat file, counted from the one after the process's name.
@@ -158,6 +158,6 @@
 	return processStatus{
 		group:         group,
 		ended:         fields[stateField] == "Z" || fields[stateField] == "X",
-		noEnvironment: execDone && end != "0" && start == end,
+		emptyEnvironment: execDone && end != "0" && start == end,
 	}, nil
 }
--- a/internal/worker/leftovers_test.go
+++ b/internal/worker/leftovers_test.go
@@ -36,7 +36,7 @@
 
 // A process that is in exec again and again is never seen without its environment,
 // so that what an earlier worker left is found at whatever moment it is looked for.
-func TestProcessInExecIsReadWithItsEnvironment(t *testing.T) {
+func TestEnvironmentOfAProcessInExecIsRead(t *testing.T) {
 	directory := startWithEnvironment(t, `exec /bin/sh "$0"`, attemptVar+"=1")
 	for read := range 10_000 {
 		environment, err := processEnvironment(directory)
@@ -47,11 +47,11 @@
 }
 
 // A process without any environment, and one that has ended, are not waited for.
-func TestProcessWithoutEnvironmentOrEndedIsNotWaitedFor(t *testing.T) {
+func TestEmptyEnvironmentAndEndedProcessReturnAtOnce(t *testing.T) {
 	bare := startWithEnvironment(t, "exec /usr/bin/env -i /bin/sleep 60", attemptVar+"=1")
 	ended := startWithEnvironment(t, "exit 0", attemptVar+"=1")
 	for _, directory := range []string{bare, ended} {
-		awaitStatus(t, directory, func(status processStatus) bool { return status.noEnvironment || status.ended })
+		awaitStatus(t, directory, func(status processStatus) bool { return status.emptyEnvironment || status.ended })
 		begin := time.Now()
 		environment, err := processEnvironment(directory)
 		if len(environment) > 0 || err != nil && !errors.Is(err, syscall.ESRCH) { // which some kernels say of one that has ended
@@ -64,14 +64,14 @@
 }
 
 // awaitStatus waits until a process is as wanted.
-func awaitStatus(t *testing.T, directory string, wanted func(processStatus) bool) {
+func awaitStatus(t *testing.T, directory string, condition func(processStatus) bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		status, err := readProcessStatus(directory)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if wanted(status) {
+		if condition(status) {
 			return
 		}
 	}
--- a/internal/worker/output.go
+++ b/internal/worker/output.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("task's output: %w", err)
 	}
-	b := &boundedFile{f: f, left: maxLog}
+	b := &boundedFile{f: f, remaining: maxLog}
 	o.files = append(o.files, b)
 	return b, nil
 }
@@ -72,10 +72,10 @@
 
 // boundedFile is a file that takes so many bytes and then drops the rest.
 type boundedFile struct {
-	mu      sync.Mutex
-	f       *os.File
-	left    int64
-	dropped int64
+	mu        sync.Mutex
+	f         *os.File
+	remaining int64
+	dropped   int64
 }
 
 // Write implements io.Writer; it never fails, so that a full disk or bound ends
@@ -83,12 +83,12 @@
 func (b *boundedFile) Write(data []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := min(int64(len(data)), b.left)
+	n := min(int64(len(data)), b.remaining)
 	if n > 0 {
 		written, err := b.f.Write(data[:n])
-		b.left -= int64(written)
+		b.remaining -= int64(written)
 		if err != nil {
-			b.left = 0
+			b.remaining = 0
 		}
 		n = int64(written)
 	}
@@ -103,5 +103,5 @@
 		_, _ = fmt.Fprintf(b.f, "\n[%d bytes more were dropped]\n", b.dropped) // a full disk ends no task
 	}
 	_ = b.f.Close() // likewise
-	b.left = 0
+	b.remaining = 0
 }
--- a/internal/worker/processes.go
+++ b/internal/worker/processes.go
@@ -48,7 +48,7 @@
 		return nil, fmt.Errorf("tasks' directory: %w", err)
 	}
 	p := &Processes{dir: dir, maxLog: maxLog, log: log, groups: map[int]*process{}}
-	EndLeftovers(dir, log)
+	KillOrphanedProcesses(dir, log)
 	return p, nil
 }
 
@@ -90,11 +90,11 @@
 	for name, value := range spec.Env {
 		cmd.Env = append(cmd.Env, name+"="+value)
 	}
-	marker, err := taskMarker(dir)
+	dirEntry, err := taskDirEntry(dir)
 	if err != nil {
 		return nil, err
 	}
-	cmd.Env = append(cmd.Env, marker) // after the job's own, so that none of those replaces it
+	cmd.Env = append(cmd.Env, dirEntry) // after the job's own, so that none of those replaces it
 	var userFiles [2]string
 	if spec.Slurm != nil {
 		slurm, err := spec.Slurm.Of(number, attempt, p.WorkerName)
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	proc := &process{port: ports[0], dir: dir, done: make(chan struct{})}
-	if err := p.start(cmd, proc, func() { exited(p.watch(cmd, proc, outputs)) }); err != nil {
+	if err := p.startProcess(cmd, proc, func() { exited(p.waitForExit(cmd, proc, outputs)) }); err != nil {
 		outputs.discard()
 		return nil, err
 	}
@@ -140,36 +140,36 @@
 	return cmd, nil
 }
 
-// start starts a task's first process and notes it, for a later worker to find; watch is
+// startProcess starts a task's first process and notes it, for a later worker to find; watch is
 // run in a goroutine that Close waits for. The note is there, without a number, before
 // the process is: the worker may be killed at any time.
-func (p *Processes) start(cmd *exec.Cmd, proc *process, watch func()) error {
+func (p *Processes) startProcess(cmd *exec.Cmd, proc *process, watch func()) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return errors.New("the worker is ending")
 	}
-	note, err := os.Create(filepath.Join(proc.dir, pidFile))
+	file, err := os.Create(filepath.Join(proc.dir, pidFile))
 	if err != nil {
 		return fmt.Errorf("note of the task's process: %w", err)
 	}
-	defer func() { _ = note.Close() }() // what was written counts, and is checked
+	defer func() { _ = file.Close() }() // what was written counts, and is checked
 	if err := subprocess.Start(cmd); err != nil {
-		_ = os.Remove(note.Name()) // one that stays finds no process
+		_ = os.Remove(file.Name()) // one that stays finds no process
 		return fmt.Errorf("start: %w", err)
 	}
 	proc.pgid = cmd.Process.Pid
 	p.groups[proc.pgid] = proc
-	if _, err := note.WriteString(strconv.Itoa(proc.pgid)); err != nil {
+	if _, err := file.WriteString(strconv.Itoa(proc.pgid)); err != nil {
 		p.log.Error("noting a task's process group failed", "dir", proc.dir, "err", err)
 	}
 	p.watchers.Go(watch) // with the lock held, so that Close can't miss it
 	return nil
 }
 
-// watch waits for a task's first process, ends the rest of its group, and returns its
+// waitForExit waits for a task's first process, ends the rest of its group, and returns its
 // exit code.
-func (p *Processes) watch(cmd *exec.Cmd, proc *process, outputs *taskOutputs) int {
+func (p *Processes) waitForExit(cmd *exec.Cmd, proc *process, outputs *taskOutputs) int {
 	err := cmd.Wait()
 	_ = syscall.Kill(-proc.pgid, syscall.SIGKILL) // mostly the group has ended
 	p.mu.Lock()
--- a/internal/worker/processes_test.go
+++ b/internal/worker/processes_test.go
@@ -18,7 +18,7 @@
 
 // newProcesses runs tasks below dir until the test ends.
 func newProcesses(t *testing.T, dir string) *worker.Processes {
-	p, err := worker.NewProcesses(dir, 100, quiet)
+	p, err := worker.NewProcesses(dir, 100, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,14 +48,14 @@
 	}
 }
 
-// alive reports whether a process runs.
-func alive(pid int) bool {
+// isRunning reports whether a process runs.
+func isRunning(pid int) bool {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	return err == nil && !strings.Contains(string(data), ") Z ")
 }
 
-// pidIn waits for a number that a task writes.
-func pidIn(t *testing.T, file string) int {
+// awaitPid waits for a number that a task writes.
+func awaitPid(t *testing.T, file string) int {
 	for range 400 {
 		data, _ := os.ReadFile(file) // not there yet
 		if n, err := strconv.Atoi(strings.TrimSpace(string(data))); err == nil {
@@ -67,10 +67,10 @@
 	return 0
 }
 
-// expectEnded waits for the end of a process.
-func expectEnded(t *testing.T, pid int, why string) {
+// expectProcessEnds waits for the end of a process.
+func expectProcessEnds(t *testing.T, pid int, why string) {
 	for range 400 {
-		if !alive(pid) {
+		if !isRunning(pid) {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -97,22 +97,22 @@
 	}
 	// A task that ignores the first signal, and its child, go with the second.
 	process, ended := startScript(t, p, "j-1/2", "trap '' TERM; sleep 60 & echo $! > child; wait; sleep 60")
-	child := pidIn(t, filepath.Join(p.TaskDir("j-1/2", 1), "child"))
+	child := awaitPid(t, filepath.Join(p.TaskDir("j-1/2", 1), "child"))
 	process.Stop(200 * time.Millisecond)
 	if awaitExit(t, ended) {
 		t.Error("a stopped task counted as done")
 	}
-	expectEnded(t, child, "its task was stopped")
+	expectProcessEnds(t, child, "its task was stopped")
 	// What a task leaves running goes with it.
 	_, ended = startScript(t, p, "j-1/3", "sleep 60 >/dev/null 2>&1 & echo $! > child")
 	awaitExit(t, ended)
-	expectEnded(t, pidIn(t, filepath.Join(p.TaskDir("j-1/3", 1), "child")), "its task ended")
+	expectProcessEnds(t, awaitPid(t, filepath.Join(p.TaskDir("j-1/3", 1), "child")), "its task ended")
 }
 
-// killedWorker runs a worker with a task whose first process starts another, kills
+// startAndKillWorker runs a worker with a task whose first process starts another, kills
 // the worker, and returns its directory and the processes' numbers. The calling test
 // is run again as that worker, which never returns from here.
-func killedWorker(t *testing.T) (dir string, first, child int) {
+func startAndKillWorker(t *testing.T) (dir string, first, child int) {
 	if dir := os.Getenv("WORKER_TEST_DIR"); dir != "" { // the worker to be killed
 		p := newProcesses(t, dir)
 		startScript(t, p, "j-1/0", "[ -e pid ] && echo 1 > noted || echo 0 > noted; sleep 60 & echo $! > child; echo $$ > first; wait")
@@ -125,7 +125,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	first, child = pidIn(t, filepath.Join(dir, "j-1.0.1", "first")), pidIn(t, filepath.Join(dir, "j-1.0.1", "child"))
+	first, child = awaitPid(t, filepath.Join(dir, "j-1.0.1", "first")), awaitPid(t, filepath.Join(dir, "j-1.0.1", "child"))
 	_ = cmd.Process.Signal(syscall.SIGKILL)
 	_ = cmd.Wait()
 	return dir, first, child
@@ -134,19 +134,19 @@
 // A worker that is itself killed leaves nothing: the kernel ends the tasks' first
 // processes, the next worker the rest.
 func TestKilledWorkerLeavesNoProcesses(t *testing.T) {
-	dir, first, child := killedWorker(t)
-	expectEnded(t, first, "its worker was killed")
+	dir, first, child := startAndKillWorker(t)
+	expectProcessEnds(t, first, "its worker was killed")
 	newProcesses(t, dir)
-	expectEnded(t, child, "the next worker started")
+	expectProcessEnds(t, child, "the next worker started")
 }
 
 // Nor does one that is killed after it started a task's first process and before it
 // noted that process's number: the note is there before the process, and without a
 // number the next worker finds the task's processes all the same.
-func TestWorkerKilledBeforeNotingATaskLeavesNoProcesses(t *testing.T) {
-	dir, first, child := killedWorker(t)
-	expectEnded(t, first, "its worker was killed")
-	if noted := pidIn(t, filepath.Join(dir, "j-1.0.1", "noted")); noted != 1 {
+func TestWorkerKilledBeforeWritingAPidLeavesNoProcesses(t *testing.T) {
+	dir, first, child := startAndKillWorker(t)
+	expectProcessEnds(t, first, "its worker was killed")
+	if noted := awaitPid(t, filepath.Join(dir, "j-1.0.1", "noted")); noted != 1 {
 		t.Error("the task's first process ran before there was a note of it")
 	}
 	if err := os.WriteFile(filepath.Join(dir, "j-1.0.1", "pid"), nil, 0o644); err != nil {
@@ -161,10 +161,10 @@
 		t.Fatal(err)
 	}
 	var ended strings.Builder
-	worker.EndLeftovers(other, slog.New(slog.NewTextHandler(&ended, nil)))
+	worker.KillOrphanedProcesses(other, slog.New(slog.NewTextHandler(&ended, nil)))
 	if ended.Len() > 0 {
 		t.Errorf("a worker ended another worker's task: %s", &ended)
 	}
 	newProcesses(t, dir)
-	expectEnded(t, child, "the next worker started")
+	expectProcessEnds(t, child, "the next worker started")
 }
--- a/internal/worker/recorded_test.go
+++ b/internal/worker/recorded_test.go
@@ -20,7 +20,7 @@
 // recordedState is the state of the worker whose messages were recorded.
 func recordedState() *worker.State {
 	id := worker.Identity{Name: "n-000231", Endpoint: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Lease: time.Hour}
-	return worker.New(id, &site{}, &site{}, func() {}, quiet)
+	return worker.New(id, &fakeBackend{}, &fakeBackend{}, func() {}, discardLogger)
 }
 
 // A worker's reports keep their form.
@@ -39,7 +39,7 @@
 	state := recordedState()
 	defer state.Close()
 	state.Report() // number 1, see report_idle.json
-	handler := (&worker.Agent{State: state, Log: quiet}).Handler()
+	handler := (&worker.Agent{State: state, Log: discardLogger}).Handler()
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -68,7 +68,7 @@
 	if _, err := p.Start("j-1/0", 3, &taskspec.Spec{Argv: []string{"sleep", "600"}, CPUs: 1}, func(int) {}); err != nil {
 		t.Fatal(err)
 	}
-	handler := (&worker.Agent{State: recordedState(), Processes: p, Log: quiet}).Handler()
+	handler := (&worker.Agent{State: recordedState(), Processes: p, Log: discardLogger}).Handler()
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, httptest.NewRequest("GET", "/check/j-1/0/3?timeoutMs=5000&http=/up", nil))
 	if w.Code != http.StatusOK || w.Body.String() != `{"outcome":"unhealthy"}` {
@@ -96,7 +96,7 @@
 	defer here.Close()
 	state := recordedState()
 	defer state.Close()
-	agent := &worker.Agent{State: state, ReportEvery: time.Hour, Log: quiet, Controllers: []worker.Controller{
+	agent := &worker.Agent{State: state, ReportInterval: time.Hour, Log: discardLogger, Controllers: []worker.Controller{
 		{Name: "here", Addr: here.Listener.Addr().String()}, {Name: "there", Addr: there.Listener.Addr().String()},
 	}}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -21,7 +21,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-const keepDone = 10_000 // completed tasks whose result is kept
+const maxStoredResults = 10_000 // completed tasks whose result is kept
 
 // Descriptions is the source of what jobs' tasks run.
 type Descriptions interface {
@@ -62,10 +62,10 @@
 // attempt is an attempt of a task that is reported.
 type attempt struct {
 	wire.Task
-	size    matching.Resources // 0 before its description came
-	process Process            // nil: not started yet, or exited
-	cancel  context.CancelFunc // ends the fetch; nil: there is none
-	halted  bool               // it was stopped; an exit of 0 does not make it done
+	size          matching.Resources // 0 before its description came
+	process       Process            // nil: not started yet, or exited
+	cancel        context.CancelFunc // ends the fetch; nil: there is none
+	stopRequested bool               // it was stopped; an exit of 0 does not make it done
 }
 
 // State is a worker's state by the protocol. It is safe for concurrent use.
@@ -74,26 +74,26 @@
 	descriptions Descriptions
 	runner       Runner
 	log          *slog.Logger
-	changed      func() // something that is reported changed
+	onChange     func() // something that is reported changed
 
-	mu       sync.Mutex
-	session  uint64
-	seq      uint64
-	token    uint64
-	renewed  time.Time // when the last report that renewed the lease was sent
-	attempts map[attemptKey]*attempt
-	done     *lru.Cache[string, struct{}] // tasks whose result is kept
-	launches sync.WaitGroup               // goroutines that fetch and start tasks
+	mu        sync.Mutex
+	session   uint64
+	seq       uint64
+	token     uint64
+	renewedAt time.Time // when the last report that renewed the lease was sent
+	attempts  map[attemptKey]*attempt
+	completed *lru.Cache[string, struct{}] // tasks whose result is kept
+	launches  sync.WaitGroup               // goroutines that fetch and start tasks
 }
 
 // New returns the state of a worker that has just come up: session 1, its lease
 // beginning now. changed is called in a goroutine of its own whenever a report would
 // differ.
-func New(id Identity, descriptions Descriptions, runner Runner, changed func(), log *slog.Logger) *State {
-	done, _ := lru.New[string, struct{}](keepDone) // fails for sizes below 1 only
+func New(id Identity, descriptions Descriptions, runner Runner, onChange func(), log *slog.Logger) *State {
+	completed, _ := lru.New[string, struct{}](maxStoredResults) // fails for sizes below 1 only
 	return &State{
-		id: id, descriptions: descriptions, runner: runner, changed: changed, log: log, session: 1, renewed: time.Now(),
-		attempts: map[attemptKey]*attempt{}, done: done,
+		id: id, descriptions: descriptions, runner: runner, onChange: onChange, log: log, session: 1, renewedAt: time.Now(),
+		attempts: map[attemptKey]*attempt{}, completed: completed,
 	}
 }
 
@@ -126,7 +126,7 @@
 		return false, false
 	}
 	newToken = response.Token > s.token
-	s.token, s.renewed = response.Token, sent
+	s.token, s.renewedAt = response.Token, sent
 	s.executeLocked(ctx, response.Commands)
 	return true, newToken
 }
@@ -156,20 +156,20 @@
 }
 
 func (s *State) expireLocked() {
-	if time.Since(s.renewed) <= s.id.Lease {
+	if time.Since(s.renewedAt) <= s.id.Lease {
 		return
 	}
 	s.log.Info("lease expired", "session", s.session, "tasks", len(s.attempts))
-	s.dropLocked()
+	s.terminateAllLocked()
 	s.session++
-	s.renewed = time.Now()
-	go s.changed()
+	s.renewedAt = time.Now()
+	go s.onChange()
 }
 
-// dropLocked ends and forgets all attempts.
-func (s *State) dropLocked() {
+// terminateAllLocked ends and forgets all attempts.
+func (s *State) terminateAllLocked() {
 	for key, a := range s.attempts {
-		a.end(0)
+		a.terminate(0)
 		delete(s.attempts, key)
 	}
 }
@@ -178,14 +178,14 @@
 // not wait for the tasks' processes.
 func (s *State) Close() {
 	s.mu.Lock()
-	s.dropLocked()
+	s.terminateAllLocked()
 	s.mu.Unlock()
 	s.launches.Wait()
 }
 
-// end ends an attempt's fetch or process.
-func (a *attempt) end(grace time.Duration) {
-	a.halted = true
+// terminate ends an attempt's fetch or process.
+func (a *attempt) terminate(grace time.Duration) {
+	a.stopRequested = true
 	if a.cancel != nil {
 		a.cancel()
 	}
@@ -194,8 +194,8 @@
 	}
 }
 
-// exit marks an attempt as ended, for a cause of the protocol.
-func (a *attempt) exit(cause string) {
+// markExited marks an attempt as ended, for a cause of the protocol.
+func (a *attempt) markExited(cause string) {
 	a.State, a.Cause = wire.TaskExited, cause
 	a.process = nil
 }
--- a/internal/worker/state_test.go
+++ b/internal/worker/state_test.go
@@ -20,29 +20,29 @@
 	"github.com/wallrack/wallrack/internal/worker"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// site is what a worker needs: descriptions of all jobs but j-0, and a runner of fake
+// fakeBackend is what a worker needs: descriptions of all jobs but j-0, and a runner of fake
 // processes.
-type site struct {
-	mu       sync.Mutex
-	running  map[string]*fakeProcess
-	ranTwice string // a task that was started while it ran
-	down     bool   // the description service is out of order
+type fakeBackend struct {
+	mu          sync.Mutex
+	running     map[string]*fakeProcess
+	ranTwice    string // a task that was started while it ran
+	unavailable bool   // the description service is out of order
 }
 
 // fakeProcess lasts until it is stopped or finished.
 type fakeProcess struct {
-	site   *site
-	task   string
-	exited func(int)
+	backend *fakeBackend
+	task    string
+	exited  func(int)
 }
 
-func (s *site) Get(_ context.Context, job string) (*taskspec.Spec, error) {
+func (s *fakeBackend) Get(_ context.Context, job string) (*taskspec.Spec, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.down:
+	case s.unavailable:
 		return nil, errors.New("out")
 	case job == "j-0":
 		return nil, taskspec.ErrNotFound
@@ -50,7 +50,7 @@
 	return &taskspec.Spec{Argv: []string{"x"}, CPUs: 1}, nil
 }
 
-func (s *site) Start(task string, _ uint64, _ *taskspec.Spec, exited func(int)) (worker.Process, error) {
+func (s *fakeBackend) Start(task string, _ uint64, _ *taskspec.Spec, exited func(int)) (worker.Process, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running[task] != nil {
@@ -63,11 +63,11 @@
 
 // finish ends the process, with code 0 if ok.
 func (p *fakeProcess) finish(ok bool) {
-	p.site.mu.Lock()
-	if p.site.running[p.task] == p {
-		delete(p.site.running, p.task)
+	p.backend.mu.Lock()
+	if p.backend.running[p.task] == p {
+		delete(p.backend.running, p.task)
 	}
-	p.site.mu.Unlock()
+	p.backend.mu.Unlock()
 	code := 0
 	if !ok {
 		code = 1
@@ -78,15 +78,15 @@
 func (p *fakeProcess) Stop(time.Duration) { p.finish(false) }
 
 // newState returns the state of a worker with 4 CPUs and a lease of 10 s.
-func newState(s *site) *worker.State {
+func newState(s *fakeBackend) *worker.State {
 	return worker.New(worker.Identity{Name: "n-1", Endpoint: "127.0.0.1:1", Type: "m", Zone: "z", Size: matching.Resources{CPUs: 4, MemoryGB: 8}, Lease: 10 * time.Second},
-		s, s, func() {}, quiet)
+		s, s, func() {}, discardLogger)
 }
 
 // step is a step of TestLateAndRepeatedCommandsKeepTheProtocol.
 type step struct {
 	Kind, Task, Attempt, Token, Wait int
-	Old                              bool
+	Direct                           bool
 }
 
 // Kinds of steps; those up to stepForget, and above stepOutage, are commands.
@@ -103,32 +103,32 @@
 	}
 }
 
-// lateCommands is a worker that the steps are played to.
-type lateCommands struct {
-	site  *site
-	state *worker.State
-	token int    // the highest fencing token sent
-	wrong string // what broke the protocol
+// commandModel is a worker that the steps are played to.
+type commandModel struct {
+	backend   *fakeBackend
+	state     *worker.State
+	token     int    // the highest fencing token sent
+	violation string // what broke the protocol
 }
 
-// play plays a step, and checks that a command with a lower token did nothing.
-func (l *lateCommands) play(ctx context.Context, st step) {
+// apply plays a step, and checks that a command with a lower token did nothing.
+func (l *commandModel) apply(ctx context.Context, st step) {
 	report := l.state.Report()
 	verb := []string{wire.VerbStart, wire.VerbStart, wire.VerbStart, wire.VerbStop, wire.VerbForget}[min(st.Kind, stepForget)]
 	commands := []wire.Command{{Verb: verb, Task: wire.TaskName("j-"+strconv.Itoa(st.Task), 0), Attempt: uint64(st.Attempt)}}
 	before := len(report.Tasks)
 	switch {
 	case st.Kind == stepFinish:
-		for _, process := range l.site.running {
-			process.finish(st.Old)
+		for _, process := range l.backend.running {
+			process.finish(st.Direct)
 			break
 		}
 	case st.Kind == stepOutage:
-		l.site.down = !l.site.down
-	case st.Old: // a late direct order
+		l.backend.unavailable = !l.backend.unavailable
+	case st.Direct: // a late direct order
 		orders := wire.Orders{Token: uint64(l.token + min(0, st.Token)), Session: report.Session, Commands: commands}
 		if l.state.HandleOrders(ctx, orders) && st.Token < 0 {
-			l.wrong = "an order with a lower token was executed"
+			l.violation = "an order with a lower token was executed"
 		}
 	default:
 		l.token += max(0, st.Token)
@@ -136,12 +136,12 @@
 	}
 	synctest.Wait()
 	if st.Token < 0 && st.Kind < stepFinish && len(l.state.Report().Tasks) != before {
-		l.wrong = "commands with a lower token changed something"
+		l.violation = "commands with a lower token changed something"
 	}
 }
 
 // checkRunning checks that just what is reported as running runs, once, and has room.
-func (l *lateCommands) checkRunning() {
+func (l *commandModel) checkRunning() {
 	report := l.state.Report()
 	synctest.Wait()
 	reported := map[string]bool{}
@@ -150,44 +150,44 @@
 			reported[task.Task] = true
 		}
 	}
-	l.site.mu.Lock()
-	defer l.site.mu.Unlock()
-	if l.site.ranTwice != "" || len(l.site.running) != len(reported) || len(l.site.running) > 4 {
-		l.wrong = fmt.Sprintf("twice %q, reported %v, running %d", l.site.ranTwice, reported, len(l.site.running))
+	l.backend.mu.Lock()
+	defer l.backend.mu.Unlock()
+	if l.backend.ranTwice != "" || len(l.backend.running) != len(reported) || len(l.backend.running) > 4 {
+		l.violation = fmt.Sprintf("twice %q, reported %v, running %d", l.backend.ranTwice, reported, len(l.backend.running))
 	}
 }
 
 // checkExpiry checks that nothing runs after the lease.
-func (l *lateCommands) checkExpiry() {
+func (l *commandModel) checkExpiry() {
 	session := l.state.Report().Session
 	time.Sleep(11 * time.Second)
 	l.state.Expire()
 	synctest.Wait()
-	if report := l.state.Report(); len(l.site.running) != 0 || len(report.Tasks) != 0 || report.Session <= session {
-		l.wrong = fmt.Sprintf("after the lease: %d run, report %+v", len(l.site.running), report)
+	if report := l.state.Report(); len(l.backend.running) != 0 || len(report.Tasks) != 0 || report.Session <= session {
+		l.violation = fmt.Sprintf("after the lease: %d run, report %+v", len(l.backend.running), report)
 	}
 }
 
 // Whatever commands come, late and repeated ones too: no task runs twice at a
 // time, what is reported as running runs and nothing else does, and nothing runs
 // beyond the worker's capacity or the lease.
-func TestLateAndRepeatedCommandsKeepTheProtocol(t *testing.T) {
+func TestInvariantsHoldUnderLateAndRepeatedCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawStep), 1, 40).Draw(rt, "steps")
 		wrong := ""
 		synctest.Test(t, func(t *testing.T) {
-			s := &site{running: map[string]*fakeProcess{}}
-			l := &lateCommands{site: s, state: newState(s), token: 5}
+			s := &fakeBackend{running: map[string]*fakeProcess{}}
+			l := &commandModel{backend: s, state: newState(s), token: 5}
 			l.state.HandleResponse(t.Context(), time.Now(), 1, wire.ReportResponse{Token: 5})
 			for _, st := range steps {
-				l.play(t.Context(), st)
+				l.apply(t.Context(), st)
 				time.Sleep(time.Duration(st.Wait) * time.Millisecond)
 				synctest.Wait()
 				l.checkRunning()
 			}
 			l.checkExpiry()
 			l.state.Close()
-			wrong = l.wrong
+			wrong = l.violation
 		})
 		if wrong != "" {
 			rt.Fatal(wrong)
@@ -198,7 +198,7 @@
 // A result is kept: a task that is started again exits with done at once.
 func TestRepeatedTaskReturnsItsStoredResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &site{running: map[string]*fakeProcess{}}
+		s := &fakeBackend{running: map[string]*fakeProcess{}}
 		state := newState(s)
 		order := func(verb string, attempt uint64) {
 			state.HandleOrders(t.Context(), wire.Orders{Token: 1, Session: 1, Commands: []wire.Command{{Verb: verb, Task: "j-1/0", Attempt: attempt}}})
