--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	reportTimeout      = 4 * time.Second        // of a report
-	retryDelay         = time.Second            // before the next controller is tried
-	minReportInterval  = 500 * time.Millisecond // of reports because something changed
+	reportTimeout      = 4 * time.Second        // of one report
+	retryDelay         = time.Second            // before a report is sent to the next controller
+	minReportInterval  = 500 * time.Millisecond // of reports sent because the state changed
 	leaseCheckInterval = 100 * time.Millisecond
 	maxResponseBytes   = 4 << 20 // bytes
 )
@@ -29,24 +29,24 @@
 // Controller is a controller that a worker may report to.
 type Controller struct{ Name, Addr string }
 
-// Agent reports a worker's state to one of the controllers, and serves direct orders.
-// The fields must not change after the first call.
+// Agent reports a worker's state to one of the controllers, and serves direct orders. The fields
+// must not change after the first call.
 type Agent struct {
-	State          *State     // the worker's state
-	Processes      *Processes // nil: tasks have no ports, and can't be checked
+	State          *State
+	Processes      *Processes // nil: tasks get no ports and can't be checked
 	Controllers    []Controller
-	ReportInterval time.Duration     // the mean; each interval is up to a quarter shorter or longer
-	Transport      http.RoundTripper // for reports; nil: one connection of its own
+	ReportInterval time.Duration     // mean interval; each one varies by up to a quarter in either direction
+	Transport      http.RoundTripper // for reports; nil: the agent uses a transport of its own
 	Log            *slog.Logger
 
 	once            sync.Once
 	wake            chan struct{}
-	lastTokenChange time.Time // when a higher fencing token last counted as a change
+	lastTokenChange time.Time // time of the last early report because of a higher fencing token
 }
 
 func (a *Agent) init() { a.once.Do(func() { a.wake = make(chan struct{}, 1) }) }
 
-// ReportSoon makes the next report come soon. It never blocks.
+// ReportSoon triggers an early report. It never blocks.
 func (a *Agent) ReportSoon() {
 	a.init()
 	select {
@@ -55,8 +55,8 @@
 	}
 }
 
-// Run reports, beginning with any of the controllers, and expires the lease, until ctx
-// ends. It returns the error of ctx, or one at once if there is no controller.
+// Run sends reports, starting with a random controller, and expires the lease until ctx ends. It
+// returns ctx's error, or an error immediately if there are no controllers.
 func (a *Agent) Run(ctx context.Context) error {
 	if len(a.Controllers) == 0 {
 		return errors.New("no controller to report to")
@@ -64,7 +64,7 @@
 	a.init()
 	var expiry sync.WaitGroup
 	expiry.Go(func() { a.runLeaseExpiry(ctx) })
-	defer expiry.Wait() // ctx has ended
+	defer expiry.Wait() // returns soon: ctx has ended
 	client := &http.Client{Transport: a.Transport}
 	if a.Transport == nil {
 		client.Transport = &http.Transport{MaxIdleConnsPerHost: 1}
@@ -84,10 +84,10 @@
 	}
 }
 
-// waitForNextReport waits before the next report: for so long, or, if that is 0, for the usual
-// interval or until something changed.
+// waitForNextReport waits before the next report. If wait is 0, it waits for the usual interval,
+// or until ReportSoon is called.
 func (a *Agent) waitForNextReport(ctx context.Context, sent time.Time, wait time.Duration) {
-	var wake <-chan struct{} // changes don't hasten the next controller's turn
+	var wake <-chan struct{} // nil after a failed or redirected report: changes must not shorten the wait
 	if wait == 0 {
 		wake = a.wake
 		wait = time.Duration((0.75 + 0.5*rand.Float64()) * float64(a.ReportInterval))
@@ -98,7 +98,7 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	case <-wake:
-		// Soon, but not sooner than is allowed.
+		// Report early, but keep the minimum interval.
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Until(sent.Add(minReportInterval))):
@@ -106,33 +106,33 @@
 	}
 }
 
-// runLeaseExpiry expires the lease until ctx ends.
+// runLeaseExpiry checks the lease for expiry until ctx ends.
 func (a *Agent) runLeaseExpiry(ctx context.Context) {
-	_ = periodic.Run(ctx, leaseCheckInterval, a.State.Expire) // ends with ctx
+	_ = periodic.Run(ctx, leaseCheckInterval, a.State.Expire) // returns when ctx ends
 }
 
-// sendReport sends one sendReport. It returns the controller to go on with, and how long
-// to wait before; 0 means the usual interval.
+// sendReport sends one report to a controller. It returns the controller for the next report and
+// the time to wait before it; 0 means the usual interval.
 func (a *Agent) sendReport(ctx context.Context, client *http.Client, current int) (next int, wait time.Duration) {
 	other := (current + 1) % len(a.Controllers)
 	controller := a.Controllers[current]
 	report := a.State.Report()
 	body, err := json.Marshal(report)
 	if err != nil {
-		a.Log.Error("report not encoded", "err", err)
+		a.Log.Error("encode report failed", "err", err)
 		return other, retryDelay
 	}
 	sent := time.Now()
 	status, data, err := postReport(ctx, client, "http://"+controller.Addr+"/v1/report", body)
 	if err != nil {
-		a.Log.Debug("no response to the report", "controller", controller.Name, "err", err)
+		a.Log.Debug("report request failed", "controller", controller.Name, "err", err)
 		return other, retryDelay
 	}
 	switch status {
 	case http.StatusOK:
 		var response wire.ReportResponse
 		if err := json.Unmarshal(data, &response); err != nil {
-			a.Log.Info("malformed response to the report", "controller", controller.Name, "err", err)
+			a.Log.Info("malformed response to report", "controller", controller.Name, "err", err)
 			return other, retryDelay
 		}
 		a.handleResponse(ctx, sent, report.Session, response)
@@ -158,13 +158,14 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = resp.Body.Close() }() // what was read counts
+	defer func() { _ = resp.Body.Close() }() // the body has been read
 	data, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return resp.StatusCode, data, err
 }
 
-// handleResponse takes a response to a report. A higher fencing token is reported soon, so that
-// it is known to be in effect, but at most twice in a lease.
+// handleResponse applies the response to a report. After a higher fencing token it triggers an
+// early report, so that the controller learns that the token is in effect, but at most twice per
+// lease.
 func (a *Agent) handleResponse(ctx context.Context, sent time.Time, session uint64, response wire.ReportResponse) {
 	_, newToken := a.State.HandleResponse(ctx, sent, session, response)
 	if newToken && time.Since(a.lastTokenChange) > a.State.id.Lease/2 {
@@ -173,11 +174,11 @@
 	}
 }
 
-// redirectTarget finds the controller, other than the current one, that a response names.
+// redirectTarget returns the controller that a redirect names, unless it is the current one.
 func (a *Agent) redirectTarget(data []byte, current int) (next int, ok bool) {
 	var redirect wire.Redirect
 	if json.Unmarshal(data, &redirect) != nil {
-		return 0, false // as one that names nobody
+		return 0, false // treated as a redirect that names no controller
 	}
 	for i, controller := range a.Controllers {
 		if controller.Name == redirect.ReportTo && i != current {
@@ -187,7 +188,7 @@
 	return 0, false
 }
 
-// Handler serves direct orders, the report on request, and checks of tasks.
+// Handler serves direct orders, reports on request and health checks of tasks.
 func (a *Agent) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /orders", a.serveOrders)
@@ -196,7 +197,7 @@
 	return mux
 }
 
-// serveOrders executes direct orders and responds with a report, of status 409 if they
+// serveOrders executes direct orders and responds with a report. The status is 409 if the orders
 // were refused.
 func (a *Agent) serveOrders(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
--- a/internal/worker/check.go
+++ b/internal/worker/check.go
@@ -14,7 +14,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Outcomes of a check.
+// Outcomes of a health check.
 const (
 	CheckHealthy   = "healthy"
 	CheckUnhealthy = "unhealthy"
@@ -23,8 +23,8 @@
 
 const maxCheckTimeout = 30 * time.Second
 
-// check checks what listens on a task's port: that it accepts connections, or, if a path
-// is given, that it responds with a status of 200 to 299.
+// check checks a task's port: without a path, that it accepts connections; with a path, that it
+// responds with a status from 200 to 299.
 func check(ctx context.Context, port int, path string, timeout time.Duration) string {
 	ctx, cancel := context.WithTimeout(ctx, min(timeout, maxCheckTimeout))
 	defer cancel()
@@ -34,7 +34,7 @@
 		if err != nil {
 			return outcomeOfError(err)
 		}
-		_ = conn.Close() // it came about, which is what counts
+		_ = conn.Close() // the connection succeeded, which is all that is checked
 		return CheckHealthy
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
@@ -56,7 +56,7 @@
 	return CheckUnhealthy
 }
 
-// outcomeOfError tells a timeout from other failures.
+// outcomeOfError distinguishes timeouts from other failures.
 func outcomeOfError(err error) string {
 	if errors.Is(err, context.DeadlineExceeded) || os.IsTimeout(err) {
 		return CheckHung
@@ -64,13 +64,12 @@
 	return CheckUnhealthy
 }
 
-// checkResponse is the response to a check.
 type checkResponse struct {
 	Outcome string `json:"outcome"`
 }
 
-// serveCheck checks a task that runs here: GET /check/JOB/N/ATTEMPT with http=PATH
-// or tcp=1, and timeoutMs.
+// serveCheck checks a task that runs on this worker: GET /check/JOB/N/ATTEMPT with http=PATH or
+// tcp=1, and timeoutMs.
 func (a *Agent) serveCheck(w http.ResponseWriter, r *http.Request) {
 	attempt, err := strconv.ParseUint(r.PathValue("attempt"), 10, 64)
 	query := r.URL.Query()
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	fetchTries   = 5 // to get a description before the task fails
+	fetchTries   = 5 // to fetch a task description before the attempt fails
 	fetchBackoff = 300 * time.Millisecond
 )
 
-// executeLocked executes commands. One that does not fit the state of its attempt, such
-// as a repeated one, does nothing.
+// executeLocked executes commands. A command that doesn't apply in the attempt's current state,
+// such as a repeated one, is ignored.
 func (s *State) executeLocked(ctx context.Context, commands []wire.Command) {
 	changed := false
 	for _, command := range commands {
@@ -39,8 +39,7 @@
 	}
 }
 
-// stop ends an attempt by command, a process with a grace period in seconds if there is
-// one.
+// stop executes a stop command. graceS is the grace period of the process in seconds; nil: none.
 func (a *attempt) stop(graceS *float64) {
 	if a.State == wire.TaskFetching {
 		a.terminate(0)
@@ -54,7 +53,7 @@
 	a.terminate(grace)
 }
 
-// launchLocked executes a start command for an attempt that is not known.
+// launchLocked executes a start command for a new attempt.
 func (s *State) launchLocked(ctx context.Context, key attemptKey) {
 	job, _, err := wire.ParseTask(key.task)
 	a := &attempt{Task: wire.Task{Task: key.task, Attempt: key.attempt, State: wire.TaskFetching}}
@@ -69,7 +68,7 @@
 			return
 		}
 	}
-	// The fetch outlives the exchange that carried the command.
+	// The fetch continues after the request that carried the command has ended.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	a.cancel = cancel
 	session := s.session
@@ -80,7 +79,8 @@
 	})
 }
 
-// fetchSpec gets a description, in up to fetchTries tries if the service does not respond.
+// fetchSpec fetches a task description. It tries up to fetchTries times if the service does not
+// respond.
 func (s *State) fetchSpec(ctx context.Context, job string) (*taskspec.Spec, error) {
 	for try := 1; ; try++ {
 		spec, err := s.descriptions.Get(ctx, job)
@@ -95,24 +95,25 @@
 	}
 }
 
-// finishLaunch starts an attempt whose description came, or makes it exit.
+// finishLaunch starts the attempt's process, or marks the attempt as exited if its description
+// could not be fetched or its result is already known.
 func (s *State) finishLaunch(key attemptKey, a *attempt, session uint64, spec *taskspec.Spec, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer func() { go s.onChange() }()
 	if s.session != session || s.attempts[key] != a || a.State != wire.TaskFetching {
-		return // stopped, or the session is over
+		return // the attempt was stopped, or the session has ended
 	}
 	switch {
 	case errors.Is(err, taskspec.ErrNotFound):
 		a.markExited(wire.CauseUnknown)
 		return
 	case err != nil:
-		s.log.Info("no task description", "task", key.task, "err", err)
+		s.log.Info("fetch task description failed", "task", key.task, "err", err)
 		a.markExited(wire.CauseError)
 		return
 	case s.completed.Contains(key.task):
-		a.markExited(wire.CauseDone) // its result is kept
+		a.markExited(wire.CauseDone) // the task completed in an earlier attempt
 		return
 	}
 	a.size = matching.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
@@ -129,7 +130,8 @@
 	a.State, a.process = wire.TaskRunning, process
 }
 
-// freeLocked is what the worker has left beside all attempts but one.
+// freeLocked returns the worker's capacity minus the resources of all attempts that have not
+// exited, except the given one.
 func (s *State) freeLocked(except *attempt) matching.Resources {
 	free := s.id.Size
 	for _, a := range s.attempts {
@@ -140,7 +142,7 @@
 	return free
 }
 
-// processExited notes the end of an attempt's process.
+// processExited records the exit of an attempt's process.
 func (s *State) processExited(key attemptKey, a *attempt, session uint64, code int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +151,7 @@
 	}
 	switch {
 	case a.stopRequested:
-		a.markExited(wire.CauseStopped) // even with code 0: its work may be incomplete
+		a.markExited(wire.CauseStopped) // even with code 0, since a stopped task may not have finished its work
 	case code == 0:
 		s.completed.ContainsOrAdd(key.task, struct{}{})
 		a.markExited(wire.CauseDone)
--- a/internal/worker/leftovers.go
+++ b/internal/worker/leftovers.go
@@ -20,28 +20,28 @@
 	taskDirVar = "WALLRACK_TASK_DIR"
 )
 
-// KillOrphanedProcesses kills the process groups that a worker with its tasks in dir, which
-// was itself killed, may have left: the kernel ends only their first process. Processes
-// that can't be read are skipped. It does not wait for the ends.
+// KillOrphanedProcesses kills the process groups that an earlier worker with its tasks in dir
+// left behind when it was killed: the kernel kills only each task's first process. Processes
+// whose /proc files can't be read are skipped. It does not wait for the processes to exit.
 func KillOrphanedProcesses(dir string, log *slog.Logger) {
 	pidFiles, _ := filepath.Glob(filepath.Join(dir, "*", pidFile)) // the pattern is well formed
 	for _, file := range pidFiles {
 		groups, err := orphanedGroups(file)
 		if err != nil {
-			continue // tried again at the next start
+			continue // retried when a worker starts again
 		}
 		for _, group := range groups {
 			if err := syscall.Kill(-group, syscall.SIGKILL); err == nil {
-				log.Info("process group of an earlier worker killed", "group", group)
+				log.Info("orphaned process group killed", "group", group)
 			}
 		}
-		_ = os.Remove(file) // tried again at the next start if it stays
+		_ = os.Remove(file) // if it remains, it is handled when a worker starts again
 	}
 }
 
-// orphanedGroups finds the process groups of the task that a note belongs to. A
-// note without a number is of a task whose worker was killed while it started it;
-// its processes are found by their environment.
+// orphanedGroups returns the process groups of the task that a pid file belongs to. An empty pid
+// file means that the worker was killed while it started the task; the task's processes are then
+// found by their environment.
 func orphanedGroups(file string) ([]int, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -58,12 +58,12 @@
 	if group <= 1 {
 		return nil, nil
 	}
-	// The number could be another process group's by now.
+	// The pid may have been reused for another process group.
 	return groupsWithEnvironment(attemptVar+"=", group), nil
 }
 
-// taskDirEntry is the entry of a task's environment that names its directory. It
-// differs between the workers of a machine, which the other entries don't.
+// taskDirEntry returns the environment entry that names a task's directory. Unlike the other
+// entries, it differs between workers on the same machine.
 func taskDirEntry(taskDir string) (string, error) {
 	absolute, err := filepath.Abs(taskDir)
 	if err != nil {
@@ -72,9 +72,8 @@
 	return taskDirVar + "=" + absolute, nil
 }
 
-// groupsWithEnvironment finds the process groups in which a process has an entry
-// in its environment that begins with prefix. A group other than 0 limits the
-// search to it.
+// groupsWithEnvironment returns the process groups in which a process has an environment entry
+// that begins with prefix. If group is not 0, only that group is searched.
 func groupsWithEnvironment(prefix string, group int) []int {
 	found := map[int]bool{}
 	directories, _ := filepath.Glob("/proc/[0-9]*") // the pattern is well formed
@@ -91,22 +90,22 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// processGroup reads the group of the process with a directory below /proc. Groups
-// that can't be a task's, such as the kernel's, are left out.
+// processGroup returns the process group of the process with the given directory below /proc. ok
+// is false for groups that can't be a task's, such as those of kernel threads.
 func processGroup(directory string) (group int, ok bool) {
 	status, err := readProcessStatus(directory)
 	return status.group, err == nil && status.group > 1
 }
 
-// Limits of the wait for a process that is in exec.
+// Polling of a process that is executing exec.
 const (
 	execTimeout  = time.Second
 	execInterval = time.Millisecond
 )
 
-// processEnvironment reads the environment of the process with a directory below
-// /proc. While a process is in exec the kernel shows an empty one, which is waited
-// out.
+// processEnvironment reads the environment of the process with the given directory below /proc.
+// The kernel shows an empty environment during exec, so an empty one is read again until exec has
+// finished.
 func processEnvironment(directory string) ([]byte, error) {
 	for deadline := time.Now().Add(execTimeout); ; time.Sleep(execInterval) {
 		environment, err := os.ReadFile(filepath.Join(directory, "environ"))
@@ -120,14 +119,14 @@
 	}
 }
 
-// processStatus is what is read of a process's stat file.
+// processStatus is the part of a process's stat file that is used.
 type processStatus struct {
-	group         int
-	ended         bool // but not yet waited for
-	emptyEnvironment bool // it has exec behind it, and an environment without entries
+	group            int
+	ended            bool // exited, but not yet waited for
+	emptyEnvironment bool // exec has finished, and the environment has no entries
 }
 
-// Fields of a stat file, counted from the one after the process's name.
+// Indices of the fields in a stat file, counted from the field after the process name.
 const (
 	stateField            = 0
 	groupField            = 2
@@ -136,13 +135,13 @@
 	environmentEndField   = 48
 )
 
-// readProcessStatus reads the stat file of the process with a directory below /proc.
+// readProcessStatus reads the stat file of the process with the given directory below /proc.
 func readProcessStatus(directory string) (processStatus, error) {
 	data, err := os.ReadFile(filepath.Join(directory, "stat"))
 	if err != nil {
 		return processStatus{}, err
 	}
-	// The name may hold spaces and parentheses.
+	// The process name may contain spaces and parentheses.
 	fields := strings.Fields(string(data[bytes.LastIndexByte(data, ')')+1:]))
 	if len(fields) <= environmentEndField {
 		return processStatus{}, fmt.Errorf("%s: %d fields after the name", directory, len(fields))
@@ -151,13 +150,13 @@
 	if err != nil {
 		return processStatus{}, fmt.Errorf("%s: process group: %w", directory, err)
 	}
-	// In exec the kernel sets the environment's end to its start before it copies the
-	// entries; the code's start is set only after that.
+	// During exec the kernel sets the end of the environment to its start before it copies the
+	// entries, and sets the code's start only after that.
 	execDone := fields[codeStartField] != "0"
 	start, end := fields[environmentStartField], fields[environmentEndField]
 	return processStatus{
-		group:         group,
-		ended:         fields[stateField] == "Z" || fields[stateField] == "X",
+		group:            group,
+		ended:            fields[stateField] == "Z" || fields[stateField] == "X",
 		emptyEnvironment: execDone && end != "0" && start == end,
 	}, nil
 }
--- a/internal/worker/leftovers_test.go
+++ b/internal/worker/leftovers_test.go
@@ -14,8 +14,8 @@
 	"github.com/wallrack/wallrack/internal/subprocess"
 )
 
-// startWithEnvironment starts a script of sh with nothing but some entries in its
-// environment, and returns its directory below /proc.
+// startWithEnvironment runs a shell script with only the given entries in its environment, and
+// returns the process's directory below /proc.
 func startWithEnvironment(t *testing.T, script string, entries ...string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "script")
@@ -29,13 +29,13 @@
 	}
 	t.Cleanup(func() {
 		_ = command.Process.Kill()
-		_ = command.Wait() // killed: as wanted
+		_ = command.Wait() // the process was killed
 	})
 	return fmt.Sprintf("/proc/%d", command.Process.Pid)
 }
 
-// A process that is in exec again and again is never seen without its environment,
-// so that what an earlier worker left is found at whatever moment it is looked for.
+// The environment of a process that calls exec in a loop is always read. Otherwise a new worker
+// would miss orphaned processes that are in exec at that moment.
 func TestEnvironmentOfAProcessInExecIsRead(t *testing.T) {
 	directory := startWithEnvironment(t, `exec /bin/sh "$0"`, attemptVar+"=1")
 	for read := range 10_000 {
@@ -46,7 +46,8 @@
 	}
 }
 
-// A process without any environment, and one that has ended, are not waited for.
+// A process without environment entries and a process that has exited don't delay the read until
+// the timeout.
 func TestEmptyEnvironmentAndEndedProcessReturnAtOnce(t *testing.T) {
 	bare := startWithEnvironment(t, "exec /usr/bin/env -i /bin/sleep 60", attemptVar+"=1")
 	ended := startWithEnvironment(t, "exit 0", attemptVar+"=1")
@@ -54,16 +55,16 @@
 		awaitStatus(t, directory, func(status processStatus) bool { return status.emptyEnvironment || status.ended })
 		begin := time.Now()
 		environment, err := processEnvironment(directory)
-		if len(environment) > 0 || err != nil && !errors.Is(err, syscall.ESRCH) { // which some kernels say of one that has ended
-			t.Errorf("%q, %v", environment, err)
+		if len(environment) > 0 || err != nil && !errors.Is(err, syscall.ESRCH) { // some kernels return ESRCH for an exited process
+			t.Errorf("read environment %q, error %v", environment, err)
 		}
 		if took := time.Since(begin); took >= execTimeout {
-			t.Errorf("it took %v", took)
+			t.Errorf("read took %v, want less than the timeout", took)
 		}
 	}
 }
 
-// awaitStatus waits until a process is as wanted.
+// awaitStatus waits until a process's status satisfies a condition.
 func awaitStatus(t *testing.T, directory string, condition func(processStatus) bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -75,5 +76,5 @@
 			return
 		}
 	}
-	t.Fatal("the process did not come to be as wanted")
+	t.Fatal("the process did not reach the wanted status")
 }
--- a/internal/worker/output.go
+++ b/internal/worker/output.go
@@ -9,12 +9,12 @@
 	"sync"
 )
 
-// taskOutputs are the files that a task writes to.
+// taskOutputs are the files that a task's output is written to.
 type taskOutputs struct{ files []*boundedFile }
 
-// openOutputs opens what a task's standard output and error go to: its own files in dir,
-// and those that its user named, "" for none. Each takes maxLog bytes. After an error
-// none is open.
+// openOutputs connects a task's standard output and error to its own files in dir and to the
+// files that its user named ("" for none). Each file takes at most maxLog bytes. After an error
+// no file is open.
 func openOutputs(cmd *exec.Cmd, dir string, userFiles [2]string, maxLog int64) (*taskOutputs, error) {
 	o := &taskOutputs{}
 	if err := o.connect(cmd, dir, userFiles, maxLog); err != nil {
@@ -25,7 +25,7 @@
 }
 
 func (o *taskOutputs) connect(cmd *exec.Cmd, dir string, userFiles [2]string, maxLog int64) error {
-	shared := map[string]*boundedFile{} // one file may be named for both streams
+	shared := map[string]*boundedFile{} // the user may name one file for both streams
 	for i, stream := range []*io.Writer{&cmd.Stdout, &cmd.Stderr} {
 		own, err := o.create(filepath.Join(dir, [...]string{StdoutFile, StderrFile}[i]), maxLog)
 		if err != nil {
@@ -56,7 +56,7 @@
 	return b, nil
 }
 
-// close closes the files after the task.
+// close closes the files after the task has exited.
 func (o *taskOutputs) close() {
 	for _, b := range o.files {
 		b.close()
@@ -70,7 +70,7 @@
 	}
 }
 
-// boundedFile is a file that takes so many bytes and then drops the rest.
+// boundedFile is a file that stores a limited number of bytes and drops the rest.
 type boundedFile struct {
 	mu        sync.Mutex
 	f         *os.File
@@ -78,8 +78,8 @@
 	dropped   int64
 }
 
-// Write implements io.Writer; it never fails, so that a full disk or bound ends
-// no task.
+// Write implements io.Writer. It never fails, so that a full disk or an exceeded limit does not
+// end the task.
 func (b *boundedFile) Write(data []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -100,8 +100,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.dropped > 0 {
-		_, _ = fmt.Fprintf(b.f, "\n[%d bytes more were dropped]\n", b.dropped) // a full disk ends no task
+		_, _ = fmt.Fprintf(b.f, "\n[%d bytes more were dropped]\n", b.dropped) // a full disk does not end the task
 	}
-	_ = b.f.Close() // likewise
+	_ = b.f.Close() // as above
 	b.remaining = 0
 }
--- a/internal/worker/processes.go
+++ b/internal/worker/processes.go
@@ -26,23 +26,23 @@
 	scriptFile = "script"
 )
 
-// Processes runs tasks as process groups below a directory, one each. It is safe for
-// concurrent use.
+// Processes runs each task as a process group, with a directory of its own below dir. It is safe
+// for concurrent use.
 type Processes struct {
-	WorkerName string // its name, for tasks; set it before the first one starts
+	WorkerName string // passed to tasks; must be set before the first task starts
 
 	dir      string
 	maxLog   int64
 	log      *slog.Logger
 	mu       sync.Mutex
-	groups   map[int]*process // by process group
+	groups   map[int]*process // by process group id
 	closed   bool
 	watchers sync.WaitGroup
 }
 
-// NewProcesses prepares dir and ends what an earlier worker left running there.
-// What a task writes to standard output and error beyond maxLog bytes each is
-// dropped, with a note.
+// NewProcesses creates dir and kills the processes that an earlier worker left there. Standard
+// output and standard error of a task are cut off after maxLog bytes each, with a note of how
+// much was dropped.
 func NewProcesses(dir string, maxLog int64, log *slog.Logger) (*Processes, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("tasks' directory: %w", err)
@@ -52,7 +52,7 @@
 	return p, nil
 }
 
-// TaskDir is where the files of a task's attempt are.
+// TaskDir returns the directory of a task's attempt.
 func (p *Processes) TaskDir(task string, attempt uint64) string {
 	return filepath.Join(p.dir, strings.ReplaceAll(task, "/", ".")+"."+strconv.FormatUint(attempt, 10))
 }
@@ -62,10 +62,10 @@
 	pgid int
 	port int
 	dir  string
-	done chan struct{} // closed when the group has ended
+	done chan struct{} // closed when the group has exited
 
 	mu         sync.Mutex
-	terminated bool // SIGTERM was sent; SIGKILL follows
+	terminated bool // SIGTERM was sent; SIGKILL follows after the grace period
 	killed     bool
 }
 
@@ -80,8 +80,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Should another process take the port first, the task fails, and is started
-	// again with another.
+	// If another process takes the port first, the task fails and is started again with another
+	// port.
 	ports, err := subprocess.FreePorts(1)
 	if err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cmd.Env = append(cmd.Env, dirEntry) // after the job's own, so that none of those replaces it
+	cmd.Env = append(cmd.Env, dirEntry) // after the job's own variables, so that none of them overrides it
 	var userFiles [2]string
 	if spec.Slurm != nil {
 		slurm, err := spec.Slurm.Of(number, attempt, p.WorkerName)
@@ -116,7 +116,7 @@
 	return proc, nil
 }
 
-// taskCommand makes a task's directory, and the command that a description says.
+// taskCommand creates a task's directory and returns the command of its description.
 func taskCommand(dir string, spec *taskspec.Spec) (*exec.Cmd, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("task's directory: %w", err)
@@ -135,53 +135,54 @@
 	if spec.Dir != "" {
 		cmd.Dir = spec.Dir
 	}
-	// A grandchild that keeps the output open must not keep the task.
+	// A descendant that keeps the output open must not delay the task's exit.
 	cmd.WaitDelay = time.Second
 	return cmd, nil
 }
 
-// startProcess starts a task's first process and notes it, for a later worker to find; watch is
-// run in a goroutine that Close waits for. The note is there, without a number, before
-// the process is: the worker may be killed at any time.
+// startProcess starts a task's first process and writes its pid file, by which a later worker
+// finds orphaned processes. The pid file is created empty before the process starts, because the
+// worker may be killed at any time. watch runs in a goroutine that Close waits for.
 func (p *Processes) startProcess(cmd *exec.Cmd, proc *process, watch func()) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		return errors.New("the worker is ending")
+		return errors.New("worker is shutting down")
 	}
 	file, err := os.Create(filepath.Join(proc.dir, pidFile))
 	if err != nil {
-		return fmt.Errorf("note of the task's process: %w", err)
+		return fmt.Errorf("create pid file: %w", err)
 	}
-	defer func() { _ = file.Close() }() // what was written counts, and is checked
+	defer func() { _ = file.Close() }() // the write was checked
 	if err := subprocess.Start(cmd); err != nil {
-		_ = os.Remove(file.Name()) // one that stays finds no process
-		return fmt.Errorf("start: %w", err)
+		_ = os.Remove(file.Name()) // a stale pid file matches no process
+		return fmt.Errorf("start process: %w", err)
 	}
 	proc.pgid = cmd.Process.Pid
 	p.groups[proc.pgid] = proc
 	if _, err := file.WriteString(strconv.Itoa(proc.pgid)); err != nil {
-		p.log.Error("noting a task's process group failed", "dir", proc.dir, "err", err)
+		p.log.Error("write task's pid file failed", "dir", proc.dir, "err", err)
 	}
-	p.watchers.Go(watch) // with the lock held, so that Close can't miss it
+	p.watchers.Go(watch) // while the lock is held, so that Close waits for it
 	return nil
 }
 
-// waitForExit waits for a task's first process, ends the rest of its group, and returns its
-// exit code.
+// waitForExit waits for a task's first process, kills the rest of its group and returns the exit
+// code.
 func (p *Processes) waitForExit(cmd *exec.Cmd, proc *process, outputs *taskOutputs) int {
 	err := cmd.Wait()
-	_ = syscall.Kill(-proc.pgid, syscall.SIGKILL) // mostly the group has ended
+	_ = syscall.Kill(-proc.pgid, syscall.SIGKILL) // usually the whole group has exited
 	p.mu.Lock()
 	delete(p.groups, proc.pgid)
 	p.mu.Unlock()
 	outputs.close()
-	_ = os.Remove(filepath.Join(proc.dir, pidFile)) // one that stays finds no process
+	_ = os.Remove(filepath.Join(proc.dir, pidFile)) // a stale pid file matches no process
 	close(proc.done)
 	return exitCode(err)
 }
 
-// exitCode is a process's exit code as shells have it.
+// exitCode returns the exit code by the shells' convention: 128 plus the signal's number for a
+// process killed by a signal.
 func exitCode(err error) int {
 	var ended *exec.ExitError
 	switch {
@@ -207,19 +208,19 @@
 	}
 	if grace <= 0 || pr.killed {
 		pr.killed = true
-		_ = syscall.Kill(-pr.pgid, syscall.SIGKILL) // ended already: as wanted
+		_ = syscall.Kill(-pr.pgid, syscall.SIGKILL) // fails only if the group has exited
 		return
 	}
 	if pr.terminated {
-		return // its grace period has begun
+		return // the grace period has begun
 	}
 	pr.terminated = true
-	_ = syscall.Kill(-pr.pgid, syscall.SIGTERM) // ended already: as wanted
-	// Not stopped when the task ends earlier: it does nothing then.
+	_ = syscall.Kill(-pr.pgid, syscall.SIGTERM) // fails only if the group has exited
+	// The timer is not stopped when the task exits earlier; Stop then does nothing.
 	time.AfterFunc(grace, func() { pr.Stop(0) })
 }
 
-// Port is the port that a running attempt was given, or 0.
+// Port returns the port assigned to a running attempt, or 0 if the attempt is not running.
 func (p *Processes) Port(task string, attempt uint64) int {
 	dir := p.TaskDir(task, attempt)
 	p.mu.Lock()
@@ -232,7 +233,7 @@
 	return 0
 }
 
-// Close kills all tasks and waits until they have ended. No task starts afterwards.
+// Close kills all tasks and waits until they have exited. No task can start afterwards.
 func (p *Processes) Close() {
 	p.mu.Lock()
 	if p.closed {
@@ -241,7 +242,7 @@
 	}
 	p.closed = true
 	for _, proc := range p.groups {
-		_ = syscall.Kill(-proc.pgid, syscall.SIGKILL) // ended already: as wanted
+		_ = syscall.Kill(-proc.pgid, syscall.SIGKILL) // fails only if the group has exited
 	}
 	p.mu.Unlock()
 	p.watchers.Wait()
--- a/internal/worker/recorded_test.go
+++ b/internal/worker/recorded_test.go
@@ -17,13 +17,13 @@
 	"github.com/wallrack/wallrack/internal/worker"
 )
 
-// recordedState is the state of the worker whose messages were recorded.
+// recordedState returns the state of the worker whose messages were recorded.
 func recordedState() *worker.State {
 	id := worker.Identity{Name: "n-000231", Endpoint: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Lease: time.Hour}
 	return worker.New(id, &fakeBackend{}, &fakeBackend{}, func() {}, discardLogger)
 }
 
-// A worker's reports keep their form.
+// Reports are encoded as recorded.
 func TestRecordedReport(t *testing.T) {
 	state := recordedState()
 	defer state.Close()
@@ -34,11 +34,11 @@
 	})
 }
 
-// A worker understands the recorded requests, and responds with the recorded bytes.
+// The recorded requests are understood, and the responses match the recorded bytes.
 func TestRecordedRequests(t *testing.T) {
 	state := recordedState()
 	defer state.Close()
-	state.Report() // number 1, see report_idle.json
+	state.Report() // takes sequence number 1, as in report_idle.json
 	handler := (&worker.Agent{State: state, Log: discardLogger}).Handler()
 	for _, c := range []struct {
 		method, path, body string
@@ -57,12 +57,13 @@
 		handler.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
 		want := string(recorded.Read(t, c.response))
 		if w.Code != c.status || w.Body.String()+"\n" != want || w.Header().Get("Content-Type") != "application/json" {
-			t.Errorf("%s %s %s: %d %s; it was %d %s", c.method, c.path, c.body, w.Code, w.Body, c.status, want)
+			t.Errorf("%s %s %s: %d %s; recorded: %d %s", c.method, c.path, c.body, w.Code, w.Body, c.status, want)
 		}
 	}
 }
 
-// The response to a check of a running task has the recorded bytes; nothing listens at its port.
+// The response to a check of a running task matches the recorded bytes. Nothing listens on its
+// port.
 func TestRecordedCheck(t *testing.T) {
 	p := newProcesses(t, t.TempDir())
 	if _, err := p.Start("j-1/0", 3, &taskspec.Spec{Argv: []string{"sleep", "600"}, CPUs: 1}, func(int) {}); err != nil {
@@ -76,12 +77,12 @@
 	}
 }
 
-// A worker sends its report by the recorded request, and does what the recorded responses say:
-// here to report to another controller, and there to start a task.
+// A report is sent as the recorded request, and the recorded responses are followed: the first
+// redirects to another controller, the second starts a task.
 func TestRecordedExchange(t *testing.T) {
 	reports := make(chan string, 1)
 	there := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body) // the check below says it
+		body, _ := io.ReadAll(r.Body) // an unreadable body fails the check below
 		select {
 		case reports <- r.Method + " " + r.URL.Path + " " + r.Header.Get("Content-Type") + " " + string(body):
 		default:
@@ -105,7 +106,7 @@
 	defer func() {
 		cancel()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
-			t.Errorf("the agent ended with %v", err)
+			t.Errorf("Run returned %v", err)
 		}
 	}()
 	report := regexp.MustCompile(`^POST /v1/report application/json ` +
@@ -113,7 +114,7 @@
 	select {
 	case got := <-reports:
 		if !report.MatchString(got) {
-			t.Errorf("reported %s", got)
+			t.Errorf("report request: %s", got)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("no report")
@@ -122,18 +123,18 @@
 		if report := state.Report(); report.Token == 41 && len(report.Tasks) == 1 && report.Tasks[0].Task == "odd" && report.Tasks[0].Attempt == 3 {
 			return
 		} else if time.Since(start) > 20*time.Second {
-			t.Fatalf("the recorded response was not executed: %+v", report)
+			t.Fatalf("the recorded response was not applied: %+v", report)
 		}
 	}
 }
 
-// The outcomes of checks are part of their response's form.
+// The names of the check outcomes are part of the response format.
 func TestRecordedOutcomes(t *testing.T) {
-	for _, words := range []struct{ is, was string }{
+	for _, words := range []struct{ current, recorded string }{
 		{worker.CheckHealthy, "healthy"}, {worker.CheckUnhealthy, "unhealthy"}, {worker.CheckHung, "hung"},
 	} {
-		if words.is != words.was {
-			t.Errorf("the outcome %q is sent as %q", words.was, words.is)
+		if words.current != words.recorded {
+			t.Errorf("the outcome %q is sent as %q", words.recorded, words.current)
 		}
 	}
 }
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -1,11 +1,11 @@
-// Package worker is a worker by the site's protocol: it reports to one controller at a
-// time, executes commands that carry the highest fencing token it has seen, and ends all
-// its tasks when its lease expires.
+// Package worker implements the worker's side of the protocol: a worker reports to one controller
+// at a time, executes commands that carry the highest fencing token it has seen, and ends all its
+// tasks when its lease expires.
 //
-// State is the state by the protocol, Agent its HTTP client and server, Processes a
-// Runner of real processes. Nothing of the state outlives the process; only the files of
-// Processes do, and what is left of an earlier worker is ended by them. The package does
-// not decide what runs where, and does not isolate tasks from each other.
+// State holds the protocol state, Agent is its HTTP client and server, and Processes is a Runner
+// of real processes. The protocol state is lost when the process exits; only the files of
+// Processes remain, and the next worker uses them to kill orphaned processes. The package does
+// not decide which tasks run on which worker, and does not isolate tasks from each other.
 package worker
 
 import (
@@ -21,31 +21,31 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-const maxStoredResults = 10_000 // completed tasks whose result is kept
+const maxStoredResults = 10_000 // completed tasks remembered
 
-// Descriptions is the source of what jobs' tasks run.
+// Descriptions provides the task descriptions of jobs.
 type Descriptions interface {
-	// Get returns the description of a job's tasks; taskspec.ErrNotFound: there is none.
-	// Other errors are tried again. It is called without locks held.
+	// Get returns the description of a job's tasks, or taskspec.ErrNotFound if there is none.
+	// Calls that return other errors are retried. It is called without locks held.
 	Get(ctx context.Context, job string) (*taskspec.Spec, error)
 }
 
 // Runner runs tasks' processes.
 type Runner interface {
-	// Start starts a task. exited is called once, from another goroutine, when
-	// the task and all that it started have ended, with its exit code: 0 is success,
-	// 128 and more a signal, as shells have it. It is not called if Start fails.
+	// Start starts a task. exited is called once, from another goroutine, when the task and all
+	// its child processes have exited. Its argument is the exit code: 0 for success, 128 plus the
+	// signal's number after a signal. It is not called if Start fails.
 	Start(task string, attempt uint64, spec *taskspec.Spec, exited func(code int)) (Process, error)
 }
 
 // Process is a running task.
 type Process interface {
-	// Stop requests that the task ends, and kills it after grace, at once if that is
-	// not above 0. It does not wait for the end.
+	// Stop asks the task to exit, and kills it after the grace period, or immediately if grace is
+	// 0 or less. It does not wait for the exit.
 	Stop(grace time.Duration)
 }
 
-// Identity is what a worker reports of itself, its capacity and the length of its lease.
+// Identity is a worker's identity as reported, with its capacity and the duration of its lease.
 type Identity struct {
 	Name, Endpoint, Type, Zone string
 	Spot                       bool
@@ -53,51 +53,50 @@
 	Lease                      time.Duration
 }
 
-// attemptKey names an attempt of a task.
+// attemptKey identifies an attempt of a task.
 type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-// attempt is an attempt of a task that is reported.
+// attempt is the state of an attempt, as reported to controllers.
 type attempt struct {
 	wire.Task
-	size          matching.Resources // 0 before its description came
+	size          matching.Resources // zero until its description is fetched
 	process       Process            // nil: not started yet, or exited
-	cancel        context.CancelFunc // ends the fetch; nil: there is none
-	stopRequested bool               // it was stopped; an exit of 0 does not make it done
+	cancel        context.CancelFunc // cancels the fetch of the description; nil: no fetch was started
+	stopRequested bool               // exit code 0 does not count as completed then
 }
 
-// State is a worker's state by the protocol. It is safe for concurrent use.
+// State is the protocol state of a worker. It is safe for concurrent use.
 type State struct {
 	id           Identity
 	descriptions Descriptions
 	runner       Runner
 	log          *slog.Logger
-	onChange     func() // something that is reported changed
+	onChange     func() // called when the reported state has changed
 
 	mu        sync.Mutex
 	session   uint64
 	seq       uint64
 	token     uint64
-	renewedAt time.Time // when the last report that renewed the lease was sent
+	renewedAt time.Time // time at which the last report that renewed the lease was sent
 	attempts  map[attemptKey]*attempt
-	completed *lru.Cache[string, struct{}] // tasks whose result is kept
-	launches  sync.WaitGroup               // goroutines that fetch and start tasks
+	completed *lru.Cache[string, struct{}] // names of tasks completed on this worker
+	launches  sync.WaitGroup               // goroutines that fetch descriptions and start tasks
 }
 
-// New returns the state of a worker that has just come up: session 1, its lease
-// beginning now. changed is called in a goroutine of its own whenever a report would
-// differ.
+// New returns the state of a worker that has just started, with session 1 and a lease that begins
+// now. onChange is called in a new goroutine whenever the reported state changes.
 func New(id Identity, descriptions Descriptions, runner Runner, onChange func(), log *slog.Logger) *State {
-	completed, _ := lru.New[string, struct{}](maxStoredResults) // fails for sizes below 1 only
+	completed, _ := lru.New[string, struct{}](maxStoredResults) // fails only for sizes below 1
 	return &State{
 		id: id, descriptions: descriptions, runner: runner, onChange: onChange, log: log, session: 1, renewedAt: time.Now(),
 		attempts: map[attemptKey]*attempt{}, completed: completed,
 	}
 }
 
-// Report makes the next report; its sequence number is never used again.
+// Report returns the next report. Each report has a new sequence number.
 func (s *State) Report() *wire.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,11 +112,11 @@
 	return report
 }
 
-// HandleResponse takes the response to a report of a session: it renews the lease from the time
-// at which the report was sent, and executes the commands. A response with a lower
-// fencing token, or for an earlier session, is dropped: it renews nothing and executes
-// nothing (accepted is false). newToken: the token is higher than any before. Tasks that
-// are started outlive ctx, of which only the values are used.
+// HandleResponse applies the response to a report that was sent at the given time in the given
+// session. It renews the lease from that time and executes the commands. A response without a
+// fencing token, with a lower one, or for another session is ignored (accepted is false).
+// newToken is true if the token is higher than all earlier ones. Tasks continue after ctx has
+// ended; only its values are used.
 func (s *State) HandleResponse(ctx context.Context, sent time.Time, session uint64, response wire.ReportResponse) (accepted, newToken bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,10 +130,9 @@
 	return true, newToken
 }
 
-// HandleOrders executes commands that were sent directly. It returns false if the fencing token
-// is lower than the highest one seen, or the session does not match; nothing was executed
-// then. The lease is not renewed. Tasks that are started outlive ctx, of which only the
-// values are used.
+// HandleOrders executes commands that were sent directly. If the fencing token is lower than the
+// highest one seen, or the session does not match, it executes nothing and returns false. It does
+// not renew the lease. Tasks continue after ctx has ended; only its values are used.
 func (s *State) HandleOrders(ctx context.Context, orders wire.Orders) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,8 +145,8 @@
 	return true
 }
 
-// Expire ends all tasks and begins a new session if the lease has expired. It must be
-// called often: tasks run beyond the lease by the time between two calls.
+// Expire ends all tasks and begins a new session if the lease has expired. Tasks may run beyond
+// the lease by the time between two calls, so it must be called often.
 func (s *State) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +164,7 @@
 	go s.onChange()
 }
 
-// terminateAllLocked ends and forgets all attempts.
+// terminateAllLocked ends and removes all attempts.
 func (s *State) terminateAllLocked() {
 	for key, a := range s.attempts {
 		a.terminate(0)
@@ -174,8 +172,8 @@
 	}
 }
 
-// Close ends every task and waits for the descriptions that are being fetched. It does
-// not wait for the tasks' processes.
+// Close ends every task and waits for the running fetches of descriptions. It does not wait until
+// the tasks' processes have exited.
 func (s *State) Close() {
 	s.mu.Lock()
 	s.terminateAllLocked()
@@ -183,7 +181,7 @@
 	s.launches.Wait()
 }
 
-// terminate ends an attempt's fetch or process.
+// terminate cancels an attempt's fetch or stops its process.
 func (a *attempt) terminate(grace time.Duration) {
 	a.stopRequested = true
 	if a.cancel != nil {
@@ -194,7 +192,7 @@
 	}
 }
 
-// markExited marks an attempt as ended, for a cause of the protocol.
+// markExited marks an attempt as exited. cause is one of the protocol's causes.
 func (a *attempt) markExited(cause string) {
 	a.State, a.Cause = wire.TaskExited, cause
 	a.process = nil
--- a/internal/worker/state_test.go
+++ b/internal/worker/state_test.go
@@ -22,16 +22,15 @@
 
 var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// fakeBackend is what a worker needs: descriptions of all jobs but j-0, and a runner of fake
-// processes.
+// fakeBackend provides descriptions for all jobs but j-0, and runs fake processes.
 type fakeBackend struct {
 	mu          sync.Mutex
 	running     map[string]*fakeProcess
-	ranTwice    string // a task that was started while it ran
-	unavailable bool   // the description service is out of order
+	ranTwice    string // a task that was started while it was running
+	unavailable bool   // the description service does not respond
 }
 
-// fakeProcess lasts until it is stopped or finished.
+// fakeProcess runs until it is stopped or finished.
 type fakeProcess struct {
 	backend *fakeBackend
 	task    string
@@ -43,7 +42,7 @@
 	defer s.mu.Unlock()
 	switch {
 	case s.unavailable:
-		return nil, errors.New("out")
+		return nil, errors.New("unavailable")
 	case job == "j-0":
 		return nil, taskspec.ErrNotFound
 	}
@@ -61,7 +60,7 @@
 	return process, nil
 }
 
-// finish ends the process, with code 0 if ok.
+// finish ends the process, with exit code 0 if ok, else 1.
 func (p *fakeProcess) finish(ok bool) {
 	p.backend.mu.Lock()
 	if p.backend.running[p.task] == p {
@@ -83,17 +82,18 @@
 		s, s, func() {}, discardLogger)
 }
 
-// step is a step of TestLateAndRepeatedCommandsKeepTheProtocol.
+// step is one step of TestInvariantsHoldUnderLateAndRepeatedCommands. Direct sends the command as
+// a direct order; for stepFinish it selects exit code 0.
 type step struct {
 	Kind, Task, Attempt, Token, Wait int
 	Direct                           bool
 }
 
-// Kinds of steps; those up to stepForget, and above stepOutage, are commands.
+// Kinds of steps. Kinds up to stepForget and above stepOutage send a command.
 const (
 	stepForget = 4
-	stepFinish = 5 // a process ends
-	stepOutage = 6 // of the description service, or its end
+	stepFinish = 5 // a process exits
+	stepOutage = 6 // the description service fails, or works again
 )
 
 func drawStep(rt *rapid.T) step {
@@ -103,46 +103,47 @@
 	}
 }
 
-// commandModel is a worker that the steps are played to.
+// commandModel drives a worker through the steps and records violations.
 type commandModel struct {
 	backend   *fakeBackend
 	state     *worker.State
 	token     int    // the highest fencing token sent
-	violation string // what broke the protocol
+	violation string // the last violation of the protocol
 }
 
-// apply plays a step, and checks that a command with a lower token did nothing.
-func (l *commandModel) apply(ctx context.Context, st step) {
-	report := l.state.Report()
+// apply executes a step, and checks that a command with a lower token had no effect.
+func (m *commandModel) apply(ctx context.Context, st step) {
+	report := m.state.Report()
 	verb := []string{wire.VerbStart, wire.VerbStart, wire.VerbStart, wire.VerbStop, wire.VerbForget}[min(st.Kind, stepForget)]
 	commands := []wire.Command{{Verb: verb, Task: wire.TaskName("j-"+strconv.Itoa(st.Task), 0), Attempt: uint64(st.Attempt)}}
 	before := len(report.Tasks)
 	switch {
 	case st.Kind == stepFinish:
-		for _, process := range l.backend.running {
+		for _, process := range m.backend.running {
 			process.finish(st.Direct)
 			break
 		}
 	case st.Kind == stepOutage:
-		l.backend.unavailable = !l.backend.unavailable
+		m.backend.unavailable = !m.backend.unavailable
 	case st.Direct: // a late direct order
-		orders := wire.Orders{Token: uint64(l.token + min(0, st.Token)), Session: report.Session, Commands: commands}
-		if l.state.HandleOrders(ctx, orders) && st.Token < 0 {
-			l.violation = "an order with a lower token was executed"
+		orders := wire.Orders{Token: uint64(m.token + min(0, st.Token)), Session: report.Session, Commands: commands}
+		if m.state.HandleOrders(ctx, orders) && st.Token < 0 {
+			m.violation = "an order with a lower token was accepted"
 		}
 	default:
-		l.token += max(0, st.Token)
-		l.state.HandleResponse(ctx, time.Now(), report.Session, wire.ReportResponse{Token: uint64(l.token + min(0, st.Token)), Commands: commands})
+		m.token += max(0, st.Token)
+		m.state.HandleResponse(ctx, time.Now(), report.Session, wire.ReportResponse{Token: uint64(m.token + min(0, st.Token)), Commands: commands})
 	}
 	synctest.Wait()
-	if st.Token < 0 && st.Kind < stepFinish && len(l.state.Report().Tasks) != before {
-		l.violation = "commands with a lower token changed something"
+	if st.Token < 0 && st.Kind < stepFinish && len(m.state.Report().Tasks) != before {
+		m.violation = "commands with a lower token changed the attempts"
 	}
 }
 
-// checkRunning checks that just what is reported as running runs, once, and has room.
-func (l *commandModel) checkRunning() {
-	report := l.state.Report()
+// checkRunning checks that exactly the tasks reported as running are running, each once and
+// within the worker's capacity.
+func (m *commandModel) checkRunning() {
+	report := m.state.Report()
 	synctest.Wait()
 	reported := map[string]bool{}
 	for _, task := range report.Tasks {
@@ -150,52 +151,52 @@
 			reported[task.Task] = true
 		}
 	}
-	l.backend.mu.Lock()
-	defer l.backend.mu.Unlock()
-	if l.backend.ranTwice != "" || len(l.backend.running) != len(reported) || len(l.backend.running) > 4 {
-		l.violation = fmt.Sprintf("twice %q, reported %v, running %d", l.backend.ranTwice, reported, len(l.backend.running))
+	m.backend.mu.Lock()
+	defer m.backend.mu.Unlock()
+	if m.backend.ranTwice != "" || len(m.backend.running) != len(reported) || len(m.backend.running) > 4 {
+		m.violation = fmt.Sprintf("started twice: %q; reported as running: %v; running: %d", m.backend.ranTwice, reported, len(m.backend.running))
 	}
 }
 
-// checkExpiry checks that nothing runs after the lease.
-func (l *commandModel) checkExpiry() {
-	session := l.state.Report().Session
+// checkExpiry checks that no task runs after the lease has expired.
+func (m *commandModel) checkExpiry() {
+	session := m.state.Report().Session
 	time.Sleep(11 * time.Second)
-	l.state.Expire()
+	m.state.Expire()
 	synctest.Wait()
-	if report := l.state.Report(); len(l.backend.running) != 0 || len(report.Tasks) != 0 || report.Session <= session {
-		l.violation = fmt.Sprintf("after the lease: %d run, report %+v", len(l.backend.running), report)
+	if report := m.state.Report(); len(m.backend.running) != 0 || len(report.Tasks) != 0 || report.Session <= session {
+		m.violation = fmt.Sprintf("after lease expiry: %d tasks running, report %+v", len(m.backend.running), report)
 	}
 }
 
-// Whatever commands come, late and repeated ones too: no task runs twice at a
-// time, what is reported as running runs and nothing else does, and nothing runs
-// beyond the worker's capacity or the lease.
+// For any sequence of commands, including late and repeated ones: no task runs twice at the same
+// time, exactly the tasks reported as running are running, and no task runs beyond the worker's
+// capacity or its lease.
 func TestInvariantsHoldUnderLateAndRepeatedCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawStep), 1, 40).Draw(rt, "steps")
-		wrong := ""
+		violation := ""
 		synctest.Test(t, func(t *testing.T) {
 			s := &fakeBackend{running: map[string]*fakeProcess{}}
-			l := &commandModel{backend: s, state: newState(s), token: 5}
-			l.state.HandleResponse(t.Context(), time.Now(), 1, wire.ReportResponse{Token: 5})
+			m := &commandModel{backend: s, state: newState(s), token: 5}
+			m.state.HandleResponse(t.Context(), time.Now(), 1, wire.ReportResponse{Token: 5})
 			for _, st := range steps {
-				l.apply(t.Context(), st)
+				m.apply(t.Context(), st)
 				time.Sleep(time.Duration(st.Wait) * time.Millisecond)
 				synctest.Wait()
-				l.checkRunning()
+				m.checkRunning()
 			}
-			l.checkExpiry()
-			l.state.Close()
-			wrong = l.violation
+			m.checkExpiry()
+			m.state.Close()
+			violation = m.violation
 		})
-		if wrong != "" {
-			rt.Fatal(wrong)
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
 
-// A result is kept: a task that is started again exits with done at once.
+// The result of a completed task is remembered: a new attempt exits as done immediately.
 func TestRepeatedTaskReturnsItsStoredResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeBackend{running: map[string]*fakeProcess{}}
@@ -210,7 +211,7 @@
 		order(wire.VerbForget, 1)
 		order(wire.VerbStart, 2)
 		if r := state.Report(); len(r.Tasks) != 1 || r.Tasks[0].Cause != wire.CauseDone || len(s.running) != 0 {
-			t.Errorf("%+v", r.Tasks)
+			t.Errorf("report after the second start: %+v", r.Tasks)
 		}
 		state.Close()
 	})
