--- a/internal/local/controllers.go
+++ b/internal/local/controllers.go
@@ -16,19 +16,19 @@
 	"github.com/wallrack/wallrack/internal/subprocess"
 )
 
-// restartDelay passes before a controller that ended is started again.
+// restartDelay is the time between a controller's exit and its restart.
 const restartDelay = time.Second
 
-// Controller is a controller of a site on this machine.
+// Controller is a controller on this machine.
 type Controller struct {
 	Name         string
-	Addr         string // its address for users and workers
-	SettingsFile string // path of its settings
+	Addr         string // address for users and workers
+	SettingsFile string // path of its settings file
 }
 
-// PrepareControllers chooses names, which begin with prefix, and addresses for n controllers,
-// spread over the zones, and writes their settings into dir, which is created. endpoints
-// are the services' addresses for each of them. It starts nothing.
+// PrepareControllers chooses names with the given prefix and addresses for n controllers, spreads
+// them over the zones, and writes their settings files into dir, which it creates. endpoints
+// returns the addresses of the services for controller i. No controller is started.
 func PrepareControllers(dir, prefix string, n int, params config.Params, zones []string, endpoints func(i int) config.Endpoints) ([]Controller, error) {
 	addrs, err := FreeAddrs(2 * n)
 	if err != nil {
@@ -60,8 +60,8 @@
 	return controllers, nil
 }
 
-// FreeAddrs finds n different loopback addresses that nothing listens on now. Nothing
-// keeps another process from taking one before it is used.
+// FreeAddrs returns n different loopback addresses that no process listens on. They are not
+// reserved: another process may take one before the caller uses it.
 func FreeAddrs(n int) ([]string, error) {
 	ports, err := subprocess.FreePorts(n)
 	if err != nil {
@@ -74,9 +74,9 @@
 	return addrs, nil
 }
 
-// Supervise runs a controller until ctx ends and the controller has ended: again, after a
-// second, whenever it exits unexpectedly or a restart is requested, which ends it in
-// order. A nil restart never requests one.
+// Supervise runs a controller until ctx ends, and returns when the controller has exited. If the
+// controller exits unexpectedly, or a value arrives on restart, it is started again after
+// restartDelay. For a requested restart it is shut down gracefully. restart may be nil.
 func Supervise(ctx context.Context, log *slog.Logger, name string, restart <-chan struct{}, start func(context.Context) error) {
 	for ctx.Err() == nil {
 		running, stop := context.WithCancel(ctx)
--- a/internal/local/front.go
+++ b/internal/local/front.go
@@ -23,55 +23,54 @@
 	readyPollInterval = 50 * time.Millisecond
 )
 
-// LoadBalancer is the load balancer that users come to: it passes requests on to controllers
-// that are up, and serves what tasks wrote.
+// LoadBalancer forwards users' requests to healthy controllers, and serves the output of tasks.
 type LoadBalancer struct {
 	mux          *http.ServeMux
 	dir          string
 	controllers  []Controller
 	client       *http.Client
-	requestCount atomic.Uint64 // counts requests, so that controllers take turns
+	requestCount atomic.Uint64 // selects the controller of each request in turn
 
 	mu      sync.Mutex
-	healthy []bool // by controller
+	healthy []bool // by controller index
 }
 
-// NewLoadBalancer returns a front to the controllers; what tasks wrote is below dir. Until Watch
-// runs, no controller counts as up.
+// NewLoadBalancer returns a load balancer for the controllers that serves the task output below
+// dir. Until RunProbes runs, all controllers count as unhealthy.
 func NewLoadBalancer(controllers []Controller, dir string) *LoadBalancer {
-	f := &LoadBalancer{
+	lb := &LoadBalancer{
 		mux: http.NewServeMux(), dir: dir, controllers: controllers,
 		healthy: make([]bool, len(controllers)), client: &http.Client{Timeout: probeTimeout},
 	}
-	f.mux.HandleFunc("/", f.proxyRequest)
-	f.mux.HandleFunc("GET /logs/{job}/{n}", f.serveLogs)
-	return f
+	lb.mux.HandleFunc("/", lb.proxyRequest)
+	lb.mux.HandleFunc("GET /logs/{job}/{n}", lb.serveLogs)
+	return lb
 }
 
 // ServeHTTP implements http.Handler.
-func (f *LoadBalancer) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
+func (lb *LoadBalancer) ServeHTTP(w http.ResponseWriter, r *http.Request) { lb.mux.ServeHTTP(w, r) }
 
-// healthyControllers returns the controllers that are up.
-func (f *LoadBalancer) healthyControllers() []Controller {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// healthyControllers returns the controllers whose last probe succeeded.
+func (lb *LoadBalancer) healthyControllers() []Controller {
+	lb.mu.Lock()
+	defer lb.mu.Unlock()
 	var up []Controller
-	for i, c := range f.controllers {
-		if f.healthy[i] {
+	for i, c := range lb.controllers {
+		if lb.healthy[i] {
 			up = append(up, c)
 		}
 	}
 	return up
 }
 
-// proxyRequest passes a request on to the next controller that is up.
-func (f *LoadBalancer) proxyRequest(w http.ResponseWriter, r *http.Request) {
-	up := f.healthyControllers()
+// proxyRequest forwards a request to the next healthy controller.
+func (lb *LoadBalancer) proxyRequest(w http.ResponseWriter, r *http.Request) {
+	up := lb.healthyControllers()
 	if len(up) == 0 {
 		writeNoController(w)
 		return
 	}
-	c := up[f.requestCount.Add(1)%uint64(len(up))]
+	c := up[lb.requestCount.Add(1)%uint64(len(up))]
 	proxy := httputil.ReverseProxy{
 		Rewrite:      func(p *httputil.ProxyRequest) { p.SetURL(&url.URL{Scheme: "http", Host: c.Addr}) },
 		ErrorHandler: func(http.ResponseWriter, *http.Request, error) { writeNoController(w) },
@@ -85,17 +84,17 @@
 }
 
 // RunProbes probes the controllers until ctx ends.
-func (f *LoadBalancer) RunProbes(ctx context.Context) {
+func (lb *LoadBalancer) RunProbes(ctx context.Context) {
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
 		var probes sync.WaitGroup
-		for i, c := range f.controllers {
+		for i, c := range lb.controllers {
 			probes.Go(func() {
-				up := f.probe(c)
-				f.mu.Lock()
-				f.healthy[i] = up
-				f.mu.Unlock()
+				up := lb.probe(c)
+				lb.mu.Lock()
+				lb.healthy[i] = up
+				lb.mu.Unlock()
 			})
 		}
 		probes.Wait()
@@ -107,9 +106,9 @@
 	}
 }
 
-// probe reports whether a controller responds, within probeTimeout, that it is up.
-func (f *LoadBalancer) probe(c Controller) bool {
-	resp, err := f.client.Get("http://" + c.Addr + "/up")
+// probe reports whether a controller responds with status 200 within probeTimeout.
+func (lb *LoadBalancer) probe(c Controller) bool {
+	resp, err := lb.client.Get("http://" + c.Addr + "/up")
 	if err != nil {
 		return false
 	}
@@ -117,16 +116,17 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// probeJob is a job of a team that cannot be.
+// probeJob is a job with an invalid team name.
 const probeJob = `{"uid":"j-ready-probe","docket":"probe","crew":"\u0001","sort":"sweep","urgency":"low","pieces":1,"cpus":1,"cards":0,"memoryGb":0,` +
 	`"kit":"probe","pullGb":0,"builds":null,"yard":null,"together":false,"apart":false,"loaners":false,"reckonS":1,"markS":0,"stashS":0,"dueS":null}`
 
-// AwaitReady waits until a controller that is up knows the machine types and reaches the state
-// service, so that a job is sure to be accepted; false: ctx ended before. Watch must run.
-func (f *LoadBalancer) AwaitReady(ctx context.Context) bool {
+// AwaitReady waits until a healthy controller knows the machine types and reaches the state
+// service, so that jobs will be accepted. It returns false if ctx ends first. RunProbes must be
+// running.
+func (lb *LoadBalancer) AwaitReady(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		for _, c := range f.healthyControllers() {
-			if f.acceptsJobs(c) {
+		for _, c := range lb.healthyControllers() {
+			if lb.acceptsJobs(c) {
 				return true
 			}
 		}
@@ -138,10 +138,10 @@
 	return false
 }
 
-// acceptsJobs reports whether a controller would accept jobs: it refuses probeJob for good
-// then, and for now otherwise.
-func (f *LoadBalancer) acceptsJobs(c Controller) bool {
-	resp, err := f.client.Post("http://"+c.Addr+"/api/jobs", "application/json", strings.NewReader(probeJob))
+// acceptsJobs reports whether a controller would accept a valid job. It rejects probeJob
+// permanently (status 422) if so, and otherwise temporarily.
+func (lb *LoadBalancer) acceptsJobs(c Controller) bool {
+	resp, err := lb.client.Post("http://"+c.Addr+"/api/jobs", "application/json", strings.NewReader(probeJob))
 	if err != nil {
 		return false
 	}
@@ -149,8 +149,8 @@
 	return resp.StatusCode == http.StatusUnprocessableEntity
 }
 
-// serveLogs serves what the last attempt of a task wrote, on whatever worker.
-func (f *LoadBalancer) serveLogs(w http.ResponseWriter, r *http.Request) {
+// serveLogs serves the output of a task's last attempt, whichever worker ran it.
+func (lb *LoadBalancer) serveLogs(w http.ResponseWriter, r *http.Request) {
 	task := r.PathValue("job") + "/" + r.PathValue("n")
 	if _, _, err := wire.ParseTask(task); err != nil {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "not a task's name"})
@@ -160,7 +160,7 @@
 	if r.URL.Query().Get("stream") == worker.StderrFile {
 		file = worker.StderrFile
 	}
-	pattern := filepath.Join(f.dir, "machines", "*", strings.ReplaceAll(task, "/", ".")+".*", file)
+	pattern := filepath.Join(lb.dir, "machines", "*", strings.ReplaceAll(task, "/", ".")+".*", file)
 	found, _ := filepath.Glob(pattern) // the pattern is well formed
 	last, written := "", time.Time{}
 	for _, path := range found {
@@ -174,5 +174,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_, _ = w.Write(data) // who did not get it requests it again
+	_, _ = w.Write(data) // after a failed write the client may retry
 }
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -1,11 +1,10 @@
-// Package local runs a whole site on one machine: controllers, workers that run
-// real processes, and stand-ins for state service, cloud and load balancer, all
-// by their protocols, on loopback only.
+// Package local runs a whole site on one machine: controllers, workers that run real processes,
+// and local replacements for the state service, the cloud and the load balancer, which
+// communicate by the same protocols over loopback only.
 //
-// Controllers and workers are child processes that the caller starts; the services run in
-// this process. What the site holds is in one directory, and is there again at the next
-// run; tasks end with the run. There are no access rights, no encryption, and no
-// isolation between tasks.
+// Controllers and workers are child processes started by the caller; the services run in this
+// process. The site's data are stored in one directory and loaded by the next run; tasks end with
+// the run. There is no access control, no encryption and no isolation between tasks.
 package local
 
 import (
@@ -32,7 +31,7 @@
 	"github.com/wallrack/wallrack/internal/worker"
 )
 
-// Team is the team of a local site, Zone its only zone, Type its machine type.
+// The only team, zone and machine type of a local site.
 const (
 	Team = "default"
 	Zone = "local"
@@ -40,28 +39,28 @@
 )
 
 const (
-	maxMachineDirs    = 200 // machines whose files, with what their tasks wrote, are kept
+	maxMachineDirs    = 200 // machines whose directories, with their task output, are retained
 	readHeaderTimeout = 10 * time.Second
 )
 
-// StartFunc starts a part of the site, "wallrack ARGS", and returns when it has ended. When ctx
-// ends it ends the part in order. name is for logs.
+// StartFunc runs the child process "wallrack ARGS" and returns when it has exited. When ctx ends
+// it shuts the process down gracefully. name is used for logging.
 type StartFunc func(ctx context.Context, name string, args []string) error
 
-// Site is what to run.
+// Site is the configuration of a local site.
 type Site struct {
-	Dir         string    // keeps jobs, settings and logs
+	Dir         string    // for data, settings and logs
 	Listen      string    // loopback address for users
-	Controllers int       // how many
-	Machines    int       // most machines up at once
-	CPUs        float64   // of a machine
-	MemoryGB    float64   // of a machine
-	SlotsFile   string    // file with slots of roll-outs, entries alone; may be empty
-	Start       StartFunc // starts "wallrack ARGS"
+	Controllers int       // number of controllers
+	Machines    int       // maximum number of machines at a time
+	CPUs        float64   // per machine
+	MemoryGB    float64   // per machine
+	SlotsFile   string    // file with the slots of rollouts, entries only; may be empty
+	Start       StartFunc // runs "wallrack ARGS"
 	Log         *slog.Logger
 }
 
-// Check returns what is wrong with a site, beginning with the flag that sets it.
+// Check returns the first error in the configuration, prefixed with the name of the flag, or nil.
 func (s *Site) Check() error {
 	switch {
 	case s.Dir == "":
@@ -83,8 +82,8 @@
 	return nil
 }
 
-// Run runs the site until ctx ends; all its parts have ended then, and it returns nil.
-// ready is called once, with the users' address, when a job is sure to be accepted.
+// Run runs the site until ctx ends. It then stops all processes and services and returns nil.
+// ready is called once, with the URL for users, when jobs will be accepted.
 func (s *Site) Run(ctx context.Context, ready func(url string)) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -93,28 +92,28 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = db.Close() }() // each change was made durable
-	if err := s.removeOldMachines(); err != nil {
+	defer func() { _ = db.Close() }() // every change was committed
+	if err := s.cleanUpMachines(); err != nil {
 		return err
 	}
-	users, err := net.Listen("tcp", s.Listen)
+	userListener, err := net.Listen("tcp", s.Listen)
 	if err != nil {
 		return fmt.Errorf("--listen: %w", err)
 	}
-	defer func() { _ = users.Close() }() // mostly closed already
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	defer func() { _ = userListener.Close() }() // usually closed already
+	serviceListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = inner.Close() }() // mostly closed already
-	services, err := s.prepare(db, inner.Addr().String())
+	defer func() { _ = serviceListener.Close() }() // usually closed already
+	services, err := s.prepare(db, serviceListener.Addr().String())
 	if err != nil {
 		return err
 	}
-	return services.run(ctx, users, inner, ready)
+	return services.run(ctx, userListener, serviceListener, ready)
 }
 
-// openDatabase opens the site's database, which only one run can have open.
+// openDatabase opens the site's database. It fails if another run has the database open.
 func (s *Site) openDatabase() (*bbolt.DB, error) {
 	if err := os.MkdirAll(s.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("--dir: %w", err)
@@ -129,14 +128,14 @@
 	return db, nil
 }
 
-// removeOldMachines ends what an earlier run that was killed left behind, and drops the files
-// of the oldest machines.
-func (s *Site) removeOldMachines() error {
+// cleanUpMachines kills orphaned processes of an earlier run, and removes the directories of the
+// oldest machines.
+func (s *Site) cleanUpMachines() error {
 	dirs, err := filepath.Glob(filepath.Join(s.Dir, "machines", "*"))
 	if err != nil {
 		return fmt.Errorf("--dir: %w", err)
 	}
-	slices.Sort(dirs) // names are given in order
+	slices.Sort(dirs) // machine names ascend with time
 	for i, dir := range dirs {
 		worker.KillOrphanedProcesses(dir, s.Log)
 		if i < len(dirs)-maxMachineDirs {
@@ -148,7 +147,7 @@
 	return nil
 }
 
-// services are what a run has in this process.
+// services are the parts of a site that run in this process.
 type services struct {
 	site         *Site
 	controllers  []Controller
@@ -159,23 +158,23 @@
 	loadBalancer *LoadBalancer
 }
 
-// prepare opens the services on their records and writes the controllers' settings.
-// inner is the services' address.
-func (s *Site) prepare(db *bbolt.DB, inner string) (*services, error) {
+// prepare opens the services with their stored data and writes the controllers' settings.
+// serviceAddr is the address of the services.
+func (s *Site) prepare(db *bbolt.DB, serviceAddr string) (*services, error) {
 	state, err := standin.OpenState(db, txnOps, valueKB)
 	if err != nil {
 		return nil, err
 	}
 	controllers, err := PrepareControllers(s.controllersDir(), "local", s.Controllers, s.controllerParams(), []string{Zone}, func(int) config.Endpoints {
-		return config.Endpoints{Cloud: inner, State: inner}
+		return config.Endpoints{Cloud: serviceAddr, State: serviceAddr}
 	})
 	if err != nil {
 		return nil, err
 	}
-	if err := s.writeSettings(inner); err != nil {
+	if err := s.writeSettings(serviceAddr); err != nil {
 		return nil, err
 	}
-	w := &workers{site: s, controllers: controllers, descriptions: "http://" + inner, running: map[string]*runningWorker{}}
+	w := &workers{site: s, controllers: controllers, descriptions: "http://" + serviceAddr, running: map[string]*runningWorker{}}
 	types := []wire.MachineType{{
 		Name: Type, CPUs: s.CPUs, MemoryGB: s.MemoryGB, CacheGB: 100, FetchGBPerS: 10,
 		Price: 1, SpotPrice: 1, BootS: 0.1, Zones: []string{Zone},
@@ -191,7 +190,7 @@
 	}, nil
 }
 
-// handler serves state service, cloud and descriptions at one address.
+// handler serves the state service, the cloud and the task descriptions on one address.
 func (s *services) handler() http.Handler {
 	mux := http.NewServeMux()
 	state, cloud := s.state.Handler(), s.cloud.Handler()
@@ -205,25 +204,25 @@
 	return mux
 }
 
-// run runs the services, the controllers and, as the cloud provisions them, the workers
-// until ctx ends. Parts end before what they need: workers, controllers, then the
-// services.
-func (s *services) run(ctx context.Context, users, inner net.Listener, ready func(url string)) error {
+// run runs the services, the controllers and the workers that the cloud provisions, until ctx
+// ends. Each is stopped before the ones it depends on: first the workers, then the controllers,
+// then the services.
+func (s *services) run(ctx context.Context, userListener, serviceListener net.Listener, ready func(url string)) error {
 	servicesCtx, stopServices := context.WithCancel(context.WithoutCancel(ctx))
 	controllersCtx, stopControllers := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopServices()
 	defer stopControllers()
 	s.loadBalancer.mux.Handle("/descriptions/", s.descriptions)
 	group, groupCtx := errgroup.WithContext(ctx)
-	Serve(servicesCtx, group, inner, s.handler())
-	Serve(servicesCtx, group, users, s.loadBalancer.mux)
+	Serve(servicesCtx, group, serviceListener, s.handler())
+	Serve(servicesCtx, group, userListener, s.loadBalancer.mux)
 	group.Go(func() error { s.state.ExpireLeases(servicesCtx); return nil })
 	group.Go(func() error { s.loadBalancer.RunProbes(servicesCtx); return nil })
 	controllers := s.superviseControllers(controllersCtx)
 	group.Go(func() error {
 		if s.loadBalancer.AwaitReady(groupCtx) {
-			s.site.Log.Info("ready", "users", users.Addr().String())
-			ready("http://" + users.Addr().String())
+			s.site.Log.Info("ready", "users", userListener.Addr().String())
+			ready("http://" + userListener.Addr().String())
 		}
 		return nil
 	})
@@ -241,8 +240,8 @@
 	return nil
 }
 
-// superviseControllers runs the controllers until ctx ends; the group is done when they have
-// ended.
+// superviseControllers runs the controllers until ctx ends. The returned group is done when all
+// have exited.
 func (s *services) superviseControllers(ctx context.Context) *sync.WaitGroup {
 	var group sync.WaitGroup
 	for _, c := range s.controllers {
@@ -254,8 +253,8 @@
 	return &group
 }
 
-// Serve serves a listener until ctx ends, in goroutines of a group; requests that are being
-// served then are cut off.
+// Serve serves a listener in goroutines of group until ctx ends. Requests still in progress are
+// aborted.
 func Serve(ctx context.Context, group *errgroup.Group, listener net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	group.Go(func() error {
--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/rollout"
 )
 
-// Figures of a local site.
+// Parameters of a local site. S stands for seconds.
 const (
 	reportS  = 1.0
 	leaseS   = 10.0
@@ -19,7 +19,8 @@
 	valueKB  = 16.0
 )
 
-// controllerParams are the controllers' parameters, which elsewhere come from the platform.
+// controllerParams returns the controllers' parameters, which come from the platform on other
+// sites.
 func (s *Site) controllerParams() config.Params {
 	return config.Params{
 		Zones: []string{Zone}, Teams: []config.Team{{Name: Team}},
@@ -29,7 +30,8 @@
 	}
 }
 
-// slurmSettings are those of Slurm-style clients: the defaults of wallctl submit.
+// slurmSettings are the settings for Slurm-style clients. They match the defaults of wallctl
+// submit.
 const slurmSettings = `(slurm (cluster "local") (accounting on) (listings-per-s 50) (partition "adhoc") (account "` + Team + `"))` + "\n"
 
 func (s *Site) controllersDir() string { return filepath.Join(s.Dir, "controllers") }
@@ -38,10 +40,9 @@
 
 func (s *Site) rolloutsFile() string { return filepath.Join(s.controllersDir(), "rollouts.sexp") }
 
-// writeSettings writes the settings of roll-outs, which are the address of the description
-// service and what the operators' own file has of slots, and those of Slurm-style
-// clients.
-func (s *Site) writeSettings(inner string) error {
+// writeSettings writes the settings file of rollouts, with the address of the description service
+// and the slots from the operator's file, and the settings file of Slurm-style clients.
+func (s *Site) writeSettings(serviceAddr string) error {
 	slots := ""
 	if s.SlotsFile != "" {
 		data, err := os.ReadFile(s.SlotsFile)
@@ -50,7 +51,7 @@
 		}
 		slots = string(data)
 	}
-	rollouts := fmt.Sprintf("(rollouts\n  (descriptions \"http://%s\")\n%s)\n", inner, slots)
+	rollouts := fmt.Sprintf("(rollouts\n  (descriptions \"http://%s\")\n%s)\n", serviceAddr, slots)
 	if _, err := rollout.ParseSettings([]byte(rollouts)); err != nil {
 		return fmt.Errorf("--slots: %s: %w", s.SlotsFile, err)
 	}
--- a/internal/local/workers.go
+++ b/internal/local/workers.go
@@ -10,21 +10,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// workers is the cloud's launcher: a worker process for each machine.
+// workers implements standin.Launcher with a worker process for each machine.
 type workers struct {
 	site         *Site
 	controllers  []Controller
-	descriptions string            // base URL
-	markFailed   func(name string) // a worker ended by itself
+	descriptions string            // base URL of the description service
+	markFailed   func(name string) // called when a worker exits unexpectedly
 
 	mu      sync.Mutex
-	running map[string]*runningWorker // by machine
+	running map[string]*runningWorker // by machine name
 	closed  bool
 }
 
 type runningWorker struct {
 	stop context.CancelFunc
-	done chan struct{} // closed when the process has ended
+	done chan struct{} // closed when the process has exited
 }
 
 // Launch implements standin.Launcher.
@@ -40,7 +40,7 @@
 	defer w.mu.Unlock()
 	if w.closed {
 		stop()
-		return "", errors.New("the site is ending")
+		return "", errors.New("the site is shutting down")
 	}
 	w.running[m.Name] = r
 	go func() {
@@ -54,7 +54,7 @@
 	return addrs[0], nil
 }
 
-// workerArgs are the arguments that start a machine's worker.
+// workerArgs returns the command-line arguments of a machine's worker.
 func (w *workers) workerArgs(m wire.ListedMachine, t wire.MachineType, addr string) []string {
 	controllers := make([]string, 0, 2*len(w.controllers))
 	for _, c := range w.controllers {
@@ -79,7 +79,8 @@
 	}
 }
 
-// close ends all workers at once and waits for them; none starts afterwards.
+// close stops all workers at once and waits until they have exited. No worker can start
+// afterwards.
 func (w *workers) close() {
 	w.mu.Lock()
 	w.closed = true
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -17,53 +17,53 @@
 )
 
 const (
-	maxProvision   = 50  // machines in a request
-	maxDelete      = 100 // machines in a request
-	maxPage        = 500 // machines in a listing
+	maxProvision   = 50  // machines per request
+	maxDelete      = 100 // machines per request
+	maxPage        = 500 // machines per listing
 	maxRequestName = 200 // bytes
 )
 
-// Launcher makes machines come up, and ends them. Its methods are called from several
-// goroutines at a time, without locks held.
+// Launcher starts and terminates machines. Its methods may be called concurrently, and are called
+// without locks held.
 type Launcher interface {
-	// Launch brings a machine's worker up and returns its address.
+	// Launch starts a machine's worker and returns its address.
 	Launch(m wire.ListedMachine, t wire.MachineType) (endpoint string, err error)
-	// End ends a machine and returns when nothing of it runs any more. It may be called
-	// for one that was not launched.
+	// End terminates a machine and returns when none of its processes runs any more. It may be
+	// called for a machine that was not launched.
 	End(name string)
 }
 
-// Cloud provisions machines that a launcher makes. What it reported as provisioned is on
-// disk, if there is a database, and a name is never given twice. It is safe for
-// concurrent use.
+// Cloud provisions machines through a Launcher. If there is a database, provisioned machines are
+// on disk before they are reported. Machine names are never reused. It is safe for concurrent
+// use.
 type Cloud struct {
 	db          *bbolt.DB
 	types       []wire.MachineType
-	maxMachines int // machines of all types together
+	maxMachines int // of all types together
 
-	// MaxPerZone bounds the machines of a zone; 0 is no bound. Set it before the first
-	// request.
+	// MaxPerZone limits the number of machines in a zone; 0 means no limit. It must be set before
+	// the first request.
 	MaxPerZone int
 	launcher   Launcher
 
 	mu          sync.Mutex
 	machines    map[string]*cloudMachine
-	provisions  map[string][]string // by the request's name: the machines that it got
-	lastMachine uint64              // the highest number in a machine's name
+	provisions  map[string][]string // names of the machines by the name of the request that provisioned them
+	lastMachine uint64              // highest number in any machine's name
 }
 
-// cloudMachine is a machine that is listed.
+// cloudMachine is a machine in the listing.
 type cloudMachine struct {
 	wire.ListedMachine
 	createdAt time.Time
 }
 
-// OpenCloud reads what db holds. Machines of an earlier run are listed as
-// failed: nothing runs there any more. Without a db the records are in memory alone. The
-// caller closes db, after the last request has ended.
-func OpenCloud(db *bbolt.DB, types []wire.MachineType, capacity int, launcher Launcher) (*Cloud, error) {
+// OpenCloud loads the records in db. Machines of an earlier run are listed as failed, since none
+// of them still runs. If db is nil, the records are kept in memory only. The caller closes db
+// after the last request has ended.
+func OpenCloud(db *bbolt.DB, types []wire.MachineType, maxMachines int, launcher Launcher) (*Cloud, error) {
 	c := &Cloud{
-		db: db, types: types, maxMachines: capacity, launcher: launcher,
+		db: db, types: types, maxMachines: maxMachines, launcher: launcher,
 		machines: map[string]*cloudMachine{}, provisions: map[string][]string{},
 	}
 	if err := update(db, c.load); err != nil {
@@ -72,7 +72,7 @@
 	return c, nil
 }
 
-// load reads the records of an earlier run.
+// load loads the records of an earlier run.
 func (c *Cloud) load(tx *bbolt.Tx) error {
 	if err := createBuckets(tx, provisionsBucket, machinesBucket, metaBucket); err != nil {
 		return err
@@ -109,11 +109,11 @@
 	return mux
 }
 
-// Errors of Provision; their texts are part of the protocol.
+// Errors of Provision. Their texts are part of the protocol.
 var (
 	errInvalidRequest = errors.New("unknown type or zone, or hire or number out of range")
 	errNoCapacity     = errors.New("no capacity")
-	errStorage        = errors.New("trouble") // the records can't be written
+	errStorage        = errors.New("trouble") // the records could not be written
 )
 
 func (c *Cloud) serveProvision(w http.ResponseWriter, r *http.Request) {
@@ -131,9 +131,9 @@
 	}
 }
 
-// Provision provisions machines, at most the number requested, and returns their names;
-// they boot afterwards. It fails if there is room for none. A request's name that was
-// used gets its earlier response.
+// Provision provisions at most the requested number of machines and returns their names; they
+// boot afterwards. It fails if no machine can be provisioned, and for all spot requests. A
+// repeated request name returns the names of the first request.
 func (c *Cloud) Provision(req *wire.ProvisionRequest) ([]string, error) {
 	machineType, ok := c.findMachineType(req)
 	if !ok || req.Name == "" || len(req.Name) > maxRequestName || req.Number < 1 || req.Number > maxProvision {
@@ -169,7 +169,7 @@
 	return names, nil
 }
 
-// findMachineType finds the type that a request names, if it is to be had in the zone.
+// findMachineType returns the type that a request names, if it is offered in the request's zone.
 func (c *Cloud) findMachineType(req *wire.ProvisionRequest) (wire.MachineType, bool) {
 	for _, machineType := range c.types {
 		if machineType.Name == req.Type && slices.Contains(machineType.Zones, req.Zone) {
@@ -179,7 +179,7 @@
 	return wire.MachineType{}, false
 }
 
-// remainingLocked is how many more machines a zone can have; it may be below 0.
+// remainingLocked returns how many more machines a zone can have. The result may be negative.
 func (c *Cloud) remainingLocked(zone string) int {
 	total, inZone := 0, 0
 	for _, m := range c.machines {
@@ -198,7 +198,7 @@
 	return room
 }
 
-// storeProvision makes a request's machines durable.
+// storeProvision stores a request and its machines durably.
 func (c *Cloud) storeProvision(request string, names []string, machines []*cloudMachine, last uint64) error {
 	return update(c.db, func(tx *bbolt.Tx) error {
 		for _, m := range machines {
@@ -213,20 +213,20 @@
 	})
 }
 
-// boot brings a machine up after its type's time.
+// boot launches a machine after its type's boot time.
 func (c *Cloud) boot(m wire.ListedMachine, machineType wire.MachineType) {
 	time.Sleep(time.Duration(machineType.BootS * float64(time.Second)))
 	c.mu.Lock()
-	wanted := c.machines[m.Name] != nil
+	exists := c.machines[m.Name] != nil
 	c.mu.Unlock()
-	if !wanted {
+	if !exists {
 		return
 	}
 	endpoint, err := c.launcher.Launch(m, machineType)
 	c.mu.Lock()
 	listed := c.machines[m.Name]
 	switch {
-	case listed == nil: // deleted meanwhile
+	case listed == nil: // deleted in the meantime
 	case err != nil:
 		listed.Stage = wire.MachineFailed
 	default:
@@ -238,8 +238,8 @@
 	}
 }
 
-// MarkFailed lists a machine, which ended by itself, as failed. One that is not listed is
-// ignored.
+// MarkFailed lists a machine that has exited unexpectedly as failed. A machine that is not listed
+// is ignored.
 func (c *Cloud) MarkFailed(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -264,8 +264,8 @@
 	httpjson.Write(w, http.StatusOK, struct{}{})
 }
 
-// deleteMachines ends machines, waits until nothing of them runs, and drops their records.
-// Those that are not listed are ignored.
+// deleteMachines terminates machines, waits until none of them runs, and deletes their records.
+// Machines that are not listed are ignored.
 func (c *Cloud) deleteMachines(names []string) error {
 	c.mu.Lock()
 	var listed []string
--- a/internal/standin/cloud_test.go
+++ b/internal/standin/cloud_test.go
@@ -8,7 +8,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// noopLauncher launches nothing.
+// noopLauncher starts nothing.
 type noopLauncher struct{}
 
 func (noopLauncher) Launch(wire.ListedMachine, wire.MachineType) (string, error) {
@@ -16,7 +16,7 @@
 }
 func (noopLauncher) End(string) {}
 
-// Neither a zone nor the whole cloud gets more machines than it has room for.
+// Neither a zone nor the whole cloud is given more machines than its limit.
 func TestCloudLimitsMachinesPerZone(t *testing.T) {
 	cloud, err := standin.OpenCloud(nil, []wire.MachineType{{Name: "m", Zones: []string{"a", "b"}}}, 7, noopLauncher{})
 	if err != nil {
@@ -29,7 +29,7 @@
 	}{{"a", 3}, {"a", 1}, {"a", 0}, {"b", 3}, {"b", 0}} {
 		names, err := cloud.Provision(&wire.ProvisionRequest{Name: fmt.Sprint("r-", i), Type: "m", Zone: c.zone, Number: 3})
 		if len(names) != c.want || (err == nil) != (c.want > 0) {
-			t.Errorf("request %d in %s: %d machines, want %d, %v", i, c.zone, len(names), c.want, err)
+			t.Errorf("request %d in %s: %d machines, want %d; error %v", i, c.zone, len(names), c.want, err)
 		}
 	}
 }
--- a/internal/standin/metered.go
+++ b/internal/standin/metered.go
@@ -13,37 +13,39 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// RateLimits bounds the requests of all clients of a service together; bursts of one second's
-// worth are accepted, as the protocol says. A nil budget bounds nothing.
+// RateLimits limits the rate of requests of all clients of a service together. Bursts of up to
+// one second's worth are accepted, as in the protocol. A nil *RateLimits imposes no limit.
 type RateLimits struct{ requests, writes *rate.Limiter }
 
-// NewRateLimits returns a budget of rps requests, and writeRPS puts and deletes, a second.
+// NewRateLimits returns limits of rps requests per second, and of writeRPS puts and deletes per
+// second.
 func NewRateLimits(rps, writeRPS float64) *RateLimits {
 	return &RateLimits{rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), rate.NewLimiter(rate.Limit(writeRPS), max(1, int(writeRPS)))}
 }
 
-// RequestCounts counts the requests of one client of a service. Writes are puts and deletes, of
-// transactions that the budget had room for; Refused are those over the budget.
+// RequestCounts counts the requests of one client of a service. Writes counts the puts and
+// deletes of transactions within the rate limits; Refused counts the requests above them.
 type RequestCounts struct {
 	Reads, Watches, Writes, Transactions, Refused atomic.Int64
 }
 
-// meter is what a request is counted and bounded by.
+// meter holds the limits and the counters that apply to a request.
 type meter struct {
 	limits *RateLimits
 	counts *RequestCounts
 }
 
-// meterKey is the key of a request's meter in its context.
+// meterKey is the context key of a request's meter.
 type meterKey struct{}
 
-// Metered serves one client of a service: after a latency, within the budget that it
-// shares with the others, and counted. A request over the budget gets status 429.
-func Metered(service http.Handler, latency time.Duration, budget *RateLimits, counts *RequestCounts) http.Handler {
-	m := &meter{budget, counts}
+// Metered returns a handler for one client of a service. It delays each request by latency,
+// applies the rate limits that all clients share, and counts the requests in counts. A request
+// above the limits gets status 429.
+func Metered(service http.Handler, latency time.Duration, limits *RateLimits, counts *RequestCounts) http.Handler {
+	m := &meter{limits, counts}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(latency)
-		if budget != nil && !budget.requests.Allow() {
+		if limits != nil && !limits.requests.Allow() {
 			counts.Refused.Add(1)
 			writeTooManyRequests(w)
 			return
@@ -58,8 +60,8 @@
 	})
 }
 
-// allowWrites counts a transaction's puts and deletes, failed conditions or not, and
-// reports whether the budget has room for them.
+// allowWrites reports whether the rate limits allow a transaction's puts and deletes. It counts
+// them even if the transaction's conditions then fail.
 func allowWrites(ctx context.Context, ops int) bool {
 	m, ok := ctx.Value(meterKey{}).(*meter)
 	if !ok {
--- a/internal/standin/metered_test.go
+++ b/internal/standin/metered_test.go
@@ -10,15 +10,16 @@
 	"github.com/wallrack/wallrack/internal/standin"
 )
 
-// Two clients of a service in memory share its budget, and each is counted alone.
+// Two clients of an in-memory service share its rate limits, and their requests are counted
+// separately.
 func TestMeteredClientsShareRateLimits(t *testing.T) {
 	state, err := standin.OpenState(nil, 8, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	budget := standin.NewRateLimits(6, 3) // bursts of a second's worth; the test is over sooner than one is back
+	limits := standin.NewRateLimits(6, 3) // bursts of one second's worth; the test ends before the next request is allowed
 	var counts [2]standin.RequestCounts
-	clients := [2]http.Handler{standin.Metered(state.Handler(), 0, budget, &counts[0]), standin.Metered(state.Handler(), 0, budget, &counts[1])}
+	clients := [2]http.Handler{standin.Metered(state.Handler(), 0, limits, &counts[0]), standin.Metered(state.Handler(), 0, limits, &counts[1])}
 	request := func(client int, method, path, body string, want int) {
 		t.Helper()
 		w := httptest.NewRecorder()
@@ -35,12 +36,12 @@
 		return `{"guards":[],"apply":[` + strings.Join(ops, ",") + `]}`
 	}
 	request(0, "POST", "/txn", write("a", "b"), http.StatusOK)
-	request(1, "POST", "/txn", write("c", "d"), http.StatusTooManyRequests) // one more write than there is
+	request(1, "POST", "/txn", write("c", "d"), http.StatusTooManyRequests) // one write above the limit
 	request(1, "POST", "/txn", write("c"), http.StatusOK)
 	request(1, "GET", "/store/a", "", http.StatusOK)
 	request(0, "GET", "/store/d", "", http.StatusNotFound)
 	request(0, "GET", "/follow?after=9", "", http.StatusOK)
-	request(0, "GET", "/store/a", "", http.StatusTooManyRequests) // the seventh request
+	request(0, "GET", "/store/a", "", http.StatusTooManyRequests) // one request above the limit
 	for i, want := range []string{"1 1 2 1 1", "1 0 1 1 1"} {
 		c := &counts[i]
 		if got := fmt.Sprint(c.Reads.Load(), c.Watches.Load(), c.Writes.Load(), c.Transactions.Load(), c.Refused.Load()); got != want {
--- a/internal/standin/records.go
+++ b/internal/standin/records.go
@@ -12,9 +12,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-const maxBodyBytes = 64 << 10 // of a request
+const maxBodyBytes = 64 << 10 // per request
 
-// Buckets of the database, and keys of the bucket of numbers.
+// Buckets of the database, and keys of the meta bucket.
 var (
 	itemsBucket        = []byte("items")
 	leasesBucket       = []byte("leases")
@@ -28,7 +28,7 @@
 	nextMachineKey = []byte("next-machine")
 )
 
-// update makes a change of the records durable, if they are on disk.
+// update commits a change of the database. If db is nil, it does nothing.
 func update(db *bbolt.DB, change func(*bbolt.Tx) error) error {
 	if db == nil {
 		return nil
@@ -36,7 +36,7 @@
 	return db.Update(change)
 }
 
-// createBuckets creates the buckets that are missing.
+// createBuckets creates the buckets that don't exist.
 func createBuckets(tx *bbolt.Tx, names ...[]byte) error {
 	for _, name := range names {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// putJSON writes a value in JSON.
+// putJSON stores a value as JSON.
 func putJSON(tx *bbolt.Tx, bucket []byte, key string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -55,28 +55,30 @@
 	return tx.Bucket(bucket).Put([]byte(key), data)
 }
 
-// parseNumber reads what formatNumber wrote; what is absent, or no number, is 0.
+// parseNumber decodes the output of formatNumber. It returns 0 for missing or invalid data.
 func parseNumber(data []byte) uint64 {
-	n, _ := strconv.ParseUint(string(data), 10, 64) // see above
+	n, _ := strconv.ParseUint(string(data), 10, 64) // 0 if data is not a number
 	return n
 }
 
 func formatNumber(n uint64) []byte { return strconv.AppendUint(nil, n, 10) }
 
-// parseLimit reads a listing's limit; one that is missing, malformed or over most is most.
-func parseLimit(text string, most int) int {
+// parseLimit parses a listing's limit. It returns maximum if the limit is missing, malformed or
+// above maximum.
+func parseLimit(text string, maximum int) int {
 	limit, err := strconv.Atoi(text)
-	if err != nil || limit < 1 || limit > most {
-		return most
+	if err != nil || limit < 1 || limit > maximum {
+		return maximum
 	}
 	return limit
 }
 
-// decodeBody takes a request's JSON body; false: it was malformed, and has been refused.
-func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
+// decodeBody decodes a request's JSON body. If the body is malformed, it responds with status 400
+// and returns false.
+func decodeBody(w http.ResponseWriter, r *http.Request, dest any) bool {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
-		err = json.Unmarshal(data, into)
+		err = json.Unmarshal(data, dest)
 	}
 	if err != nil {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "malformed: " + err.Error()})
@@ -85,7 +87,7 @@
 	return true
 }
 
-// writeUnavailable responds to a change that could not be made now, with status 503.
+// writeUnavailable responds with status 503 to a change that could not be made.
 func writeUnavailable(w http.ResponseWriter, err error) {
 	httpjson.Write(w, http.StatusServiceUnavailable, wire.Problem{Error: err.Error()})
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -1,10 +1,10 @@
-// Package standin stands in for the services around a site, by their protocol,
-// for a whole site on one machine: the state service and the cloud, with a budget of
-// requests if wanted, and the store of task descriptions.
+// Package standin implements local replacements for the services that a site depends on, by their
+// protocols: the state service and the cloud, with optional rate limits, and the store of task
+// descriptions. A whole site can thus run on one machine.
 //
-// Their records are in one database on disk, or in memory alone. Responses mean that a
-// change is durable. The package has no access rights and no replication, and starts no
-// workers itself: a Launcher does.
+// The records are stored in one database on disk, or only in memory. With a database, a change is
+// durable before it is confirmed. The package has no access control and no replication, and
+// starts no workers itself; a Launcher does.
 package standin
 
 import (
@@ -22,11 +22,11 @@
 )
 
 const (
-	maxRetainedEvents = 10_000 // that a watch may be behind
+	maxRetainedEvents = 10_000 // available to watches; older ones are dropped
 	expiryInterval    = 50 * time.Millisecond
 )
 
-// item is a key's record, in memory and on disk.
+// item is the record of a key, in memory and on disk.
 type item struct {
 	Value   json.RawMessage `json:"v"`
 	Version uint64          `json:"s"`
@@ -38,30 +38,30 @@
 	expiresAt time.Time
 }
 
-// State is the state service. What it reports as done is on disk, if there is a
-// database. It is safe for concurrent use.
+// State is the state service. If there is a database, changes are on disk before they are
+// confirmed. It is safe for concurrent use.
 type State struct {
 	db            *bbolt.DB
 	maxOps        int
-	maxValueBytes int // most of a value
+	maxValueBytes int // maximum size of a value
 
 	mu          sync.Mutex
 	items       map[string]item
 	keys        []string // of items, sorted
 	leases      map[uint64]*lease
 	revision    uint64
-	lastLeaseID uint64 // the highest lease id given
+	lastLeaseID uint64 // highest lease id granted
 	events      []wire.Event
-	changed     chan struct{} // closed at every change
+	changed     chan struct{} // closed and replaced at every change
 }
 
-// OpenState reads what db holds. All leases get their full time again, as after
-// an outage. Without a db the records are in memory alone. A transaction has at most
-// txnOps changes and four times as many conditions, a value at most valueKB KiB. The
-// caller closes db, after the last request and ExpireLeases have ended.
-func OpenState(db *bbolt.DB, txnOps int, valueKB float64) (*State, error) {
+// OpenState loads the records in db. Every lease starts again with its full TTL, as after an
+// outage. If db is nil, the records are kept in memory only. A transaction may have maxOps
+// changes and four times as many conditions; a value may have valueKB KiB. The caller closes db
+// after the last request has ended and ExpireLeases has returned.
+func OpenState(db *bbolt.DB, maxOps int, valueKB float64) (*State, error) {
 	s := &State{
-		db: db, maxOps: txnOps, maxValueBytes: int(valueKB * 1024),
+		db: db, maxOps: maxOps, maxValueBytes: int(valueKB * 1024),
 		items: map[string]item{}, leases: map[uint64]*lease{}, changed: make(chan struct{}),
 	}
 	if err := update(db, s.load); err != nil {
@@ -70,7 +70,7 @@
 	return s, nil
 }
 
-// load reads the records of an earlier run.
+// load loads the records of an earlier run.
 func (s *State) load(tx *bbolt.Tx) error {
 	if err := createBuckets(tx, itemsBucket, leasesBucket, metaBucket); err != nil {
 		return err
@@ -95,24 +95,24 @@
 	})
 }
 
-// ExpireLeases ends leases that nobody renewed in time, until ctx ends.
+// ExpireLeases revokes expired leases until ctx ends.
 func (s *State) ExpireLeases(ctx context.Context) {
-	_ = periodic.Run(ctx, expiryInterval, s.revokeExpiredLeases) // ends with ctx
+	_ = periodic.Run(ctx, expiryInterval, s.revokeExpiredLeases) // returns when ctx ends
 }
 
-// revokeExpiredLeases ends the leases that nobody renewed in time.
+// revokeExpiredLeases revokes the leases that were not renewed in time.
 func (s *State) revokeExpiredLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	for id, l := range s.leases {
 		if now.After(l.expiresAt) {
-			_ = s.revokeLeaseLocked(id) // tried again at the next tick
+			_ = s.revokeLeaseLocked(id) // retried at the next tick
 		}
 	}
 }
 
-// grantLeaseLocked makes a lease and returns its id, which is never given again.
+// grantLeaseLocked grants a lease and returns its id. Ids are never reused.
 func (s *State) grantLeaseLocked(ttlMs int64) (uint64, error) {
 	ttl := time.Duration(ttlMs) * time.Millisecond
 	id := s.lastLeaseID + 1
@@ -128,7 +128,7 @@
 	return id, nil
 }
 
-// revokeLeaseLocked ends a lease and deletes the keys attached to it.
+// revokeLeaseLocked revokes a lease and deletes the keys attached to it.
 func (s *State) revokeLeaseLocked(id uint64) error {
 	var deletes []wire.Op
 	for _, key := range s.keys {
@@ -143,9 +143,10 @@
 	return nil
 }
 
-// commitLocked makes changes durable, together with what also writes, then visible. The
-// revision rises by one if there are changes. After an error nothing has changed.
-func (s *State) commitLocked(ops []wire.Op, also func(*bbolt.Tx) error) error {
+// commitLocked commits changes to the database, in one transaction with alsoStore, and then makes
+// them visible. If there are changes, the revision increases by one. After an error nothing has
+// changed.
+func (s *State) commitLocked(ops []wire.Op, alsoStore func(*bbolt.Tx) error) error {
 	revision := s.revision
 	if len(ops) > 0 {
 		revision++
@@ -164,8 +165,8 @@
 		if err := storeItems(tx, ops, values, revision); err != nil {
 			return err
 		}
-		if also != nil {
-			if err := also(tx); err != nil {
+		if alsoStore != nil {
+			if err := alsoStore(tx); err != nil {
 				return err
 			}
 		}
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// storeItems writes changes to the records on disk.
+// storeItems stores changes in the database.
 func storeItems(tx *bbolt.Tx, ops []wire.Op, values []json.RawMessage, revision uint64) error {
 	items := tx.Bucket(itemsBucket)
 	for i, op := range ops {
@@ -195,10 +196,10 @@
 	return nil
 }
 
-// applyLocked makes changes of the current revision visible to reads and watches.
+// applyLocked makes the changes of the current revision visible to reads and watches.
 func (s *State) applyLocked(ops []wire.Op, values []json.RawMessage) {
 	for i, op := range ops {
-		key := op.Put + op.Delete // one of them is empty
+		key := op.Put + op.Delete // exactly one of them is not empty
 		at, exists := slices.BinarySearch(s.keys, key)
 		if op.Delete != "" {
 			if exists {
--- a/internal/standin/state_http.go
+++ b/internal/standin/state_http.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	maxItems      = 1000      // in a listing
-	maxListBytes  = 512 << 10 // of a listing
-	itemOverheadB = 64        // of an item in a listing, beside key and value
+	maxItems      = 1000      // per listing
+	maxListBytes  = 512 << 10 // per listing
+	itemOverheadB = 64        // estimate of an item's size in a listing without its key and value
 	maxKeyBytes   = 200
 	maxWatchWait  = time.Minute // of a watch without changes
 
@@ -51,7 +51,7 @@
 	httpjson.Write(w, http.StatusOK, it.toWire(key))
 }
 
-// toWire is an item as the protocol has it.
+// toWire converts an item to its form in the protocol.
 func (it item) toWire(key string) wire.Item {
 	return wire.Item{Key: key, Value: it.Value, Version: it.Version, Lease: it.Lease}
 }
@@ -65,7 +65,8 @@
 	httpjson.Write(w, http.StatusOK, list)
 }
 
-// listLocked lists the items with a prefix and after a key, within the limits.
+// listLocked lists the items with a prefix and with keys greater than after, up to limit items
+// and maxListBytes.
 func (s *State) listLocked(prefix, after string, limit int) wire.Items {
 	list := wire.Items{Items: []wire.Item{}, Revision: s.revision}
 	size := 0
@@ -91,7 +92,7 @@
 	return list
 }
 
-// checkTxn returns what is malformed about a transaction.
+// checkTxn returns the first error in a transaction, or nil.
 func (s *State) checkTxn(txn *wire.Txn) error {
 	if len(txn.Then) > s.maxOps || len(txn.If) > 4*s.maxOps {
 		return errors.New("too many conditions or changes")
@@ -205,21 +206,21 @@
 	httpjson.Write(w, http.StatusNotFound, wire.Problem{Error: "no such lease"})
 }
 
-// serveWatch responds with the changes after a revision, or with none when the time to
-// hold the request is over.
+// serveWatch responds with the changes after a revision, or with no changes when the requested
+// wait has passed.
 func (s *State) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	prefix := query.Get("starts")
 	after := parseNumber([]byte(query.Get("after")))
-	hold := min(maxWatchWait, time.Duration(parseNumber([]byte(query.Get("holdMs"))))*time.Millisecond)
-	timeout := time.NewTimer(hold)
+	maxWait := min(maxWatchWait, time.Duration(parseNumber([]byte(query.Get("holdMs"))))*time.Millisecond)
+	timeout := time.NewTimer(maxWait)
 	defer timeout.Stop()
 	for {
 		s.mu.Lock()
-		events, kept := s.eventsLocked(prefix, after)
+		events, complete := s.eventsLocked(prefix, after)
 		changed := s.changed
 		s.mu.Unlock()
-		if !kept {
+		if !complete {
 			httpjson.Write(w, http.StatusGone, wire.Problem{Error: "too old"})
 			return
 		}
@@ -239,10 +240,10 @@
 	}
 }
 
-// eventsLocked returns the changes of keys with a prefix after a revision; kept is false
-// if not all of them are kept any more.
-func (s *State) eventsLocked(prefix string, after uint64) (events wire.Events, kept bool) {
-	oldest := s.revision // a watch from here on misses nothing
+// eventsLocked returns the changes of keys with a prefix after a revision. complete is false if
+// some of them are no longer retained.
+func (s *State) eventsLocked(prefix string, after uint64) (events wire.Events, complete bool) {
+	oldest := s.revision // without retained events, a watch can only continue from the current revision
 	if len(s.events) > 0 {
 		oldest = s.events[0].Version - 1
 	}
--- a/internal/standin/state_test.go
+++ b/internal/standin/state_test.go
@@ -17,7 +17,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// openClient serves the state service on a file, as after a start.
+// openClient serves the state service from a database file, as after a restart, and returns a
+// client of it.
 func openClient(t *testing.T, file string) (client *statestore.Client, stop func()) {
 	db, err := bbolt.Open(file, 0o644, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
@@ -41,7 +42,7 @@
 	}
 }
 
-// must fails the test if there was an error.
+// must fails the test if err is not nil.
 func must(t *testing.T, n uint64, err error) uint64 {
 	t.Helper()
 	if err != nil {
@@ -50,8 +51,8 @@
 	return n
 }
 
-// What was reported as written is there after a restart, leases go on, revisions
-// never come twice, and an old watch has to read again.
+// After a restart confirmed writes are still there, leases are still valid, revisions continue,
+// and a watch from an old revision must list again.
 func TestWritesAndLeasesSurviveARestart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state.db")
 	client, stop := openClient(t, file)
@@ -64,7 +65,7 @@
 	must(t, revision, err)
 	events, err := client.Follow(ctx, "c/", revision, 5*time.Second)
 	if err != nil || len(events.Events) != 1 || events.Events[0].Delete != "c/b" {
-		t.Errorf("after a lease's end: %+v, %v", events, err)
+		t.Errorf("changes after lease expiry: %+v, error %v", events, err)
 	}
 	expectRefusals(t, client, short)
 	last, err := client.Txn(ctx, nil, wire.Op{Put: "d/1", Value: 1}, wire.Op{Put: "d/2", Value: 2})
@@ -74,48 +75,48 @@
 	defer stop()
 	items, at, err := client.List(ctx, "")
 	if err != nil || at != last || len(items) != 3 || items[0].Key != "c/a" || items[0].Lease != long || items[0].Version != revision {
-		t.Errorf("after a restart: %+v at %d, %v", items, at, err)
+		t.Errorf("items after the restart: %+v at revision %d, error %v", items, at, err)
 	}
 	expectStateContinues(t, client, long, last)
 }
 
-// expectRefusals expects that what a transaction may not do is refused.
+// expectRefusals checks that invalid transactions are refused.
 func expectRefusals(t *testing.T, client *statestore.Client, endedLease uint64) {
 	t.Helper()
 	ctx := t.Context()
 	var conflict *statestore.ConflictError
 	if _, err := client.Txn(ctx, []wire.Guard{{Key: "c/a"}}, wire.Op{Delete: "c/a"}); !errors.As(err, &conflict) || !conflict.Has("c/a") {
-		t.Errorf("a failed condition gave %v", err)
+		t.Errorf("transaction with a failed condition: error %v", err)
 	}
 	if _, err := client.Txn(ctx, nil, wire.Op{Put: "d", Value: 1, Lease: endedLease}); !errors.Is(err, statestore.ErrNoLease) {
-		t.Errorf("an ended lease gave %v", err)
+		t.Errorf("transaction with an expired lease: error %v", err)
 	}
 	for _, ops := range [][]wire.Op{{{Put: "x", Value: strings.Repeat("x", 2000)}}, {{Put: "a b", Value: 1}}, make([]wire.Op, 9)} {
 		if _, err := client.Txn(ctx, nil, ops...); err == nil {
-			t.Errorf("%d changes beyond the limits were taken", len(ops))
+			t.Errorf("an invalid transaction with %d changes was accepted", len(ops))
 		}
 	}
 }
 
-// expectStateContinues expects that a restarted service goes on after the last revision, with a
-// lease of before.
+// expectStateContinues checks that after a restart the next revision follows the last one, and
+// that an earlier lease is still valid.
 func expectStateContinues(t *testing.T, client *statestore.Client, lease, last uint64) {
 	t.Helper()
 	ctx := t.Context()
 	if err := client.RenewLease(ctx, lease); err != nil {
-		t.Errorf("a lease is gone: %v", err)
+		t.Errorf("renewing a lease after the restart: %v", err)
 	}
 	if _, err := client.Follow(ctx, "", last-1, 0); !errors.Is(err, statestore.ErrCompacted) {
-		t.Errorf("an old watch got %v", err)
+		t.Errorf("watch from an old revision: error %v", err)
 	}
 	next, err := client.Txn(ctx, nil, wire.Op{Delete: "d/1"})
 	if must(t, next, err) != last+1 {
-		t.Errorf("revision %d after %d", next, last)
+		t.Errorf("next revision is %d after %d", next, last)
 	}
 	if err := client.RevokeLease(ctx, lease); err != nil {
 		t.Error(err)
 	}
 	if _, err := client.Get(ctx, "c/a"); !errors.Is(err, statestore.ErrNotFound) {
-		t.Errorf("the key of a revoked lease: %v", err)
+		t.Errorf("get of a revoked lease's key: error %v", err)
 	}
 }
--- a/internal/subprocess/subprocess.go
+++ b/internal/subprocess/subprocess.go
@@ -1,7 +1,7 @@
-// Package subprocess starts child processes that do not outlive this one: the kernel
-// kills a child when the thread that started it ends, so one thread starts all of
-// them and lives as long as the process. What a child starts itself is its own duty, or
-// that of whoever signals its group. The package does not wait for children.
+// Package subprocess starts child processes that do not outlive this process. The kernel kills a
+// child when the thread that started it ends, so one thread starts all children and lives as long
+// as the process. Processes started by a child are not covered: the child must end them, or the
+// caller must signal its process group. The package does not wait for children.
 package subprocess
 
 import (
@@ -15,31 +15,31 @@
 
 var (
 	startThreadOnce sync.Once
-	starts          = make(chan func())
+	startRequests   = make(chan func())
 )
 
-// runStartLoop runs starts on a thread of its own, which never ends: the kernel would kill
-// all children with it.
+// runStartLoop starts processes on a dedicated thread that never ends. If it ended, the kernel
+// would kill all children.
 func runStartLoop() {
 	runtime.LockOSThread()
-	for start := range starts {
+	for start := range startRequests {
 		start()
 	}
 }
 
-// Start starts cmd, as exec.Cmd.Start does, as the leader of a process group of its own.
-// The kernel sends SIGKILL to that process, not to its own children, when this process
-// ends in whatever way. SysProcAttr is replaced.
+// Start starts cmd like exec.Cmd.Start, as the leader of a new process group. When this process
+// ends for any reason, the kernel sends SIGKILL to the child, but not to the child's own
+// children. SysProcAttr is replaced.
 func Start(cmd *exec.Cmd) error {
 	startThreadOnce.Do(func() { go runStartLoop() })
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	result := make(chan error, 1)
-	starts <- func() { result <- cmd.Start() }
+	startRequests <- func() { result <- cmd.Start() }
 	return <-result
 }
 
-// FreePorts finds n different TCP ports of 127.0.0.1 that nothing listens on now.
-// Nothing keeps another process from taking one before the child does.
+// FreePorts returns n different TCP ports on 127.0.0.1 that no process listens on. The ports are
+// not reserved: another process may take one before the caller uses it.
 func FreePorts(n int) ([]int, error) {
 	ports := make([]int, 0, n)
 	for range n {
@@ -47,16 +47,16 @@
 		if err != nil {
 			return nil, fmt.Errorf("no free port: %w", err)
 		}
-		defer func() { _ = listener.Close() }() // all stay taken until the last is found
+		defer func() { _ = listener.Close() }() // all stay open until the last is found, so that the ports differ
 		ports = append(ports, listener.Addr().(*net.TCPAddr).Port)
 	}
 	return ports, nil
 }
 
-// SignalGroup sends a signal to the whole group of a child that Start started; if it was not
-// started, or its group has ended, nothing is done.
+// SignalGroup sends a signal to the process group of a child that was started by Start. It does
+// nothing if the child was not started or the group has exited.
 func SignalGroup(cmd *exec.Cmd, sig syscall.Signal) {
 	if cmd.Process != nil {
-		_ = syscall.Kill(-cmd.Process.Pid, sig) // the group has ended: nothing to do
+		_ = syscall.Kill(-cmd.Process.Pid, sig) // fails only if the group has exited
 	}
 }
--- a/internal/taskspec/client.go
+++ b/internal/taskspec/client.go
@@ -27,8 +27,8 @@
 	return &Client{Base: strings.TrimSuffix(base, "/"), HTTP: &http.Client{Timeout: clientTimeout}}
 }
 
-// Put uploads a job's description. To upload the same one again is no error; for another it
-// fails with ErrDiffers.
+// Put uploads a job's description. Uploading the same description again succeeds; a different one
+// fails with ErrConflict.
 func (c *Client) Put(ctx context.Context, job string, spec *Spec) error {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return &spec, nil
 }
 
-// do makes a request about a job's description and returns the status and the body.
+// do sends a request for a job's description and returns the response's status and body.
 func (c *Client) do(ctx context.Context, method, job string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.Base+pathPrefix+job, bytes.NewReader(body))
 	if err != nil {
@@ -74,7 +74,7 @@
 	if err != nil {
 		return 0, nil, fmt.Errorf("description of %s: %w", job, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // the body is read, or the error is known
+	defer func() { _ = resp.Body.Close() }() // the body has been read, or reading it has failed
 	data, err := io.ReadAll(io.LimitReader(resp.Body, 2*MaxBytes))
 	if err != nil {
 		return 0, nil, fmt.Errorf("description of %s: %w", job, err)
@@ -82,7 +82,7 @@
 	return resp.StatusCode, data, nil
 }
 
-// errorMessage is why the service refused a request.
+// errorMessage returns the error message of a response.
 func errorMessage(body []byte) string {
 	var problem wire.Problem
 	if json.Unmarshal(body, &problem) == nil && problem.Error != "" {
--- a/internal/taskspec/recorded_test.go
+++ b/internal/taskspec/recorded_test.go
@@ -21,7 +21,7 @@
 	recorded.Check(t, "description-none", taskspec.Spec{Argv: []string{"/bin/true"}, CPUs: 1})
 }
 
-// memoryStore is a store in memory.
+// memoryStore is a Store in memory.
 type memoryStore map[string]string
 
 func (s memoryStore) Put(name string, data []byte) ([]byte, error) {
@@ -34,7 +34,7 @@
 
 func (s memoryStore) Get(name string) ([]byte, error) { return []byte(s[name]), nil }
 
-// What is uploaded to the path of a job is stored, and served, in the recorded form.
+// A description uploaded for a job is stored and served in the recorded form.
 func TestRecordedUploadIsStoredAndServed(t *testing.T) {
 	for _, name := range []string{"description-full", "description-none"} {
 		data, err := os.ReadFile("testdata/recorded/" + name + ".json")
--- a/internal/taskspec/server.go
+++ b/internal/taskspec/server.go
@@ -12,12 +12,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Store keeps descriptions. It is safe for concurrent use.
+// Store stores descriptions. It is safe for concurrent use.
 type Store interface {
-	// Put stores data under a name durably, or returns what is there already and stores
-	// nothing.
-	Put(name string, data []byte) (old []byte, err error)
-	// Get returns the data under a name; nil: there is none.
+	// Put stores data under a name durably. If the name has data already, it stores nothing and
+	// returns that data.
+	Put(name string, data []byte) (existing []byte, err error)
+	// Get returns the data stored under a name, or nil if there is none.
 	Get(name string) ([]byte, error)
 }
 
@@ -29,7 +29,8 @@
 	return mux
 }
 
-// servePut stores an uploaded description, encoded anew: what differs in spaces alone is the same.
+// servePut stores an uploaded description. It is decoded and encoded again, so that descriptions
+// that differ only in white space are equal.
 func servePut(store Store, w http.ResponseWriter, r *http.Request) {
 	job := r.PathValue("job")
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBytes))
@@ -46,18 +47,18 @@
 		writeProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	old, err := store.Put(job, data)
+	existing, err := store.Put(job, data)
 	switch {
 	case err != nil:
 		writeUnavailable(w, err)
-	case old != nil && !bytes.Equal(old, data):
+	case existing != nil && !bytes.Equal(existing, data):
 		writeProblem(w, http.StatusConflict, ErrConflict.Error())
 	default:
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
-// normalize checks an uploaded description and encodes it in the stored form.
+// normalize validates an uploaded description and encodes it in the stored form.
 func normalize(body []byte) ([]byte, error) {
 	var spec Spec
 	if err := json.Unmarshal(body, &spec); err != nil {
@@ -79,11 +80,11 @@
 		writeProblem(w, http.StatusNotFound, ErrNotFound.Error())
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(data) // a worker that did not get it retries
+		_, _ = w.Write(data) // after a failed write the worker fetches it again
 	}
 }
 
-// writeUnavailable answers that the store failed.
+// writeUnavailable responds that the store failed, with status 503.
 func writeUnavailable(w http.ResponseWriter, err error) {
 	w.Header().Set("Retry-After", "1")
 	writeProblem(w, http.StatusServiceUnavailable, err.Error())
--- a/internal/taskspec/spec.go
+++ b/internal/taskspec/spec.go
@@ -1,7 +1,8 @@
-// Package taskspec has the descriptions of what jobs' tasks run, the service that keeps
-// them, and its client: users upload a job's description, workers fetch it. A description
-// never changes once it is stored, so every task of a job, and every repeat of one, runs the
-// same. The package stores nothing itself; a Store does.
+// Package taskspec defines task descriptions, which say what the tasks of a job run, with the
+// service that stores them and its client: users upload a job's description, and workers fetch
+// it. A stored description never changes, so that all tasks of a job and all their attempts run
+// the same program. The descriptions are stored by an implementation of Store, which is not part
+// of the package.
 package taskspec
 
 import (
@@ -13,34 +14,34 @@
 	"github.com/wallrack/wallrack/internal/slurmtask"
 )
 
-// MaxBytes bounds an uploaded description, script included.
+// MaxBytes is the maximum size of an uploaded description, including its script.
 const MaxBytes = 1 << 20
 
-// pathPrefix begins the paths of descriptions; the job's id follows.
+// pathPrefix is the path of descriptions; the job's id follows.
 const pathPrefix = "/descriptions/"
 
 var (
-	// ErrNotFound means that no description was uploaded for the job.
+	// ErrNotFound means that no description is stored for the job.
 	ErrNotFound = errors.New("no such description")
-	// ErrConflict means that another description was uploaded for the job.
+	// ErrConflict means that a different description is stored for the job.
 	ErrConflict = errors.New("the job has another description already")
 )
 
-// Spec is what a job's tasks run.
+// Spec describes what the tasks of a job run.
 type Spec struct {
-	Argv     []string          `json:"argv"`             // the program and its arguments
-	Env      map[string]string `json:"env,omitempty"`    // added to the worker's own environment
+	Argv     []string          `json:"argv"`             // the program and its first arguments
+	Env      map[string]string `json:"env,omitempty"`    // added to the worker's environment
 	Dir      string            `json:"dir,omitempty"`    // working directory; the task's own if empty
-	Script   string            `json:"script,omitempty"` // written to a file whose path goes behind Argv
-	Args     []string          `json:"args,omitempty"`   // go behind the script
-	CPUs     float64           `json:"cpus"`             // what a task takes of its worker
+	Script   string            `json:"script,omitempty"` // written to a file whose path is appended to Argv
+	Args     []string          `json:"args,omitempty"`   // appended after the script's path
+	CPUs     float64           `json:"cpus"`             // resources that each task uses on its worker
 	GPUs     float64           `json:"gpus,omitempty"`
 	MemoryGB float64           `json:"memoryGb,omitempty"`
 
-	Slurm *slurmtask.Context `json:"slurm,omitempty"` // of a Slurm-style job
+	Slurm *slurmtask.Context `json:"slurm,omitempty"` // for jobs submitted through the Slurm-style interface
 }
 
-// Check returns what is wrong with a description, beginning with the field, or nil.
+// Check returns the first error in a description, prefixed with the field's name, or nil.
 func (s *Spec) Check() error {
 	switch {
 	case len(s.Argv) == 0 || s.Argv[0] == "":
