--- a/internal/scale/failures.go
+++ b/internal/scale/failures.go
@@ -9,18 +9,18 @@
 
 const (
 	secondsADay         = 24 * 3600
-	failureListingDelay = 30 * time.Second // a machine that died is listed as running for so long
+	failureListingDelay = 30 * time.Second // time for which the cloud lists a dead machine as running
 )
 
-// runPartitions plays the phases in which workers' links are cut, each followed by one in which
-// the site recovers.
+// runPartitions runs the phases in which the links of workers are cut, each followed by a phase
+// in which the site recovers.
 func (r *Run) runPartitions(ctx context.Context) {
 	s := r.Settings
 	for _, cut := range []struct {
 		name    string
 		lengthS float64
 		zones   []string
-		most    int // workers
+		limit   int // maximum number of workers
 	}{
 		{"rack cut", s.RackCutS, r.zones[:1], s.RackWorkers},
 		{"zone cut", s.ZoneCutS, r.zones[:1], s.Workers},
@@ -29,7 +29,7 @@
 		if cut.lengthS == 0 {
 			continue
 		}
-		names := r.oldestWorkers(cut.zones, cut.most)
+		names := r.oldestWorkers(cut.zones, cut.limit)
 		r.runPhase(ctx, cut.name, s.SteadyStarts, seconds(cut.lengthS), func(context.Context) {
 			r.track.markLost(cut.name, names)
 			r.workers.setCut(names, true)
@@ -41,17 +41,17 @@
 	}
 }
 
-// oldestWorkers picks the oldest workers of zones.
-func (r *Run) oldestWorkers(zones []string, most int) map[string]bool {
-	picked := r.workers.selectNames(func(h *hollowWorker) bool { return slices.Contains(zones, h.zone) })
-	names := slices.Sorted(maps.Keys(picked))
-	for _, name := range names[min(most, len(names)):] {
-		delete(picked, name)
+// oldestWorkers returns the names of the oldest workers in the given zones, at most limit.
+func (r *Run) oldestWorkers(zones []string, limit int) map[string]bool {
+	selected := r.workers.selectNames(func(h *hollowWorker) bool { return slices.Contains(zones, h.zone) })
+	names := slices.Sorted(maps.Keys(selected))
+	for _, name := range names[min(limit, len(names)):] {
+		delete(selected, name)
 	}
-	return picked
+	return selected
 }
 
-// randomWorker picks a worker at random; "" if there is none.
+// randomWorker returns the name of a random worker, or "" if there is none.
 func (r *Run) randomWorker() string {
 	names := slices.Sorted(maps.Keys(r.oldestWorkers(r.zones, r.Settings.Workers)))
 	if len(names) == 0 {
@@ -60,19 +60,19 @@
 	return names[r.random.IntN(len(names))]
 }
 
-// injectFailures plays an ordinary day's, so many times faster: some machines die, and are
-// listed as running for a while; others are restarted or replaced, which the cloud shows,
-// and come back as new ones.
+// injectFailures injects the failures of an ordinary day, accelerated by FailureSpeedup. Some
+// machines die, and the cloud still lists them as running for a while. Others are restarted or
+// replaced: the cloud lists them as failed at once, and new machines take their place.
 func (r *Run) injectFailures(ctx context.Context) {
 	s := r.Settings
-	perS := (s.FailuresPerDay + s.RestartsPerDay) * s.FailureSpeedup / secondsADay
-	if perS <= 0 {
+	ratePerS := (s.FailuresPerDay + s.RestartsPerDay) * s.FailureSpeedup / secondsADay
+	if ratePerS <= 0 {
 		return
 	}
-	began := time.Now()
+	start := time.Now()
 	for n := 1; ; n++ {
-		at := began.Add(seconds(float64(n) / perS))
-		if at.Sub(began) >= seconds(s.FailuresS) || !sleep(ctx, time.Until(at)) {
+		at := start.Add(seconds(float64(n) / ratePerS))
+		if at.Sub(start) >= seconds(s.FailuresS) || !sleep(ctx, time.Until(at)) {
 			return
 		}
 		name := r.randomWorker()
@@ -84,7 +84,7 @@
 		r.track.markLost(event, map[string]bool{name: true})
 		r.workers.End(name)
 		if died {
-			// Not stopped at the run's end: it does nothing then.
+			// The timer is not stopped at the end of the run; MarkFailed then has no effect.
 			time.AfterFunc(failureListingDelay, func() { r.cloud.MarkFailed(name) })
 			continue
 		}
@@ -93,7 +93,7 @@
 	}
 }
 
-// restartControllers restartControllers each controller in turn.
+// restartControllers restarts the controllers one after the other.
 func (r *Run) restartControllers(ctx context.Context) {
 	for _, c := range r.controllers {
 		select {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -10,35 +10,35 @@
 	"github.com/wallrack/wallrack/internal/worker"
 )
 
-// hollowWorker is a worker that runs nothing but a timer per task.
+// hollowWorker is a worker whose tasks are only timers.
 type hollowWorker struct {
 	name, zone  string
 	link        link
 	state       *worker.State
 	server      *http.Server
-	stopReports context.CancelFunc // ends reports
-	reportsDone chan struct{}      // closed when reports have ended
+	stopReports context.CancelFunc // stops the agent that sends reports
+	reportsDone chan struct{}      // closed when the agent has stopped
 
-	serving sync.RWMutex // held while a request is served
-	deleted bool         // with its machine: requests on their way do nothing
+	serving sync.RWMutex // held for reading while a request is served
+	deleted bool         // the machine was deleted: held requests have no effect
 }
 
-// shutDown ends the worker with all that runs there, and waits for it.
+// shutDown ends the worker and its tasks, and waits until they have ended.
 func (h *hollowWorker) shutDown() {
 	h.stopReports()
 	h.serving.Lock()
 	h.deleted = true
 	h.serving.Unlock()
-	_ = h.server.Close() // responses on their way are lost
+	_ = h.server.Close() // requests in progress are aborted
 	h.link.setCut(false)
 	<-h.reportsDone
 	h.state.Close()
 }
 
-// holdRequests returns a handler that holds requests while the link is cut.
+// holdRequests returns a handler that delays requests until the link is connected.
 func (h *hollowWorker) holdRequests(agent http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-h.link.restored()
+		<-h.link.connected()
 		h.serving.RLock()
 		defer h.serving.RUnlock()
 		if !h.deleted {
@@ -47,51 +47,52 @@
 	})
 }
 
-// runner is the source of a worker's descriptions, and what its tasks run on.
+// runner provides the task descriptions of a hollow worker and runs its tasks.
 type runner struct {
-	name  string // of the worker
-	track *tracker
-	fetch time.Duration // of an image that is not cached
+	name      string // name of the worker
+	track     *tracker
+	fetchTime time.Duration // duration of fetching an image that is not cached
 
-	mu     sync.Mutex
-	images map[string]bool // cached
+	mu           sync.Mutex
+	cachedImages map[string]bool // by image name
 }
 
-// Get implements worker.Descriptions: it takes as long as the image's fetch.
+// Get implements worker.Descriptions. It takes as long as fetching the job's image.
 func (r *runner) Get(ctx context.Context, uid string) (*taskspec.Spec, error) {
 	job := r.track.job(uid)
 	if job == nil {
 		return nil, taskspec.ErrNotFound
 	}
 	r.mu.Lock()
-	cached := r.images[job.Image]
+	cached := r.cachedImages[job.Image]
 	r.mu.Unlock()
-	if !cached && r.fetch > 0 {
+	if !cached && r.fetchTime > 0 {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(r.fetch):
+		case <-time.After(r.fetchTime):
 		}
 		r.mu.Lock()
-		r.images[job.Image] = true
+		r.cachedImages[job.Image] = true
 		r.mu.Unlock()
 	}
 	return &taskspec.Spec{Argv: []string{"hollow"}, CPUs: job.CPUs, MemoryGB: job.MemoryGB}, nil
 }
 
-// process is a task that only takes time.
+// process is a task without an operating system process. It lasts until its timer fires or it is
+// stopped.
 type process struct {
-	timer  *time.Timer // nil: it runs until it is stopped
-	once   sync.Once   // it ends once
+	timer  *time.Timer // nil: the task runs until it is stopped
+	once   sync.Once   // ensures that finish is called once
 	finish func(completed bool)
 }
 
-// killedExitCode is the exit code of a stopped task, as after SIGKILL.
+// killedExitCode is the exit code of a task killed by SIGKILL.
 const killedExitCode = 137
 
 // Start implements worker.Runner.
 func (r *runner) Start(task string, _ uint64, _ *taskspec.Spec, exited func(code int)) (worker.Process, error) {
-	run, completed := r.track.taskStarted(task, r.name)
+	runTime, completed := r.track.taskStarted(task, r.name)
 	p := &process{finish: func(completed bool) {
 		r.track.taskEnded(task, completed)
 		code := 0
@@ -101,16 +102,17 @@
 		go exited(code)
 	}}
 	switch {
-	case completed: // the result is kept
+	case completed: // the task completed in an earlier attempt
 		p.once.Do(func() {})
 		go exited(0)
-	case run > 0:
-		p.timer = time.AfterFunc(run, func() { p.once.Do(func() { p.finish(true) }) })
+	case runTime > 0:
+		p.timer = time.AfterFunc(runTime, func() { p.once.Do(func() { p.finish(true) }) })
 	}
 	return p, nil
 }
 
-// Stop implements worker.Process; nothing is saved, so it needs no grace.
+// Stop implements worker.Process. It ignores the grace period, since the task has nothing to
+// save.
 func (p *process) Stop(time.Duration) {
 	if p.timer != nil {
 		p.timer.Stop()
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -17,17 +17,17 @@
 	"github.com/wallrack/wallrack/internal/worker"
 )
 
-// testSite is one hollow worker and a controller that responds to its reports.
+// testSite is one hollow worker and a fake controller that responds to its reports.
 type testSite struct {
 	t        *testing.T
 	track    *tracker
 	workers  *workers
 	endpoint string
 	reports  atomic.Int64
-	token    atomic.Uint64 // fencing token of responses; 0: reports are refused
+	token    atomic.Uint64 // fencing token in responses; 0: reports get status 503
 }
 
-// newSite starts a worker, and waits for its first report.
+// newSite starts a worker and waits until the controller has received a report.
 func newSite(t *testing.T, lease time.Duration) *testSite {
 	s := &testSite{t: t, track: newTracker([]Team{{"a", 2, 2}}, time.Second)}
 	s.token.Store(5)
@@ -58,26 +58,26 @@
 	return s
 }
 
-// await waits for a condition.
-func (s *testSite) await(what string, holds func() bool) {
+// await waits until a condition holds.
+func (s *testSite) await(what string, condition func() bool) {
 	s.t.Helper()
 	for range 2000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	s.t.Fatal("did not come: " + what)
+	s.t.Fatal("timed out waiting for " + what)
 }
 
-// show returns the worker's report.
+// show fetches the worker's report.
 func (s *testSite) show() *wire.Report {
 	s.t.Helper()
 	resp, err := http.Get("http://" + s.endpoint + "/show")
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	defer func() { _ = resp.Body.Close() }() // what was read counts
+	defer func() { _ = resp.Body.Close() }() // the body has been read
 	var report wire.Report
 	if err := json.NewDecoder(resp.Body).Decode(&report); err != nil {
 		s.t.Fatal(err)
@@ -85,19 +85,20 @@
 	return &report
 }
 
-// sendOrder sends a direct sendOrder and returns the status, 0 for no response in time.
+// sendOrder sends a direct order and returns the response's status, or 0 if no response arrives
+// in time.
 func (s *testSite) sendOrder(client *http.Client, token, session uint64, uid string) int {
 	body, _ := json.Marshal(wire.Orders{Token: token, Session: session, Commands: []wire.Command{{Verb: wire.VerbStart, Task: uid + "/0", Attempt: 1}}})
 	resp, err := client.Post("http://"+s.endpoint+"/orders", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = resp.Body.Close() }() // what was read counts
-	_, _ = io.Copy(io.Discard, resp.Body)    // so that the connection is used again
+	defer func() { _ = resp.Body.Close() }() // the body has been read
+	_, _ = io.Copy(io.Discard, resp.Body)    // so that the connection is reused
 	return resp.StatusCode
 }
 
-// running is how many tasks run.
+// running returns the number of running tasks.
 func (s *testSite) running() int {
 	running, _ := s.track.taskCounts()
 	return running
@@ -115,7 +116,7 @@
 		{"another session", 5, 2, "j-long", http.StatusConflict},
 		{"the highest token", 5, 1, "j-short", http.StatusOK},
 		{"a higher token", 7, 1, "j-long", http.StatusOK},
-		{"what was the highest token", 5, 1, "j-late", http.StatusConflict},
+		{"a previously highest token", 5, 1, "j-late", http.StatusConflict},
 	} {
 		if got := s.sendOrder(http.DefaultClient, c.token, c.session, c.uid); got != c.status {
 			t.Errorf("%s: status %d, want %d", c.why, got, c.status)
@@ -124,7 +125,7 @@
 	s.await("the short task's end", func() bool { return s.running() == 1 && s.track.teams["a"].completed == 1 })
 	for _, task := range s.show().Tasks {
 		if want := map[string]string{"j-short/0": wire.TaskExited, "j-long/0": wire.TaskRunning}[task.Task]; task.State != want {
-			t.Errorf("%s is %s", task.Task, task.State)
+			t.Errorf("task %s is in state %s", task.Task, task.State)
 		}
 	}
 }
@@ -133,56 +134,58 @@
 	const lease = 1500 * time.Millisecond
 	s := newSite(t, lease)
 	if s.sendOrder(http.DefaultClient, 5, 1, "j-long") != http.StatusOK {
-		t.Fatal("not started")
+		t.Fatal("the start order was refused")
 	}
 	s.await("the task", func() bool { return s.running() == 1 })
 	cut := map[string]bool{"n-1": true}
 	s.track.markLost("cut", cut)
 	s.workers.setCut(cut, true)
-	time.Sleep(50 * time.Millisecond) // a report that was on its way
-	before, began := s.reports.Load(), time.Now()
-	// On the connection that stands, the order comes late; on a new one never.
-	held := make(chan int, 1)
-	go func() { held <- s.sendOrder(&http.Client{Timeout: 200 * time.Millisecond}, 5, 1, "j-late") }()
-	never := &http.Client{Transport: &http.Transport{}, Timeout: 200 * time.Millisecond}
-	if status := s.sendOrder(never, 9, 1, "j-third"); status != 0 || <-held != 0 {
-		t.Errorf("a worker that is cut off answered: %d", status)
+	time.Sleep(50 * time.Millisecond) // lets a report in progress arrive
+	before, start := s.reports.Load(), time.Now()
+	// An order on an established connection is delivered after the cut; one on a connection
+	// opened during the cut is never delivered.
+	heldStatus := make(chan int, 1)
+	go func() { heldStatus <- s.sendOrder(&http.Client{Timeout: 200 * time.Millisecond}, 5, 1, "j-late") }()
+	openedDuringCut := &http.Client{Transport: &http.Transport{}, Timeout: 200 * time.Millisecond}
+	if status := s.sendOrder(openedDuringCut, 9, 1, "j-third"); status != 0 || <-heldStatus != 0 {
+		t.Errorf("a worker that is cut off responded with status %d", status)
 	}
 	if s.running() != 1 {
-		t.Errorf("%d tasks on within the lease", s.running())
+		t.Errorf("%d tasks run within the lease, want 1", s.running())
 	}
 	s.await("the lease's end", func() bool { return s.running() == 0 })
-	if took := time.Since(began); took < lease/2 || took > lease+2*time.Second {
+	if took := time.Since(start); took < lease/2 || took > lease+2*time.Second {
 		t.Errorf("tasks ended %v after the cut", took)
 	}
 	if s.reports.Load() != before {
-		t.Error("reports came through")
+		t.Error("a report arrived during the cut")
 	}
 	s.workers.setCut(cut, false)
 	s.await("reports again", func() bool { return s.reports.Load() > before })
 	if r := s.show(); r.Session < 2 || len(r.Tasks) != 0 || r.Token != 5 {
-		t.Errorf("after the cut: %+v; orders of the earlier session must do nothing", r)
+		t.Errorf("report after the cut: %+v; orders of the earlier session must have no effect", r)
 	}
-	if len(s.track.lost) != 1 || s.track.events[0].tasks != 1 || s.track.events[0].restored != 0 {
-		t.Errorf("recovery: %+v", s.track.events[0])
+	if len(s.track.lostTasks) != 1 || s.track.recoveries[0].tasks != 1 || s.track.recoveries[0].restored != 0 {
+		t.Errorf("recovery: %+v", s.track.recoveries[0])
 	}
 }
 
-// A cut shorter than the lease: what stood is as before, and an order that was on its
-// way is executed late; one on a connection that came during the cut never is.
+// After a cut shorter than the lease, running tasks have continued, and an order that was held on
+// an established connection is executed late. An order on a connection opened during the cut is
+// never executed.
 func TestShortCutDeliversHeldOrdersLate(t *testing.T) {
 	s := newSite(t, time.Minute)
-	stood := &http.Client{Transport: &http.Transport{}, Timeout: 300 * time.Millisecond}
-	if s.sendOrder(stood, 5, 1, "j-long") != http.StatusOK {
-		t.Fatal("not started")
+	established := &http.Client{Transport: &http.Transport{}, Timeout: 300 * time.Millisecond}
+	if s.sendOrder(established, 5, 1, "j-long") != http.StatusOK {
+		t.Fatal("the start order was refused")
 	}
 	s.await("the task", func() bool { return s.running() == 1 })
 	cut := map[string]bool{"n-1": true}
 	s.track.markLost("cut", cut)
 	s.workers.setCut(cut, true)
-	during := &http.Client{Transport: &http.Transport{}, Timeout: 300 * time.Millisecond}
-	if a, b := s.sendOrder(stood, 5, 1, "j-late"), s.sendOrder(during, 5, 1, "j-third"); a != 0 || b != 0 || s.running() != 1 {
-		t.Errorf("statuses %d and %d, %d tasks on during the cut", a, b, s.running())
+	openedDuringCut := &http.Client{Transport: &http.Transport{}, Timeout: 300 * time.Millisecond}
+	if a, b := s.sendOrder(established, 5, 1, "j-late"), s.sendOrder(openedDuringCut, 5, 1, "j-third"); a != 0 || b != 0 || s.running() != 1 {
+		t.Errorf("during the cut: statuses %d and %d, %d tasks running", a, b, s.running())
 	}
 	s.workers.setCut(cut, false)
 	s.track.markReachable(cut)
@@ -190,33 +193,32 @@
 	time.Sleep(50 * time.Millisecond)
 	for _, task := range s.show().Tasks {
 		if task.Task == "j-third/0" {
-			t.Error("a connection that was given up delivered an order")
+			t.Error("a connection opened during the cut delivered an order")
 		}
 	}
-	if r := s.track.events[0]; r.tasks != 1 || r.restored != 1 || s.show().Session != 1 {
+	if r := s.track.recoveries[0]; r.tasks != 1 || r.restored != 1 || s.show().Session != 1 {
 		t.Errorf("recovery: %+v", r)
 	}
 }
 
-// A machine that was deleted runs nothing any more, nor does it execute orders that were
-// on their way: a task that began there would count as on two workers when it is started
-// elsewhere.
+// A deleted machine does not execute orders that were held by its link. Otherwise a task started
+// there would be counted as running twice when it is started on another machine.
 func TestHeldOrdersAreDroppedAfterMachineDeletion(t *testing.T) {
 	for range 20 {
 		s := newSite(t, time.Minute)
-		stood := &http.Client{Transport: &http.Transport{}, Timeout: 30 * time.Millisecond}
-		if s.sendOrder(stood, 5, 1, "j-short") != http.StatusOK {
-			continue // too busy to respond in time
+		established := &http.Client{Transport: &http.Transport{}, Timeout: 30 * time.Millisecond}
+		if s.sendOrder(established, 5, 1, "j-short") != http.StatusOK {
+			continue // the response was too slow on a busy host
 		}
 		s.await("the short task's end", func() bool { return s.track.job("j-short") != nil && s.running() == 0 })
 		s.workers.setCut(map[string]bool{"n-1": true}, true)
-		if status := s.sendOrder(stood, 5, 1, "j-long"); status != 0 {
+		if status := s.sendOrder(established, 5, 1, "j-long"); status != 0 {
 			t.Errorf("status %d from a worker that is cut off", status)
 		}
 		s.workers.End("n-1")
 		time.Sleep(10 * time.Millisecond)
 		if s.running() != 0 {
-			t.Fatal("a held order was executed on a machine that was deleted")
+			t.Fatal("a held order was executed on a deleted machine")
 		}
 	}
 }
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -7,14 +7,14 @@
 	"sync/atomic"
 )
 
-// link is a worker's connection to all others. While it is cut, messages are held: what
-// was on its way in is delivered afterwards, however late. The zero value is whole.
+// link is the network link of a worker. While it is cut, messages are held, and incoming messages
+// are delivered when it is connected again. The zero value is connected.
 type link struct {
 	mu  sync.Mutex
-	cut chan struct{} // closed when the cut ends; nil: none
+	cut chan struct{} // closed when the link is connected again; nil: not cut
 }
 
-// setCut cuts the link or mends it.
+// setCut cuts the link or connects it again.
 func (l *link) setCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -29,8 +29,9 @@
 	l.cut = nil
 }
 
-// restored is closed while the link is whole.
-func (l *link) restored() <-chan struct{} {
+// connected returns a channel that is closed if the link is connected, or else when it is
+// connected again.
+func (l *link) connected() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cut == nil {
@@ -45,17 +46,17 @@
 	return c
 }()
 
-// reportTransport carries a worker's reports over its link and counts their bytes.
+// reportTransport sends a worker's reports over its link and counts the bytes.
 type reportTransport struct {
 	link  *link
 	base  *http.Transport
-	bytes map[string]*atomic.Int64 // of requests and responses, by the controller's address
+	bytes map[string]*atomic.Int64 // of requests and responses, by controller address
 }
 
 // RoundTrip implements http.RoundTripper.
 func (t *reportTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	select {
-	case <-t.link.restored():
+	case <-t.link.connected():
 	case <-req.Context().Done():
 		return nil, req.Context().Err()
 	}
@@ -66,11 +67,12 @@
 	return resp, err
 }
 
-// CloseIdleConnections lets the worker leave a controller.
+// CloseIdleConnections closes the connection to the previous controller when the worker changes
+// to another one.
 func (t *reportTransport) CloseIdleConnections() { t.base.CloseIdleConnections() }
 
-// linkListener accepts a worker's connections. One that comes while the link is cut never
-// delivers anything: a connection attempt that was given up does not complete later.
+// linkListener accepts connections to a worker. A connection that arrives while the link is cut
+// never delivers anything, like a connection attempt that has timed out.
 type linkListener struct {
 	net.Listener
 	link *link
@@ -83,14 +85,14 @@
 		if err != nil {
 			return nil, err
 		}
-		mended := l.link.restored()
+		connected := l.link.connected()
 		select {
-		case <-mended:
+		case <-connected:
 			return conn, nil
 		default:
 			go func() {
-				<-mended
-				_ = conn.Close() // nothing was sent
+				<-connected
+				_ = conn.Close() // nothing was read from it
 			}()
 		}
 	}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -16,7 +16,7 @@
 
 const (
 	sampleInterval         = time.Second
-	samplesPerUsageReading = 5 // of the controllers' usage
+	samplesPerUsageReading = 5 // samples between two readings of the controllers' usage
 	usageTimeout           = 2 * time.Second
 )
 
@@ -24,52 +24,51 @@
 type Sample struct {
 	AtS         float64   `json:"at_s"`
 	Phase       string    `json:"phase"`
-	Starts      int       `json:"starts"`  // in this second
+	Starts      int       `json:"starts"`  // during this second
 	Running     int       `json:"running"` // tasks on workers
 	Unfinished  int       `json:"unfinished"`
-	Controllers []float64 `json:"controllers_cpu,omitempty"` // share of a core since the last reading
+	Controllers []float64 `json:"controllers_cpu,omitempty"` // CPU used since the last reading, as a share of one core
 }
 
-// usageTotals adds up what a controller's processes used, over its restarts.
+// usageTotals accumulates the resource usage of a controller over its restarts.
 type usageTotals struct {
-	mu                sync.Mutex
-	last              usage.Reading
-	lastAt            time.Time
-	cpuS, peakCPU     float64
-	memoryMB          float64 // most
-	inbound, failures int     // most connections; readings that failed
+	mu                             sync.Mutex
+	lastReading                    usage.Reading
+	lastAt                         time.Time
+	cpuS, peakCPU                  float64
+	maxMemoryMB                    float64 // maximum
+	maxConnections, failedReadings int     // maximum of open connections; failed usage readings
 }
 
-// add adds a reading and returns the share of a core since the one before.
+// add adds a reading and returns the CPU used since the previous one, as a share of one core.
 func (u *usageTotals) add(reading usage.Reading, now time.Time) (share float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	used := reading.CPUSeconds - u.last.CPUSeconds
-	if reading.UptimeS < u.last.UptimeS || u.lastAt.IsZero() {
-		used = reading.CPUSeconds // a new process
+	used := reading.CPUSeconds - u.lastReading.CPUSeconds
+	if reading.UptimeS < u.lastReading.UptimeS || u.lastAt.IsZero() {
+		used = reading.CPUSeconds // the controller was restarted
 	}
 	if !u.lastAt.IsZero() {
 		share = used / now.Sub(u.lastAt).Seconds()
 		u.peakCPU = max(u.peakCPU, share)
 	}
 	u.cpuS += used
-	// Not the peak of the resident set: a child's counter starts at that of the process
-	// that started it.
-	u.memoryMB = max(u.memoryMB, reading.RuntimeMB)
-	u.inbound = max(u.inbound, reading.Queues["connections"])
-	u.last, u.lastAt = reading, now
+	// The peak resident set size is not used: a child process starts with the peak of its parent.
+	u.maxMemoryMB = max(u.maxMemoryMB, reading.RuntimeMB)
+	u.maxConnections = max(u.maxConnections, reading.Queues["connections"])
+	u.lastReading, u.lastAt = reading, now
 	return share
 }
 
-// collectSamples samples the site once a second until ctx ends.
+// collectSamples records a sample every second until ctx ends.
 func (r *Run) collectSamples(ctx context.Context) {
-	began, client := time.Now(), &http.Client{Timeout: usageTimeout}
-	before := 0
-	for n := 1; sleep(ctx, time.Until(began.Add(time.Duration(n)*sampleInterval))); n++ {
+	start, client := time.Now(), &http.Client{Timeout: usageTimeout}
+	startsBefore := 0
+	for n := 1; sleep(ctx, time.Until(start.Add(time.Duration(n)*sampleInterval))); n++ {
 		running, unfinished := r.track.taskCounts()
 		phase, starts := r.track.phaseAndStarts()
-		sample := Sample{AtS: time.Since(began).Seconds(), Phase: phase, Starts: starts - before, Running: running, Unfinished: unfinished}
-		before = starts
+		sample := Sample{AtS: time.Since(start).Seconds(), Phase: phase, Starts: starts - startsBefore, Running: running, Unfinished: unfinished}
+		startsBefore = starts
 		if n%samplesPerUsageReading == 0 {
 			sample.Controllers = r.readUsage(client)
 		}
@@ -81,7 +80,8 @@
 	r.readUsage(client)
 }
 
-// readUsage reads the usage of all controllers.
+// readUsage reads the usage of all controllers and returns the CPU used by each, as a share of
+// one core.
 func (r *Run) readUsage(client *http.Client) []float64 {
 	shares := make([]float64, len(r.controllers))
 	var readings sync.WaitGroup
@@ -90,7 +90,7 @@
 			reading, err := fetchUsage(client, c.Addr)
 			if err != nil {
 				c.usage.mu.Lock()
-				c.usage.failures++
+				c.usage.failedReadings++
 				c.usage.mu.Unlock()
 				return
 			}
@@ -101,7 +101,7 @@
 	return shares
 }
 
-// fetchUsage gets the usage of a controller.
+// fetchUsage requests the usage of a controller.
 func fetchUsage(client *http.Client, addr string) (usage.Reading, error) {
 	var stats struct {
 		Usage usage.Reading `json:"usage"`
@@ -110,11 +110,11 @@
 	if err != nil {
 		return stats.Usage, err
 	}
-	defer func() { _ = resp.Body.Close() }() // what was read counts
+	defer func() { _ = resp.Body.Close() }() // the body has been read
 	return stats.Usage, json.NewDecoder(resp.Body).Decode(&stats)
 }
 
-// hostLoad is the machine's load average of the last minute, or 0.
+// hostLoad returns the host's load average over one minute, or 0 if it can't be read.
 func hostLoad() float64 {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/scale/recorded_test.go
+++ b/internal/scale/recorded_test.go
@@ -12,7 +12,7 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// fieldsByKey is the field that each key of the settings sets.
+// fieldsByKey returns the field that each settings key sets.
 func fieldsByKey(s *Settings) map[string]any {
 	return map[string]any{
 		"workers":              &s.Workers,
@@ -64,17 +64,17 @@
 	}
 }
 
-// Each key is accepted within its recorded bounds and sets its own field; at the planned
-// size the field has the recorded value.
+// Each key is accepted within its recorded bounds and sets its own field, and the default of the
+// field is the recorded value.
 func TestRecordedKeys(t *testing.T) {
 	defaults, err := ParseSettings([]byte("(scale)"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := fieldsByKey(defaults)
-	figures := defaults.numericSettings()
-	if len(figures) != len(at) {
-		t.Errorf("%d keys are accepted, %d are recorded", len(figures), len(at))
+	numeric := defaults.numericSettings()
+	if len(numeric) != len(at) {
+		t.Errorf("%d keys are accepted, %d are recorded", len(numeric), len(at))
 	}
 	keys := make([]string, 0, len(at))
 	for key := range at {
@@ -83,9 +83,9 @@
 	slices.Sort(keys)
 	var text strings.Builder
 	for _, key := range keys {
-		f, known := figures[key]
+		f, known := numeric[key]
 		if !known {
-			t.Errorf("%s: no key", key)
+			t.Errorf("%s: key is not accepted", key)
 			continue
 		}
 		if reflect.ValueOf(f.dest).Pointer() != reflect.ValueOf(at[key]).Pointer() {
@@ -121,7 +121,7 @@
 	recorded.Compare(t, "errors.txt", []byte(text.String()))
 }
 
-// scale.json is read by programs of others.
+// Other programs read scale.json.
 func TestRecordedResult(t *testing.T) {
 	marshal := func(v any) ([]byte, error) { return json.MarshalIndent(v, "", " ") }
 	recorded.CompareJSON[Result](t, "scale.json", marshal, func(data []byte, v any) error { return json.Unmarshal(data, v) })
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -12,7 +12,7 @@
 	"github.com/go-echarts/go-echarts/v2/opts"
 )
 
-// Print writes the result as text, with a table for each part. It fails as w does.
+// Print writes the result as text with several tables. It returns the errors of w.
 func (r *Result) Print(w io.Writer) error {
 	var text strings.Builder
 	r.printPhases(&text)
@@ -40,7 +40,7 @@
 	}
 }
 
-// printControllers prints what the controllers used.
+// printControllers prints the resource usage of the controllers.
 func (r *Result) printControllers(text *strings.Builder) {
 	fmt.Fprintln(text, "\nCONTROLLER\tCPU\tPEAK\tMB\tCONNECTIONS\tREADS/S\tWATCHES/S\tTXNS/S\tWRITES/S\tREFUSED\tREPORT KB/S")
 	for _, c := range r.Controllers {
@@ -49,7 +49,7 @@
 	}
 }
 
-// printTotals prints what became of all tasks, and the rules.
+// printTotals prints how many tasks completed, and the rule violations.
 func (r *Result) printTotals(text *strings.Builder) {
 	least := slices.MinFunc(r.Teams, func(a, b TeamResult) int { return a.Completed*max(1, b.Requested) - b.Completed*max(1, a.Requested) })
 	fmt.Fprintf(text, "\narrays' tasks: %d of %d completed, %d left\tteam served least: %s, %d of %d\n", r.Tasks.Completed, r.Tasks.Asked, r.Tasks.Left, least.Name, least.Completed, least.Requested)
@@ -57,11 +57,11 @@
 	fmt.Fprintf(text, "rules: ran twice %d, starts above a limit %d, called over too early %d, accepted jobs unknown %d\n", r.Rules.RanTwice, r.Rules.OverLimit, r.Rules.PrematureEnds, r.Rules.Unknown)
 }
 
-// plotSeries are the lines of a chart, by name.
+// plotSeries holds the series of a chart by name.
 type plotSeries map[string]func(Sample) any
 
-// Plot writes an HTML page with charts of the samples. The page loads its drawing library
-// from the network.
+// Plot writes an HTML page with charts of the samples. The page loads its chart library from the
+// network.
 func (r *Result) Plot(w io.Writer) error {
 	page := components.NewPage()
 	page.PageTitle = "wallrack scale"
@@ -79,15 +79,15 @@
 	return nil
 }
 
-// addChart adds a chart with lines over the samples that keep picks.
-func (r *Result) addChart(page *components.Page, title string, series plotSeries, keep func(Sample) bool) {
+// addChart adds a line chart of the samples for which include returns true.
+func (r *Result) addChart(page *components.Page, title string, series plotSeries, include func(Sample) bool) {
 	chart := charts.NewLine()
 	chart.SetGlobalOptions(charts.WithTitleOpts(opts.Title{Title: title}), charts.WithInitializationOpts(opts.Initialization{Height: "280px", Width: "1100px"}),
 		charts.WithLegendOpts(opts.Legend{Show: opts.Bool(true), Top: "25"}))
 	var at []string
 	data := map[string][]opts.LineData{}
 	for _, sample := range r.Samples {
-		if !keep(sample) {
+		if !include(sample) {
 			continue
 		}
 		at = append(at, fmt.Sprintf("%.0f s, %s", sample.AtS, sample.Phase))
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what a run measured, as scale.json has it.
+// Result holds the measurements of a run, in the format of scale.json.
 type Result struct {
 	Size struct {
 		Workers     int `json:"workers"`
@@ -21,7 +21,7 @@
 		CPUs       int     `json:"cpus"`
 		LoadBefore float64 `json:"load_before"`
 		LoadAfter  float64 `json:"load_after"`
-		CPUSeconds float64 `json:"hollow_cpu_s"` // of this process: hollow workers, services, users
+		CPUSeconds float64 `json:"hollow_cpu_s"` // used by this process: hollow workers, services and users
 		MemoryMB   float64 `json:"hollow_memory_mb"`
 	} `json:"host"`
 	Phases      []PhaseResult      `json:"phases"`
@@ -33,13 +33,13 @@
 	Samples     []Sample           `json:"samples"`
 }
 
-// PhaseResult is a phase's starts and waits.
+// PhaseResult holds the starts and waiting times of a phase.
 type PhaseResult struct {
 	Name            string  `json:"name"`
 	Seconds         float64 `json:"seconds"`
 	StartsRequested float64 `json:"starts_asked_per_s"`
 	StartsAchieved  float64 `json:"starts_held_per_s"`
-	StartsLow10     float64 `json:"starts_lowest_10s_per_s"` // 0 if the phase is shorter
+	StartsLow10     float64 `json:"starts_lowest_10s_per_s"` // 0 if the phase is shorter than 10 s
 	GapS            float64 `json:"longest_without_a_start_s"`
 	Urgent          int     `json:"urgent"`
 	UrgentShare     float64 `json:"urgent_within_share"`
@@ -47,14 +47,14 @@
 	UrgentP99S      float64 `json:"urgent_p99_s"`
 	AcceptP99S      float64 `json:"accepted_p99_s"`
 	Writes          float64 `json:"state_writes_per_start"`
-	BusiestCPU      float64 `json:"busiest_controller_cpu"` // mean share of a core
+	BusiestCPU      float64 `json:"busiest_controller_cpu"` // mean, as a share of one core
 	Stopped         int     `json:"attempts_stopped"`
 	Refused         int     `json:"jobs_refused"`
 	Unanswered      int     `json:"jobs_unanswered"`
 }
 
-// RecoveryResult is when the tasks of an event were restored: started again, found
-// running, or completed.
+// RecoveryResult reports how long it took until the tasks affected by an event were restored:
+// started again, found still running, or completed.
 type RecoveryResult struct {
 	Event    string  `json:"event"`
 	Workers  int     `json:"workers"`
@@ -65,7 +65,7 @@
 	MaxS     float64 `json:"max_s"`
 }
 
-// Rules counts what must never happen.
+// Rules counts violations of the rules that must always hold.
 type Rules struct {
 	RanTwice      int `json:"ran_twice"`
 	OverLimit     int `json:"starts_above_a_limit"`
@@ -73,17 +73,17 @@
 	Unknown       int `json:"accepted_jobs_unknown"`
 }
 
-// Broken reports whether a rule was broken.
+// Broken reports whether there was any violation.
 func (r Rules) Broken() bool { return r != Rules{} }
 
-// TaskResult is what became of the tasks of accepted arrays.
+// TaskResult counts the tasks of accepted job arrays.
 type TaskResult struct {
 	Asked     int `json:"asked"`
 	Completed int `json:"completed"`
-	Left      int `json:"uncompleted_at_the_end"` // lost, or not reached in time
+	Left      int `json:"uncompleted_at_the_end"` // lost, or not completed before the end of the run
 }
 
-// TeamResult is a team's share, in CPUs and tasks of arrays.
+// TeamResult holds a team's CPUs and the number of its job array tasks.
 type TeamResult struct {
 	Name      string  `json:"name"`
 	Guarantee float64 `json:"guarantee"`
@@ -94,12 +94,12 @@
 	Completed int     `json:"served"`
 }
 
-// ControllerResult is what a controller used.
+// ControllerResult holds the resource usage of a controller.
 type ControllerResult struct {
 	Name         string  `json:"name"`
-	CPUMean      float64 `json:"cpu_mean"` // shares of a core
+	CPUMean      float64 `json:"cpu_mean"` // as a share of one core
 	CPUPeak      float64 `json:"cpu_peak_5s"`
-	MemoryMB     float64 `json:"runtime_memory_peak_mb"` // seen every 5 s
+	MemoryMB     float64 `json:"runtime_memory_peak_mb"` // sampled every 5 s
 	Connections  int     `json:"inbound_connections_peak"`
 	StateReads   float64 `json:"state_reads_per_s"`
 	StateWatches float64 `json:"state_watches_per_s"`
@@ -110,12 +110,12 @@
 	Unread       int     `json:"usage_not_read"`
 }
 
-// quantile is the wait, in seconds, that q percent of a histogram's waits do not exceed.
+// quantile returns the q-th percentile of a histogram of milliseconds, in seconds.
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// result sums the run up. Urgent jobs that were never started count as late.
+// result computes the result of the run. Urgent jobs that were never started count as late.
 func (r *Run) result(loadBefore float64) *Result {
 	out := &Result{Samples: r.samples}
 	s, t := r.Settings, r.track
@@ -125,13 +125,13 @@
 	out.addHost(loadBefore)
 	for _, job := range t.jobs {
 		if job.Priority == priorityUrgent && !job.started {
-			t.countUrgent(job, time.Now()) // not started at all
+			t.countUrgent(job, time.Now()) // the wait ends with the run
 		}
 	}
 	for _, p := range r.phases {
 		out.Phases = append(out.Phases, r.phaseResult(p))
 	}
-	for _, e := range t.events {
+	for _, e := range t.recoveries {
 		out.Recoveries = append(out.Recoveries, e.result())
 	}
 	out.Rules = Rules{RanTwice: t.ranTwice, PrematureEnds: t.prematureEnds, Unknown: t.unknown}
@@ -146,14 +146,14 @@
 		out.Tasks.Completed += state.completed
 	}
 	out.Tasks.Left = out.Tasks.Asked - out.Tasks.Completed
-	length := r.phases[len(r.phases)-1].endedAt.Sub(r.phases[0].startedAt).Seconds()
+	durationS := r.phases[len(r.phases)-1].endedAt.Sub(r.phases[0].startedAt).Seconds()
 	for _, c := range r.controllers {
-		out.Controllers = append(out.Controllers, c.result(length))
+		out.Controllers = append(out.Controllers, c.result(durationS))
 	}
 	return out
 }
 
-// addHost adds the host's load, and what this process has used.
+// addHost adds the host's load and the resource usage of this process.
 func (r *Result) addHost(loadBefore float64) {
 	r.Host.CPUs, r.Host.LoadBefore, r.Host.LoadAfter = runtime.NumCPU(), loadBefore, hostLoad()
 	var used syscall.Rusage
@@ -171,9 +171,9 @@
 }
 
 func (r *Run) phaseResult(p *phase) PhaseResult {
-	length := p.endedAt.Sub(p.startedAt).Seconds()
+	durationS := p.endedAt.Sub(p.startedAt).Seconds()
 	out := PhaseResult{
-		Name: p.name, Seconds: length, StartsRequested: p.requested, StartsAchieved: float64(p.starts) / length, StartsLow10: lowestRate10s(p.startsPerSecond, int(length)),
+		Name: p.name, Seconds: durationS, StartsRequested: p.requested, StartsAchieved: float64(p.starts) / durationS, StartsLow10: lowestRate10s(p.startsPerSecond, int(durationS)),
 		GapS: p.longestGap.Seconds(), Urgent: p.urgent, UrgentP50S: quantile(p.urgentWait, 50), UrgentP99S: quantile(p.urgentWait, 99),
 		AcceptP99S: quantile(p.acceptWait, 99), Stopped: p.stopped, Refused: p.refused, Unanswered: p.unanswered,
 	}
@@ -182,12 +182,13 @@
 	}
 	out.BusiestCPU = r.busiestController(p.name)
 	if p.urgent > 0 {
-		out.UrgentShare = 1 - float64(p.late)/float64(p.urgent)
+		out.UrgentShare = 1 - float64(p.urgentLate)/float64(p.urgent)
 	}
 	return out
 }
 
-// busiestController is the mean share of a core of the controller that used most in a phase.
+// busiestController returns the mean CPU usage of the controller that used the most CPU in a
+// phase, as a share of one core.
 func (r *Run) busiestController(phase string) (share float64) {
 	sums, readings := make([]float64, len(r.controllers)), 0.0
 	for _, s := range r.samples {
@@ -205,21 +206,21 @@
 	return slices.Max(sums) / readings
 }
 
-// lowestRate10s is the lowest rate a second over ten seconds in a row of the first length
-// seconds, 0 if they are fewer.
-func lowestRate10s(secondly []int, length int) float64 {
+// lowestRate10s returns the lowest rate per second over any ten consecutive seconds within the
+// first length seconds, or 0 if length is below ten.
+func lowestRate10s(startsPerSecond []int, length int) float64 {
 	const window = 10
-	for len(secondly) < length {
-		secondly = append(secondly, 0)
+	for len(startsPerSecond) < length {
+		startsPerSecond = append(startsPerSecond, 0)
 	}
 	if length < window {
 		return 0
 	}
 	sum, low := 0, 0
-	for i, starts := range secondly[:length] {
+	for i, starts := range startsPerSecond[:length] {
 		sum += starts
 		if i >= window {
-			sum -= secondly[i-window]
+			sum -= startsPerSecond[i-window]
 		}
 		if i == window-1 || i >= window && sum < low {
 			low = sum
@@ -228,13 +229,13 @@
 	return float64(low) / window
 }
 
-func (c *controller) result(length float64) ControllerResult {
+func (c *controller) result(durationS float64) ControllerResult {
 	c.usage.mu.Lock()
 	defer c.usage.mu.Unlock()
 	return ControllerResult{
-		Name: c.Name, CPUMean: c.usage.cpuS / length, CPUPeak: c.usage.peakCPU, MemoryMB: c.usage.memoryMB, Connections: c.usage.inbound,
-		StateReads: float64(c.counts.Reads.Load()) / length, StateWatches: float64(c.counts.Watches.Load()) / length,
-		StateTxns: float64(c.counts.Transactions.Load()) / length, StateWrites: float64(c.counts.Writes.Load()) / length,
-		StateRefused: c.counts.Refused.Load(), ReportBytes: float64(c.reportBytes.Load()) / length, Unread: c.usage.failures,
+		Name: c.Name, CPUMean: c.usage.cpuS / durationS, CPUPeak: c.usage.peakCPU, MemoryMB: c.usage.maxMemoryMB, Connections: c.usage.maxConnections,
+		StateReads: float64(c.counts.Reads.Load()) / durationS, StateWatches: float64(c.counts.Watches.Load()) / durationS,
+		StateTxns: float64(c.counts.Transactions.Load()) / durationS, StateWrites: float64(c.counts.Writes.Load()) / durationS,
+		StateRefused: c.counts.Refused.Load(), ReportBytes: float64(c.reportBytes.Load()) / durationS, Unread: c.usage.failedReadings,
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -20,36 +20,36 @@
 )
 
 const (
-	minFilledShare        = 0.99 // of the services, that is enough to go on
+	minFilledShare        = 0.99 // share of the service tasks that must run before the phases begin
 	readyTimeout          = time.Minute
 	shutdownTimeout       = time.Minute
-	conditionPollInterval = 100 * time.Millisecond // of what a phase waits for
+	conditionPollInterval = 100 * time.Millisecond // of the conditions that a phase waits for
 )
 
 var seconds = config.Seconds
 
-// Run is a run of the site. Do may be called once.
+// Run is one run of the site. Do may be called only once.
 type Run struct {
 	Settings *Settings
 	Dir      string          // for settings and logs
-	Start    local.StartFunc // starts "wallrack ARGS"
+	Start    local.StartFunc // runs "wallrack ARGS"
 	Log      *slog.Logger
-	Progress func(phase string, running, starts int) // once a second; may be nil
+	Progress func(phase string, running, starts int) // called once a second; may be nil
 
 	track          *tracker
 	workers        *workers
 	users          *users
 	cloud          *standin.Cloud
 	controllers    []*controller
-	phases         []*phase // that have ended
+	phases         []*phase // completed phases
 	zones          []string
-	provisionCount int   // requests to the cloud
-	writesBefore   int64 // to the state service up to the last phase's end
+	provisionCount int   // number of requests to the cloud
+	writesBefore   int64 // writes to the state service before the current phase
 	samples        []Sample
 	random         *rand.Rand
 }
 
-// controller is a controller with what is measured of it.
+// controller is a controller with its measurements.
 type controller struct {
 	local.Controller
 	restart     chan struct{}
@@ -58,19 +58,20 @@
 	usage       usageTotals
 }
 
-// Do plays the run and returns what was measured, up to the error if there is one;
-// its children have ended then. Without a result nothing was played.
+// Do executes the run and returns its measurements. After an error it returns the measurements up
+// to that point, or nil if no phase has begun. All child processes have then exited.
 func (r *Run) Do(ctx context.Context) (*Result, error) {
 	loadBefore := hostLoad()
 	ctx, cancel := context.WithTimeout(ctx, r.timeout())
 	defer cancel()
-	// What the run needs ends after it, not with ctx.
+	// The services must outlive the controllers and workers, so they are stopped after them and
+	// not by ctx.
 	servicesCtx, stopServices := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopServices()
-	r.random = rand.New(rand.NewPCG(1, 1)) // the same workers fail in every run
+	r.random = rand.New(rand.NewPCG(1, 1)) // fixed seed: the same workers fail in every run
 	r.track = newTracker(r.Settings.Teams, seconds(r.Settings.UrgentWithinS))
 	group, groupCtx := errgroup.WithContext(ctx)
-	front, err := r.prepare(servicesCtx, group)
+	loadBalancer, err := r.prepare(servicesCtx, group)
 	if err != nil {
 		r.workers.close()
 		return nil, err
@@ -91,20 +92,20 @@
 			stopServices()
 		}()
 		defer r.beginPhase("end", 0)
-		return r.runPhases(groupCtx, front)
+		return r.runPhases(groupCtx, loadBalancer)
 	})
 	err = group.Wait()
 	return r.result(loadBefore), err
 }
 
-// timeout bounds the run in time.
+// timeout returns the maximum duration of the run.
 func (r *Run) timeout() time.Duration {
 	s := r.Settings
 	cuts := s.RackCutS + s.ZoneCutS + s.RegionCutS + 3*s.SettleS
 	return readyTimeout + seconds(s.FillWithinS+s.SteadyS+s.PeakS+s.FailuresS+cuts+s.RestartEveryS*float64(s.Controllers)+s.SettleS*2+s.DrainS) + shutdownTimeout
 }
 
-// operatorArgs writes the operator's settings and returns the arguments that name them.
+// operatorArgs writes the operator's settings file and returns the arguments that name it.
 func (r *Run) operatorArgs() ([]string, error) {
 	if r.Settings.Operator == nil {
 		return nil, nil
@@ -116,8 +117,8 @@
 	return []string{"--operator", file}, nil
 }
 
-// superviseControllers runs the controllers until ctx ends; the group is done when they have
-// ended.
+// superviseControllers runs the controllers until ctx ends. The returned group is done when all
+// have exited.
 func (r *Run) superviseControllers(ctx context.Context, args []string) *sync.WaitGroup {
 	var group sync.WaitGroup
 	for _, c := range r.controllers {
@@ -130,12 +131,12 @@
 	return &group
 }
 
-// runPhases goes through the phases.
-func (r *Run) runPhases(ctx context.Context, front *local.LoadBalancer) error {
+// runPhases runs all phases in order.
+func (r *Run) runPhases(ctx context.Context, loadBalancer *local.LoadBalancer) error {
 	s := r.Settings
 	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if !front.AwaitReady(ready) {
+	if !loadBalancer.AwaitReady(ready) {
 		return errors.New("no controller took jobs in time")
 	}
 	ctx, stop := context.WithCancel(ctx)
@@ -162,7 +163,7 @@
 	return ctx.Err()
 }
 
-// awaitFilled waits until the services run, but for a small share.
+// awaitFilled waits until a share of at least minFilledShare of the service tasks runs.
 func (r *Run) awaitFilled(ctx context.Context) error {
 	deadline := time.Now().Add(seconds(r.Settings.FillWithinS))
 	for {
@@ -179,21 +180,22 @@
 	}
 }
 
-// runPhase plays a load for so long, with something that happens meanwhile.
-func (r *Run) runPhase(ctx context.Context, name string, starts float64, length time.Duration, meanwhile func(context.Context)) {
-	if length <= 0 || ctx.Err() != nil {
+// runPhase submits jobs at a rate of task starts per second for the given duration. It runs
+// concurrently, if not nil, at the same time, and waits for it.
+func (r *Run) runPhase(ctx context.Context, name string, starts float64, duration time.Duration, concurrently func(context.Context)) {
+	if duration <= 0 || ctx.Err() != nil {
 		return
 	}
 	r.beginPhase(name, starts)
 	var events sync.WaitGroup
-	if meanwhile != nil {
-		events.Go(func() { meanwhile(ctx) })
+	if concurrently != nil {
+		events.Go(func() { concurrently(ctx) })
 	}
-	r.users.submitAtRate(ctx, starts, length)
+	r.users.submitAtRate(ctx, starts, duration)
 	events.Wait()
 }
 
-// beginPhase begins a phase, with so many starts a second requested.
+// beginPhase begins a phase. requested is the requested rate of task starts per second.
 func (r *Run) beginPhase(name string, requested float64) {
 	ended := r.track.beginPhase(name, requested)
 	r.phases = append(r.phases, ended)
@@ -204,7 +206,7 @@
 	ended.writes, r.writesBefore = writes-r.writesBefore, writes
 }
 
-// drain waits, without new jobs, until all tasks of arrays are completed.
+// drain waits until all tasks of job arrays are completed. No new jobs are submitted.
 func (r *Run) drain(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -22,12 +22,12 @@
 	machineType  = "hollow"
 	fetchGBPerS  = 1.0
 	cacheGB      = 100
-	maxProvision = 50 // machines in one request to the cloud
+	maxProvision = 50 // machines per request to the cloud
 	valueKB      = 16
 )
 
-// prepare starts the services, which run until ctx ends, provisions the workers and
-// writes the controllers' settings. r.workers is set also after an error.
+// prepare starts the services, which run until ctx ends, provisions the workers and writes the
+// controllers' settings. It sets r.workers even if it fails.
 func (r *Run) prepare(ctx context.Context, group *errgroup.Group) (*local.LoadBalancer, error) {
 	s := r.Settings
 	r.workers = &workers{settings: s, track: r.track, byName: map[string]*hollowWorker{}, reportBytes: map[string]*atomic.Int64{}, log: r.Log}
@@ -59,20 +59,21 @@
 		r.workers.reportBytes[c.Addr] = &c.reportBytes
 		r.workers.controllers = append(r.workers.controllers, worker.Controller{Name: c.Name, Addr: c.Addr})
 	}
-	front := local.NewLoadBalancer(files, r.Dir)
-	addr, err := serve(ctx, group, front)
+	loadBalancer := local.NewLoadBalancer(files, r.Dir)
+	addr, err := serve(ctx, group, loadBalancer)
 	if err != nil {
 		return nil, err
 	}
-	group.Go(func() error { front.RunProbes(ctx); return nil })
+	group.Go(func() error { loadBalancer.RunProbes(ctx); return nil })
 	r.users = &users{settings: s, track: r.track, client: client.New("http://" + addr)}
 	if n := r.provisionWorkers(); n != s.Workers {
 		return nil, fmt.Errorf("%d workers of %d were rented", n, s.Workers)
 	}
-	return front, nil
+	return loadBalancer, nil
 }
 
-// openCloud makes the zones, and a cloud that has the planned number of machines in each.
+// openCloud chooses the names of the zones, and opens a cloud with an equal share of the workers
+// in each zone.
 func (r *Run) openCloud() (err error) {
 	s := r.Settings
 	for i := range s.Zones {
@@ -89,16 +90,16 @@
 	return nil
 }
 
-// serveState serves the state service at an address for each controller, so that each is
-// counted alone; they share the budget.
+// serveState serves the state service on a separate address for each controller, so that the
+// requests of each controller are counted separately. The controllers share the rate limits.
 func (r *Run) serveState(ctx context.Context, group *errgroup.Group, state *standin.State) ([]string, error) {
 	s := r.Settings
-	budget, handler := standin.NewRateLimits(s.StateRPS, s.StateWriteRPS), state.Handler()
+	limits, handler := standin.NewRateLimits(s.StateRPS, s.StateWriteRPS), state.Handler()
 	addrs := make([]string, s.Controllers)
 	for i := range addrs {
 		c := &controller{restart: make(chan struct{})}
 		r.controllers = append(r.controllers, c)
-		addr, err := serve(ctx, group, standin.Metered(handler, seconds(s.StateLatencyMs/1000), budget, &c.counts))
+		addr, err := serve(ctx, group, standin.Metered(handler, seconds(s.StateLatencyMs/1000), limits, &c.counts))
 		if err != nil {
 			return nil, err
 		}
@@ -107,8 +108,8 @@
 	return addrs, nil
 }
 
-// serve serves at a loopback address, which it returns, until ctx ends, in goroutines of a
-// group.
+// serve serves on a loopback address, in goroutines of group, until ctx ends. It returns the
+// address.
 func serve(ctx context.Context, group *errgroup.Group, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,7 +119,7 @@
 	return listener.Addr().String(), nil
 }
 
-// controllerParams are the controllers' parameters.
+// controllerParams returns the controllers' parameters.
 func (r *Run) controllerParams() config.Params {
 	s := r.Settings
 	params := config.Params{
@@ -133,8 +134,8 @@
 	return params
 }
 
-// provisionWorkers provisions workers until the site has its size: at first, and instead of
-// those that were deleted. It returns how many came.
+// provisionWorkers provisions workers until every zone is full, at the start and to replace
+// deleted workers. It returns the number of new workers.
 func (r *Run) provisionWorkers() int {
 	total := 0
 	for _, zone := range r.zones {
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -1,10 +1,11 @@
-// Package scale runs a site of a planned size on one machine, and measures it: real
-// controllers against the stand-in services, hollow workers that keep the protocol and run
-// timers, and users at a constant rate; with failures, cuts of links and restarts.
+// Package scale runs a site of a planned size on one machine and measures it. Real controllers
+// run against local services, with hollow workers, which follow the protocol but run only timers,
+// and with users that submit jobs at a constant rate. Machine failures, network partitions and
+// controller restarts are injected.
 //
-// Controllers are child processes that the caller starts; everything else is in this
-// process, and nothing is kept after a run but settings, logs and the result. The package
-// does not judge the figures; only broken rules are called so.
+// Controllers are child processes started by the caller; everything else runs in this process.
+// Only settings, logs and the result remain after a run. The package reports measurements without
+// evaluating them, except for violated rules.
 package scale
 
 import (
@@ -17,61 +18,61 @@
 	"github.com/wallrack/wallrack/internal/config"
 )
 
-// Team is a team of the site, in CPUs.
+// Team is a team of the site, with its guarantee and limit in CPUs.
 type Team struct {
 	Name             string
 	Guarantee, Limit float64
 }
 
-// Settings are what a run plays. Names end in the unit: S is seconds, Ms milliseconds.
+// Settings configure a run. Suffixes give the unit: S is seconds, Ms milliseconds.
 type Settings struct {
-	// The site.
+	// Size of the site.
 	Workers, Controllers, Zones, Regions int
-	RackWorkers                          int // cut off together
+	RackWorkers                          int // number of workers cut off by a rack failure
 	WorkerCPUs, WorkerMemoryGB           float64
 	ReportS, LeaseS, CancelS, BootS      float64
 
-	Teams     []Team  // named ones first, then generated ones
-	teamCount int     // how many are generated
+	Teams     []Team  // named teams, followed by generated ones
+	teamCount int     // number of generated teams
 	TeamSpare float64 // CPUs of a generated team's limit above its guarantee
 
-	// The load.
-	Running                     int // tasks on workers in the steady state
+	// Load.
+	Running                     int // tasks running on workers in the steady state
 	TaskCPUs, RunS, FetchS      float64
 	TasksPerJob                 int
-	SteadyStarts, PeakStarts    float64 // tasks requested to start a second
-	UrgentStarts, UrgentWithinS float64 // of them urgent a second; in time if started within
+	SteadyStarts, PeakStarts    float64 // requested task starts per second
+	UrgentStarts, UrgentWithinS float64 // urgent starts per second, included above; maximum wait for a start in time
 
-	// The phases' lengths. 0: the phase is left out.
+	// Durations of the phases. A phase with duration 0 is left out.
 	FillWithinS, SteadyS, PeakS, FailuresS  float64
 	RackCutS, ZoneCutS, RegionCutS, SettleS float64
 	RestartEveryS, DrainS                   float64
 
-	FailureSpeedup                 float64 // how many times faster than in a day failures come
+	FailureSpeedup                 float64 // factor by which failures are more frequent than on a real day
 	FailuresPerDay, RestartsPerDay float64 // machines
 	StateRPS, StateWriteRPS        float64
 	StateLatencyMs                 float64
-	StateTxnOps                    int // changes in a transaction
+	StateTxnOps                    int // maximum number of changes in a transaction
 	CloudRPS                       float64
 	CloudLatencyMs                 float64
-	CloudLagS                      float64 // of listings
+	CloudLagS                      float64 // delay of listings
 
-	// What a controller may use, and the whole run.
+	// Resource limits of a controller, and of the whole run.
 	ControllerCPU, ControllerMB float64
 	ControllerSockets           int
-	MemoryGB                    float64 // most that the run may be planned to take
+	MemoryGB                    float64 // limit on the estimated memory of the run
 
-	Operator []byte // settings that the controllers get, or nil
+	Operator []byte // the controllers' operator settings, or nil
 }
 
-// numericSetting is a setting that is a number, with its bounds, its value at the planned size
-// and where it goes: an *int or a *float64.
+// numericSetting is a setting with a numeric value: its bounds, its default and its destination,
+// an *int or a *float64.
 type numericSetting struct {
 	min, max, defaultValue float64
 	dest                   any
 }
 
-// numericSettings are the settings that are numbers, by key.
+// numericSettings returns the settings with numeric values by key.
 func (s *Settings) numericSettings() map[string]numericSetting {
 	return map[string]numericSetting{
 		"workers":              {1, 20000, 2600, &s.Workers},
@@ -123,23 +124,23 @@
 	}
 }
 
-// noScaleIn is for controllers that delete no machine, so that the site keeps its size.
+// noScaleIn keeps the controllers from deleting machines, so that the site keeps its size.
 const noScaleIn = "(wallrack (idle-s 3600) (headroom-percent 500) (dear-headroom-percent 500))"
 
-// LoadSettings reads `(scale (key number) ... (team "name" guarantee limit) ...
-// (operator (key value) ...))` over the planned size. Errors begin with the path.
+// LoadSettings reads a file of the form `(scale (key number) ... (team "name" guarantee limit)
+// ... (operator (key value) ...))`. Missing keys have their defaults. Errors begin with the path.
 func LoadSettings(path string) (*Settings, error) { return config.Load(path, ParseSettings) }
 
-// ParseSettings reads the text of the settings, and checks that they can be played. Errors
-// begin with the key.
+// ParseSettings parses the text of a settings file and validates the settings. Errors begin with
+// the key.
 func ParseSettings(data []byte) (*Settings, error) {
 	entries, err := config.Entries(data, "scale", "(key value ...)")
 	if err != nil {
 		return nil, err
 	}
 	s := &Settings{Operator: []byte(noScaleIn)}
-	figures, seen := s.numericSettings(), map[string]bool{}
-	for _, f := range figures {
+	numeric, seen := s.numericSettings(), map[string]bool{}
+	for _, f := range numeric {
 		f.set(f.defaultValue)
 	}
 	for i, e := range entries {
@@ -147,14 +148,14 @@
 		if !ok || len(entry) < 2 {
 			return nil, fmt.Errorf("entry %d: expected (key value ...)", i+1)
 		}
-		sym, _ := entry[0].(edn.Symbol) // another kind is an unknown key
+		sym, _ := entry[0].(edn.Symbol) // empty, and thus an unknown key, if it is not a symbol
 		key := string(sym)
 		if key != "team" && seen[key] {
 			return nil, fmt.Errorf("%s: given twice", key)
 		}
 		seen[key] = true
-		switch f, isFigure := figures[key]; {
-		case isFigure && len(entry) == 2:
+		switch f, isNumeric := numeric[key]; {
+		case isNumeric && len(entry) == 2:
 			err = f.setFrom(entry[1])
 		case key == "team" && len(entry) == 4:
 			err = s.addTeam(entry[1], entry[2], entry[3])
@@ -173,7 +174,7 @@
 	return s, s.check()
 }
 
-// setFrom sets the figure to a value of the settings.
+// setFrom validates a value from the settings file and stores it.
 func (f numericSetting) setFrom(value any) error {
 	v, err := config.Number(value, f.min, f.max)
 	if _, whole := f.dest.(*int); err == nil && whole && v != math.Trunc(v) {
@@ -195,14 +196,14 @@
 }
 
 const (
-	maxTeamName = 120 // bytes, that a job's message holds
+	maxTeamName = 120 // bytes, the maximum in a job message
 	maxTeamCPUs = 1e6
 )
 
-// addTeam adds a team that the settings name.
+// addTeam adds a team named in the settings.
 func (s *Settings) addTeam(name, guarantee, limit any) error {
 	team := Team{}
-	team.Name, _ = name.(string) // another kind is an empty name
+	team.Name, _ = name.(string) // empty, and thus invalid, if it is not a string
 	if team.Name == "" || len(team.Name) > maxTeamName {
 		return fmt.Errorf("%.40q: a name of 1 to %d bytes is needed", team.Name, maxTeamName)
 	}
@@ -217,7 +218,7 @@
 	return s.checkTeam(len(s.Teams) - 1)
 }
 
-// checkTeam checks a team against itself and those before it.
+// checkTeam validates team i, and checks that no earlier team has its name.
 func (s *Settings) checkTeam(i int) error {
 	team := s.Teams[i]
 	for _, earlier := range s.Teams[:i] {
@@ -231,13 +232,13 @@
 	return nil
 }
 
-// setOperator checks the settings that the controllers get, and keeps their text.
+// setOperator validates the operator settings of the controllers and stores their text.
 func (s *Settings) setOperator(entries []any) error {
 	data, err := edn.Marshal(append([]any{edn.Symbol("wallrack")}, entries...))
 	if err != nil {
 		return err
 	}
-	// A list is marshalled as a vector, which the reader takes as well.
+	// edn.Marshal encodes the list as a vector, which ParseOperator accepts too.
 	base, err := config.LoadOperator("")
 	if err == nil {
 		_, err = config.ParseOperator(data, base)
@@ -246,19 +247,19 @@
 	return err
 }
 
-// tightTeamInterval is how often a generated team has a sixth of the others' spare CPUs, so
-// that it stands at its limit when a job of it comes.
+// tightTeamInterval is the interval at which generated teams have only a sixth of the usual spare
+// CPUs, so that they are at their limit when one of their jobs arrives.
 const tightTeamInterval = 10
 
-// generateTeams adds as many teams as are to be generated.
+// generateTeams adds the generated teams.
 func (s *Settings) generateTeams() error {
 	named := len(s.Teams)
 	for i := range s.teamCount {
-		base, spare := float64(s.replicas(named+i, named+s.teamCount))*s.TaskCPUs, s.TeamSpare
+		guarantee, spare := float64(s.replicas(named+i, named+s.teamCount))*s.TaskCPUs, s.TeamSpare
 		if i%tightTeamInterval == 0 {
 			spare /= 6
 		}
-		s.Teams = append(s.Teams, Team{fmt.Sprintf("team-%03d", i), base, base + max(spare, s.TaskCPUs)})
+		s.Teams = append(s.Teams, Team{fmt.Sprintf("team-%03d", i), guarantee, guarantee + max(spare, s.TaskCPUs)})
 		if err := s.checkTeam(len(s.Teams) - 1); err != nil {
 			return fmt.Errorf("team: %w", err)
 		}
@@ -266,11 +267,11 @@
 	return nil
 }
 
-// serviceTasks is how many tasks run all the time: what short tasks at the steady rate
-// don't give.
+// serviceTasks returns the number of service tasks, which run all the time: the running tasks
+// minus the short tasks that run at the steady rate.
 func (s *Settings) serviceTasks() int { return max(0, s.Running-int(s.SteadyStarts*s.RunS)) }
 
-// replicas is how many of the services team i of so many has.
+// replicas returns the number of service tasks of team i, if there are that many teams.
 func (s *Settings) replicas(i, teams int) int {
 	n := s.serviceTasks() / teams
 	if i < s.serviceTasks()%teams {
@@ -279,7 +280,7 @@
 	return n
 }
 
-// check returns which figures can't be played together.
+// check returns the first conflict between settings, or nil.
 func (s *Settings) check() error {
 	perZone := s.Workers / s.Zones
 	capacity := float64(s.Workers) * math.Floor(s.WorkerCPUs/s.TaskCPUs+1e-9)
@@ -291,7 +292,7 @@
 			return fmt.Errorf("running: team %q would hold %v CPUs, above its limit of %v", team.Name, need, team.Limit)
 		}
 	}
-	planGB := (float64(s.Controllers)*s.ControllerMB + float64(s.Workers)*hollowWorkerMB + baseMB) / 1024
+	plannedGB := (float64(s.Controllers)*s.ControllerMB + float64(s.Workers)*hollowWorkerMB + baseMB) / 1024
 	switch {
 	case len(s.Teams) == 0:
 		return errors.New("teams: at least one is needed")
@@ -309,13 +310,13 @@
 		return fmt.Errorf("running: %.0f tasks at the peak don't fit %d workers of %v CPUs", peak, s.Workers, s.WorkerCPUs)
 	case guaranteed > float64(s.Workers)*s.WorkerCPUs:
 		return fmt.Errorf("team: guarantees of %v CPUs are more than the site has", guaranteed)
-	case planGB > s.MemoryGB:
-		return fmt.Errorf("memory-gb: the run may take %.1f, above %v", planGB, s.MemoryGB)
+	case plannedGB > s.MemoryGB:
+		return fmt.Errorf("memory-gb: the run may take %.1f, above %v", plannedGB, s.MemoryGB)
 	}
 	return nil
 }
 
 const (
-	hollowWorkerMB = 0.4 // of a hollow worker with its connections and tasks
-	baseMB         = 512 // of the services and users
+	hollowWorkerMB = 0.4 // per hollow worker, with its connections and tasks
+	baseMB         = 512 // for the services and users
 )
--- a/internal/scale/settings_test.go
+++ b/internal/scale/settings_test.go
@@ -11,14 +11,14 @@
 		t.Fatal(err)
 	}
 	if s.Workers != 2600 || s.Controllers != 6 || len(s.Teams) != 410 || s.Running != 11000 || s.PeakStarts != 890 || s.PeakS < 60 {
-		t.Errorf("not the planned size: %+v", s)
+		t.Errorf("defaults are not the planned size: %+v", s)
 	}
 	replicas := 0
 	for i := range s.Teams {
 		replicas += s.replicas(i, len(s.Teams))
 	}
 	if replicas != s.serviceTasks() {
-		t.Errorf("teams hold %d services of %d", replicas, s.serviceTasks())
+		t.Errorf("teams hold %d of %d service tasks", replicas, s.serviceTasks())
 	}
 	for _, f := range []string{"scale.sexp", "scale-small.sexp"} {
 		if _, err := LoadSettings("../../deploy/" + f); err != nil {
@@ -69,6 +69,6 @@
 		}
 	}
 	if _, err := LoadSettings("no-such.sexp"); err == nil || !strings.Contains(err.Error(), "no-such.sexp") {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("loading a missing file: %v", err)
 	}
 }
--- a/internal/scale/tracker.go
+++ b/internal/scale/tracker.go
@@ -9,88 +9,87 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// job is what the run knows of a job that a user submits.
+// job is a job submitted by a user, with what was observed of it.
 type job struct {
 	*wire.Job
-	runTime     time.Duration // of a task; 0: until it is stopped
-	scheduledAt time.Time     // when the schedule had it sent
-	phase       *phase        // in which it was sent
+	runTime     time.Duration // duration of a task; 0: until it is stopped
+	scheduledAt time.Time     // time at which the schedule submits the job
+	phase       *phase        // phase in which the job was submitted
 	accepted    bool
-	done        map[int]bool // tasks that are completed
-	started     bool         // a task of it was started
+	done        map[int]bool // numbers of the completed tasks
+	started     bool         // at least one task was started
 }
 
-// teamState is a team as the workers see it.
+// teamState is the state of a team as observed by the workers.
 type teamState struct {
 	Team
 	used, mostUsed float64 // CPUs
-	overLimit      int     // starts that brought it above its limit
-	requested      int     // tasks of accepted arrays
-	completed      int     // of them
+	overLimit      int     // task starts that exceeded the limit
+	requested      int     // tasks of accepted job arrays
+	completed      int     // of the requested tasks
 }
 
-// recovery is what became of the tasks that an event ended, or cut off.
+// recovery counts the tasks that were ended or cut off by an event, and how they were restored.
 type recovery struct {
 	event    string
 	workers  int
 	tasks    int
-	duration *hdrhistogram.Histogram // ms until a task was started again
+	duration *hdrhistogram.Histogram // ms until a task was restored
 	restored int
 }
 
-// phase is a stretch of the run.
+// phase holds the measurements of a phase of the run.
 type phase struct {
 	name                   string
-	requested              float64 // starts a second
+	requested              float64 // task starts per second
 	startedAt, endedAt     time.Time
-	starts                 int                     // of tasks, also those started again
-	stopped                int                     // attempts that ended uncompleted
-	urgent, late           int                     // urgent jobs sent, and started too late or not at all
-	urgentWait, acceptWait *hdrhistogram.Histogram // ms of urgent jobs until the start; of all until accepted
+	starts                 int                     // of tasks, including repeated starts
+	stopped                int                     // attempts that ended without completing their task
+	urgent, urgentLate     int                     // urgent jobs submitted; urgent jobs started too late or never
+	urgentWait, acceptWait *hdrhistogram.Histogram // ms until an urgent job was started; ms until any job was accepted
 	lastStart              time.Time
 	longestGap             time.Duration // longest time without a start
 	refused, unanswered    int
-	startsPerSecond        []int // starts in each second
+	startsPerSecond        []int // task starts in each second of the phase
 	writes                 int64 // to the state service
 }
 
-// lostTask is a task that an event ended, or cut off.
+// lostTask is a task that was ended or cut off by an event.
 type lostTask struct {
 	since    time.Time
 	recovery *recovery
 }
 
-// tracker follows all tasks of the site as the workers see them, and counts what the
-// rules forbid.
+// tracker tracks all tasks as observed by the workers, and counts rule violations.
 type tracker struct {
-	urgentWithin time.Duration // in which urgent work is to start
+	urgentWithin time.Duration // maximum wait of an urgent job
 
 	mu            sync.Mutex
 	jobs          map[string]*job
-	workerOf      map[string]string // task to the worker that it runs on
+	workerOf      map[string]string // worker that runs each task
 	teams         map[string]*teamState
-	lost          map[string]lostTask
-	phase         *phase      // the current one
-	events        []*recovery // in the order of their first events
+	lostTasks     map[string]lostTask
+	phase         *phase      // current phase
+	recoveries    []*recovery // in the order of their first event
 	ranTwice      int
-	starts        int // of all phases
-	prematureEnds int // jobs reported done before all tasks were, or cancelled
-	unknown       int // accepted jobs that got 404
+	starts        int // in all phases
+	prematureEnds int // jobs reported as done with uncompleted tasks, or as cancelled
+	unknown       int // accepted jobs that were later reported as unknown
 }
 
 const (
-	maxWaitMs       = 3_600_000 // of a histogram
+	maxWaitMs       = 3_600_000 // upper bound of histograms
 	histogramDigits = 3
-	limitTolerance  = 1e-6 // CPUs, for sums of fractions
+	limitTolerance  = 1e-6 // CPUs; tolerates rounding errors of sums
 )
 
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxWaitMs, histogramDigits)
 }
 
-// recordWait adds a wait to a histogram.
+// recordWait adds a waiting time to a histogram.
 func recordWait(h *hdrhistogram.Histogram, wait time.Duration) {
-	_ = h.RecordValue(wait.Milliseconds()) // fails above an hour: no run takes so long
+	_ = h.RecordValue(wait.Milliseconds()) // fails only for more than an hour, which is longer than any run
 }
 
 func newPhase(name string, requested float64, now time.Time) *phase {
@@ -98,7 +97,7 @@
 }
 
 func newTracker(teams []Team, within time.Duration) *tracker {
-	t := &tracker{urgentWithin: within, jobs: map[string]*job{}, workerOf: map[string]string{}, teams: map[string]*teamState{}, lost: map[string]lostTask{}}
+	t := &tracker{urgentWithin: within, jobs: map[string]*job{}, workerOf: map[string]string{}, teams: map[string]*teamState{}, lostTasks: map[string]lostTask{}}
 	for _, team := range teams {
 		t.teams[team.Name] = &teamState{Team: team}
 	}
@@ -106,14 +105,14 @@
 	return t
 }
 
-// job returns the job with an id, or nil.
+// job returns the job with the given id, or nil.
 func (t *tracker) job(uid string) *job {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.jobs[uid]
 }
 
-// add makes a job known before it is submitted.
+// add registers a job before it is submitted.
 func (t *tracker) add(job *job) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,9 +123,9 @@
 	}
 }
 
-// taskStarted notes that a task's process starts on a worker; completed says that its
-// result is kept already.
-func (t *tracker) taskStarted(task, worker string) (run time.Duration, completed bool) {
+// taskStarted records that a worker starts a task. It returns the duration of the task. completed
+// is true if the task has completed already.
+func (t *tracker) taskStarted(task, worker string) (runTime time.Duration, completed bool) {
 	uid, number, err := wire.ParseTask(task)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,7 +152,7 @@
 	return job.runTime, false
 }
 
-// countStart counts a start in the current phase.
+// countStart counts a task start in the current phase.
 func (t *tracker) countStart(now time.Time) {
 	phase := t.phase
 	t.starts++
@@ -167,18 +166,18 @@
 	phase.startsPerSecond[second]++
 }
 
-// countUrgent counts an urgent job's wait from when it was to be sent.
+// countUrgent records an urgent job's wait since its scheduled time.
 func (t *tracker) countUrgent(job *job, now time.Time) {
 	wait := now.Sub(job.scheduledAt)
 	if wait > t.urgentWithin {
-		job.phase.late++
+		job.phase.urgentLate++
 	}
 	recordWait(job.phase.urgentWait, wait)
 }
 
-// taskEnded notes that a task does not run on its worker any more.
+// taskEnded records that a task no longer runs on its worker.
 func (t *tracker) taskEnded(task string, completed bool) {
-	uid, number, _ := wire.ParseTask(task) // it was started
+	uid, number, _ := wire.ParseTask(task) // the name was parsed when the task was started
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.workerOf, task)
@@ -195,7 +194,8 @@
 	}
 }
 
-// markLost begins a recovery: the tasks on these workers have ended, or can't be reached.
+// markLost begins the recovery of the tasks on the given workers, which have ended or can't be
+// reached.
 func (t *tracker) markLost(event string, workers map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -204,48 +204,48 @@
 	for task, worker := range t.workerOf {
 		if workers[worker] {
 			r.tasks++
-			t.lost[task] = lostTask{time.Now(), r}
+			t.lostTasks[task] = lostTask{time.Now(), r}
 		}
 	}
 }
 
-// recoveryOf returns the recovery from events of a name, which is begun by the first.
+// recoveryOf returns the recovery for an event name, and creates it if it does not exist.
 func (t *tracker) recoveryOf(event string) *recovery {
-	for _, r := range t.events {
+	for _, r := range t.recoveries {
 		if r.event == event {
 			return r
 		}
 	}
 	r := &recovery{event: event, duration: newHistogram()}
-	t.events = append(t.events, r)
+	t.recoveries = append(t.recoveries, r)
 	return r
 }
 
-// markReachable ends a recovery: the workers can be reached again, and what still runs there
-// was not lost.
+// markReachable ends the recovery of the tasks that still run on the given workers, because these
+// can be reached again.
 func (t *tracker) markReachable(workers map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for task := range t.lost {
+	for task := range t.lostTasks {
 		if workers[t.workerOf[task]] {
 			t.endRecovery(task)
 		}
 	}
 }
 
-// endRecovery ends the recovery of a task that was lost: it was started again, is
-// completed, or runs where it was.
+// endRecovery ends the recovery of a task, if it was lost: it was started again, completed, or
+// found still running.
 func (t *tracker) endRecovery(task string) {
-	lost, ok := t.lost[task]
+	lost, ok := t.lostTasks[task]
 	if !ok {
 		return
 	}
-	delete(t.lost, task)
+	delete(t.lostTasks, task)
 	lost.recovery.restored++
 	recordWait(lost.recovery.duration, time.Since(lost.since))
 }
 
-// beginPhase begins a phase and returns the one that ended.
+// beginPhase begins a phase and returns the previous one.
 func (t *tracker) beginPhase(name string, requested float64) (ended *phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -257,15 +257,16 @@
 	return ended
 }
 
-// phaseAndStarts is the current phase, and the starts since the beginning.
+// phaseAndStarts returns the name of the current phase and the number of task starts in all
+// phases.
 func (t *tracker) phaseAndStarts() (phase string, starts int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.phase.name, t.starts
 }
 
-// taskCounts is how many tasks run on workers, and unfinished how many tasks of accepted
-// arrays are not completed.
+// taskCounts returns the number of tasks running on workers, and the number of uncompleted tasks
+// of accepted job arrays.
 func (t *tracker) taskCounts() (running, unfinished int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -275,7 +276,7 @@
 	return len(t.workerOf), unfinished
 }
 
-// recordResponse notes the response to a user who submitted a job or polls it.
+// recordResponse records the response to a user's submission or poll.
 func (t *tracker) recordResponse(job *job, stage string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -291,8 +292,8 @@
 	}
 }
 
-// recordRejection notes a job that was refused, or that is unknown after it was accepted, or
-// whose submission got no response.
+// recordRejection records that a job was refused, that it is unknown although it was accepted, or
+// that its submission got no response.
 func (t *tracker) recordRejection(job *job, unanswered bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -16,14 +16,14 @@
 	priorityUrgent   = "urgent"
 )
 
-// users submit jobs by a constant schedule, whatever becomes of those before, and
-// poll them until they are done.
+// users submits jobs on a fixed schedule, regardless of the progress of earlier jobs, and polls
+// each job until it is done.
 type users struct {
 	settings   *Settings
 	track      *tracker
 	client     *client.Client
-	followers  sync.WaitGroup // jobs that are followed
-	lastNumber int            // of the last job
+	followers  sync.WaitGroup // goroutines that submit and poll jobs
+	lastNumber int            // number in the id of the last job
 }
 
 // Classes of jobs.
@@ -33,7 +33,7 @@
 	classUrgent  = "urgent"
 )
 
-// newJob makes the next job of a class.
+// newJob returns a new job of a class.
 func (u *users) newJob(class, team string, tasks int, intended time.Time) *job {
 	s := u.settings
 	u.lastNumber++
@@ -50,13 +50,13 @@
 	return job
 }
 
-// submitAsync submits a job as users do and follows it, in a goroutine of u.sent.
+// submitAsync submits a job and polls it in a goroutine of u.followers.
 func (u *users) submitAsync(ctx context.Context, job *job) {
 	u.track.add(job)
 	u.followers.Go(func() { u.submitAndPoll(ctx, job) })
 }
 
-// submitAndPoll submits a job and polls it until it is over, or denied.
+// submitAndPoll submits a job and polls it until it has ended or is rejected.
 func (u *users) submitAndPoll(ctx context.Context, job *job) {
 	state, err := u.client.SubmitDescribed(ctx, job.Job)
 	for err == nil || errors.Is(err, client.ErrUnknown) && job.accepted {
@@ -76,7 +76,7 @@
 	}
 }
 
-// submitServices submits the services, which run all the time.
+// submitServices submits the service jobs, which run all the time.
 func (u *users) submitServices(ctx context.Context) {
 	for i, team := range u.settings.Teams {
 		if n := u.settings.replicas(i, len(u.settings.Teams)); n > 0 {
@@ -85,21 +85,21 @@
 	}
 }
 
-// submitAtRate sends jobs for so long, tasks to start at a rate. Each is counted from when
-// the schedule has it sent: one that comes late, because those before it held up the
-// sender, has waited already.
-func (u *users) submitAtRate(ctx context.Context, starts float64, length time.Duration) {
+// submitAtRate submits jobs for the given duration, so that starts tasks per second should start.
+// The wait of a job counts from its scheduled time. Otherwise a job submitted late, because the
+// users were delayed, would be measured with too short a wait.
+func (u *users) submitAtRate(ctx context.Context, starts float64, duration time.Duration) {
 	s := u.settings
 	arrays := (starts - s.UrgentStarts) / float64(s.TasksPerJob)
-	began := time.Now()
-	next := map[string]time.Time{classArray: began, classUrgent: began}
+	start := time.Now()
+	next := map[string]time.Time{classArray: start, classUrgent: start}
 	for turn := 0; ctx.Err() == nil; turn++ {
 		class, tasks, every := classArray, s.TasksPerJob, seconds(1/arrays)
 		if next[classUrgent].Before(next[classArray]) {
 			class, tasks, every = classUrgent, 1, seconds(1/s.UrgentStarts)
 		}
 		at := next[class]
-		if at.Sub(began) >= length {
+		if at.Sub(start) >= duration {
 			break
 		}
 		next[class] = at.Add(every)
@@ -108,15 +108,15 @@
 		}
 		u.submitAsync(ctx, u.newJob(class, s.Teams[u.lastNumber%len(s.Teams)].Name, tasks, at))
 	}
-	sleep(ctx, time.Until(began.Add(length)))
+	sleep(ctx, time.Until(start.Add(duration)))
 }
 
-// sleep waits for so long; false: ctx has ended before.
-func sleep(ctx context.Context, length time.Duration) bool {
+// sleep waits for the given duration. It returns false if ctx ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(length):
+	case <-time.After(duration):
 		return true
 	}
 }
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -17,13 +17,12 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// workers are the workers of all machines of the run, in this process: the cloud's
-// launcher.
+// workers implements standin.Launcher with hollow workers in this process.
 type workers struct {
 	settings    *Settings
 	track       *tracker
 	controllers []worker.Controller
-	reportBytes map[string]*atomic.Int64 // of reports and their responses, by address
+	reportBytes map[string]*atomic.Int64 // of reports and their responses, by controller address
 	log         *slog.Logger
 
 	mu     sync.Mutex
@@ -41,7 +40,7 @@
 	defer w.mu.Unlock()
 	if w.closed {
 		_ = listener.Close() // nothing was accepted
-		return "", errors.New("the run is ending")
+		return "", errors.New("the run is shutting down")
 	}
 	h := &hollowWorker{name: m.Name, zone: m.Zone, reportsDone: make(chan struct{})}
 	base := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
@@ -53,16 +52,16 @@
 		Name: m.Name, Endpoint: listener.Addr().String(), Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 		Size: matching.Resources{CPUs: t.CPUs, MemoryGB: t.MemoryGB}, Lease: seconds(w.settings.LeaseS),
 	}
-	run := &runner{name: m.Name, track: w.track, fetch: seconds(w.settings.FetchS), images: map[string]bool{}}
-	h.state = worker.New(id, run, run, agent.ReportSoon, w.log)
+	taskRunner := &runner{name: m.Name, track: w.track, fetchTime: seconds(w.settings.FetchS), cachedImages: map[string]bool{}}
+	h.state = worker.New(id, taskRunner, taskRunner, agent.ReportSoon, w.log)
 	agent.State = h.state
 	h.server = &http.Server{ReadHeaderTimeout: readHeaderTimeout, Handler: h.holdRequests(agent.Handler())}
 	ctx, stop := context.WithCancel(context.Background())
 	h.stopReports = stop
-	go func() { _ = h.server.Serve(&linkListener{listener, &h.link}) }() // until end closes it
+	go func() { _ = h.server.Serve(&linkListener{listener, &h.link}) }() // returns when shutDown closes the server
 	go func() {
 		defer close(h.reportsDone)
-		_ = agent.Run(ctx) // until end stops it
+		_ = agent.Run(ctx) // returns when shutDown cancels ctx
 		base.CloseIdleConnections()
 	}()
 	w.byName[m.Name] = h
@@ -80,20 +79,20 @@
 	}
 }
 
-// selectNames returns the workers that a choice takes, by name.
-func (w *workers) selectNames(choose func(*hollowWorker) bool) map[string]bool {
+// selectNames returns the names of the workers for which include returns true.
+func (w *workers) selectNames(include func(*hollowWorker) bool) map[string]bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	names := map[string]bool{}
 	for name, h := range w.byName {
-		if choose(h) {
+		if include(h) {
 			names[name] = true
 		}
 	}
 	return names
 }
 
-// setCut cuts these workers' links, or mends them.
+// setCut cuts the links of the given workers, or connects them again.
 func (w *workers) setCut(names map[string]bool, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,7 +103,7 @@
 	}
 }
 
-// close ends all workers and waits for them; none starts afterwards.
+// close shuts down all workers and waits for them. No worker can start afterwards.
 func (w *workers) close() {
 	w.mu.Lock()
 	w.closed = true
