--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -51,8 +51,8 @@
 		t.Fatal(err)
 	}
 	s.endpoint = endpoint
-	for uid, run := range map[string]time.Duration{"j-long": 0, "j-short": 20 * time.Millisecond, "j-late": 0, "j-third": 0} {
-		s.track.add(&job{Job: &wire.Job{UID: uid, Team: "a", Tasks: 1, CPUs: 1}, runTime: run})
+	for uid, runTime := range map[string]time.Duration{"j-long": 0, "j-short": 20 * time.Millisecond, "j-late": 0, "j-third": 0} {
+		s.track.add(&job{Job: &wire.Job{UID: uid, Team: "a", Tasks: 1, CPUs: 1}, runTime: runTime})
 	}
 	s.await("a report", func() bool { return s.reports.Load() > 0 && s.show().Token == 5 })
 	return s
--- a/internal/scale/tracker.go
+++ b/internal/scale/tracker.go
@@ -74,7 +74,7 @@
 	ranTwice      int
 	starts        int // in all phases
 	prematureEnds int // jobs reported as done with uncompleted tasks, or as cancelled
-	unknown       int // accepted jobs that were later reported as unknown
+	unknown       int // accepted jobs for which a later request returned status 404
 }
 
 const (
@@ -96,8 +96,8 @@
 	return &phase{name: name, requested: requested, startedAt: now, urgentWait: newHistogram(), acceptWait: newHistogram(), lastStart: now}
 }
 
-func newTracker(teams []Team, within time.Duration) *tracker {
-	t := &tracker{urgentWithin: within, jobs: map[string]*job{}, workerOf: map[string]string{}, teams: map[string]*teamState{}, lostTasks: map[string]lostTask{}}
+func newTracker(teams []Team, urgentWithin time.Duration) *tracker {
+	t := &tracker{urgentWithin: urgentWithin, jobs: map[string]*job{}, workerOf: map[string]string{}, teams: map[string]*teamState{}, lostTasks: map[string]lostTask{}}
 	for _, team := range teams {
 		t.teams[team.Name] = &teamState{Team: team}
 	}
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -34,13 +34,13 @@
 )
 
 // newJob returns a new job of a class.
-func (u *users) newJob(class, team string, tasks int, intended time.Time) *job {
+func (u *users) newJob(class, team string, tasks int, scheduledAt time.Time) *job {
 	s := u.settings
 	u.lastNumber++
 	job := &job{Job: &wire.Job{
 		UID: fmt.Sprintf("j-%s-%07d", class, u.lastNumber), Class: class, Team: team, Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
 		CPUs: s.TaskCPUs, MemoryGB: 0.1, Image: "image-" + class, ImageGB: s.FetchS * fetchGBPerS, EstimateS: s.RunS,
-	}, runTime: seconds(s.RunS), scheduledAt: intended}
+	}, runTime: seconds(s.RunS), scheduledAt: scheduledAt}
 	switch class {
 	case classUrgent:
 		job.Priority = priorityUrgent
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -59,9 +59,9 @@
 // outage. If db is nil, the records are kept in memory only. A transaction may have maxOps
 // changes and four times as many conditions; a value may have valueKB KiB. The caller closes db
 // after the last request has ended and ExpireLeases has returned.
-func OpenState(db *bbolt.DB, maxOps int, valueKB float64) (*State, error) {
+func OpenState(db *bbolt.DB, maxTxnOps int, valueKB float64) (*State, error) {
 	s := &State{
-		db: db, maxOps: maxOps, maxValueBytes: int(valueKB * 1024),
+		db: db, maxOps: maxTxnOps, maxValueBytes: int(valueKB * 1024),
 		items: map[string]item{}, leases: map[uint64]*lease{}, changed: make(chan struct{}),
 	}
 	if err := update(db, s.load); err != nil {
