--- a/internal/local/controllers.go
+++ b/internal/local/controllers.go
@@ -90,7 +90,7 @@
 		case <-restart:
 			stop()
 			if err := <-done; err != nil {
-				log.Debug("controller ended for a restart", "controller", name, "err", err)
+				log.Debug("controller stopped for restart", "controller", name, "err", err)
 			}
 		}
 		stop()
--- a/internal/local/front.go
+++ b/internal/local/load_balancer.go
@@ -29,7 +29,7 @@
 	dir          string
 	controllers  []Controller
 	client       *http.Client
-	requestCount atomic.Uint64 // selects the controller of each request in turn
+	requestCount atomic.Uint64 // for choosing controllers in turn
 
 	mu      sync.Mutex
 	healthy []bool // by controller index
@@ -54,23 +54,23 @@
 func (lb *LoadBalancer) healthyControllers() []Controller {
 	lb.mu.Lock()
 	defer lb.mu.Unlock()
-	var up []Controller
+	var healthy []Controller
 	for i, c := range lb.controllers {
 		if lb.healthy[i] {
-			up = append(up, c)
+			healthy = append(healthy, c)
 		}
 	}
-	return up
+	return healthy
 }
 
 // proxyRequest forwards a request to the next healthy controller.
 func (lb *LoadBalancer) proxyRequest(w http.ResponseWriter, r *http.Request) {
-	up := lb.healthyControllers()
-	if len(up) == 0 {
+	healthy := lb.healthyControllers()
+	if len(healthy) == 0 {
 		writeNoController(w)
 		return
 	}
-	c := up[lb.requestCount.Add(1)%uint64(len(up))]
+	c := healthy[lb.requestCount.Add(1)%uint64(len(healthy))]
 	proxy := httputil.ReverseProxy{
 		Rewrite:      func(p *httputil.ProxyRequest) { p.SetURL(&url.URL{Scheme: "http", Host: c.Addr}) },
 		ErrorHandler: func(http.ResponseWriter, *http.Request, error) { writeNoController(w) },
@@ -91,9 +91,9 @@
 		var probes sync.WaitGroup
 		for i, c := range lb.controllers {
 			probes.Go(func() {
-				up := lb.probe(c)
+				healthy := lb.probe(c)
 				lb.mu.Lock()
-				lb.healthy[i] = up
+				lb.healthy[i] = healthy
 				lb.mu.Unlock()
 			})
 		}
--- a/internal/scale/failures.go
+++ b/internal/scale/failures.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	secondsADay         = 24 * 3600
+	secondsPerDay       = 24 * 3600
 	failureListingDelay = 30 * time.Second // time for which the cloud lists a dead machine as running
 )
 
@@ -17,20 +17,20 @@
 func (r *Run) runPartitions(ctx context.Context) {
 	s := r.Settings
 	for _, cut := range []struct {
-		name    string
-		lengthS float64
-		zones   []string
-		limit   int // maximum number of workers
+		name      string
+		durationS float64
+		zones     []string
+		limit     int // maximum number of workers
 	}{
 		{"rack cut", s.RackCutS, r.zones[:1], s.RackWorkers},
 		{"zone cut", s.ZoneCutS, r.zones[:1], s.Workers},
 		{"region cut", s.RegionCutS, r.zones[s.Zones-s.Zones/s.Regions:], s.Workers},
 	} {
-		if cut.lengthS == 0 {
+		if cut.durationS == 0 {
 			continue
 		}
 		names := r.oldestWorkers(cut.zones, cut.limit)
-		r.runPhase(ctx, cut.name, s.SteadyStarts, seconds(cut.lengthS), func(context.Context) {
+		r.runPhase(ctx, cut.name, s.SteadyStarts, seconds(cut.durationS), func(context.Context) {
 			r.track.markLost(cut.name, names)
 			r.workers.setCut(names, true)
 		})
@@ -65,7 +65,7 @@
 // replaced: the cloud lists them as failed at once, and new machines take their place.
 func (r *Run) injectFailures(ctx context.Context) {
 	s := r.Settings
-	ratePerS := (s.FailuresPerDay + s.RestartsPerDay) * s.FailureSpeedup / secondsADay
+	ratePerS := (s.FailuresPerDay + s.RestartsPerDay) * s.FailureSpeedup / secondsPerDay
 	if ratePerS <= 0 {
 		return
 	}
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -27,7 +27,7 @@
 	token    atomic.Uint64 // fencing token in responses; 0: reports get status 503
 }
 
-// newSite starts a worker and waits until the controller has received a report.
+// newSite starts a worker and waits until its first report has been answered.
 func newSite(t *testing.T, lease time.Duration) *testSite {
 	s := &testSite{t: t, track: newTracker([]Team{{"a", 2, 2}}, time.Second)}
 	s.token.Store(5)
@@ -52,7 +52,7 @@
 	}
 	s.endpoint = endpoint
 	for uid, runTime := range map[string]time.Duration{"j-long": 0, "j-short": 20 * time.Millisecond, "j-late": 0, "j-third": 0} {
-		s.track.add(&job{Job: &wire.Job{UID: uid, Team: "a", Tasks: 1, CPUs: 1}, runTime: runTime})
+		s.track.addJob(&job{Job: &wire.Job{UID: uid, Team: "a", Tasks: 1, CPUs: 1}, runTime: runTime})
 	}
 	s.await("a report", func() bool { return s.reports.Load() > 0 && s.show().Token == 5 })
 	return s
@@ -116,7 +116,7 @@
 		{"another session", 5, 2, "j-long", http.StatusConflict},
 		{"the highest token", 5, 1, "j-short", http.StatusOK},
 		{"a higher token", 7, 1, "j-long", http.StatusOK},
-		{"a previously highest token", 5, 1, "j-late", http.StatusConflict},
+		{"the token that was highest before", 5, 1, "j-late", http.StatusConflict},
 	} {
 		if got := s.sendOrder(http.DefaultClient, c.token, c.session, c.uid); got != c.status {
 			t.Errorf("%s: status %d, want %d", c.why, got, c.status)
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -67,8 +67,7 @@
 	return resp, err
 }
 
-// CloseIdleConnections closes the connection to the previous controller when the worker changes
-// to another one.
+// CloseIdleConnections is called by http.Client when the worker changes to another controller.
 func (t *reportTransport) CloseIdleConnections() { t.base.CloseIdleConnections() }
 
 // linkListener accepts connections to a worker. A connection that arrives while the link is cut
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -36,8 +36,8 @@
 	lastReading                    usage.Reading
 	lastAt                         time.Time
 	cpuS, peakCPU                  float64
-	maxMemoryMB                    float64 // maximum
-	maxConnections, failedReadings int     // maximum of open connections; failed usage readings
+	maxMemoryMB                    float64
+	maxConnections, failedReadings int // open inbound connections; usage readings that failed
 }
 
 // add adds a reading and returns the CPU used since the previous one, as a share of one core.
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -180,16 +180,16 @@
 	if p.starts > 0 {
 		out.Writes = float64(p.writes) / float64(p.starts)
 	}
-	out.BusiestCPU = r.busiestController(p.name)
+	out.BusiestCPU = r.busiestCPU(p.name)
 	if p.urgent > 0 {
 		out.UrgentShare = 1 - float64(p.urgentLate)/float64(p.urgent)
 	}
 	return out
 }
 
-// busiestController returns the mean CPU usage of the controller that used the most CPU in a
+// busiestCPU returns the mean CPU usage of the controller that used the most CPU in a
 // phase, as a share of one core.
-func (r *Run) busiestController(phase string) (share float64) {
+func (r *Run) busiestCPU(phase string) (share float64) {
 	sums, readings := make([]float64, len(r.controllers)), 0.0
 	for _, s := range r.samples {
 		if s.Phase != phase || s.Controllers == nil {
@@ -206,8 +206,8 @@
 	return slices.Max(sums) / readings
 }
 
-// lowestRate10s returns the lowest rate per second over any ten consecutive seconds within the
-// first length seconds, or 0 if length is below ten.
+// lowestRate10s returns the lowest average rate per second over any ten consecutive seconds
+// within the first length seconds, or 0 if length is below ten.
 func lowestRate10s(startsPerSecond []int, length int) float64 {
 	const window = 10
 	for len(startsPerSecond) < length {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -58,14 +58,14 @@
 	usage       usageTotals
 }
 
-// Do executes the run and returns its measurements. After an error it returns the measurements up
-// to that point, or nil if no phase has begun. All child processes have then exited.
+// Do executes the run and returns its measurements. After an error it also returns the
+// measurements up to that point, or nil if the site could not be prepared. When Do returns, all
+// child processes have exited.
 func (r *Run) Do(ctx context.Context) (*Result, error) {
 	loadBefore := hostLoad()
 	ctx, cancel := context.WithTimeout(ctx, r.timeout())
 	defer cancel()
-	// The services must outlive the controllers and workers, so they are stopped after them and
-	// not by ctx.
+	// Controllers and workers use the services until they have exited, so ctx must not stop them.
 	servicesCtx, stopServices := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopServices()
 	r.random = rand.New(rand.NewPCG(1, 1)) // fixed seed: the same workers fail in every run
@@ -180,18 +180,18 @@
 	}
 }
 
-// runPhase submits jobs at a rate of task starts per second for the given duration. It runs
-// concurrently, if not nil, at the same time, and waits for it.
-func (r *Run) runPhase(ctx context.Context, name string, starts float64, duration time.Duration, concurrently func(context.Context)) {
+// runPhase begins a phase and submits jobs for the given duration. If inject is not nil, runPhase
+// runs it in the meantime and waits until it returns.
+func (r *Run) runPhase(ctx context.Context, name string, startsPerS float64, duration time.Duration, inject func(context.Context)) {
 	if duration <= 0 || ctx.Err() != nil {
 		return
 	}
-	r.beginPhase(name, starts)
+	r.beginPhase(name, startsPerS)
 	var events sync.WaitGroup
-	if concurrently != nil {
-		events.Go(func() { concurrently(ctx) })
+	if inject != nil {
+		events.Go(func() { inject(ctx) })
 	}
-	r.users.submitAtRate(ctx, starts, duration)
+	r.users.submitAtRate(ctx, startsPerS, duration)
 	events.Wait()
 }
 
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -41,7 +41,7 @@
 	TaskCPUs, RunS, FetchS      float64
 	TasksPerJob                 int
 	SteadyStarts, PeakStarts    float64 // requested task starts per second
-	UrgentStarts, UrgentWithinS float64 // urgent starts per second, included above; maximum wait for a start in time
+	UrgentStarts, UrgentWithinS float64 // urgent ones among them; maximum wait until an urgent task starts in time
 
 	// Durations of the phases. A phase with duration 0 is left out.
 	FillWithinS, SteadyS, PeakS, FailuresS  float64
--- a/internal/scale/tracker.go
+++ b/internal/scale/tracker.go
@@ -112,8 +112,8 @@
 	return t.jobs[uid]
 }
 
-// add registers a job before it is submitted.
-func (t *tracker) add(job *job) {
+// addJob registers a job before it is submitted.
+func (t *tracker) addJob(job *job) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	job.phase, job.done = t.phase, map[int]bool{}
@@ -194,8 +194,8 @@
 	}
 }
 
-// markLost begins the recovery of the tasks on the given workers, which have ended or can't be
-// reached.
+// markLost begins the recovery of the tasks on the given workers: the tasks have ended, or their
+// workers can't be reached.
 func (t *tracker) markLost(event string, workers map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/scale/tracker_test.go
+++ b/internal/scale/tracker_test.go
@@ -11,7 +11,7 @@
 func TestTrackerCountsDuplicateRunsAndLimitViolations(t *testing.T) {
 	track := newTracker([]Team{{"a", 1, 2}}, time.Second)
 	for _, uid := range []string{"j-1", "j-2", "j-3"} {
-		track.add(&job{Job: &wire.Job{UID: uid, Team: "a", Tasks: 1, CPUs: 1, Priority: priorityUrgent}, scheduledAt: time.Now().Add(-2 * time.Second)})
+		track.addJob(&job{Job: &wire.Job{UID: uid, Team: "a", Tasks: 1, CPUs: 1, Priority: priorityUrgent}, scheduledAt: time.Now().Add(-2 * time.Second)})
 	}
 	track.taskStarted("j-1/0", "n-1")
 	track.taskStarted("j-2/0", "n-1")
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -52,7 +52,7 @@
 
 // submitAsync submits a job and polls it in a goroutine of u.followers.
 func (u *users) submitAsync(ctx context.Context, job *job) {
-	u.track.add(job)
+	u.track.addJob(job)
 	u.followers.Go(func() { u.submitAndPoll(ctx, job) })
 }
 
@@ -85,24 +85,24 @@
 	}
 }
 
-// submitAtRate submits jobs for the given duration, so that starts tasks per second should start.
-// The wait of a job counts from its scheduled time. Otherwise a job submitted late, because the
-// users were delayed, would be measured with too short a wait.
-func (u *users) submitAtRate(ctx context.Context, starts float64, duration time.Duration) {
+// submitAtRate submits jobs with a total of startsPerS tasks per second for the given duration.
+// The wait of a job counts from its scheduled time. Otherwise the wait of a job that is submitted
+// late, because the earlier ones delayed the sender, would be measured too short.
+func (u *users) submitAtRate(ctx context.Context, startsPerS float64, duration time.Duration) {
 	s := u.settings
-	arrays := (starts - s.UrgentStarts) / float64(s.TasksPerJob)
+	arraysPerS := (startsPerS - s.UrgentStarts) / float64(s.TasksPerJob)
 	start := time.Now()
 	next := map[string]time.Time{classArray: start, classUrgent: start}
 	for turn := 0; ctx.Err() == nil; turn++ {
-		class, tasks, every := classArray, s.TasksPerJob, seconds(1/arrays)
+		class, tasks, interval := classArray, s.TasksPerJob, seconds(1/arraysPerS)
 		if next[classUrgent].Before(next[classArray]) {
-			class, tasks, every = classUrgent, 1, seconds(1/s.UrgentStarts)
+			class, tasks, interval = classUrgent, 1, seconds(1/s.UrgentStarts)
 		}
 		at := next[class]
 		if at.Sub(start) >= duration {
 			break
 		}
-		next[class] = at.Add(every)
+		next[class] = at.Add(interval)
 		if !sleep(ctx, time.Until(at)) {
 			return
 		}
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -56,7 +56,7 @@
 }
 
 // OpenState loads the records in db. Every lease starts again with its full TTL, as after an
-// outage. If db is nil, the records are kept in memory only. A transaction may have maxOps
+// outage. If db is nil, the records are kept in memory only. A transaction may have maxTxnOps
 // changes and four times as many conditions; a value may have valueKB KiB. The caller closes db
 // after the last request has ended and ExpireLeases has returned.
 func OpenState(db *bbolt.DB, maxTxnOps int, valueKB float64) (*State, error) {
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -95,8 +95,9 @@
 	}
 }
 
-// finishLaunch starts the attempt's process, or marks the attempt as exited if its description
-// could not be fetched or its result is already known.
+// finishLaunch starts the attempt's process. It marks the attempt as exited if the description
+// could not be fetched, the task has completed already, the worker lacks the resources or the
+// start fails.
 func (s *State) finishLaunch(key attemptKey, a *attempt, session uint64, spec *taskspec.Spec, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/worker/leftovers.go
+++ b/internal/worker/orphans.go
@@ -28,14 +28,14 @@
 	for _, file := range pidFiles {
 		groups, err := orphanedGroups(file)
 		if err != nil {
-			continue // retried when a worker starts again
+			continue // retried at the next start of a worker
 		}
 		for _, group := range groups {
 			if err := syscall.Kill(-group, syscall.SIGKILL); err == nil {
 				log.Info("orphaned process group killed", "group", group)
 			}
 		}
-		_ = os.Remove(file) // if it remains, it is handled when a worker starts again
+		_ = os.Remove(file) // if this fails, retried at the next start of a worker
 	}
 }
 
@@ -58,7 +58,7 @@
 	if group <= 1 {
 		return nil, nil
 	}
-	// The pid may have been reused for another process group.
+	// The pid may have been reused: only a group with a task's environment is returned.
 	return groupsWithEnvironment(attemptVar+"=", group), nil
 }
 
@@ -97,7 +97,7 @@
 	return status.group, err == nil && status.group > 1
 }
 
-// Polling of a process that is executing exec.
+// Timeout and interval for polling the environment of a process during exec.
 const (
 	execTimeout  = time.Second
 	execInterval = time.Millisecond
@@ -113,16 +113,16 @@
 			return environment, err
 		}
 		status, err := readProcessStatus(directory)
-		if err != nil || status.ended || status.emptyEnvironment || time.Now().After(deadline) {
+		if err != nil || status.exited || status.emptyEnvironment || time.Now().After(deadline) {
 			return nil, err
 		}
 	}
 }
 
-// processStatus is the part of a process's stat file that is used.
+// processStatus holds the required fields of a process's stat file.
 type processStatus struct {
 	group            int
-	ended            bool // exited, but not yet waited for
+	exited           bool // exited, but not yet waited for
 	emptyEnvironment bool // exec has finished, and the environment has no entries
 }
 
@@ -156,7 +156,7 @@
 	start, end := fields[environmentStartField], fields[environmentEndField]
 	return processStatus{
 		group:            group,
-		ended:            fields[stateField] == "Z" || fields[stateField] == "X",
+		exited:           fields[stateField] == "Z" || fields[stateField] == "X",
 		emptyEnvironment: execDone && end != "0" && start == end,
 	}, nil
 }
--- a/internal/worker/leftovers_test.go
+++ b/internal/worker/orphans_test.go
@@ -52,7 +52,7 @@
 	bare := startWithEnvironment(t, "exec /usr/bin/env -i /bin/sleep 60", attemptVar+"=1")
 	ended := startWithEnvironment(t, "exit 0", attemptVar+"=1")
 	for _, directory := range []string{bare, ended} {
-		awaitStatus(t, directory, func(status processStatus) bool { return status.emptyEnvironment || status.ended })
+		awaitStatus(t, directory, func(status processStatus) bool { return status.emptyEnvironment || status.exited })
 		begin := time.Now()
 		environment, err := processEnvironment(directory)
 		if len(environment) > 0 || err != nil && !errors.Is(err, syscall.ESRCH) { // some kernels return ESRCH for an exited process
--- a/internal/worker/processes.go
+++ b/internal/worker/processes.go
@@ -184,17 +184,17 @@
 // exitCode returns the exit code by the shells' convention: 128 plus the signal's number for a
 // process killed by a signal.
 func exitCode(err error) int {
-	var ended *exec.ExitError
+	var exitErr *exec.ExitError
 	switch {
 	case err == nil, errors.Is(err, exec.ErrWaitDelay):
 		return 0
-	case !errors.As(err, &ended):
+	case !errors.As(err, &exitErr):
 		return 1
 	}
-	if status, ok := ended.Sys().(syscall.WaitStatus); ok && status.Signaled() {
+	if status, ok := exitErr.Sys().(syscall.WaitStatus); ok && status.Signaled() {
 		return 128 + int(status.Signal())
 	}
-	return max(1, ended.ExitCode())
+	return max(1, exitErr.ExitCode())
 }
 
 // Stop implements Process.
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -65,7 +65,7 @@
 	size          matching.Resources // zero until its description is fetched
 	process       Process            // nil: not started yet, or exited
 	cancel        context.CancelFunc // cancels the fetch of the description; nil: no fetch was started
-	stopRequested bool               // exit code 0 does not count as completed then
+	stopRequested bool               // if set, exit code 0 does not count as completion
 }
 
 // State is the protocol state of a worker. It is safe for concurrent use.
