--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return fmt.Errorf("--dir: %w", err)
 	}
-	slices.Sort(dirs) // machine names ascend with time
+	slices.Sort(dirs) // machine names ascend in the order of creation
 	for i, dir := range dirs {
 		worker.KillOrphanedProcesses(dir, s.Log)
 		if i < len(dirs)-maxMachineDirs {
@@ -205,8 +205,8 @@
 }
 
 // run runs the services, the controllers and the workers that the cloud provisions, until ctx
-// ends. Each is stopped before the ones it depends on: first the workers, then the controllers,
-// then the services.
+// ends. It then stops the workers, the controllers and the services, in this order, because each
+// depends on the next.
 func (s *services) run(ctx context.Context, userListener, serviceListener net.Listener, ready func(url string)) error {
 	servicesCtx, stopServices := context.WithCancel(context.WithoutCancel(ctx))
 	controllersCtx, stopControllers := context.WithCancel(context.WithoutCancel(ctx))
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -41,7 +41,7 @@
 	TaskCPUs, RunS, FetchS      float64
 	TasksPerJob                 int
 	SteadyStarts, PeakStarts    float64 // requested task starts per second
-	UrgentStarts, UrgentWithinS float64 // urgent ones among them; maximum wait until an urgent task starts in time
+	UrgentStarts, UrgentWithinS float64 // urgent starts per second, included above; longest wait that counts as in time
 
 	// Durations of the phases. A phase with duration 0 is left out.
 	FillWithinS, SteadyS, PeakS, FailuresS  float64
@@ -49,7 +49,7 @@
 	RestartEveryS, DrainS                   float64
 
 	FailureSpeedup                 float64 // factor by which failures are more frequent than on a real day
-	FailuresPerDay, RestartsPerDay float64 // machines
+	FailuresPerDay, RestartsPerDay float64 // machines per real day
 	StateRPS, StateWriteRPS        float64
 	StateLatencyMs                 float64
 	StateTxnOps                    int // maximum number of changes in a transaction
--- a/internal/worker/state_test.go
+++ b/internal/worker/state_test.go
@@ -83,7 +83,8 @@
 }
 
 // step is one step of TestInvariantsHoldUnderLateAndRepeatedCommands. Direct sends the command as
-// a direct order; for stepFinish it selects exit code 0.
+// a direct order; for stepFinish it selects exit code 0. Token is relative to the highest token
+// sent, and Wait is the time in ms until the next step.
 type step struct {
 	Kind, Task, Attempt, Token, Wait int
 	Direct                           bool
