--- a/internal/local/controllers.go
+++ b/internal/local/controllers.go
@@ -16,20 +16,20 @@
 	"github.com/wallrack/wallrack/internal/subprocess"
 )
 
-// restartDelay passes before a controller that ended is started again.
+// restartDelay is the time between a controller's exit and its restart.
 const restartDelay = time.Second
 
-// Controller is a controller of a site on this machine.
+// Controller is a controller on this machine.
 type Controller struct {
-	Name string
-	Addr string // its address for users and workers
-	File string // path of its settings
+	Name         string
+	Addr         string // address for users and workers
+	SettingsFile string // path of its settings file
 }
 
-// Controllers chooses names, which begin with prefix, and addresses for n controllers,
-// spread over the zones, and writes their settings into dir, which is created. endpoints
-// are the services' addresses for each of them. It starts nothing.
-func Controllers(dir, prefix string, n int, params config.Params, zones []string, endpoints func(i int) config.Endpoints) ([]Controller, error) {
+// PrepareControllers chooses names with the given prefix and addresses for n controllers, spreads
+// them over the zones, and writes their settings files into dir, which it creates. endpoints
+// returns the addresses of the services for controller i. No controller is started.
+func PrepareControllers(dir, prefix string, n int, params config.Params, zones []string, endpoints func(i int) config.Endpoints) ([]Controller, error) {
 	addrs, err := FreeAddrs(2 * n)
 	if err != nil {
 		return nil, err
@@ -53,15 +53,15 @@
 		if err != nil {
 			return nil, fmt.Errorf("settings: %w", err)
 		}
-		if err := os.WriteFile(c.File, data, 0o644); err != nil {
+		if err := os.WriteFile(c.SettingsFile, data, 0o644); err != nil {
 			return nil, fmt.Errorf("settings: %w", err)
 		}
 	}
 	return controllers, nil
 }
 
-// FreeAddrs finds n different loopback addresses that nothing listens on now. Nothing
-// keeps another process from taking one before it is used.
+// FreeAddrs returns n different loopback addresses that no process listens on. They are not
+// reserved: another process may take one before the caller uses it.
 func FreeAddrs(n int) ([]string, error) {
 	ports, err := subprocess.FreePorts(n)
 	if err != nil {
@@ -74,10 +74,10 @@
 	return addrs, nil
 }
 
-// Keep runs a controller until ctx ends and the controller has ended: again, after a
-// second, whenever it exits unexpectedly or a restart is requested, which ends it in
-// order. A nil restart never requests one.
-func Keep(ctx context.Context, log *slog.Logger, name string, restart <-chan struct{}, start func(context.Context) error) {
+// Supervise runs a controller until ctx ends, and returns when the controller has exited. If the
+// controller exits unexpectedly, or a value arrives on restart, it is started again after
+// restartDelay. For a requested restart it is shut down gracefully. restart may be nil.
+func Supervise(ctx context.Context, log *slog.Logger, name string, restart <-chan struct{}, start func(context.Context) error) {
 	for ctx.Err() == nil {
 		running, stop := context.WithCancel(ctx)
 		done := make(chan error, 1)
@@ -90,7 +90,7 @@
 		case <-restart:
 			stop()
 			if err := <-done; err != nil {
-				log.Debug("controller ended for a restart", "controller", name, "err", err)
+				log.Debug("controller stopped for restart", "controller", name, "err", err)
 			}
 		}
 		stop()
--- a/internal/scale/failures.go
+++ b/internal/scale/failures.go
@@ -8,100 +8,100 @@
 )
 
 const (
-	secondsADay   = 24 * 3600
-	failedShownIn = 30 * time.Second // a machine that died is listed as running for so long
+	secondsPerDay       = 24 * 3600
+	failureListingDelay = 30 * time.Second // time for which the cloud lists a dead machine as running
 )
 
-// cuts plays the phases in which workers' links are cut, each followed by one in which
-// the site recovers.
-func (r *Run) cuts(ctx context.Context) {
+// runPartitions runs the phases in which the links of workers are cut, each followed by a phase
+// in which the site recovers.
+func (r *Run) runPartitions(ctx context.Context) {
 	s := r.Settings
 	for _, cut := range []struct {
-		name    string
-		lengthS float64
-		zones   []string
-		most    int // workers
+		name      string
+		durationS float64
+		zones     []string
+		limit     int // maximum number of workers
 	}{
-		{"rack cut", s.RackS, r.zones[:1], s.RackWorkers},
-		{"zone cut", s.ZoneS, r.zones[:1], s.Workers},
-		{"region cut", s.RegionS, r.zones[s.Zones-s.Zones/s.Regions:], s.Workers},
+		{"rack cut", s.RackCutS, r.zones[:1], s.RackWorkers},
+		{"zone cut", s.ZoneCutS, r.zones[:1], s.Workers},
+		{"region cut", s.RegionCutS, r.zones[s.Zones-s.Zones/s.Regions:], s.Workers},
 	} {
-		if cut.lengthS == 0 {
+		if cut.durationS == 0 {
 			continue
 		}
-		names := r.someWorkers(cut.zones, cut.most)
-		r.phase(ctx, cut.name, s.SteadyStarts, seconds(cut.lengthS), func(context.Context) {
-			r.track.lose(cut.name, names)
-			r.workers.cut(names, true)
+		names := r.oldestWorkers(cut.zones, cut.limit)
+		r.runPhase(ctx, cut.name, s.SteadyStarts, seconds(cut.durationS), func(context.Context) {
+			r.track.markLost(cut.name, names)
+			r.workers.setCut(names, true)
 		})
-		r.workers.cut(names, false)
-		r.track.found(names)
-		r.provision()
-		r.phase(ctx, "after the "+cut.name, s.SteadyStarts, seconds(s.SettleS), nil)
+		r.workers.setCut(names, false)
+		r.track.markReachable(names)
+		r.provisionWorkers()
+		r.runPhase(ctx, "after the "+cut.name, s.SteadyStarts, seconds(s.SettleS), nil)
 	}
 }
 
-// someWorkers picks the oldest workers of zones.
-func (r *Run) someWorkers(zones []string, most int) map[string]bool {
-	picked := r.workers.pick(func(h *hollowWorker) bool { return slices.Contains(zones, h.zone) })
-	names := slices.Sorted(maps.Keys(picked))
-	for _, name := range names[min(most, len(names)):] {
-		delete(picked, name)
+// oldestWorkers returns the names of the oldest workers in the given zones, at most limit.
+func (r *Run) oldestWorkers(zones []string, limit int) map[string]bool {
+	selected := r.workers.selectNames(func(h *hollowWorker) bool { return slices.Contains(zones, h.zone) })
+	names := slices.Sorted(maps.Keys(selected))
+	for _, name := range names[min(limit, len(names)):] {
+		delete(selected, name)
 	}
-	return picked
+	return selected
 }
 
-// anyWorker picks a worker at random; "" if there is none.
-func (r *Run) anyWorker() string {
-	names := slices.Sorted(maps.Keys(r.someWorkers(r.zones, r.Settings.Workers)))
+// randomWorker returns the name of a random worker, or "" if there is none.
+func (r *Run) randomWorker() string {
+	names := slices.Sorted(maps.Keys(r.oldestWorkers(r.zones, r.Settings.Workers)))
 	if len(names) == 0 {
 		return ""
 	}
 	return names[r.random.IntN(len(names))]
 }
 
-// failures plays an ordinary day's, so many times faster: some machines die, and are
-// listed as running for a while; others are restarted or replaced, which the cloud shows,
-// and come back as new ones.
-func (r *Run) failures(ctx context.Context) {
+// injectFailures injects the failures of an ordinary day, accelerated by FailureSpeedup. Some
+// machines die, and the cloud still lists them as running for a while. Others are restarted or
+// replaced: the cloud lists them as failed at once, and new machines take their place.
+func (r *Run) injectFailures(ctx context.Context) {
 	s := r.Settings
-	perS := (s.FailADay + s.RestartADay) * s.DaySpeed / secondsADay
-	if perS <= 0 {
+	ratePerS := (s.FailuresPerDay + s.RestartsPerDay) * s.FailureSpeedup / secondsPerDay
+	if ratePerS <= 0 {
 		return
 	}
-	began := time.Now()
+	start := time.Now()
 	for n := 1; ; n++ {
-		at := began.Add(seconds(float64(n) / perS))
-		if at.Sub(began) >= seconds(s.FailuresS) || !wait(ctx, time.Until(at)) {
+		at := start.Add(seconds(float64(n) / ratePerS))
+		if at.Sub(start) >= seconds(s.FailuresS) || !sleep(ctx, time.Until(at)) {
 			return
 		}
-		name := r.anyWorker()
-		died := r.random.Float64() < s.FailADay/(s.FailADay+s.RestartADay)
+		name := r.randomWorker()
+		died := r.random.Float64() < s.FailuresPerDay/(s.FailuresPerDay+s.RestartsPerDay)
 		event := "machine restarted or replaced"
 		if died {
 			event = "machine died"
 		}
-		r.track.lose(event, map[string]bool{name: true})
+		r.track.markLost(event, map[string]bool{name: true})
 		r.workers.End(name)
 		if died {
-			// Not stopped at the run's end: it does nothing then.
-			time.AfterFunc(failedShownIn, func() { r.cloud.Failed(name) })
+			// The timer is not stopped at the end of the run; MarkFailed then has no effect.
+			time.AfterFunc(failureListingDelay, func() { r.cloud.MarkFailed(name) })
 			continue
 		}
-		r.cloud.Failed(name)
-		r.provision()
+		r.cloud.MarkFailed(name)
+		r.provisionWorkers()
 	}
 }
 
-// restarts restarts each controller in turn.
-func (r *Run) restarts(ctx context.Context) {
+// restartControllers restarts the controllers one after the other.
+func (r *Run) restartControllers(ctx context.Context) {
 	for _, c := range r.controllers {
 		select {
 		case c.restart <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
-		if !wait(ctx, seconds(r.Settings.RestartEveryS)) {
+		if !sleep(ctx, seconds(r.Settings.RestartEveryS)) {
 			return
 		}
 	}
--- a/internal/scale/recorded_test.go
+++ b/internal/scale/recorded_test.go
@@ -12,8 +12,8 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// destinations is the field that each key of the settings sets.
-func destinations(s *Settings) map[string]any {
+// fieldsByKey returns the field that each settings key sets.
+func fieldsByKey(s *Settings) map[string]any {
 	return map[string]any{
 		"workers":              &s.Workers,
 		"controllers":          &s.Controllers,
@@ -41,19 +41,19 @@
 		"steady-s":             &s.SteadyS,
 		"peak-s":               &s.PeakS,
 		"failures-s":           &s.FailuresS,
-		"rack-cut-s":           &s.RackS,
-		"zone-cut-s":           &s.ZoneS,
-		"region-cut-s":         &s.RegionS,
+		"rack-cut-s":           &s.RackCutS,
+		"zone-cut-s":           &s.ZoneCutS,
+		"region-cut-s":         &s.RegionCutS,
 		"settle-s":             &s.SettleS,
 		"restart-every-s":      &s.RestartEveryS,
 		"drain-s":              &s.DrainS,
-		"failures-a-day":       &s.FailADay,
-		"restarts-a-day":       &s.RestartADay,
-		"day-pace":             &s.DaySpeed,
+		"failures-a-day":       &s.FailuresPerDay,
+		"restarts-a-day":       &s.RestartsPerDay,
+		"day-pace":             &s.FailureSpeedup,
 		"state-rps":            &s.StateRPS,
 		"state-write-rps":      &s.StateWriteRPS,
 		"state-latency-ms":     &s.StateLatencyMs,
-		"state-txn-ops":        &s.StateTxns,
+		"state-txn-ops":        &s.StateTxnOps,
 		"cloud-rps":            &s.CloudRPS,
 		"cloud-latency-ms":     &s.CloudLatencyMs,
 		"cloud-lag-s":          &s.CloudLagS,
@@ -64,17 +64,17 @@
 	}
 }
 
-// Each key is accepted within its recorded bounds and sets its own field; at the planned
-// size the field has the recorded value.
+// Each key is accepted within its recorded bounds and sets its own field, and the default of the
+// field is the recorded value.
 func TestRecordedKeys(t *testing.T) {
 	defaults, err := ParseSettings([]byte("(scale)"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := destinations(defaults)
-	figures := defaults.figures()
-	if len(figures) != len(at) {
-		t.Errorf("%d keys are accepted, %d are recorded", len(figures), len(at))
+	at := fieldsByKey(defaults)
+	numeric := defaults.numericSettings()
+	if len(numeric) != len(at) {
+		t.Errorf("%d keys are accepted, %d are recorded", len(numeric), len(at))
 	}
 	keys := make([]string, 0, len(at))
 	for key := range at {
@@ -83,15 +83,15 @@
 	slices.Sort(keys)
 	var text strings.Builder
 	for _, key := range keys {
-		f, known := figures[key]
+		f, known := numeric[key]
 		if !known {
-			t.Errorf("%s: no key", key)
+			t.Errorf("%s: key is not accepted", key)
 			continue
 		}
-		if reflect.ValueOf(f.to).Pointer() != reflect.ValueOf(at[key]).Pointer() {
+		if reflect.ValueOf(f.dest).Pointer() != reflect.ValueOf(at[key]).Pointer() {
 			t.Errorf("%s sets another field", key)
 		}
-		fmt.Fprintf(&text, "%s %s %v from %v to %v\n", key, reflect.TypeOf(f.to).Elem(), reflect.ValueOf(at[key]).Elem(), f.min, f.max)
+		fmt.Fprintf(&text, "%s %s %v from %v to %v\n", key, reflect.TypeOf(f.dest).Elem(), reflect.ValueOf(at[key]).Elem(), f.min, f.max)
 	}
 	recorded.Compare(t, "keys.txt", []byte(text.String()))
 	recorded.Compare(t, "operator-default.txt", append(defaults.Operator, '\n'))
@@ -121,7 +121,7 @@
 	recorded.Compare(t, "errors.txt", []byte(text.String()))
 }
 
-// scale.json is read by programs of others.
+// Other programs read scale.json.
 func TestRecordedResult(t *testing.T) {
 	marshal := func(v any) ([]byte, error) { return json.MarshalIndent(v, "", " ") }
 	recorded.CompareJSON[Result](t, "scale.json", marshal, func(data []byte, v any) error { return json.Unmarshal(data, v) })
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -16,14 +16,14 @@
 	priorityUrgent   = "urgent"
 )
 
-// users submit jobs by a constant schedule, whatever becomes of those before, and
-// poll them until they are done.
+// users submits jobs on a fixed schedule, regardless of the progress of earlier jobs, and polls
+// each job until it is done.
 type users struct {
-	settings *Settings
-	track    *tracker
-	client   *client.Client
-	sent     sync.WaitGroup // jobs that are followed
-	number   int            // of the last job
+	settings   *Settings
+	track      *tracker
+	client     *client.Client
+	followers  sync.WaitGroup // goroutines that submit and poll jobs
+	lastNumber int            // number in the id of the last job
 }
 
 // Classes of jobs.
@@ -33,90 +33,90 @@
 	classUrgent  = "urgent"
 )
 
-// newJob makes the next job of a class.
-func (u *users) newJob(class, team string, tasks int, intended time.Time) *job {
+// newJob returns a new job of a class.
+func (u *users) newJob(class, team string, tasks int, scheduledAt time.Time) *job {
 	s := u.settings
-	u.number++
+	u.lastNumber++
 	job := &job{Job: &wire.Job{
-		UID: fmt.Sprintf("j-%s-%07d", class, u.number), Class: class, Team: team, Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
+		UID: fmt.Sprintf("j-%s-%07d", class, u.lastNumber), Class: class, Team: team, Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
 		CPUs: s.TaskCPUs, MemoryGB: 0.1, Image: "image-" + class, ImageGB: s.FetchS * fetchGBPerS, EstimateS: s.RunS,
-	}, run: seconds(s.RunS), intended: intended}
+	}, runTime: seconds(s.RunS), scheduledAt: scheduledAt}
 	switch class {
 	case classUrgent:
 		job.Priority = priorityUrgent
 	case classService:
-		job.Kind, job.Priority, job.EstimateS, job.run = wire.KindService, "production", 0, 0
+		job.Kind, job.Priority, job.EstimateS, job.runTime = wire.KindService, "production", 0, 0
 	}
 	return job
 }
 
-// send submits a job as users do and follows it, in a goroutine of u.sent.
-func (u *users) send(ctx context.Context, job *job) {
-	u.track.add(job)
-	u.sent.Go(func() { u.follow(ctx, job) })
+// submitAsync submits a job and polls it in a goroutine of u.followers.
+func (u *users) submitAsync(ctx context.Context, job *job) {
+	u.track.addJob(job)
+	u.followers.Go(func() { u.submitAndPoll(ctx, job) })
 }
 
-// follow submits a job and polls it until it is over, or denied.
-func (u *users) follow(ctx context.Context, job *job) {
+// submitAndPoll submits a job and polls it until it has ended or is rejected.
+func (u *users) submitAndPoll(ctx context.Context, job *job) {
 	state, err := u.client.SubmitDescribed(ctx, job.Job)
 	for err == nil || errors.Is(err, client.ErrUnknown) && job.accepted {
 		if err == nil {
-			u.track.responded(job, state.Stage)
+			u.track.recordResponse(job, state.Stage)
 			if state.Stage == wire.StageDone || state.Stage == wire.StageCancelled {
 				return
 			}
 		}
-		if !wait(ctx, userPollInterval) {
+		if !sleep(ctx, userPollInterval) {
 			return
 		}
 		state, err = u.client.Status(ctx, job.UID)
 	}
 	if ctx.Err() == nil {
-		u.track.denied(job, errors.Is(err, client.ErrUnknown))
+		u.track.recordRejection(job, errors.Is(err, client.ErrUnknown))
 	}
 }
 
-// fill submits the services, which run all the time.
-func (u *users) fill(ctx context.Context) {
+// submitServices submits the service jobs, which run all the time.
+func (u *users) submitServices(ctx context.Context) {
 	for i, team := range u.settings.Teams {
 		if n := u.settings.replicas(i, len(u.settings.Teams)); n > 0 {
-			u.send(ctx, u.newJob(classService, team.Name, n, time.Now()))
+			u.submitAsync(ctx, u.newJob(classService, team.Name, n, time.Now()))
 		}
 	}
 }
 
-// load sends jobs for so long, tasks to start at a rate. Each is counted from when
-// the schedule has it sent: one that comes late, because those before it held up the
-// sender, has waited already.
-func (u *users) load(ctx context.Context, starts float64, length time.Duration) {
+// submitAtRate submits jobs with a total of startsPerS tasks per second for the given duration.
+// The wait of a job counts from its scheduled time. Otherwise the wait of a job that is submitted
+// late, because the earlier ones delayed the sender, would be measured too short.
+func (u *users) submitAtRate(ctx context.Context, startsPerS float64, duration time.Duration) {
 	s := u.settings
-	arrays := (starts - s.UrgentStarts) / float64(s.TasksPerJob)
-	began := time.Now()
-	next := map[string]time.Time{classArray: began, classUrgent: began}
+	arraysPerS := (startsPerS - s.UrgentStarts) / float64(s.TasksPerJob)
+	start := time.Now()
+	next := map[string]time.Time{classArray: start, classUrgent: start}
 	for turn := 0; ctx.Err() == nil; turn++ {
-		class, tasks, every := classArray, s.TasksPerJob, seconds(1/arrays)
+		class, tasks, interval := classArray, s.TasksPerJob, seconds(1/arraysPerS)
 		if next[classUrgent].Before(next[classArray]) {
-			class, tasks, every = classUrgent, 1, seconds(1/s.UrgentStarts)
+			class, tasks, interval = classUrgent, 1, seconds(1/s.UrgentStarts)
 		}
 		at := next[class]
-		if at.Sub(began) >= length {
+		if at.Sub(start) >= duration {
 			break
 		}
-		next[class] = at.Add(every)
-		if !wait(ctx, time.Until(at)) {
+		next[class] = at.Add(interval)
+		if !sleep(ctx, time.Until(at)) {
 			return
 		}
-		u.send(ctx, u.newJob(class, s.Teams[u.number%len(s.Teams)].Name, tasks, at))
+		u.submitAsync(ctx, u.newJob(class, s.Teams[u.lastNumber%len(s.Teams)].Name, tasks, at))
 	}
-	wait(ctx, time.Until(began.Add(length)))
+	sleep(ctx, time.Until(start.Add(duration)))
 }
 
-// wait waits for so long; false: ctx has ended before.
-func wait(ctx context.Context, length time.Duration) bool {
+// sleep waits for the given duration. It returns false if ctx ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(length):
+	case <-time.After(duration):
 		return true
 	}
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -1,10 +1,10 @@
-// Package standin stands in for the services around a site, by their protocol,
-// for a whole site on one machine: the state service and the cloud, with a budget of
-// requests if wanted, and the store of task descriptions.
+// Package standin implements local replacements for the services that a site depends on, by their
+// protocols: the state service and the cloud, with optional rate limits, and the store of task
+// descriptions. A whole site can thus run on one machine.
 //
-// Their records are in one database on disk, or in memory alone. Responses mean that a
-// change is durable. The package has no access rights and no replication, and starts no
-// workers itself: a Launcher does.
+// The records are stored in one database on disk, or only in memory. With a database, a change is
+// durable before it is confirmed. The package has no access control and no replication, and
+// starts no workers itself; a Launcher does.
 package standin
 
 import (
@@ -22,11 +22,11 @@
 )
 
 const (
-	keepChanges    = 10_000 // that a watch may be behind
-	expiryInterval = 50 * time.Millisecond
+	maxRetainedEvents = 10_000 // available to watches; older ones are dropped
+	expiryInterval    = 50 * time.Millisecond
 )
 
-// item is a key's record, in memory and on disk.
+// item is the record of a key, in memory and on disk.
 type item struct {
 	Value   json.RawMessage `json:"v"`
 	Version uint64          `json:"s"`
@@ -34,34 +34,34 @@
 }
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// State is the state service. What it reports as done is on disk, if there is a
-// database. It is safe for concurrent use.
+// State is the state service. If there is a database, changes are on disk before they are
+// confirmed. It is safe for concurrent use.
 type State struct {
-	db         *bbolt.DB
-	maxOps     int
-	valueBytes int // most of a value
-
-	mu        sync.Mutex
-	items     map[string]item
-	keys      []string // of items, sorted
-	leases    map[uint64]*lease
-	revision  uint64
-	lastLease uint64 // the highest lease id given
-	events    []wire.Event
-	changed   chan struct{} // closed at every change
+	db            *bbolt.DB
+	maxOps        int
+	maxValueBytes int // maximum size of a value
+
+	mu          sync.Mutex
+	items       map[string]item
+	keys        []string // of items, sorted
+	leases      map[uint64]*lease
+	revision    uint64
+	lastLeaseID uint64 // highest lease id granted
+	events      []wire.Event
+	changed     chan struct{} // closed and replaced at every change
 }
 
-// OpenState reads what db holds. All leases get their full time again, as after
-// an outage. Without a db the records are in memory alone. A transaction has at most
-// txnOps changes and four times as many conditions, a value at most valueKB KiB. The
-// caller closes db, after the last request and ExpireLeases have ended.
-func OpenState(db *bbolt.DB, txnOps int, valueKB float64) (*State, error) {
+// OpenState loads the records in db. Every lease starts again with its full TTL, as after an
+// outage. If db is nil, the records are kept in memory only. A transaction may have maxTxnOps
+// changes and four times as many conditions; a value may have valueKB KiB. The caller closes db
+// after the last request has ended and ExpireLeases has returned.
+func OpenState(db *bbolt.DB, maxTxnOps int, valueKB float64) (*State, error) {
 	s := &State{
-		db: db, maxOps: txnOps, valueBytes: int(valueKB * 1024),
+		db: db, maxOps: maxTxnOps, maxValueBytes: int(valueKB * 1024),
 		items: map[string]item{}, leases: map[uint64]*lease{}, changed: make(chan struct{}),
 	}
 	if err := update(db, s.load); err != nil {
@@ -70,13 +70,13 @@
 	return s, nil
 }
 
-// load reads the records of an earlier run.
+// load loads the records of an earlier run.
 func (s *State) load(tx *bbolt.Tx) error {
 	if err := createBuckets(tx, itemsBucket, leasesBucket, metaBucket); err != nil {
 		return err
 	}
 	meta := tx.Bucket(metaBucket)
-	s.revision, s.lastLease = parseNumber(meta.Get(revisionKey)), parseNumber(meta.Get(nextLeaseKey))
+	s.revision, s.lastLeaseID = parseNumber(meta.Get(revisionKey)), parseNumber(meta.Get(nextLeaseKey))
 	if err := tx.Bucket(leasesBucket).ForEach(func(id, ttlMs []byte) error {
 		ttl := time.Duration(parseNumber(ttlMs)) * time.Millisecond
 		s.leases[parseNumber(id)] = &lease{ttl, time.Now().Add(ttl)}
@@ -95,28 +95,28 @@
 	})
 }
 
-// ExpireLeases ends leases that nobody renewed in time, until ctx ends.
+// ExpireLeases revokes expired leases until ctx ends.
 func (s *State) ExpireLeases(ctx context.Context) {
-	_ = periodic.Run(ctx, expiryInterval, s.endExpired) // ends with ctx
+	_ = periodic.Run(ctx, expiryInterval, s.revokeExpiredLeases) // returns when ctx ends
 }
 
-// endExpired ends the leases that nobody renewed in time.
-func (s *State) endExpired() {
+// revokeExpiredLeases revokes the leases that were not renewed in time.
+func (s *State) revokeExpiredLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.After(l.ends) {
-			_ = s.endLeaseLocked(id) // tried again at the next tick
+		if now.After(l.expiresAt) {
+			_ = s.revokeLeaseLocked(id) // retried at the next tick
 		}
 	}
 }
 
-// grantLocked makes a lease and returns its id, which is never given again.
-func (s *State) grantLocked(ttlMs int64) (uint64, error) {
+// grantLeaseLocked grants a lease and returns its id. Ids are never reused.
+func (s *State) grantLeaseLocked(ttlMs int64) (uint64, error) {
 	ttl := time.Duration(ttlMs) * time.Millisecond
-	id := s.lastLease + 1
-	if err := s.writeLocked(nil, func(tx *bbolt.Tx) error {
+	id := s.lastLeaseID + 1
+	if err := s.commitLocked(nil, func(tx *bbolt.Tx) error {
 		if err := tx.Bucket(metaBucket).Put(nextLeaseKey, formatNumber(id)); err != nil {
 			return err
 		}
@@ -124,28 +124,29 @@
 	}); err != nil {
 		return 0, err
 	}
-	s.lastLease, s.leases[id] = id, &lease{ttl, time.Now().Add(ttl)}
+	s.lastLeaseID, s.leases[id] = id, &lease{ttl, time.Now().Add(ttl)}
 	return id, nil
 }
 
-// endLeaseLocked ends a lease and deletes the keys attached to it.
-func (s *State) endLeaseLocked(id uint64) error {
+// revokeLeaseLocked revokes a lease and deletes the keys attached to it.
+func (s *State) revokeLeaseLocked(id uint64) error {
 	var deletes []wire.Op
 	for _, key := range s.keys {
 		if s.items[key].Lease == id {
 			deletes = append(deletes, wire.Op{Delete: key})
 		}
 	}
-	if err := s.writeLocked(deletes, func(tx *bbolt.Tx) error { return tx.Bucket(leasesBucket).Delete(formatNumber(id)) }); err != nil {
+	if err := s.commitLocked(deletes, func(tx *bbolt.Tx) error { return tx.Bucket(leasesBucket).Delete(formatNumber(id)) }); err != nil {
 		return err
 	}
 	delete(s.leases, id)
 	return nil
 }
 
-// writeLocked makes changes durable, together with what also writes, then visible. The
-// revision rises by one if there are changes. After an error nothing has changed.
-func (s *State) writeLocked(ops []wire.Op, also func(*bbolt.Tx) error) error {
+// commitLocked commits changes to the database, in one transaction with alsoStore, and then makes
+// them visible. If there are changes, the revision increases by one. After an error nothing has
+// changed.
+func (s *State) commitLocked(ops []wire.Op, alsoStore func(*bbolt.Tx) error) error {
 	revision := s.revision
 	if len(ops) > 0 {
 		revision++
@@ -161,11 +162,11 @@
 		}
 	}
 	if err := update(s.db, func(tx *bbolt.Tx) error {
-		if err := writeItems(tx, ops, values, revision); err != nil {
+		if err := storeItems(tx, ops, values, revision); err != nil {
 			return err
 		}
-		if also != nil {
-			if err := also(tx); err != nil {
+		if alsoStore != nil {
+			if err := alsoStore(tx); err != nil {
 				return err
 			}
 		}
@@ -178,8 +179,8 @@
 	return nil
 }
 
-// writeItems writes changes to the records on disk.
-func writeItems(tx *bbolt.Tx, ops []wire.Op, values []json.RawMessage, revision uint64) error {
+// storeItems stores changes in the database.
+func storeItems(tx *bbolt.Tx, ops []wire.Op, values []json.RawMessage, revision uint64) error {
 	items := tx.Bucket(itemsBucket)
 	for i, op := range ops {
 		if op.Delete != "" {
@@ -188,17 +189,17 @@
 			}
 			continue
 		}
-		if err := put(tx, itemsBucket, op.Put, item{values[i], revision, op.Lease}); err != nil {
+		if err := putJSON(tx, itemsBucket, op.Put, item{values[i], revision, op.Lease}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// applyLocked makes changes of the current revision visible to reads and watches.
+// applyLocked makes the changes of the current revision visible to reads and watches.
 func (s *State) applyLocked(ops []wire.Op, values []json.RawMessage) {
 	for i, op := range ops {
-		key := op.Put + op.Delete // one of them is empty
+		key := op.Put + op.Delete // exactly one of them is not empty
 		at, exists := slices.BinarySearch(s.keys, key)
 		if op.Delete != "" {
 			if exists {
@@ -214,7 +215,7 @@
 		s.items[key] = item{values[i], s.revision, op.Lease}
 		s.events = append(s.events, wire.Event{Put: key, Value: values[i], Version: s.revision})
 	}
-	if over := len(s.events) - keepChanges; over > 0 {
+	if over := len(s.events) - maxRetainedEvents; over > 0 {
 		s.events = slices.Delete(s.events, 0, over)
 	}
 	if len(ops) > 0 {
--- a/internal/taskspec/server.go
+++ b/internal/taskspec/server.go
@@ -12,52 +12,53 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Store keeps descriptions. It is safe for concurrent use.
+// Store stores descriptions. It is safe for concurrent use.
 type Store interface {
-	// Put stores data under a name durably, or returns what is there already and stores
-	// nothing.
-	Put(name string, data []byte) (old []byte, err error)
-	// Get returns the data under a name; nil: there is none.
+	// Put stores data under a name durably. If the name has data already, it stores nothing and
+	// returns that data.
+	Put(name string, data []byte) (existing []byte, err error)
+	// Get returns the data stored under a name, or nil if there is none.
 	Get(name string) ([]byte, error)
 }
 
 // Handler serves PUT and GET /descriptions/JOB from a store.
 func Handler(store Store) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) { put(store, w, r) })
-	mux.HandleFunc("GET "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) { get(store, w, r) })
+	mux.HandleFunc("PUT "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) { servePut(store, w, r) })
+	mux.HandleFunc("GET "+pathPrefix+"{job}", func(w http.ResponseWriter, r *http.Request) { serveGet(store, w, r) })
 	return mux
 }
 
-// put stores an uploaded description, encoded anew: what differs in spaces alone is the same.
-func put(store Store, w http.ResponseWriter, r *http.Request) {
+// servePut stores an uploaded description. It is decoded and encoded again, so that descriptions
+// that differ only in white space are equal.
+func servePut(store Store, w http.ResponseWriter, r *http.Request) {
 	job := r.PathValue("job")
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBytes))
 	switch {
 	case !wire.ValidJobID(job):
-		problem(w, http.StatusBadRequest, "not a job id")
+		writeProblem(w, http.StatusBadRequest, "not a job id")
 		return
 	case err != nil:
-		problem(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("unreadable or over %d bytes", MaxBytes))
+		writeProblem(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("unreadable or over %d bytes", MaxBytes))
 		return
 	}
 	data, err := normalize(body)
 	if err != nil {
-		problem(w, http.StatusBadRequest, err.Error())
+		writeProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	old, err := store.Put(job, data)
+	existing, err := store.Put(job, data)
 	switch {
 	case err != nil:
-		unavailable(w, err)
-	case old != nil && !bytes.Equal(old, data):
-		problem(w, http.StatusConflict, ErrDiffers.Error())
+		writeUnavailable(w, err)
+	case existing != nil && !bytes.Equal(existing, data):
+		writeProblem(w, http.StatusConflict, ErrConflict.Error())
 	default:
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
-// normalize checks an uploaded description and encodes it in the stored form.
+// normalize validates an uploaded description and encodes it in the stored form.
 func normalize(body []byte) ([]byte, error) {
 	var spec Spec
 	if err := json.Unmarshal(body, &spec); err != nil {
@@ -69,26 +70,26 @@
 	return json.Marshal(&spec)
 }
 
-// get serves a stored description.
-func get(store Store, w http.ResponseWriter, r *http.Request) {
+// serveGet serves a stored description.
+func serveGet(store Store, w http.ResponseWriter, r *http.Request) {
 	data, err := store.Get(r.PathValue("job"))
 	switch {
 	case err != nil:
-		unavailable(w, err)
+		writeUnavailable(w, err)
 	case data == nil:
-		problem(w, http.StatusNotFound, ErrNotFound.Error())
+		writeProblem(w, http.StatusNotFound, ErrNotFound.Error())
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(data) // a worker that did not get it retries
+		_, _ = w.Write(data) // after a failed write the worker fetches it again
 	}
 }
 
-// unavailable answers that the store failed.
-func unavailable(w http.ResponseWriter, err error) {
+// writeUnavailable responds that the store failed, with status 503.
+func writeUnavailable(w http.ResponseWriter, err error) {
 	w.Header().Set("Retry-After", "1")
-	problem(w, http.StatusServiceUnavailable, err.Error())
+	writeProblem(w, http.StatusServiceUnavailable, err.Error())
 }
 
-func problem(w http.ResponseWriter, status int, reason string) {
+func writeProblem(w http.ResponseWriter, status int, reason string) {
 	httpjson.Write(w, status, wire.Problem{Error: reason})
 }
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	fetchTries   = 5 // to get a description before the task fails
+	fetchTries   = 5 // to fetch a task description before the attempt fails
 	fetchBackoff = 300 * time.Millisecond
 )
 
-// executeLocked executes commands. One that does not fit the state of its attempt, such
-// as a repeated one, does nothing.
+// executeLocked executes commands. A command that doesn't apply in the attempt's current state,
+// such as a repeated one, is ignored.
 func (s *State) executeLocked(ctx context.Context, commands []wire.Command) {
 	changed := false
 	for _, command := range commands {
@@ -35,53 +35,53 @@
 		changed = true
 	}
 	if changed {
-		go s.changed()
+		go s.onChange()
 	}
 }
 
-// stop ends an attempt by command, a process with a grace period in seconds if there is
-// one.
+// stop executes a stop command. graceS is the grace period of the process in seconds; nil: none.
 func (a *attempt) stop(graceS *float64) {
 	if a.State == wire.TaskFetching {
-		a.end(0)
-		a.exit(wire.CauseStopped)
+		a.terminate(0)
+		a.markExited(wire.CauseStopped)
 		return
 	}
 	grace := time.Duration(0)
 	if graceS != nil && *graceS > 0 {
 		grace = time.Duration(*graceS * float64(time.Second))
 	}
-	a.end(grace)
+	a.terminate(grace)
 }
 
-// launchLocked executes a start command for an attempt that is not known.
+// launchLocked executes a start command for a new attempt.
 func (s *State) launchLocked(ctx context.Context, key attemptKey) {
 	job, _, err := wire.ParseTask(key.task)
 	a := &attempt{Task: wire.Task{Task: key.task, Attempt: key.attempt, State: wire.TaskFetching}}
 	s.attempts[key] = a
 	if err != nil {
-		a.exit(wire.CauseUnknown)
+		a.markExited(wire.CauseUnknown)
 		return
 	}
 	for otherKey, other := range s.attempts {
 		if otherKey.task == key.task && otherKey != key && other.State != wire.TaskExited {
-			a.exit(wire.CauseBusy)
+			a.markExited(wire.CauseBusy)
 			return
 		}
 	}
-	// The fetch outlives the exchange that carried the command.
+	// The fetch continues after the request that carried the command has ended.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	a.cancel = cancel
 	session := s.session
 	s.launches.Go(func() {
 		defer cancel()
-		spec, err := s.fetch(ctx, job)
-		s.fetched(key, a, session, spec, err)
+		spec, err := s.fetchSpec(ctx, job)
+		s.finishLaunch(key, a, session, spec, err)
 	})
 }
 
-// fetch gets a description, in up to fetchTries tries if the service does not respond.
-func (s *State) fetch(ctx context.Context, job string) (*taskspec.Spec, error) {
+// fetchSpec fetches a task description. It tries up to fetchTries times if the service does not
+// respond.
+func (s *State) fetchSpec(ctx context.Context, job string) (*taskspec.Spec, error) {
 	for try := 1; ; try++ {
 		spec, err := s.descriptions.Get(ctx, job)
 		if err == nil || errors.Is(err, taskspec.ErrNotFound) || try == fetchTries {
@@ -95,67 +95,70 @@
 	}
 }
 
-// fetched starts an attempt whose description came, or makes it exit.
-func (s *State) fetched(key attemptKey, a *attempt, session uint64, spec *taskspec.Spec, err error) {
+// finishLaunch starts the attempt's process. It marks the attempt as exited if the description
+// could not be fetched, the task has completed already, the worker lacks the resources or the
+// start fails.
+func (s *State) finishLaunch(key attemptKey, a *attempt, session uint64, spec *taskspec.Spec, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer func() { go s.changed() }()
+	defer func() { go s.onChange() }()
 	if s.session != session || s.attempts[key] != a || a.State != wire.TaskFetching {
-		return // stopped, or the session is over
+		return // the attempt was stopped, or the session has ended
 	}
 	switch {
 	case errors.Is(err, taskspec.ErrNotFound):
-		a.exit(wire.CauseUnknown)
+		a.markExited(wire.CauseUnknown)
 		return
 	case err != nil:
-		s.log.Info("no task description", "task", key.task, "err", err)
-		a.exit(wire.CauseError)
+		s.log.Info("fetch task description failed", "task", key.task, "err", err)
+		a.markExited(wire.CauseError)
 		return
-	case s.done.Contains(key.task):
-		a.exit(wire.CauseDone) // its result is kept
+	case s.completed.Contains(key.task):
+		a.markExited(wire.CauseDone) // the task completed in an earlier attempt
 		return
 	}
 	a.size = matching.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 	if !a.size.Fits(s.freeLocked(a)) {
-		a.exit(wire.CauseNoRoom)
+		a.markExited(wire.CauseNoRoom)
 		return
 	}
-	process, err := s.runner.Start(key.task, key.attempt, spec, func(code int) { s.exited(key, a, session, code) })
+	process, err := s.runner.Start(key.task, key.attempt, spec, func(code int) { s.processExited(key, a, session, code) })
 	if err != nil {
 		s.log.Info("task start failed", "task", key.task, "err", err)
-		a.exit(wire.CauseError)
+		a.markExited(wire.CauseError)
 		return
 	}
 	a.State, a.process = wire.TaskRunning, process
 }
 
-// freeLocked is what the worker has left beside all attempts but one.
-func (s *State) freeLocked(but *attempt) matching.Resources {
+// freeLocked returns the worker's capacity minus the resources of all attempts that have not
+// exited, except the given one.
+func (s *State) freeLocked(except *attempt) matching.Resources {
 	free := s.id.Size
 	for _, a := range s.attempts {
-		if a != but && a.State != wire.TaskExited {
+		if a != except && a.State != wire.TaskExited {
 			free = free.Add(a.size, -1)
 		}
 	}
 	return free
 }
 
-// exited notes the end of an attempt's process.
-func (s *State) exited(key attemptKey, a *attempt, session uint64, code int) {
+// processExited records the exit of an attempt's process.
+func (s *State) processExited(key attemptKey, a *attempt, session uint64, code int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.session != session || s.attempts[key] != a || a.State == wire.TaskExited {
 		return
 	}
 	switch {
-	case a.halted:
-		a.exit(wire.CauseStopped) // even with code 0: its work may be incomplete
+	case a.stopRequested:
+		a.markExited(wire.CauseStopped) // even with code 0, since a stopped task may not have finished its work
 	case code == 0:
-		s.done.ContainsOrAdd(key.task, struct{}{})
-		a.exit(wire.CauseDone)
+		s.completed.ContainsOrAdd(key.task, struct{}{})
+		a.markExited(wire.CauseDone)
 	default:
-		a.exit(wire.CauseError)
+		a.markExited(wire.CauseError)
 		a.Exit = &code
 	}
-	go s.changed()
+	go s.onChange()
 }
--- a/internal/worker/state_test.go
+++ b/internal/worker/state_test.go
@@ -20,37 +20,36 @@
 	"github.com/wallrack/wallrack/internal/worker"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
-
-// site is what a worker needs: descriptions of all jobs but j-0, and a runner of fake
-// processes.
-type site struct {
-	mu       sync.Mutex
-	running  map[string]*fakeProcess
-	ranTwice string // a task that was started while it ran
-	down     bool   // the description service is out of order
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
+
+// fakeBackend provides descriptions for all jobs but j-0, and runs fake processes.
+type fakeBackend struct {
+	mu          sync.Mutex
+	running     map[string]*fakeProcess
+	ranTwice    string // a task that was started while it was running
+	unavailable bool   // the description service does not respond
 }
 
-// fakeProcess lasts until it is stopped or finished.
+// fakeProcess runs until it is stopped or finished.
 type fakeProcess struct {
-	site   *site
-	task   string
-	exited func(int)
+	backend *fakeBackend
+	task    string
+	exited  func(int)
 }
 
-func (s *site) Get(_ context.Context, job string) (*taskspec.Spec, error) {
+func (s *fakeBackend) Get(_ context.Context, job string) (*taskspec.Spec, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.down:
-		return nil, errors.New("out")
+	case s.unavailable:
+		return nil, errors.New("unavailable")
 	case job == "j-0":
 		return nil, taskspec.ErrNotFound
 	}
 	return &taskspec.Spec{Argv: []string{"x"}, CPUs: 1}, nil
 }
 
-func (s *site) Start(task string, _ uint64, _ *taskspec.Spec, exited func(int)) (worker.Process, error) {
+func (s *fakeBackend) Start(task string, _ uint64, _ *taskspec.Spec, exited func(int)) (worker.Process, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running[task] != nil {
@@ -61,13 +60,13 @@
 	return process, nil
 }
 
-// finish ends the process, with code 0 if ok.
+// finish ends the process, with exit code 0 if ok, else 1.
 func (p *fakeProcess) finish(ok bool) {
-	p.site.mu.Lock()
-	if p.site.running[p.task] == p {
-		delete(p.site.running, p.task)
+	p.backend.mu.Lock()
+	if p.backend.running[p.task] == p {
+		delete(p.backend.running, p.task)
 	}
-	p.site.mu.Unlock()
+	p.backend.mu.Unlock()
 	code := 0
 	if !ok {
 		code = 1
@@ -78,22 +77,24 @@
 func (p *fakeProcess) Stop(time.Duration) { p.finish(false) }
 
 // newState returns the state of a worker with 4 CPUs and a lease of 10 s.
-func newState(s *site) *worker.State {
+func newState(s *fakeBackend) *worker.State {
 	return worker.New(worker.Identity{Name: "n-1", Endpoint: "127.0.0.1:1", Type: "m", Zone: "z", Size: matching.Resources{CPUs: 4, MemoryGB: 8}, Lease: 10 * time.Second},
-		s, s, func() {}, quiet)
+		s, s, func() {}, discardLogger)
 }
 
-// step is a step of TestLateAndRepeatedCommandsKeepTheProtocol.
+// step is one step of TestInvariantsHoldUnderLateAndRepeatedCommands. Direct sends the command as
+// a direct order; for stepFinish it selects exit code 0. Token is relative to the highest token
+// sent, and Wait is the time in ms until the next step.
 type step struct {
 	Kind, Task, Attempt, Token, Wait int
-	Old                              bool
+	Direct                           bool
 }
 
-// Kinds of steps; those up to stepForget, and above stepOutage, are commands.
+// Kinds of steps. Kinds up to stepForget and above stepOutage send a command.
 const (
 	stepForget = 4
-	stepFinish = 5 // a process ends
-	stepOutage = 6 // of the description service, or its end
+	stepFinish = 5 // a process exits
+	stepOutage = 6 // the description service fails, or works again
 )
 
 func drawStep(rt *rapid.T) step {
@@ -103,46 +104,47 @@
 	}
 }
 
-// lateCommands is a worker that the steps are played to.
-type lateCommands struct {
-	site  *site
-	state *worker.State
-	token int    // the highest fencing token sent
-	wrong string // what broke the protocol
+// commandModel drives a worker through the steps and records violations.
+type commandModel struct {
+	backend   *fakeBackend
+	state     *worker.State
+	token     int    // the highest fencing token sent
+	violation string // the last violation of the protocol
 }
 
-// play plays a step, and checks that a command with a lower token did nothing.
-func (l *lateCommands) play(ctx context.Context, st step) {
-	report := l.state.Report()
+// apply executes a step, and checks that a command with a lower token had no effect.
+func (m *commandModel) apply(ctx context.Context, st step) {
+	report := m.state.Report()
 	verb := []string{wire.VerbStart, wire.VerbStart, wire.VerbStart, wire.VerbStop, wire.VerbForget}[min(st.Kind, stepForget)]
 	commands := []wire.Command{{Verb: verb, Task: wire.TaskName("j-"+strconv.Itoa(st.Task), 0), Attempt: uint64(st.Attempt)}}
 	before := len(report.Tasks)
 	switch {
 	case st.Kind == stepFinish:
-		for _, process := range l.site.running {
-			process.finish(st.Old)
+		for _, process := range m.backend.running {
+			process.finish(st.Direct)
 			break
 		}
 	case st.Kind == stepOutage:
-		l.site.down = !l.site.down
-	case st.Old: // a late direct order
-		orders := wire.Orders{Token: uint64(l.token + min(0, st.Token)), Session: report.Session, Commands: commands}
-		if l.state.HandleOrders(ctx, orders) && st.Token < 0 {
-			l.wrong = "an order with a lower token was executed"
+		m.backend.unavailable = !m.backend.unavailable
+	case st.Direct: // a late direct order
+		orders := wire.Orders{Token: uint64(m.token + min(0, st.Token)), Session: report.Session, Commands: commands}
+		if m.state.HandleOrders(ctx, orders) && st.Token < 0 {
+			m.violation = "an order with a lower token was accepted"
 		}
 	default:
-		l.token += max(0, st.Token)
-		l.state.HandleResponse(ctx, time.Now(), report.Session, wire.ReportResponse{Token: uint64(l.token + min(0, st.Token)), Commands: commands})
+		m.token += max(0, st.Token)
+		m.state.HandleResponse(ctx, time.Now(), report.Session, wire.ReportResponse{Token: uint64(m.token + min(0, st.Token)), Commands: commands})
 	}
 	synctest.Wait()
-	if st.Token < 0 && st.Kind < stepFinish && len(l.state.Report().Tasks) != before {
-		l.wrong = "commands with a lower token changed something"
+	if st.Token < 0 && st.Kind < stepFinish && len(m.state.Report().Tasks) != before {
+		m.violation = "commands with a lower token changed the attempts"
 	}
 }
 
-// checkRunning checks that just what is reported as running runs, once, and has room.
-func (l *lateCommands) checkRunning() {
-	report := l.state.Report()
+// checkRunning checks that exactly the tasks reported as running are running, each once and
+// within the worker's capacity.
+func (m *commandModel) checkRunning() {
+	report := m.state.Report()
 	synctest.Wait()
 	reported := map[string]bool{}
 	for _, task := range report.Tasks {
@@ -150,55 +152,55 @@
 			reported[task.Task] = true
 		}
 	}
-	l.site.mu.Lock()
-	defer l.site.mu.Unlock()
-	if l.site.ranTwice != "" || len(l.site.running) != len(reported) || len(l.site.running) > 4 {
-		l.wrong = fmt.Sprintf("twice %q, reported %v, running %d", l.site.ranTwice, reported, len(l.site.running))
+	m.backend.mu.Lock()
+	defer m.backend.mu.Unlock()
+	if m.backend.ranTwice != "" || len(m.backend.running) != len(reported) || len(m.backend.running) > 4 {
+		m.violation = fmt.Sprintf("started twice: %q; reported as running: %v; running: %d", m.backend.ranTwice, reported, len(m.backend.running))
 	}
 }
 
-// checkExpiry checks that nothing runs after the lease.
-func (l *lateCommands) checkExpiry() {
-	session := l.state.Report().Session
+// checkExpiry checks that no task runs after the lease has expired.
+func (m *commandModel) checkExpiry() {
+	session := m.state.Report().Session
 	time.Sleep(11 * time.Second)
-	l.state.Expire()
+	m.state.Expire()
 	synctest.Wait()
-	if report := l.state.Report(); len(l.site.running) != 0 || len(report.Tasks) != 0 || report.Session <= session {
-		l.wrong = fmt.Sprintf("after the lease: %d run, report %+v", len(l.site.running), report)
+	if report := m.state.Report(); len(m.backend.running) != 0 || len(report.Tasks) != 0 || report.Session <= session {
+		m.violation = fmt.Sprintf("after lease expiry: %d tasks running, report %+v", len(m.backend.running), report)
 	}
 }
 
-// Whatever commands come, late and repeated ones too: no task runs twice at a
-// time, what is reported as running runs and nothing else does, and nothing runs
-// beyond the worker's capacity or the lease.
-func TestLateAndRepeatedCommandsKeepTheProtocol(t *testing.T) {
+// For any sequence of commands, including late and repeated ones: no task runs twice at the same
+// time, exactly the tasks reported as running are running, and no task runs beyond the worker's
+// capacity or its lease.
+func TestInvariantsHoldUnderLateAndRepeatedCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawStep), 1, 40).Draw(rt, "steps")
-		wrong := ""
+		violation := ""
 		synctest.Test(t, func(t *testing.T) {
-			s := &site{running: map[string]*fakeProcess{}}
-			l := &lateCommands{site: s, state: newState(s), token: 5}
-			l.state.HandleResponse(t.Context(), time.Now(), 1, wire.ReportResponse{Token: 5})
+			s := &fakeBackend{running: map[string]*fakeProcess{}}
+			m := &commandModel{backend: s, state: newState(s), token: 5}
+			m.state.HandleResponse(t.Context(), time.Now(), 1, wire.ReportResponse{Token: 5})
 			for _, st := range steps {
-				l.play(t.Context(), st)
+				m.apply(t.Context(), st)
 				time.Sleep(time.Duration(st.Wait) * time.Millisecond)
 				synctest.Wait()
-				l.checkRunning()
+				m.checkRunning()
 			}
-			l.checkExpiry()
-			l.state.Close()
-			wrong = l.wrong
+			m.checkExpiry()
+			m.state.Close()
+			violation = m.violation
 		})
-		if wrong != "" {
-			rt.Fatal(wrong)
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
 
-// A result is kept: a task that is started again exits with done at once.
+// The result of a completed task is remembered: a new attempt exits as done immediately.
 func TestRepeatedTaskReturnsItsStoredResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &site{running: map[string]*fakeProcess{}}
+		s := &fakeBackend{running: map[string]*fakeProcess{}}
 		state := newState(s)
 		order := func(verb string, attempt uint64) {
 			state.HandleOrders(t.Context(), wire.Orders{Token: 1, Session: 1, Commands: []wire.Command{{Verb: verb, Task: "j-1/0", Attempt: attempt}}})
@@ -210,7 +212,7 @@
 		order(wire.VerbForget, 1)
 		order(wire.VerbStart, 2)
 		if r := state.Report(); len(r.Tasks) != 1 || r.Tasks[0].Cause != wire.CauseDone || len(s.running) != 0 {
-			t.Errorf("%+v", r.Tasks)
+			t.Errorf("report after the second start: %+v", r.Tasks)
 		}
 		state.Close()
 	})
