--- a/internal/autoscaler/recorded_test.go
+++ b/internal/autoscaler/recorded_test.go
@@ -95,7 +95,7 @@
 func checkText(t *testing.T, store *testkit.Store, key, file string) {
 	t.Helper()
 	text := recorded.Read(t, file)
-	if got := store.Text(key); got+"\n" != string(text) {
+	if got := store.RawValue(key); got+"\n" != string(text) {
 		t.Errorf("%s is stored as %s, want %s", key, got, text)
 	}
 }
--- a/internal/jobid/jobid_test.go
+++ b/internal/jobid/jobid_test.go
@@ -17,7 +17,7 @@
 	ctx := t.Context()
 	rnd := rand.New(rand.NewPCG(1, 2))
 	store := testkit.NewStore()
-	view := &testkit.View{Store: store, Lose: func() bool { return rnd.IntN(4) == 0 }, Late: func() bool { return rnd.IntN(6) == 0 }}
+	view := &testkit.View{Store: store, LoseResponse: func() bool { return rnd.IntN(4) == 0 }, Hold: func() bool { return rnd.IntN(6) == 0 }}
 	clean := &testkit.View{Store: store}
 	allocators := []*jobid.Allocator{jobid.New(view), jobid.New(view), jobid.New(view)}
 	allocated := map[uint64]bool{}
@@ -26,7 +26,7 @@
 		i := rnd.IntN(len(allocators))
 		if rnd.IntN(20) == 0 {
 			allocators[i] = jobid.New(view) // its controller crashed
-			view.Deliver()
+			view.ApplyHeld()
 		}
 		count, take := 1+rnd.IntN(50), allocators[i].Take
 		if n%2 == 0 {
--- a/internal/jobid/recorded_test.go
+++ b/internal/jobid/recorded_test.go
@@ -35,11 +35,11 @@
 	store := testkit.NewStore()
 	view := &testkit.View{Store: store}
 	allocator := New(view)
-	if first, err := allocator.Take(t.Context(), 3); err != nil || first != 1 || store.Text("numbers") != `{"next":10001}` {
-		t.Errorf("took %d, %v; stored %s", first, err, store.Text("numbers"))
+	if first, err := allocator.Take(t.Context(), 3); err != nil || first != 1 || store.RawValue("numbers") != `{"next":10001}` {
+		t.Errorf("took %d, %v; stored %s", first, err, store.RawValue("numbers"))
 	}
-	if first, err := allocator.Next(t.Context(), 2); err != nil || first != 10001 || store.Text("numbers") != `{"next":10003}` {
-		t.Errorf("next %d, %v; stored %s", first, err, store.Text("numbers"))
+	if first, err := allocator.Next(t.Context(), 2); err != nil || first != 10001 || store.RawValue("numbers") != `{"next":10003}` {
+		t.Errorf("next %d, %v; stored %s", first, err, store.RawValue("numbers"))
 	}
 	stored := json.RawMessage(`{"uid":"j-1","first":1001,"tasks":40}`)
 	if _, err := view.Txn(t.Context(), nil, wire.Op{Put: "number/00000000001040", Value: stored}); err != nil {
--- a/internal/membership/late_response_test.go
+++ b/internal/membership/late_response_test.go
@@ -33,7 +33,7 @@
 	clean := &testkit.View{Store: l.Store}
 	for _, op := range ops {
 		record := map[string]any{}
-		if err := json.Unmarshal([]byte(l.Text(op.Put)), &record); err != nil {
+		if err := json.Unmarshal([]byte(l.RawValue(op.Put)), &record); err != nil {
 			return 0, err
 		}
 		for field, value := range record {
--- a/internal/membership/lost_responses_test.go
+++ b/internal/membership/lost_responses_test.go
@@ -25,8 +25,8 @@
 		var hold atomic.Bool // the next transfer is carried out late
 		var lost, read atomic.Uint64
 		view := &testkit.View{
-			Store: store, Late: func() bool { return hold.CompareAndSwap(true, false) },
-			LoseAnswer: func(txn wire.Txn, version uint64) bool {
+			Store: store, Hold: func() bool { return hold.CompareAndSwap(true, false) },
+			TimeOutResponse: func(txn wire.Txn, version uint64) bool {
 				return strings.HasPrefix(txn.Then[0].Delete, "c/shard/") && lost.CompareAndSwap(0, version)
 			},
 		}
@@ -58,7 +58,7 @@
 		if len(a.LedShards())+len(b.LedShards()) != 4 {
 			t.Errorf("with both outcomes known a leads %v, b %v", a.LedShards(), b.LedShards())
 		}
-		view.Deliver()
+		view.ApplyHeld()
 		time.Sleep(3 * ttl)
 		if len(a.LedShards()) != 2 || len(b.LedShards()) != 2 {
 			t.Errorf("in the end a leads %v, b %v", a.LedShards(), b.LedShards())
@@ -75,7 +75,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		left := 4
-		view := &testkit.View{Store: store, LoseAnswer: func(txn wire.Txn, _ uint64) bool {
+		view := &testkit.View{Store: store, TimeOutResponse: func(txn wire.Txn, _ uint64) bool {
 			for _, op := range txn.Then {
 				if op.Put == "c/node/b" && left > 0 {
 					left--
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -35,7 +35,7 @@
 func TestClaimWithLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var txns atomic.Int32
-		view := &testkit.View{Store: testkit.NewStore(), Lose: func() bool { return txns.Add(1) == 2 }}
+		view := &testkit.View{Store: testkit.NewStore(), LoseResponse: func() bool { return txns.Add(1) == 2 }}
 		m := member(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
 		done := run(ctx, m)
@@ -55,13 +55,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		var losing atomic.Int32
 		store := testkit.NewStore()
-		view := &testkit.View{Store: store, Lose: func() bool { return losing.Add(-1) >= 0 }}
+		view := &testkit.View{Store: store, LoseResponse: func() bool { return losing.Add(-1) >= 0 }}
 		m := member(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
 		done := run(ctx, m)
 		time.Sleep(3 * time.Second)
 		var given struct{ N uint64 } // the highest token given out, reserved ones included
-		if err := json.Unmarshal([]byte(store.Text("c/term")), &given); err != nil {
+		if err := json.Unmarshal([]byte(store.RawValue("c/term")), &given); err != nil {
 			t.Fatal(err)
 		}
 		was := given.N
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var requests atomic.Int32
 		var down atomic.Bool
-		view := &testkit.View{Store: testkit.NewStore(), Down: func() bool { requests.Add(1); return down.Load() }}
+		view := &testkit.View{Store: testkit.NewStore(), Unavailable: func() bool { requests.Add(1); return down.Load() }}
 		m := member(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
 		done := run(ctx, m)
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		var down atomic.Bool
-		a := member(&testkit.View{Store: store, Down: down.Load}, "a")
+		a := member(&testkit.View{Store: store, Unavailable: down.Load}, "a")
 		b := member(&testkit.View{Store: store}, "b")
 		ctx, cancel := context.WithCancel(context.Background())
 		doneA := run(ctx, a)
@@ -181,7 +181,7 @@
 		start := func(name string) {
 			ctx, cancel := context.WithCancel(context.Background())
 			slow := func() bool { time.Sleep(10 * time.Millisecond); return false } // a request takes so long
-			members[name] = member(&testkit.View{Store: store, Down: slow}, name)
+			members[name] = member(&testkit.View{Store: store, Unavailable: slow}, name)
 			stops[name], dones[name] = cancel, run(ctx, members[name])
 		}
 		leader := func() (name string) {
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -90,7 +90,7 @@
 	t.Helper()
 	got := map[string]string{}
 	for _, key := range store.Keys("") {
-		got[key] = store.Text(key)
+		got[key] = store.RawValue(key)
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("stored %q, want %q", got, want)
--- a/internal/membership/reserved_token_test.go
+++ b/internal/membership/reserved_token_test.go
@@ -37,8 +37,8 @@
 func newTokenCluster(t *testing.T, seed uint64) *tokenCluster {
 	c := &tokenCluster{t: t, rnd: rand.New(rand.NewPCG(seed, 3)), users: map[uint64]tokenUser{}}
 	c.view = &testkit.View{
-		Store: testkit.NewStore(), Down: c.down.Load,
-		Lose: func() bool { return c.lossy.Load() && c.requests.Add(1)%7 == 0 },
+		Store: testkit.NewStore(), Unavailable: c.down.Load,
+		LoseResponse: func() bool { return c.lossy.Load() && c.requests.Add(1)%7 == 0 },
 	}
 	for i := range c.members {
 		c.start(i)
@@ -160,7 +160,7 @@
 
 func checkTwoFailovers(t *testing.T, controllers, leader, first, second int) {
 	var down atomic.Bool
-	view := &testkit.View{Store: testkit.NewStore(), Down: down.Load}
+	view := &testkit.View{Store: testkit.NewStore(), Unavailable: down.Load}
 	ctx, cancel := context.WithCancel(t.Context())
 	members := make([]*membership.Member, 0, controllers)
 	done := make([]<-chan struct{}, 0, controllers)
@@ -170,9 +170,9 @@
 		time.Sleep(700 * time.Millisecond)
 	}
 	time.Sleep(20 * time.Second)
-	before := view.Text("c/term")
+	before := view.RawValue("c/term")
 	time.Sleep(time.Minute)
-	if after := view.Text("c/term"); after != before {
+	if after := view.RawValue("c/term"); after != before {
 		t.Errorf("tokens are drawn for ever: %s, then %s", before, after)
 	}
 	if _, err := members[leader].RaiseTokenAbove(context.Background(), members[leader].FencingToken()); err != nil {
--- a/internal/membership/transfer_test.go
+++ b/internal/membership/transfer_test.go
@@ -24,7 +24,7 @@
 		store := testkit.NewStore()
 		slow := func() bool { time.Sleep(20 * time.Millisecond); return false }
 		ctx, cancel := context.WithCancel(context.Background())
-		a, b := member(&testkit.View{Store: store, Down: slow}, "a"), member(&testkit.View{Store: store}, "b")
+		a, b := member(&testkit.View{Store: store, Unavailable: slow}, "a"), member(&testkit.View{Store: store}, "b")
 		doneA := run(ctx, a)
 		time.Sleep(time.Second)
 		doneB := run(ctx, b)
@@ -58,7 +58,7 @@
 		store := testkit.NewStore()
 		ctx, cancel := context.WithCancel(context.Background())
 		a := member(&testkit.View{Store: store}, "a")
-		b := member(&testkit.View{Store: store, Slow: func() time.Duration { return 800 * time.Millisecond }}, "b")
+		b := member(&testkit.View{Store: store, ResponseDelay: func() time.Duration { return 800 * time.Millisecond }}, "b")
 		doneA := run(ctx, a)
 		time.Sleep(time.Second)
 		doneB := run(ctx, b)
@@ -87,7 +87,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		var late atomic.Bool
-		view := &testkit.View{Store: store, Late: late.Load}
+		view := &testkit.View{Store: store, Hold: late.Load}
 		ctx, cancel := context.WithCancel(context.Background())
 		a, b := member(view, "a"), member(&testkit.View{Store: store}, "b")
 		doneA := run(ctx, a)
@@ -103,7 +103,7 @@
 		if len(a.LedShards()) != 4 {
 			t.Fatalf("not reclaimed: a leads %v", a.LedShards())
 		}
-		view.Deliver()
+		view.ApplyHeld()
 		time.Sleep(time.Second)
 		if len(a.LedShards()) != 4 || len(b.LedShards()) != 0 {
 			t.Errorf("after the late copy a leads %v, b %v", a.LedShards(), b.LedShards())
@@ -152,11 +152,11 @@
 
 func (c *faultyCluster) start(i int) {
 	c.down[i] = &atomic.Bool{}
-	c.views[i] = &testkit.View{Store: c.store, Down: c.down[i].Load, Lose: c.oneInSix, Late: c.oneInSix}
+	c.views[i] = &testkit.View{Store: c.store, Unavailable: c.down[i].Load, LoseResponse: c.oneInSix, Hold: c.oneInSix}
 	if !c.calm.Load() {
 		// Else both controllers would get an update at the same instant.
 		lag := time.Duration(c.draw(120)) * time.Millisecond
-		c.views[i].Lag = func() time.Duration { return lag }
+		c.views[i].WatchLag = func() time.Duration { return lag }
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.members[i] = member(c.views[i], clusterNodes[i:i+1])
@@ -194,7 +194,7 @@
 	c.calm.Store(true)
 	for i := range clusterSize {
 		c.down[i].Store(false)
-		c.views[i].Deliver()
+		c.views[i].ApplyHeld()
 	}
 	c.watch(5 * ttl)
 	total := 0
@@ -233,7 +233,7 @@
 		c.stops[step.Who]()
 		c.start(step.Who)
 	case 5:
-		c.views[step.Who].Deliver()
+		c.views[step.Who].ApplyHeld()
 	}
 	c.watch(time.Duration(step.Wait) * time.Millisecond)
 }
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -129,7 +129,7 @@
 	keys := store.Keys("")
 	items := make([]wire.Item, 0, len(keys))
 	for _, key := range keys {
-		items = append(items, wire.Item{Key: key, Value: json.RawMessage(store.Text(key)), Version: 1})
+		items = append(items, wire.Item{Key: key, Value: json.RawMessage(store.RawValue(key)), Version: 1})
 	}
 	runText, serviceText := recordedText(t, "run_ended.json"), recordedText(t, "service.json")
 	if want := []wire.Item{
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -79,7 +79,7 @@
 }
 
 func (s controllerView) Cancel(_ context.Context, uid string) error {
-	if s.view.Down != nil && s.view.Down() {
+	if s.view.Unavailable != nil && s.view.Unavailable() {
 		return statestore.ErrUnavailable
 	}
 	s.mu.Lock()
@@ -229,7 +229,7 @@
 
 func (s *site) start(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	view := &testkit.View{Store: s.store, Down: s.stateIsOut}
+	view := &testkit.View{Store: s.store, Unavailable: s.stateIsOut}
 	m := rollout.NewManager(s.settings, view, controllerView{s.core, name, view}, s.core, s.core, 16<<10, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	done := make(chan struct{})
 	go func() { defer close(done); _ = m.Run(ctx) }()
--- a/internal/submission/refined_submission_test.go
+++ b/internal/submission/refined_submission_test.go
@@ -48,7 +48,7 @@
 			if status, _, _ := request(http.MethodPost, "/api/jobs", job); status != http.StatusCreated {
 				t.Fatalf("submission: %d", status)
 			}
-			s.Down = func() bool { return c.down }
+			s.Unavailable = func() bool { return c.down }
 			leader := &relay{unsureLeader: &unsureLeader{stub: s}}
 			request = serveWith(t, s, submission.Options{Peers: leader, MemoryPressure: func() bool { return c.memoryPressure }})
 			stages := []string{wire.StageRunning, wire.StageCancelled, wire.StageDone, wire.StageQueued}
--- a/internal/submission/service_test.go
+++ b/internal/submission/service_test.go
@@ -124,7 +124,7 @@
 	if status, _, state := request(http.MethodGet, "/api/jobs/j-7", ""); status != 200 || state.Stage != wire.StageQueued {
 		t.Errorf("poll: %d %+v", status, state)
 	}
-	s.Down = func() bool { return true }
+	s.Unavailable = func() bool { return true }
 	for _, path := range []string{"/api/jobs/j-1", "/api/jobs/j-7"} {
 		if status, header, _ := request(http.MethodGet, path, ""); status != 503 || header.Get("Retry-After") == "" {
 			t.Errorf("%s with the state service out: %d", path, status)
@@ -210,7 +210,7 @@
 func TestSubmissionIsAcceptedThoughAllAnswersAreLost(t *testing.T) {
 	s, request := serve(t)
 	tries := 0
-	s.Lose = func() bool { tries++; return true }
+	s.LoseResponse = func() bool { tries++; return true }
 	if code, _, state := request("POST", "/api/jobs", job); code != http.StatusOK || state.Stage != wire.StageQueued {
 		t.Errorf("all answers lost: %d %+v", code, state)
 	}
--- a/internal/testkit/autoscaled_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -26,30 +26,30 @@
 )
 
 const (
-	quickBoot = 1500 * time.Millisecond
+	shortBoot = 1500 * time.Millisecond
 	listLag   = 6 * time.Second // a machine reports and works long before it is listed
-	hirePath  = "/hosts"
+	hostsPath = "/hosts"
 )
 
-// rentedCluster is a cluster whose machines are provisioned from a stand-in cloud by the
+// cloudCluster is a cluster whose machines are provisioned from a stand-in cloud by the
 // controllers' own fleet code.
-type rentedCluster struct {
+type cloudCluster struct {
 	*cluster
 	handler http.Handler
 
-	boot      time.Duration // from a machine's provisioning to its first report
-	lag       time.Duration // how old the cloud's list is
-	listTakes time.Duration // how long the cloud's list takes to come
-
-	cloudMu     sync.Mutex
-	outageUntil time.Time // until when the cloud rents nothing
-	booting     []bootingMachine
-	ended       map[string]bool
-	asked       map[string]int      // by the provision request's name
-	rented      map[string][]string // by the provision request's name
-	answered    map[string]bool     // provision requests whose asker had the answer
-	lists       []datedList
-	slow        time.Duration // how long the answer to a repeated provision request takes; the first is lost
+	boot        time.Duration // from a machine's provisioning to its first report
+	listAge     time.Duration // how old the cloud's list is
+	listLatency time.Duration // how long the cloud's list takes to come
+
+	cloudMu          sync.Mutex
+	outageUntil      time.Time // until when the cloud rents nothing
+	booting          []bootingMachine
+	endedMachines    map[string]bool
+	requestCounts    map[string]int      // by the provision request's name
+	provisioned      map[string][]string // by the provision request's name
+	answeredRequests map[string]bool     // provision requests whose asker had the answer
+	listHistory      []recordedList
+	answerDelay      time.Duration // how long the answer to a repeated provision request takes; the first is lost
 }
 
 // bootingMachine is a provisioned machine, and when it is up.
@@ -58,75 +58,75 @@
 	up     time.Time
 }
 
-// datedList is the cloud's list as of a time.
-type datedList struct {
+// recordedList is the cloud's list as of a time.
+type recordedList struct {
 	at   time.Time
 	body []byte
 }
 
-// newRentedCluster returns a cluster without machines, whose machines are up at the next
+// newCloudCluster returns a cluster without machines, whose machines are up at the next
 // report after they were provisioned.
-func newRentedCluster(t *testing.T, seed uint64) *rentedCluster {
-	c := newSlowlyRentedCluster(t, seed, quickBoot)
+func newCloudCluster(t *testing.T, seed uint64) *cloudCluster {
+	c := newCloudClusterWithBoot(t, seed, shortBoot)
 	c.boot = 0
 	return c
 }
 
-// newSlowlyRentedCluster returns a cluster without machines, whose machines take a time to
+// newCloudClusterWithBoot returns a cluster without machines, whose machines take a time to
 // boot.
-func newSlowlyRentedCluster(t *testing.T, seed uint64, boot time.Duration) *rentedCluster {
+func newCloudClusterWithBoot(t *testing.T, seed uint64, boot time.Duration) *cloudCluster {
 	db, err := bbolt.Open(filepath.Join(t.TempDir(), "cloud.db"), 0o644, &bbolt.Options{NoSync: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = db.Close() })
-	c := &rentedCluster{cluster: newCluster(t, seed), boot: boot, lag: listLag, ended: map[string]bool{}, asked: map[string]int{}, rented: map[string][]string{}, answered: map[string]bool{}}
+	c := &cloudCluster{cluster: newCluster(t, seed), boot: boot, listAge: listLag, endedMachines: map[string]bool{}, requestCounts: map[string]int{}, provisioned: map[string][]string{}, answeredRequests: map[string]bool{}}
 	c.reliableStore = true
 	c.workers, c.byName = nil, map[string]*testkit.Worker{}
 	c.cfg.Params.Cloud = config.Cloud{RPS: 4, ListLagS: listLag.Seconds()}
-	kind, _ := c.size.Type("m")
+	kind, _ := c.machineTypes.Type("m")
 	kind.BootS = boot.Seconds()
 	cloud, err := standin.OpenCloud(db, []wire.MachineType{kind}, 60, c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.handler = cloud.Handler()
-	c.extraDuties = c.fleetOf
+	c.extraLoops = c.autoscalerLoops
 	return c
 }
 
 // Launch boots a machine.
-func (c *rentedCluster) Launch(m wire.ListedMachine, _ wire.MachineType) (string, error) {
+func (c *cloudCluster) Launch(m wire.ListedMachine, _ wire.MachineType) (string, error) {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	c.booting = append(c.booting, bootingMachine{testkit.NewWorker(m.Name, workerLease, variedTime), time.Now().Add(c.boot)})
+	c.booting = append(c.booting, bootingMachine{testkit.NewWorker(m.Name, workerLease, variedTaskDuration), time.Now().Add(c.boot)})
 	return m.Name, nil
 }
 
 // End ends a machine.
-func (c *rentedCluster) End(name string) {
+func (c *cloudCluster) End(name string) {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	c.ended[name] = true
+	c.endedMachines[name] = true
 }
 
-// settle takes new machines in, which report at once, and ended ones out.
-func (c *rentedCluster) settle() {
+// syncWorkers takes new machines in, which report at once, and ended ones out.
+func (c *cloudCluster) syncWorkers() {
 	c.cloudMu.Lock()
 	var fresh []*testkit.Worker
 	c.booting = slices.DeleteFunc(c.booting, func(m bootingMachine) bool {
 		up := !time.Now().Before(m.up)
-		if up && !c.ended[m.worker.Name] {
+		if up && !c.endedMachines[m.worker.Name] {
 			fresh = append(fresh, m.worker)
 		}
-		return up || c.ended[m.worker.Name]
+		return up || c.endedMachines[m.worker.Name]
 	})
-	ended := c.ended
-	c.ended = map[string]bool{}
+	ended := c.endedMachines
+	c.endedMachines = map[string]bool{}
 	c.cloudMu.Unlock()
 	c.mu.Lock()
 	for i, k := range fresh {
-		c.join(k, i)
+		c.registerWorker(k, i)
 	}
 	c.workers = slices.DeleteFunc(c.workers, func(k *testkit.Worker) bool { return ended[k.Name] })
 	for name := range ended {
@@ -136,18 +136,18 @@
 	for _, k := range fresh {
 		c.report(k)
 	}
-	c.check()
+	c.checkInvariants()
 }
 
-// run lets time pass until something holds, for at most so long.
-func (c *rentedCluster) run(most time.Duration, holds func() bool) bool {
+// advance lets time pass until something holds, for at most so long.
+func (c *cloudCluster) advance(most time.Duration, holds func() bool) bool {
 	for end := time.Now().Add(most); time.Now().Before(end); {
 		if holds != nil && holds() {
 			return true
 		}
 		for range 4 {
 			time.Sleep(reportEvery / 4)
-			c.settle()
+			c.syncWorkers()
 		}
 		c.reportAll()
 		c.exchange()
@@ -156,8 +156,8 @@
 	return holds == nil || holds()
 }
 
-// fleetOf is the fleet's part of a controller.
-func (c *rentedCluster) fleetOf(n *node) []func(context.Context) error {
+// autoscalerLoops is the fleet's part of a controller.
+func (c *cloudCluster) autoscalerLoops(n *node) []func(context.Context) error {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	op, err := config.LoadOperator("")
 	if err != nil {
@@ -167,7 +167,7 @@
 	catalog := autoscaler.NewCatalog(cloud, n.view, log)
 	f := autoscaler.New(autoscaler.Options{
 		Platform: c.cfg, Operator: op, Cloud: cloud, Catalog: catalog, Store: n.view, Member: n.member,
-		Scheduler: fleetOwner{c, n.scheduler}, Dispatcher: n.dispatcher, Log: log,
+		Scheduler: autoscalerLeader{c, n.scheduler}, Dispatcher: n.dispatcher, Log: log,
 	})
 	return []func(context.Context) error{
 		f.Run,
@@ -175,17 +175,17 @@
 	}
 }
 
-// fleetOwner is the leader as the fleet sees it. No machine of these tests is lost.
-type fleetOwner struct {
-	c *rentedCluster
+// autoscalerLeader is the leader as the fleet sees it. No machine of these tests is lost.
+type autoscalerLeader struct {
+	c *cloudCluster
 	*scheduler.Scheduler
 }
 
-func (o fleetOwner) Ready() bool { return o.LeadsAutoscaling() }
+func (o autoscalerLeader) Ready() bool { return o.LeadsAutoscaling() }
 
-func (o fleetOwner) FailedWorkers() map[string]string { return map[string]string{} }
+func (o autoscalerLeader) FailedWorkers() map[string]string { return map[string]string{} }
 
-func (o fleetOwner) WorkerDeleted(name string) {
+func (o autoscalerLeader) WorkerDeleted(name string) {
 	o.c.mu.Lock()
 	nodes := make([]*node, 0, len(o.c.nodes))
 	for _, n := range o.c.nodes {
@@ -200,7 +200,7 @@
 
 // cloudLink carries a controller's requests to the cloud.
 type cloudLink struct {
-	c *rentedCluster
+	c *cloudCluster
 	n *node
 }
 
@@ -213,51 +213,51 @@
 // RoundTrip implements http.RoundTripper.
 func (l *cloudLink) RoundTrip(req *http.Request) (*http.Response, error) {
 	if l.down() {
-		return nil, errCut
+		return nil, errLinkDown
 	}
 	rec := httptest.NewRecorder()
 	name := ""
-	if req.Method == http.MethodPost && l.c.out() {
+	if req.Method == http.MethodPost && l.c.inOutage() {
 		rec.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = rec.WriteString(`{"error":"trouble"}`) // never fails
 		return rec.Result(), nil
 	}
-	if req.Method == http.MethodPost && req.URL.Path == hirePath {
-		name = l.c.hire(rec, req)
+	if req.Method == http.MethodPost && req.URL.Path == hostsPath {
+		name = l.c.provision(rec, req)
 	} else {
 		l.c.handler.ServeHTTP(rec, req)
 	}
-	if req.Method == http.MethodGet && req.URL.Path == hirePath {
-		rec = l.c.listed(rec)
-		time.Sleep(l.c.listTakes)
+	if req.Method == http.MethodGet && req.URL.Path == hostsPath {
+		rec = l.c.staleList(rec)
+		time.Sleep(l.c.listLatency)
 	}
 	if name != "" {
-		if err := l.c.wait(req.Context(), name); err != nil {
+		if err := l.c.awaitAnswer(req.Context(), name); err != nil {
 			return nil, err
 		}
 	}
 	if l.down() {
-		return nil, errCut
+		return nil, errLinkDown
 	}
 	if name != "" && rec.Code == http.StatusOK {
 		l.c.cloudMu.Lock()
-		l.c.answered[name] = true
+		l.c.answeredRequests[name] = true
 		l.c.cloudMu.Unlock()
 	}
 	return rec.Result(), nil
 }
 
-// out reports whether the cloud rents nothing.
-func (c *rentedCluster) out() bool {
+// inOutage reports whether the cloud rents nothing.
+func (c *cloudCluster) inOutage() bool {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
 	return time.Now().Before(c.outageUntil)
 }
 
-// wait lets the time pass that the answer to a provision request takes.
-func (c *rentedCluster) wait(ctx context.Context, name string) error {
+// awaitAnswer lets the time pass that the answer to a provision request takes.
+func (c *cloudCluster) awaitAnswer(ctx context.Context, name string) error {
 	c.cloudMu.Lock()
-	slow, first := c.slow, c.asked[name] == 1
+	slow, first := c.answerDelay, c.requestCounts[name] == 1
 	c.cloudMu.Unlock()
 	if slow > 0 && first {
 		<-ctx.Done()
@@ -270,8 +270,8 @@
 	}
 }
 
-// hire carries a provision request out, and checks that it was recorded before.
-func (c *rentedCluster) hire(rec *httptest.ResponseRecorder, req *http.Request) string {
+// provision carries a provision request out, and checks that it was recorded before.
+func (c *cloudCluster) provision(rec *httptest.ResponseRecorder, req *http.Request) string {
 	body, err := io.ReadAll(req.Body)
 	var h wire.ProvisionRequest
 	if err == nil {
@@ -286,24 +286,24 @@
 	c.handler.ServeHTTP(rec, req)
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	if c.asked[h.Name]++; c.asked[h.Name] == 1 && !recorded {
+	if c.requestCounts[h.Name]++; c.requestCounts[h.Name] == 1 && !recorded {
 		c.fail("%s is asked for, and was not recorded", h.Name)
 	}
 	var got wire.MachineNames
 	if rec.Code == http.StatusOK && json.Unmarshal(rec.Body.Bytes(), &got) == nil {
-		c.rented[h.Name] = got.Machines
+		c.provisioned[h.Name] = got.Machines
 	}
 	return h.Name
 }
 
-// listed is the cloud's list as it was before.
-func (c *rentedCluster) listed(now *httptest.ResponseRecorder) *httptest.ResponseRecorder {
+// staleList is the cloud's list as it was before.
+func (c *cloudCluster) staleList(now *httptest.ResponseRecorder) *httptest.ResponseRecorder {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	c.lists = append(c.lists, datedList{time.Now(), now.Body.Bytes()})
-	old := datedList{body: []byte(`{"benches":[],"truncated":false}`)}
-	for _, l := range c.lists {
-		if time.Since(l.at) >= c.lag {
+	c.listHistory = append(c.listHistory, recordedList{time.Now(), now.Body.Bytes()})
+	old := recordedList{body: []byte(`{"benches":[],"truncated":false}`)}
+	for _, l := range c.listHistory {
+		if time.Since(l.at) >= c.listAge {
 			old = l
 		}
 	}
@@ -313,15 +313,15 @@
 	return rec
 }
 
-// machines counts those that were provisioned, and those that are still there.
-func (c *rentedCluster) machines() (rented, there int) {
+// countMachines counts those that were provisioned, and those that are still there.
+func (c *cloudCluster) countMachines() (rented, there int) {
 	c.cloudMu.Lock()
-	for _, names := range c.rented {
+	for _, names := range c.provisioned {
 		rented += len(names)
 	}
 	c.cloudMu.Unlock()
 	rec := httptest.NewRecorder()
-	c.handler.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, hirePath, nil))
+	c.handler.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, hostsPath, nil))
 	var list wire.MachineList
 	if err := json.Unmarshal(rec.Body.Bytes(), &list); err != nil {
 		c.t.Error(err)
@@ -329,25 +329,25 @@
 	return rented, len(list.Machines)
 }
 
-// hires names the provision requests that were asked for.
-func (c *rentedCluster) hires() (names []string) {
+// requestNames names the provision requests that were asked for.
+func (c *cloudCluster) requestNames() (names []string) {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	for name := range c.asked {
+	for name := range c.requestCounts {
 		names = append(names, name)
 	}
 	return names
 }
 
-// times is how often a provision request was asked for.
-func (c *rentedCluster) times(name string) int {
+// requestCount is how often a provision request was asked for.
+func (c *cloudCluster) requestCount(name string) int {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	return c.asked[name]
+	return c.requestCounts[name]
 }
 
-// order submits a job that wants ordinary machines.
-func (c *rentedCluster) order(uid string, tasks int) {
+// submitOnDemandJob submits a job that wants ordinary machines.
+func (c *cloudCluster) submitOnDemandJob(uid string, tasks int) {
 	job := &wire.Job{
 		UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
 		CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: 6,
@@ -358,20 +358,20 @@
 	}
 }
 
-// begin starts the controllers, without lost messages.
-func (c *rentedCluster) begin() {
-	c.startInTurn()
-	c.run(3*time.Second, nil)
+// startAndSettle starts the controllers, without lost messages.
+func (c *cloudCluster) startAndSettle() {
+	c.startControllersOneByOne()
+	c.advance(3*time.Second, nil)
 }
 
-// finish waits until the jobs ended and all machines were deleted.
-func (c *rentedCluster) finish(uids ...string) {
-	c.startAll()
-	if !c.run(4*time.Minute, c.cluster.ended(uids...)) {
+// awaitEndAndScaleIn waits until the jobs ended and all machines were deleted.
+func (c *cloudCluster) awaitEndAndScaleIn(uids ...string) {
+	c.startStopped()
+	if !c.advance(4*time.Minute, c.cluster.jobsEnded(uids...)) {
 		c.t.Errorf("only %v ended", c.store.Keys("final/"))
 	}
-	if !c.run(6*time.Minute, func() bool { _, there := c.machines(); return there == 0 }) {
-		_, there := c.machines()
+	if !c.advance(6*time.Minute, func() bool { _, there := c.countMachines(); return there == 0 }) {
+		_, there := c.countMachines()
 		c.t.Errorf("%d machines are left", there)
 	}
 }
--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -15,20 +15,20 @@
 // repeat their submissions about the time at which their last tasks end.
 type endRace struct {
 	*closeUsers
-	ends map[string][]time.Time // of a job's started tasks
-	want map[string]int         // tasks of a job
+	taskEnds   map[string][]time.Time // of a job's started tasks
+	taskCounts map[string]int         // tasks of a job
 
-	mu          sync.Mutex
-	near        int // cancels that were sent within nearEnd of the end
-	afterEnd    int // cancels answered "cancelled" although the last task had ended
-	overtaken   int // cancels sent before the end was recorded, and answered "done"
-	answeredEnd int // cancels answered "done"
-	betweenAsks int // questions sent after the last task's end and before any user heard how the job ended
+	mu                  sync.Mutex
+	cancelsNearEnd      int // cancels that were sent within nearEnd of the end
+	cancelledAfterEnd   int // cancels answered "cancelled" although the last task had ended
+	doneBeforeRecorded  int // cancels sent before the end was recorded, and answered "done"
+	cancelsAnsweredDone int // cancels answered "done"
+	pollsAfterEnd       int // questions sent after the last task's end and before any user heard how the job ended
 }
 
 const (
-	nearEnd     = 50 * time.Millisecond
-	leastReport = 500 * time.Millisecond // between two reports of a worker
+	nearEnd           = 50 * time.Millisecond
+	minReportInterval = 500 * time.Millisecond // between two reports of a worker
 )
 
 // reportOnChange lets a worker report as the protocol says: now and then, and when a task
@@ -37,77 +37,77 @@
 	for {
 		r.report(k)
 		last := time.Now()
-		next := last.Add(reportEvery*3/4 + time.Duration(r.draw(int(reportEvery/2))))
+		next := last.Add(reportEvery*3/4 + time.Duration(r.planIntN(int(reportEvery/2))))
 		for time.Now().Before(next) {
 			select {
 			case <-stop:
 				return
-			case <-time.After(min(time.Until(next), leastReport/5)):
+			case <-time.After(min(time.Until(next), minReportInterval/5)):
 			}
-			if time.Since(last) >= leastReport && r.ended(k, last) {
+			if time.Since(last) >= minReportInterval && r.taskEndedSince(k, last) {
 				break
 			}
 		}
 	}
 }
 
-// ended reports whether a task of a worker has ended since.
-func (r *endRace) ended(k *testkit.Worker, since time.Time) bool {
+// taskEndedSince reports whether a task of a worker has taskEndedSince since.
+func (r *endRace) taskEndedSince(k *testkit.Worker, since time.Time) bool {
 	r.cluster.mu.Lock()
 	defer r.cluster.mu.Unlock()
-	return k.EndedSince(since)
+	return k.TaskEndedSince(since)
 }
 
-// started notes a task's start, and has its job's user act once all of its tasks have.
-func (r *endRace) started(k *testkit.Worker, task string) {
+// noteStart notes a task's start, and has its job's user act once all of its tasks have.
+func (r *endRace) noteStart(k *testkit.Worker, task string) {
 	job, _, _ := strings.Cut(task, "/")
-	r.ends[job] = append(r.ends[job], time.Now().Add(k.Run(task)))
-	if len(r.ends[job]) != r.want[job] {
+	r.taskEnds[job] = append(r.taskEnds[job], time.Now().Add(k.RunTime(task)))
+	if len(r.taskEnds[job]) != r.taskCounts[job] {
 		return
 	}
-	end := r.ends[job][0]
-	for _, at := range r.ends[job] {
+	end := r.taskEnds[job][0]
+	for _, at := range r.taskEnds[job] {
 		if at.After(end) {
 			end = at
 		}
 	}
-	r.pending.Go(func() { r.actAtEnd(job, end) })
+	r.pending.Go(func() { r.sendRequestsNearEnd(job, end) })
 }
 
-// aroundEnd draws how long before or after the end a request is sent: as it ends, or
+// drawOffsetFromEnd draws how long before or after the end a request is sent: as it ends, or
 // while the end is reported and recorded.
-func (r *endRace) aroundEnd() time.Duration {
-	if r.draw(2) == 0 {
-		return time.Duration(r.draw(70)-20) * time.Millisecond
+func (r *endRace) drawOffsetFromEnd() time.Duration {
+	if r.planIntN(2) == 0 {
+		return time.Duration(r.planIntN(70)-20) * time.Millisecond
 	}
-	return time.Duration(r.draw(800)) * time.Millisecond
+	return time.Duration(r.planIntN(800)) * time.Millisecond
 }
 
-// actAtEnd is what a job's user does about the end of its last task.
-func (r *endRace) actAtEnd(job string, end time.Time) {
+// sendRequestsNearEnd is what a job's user does about the end of its last task.
+func (r *endRace) sendRequestsNearEnd(job string, end time.Time) {
 	at := func(act func()) {
-		when := end.Add(r.aroundEnd())
+		when := end.Add(r.drawOffsetFromEnd())
 		r.pending.Go(func() { time.Sleep(time.Until(when)); act() })
 	}
-	anyNode := func() string { return r.names[r.draw(len(r.names))] }
+	anyNode := func() string { return r.controllerNames[r.planIntN(len(r.controllerNames))] }
 	for range 3 {
 		at(func() {
 			h := r.seen.history(job)
 			r.mu.Lock()
 			if time.Now().After(end) && h.done.IsZero() && h.cancelled.IsZero() {
-				r.betweenAsks++
+				r.pollsAfterEnd++
 			}
 			r.mu.Unlock()
 			r.send(stateRequest, anyNode(), job, 0)
 		})
 	}
-	at(func() { r.send(submitRequest, anyNode(), job, r.want[job]) })
-	if r.draw(4) == 0 {
+	at(func() { r.send(submitRequest, anyNode(), job, r.taskCounts[job]) })
+	if r.planIntN(4) == 0 {
 		return // it is done
 	}
 	at(func() {
 		for range 20 {
-			sent, recorded := time.Now(), r.store.Text("final/"+job) != ""
+			sent, recorded := time.Now(), r.store.RawValue("final/"+job) != ""
 			stage := r.send(cancelRequest, anyNode(), job, 0)
 			if stage == "" {
 				time.Sleep(time.Second)
@@ -115,19 +115,19 @@
 			}
 			r.mu.Lock()
 			if d := sent.Sub(end); d.Abs() <= nearEnd {
-				r.near++
+				r.cancelsNearEnd++
 			}
 			switch {
 			case stage == "done":
-				r.answeredEnd++
+				r.cancelsAnsweredDone++
 				if !recorded {
-					r.overtaken++
+					r.doneBeforeRecorded++
 				}
 			case time.Now().After(end):
-				r.afterEnd++
+				r.cancelledAfterEnd++
 			}
 			r.mu.Unlock()
-			r.look(job, r.want[job])
+			r.look(job, r.taskCounts[job])
 			return
 		}
 	})
@@ -156,11 +156,11 @@
 							cancelled++
 						}
 					}
-					sum.near += r.near
-					sum.afterEnd += r.afterEnd
-					sum.overtaken += r.overtaken
-					sum.answeredEnd += r.answeredEnd
-					sum.betweenAsks += r.betweenAsks
+					sum.cancelsNearEnd += r.cancelsNearEnd
+					sum.cancelledAfterEnd += r.cancelledAfterEnd
+					sum.doneBeforeRecorded += r.doneBeforeRecorded
+					sum.cancelsAnsweredDone += r.cancelsAnsweredDone
+					sum.pollsAfterEnd += r.pollsAfterEnd
 					late += r.lateStarts
 					answers += r.seen.answers
 					unsure += r.seen.refused
@@ -169,11 +169,11 @@
 		}
 		t.Logf("%d controllers: %d answers, %d refusals; %d jobs done, %d cancelled; %d cancels within %v of the end, %d answered cancelled after the end, "+
 			"%d answered done (%d of them sent before the end was recorded); %d questions between the end and the first word of it; %d starts after a confirmed cancel",
-			controllers, answers, unsure, done, cancelled, sum.near, nearEnd, sum.afterEnd, sum.answeredEnd, sum.overtaken, sum.betweenAsks, late)
+			controllers, answers, unsure, done, cancelled, sum.cancelsNearEnd, nearEnd, sum.cancelledAfterEnd, sum.cancelsAnsweredDone, sum.doneBeforeRecorded, sum.pollsAfterEnd, late)
 		if done+cancelled != seeds*jobs {
 			t.Errorf("%d of %d jobs are over", done+cancelled, seeds*jobs)
 		}
-		if sum.near < 100 || sum.afterEnd < 100 || sum.answeredEnd < 50 || sum.overtaken < 5 || sum.betweenAsks < 300 {
+		if sum.cancelsNearEnd < 100 || sum.cancelledAfterEnd < 100 || sum.cancelsAnsweredDone < 50 || sum.doneBeforeRecorded < 5 || sum.pollsAfterEnd < 300 {
 			t.Error("too few of these")
 		}
 		if late > 0 {
@@ -186,28 +186,28 @@
 func playEndRace(t *testing.T, seed uint64, controllers, jobs int, scale time.Duration) *endRace {
 	w := newCluster(t, seed)
 	w.bigger(controllers, 6)
-	w.losslessReports, w.reliableStore, w.keepCuts = true, true, true
-	r := &endRace{closeUsers: newCloseUsers(w), ends: map[string][]time.Time{}, want: map[string]int{}}
+	w.losslessReports, w.reliableStore, w.keepBrokenLinks = true, true, true
+	r := &endRace{closeUsers: newCloseUsers(w), taskEnds: map[string][]time.Time{}, taskCounts: map[string]int{}}
 	r.later = 1
 	upTo := func(most time.Duration) func() time.Duration {
 		return func() time.Duration {
-			d := time.Duration(w.rnd.Int64N(int64(most)))
-			if w.rnd.IntN(12) == 0 {
+			d := time.Duration(w.messageRand.Int64N(int64(most)))
+			if w.messageRand.IntN(12) == 0 {
 				return 5 * d
 			}
 			return d
 		}
 	}
-	w.transit, w.storeLatency, w.watchLag = upTo(scale), upTo(2*scale), upTo(6*scale)
+	w.transitTime, w.storeLatency, w.watchLag = upTo(scale), upTo(2*scale), upTo(6*scale)
 	for _, k := range w.workers {
-		k.Run = func(task string) time.Duration { return variedTime(task) / 5 }
-		check := k.Started
-		k.Started = func(task string, attempt uint64) {
+		k.RunTime = func(task string) time.Duration { return variedTaskDuration(task) / 5 }
+		check := k.OnStart
+		k.OnStart = func(task string, attempt uint64) {
 			check(task, attempt)
-			r.started(k, task)
+			r.noteStart(k, task)
 		}
 	}
-	w.startNodes()
+	w.startControllers()
 	time.Sleep(2 * time.Second)
 	stop := make(chan struct{})
 	var reporting sync.WaitGroup
@@ -215,11 +215,11 @@
 		reporting.Go(func() { r.reportOnChange(k, stop) })
 	}
 	for i := range jobs {
-		job, tasks := fmt.Sprintf("j-%d", 100+i), 1+w.draw(2)
+		job, tasks := fmt.Sprintf("j-%d", 100+i), 1+w.planIntN(2)
 		w.mu.Lock()
-		r.want[job] = tasks
+		r.taskCounts[job] = tasks
 		w.mu.Unlock()
-		delay := time.Duration(w.draw(8000)) * time.Millisecond
+		delay := time.Duration(w.planIntN(8000)) * time.Millisecond
 		r.pending.Go(func() {
 			time.Sleep(delay)
 			r.follow(job, tasks, 0, time.Minute)
@@ -227,7 +227,7 @@
 	}
 	for range 26 * 4 {
 		time.Sleep(250 * time.Millisecond)
-		w.check()
+		w.checkInvariants()
 		w.exchange()
 		w.publish()
 	}
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 1)
 		w.reliableStore = true
-		w.startNodes()
+		w.startControllers()
 		time.Sleep(2 * time.Second)
 		w.submit("j-1", 3)
 		time.Sleep(time.Second)
@@ -48,44 +48,44 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 2)
 		w.bigger(3, 8)
-		w.long()
-		w.losslessReports, w.reliableStore, w.keepCuts = true, true, true
-		w.startNodes()
-		w.live(3)
+		w.setLongTasks()
+		w.losslessReports, w.reliableStore, w.keepBrokenLinks = true, true, true
+		w.startControllers()
+		w.runFor(3)
 		w.submit("j-80", 4)
-		if !w.within(10, func() bool { return w.onMachines("j-80") == 4 }) {
+		if !w.runUntil(10, func() bool { return w.unfinishedTasks("j-80") == 4 }) {
 			t.Fatal("the job does not run")
 		}
-		w.live(2)
+		w.runFor(2)
 		owner := w.leader()
 		refused := 0
-		w.nodes[owner].view.Refuse.Set(func(txn wire.Txn) bool {
+		w.nodes[owner].view.RefuseTxn.Set(func(txn wire.Txn) bool {
 			ours := txn.Then[0].Put == "live/j-80"
 			if ours {
 				refused++
 			}
 			return ours
 		})
-		if stage, heard := w.user(owner, http.MethodPost, "j-80"); heard || refused == 0 {
+		if stage, heard := w.userRequest(owner, http.MethodPost, "j-80"); heard || refused == 0 {
 			t.Errorf("the cancel is answered %q, refused %d times", stage, refused)
 		}
-		w.nodes[owner].view.Refuse.Set(nil)
+		w.nodes[owner].view.RefuseTxn.Set(nil)
 		for _, outage := range []bool{false, true} {
 			if outage {
-				w.refuse(w.names...)
+				w.cutFromStateService(w.controllerNames...)
 			}
 			for range 3 { // less than a lease, after which no leader answers from memory in an outage
-				for _, name := range w.names {
-					if stage, heard := w.user(name, http.MethodGet, "j-80"); !heard || stage != wire.StageRunning {
+				for _, name := range w.controllerNames {
+					if stage, heard := w.userRequest(name, http.MethodGet, "j-80"); !heard || stage != wire.StageRunning {
 						t.Errorf("outage %v: %s calls the job %q, %v", outage, name, stage, heard)
 					}
 				}
-				w.live(1)
+				w.runFor(1)
 			}
 		}
-		w.healed()
-		w.live(8)
-		if on := w.onMachines("j-80"); on != 4 {
+		w.healAllLinks()
+		w.runFor(8)
+		if on := w.unfinishedTasks("j-80"); on != 4 {
 			t.Errorf("%d of 4 tasks are on", on)
 		}
 		w.stopAll()
--- a/internal/testkit/capacity_test.go
+++ b/internal/testkit/capacity_test.go
@@ -8,19 +8,19 @@
 	"github.com/wallrack/wallrack/internal/capacity"
 )
 
-const loadFor = 2 * time.Second
+const loadDuration = 2 * time.Second
 
-// loaded is the processor time of a report of one of so many workers when nothing starts,
+// measureLoad is the processor time of a report of one of so many workers when nothing starts,
 // and of a start with its share of all that a controller does: grants, passes, records,
 // ends; see BenchmarkLoad. The workers' end of the connections is in both.
-func loaded(tb testing.TB, machines int) (ofReport, ofStart float64) {
+func measureLoad(tb testing.TB, machines int) (ofReport, ofStart float64) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	spend := func(jobs int) (used time.Duration, reports, starts float64) {
 		l := newLoad(tb, machines, 10, jobs)
-		defer l.end()
+		defer l.stop()
 		before, began, usedBefore := l.node.scheduler.Counters().Granted, time.Now(), capacity.Used(tb)
 		i := 0
-		for ; time.Since(began) < loadFor; i++ {
+		for ; time.Since(began) < loadDuration; i++ {
 			l.report(tb, i)
 		}
 		return capacity.Used(tb) - usedBefore, float64(i), float64(l.node.scheduler.Counters().Granted - before)
@@ -34,11 +34,11 @@
 
 var capacitySeries = []capacity.Series{
 	{Name: "testkit.idleReport", Scatters: true, Sizes: []int{325, 650, 1300, 2600}, Measure: func(tb testing.TB, machines int) float64 {
-		report, _ := loaded(tb, machines)
+		report, _ := measureLoad(tb, machines)
 		return report
 	}},
 	{Name: "testkit.start", Scatters: true, Sizes: []int{325, 650, 1300, 2600}, Measure: func(tb testing.TB, machines int) float64 {
-		_, start := loaded(tb, machines)
+		_, start := measureLoad(tb, machines)
 		return start
 	}},
 }
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -19,8 +19,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// asNative and asSlurm are the same submission, as users of either client write it.
-func asNative(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
+// nativeSubmission and asSlurm are the same submission, as users of either client write it.
+func nativeSubmission(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
 	body := fmt.Sprintf(`{"uid":"j-x","docket":%q,"crew":%q,"sort":"sweep","urgency":%q,"pieces":%d,"cpus":2,"cards":0,"memoryGb":1,"kit":"none","pullGb":0,
 		"together":false,"apart":false,"loaners":true,"reckonS":60,"markS":0,"stashS":0}`, class, team, priority, tasks)
 	j, err := wire.ParseJob([]byte(body))
@@ -30,7 +30,7 @@
 	return j, &jobspec.Constraints{}
 }
 
-func asSlurm(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
+func slurmSubmission(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
 	line := fmt.Sprintf("-p %s -A %s -q %s -c 2 --mem 1G -C spot -t 1 --array=0-%d", class, team, priority, tasks-1)
 	given, _, err := slurm.ParseArgs(slurm.Sbatch, strings.Fields(line))
 	if err != nil {
@@ -48,16 +48,16 @@
 	return &r.Job, &r.Constraints
 }
 
-// workload plays a workload on one worker, its jobs made by submitter, which may differ
+// playWorkload plays a playWorkload on one worker, its jobs made by submitter, which may differ
 // from job to job, and returns the order of starts and the rows of accounting,
 // without the names that each client gives.
-func workload(t *testing.T, submitter func(n int) func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)) (starts, rows []string) {
+func playWorkload(t *testing.T, submitter func(n int) func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)) (starts, rows []string) {
 	w := newCluster(t, 1)
-	w.accounts = true
+	w.accountingEnabled = true
 	w.workers = w.workers[:1]
 	mu := &w.mu
-	w.workers[0].Run = func(string) time.Duration { return 4 * time.Second }
-	w.workers[0].Started = func(task string, _ uint64) { starts = append(starts, task) }
+	w.workers[0].RunTime = func(string) time.Duration { return 4 * time.Second }
+	w.workers[0].OnStart = func(task string, _ uint64) { starts = append(starts, task) }
 	w.reliableStore = true
 	w.start("a")
 	n := w.nodes["a"]
@@ -93,7 +93,7 @@
 		if _, body := n.dispatcher.HandleReport(context.Background(), rep); body != nil {
 			if a, ok := body.(wire.ReportResponse); ok {
 				mu.Lock()
-				w.workers[0].Answer(sent, rep.Session, a)
+				w.workers[0].HandleResponse(sent, rep.Session, a)
 				mu.Unlock()
 			}
 		}
@@ -130,11 +130,11 @@
 	type maker = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)
 	var starts, rows [][]string
 	for _, m := range []func(int) maker{
-		func(int) maker { return asNative }, func(int) maker { return asSlurm },
-		func(n int) maker { return []maker{asNative, asSlurm}[n%2] },
+		func(int) maker { return nativeSubmission }, func(int) maker { return slurmSubmission },
+		func(n int) maker { return []maker{nativeSubmission, slurmSubmission}[n%2] },
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s, r := workload(t, m)
+			s, r := playWorkload(t, m)
 			starts, rows = append(starts, s), append(rows, r)
 		})
 	}
--- a/internal/testkit/cluster_cancels_test.go
+++ b/internal/testkit/cluster_cancels_test.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// tellCancels has a controller and a peer tell each other of cancels.
-func (w *cluster) tellCancels(n, to *node) {
+// exchangeCancels has a controller and a peer tell each other of cancels.
+func (w *cluster) exchangeCancels(n, to *node) {
 	m := n.cancellations.MessageFor(to.name)
 	err := to.cancellations.HandleMessage(n.name, &m)
 	rep := to.cancellations.MessageFor(n.name)
@@ -18,17 +18,17 @@
 	}
 }
 
-// watchCancels does what cmd/wallrack does beside the pings.
-func (w *cluster) watchCancels(ctx context.Context, living []*node) {
+// maintainCancels does what cmd/wallrack does beside the pings.
+func (w *cluster) maintainCancels(ctx context.Context, living []*node) {
 	const unheard = 2500 * time.Millisecond
 	for _, n := range living {
 		for _, p := range n.cancellations.StalePeers(unheard) {
 			w.mu.Lock()
 			to := w.nodes[p]
-			ok := w.reach(n, to)
+			ok := w.reaches(n, to)
 			w.mu.Unlock()
 			if ok {
-				w.tellCancels(n, to)
+				w.exchangeCancels(n, to)
 			}
 		}
 		if n.cancellations.NeedsStoreRead(unheard) {
@@ -37,10 +37,10 @@
 				n.cancellations.RecordStoreRead(sent, uids)
 			}
 		}
-		if was := n.entitled; n.member.FencingToken() > 0 {
-			n.entitled = n.MayAnswerWorkers()
-			if was && !n.entitled {
-				w.lapses++
+		if was := n.couldAnswerWorkers; n.member.FencingToken() > 0 {
+			n.couldAnswerWorkers = n.MayAnswerWorkers()
+			if was && !n.couldAnswerWorkers {
+				w.stoppedAnswering++
 			}
 		}
 		if on := n.scheduler.UnstoppedWorkers(3 * time.Second); len(on) > 0 && n.MayAnswerWorkers() {
--- a/internal/testkit/cluster_checks_test.go
+++ b/internal/testkit/cluster_checks_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-func (w *cluster) check() {
+func (w *cluster) checkInvariants() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	on := map[string]string{}
 	use := teamUse{}
 	for _, k := range w.workers {
-		for _, task := range k.On() {
+		for _, task := range k.UnfinishedTasks() {
 			uid, _, _ := strings.Cut(task, "/")
-			if job := w.specs[uid]; job != nil {
+			if job := w.submittedJobs[uid]; job != nil {
 				use[job.Team] += job.CPUs
 			}
 			if at, cancelled := w.confirmedCancels[uid]; cancelled && time.Since(at).Seconds() > w.cfg.Params.Workers.CancelS {
@@ -25,11 +25,11 @@
 			on[task] = k.Name
 		}
 	}
-	w.checkLimits(use)
+	w.checkTeamLimits(use)
 }
 
-// checkLimits fails if a team uses more than its limit, by what its workers have.
-func (w *cluster) checkLimits(use teamUse) {
+// checkTeamLimits fails if a team uses more than its limit, by what its workers have.
+func (w *cluster) checkTeamLimits(use teamUse) {
 	for _, team := range w.cfg.Params.Teams {
 		if cpus := use[team.Name]; team.CPUsMax > 0 && cpus > team.CPUsMax+cpuTolerance {
 			w.fail("team %s uses %v CPUs of %v", team.Name, cpus, team.CPUsMax)
--- a/internal/testkit/cluster_faults_test.go
+++ b/internal/testkit/cluster_faults_test.go
@@ -27,9 +27,9 @@
 	return true
 }
 
-// startAll starts the controllers that are down.
-func (w *cluster) startAll() {
-	for _, n := range w.names {
+// startStopped starts the controllers that are down.
+func (w *cluster) startStopped() {
+	for _, n := range w.controllerNames {
 		if w.nodes[n].down {
 			w.start(n)
 		}
@@ -37,15 +37,15 @@
 }
 
 func (w *cluster) stopAll() {
-	for _, n := range w.names {
+	for _, n := range w.controllerNames {
 		if !w.nodes[n].down {
 			w.crash(n)
 		}
 	}
 }
 
-// cutAll breaks the links from one party to others, and back.
-func (w *cluster) cutAll(one string, others ...string) {
+// breakLinks breaks the links from one party to others, and back.
+func (w *cluster) breakLinks(one string, others ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, o := range others {
@@ -53,10 +53,10 @@
 	}
 }
 
-// refuse cuts controllers off from the state service.
-func (w *cluster) refuse(names ...string) {
+// cutFromStateService cuts controllers off from the state service.
+func (w *cluster) cutFromStateService(names ...string) {
 	for _, n := range names {
-		w.cutAll(n, stateService)
+		w.breakLinks(n, stateService)
 	}
 }
 
@@ -70,26 +70,26 @@
 	}
 }
 
-func (w *cluster) healed() {
+func (w *cluster) healAllLinks() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	clear(w.brokenLinks)
 }
 
-// workersHear leaves the workers only these controllers.
-func (w *cluster) workersHear(names ...string) {
-	for _, n := range w.names {
+// connectWorkersOnlyTo leaves the workers only these controllers.
+func (w *cluster) connectWorkersOnlyTo(names ...string) {
+	for _, n := range w.controllerNames {
 		if slices.Contains(names, n) {
 			w.healLinks(n, w.workerNames()...)
 		} else {
-			w.cutAll(n, w.workerNames()...)
+			w.breakLinks(n, w.workerNames()...)
 		}
 	}
 }
 
-// unheard breaks the links from controllers to a worker, not those back: its reports
+// breakLinksTo breaks the links from controllers to a worker, not those back: its reports
 // arrive, answers and commands do not.
-func (w *cluster) unheard(k *testkit.Worker, by ...string) {
+func (w *cluster) breakLinksTo(k *testkit.Worker, by ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range by {
@@ -109,21 +109,21 @@
 func (w *cluster) resume(ks ...*testkit.Worker) {
 	for _, k := range ks {
 		w.mu.Lock()
-		k.Continue()
+		k.Resume()
 		w.mu.Unlock()
-		w.check()
+		w.checkInvariants()
 	}
 }
 
-// locked changes a fault that messages on their way may be asking.
-func (w *cluster) locked(change func()) {
+// withLock changes a fault that messages on their way may be asking.
+func (w *cluster) withLock(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
 }
 
-// drawn asks a fault that may begin and end at any time.
-func (w *cluster) drawn(f *func() time.Duration) time.Duration {
+// drawDelay asks a fault that may begin and end at any time.
+func (w *cluster) drawDelay(f *func() time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if *f == nil {
@@ -132,45 +132,45 @@
 	return (*f)()
 }
 
-// travel lets the time pass that a message takes one way.
-func (w *cluster) travel() {
-	if d := w.drawn(&w.transit) + w.drawn(&w.messageDelay); d > 0 {
+// awaitTransit lets the time pass that a message takes one way.
+func (w *cluster) awaitTransit() {
+	if d := w.drawDelay(&w.transitTime) + w.drawDelay(&w.messageDelay); d > 0 {
 		time.Sleep(d)
 	}
 }
 
-// draw draws a number for the test's own course. As long as only the goroutine that plays the
+// planIntN draws a number for the test's own course. As long as only the goroutine that plays the
 // test asks, the faults and requests of a seed come at the same times in every run, whatever
 // the order in which the controllers' goroutines send their messages. Tests with several users
 // ask from a goroutine of each.
-func (w *cluster) draw(n int) int {
+func (w *cluster) planIntN(n int) int {
 	w.planMu.Lock()
 	defer w.planMu.Unlock()
-	return w.plan.IntN(n)
+	return w.planRand.IntN(n)
 }
 
-// chance draws a number for the fate of a message, from any goroutine.
-func (w *cluster) chance(n int) int {
+// messageIntN draws a number for the fate of a message, from any goroutine.
+func (w *cluster) messageIntN(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.rnd.IntN(n)
+	return w.messageRand.IntN(n)
 }
 
-// trouble starts or ends one fault.
-func (w *cluster) trouble() {
-	name := w.names[w.draw(len(w.names))]
-	switch w.draw(6) {
+// toggleDrawnFault starts or ends one fault.
+func (w *cluster) toggleDrawnFault() {
+	name := w.controllerNames[w.planIntN(len(w.controllerNames))]
+	switch w.planIntN(6) {
 	case 0:
 		if !w.nodes[name].down {
 			w.crash(name)
-			time.Sleep(time.Duration(w.draw(6)) * time.Second)
+			time.Sleep(time.Duration(w.planIntN(6)) * time.Second)
 			w.start(name)
 		}
 	case 1:
 		w.mu.Lock()
 		off := !w.brokenLinks[[2]string{name, name}] // that link means nothing: it remembers
 		w.brokenLinks[[2]string{name, name}] = off
-		for _, other := range w.names {
+		for _, other := range w.controllerNames {
 			w.brokenLinks[[2]string{name, other}], w.brokenLinks[[2]string{other, name}] = off, off
 		}
 		w.mu.Unlock()
@@ -179,10 +179,10 @@
 		w.brokenLinks[[2]string{name, stateService}] = !w.brokenLinks[[2]string{name, stateService}]
 		w.mu.Unlock()
 	case 3:
-		w.release()
+		w.deliverHeldCommands()
 	case 4:
-		for _, n := range w.names {
-			w.nodes[n].view.Deliver()
+		for _, n := range w.controllerNames {
+			w.nodes[n].view.ApplyHeld()
 		}
 	}
 }
--- a/internal/testkit/cluster_jobs_test.go
+++ b/internal/testkit/cluster_jobs_test.go
@@ -14,7 +14,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-func (w *cluster) submit(uid string, tasks int) { w.submitWith(uid, tasks, nil) }
+func (w *cluster) submit(uid string, tasks int) { w.submitConstrained(uid, tasks, nil) }
 
 // arrayJob describes an array of one-CPU tasks.
 func arrayJob(uid string, tasks int) *wire.Job {
@@ -24,58 +24,58 @@
 	}
 }
 
-func (w *cluster) submitWith(uid string, tasks int, t *jobspec.Constraints) {
+func (w *cluster) submitConstrained(uid string, tasks int, t *jobspec.Constraints) {
 	w.submitJob(arrayJob(uid, tasks), t)
 }
 
 // submitJob records an accepted job.
 func (w *cluster) submitJob(job *wire.Job, t *jobspec.Constraints) {
 	w.mu.Lock()
-	w.specs[job.UID] = job
+	w.submittedJobs[job.UID] = job
 	w.mu.Unlock()
-	guards, ops := jobrecord.AcceptanceTxn(job, t, quota.AssignShard(job, w.cfg.Params.Teams, w.operator()), time.Now().UnixMilli())
+	guards, ops := jobrecord.AcceptanceTxn(job, t, quota.AssignShard(job, w.cfg.Params.Teams, w.operatorSettings()), time.Now().UnixMilli())
 	clean := &testkit.View{Store: w.store}
 	if _, err := clean.Txn(context.Background(), guards, ops...); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// taskTime is how long a task runs.
-func taskTime(task string) time.Duration { return time.Duration(1+len(task)%3) * 3 * time.Second }
+// taskDuration is how long a task runs.
+func taskDuration(task string) time.Duration { return time.Duration(1+len(task)%3) * 3 * time.Second }
 
-// variedTime is how long a task runs where tasks shall not end in waves.
-func variedTime(task string) time.Duration {
+// variedTaskDuration is how long a task runs where tasks shall not end in waves.
+func variedTaskDuration(task string) time.Duration {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(task)) // never fails
 	return time.Duration(2000+h.Sum64()>>8%7000) * time.Millisecond
 }
 
-// long makes the tasks of jobs from 80 on run for long.
-func (w *cluster) long() {
+// setLongTasks makes the tasks of jobs from 80 on run for setLongTasks.
+func (w *cluster) setLongTasks() {
 	for _, k := range w.workers {
-		k.Run = func(task string) time.Duration {
+		k.RunTime = func(task string) time.Duration {
 			if strings.HasPrefix(task, "j-8") || strings.HasPrefix(task, "j-9") {
 				return 30 * time.Minute
 			}
-			return variedTime(task)
+			return variedTaskDuration(task)
 		}
 	}
 }
 
-// ended reports whether jobs ended.
-func (w *cluster) ended(uids ...string) func() bool {
+// jobsEnded reports whether jobs jobsEnded.
+func (w *cluster) jobsEnded(uids ...string) func() bool {
 	return func() bool {
 		keys := w.store.Keys("final/")
 		return !slices.ContainsFunc(uids, func(uid string) bool { return !slices.Contains(keys, "final/"+uid) })
 	}
 }
 
-// onMachines counts the tasks of a job that are on.
-func (w *cluster) onMachines(uid string) (n int) {
+// unfinishedTasks counts the tasks of a job that are on.
+func (w *cluster) unfinishedTasks(uid string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
-		for _, task := range k.On() {
+		for _, task := range k.UnfinishedTasks() {
 			if strings.HasPrefix(task, uid+"/") {
 				n++
 			}
@@ -84,19 +84,19 @@
 	return n
 }
 
-// job submits an array job. Tasks of jobs from 80 on run for long.
-func (w *cluster) job(uid, team, priority string, tasks int, cpus float64) {
+// submitArray submits an array submitArray. Tasks of jobs from 80 on run for long.
+func (w *cluster) submitArray(uid, team, priority string, tasks int, cpus float64) {
 	job := arrayJob(uid, tasks)
 	job.Team, job.Priority, job.CPUs = team, priority, cpus
 	w.submitJob(job, nil)
 }
 
-// machinesOf lists the workers with tasks of a job.
-func (w *cluster) machinesOf(uid string) (ks []*testkit.Worker) {
+// workersWithTasksOf lists the workers with tasks of a job.
+func (w *cluster) workersWithTasksOf(uid string) (ks []*testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
-		if slices.ContainsFunc(k.On(), func(task string) bool { return strings.HasPrefix(task, uid+"/") }) {
+		if slices.ContainsFunc(k.UnfinishedTasks(), func(task string) bool { return strings.HasPrefix(task, uid+"/") }) {
 			ks = append(ks, k)
 		}
 	}
--- a/internal/testkit/cluster_users_test.go
+++ b/internal/testkit/cluster_users_test.go
@@ -53,8 +53,8 @@
 	})
 }
 
-// user sends a user's request to a controller, and notes what its user hears.
-func (w *cluster) user(name, method, uid string) (stage string, heard bool) {
+// userRequest sends a userRequest's request to a controller, and notes what its userRequest hears.
+func (w *cluster) userRequest(name, method, uid string) (stage string, heard bool) {
 	w.mu.Lock()
 	n := w.nodes[name]
 	down := n.down
@@ -96,13 +96,13 @@
 	return s.Stage, true
 }
 
-// cancelAll has the users of jobs cancel them at a controller, and come back for up
+// cancelJobs has the users of jobs cancel them at a controller, and come back for up
 // to so many seconds. It returns how many heard that their job is cancelled.
-func (w *cluster) cancelAll(at string, jobs []string, seconds int) (heard int) {
+func (w *cluster) cancelJobs(at string, jobs []string, seconds int) (heard int) {
 	left := slices.Clone(jobs)
 	for i := 0; ; i++ {
 		left = slices.DeleteFunc(left, func(uid string) bool {
-			stage, ok := w.user(at, http.MethodPost, uid)
+			stage, ok := w.userRequest(at, http.MethodPost, uid)
 			if ok && stage == wire.StageCancelled {
 				heard++
 			}
@@ -111,6 +111,6 @@
 		if len(left) == 0 || i >= seconds {
 			return heard
 		}
-		w.live(1)
+		w.runFor(1)
 	}
 }
--- a/internal/testkit/concurrent_polls_test.go
+++ b/internal/testkit/concurrent_polls_test.go
@@ -45,17 +45,17 @@
 	w.onReport = u.reported
 	ended := map[string]bool{}
 	for _, k := range w.workers {
-		check := k.Started
-		k.Started = func(task string, attempt uint64) {
+		check := k.OnStart
+		k.OnStart = func(task string, attempt uint64) {
 			check(task, attempt)
 			job, _, _ := strings.Cut(task, "/")
-			u.seen.taskStarted(job, task, attempt, k.Run(task))
+			u.seen.taskStarted(job, task, attempt, k.RunTime(task))
 			if h := u.seen.history(job); !h.cancelled.IsZero() {
 				u.lateStarts++
 				u.latestStart = max(u.latestStart, time.Since(h.cancelled))
 			}
 		}
-		k.Exit = func(task string) int {
+		k.ExitCode = func(task string) int {
 			u.tasksMu.Lock()
 			defer u.tasksMu.Unlock()
 			if job, _, _ := strings.Cut(task, "/"); !ended[task] {
@@ -102,7 +102,7 @@
 		u.seen.cancelSent(job)
 	}
 	sent := time.Now()
-	u.travel()
+	u.awaitTransit()
 	u.mu.Lock()
 	n := u.nodes[name]
 	down := n.down
@@ -123,10 +123,10 @@
 	if down || ctx.Err() != nil {
 		return "" // the process ended, or the user has given up
 	}
-	u.travel()
-	if u.stalls && u.draw(25) == 0 {
+	u.awaitTransit()
+	if u.stalls && u.planIntN(25) == 0 {
 		u.delayed.Add(1)
-		time.Sleep(time.Second + time.Duration(u.draw(1000))*time.Millisecond)
+		time.Sleep(time.Second + time.Duration(u.planIntN(1000))*time.Millisecond)
 	}
 	return u.seen.hear(heardAnswer{kind: kind, node: name, job: job, sent: sent, arrived: time.Now(), status: rec.Code, body: rec.Body.Bytes()})
 }
@@ -135,7 +135,7 @@
 func (u *closeUsers) countUnheard(n *node, job string) {
 	u.mu.Lock()
 	var leader *node
-	for _, name := range u.names {
+	for _, name := range u.controllerNames {
 		if x := u.nodes[name]; !x.down && len(x.member.LedShards()) > 0 {
 			leader = x
 		}
@@ -145,14 +145,14 @@
 		return
 	}
 	known, sure := leader.scheduler.LocalState(job)
-	ended := u.store.Text("final/"+job) != ""
+	ended := u.store.RawValue("final/"+job) != ""
 	switch {
 	case ended && (!sure || known.Stage != wire.StageDone && known.Stage != wire.StageCancelled):
 		u.endKnown.Add(1)
-	case !ended && !sure && u.store.Text("live/"+job) != "":
+	case !ended && !sure && u.store.RawValue("live/"+job) != "":
 		u.unloaded.Add(1)
 	}
-	if !ended && !n.cancellations.IsCancelled(job) && strings.Contains(u.store.Text("live/"+job), `"cancelled":true`) {
+	if !ended && !n.cancellations.IsCancelled(job) && strings.Contains(u.store.RawValue("live/"+job), `"cancelled":true`) {
 		u.cancelled.Add(1)
 	}
 }
@@ -161,7 +161,7 @@
 // repeats its submission.
 func (u *closeUsers) look(job string, tasks int) {
 	for i := range 3 {
-		for _, name := range u.names {
+		for _, name := range u.controllerNames {
 			u.pending.Go(func() { u.send(stateRequest, name, job, 0) })
 		}
 		if i != 1 {
@@ -169,10 +169,10 @@
 				if h := u.seen.history(job); !h.done.IsZero() || !h.cancelled.IsZero() {
 					u.repeated.Add(1)
 				}
-				u.send(submitRequest, u.names[u.draw(len(u.names))], job, tasks)
+				u.send(submitRequest, u.controllerNames[u.planIntN(len(u.controllerNames))], job, tasks)
 			})
 		}
-		time.Sleep(time.Duration(500+u.draw(4000)) * time.Microsecond)
+		time.Sleep(time.Duration(500+u.planIntN(4000)) * time.Microsecond)
 	}
 }
 
@@ -181,7 +181,7 @@
 func (u *closeUsers) follow(job string, tasks int, cancelAfter, patience time.Duration) {
 	u.submitted(job, tasks)
 	until := time.Now().Add(patience)
-	anyNode := func() string { return u.names[u.draw(len(u.names))] }
+	anyNode := func() string { return u.controllerNames[u.planIntN(len(u.controllerNames))] }
 	for u.send(submitRequest, anyNode(), job, tasks) == "" {
 		if time.Now().After(until) {
 			return
@@ -208,12 +208,12 @@
 		if stage := u.send(stateRequest, anyNode(), job, 0); stage == "done" || stage == "cancelled" {
 			u.look(job, tasks)
 			for range u.later { // and later, by when lagging watches tell of the past
-				time.Sleep(time.Duration(200+u.draw(2000)) * time.Millisecond)
+				time.Sleep(time.Duration(200+u.planIntN(2000)) * time.Millisecond)
 				u.look(job, tasks)
 			}
 			return
 		}
-		time.Sleep(time.Duration(300+u.draw(700)) * time.Millisecond)
+		time.Sleep(time.Duration(300+u.planIntN(700)) * time.Millisecond)
 	}
 }
 
@@ -242,9 +242,9 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	upTo := func(most time.Duration) func() time.Duration {
-		return func() time.Duration { return time.Duration(u.rnd.Int64N(int64(most))) }
+		return func() time.Duration { return time.Duration(u.messageRand.Int64N(int64(most))) }
 	}
-	u.watchLag, u.storeLatency, u.transit = upTo(most), upTo(30*time.Millisecond), upTo(15*time.Millisecond)
+	u.watchLag, u.storeLatency, u.transitTime = upTo(most), upTo(30*time.Millisecond), upTo(15*time.Millisecond)
 }
 
 // refusal has the state service refuse a controller, which its peers may be cut off from
@@ -253,13 +253,13 @@
 	switch {
 	case second == 0 && name != "":
 		u.refused = name
-		u.refuse(name)
+		u.cutFromStateService(name)
 		if apart {
-			u.cutAll(name, u.others(name)...)
+			u.breakLinks(name, u.otherControllers(name)...)
 		}
 		u.handled++
 	case second == length && u.refused != "":
-		u.healLinks(u.refused, append(u.others(u.refused), stateService)...)
+		u.healLinks(u.refused, append(u.otherControllers(u.refused), stateService)...)
 	}
 }
 
@@ -267,20 +267,20 @@
 	{"watches lag", func(*closeUsers, int) {}, 0, true},
 	{"the leader hands over", func(u *closeUsers, second int) {
 		if l := u.leader(); second%3 == 1 && l != "" {
-			to := u.others(l)
-			if u.nodes[l].member.TransferShards(context.Background(), to[u.draw(len(to))]) == nil {
+			to := u.otherControllers(l)
+			if u.nodes[l].member.TransferShards(context.Background(), to[u.planIntN(len(to))]) == nil {
 				u.handled++
 			}
 		}
 	}, 6, false},
 	{"the leader ends", func(u *closeUsers, second int) {
 		if l := u.leader(); second%8 == 3 && l != "" {
-			u.restart(l, time.Duration(100+u.draw(3000))*time.Millisecond)
+			u.restart(l, time.Duration(100+u.planIntN(3000))*time.Millisecond)
 			u.handled++
 		}
 	}, 4, false},
 	{"the state service refuses a controller", func(u *closeUsers, second int) {
-		u.refusal(second%6, 4, u.names[u.draw(len(u.names))], false)
+		u.refusal(second%6, 4, u.controllerNames[u.planIntN(len(u.controllerNames))], false)
 	}, 6, true},
 	{"the leader is apart from state service and peers", func(u *closeUsers, second int) {
 		u.refusal(second%12, 8, u.leader(), true)
@@ -350,40 +350,40 @@
 	const seconds = 32
 	w := newCluster(t, seed)
 	w.bigger(3, 8)
-	w.keepCuts = true
+	w.keepBrokenLinks = true
 	u := newCloseUsers(w)
 	u.lagging(4 * time.Second)
 	u.later, u.stalls = 2, true
 	for _, k := range w.workers {
-		k.Run = func(task string) time.Duration {
+		k.RunTime = func(task string) time.Duration {
 			if strings.HasPrefix(task, "j-11") || strings.HasPrefix(task, "j-13") {
-				return variedTime(task)
+				return variedTaskDuration(task)
 			}
-			return variedTime(task) / 4
+			return variedTaskDuration(task) / 4
 		}
 	}
-	w.startNodes()
+	w.startControllers()
 	time.Sleep(2 * time.Second)
-	w.live(3)
+	w.runFor(3)
 	for second := range seconds {
 		s.each(u, second)
 		for i := range 2 {
-			job, tasks := fmt.Sprintf("j-%d", 100+2*second+i), 1+w.draw(2)
+			job, tasks := fmt.Sprintf("j-%d", 100+2*second+i), 1+w.planIntN(2)
 			cancelAfter := time.Duration(0)
-			if w.draw(3) == 0 {
-				cancelAfter = time.Duration(1+w.draw(3000)) * time.Millisecond
+			if w.planIntN(3) == 0 {
+				cancelAfter = time.Duration(1+w.planIntN(3000)) * time.Millisecond
 			}
-			from := time.Duration(w.draw(1000)) * time.Millisecond
+			from := time.Duration(w.planIntN(1000)) * time.Millisecond
 			u.pending.Go(func() {
 				time.Sleep(from)
 				u.follow(job, tasks, cancelAfter, time.Minute)
 			})
 		}
-		w.live(1)
+		w.runFor(1)
 	}
-	w.healed()
-	w.startAll()
-	w.live(75)
+	w.healAllLinks()
+	w.startStopped()
+	w.runFor(75)
 	u.finish(t)
 	for job, h := range u.seen.jobs {
 		if h.done.IsZero() && h.cancelled.IsZero() && !h.accepted.IsZero() {
--- a/internal/testkit/constraints_test.go
+++ b/internal/testkit/constraints_test.go
@@ -67,23 +67,23 @@
 
 func termsUnderTroubles(t *testing.T, seed uint64) {
 	w := newCluster(t, seed)
-	w.accounts = true
+	w.accountingEnabled = true
 	began := map[string]time.Time{}
 	fails := map[string]bool{"j-fails/1": true, "j-fails/3": true}
 	for _, k := range w.workers {
-		k.Started = func(task string, _ uint64) {
+		k.OnStart = func(task string, _ uint64) {
 			if _, again := began[task]; !again {
 				began[task] = time.Now()
 			}
 		}
-		k.Exit = func(task string) int {
+		k.ExitCode = func(task string) int {
 			if fails[task] {
 				return 3
 			}
 			return 0
 		}
 	}
-	w.startNodes()
+	w.startControllers()
 	time.Sleep(2 * time.Second)
 	now := time.Now()
 	dep := func(kind, uid string) []jobspec.Dependency { return []jobspec.Dependency{{Kind: kind, Job: uid}} }
@@ -107,7 +107,7 @@
 	}
 	for i := range jobs {
 		jobs[i].t.Number = uint64(100 * (i + 1))
-		w.submitWith(jobs[i].uid, jobs[i].tasks, &jobs[i].t)
+		w.submitConstrained(jobs[i].uid, jobs[i].tasks, &jobs[i].t)
 	}
 	over := func(uid string) bool { return len(w.store.Keys("final/"+uid)) > 0 }
 	dropped := false
@@ -120,7 +120,7 @@
 		on := map[string]int{}
 		w.mu.Lock()
 		for _, k := range w.workers {
-			for _, task := range k.On() {
+			for _, task := range k.UnfinishedTasks() {
 				on[strings.Split(task, "/")[0]]++
 			}
 		}
@@ -194,7 +194,7 @@
 func TestAccountingContinuesAfterLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 3)
-		w.accounts = true
+		w.accountingEnabled = true
 		w.reliableStore = true
 		odd := false
 		pages := func() (sum uint64) {
@@ -223,7 +223,7 @@
 		for end := time.Now().Add(5 * time.Minute); len(w.store.Keys("final/")) < 6; {
 			if came < 6 && len(w.store.Keys("live/")) == 0 { // one wave after the other
 				for range 2 {
-					w.submitWith(fmt.Sprintf("j-%d", came), 2, &jobspec.Constraints{Number: uint64(10 * (came + 1))})
+					w.submitConstrained(fmt.Sprintf("j-%d", came), 2, &jobspec.Constraints{Number: uint64(10 * (came + 1))})
 					came++
 				}
 			}
--- a/internal/testkit/deposed_leader_test.go
+++ b/internal/testkit/deposed_leader_test.go
@@ -20,49 +20,49 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, 1600+seed)
 				w.bigger(3, 6)
-				w.keepCuts, w.losslessReports, w.reliableStore = true, true, true
+				w.keepBrokenLinks, w.losslessReports, w.reliableStore = true, true, true
 				u := newCloseUsers(w)
 				for _, k := range w.workers {
-					k.Run = func(task string) time.Duration {
+					k.RunTime = func(task string) time.Duration {
 						if strings.HasSuffix(task, "/1") {
 							return 40 * time.Second // its job goes on, so that the log is written
 						}
 						return 4 * time.Second
 					}
 				}
-				w.startNodes()
-				w.live(5)
+				w.startControllers()
+				w.runFor(5)
 				former := w.leader()
 				const jobs = 12
 				for i := range jobs {
 					job := fmt.Sprintf("j-%d", 100+i)
 					u.pending.Go(func() { u.follow(job, 1+i%2, 0, 2*time.Minute) })
 				}
-				if !w.within(10, func() bool { return w.starts >= jobs*3/2 }) {
-					t.Fatalf("%d tasks started", w.starts)
+				if !w.runUntil(10, func() bool { return w.startCount >= jobs*3/2 }) {
+					t.Fatalf("%d tasks started", w.startCount)
 				}
 				for i, k := range w.workers { // half of them are the former leader's
 					if i%2 == 0 {
-						w.cutAll(k.Name, w.others(former)...)
+						w.breakLinks(k.Name, w.otherControllers(former)...)
 					} else {
-						w.cutAll(k.Name, former)
+						w.breakLinks(k.Name, former)
 					}
 				}
-				w.cutAll(former, append(w.others(former), stateService)...)
-				w.live(5)
+				w.breakLinks(former, append(w.otherControllers(former), stateService)...)
+				w.runFor(5)
 				u.submitted("j-200", 40) // has the successor write
 				w.submit("j-200", 40)
-				w.live(6)
+				w.runFor(6)
 				for i := range jobs {
 					job := fmt.Sprintf("j-%d", 100+i)
-					if h := u.seen.history(job); !h.ended.IsZero() && w.store.Text("final/"+job) == "" {
+					if h := u.seen.history(job); !h.ended.IsZero() && w.store.RawValue("final/"+job) == "" {
 						unrecorded++
 					}
 				}
-				w.locked(func() {
+				w.withLock(func() {
 					w.watchLag = func() time.Duration { return 3 * time.Second } // it hears late that it lost its shards
 				})
-				w.healLinks(former, append(w.others(former), stateService)...)
+				w.healLinks(former, append(w.otherControllers(former), stateService)...)
 				asks := func() {
 					for i := range jobs {
 						u.look(fmt.Sprintf("j-%d", 100+i), 1+i%2)
@@ -70,10 +70,10 @@
 				}
 				for range 4 {
 					u.pending.Go(asks)
-					w.live(1)
+					w.runFor(1)
 				}
-				w.healed()
-				w.live(60)
+				w.healAllLinks()
+				w.runFor(60)
 				u.finish(t)
 				for job, h := range u.seen.jobs {
 					if h.done.IsZero() && job != "j-200" {
--- a/internal/testkit/drawn_faults_test.go
+++ b/internal/testkit/drawn_faults_test.go
@@ -15,9 +15,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// drawnCluster plays one drawn case on a new cluster, whose first broken rule fails the case
+// runDrawnCase plays one drawn case on a new cluster, whose first broken rule fails the case
 // and not the whole test, so that a smaller case can be looked for.
-func drawnCluster(t *testing.T, rt *rapid.T, seed uint64, controllers, workers int, play func(w *cluster)) {
+func runDrawnCase(t *testing.T, rt *rapid.T, seed uint64, controllers, workers int, play func(w *cluster)) {
 	var w *cluster
 	synctest.Test(t, func(t *testing.T) {
 		w = newCluster(t, seed)
@@ -27,7 +27,7 @@
 			}
 		}
 		w.bigger(controllers, workers)
-		w.startNodes()
+		w.startControllers()
 		time.Sleep(2 * time.Second)
 		play(w)
 		w.stopAll()
@@ -45,7 +45,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, seed)
-				w.startNodes()
+				w.startControllers()
 				time.Sleep(2 * time.Second)
 				const jobs = 6
 				for i := range jobs {
--- a/internal/testkit/drawn_outages_test.go
+++ b/internal/testkit/drawn_outages_test.go
@@ -13,19 +13,19 @@
 // outageJobs is how many jobs with long tasks run.
 const outageJobs = 6
 
-// outageAct is what happens at a second.
-type outageAct struct{ At, What, Who, Other int }
+// outageAction is what happens at a second.
+type outageAction struct{ Second, Kind, Controller, Target int }
 
 // outagePhase is a time before an outage, and the outage.
 type outagePhase struct {
-	Refused, Apart, Alone bool // the leader by the state service, the peers, all but its workers
-	Before, Outage        int  // seconds
-	Acts                  []outageAct
+	LeaderCutFromStore, LeaderCutFromPeers, WorkersReachOnlyLeader bool // the leader by the state service, the peers, all but its workers
+	SecondsBefore, OutageSeconds                                   int  // seconds
+	Actions                                                        []outageAction
 }
 
 func drawOutagePhases(rt *rapid.T) []outagePhase {
-	acts := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) outageAct {
-		return outageAct{
+	acts := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) outageAction {
+		return outageAction{
 			rapid.IntRange(0, 30).Draw(rt, "at"), rapid.IntRange(0, 9).Draw(rt, "what"),
 			rapid.IntRange(0, 4).Draw(rt, "who"), rapid.IntRange(0, 11).Draw(rt, "other"),
 		}
@@ -47,89 +47,89 @@
 		phases := drawOutagePhases(rt)
 		controllers := rapid.IntRange(3, 5).Draw(rt, "controllers")
 		seed := rapid.Uint64().Draw(rt, "seed")
-		drawnCluster(t, rt, seed, controllers, 8, func(w *cluster) {
-			w.long()
+		runDrawnCase(t, rt, seed, controllers, 8, func(w *cluster) {
+			w.setLongTasks()
 			for i := range outageJobs {
 				w.submit(fmt.Sprintf("j-%d", 80+i), 3)
 			}
 			w.submit("j-1", 20)
-			w.keepCuts = true
-			w.live(12)
+			w.keepBrokenLinks = true
+			w.runFor(12)
 			for i := range phases {
 				w.playOutagePhase(&phases[i])
 			}
-			w.live(25)
+			w.runFor(25)
 			w.checkAfterOutages()
 		})
 	})
 }
 
-// carryOut carries out an act.
-func (w *cluster) carryOut(a outageAct, leader string) {
-	name, other := w.names[a.Who%len(w.names)], w.names[a.Other%len(w.names)]
-	uid := fmt.Sprintf("j-%d", 80+a.Other%outageJobs)
-	switch a.What {
+// performAction carries out an act.
+func (w *cluster) performAction(a outageAction, leader string) {
+	name, other := w.controllerNames[a.Controller%len(w.controllerNames)], w.controllerNames[a.Target%len(w.controllerNames)]
+	uid := fmt.Sprintf("j-%d", 80+a.Target%outageJobs)
+	switch a.Kind {
 	case 0, 1, 2, 3:
 		for i := 0; i < 6; i++ {
-			if _, ok := w.user(name, http.MethodPost, uid); ok {
+			if _, ok := w.userRequest(name, http.MethodPost, uid); ok {
 				break
 			}
-			w.live(1)
+			w.runFor(1)
 		}
 	case 4:
-		w.user(name, http.MethodGet, uid)
+		w.userRequest(name, http.MethodGet, uid)
 	case 5:
-		w.restart(name, time.Duration(100+400*a.Other)*time.Millisecond)
+		w.restart(name, time.Duration(100+400*a.Target)*time.Millisecond)
 	case 6:
-		w.healLinks(leader, w.others(leader)...)
+		w.healLinks(leader, w.otherControllers(leader)...)
 	case 7:
 		if name != other {
-			w.cutAll(name, other)
+			w.breakLinks(name, other)
 		}
 	case 8:
-		w.workersHear(w.names...)
+		w.connectWorkersOnlyTo(w.controllerNames...)
 	case 9:
-		w.release()
+		w.deliverHeldCommands()
 		for _, n := range w.nodes {
-			n.view.Deliver()
+			n.view.ApplyHeld()
 		}
 	}
 }
 
 // playOutagePhase plays a phase, after which all links are healed.
 func (w *cluster) playOutagePhase(ph *outagePhase) {
-	leader := w.names[0]
-	for _, n := range w.names {
+	leader := w.controllerNames[0]
+	for _, n := range w.controllerNames {
 		if len(w.nodes[n].member.LedShards()) > 0 {
 			leader = n
 		}
 	}
-	if ph.Refused {
-		w.refuse(leader)
+	if ph.LeaderCutFromStore {
+		w.cutFromStateService(leader)
 	}
-	for _, x := range w.names {
-		if ph.Apart && x != leader {
-			w.cutAll(leader, x)
+	for _, x := range w.controllerNames {
+		if ph.LeaderCutFromPeers && x != leader {
+			w.breakLinks(leader, x)
 		}
 	}
-	if ph.Alone {
-		w.workersHear(leader)
+	if ph.WorkersReachOnlyLeader {
+		w.connectWorkersOnlyTo(leader)
 	}
 	// Acts come before the outage, and up to 15 s into it.
-	left := slices.Clone(ph.Acts)
-	for s := 0; s < ph.Before+ph.Outage; s++ {
-		if s == ph.Before {
-			w.refuse(w.names...)
+	left := slices.Clone(ph.Actions)
+	for s := 0; s < ph.SecondsBefore+ph.OutageSeconds; s++ {
+		if s == ph.SecondsBefore {
+			w.cutFromStateService(w.controllerNames...)
 		}
 		for _, a := range left {
-			if a.At%(ph.Before+15) == s {
-				w.carryOut(a, leader)
+			if a.Second%(ph.SecondsBefore+15) == s {
+				w.performAction(a, leader)
 			}
 		}
-		w.live(1)
+		w.runFor(1)
 	}
-	w.healed()
-	w.live(15)
+	w.healAllLinks()
+	w.runFor(15)
 }
 
 // checkAfterOutages fails if a controller does not know a job, or one that was not cancelled
@@ -137,13 +137,13 @@
 func (w *cluster) checkAfterOutages() {
 	for i := range outageJobs {
 		uid := fmt.Sprintf("j-%d", 80+i)
-		for _, n := range w.names {
+		for _, n := range w.controllerNames {
 			// An answer that a lost reply made unsure is sure a moment later.
-			_, ok := w.user(n, http.MethodGet, uid)
+			_, ok := w.userRequest(n, http.MethodGet, uid)
 			for range 3 {
 				if !ok {
-					w.live(1)
-					_, ok = w.user(n, http.MethodGet, uid)
+					w.runFor(1)
+					_, ok = w.userRequest(n, http.MethodGet, uid)
 				}
 			}
 			if !ok {
@@ -152,7 +152,7 @@
 		}
 	}
 	for end := time.Now().Add(5 * time.Minute); w.violation == "" && len(w.store.Keys("final/j-1")) < 1 && time.Now().Before(end); {
-		w.live(1)
+		w.runFor(1)
 	}
 	if w.violation == "" && len(w.store.Keys("final/j-1")) < 1 {
 		w.fail("a job that was not cancelled did not end")
--- a/internal/testkit/drawn_team_limits_test.go
+++ b/internal/testkit/drawn_team_limits_test.go
@@ -13,70 +13,72 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// drawnTroubles are the faults of a drawn case, of which each second some begin and
+// drawnTeamFaults are the faults of a drawn case, of which each second some begin and
 // others end. It counts what coincided.
-type drawnTroubles struct {
+type drawnTeamFaults struct {
 	*teamCluster
-	away     map[*testkit.Worker]int // workers cut off, by the seconds left
-	hung     map[*testkit.Worker]int
-	changes  int // of the leader, while a team was held by its limit and workers were away
-	confirms int // cancels of jobs with tasks on workers that were away
-	wentOn   int // cancelled tasks that went on after their worker hung
-	late     int // commands that came late
+	cutSeconds              map[*testkit.Worker]int // workers cut off, by the seconds left
+	hungSeconds             map[*testkit.Worker]int
+	leaderChangesAtLimit    int // of the leader, while a team was held by its limit and workers were away
+	cancelsWhileUnreachable int // cancels of jobs with tasks on workers that were away
+	cancelledTasksResumed   int // cancelled tasks that went on after their worker hung
+	lateCommands            int // commands that came late
 }
 
-// unaskable reports whether nobody can ask the worker now.
-func (d *drawnTroubles) unaskable(k *testkit.Worker) bool { return d.away[k] > 0 || d.hung[k] > 0 }
+// isUnreachable reports whether nobody can ask the worker now.
+func (d *drawnTeamFaults) isUnreachable(k *testkit.Worker) bool {
+	return d.cutSeconds[k] > 0 || d.hungSeconds[k] > 0
+}
 
-// strike begins a drawn fault.
-func (d *drawnTroubles) strike(jobs []string) {
-	k := d.workers[d.draw(len(d.workers))]
-	if with := d.machinesOf(jobs[d.draw(len(jobs))]); len(with) > 0 {
+// beginFault begins a drawn fault.
+func (d *drawnTeamFaults) beginFault(jobs []string) {
+	k := d.workers[d.planIntN(len(d.workers))]
+	if with := d.workersWithTasksOf(jobs[d.planIntN(len(jobs))]); len(with) > 0 {
 		k = with[0]
 	}
-	switch d.draw(11) {
+	switch d.planIntN(11) {
 	case 0, 1:
-		if !k.Hangs() {
+		if !k.IsHung() {
 			d.hang(k)
-			d.hung[k] = 2 + d.draw(10)
-			if d.draw(2) == 0 { // what is sent to it comes later still, or never
-				d.cutAll(k.Name, d.names...)
-				d.away[k] = d.hung[k] + d.draw(5)
+			d.hungSeconds[k] = 2 + d.planIntN(10)
+			if d.planIntN(2) == 0 { // what is sent to it comes later still, or never
+				d.breakLinks(k.Name, d.controllerNames...)
+				d.cutSeconds[k] = d.hungSeconds[k] + d.planIntN(5)
 			}
 		}
 	case 2:
-		d.cutAll(k.Name, d.names...)
-		d.away[k] = 1 + d.draw(13)
+		d.breakLinks(k.Name, d.controllerNames...)
+		d.cutSeconds[k] = 1 + d.planIntN(13)
 	case 3:
-		d.unheard(k, d.names...)
-		d.away[k] = 1 + d.draw(13)
+		d.breakLinksTo(k, d.controllerNames...)
+		d.cutSeconds[k] = 1 + d.planIntN(13)
 	case 10: // it reaches one controller alone, which need not lead
-		d.cutAll(k.Name, d.others(d.names[d.draw(len(d.names))])...)
-		d.away[k] = 5 + d.draw(13)
+		d.breakLinks(k.Name, d.otherControllers(d.controllerNames[d.planIntN(len(d.controllerNames))])...)
+		d.cutSeconds[k] = 5 + d.planIntN(13)
 	case 4, 5:
 		d.changeLeader()
 	case 6, 9:
-		uid := jobs[d.draw(len(jobs))]
-		if hung := d.livingOnHung(jobs); hung != "" { // rather one that goes on in a moment
+		uid := jobs[d.planIntN(len(jobs))]
+		if hung := d.jobOnHungWorker(jobs); hung != "" { // rather one that goes on in a moment
 			uid = hung
 		}
-		d.cancel(uid)
+		d.cancelAtAnyController(uid)
 	case 7:
-		d.late += d.release()
+		d.lateCommands += d.deliverHeldCommands()
 	case 8:
-		for _, n := range d.names {
-			d.nodes[n].view.Deliver()
+		for _, n := range d.controllerNames {
+			d.nodes[n].view.ApplyHeld()
 		}
 	}
 }
 
-// livingOnHung names one of the jobs that is not cancelled and has a task on a worker that
+// jobOnHungWorker names one of the jobs that is not cancelled and has a task on a worker that
 // hangs; "" if there is none.
-func (d *drawnTroubles) livingOnHung(jobs []string) (uid string) {
+func (d *drawnTeamFaults) jobOnHungWorker(jobs []string) (uid string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for k := range d.hung {
-		for _, task := range k.On() {
+	for k := range d.hungSeconds {
+		for _, task := range k.UnfinishedTasks() {
 			if on, _, _ := strings.Cut(task, "/"); slices.Contains(jobs, on) && d.confirmedCancels[on].IsZero() {
 				uid = on
 			}
@@ -85,95 +87,95 @@
 	return uid
 }
 
-// cancelWhileHung has a worker with tasks of a job that was not cancelled hang, out of
+// hangWorkerOfJob has a worker with tasks of a job that was not cancelled hang, out of
 // reach too, so that nothing that is sent to it comes before it goes on, and the job's
 // user cancel it. It returns the job, or "" if none has tasks on workers.
-func (d *drawnTroubles) cancelWhileHung(jobs []string) string {
+func (d *drawnTeamFaults) hangWorkerOfJob(jobs []string) string {
 	for _, uid := range jobs {
-		if ks := d.machinesOf(uid); d.confirmedCancels[uid].IsZero() && len(ks) > 0 && !ks[0].Hangs() {
+		if ks := d.workersWithTasksOf(uid); d.confirmedCancels[uid].IsZero() && len(ks) > 0 && !ks[0].IsHung() {
 			d.hang(ks[0])
-			d.cutAll(ks[0].Name, d.names...)
-			d.hung[ks[0]] = 3 + d.draw(4)
-			d.away[ks[0]] = d.hung[ks[0]] + 2
+			d.breakLinks(ks[0].Name, d.controllerNames...)
+			d.hungSeconds[ks[0]] = 3 + d.planIntN(4)
+			d.cutSeconds[ks[0]] = d.hungSeconds[ks[0]] + 2
 			return uid
 		}
 	}
 	return ""
 }
 
-// cancel has a job's user ask all controllers until one confirms.
-func (d *drawnTroubles) cancel(uid string) {
-	there := slices.ContainsFunc(d.machinesOf(uid), d.unaskable)
+// cancelAtAnyController has a job's user ask all controllers until one confirms.
+func (d *drawnTeamFaults) cancelAtAnyController(uid string) {
+	there := slices.ContainsFunc(d.workersWithTasksOf(uid), d.isUnreachable)
 	known := !d.confirmedCancels[uid].IsZero()
-	for _, n := range d.names {
-		if stage, heard := d.user(n, http.MethodPost, uid); heard && stage == wire.StageCancelled {
+	for _, n := range d.controllerNames {
+		if stage, heard := d.userRequest(n, http.MethodPost, uid); heard && stage == wire.StageCancelled {
 			if there && !known {
-				d.confirms++
+				d.cancelsWhileUnreachable++
 			}
 			return
 		}
 	}
 }
 
-func (d *drawnTroubles) changeLeader() {
+func (d *drawnTeamFaults) changeLeader() {
 	l := d.leader()
 	if l == "" {
 		return
 	}
-	if len(d.away)+len(d.hung) > 0 && (d.heldByLimit("capped") || d.heldByLimit("assured")) {
-		d.changes++
+	if len(d.cutSeconds)+len(d.hungSeconds) > 0 && (d.heldByLimit("capped") || d.heldByLimit("assured")) {
+		d.leaderChangesAtLimit++
 	}
-	switch d.draw(4) {
+	switch d.planIntN(4) {
 	case 0:
 		d.crash(l)
 	case 1:
-		d.restart(l, time.Duration(d.draw(1000))*time.Millisecond)
+		d.restart(l, time.Duration(d.planIntN(1000))*time.Millisecond)
 	case 2:
-		others := d.others(l)
-		_ = d.nodes[l].member.TransferShards(context.Background(), others[d.draw(len(others))]) // may fail, as anything here
+		others := d.otherControllers(l)
+		_ = d.nodes[l].member.TransferShards(context.Background(), others[d.planIntN(len(others))]) // may fail, as anything here
 	case 3:
-		d.cutAll(l, append(d.others(l), stateService)...)
+		d.breakLinks(l, append(d.otherControllers(l), stateService)...)
 	}
-	d.startOthers(l)
+	d.startStoppedExcept(l)
 }
 
-// startOthers starts the controllers that are down, but one.
-func (d *drawnTroubles) startOthers(but string) {
-	for _, n := range d.names {
+// startStoppedExcept starts the controllers that are down, but one.
+func (d *drawnTeamFaults) startStoppedExcept(but string) {
+	for _, n := range d.controllerNames {
 		if n != but && d.nodes[n].down {
 			d.start(n)
 		}
 	}
 }
 
-// second ends the faults whose time is up.
-func (d *drawnTroubles) second() {
-	for k := range d.away {
-		if d.away[k]--; d.away[k] <= 0 {
-			d.healLinks(k.Name, d.names...)
-			delete(d.away, k)
+// endDueFaults ends the faults whose time is up.
+func (d *drawnTeamFaults) endDueFaults() {
+	for k := range d.cutSeconds {
+		if d.cutSeconds[k]--; d.cutSeconds[k] <= 0 {
+			d.healLinks(k.Name, d.controllerNames...)
+			delete(d.cutSeconds, k)
 		}
 	}
-	for k := range d.hung {
-		if d.hung[k]--; d.hung[k] <= 0 {
+	for k := range d.hungSeconds {
+		if d.hungSeconds[k]--; d.hungSeconds[k] <= 0 {
 			d.resume(k)
-			delete(d.hung, k)
+			delete(d.hungSeconds, k)
 			d.mu.Lock()
-			for _, task := range k.On() {
+			for _, task := range k.UnfinishedTasks() {
 				uid, _, _ := strings.Cut(task, "/")
 				if slices.Contains(d.workers, k) && !d.confirmedCancels[uid].IsZero() {
-					d.wentOn++
+					d.cancelledTasksResumed++
 				}
 			}
 			d.mu.Unlock()
 		}
 	}
-	for _, n := range d.names {
-		if d.draw(8) == 0 {
-			d.healLinks(n, append(d.others(n), stateService)...)
+	for _, n := range d.controllerNames {
+		if d.planIntN(8) == 0 {
+			d.healLinks(n, append(d.otherControllers(n), stateService)...)
 		}
 	}
-	d.live(1)
+	d.runFor(1)
 }
 
 // Teams at their limits meet drawn faults: workers are cut off, hear nothing or hang,
@@ -183,61 +185,61 @@
 func TestTeamLimitsUnderDrawnFaults(t *testing.T) {
 	t.Parallel()
 	const perRound = 4
-	var seen drawnTroubles
+	var seen drawnTeamFaults
 	for seed := range uint64(perRound * *rounds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			teamsAtLimits(t, 3000+seed, func(c *teamCluster) {
-				d := &drawnTroubles{teamCluster: c, away: map[*testkit.Worker]int{}, hung: map[*testkit.Worker]int{}}
+				d := &drawnTeamFaults{teamCluster: c, cutSeconds: map[*testkit.Worker]int{}, hungSeconds: map[*testkit.Worker]int{}}
 				if seed%2 == 1 {
-					c.delayLinks(func() time.Duration { return time.Duration(50+c.rnd.IntN(1100)) * time.Millisecond })
+					c.delayLinks(func() time.Duration { return time.Duration(50+c.messageRand.IntN(1100)) * time.Millisecond })
 				}
 				long := []string{"j-80", "j-81", "j-82", "j-83"}
 				hung := "" // the job that is cancelled while its worker hangs
 				for second := range 60 {
 					if second%6 == 0 { // so that both teams stay at their limits
 						uid := fmt.Sprintf("j-9%d", second)
-						team := limitedTeams[1+d.draw(2)].Name
-						d.job(uid, team, []string{"low", "normal", "urgent"}[d.draw(3)], 1+d.draw(3), float64(1+d.draw(2)))
+						team := limitedTeams[1+d.planIntN(2)].Name
+						d.submitArray(uid, team, []string{"low", "normal", "urgent"}[d.planIntN(3)], 1+d.planIntN(3), float64(1+d.planIntN(2)))
 						long = append(long, uid)
 					}
 					if second%10 == 2 {
-						hung = d.cancelWhileHung(long)
+						hung = d.hangWorkerOfJob(long)
 					}
 					if hung != "" && d.confirmedCancels[hung].IsZero() {
-						d.cancel(hung)
+						d.cancelAtAnyController(hung)
 					}
-					for range d.draw(3) {
-						d.strike(long)
+					for range d.planIntN(3) {
+						d.beginFault(long)
 					}
-					d.second()
+					d.endDueFaults()
 				}
 				c.delayLinks(nil)
-				c.startAll()
-				c.healed()
-				for k := range d.hung {
+				c.startStopped()
+				c.healAllLinks()
+				for k := range d.hungSeconds {
 					d.resume(k)
 				}
-				d.late += d.release()
-				for _, n := range c.names {
-					c.nodes[n].view.Deliver()
+				d.lateCommands += d.deliverHeldCommands()
+				for _, n := range c.controllerNames {
+					c.nodes[n].view.ApplyHeld()
 				}
 				for _, uid := range long { // so that the others get their turn
-					for _, n := range c.names {
-						c.cancelAll(n, []string{uid}, 20)
+					for _, n := range c.controllerNames {
+						c.cancelJobs(n, []string{uid}, 20)
 					}
 				}
 				c.finishes(append(long, "j-1", "j-2", "j-3", "j-4", "j-5")...)
-				seen.changes += min(d.changes, 1)
-				seen.confirms += min(d.confirms, 1)
-				seen.wentOn += min(d.wentOn, 1)
-				seen.late += min(d.late, 1)
+				seen.leaderChangesAtLimit += min(d.leaderChangesAtLimit, 1)
+				seen.cancelsWhileUnreachable += min(d.cancelsWhileUnreachable, 1)
+				seen.cancelledTasksResumed += min(d.cancelledTasksResumed, 1)
+				seen.lateCommands += min(d.lateCommands, 1)
 			})
 		})
 	}
 	t.Logf("of %d cases: the leader changed at a limit with machines away in %d, a cancel of their tasks was confirmed in %d, "+
-		"cancelled tasks went on after a hang in %d, commands came late in %d", perRound**rounds, seen.changes, seen.confirms, seen.wentOn, seen.late)
+		"cancelled tasks went on after a hang in %d, commands came late in %d", perRound**rounds, seen.leaderChangesAtLimit, seen.cancelsWhileUnreachable, seen.cancelledTasksResumed, seen.lateCommands)
 	const seldom = 8 // one in so many cases must have had each
-	for _, n := range []int{seen.changes, seen.confirms, seen.wentOn, seen.late} {
+	for _, n := range []int{seen.leaderChangesAtLimit, seen.cancelsWhileUnreachable, seen.cancelledTasksResumed, seen.lateCommands} {
 		if n*seldom < perRound**rounds {
 			t.Errorf("the troubles coincided too rarely")
 		}
--- a/internal/testkit/invalid_requests_test.go
+++ b/internal/testkit/invalid_requests_test.go
@@ -103,16 +103,16 @@
 // Odd requests get the answer of the protocol, the same at every controller and in every
 // state of it: one that can't decide says 503. Nothing is accepted that can't run.
 func TestInvalidRequestsGetSameAnswerOnEveryController(t *testing.T) {
-	onCluster(t, 3700, 3, 8, func(w *cluster) {
+	runOnCluster(t, 3700, 3, 8, func(w *cluster) {
 		w.cfg.Params.Teams = []config.Team{{Name: "t"}, {Name: "small", CPUsMax: 2}}
-		for _, name := range w.names {
+		for _, name := range w.controllerNames {
 			w.restart(name, 0) // with these teams
 		}
-		w.live(8)
+		w.runFor(8)
 		for _, n := range w.nodes {
-			n.view.Lose, n.view.Late = nil, nil
+			n.view.LoseResponse, n.view.Hold = nil, nil
 		}
-		blind := w.names[2]
+		blind := w.controllerNames[2]
 		n := w.nodes[blind]
 		states := []struct {
 			name       string
@@ -121,7 +121,7 @@
 			out        bool   // nobody reaches the state service
 		}{
 			{"all well", func() {}, func() {}, "", false},
-			{"one is refused by the state service", func() { w.refuse(w.names[0]); w.live(2) }, w.healed, "", false},
+			{"one is refused by the state service", func() { w.cutFromStateService(w.controllerNames[0]); w.runFor(2) }, w.healAllLinks, "", false},
 			{"one does not know the machine types", func() {
 				op, err := config.LoadOperator("")
 				if err != nil {
@@ -134,18 +134,18 @@
 				})
 				in.Register(n.mux)
 			}, func() { n.mux = http.NewServeMux(); n.submission.Register(n.mux) }, blind, false},
-			{"the leader is away", func() { w.crash(w.leader()) }, w.startAll, "", false},
-			{"the state service is out", func() { w.refuse(w.names...); w.live(1) }, w.healed, "", true},
+			{"the leader is away", func() { w.crash(w.leader()) }, w.startStopped, "", false},
+			{"the state service is out", func() { w.cutFromStateService(w.controllerNames...); w.runFor(1) }, w.healAllLinks, "", true},
 		}
 		odd := oddSubmissions()
 		accepted := 0
 		for s, state := range states {
-			w.live(3)
+			w.runFor(3)
 			state.begin()
 			for i, o := range odd {
 				uid := fmt.Sprintf("j-9%d-%d", s, i) // whose tasks run for long: a replica never ends
 				known := false
-				for _, name := range w.names {
+				for _, name := range w.controllerNames {
 					if w.nodes[name].down {
 						continue
 					}
@@ -171,7 +171,7 @@
 					accepted++
 				}
 			}
-			for _, name := range w.names {
+			for _, name := range w.controllerNames {
 				if w.nodes[name].down {
 					continue
 				}
@@ -207,17 +207,17 @@
 // done, with every other body, at all controllers, and cancels the one that is done.
 func (w *cluster) repeatsAreAnsweredByState(odd []oddSubmission) {
 	w.t.Helper()
-	w.live(10)
+	w.runFor(10)
 	for uid, pieces := range map[string]int{"j-80": 2, "j-7": 1} {
 		if got, _ := w.request("a", http.MethodPost, "/api/jobs", submissionWith(uid, map[string]any{"pieces": pieces})); got != http.StatusCreated {
 			w.t.Fatalf("%s: %d", uid, got)
 		}
 	}
-	if !w.within(60, func() bool { return w.onMachines("j-80") == 2 && w.ended("j-7")() }) {
+	if !w.runUntil(60, func() bool { return w.unfinishedTasks("j-80") == 2 && w.jobsEnded("j-7")() }) {
 		w.t.Fatal("one job does not run, or the other is not done")
 	}
-	w.live(3)
-	for _, name := range w.names {
+	w.runFor(3)
+	for _, name := range w.controllerNames {
 		for uid, want := range map[string]string{"j-80": wire.StageRunning, "j-7": wire.StageDone} {
 			for _, o := range odd {
 				got, state := w.request(name, http.MethodPost, "/api/jobs", submissionWith(uid, o.change))
@@ -232,7 +232,7 @@
 		}
 	}
 	time.Sleep(time.Second)
-	if n := w.onMachines("j-80"); n != 2 {
+	if n := w.unfinishedTasks("j-80"); n != 2 {
 		w.t.Errorf("%d of 2 tasks are on after the repeats", n)
 	}
 }
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -30,16 +30,16 @@
 	cancelNever = -1
 )
 
-// streamed is a one-task job of a stream.
-type streamed struct {
-	uid      string
-	cancelAt int
-	asked    bool // its user has called it off
-	placed   bool // its place was being recorded, or later
-	started  time.Time
-	accepted time.Time
-	answered time.Time     // when a question about it was last answered
-	silent   time.Duration // the longest time without an answer
+// streamedJob is a one-task job of a stream.
+type streamedJob struct {
+	uid             string
+	cancelAt        int
+	cancelRequested bool // its user has called it off
+	placed          bool // its place was being recorded, or later
+	started         time.Time
+	accepted        time.Time
+	lastAnswer      time.Time     // when a question about it was last answered
+	longestSilence  time.Duration // the longest time without an answer
 }
 
 // jobStream has users submit one-task jobs at all controllers, ask for them and cancel some.
@@ -47,41 +47,41 @@
 	*cluster
 	users sync.WaitGroup
 
-	jobs      sync.Mutex // guards what follows
-	all       []*streamed
-	byUID     map[string]*streamed
-	fell      [cancelStages]int // cancels asked for at each stage
-	polls     int
-	unsure    int // questions without an answer
-	launches  int // starts of cancelled jobs whose command was on its way
-	lateStart []string
-	writes    map[string]int // changes sent to the state service, by the first part of their keys
-	perSecond map[int64]int
+	jobsMu          sync.Mutex // guards what follows
+	allJobs         []*streamedJob
+	byUID           map[string]*streamedJob
+	cancelCounts    [cancelStages]int // cancels asked for at each stage
+	polls           int
+	unansweredPolls int // questions without an answer
+	startsInFlight  int // starts of cancelled jobs whose command was on its way
+	lateStarts      []string
+	writes          map[string]int // changes sent to the state service, by the first part of their keys
+	writesPerSecond map[int64]int
 }
 
-// any draws a controller that is up.
-func (s *jobStream) any() string {
+// anyController draws a controller that is up.
+func (s *jobStream) anyController() string {
 	for {
-		if name := s.names[s.draw(len(s.names))]; !s.isDown(name) {
+		if name := s.controllerNames[s.planIntN(len(s.controllerNames))]; !s.isDown(name) {
 			return name
 		}
 	}
 }
 
-// cancel calls a job off, once, and comes back until its user hears how it is.
-func (s *jobStream) cancel(job *streamed, stage int) {
-	s.jobs.Lock()
-	due := !job.asked && job.cancelAt == stage
+// cancelAtStage calls a job off, once, and comes back until its user hears how it is.
+func (s *jobStream) cancelAtStage(job *streamedJob, stage int) {
+	s.jobsMu.Lock()
+	due := !job.cancelRequested && job.cancelAt == stage
 	if due {
-		job.asked = true
-		s.fell[stage]++
+		job.cancelRequested = true
+		s.cancelCounts[stage]++
 	}
-	s.jobs.Unlock()
+	s.jobsMu.Unlock()
 	for range 60 {
 		if !due {
 			return
 		}
-		if _, heard := s.user(s.any(), http.MethodPost, job.uid); heard {
+		if _, heard := s.userRequest(s.anyController(), http.MethodPost, job.uid); heard {
 			return
 		}
 		time.Sleep(time.Second)
@@ -89,74 +89,76 @@
 	s.fail("nobody says how %s is, which was cancelled at stage %d", job.uid, stage)
 }
 
-// later is cancel for callers that hold locks.
-func (s *jobStream) later(job *streamed, stage int) { s.users.Go(func() { s.cancel(job, stage) }) }
+// cancelAtStageAsync is cancel for callers that hold locks.
+func (s *jobStream) cancelAtStageAsync(job *streamedJob, stage int) {
+	s.users.Go(func() { s.cancelAtStage(job, stage) })
+}
 
-// watchStages has the jobs cancelled at their stages.
-func (s *jobStream) watchStages() {
+// setCancelHooks has the jobs cancelled at their stages.
+func (s *jobStream) setCancelHooks() {
 	s.onInstructions = func(d dispatch.Instructions) {
 		for _, e := range d.Assign {
 			if job := s.jobOf(e.Task); job != nil && !e.Reported {
-				s.later(job, cancelQueued)
+				s.cancelAtStageAsync(job, cancelQueued)
 			}
 		}
 	}
 	s.onCommands = func(_ string, o wire.Orders) {
 		for _, c := range o.Commands {
 			if job := s.jobOf(c.Task); job != nil && c.Verb == wire.VerbStart {
-				s.cancel(job, cancelLaunching) // confirmed before the command arrives
+				s.cancelAtStage(job, cancelLaunching) // confirmed before the command arrives
 			}
 		}
 	}
 	for _, k := range s.workers {
-		started := k.Started
-		k.Started = func(task string, attempt uint64) {
+		started := k.OnStart
+		k.OnStart = func(task string, attempt uint64) {
 			started(task, attempt)
-			s.sawStart(s.jobOf(task))
+			s.noteStart(s.jobOf(task))
 		}
-		k.Exit = func(task string) int {
+		k.ExitCode = func(task string) int {
 			if job := s.jobOf(task); job != nil {
-				s.later(job, cancelEnded)
+				s.cancelAtStageAsync(job, cancelEnded)
 			}
 			return 0
 		}
 	}
 }
 
-// sawStart notes a start; the caller holds the cluster's lock.
-func (s *jobStream) sawStart(job *streamed) {
+// noteStart notes a start; the caller holds the cluster's lock.
+func (s *jobStream) noteStart(job *streamedJob) {
 	if job == nil {
 		return
 	}
-	s.jobs.Lock()
-	defer s.jobs.Unlock()
+	s.jobsMu.Lock()
+	defer s.jobsMu.Unlock()
 	if job.started.IsZero() {
 		job.started = time.Now()
 	}
 	if at, heard := s.confirmedCancels[job.uid]; heard {
 		switch {
 		case job.cancelAt == cancelLaunching:
-			s.launches++
+			s.startsInFlight++
 		case time.Since(at) > 0: // else the command left before: simulated time stands still meanwhile
-			s.lateStart = append(s.lateStart, job.uid)
+			s.lateStarts = append(s.lateStarts, job.uid)
 		}
 	}
-	s.users.Go(func() { time.Sleep(500 * time.Millisecond); s.cancel(job, cancelRunning) })
+	s.users.Go(func() { time.Sleep(500 * time.Millisecond); s.cancelAtStage(job, cancelRunning) })
 }
 
-func (s *jobStream) jobOf(task string) *streamed {
+func (s *jobStream) jobOf(task string) *streamedJob {
 	uid, _, _ := strings.Cut(task, "/")
-	s.jobs.Lock()
-	defer s.jobs.Unlock()
+	s.jobsMu.Lock()
+	defer s.jobsMu.Unlock()
 	return s.byUID[uid]
 }
 
 // countWrites counts what a controller sends to the state service, and sees which jobs'
 // placements it records.
 func (s *jobStream) countWrites(txn wire.Txn) {
-	s.jobs.Lock()
-	defer s.jobs.Unlock()
-	s.perSecond[time.Now().Unix()] += len(txn.Then)
+	s.jobsMu.Lock()
+	defer s.jobsMu.Unlock()
+	s.writesPerSecond[time.Now().Unix()] += len(txn.Then)
 	for _, op := range txn.Then {
 		prefix, _, _ := strings.Cut(op.Put+op.Delete, "/")
 		s.writes[prefix]++
@@ -164,49 +166,49 @@
 		if prefix != "log" || !isRecord {
 			continue
 		}
-		for _, job := range s.all[max(0, len(s.all)-200):] {
+		for _, job := range s.allJobs[max(0, len(s.allJobs)-200):] {
 			if !job.placed && bytes.Contains(value, []byte(`"`+job.uid+`"`)) {
 				job.placed = true
-				s.later(job, cancelPlaced)
+				s.cancelAtStageAsync(job, cancelPlaced)
 			}
 		}
 	}
 }
 
-// submitOne submits a job and follows it until its user hears how it ended.
-func (s *jobStream) submitOne(n int) {
-	job := &streamed{uid: fmt.Sprintf("j-1%05d", n), cancelAt: cancelNever}
+// submitAndFollow submits a job and follows it until its user hears how it ended.
+func (s *jobStream) submitAndFollow(n int) {
+	job := &streamedJob{uid: fmt.Sprintf("j-1%05d", n), cancelAt: cancelNever}
 	if n%4 == 0 {
 		job.cancelAt = n / 4 % cancelStages
 	}
-	s.jobs.Lock()
-	s.all, s.byUID[job.uid] = append(s.all, job), job
-	s.jobs.Unlock()
+	s.jobsMu.Lock()
+	s.allJobs, s.byUID[job.uid] = append(s.allJobs, job), job
+	s.jobsMu.Unlock()
 	for status := 0; status != http.StatusCreated && status != http.StatusOK; {
-		if status, _ = s.request(s.any(), http.MethodPost, "/api/jobs", submissionWith(job.uid, nil)); status/100 != 2 {
+		if status, _ = s.request(s.anyController(), http.MethodPost, "/api/jobs", submissionWith(job.uid, nil)); status/100 != 2 {
 			time.Sleep(time.Second)
 		}
 	}
-	job.accepted, job.answered = time.Now(), time.Now()
-	s.jobs.Lock()
+	job.accepted, job.lastAnswer = time.Now(), time.Now()
+	s.jobsMu.Lock()
 	early := !job.placed
-	s.jobs.Unlock()
+	s.jobsMu.Unlock()
 	if early {
-		s.cancel(job, cancelAccepted)
+		s.cancelAtStage(job, cancelAccepted)
 	}
 	for {
-		time.Sleep(4*time.Second + time.Duration(s.draw(2000))*time.Millisecond)
-		stage, heard := s.user(s.any(), http.MethodGet, job.uid)
-		s.jobs.Lock()
+		time.Sleep(4*time.Second + time.Duration(s.planIntN(2000))*time.Millisecond)
+		stage, heard := s.userRequest(s.anyController(), http.MethodGet, job.uid)
+		s.jobsMu.Lock()
 		s.polls++
 		if !heard {
-			s.unsure++
+			s.unansweredPolls++
 		} else {
-			job.silent, job.answered = max(job.silent, time.Since(job.answered)), time.Now()
+			job.longestSilence, job.lastAnswer = max(job.longestSilence, time.Since(job.lastAnswer)), time.Now()
 		}
-		s.jobs.Unlock()
+		s.jobsMu.Unlock()
 		if stage == wire.StageDone {
-			s.cancel(job, cancelDone)
+			s.cancelAtStage(job, cancelDone)
 		}
 		if stage == wire.StageDone || stage == wire.StageCancelled {
 			return
@@ -220,21 +222,21 @@
 // no job waits or is forgotten, and what is kept of jobs that are over is bounded.
 func TestStreamOfShortJobsWithCancelsAndFailovers(t *testing.T) {
 	const jobs, perSecond = 720, 4
-	onCluster(t, 3750, 3, 12, func(w *cluster) {
-		s := &jobStream{cluster: w, byUID: map[string]*streamed{}, writes: map[string]int{}, perSecond: map[int64]int{}}
+	runOnCluster(t, 3750, 3, 12, func(w *cluster) {
+		s := &jobStream{cluster: w, byUID: map[string]*streamedJob{}, writes: map[string]int{}, writesPerSecond: map[int64]int{}}
 		w.losslessReports = true
 		hook := func() {
 			for _, n := range w.nodes {
-				n.view.Lose, n.view.Late = nil, nil
-				n.view.Sending.Set(s.countWrites)
+				n.view.LoseResponse, n.view.Hold = nil, nil
+				n.view.BeforeTxn.Set(s.countWrites)
 			}
 		}
 		hook()
-		s.watchStages()
+		s.setCancelHooks()
 		began := time.Now()
 		s.users.Go(func() {
 			for n := range jobs {
-				s.users.Go(func() { s.submitOne(n) })
+				s.users.Go(func() { s.submitAndFollow(n) })
 				time.Sleep(time.Second / perSecond)
 			}
 		})
@@ -250,84 +252,84 @@
 				restart(w.leader())
 			case 100:
 				l := w.leader()
-				if err := w.nodes[l].member.TransferShards(context.Background(), w.others(l)[0]); err != nil {
+				if err := w.nodes[l].member.TransferShards(context.Background(), w.otherControllers(l)[0]); err != nil {
 					w.t.Error(err)
 				}
 			case 120:
-				restart(w.others(w.leader())[1])
+				restart(w.otherControllers(w.leader())[1])
 			}
-			w.live(1)
-			for _, name := range w.names {
+			w.runFor(1)
+			for _, name := range w.controllerNames {
 				if w.nodes[name].member.LeaseRemaining() <= 0 && time.Since(restarted[name]) > 2*time.Second {
 					w.fail("%s holds no lease after %d s", name, second)
 				}
 			}
 		}
-		w.live(20)
+		w.runFor(20)
 		s.users.Wait()
-		s.judge(jobs, time.Since(began))
+		s.checkResults(jobs, time.Since(began))
 	})
 }
 
-// judge checks what users saw of the stream, and what is kept of it.
-func (s *jobStream) judge(jobs int, took time.Duration) {
+// checkResults checks what users saw of the stream, and what is kept of it.
+func (s *jobStream) checkResults(jobs int, took time.Duration) {
 	s.t.Helper()
-	for stage, n := range s.fell {
+	for stage, n := range s.cancelCounts {
 		if n < jobs/4/cancelStages/2 {
 			s.t.Errorf("%d cancels at stage %d", n, stage)
 		}
 	}
-	if s.launches < s.fell[cancelLaunching]/2 {
-		s.t.Errorf("%d start commands were on their way when their jobs were cancelled, of %d", s.launches, s.fell[cancelLaunching])
+	if s.startsInFlight < s.cancelCounts[cancelLaunching]/2 {
+		s.t.Errorf("%d start commands were on their way when their jobs were cancelled, of %d", s.startsInFlight, s.cancelCounts[cancelLaunching])
 	}
-	for _, uid := range s.lateStart {
+	for _, uid := range s.lateStarts {
 		s.t.Errorf("%s started after its cancel, and no command was on its way", uid)
 	}
 	wait, silent := time.Duration(0), time.Duration(0)
-	for _, job := range s.all {
-		silent = max(silent, job.silent)
+	for _, job := range s.allJobs {
+		silent = max(silent, job.longestSilence)
 		if !job.started.IsZero() {
 			wait = max(wait, job.started.Sub(job.accepted))
-		} else if !job.asked {
+		} else if !job.cancelRequested {
 			s.t.Errorf("%s never started", job.uid)
 		}
-		for _, name := range s.names {
-			stage, heard := s.user(name, http.MethodGet, job.uid)
-			if !heard || stage != wire.StageDone && (stage != wire.StageCancelled || !job.asked) {
-				s.t.Errorf("%s says %s, %v of %s, cancelled %v", name, stage, heard, job.uid, job.asked)
+		for _, name := range s.controllerNames {
+			stage, heard := s.userRequest(name, http.MethodGet, job.uid)
+			if !heard || stage != wire.StageDone && (stage != wire.StageCancelled || !job.cancelRequested) {
+				s.t.Errorf("%s says %s, %v of %s, cancelled %v", name, stage, heard, job.uid, job.cancelRequested)
 			}
 		}
 	}
-	if wait > 15*time.Second || silent > 20*time.Second || s.unsure*50 > s.polls {
-		s.t.Errorf("a job waited for %v, one had no answer for %v, %d of %d questions had none", wait, silent, s.unsure, s.polls)
+	if wait > 15*time.Second || silent > 20*time.Second || s.unansweredPolls*50 > s.polls {
+		s.t.Errorf("a job waited for %v, one had no answer for %v, %d of %d questions had none", wait, silent, s.unansweredPolls, s.polls)
 	}
 	writes, most := 0, 0
 	for _, n := range s.writes {
 		writes += n
 	}
-	for _, n := range s.perSecond {
+	for _, n := range s.writesPerSecond {
 		most = max(most, n)
 	}
 	// Acceptance 1, end 2, a quarter of a cancel, and one in a log record shared by many.
 	if perJob := float64(writes) / float64(jobs); perJob > 5 || most > 60 {
 		s.t.Errorf("%.2f writes a job, %d in a second", perJob, most)
 	}
-	s.t.Logf("cancels by stage %v, %d launches in flight; longest wait %v, longest without an answer %v, %d of %d questions unsure", s.fell, s.launches, wait, silent, s.unsure, s.polls)
+	s.t.Logf("cancels by stage %v, %d launches in flight; longest wait %v, longest without an answer %v, %d of %d questions unsure", s.cancelCounts, s.startsInFlight, wait, silent, s.unansweredPolls, s.polls)
 	s.t.Logf("%.2f writes a job, at most %d in a second, in %v: %v", float64(writes)/float64(jobs), most, took, s.writes)
-	s.kept(jobs)
+	s.checkRetained(jobs)
 }
 
-// kept checks what is kept of jobs that are over: their ends, for ever, a few records of the
+// checkRetained checks what is checkRetained of jobs that are over: their ends, for ever, a few records of the
 // log, and for ten minutes that they were cancelled.
-func (s *jobStream) kept(jobs int) {
+func (s *jobStream) checkRetained(jobs int) {
 	s.t.Helper()
 	clean := &testkit.View{Store: s.store}
 	final, live, tasks, slots := len(clean.Keys("final/")), len(clean.Keys("live/")), len(clean.Keys("task/")), len(clean.Keys("log/"))
 	if final != jobs || live > 0 || tasks > 0 || slots > 60 {
 		s.t.Errorf("keys: %d final, %d live, %d task, %d log", final, live, tasks, slots)
 	}
-	before := make([]int, 0, len(s.names))
-	for _, name := range s.names {
+	before := make([]int, 0, len(s.controllerNames))
+	for _, name := range s.controllerNames {
 		n := s.nodes[name]
 		queues := n.scheduler.QueueDepths()
 		if queues["jobs"]+queues["unwritten"]+queues["pending"] > 0 {
@@ -341,7 +343,7 @@
 	time.Sleep(11 * time.Minute)
 	s.exchange()
 	s.publish()
-	for _, name := range s.names {
+	for _, name := range s.controllerNames {
 		n := s.nodes[name]
 		_, queued, orders := n.dispatcher.Depths() // of workers that report elsewhere, so long
 		if n.cancellations.Count()+queued+orders > 0 {
--- a/internal/testkit/late_starts_test.go
+++ b/internal/testkit/late_starts_test.go
@@ -73,9 +73,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newCluster(t, 800+seed)
 			w.bigger(3, 12)
-			w.startNodes()
-			w.live(3)
-			w.locked(func() { w.keepCuts, w.holdsCommand = true, func() bool { return true } })
+			w.startControllers()
+			w.runFor(3)
+			w.withLock(func() { w.keepBrokenLinks, w.holdsCommand = true, func() bool { return true } })
 			jobs := []string{"j-1", "j-2", "j-3"}
 			for _, uid := range jobs {
 				w.submit(uid, 30)
@@ -83,25 +83,25 @@
 			underWay := func() (n int) {
 				w.mu.Lock()
 				defer w.mu.Unlock()
-				return len(w.late)
+				return len(w.heldCommands)
 			}
-			if !w.within(5, func() bool { return underWay() > 0 }) {
+			if !w.runUntil(5, func() bool { return underWay() > 0 }) {
 				t.Fatal("no order was held up")
 			}
-			confirmed := w.cancelAll(w.others(w.leader())[0], jobs, 8)
-			w.release()
+			confirmed := w.cancelJobs(w.otherControllers(w.leader())[0], jobs, 8)
+			w.deliverHeldCommands()
 			w.mu.Lock()
 			w.holdsCommand = nil
 			w.mu.Unlock()
-			w.live(60)
+			w.runFor(60)
 			t.Logf("%d cancels confirmed, %d starts after them", confirmed, w.checks.late)
 			late += w.checks.late
 			// One command is under way to a worker at a time, and starts what fits there.
-			if most := len(w.workers) * int(w.size); w.checks.late > most {
+			if most := len(w.workers) * int(w.machineTypes); w.checks.late > most {
 				t.Errorf("%d starts after confirmed cancels, %d could be under way", w.checks.late, most)
 			}
 			for _, uid := range jobs {
-				if stage, heard := w.user(w.names[0], http.MethodGet, uid); heard && !w.confirmedCancels[uid].IsZero() && stage != wire.StageCancelled {
+				if stage, heard := w.userRequest(w.controllerNames[0], http.MethodGet, uid); heard && !w.confirmedCancels[uid].IsZero() && stage != wire.StageCancelled {
 					t.Errorf("%s is %s", uid, stage)
 				}
 			}
@@ -124,10 +124,10 @@
 			w := newCluster(t, 860+seed)
 			w.bigger(3, 12)
 			w.promptCommands, w.reliableStore = true, true
-			w.startNodes()
-			w.live(3)
+			w.startControllers()
+			w.runFor(3)
 			w.mu.Lock()
-			w.connecting = func() time.Duration { return wait }
+			w.connectDelay = func() time.Duration { return wait }
 			w.mu.Unlock()
 			all := make([]string, 0, jobs)
 			for i := range jobs {
@@ -138,13 +138,13 @@
 			time.Sleep(wait / 4)
 			for range 3 {
 				time.Sleep(wait / 2)
-				w.cancelAll(w.others(w.leader())[0], all, 1)
+				w.cancelJobs(w.otherControllers(w.leader())[0], all, 1)
 				w.reportAll()
 			}
-			w.live(60)
+			w.runFor(60)
 			outdated += w.outdatedCommands
 			for _, k := range w.workers {
-				if on := k.On(); len(on) > 0 {
+				if on := k.UnfinishedTasks(); len(on) > 0 {
 					t.Errorf("%v on %s", on, k.Name)
 				}
 			}
--- a/internal/testkit/late_watch_test.go
+++ b/internal/testkit/late_watch_test.go
@@ -13,8 +13,8 @@
 func (w *cluster) delayWatch(name, prefix string, by time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	others := w.behind
-	w.behind = func(n *node, of string) time.Duration {
+	others := w.watchLagOf
+	w.watchLagOf = func(n *node, of string) time.Duration {
 		switch {
 		case n.name == name && (prefix == "" || of == prefix):
 			return by
@@ -33,39 +33,39 @@
 	const lag = 15 * time.Second
 	for _, how := range []string{"hand-over", "end"} {
 		t.Run(how, func(t *testing.T) {
-			onCluster(t, 3710, 2, 6, func(w *cluster) {
+			runOnCluster(t, 3710, 2, 6, func(w *cluster) {
 				first := w.leader()
-				second := w.others(first)[0]
+				second := w.otherControllers(first)[0]
 				for _, n := range w.nodes {
-					n.view.Lose, n.view.Late = nil, nil
+					n.view.LoseResponse, n.view.Hold = nil, nil
 				}
 				w.delayWatch(second, "live/", lag)
 				for _, k := range w.workers {
-					k.Run = func(string) time.Duration { return time.Second }
+					k.RunTime = func(string) time.Duration { return time.Second }
 				}
 				w.submit("j-1", 1)
 				accepted := time.Now()
-				if !w.within(10, w.ended("j-1")) {
+				if !w.runUntil(10, w.jobsEnded("j-1")) {
 					t.Fatal("the job did not end")
 				}
-				if stage, ok := w.user(first, http.MethodGet, "j-1"); !ok || stage != wire.StageDone {
+				if stage, ok := w.userRequest(first, http.MethodGet, "j-1"); !ok || stage != wire.StageDone {
 					t.Fatalf("%s says %s, %v", first, stage, ok)
 				}
-				started := w.starts
+				started := w.startCount
 				if how == "end" {
 					w.crash(first)
 				} else if err := w.nodes[first].member.TransferShards(context.Background(), second); err != nil {
 					t.Fatal(err)
 				}
-				if !w.within(8, func() bool { return w.leader() == second && w.nodes[second].scheduler.Counters().Failovers > 0 }) || time.Since(accepted) > lag {
+				if !w.runUntil(8, func() bool { return w.leader() == second && w.nodes[second].scheduler.Counters().Failovers > 0 }) || time.Since(accepted) > lag {
 					t.Fatalf("the successor did not act before its watch told of the acceptance, %v ago", time.Since(accepted))
 				}
 				for time.Since(accepted) < 2*lag+5*time.Second {
-					w.live(1)
-					w.user(second, http.MethodGet, "j-1") // fails on anything but done
+					w.runFor(1)
+					w.userRequest(second, http.MethodGet, "j-1") // fails on anything but done
 				}
-				if w.starts != started {
-					t.Errorf("%d starts after the job was done", w.starts-started)
+				if w.startCount != started {
+					t.Errorf("%d starts after the job was done", w.startCount-started)
 				}
 			})
 		})
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -55,10 +55,10 @@
 		l.by = time.Minute
 		l.arm(w.leader(), 1)
 		w.submitAt(w.leader(), 5)
-		if !w.within(50, w.ended("j-7")) {
+		if !w.runUntil(50, w.jobsEnded("j-7")) {
 			t.Error("the job did not end in time")
 		}
-		w.live(60)
+		w.runFor(60)
 		if len(w.store.Keys("live/j-7")) > 0 {
 			t.Error("the job lives again")
 		}
@@ -86,15 +86,15 @@
 		if s, ok := w.nodes[at].scheduler.LocalState("j-80"); ok {
 			t.Errorf("the owner is sure of %+v at once", s)
 		}
-		if stage, ok := w.user(at, http.MethodGet, "j-80"); !ok || stage != wire.StageRunning {
+		if stage, ok := w.userRequest(at, http.MethodGet, "j-80"); !ok || stage != wire.StageRunning {
 			t.Errorf("the owner calls the job %q, which runs by the store and by its books", stage)
 		}
-		w.live(10)
-		if stage, ok := w.user(at, http.MethodGet, "j-80"); !ok || stage != wire.StageRunning || w.version("live/j-80") == before {
+		w.runFor(10)
+		if stage, ok := w.userRequest(at, http.MethodGet, "j-80"); !ok || stage != wire.StageRunning || w.version("live/j-80") == before {
 			t.Errorf("the owner calls the job %q, its record has version %d, %d before", stage, w.version("live/j-80"), before)
 		}
 		version := w.version("live/j-80")
-		w.live(12)
+		w.runFor(12)
 		if w.version("live/j-80") != version {
 			t.Error("the record was written again")
 		}
@@ -105,19 +105,19 @@
 	{name: "end, after a cancel", prefix: "final/j-7", plain: true, play: func(t *testing.T, w *cluster, l *answerLoss) {
 		l.then = func(writer *node, _ string) {
 			time.Sleep(100 * time.Millisecond)
-			if stage, ok := w.user(writer.name, http.MethodPost, "j-7"); !ok || stage != wire.StageCancelled {
+			if stage, ok := w.userRequest(writer.name, http.MethodPost, "j-7"); !ok || stage != wire.StageCancelled {
 				t.Errorf("the cancel is answered %s, %v", stage, ok)
 			}
 		}
-		if !w.within(200, w.ended("j-1", "j-2", "j-3")) { // whose records would share its transaction
+		if !w.runUntil(200, w.jobsEnded("j-1", "j-2", "j-3")) { // whose records would share its transaction
 			t.Error("the other jobs did not end")
 		}
 		l.arm("", 1)
 		w.submit("j-7", 3)
-		if !w.within(60, w.ended("j-7")) {
+		if !w.runUntil(60, w.jobsEnded("j-7")) {
 			t.Error("the job did not end")
 		}
-		w.live(10)
+		w.runFor(10)
 		if s, err := scheduler.StoredState(context.Background(), &testkit.View{Store: w.store}, "j-7"); err != nil || s.Stage != wire.StageCancelled {
 			t.Errorf("recorded in the end: %+v, %v", s, err)
 		}
@@ -151,7 +151,7 @@
 func moveWhileLate(_ *testing.T, w *cluster, l *answerLoss) {
 	l.then = func(writer *node, _ string) { w.moveJobs(writer) }
 	l.arm("", 1)
-	w.live(15)
+	w.runFor(15)
 }
 
 // moveMeanwhile is moveWhileLate with a write that comes before the new leader has written
@@ -168,7 +168,7 @@
 		c := &lateWriteCases[i]
 		t.Run(c.name, func(t *testing.T) {
 			playCase(t, uint64(1350+i), c, func(w *cluster, l *answerLoss) {
-				l.by, w.delay = 6*time.Second, l.delay
+				l.by, w.delayTransaction = 6*time.Second, l.delay
 			}, (*answerLoss).refused)
 		})
 	}
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -40,17 +40,17 @@
 func newChanges(t *testing.T, seed uint64) *changes {
 	w := newCluster(t, seed)
 	w.bigger(3, 12)
-	w.long()
-	w.keepCuts = true
+	w.setLongTasks()
+	w.keepBrokenLinks = true
 	c := &changes{cluster: w}
 	w.storeLatency = func() time.Duration { c.requests++; return 0 }
-	w.startInTurn()
-	w.live(3)
+	w.startControllersOneByOne()
+	w.runFor(3)
 	w.submit("j-80", 12)
-	w.live(8)
+	w.runFor(8)
 	w.submit("j-1", 6000)
-	w.live(12)
-	if n := w.onMachines("j-80"); n != 12 || c.leader() == "" {
+	w.runFor(12)
+	if n := w.unfinishedTasks("j-80"); n != 12 || c.leader() == "" {
 		t.Fatalf("%d of 12 long tasks run before the changes", n)
 	}
 	w.onStart = func(_ *testkit.Worker, task string, _ uint64) {
@@ -63,10 +63,10 @@
 
 // soFar sums what all changes have cost so far.
 func (c *changes) soFar() changeCost {
-	ended := c.sessions()
+	ended := c.sessionSum()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return changeCost{leases: ended, again: c.again, requests: c.requests, returned: c.returnedMachines}
+	return changeCost{leases: ended, again: c.again, requests: c.requests, returned: c.deletedMachines}
 }
 
 // measure plays something and then lets time pass until so many seconds are over.
@@ -76,14 +76,14 @@
 	begin := time.Now()
 	last := begin
 	look := func() {
-		if started := c.lastStart(); started.After(last) {
+		if started := c.lastStartTime(); started.After(last) {
 			cost.gap, last = max(cost.gap, started.Sub(last)), started
 		}
 	}
 	play()
 	look()
 	for time.Since(begin) < time.Duration(seconds)*time.Second {
-		c.live(1)
+		c.runFor(1)
 		look()
 	}
 	cost.gap = max(cost.gap, time.Since(last))
@@ -117,7 +117,7 @@
 					cost := c.measure(fmt.Sprint("away for ", away), 12, func() {
 						leader := c.leader()
 						c.crash(leader)
-						c.live(int(away / time.Second))
+						c.runFor(int(away / time.Second))
 						time.Sleep(away % time.Second)
 						c.start(leader)
 					})
@@ -129,7 +129,7 @@
 					if away < time.Second {
 						limit = atOnce
 					}
-					if cost.gap > limit || cost.leases+cost.again+cost.returned > 0 || cost.requests > 2*calm.requests || cost.keys > calm.keys+len(c.names) {
+					if cost.gap > limit || cost.leases+cost.again+cost.returned > 0 || cost.requests > 2*calm.requests || cost.keys > calm.keys+len(c.controllerNames) {
 						t.Errorf("a change cost %v", cost)
 					}
 				}
@@ -150,7 +150,7 @@
 
 // highestTerm is the highest term of all controllers but one.
 func (c *changes) highestTerm(but string) (highest uint64) {
-	for _, n := range c.others(but) {
+	for _, n := range c.otherControllers(but) {
 		highest = max(highest, c.nodes[n].member.FencingToken())
 	}
 	return highest
@@ -187,13 +187,13 @@
 						break
 					}
 					_, _ = c.nodes[leader].member.RaiseTokenAbove(context.Background(), max(c.highestTerm(leader), c.nodes[leader].member.FencingToken()))
-					c.live(1)
+					c.runFor(1)
 					seen = c.seenHigher(leader)
 				}
 				if seen < 8 {
 					t.Errorf("%d workers have seen a higher term than any other controller's", seen)
 				}
-				c.refuse(c.names...)
+				c.cutFromStateService(c.controllerNames...)
 				calm := c.measure("outage, leader well", 8, func() {})
 				t.Log(calm)
 				cost := c.measure("leader ends", 24, func() {
@@ -207,8 +207,8 @@
 				if calm.leases+cost.leases > 0 {
 					t.Errorf("%d leases of workers ended", calm.leases+cost.leases)
 				}
-				c.startAll()
-				c.healed()
+				c.startStopped()
+				c.healAllLinks()
 				after := c.measure("after the outage", 20, func() {})
 				t.Log(after)
 				if after.again+after.leases > 0 || after.gap > 6*time.Second {
@@ -240,7 +240,7 @@
 	const ends, apart = 10, 12
 	same := func(_ *changes, last string) string { return last }
 	turns := func(c *changes, last string) string {
-		return c.names[(slices.Index(c.names, last)+1)%len(c.names)]
+		return c.controllerNames[(slices.Index(c.controllerNames, last)+1)%len(c.controllerNames)]
 	}
 	for _, scene := range []endsInOutage{
 		{"the leader", 6, same, ends},
@@ -256,7 +256,7 @@
 				leader := c.leader()
 				c.submit("j-81", 6)
 				c.submit("j-82", 6)
-				if !c.within(30, func() bool { return c.onMachines("j-81") > 0 && c.onMachines("j-82") > 0 }) {
+				if !c.runUntil(30, func() bool { return c.unfinishedTasks("j-81") > 0 && c.unfinishedTasks("j-82") > 0 }) {
 					t.Error("the jobs to be cancelled don't run")
 				}
 				calm := c.measure("calm", apart, func() {})
@@ -267,12 +267,12 @@
 					unreached = c.with("j-81")
 				}
 				for _, name := range unreached {
-					c.cutAll(name, c.names...)
+					c.breakLinks(name, c.controllerNames...)
 				}
-				if c.cancelAll(c.others(leader)[0], []string{"j-81"}, 3) != 1 {
+				if c.cancelJobs(c.otherControllers(leader)[0], []string{"j-81"}, 3) != 1 {
 					t.Error("no cancel was confirmed")
 				}
-				c.refuse(c.names...)
+				c.cutFromStateService(c.controllerNames...)
 				c.measure("outage", scene.first, func() {})
 				last, leases, again := leader, 0, 0
 				for i := range ends {
@@ -284,19 +284,19 @@
 						if !c.restart(last, away) {
 							t.Errorf("%s is down already", last)
 						}
-						if i == 0 && len(unreached) > 0 && c.onMachines("j-81") == 0 {
+						if i == 0 && len(unreached) > 0 && c.unfinishedTasks("j-81") == 0 {
 							t.Error("the cancelled tasks are gone before the first end")
 						}
 						for _, name := range unreached {
-							c.healLinks(name, c.names...)
+							c.healLinks(name, c.controllerNames...)
 						}
-						for _, name := range c.names {
-							if stage, heard := c.user(name, http.MethodPost, "j-82"); heard && stage == wire.StageCancelled {
+						for _, name := range c.controllerNames {
+							if stage, heard := c.userRequest(name, http.MethodPost, "j-82"); heard && stage == wire.StageCancelled {
 								t.Errorf("%s confirms a cancel that isn't recorded", name)
 							}
 						}
 					})
-					if n := c.onMachines("j-81"); n > 0 {
+					if n := c.unfinishedTasks("j-81"); n > 0 {
 						t.Errorf("%d cancelled tasks are on after end %d", n, i+1)
 					}
 					t.Log(cost, "; answered by", c.holds())
@@ -309,25 +309,25 @@
 				if (leases > 0) != (scene.known < ends) {
 					t.Errorf("%d leases ended", leases)
 				}
-				c.healed()
+				c.healAllLinks()
 				after := c.measure("after the outage", 20, func() {})
 				t.Log(after)
 				if after.gap > 6*time.Second || after.leases+after.returned > 0 || (after.again > 0) != (leases > 0) || after.again > 12 {
 					t.Errorf("%v", after)
 				}
-				if !c.within(20, func() bool { return c.onMachines("j-80")+c.behindLong("j-80") == 12 }) {
-					t.Errorf("%d of 12 long tasks are on, %d wait behind such", c.onMachines("j-80"), c.behindLong("j-80"))
+				if !c.runUntil(20, func() bool { return c.unfinishedTasks("j-80")+c.behindLong("j-80") == 12 }) {
+					t.Errorf("%d of 12 long tasks are on, %d wait behind such", c.unfinishedTasks("j-80"), c.behindLong("j-80"))
 				}
 				behind := c.behindLong("j-80")
-				if c.cancelAll(c.names[0], []string{"j-82"}, 3) != 1 {
+				if c.cancelJobs(c.controllerNames[0], []string{"j-82"}, 3) != 1 {
 					t.Error("no cancel is confirmed after the outage")
 				}
 				late := c.measure("later", apart, func() {})
 				t.Log(calm, late)
-				if late.requests > 2*calm.requests || late.keys > calm.keys+len(c.names) || late.again > behind || late.leases+late.returned > 0 {
+				if late.requests > 2*calm.requests || late.keys > calm.keys+len(c.controllerNames) || late.again > behind || late.leases+late.returned > 0 {
 					t.Errorf("%v, before the outage %v", late, calm)
 				}
-				if n := c.onMachines("j-82"); n > 0 {
+				if n := c.unfinishedTasks("j-82"); n > 0 {
 					t.Errorf("%d cancelled tasks are on", n)
 				}
 				c.stopAll()
@@ -342,11 +342,11 @@
 func (c *changes) behindLong(uid string) (waiting int) {
 	full := map[string]bool{}
 	for _, k := range c.workers {
-		on := k.On()
-		full[k.Name] = len(on) == int(c.size) && !slices.ContainsFunc(on, func(task string) bool { return !strings.HasPrefix(task, "j-8") })
+		on := k.UnfinishedTasks()
+		full[k.Name] = len(on) == int(c.machineTypes) && !slices.ContainsFunc(on, func(task string) bool { return !strings.HasPrefix(task, "j-8") })
 	}
 	tasks := map[string]bool{}
-	for _, name := range c.names {
+	for _, name := range c.controllerNames {
 		for _, v := range c.nodes[name].dispatcher.WorkerViews() {
 			for _, q := range v.Queue {
 				if full[v.Name] && strings.HasPrefix(q.Task, uid+"/") {
@@ -361,7 +361,7 @@
 // with names the machines that run a job's tasks.
 func (c *changes) with(uid string) (names []string) {
 	for _, k := range c.workers {
-		if slices.ContainsFunc(k.On(), func(task string) bool { return strings.HasPrefix(task, uid+"/") }) {
+		if slices.ContainsFunc(k.UnfinishedTasks(), func(task string) bool { return strings.HasPrefix(task, uid+"/") }) {
 			names = append(names, k.Name)
 		}
 	}
@@ -371,7 +371,7 @@
 // holds counts the workers that each controller answered lately.
 func (c *changes) holds() map[string]int {
 	held := map[string]int{}
-	for _, name := range c.names {
+	for _, name := range c.controllerNames {
 		for _, k := range c.workers {
 			if !c.nodes[name].down && c.nodes[name].dispatcher.UnansweredFor(k.Name) < 2*reportEvery {
 				held[name]++
@@ -384,8 +384,8 @@
 // holder is the controller that answers the most workers.
 func (c *changes) holder() (most string) {
 	held := c.holds()
-	most = c.names[0]
-	for _, name := range c.names {
+	most = c.controllerNames[0]
+	for _, name := range c.controllerNames {
 		if held[name] > held[most] {
 			most = name
 		}
--- a/internal/testkit/lease_over_failover_test.go
+++ b/internal/testkit/lease_over_failover_test.go
@@ -52,33 +52,33 @@
 		}
 		return -1
 	})
-	w.startInTurn()
+	w.startControllersOneByOne()
 	time.Sleep(2 * time.Second)
 	for uid, mark := range map[string]float64{savers: 30, old: 0} {
 		w.accept(&wire.Job{
 			UID: uid, Class: uid, Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 12, CPUs: 1, MemoryGB: 1,
 			Image: "i", ImageGB: 0.1, EstimateS: 60, Spot: true, CheckpointIntervalS: mark, CheckpointSaveS: mark / 30,
 		})
-		w.live(1)
+		w.runFor(1)
 	}
-	w.live(15) // all run for longer than a lease
+	w.runFor(15) // all run for longer than a lease
 	cut := w.byJobs(savers, old)[0]
 	session := w.session(cut)
 	if c.answerLost {
-		w.unheard(cut, w.names...)
-		w.live(1)
-		w.healed()
+		w.breakLinksTo(cut, w.controllerNames...)
+		w.runFor(1)
+		w.healAllLinks()
 	}
 	w.unreported(cut)
 	ledger.cutOff(w, cut)
-	w.live(c.endsAfter)
+	w.runFor(c.endsAfter)
 	w.restart(w.leader(), 200*time.Millisecond)
 	if c.copies {
-		for _, name := range w.names {
+		for _, name := range w.controllerNames {
 			w.deliverCopies(w.nodes[name])
 		}
 	}
-	w.live(25)
+	w.runFor(25)
 	if w.session(cut) == session {
 		t.Error("the lease did not end")
 	}
@@ -96,11 +96,11 @@
 				synctest.Test(t, func(t *testing.T) {
 					w := newCluster(t, 720+uint64(endsAfter))
 					w.bigger(3, 8)
-					w.size = 8 // so that there is room elsewhere
-					w.promptCommands, w.keepCuts, w.losslessReports = true, true, true
+					w.machineTypes = 8 // so that there is room elsewhere
+					w.promptCommands, w.keepBrokenLinks, w.losslessReports = true, true, true
 					ledger := c.play(t, w)
 					t.Logf("killed %v, stopped %v, %v until all ran elsewhere, %d still wait, %d returned",
-						ledger.killed, ledger.stopped, ledger.longest, len(ledger.left), w.returnedMachines)
+						ledger.killed, ledger.stopped, ledger.longest, len(ledger.left), w.deletedMachines)
 					if ledger.stopped["j-old"] > 0 {
 						t.Errorf("%d tasks that had run for long and can't save were stopped", ledger.stopped["j-old"])
 					}
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -17,20 +17,20 @@
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	to := n.cluster.nodes[name]
-	if !n.cluster.reach(n, to) {
-		return nil, errCut
+	if !n.cluster.reaches(n, to) {
+		return nil, errLinkDown
 	}
 	return to, nil
 }
 
 // overLink carries a request to a worker.
 func overLink[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
-	return carry(ctx, w.drawn(&w.messageDelay), w.drawn(&w.messageDelay), carryOut)
+	return carry(ctx, w.drawDelay(&w.messageDelay), w.drawDelay(&w.messageDelay), carryOut)
 }
 
 // overPeerLink carries a request to a peer.
 func overPeerLink[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
-	oneWay := func() time.Duration { return w.drawn(&w.messageDelay) + w.drawn(&w.transit) }
+	oneWay := func() time.Duration { return w.drawDelay(&w.messageDelay) + w.drawDelay(&w.transitTime) }
 	return carry(ctx, oneWay(), oneWay(), carryOut)
 }
 
@@ -86,7 +86,7 @@
 	w.reporting[k] = true
 	go func() {
 		w.report(k)
-		w.check()
+		w.checkInvariants()
 		w.mu.Lock()
 		delete(w.reporting, k)
 		w.mu.Unlock()
@@ -121,14 +121,14 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if n.duties[duty] {
+	if n.backgroundRunning[duty] {
 		return
 	}
-	n.duties[duty] = true
-	n.underWay.Go(func() {
+	n.backgroundRunning[duty] = true
+	n.backgroundGroup.Go(func() {
 		do(n.ctx)
 		w.mu.Lock()
-		delete(n.duties, duty)
+		delete(n.backgroundRunning, duty)
 		w.mu.Unlock()
 	})
 }
@@ -139,12 +139,12 @@
 // publishTo tells a peer what changed on the workers held here, as cmd/wallrack does: one
 // message at a time.
 func (n *node) publishTo(to *node) {
-	if !n.publishing.Begin(to.name) {
+	if !n.publishTurns.Begin(to.name) {
 		return
 	}
-	defer n.publishing.End(to.name)
+	defer n.publishTurns.End(to.name)
 	for more := true; more; {
-		m := n.published.Next(time.Since(n.started).Milliseconds(), to.name)
+		m := n.publisher.Next(time.Since(n.started).Milliseconds(), to.name)
 		if m == nil {
 			return
 		}
@@ -154,14 +154,14 @@
 		if err != nil {
 			return
 		}
-		more = n.published.HandleReply(time.Since(n.started).Milliseconds(), to.name, reply)
+		more = n.publisher.HandleReply(time.Since(n.started).Milliseconds(), to.name, reply)
 	}
 }
 
 // carryViews takes a message to a peer, and its reply back, as they travel.
 func (w *cluster) carryViews(from, to *node, m *viewsync.Message) (viewsync.Reply, error) {
 	if w.loseViews != nil && w.loseViews(from, to) {
-		return viewsync.Reply{}, errCut
+		return viewsync.Reply{}, errLinkDown
 	}
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -173,12 +173,12 @@
 		w.fail("%s's views can't be decoded: %v", from.name, err)
 		return viewsync.Reply{}, err
 	}
-	reply, err := to.pictures.Take(&arrived)
+	reply, err := to.receiver.Take(&arrived)
 	if errors.Is(err, viewsync.ErrMalformed) {
 		w.fail("%s refused %s's views: %v", to.name, from.name, err)
 	}
 	if w.loseViews != nil && w.loseViews(to, from) {
-		return viewsync.Reply{}, errCut
+		return viewsync.Reply{}, errLinkDown
 	}
 	return reply, nil
 }
@@ -194,7 +194,7 @@
 	for i := range silent {
 		name, all := silent[i].Name, true
 		a := dispatch.NewAttestation(time.Now(), []float64{n.dispatcher.UnansweredFor(name).Seconds()})
-		for _, peer := range w.names {
+		for _, peer := range w.controllerNames {
 			if peer == n.name {
 				continue
 			}
--- a/internal/testkit/load_test.go
+++ b/internal/testkit/load_test.go
@@ -19,16 +19,16 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// station is a worker with its connection to the controller. It spends as
+// reportingWorker is a worker with its connection to the controller. It spends as
 // little as it can, so that a profile shows the controller.
-type station struct {
+type reportingWorker struct {
 	worker *testkit.Worker
 	conn   net.Conn
 	in     *bufio.Reader
 }
 
 // report sends the worker's report and executes the answer.
-func (s *station) report(tb testing.TB) {
+func (s *reportingWorker) report(tb testing.TB) {
 	sent := time.Now()
 	rep := s.worker.Report()
 	rep.Endpoint = s.worker.Name
@@ -55,7 +55,7 @@
 	if resp.StatusCode != http.StatusOK || json.Unmarshal(data, &a) != nil {
 		tb.Fatalf("a report was answered with %d: %.100s", resp.StatusCode, data)
 	}
-	s.worker.Answer(sent, rep.Session, a)
+	s.worker.HandleResponse(sent, rep.Session, a)
 }
 
 // BenchmarkLoad is one controller, from sockets to the state service's
@@ -66,7 +66,7 @@
 func BenchmarkLoad(b *testing.B) {
 	for _, c := range []struct {
 		machines int
-		cpus     types
+		cpus     singleTypeCatalog
 		jobs     int
 	}{{246, 24, 40}, {1700, 10, 130}} {
 		b.Run(fmt.Sprintf("machines=%d", c.machines), func(b *testing.B) {
@@ -85,33 +85,33 @@
 			}
 			b.ReportMetric(float64(after.Granted-before.Granted)/float64(i), "grants/op")
 			b.ReportMetric(float64(after.Done-before.Done)/float64(i), "ends/op")
-			l.end()
+			l.stop()
 		})
 	}
 }
 
-// load is a controller under load; see BenchmarkLoad.
-type load struct {
-	cluster   *cluster
-	node      *node
-	server    *http.Server
-	serving   sync.WaitGroup
-	stations  []*station
-	jobs      int // kept alive
-	submitted int
+// loadedController is a controller under loadedController; see BenchmarkLoad.
+type loadedController struct {
+	cluster    *cluster
+	node       *node
+	server     *http.Server
+	serving    sync.WaitGroup
+	reporters  []*reportingWorker
+	wantedJobs int // kept alive
+	submitted  int
 }
 
 // newLoad starts a controller with so many workers, each of which has reported several
 // times.
-func newLoad(tb testing.TB, machines int, cpus types, jobs int) *load {
+func newLoad(tb testing.TB, machines int, cpus singleTypeCatalog, jobs int) *loadedController {
 	w := newCluster(tb, 1)
-	w.size, w.workers, w.byName = cpus, nil, map[string]*testkit.Worker{}
-	w.names, w.reliableStore, w.promptCommands = []string{"a"}, true, true
-	w.extraDuties = func(n *node) []func(context.Context) error {
-		return []func(context.Context) error{func(ctx context.Context) error { return w.knowCancels(ctx, n) }}
+	w.machineTypes, w.workers, w.byName = cpus, nil, map[string]*testkit.Worker{}
+	w.controllerNames, w.reliableStore, w.promptCommands = []string{"a"}, true, true
+	w.extraLoops = func(n *node) []func(context.Context) error {
+		return []func(context.Context) error{func(ctx context.Context) error { return w.maintainCancelsLoop(ctx, n) }}
 	}
 	w.start("a")
-	l := &load{cluster: w, node: w.nodes["a"], jobs: jobs}
+	l := &loadedController{cluster: w, node: w.nodes["a"], wantedJobs: jobs}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -129,23 +129,23 @@
 			tb.Fatal(err)
 		}
 		w.workers, w.byName[k.Name] = append(w.workers, k), k
-		l.stations = append(l.stations, &station{k, conn, bufio.NewReader(conn)})
+		l.reporters = append(l.reporters, &reportingWorker{k, conn, bufio.NewReader(conn)})
 	}
-	l.await(tb)
-	l.keep()
-	for i := range 20 * len(l.stations) { // warm up
-		l.stations[i%len(l.stations)].report(tb)
+	l.awaitLeadership(tb)
+	l.refillJobs()
+	for i := range 20 * len(l.reporters) { // warm up
+		l.reporters[i%len(l.reporters)].report(tb)
 	}
 	return l
 }
 
-// knowCancels keeps a controller's knowledge of cancels fresh, without which it answers no
+// maintainCancelsLoop keeps a controller's knowledge of cancels fresh, without which it answers no
 // worker.
-func (w *cluster) knowCancels(ctx context.Context, n *node) error {
+func (w *cluster) maintainCancelsLoop(ctx context.Context, n *node) error {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	for {
-		w.watchCancels(ctx, []*node{n})
+		w.maintainCancels(ctx, []*node{n})
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -154,9 +154,9 @@
 	}
 }
 
-// await waits until the controller answers workers: before that a report is refused, which
+// awaitLeadership waits until the controller answers workers: before that a report is refused, which
 // costs next to nothing.
-func (l *load) await(tb testing.TB) {
+func (l *loadedController) awaitLeadership(tb testing.TB) {
 	for began := time.Now(); len(l.node.member.LedShards()) == 0 || !l.node.MayAnswerWorkers(); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 20*time.Second {
 			tb.Fatal("the controller does not answer workers")
@@ -164,24 +164,24 @@
 	}
 }
 
-// keep submits jobs until enough are alive.
-func (l *load) keep() {
-	for living := len(l.cluster.store.Keys("live/")); living < l.jobs; living++ {
+// refillJobs submits jobs until enough are alive.
+func (l *loadedController) refillJobs() {
+	for living := len(l.cluster.store.Keys("live/")); living < l.wantedJobs; living++ {
 		l.submitted++
-		l.cluster.submitLoad(l.submitted)
+		l.cluster.submitLoadJob(l.submitted)
 	}
 }
 
 // report is the i-th report since the start.
-func (l *load) report(tb testing.TB, i int) {
-	l.stations[i%len(l.stations)].report(tb)
+func (l *loadedController) report(tb testing.TB, i int) {
+	l.reporters[i%len(l.reporters)].report(tb)
 	if i%100 == 0 {
-		l.keep()
+		l.refillJobs()
 	}
 }
 
-func (l *load) end() {
-	for _, s := range l.stations {
+func (l *loadedController) stop() {
+	for _, s := range l.reporters {
 		_ = s.conn.Close()
 	}
 	_ = l.server.Close()
@@ -189,7 +189,7 @@
 	l.cluster.crash("a")
 }
 
-func (w *cluster) submitLoad(n int) {
+func (w *cluster) submitLoadJob(n int) {
 	due := 100.0
 	job := &wire.Job{
 		UID: fmt.Sprintf("j-%06d", n), Class: fmt.Sprintf("c%d", n%3), Team: "t", Kind: wire.KindArray, Priority: []string{"low", "normal"}[n%2],
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -25,7 +25,7 @@
 // machines (provisioning_test.go), and the release of shards (package membership).
 var lostAnswerCases = []lostAnswerCase{
 	{name: "acceptance", prefix: "live/j-7", play: func(t *testing.T, w *cluster, l *answerLoss) {
-		at := w.others(w.leader())[0]
+		at := w.otherControllers(w.leader())[0]
 		l.then = func(*node, string) {
 			time.Sleep(100 * time.Millisecond)
 			if stages := w.askAll("j-7"); len(stages) < 2 {
@@ -51,24 +51,24 @@
 			}
 		}
 		l.arm(at, 1)
-		if stage, ok := w.user(at, http.MethodPost, "j-80"); ok && stage != wire.StageCancelled {
+		if stage, ok := w.userRequest(at, http.MethodPost, "j-80"); ok && stage != wire.StageCancelled {
 			t.Errorf("the cancel is answered %s", stage) // by a peer, or not at all
 		}
-		started := w.starts
-		w.live(1)
-		if stage, ok := w.user(at, http.MethodPost, "j-80"); !ok || stage != wire.StageCancelled {
+		started := w.startCount
+		w.runFor(1)
+		if stage, ok := w.userRequest(at, http.MethodPost, "j-80"); !ok || stage != wire.StageCancelled {
 			t.Errorf("the repeated cancel is answered %s, %v", stage, ok)
 		}
-		if !w.within(12, func() bool { return w.onMachines("j-80") == 0 }) {
-			t.Errorf("%d cancelled tasks are on, %d started", w.onMachines("j-80"), w.starts-started)
+		if !w.runUntil(12, func() bool { return w.unfinishedTasks("j-80") == 0 }) {
+			t.Errorf("%d cancelled tasks are on, %d started", w.unfinishedTasks("j-80"), w.startCount-started)
 		}
 	}},
 	{name: "changed terms", prefix: "live/j-8t", play: func(t *testing.T, w *cluster, l *answerLoss) {
 		at := w.nodes[w.leader()]
-		w.submitWith("j-8t", 40, &jobspec.Constraints{Number: 1})
-		w.live(1)
+		w.submitConstrained("j-8t", 40, &jobspec.Constraints{Number: 1})
+		w.runFor(1)
 		l.then = func(writer *node, key string) {
-			_, _ = w.nodes[w.others(writer.name)[0]].view.Get(context.Background(), key) // it is only looked at
+			_, _ = w.nodes[w.otherControllers(writer.name)[0]].view.Get(context.Background(), key) // it is only looked at
 		}
 		l.arm(at.name, 1)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -80,19 +80,19 @@
 		if err := at.scheduler.Hold(context.Background(), "j-8t", true); err != nil || w.version("live/j-8t") != version {
 			t.Errorf("the repeated change: %v, written again: %v", err, w.version("live/j-8t") != version)
 		}
-		w.live(3)
-		held := w.onMachines("j-8t")
-		w.live(8)
-		if n := w.onMachines("j-8t"); n > held {
+		w.runFor(3)
+		held := w.unfinishedTasks("j-8t")
+		w.runFor(8)
+		if n := w.unfinishedTasks("j-8t"); n > held {
 			t.Errorf("%d tasks of a held job are on, %d before", n, held)
 		}
 		if err := at.scheduler.Hold(context.Background(), "j-8t", false); err != nil {
 			t.Error(err)
 		}
-		w.user(at.name, http.MethodPost, "j-8t")
+		w.userRequest(at.name, http.MethodPost, "j-8t")
 	}},
 	{name: "end", prefix: "final/j-7", plain: true, play: func(t *testing.T, w *cluster, l *answerLoss) {
-		if !w.within(200, w.ended("j-1", "j-2", "j-3")) { // whose records would share its transaction
+		if !w.runUntil(200, w.jobsEnded("j-1", "j-2", "j-3")) { // whose records would share its transaction
 			t.Error("the other jobs did not end")
 		}
 		at := w.leader()
@@ -104,7 +104,7 @@
 						t.Errorf("%s calls the job %s", name, stage)
 					}
 				}
-				if stage, ok := w.user(at, http.MethodPost, "j-7"); ok && stage != wire.StageDone {
+				if stage, ok := w.userRequest(at, http.MethodPost, "j-7"); ok && stage != wire.StageDone {
 					t.Errorf("a cancel at the owner is answered %s", stage)
 				}
 				if status := w.submitAt(at, 3); status != http.StatusOK {
@@ -115,36 +115,36 @@
 		}
 		l.arm(at, 1)
 		w.submit("j-7", 3)
-		if !w.within(60, w.ended("j-7")) {
+		if !w.runUntil(60, w.jobsEnded("j-7")) {
 			t.Error("the job did not end")
 		}
-		w.live(4)
+		w.runFor(4)
 		if q := w.nodes[at].scheduler.QueueDepths(); q["jobs"] != 1 { // the long one
 			t.Errorf("the owner has %d jobs", q["jobs"])
 		}
 	}},
 	{name: "end, and the successor's watch is behind", prefix: "final/j-7", play: func(t *testing.T, w *cluster, l *answerLoss) {
 		at := w.leader()
-		next := w.others(at)[0]
-		behind := w.behind
-		w.behind = func(n *node, prefix string) time.Duration {
+		next := w.otherControllers(at)[0]
+		behind := w.watchLagOf
+		w.watchLagOf = func(n *node, prefix string) time.Duration {
 			if prefix == "live/" && n.name == next {
 				return 50 * time.Second
 			}
 			return behind(n, prefix)
 		}
 		l.then = func(writer *node, _ string) {
-			w.user(next, http.MethodGet, "j-7")
+			w.userRequest(next, http.MethodGet, "j-7")
 			w.moveJobs(writer)
 		}
 		l.arm(at, 1)
 		w.submit("j-7", 3)
-		if !w.within(40, func() bool { return w.leader() == next }) {
+		if !w.runUntil(40, func() bool { return w.leader() == next }) {
 			t.Errorf("%s leads", w.leader())
 			return
 		}
 		for range 50 {
-			w.live(1)
+			w.runFor(1)
 			for name, stage := range w.askAll("j-7") {
 				if stage != wire.StageDone {
 					t.Errorf("%s calls the job %s", name, stage)
@@ -168,8 +168,8 @@
 		w.atMostOneOwner(t, l)
 		w.moveJobs(w.nodes[from])
 		w.owned(t, 4)
-		if to := w.leader(); to != w.others(from)[0] {
-			t.Errorf("%s owns the jobs, handed over to %s", to, w.others(from)[0])
+		if to := w.leader(); to != w.otherControllers(from)[0] {
+			t.Errorf("%s owns the jobs, handed over to %s", to, w.otherControllers(from)[0])
 		}
 	}},
 	{name: "taking back after a hand-over", prefix: "c/shard/", play: func(t *testing.T, w *cluster, l *answerLoss) {
@@ -177,7 +177,7 @@
 		given := &answerLoss{w: w, prefix: l.prefix, by: 20 * time.Second}
 		given.arm(from.name, 1)
 		w.mu.Lock()
-		w.delay = given.delay
+		w.delayTransaction = given.delay
 		w.mu.Unlock()
 		w.atMostOneOwner(t, l)
 		go func() {
@@ -186,7 +186,7 @@
 		}()
 		w.moveJobs(from)
 		w.owned(t, 10)
-		w.live(20)
+		w.runFor(20)
 		given.refused()
 		if to := w.leader(); to != from.name {
 			t.Errorf("%s owns the jobs, taken back by %s", to, from.name)
@@ -203,7 +203,7 @@
 			}
 		}
 		w.restartOwner(t, l, 3)
-		for _, name := range w.names {
+		for _, name := range w.controllerNames {
 			for _, term := range unused {
 				if w.nodes[name].member.FencingToken() == term {
 					t.Errorf("%s uses term %d, whose answer was lost", name, term)
@@ -217,27 +217,27 @@
 	{name: "log, read by a new owner", prefix: "log/", play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = func(writer *node, _ string) { w.moveJobs(writer) }
 		l.arm("", 2)
-		w.live(8)
+		w.runFor(8)
 	}},
 	{name: "log, repeated by its owner", prefix: "log/", plain: true, play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = w.look
 		l.arm("", 6)
-		w.live(20)
+		w.runFor(20)
 	}},
 	{name: "chunk of tasks, read by a new owner", prefix: "task/", play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = func(writer *node, _ string) { w.moveJobs(writer) }
 		l.arm("", 2)
-		w.live(12)
+		w.runFor(12)
 	}},
 	{name: "chunk of tasks, repeated by its owner", prefix: "task/", plain: true, play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = w.look
 		l.arm("", 4)
-		w.live(20)
+		w.runFor(20)
 	}},
 	{name: "accounting page", prefix: accounting.KeyPrefix, play: func(_ *testing.T, w *cluster, l *answerLoss) {
 		l.then = w.look
 		l.arm("", 6)
-		w.live(20)
+		w.runFor(20)
 	}},
 	{name: "accounting page alone", prefix: accounting.KeyPrefix, play: rowsAlone},
 	{name: "accounting page, and the jobs move", prefix: accounting.KeyPrefix, play: func(_ *testing.T, w *cluster, l *answerLoss) {
@@ -246,26 +246,26 @@
 			w.moveJobs(writer)
 		}
 		l.arm("", 3)
-		w.live(12)
+		w.runFor(12)
 	}},
 }
 
 // rowsAlone has the accounting rows of stopped tasks written in a transaction of their own.
 func rowsAlone(t *testing.T, w *cluster, l *answerLoss) {
-	if !w.within(200, w.ended("j-1", "j-2", "j-3")) {
+	if !w.runUntil(200, w.jobsEnded("j-1", "j-2", "j-3")) {
 		t.Error("the short jobs did not end")
 	}
 	w.submit("j-81", 6)
-	w.live(8)
+	w.runFor(8)
 	// One of its workers is away: the rows of the others go with no other record.
-	away := w.machinesOf("j-81")[0]
-	w.cutAll(away.Name, w.names...)
+	away := w.workersWithTasksOf("j-81")[0]
+	w.breakLinks(away.Name, w.controllerNames...)
 	l.then, l.alone = w.look, true
 	l.arm("", 1)
-	w.user(w.leader(), http.MethodPost, "j-81")
-	w.live(5)
-	w.healLinks(away.Name, w.names...)
-	w.live(15)
+	w.userRequest(w.leader(), http.MethodPost, "j-81")
+	w.runFor(5)
+	w.healLinks(away.Name, w.controllerNames...)
+	w.runFor(15)
 	if _, attempts, _ := w.rows(); len(attempts) < 162 || len(w.store.Keys("final/j-81")) == 0 { // of 156 tasks that are done, 6 that were stopped
 		t.Errorf("%d accounting rows of attempts, of the cancelled job: %v", len(attempts), w.store.Keys("final/j-81"))
 	}
--- a/internal/testkit/lost_answers_test.go
+++ b/internal/testkit/lost_answers_test.go
@@ -63,35 +63,35 @@
 // concern chosen keys.
 func (w *cluster) watched(n *node) {
 	if w.reliableStore {
-		n.view.Lose, n.view.Late = nil, nil
+		n.view.LoseResponse, n.view.Hold = nil, nil
 	}
-	n.view.LoseAnswer = func(t wire.Txn, version uint64) bool {
+	n.view.TimeOutResponse = func(t wire.Txn, version uint64) bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return w.loseAnswer != nil && w.loseAnswer(n, t, version)
 	}
-	n.view.Delay = func(t wire.Txn) (time.Duration, func(error)) {
+	n.view.DelayTxn = func(t wire.Txn) (time.Duration, func(error)) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.delay == nil {
+		if w.delayTransaction == nil {
 			return 0, nil
 		}
-		return w.delay(n, t)
+		return w.delayTransaction(n, t)
 	}
 	n.view.OnRead = func(key string, version uint64) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.seen != nil {
-			w.seen(n, key, version)
+		if w.onStoreRead != nil {
+			w.onStoreRead(n, key, version)
 		}
 	}
-	n.view.Behind = func(prefix string) time.Duration {
+	n.view.PrefixWatchLag = func(prefix string) time.Duration {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.behind == nil {
+		if w.watchLagOf == nil {
 			return 0
 		}
-		return w.behind(n, prefix)
+		return w.watchLagOf(n, prefix)
 	}
 }
 
@@ -102,8 +102,8 @@
 // loseAnswers makes the cluster lose chosen answers, from when they are armed.
 func (w *cluster) loseAnswers(l *answerLoss) {
 	w.loseAnswer = l.lose
-	w.seen = l.saw
-	w.behind = func(n *node, _ string) time.Duration {
+	w.onStoreRead = l.saw
+	w.watchLagOf = func(n *node, _ string) time.Duration {
 		open := l.left > 0 || len(l.lost) > 0 && l.lost[len(l.lost)-1].writer == n && !l.lost[len(l.lost)-1].known
 		if open && (l.writer == "" || l.writer == n.name) {
 			return writerBehind
@@ -195,12 +195,12 @@
 // answered.
 func (w *cluster) askAll(uid string) (stages map[string]string) {
 	stages = map[string]string{}
-	names := w.names
+	names := w.controllerNames
 	if at := w.leader(); at != "" {
-		names = append(w.others(at), at)
+		names = append(w.otherControllers(at), at)
 	}
 	for _, name := range names {
-		if stage, ok := w.user(name, http.MethodGet, uid); ok {
+		if stage, ok := w.userRequest(name, http.MethodGet, uid); ok {
 			stages[name] = stage
 		}
 	}
@@ -212,12 +212,12 @@
 	if from.down {
 		return
 	}
-	_ = from.member.TransferShards(context.Background(), w.others(from.name)[0]) // it may have none any more
+	_ = from.member.TransferShards(context.Background(), w.otherControllers(from.name)[0]) // it may have none any more
 }
 
 // look has another controller read a key, as an operator's question does.
 func (w *cluster) look(writer *node, key string) {
-	_, _ = w.nodes[w.others(writer.name)[0]].view.Get(context.Background(), key) // it is only looked at
+	_, _ = w.nodes[w.otherControllers(writer.name)[0]].view.Get(context.Background(), key) // it is only looked at
 }
 
 // version is the version of a key in the store.
@@ -258,16 +258,16 @@
 // owned fails the test unless exactly one controller owns the jobs within so many
 // seconds.
 func (w *cluster) owned(t *testing.T, seconds int) {
-	if !w.within(seconds, func() bool {
+	if !w.runUntil(seconds, func() bool {
 		owners := 0
-		for _, name := range w.names {
+		for _, name := range w.controllerNames {
 			if n := w.nodes[name]; !n.down && len(n.member.LedShards()) > 0 {
 				owners++
 			}
 		}
 		return owners == 1
 	}) {
-		for _, name := range w.names {
+		for _, name := range w.controllerNames {
 			t.Errorf("%s owns %v", name, w.nodes[name].member.LedShards())
 		}
 	}
@@ -278,24 +278,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, seed)
 		w.bigger(3, 8)
-		w.long()
-		w.accounts, w.losslessReports, w.reliableStore, w.keepCuts = !c.plain, true, true, true
+		w.setLongTasks()
+		w.accountingEnabled, w.losslessReports, w.reliableStore, w.keepBrokenLinks = !c.plain, true, true, true
 		l := &answerLoss{w: w, prefix: c.prefix}
 		begin(w, l)
-		w.startInTurn()
+		w.startControllersOneByOne()
 		w.submit("j-80", 6) // before the others: accepted with them, it may wait behind their 156 tasks
-		w.live(3)
+		w.runFor(3)
 		jobs := []string{"j-1", "j-2", "j-3"}
 		for i, uid := range jobs {
 			w.submit(uid, 12+40*i)
 		}
-		w.live(3)
+		w.runFor(3)
 		c.play(t, w, l)
-		w.startAll()
-		if !w.within(200, w.ended(jobs...)) {
+		w.startStopped()
+		if !w.runUntil(200, w.jobsEnded(jobs...)) {
 			t.Errorf("only %v ended", w.store.Keys("final/"))
 		}
-		w.live(6)
+		w.runFor(6)
 		l.busy.Wait()
 		happened(l)
 		w.asBefore(t, c, jobs)
@@ -313,8 +313,8 @@
 			}
 		}
 	}
-	if c.name != "cancel" && w.onMachines("j-80") != 6 {
-		t.Errorf("%d of 6 long tasks are on", w.onMachines("j-80"))
+	if c.name != "cancel" && w.unfinishedTasks("j-80") != 6 {
+		t.Errorf("%d of 6 long tasks are on", w.unfinishedTasks("j-80"))
 	}
 	if c.plain {
 		return
--- a/internal/testkit/lost_renewal_test.go
+++ b/internal/testkit/lost_renewal_test.go
@@ -17,37 +17,37 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 710)
 		w.bigger(3, 8)
-		w.size = 8
-		w.promptCommands, w.keepCuts, w.unlisted, w.losslessReports = true, true, true, true
+		w.machineTypes = 8
+		w.promptCommands, w.keepBrokenLinks, w.skipInventoryPoll, w.losslessReports = true, true, true, true
 		ledger := w.follow(func(task string) time.Duration {
 			if task[:len(tiny)] == tiny {
 				return time.Second
 			}
 			return time.Minute
 		}, func(string) time.Duration { return time.Second })
-		w.startInTurn()
+		w.startControllersOneByOne()
 		time.Sleep(2 * time.Second)
 		w.accept(&wire.Job{
 			UID: savers, Class: savers, Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 16, CPUs: 1, MemoryGB: 1,
 			Image: "i", ImageGB: 0.1, EstimateS: 60, Spot: true, CheckpointIntervalS: 30, CheckpointSaveS: 1,
 		})
-		w.live(8)
+		w.runFor(8)
 		w.accept(&wire.Job{
 			UID: tiny, Class: tiny, Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 4000, CPUs: 1, MemoryGB: 1,
 			Image: "i", ImageGB: 0.1, EstimateS: 1, Spot: true,
 		})
-		w.live(3)
+		w.runFor(3)
 		cut := w.byJobs(savers)[0]
 		session := w.session(cut)
 		w.unreported(cut)
 		ledger.cutOff(w, cut)
-		w.live(len(w.names)) // its reports to all are lost: it is back at the leader then
-		w.healed()
-		w.unheard(cut, w.names...)
-		w.live(1) // this one is answered, and the answer is lost
-		w.healed()
+		w.runFor(len(w.controllerNames)) // its reports to all are lost: it is back at the leader then
+		w.healAllLinks()
+		w.breakLinksTo(cut, w.controllerNames...)
+		w.runFor(1) // this one is answered, and the answer is lost
+		w.healAllLinks()
 		w.unreported(cut)
-		w.live(12)
+		w.runFor(12)
 		if w.session(cut) == session {
 			t.Error("the lease did not end")
 		}
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -52,7 +52,7 @@
 // SendCommands sends a direct command; some arrive, but the answer is lost, and some
 // arrive minutes late.
 func (n *node) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
-	if d := n.cluster.drawn(&n.cluster.connecting); d > 0 {
+	if d := n.cluster.drawDelay(&n.cluster.connectDelay); d > 0 {
 		time.Sleep(d)
 	}
 	if err := valid(); err != nil {
@@ -70,67 +70,67 @@
 	}
 	sent := time.Now() // a slow link has it arrive later
 	a, err := overLink(ctx, n.cluster, func() (a outcome, err error) {
-		a.report, a.executed, err = n.order(endpoint, o, sent)
+		a.report, a.executed, err = n.deliverCommands(endpoint, o, sent)
 		return a, err
 	})
 	return a.report, a.executed, err
 }
 
-func (n *node) order(endpoint string, o wire.Orders, sent time.Time) (*wire.Report, bool, error) {
+func (n *node) deliverCommands(endpoint string, o wire.Orders, sent time.Time) (*wire.Report, bool, error) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	worker := n.cluster.byName[endpoint]
 	if worker == nil || !n.cluster.works(n.name, endpoint) {
-		if worker != nil && n.cluster.rnd.IntN(2) == 0 {
-			n.cluster.holdBack(n, worker, o, sent)
+		if worker != nil && n.cluster.messageRand.IntN(2) == 0 {
+			n.cluster.holdCommands(n, worker, o, sent)
 		}
-		return nil, false, errCut
+		return nil, false, errLinkDown
 	}
-	if worker.Hangs() {
+	if worker.IsHung() {
 		n.cluster.checks.sent(n, sent)
-		worker.Orders(o) // carried out when it continues
-		return nil, false, errCut
+		worker.HandleCommands(o) // carried out when it continues
+		return nil, false, errLinkDown
 	}
 	if held := n.cluster.holdsCommand; held != nil && held() {
-		n.cluster.holdBack(n, worker, o, sent)
-		return nil, false, errCut
+		n.cluster.holdCommands(n, worker, o, sent)
+		return nil, false, errLinkDown
 	}
-	draw := n.cluster.rnd.IntN(12)
+	draw := n.cluster.messageRand.IntN(12)
 	if n.cluster.promptCommands {
 		draw = -1
 	}
 	switch draw {
 	case 0:
-		n.cluster.holdBack(n, worker, o, sent)
-		return nil, false, errCut
+		n.cluster.holdCommands(n, worker, o, sent)
+		return nil, false, errLinkDown
 	case 1:
 		n.cluster.checks.sent(n, sent)
-		worker.Orders(o)
-		return nil, false, errCut
+		worker.HandleCommands(o)
+		return nil, false, errLinkDown
 	}
 	n.cluster.checks.sent(n, sent)
-	executed := worker.Orders(o)
+	executed := worker.HandleCommands(o)
 	r := worker.Report()
 	r.Endpoint = endpoint
 	return r, executed, nil
 }
 
-// holdBack keeps an order that is delivered when it may.
-func (w *cluster) holdBack(from *node, to *testkit.Worker, o wire.Orders, sent time.Time) {
-	w.late = append(w.late, func() { w.checks.sent(from, sent); to.Orders(o) })
+// holdCommands keeps an order that is delivered when it may.
+func (w *cluster) holdCommands(from *node, to *testkit.Worker, o wire.Orders, sent time.Time) {
+	w.heldCommands = append(w.heldCommands, func() { w.checks.sent(from, sent); to.HandleCommands(o) })
 }
 
-// release delivers the orders that were held back, and returns how many.
-func (w *cluster) release() int {
+// deliverHeldCommands delivers the orders that were held back, and returns how many.
+func (w *cluster) deliverHeldCommands() int {
 	w.mu.Lock()
-	late := w.late
-	w.late = nil
+	late := w.heldCommands
+	w.heldCommands = nil
 	w.mu.Unlock()
 	for _, f := range late {
 		w.mu.Lock()
 		f()
 		w.mu.Unlock()
-		w.check()
+		w.checkInvariants()
 	}
 	return len(late)
 }
@@ -141,8 +141,8 @@
 		n.cluster.mu.Lock()
 		defer n.cluster.mu.Unlock()
 		worker := n.cluster.byName[endpoint]
-		if worker == nil || worker.Hangs() || !n.cluster.works(n.name, endpoint) {
-			return nil, errCut
+		if worker == nil || worker.IsHung() || !n.cluster.works(n.name, endpoint) {
+			return nil, errLinkDown
 		}
 		r := worker.Report()
 		r.Endpoint = endpoint
--- a/internal/testkit/partitions_test.go
+++ b/internal/testkit/partitions_test.go
@@ -24,15 +24,15 @@
 
 // bigger makes of a new cluster one with so many controllers and workers.
 func (w *cluster) bigger(controllers, workers int) {
-	w.names = nil
+	w.controllerNames = nil
 	for i := range controllers {
-		w.names = append(w.names, string(rune('a'+i)))
+		w.controllerNames = append(w.controllerNames, string(rune('a'+i)))
 	}
 	for _, k := range w.workers {
-		k.Run = variedTime
+		k.RunTime = variedTaskDuration
 	}
 	for i := len(w.workers); i < workers; i++ {
-		w.join(testkit.NewWorker(fmt.Sprintf("n-%d", i), workerLease, variedTime), i)
+		w.registerWorker(testkit.NewWorker(fmt.Sprintf("n-%d", i), workerLease, variedTaskDuration), i)
 	}
 }
 
@@ -46,8 +46,8 @@
 
 // cutPeers has the controllers refuse each other.
 func (w *cluster) cutPeers() {
-	for _, a := range w.names {
-		w.cutAll(a, w.others(a)...)
+	for _, a := range w.controllerNames {
+		w.breakLinks(a, w.otherControllers(a)...)
 	}
 }
 
@@ -56,33 +56,33 @@
 
 var partitions = []partition{
 	{"nothing", func(*cluster, string, []string) {}, calmGap, 0},
-	{"the owner loses the state service", func(w *cluster, o string, _ []string) { w.cutAll(o, stateService) }, calmGap, 0},
-	{"another loses the state service", func(w *cluster, _ string, x []string) { w.cutAll(x[0], stateService) }, calmGap, 0},
-	{"the owner loses the workers", func(w *cluster, o string, _ []string) { w.cutAll(o, w.workerNames()...) }, 5 * time.Second, 1},
-	{"another loses the workers", func(w *cluster, _ string, x []string) { w.cutAll(x[0], w.workerNames()...) }, calmGap, 0},
-	{"the owner loses its peers", func(w *cluster, o string, x []string) { w.cutAll(o, x...) }, calmGap, 0},
+	{"the owner loses the state service", func(w *cluster, o string, _ []string) { w.breakLinks(o, stateService) }, calmGap, 0},
+	{"another loses the state service", func(w *cluster, _ string, x []string) { w.breakLinks(x[0], stateService) }, calmGap, 0},
+	{"the owner loses the workers", func(w *cluster, o string, _ []string) { w.breakLinks(o, w.workerNames()...) }, 5 * time.Second, 1},
+	{"another loses the workers", func(w *cluster, _ string, x []string) { w.breakLinks(x[0], w.workerNames()...) }, calmGap, 0},
+	{"the owner loses its peers", func(w *cluster, o string, x []string) { w.breakLinks(o, x...) }, calmGap, 0},
 	{"peers refuse each other", func(w *cluster, _ string, _ []string) { w.cutPeers() }, calmGap, 0},
 	{"the owner reaches a peer, and is not reached by it", func(w *cluster, o string, x []string) { w.brokenLinks[[2]string{x[0], o}] = true }, calmGap, 0},
-	{"the owner loses state service and workers", func(w *cluster, o string, _ []string) { w.cutAll(o, append(w.workerNames(), stateService)...) }, 7 * time.Second, 1},
-	{"the owner loses state service and peers", func(w *cluster, o string, x []string) { w.cutAll(o, append(slices.Clone(x), stateService)...) }, 7 * time.Second, 1},
+	{"the owner loses state service and workers", func(w *cluster, o string, _ []string) { w.breakLinks(o, append(w.workerNames(), stateService)...) }, 7 * time.Second, 1},
+	{"the owner loses state service and peers", func(w *cluster, o string, x []string) { w.breakLinks(o, append(slices.Clone(x), stateService)...) }, 7 * time.Second, 1},
 	{"the owner loses everything", func(w *cluster, o string, x []string) {
-		w.cutAll(o, append(append(slices.Clone(x), stateService), w.workerNames()...)...)
+		w.breakLinks(o, append(append(slices.Clone(x), stateService), w.workerNames()...)...)
 	}, 12 * time.Second, 1},
 	{"peers refuse each other, the owner loses the workers, another the state service", func(w *cluster, o string, x []string) {
 		w.cutPeers()
-		w.cutAll(o, w.workerNames()...)
-		w.cutAll(x[0], stateService)
+		w.breakLinks(o, w.workerNames()...)
+		w.breakLinks(x[0], stateService)
 	}, 12 * time.Second, 1},
 	{"the owner loses half of the workers", func(w *cluster, o string, _ []string) {
-		w.cutAll(o, w.workerNames()[:len(w.workers)/2]...)
+		w.breakLinks(o, w.workerNames()[:len(w.workers)/2]...)
 	}, calmGap, 1},
 	{"one after the other loses the state service", func(w *cluster, o string, x []string) {
-		w.cutAll(o, stateService)
-		w.cutAll(x[0], stateService)
+		w.breakLinks(o, stateService)
+		w.breakLinks(x[0], stateService)
 	}, calmGap, 0},
 	{"everybody but one loses the workers", func(w *cluster, o string, x []string) {
 		for _, n := range append([]string{o}, x[1:]...) {
-			w.cutAll(n, w.workerNames()...)
+			w.breakLinks(n, w.workerNames()...)
 		}
 	}, 5 * time.Second, 1},
 }
@@ -108,16 +108,16 @@
 	p.cut(w, leader, others)
 	at := time.Now()
 	longest := time.Duration(0)
-	for last := w.lastStart(); time.Since(at) < 60*time.Second; {
+	for last := w.lastStartTime(); time.Since(at) < 60*time.Second; {
 		live(1)
 		longest = max(longest, time.Since(last))
-		last = w.lastStart()
+		last = w.lastStartTime()
 	}
 	if longest > p.bound {
 		t.Errorf("%v without a start, not %v", longest, p.bound)
 	}
-	if w.returnedMachines > 0 {
-		t.Errorf("%d machines were returned", w.returnedMachines)
+	if w.deletedMachines > 0 {
+		t.Errorf("%d machines were returned", w.deletedMachines)
 	}
 	moves := 0
 	for _, n := range w.nodes {
@@ -126,10 +126,10 @@
 	if moves > p.moves {
 		t.Errorf("%d hand-overs", moves)
 	}
-	w.healed()
+	w.healAllLinks()
 	live(30)
-	if time.Since(w.lastStart()) > 3*time.Second || w.returnedMachines > 0 {
-		t.Errorf("after the healing: last start %v ago, %d machines returned", time.Since(w.lastStart()), w.returnedMachines)
+	if time.Since(w.lastStartTime()) > 3*time.Second || w.deletedMachines > 0 {
+		t.Errorf("after the healing: last start %v ago, %d machines returned", time.Since(w.lastStartTime()), w.deletedMachines)
 	}
 	w.stopAll()
 }
@@ -142,7 +142,7 @@
 	for _, o := range n.member.ShardLeaders() {
 		w.mu.Lock()
 		to := w.nodes[o]
-		ok := w.reach(n, to)
+		ok := w.reaches(n, to)
 		w.mu.Unlock()
 		if ok && to != n {
 			if s, known := to.scheduler.LocalState(uid); known {
@@ -166,25 +166,25 @@
 		}), 1, 12).Draw(rt, "steps")
 		controllers := rapid.IntRange(3, 5).Draw(rt, "controllers")
 		seed := rapid.Uint64().Draw(rt, "seed")
-		drawnCluster(t, rt, seed, controllers, 12, func(w *cluster) {
+		runDrawnCase(t, rt, seed, controllers, 12, func(w *cluster) {
 			const jobs = 4
 			for i := range jobs {
 				w.submit(fmt.Sprintf("j-%d", i), 10+30*i)
 			}
-			w.keepCuts = true
-			live := w.live
+			w.keepBrokenLinks = true
+			live := w.runFor
 			live(3)
 			for _, st := range steps {
-				name := w.names[st.Who%len(w.names)]
-				other := w.names[st.Other%len(w.names)]
+				name := w.controllerNames[st.Who%len(w.controllerNames)]
+				other := w.controllerNames[st.Other%len(w.controllerNames)]
 				k := w.workers[st.Other%len(w.workers)]
 				switch st.What {
 				case 0:
-					w.cutAll(name, stateService)
+					w.breakLinks(name, stateService)
 				case 1:
-					w.cutAll(name, w.workerNames()...)
+					w.breakLinks(name, w.workerNames()...)
 				case 2:
-					w.cutAll(name, k.Name)
+					w.breakLinks(name, k.Name)
 				case 3:
 					w.mu.Lock()
 					w.brokenLinks[[2]string{name, other}] = true
@@ -192,24 +192,24 @@
 				case 4:
 					w.restart(name, 0)
 				case 5:
-					w.healed()
+					w.healAllLinks()
 				case 6: // a worker dies: nobody hears it any more
-					w.cutAll(k.Name, w.names...)
+					w.breakLinks(k.Name, w.controllerNames...)
 				case 7:
-					w.release()
+					w.deliverHeldCommands()
 					for _, n := range w.nodes {
-						n.view.Deliver()
+						n.view.ApplyHeld()
 					}
 				case 8: // its reports arrive, and nothing reaches it
-					w.unheard(k, w.names...)
+					w.breakLinksTo(k, w.controllerNames...)
 				case 9:
-					w.unheard(k, name)
+					w.breakLinksTo(k, name)
 				case 10: // late copies of reports, to whom they were for or not
 					w.deliverCopies(w.nodes[name])
 				case 11: // nothing but the workers reach it
-					for _, x := range append([]string{stateService}, w.names...) {
+					for _, x := range append([]string{stateService}, w.controllerNames...) {
 						if x != name {
-							w.cutAll(name, x)
+							w.breakLinks(name, x)
 						}
 					}
 				case 12: // back within a fraction of a second, twice
@@ -220,11 +220,11 @@
 				}
 				live(st.Wait)
 			}
-			w.keepCuts = false
+			w.keepBrokenLinks = false
 			live(20)
 			for i := range jobs {
 				// Faults over, every job is known to every controller within 20 s.
-				for _, n := range w.names {
+				for _, n := range w.controllerNames {
 					if s, ok := w.poll(w.nodes[n], fmt.Sprintf("j-%d", i)); !ok || s.Stage == wire.StageCancelled {
 						w.fail("20 s after the last trouble %s says %+v, %v of job %d", n, s, ok, i)
 					}
--- a/internal/testkit/provisioning_test.go
+++ b/internal/testkit/provisioning_test.go
@@ -17,11 +17,11 @@
 )
 
 // unanswered counts the machines that are up while nobody had the answer of their provision request.
-func (c *rentedCluster) unanswered() (n int) {
+func (c *cloudCluster) unanswered() (n int) {
 	c.cloudMu.Lock()
 	var waiting []string
-	for name, machines := range c.rented {
-		if !c.answered[name] {
+	for name, machines := range c.provisioned {
+		if !c.answeredRequests[name] {
 			waiting = append(waiting, machines...)
 		}
 	}
@@ -44,45 +44,45 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newRentedCluster(t, 1400+seed)
-				c.slow = 3500 * time.Millisecond
-				c.begin()
+				c := newCloudCluster(t, 1400+seed)
+				c.answerDelay = 3500 * time.Millisecond
+				c.startAndSettle()
 				first := c.nodes[c.leader()]
 				var due []time.Time // of late writes
 				records := 0        // of tasks
 				c.mu.Lock()
-				c.delay = func(n *node, t wire.Txn) (time.Duration, func(error)) {
+				c.delayTransaction = func(n *node, t wire.Txn) (time.Duration, func(error)) {
 					if n != first || !strings.HasPrefix(t.Then[0].Put, "log/") {
 						return 0, nil
 					}
 					if records++; records%2 == 1 {
 						return 0, nil
 					}
-					by := time.Duration(2000+c.rnd.IntN(10000)) * time.Millisecond
+					by := time.Duration(2000+c.messageRand.IntN(10000)) * time.Millisecond
 					due = append(due, time.Now().Add(by))
 					return by, func(error) {}
 				}
 				c.mu.Unlock()
 				jobs := []string{"j-1", "j-2", "j-3"}
 				for i, uid := range jobs {
-					c.order(uid, 8+6*i)
+					c.submitOnDemandJob(uid, 8+6*i)
 				}
-				ready := c.run(40*time.Second, func() bool {
+				ready := c.advance(40*time.Second, func() bool {
 					unanswered := c.unanswered()
 					c.mu.Lock()
 					defer c.mu.Unlock()
-					return slices.ContainsFunc(due, time.Now().Before) && c.starts > 0 && unanswered > 0
+					return slices.ContainsFunc(due, time.Now().Before) && c.startCount > 0 && unanswered > 0
 				})
 				if !ready {
-					t.Errorf("%d tasks started, %d machines up whose hires are unanswered", c.starts, c.unanswered())
+					t.Errorf("%d tasks started, %d machines up whose hires are unanswered", c.startCount, c.unanswered())
 				}
 				c.crash(first.name)
 				if seed%2 == 0 {
 					time.Sleep(time.Duration(200+400*seed) * time.Millisecond)
 					c.start(first.name)
 				}
-				c.finish(jobs...)
-				if rented, _ := c.machines(); rented > 21 { // all 42 tasks at once
+				c.awaitEndAndScaleIn(jobs...)
+				if rented, _ := c.countMachines(); rented > 21 { // all 42 tasks at once
 					t.Errorf("%d machines rented", rented)
 				}
 				c.stopAll()
@@ -94,19 +94,19 @@
 
 // lostRecord plays a provision request whose record is written while its writer hears nothing, and
 // returns the provision request's name.
-func (c *rentedCluster) lostRecord(t *testing.T, jobs ...string) (name string) {
+func (c *cloudCluster) lostRecord(t *testing.T, jobs ...string) (name string) {
 	l := &answerLoss{w: c.cluster, prefix: "fleet/hire/"}
 	c.loseAnswers(l)
 	l.arm(c.leader(), 1)
 	for _, uid := range jobs {
-		c.order(uid, 12)
+		c.submitOnDemandJob(uid, 12)
 	}
 	lost := func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(l.lost) > 0
 	}
-	if !c.run(30*time.Second, lost) {
+	if !c.advance(30*time.Second, lost) {
 		t.Error("no record's answer was lost")
 		return ""
 	}
@@ -117,14 +117,14 @@
 // name once it knows, and rents nothing beside it.
 func TestProvisionWithUnansweredRecordRentsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newRentedCluster(t, 1)
-		c.begin()
+		c := newCloudCluster(t, 1)
+		c.startAndSettle()
 		name := c.lostRecord(t, "j-1")
-		c.run(6*time.Second, nil)
-		if rented, _ := c.machines(); rented > 6 || c.times(name) != 1 { // all 12 tasks at once
-			t.Errorf("%d machines rented, asked for %v, recorded was %s", rented, c.hires(), name)
+		c.advance(6*time.Second, nil)
+		if rented, _ := c.countMachines(); rented > 6 || c.requestCount(name) != 1 { // all 12 tasks at once
+			t.Errorf("%d machines rented, asked for %v, recorded was %s", rented, c.requestNames(), name)
 		}
-		c.finish("j-1")
+		c.awaitEndAndScaleIn("j-1")
 		if left := c.store.Keys("fleet/hire/"); len(left) > 0 {
 			t.Errorf("recorded at the end: %v", left)
 		}
@@ -139,8 +139,8 @@
 	for _, away := range []time.Duration{0, 45 * time.Second} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newRentedCluster(t, 2)
-				c.begin()
+				c := newCloudCluster(t, 2)
+				c.startAndSettle()
 				name := c.lostRecord(t, "j-1")
 				first := c.leader()
 				c.crash(first)
@@ -148,18 +148,18 @@
 					c.stopAll()
 					time.Sleep(away)
 				}
-				if c.times(name) > 0 || !slices.Contains(c.store.Keys("fleet/hire/"), "fleet/hire/"+name) {
-					t.Errorf("%s: asked for %d times, recorded %v", name, c.times(name), c.store.Keys("fleet/hire/"))
+				if c.requestCount(name) > 0 || !slices.Contains(c.store.Keys("fleet/hire/"), "fleet/hire/"+name) {
+					t.Errorf("%s: asked for %d times, recorded %v", name, c.requestCount(name), c.store.Keys("fleet/hire/"))
 				}
-				c.startAll()
-				c.run(15*time.Second, nil)
-				if asked := c.times(name); (asked > 0) != (away == 0) || asked > 1 {
+				c.startStopped()
+				c.advance(15*time.Second, nil)
+				if asked := c.requestCount(name); (asked > 0) != (away == 0) || asked > 1 {
 					t.Errorf("%s was asked for %d times", name, asked)
 				}
-				if rented, _ := c.machines(); rented > 6 {
-					t.Errorf("%d machines rented by %v", rented, c.hires())
+				if rented, _ := c.countMachines(); rented > 6 {
+					t.Errorf("%d machines rented by %v", rented, c.requestNames())
 				}
-				c.finish("j-1")
+				c.awaitEndAndScaleIn("j-1")
 				if left := c.store.Keys("fleet/hire/"); len(left) > 0 {
 					t.Errorf("recorded at the end: %v", left)
 				}
@@ -176,16 +176,16 @@
 	for by, want := range map[time.Duration]int{8 * time.Second: 0, 25 * time.Second: 1} {
 		t.Run(fmt.Sprint(by), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newRentedCluster(t, 3)
-				c.begin()
+				c := newCloudCluster(t, 3)
+				c.startAndSettle()
 				first := c.nodes[c.leader()]
 				l := &answerLoss{w: c.cluster, prefix: "fleet/hire/", by: by}
 				l.arm(first.name, 1)
 				c.mu.Lock()
-				c.delay = l.delay
+				c.delayTransaction = l.delay
 				c.mu.Unlock()
-				c.order("j-1", 12)
-				c.finish("j-1")
+				c.submitOnDemandJob("j-1", 12)
+				c.awaitEndAndScaleIn("j-1")
 				c.mu.Lock()
 				late := len(l.late)
 				c.mu.Unlock()
@@ -193,24 +193,24 @@
 				if len(left) != want || late != 1 {
 					t.Errorf("carried out late: %d, recorded %v", late, left)
 				}
-				asked, before := c.hires(), map[string]int{}
+				asked, before := c.requestNames(), map[string]int{}
 				for _, name := range asked {
-					before[name] = c.times(name)
+					before[name] = c.requestCount(name)
 				}
-				rented, _ := c.machines()
+				rented, _ := c.countMachines()
 				c.crash(first.name)
-				c.run(20*time.Second, nil)
+				c.advance(20*time.Second, nil)
 				if c.leader() == "" || c.leader() == first.name {
 					t.Errorf("%q leads", c.leader())
 				}
-				again, _ := c.machines()
-				for _, name := range c.hires() {
-					if c.times(name) != before[name] {
-						t.Errorf("%s was asked for %d times, %d before", name, c.times(name), before[name])
+				again, _ := c.countMachines()
+				for _, name := range c.requestNames() {
+					if c.requestCount(name) != before[name] {
+						t.Errorf("%s was asked for %d times, %d before", name, c.requestCount(name), before[name])
 					}
 				}
 				if again != rented {
-					t.Errorf("asked for %v, %d machines rented, %d before", c.hires(), again, rented)
+					t.Errorf("asked for %v, %d machines rented, %d before", c.requestNames(), again, rented)
 				}
 				if left := c.store.Keys("fleet/hire/"); len(left) > 0 {
 					t.Errorf("still recorded: %v", left)
@@ -248,14 +248,14 @@
 
 func (scene bootingAtHandOver) play(t *testing.T) {
 	const boot, machines = 45 * time.Second, 6 // machines run all 12 tasks at once
-	c := newSlowlyRentedCluster(t, 4, boot)
-	c.lag = 2 * listLag // "at times by up to twice that"
-	c.listTakes = 300 * time.Millisecond
-	c.begin()
+	c := newCloudClusterWithBoot(t, 4, boot)
+	c.listAge = 2 * listLag // "at times by up to twice that"
+	c.listLatency = 300 * time.Millisecond
+	c.startAndSettle()
 	first := c.leader()
 	writes := 0 // of records of provision requests
 	c.mu.Lock()
-	c.delay = func(_ *node, t wire.Txn) (time.Duration, func(error)) {
+	c.delayTransaction = func(_ *node, t wire.Txn) (time.Duration, func(error)) {
 		for _, op := range t.Then {
 			if strings.HasPrefix(op.Put, "fleet/hire/") {
 				writes++
@@ -264,50 +264,50 @@
 		return 0, nil
 	}
 	c.mu.Unlock()
-	c.order("j-1", 2*machines)
+	c.submitOnDemandJob("j-1", 2*machines)
 	c.cloudMu.Lock()
 	c.outageUntil = time.Now().Add(scene.outage)
 	c.cloudMu.Unlock()
-	if !c.run(scene.outage+20*time.Second, func() bool { rented, _ := c.machines(); return rented == machines && c.allAnswered() }) {
-		rented, _ := c.machines()
-		t.Errorf("%d machines are rented, by %v", rented, c.hires())
+	if !c.advance(scene.outage+20*time.Second, func() bool { rented, _ := c.countMachines(); return rented == machines && c.allAnswered() }) {
+		rented, _ := c.countMachines()
+		t.Errorf("%d machines are rented, by %v", rented, c.requestNames())
 	}
 	rentedAt := time.Now()
-	if scene.listed && !c.run(boot/2, func() bool { return c.inList() == machines && len(c.store.Keys("fleet/hire/")) == 0 }) {
+	if scene.listed && !c.advance(boot/2, func() bool { return c.inList() == machines && len(c.store.Keys("fleet/hire/")) == 0 }) {
 		t.Errorf("%d machines are listed, recorded is %v", c.inList(), c.store.Keys("fleet/hire/"))
 	}
 	if scene.crashes {
 		c.crash(first)
-	} else if err := c.nodes[first].member.TransferShards(context.Background(), c.others(first)[0]); err != nil {
+	} else if err := c.nodes[first].member.TransferShards(context.Background(), c.otherControllers(first)[0]); err != nil {
 		t.Errorf("handing over: %v", err)
 	}
-	if !c.run(boot, func() bool { return c.leader() != "" && c.leader() != first }) {
+	if !c.advance(boot, func() bool { return c.leader() != "" && c.leader() != first }) {
 		t.Errorf("%q leads", c.leader())
 	}
 	listed, took := c.inList(), time.Since(rentedAt)
 	if (listed > 0) != scene.listed || len(c.workers) > 0 {
 		t.Errorf("when the leader had changed, after %v, %d machines were listed and %d up", took, listed, len(c.workers))
 	}
-	c.run(boot, nil)
-	if rented, _ := c.machines(); rented != machines {
-		t.Errorf("%d machines are rented, by %v", rented, c.hires())
+	c.advance(boot, nil)
+	if rented, _ := c.countMachines(); rented != machines {
+		t.Errorf("%d machines are rented, by %v", rented, c.requestNames())
 	}
-	c.finish("j-1")
+	c.awaitEndAndScaleIn("j-1")
 	if left := c.store.Keys("fleet/hire/"); len(left) > 0 {
 		t.Errorf("recorded at the end: %v", left)
 	}
 	c.stopAll()
-	if hires := len(c.hires()); writes > 2*hires { // when it is planned, and when it is answered
+	if hires := len(c.requestNames()); writes > 2*hires { // when it is planned, and when it is answered
 		t.Errorf("%d records of %d hires were written", writes, hires)
 	}
 }
 
 // allAnswered reports whether every provision request that was asked for was answered.
-func (c *rentedCluster) allAnswered() bool {
+func (c *cloudCluster) allAnswered() bool {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	for name := range c.asked {
-		if !c.answered[name] {
+	for name := range c.requestCounts {
+		if !c.answeredRequests[name] {
 			return false
 		}
 	}
@@ -315,11 +315,11 @@
 }
 
 // inList counts the machines that the cloud lists by now.
-func (c *rentedCluster) inList() int {
+func (c *cloudCluster) inList() int {
 	now := httptest.NewRecorder()
-	c.handler.ServeHTTP(now, httptest.NewRequest(http.MethodGet, hirePath, nil))
+	c.handler.ServeHTTP(now, httptest.NewRequest(http.MethodGet, hostsPath, nil))
 	var list wire.MachineList
-	if err := json.Unmarshal(c.listed(now).Body.Bytes(), &list); err != nil {
+	if err := json.Unmarshal(c.staleList(now).Body.Bytes(), &list); err != nil {
 		c.t.Error(err)
 	}
 	return len(list.Machines)
--- a/internal/testkit/quota_leases_test.go
+++ b/internal/testkit/quota_leases_test.go
@@ -15,7 +15,7 @@
 // onLentCluster plays a test on a new cluster whose shards are spread over two of three
 // controllers, with limited teams whose jobs belong to all shards.
 func onLentCluster(t *testing.T, seed uint64, play func(c *teamCluster)) {
-	playOn(t, seed, 3, 8, func(w *cluster) {
+	runOnPreparedCluster(t, seed, 3, 8, func(w *cluster) {
 		w.leaderCount = 2
 		w.cfg.Params.Teams = limitedTeams
 	}, func(w *cluster) { play(&teamCluster{w}) })
@@ -23,7 +23,7 @@
 
 // owningNodes names the controllers that own jobs.
 func (w *cluster) owningNodes() (names []string) {
-	for _, n := range w.names {
+	for _, n := range w.controllerNames {
 		if x := w.nodes[n]; !x.down && len(x.member.LedShards()) > 0 {
 			names = append(names, n)
 		}
@@ -34,7 +34,7 @@
 // twoOwners waits until two controllers own jobs: the first one gives half of them up.
 func (c *teamCluster) twoOwners() []string {
 	c.t.Helper()
-	if !c.within(30, func() bool { return len(c.owningNodes()) == 2 }) {
+	if !c.runUntil(30, func() bool { return len(c.owningNodes()) == 2 }) {
 		c.t.Fatalf("owners %v, want two", c.owningNodes())
 	}
 	return c.owningNodes()
@@ -50,10 +50,10 @@
 // jobIn is jobAt for any of some shards.
 func (c *teamCluster) jobIn(shards map[int]uint64, from int, team, priority string, tasks int, cpus float64) string {
 	c.t.Helper()
-	teams, op := c.cfg.Params.Teams, c.operator()
+	teams, op := c.cfg.Params.Teams, c.operatorSettings()
 	for i := from; i < from+1000; i++ {
 		uid := fmt.Sprintf("j-%d", i)
-		if c.specs[uid] != nil {
+		if c.submittedJobs[uid] != nil {
 			continue
 		}
 		job := arrayJob(uid, tasks)
@@ -80,8 +80,8 @@
 			}
 		}
 		jobs = append(jobs, "j-1")
-		c.job("j-1", "t", "low", 20, 1)
-		if !c.within(60, func() bool { return c.runsAll(long) && c.startedAny(jobs[0]) && c.startedAny(jobs[3]) }) {
+		c.submitArray("j-1", "t", "low", 20, 1)
+		if !c.runUntil(60, func() bool { return c.runsAll(long) && c.startedAny(jobs[0]) && c.startedAny(jobs[3]) }) {
 			c.t.Fatalf("tasks of %v and %v and %v do not all run; in use: %v; records %v", long, jobs[0], jobs[3], c.standing().on, c.lentRecords())
 		}
 		play(c, owners, jobs, long)
@@ -90,7 +90,7 @@
 
 func (c *teamCluster) runsAll(jobs []string) bool {
 	for _, uid := range jobs {
-		if c.onMachines(uid) == 0 {
+		if c.unfinishedTasks(uid) == 0 {
 			return false
 		}
 	}
@@ -100,12 +100,12 @@
 func (c *teamCluster) startedAny(uid string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.startsOf[uid] > 0
+	return c.startsByJob[uid] > 0
 }
 
 func (c *teamCluster) lentRecords() (out []string) {
 	for _, key := range c.store.Keys(quotalease.Prefix) {
-		out = append(out, key+" "+c.store.Text(key))
+		out = append(out, key+" "+c.store.RawValue(key))
 	}
 	return out
 }
@@ -113,7 +113,7 @@
 // lentTo is how many CPUs of a team's limit the shards of a leader have.
 func (c *teamCluster) lentTo(at, team string) (cpus float64) {
 	c.t.Helper()
-	record, err := quotalease.Parse([]byte(c.store.Text(quotalease.Key(quotalease.RecordOf(team)))), c.operator().Shards)
+	record, err := quotalease.Parse([]byte(c.store.RawValue(quotalease.Key(quotalease.RecordOf(team)))), c.operatorSettings().Shards)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -134,16 +134,16 @@
 		c.reliableStore, c.losslessReports, c.promptCommands = true, true, true
 		c.mu.Unlock()
 		owners := c.twoOwners()
-		c.live(5)
+		c.runFor(5)
 		for i, o := range []string{owners[0], owners[1], owners[0]} {
 			uid := c.jobAt(o, 1000, "capped", "normal", 16, 1)
-			if !c.within(2, func() bool { return c.lentTo(o, "capped") == 8 }) {
+			if !c.runUntil(2, func() bool { return c.lentTo(o, "capped") == 8 }) {
 				c.t.Errorf("%d: %s has %v of 8 CPUs; records %v", i, o, c.lentTo(o, "capped"), c.lentRecords())
 			}
-			if !c.within(8, func() bool { return c.standing().use["capped"] == 8 }) {
+			if !c.runUntil(8, func() bool { return c.standing().use["capped"] == 8 }) {
 				c.t.Errorf("%d: %s uses %v of 8 CPUs; records %v", i, o, c.standing().use["capped"], c.lentRecords())
 			}
-			if !c.within(120, c.ended(uid)) {
+			if !c.runUntil(120, c.jobsEnded(uid)) {
 				c.t.Fatalf("%s did not end", uid)
 			}
 		}
@@ -165,9 +165,9 @@
 			_ = c.nodes[owner].member.TransferShards(context.Background(), other) // what became of it is looked at
 		}},
 		{"it is cut off", func(c *teamCluster, owner, _ string) {
-			c.cutAll(owner, append(c.workerNames(), append(c.others(owner), stateService)...)...)
+			c.breakLinks(owner, append(c.workerNames(), append(c.otherControllers(owner), stateService)...)...)
 		}},
-		{"it loses the state service", func(c *teamCluster, owner, _ string) { c.cutAll(owner, stateService) }},
+		{"it loses the state service", func(c *teamCluster, owner, _ string) { c.breakLinks(owner, stateService) }},
 		{"both end", func(c *teamCluster, owner, other string) { c.crash(owner); c.crash(other) }},
 	}
 	for i, change := range changes {
@@ -175,20 +175,20 @@
 			t.Run(fmt.Sprintf("%s, cancelled %v", change.name, cancel), func(t *testing.T) {
 				bothAtWork(t, uint64(5100+i), func(c *teamCluster, owners, jobs, long []string) {
 					if cancel {
-						c.cancelAll(owners[0], long[:2], 1)
+						c.cancelJobs(owners[0], long[:2], 1)
 					}
 					change.make(c, owners[0], owners[1])
 					if cancel {
-						c.cancelAll(owners[1], long[2:], 1)
+						c.cancelJobs(owners[1], long[2:], 1)
 					}
-					c.live(25)
-					c.startAll()
-					c.healed()
-					c.live(10)
+					c.runFor(25)
+					c.startStopped()
+					c.healAllLinks()
+					c.runFor(10)
 					if !cancel {
-						c.cancelAll(c.owningNodes()[0], long, 30)
+						c.cancelJobs(c.owningNodes()[0], long, 30)
 					}
-					c.cancelAll(c.owningNodes()[0], long, 30)
+					c.cancelJobs(c.owningNodes()[0], long, 30)
 					c.finishes(jobs...)
 				})
 			})
@@ -205,7 +205,7 @@
 			bothAtWork(t, uint64(5300+seed), func(c *teamCluster, owners, jobs, long []string) {
 				held := 0
 				c.mu.Lock()
-				c.delay = func(n *node, t wire.Txn) (time.Duration, func(error)) {
+				c.delayTransaction = func(n *node, t wire.Txn) (time.Duration, func(error)) {
 					for _, op := range t.Then {
 						if n.name == owners[0] && strings.HasPrefix(op.Put, quotalease.Prefix) {
 							held++
@@ -215,18 +215,18 @@
 					return 0, nil
 				}
 				c.mu.Unlock()
-				c.live(6)
-				c.cutAll(owners[0], stateService)
-				c.cancelAll(owners[1], long, 10)
-				c.live(15)
+				c.runFor(6)
+				c.breakLinks(owners[0], stateService)
+				c.cancelJobs(owners[1], long, 10)
+				c.runFor(15)
 				c.mu.Lock()
-				c.delay = nil
+				c.delayTransaction = nil
 				c.mu.Unlock()
-				c.healed()
+				c.healAllLinks()
 				if held == 0 {
 					c.t.Errorf("no write was held up")
 				}
-				c.cancelAll(c.owningNodes()[0], long, 30)
+				c.cancelJobs(c.owningNodes()[0], long, 30)
 				c.finishes(jobs...)
 			})
 		})
@@ -240,10 +240,10 @@
 	c.stopAll()
 	time.Sleep(5500 * time.Millisecond) // workers' leases last longer: what runs goes on
 	c.leaderCount = spread
-	c.start(c.names[0])
+	c.start(c.controllerNames[0])
 	time.Sleep(1500 * time.Millisecond)
-	c.startAll()
-	c.live(15)
+	c.startStopped()
+	c.runFor(15)
 	if at := c.owningNodes(); len(at) != spread {
 		c.t.Fatalf("owners %v, want %d", at, spread)
 	}
@@ -256,30 +256,30 @@
 func TestUnleasedUseCountsWhenQuotaIsLeasedAgain(t *testing.T) {
 	onLentCluster(t, 5500, func(c *teamCluster) {
 		c.twoOwners()
-		c.live(5)
-		alone := c.operator()
+		c.runFor(5)
+		alone := c.operatorSettings()
 		alone.Spread = 1
 		home := quota.AssignShard(&wire.Job{Team: "capped"}, limitedTeams, alone) // of all such jobs that one leader accepts
 		first := map[int]uint64{(home + 1) % alone.Shards: 1}
-		uses := func(uid string) func() bool { return func() bool { return c.onMachines(uid) == 8 } }
+		uses := func(uid string) func() bool { return func() bool { return c.unfinishedTasks(uid) == 8 } }
 		before := c.jobIn(first, 80, "capped", "normal", 8, 1)
-		if !c.within(30, uses(before)) {
-			c.t.Fatalf("%s has %d tasks on", before, c.onMachines(before))
+		if !c.runUntil(30, uses(before)) {
+			c.t.Fatalf("%s has %d tasks on", before, c.unfinishedTasks(before))
 		}
 		c.restartAllWith(1)
 		under := c.jobIn(map[int]uint64{home: 1}, 80, "capped", "normal", 8, 1)
-		c.cancelAll(c.owningNodes()[0], []string{before}, 10)
-		if !c.within(60, uses(under)) {
-			c.t.Fatalf("%s has %d tasks on", under, c.onMachines(under))
+		c.cancelJobs(c.owningNodes()[0], []string{before}, 10)
+		if !c.runUntil(60, uses(under)) {
+			c.t.Fatalf("%s has %d tasks on", under, c.unfinishedTasks(under))
 		}
 		c.leaderCount = 2 // of who accepts the next job, already
 		after := c.jobIn(first, 1000, "capped", "normal", 8, 1)
 		c.restartAllWith(2)
-		c.live(30)
-		if n := c.onMachines(under); n == 0 {
+		c.runFor(30)
+		if n := c.unfinishedTasks(under); n == 0 {
 			c.t.Errorf("nothing of %s is on any more", under)
 		}
-		c.cancelAll(c.owningNodes()[0], []string{under}, 10)
+		c.cancelJobs(c.owningNodes()[0], []string{under}, 10)
 		c.finishes(after)
 	})
 }
@@ -294,20 +294,20 @@
 				next := 81 // what runs for long
 				for _, spread := range []int{1, 2, 1, 2} {
 					c.restartAllWith(spread)
-					c.cancelAll(c.owningNodes()[0], long[:2], 20)
+					c.cancelJobs(c.owningNodes()[0], long[:2], 20)
 					for _, team := range []string{"capped", "assured"} {
 						at := c.owningNodes()
 						uid := c.jobAt(at[len(at)-1], next, team, "production", 2, 1)
 						long = append(long[1:], uid)
 					}
-					c.live(15)
+					c.runFor(15)
 				}
 				for range 2 {
-					c.cancelAll(c.owningNodes()[0], long, 30)
+					c.cancelJobs(c.owningNodes()[0], long, 30)
 				}
 				for _, uid := range c.store.Keys("live/") {
 					if uid = strings.TrimPrefix(uid, "live/"); strings.HasPrefix(uid, "j-8") || strings.HasPrefix(uid, "j-9") {
-						c.cancelAll(c.owningNodes()[0], []string{uid}, 30)
+						c.cancelJobs(c.owningNodes()[0], []string{uid}, 30)
 					}
 				}
 				c.finishes(jobs...)
@@ -322,22 +322,22 @@
 	for seed := uint64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			onLentCluster(t, 5200+seed, func(c *teamCluster) {
-				c.keepCuts = false
+				c.keepBrokenLinks = false
 				jobs := make([]string, 0, 16)
 				for i := range cap(jobs) {
 					uid := fmt.Sprintf("j-%d", 1000+i)
-					c.job(uid, []string{"capped", "assured"}[i%2], []string{"normal", "urgent", "low"}[i%3], 4+i%5, float64(1+i%3))
+					c.submitArray(uid, []string{"capped", "assured"}[i%2], []string{"normal", "urgent", "low"}[i%3], 4+i%5, float64(1+i%3))
 					jobs = append(jobs, uid)
 				}
 				calm := time.Now().Add(2 * time.Minute)
-				for i := 0; !c.ended(jobs...)(); i++ {
+				for i := 0; !c.jobsEnded(jobs...)(); i++ {
 					if i == 900 {
 						c.t.Fatalf("only %v ended; records %v", c.store.Keys("final/"), c.lentRecords())
 					}
 					c.reportAll()
 					c.step(calm)
 					if !time.Now().Before(calm) {
-						c.startAll()
+						c.startStopped()
 					}
 				}
 			})
