--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -56,7 +56,7 @@
 
 // peers names the other controllers.
 func (r *reach) peers() (peers []string) {
-	for _, name := range r.node.cluster.names {
+	for _, name := range r.node.cluster.controllerNames {
 		if name != r.node.name {
 			peers = append(peers, name)
 		}
@@ -129,7 +129,7 @@
 func (w *cluster) exchange() {
 	now := time.Now()
 	var living []*node
-	for _, name := range w.names {
+	for _, name := range w.controllerNames {
 		if n := w.nodes[name]; !n.down {
 			living = append(living, n)
 		}
@@ -141,7 +141,7 @@
 	}
 	w.mu.Unlock()
 	for _, n := range living {
-		for _, name := range w.names {
+		for _, name := range w.controllerNames {
 			to := w.nodes[name]
 			if to == n {
 				continue
@@ -155,11 +155,11 @@
 				to.reach.table.UpdateRelayed(n.reach.table.RelayFor(name, now), now)
 				n.reach.table.Update(to.reach.row(straight[to]), reachability.Direct, 0, now)
 				n.reach.table.UpdateRelayed(to.reach.table.RelayFor(n.name, now), now)
-				w.tellCancels(n, to)
+				w.exchangeCancels(n, to)
 			}
 		}
 	}
-	w.watchCancels(context.Background(), living)
+	w.maintainCancels(context.Background(), living)
 	for _, n := range living {
 		r := &n.reach
 		v := r.table.View(r.row(straight[n]), now)
@@ -180,7 +180,7 @@
 		if v.TakenForLeader() {
 			n.member.ReadShards(context.Background())
 		}
-		if v.Self.LeadsShards && w.keepCuts {
+		if v.Self.LeadsShards && w.keepBrokenLinks {
 			w.judge(n, &v)
 		}
 	}
@@ -222,7 +222,7 @@
 		h, k := w.lastHeartbeats[name], w.byName[name]
 		if at := h.last; k != nil && time.Since(at) < 3*reportEvery && time.Since(h.since) > surely {
 			seen := ""
-			for _, x := range w.names {
+			for _, x := range w.controllerNames {
 				seen += fmt.Sprintf(" %s %v", x, w.nodes[x].dispatcher.SinceHeartbeat(name))
 			}
 			w.fail("%s gives %s back (%s), which was heard %v ago (by%s), asked now: %v; %+v", n.name, name, why, time.Since(h.last), seen, verdict.Probe[name], v)
@@ -232,11 +232,11 @@
 			w.workers = slices.Delete(w.workers, i, i+1)
 		}
 		if k != nil { // else another leader deleted it, and it was replaced
-			w.returnedMachines++
-			k.Started, k.OnForget = nil, nil // what is still sent to it does nothing
-			fresh := testkit.NewWorker(fmt.Sprintf("r-%d", w.returnedMachines), workerLease, k.Run)
-			fresh.Exit, fresh.Zone = k.Exit, k.Zone
-			w.join(fresh, w.returnedMachines)
+			w.deletedMachines++
+			k.OnStart, k.OnForget = nil, nil // what is still sent to it does nothing
+			fresh := testkit.NewWorker(fmt.Sprintf("r-%d", w.deletedMachines), workerLease, k.RunTime)
+			fresh.ExitCode, fresh.Zone = k.ExitCode, k.Zone
+			w.registerWorker(fresh, w.deletedMachines)
 		}
 		w.mu.Unlock()
 		for _, x := range w.nodes {
@@ -252,10 +252,10 @@
 func (n *node) lives(ctx context.Context, m reachability.UnresponsiveWorker) bool {
 	w := n.cluster
 	heard := m.Endpoint != "" && n.dispatcher.PollWorker(ctx, m.Name, m.Endpoint)
-	for _, p := range w.names { // and its peers are asked whether they hear it
+	for _, p := range w.controllerNames { // and its peers are asked whether they hear it
 		w.mu.Lock()
 		to := w.nodes[p]
-		ok := to != n && w.reach(n, to)
+		ok := to != n && w.reaches(n, to)
 		w.mu.Unlock()
 		heard = heard || ok && (!m.OutboundLost && to.dispatcher.SinceHeartbeat(m.Name) < n.reach.silence.Timeout || m.Endpoint != "" && to.dispatcher.PollWorker(ctx, m.Name, m.Endpoint))
 	}
--- a/internal/testkit/recorded/recorded.go
+++ b/internal/testkit/recorded/recorded.go
@@ -111,11 +111,11 @@
 		value.SetMapIndex(key, element)
 	default:
 		*next++
-		fillPlain(value, *next)
+		fillScalar(value, *next)
 	}
 }
 
-func fillPlain(value reflect.Value, n int) {
+func fillScalar(value reflect.Value, n int) {
 	switch {
 	case value.Kind() == reflect.String:
 		value.SetString(fmt.Sprintf("text-%d", n))
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -14,15 +14,15 @@
 // machine at a time.
 func (w *cluster) report(k *testkit.Worker) {
 	w.mu.Lock()
-	if k.Hangs() {
+	if k.IsHung() {
 		w.mu.Unlock()
 		return
 	}
 	rep := k.Report()
 	rep.Endpoint = k.Name
-	n := w.nodes[w.names[w.dispatcherOf[k]%len(w.names)]]
+	n := w.nodes[w.controllerNames[w.dispatcherOf[k]%len(w.controllerNames)]]
 	sent := time.Now()
-	next := !w.losslessReports && w.rnd.IntN(30) == 0 || n.down || !w.works(k.Name, n.name) // a lost report: the worker tries the next one
+	next := !w.losslessReports && w.messageRand.IntN(30) == 0 || n.down || !w.works(k.Name, n.name) // a lost report: the worker tries the next one
 	w.mu.Unlock()
 	if next {
 		w.mu.Lock()
@@ -30,7 +30,7 @@
 		w.mu.Unlock()
 		return
 	}
-	w.travel()
+	w.awaitTransit()
 	if n.ended() { // while the report was on its way
 		w.mu.Lock()
 		w.dispatcherOf[k]++
@@ -42,29 +42,29 @@
 	}
 	status, body := n.dispatcher.HandleReport(context.Background(), rep)
 	answered := time.Now()
-	w.travel()
+	w.awaitTransit()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if status == http.StatusOK && w.works(n.name, k.Name) {
 		w.hear(k.Name) // one that nobody answers loses its tasks, and may go
 	}
-	if w.copies = append(w.copies, rep); len(w.copies) > keptCopies {
-		w.copies = w.copies[keptCopies/2:]
+	if w.reportCopies = append(w.reportCopies, rep); len(w.reportCopies) > keptCopies {
+		w.reportCopies = w.reportCopies[keptCopies/2:]
 	}
 	if !w.works(n.name, k.Name) {
 		w.dispatcherOf[k]++
 		return
 	}
-	if !w.losslessReports && w.rnd.IntN(30) == 0 {
+	if !w.losslessReports && w.messageRand.IntN(30) == 0 {
 		return // the answer is lost
 	}
 	switch a := body.(type) {
 	case wire.ReportResponse:
 		w.checks.sent(n, answered)
-		k.Answer(sent, rep.Session, a)
+		k.HandleResponse(sent, rep.Session, a)
 	case wire.Redirect:
 		w.dispatcherOf[k]++
-		for i, x := range w.names {
+		for i, x := range w.controllerNames {
 			if x == a.ReportTo {
 				w.dispatcherOf[k] = i
 			}
@@ -83,8 +83,8 @@
 // perhaps more than once.
 func (w *cluster) deliverCopies(to *node) {
 	w.mu.Lock()
-	late := slices.Clone(w.copies)
-	w.rnd.Shuffle(len(late), func(i, j int) { late[i], late[j] = late[j], late[i] })
+	late := slices.Clone(w.reportCopies)
+	w.messageRand.Shuffle(len(late), func(i, j int) { late[i], late[j] = late[j], late[i] })
 	w.mu.Unlock()
 	if to.down {
 		return
@@ -93,7 +93,7 @@
 		again := *rep
 		again.Tasks = slices.Clone(rep.Tasks)
 		to.dispatcher.HandleReport(context.Background(), &again) // whatever is answered reaches nobody
-		w.check()
+		w.checkInvariants()
 	}
 }
 
@@ -101,18 +101,18 @@
 // lets the leaders settle unresponsive workers by attestation.
 func (w *cluster) publish() {
 	w.mu.Lock()
-	nodes := make([]*node, 0, len(w.names))
-	for _, name := range w.names {
+	nodes := make([]*node, 0, len(w.controllerNames))
+	for _, name := range w.controllerNames {
 		if n := w.nodes[name]; !n.down {
 			nodes = append(nodes, n)
 		}
 	}
 	w.mu.Unlock()
 	for _, n := range nodes {
-		n.published.Gather(time.Since(n.started).Milliseconds(), w.others(n.name))
+		n.publisher.Gather(time.Since(n.started).Milliseconds(), w.otherControllers(n.name))
 		for _, to := range nodes {
 			w.mu.Lock()
-			ok := to != n && w.reach(n, to)
+			ok := to != n && w.reaches(n, to)
 			w.mu.Unlock()
 			if ok {
 				w.besideSlow(func() { n.publishTo(to) })
@@ -125,13 +125,13 @@
 	}
 	for _, n := range nodes {
 		if len(n.member.LedShards()) > 0 {
-			if !w.unlisted {
+			if !w.skipInventoryPoll {
 				n.onDuty("probe", func(ctx context.Context) { n.dispatcher.PollReports(ctx, unheard, 3*reportEvery) })
 			}
 			n.onDuty("leases", n.askExpiring)
 		}
 	}
-	if len(nodes) < len(w.names) {
+	if len(nodes) < len(w.controllerNames) {
 		return
 	}
 	for _, n := range nodes {
@@ -147,6 +147,6 @@
 			continue
 		}
 		w.report(k)
-		w.check()
+		w.checkInvariants()
 	}
 }
--- a/internal/testkit/returned_after_restart_test.go
+++ b/internal/testkit/returned_after_restart_test.go
@@ -22,30 +22,30 @@
 		{"all are back", time.Nanosecond, workerLease + slack},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			onCluster(t, 4900+uint64(i), 3, 12, func(w *cluster) {
+			runOnCluster(t, 4900+uint64(i), 3, 12, func(w *cluster) {
 				w.submit("j-80", 24)
-				w.live(10)
+				w.runFor(10)
 				for _, k := range w.workers[:dead] {
-					w.cutAll(k.Name, w.names...)
+					w.breakLinks(k.Name, w.controllerNames...)
 				}
-				w.live(1)
-				last := w.names[len(w.names)-1]
+				w.runFor(1)
+				last := w.controllerNames[len(w.controllerNames)-1]
 				w.stopAll()
-				for _, name := range w.names {
+				for _, name := range w.controllerNames {
 					if name != last || c.away == time.Nanosecond {
 						w.start(name)
 					}
 				}
 				began := time.Now()
-				for w.returnedMachines < dead && time.Since(began) < c.within {
+				for w.deletedMachines < dead && time.Since(began) < c.within {
 					if c.away > time.Nanosecond && time.Since(began) >= c.away && w.nodes[last].down {
 						w.start(last)
 					}
-					w.live(1)
+					w.runFor(1)
 				}
-				t.Logf("%d of %d returned after %v", w.returnedMachines, dead, time.Since(began))
-				if w.returnedMachines != dead {
-					t.Errorf("%d of %d dead machines are returned %v after the restart", w.returnedMachines, dead, time.Since(began))
+				t.Logf("%d of %d returned after %v", w.deletedMachines, dead, time.Since(began))
+				if w.deletedMachines != dead {
+					t.Errorf("%d of %d dead machines are returned %v after the restart", w.deletedMachines, dead, time.Since(began))
 				}
 			})
 		})
--- a/internal/testkit/slow_links_test.go
+++ b/internal/testkit/slow_links_test.go
@@ -31,20 +31,20 @@
 	)
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			onClusterWith(t, 4000+seed, limitedTeams, 3, 6, func(w *cluster) {
+			runOnClusterWithTeams(t, 4000+seed, limitedTeams, 3, 6, func(w *cluster) {
 				begun, killed := map[string]time.Time{}, 0
 				for _, k := range w.workers {
 					noteStarts(k, begun)
-					k.Ended = func(task wire.Task, _ time.Duration) {
+					k.OnEnd = func(task wire.Task, _ time.Duration) {
 						if task.Cause == "" {
 							killed++
 						}
 					}
 				}
-				w.delayLinks(func() time.Duration { return time.Duration(100+w.rnd.IntN(1400)) * time.Millisecond })
+				w.delayLinks(func() time.Duration { return time.Duration(100+w.messageRand.IntN(1400)) * time.Millisecond })
 				at := map[string]time.Time{}
 				submit := func(uid, team, priority string, tasks int, cpus float64) {
-					w.job(uid, team, priority, tasks, cpus)
+					w.submitArray(uid, team, priority, tasks, cpus)
 					at[uid] = time.Now()
 				}
 				for i, team := range []string{"t", "t", "t", "capped", "assured"} {
@@ -60,15 +60,15 @@
 						submit(fmt.Sprintf("j-n%d", second), "t", []string{"low", "normal"}[second%2], 8, 1)
 					}
 					if second == 50 {
-						if !w.within(10, func() bool { return w.leader() != "" }) {
+						if !w.runUntil(10, func() bool { return w.leader() != "" }) {
 							t.Fatal("nobody owns the jobs")
 						}
 						first := w.leader()
 						w.crash(first)
-						w.live(int(seed))
+						w.runFor(int(seed))
 						w.start(first)
 					}
-					w.live(1)
+					w.runFor(1)
 					if second > 20 && second < 50 || second > 70 {
 						seconds++
 						used += w.usedShare()
@@ -93,11 +93,11 @@
 				w.delayLinks(nil)
 				w.waits.insist()
 				all := slices.Collect(maps.Keys(at))
-				for i := 0; !w.ended(all...)(); i++ {
+				for i := 0; !w.jobsEnded(all...)(); i++ {
 					if i == 400 {
 						t.Fatalf("%d of %d jobs ended", len(w.store.Keys("final/")), len(all))
 					}
-					w.live(1)
+					w.runFor(1)
 				}
 				slowest, latest := time.Duration(0), time.Duration(0)
 				for uid, since := range at {
@@ -127,12 +127,12 @@
 	var users sync.WaitGroup
 	var open, known atomic.Int64
 	for _, uid := range uids {
-		for _, n := range w.names {
+		for _, n := range w.controllerNames {
 			open.Add(1)
 			users.Go(func() {
 				defer open.Add(-1)
 				for range 3 {
-					if _, ok := w.user(n, http.MethodGet, uid); ok {
+					if _, ok := w.userRequest(n, http.MethodGet, uid); ok {
 						known.Add(1)
 						return
 					}
@@ -141,18 +141,18 @@
 		}
 	}
 	for open.Load() > 0 {
-		w.live(1)
+		w.runFor(1)
 	}
 	users.Wait()
-	if want := len(uids) * len(w.names); int(known.Load()) < want {
+	if want := len(uids) * len(w.controllerNames); int(known.Load()) < want {
 		w.t.Errorf("%d of %d questions were answered", known.Load(), want)
 	}
 }
 
 // noteStarts notes when the first task of each job starts.
 func noteStarts(k *testkit.Worker, begun map[string]time.Time) {
-	started := k.Started
-	k.Started = func(task string, attempt uint64) {
+	started := k.OnStart
+	k.OnStart = func(task string, attempt uint64) {
 		uid, _, _ := strings.Cut(task, "/")
 		if begun[uid].IsZero() {
 			begun[uid] = time.Now()
@@ -168,7 +168,7 @@
 	for _, cpus := range all {
 		free += cpus
 	}
-	return 1 - free/(float64(w.size)*float64(len(all)))
+	return 1 - free/(float64(w.machineTypes)*float64(len(all)))
 }
 
 // moreWorkThanRoom reports whether the tasks that wait, as far as their teams' limits let
@@ -179,7 +179,7 @@
 	for _, cpus := range s.free {
 		free += cpus
 	}
-	for _, job := range w.specs {
+	for _, job := range w.submittedJobs {
 		if s.waits(job) {
 			wanted[job.Team] += job.CPUs * float64(job.Tasks-s.on[job.UID]-s.done[job.UID])
 		}
--- a/internal/testkit/stage_after_failover_test.go
+++ b/internal/testkit/stage_after_failover_test.go
@@ -20,13 +20,13 @@
 
 // ask polls the job at every controller, and repeats its submission there.
 func (s *stageAnswers) ask() {
-	switch on := s.onMachines(s.job) > 0; {
+	switch on := s.unfinishedTasks(s.job) > 0; {
 	case !on:
 		s.onSince = time.Time{}
 	case s.onSince.IsZero():
 		s.onSince = time.Now()
 	}
-	for _, name := range s.names {
+	for _, name := range s.controllerNames {
 		if s.nodes[name].down {
 			continue
 		}
@@ -54,7 +54,7 @@
 func (s *stageAnswers) askFor(seconds int, heartbeats bool) {
 	for range seconds {
 		if heartbeats {
-			s.live(1)
+			s.runFor(1)
 		}
 		until := time.Now().Add(time.Second)
 		for time.Now().Before(until) {
@@ -81,33 +81,36 @@
 	name   string
 	change func(w *cluster)
 }{
-	{"transfer", func(w *cluster) { w.transferTo(w.others(w.leader())[0], 0) }},
-	{"transfer to a leader whose watch is behind", func(w *cluster) { w.transferTo(w.others(w.leader())[0], 4*time.Second) }},
+	{"transfer", func(w *cluster) { w.transferTo(w.otherControllers(w.leader())[0], 0) }},
+	{"transfer to a leader whose watch is behind", func(w *cluster) { w.transferTo(w.otherControllers(w.leader())[0], 4*time.Second) }},
 	{"crash", func(w *cluster) { w.crash(w.leader()) }},
 	{"restart of the leader", func(w *cluster) { w.restart(w.leader(), 100*time.Millisecond) }},
 	{"restart of all controllers", func(w *cluster) {
 		w.stopAll()
 		time.Sleep(2 * time.Second)
-		w.startAll()
+		w.startStopped()
 	}},
 	{"crash, and another controller reaches only its peers", func(w *cluster) {
 		leader := w.leader()
-		w.refuse(w.others(leader)[0])
+		w.cutFromStateService(w.otherControllers(leader)[0])
 		w.crash(leader)
 	}},
-	{"a controller joins", func(w *cluster) { w.restart(w.others(w.leader())[0], 100*time.Millisecond) }},
+	{"a controller joins", func(w *cluster) { w.restart(w.otherControllers(w.leader())[0], 100*time.Millisecond) }},
 }
 
 // Guards against a running job that is called queued while its new leader has no heartbeats.
 func TestRunningJobIsNotCalledQueuedAfterChangeOfLeader(t *testing.T) {
 	for i, c := range changesOfLeader {
 		t.Run(c.name, func(t *testing.T) {
-			onCluster(t, 4800+uint64(i), 3, 8, func(w *cluster) {
+			runOnCluster(t, 4800+uint64(i), 3, 8, func(w *cluster) {
 				w.submit("j-80", 6)
-				if !w.within(20, func() bool { stage, _ := w.user(w.leader(), http.MethodGet, "j-80"); return stage == wire.StageRunning }) {
+				if !w.runUntil(20, func() bool {
+					stage, _ := w.userRequest(w.leader(), http.MethodGet, "j-80")
+					return stage == wire.StageRunning
+				}) {
 					t.Fatal("the job does not run")
 				}
-				w.live(5)
+				w.runFor(5)
 				c.change(w)
 				asked := w.answersOf("j-80")
 				asked.askFor(5, false)
@@ -153,11 +156,11 @@
 		{"crash, its workers are cut off", changesOfLeader[2].change, "j-80", workerLease + 2*time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			onCluster(t, 4850+uint64(i), 3, 2, func(w *cluster) {
+			runOnCluster(t, 4850+uint64(i), 3, 2, func(w *cluster) {
 				w.submit("j-80", 2)
-				w.live(8)
+				w.runFor(8)
 				for _, k := range w.workers {
-					w.cutAll(k.Name, w.names...)
+					w.breakLinks(k.Name, w.controllerNames...)
 				}
 				before := w.leader()
 				c.change(w)
--- a/internal/testkit/stale_heartbeats_test.go
+++ b/internal/testkit/stale_heartbeats_test.go
@@ -38,7 +38,7 @@
 		})
 	}
 	all.Wait()
-	w.check()
+	w.checkInvariants()
 	return taken
 }
 
@@ -54,7 +54,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a, ok := body.(wire.ReportResponse); ok {
-		k.Answer(sent, rep.Session, a)
+		k.HandleResponse(sent, rep.Session, a)
 	}
 	return rep
 }
@@ -69,34 +69,34 @@
 				w := newCluster(t, 1)
 				w.bigger(3, 2)
 				w.workers = w.workers[:2]
-				w.losslessReports, w.keepCuts = true, true
+				w.losslessReports, w.keepBrokenLinks = true, true
 				k, other := w.workers[0], w.workers[1]
 				runs := 0
 				for _, x := range w.workers {
-					x.Run = func(string) time.Duration {
+					x.RunTime = func(string) time.Duration {
 						if runs++; runs == 1 && ended {
 							return time.Second
 						}
 						return time.Hour
 					}
 				}
-				k.Exit = func(string) int { return 3 }
-				w.startInTurn()
+				k.ExitCode = func(string) int { return 3 }
+				w.startControllersOneByOne()
 				time.Sleep(2 * time.Second)
 				w.exchange()
 				first := w.leader()
 				w.submit("j-80", 1)
 				// The task starts on the first worker, by the answer to a report; direct
 				// orders, whose answers would tell of it, don't arrive.
-				w.unheard(k, w.names...)
+				w.breakLinksTo(k, w.controllerNames...)
 				for range 10 {
 					w.reportTo(k, first)
-					if w.onMachines("j-80") == 1 {
+					if w.unfinishedTasks("j-80") == 1 {
 						break
 					}
 					time.Sleep(500 * time.Millisecond)
 				}
-				if w.onMachines("j-80") != 1 {
+				if w.unfinishedTasks("j-80") != 1 {
 					t.Fatal("the task did not start")
 				}
 				renewed := time.Now()
@@ -112,16 +112,16 @@
 				var copies []*wire.Report
 				for range 6 { // in the new session the task starts again
 					copies = append(copies, w.reportTo(k, first))
-					if w.onMachines("j-80") == 1 {
+					if w.unfinishedTasks("j-80") == 1 {
 						break
 					}
 					time.Sleep(300 * time.Millisecond)
 				}
-				if w.onMachines("j-80") != 1 || copies[0].Session != held.Session+1 {
-					t.Fatalf("%d tasks on, session %d after %d", w.onMachines("j-80"), copies[0].Session, held.Session)
+				if w.unfinishedTasks("j-80") != 1 || copies[0].Session != held.Session+1 {
+					t.Fatalf("%d tasks on, session %d after %d", w.unfinishedTasks("j-80"), copies[0].Session, held.Session)
 				}
 				// From now on nothing newer comes from the worker, and it goes on.
-				w.cutAll(k.Name, w.names...)
+				w.breakLinks(k.Name, w.controllerNames...)
 				w.restart(first, 100*time.Millisecond)
 				time.Sleep(time.Second)
 				w.exchange()
@@ -132,12 +132,12 @@
 				if took, _, _ := w.nodes[next].scheduler.FailoverProgress(); took == 0 {
 					t.Fatal("the new leader has not read the records")
 				}
-				if w.deliver(append([]*wire.Report{held}, copies...), w.names...) == 0 {
+				if w.deliver(append([]*wire.Report{held}, copies...), w.controllerNames...) == 0 {
 					t.Error("nobody took the report that was held back")
 				}
 				for range 6 {
 					w.reportTo(other, next)
-					w.check()
+					w.checkInvariants()
 					time.Sleep(300 * time.Millisecond)
 				}
 				w.stopAll()
@@ -155,7 +155,7 @@
 
 // next returns the controller that has read the records since, or nil.
 func (w *cluster) next(before map[string]jobstate.Stats) *node {
-	for _, name := range w.names {
+	for _, name := range w.controllerNames {
 		if n := w.nodes[name]; !n.down && len(n.member.LedShards()) > 0 && n.scheduler.Counters().Failovers > before[name].Failovers {
 			return n
 		}
@@ -165,7 +165,7 @@
 
 // claimed reports whether any controller has claimed jobs.
 func (w *cluster) claimed() bool {
-	return slices.ContainsFunc(w.names, func(name string) bool { return !w.nodes[name].down && len(w.nodes[name].member.ClaimedShards()) > 0 })
+	return slices.ContainsFunc(w.controllerNames, func(name string) bool { return !w.nodes[name].down && len(w.nodes[name].member.ClaimedShards()) > 0 })
 }
 
 // unheardOf counts the workers on which the records had tasks, and those of them that the
@@ -208,7 +208,7 @@
 	for _, s := range stages {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%s, %d", s.name, seed), func(t *testing.T) {
-				onCluster(t, 1200+seed, 3, 6, func(w *cluster) { playOldReports(t, w, &s) })
+				runOnCluster(t, 1200+seed, 3, 6, func(w *cluster) { playOldReports(t, w, &s) })
 			})
 		}
 	}
@@ -221,33 +221,33 @@
 	live := func(seconds int) {
 		for range seconds {
 			w.mu.Lock()
-			rep := w.workers[w.rnd.IntN(3)].Report()
+			rep := w.workers[w.messageRand.IntN(3)].Report()
 			rep.Endpoint = rep.Machine
 			held = append(held, rep)
 			w.mu.Unlock()
-			w.live(1)
+			w.runFor(1)
 		}
 	}
 	live(8)
 	// An earlier session and attempts, and an earlier leader.
 	away := w.workers[0]
-	w.cutAll(away.Name, w.names...)
+	w.breakLinks(away.Name, w.controllerNames...)
 	live(4)
 	w.restart(w.leader(), 200*time.Millisecond)
 	live(9)
-	w.healLinks(away.Name, w.names...)
+	w.healLinks(away.Name, w.controllerNames...)
 	live(6)
 	// The lost task waits for room among the short ones, which are of the same priority.
-	if !w.within(40, func() bool { return w.onMachines("j-80") == 6 && w.leader() != "" }) {
-		t.Fatalf("%d of 6 long tasks run before the take-over", w.onMachines("j-80"))
+	if !w.runUntil(40, func() bool { return w.unfinishedTasks("j-80") == 6 && w.leader() != "" }) {
+		t.Fatalf("%d of 6 long tasks run before the take-over", w.unfinishedTasks("j-80"))
 	}
 	w.mu.Lock()
-	old := append(slices.Clone(held), w.copies...)
+	old := append(slices.Clone(held), w.reportCopies...)
 	w.mu.Unlock()
 	slices.SortStableFunc(old, func(a, b *wire.Report) int { return int(a.Session) - int(b.Session) })
-	if w.draw(2) == 0 {
+	if w.planIntN(2) == 0 {
 		w.mu.Lock()
-		w.rnd.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
+		w.messageRand.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
 		w.mu.Unlock()
 	}
 	again := 0 // starts of the long tasks, which have no reason to start again
@@ -258,7 +258,7 @@
 	}
 	before := map[string]jobstate.Stats{}
 	first := w.leader()
-	for _, name := range w.names {
+	for _, name := range w.controllerNames {
 		before[name] = w.nodes[name].scheduler.Counters()
 	}
 	before[first] = jobstate.Stats{}
@@ -305,30 +305,30 @@
 	if sessions == 0 || tasks == 0 || len(held) < 20 {
 		t.Errorf("%d reports of an earlier session with %d tasks, %d that never arrived", sessions, tasks, len(held))
 	}
-	w.deliver(old, w.names...)
+	w.deliver(old, w.controllerNames...)
 	w.mu.Lock()
 	w.storeLatency = nil
 	w.mu.Unlock()
-	w.live(4)
+	w.runFor(4)
 	if again > 0 {
 		t.Errorf("long tasks started %d times again", again)
 	}
 	// A lease later, in growing order, when two workers have been unresponsive for as long.
 	silent := w.workers[4:6]
 	for _, k := range silent {
-		w.cutAll(k.Name, w.names...)
+		w.breakLinks(k.Name, w.controllerNames...)
 	}
-	w.live(11)
-	w.deliver(old, w.names...)
-	w.live(1)
-	w.deliver(old, w.names...)
+	w.runFor(11)
+	w.deliver(old, w.controllerNames...)
+	w.runFor(1)
+	w.deliver(old, w.controllerNames...)
 	for _, k := range silent {
-		w.healLinks(k.Name, w.names...)
+		w.healLinks(k.Name, w.controllerNames...)
 	}
-	if !w.within(200, w.ended("j-1")) {
+	if !w.runUntil(200, w.jobsEnded("j-1")) {
 		t.Error("the short job did not end")
 	}
-	if !w.within(60, func() bool { return w.onMachines("j-80") == 6 }) {
-		t.Errorf("%d of 6 long tasks are on", w.onMachines("j-80"))
+	if !w.runUntil(60, func() bool { return w.unfinishedTasks("j-80") == 6 }) {
+		t.Errorf("%d of 6 long tasks are on", w.unfinishedTasks("j-80"))
 	}
 }
--- a/internal/testkit/store.go
+++ b/internal/testkit/store.go
@@ -22,37 +22,37 @@
 }
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
 // Store is a state service in memory. All controllers of a test share one;
 // each has its own View of it.
 type Store struct {
-	mu     sync.Mutex
-	items  map[string]item
-	leases map[uint64]*lease
-	rev    uint64
-	next   uint64
-	events []wire.Event
-	change chan struct{}
+	mu        sync.Mutex
+	items     map[string]item
+	leases    map[uint64]*lease
+	rev       uint64
+	lastLease uint64
+	events    []wire.Event
+	changed   chan struct{}
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{items: map[string]item{}, leases: map[uint64]*lease{}, change: make(chan struct{})}
+	return &Store{items: map[string]item{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
 }
 
-func (s *Store) expire() {
+func (s *Store) expireLeases() {
 	now := time.Now()
 	for id, l := range s.leases {
-		if !now.Before(l.ends) {
-			s.end(id)
+		if !now.Before(l.expires) {
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *Store) end(id uint64) {
+func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
 	var keys []string
 	for k, it := range s.items {
@@ -69,18 +69,18 @@
 		delete(s.items, k)
 		s.events = append(s.events, wire.Event{Delete: k, Version: s.rev})
 	}
-	s.signal()
+	s.notifyWatchers()
 }
 
-func (s *Store) signal() {
-	close(s.change)
-	s.change = make(chan struct{})
+func (s *Store) notifyWatchers() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *Store) apply(t wire.Txn) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	for _, op := range t.Then {
 		if op.Put != "" && op.Lease != 0 && s.leases[op.Lease] == nil {
 			return 0, statestore.ErrNoLease
@@ -109,7 +109,7 @@
 		delete(s.items, op.Delete)
 		s.events = append(s.events, wire.Event{Delete: op.Delete, Version: s.rev})
 	}
-	s.signal()
+	s.notifyWatchers()
 	return s.rev, nil
 }
 
@@ -117,7 +117,7 @@
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	var out []string
 	for k := range s.items {
 		if strings.HasPrefix(k, prefix) {
@@ -128,8 +128,8 @@
 	return out
 }
 
-// Text returns a key's value as it is stored, or "".
-func (s *Store) Text(key string) string {
+// RawValue returns a key's value as it is stored, or "".
+func (s *Store) RawValue(key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return string(s.items[key].value)
@@ -149,7 +149,7 @@
 func (s *Store) read(key string) (item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	it, ok := s.items[key]
 	return it, ok
 }
--- a/internal/testkit/team_limits_check_test.go
+++ b/internal/testkit/team_limits_check_test.go
@@ -40,22 +40,22 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
-		free := float64(w.size)
-		for _, task := range k.On() {
+		free := float64(w.machineTypes)
+		for _, task := range k.UnfinishedTasks() {
 			uid, _, _ := strings.Cut(task, "/")
 			s.on[uid]++
-			if job := w.specs[uid]; job != nil {
+			if job := w.submittedJobs[uid]; job != nil {
 				s.use[job.Team] += job.CPUs
 				free -= job.CPUs
 			} else {
 				free = 0
 			}
 		}
-		if !k.Hangs() {
+		if !k.IsHung() {
 			s.free[k] = free
 		}
 	}
-	for task := range w.cleared {
+	for task := range w.forgottenTasks {
 		uid, _, _ := strings.Cut(task, "/")
 		s.done[uid]++
 	}
@@ -79,7 +79,7 @@
 // a worker that goes on has room for it.
 func (w *cluster) heldByLimit(team string) bool {
 	s := w.standing()
-	for _, job := range w.specs {
+	for _, job := range w.submittedJobs {
 		if job.Team != team || !s.waits(job) || s.underLimit(w.cfg.Params.Teams, job) {
 			continue
 		}
--- a/internal/testkit/team_limits_test.go
+++ b/internal/testkit/team_limits_test.go
@@ -23,18 +23,18 @@
 // teamsAtLimits plays on a new cluster whose limited teams stand at their limits with jobs
 // j-80 to j-83 of long tasks, and have more work. Nothing is drawn but lost messages.
 func teamsAtLimits(t *testing.T, seed uint64, play func(c *teamCluster)) {
-	onClusterWith(t, seed, limitedTeams, 3, 8, func(w *cluster) {
-		w.job("j-80", "capped", "normal", 3, 1)
-		w.job("j-81", "capped", "low", 2, 2)
-		w.job("j-82", "assured", "normal", 3, 1)
-		w.job("j-83", "assured", "urgent", 1, 2)
-		w.live(8)
-		w.job("j-1", "capped", "normal", 12, 1)
-		w.job("j-2", "capped", "urgent", 4, 2)
-		w.job("j-3", "assured", "normal", 12, 1)
-		w.job("j-4", "assured", "production", 4, 2)
-		w.job("j-5", "t", "low", 20, 1)
-		w.live(6)
+	runOnClusterWithTeams(t, seed, limitedTeams, 3, 8, func(w *cluster) {
+		w.submitArray("j-80", "capped", "normal", 3, 1)
+		w.submitArray("j-81", "capped", "low", 2, 2)
+		w.submitArray("j-82", "assured", "normal", 3, 1)
+		w.submitArray("j-83", "assured", "urgent", 1, 2)
+		w.runFor(8)
+		w.submitArray("j-1", "capped", "normal", 12, 1)
+		w.submitArray("j-2", "capped", "urgent", 4, 2)
+		w.submitArray("j-3", "assured", "normal", 12, 1)
+		w.submitArray("j-4", "assured", "production", 4, 2)
+		w.submitArray("j-5", "t", "low", 20, 1)
+		w.runFor(6)
 		c := &teamCluster{w}
 		c.mustBeAtLimits()
 		play(c)
@@ -54,12 +54,12 @@
 func (c *teamCluster) finishes(short ...string) {
 	c.t.Helper()
 	c.waits.insist()
-	c.live(30)
-	for i := 0; !c.ended(short...)(); i++ {
+	c.runFor(30)
+	for i := 0; !c.jobsEnded(short...)(); i++ {
 		if i == 300 {
 			c.t.Fatalf("only %v ended; in use: %v", c.store.Keys("final/"), c.standing().use)
 		}
-		c.live(1)
+		c.runFor(1)
 	}
 }
 
@@ -73,7 +73,7 @@
 	{"the leader ends", func(c *teamCluster, first string) { c.crash(first) }},
 	{"it is back within a second", func(c *teamCluster, first string) { c.restart(first, 400*time.Millisecond) }},
 	{"it hands over", func(c *teamCluster, first string) {
-		_ = c.nodes[first].member.TransferShards(context.Background(), c.others(first)[0]) // what became of it is looked at
+		_ = c.nodes[first].member.TransferShards(context.Background(), c.otherControllers(first)[0]) // what became of it is looked at
 	}},
 }
 
@@ -102,20 +102,20 @@
 func (c *teamCluster) failOverAtLimits(t *testing.T, failover limitFailover, hang bool, when int) (away, cut []*testkit.Worker) {
 	t.Helper()
 	jobs := []string{"j-80", "j-82"}
-	away = append(c.machinesOf("j-80"), c.machinesOf("j-82")...)
+	away = append(c.workersWithTasksOf("j-80"), c.workersWithTasksOf("j-82")...)
 	cut = away
 	if hang {
 		c.hang(away...)
 		cut = away[:len(away)/2] // the others get what was sent when they go on
 	}
 	for _, k := range cut {
-		c.cutAll(k.Name, c.names...)
+		c.breakLinks(k.Name, c.controllerNames...)
 	}
 	first := c.leader()
 	before := c.nodes[first].member.LedShards()
-	at := c.others(first)[1]
+	at := c.otherControllers(first)[1]
 	confirm := func(seconds int) {
-		if n := c.cancelAll(at, jobs, seconds); n != len(jobs) {
+		if n := c.cancelJobs(at, jobs, seconds); n != len(jobs) {
 			t.Fatalf("%d of %d cancels are confirmed", n, len(jobs))
 		}
 	}
@@ -124,7 +124,7 @@
 	}
 	c.mustBeAtLimits()
 	failover.begin(c, first)
-	if when == 2 && !c.within(6, func() bool { return c.leader() != "" }) {
+	if when == 2 && !c.runUntil(6, func() bool { return c.leader() != "" }) {
 		t.Fatal("nobody leads")
 	}
 	if when > 0 {
@@ -133,7 +133,7 @@
 	if l := c.leader(); l == first && maps.Equal(before, c.nodes[first].member.LedShards()) {
 		t.Fatal("the leader did not change")
 	}
-	if n := c.onMachines("j-80") + c.onMachines("j-82"); n != 6 {
+	if n := c.unfinishedTasks("j-80") + c.unfinishedTasks("j-82"); n != 6 {
 		t.Fatalf("%d cancelled tasks are on machines that nobody reaches", n)
 	}
 	c.mustBeAtLimits()
@@ -145,27 +145,27 @@
 	t.Helper()
 	if hang {
 		c.resume(away...)
-		if n := c.onMachines("j-80") + c.onMachines("j-82"); n == 0 {
+		if n := c.unfinishedTasks("j-80") + c.unfinishedTasks("j-82"); n == 0 {
 			t.Fatal("no cancelled task went on after its machine hung")
 		}
-		c.live(1)
+		c.runFor(1)
 	} else {
-		c.live(4)
+		c.runFor(4)
 	}
 	for _, k := range cut[:1+when] {
-		c.healLinks(k.Name, c.names...)
+		c.healLinks(k.Name, c.controllerNames...)
 	}
-	c.release()
-	c.startAll()
-	c.live(12) // the others' leases end
+	c.deliverHeldCommands()
+	c.startStopped()
+	c.runFor(12) // the others' leases end
 	for _, k := range cut {
-		c.healLinks(k.Name, c.names...)
+		c.healLinks(k.Name, c.controllerNames...)
 	}
-	c.release()
+	c.deliverHeldCommands()
 	c.finishes("j-1", "j-2", "j-3", "j-4", "j-5", "j-80", "j-82")
 	for uid, n := range map[string]int{"j-81": 2, "j-83": 1} {
-		if !c.within(30, func() bool { return c.onMachines(uid) == n }) {
-			t.Errorf("%d of %d long tasks of %s are on", c.onMachines(uid), n, uid)
+		if !c.runUntil(30, func() bool { return c.unfinishedTasks(uid) == n }) {
+			t.Errorf("%d of %d long tasks of %s are on", c.unfinishedTasks(uid), n, uid)
 		}
 	}
 	t.Logf("longest wait beside room: %v", c.waits.longest)
--- a/internal/testkit/transfer_lag_test.go
+++ b/internal/testkit/transfer_lag_test.go
@@ -24,14 +24,14 @@
 		{name: "its answer is lost, and both watches are behind", answerLost: true, alsoOldLags: true, within: 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			onCluster(t, 1700, 3, 8, func(w *cluster) {
+			runOnCluster(t, 1700, 3, 8, func(w *cluster) {
 				w.submit("j-80", 6)
-				w.live(8)
+				w.runFor(8)
 				from := w.nodes[w.leader()]
-				to := w.others(from.name)[0]
+				to := w.otherControllers(from.name)[0]
 				lost := false
 				w.mu.Lock()
-				w.behind = func(n *node, _ string) time.Duration {
+				w.watchLagOf = func(n *node, _ string) time.Duration {
 					if n.name == to || c.alsoOldLags && n == from {
 						return behind
 					}
@@ -46,7 +46,7 @@
 				began := time.Now()
 				go w.moveJobs(from)
 				for range c.within {
-					w.live(1)
+					w.runFor(1)
 				}
 				if at := w.leader(); at != to {
 					t.Errorf("%v after the transfer began, %q leads, not %s", time.Since(began), at, to)
@@ -57,7 +57,7 @@
 				if wasLost != c.answerLost {
 					t.Errorf("the answer was lost: %v", wasLost)
 				}
-				w.live(15)
+				w.runFor(15)
 				if at := w.leader(); at != to {
 					t.Errorf("in the end %q leads, not %s", at, to)
 				}
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -29,7 +29,7 @@
 func (w *cluster) unreported(k *testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, n := range w.names {
+	for _, n := range w.controllerNames {
 		w.brokenLinks[[2]string{k.Name, n}] = true
 	}
 }
@@ -66,14 +66,14 @@
 		left: map[string]time.Time{}, killed: map[string]int{}, stopped: map[string]int{}, started: map[string]bool{}, longest: map[string]time.Duration{},
 	}
 	for _, k := range w.workers {
-		started := k.Started
-		k.Run = func(task string) time.Duration { return max(0, total(task)-l.saved[task]) }
-		k.Save = save
-		k.Started = func(task string, attempt uint64) {
+		started := k.OnStart
+		k.RunTime = func(task string) time.Duration { return max(0, total(task)-l.saved[task]) }
+		k.SaveTime = save
+		k.OnStart = func(task string, attempt uint64) {
 			started(task, attempt)
 			l.starts(w, k, task)
 		}
-		k.Ended = func(t wire.Task, ran time.Duration) { l.ends(k, t, ran) }
+		k.OnEnd = func(t wire.Task, ran time.Duration) { l.ends(k, t, ran) }
 	}
 	return l
 }
@@ -141,8 +141,8 @@
 
 // finishes heals all links, and has so many jobs end.
 func (w *cluster) finishes(jobs int) {
-	w.healed()
-	if !w.within(300, func() bool { return len(w.store.Keys("final/")) == jobs }) {
+	w.healAllLinks()
+	if !w.runUntil(300, func() bool { return len(w.store.Keys("final/")) == jobs }) {
 		w.t.Errorf("of %d jobs only %v ended", jobs, w.store.Keys("final/"))
 	}
 	w.stopAll()
@@ -156,7 +156,7 @@
 	defer w.mu.Unlock()
 	on := map[*testkit.Worker][]string{}
 	for _, k := range w.workers {
-		tasks := k.On()
+		tasks := k.UnfinishedTasks()
 		for _, uid := range jobs {
 			if slices.ContainsFunc(tasks, func(task string) bool { return strings.HasPrefix(task, uid) }) {
 				on[k] = append(on[k], uid)
@@ -225,12 +225,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, uint64(700+i))
 				w.bigger(3, 24)
-				w.size = 8 // so that there is room elsewhere
-				w.promptCommands, w.keepCuts, w.unlisted = true, true, !c.ends
+				w.machineTypes = 8 // so that there is room elsewhere
+				w.promptCommands, w.keepBrokenLinks, w.skipInventoryPoll = true, true, !c.ends
 				l := w.follow(func(task string) time.Duration {
 					switch uid, _, _ := strings.Cut(task, "/"); uid {
 					case short:
-						return variedTime(task)
+						return variedTaskDuration(task)
 					case tiny:
 						return time.Second
 					}
@@ -241,7 +241,7 @@
 					}
 					return -1
 				})
-				w.startInTurn()
+				w.startControllersOneByOne()
 				time.Sleep(2 * time.Second)
 				submit := func(uid, priority string, tasks int, estimate, mark float64) {
 					w.accept(&wire.Job{
@@ -251,16 +251,16 @@
 				}
 				submit(savers, "normal", 24, 40, 30)
 				submit(old, "normal", 24, 40, 0)
-				w.live(2)
+				w.runFor(2)
 				submit(short, "normal", 240, 6, 0)
-				w.live(8)
+				w.runFor(8)
 				submit(young, "urgent", 24, 40, 0)
 				jobs := 4
 				if c.full {
 					submit(tiny, "low", 6000, 1, 0)
 					jobs++
 				}
-				w.live(1)
+				w.runFor(1)
 				sessions := map[string]uint64{}
 				cut := w.byJobs(savers, young)[:c.cut]
 				for _, k := range cut {
@@ -271,21 +271,21 @@
 				if c.token {
 					session, term := w.session(cut[0]), w.nodes[w.leader()].member.FencingToken()
 					w.mu.Lock()
-					cut[0].Orders(wire.Orders{Token: term + 1, Session: session})
+					cut[0].HandleCommands(wire.Orders{Token: term + 1, Session: session})
 					w.mu.Unlock()
 				}
 				if c.ends {
-					w.live(1)
+					w.runFor(1)
 					w.restart(w.leader(), 200*time.Millisecond)
 				}
-				w.live(25)
+				w.runFor(25)
 				for _, k := range cut {
 					if w.session(k) == sessions[k.Name] {
 						t.Errorf("the lease of %s did not end", k.Name)
 					}
 				}
 				t.Logf("%s: killed %v, stopped %v, %d done there, %v of run lost, %d of %d late starts killed, %v until all ran elsewhere, %d still wait, %d returned",
-					c.name, l.killed, l.stopped, l.read, l.lostRun, l.late, len(l.started), l.longest, len(l.left), w.returnedMachines)
+					c.name, l.killed, l.stopped, l.read, l.lostRun, l.late, len(l.started), l.longest, len(l.left), w.deletedMachines)
 				if c.ends {
 					// The next leader knows neither when the leases end nor how long tasks have run.
 					if l.stopped[old] > 0 || l.stopped[savers] == 0 {
@@ -303,8 +303,8 @@
 				if c.full && len(l.started) == 0 {
 					t.Error("no task that would be done in time was started")
 				}
-				if w.returnedMachines > 0 {
-					t.Errorf("%d machines that answer were returned", w.returnedMachines)
+				if w.deletedMachines > 0 {
+					t.Errorf("%d machines that answer were returned", w.deletedMachines)
 				}
 				if len(l.stopped) == 0 || c.cut > 1 && (l.stopped[savers] == 0 || l.read == 0) {
 					t.Errorf("%v tasks were stopped, %d were done on machines that reach nobody", l.stopped, l.read)
--- a/internal/testkit/unresponsive_workers_test.go
+++ b/internal/testkit/unresponsive_workers_test.go
@@ -16,19 +16,19 @@
 func settled(t *testing.T, seed uint64, controllers, workers int) (w *cluster, owner string, others []string, live func(seconds int)) {
 	w = newCluster(t, seed)
 	w.bigger(controllers, workers)
-	w.startInTurn()
-	live = w.live
+	w.startControllersOneByOne()
+	live = w.runFor
 	w.submit("j-0", 6000)
-	w.keepCuts = true
+	w.keepBrokenLinks = true
 	live(25)
-	for _, n := range w.names {
+	for _, n := range w.controllerNames {
 		if len(w.nodes[n].member.LedShards()) > 0 {
 			owner = n
 		} else {
 			others = append(others, n)
 		}
 	}
-	if owner == "" || time.Since(w.lastStart()) > 3*time.Second {
+	if owner == "" || time.Since(w.lastStartTime()) > 3*time.Second {
 		t.Fatalf("no start before the trouble; owner %q", owner)
 	}
 	return w, owner, others, live
@@ -56,38 +56,38 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w, owner, _, live := settled(t, uint64(300+i), 3, 24)
-				by := w.names
+				by := w.controllerNames
 				if c.owner {
 					by = []string{owner}
 				}
 				for _, k := range w.workers[:c.deaf] {
-					w.unheard(k, by...)
+					w.breakLinksTo(k, by...)
 				}
-				ran, before := w.starts, w.nodes[owner].scheduler.Counters().Granted
+				ran, before := w.startCount, w.nodes[owner].scheduler.Counters().Granted
 				longest := time.Duration(0)
 				for range 60 {
 					live(1)
-					longest = max(longest, time.Since(w.lastStart()))
+					longest = max(longest, time.Since(w.lastStartTime()))
 				}
 				granted := 0
 				for _, n := range w.nodes {
 					granted += n.scheduler.Counters().Granted
 				}
-				ran = w.starts - ran
-				t.Logf("%s: %v without a start, %d granted, %d ran, %d returned", c.name, longest, granted-before, ran, w.returnedMachines)
+				ran = w.startCount - ran
+				t.Logf("%s: %v without a start, %d granted, %d ran, %d returned", c.name, longest, granted-before, ran, w.deletedMachines)
 				if c.gap > 0 && longest > c.gap {
 					t.Errorf("%v without a start", longest)
 				}
 				if wasted := granted - before - ran; wasted > c.wasted {
 					t.Errorf("%d starts for nothing", wasted)
 				}
-				if w.returnedMachines > c.back || w.returnedMachines < c.atLeast {
-					t.Errorf("%d machines returned", w.returnedMachines)
+				if w.deletedMachines > c.back || w.deletedMachines < c.atLeast {
+					t.Errorf("%d machines returned", w.deletedMachines)
 				}
-				w.healed()
+				w.healAllLinks()
 				live(30)
-				if time.Since(w.lastStart()) > 3*time.Second {
-					t.Errorf("after the healing no start for %v", time.Since(w.lastStart()))
+				if time.Since(w.lastStartTime()) > 3*time.Second {
+					t.Errorf("after the healing no start for %v", time.Since(w.lastStartTime()))
 				}
 				w.stopAll()
 			})
@@ -105,16 +105,16 @@
 					w, owner, others, live := settled(t, uint64(400+i), 5, 24)
 					cut := map[string][]string{"owner": {owner}, "another": {others[0]}, "both": {owner, others[0]}}[who]
 					for _, n := range cut {
-						for _, x := range append([]string{stateService}, w.names...) {
+						for _, x := range append([]string{stateService}, w.controllerNames...) {
 							if x != n {
-								w.cutAll(n, x)
+								w.breakLinks(n, x)
 							}
 						}
 					}
 					longest := time.Duration(0)
 					for range long {
 						live(1)
-						longest = max(longest, time.Since(w.lastStart()))
+						longest = max(longest, time.Since(w.lastStartTime()))
 					}
 					held := 0
 					for _, k := range w.workers {
@@ -124,17 +124,17 @@
 							}
 						}
 					}
-					t.Logf("%v without a start, %d workers still there, %d returned", longest, held, w.returnedMachines)
-					if longest > 9*time.Second || w.returnedMachines > 0 {
-						t.Errorf("%v without a start, %d machines returned", longest, w.returnedMachines)
+					t.Logf("%v without a start, %d workers still there, %d returned", longest, held, w.deletedMachines)
+					if longest > 9*time.Second || w.deletedMachines > 0 {
+						t.Errorf("%v without a start, %d machines returned", longest, w.deletedMachines)
 					}
 					if long > 60 && held > 0 {
 						t.Errorf("%d workers are still held by who can start nothing", held)
 					}
-					w.healed()
+					w.healAllLinks()
 					live(20)
-					if time.Since(w.lastStart()) > 3*time.Second {
-						t.Errorf("after the healing no start for %v", time.Since(w.lastStart()))
+					if time.Since(w.lastStartTime()) > 3*time.Second {
+						t.Errorf("after the healing no start for %v", time.Since(w.lastStartTime()))
 					}
 					w.stopAll()
 				})
@@ -152,7 +152,7 @@
 		w, owner, _, live := settled(t, 500, 3, 24)
 		mended, sick, tried := false, w.workers[0].Name, 0
 		for _, k := range w.workers {
-			k.Exit = func(task string) int {
+			k.ExitCode = func(task string) int {
 				bad := strings.HasPrefix(task, "j-bad")
 				if bad {
 					tried++
@@ -167,9 +167,9 @@
 			w.submit(fmt.Sprintf("j-bad%d", i), 40)
 			w.submit(fmt.Sprintf("j-%d", 1+i), 2000)
 		}
-		before := w.starts
+		before := w.startCount
 		live(90)
-		if good := w.starts - before - tried; good < 1000 {
+		if good := w.startCount - before - tried; good < 1000 {
 			t.Errorf("%d starts of the sound job in 90 s", good)
 		}
 		t.Logf("%d tries", tried)
--- a/internal/testkit/view.go
+++ b/internal/testkit/view.go
@@ -20,64 +20,64 @@
 // View is one controller's access to the store.
 type View struct {
 	*Store
-	// Down makes every request fail without being executed.
-	Down func() bool
-	// Lose makes a transaction's answer get lost after it was applied.
-	Lose func() bool
-	// Late, if it returns true, holds a transaction back; Deliver applies it.
-	Late func() bool
-	// LateBy, if it returns more than 0, has a transaction applied so much later,
+	// Unavailable makes every request fail without being executed.
+	Unavailable func() bool
+	// LoseResponse makes a transaction's answer get lost after it was applied.
+	LoseResponse func() bool
+	// Hold, if it returns true, holds a transaction back; Deliver applies it.
+	Hold func() bool
+	// ApplyAfter, if it returns more than 0, has a transaction applied so much later,
 	// after newer ones, without an answer.
-	LateBy func() time.Duration
-	// Slow is how long an answer takes; nil: no time.
-	Slow func() time.Duration
-	// Lag is how long a watch's answer takes; nil: no time.
-	Lag func() time.Duration
-	// Sending is called with each transaction before it is carried out, and Listing with
+	ApplyAfter func() time.Duration
+	// ResponseDelay is how long an answer takes; nil: no time.
+	ResponseDelay func() time.Duration
+	// WatchLag is how long a watch's answer takes; nil: no time.
+	WatchLag func() time.Duration
+	// BeforeTxn is called with each transaction before it is carried out, and Listing with
 	// the prefix before keys are read. They may wait; nil: nothing waits.
-	Sending Hook[func(t wire.Txn)]
-	Listing Hook[func(prefix string)]
-	// Refuse, if it returns true, has the service refuse a transaction: it is surely not
+	BeforeTxn  Hook[func(t wire.Txn)]
+	BeforeList Hook[func(prefix string)]
+	// RefuseTxn, if it returns true, has the service refuse a transaction: it is surely not
 	// carried out.
-	Refuse Hook[func(t wire.Txn) bool]
-	// Behind is how long the watch of a prefix is behind; nil: not at all.
-	Behind func(prefix string) time.Duration
-	// LoseAnswer makes the answer of a transaction that was applied at a version get
+	RefuseTxn Hook[func(t wire.Txn) bool]
+	// PrefixWatchLag is how long the watch of a prefix is behind; nil: not at all.
+	PrefixWatchLag func(prefix string) time.Duration
+	// TimeOutResponse makes the answer of a transaction that was applied at a version get
 	// lost: the caller hears nothing until its time is over.
-	LoseAnswer func(t wire.Txn, version uint64) bool
-	// Delay, if it returns more than 0, has a transaction applied so much later; its caller
+	TimeOutResponse func(t wire.Txn, version uint64) bool
+	// DelayTxn, if it returns more than 0, has a transaction applied so much later; its caller
 	// hears nothing, outcome what came of it.
-	Delay func(t wire.Txn) (by time.Duration, outcome func(error))
+	DelayTxn func(t wire.Txn) (by time.Duration, outcome func(error))
 	// OnRead is called with every key and version that a read or a watch tells of.
 	OnRead func(key string, version uint64)
-	// Transit is how long a request is under way before it is executed, and its answer
+	// TransitDelay is how long a request is under way before it is executed, and its answer
 	// after that, each; nil: no time. Leases and watches have none.
-	Transit func() time.Duration
+	TransitDelay func() time.Duration
 
-	lateMu sync.Mutex
-	late   []wire.Txn
+	heldMu sync.Mutex
+	held   []wire.Txn
 }
 
-// Deliver applies the transactions that were held back.
-func (v *View) Deliver() {
-	v.lateMu.Lock()
-	late := v.late
-	v.late = nil
-	v.lateMu.Unlock()
+// ApplyHeld applies the transactions that were held back.
+func (v *View) ApplyHeld() {
+	v.heldMu.Lock()
+	late := v.held
+	v.held = nil
+	v.heldMu.Unlock()
 	for _, t := range late {
 		_, _ = v.apply(t) // nobody waits for the answer any more
 	}
 }
 
-func happens(f func() bool) bool { return f != nil && f() }
+func isTriggered(f func() bool) bool { return f != nil && f() }
 
-// answer lets the time pass that an answer takes; false if nobody waits for it any
+// awaitResponse lets the time pass that an awaitResponse takes; false if nobody waits for it any
 // more.
-func (v *View) answer(ctx context.Context) bool {
-	if v.Slow == nil {
+func (v *View) awaitResponse(ctx context.Context) bool {
+	if v.ResponseDelay == nil {
 		return true
 	}
-	d := v.Slow()
+	d := v.ResponseDelay()
 	if d == 0 {
 		return true
 	}
@@ -89,19 +89,19 @@
 	}
 }
 
-// noAnswer is how long a caller without a time limit of its own waits for an answer
+// defaultTimeout is how long a caller without a time limit of its own waits for an answer
 // that is lost.
-const noAnswer = 4 * time.Second
+const defaultTimeout = 4 * time.Second
 
 // awaitTimeout returns when a caller without a response gives up.
 func awaitTimeout(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(noAnswer):
+	case <-time.After(defaultTimeout):
 	}
 }
 
-func (v *View) seen(items ...wire.Item) {
+func (v *View) observeRead(items ...wire.Item) {
 	if v.OnRead == nil {
 		return
 	}
@@ -110,60 +110,60 @@
 	}
 }
 
-// travel lets the time pass that a message is under way; false if nobody waits for it
+// awaitTransit lets the time pass that a message is under way; false if nobody waits for it
 // any more, which does not stop it.
-func (v *View) travel(ctx context.Context) bool {
-	if v.Transit == nil {
+func (v *View) awaitTransit(ctx context.Context) bool {
+	if v.TransitDelay == nil {
 		return true
 	}
-	if d := v.Transit(); d > 0 {
+	if d := v.TransitDelay(); d > 0 {
 		time.Sleep(d)
 	}
 	return ctx.Err() == nil
 }
 
-// lag is how long the answer of a prefix's watch takes.
-func (v *View) lag(prefix string) (d time.Duration) {
-	if v.Lag != nil {
-		d = v.Lag()
+// watchDelay is how long the answer of a prefix's watch takes.
+func (v *View) watchDelay(prefix string) (d time.Duration) {
+	if v.WatchLag != nil {
+		d = v.WatchLag()
 	}
-	if v.Behind != nil {
-		d += v.Behind(prefix)
+	if v.PrefixWatchLag != nil {
+		d += v.PrefixWatchLag(prefix)
 	}
 	return d
 }
 
 // Get reads a key.
 func (v *View) Get(ctx context.Context, key string) (wire.Item, error) {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return wire.Item{}, statestore.ErrUnavailable
 	}
-	v.travel(ctx)
-	if !v.answer(ctx) {
+	v.awaitTransit(ctx)
+	if !v.awaitResponse(ctx) {
 		return wire.Item{}, statestore.ErrUnknown
 	}
 	it, ok := v.read(key)
-	if !v.travel(ctx) {
+	if !v.awaitTransit(ctx) {
 		return wire.Item{}, statestore.ErrUnknown
 	}
 	if !ok {
-		v.seen(wire.Item{Key: key})
+		v.observeRead(wire.Item{Key: key})
 		return wire.Item{}, statestore.ErrNotFound
 	}
-	v.seen(wire.Item{Key: key, Version: it.version})
+	v.observeRead(wire.Item{Key: key, Version: it.version})
 	return wire.Item{Key: key, Value: it.value, Version: it.version, Lease: it.lease}, nil
 }
 
 // List reads the keys with a prefix.
 func (v *View) List(_ context.Context, prefix string) ([]wire.Item, uint64, error) {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return nil, 0, statestore.ErrUnavailable
 	}
-	if listing := v.Listing.Get(); listing != nil {
+	if listing := v.BeforeList.Get(); listing != nil {
 		listing(prefix)
 	}
 	v.mu.Lock()
-	v.expire()
+	v.expireLeases()
 	var out []wire.Item
 	for k, it := range v.items {
 		if strings.HasPrefix(k, prefix) {
@@ -173,7 +173,7 @@
 	rev := v.rev
 	v.mu.Unlock()
 	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
-	v.seen(out...)
+	v.observeRead(out...)
 	return out, rev, nil
 }
 
@@ -192,7 +192,7 @@
 
 // Txn applies a transaction.
 func (v *View) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return 0, statestore.ErrUnavailable
 	}
 	t := wire.Txn{If: guards, Then: append([]wire.Op(nil), ops...)}
@@ -205,26 +205,26 @@
 			t.Then[i].Value = json.RawMessage(data)
 		}
 	}
-	if sending := v.Sending.Get(); sending != nil {
+	if sending := v.BeforeTxn.Get(); sending != nil {
 		sending(t)
 	}
-	if refuse := v.Refuse.Get(); refuse != nil && refuse(t) {
+	if refuse := v.RefuseTxn.Get(); refuse != nil && refuse(t) {
 		return 0, statestore.ErrUnavailable
 	}
-	if happens(v.Late) {
-		v.lateMu.Lock()
-		v.late = append(v.late, t)
-		v.lateMu.Unlock()
+	if isTriggered(v.Hold) {
+		v.heldMu.Lock()
+		v.held = append(v.held, t)
+		v.heldMu.Unlock()
 		return 0, statestore.ErrUnknown
 	}
-	if v.LateBy != nil {
-		if d := v.LateBy(); d > 0 {
+	if v.ApplyAfter != nil {
+		if d := v.ApplyAfter(); d > 0 {
 			time.AfterFunc(d, func() { _, _ = v.apply(t) })
 			return 0, statestore.ErrUnknown
 		}
 	}
-	if v.Delay != nil {
-		if by, outcome := v.Delay(t); by > 0 {
+	if v.DelayTxn != nil {
+		if by, outcome := v.DelayTxn(t); by > 0 {
 			time.AfterFunc(by, func() {
 				_, err := v.apply(t)
 				outcome(err)
@@ -233,13 +233,13 @@
 			return 0, statestore.ErrUnknown
 		}
 	}
-	v.travel(ctx)
+	v.awaitTransit(ctx)
 	rev, err := v.apply(t)
-	if err == nil && v.LoseAnswer != nil && v.LoseAnswer(t, rev) {
+	if err == nil && v.TimeOutResponse != nil && v.TimeOutResponse(t, rev) {
 		awaitTimeout(ctx)
 		return 0, statestore.ErrUnknown
 	}
-	if happens(v.Lose) || !v.answer(ctx) || !v.travel(ctx) {
+	if isTriggered(v.LoseResponse) || !v.awaitResponse(ctx) || !v.awaitTransit(ctx) {
 		return 0, statestore.ErrUnknown
 	}
 	return rev, err
@@ -247,47 +247,47 @@
 
 // GrantLease opens a lease.
 func (v *View) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return 0, statestore.ErrUnavailable
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.next++
-	v.leases[v.next] = &lease{ttl, time.Now().Add(ttl)}
-	return v.next, nil
+	v.lastLease++
+	v.leases[v.lastLease] = &lease{ttl, time.Now().Add(ttl)}
+	return v.lastLease, nil
 }
 
 // RenewLease renews a lease.
 func (v *View) RenewLease(ctx context.Context, id uint64) error {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return statestore.ErrUnavailable
 	}
-	if !v.answer(ctx) {
+	if !v.awaitResponse(ctx) {
 		return statestore.ErrUnknown
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.expire()
+	v.expireLeases()
 	l := v.leases[id]
 	if l == nil {
 		return statestore.ErrNotFound
 	}
-	l.ends = time.Now().Add(l.ttl)
+	l.expires = time.Now().Add(l.ttl)
 	return nil
 }
 
 // RevokeLease ends a lease.
 func (v *View) RevokeLease(_ context.Context, id uint64) error {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return statestore.ErrUnavailable
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.expire()
+	v.expireLeases()
 	if v.leases[id] == nil {
 		return statestore.ErrNotFound
 	}
-	v.end(id)
+	v.endLease(id)
 	return nil
 }
 
@@ -307,12 +307,12 @@
 	}
 	reset(items)
 	for ctx.Err() == nil {
-		if happens(v.Down) {
+		if isTriggered(v.Unavailable) {
 			pause()
 			continue
 		}
 		v.mu.Lock()
-		v.expire()
+		v.expireLeases()
 		var got []wire.Event
 		for _, e := range v.events {
 			if e.Version > rev && strings.HasPrefix(e.Put+e.Delete, prefix) {
@@ -320,17 +320,17 @@
 			}
 		}
 		rev = v.rev
-		wait := v.change
+		wait := v.changed
 		v.mu.Unlock()
 		if len(got) > 0 {
-			if d := v.lag(prefix); d > 0 {
+			if d := v.watchDelay(prefix); d > 0 {
 				select {
 				case <-ctx.Done():
 				case <-time.After(d):
 				}
 			}
 			for _, e := range got {
-				v.seen(wire.Item{Key: e.Put + e.Delete, Version: e.Version})
+				v.observeRead(wire.Item{Key: e.Put + e.Delete, Version: e.Version})
 			}
 			change(got)
 			pacer.Wait(ctx)
--- a/internal/testkit/wait_check_test.go
+++ b/internal/testkit/wait_check_test.go
@@ -67,7 +67,7 @@
 	defer w.mu.Unlock()
 	use := w.useOf(jobs)
 	if c.insisted {
-		for uid, job := range w.specs {
+		for uid, job := range w.submittedJobs {
 			jobs[uid] = job
 		}
 	}
@@ -80,10 +80,10 @@
 			continue
 		}
 		could := s.waits(job) && use.allows(w.cfg.Params.Teams, job)
-		waited := c.besideSteadyRoom(uid, could && c.hasSteadyRoom(s, job.CPUs, now), w.startsOf[uid], now)
+		waited := c.besideSteadyRoom(uid, could && c.hasSteadyRoom(s, job.CPUs, now), w.startsByJob[uid], now)
 		c.longest = max(c.longest, waited)
 		if withPauses {
-			waited = max(waited, c.besideRecurringRoom(uid, could, s.fitting(job.CPUs), w.startsOf[uid], now))
+			waited = max(waited, c.besideRecurringRoom(uid, could, s.fitting(job.CPUs), w.startsByJob[uid], now))
 		}
 		if waited > waitAllowed {
 			w.fail("%s waits for %v while a machine has room and team %s is under its limit", uid, waited, job.Team)
@@ -174,7 +174,7 @@
 func (w *cluster) useOf(jobs map[string]*wire.Job) teamUse {
 	use := teamUse{}
 	for _, k := range w.workers {
-		for _, task := range k.On() {
+		for _, task := range k.UnfinishedTasks() {
 			uid, _, _ := strings.Cut(task, "/")
 			if job := jobs[uid]; job != nil {
 				use[job.Team] += job.CPUs
@@ -205,8 +205,8 @@
 			continue
 		}
 		job := &record.Job
-		if w.specs[job.UID] == nil {
-			w.specs[job.UID] = job
+		if w.submittedJobs[job.UID] == nil {
+			w.submittedJobs[job.UID] = job
 		}
 		if !record.Cancelled && record.Terms == nil {
 			jobs[job.UID] = job
@@ -227,11 +227,11 @@
 			return false
 		}
 	}
-	if slices.ContainsFunc(w.workers, (*testkit.Worker).Hangs) {
+	if slices.ContainsFunc(w.workers, (*testkit.Worker).IsHung) {
 		return false
 	}
-	store := w.storeLatency != nil || w.transactionDelay != nil || w.losesResponse != nil || w.watchLag != nil || w.behind != nil || w.delay != nil
-	return !store && w.holdsCommand == nil && w.transit == nil && w.messageDelay == nil
+	store := w.storeLatency != nil || w.transactionDelay != nil || w.losesResponse != nil || w.watchLag != nil || w.watchLagOf != nil || w.delayTransaction != nil
+	return !store && w.holdsCommand == nil && w.transitTime == nil && w.messageDelay == nil
 }
 
 // bound reports whether a job may not use every worker that has room for it.
@@ -262,7 +262,7 @@
 				w := newCluster(t, 1)
 				w.cfg.Params.Teams[0].CPUsMax = c.limit
 				if c.trouble {
-					w.refuse("a")
+					w.cutFromStateService("a")
 				}
 				w.waits.insisted = c.insist
 				noticed := 0
@@ -284,7 +284,7 @@
 // each look with pauses alone is recurring room: a job that waits beside either is noticed,
 // one whose tasks start is not.
 func TestWaitCheckFindsSteadyAndRecurringRoom(t *testing.T) {
-	first, second := testkit.NewWorker("n-1", workerLease, taskTime), testkit.NewWorker("n-2", workerLease, taskTime)
+	first, second := testkit.NewWorker("n-1", workerLease, taskDuration), testkit.NewWorker("n-2", workerLease, taskDuration)
 	begin := time.Now()
 	for _, starting := range []bool{false, true} {
 		moving, taken := newWaitCheck(), newWaitCheck()
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -11,148 +11,148 @@
 	Name     string
 	Zone     string
 	Lease    time.Duration
-	Run      func(task string) time.Duration // how long a task runs
-	Started  func(task string, attempt uint64)
-	Exit     func(task string) int                // exit code of a task that ends by itself; nil: 0
+	RunTime  func(task string) time.Duration // how long a task runs
+	OnStart  func(task string, attempt uint64)
+	ExitCode func(task string) int                // exit code of a task that ends by itself; nil: 0
 	OnForget func(task string, attempt uint64)    // a task that was done is cleared
-	Held     func(carryOut func()) func()         // wraps what is carried out when a hang ends; nil: as it is
-	Save     func(task string) time.Duration      // how long a task takes to save when it is stopped; nil, or negative: it can't
-	Ended    func(t wire.Task, ran time.Duration) // a task ends, with what it was exited; killed by the lease: with no cause
+	WrapHeld func(carryOut func()) func()         // wraps what is carried out when a hang ends; nil: as it is
+	SaveTime func(task string) time.Duration      // how long a task takes to save when it is stopped; nil, or negative: it can't
+	OnEnd    func(t wire.Task, ran time.Duration) // a task ends, with what it was exited; killed by the lease: with no cause
 
 	session, seq, token uint64
-	renewed             time.Time
-	tasks               map[ref]*running
+	lastRenewal         time.Time
+	tasks               map[attemptKey]*taskState
 
 	hungAt time.Time // since when the worker hangs; zero: it does not
-	heldUp []func()  // what came in the meantime, in order
+	held   []func()  // what came in the meantime, in order
 }
 
-// answerWait is how long a worker waits for the answer to a report.
-const answerWait = 4 * time.Second
+// responseTimeout is how long a worker waits for the answer to a report.
+const responseTimeout = 4 * time.Second
 
-type ref struct {
+type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-type running struct {
+type taskState struct {
 	wire.Task
-	begun time.Time
-	ends  time.Time // its run, or its saving
+	startedAt time.Time
+	endsAt    time.Time // its run, or its saving
 }
 
-// end notes that a task ends, and how long it ran.
-func (w *Worker) end(t *running, ran time.Duration) {
-	if w.Ended != nil {
-		w.Ended(t.Task, ran)
+// noteEnd notes that a task ends, and how long it ran.
+func (w *Worker) noteEnd(t *taskState, ran time.Duration) {
+	if w.OnEnd != nil {
+		w.OnEnd(t.Task, ran)
 	}
 }
 
-// kill ends all tasks with the lease.
-func (w *Worker) kill(now time.Time) {
+// killAll ends all tasks with the lease.
+func (w *Worker) killAll(now time.Time) {
 	for _, t := range w.tasks {
 		if t.State != wire.TaskExited {
-			w.end(t, now.Sub(t.begun))
+			w.noteEnd(t, now.Sub(t.startedAt))
 		}
 	}
 }
 
 // stop stops a task; it saves first if it can and has the time.
-func (w *Worker) stop(t *running, grace float64) {
+func (w *Worker) stop(t *taskState, grace float64) {
 	now, save := time.Now(), time.Duration(-1)
-	if w.Save != nil {
-		save = w.Save(t.Task.Task)
+	if w.SaveTime != nil {
+		save = w.SaveTime(t.Task.Task)
 	}
 	switch {
 	case t.State == wire.TaskExited:
 	case t.State == wire.TaskRunning && save >= 0 && grace >= save.Seconds():
-		t.State, t.ends = wire.TaskSaving, now.Add(save)
+		t.State, t.endsAt = wire.TaskSaving, now.Add(save)
 	case t.State == wire.TaskSaving && grace > 0:
 	default:
 		t.State, t.Cause = wire.TaskExited, wire.CauseStopped
-		w.end(t, now.Sub(t.begun))
+		w.noteEnd(t, now.Sub(t.startedAt))
 	}
 }
 
 // NewWorker returns a worker that has just come up.
 func NewWorker(name string, lease time.Duration, run func(string) time.Duration) *Worker {
-	return &Worker{Name: name, Zone: "z", Lease: lease, Run: run, session: 1, renewed: time.Now(), tasks: map[ref]*running{}}
+	return &Worker{Name: name, Zone: "z", Lease: lease, RunTime: run, session: 1, lastRenewal: time.Now(), tasks: map[attemptKey]*taskState{}}
 }
 
 // Hang stops the worker: it executes nothing and reports nothing until Continue.
 func (w *Worker) Hang() {
-	if w.Hangs() {
+	if w.IsHung() {
 		return
 	}
 	w.advance()
 	w.hungAt = time.Now()
 }
 
-// Hangs reports whether the worker hangs.
-func (w *Worker) Hangs() bool { return !w.hungAt.IsZero() }
+// IsHung reports whether the worker hangs.
+func (w *Worker) IsHung() bool { return !w.hungAt.IsZero() }
 
-// hold keeps what came for a worker that hangs.
-func (w *Worker) hold(carryOut func()) {
-	if w.Held != nil {
-		carryOut = w.Held(carryOut)
+// holdUntilResume keeps what came for a worker that hangs.
+func (w *Worker) holdUntilResume(carryOut func()) {
+	if w.WrapHeld != nil {
+		carryOut = w.WrapHeld(carryOut)
 	}
-	w.heldUp = append(w.heldUp, carryOut)
+	w.held = append(w.held, carryOut)
 }
 
-// Continue ends a hang. The lease is judged first; then what came in the meantime is
+// Resume ends a hang. The lease is judged first; then what came in the meantime is
 // carried out, if it still may be. Tasks end as much later as the worker hung.
-func (w *Worker) Continue() {
-	if !w.Hangs() {
+func (w *Worker) Resume() {
+	if !w.IsHung() {
 		return
 	}
 	hung := time.Since(w.hungAt)
 	for _, t := range w.tasks {
-		t.ends = t.ends.Add(hung)
+		t.endsAt = t.endsAt.Add(hung)
 	}
-	late := w.heldUp
-	w.hungAt, w.heldUp = time.Time{}, nil
+	late := w.held
+	w.hungAt, w.held = time.Time{}, nil
 	w.advance()
 	for _, carryOut := range late {
 		carryOut()
 	}
 }
 
-// leaseOver reports whether the worker's lease has ended.
-func (w *Worker) leaseOver() bool { return time.Since(w.renewed) > w.Lease }
+// leaseExpired reports whether the worker's lease has ended.
+func (w *Worker) leaseExpired() bool { return time.Since(w.lastRenewal) > w.Lease }
 
 func (w *Worker) advance() {
-	if w.Hangs() {
+	if w.IsHung() {
 		return
 	}
 	now := time.Now()
-	if w.leaseOver() {
-		w.kill(now)
-		w.tasks = map[ref]*running{}
+	if w.leaseExpired() {
+		w.killAll(now)
+		w.tasks = map[attemptKey]*taskState{}
 		w.session++
-		w.renewed = now
+		w.lastRenewal = now
 	}
 	for _, t := range w.tasks {
-		if t.State == wire.TaskRunning && !now.Before(t.ends) {
+		if t.State == wire.TaskRunning && !now.Before(t.endsAt) {
 			t.State, t.Cause = wire.TaskExited, wire.CauseDone
-			if w.Exit != nil {
-				if code := w.Exit(t.Task.Task); code != 0 {
+			if w.ExitCode != nil {
+				if code := w.ExitCode(t.Task.Task); code != 0 {
 					t.Cause, t.Exit = wire.CauseError, &code
 				}
 			}
-			w.end(t, t.ends.Sub(t.begun))
+			w.noteEnd(t, t.endsAt.Sub(t.startedAt))
 		}
-		if t.State == wire.TaskSaving && !now.Before(t.ends) {
+		if t.State == wire.TaskSaving && !now.Before(t.endsAt) {
 			t.State, t.Cause, t.Saved = wire.TaskExited, wire.CauseStopped, true
-			w.end(t, t.ends.Sub(t.begun))
+			w.noteEnd(t, t.endsAt.Sub(t.startedAt))
 		}
 	}
 }
 
-// On lists the tasks that are on the worker now. Those of a worker that hangs are on
+// UnfinishedTasks lists the tasks that are on the worker now. Those of a worker that hangs are on
 // as long as it may continue, which is within its lease.
-func (w *Worker) On() []string {
+func (w *Worker) UnfinishedTasks() []string {
 	w.advance()
-	if w.Hangs() && w.leaseOver() {
+	if w.IsHung() && w.leaseExpired() {
 		return nil
 	}
 	var out []string
@@ -164,11 +164,11 @@
 	return out
 }
 
-// EndedSince reports whether a task has ended by itself since a time.
-func (w *Worker) EndedSince(at time.Time) bool {
+// TaskEndedSince reports whether a task has ended by itself since a time.
+func (w *Worker) TaskEndedSince(at time.Time) bool {
 	w.advance()
 	for _, t := range w.tasks {
-		if t.State == wire.TaskExited && t.Cause == wire.CauseDone && t.ends.After(at) {
+		if t.State == wire.TaskExited && t.Cause == wire.CauseDone && t.endsAt.After(at) {
 			return true
 		}
 	}
@@ -192,29 +192,29 @@
 	return r
 }
 
-// Answer takes the answer to a report sent at the given time, unless it is late.
-func (w *Worker) Answer(sent time.Time, session uint64, a wire.ReportResponse) {
-	if w.Hangs() {
-		w.hold(func() { w.Answer(sent, session, a) })
+// HandleResponse takes the answer to a report sent at the given time, unless it is late.
+func (w *Worker) HandleResponse(sent time.Time, session uint64, a wire.ReportResponse) {
+	if w.IsHung() {
+		w.holdUntilResume(func() { w.HandleResponse(sent, session, a) })
 		return
 	}
 	w.advance()
-	if time.Since(sent) > answerWait {
+	if time.Since(sent) > responseTimeout {
 		return
 	}
 	if a.Token < w.token || a.Token == 0 || session != w.session {
 		return
 	}
 	w.token = a.Token
-	w.renewed = sent
+	w.lastRenewal = sent
 	w.execute(a.Commands)
 }
 
-// Orders takes a direct message, however late it comes, and reports whether it was
+// HandleCommands takes a direct message, however late it comes, and reports whether it was
 // executed now. A worker that hangs takes it when it continues.
-func (w *Worker) Orders(o wire.Orders) bool {
-	if w.Hangs() {
-		w.hold(func() { w.Orders(o) })
+func (w *Worker) HandleCommands(o wire.Orders) bool {
+	if w.IsHung() {
+		w.holdUntilResume(func() { w.HandleCommands(o) })
 		return false
 	}
 	w.advance()
@@ -228,22 +228,22 @@
 
 func (w *Worker) execute(cmds []wire.Command) {
 	for _, c := range cmds {
-		k := ref{c.Task, c.Attempt}
+		k := attemptKey{c.Task, c.Attempt}
 		t := w.tasks[k]
 		switch c.Verb {
 		case wire.VerbStart:
 			if t != nil {
 				continue
 			}
-			t = &running{Task: wire.Task{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, begun: time.Now(), ends: time.Now().Add(w.Run(c.Task))}
+			t = &taskState{Task: wire.Task{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, startedAt: time.Now(), endsAt: time.Now().Add(w.RunTime(c.Task))}
 			for o, other := range w.tasks {
 				if o.task == c.Task && other.State != wire.TaskExited {
 					t.State, t.Cause = wire.TaskExited, wire.CauseBusy
 				}
 			}
 			w.tasks[k] = t
-			if t.State == wire.TaskRunning && w.Started != nil {
-				w.Started(c.Task, c.Attempt)
+			if t.State == wire.TaskRunning && w.OnStart != nil {
+				w.OnStart(c.Task, c.Attempt)
 			}
 		case wire.VerbStop:
 			if t != nil {
--- a/internal/testkit/worker_assignment_test.go
+++ b/internal/testkit/worker_assignment_test.go
@@ -16,13 +16,13 @@
 // spread plays on a cluster of three controllers none of which has connections for all
 // workers, so that they share them.
 func spread(t *testing.T, seed uint64, play func(w *cluster, owner, holder string)) {
-	onClusterWith(t, seed, limitedTeams, 3, spreadWorkers, func(w *cluster) {
+	runOnClusterWithTeams(t, seed, limitedTeams, 3, spreadWorkers, func(w *cluster) {
 		w.connectionLimits = map[string]int{"a": roomForWorkers, "b": roomForWorkers, "c": roomForWorkers}
 		w.losslessReports = true // a worker that moved for a lost message stays away for up to 30 s
-		w.live(40)
+		w.runFor(40)
 		w.losslessReports = false
 		owner := w.leader()
-		holder := w.others(owner)[0]
+		holder := w.otherControllers(owner)[0]
 		if held := w.held(); held[owner] == 0 || held[holder] == 0 {
 			t.Fatalf("workers are not shared: %v, owner %s", held, owner)
 		}
@@ -36,7 +36,7 @@
 	defer w.mu.Unlock()
 	out := map[string]string{}
 	for _, k := range w.workers {
-		out[k.Name] = w.names[w.dispatcherOf[k]%len(w.names)]
+		out[k.Name] = w.controllerNames[w.dispatcherOf[k]%len(w.controllerNames)]
 	}
 	return out
 }
@@ -56,30 +56,30 @@
 func TestWorkersAreSharedByConnectionLimit(t *testing.T) {
 	spread(t, 1, func(w *cluster, owner, _ string) {
 		w.losslessReports, w.reliableStore, w.promptCommands = true, true, true
-		w.job("j-9", "t", "normal", 30, 1)
-		w.live(40)
+		w.submitArray("j-9", "t", "normal", 30, 1)
+		w.runFor(40)
 		before, terms := w.holders(), map[string]uint64{}
-		for _, name := range w.names {
+		for _, name := range w.controllerNames {
 			terms[name] = w.nodes[name].member.FencingToken()
 			if n := w.held()[name]; n > roomForWorkers+1 {
 				t.Errorf("%s holds %d workers and has room for %d", name, n, roomForWorkers)
 			}
 		}
-		w.job("j-10", "t", "normal", 30, 1)
-		if !w.within(60, w.ended("j-10")) {
+		w.submitArray("j-10", "t", "normal", 30, 1)
+		if !w.runUntil(60, w.jobsEnded("j-10")) {
 			t.Error("a job of short tasks does not end")
 		}
-		w.live(20)
+		w.runFor(20)
 		if after := w.holders(); !maps.Equal(before, after) {
 			t.Errorf("workers moved: %v, then %v", before, after)
 		}
-		for _, name := range w.names {
+		for _, name := range w.controllerNames {
 			if term := w.nodes[name].member.FencingToken(); term != terms[name] {
 				t.Errorf("%s raised its term from %d to %d", name, terms[name], term)
 			}
 		}
 		w.connectionLimits = nil
-		if !w.within(80, func() bool { return w.held()[owner] == spreadWorkers }) {
+		if !w.runUntil(80, func() bool { return w.held()[owner] == spreadWorkers }) {
 			t.Errorf("with room for all at %s: %v", owner, w.held())
 		}
 	})
@@ -87,14 +87,14 @@
 
 // TestWorkersStayWithLeaderWhileConnectionsSuffice: where one controller has room for all, it holds all.
 func TestWorkersStayWithLeaderWhileConnectionsSuffice(t *testing.T) {
-	onClusterWith(t, 2, limitedTeams, 3, spreadWorkers, func(w *cluster) {
+	runOnClusterWithTeams(t, 2, limitedTeams, 3, spreadWorkers, func(w *cluster) {
 		w.losslessReports = true
 		w.connectionLimits = map[string]int{"a": spreadWorkers, "b": spreadWorkers, "c": spreadWorkers}
-		w.live(40)
+		w.runFor(40)
 		if held := w.held(); held[w.leader()] != spreadWorkers {
 			t.Errorf("held: %v, owner %s", held, w.leader())
 		}
-		for _, name := range w.names {
+		for _, name := range w.controllerNames {
 			if r := &w.nodes[name].reach; r.seats != nil || r.room != 0 {
 				t.Errorf("%s tells of seats %v, room %d", name, r.seats, r.room)
 			}
@@ -120,11 +120,11 @@
 			return func() { w.cutBetween(owner, holder, false) }
 		},
 		"is cut from both": func(w *cluster, _, holder string) func() {
-			for _, other := range w.others(holder) {
+			for _, other := range w.otherControllers(holder) {
 				w.cutBetween(other, holder, true)
 			}
 			return func() {
-				for _, other := range w.others(holder) {
+				for _, other := range w.otherControllers(holder) {
 					w.cutBetween(other, holder, false)
 				}
 			}
@@ -134,33 +134,33 @@
 			return func() { w.loseViews = nil }
 		},
 		"half of its views are lost": func(w *cluster, _, _ string) func() {
-			w.loseViews = func(*node, *node) bool { return w.chance(2) == 0 }
+			w.loseViews = func(*node, *node) bool { return w.messageIntN(2) == 0 }
 			return func() { w.loseViews = nil }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2) {
 				spread(t, 20+seed, func(w *cluster, owner, holder string) {
-					w.job("j-10", "t", "normal", 60, 1)
-					w.job("j-11", "capped", "normal", 30, 1)
-					w.job("j-12", "assured", "urgent", 20, 2)
-					w.job("j-80", "t", "low", 6, 1) // of long tasks
-					w.live(4)
+					w.submitArray("j-10", "t", "normal", 60, 1)
+					w.submitArray("j-11", "capped", "normal", 30, 1)
+					w.submitArray("j-12", "assured", "urgent", 20, 2)
+					w.submitArray("j-80", "t", "low", 6, 1) // of long tasks
+					w.runFor(4)
 					over := trouble(w, owner, holder)
-					w.live(2)
-					cancelled := w.within(30, func() bool {
-						_, heard := w.user(owner, http.MethodPost, "j-80")
+					w.runFor(2)
+					cancelled := w.runUntil(30, func() bool {
+						_, heard := w.userRequest(owner, http.MethodPost, "j-80")
 						return heard
 					})
-					w.live(14)
+					w.runFor(14)
 					over()
 					if !cancelled {
 						t.Error("nobody confirms the cancel")
 					}
-					if !w.within(60, func() bool { return w.onMachines("j-80") == 0 }) {
-						t.Errorf("%d cancelled tasks go on", w.onMachines("j-80"))
+					if !w.runUntil(60, func() bool { return w.unfinishedTasks("j-80") == 0 }) {
+						t.Errorf("%d cancelled tasks go on", w.unfinishedTasks("j-80"))
 					}
-					if !w.within(240, w.ended("j-10", "j-11", "j-12", "j-80")) {
+					if !w.runUntil(240, w.jobsEnded("j-10", "j-11", "j-12", "j-80")) {
 						t.Errorf("ended: %v", w.store.Keys("final/"))
 					}
 				})
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -46,7 +46,7 @@
 func (z *zonedCluster) zonesOf(uid, except string) map[string]int {
 	zones := map[string]int{}
 	for _, k := range z.workers {
-		for _, task := range k.On() {
+		for _, task := range k.UnfinishedTasks() {
 			if strings.HasPrefix(task, uid+"/") && task != except {
 				zones[k.Zone]++
 			}
@@ -94,7 +94,7 @@
 		}
 		room := ""
 		for _, k := range z.workers {
-			if len(k.On()) < int(z.size) && z.misplaced(job, "", k.Zone) == "" {
+			if len(k.UnfinishedTasks()) < int(z.machineTypes) && z.misplaced(job, "", k.Zone) == "" {
 				room = k.Name
 			}
 		}
@@ -121,23 +121,23 @@
 		{"machines of the zone are lost, one by one, and the leader ends", func(z *zonedCluster) {
 			lost := z.inZone("y")[:3]
 			for i, k := range lost {
-				z.cutAll(k.Name, z.names...)
+				z.breakLinks(k.Name, z.controllerNames...)
 				if i == 1 {
 					z.restart(z.leader(), 300*time.Millisecond)
 				}
-				z.live(7)
+				z.runFor(7)
 			}
-			z.live(10)
-			if z.returnedMachines == 0 {
+			z.runFor(10)
+			if z.deletedMachines == 0 {
 				z.fail("no machine was lost")
 			}
 		}},
-		{"the zone is cut off with another controller", func(z *zonedCluster) { z.cutZone(z.others(z.leader())[0]) }},
+		{"the zone is cut off with another controller", func(z *zonedCluster) { z.cutZone(z.otherControllers(z.leader())[0]) }},
 		{"the zone is cut off with the leader", func(z *zonedCluster) { z.cutZone(z.leader()) }},
 		{"the zone is cut off with a controller that the next leader never heard", func(z *zonedCluster) {
 			z.cutZoneUnheard(func(leader, other string) {
 				z.restart(other, 300*time.Millisecond)
-				z.live(4)
+				z.runFor(4)
 				z.restart(leader, 300*time.Millisecond)
 			})
 		}},
@@ -150,12 +150,12 @@
 		}},
 		{"all controllers are away", func(z *zonedCluster) {
 			z.stopAll()
-			sessions := z.sessions()
+			sessions := z.sessionSum()
 			time.Sleep(workerLease + 3*time.Second)
-			z.check()
-			z.startAll()
-			z.live(5)
-			if z.sessions() != sessions+len(z.workers) {
+			z.checkInvariants()
+			z.startStopped()
+			z.runFor(5)
+			if z.sessionSum() != sessions+len(z.workers) {
 				z.fail("not every lease ended")
 			}
 		}},
@@ -183,11 +183,11 @@
 func (z *zonedCluster) cutZone(inside string) {
 	z.divide(inside)
 	before := z.starts["z"]
-	z.live(int((testGrace + 2*workerLease).Seconds()))
+	z.runFor(int((testGrace + 2*workerLease).Seconds()))
 	if z.starts["z"] == before {
 		z.fail("nothing started in the other zone")
 	}
-	z.healed()
+	z.healAllLinks()
 }
 
 // cutZoneUnheard cuts zone y off with a controller that doesn't lead, and has the others end
@@ -195,17 +195,17 @@
 // machines is deleted while that one may answer them.
 func (z *zonedCluster) cutZoneUnheard(end func(leader, other string)) {
 	leader := z.leader()
-	inside, other := z.others(leader)[0], z.others(leader)[1]
+	inside, other := z.otherControllers(leader)[0], z.otherControllers(leader)[1]
 	z.divide(inside)
-	cut, returned := time.Now(), z.returnedMachines
-	z.live(4)
+	cut, returned := time.Now(), z.deletedMachines
+	z.runFor(4)
 	end(leader, other)
 	for z.leader() == "" && time.Since(cut) < testGrace {
-		z.live(1)
+		z.runFor(1)
 	}
 	took := time.Since(cut)
 	for time.Since(cut) < testGrace+workerLease-2*time.Second {
-		z.live(1)
+		z.runFor(1)
 	}
 	next := z.leader()
 	if next == "" || next == inside || took > testGrace-workerLease/2 {
@@ -216,21 +216,21 @@
 			z.fail("%s has heard %s", next, inside)
 		}
 	}
-	if z.returnedMachines > returned {
-		z.fail("%d machines of the zone are returned", z.returnedMachines-returned)
+	if z.deletedMachines > returned {
+		z.fail("%d machines of the zone are returned", z.deletedMachines-returned)
 	}
-	z.live(int(workerLease.Seconds()))
-	z.healed()
+	z.runFor(int(workerLease.Seconds()))
+	z.healAllLinks()
 }
 
 // divide cuts zone y, with a controller, off from the rest and from the state service.
 func (z *zonedCluster) divide(inside string) {
-	z.cutAll(inside, append(z.others(inside), stateService)...)
+	z.breakLinks(inside, append(z.otherControllers(inside), stateService)...)
 	for _, k := range z.workers {
 		if k.Zone == "y" {
-			z.cutAll(k.Name, z.others(inside)...)
+			z.breakLinks(k.Name, z.otherControllers(inside)...)
 		} else {
-			z.cutAll(k.Name, inside)
+			z.breakLinks(k.Name, inside)
 		}
 	}
 }
@@ -238,23 +238,23 @@
 func playZones(t *testing.T, seed uint64, play func(z *zonedCluster)) {
 	w := newCluster(t, seed)
 	w.bigger(3, 12)
-	w.long()
-	w.keepCuts = true
+	w.setLongTasks()
+	w.keepBrokenLinks = true
 	z := &zonedCluster{cluster: w, jobs: map[string]*zonedJob{}, starts: map[string]int{}}
 	w.onStart = z.started
 	for i, k := range w.workers {
 		if i%2 == 1 {
 			k.Zone = "y"
 		}
-		k.Exit = func(task string) int {
+		k.ExitCode = func(task string) int {
 			if uid, _, _ := strings.Cut(task, "/"); z.jobs[uid] != nil {
 				z.jobs[uid].done[task] = true
 			}
 			return 0
 		}
 	}
-	w.startInTurn()
-	w.live(3)
+	w.startControllersOneByOne()
+	w.runFor(3)
 	y := "y"
 	for i := range 2 {
 		z.submitZoned(&wire.Job{UID: fmt.Sprintf("j-%d", 80+i), Tasks: 4, OneZone: true})
@@ -265,27 +265,27 @@
 	}
 	z.submitZoned(&wire.Job{UID: "j-88", Tasks: 3, Zone: &y})
 	w.submit("j-1", 200)
-	w.live(8)
+	w.runFor(8)
 	if z.starts["y"] == 0 || z.starts["z"] == 0 {
 		t.Errorf("starts before the trouble: %v", z.starts)
 	}
 	play(z)
 	bounded := 300
-	done := w.ended("j-10", "j-11", "j-20", "j-21", "j-30", "j-31", "j-1")
+	done := w.jobsEnded("j-10", "j-11", "j-20", "j-21", "j-30", "j-31", "j-1")
 	for ; bounded > 0 && !done(); bounded-- {
-		w.live(1)
+		w.runFor(1)
 		z.lookWaiting()
 	}
 	if !done() {
 		t.Errorf("of the jobs with short tasks only %v ended", w.store.Keys("final/"))
 	}
 	for range 20 {
-		w.live(1)
+		w.runFor(1)
 		z.lookWaiting()
 	}
 	for uid, job := range z.jobs {
-		if strings.HasPrefix(uid, "j-8") && w.onMachines(uid) < job.Tasks {
-			t.Errorf("%d of %d long tasks of %s are on", w.onMachines(uid), job.Tasks, uid)
+		if strings.HasPrefix(uid, "j-8") && w.unfinishedTasks(uid) < job.Tasks {
+			t.Errorf("%d of %d long tasks of %s are on", w.unfinishedTasks(uid), job.Tasks, uid)
 		}
 	}
 	w.stopAll()
