--- a/internal/testkit/autoscaled_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -27,52 +27,52 @@
 
 const (
 	shortBoot = 1500 * time.Millisecond
-	listLag   = 6 * time.Second // a machine reports and works long before it is listed
+	listLag   = 6 * time.Second // a machine sends heartbeats and runs tasks long before it is listed
 	hostsPath = "/hosts"
 )
 
-// cloudCluster is a cluster whose machines are provisioned from a stand-in cloud by the
-// controllers' own fleet code.
+// cloudCluster is a cluster whose machines the controllers' own autoscalers provision from a
+// stand-in cloud.
 type cloudCluster struct {
 	*cluster
 	handler http.Handler
 
-	boot        time.Duration // from a machine's provisioning to its first report
-	listAge     time.Duration // how old the cloud's list is
-	listLatency time.Duration // how long the cloud's list takes to come
+	boot        time.Duration // from the provisioning of a machine to its first heartbeat
+	listAge     time.Duration // age of the machine list that the cloud returns
+	listLatency time.Duration // duration of a list request
 
 	cloudMu          sync.Mutex
-	outageUntil      time.Time // until when the cloud rents nothing
+	outageUntil      time.Time // the cloud refuses provision requests until then
 	booting          []bootingMachine
 	endedMachines    map[string]bool
-	requestCounts    map[string]int      // by the provision request's name
-	provisioned      map[string][]string // by the provision request's name
-	answeredRequests map[string]bool     // provision requests whose asker had the answer
+	requestCounts    map[string]int      // number of requests by provision request name
+	provisioned      map[string][]string // machines by provision request name
+	answeredRequests map[string]bool     // names of provision requests whose response was received
 	listHistory      []recordedList
-	answerDelay      time.Duration // how long the answer to a repeated provision request takes; the first is lost
+	answerDelay      time.Duration // if set, the first response to a provision request is lost and the later ones take this long
 }
 
-// bootingMachine is a provisioned machine, and when it is up.
+// bootingMachine is a provisioned machine and the time at which it has booted.
 type bootingMachine struct {
 	worker *testkit.Worker
 	up     time.Time
 }
 
-// recordedList is the cloud's list as of a time.
+// recordedList is the cloud's machine list at a point in time.
 type recordedList struct {
 	at   time.Time
 	body []byte
 }
 
-// newCloudCluster returns a cluster without machines, whose machines are up at the next
-// report after they were provisioned.
+// newCloudCluster returns a cluster without machines. Machines have booted at the next step after
+// they were provisioned.
 func newCloudCluster(t *testing.T, seed uint64) *cloudCluster {
 	c := newCloudClusterWithBoot(t, seed, shortBoot)
 	c.boot = 0
 	return c
 }
 
-// newCloudClusterWithBoot returns a cluster without machines, whose machines take a time to
+// newCloudClusterWithBoot returns a cluster without machines, whose machines take the given time to
 // boot.
 func newCloudClusterWithBoot(t *testing.T, seed uint64, boot time.Duration) *cloudCluster {
 	db, err := bbolt.Open(filepath.Join(t.TempDir(), "cloud.db"), 0o644, &bbolt.Options{NoSync: true})
@@ -95,7 +95,7 @@
 	return c
 }
 
-// Launch boots a machine.
+// Launch implements standin.Launcher: the machine boots.
 func (c *cloudCluster) Launch(m wire.ListedMachine, _ wire.MachineType) (string, error) {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
@@ -103,14 +103,14 @@
 	return m.Name, nil
 }
 
-// End ends a machine.
+// End implements standin.Launcher: the machine ends.
 func (c *cloudCluster) End(name string) {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
 	c.endedMachines[name] = true
 }
 
-// syncWorkers takes new machines in, which report at once, and ended ones out.
+// syncWorkers adds the machines that have booted, which report at once, and removes ended ones.
 func (c *cloudCluster) syncWorkers() {
 	c.cloudMu.Lock()
 	var fresh []*testkit.Worker
@@ -139,7 +139,7 @@
 	c.checkInvariants()
 }
 
-// advance lets time pass until something holds, for at most so long.
+// advance lets time pass until the condition holds, for at most the given time.
 func (c *cloudCluster) advance(most time.Duration, holds func() bool) bool {
 	for end := time.Now().Add(most); time.Now().Before(end); {
 		if holds != nil && holds() {
@@ -156,7 +156,7 @@
 	return holds == nil || holds()
 }
 
-// autoscalerLoops is the fleet's part of a controller.
+// autoscalerLoops returns the loops that a controller runs for its autoscaler.
 func (c *cloudCluster) autoscalerLoops(n *node) []func(context.Context) error {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	op, err := config.LoadOperator("")
@@ -175,7 +175,7 @@
 	}
 }
 
-// autoscalerLeader is the leader as the fleet sees it. No machine of these tests is lost.
+// autoscalerLeader is the scheduler as the autoscaler uses it. No machine of these tests fails.
 type autoscalerLeader struct {
 	c *cloudCluster
 	*scheduler.Scheduler
@@ -198,7 +198,7 @@
 	}
 }
 
-// cloudLink carries a controller's requests to the cloud.
+// cloudLink is the transport of a controller's requests to the cloud.
 type cloudLink struct {
 	c *cloudCluster
 	n *node
@@ -247,14 +247,14 @@
 	return rec.Result(), nil
 }
 
-// inOutage reports whether the cloud rents nothing.
+// inOutage reports whether the cloud currently refuses provision requests.
 func (c *cloudCluster) inOutage() bool {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
 	return time.Now().Before(c.outageUntil)
 }
 
-// awaitAnswer lets the time pass that the answer to a provision request takes.
+// awaitAnswer waits for the delay of the response to a provision request.
 func (c *cloudCluster) awaitAnswer(ctx context.Context, name string) error {
 	c.cloudMu.Lock()
 	slow, first := c.answerDelay, c.requestCounts[name] == 1
@@ -270,7 +270,7 @@
 	}
 }
 
-// provision carries a provision request out, and checks that it was recorded before.
+// provision executes a provision request and checks that it was recorded before it was sent.
 func (c *cloudCluster) provision(rec *httptest.ResponseRecorder, req *http.Request) string {
 	body, err := io.ReadAll(req.Body)
 	var h wire.ProvisionRequest
@@ -296,7 +296,7 @@
 	return h.Name
 }
 
-// staleList is the cloud's list as it was before.
+// staleList returns the newest recorded list that is at least listAge old, else an empty one.
 func (c *cloudCluster) staleList(now *httptest.ResponseRecorder) *httptest.ResponseRecorder {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
@@ -313,7 +313,7 @@
 	return rec
 }
 
-// countMachines counts those that were provisioned, and those that are still there.
+// countMachines counts all machines provisioned so far and those that still exist.
 func (c *cloudCluster) countMachines() (rented, there int) {
 	c.cloudMu.Lock()
 	for _, names := range c.provisioned {
@@ -329,7 +329,7 @@
 	return rented, len(list.Machines)
 }
 
-// requestNames names the provision requests that were asked for.
+// requestNames returns the names of all provision requests sent so far.
 func (c *cloudCluster) requestNames() (names []string) {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
@@ -339,14 +339,14 @@
 	return names
 }
 
-// requestCount is how often a provision request was asked for.
+// requestCount returns how often a provision request was sent.
 func (c *cloudCluster) requestCount(name string) int {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
 	return c.requestCounts[name]
 }
 
-// submitOnDemandJob submits a job that wants ordinary machines.
+// submitOnDemandJob submits a job that may not run on spot machines.
 func (c *cloudCluster) submitOnDemandJob(uid string, tasks int) {
 	job := &wire.Job{
 		UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
@@ -358,13 +358,13 @@
 	}
 }
 
-// startAndSettle starts the controllers, without lost messages.
+// startAndSettle starts the controllers and lets 3 s pass.
 func (c *cloudCluster) startAndSettle() {
 	c.startControllersOneByOne()
 	c.advance(3*time.Second, nil)
 }
 
-// awaitEndAndScaleIn waits until the jobs ended and all machines were deleted.
+// awaitEndAndScaleIn waits until the jobs have ended and all machines are deleted.
 func (c *cloudCluster) awaitEndAndScaleIn(uids ...string) {
 	c.startStopped()
 	if !c.advance(4*time.Minute, c.cluster.jobsEnded(uids...)) {
--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -11,28 +11,28 @@
 	"github.com/wallrack/wallrack/internal/testkit"
 )
 
-// endRace is a cluster, without any fault, in which users cancel jobs, ask for them and
-// repeat their submissions about the time at which their last tasks end.
+// endRace is a cluster without faults. Its users cancel their jobs, poll them and repeat their
+// submissions close to the end of the last task.
 type endRace struct {
 	*closeUsers
-	taskEnds   map[string][]time.Time // of a job's started tasks
-	taskCounts map[string]int         // tasks of a job
+	taskEnds   map[string][]time.Time // end times of a job's started tasks
+	taskCounts map[string]int         // number of a job's tasks
 
 	mu                  sync.Mutex
-	cancelsNearEnd      int // cancels that were sent within nearEnd of the end
-	cancelledAfterEnd   int // cancels answered "cancelled" although the last task had ended
-	doneBeforeRecorded  int // cancels sent before the end was recorded, and answered "done"
+	cancelsNearEnd      int // cancels sent within nearEnd of the last task's end
+	cancelledAfterEnd   int // cancels answered "cancelled" after the last task's end
+	doneBeforeRecorded  int // cancels sent before the end was recorded and answered "done"
 	cancelsAnsweredDone int // cancels answered "done"
-	pollsAfterEnd       int // questions sent after the last task's end and before any user heard how the job ended
+	pollsAfterEnd       int // polls sent after the last task's end and before any user was told how the job ended
 }
 
 const (
 	nearEnd           = 50 * time.Millisecond
-	minReportInterval = 500 * time.Millisecond // between two reports of a worker
+	minReportInterval = 500 * time.Millisecond // between two heartbeats of a worker
 )
 
-// reportOnChange lets a worker report as the protocol says: now and then, and when a task
-// has ended, but at most once every half second.
+// reportOnChange sends a worker's heartbeats as the protocol prescribes: periodically, and when a
+// task has ended, but at most once every 500 ms.
 func (r *endRace) reportOnChange(k *testkit.Worker, stop <-chan struct{}) {
 	for {
 		r.report(k)
@@ -51,14 +51,14 @@
 	}
 }
 
-// taskEndedSince reports whether a task of a worker has taskEndedSince since.
+// taskEndedSince reports whether a task of the worker has ended since the given time.
 func (r *endRace) taskEndedSince(k *testkit.Worker, since time.Time) bool {
 	r.cluster.mu.Lock()
 	defer r.cluster.mu.Unlock()
 	return k.TaskEndedSince(since)
 }
 
-// noteStart notes a task's start, and has its job's user act once all of its tasks have.
+// noteStart records the start of a task. Once all tasks of a job have started, its user begins to act.
 func (r *endRace) noteStart(k *testkit.Worker, task string) {
 	job, _, _ := strings.Cut(task, "/")
 	r.taskEnds[job] = append(r.taskEnds[job], time.Now().Add(k.RunTime(task)))
@@ -74,8 +74,8 @@
 	r.pending.Go(func() { r.sendRequestsNearEnd(job, end) })
 }
 
-// drawOffsetFromEnd draws how long before or after the end a request is sent: as it ends, or
-// while the end is reported and recorded.
+// drawOffsetFromEnd draws the time from a task's end to a request: half of the requests come from 20 ms
+// before to 50 ms after the end, the others while the end is reported and recorded.
 func (r *endRace) drawOffsetFromEnd() time.Duration {
 	if r.planIntN(2) == 0 {
 		return time.Duration(r.planIntN(70)-20) * time.Millisecond
@@ -83,7 +83,7 @@
 	return time.Duration(r.planIntN(800)) * time.Millisecond
 }
 
-// sendRequestsNearEnd is what a job's user does about the end of its last task.
+// sendRequestsNearEnd sends the requests of a job's user around the end of its last task.
 func (r *endRace) sendRequestsNearEnd(job string, end time.Time) {
 	at := func(act func()) {
 		when := end.Add(r.drawOffsetFromEnd())
@@ -103,7 +103,7 @@
 	}
 	at(func() { r.send(submitRequest, anyNode(), job, r.taskCounts[job]) })
 	if r.planIntN(4) == 0 {
-		return // it is done
+		return // a quarter of the users do not cancel
 	}
 	at(func() {
 		for range 20 {
@@ -133,16 +133,15 @@
 	})
 }
 
-// A cancel, questions and a repeated submission come at the end of a job's last task, in
-// 1,000 drawn interleavings at one and at two controllers, with the latencies of the state
-// service, of watches and of links down to a millisecond, and no other fault. A job is
-// either done or cancelled, to everybody and for ever, and nothing of it starts after a
-// confirmed cancel.
+// Cancels, polls and repeated submissions arrive around the end of a job's last task, in 1,000 drawn
+// interleavings with one and with two controllers. The state service, watches and links have
+// latencies down to a millisecond; there are no other faults. Every controller reports a job
+// consistently as either done or cancelled, and none of its tasks starts after a confirmed cancel.
 func TestCancelAtEndOfLastTaskIsFinal(t *testing.T) {
 	const seeds, jobs = 10, 50
 	scales := []time.Duration{time.Millisecond, 4 * time.Millisecond, 20 * time.Millisecond, 100 * time.Millisecond}
 	for controllers := 1; controllers <= 2; controllers++ {
-		var sum endRace // its counters
+		var sum endRace // sums of the counters of all runs
 		done, cancelled, answers, unsure, late := 0, 0, 0, 0, 0
 		for seed := range seeds {
 			t.Run(fmt.Sprintf("%d controllers, %d", controllers, seed), func(t *testing.T) {
@@ -182,7 +181,7 @@
 	}
 }
 
-// playEndRace plays so many jobs, with latencies up to a few times the scale.
+// playEndRace runs the given number of jobs, with latencies up to a few times the scale.
 func playEndRace(t *testing.T, seed uint64, controllers, jobs int, scale time.Duration) *endRace {
 	w := newCluster(t, seed)
 	w.bigger(controllers, 6)
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A cancel recorded behind the leader's back let the leader, whose watch lagged,
-// call the job running after its user had heard that it was cancelled.
+// Guards against a stale answer: another controller records a cancel, and the leader, whose watch
+// lags, must not report the job as running after the user was told that it is cancelled.
 func TestCancelRecordedElsewhereIsSeenByLaggingLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 1)
@@ -42,8 +42,8 @@
 	})
 }
 
-// The state service refuses the write of a cancel, and then everything: the job goes on, and
-// its user, who was told nothing, hears so at every controller.
+// The state service refuses the write of a cancel, and later every request: the job keeps running,
+// and its user, whose cancel was not confirmed, is told so by every controller.
 func TestCancelRefusedByStateStoreLeavesJobRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 2)
@@ -74,7 +74,7 @@
 			if outage {
 				w.cutFromStateService(w.controllerNames...)
 			}
-			for range 3 { // less than a lease, after which no leader answers from memory in an outage
+			for range 3 { // shorter than a lease; once it has expired no leader answers from memory in an outage
 				for _, name := range w.controllerNames {
 					if stage, heard := w.userRequest(name, http.MethodGet, "j-80"); !heard || stage != wire.StageRunning {
 						t.Errorf("outage %v: %s calls the job %q, %v", outage, name, stage, heard)
--- a/internal/testkit/cancel_transfer_test.go
+++ b/internal/testkit/cancel_transfer_test.go
@@ -17,29 +17,29 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Steps of a transfer, as the store and the taker show them.
+// Steps of a shard transfer, as seen in the state service and at the new leader.
 const (
-	stepPending   = "pending" // called, and not carried out: the giver owns nothing any more
-	stepUnseen    = "untold"  // carried out, and the taker's watch has not told of it
-	stepLoading   = "loading" // the taker reads the records
+	stepPending   = "pending" // requested but not applied: the old leader leads no shard any more
+	stepUnseen    = "untold"  // applied, but not yet seen by the new leader's watch
+	stepLoading   = "loading" // the new leader reads the shard's records
 	stepLoaded    = "loaded"
-	stepUnclaimed = "unowned" // the taker ended: its keys are gone, and nobody has claimed them
+	stepUnclaimed = "unowned" // the new leader crashed: its keys are gone and no controller has claimed the shards
 )
 
-// shardTransfer is a cluster in which one controller gives its shards to another, while users
-// cancel jobs of which some tasks run and others wait for room.
+// shardTransfer is a cluster in which one controller transfers its shards to another while users
+// cancel jobs. Some tasks of these jobs are running and others wait for free CPUs.
 type shardTransfer struct {
 	*cluster
 	oldLeader, newLeader, third string
 	jobs                        []string
-	failoversBefore             int         // of the taker, before
-	loadBlocked                 atomic.Bool // whether the taker's load waits
-	cancelsSent                 int         // cancels asked for in the step
-	cancelsRefused              int         // of those, the ones that were not confirmed
-	lateStarts                  []string    // tasks that started after their users had heard of the cancel
+	failoversBefore             int         // failovers of the new leader before the transfer
+	loadBlocked                 atomic.Bool // whether the new leader's load is blocked
+	cancelsSent                 int         // cancels sent during the step
+	cancelsRefused              int         // cancels of these that were not confirmed
+	lateStarts                  []string    // tasks that started after their users were told of the cancel
 }
 
-// currentStep tells how far the transfer has come.
+// currentStep returns the step that the transfer has reached.
 func (h *shardTransfer) currentStep() string {
 	it, err := (&testkit.View{Store: h.store}).Get(context.Background(), "c/shard/000")
 	var record struct {
@@ -63,8 +63,8 @@
 	return stepLoaded
 }
 
-// cancelDuring has a user cancel a job at a controller while the transfer is at a step, and
-// reports whether its user heard that it is cancelled.
+// cancelDuring sends a cancel of a job to a controller, checks that the transfer is at the given
+// step, and reports whether the cancel was confirmed.
 func (h *shardTransfer) cancelDuring(step, at, uid string) bool {
 	if got := h.currentStep(); got != step {
 		h.t.Errorf("the cancel of %s at %s comes at %q, not %q", uid, at, got, step)
@@ -77,7 +77,7 @@
 	return heard && stage == wire.StageCancelled
 }
 
-// beginTransfer has the giver transfer its shards; the transaction is held for a time before it is carried out.
+// beginTransfer starts the transfer; its transaction is held back for the given time before it is applied.
 func (h *shardTransfer) beginTransfer(held time.Duration) {
 	sending := h.nodes[h.oldLeader].view.BeforeTxn.Get()
 	h.nodes[h.oldLeader].view.BeforeTxn.Set(func(txn wire.Txn) {
@@ -88,11 +88,11 @@
 			time.Sleep(held)
 		}
 	})
-	go func() { _ = h.nodes[h.oldLeader].member.TransferShards(context.Background(), h.newLeader) }() // its outcome is read in the store
+	go func() { _ = h.nodes[h.oldLeader].member.TransferShards(context.Background(), h.newLeader) }() // the outcome is read from the store
 	time.Sleep(20 * time.Millisecond)
 }
 
-// onCancelTransaction has f called when a controller sends the transaction of a job's cancel.
+// onCancelTransaction calls f when a controller sends the transaction of a job's cancel.
 func (h *shardTransfer) onCancelTransaction(at, uid string, f func()) {
 	h.nodes[at].view.BeforeTxn.Set(func(txn wire.Txn) {
 		if len(txn.Then) == 1 && txn.Then[0].Put == "live/"+uid {
@@ -101,8 +101,8 @@
 	})
 }
 
-// recordUnseenCancel records the cancel of j-80 at the giver; nobody hears of it, since the store's
-// answer is lost and the user's connection with it, and the giver's watch lags.
+// recordUnseenCancel records the cancel of j-80 through the old leader without anybody learning of
+// it: the response of the store is lost, and the old leader's watch lags.
 func (h *shardTransfer) recordUnseenCancel() {
 	const uid = "j-80"
 	h.delayWatch(h.oldLeader, "live/", 3*time.Second)
@@ -119,7 +119,7 @@
 	h.nodes[h.oldLeader].view.LoseResponse = nil
 }
 
-// blockLoad has the taker's load wait before it reads the keys with a prefix.
+// blockLoad blocks the new leader's load before it lists the keys with a prefix.
 func (h *shardTransfer) blockLoad(prefix string) {
 	h.loadBlocked.Store(true)
 	h.nodes[h.newLeader].view.BeforeList.Set(func(p string) {
@@ -129,7 +129,7 @@
 	})
 }
 
-// awaitStep waits, without letting workers report, awaitStep the transfer is at a step.
+// awaitStep waits, without heartbeats of workers, until the transfer has reached a step.
 func (h *shardTransfer) awaitStep(step string) {
 	for range 1000 {
 		if h.currentStep() == step {
@@ -145,19 +145,19 @@
 	return state.Stage, err
 }
 
-// A cancel meets each step of a transfer, at the giver, at the taker and at a third
-// controller. Where nobody may answer for the shard it is refused; once it is confirmed it
-// is final at every controller: no task of the job starts afterwards, and all are gone in
-// time, however the load of the shard and the list of cancels follow each other.
+// A cancel arrives at each step of a shard transfer, at the old leader, the new leader or a third
+// controller. While no controller may answer for the shard, the cancel is refused. Once confirmed
+// it is final at every controller: no task of the job starts afterwards, and all its tasks are
+// stopped in time, whether the shard's load or the list of cancels is read first.
 func TestCancelDuringShardTransferIsFinal(t *testing.T) {
 	type scene struct {
 		name      string
 		play      func(h *shardTransfer)
-		confirmed int // cancels that must be confirmed in the step
-		refused   int // and refused
+		confirmed int // cancels that must be confirmed during the step
+		refused   int // cancels that must be refused during the step
 	}
 	const lag = 3 * time.Second
-	everywhere := func(h *shardTransfer, step string) { // a job at each controller
+	everywhere := func(h *shardTransfer, step string) { // cancels one job at each controller
 		h.cancelDuring(step, h.oldLeader, "j-80")
 		h.cancelDuring(step, h.newLeader, "j-81")
 		h.cancelDuring(step, h.third, "j-82")
@@ -275,11 +275,11 @@
 			h.cancelDuring(stepUnseen, h.oldLeader, "j-81")
 			h.awaitStep(stepUnclaimed)
 			h.cancelDuring(stepUnclaimed, h.third, "j-82")
-			h.start(h.newLeader) // it knows no cancels
+			h.start(h.newLeader) // after the restart it knows no cancels
 		}, 2, 1},
 		{"the giver's launches and the giver are held up right after the transaction", func(h *shardTransfer) {
 			h.withLock(func() { h.holdsCommand = func() bool { return true } })
-			if _, heard := h.userRequest(h.oldLeader, http.MethodPost, "j-82"); !heard { // makes room for tasks of the others
+			if _, heard := h.userRequest(h.oldLeader, http.MethodPost, "j-82"); !heard { // frees CPUs for tasks of the other jobs
 				h.t.Error("the first cancel is not heard")
 			}
 			h.reportAll()
@@ -334,21 +334,21 @@
 	}
 }
 
-// recordLateStarts notes each start of a task whose user had heard that its job is cancelled.
+// recordLateStarts records each start of a task whose user was told before that the job is cancelled.
 func (h *shardTransfer) recordLateStarts() {
 	for _, k := range h.workers {
 		started := k.OnStart
 		k.OnStart = func(task string, attempt uint64) {
 			started(task, attempt)
 			uid, _, _ := wire.ParseTask(task)
-			if at, heard := h.confirmedCancels[uid]; heard && time.Since(at) > 0 { // else the command was on its way
+			if at, heard := h.confirmedCancels[uid]; heard && time.Since(at) > 0 { // else the command was in flight
 				h.lateStarts = append(h.lateStarts, fmt.Sprintf("%s on %s %v after its cancel", task, k.Name, time.Since(at)))
 			}
 		}
 	}
 }
 
-// countUnfinishedTasks counts the tasks of all jobs that are on workers.
+// countUnfinishedTasks counts the unfinished tasks of all jobs on workers.
 func (h *shardTransfer) countUnfinishedTasks() (n int) {
 	for _, uid := range h.jobs {
 		n += h.unfinishedTasks(uid)
@@ -356,8 +356,8 @@
 	return n
 }
 
-// checkCancelsFinal ends the fault, has users come back until they hear of their cancels, and checks
-// that nothing of the jobs starts or is on any more, and that nobody says anything else.
+// checkCancelsFinal ends the fault and has users repeat their cancels until they are confirmed. It
+// checks that no task of the jobs starts or remains, and that no controller reports another stage.
 func (h *shardTransfer) checkCancelsFinal() {
 	h.t.Helper()
 	h.loadBlocked.Store(false)
@@ -373,7 +373,7 @@
 	for range int(h.cfg.Params.Workers.CancelS) + 5 {
 		h.runFor(1)
 		for _, name := range h.controllerNames {
-			h.userRequest(name, http.MethodGet, h.jobs[h.planIntN(len(h.jobs))]) // fails on anything but cancelled
+			h.userRequest(name, http.MethodGet, h.jobs[h.planIntN(len(h.jobs))]) // fails on any stage other than cancelled
 		}
 	}
 	if n := h.countUnfinishedTasks(); n > 0 {
--- a/internal/testkit/capacity_test.go
+++ b/internal/testkit/capacity_test.go
@@ -10,9 +10,9 @@
 
 const loadDuration = 2 * time.Second
 
-// measureLoad is the processor time of a report of one of so many workers when nothing starts,
-// and of a start with its share of all that a controller does: grants, passes, records,
-// ends; see BenchmarkLoad. The workers' end of the connections is in both.
+// measureLoad returns the processor time in nanoseconds of one heartbeat when no task starts, and
+// of one task start including its share of the controller's other work: grants, scheduling passes,
+// records and task ends; see BenchmarkLoad. Both include the workers' side of the connections.
 func measureLoad(tb testing.TB, machines int) (ofReport, ofStart float64) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	spend := func(jobs int) (used time.Duration, reports, starts float64) {
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -19,7 +19,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// nativeSubmission and asSlurm are the same submission, as users of either client write it.
+// nativeSubmission and slurmSubmission make the same submission as either client sends it.
 func nativeSubmission(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
 	body := fmt.Sprintf(`{"uid":"j-x","docket":%q,"crew":%q,"sort":"sweep","urgency":%q,"pieces":%d,"cpus":2,"cards":0,"memoryGb":1,"kit":"none","pullGb":0,
 		"together":false,"apart":false,"loaners":true,"reckonS":60,"markS":0,"stashS":0}`, class, team, priority, tasks)
@@ -48,9 +48,8 @@
 	return &r.Job, &r.Constraints
 }
 
-// playWorkload plays a playWorkload on one worker, its jobs made by submitter, which may differ
-// from job to job, and returns the order of starts and the rows of accounting,
-// without the names that each client gives.
+// playWorkload runs a workload on one worker and returns the order of task starts and the accounting
+// rows, without the names that each client sets. submitter selects the client of the n-th job.
 func playWorkload(t *testing.T, submitter func(n int) func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)) (starts, rows []string) {
 	w := newCluster(t, 1)
 	w.accountingEnabled = true
@@ -108,13 +107,13 @@
 		began, took := r.Start, r.End-r.Start
 		r.Submit, r.Eligible, r.Start, r.End = 0, 0, 0, 0
 		if r.Kind == accounting.RowJob {
-			took = 0 // until the end was recorded
+			took = 0 // the row's end is the time at which the end was recorded
 		}
 		data, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Its end is seen by the next report, up to a second later.
+		// The end is seen with the next heartbeat, up to a second later.
 		whole := r.Kind == accounting.RowJob || took >= 3900 && took < 5600
 		rows = append(rows, fmt.Sprintf("%s began %v, ran for 4 s %v: %s", name, began > 0, whole, data))
 	}
@@ -123,9 +122,8 @@
 	return starts, rows
 }
 
-// The same workload, submitted by native clients, by Slurm's, and by both in turn,
-// starts in the same order and leaves the same rows of accounting, line for line. No
-// client goes before the other.
+// The same workload, submitted by native clients, by Slurm clients, and by both alternately, starts in
+// the same order and produces the same accounting rows: neither client is preferred.
 func TestNativeAndSlurmClientsGetSameOrderAndAccounting(t *testing.T) {
 	type maker = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)
 	var starts, rows [][]string
@@ -155,7 +153,7 @@
 	if len(rows[0]) != 7+14 || len(starts[0]) != 14 {
 		t.Errorf("%d rows, %d starts", len(rows[0]), len(starts[0]))
 	}
-	// Production before urgent before normal before low, but for what ran already.
+	// Order by priority: production, urgent, normal, low, apart from jobs that were already running.
 	order := ranks(starts[0])
 	if slices.Index(order, "j-4") > slices.Index(order, "j-5") || slices.Index(order, "j-6") > slices.Index(order, "j-4") {
 		t.Errorf("order %v", order)
--- a/internal/testkit/cluster_cancels_test.go
+++ b/internal/testkit/cluster_cancels_test.go
@@ -8,7 +8,7 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// exchangeCancels has a controller and a peer tell each other of cancels.
+// exchangeCancels exchanges the known cancels between a controller and a peer.
 func (w *cluster) exchangeCancels(n, to *node) {
 	m := n.cancellations.MessageFor(to.name)
 	err := to.cancellations.HandleMessage(n.name, &m)
@@ -18,7 +18,9 @@
 	}
 }
 
-// maintainCancels does what cmd/wallrack does beside the pings.
+// maintainCancels does the cancellation work of cmd/wallrack that is not part of its pings: it
+// exchanges cancels with peers not heard from lately, reads the recorded cancels if needed, and stops
+// cancelled tasks that still run.
 func (w *cluster) maintainCancels(ctx context.Context, living []*node) {
 	const unheard = 2500 * time.Millisecond
 	for _, n := range living {
--- a/internal/testkit/cluster_checks_test.go
+++ b/internal/testkit/cluster_checks_test.go
@@ -28,7 +28,7 @@
 	w.checkTeamLimits(use)
 }
 
-// checkTeamLimits fails if a team uses more than its limit, by what its workers have.
+// checkTeamLimits fails if the tasks on workers use more CPUs than their team's limit.
 func (w *cluster) checkTeamLimits(use teamUse) {
 	for _, team := range w.cfg.Params.Teams {
 		if cpus := use[team.Name]; team.CPUsMax > 0 && cpus > team.CPUsMax+cpuTolerance {
--- a/internal/testkit/cluster_faults_test.go
+++ b/internal/testkit/cluster_faults_test.go
@@ -16,7 +16,8 @@
 	<-n.done
 }
 
-// restart ends a controller that runs, and starts it again; false if it is down.
+// restart crashes a running controller and starts it again after a delay. It returns false if the
+// controller is already down.
 func (w *cluster) restart(name string, after time.Duration) bool {
 	if w.nodes[name].down {
 		return false
@@ -44,7 +45,7 @@
 	}
 }
 
-// breakLinks breaks the links from one party to others, and back.
+// breakLinks breaks the links between one party and the others, in both directions.
 func (w *cluster) breakLinks(one string, others ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -53,14 +54,14 @@
 	}
 }
 
-// cutFromStateService cuts controllers off from the state service.
+// cutFromStateService breaks the links between controllers and the state service.
 func (w *cluster) cutFromStateService(names ...string) {
 	for _, n := range names {
 		w.breakLinks(n, stateService)
 	}
 }
 
-// healLinks heals the links between one controller and others.
+// healLinks heals the links between one party and others, in both directions.
 func (w *cluster) healLinks(one string, others ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,7 +77,7 @@
 	clear(w.brokenLinks)
 }
 
-// connectWorkersOnlyTo leaves the workers only these controllers.
+// connectWorkersOnlyTo breaks the links between workers and all controllers but the named ones.
 func (w *cluster) connectWorkersOnlyTo(names ...string) {
 	for _, n := range w.controllerNames {
 		if slices.Contains(names, n) {
@@ -87,8 +88,8 @@
 	}
 }
 
-// breakLinksTo breaks the links from controllers to a worker, not those back: its reports
-// arrive, answers and commands do not.
+// breakLinksTo breaks the links from controllers to a worker but not back: its heartbeats arrive,
+// responses and commands do not.
 func (w *cluster) breakLinksTo(k *testkit.Worker, by ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,7 +106,7 @@
 	}
 }
 
-// resume has workers that hang go on.
+// resume ends the hang of workers.
 func (w *cluster) resume(ks ...*testkit.Worker) {
 	for _, k := range ks {
 		w.mu.Lock()
@@ -115,14 +116,14 @@
 	}
 }
 
-// withLock changes a fault that messages on their way may be asking.
+// withLock changes a fault setting that messages in flight may read.
 func (w *cluster) withLock(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
 }
 
-// drawDelay asks a fault that may begin and end at any time.
+// drawDelay draws from a fault setting that may be set or cleared at any time; 0 if it is not set.
 func (w *cluster) drawDelay(f *func() time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,31 +133,31 @@
 	return (*f)()
 }
 
-// awaitTransit lets the time pass that a message takes one way.
+// awaitTransit waits for the one-way delay of a message.
 func (w *cluster) awaitTransit() {
 	if d := w.drawDelay(&w.transitTime) + w.drawDelay(&w.messageDelay); d > 0 {
 		time.Sleep(d)
 	}
 }
 
-// planIntN draws a number for the test's own course. As long as only the goroutine that plays the
-// test asks, the faults and requests of a seed come at the same times in every run, whatever
-// the order in which the controllers' goroutines send their messages. Tests with several users
-// ask from a goroutine of each.
+// planIntN draws a random number below n for a step of the test itself. If only the test's own goroutine
+// draws, a seed produces the same faults and requests at the same times in every run, regardless
+// of the order in which the controllers' goroutines send messages. Tests with several concurrent
+// users draw from one goroutine per user, so their order may vary.
 func (w *cluster) planIntN(n int) int {
 	w.planMu.Lock()
 	defer w.planMu.Unlock()
 	return w.planRand.IntN(n)
 }
 
-// messageIntN draws a number for the fate of a message, from any goroutine.
+// messageIntN draws a random number below n that decides what happens to a message, from any goroutine.
 func (w *cluster) messageIntN(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.messageRand.IntN(n)
 }
 
-// toggleDrawnFault starts or ends one fault.
+// toggleDrawnFault starts or ends one randomly drawn fault.
 func (w *cluster) toggleDrawnFault() {
 	name := w.controllerNames[w.planIntN(len(w.controllerNames))]
 	switch w.planIntN(6) {
@@ -168,7 +169,7 @@
 		}
 	case 1:
 		w.mu.Lock()
-		off := !w.brokenLinks[[2]string{name, name}] // that link means nothing: it remembers
+		off := !w.brokenLinks[[2]string{name, name}] // the unused link to itself stores whether it is cut off
 		w.brokenLinks[[2]string{name, name}] = off
 		for _, other := range w.controllerNames {
 			w.brokenLinks[[2]string{name, other}], w.brokenLinks[[2]string{other, name}] = off, off
--- a/internal/testkit/cluster_jobs_test.go
+++ b/internal/testkit/cluster_jobs_test.go
@@ -16,7 +16,7 @@
 
 func (w *cluster) submit(uid string, tasks int) { w.submitConstrained(uid, tasks, nil) }
 
-// arrayJob describes an array of one-CPU tasks.
+// arrayJob returns a job array of one-CPU tasks.
 func arrayJob(uid string, tasks int) *wire.Job {
 	return &wire.Job{
 		UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
@@ -28,7 +28,7 @@
 	w.submitJob(arrayJob(uid, tasks), t)
 }
 
-// submitJob records an accepted job.
+// submitJob records a job as accepted.
 func (w *cluster) submitJob(job *wire.Job, t *jobspec.Constraints) {
 	w.mu.Lock()
 	w.submittedJobs[job.UID] = job
@@ -40,17 +40,17 @@
 	}
 }
 
-// taskDuration is how long a task runs.
+// taskDuration returns the run time of a task: 3, 6 or 9 s.
 func taskDuration(task string) time.Duration { return time.Duration(1+len(task)%3) * 3 * time.Second }
 
-// variedTaskDuration is how long a task runs where tasks shall not end in waves.
+// variedTaskDuration returns the run time of a task, 2 to 9 s, for tests whose tasks must not all end at once.
 func variedTaskDuration(task string) time.Duration {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(task)) // never fails
 	return time.Duration(2000+h.Sum64()>>8%7000) * time.Millisecond
 }
 
-// setLongTasks makes the tasks of jobs from 80 on run for setLongTasks.
+// setLongTasks makes the tasks of the jobs j-80 and above run for 30 minutes.
 func (w *cluster) setLongTasks() {
 	for _, k := range w.workers {
 		k.RunTime = func(task string) time.Duration {
@@ -62,7 +62,7 @@
 	}
 }
 
-// jobsEnded reports whether jobs jobsEnded.
+// jobsEnded returns a condition that holds once the end of all these jobs is recorded.
 func (w *cluster) jobsEnded(uids ...string) func() bool {
 	return func() bool {
 		keys := w.store.Keys("final/")
@@ -70,7 +70,7 @@
 	}
 }
 
-// unfinishedTasks counts the tasks of a job that are on.
+// unfinishedTasks counts the tasks of a job that are on workers and have not ended.
 func (w *cluster) unfinishedTasks(uid string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,14 +84,14 @@
 	return n
 }
 
-// submitArray submits an array submitArray. Tasks of jobs from 80 on run for long.
+// submitArray submits a job array. Tasks of the jobs j-80 and above run long; see setLongTasks.
 func (w *cluster) submitArray(uid, team, priority string, tasks int, cpus float64) {
 	job := arrayJob(uid, tasks)
 	job.Team, job.Priority, job.CPUs = team, priority, cpus
 	w.submitJob(job, nil)
 }
 
-// workersWithTasksOf lists the workers with tasks of a job.
+// workersWithTasksOf returns the workers that have unfinished tasks of a job.
 func (w *cluster) workersWithTasksOf(uid string) (ks []*testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -30,7 +30,7 @@
 	reportEvery = time.Second
 )
 
-// singleTypeCatalog is one machine type with so many CPUs.
+// singleTypeCatalog is a catalog of one machine type with the given number of CPUs.
 type singleTypeCatalog float64
 
 func (t singleTypeCatalog) Type(string) (wire.MachineType, bool) {
@@ -42,71 +42,71 @@
 	return []wire.MachineType{m}
 }
 
-// cluster is three controllers, their store and some workers, with faults
-// drawn from a fixed seed.
+// cluster consists of three controllers, their state service and some workers. Faults are drawn
+// from a fixed seed.
 type cluster struct {
 	t                 testing.TB
 	machineTypes      singleTypeCatalog
-	messageRand       *rand.Rand // fates of messages, which are asked from many goroutines
+	messageRand       *rand.Rand // decides what happens to messages; used by many goroutines
 	planMu            sync.Mutex
-	planRand          *rand.Rand // what the test itself draws, in the order of its own steps: the same for the same seed
+	planRand          *rand.Rand // draws the test's own steps, in their order: the same for the same seed
 	cfg               *config.Platform
 	store             *testkit.Store
 	mu                sync.Mutex
 	nodes             map[string]*node
 	workers           []*testkit.Worker
-	dispatcherOf      map[*testkit.Worker]int // controller that a worker reports to
+	dispatcherOf      map[*testkit.Worker]int // index of the controller that a worker sends heartbeats to
 	byName            map[string]*testkit.Worker
 	heldCommands      []func()
-	reportCopies      []*wire.Report                   // of reports, that may be delivered late
-	controllerNames   []string                         // of the controllers, in their order
-	brokenLinks       map[[2]string]bool               // links that do not work, from and to: see partitions_test.go
-	lastStart         time.Time                        // when a task last started
-	startCount        int                              // tasks started so far
-	lastHeartbeats    map[string]heartbeatTime         // of each worker, by any controller
-	deletedMachines   int                              // machines deleted
-	skipInventoryPoll bool                             // the cloud's list tells no leader whom to ask
-	losslessReports   bool                             // no report and no answer is lost by chance
-	reliableStore     bool                             // no transaction is lost or late by chance
-	promptCommands    bool                             // no direct command is lost or late by chance
-	keepBrokenLinks   bool                             // whether links stay cut when it is calm
-	storeLatency      func() time.Duration             // how long the state service's answers take; nil: no time
-	transactionDelay  func() time.Duration             // how much later a transaction is carried out; nil: at once
-	losesResponse     func() bool                      // whether a transaction that is carried out gets no answer; nil: few
-	holdsCommand      func() bool                      // whether a command is held back; nil: some are
-	watchLag          func() time.Duration             // how much later a watch tells of a change; nil: at once
-	transitTime       func() time.Duration             // how long a message takes one way, commands and views aside; nil: no time
-	connectDelay      func() time.Duration             // how long a direct command waits for its connection; nil: no time
-	outdatedCommands  int                              // direct commands that were not valid any more when their connection was there
-	fail              func(format string, args ...any) // a rule is broken
-	violation         string                           // the first broken rule of a drawn case
+	reportCopies      []*wire.Report                   // recent heartbeats, which may be delivered again late
+	controllerNames   []string                         // of the controllers, in a fixed order
+	brokenLinks       map[[2]string]bool               // broken links, from and to; see partitions_test.go
+	lastStart         time.Time                        // time of the last task start
+	startCount        int                              // task starts so far
+	lastHeartbeats    map[string]heartbeatTime         // of each worker, at any controller
+	deletedMachines   int                              // number of deleted machines
+	skipInventoryPoll bool                             // leaders do not poll the workers that the cloud lists
+	losslessReports   bool                             // no heartbeat and no response is lost at random
+	reliableStore     bool                             // no transaction is lost or delayed at random
+	promptCommands    bool                             // no direct command is lost or delayed at random
+	keepBrokenLinks   bool                             // step does not heal links while no faults are drawn
+	storeLatency      func() time.Duration             // response time of the state service; nil: 0
+	transactionDelay  func() time.Duration             // delay until a transaction is applied; nil: 0
+	losesResponse     func() bool                      // whether the response to an applied transaction is lost; nil: a few are lost at random
+	holdsCommand      func() bool                      // whether a command is held back; nil: some are, at random
+	watchLag          func() time.Duration             // delay of watch events; nil: 0
+	transitTime       func() time.Duration             // one-way delay of messages except commands and views; nil: 0
+	connectDelay      func() time.Duration             // time until a direct command has its connection; nil: 0
+	outdatedCommands  int                              // direct commands that were no longer valid once they had a connection
+	fail              func(format string, args ...any) // reports a violated invariant
+	violation         string                           // first violated invariant of a drawn case
 
-	stoppedAnswering int                  // controllers that stopped answering workers, although they have a fencing token
-	forgottenTasks   map[string]string    // tasks that were done and cleared, where
-	doneJobs         map[string]bool      // jobs whose user heard that they are done
-	confirmedCancels map[string]time.Time // jobs, by when their user first heard that they are cancelled
+	stoppedAnswering int                  // times that a controller with a fencing token lost its right to answer workers
+	forgottenTasks   map[string]string    // tasks that were done and then forgotten by their worker, by worker and attempt
+	doneJobs         map[string]bool      // jobs whose user was told that they are done
+	confirmedCancels map[string]time.Time // by job: when its user was first told that it is cancelled
 
 	accountingEnabled bool                                 // whether accounting rows are written
-	onInstructions    func(d dispatch.Instructions)        // sees the instructions to dispatchers before they are on their way; nil: nobody
-	onCommands        func(endpoint string, o wire.Orders) // sees a direct command before it is on its way; nil: nobody
+	onInstructions    func(d dispatch.Instructions)        // called with instructions to dispatchers before they are sent; may be nil
+	onCommands        func(endpoint string, o wire.Orders) // called with a direct command before it is sent; may be nil
 
-	extraLoops       func(n *node) []func(context.Context) error            // what else a controller runs; nil: nothing
-	leaderCount      int                                                    // controllers that shards are spread over; 0: as the settings have it
-	loseAnswer       func(n *node, t wire.Txn, version uint64) bool         // of an applied transaction; nil: none by choice
-	onStoreRead      func(n *node, key string, version uint64)              // what a controller reads in the store; nil: nobody looks
-	delayTransaction func(n *node, t wire.Txn) (time.Duration, func(error)) // until a transaction is applied; nil: no time
-	watchLagOf       func(n *node, prefix string) time.Duration             // how far a controller's watch is behind; nil: not at all
+	extraLoops       func(n *node) []func(context.Context) error            // additional loops of a controller; may be nil
+	leaderCount      int                                                    // number of controllers that lead shards; 0: the default setting
+	loseAnswer       func(n *node, t wire.Txn, version uint64) bool         // whether the response to an applied transaction is lost; nil: none is lost on purpose
+	onStoreRead      func(n *node, key string, version uint64)              // called when a controller reads a key from the store; may be nil
+	delayTransaction func(n *node, t wire.Txn) (time.Duration, func(error)) // delay until a transaction is applied; nil: 0
+	watchLagOf       func(n *node, prefix string) time.Duration             // delay of a controller's watch; nil: 0
 
-	connectionLimits map[string]int            // workers that a controller has connections for; nil: all fit
-	loseViews        func(from, to *node) bool // whether a message about machines, or its reply, is lost; nil: none
+	connectionLimits map[string]int            // connections to workers that a controller can hold; nil: unlimited
+	loseViews        func(from, to *node) bool // whether a message with worker views, or its reply, is lost; nil: none
 
-	onStart  func(k *testkit.Worker, task string, attempt uint64) // a task starts; nil: nobody looks
-	onReport func(rep *wire.Report)                               // sees a report that arrives at a controller; nil: nobody
+	onStart  func(k *testkit.Worker, task string, attempt uint64) // called when a task starts; may be nil
+	onReport func(rep *wire.Report)                               // called with a heartbeat that arrives at a controller; may be nil
 
-	submittedJobs map[string]*wire.Job     // jobs that were submitted
-	startsByJob   map[string]int           // tasks started so far, by job
-	messageDelay  func() time.Duration     // how long a message to a worker or a peer takes; nil: no time
-	reporting     map[*testkit.Worker]bool // workers with a report under way over a slow link
+	submittedJobs map[string]*wire.Job     // by job uid
+	startsByJob   map[string]int           // task starts so far, by job
+	messageDelay  func() time.Duration     // one-way delay of messages to workers and peers; nil: 0
+	reporting     map[*testkit.Worker]bool // workers with a heartbeat in flight over a slow link
 
 	checks startChecks
 	waits  waitCheck
@@ -124,13 +124,13 @@
 	down               bool // crashed
 	reach              reach
 	cancellations      *cancellation.Registry
-	couldAnswerWorkers bool // when last looked at
+	couldAnswerWorkers bool // MayAnswerWorkers when it was last checked
 	knownCancels       knownCancels
 	submission         *submission.Service
-	mux                *http.ServeMux  // the users' interface
-	ctx                context.Context // until it ends
-	backgroundRunning  map[string]bool // under way beside the rest: see onDuty
-	backgroundGroup    sync.WaitGroup  // of those
+	mux                *http.ServeMux  // serves the HTTP API
+	ctx                context.Context // done once the controller has stopped
+	backgroundRunning  map[string]bool // background operations in progress, by name; see onDuty
+	backgroundGroup    sync.WaitGroup  // of the operations in backgroundRunning
 
 	started   time.Time
 	publisher *viewsync.Publisher
@@ -141,8 +141,8 @@
 
 var errLinkDown = errors.New("cut off")
 
-// reaches reports whether a message from a controller comes through to another, by
-// the way that it takes.
+// reaches reports whether a message from one controller to another arrives, directly or through the
+// relay that the sender currently uses.
 func (w *cluster) reaches(from, to *node) bool {
 	if from == nil || to == nil || from.down || to.down {
 		return false
@@ -184,7 +184,7 @@
 	n.scheduler = scheduler.New(scheduler.Options{
 		Platform: &cfg, Operator: op, Store: n.view, Member: n.member, Dispatchers: n, MachineTypes: w.machineTypes, Log: log,
 		Cancellations: n.cancellations, RemoteJobs: n, AccountingEnabled: w.accountingEnabled,
-		LogSlots: 4, // so that records are written over, and chunks saved
+		LogSlots: 4, // few slots, so that log records are overwritten and chunks saved
 	})
 	n.dispatcher = dispatch.New(ctx, dispatch.Options{
 		Node: name, WorkerLease: workerLease, Schedulers: n, Tokens: n.member, MachineTypes: w.machineTypes, Routing: n, Commands: n, Log: log,
@@ -214,7 +214,7 @@
 	w.mu.Unlock()
 }
 
-// operatorSettings is the operators' settings of all controllers.
+// operatorSettings returns the operator settings of all controllers.
 func (w *cluster) operatorSettings() *config.Operator {
 	op, err := config.LoadOperator("")
 	if err != nil {
@@ -227,7 +227,7 @@
 	return op
 }
 
-// otherControllers names the controllers but one.
+// otherControllers returns the names of all controllers except one.
 func (w *cluster) otherControllers(name string) []string {
 	return slices.DeleteFunc(slices.Clone(w.controllerNames), func(x string) bool { return x == name })
 }
@@ -251,7 +251,7 @@
 	return w
 }
 
-// registerWorker adds a worker that reports to the i-th controller first.
+// registerWorker adds a worker that sends its heartbeats to the i-th controller first.
 func (w *cluster) registerWorker(k *testkit.Worker, i int) {
 	k.WrapHeld = w.checks.keepSender
 	k.OnStart = func(task string, attempt uint64) {
--- a/internal/testkit/cluster_users_test.go
+++ b/internal/testkit/cluster_users_test.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ShardLeaders names the other controllers that own jobs, as cmd/wallrack does.
+// ShardLeaders returns the names of the other controllers that lead shards, as in cmd/wallrack.
 func (n *node) ShardLeaders() (out []string) {
 	add := func(name string) {
 		if name != "" && name != n.name && !slices.Contains(out, name) {
@@ -35,13 +35,13 @@
 	return out
 }
 
-// ServingPeers names the controllers that reach the state service.
+// ServingPeers returns the names of the controllers that reach the state service.
 func (n *node) ServingPeers() []string { v := n.linksSeen(); return v.ServingPeers() }
 
-// Healthy reports whether this controller takes users.
+// Healthy reports whether this controller accepts users' requests.
 func (n *node) Healthy() bool { return true }
 
-// QueryPeer hands a user's request to a peer.
+// QueryPeer forwards a user's request to a peer.
 func (n *node) QueryPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
 	return overPeerLink(ctx, n.cluster, func() (*submission.Reply, error) {
 		to, err := n.peer(peer)
@@ -53,12 +53,13 @@
 	})
 }
 
-// userRequest sends a userRequest's request to a controller, and notes what its userRequest hears.
+// userRequest sends a user's request for a job to a controller and checks the response against
+// earlier ones. It returns the job's stage, and whether a response was received.
 func (w *cluster) userRequest(name, method, uid string) (stage string, heard bool) {
 	w.mu.Lock()
 	n := w.nodes[name]
 	down := n.down
-	_, cancelled := w.confirmedCancels[uid] // what was answered before this request was sent
+	_, cancelled := w.confirmedCancels[uid] // confirmed before this request was sent
 	over := w.doneJobs[uid]
 	w.mu.Unlock()
 	if down {
@@ -75,7 +76,7 @@
 	if rec.Code == http.StatusNotFound {
 		w.fail("%s does not know %s", name, uid)
 	}
-	if rec.Code != http.StatusOK || n.down { // an answer of a process that ended meanwhile is lost
+	if rec.Code != http.StatusOK || n.down { // the response of a process that crashed in the meantime is lost
 		return "", false
 	}
 	var s wire.JobState
@@ -96,8 +97,8 @@
 	return s.Stage, true
 }
 
-// cancelJobs has the users of jobs cancel them at a controller, and come back for up
-// to so many seconds. It returns how many heard that their job is cancelled.
+// cancelJobs sends the users' cancels of jobs to a controller and repeats unanswered ones each second,
+// for up to the given number of seconds. It returns the number of confirmed cancels.
 func (w *cluster) cancelJobs(at string, jobs []string, seconds int) (heard int) {
 	left := slices.Clone(jobs)
 	for i := 0; ; i++ {
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -12,9 +12,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A leader ends while workers with long tasks can't be reached, or hear no answer. Its
-// successor can't settle those tasks: it starts none of them again, and all else goes
-// on at once. The workers come back one by one, within their lease or after it.
+// A leader crashes while workers with long tasks are unreachable, or do not receive its responses. Its
+// successor does not know whether those tasks still run: it starts none of them again, and starts
+// all other tasks without delay. The workers come back one by one, within their lease or after it.
 func TestFailoverWhileWorkersAreUnreachable(t *testing.T) {
 	for _, deaf := range []bool{false, true} {
 		for seed := range uint64(3) {
@@ -69,9 +69,9 @@
 	}
 }
 
-// Jobs of three tasks end far apart across changes of the leader, of which one is back
-// within a second: a job is done when all of them are, and not before, and every
-// controller says so soon after.
+// Jobs of three tasks, which end at long intervals, run across changes of the leader; the first is
+// restarted within a second. A job is done when all its tasks are done, not before, and every
+// controller reports so soon after.
 func TestTaskCompletionsAcrossFailovers(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -142,10 +142,10 @@
 	}
 }
 
-// The state service answers slowly, loses answers, and carries out a part of the
-// transactions 2 to 12 s later, after newer ones, while users submit, cancel and ask
-// at all controllers, and these end and are back: nobody hears anything older than
-// what was said, every job ends, and nothing that was recorded late does any harm.
+// The state service responds slowly, loses responses, and applies some transactions 2 to 12 s late,
+// after newer ones. Meanwhile users submit, cancel and poll at all controllers, which crash and
+// restart. No user is told an older state than before, every job ends, and late transactions
+// have no effect on either.
 func TestSlowStateStoreAndLateTransactions(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -185,7 +185,7 @@
 					}
 					at := w.controllerNames[w.planIntN(3)]
 					if second%7 == 3 {
-						w.userRequest(at, http.MethodPost, jobs[w.planIntN(4)]) // the other four go on
+						w.userRequest(at, http.MethodPost, jobs[w.planIntN(4)]) // jobs 4 to 7 are never cancelled
 					} else {
 						w.userRequest(at, http.MethodGet, jobs[w.planIntN(8)])
 					}
@@ -221,9 +221,9 @@
 	}
 }
 
-// Old reports come again after newer ones, from earlier sessions and attempts, to a
-// controller that has just started, to a new leader and to a former dispatcher: they end,
-// start and settle nothing.
+// Stale heartbeats of earlier sessions and attempts are delivered again after newer ones, to a
+// controller that has just started, a new leader and a former dispatcher: they neither end nor
+// start a task, nor prove that one has stopped.
 func TestStaleHeartbeatsAfterFailover(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -237,7 +237,7 @@
 						w.runFor(3)
 						continue
 					}
-					// A worker loses its lease, so that its tasks have later attempts.
+					// A worker loses its lease, so that its tasks have newer attempts.
 					k := w.workers[w.planIntN(len(w.workers))]
 					w.breakLinks(k.Name, w.controllerNames...)
 					w.runFor(13)
@@ -266,9 +266,9 @@
 	}
 }
 
-// Commands and their answers are held up for seconds or minutes, workers hang and go
-// on, leaders change in between: what was commanded under an old token or session does
-// nothing, and what is carried out late runs nowhere else.
+// Commands and their responses are delayed for seconds or minutes while workers hang and resume and
+// leaders change. Commands of an old token or session have no effect, and a task that starts late
+// runs on no other worker.
 func TestDelayedCommandsChangeNothing(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -279,7 +279,7 @@
 				late := 0
 				for round := range 8 {
 					k := w.workers[w.planIntN(len(w.workers))]
-					w.breakLinksTo(k, w.controllerNames...) // half of its commands are held up
+					w.breakLinksTo(k, w.controllerNames...) // half of the commands to it are held back
 					w.runFor(2 + w.planIntN(4))
 					if round%2 == 1 {
 						if first := w.leader(); first != "" {
@@ -307,9 +307,9 @@
 	}
 }
 
-// A cancel whose answer is lost is carried out seconds later, when its job is done; and
-// the record of a job's end, when the job was cancelled in the meantime. Whichever is
-// first holds, to every controller.
+// Guards against two outcomes of one job: a cancel whose response was lost is applied seconds later,
+// when the job is done; or the end of a job is applied after the job was cancelled. The
+// transaction that is applied first wins, at every controller.
 func TestLateCancelAtJobEnd(t *testing.T) {
 	for _, late := range []string{"the cancel", "the end"} {
 		for seed := range uint64(4) {
@@ -320,7 +320,7 @@
 					}
 					w.submit("j-1", 3)
 					owner := w.nodes[w.leader()]
-					hold := 0 // transactions that are carried out 12 s late
+					hold := 0 // number of transactions that are applied 12 s late
 					owner.view.LoseResponse, owner.view.Hold = nil, nil
 					owner.view.ApplyAfter = func() time.Duration {
 						if hold == 0 {
@@ -344,7 +344,7 @@
 						}
 					} else {
 						w.runFor(5)
-						hold = 3 // what is recorded of the last tasks, and the end
+						hold = 3 // the records of the last tasks and of the job's end
 						w.runFor(2)
 						w.cancelJobs(owner.name, []string{"j-1"}, 4)
 					}
--- a/internal/testkit/drawn_faults_test.go
+++ b/internal/testkit/drawn_faults_test.go
@@ -15,8 +15,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// runDrawnCase plays one drawn case on a new cluster, whose first broken rule fails the case
-// and not the whole test, so that a smaller case can be looked for.
+// runDrawnCase runs one drawn case on a new cluster. The first violated invariant fails this case
+// only, not the whole test, so that rapid can shrink it.
 func runDrawnCase(t *testing.T, rt *rapid.T, seed uint64, controllers, workers int, play func(w *cluster)) {
 	var w *cluster
 	synctest.Test(t, func(t *testing.T) {
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestNoTaskRunsTwiceUnderDrawnFaults drives controllers through crashes, cuts, lost and
-// late transactions, lost and late commands: a task is never on two workers,
-// every accepted job ends, and none is called done before all its tasks are.
+// TestNoTaskRunsTwiceUnderDrawnFaults runs controllers through crashes, broken links, and lost and
+// late transactions and commands. A task is never on two workers, every accepted job ends, and no
+// job is reported as done before all its tasks are.
 func TestNoTaskRunsTwiceUnderDrawnFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/testkit/drawn_outages_test.go
+++ b/internal/testkit/drawn_outages_test.go
@@ -10,16 +10,16 @@
 	"pgregory.net/rapid"
 )
 
-// outageJobs is how many jobs with long tasks run.
+// outageJobs is the number of jobs with long tasks.
 const outageJobs = 6
 
-// outageAction is what happens at a second.
+// outageAction is a user's request, a fault or its end in the given second of a phase.
 type outageAction struct{ Second, Kind, Controller, Target int }
 
-// outagePhase is a time before an outage, and the outage.
+// outagePhase is the time before an outage of the state service and the outage itself.
 type outagePhase struct {
-	LeaderCutFromStore, LeaderCutFromPeers, WorkersReachOnlyLeader bool // the leader by the state service, the peers, all but its workers
-	SecondsBefore, OutageSeconds                                   int  // seconds
+	LeaderCutFromStore, LeaderCutFromPeers, WorkersReachOnlyLeader bool // links that are broken from the start of the phase
+	SecondsBefore, OutageSeconds                                   int  // in seconds
 	Actions                                                        []outageAction
 }
 
@@ -38,10 +38,10 @@
 	}), 1, 2).Draw(rt, "phases")
 }
 
-// TestDrawnCancelsDuringOutagesAreFinal draws gaps: refusals, cuts between controllers and of workers, cancels,
-// outages, ends and returns, at drawn times, and checks them by what users and workers
-// saw: every task of a cancelled job is gone in time, no job is called anything else
-// after it was called cancelled or done, and what was not cancelled ends.
+// TestDrawnCancelsDuringOutagesAreFinal draws broken links between controllers, workers and the state
+// service, cancels, outages and restarts at drawn times. It checks what users and workers saw: every
+// task of a cancelled job is stopped in time, no job is reported in another stage after it was
+// reported as cancelled or done, and every job that was not cancelled ends.
 func TestDrawnCancelsDuringOutagesAreFinal(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		phases := drawOutagePhases(rt)
@@ -64,7 +64,7 @@
 	})
 }
 
-// performAction carries out an act.
+// performAction performs an action of a phase in which leader leads.
 func (w *cluster) performAction(a outageAction, leader string) {
 	name, other := w.controllerNames[a.Controller%len(w.controllerNames)], w.controllerNames[a.Target%len(w.controllerNames)]
 	uid := fmt.Sprintf("j-%d", 80+a.Target%outageJobs)
@@ -96,7 +96,7 @@
 	}
 }
 
-// playOutagePhase plays a phase, after which all links are healed.
+// playOutagePhase plays a phase, and heals all links at its end.
 func (w *cluster) playOutagePhase(ph *outagePhase) {
 	leader := w.controllerNames[0]
 	for _, n := range w.controllerNames {
@@ -115,7 +115,7 @@
 	if ph.WorkersReachOnlyLeader {
 		w.connectWorkersOnlyTo(leader)
 	}
-	// Acts come before the outage, and up to 15 s into it.
+	// Actions happen before the outage, or in its first 15 s.
 	left := slices.Clone(ph.Actions)
 	for s := 0; s < ph.SecondsBefore+ph.OutageSeconds; s++ {
 		if s == ph.SecondsBefore {
@@ -132,13 +132,13 @@
 	w.runFor(15)
 }
 
-// checkAfterOutages fails if a controller does not know a job, or one that was not cancelled
-// does not end.
+// checkAfterOutages fails if a controller does not answer for a job, or if the job that was not
+// cancelled does not end.
 func (w *cluster) checkAfterOutages() {
 	for i := range outageJobs {
 		uid := fmt.Sprintf("j-%d", 80+i)
 		for _, n := range w.controllerNames {
-			// An answer that a lost reply made unsure is sure a moment later.
+			// A controller that could not answer because a reply was lost can do so a moment later.
 			_, ok := w.userRequest(n, http.MethodGet, uid)
 			for range 3 {
 				if !ok {
--- a/internal/testkit/drawn_team_limits_test.go
+++ b/internal/testkit/drawn_team_limits_test.go
@@ -13,19 +13,19 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// drawnTeamFaults are the faults of a drawn case, of which each second some begin and
-// others end. It counts what coincided.
+// drawnTeamFaults holds the faults of a drawn case; each second some begin and others end. Its
+// counters show how often faults coincided.
 type drawnTeamFaults struct {
 	*teamCluster
-	cutSeconds              map[*testkit.Worker]int // workers cut off, by the seconds left
+	cutSeconds              map[*testkit.Worker]int // seconds until the worker's links are healed
 	hungSeconds             map[*testkit.Worker]int
-	leaderChangesAtLimit    int // of the leader, while a team was held by its limit and workers were away
-	cancelsWhileUnreachable int // cancels of jobs with tasks on workers that were away
-	cancelledTasksResumed   int // cancelled tasks that went on after their worker hung
-	lateCommands            int // commands that came late
+	leaderChangesAtLimit    int // changes of the leader while a team was at its limit and workers were unreachable
+	cancelsWhileUnreachable int // cancels of jobs with tasks on unreachable workers
+	cancelledTasksResumed   int // cancelled tasks that still ran when their worker's hang ended
+	lateCommands            int // commands that were delivered late
 }
 
-// isUnreachable reports whether nobody can ask the worker now.
+// isUnreachable reports whether no controller can poll the worker now.
 func (d *drawnTeamFaults) isUnreachable(k *testkit.Worker) bool {
 	return d.cutSeconds[k] > 0 || d.hungSeconds[k] > 0
 }
@@ -41,7 +41,7 @@
 		if !k.IsHung() {
 			d.hang(k)
 			d.hungSeconds[k] = 2 + d.planIntN(10)
-			if d.planIntN(2) == 0 { // what is sent to it comes later still, or never
+			if d.planIntN(2) == 0 { // commands to it arrive after the hang, or never
 				d.breakLinks(k.Name, d.controllerNames...)
 				d.cutSeconds[k] = d.hungSeconds[k] + d.planIntN(5)
 			}
@@ -52,14 +52,14 @@
 	case 3:
 		d.breakLinksTo(k, d.controllerNames...)
 		d.cutSeconds[k] = 1 + d.planIntN(13)
-	case 10: // it reaches one controller alone, which need not lead
+	case 10: // the worker reaches only one controller, which may not be the leader
 		d.breakLinks(k.Name, d.otherControllers(d.controllerNames[d.planIntN(len(d.controllerNames))])...)
 		d.cutSeconds[k] = 5 + d.planIntN(13)
 	case 4, 5:
 		d.changeLeader()
 	case 6, 9:
 		uid := jobs[d.planIntN(len(jobs))]
-		if hung := d.jobOnHungWorker(jobs); hung != "" { // rather one that goes on in a moment
+		if hung := d.jobOnHungWorker(jobs); hung != "" { // prefer a job whose worker resumes soon
 			uid = hung
 		}
 		d.cancelAtAnyController(uid)
@@ -72,8 +72,8 @@
 	}
 }
 
-// jobOnHungWorker names one of the jobs that is not cancelled and has a task on a worker that
-// hangs; "" if there is none.
+// jobOnHungWorker returns one of the jobs that is not cancelled and has a task on a hung worker, or ""
+// if there is none.
 func (d *drawnTeamFaults) jobOnHungWorker(jobs []string) (uid string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,9 +87,9 @@
 	return uid
 }
 
-// hangWorkerOfJob has a worker with tasks of a job that was not cancelled hang, out of
-// reach too, so that nothing that is sent to it comes before it goes on, and the job's
-// user cancel it. It returns the job, or "" if none has tasks on workers.
+// hangWorkerOfJob hangs a worker with tasks of a job that was not cancelled, and cuts it off for
+// 2 s longer, so that no command reaches it before it resumes. It returns the job, for the caller to
+// cancel, or "" if no such job has tasks on workers.
 func (d *drawnTeamFaults) hangWorkerOfJob(jobs []string) string {
 	for _, uid := range jobs {
 		if ks := d.workersWithTasksOf(uid); d.confirmedCancels[uid].IsZero() && len(ks) > 0 && !ks[0].IsHung() {
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// cancelAtAnyController has a job's user ask all controllers until one confirms.
+// cancelAtAnyController sends a cancel to one controller after the other until one confirms it.
 func (d *drawnTeamFaults) cancelAtAnyController(uid string) {
 	there := slices.ContainsFunc(d.workersWithTasksOf(uid), d.isUnreachable)
 	known := !d.confirmedCancels[uid].IsZero()
@@ -132,14 +132,14 @@
 		d.restart(l, time.Duration(d.planIntN(1000))*time.Millisecond)
 	case 2:
 		others := d.otherControllers(l)
-		_ = d.nodes[l].member.TransferShards(context.Background(), others[d.planIntN(len(others))]) // may fail, as anything here
+		_ = d.nodes[l].member.TransferShards(context.Background(), others[d.planIntN(len(others))]) // may fail while other faults last
 	case 3:
 		d.breakLinks(l, append(d.otherControllers(l), stateService)...)
 	}
 	d.startStoppedExcept(l)
 }
 
-// startStoppedExcept starts the controllers that are down, but one.
+// startStoppedExcept starts the controllers that are down, except one.
 func (d *drawnTeamFaults) startStoppedExcept(but string) {
 	for _, n := range d.controllerNames {
 		if n != but && d.nodes[n].down {
@@ -148,7 +148,7 @@
 	}
 }
 
-// endDueFaults ends the faults whose time is up.
+// endDueFaults ends the faults whose time is over, and lets a second pass.
 func (d *drawnTeamFaults) endDueFaults() {
 	for k := range d.cutSeconds {
 		if d.cutSeconds[k]--; d.cutSeconds[k] <= 0 {
@@ -178,10 +178,10 @@
 	d.runFor(1)
 }
 
-// Teams at their limits meet drawn faults: workers are cut off, hear nothing or hang,
-// the leader ends, is back at once, transfers its shards or is cut from all but the workers, jobs
-// are cancelled, commands and transactions come late. No team is ever over its limit, and
-// afterwards all work is done and none waits beside room.
+// Teams at their limits run under drawn faults: workers are cut off, receive nothing or hang; the
+// leader crashes, restarts, transfers its shards or reaches only workers; jobs are cancelled;
+// commands and transactions are late. No team ever exceeds its limit. Afterwards all work is
+// completed, and no task waits while a worker has room for it.
 func TestTeamLimitsUnderDrawnFaults(t *testing.T) {
 	t.Parallel()
 	const perRound = 4
@@ -194,7 +194,7 @@
 					c.delayLinks(func() time.Duration { return time.Duration(50+c.messageRand.IntN(1100)) * time.Millisecond })
 				}
 				long := []string{"j-80", "j-81", "j-82", "j-83"}
-				hung := "" // the job that is cancelled while its worker hangs
+				hung := "" // job to cancel while its worker hangs
 				for second := range 60 {
 					if second%6 == 0 { // so that both teams stay at their limits
 						uid := fmt.Sprintf("j-9%d", second)
@@ -223,7 +223,7 @@
 				for _, n := range c.controllerNames {
 					c.nodes[n].view.ApplyHeld()
 				}
-				for _, uid := range long { // so that the others get their turn
+				for _, uid := range long { // the long jobs are cancelled so that the others can run
 					for _, n := range c.controllerNames {
 						c.cancelJobs(n, []string{uid}, 20)
 					}
@@ -238,7 +238,7 @@
 	}
 	t.Logf("of %d cases: the leader changed at a limit with machines away in %d, a cancel of their tasks was confirmed in %d, "+
 		"cancelled tasks went on after a hang in %d, commands came late in %d", perRound**rounds, seen.leaderChangesAtLimit, seen.cancelsWhileUnreachable, seen.cancelledTasksResumed, seen.lateCommands)
-	const seldom = 8 // one in so many cases must have had each
+	const seldom = 8 // each event must occur in at least one of this many cases
 	for _, n := range []int{seen.leaderChangesAtLimit, seen.cancelsWhileUnreachable, seen.cancelledTasksResumed, seen.lateCommands} {
 		if n*seldom < perRound**rounds {
 			t.Errorf("the troubles coincided too rarely")
--- a/internal/testkit/fault_kinds_test.go
+++ b/internal/testkit/fault_kinds_test.go
@@ -15,11 +15,11 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// faultKind is a kind of fault, while it lasts. Each second it does something; it
-// counts what it brought about.
+// faultKind is a kind of fault. It is active for a drawn number of seconds, and counts its effects in
+// faultRun.effects.
 type faultKind struct {
 	name        string
-	minSeconds  int // seconds that it lasts, at least
+	minSeconds  int // shortest duration in seconds
 	maxSeconds  int
 	begin       func(m *faultRun)
 	everySecond func(m *faultRun, second int)
@@ -30,18 +30,18 @@
 type faultRun struct {
 	*cluster
 	firstLeader      string // when the first fault began
-	effects          *int   // what the fault at hand brought about
+	effects          *int   // counts the effects of the current fault
 	affectedWorkers  []*testkit.Worker
-	longJobs         []string        // with long tasks
-	taskCounts       map[string]int  // tasks of each job that was accepted
-	accepted         []string        // all jobs, in the order in which they were accepted
+	longJobs         []string        // jobs with long tasks
+	taskCounts       map[string]int  // number of tasks of each accepted job
+	accepted         []string        // uids of all jobs in the order of their acceptance
 	endedTasks       map[string]bool // tasks that ended by themselves
 	pendingRequests  sync.WaitGroup
-	onExit           func(uid string) // called when a task ends by itself; nil: nothing more
-	lastCopiesLeader string           // whom the copies of reports were last delivered under
+	onExit           func(uid string) // called when a task ends by itself; may be nil
+	lastCopiesLeader string           // leader when copies of heartbeats were last delivered
 }
 
-// sendUserRequest sends a user's request, and waits for no answer.
+// sendUserRequest sends a user's request to a drawn controller without waiting for the response.
 func (m *faultRun) sendUserRequest(method, uid string) {
 	at := m.controllerNames[m.planIntN(len(m.controllerNames))]
 	m.pendingRequests.Add(1)
@@ -70,7 +70,7 @@
 	return time.Duration(from+m.messageRand.IntN(below-from)) * time.Millisecond
 }
 
-// pollAllControllers has a user ask all controllers for a job at once, several times.
+// pollAllControllers polls all controllers for a job at once, several times.
 func (m *faultRun) pollAllControllers(uid string, times int) {
 	for i := range times {
 		for _, at := range m.controllerNames {
@@ -84,7 +84,7 @@
 	}
 }
 
-// postJob submits a job at a controller, and returns the status; 0 if nothing comes back.
+// postJob submits a job to a controller and returns the status, or 0 if there was no response.
 func (m *faultRun) postJob(at string, job *wire.Job, drop ...string) int {
 	m.mu.Lock()
 	n := m.nodes[at]
@@ -117,7 +117,7 @@
 	return rec.Code
 }
 
-// postInvalid submits what can't run or lacks a field: no controller may accept it.
+// postInvalid submits a job that cannot run or lacks a field: no controller may accept it.
 func (m *faultRun) postInvalid(at string, number int) {
 	job := arrayJob(fmt.Sprintf("j-%d", 100000+number), 1)
 	var drop []string
@@ -142,7 +142,7 @@
 	}()
 }
 
-// resubmit submits a job again that was accepted: no controller may refuse it for good.
+// resubmit repeats the submission of an accepted job: no controller may refuse it for good.
 func (m *faultRun) resubmit(at, uid string) {
 	m.mu.Lock()
 	job := m.submittedJobs[uid]
@@ -156,7 +156,7 @@
 	}()
 }
 
-// addWorker adds a worker that is up at once, and reports to any controller.
+// addWorker adds a worker that is up at once and sends its heartbeats to a drawn controller.
 func (m *faultRun) addWorker() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,7 +166,7 @@
 	m.registerWorker(fresh, m.planIntN(len(m.controllerNames)))
 }
 
-// faultKinds are the kinds which may overlap, each with any.
+// faultKinds lists the kinds of faults. Any of them may overlap.
 var faultKinds = []faultKind{
 	{"old reports come again", 5, 25, nil, func(m *faultRun, _ int) {
 		for _, n := range m.controllerNames {
@@ -236,7 +236,7 @@
 		m.healLinks(m.firstLeader, append(m.otherControllers(m.firstLeader), stateService)...)
 	}},
 	{"the leader ends", 2, 15, nil, func(m *faultRun, _ int) {
-		if l := m.cluster.leader(); l != "" && *m.effects == 0 { // at once, or as soon as there is one
+		if l := m.cluster.leader(); l != "" && *m.effects == 0 { // at once, or as soon as there is a leader
 			m.crash(l)
 			*m.effects++
 		}
@@ -249,7 +249,7 @@
 		}
 	}, nil},
 	{"jobs are cancelled", 4, 20, nil, func(m *faultRun, _ int) {
-		// The last two are left alone.
+		// The last two jobs are never cancelled.
 		m.sendUserRequest(http.MethodPost, m.longJobs[m.planIntN(len(m.longJobs)-2)])
 		*m.effects++
 	}, nil},
--- a/internal/testkit/fault_pairs_test.go
+++ b/internal/testkit/fault_pairs_test.go
@@ -20,10 +20,10 @@
 	tripleDraws = flag.Int("triples", 40, "how many draws of three faults are played")
 )
 
-// TestFaultPairsKeepInvariants plays any two kinds of faults at drawn times, with users that
-// submit, ask and cancel at all controllers: no rule is broken, and when they are over all
-// that was not cancelled runs or has ended, which every controller knows. What the test does
-// repeats with a seed; the fates of single messages and the order of goroutines do not.
+// TestFaultPairsKeepInvariants runs every pair of fault kinds at drawn times, while users submit, poll
+// and cancel at all controllers. No invariant is violated, and after the faults every job that was not
+// cancelled runs or has ended, and every controller knows it. A seed reproduces the steps of the test,
+// but not what happens to single messages nor the order of goroutines.
 func TestFaultPairsKeepInvariants(t *testing.T) {
 	t.Parallel()
 	var effects effectCounter
@@ -39,7 +39,7 @@
 	effects.check(t)
 }
 
-// TestFaultTriplesKeepInvariants plays three kinds of faults, drawn by a fixed seed, as pairs are.
+// TestFaultTriplesKeepInvariants runs three fault kinds at a time, drawn from a fixed seed.
 func TestFaultTriplesKeepInvariants(t *testing.T) {
 	t.Parallel()
 	var effects effectCounter
@@ -52,14 +52,14 @@
 	effects.check(t)
 }
 
-// effectCounter counts in how many draws each kind of fault was played, and brought
-// something about.
+// effectCounter counts, for each kind of fault, the runs with it and the runs in which it had an
+// effect.
 type effectCounter struct {
 	mu                sync.Mutex
 	played, effective map[int]int
 }
 
-// play plays one draw of some kinds as a subtest.
+// play runs the given kinds of faults as one subtest.
 func (e *effectCounter) play(t *testing.T, seed uint64, kinds ...int) {
 	names := make([]string, len(kinds))
 	for i, k := range kinds {
@@ -81,8 +81,8 @@
 	})
 }
 
-// check fails if a kind of fault had no effect in more than a quarter of its draws: it
-// would test nothing.
+// check fails if a kind of fault had an effect in less than three quarters of its runs: its tests
+// would prove nothing.
 func (e *effectCounter) check(t *testing.T) {
 	for k, played := range e.played {
 		if e.effective[k] < played*3/4 {
@@ -91,8 +91,8 @@
 	}
 }
 
-// playFaults plays kinds of faults on a new cluster, each at a drawn time, and counts in did
-// what each brought about.
+// playFaults runs kinds of faults on a new cluster, each at a drawn time, and counts the effects of
+// each in did.
 func playFaults(t *testing.T, seed uint64, kinds, did []int) {
 	m := newFaultRun(t, seed)
 	from, until := make([]int, len(kinds)), make([]int, len(kinds))
@@ -113,7 +113,7 @@
 	m.endFaultsAndCheck()
 }
 
-// advance begins, goes on with or ends a fault in the given second.
+// advance begins, continues or ends a fault in the given second.
 func (k *faultKind) advance(m *faultRun, second, from, until int) {
 	switch {
 	case second == from && k.begin != nil:
@@ -158,18 +158,18 @@
 	return m
 }
 
-// submitTracked records a job.
+// submitTracked submits a job and notes its number of tasks.
 func (m *faultRun) submitTracked(uid string, tasks int) {
 	m.taskCounts[uid] = tasks
 	m.accepted = append(m.accepted, uid)
 	team := "t"
 	if strings.HasPrefix(uid, "j-8") || len(uid)%2 == 1 && uid[len(uid)-1]%2 == 0 {
-		team = "capped" // at its limit with these
+		team = "capped" // these jobs bring the team to its limit
 	}
 	m.submitArray(uid, team, "normal", tasks, 1)
 }
 
-// drawUserRequests has a user cancel, submit or ask.
+// drawUserRequests sends drawn requests of users: a cancel, a submission or polls.
 func (m *faultRun) drawUserRequests(second int) {
 	switch m.planIntN(6) {
 	case 0:
@@ -183,7 +183,7 @@
 	}
 }
 
-// checkDoneJobs fails if a user heard that a job is done before all its tasks were.
+// checkDoneJobs fails if a user was told that a job is done before all its tasks had ended.
 func (m *faultRun) checkDoneJobs() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -200,7 +200,7 @@
 	}
 }
 
-// unansweredJobs lists the controllers and jobs of which nothing is said.
+// unansweredJobs returns the controllers and jobs for which a poll is not answered.
 func (m *faultRun) unansweredJobs() (out []string) {
 	for _, n := range m.controllerNames {
 		for uid := range m.taskCounts {
@@ -212,7 +212,7 @@
 	return out
 }
 
-// endFaultsAndCheck ends all faults, and checks that every job is known, and runs or ends.
+// endFaultsAndCheck ends all faults, and checks that every job is known, and runs or has ended.
 func (m *faultRun) endFaultsAndCheck() {
 	w := m.cluster
 	w.startStopped()
@@ -241,5 +241,5 @@
 		}
 	}
 	w.stopAll()
-	time.Sleep(15 * time.Second) // what is still on its way in the store
+	time.Sleep(15 * time.Second) // for transactions still in flight
 }
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -17,45 +17,45 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Stages of a job at which its user cancels it.
+// Stages of a job in which its user cancels it.
 const (
-	cancelAccepted  = iota // right after the answer to its submission
+	cancelAccepted  = iota // right after the response to its submission
 	cancelPlaced           // its placement is being recorded
-	cancelQueued           // its dispatcher is sent that it is queued
-	cancelLaunching        // its start command is on its way
+	cancelQueued           // its dispatcher is told that it is queued
+	cancelLaunching        // its start command is in flight
 	cancelRunning          // it has started
-	cancelEnded            // its task has ended, and no controller knows
-	cancelDone             // its user has heard that it is done
+	cancelEnded            // its task has ended and no controller knows yet
+	cancelDone             // its user was told that it is done
 	cancelStages
 	cancelNever = -1
 )
 
-// streamedJob is a one-task job of a stream.
+// streamedJob is a one-task job of a jobStream.
 type streamedJob struct {
 	uid             string
 	cancelAt        int
-	cancelRequested bool // its user has called it off
-	placed          bool // its place was being recorded, or later
+	cancelRequested bool // its user has sent a cancel
+	placed          bool // the recording of its placement has begun
 	started         time.Time
 	accepted        time.Time
-	lastAnswer      time.Time     // when a question about it was last answered
-	longestSilence  time.Duration // the longest time without an answer
+	lastAnswer      time.Time     // time of the last answered poll
+	longestSilence  time.Duration // longest time between two answered polls
 }
 
-// jobStream has users submit one-task jobs at all controllers, ask for them and cancel some.
+// jobStream has users submit one-task jobs at all controllers, poll them and cancel some.
 type jobStream struct {
 	*cluster
 	users sync.WaitGroup
 
-	jobsMu          sync.Mutex // guards what follows
+	jobsMu          sync.Mutex // guards the fields below
 	allJobs         []*streamedJob
 	byUID           map[string]*streamedJob
-	cancelCounts    [cancelStages]int // cancels asked for at each stage
+	cancelCounts    [cancelStages]int // cancels sent in each stage
 	polls           int
-	unansweredPolls int // questions without an answer
-	startsInFlight  int // starts of cancelled jobs whose command was on its way
+	unansweredPolls int // polls without a response
+	startsInFlight  int // starts of cancelled jobs whose start command was in flight
 	lateStarts      []string
-	writes          map[string]int // changes sent to the state service, by the first part of their keys
+	writes          map[string]int // operations sent to the state service, by the first component of the key
 	writesPerSecond map[int64]int
 }
 
@@ -68,7 +68,7 @@
 	}
 }
 
-// cancelAtStage calls a job off, once, and comes back until its user hears how it is.
+// cancelAtStage sends the job's cancel if it is due in this stage, and repeats it until it is answered.
 func (s *jobStream) cancelAtStage(job *streamedJob, stage int) {
 	s.jobsMu.Lock()
 	due := !job.cancelRequested && job.cancelAt == stage
@@ -89,12 +89,12 @@
 	s.fail("nobody says how %s is, which was cancelled at stage %d", job.uid, stage)
 }
 
-// cancelAtStageAsync is cancel for callers that hold locks.
+// cancelAtStageAsync is cancelAtStage for callers that hold locks.
 func (s *jobStream) cancelAtStageAsync(job *streamedJob, stage int) {
 	s.users.Go(func() { s.cancelAtStage(job, stage) })
 }
 
-// setCancelHooks has the jobs cancelled at their stages.
+// setCancelHooks installs hooks that cancel the jobs in their stages.
 func (s *jobStream) setCancelHooks() {
 	s.onInstructions = func(d dispatch.Instructions) {
 		for _, e := range d.Assign {
@@ -125,7 +125,7 @@
 	}
 }
 
-// noteStart notes a start; the caller holds the cluster's lock.
+// noteStart records a start; the caller holds the cluster's lock.
 func (s *jobStream) noteStart(job *streamedJob) {
 	if job == nil {
 		return
@@ -139,7 +139,7 @@
 		switch {
 		case job.cancelAt == cancelLaunching:
 			s.startsInFlight++
-		case time.Since(at) > 0: // else the command left before: simulated time stands still meanwhile
+		case time.Since(at) > 0: // at the same simulated instant the command was sent before the confirmation
 			s.lateStarts = append(s.lateStarts, job.uid)
 		}
 	}
@@ -153,8 +153,8 @@
 	return s.byUID[uid]
 }
 
-// countWrites counts what a controller sends to the state service, and sees which jobs'
-// placements it records.
+// countWrites counts the operations that a controller sends to the state service, and detects the
+// jobs whose placements it records.
 func (s *jobStream) countWrites(txn wire.Txn) {
 	s.jobsMu.Lock()
 	defer s.jobsMu.Unlock()
@@ -175,7 +175,7 @@
 	}
 }
 
-// submitAndFollow submits a job and follows it until its user hears how it ended.
+// submitAndFollow submits a job and polls it until its user is told how it ended.
 func (s *jobStream) submitAndFollow(n int) {
 	job := &streamedJob{uid: fmt.Sprintf("j-1%05d", n), cancelAt: cancelNever}
 	if n%4 == 0 {
@@ -216,10 +216,10 @@
 	}
 }
 
-// One-task jobs come four a second for three minutes, and a quarter of them is cancelled at
-// every stage, at all controllers, while the leader is back after a moment, transfers its shards, and
-// another controller is back after a moment. Questions and cancels are answered, leases hold,
-// no job waits or is forgotten, and what is kept of jobs that are over is bounded.
+// Four one-task jobs are submitted per second for three minutes. A quarter of them are cancelled, spread
+// over all stages and controllers. Meanwhile the leader restarts and later transfers its shards, and
+// another controller restarts. Polls and cancels are answered, leases are kept, no job waits
+// too long or is lost, and the state retained for ended jobs is bounded.
 func TestStreamOfShortJobsWithCancelsAndFailovers(t *testing.T) {
 	const jobs, perSecond = 720, 4
 	runOnCluster(t, 3750, 3, 12, func(w *cluster) {
@@ -271,7 +271,7 @@
 	})
 }
 
-// checkResults checks what users saw of the stream, and what is kept of it.
+// checkResults checks what users saw of the stream, and the state that is retained afterwards.
 func (s *jobStream) checkResults(jobs int, took time.Duration) {
 	s.t.Helper()
 	for stage, n := range s.cancelCounts {
@@ -310,7 +310,7 @@
 	for _, n := range s.writesPerSecond {
 		most = max(most, n)
 	}
-	// Acceptance 1, end 2, a quarter of a cancel, and one in a log record shared by many.
+	// Per job: 1 write for the acceptance, 2 for the end, 0.25 for a cancel, and a share of a log record.
 	if perJob := float64(writes) / float64(jobs); perJob > 5 || most > 60 {
 		s.t.Errorf("%.2f writes a job, %d in a second", perJob, most)
 	}
@@ -319,8 +319,8 @@
 	s.checkRetained(jobs)
 }
 
-// checkRetained checks what is checkRetained of jobs that are over: their ends, for ever, a few records of the
-// log, and for ten minutes that they were cancelled.
+// checkRetained checks what is retained of ended jobs: their final records for good, a few log
+// records, and their cancels for ten minutes.
 func (s *jobStream) checkRetained(jobs int) {
 	s.t.Helper()
 	clean := &testkit.View{Store: s.store}
@@ -345,7 +345,7 @@
 	s.publish()
 	for _, name := range s.controllerNames {
 		n := s.nodes[name]
-		_, queued, orders := n.dispatcher.Depths() // of workers that report elsewhere, so long
+		_, queued, orders := n.dispatcher.Depths() // entries for workers that report elsewhere are kept for 10 minutes
 		if n.cancellations.Count()+queued+orders > 0 {
 			s.t.Errorf("%s keeps %d cancels, %d queued tasks and %d orders after 11 minutes", name, n.cancellations.Count(), queued, orders)
 		}
--- a/internal/testkit/load_test.go
+++ b/internal/testkit/load_test.go
@@ -19,15 +19,15 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// reportingWorker is a worker with its connection to the controller. It spends as
-// little as it can, so that a profile shows the controller.
+// reportingWorker is a worker with its connection to the controller. It uses as little processor time
+// as it can, so that a profile shows the controller.
 type reportingWorker struct {
 	worker *testkit.Worker
 	conn   net.Conn
 	in     *bufio.Reader
 }
 
-// report sends the worker's report and executes the answer.
+// report sends the worker's heartbeat and executes the response.
 func (s *reportingWorker) report(tb testing.TB) {
 	sent := time.Now()
 	rep := s.worker.Report()
@@ -47,7 +47,7 @@
 		tb.Fatal(err)
 	}
 	data, err := io.ReadAll(resp.Body)
-	_ = resp.Body.Close() // it is read, or the benchmark ends
+	_ = resp.Body.Close() // the body was read
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -58,11 +58,10 @@
 	s.worker.HandleResponse(sent, rep.Session, a)
 }
 
-// BenchmarkLoad is one controller, from sockets to the state service's
-// stand-in, with a fleet whose workers report in turn while jobs come, run
-// and end. An operation is a report with its share of everything else: grants,
-// passes, records. Tasks run for a fiftieth of what they would, since reports
-// come about as much faster.
+// BenchmarkLoad measures one controller, from its sockets to a stand-in for the state service. Its
+// workers send heartbeats in turn while jobs are submitted, run and end. An operation is one heartbeat
+// with its share of all other work: grants, scheduling passes and records. Tasks run for a fiftieth of
+// the usual time, since heartbeats come about fifty times as often as usual.
 func BenchmarkLoad(b *testing.B) {
 	for _, c := range []struct {
 		machines int
@@ -70,7 +69,7 @@
 		jobs     int
 	}{{246, 24, 40}, {1700, 10, 130}} {
 		b.Run(fmt.Sprintf("machines=%d", c.machines), func(b *testing.B) {
-			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // as a controller has it
+			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // a controller runs with the same limit
 			l := newLoad(b, c.machines, c.cpus, c.jobs)
 			before := l.node.scheduler.Counters()
 			b.ResetTimer()
@@ -90,19 +89,19 @@
 	}
 }
 
-// loadedController is a controller under loadedController; see BenchmarkLoad.
+// loadedController is a controller under load; see BenchmarkLoad.
 type loadedController struct {
 	cluster    *cluster
 	node       *node
 	server     *http.Server
 	serving    sync.WaitGroup
 	reporters  []*reportingWorker
-	wantedJobs int // kept alive
+	wantedJobs int // number of unfinished jobs to maintain
 	submitted  int
 }
 
-// newLoad starts a controller with so many workers, each of which has reported several
-// times.
+// newLoad starts a controller with the given number of workers, each of which has sent 20
+// heartbeats.
 func newLoad(tb testing.TB, machines int, cpus singleTypeCatalog, jobs int) *loadedController {
 	w := newCluster(tb, 1)
 	w.machineTypes, w.workers, w.byName = cpus, nil, map[string]*testkit.Worker{}
@@ -133,14 +132,14 @@
 	}
 	l.awaitLeadership(tb)
 	l.refillJobs()
-	for i := range 20 * len(l.reporters) { // warm up
+	for i := range 20 * len(l.reporters) { // warm-up
 		l.reporters[i%len(l.reporters)].report(tb)
 	}
 	return l
 }
 
-// maintainCancelsLoop keeps a controller's knowledge of cancels fresh, without which it answers no
-// worker.
+// maintainCancelsLoop keeps a controller's list of cancels current. A controller whose list is out of
+// date refuses heartbeats.
 func (w *cluster) maintainCancelsLoop(ctx context.Context, n *node) error {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
@@ -154,8 +153,8 @@
 	}
 }
 
-// awaitLeadership waits until the controller answers workers: before that a report is refused, which
-// costs next to nothing.
+// awaitLeadership waits until the controller leads shards and answers workers: before that it refuses
+// heartbeats, which costs almost nothing.
 func (l *loadedController) awaitLeadership(tb testing.TB) {
 	for began := time.Now(); len(l.node.member.LedShards()) == 0 || !l.node.MayAnswerWorkers(); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 20*time.Second {
@@ -164,7 +163,7 @@
 	}
 }
 
-// refillJobs submits jobs until enough are alive.
+// refillJobs submits jobs until wantedJobs are unfinished.
 func (l *loadedController) refillJobs() {
 	for living := len(l.cluster.store.Keys("live/")); living < l.wantedJobs; living++ {
 		l.submitted++
@@ -172,7 +171,7 @@
 	}
 }
 
-// report is the i-th report since the start.
+// report sends the i-th heartbeat since the start.
 func (l *loadedController) report(tb testing.TB, i int) {
 	l.reporters[i%len(l.reporters)].report(tb)
 	if i%100 == 0 {
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ObserveWorker hands a view to the leader here, as cmd/wallrack does.
+// ObserveWorker hands a view to the scheduler of this controller, as in cmd/wallrack.
 func (n *node) ObserveWorker(v dispatch.WorkerView) {
 	if seen := n.linksSeen(); v.Polled && seen.SharesWorkers() {
 		v.Dispatcher = n.LeaderFor(v.Name)
@@ -49,8 +49,8 @@
 	})
 }
 
-// SendCommands sends a direct command; some arrive, but the answer is lost, and some
-// arrive minutes late.
+// SendCommands sends a direct message to a worker. Some messages arrive but their response is lost, and
+// some arrive minutes late.
 func (n *node) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
 	if d := n.cluster.drawDelay(&n.cluster.connectDelay); d > 0 {
 		time.Sleep(d)
@@ -68,7 +68,7 @@
 		report   *wire.Report
 		executed bool
 	}
-	sent := time.Now() // a slow link has it arrive later
+	sent := time.Now() // over a slow link it arrives later
 	a, err := overLink(ctx, n.cluster, func() (a outcome, err error) {
 		a.report, a.executed, err = n.deliverCommands(endpoint, o, sent)
 		return a, err
@@ -88,7 +88,7 @@
 	}
 	if worker.IsHung() {
 		n.cluster.checks.sent(n, sent)
-		worker.HandleCommands(o) // carried out when it continues
+		worker.HandleCommands(o) // executed when the worker resumes
 		return nil, false, errLinkDown
 	}
 	if held := n.cluster.holdsCommand; held != nil && held() {
@@ -115,12 +115,12 @@
 	return r, executed, nil
 }
 
-// holdCommands keeps an order that is delivered when it may.
+// holdCommands keeps a direct message until deliverHeldCommands is called.
 func (w *cluster) holdCommands(from *node, to *testkit.Worker, o wire.Orders, sent time.Time) {
 	w.heldCommands = append(w.heldCommands, func() { w.checks.sent(from, sent); to.HandleCommands(o) })
 }
 
-// deliverHeldCommands delivers the orders that were held back, and returns how many.
+// deliverHeldCommands delivers the held direct messages and returns their number.
 func (w *cluster) deliverHeldCommands() int {
 	w.mu.Lock()
 	late := w.heldCommands
@@ -135,7 +135,7 @@
 	return len(late)
 }
 
-// FetchReport asks a worker for its report.
+// FetchReport requests a worker's report.
 func (n *node) FetchReport(ctx context.Context, endpoint string) (*wire.Report, error) {
 	return overLink(ctx, n.cluster, func() (*wire.Report, error) {
 		n.cluster.mu.Lock()
@@ -150,10 +150,10 @@
 	})
 }
 
-// JobFacts reads how a job that the leader does not know ended.
+// JobFacts reads from the store how a job that the leader does not hold ended.
 func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error) {
 	return scheduler.StoredFacts(ctx, n.view, uid)
 }
 
-// HasEarlier says that no leader elsewhere has such a job: there is one leader.
+// HasEarlier returns false: these clusters have only one leader.
 func (n *node) HasEarlier(context.Context, string, string, uint64) (bool, error) { return false, nil }
--- a/internal/testkit/on_cluster_test.go
+++ b/internal/testkit/on_cluster_test.go
@@ -8,25 +8,25 @@
 	"github.com/wallrack/wallrack/internal/config"
 )
 
-// runOnCluster plays a test on a new cluster, in which the tasks of jobs from 80
-// on run for long. Nothing is drawn but lost messages.
+// runOnCluster runs play on a new cluster, in which the tasks of the jobs j-80 and above run long. No
+// fault is drawn except lost messages.
 func runOnCluster(t *testing.T, seed uint64, controllers, workers int, play func(w *cluster)) {
 	runOnClusterWithTeams(t, seed, []config.Team{{Name: "t"}}, controllers, workers, play)
 }
 
-// runOnClusterWithTeams is onCluster with these teams.
+// runOnClusterWithTeams is runOnCluster with the given teams.
 func runOnClusterWithTeams(t *testing.T, seed uint64, teams []config.Team, controllers, workers int, play func(w *cluster)) {
 	runOnPreparedCluster(t, seed, controllers, workers, func(w *cluster) { w.cfg.Params.Teams = teams }, play)
 }
 
-// runOnPreparedCluster plays a test on a new cluster that setUp has prepared before its controllers start.
+// runOnPreparedCluster runs play on a new cluster, which setUp changes before its controllers start.
 func runOnPreparedCluster(t *testing.T, seed uint64, controllers, workers int, setUp, play func(w *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, seed)
 		setUp(w)
 		defer func() {
 			w.stopAll()
-			time.Sleep(15 * time.Second) // what is still on its way in the store
+			time.Sleep(15 * time.Second) // for transactions still in flight
 		}()
 		w.bigger(controllers, workers)
 		w.setLongTasks()
@@ -44,7 +44,7 @@
 	}
 }
 
-// startControllersOneByOne starts the controllers one after the other.
+// startControllersOneByOne starts the controllers at intervals of 100 ms.
 func (w *cluster) startControllersOneByOne() {
 	for _, name := range w.controllerNames {
 		w.start(name)
@@ -52,7 +52,7 @@
 	}
 }
 
-// leader is the controller that owns the jobs, or "".
+// leader returns the first controller that leads shards, or "".
 func (w *cluster) leader() string {
 	for _, n := range w.controllerNames {
 		if x := w.nodes[n]; !x.down && len(x.member.LedShards()) > 0 {
@@ -62,7 +62,7 @@
 	return ""
 }
 
-// runUntil lives until something holds, for at most so many seconds.
+// runUntil lets time pass until the condition holds, for at most the given number of seconds.
 func (w *cluster) runUntil(seconds int, holds func() bool) bool {
 	for range seconds {
 		if holds() {
@@ -73,7 +73,7 @@
 	return holds()
 }
 
-// sessionSum sums the sessionSum of all workers: it grows by one with each lease that ends.
+// sessionSum sums the session numbers of all workers: it grows by one with each lease that expires.
 func (w *cluster) sessionSum() (sum int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -83,7 +83,7 @@
 	return sum
 }
 
-// lastStartTime is when a task last started.
+// lastStartTime returns the time of the last task start.
 func (w *cluster) lastStartTime() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -97,7 +97,8 @@
 	return w.nodes[name].down
 }
 
-// step lets a time between reports pass, with faults until it is calm.
+// step lets one heartbeat interval pass and checks the invariants. It draws faults until calm;
+// afterwards it heals all links, unless keepBrokenLinks is set.
 func (w *cluster) step(calm time.Time) {
 	time.Sleep(reportEvery)
 	w.checkInvariants()
@@ -115,7 +116,7 @@
 	}
 }
 
-// runFor lets seconds pass, with no faults drawn and nothing healed.
+// runFor lets the given number of seconds pass without drawing faults.
 func (w *cluster) runFor(seconds int) {
 	for range seconds {
 		w.reportAll()
--- a/internal/testkit/recorded/check.go
+++ b/internal/testkit/recorded/check.go
@@ -9,8 +9,8 @@
 	"github.com/goccy/go-json"
 )
 
-// Check reads testdata/recorded/NAME.json as a T, which must be want, and encodes want
-// again, which must give the file's bytes.
+// Check decodes testdata/recorded/NAME.json, which must equal want, and encodes want, which must equal
+// the file byte for byte.
 func Check[T any](t testing.TB, name string, want T) {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "recorded", name+".json"))
@@ -26,8 +26,8 @@
 	}
 }
 
-// CheckFull is Check of a sample in which no field may be without a value, so that a new
-// field is recorded too.
+// CheckFull is Check for a sample in which every field must be set, so that each new field is
+// recorded too.
 func CheckFull[T any](t testing.TB, name string, want T) {
 	t.Helper()
 	requireSet(t, name, reflect.ValueOf(want))
--- a/internal/testkit/recorded/recorded.go
+++ b/internal/testkit/recorded/recorded.go
@@ -1,5 +1,5 @@
-// Package recorded is for tests that keep the form of what users, operators and other
-// versions read: samples in testdata/recorded are compared byte for byte.
+// Package recorded helps tests to keep the format of data that users, operators and other versions
+// read: it compares data byte for byte with the samples in testdata/recorded.
 package recorded
 
 import (
@@ -19,12 +19,12 @@
 
 const (
 	directory = "testdata/recorded"
-	// recordVariable is the environment variable that lets a test write samples that
-	// are not there yet. One that is there is never replaced: delete it first.
+	// recordVariable is the environment variable that lets a test write missing samples.
+	// An existing sample is never overwritten: delete it first.
 	recordVariable = "RECORD_SAMPLES"
 )
 
-// Read returns a sample of the package under test.
+// Read returns the content of a sample of the package under test.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join(directory, name))
@@ -34,7 +34,7 @@
 	return data
 }
 
-// Compare checks that got is the sample, byte for byte.
+// Compare checks that got equals the sample byte for byte.
 func Compare(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join(directory, name)
@@ -56,8 +56,8 @@
 	}
 }
 
-// CompareJSON checks that a filled value is encoded as the sample is, a newline behind it,
-// and that decoding the sample gives the value again.
+// CompareJSON checks that a value with all fields set, encoded and followed by a newline, equals the
+// sample, and that decoding the sample returns the value.
 func CompareJSON[T any](t testing.TB, name string, marshal func(any) ([]byte, error), unmarshal func([]byte, any) error) {
 	t.Helper()
 	var value, decoded T
@@ -75,9 +75,9 @@
 	}
 }
 
-// Fill gives every field of the value that pointer points to a value of its own, by the
-// order of the fields: two elements for a slice, one for a map. Names of fields have no
-// part in it. Fields that json leaves out, by the tag "-", stay empty.
+// Fill sets every field of the value that pointer points to, each to a different value that depends
+// only on the order of the fields, not on their names. A slice gets two elements, a map one.
+// Fields with the json tag "-" stay empty.
 func Fill(pointer any) {
 	next := 0
 	fill(reflect.ValueOf(pointer).Elem(), &next)
@@ -132,8 +132,8 @@
 	}
 }
 
-// Shape lists the paths of a JSON text with their types, a line each. An element of a
-// list is "[]". Below a path in free, names are not of the form and are written "*".
+// Shape returns the paths of a JSON text with their types, one per line. "[]" stands for an element
+// of a list. Below the paths in free, names are not part of the format and are replaced by "*".
 func Shape(t testing.TB, data []byte, free ...string) []byte {
 	t.Helper()
 	var value any
--- a/internal/testkit/seed_test.go
+++ b/internal/testkit/seed_test.go
@@ -5,7 +5,7 @@
 	"flag"
 )
 
-// The generated inputs are the same at every run.
+// rapid draws the same inputs in every run.
 func init() {
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "60")); err != nil {
 		panic(err)
--- a/internal/testkit/store.go
+++ b/internal/testkit/store.go
@@ -1,6 +1,5 @@
-// Package testkit has stand-ins, written from the protocol, for the state
-// service and workers. They lose, delay and repeat messages on demand, so that
-// tests need no bench.
+// Package testkit implements stand-ins for the state service and for workers, written from the
+// protocol. They lose, delay and repeat messages on request, so that tests need no real cluster.
 package testkit
 
 import (
@@ -26,8 +25,8 @@
 	expires time.Time
 }
 
-// Store is a state service in memory. All controllers of a test share one;
-// each has its own View of it.
+// Store is an in-memory state service. All controllers of a test share one; each accesses it through
+// its own View.
 type Store struct {
 	mu        sync.Mutex
 	items     map[string]item
@@ -128,7 +127,7 @@
 	return out
 }
 
-// RawValue returns a key's value as it is stored, or "".
+// RawValue returns a key's value as it is stored, or "" if there is none.
 func (s *Store) RawValue(key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +137,7 @@
 // Set sets the function.
 func (h *Hook[F]) Set(function F) { h.function.Store(&function) }
 
-// Get returns the function, or nil.
+// Get returns the function, or nil if it was not set.
 func (h *Hook[F]) Get() (function F) {
 	if set := h.function.Load(); set != nil {
 		function = *set
--- a/internal/testkit/view.go
+++ b/internal/testkit/view.go
@@ -14,44 +14,43 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Hook is a function that may be set while controllers run.
+// Hook holds a function that may be set while controllers run.
 type Hook[F any] struct{ function atomic.Pointer[F] }
 
-// View is one controller's access to the store.
+// View is one controller's access to the store. Functions that are nil have no effect.
 type View struct {
 	*Store
-	// Unavailable makes every request fail without being executed.
+	// Unavailable, if it returns true, fails a request without executing it.
 	Unavailable func() bool
-	// LoseResponse makes a transaction's answer get lost after it was applied.
+	// LoseResponse, if it returns true, loses the response to an applied transaction.
 	LoseResponse func() bool
-	// Hold, if it returns true, holds a transaction back; Deliver applies it.
+	// Hold, if it returns true, holds a transaction back until ApplyHeld is called.
 	Hold func() bool
-	// ApplyAfter, if it returns more than 0, has a transaction applied so much later,
-	// after newer ones, without an answer.
+	// ApplyAfter, if it returns more than 0, has a transaction applied after that delay, possibly
+	// after newer ones; its caller receives ErrUnknown at once.
 	ApplyAfter func() time.Duration
-	// ResponseDelay is how long an answer takes; nil: no time.
+	// ResponseDelay returns the delay of a response.
 	ResponseDelay func() time.Duration
-	// WatchLag is how long a watch's answer takes; nil: no time.
+	// WatchLag returns the delay of a watch's events.
 	WatchLag func() time.Duration
-	// BeforeTxn is called with each transaction before it is carried out, and Listing with
-	// the prefix before keys are read. They may wait; nil: nothing waits.
+	// BeforeTxn is called with each transaction before it is executed, BeforeList with the
+	// prefix before keys are listed. They may block.
 	BeforeTxn  Hook[func(t wire.Txn)]
 	BeforeList Hook[func(prefix string)]
-	// RefuseTxn, if it returns true, has the service refuse a transaction: it is surely not
-	// carried out.
+	// RefuseTxn, if it returns true, fails a transaction with ErrUnavailable without executing it.
 	RefuseTxn Hook[func(t wire.Txn) bool]
-	// PrefixWatchLag is how long the watch of a prefix is behind; nil: not at all.
+	// PrefixWatchLag returns the delay of the events of a prefix, in addition to WatchLag.
 	PrefixWatchLag func(prefix string) time.Duration
-	// TimeOutResponse makes the answer of a transaction that was applied at a version get
-	// lost: the caller hears nothing until its time is over.
+	// TimeOutResponse, if it returns true, loses the response to a transaction that was applied
+	// at the given version: the caller waits until its time-out.
 	TimeOutResponse func(t wire.Txn, version uint64) bool
-	// DelayTxn, if it returns more than 0, has a transaction applied so much later; its caller
-	// hears nothing, outcome what came of it.
+	// DelayTxn, if it returns more than 0, has a transaction applied after that delay. Its caller
+	// waits until its time-out; outcome is called with the result.
 	DelayTxn func(t wire.Txn) (by time.Duration, outcome func(error))
-	// OnRead is called with every key and version that a read or a watch tells of.
+	// OnRead is called with every key and version that a read or a watch returns.
 	OnRead func(key string, version uint64)
-	// TransitDelay is how long a request is under way before it is executed, and its answer
-	// after that, each; nil: no time. Leases and watches have none.
+	// TransitDelay returns the one-way delay of a request and of its response. It does not apply to
+	// lists, leases and watches.
 	TransitDelay func() time.Duration
 
 	heldMu sync.Mutex
@@ -65,14 +64,13 @@
 	v.held = nil
 	v.heldMu.Unlock()
 	for _, t := range late {
-		_, _ = v.apply(t) // nobody waits for the answer any more
+		_, _ = v.apply(t) // no caller waits for the result
 	}
 }
 
 func isTriggered(f func() bool) bool { return f != nil && f() }
 
-// awaitResponse lets the time pass that an awaitResponse takes; false if nobody waits for it any
-// more.
+// awaitResponse waits for ResponseDelay. It returns false if the caller has given up.
 func (v *View) awaitResponse(ctx context.Context) bool {
 	if v.ResponseDelay == nil {
 		return true
@@ -89,11 +87,10 @@
 	}
 }
 
-// defaultTimeout is how long a caller without a time limit of its own waits for an answer
-// that is lost.
+// defaultTimeout is how long a caller without a deadline waits for a lost response.
 const defaultTimeout = 4 * time.Second
 
-// awaitTimeout returns when a caller without a response gives up.
+// awaitTimeout waits until a caller that receives no response gives up.
 func awaitTimeout(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -110,8 +107,7 @@
 	}
 }
 
-// awaitTransit lets the time pass that a message is under way; false if nobody waits for it
-// any more, which does not stop it.
+// awaitTransit waits for TransitDelay, even if the caller gives up before; it returns false then.
 func (v *View) awaitTransit(ctx context.Context) bool {
 	if v.TransitDelay == nil {
 		return true
@@ -122,7 +118,7 @@
 	return ctx.Err() == nil
 }
 
-// watchDelay is how long the answer of a prefix's watch takes.
+// watchDelay returns the delay of the events of a watch on the prefix.
 func (v *View) watchDelay(prefix string) (d time.Duration) {
 	if v.WatchLag != nil {
 		d = v.WatchLag()
@@ -154,7 +150,7 @@
 	return wire.Item{Key: key, Value: it.value, Version: it.version, Lease: it.lease}, nil
 }
 
-// List reads the keys with a prefix.
+// List reads all keys with a prefix, and the store's version.
 func (v *View) List(_ context.Context, prefix string) ([]wire.Item, uint64, error) {
 	if isTriggered(v.Unavailable) {
 		return nil, 0, statestore.ErrUnavailable
@@ -177,7 +173,8 @@
 	return out, rev, nil
 }
 
-// Page reads at most so many keys with the prefix, in order, beyond after.
+// Page reads up to limit keys with the prefix that are greater than after, in order, and reports
+// whether there are more.
 func (v *View) Page(ctx context.Context, prefix, after string, limit int) ([]wire.Item, bool, error) {
 	all, _, err := v.List(ctx, prefix)
 	i := sort.Search(len(all), func(i int) bool { return all[i].Key > after })
@@ -185,7 +182,7 @@
 	return all[:min(limit, len(all))], len(all) > limit, err
 }
 
-// BulkTxn implements the scheduler's Store.
+// BulkTxn implements scheduler.Store.
 func (v *View) BulkTxn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
 	return v.Txn(ctx, guards, ops...)
 }
@@ -291,7 +288,7 @@
 	return nil
 }
 
-// Watch follows a prefix.
+// Watch calls reset with the keys of a prefix, and change with each later batch of events, until ctx is done.
 func (v *View) Watch(ctx context.Context, prefix string, _ time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
 	pause := func() {
 		select {
@@ -338,7 +335,7 @@
 		select {
 		case <-ctx.Done():
 		case <-wait:
-		case <-time.After(100 * time.Millisecond): // leases end by time alone
+		case <-time.After(100 * time.Millisecond): // a lease expires without waking the watches
 		}
 	}
 }
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -6,28 +6,28 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Worker is a worker's state by the protocol: tokens, lease, session, commands.
+// Worker is a worker that follows the protocol for tokens, leases, sessions and commands.
 type Worker struct {
 	Name     string
 	Zone     string
 	Lease    time.Duration
-	RunTime  func(task string) time.Duration // how long a task runs
+	RunTime  func(task string) time.Duration // run time of a task
 	OnStart  func(task string, attempt uint64)
 	ExitCode func(task string) int                // exit code of a task that ends by itself; nil: 0
-	OnForget func(task string, attempt uint64)    // a task that was done is cleared
-	WrapHeld func(carryOut func()) func()         // wraps what is carried out when a hang ends; nil: as it is
-	SaveTime func(task string) time.Duration      // how long a task takes to save when it is stopped; nil, or negative: it can't
-	OnEnd    func(t wire.Task, ran time.Duration) // a task ends, with what it was exited; killed by the lease: with no cause
+	OnForget func(task string, attempt uint64)    // called when a task that was done is forgotten
+	WrapHeld func(carryOut func()) func()         // wraps the delivery of a message that arrived during a hang; may be nil
+	SaveTime func(task string) time.Duration      // time that a task needs to save its state when it is stopped; nil or negative: it cannot
+	OnEnd    func(t wire.Task, ran time.Duration) // called when a task ends; its cause is empty if it was killed because the lease expired
 
 	session, seq, token uint64
 	lastRenewal         time.Time
 	tasks               map[attemptKey]*taskState
 
-	hungAt time.Time // since when the worker hangs; zero: it does not
-	held   []func()  // what came in the meantime, in order
+	hungAt time.Time // start of the hang; zero if the worker does not hang
+	held   []func()  // deliveries of the messages that arrived during the hang, in order
 }
 
-// responseTimeout is how long a worker waits for the answer to a report.
+// responseTimeout is how long a worker waits for the response to a heartbeat.
 const responseTimeout = 4 * time.Second
 
 type attemptKey struct {
@@ -38,17 +38,17 @@
 type taskState struct {
 	wire.Task
 	startedAt time.Time
-	endsAt    time.Time // its run, or its saving
+	endsAt    time.Time // when the run or the saving ends
 }
 
-// noteEnd notes that a task ends, and how long it ran.
+// noteEnd calls OnEnd with a task that has ended and its run time.
 func (w *Worker) noteEnd(t *taskState, ran time.Duration) {
 	if w.OnEnd != nil {
 		w.OnEnd(t.Task, ran)
 	}
 }
 
-// killAll ends all tasks with the lease.
+// killAll ends all tasks because the lease has expired.
 func (w *Worker) killAll(now time.Time) {
 	for _, t := range w.tasks {
 		if t.State != wire.TaskExited {
@@ -57,7 +57,7 @@
 	}
 }
 
-// stop stops a task; it saves first if it can and has the time.
+// stop stops a task, after saving its state if that is possible within the grace period in seconds.
 func (w *Worker) stop(t *taskState, grace float64) {
 	now, save := time.Now(), time.Duration(-1)
 	if w.SaveTime != nil {
@@ -74,12 +74,12 @@
 	}
 }
 
-// NewWorker returns a worker that has just come up.
+// NewWorker returns a worker that has just started.
 func NewWorker(name string, lease time.Duration, run func(string) time.Duration) *Worker {
 	return &Worker{Name: name, Zone: "z", Lease: lease, RunTime: run, session: 1, lastRenewal: time.Now(), tasks: map[attemptKey]*taskState{}}
 }
 
-// Hang stops the worker: it executes nothing and reports nothing until Continue.
+// Hang hangs the worker: it executes and reports nothing until Resume.
 func (w *Worker) Hang() {
 	if w.IsHung() {
 		return
@@ -91,7 +91,7 @@
 // IsHung reports whether the worker hangs.
 func (w *Worker) IsHung() bool { return !w.hungAt.IsZero() }
 
-// holdUntilResume keeps what came for a worker that hangs.
+// holdUntilResume keeps a message that arrived during a hang.
 func (w *Worker) holdUntilResume(carryOut func()) {
 	if w.WrapHeld != nil {
 		carryOut = w.WrapHeld(carryOut)
@@ -99,8 +99,8 @@
 	w.held = append(w.held, carryOut)
 }
 
-// Resume ends a hang. The lease is judged first; then what came in the meantime is
-// carried out, if it still may be. Tasks end as much later as the worker hung.
+// Resume ends a hang. It checks the lease first, and then delivers the messages that arrived during
+// the hang, which may have become invalid. The run of a task is extended by the duration of the hang.
 func (w *Worker) Resume() {
 	if !w.IsHung() {
 		return
@@ -117,7 +117,7 @@
 	}
 }
 
-// leaseExpired reports whether the worker's lease has ended.
+// leaseExpired reports whether the worker's lease has expired.
 func (w *Worker) leaseExpired() bool { return time.Since(w.lastRenewal) > w.Lease }
 
 func (w *Worker) advance() {
@@ -148,8 +148,8 @@
 	}
 }
 
-// UnfinishedTasks lists the tasks that are on the worker now. Those of a worker that hangs are on
-// as long as it may continue, which is within its lease.
+// UnfinishedTasks returns the tasks on the worker that have not ended. Tasks of a hung worker count
+// until its lease expires, since they may continue if it resumes before.
 func (w *Worker) UnfinishedTasks() []string {
 	w.advance()
 	if w.IsHung() && w.leaseExpired() {
@@ -164,7 +164,7 @@
 	return out
 }
 
-// TaskEndedSince reports whether a task has ended by itself since a time.
+// TaskEndedSince reports whether a task has completed since the given time.
 func (w *Worker) TaskEndedSince(at time.Time) bool {
 	w.advance()
 	for _, t := range w.tasks {
@@ -175,13 +175,13 @@
 	return false
 }
 
-// Session returns the session that the worker is in now.
+// Session returns the worker's current session number.
 func (w *Worker) Session() uint64 {
 	w.advance()
 	return w.session
 }
 
-// Report makes the worker's next report.
+// Report returns the worker's next heartbeat.
 func (w *Worker) Report() *wire.Report {
 	w.advance()
 	w.seq++
@@ -192,7 +192,7 @@
 	return r
 }
 
-// HandleResponse takes the answer to a report sent at the given time, unless it is late.
+// HandleResponse handles the response to a heartbeat sent at the given time, unless the response timed out.
 func (w *Worker) HandleResponse(sent time.Time, session uint64, a wire.ReportResponse) {
 	if w.IsHung() {
 		w.holdUntilResume(func() { w.HandleResponse(sent, session, a) })
@@ -210,8 +210,8 @@
 	w.execute(a.Commands)
 }
 
-// HandleCommands takes a direct message, however late it comes, and reports whether it was
-// executed now. A worker that hangs takes it when it continues.
+// HandleCommands handles a direct message, however late it arrives, and reports whether its commands
+// were executed now. A hung worker handles the message when it resumes.
 func (w *Worker) HandleCommands(o wire.Orders) bool {
 	if w.IsHung() {
 		w.holdUntilResume(func() { w.HandleCommands(o) })
