--- a/internal/testkit/autoscaled_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -84,9 +84,9 @@
 	c.reliableStore = true
 	c.workers, c.byName = nil, map[string]*testkit.Worker{}
 	c.cfg.Params.Cloud = config.Cloud{RPS: 4, ListLagS: listLag.Seconds()}
-	kind, _ := c.machineTypes.Type("m")
-	kind.BootS = boot.Seconds()
-	cloud, err := standin.OpenCloud(db, []wire.MachineType{kind}, 60, c)
+	machineType, _ := c.machineTypes.Type("m")
+	machineType.BootS = boot.Seconds()
+	cloud, err := standin.OpenCloud(db, []wire.MachineType{machineType}, 60, c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,11 +113,11 @@
 // syncWorkers adds the machines that have booted, which report at once, and removes ended ones.
 func (c *cloudCluster) syncWorkers() {
 	c.cloudMu.Lock()
-	var fresh []*testkit.Worker
+	var booted []*testkit.Worker
 	c.booting = slices.DeleteFunc(c.booting, func(m bootingMachine) bool {
 		up := !time.Now().Before(m.up)
 		if up && !c.endedMachines[m.worker.Name] {
-			fresh = append(fresh, m.worker)
+			booted = append(booted, m.worker)
 		}
 		return up || c.endedMachines[m.worker.Name]
 	})
@@ -125,7 +125,7 @@
 	c.endedMachines = map[string]bool{}
 	c.cloudMu.Unlock()
 	c.mu.Lock()
-	for i, k := range fresh {
+	for i, k := range booted {
 		c.registerWorker(k, i)
 	}
 	c.workers = slices.DeleteFunc(c.workers, func(k *testkit.Worker) bool { return ended[k.Name] })
@@ -133,16 +133,16 @@
 		delete(c.byName, name)
 	}
 	c.mu.Unlock()
-	for _, k := range fresh {
+	for _, k := range booted {
 		c.report(k)
 	}
 	c.checkInvariants()
 }
 
 // advance lets time pass until the condition holds, for at most the given time.
-func (c *cloudCluster) advance(most time.Duration, holds func() bool) bool {
-	for end := time.Now().Add(most); time.Now().Before(end); {
-		if holds != nil && holds() {
+func (c *cloudCluster) advance(limit time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(limit); time.Now().Before(end); {
+		if condition != nil && condition() {
 			return true
 		}
 		for range 4 {
@@ -153,7 +153,7 @@
 		c.exchange()
 		c.publish()
 	}
-	return holds == nil || holds()
+	return condition == nil || condition()
 }
 
 // autoscalerLoops returns the loops that a controller runs for its autoscaler.
@@ -165,12 +165,12 @@
 	}
 	cloud := autoscaler.NewCloudOver(&cloudLink{c, n}, "cloud", c.cfg.Params.Cloud.RPS)
 	catalog := autoscaler.NewCatalog(cloud, n.view, log)
-	f := autoscaler.New(autoscaler.Options{
+	scaler := autoscaler.New(autoscaler.Options{
 		Platform: c.cfg, Operator: op, Cloud: cloud, Catalog: catalog, Store: n.view, Member: n.member,
 		Scheduler: autoscalerLeader{c, n.scheduler}, Dispatcher: n.dispatcher, Log: log,
 	})
 	return []func(context.Context) error{
-		f.Run,
+		scaler.Run,
 		func(ctx context.Context) error { return catalog.Run(ctx, n.scheduler.LeadsAutoscaling) },
 	}
 }
@@ -273,27 +273,27 @@
 // provision executes a provision request and checks that it was recorded before it was sent.
 func (c *cloudCluster) provision(rec *httptest.ResponseRecorder, req *http.Request) string {
 	body, err := io.ReadAll(req.Body)
-	var h wire.ProvisionRequest
+	var request wire.ProvisionRequest
 	if err == nil {
-		err = json.Unmarshal(body, &h)
+		err = json.Unmarshal(body, &request)
 	}
 	if err != nil {
-		c.fail("a hire: %v", err)
+		c.fail("invalid provision request: %v", err)
 		return ""
 	}
-	recorded := slices.Contains(c.store.Keys("fleet/hire/"), "fleet/hire/"+h.Name)
+	recorded := slices.Contains(c.store.Keys("fleet/hire/"), "fleet/hire/"+request.Name)
 	req.Body = io.NopCloser(strings.NewReader(string(body)))
 	c.handler.ServeHTTP(rec, req)
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	if c.requestCounts[h.Name]++; c.requestCounts[h.Name] == 1 && !recorded {
-		c.fail("%s is asked for, and was not recorded", h.Name)
+	if c.requestCounts[request.Name]++; c.requestCounts[request.Name] == 1 && !recorded {
+		c.fail("provision request %s was sent without having been recorded", request.Name)
 	}
 	var got wire.MachineNames
 	if rec.Code == http.StatusOK && json.Unmarshal(rec.Body.Bytes(), &got) == nil {
-		c.provisioned[h.Name] = got.Machines
+		c.provisioned[request.Name] = got.Machines
 	}
-	return h.Name
+	return request.Name
 }
 
 // staleList returns the newest recorded list that is at least listAge old, else an empty one.
@@ -314,10 +314,10 @@
 }
 
 // countMachines counts all machines provisioned so far and those that still exist.
-func (c *cloudCluster) countMachines() (rented, there int) {
+func (c *cloudCluster) countMachines() (provisioned, existing int) {
 	c.cloudMu.Lock()
 	for _, names := range c.provisioned {
-		rented += len(names)
+		provisioned += len(names)
 	}
 	c.cloudMu.Unlock()
 	rec := httptest.NewRecorder()
@@ -326,7 +326,7 @@
 	if err := json.Unmarshal(rec.Body.Bytes(), &list); err != nil {
 		c.t.Error(err)
 	}
-	return rented, len(list.Machines)
+	return provisioned, len(list.Machines)
 }
 
 // requestNames returns the names of all provision requests sent so far.
@@ -368,10 +368,10 @@
 func (c *cloudCluster) awaitEndAndScaleIn(uids ...string) {
 	c.startStopped()
 	if !c.advance(4*time.Minute, c.cluster.jobsEnded(uids...)) {
-		c.t.Errorf("only %v ended", c.store.Keys("final/"))
+		c.t.Errorf("only these jobs ended: %v", c.store.Keys("final/"))
 	}
-	if !c.advance(6*time.Minute, func() bool { _, there := c.countMachines(); return there == 0 }) {
-		_, there := c.countMachines()
-		c.t.Errorf("%d machines are left", there)
+	if !c.advance(6*time.Minute, func() bool { _, existing := c.countMachines(); return existing == 0 }) {
+		_, existing := c.countMachines()
+		c.t.Errorf("%d machines were not deleted", existing)
 	}
 }
--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -166,14 +166,14 @@
 				})
 			})
 		}
-		t.Logf("%d controllers: %d answers, %d refusals; %d jobs done, %d cancelled; %d cancels within %v of the end, %d answered cancelled after the end, "+
-			"%d answered done (%d of them sent before the end was recorded); %d questions between the end and the first word of it; %d starts after a confirmed cancel",
+		t.Logf("%d controllers: %d responses, %d refusals; %d jobs done, %d cancelled; %d cancels within %v of the end, %d answered \"cancelled\" after the end, "+
+			"%d answered \"done\" (%d of them sent before the end was recorded); %d polls after the end while no user had been told of it; %d starts after a confirmed cancel",
 			controllers, answers, unsure, done, cancelled, sum.cancelsNearEnd, nearEnd, sum.cancelledAfterEnd, sum.cancelsAnsweredDone, sum.doneBeforeRecorded, sum.pollsAfterEnd, late)
 		if done+cancelled != seeds*jobs {
-			t.Errorf("%d of %d jobs are over", done+cancelled, seeds*jobs)
+			t.Errorf("%d of %d jobs are done or cancelled", done+cancelled, seeds*jobs)
 		}
 		if sum.cancelsNearEnd < 100 || sum.cancelledAfterEnd < 100 || sum.cancelsAnsweredDone < 50 || sum.doneBeforeRecorded < 5 || sum.pollsAfterEnd < 300 {
-			t.Error("too few of these")
+			t.Error("too few requests near the end of jobs, see the counts above")
 		}
 		if late > 0 {
 			t.Error("tasks were started after a confirmed cancel")
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -26,17 +26,17 @@
 				continue
 			}
 			if s, err := n.scheduler.Cancel(context.Background(), "j-1"); err == nil {
-				t.Errorf("%s is not the owner and says %+v", name, s)
+				t.Errorf("%s does not lead the shard and returned state %+v", name, s)
 			}
 		}
 		if s, ok := w.nodes[leader].scheduler.LocalState("j-1"); !ok || s.Stage != wire.StageQueued {
-			t.Errorf("the owner says %+v, %v", s, ok)
+			t.Errorf("the leader returned state %+v, %v", s, ok)
 		}
 		if s, err := w.nodes[leader].scheduler.Cancel(context.Background(), "j-1"); err != nil || s.Stage != wire.StageCancelled {
-			t.Errorf("the owner says %+v, %v", s, err)
+			t.Errorf("the leader returned state %+v, error %v", s, err)
 		}
 		if s, ok := w.nodes[leader].scheduler.LocalState("j-1"); ok && s.Stage != wire.StageCancelled {
-			t.Errorf("after the cancel the owner says %+v", s)
+			t.Errorf("after the cancel the leader returned state %+v", s)
 		}
 		w.stopAll()
 	})
@@ -54,20 +54,20 @@
 		w.runFor(3)
 		w.submit("j-80", 4)
 		if !w.runUntil(10, func() bool { return w.unfinishedTasks("j-80") == 4 }) {
-			t.Fatal("the job does not run")
+			t.Fatal("not all tasks of the job are running")
 		}
 		w.runFor(2)
 		owner := w.leader()
 		refused := 0
 		w.nodes[owner].view.RefuseTxn.Set(func(txn wire.Txn) bool {
-			ours := txn.Then[0].Put == "live/j-80"
-			if ours {
+			isCancel := txn.Then[0].Put == "live/j-80"
+			if isCancel {
 				refused++
 			}
-			return ours
+			return isCancel
 		})
 		if stage, heard := w.userRequest(owner, http.MethodPost, "j-80"); heard || refused == 0 {
-			t.Errorf("the cancel is answered %q, refused %d times", stage, refused)
+			t.Errorf("the cancel was answered %q, its write was refused %d times", stage, refused)
 		}
 		w.nodes[owner].view.RefuseTxn.Set(nil)
 		for _, outage := range []bool{false, true} {
@@ -77,7 +77,7 @@
 			for range 3 { // shorter than a lease; once it has expired no leader answers from memory in an outage
 				for _, name := range w.controllerNames {
 					if stage, heard := w.userRequest(name, http.MethodGet, "j-80"); !heard || stage != wire.StageRunning {
-						t.Errorf("outage %v: %s calls the job %q, %v", outage, name, stage, heard)
+						t.Errorf("outage %v: %s reports stage %q, answered %v", outage, name, stage, heard)
 					}
 				}
 				w.runFor(1)
@@ -86,7 +86,7 @@
 		w.healAllLinks()
 		w.runFor(8)
 		if on := w.unfinishedTasks("j-80"); on != 4 {
-			t.Errorf("%d of 4 tasks are on", on)
+			t.Errorf("%d of 4 tasks are running", on)
 		}
 		w.stopAll()
 	})
--- a/internal/testkit/cancel_transfer_test.go
+++ b/internal/testkit/cancel_transfer_test.go
@@ -20,10 +20,10 @@
 // Steps of a shard transfer, as seen in the state service and at the new leader.
 const (
 	stepPending   = "pending" // requested but not applied: the old leader leads no shard any more
-	stepUnseen    = "untold"  // applied, but not yet seen by the new leader's watch
+	stepUnseen    = "unseen"  // applied, but not yet seen by the new leader's watch
 	stepLoading   = "loading" // the new leader reads the shard's records
 	stepLoaded    = "loaded"
-	stepUnclaimed = "unowned" // the new leader crashed: its keys are gone and no controller has claimed the shards
+	stepUnclaimed = "unclaimed" // the new leader crashed: its keys are gone and no controller has claimed the shards
 )
 
 // shardTransfer is a cluster in which one controller transfers its shards to another while users
@@ -67,7 +67,7 @@
 // step, and reports whether the cancel was confirmed.
 func (h *shardTransfer) cancelDuring(step, at, uid string) bool {
 	if got := h.currentStep(); got != step {
-		h.t.Errorf("the cancel of %s at %s comes at %q, not %q", uid, at, got, step)
+		h.t.Errorf("the cancel of %s at %s was sent in step %q, want %q", uid, at, got, step)
 	}
 	stage, heard := h.userRequest(at, http.MethodPost, uid)
 	h.cancelsSent++
@@ -110,7 +110,7 @@
 	h.onCancelTransaction(h.oldLeader, uid, func() { lose.Store(true) })
 	h.nodes[h.oldLeader].view.LoseResponse = func() bool { return lose.Swap(false) }
 	if state, err := h.nodes[h.oldLeader].scheduler.Cancel(context.Background(), uid); err == nil {
-		h.t.Errorf("%s is called %s, though the answer was lost", uid, state.Stage)
+		h.t.Errorf("the cancel of %s returned stage %s, although the response was lost", uid, state.Stage)
 	}
 	if s, err := storedStage(h.cluster, uid); err != nil || s != wire.StageCancelled {
 		h.t.Errorf("%s is recorded as %s, %v", uid, s, err)
@@ -137,7 +137,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	h.t.Fatalf("the hand-over is at %q, not %q", h.currentStep(), step)
+	h.t.Fatalf("the transfer is in step %q, want %q", h.currentStep(), step)
 }
 
 func storedStage(w *cluster, uid string) (string, error) {
@@ -157,28 +157,28 @@
 		refused   int // cancels that must be refused during the step
 	}
 	const lag = 3 * time.Second
-	everywhere := func(h *shardTransfer, step string) { // cancels one job at each controller
+	cancelAtEachController := func(h *shardTransfer, step string) { // cancels one job at each controller
 		h.cancelDuring(step, h.oldLeader, "j-80")
 		h.cancelDuring(step, h.newLeader, "j-81")
 		h.cancelDuring(step, h.third, "j-82")
 	}
 	scenes := []scene{
-		{"before the transaction", func(h *shardTransfer) {
+		{"before the transaction is applied", func(h *shardTransfer) {
 			h.beginTransfer(1500 * time.Millisecond)
-			everywhere(h, stepPending)
+			cancelAtEachController(h, stepPending)
 		}, 0, 3},
-		{"recorded before the transaction, which is on its way", func(h *shardTransfer) {
+		{"recorded while the transaction is in flight", func(h *shardTransfer) {
 			h.onCancelTransaction(h.oldLeader, "j-80", func() { time.Sleep(300 * time.Millisecond) })
 			go func() { time.Sleep(100 * time.Millisecond); h.beginTransfer(1500 * time.Millisecond) }()
 			stage, heard := h.userRequest(h.oldLeader, http.MethodPost, "j-80")
 			if h.currentStep() != stepPending || len(h.nodes[h.oldLeader].member.LedShards()) > 0 {
-				h.t.Errorf("the hand-over is at %q", h.currentStep())
+				h.t.Errorf("the transfer is in step %q", h.currentStep())
 			}
 			if heard && stage == wire.StageCancelled {
 				h.cancelsSent++
 			}
 		}, 1, 0},
-		{"sent by the giver before, carried out after the taker has loaded", func(h *shardTransfer) {
+		{"sent by the old leader before, applied after the new leader has loaded", func(h *shardTransfer) {
 			sent := false
 			h.onCancelTransaction(h.oldLeader, "j-80", func() {
 				if sent {
@@ -188,7 +188,7 @@
 				h.beginTransfer(0)
 				time.Sleep(3 * time.Second)
 				if h.currentStep() != stepLoaded {
-					h.t.Errorf("the transaction is carried out at %q", h.currentStep())
+					h.t.Errorf("the transaction is applied in step %q", h.currentStep())
 				}
 				h.cancelsSent++
 			})
@@ -196,34 +196,34 @@
 				h.cancelsRefused++
 			}
 			if stage, err := storedStage(h.cluster, "j-80"); stage != wire.StageQueued || err != nil {
-				h.t.Errorf("recorded behind the new owner's back: %s, %v", stage, err)
+				h.t.Errorf("a transaction of the old leader was applied after the transfer: stage %s, %v", stage, err)
 			}
 		}, 0, 1},
-		{"the taker is not told", func(h *shardTransfer) {
+		{"the new leader has not seen the transfer", func(h *shardTransfer) {
 			h.delayWatch(h.newLeader, "c/", lag)
 			h.beginTransfer(0)
-			everywhere(h, stepUnseen)
+			cancelAtEachController(h, stepUnseen)
 		}, 0, 3},
-		{"recorded before, confirmed by a third while the taker is not told", func(h *shardTransfer) {
+		{"recorded before, confirmed by a third controller while the new leader has not seen the transfer", func(h *shardTransfer) {
 			h.recordUnseenCancel()
 			h.delayWatch(h.newLeader, "c/", lag)
 			h.beginTransfer(0)
 			h.cancelDuring(stepUnseen, h.third, "j-80")
 		}, 1, 0},
-		{"the same, and the third reaches no peer until the taker has loaded", func(h *shardTransfer) {
+		{"the same, and the third controller reaches no peer until the new leader has loaded", func(h *shardTransfer) {
 			h.delayWatch(h.newLeader, "", lag)
 			h.recordUnseenCancel()
 			h.breakLinks(h.third, h.oldLeader, h.newLeader)
 			h.beginTransfer(0)
 			h.cancelDuring(stepUnseen, h.third, "j-80")
 			if h.nodes[h.newLeader].cancellations.IsCancelled("j-80") {
-				h.t.Error("the taker knows of the cancel")
+				h.t.Error("the new leader knows of the cancel")
 			}
 			h.runFor(6)
 			h.awaitStep(stepLoaded)
 			h.healLinks(h.third, h.oldLeader, h.newLeader)
 		}, 1, 0},
-		{"the taker has read no record", func(h *shardTransfer) {
+		{"the new leader has read no record", func(h *shardTransfer) {
 			h.recordUnseenCancel()
 			h.blockLoad("task/")
 			h.beginTransfer(0)
@@ -232,7 +232,7 @@
 			h.cancelDuring(stepLoading, h.newLeader, "j-81")
 			h.cancelDuring(stepLoading, h.oldLeader, "j-82")
 		}, 1, 2},
-		{"the taker has read the jobs, and not the log", func(h *shardTransfer) {
+		{"the new leader has read the jobs but not the log", func(h *shardTransfer) {
 			h.recordUnseenCancel()
 			h.blockLoad("log/")
 			h.beginTransfer(0)
@@ -242,21 +242,21 @@
 			h.runFor(2)
 			h.cancelDuring(stepLoading, h.newLeader, "j-82")
 		}, 1, 2},
-		{"a third asks the former owner", func(h *shardTransfer) {
+		{"a third controller asks the old leader", func(h *shardTransfer) {
 			h.delayWatch(h.third, "c/", 4*lag)
 			h.beginTransfer(0)
 			h.awaitStep(stepLoaded)
 			if o := h.nodes[h.third].member.ShardLeaders(); o[0] != h.oldLeader {
-				h.t.Errorf("the third knows of %v", o)
+				h.t.Errorf("the third controller takes %v for the shard leaders", o)
 			}
 			h.cancelDuring(stepLoaded, h.third, "j-80")
 			for _, name := range h.controllerNames {
 				if stage, heard := h.userRequest(name, http.MethodGet, "j-80"); !heard || stage != wire.StageCancelled {
-					h.t.Errorf("%s says %s, %v", name, stage, heard)
+					h.t.Errorf("%s reports stage %s, answered %v", name, stage, heard)
 				}
 			}
 		}, 1, 0},
-		{"the giver ends right after the transaction", func(h *shardTransfer) {
+		{"the old leader crashes right after the transaction", func(h *shardTransfer) {
 			h.delayWatch(h.newLeader, "c/", lag)
 			h.beginTransfer(0)
 			h.crash(h.oldLeader)
@@ -266,7 +266,7 @@
 			h.cancelDuring(stepLoaded, h.newLeader, "j-80")
 			h.start(h.oldLeader)
 		}, 1, 2},
-		{"the taker ends before it is told, and is back", func(h *shardTransfer) {
+		{"the new leader crashes before it has seen the transfer, and restarts", func(h *shardTransfer) {
 			h.recordUnseenCancel()
 			h.delayWatch(h.newLeader, "c/", lag)
 			h.beginTransfer(0)
@@ -277,10 +277,10 @@
 			h.cancelDuring(stepUnclaimed, h.third, "j-82")
 			h.start(h.newLeader) // after the restart it knows no cancels
 		}, 2, 1},
-		{"the giver's launches and the giver are held up right after the transaction", func(h *shardTransfer) {
+		{"the old leader is cut off and its start commands are delayed right after the transaction", func(h *shardTransfer) {
 			h.withLock(func() { h.holdsCommand = func() bool { return true } })
 			if _, heard := h.userRequest(h.oldLeader, http.MethodPost, "j-82"); !heard { // frees CPUs for tasks of the other jobs
-				h.t.Error("the first cancel is not heard")
+				h.t.Error("the first cancel was not answered")
 			}
 			h.reportAll()
 			time.Sleep(500 * time.Millisecond)
@@ -299,7 +299,7 @@
 			}
 			h.runFor(3)
 			if late := h.deliverHeldCommands(); late == 0 {
-				h.t.Error("no launch was held up")
+				h.t.Error("no start command was held back")
 			}
 			h.withLock(func() { h.holdsCommand = nil })
 			h.runFor(11)
@@ -321,12 +321,12 @@
 				}
 				w.runFor(12)
 				if n := h.countUnfinishedTasks(); n < 24 {
-					h.t.Fatalf("%d tasks are on", n)
+					h.t.Fatalf("only %d tasks are running", n)
 				}
 				h.failoversBefore = w.nodes[h.newLeader].scheduler.Counters().Failovers
 				s.play(h)
 				if h.cancelsRefused != s.refused || h.cancelsSent-h.cancelsRefused != s.confirmed {
-					h.t.Errorf("%d cancels fell into the step, %d of them were refused; not %d and %d", h.cancelsSent, h.cancelsRefused, s.confirmed+s.refused, s.refused)
+					h.t.Errorf("%d cancels were sent in the step, %d of them refused; want %d and %d", h.cancelsSent, h.cancelsRefused, s.confirmed+s.refused, s.refused)
 				}
 				h.checkCancelsFinal()
 			})
@@ -377,10 +377,10 @@
 		}
 	}
 	if n := h.countUnfinishedTasks(); n > 0 {
-		h.t.Errorf("%d tasks are on", n)
+		h.t.Errorf("%d tasks of cancelled jobs are running", n)
 	}
 	if !h.jobsEnded(h.jobs...)() {
-		h.t.Errorf("only %v ended", h.store.Keys("final/"))
+		h.t.Errorf("only these jobs ended: %v", h.store.Keys("final/"))
 	}
 	for _, late := range h.lateStarts {
 		h.t.Errorf("%s", late)
--- a/internal/testkit/capacity_test.go
+++ b/internal/testkit/capacity_test.go
@@ -13,9 +13,9 @@
 // measureLoad returns the processor time in nanoseconds of one heartbeat when no task starts, and
 // of one task start including its share of the controller's other work: grants, scheduling passes,
 // records and task ends; see BenchmarkLoad. Both include the workers' side of the connections.
-func measureLoad(tb testing.TB, machines int) (ofReport, ofStart float64) {
+func measureLoad(tb testing.TB, machines int) (perReport, perStart float64) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	spend := func(jobs int) (used time.Duration, reports, starts float64) {
+	measure := func(jobs int) (used time.Duration, reports, starts float64) {
 		l := newLoad(tb, machines, 10, jobs)
 		defer l.stop()
 		before, began, usedBefore := l.node.scheduler.Counters().Granted, time.Now(), capacity.Used(tb)
@@ -25,11 +25,11 @@
 		}
 		return capacity.Used(tb) - usedBefore, float64(i), float64(l.node.scheduler.Counters().Granted - before)
 	}
-	used, reports, _ := spend(0)
-	ofReport = float64(used) / reports
-	used, reports, starts := spend(max(20, machines/10))
-	tb.Logf("%d machines: %.0f reports, %.0f starts in %v of processor time", machines, reports, starts, used)
-	return ofReport, (float64(used) - reports*ofReport) / starts
+	used, reports, _ := measure(0)
+	perReport = float64(used) / reports
+	used, reports, starts := measure(max(20, machines/10))
+	tb.Logf("%d machines: %.0f heartbeats, %.0f starts in %v of processor time", machines, reports, starts, used)
+	return perReport, (float64(used) - reports*perReport) / starts
 }
 
 var capacitySeries = []capacity.Series{
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -32,11 +32,11 @@
 
 func slurmSubmission(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
 	line := fmt.Sprintf("-p %s -A %s -q %s -c 2 --mem 1G -C spot -t 1 --array=0-%d", class, team, priority, tasks-1)
-	given, _, err := slurm.ParseArgs(slurm.Sbatch, strings.Fields(line))
+	options, _, err := slurm.ParseArgs(slurm.Sbatch, strings.Fields(line))
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := slurm.Join(slurm.Sbatch, time.Now(), given)
+	o, err := slurm.Join(slurm.Sbatch, time.Now(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,24 +64,24 @@
 		w.nodes[x] = &node{cluster: w, name: x, down: true}
 	}
 	time.Sleep(2 * time.Second)
-	clean := &testkit.View{Store: w.store}
+	view := &testkit.View{Store: w.store}
 	jobs := []struct {
 		class, team, priority string
 		tasks                 int
 	}{{"study", "lab", "low", 3}, {"study", "t", "normal", 2}, {"tips", "t", "production", 2}, {"study", "lab", "low", 1}, {"tips", "t", "urgent", 3}, {"study", "t", "normal", 2}, {"tips", "t", "production", 1}}
 	for i, k := range jobs {
-		j, tm := submitter(i)(t, k.class, k.team, k.priority, k.tasks)
-		j.UID, tm.Number = fmt.Sprintf("j-%d", i), uint64(100*(i+1))
+		j, constraints := submitter(i)(t, k.class, k.team, k.priority, k.tasks)
+		j.UID, constraints.Number = fmt.Sprintf("j-%d", i), uint64(100*(i+1))
 		at := time.Now().UnixMilli()
-		guards, ops := jobrecord.AcceptanceTxn(j, tm, jobrecord.HashShard(j, nil, 4), at)
-		if _, err := clean.Txn(context.Background(), guards, ops...); err != nil {
+		guards, ops := jobrecord.AcceptanceTxn(j, constraints, jobrecord.HashShard(j, nil, 4), at)
+		if _, err := view.Txn(context.Background(), guards, ops...); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	for end := time.Now().Add(10 * time.Minute); len(w.store.Keys("final/")) < len(jobs); {
 		if time.Now().After(end) {
-			t.Fatalf("only %v ended", w.store.Keys("final/"))
+			t.Fatalf("only these jobs ended: %v", w.store.Keys("final/"))
 		}
 		w.exchange()
 		mu.Lock()
@@ -114,8 +114,8 @@
 			t.Fatal(err)
 		}
 		// The end is seen with the next heartbeat, up to a second later.
-		whole := r.Kind == accounting.RowJob || took >= 3900 && took < 5600
-		rows = append(rows, fmt.Sprintf("%s began %v, ran for 4 s %v: %s", name, began > 0, whole, data))
+		fullRun := r.Kind == accounting.RowJob || took >= 3900 && took < 5600
+		rows = append(rows, fmt.Sprintf("%s began %v, ran for 4 s %v: %s", name, began > 0, fullRun, data))
 	}
 	slices.Sort(rows)
 	w.crash("a")
@@ -125,36 +125,36 @@
 // The same workload, submitted by native clients, by Slurm clients, and by both alternately, starts in
 // the same order and produces the same accounting rows: neither client is preferred.
 func TestNativeAndSlurmClientsGetSameOrderAndAccounting(t *testing.T) {
-	type maker = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)
+	type submission = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)
 	var starts, rows [][]string
-	for _, m := range []func(int) maker{
-		func(int) maker { return nativeSubmission }, func(int) maker { return slurmSubmission },
-		func(n int) maker { return []maker{nativeSubmission, slurmSubmission}[n%2] },
+	for _, m := range []func(int) submission{
+		func(int) submission { return nativeSubmission }, func(int) submission { return slurmSubmission },
+		func(n int) submission { return []submission{nativeSubmission, slurmSubmission}[n%2] },
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			s, r := playWorkload(t, m)
 			starts, rows = append(starts, s), append(rows, r)
 		})
 	}
-	ranks := func(starts []string) (out []string) {
+	jobOrder := func(starts []string) (out []string) {
 		for _, s := range starts {
 			out = append(out, strings.Split(s, "/")[0])
 		}
 		return out
 	}
 	for i := 1; i < 3; i++ {
-		if !slices.Equal(ranks(starts[i]), ranks(starts[0])) {
-			t.Errorf("starts: %v, and not %v", starts[i], starts[0])
+		if !slices.Equal(jobOrder(starts[i]), jobOrder(starts[0])) {
+			t.Errorf("starts: %v, want %v", starts[i], starts[0])
 		}
 		if !slices.Equal(rows[i], rows[0]) {
-			t.Errorf("rows:\n%s\nand not\n%s", strings.Join(rows[i], "\n"), strings.Join(rows[0], "\n"))
+			t.Errorf("rows:\n%s\nwant\n%s", strings.Join(rows[i], "\n"), strings.Join(rows[0], "\n"))
 		}
 	}
 	if len(rows[0]) != 7+14 || len(starts[0]) != 14 {
 		t.Errorf("%d rows, %d starts", len(rows[0]), len(starts[0]))
 	}
 	// Order by priority: production, urgent, normal, low, apart from jobs that were already running.
-	order := ranks(starts[0])
+	order := jobOrder(starts[0])
 	if slices.Index(order, "j-4") > slices.Index(order, "j-5") || slices.Index(order, "j-6") > slices.Index(order, "j-4") {
 		t.Errorf("order %v", order)
 	}
--- a/internal/testkit/cluster_cancels_test.go
+++ b/internal/testkit/cluster_cancels_test.go
@@ -22,31 +22,31 @@
 // exchanges cancels with peers not heard from lately, reads the recorded cancels if needed, and stops
 // cancelled tasks that still run.
 func (w *cluster) maintainCancels(ctx context.Context, living []*node) {
-	const unheard = 2500 * time.Millisecond
+	const staleAfter = 2500 * time.Millisecond
 	for _, n := range living {
-		for _, p := range n.cancellations.StalePeers(unheard) {
+		for _, p := range n.cancellations.StalePeers(staleAfter) {
 			w.mu.Lock()
 			to := w.nodes[p]
-			ok := w.reaches(n, to)
+			reachable := w.reaches(n, to)
 			w.mu.Unlock()
-			if ok {
+			if reachable {
 				w.exchangeCancels(n, to)
 			}
 		}
-		if n.cancellations.NeedsStoreRead(unheard) {
+		if n.cancellations.NeedsStoreRead(staleAfter) {
 			sent := time.Now()
 			if uids, err := scheduler.ReadCancelledJobs(ctx, n.view); err == nil {
 				n.cancellations.RecordStoreRead(sent, uids)
 			}
 		}
-		if was := n.couldAnswerWorkers; n.member.FencingToken() > 0 {
+		if couldAnswer := n.couldAnswerWorkers; n.member.FencingToken() > 0 {
 			n.couldAnswerWorkers = n.MayAnswerWorkers()
-			if was && !n.couldAnswerWorkers {
+			if couldAnswer && !n.couldAnswerWorkers {
 				w.stoppedAnswering++
 			}
 		}
-		if on := n.scheduler.UnstoppedWorkers(3 * time.Second); len(on) > 0 && n.MayAnswerWorkers() {
-			n.onDuty("cancels", func(ctx context.Context) { n.dispatcher.ChaseCancelledTasks(ctx, on) })
+		if unstopped := n.scheduler.UnstoppedWorkers(3 * time.Second); len(unstopped) > 0 && n.MayAnswerWorkers() {
+			n.onDuty("cancels", func(ctx context.Context) { n.dispatcher.ChaseCancelledTasks(ctx, unstopped) })
 		}
 	}
 }
--- a/internal/testkit/cluster_checks_test.go
+++ b/internal/testkit/cluster_checks_test.go
@@ -8,7 +8,7 @@
 func (w *cluster) checkInvariants() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	on := map[string]string{}
+	workerOf := map[string]string{}
 	use := teamUse{}
 	for _, k := range w.workers {
 		for _, task := range k.UnfinishedTasks() {
@@ -17,12 +17,12 @@
 				use[job.Team] += job.CPUs
 			}
 			if at, cancelled := w.confirmedCancels[uid]; cancelled && time.Since(at).Seconds() > w.cfg.Params.Workers.CancelS {
-				w.fail("%s is on %s %v after its user heard that it is cancelled", task, k.Name, time.Since(at))
+				w.fail("%s is on %s %v after its user was told that it is cancelled", task, k.Name, time.Since(at))
 			}
-			if other, twice := on[task]; twice {
+			if other, duplicate := workerOf[task]; duplicate {
 				w.fail("%s is on %s and %s", task, other, k.Name)
 			}
-			on[task] = k.Name
+			workerOf[task] = k.Name
 		}
 	}
 	w.checkTeamLimits(use)
--- a/internal/testkit/cluster_faults_test.go
+++ b/internal/testkit/cluster_faults_test.go
@@ -46,11 +46,11 @@
 }
 
 // breakLinks breaks the links between one party and the others, in both directions.
-func (w *cluster) breakLinks(one string, others ...string) {
+func (w *cluster) breakLinks(party string, others ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, o := range others {
-		w.brokenLinks[[2]string{one, o}], w.brokenLinks[[2]string{o, one}] = true, true
+		w.brokenLinks[[2]string{party, o}], w.brokenLinks[[2]string{o, party}] = true, true
 	}
 }
 
@@ -62,12 +62,12 @@
 }
 
 // healLinks heals the links between one party and others, in both directions.
-func (w *cluster) healLinks(one string, others ...string) {
+func (w *cluster) healLinks(party string, others ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, o := range others {
-		delete(w.brokenLinks, [2]string{one, o})
-		delete(w.brokenLinks, [2]string{o, one})
+		delete(w.brokenLinks, [2]string{party, o})
+		delete(w.brokenLinks, [2]string{o, party})
 	}
 }
 
@@ -90,10 +90,10 @@
 
 // breakLinksTo breaks the links from controllers to a worker but not back: its heartbeats arrive,
 // responses and commands do not.
-func (w *cluster) breakLinksTo(k *testkit.Worker, by ...string) {
+func (w *cluster) breakLinksTo(k *testkit.Worker, from ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, n := range by {
+	for _, n := range from {
 		w.brokenLinks[[2]string{n, k.Name}] = true
 	}
 }
@@ -124,13 +124,13 @@
 }
 
 // drawDelay draws from a fault setting that may be set or cleared at any time; 0 if it is not set.
-func (w *cluster) drawDelay(f *func() time.Duration) time.Duration {
+func (w *cluster) drawDelay(delay *func() time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if *f == nil {
+	if *delay == nil {
 		return 0
 	}
-	return (*f)()
+	return (*delay)()
 }
 
 // awaitTransit waits for the one-way delay of a message.
--- a/internal/testkit/cluster_jobs_test.go
+++ b/internal/testkit/cluster_jobs_test.go
@@ -24,18 +24,18 @@
 	}
 }
 
-func (w *cluster) submitConstrained(uid string, tasks int, t *jobspec.Constraints) {
-	w.submitJob(arrayJob(uid, tasks), t)
+func (w *cluster) submitConstrained(uid string, tasks int, constraints *jobspec.Constraints) {
+	w.submitJob(arrayJob(uid, tasks), constraints)
 }
 
 // submitJob records a job as accepted.
-func (w *cluster) submitJob(job *wire.Job, t *jobspec.Constraints) {
+func (w *cluster) submitJob(job *wire.Job, constraints *jobspec.Constraints) {
 	w.mu.Lock()
 	w.submittedJobs[job.UID] = job
 	w.mu.Unlock()
-	guards, ops := jobrecord.AcceptanceTxn(job, t, quota.AssignShard(job, w.cfg.Params.Teams, w.operatorSettings()), time.Now().UnixMilli())
-	clean := &testkit.View{Store: w.store}
-	if _, err := clean.Txn(context.Background(), guards, ops...); err != nil {
+	guards, ops := jobrecord.AcceptanceTxn(job, constraints, quota.AssignShard(job, w.cfg.Params.Teams, w.operatorSettings()), time.Now().UnixMilli())
+	view := &testkit.View{Store: w.store}
+	if _, err := view.Txn(context.Background(), guards, ops...); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -92,13 +92,13 @@
 }
 
 // workersWithTasksOf returns the workers that have unfinished tasks of a job.
-func (w *cluster) workersWithTasksOf(uid string) (ks []*testkit.Worker) {
+func (w *cluster) workersWithTasksOf(uid string) (workers []*testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
 		if slices.ContainsFunc(k.UnfinishedTasks(), func(task string) bool { return strings.HasPrefix(task, uid+"/") }) {
-			ks = append(ks, k)
+			workers = append(workers, k)
 		}
 	}
-	return ks
+	return workers
 }
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -59,7 +59,7 @@
 	byName            map[string]*testkit.Worker
 	heldCommands      []func()
 	reportCopies      []*wire.Report                   // recent heartbeats, which may be delivered again late
-	controllerNames   []string                         // of the controllers, in a fixed order
+	controllerNames   []string                         // in a fixed order
 	brokenLinks       map[[2]string]bool               // broken links, from and to; see partitions_test.go
 	lastStart         time.Time                        // time of the last task start
 	startCount        int                              // task starts so far
@@ -128,9 +128,9 @@
 	knownCancels       knownCancels
 	submission         *submission.Service
 	mux                *http.ServeMux  // serves the HTTP API
-	ctx                context.Context // done once the controller has stopped
+	ctx                context.Context // cancelled when the controller is stopped
 	backgroundRunning  map[string]bool // background operations in progress, by name; see onDuty
-	backgroundGroup    sync.WaitGroup  // of the operations in backgroundRunning
+	backgroundGroup    sync.WaitGroup  // waits for the operations in backgroundRunning
 
 	started   time.Time
 	publisher *viewsync.Publisher
@@ -139,7 +139,7 @@
 	publishTurns viewsync.Turns
 }
 
-var errLinkDown = errors.New("cut off")
+var errLinkDown = errors.New("link is down")
 
 // reaches reports whether a message from one controller to another arrives, directly or through the
 // relay that the sender currently uses.
@@ -263,7 +263,7 @@
 		}
 		w.checkStart(task)
 		if at := w.forgottenTasks[task]; at != "" {
-			w.fail("%s is started again, as attempt %d on %s, when it was done and cleared on %s", task, attempt, k.Name, at)
+			w.fail("%s is started again, as attempt %d on %s, after it was done and forgotten on %s", task, attempt, k.Name, at)
 		}
 	}
 	k.OnForget = func(task string, attempt uint64) {
--- a/internal/testkit/cluster_users_test.go
+++ b/internal/testkit/cluster_users_test.go
@@ -60,7 +60,7 @@
 	n := w.nodes[name]
 	down := n.down
 	_, cancelled := w.confirmedCancels[uid] // confirmed before this request was sent
-	over := w.doneJobs[uid]
+	done := w.doneJobs[uid]
 	w.mu.Unlock()
 	if down {
 		return "", false
@@ -81,18 +81,18 @@
 	}
 	var s wire.JobState
 	if err := json.Unmarshal(rec.Body.Bytes(), &s); err != nil {
-		w.fail("%s answers %q", name, rec.Body)
+		w.fail("%s returned an invalid response: %q", name, rec.Body)
 	}
 	if cancelled && s.Stage != wire.StageCancelled {
-		w.fail("%s calls %s %s after its user heard that it is cancelled", name, uid, s.Stage)
+		w.fail("%s reports job %s as %s after its user was told that it is cancelled", name, uid, s.Stage)
 	}
 	if s.Stage == wire.StageCancelled && w.confirmedCancels[uid].IsZero() {
 		w.confirmedCancels[uid] = time.Now()
 	}
 	if s.Stage == wire.StageDone {
 		w.doneJobs[uid] = true
-	} else if over {
-		w.fail("%s calls %s %s after it was called done", name, uid, s.Stage)
+	} else if done {
+		w.fail("%s reports job %s as %s after it was reported done", name, uid, s.Stage)
 	}
 	return s.Stage, true
 }
@@ -100,16 +100,16 @@
 // cancelJobs sends the users' cancels of jobs to a controller and repeats unanswered ones each second,
 // for up to the given number of seconds. It returns the number of confirmed cancels.
 func (w *cluster) cancelJobs(at string, jobs []string, seconds int) (heard int) {
-	left := slices.Clone(jobs)
+	remaining := slices.Clone(jobs)
 	for i := 0; ; i++ {
-		left = slices.DeleteFunc(left, func(uid string) bool {
+		remaining = slices.DeleteFunc(remaining, func(uid string) bool {
 			stage, ok := w.userRequest(at, http.MethodPost, uid)
 			if ok && stage == wire.StageCancelled {
 				heard++
 			}
 			return ok
 		})
-		if len(left) == 0 || i >= seconds {
+		if len(remaining) == 0 || i >= seconds {
 			return heard
 		}
 		w.runFor(1)
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -16,18 +16,18 @@
 // successor does not know whether those tasks still run: it starts none of them again, and starts
 // all other tasks without delay. The workers come back one by one, within their lease or after it.
 func TestFailoverWhileWorkersAreUnreachable(t *testing.T) {
-	for _, deaf := range []bool{false, true} {
+	for _, noResponses := range []bool{false, true} {
 		for seed := range uint64(3) {
-			t.Run(fmt.Sprintf("deaf %v, %d", deaf, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("no responses %v, %d", noResponses, seed), func(t *testing.T) {
 				runOnCluster(t, 900+seed, 3, 10, func(w *cluster) {
 					w.submit("j-80", 12)
 					w.runFor(12)
 					if n := w.unfinishedTasks("j-80"); n < 12 {
-						t.Fatalf("%d long tasks run", n)
+						t.Fatalf("only %d long tasks are running", n)
 					}
-					away := w.workers[:4]
-					for _, k := range away {
-						if deaf {
+					unreachable := w.workers[:4]
+					for _, k := range unreachable {
+						if noResponses {
 							w.breakLinksTo(k, w.controllerNames...)
 						} else {
 							w.breakLinks(k.Name, w.controllerNames...)
@@ -36,18 +36,18 @@
 					first := w.leader()
 					w.crash(first)
 					w.submit("j-1", 60)
-					at := time.Now()
-					longest := time.Duration(0)
+					crashedAt := time.Now()
+					longestGap := time.Duration(0)
 					for range 14 {
 						w.runFor(1)
-						if w.lastStartTime().After(at) {
-							longest = max(longest, time.Since(w.lastStartTime()))
+						if w.lastStartTime().After(crashedAt) {
+							longestGap = max(longestGap, time.Since(w.lastStartTime()))
 						}
 					}
-					if w.lastStartTime().Before(at) || longest > 8*time.Second {
-						t.Errorf("no start for %v, first after the leader's end: %v", longest, w.lastStartTime().After(at))
+					if w.lastStartTime().Before(crashedAt) || longestGap > 8*time.Second {
+						t.Errorf("no task start for %v; any start after the leader's crash: %v", longestGap, w.lastStartTime().After(crashedAt))
 					}
-					for i, k := range away {
+					for i, k := range unreachable {
 						w.healLinks(k.Name, w.controllerNames...)
 						if i == 2 {
 							w.start(first)
@@ -58,7 +58,7 @@
 						t.Error("the other job did not end")
 					}
 					if !w.runUntil(60, func() bool { return w.unfinishedTasks("j-80") == 12 }) {
-						t.Errorf("%d of 12 long tasks are on", w.unfinishedTasks("j-80"))
+						t.Errorf("%d of 12 long tasks are running", w.unfinishedTasks("j-80"))
 					}
 					if len(w.store.Keys("final/j-80")) > 0 {
 						t.Error("the long job ended")
@@ -76,7 +76,7 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runOnCluster(t, 920+seed, 3, 6, func(w *cluster) {
-				over := map[string]time.Time{}
+				endedAt := map[string]time.Time{}
 				var last time.Time
 				for _, k := range w.workers {
 					k.RunTime = func(task string) time.Duration {
@@ -87,8 +87,8 @@
 						return time.Duration(4+22*n) * time.Second
 					}
 					k.ExitCode = func(task string) int {
-						if _, seen := over[task]; !seen {
-							over[task] = time.Now()
+						if _, seen := endedAt[task]; !seen {
+							endedAt[task] = time.Now()
 						}
 						last = time.Now()
 						return 0
@@ -96,7 +96,7 @@
 				}
 				w.submit("j-1", 3)
 				w.submit("j-2", 3)
-				away := w.workers[int(seed)%len(w.workers)]
+				mutedWorker := w.workers[int(seed)%len(w.workers)]
 				for second := 0; second < 90; second++ {
 					if second%19 == 9 { // between the ends of two tasks
 						if first := w.leader(); first != "" {
@@ -107,33 +107,33 @@
 					}
 					switch second {
 					case 20:
-						w.breakLinksTo(away, w.controllerNames...)
+						w.breakLinksTo(mutedWorker, w.controllerNames...)
 					case 27:
-						w.healLinks(away.Name, w.controllerNames...)
+						w.healLinks(mutedWorker.Name, w.controllerNames...)
 					}
 					w.runFor(1)
 					for _, uid := range []string{"j-1", "j-2"} {
 						done := 0
 						for n := range 3 {
-							if _, ok := over[fmt.Sprintf("%s/%d", uid, n)]; ok {
+							if _, ok := endedAt[fmt.Sprintf("%s/%d", uid, n)]; ok {
 								done++
 							}
 						}
 						for _, n := range w.controllerNames {
 							if stage, ok := w.userRequest(n, http.MethodGet, uid); ok && stage == wire.StageDone && done < 3 {
-								t.Fatalf("%s calls %s done with %d tasks", n, uid, done)
+								t.Fatalf("%s reports %s as done when %d tasks were done", n, uid, done)
 							}
 						}
 					}
 				}
 				if !w.runUntil(60, w.jobsEnded("j-1", "j-2")) {
-					t.Fatalf("only %v ended, last task %v ago", w.store.Keys("final/"), time.Since(last))
+					t.Fatalf("only these jobs ended: %v; the last task ended %v ago", w.store.Keys("final/"), time.Since(last))
 				}
 				w.runFor(3)
 				for _, n := range w.controllerNames {
 					for _, uid := range []string{"j-1", "j-2"} {
 						if stage, ok := w.userRequest(n, http.MethodGet, uid); !ok || stage != wire.StageDone {
-							t.Errorf("%s says %s, %v of %s", n, stage, ok, uid)
+							t.Errorf("%s reports stage %s, answered %v, of %s", n, stage, ok, uid)
 						}
 					}
 				}
@@ -151,7 +151,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runOnCluster(t, 940+seed, 3, 8, func(w *cluster) {
 				late, slow := 0, true
-				trouble := func(n *node) {
+				setStoreFaults := func(n *node) {
 					n.view.ResponseDelay = func() time.Duration {
 						if !slow {
 							return 0
@@ -167,7 +167,7 @@
 					}
 				}
 				for _, n := range w.nodes {
-					trouble(n)
+					setStoreFaults(n)
 				}
 				jobs := make([]string, 0, 8)
 				for i := range cap(jobs) {
@@ -181,7 +181,7 @@
 						w.crash(name)
 						time.Sleep(time.Duration(100+w.planIntN(3000)) * time.Millisecond)
 						w.start(name)
-						trouble(w.nodes[name])
+						setStoreFaults(w.nodes[name])
 					}
 					at := w.controllerNames[w.planIntN(3)]
 					if second%7 == 3 {
@@ -192,7 +192,7 @@
 					w.runFor(1)
 				}
 				if late == 0 {
-					t.Error("no transaction was carried out late")
+					t.Error("no transaction was applied late")
 				}
 				slow = false
 				w.runFor(20)
@@ -201,17 +201,17 @@
 						if _, ok := w.userRequest(n, http.MethodGet, uid); !ok {
 							w.runFor(1)
 							if _, ok = w.userRequest(n, http.MethodGet, uid); !ok {
-								t.Errorf("%s says nothing of %s", n, uid)
+								t.Errorf("%s does not answer for %s", n, uid)
 							}
 						}
 					}
 				}
 				if !w.runUntil(300, w.jobsEnded(jobs...)) {
-					t.Errorf("only %v ended", w.store.Keys("final/"))
+					t.Errorf("only these jobs ended: %v", w.store.Keys("final/"))
 				}
-				clean := &testkit.View{Store: w.store}
+				view := &testkit.View{Store: w.store}
 				for i, uid := range jobs {
-					s, err := scheduler.StoredState(context.Background(), clean, uid)
+					s, err := scheduler.StoredState(context.Background(), view, uid)
 					if w.confirmedCancels[uid].IsZero() && s.Stage == wire.StageCancelled && i >= 4 || err != nil {
 						t.Errorf("%s: %+v, %v", uid, s, err)
 					}
@@ -259,7 +259,7 @@
 					t.Error("the short job did not end")
 				}
 				if !w.runUntil(60, func() bool { return w.unfinishedTasks("j-80") == 6 }) {
-					t.Errorf("%d of 6 long tasks are on", w.unfinishedTasks("j-80"))
+					t.Errorf("%d of 6 long tasks are running", w.unfinishedTasks("j-80"))
 				}
 			})
 		})
@@ -297,7 +297,7 @@
 					w.runFor(3)
 				}
 				if late == 0 {
-					t.Error("no command was held up")
+					t.Error("no command was held back")
 				}
 				if !w.runUntil(200, w.jobsEnded("j-1")) {
 					t.Error("the short job did not end")
@@ -320,31 +320,31 @@
 					}
 					w.submit("j-1", 3)
 					owner := w.nodes[w.leader()]
-					hold := 0 // number of transactions that are applied 12 s late
+					lateTransactions := 0 // number of transactions that are applied 12 s late
 					owner.view.LoseResponse, owner.view.Hold = nil, nil
 					owner.view.ApplyAfter = func() time.Duration {
-						if hold == 0 {
+						if lateTransactions == 0 {
 							return 0
 						}
-						hold--
+						lateTransactions--
 						return 12 * time.Second
 					}
 					started := w.startCount
 					if !w.runUntil(20, func() bool { return w.startCount >= started+3 }) {
-						t.Fatal("nothing started")
+						t.Fatal("not all tasks started")
 					}
 					if late == "the cancel" {
 						w.runFor(int(seed))
-						hold = 1
+						lateTransactions = 1
 						if stage, ok := w.userRequest(owner.name, http.MethodPost, "j-1"); ok {
-							t.Fatalf("%s without an answer of the state service", stage)
+							t.Fatalf("reported as %s without a response from the state service", stage)
 						}
 						if !w.runUntil(11, w.jobsEnded("j-1")) {
-							t.Fatal("the job did not end before the cancel was carried out")
+							t.Fatal("the job did not end before the cancel was applied")
 						}
 					} else {
 						w.runFor(5)
-						hold = 3 // the records of the last tasks and of the job's end
+						lateTransactions = 3 // the records of the last tasks and of the job's end
 						w.runFor(2)
 						w.cancelJobs(owner.name, []string{"j-1"}, 4)
 					}
@@ -352,7 +352,7 @@
 					for range 3 {
 						for _, n := range w.controllerNames {
 							if stage, ok := w.userRequest(n, http.MethodGet, "j-1"); ok && stage != wire.StageDone && stage != wire.StageCancelled {
-								t.Errorf("%s calls the job %s", n, stage)
+								t.Errorf("%s reports the job as %s", n, stage)
 							}
 						}
 						w.runFor(1)
--- a/internal/testkit/drawn_faults_test.go
+++ b/internal/testkit/drawn_faults_test.go
@@ -55,14 +55,14 @@
 				calm := time.Now().Add(2 * time.Minute)
 				for len(w.store.Keys("final/")) < jobs {
 					if time.Now().After(deadline) {
-						t.Fatalf("only %v ended", w.store.Keys("final/"))
+						t.Fatalf("only these jobs ended: %v", w.store.Keys("final/"))
 					}
 					w.reportAll()
 					w.step(calm)
 				}
-				clean := &testkit.View{Store: w.store}
+				view := &testkit.View{Store: w.store}
 				for i := range jobs {
-					s, err := scheduler.StoredState(context.Background(), clean, fmt.Sprintf("j-%d", i))
+					s, err := scheduler.StoredState(context.Background(), view, fmt.Sprintf("j-%d", i))
 					if err != nil || s.Stage != wire.StageDone || s.Done != 4+3*i {
 						t.Errorf("job %d: %+v, %v", i, s, err)
 					}
--- a/internal/testkit/drawn_outages_test.go
+++ b/internal/testkit/drawn_outages_test.go
@@ -97,32 +97,32 @@
 }
 
 // playOutagePhase plays a phase, and heals all links at its end.
-func (w *cluster) playOutagePhase(ph *outagePhase) {
+func (w *cluster) playOutagePhase(phase *outagePhase) {
 	leader := w.controllerNames[0]
 	for _, n := range w.controllerNames {
 		if len(w.nodes[n].member.LedShards()) > 0 {
 			leader = n
 		}
 	}
-	if ph.LeaderCutFromStore {
+	if phase.LeaderCutFromStore {
 		w.cutFromStateService(leader)
 	}
-	for _, x := range w.controllerNames {
-		if ph.LeaderCutFromPeers && x != leader {
-			w.breakLinks(leader, x)
+	for _, peer := range w.controllerNames {
+		if phase.LeaderCutFromPeers && peer != leader {
+			w.breakLinks(leader, peer)
 		}
 	}
-	if ph.WorkersReachOnlyLeader {
+	if phase.WorkersReachOnlyLeader {
 		w.connectWorkersOnlyTo(leader)
 	}
 	// Actions happen before the outage, or in its first 15 s.
-	left := slices.Clone(ph.Actions)
-	for s := 0; s < ph.SecondsBefore+ph.OutageSeconds; s++ {
-		if s == ph.SecondsBefore {
+	actions := slices.Clone(phase.Actions)
+	for second := 0; second < phase.SecondsBefore+phase.OutageSeconds; second++ {
+		if second == phase.SecondsBefore {
 			w.cutFromStateService(w.controllerNames...)
 		}
-		for _, a := range left {
-			if a.Second%(ph.SecondsBefore+15) == s {
+		for _, a := range actions {
+			if a.Second%(phase.SecondsBefore+15) == second {
 				w.performAction(a, leader)
 			}
 		}
@@ -147,7 +147,7 @@
 				}
 			}
 			if !ok {
-				w.fail("40 s after the last trouble %s says nothing of %s", n, uid)
+				w.fail("40 s after the last fault %s does not answer for %s", n, uid)
 			}
 		}
 	}
--- a/internal/testkit/drawn_team_limits_test.go
+++ b/internal/testkit/drawn_team_limits_test.go
@@ -33,8 +33,8 @@
 // beginFault begins a drawn fault.
 func (d *drawnTeamFaults) beginFault(jobs []string) {
 	k := d.workers[d.planIntN(len(d.workers))]
-	if with := d.workersWithTasksOf(jobs[d.planIntN(len(jobs))]); len(with) > 0 {
-		k = with[0]
+	if workers := d.workersWithTasksOf(jobs[d.planIntN(len(jobs))]); len(workers) > 0 {
+		k = workers[0]
 	}
 	switch d.planIntN(11) {
 	case 0, 1:
@@ -79,8 +79,8 @@
 	defer d.mu.Unlock()
 	for k := range d.hungSeconds {
 		for _, task := range k.UnfinishedTasks() {
-			if on, _, _ := strings.Cut(task, "/"); slices.Contains(jobs, on) && d.confirmedCancels[on].IsZero() {
-				uid = on
+			if job, _, _ := strings.Cut(task, "/"); slices.Contains(jobs, job) && d.confirmedCancels[job].IsZero() {
+				uid = job
 			}
 		}
 	}
@@ -105,11 +105,11 @@
 
 // cancelAtAnyController sends a cancel to one controller after the other until one confirms it.
 func (d *drawnTeamFaults) cancelAtAnyController(uid string) {
-	there := slices.ContainsFunc(d.workersWithTasksOf(uid), d.isUnreachable)
-	known := !d.confirmedCancels[uid].IsZero()
+	hasUnreachableTasks := slices.ContainsFunc(d.workersWithTasksOf(uid), d.isUnreachable)
+	alreadyConfirmed := !d.confirmedCancels[uid].IsZero()
 	for _, n := range d.controllerNames {
 		if stage, heard := d.userRequest(n, http.MethodPost, uid); heard && stage == wire.StageCancelled {
-			if there && !known {
+			if hasUnreachableTasks && !alreadyConfirmed {
 				d.cancelsWhileUnreachable++
 			}
 			return
@@ -140,9 +140,9 @@
 }
 
 // startStoppedExcept starts the controllers that are down, except one.
-func (d *drawnTeamFaults) startStoppedExcept(but string) {
+func (d *drawnTeamFaults) startStoppedExcept(except string) {
 	for _, n := range d.controllerNames {
-		if n != but && d.nodes[n].down {
+		if n != except && d.nodes[n].down {
 			d.start(n)
 		}
 	}
@@ -185,7 +185,7 @@
 func TestTeamLimitsUnderDrawnFaults(t *testing.T) {
 	t.Parallel()
 	const perRound = 4
-	var seen drawnTeamFaults
+	var totals drawnTeamFaults
 	for seed := range uint64(perRound * *rounds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			teamsAtLimits(t, 3000+seed, func(c *teamCluster) {
@@ -194,7 +194,7 @@
 					c.delayLinks(func() time.Duration { return time.Duration(50+c.messageRand.IntN(1100)) * time.Millisecond })
 				}
 				long := []string{"j-80", "j-81", "j-82", "j-83"}
-				hung := "" // job to cancel while its worker hangs
+				jobToCancel := "" // job to cancel while its worker hangs
 				for second := range 60 {
 					if second%6 == 0 { // so that both teams stay at their limits
 						uid := fmt.Sprintf("j-9%d", second)
@@ -203,10 +203,10 @@
 						long = append(long, uid)
 					}
 					if second%10 == 2 {
-						hung = d.hangWorkerOfJob(long)
+						jobToCancel = d.hangWorkerOfJob(long)
 					}
-					if hung != "" && d.confirmedCancels[hung].IsZero() {
-						d.cancelAtAnyController(hung)
+					if jobToCancel != "" && d.confirmedCancels[jobToCancel].IsZero() {
+						d.cancelAtAnyController(jobToCancel)
 					}
 					for range d.planIntN(3) {
 						d.beginFault(long)
@@ -229,19 +229,19 @@
 					}
 				}
 				c.finishes(append(long, "j-1", "j-2", "j-3", "j-4", "j-5")...)
-				seen.leaderChangesAtLimit += min(d.leaderChangesAtLimit, 1)
-				seen.cancelsWhileUnreachable += min(d.cancelsWhileUnreachable, 1)
-				seen.cancelledTasksResumed += min(d.cancelledTasksResumed, 1)
-				seen.lateCommands += min(d.lateCommands, 1)
+				totals.leaderChangesAtLimit += min(d.leaderChangesAtLimit, 1)
+				totals.cancelsWhileUnreachable += min(d.cancelsWhileUnreachable, 1)
+				totals.cancelledTasksResumed += min(d.cancelledTasksResumed, 1)
+				totals.lateCommands += min(d.lateCommands, 1)
 			})
 		})
 	}
-	t.Logf("of %d cases: the leader changed at a limit with machines away in %d, a cancel of their tasks was confirmed in %d, "+
-		"cancelled tasks went on after a hang in %d, commands came late in %d", perRound**rounds, seen.leaderChangesAtLimit, seen.cancelsWhileUnreachable, seen.cancelledTasksResumed, seen.lateCommands)
-	const seldom = 8 // each event must occur in at least one of this many cases
-	for _, n := range []int{seen.leaderChangesAtLimit, seen.cancelsWhileUnreachable, seen.cancelledTasksResumed, seen.lateCommands} {
-		if n*seldom < perRound**rounds {
-			t.Errorf("the troubles coincided too rarely")
+	t.Logf("of %d cases: the leader changed at a limit with unreachable workers in %d, a cancel of their tasks was confirmed in %d, "+
+		"cancelled tasks still ran after a hang in %d, commands arrived late in %d", perRound**rounds, totals.leaderChangesAtLimit, totals.cancelsWhileUnreachable, totals.cancelledTasksResumed, totals.lateCommands)
+	const maxCasesPerEvent = 8 // each event must occur in at least one of this many cases
+	for _, n := range []int{totals.leaderChangesAtLimit, totals.cancelsWhileUnreachable, totals.cancelledTasksResumed, totals.lateCommands} {
+		if n*maxCasesPerEvent < perRound**rounds {
+			t.Errorf("these faults coincided too rarely, see the counts above")
 		}
 	}
 }
--- a/internal/testkit/fault_kinds_test.go
+++ b/internal/testkit/fault_kinds_test.go
@@ -48,12 +48,12 @@
 	go func() { defer m.pendingRequests.Done(); m.userRequest(at, method, uid) }()
 }
 
-func (m *faultRun) disturbWorkers(cut func(k *testkit.Worker)) {
-	from := m.planIntN(len(m.workers))
+func (m *faultRun) disturbWorkers(disturb func(k *testkit.Worker)) {
+	first := m.planIntN(len(m.workers))
 	for i := range 3 {
-		k := m.workers[(from+i)%len(m.workers)]
+		k := m.workers[(first+i)%len(m.workers)]
 		m.affectedWorkers = append(m.affectedWorkers, k)
-		cut(k)
+		disturb(k)
 		*m.effects++
 	}
 }
@@ -137,7 +137,7 @@
 		switch code := m.postJob(at, job, drop...); code {
 		case 0, http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusServiceUnavailable:
 		default:
-			m.fail("%s answers %d to a job that can't run (%d)", at, code, number%4)
+			m.fail("%s returned status %d for an invalid job (kind %d)", at, code, number%4)
 		}
 	}()
 }
@@ -151,7 +151,7 @@
 	go func() {
 		defer m.pendingRequests.Done()
 		if code := m.postJob(at, job); code/100 == 4 && code != http.StatusTooManyRequests {
-			m.fail("%s answers %d to the repeated submission of %s", at, code, uid)
+			m.fail("%s returned status %d for the repeated submission of %s", at, code, uid)
 		}
 	}()
 }
@@ -160,15 +160,15 @@
 func (m *faultRun) addWorker() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	like := m.workers[0]
-	fresh := testkit.NewWorker(fmt.Sprintf("q-%d", len(m.workers)), workerLease, like.RunTime)
-	fresh.ExitCode = like.ExitCode
-	m.registerWorker(fresh, m.planIntN(len(m.controllerNames)))
+	template := m.workers[0]
+	worker := testkit.NewWorker(fmt.Sprintf("q-%d", len(m.workers)), workerLease, template.RunTime)
+	worker.ExitCode = template.ExitCode
+	m.registerWorker(worker, m.planIntN(len(m.controllerNames)))
 }
 
 // faultKinds lists the kinds of faults. Any of them may overlap.
 var faultKinds = []faultKind{
-	{"old reports come again", 5, 25, nil, func(m *faultRun, _ int) {
+	{"old heartbeats are delivered again", 5, 25, nil, func(m *faultRun, _ int) {
 		for _, n := range m.controllerNames {
 			if m.planIntN(3) == 0 {
 				m.deliverCopies(m.nodes[n])
@@ -176,20 +176,20 @@
 			}
 		}
 	}, nil},
-	{"machines are away", 3, 18, func(m *faultRun) {
+	{"workers are cut off", 3, 18, func(m *faultRun) {
 		m.disturbWorkers(func(k *testkit.Worker) { m.breakLinks(k.Name, m.controllerNames...) })
 	}, nil, (*faultRun).restoreWorkers},
-	{"machines hear nothing", 3, 18, func(m *faultRun) {
+	{"workers receive nothing", 3, 18, func(m *faultRun) {
 		m.disturbWorkers(func(k *testkit.Worker) { m.breakLinksTo(k, m.controllerNames...) })
 	}, nil, (*faultRun).restoreWorkers},
-	{"machines hang and go on", 2, 14, func(m *faultRun) {
+	{"workers hang and resume", 2, 14, func(m *faultRun) {
 		m.disturbWorkers(func(k *testkit.Worker) { m.hang(k) })
 	}, nil, (*faultRun).restoreWorkers},
 	{"the state service is slow", 8, 30, func(m *faultRun) {
 		did := m.effects
 		m.withLock(func() { m.storeLatency = func() time.Duration { *did++; return m.drawMillis(300, 4000) } })
 	}, nil, func(m *faultRun) { m.withLock(func() { m.storeLatency = nil }) }},
-	{"transactions are carried out late", 8, 30, func(m *faultRun) {
+	{"transactions are applied late", 8, 30, func(m *faultRun) {
 		did := m.effects
 		delay := func() time.Duration {
 			if m.messageRand.IntN(5) > 0 {
@@ -200,7 +200,7 @@
 		}
 		m.withLock(func() { m.transactionDelay = delay })
 	}, nil, func(m *faultRun) { m.withLock(func() { m.transactionDelay = nil }) }},
-	{"commands are held up", 5, 25, func(m *faultRun) {
+	{"commands are delayed", 5, 25, func(m *faultRun) {
 		did := m.effects
 		holds := func() bool {
 			if m.messageRand.IntN(3) == 0 {
@@ -215,7 +215,7 @@
 			m.deliverHeldCommands()
 		}
 	}, func(m *faultRun) { m.withLock(func() { m.holdsCommand = nil }) }},
-	{"the leader hands over, and back", 4, 20, nil, func(m *faultRun, _ int) {
+	{"the leader transfers its shards every second", 4, 20, nil, func(m *faultRun, _ int) {
 		if l := m.cluster.leader(); l != "" {
 			o := m.otherControllers(l)
 			if m.nodes[l].member.TransferShards(context.Background(), o[m.planIntN(len(o))]) == nil {
@@ -223,25 +223,25 @@
 			}
 		}
 	}, nil},
-	{"all end, one returns at once", 2, 12, func(m *faultRun) {
+	{"all controllers crash, one restarts at once", 2, 12, func(m *faultRun) {
 		m.stopAll()
 		time.Sleep(time.Duration(m.planIntN(1500)) * time.Millisecond)
 		m.start(m.controllerNames[m.planIntN(len(m.controllerNames))])
 		*m.effects++
 	}, nil, func(m *faultRun) { m.startStopped() }},
-	{"the leader is cut from state and peers", 5, 70, func(m *faultRun) {
+	{"the leader is cut off from the state service and peers", 5, 70, func(m *faultRun) {
 		m.breakLinks(m.firstLeader, append(m.otherControllers(m.firstLeader), stateService)...)
 		*m.effects++
 	}, nil, func(m *faultRun) {
 		m.healLinks(m.firstLeader, append(m.otherControllers(m.firstLeader), stateService)...)
 	}},
-	{"the leader ends", 2, 15, nil, func(m *faultRun, _ int) {
+	{"the leader crashes", 2, 15, nil, func(m *faultRun, _ int) {
 		if l := m.cluster.leader(); l != "" && *m.effects == 0 { // at once, or as soon as there is a leader
 			m.crash(l)
 			*m.effects++
 		}
 	}, func(m *faultRun) { m.startStopped() }},
-	{"controllers are back within a second", 4, 15, nil, func(m *faultRun, second int) {
+	{"controllers restart within a second", 4, 15, nil, func(m *faultRun, second int) {
 		if second%3 == 1 {
 			if m.restart(m.controllerNames[m.planIntN(len(m.controllerNames))], time.Duration(m.planIntN(1000))*time.Millisecond) {
 				*m.effects++
@@ -253,7 +253,7 @@
 		m.sendUserRequest(http.MethodPost, m.longJobs[m.planIntN(len(m.longJobs)-2)])
 		*m.effects++
 	}, nil},
-	{"the state service is out", 3, 70, func(m *faultRun) {
+	{"the state service refuses all controllers", 3, 70, func(m *faultRun) {
 		m.cutFromStateService(m.controllerNames...)
 		*m.effects++
 	}, nil, func(m *faultRun) {
@@ -261,10 +261,10 @@
 			m.healLinks(n, stateService)
 		}
 	}},
-	{"leases end at machines that are back", 12, 16, func(m *faultRun) {
+	{"worker leases expire and late commands arrive", 12, 16, func(m *faultRun) {
 		m.disturbWorkers(func(k *testkit.Worker) { m.breakLinks(k.Name, m.controllerNames...) })
 	}, func(m *faultRun, _ int) { m.deliverHeldCommands() }, (*faultRun).restoreWorkers},
-	{"answers of transactions are lost", 8, 30, func(m *faultRun) {
+	{"responses to transactions are lost", 8, 30, func(m *faultRun) {
 		did := m.effects
 		loses := func() bool {
 			if m.messageRand.IntN(3) > 0 {
@@ -275,7 +275,7 @@
 		}
 		m.withLock(func() { m.losesResponse = loses })
 	}, nil, func(m *faultRun) { m.withLock(func() { m.losesResponse = nil }) }},
-	{"copies of reports come under the next leader", 12, 30, func(m *faultRun) { m.lastCopiesLeader = m.cluster.leader() }, func(m *faultRun, second int) {
+	{"old heartbeats arrive under the next leader", 12, 30, func(m *faultRun) { m.lastCopiesLeader = m.cluster.leader() }, func(m *faultRun, second int) {
 		l := m.cluster.leader()
 		if second == 3 && l != "" {
 			m.crash(l)
@@ -290,7 +290,7 @@
 		}
 		*m.effects++
 	}, func(m *faultRun) { m.startStopped() }},
-	{"machines reach no controller", 3, 18, func(m *faultRun) {
+	{"workers reach no controller", 3, 18, func(m *faultRun) {
 		m.disturbWorkers(func(k *testkit.Worker) {
 			m.mu.Lock()
 			defer m.mu.Unlock()
@@ -299,13 +299,13 @@
 			}
 		})
 	}, nil, (*faultRun).restoreWorkers},
-	{"users ask everywhere at once", 4, 20, nil, func(m *faultRun, _ int) {
+	{"users poll all controllers at once", 4, 20, nil, func(m *faultRun, _ int) {
 		uid := m.longJobs[m.planIntN(len(m.longJobs))]
 		m.pollAllControllers(uid, 3)
 		m.resubmit(m.controllerNames[m.planIntN(len(m.controllerNames))], uid)
 		*m.effects++
 	}, nil},
-	{"users send what can't run", 4, 20, nil, func(m *faultRun, second int) {
+	{"users submit invalid jobs", 4, 20, nil, func(m *faultRun, second int) {
 		for _, at := range m.controllerNames {
 			m.postInvalid(at, second)
 			*m.effects++
@@ -327,7 +327,7 @@
 			}()
 		}
 	}, nil, func(m *faultRun) { m.onExit = nil }},
-	{"machines are up at once while the leader ends", 3, 8, func(m *faultRun) {
+	{"workers are added while the leader crashes", 3, 8, func(m *faultRun) {
 		m.addWorker()
 		m.addWorker()
 		*m.effects++
--- a/internal/testkit/fault_pairs_test.go
+++ b/internal/testkit/fault_pairs_test.go
@@ -67,8 +67,8 @@
 	}
 	t.Run(fmt.Sprintf("%s; %d", strings.Join(names, "; "), seed), func(t *testing.T) {
 		t.Parallel()
-		did := make([]int, len(kinds))
-		synctest.Test(t, func(t *testing.T) { playFaults(t, seed, kinds, did) })
+		effects := make([]int, len(kinds))
+		synctest.Test(t, func(t *testing.T) { playFaults(t, seed, kinds, effects) })
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.played == nil {
@@ -76,7 +76,7 @@
 		}
 		for i, k := range kinds {
 			e.played[k]++
-			e.effective[k] += min(did[i], 1)
+			e.effective[k] += min(effects[i], 1)
 		}
 	})
 }
@@ -93,7 +93,7 @@
 
 // playFaults runs kinds of faults on a new cluster, each at a drawn time, and counts the effects of
 // each in did.
-func playFaults(t *testing.T, seed uint64, kinds, did []int) {
+func playFaults(t *testing.T, seed uint64, kinds, effects []int) {
 	m := newFaultRun(t, seed)
 	from, until := make([]int, len(kinds)), make([]int, len(kinds))
 	for i, k := range kinds {
@@ -103,7 +103,7 @@
 	}
 	for second := 0; second <= slices.Max(until); second++ {
 		for i, k := range kinds {
-			m.effects = &did[i]
+			m.effects = &effects[i]
 			faultKinds[k].advance(m, second, from[i], until[i])
 		}
 		m.drawUserRequests(second)
@@ -195,7 +195,7 @@
 			}
 		}
 		if done < m.taskCounts[uid] {
-			m.fail("%s is called done when %d of %d tasks ended", uid, done, m.taskCounts[uid])
+			m.fail("%s is reported done when %d of %d tasks have ended", uid, done, m.taskCounts[uid])
 		}
 	}
 }
@@ -220,16 +220,16 @@
 	w.runFor(30)
 	m.pendingRequests.Wait()
 	if !w.runUntil(15, func() bool { return len(m.unansweredJobs()) == 0 }) {
-		w.t.Errorf("45 s after the last fault nothing is said of %v", m.unansweredJobs())
+		w.t.Errorf("45 s after the last fault these polls are not answered: %v", m.unansweredJobs())
 	}
-	var left []string
+	var remaining []string
 	for uid := range m.taskCounts {
 		if w.confirmedCancels[uid].IsZero() && !slices.Contains(m.longJobs, uid) {
-			left = append(left, uid)
+			remaining = append(remaining, uid)
 		}
 	}
-	if !w.runUntil(300, w.jobsEnded(left...)) {
-		w.t.Errorf("of %v only %v ended", left, w.store.Keys("final/"))
+	if !w.runUntil(300, w.jobsEnded(remaining...)) {
+		w.t.Errorf("of jobs %v only these ended: %v", remaining, w.store.Keys("final/"))
 	}
 	for _, uid := range m.longJobs {
 		if !w.confirmedCancels[uid].IsZero() || w.jobsEnded(uid)() {
@@ -237,7 +237,7 @@
 		}
 		if !w.runUntil(60, func() bool { return w.unfinishedTasks(uid) == 2 }) {
 			stage, ok := w.userRequest(w.controllerNames[0], http.MethodGet, uid)
-			w.t.Errorf("%d of 2 long tasks of %s are on; it is %s, %v", w.unfinishedTasks(uid), uid, stage, ok)
+			w.t.Errorf("%d of 2 long tasks of %s are running; its stage is %s, answered %v", w.unfinishedTasks(uid), uid, stage, ok)
 		}
 	}
 	w.stopAll()
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -86,7 +86,7 @@
 		}
 		time.Sleep(time.Second)
 	}
-	s.fail("nobody says how %s is, which was cancelled at stage %d", job.uid, stage)
+	s.fail("no controller answered the cancel of %s in stage %d", job.uid, stage)
 }
 
 // cancelAtStageAsync is cancelAtStage for callers that hold locks.
@@ -139,7 +139,7 @@
 		switch {
 		case job.cancelAt == cancelLaunching:
 			s.startsInFlight++
-		case time.Since(at) > 0: // at the same simulated instant the command was sent before the confirmation
+		case time.Since(at) > 0: // else the command was sent before the confirmation, at the same simulated instant
 			s.lateStarts = append(s.lateStarts, job.uid)
 		}
 	}
@@ -191,9 +191,9 @@
 	}
 	job.accepted, job.lastAnswer = time.Now(), time.Now()
 	s.jobsMu.Lock()
-	early := !job.placed
+	notPlaced := !job.placed
 	s.jobsMu.Unlock()
-	if early {
+	if notPlaced {
 		s.cancelAtStage(job, cancelAccepted)
 	}
 	for {
@@ -225,13 +225,13 @@
 	runOnCluster(t, 3750, 3, 12, func(w *cluster) {
 		s := &jobStream{cluster: w, byUID: map[string]*streamedJob{}, writes: map[string]int{}, writesPerSecond: map[int64]int{}}
 		w.losslessReports = true
-		hook := func() {
+		setHooks := func() {
 			for _, n := range w.nodes {
 				n.view.LoseResponse, n.view.Hold = nil, nil
 				n.view.BeforeTxn.Set(s.countWrites)
 			}
 		}
-		hook()
+		setHooks()
 		s.setCancelHooks()
 		began := time.Now()
 		s.users.Go(func() {
@@ -243,7 +243,7 @@
 		restarted := map[string]time.Time{}
 		restart := func(name string) {
 			w.restart(name, 300*time.Millisecond)
-			hook()
+			setHooks()
 			restarted[name] = time.Now()
 		}
 		for second := range jobs / perSecond {
@@ -276,46 +276,46 @@
 	s.t.Helper()
 	for stage, n := range s.cancelCounts {
 		if n < jobs/4/cancelStages/2 {
-			s.t.Errorf("%d cancels at stage %d", n, stage)
+			s.t.Errorf("only %d cancels in stage %d", n, stage)
 		}
 	}
 	if s.startsInFlight < s.cancelCounts[cancelLaunching]/2 {
-		s.t.Errorf("%d start commands were on their way when their jobs were cancelled, of %d", s.startsInFlight, s.cancelCounts[cancelLaunching])
+		s.t.Errorf("%d start commands were in flight when their jobs were cancelled, of %d", s.startsInFlight, s.cancelCounts[cancelLaunching])
 	}
 	for _, uid := range s.lateStarts {
-		s.t.Errorf("%s started after its cancel, and no command was on its way", uid)
+		s.t.Errorf("%s started after its cancel, although no command was in flight", uid)
 	}
-	wait, silent := time.Duration(0), time.Duration(0)
+	longestWait, longestSilence := time.Duration(0), time.Duration(0)
 	for _, job := range s.allJobs {
-		silent = max(silent, job.longestSilence)
+		longestSilence = max(longestSilence, job.longestSilence)
 		if !job.started.IsZero() {
-			wait = max(wait, job.started.Sub(job.accepted))
+			longestWait = max(longestWait, job.started.Sub(job.accepted))
 		} else if !job.cancelRequested {
 			s.t.Errorf("%s never started", job.uid)
 		}
 		for _, name := range s.controllerNames {
 			stage, heard := s.userRequest(name, http.MethodGet, job.uid)
 			if !heard || stage != wire.StageDone && (stage != wire.StageCancelled || !job.cancelRequested) {
-				s.t.Errorf("%s says %s, %v of %s, cancelled %v", name, stage, heard, job.uid, job.cancelRequested)
+				s.t.Errorf("%s reports stage %s, answered %v, of %s, cancelled %v", name, stage, heard, job.uid, job.cancelRequested)
 			}
 		}
 	}
-	if wait > 15*time.Second || silent > 20*time.Second || s.unansweredPolls*50 > s.polls {
-		s.t.Errorf("a job waited for %v, one had no answer for %v, %d of %d questions had none", wait, silent, s.unansweredPolls, s.polls)
+	if longestWait > 15*time.Second || longestSilence > 20*time.Second || s.unansweredPolls*50 > s.polls {
+		s.t.Errorf("a job waited for %v, one had no answered poll for %v, %d of %d polls were not answered", longestWait, longestSilence, s.unansweredPolls, s.polls)
 	}
-	writes, most := 0, 0
+	writes, maxPerSecond := 0, 0
 	for _, n := range s.writes {
 		writes += n
 	}
 	for _, n := range s.writesPerSecond {
-		most = max(most, n)
+		maxPerSecond = max(maxPerSecond, n)
 	}
 	// Per job: 1 write for the acceptance, 2 for the end, 0.25 for a cancel, and a share of a log record.
-	if perJob := float64(writes) / float64(jobs); perJob > 5 || most > 60 {
-		s.t.Errorf("%.2f writes a job, %d in a second", perJob, most)
+	if perJob := float64(writes) / float64(jobs); perJob > 5 || maxPerSecond > 60 {
+		s.t.Errorf("%.2f writes a job, %d in a second", perJob, maxPerSecond)
 	}
-	s.t.Logf("cancels by stage %v, %d launches in flight; longest wait %v, longest without an answer %v, %d of %d questions unsure", s.cancelCounts, s.startsInFlight, wait, silent, s.unansweredPolls, s.polls)
-	s.t.Logf("%.2f writes a job, at most %d in a second, in %v: %v", float64(writes)/float64(jobs), most, took, s.writes)
+	s.t.Logf("cancels by stage %v, %d starts in flight; longest wait %v, longest time without an answered poll %v, %d of %d polls not answered", s.cancelCounts, s.startsInFlight, longestWait, longestSilence, s.unansweredPolls, s.polls)
+	s.t.Logf("%.2f writes a job, at most %d in a second, in %v: %v", float64(writes)/float64(jobs), maxPerSecond, took, s.writes)
 	s.checkRetained(jobs)
 }
 
@@ -323,21 +323,21 @@
 // records, and their cancels for ten minutes.
 func (s *jobStream) checkRetained(jobs int) {
 	s.t.Helper()
-	clean := &testkit.View{Store: s.store}
-	final, live, tasks, slots := len(clean.Keys("final/")), len(clean.Keys("live/")), len(clean.Keys("task/")), len(clean.Keys("log/"))
+	view := &testkit.View{Store: s.store}
+	final, live, tasks, slots := len(view.Keys("final/")), len(view.Keys("live/")), len(view.Keys("task/")), len(view.Keys("log/"))
 	if final != jobs || live > 0 || tasks > 0 || slots > 60 {
 		s.t.Errorf("keys: %d final, %d live, %d task, %d log", final, live, tasks, slots)
 	}
-	before := make([]int, 0, len(s.controllerNames))
+	cancelsBefore := make([]int, 0, len(s.controllerNames))
 	for _, name := range s.controllerNames {
 		n := s.nodes[name]
 		queues := n.scheduler.QueueDepths()
 		if queues["jobs"]+queues["unwritten"]+queues["pending"] > 0 {
-			s.t.Errorf("%s keeps %v", name, queues)
+			s.t.Errorf("%s still holds %v", name, queues)
 		}
-		before = append(before, n.cancellations.Count())
+		cancelsBefore = append(cancelsBefore, n.cancellations.Count())
 		if n.cancellations.Count() > len(s.confirmedCancels) {
-			s.t.Errorf("%s keeps %d cancels of %d", name, n.cancellations.Count(), len(s.confirmedCancels))
+			s.t.Errorf("%s retains %d cancels of %d", name, n.cancellations.Count(), len(s.confirmedCancels))
 		}
 	}
 	time.Sleep(11 * time.Minute)
@@ -347,8 +347,8 @@
 		n := s.nodes[name]
 		_, queued, orders := n.dispatcher.Depths() // entries for workers that report elsewhere are kept for 10 minutes
 		if n.cancellations.Count()+queued+orders > 0 {
-			s.t.Errorf("%s keeps %d cancels, %d queued tasks and %d orders after 11 minutes", name, n.cancellations.Count(), queued, orders)
+			s.t.Errorf("%s retains %d cancels, %d queued tasks and %d direct messages after 11 minutes", name, n.cancellations.Count(), queued, orders)
 		}
 	}
-	s.t.Logf("cancels kept %v of %d, after 11 minutes none; keys: %d final, %d log", before, len(s.confirmedCancels), final, slots)
+	s.t.Logf("cancels retained: %v of %d, none after 11 minutes; keys: %d final, %d log", cancelsBefore, len(s.confirmedCancels), final, slots)
 }
--- a/internal/testkit/load_test.go
+++ b/internal/testkit/load_test.go
@@ -53,7 +53,7 @@
 	}
 	var a wire.ReportResponse
 	if resp.StatusCode != http.StatusOK || json.Unmarshal(data, &a) != nil {
-		tb.Fatalf("a report was answered with %d: %.100s", resp.StatusCode, data)
+		tb.Fatalf("heartbeat answered with status %d: %.100s", resp.StatusCode, data)
 	}
 	s.worker.HandleResponse(sent, rep.Session, a)
 }
@@ -80,7 +80,7 @@
 			b.StopTimer()
 			after := l.node.scheduler.Counters()
 			if after.Granted == 0 {
-				b.Fatal("nothing was started")
+				b.Fatal("no task was started")
 			}
 			b.ReportMetric(float64(after.Granted-before.Granted)/float64(i), "grants/op")
 			b.ReportMetric(float64(after.Done-before.Done)/float64(i), "ends/op")
--- a/internal/testkit/on_cluster_test.go
+++ b/internal/testkit/on_cluster_test.go
@@ -63,14 +63,14 @@
 }
 
 // runUntil lets time pass until the condition holds, for at most the given number of seconds.
-func (w *cluster) runUntil(seconds int, holds func() bool) bool {
+func (w *cluster) runUntil(seconds int, condition func() bool) bool {
 	for range seconds {
-		if holds() {
+		if condition() {
 			return true
 		}
 		w.runFor(1)
 	}
-	return holds()
+	return condition()
 }
 
 // sessionSum sums the session numbers of all workers: it grows by one with each lease that expires.
--- a/internal/testkit/view.go
+++ b/internal/testkit/view.go
@@ -310,26 +310,26 @@
 		}
 		v.mu.Lock()
 		v.expireLeases()
-		var got []wire.Event
+		var events []wire.Event
 		for _, e := range v.events {
 			if e.Version > rev && strings.HasPrefix(e.Put+e.Delete, prefix) {
-				got = append(got, e)
+				events = append(events, e)
 			}
 		}
 		rev = v.rev
 		wait := v.changed
 		v.mu.Unlock()
-		if len(got) > 0 {
+		if len(events) > 0 {
 			if d := v.watchDelay(prefix); d > 0 {
 				select {
 				case <-ctx.Done():
 				case <-time.After(d):
 				}
 			}
-			for _, e := range got {
+			for _, e := range events {
 				v.observeRead(wire.Item{Key: e.Put + e.Delete, Version: e.Version})
 			}
-			change(got)
+			change(events)
 			pacer.Wait(ctx)
 		}
 		select {
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -15,7 +15,7 @@
 	OnStart  func(task string, attempt uint64)
 	ExitCode func(task string) int                // exit code of a task that ends by itself; nil: 0
 	OnForget func(task string, attempt uint64)    // called when a task that was done is forgotten
-	WrapHeld func(carryOut func()) func()         // wraps the delivery of a message that arrived during a hang; may be nil
+	WrapHeld func(deliver func()) func()          // wraps the delivery of a message that arrived during a hang; may be nil
 	SaveTime func(task string) time.Duration      // time that a task needs to save its state when it is stopped; nil or negative: it cannot
 	OnEnd    func(t wire.Task, ran time.Duration) // called when a task ends; its cause is empty if it was killed because the lease expired
 
@@ -92,11 +92,11 @@
 func (w *Worker) IsHung() bool { return !w.hungAt.IsZero() }
 
 // holdUntilResume keeps a message that arrived during a hang.
-func (w *Worker) holdUntilResume(carryOut func()) {
+func (w *Worker) holdUntilResume(deliver func()) {
 	if w.WrapHeld != nil {
-		carryOut = w.WrapHeld(carryOut)
+		deliver = w.WrapHeld(deliver)
 	}
-	w.held = append(w.held, carryOut)
+	w.held = append(w.held, deliver)
 }
 
 // Resume ends a hang. It checks the lease first, and then delivers the messages that arrived during
@@ -109,11 +109,11 @@
 	for _, t := range w.tasks {
 		t.endsAt = t.endsAt.Add(hung)
 	}
-	late := w.held
+	held := w.held
 	w.hungAt, w.held = time.Time{}, nil
 	w.advance()
-	for _, carryOut := range late {
-		carryOut()
+	for _, deliver := range held {
+		deliver()
 	}
 }
 
