--- a/internal/testkit/autoscaled_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -367,7 +367,7 @@
 // awaitEndAndScaleIn waits until the jobs have ended and all machines are deleted.
 func (c *cloudCluster) awaitEndAndScaleIn(uids ...string) {
 	c.startStopped()
-	if !c.advance(4*time.Minute, c.cluster.jobsEnded(uids...)) {
+	if !c.advance(4*time.Minute, c.jobsEnded(uids...)) {
 		c.t.Errorf("only these jobs ended: %v", c.store.Keys("final/"))
 	}
 	if !c.advance(6*time.Minute, func() bool { _, existing := c.countMachines(); return existing == 0 }) {
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -10,9 +10,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Guards against a stale answer: another controller records a cancel, and the leader, whose watch
-// lags, must not report the job as running after the user was told that it is cancelled.
-func TestCancelRecordedElsewhereIsSeenByLaggingLeader(t *testing.T) {
+// A controller that does not lead a job's shard must not record its cancel: the leader, whose watch
+// may lag, would still report the job as queued or running after the user was told of the cancel.
+func TestCancelIsRecordedByLeaderOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 1)
 		w.reliableStore = true
@@ -66,7 +66,7 @@
 			}
 			return isCancel
 		})
-		if stage, heard := w.userRequest(owner, http.MethodPost, "j-80"); heard || refused == 0 {
+		if stage, answered := w.userRequest(owner, http.MethodPost, "j-80"); answered || refused == 0 {
 			t.Errorf("the cancel was answered %q, its write was refused %d times", stage, refused)
 		}
 		w.nodes[owner].view.RefuseTxn.Set(nil)
@@ -76,8 +76,8 @@
 			}
 			for range 3 { // shorter than a lease; once it has expired no leader answers from memory in an outage
 				for _, name := range w.controllerNames {
-					if stage, heard := w.userRequest(name, http.MethodGet, "j-80"); !heard || stage != wire.StageRunning {
-						t.Errorf("outage %v: %s reports stage %q, answered %v", outage, name, stage, heard)
+					if stage, answered := w.userRequest(name, http.MethodGet, "j-80"); !answered || stage != wire.StageRunning {
+						t.Errorf("outage %v: %s reports stage %q, answered %v", outage, name, stage, answered)
 					}
 				}
 				w.runFor(1)
--- a/internal/testkit/cancel_transfer_test.go
+++ b/internal/testkit/cancel_transfer_test.go
@@ -35,7 +35,7 @@
 	failoversBefore             int         // failovers of the new leader before the transfer
 	loadBlocked                 atomic.Bool // whether the new leader's load is blocked
 	cancelsSent                 int         // cancels sent during the step
-	cancelsRefused              int         // cancels of these that were not confirmed
+	cancelsRefused              int         // of cancelsSent, those that were not confirmed
 	lateStarts                  []string    // tasks that started after their users were told of the cancel
 }
 
@@ -69,12 +69,12 @@
 	if got := h.currentStep(); got != step {
 		h.t.Errorf("the cancel of %s at %s was sent in step %q, want %q", uid, at, got, step)
 	}
-	stage, heard := h.userRequest(at, http.MethodPost, uid)
+	stage, answered := h.userRequest(at, http.MethodPost, uid)
 	h.cancelsSent++
-	if !heard || stage != wire.StageCancelled {
+	if !answered || stage != wire.StageCancelled {
 		h.cancelsRefused++
 	}
-	return heard && stage == wire.StageCancelled
+	return answered && stage == wire.StageCancelled
 }
 
 // beginTransfer starts the transfer; its transaction is held back for the given time before it is applied.
@@ -170,11 +170,11 @@
 		{"recorded while the transaction is in flight", func(h *shardTransfer) {
 			h.onCancelTransaction(h.oldLeader, "j-80", func() { time.Sleep(300 * time.Millisecond) })
 			go func() { time.Sleep(100 * time.Millisecond); h.beginTransfer(1500 * time.Millisecond) }()
-			stage, heard := h.userRequest(h.oldLeader, http.MethodPost, "j-80")
+			stage, answered := h.userRequest(h.oldLeader, http.MethodPost, "j-80")
 			if h.currentStep() != stepPending || len(h.nodes[h.oldLeader].member.LedShards()) > 0 {
 				h.t.Errorf("the transfer is in step %q", h.currentStep())
 			}
-			if heard && stage == wire.StageCancelled {
+			if answered && stage == wire.StageCancelled {
 				h.cancelsSent++
 			}
 		}, 1, 0},
@@ -251,8 +251,8 @@
 			}
 			h.cancelDuring(stepLoaded, h.third, "j-80")
 			for _, name := range h.controllerNames {
-				if stage, heard := h.userRequest(name, http.MethodGet, "j-80"); !heard || stage != wire.StageCancelled {
-					h.t.Errorf("%s reports stage %s, answered %v", name, stage, heard)
+				if stage, answered := h.userRequest(name, http.MethodGet, "j-80"); !answered || stage != wire.StageCancelled {
+					h.t.Errorf("%s reports stage %s, answered %v", name, stage, answered)
 				}
 			}
 		}, 1, 0},
@@ -279,7 +279,7 @@
 		}, 2, 1},
 		{"the old leader is cut off and its start commands are delayed right after the transaction", func(h *shardTransfer) {
 			h.withLock(func() { h.holdsCommand = func() bool { return true } })
-			if _, heard := h.userRequest(h.oldLeader, http.MethodPost, "j-82"); !heard { // frees CPUs for tasks of the other jobs
+			if _, answered := h.userRequest(h.oldLeader, http.MethodPost, "j-82"); !answered { // frees CPUs for tasks of the other jobs
 				h.t.Error("the first cancel was not answered")
 			}
 			h.reportAll()
@@ -341,7 +341,7 @@
 		k.OnStart = func(task string, attempt uint64) {
 			started(task, attempt)
 			uid, _, _ := wire.ParseTask(task)
-			if at, heard := h.confirmedCancels[uid]; heard && time.Since(at) > 0 { // else the command was in flight
+			if at, cancelled := h.confirmedCancels[uid]; cancelled && time.Since(at) > 0 { // else the command was in flight
 				h.lateStarts = append(h.lateStarts, fmt.Sprintf("%s on %s %v after its cancel", task, k.Name, time.Since(at)))
 			}
 		}
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -125,11 +125,11 @@
 // The same workload, submitted by native clients, by Slurm clients, and by both alternately, starts in
 // the same order and produces the same accounting rows: neither client is preferred.
 func TestNativeAndSlurmClientsGetSameOrderAndAccounting(t *testing.T) {
-	type submission = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)
+	type submitFunc = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)
 	var starts, rows [][]string
-	for _, m := range []func(int) submission{
-		func(int) submission { return nativeSubmission }, func(int) submission { return slurmSubmission },
-		func(n int) submission { return []submission{nativeSubmission, slurmSubmission}[n%2] },
+	for _, m := range []func(int) submitFunc{
+		func(int) submitFunc { return nativeSubmission }, func(int) submitFunc { return slurmSubmission },
+		func(n int) submitFunc { return []submitFunc{nativeSubmission, slurmSubmission}[n%2] },
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			s, r := playWorkload(t, m)
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -42,8 +42,8 @@
 	return []wire.MachineType{m}
 }
 
-// cluster consists of three controllers, their state service and some workers. Faults are drawn
-// from a fixed seed.
+// cluster consists of controllers, by default three, their state service and some workers. Faults are
+// drawn from a fixed seed.
 type cluster struct {
 	t                 testing.TB
 	machineTypes      singleTypeCatalog
@@ -124,7 +124,7 @@
 	down               bool // crashed
 	reach              reach
 	cancellations      *cancellation.Registry
-	couldAnswerWorkers bool // MayAnswerWorkers when it was last checked
+	couldAnswerWorkers bool // result of the last check of MayAnswerWorkers
 	knownCancels       knownCancels
 	submission         *submission.Service
 	mux                *http.ServeMux  // serves the HTTP API
--- a/internal/testkit/cluster_users_test.go
+++ b/internal/testkit/cluster_users_test.go
@@ -55,7 +55,7 @@
 
 // userRequest sends a user's request for a job to a controller and checks the response against
 // earlier ones. It returns the job's stage, and whether a response was received.
-func (w *cluster) userRequest(name, method, uid string) (stage string, heard bool) {
+func (w *cluster) userRequest(name, method, uid string) (stage string, answered bool) {
 	w.mu.Lock()
 	n := w.nodes[name]
 	down := n.down
@@ -99,18 +99,18 @@
 
 // cancelJobs sends the users' cancels of jobs to a controller and repeats unanswered ones each second,
 // for up to the given number of seconds. It returns the number of confirmed cancels.
-func (w *cluster) cancelJobs(at string, jobs []string, seconds int) (heard int) {
+func (w *cluster) cancelJobs(at string, jobs []string, seconds int) (confirmed int) {
 	remaining := slices.Clone(jobs)
 	for i := 0; ; i++ {
 		remaining = slices.DeleteFunc(remaining, func(uid string) bool {
-			stage, ok := w.userRequest(at, http.MethodPost, uid)
-			if ok && stage == wire.StageCancelled {
-				heard++
+			stage, answered := w.userRequest(at, http.MethodPost, uid)
+			if answered && stage == wire.StageCancelled {
+				confirmed++
 			}
-			return ok
+			return answered
 		})
 		if len(remaining) == 0 || i >= seconds {
-			return heard
+			return confirmed
 		}
 		w.runFor(1)
 	}
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -185,7 +185,7 @@
 					}
 					at := w.controllerNames[w.planIntN(3)]
 					if second%7 == 3 {
-						w.userRequest(at, http.MethodPost, jobs[w.planIntN(4)]) // jobs 4 to 7 are never cancelled
+						w.userRequest(at, http.MethodPost, jobs[w.planIntN(4)]) // the other four jobs are never cancelled
 					} else {
 						w.userRequest(at, http.MethodGet, jobs[w.planIntN(8)])
 					}
@@ -320,7 +320,7 @@
 					}
 					w.submit("j-1", 3)
 					owner := w.nodes[w.leader()]
-					lateTransactions := 0 // number of transactions that are applied 12 s late
+					lateTransactions := 0 // how many of the next transactions are applied 12 s late
 					owner.view.LoseResponse, owner.view.Hold = nil, nil
 					owner.view.ApplyAfter = func() time.Duration {
 						if lateTransactions == 0 {
--- a/internal/testkit/drawn_outages_test.go
+++ b/internal/testkit/drawn_outages_test.go
@@ -19,7 +19,7 @@
 // outagePhase is the time before an outage of the state service and the outage itself.
 type outagePhase struct {
 	LeaderCutFromStore, LeaderCutFromPeers, WorkersReachOnlyLeader bool // links that are broken from the start of the phase
-	SecondsBefore, OutageSeconds                                   int  // in seconds
+	SecondsBefore, OutageSeconds                                   int
 	Actions                                                        []outageAction
 }
 
--- a/internal/testkit/drawn_team_limits_test.go
+++ b/internal/testkit/drawn_team_limits_test.go
@@ -108,7 +108,7 @@
 	hasUnreachableTasks := slices.ContainsFunc(d.workersWithTasksOf(uid), d.isUnreachable)
 	alreadyConfirmed := !d.confirmedCancels[uid].IsZero()
 	for _, n := range d.controllerNames {
-		if stage, heard := d.userRequest(n, http.MethodPost, uid); heard && stage == wire.StageCancelled {
+		if stage, answered := d.userRequest(n, http.MethodPost, uid); answered && stage == wire.StageCancelled {
 			if hasUnreachableTasks && !alreadyConfirmed {
 				d.cancelsWhileUnreachable++
 			}
--- a/internal/testkit/fault_kinds_test.go
+++ b/internal/testkit/fault_kinds_test.go
@@ -29,7 +29,7 @@
 // faultRun is a cluster in which several faults overlap.
 type faultRun struct {
 	*cluster
-	firstLeader      string // when the first fault began
+	firstLeader      string // leader when the first fault began
 	effects          *int   // counts the effects of the current fault
 	affectedWorkers  []*testkit.Worker
 	longJobs         []string        // jobs with long tasks
@@ -216,7 +216,7 @@
 		}
 	}, func(m *faultRun) { m.withLock(func() { m.holdsCommand = nil }) }},
 	{"the leader transfers its shards every second", 4, 20, nil, func(m *faultRun, _ int) {
-		if l := m.cluster.leader(); l != "" {
+		if l := m.leader(); l != "" {
 			o := m.otherControllers(l)
 			if m.nodes[l].member.TransferShards(context.Background(), o[m.planIntN(len(o))]) == nil {
 				*m.effects++
@@ -236,7 +236,7 @@
 		m.healLinks(m.firstLeader, append(m.otherControllers(m.firstLeader), stateService)...)
 	}},
 	{"the leader crashes", 2, 15, nil, func(m *faultRun, _ int) {
-		if l := m.cluster.leader(); l != "" && *m.effects == 0 { // at once, or as soon as there is a leader
+		if l := m.leader(); l != "" && *m.effects == 0 { // at once, or as soon as there is a leader
 			m.crash(l)
 			*m.effects++
 		}
@@ -275,8 +275,8 @@
 		}
 		m.withLock(func() { m.losesResponse = loses })
 	}, nil, func(m *faultRun) { m.withLock(func() { m.losesResponse = nil }) }},
-	{"old heartbeats arrive under the next leader", 12, 30, func(m *faultRun) { m.lastCopiesLeader = m.cluster.leader() }, func(m *faultRun, second int) {
-		l := m.cluster.leader()
+	{"old heartbeats arrive under the next leader", 12, 30, func(m *faultRun) { m.lastCopiesLeader = m.leader() }, func(m *faultRun, second int) {
+		l := m.leader()
 		if second == 3 && l != "" {
 			m.crash(l)
 			return
@@ -332,7 +332,7 @@
 		m.addWorker()
 		*m.effects++
 	}, func(m *faultRun, second int) {
-		if l := m.cluster.leader(); second == 1 && l != "" {
+		if l := m.leader(); second == 1 && l != "" {
 			m.crash(l)
 		}
 	}, func(m *faultRun) { m.startStopped() }},
--- a/internal/testkit/fault_pairs_test.go
+++ b/internal/testkit/fault_pairs_test.go
@@ -92,7 +92,7 @@
 }
 
 // playFaults runs kinds of faults on a new cluster, each at a drawn time, and counts the effects of
-// each in did.
+// each in effects.
 func playFaults(t *testing.T, seed uint64, kinds, effects []int) {
 	m := newFaultRun(t, seed)
 	from, until := make([]int, len(kinds)), make([]int, len(kinds))
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -81,7 +81,7 @@
 		if !due {
 			return
 		}
-		if _, heard := s.userRequest(s.anyController(), http.MethodPost, job.uid); heard {
+		if _, answered := s.userRequest(s.anyController(), http.MethodPost, job.uid); answered {
 			return
 		}
 		time.Sleep(time.Second)
@@ -135,7 +135,7 @@
 	if job.started.IsZero() {
 		job.started = time.Now()
 	}
-	if at, heard := s.confirmedCancels[job.uid]; heard {
+	if at, cancelled := s.confirmedCancels[job.uid]; cancelled {
 		switch {
 		case job.cancelAt == cancelLaunching:
 			s.startsInFlight++
@@ -198,10 +198,10 @@
 	}
 	for {
 		time.Sleep(4*time.Second + time.Duration(s.planIntN(2000))*time.Millisecond)
-		stage, heard := s.userRequest(s.anyController(), http.MethodGet, job.uid)
+		stage, answered := s.userRequest(s.anyController(), http.MethodGet, job.uid)
 		s.jobsMu.Lock()
 		s.polls++
-		if !heard {
+		if !answered {
 			s.unansweredPolls++
 		} else {
 			job.longestSilence, job.lastAnswer = max(job.longestSilence, time.Since(job.lastAnswer)), time.Now()
@@ -294,9 +294,9 @@
 			s.t.Errorf("%s never started", job.uid)
 		}
 		for _, name := range s.controllerNames {
-			stage, heard := s.userRequest(name, http.MethodGet, job.uid)
-			if !heard || stage != wire.StageDone && (stage != wire.StageCancelled || !job.cancelRequested) {
-				s.t.Errorf("%s reports stage %s, answered %v, of %s, cancelled %v", name, stage, heard, job.uid, job.cancelRequested)
+			stage, answered := s.userRequest(name, http.MethodGet, job.uid)
+			if !answered || stage != wire.StageDone && (stage != wire.StageCancelled || !job.cancelRequested) {
+				s.t.Errorf("%s reports stage %s, answered %v, of %s, cancelled %v", name, stage, answered, job.uid, job.cancelRequested)
 			}
 		}
 	}
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -6,7 +6,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Worker is a worker that follows the protocol for tokens, leases, sessions and commands.
+// Worker is a stand-in for a worker. It follows the protocol for tokens, leases, sessions and commands.
 type Worker struct {
 	Name     string
 	Zone     string
