--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -35,7 +35,7 @@
 func TestClaimWithLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var txns atomic.Int32
-		view := &testkit.View{Store: testkit.NewStore(), Lose: func() bool { return txns.Add(1) == 2 }}
+		view := &testkit.View{Store: testkit.NewStore(), LoseResponse: func() bool { return txns.Add(1) == 2 }}
 		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
 		done := startMember(ctx, m)
@@ -55,13 +55,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		var losing atomic.Int32
 		store := testkit.NewStore()
-		view := &testkit.View{Store: store, Lose: func() bool { return losing.Add(-1) >= 0 }}
+		view := &testkit.View{Store: store, LoseResponse: func() bool { return losing.Add(-1) >= 0 }}
 		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
 		done := startMember(ctx, m)
 		time.Sleep(3 * time.Second)
 		var counter struct{ N uint64 } // the highest token drawn, reserved ones included
-		if err := json.Unmarshal([]byte(store.Text("c/term")), &counter); err != nil {
+		if err := json.Unmarshal([]byte(store.RawValue("c/term")), &counter); err != nil {
 			t.Fatal(err)
 		}
 		highest := counter.N
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var requests atomic.Int32
 		var down atomic.Bool
-		view := &testkit.View{Store: testkit.NewStore(), Down: func() bool { requests.Add(1); return down.Load() }}
+		view := &testkit.View{Store: testkit.NewStore(), Unavailable: func() bool { requests.Add(1); return down.Load() }}
 		m := newMember(view, "a")
 		ctx, cancel := context.WithCancel(context.Background())
 		done := startMember(ctx, m)
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
 		var down atomic.Bool
-		a := newMember(&testkit.View{Store: store, Down: down.Load}, "a")
+		a := newMember(&testkit.View{Store: store, Unavailable: down.Load}, "a")
 		b := newMember(&testkit.View{Store: store}, "b")
 		ctx, cancel := context.WithCancel(context.Background())
 		doneA := startMember(ctx, a)
@@ -181,7 +181,7 @@
 		start := func(name string) {
 			ctx, cancel := context.WithCancel(context.Background())
 			slow := func() bool { time.Sleep(10 * time.Millisecond); return false } // the duration of a request
-			members[name] = newMember(&testkit.View{Store: store, Down: slow}, name)
+			members[name] = newMember(&testkit.View{Store: store, Unavailable: slow}, name)
 			stops[name], dones[name] = cancel, startMember(ctx, members[name])
 		}
 		leader := func() (name string) {
--- a/internal/testkit/autoscaled_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -26,138 +26,138 @@
 )
 
 const (
-	quickBoot = 1500 * time.Millisecond
-	listLag   = 6 * time.Second // a machine reports and works long before it is listed
-	hirePath  = "/hosts"
+	shortBoot = 1500 * time.Millisecond
+	listLag   = 6 * time.Second // a machine sends heartbeats and runs tasks long before it is listed
+	hostsPath = "/hosts"
 )
 
-// rentedCluster is a cluster whose machines are provisioned from a stand-in cloud by the
-// controllers' own fleet code.
-type rentedCluster struct {
+// cloudCluster is a cluster whose machines the controllers' own autoscalers provision from a
+// stand-in cloud.
+type cloudCluster struct {
 	*cluster
 	handler http.Handler
 
-	boot      time.Duration // from a machine's provisioning to its first report
-	lag       time.Duration // how old the cloud's list is
-	listTakes time.Duration // how long the cloud's list takes to come
-
-	cloudMu     sync.Mutex
-	outageUntil time.Time // until when the cloud rents nothing
-	booting     []bootingMachine
-	ended       map[string]bool
-	asked       map[string]int      // by the provision request's name
-	rented      map[string][]string // by the provision request's name
-	answered    map[string]bool     // provision requests whose asker had the answer
-	lists       []datedList
-	slow        time.Duration // how long the answer to a repeated provision request takes; the first is lost
+	boot        time.Duration // from the provisioning of a machine to its first heartbeat
+	listAge     time.Duration // age of the machine list that the cloud returns
+	listLatency time.Duration // duration of a list request
+
+	cloudMu          sync.Mutex
+	outageUntil      time.Time // the cloud refuses provision requests until then
+	booting          []bootingMachine
+	endedMachines    map[string]bool
+	requestCounts    map[string]int      // number of requests by provision request name
+	provisioned      map[string][]string // machines by provision request name
+	answeredRequests map[string]bool     // names of provision requests whose response was received
+	listHistory      []recordedList
+	answerDelay      time.Duration // if set, the first response to a provision request is lost and the later ones take this long
 }
 
-// bootingMachine is a provisioned machine, and when it is up.
+// bootingMachine is a provisioned machine and the time at which it has booted.
 type bootingMachine struct {
 	worker *testkit.Worker
 	up     time.Time
 }
 
-// datedList is the cloud's list as of a time.
-type datedList struct {
+// recordedList is the cloud's machine list at a point in time.
+type recordedList struct {
 	at   time.Time
 	body []byte
 }
 
-// newRentedCluster returns a cluster without machines, whose machines are up at the next
-// report after they were provisioned.
-func newRentedCluster(t *testing.T, seed uint64) *rentedCluster {
-	c := newSlowlyRentedCluster(t, seed, quickBoot)
+// newCloudCluster returns a cluster without machines. Machines have booted at the next step after
+// they were provisioned.
+func newCloudCluster(t *testing.T, seed uint64) *cloudCluster {
+	c := newCloudClusterWithBoot(t, seed, shortBoot)
 	c.boot = 0
 	return c
 }
 
-// newSlowlyRentedCluster returns a cluster without machines, whose machines take a time to
+// newCloudClusterWithBoot returns a cluster without machines, whose machines take the given time to
 // boot.
-func newSlowlyRentedCluster(t *testing.T, seed uint64, boot time.Duration) *rentedCluster {
+func newCloudClusterWithBoot(t *testing.T, seed uint64, boot time.Duration) *cloudCluster {
 	db, err := bbolt.Open(filepath.Join(t.TempDir(), "cloud.db"), 0o644, &bbolt.Options{NoSync: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = db.Close() })
-	c := &rentedCluster{cluster: newCluster(t, seed), boot: boot, lag: listLag, ended: map[string]bool{}, asked: map[string]int{}, rented: map[string][]string{}, answered: map[string]bool{}}
+	c := &cloudCluster{cluster: newCluster(t, seed), boot: boot, listAge: listLag, endedMachines: map[string]bool{}, requestCounts: map[string]int{}, provisioned: map[string][]string{}, answeredRequests: map[string]bool{}}
 	c.reliableStore = true
 	c.workers, c.byName = nil, map[string]*testkit.Worker{}
 	c.cfg.Params.Cloud = config.Cloud{RPS: 4, ListLagS: listLag.Seconds()}
-	kind, _ := c.size.Type("m")
-	kind.BootS = boot.Seconds()
-	cloud, err := standin.OpenCloud(db, []wire.MachineType{kind}, 60, c)
+	machineType, _ := c.machineTypes.Type("m")
+	machineType.BootS = boot.Seconds()
+	cloud, err := standin.OpenCloud(db, []wire.MachineType{machineType}, 60, c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.handler = cloud.Handler()
-	c.extraDuties = c.fleetOf
+	c.extraLoops = c.autoscalerLoops
 	return c
 }
 
-// Launch boots a machine.
-func (c *rentedCluster) Launch(m wire.ListedMachine, _ wire.MachineType) (string, error) {
+// Launch implements standin.Launcher: the machine boots.
+func (c *cloudCluster) Launch(m wire.ListedMachine, _ wire.MachineType) (string, error) {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	c.booting = append(c.booting, bootingMachine{testkit.NewWorker(m.Name, workerLease, variedTime), time.Now().Add(c.boot)})
+	c.booting = append(c.booting, bootingMachine{testkit.NewWorker(m.Name, workerLease, variedTaskDuration), time.Now().Add(c.boot)})
 	return m.Name, nil
 }
 
-// End ends a machine.
-func (c *rentedCluster) End(name string) {
+// End implements standin.Launcher: the machine ends.
+func (c *cloudCluster) End(name string) {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	c.ended[name] = true
+	c.endedMachines[name] = true
 }
 
-// settle takes new machines in, which report at once, and ended ones out.
-func (c *rentedCluster) settle() {
+// syncWorkers adds the machines that have booted, which report at once, and removes ended ones.
+func (c *cloudCluster) syncWorkers() {
 	c.cloudMu.Lock()
-	var fresh []*testkit.Worker
+	var booted []*testkit.Worker
 	c.booting = slices.DeleteFunc(c.booting, func(m bootingMachine) bool {
 		up := !time.Now().Before(m.up)
-		if up && !c.ended[m.worker.Name] {
-			fresh = append(fresh, m.worker)
+		if up && !c.endedMachines[m.worker.Name] {
+			booted = append(booted, m.worker)
 		}
-		return up || c.ended[m.worker.Name]
+		return up || c.endedMachines[m.worker.Name]
 	})
-	ended := c.ended
-	c.ended = map[string]bool{}
+	ended := c.endedMachines
+	c.endedMachines = map[string]bool{}
 	c.cloudMu.Unlock()
 	c.mu.Lock()
-	for i, k := range fresh {
-		c.join(k, i)
+	for i, k := range booted {
+		c.registerWorker(k, i)
 	}
 	c.workers = slices.DeleteFunc(c.workers, func(k *testkit.Worker) bool { return ended[k.Name] })
 	for name := range ended {
 		delete(c.byName, name)
 	}
 	c.mu.Unlock()
-	for _, k := range fresh {
+	for _, k := range booted {
 		c.report(k)
 	}
-	c.check()
+	c.checkInvariants()
 }
 
-// run lets time pass until something holds, for at most so long.
-func (c *rentedCluster) run(most time.Duration, holds func() bool) bool {
-	for end := time.Now().Add(most); time.Now().Before(end); {
-		if holds != nil && holds() {
+// advance lets time pass until the condition holds, for at most the given time.
+func (c *cloudCluster) advance(limit time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(limit); time.Now().Before(end); {
+		if condition != nil && condition() {
 			return true
 		}
 		for range 4 {
 			time.Sleep(reportEvery / 4)
-			c.settle()
+			c.syncWorkers()
 		}
 		c.reportAll()
 		c.exchange()
 		c.publish()
 	}
-	return holds == nil || holds()
+	return condition == nil || condition()
 }
 
-// fleetOf is the fleet's part of a controller.
-func (c *rentedCluster) fleetOf(n *node) []func(context.Context) error {
+// autoscalerLoops returns the loops that a controller runs for its autoscaler.
+func (c *cloudCluster) autoscalerLoops(n *node) []func(context.Context) error {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	op, err := config.LoadOperator("")
 	if err != nil {
@@ -165,27 +165,27 @@
 	}
 	cloud := autoscaler.NewCloudOver(&cloudLink{c, n}, "cloud", c.cfg.Params.Cloud.RPS)
 	catalog := autoscaler.NewCatalog(cloud, n.view, log)
-	f := autoscaler.New(autoscaler.Options{
+	scaler := autoscaler.New(autoscaler.Options{
 		Platform: c.cfg, Operator: op, Cloud: cloud, Catalog: catalog, Store: n.view, Member: n.member,
-		Scheduler: fleetOwner{c, n.scheduler}, Dispatcher: n.dispatcher, Log: log,
+		Scheduler: autoscalerLeader{c, n.scheduler}, Dispatcher: n.dispatcher, Log: log,
 	})
 	return []func(context.Context) error{
-		f.Run,
+		scaler.Run,
 		func(ctx context.Context) error { return catalog.Run(ctx, n.scheduler.LeadsAutoscaling) },
 	}
 }
 
-// fleetOwner is the leader as the fleet sees it. No machine of these tests is lost.
-type fleetOwner struct {
-	c *rentedCluster
+// autoscalerLeader is the scheduler as the autoscaler uses it. No machine of these tests fails.
+type autoscalerLeader struct {
+	c *cloudCluster
 	*scheduler.Scheduler
 }
 
-func (o fleetOwner) Ready() bool { return o.LeadsAutoscaling() }
+func (o autoscalerLeader) Ready() bool { return o.LeadsAutoscaling() }
 
-func (o fleetOwner) FailedWorkers() map[string]string { return map[string]string{} }
+func (o autoscalerLeader) FailedWorkers() map[string]string { return map[string]string{} }
 
-func (o fleetOwner) WorkerDeleted(name string) {
+func (o autoscalerLeader) WorkerDeleted(name string) {
 	o.c.mu.Lock()
 	nodes := make([]*node, 0, len(o.c.nodes))
 	for _, n := range o.c.nodes {
@@ -198,9 +198,9 @@
 	}
 }
 
-// cloudLink carries a controller's requests to the cloud.
+// cloudLink is the transport of a controller's requests to the cloud.
 type cloudLink struct {
-	c *rentedCluster
+	c *cloudCluster
 	n *node
 }
 
@@ -213,51 +213,51 @@
 // RoundTrip implements http.RoundTripper.
 func (l *cloudLink) RoundTrip(req *http.Request) (*http.Response, error) {
 	if l.down() {
-		return nil, errCut
+		return nil, errLinkDown
 	}
 	rec := httptest.NewRecorder()
 	name := ""
-	if req.Method == http.MethodPost && l.c.out() {
+	if req.Method == http.MethodPost && l.c.inOutage() {
 		rec.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = rec.WriteString(`{"error":"trouble"}`) // never fails
 		return rec.Result(), nil
 	}
-	if req.Method == http.MethodPost && req.URL.Path == hirePath {
-		name = l.c.hire(rec, req)
+	if req.Method == http.MethodPost && req.URL.Path == hostsPath {
+		name = l.c.provision(rec, req)
 	} else {
 		l.c.handler.ServeHTTP(rec, req)
 	}
-	if req.Method == http.MethodGet && req.URL.Path == hirePath {
-		rec = l.c.listed(rec)
-		time.Sleep(l.c.listTakes)
+	if req.Method == http.MethodGet && req.URL.Path == hostsPath {
+		rec = l.c.staleList(rec)
+		time.Sleep(l.c.listLatency)
 	}
 	if name != "" {
-		if err := l.c.wait(req.Context(), name); err != nil {
+		if err := l.c.awaitAnswer(req.Context(), name); err != nil {
 			return nil, err
 		}
 	}
 	if l.down() {
-		return nil, errCut
+		return nil, errLinkDown
 	}
 	if name != "" && rec.Code == http.StatusOK {
 		l.c.cloudMu.Lock()
-		l.c.answered[name] = true
+		l.c.answeredRequests[name] = true
 		l.c.cloudMu.Unlock()
 	}
 	return rec.Result(), nil
 }
 
-// out reports whether the cloud rents nothing.
-func (c *rentedCluster) out() bool {
+// inOutage reports whether the cloud currently refuses provision requests.
+func (c *cloudCluster) inOutage() bool {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
 	return time.Now().Before(c.outageUntil)
 }
 
-// wait lets the time pass that the answer to a provision request takes.
-func (c *rentedCluster) wait(ctx context.Context, name string) error {
+// awaitAnswer waits for the delay of the response to a provision request.
+func (c *cloudCluster) awaitAnswer(ctx context.Context, name string) error {
 	c.cloudMu.Lock()
-	slow, first := c.slow, c.asked[name] == 1
+	slow, first := c.answerDelay, c.requestCounts[name] == 1
 	c.cloudMu.Unlock()
 	if slow > 0 && first {
 		<-ctx.Done()
@@ -270,40 +270,40 @@
 	}
 }
 
-// hire carries a provision request out, and checks that it was recorded before.
-func (c *rentedCluster) hire(rec *httptest.ResponseRecorder, req *http.Request) string {
+// provision executes a provision request and checks that it was recorded before it was sent.
+func (c *cloudCluster) provision(rec *httptest.ResponseRecorder, req *http.Request) string {
 	body, err := io.ReadAll(req.Body)
-	var h wire.ProvisionRequest
+	var request wire.ProvisionRequest
 	if err == nil {
-		err = json.Unmarshal(body, &h)
+		err = json.Unmarshal(body, &request)
 	}
 	if err != nil {
-		c.fail("a hire: %v", err)
+		c.fail("invalid provision request: %v", err)
 		return ""
 	}
-	recorded := slices.Contains(c.store.Keys("fleet/hire/"), "fleet/hire/"+h.Name)
+	recorded := slices.Contains(c.store.Keys("fleet/hire/"), "fleet/hire/"+request.Name)
 	req.Body = io.NopCloser(strings.NewReader(string(body)))
 	c.handler.ServeHTTP(rec, req)
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	if c.asked[h.Name]++; c.asked[h.Name] == 1 && !recorded {
-		c.fail("%s is asked for, and was not recorded", h.Name)
+	if c.requestCounts[request.Name]++; c.requestCounts[request.Name] == 1 && !recorded {
+		c.fail("provision request %s was sent without having been recorded", request.Name)
 	}
 	var got wire.MachineNames
 	if rec.Code == http.StatusOK && json.Unmarshal(rec.Body.Bytes(), &got) == nil {
-		c.rented[h.Name] = got.Machines
+		c.provisioned[request.Name] = got.Machines
 	}
-	return h.Name
+	return request.Name
 }
 
-// listed is the cloud's list as it was before.
-func (c *rentedCluster) listed(now *httptest.ResponseRecorder) *httptest.ResponseRecorder {
+// staleList returns the newest recorded list that is at least listAge old, else an empty one.
+func (c *cloudCluster) staleList(now *httptest.ResponseRecorder) *httptest.ResponseRecorder {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	c.lists = append(c.lists, datedList{time.Now(), now.Body.Bytes()})
-	old := datedList{body: []byte(`{"benches":[],"truncated":false}`)}
-	for _, l := range c.lists {
-		if time.Since(l.at) >= c.lag {
+	c.listHistory = append(c.listHistory, recordedList{time.Now(), now.Body.Bytes()})
+	old := recordedList{body: []byte(`{"benches":[],"truncated":false}`)}
+	for _, l := range c.listHistory {
+		if time.Since(l.at) >= c.listAge {
 			old = l
 		}
 	}
@@ -313,41 +313,41 @@
 	return rec
 }
 
-// machines counts those that were provisioned, and those that are still there.
-func (c *rentedCluster) machines() (rented, there int) {
+// countMachines counts all machines provisioned so far and those that still exist.
+func (c *cloudCluster) countMachines() (provisioned, existing int) {
 	c.cloudMu.Lock()
-	for _, names := range c.rented {
-		rented += len(names)
+	for _, names := range c.provisioned {
+		provisioned += len(names)
 	}
 	c.cloudMu.Unlock()
 	rec := httptest.NewRecorder()
-	c.handler.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, hirePath, nil))
+	c.handler.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, hostsPath, nil))
 	var list wire.MachineList
 	if err := json.Unmarshal(rec.Body.Bytes(), &list); err != nil {
 		c.t.Error(err)
 	}
-	return rented, len(list.Machines)
+	return provisioned, len(list.Machines)
 }
 
-// hires names the provision requests that were asked for.
-func (c *rentedCluster) hires() (names []string) {
+// requestNames returns the names of all provision requests sent so far.
+func (c *cloudCluster) requestNames() (names []string) {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	for name := range c.asked {
+	for name := range c.requestCounts {
 		names = append(names, name)
 	}
 	return names
 }
 
-// times is how often a provision request was asked for.
-func (c *rentedCluster) times(name string) int {
+// requestCount returns how often a provision request was sent.
+func (c *cloudCluster) requestCount(name string) int {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
-	return c.asked[name]
+	return c.requestCounts[name]
 }
 
-// order submits a job that wants ordinary machines.
-func (c *rentedCluster) order(uid string, tasks int) {
+// submitOnDemandJob submits a job that may not run on spot machines.
+func (c *cloudCluster) submitOnDemandJob(uid string, tasks int) {
 	job := &wire.Job{
 		UID: uid, Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: tasks,
 		CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: 6,
@@ -358,20 +358,20 @@
 	}
 }
 
-// begin starts the controllers, without lost messages.
-func (c *rentedCluster) begin() {
-	c.startInTurn()
-	c.run(3*time.Second, nil)
+// startAndSettle starts the controllers and lets 3 s pass.
+func (c *cloudCluster) startAndSettle() {
+	c.startControllersOneByOne()
+	c.advance(3*time.Second, nil)
 }
 
-// finish waits until the jobs ended and all machines were deleted.
-func (c *rentedCluster) finish(uids ...string) {
-	c.startAll()
-	if !c.run(4*time.Minute, c.cluster.ended(uids...)) {
-		c.t.Errorf("only %v ended", c.store.Keys("final/"))
+// awaitEndAndScaleIn waits until the jobs have ended and all machines are deleted.
+func (c *cloudCluster) awaitEndAndScaleIn(uids ...string) {
+	c.startStopped()
+	if !c.advance(4*time.Minute, c.jobsEnded(uids...)) {
+		c.t.Errorf("only these jobs ended: %v", c.store.Keys("final/"))
 	}
-	if !c.run(6*time.Minute, func() bool { _, there := c.machines(); return there == 0 }) {
-		_, there := c.machines()
-		c.t.Errorf("%d machines are left", there)
+	if !c.advance(6*time.Minute, func() bool { _, existing := c.countMachines(); return existing == 0 }) {
+		_, existing := c.countMachines()
+		c.t.Errorf("%d machines were not deleted", existing)
 	}
 }
--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -11,103 +11,103 @@
 	"github.com/wallrack/wallrack/internal/testkit"
 )
 
-// endRace is a cluster, without any fault, in which users cancel jobs, ask for them and
-// repeat their submissions about the time at which their last tasks end.
+// endRace is a cluster without faults. Its users cancel their jobs, poll them and repeat their
+// submissions close to the end of the last task.
 type endRace struct {
 	*closeUsers
-	ends map[string][]time.Time // of a job's started tasks
-	want map[string]int         // tasks of a job
+	taskEnds   map[string][]time.Time // end times of a job's started tasks
+	taskCounts map[string]int         // number of a job's tasks
 
-	mu          sync.Mutex
-	near        int // cancels that were sent within nearEnd of the end
-	afterEnd    int // cancels answered "cancelled" although the last task had ended
-	overtaken   int // cancels sent before the end was recorded, and answered "done"
-	answeredEnd int // cancels answered "done"
-	betweenAsks int // questions sent after the last task's end and before any user heard how the job ended
+	mu                  sync.Mutex
+	cancelsNearEnd      int // cancels sent within nearEnd of the last task's end
+	cancelledAfterEnd   int // cancels answered "cancelled" after the last task's end
+	doneBeforeRecorded  int // cancels sent before the end was recorded and answered "done"
+	cancelsAnsweredDone int // cancels answered "done"
+	pollsAfterEnd       int // polls sent after the last task's end and before any user was told how the job ended
 }
 
 const (
-	nearEnd     = 50 * time.Millisecond
-	leastReport = 500 * time.Millisecond // between two reports of a worker
+	nearEnd           = 50 * time.Millisecond
+	minReportInterval = 500 * time.Millisecond // between two heartbeats of a worker
 )
 
-// reportOnChange lets a worker report as the protocol says: now and then, and when a task
-// has ended, but at most once every half second.
+// reportOnChange sends a worker's heartbeats as the protocol prescribes: periodically, and when a
+// task has ended, but at most once every 500 ms.
 func (r *endRace) reportOnChange(k *testkit.Worker, stop <-chan struct{}) {
 	for {
 		r.report(k)
 		last := time.Now()
-		next := last.Add(reportEvery*3/4 + time.Duration(r.draw(int(reportEvery/2))))
+		next := last.Add(reportEvery*3/4 + time.Duration(r.planIntN(int(reportEvery/2))))
 		for time.Now().Before(next) {
 			select {
 			case <-stop:
 				return
-			case <-time.After(min(time.Until(next), leastReport/5)):
+			case <-time.After(min(time.Until(next), minReportInterval/5)):
 			}
-			if time.Since(last) >= leastReport && r.ended(k, last) {
+			if time.Since(last) >= minReportInterval && r.taskEndedSince(k, last) {
 				break
 			}
 		}
 	}
 }
 
-// ended reports whether a task of a worker has ended since.
-func (r *endRace) ended(k *testkit.Worker, since time.Time) bool {
+// taskEndedSince reports whether a task of the worker has ended since the given time.
+func (r *endRace) taskEndedSince(k *testkit.Worker, since time.Time) bool {
 	r.cluster.mu.Lock()
 	defer r.cluster.mu.Unlock()
-	return k.EndedSince(since)
+	return k.TaskEndedSince(since)
 }
 
-// started notes a task's start, and has its job's user act once all of its tasks have.
-func (r *endRace) started(k *testkit.Worker, task string) {
+// noteStart records the start of a task. Once all tasks of a job have started, its user begins to act.
+func (r *endRace) noteStart(k *testkit.Worker, task string) {
 	job, _, _ := strings.Cut(task, "/")
-	r.ends[job] = append(r.ends[job], time.Now().Add(k.Run(task)))
-	if len(r.ends[job]) != r.want[job] {
+	r.taskEnds[job] = append(r.taskEnds[job], time.Now().Add(k.RunTime(task)))
+	if len(r.taskEnds[job]) != r.taskCounts[job] {
 		return
 	}
-	end := r.ends[job][0]
-	for _, at := range r.ends[job] {
+	end := r.taskEnds[job][0]
+	for _, at := range r.taskEnds[job] {
 		if at.After(end) {
 			end = at
 		}
 	}
-	r.pending.Go(func() { r.actAtEnd(job, end) })
+	r.pending.Go(func() { r.sendRequestsNearEnd(job, end) })
 }
 
-// aroundEnd draws how long before or after the end a request is sent: as it ends, or
-// while the end is reported and recorded.
-func (r *endRace) aroundEnd() time.Duration {
-	if r.draw(2) == 0 {
-		return time.Duration(r.draw(70)-20) * time.Millisecond
+// drawOffsetFromEnd draws the time from a task's end to a request: half of the requests come from 20 ms
+// before to 50 ms after the end, the others while the end is reported and recorded.
+func (r *endRace) drawOffsetFromEnd() time.Duration {
+	if r.planIntN(2) == 0 {
+		return time.Duration(r.planIntN(70)-20) * time.Millisecond
 	}
-	return time.Duration(r.draw(800)) * time.Millisecond
+	return time.Duration(r.planIntN(800)) * time.Millisecond
 }
 
-// actAtEnd is what a job's user does about the end of its last task.
-func (r *endRace) actAtEnd(job string, end time.Time) {
+// sendRequestsNearEnd sends the requests of a job's user around the end of its last task.
+func (r *endRace) sendRequestsNearEnd(job string, end time.Time) {
 	at := func(act func()) {
-		when := end.Add(r.aroundEnd())
+		when := end.Add(r.drawOffsetFromEnd())
 		r.pending.Go(func() { time.Sleep(time.Until(when)); act() })
 	}
-	anyNode := func() string { return r.names[r.draw(len(r.names))] }
+	anyNode := func() string { return r.controllerNames[r.planIntN(len(r.controllerNames))] }
 	for range 3 {
 		at(func() {
 			h := r.seen.history(job)
 			r.mu.Lock()
 			if time.Now().After(end) && h.done.IsZero() && h.cancelled.IsZero() {
-				r.betweenAsks++
+				r.pollsAfterEnd++
 			}
 			r.mu.Unlock()
 			r.send(stateRequest, anyNode(), job, 0)
 		})
 	}
-	at(func() { r.send(submitRequest, anyNode(), job, r.want[job]) })
-	if r.draw(4) == 0 {
-		return // it is done
+	at(func() { r.send(submitRequest, anyNode(), job, r.taskCounts[job]) })
+	if r.planIntN(4) == 0 {
+		return // a quarter of the users do not cancel
 	}
 	at(func() {
 		for range 20 {
-			sent, recorded := time.Now(), r.store.Text("final/"+job) != ""
+			sent, recorded := time.Now(), r.store.RawValue("final/"+job) != ""
 			stage := r.send(cancelRequest, anyNode(), job, 0)
 			if stage == "" {
 				time.Sleep(time.Second)
@@ -115,34 +115,33 @@
 			}
 			r.mu.Lock()
 			if d := sent.Sub(end); d.Abs() <= nearEnd {
-				r.near++
+				r.cancelsNearEnd++
 			}
 			switch {
 			case stage == "done":
-				r.answeredEnd++
+				r.cancelsAnsweredDone++
 				if !recorded {
-					r.overtaken++
+					r.doneBeforeRecorded++
 				}
 			case time.Now().After(end):
-				r.afterEnd++
+				r.cancelledAfterEnd++
 			}
 			r.mu.Unlock()
-			r.look(job, r.want[job])
+			r.look(job, r.taskCounts[job])
 			return
 		}
 	})
 }
 
-// A cancel, questions and a repeated submission come at the end of a job's last task, in
-// 1,000 drawn interleavings at one and at two controllers, with the latencies of the state
-// service, of watches and of links down to a millisecond, and no other fault. A job is
-// either done or cancelled, to everybody and for ever, and nothing of it starts after a
-// confirmed cancel.
+// Cancels, polls and repeated submissions arrive around the end of a job's last task, in 1,000 drawn
+// interleavings with one and with two controllers. The state service, watches and links have
+// latencies down to a millisecond; there are no other faults. Every controller reports a job
+// consistently as either done or cancelled, and none of its tasks starts after a confirmed cancel.
 func TestCancelAtEndOfLastTaskIsFinal(t *testing.T) {
 	const seeds, jobs = 10, 50
 	scales := []time.Duration{time.Millisecond, 4 * time.Millisecond, 20 * time.Millisecond, 100 * time.Millisecond}
 	for controllers := 1; controllers <= 2; controllers++ {
-		var sum endRace // its counters
+		var sum endRace // sums of the counters of all runs
 		done, cancelled, answers, unsure, late := 0, 0, 0, 0, 0
 		for seed := range seeds {
 			t.Run(fmt.Sprintf("%d controllers, %d", controllers, seed), func(t *testing.T) {
@@ -156,25 +155,25 @@
 							cancelled++
 						}
 					}
-					sum.near += r.near
-					sum.afterEnd += r.afterEnd
-					sum.overtaken += r.overtaken
-					sum.answeredEnd += r.answeredEnd
-					sum.betweenAsks += r.betweenAsks
+					sum.cancelsNearEnd += r.cancelsNearEnd
+					sum.cancelledAfterEnd += r.cancelledAfterEnd
+					sum.doneBeforeRecorded += r.doneBeforeRecorded
+					sum.cancelsAnsweredDone += r.cancelsAnsweredDone
+					sum.pollsAfterEnd += r.pollsAfterEnd
 					late += r.lateStarts
 					answers += r.seen.answers
 					unsure += r.seen.refused
 				})
 			})
 		}
-		t.Logf("%d controllers: %d answers, %d refusals; %d jobs done, %d cancelled; %d cancels within %v of the end, %d answered cancelled after the end, "+
-			"%d answered done (%d of them sent before the end was recorded); %d questions between the end and the first word of it; %d starts after a confirmed cancel",
-			controllers, answers, unsure, done, cancelled, sum.near, nearEnd, sum.afterEnd, sum.answeredEnd, sum.overtaken, sum.betweenAsks, late)
+		t.Logf("%d controllers: %d responses, %d refusals; %d jobs done, %d cancelled; %d cancels within %v of the end, %d answered \"cancelled\" after the end, "+
+			"%d answered \"done\" (%d of them sent before the end was recorded); %d polls after the end while no user had been told of it; %d starts after a confirmed cancel",
+			controllers, answers, unsure, done, cancelled, sum.cancelsNearEnd, nearEnd, sum.cancelledAfterEnd, sum.cancelsAnsweredDone, sum.doneBeforeRecorded, sum.pollsAfterEnd, late)
 		if done+cancelled != seeds*jobs {
-			t.Errorf("%d of %d jobs are over", done+cancelled, seeds*jobs)
+			t.Errorf("%d of %d jobs are done or cancelled", done+cancelled, seeds*jobs)
 		}
-		if sum.near < 100 || sum.afterEnd < 100 || sum.answeredEnd < 50 || sum.overtaken < 5 || sum.betweenAsks < 300 {
-			t.Error("too few of these")
+		if sum.cancelsNearEnd < 100 || sum.cancelledAfterEnd < 100 || sum.cancelsAnsweredDone < 50 || sum.doneBeforeRecorded < 5 || sum.pollsAfterEnd < 300 {
+			t.Error("too few requests near the end of jobs, see the counts above")
 		}
 		if late > 0 {
 			t.Error("tasks were started after a confirmed cancel")
@@ -182,32 +181,32 @@
 	}
 }
 
-// playEndRace plays so many jobs, with latencies up to a few times the scale.
+// playEndRace runs the given number of jobs, with latencies up to a few times the scale.
 func playEndRace(t *testing.T, seed uint64, controllers, jobs int, scale time.Duration) *endRace {
 	w := newCluster(t, seed)
 	w.bigger(controllers, 6)
-	w.losslessReports, w.reliableStore, w.keepCuts = true, true, true
-	r := &endRace{closeUsers: newCloseUsers(w), ends: map[string][]time.Time{}, want: map[string]int{}}
+	w.losslessReports, w.reliableStore, w.keepBrokenLinks = true, true, true
+	r := &endRace{closeUsers: newCloseUsers(w), taskEnds: map[string][]time.Time{}, taskCounts: map[string]int{}}
 	r.later = 1
 	upTo := func(most time.Duration) func() time.Duration {
 		return func() time.Duration {
-			d := time.Duration(w.rnd.Int64N(int64(most)))
-			if w.rnd.IntN(12) == 0 {
+			d := time.Duration(w.messageRand.Int64N(int64(most)))
+			if w.messageRand.IntN(12) == 0 {
 				return 5 * d
 			}
 			return d
 		}
 	}
-	w.transit, w.storeLatency, w.watchLag = upTo(scale), upTo(2*scale), upTo(6*scale)
+	w.transitTime, w.storeLatency, w.watchLag = upTo(scale), upTo(2*scale), upTo(6*scale)
 	for _, k := range w.workers {
-		k.Run = func(task string) time.Duration { return variedTime(task) / 5 }
-		check := k.Started
-		k.Started = func(task string, attempt uint64) {
+		k.RunTime = func(task string) time.Duration { return variedTaskDuration(task) / 5 }
+		check := k.OnStart
+		k.OnStart = func(task string, attempt uint64) {
 			check(task, attempt)
-			r.started(k, task)
+			r.noteStart(k, task)
 		}
 	}
-	w.startNodes()
+	w.startControllers()
 	time.Sleep(2 * time.Second)
 	stop := make(chan struct{})
 	var reporting sync.WaitGroup
@@ -215,11 +214,11 @@
 		reporting.Go(func() { r.reportOnChange(k, stop) })
 	}
 	for i := range jobs {
-		job, tasks := fmt.Sprintf("j-%d", 100+i), 1+w.draw(2)
+		job, tasks := fmt.Sprintf("j-%d", 100+i), 1+w.planIntN(2)
 		w.mu.Lock()
-		r.want[job] = tasks
+		r.taskCounts[job] = tasks
 		w.mu.Unlock()
-		delay := time.Duration(w.draw(8000)) * time.Millisecond
+		delay := time.Duration(w.planIntN(8000)) * time.Millisecond
 		r.pending.Go(func() {
 			time.Sleep(delay)
 			r.follow(job, tasks, 0, time.Minute)
@@ -227,7 +226,7 @@
 	}
 	for range 26 * 4 {
 		time.Sleep(250 * time.Millisecond)
-		w.check()
+		w.checkInvariants()
 		w.exchange()
 		w.publish()
 	}
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -10,13 +10,13 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A cancel recorded behind the leader's back let the leader, whose watch lagged,
-// call the job running after its user had heard that it was cancelled.
-func TestCancelRecordedElsewhereIsSeenByLaggingLeader(t *testing.T) {
+// A controller that does not lead a job's shard must not record its cancel: the leader, whose watch
+// may lag, would still report the job as queued or running after the user was told of the cancel.
+func TestCancelIsRecordedByLeaderOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 1)
 		w.reliableStore = true
-		w.startNodes()
+		w.startControllers()
 		time.Sleep(2 * time.Second)
 		w.submit("j-1", 3)
 		time.Sleep(time.Second)
@@ -26,67 +26,67 @@
 				continue
 			}
 			if s, err := n.scheduler.Cancel(context.Background(), "j-1"); err == nil {
-				t.Errorf("%s is not the owner and says %+v", name, s)
+				t.Errorf("%s does not lead the shard and returned state %+v", name, s)
 			}
 		}
 		if s, ok := w.nodes[leader].scheduler.LocalState("j-1"); !ok || s.Stage != wire.StageQueued {
-			t.Errorf("the owner says %+v, %v", s, ok)
+			t.Errorf("the leader returned state %+v, %v", s, ok)
 		}
 		if s, err := w.nodes[leader].scheduler.Cancel(context.Background(), "j-1"); err != nil || s.Stage != wire.StageCancelled {
-			t.Errorf("the owner says %+v, %v", s, err)
+			t.Errorf("the leader returned state %+v, error %v", s, err)
 		}
 		if s, ok := w.nodes[leader].scheduler.LocalState("j-1"); ok && s.Stage != wire.StageCancelled {
-			t.Errorf("after the cancel the owner says %+v", s)
+			t.Errorf("after the cancel the leader returned state %+v", s)
 		}
 		w.stopAll()
 	})
 }
 
-// The state service refuses the write of a cancel, and then everything: the job goes on, and
-// its user, who was told nothing, hears so at every controller.
+// The state service refuses the write of a cancel, and later every request: the job keeps running,
+// and its user, whose cancel was not confirmed, is told so by every controller.
 func TestCancelRefusedByStateStoreLeavesJobRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 2)
 		w.bigger(3, 8)
-		w.long()
-		w.losslessReports, w.reliableStore, w.keepCuts = true, true, true
-		w.startNodes()
-		w.live(3)
+		w.setLongTasks()
+		w.losslessReports, w.reliableStore, w.keepBrokenLinks = true, true, true
+		w.startControllers()
+		w.runFor(3)
 		w.submit("j-80", 4)
-		if !w.within(10, func() bool { return w.onMachines("j-80") == 4 }) {
-			t.Fatal("the job does not run")
+		if !w.runUntil(10, func() bool { return w.unfinishedTasks("j-80") == 4 }) {
+			t.Fatal("not all tasks of the job are running")
 		}
-		w.live(2)
+		w.runFor(2)
 		owner := w.leader()
 		refused := 0
-		w.nodes[owner].view.Refuse.Set(func(txn wire.Txn) bool {
-			ours := txn.Then[0].Put == "live/j-80"
-			if ours {
+		w.nodes[owner].view.RefuseTxn.Set(func(txn wire.Txn) bool {
+			isCancel := txn.Then[0].Put == "live/j-80"
+			if isCancel {
 				refused++
 			}
-			return ours
+			return isCancel
 		})
-		if stage, heard := w.user(owner, http.MethodPost, "j-80"); heard || refused == 0 {
-			t.Errorf("the cancel is answered %q, refused %d times", stage, refused)
+		if stage, answered := w.userRequest(owner, http.MethodPost, "j-80"); answered || refused == 0 {
+			t.Errorf("the cancel was answered %q, its write was refused %d times", stage, refused)
 		}
-		w.nodes[owner].view.Refuse.Set(nil)
+		w.nodes[owner].view.RefuseTxn.Set(nil)
 		for _, outage := range []bool{false, true} {
 			if outage {
-				w.refuse(w.names...)
+				w.cutFromStateService(w.controllerNames...)
 			}
-			for range 3 { // less than a lease, after which no leader answers from memory in an outage
-				for _, name := range w.names {
-					if stage, heard := w.user(name, http.MethodGet, "j-80"); !heard || stage != wire.StageRunning {
-						t.Errorf("outage %v: %s calls the job %q, %v", outage, name, stage, heard)
+			for range 3 { // shorter than a lease; once it has expired no leader answers from memory in an outage
+				for _, name := range w.controllerNames {
+					if stage, answered := w.userRequest(name, http.MethodGet, "j-80"); !answered || stage != wire.StageRunning {
+						t.Errorf("outage %v: %s reports stage %q, answered %v", outage, name, stage, answered)
 					}
 				}
-				w.live(1)
+				w.runFor(1)
 			}
 		}
-		w.healed()
-		w.live(8)
-		if on := w.onMachines("j-80"); on != 4 {
-			t.Errorf("%d of 4 tasks are on", on)
+		w.healAllLinks()
+		w.runFor(8)
+		if on := w.unfinishedTasks("j-80"); on != 4 {
+			t.Errorf("%d of 4 tasks are running", on)
 		}
 		w.stopAll()
 	})
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -19,8 +19,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// asNative and asSlurm are the same submission, as users of either client write it.
-func asNative(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
+// nativeSubmission and slurmSubmission make the same submission as either client sends it.
+func nativeSubmission(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
 	body := fmt.Sprintf(`{"uid":"j-x","docket":%q,"crew":%q,"sort":"sweep","urgency":%q,"pieces":%d,"cpus":2,"cards":0,"memoryGb":1,"kit":"none","pullGb":0,
 		"together":false,"apart":false,"loaners":true,"reckonS":60,"markS":0,"stashS":0}`, class, team, priority, tasks)
 	j, err := wire.ParseJob([]byte(body))
@@ -30,13 +30,13 @@
 	return j, &jobspec.Constraints{}
 }
 
-func asSlurm(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
+func slurmSubmission(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
 	line := fmt.Sprintf("-p %s -A %s -q %s -c 2 --mem 1G -C spot -t 1 --array=0-%d", class, team, priority, tasks-1)
-	given, _, err := slurm.ParseArgs(slurm.Sbatch, strings.Fields(line))
+	options, _, err := slurm.ParseArgs(slurm.Sbatch, strings.Fields(line))
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := slurm.Join(slurm.Sbatch, time.Now(), given)
+	o, err := slurm.Join(slurm.Sbatch, time.Now(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,16 +48,15 @@
 	return &r.Job, &r.Constraints
 }
 
-// workload plays a workload on one worker, its jobs made by submitter, which may differ
-// from job to job, and returns the order of starts and the rows of accounting,
-// without the names that each client gives.
-func workload(t *testing.T, submitter func(n int) func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)) (starts, rows []string) {
+// playWorkload runs a workload on one worker and returns the order of task starts and the accounting
+// rows, without the names that each client sets. submitter selects the client of the n-th job.
+func playWorkload(t *testing.T, submitter func(n int) func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)) (starts, rows []string) {
 	w := newCluster(t, 1)
-	w.accounts = true
+	w.accountingEnabled = true
 	w.workers = w.workers[:1]
 	mu := &w.mu
-	w.workers[0].Run = func(string) time.Duration { return 4 * time.Second }
-	w.workers[0].Started = func(task string, _ uint64) { starts = append(starts, task) }
+	w.workers[0].RunTime = func(string) time.Duration { return 4 * time.Second }
+	w.workers[0].OnStart = func(task string, _ uint64) { starts = append(starts, task) }
 	w.reliableStore = true
 	w.start("a")
 	n := w.nodes["a"]
@@ -65,24 +64,24 @@
 		w.nodes[x] = &node{cluster: w, name: x, down: true}
 	}
 	time.Sleep(2 * time.Second)
-	clean := &testkit.View{Store: w.store}
+	view := &testkit.View{Store: w.store}
 	jobs := []struct {
 		class, team, priority string
 		tasks                 int
 	}{{"study", "lab", "low", 3}, {"study", "t", "normal", 2}, {"tips", "t", "production", 2}, {"study", "lab", "low", 1}, {"tips", "t", "urgent", 3}, {"study", "t", "normal", 2}, {"tips", "t", "production", 1}}
 	for i, k := range jobs {
-		j, tm := submitter(i)(t, k.class, k.team, k.priority, k.tasks)
-		j.UID, tm.Number = fmt.Sprintf("j-%d", i), uint64(100*(i+1))
+		j, constraints := submitter(i)(t, k.class, k.team, k.priority, k.tasks)
+		j.UID, constraints.Number = fmt.Sprintf("j-%d", i), uint64(100*(i+1))
 		at := time.Now().UnixMilli()
-		guards, ops := jobrecord.AcceptanceTxn(j, tm, jobrecord.HashShard(j, nil, 4), at)
-		if _, err := clean.Txn(context.Background(), guards, ops...); err != nil {
+		guards, ops := jobrecord.AcceptanceTxn(j, constraints, jobrecord.HashShard(j, nil, 4), at)
+		if _, err := view.Txn(context.Background(), guards, ops...); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	for end := time.Now().Add(10 * time.Minute); len(w.store.Keys("final/")) < len(jobs); {
 		if time.Now().After(end) {
-			t.Fatalf("only %v ended", w.store.Keys("final/"))
+			t.Fatalf("only these jobs ended: %v", w.store.Keys("final/"))
 		}
 		w.exchange()
 		mu.Lock()
@@ -93,7 +92,7 @@
 		if _, body := n.dispatcher.HandleReport(context.Background(), rep); body != nil {
 			if a, ok := body.(wire.ReportResponse); ok {
 				mu.Lock()
-				w.workers[0].Answer(sent, rep.Session, a)
+				w.workers[0].HandleResponse(sent, rep.Session, a)
 				mu.Unlock()
 			}
 		}
@@ -108,55 +107,54 @@
 		began, took := r.Start, r.End-r.Start
 		r.Submit, r.Eligible, r.Start, r.End = 0, 0, 0, 0
 		if r.Kind == accounting.RowJob {
-			took = 0 // until the end was recorded
+			took = 0 // the row's end is the time at which the end was recorded
 		}
 		data, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Its end is seen by the next report, up to a second later.
-		whole := r.Kind == accounting.RowJob || took >= 3900 && took < 5600
-		rows = append(rows, fmt.Sprintf("%s began %v, ran for 4 s %v: %s", name, began > 0, whole, data))
+		// The end is seen with the next heartbeat, up to a second later.
+		fullRun := r.Kind == accounting.RowJob || took >= 3900 && took < 5600
+		rows = append(rows, fmt.Sprintf("%s began %v, ran for 4 s %v: %s", name, began > 0, fullRun, data))
 	}
 	slices.Sort(rows)
 	w.crash("a")
 	return starts, rows
 }
 
-// The same workload, submitted by native clients, by Slurm's, and by both in turn,
-// starts in the same order and leaves the same rows of accounting, line for line. No
-// client goes before the other.
+// The same workload, submitted by native clients, by Slurm clients, and by both alternately, starts in
+// the same order and produces the same accounting rows: neither client is preferred.
 func TestNativeAndSlurmClientsGetSameOrderAndAccounting(t *testing.T) {
-	type maker = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)
+	type submitFunc = func(*testing.T, string, string, string, int) (*wire.Job, *jobspec.Constraints)
 	var starts, rows [][]string
-	for _, m := range []func(int) maker{
-		func(int) maker { return asNative }, func(int) maker { return asSlurm },
-		func(n int) maker { return []maker{asNative, asSlurm}[n%2] },
+	for _, m := range []func(int) submitFunc{
+		func(int) submitFunc { return nativeSubmission }, func(int) submitFunc { return slurmSubmission },
+		func(n int) submitFunc { return []submitFunc{nativeSubmission, slurmSubmission}[n%2] },
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s, r := workload(t, m)
+			s, r := playWorkload(t, m)
 			starts, rows = append(starts, s), append(rows, r)
 		})
 	}
-	ranks := func(starts []string) (out []string) {
+	jobOrder := func(starts []string) (out []string) {
 		for _, s := range starts {
 			out = append(out, strings.Split(s, "/")[0])
 		}
 		return out
 	}
 	for i := 1; i < 3; i++ {
-		if !slices.Equal(ranks(starts[i]), ranks(starts[0])) {
-			t.Errorf("starts: %v, and not %v", starts[i], starts[0])
+		if !slices.Equal(jobOrder(starts[i]), jobOrder(starts[0])) {
+			t.Errorf("starts: %v, want %v", starts[i], starts[0])
 		}
 		if !slices.Equal(rows[i], rows[0]) {
-			t.Errorf("rows:\n%s\nand not\n%s", strings.Join(rows[i], "\n"), strings.Join(rows[0], "\n"))
+			t.Errorf("rows:\n%s\nwant\n%s", strings.Join(rows[i], "\n"), strings.Join(rows[0], "\n"))
 		}
 	}
 	if len(rows[0]) != 7+14 || len(starts[0]) != 14 {
 		t.Errorf("%d rows, %d starts", len(rows[0]), len(starts[0]))
 	}
-	// Production before urgent before normal before low, but for what ran already.
-	order := ranks(starts[0])
+	// Order by priority: production, urgent, normal, low, apart from jobs that were already running.
+	order := jobOrder(starts[0])
 	if slices.Index(order, "j-4") > slices.Index(order, "j-5") || slices.Index(order, "j-6") > slices.Index(order, "j-4") {
 		t.Errorf("order %v", order)
 	}
--- a/internal/testkit/cluster_cancels_test.go
+++ b/internal/testkit/cluster_cancels_test.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/scheduler"
 )
 
-// tellCancels has a controller and a peer tell each other of cancels.
-func (w *cluster) tellCancels(n, to *node) {
+// exchangeCancels exchanges the known cancels between a controller and a peer.
+func (w *cluster) exchangeCancels(n, to *node) {
 	m := n.cancellations.MessageFor(to.name)
 	err := to.cancellations.HandleMessage(n.name, &m)
 	rep := to.cancellations.MessageFor(n.name)
@@ -18,33 +18,35 @@
 	}
 }
 
-// watchCancels does what cmd/wallrack does beside the pings.
-func (w *cluster) watchCancels(ctx context.Context, living []*node) {
-	const unheard = 2500 * time.Millisecond
+// maintainCancels does the cancellation work of cmd/wallrack that is not part of its pings: it
+// exchanges cancels with peers not heard from lately, reads the recorded cancels if needed, and stops
+// cancelled tasks that still run.
+func (w *cluster) maintainCancels(ctx context.Context, living []*node) {
+	const staleAfter = 2500 * time.Millisecond
 	for _, n := range living {
-		for _, p := range n.cancellations.StalePeers(unheard) {
+		for _, p := range n.cancellations.StalePeers(staleAfter) {
 			w.mu.Lock()
 			to := w.nodes[p]
-			ok := w.reach(n, to)
+			reachable := w.reaches(n, to)
 			w.mu.Unlock()
-			if ok {
-				w.tellCancels(n, to)
+			if reachable {
+				w.exchangeCancels(n, to)
 			}
 		}
-		if n.cancellations.NeedsStoreRead(unheard) {
+		if n.cancellations.NeedsStoreRead(staleAfter) {
 			sent := time.Now()
 			if uids, err := scheduler.ReadCancelledJobs(ctx, n.view); err == nil {
 				n.cancellations.RecordStoreRead(sent, uids)
 			}
 		}
-		if was := n.entitled; n.member.FencingToken() > 0 {
-			n.entitled = n.MayAnswerWorkers()
-			if was && !n.entitled {
-				w.lapses++
+		if couldAnswer := n.couldAnswerWorkers; n.member.FencingToken() > 0 {
+			n.couldAnswerWorkers = n.MayAnswerWorkers()
+			if couldAnswer && !n.couldAnswerWorkers {
+				w.stoppedAnswering++
 			}
 		}
-		if on := n.scheduler.UnstoppedWorkers(3 * time.Second); len(on) > 0 && n.MayAnswerWorkers() {
-			n.onDuty("cancels", func(ctx context.Context) { n.dispatcher.PollAndHaltCancelledTasks(ctx, on) })
+		if unstopped := n.scheduler.UnstoppedWorkers(3 * time.Second); len(unstopped) > 0 && n.MayAnswerWorkers() {
+			n.onDuty("cancels", func(ctx context.Context) { n.dispatcher.PollAndHaltCancelledTasks(ctx, unstopped) })
 		}
 	}
 }
--- a/internal/testkit/cluster_checks_test.go
+++ b/internal/testkit/cluster_checks_test.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-func (w *cluster) check() {
+func (w *cluster) checkInvariants() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	on := map[string]string{}
+	workerOf := map[string]string{}
 	use := teamUse{}
 	for _, k := range w.workers {
-		for _, task := range k.On() {
+		for _, task := range k.UnfinishedTasks() {
 			uid, _, _ := strings.Cut(task, "/")
-			if job := w.specs[uid]; job != nil {
+			if job := w.submittedJobs[uid]; job != nil {
 				use[job.Team] += job.CPUs
 			}
 			if at, cancelled := w.confirmedCancels[uid]; cancelled && time.Since(at).Seconds() > w.cfg.Params.Workers.CancelS {
-				w.fail("%s is on %s %v after its user heard that it is cancelled", task, k.Name, time.Since(at))
+				w.fail("%s is on %s %v after its user was told that it is cancelled", task, k.Name, time.Since(at))
 			}
-			if other, twice := on[task]; twice {
+			if other, duplicate := workerOf[task]; duplicate {
 				w.fail("%s is on %s and %s", task, other, k.Name)
 			}
-			on[task] = k.Name
+			workerOf[task] = k.Name
 		}
 	}
-	w.checkLimits(use)
+	w.checkTeamLimits(use)
 }
 
-// checkLimits fails if a team uses more than its limit, by what its workers have.
-func (w *cluster) checkLimits(use teamUse) {
+// checkTeamLimits fails if the tasks on workers use more CPUs than their team's limit.
+func (w *cluster) checkTeamLimits(use teamUse) {
 	for _, team := range w.cfg.Params.Teams {
 		if cpus := use[team.Name]; team.CPUsMax > 0 && cpus > team.CPUsMax+cpuTolerance {
 			w.fail("team %s uses %v CPUs of %v", team.Name, cpus, team.CPUsMax)
--- a/internal/testkit/cluster_users_test.go
+++ b/internal/testkit/cluster_users_test.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ShardLeaders names the other controllers that own jobs, as cmd/wallrack does.
+// ShardLeaders returns the names of the other controllers that lead shards, as in cmd/wallrack.
 func (n *node) ShardLeaders() (out []string) {
 	add := func(name string) {
 		if name != "" && name != n.name && !slices.Contains(out, name) {
@@ -35,13 +35,13 @@
 	return out
 }
 
-// ServingPeers names the controllers that reach the state service.
+// ServingPeers returns the names of the controllers that reach the state service.
 func (n *node) ServingPeers() []string { v := n.linksSeen(); return v.StoreReachablePeers() }
 
-// Healthy reports whether this controller takes users.
+// Healthy reports whether this controller accepts users' requests.
 func (n *node) Healthy() bool { return true }
 
-// QueryPeer hands a user's request to a peer.
+// QueryPeer forwards a user's request to a peer.
 func (n *node) QueryPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
 	return overPeerLink(ctx, n.cluster, func() (*submission.Reply, error) {
 		to, err := n.peer(peer)
@@ -53,13 +53,14 @@
 	})
 }
 
-// user sends a user's request to a controller, and notes what its user hears.
-func (w *cluster) user(name, method, uid string) (stage string, heard bool) {
+// userRequest sends a user's request for a job to a controller and checks the response against
+// earlier ones. It returns the job's stage, and whether a response was received.
+func (w *cluster) userRequest(name, method, uid string) (stage string, answered bool) {
 	w.mu.Lock()
 	n := w.nodes[name]
 	down := n.down
-	_, cancelled := w.confirmedCancels[uid] // what was answered before this request was sent
-	over := w.doneJobs[uid]
+	_, cancelled := w.confirmedCancels[uid] // confirmed before this request was sent
+	done := w.doneJobs[uid]
 	w.mu.Unlock()
 	if down {
 		return "", false
@@ -75,42 +76,42 @@
 	if rec.Code == http.StatusNotFound {
 		w.fail("%s does not know %s", name, uid)
 	}
-	if rec.Code != http.StatusOK || n.down { // an answer of a process that ended meanwhile is lost
+	if rec.Code != http.StatusOK || n.down { // the response of a process that crashed in the meantime is lost
 		return "", false
 	}
 	var s wire.JobState
 	if err := json.Unmarshal(rec.Body.Bytes(), &s); err != nil {
-		w.fail("%s answers %q", name, rec.Body)
+		w.fail("%s returned an invalid response: %q", name, rec.Body)
 	}
 	if cancelled && s.Stage != wire.StageCancelled {
-		w.fail("%s calls %s %s after its user heard that it is cancelled", name, uid, s.Stage)
+		w.fail("%s reports job %s as %s after its user was told that it is cancelled", name, uid, s.Stage)
 	}
 	if s.Stage == wire.StageCancelled && w.confirmedCancels[uid].IsZero() {
 		w.confirmedCancels[uid] = time.Now()
 	}
 	if s.Stage == wire.StageDone {
 		w.doneJobs[uid] = true
-	} else if over {
-		w.fail("%s calls %s %s after it was called done", name, uid, s.Stage)
+	} else if done {
+		w.fail("%s reports job %s as %s after it was reported done", name, uid, s.Stage)
 	}
 	return s.Stage, true
 }
 
-// cancelAll has the users of jobs cancel them at a controller, and come back for up
-// to so many seconds. It returns how many heard that their job is cancelled.
-func (w *cluster) cancelAll(at string, jobs []string, seconds int) (heard int) {
-	left := slices.Clone(jobs)
+// cancelJobs sends the users' cancels of jobs to a controller and repeats unanswered ones each second,
+// for up to the given number of seconds. It returns the number of confirmed cancels.
+func (w *cluster) cancelJobs(at string, jobs []string, seconds int) (confirmed int) {
+	remaining := slices.Clone(jobs)
 	for i := 0; ; i++ {
-		left = slices.DeleteFunc(left, func(uid string) bool {
-			stage, ok := w.user(at, http.MethodPost, uid)
-			if ok && stage == wire.StageCancelled {
-				heard++
+		remaining = slices.DeleteFunc(remaining, func(uid string) bool {
+			stage, answered := w.userRequest(at, http.MethodPost, uid)
+			if answered && stage == wire.StageCancelled {
+				confirmed++
 			}
-			return ok
+			return answered
 		})
-		if len(left) == 0 || i >= seconds {
-			return heard
+		if len(remaining) == 0 || i >= seconds {
+			return confirmed
 		}
-		w.live(1)
+		w.runFor(1)
 	}
 }
--- a/internal/testkit/drawn_faults_test.go
+++ b/internal/testkit/drawn_faults_test.go
@@ -15,9 +15,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// drawnCluster plays one drawn case on a new cluster, whose first broken rule fails the case
-// and not the whole test, so that a smaller case can be looked for.
-func drawnCluster(t *testing.T, rt *rapid.T, seed uint64, controllers, workers int, play func(w *cluster)) {
+// runDrawnCase runs one drawn case on a new cluster. The first violated invariant fails this case
+// only, not the whole test, so that rapid can shrink it.
+func runDrawnCase(t *testing.T, rt *rapid.T, seed uint64, controllers, workers int, play func(w *cluster)) {
 	var w *cluster
 	synctest.Test(t, func(t *testing.T) {
 		w = newCluster(t, seed)
@@ -27,7 +27,7 @@
 			}
 		}
 		w.bigger(controllers, workers)
-		w.startNodes()
+		w.startControllers()
 		time.Sleep(2 * time.Second)
 		play(w)
 		w.stopAll()
@@ -37,15 +37,15 @@
 	}
 }
 
-// TestNoTaskRunsTwiceUnderDrawnFaults drives controllers through crashes, cuts, lost and
-// late transactions, lost and late commands: a task is never on two workers,
-// every accepted job ends, and none is called done before all its tasks are.
+// TestNoTaskRunsTwiceUnderDrawnFaults runs controllers through crashes, broken links, and lost and
+// late transactions and commands. A task is never on two workers, every accepted job ends, and no
+// job is reported as done before all its tasks are.
 func TestNoTaskRunsTwiceUnderDrawnFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, seed)
-				w.startNodes()
+				w.startControllers()
 				time.Sleep(2 * time.Second)
 				const jobs = 6
 				for i := range jobs {
@@ -55,14 +55,14 @@
 				calm := time.Now().Add(2 * time.Minute)
 				for len(w.store.Keys("final/")) < jobs {
 					if time.Now().After(deadline) {
-						t.Fatalf("only %v ended", w.store.Keys("final/"))
+						t.Fatalf("only these jobs ended: %v", w.store.Keys("final/"))
 					}
 					w.reportAll()
 					w.step(calm)
 				}
-				clean := &testkit.View{Store: w.store}
+				view := &testkit.View{Store: w.store}
 				for i := range jobs {
-					s, err := scheduler.ReadStoredState(context.Background(), clean, fmt.Sprintf("j-%d", i))
+					s, err := scheduler.ReadStoredState(context.Background(), view, fmt.Sprintf("j-%d", i))
 					if err != nil || s.Stage != wire.StageDone || s.Done != 4+3*i {
 						t.Errorf("job %d: %+v, %v", i, s, err)
 					}
--- a/internal/testkit/drawn_outages_test.go
+++ b/internal/testkit/drawn_outages_test.go
@@ -10,22 +10,22 @@
 	"pgregory.net/rapid"
 )
 
-// outageJobs is how many jobs with long tasks run.
+// outageJobs is the number of jobs with long tasks.
 const outageJobs = 6
 
-// outageAct is what happens at a second.
-type outageAct struct{ At, What, Who, Other int }
+// outageAction is a user's request, a fault or its end in the given second of a phase.
+type outageAction struct{ Second, Kind, Controller, Target int }
 
-// outagePhase is a time before an outage, and the outage.
+// outagePhase is the time before an outage of the state service and the outage itself.
 type outagePhase struct {
-	Refused, Apart, Alone bool // the leader by the state service, the peers, all but its workers
-	Before, Outage        int  // seconds
-	Acts                  []outageAct
+	LeaderCutFromStore, LeaderCutFromPeers, WorkersReachOnlyLeader bool // links that are broken from the start of the phase
+	SecondsBefore, OutageSeconds                                   int
+	Actions                                                        []outageAction
 }
 
 func drawOutagePhases(rt *rapid.T) []outagePhase {
-	acts := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) outageAct {
-		return outageAct{
+	acts := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) outageAction {
+		return outageAction{
 			rapid.IntRange(0, 30).Draw(rt, "at"), rapid.IntRange(0, 9).Draw(rt, "what"),
 			rapid.IntRange(0, 4).Draw(rt, "who"), rapid.IntRange(0, 11).Draw(rt, "other"),
 		}
@@ -38,121 +38,121 @@
 	}), 1, 2).Draw(rt, "phases")
 }
 
-// TestDrawnCancelsDuringOutagesAreFinal draws gaps: refusals, cuts between controllers and of workers, cancels,
-// outages, ends and returns, at drawn times, and checks them by what users and workers
-// saw: every task of a cancelled job is gone in time, no job is called anything else
-// after it was called cancelled or done, and what was not cancelled ends.
+// TestDrawnCancelsDuringOutagesAreFinal draws broken links between controllers, workers and the state
+// service, cancels, outages and restarts at drawn times. It checks what users and workers saw: every
+// task of a cancelled job is stopped in time, no job is reported in another stage after it was
+// reported as cancelled or done, and every job that was not cancelled ends.
 func TestDrawnCancelsDuringOutagesAreFinal(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		phases := drawOutagePhases(rt)
 		controllers := rapid.IntRange(3, 5).Draw(rt, "controllers")
 		seed := rapid.Uint64().Draw(rt, "seed")
-		drawnCluster(t, rt, seed, controllers, 8, func(w *cluster) {
-			w.long()
+		runDrawnCase(t, rt, seed, controllers, 8, func(w *cluster) {
+			w.setLongTasks()
 			for i := range outageJobs {
 				w.submit(fmt.Sprintf("j-%d", 80+i), 3)
 			}
 			w.submit("j-1", 20)
-			w.keepCuts = true
-			w.live(12)
+			w.keepBrokenLinks = true
+			w.runFor(12)
 			for i := range phases {
 				w.playOutagePhase(&phases[i])
 			}
-			w.live(25)
+			w.runFor(25)
 			w.checkAfterOutages()
 		})
 	})
 }
 
-// carryOut carries out an act.
-func (w *cluster) carryOut(a outageAct, leader string) {
-	name, other := w.names[a.Who%len(w.names)], w.names[a.Other%len(w.names)]
-	uid := fmt.Sprintf("j-%d", 80+a.Other%outageJobs)
-	switch a.What {
+// performAction performs an action of a phase in which leader leads.
+func (w *cluster) performAction(a outageAction, leader string) {
+	name, other := w.controllerNames[a.Controller%len(w.controllerNames)], w.controllerNames[a.Target%len(w.controllerNames)]
+	uid := fmt.Sprintf("j-%d", 80+a.Target%outageJobs)
+	switch a.Kind {
 	case 0, 1, 2, 3:
 		for i := 0; i < 6; i++ {
-			if _, ok := w.user(name, http.MethodPost, uid); ok {
+			if _, ok := w.userRequest(name, http.MethodPost, uid); ok {
 				break
 			}
-			w.live(1)
+			w.runFor(1)
 		}
 	case 4:
-		w.user(name, http.MethodGet, uid)
+		w.userRequest(name, http.MethodGet, uid)
 	case 5:
-		w.restart(name, time.Duration(100+400*a.Other)*time.Millisecond)
+		w.restart(name, time.Duration(100+400*a.Target)*time.Millisecond)
 	case 6:
-		w.healLinks(leader, w.others(leader)...)
+		w.healLinks(leader, w.otherControllers(leader)...)
 	case 7:
 		if name != other {
-			w.cutAll(name, other)
+			w.breakLinks(name, other)
 		}
 	case 8:
-		w.workersHear(w.names...)
+		w.connectWorkersOnlyTo(w.controllerNames...)
 	case 9:
-		w.release()
+		w.deliverHeldCommands()
 		for _, n := range w.nodes {
-			n.view.Deliver()
+			n.view.ApplyHeld()
 		}
 	}
 }
 
-// playOutagePhase plays a phase, after which all links are healed.
-func (w *cluster) playOutagePhase(ph *outagePhase) {
-	leader := w.names[0]
-	for _, n := range w.names {
+// playOutagePhase plays a phase, and heals all links at its end.
+func (w *cluster) playOutagePhase(phase *outagePhase) {
+	leader := w.controllerNames[0]
+	for _, n := range w.controllerNames {
 		if len(w.nodes[n].member.LedShards()) > 0 {
 			leader = n
 		}
 	}
-	if ph.Refused {
-		w.refuse(leader)
+	if phase.LeaderCutFromStore {
+		w.cutFromStateService(leader)
 	}
-	for _, x := range w.names {
-		if ph.Apart && x != leader {
-			w.cutAll(leader, x)
+	for _, peer := range w.controllerNames {
+		if phase.LeaderCutFromPeers && peer != leader {
+			w.breakLinks(leader, peer)
 		}
 	}
-	if ph.Alone {
-		w.workersHear(leader)
+	if phase.WorkersReachOnlyLeader {
+		w.connectWorkersOnlyTo(leader)
 	}
-	// Acts come before the outage, and up to 15 s into it.
-	left := slices.Clone(ph.Acts)
-	for s := 0; s < ph.Before+ph.Outage; s++ {
-		if s == ph.Before {
-			w.refuse(w.names...)
+	// Actions happen before the outage, or in its first 15 s.
+	actions := slices.Clone(phase.Actions)
+	for second := 0; second < phase.SecondsBefore+phase.OutageSeconds; second++ {
+		if second == phase.SecondsBefore {
+			w.cutFromStateService(w.controllerNames...)
 		}
-		for _, a := range left {
-			if a.At%(ph.Before+15) == s {
-				w.carryOut(a, leader)
+		for _, a := range actions {
+			if a.Second%(phase.SecondsBefore+15) == second {
+				w.performAction(a, leader)
 			}
 		}
-		w.live(1)
+		w.runFor(1)
 	}
-	w.healed()
-	w.live(15)
+	w.healAllLinks()
+	w.runFor(15)
 }
 
-// checkAfterOutages fails if a controller does not know a job, or one that was not cancelled
-// does not end.
+// checkAfterOutages fails if a controller does not answer for a job, or if the job that was not
+// cancelled does not end.
 func (w *cluster) checkAfterOutages() {
 	for i := range outageJobs {
 		uid := fmt.Sprintf("j-%d", 80+i)
-		for _, n := range w.names {
-			// An answer that a lost reply made unsure is sure a moment later.
-			_, ok := w.user(n, http.MethodGet, uid)
+		for _, n := range w.controllerNames {
+			// A controller that could not answer because a reply was lost can do so a moment later.
+			_, ok := w.userRequest(n, http.MethodGet, uid)
 			for range 3 {
 				if !ok {
-					w.live(1)
-					_, ok = w.user(n, http.MethodGet, uid)
+					w.runFor(1)
+					_, ok = w.userRequest(n, http.MethodGet, uid)
 				}
 			}
 			if !ok {
-				w.fail("40 s after the last trouble %s says nothing of %s", n, uid)
+				w.fail("40 s after the last fault %s does not answer for %s", n, uid)
 			}
 		}
 	}
 	for end := time.Now().Add(5 * time.Minute); w.violation == "" && len(w.store.Keys("final/j-1")) < 1 && time.Now().Before(end); {
-		w.live(1)
+		w.runFor(1)
 	}
 	if w.violation == "" && len(w.store.Keys("final/j-1")) < 1 {
 		w.fail("a job that was not cancelled did not end")
--- a/internal/testkit/fault_kinds_test.go
+++ b/internal/testkit/fault_kinds_test.go
@@ -15,77 +15,77 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// faultKind is a kind of fault, while it lasts. Each second it does something; it
-// counts what it brought about.
+// faultKind is a kind of fault. It is active for a drawn number of seconds, and counts its effects in
+// faultRun.effects.
 type faultKind struct {
-	name  string
-	least int // seconds that it lasts, at least
-	most  int
-	begin func(m *faultRun)
-	each  func(m *faultRun, second int)
-	end   func(m *faultRun)
+	name        string
+	minSeconds  int // shortest duration in seconds
+	maxSeconds  int
+	begin       func(m *faultRun)
+	everySecond func(m *faultRun, second int)
+	end         func(m *faultRun)
 }
 
 // faultRun is a cluster in which several faults overlap.
 type faultRun struct {
 	*cluster
-	leader   string // when the first fault began
-	did      *int   // what the fault at hand brought about
-	away     []*testkit.Worker
-	jobs     []string        // with long tasks
-	sizes    map[string]int  // tasks of each job that was accepted
-	accepted []string        // all jobs, in the order in which they were accepted
-	ended    map[string]bool // tasks that ended by themselves
-	users    sync.WaitGroup
-	onExit   func(uid string) // called when a task ends by itself; nil: nothing more
-	lastOne  string           // whom the copies of reports were last delivered under
+	firstLeader      string // leader when the first fault began
+	effects          *int   // counts the effects of the current fault
+	affectedWorkers  []*testkit.Worker
+	longJobs         []string        // jobs with long tasks
+	taskCounts       map[string]int  // number of tasks of each accepted job
+	accepted         []string        // uids of all jobs in the order of their acceptance
+	endedTasks       map[string]bool // tasks that ended by themselves
+	pendingRequests  sync.WaitGroup
+	onExit           func(uid string) // called when a task ends by itself; may be nil
+	lastCopiesLeader string           // leader when copies of heartbeats were last delivered
 }
 
-// ask sends a user's request, and waits for no answer.
-func (m *faultRun) ask(method, uid string) {
-	at := m.names[m.draw(len(m.names))]
-	m.users.Add(1)
-	go func() { defer m.users.Done(); m.user(at, method, uid) }()
+// sendUserRequest sends a user's request to a drawn controller without waiting for the response.
+func (m *faultRun) sendUserRequest(method, uid string) {
+	at := m.controllerNames[m.planIntN(len(m.controllerNames))]
+	m.pendingRequests.Add(1)
+	go func() { defer m.pendingRequests.Done(); m.userRequest(at, method, uid) }()
 }
 
-func (m *faultRun) machinesAway(cut func(k *testkit.Worker)) {
-	from := m.draw(len(m.workers))
+func (m *faultRun) disturbWorkers(disturb func(k *testkit.Worker)) {
+	first := m.planIntN(len(m.workers))
 	for i := range 3 {
-		k := m.workers[(from+i)%len(m.workers)]
-		m.away = append(m.away, k)
-		cut(k)
-		*m.did++
+		k := m.workers[(first+i)%len(m.workers)]
+		m.affectedWorkers = append(m.affectedWorkers, k)
+		disturb(k)
+		*m.effects++
 	}
 }
 
-func (m *faultRun) machinesBack() {
-	for _, k := range m.away {
-		m.healLinks(k.Name, m.names...)
+func (m *faultRun) restoreWorkers() {
+	for _, k := range m.affectedWorkers {
+		m.healLinks(k.Name, m.controllerNames...)
 		m.resume(k)
 	}
-	m.away = nil
+	m.affectedWorkers = nil
 }
 
-func (m *faultRun) ms(from, below int) time.Duration {
-	return time.Duration(from+m.rnd.IntN(below-from)) * time.Millisecond
+func (m *faultRun) drawMillis(from, below int) time.Duration {
+	return time.Duration(from+m.messageRand.IntN(below-from)) * time.Millisecond
 }
 
-// askEverywhere has a user ask all controllers for a job at once, several times.
-func (m *faultRun) askEverywhere(uid string, times int) {
+// pollAllControllers polls all controllers for a job at once, several times.
+func (m *faultRun) pollAllControllers(uid string, times int) {
 	for i := range times {
-		for _, at := range m.names {
-			m.users.Add(1)
+		for _, at := range m.controllerNames {
+			m.pendingRequests.Add(1)
 			go func() {
-				defer m.users.Done()
+				defer m.pendingRequests.Done()
 				time.Sleep(time.Duration(3*i) * time.Millisecond)
-				m.user(at, http.MethodGet, uid)
+				m.userRequest(at, http.MethodGet, uid)
 			}()
 		}
 	}
 }
 
-// post submits a job at a controller, and returns the status; 0 if nothing comes back.
-func (m *faultRun) post(at string, job *wire.Job, drop ...string) int {
+// postJob submits a job to a controller and returns the status, or 0 if there was no response.
+func (m *faultRun) postJob(at string, job *wire.Job, drop ...string) int {
 	m.mu.Lock()
 	n := m.nodes[at]
 	down := n.down
@@ -117,7 +117,7 @@
 	return rec.Code
 }
 
-// postInvalid submits what can't run or lacks a field: no controller may accept it.
+// postInvalid submits a job that cannot run or lacks a field: no controller may accept it.
 func (m *faultRun) postInvalid(at string, number int) {
 	job := arrayJob(fmt.Sprintf("j-%d", 100000+number), 1)
 	var drop []string
@@ -131,207 +131,209 @@
 	case 3:
 		drop = []string{"pieces"}
 	}
-	m.users.Add(1)
+	m.pendingRequests.Add(1)
 	go func() {
-		defer m.users.Done()
-		switch code := m.post(at, job, drop...); code {
+		defer m.pendingRequests.Done()
+		switch code := m.postJob(at, job, drop...); code {
 		case 0, http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusServiceUnavailable:
 		default:
-			m.fail("%s answers %d to a job that can't run (%d)", at, code, number%4)
+			m.fail("%s returned status %d for an invalid job (kind %d)", at, code, number%4)
 		}
 	}()
 }
 
-// repeat submits a job again that was accepted: no controller may refuse it for good.
-func (m *faultRun) repeat(at, uid string) {
+// resubmit repeats the submission of an accepted job: no controller may refuse it for good.
+func (m *faultRun) resubmit(at, uid string) {
 	m.mu.Lock()
-	job := m.specs[uid]
+	job := m.submittedJobs[uid]
 	m.mu.Unlock()
-	m.users.Add(1)
+	m.pendingRequests.Add(1)
 	go func() {
-		defer m.users.Done()
-		if code := m.post(at, job); code/100 == 4 && code != http.StatusTooManyRequests {
-			m.fail("%s answers %d to the repeated submission of %s", at, code, uid)
+		defer m.pendingRequests.Done()
+		if code := m.postJob(at, job); code/100 == 4 && code != http.StatusTooManyRequests {
+			m.fail("%s returned status %d for the repeated submission of %s", at, code, uid)
 		}
 	}()
 }
 
-// addMachine adds a worker that is up at once, and reports to any controller.
-func (m *faultRun) addMachine() {
+// addWorker adds a worker that is up at once and sends its heartbeats to a drawn controller.
+func (m *faultRun) addWorker() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	like := m.workers[0]
-	fresh := testkit.NewWorker(fmt.Sprintf("q-%d", len(m.workers)), workerLease, like.Run)
-	fresh.Exit = like.Exit
-	m.join(fresh, m.draw(len(m.names)))
+	template := m.workers[0]
+	worker := testkit.NewWorker(fmt.Sprintf("q-%d", len(m.workers)), workerLease, template.RunTime)
+	worker.ExitCode = template.ExitCode
+	m.registerWorker(worker, m.planIntN(len(m.controllerNames)))
 }
 
-// faultKinds are the kinds which may overlap, each with any.
+// faultKinds lists the kinds of faults. Any of them may overlap.
 var faultKinds = []faultKind{
-	{"old reports come again", 5, 25, nil, func(m *faultRun, _ int) {
-		for _, n := range m.names {
-			if m.draw(3) == 0 {
+	{"old heartbeats are delivered again", 5, 25, nil, func(m *faultRun, _ int) {
+		for _, n := range m.controllerNames {
+			if m.planIntN(3) == 0 {
 				m.deliverCopies(m.nodes[n])
-				*m.did++
+				*m.effects++
 			}
 		}
 	}, nil},
-	{"machines are away", 3, 18, func(m *faultRun) {
-		m.machinesAway(func(k *testkit.Worker) { m.cutAll(k.Name, m.names...) })
-	}, nil, (*faultRun).machinesBack},
-	{"machines hear nothing", 3, 18, func(m *faultRun) {
-		m.machinesAway(func(k *testkit.Worker) { m.unheard(k, m.names...) })
-	}, nil, (*faultRun).machinesBack},
-	{"machines hang and go on", 2, 14, func(m *faultRun) {
-		m.machinesAway(func(k *testkit.Worker) { m.hang(k) })
-	}, nil, (*faultRun).machinesBack},
+	{"workers are cut off", 3, 18, func(m *faultRun) {
+		m.disturbWorkers(func(k *testkit.Worker) { m.breakLinks(k.Name, m.controllerNames...) })
+	}, nil, (*faultRun).restoreWorkers},
+	{"workers receive nothing", 3, 18, func(m *faultRun) {
+		m.disturbWorkers(func(k *testkit.Worker) { m.breakLinksTo(k, m.controllerNames...) })
+	}, nil, (*faultRun).restoreWorkers},
+	{"workers hang and resume", 2, 14, func(m *faultRun) {
+		m.disturbWorkers(func(k *testkit.Worker) { m.hang(k) })
+	}, nil, (*faultRun).restoreWorkers},
 	{"the state service is slow", 8, 30, func(m *faultRun) {
-		did := m.did
-		m.locked(func() { m.storeLatency = func() time.Duration { *did++; return m.ms(300, 4000) } })
-	}, nil, func(m *faultRun) { m.locked(func() { m.storeLatency = nil }) }},
-	{"transactions are carried out late", 8, 30, func(m *faultRun) {
-		did := m.did
+		did := m.effects
+		m.withLock(func() { m.storeLatency = func() time.Duration { *did++; return m.drawMillis(300, 4000) } })
+	}, nil, func(m *faultRun) { m.withLock(func() { m.storeLatency = nil }) }},
+	{"transactions are applied late", 8, 30, func(m *faultRun) {
+		did := m.effects
 		delay := func() time.Duration {
-			if m.rnd.IntN(5) > 0 {
+			if m.messageRand.IntN(5) > 0 {
 				return 0
 			}
 			*did++
-			return m.ms(2000, 12000)
+			return m.drawMillis(2000, 12000)
 		}
-		m.locked(func() { m.transactionDelay = delay })
-	}, nil, func(m *faultRun) { m.locked(func() { m.transactionDelay = nil }) }},
-	{"commands are held up", 5, 25, func(m *faultRun) {
-		did := m.did
+		m.withLock(func() { m.transactionDelay = delay })
+	}, nil, func(m *faultRun) { m.withLock(func() { m.transactionDelay = nil }) }},
+	{"commands are delayed", 5, 25, func(m *faultRun) {
+		did := m.effects
 		holds := func() bool {
-			if m.rnd.IntN(3) == 0 {
+			if m.messageRand.IntN(3) == 0 {
 				return false
 			}
 			*did++
 			return true
 		}
-		m.locked(func() { m.holdsCommand = holds })
+		m.withLock(func() { m.holdsCommand = holds })
 	}, func(m *faultRun, _ int) {
-		if m.draw(6) == 0 {
-			m.release()
+		if m.planIntN(6) == 0 {
+			m.deliverHeldCommands()
 		}
-	}, func(m *faultRun) { m.locked(func() { m.holdsCommand = nil }) }},
-	{"the leader hands over, and back", 4, 20, nil, func(m *faultRun, _ int) {
-		if l := m.cluster.leader(); l != "" {
-			o := m.others(l)
-			if m.nodes[l].member.TransferShards(context.Background(), o[m.draw(len(o))]) == nil {
-				*m.did++
+	}, func(m *faultRun) { m.withLock(func() { m.holdsCommand = nil }) }},
+	{"the leader transfers its shards every second", 4, 20, nil, func(m *faultRun, _ int) {
+		if l := m.leader(); l != "" {
+			o := m.otherControllers(l)
+			if m.nodes[l].member.TransferShards(context.Background(), o[m.planIntN(len(o))]) == nil {
+				*m.effects++
 			}
 		}
 	}, nil},
-	{"all end, one returns at once", 2, 12, func(m *faultRun) {
+	{"all controllers crash, one restarts at once", 2, 12, func(m *faultRun) {
 		m.stopAll()
-		time.Sleep(time.Duration(m.draw(1500)) * time.Millisecond)
-		m.start(m.names[m.draw(len(m.names))])
-		*m.did++
-	}, nil, func(m *faultRun) { m.startAll() }},
-	{"the leader is cut from state and peers", 5, 70, func(m *faultRun) {
-		m.cutAll(m.leader, append(m.others(m.leader), stateService)...)
-		*m.did++
-	}, nil, func(m *faultRun) { m.healLinks(m.leader, append(m.others(m.leader), stateService)...) }},
-	{"the leader ends", 2, 15, nil, func(m *faultRun, _ int) {
-		if l := m.cluster.leader(); l != "" && *m.did == 0 { // at once, or as soon as there is one
+		time.Sleep(time.Duration(m.planIntN(1500)) * time.Millisecond)
+		m.start(m.controllerNames[m.planIntN(len(m.controllerNames))])
+		*m.effects++
+	}, nil, func(m *faultRun) { m.startStopped() }},
+	{"the leader is cut off from the state service and peers", 5, 70, func(m *faultRun) {
+		m.breakLinks(m.firstLeader, append(m.otherControllers(m.firstLeader), stateService)...)
+		*m.effects++
+	}, nil, func(m *faultRun) {
+		m.healLinks(m.firstLeader, append(m.otherControllers(m.firstLeader), stateService)...)
+	}},
+	{"the leader crashes", 2, 15, nil, func(m *faultRun, _ int) {
+		if l := m.leader(); l != "" && *m.effects == 0 { // at once, or as soon as there is a leader
 			m.crash(l)
-			*m.did++
+			*m.effects++
 		}
-	}, func(m *faultRun) { m.startAll() }},
-	{"controllers are back within a second", 4, 15, nil, func(m *faultRun, second int) {
+	}, func(m *faultRun) { m.startStopped() }},
+	{"controllers restart within a second", 4, 15, nil, func(m *faultRun, second int) {
 		if second%3 == 1 {
-			if m.restart(m.names[m.draw(len(m.names))], time.Duration(m.draw(1000))*time.Millisecond) {
-				*m.did++
+			if m.restart(m.controllerNames[m.planIntN(len(m.controllerNames))], time.Duration(m.planIntN(1000))*time.Millisecond) {
+				*m.effects++
 			}
 		}
 	}, nil},
 	{"jobs are cancelled", 4, 20, nil, func(m *faultRun, _ int) {
-		// The last two are left alone.
-		m.ask(http.MethodPost, m.jobs[m.draw(len(m.jobs)-2)])
-		*m.did++
+		// The last two jobs are never cancelled.
+		m.sendUserRequest(http.MethodPost, m.longJobs[m.planIntN(len(m.longJobs)-2)])
+		*m.effects++
 	}, nil},
-	{"the state service is out", 3, 70, func(m *faultRun) {
-		m.refuse(m.names...)
-		*m.did++
+	{"the state service refuses all controllers", 3, 70, func(m *faultRun) {
+		m.cutFromStateService(m.controllerNames...)
+		*m.effects++
 	}, nil, func(m *faultRun) {
-		for _, n := range m.names {
+		for _, n := range m.controllerNames {
 			m.healLinks(n, stateService)
 		}
 	}},
-	{"leases end at machines that are back", 12, 16, func(m *faultRun) {
-		m.machinesAway(func(k *testkit.Worker) { m.cutAll(k.Name, m.names...) })
-	}, func(m *faultRun, _ int) { m.release() }, (*faultRun).machinesBack},
-	{"answers of transactions are lost", 8, 30, func(m *faultRun) {
-		did := m.did
+	{"worker leases expire and late commands arrive", 12, 16, func(m *faultRun) {
+		m.disturbWorkers(func(k *testkit.Worker) { m.breakLinks(k.Name, m.controllerNames...) })
+	}, func(m *faultRun, _ int) { m.deliverHeldCommands() }, (*faultRun).restoreWorkers},
+	{"responses to transactions are lost", 8, 30, func(m *faultRun) {
+		did := m.effects
 		loses := func() bool {
-			if m.rnd.IntN(3) > 0 {
+			if m.messageRand.IntN(3) > 0 {
 				return false
 			}
 			*did++
 			return true
 		}
-		m.locked(func() { m.losesResponse = loses })
-	}, nil, func(m *faultRun) { m.locked(func() { m.losesResponse = nil }) }},
-	{"copies of reports come under the next leader", 12, 30, func(m *faultRun) { m.lastOne = m.cluster.leader() }, func(m *faultRun, second int) {
-		l := m.cluster.leader()
+		m.withLock(func() { m.losesResponse = loses })
+	}, nil, func(m *faultRun) { m.withLock(func() { m.losesResponse = nil }) }},
+	{"old heartbeats arrive under the next leader", 12, 30, func(m *faultRun) { m.lastCopiesLeader = m.leader() }, func(m *faultRun, second int) {
+		l := m.leader()
 		if second == 3 && l != "" {
 			m.crash(l)
 			return
 		}
-		if l == "" || l == m.lastOne {
+		if l == "" || l == m.lastCopiesLeader {
 			return
 		}
-		m.lastOne = l
-		for _, n := range m.names {
+		m.lastCopiesLeader = l
+		for _, n := range m.controllerNames {
 			m.deliverCopies(m.nodes[n])
 		}
-		*m.did++
-	}, func(m *faultRun) { m.startAll() }},
-	{"machines reach no controller", 3, 18, func(m *faultRun) {
-		m.machinesAway(func(k *testkit.Worker) {
+		*m.effects++
+	}, func(m *faultRun) { m.startStopped() }},
+	{"workers reach no controller", 3, 18, func(m *faultRun) {
+		m.disturbWorkers(func(k *testkit.Worker) {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			for _, n := range m.names {
+			for _, n := range m.controllerNames {
 				m.brokenLinks[[2]string{k.Name, n}] = true
 			}
 		})
-	}, nil, (*faultRun).machinesBack},
-	{"users ask everywhere at once", 4, 20, nil, func(m *faultRun, _ int) {
-		uid := m.jobs[m.draw(len(m.jobs))]
-		m.askEverywhere(uid, 3)
-		m.repeat(m.names[m.draw(len(m.names))], uid)
-		*m.did++
+	}, nil, (*faultRun).restoreWorkers},
+	{"users poll all controllers at once", 4, 20, nil, func(m *faultRun, _ int) {
+		uid := m.longJobs[m.planIntN(len(m.longJobs))]
+		m.pollAllControllers(uid, 3)
+		m.resubmit(m.controllerNames[m.planIntN(len(m.controllerNames))], uid)
+		*m.effects++
 	}, nil},
-	{"users send what can't run", 4, 20, nil, func(m *faultRun, second int) {
-		for _, at := range m.names {
+	{"users submit invalid jobs", 4, 20, nil, func(m *faultRun, second int) {
+		for _, at := range m.controllerNames {
 			m.postInvalid(at, second)
-			*m.did++
+			*m.effects++
 		}
 	}, nil},
 	{"jobs are cancelled as their tasks end", 6, 25, func(m *faultRun) {
-		did := m.did
+		did := m.effects
 		m.onExit = func(uid string) {
-			if m.rnd.IntN(3) > 0 {
+			if m.messageRand.IntN(3) > 0 {
 				return
 			}
 			*did++
-			at := m.names[m.rnd.IntN(len(m.names))]
-			m.users.Add(1)
+			at := m.controllerNames[m.messageRand.IntN(len(m.controllerNames))]
+			m.pendingRequests.Add(1)
 			go func() {
-				defer m.users.Done()
-				m.user(at, http.MethodPost, uid)
-				m.askEverywhere(uid, 2)
+				defer m.pendingRequests.Done()
+				m.userRequest(at, http.MethodPost, uid)
+				m.pollAllControllers(uid, 2)
 			}()
 		}
 	}, nil, func(m *faultRun) { m.onExit = nil }},
-	{"machines are up at once while the leader ends", 3, 8, func(m *faultRun) {
-		m.addMachine()
-		m.addMachine()
-		*m.did++
+	{"workers are added while the leader crashes", 3, 8, func(m *faultRun) {
+		m.addWorker()
+		m.addWorker()
+		*m.effects++
 	}, func(m *faultRun, second int) {
-		if l := m.cluster.leader(); second == 1 && l != "" {
+		if l := m.leader(); second == 1 && l != "" {
 			m.crash(l)
 		}
-	}, func(m *faultRun) { m.startAll() }},
+	}, func(m *faultRun) { m.startStopped() }},
 }
--- a/internal/testkit/load_test.go
+++ b/internal/testkit/load_test.go
@@ -19,16 +19,16 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// station is a worker with its connection to the controller. It spends as
-// little as it can, so that a profile shows the controller.
-type station struct {
+// reportingWorker is a worker with its connection to the controller. It uses as little processor time
+// as it can, so that a profile shows the controller.
+type reportingWorker struct {
 	worker *testkit.Worker
 	conn   net.Conn
 	in     *bufio.Reader
 }
 
-// report sends the worker's report and executes the answer.
-func (s *station) report(tb testing.TB) {
+// report sends the worker's heartbeat and executes the response.
+func (s *reportingWorker) report(tb testing.TB) {
 	sent := time.Now()
 	rep := s.worker.Report()
 	rep.Endpoint = s.worker.Name
@@ -47,30 +47,29 @@
 		tb.Fatal(err)
 	}
 	data, err := io.ReadAll(resp.Body)
-	_ = resp.Body.Close() // it is read, or the benchmark ends
+	_ = resp.Body.Close() // the body was read
 	if err != nil {
 		tb.Fatal(err)
 	}
 	var a wire.ReportResponse
 	if resp.StatusCode != http.StatusOK || json.Unmarshal(data, &a) != nil {
-		tb.Fatalf("a report was answered with %d: %.100s", resp.StatusCode, data)
+		tb.Fatalf("heartbeat answered with status %d: %.100s", resp.StatusCode, data)
 	}
-	s.worker.Answer(sent, rep.Session, a)
+	s.worker.HandleResponse(sent, rep.Session, a)
 }
 
-// BenchmarkLoad is one controller, from sockets to the state service's
-// stand-in, with a fleet whose workers report in turn while jobs come, run
-// and end. An operation is a report with its share of everything else: grants,
-// passes, records. Tasks run for a fiftieth of what they would, since reports
-// come about as much faster.
+// BenchmarkLoad measures one controller, from its sockets to a stand-in for the state service. Its
+// workers send heartbeats in turn while jobs are submitted, run and end. An operation is one heartbeat
+// with its share of all other work: grants, scheduling passes and records. Tasks run for a fiftieth of
+// the usual time, since heartbeats come about fifty times as often as usual.
 func BenchmarkLoad(b *testing.B) {
 	for _, c := range []struct {
 		machines int
-		cpus     types
+		cpus     singleTypeCatalog
 		jobs     int
 	}{{246, 24, 40}, {1700, 10, 130}} {
 		b.Run(fmt.Sprintf("machines=%d", c.machines), func(b *testing.B) {
-			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // as a controller has it
+			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // a controller runs with the same limit
 			l := newLoad(b, c.machines, c.cpus, c.jobs)
 			before := l.node.scheduler.Counters()
 			b.ResetTimer()
@@ -81,37 +80,37 @@
 			b.StopTimer()
 			after := l.node.scheduler.Counters()
 			if after.Granted == 0 {
-				b.Fatal("nothing was started")
+				b.Fatal("no task was started")
 			}
 			b.ReportMetric(float64(after.Granted-before.Granted)/float64(i), "grants/op")
 			b.ReportMetric(float64(after.Done-before.Done)/float64(i), "ends/op")
-			l.end()
+			l.stop()
 		})
 	}
 }
 
-// load is a controller under load; see BenchmarkLoad.
-type load struct {
-	cluster   *cluster
-	node      *node
-	server    *http.Server
-	serving   sync.WaitGroup
-	stations  []*station
-	jobs      int // kept alive
-	submitted int
+// loadedController is a controller under load; see BenchmarkLoad.
+type loadedController struct {
+	cluster    *cluster
+	node       *node
+	server     *http.Server
+	serving    sync.WaitGroup
+	reporters  []*reportingWorker
+	wantedJobs int // number of unfinished jobs to maintain
+	submitted  int
 }
 
-// newLoad starts a controller with so many workers, each of which has reported several
-// times.
-func newLoad(tb testing.TB, machines int, cpus types, jobs int) *load {
+// newLoad starts a controller with the given number of workers, each of which has sent 20
+// heartbeats.
+func newLoad(tb testing.TB, machines int, cpus singleTypeCatalog, jobs int) *loadedController {
 	w := newCluster(tb, 1)
-	w.size, w.workers, w.byName = cpus, nil, map[string]*testkit.Worker{}
-	w.names, w.reliableStore, w.promptCommands = []string{"a"}, true, true
-	w.extraDuties = func(n *node) []func(context.Context) error {
-		return []func(context.Context) error{func(ctx context.Context) error { return w.knowCancels(ctx, n) }}
+	w.machineTypes, w.workers, w.byName = cpus, nil, map[string]*testkit.Worker{}
+	w.controllerNames, w.reliableStore, w.promptCommands = []string{"a"}, true, true
+	w.extraLoops = func(n *node) []func(context.Context) error {
+		return []func(context.Context) error{func(ctx context.Context) error { return w.maintainCancelsLoop(ctx, n) }}
 	}
 	w.start("a")
-	l := &load{cluster: w, node: w.nodes["a"], jobs: jobs}
+	l := &loadedController{cluster: w, node: w.nodes["a"], wantedJobs: jobs}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -129,23 +128,23 @@
 			tb.Fatal(err)
 		}
 		w.workers, w.byName[k.Name] = append(w.workers, k), k
-		l.stations = append(l.stations, &station{k, conn, bufio.NewReader(conn)})
+		l.reporters = append(l.reporters, &reportingWorker{k, conn, bufio.NewReader(conn)})
 	}
-	l.await(tb)
-	l.keep()
-	for i := range 20 * len(l.stations) { // warm up
-		l.stations[i%len(l.stations)].report(tb)
+	l.awaitLeadership(tb)
+	l.refillJobs()
+	for i := range 20 * len(l.reporters) { // warm-up
+		l.reporters[i%len(l.reporters)].report(tb)
 	}
 	return l
 }
 
-// knowCancels keeps a controller's knowledge of cancels fresh, without which it answers no
-// worker.
-func (w *cluster) knowCancels(ctx context.Context, n *node) error {
+// maintainCancelsLoop keeps a controller's list of cancels current. A controller whose list is out of
+// date refuses heartbeats.
+func (w *cluster) maintainCancelsLoop(ctx context.Context, n *node) error {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	for {
-		w.watchCancels(ctx, []*node{n})
+		w.maintainCancels(ctx, []*node{n})
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -154,9 +153,9 @@
 	}
 }
 
-// await waits until the controller answers workers: before that a report is refused, which
-// costs next to nothing.
-func (l *load) await(tb testing.TB) {
+// awaitLeadership waits until the controller leads shards and answers workers: before that it refuses
+// heartbeats, which costs almost nothing.
+func (l *loadedController) awaitLeadership(tb testing.TB) {
 	for began := time.Now(); len(l.node.member.LedShards()) == 0 || !l.node.MayAnswerWorkers(); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 20*time.Second {
 			tb.Fatal("the controller does not answer workers")
@@ -164,24 +163,24 @@
 	}
 }
 
-// keep submits jobs until enough are alive.
-func (l *load) keep() {
-	for living := len(l.cluster.store.Keys("live/")); living < l.jobs; living++ {
+// refillJobs submits jobs until wantedJobs are unfinished.
+func (l *loadedController) refillJobs() {
+	for living := len(l.cluster.store.Keys("live/")); living < l.wantedJobs; living++ {
 		l.submitted++
-		l.cluster.submitLoad(l.submitted)
+		l.cluster.submitLoadJob(l.submitted)
 	}
 }
 
-// report is the i-th report since the start.
-func (l *load) report(tb testing.TB, i int) {
-	l.stations[i%len(l.stations)].report(tb)
+// report sends the i-th heartbeat since the start.
+func (l *loadedController) report(tb testing.TB, i int) {
+	l.reporters[i%len(l.reporters)].report(tb)
 	if i%100 == 0 {
-		l.keep()
+		l.refillJobs()
 	}
 }
 
-func (l *load) end() {
-	for _, s := range l.stations {
+func (l *loadedController) stop() {
+	for _, s := range l.reporters {
 		_ = s.conn.Close()
 	}
 	_ = l.server.Close()
@@ -189,7 +188,7 @@
 	l.cluster.crash("a")
 }
 
-func (w *cluster) submitLoad(n int) {
+func (w *cluster) submitLoadJob(n int) {
 	due := 100.0
 	job := &wire.Job{
 		UID: fmt.Sprintf("j-%06d", n), Class: fmt.Sprintf("c%d", n%3), Team: "t", Kind: wire.KindArray, Priority: []string{"low", "normal"}[n%2],
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ObserveWorker hands a view to the leader here, as cmd/wallrack does.
+// ObserveWorker hands a view to the scheduler of this controller, as in cmd/wallrack.
 func (n *node) ObserveWorker(v dispatch.WorkerView) {
 	if seen := n.linksSeen(); v.Polled && seen.HasAssignments() {
 		v.Dispatcher = n.LeaderFor(v.Name)
@@ -49,10 +49,10 @@
 	})
 }
 
-// SendCommands sends a direct command; some arrive, but the answer is lost, and some
-// arrive minutes late.
+// SendCommands sends a direct message to a worker. Some messages arrive but their response is lost, and
+// some arrive minutes late.
 func (n *node) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
-	if d := n.cluster.drawn(&n.cluster.connecting); d > 0 {
+	if d := n.cluster.drawDelay(&n.cluster.connectDelay); d > 0 {
 		time.Sleep(d)
 	}
 	if err := valid(); err != nil {
@@ -68,81 +68,81 @@
 		report   *wire.Report
 		executed bool
 	}
-	sent := time.Now() // a slow link has it arrive later
+	sent := time.Now() // over a slow link it arrives later
 	a, err := overLink(ctx, n.cluster, func() (a outcome, err error) {
-		a.report, a.executed, err = n.order(endpoint, o, sent)
+		a.report, a.executed, err = n.deliverCommands(endpoint, o, sent)
 		return a, err
 	})
 	return a.report, a.executed, err
 }
 
-func (n *node) order(endpoint string, o wire.Orders, sent time.Time) (*wire.Report, bool, error) {
+func (n *node) deliverCommands(endpoint string, o wire.Orders, sent time.Time) (*wire.Report, bool, error) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	worker := n.cluster.byName[endpoint]
 	if worker == nil || !n.cluster.works(n.name, endpoint) {
-		if worker != nil && n.cluster.rnd.IntN(2) == 0 {
-			n.cluster.holdBack(n, worker, o, sent)
+		if worker != nil && n.cluster.messageRand.IntN(2) == 0 {
+			n.cluster.holdCommands(n, worker, o, sent)
 		}
-		return nil, false, errCut
+		return nil, false, errLinkDown
 	}
-	if worker.Hangs() {
+	if worker.IsHung() {
 		n.cluster.checks.sent(n, sent)
-		worker.Orders(o) // carried out when it continues
-		return nil, false, errCut
+		worker.HandleCommands(o) // executed when the worker resumes
+		return nil, false, errLinkDown
 	}
 	if held := n.cluster.holdsCommand; held != nil && held() {
-		n.cluster.holdBack(n, worker, o, sent)
-		return nil, false, errCut
+		n.cluster.holdCommands(n, worker, o, sent)
+		return nil, false, errLinkDown
 	}
-	draw := n.cluster.rnd.IntN(12)
+	draw := n.cluster.messageRand.IntN(12)
 	if n.cluster.promptCommands {
 		draw = -1
 	}
 	switch draw {
 	case 0:
-		n.cluster.holdBack(n, worker, o, sent)
-		return nil, false, errCut
+		n.cluster.holdCommands(n, worker, o, sent)
+		return nil, false, errLinkDown
 	case 1:
 		n.cluster.checks.sent(n, sent)
-		worker.Orders(o)
-		return nil, false, errCut
+		worker.HandleCommands(o)
+		return nil, false, errLinkDown
 	}
 	n.cluster.checks.sent(n, sent)
-	executed := worker.Orders(o)
+	executed := worker.HandleCommands(o)
 	r := worker.Report()
 	r.Endpoint = endpoint
 	return r, executed, nil
 }
 
-// holdBack keeps an order that is delivered when it may.
-func (w *cluster) holdBack(from *node, to *testkit.Worker, o wire.Orders, sent time.Time) {
-	w.late = append(w.late, func() { w.checks.sent(from, sent); to.Orders(o) })
+// holdCommands keeps a direct message until deliverHeldCommands is called.
+func (w *cluster) holdCommands(from *node, to *testkit.Worker, o wire.Orders, sent time.Time) {
+	w.heldCommands = append(w.heldCommands, func() { w.checks.sent(from, sent); to.HandleCommands(o) })
 }
 
-// release delivers the orders that were held back, and returns how many.
-func (w *cluster) release() int {
+// deliverHeldCommands delivers the held direct messages and returns their number.
+func (w *cluster) deliverHeldCommands() int {
 	w.mu.Lock()
-	late := w.late
-	w.late = nil
+	late := w.heldCommands
+	w.heldCommands = nil
 	w.mu.Unlock()
 	for _, f := range late {
 		w.mu.Lock()
 		f()
 		w.mu.Unlock()
-		w.check()
+		w.checkInvariants()
 	}
 	return len(late)
 }
 
-// FetchReport asks a worker for its report.
+// FetchReport requests a worker's report.
 func (n *node) FetchReport(ctx context.Context, endpoint string) (*wire.Report, error) {
 	return overLink(ctx, n.cluster, func() (*wire.Report, error) {
 		n.cluster.mu.Lock()
 		defer n.cluster.mu.Unlock()
 		worker := n.cluster.byName[endpoint]
-		if worker == nil || worker.Hangs() || !n.cluster.works(n.name, endpoint) {
-			return nil, errCut
+		if worker == nil || worker.IsHung() || !n.cluster.works(n.name, endpoint) {
+			return nil, errLinkDown
 		}
 		r := worker.Report()
 		r.Endpoint = endpoint
@@ -150,10 +150,10 @@
 	})
 }
 
-// JobFacts reads how a job that the leader does not know ended.
+// JobFacts reads from the store how a job that the leader does not hold ended.
 func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error) {
 	return scheduler.ReadStoredFacts(ctx, n.view, uid)
 }
 
-// HasEarlier says that no leader elsewhere has such a job: there is one leader.
+// HasEarlier returns false: these clusters have only one leader.
 func (n *node) HasEarlier(context.Context, string, string, uint64) (bool, error) { return false, nil }
--- a/internal/testkit/view.go
+++ b/internal/testkit/view.go
@@ -14,70 +14,68 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Hook is a function that may be set while controllers run.
+// Hook holds a function that may be set while controllers run.
 type Hook[F any] struct{ function atomic.Pointer[F] }
 
-// View is one controller's access to the store.
+// View is one controller's access to the store. Functions that are nil have no effect.
 type View struct {
 	*Store
-	// Down makes every request fail without being executed.
-	Down func() bool
-	// Lose makes a transaction's answer get lost after it was applied.
-	Lose func() bool
-	// Late, if it returns true, holds a transaction back; Deliver applies it.
-	Late func() bool
-	// LateBy, if it returns more than 0, has a transaction applied so much later,
-	// after newer ones, without an answer.
-	LateBy func() time.Duration
-	// Slow is how long an answer takes; nil: no time.
-	Slow func() time.Duration
-	// Lag is how long a watch's answer takes; nil: no time.
-	Lag func() time.Duration
-	// Sending is called with each transaction before it is carried out, and Listing with
-	// the prefix before keys are read. They may wait; nil: nothing waits.
-	Sending Hook[func(t wire.Txn)]
-	Listing Hook[func(prefix string)]
-	// Refuse, if it returns true, has the service refuse a transaction: it is surely not
-	// carried out.
-	Refuse Hook[func(t wire.Txn) bool]
-	// Behind is how long the watch of a prefix is behind; nil: not at all.
-	Behind func(prefix string) time.Duration
-	// LoseAnswer makes the answer of a transaction that was applied at a version get
-	// lost: the caller hears nothing until its time is over.
-	LoseAnswer func(t wire.Txn, version uint64) bool
-	// Delay, if it returns more than 0, has a transaction applied so much later; its caller
-	// hears nothing, outcome what came of it.
-	Delay func(t wire.Txn) (by time.Duration, outcome func(error))
-	// OnRead is called with every key and version that a read or a watch tells of.
+	// Unavailable, if it returns true, fails a request without executing it.
+	Unavailable func() bool
+	// LoseResponse, if it returns true, loses the response to an applied transaction.
+	LoseResponse func() bool
+	// Hold, if it returns true, holds a transaction back until ApplyHeld is called.
+	Hold func() bool
+	// ApplyAfter, if it returns more than 0, has a transaction applied after that delay, possibly
+	// after newer ones; its caller receives ErrUnknown at once.
+	ApplyAfter func() time.Duration
+	// ResponseDelay returns the delay of a response.
+	ResponseDelay func() time.Duration
+	// WatchLag returns the delay of a watch's events.
+	WatchLag func() time.Duration
+	// BeforeTxn is called with each transaction before it is executed, BeforeList with the
+	// prefix before keys are listed. They may block.
+	BeforeTxn  Hook[func(t wire.Txn)]
+	BeforeList Hook[func(prefix string)]
+	// RefuseTxn, if it returns true, fails a transaction with ErrUnavailable without executing it.
+	RefuseTxn Hook[func(t wire.Txn) bool]
+	// PrefixWatchLag returns the delay of the events of a prefix, in addition to WatchLag.
+	PrefixWatchLag func(prefix string) time.Duration
+	// TimeOutResponse, if it returns true, loses the response to a transaction that was applied
+	// at the given version: the caller waits until its time-out.
+	TimeOutResponse func(t wire.Txn, version uint64) bool
+	// DelayTxn, if it returns more than 0, has a transaction applied after that delay. Its caller
+	// waits until its time-out; outcome is called with the result.
+	DelayTxn func(t wire.Txn) (by time.Duration, outcome func(error))
+	// OnRead is called with every key and version that a read or a watch returns.
 	OnRead func(key string, version uint64)
-	// Transit is how long a request is under way before it is executed, and its answer
-	// after that, each; nil: no time. Leases and watches have none.
-	Transit func() time.Duration
+	// TransitDelay returns the one-way delay of a request and of its response. It does not apply to
+	// lists, leases and watches.
+	TransitDelay func() time.Duration
 
-	lateMu sync.Mutex
-	late   []wire.Txn
+	heldMu sync.Mutex
+	held   []wire.Txn
 }
 
-// Deliver applies the transactions that were held back.
-func (v *View) Deliver() {
-	v.lateMu.Lock()
-	late := v.late
-	v.late = nil
-	v.lateMu.Unlock()
+// ApplyHeld applies the transactions that were held back.
+func (v *View) ApplyHeld() {
+	v.heldMu.Lock()
+	late := v.held
+	v.held = nil
+	v.heldMu.Unlock()
 	for _, t := range late {
-		_, _ = v.apply(t) // nobody waits for the answer any more
+		_, _ = v.apply(t) // no caller waits for the result
 	}
 }
 
-func happens(f func() bool) bool { return f != nil && f() }
+func isTriggered(f func() bool) bool { return f != nil && f() }
 
-// answer lets the time pass that an answer takes; false if nobody waits for it any
-// more.
-func (v *View) answer(ctx context.Context) bool {
-	if v.Slow == nil {
+// awaitResponse waits for ResponseDelay. It returns false if the caller has given up.
+func (v *View) awaitResponse(ctx context.Context) bool {
+	if v.ResponseDelay == nil {
 		return true
 	}
-	d := v.Slow()
+	d := v.ResponseDelay()
 	if d == 0 {
 		return true
 	}
@@ -89,19 +87,18 @@
 	}
 }
 
-// noAnswer is how long a caller without a time limit of its own waits for an answer
-// that is lost.
-const noAnswer = 4 * time.Second
+// defaultTimeout is how long a caller without a deadline waits for a lost response.
+const defaultTimeout = 4 * time.Second
 
-// awaitTimeout returns when a caller without a response gives up.
+// awaitTimeout waits until a caller that receives no response gives up.
 func awaitTimeout(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(noAnswer):
+	case <-time.After(defaultTimeout):
 	}
 }
 
-func (v *View) seen(items ...wire.Item) {
+func (v *View) observeRead(items ...wire.Item) {
 	if v.OnRead == nil {
 		return
 	}
@@ -110,60 +107,59 @@
 	}
 }
 
-// travel lets the time pass that a message is under way; false if nobody waits for it
-// any more, which does not stop it.
-func (v *View) travel(ctx context.Context) bool {
-	if v.Transit == nil {
+// awaitTransit waits for TransitDelay, even if the caller gives up before; it returns false then.
+func (v *View) awaitTransit(ctx context.Context) bool {
+	if v.TransitDelay == nil {
 		return true
 	}
-	if d := v.Transit(); d > 0 {
+	if d := v.TransitDelay(); d > 0 {
 		time.Sleep(d)
 	}
 	return ctx.Err() == nil
 }
 
-// lag is how long the answer of a prefix's watch takes.
-func (v *View) lag(prefix string) (d time.Duration) {
-	if v.Lag != nil {
-		d = v.Lag()
+// watchDelay returns the delay of the events of a watch on the prefix.
+func (v *View) watchDelay(prefix string) (d time.Duration) {
+	if v.WatchLag != nil {
+		d = v.WatchLag()
 	}
-	if v.Behind != nil {
-		d += v.Behind(prefix)
+	if v.PrefixWatchLag != nil {
+		d += v.PrefixWatchLag(prefix)
 	}
 	return d
 }
 
 // Get reads a key.
 func (v *View) Get(ctx context.Context, key string) (wire.Item, error) {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return wire.Item{}, statestore.ErrUnavailable
 	}
-	v.travel(ctx)
-	if !v.answer(ctx) {
+	v.awaitTransit(ctx)
+	if !v.awaitResponse(ctx) {
 		return wire.Item{}, statestore.ErrUnknown
 	}
 	it, ok := v.read(key)
-	if !v.travel(ctx) {
+	if !v.awaitTransit(ctx) {
 		return wire.Item{}, statestore.ErrUnknown
 	}
 	if !ok {
-		v.seen(wire.Item{Key: key})
+		v.observeRead(wire.Item{Key: key})
 		return wire.Item{}, statestore.ErrNotFound
 	}
-	v.seen(wire.Item{Key: key, Version: it.version})
+	v.observeRead(wire.Item{Key: key, Version: it.version})
 	return wire.Item{Key: key, Value: it.value, Version: it.version, Lease: it.lease}, nil
 }
 
-// List reads the keys with a prefix.
+// List reads all keys with a prefix, and the store's version.
 func (v *View) List(_ context.Context, prefix string) ([]wire.Item, uint64, error) {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return nil, 0, statestore.ErrUnavailable
 	}
-	if listing := v.Listing.Get(); listing != nil {
+	if listing := v.BeforeList.Get(); listing != nil {
 		listing(prefix)
 	}
 	v.mu.Lock()
-	v.expire()
+	v.expireLeases()
 	var out []wire.Item
 	for k, it := range v.items {
 		if strings.HasPrefix(k, prefix) {
@@ -173,11 +169,12 @@
 	rev := v.rev
 	v.mu.Unlock()
 	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
-	v.seen(out...)
+	v.observeRead(out...)
 	return out, rev, nil
 }
 
-// Page reads at most so many keys with the prefix, in order, beyond after.
+// Page reads up to limit keys with the prefix that are greater than after, in order, and reports
+// whether there are more.
 func (v *View) Page(ctx context.Context, prefix, after string, limit int) ([]wire.Item, bool, error) {
 	all, _, err := v.List(ctx, prefix)
 	i := sort.Search(len(all), func(i int) bool { return all[i].Key > after })
@@ -185,14 +182,14 @@
 	return all[:min(limit, len(all))], len(all) > limit, err
 }
 
-// BulkTxn implements the scheduler's Store.
+// BulkTxn implements scheduler.Store.
 func (v *View) BulkTxn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
 	return v.Txn(ctx, guards, ops...)
 }
 
 // Txn applies a transaction.
 func (v *View) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return 0, statestore.ErrUnavailable
 	}
 	t := wire.Txn{If: guards, Then: append([]wire.Op(nil), ops...)}
@@ -205,26 +202,26 @@
 			t.Then[i].Value = json.RawMessage(data)
 		}
 	}
-	if sending := v.Sending.Get(); sending != nil {
+	if sending := v.BeforeTxn.Get(); sending != nil {
 		sending(t)
 	}
-	if refuse := v.Refuse.Get(); refuse != nil && refuse(t) {
+	if refuse := v.RefuseTxn.Get(); refuse != nil && refuse(t) {
 		return 0, statestore.ErrUnavailable
 	}
-	if happens(v.Late) {
-		v.lateMu.Lock()
-		v.late = append(v.late, t)
-		v.lateMu.Unlock()
+	if isTriggered(v.Hold) {
+		v.heldMu.Lock()
+		v.held = append(v.held, t)
+		v.heldMu.Unlock()
 		return 0, statestore.ErrUnknown
 	}
-	if v.LateBy != nil {
-		if d := v.LateBy(); d > 0 {
+	if v.ApplyAfter != nil {
+		if d := v.ApplyAfter(); d > 0 {
 			time.AfterFunc(d, func() { _, _ = v.apply(t) })
 			return 0, statestore.ErrUnknown
 		}
 	}
-	if v.Delay != nil {
-		if by, outcome := v.Delay(t); by > 0 {
+	if v.DelayTxn != nil {
+		if by, outcome := v.DelayTxn(t); by > 0 {
 			time.AfterFunc(by, func() {
 				_, err := v.apply(t)
 				outcome(err)
@@ -233,13 +230,13 @@
 			return 0, statestore.ErrUnknown
 		}
 	}
-	v.travel(ctx)
+	v.awaitTransit(ctx)
 	rev, err := v.apply(t)
-	if err == nil && v.LoseAnswer != nil && v.LoseAnswer(t, rev) {
+	if err == nil && v.TimeOutResponse != nil && v.TimeOutResponse(t, rev) {
 		awaitTimeout(ctx)
 		return 0, statestore.ErrUnknown
 	}
-	if happens(v.Lose) || !v.answer(ctx) || !v.travel(ctx) {
+	if isTriggered(v.LoseResponse) || !v.awaitResponse(ctx) || !v.awaitTransit(ctx) {
 		return 0, statestore.ErrUnknown
 	}
 	return rev, err
@@ -247,51 +244,51 @@
 
 // GrantLease opens a lease.
 func (v *View) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return 0, statestore.ErrUnavailable
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.next++
-	v.leases[v.next] = &lease{ttl, time.Now().Add(ttl)}
-	return v.next, nil
+	v.lastLease++
+	v.leases[v.lastLease] = &lease{ttl, time.Now().Add(ttl)}
+	return v.lastLease, nil
 }
 
 // RenewLease renews a lease.
 func (v *View) RenewLease(ctx context.Context, id uint64) error {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return statestore.ErrUnavailable
 	}
-	if !v.answer(ctx) {
+	if !v.awaitResponse(ctx) {
 		return statestore.ErrUnknown
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.expire()
+	v.expireLeases()
 	l := v.leases[id]
 	if l == nil {
 		return statestore.ErrNotFound
 	}
-	l.ends = time.Now().Add(l.ttl)
+	l.expires = time.Now().Add(l.ttl)
 	return nil
 }
 
 // RevokeLease ends a lease.
 func (v *View) RevokeLease(_ context.Context, id uint64) error {
-	if happens(v.Down) {
+	if isTriggered(v.Unavailable) {
 		return statestore.ErrUnavailable
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.expire()
+	v.expireLeases()
 	if v.leases[id] == nil {
 		return statestore.ErrNotFound
 	}
-	v.end(id)
+	v.endLease(id)
 	return nil
 }
 
-// Watch follows a prefix.
+// Watch calls reset with the keys of a prefix, and change with each later batch of events, until ctx is done.
 func (v *View) Watch(ctx context.Context, prefix string, _ time.Duration, reset func([]wire.Item), change func([]wire.Event)) {
 	pause := func() {
 		select {
@@ -307,38 +304,38 @@
 	}
 	reset(items)
 	for ctx.Err() == nil {
-		if happens(v.Down) {
+		if isTriggered(v.Unavailable) {
 			pause()
 			continue
 		}
 		v.mu.Lock()
-		v.expire()
-		var got []wire.Event
+		v.expireLeases()
+		var events []wire.Event
 		for _, e := range v.events {
 			if e.Version > rev && strings.HasPrefix(e.Put+e.Delete, prefix) {
-				got = append(got, e)
+				events = append(events, e)
 			}
 		}
 		rev = v.rev
-		wait := v.change
+		wait := v.changed
 		v.mu.Unlock()
-		if len(got) > 0 {
-			if d := v.lag(prefix); d > 0 {
+		if len(events) > 0 {
+			if d := v.watchDelay(prefix); d > 0 {
 				select {
 				case <-ctx.Done():
 				case <-time.After(d):
 				}
 			}
-			for _, e := range got {
-				v.seen(wire.Item{Key: e.Put + e.Delete, Version: e.Version})
+			for _, e := range events {
+				v.observeRead(wire.Item{Key: e.Put + e.Delete, Version: e.Version})
 			}
-			change(got)
+			change(events)
 			pacer.Wait(ctx)
 		}
 		select {
 		case <-ctx.Done():
 		case <-wait:
-		case <-time.After(100 * time.Millisecond): // leases end by time alone
+		case <-time.After(100 * time.Millisecond): // a lease expires without waking the watches
 		}
 	}
 }
