--- a/internal/testkit/stage_after_failover_test.go
+++ b/internal/testkit/stage_after_failover_test.go
@@ -104,7 +104,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			runOnCluster(t, 4800+uint64(i), 3, 8, func(w *cluster) {
 				w.submit("j-80", 6)
-				if !w.runUntil(20, func() bool { stage, _ := w.userRequest(w.leader(), http.MethodGet, "j-80"); return stage == wire.StageRunning }) {
+				if !w.runUntil(20, func() bool {
+					stage, _ := w.userRequest(w.leader(), http.MethodGet, "j-80")
+					return stage == wire.StageRunning
+				}) {
 					t.Fatal("the job does not run")
 				}
 				w.runFor(5)
