--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -14,7 +14,7 @@
 // endRace is a cluster, without any fault, in which users cancel jobs, ask for them and
 // repeat their submissions about the time at which their last tasks end.
 type endRace struct {
-	*closeUsers
+	*pollingUsers
 	ends map[string][]time.Time // of a job's started tasks
 	want map[string]int         // tasks of a job
 
@@ -92,7 +92,7 @@
 	anyNode := func() string { return r.names[r.draw(len(r.names))] }
 	for range 3 {
 		at(func() {
-			h := r.seen.history(job)
+			h := r.checker.history(job)
 			r.mu.Lock()
 			if time.Now().After(end) && h.done.IsZero() && h.cancelled.IsZero() {
 				r.betweenAsks++
@@ -127,7 +127,7 @@
 				r.afterEnd++
 			}
 			r.mu.Unlock()
-			r.look(job, r.want[job])
+			r.pollAndResubmit(job, r.want[job])
 			return
 		}
 	})
@@ -148,7 +148,7 @@
 			t.Run(fmt.Sprintf("%d controllers, %d", controllers, seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					r := playEndRace(t, uint64(1400+100*controllers+seed), controllers, jobs, scales[seed%len(scales)])
-					for _, h := range r.seen.jobs {
+					for _, h := range r.checker.jobs {
 						if !h.done.IsZero() {
 							done++
 						}
@@ -162,8 +162,8 @@
 					sum.answeredEnd += r.answeredEnd
 					sum.betweenAsks += r.betweenAsks
 					late += r.lateStarts
-					answers += r.seen.answers
-					unsure += r.seen.refused
+					answers += r.checker.responses
+					unsure += r.checker.refused
 				})
 			})
 		}
@@ -185,10 +185,10 @@
 // playEndRace plays so many jobs, with latencies up to a few times the scale.
 func playEndRace(t *testing.T, seed uint64, controllers, jobs int, scale time.Duration) *endRace {
 	w := newCluster(t, seed)
-	w.bigger(controllers, 6)
+	w.resize(controllers, 6)
 	w.losslessReports, w.reliableStore, w.keepCuts = true, true, true
-	r := &endRace{closeUsers: newCloseUsers(w), ends: map[string][]time.Time{}, want: map[string]int{}}
-	r.later = 1
+	r := &endRace{pollingUsers: newPollingUsers(w), ends: map[string][]time.Time{}, want: map[string]int{}}
+	r.pollsAfterEnd = 1
 	upTo := func(most time.Duration) func() time.Duration {
 		return func() time.Duration {
 			d := time.Duration(w.rnd.Int64N(int64(most)))
@@ -222,7 +222,7 @@
 		delay := time.Duration(w.draw(8000)) * time.Millisecond
 		r.pending.Go(func() {
 			time.Sleep(delay)
-			r.follow(job, tasks, 0, time.Minute)
+			r.runUser(job, tasks, 0, time.Minute)
 		})
 	}
 	for range 26 * 4 {
@@ -234,6 +234,6 @@
 	r.pending.Wait()
 	close(stop)
 	reporting.Wait()
-	r.finish(t)
+	r.finishAndCheck(t)
 	return r
 }
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -47,7 +47,7 @@
 func TestCancelRefusedByStateStoreLeavesJobRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 2)
-		w.bigger(3, 8)
+		w.resize(3, 8)
 		w.long()
 		w.losslessReports, w.reliableStore, w.keepCuts = true, true, true
 		w.startNodes()
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -99,7 +99,7 @@
 		}
 		time.Sleep(reportEvery)
 	}
-	jobRows, attempts, _ := w.rows()
+	jobRows, attempts, _ := w.accountingRows()
 	for name, r := range attempts {
 		jobRows[name] = r
 	}
--- a/internal/testkit/cluster_cancels_test.go
+++ b/internal/testkit/cluster_cancels_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 		if on := n.scheduler.UnstoppedWorkers(3 * time.Second); len(on) > 0 && n.MayAnswerWorkers() {
-			n.onDuty("cancels", func(ctx context.Context) { n.dispatcher.ChaseCancelledTasks(ctx, on) })
+			n.runDuty("cancels", func(ctx context.Context) { n.dispatcher.ChaseCancelledTasks(ctx, on) })
 		}
 	}
 }
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -108,7 +108,7 @@
 	messageDelay func() time.Duration     // how long a message to a worker or a peer takes; nil: no time
 	reporting    map[*testkit.Worker]bool // workers with a report under way over a slow link
 
-	checks startChecks
+	checks cancelledStartChecks
 	waits  waitCheck
 }
 
@@ -171,7 +171,7 @@
 
 		Transit: func() time.Duration { return w.drawn(&w.transit) },
 	}
-	w.watched(n)
+	w.connectStoreFaults(n)
 	op := w.operator()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	n.member = membership.New(n.view, name, config.Seconds(op.LeaseS), op.Shards, op.Spread, log)
@@ -179,7 +179,7 @@
 	cfg.Node = name
 	n.cancellations = cancellation.New(cancellation.Options{
 		Peers: n.reach.peers(), Limit: config.Seconds(cfg.Params.Workers.CancelS), LeaseRemaining: n.member.LeaseRemaining,
-		OnCancelled: func(uids []string) { n.knownCancels.learn(uids); go n.dispatcher.HaltCancelledTasks() },
+		OnCancelled: func(uids []string) { n.knownCancels.record(uids); go n.dispatcher.HaltCancelledTasks() },
 	})
 	n.scheduler = scheduler.New(scheduler.Options{
 		Platform: &cfg, Operator: op, Store: n.view, Member: n.member, Dispatchers: n, MachineTypes: w.size, Log: log,
@@ -253,7 +253,7 @@
 
 // join adds a worker that reports to the i-th controller first.
 func (w *cluster) join(k *testkit.Worker, i int) {
-	k.Held = w.checks.keepSender
+	k.Held = w.checks.withCurrentSender
 	k.Started = func(task string, attempt uint64) {
 		w.started, w.starts = time.Now(), w.starts+1
 		uid, _, _ := strings.Cut(task, "/")
@@ -261,7 +261,7 @@
 		if w.onStart != nil {
 			w.onStart(k, task, attempt)
 		}
-		w.checkStart(task)
+		w.checkStartAfterCancel(task)
 		if at := w.cleared[task]; at != "" {
 			w.fail("%s is started again, as attempt %d on %s, when it was done and cleared on %s", task, attempt, k.Name, at)
 		}
--- a/internal/testkit/cluster_users_test.go
+++ b/internal/testkit/cluster_users_test.go
@@ -43,7 +43,7 @@
 
 // QueryPeer hands a user's request to a peer.
 func (n *node) QueryPeer(ctx context.Context, peer string, r submission.Request) (*submission.Reply, error) {
-	return overPeerLink(ctx, n.cluster, func() (*submission.Reply, error) {
+	return callPeer(ctx, n.cluster, func() (*submission.Reply, error) {
 		to, err := n.peer(peer)
 		if err != nil {
 			return nil, err
--- a/internal/testkit/concurrent_polls_test.go
+++ b/internal/testkit/concurrent_polls_test.go
@@ -15,33 +15,33 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// closeUsers are users that submit jobs by the users' interface, and ask at all
+// pollingUsers are users that submit jobs by the users' interface, and ask at all
 // controllers within milliseconds after each answer that tells something new.
-type closeUsers struct {
+type pollingUsers struct {
 	*cluster
-	seen    *answerObserver
+	checker *responseChecker
 	pending sync.WaitGroup
 
-	unloaded  atomic.Int64 // questions for jobs that were recorded, of which their leader had not heard
-	endKnown  atomic.Int64 // questions for jobs whose end was recorded, which their leader did not know to be
-	cancelled atomic.Int64 // questions for jobs recorded as cancelled, of which the asked controller had not heard
-	repeated  atomic.Int64 // submissions repeated after the end or a confirmed cancel
-	delayed   atomic.Int64 // answers that took longer than a second on their way
+	notLoaded    atomic.Int64 // questions for jobs that were recorded, of which their leader had not heard
+	endNotSeen   atomic.Int64 // questions for jobs whose end was recorded, which their leader did not know to be
+	cancelUnseen atomic.Int64 // questions for jobs recorded as cancelled, of which the asked controller had not heard
+	repeated     atomic.Int64 // submissions repeated after the end or a confirmed cancel
+	delayed      atomic.Int64 // answers that took longer than a second on their way
 
-	lateStarts  int           // starts after a confirmed cancel
-	latestStart time.Duration // the longest time from the confirmation to such a start
+	lateStarts        int           // starts after a confirmed cancel
+	longestStartDelay time.Duration // the longest time from the confirmation to such a start
 
-	stalls  bool   // whether some answers take a second or two on their way
-	later   int    // how often users ask again after their jobs are over
-	handled int    // changes of the leader that were brought about
-	refused string // the controller that the state service refuses
+	delayResponses    bool   // whether some answers take a second or two on their way
+	pollsAfterEnd     int    // how often users ask again after their jobs are over
+	faults            int    // changes of the leader that were brought about
+	refusedController string // the controller that the state service refuses
 
-	tasksMu sync.Mutex
-	left    map[string]int // tasks of a job that have not ended
+	tasksMu         sync.Mutex
+	unfinishedTasks map[string]int // tasks of a job that have not ended
 }
 
-func newCloseUsers(w *cluster) *closeUsers {
-	u := &closeUsers{cluster: w, seen: newAnswerObserver(), left: map[string]int{}}
+func newPollingUsers(w *cluster) *pollingUsers {
+	u := &pollingUsers{cluster: w, checker: newResponseChecker(), unfinishedTasks: map[string]int{}}
 	w.onReport = u.reported
 	ended := map[string]bool{}
 	for _, k := range w.workers {
@@ -49,10 +49,10 @@
 		k.Started = func(task string, attempt uint64) {
 			check(task, attempt)
 			job, _, _ := strings.Cut(task, "/")
-			u.seen.taskStarted(job, task, attempt, k.Run(task))
-			if h := u.seen.history(job); !h.cancelled.IsZero() {
+			u.checker.taskStarted(job, task, attempt, k.Run(task))
+			if h := u.checker.history(job); !h.cancelled.IsZero() {
 				u.lateStarts++
-				u.latestStart = max(u.latestStart, time.Since(h.cancelled))
+				u.longestStartDelay = max(u.longestStartDelay, time.Since(h.cancelled))
 			}
 		}
 		k.Exit = func(task string) int {
@@ -60,8 +60,8 @@
 			defer u.tasksMu.Unlock()
 			if job, _, _ := strings.Cut(task, "/"); !ended[task] {
 				ended[task] = true
-				if u.left[job]--; u.left[job] == 0 {
-					u.seen.lastTaskEnded(job, time.Now())
+				if u.unfinishedTasks[job]--; u.unfinishedTasks[job] == 0 {
+					u.checker.lastTaskEnded(job, time.Now())
 				}
 			}
 			return 0
@@ -71,35 +71,35 @@
 }
 
 // reported notes the running tasks of a report that arrives at a controller.
-func (u *closeUsers) reported(rep *wire.Report) {
+func (u *pollingUsers) reported(rep *wire.Report) {
 	for _, task := range rep.Tasks {
 		if job, _, _ := strings.Cut(task.Task, "/"); task.State == wire.TaskRunning {
-			u.seen.taskReported(job, task.Task, task.Attempt)
+			u.checker.taskReported(job, task.Task, task.Attempt)
 		}
 	}
 }
 
-// submitted counts a job's tasks before its first submission.
-func (u *closeUsers) submitted(job string, tasks int) {
+// setTaskCount counts a job's tasks before its first submission.
+func (u *pollingUsers) setTaskCount(job string, tasks int) {
 	u.tasksMu.Lock()
 	defer u.tasksMu.Unlock()
-	u.left[job] = tasks
+	u.unfinishedTasks[job] = tasks
 }
 
 func submissionBody(job string, tasks int) string {
-	return submissionWith(job, map[string]any{"pieces": tasks})
+	return submissionBodyWith(job, map[string]any{"pieces": tasks})
 }
 
 // send sends a request to a controller, takes the time that it and its answer travel,
 // and has the answer judged. It returns the stage, or "" without any.
-func (u *closeUsers) send(kind, name, job string, tasks int) (stage string) {
+func (u *pollingUsers) send(kind, name, job string, tasks int) (stage string) {
 	method, path, body := http.MethodGet, "/api/jobs/"+job, ""
 	switch kind {
 	case submitRequest:
 		method, path, body = http.MethodPost, "/api/jobs", submissionBody(job, tasks)
 	case cancelRequest:
 		method, path = http.MethodPost, path+"/cancel"
-		u.seen.cancelSent(job)
+		u.checker.cancelSent(job)
 	}
 	sent := time.Now()
 	u.travel()
@@ -111,7 +111,7 @@
 		return ""
 	}
 	if kind == stateRequest {
-		u.countUnheard(n, job)
+		u.countUnseenRecords(n, job)
 	}
 	rec := httptest.NewRecorder()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -124,15 +124,15 @@
 		return "" // the process ended, or the user has given up
 	}
 	u.travel()
-	if u.stalls && u.draw(25) == 0 {
+	if u.delayResponses && u.draw(25) == 0 {
 		u.delayed.Add(1)
 		time.Sleep(time.Second + time.Duration(u.draw(1000))*time.Millisecond)
 	}
-	return u.seen.hear(heardAnswer{kind: kind, node: name, job: job, sent: sent, arrived: time.Now(), status: rec.Code, body: rec.Body.Bytes()})
+	return u.checker.checkResponse(observedResponse{kind: kind, node: name, job: job, sent: sent, received: time.Now(), status: rec.Code, body: rec.Body.Bytes()})
 }
 
-// countUnheard counts questions that fall between a record and its reader.
-func (u *closeUsers) countUnheard(n *node, job string) {
+// countUnseenRecords counts questions that fall between a record and its reader.
+func (u *pollingUsers) countUnseenRecords(n *node, job string) {
 	u.mu.Lock()
 	var leader *node
 	for _, name := range u.names {
@@ -148,25 +148,25 @@
 	ended := u.store.Text("final/"+job) != ""
 	switch {
 	case ended && (!sure || known.Stage != wire.StageDone && known.Stage != wire.StageCancelled):
-		u.endKnown.Add(1)
+		u.endNotSeen.Add(1)
 	case !ended && !sure && u.store.Text("live/"+job) != "":
-		u.unloaded.Add(1)
+		u.notLoaded.Add(1)
 	}
 	if !ended && !n.cancellations.IsCancelled(job) && strings.Contains(u.store.Text("live/"+job), `"cancelled":true`) {
-		u.cancelled.Add(1)
+		u.cancelUnseen.Add(1)
 	}
 }
 
-// look asks for a job at all controllers, again and again within milliseconds, and
+// pollAndResubmit asks for a job at all controllers, again and again within milliseconds, and
 // repeats its submission.
-func (u *closeUsers) look(job string, tasks int) {
+func (u *pollingUsers) pollAndResubmit(job string, tasks int) {
 	for i := range 3 {
 		for _, name := range u.names {
 			u.pending.Go(func() { u.send(stateRequest, name, job, 0) })
 		}
 		if i != 1 {
 			u.pending.Go(func() {
-				if h := u.seen.history(job); !h.done.IsZero() || !h.cancelled.IsZero() {
+				if h := u.checker.history(job); !h.done.IsZero() || !h.cancelled.IsZero() {
 					u.repeated.Add(1)
 				}
 				u.send(submitRequest, u.names[u.draw(len(u.names))], job, tasks)
@@ -176,10 +176,10 @@
 	}
 }
 
-// follow is the life of one job's user: it submits the job, perhaps cancels it after
+// runUser is the life of one job's user: it submits the job, perhaps cancels it after
 // some time (0: never), and asks until the job is over.
-func (u *closeUsers) follow(job string, tasks int, cancelAfter, patience time.Duration) {
-	u.submitted(job, tasks)
+func (u *pollingUsers) runUser(job string, tasks int, cancelAfter, patience time.Duration) {
+	u.setTaskCount(job, tasks)
 	until := time.Now().Add(patience)
 	anyNode := func() string { return u.names[u.draw(len(u.names))] }
 	for u.send(submitRequest, anyNode(), job, tasks) == "" {
@@ -188,13 +188,13 @@
 		}
 		time.Sleep(time.Second)
 	}
-	u.look(job, tasks)
+	u.pollAndResubmit(job, tasks)
 	if cancelAfter > 0 {
 		u.pending.Go(func() {
 			time.Sleep(cancelAfter)
 			for {
 				if stage := u.send(cancelRequest, anyNode(), job, 0); stage != "" {
-					u.look(job, tasks)
+					u.pollAndResubmit(job, tasks)
 					return
 				}
 				if time.Now().After(until) {
@@ -206,10 +206,10 @@
 	}
 	for time.Now().Before(until) {
 		if stage := u.send(stateRequest, anyNode(), job, 0); stage == "done" || stage == "cancelled" {
-			u.look(job, tasks)
-			for range u.later { // and later, by when lagging watches tell of the past
+			u.pollAndResubmit(job, tasks)
+			for range u.pollsAfterEnd { // and later, by when lagging watches tell of the past
 				time.Sleep(time.Duration(200+u.draw(2000)) * time.Millisecond)
-				u.look(job, tasks)
+				u.pollAndResubmit(job, tasks)
 			}
 			return
 		}
@@ -217,28 +217,28 @@
 	}
 }
 
-// finish waits for the users, stops the controllers, lets what is on its way arrive, and
+// finishAndCheck waits for the users, stops the controllers, lets what is on its way arrive, and
 // fails the test for answers that are out of order.
-func (u *closeUsers) finish(t *testing.T) {
+func (u *pollingUsers) finishAndCheck(t *testing.T) {
 	u.pending.Wait()
 	u.stopAll()
 	time.Sleep(15 * time.Second)
-	for _, b := range u.seen.broken {
+	for _, b := range u.checker.violations {
 		t.Error(b)
 	}
 }
 
-// closeScene is a fault during which users look closely.
-type closeScene struct {
-	name  string
-	each  func(u *closeUsers, second int) // what happens each second
-	least int                             // changes of the leader, or refusals, that must happen
-	stays bool                            // whether the jobs stay with one leader
+// pollScenario is a fault during which users look closely.
+type pollScenario struct {
+	name        string
+	everySecond func(u *pollingUsers, second int) // what happens each second
+	minFaults   int                               // changes of the leader, or refusals, that must happen
+	sameLeader  bool                              // whether the jobs stay with one leader
 }
 
-// lagging has the watches tell late, and messages and the state service's answers take
+// addLatency has the watches tell late, and messages and the state service's answers take
 // some time.
-func (u *closeUsers) lagging(most time.Duration) {
+func (u *pollingUsers) addLatency(most time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	upTo := func(most time.Duration) func() time.Duration {
@@ -247,71 +247,71 @@
 	u.watchLag, u.storeLatency, u.transit = upTo(most), upTo(30*time.Millisecond), upTo(15*time.Millisecond)
 }
 
-// refusal has the state service refuse a controller, which its peers may be cut off from
+// refuseTemporarily has the state service refuse a controller, which its peers may be cut off from
 // too, for some seconds.
-func (u *closeUsers) refusal(second, length int, name string, apart bool) {
+func (u *pollingUsers) refuseTemporarily(second, length int, name string, apart bool) {
 	switch {
 	case second == 0 && name != "":
-		u.refused = name
+		u.refusedController = name
 		u.refuse(name)
 		if apart {
 			u.cutAll(name, u.others(name)...)
 		}
-		u.handled++
-	case second == length && u.refused != "":
-		u.healLinks(u.refused, append(u.others(u.refused), stateService)...)
+		u.faults++
+	case second == length && u.refusedController != "":
+		u.healLinks(u.refusedController, append(u.others(u.refusedController), stateService)...)
 	}
 }
 
-var closeScenes = []closeScene{
-	{"watches lag", func(*closeUsers, int) {}, 0, true},
-	{"the leader hands over", func(u *closeUsers, second int) {
+var pollScenarios = []pollScenario{
+	{"watches lag", func(*pollingUsers, int) {}, 0, true},
+	{"the leader hands over", func(u *pollingUsers, second int) {
 		if l := u.leader(); second%3 == 1 && l != "" {
 			to := u.others(l)
 			if u.nodes[l].member.TransferShards(context.Background(), to[u.draw(len(to))]) == nil {
-				u.handled++
+				u.faults++
 			}
 		}
 	}, 6, false},
-	{"the leader ends", func(u *closeUsers, second int) {
+	{"the leader ends", func(u *pollingUsers, second int) {
 		if l := u.leader(); second%8 == 3 && l != "" {
 			u.restart(l, time.Duration(100+u.draw(3000))*time.Millisecond)
-			u.handled++
+			u.faults++
 		}
 	}, 4, false},
-	{"the state service refuses a controller", func(u *closeUsers, second int) {
-		u.refusal(second%6, 4, u.names[u.draw(len(u.names))], false)
+	{"the state service refuses a controller", func(u *pollingUsers, second int) {
+		u.refuseTemporarily(second%6, 4, u.names[u.draw(len(u.names))], false)
 	}, 6, true},
-	{"the leader is apart from state service and peers", func(u *closeUsers, second int) {
-		u.refusal(second%12, 8, u.leader(), true)
+	{"the leader is apart from state service and peers", func(u *pollingUsers, second int) {
+		u.refuseTemporarily(second%12, 8, u.leader(), true)
 	}, 4, false},
 }
 
-// closeTally is what happened in a scene's runs.
-type closeTally struct {
-	answers, refused, done, cancelled, handled, lateStarts int
-	behind                                                 int
-	unloaded, endKnown, cancelUnheard, repeated, delayed   int64
-	latestStart                                            time.Duration
+// pollStats is what happened in a scene's runs.
+type pollStats struct {
+	answers, refused, done, cancelled, faults, lateStarts   int
+	staleQueued                                             int
+	notLoaded, endNotSeen, cancelNotSeen, repeated, delayed int64
+	longestStartDelay                                       time.Duration
 }
 
-func (s *closeTally) add(u *closeUsers) {
-	s.answers += u.seen.answers
-	s.refused += u.seen.refused
-	s.behind += u.seen.behind
-	for _, h := range u.seen.jobs {
+func (s *pollStats) add(u *pollingUsers) {
+	s.answers += u.checker.responses
+	s.refused += u.checker.refused
+	s.staleQueued += u.checker.staleQueued
+	for _, h := range u.checker.jobs {
 		if !h.done.IsZero() {
 			s.done++
 		} else if !h.cancelled.IsZero() {
 			s.cancelled++
 		}
 	}
-	s.handled += u.handled
+	s.faults += u.faults
 	s.lateStarts += u.lateStarts
-	s.latestStart = max(s.latestStart, u.latestStart)
-	s.unloaded += u.unloaded.Load()
-	s.endKnown += u.endKnown.Load()
-	s.cancelUnheard += u.cancelled.Load()
+	s.longestStartDelay = max(s.longestStartDelay, u.longestStartDelay)
+	s.notLoaded += u.notLoaded.Load()
+	s.endNotSeen += u.endNotSeen.Load()
+	s.cancelNotSeen += u.cancelUnseen.Load()
 	s.repeated += u.repeated.Load()
 	s.delayed += u.delayed.Load()
 }
@@ -320,40 +320,40 @@
 // ended or cancelled, and repeat the submissions, while watches lag and answers are
 // delayed: no controller answers anything older than what any controller had told.
 func TestConcurrentPollsNeverSeeOlderState(t *testing.T) {
-	for i, s := range closeScenes {
+	for i, s := range pollScenarios {
 		t.Run(s.name, func(t *testing.T) {
-			var sum closeTally
+			var sum pollStats
 			for seed := range uint64(2) {
 				t.Run(fmt.Sprint(seed), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { sum.add(playCloseScene(t, &s, 1300+10*uint64(i)+seed)) })
+					synctest.Test(t, func(t *testing.T) { sum.add(runPollScenario(t, &s, 1300+10*uint64(i)+seed)) })
 				})
 			}
 			t.Logf("%+v", sum)
-			if sum.handled < s.least || sum.done < 40 || sum.cancelled < 15 || sum.unloaded < 50 || sum.endKnown < 10 ||
-				sum.cancelUnheard < 10 || sum.repeated < 200 || sum.delayed < 50 {
+			if sum.faults < s.minFaults || sum.done < 40 || sum.cancelled < 15 || sum.notLoaded < 50 || sum.endNotSeen < 10 ||
+				sum.cancelNotSeen < 10 || sum.repeated < 200 || sum.delayed < 50 {
 				t.Error("too few of these")
 			}
-			if s.stays && sum.behind > 0 {
-				t.Errorf("%d answers \"queued\" for running jobs", sum.behind)
+			if s.sameLeader && sum.staleQueued > 0 {
+				t.Errorf("%d answers \"queued\" for running jobs", sum.staleQueued)
 			}
-			if sum.latestStart > inFlight {
-				t.Errorf("a task started %v after a confirmed cancel", sum.latestStart)
+			if sum.longestStartDelay > maxStartDelay {
+				t.Errorf("a task started %v after a confirmed cancel", sum.longestStartDelay)
 			}
 		})
 	}
 }
 
-// inFlight is how long after a confirmed cancel a start that was on its way may arrive.
-const inFlight = time.Second
+// maxStartDelay is how long after a confirmed cancel a start that was on its way may arrive.
+const maxStartDelay = time.Second
 
-func playCloseScene(t *testing.T, s *closeScene, seed uint64) *closeUsers {
+func runPollScenario(t *testing.T, s *pollScenario, seed uint64) *pollingUsers {
 	const seconds = 32
 	w := newCluster(t, seed)
-	w.bigger(3, 8)
+	w.resize(3, 8)
 	w.keepCuts = true
-	u := newCloseUsers(w)
-	u.lagging(4 * time.Second)
-	u.later, u.stalls = 2, true
+	u := newPollingUsers(w)
+	u.addLatency(4 * time.Second)
+	u.pollsAfterEnd, u.delayResponses = 2, true
 	for _, k := range w.workers {
 		k.Run = func(task string) time.Duration {
 			if strings.HasPrefix(task, "j-11") || strings.HasPrefix(task, "j-13") {
@@ -366,7 +366,7 @@
 	time.Sleep(2 * time.Second)
 	w.live(3)
 	for second := range seconds {
-		s.each(u, second)
+		s.everySecond(u, second)
 		for i := range 2 {
 			job, tasks := fmt.Sprintf("j-%d", 100+2*second+i), 1+w.draw(2)
 			cancelAfter := time.Duration(0)
@@ -376,7 +376,7 @@
 			from := time.Duration(w.draw(1000)) * time.Millisecond
 			u.pending.Go(func() {
 				time.Sleep(from)
-				u.follow(job, tasks, cancelAfter, time.Minute)
+				u.runUser(job, tasks, cancelAfter, time.Minute)
 			})
 		}
 		w.live(1)
@@ -384,8 +384,8 @@
 	w.healed()
 	w.startAll()
 	w.live(75)
-	u.finish(t)
-	for job, h := range u.seen.jobs {
+	u.finishAndCheck(t)
+	for job, h := range u.checker.jobs {
 		if h.done.IsZero() && h.cancelled.IsZero() && !h.accepted.IsZero() {
 			t.Errorf("%s was accepted, and is not over", job)
 		}
--- a/internal/testkit/constraints_test.go
+++ b/internal/testkit/constraints_test.go
@@ -17,8 +17,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// rows reads all accounting, and says how many rows stand there more than once.
-func (w *cluster) rows() (jobs map[string]accounting.Row, attempts map[string]accounting.Row, twice int) {
+// accountingRows reads all accounting, and says how many accountingRows stand there more than once.
+func (w *cluster) accountingRows() (jobs map[string]accounting.Row, attempts map[string]accounting.Row, twice int) {
 	jobs, attempts = map[string]accounting.Row{}, map[string]accounting.Row{}
 	items, _, err := (&testkit.View{Store: w.store}).List(context.Background(), accounting.KeyPrefix)
 	if err != nil {
@@ -60,12 +60,12 @@
 func TestConstraintsUnderDrawnFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { termsUnderTroubles(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runConstraintsUnderFaults(t, seed) })
 		})
 	}
 }
 
-func termsUnderTroubles(t *testing.T, seed uint64) {
+func runConstraintsUnderFaults(t *testing.T, seed uint64) {
 	w := newCluster(t, seed)
 	w.accounts = true
 	began := map[string]time.Time{}
@@ -143,7 +143,7 @@
 		}
 		w.step(calm)
 	}
-	rows, attempts, _ := w.rows()
+	rows, attempts, _ := w.accountingRows()
 	useful := map[string]int{}
 	for name, r := range attempts {
 		if r.Useful {
@@ -237,7 +237,7 @@
 			}
 			time.Sleep(reportEvery)
 		}
-		jobs, attempts, twice := w.rows()
+		jobs, attempts, twice := w.accountingRows()
 		if len(jobs) != 6 || len(attempts) != 12 || twice != 0 {
 			t.Errorf("%d jobs, %d attempts, %d rows twice", len(jobs), len(attempts), twice)
 		}
--- a/internal/testkit/deposed_leader_test.go
+++ b/internal/testkit/deposed_leader_test.go
@@ -19,9 +19,9 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, 1600+seed)
-				w.bigger(3, 6)
+				w.resize(3, 6)
 				w.keepCuts, w.losslessReports, w.reliableStore = true, true, true
-				u := newCloseUsers(w)
+				u := newPollingUsers(w)
 				for _, k := range w.workers {
 					k.Run = func(task string) time.Duration {
 						if strings.HasSuffix(task, "/1") {
@@ -36,7 +36,7 @@
 				const jobs = 12
 				for i := range jobs {
 					job := fmt.Sprintf("j-%d", 100+i)
-					u.pending.Go(func() { u.follow(job, 1+i%2, 0, 2*time.Minute) })
+					u.pending.Go(func() { u.runUser(job, 1+i%2, 0, 2*time.Minute) })
 				}
 				if !w.within(10, func() bool { return w.starts >= jobs*3/2 }) {
 					t.Fatalf("%d tasks started", w.starts)
@@ -50,12 +50,12 @@
 				}
 				w.cutAll(former, append(w.others(former), stateService)...)
 				w.live(5)
-				u.submitted("j-200", 40) // has the successor write
+				u.setTaskCount("j-200", 40) // has the successor write
 				w.submit("j-200", 40)
 				w.live(6)
 				for i := range jobs {
 					job := fmt.Sprintf("j-%d", 100+i)
-					if h := u.seen.history(job); !h.ended.IsZero() && w.store.Text("final/"+job) == "" {
+					if h := u.checker.history(job); !h.allTasksEnded.IsZero() && w.store.Text("final/"+job) == "" {
 						unrecorded++
 					}
 				}
@@ -65,7 +65,7 @@
 				w.healLinks(former, append(w.others(former), stateService)...)
 				asks := func() {
 					for i := range jobs {
-						u.look(fmt.Sprintf("j-%d", 100+i), 1+i%2)
+						u.pollAndResubmit(fmt.Sprintf("j-%d", 100+i), 1+i%2)
 					}
 				}
 				for range 4 {
@@ -74,8 +74,8 @@
 				}
 				w.healed()
 				w.live(60)
-				u.finish(t)
-				for job, h := range u.seen.jobs {
+				u.finishAndCheck(t)
+				for job, h := range u.checker.jobs {
 					if h.done.IsZero() && job != "j-200" {
 						t.Errorf("%s is not done", job)
 					}
--- a/internal/testkit/drawn_faults_test.go
+++ b/internal/testkit/drawn_faults_test.go
@@ -26,7 +26,7 @@
 				w.violation = fmt.Sprintf(format, args...)
 			}
 		}
-		w.bigger(controllers, workers)
+		w.resize(controllers, workers)
 		w.startNodes()
 		time.Sleep(2 * time.Second)
 		play(w)
--- a/internal/testkit/fault_pairs_test.go
+++ b/internal/testkit/fault_pairs_test.go
@@ -131,7 +131,7 @@
 	w := newCluster(t, seed)
 	w.cfg.Params.Teams = []config.Team{{Name: "t"}, {Name: "capped", CPUsMax: 14}}
 	m := &faultRun{cluster: w, sizes: map[string]int{}, ended: map[string]bool{}}
-	w.bigger(3, 6)
+	w.resize(3, 6)
 	w.long()
 	for _, k := range w.workers {
 		k.Exit = func(task string) int {
--- a/internal/testkit/invalid_requests_test.go
+++ b/internal/testkit/invalid_requests_test.go
@@ -16,16 +16,16 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// request sends a user's request to a controller, and returns what its user gets.
-func (w *cluster) request(name, method, path, body string) (status int, state wire.JobState) {
+// userRequest sends a user's userRequest to a controller, and returns what its user gets.
+func (w *cluster) userRequest(name, method, path, body string) (status int, state wire.JobState) {
 	rec := httptest.NewRecorder()
 	w.nodes[name].mux.ServeHTTP(rec, httptest.NewRequest(method, path, strings.NewReader(body)))
 	_ = json.Unmarshal(rec.Body.Bytes(), &state) // a refusal has no state
 	return rec.Code, state
 }
 
-// submissionWith is the body of a submission of one short task, with some fields changed.
-func submissionWith(uid string, change map[string]any) string {
+// submissionBodyWith is the body of a submission of one short task, with some fields changed.
+func submissionBodyWith(uid string, change map[string]any) string {
 	fields := map[string]any{
 		"uid": uid, "docket": "c", "crew": "t", "sort": "sweep", "urgency": "normal", "pieces": 1, "cpus": 1, "cards": 0,
 		"memoryGb": 1, "kit": "i", "pullGb": 0.1, "builds": nil, "yard": nil, "together": false, "apart": false, "loaners": true,
@@ -46,19 +46,19 @@
 // absent is the value of a field that is left out.
 const absent = "(absent)"
 
-// oddSubmission is a submission that the protocol refuses, and one that it accepts if
+// submissionCase is a submission that the protocol refuses, and one that it accepts if
 // status is 201.
-type oddSubmission struct {
-	name   string
-	change map[string]any
-	status int
-	judged bool // the machine types or the teams decide, and not the body alone
+type submissionCase struct {
+	name              string
+	change            map[string]any
+	status            int
+	needsClusterState bool // the machine types or the teams decide, and not the body alone
 }
 
-func oddSubmissions() (odd []oddSubmission) {
+func submissionCases() (odd []submissionCase) {
 	add := func(status int, judged bool, field string, values ...any) {
 		for _, value := range values {
-			odd = append(odd, oddSubmission{fmt.Sprintf("%s=%v", field, value), map[string]any{field: value}, status, judged})
+			odd = append(odd, submissionCase{fmt.Sprintf("%s=%v", field, value), map[string]any{field: value}, status, judged})
 		}
 	}
 	for _, field := range []string{"docket", "crew", "sort", "urgency", "kit"} {
@@ -85,20 +85,20 @@
 	add(http.StatusUnprocessableEntity, true, "builds", []string{"other"}, []string{"M", "other"})
 	add(http.StatusUnprocessableEntity, true, "yard", "elsewhere")
 	odd = append(odd,
-		oddSubmission{"one task over the limit", map[string]any{"crew": "small", "cpus": 3}, http.StatusUnprocessableEntity, true},
-		oddSubmission{"a service over the limit", map[string]any{"crew": "small", "sort": "daemon", "pieces": 3}, http.StatusUnprocessableEntity, true},
-		oddSubmission{"an array of tasks within the limit", map[string]any{"crew": "small", "pieces": 30}, http.StatusCreated, true},
-		oddSubmission{"a service within the limit", map[string]any{"crew": "small", "sort": "daemon", "pieces": 2}, http.StatusCreated, true},
-		oddSubmission{"the only type and zone", map[string]any{"builds": []string{"other", "m"}, "yard": "z"}, http.StatusCreated, true},
-		oddSubmission{"what may be null is left out", map[string]any{"builds": absent, "yard": absent, "dueS": absent}, http.StatusCreated, true},
-		oddSubmission{"a field that nobody knows", map[string]any{"colour": map[string]any{"CPUS": 99}}, http.StatusCreated, true})
+		submissionCase{"one task over the limit", map[string]any{"crew": "small", "cpus": 3}, http.StatusUnprocessableEntity, true},
+		submissionCase{"a service over the limit", map[string]any{"crew": "small", "sort": "daemon", "pieces": 3}, http.StatusUnprocessableEntity, true},
+		submissionCase{"an array of tasks within the limit", map[string]any{"crew": "small", "pieces": 30}, http.StatusCreated, true},
+		submissionCase{"a service within the limit", map[string]any{"crew": "small", "sort": "daemon", "pieces": 2}, http.StatusCreated, true},
+		submissionCase{"the only type and zone", map[string]any{"builds": []string{"other", "m"}, "yard": "z"}, http.StatusCreated, true},
+		submissionCase{"what may be null is left out", map[string]any{"builds": absent, "yard": absent, "dueS": absent}, http.StatusCreated, true},
+		submissionCase{"a field that nobody knows", map[string]any{"colour": map[string]any{"CPUS": 99}}, http.StatusCreated, true})
 	return odd
 }
 
-// noTypes is a controller's catalog before it knows the machine types.
-type noTypes struct{}
+// emptyCatalog is a controller's catalog before it knows the machine types.
+type emptyCatalog struct{}
 
-func (noTypes) All() []wire.MachineType { return nil }
+func (emptyCatalog) All() []wire.MachineType { return nil }
 
 // Odd requests get the answer of the protocol, the same at every controller and in every
 // state of it: one that can't decide says 503. Nothing is accepted that can't run.
@@ -129,7 +129,7 @@
 				}
 				n.mux = http.NewServeMux()
 				in := submission.New(submission.Options{
-					Platform: w.cfg, Operator: op, Store: n.view, Jobs: n.scheduler, Catalog: noTypes{}, Peers: n, Log: slog.New(slog.DiscardHandler),
+					Platform: w.cfg, Operator: op, Store: n.view, Jobs: n.scheduler, Catalog: emptyCatalog{}, Peers: n, Log: slog.New(slog.DiscardHandler),
 					Cancellations: n.cancellations,
 				})
 				in.Register(n.mux)
@@ -137,7 +137,7 @@
 			{"the leader is away", func() { w.crash(w.leader()) }, w.startAll, "", false},
 			{"the state service is out", func() { w.refuse(w.names...); w.live(1) }, w.healed, "", true},
 		}
-		odd := oddSubmissions()
+		odd := submissionCases()
 		accepted := 0
 		for s, state := range states {
 			w.live(3)
@@ -155,10 +155,10 @@
 						want = http.StatusServiceUnavailable // it may be a known job
 					case known:
 						want = http.StatusOK
-					case o.judged && name == state.unsure:
+					case o.needsClusterState && name == state.unsure:
 						want = http.StatusServiceUnavailable
 					}
-					got, _ := w.request(name, http.MethodPost, "/api/jobs", submissionWith(uid, o.change))
+					got, _ := w.userRequest(name, http.MethodPost, "/api/jobs", submissionBodyWith(uid, o.change))
 					if got != want {
 						t.Errorf("%s, %s at %s: %d, not %d", state.name, o.name, name, got, want)
 					}
@@ -180,16 +180,16 @@
 					unknown = http.StatusServiceUnavailable
 				}
 				for path, want := range map[string]int{"/api/jobs/j-nobody": unknown, "/api/jobs/nobody": http.StatusNotFound} {
-					if got, _ := w.request(name, http.MethodGet, path, ""); got != want {
+					if got, _ := w.userRequest(name, http.MethodGet, path, ""); got != want {
 						t.Errorf("%s, %s at %s: %d, not %d", state.name, path, name, got, want)
 					}
-					got, _ := w.request(name, http.MethodPost, path+"/cancel", "")
+					got, _ := w.userRequest(name, http.MethodPost, path+"/cancel", "")
 					if got != want {
 						t.Errorf("%s, cancel of %s at %s: %d, not %d", state.name, path, name, got, want)
 					}
 				}
-				for _, body := range []string{"", "null", "[]", `"j-1"`, "{", submissionWith("j-1", nil) + "x", submissionWith("k-1", nil), submissionWith("j-1", map[string]any{"uid": nil}), "\ufeff" + submissionWith("j-1", nil)} {
-					if got, _ := w.request(name, http.MethodPost, "/api/jobs", body); got != http.StatusBadRequest {
+				for _, body := range []string{"", "null", "[]", `"j-1"`, "{", submissionBodyWith("j-1", nil) + "x", submissionBodyWith("k-1", nil), submissionBodyWith("j-1", map[string]any{"uid": nil}), "\ufeff" + submissionBodyWith("j-1", nil)} {
+					if got, _ := w.userRequest(name, http.MethodPost, "/api/jobs", body); got != http.StatusBadRequest {
 						t.Errorf("%s, %.20q at %s: %d, not 400", state.name, body, name, got)
 					}
 				}
@@ -199,17 +199,17 @@
 		if want := 5 * 4; accepted != want {
 			t.Errorf("%d jobs accepted, not %d", accepted, want)
 		}
-		w.repeatsAreAnsweredByState(odd)
+		w.checkResubmissions(odd)
 	})
 }
 
-// repeatsAreAnsweredByState repeats the submission of a job that runs and of one that is
+// checkResubmissions repeats the submission of a job that runs and of one that is
 // done, with every other body, at all controllers, and cancels the one that is done.
-func (w *cluster) repeatsAreAnsweredByState(odd []oddSubmission) {
+func (w *cluster) checkResubmissions(odd []submissionCase) {
 	w.t.Helper()
 	w.live(10)
 	for uid, pieces := range map[string]int{"j-80": 2, "j-7": 1} {
-		if got, _ := w.request("a", http.MethodPost, "/api/jobs", submissionWith(uid, map[string]any{"pieces": pieces})); got != http.StatusCreated {
+		if got, _ := w.userRequest("a", http.MethodPost, "/api/jobs", submissionBodyWith(uid, map[string]any{"pieces": pieces})); got != http.StatusCreated {
 			w.t.Fatalf("%s: %d", uid, got)
 		}
 	}
@@ -220,14 +220,14 @@
 	for _, name := range w.names {
 		for uid, want := range map[string]string{"j-80": wire.StageRunning, "j-7": wire.StageDone} {
 			for _, o := range odd {
-				got, state := w.request(name, http.MethodPost, "/api/jobs", submissionWith(uid, o.change))
+				got, state := w.userRequest(name, http.MethodPost, "/api/jobs", submissionBodyWith(uid, o.change))
 				// Where the body is bad the store may be read, which has no count of what runs.
 				if got != http.StatusOK || state.UID != uid || (state.Stage == wire.StageDone) != (want == wire.StageDone) || state.Stage == wire.StageCancelled {
 					w.t.Errorf("%s again, with %s, at %s: %d, %+v", uid, o.name, name, got, state)
 				}
 			}
 		}
-		if got, state := w.request(name, http.MethodPost, "/api/jobs/j-7/cancel", ""); got != http.StatusOK || state.Stage != wire.StageDone {
+		if got, state := w.userRequest(name, http.MethodPost, "/api/jobs/j-7/cancel", ""); got != http.StatusOK || state.Stage != wire.StageDone {
 			w.t.Errorf("cancel of a job that is done, at %s: %d, %+v", name, got, state)
 		}
 	}
--- a/internal/testkit/late_starts_test.go
+++ b/internal/testkit/late_starts_test.go
@@ -12,14 +12,14 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// startChecks judges the starts of tasks of cancelled jobs.
-type startChecks struct {
-	sender startSender // of the commands that a worker is about to execute
-	late   int         // starts after their user heard that the job is cancelled
+// cancelledStartChecks judges the starts of tasks of cancelled jobs.
+type cancelledStartChecks struct {
+	sender     commandSender // of the commands that a worker is about to execute
+	lateStarts int           // starts after their user heard that the job is cancelled
 }
 
-// startSender is a controller that sent commands, and when.
-type startSender struct {
+// commandSender is a controller that sent commands, and when.
+type commandSender struct {
 	node *node
 	at   time.Time
 }
@@ -27,18 +27,18 @@
 // knownCancels is when a controller first knew of each cancel.
 type knownCancels struct{ sync.Map }
 
-func (k *knownCancels) learn(uids []string) {
+func (k *knownCancels) record(uids []string) {
 	for _, uid := range uids {
 		k.LoadOrStore(uid, time.Now())
 	}
 }
 
-// sent notes who sent the commands that a worker executes next. The cluster is locked.
-func (c *startChecks) sent(by *node, at time.Time) { c.sender = startSender{by, at} }
+// setSender notes who setSender the commands that a worker executes next. The cluster is locked.
+func (c *cancelledStartChecks) setSender(by *node, at time.Time) { c.sender = commandSender{by, at} }
 
-// keepSender has what a worker carries out later count as sent by whom it is from now. The
+// withCurrentSender has what a worker carries out later count as sent by whom it is from now. The
 // cluster is locked, then too.
-func (c *startChecks) keepSender(carryOut func()) func() {
+func (c *cancelledStartChecks) withCurrentSender(carryOut func()) func() {
 	sender := c.sender
 	return func() {
 		c.sender = sender
@@ -46,16 +46,16 @@
 	}
 }
 
-// checkStart counts a start after its job's cancel was confirmed. The only one that can't
+// checkStartAfterCancel counts a start after its job's cancel was confirmed. The only one that can't
 // be avoided is a command that was under way: its sender had not heard of the cancel when
 // it sent it, which takes what a message between controllers takes, or, for one that is
 // cut off, as long as it may answer workers. The cluster is locked.
-func (w *cluster) checkStart(task string) {
+func (w *cluster) checkStartAfterCancel(task string) {
 	uid, _, _ := strings.Cut(task, "/")
 	if _, cancelled := w.confirmedCancels[uid]; !cancelled {
 		return
 	}
-	w.checks.late++
+	w.checks.lateStarts++
 	s := w.checks.sender
 	if s.node == nil {
 		return
@@ -67,12 +67,12 @@
 
 // Commands are held up while users cancel jobs at other controllers, and come afterwards:
 // what they start is all that starts after a confirmed cancel, and is soon gone.
-func TestOnlyCommandsInFlightStartAfterCancel(t *testing.T) {
+func TestOnlyCommandsInFlightStartTasksAfterCancel(t *testing.T) {
 	late := 0
 	for seed := uint64(1); seed <= 6; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			w := newCluster(t, 800+seed)
-			w.bigger(3, 12)
+			w.resize(3, 12)
 			w.startNodes()
 			w.live(3)
 			w.locked(func() { w.keepCuts, w.holdsCommand = true, func() bool { return true } })
@@ -94,11 +94,11 @@
 			w.holdsCommand = nil
 			w.mu.Unlock()
 			w.live(60)
-			t.Logf("%d cancels confirmed, %d starts after them", confirmed, w.checks.late)
-			late += w.checks.late
+			t.Logf("%d cancels confirmed, %d starts after them", confirmed, w.checks.lateStarts)
+			late += w.checks.lateStarts
 			// One command is under way to a worker at a time, and starts what fits there.
-			if most := len(w.workers) * int(w.size); w.checks.late > most {
-				t.Errorf("%d starts after confirmed cancels, %d could be under way", w.checks.late, most)
+			if most := len(w.workers) * int(w.size); w.checks.lateStarts > most {
+				t.Errorf("%d starts after confirmed cancels, %d could be under way", w.checks.lateStarts, most)
 			}
 			for _, uid := range jobs {
 				if stage, heard := w.user(w.names[0], http.MethodGet, uid); heard && !w.confirmedCancels[uid].IsZero() && stage != wire.StageCancelled {
@@ -122,7 +122,7 @@
 	for seed := uint64(1); seed <= 4; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			w := newCluster(t, 860+seed)
-			w.bigger(3, 12)
+			w.resize(3, 12)
 			w.promptCommands, w.reliableStore = true, true
 			w.startNodes()
 			w.live(3)
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -14,26 +14,26 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// delay has a transaction applied later.
-func (l *answerLoss) delay(n *node, t wire.Txn) (time.Duration, func(error)) {
-	if _, ok := l.takes(n, t); !ok {
+// delayTransaction has a transaction applied later.
+func (l *responseLoss) delayTransaction(n *node, t wire.Txn) (time.Duration, func(error)) {
+	if _, ok := l.consume(n, t); !ok {
 		return 0, nil
 	}
-	return l.by, func(err error) {
+	return l.applyAfter, func(err error) {
 		l.w.mu.Lock()
 		defer l.w.mu.Unlock()
-		l.late = append(l.late, err)
+		l.lateResults = append(l.lateResults, err)
 	}
 }
 
-// refused fails the test unless transactions were carried out late, and changed nothing.
-func (l *answerLoss) refused() {
+// checkLateWritesRefused fails the test unless transactions were carried out late, and changed nothing.
+func (l *responseLoss) checkLateWritesRefused() {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
-	if len(l.late) == 0 {
+	if len(l.lateResults) == 0 {
 		l.w.t.Errorf("no write of %s came late", l.prefix)
 	}
-	for _, err := range l.late {
+	for _, err := range l.lateResults {
 		var conflict *statestore.ConflictError
 		if !errors.As(err, &conflict) && !errors.Is(err, statestore.ErrNoLease) {
 			l.w.t.Errorf("a late write of %s: %v", l.prefix, err)
@@ -44,17 +44,17 @@
 // lateWriteCases has writes that are carried out after newer ones of the same controller,
 // or of a successor. Those of hand-overs, releases and cancels that meet the end of a job
 // have tests of their own.
-var lateWriteCases = []lostAnswerCase{
-	{name: "acceptance, after its repetition", prefix: "live/j-7", play: func(t *testing.T, w *cluster, l *answerLoss) {
+var lateWriteCases = []lostWriteCase{
+	{name: "acceptance, after its repetition", prefix: "live/j-7", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		l.arm("", 1)
-		if status := w.submitAt(w.leader(), 5); status/100 != 2 {
+		if status := w.submitJ7(w.leader(), 5); status/100 != 2 {
 			t.Errorf("the submission is answered %d", status)
 		}
 	}},
-	{name: "acceptance, after the job's end", prefix: "live/j-7", play: func(t *testing.T, w *cluster, l *answerLoss) {
-		l.by = time.Minute
+	{name: "acceptance, after the job's end", prefix: "live/j-7", run: func(t *testing.T, w *cluster, l *responseLoss) {
+		l.applyAfter = time.Minute
 		l.arm(w.leader(), 1)
-		w.submitAt(w.leader(), 5)
+		w.submitJ7(w.leader(), 5)
 		if !w.within(50, w.ended("j-7")) {
 			t.Error("the job did not end in time")
 		}
@@ -63,8 +63,8 @@
 			t.Error("the job lives again")
 		}
 	}},
-	{name: "cancel, after a hand-over", prefix: "live/j-80", play: func(t *testing.T, w *cluster, l *answerLoss) {
-		l.then = func(writer *node, _ string) { w.moveJobs(writer) }
+	{name: "cancel, after a hand-over", prefix: "live/j-80", run: func(t *testing.T, w *cluster, l *responseLoss) {
+		l.whileWaiting = func(writer *node, _ string) { w.transferShards(writer) }
 		from := w.leader()
 		l.arm(from, 1)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -73,13 +73,13 @@
 			t.Errorf("%+v without an answer", s)
 		}
 	}},
-	{name: "cancel, after the job's record was written anew", prefix: "live/j-80", play: func(t *testing.T, w *cluster, l *answerLoss) {
-		l.by = 20 * time.Second
+	{name: "cancel, after the job's record was written anew", prefix: "live/j-80", run: func(t *testing.T, w *cluster, l *responseLoss) {
+		l.applyAfter = 20 * time.Second
 		at := w.leader()
 		l.arm(at, 1)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		before := w.version("live/j-80")
+		before := w.keyVersion("live/j-80")
 		if s, err := w.nodes[at].scheduler.Cancel(ctx, "j-80"); err == nil {
 			t.Errorf("%+v without an answer", s)
 		}
@@ -90,20 +90,20 @@
 			t.Errorf("the owner calls the job %q, which runs by the store and by its books", stage)
 		}
 		w.live(10)
-		if stage, ok := w.user(at, http.MethodGet, "j-80"); !ok || stage != wire.StageRunning || w.version("live/j-80") == before {
-			t.Errorf("the owner calls the job %q, its record has version %d, %d before", stage, w.version("live/j-80"), before)
+		if stage, ok := w.user(at, http.MethodGet, "j-80"); !ok || stage != wire.StageRunning || w.keyVersion("live/j-80") == before {
+			t.Errorf("the owner calls the job %q, its record has version %d, %d before", stage, w.keyVersion("live/j-80"), before)
 		}
-		version := w.version("live/j-80")
+		version := w.keyVersion("live/j-80")
 		w.live(12)
-		if w.version("live/j-80") != version {
+		if w.keyVersion("live/j-80") != version {
 			t.Error("the record was written again")
 		}
 	}},
-	{name: "end, after its repetition", prefix: "final/j-1", plain: true, play: func(_ *testing.T, _ *cluster, l *answerLoss) {
+	{name: "end, after its repetition", prefix: "final/j-1", noAccounting: true, run: func(_ *testing.T, _ *cluster, l *responseLoss) {
 		l.arm("", 1)
 	}},
-	{name: "end, after a cancel", prefix: "final/j-7", plain: true, play: func(t *testing.T, w *cluster, l *answerLoss) {
-		l.then = func(writer *node, _ string) {
+	{name: "end, after a cancel", prefix: "final/j-7", noAccounting: true, run: func(t *testing.T, w *cluster, l *responseLoss) {
+		l.whileWaiting = func(writer *node, _ string) {
 			time.Sleep(100 * time.Millisecond)
 			if stage, ok := w.user(writer.name, http.MethodPost, "j-7"); !ok || stage != wire.StageCancelled {
 				t.Errorf("the cancel is answered %s, %v", stage, ok)
@@ -122,43 +122,43 @@
 			t.Errorf("recorded in the end: %+v, %v", s, err)
 		}
 	}},
-	{name: "claim of shards, after its repetition", prefix: "c/shard/", play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "claim of shards, after its repetition", prefix: "c/shard/", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		l.arm("", 1)
 		w.crash(w.leader())
-		w.atMostOneOwner(t, l)
-		w.owned(t, 25)
+		w.checkSingleOwner(t, l)
+		w.awaitSingleOwner(t, 25)
 	}},
-	{name: "counter of terms", prefix: "c/term", play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "counter of terms", prefix: "c/term", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		w.restartOwner(t, l, 2)
 	}},
-	{name: "accounting page alone, after newer ones", prefix: accounting.KeyPrefix, play: rowsAlone},
-	{name: "log, at a new owner that has just read it", prefix: "log/", plain: true, play: moveMeanwhile},
-	{name: "chunk of tasks, at a new owner that has just read it", prefix: "task/", plain: true, play: moveMeanwhile},
-	{name: "accounting page, at a new owner that has just read it", prefix: accounting.KeyPrefix, play: moveMeanwhile},
-	{name: "log, at a new owner", prefix: "log/", plain: true, play: moveWhileLate},
-	{name: "chunk of tasks, at a new owner", prefix: "task/", plain: true, play: moveWhileLate},
-	{name: "accounting page, at a new owner", prefix: accounting.KeyPrefix, play: moveWhileLate},
+	{name: "accounting page alone, after newer ones", prefix: accounting.KeyPrefix, run: accountingRowsAlone},
+	{name: "log, at a new owner that has just read it", prefix: "log/", noAccounting: true, run: transferJustBeforeLateWrite},
+	{name: "chunk of tasks, at a new owner that has just read it", prefix: "task/", noAccounting: true, run: transferJustBeforeLateWrite},
+	{name: "accounting page, at a new owner that has just read it", prefix: accounting.KeyPrefix, run: transferJustBeforeLateWrite},
+	{name: "log, at a new owner", prefix: "log/", noAccounting: true, run: transferDuringLateWrite},
+	{name: "chunk of tasks, at a new owner", prefix: "task/", noAccounting: true, run: transferDuringLateWrite},
+	{name: "accounting page, at a new owner", prefix: accounting.KeyPrefix, run: transferDuringLateWrite},
 }
 
 // restartOwner has the leader back within half a second, while so many answers are lost.
-func (w *cluster) restartOwner(t *testing.T, l *answerLoss, lost int) {
+func (w *cluster) restartOwner(t *testing.T, l *responseLoss, lost int) {
 	l.arm("", lost)
 	w.restart(w.leader(), 500*time.Millisecond)
-	w.owned(t, 25)
+	w.awaitSingleOwner(t, 25)
 }
 
-// moveWhileLate transfers the jobs while a write of their leader is under way.
-func moveWhileLate(_ *testing.T, w *cluster, l *answerLoss) {
-	l.then = func(writer *node, _ string) { w.moveJobs(writer) }
+// transferDuringLateWrite transfers the jobs while a write of their leader is under way.
+func transferDuringLateWrite(_ *testing.T, w *cluster, l *responseLoss) {
+	l.whileWaiting = func(writer *node, _ string) { w.transferShards(writer) }
 	l.arm("", 1)
 	w.live(15)
 }
 
-// moveMeanwhile is moveWhileLate with a write that comes before the new leader has written
+// transferJustBeforeLateWrite is moveWhileLate with a write that comes before the new leader has written
 // anything itself.
-func moveMeanwhile(t *testing.T, w *cluster, l *answerLoss) {
-	l.by = 300 * time.Millisecond
-	moveWhileLate(t, w, l)
+func transferJustBeforeLateWrite(t *testing.T, w *cluster, l *responseLoss) {
+	l.applyAfter = 300 * time.Millisecond
+	transferDuringLateWrite(t, w, l)
 }
 
 // TestWriteAppliedLateIsRefused has a write applied six seconds late, when its writer has
@@ -167,9 +167,9 @@
 	for i := range lateWriteCases {
 		c := &lateWriteCases[i]
 		t.Run(c.name, func(t *testing.T) {
-			playCase(t, uint64(1350+i), c, func(w *cluster, l *answerLoss) {
-				l.by, w.delay = 6*time.Second, l.delay
-			}, (*answerLoss).refused)
+			runLostWriteCase(t, uint64(1350+i), c, func(w *cluster, l *responseLoss) {
+				l.applyAfter, w.delay = 6*time.Second, l.delayTransaction
+			}, (*responseLoss).checkLateWritesRefused)
 		})
 	}
 }
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -14,35 +14,35 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// changeCost is what one change of the leader cost.
-type changeCost struct {
-	kind     string
-	gap      time.Duration // the longest time without a start
-	leases   int           // of workers, that ended
-	again    int           // long tasks that were started again
-	requests int           // to the state service
-	keys     int           // of controllers, shards and fencing tokens
-	returned int           // machines
+// failoverCost is what one change of the leader cost.
+type failoverCost struct {
+	kind            string
+	longestGap      time.Duration // the longest time without a start
+	endedLeases     int           // of workers, that ended
+	restartedTasks  int           // long tasks that were started again
+	requests        int           // to the state service
+	keys            int           // of controllers, shards and fencing tokens
+	deletedMachines int           // machines
 }
 
-func (c changeCost) String() string {
+func (c failoverCost) String() string {
 	return fmt.Sprintf("%-22s %4.1f s without a start, %d leases ended, %d long tasks again, %d machines returned, %d requests, %d keys",
-		c.kind, c.gap.Seconds(), c.leases, c.again, c.returned, c.requests, c.keys)
+		c.kind, c.longestGap.Seconds(), c.endedLeases, c.restartedTasks, c.deletedMachines, c.requests, c.keys)
 }
 
-// changes has leaders end again and again, and measures.
-type changes struct {
+// failoverCluster has leaders end again and again, and measures.
+type failoverCluster struct {
 	*cluster
-	again    int
-	requests int
+	restartedTasks int
+	requests       int
 }
 
-func newChanges(t *testing.T, seed uint64) *changes {
+func newFailoverCluster(t *testing.T, seed uint64) *failoverCluster {
 	w := newCluster(t, seed)
-	w.bigger(3, 12)
+	w.resize(3, 12)
 	w.long()
 	w.keepCuts = true
-	c := &changes{cluster: w}
+	c := &failoverCluster{cluster: w}
 	w.storeLatency = func() time.Duration { c.requests++; return 0 }
 	w.startInTurn()
 	w.live(3)
@@ -55,29 +55,29 @@
 	}
 	w.onStart = func(_ *testkit.Worker, task string, _ uint64) {
 		if strings.HasPrefix(task, "j-80/") {
-			c.again++
+			c.restartedTasks++
 		}
 	}
 	return c
 }
 
-// soFar sums what all changes have cost so far.
-func (c *changes) soFar() changeCost {
+// totals sums what all changes have cost so far.
+func (c *failoverCluster) totals() failoverCost {
 	ended := c.sessions()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return changeCost{leases: ended, again: c.again, requests: c.requests, returned: c.returnedMachines}
+	return failoverCost{endedLeases: ended, restartedTasks: c.restartedTasks, requests: c.requests, deletedMachines: c.returnedMachines}
 }
 
 // measure plays something and then lets time pass until so many seconds are over.
-func (c *changes) measure(kind string, seconds int, play func()) changeCost {
-	before := c.soFar()
-	cost := changeCost{kind: kind}
+func (c *failoverCluster) measure(kind string, seconds int, play func()) failoverCost {
+	before := c.totals()
+	cost := failoverCost{kind: kind}
 	begin := time.Now()
 	last := begin
 	look := func() {
 		if started := c.lastStart(); started.After(last) {
-			cost.gap, last = max(cost.gap, started.Sub(last)), started
+			cost.longestGap, last = max(cost.longestGap, started.Sub(last)), started
 		}
 	}
 	play()
@@ -86,12 +86,12 @@
 		c.live(1)
 		look()
 	}
-	cost.gap = max(cost.gap, time.Since(last))
-	after := c.soFar()
-	cost.leases = after.leases - before.leases
-	cost.again = after.again - before.again
+	cost.longestGap = max(cost.longestGap, time.Since(last))
+	after := c.totals()
+	cost.endedLeases = after.endedLeases - before.endedLeases
+	cost.restartedTasks = after.restartedTasks - before.restartedTasks
 	cost.requests = after.requests - before.requests
-	cost.returned = after.returned - before.returned
+	cost.deletedMachines = after.deletedMachines - before.deletedMachines
 	for _, prefix := range []string{"c/"} {
 		cost.keys += len(c.store.Keys(prefix))
 	}
@@ -108,12 +108,12 @@
 	)
 	for seed := range uint64(2) {
 		synctest.Test(t, func(t *testing.T) {
-			c := newChanges(t, 1400+seed)
+			c := newFailoverCluster(t, 1400+seed)
 			calm := c.measure("none", 12, func() {})
 			t.Log(calm)
 			for range 5 {
 				for _, away := range []time.Duration{6 * time.Second, 300 * time.Millisecond} {
-					claim := c.claim()
+					claim := c.claimVersion()
 					cost := c.measure(fmt.Sprint("away for ", away), 12, func() {
 						leader := c.leader()
 						c.crash(leader)
@@ -122,14 +122,14 @@
 						c.start(leader)
 					})
 					t.Log(cost)
-					if c.claim() <= claim {
+					if c.claimVersion() <= claim {
 						t.Error("no new leader")
 					}
 					limit := apart
 					if away < time.Second {
 						limit = atOnce
 					}
-					if cost.gap > limit || cost.leases+cost.again+cost.returned > 0 || cost.requests > 2*calm.requests || cost.keys > calm.keys+len(c.names) {
+					if cost.longestGap > limit || cost.endedLeases+cost.restartedTasks+cost.deletedMachines > 0 || cost.requests > 2*calm.requests || cost.keys > calm.keys+len(c.names) {
 						t.Errorf("a change cost %v", cost)
 					}
 				}
@@ -139,8 +139,8 @@
 	}
 }
 
-// claim is the version of a shard's key: each new leader writes it.
-func (c *changes) claim() uint64 {
+// claimVersion is the version of a shard's key: each new leader writes it.
+func (c *failoverCluster) claimVersion() uint64 {
 	it, err := (&testkit.View{Store: c.store}).Get(context.Background(), "c/shard/000")
 	if err != nil {
 		return 0
@@ -148,17 +148,17 @@
 	return it.Version
 }
 
-// highestTerm is the highest term of all controllers but one.
-func (c *changes) highestTerm(but string) (highest uint64) {
+// highestToken is the highest term of all controllers but one.
+func (c *failoverCluster) highestToken(but string) (highest uint64) {
 	for _, n := range c.others(but) {
 		highest = max(highest, c.nodes[n].member.FencingToken())
 	}
 	return highest
 }
 
-// seenHigher counts the workers that have seen a higher fencing token than any controller's but one.
-func (c *changes) seenHigher(but string) (seen int) {
-	highest := c.highestTerm(but)
+// workersWithHigherToken counts the workers that have seen a higher fencing token than any controller's but one.
+func (c *failoverCluster) workersWithHigherToken(but string) (seen int) {
+	highest := c.highestToken(but)
 	c.mu.Lock() // controllers send the workers orders meanwhile
 	defer c.mu.Unlock()
 	for _, k := range c.workers {
@@ -176,19 +176,19 @@
 	for _, away := range []time.Duration{300 * time.Millisecond, 3 * time.Second, time.Hour} {
 		t.Run(fmt.Sprint("away for ", away), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newChanges(t, 1450)
+				c := newFailoverCluster(t, 1450)
 				c.losslessReports = true
 				leader := c.leader()
-				seen := c.seenHigher(leader)
+				seen := c.workersWithHigherToken(leader)
 				// Some transactions are lost, and others hold some workers: they draw a higher
 				// term in their turn when those have seen the leader's.
 				for range 30 {
 					if seen >= 8 {
 						break
 					}
-					_, _ = c.nodes[leader].member.RaiseTokenAbove(context.Background(), max(c.highestTerm(leader), c.nodes[leader].member.FencingToken()))
+					_, _ = c.nodes[leader].member.RaiseTokenAbove(context.Background(), max(c.highestToken(leader), c.nodes[leader].member.FencingToken()))
 					c.live(1)
-					seen = c.seenHigher(leader)
+					seen = c.workersWithHigherToken(leader)
 				}
 				if seen < 8 {
 					t.Errorf("%d workers have seen a higher term than any other controller's", seen)
@@ -204,14 +204,14 @@
 					}
 				})
 				t.Log(cost)
-				if calm.leases+cost.leases > 0 {
-					t.Errorf("%d leases of workers ended", calm.leases+cost.leases)
+				if calm.endedLeases+cost.endedLeases > 0 {
+					t.Errorf("%d leases of workers ended", calm.endedLeases+cost.endedLeases)
 				}
 				c.startAll()
 				c.healed()
 				after := c.measure("after the outage", 20, func() {})
 				t.Log(after)
-				if after.again+after.leases > 0 || after.gap > 6*time.Second {
+				if after.restartedTasks+after.endedLeases > 0 || after.longestGap > 6*time.Second {
 					t.Errorf("%v", after)
 				}
 				c.stopAll()
@@ -220,14 +220,14 @@
 	}
 }
 
-// endsInOutage is how controllers end, again and again, in one outage.
-type endsInOutage struct {
-	name  string
-	first int                                  // seconds into the outage of the first end
-	next  func(c *changes, last string) string // who ends next
-	// known is how many ends are survived without an ended lease: as long as a controller
+// crashScenario is how controllers end, again and again, in one outage.
+type crashScenario struct {
+	name        string
+	firstCrashS int                                          // seconds into the outage of the first end
+	nextToCrash func(c *failoverCluster, last string) string // who ends next
+	// crashesWithoutExpiry is how many ends are survived without an ended lease: as long as a controller
 	// is there that has a fencing token and knows of all cancels.
-	known int
+	crashesWithoutExpiry int
 }
 
 // Controllers end ten times in one outage of the state service, each back within seconds,
@@ -238,20 +238,20 @@
 // seconds after the outage all is as before.
 func TestTenCrashesInOneStateStoreOutage(t *testing.T) {
 	const ends, apart = 10, 12
-	same := func(_ *changes, last string) string { return last }
-	turns := func(c *changes, last string) string {
+	same := func(_ *failoverCluster, last string) string { return last }
+	turns := func(c *failoverCluster, last string) string {
 		return c.names[(slices.Index(c.names, last)+1)%len(c.names)]
 	}
-	for _, scene := range []endsInOutage{
+	for _, scene := range []crashScenario{
 		{"the leader", 6, same, ends},
 		{"the leader, from before its lease ended", 2, same, 2},
 		{"all by turns, from before the leader's lease ended", 2, turns, 2},
 		{"all by turns", 6, turns, 2},
-		{"who answers the most workers", 6, func(c *changes, _ string) string { return c.holder() }, 2},
+		{"who answers the most workers", 6, func(c *failoverCluster, _ string) string { return c.busiestController() }, 2},
 	} {
 		t.Run(scene.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newChanges(t, 1478)
+				c := newFailoverCluster(t, 1478)
 				c.losslessReports = true
 				leader := c.leader()
 				c.submit("j-81", 6)
@@ -263,8 +263,8 @@
 				// If the first end comes soon enough for their leases, the machines on which
 				// the job runs can't be told before.
 				var unreached []string
-				if scene.first < 5 {
-					unreached = c.with("j-81")
+				if scene.firstCrashS < 5 {
+					unreached = c.machinesRunning("j-81")
 				}
 				for _, name := range unreached {
 					c.cutAll(name, c.names...)
@@ -273,12 +273,12 @@
 					t.Error("no cancel was confirmed")
 				}
 				c.refuse(c.names...)
-				c.measure("outage", scene.first, func() {})
+				c.measure("outage", scene.firstCrashS, func() {})
 				last, leases, again := leader, 0, 0
 				for i := range ends {
 					away := []time.Duration{300 * time.Millisecond, 3 * time.Second}[i%2]
 					if i > 0 {
-						last = scene.next(c, last)
+						last = scene.nextToCrash(c, last)
 					}
 					cost := c.measure(fmt.Sprintf("%s ends for %v", last, away), apart, func() {
 						if !c.restart(last, away) {
@@ -299,32 +299,32 @@
 					if n := c.onMachines("j-81"); n > 0 {
 						t.Errorf("%d cancelled tasks are on after end %d", n, i+1)
 					}
-					t.Log(cost, "; answered by", c.holds())
-					leases, again = leases+cost.leases, again+cost.again
+					t.Log(cost, "; answered by", c.workersAnsweredBy())
+					leases, again = leases+cost.endedLeases, again+cost.restartedTasks
 					// Machines that were cut off have little left of their leases.
-					if i < scene.known && leases > len(unreached) || cost.again+cost.returned+cost.requests > 0 || cost.leases > 2*len(c.workers) {
+					if i < scene.crashesWithoutExpiry && leases > len(unreached) || cost.restartedTasks+cost.deletedMachines+cost.requests > 0 || cost.endedLeases > 2*len(c.workers) {
 						t.Errorf("end %d cost %v", i+1, cost)
 					}
 				}
-				if (leases > 0) != (scene.known < ends) {
+				if (leases > 0) != (scene.crashesWithoutExpiry < ends) {
 					t.Errorf("%d leases ended", leases)
 				}
 				c.healed()
 				after := c.measure("after the outage", 20, func() {})
 				t.Log(after)
-				if after.gap > 6*time.Second || after.leases+after.returned > 0 || (after.again > 0) != (leases > 0) || after.again > 12 {
+				if after.longestGap > 6*time.Second || after.endedLeases+after.deletedMachines > 0 || (after.restartedTasks > 0) != (leases > 0) || after.restartedTasks > 12 {
 					t.Errorf("%v", after)
 				}
-				if !c.within(20, func() bool { return c.onMachines("j-80")+c.behindLong("j-80") == 12 }) {
-					t.Errorf("%d of 12 long tasks are on, %d wait behind such", c.onMachines("j-80"), c.behindLong("j-80"))
+				if !c.within(20, func() bool { return c.onMachines("j-80")+c.queuedBehindLongTasks("j-80") == 12 }) {
+					t.Errorf("%d of 12 long tasks are on, %d wait behind such", c.onMachines("j-80"), c.queuedBehindLongTasks("j-80"))
 				}
-				behind := c.behindLong("j-80")
+				behind := c.queuedBehindLongTasks("j-80")
 				if c.cancelAll(c.names[0], []string{"j-82"}, 3) != 1 {
 					t.Error("no cancel is confirmed after the outage")
 				}
 				late := c.measure("later", apart, func() {})
 				t.Log(calm, late)
-				if late.requests > 2*calm.requests || late.keys > calm.keys+len(c.names) || late.again > behind || late.leases+late.returned > 0 {
+				if late.requests > 2*calm.requests || late.keys > calm.keys+len(c.names) || late.restartedTasks > behind || late.endedLeases+late.deletedMachines > 0 {
 					t.Errorf("%v, before the outage %v", late, calm)
 				}
 				if n := c.onMachines("j-82"); n > 0 {
@@ -336,10 +336,10 @@
 	}
 }
 
-// behindLong counts a job's tasks that wait at a machine on which nothing but long tasks run.
+// queuedBehindLongTasks counts a job's tasks that wait at a machine on which nothing but long tasks run.
 // Those are estimated to take seconds, as short ones of their class do, so that the queue
 // looks short.
-func (c *changes) behindLong(uid string) (waiting int) {
+func (c *failoverCluster) queuedBehindLongTasks(uid string) (waiting int) {
 	full := map[string]bool{}
 	for _, k := range c.workers {
 		on := k.On()
@@ -358,8 +358,8 @@
 	return len(tasks)
 }
 
-// with names the machines that run a job's tasks.
-func (c *changes) with(uid string) (names []string) {
+// machinesRunning names the machines that run a job's tasks.
+func (c *failoverCluster) machinesRunning(uid string) (names []string) {
 	for _, k := range c.workers {
 		if slices.ContainsFunc(k.On(), func(task string) bool { return strings.HasPrefix(task, uid+"/") }) {
 			names = append(names, k.Name)
@@ -368,8 +368,8 @@
 	return names
 }
 
-// holds counts the workers that each controller answered lately.
-func (c *changes) holds() map[string]int {
+// workersAnsweredBy counts the workers that each controller answered lately.
+func (c *failoverCluster) workersAnsweredBy() map[string]int {
 	held := map[string]int{}
 	for _, name := range c.names {
 		for _, k := range c.workers {
@@ -381,9 +381,9 @@
 	return held
 }
 
-// holder is the controller that answers the most workers.
-func (c *changes) holder() (most string) {
-	held := c.holds()
+// busiestController is the controller that answers the most workers.
+func (c *failoverCluster) busiestController() (most string) {
+	held := c.workersAnsweredBy()
 	most = c.names[0]
 	for _, name := range c.names {
 		if held[name] > held[most] {
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -23,21 +23,21 @@
 	return to, nil
 }
 
-// overLink carries a request to a worker.
-func overLink[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
-	return carry(ctx, w.drawn(&w.messageDelay), w.drawn(&w.messageDelay), carryOut)
+// callWorker carries a request to a worker.
+func callWorker[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
+	return roundTrip(ctx, w.drawn(&w.messageDelay), w.drawn(&w.messageDelay), carryOut)
 }
 
-// overPeerLink carries a request to a peer.
-func overPeerLink[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
+// callPeer carries a request to a peer.
+func callPeer[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
 	oneWay := func() time.Duration { return w.drawn(&w.messageDelay) + w.drawn(&w.transit) }
-	return carry(ctx, oneWay(), oneWay(), carryOut)
+	return roundTrip(ctx, oneWay(), oneWay(), carryOut)
 }
 
-// carry has a request arrive after a time, and its answer come back after another. A
+// roundTrip has a request arrive after a time, and its answer come back after another. A
 // request that takes time is carried out even if nobody waits for it any more, and its
 // answer may come too late.
-func carry[T any](ctx context.Context, there, back time.Duration, carryOut func() (T, error)) (T, error) {
+func roundTrip[T any](ctx context.Context, there, back time.Duration, carryOut func() (T, error)) (T, error) {
 	if there+back == 0 {
 		return carryOut()
 	}
@@ -75,9 +75,9 @@
 	return w.messageDelay != nil
 }
 
-// reportSlowly lets a worker report over a slow link: it has one report under way at a
+// reportOverSlowLink lets a worker report over a slow link: it has one report under way at a
 // time, and the others do not wait for it.
-func (w *cluster) reportSlowly(k *testkit.Worker) {
+func (w *cluster) reportOverSlowLink(k *testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.reporting[k] {
@@ -93,8 +93,8 @@
 	}()
 }
 
-// besideSlow does something now, or beside the rest while links are slow.
-func (w *cluster) besideSlow(do func()) {
+// goIfLinksSlow does something now, or beside the rest while links are slow.
+func (w *cluster) goIfLinksSlow(do func()) {
 	if w.linksAreSlow() {
 		go do()
 		return
@@ -102,18 +102,18 @@
 	do()
 }
 
-// ended reports whether a controller is down.
-func (n *node) ended() bool {
+// isDown reports whether a controller is down.
+func (n *node) isDown() bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.down
 }
 
-// onDuty has a controller do something that waits for workers' or peers' answers. While
+// runDuty has a controller do something that waits for workers' or peers' answers. While
 // links are slow it does so beside the rest, one at a time of each duty, as cmd/wallrack's
 // loops do, and until it ends. Done in place, it stopped the world for as long as the
 // answers took: no worker reported meanwhile, and all leases ended for no fault.
-func (n *node) onDuty(duty string, do func(ctx context.Context)) {
+func (n *node) runDuty(duty string, do func(ctx context.Context)) {
 	w := n.cluster
 	if !w.linksAreSlow() {
 		do(n.ctx)
@@ -133,8 +133,8 @@
 	})
 }
 
-// publishWithin is how long a message about workers is waited for.
-const publishWithin = 4 * time.Second
+// publishTimeout is how long a message about workers is waited for.
+const publishTimeout = 4 * time.Second
 
 // publishTo tells a peer what changed on the workers held here, as cmd/wallrack does: one
 // message at a time.
@@ -148,8 +148,8 @@
 		if m == nil {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), publishWithin)
-		reply, err := overLink(ctx, n.cluster, func() (viewsync.Reply, error) { return n.cluster.carryViews(n, to, m) })
+		ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
+		reply, err := callWorker(ctx, n.cluster, func() (viewsync.Reply, error) { return n.cluster.exchangeViews(n, to, m) })
 		cancel()
 		if err != nil {
 			return
@@ -158,8 +158,8 @@
 	}
 }
 
-// carryViews takes a message to a peer, and its reply back, as they travel.
-func (w *cluster) carryViews(from, to *node, m *viewsync.Message) (viewsync.Reply, error) {
+// exchangeViews takes a message to a peer, and its reply back, as they travel.
+func (w *cluster) exchangeViews(from, to *node, m *viewsync.Message) (viewsync.Reply, error) {
 	if w.loseViews != nil && w.loseViews(from, to) {
 		return viewsync.Reply{}, errCut
 	}
@@ -183,12 +183,12 @@
 	return reply, nil
 }
 
-// attestLease is how long all controllers must have left a worker unanswered.
-const attestLease = workerLease + 500*time.Millisecond
+// minUnanswered is how long all controllers must have left a worker unanswered.
+const minUnanswered = workerLease + 500*time.Millisecond
 
-// attest settles unresponsive workers as cmd/wallrack does: one after the other the peers say
+// attestUnresponsiveWorkers settles unresponsive workers as cmd/wallrack does: one after the other the peers say
 // for how long they left a worker unanswered.
-func (n *node) attest(ctx context.Context) {
+func (n *node) attestUnresponsiveWorkers(ctx context.Context) {
 	w := n.cluster
 	_, silent := n.scheduler.UnresponsiveWorkers(workerLease)
 	for i := range silent {
@@ -199,7 +199,7 @@
 				continue
 			}
 			ctx, cancel := context.WithTimeout(ctx, time.Second)
-			unanswered, err := overLink(ctx, w, func() (time.Duration, error) {
+			unanswered, err := callWorker(ctx, w, func() (time.Duration, error) {
 				to, err := n.peer(peer)
 				if err != nil {
 					return 0, err
@@ -209,7 +209,7 @@
 			cancel()
 			all = all && err == nil && a.Add([]float64{unanswered.Seconds()})
 		}
-		if all && a.LeaseExpired(0, time.Now(), attestLease.Seconds()) {
+		if all && a.LeaseExpired(0, time.Now(), minUnanswered.Seconds()) {
 			n.scheduler.LeaseAttestedExpired(name, a.BegunAt())
 		}
 	}
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -13,38 +13,38 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// lostAnswerCase is a kind of write whose answer is lost.
-type lostAnswerCase struct {
-	name   string
-	prefix string
-	play   func(t *testing.T, w *cluster, l *answerLoss)
-	plain  bool // no accounting rows are written, whose page would be recognised too
+// lostWriteCase is a kind of write whose answer is lost.
+type lostWriteCase struct {
+	name         string
+	prefix       string
+	run          func(t *testing.T, w *cluster, l *responseLoss)
+	noAccounting bool // no accounting rows are written, whose page would be recognised too
 }
 
-// lostAnswerCases has every kind of write that controllers make, but the provisioning of
+// lostResponseCases has every kind of write that controllers make, but the provisioning of
 // machines (provisioning_test.go), and the release of shards (package membership).
-var lostAnswerCases = []lostAnswerCase{
-	{name: "acceptance", prefix: "live/j-7", play: func(t *testing.T, w *cluster, l *answerLoss) {
+var lostResponseCases = []lostWriteCase{
+	{name: "acceptance", prefix: "live/j-7", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		at := w.others(w.leader())[0]
-		l.then = func(*node, string) {
+		l.whileWaiting = func(*node, string) {
 			time.Sleep(100 * time.Millisecond)
-			if stages := w.askAll("j-7"); len(stages) < 2 {
+			if stages := w.pollAll("j-7"); len(stages) < 2 {
 				t.Errorf("the job is known to %v", stages)
 			}
-			if status := w.submitAt(w.leader(), 5); status != http.StatusOK {
+			if status := w.submitJ7(w.leader(), 5); status != http.StatusOK {
 				t.Errorf("a repeated submission is answered %d", status)
 			}
 		}
 		l.arm(at, 1)
-		if status := w.submitAt(at, 5); status/100 != 2 {
+		if status := w.submitJ7(at, 5); status/100 != 2 {
 			t.Errorf("the submission is answered %d", status)
 		}
 	}},
-	{name: "cancel", prefix: "live/j-80", play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "cancel", prefix: "live/j-80", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		at := w.leader()
-		l.then = func(*node, string) {
+		l.whileWaiting = func(*node, string) {
 			time.Sleep(100 * time.Millisecond)
-			for name, stage := range w.askAll("j-80") {
+			for name, stage := range w.pollAll("j-80") {
 				if stage != wire.StageCancelled {
 					t.Errorf("%s calls the job %s", name, stage)
 				}
@@ -63,11 +63,11 @@
 			t.Errorf("%d cancelled tasks are on, %d started", w.onMachines("j-80"), w.starts-started)
 		}
 	}},
-	{name: "changed terms", prefix: "live/j-8t", play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "changed terms", prefix: "live/j-8t", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		at := w.nodes[w.leader()]
 		w.submitWith("j-8t", 40, &jobspec.Constraints{Number: 1})
 		w.live(1)
-		l.then = func(writer *node, key string) {
+		l.whileWaiting = func(writer *node, key string) {
 			_, _ = w.nodes[w.others(writer.name)[0]].view.Get(context.Background(), key) // it is only looked at
 		}
 		l.arm(at.name, 1)
@@ -76,9 +76,9 @@
 		if err := at.scheduler.Hold(ctx, "j-8t", true); err == nil {
 			t.Error("held without an answer of the state service")
 		}
-		version := w.version("live/j-8t")
-		if err := at.scheduler.Hold(context.Background(), "j-8t", true); err != nil || w.version("live/j-8t") != version {
-			t.Errorf("the repeated change: %v, written again: %v", err, w.version("live/j-8t") != version)
+		version := w.keyVersion("live/j-8t")
+		if err := at.scheduler.Hold(context.Background(), "j-8t", true); err != nil || w.keyVersion("live/j-8t") != version {
+			t.Errorf("the repeated change: %v, written again: %v", err, w.keyVersion("live/j-8t") != version)
 		}
 		w.live(3)
 		held := w.onMachines("j-8t")
@@ -91,15 +91,15 @@
 		}
 		w.user(at.name, http.MethodPost, "j-8t")
 	}},
-	{name: "end", prefix: "final/j-7", plain: true, play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "end", prefix: "final/j-7", noAccounting: true, run: func(t *testing.T, w *cluster, l *responseLoss) {
 		if !w.within(200, w.ended("j-1", "j-2", "j-3")) { // whose records would share its transaction
 			t.Error("the other jobs did not end")
 		}
 		at := w.leader()
-		l.then = func(*node, string) {
+		l.whileWaiting = func(*node, string) {
 			time.Sleep(100 * time.Millisecond)
 			for range 4 {
-				for name, stage := range w.askAll("j-7") {
+				for name, stage := range w.pollAll("j-7") {
 					if stage != wire.StageDone {
 						t.Errorf("%s calls the job %s", name, stage)
 					}
@@ -107,7 +107,7 @@
 				if stage, ok := w.user(at, http.MethodPost, "j-7"); ok && stage != wire.StageDone {
 					t.Errorf("a cancel at the owner is answered %s", stage)
 				}
-				if status := w.submitAt(at, 3); status != http.StatusOK {
+				if status := w.submitJ7(at, 3); status != http.StatusOK {
 					t.Errorf("a repeated submission is answered %d", status)
 				}
 				time.Sleep(200 * time.Millisecond)
@@ -123,7 +123,7 @@
 			t.Errorf("the owner has %d jobs", q["jobs"])
 		}
 	}},
-	{name: "end, and the successor's watch is behind", prefix: "final/j-7", play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "end, and the successor's watch is behind", prefix: "final/j-7", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		at := w.leader()
 		next := w.others(at)[0]
 		behind := w.behind
@@ -133,9 +133,9 @@
 			}
 			return behind(n, prefix)
 		}
-		l.then = func(writer *node, _ string) {
+		l.whileWaiting = func(writer *node, _ string) {
 			w.user(next, http.MethodGet, "j-7")
-			w.moveJobs(writer)
+			w.transferShards(writer)
 		}
 		l.arm(at, 1)
 		w.submit("j-7", 3)
@@ -145,56 +145,56 @@
 		}
 		for range 50 {
 			w.live(1)
-			for name, stage := range w.askAll("j-7") {
+			for name, stage := range w.pollAll("j-7") {
 				if stage != wire.StageDone {
 					t.Errorf("%s calls the job %s", name, stage)
 				}
 			}
 		}
 	}},
-	{name: "claim of shards", prefix: "c/shard/", play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "claim of shards", prefix: "c/shard/", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		l.arm("", 1)
 		w.crash(w.leader())
-		w.atMostOneOwner(t, l)
-		w.owned(t, 25)
+		w.checkSingleOwner(t, l)
+		w.awaitSingleOwner(t, 25)
 	}},
-	{name: "hand-over", prefix: "c/shard/", play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "hand-over", prefix: "c/shard/", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		from := w.leader()
-		l.then = func(*node, string) {
+		l.whileWaiting = func(*node, string) {
 			time.Sleep(300 * time.Millisecond)
-			w.askAll("j-80")
+			w.pollAll("j-80")
 		}
 		l.arm(from, 1)
-		w.atMostOneOwner(t, l)
-		w.moveJobs(w.nodes[from])
-		w.owned(t, 4)
+		w.checkSingleOwner(t, l)
+		w.transferShards(w.nodes[from])
+		w.awaitSingleOwner(t, 4)
 		if to := w.leader(); to != w.others(from)[0] {
 			t.Errorf("%s owns the jobs, handed over to %s", to, w.others(from)[0])
 		}
 	}},
-	{name: "taking back after a hand-over", prefix: "c/shard/", play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "taking back after a hand-over", prefix: "c/shard/", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		from := w.nodes[w.leader()]
-		given := &answerLoss{w: w, prefix: l.prefix, by: 20 * time.Second}
+		given := &responseLoss{w: w, prefix: l.prefix, applyAfter: 20 * time.Second}
 		given.arm(from.name, 1)
 		w.mu.Lock()
-		w.delay = given.delay
+		w.delay = given.delayTransaction
 		w.mu.Unlock()
-		w.atMostOneOwner(t, l)
+		w.checkSingleOwner(t, l)
 		go func() {
 			time.Sleep(time.Second) // the transfer is out, and without an answer
 			l.arm(from.name, 1)
 		}()
-		w.moveJobs(from)
-		w.owned(t, 10)
+		w.transferShards(from)
+		w.awaitSingleOwner(t, 10)
 		w.live(20)
-		given.refused()
+		given.checkLateWritesRefused()
 		if to := w.leader(); to != from.name {
 			t.Errorf("%s owns the jobs, taken back by %s", to, from.name)
 		}
 	}},
-	{name: "counter of terms", prefix: "c/term", play: func(t *testing.T, w *cluster, l *answerLoss) {
+	{name: "counter of terms", prefix: "c/term", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		var unused []uint64 // terms whose writers never learnt that they have them
-		l.wrote = func(txn wire.Txn) {
+		l.onLost = func(txn wire.Txn) {
 			for _, op := range txn.Then {
 				var rec struct{ N uint64 }
 				if value, ok := op.Value.(json.RawMessage); ok && op.Put == "c/term" && json.Unmarshal(value, &rec) == nil {
@@ -214,44 +214,44 @@
 			t.Errorf("terms without an answer: %v", unused)
 		}
 	}},
-	{name: "log, read by a new owner", prefix: "log/", play: func(_ *testing.T, w *cluster, l *answerLoss) {
-		l.then = func(writer *node, _ string) { w.moveJobs(writer) }
+	{name: "log, read by a new owner", prefix: "log/", run: func(_ *testing.T, w *cluster, l *responseLoss) {
+		l.whileWaiting = func(writer *node, _ string) { w.transferShards(writer) }
 		l.arm("", 2)
 		w.live(8)
 	}},
-	{name: "log, repeated by its owner", prefix: "log/", plain: true, play: func(_ *testing.T, w *cluster, l *answerLoss) {
-		l.then = w.look
+	{name: "log, repeated by its owner", prefix: "log/", noAccounting: true, run: func(_ *testing.T, w *cluster, l *responseLoss) {
+		l.whileWaiting = w.readElsewhere
 		l.arm("", 6)
 		w.live(20)
 	}},
-	{name: "chunk of tasks, read by a new owner", prefix: "task/", play: func(_ *testing.T, w *cluster, l *answerLoss) {
-		l.then = func(writer *node, _ string) { w.moveJobs(writer) }
+	{name: "chunk of tasks, read by a new owner", prefix: "task/", run: func(_ *testing.T, w *cluster, l *responseLoss) {
+		l.whileWaiting = func(writer *node, _ string) { w.transferShards(writer) }
 		l.arm("", 2)
 		w.live(12)
 	}},
-	{name: "chunk of tasks, repeated by its owner", prefix: "task/", plain: true, play: func(_ *testing.T, w *cluster, l *answerLoss) {
-		l.then = w.look
+	{name: "chunk of tasks, repeated by its owner", prefix: "task/", noAccounting: true, run: func(_ *testing.T, w *cluster, l *responseLoss) {
+		l.whileWaiting = w.readElsewhere
 		l.arm("", 4)
 		w.live(20)
 	}},
-	{name: "accounting page", prefix: accounting.KeyPrefix, play: func(_ *testing.T, w *cluster, l *answerLoss) {
-		l.then = w.look
+	{name: "accounting page", prefix: accounting.KeyPrefix, run: func(_ *testing.T, w *cluster, l *responseLoss) {
+		l.whileWaiting = w.readElsewhere
 		l.arm("", 6)
 		w.live(20)
 	}},
-	{name: "accounting page alone", prefix: accounting.KeyPrefix, play: rowsAlone},
-	{name: "accounting page, and the jobs move", prefix: accounting.KeyPrefix, play: func(_ *testing.T, w *cluster, l *answerLoss) {
-		l.then = func(writer *node, key string) {
-			w.look(writer, key)
-			w.moveJobs(writer)
+	{name: "accounting page alone", prefix: accounting.KeyPrefix, run: accountingRowsAlone},
+	{name: "accounting page, and the jobs move", prefix: accounting.KeyPrefix, run: func(_ *testing.T, w *cluster, l *responseLoss) {
+		l.whileWaiting = func(writer *node, key string) {
+			w.readElsewhere(writer, key)
+			w.transferShards(writer)
 		}
 		l.arm("", 3)
 		w.live(12)
 	}},
 }
 
-// rowsAlone has the accounting rows of stopped tasks written in a transaction of their own.
-func rowsAlone(t *testing.T, w *cluster, l *answerLoss) {
+// accountingRowsAlone has the accounting rows of stopped tasks written in a transaction of their own.
+func accountingRowsAlone(t *testing.T, w *cluster, l *responseLoss) {
 	if !w.within(200, w.ended("j-1", "j-2", "j-3")) {
 		t.Error("the short jobs did not end")
 	}
@@ -260,13 +260,13 @@
 	// One of its workers is away: the rows of the others go with no other record.
 	away := w.machinesOf("j-81")[0]
 	w.cutAll(away.Name, w.names...)
-	l.then, l.alone = w.look, true
+	l.whileWaiting, l.singleWriteOnly = w.readElsewhere, true
 	l.arm("", 1)
 	w.user(w.leader(), http.MethodPost, "j-81")
 	w.live(5)
 	w.healLinks(away.Name, w.names...)
 	w.live(15)
-	if _, attempts, _ := w.rows(); len(attempts) < 162 || len(w.store.Keys("final/j-81")) == 0 { // of 156 tasks that are done, 6 that were stopped
+	if _, attempts, _ := w.accountingRows(); len(attempts) < 162 || len(w.store.Keys("final/j-81")) == 0 { // of 156 tasks that are done, 6 that were stopped
 		t.Errorf("%d accounting rows of attempts, of the cancelled job: %v", len(attempts), w.store.Keys("final/j-81"))
 	}
 }
--- a/internal/testkit/lost_answer_order_test.go
+++ b/internal/testkit/lost_answer_order_test.go
@@ -15,7 +15,7 @@
 // two, 10 of 10 runs failed.
 
 // Reads that come before the case is told of a lost answer count like those after it.
-func TestReadsBeforeLossIsNotedCount(t *testing.T) {
+func TestReadsBeforeLossIsRecordedCount(t *testing.T) {
 	w := newCluster(t, 1)
 	writer, other := &node{name: "a"}, &node{name: "b"}
 	const key, older, version = "c/shard/000", 17, 18
@@ -36,18 +36,18 @@
 		{"its writer before it, another after it", []read{{writer, version}}, []read{{other, version}}, ""},
 		{"nobody", nil, nil, ""},
 	} {
-		l := &answerLoss{w: w, prefix: "c/shard/"}
+		l := &responseLoss{w: w, prefix: "c/shard/"}
 		l.arm(writer.name, 1)
 		for _, r := range c.before {
-			l.saw(r.by, key, r.version)
+			l.onRead(r.by, key, r.version)
 		}
 		if !l.lose(writer, wire.Txn{Then: []wire.Op{{Put: key}}}, version) {
 			t.Fatalf("%s: the answer is not lost", c.name)
 		}
 		for _, r := range c.after {
-			l.saw(r.by, key, r.version)
+			l.onRead(r.by, key, r.version)
 		}
-		if got := l.lost[0].read; got != c.want {
+		if got := l.lost[0].firstReader; got != c.want {
 			t.Errorf("%s: read first by %q, not %q", c.name, got, c.want)
 		}
 	}
--- a/internal/testkit/lost_answers_test.go
+++ b/internal/testkit/lost_answers_test.go
@@ -16,52 +16,52 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// lostAnswer is a transaction that was applied, while its writer heard nothing.
-type lostAnswer struct {
-	writer  *node
-	key     string
-	version uint64
-	read    string // the first other controller that read the key before the writer did
-	known   bool   // the writer has read it itself
+// lostResponse is a transaction that was applied, while its writer heard nothing.
+type lostResponse struct {
+	writer       *node
+	key          string
+	version      uint64
+	firstReader  string // the first other controller that read the key before the writer did
+	readByWriter bool   // the writer has read it itself
 }
 
 // keyRead is a read of a key by a controller, in the store or by a watch.
 type keyRead struct {
-	by      *node
+	reader  *node
 	key     string
 	version uint64
 }
 
-// note takes a read, in the order in which they come.
-func (a *lostAnswer) note(r keyRead) {
+// observe takes a read, in the order in which they come.
+func (a *lostResponse) observe(r keyRead) {
 	switch {
 	case r.key != a.key || r.version < a.version:
-	case r.by == a.writer:
-		a.known = true
-	case !a.known && a.read == "":
-		a.read = r.by.name
+	case r.reader == a.writer:
+		a.readByWriter = true
+	case !a.readByWriter && a.firstReader == "":
+		a.firstReader = r.reader.name
 	}
 }
 
-// answerLoss loses the answers of transactions that write a key with a prefix.
-type answerLoss struct {
-	w      *cluster
-	prefix string
-	writer string        // whose answers are lost; "": anybody's
-	left   int           // how many more
-	alone  bool          // only of transactions that write nothing else
-	by     time.Duration // how much later the transactions are applied; 0: at once
-	late   []error       // what came of those that were applied later
-	lost   []*lostAnswer
-	reads  []keyRead                      // since it was armed, of keys with the prefix, until all answers are lost
-	wrote  func(t wire.Txn)               // is told of each; nil: nobody
-	then   func(writer *node, key string) // is called while the writer waits for the answer; nil: nothing
-	busy   sync.WaitGroup
+// responseLoss loses the answers of transactions that write a key with a prefix.
+type responseLoss struct {
+	w               *cluster
+	prefix          string
+	writer          string        // whose answers are lost; "": anybody's
+	remaining       int           // how many more
+	singleWriteOnly bool          // only of transactions that write nothing else
+	applyAfter      time.Duration // how much later the transactions are applied; 0: at once
+	lateResults     []error       // what came of those that were applied later
+	lost            []*lostResponse
+	reads           []keyRead                      // since it was armed, of keys with the prefix, until all answers are lost
+	onLost          func(t wire.Txn)               // is told of each; nil: nobody
+	whileWaiting    func(writer *node, key string) // is called while the writer waits for the answer; nil: nothing
+	background      sync.WaitGroup
 }
 
-// watched connects a controller's view of the store to the cluster's faults that
+// connectStoreFaults connects a controller's view of the store to the cluster's faults that
 // concern chosen keys.
-func (w *cluster) watched(n *node) {
+func (w *cluster) connectStoreFaults(n *node) {
 	if w.reliableStore {
 		n.view.Lose, n.view.Late = nil, nil
 	}
@@ -95,84 +95,84 @@
 	}
 }
 
-// writerBehind is how far the watches of a writer are behind whose answer is lost:
+// writerWatchLag is how far the watches of a writer are behind whose answer is lost:
 // otherwise they would tell it what others read before it gives the answer up.
-const writerBehind = 3 * time.Second
+const writerWatchLag = 3 * time.Second
 
-// loseAnswers makes the cluster lose chosen answers, from when they are armed.
-func (w *cluster) loseAnswers(l *answerLoss) {
+// loseResponses makes the cluster lose chosen answers, from when they are armed.
+func (w *cluster) loseResponses(l *responseLoss) {
 	w.loseAnswer = l.lose
-	w.seen = l.saw
+	w.seen = l.onRead
 	w.behind = func(n *node, _ string) time.Duration {
-		open := l.left > 0 || len(l.lost) > 0 && l.lost[len(l.lost)-1].writer == n && !l.lost[len(l.lost)-1].known
+		open := l.remaining > 0 || len(l.lost) > 0 && l.lost[len(l.lost)-1].writer == n && !l.lost[len(l.lost)-1].readByWriter
 		if open && (l.writer == "" || l.writer == n.name) {
-			return writerBehind
+			return writerWatchLag
 		}
 		return 0
 	}
 }
 
 // arm loses the next so many answers.
-func (l *answerLoss) arm(writer string, count int) {
+func (l *responseLoss) arm(writer string, count int) {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
-	l.writer, l.left, l.reads = writer, count, nil
+	l.writer, l.remaining, l.reads = writer, count, nil
 }
 
-// takes reports whether a transaction is one whose answer shall be lost, by the key that
+// consume reports whether a transaction is one whose answer shall be lost, by the key that
 // it writes.
-func (l *answerLoss) takes(n *node, t wire.Txn) (key string, ok bool) {
-	if l.left == 0 || l.writer != "" && l.writer != n.name || l.alone && len(t.Then) > 1 {
+func (l *responseLoss) consume(n *node, t wire.Txn) (key string, ok bool) {
+	if l.remaining == 0 || l.writer != "" && l.writer != n.name || l.singleWriteOnly && len(t.Then) > 1 {
 		return "", false
 	}
 	i := slices.IndexFunc(t.Then, func(op wire.Op) bool { return strings.HasPrefix(op.Put, l.prefix) })
 	if i < 0 {
 		return "", false
 	}
-	l.left--
-	if l.then != nil {
-		l.busy.Go(func() { l.then(n, t.Then[i].Put) })
+	l.remaining--
+	if l.whileWaiting != nil {
+		l.background.Go(func() { l.whileWaiting(n, t.Then[i].Put) })
 	}
 	return t.Then[i].Put, true
 }
 
-func (l *answerLoss) lose(n *node, t wire.Txn, version uint64) bool {
-	key, ok := l.takes(n, t)
+func (l *responseLoss) lose(n *node, t wire.Txn, version uint64) bool {
+	key, ok := l.consume(n, t)
 	if !ok {
 		return false
 	}
-	lost := &lostAnswer{writer: n, key: key, version: version}
+	lost := &lostResponse{writer: n, key: key, version: version}
 	for _, r := range l.reads { // the write was applied, and wakes the watches, before this is called
-		lost.note(r)
+		lost.observe(r)
 	}
 	l.lost = append(l.lost, lost)
-	if l.wrote != nil {
-		l.wrote(t)
+	if l.onLost != nil {
+		l.onLost(t)
 	}
 	return true
 }
 
-func (l *answerLoss) saw(n *node, key string, version uint64) {
+func (l *responseLoss) onRead(n *node, key string, version uint64) {
 	if !strings.HasPrefix(key, l.prefix) {
 		return
 	}
-	read := keyRead{by: n, key: key, version: version}
-	if l.left > 0 {
+	read := keyRead{reader: n, key: key, version: version}
+	if l.remaining > 0 {
 		l.reads = append(l.reads, read)
 	}
 	for _, lost := range l.lost {
-		lost.note(read)
+		lost.observe(read)
 	}
 }
 
-// happened fails the test unless answers were lost, and others had read what was
+// checkReadByOthers fails the test unless answers were lost, and others had read what was
 // written before the writers knew of it.
-func (l *answerLoss) happened() {
+func (l *responseLoss) checkReadByOthers() {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
 	read := 0
 	for _, a := range l.lost {
-		if a.read != "" {
+		if a.firstReader != "" {
 			read++
 		}
 	}
@@ -181,8 +181,8 @@
 	}
 }
 
-// submitAt has a user submit j-7 at a controller.
-func (w *cluster) submitAt(name string, tasks int) (status int) {
+// submitJ7 has a user submit j-7 at a controller.
+func (w *cluster) submitJ7(name string, tasks int) (status int) {
 	rec := httptest.NewRecorder()
 	w.nodes[name].mux.ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/api/jobs", strings.NewReader(submissionBody("j-7", tasks))))
 	if rec.Code == http.StatusBadRequest {
@@ -191,9 +191,9 @@
 	return rec.Code
 }
 
-// askAll has a user ask all controllers for a job, the leader last, and says what they
+// pollAll has a user ask all controllers for a job, the leader last, and says what they
 // answered.
-func (w *cluster) askAll(uid string) (stages map[string]string) {
+func (w *cluster) pollAll(uid string) (stages map[string]string) {
 	stages = map[string]string{}
 	names := w.names
 	if at := w.leader(); at != "" {
@@ -207,21 +207,21 @@
 	return stages
 }
 
-// moveJobs hands all shards over from a controller to the next.
-func (w *cluster) moveJobs(from *node) {
+// transferShards hands all shards over from a controller to the next.
+func (w *cluster) transferShards(from *node) {
 	if from.down {
 		return
 	}
 	_ = from.member.TransferShards(context.Background(), w.others(from.name)[0]) // it may have none any more
 }
 
-// look has another controller read a key, as an operator's question does.
-func (w *cluster) look(writer *node, key string) {
+// readElsewhere has another controller read a key, as an operator's question does.
+func (w *cluster) readElsewhere(writer *node, key string) {
 	_, _ = w.nodes[w.others(writer.name)[0]].view.Get(context.Background(), key) // it is only looked at
 }
 
-// version is the version of a key in the store.
-func (w *cluster) version(key string) uint64 {
+// keyVersion is the keyVersion of a key in the store.
+func (w *cluster) keyVersion(key string) uint64 {
 	it, err := (&testkit.View{Store: w.store}).Get(context.Background(), key)
 	if err != nil {
 		return 0
@@ -229,10 +229,10 @@
 	return it.Version
 }
 
-// atMostOneOwner fails the test if two controllers own jobs at any time in the next ten
+// checkSingleOwner fails the test if two controllers own jobs at any time in the next ten
 // seconds.
-func (w *cluster) atMostOneOwner(t *testing.T, l *answerLoss) {
-	l.busy.Go(func() {
+func (w *cluster) checkSingleOwner(t *testing.T, l *responseLoss) {
+	l.background.Go(func() {
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			w.mu.Lock()
@@ -255,9 +255,9 @@
 	})
 }
 
-// owned fails the test unless exactly one controller owns the jobs within so many
+// awaitSingleOwner fails the test unless exactly one controller owns the jobs within so many
 // seconds.
-func (w *cluster) owned(t *testing.T, seconds int) {
+func (w *cluster) awaitSingleOwner(t *testing.T, seconds int) {
 	if !w.within(seconds, func() bool {
 		owners := 0
 		for _, name := range w.names {
@@ -273,14 +273,14 @@
 	}
 }
 
-// playCase plays a case on a cluster with work: three jobs that end, and a long one.
-func playCase(t *testing.T, seed uint64, c *lostAnswerCase, begin func(w *cluster, l *answerLoss), happened func(l *answerLoss)) {
+// runLostWriteCase plays a case on a cluster with work: three jobs that end, and a long one.
+func runLostWriteCase(t *testing.T, seed uint64, c *lostWriteCase, begin func(w *cluster, l *responseLoss), happened func(l *responseLoss)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, seed)
-		w.bigger(3, 8)
+		w.resize(3, 8)
 		w.long()
-		w.accounts, w.losslessReports, w.reliableStore, w.keepCuts = !c.plain, true, true, true
-		l := &answerLoss{w: w, prefix: c.prefix}
+		w.accounts, w.losslessReports, w.reliableStore, w.keepCuts = !c.noAccounting, true, true, true
+		l := &responseLoss{w: w, prefix: c.prefix}
 		begin(w, l)
 		w.startInTurn()
 		w.submit("j-80", 6) // before the others: accepted with them, it may wait behind their 156 tasks
@@ -290,24 +290,24 @@
 			w.submit(uid, 12+40*i)
 		}
 		w.live(3)
-		c.play(t, w, l)
+		c.run(t, w, l)
 		w.startAll()
 		if !w.within(200, w.ended(jobs...)) {
 			t.Errorf("only %v ended", w.store.Keys("final/"))
 		}
 		w.live(6)
-		l.busy.Wait()
+		l.background.Wait()
 		happened(l)
-		w.asBefore(t, c, jobs)
+		w.checkFinalState(t, c, jobs)
 		w.stopAll()
 		time.Sleep(15 * time.Second)
 	})
 }
 
-// asBefore fails the test unless all is in the end as if no answer had been lost.
-func (w *cluster) asBefore(t *testing.T, c *lostAnswerCase, jobs []string) {
+// checkFinalState fails the test unless all is in the end as if no answer had been lost.
+func (w *cluster) checkFinalState(t *testing.T, c *lostWriteCase, jobs []string) {
 	for _, uid := range jobs {
-		for name, stage := range w.askAll(uid) {
+		for name, stage := range w.pollAll(uid) {
 			if stage != wire.StageDone {
 				t.Errorf("%s calls %s %s", name, uid, stage)
 			}
@@ -316,10 +316,10 @@
 	if c.name != "cancel" && w.onMachines("j-80") != 6 {
 		t.Errorf("%d of 6 long tasks are on", w.onMachines("j-80"))
 	}
-	if c.plain {
+	if c.noAccounting {
 		return
 	}
-	rows, attempts, twice := w.rows()
+	rows, attempts, twice := w.accountingRows()
 	if twice > 0 {
 		t.Errorf("%d accounting rows stand twice", twice)
 	}
@@ -343,10 +343,10 @@
 // other controllers read what it wrote: its writer says and does nothing that
 // contradicts them, and recognises its own first try.
 func TestLostResponseOfAppliedWrite(t *testing.T) {
-	for i := range lostAnswerCases {
-		c := &lostAnswerCases[i]
+	for i := range lostResponseCases {
+		c := &lostResponseCases[i]
 		t.Run(c.name, func(t *testing.T) {
-			playCase(t, uint64(1300+i), c, (*cluster).loseAnswers, (*answerLoss).happened)
+			runLostWriteCase(t, uint64(1300+i), c, (*cluster).loseResponses, (*responseLoss).checkReadByOthers)
 		})
 	}
 }
--- a/internal/testkit/lost_renewal_test.go
+++ b/internal/testkit/lost_renewal_test.go
@@ -12,11 +12,11 @@
 
 // Tasks that save are stopped in time although the last answer before a worker's reports stop
 // was lost, and none is started that its lease kills.
-func TestTasksAreSavedAlthoughLastAnswerWasLost(t *testing.T) {
+func TestTasksAreSavedAfterLostResponse(t *testing.T) {
 	const savers, tiny = "j-save", "j-tiny"
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 710)
-		w.bigger(3, 8)
+		w.resize(3, 8)
 		w.size = 8
 		w.promptCommands, w.keepCuts, w.unlisted, w.losslessReports = true, true, true, true
 		ledger := w.follow(func(task string) time.Duration {
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -24,7 +24,7 @@
 }
 
 func (n *node) GrantRemote(ctx context.Context, at string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
-	return overPeerLink(ctx, n.cluster, func() ([]dispatch.GrantReply, error) {
+	return callPeer(ctx, n.cluster, func() ([]dispatch.GrantReply, error) {
 		to, err := n.peer(at)
 		if err != nil {
 			return nil, err
@@ -40,7 +40,7 @@
 	if holder == n.name {
 		return n.dispatcher.ApplyInstructions(d), nil
 	}
-	return overPeerLink(ctx, n.cluster, func() (dispatch.Unlaunched, error) {
+	return callPeer(ctx, n.cluster, func() (dispatch.Unlaunched, error) {
 		to, err := n.peer(holder)
 		if err != nil {
 			return dispatch.Unlaunched{}, err
@@ -69,7 +69,7 @@
 		executed bool
 	}
 	sent := time.Now() // a slow link has it arrive later
-	a, err := overLink(ctx, n.cluster, func() (a outcome, err error) {
+	a, err := callWorker(ctx, n.cluster, func() (a outcome, err error) {
 		a.report, a.executed, err = n.order(endpoint, o, sent)
 		return a, err
 	})
@@ -87,7 +87,7 @@
 		return nil, false, errCut
 	}
 	if worker.Hangs() {
-		n.cluster.checks.sent(n, sent)
+		n.cluster.checks.setSender(n, sent)
 		worker.Orders(o) // carried out when it continues
 		return nil, false, errCut
 	}
@@ -104,11 +104,11 @@
 		n.cluster.holdBack(n, worker, o, sent)
 		return nil, false, errCut
 	case 1:
-		n.cluster.checks.sent(n, sent)
+		n.cluster.checks.setSender(n, sent)
 		worker.Orders(o)
 		return nil, false, errCut
 	}
-	n.cluster.checks.sent(n, sent)
+	n.cluster.checks.setSender(n, sent)
 	executed := worker.Orders(o)
 	r := worker.Report()
 	r.Endpoint = endpoint
@@ -117,7 +117,7 @@
 
 // holdBack keeps an order that is delivered when it may.
 func (w *cluster) holdBack(from *node, to *testkit.Worker, o wire.Orders, sent time.Time) {
-	w.late = append(w.late, func() { w.checks.sent(from, sent); to.Orders(o) })
+	w.late = append(w.late, func() { w.checks.setSender(from, sent); to.Orders(o) })
 }
 
 // release delivers the orders that were held back, and returns how many.
@@ -137,7 +137,7 @@
 
 // FetchReport asks a worker for its report.
 func (n *node) FetchReport(ctx context.Context, endpoint string) (*wire.Report, error) {
-	return overLink(ctx, n.cluster, func() (*wire.Report, error) {
+	return callWorker(ctx, n.cluster, func() (*wire.Report, error) {
 		n.cluster.mu.Lock()
 		defer n.cluster.mu.Unlock()
 		worker := n.cluster.byName[endpoint]
--- a/internal/testkit/on_cluster_test.go
+++ b/internal/testkit/on_cluster_test.go
@@ -28,7 +28,7 @@
 			w.stopAll()
 			time.Sleep(15 * time.Second) // what is still on its way in the store
 		}()
-		w.bigger(controllers, workers)
+		w.resize(controllers, workers)
 		w.long()
 		w.startInTurn()
 		w.keepCuts = true
--- a/internal/testkit/partitions_test.go
+++ b/internal/testkit/partitions_test.go
@@ -22,8 +22,8 @@
 	return names
 }
 
-// bigger makes of a new cluster one with so many controllers and workers.
-func (w *cluster) bigger(controllers, workers int) {
+// resize makes of a new cluster one with so many controllers and workers.
+func (w *cluster) resize(controllers, workers int) {
 	w.names = nil
 	for i := range controllers {
 		w.names = append(w.names, string(rune('a'+i)))
@@ -38,10 +38,10 @@
 
 // partition is a cut of links, and what it may cost.
 type partition struct {
-	name  string
-	cut   func(w *cluster, leader string, others []string)
-	bound time.Duration
-	moves int // transfers at most
+	name         string
+	cut          func(w *cluster, leader string, others []string)
+	maxStartGap  time.Duration
+	maxTransfers int // transfers at most
 }
 
 // cutPeers has the controllers refuse each other.
@@ -51,18 +51,18 @@
 	}
 }
 
-// calmGap is the longest time between starts when nothing is cut.
-const calmGap = 3 * time.Second
+// normalStartGap is the longest time between starts when nothing is cut.
+const normalStartGap = 3 * time.Second
 
 var partitions = []partition{
-	{"nothing", func(*cluster, string, []string) {}, calmGap, 0},
-	{"the owner loses the state service", func(w *cluster, o string, _ []string) { w.cutAll(o, stateService) }, calmGap, 0},
-	{"another loses the state service", func(w *cluster, _ string, x []string) { w.cutAll(x[0], stateService) }, calmGap, 0},
+	{"nothing", func(*cluster, string, []string) {}, normalStartGap, 0},
+	{"the owner loses the state service", func(w *cluster, o string, _ []string) { w.cutAll(o, stateService) }, normalStartGap, 0},
+	{"another loses the state service", func(w *cluster, _ string, x []string) { w.cutAll(x[0], stateService) }, normalStartGap, 0},
 	{"the owner loses the workers", func(w *cluster, o string, _ []string) { w.cutAll(o, w.workerNames()...) }, 5 * time.Second, 1},
-	{"another loses the workers", func(w *cluster, _ string, x []string) { w.cutAll(x[0], w.workerNames()...) }, calmGap, 0},
-	{"the owner loses its peers", func(w *cluster, o string, x []string) { w.cutAll(o, x...) }, calmGap, 0},
-	{"peers refuse each other", func(w *cluster, _ string, _ []string) { w.cutPeers() }, calmGap, 0},
-	{"the owner reaches a peer, and is not reached by it", func(w *cluster, o string, x []string) { w.brokenLinks[[2]string{x[0], o}] = true }, calmGap, 0},
+	{"another loses the workers", func(w *cluster, _ string, x []string) { w.cutAll(x[0], w.workerNames()...) }, normalStartGap, 0},
+	{"the owner loses its peers", func(w *cluster, o string, x []string) { w.cutAll(o, x...) }, normalStartGap, 0},
+	{"peers refuse each other", func(w *cluster, _ string, _ []string) { w.cutPeers() }, normalStartGap, 0},
+	{"the owner reaches a peer, and is not reached by it", func(w *cluster, o string, x []string) { w.brokenLinks[[2]string{x[0], o}] = true }, normalStartGap, 0},
 	{"the owner loses state service and workers", func(w *cluster, o string, _ []string) { w.cutAll(o, append(w.workerNames(), stateService)...) }, 7 * time.Second, 1},
 	{"the owner loses state service and peers", func(w *cluster, o string, x []string) { w.cutAll(o, append(slices.Clone(x), stateService)...) }, 7 * time.Second, 1},
 	{"the owner loses everything", func(w *cluster, o string, x []string) {
@@ -75,11 +75,11 @@
 	}, 12 * time.Second, 1},
 	{"the owner loses half of the workers", func(w *cluster, o string, _ []string) {
 		w.cutAll(o, w.workerNames()[:len(w.workers)/2]...)
-	}, calmGap, 1},
+	}, normalStartGap, 1},
 	{"one after the other loses the state service", func(w *cluster, o string, x []string) {
 		w.cutAll(o, stateService)
 		w.cutAll(x[0], stateService)
-	}, calmGap, 0},
+	}, normalStartGap, 0},
 	{"everybody but one loses the workers", func(w *cluster, o string, x []string) {
 		for _, n := range append([]string{o}, x[1:]...) {
 			w.cutAll(n, w.workerNames()...)
@@ -95,14 +95,14 @@
 		for i := range partitions {
 			p := &partitions[i]
 			t.Run(fmt.Sprintf("%d: %s", controllers, p.name), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playPartition(t, p, uint64(100+i), controllers) })
+				synctest.Test(t, func(t *testing.T) { runPartition(t, p, uint64(100+i), controllers) })
 			})
 		}
 	}
 }
 
-// playPartition cuts the links for a minute, and checks what it costs and that it heals.
-func playPartition(t *testing.T, p *partition, seed uint64, controllers int) {
+// runPartition cuts the links for a minute, and checks what it costs and that it heals.
+func runPartition(t *testing.T, p *partition, seed uint64, controllers int) {
 	t.Helper()
 	w, leader, others, live := settled(t, seed, controllers, 24)
 	p.cut(w, leader, others)
@@ -113,8 +113,8 @@
 		longest = max(longest, time.Since(last))
 		last = w.lastStart()
 	}
-	if longest > p.bound {
-		t.Errorf("%v without a start, not %v", longest, p.bound)
+	if longest > p.maxStartGap {
+		t.Errorf("%v without a start, not %v", longest, p.maxStartGap)
 	}
 	if w.returnedMachines > 0 {
 		t.Errorf("%d machines were returned", w.returnedMachines)
@@ -123,7 +123,7 @@
 	for _, n := range w.nodes {
 		moves = max(moves, n.member.RecentTransfers(time.Hour))
 	}
-	if moves > p.moves {
+	if moves > p.maxTransfers {
 		t.Errorf("%d hand-overs", moves)
 	}
 	w.healed()
--- a/internal/testkit/provisioning_test.go
+++ b/internal/testkit/provisioning_test.go
@@ -16,8 +16,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// unanswered counts the machines that are up while nobody had the answer of their provision request.
-func (c *rentedCluster) unanswered() (n int) {
+// unansweredMachines counts the machines that are up while nobody had the answer of their provision request.
+func (c *rentedCluster) unansweredMachines() (n int) {
 	c.cloudMu.Lock()
 	var waiting []string
 	for name, machines := range c.rented {
@@ -68,13 +68,13 @@
 					c.order(uid, 8+6*i)
 				}
 				ready := c.run(40*time.Second, func() bool {
-					unanswered := c.unanswered()
+					unanswered := c.unansweredMachines()
 					c.mu.Lock()
 					defer c.mu.Unlock()
 					return slices.ContainsFunc(due, time.Now().Before) && c.starts > 0 && unanswered > 0
 				})
 				if !ready {
-					t.Errorf("%d tasks started, %d machines up whose hires are unanswered", c.starts, c.unanswered())
+					t.Errorf("%d tasks started, %d machines up whose hires are unanswered", c.starts, c.unansweredMachines())
 				}
 				c.crash(first.name)
 				if seed%2 == 0 {
@@ -92,11 +92,11 @@
 	}
 }
 
-// lostRecord plays a provision request whose record is written while its writer hears nothing, and
+// loseProvisionRecord plays a provision request whose record is written while its writer hears nothing, and
 // returns the provision request's name.
-func (c *rentedCluster) lostRecord(t *testing.T, jobs ...string) (name string) {
-	l := &answerLoss{w: c.cluster, prefix: "fleet/hire/"}
-	c.loseAnswers(l)
+func (c *rentedCluster) loseProvisionRecord(t *testing.T, jobs ...string) (name string) {
+	l := &responseLoss{w: c.cluster, prefix: "fleet/hire/"}
+	c.loseResponses(l)
 	l.arm(c.leader(), 1)
 	for _, uid := range jobs {
 		c.order(uid, 12)
@@ -119,7 +119,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newRentedCluster(t, 1)
 		c.begin()
-		name := c.lostRecord(t, "j-1")
+		name := c.loseProvisionRecord(t, "j-1")
 		c.run(6*time.Second, nil)
 		if rented, _ := c.machines(); rented > 6 || c.times(name) != 1 { // all 12 tasks at once
 			t.Errorf("%d machines rented, asked for %v, recorded was %s", rented, c.hires(), name)
@@ -141,7 +141,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newRentedCluster(t, 2)
 				c.begin()
-				name := c.lostRecord(t, "j-1")
+				name := c.loseProvisionRecord(t, "j-1")
 				first := c.leader()
 				c.crash(first)
 				if away > 0 {
@@ -179,15 +179,15 @@
 				c := newRentedCluster(t, 3)
 				c.begin()
 				first := c.nodes[c.leader()]
-				l := &answerLoss{w: c.cluster, prefix: "fleet/hire/", by: by}
+				l := &responseLoss{w: c.cluster, prefix: "fleet/hire/", applyAfter: by}
 				l.arm(first.name, 1)
 				c.mu.Lock()
-				c.delay = l.delay
+				c.delay = l.delayTransaction
 				c.mu.Unlock()
 				c.order("j-1", 12)
 				c.finish("j-1")
 				c.mu.Lock()
-				late := len(l.late)
+				late := len(l.lateResults)
 				c.mu.Unlock()
 				left := c.store.Keys("fleet/hire/")
 				if len(left) != want || late != 1 {
@@ -221,8 +221,8 @@
 	}
 }
 
-// bootingAtHandOver is a case of machines that boot when the leader of the fleet changes.
-type bootingAtHandOver struct {
+// bootingScenario is a case of machines that boot when the leader of the fleet changes.
+type bootingScenario struct {
 	name    string
 	outage  time.Duration // for so long the cloud rents nothing
 	listed  bool          // the machines are listed before the leader changes
@@ -233,7 +233,7 @@
 // knows them by the records of their provision requests alone, or by a list that takes a while to come:
 // it counts on them and rents nothing beside them.
 func TestMachinesBootingDuringFailoverAreRentedOnce(t *testing.T) {
-	for _, scene := range []bootingAtHandOver{
+	for _, scene := range []bootingScenario{
 		{name: "unlisted, crash", crashes: true},
 		{name: "unlisted, hand-over"},
 		{name: "unlisted, rented long after the plan", crashes: true, outage: 40 * time.Second},
@@ -241,12 +241,12 @@
 		{name: "listed, hand-over", listed: true},
 	} {
 		t.Run(scene.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { scene.play(t) })
+			synctest.Test(t, func(t *testing.T) { scene.run(t) })
 		})
 	}
 }
 
-func (scene bootingAtHandOver) play(t *testing.T) {
+func (scene bootingScenario) run(t *testing.T) {
 	const boot, machines = 45 * time.Second, 6 // machines run all 12 tasks at once
 	c := newSlowlyRentedCluster(t, 4, boot)
 	c.lag = 2 * listLag // "at times by up to twice that"
@@ -273,8 +273,8 @@
 		t.Errorf("%d machines are rented, by %v", rented, c.hires())
 	}
 	rentedAt := time.Now()
-	if scene.listed && !c.run(boot/2, func() bool { return c.inList() == machines && len(c.store.Keys("fleet/hire/")) == 0 }) {
-		t.Errorf("%d machines are listed, recorded is %v", c.inList(), c.store.Keys("fleet/hire/"))
+	if scene.listed && !c.run(boot/2, func() bool { return c.listedMachines() == machines && len(c.store.Keys("fleet/hire/")) == 0 }) {
+		t.Errorf("%d machines are listed, recorded is %v", c.listedMachines(), c.store.Keys("fleet/hire/"))
 	}
 	if scene.crashes {
 		c.crash(first)
@@ -284,7 +284,7 @@
 	if !c.run(boot, func() bool { return c.leader() != "" && c.leader() != first }) {
 		t.Errorf("%q leads", c.leader())
 	}
-	listed, took := c.inList(), time.Since(rentedAt)
+	listed, took := c.listedMachines(), time.Since(rentedAt)
 	if (listed > 0) != scene.listed || len(c.workers) > 0 {
 		t.Errorf("when the leader had changed, after %v, %d machines were listed and %d up", took, listed, len(c.workers))
 	}
@@ -314,8 +314,8 @@
 	return true
 }
 
-// inList counts the machines that the cloud lists by now.
-func (c *rentedCluster) inList() int {
+// listedMachines counts the machines that the cloud lists by now.
+func (c *rentedCluster) listedMachines() int {
 	now := httptest.NewRecorder()
 	c.handler.ServeHTTP(now, httptest.NewRequest(http.MethodGet, hirePath, nil))
 	var list wire.MachineList
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -207,7 +207,7 @@
 	verdict := r.silence.Evaluate(time.Now(), v, reachability.ReceiveHealth{}, known, silent)
 	r.silenceMu.Unlock()
 	for name, m := range verdict.Probe {
-		n.onDuty("silence of "+name, func(ctx context.Context) {
+		n.runDuty("silence of "+name, func(ctx context.Context) {
 			heard := n.lives(ctx, m)
 			if heard && m.OutboundLost {
 				n.scheduler.WorkerResponded(name)
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -31,7 +31,7 @@
 		return
 	}
 	w.travel()
-	if n.ended() { // while the report was on its way
+	if n.isDown() { // while the report was on its way
 		w.mu.Lock()
 		w.dispatcherOf[k]++
 		w.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 	switch a := body.(type) {
 	case wire.ReportResponse:
-		w.checks.sent(n, answered)
+		w.checks.setSender(n, answered)
 		k.Answer(sent, rep.Session, a)
 	case wire.Redirect:
 		w.dispatcherOf[k]++
@@ -115,7 +115,7 @@
 			ok := to != n && w.reach(n, to)
 			w.mu.Unlock()
 			if ok {
-				w.besideSlow(func() { n.publishTo(to) })
+				w.goIfLinksSlow(func() { n.publishTo(to) })
 			}
 		}
 	}
@@ -126,16 +126,16 @@
 	for _, n := range nodes {
 		if len(n.member.LedShards()) > 0 {
 			if !w.unlisted {
-				n.onDuty("probe", func(ctx context.Context) { n.dispatcher.PollReports(ctx, unheard, 3*reportEvery) })
+				n.runDuty("probe", func(ctx context.Context) { n.dispatcher.PollReports(ctx, unheard, 3*reportEvery) })
 			}
-			n.onDuty("leases", n.askExpiring)
+			n.runDuty("leases", n.askExpiring)
 		}
 	}
 	if len(nodes) < len(w.names) {
 		return
 	}
 	for _, n := range nodes {
-		n.onDuty("attest", n.attest)
+		n.runDuty("attest", n.attestUnresponsiveWorkers)
 	}
 }
 
@@ -143,7 +143,7 @@
 func (w *cluster) reportAll() {
 	for _, k := range w.workers {
 		if w.linksAreSlow() {
-			w.reportSlowly(k)
+			w.reportOverSlowLink(k)
 			continue
 		}
 		w.report(k)
--- a/internal/testkit/stage_after_failover_test.go
+++ b/internal/testkit/stage_after_failover_test.go
@@ -30,8 +30,8 @@
 		if s.nodes[name].down {
 			continue
 		}
-		s.heard(s.request(name, http.MethodGet, "/api/jobs/"+s.job, ""))
-		s.heard(s.request(name, http.MethodPost, "/api/jobs", submissionBody(s.job, 1)))
+		s.heard(s.userRequest(name, http.MethodGet, "/api/jobs/"+s.job, ""))
+		s.heard(s.userRequest(name, http.MethodPost, "/api/jobs", submissionBody(s.job, 1)))
 	}
 }
 
@@ -45,7 +45,7 @@
 		s.t.Errorf("%s: %d, %+v", s.job, status, state)
 	}
 	s.stages[state.Stage]++
-	if state.Stage == wire.StageQueued && !s.onSince.IsZero() && time.Since(s.onSince) >= stageLag {
+	if state.Stage == wire.StageQueued && !s.onSince.IsZero() && time.Since(s.onSince) >= maxStageLag {
 		s.wrong++
 	}
 }
@@ -67,13 +67,13 @@
 // answersOf begins to collect the answers about a job whose tasks, if they are on workers, have
 // been there for long.
 func (w *cluster) answersOf(job string) *stageAnswers {
-	return &stageAnswers{cluster: w, job: job, stages: map[string]int{}, onSince: time.Now().Add(-stageLag)}
+	return &stageAnswers{cluster: w, job: job, stages: map[string]int{}, onSince: time.Now().Add(-maxStageLag)}
 }
 
 // transferTo has the leader transfer its shards to a controller whose watch is behind by so much.
 func (w *cluster) transferTo(to string, behind time.Duration) {
 	w.delayWatch(to, "", behind)
-	w.moveJobs(w.nodes[w.leader()])
+	w.transferShards(w.nodes[w.leader()])
 }
 
 // changesOfLeader are the ways in which a job gets a leader that has no heartbeats yet.
--- a/internal/testkit/stale_heartbeats_test.go
+++ b/internal/testkit/stale_heartbeats_test.go
@@ -67,7 +67,7 @@
 		t.Run(fmt.Sprintf("attempt ended in it: %v", ended), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, 1)
-				w.bigger(3, 2)
+				w.resize(3, 2)
 				w.workers = w.workers[:2]
 				w.losslessReports, w.keepCuts = true, true
 				k, other := w.workers[0], w.workers[1]
--- a/internal/testkit/transfer_lag_test.go
+++ b/internal/testkit/transfer_lag_test.go
@@ -44,7 +44,7 @@
 				}
 				w.mu.Unlock()
 				began := time.Now()
-				go w.moveJobs(from)
+				go w.transferShards(from)
 				for range c.within {
 					w.live(1)
 				}
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -224,7 +224,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, uint64(700+i))
-				w.bigger(3, 24)
+				w.resize(3, 24)
 				w.size = 8 // so that there is room elsewhere
 				w.promptCommands, w.keepCuts, w.unlisted = true, true, !c.ends
 				l := w.follow(func(task string) time.Duration {
--- a/internal/testkit/unresponsive_workers_test.go
+++ b/internal/testkit/unresponsive_workers_test.go
@@ -15,7 +15,7 @@
 // drawn and nothing healed.
 func settled(t *testing.T, seed uint64, controllers, workers int) (w *cluster, owner string, others []string, live func(seconds int)) {
 	w = newCluster(t, seed)
-	w.bigger(controllers, workers)
+	w.resize(controllers, workers)
 	w.startInTurn()
 	live = w.live
 	w.submit("j-0", 6000)
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -237,7 +237,7 @@
 
 func playZones(t *testing.T, seed uint64, play func(z *zonedCluster)) {
 	w := newCluster(t, seed)
-	w.bigger(3, 12)
+	w.resize(3, 12)
 	w.long()
 	w.keepCuts = true
 	z := &zonedCluster{cluster: w, jobs: map[string]*zonedJob{}, starts: map[string]int{}}
