--- a/internal/testkit/answer_history_test.go
+++ b/internal/testkit/answer_history_test.go
@@ -15,7 +15,7 @@
 	cancelRequest = "cancellation"
 )
 
-// observedResponse is an HTTP answer as a user received it, and when.
+// observedResponse is an HTTP response as a user received it, with the times of request and response.
 type observedResponse struct {
 	kind, node, job string
 	sent, received  time.Time
@@ -23,11 +23,11 @@
 	body            []byte
 }
 
-// jobHistory is what users know of a job by the first answers that arrived.
+// jobHistory is what the responses so far have told users about a job, and when its tasks ran.
 type jobHistory struct {
-	accepted, done, cancelled time.Time // when that answer first arrived; zero: never
+	accepted, done, cancelled time.Time // when a response first said so; zero if none has
 	cancelSent                bool
-	allTasksEnded             time.Time // when its last task ended; zero: it has not
+	allTasksEnded             time.Time // when its last task ended by itself; zero before that
 	attempts                  []taskRun
 }
 
@@ -35,27 +35,27 @@
 type taskRun struct {
 	task       string
 	attempt    uint64
-	reported   time.Time // when a report with it first arrived at a controller; zero: none has
-	plannedEnd time.Time // until when it runs if nothing stops it
+	reported   time.Time // when a report that lists it first arrived at a controller; zero if none has
+	plannedEnd time.Time // when it ends unless it is stopped earlier
 }
 
-// A stage may lag by 3 s: of a task's first report by a second, and of the controllers' knowledge
-// of that report by the rest.
+// The stage in a response may lag behind the start of the job's first task by 3 s: up to 1 s passes until
+// a worker reports the task, the rest until all controllers know of that report.
 const (
 	maxStageLag       = 3 * time.Second
 	maxLagAfterReport = maxStageLag - reportEvery
 )
 
-// responseChecker checks the order of all answers that users received, over all
-// controllers. An answer is judged against those that had arrived before its request
-// was sent. It reads the answers' bytes itself, and shares no code with controllers.
+// responseChecker checks that the responses of all controllers are consistent in order: each response
+// must agree with those that users had received before its request was sent. It parses the responses
+// itself and shares no code with the controllers.
 type responseChecker struct {
 	mu          sync.Mutex
 	jobs        map[string]*jobHistory
 	violations  []string
-	responses   int // with a stage
-	refused     int // of status 503
-	staleQueued int // "queued" although a running task has been reported for longer than its stage may lag
+	responses   int // responses with a stage
+	refused     int // responses with status 429, 503 or 504
+	staleQueued int // stages "queued" that came more than maxLagAfterReport after a report of a running task
 }
 
 func newResponseChecker() *responseChecker {
@@ -71,56 +71,57 @@
 	return h
 }
 
-// history returns what is known of a job by now.
+// history returns a copy of what is known about a job.
 func (o *responseChecker) history(job string) jobHistory {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return *o.historyLocked(job)
 }
 
-// cancelSent notes that a job's user is about to cancel it.
+// cancelSent records that a user is about to cancel the job.
 func (o *responseChecker) cancelSent(job string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.historyLocked(job).cancelSent = true
 }
 
-// lastTaskEnded notes that all tasks of a job have ended by themselves.
+// lastTaskEnded records when the last task of a job ended by itself.
 func (o *responseChecker) lastTaskEnded(job string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.historyLocked(job).allTasksEnded = at
 }
 
-// taskStarted notes the start of a task that runs for so long.
-func (o *responseChecker) taskStarted(job, task string, attempt uint64, runs time.Duration) {
+// taskStarted records the start of a task attempt and its planned run time.
+func (o *responseChecker) taskStarted(job, task string, attempt uint64, runTime time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	h := o.historyLocked(job)
-	h.attempts = append(h.attempts, taskRun{task: task, attempt: attempt, plannedEnd: time.Now().Add(runs)})
+	h.attempts = append(h.attempts, taskRun{task: task, attempt: attempt, plannedEnd: time.Now().Add(runTime)})
 }
 
-// taskReported notes that a report with a running task arrived at a controller.
+// taskReported records that a report that lists the task as running arrived at a controller.
 func (o *responseChecker) taskReported(job, task string, attempt uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	runs := o.historyLocked(job).attempts
-	for i := range runs {
-		if run := &runs[i]; run.task == task && run.attempt == attempt && run.reported.IsZero() {
+	attempts := o.historyLocked(job).attempts
+	for i := range attempts {
+		if run := &attempts[i]; run.task == task && run.attempt == attempt && run.reported.IsZero() {
 			run.reported = time.Now()
 		}
 	}
 }
 
 func (o *responseChecker) violationLocked(a *observedResponse, why string) {
-	const most = 20
-	if len(o.violations) < most {
-		o.violations = append(o.violations, fmt.Sprintf("%s to %s for %s, sent %s, arrived %s: %d %s: %s", a.kind, a.node, a.job,
+	const maxViolations = 20
+	if len(o.violations) < maxViolations {
+		o.violations = append(o.violations, fmt.Sprintf("%s to %s for %s, sent %s, received %s: %d %s: %s", a.kind, a.node, a.job,
 			a.sent.Format("05.000000"), a.received.Format("05.000000"), a.status, a.body, why))
 	}
 }
 
-// checkResponse judges an answer that has just arrived, and remembers it.
+// checkResponse checks a response that has just arrived against the job's history, adds it to
+// the history, and returns its stage, or "" if it has none.
 func (o *responseChecker) checkResponse(a observedResponse) (stage string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -133,11 +134,11 @@
 		return ""
 	case 400, 404, 422:
 		if before(h.accepted) {
-			o.violationLocked(&a, "the job was accepted before")
+			o.violationLocked(&a, "the job had been accepted before")
 		}
 		return ""
 	default:
-		o.violationLocked(&a, "no status of the protocol")
+		o.violationLocked(&a, "the protocol has no such status")
 		return ""
 	}
 	var state struct {
@@ -145,7 +146,7 @@
 		Stage string `json:"stage"`
 	}
 	if err := json.Unmarshal(a.body, &state); err != nil || state.Job != a.job {
-		o.violationLocked(&a, "no answer about that job")
+		o.violationLocked(&a, "the response is not about that job")
 		return ""
 	}
 	o.responses++
@@ -158,42 +159,42 @@
 			}
 		}
 	}
-	first := func(at *time.Time) {
+	setOnce := func(at *time.Time) {
 		if at.IsZero() {
 			*at = a.received
 		}
 	}
-	first(&h.accepted)
+	setOnce(&h.accepted)
 	switch state.Stage {
 	case "done":
-		first(&h.done)
+		setOnce(&h.done)
 	case "cancelled":
-		first(&h.cancelled)
+		setOnce(&h.cancelled)
 	}
 	return state.Stage
 }
 
-// checkStageLocked judges an answer's stage against what users knew before its request was sent.
+// checkStageLocked checks a response's stage against what users knew before its request was sent.
 func (o *responseChecker) checkStageLocked(a *observedResponse, stage string, h *jobHistory, before func(time.Time) bool) {
 	if !slices.Contains([]string{"queued", "running", "done", "cancelled"}, stage) {
-		o.violationLocked(a, "no stage of the protocol")
+		o.violationLocked(a, "the protocol has no such stage")
 	}
 	switch {
 	case stage != "done" && before(h.done):
-		o.violationLocked(a, "it was called done before")
+		o.violationLocked(a, "an earlier response said done")
 	case stage != "cancelled" && before(h.cancelled):
-		o.violationLocked(a, "it was called cancelled before")
+		o.violationLocked(a, "an earlier response said cancelled")
 	case stage == "done" && !h.cancelled.IsZero() || stage == "cancelled" && !h.done.IsZero():
-		o.violationLocked(a, "it is called both done and cancelled")
+		o.violationLocked(a, "responses say both done and cancelled")
 	case stage == "cancelled" && !h.cancelSent:
-		o.violationLocked(a, "nobody cancelled it")
+		o.violationLocked(a, "no user cancelled the job")
 	case stage == "done" && (h.allTasksEnded.IsZero() || h.allTasksEnded.After(a.received)):
-		o.violationLocked(a, "its last task has not ended")
+		o.violationLocked(a, "the job's last task has not ended")
 	}
 	if a.kind == cancelRequest && stage != "done" && stage != "cancelled" {
-		o.violationLocked(a, "no answer to a cancellation")
+		o.violationLocked(a, "a cancellation must return done or cancelled")
 	}
 	if a.status == 201 && (a.kind != submitRequest || before(h.accepted)) {
-		o.violationLocked(a, "accepted anew")
+		o.violationLocked(a, "accepted a second time")
 	}
 }
--- a/internal/testkit/concurrent_polls_test.go
+++ b/internal/testkit/concurrent_polls_test.go
@@ -15,29 +15,29 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// pollingUsers are users that submit jobs by the users' interface, and ask at all
-// controllers within milliseconds after each answer that tells something new.
+// pollingUsers are users that submit jobs over the HTTP API, and poll all controllers
+// within milliseconds after each response that changes what they know about a job.
 type pollingUsers struct {
 	*cluster
 	checker *responseChecker
 	pending sync.WaitGroup
 
-	notLoaded    atomic.Int64 // questions for jobs that were recorded, of which their leader had not heard
-	endNotSeen   atomic.Int64 // questions for jobs whose end was recorded, which their leader did not know to be
-	cancelUnseen atomic.Int64 // questions for jobs recorded as cancelled, of which the asked controller had not heard
-	repeated     atomic.Int64 // submissions repeated after the end or a confirmed cancel
-	delayed      atomic.Int64 // answers that took longer than a second on their way
+	notLoaded    atomic.Int64 // state queries for recorded jobs that their leader had not loaded yet
+	endNotSeen   atomic.Int64 // state queries for jobs whose end was recorded, but not known to their leader yet
+	cancelUnseen atomic.Int64 // state queries for jobs recorded as cancelled, at a controller that did not know of the cancel yet
+	repeated     atomic.Int64 // submissions repeated after the job's end or a confirmed cancel
+	delayed      atomic.Int64 // responses that travelled for longer than a second
 
 	lateStarts        int           // starts after a confirmed cancel
-	longestStartDelay time.Duration // the longest time from the confirmation to such a start
+	longestStartDelay time.Duration // the longest time from a confirmed cancel to such a start
 
-	delayResponses    bool   // whether some answers take a second or two on their way
-	pollsAfterEnd     int    // how often users ask again after their jobs are over
-	faults            int    // changes of the leader that were brought about
-	refusedController string // the controller that the state service refuses
+	delayResponses    bool   // whether some responses travel for one to two seconds
+	pollsAfterEnd     int    // how often a user polls again after the job is done or cancelled
+	faults            int    // leader changes and refusals that the scenario caused
+	refusedController string // the controller that the state service refuses; "" before the first refusal
 
 	tasksMu         sync.Mutex
-	unfinishedTasks map[string]int // tasks of a job that have not ended
+	unfinishedTasks map[string]int // number of tasks that have not ended, by job
 }
 
 func newPollingUsers(w *cluster) *pollingUsers {
@@ -70,7 +70,7 @@
 	return u
 }
 
-// reported notes the running tasks of a report that arrives at a controller.
+// reported records the running tasks of a report that arrives at a controller.
 func (u *pollingUsers) reported(rep *wire.Report) {
 	for _, task := range rep.Tasks {
 		if job, _, _ := strings.Cut(task.Task, "/"); task.State == wire.TaskRunning {
@@ -79,7 +79,7 @@
 	}
 }
 
-// setTaskCount counts a job's tasks before its first submission.
+// setTaskCount sets the number of a job's tasks; it is called before the first submission.
 func (u *pollingUsers) setTaskCount(job string, tasks int) {
 	u.tasksMu.Lock()
 	defer u.tasksMu.Unlock()
@@ -90,8 +90,8 @@
 	return submissionBodyWith(job, map[string]any{"pieces": tasks})
 }
 
-// send sends a request to a controller, takes the time that it and its answer travel,
-// and has the answer judged. It returns the stage, or "" without any.
+// send sends a request to a controller, waits for as long as request and response travel,
+// and has the response checked. It returns the stage, or "" if no response with a stage arrived.
 func (u *pollingUsers) send(kind, name, job string, tasks int) (stage string) {
 	method, path, body := http.MethodGet, "/api/jobs/"+job, ""
 	switch kind {
@@ -121,7 +121,7 @@
 	down = n.down
 	u.mu.Unlock()
 	if down || ctx.Err() != nil {
-		return "" // the process ended, or the user has given up
+		return "" // the controller crashed, or the user timed out
 	}
 	u.travel()
 	if u.delayResponses && u.draw(25) == 0 {
@@ -131,7 +131,8 @@
 	return u.checker.checkResponse(observedResponse{kind: kind, node: name, job: job, sent: sent, received: time.Now(), status: rec.Code, body: rec.Body.Bytes()})
 }
 
-// countUnseenRecords counts questions that fall between a record and its reader.
+// countUnseenRecords counts a state query that arrives after a record was written and before
+// the controller that needs the record has read it.
 func (u *pollingUsers) countUnseenRecords(n *node, job string) {
 	u.mu.Lock()
 	var leader *node
@@ -144,12 +145,12 @@
 	if leader == nil {
 		return
 	}
-	known, sure := leader.scheduler.LocalState(job)
+	state, known := leader.scheduler.LocalState(job)
 	ended := u.store.Text("final/"+job) != ""
 	switch {
-	case ended && (!sure || known.Stage != wire.StageDone && known.Stage != wire.StageCancelled):
+	case ended && (!known || state.Stage != wire.StageDone && state.Stage != wire.StageCancelled):
 		u.endNotSeen.Add(1)
-	case !ended && !sure && u.store.Text("live/"+job) != "":
+	case !ended && !known && u.store.Text("live/"+job) != "":
 		u.notLoaded.Add(1)
 	}
 	if !ended && !n.cancellations.IsCancelled(job) && strings.Contains(u.store.Text("live/"+job), `"cancelled":true`) {
@@ -157,8 +158,8 @@
 	}
 }
 
-// pollAndResubmit asks for a job at all controllers, again and again within milliseconds, and
-// repeats its submission.
+// pollAndResubmit queries a job's state at all controllers three times within some
+// milliseconds, and repeats its submission twice.
 func (u *pollingUsers) pollAndResubmit(job string, tasks int) {
 	for i := range 3 {
 		for _, name := range u.names {
@@ -176,14 +177,14 @@
 	}
 }
 
-// runUser is the life of one job's user: it submits the job, perhaps cancels it after
-// some time (0: never), and asks until the job is over.
-func (u *pollingUsers) runUser(job string, tasks int, cancelAfter, patience time.Duration) {
+// runUser acts as one job's user: it submits the job, cancels it after cancelAfter unless that is 0,
+// and polls until the job is done or cancelled, or the timeout ends.
+func (u *pollingUsers) runUser(job string, tasks int, cancelAfter, timeout time.Duration) {
 	u.setTaskCount(job, tasks)
-	until := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	anyNode := func() string { return u.names[u.draw(len(u.names))] }
 	for u.send(submitRequest, anyNode(), job, tasks) == "" {
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return
 		}
 		time.Sleep(time.Second)
@@ -197,17 +198,17 @@
 					u.pollAndResubmit(job, tasks)
 					return
 				}
-				if time.Now().After(until) {
+				if time.Now().After(deadline) {
 					return
 				}
 				time.Sleep(time.Second)
 			}
 		})
 	}
-	for time.Now().Before(until) {
+	for time.Now().Before(deadline) {
 		if stage := u.send(stateRequest, anyNode(), job, 0); stage == "done" || stage == "cancelled" {
 			u.pollAndResubmit(job, tasks)
-			for range u.pollsAfterEnd { // and later, by when lagging watches tell of the past
+			for range u.pollsAfterEnd { // poll again when lagging watches deliver events from before the job's end
 				time.Sleep(time.Duration(200+u.draw(2000)) * time.Millisecond)
 				u.pollAndResubmit(job, tasks)
 			}
@@ -217,8 +218,8 @@
 	}
 }
 
-// finishAndCheck waits for the users, stops the controllers, lets what is on its way arrive, and
-// fails the test for answers that are out of order.
+// finishAndCheck waits for the users, stops the controllers, waits until the store has applied the
+// delayed transactions, and fails the test for each inconsistent response.
 func (u *pollingUsers) finishAndCheck(t *testing.T) {
 	u.pending.Wait()
 	u.stopAll()
@@ -228,33 +229,33 @@
 	}
 }
 
-// pollScenario is a fault during which users look closely.
+// pollScenario is a fault during which users poll within milliseconds of each change.
 type pollScenario struct {
 	name        string
-	everySecond func(u *pollingUsers, second int) // what happens each second
-	minFaults   int                               // changes of the leader, or refusals, that must happen
-	sameLeader  bool                              // whether the jobs stay with one leader
+	everySecond func(u *pollingUsers, second int) // is called each second, and causes the faults
+	minFaults   int                               // the least number of leader changes or refusals
+	sameLeader  bool                              // whether the same controller leads all the time
 }
 
-// addLatency has the watches tell late, and messages and the state service's answers take
-// some time.
-func (u *pollingUsers) addLatency(most time.Duration) {
+// addLatency delays watch events by up to maxWatchLag, responses of the state service by up to 30 ms
+// and messages by up to 15 ms.
+func (u *pollingUsers) addLatency(maxWatchLag time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	upTo := func(most time.Duration) func() time.Duration {
-		return func() time.Duration { return time.Duration(u.rnd.Int64N(int64(most))) }
+	upTo := func(limit time.Duration) func() time.Duration {
+		return func() time.Duration { return time.Duration(u.rnd.Int64N(int64(limit))) }
 	}
-	u.watchLag, u.storeLatency, u.transit = upTo(most), upTo(30*time.Millisecond), upTo(15*time.Millisecond)
+	u.watchLag, u.storeLatency, u.transit = upTo(maxWatchLag), upTo(30*time.Millisecond), upTo(15*time.Millisecond)
 }
 
-// refuseTemporarily has the state service refuse a controller, which its peers may be cut off from
-// too, for some seconds.
-func (u *pollingUsers) refuseTemporarily(second, length int, name string, apart bool) {
+// refuseTemporarily is called each second. In second 0 it cuts a controller off from the state service,
+// and from its peers too if fromPeers is set; in second length it restores the links.
+func (u *pollingUsers) refuseTemporarily(second, length int, name string, fromPeers bool) {
 	switch {
 	case second == 0 && name != "":
 		u.refusedController = name
 		u.refuse(name)
-		if apart {
+		if fromPeers {
 			u.cutAll(name, u.others(name)...)
 		}
 		u.faults++
@@ -266,16 +267,16 @@
 var pollScenarios = []pollScenario{
 	{"watches lag", func(*pollingUsers, int) {}, 0, true},
 	{"the leader hands over", func(u *pollingUsers, second int) {
-		if l := u.leader(); second%3 == 1 && l != "" {
-			to := u.others(l)
-			if u.nodes[l].member.TransferShards(context.Background(), to[u.draw(len(to))]) == nil {
+		if leader := u.leader(); second%3 == 1 && leader != "" {
+			others := u.others(leader)
+			if u.nodes[leader].member.TransferShards(context.Background(), others[u.draw(len(others))]) == nil {
 				u.faults++
 			}
 		}
 	}, 6, false},
 	{"the leader ends", func(u *pollingUsers, second int) {
-		if l := u.leader(); second%8 == 3 && l != "" {
-			u.restart(l, time.Duration(100+u.draw(3000))*time.Millisecond)
+		if leader := u.leader(); second%8 == 3 && leader != "" {
+			u.restart(leader, time.Duration(100+u.draw(3000))*time.Millisecond)
 			u.faults++
 		}
 	}, 4, false},
@@ -287,16 +288,16 @@
 	}, 4, false},
 }
 
-// pollStats is what happened in a scene's runs.
+// pollStats sums the events of all runs of a scenario.
 type pollStats struct {
-	answers, refused, done, cancelled, faults, lateStarts   int
+	responses, refused, done, cancelled, faults, lateStarts int
 	staleQueued                                             int
 	notLoaded, endNotSeen, cancelNotSeen, repeated, delayed int64
 	longestStartDelay                                       time.Duration
 }
 
 func (s *pollStats) add(u *pollingUsers) {
-	s.answers += u.checker.responses
+	s.responses += u.checker.responses
 	s.refused += u.checker.refused
 	s.staleQueued += u.checker.staleQueued
 	for _, h := range u.checker.jobs {
@@ -316,9 +317,9 @@
 	s.delayed += u.delayed.Load()
 }
 
-// Users ask at all controllers within milliseconds after their jobs were accepted,
-// ended or cancelled, and repeat the submissions, while watches lag and answers are
-// delayed: no controller answers anything older than what any controller had told.
+// Users poll all controllers within milliseconds after their jobs were accepted,
+// ended or cancelled, and repeat the submissions, while watches lag and responses are
+// delayed. No controller may return an older state than any controller returned before.
 func TestConcurrentPollsNeverSeeOlderState(t *testing.T) {
 	for i, s := range pollScenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -331,10 +332,10 @@
 			t.Logf("%+v", sum)
 			if sum.faults < s.minFaults || sum.done < 40 || sum.cancelled < 15 || sum.notLoaded < 50 || sum.endNotSeen < 10 ||
 				sum.cancelNotSeen < 10 || sum.repeated < 200 || sum.delayed < 50 {
-				t.Error("too few of these")
+				t.Error("the scenario did not cause enough of the events that it tests")
 			}
 			if s.sameLeader && sum.staleQueued > 0 {
-				t.Errorf("%d answers \"queued\" for running jobs", sum.staleQueued)
+				t.Errorf("%d responses said \"queued\" for running jobs", sum.staleQueued)
 			}
 			if sum.longestStartDelay > maxStartDelay {
 				t.Errorf("a task started %v after a confirmed cancel", sum.longestStartDelay)
@@ -343,7 +344,7 @@
 	}
 }
 
-// maxStartDelay is how long after a confirmed cancel a start that was on its way may arrive.
+// maxStartDelay limits the time from a confirmed cancel to a start by a command that was sent before.
 const maxStartDelay = time.Second
 
 func runPollScenario(t *testing.T, s *pollScenario, seed uint64) *pollingUsers {
@@ -373,9 +374,9 @@
 			if w.draw(3) == 0 {
 				cancelAfter = time.Duration(1+w.draw(3000)) * time.Millisecond
 			}
-			from := time.Duration(w.draw(1000)) * time.Millisecond
+			startDelay := time.Duration(w.draw(1000)) * time.Millisecond
 			u.pending.Go(func() {
-				time.Sleep(from)
+				time.Sleep(startDelay)
 				u.runUser(job, tasks, cancelAfter, time.Minute)
 			})
 		}
@@ -387,7 +388,7 @@
 	u.finishAndCheck(t)
 	for job, h := range u.checker.jobs {
 		if h.done.IsZero() && h.cancelled.IsZero() && !h.accepted.IsZero() {
-			t.Errorf("%s was accepted, and is not over", job)
+			t.Errorf("%s was accepted, but is neither done nor cancelled", job)
 		}
 	}
 	return u
--- a/internal/testkit/constraints_test.go
+++ b/internal/testkit/constraints_test.go
@@ -17,8 +17,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// accountingRows reads all accounting, and says how many accountingRows stand there more than once.
-func (w *cluster) accountingRows() (jobs map[string]accounting.Row, attempts map[string]accounting.Row, twice int) {
+// accountingRows reads all accounting rows of jobs and of attempts, and counts those that are stored more than once.
+func (w *cluster) accountingRows() (jobs map[string]accounting.Row, attempts map[string]accounting.Row, duplicates int) {
 	jobs, attempts = map[string]accounting.Row{}, map[string]accounting.Row{}
 	items, _, err := (&testkit.View{Store: w.store}).List(context.Background(), accounting.KeyPrefix)
 	if err != nil {
@@ -35,28 +35,28 @@
 			w.t.Fatal(err)
 		}
 		if len(text) > 8<<10 {
-			w.t.Errorf("a page of %d bytes", len(text))
+			w.t.Errorf("an accounting page has %d bytes, more than 8 KiB", len(text))
 		}
 		if err := rd.Unpack(text, func(r *accounting.Row) {
 			into, name := jobs, r.UID
 			if r.Kind == accounting.RowAttempt {
 				into, name = attempts, fmt.Sprintf("%s/%d %d", r.UID, r.Task, r.Attempt)
 			}
-			if _, there := into[name]; there {
-				twice++
+			if _, exists := into[name]; exists {
+				duplicates++
 			}
 			into[name] = *r
 		}); err != nil {
 			w.t.Fatal(err)
 		}
 	}
-	return jobs, attempts, twice
+	return jobs, attempts, duplicates
 }
 
-// Terms hold through crashes, cuts, lost and late writes: a throttle is never
-// passed, a dependent job never starts before its turn, a failed task is not tried
-// again, tasks cancelled alone never run, and accounting has one row of each job
-// and one useful attempt of each task that is done.
+// Constraints hold under random crashes, cut links, lost and late writes: a limit of concurrent
+// tasks is never exceeded, no job starts before its dependencies are met, a failed task with NoRetry is
+// not retried, cancelled tasks of a job never run, and accounting has one row for each job
+// and one useful attempt for each task that is done.
 func TestConstraintsUnderDrawnFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -68,12 +68,12 @@
 func runConstraintsUnderFaults(t *testing.T, seed uint64) {
 	w := newCluster(t, seed)
 	w.accounts = true
-	began := map[string]time.Time{}
+	startedAt := map[string]time.Time{} // first start of each task
 	fails := map[string]bool{"j-fails/1": true, "j-fails/3": true}
 	for _, k := range w.workers {
 		k.Started = func(task string, _ uint64) {
-			if _, again := began[task]; !again {
-				began[task] = time.Now()
+			if _, restarted := startedAt[task]; !restarted {
+				startedAt[task] = time.Now()
 			}
 		}
 		k.Exit = func(task string) int {
@@ -109,34 +109,34 @@
 		jobs[i].t.Number = uint64(100 * (i + 1))
 		w.submitWith(jobs[i].uid, jobs[i].tasks, &jobs[i].t)
 	}
-	over := func(uid string) bool { return len(w.store.Keys("final/"+uid)) > 0 }
-	dropped := false
+	ended := func(uid string) bool { return len(w.store.Keys("final/"+uid)) > 0 }
+	tasksCancelled := false
 	calm, deadline := time.Now().Add(2*time.Minute), time.Now().Add(20*time.Minute)
 	for len(w.store.Keys("final/")) < len(jobs) {
 		if time.Now().After(deadline) {
 			t.Fatalf("only %v ended", w.store.Keys("final/"))
 		}
 		w.reportAll()
-		on := map[string]int{}
+		running := map[string]int{} // tasks, by job
 		w.mu.Lock()
 		for _, k := range w.workers {
 			for _, task := range k.On() {
-				on[strings.Split(task, "/")[0]]++
+				running[strings.Split(task, "/")[0]]++
 			}
 		}
 		w.mu.Unlock()
-		if on["j-most"] > 2 || on["j-drop"] > 1 {
-			t.Fatalf("%d and %d tasks on at once", on["j-most"], on["j-drop"])
+		if running["j-most"] > 2 || running["j-drop"] > 1 {
+			t.Fatalf("%d tasks of j-most and %d of j-drop run at once", running["j-most"], running["j-drop"])
 		}
-		if on["j-afterok"] > 0 && !over("j-most") || on["j-afternotok"] > 0 && !over("j-fails") || on["j-single2"] > 0 && !over("j-single1") {
-			t.Fatalf("a dependent job runs: %v", on)
+		if running["j-afterok"] > 0 && !ended("j-most") || running["j-afternotok"] > 0 && !ended("j-fails") || running["j-single2"] > 0 && !ended("j-single1") {
+			t.Fatalf("a job runs before its dependencies are met: %v", running)
 		}
-		if !dropped {
-			// Until a leader has taken it for sure.
+		if !tasksCancelled {
+			// Retried each step until a leader confirms.
 			for _, n := range w.nodes {
 				tasks, _ := jobspec.ParseRanges("2-4")
 				if !n.down && n.scheduler.CancelTasks(context.Background(), "j-drop", tasks) == nil {
-					dropped = true
+					tasksCancelled = true
 					break
 				}
 			}
@@ -179,25 +179,25 @@
 		t.Errorf("%+v", r)
 	}
 	for _, task := range []string{"j-deadline/0", "j-never/0"} {
-		if at, ran := began[task]; ran {
-			t.Errorf("%s ran at %v", task, at)
+		if at, ran := startedAt[task]; ran {
+			t.Errorf("%s started at %v, but must not run", task, at)
 		}
 	}
-	if at := began["j-begin/0"]; at.Before(now.Add(70 * time.Second)) {
-		t.Errorf("began %v early", now.Add(70*time.Second).Sub(at))
+	if at := startedAt["j-begin/0"]; at.Before(now.Add(70 * time.Second)) {
+		t.Errorf("j-begin started %v before its begin time", now.Add(70*time.Second).Sub(at))
 	}
 	w.stopAll()
 }
 
-// The answer to every write of accounting is lost, once: the next write of the page
-// must go on from what was applied, or all writes would fail for ever.
+// The response to every second write of an accounting page is lost. The next write of the page
+// must build on the applied version; otherwise all later writes fail.
 func TestAccountingContinuesAfterLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 3)
 		w.accounts = true
 		w.reliableStore = true
-		odd := false
-		pages := func() (sum uint64) {
+		lastLost := false                   // the response of the last change was lost
+		versionSum := func() (sum uint64) { // of all accounting pages
 			items, _, _ := (&testkit.View{Store: w.store}).List(context.Background(), accounting.KeyPrefix)
 			for _, it := range items {
 				sum += it.Version
@@ -206,10 +206,10 @@
 		}
 		last := uint64(0)
 		w.losesResponse = func() bool {
-			now := pages()
-			lost := now != last && !odd
+			now := versionSum()
+			lost := now != last && !lastLost
 			if now != last {
-				odd = !odd
+				lastLost = !lastLost
 			}
 			last = now
 			return lost
@@ -219,12 +219,12 @@
 			w.nodes[x] = &node{cluster: w, name: x, down: true}
 		}
 		time.Sleep(2 * time.Second)
-		came := 0
+		submitted := 0
 		for end := time.Now().Add(5 * time.Minute); len(w.store.Keys("final/")) < 6; {
-			if came < 6 && len(w.store.Keys("live/")) == 0 { // one wave after the other
+			if submitted < 6 && len(w.store.Keys("live/")) == 0 { // submit the next two when all have ended
 				for range 2 {
-					w.submitWith(fmt.Sprintf("j-%d", came), 2, &jobspec.Constraints{Number: uint64(10 * (came + 1))})
-					came++
+					w.submitWith(fmt.Sprintf("j-%d", submitted), 2, &jobspec.Constraints{Number: uint64(10 * (submitted + 1))})
+					submitted++
 				}
 			}
 			if time.Now().After(end) {
@@ -237,9 +237,9 @@
 			}
 			time.Sleep(reportEvery)
 		}
-		jobs, attempts, twice := w.accountingRows()
-		if len(jobs) != 6 || len(attempts) != 12 || twice != 0 {
-			t.Errorf("%d jobs, %d attempts, %d rows twice", len(jobs), len(attempts), twice)
+		jobs, attempts, duplicates := w.accountingRows()
+		if len(jobs) != 6 || len(attempts) != 12 || duplicates != 0 {
+			t.Errorf("%d job rows, %d attempt rows, %d duplicate rows", len(jobs), len(attempts), duplicates)
 		}
 		w.crash("a")
 	})
--- a/internal/testkit/deposed_leader_test.go
+++ b/internal/testkit/deposed_leader_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// A leader hears that the last tasks of jobs ended when it has just lost the state service
-// and its peers. Its successor, which hears other workers, writes log records where the
-// former leader's stand that were never written. Back at the state service, that one must
-// not take them for its own: it would call the jobs done, and have workers forget results
-// of which the successor never heard.
+// A leader that has just lost the state service and its peers receives reports that the last tasks of
+// some jobs ended, and can't write the log records. Its successor, which receives reports of other workers,
+// writes its own records under the same log keys. When the former leader reaches the state service again, it must not
+// take these records for its own: otherwise it reports the jobs as done and has the workers discard results
+// that the successor never received.
 func TestDeposedLeaderDoesNotAdoptSuccessorsLogRecord(t *testing.T) {
 	unrecorded := 0
 	for seed := range uint64(8) {
@@ -25,7 +25,7 @@
 				for _, k := range w.workers {
 					k.Run = func(task string) time.Duration {
 						if strings.HasSuffix(task, "/1") {
-							return 40 * time.Second // its job goes on, so that the log is written
+							return 40 * time.Second // keeps its job running, so that the leader writes the log
 						}
 						return 4 * time.Second
 					}
@@ -41,7 +41,7 @@
 				if !w.within(10, func() bool { return w.starts >= jobs*3/2 }) {
 					t.Fatalf("%d tasks started", w.starts)
 				}
-				for i, k := range w.workers { // half of them are the former leader's
+				for i, k := range w.workers { // each half reports to one side only: the former leader or the others
 					if i%2 == 0 {
 						w.cutAll(k.Name, w.others(former)...)
 					} else {
@@ -50,7 +50,7 @@
 				}
 				w.cutAll(former, append(w.others(former), stateService)...)
 				w.live(5)
-				u.setTaskCount("j-200", 40) // has the successor write
+				u.setTaskCount("j-200", 40) // a new job makes the successor write log records
 				w.submit("j-200", 40)
 				w.live(6)
 				for i := range jobs {
@@ -60,16 +60,16 @@
 					}
 				}
 				w.locked(func() {
-					w.watchLag = func() time.Duration { return 3 * time.Second } // it hears late that it lost its shards
+					w.watchLag = func() time.Duration { return 3 * time.Second } // the former leader learns late that it lost its shards
 				})
 				w.healLinks(former, append(w.others(former), stateService)...)
-				asks := func() {
+				pollAllJobs := func() {
 					for i := range jobs {
 						u.pollAndResubmit(fmt.Sprintf("j-%d", 100+i), 1+i%2)
 					}
 				}
 				for range 4 {
-					u.pending.Go(asks)
+					u.pending.Go(pollAllJobs)
 					w.live(1)
 				}
 				w.healed()
@@ -83,8 +83,8 @@
 			})
 		})
 	}
-	t.Logf("%d jobs had ended at the former leader when it was back, and were not recorded", unrecorded)
+	t.Logf("%d jobs had ended, without a final record, when the former leader reached the state service again", unrecorded)
 	if unrecorded < 10 {
-		t.Error("too few of these")
+		t.Error("fewer than 10 jobs ended without a final record")
 	}
 }
--- a/internal/testkit/invalid_requests_test.go
+++ b/internal/testkit/invalid_requests_test.go
@@ -16,15 +16,15 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// userRequest sends a user's userRequest to a controller, and returns what its user gets.
+// userRequest sends an HTTP request to a controller, and returns the response's status and job state.
 func (w *cluster) userRequest(name, method, path, body string) (status int, state wire.JobState) {
 	rec := httptest.NewRecorder()
 	w.nodes[name].mux.ServeHTTP(rec, httptest.NewRequest(method, path, strings.NewReader(body)))
-	_ = json.Unmarshal(rec.Body.Bytes(), &state) // a refusal has no state
+	_ = json.Unmarshal(rec.Body.Bytes(), &state) // an error response has no job state
 	return rec.Code, state
 }
 
-// submissionBodyWith is the body of a submission of one short task, with some fields changed.
+// submissionBodyWith returns the body of a submission of one short task, with the given fields changed or left out.
 func submissionBodyWith(uid string, change map[string]any) string {
 	fields := map[string]any{
 		"uid": uid, "docket": "c", "crew": "t", "sort": "sweep", "urgency": "normal", "pieces": 1, "cpus": 1, "cards": 0,
@@ -43,22 +43,21 @@
 	return string(body)
 }
 
-// absent is the value of a field that is left out.
+// absent as a field's value leaves the field out of the body.
 const absent = "(absent)"
 
-// submissionCase is a submission that the protocol refuses, and one that it accepts if
-// status is 201.
+// submissionCase is a submission and the status of its response; 201 means that the job is accepted.
 type submissionCase struct {
 	name              string
 	change            map[string]any
 	status            int
-	needsClusterState bool // the machine types or the teams decide, and not the body alone
+	needsClusterState bool // the status depends on machine types or teams, not on the body alone
 }
 
-func submissionCases() (odd []submissionCase) {
-	add := func(status int, judged bool, field string, values ...any) {
+func submissionCases() (cases []submissionCase) {
+	add := func(status int, needsClusterState bool, field string, values ...any) {
 		for _, value := range values {
-			odd = append(odd, submissionCase{fmt.Sprintf("%s=%v", field, value), map[string]any{field: value}, status, judged})
+			cases = append(cases, submissionCase{fmt.Sprintf("%s=%v", field, value), map[string]any{field: value}, status, needsClusterState})
 		}
 	}
 	for _, field := range []string{"docket", "crew", "sort", "urgency", "kit"} {
@@ -77,31 +76,31 @@
 	add(http.StatusBadRequest, false, "dueS", -1, "9", true)
 	add(http.StatusBadRequest, false, "sort", "Sweep")
 	add(http.StatusBadRequest, false, "urgency", "highest")
-	// What can never run.
+	// Valid submissions that no worker or team limit can ever satisfy.
 	add(http.StatusUnprocessableEntity, true, "crew", "nobody", "T")
 	add(http.StatusUnprocessableEntity, true, "cpus", 4.1, 1e6)
 	add(http.StatusUnprocessableEntity, true, "cards", 1)
 	add(http.StatusUnprocessableEntity, true, "memoryGb", 16.5)
 	add(http.StatusUnprocessableEntity, true, "builds", []string{"other"}, []string{"M", "other"})
 	add(http.StatusUnprocessableEntity, true, "yard", "elsewhere")
-	odd = append(odd,
+	cases = append(cases,
 		submissionCase{"one task over the limit", map[string]any{"crew": "small", "cpus": 3}, http.StatusUnprocessableEntity, true},
 		submissionCase{"a service over the limit", map[string]any{"crew": "small", "sort": "daemon", "pieces": 3}, http.StatusUnprocessableEntity, true},
 		submissionCase{"an array of tasks within the limit", map[string]any{"crew": "small", "pieces": 30}, http.StatusCreated, true},
 		submissionCase{"a service within the limit", map[string]any{"crew": "small", "sort": "daemon", "pieces": 2}, http.StatusCreated, true},
 		submissionCase{"the only type and zone", map[string]any{"builds": []string{"other", "m"}, "yard": "z"}, http.StatusCreated, true},
-		submissionCase{"what may be null is left out", map[string]any{"builds": absent, "yard": absent, "dueS": absent}, http.StatusCreated, true},
-		submissionCase{"a field that nobody knows", map[string]any{"colour": map[string]any{"CPUS": 99}}, http.StatusCreated, true})
-	return odd
+		submissionCase{"nullable fields left out", map[string]any{"builds": absent, "yard": absent, "dueS": absent}, http.StatusCreated, true},
+		submissionCase{"an unknown field", map[string]any{"colour": map[string]any{"CPUS": 99}}, http.StatusCreated, true})
+	return cases
 }
 
-// emptyCatalog is a controller's catalog before it knows the machine types.
+// emptyCatalog is the catalog of a controller that has not loaded the machine types yet.
 type emptyCatalog struct{}
 
 func (emptyCatalog) All() []wire.MachineType { return nil }
 
-// Odd requests get the answer of the protocol, the same at every controller and in every
-// state of it: one that can't decide says 503. Nothing is accepted that can't run.
+// Invalid and unusual requests get the status that the protocol defines, the same from every controller and in
+// every state of the cluster; a controller that can't decide returns 503. No job is accepted that can't run.
 func TestInvalidRequestsGetSameAnswerOnEveryController(t *testing.T) {
 	onCluster(t, 3700, 3, 8, func(w *cluster) {
 		w.cfg.Params.Teams = []config.Team{{Name: "t"}, {Name: "small", CPUsMax: 2}}
@@ -112,13 +111,13 @@
 		for _, n := range w.nodes {
 			n.view.Lose, n.view.Late = nil, nil
 		}
-		blind := w.names[2]
-		n := w.nodes[blind]
+		withoutTypes := w.names[2]
+		n := w.nodes[withoutTypes]
 		states := []struct {
 			name       string
 			begin, end func()
-			unsure     string // the controller that does not know the machine types
-			out        bool   // nobody reaches the state service
+			undecided  string // the controller that does not know the machine types
+			storeDown  bool   // no controller reaches the state service
 		}{
 			{"all well", func() {}, func() {}, "", false},
 			{"one is refused by the state service", func() { w.refuse(w.names[0]); w.live(2) }, w.healed, "", false},
@@ -133,39 +132,39 @@
 					Cancellations: n.cancellations,
 				})
 				in.Register(n.mux)
-			}, func() { n.mux = http.NewServeMux(); n.submission.Register(n.mux) }, blind, false},
+			}, func() { n.mux = http.NewServeMux(); n.submission.Register(n.mux) }, withoutTypes, false},
 			{"the leader is away", func() { w.crash(w.leader()) }, w.startAll, "", false},
 			{"the state service is out", func() { w.refuse(w.names...); w.live(1) }, w.healed, "", true},
 		}
-		odd := submissionCases()
+		cases := submissionCases()
 		accepted := 0
 		for s, state := range states {
 			w.live(3)
 			state.begin()
-			for i, o := range odd {
-				uid := fmt.Sprintf("j-9%d-%d", s, i) // whose tasks run for long: a replica never ends
+			for i, c := range cases {
+				uid := fmt.Sprintf("j-9%d-%d", s, i) // tasks of j-9... run for 30 minutes, since a service's replicas never end
 				known := false
 				for _, name := range w.names {
 					if w.nodes[name].down {
 						continue
 					}
-					want := o.status
+					want := c.status
 					switch {
-					case state.out:
-						want = http.StatusServiceUnavailable // it may be a known job
+					case state.storeDown:
+						want = http.StatusServiceUnavailable // the job may have been accepted before
 					case known:
 						want = http.StatusOK
-					case o.needsClusterState && name == state.unsure:
+					case c.needsClusterState && name == state.undecided:
 						want = http.StatusServiceUnavailable
 					}
-					got, _ := w.userRequest(name, http.MethodPost, "/api/jobs", submissionBodyWith(uid, o.change))
+					got, _ := w.userRequest(name, http.MethodPost, "/api/jobs", submissionBodyWith(uid, c.change))
 					if got != want {
-						t.Errorf("%s, %s at %s: %d, not %d", state.name, o.name, name, got, want)
+						t.Errorf("%s, %s at %s: %d, not %d", state.name, c.name, name, got, want)
 					}
 					known = known || got == http.StatusCreated
 				}
-				if kept := slices.Contains(w.store.Keys("live/"), "live/"+uid); kept != known {
-					t.Errorf("%s, %s: accepted %v, kept %v", state.name, o.name, known, kept)
+				if stored := slices.Contains(w.store.Keys("live/"), "live/"+uid); stored != known {
+					t.Errorf("%s, %s: accepted %v, stored %v", state.name, c.name, known, stored)
 				}
 				if known {
 					accepted++
@@ -176,7 +175,7 @@
 					continue
 				}
 				unknown := http.StatusNotFound
-				if state.out {
+				if state.storeDown {
 					unknown = http.StatusServiceUnavailable
 				}
 				for path, want := range map[string]int{"/api/jobs/j-nobody": unknown, "/api/jobs/nobody": http.StatusNotFound} {
@@ -199,13 +198,14 @@
 		if want := 5 * 4; accepted != want {
 			t.Errorf("%d jobs accepted, not %d", accepted, want)
 		}
-		w.checkResubmissions(odd)
+		w.checkResubmissions(cases)
 	})
 }
 
-// checkResubmissions repeats the submission of a job that runs and of one that is
-// done, with every other body, at all controllers, and cancels the one that is done.
-func (w *cluster) checkResubmissions(odd []submissionCase) {
+// checkResubmissions repeats the submissions of a running and a finished job at all controllers, with the
+// body of each case, and checks that the response is the job's state. It also cancels the finished job, which
+// must stay done.
+func (w *cluster) checkResubmissions(cases []submissionCase) {
 	w.t.Helper()
 	w.live(10)
 	for uid, pieces := range map[string]int{"j-80": 2, "j-7": 1} {
@@ -214,16 +214,16 @@
 		}
 	}
 	if !w.within(60, func() bool { return w.onMachines("j-80") == 2 && w.ended("j-7")() }) {
-		w.t.Fatal("one job does not run, or the other is not done")
+		w.t.Fatal("j-80 does not run, or j-7 is not done")
 	}
 	w.live(3)
 	for _, name := range w.names {
 		for uid, want := range map[string]string{"j-80": wire.StageRunning, "j-7": wire.StageDone} {
-			for _, o := range odd {
-				got, state := w.userRequest(name, http.MethodPost, "/api/jobs", submissionBodyWith(uid, o.change))
-				// Where the body is bad the store may be read, which has no count of what runs.
+			for _, c := range cases {
+				got, state := w.userRequest(name, http.MethodPost, "/api/jobs", submissionBodyWith(uid, c.change))
+				// With an invalid body the state may come from the store, which does not record which tasks run.
 				if got != http.StatusOK || state.UID != uid || (state.Stage == wire.StageDone) != (want == wire.StageDone) || state.Stage == wire.StageCancelled {
-					w.t.Errorf("%s again, with %s, at %s: %d, %+v", uid, o.name, name, got, state)
+					w.t.Errorf("%s again, with %s, at %s: %d, %+v", uid, c.name, name, got, state)
 				}
 			}
 		}
@@ -233,6 +233,6 @@
 	}
 	time.Sleep(time.Second)
 	if n := w.onMachines("j-80"); n != 2 {
-		w.t.Errorf("%d of 2 tasks are on after the repeats", n)
+		w.t.Errorf("%d of 2 tasks run after the repeated submissions", n)
 	}
 }
--- a/internal/testkit/late_starts_test.go
+++ b/internal/testkit/late_starts_test.go
@@ -12,19 +12,19 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// cancelledStartChecks judges the starts of tasks of cancelled jobs.
+// cancelledStartChecks checks the starts of tasks whose jobs are cancelled.
 type cancelledStartChecks struct {
-	sender     commandSender // of the commands that a worker is about to execute
-	lateStarts int           // starts after their user heard that the job is cancelled
+	sender     commandSender // of the commands that a worker executes next
+	lateStarts int           // starts after a user received the confirmation of the cancel
 }
 
-// commandSender is a controller that sent commands, and when.
+// commandSender is a controller that sent commands, and the time at which it sent them.
 type commandSender struct {
 	node *node
 	at   time.Time
 }
 
-// knownCancels is when a controller first knew of each cancel.
+// knownCancels maps each cancelled job to the time at which a controller first knew of its cancel.
 type knownCancels struct{ sync.Map }
 
 func (k *knownCancels) record(uids []string) {
@@ -33,23 +33,23 @@
 	}
 }
 
-// setSender notes who setSender the commands that a worker executes next. The cluster is locked.
+// setSender sets the sender of the commands that a worker executes next. The caller holds the cluster's lock.
 func (c *cancelledStartChecks) setSender(by *node, at time.Time) { c.sender = commandSender{by, at} }
 
-// withCurrentSender has what a worker carries out later count as sent by whom it is from now. The
-// cluster is locked, then too.
-func (c *cancelledStartChecks) withCurrentSender(carryOut func()) func() {
+// withCurrentSender returns a function that sets the sender back to the present one and then calls execute,
+// for commands that a worker executes later. The caller holds the cluster's lock at both times.
+func (c *cancelledStartChecks) withCurrentSender(execute func()) func() {
 	sender := c.sender
 	return func() {
 		c.sender = sender
-		carryOut()
+		execute()
 	}
 }
 
-// checkStartAfterCancel counts a start after its job's cancel was confirmed. The only one that can't
-// be avoided is a command that was under way: its sender had not heard of the cancel when
-// it sent it, which takes what a message between controllers takes, or, for one that is
-// cut off, as long as it may answer workers. The cluster is locked.
+// checkStartAfterCancel counts a start after the job's cancel was confirmed. It fails the test if the sender
+// knew of the cancel when it sent the command. Starts by commands in flight can't be avoided: a controller learns of a
+// cancel after the time of a message between controllers, or, if it is cut off, does not learn of it for as long as it
+// may answer workers. The caller holds the cluster's lock.
 func (w *cluster) checkStartAfterCancel(task string) {
 	uid, _, _ := strings.Cut(task, "/")
 	if _, cancelled := w.confirmedCancels[uid]; !cancelled {
@@ -65,8 +65,8 @@
 	}
 }
 
-// Commands are held up while users cancel jobs at other controllers, and come afterwards:
-// what they start is all that starts after a confirmed cancel, and is soon gone.
+// Commands are delayed while users cancel jobs at other controllers, and are delivered afterwards:
+// only these commands start tasks after a confirmed cancel, and the tasks are stopped soon.
 func TestOnlyCommandsInFlightStartTasksAfterCancel(t *testing.T) {
 	late := 0
 	for seed := uint64(1); seed <= 6; seed++ {
@@ -80,13 +80,13 @@
 			for _, uid := range jobs {
 				w.submit(uid, 30)
 			}
-			underWay := func() (n int) {
+			inFlight := func() (n int) {
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				return len(w.late)
 			}
-			if !w.within(5, func() bool { return underWay() > 0 }) {
-				t.Fatal("no order was held up")
+			if !w.within(5, func() bool { return inFlight() > 0 }) {
+				t.Fatal("no command was delayed")
 			}
 			confirmed := w.cancelAll(w.others(w.leader())[0], jobs, 8)
 			w.release()
@@ -94,30 +94,30 @@
 			w.holdsCommand = nil
 			w.mu.Unlock()
 			w.live(60)
-			t.Logf("%d cancels confirmed, %d starts after them", confirmed, w.checks.lateStarts)
+			t.Logf("%d cancels confirmed, %d starts after that", confirmed, w.checks.lateStarts)
 			late += w.checks.lateStarts
-			// One command is under way to a worker at a time, and starts what fits there.
-			if most := len(w.workers) * int(w.size); w.checks.lateStarts > most {
-				t.Errorf("%d starts after confirmed cancels, %d could be under way", w.checks.lateStarts, most)
+			// At most one command is in flight to a worker, and starts at most as many tasks as fit there.
+			if limit := len(w.workers) * int(w.size); w.checks.lateStarts > limit {
+				t.Errorf("%d starts after confirmed cancels, commands in flight could start %d", w.checks.lateStarts, limit)
 			}
 			for _, uid := range jobs {
 				if stage, heard := w.user(w.names[0], http.MethodGet, uid); heard && !w.confirmedCancels[uid].IsZero() && stage != wire.StageCancelled {
-					t.Errorf("%s is %s", uid, stage)
+					t.Errorf("%s is %s after a confirmed cancel", uid, stage)
 				}
 			}
 			w.stopAll()
 		})
 	}
 	if late == 0 {
-		t.Error("no start came after a confirmed cancel")
+		t.Error("no task started after a confirmed cancel")
 	}
 }
 
-// Commands wait for their connections while users cancel the jobs that they would start. None
-// of them leaves once its sender knows: no command was under way, and nothing starts later
+// Commands wait for their connections while users cancel the jobs whose tasks they start. Once its
+// sender knows of the cancel, no such command is sent: none was in flight, and no task starts later
 // than a message between controllers takes.
 func TestCommandsWaitingForConnectionsStartNothingAfterCancel(t *testing.T) {
-	const wait, jobs = time.Second, 3
+	const connectTime, jobs = time.Second, 3
 	outdated := 0
 	for seed := uint64(1); seed <= 4; seed++ {
 		synctest.Test(t, func(t *testing.T) {
@@ -127,7 +127,7 @@
 			w.startNodes()
 			w.live(3)
 			w.mu.Lock()
-			w.connecting = func() time.Duration { return wait }
+			w.connecting = func() time.Duration { return connectTime }
 			w.mu.Unlock()
 			all := make([]string, 0, jobs)
 			for i := range jobs {
@@ -135,23 +135,23 @@
 				all = append(all, uid)
 				w.submit(uid, 30)
 			}
-			time.Sleep(wait / 4)
+			time.Sleep(connectTime / 4)
 			for range 3 {
-				time.Sleep(wait / 2)
+				time.Sleep(connectTime / 2)
 				w.cancelAll(w.others(w.leader())[0], all, 1)
 				w.reportAll()
 			}
 			w.live(60)
 			outdated += w.outdatedCommands
 			for _, k := range w.workers {
-				if on := k.On(); len(on) > 0 {
-					t.Errorf("%v on %s", on, k.Name)
+				if tasks := k.On(); len(tasks) > 0 {
+					t.Errorf("%v still run on %s", tasks, k.Name)
 				}
 			}
 			w.stopAll()
 		})
 	}
 	if outdated == 0 {
-		t.Error("no order became outdated while it waited for its connection")
+		t.Error("no command became outdated while it waited for its connection")
 	}
 }
--- a/internal/testkit/late_watch_test.go
+++ b/internal/testkit/late_watch_test.go
@@ -9,26 +9,25 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// delayWatch delays what a controller's watch of a prefix tells it, of any if there is no prefix.
+// delayWatch delays the events of a controller's watch of a prefix, or of all its watches if prefix is empty.
 func (w *cluster) delayWatch(name, prefix string, by time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	others := w.behind
-	w.behind = func(n *node, of string) time.Duration {
+	previous := w.behind
+	w.behind = func(n *node, watched string) time.Duration {
 		switch {
-		case n.name == name && (prefix == "" || of == prefix):
+		case n.name == name && (prefix == "" || watched == prefix):
 			return by
-		case others != nil:
-			return others(n, of)
+		case previous != nil:
+			return previous(n, watched)
 		}
 		return 0
 	}
 }
 
-// A job is accepted and done at one leader, which then transfers its shards, or ends, before the
-// successor's watch has told it of the acceptance. The successor has read the records after
-// the job's end, so what the watch still brings of it is old: the job is not run again, and
-// nobody calls it anything but done.
+// A job is accepted and done at one leader, which then transfers its shards, or crashes, before the
+// successor's watch delivers the acceptance. The successor reads the records after the job's end, so the
+// watch events of the job are outdated: the job must not run again, and every controller reports it as done.
 func TestLateWatchEventOfEndedJobAdmitsNothing(t *testing.T) {
 	const lag = 15 * time.Second
 	for _, how := range []string{"hand-over", "end"} {
@@ -49,7 +48,7 @@
 					t.Fatal("the job did not end")
 				}
 				if stage, ok := w.user(first, http.MethodGet, "j-1"); !ok || stage != wire.StageDone {
-					t.Fatalf("%s says %s, %v", first, stage, ok)
+					t.Fatalf("%s reports stage %s, %v", first, stage, ok)
 				}
 				started := w.starts
 				if how == "end" {
@@ -58,11 +57,11 @@
 					t.Fatal(err)
 				}
 				if !w.within(8, func() bool { return w.leader() == second && w.nodes[second].scheduler.Counters().Failovers > 0 }) || time.Since(accepted) > lag {
-					t.Fatalf("the successor did not act before its watch told of the acceptance, %v ago", time.Since(accepted))
+					t.Fatalf("the successor did not take over before its watch delivered the acceptance, %v ago", time.Since(accepted))
 				}
 				for time.Since(accepted) < 2*lag+5*time.Second {
 					w.live(1)
-					w.user(second, http.MethodGet, "j-1") // fails on anything but done
+					w.user(second, http.MethodGet, "j-1") // fails the test if the stage is not done
 				}
 				if w.starts != started {
 					t.Errorf("%d starts after the job was done", w.starts-started)
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -14,7 +14,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// delayTransaction has a transaction applied later.
+// delayTransaction delays a transaction that matches, and collects its result.
 func (l *responseLoss) delayTransaction(n *node, t wire.Txn) (time.Duration, func(error)) {
 	if _, ok := l.consume(n, t); !ok {
 		return 0, nil
@@ -26,12 +26,12 @@
 	}
 }
 
-// checkLateWritesRefused fails the test unless transactions were carried out late, and changed nothing.
+// checkLateWritesRefused fails the test unless transactions were applied late, and the store refused all of them.
 func (l *responseLoss) checkLateWritesRefused() {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
 	if len(l.lateResults) == 0 {
-		l.w.t.Errorf("no write of %s came late", l.prefix)
+		l.w.t.Errorf("no write of %s was applied late", l.prefix)
 	}
 	for _, err := range l.lateResults {
 		var conflict *statestore.ConflictError
@@ -41,14 +41,14 @@
 	}
 }
 
-// lateWriteCases has writes that are carried out after newer ones of the same controller,
-// or of a successor. Those of hand-overs, releases and cancels that meet the end of a job
+// lateWriteCases lists writes that reach the store after newer ones of the same controller,
+// or of a successor. Transfers and releases of shards, and cancels that coincide with the end of a job,
 // have tests of their own.
 var lateWriteCases = []lostWriteCase{
 	{name: "acceptance, after its repetition", prefix: "live/j-7", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		l.arm("", 1)
 		if status := w.submitJ7(w.leader(), 5); status/100 != 2 {
-			t.Errorf("the submission is answered %d", status)
+			t.Errorf("the submission returned status %d", status)
 		}
 	}},
 	{name: "acceptance, after the job's end", prefix: "live/j-7", run: func(t *testing.T, w *cluster, l *responseLoss) {
@@ -60,7 +60,7 @@
 		}
 		w.live(60)
 		if len(w.store.Keys("live/j-7")) > 0 {
-			t.Error("the job lives again")
+			t.Error("the job is stored as live again")
 		}
 	}},
 	{name: "cancel, after a hand-over", prefix: "live/j-80", run: func(t *testing.T, w *cluster, l *responseLoss) {
@@ -70,7 +70,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		if s, err := w.nodes[from].scheduler.Cancel(ctx, "j-80"); err == nil {
-			t.Errorf("%+v without an answer", s)
+			t.Errorf("the cancel returned %+v without a response of the store", s)
 		}
 	}},
 	{name: "cancel, after the job's record was written anew", prefix: "live/j-80", run: func(t *testing.T, w *cluster, l *responseLoss) {
@@ -81,22 +81,22 @@
 		defer cancel()
 		before := w.keyVersion("live/j-80")
 		if s, err := w.nodes[at].scheduler.Cancel(ctx, "j-80"); err == nil {
-			t.Errorf("%+v without an answer", s)
+			t.Errorf("the cancel returned %+v without a response of the store", s)
 		}
 		if s, ok := w.nodes[at].scheduler.LocalState("j-80"); ok {
-			t.Errorf("the owner is sure of %+v at once", s)
+			t.Errorf("the owner returned %+v before the record was written anew", s)
 		}
 		if stage, ok := w.user(at, http.MethodGet, "j-80"); !ok || stage != wire.StageRunning {
-			t.Errorf("the owner calls the job %q, which runs by the store and by its books", stage)
+			t.Errorf("the owner returned stage %q, but the job runs according to the store and its own state", stage)
 		}
 		w.live(10)
 		if stage, ok := w.user(at, http.MethodGet, "j-80"); !ok || stage != wire.StageRunning || w.keyVersion("live/j-80") == before {
-			t.Errorf("the owner calls the job %q, its record has version %d, %d before", stage, w.keyVersion("live/j-80"), before)
+			t.Errorf("the owner returned stage %q, the record has version %d, %d before", stage, w.keyVersion("live/j-80"), before)
 		}
 		version := w.keyVersion("live/j-80")
 		w.live(12)
 		if w.keyVersion("live/j-80") != version {
-			t.Error("the record was written again")
+			t.Error("the record was written a second time")
 		}
 	}},
 	{name: "end, after its repetition", prefix: "final/j-1", noAccounting: true, run: func(_ *testing.T, _ *cluster, l *responseLoss) {
@@ -106,10 +106,10 @@
 		l.whileWaiting = func(writer *node, _ string) {
 			time.Sleep(100 * time.Millisecond)
 			if stage, ok := w.user(writer.name, http.MethodPost, "j-7"); !ok || stage != wire.StageCancelled {
-				t.Errorf("the cancel is answered %s, %v", stage, ok)
+				t.Errorf("the cancel returned stage %s, %v", stage, ok)
 			}
 		}
-		if !w.within(200, w.ended("j-1", "j-2", "j-3")) { // whose records would share its transaction
+		if !w.within(200, w.ended("j-1", "j-2", "j-3")) { // otherwise their records share its transaction
 			t.Error("the other jobs did not end")
 		}
 		l.arm("", 1)
@@ -119,7 +119,7 @@
 		}
 		w.live(10)
 		if s, err := scheduler.StoredState(context.Background(), &testkit.View{Store: w.store}, "j-7"); err != nil || s.Stage != wire.StageCancelled {
-			t.Errorf("recorded in the end: %+v, %v", s, err)
+			t.Errorf("state stored at the end: %+v, %v", s, err)
 		}
 	}},
 	{name: "claim of shards, after its repetition", prefix: "c/shard/", run: func(t *testing.T, w *cluster, l *responseLoss) {
@@ -140,29 +140,29 @@
 	{name: "accounting page, at a new owner", prefix: accounting.KeyPrefix, run: transferDuringLateWrite},
 }
 
-// restartOwner has the leader back within half a second, while so many answers are lost.
+// restartOwner restarts the leader after half a second, and loses the given number of responses meanwhile.
 func (w *cluster) restartOwner(t *testing.T, l *responseLoss, lost int) {
 	l.arm("", lost)
 	w.restart(w.leader(), 500*time.Millisecond)
 	w.awaitSingleOwner(t, 25)
 }
 
-// transferDuringLateWrite transfers the jobs while a write of their leader is under way.
+// transferDuringLateWrite transfers the shards while a write of their leader is delayed.
 func transferDuringLateWrite(_ *testing.T, w *cluster, l *responseLoss) {
 	l.whileWaiting = func(writer *node, _ string) { w.transferShards(writer) }
 	l.arm("", 1)
 	w.live(15)
 }
 
-// transferJustBeforeLateWrite is moveWhileLate with a write that comes before the new leader has written
-// anything itself.
+// transferJustBeforeLateWrite is like transferDuringLateWrite, but the write reaches the store before the
+// new leader has written anything.
 func transferJustBeforeLateWrite(t *testing.T, w *cluster, l *responseLoss) {
 	l.applyAfter = 300 * time.Millisecond
 	transferDuringLateWrite(t, w, l)
 }
 
-// TestWriteAppliedLateIsRefused has a write applied six seconds late, when its writer has
-// repeated it or somebody else does its work: it changes nothing any more.
+// A write reaches the store six seconds late, when its writer has repeated it or another controller
+// has taken over the writer's work: the store must refuse it.
 func TestWriteAppliedLateIsRefused(t *testing.T) {
 	for i := range lateWriteCases {
 		c := &lateWriteCases[i]
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -14,23 +14,23 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// failoverCost is what one change of the leader cost.
+// failoverCost is the effect of one change of the leader, or of another period, on tasks, workers and the store.
 type failoverCost struct {
 	kind            string
-	longestGap      time.Duration // the longest time without a start
-	endedLeases     int           // of workers, that ended
-	restartedTasks  int           // long tasks that were started again
-	requests        int           // to the state service
-	keys            int           // of controllers, shards and fencing tokens
-	deletedMachines int           // machines
+	longestGap      time.Duration // the longest time without a task start
+	endedLeases     int           // worker leases that expired
+	restartedTasks  int           // long tasks that were started a second time
+	requests        int           // sent to the state service
+	keys            int           // of controllers, shards and fencing tokens in the store at the end
+	deletedMachines int
 }
 
 func (c failoverCost) String() string {
-	return fmt.Sprintf("%-22s %4.1f s without a start, %d leases ended, %d long tasks again, %d machines returned, %d requests, %d keys",
+	return fmt.Sprintf("%-22s %4.1f s without a start, %d leases expired, %d long tasks restarted, %d machines deleted, %d requests, %d keys",
 		c.kind, c.longestGap.Seconds(), c.endedLeases, c.restartedTasks, c.deletedMachines, c.requests, c.keys)
 }
 
-// failoverCluster has leaders end again and again, and measures.
+// failoverCluster is a cluster on which the effect of repeated leader changes is measured.
 type failoverCluster struct {
 	*cluster
 	restartedTasks int
@@ -51,7 +51,7 @@
 	w.submit("j-1", 6000)
 	w.live(12)
 	if n := w.onMachines("j-80"); n != 12 || c.leader() == "" {
-		t.Fatalf("%d of 12 long tasks run before the changes", n)
+		t.Fatalf("%d of 12 long tasks run before the first leader change", n)
 	}
 	w.onStart = func(_ *testkit.Worker, task string, _ uint64) {
 		if strings.HasPrefix(task, "j-80/") {
@@ -61,30 +61,31 @@
 	return c
 }
 
-// totals sums what all changes have cost so far.
+// totals returns the sums since the cluster started.
 func (c *failoverCluster) totals() failoverCost {
-	ended := c.sessions()
+	expired := c.sessions()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return failoverCost{endedLeases: ended, restartedTasks: c.restartedTasks, requests: c.requests, deletedMachines: c.returnedMachines}
+	return failoverCost{endedLeases: expired, restartedTasks: c.restartedTasks, requests: c.requests, deletedMachines: c.returnedMachines}
 }
 
-// measure plays something and then lets time pass until so many seconds are over.
-func (c *failoverCluster) measure(kind string, seconds int, play func()) failoverCost {
+// measure calls action, continues until the given number of seconds has passed since its start, and returns
+// the cost of this period.
+func (c *failoverCluster) measure(kind string, seconds int, action func()) failoverCost {
 	before := c.totals()
 	cost := failoverCost{kind: kind}
 	begin := time.Now()
 	last := begin
-	look := func() {
+	updateGap := func() {
 		if started := c.lastStart(); started.After(last) {
 			cost.longestGap, last = max(cost.longestGap, started.Sub(last)), started
 		}
 	}
-	play()
-	look()
+	action()
+	updateGap()
 	for time.Since(begin) < time.Duration(seconds)*time.Second {
 		c.live(1)
-		look()
+		updateGap()
 	}
 	cost.longestGap = max(cost.longestGap, time.Since(last))
 	after := c.totals()
@@ -98,13 +99,13 @@
 	return cost
 }
 
-// Leaders change ten times in two minutes, by turns with the leader away for 6 s, whose lease
-// must end, and back at once, whose lease it ends itself. The tenth change costs no more
-// than the first, no worker loses its lease, and no long task starts again.
+// The leader changes ten times in two minutes. In turns, the crashed leader stays down for 6 s, so that its
+// lease must expire, or restarts at once and ends its old lease itself. Each change must stay within the
+// same limits, no worker's lease may expire, and no long task may be restarted.
 func TestTenFailoversInTwoMinutes(t *testing.T) {
 	const (
-		apart  = 10 * time.Second // a lease, the claim, the records, and the next reports
-		atOnce = 5 * time.Second  // less than a lease
+		expiryGap  = 10 * time.Second // the leader's lease, the claim, reading the records, and the next reports
+		restartGap = 5 * time.Second  // less than a lease
 	)
 	for seed := range uint64(2) {
 		synctest.Test(t, func(t *testing.T) {
@@ -113,7 +114,7 @@
 			t.Log(calm)
 			for range 5 {
 				for _, away := range []time.Duration{6 * time.Second, 300 * time.Millisecond} {
-					claim := c.claimVersion()
+					version := c.claimVersion()
 					cost := c.measure(fmt.Sprint("away for ", away), 12, func() {
 						leader := c.leader()
 						c.crash(leader)
@@ -122,15 +123,15 @@
 						c.start(leader)
 					})
 					t.Log(cost)
-					if c.claimVersion() <= claim {
-						t.Error("no new leader")
+					if c.claimVersion() <= version {
+						t.Error("no controller claimed the shards after the crash")
 					}
-					limit := apart
+					limit := expiryGap
 					if away < time.Second {
-						limit = atOnce
+						limit = restartGap
 					}
 					if cost.longestGap > limit || cost.endedLeases+cost.restartedTasks+cost.deletedMachines > 0 || cost.requests > 2*calm.requests || cost.keys > calm.keys+len(c.names) {
-						t.Errorf("a change cost %v", cost)
+						t.Errorf("leader change exceeds its limits: %v", cost)
 					}
 				}
 			}
@@ -139,7 +140,7 @@
 	}
 }
 
-// claimVersion is the version of a shard's key: each new leader writes it.
+// claimVersion returns the version of a shard's key, which each new leader writes.
 func (c *failoverCluster) claimVersion() uint64 {
 	it, err := (&testkit.View{Store: c.store}).Get(context.Background(), "c/shard/000")
 	if err != nil {
@@ -148,30 +149,30 @@
 	return it.Version
 }
 
-// highestToken is the highest term of all controllers but one.
-func (c *failoverCluster) highestToken(but string) (highest uint64) {
-	for _, n := range c.others(but) {
+// highestToken returns the highest fencing token of all controllers except one.
+func (c *failoverCluster) highestToken(except string) (highest uint64) {
+	for _, n := range c.others(except) {
 		highest = max(highest, c.nodes[n].member.FencingToken())
 	}
 	return highest
 }
 
-// workersWithHigherToken counts the workers that have seen a higher fencing token than any controller's but one.
-func (c *failoverCluster) workersWithHigherToken(but string) (seen int) {
-	highest := c.highestToken(but)
-	c.mu.Lock() // controllers send the workers orders meanwhile
+// workersWithHigherToken counts the workers that have seen a higher fencing token than those of all controllers except one.
+func (c *failoverCluster) workersWithHigherToken(except string) (count int) {
+	highest := c.highestToken(except)
+	c.mu.Lock() // controllers send commands to the workers meanwhile
 	defer c.mu.Unlock()
 	for _, k := range c.workers {
 		if k.Report().Token > highest {
-			seen++
+			count++
 		}
 	}
-	return seen
+	return count
 }
 
-// The leader, whose token is the highest that its workers have seen, ends in an outage of the
-// state service, in which nobody can draw a fencing token. The others answer the workers with fencing tokens that
-// they had reserved, as long as they know of all cancels: no lease ends within that time.
+// The leader, whose fencing token is the highest that its workers have seen, crashes during an outage of the
+// state service, in which no controller can draw a new token. The other controllers respond to the workers with
+// tokens that they reserved before, as long as they know of all cancels. No worker's lease may expire meanwhile.
 func TestLeaderCrashDuringStateStoreOutage(t *testing.T) {
 	for _, away := range []time.Duration{300 * time.Millisecond, 3 * time.Second, time.Hour} {
 		t.Run(fmt.Sprint("away for ", away), func(t *testing.T) {
@@ -180,8 +181,8 @@
 				c.losslessReports = true
 				leader := c.leader()
 				seen := c.workersWithHigherToken(leader)
-				// Some transactions are lost, and others hold some workers: they draw a higher
-				// term in their turn when those have seen the leader's.
+				// The leader draws higher tokens until at least 8 workers have seen one: transactions may get
+				// lost, and other controllers, which serve some of the workers, draw higher tokens in turn.
 				for range 30 {
 					if seen >= 8 {
 						break
@@ -191,12 +192,12 @@
 					seen = c.workersWithHigherToken(leader)
 				}
 				if seen < 8 {
-					t.Errorf("%d workers have seen a higher term than any other controller's", seen)
+					t.Errorf("only %d workers have seen a higher token than those of the other controllers", seen)
 				}
 				c.refuse(c.names...)
-				calm := c.measure("outage, leader well", 8, func() {})
+				calm := c.measure("outage, leader up", 8, func() {})
 				t.Log(calm)
-				cost := c.measure("leader ends", 24, func() {
+				cost := c.measure("leader crashes", 24, func() {
 					if away < time.Minute {
 						c.restart(leader, away)
 					} else {
@@ -205,7 +206,7 @@
 				})
 				t.Log(cost)
 				if calm.endedLeases+cost.endedLeases > 0 {
-					t.Errorf("%d leases of workers ended", calm.endedLeases+cost.endedLeases)
+					t.Errorf("%d worker leases expired", calm.endedLeases+cost.endedLeases)
 				}
 				c.startAll()
 				c.healed()
@@ -220,36 +221,36 @@
 	}
 }
 
-// crashScenario is how controllers end, again and again, in one outage.
+// crashScenario is a sequence of controller crashes in one outage.
 type crashScenario struct {
 	name        string
-	firstCrashS int                                          // seconds into the outage of the first end
-	nextToCrash func(c *failoverCluster, last string) string // who ends next
-	// crashesWithoutExpiry is how many ends are survived without an ended lease: as long as a controller
-	// is there that has a fencing token and knows of all cancels.
+	firstCrashS int                                          // seconds from the begin of the outage to the first crash
+	nextToCrash func(c *failoverCluster, last string) string // controller that crashes next
+	// crashesWithoutExpiry is the number of crashes during which no lease expires: as long as a controller is
+	// left that has a fencing token and knows of all cancels.
 	crashesWithoutExpiry int
 }
 
-// Controllers end ten times in one outage of the state service, each back within seconds,
-// after a cancel was confirmed, in two scenes while its machines could not be told, and while
-// users ask for another. Nothing is started twice or
-// too long, no machine is deleted, and no lease ends as long as a controller is there that
-// began before the outage and knows of all cancels. The ends after that cost nothing more, and
-// seconds after the outage all is as before.
+// Controllers crash ten times in one outage of the state service, and each restarts within seconds. Before, a
+// cancel was confirmed, in two scenarios while the machines that run the job can't be reached; during the
+// outage, users request another cancel. No task may run twice, or run longer than CancelS after its cancel. No machine may be
+// deleted, and no lease may expire as long as a controller is left that started before the outage and
+// knows of all cancels. Later crashes must cost no more, and seconds after the outage the cluster must work
+// as before.
 func TestTenCrashesInOneStateStoreOutage(t *testing.T) {
-	const ends, apart = 10, 12
+	const crashes, interval = 10, 12 // interval in seconds
 	same := func(_ *failoverCluster, last string) string { return last }
 	turns := func(c *failoverCluster, last string) string {
 		return c.names[(slices.Index(c.names, last)+1)%len(c.names)]
 	}
-	for _, scene := range []crashScenario{
-		{"the leader", 6, same, ends},
-		{"the leader, from before its lease ended", 2, same, 2},
-		{"all by turns, from before the leader's lease ended", 2, turns, 2},
-		{"all by turns", 6, turns, 2},
-		{"who answers the most workers", 6, func(c *failoverCluster, _ string) string { return c.busiestController() }, 2},
+	for _, scenario := range []crashScenario{
+		{"the leader", 6, same, crashes},
+		{"the leader, from before its lease expired", 2, same, 2},
+		{"all in turn, from before the leader's lease expired", 2, turns, 2},
+		{"all in turn", 6, turns, 2},
+		{"the controller that responds to the most workers", 6, func(c *failoverCluster, _ string) string { return c.busiestController() }, 2},
 	} {
-		t.Run(scene.name, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newFailoverCluster(t, 1478)
 				c.losslessReports = true
@@ -257,13 +258,13 @@
 				c.submit("j-81", 6)
 				c.submit("j-82", 6)
 				if !c.within(30, func() bool { return c.onMachines("j-81") > 0 && c.onMachines("j-82") > 0 }) {
-					t.Error("the jobs to be cancelled don't run")
+					t.Error("the jobs to be cancelled do not run")
 				}
-				calm := c.measure("calm", apart, func() {})
-				// If the first end comes soon enough for their leases, the machines on which
-				// the job runs can't be told before.
+				calm := c.measure("calm", interval, func() {})
+				// If the first crash comes before their leases expire, the machines that run the job
+				// are cut off until then, so that they do not learn of the cancel.
 				var unreached []string
-				if scene.firstCrashS < 5 {
+				if scenario.firstCrashS < 5 {
 					unreached = c.machinesRunning("j-81")
 				}
 				for _, name := range unreached {
@@ -273,62 +274,62 @@
 					t.Error("no cancel was confirmed")
 				}
 				c.refuse(c.names...)
-				c.measure("outage", scene.firstCrashS, func() {})
-				last, leases, again := leader, 0, 0
-				for i := range ends {
+				c.measure("outage", scenario.firstCrashS, func() {})
+				last, expired, restarted := leader, 0, 0
+				for i := range crashes {
 					away := []time.Duration{300 * time.Millisecond, 3 * time.Second}[i%2]
 					if i > 0 {
-						last = scene.nextToCrash(c, last)
+						last = scenario.nextToCrash(c, last)
 					}
-					cost := c.measure(fmt.Sprintf("%s ends for %v", last, away), apart, func() {
+					cost := c.measure(fmt.Sprintf("%s crashes for %v", last, away), interval, func() {
 						if !c.restart(last, away) {
 							t.Errorf("%s is down already", last)
 						}
 						if i == 0 && len(unreached) > 0 && c.onMachines("j-81") == 0 {
-							t.Error("the cancelled tasks are gone before the first end")
+							t.Error("the cancelled tasks were stopped before the first crash")
 						}
 						for _, name := range unreached {
 							c.healLinks(name, c.names...)
 						}
 						for _, name := range c.names {
 							if stage, heard := c.user(name, http.MethodPost, "j-82"); heard && stage == wire.StageCancelled {
-								t.Errorf("%s confirms a cancel that isn't recorded", name)
+								t.Errorf("%s confirms a cancel that is not recorded", name)
 							}
 						}
 					})
 					if n := c.onMachines("j-81"); n > 0 {
-						t.Errorf("%d cancelled tasks are on after end %d", n, i+1)
+						t.Errorf("%d cancelled tasks run after crash %d", n, i+1)
 					}
-					t.Log(cost, "; answered by", c.workersAnsweredBy())
-					leases, again = leases+cost.endedLeases, again+cost.restartedTasks
-					// Machines that were cut off have little left of their leases.
-					if i < scene.crashesWithoutExpiry && leases > len(unreached) || cost.restartedTasks+cost.deletedMachines+cost.requests > 0 || cost.endedLeases > 2*len(c.workers) {
-						t.Errorf("end %d cost %v", i+1, cost)
+					t.Log(cost, "; workers by controller that responds to them:", c.workersAnsweredBy())
+					expired, restarted = expired+cost.endedLeases, restarted+cost.restartedTasks
+					// The leases of the machines that were cut off may expire.
+					if i < scenario.crashesWithoutExpiry && expired > len(unreached) || cost.restartedTasks+cost.deletedMachines+cost.requests > 0 || cost.endedLeases > 2*len(c.workers) {
+						t.Errorf("crash %d exceeds its limits: %v", i+1, cost)
 					}
 				}
-				if (leases > 0) != (scene.crashesWithoutExpiry < ends) {
-					t.Errorf("%d leases ended", leases)
+				if (expired > 0) != (scenario.crashesWithoutExpiry < crashes) {
+					t.Errorf("%d leases expired", expired)
 				}
 				c.healed()
 				after := c.measure("after the outage", 20, func() {})
 				t.Log(after)
-				if after.longestGap > 6*time.Second || after.endedLeases+after.deletedMachines > 0 || (after.restartedTasks > 0) != (leases > 0) || after.restartedTasks > 12 {
+				if after.longestGap > 6*time.Second || after.endedLeases+after.deletedMachines > 0 || (after.restartedTasks > 0) != (expired > 0) || after.restartedTasks > 12 {
 					t.Errorf("%v", after)
 				}
 				if !c.within(20, func() bool { return c.onMachines("j-80")+c.queuedBehindLongTasks("j-80") == 12 }) {
-					t.Errorf("%d of 12 long tasks are on, %d wait behind such", c.onMachines("j-80"), c.queuedBehindLongTasks("j-80"))
+					t.Errorf("%d of 12 long tasks run, %d are queued behind long tasks", c.onMachines("j-80"), c.queuedBehindLongTasks("j-80"))
 				}
-				behind := c.queuedBehindLongTasks("j-80")
+				queued := c.queuedBehindLongTasks("j-80")
 				if c.cancelAll(c.names[0], []string{"j-82"}, 3) != 1 {
 					t.Error("no cancel is confirmed after the outage")
 				}
-				late := c.measure("later", apart, func() {})
+				late := c.measure("later", interval, func() {})
 				t.Log(calm, late)
-				if late.requests > 2*calm.requests || late.keys > calm.keys+len(c.names) || late.restartedTasks > behind || late.endedLeases+late.deletedMachines > 0 {
-					t.Errorf("%v, before the outage %v", late, calm)
+				if late.requests > 2*calm.requests || late.keys > calm.keys+len(c.names) || late.restartedTasks > queued || late.endedLeases+late.deletedMachines > 0 {
+					t.Errorf("cost %v, before the outage %v", late, calm)
 				}
 				if n := c.onMachines("j-82"); n > 0 {
-					t.Errorf("%d cancelled tasks are on", n)
+					t.Errorf("%d cancelled tasks run", n)
 				}
 				c.stopAll()
 			})
@@ -336,14 +337,14 @@
 	}
 }
 
-// queuedBehindLongTasks counts a job's tasks that wait at a machine on which nothing but long tasks run.
-// Those are estimated to take seconds, as short ones of their class do, so that the queue
-// looks short.
-func (c *failoverCluster) queuedBehindLongTasks(uid string) (waiting int) {
+// queuedBehindLongTasks counts a job's tasks in the queues of workers whose CPUs are all used by long tasks.
+// The scheduler places tasks there because it estimates long tasks by the short ones of their class, at a few
+// seconds.
+func (c *failoverCluster) queuedBehindLongTasks(uid string) (queued int) {
 	full := map[string]bool{}
 	for _, k := range c.workers {
-		on := k.On()
-		full[k.Name] = len(on) == int(c.size) && !slices.ContainsFunc(on, func(task string) bool { return !strings.HasPrefix(task, "j-8") })
+		running := k.On()
+		full[k.Name] = len(running) == int(c.size) && !slices.ContainsFunc(running, func(task string) bool { return !strings.HasPrefix(task, "j-8") })
 	}
 	tasks := map[string]bool{}
 	for _, name := range c.names {
@@ -358,7 +359,7 @@
 	return len(tasks)
 }
 
-// machinesRunning names the machines that run a job's tasks.
+// machinesRunning returns the names of the machines that run a job's tasks.
 func (c *failoverCluster) machinesRunning(uid string) (names []string) {
 	for _, k := range c.workers {
 		if slices.ContainsFunc(k.On(), func(task string) bool { return strings.HasPrefix(task, uid+"/") }) {
@@ -368,27 +369,27 @@
 	return names
 }
 
-// workersAnsweredBy counts the workers that each controller answered lately.
+// workersAnsweredBy returns, by controller, the number of workers to which it responded within two report intervals.
 func (c *failoverCluster) workersAnsweredBy() map[string]int {
-	held := map[string]int{}
+	workers := map[string]int{}
 	for _, name := range c.names {
 		for _, k := range c.workers {
 			if !c.nodes[name].down && c.nodes[name].dispatcher.UnansweredFor(k.Name) < 2*reportEvery {
-				held[name]++
+				workers[name]++
 			}
 		}
 	}
-	return held
+	return workers
 }
 
-// busiestController is the controller that answers the most workers.
-func (c *failoverCluster) busiestController() (most string) {
-	held := c.workersAnsweredBy()
-	most = c.names[0]
+// busiestController returns the controller that responds to the most workers.
+func (c *failoverCluster) busiestController() (busiest string) {
+	workers := c.workersAnsweredBy()
+	busiest = c.names[0]
 	for _, name := range c.names {
-		if held[name] > held[most] {
-			most = name
+		if workers[name] > workers[busiest] {
+			busiest = name
 		}
 	}
-	return most
+	return busiest
 }
--- a/internal/testkit/lease_over_failover_test.go
+++ b/internal/testkit/lease_over_failover_test.go
@@ -10,59 +10,58 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// leaderEndCase is a worker that reaches no controller any more, whose leader ends at some
-// moment of its lease. Direct commands reach the worker.
+// leaderEndCase is a case in which a worker's reports reach no controller any more, and the leader crashes
+// before the worker's lease expires or shortly after. Direct commands still reach the worker.
 type leaderEndCase struct {
-	leaderEndsAfterS int  // seconds from the cut to the leader's end
-	responseLost     bool // of the last report before the cut
-	lateCopies       bool // copies of earlier reports arrive after the leader's end
+	leaderEndsAfterS int  // seconds from the cut of the worker's link to the leader's crash
+	responseLost     bool // the response to the last report before the cut is lost
+	lateCopies       bool // copies of earlier reports arrive after the leader's crash
 }
 
-// maxFailoverS bounds, in seconds, the time from a leader's end until its successor has polled
-// the workers: the restarted controller claims the shards when it has joined.
+// maxFailoverS limits the time, in seconds, from a leader's crash until its successor has polled
+// the workers. The successor is the restarted controller, which claims the shards when it has joined.
 const maxFailoverS = 4
 
-// stopDueAtLeaderEnd reports whether the leader ends in the second in which it is to stop the tasks
-// that save: its command may not leave any more, and the rest of the lease is too short for a
-// successor to find out that the worker's report is overdue.
+// stopDueAtLeaderEnd reports whether the leader crashes in the second in which it must stop the tasks
+// that can save. Then it may crash before it sends the command, and the rest of the lease is too short for the
+// successor to detect that the worker's report is overdue.
 func (c *leaderEndCase) stopDueAtLeaderEnd() bool {
 	const (
-		stopBefore = 4 * time.Second // the lease's end: the save, and the time that a command takes
-		look       = time.Second     // between the leader's looks
+		stopBefore    = 4 * time.Second // before the lease expires: the time of the save and of a command
+		checkInterval = time.Second     // between the leader's checks for overdue reports
 	)
-	lastAnswer := time.Second // before the cut, at most
+	lastResponse := time.Second // before the cut, at most
 	if c.responseLost {
-		lastAnswer += time.Second
+		lastResponse += time.Second
 	}
-	rest := workerLease - lastAnswer - time.Duration(c.leaderEndsAfterS)*time.Second
-	return rest <= stopBefore && rest >= stopBefore-look
+	rest := workerLease - lastResponse - time.Duration(c.leaderEndsAfterS)*time.Second
+	return rest <= stopBefore && rest >= stopBefore-checkInterval
 }
 
 func (c *leaderEndCase) name() string {
-	return fmt.Sprintf("ends after %d s, answer lost %v, copies %v", c.leaderEndsAfterS, c.responseLost, c.lateCopies)
+	return fmt.Sprintf("leader crashes after %d s, response lost %v, late copies %v", c.leaderEndsAfterS, c.responseLost, c.lateCopies)
 }
 
-// run plays the scene with jobs that save and jobs that don't, and returns the ledger of their
-// tasks.
+// run runs the case with one job whose tasks can save and one whose tasks can't, and returns the record of their tasks.
 func (c *leaderEndCase) run(t *testing.T, w *cluster) *workLedger {
-	const savers, old = "j-save", "j-old"
+	const canSave, cannotSave = "j-save", "j-old"
 	ledger := w.follow(func(string) time.Duration { return time.Minute }, func(task string) time.Duration {
-		if strings.HasPrefix(task, savers) {
+		if strings.HasPrefix(task, canSave) {
 			return time.Second
 		}
 		return -1
 	})
 	w.startInTurn()
 	time.Sleep(2 * time.Second)
-	for uid, mark := range map[string]float64{savers: 30, old: 0} {
+	for uid, checkpointS := range map[string]float64{canSave: 30, cannotSave: 0} {
 		w.accept(&wire.Job{
 			UID: uid, Class: uid, Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 12, CPUs: 1, MemoryGB: 1,
-			Image: "i", ImageGB: 0.1, EstimateS: 60, Spot: true, CheckpointIntervalS: mark, CheckpointSaveS: mark / 30,
+			Image: "i", ImageGB: 0.1, EstimateS: 60, Spot: true, CheckpointIntervalS: checkpointS, CheckpointSaveS: checkpointS / 30,
 		})
 		w.live(1)
 	}
-	w.live(15) // all run for longer than a lease
-	cut := w.byJobs(savers, old)[0]
+	w.live(15) // all tasks have run for longer than a lease
+	cut := w.byJobs(canSave, cannotSave)[0]
 	session := w.session(cut)
 	if c.responseLost {
 		w.unheard(cut, w.names...)
@@ -80,13 +79,13 @@
 	}
 	w.live(25)
 	if w.session(cut) == session {
-		t.Error("the lease did not end")
+		t.Error("the lease did not expire")
 	}
 	return ledger
 }
 
-// Guards against tasks that a successor stops, kills or starts late, as it does not know the
-// lease of a worker that reaches no controller.
+// A successor that does not know when the lease of an unreachable worker expires might stop the worker's tasks
+// without need, stop them too late for a save, or start them late on other workers.
 func TestLeaderCrashDuringUnrenewedLease(t *testing.T) {
 	for endsAfter := range int(workerLease/time.Second) + 3 {
 		for _, c := range []leaderEndCase{
@@ -96,13 +95,13 @@
 				synctest.Test(t, func(t *testing.T) {
 					w := newCluster(t, 720+uint64(endsAfter))
 					w.resize(3, 8)
-					w.size = 8 // so that there is room elsewhere
+					w.size = 8 // so that the other workers have room for the tasks
 					w.promptCommands, w.keepCuts, w.losslessReports = true, true, true
 					ledger := c.run(t, w)
-					t.Logf("killed %v, stopped %v, %v until all ran elsewhere, %d still wait, %d returned",
+					t.Logf("killed %v, stopped %v, longest time until tasks ran elsewhere %v, %d still wait, %d machines deleted",
 						ledger.killed, ledger.stopped, ledger.longest, len(ledger.left), w.returnedMachines)
 					if ledger.stopped["j-old"] > 0 {
-						t.Errorf("%d tasks that had run for long and can't save were stopped", ledger.stopped["j-old"])
+						t.Errorf("%d tasks that can't save were stopped, although they had run for long", ledger.stopped["j-old"])
 					}
 					if ledger.killed["j-save"] > 0 && !c.stopDueAtLeaderEnd() {
 						t.Errorf("%d tasks that can save were killed", ledger.killed["j-save"])
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -12,7 +12,7 @@
 	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
-// peer is another controller, if a message comes through to it now.
+// peer returns another controller, or errCut if no message reaches it now.
 func (n *node) peer(name string) (*node, error) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -23,23 +23,22 @@
 	return to, nil
 }
 
-// callWorker carries a request to a worker.
-func callWorker[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
-	return roundTrip(ctx, w.drawn(&w.messageDelay), w.drawn(&w.messageDelay), carryOut)
+// callWorker sends a request to a worker over a link with delays, and returns its response.
+func callWorker[T any](ctx context.Context, w *cluster, handle func() (T, error)) (T, error) {
+	return roundTrip(ctx, w.drawn(&w.messageDelay), w.drawn(&w.messageDelay), handle)
 }
 
-// callPeer carries a request to a peer.
-func callPeer[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
+// callPeer sends a request to a peer over a link with delays, and returns its response.
+func callPeer[T any](ctx context.Context, w *cluster, handle func() (T, error)) (T, error) {
 	oneWay := func() time.Duration { return w.drawn(&w.messageDelay) + w.drawn(&w.transit) }
-	return roundTrip(ctx, oneWay(), oneWay(), carryOut)
+	return roundTrip(ctx, oneWay(), oneWay(), handle)
 }
 
-// roundTrip has a request arrive after a time, and its answer come back after another. A
-// request that takes time is carried out even if nobody waits for it any more, and its
-// answer may come too late.
-func roundTrip[T any](ctx context.Context, there, back time.Duration, carryOut func() (T, error)) (T, error) {
-	if there+back == 0 {
-		return carryOut()
+// roundTrip calls handle after requestDelay, and returns its result after responseDelay. If ctx ends
+// before, it returns the context's error; handle is called nevertheless, since the request was sent, and its result is dropped.
+func roundTrip[T any](ctx context.Context, requestDelay, responseDelay time.Duration, handle func() (T, error)) (T, error) {
+	if requestDelay+responseDelay == 0 {
+		return handle()
 	}
 	type answer struct {
 		value T
@@ -47,9 +46,9 @@
 	}
 	got := make(chan answer, 1)
 	go func() {
-		time.Sleep(there)
-		value, err := carryOut()
-		time.Sleep(back)
+		time.Sleep(requestDelay)
+		value, err := handle()
+		time.Sleep(responseDelay)
 		got <- answer{value, err}
 	}()
 	select {
@@ -61,22 +60,22 @@
 	}
 }
 
-// delayLinks sets how long messages to workers and peers take; nil: no time.
+// delayLinks sets the one-way delay of messages to workers and peers; nil: none.
 func (w *cluster) delayLinks(delay func() time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.messageDelay = delay
 }
 
-// linksAreSlow reports whether messages to workers and peers take time.
+// linksAreSlow reports whether messages to workers and peers are delayed.
 func (w *cluster) linksAreSlow() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.messageDelay != nil
 }
 
-// reportOverSlowLink lets a worker report over a slow link: it has one report under way at a
-// time, and the others do not wait for it.
+// reportOverSlowLink sends a worker's report in a goroutine of its own, unless an earlier report of the
+// worker is still in flight.
 func (w *cluster) reportOverSlowLink(k *testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,7 +92,7 @@
 	}()
 }
 
-// goIfLinksSlow does something now, or beside the rest while links are slow.
+// goIfLinksSlow calls do, in a goroutine of its own if links are slow.
 func (w *cluster) goIfLinksSlow(do func()) {
 	if w.linksAreSlow() {
 		go do()
@@ -109,10 +108,10 @@
 	return n.down
 }
 
-// runDuty has a controller do something that waits for workers' or peers' answers. While
-// links are slow it does so beside the rest, one at a time of each duty, as cmd/wallrack's
-// loops do, and until it ends. Done in place, it stopped the world for as long as the
-// answers took: no worker reported meanwhile, and all leases ended for no fault.
+// runDuty calls do, which waits for responses of workers or peers. While links are slow it calls do in a
+// goroutine of its own, at most one at a time for each duty, as cmd/wallrack's loops do, and
+// the controller's end waits for it. Otherwise the whole simulation waits for the responses: no worker reports meanwhile, and all
+// leases expire without a fault.
 func (n *node) runDuty(duty string, do func(ctx context.Context)) {
 	w := n.cluster
 	if !w.linksAreSlow() {
@@ -133,11 +132,10 @@
 	})
 }
 
-// publishTimeout is how long a message about workers is waited for.
+// publishTimeout limits the wait for the reply to a message with worker views.
 const publishTimeout = 4 * time.Second
 
-// publishTo tells a peer what changed on the workers held here, as cmd/wallrack does: one
-// message at a time.
+// publishTo sends a peer the changes of the workers that report to this controller, one message at a time, as cmd/wallrack does.
 func (n *node) publishTo(to *node) {
 	if !n.publishing.Begin(to.name) {
 		return
@@ -158,24 +156,24 @@
 	}
 }
 
-// exchangeViews takes a message to a peer, and its reply back, as they travel.
+// exchangeViews delivers a message with worker views to a peer, encoded and decoded as on the wire, and returns the reply.
 func (w *cluster) exchangeViews(from, to *node, m *viewsync.Message) (viewsync.Reply, error) {
 	if w.loseViews != nil && w.loseViews(from, to) {
 		return viewsync.Reply{}, errCut
 	}
 	data, err := json.Marshal(m)
 	if err != nil {
-		w.fail("%s's views can't be encoded: %v", from.name, err)
+		w.fail("worker views of %s can't be encoded: %v", from.name, err)
 		return viewsync.Reply{}, err
 	}
 	var arrived viewsync.Message
 	if err := json.Unmarshal(data, &arrived); err != nil {
-		w.fail("%s's views can't be decoded: %v", from.name, err)
+		w.fail("worker views of %s can't be decoded: %v", from.name, err)
 		return viewsync.Reply{}, err
 	}
 	reply, err := to.pictures.Take(&arrived)
 	if errors.Is(err, viewsync.ErrMalformed) {
-		w.fail("%s refused %s's views: %v", to.name, from.name, err)
+		w.fail("%s rejected worker views of %s as malformed: %v", to.name, from.name, err)
 	}
 	if w.loseViews != nil && w.loseViews(to, from) {
 		return viewsync.Reply{}, errCut
@@ -183,16 +181,17 @@
 	return reply, nil
 }
 
-// minUnanswered is how long all controllers must have left a worker unanswered.
+// minUnanswered is the time since any controller's last response to a worker after which the worker's lease has expired for sure.
 const minUnanswered = workerLease + 500*time.Millisecond
 
-// attestUnresponsiveWorkers settles unresponsive workers as cmd/wallrack does: one after the other the peers say
-// for how long they left a worker unanswered.
+// attestUnresponsiveWorkers asks all peers in turn for the time since their last response to each unresponsive
+// worker, as cmd/wallrack does. If no controller responded for minUnanswered, it tells the scheduler that
+// the worker's lease has expired.
 func (n *node) attestUnresponsiveWorkers(ctx context.Context) {
 	w := n.cluster
-	_, silent := n.scheduler.UnresponsiveWorkers(workerLease)
-	for i := range silent {
-		name, all := silent[i].Name, true
+	_, unresponsive := n.scheduler.UnresponsiveWorkers(workerLease)
+	for i := range unresponsive {
+		name, allReplied := unresponsive[i].Name, true
 		a := dispatch.NewAttestation(time.Now(), []float64{n.dispatcher.UnansweredFor(name).Seconds()})
 		for _, peer := range w.names {
 			if peer == n.name {
@@ -207,9 +206,9 @@
 				return to.dispatcher.UnansweredFor(name), nil
 			})
 			cancel()
-			all = all && err == nil && a.Add([]float64{unanswered.Seconds()})
+			allReplied = allReplied && err == nil && a.Add([]float64{unanswered.Seconds()})
 		}
-		if all && a.LeaseExpired(0, time.Now(), minUnanswered.Seconds()) {
+		if allReplied && a.LeaseExpired(0, time.Now(), minUnanswered.Seconds()) {
 			n.scheduler.LeaseAttestedExpired(name, a.BegunAt())
 		}
 	}
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -13,31 +13,31 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// lostWriteCase is a kind of write whose answer is lost.
+// lostWriteCase is a kind of write whose response is lost or which is applied late.
 type lostWriteCase struct {
 	name         string
 	prefix       string
 	run          func(t *testing.T, w *cluster, l *responseLoss)
-	noAccounting bool // no accounting rows are written, whose page would be recognised too
+	noAccounting bool // write no accounting rows; otherwise the writer can recognise its transaction by their page, too
 }
 
-// lostResponseCases has every kind of write that controllers make, but the provisioning of
-// machines (provisioning_test.go), and the release of shards (package membership).
+// lostResponseCases lists all kinds of writes that controllers make, except the provisioning of
+// machines (provisioning_test.go) and the release of shards (package membership).
 var lostResponseCases = []lostWriteCase{
 	{name: "acceptance", prefix: "live/j-7", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		at := w.others(w.leader())[0]
 		l.whileWaiting = func(*node, string) {
 			time.Sleep(100 * time.Millisecond)
 			if stages := w.pollAll("j-7"); len(stages) < 2 {
-				t.Errorf("the job is known to %v", stages)
+				t.Errorf("only these controllers know the job: %v", stages)
 			}
 			if status := w.submitJ7(w.leader(), 5); status != http.StatusOK {
-				t.Errorf("a repeated submission is answered %d", status)
+				t.Errorf("a repeated submission returned status %d", status)
 			}
 		}
 		l.arm(at, 1)
 		if status := w.submitJ7(at, 5); status/100 != 2 {
-			t.Errorf("the submission is answered %d", status)
+			t.Errorf("the submission returned status %d", status)
 		}
 	}},
 	{name: "cancel", prefix: "live/j-80", run: func(t *testing.T, w *cluster, l *responseLoss) {
@@ -46,21 +46,21 @@
 			time.Sleep(100 * time.Millisecond)
 			for name, stage := range w.pollAll("j-80") {
 				if stage != wire.StageCancelled {
-					t.Errorf("%s calls the job %s", name, stage)
+					t.Errorf("%s reports the job as %s", name, stage)
 				}
 			}
 		}
 		l.arm(at, 1)
 		if stage, ok := w.user(at, http.MethodPost, "j-80"); ok && stage != wire.StageCancelled {
-			t.Errorf("the cancel is answered %s", stage) // by a peer, or not at all
+			t.Errorf("the cancel returned stage %s", stage) // a peer answers, or nobody
 		}
 		started := w.starts
 		w.live(1)
 		if stage, ok := w.user(at, http.MethodPost, "j-80"); !ok || stage != wire.StageCancelled {
-			t.Errorf("the repeated cancel is answered %s, %v", stage, ok)
+			t.Errorf("the repeated cancel returned stage %s, %v", stage, ok)
 		}
 		if !w.within(12, func() bool { return w.onMachines("j-80") == 0 }) {
-			t.Errorf("%d cancelled tasks are on, %d started", w.onMachines("j-80"), w.starts-started)
+			t.Errorf("%d cancelled tasks run, %d started", w.onMachines("j-80"), w.starts-started)
 		}
 	}},
 	{name: "changed terms", prefix: "live/j-8t", run: func(t *testing.T, w *cluster, l *responseLoss) {
@@ -68,13 +68,13 @@
 		w.submitWith("j-8t", 40, &jobspec.Constraints{Number: 1})
 		w.live(1)
 		l.whileWaiting = func(writer *node, key string) {
-			_, _ = w.nodes[w.others(writer.name)[0]].view.Get(context.Background(), key) // it is only looked at
+			_, _ = w.nodes[w.others(writer.name)[0]].view.Get(context.Background(), key) // only the read itself matters
 		}
 		l.arm(at.name, 1)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if err := at.scheduler.Hold(ctx, "j-8t", true); err == nil {
-			t.Error("held without an answer of the state service")
+			t.Error("the job was held without a response of the state service")
 		}
 		version := w.keyVersion("live/j-8t")
 		if err := at.scheduler.Hold(context.Background(), "j-8t", true); err != nil || w.keyVersion("live/j-8t") != version {
@@ -84,7 +84,7 @@
 		held := w.onMachines("j-8t")
 		w.live(8)
 		if n := w.onMachines("j-8t"); n > held {
-			t.Errorf("%d tasks of a held job are on, %d before", n, held)
+			t.Errorf("%d tasks of a held job run, %d before", n, held)
 		}
 		if err := at.scheduler.Hold(context.Background(), "j-8t", false); err != nil {
 			t.Error(err)
@@ -92,7 +92,7 @@
 		w.user(at.name, http.MethodPost, "j-8t")
 	}},
 	{name: "end", prefix: "final/j-7", noAccounting: true, run: func(t *testing.T, w *cluster, l *responseLoss) {
-		if !w.within(200, w.ended("j-1", "j-2", "j-3")) { // whose records would share its transaction
+		if !w.within(200, w.ended("j-1", "j-2", "j-3")) { // otherwise their records share its transaction
 			t.Error("the other jobs did not end")
 		}
 		at := w.leader()
@@ -101,14 +101,14 @@
 			for range 4 {
 				for name, stage := range w.pollAll("j-7") {
 					if stage != wire.StageDone {
-						t.Errorf("%s calls the job %s", name, stage)
+						t.Errorf("%s reports the job as %s", name, stage)
 					}
 				}
 				if stage, ok := w.user(at, http.MethodPost, "j-7"); ok && stage != wire.StageDone {
-					t.Errorf("a cancel at the owner is answered %s", stage)
+					t.Errorf("a cancel at the owner returned stage %s", stage)
 				}
 				if status := w.submitJ7(at, 3); status != http.StatusOK {
-					t.Errorf("a repeated submission is answered %d", status)
+					t.Errorf("a repeated submission returned status %d", status)
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
@@ -119,19 +119,19 @@
 			t.Error("the job did not end")
 		}
 		w.live(4)
-		if q := w.nodes[at].scheduler.QueueDepths(); q["jobs"] != 1 { // the long one
-			t.Errorf("the owner has %d jobs", q["jobs"])
+		if q := w.nodes[at].scheduler.QueueDepths(); q["jobs"] != 1 { // j-80
+			t.Errorf("the owner's queue has %d jobs, not 1", q["jobs"])
 		}
 	}},
 	{name: "end, and the successor's watch is behind", prefix: "final/j-7", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		at := w.leader()
 		next := w.others(at)[0]
-		behind := w.behind
+		previous := w.behind
 		w.behind = func(n *node, prefix string) time.Duration {
 			if prefix == "live/" && n.name == next {
 				return 50 * time.Second
 			}
-			return behind(n, prefix)
+			return previous(n, prefix)
 		}
 		l.whileWaiting = func(writer *node, _ string) {
 			w.user(next, http.MethodGet, "j-7")
@@ -147,7 +147,7 @@
 			w.live(1)
 			for name, stage := range w.pollAll("j-7") {
 				if stage != wire.StageDone {
-					t.Errorf("%s calls the job %s", name, stage)
+					t.Errorf("%s reports the job as %s", name, stage)
 				}
 			}
 		}
@@ -169,31 +169,31 @@
 		w.transferShards(w.nodes[from])
 		w.awaitSingleOwner(t, 4)
 		if to := w.leader(); to != w.others(from)[0] {
-			t.Errorf("%s owns the jobs, handed over to %s", to, w.others(from)[0])
+			t.Errorf("%s owns the shards, which were transferred to %s", to, w.others(from)[0])
 		}
 	}},
 	{name: "taking back after a hand-over", prefix: "c/shard/", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		from := w.nodes[w.leader()]
-		given := &responseLoss{w: w, prefix: l.prefix, applyAfter: 20 * time.Second}
-		given.arm(from.name, 1)
+		lateTransfer := &responseLoss{w: w, prefix: l.prefix, applyAfter: 20 * time.Second}
+		lateTransfer.arm(from.name, 1)
 		w.mu.Lock()
-		w.delay = given.delayTransaction
+		w.delay = lateTransfer.delayTransaction
 		w.mu.Unlock()
 		w.checkSingleOwner(t, l)
 		go func() {
-			time.Sleep(time.Second) // the transfer is out, and without an answer
+			time.Sleep(time.Second) // the transfer was sent, and has no response
 			l.arm(from.name, 1)
 		}()
 		w.transferShards(from)
 		w.awaitSingleOwner(t, 10)
 		w.live(20)
-		given.checkLateWritesRefused()
+		lateTransfer.checkLateWritesRefused()
 		if to := w.leader(); to != from.name {
-			t.Errorf("%s owns the jobs, taken back by %s", to, from.name)
+			t.Errorf("%s owns the shards, which %s had claimed back", to, from.name)
 		}
 	}},
 	{name: "counter of terms", prefix: "c/term", run: func(t *testing.T, w *cluster, l *responseLoss) {
-		var unused []uint64 // terms whose writers never learnt that they have them
+		var unused []uint64 // terms whose writers never received the response
 		l.onLost = func(txn wire.Txn) {
 			for _, op := range txn.Then {
 				var rec struct{ N uint64 }
@@ -206,12 +206,12 @@
 		for _, name := range w.names {
 			for _, term := range unused {
 				if w.nodes[name].member.FencingToken() == term {
-					t.Errorf("%s uses term %d, whose answer was lost", name, term)
+					t.Errorf("%s uses term %d, whose response was lost", name, term)
 				}
 			}
 		}
 		if len(unused) < 2 {
-			t.Errorf("terms without an answer: %v", unused)
+			t.Errorf("terms without a response: %v", unused)
 		}
 	}},
 	{name: "log, read by a new owner", prefix: "log/", run: func(_ *testing.T, w *cluster, l *responseLoss) {
@@ -250,23 +250,24 @@
 	}},
 }
 
-// accountingRowsAlone has the accounting rows of stopped tasks written in a transaction of their own.
+// accountingRowsAlone makes the leader write accounting rows of stopped tasks in a transaction without other records.
 func accountingRowsAlone(t *testing.T, w *cluster, l *responseLoss) {
 	if !w.within(200, w.ended("j-1", "j-2", "j-3")) {
 		t.Error("the short jobs did not end")
 	}
 	w.submit("j-81", 6)
 	w.live(8)
-	// One of its workers is away: the rows of the others go with no other record.
-	away := w.machinesOf("j-81")[0]
-	w.cutAll(away.Name, w.names...)
+	// One of its workers is cut off, so the job can't end, and no other record is written with the rows
+	// of the other workers' tasks.
+	unreachable := w.machinesOf("j-81")[0]
+	w.cutAll(unreachable.Name, w.names...)
 	l.whileWaiting, l.singleWriteOnly = w.readElsewhere, true
 	l.arm("", 1)
 	w.user(w.leader(), http.MethodPost, "j-81")
 	w.live(5)
-	w.healLinks(away.Name, w.names...)
+	w.healLinks(unreachable.Name, w.names...)
 	w.live(15)
-	if _, attempts, _ := w.accountingRows(); len(attempts) < 162 || len(w.store.Keys("final/j-81")) == 0 { // of 156 tasks that are done, 6 that were stopped
-		t.Errorf("%d accounting rows of attempts, of the cancelled job: %v", len(attempts), w.store.Keys("final/j-81"))
+	if _, attempts, _ := w.accountingRows(); len(attempts) < 162 || len(w.store.Keys("final/j-81")) == 0 { // 156 tasks that are done, 6 that were stopped
+		t.Errorf("%d accounting rows of attempts, final records of the cancelled job: %v", len(attempts), w.store.Keys("final/j-81"))
 	}
 }
--- a/internal/testkit/lost_answers_test.go
+++ b/internal/testkit/lost_answers_test.go
@@ -16,23 +16,23 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// lostResponse is a transaction that was applied, while its writer heard nothing.
+// lostResponse is a transaction that was applied and whose writer received no response.
 type lostResponse struct {
 	writer       *node
 	key          string
 	version      uint64
-	firstReader  string // the first other controller that read the key before the writer did
-	readByWriter bool   // the writer has read it itself
+	firstReader  string // the first other controller that read the key, if it did so before the writer
+	readByWriter bool   // the writer has read the key
 }
 
-// keyRead is a read of a key by a controller, in the store or by a watch.
+// keyRead is a read of a key by a controller, by a request or a watch.
 type keyRead struct {
 	reader  *node
 	key     string
 	version uint64
 }
 
-// observe takes a read, in the order in which they come.
+// observe records a read. Reads must be passed in the order in which they happened.
 func (a *lostResponse) observe(r keyRead) {
 	switch {
 	case r.key != a.key || r.version < a.version:
@@ -43,24 +43,24 @@
 	}
 }
 
-// responseLoss loses the answers of transactions that write a key with a prefix.
+// responseLoss loses the responses of transactions that write a key with a prefix, or delays the transactions.
 type responseLoss struct {
 	w               *cluster
 	prefix          string
-	writer          string        // whose answers are lost; "": anybody's
-	remaining       int           // how many more
-	singleWriteOnly bool          // only of transactions that write nothing else
-	applyAfter      time.Duration // how much later the transactions are applied; 0: at once
-	lateResults     []error       // what came of those that were applied later
+	writer          string        // the controller whose responses are lost; "": any controller
+	remaining       int           // number of responses still to be lost
+	singleWriteOnly bool          // only responses of transactions that write a single key
+	applyAfter      time.Duration // delay of the transactions in delayTransaction; 0: none
+	lateResults     []error       // results of the delayed transactions
 	lost            []*lostResponse
-	reads           []keyRead                      // since it was armed, of keys with the prefix, until all answers are lost
-	onLost          func(t wire.Txn)               // is told of each; nil: nobody
-	whileWaiting    func(writer *node, key string) // is called while the writer waits for the answer; nil: nothing
+	reads           []keyRead                      // of keys with the prefix, from the last call of arm until all responses are lost
+	onLost          func(t wire.Txn)               // is called for each lost response; may be nil
+	whileWaiting    func(writer *node, key string) // is called while the writer waits for the response; may be nil
 	background      sync.WaitGroup
 }
 
-// connectStoreFaults connects a controller's view of the store to the cluster's faults that
-// concern chosen keys.
+// connectStoreFaults connects a controller's view of the store to the faults that the test
+// sets for chosen keys.
 func (w *cluster) connectStoreFaults(n *node) {
 	if w.reliableStore {
 		n.view.Lose, n.view.Late = nil, nil
@@ -95,32 +95,32 @@
 	}
 }
 
-// writerWatchLag is how far the watches of a writer are behind whose answer is lost:
-// otherwise they would tell it what others read before it gives the answer up.
+// writerWatchLag is the lag of the watches of a writer whose response is lost. Without it, the watches
+// deliver the write to the writer before its request times out.
 const writerWatchLag = 3 * time.Second
 
-// loseResponses makes the cluster lose chosen answers, from when they are armed.
+// loseResponses makes the cluster lose the responses that l selects; none are lost before l.arm is called.
 func (w *cluster) loseResponses(l *responseLoss) {
 	w.loseAnswer = l.lose
 	w.seen = l.onRead
 	w.behind = func(n *node, _ string) time.Duration {
-		open := l.remaining > 0 || len(l.lost) > 0 && l.lost[len(l.lost)-1].writer == n && !l.lost[len(l.lost)-1].readByWriter
-		if open && (l.writer == "" || l.writer == n.name) {
+		unresolved := l.remaining > 0 || len(l.lost) > 0 && l.lost[len(l.lost)-1].writer == n && !l.lost[len(l.lost)-1].readByWriter
+		if unresolved && (l.writer == "" || l.writer == n.name) {
 			return writerWatchLag
 		}
 		return 0
 	}
 }
 
-// arm loses the next so many answers.
+// arm makes the next count responses to the writer get lost, or to any controller if writer is "".
 func (l *responseLoss) arm(writer string, count int) {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
 	l.writer, l.remaining, l.reads = writer, count, nil
 }
 
-// consume reports whether a transaction is one whose answer shall be lost, by the key that
-// it writes.
+// consume reports whether the response of a transaction is to be lost or the transaction delayed, and
+// returns the matching key. It counts the transaction, and calls whileWaiting in the background.
 func (l *responseLoss) consume(n *node, t wire.Txn) (key string, ok bool) {
 	if l.remaining == 0 || l.writer != "" && l.writer != n.name || l.singleWriteOnly && len(t.Then) > 1 {
 		return "", false
@@ -142,7 +142,7 @@
 		return false
 	}
 	lost := &lostResponse{writer: n, key: key, version: version}
-	for _, r := range l.reads { // the write was applied, and wakes the watches, before this is called
+	for _, r := range l.reads { // others may have read the write before lose is called
 		lost.observe(r)
 	}
 	l.lost = append(l.lost, lost)
@@ -165,8 +165,8 @@
 	}
 }
 
-// checkReadByOthers fails the test unless answers were lost, and others had read what was
-// written before the writers knew of it.
+// checkReadByOthers fails the test unless responses were lost, and another controller read at least one of
+// the writes before its writer knew of it.
 func (l *responseLoss) checkReadByOthers() {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
@@ -177,22 +177,22 @@
 		}
 	}
 	if len(l.lost) == 0 || read == 0 {
-		l.w.t.Errorf("%d answers of writes of %s were lost, and %d read by others in the meantime", len(l.lost), l.prefix, read)
+		l.w.t.Errorf("%d responses to writes of %s were lost, and %d of the writes were read by others in the meantime", len(l.lost), l.prefix, read)
 	}
 }
 
-// submitJ7 has a user submit j-7 at a controller.
+// submitJ7 submits j-7 to a controller.
 func (w *cluster) submitJ7(name string, tasks int) (status int) {
 	rec := httptest.NewRecorder()
 	w.nodes[name].mux.ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/api/jobs", strings.NewReader(submissionBody("j-7", tasks))))
 	if rec.Code == http.StatusBadRequest {
-		w.t.Errorf("a submission is refused: %s", rec.Body)
+		w.t.Errorf("a submission was rejected: %s", rec.Body)
 	}
 	return rec.Code
 }
 
-// pollAll has a user ask all controllers for a job, the leader last, and says what they
-// answered.
+// pollAll queries the state of a job at all controllers, the leader last, and returns the
+// stages by controller.
 func (w *cluster) pollAll(uid string) (stages map[string]string) {
 	stages = map[string]string{}
 	names := w.names
@@ -207,17 +207,17 @@
 	return stages
 }
 
-// transferShards hands all shards over from a controller to the next.
+// transferShards transfers all shards of a controller to the first of the others.
 func (w *cluster) transferShards(from *node) {
 	if from.down {
 		return
 	}
-	_ = from.member.TransferShards(context.Background(), w.others(from.name)[0]) // it may have none any more
+	_ = from.member.TransferShards(context.Background(), w.others(from.name)[0]) // fails if the controller leads no shards any more
 }
 
-// readElsewhere has another controller read a key, as an operator's question does.
+// readElsewhere makes another controller read a key, as an operator's query does.
 func (w *cluster) readElsewhere(writer *node, key string) {
-	_, _ = w.nodes[w.others(writer.name)[0]].view.Get(context.Background(), key) // it is only looked at
+	_, _ = w.nodes[w.others(writer.name)[0]].view.Get(context.Background(), key) // only the read itself matters
 }
 
 // keyVersion is the keyVersion of a key in the store.
@@ -229,8 +229,8 @@
 	return it.Version
 }
 
-// checkSingleOwner fails the test if two controllers own jobs at any time in the next ten
-// seconds.
+// checkSingleOwner fails the test if two controllers lead the same shard at any time in the next ten
+// seconds. It returns at once and checks in the background.
 func (w *cluster) checkSingleOwner(t *testing.T, l *responseLoss) {
 	l.background.Go(func() {
 		for range 100 {
@@ -246,7 +246,7 @@
 				for s := range m.LedShards() {
 					key := m.ShardKey(s)
 					if owners[key] = append(owners[key], name); len(owners[key]) > 1 {
-						t.Errorf("%v own %s", owners[key], key)
+						t.Errorf("%v lead %s at the same time", owners[key], key)
 						return
 					}
 				}
@@ -255,7 +255,7 @@
 	})
 }
 
-// awaitSingleOwner fails the test unless exactly one controller owns the jobs within so many
+// awaitSingleOwner fails the test unless exactly one controller leads shards within the given number of
 // seconds.
 func (w *cluster) awaitSingleOwner(t *testing.T, seconds int) {
 	if !w.within(seconds, func() bool {
@@ -268,13 +268,14 @@
 		return owners == 1
 	}) {
 		for _, name := range w.names {
-			t.Errorf("%s owns %v", name, w.nodes[name].member.LedShards())
+			t.Errorf("%s leads %v", name, w.nodes[name].member.LedShards())
 		}
 	}
 }
 
-// runLostWriteCase plays a case on a cluster with work: three jobs that end, and a long one.
-func runLostWriteCase(t *testing.T, seed uint64, c *lostWriteCase, begin func(w *cluster, l *responseLoss), happened func(l *responseLoss)) {
+// runLostWriteCase runs a case on a cluster with three short jobs and a long one. begin sets the faults,
+// and checkFaults checks that they happened.
+func runLostWriteCase(t *testing.T, seed uint64, c *lostWriteCase, begin func(w *cluster, l *responseLoss), checkFaults func(l *responseLoss)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, seed)
 		w.resize(3, 8)
@@ -283,7 +284,7 @@
 		l := &responseLoss{w: w, prefix: c.prefix}
 		begin(w, l)
 		w.startInTurn()
-		w.submit("j-80", 6) // before the others: accepted with them, it may wait behind their 156 tasks
+		w.submit("j-80", 6) // before the others, otherwise its tasks may queue behind their 156 tasks
 		w.live(3)
 		jobs := []string{"j-1", "j-2", "j-3"}
 		for i, uid := range jobs {
@@ -297,51 +298,50 @@
 		}
 		w.live(6)
 		l.background.Wait()
-		happened(l)
+		checkFaults(l)
 		w.checkFinalState(t, c, jobs)
 		w.stopAll()
 		time.Sleep(15 * time.Second)
 	})
 }
 
-// checkFinalState fails the test unless all is in the end as if no answer had been lost.
+// checkFinalState fails the test unless jobs and accounting are in the same state at the end as without the lost responses.
 func (w *cluster) checkFinalState(t *testing.T, c *lostWriteCase, jobs []string) {
 	for _, uid := range jobs {
 		for name, stage := range w.pollAll(uid) {
 			if stage != wire.StageDone {
-				t.Errorf("%s calls %s %s", name, uid, stage)
+				t.Errorf("%s reports %s as %s", name, uid, stage)
 			}
 		}
 	}
 	if c.name != "cancel" && w.onMachines("j-80") != 6 {
-		t.Errorf("%d of 6 long tasks are on", w.onMachines("j-80"))
+		t.Errorf("%d of 6 long tasks run", w.onMachines("j-80"))
 	}
 	if c.noAccounting {
 		return
 	}
-	rows, attempts, twice := w.accountingRows()
-	if twice > 0 {
-		t.Errorf("%d accounting rows stand twice", twice)
+	rows, attempts, duplicates := w.accountingRows()
+	if duplicates > 0 {
+		t.Errorf("%d duplicate accounting rows", duplicates)
 	}
-	useful := 0
+	counted := 0
 	for _, row := range attempts {
 		if row.UID == "j-3" {
-			useful++
+			counted++
 		}
 	}
-	if useful < 92 {
-		t.Errorf("%d accounting rows of 92 tasks", useful)
+	if counted < 92 {
+		t.Errorf("%d accounting rows of 92 tasks", counted)
 	}
 	for _, uid := range jobs {
-		if _, there := rows[uid]; !there {
+		if _, exists := rows[uid]; !exists {
 			t.Errorf("no accounting row of %s", uid)
 		}
 	}
 }
 
-// TestLostResponseOfAppliedWrite loses the answer of a write that was applied, while
-// other controllers read what it wrote: its writer says and does nothing that
-// contradicts them, and recognises its own first try.
+// The response of an applied write is lost, while other controllers read the written key. The writer's
+// responses and actions must not contradict theirs, and it must recognise its own first attempt when it repeats the write.
 func TestLostResponseOfAppliedWrite(t *testing.T) {
 	for i := range lostResponseCases {
 		c := &lostResponseCases[i]
--- a/internal/testkit/lost_renewal_test.go
+++ b/internal/testkit/lost_renewal_test.go
@@ -8,10 +8,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Guards against a lease that the leader counts from an answer which its worker never got.
-
-// Tasks that save are stopped in time although the last answer before a worker's reports stop
-// was lost, and none is started that its lease kills.
+// The last response before a worker's reports stop is lost. Tasks that can save are still stopped early enough
+// to save, and no task is started that the end of the lease kills. Otherwise the leader counts the lease from a
+// response that the worker never received.
 func TestTasksAreSavedAfterLostResponse(t *testing.T) {
 	const savers, tiny = "j-save", "j-tiny"
 	synctest.Test(t, func(t *testing.T) {
@@ -41,22 +40,22 @@
 		session := w.session(cut)
 		w.unreported(cut)
 		ledger.cutOff(w, cut)
-		w.live(len(w.names)) // its reports to all are lost: it is back at the leader then
+		w.live(len(w.names)) // it tries each controller once, without success, and then the leader again
 		w.healed()
 		w.unheard(cut, w.names...)
-		w.live(1) // this one is answered, and the answer is lost
+		w.live(1) // the next report arrives, and its response is lost
 		w.healed()
 		w.unreported(cut)
 		w.live(12)
 		if w.session(cut) == session {
 			t.Error("the lease did not end")
 		}
-		t.Logf("killed %v, stopped %v, %d of %d late starts killed", ledger.killed, ledger.stopped, ledger.late, len(ledger.started))
+		t.Logf("killed %v, stopped %v, %d of %d tasks that started late were killed", ledger.killed, ledger.stopped, ledger.late, len(ledger.started))
 		if ledger.killed[savers] > 0 || ledger.stopped[savers] == 0 {
-			t.Errorf("of the tasks that can save %d were killed, %d stopped", ledger.killed[savers], ledger.stopped[savers])
+			t.Errorf("%d tasks that can save were killed, %d were stopped", ledger.killed[savers], ledger.stopped[savers])
 		}
 		if ledger.late > 0 {
-			t.Errorf("%d starts were killed on a worker whose lease was known not to be renewed", ledger.late)
+			t.Errorf("%d tasks were started after the leader knew that the lease was not renewed, and killed", ledger.late)
 		}
 		ledger.healed(w)
 		w.finishes(2)
--- a/internal/testkit/partitions_test.go
+++ b/internal/testkit/partitions_test.go
@@ -22,7 +22,8 @@
 	return names
 }
 
-// resize makes of a new cluster one with so many controllers and workers.
+// resize sets the number of controllers, and adds workers up to the given number. It must be called before the
+// controllers start.
 func (w *cluster) resize(controllers, workers int) {
 	w.names = nil
 	for i := range controllers {
@@ -36,60 +37,64 @@
 	}
 }
 
-// partition is a cut of links, and what it may cost.
+// partition is a set of broken links, and the limits of its effects.
 type partition struct {
 	name         string
 	cut          func(w *cluster, leader string, others []string)
 	maxStartGap  time.Duration
-	maxTransfers int // transfers at most
+	maxTransfers int // shard transfers per controller
 }
 
-// cutPeers has the controllers refuse each other.
+// cutPeers breaks all links between controllers.
 func (w *cluster) cutPeers() {
 	for _, a := range w.names {
 		w.cutAll(a, w.others(a)...)
 	}
 }
 
-// normalStartGap is the longest time between starts when nothing is cut.
+// normalStartGap limits the time between task starts when no links are broken.
 const normalStartGap = 3 * time.Second
 
 var partitions = []partition{
 	{"nothing", func(*cluster, string, []string) {}, normalStartGap, 0},
-	{"the owner loses the state service", func(w *cluster, o string, _ []string) { w.cutAll(o, stateService) }, normalStartGap, 0},
-	{"another loses the state service", func(w *cluster, _ string, x []string) { w.cutAll(x[0], stateService) }, normalStartGap, 0},
-	{"the owner loses the workers", func(w *cluster, o string, _ []string) { w.cutAll(o, w.workerNames()...) }, 5 * time.Second, 1},
-	{"another loses the workers", func(w *cluster, _ string, x []string) { w.cutAll(x[0], w.workerNames()...) }, normalStartGap, 0},
-	{"the owner loses its peers", func(w *cluster, o string, x []string) { w.cutAll(o, x...) }, normalStartGap, 0},
+	{"the owner loses the state service", func(w *cluster, leader string, _ []string) { w.cutAll(leader, stateService) }, normalStartGap, 0},
+	{"another loses the state service", func(w *cluster, _ string, others []string) { w.cutAll(others[0], stateService) }, normalStartGap, 0},
+	{"the owner loses the workers", func(w *cluster, leader string, _ []string) { w.cutAll(leader, w.workerNames()...) }, 5 * time.Second, 1},
+	{"another loses the workers", func(w *cluster, _ string, others []string) { w.cutAll(others[0], w.workerNames()...) }, normalStartGap, 0},
+	{"the owner loses its peers", func(w *cluster, leader string, others []string) { w.cutAll(leader, others...) }, normalStartGap, 0},
 	{"peers refuse each other", func(w *cluster, _ string, _ []string) { w.cutPeers() }, normalStartGap, 0},
-	{"the owner reaches a peer, and is not reached by it", func(w *cluster, o string, x []string) { w.brokenLinks[[2]string{x[0], o}] = true }, normalStartGap, 0},
-	{"the owner loses state service and workers", func(w *cluster, o string, _ []string) { w.cutAll(o, append(w.workerNames(), stateService)...) }, 7 * time.Second, 1},
-	{"the owner loses state service and peers", func(w *cluster, o string, x []string) { w.cutAll(o, append(slices.Clone(x), stateService)...) }, 7 * time.Second, 1},
-	{"the owner loses everything", func(w *cluster, o string, x []string) {
-		w.cutAll(o, append(append(slices.Clone(x), stateService), w.workerNames()...)...)
+	{"the owner reaches a peer, and is not reached by it", func(w *cluster, leader string, others []string) { w.brokenLinks[[2]string{others[0], leader}] = true }, normalStartGap, 0},
+	{"the owner loses state service and workers", func(w *cluster, leader string, _ []string) {
+		w.cutAll(leader, append(w.workerNames(), stateService)...)
+	}, 7 * time.Second, 1},
+	{"the owner loses state service and peers", func(w *cluster, leader string, others []string) {
+		w.cutAll(leader, append(slices.Clone(others), stateService)...)
+	}, 7 * time.Second, 1},
+	{"the owner loses everything", func(w *cluster, leader string, others []string) {
+		w.cutAll(leader, append(append(slices.Clone(others), stateService), w.workerNames()...)...)
 	}, 12 * time.Second, 1},
-	{"peers refuse each other, the owner loses the workers, another the state service", func(w *cluster, o string, x []string) {
+	{"peers refuse each other, the owner loses the workers, another the state service", func(w *cluster, leader string, others []string) {
 		w.cutPeers()
-		w.cutAll(o, w.workerNames()...)
-		w.cutAll(x[0], stateService)
+		w.cutAll(leader, w.workerNames()...)
+		w.cutAll(others[0], stateService)
 	}, 12 * time.Second, 1},
-	{"the owner loses half of the workers", func(w *cluster, o string, _ []string) {
-		w.cutAll(o, w.workerNames()[:len(w.workers)/2]...)
+	{"the owner loses half of the workers", func(w *cluster, leader string, _ []string) {
+		w.cutAll(leader, w.workerNames()[:len(w.workers)/2]...)
 	}, normalStartGap, 1},
-	{"one after the other loses the state service", func(w *cluster, o string, x []string) {
-		w.cutAll(o, stateService)
-		w.cutAll(x[0], stateService)
+	{"one after the other loses the state service", func(w *cluster, leader string, others []string) {
+		w.cutAll(leader, stateService)
+		w.cutAll(others[0], stateService)
 	}, normalStartGap, 0},
-	{"everybody but one loses the workers", func(w *cluster, o string, x []string) {
-		for _, n := range append([]string{o}, x[1:]...) {
+	{"everybody but one loses the workers", func(w *cluster, leader string, others []string) {
+		for _, n := range append([]string{leader}, others[1:]...) {
 			w.cutAll(n, w.workerNames()...)
 		}
 	}, 5 * time.Second, 1},
 }
 
-// TestEachPartitionRestartsWorkInTime is the table of docs/partitions.md: each cut, at the leader or at
-// another controller, with the time from the cut to the next start and the workers
-// that may be deleted (none).
+// TestEachPartitionRestartsWorkInTime checks the table of docs/partitions.md: for each partition, at the leader
+// or at another controller, it limits the time between task starts and the number of transfers, and no machine may
+// be deleted.
 func TestEachPartitionRestartsWorkInTime(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		for i := range partitions {
@@ -101,47 +106,47 @@
 	}
 }
 
-// runPartition cuts the links for a minute, and checks what it costs and that it heals.
+// runPartition breaks the links for a minute, and checks the limits and the recovery.
 func runPartition(t *testing.T, p *partition, seed uint64, controllers int) {
 	t.Helper()
 	w, leader, others, live := settled(t, seed, controllers, 24)
 	p.cut(w, leader, others)
-	at := time.Now()
+	cutAt := time.Now()
 	longest := time.Duration(0)
-	for last := w.lastStart(); time.Since(at) < 60*time.Second; {
+	for last := w.lastStart(); time.Since(cutAt) < 60*time.Second; {
 		live(1)
 		longest = max(longest, time.Since(last))
 		last = w.lastStart()
 	}
 	if longest > p.maxStartGap {
-		t.Errorf("%v without a start, not %v", longest, p.maxStartGap)
+		t.Errorf("%v without a task start, the limit is %v", longest, p.maxStartGap)
 	}
 	if w.returnedMachines > 0 {
-		t.Errorf("%d machines were returned", w.returnedMachines)
+		t.Errorf("%d machines were deleted", w.returnedMachines)
 	}
-	moves := 0
+	transfers := 0
 	for _, n := range w.nodes {
-		moves = max(moves, n.member.RecentTransfers(time.Hour))
+		transfers = max(transfers, n.member.RecentTransfers(time.Hour))
 	}
-	if moves > p.maxTransfers {
-		t.Errorf("%d hand-overs", moves)
+	if transfers > p.maxTransfers {
+		t.Errorf("%d transfers", transfers)
 	}
 	w.healed()
 	live(30)
 	if time.Since(w.lastStart()) > 3*time.Second || w.returnedMachines > 0 {
-		t.Errorf("after the healing: last start %v ago, %d machines returned", time.Since(w.lastStart()), w.returnedMachines)
+		t.Errorf("after the links were restored: last start %v ago, %d machines deleted", time.Since(w.lastStart()), w.returnedMachines)
 	}
 	w.stopAll()
 }
 
-// poll asks a controller for a job as its users' interface does.
+// poll queries a job's state at a controller as the HTTP API does: at the controller itself, the leaders, then the store.
 func (w *cluster) poll(n *node, uid string) (wire.JobState, bool) {
 	if s, ok := n.scheduler.LocalState(uid); ok {
 		return s, true
 	}
-	for _, o := range n.member.ShardLeaders() {
+	for _, leader := range n.member.ShardLeaders() {
 		w.mu.Lock()
-		to := w.nodes[o]
+		to := w.nodes[leader]
 		ok := w.reach(n, to)
 		w.mu.Unlock()
 		if ok && to != n {
@@ -154,13 +159,13 @@
 	return s, err == nil
 }
 
-// TestDrawnPartitionsBreakNoRule draws schedules of cuts, crashes, dying workers, workers that nothing
-// reaches, late copies of reports and returns within a fraction of a second: a task is
-// never on two workers, none that is heard and reached is deleted, every job is known
-// to everybody 20 s after the last fault, and every job ends.
+// TestDrawnPartitionsBreakNoRule runs random sequences of broken links, crashes, dead workers, workers that
+// can't be reached, late copies of reports, and restarts within a fraction of a second. A task never runs
+// on two workers, no worker that is reachable in both directions is deleted, all controllers know every job
+// 20 s after the last fault, and every job ends.
 func TestDrawnPartitionsBreakNoRule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		type step struct{ What, Who, Other, Wait int }
+		type step struct{ Fault, Controller, Other, Wait int } // Other selects a controller or a worker, Wait is in seconds
 		steps := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
 			return step{rapid.IntRange(0, 12).Draw(rt, "what"), rapid.IntRange(0, 4).Draw(rt, "who"), rapid.IntRange(0, 11).Draw(rt, "other"), rapid.IntRange(0, 12).Draw(rt, "wait")}
 		}), 1, 12).Draw(rt, "steps")
@@ -175,10 +180,10 @@
 			live := w.live
 			live(3)
 			for _, st := range steps {
-				name := w.names[st.Who%len(w.names)]
+				name := w.names[st.Controller%len(w.names)]
 				other := w.names[st.Other%len(w.names)]
 				k := w.workers[st.Other%len(w.workers)]
-				switch st.What {
+				switch st.Fault {
 				case 0:
 					w.cutAll(name, stateService)
 				case 1:
@@ -193,26 +198,26 @@
 					w.restart(name, 0)
 				case 5:
 					w.healed()
-				case 6: // a worker dies: nobody hears it any more
+				case 6: // a worker dies: no controller reaches it or receives its reports
 					w.cutAll(k.Name, w.names...)
 				case 7:
 					w.release()
 					for _, n := range w.nodes {
 						n.view.Deliver()
 					}
-				case 8: // its reports arrive, and nothing reaches it
+				case 8: // its reports arrive, but no responses or commands reach it
 					w.unheard(k, w.names...)
 				case 9:
 					w.unheard(k, name)
-				case 10: // late copies of reports, to whom they were for or not
+				case 10: // late copies of reports arrive, at their receiver or another controller
 					w.deliverCopies(w.nodes[name])
-				case 11: // nothing but the workers reach it
+				case 11: // the controller is cut off from all but the workers
 					for _, x := range append([]string{stateService}, w.names...) {
 						if x != name {
 							w.cutAll(name, x)
 						}
 					}
-				case 12: // back within a fraction of a second, twice
+				case 12: // it restarts twice, within a fraction of a second
 					for range 2 {
 						w.restart(name, time.Duration(100+50*st.Other)*time.Millisecond)
 						time.Sleep(time.Duration(60*st.Wait) * time.Millisecond)
@@ -223,10 +228,10 @@
 			w.keepCuts = false
 			live(20)
 			for i := range jobs {
-				// Faults over, every job is known to every controller within 20 s.
+				// 20 s after the last fault all controllers must know every job.
 				for _, n := range w.names {
 					if s, ok := w.poll(w.nodes[n], fmt.Sprintf("j-%d", i)); !ok || s.Stage == wire.StageCancelled {
-						w.fail("20 s after the last trouble %s says %+v, %v of job %d", n, s, ok, i)
+						w.fail("20 s after the last fault %s returns %+v, %v for job %d", n, s, ok, i)
 					}
 				}
 			}
--- a/internal/testkit/provisioning_test.go
+++ b/internal/testkit/provisioning_test.go
@@ -16,7 +16,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// unansweredMachines counts the machines that are up while nobody had the answer of their provision request.
+// unansweredMachines counts the machines that are up although no controller has received the response to their provision request.
 func (c *rentedCluster) unansweredMachines() (n int) {
 	c.cloudMu.Lock()
 	var waiting []string
@@ -36,10 +36,10 @@
 	return n
 }
 
-// New machines are up in 1.5 s and work, before the answer to their provision request is there and
-// long before the cloud lists them, while every second of the leader's records of their
-// tasks is carried out late; then it ends. Its successor knows them by their reports alone: no task is on two
-// machines, nothing is provisioned that was not recorded, and all machines are deleted.
+// New machines are up after 1.5 s and run tasks, before the response to their provision request arrives and
+// long before the cloud lists them. Every second log record of the leader is applied late; then the leader
+// crashes. Its successor knows the machines only from their reports. No task may run on two machines, no machine
+// may be provisioned without a record, and all machines must be deleted at the end.
 func TestFailoverDuringUnansweredProvision(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -48,8 +48,8 @@
 				c.slow = 3500 * time.Millisecond
 				c.begin()
 				first := c.nodes[c.leader()]
-				var due []time.Time // of late writes
-				records := 0        // of tasks
+				var due []time.Time // when the late writes are applied
+				records := 0        // log records written
 				c.mu.Lock()
 				c.delay = func(n *node, t wire.Txn) (time.Duration, func(error)) {
 					if n != first || !strings.HasPrefix(t.Then[0].Put, "log/") {
@@ -74,7 +74,7 @@
 					return slices.ContainsFunc(due, time.Now().Before) && c.starts > 0 && unanswered > 0
 				})
 				if !ready {
-					t.Errorf("%d tasks started, %d machines up whose hires are unanswered", c.starts, c.unansweredMachines())
+					t.Errorf("%d tasks started, %d machines up whose provision requests are unanswered", c.starts, c.unansweredMachines())
 				}
 				c.crash(first.name)
 				if seed%2 == 0 {
@@ -82,7 +82,7 @@
 					c.start(first.name)
 				}
 				c.finish(jobs...)
-				if rented, _ := c.machines(); rented > 21 { // all 42 tasks at once
+				if rented, _ := c.machines(); rented > 21 { // 21 machines run all 42 tasks at once
 					t.Errorf("%d machines rented", rented)
 				}
 				c.stopAll()
@@ -92,8 +92,8 @@
 	}
 }
 
-// loseProvisionRecord plays a provision request whose record is written while its writer hears nothing, and
-// returns the provision request's name.
+// loseProvisionRecord submits jobs, loses the response to the write of a provision request's record, and
+// returns the name of the provision request.
 func (c *rentedCluster) loseProvisionRecord(t *testing.T, jobs ...string) (name string) {
 	l := &responseLoss{w: c.cluster, prefix: "fleet/hire/"}
 	c.loseResponses(l)
@@ -107,22 +107,22 @@
 		return len(l.lost) > 0
 	}
 	if !c.run(30*time.Second, lost) {
-		t.Error("no record's answer was lost")
+		t.Error("no response to the write of a record was lost")
 		return ""
 	}
 	return strings.TrimPrefix(l.lost[0].key, "fleet/hire/")
 }
 
-// A provision request's record is written, and its writer has no answer. It asks the cloud under that
-// name once it knows, and rents nothing beside it.
+// The response to the write of a provision request's record is lost. When the writer learns that the record
+// exists, it sends the request to the cloud under the recorded name, and provisions no other machines.
 func TestProvisionWithUnansweredRecordRentsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRentedCluster(t, 1)
 		c.begin()
 		name := c.loseProvisionRecord(t, "j-1")
 		c.run(6*time.Second, nil)
-		if rented, _ := c.machines(); rented > 6 || c.times(name) != 1 { // all 12 tasks at once
-			t.Errorf("%d machines rented, asked for %v, recorded was %s", rented, c.hires(), name)
+		if rented, _ := c.machines(); rented > 6 || c.times(name) != 1 { // 6 machines run all 12 tasks at once
+			t.Errorf("%d machines rented, requests sent %v, recorded request %s", rented, c.hires(), name)
 		}
 		c.finish("j-1")
 		if left := c.store.Keys("fleet/hire/"); len(left) > 0 {
@@ -132,9 +132,9 @@
 	})
 }
 
-// The writer of a provision request's record ends before it has the answer, and asked the cloud for
-// nothing. A leader that comes soon reads the record and asks under its name, once; one
-// that comes late drops it, and rents for the work that there is then.
+// The writer of a provision request's record crashes before it receives the response, and has sent no request to
+// the cloud. A leader that takes over soon reads the record and sends the request once, under the recorded name; a
+// leader that takes over late drops the record, and provisions for the jobs that are waiting then.
 func TestRecordedProvisionAfterFailover(t *testing.T) {
 	for _, away := range []time.Duration{0, 45 * time.Second} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
@@ -149,15 +149,15 @@
 					time.Sleep(away)
 				}
 				if c.times(name) > 0 || !slices.Contains(c.store.Keys("fleet/hire/"), "fleet/hire/"+name) {
-					t.Errorf("%s: asked for %d times, recorded %v", name, c.times(name), c.store.Keys("fleet/hire/"))
+					t.Errorf("%s: sent to the cloud %d times, recorded %v", name, c.times(name), c.store.Keys("fleet/hire/"))
 				}
 				c.startAll()
 				c.run(15*time.Second, nil)
-				if asked := c.times(name); (asked > 0) != (away == 0) || asked > 1 {
-					t.Errorf("%s was asked for %d times", name, asked)
+				if sent := c.times(name); (sent > 0) != (away == 0) || sent > 1 {
+					t.Errorf("%s was sent to the cloud %d times", name, sent)
 				}
 				if rented, _ := c.machines(); rented > 6 {
-					t.Errorf("%d machines rented by %v", rented, c.hires())
+					t.Errorf("%d machines rented by the requests %v", rented, c.hires())
 				}
 				c.finish("j-1")
 				if left := c.store.Keys("fleet/hire/"); len(left) > 0 {
@@ -169,9 +169,9 @@
 	}
 }
 
-// A provision request's record is carried out late, when its writer had recorded it again and provisioned the
-// machines. While the second record is kept, the first is refused; afterwards it is written,
-// and no later leader rents for it.
+// The write of a provision request's record is applied late, when its writer has written the record again and
+// provisioned the machines. While the second record exists, the late write is refused; after its removal the late
+// write is applied, but no later leader provisions machines for it.
 func TestLateProvisionRecordRentsNothing(t *testing.T) {
 	for by, want := range map[time.Duration]int{8 * time.Second: 0, 25 * time.Second: 1} {
 		t.Run(fmt.Sprint(by), func(t *testing.T) {
@@ -191,11 +191,11 @@
 				c.mu.Unlock()
 				left := c.store.Keys("fleet/hire/")
 				if len(left) != want || late != 1 {
-					t.Errorf("carried out late: %d, recorded %v", late, left)
+					t.Errorf("%d late writes, recorded %v", late, left)
 				}
-				asked, before := c.hires(), map[string]int{}
-				for _, name := range asked {
-					before[name] = c.times(name)
+				sent, timesBefore := c.hires(), map[string]int{}
+				for _, name := range sent {
+					timesBefore[name] = c.times(name)
 				}
 				rented, _ := c.machines()
 				c.crash(first.name)
@@ -203,14 +203,14 @@
 				if c.leader() == "" || c.leader() == first.name {
 					t.Errorf("%q leads", c.leader())
 				}
-				again, _ := c.machines()
+				rentedAfter, _ := c.machines()
 				for _, name := range c.hires() {
-					if c.times(name) != before[name] {
-						t.Errorf("%s was asked for %d times, %d before", name, c.times(name), before[name])
+					if c.times(name) != timesBefore[name] {
+						t.Errorf("%s was sent to the cloud %d times, %d before the crash", name, c.times(name), timesBefore[name])
 					}
 				}
-				if again != rented {
-					t.Errorf("asked for %v, %d machines rented, %d before", c.hires(), again, rented)
+				if rentedAfter != rented {
+					t.Errorf("requests sent %v, %d machines rented, %d before the crash", c.hires(), rentedAfter, rented)
 				}
 				if left := c.store.Keys("fleet/hire/"); len(left) > 0 {
 					t.Errorf("still recorded: %v", left)
@@ -221,35 +221,35 @@
 	}
 }
 
-// bootingScenario is a case of machines that boot when the leader of the fleet changes.
+// bootingScenario is a change of the fleet's leader while machines boot.
 type bootingScenario struct {
 	name    string
-	outage  time.Duration // for so long the cloud rents nothing
-	listed  bool          // the machines are listed before the leader changes
+	outage  time.Duration // time during which the cloud provisions nothing
+	listed  bool          // the cloud lists the machines before the leader changes
 	crashes bool          // the leader crashes; else it transfers its shards
 }
 
-// Machines boot when the leader of the fleet ends, or hands its work over. Its successor
-// knows them by the records of their provision requests alone, or by a list that takes a while to come:
-// it counts on them and rents nothing beside them.
+// Machines boot when the leader of the fleet crashes, or transfers its shards. Its successor knows them only
+// from the records of their provision requests, or from a list that takes 300 ms to fetch. It must expect
+// these machines, and provision no others.
 func TestMachinesBootingDuringFailoverAreRentedOnce(t *testing.T) {
-	for _, scene := range []bootingScenario{
+	for _, scenario := range []bootingScenario{
 		{name: "unlisted, crash", crashes: true},
 		{name: "unlisted, hand-over"},
 		{name: "unlisted, rented long after the plan", crashes: true, outage: 40 * time.Second},
 		{name: "listed, crash", listed: true, crashes: true},
 		{name: "listed, hand-over", listed: true},
 	} {
-		t.Run(scene.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { scene.run(t) })
+		t.Run(scenario.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { scenario.run(t) })
 		})
 	}
 }
 
-func (scene bootingScenario) run(t *testing.T) {
-	const boot, machines = 45 * time.Second, 6 // machines run all 12 tasks at once
+func (s bootingScenario) run(t *testing.T) {
+	const boot, machines = 45 * time.Second, 6 // 6 machines run all 12 tasks at once
 	c := newSlowlyRentedCluster(t, 4, boot)
-	c.lag = 2 * listLag // "at times by up to twice that"
+	c.lag = 2 * listLag // the cloud's list may lag by up to twice listLag
 	c.listTakes = 300 * time.Millisecond
 	c.begin()
 	first := c.leader()
@@ -266,43 +266,43 @@
 	c.mu.Unlock()
 	c.order("j-1", 2*machines)
 	c.cloudMu.Lock()
-	c.outageUntil = time.Now().Add(scene.outage)
+	c.outageUntil = time.Now().Add(s.outage)
 	c.cloudMu.Unlock()
-	if !c.run(scene.outage+20*time.Second, func() bool { rented, _ := c.machines(); return rented == machines && c.allAnswered() }) {
+	if !c.run(s.outage+20*time.Second, func() bool { rented, _ := c.machines(); return rented == machines && c.allAnswered() }) {
 		rented, _ := c.machines()
-		t.Errorf("%d machines are rented, by %v", rented, c.hires())
+		t.Errorf("%d machines are rented by the requests %v", rented, c.hires())
 	}
 	rentedAt := time.Now()
-	if scene.listed && !c.run(boot/2, func() bool { return c.listedMachines() == machines && len(c.store.Keys("fleet/hire/")) == 0 }) {
+	if s.listed && !c.run(boot/2, func() bool { return c.listedMachines() == machines && len(c.store.Keys("fleet/hire/")) == 0 }) {
 		t.Errorf("%d machines are listed, recorded is %v", c.listedMachines(), c.store.Keys("fleet/hire/"))
 	}
-	if scene.crashes {
+	if s.crashes {
 		c.crash(first)
 	} else if err := c.nodes[first].member.TransferShards(context.Background(), c.others(first)[0]); err != nil {
-		t.Errorf("handing over: %v", err)
+		t.Errorf("shard transfer: %v", err)
 	}
 	if !c.run(boot, func() bool { return c.leader() != "" && c.leader() != first }) {
 		t.Errorf("%q leads", c.leader())
 	}
 	listed, took := c.listedMachines(), time.Since(rentedAt)
-	if (listed > 0) != scene.listed || len(c.workers) > 0 {
-		t.Errorf("when the leader had changed, after %v, %d machines were listed and %d up", took, listed, len(c.workers))
+	if (listed > 0) != s.listed || len(c.workers) > 0 {
+		t.Errorf("%v after the machines were rented, when the leader had changed, %d were listed and %d up", took, listed, len(c.workers))
 	}
 	c.run(boot, nil)
 	if rented, _ := c.machines(); rented != machines {
-		t.Errorf("%d machines are rented, by %v", rented, c.hires())
+		t.Errorf("%d machines are rented by the requests %v", rented, c.hires())
 	}
 	c.finish("j-1")
 	if left := c.store.Keys("fleet/hire/"); len(left) > 0 {
 		t.Errorf("recorded at the end: %v", left)
 	}
 	c.stopAll()
-	if hires := len(c.hires()); writes > 2*hires { // when it is planned, and when it is answered
-		t.Errorf("%d records of %d hires were written", writes, hires)
+	if requests := len(c.hires()); writes > 2*requests { // one write when it is planned, one when it is answered
+		t.Errorf("%d records of %d provision requests were written", writes, requests)
 	}
 }
 
-// allAnswered reports whether every provision request that was asked for was answered.
+// allAnswered reports whether all provision requests sent to the cloud were answered.
 func (c *rentedCluster) allAnswered() bool {
 	c.cloudMu.Lock()
 	defer c.cloudMu.Unlock()
@@ -314,12 +314,12 @@
 	return true
 }
 
-// listedMachines counts the machines that the cloud lists by now.
+// listedMachines returns the number of machines in the cloud's list, with the list's lag.
 func (c *rentedCluster) listedMachines() int {
-	now := httptest.NewRecorder()
-	c.handler.ServeHTTP(now, httptest.NewRequest(http.MethodGet, hirePath, nil))
+	current := httptest.NewRecorder()
+	c.handler.ServeHTTP(current, httptest.NewRequest(http.MethodGet, hirePath, nil))
 	var list wire.MachineList
-	if err := json.Unmarshal(c.listed(now).Body.Bytes(), &list); err != nil {
+	if err := json.Unmarshal(c.listed(current).Body.Bytes(), &list); err != nil {
 		c.t.Error(err)
 	}
 	return len(list.Machines)
