--- a/internal/testkit/concurrent_polls_test.go
+++ b/internal/testkit/concurrent_polls_test.go
@@ -266,7 +266,7 @@
 
 var pollScenarios = []pollScenario{
 	{"watches lag", func(*pollingUsers, int) {}, 0, true},
-	{"the leader hands over", func(u *pollingUsers, second int) {
+	{"the leader transfers its shards", func(u *pollingUsers, second int) {
 		if leader := u.leader(); second%3 == 1 && leader != "" {
 			others := u.others(leader)
 			if u.nodes[leader].member.TransferShards(context.Background(), others[u.draw(len(others))]) == nil {
@@ -274,7 +274,7 @@
 			}
 		}
 	}, 6, false},
-	{"the leader ends", func(u *pollingUsers, second int) {
+	{"the leader crashes", func(u *pollingUsers, second int) {
 		if leader := u.leader(); second%8 == 3 && leader != "" {
 			u.restart(leader, time.Duration(100+u.draw(3000))*time.Millisecond)
 			u.faults++
@@ -283,7 +283,7 @@
 	{"the state service refuses a controller", func(u *pollingUsers, second int) {
 		u.refuseTemporarily(second%6, 4, u.names[u.draw(len(u.names))], false)
 	}, 6, true},
-	{"the leader is apart from state service and peers", func(u *pollingUsers, second int) {
+	{"the leader is cut off from the state service and its peers", func(u *pollingUsers, second int) {
 		u.refuseTemporarily(second%12, 8, u.leader(), true)
 	}, 4, false},
 }
--- a/internal/testkit/constraints_test.go
+++ b/internal/testkit/constraints_test.go
@@ -111,7 +111,7 @@
 	}
 	ended := func(uid string) bool { return len(w.store.Keys("final/"+uid)) > 0 }
 	tasksCancelled := false
-	calm, deadline := time.Now().Add(2*time.Minute), time.Now().Add(20*time.Minute)
+	faultsUntil, deadline := time.Now().Add(2*time.Minute), time.Now().Add(20*time.Minute)
 	for len(w.store.Keys("final/")) < len(jobs) {
 		if time.Now().After(deadline) {
 			t.Fatalf("only %v ended", w.store.Keys("final/"))
@@ -141,7 +141,7 @@
 				}
 			}
 		}
-		w.step(calm)
+		w.step(faultsUntil)
 	}
 	rows, attempts, _ := w.accountingRows()
 	useful := map[string]int{}
--- a/internal/testkit/invalid_requests_test.go
+++ b/internal/testkit/invalid_requests_test.go
@@ -119,9 +119,9 @@
 			undecided  string // the controller that does not know the machine types
 			storeDown  bool   // no controller reaches the state service
 		}{
-			{"all well", func() {}, func() {}, "", false},
-			{"one is refused by the state service", func() { w.refuse(w.names[0]); w.live(2) }, w.healed, "", false},
-			{"one does not know the machine types", func() {
+			{"no fault", func() {}, func() {}, "", false},
+			{"one controller is cut off from the state service", func() { w.refuse(w.names[0]); w.live(2) }, w.healed, "", false},
+			{"one controller does not know the machine types", func() {
 				op, err := config.LoadOperator("")
 				if err != nil {
 					t.Fatal(err)
@@ -133,8 +133,8 @@
 				})
 				in.Register(n.mux)
 			}, func() { n.mux = http.NewServeMux(); n.submission.Register(n.mux) }, withoutTypes, false},
-			{"the leader is away", func() { w.crash(w.leader()) }, w.startAll, "", false},
-			{"the state service is out", func() { w.refuse(w.names...); w.live(1) }, w.healed, "", true},
+			{"the leader is down", func() { w.crash(w.leader()) }, w.startAll, "", false},
+			{"the state service is down", func() { w.refuse(w.names...); w.live(1) }, w.healed, "", true},
 		}
 		cases := submissionCases()
 		accepted := 0
--- a/internal/testkit/late_watch_test.go
+++ b/internal/testkit/late_watch_test.go
@@ -30,7 +30,7 @@
 // watch events of the job are outdated: the job must not run again, and every controller reports it as done.
 func TestLateWatchEventOfEndedJobAdmitsNothing(t *testing.T) {
 	const lag = 15 * time.Second
-	for _, how := range []string{"hand-over", "end"} {
+	for _, how := range []string{"transfer", "crash"} {
 		t.Run(how, func(t *testing.T) {
 			onCluster(t, 3710, 2, 6, func(w *cluster) {
 				first := w.leader()
@@ -51,7 +51,7 @@
 					t.Fatalf("%s reports stage %s, %v", first, stage, ok)
 				}
 				started := w.starts
-				if how == "end" {
+				if how == "crash" {
 					w.crash(first)
 				} else if err := w.nodes[first].member.TransferShards(context.Background(), second); err != nil {
 					t.Fatal(err)
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -63,7 +63,7 @@
 			t.Error("the job is stored as live again")
 		}
 	}},
-	{name: "cancel, after a hand-over", prefix: "live/j-80", run: func(t *testing.T, w *cluster, l *responseLoss) {
+	{name: "cancel, after a shard transfer", prefix: "live/j-80", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		l.whileWaiting = func(writer *node, _ string) { w.transferShards(writer) }
 		from := w.leader()
 		l.arm(from, 1)
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -110,16 +110,16 @@
 	for seed := range uint64(2) {
 		synctest.Test(t, func(t *testing.T) {
 			c := newFailoverCluster(t, 1400+seed)
-			calm := c.measure("none", 12, func() {})
-			t.Log(calm)
+			baseline := c.measure("none", 12, func() {})
+			t.Log(baseline)
 			for range 5 {
-				for _, away := range []time.Duration{6 * time.Second, 300 * time.Millisecond} {
+				for _, downtime := range []time.Duration{6 * time.Second, 300 * time.Millisecond} {
 					version := c.claimVersion()
-					cost := c.measure(fmt.Sprint("away for ", away), 12, func() {
+					cost := c.measure(fmt.Sprint("leader down for ", downtime), 12, func() {
 						leader := c.leader()
 						c.crash(leader)
-						c.live(int(away / time.Second))
-						time.Sleep(away % time.Second)
+						c.live(int(downtime / time.Second))
+						time.Sleep(downtime % time.Second)
 						c.start(leader)
 					})
 					t.Log(cost)
@@ -127,10 +127,10 @@
 						t.Error("no controller claimed the shards after the crash")
 					}
 					limit := expiryGap
-					if away < time.Second {
+					if downtime < time.Second {
 						limit = restartGap
 					}
-					if cost.longestGap > limit || cost.endedLeases+cost.restartedTasks+cost.deletedMachines > 0 || cost.requests > 2*calm.requests || cost.keys > calm.keys+len(c.names) {
+					if cost.longestGap > limit || cost.endedLeases+cost.restartedTasks+cost.deletedMachines > 0 || cost.requests > 2*baseline.requests || cost.keys > baseline.keys+len(c.names) {
 						t.Errorf("leader change exceeds its limits: %v", cost)
 					}
 				}
@@ -174,8 +174,8 @@
 // state service, in which no controller can draw a new token. The other controllers respond to the workers with
 // tokens that they reserved before, as long as they know of all cancels. No worker's lease may expire meanwhile.
 func TestLeaderCrashDuringStateStoreOutage(t *testing.T) {
-	for _, away := range []time.Duration{300 * time.Millisecond, 3 * time.Second, time.Hour} {
-		t.Run(fmt.Sprint("away for ", away), func(t *testing.T) {
+	for _, downtime := range []time.Duration{300 * time.Millisecond, 3 * time.Second, time.Hour} {
+		t.Run(fmt.Sprint("down for ", downtime), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newFailoverCluster(t, 1450)
 				c.losslessReports = true
@@ -195,18 +195,18 @@
 					t.Errorf("only %d workers have seen a higher token than those of the other controllers", seen)
 				}
 				c.refuse(c.names...)
-				calm := c.measure("outage, leader up", 8, func() {})
-				t.Log(calm)
+				baseline := c.measure("outage, leader up", 8, func() {})
+				t.Log(baseline)
 				cost := c.measure("leader crashes", 24, func() {
-					if away < time.Minute {
-						c.restart(leader, away)
+					if downtime < time.Minute {
+						c.restart(leader, downtime)
 					} else {
 						c.crash(leader)
 					}
 				})
 				t.Log(cost)
-				if calm.endedLeases+cost.endedLeases > 0 {
-					t.Errorf("%d worker leases expired", calm.endedLeases+cost.endedLeases)
+				if baseline.endedLeases+cost.endedLeases > 0 {
+					t.Errorf("%d worker leases expired", baseline.endedLeases+cost.endedLeases)
 				}
 				c.startAll()
 				c.healed()
@@ -233,8 +233,8 @@
 
 // Controllers crash ten times in one outage of the state service, and each restarts within seconds. Before, a
 // cancel was confirmed, in two scenarios while the machines that run the job can't be reached; during the
-// outage, users request another cancel. No task may run twice, or run longer than CancelS after its cancel. No machine may be
-// deleted, and no lease may expire as long as a controller is left that started before the outage and
+// outage, users request another cancel. No task may run twice, or longer than CancelS after its cancel. No machine
+// may be deleted, and no lease may expire as long as a controller is left that started before the outage and
 // knows of all cancels. Later crashes must cost no more, and seconds after the outage the cluster must work
 // as before.
 func TestTenCrashesInOneStateStoreOutage(t *testing.T) {
@@ -260,7 +260,7 @@
 				if !c.within(30, func() bool { return c.onMachines("j-81") > 0 && c.onMachines("j-82") > 0 }) {
 					t.Error("the jobs to be cancelled do not run")
 				}
-				calm := c.measure("calm", interval, func() {})
+				baseline := c.measure("no fault", interval, func() {})
 				// If the first crash comes before their leases expire, the machines that run the job
 				// are cut off until then, so that they do not learn of the cancel.
 				var unreached []string
@@ -277,12 +277,12 @@
 				c.measure("outage", scenario.firstCrashS, func() {})
 				last, expired, restarted := leader, 0, 0
 				for i := range crashes {
-					away := []time.Duration{300 * time.Millisecond, 3 * time.Second}[i%2]
+					downtime := []time.Duration{300 * time.Millisecond, 3 * time.Second}[i%2]
 					if i > 0 {
 						last = scenario.nextToCrash(c, last)
 					}
-					cost := c.measure(fmt.Sprintf("%s crashes for %v", last, away), interval, func() {
-						if !c.restart(last, away) {
+					cost := c.measure(fmt.Sprintf("%s crashes for %v", last, downtime), interval, func() {
+						if !c.restart(last, downtime) {
 							t.Errorf("%s is down already", last)
 						}
 						if i == 0 && len(unreached) > 0 && c.onMachines("j-81") == 0 {
@@ -323,10 +323,10 @@
 				if c.cancelAll(c.names[0], []string{"j-82"}, 3) != 1 {
 					t.Error("no cancel is confirmed after the outage")
 				}
-				late := c.measure("later", interval, func() {})
-				t.Log(calm, late)
-				if late.requests > 2*calm.requests || late.keys > calm.keys+len(c.names) || late.restartedTasks > queued || late.endedLeases+late.deletedMachines > 0 {
-					t.Errorf("cost %v, before the outage %v", late, calm)
+				afterOutage := c.measure("later", interval, func() {})
+				t.Log(baseline, afterOutage)
+				if afterOutage.requests > 2*baseline.requests || afterOutage.keys > baseline.keys+len(c.names) || afterOutage.restartedTasks > queued || afterOutage.endedLeases+afterOutage.deletedMachines > 0 {
+					t.Errorf("cost %v, before the outage %v", afterOutage, baseline)
 				}
 				if n := c.onMachines("j-82"); n > 0 {
 					t.Errorf("%d cancelled tasks run", n)
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -35,25 +35,26 @@
 }
 
 // roundTrip calls handle after requestDelay, and returns its result after responseDelay. If ctx ends
-// before, it returns the context's error; handle is called nevertheless, since the request was sent, and its result is dropped.
+// before, it returns the context's error. The request is in flight then: handle is still called, and its result
+// is dropped.
 func roundTrip[T any](ctx context.Context, requestDelay, responseDelay time.Duration, handle func() (T, error)) (T, error) {
 	if requestDelay+responseDelay == 0 {
 		return handle()
 	}
-	type answer struct {
+	type result struct {
 		value T
 		err   error
 	}
-	got := make(chan answer, 1)
+	results := make(chan result, 1)
 	go func() {
 		time.Sleep(requestDelay)
 		value, err := handle()
 		time.Sleep(responseDelay)
-		got <- answer{value, err}
+		results <- result{value, err}
 	}()
 	select {
-	case a := <-got:
-		return a.value, a.err
+	case r := <-results:
+		return r.value, r.err
 	case <-ctx.Done():
 		var none T
 		return none, ctx.Err()
@@ -109,9 +110,9 @@
 }
 
 // runDuty calls do, which waits for responses of workers or peers. While links are slow it calls do in a
-// goroutine of its own, at most one at a time for each duty, as cmd/wallrack's loops do, and
-// the controller's end waits for it. Otherwise the whole simulation waits for the responses: no worker reports meanwhile, and all
-// leases expire without a fault.
+// goroutine of its own, at most one at a time for each duty, as cmd/wallrack's loops do, and a crash of the
+// controller waits for it. Otherwise the whole simulation waits for the responses: no worker reports meanwhile,
+// and all leases expire without a fault.
 func (n *node) runDuty(duty string, do func(ctx context.Context)) {
 	w := n.cluster
 	if !w.linksAreSlow() {
@@ -135,7 +136,8 @@
 // publishTimeout limits the wait for the reply to a message with worker views.
 const publishTimeout = 4 * time.Second
 
-// publishTo sends a peer the changes of the workers that report to this controller, one message at a time, as cmd/wallrack does.
+// publishTo sends a peer the changes of the workers that report to this controller, one message at a time, as
+// cmd/wallrack does.
 func (n *node) publishTo(to *node) {
 	if !n.publishing.Begin(to.name) {
 		return
@@ -181,7 +183,8 @@
 	return reply, nil
 }
 
-// minUnanswered is the time since any controller's last response to a worker after which the worker's lease has expired for sure.
+// minUnanswered is the time since the last response of any controller to a worker after which the worker's lease
+// has certainly expired.
 const minUnanswered = workerLease + 500*time.Millisecond
 
 // attestUnresponsiveWorkers asks all peers in turn for the time since their last response to each unresponsive
@@ -192,7 +195,7 @@
 	_, unresponsive := n.scheduler.UnresponsiveWorkers(workerLease)
 	for i := range unresponsive {
 		name, allReplied := unresponsive[i].Name, true
-		a := dispatch.NewAttestation(time.Now(), []float64{n.dispatcher.UnansweredFor(name).Seconds()})
+		attestation := dispatch.NewAttestation(time.Now(), []float64{n.dispatcher.UnansweredFor(name).Seconds()})
 		for _, peer := range w.names {
 			if peer == n.name {
 				continue
@@ -206,10 +209,10 @@
 				return to.dispatcher.UnansweredFor(name), nil
 			})
 			cancel()
-			allReplied = allReplied && err == nil && a.Add([]float64{unanswered.Seconds()})
+			allReplied = allReplied && err == nil && attestation.Add([]float64{unanswered.Seconds()})
 		}
-		if allReplied && a.LeaseExpired(0, time.Now(), minUnanswered.Seconds()) {
-			n.scheduler.LeaseAttestedExpired(name, a.BegunAt())
+		if allReplied && attestation.LeaseExpired(0, time.Now(), minUnanswered.Seconds()) {
+			n.scheduler.LeaseAttestedExpired(name, attestation.BegunAt())
 		}
 	}
 }
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -63,7 +63,7 @@
 			t.Errorf("%d cancelled tasks run, %d started", w.onMachines("j-80"), w.starts-started)
 		}
 	}},
-	{name: "changed terms", prefix: "live/j-8t", run: func(t *testing.T, w *cluster, l *responseLoss) {
+	{name: "changed constraints", prefix: "live/j-8t", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		at := w.nodes[w.leader()]
 		w.submitWith("j-8t", 40, &jobspec.Constraints{Number: 1})
 		w.live(1)
@@ -119,11 +119,11 @@
 			t.Error("the job did not end")
 		}
 		w.live(4)
-		if q := w.nodes[at].scheduler.QueueDepths(); q["jobs"] != 1 { // j-80
+		if q := w.nodes[at].scheduler.QueueDepths(); q["jobs"] != 1 { // only j-80 is left
 			t.Errorf("the owner's queue has %d jobs, not 1", q["jobs"])
 		}
 	}},
-	{name: "end, and the successor's watch is behind", prefix: "final/j-7", run: func(t *testing.T, w *cluster, l *responseLoss) {
+	{name: "end, while the successor's watch lags", prefix: "final/j-7", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		at := w.leader()
 		next := w.others(at)[0]
 		previous := w.behind
@@ -158,7 +158,7 @@
 		w.checkSingleOwner(t, l)
 		w.awaitSingleOwner(t, 25)
 	}},
-	{name: "hand-over", prefix: "c/shard/", run: func(t *testing.T, w *cluster, l *responseLoss) {
+	{name: "shard transfer", prefix: "c/shard/", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		from := w.leader()
 		l.whileWaiting = func(*node, string) {
 			time.Sleep(300 * time.Millisecond)
@@ -172,7 +172,7 @@
 			t.Errorf("%s owns the shards, which were transferred to %s", to, w.others(from)[0])
 		}
 	}},
-	{name: "taking back after a hand-over", prefix: "c/shard/", run: func(t *testing.T, w *cluster, l *responseLoss) {
+	{name: "claim back after a shard transfer", prefix: "c/shard/", run: func(t *testing.T, w *cluster, l *responseLoss) {
 		from := w.nodes[w.leader()]
 		lateTransfer := &responseLoss{w: w, prefix: l.prefix, applyAfter: 20 * time.Second}
 		lateTransfer.arm(from.name, 1)
@@ -240,7 +240,7 @@
 		w.live(20)
 	}},
 	{name: "accounting page alone", prefix: accounting.KeyPrefix, run: accountingRowsAlone},
-	{name: "accounting page, and the jobs move", prefix: accounting.KeyPrefix, run: func(_ *testing.T, w *cluster, l *responseLoss) {
+	{name: "accounting page, during a shard transfer", prefix: accounting.KeyPrefix, run: func(_ *testing.T, w *cluster, l *responseLoss) {
 		l.whileWaiting = func(writer *node, key string) {
 			w.readElsewhere(writer, key)
 			w.transferShards(writer)
--- a/internal/testkit/lost_renewal_test.go
+++ b/internal/testkit/lost_renewal_test.go
@@ -12,14 +12,14 @@
 // to save, and no task is started that the end of the lease kills. Otherwise the leader counts the lease from a
 // response that the worker never received.
 func TestTasksAreSavedAfterLostResponse(t *testing.T) {
-	const savers, tiny = "j-save", "j-tiny"
+	const canSave, short = "j-save", "j-short"
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 710)
 		w.resize(3, 8)
 		w.size = 8
 		w.promptCommands, w.keepCuts, w.unlisted, w.losslessReports = true, true, true, true
 		ledger := w.follow(func(task string) time.Duration {
-			if task[:len(tiny)] == tiny {
+			if task[:len(short)] == short {
 				return time.Second
 			}
 			return time.Minute
@@ -27,16 +27,16 @@
 		w.startInTurn()
 		time.Sleep(2 * time.Second)
 		w.accept(&wire.Job{
-			UID: savers, Class: savers, Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 16, CPUs: 1, MemoryGB: 1,
+			UID: canSave, Class: canSave, Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 16, CPUs: 1, MemoryGB: 1,
 			Image: "i", ImageGB: 0.1, EstimateS: 60, Spot: true, CheckpointIntervalS: 30, CheckpointSaveS: 1,
 		})
 		w.live(8)
 		w.accept(&wire.Job{
-			UID: tiny, Class: tiny, Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 4000, CPUs: 1, MemoryGB: 1,
+			UID: short, Class: short, Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 4000, CPUs: 1, MemoryGB: 1,
 			Image: "i", ImageGB: 0.1, EstimateS: 1, Spot: true,
 		})
 		w.live(3)
-		cut := w.byJobs(savers)[0]
+		cut := w.byJobs(canSave)[0]
 		session := w.session(cut)
 		w.unreported(cut)
 		ledger.cutOff(w, cut)
@@ -51,8 +51,8 @@
 			t.Error("the lease did not end")
 		}
 		t.Logf("killed %v, stopped %v, %d of %d tasks that started late were killed", ledger.killed, ledger.stopped, ledger.late, len(ledger.started))
-		if ledger.killed[savers] > 0 || ledger.stopped[savers] == 0 {
-			t.Errorf("%d tasks that can save were killed, %d were stopped", ledger.killed[savers], ledger.stopped[savers])
+		if ledger.killed[canSave] > 0 || ledger.stopped[canSave] == 0 {
+			t.Errorf("%d tasks that can save were killed, %d were stopped", ledger.killed[canSave], ledger.stopped[canSave])
 		}
 		if ledger.late > 0 {
 			t.Errorf("%d tasks were started after the leader knew that the lease was not renewed, and killed", ledger.late)
--- a/internal/testkit/provisioning_test.go
+++ b/internal/testkit/provisioning_test.go
@@ -16,7 +16,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// unansweredMachines counts the machines that are up although no controller has received the response to their provision request.
+// unansweredMachines counts the machines that are up before any controller has received the response to their
+// provision request.
 func (c *rentedCluster) unansweredMachines() (n int) {
 	c.cloudMu.Lock()
 	var waiting []string
@@ -136,24 +137,24 @@
 // the cloud. A leader that takes over soon reads the record and sends the request once, under the recorded name; a
 // leader that takes over late drops the record, and provisions for the jobs that are waiting then.
 func TestRecordedProvisionAfterFailover(t *testing.T) {
-	for _, away := range []time.Duration{0, 45 * time.Second} {
-		t.Run(fmt.Sprint(away), func(t *testing.T) {
+	for _, downtime := range []time.Duration{0, 45 * time.Second} {
+		t.Run(fmt.Sprint(downtime), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newRentedCluster(t, 2)
 				c.begin()
 				name := c.loseProvisionRecord(t, "j-1")
 				first := c.leader()
 				c.crash(first)
-				if away > 0 {
+				if downtime > 0 {
 					c.stopAll()
-					time.Sleep(away)
+					time.Sleep(downtime)
 				}
 				if c.times(name) > 0 || !slices.Contains(c.store.Keys("fleet/hire/"), "fleet/hire/"+name) {
 					t.Errorf("%s: sent to the cloud %d times, recorded %v", name, c.times(name), c.store.Keys("fleet/hire/"))
 				}
 				c.startAll()
 				c.run(15*time.Second, nil)
-				if sent := c.times(name); (sent > 0) != (away == 0) || sent > 1 {
+				if sent := c.times(name); (sent > 0) != (downtime == 0) || sent > 1 {
 					t.Errorf("%s was sent to the cloud %d times", name, sent)
 				}
 				if rented, _ := c.machines(); rented > 6 {
@@ -235,10 +236,10 @@
 func TestMachinesBootingDuringFailoverAreRentedOnce(t *testing.T) {
 	for _, scenario := range []bootingScenario{
 		{name: "unlisted, crash", crashes: true},
-		{name: "unlisted, hand-over"},
+		{name: "unlisted, shard transfer"},
 		{name: "unlisted, rented long after the plan", crashes: true, outage: 40 * time.Second},
 		{name: "listed, crash", listed: true, crashes: true},
-		{name: "listed, hand-over", listed: true},
+		{name: "listed, shard transfer", listed: true},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { scenario.run(t) })
