--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -224,7 +224,7 @@
 // crashScenario is a sequence of controller crashes in one outage.
 type crashScenario struct {
 	name        string
-	firstCrashS int                                          // seconds from the begin of the outage to the first crash
+	firstCrashS int                                          // seconds from the beginning of the outage to the first crash
 	nextToCrash func(c *failoverCluster, last string) string // controller that crashes next
 	// crashesWithoutExpiry is the number of crashes during which no lease expires: as long as a controller is
 	// left that has a fencing token and knows of all cancels.
--- a/internal/testkit/lost_answers_test.go
+++ b/internal/testkit/lost_answers_test.go
@@ -120,7 +120,7 @@
 }
 
 // consume reports whether the response of a transaction is to be lost or the transaction delayed, and
-// returns the matching key. It counts the transaction, and calls whileWaiting in the background.
+// returns the matching key. For a match it decrements remaining and starts whileWaiting in the background.
 func (l *responseLoss) consume(n *node, t wire.Txn) (key string, ok bool) {
 	if l.remaining == 0 || l.writer != "" && l.writer != n.name || l.singleWriteOnly && len(t.Then) > 1 {
 		return "", false
