--- a/internal/testkit/lost_renewal_test.go
+++ b/internal/testkit/lost_renewal_test.go
@@ -12,7 +12,7 @@
 // to save, and no task is started that the end of the lease kills. Otherwise the leader counts the lease from a
 // response that the worker never received.
 func TestTasksAreSavedAfterLostResponse(t *testing.T) {
-	const canSave, short = "j-save", "j-short"
+	const canSave, short = "j-save", "j-tiny"
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 710)
 		w.resize(3, 8)
