--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -188,7 +188,7 @@
 	w.resize(controllers, 6)
 	w.losslessReports, w.reliableStore, w.keepCuts = true, true, true
 	r := &endRace{pollingUsers: newPollingUsers(w), ends: map[string][]time.Time{}, want: map[string]int{}}
-	r.pollsAfterEnd = 1
+	r.pollsPerEndedJob = 1
 	upTo := func(most time.Duration) func() time.Duration {
 		return func() time.Duration {
 			d := time.Duration(w.rnd.Int64N(int64(most)))
--- a/internal/testkit/concurrent_polls_test.go
+++ b/internal/testkit/concurrent_polls_test.go
@@ -32,7 +32,7 @@
 	longestStartDelay time.Duration // the longest time from a confirmed cancel to such a start
 
 	delayResponses    bool   // whether some responses travel for one to two seconds
-	pollsAfterEnd     int    // how often a user polls again after the job is done or cancelled
+	pollsPerEndedJob  int    // how often a user polls again after the job is done or cancelled
 	faults            int    // leader changes and refusals that the scenario caused
 	refusedController string // the controller that the state service refuses; "" before the first refusal
 
@@ -208,7 +208,7 @@
 	for time.Now().Before(deadline) {
 		if stage := u.send(stateRequest, anyNode(), job, 0); stage == "done" || stage == "cancelled" {
 			u.pollAndResubmit(job, tasks)
-			for range u.pollsAfterEnd { // poll again when lagging watches deliver events from before the job's end
+			for range u.pollsPerEndedJob { // poll again when lagging watches deliver events from before the job's end
 				time.Sleep(time.Duration(200+u.draw(2000)) * time.Millisecond)
 				u.pollAndResubmit(job, tasks)
 			}
@@ -337,15 +337,15 @@
 			if s.sameLeader && sum.staleQueued > 0 {
 				t.Errorf("%d responses said \"queued\" for running jobs", sum.staleQueued)
 			}
-			if sum.longestStartDelay > maxStartDelay {
+			if sum.longestStartDelay > maxStartDelayAfterCancel {
 				t.Errorf("a task started %v after a confirmed cancel", sum.longestStartDelay)
 			}
 		})
 	}
 }
 
-// maxStartDelay limits the time from a confirmed cancel to a start by a command that was sent before.
-const maxStartDelay = time.Second
+// maxStartDelayAfterCancel limits the time from a confirmed cancel to a start by a command that was sent before.
+const maxStartDelayAfterCancel = time.Second
 
 func runPollScenario(t *testing.T, s *pollScenario, seed uint64) *pollingUsers {
 	const seconds = 32
@@ -354,7 +354,7 @@
 	w.keepCuts = true
 	u := newPollingUsers(w)
 	u.addLatency(4 * time.Second)
-	u.pollsAfterEnd, u.delayResponses = 2, true
+	u.pollsPerEndedJob, u.delayResponses = 2, true
 	for _, k := range w.workers {
 		k.Run = func(task string) time.Duration {
 			if strings.HasPrefix(task, "j-11") || strings.HasPrefix(task, "j-13") {
--- a/internal/testkit/invalid_requests_test.go
+++ b/internal/testkit/invalid_requests_test.go
@@ -16,8 +16,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// userRequest sends an HTTP request to a controller, and returns the response's status and job state.
-func (w *cluster) userRequest(name, method, path, body string) (status int, state wire.JobState) {
+// httpRequest sends an HTTP request to a controller, and returns the response's status and job state.
+func (w *cluster) httpRequest(name, method, path, body string) (status int, state wire.JobState) {
 	rec := httptest.NewRecorder()
 	w.nodes[name].mux.ServeHTTP(rec, httptest.NewRequest(method, path, strings.NewReader(body)))
 	_ = json.Unmarshal(rec.Body.Bytes(), &state) // an error response has no job state
@@ -157,7 +157,7 @@
 					case c.needsClusterState && name == state.undecided:
 						want = http.StatusServiceUnavailable
 					}
-					got, _ := w.userRequest(name, http.MethodPost, "/api/jobs", submissionBodyWith(uid, c.change))
+					got, _ := w.httpRequest(name, http.MethodPost, "/api/jobs", submissionBodyWith(uid, c.change))
 					if got != want {
 						t.Errorf("%s, %s at %s: %d, not %d", state.name, c.name, name, got, want)
 					}
@@ -179,16 +179,16 @@
 					unknown = http.StatusServiceUnavailable
 				}
 				for path, want := range map[string]int{"/api/jobs/j-nobody": unknown, "/api/jobs/nobody": http.StatusNotFound} {
-					if got, _ := w.userRequest(name, http.MethodGet, path, ""); got != want {
+					if got, _ := w.httpRequest(name, http.MethodGet, path, ""); got != want {
 						t.Errorf("%s, %s at %s: %d, not %d", state.name, path, name, got, want)
 					}
-					got, _ := w.userRequest(name, http.MethodPost, path+"/cancel", "")
+					got, _ := w.httpRequest(name, http.MethodPost, path+"/cancel", "")
 					if got != want {
 						t.Errorf("%s, cancel of %s at %s: %d, not %d", state.name, path, name, got, want)
 					}
 				}
 				for _, body := range []string{"", "null", "[]", `"j-1"`, "{", submissionBodyWith("j-1", nil) + "x", submissionBodyWith("k-1", nil), submissionBodyWith("j-1", map[string]any{"uid": nil}), "\ufeff" + submissionBodyWith("j-1", nil)} {
-					if got, _ := w.userRequest(name, http.MethodPost, "/api/jobs", body); got != http.StatusBadRequest {
+					if got, _ := w.httpRequest(name, http.MethodPost, "/api/jobs", body); got != http.StatusBadRequest {
 						t.Errorf("%s, %.20q at %s: %d, not 400", state.name, body, name, got)
 					}
 				}
@@ -209,7 +209,7 @@
 	w.t.Helper()
 	w.live(10)
 	for uid, pieces := range map[string]int{"j-80": 2, "j-7": 1} {
-		if got, _ := w.userRequest("a", http.MethodPost, "/api/jobs", submissionBodyWith(uid, map[string]any{"pieces": pieces})); got != http.StatusCreated {
+		if got, _ := w.httpRequest("a", http.MethodPost, "/api/jobs", submissionBodyWith(uid, map[string]any{"pieces": pieces})); got != http.StatusCreated {
 			w.t.Fatalf("%s: %d", uid, got)
 		}
 	}
@@ -220,14 +220,14 @@
 	for _, name := range w.names {
 		for uid, want := range map[string]string{"j-80": wire.StageRunning, "j-7": wire.StageDone} {
 			for _, c := range cases {
-				got, state := w.userRequest(name, http.MethodPost, "/api/jobs", submissionBodyWith(uid, c.change))
+				got, state := w.httpRequest(name, http.MethodPost, "/api/jobs", submissionBodyWith(uid, c.change))
 				// With an invalid body the state may come from the store, which does not record which tasks run.
 				if got != http.StatusOK || state.UID != uid || (state.Stage == wire.StageDone) != (want == wire.StageDone) || state.Stage == wire.StageCancelled {
 					w.t.Errorf("%s again, with %s, at %s: %d, %+v", uid, c.name, name, got, state)
 				}
 			}
 		}
-		if got, state := w.userRequest(name, http.MethodPost, "/api/jobs/j-7/cancel", ""); got != http.StatusOK || state.Stage != wire.StageDone {
+		if got, state := w.httpRequest(name, http.MethodPost, "/api/jobs/j-7/cancel", ""); got != http.StatusOK || state.Stage != wire.StageDone {
 			w.t.Errorf("cancel of a job that is done, at %s: %d, %+v", name, got, state)
 		}
 	}
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -183,7 +183,7 @@
 	s.all, s.byUID[job.uid] = append(s.all, job), job
 	s.jobs.Unlock()
 	for status := 0; status != http.StatusCreated && status != http.StatusOK; {
-		if status, _ = s.userRequest(s.any(), http.MethodPost, "/api/jobs", submissionBodyWith(job.uid, nil)); status/100 != 2 {
+		if status, _ = s.httpRequest(s.any(), http.MethodPost, "/api/jobs", submissionBodyWith(job.uid, nil)); status/100 != 2 {
 			time.Sleep(time.Second)
 		}
 	}
--- a/internal/testkit/stage_after_failover_test.go
+++ b/internal/testkit/stage_after_failover_test.go
@@ -30,8 +30,8 @@
 		if s.nodes[name].down {
 			continue
 		}
-		s.heard(s.userRequest(name, http.MethodGet, "/api/jobs/"+s.job, ""))
-		s.heard(s.userRequest(name, http.MethodPost, "/api/jobs", submissionBody(s.job, 1)))
+		s.heard(s.httpRequest(name, http.MethodGet, "/api/jobs/"+s.job, ""))
+		s.heard(s.httpRequest(name, http.MethodPost, "/api/jobs", submissionBody(s.job, 1)))
 	}
 }
 
