--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -14,7 +14,7 @@
 // endRace is a cluster without faults. Its users cancel their jobs, poll them and repeat their
 // submissions close to the end of the last task.
 type endRace struct {
-	*closeUsers
+	*pollingUsers
 	taskEnds   map[string][]time.Time // end times of a job's started tasks
 	taskCounts map[string]int         // number of a job's tasks
 
@@ -92,7 +92,7 @@
 	anyNode := func() string { return r.controllerNames[r.planIntN(len(r.controllerNames))] }
 	for range 3 {
 		at(func() {
-			h := r.seen.history(job)
+			h := r.checker.history(job)
 			r.mu.Lock()
 			if time.Now().After(end) && h.done.IsZero() && h.cancelled.IsZero() {
 				r.pollsAfterEnd++
@@ -127,7 +127,7 @@
 				r.cancelledAfterEnd++
 			}
 			r.mu.Unlock()
-			r.look(job, r.taskCounts[job])
+			r.pollAndResubmit(job, r.taskCounts[job])
 			return
 		}
 	})
@@ -147,7 +147,7 @@
 			t.Run(fmt.Sprintf("%d controllers, %d", controllers, seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					r := playEndRace(t, uint64(1400+100*controllers+seed), controllers, jobs, scales[seed%len(scales)])
-					for _, h := range r.seen.jobs {
+					for _, h := range r.checker.jobs {
 						if !h.done.IsZero() {
 							done++
 						}
@@ -161,8 +161,8 @@
 					sum.cancelsAnsweredDone += r.cancelsAnsweredDone
 					sum.pollsAfterEnd += r.pollsAfterEnd
 					late += r.lateStarts
-					answers += r.seen.answers
-					unsure += r.seen.refused
+					answers += r.checker.responses
+					unsure += r.checker.refused
 				})
 			})
 		}
@@ -184,10 +184,10 @@
 // playEndRace runs the given number of jobs, with latencies up to a few times the scale.
 func playEndRace(t *testing.T, seed uint64, controllers, jobs int, scale time.Duration) *endRace {
 	w := newCluster(t, seed)
-	w.bigger(controllers, 6)
+	w.resize(controllers, 6)
 	w.losslessReports, w.reliableStore, w.keepBrokenLinks = true, true, true
-	r := &endRace{closeUsers: newCloseUsers(w), taskEnds: map[string][]time.Time{}, taskCounts: map[string]int{}}
-	r.later = 1
+	r := &endRace{pollingUsers: newPollingUsers(w), taskEnds: map[string][]time.Time{}, taskCounts: map[string]int{}}
+	r.pollsPerEndedJob = 1
 	upTo := func(most time.Duration) func() time.Duration {
 		return func() time.Duration {
 			d := time.Duration(w.messageRand.Int64N(int64(most)))
@@ -221,7 +221,7 @@
 		delay := time.Duration(w.planIntN(8000)) * time.Millisecond
 		r.pending.Go(func() {
 			time.Sleep(delay)
-			r.follow(job, tasks, 0, time.Minute)
+			r.runUser(job, tasks, 0, time.Minute)
 		})
 	}
 	for range 26 * 4 {
@@ -233,6 +233,6 @@
 	r.pending.Wait()
 	close(stop)
 	reporting.Wait()
-	r.finish(t)
+	r.finishAndCheck(t)
 	return r
 }
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -98,7 +98,7 @@
 		}
 		time.Sleep(reportEvery)
 	}
-	jobRows, attempts, _ := w.rows()
+	jobRows, attempts, _ := w.accountingRows()
 	for name, r := range attempts {
 		jobRows[name] = r
 	}
--- a/internal/testkit/cluster_cancels_test.go
+++ b/internal/testkit/cluster_cancels_test.go
@@ -46,7 +46,7 @@
 			}
 		}
 		if unstopped := n.scheduler.UnstoppedWorkers(3 * time.Second); len(unstopped) > 0 && n.MayAnswerWorkers() {
-			n.onDuty("cancels", func(ctx context.Context) { n.dispatcher.PollAndHaltCancelledTasks(ctx, unstopped) })
+			n.runDuty("cancels", func(ctx context.Context) { n.dispatcher.PollAndHaltCancelledTasks(ctx, unstopped) })
 		}
 	}
 }
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -108,7 +108,7 @@
 	messageDelay  func() time.Duration     // one-way delay of messages to workers and peers; nil: 0
 	reporting     map[*testkit.Worker]bool // workers with a heartbeat in flight over a slow link
 
-	checks startChecks
+	checks cancelledStartChecks
 	waits  waitCheck
 }
 
@@ -171,7 +171,7 @@
 
 		TransitDelay: func() time.Duration { return w.drawDelay(&w.transitTime) },
 	}
-	w.watched(n)
+	w.connectStoreFaults(n)
 	op := w.operatorSettings()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	n.member = membership.New(n.view, name, config.Seconds(op.LeaseS), op.Shards, op.Spread, log)
@@ -179,7 +179,7 @@
 	cfg.Node = name
 	n.cancellations = cancellation.New(cancellation.Options{
 		Peers: n.reach.peers(), Limit: config.Seconds(cfg.Params.Workers.CancelS), LeaseRemaining: n.member.LeaseRemaining,
-		OnCancelled: func(uids []string) { n.knownCancels.learn(uids); go n.dispatcher.HaltCancelledTasks() },
+		OnCancelled: func(uids []string) { n.knownCancels.record(uids); go n.dispatcher.HaltCancelledTasks() },
 	})
 	n.scheduler = scheduler.New(scheduler.Options{
 		Platform: &cfg, Operator: op, Store: n.view, Member: n.member, Dispatchers: n, MachineTypes: w.machineTypes, Log: log,
@@ -253,7 +253,7 @@
 
 // registerWorker adds a worker that sends its heartbeats to the i-th controller first.
 func (w *cluster) registerWorker(k *testkit.Worker, i int) {
-	k.WrapHeld = w.checks.keepSender
+	k.WrapHeld = w.checks.withCurrentSender
 	k.OnStart = func(task string, attempt uint64) {
 		w.lastStart, w.startCount = time.Now(), w.startCount+1
 		uid, _, _ := strings.Cut(task, "/")
@@ -261,7 +261,7 @@
 		if w.onStart != nil {
 			w.onStart(k, task, attempt)
 		}
-		w.checkStart(task)
+		w.checkStartAfterCancel(task)
 		if at := w.forgottenTasks[task]; at != "" {
 			w.fail("%s is started again, as attempt %d on %s, after it was done and forgotten on %s", task, attempt, k.Name, at)
 		}
--- a/internal/testkit/concurrent_polls_test.go
+++ b/internal/testkit/concurrent_polls_test.go
@@ -15,33 +15,33 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// closeUsers are users that submit jobs by the users' interface, and ask at all
-// controllers within milliseconds after each answer that tells something new.
-type closeUsers struct {
+// pollingUsers are users that submit jobs over the HTTP API, and poll all controllers
+// within milliseconds after each response that changes what they know about a job.
+type pollingUsers struct {
 	*cluster
-	seen    *answerObserver
+	checker *responseChecker
 	pending sync.WaitGroup
 
-	unloaded  atomic.Int64 // questions for jobs that were recorded, of which their leader had not heard
-	endKnown  atomic.Int64 // questions for jobs whose end was recorded, which their leader did not know to be
-	cancelled atomic.Int64 // questions for jobs recorded as cancelled, of which the asked controller had not heard
-	repeated  atomic.Int64 // submissions repeated after the end or a confirmed cancel
-	delayed   atomic.Int64 // answers that took longer than a second on their way
+	notLoaded    atomic.Int64 // state queries for recorded jobs that their leader had not loaded yet
+	endNotSeen   atomic.Int64 // state queries for jobs whose end was recorded, but not known to their leader yet
+	cancelUnseen atomic.Int64 // state queries for jobs recorded as cancelled, at a controller that did not know of the cancel yet
+	repeated     atomic.Int64 // submissions repeated after the job's end or a confirmed cancel
+	delayed      atomic.Int64 // responses that travelled for longer than a second
 
-	lateStarts  int           // starts after a confirmed cancel
-	latestStart time.Duration // the longest time from the confirmation to such a start
+	lateStarts        int           // starts after a confirmed cancel
+	longestStartDelay time.Duration // the longest time from a confirmed cancel to such a start
 
-	stalls  bool   // whether some answers take a second or two on their way
-	later   int    // how often users ask again after their jobs are over
-	handled int    // changes of the leader that were brought about
-	refused string // the controller that the state service refuses
+	delayResponses    bool   // whether some responses travel for one to two seconds
+	pollsPerEndedJob  int    // how often a user polls again after the job is done or cancelled
+	faults            int    // leader changes and refusals that the scenario caused
+	refusedController string // the controller that the state service refuses; "" before the first refusal
 
-	tasksMu sync.Mutex
-	left    map[string]int // tasks of a job that have not ended
+	tasksMu         sync.Mutex
+	unfinishedTasks map[string]int // number of tasks that have not ended, by job
 }
 
-func newCloseUsers(w *cluster) *closeUsers {
-	u := &closeUsers{cluster: w, seen: newAnswerObserver(), left: map[string]int{}}
+func newPollingUsers(w *cluster) *pollingUsers {
+	u := &pollingUsers{cluster: w, checker: newResponseChecker(), unfinishedTasks: map[string]int{}}
 	w.onReport = u.reported
 	ended := map[string]bool{}
 	for _, k := range w.workers {
@@ -49,10 +49,10 @@
 		k.OnStart = func(task string, attempt uint64) {
 			check(task, attempt)
 			job, _, _ := strings.Cut(task, "/")
-			u.seen.taskStarted(job, task, attempt, k.RunTime(task))
-			if h := u.seen.history(job); !h.cancelled.IsZero() {
+			u.checker.taskStarted(job, task, attempt, k.RunTime(task))
+			if h := u.checker.history(job); !h.cancelled.IsZero() {
 				u.lateStarts++
-				u.latestStart = max(u.latestStart, time.Since(h.cancelled))
+				u.longestStartDelay = max(u.longestStartDelay, time.Since(h.cancelled))
 			}
 		}
 		k.ExitCode = func(task string) int {
@@ -60,8 +60,8 @@
 			defer u.tasksMu.Unlock()
 			if job, _, _ := strings.Cut(task, "/"); !ended[task] {
 				ended[task] = true
-				if u.left[job]--; u.left[job] == 0 {
-					u.seen.lastTaskEnded(job, time.Now())
+				if u.unfinishedTasks[job]--; u.unfinishedTasks[job] == 0 {
+					u.checker.lastTaskEnded(job, time.Now())
 				}
 			}
 			return 0
@@ -70,36 +70,36 @@
 	return u
 }
 
-// reported notes the running tasks of a report that arrives at a controller.
-func (u *closeUsers) reported(rep *wire.Report) {
+// reported records the running tasks of a report that arrives at a controller.
+func (u *pollingUsers) reported(rep *wire.Report) {
 	for _, task := range rep.Tasks {
 		if job, _, _ := strings.Cut(task.Task, "/"); task.State == wire.TaskRunning {
-			u.seen.taskReported(job, task.Task, task.Attempt)
+			u.checker.taskReported(job, task.Task, task.Attempt)
 		}
 	}
 }
 
-// submitted counts a job's tasks before its first submission.
-func (u *closeUsers) submitted(job string, tasks int) {
+// setTaskCount sets the number of a job's tasks; it is called before the first submission.
+func (u *pollingUsers) setTaskCount(job string, tasks int) {
 	u.tasksMu.Lock()
 	defer u.tasksMu.Unlock()
-	u.left[job] = tasks
+	u.unfinishedTasks[job] = tasks
 }
 
 func submissionBody(job string, tasks int) string {
-	return submissionWith(job, map[string]any{"pieces": tasks})
+	return submissionBodyWith(job, map[string]any{"pieces": tasks})
 }
 
-// send sends a request to a controller, takes the time that it and its answer travel,
-// and has the answer judged. It returns the stage, or "" without any.
-func (u *closeUsers) send(kind, name, job string, tasks int) (stage string) {
+// send sends a request to a controller, waits for as long as request and response travel,
+// and has the response checked. It returns the stage, or "" if no response with a stage arrived.
+func (u *pollingUsers) send(kind, name, job string, tasks int) (stage string) {
 	method, path, body := http.MethodGet, "/api/jobs/"+job, ""
 	switch kind {
 	case submitRequest:
 		method, path, body = http.MethodPost, "/api/jobs", submissionBody(job, tasks)
 	case cancelRequest:
 		method, path = http.MethodPost, path+"/cancel"
-		u.seen.cancelSent(job)
+		u.checker.cancelSent(job)
 	}
 	sent := time.Now()
 	u.awaitTransit()
@@ -111,7 +111,7 @@
 		return ""
 	}
 	if kind == stateRequest {
-		u.countUnheard(n, job)
+		u.countUnseenRecords(n, job)
 	}
 	rec := httptest.NewRecorder()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -121,18 +121,19 @@
 	down = n.down
 	u.mu.Unlock()
 	if down || ctx.Err() != nil {
-		return "" // the process ended, or the user has given up
+		return "" // the controller crashed, or the user timed out
 	}
 	u.awaitTransit()
-	if u.stalls && u.planIntN(25) == 0 {
+	if u.delayResponses && u.planIntN(25) == 0 {
 		u.delayed.Add(1)
 		time.Sleep(time.Second + time.Duration(u.planIntN(1000))*time.Millisecond)
 	}
-	return u.seen.hear(heardAnswer{kind: kind, node: name, job: job, sent: sent, arrived: time.Now(), status: rec.Code, body: rec.Body.Bytes()})
+	return u.checker.checkResponse(observedResponse{kind: kind, node: name, job: job, sent: sent, received: time.Now(), status: rec.Code, body: rec.Body.Bytes()})
 }
 
-// countUnheard counts questions that fall between a record and its reader.
-func (u *closeUsers) countUnheard(n *node, job string) {
+// countUnseenRecords counts a state query that arrives after a record was written and before
+// the controller that needs the record has read it.
+func (u *pollingUsers) countUnseenRecords(n *node, job string) {
 	u.mu.Lock()
 	var leader *node
 	for _, name := range u.controllerNames {
@@ -144,29 +145,29 @@
 	if leader == nil {
 		return
 	}
-	known, sure := leader.scheduler.LocalState(job)
+	state, known := leader.scheduler.LocalState(job)
 	ended := u.store.RawValue("final/"+job) != ""
 	switch {
-	case ended && (!sure || known.Stage != wire.StageDone && known.Stage != wire.StageCancelled):
-		u.endKnown.Add(1)
-	case !ended && !sure && u.store.RawValue("live/"+job) != "":
-		u.unloaded.Add(1)
+	case ended && (!known || state.Stage != wire.StageDone && state.Stage != wire.StageCancelled):
+		u.endNotSeen.Add(1)
+	case !ended && !known && u.store.RawValue("live/"+job) != "":
+		u.notLoaded.Add(1)
 	}
 	if !ended && !n.cancellations.IsCancelled(job) && strings.Contains(u.store.RawValue("live/"+job), `"cancelled":true`) {
-		u.cancelled.Add(1)
+		u.cancelUnseen.Add(1)
 	}
 }
 
-// look asks for a job at all controllers, again and again within milliseconds, and
-// repeats its submission.
-func (u *closeUsers) look(job string, tasks int) {
+// pollAndResubmit queries a job's state at all controllers three times within some
+// milliseconds, and repeats its submission twice.
+func (u *pollingUsers) pollAndResubmit(job string, tasks int) {
 	for i := range 3 {
 		for _, name := range u.controllerNames {
 			u.pending.Go(func() { u.send(stateRequest, name, job, 0) })
 		}
 		if i != 1 {
 			u.pending.Go(func() {
-				if h := u.seen.history(job); !h.done.IsZero() || !h.cancelled.IsZero() {
+				if h := u.checker.history(job); !h.done.IsZero() || !h.cancelled.IsZero() {
 					u.repeated.Add(1)
 				}
 				u.send(submitRequest, u.controllerNames[u.planIntN(len(u.controllerNames))], job, tasks)
@@ -176,40 +177,40 @@
 	}
 }
 
-// follow is the life of one job's user: it submits the job, perhaps cancels it after
-// some time (0: never), and asks until the job is over.
-func (u *closeUsers) follow(job string, tasks int, cancelAfter, patience time.Duration) {
-	u.submitted(job, tasks)
-	until := time.Now().Add(patience)
+// runUser acts as one job's user: it submits the job, cancels it after cancelAfter unless that is 0,
+// and polls until the job is done or cancelled, or the timeout ends.
+func (u *pollingUsers) runUser(job string, tasks int, cancelAfter, timeout time.Duration) {
+	u.setTaskCount(job, tasks)
+	deadline := time.Now().Add(timeout)
 	anyNode := func() string { return u.controllerNames[u.planIntN(len(u.controllerNames))] }
 	for u.send(submitRequest, anyNode(), job, tasks) == "" {
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return
 		}
 		time.Sleep(time.Second)
 	}
-	u.look(job, tasks)
+	u.pollAndResubmit(job, tasks)
 	if cancelAfter > 0 {
 		u.pending.Go(func() {
 			time.Sleep(cancelAfter)
 			for {
 				if stage := u.send(cancelRequest, anyNode(), job, 0); stage != "" {
-					u.look(job, tasks)
+					u.pollAndResubmit(job, tasks)
 					return
 				}
-				if time.Now().After(until) {
+				if time.Now().After(deadline) {
 					return
 				}
 				time.Sleep(time.Second)
 			}
 		})
 	}
-	for time.Now().Before(until) {
+	for time.Now().Before(deadline) {
 		if stage := u.send(stateRequest, anyNode(), job, 0); stage == "done" || stage == "cancelled" {
-			u.look(job, tasks)
-			for range u.later { // and later, by when lagging watches tell of the past
+			u.pollAndResubmit(job, tasks)
+			for range u.pollsPerEndedJob { // poll again when lagging watches deliver events from before the job's end
 				time.Sleep(time.Duration(200+u.planIntN(2000)) * time.Millisecond)
-				u.look(job, tasks)
+				u.pollAndResubmit(job, tasks)
 			}
 			return
 		}
@@ -217,143 +218,143 @@
 	}
 }
 
-// finish waits for the users, stops the controllers, lets what is on its way arrive, and
-// fails the test for answers that are out of order.
-func (u *closeUsers) finish(t *testing.T) {
+// finishAndCheck waits for the users, stops the controllers, waits until the store has applied the
+// delayed transactions, and fails the test for each inconsistent response.
+func (u *pollingUsers) finishAndCheck(t *testing.T) {
 	u.pending.Wait()
 	u.stopAll()
 	time.Sleep(15 * time.Second)
-	for _, b := range u.seen.broken {
+	for _, b := range u.checker.violations {
 		t.Error(b)
 	}
 }
 
-// closeScene is a fault during which users look closely.
-type closeScene struct {
-	name  string
-	each  func(u *closeUsers, second int) // what happens each second
-	least int                             // changes of the leader, or refusals, that must happen
-	stays bool                            // whether the jobs stay with one leader
+// pollScenario is a fault during which users poll within milliseconds of each change.
+type pollScenario struct {
+	name        string
+	everySecond func(u *pollingUsers, second int) // is called each second, and causes the faults
+	minFaults   int                               // the least number of leader changes or refusals
+	sameLeader  bool                              // whether the same controller leads all the time
 }
 
-// lagging has the watches tell late, and messages and the state service's answers take
-// some time.
-func (u *closeUsers) lagging(most time.Duration) {
+// addLatency delays watch events by up to maxWatchLag, responses of the state service by up to 30 ms
+// and messages by up to 15 ms.
+func (u *pollingUsers) addLatency(maxWatchLag time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	upTo := func(most time.Duration) func() time.Duration {
-		return func() time.Duration { return time.Duration(u.messageRand.Int64N(int64(most))) }
+	upTo := func(limit time.Duration) func() time.Duration {
+		return func() time.Duration { return time.Duration(u.messageRand.Int64N(int64(limit))) }
 	}
-	u.watchLag, u.storeLatency, u.transitTime = upTo(most), upTo(30*time.Millisecond), upTo(15*time.Millisecond)
+	u.watchLag, u.storeLatency, u.transitTime = upTo(maxWatchLag), upTo(30*time.Millisecond), upTo(15*time.Millisecond)
 }
 
-// refusal has the state service refuse a controller, which its peers may be cut off from
-// too, for some seconds.
-func (u *closeUsers) refusal(second, length int, name string, apart bool) {
+// refuseTemporarily is called each second. In second 0 it cuts a controller off from the state service,
+// and from its peers too if fromPeers is set; in second length it restores the links.
+func (u *pollingUsers) refuseTemporarily(second, length int, name string, fromPeers bool) {
 	switch {
 	case second == 0 && name != "":
-		u.refused = name
+		u.refusedController = name
 		u.cutFromStateService(name)
-		if apart {
+		if fromPeers {
 			u.breakLinks(name, u.otherControllers(name)...)
 		}
-		u.handled++
-	case second == length && u.refused != "":
-		u.healLinks(u.refused, append(u.otherControllers(u.refused), stateService)...)
+		u.faults++
+	case second == length && u.refusedController != "":
+		u.healLinks(u.refusedController, append(u.otherControllers(u.refusedController), stateService)...)
 	}
 }
 
-var closeScenes = []closeScene{
-	{"watches lag", func(*closeUsers, int) {}, 0, true},
-	{"the leader hands over", func(u *closeUsers, second int) {
-		if l := u.leader(); second%3 == 1 && l != "" {
-			to := u.otherControllers(l)
-			if u.nodes[l].member.TransferShards(context.Background(), to[u.planIntN(len(to))]) == nil {
-				u.handled++
+var pollScenarios = []pollScenario{
+	{"watches lag", func(*pollingUsers, int) {}, 0, true},
+	{"the leader transfers its shards", func(u *pollingUsers, second int) {
+		if leader := u.leader(); second%3 == 1 && leader != "" {
+			others := u.otherControllers(leader)
+			if u.nodes[leader].member.TransferShards(context.Background(), others[u.planIntN(len(others))]) == nil {
+				u.faults++
 			}
 		}
 	}, 6, false},
-	{"the leader ends", func(u *closeUsers, second int) {
-		if l := u.leader(); second%8 == 3 && l != "" {
-			u.restart(l, time.Duration(100+u.planIntN(3000))*time.Millisecond)
-			u.handled++
+	{"the leader crashes", func(u *pollingUsers, second int) {
+		if leader := u.leader(); second%8 == 3 && leader != "" {
+			u.restart(leader, time.Duration(100+u.planIntN(3000))*time.Millisecond)
+			u.faults++
 		}
 	}, 4, false},
-	{"the state service refuses a controller", func(u *closeUsers, second int) {
-		u.refusal(second%6, 4, u.controllerNames[u.planIntN(len(u.controllerNames))], false)
+	{"the state service refuses a controller", func(u *pollingUsers, second int) {
+		u.refuseTemporarily(second%6, 4, u.controllerNames[u.planIntN(len(u.controllerNames))], false)
 	}, 6, true},
-	{"the leader is apart from state service and peers", func(u *closeUsers, second int) {
-		u.refusal(second%12, 8, u.leader(), true)
+	{"the leader is cut off from the state service and its peers", func(u *pollingUsers, second int) {
+		u.refuseTemporarily(second%12, 8, u.leader(), true)
 	}, 4, false},
 }
 
-// closeTally is what happened in a scene's runs.
-type closeTally struct {
-	answers, refused, done, cancelled, handled, lateStarts int
-	behind                                                 int
-	unloaded, endKnown, cancelUnheard, repeated, delayed   int64
-	latestStart                                            time.Duration
+// pollStats sums the events of all runs of a scenario.
+type pollStats struct {
+	responses, refused, done, cancelled, faults, lateStarts int
+	staleQueued                                             int
+	notLoaded, endNotSeen, cancelNotSeen, repeated, delayed int64
+	longestStartDelay                                       time.Duration
 }
 
-func (s *closeTally) add(u *closeUsers) {
-	s.answers += u.seen.answers
-	s.refused += u.seen.refused
-	s.behind += u.seen.behind
-	for _, h := range u.seen.jobs {
+func (s *pollStats) add(u *pollingUsers) {
+	s.responses += u.checker.responses
+	s.refused += u.checker.refused
+	s.staleQueued += u.checker.staleQueued
+	for _, h := range u.checker.jobs {
 		if !h.done.IsZero() {
 			s.done++
 		} else if !h.cancelled.IsZero() {
 			s.cancelled++
 		}
 	}
-	s.handled += u.handled
+	s.faults += u.faults
 	s.lateStarts += u.lateStarts
-	s.latestStart = max(s.latestStart, u.latestStart)
-	s.unloaded += u.unloaded.Load()
-	s.endKnown += u.endKnown.Load()
-	s.cancelUnheard += u.cancelled.Load()
+	s.longestStartDelay = max(s.longestStartDelay, u.longestStartDelay)
+	s.notLoaded += u.notLoaded.Load()
+	s.endNotSeen += u.endNotSeen.Load()
+	s.cancelNotSeen += u.cancelUnseen.Load()
 	s.repeated += u.repeated.Load()
 	s.delayed += u.delayed.Load()
 }
 
-// Users ask at all controllers within milliseconds after their jobs were accepted,
-// ended or cancelled, and repeat the submissions, while watches lag and answers are
-// delayed: no controller answers anything older than what any controller had told.
+// Users poll all controllers within milliseconds after their jobs were accepted,
+// ended or cancelled, and repeat the submissions, while watches lag and responses are
+// delayed. No controller may return an older state than any controller returned before.
 func TestConcurrentPollsNeverSeeOlderState(t *testing.T) {
-	for i, s := range closeScenes {
+	for i, s := range pollScenarios {
 		t.Run(s.name, func(t *testing.T) {
-			var sum closeTally
+			var sum pollStats
 			for seed := range uint64(2) {
 				t.Run(fmt.Sprint(seed), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { sum.add(playCloseScene(t, &s, 1300+10*uint64(i)+seed)) })
+					synctest.Test(t, func(t *testing.T) { sum.add(runPollScenario(t, &s, 1300+10*uint64(i)+seed)) })
 				})
 			}
 			t.Logf("%+v", sum)
-			if sum.handled < s.least || sum.done < 40 || sum.cancelled < 15 || sum.unloaded < 50 || sum.endKnown < 10 ||
-				sum.cancelUnheard < 10 || sum.repeated < 200 || sum.delayed < 50 {
-				t.Error("too few of these")
+			if sum.faults < s.minFaults || sum.done < 40 || sum.cancelled < 15 || sum.notLoaded < 50 || sum.endNotSeen < 10 ||
+				sum.cancelNotSeen < 10 || sum.repeated < 200 || sum.delayed < 50 {
+				t.Error("the scenario did not cause enough of the events that it tests")
 			}
-			if s.stays && sum.behind > 0 {
-				t.Errorf("%d answers \"queued\" for running jobs", sum.behind)
+			if s.sameLeader && sum.staleQueued > 0 {
+				t.Errorf("%d responses said \"queued\" for running jobs", sum.staleQueued)
 			}
-			if sum.latestStart > inFlight {
-				t.Errorf("a task started %v after a confirmed cancel", sum.latestStart)
+			if sum.longestStartDelay > maxStartDelayAfterCancel {
+				t.Errorf("a task started %v after a confirmed cancel", sum.longestStartDelay)
 			}
 		})
 	}
 }
 
-// inFlight is how long after a confirmed cancel a start that was on its way may arrive.
-const inFlight = time.Second
+// maxStartDelayAfterCancel limits the time from a confirmed cancel to a start by a command that was sent before.
+const maxStartDelayAfterCancel = time.Second
 
-func playCloseScene(t *testing.T, s *closeScene, seed uint64) *closeUsers {
+func runPollScenario(t *testing.T, s *pollScenario, seed uint64) *pollingUsers {
 	const seconds = 32
 	w := newCluster(t, seed)
-	w.bigger(3, 8)
+	w.resize(3, 8)
 	w.keepBrokenLinks = true
-	u := newCloseUsers(w)
-	u.lagging(4 * time.Second)
-	u.later, u.stalls = 2, true
+	u := newPollingUsers(w)
+	u.addLatency(4 * time.Second)
+	u.pollsPerEndedJob, u.delayResponses = 2, true
 	for _, k := range w.workers {
 		k.RunTime = func(task string) time.Duration {
 			if strings.HasPrefix(task, "j-11") || strings.HasPrefix(task, "j-13") {
@@ -366,17 +367,17 @@
 	time.Sleep(2 * time.Second)
 	w.runFor(3)
 	for second := range seconds {
-		s.each(u, second)
+		s.everySecond(u, second)
 		for i := range 2 {
 			job, tasks := fmt.Sprintf("j-%d", 100+2*second+i), 1+w.planIntN(2)
 			cancelAfter := time.Duration(0)
 			if w.planIntN(3) == 0 {
 				cancelAfter = time.Duration(1+w.planIntN(3000)) * time.Millisecond
 			}
-			from := time.Duration(w.planIntN(1000)) * time.Millisecond
+			startDelay := time.Duration(w.planIntN(1000)) * time.Millisecond
 			u.pending.Go(func() {
-				time.Sleep(from)
-				u.follow(job, tasks, cancelAfter, time.Minute)
+				time.Sleep(startDelay)
+				u.runUser(job, tasks, cancelAfter, time.Minute)
 			})
 		}
 		w.runFor(1)
@@ -384,10 +385,10 @@
 	w.healAllLinks()
 	w.startStopped()
 	w.runFor(75)
-	u.finish(t)
-	for job, h := range u.seen.jobs {
+	u.finishAndCheck(t)
+	for job, h := range u.checker.jobs {
 		if h.done.IsZero() && h.cancelled.IsZero() && !h.accepted.IsZero() {
-			t.Errorf("%s was accepted, and is not over", job)
+			t.Errorf("%s was accepted, but is neither done nor cancelled", job)
 		}
 	}
 	return u
--- a/internal/testkit/drawn_faults_test.go
+++ b/internal/testkit/drawn_faults_test.go
@@ -26,7 +26,7 @@
 				w.violation = fmt.Sprintf(format, args...)
 			}
 		}
-		w.bigger(controllers, workers)
+		w.resize(controllers, workers)
 		w.startControllers()
 		time.Sleep(2 * time.Second)
 		play(w)
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -185,7 +185,7 @@
 	s.allJobs, s.byUID[job.uid] = append(s.allJobs, job), job
 	s.jobsMu.Unlock()
 	for status := 0; status != http.StatusCreated && status != http.StatusOK; {
-		if status, _ = s.request(s.anyController(), http.MethodPost, "/api/jobs", submissionWith(job.uid, nil)); status/100 != 2 {
+		if status, _ = s.httpRequest(s.anyController(), http.MethodPost, "/api/jobs", submissionBodyWith(job.uid, nil)); status/100 != 2 {
 			time.Sleep(time.Second)
 		}
 	}
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -12,7 +12,7 @@
 	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
-// peer is another controller, if a message comes through to it now.
+// peer returns another controller, or errCut if no message reaches it now.
 func (n *node) peer(name string) (*node, error) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -23,61 +23,61 @@
 	return to, nil
 }
 
-// overLink carries a request to a worker.
-func overLink[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
-	return carry(ctx, w.drawDelay(&w.messageDelay), w.drawDelay(&w.messageDelay), carryOut)
+// callWorker sends a request to a worker over a link with delays, and returns its response.
+func callWorker[T any](ctx context.Context, w *cluster, handle func() (T, error)) (T, error) {
+	return roundTrip(ctx, w.drawDelay(&w.messageDelay), w.drawDelay(&w.messageDelay), handle)
 }
 
-// overPeerLink carries a request to a peer.
-func overPeerLink[T any](ctx context.Context, w *cluster, carryOut func() (T, error)) (T, error) {
+// callPeer sends a request to a peer over a link with delays, and returns its response.
+func callPeer[T any](ctx context.Context, w *cluster, handle func() (T, error)) (T, error) {
 	oneWay := func() time.Duration { return w.drawDelay(&w.messageDelay) + w.drawDelay(&w.transitTime) }
-	return carry(ctx, oneWay(), oneWay(), carryOut)
+	return roundTrip(ctx, oneWay(), oneWay(), handle)
 }
 
-// carry has a request arrive after a time, and its answer come back after another. A
-// request that takes time is carried out even if nobody waits for it any more, and its
-// answer may come too late.
-func carry[T any](ctx context.Context, there, back time.Duration, carryOut func() (T, error)) (T, error) {
-	if there+back == 0 {
-		return carryOut()
+// roundTrip calls handle after requestDelay, and returns its result after responseDelay. If ctx ends
+// before, it returns the context's error. The request is in flight then: handle is still called, and its result
+// is dropped.
+func roundTrip[T any](ctx context.Context, requestDelay, responseDelay time.Duration, handle func() (T, error)) (T, error) {
+	if requestDelay+responseDelay == 0 {
+		return handle()
 	}
-	type answer struct {
+	type result struct {
 		value T
 		err   error
 	}
-	got := make(chan answer, 1)
+	results := make(chan result, 1)
 	go func() {
-		time.Sleep(there)
-		value, err := carryOut()
-		time.Sleep(back)
-		got <- answer{value, err}
+		time.Sleep(requestDelay)
+		value, err := handle()
+		time.Sleep(responseDelay)
+		results <- result{value, err}
 	}()
 	select {
-	case a := <-got:
-		return a.value, a.err
+	case r := <-results:
+		return r.value, r.err
 	case <-ctx.Done():
 		var none T
 		return none, ctx.Err()
 	}
 }
 
-// delayLinks sets how long messages to workers and peers take; nil: no time.
+// delayLinks sets the one-way delay of messages to workers and peers; nil: none.
 func (w *cluster) delayLinks(delay func() time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.messageDelay = delay
 }
 
-// linksAreSlow reports whether messages to workers and peers take time.
+// linksAreSlow reports whether messages to workers and peers are delayed.
 func (w *cluster) linksAreSlow() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.messageDelay != nil
 }
 
-// reportSlowly lets a worker report over a slow link: it has one report under way at a
-// time, and the others do not wait for it.
-func (w *cluster) reportSlowly(k *testkit.Worker) {
+// reportOverSlowLink sends a worker's report in a goroutine of its own, unless an earlier report of the
+// worker is still in flight.
+func (w *cluster) reportOverSlowLink(k *testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.reporting[k] {
@@ -93,8 +93,8 @@
 	}()
 }
 
-// besideSlow does something now, or beside the rest while links are slow.
-func (w *cluster) besideSlow(do func()) {
+// goIfLinksSlow calls do, in a goroutine of its own if links are slow.
+func (w *cluster) goIfLinksSlow(do func()) {
 	if w.linksAreSlow() {
 		go do()
 		return
@@ -102,18 +102,18 @@
 	do()
 }
 
-// ended reports whether a controller is down.
-func (n *node) ended() bool {
+// isDown reports whether a controller is down.
+func (n *node) isDown() bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.down
 }
 
-// onDuty has a controller do something that waits for workers' or peers' answers. While
-// links are slow it does so beside the rest, one at a time of each duty, as cmd/wallrack's
-// loops do, and until it ends. Done in place, it stopped the world for as long as the
-// answers took: no worker reported meanwhile, and all leases ended for no fault.
-func (n *node) onDuty(duty string, do func(ctx context.Context)) {
+// runDuty calls do, which waits for responses of workers or peers. While links are slow it calls do in a
+// goroutine of its own, at most one at a time for each duty, as cmd/wallrack's loops do, and a crash of the
+// controller waits for it. Otherwise the whole simulation waits for the responses: no worker reports meanwhile,
+// and all leases expire without a fault.
+func (n *node) runDuty(duty string, do func(ctx context.Context)) {
 	w := n.cluster
 	if !w.linksAreSlow() {
 		do(n.ctx)
@@ -133,11 +133,11 @@
 	})
 }
 
-// publishWithin is how long a message about workers is waited for.
-const publishWithin = 4 * time.Second
+// publishTimeout limits the wait for the reply to a message with worker views.
+const publishTimeout = 4 * time.Second
 
-// publishTo tells a peer what changed on the workers held here, as cmd/wallrack does: one
-// message at a time.
+// publishTo sends a peer the changes of the workers that report to this controller, one message at a time, as
+// cmd/wallrack does.
 func (n *node) publishTo(to *node) {
 	if !n.publishTurns.TryAcquire(to.name) {
 		return
@@ -148,8 +148,8 @@
 		if m == nil {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), publishWithin)
-		reply, err := overLink(ctx, n.cluster, func() (viewsync.Reply, error) { return n.cluster.carryViews(n, to, m) })
+		ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
+		reply, err := callWorker(ctx, n.cluster, func() (viewsync.Reply, error) { return n.cluster.exchangeViews(n, to, m) })
 		cancel()
 		if err != nil {
 			return
@@ -158,24 +158,24 @@
 	}
 }
 
-// carryViews takes a message to a peer, and its reply back, as they travel.
-func (w *cluster) carryViews(from, to *node, m *viewsync.Message) (viewsync.Reply, error) {
+// exchangeViews delivers a message with worker views to a peer, encoded and decoded as on the wire, and returns the reply.
+func (w *cluster) exchangeViews(from, to *node, m *viewsync.Message) (viewsync.Reply, error) {
 	if w.loseViews != nil && w.loseViews(from, to) {
 		return viewsync.Reply{}, errLinkDown
 	}
 	data, err := json.Marshal(m)
 	if err != nil {
-		w.fail("%s's views can't be encoded: %v", from.name, err)
+		w.fail("worker views of %s can't be encoded: %v", from.name, err)
 		return viewsync.Reply{}, err
 	}
 	var arrived viewsync.Message
 	if err := json.Unmarshal(data, &arrived); err != nil {
-		w.fail("%s's views can't be decoded: %v", from.name, err)
+		w.fail("worker views of %s can't be decoded: %v", from.name, err)
 		return viewsync.Reply{}, err
 	}
 	reply, err := to.receiver.HandleMessage(&arrived)
 	if errors.Is(err, viewsync.ErrMalformed) {
-		w.fail("%s refused %s's views: %v", to.name, from.name, err)
+		w.fail("%s rejected worker views of %s as malformed: %v", to.name, from.name, err)
 	}
 	if w.loseViews != nil && w.loseViews(to, from) {
 		return viewsync.Reply{}, errLinkDown
@@ -183,23 +183,25 @@
 	return reply, nil
 }
 
-// attestLease is how long all controllers must have left a worker unanswered.
-const attestLease = workerLease + 500*time.Millisecond
+// minUnanswered is the time since the last response of any controller to a worker after which the worker's lease
+// has certainly expired.
+const minUnanswered = workerLease + 500*time.Millisecond
 
-// attest settles unresponsive workers as cmd/wallrack does: one after the other the peers say
-// for how long they left a worker unanswered.
-func (n *node) attest(ctx context.Context) {
+// attestUnresponsiveWorkers asks all peers in turn for the time since their last response to each unresponsive
+// worker, as cmd/wallrack does. If no controller responded for minUnanswered, it tells the scheduler that
+// the worker's lease has expired.
+func (n *node) attestUnresponsiveWorkers(ctx context.Context) {
 	w := n.cluster
-	_, silent := n.scheduler.UnresponsiveWorkers(workerLease)
-	for i := range silent {
-		name, all := silent[i].Name, true
-		a := dispatch.NewAttestation(time.Now(), []float64{n.dispatcher.UnansweredFor(name).Seconds()})
+	_, unresponsive := n.scheduler.UnresponsiveWorkers(workerLease)
+	for i := range unresponsive {
+		name, allReplied := unresponsive[i].Name, true
+		attestation := dispatch.NewAttestation(time.Now(), []float64{n.dispatcher.UnansweredFor(name).Seconds()})
 		for _, peer := range w.controllerNames {
 			if peer == n.name {
 				continue
 			}
 			ctx, cancel := context.WithTimeout(ctx, time.Second)
-			unanswered, err := overLink(ctx, w, func() (time.Duration, error) {
+			unanswered, err := callWorker(ctx, w, func() (time.Duration, error) {
 				to, err := n.peer(peer)
 				if err != nil {
 					return 0, err
@@ -207,10 +209,10 @@
 				return to.dispatcher.UnansweredFor(name), nil
 			})
 			cancel()
-			all = all && err == nil && a.Add([]float64{unanswered.Seconds()})
+			allReplied = allReplied && err == nil && attestation.Add([]float64{unanswered.Seconds()})
 		}
-		if all && a.LeaseExpired(0, time.Now(), attestLease.Seconds()) {
-			n.scheduler.LeaseAttestedExpired(name, a.StartedAt())
+		if allReplied && attestation.LeaseExpired(0, time.Now(), minUnanswered.Seconds()) {
+			n.scheduler.LeaseAttestedExpired(name, attestation.StartedAt())
 		}
 	}
 }
--- a/internal/testkit/lost_renewal_test.go
+++ b/internal/testkit/lost_renewal_test.go
@@ -8,19 +8,18 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Guards against a lease that the leader counts from an answer which its worker never got.
-
-// Tasks that save are stopped in time although the last answer before a worker's reports stop
-// was lost, and none is started that its lease kills.
-func TestTasksAreSavedAlthoughLastAnswerWasLost(t *testing.T) {
-	const savers, tiny = "j-save", "j-tiny"
+// The last response before a worker's reports stop is lost. Tasks that can save are still stopped early enough
+// to save, and no task is started that the end of the lease kills. Otherwise the leader counts the lease from a
+// response that the worker never received.
+func TestTasksAreSavedAfterLostResponse(t *testing.T) {
+	const canSave, short = "j-save", "j-tiny"
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 710)
-		w.bigger(3, 8)
+		w.resize(3, 8)
 		w.machineTypes = 8
 		w.promptCommands, w.keepBrokenLinks, w.skipInventoryPoll, w.losslessReports = true, true, true, true
 		ledger := w.follow(func(task string) time.Duration {
-			if task[:len(tiny)] == tiny {
+			if task[:len(short)] == short {
 				return time.Second
 			}
 			return time.Minute
@@ -28,35 +27,35 @@
 		w.startControllersOneByOne()
 		time.Sleep(2 * time.Second)
 		w.accept(&wire.Job{
-			UID: savers, Class: savers, Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 16, CPUs: 1, MemoryGB: 1,
+			UID: canSave, Class: canSave, Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 16, CPUs: 1, MemoryGB: 1,
 			Image: "i", ImageGB: 0.1, EstimateS: 60, Spot: true, CheckpointIntervalS: 30, CheckpointSaveS: 1,
 		})
 		w.runFor(8)
 		w.accept(&wire.Job{
-			UID: tiny, Class: tiny, Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 4000, CPUs: 1, MemoryGB: 1,
+			UID: short, Class: short, Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 4000, CPUs: 1, MemoryGB: 1,
 			Image: "i", ImageGB: 0.1, EstimateS: 1, Spot: true,
 		})
 		w.runFor(3)
-		cut := w.byJobs(savers)[0]
+		cut := w.byJobs(canSave)[0]
 		session := w.session(cut)
 		w.unreported(cut)
 		ledger.cutOff(w, cut)
-		w.runFor(len(w.controllerNames)) // its reports to all are lost: it is back at the leader then
+		w.runFor(len(w.controllerNames)) // it tries each controller once, without success, and then the leader again
 		w.healAllLinks()
 		w.breakLinksTo(cut, w.controllerNames...)
-		w.runFor(1) // this one is answered, and the answer is lost
+		w.runFor(1) // the next report arrives, and its response is lost
 		w.healAllLinks()
 		w.unreported(cut)
 		w.runFor(12)
 		if w.session(cut) == session {
 			t.Error("the lease did not end")
 		}
-		t.Logf("killed %v, stopped %v, %d of %d late starts killed", ledger.killed, ledger.stopped, ledger.late, len(ledger.started))
-		if ledger.killed[savers] > 0 || ledger.stopped[savers] == 0 {
-			t.Errorf("of the tasks that can save %d were killed, %d stopped", ledger.killed[savers], ledger.stopped[savers])
+		t.Logf("killed %v, stopped %v, %d of %d tasks that started late were killed", ledger.killed, ledger.stopped, ledger.late, len(ledger.started))
+		if ledger.killed[canSave] > 0 || ledger.stopped[canSave] == 0 {
+			t.Errorf("%d tasks that can save were killed, %d were stopped", ledger.killed[canSave], ledger.stopped[canSave])
 		}
 		if ledger.late > 0 {
-			t.Errorf("%d starts were killed on a worker whose lease was known not to be renewed", ledger.late)
+			t.Errorf("%d tasks were started after the leader knew that the lease was not renewed, and killed", ledger.late)
 		}
 		ledger.healed(w)
 		w.finishes(2)
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -24,7 +24,7 @@
 }
 
 func (n *node) GrantRemote(ctx context.Context, at string, requests []dispatch.GrantRequest) ([]dispatch.GrantReply, error) {
-	return overPeerLink(ctx, n.cluster, func() ([]dispatch.GrantReply, error) {
+	return callPeer(ctx, n.cluster, func() ([]dispatch.GrantReply, error) {
 		to, err := n.peer(at)
 		if err != nil {
 			return nil, err
@@ -40,7 +40,7 @@
 	if holder == n.name {
 		return n.dispatcher.ApplyInstructions(d), nil
 	}
-	return overPeerLink(ctx, n.cluster, func() (dispatch.Unlaunched, error) {
+	return callPeer(ctx, n.cluster, func() (dispatch.Unlaunched, error) {
 		to, err := n.peer(holder)
 		if err != nil {
 			return dispatch.Unlaunched{}, err
@@ -69,7 +69,7 @@
 		executed bool
 	}
 	sent := time.Now() // over a slow link it arrives later
-	a, err := overLink(ctx, n.cluster, func() (a outcome, err error) {
+	a, err := callWorker(ctx, n.cluster, func() (a outcome, err error) {
 		a.report, a.executed, err = n.deliverCommands(endpoint, o, sent)
 		return a, err
 	})
@@ -87,7 +87,7 @@
 		return nil, false, errLinkDown
 	}
 	if worker.IsHung() {
-		n.cluster.checks.sent(n, sent)
+		n.cluster.checks.setSender(n, sent)
 		worker.HandleCommands(o) // executed when the worker resumes
 		return nil, false, errLinkDown
 	}
@@ -104,11 +104,11 @@
 		n.cluster.holdCommands(n, worker, o, sent)
 		return nil, false, errLinkDown
 	case 1:
-		n.cluster.checks.sent(n, sent)
+		n.cluster.checks.setSender(n, sent)
 		worker.HandleCommands(o)
 		return nil, false, errLinkDown
 	}
-	n.cluster.checks.sent(n, sent)
+	n.cluster.checks.setSender(n, sent)
 	executed := worker.HandleCommands(o)
 	r := worker.Report()
 	r.Endpoint = endpoint
@@ -117,7 +117,7 @@
 
 // holdCommands keeps a direct message until deliverHeldCommands is called.
 func (w *cluster) holdCommands(from *node, to *testkit.Worker, o wire.Orders, sent time.Time) {
-	w.heldCommands = append(w.heldCommands, func() { w.checks.sent(from, sent); to.HandleCommands(o) })
+	w.heldCommands = append(w.heldCommands, func() { w.checks.setSender(from, sent); to.HandleCommands(o) })
 }
 
 // deliverHeldCommands delivers the held direct messages and returns their number.
@@ -137,7 +137,7 @@
 
 // FetchReport requests a worker's report.
 func (n *node) FetchReport(ctx context.Context, endpoint string) (*wire.Report, error) {
-	return overLink(ctx, n.cluster, func() (*wire.Report, error) {
+	return callWorker(ctx, n.cluster, func() (*wire.Report, error) {
 		n.cluster.mu.Lock()
 		defer n.cluster.mu.Unlock()
 		worker := n.cluster.byName[endpoint]
--- a/internal/testkit/on_cluster_test.go
+++ b/internal/testkit/on_cluster_test.go
@@ -28,7 +28,7 @@
 			w.stopAll()
 			time.Sleep(15 * time.Second) // for transactions still in flight
 		}()
-		w.bigger(controllers, workers)
+		w.resize(controllers, workers)
 		w.setLongTasks()
 		w.startControllersOneByOne()
 		w.keepBrokenLinks = true
