--- a/internal/testkit/autoscaled_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -134,7 +134,7 @@
 	}
 	c.mu.Unlock()
 	for _, k := range fresh {
-		c.report(k)
+		c.sendReport(k)
 	}
 	c.check()
 }
@@ -149,9 +149,9 @@
 			time.Sleep(reportEvery / 4)
 			c.settle()
 		}
-		c.reportAll()
-		c.exchange()
-		c.publish()
+		c.sendReports()
+		c.exchangeReachability()
+		c.publishViews()
 	}
 	return holds == nil || holds()
 }
--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -35,7 +35,7 @@
 // has ended, but at most once every half second.
 func (r *endRace) reportOnChange(k *testkit.Worker, stop <-chan struct{}) {
 	for {
-		r.report(k)
+		r.sendReport(k)
 		last := time.Now()
 		next := last.Add(reportEvery*3/4 + time.Duration(r.draw(int(reportEvery/2))))
 		for time.Now().Before(next) {
@@ -228,8 +228,8 @@
 	for range 26 * 4 {
 		time.Sleep(250 * time.Millisecond)
 		w.check()
-		w.exchange()
-		w.publish()
+		w.exchangeReachability()
+		w.publishViews()
 	}
 	r.pending.Wait()
 	close(stop)
--- a/internal/testkit/cancel_transfer_test.go
+++ b/internal/testkit/cancel_transfer_test.go
@@ -282,7 +282,7 @@
 			if _, heard := h.user(h.giver, http.MethodPost, "j-82"); !heard { // makes room for tasks of the others
 				h.t.Error("the first cancel is not heard")
 			}
-			h.reportAll()
+			h.sendReports()
 			time.Sleep(500 * time.Millisecond)
 			h.begin(0)
 			h.cutAll(h.giver, append(h.workerNames(), h.taker, h.third, stateService)...)
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -84,7 +84,7 @@
 		if time.Now().After(end) {
 			t.Fatalf("only %v ended", w.store.Keys("final/"))
 		}
-		w.exchange()
+		w.exchangeReachability()
 		mu.Lock()
 		rep := w.workers[0].Report()
 		rep.Endpoint = w.workers[0].Name
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -122,7 +122,7 @@
 	stop          context.CancelFunc
 	done          chan struct{}
 	down          bool // crashed
-	reach         reach
+	reach         reachabilityState
 	cancellations *cancellation.Registry
 	entitled      bool // when last looked at
 	knownCancels  knownCancels
@@ -147,8 +147,8 @@
 	if from == nil || to == nil || from.down || to.down {
 		return false
 	}
-	by := w.nodes[from.reach.way(to.name)]
-	return by != nil && !by.down && w.works(from.name, by.name) && (by == to || w.works(by.name, to.name))
+	by := w.nodes[from.reach.nextHop(to.name)]
+	return by != nil && !by.down && w.linkWorks(from.name, by.name) && (by == to || w.linkWorks(by.name, to.name))
 }
 
 func (w *cluster) start(name string) {
@@ -157,7 +157,7 @@
 	n.reach.init(n)
 	n.view = &testkit.View{
 		Store: w.store,
-		Down:  func() bool { w.mu.Lock(); defer w.mu.Unlock(); return n.down || !w.stored(n) },
+		Down:  func() bool { w.mu.Lock(); defer w.mu.Unlock(); return n.down || !w.reachesStore(n) },
 		Lose: func() bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -198,7 +198,7 @@
 	n.mux = http.NewServeMux()
 	n.submission.Register(n.mux)
 	n.member.OnLeadershipChange(n.scheduler.LeadershipChanged)
-	n.member.OnLinkAnnouncement(n.reach.stored)
+	n.member.OnLinkAnnouncement(n.reach.handleAnnouncement)
 	var wg sync.WaitGroup
 	runs := []func(context.Context) error{n.member.Run, n.scheduler.Run}
 	if w.extraDuties != nil {
--- a/internal/testkit/cluster_users_test.go
+++ b/internal/testkit/cluster_users_test.go
@@ -26,7 +26,7 @@
 		}
 		return out
 	}
-	v := n.linksSeen()
+	v := n.reachabilityView()
 	for i := range v.Peers {
 		if p := &v.Peers[i]; p.IsFresh() && p.Status.LeaseHeld {
 			add(p.Status.PreferredLeader)
@@ -36,7 +36,7 @@
 }
 
 // ServingPeers names the controllers that reach the state service.
-func (n *node) ServingPeers() []string { v := n.linksSeen(); return v.ServingPeers() }
+func (n *node) ServingPeers() []string { v := n.reachabilityView(); return v.ServingPeers() }
 
 // Healthy reports whether this controller takes users.
 func (n *node) Healthy() bool { return true }
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -244,13 +244,13 @@
 					w.healLinks(k.Name, w.names...)
 					w.crash(first)
 					for _, n := range w.names {
-						w.deliverCopies(w.nodes[n])
+						w.deliverLateReports(w.nodes[n])
 					}
 					w.start(first)
 					for range 4 {
 						w.live(1)
 						for _, n := range w.names {
-							w.deliverCopies(w.nodes[n])
+							w.deliverLateReports(w.nodes[n])
 						}
 					}
 					w.live(4)
--- a/internal/testkit/constraints_test.go
+++ b/internal/testkit/constraints_test.go
@@ -116,7 +116,7 @@
 		if time.Now().After(deadline) {
 			t.Fatalf("only %v ended", w.store.Keys("final/"))
 		}
-		w.reportAll()
+		w.sendReports()
 		on := map[string]int{}
 		w.mu.Lock()
 		for _, k := range w.workers {
@@ -230,10 +230,10 @@
 			if time.Now().After(end) {
 				t.Fatalf("only %v ended", w.store.Keys("final/"))
 			}
-			w.exchange()
+			w.exchangeReachability()
 			for _, k := range w.workers {
 				w.dispatcherOf[k] = 0
-				w.report(k)
+				w.sendReport(k)
 			}
 			time.Sleep(reportEvery)
 		}
--- a/internal/testkit/drawn_faults_test.go
+++ b/internal/testkit/drawn_faults_test.go
@@ -57,7 +57,7 @@
 					if time.Now().After(deadline) {
 						t.Fatalf("only %v ended", w.store.Keys("final/"))
 					}
-					w.reportAll()
+					w.sendReports()
 					w.step(calm)
 				}
 				clean := &testkit.View{Store: w.store}
--- a/internal/testkit/drawn_team_limits_test.go
+++ b/internal/testkit/drawn_team_limits_test.go
@@ -120,7 +120,7 @@
 	if l == "" {
 		return
 	}
-	if len(d.away)+len(d.hung) > 0 && (d.heldByLimit("capped") || d.heldByLimit("assured")) {
+	if len(d.away)+len(d.hung) > 0 && (d.waitsOnlyForLimit("capped") || d.waitsOnlyForLimit("assured")) {
 		d.changes++
 	}
 	switch d.draw(4) {
@@ -186,7 +186,7 @@
 	var seen drawnTroubles
 	for seed := range uint64(perRound * *rounds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			teamsAtLimits(t, 3000+seed, func(c *teamCluster) {
+			onTeamsAtLimits(t, 3000+seed, func(c *teamCluster) {
 				d := &drawnTroubles{teamCluster: c, away: map[*testkit.Worker]int{}, hung: map[*testkit.Worker]int{}}
 				if seed%2 == 1 {
 					c.delayLinks(func() time.Duration { return time.Duration(50+c.rnd.IntN(1100)) * time.Millisecond })
@@ -226,7 +226,7 @@
 						c.cancelAll(n, []string{uid}, 20)
 					}
 				}
-				c.finishes(append(long, "j-1", "j-2", "j-3", "j-4", "j-5")...)
+				c.awaitCompletion(append(long, "j-1", "j-2", "j-3", "j-4", "j-5")...)
 				seen.changes += min(d.changes, 1)
 				seen.confirms += min(d.confirms, 1)
 				seen.wentOn += min(d.wentOn, 1)
--- a/internal/testkit/fault_kinds_test.go
+++ b/internal/testkit/fault_kinds_test.go
@@ -171,7 +171,7 @@
 	{"old reports come again", 5, 25, nil, func(m *faultRun, _ int) {
 		for _, n := range m.names {
 			if m.draw(3) == 0 {
-				m.deliverCopies(m.nodes[n])
+				m.deliverLateReports(m.nodes[n])
 				*m.did++
 			}
 		}
@@ -284,7 +284,7 @@
 		}
 		m.lastOne = l
 		for _, n := range m.names {
-			m.deliverCopies(m.nodes[n])
+			m.deliverLateReports(m.nodes[n])
 		}
 		*m.did++
 	}, func(m *faultRun) { m.startAll() }},
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -339,8 +339,8 @@
 		}
 	}
 	time.Sleep(11 * time.Minute)
-	s.exchange()
-	s.publish()
+	s.exchangeReachability()
+	s.publishViews()
 	for _, name := range s.names {
 		n := s.nodes[name]
 		_, queued, orders := n.dispatcher.Depths() // of workers that report elsewhere, so long
--- a/internal/testkit/late_starts_test.go
+++ b/internal/testkit/late_starts_test.go
@@ -139,7 +139,7 @@
 			for range 3 {
 				time.Sleep(wait / 2)
 				w.cancelAll(w.others(w.leader())[0], all, 1)
-				w.reportAll()
+				w.sendReports()
 			}
 			w.live(60)
 			outdated += w.outdatedCommands
--- a/internal/testkit/lease_over_failover_test.go
+++ b/internal/testkit/lease_over_failover_test.go
@@ -44,9 +44,9 @@
 
 // play plays the scene with jobs that save and jobs that don't, and returns the ledger of their
 // tasks.
-func (c *leaseOverFailover) play(t *testing.T, w *cluster) *workLedger {
+func (c *leaseOverFailover) play(t *testing.T, w *cluster) *taskTracker {
 	const savers, old = "j-save", "j-old"
-	ledger := w.follow(func(string) time.Duration { return time.Minute }, func(task string) time.Duration {
+	ledger := w.trackTasks(func(string) time.Duration { return time.Minute }, func(task string) time.Duration {
 		if strings.HasPrefix(task, savers) {
 			return time.Second
 		}
@@ -55,31 +55,31 @@
 	w.startInTurn()
 	time.Sleep(2 * time.Second)
 	for uid, mark := range map[string]float64{savers: 30, old: 0} {
-		w.accept(&wire.Job{
+		w.recordAcceptedJob(&wire.Job{
 			UID: uid, Class: uid, Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 12, CPUs: 1, MemoryGB: 1,
 			Image: "i", ImageGB: 0.1, EstimateS: 60, Spot: true, CheckpointIntervalS: mark, CheckpointSaveS: mark / 30,
 		})
 		w.live(1)
 	}
 	w.live(15) // all run for longer than a lease
-	cut := w.byJobs(savers, old)[0]
-	session := w.session(cut)
+	cut := w.workersByJobs(savers, old)[0]
+	session := w.sessionOf(cut)
 	if c.answerLost {
 		w.unheard(cut, w.names...)
 		w.live(1)
 		w.healed()
 	}
-	w.unreported(cut)
-	ledger.cutOff(w, cut)
+	w.dropReports(cut)
+	ledger.markCut(w, cut)
 	w.live(c.endsAfter)
 	w.restart(w.leader(), 200*time.Millisecond)
 	if c.copies {
 		for _, name := range w.names {
-			w.deliverCopies(w.nodes[name])
+			w.deliverLateReports(w.nodes[name])
 		}
 	}
 	w.live(25)
-	if w.session(cut) == session {
+	if w.sessionOf(cut) == session {
 		t.Error("the lease did not end")
 	}
 	return ledger
@@ -100,7 +100,7 @@
 					w.promptCommands, w.keepCuts, w.losslessReports = true, true, true
 					ledger := c.play(t, w)
 					t.Logf("killed %v, stopped %v, %v until all ran elsewhere, %d still wait, %d returned",
-						ledger.killed, ledger.stopped, ledger.longest, len(ledger.left), w.returnedMachines)
+						ledger.killed, ledger.stopped, ledger.longest, len(ledger.interrupted), w.returnedMachines)
 					if ledger.stopped["j-old"] > 0 {
 						t.Errorf("%d tasks that had run for long and can't save were stopped", ledger.stopped["j-old"])
 					}
@@ -112,11 +112,11 @@
 							t.Errorf("%v until tasks of %s ran elsewhere", longest, uid)
 						}
 					}
-					if len(ledger.left) > 0 {
-						t.Errorf("%d tasks still wait", len(ledger.left))
+					if len(ledger.interrupted) > 0 {
+						t.Errorf("%d tasks still wait", len(ledger.interrupted))
 					}
-					ledger.healed(w)
-					w.finishes(2)
+					ledger.markHealed(w)
+					w.healAndAwaitJobs(2)
 				})
 			})
 		}
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -85,7 +85,7 @@
 	}
 	w.reporting[k] = true
 	go func() {
-		w.report(k)
+		w.sendReport(k)
 		w.check()
 		w.mu.Lock()
 		delete(w.reporting, k)
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -13,7 +13,7 @@
 
 // ObserveWorker hands a view to the leader here, as cmd/wallrack does.
 func (n *node) ObserveWorker(v dispatch.WorkerView) {
-	if seen := n.linksSeen(); v.Polled && seen.SharesWorkers() {
+	if seen := n.reachabilityView(); v.Polled && seen.SharesWorkers() {
 		v.Dispatcher = n.LeaderFor(v.Name)
 	}
 	n.scheduler.ObserveWorker(v)
@@ -80,7 +80,7 @@
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	worker := n.cluster.byName[endpoint]
-	if worker == nil || !n.cluster.works(n.name, endpoint) {
+	if worker == nil || !n.cluster.linkWorks(n.name, endpoint) {
 		if worker != nil && n.cluster.rnd.IntN(2) == 0 {
 			n.cluster.holdBack(n, worker, o, sent)
 		}
@@ -141,7 +141,7 @@
 		n.cluster.mu.Lock()
 		defer n.cluster.mu.Unlock()
 		worker := n.cluster.byName[endpoint]
-		if worker == nil || worker.Hangs() || !n.cluster.works(n.name, endpoint) {
+		if worker == nil || worker.Hangs() || !n.cluster.linkWorks(n.name, endpoint) {
 			return nil, errCut
 		}
 		r := worker.Report()
--- a/internal/testkit/on_cluster_test.go
+++ b/internal/testkit/on_cluster_test.go
@@ -101,8 +101,8 @@
 func (w *cluster) step(calm time.Time) {
 	time.Sleep(reportEvery)
 	w.check()
-	w.exchange()
-	w.publish()
+	w.exchangeReachability()
+	w.publishViews()
 	w.checkWaits()
 	if time.Now().Before(calm) {
 		if w.draw(4) == 0 {
@@ -118,7 +118,7 @@
 // live lets seconds pass, with no faults drawn and nothing healed.
 func (w *cluster) live(seconds int) {
 	for range seconds {
-		w.reportAll()
+		w.sendReports()
 		w.step(time.Time{}.Add(1))
 	}
 }
--- a/internal/testkit/partitions_test.go
+++ b/internal/testkit/partitions_test.go
@@ -104,7 +104,7 @@
 // playPartition cuts the links for a minute, and checks what it costs and that it heals.
 func playPartition(t *testing.T, p *partition, seed uint64, controllers int) {
 	t.Helper()
-	w, leader, others, live := settled(t, seed, controllers, 24)
+	w, leader, others, live := settledCluster(t, seed, controllers, 24)
 	p.cut(w, leader, others)
 	at := time.Now()
 	longest := time.Duration(0)
@@ -205,7 +205,7 @@
 				case 9:
 					w.unheard(k, name)
 				case 10: // late copies of reports, to whom they were for or not
-					w.deliverCopies(w.nodes[name])
+					w.deliverLateReports(w.nodes[name])
 				case 11: // nothing but the workers reach it
 					for _, x := range append([]string{stateService}, w.names...) {
 						if x != name {
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -17,45 +17,45 @@
 // stateService names the state service in the matrix of links.
 const stateService = "state"
 
-// works reports whether the link from one party to another works: between
+// linkWorks reports whether the link from one party to another linkWorks: between
 // controllers, to the state service, and between workers and controllers.
-func (w *cluster) works(from, to string) bool { return !w.brokenLinks[[2]string{from, to}] }
+func (w *cluster) linkWorks(from, to string) bool { return !w.brokenLinks[[2]string{from, to}] }
 
-// stored reports whether a controller's requests reach the state service, straight
+// reachesStore reports whether a controller's requests reach the state service, straight
 // or by a peer that passes them on.
-func (w *cluster) stored(n *node) bool {
-	if w.works(n.name, stateService) {
+func (w *cluster) reachesStore(n *node) bool {
+	if w.linkWorks(n.name, stateService) {
 		return true
 	}
-	by := n.reach.by
-	return by != "" && !w.nodes[by].down && w.works(n.name, by) && w.works(by, stateService)
+	storeRelay := n.reach.storeRelay
+	return storeRelay != "" && !w.nodes[storeRelay].down && w.linkWorks(n.name, storeRelay) && w.linkWorks(storeRelay, stateService)
 }
 
-// reach is a controller's view of the links, and what it does by it, as cmd/wallrack
+// reachabilityState is a controller's view of the links, and what it does by it, as cmd/wallrack
 // does.
-type reach struct {
+type reachabilityState struct {
 	node      *node
 	table     *reachability.Table
-	born      int64
+	startedMs      int64
 	seq       uint64
-	by        string // who passes requests to the state service on
-	silenceMu sync.Mutex
-	silence   reachability.FailureDetector
-	watch     reachability.TransferMonitor
-	plan      reachability.AssignmentPlanner
-	seats     []reachability.Assignment
-	room      int
-	here      int
-	announced time.Time
-	last      reachability.View // as of the last exchange
+	storeRelay        string // who passes requests to the state service on
+	detectorMu sync.Mutex
+	detector   reachability.FailureDetector
+	transferMonitor     reachability.TransferMonitor
+	planner      reachability.AssignmentPlanner
+	assignments     []reachability.Assignment
+	workerCapacity      int
+	workerCount      int
+	lastAnnouncement time.Time
+	lastView      reachability.View // as of the last exchange
 }
 
 const (
-	testGrace = 27 * time.Second // for which a controller answers workers when it hears of nobody
+	dispatchGrace = 27 * time.Second // for which a controller answers workers when it hears of nobody
 )
 
 // peers names the other controllers.
-func (r *reach) peers() (peers []string) {
+func (r *reachabilityState) peers() (peers []string) {
 	for _, name := range r.node.cluster.names {
 		if name != r.node.name {
 			peers = append(peers, name)
@@ -64,49 +64,49 @@
 	return peers
 }
 
-func (r *reach) init(n *node) {
+func (r *reachabilityState) init(n *node) {
 	r.node = n
-	r.table, r.born = reachability.NewTable(n.name, r.peers()), time.Now().UnixMilli()
-	r.silence = reachability.FailureDetector{Timeout: 5 * time.Second, Lease: workerLease, HeartbeatInterval: reportEvery, Grace: testGrace}
-	r.last = r.table.View(reachability.NodeStatus{Node: n.name}, time.Now())
+	r.table, r.startedMs = reachability.NewTable(n.name, r.peers()), time.Now().UnixMilli()
+	r.detector = reachability.FailureDetector{Timeout: 5 * time.Second, Lease: workerLease, HeartbeatInterval: reportEvery, Grace: dispatchGrace}
+	r.lastView = r.table.View(reachability.NodeStatus{Node: n.name}, time.Now())
 }
 
-func (r *reach) way(to string) string { return r.last.NextHop(to) }
+func (r *reachabilityState) nextHop(to string) string { return r.lastView.NextHop(to) }
 
-func (r *reach) row(state bool) reachability.NodeStatus {
+func (r *reachabilityState) status(state bool) reachability.NodeStatus {
 	n, now := r.node, time.Now()
 	r.seq++
 	reports, machines := n.dispatcher.RecentHeartbeats()
 	row := reachability.NodeStatus{
-		Node: n.name, StartedMs: r.born, Seq: r.seq, StoreReachable: state, LeaseHeld: n.member.LeaseRemaining() > 0, LeadsShards: len(n.member.LedShards()) > 0,
+		Node: n.name, StartedMs: r.startedMs, Seq: r.seq, StoreReachable: state, LeaseHeld: n.member.LeaseRemaining() > 0, LeadsShards: len(n.member.LedShards()) > 0,
 		Heartbeats: reports, ExpectedHeartbeats: float64(machines) / reportEvery.Seconds() * dispatch.HeartbeatWindow.Seconds(), UnreachedPeers: r.table.UnreachedPeers(now),
 	}
 	if o := n.member.ShardLeaders(); len(o) > 0 {
 		row.PreferredLeader = o[0]
 	}
-	row.Assignments, row.WorkerCapacity, row.WorkerCount = r.seats, r.room, r.here
+	row.Assignments, row.WorkerCapacity, row.WorkerCount = r.assignments, r.workerCapacity, r.workerCount
 	if len(row.UnreachedPeers) > 0 || r.table.UnreachedByPeers(now) {
 		row.HeardWorkers = reachability.NewNameSet(n.dispatcher.WorkersHeardWithin(workerLease), 4096)
 	}
 	return row
 }
 
-func (r *reach) stored(value json.RawMessage) {
+func (r *reachabilityState) handleAnnouncement(value json.RawMessage) {
 	var row reachability.NodeStatus
 	if json.Unmarshal(value, &row) == nil {
 		r.table.Update(row, reachability.ViaStore, 0, time.Now())
 	}
 }
 
-// linksSeen is the view of the links as of the last exchange.
-func (n *node) linksSeen() reachability.View {
+// reachabilityView is the view of the links as of the last exchange.
+func (n *node) reachabilityView() reachability.View {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	return n.reach.last
+	return n.reach.lastView
 }
 
 func (n *node) LeaderFor(worker string) string {
-	v := n.linksSeen()
+	v := n.reachabilityView()
 	v.Self.LeaseHeld = n.member.LeaseRemaining() > 0
 	if o := n.member.ShardLeaders(); len(o) > 0 {
 		v.Self.PreferredLeader = o[0]
@@ -115,18 +115,18 @@
 }
 
 func (n *node) MayAnswerWorkers() bool {
-	return n.member.FencingToken() > 0 && time.Since(n.cancellations.KnownUntil()) < testGrace
+	return n.member.FencingToken() > 0 && time.Since(n.cancellations.KnownUntil()) < dispatchGrace
 }
 
 func (n *node) Isolated() bool {
-	v := n.linksSeen()
+	v := n.reachabilityView()
 	v.Self.LeadsShards = len(n.member.LedShards()) > 0
 	return v.Isolated()
 }
 
-// exchange has the controllers tell each other, as far as links work, and act by
+// exchangeReachability has the controllers tell each other, as far as links work, and act by
 // what they then know.
-func (w *cluster) exchange() {
+func (w *cluster) exchangeReachability() {
 	now := time.Now()
 	var living []*node
 	for _, name := range w.names {
@@ -137,7 +137,7 @@
 	straight := map[*node]bool{}
 	w.mu.Lock()
 	for _, n := range living {
-		straight[n] = w.works(n.name, stateService)
+		straight[n] = w.linkWorks(n.name, stateService)
 	}
 	w.mu.Unlock()
 	for _, n := range living {
@@ -147,13 +147,13 @@
 				continue
 			}
 			w.mu.Lock()
-			ok := !to.down && w.works(n.name, name)
+			ok := !to.down && w.linkWorks(n.name, name)
 			w.mu.Unlock()
 			n.reach.table.RecordCall(name, ok, true)
 			if ok {
-				to.reach.table.Update(n.reach.row(straight[n]), reachability.Direct, 0, now)
+				to.reach.table.Update(n.reach.status(straight[n]), reachability.Direct, 0, now)
 				to.reach.table.UpdateRelayed(n.reach.table.RelayFor(name, now), now)
-				n.reach.table.Update(to.reach.row(straight[to]), reachability.Direct, 0, now)
+				n.reach.table.Update(to.reach.status(straight[to]), reachability.Direct, 0, now)
 				n.reach.table.UpdateRelayed(to.reach.table.RelayFor(n.name, now), now)
 				w.tellCancels(n, to)
 			}
@@ -162,65 +162,65 @@
 	w.watchCancels(context.Background(), living)
 	for _, n := range living {
 		r := &n.reach
-		v := r.table.View(r.row(straight[n]), now)
-		r.seat(now, &v)
+		v := r.table.View(r.status(straight[n]), now)
+		r.planAssignments(now, &v)
 		w.mu.Lock()
-		r.last, r.by = v, ""
+		r.lastView, r.storeRelay = v, ""
 		if served := v.ServingPeers(); !straight[n] && len(served) > 0 {
-			r.by = served[0]
+			r.storeRelay = served[0]
 		}
 		w.mu.Unlock()
-		if v.Self.LeaseHeld && now.Sub(r.announced) >= reachability.AnnounceEvery && len(v.UnreachedPeers()) > 0 {
-			r.announced = now
+		if v.Self.LeaseHeld && now.Sub(r.lastAnnouncement) >= reachability.AnnounceEvery && len(v.UnreachedPeers()) > 0 {
+			r.lastAnnouncement = now
 			_ = n.member.AnnounceLinks(context.Background(), v.Self) // a row that is lost is followed by the next
 		}
-		if to := r.watch.Check(now, &v, n.member.RecentTransfers(reachability.TransferWindow)); to != "" {
+		if to := r.transferMonitor.Check(now, &v, n.member.RecentTransfers(reachability.TransferWindow)); to != "" {
 			_ = n.member.TransferShards(context.Background(), to) // tried again if it fails
 		}
 		if v.TakenForLeader() {
 			n.member.ReadShards(context.Background())
 		}
 		if v.Self.LeadsShards && w.keepCuts {
-			w.judge(n, &v)
+			w.deleteFailedWorkers(n, &v)
 		}
 	}
 }
 
-// seat shares out the workers as cmd/wallrack does, by the room that the test sets.
-func (r *reach) seat(now time.Time, v *reachability.View) {
-	room := r.node.cluster.connectionLimits[r.node.name]
-	here := r.node.dispatcher.CountReporting(5 * reportEvery / 2)
-	r.seats = r.plan.Plan(now, v, here, room, reportEvery)
-	r.room, r.here = 0, 0
-	if v.Self.Assignments = r.seats; v.SharesWorkers() {
-		r.room, r.here = room, here
+// planAssignments shares out the workers as cmd/wallrack does, by the room that the test sets.
+func (r *reachabilityState) planAssignments(now time.Time, v *reachability.View) {
+	workerCapacity := r.node.cluster.connectionLimits[r.node.name]
+	workerCount := r.node.dispatcher.CountReporting(5 * reportEvery / 2)
+	r.assignments = r.planner.Plan(now, v, workerCount, workerCapacity, reportEvery)
+	r.workerCapacity, r.workerCount = 0, 0
+	if v.Self.Assignments = r.assignments; v.SharesWorkers() {
+		r.workerCapacity, r.workerCount = workerCapacity, workerCount
 	}
-	v.Self.WorkerCapacity = r.room
+	v.Self.WorkerCapacity = r.workerCapacity
 }
 
-// judge returns the machines that a leader gives up. A machine whose worker a
+// deleteFailedWorkers returns the machines that a leader gives up. A machine whose worker a
 // controller heard a moment ago must not be among them.
-func (w *cluster) judge(n *node, v *reachability.View) {
+func (w *cluster) deleteFailedWorkers(n *node, v *reachability.View) {
 	r := &n.reach
-	known, silent := n.scheduler.UnresponsiveWorkers(r.silence.Threshold())
-	r.silenceMu.Lock()
-	verdict := r.silence.Evaluate(time.Now(), v, reachability.ReceiveHealth{}, known, silent)
-	r.silenceMu.Unlock()
+	known, silent := n.scheduler.UnresponsiveWorkers(r.detector.Threshold())
+	r.detectorMu.Lock()
+	verdict := r.detector.Evaluate(time.Now(), v, reachability.ReceiveHealth{}, known, silent)
+	r.detectorMu.Unlock()
 	for name, m := range verdict.Probe {
 		n.onDuty("silence of "+name, func(ctx context.Context) {
-			heard := n.lives(ctx, m)
+			heard := n.probeWorker(ctx, m)
 			if heard && m.OutboundLost {
 				n.scheduler.WorkerResponded(name)
 			}
-			r.silenceMu.Lock()
-			defer r.silenceMu.Unlock()
-			r.silence.RecordProbe(name, heard, time.Now())
+			r.detectorMu.Lock()
+			defer r.detectorMu.Unlock()
+			r.detector.RecordProbe(name, heard, time.Now())
 		})
 	}
 	for name, why := range verdict.Failed {
 		w.mu.Lock()
 		h, k := w.lastHeartbeats[name], w.byName[name]
-		if at := h.last; k != nil && time.Since(at) < 3*reportEvery && time.Since(h.since) > surely {
+		if at := h.last; k != nil && time.Since(at) < 3*reportEvery && time.Since(h.since) > minHeartbeatHistory {
 			seen := ""
 			for _, x := range w.names {
 				seen += fmt.Sprintf(" %s %v", x, w.nodes[x].dispatcher.SinceHeartbeat(name))
@@ -248,8 +248,8 @@
 	}
 }
 
-// lives asks a worker, and has all peers ask it, whether it lives.
-func (n *node) lives(ctx context.Context, m reachability.UnresponsiveWorker) bool {
+// probeWorker asks a worker, and has all peers ask it, whether it probeWorker.
+func (n *node) probeWorker(ctx context.Context, m reachability.UnresponsiveWorker) bool {
 	w := n.cluster
 	heard := m.Endpoint != "" && n.dispatcher.PollWorker(ctx, m.Name, m.Endpoint)
 	for _, p := range w.names { // and its peers are asked whether they hear it
@@ -257,7 +257,7 @@
 		to := w.nodes[p]
 		ok := to != n && w.reach(n, to)
 		w.mu.Unlock()
-		heard = heard || ok && (!m.OutboundLost && to.dispatcher.SinceHeartbeat(m.Name) < n.reach.silence.Timeout || m.Endpoint != "" && to.dispatcher.PollWorker(ctx, m.Name, m.Endpoint))
+		heard = heard || ok && (!m.OutboundLost && to.dispatcher.SinceHeartbeat(m.Name) < n.reach.detector.Timeout || m.Endpoint != "" && to.dispatcher.PollWorker(ctx, m.Name, m.Endpoint))
 	}
 	return heard
 }
@@ -265,11 +265,11 @@
 // heartbeatTime is since when, without a longer gap, and when last a worker was heard.
 type heartbeatTime struct{ since, last time.Time }
 
-// surely is how long a worker's heartbeats must have come so that its deletion is wrong: one
+// minHeartbeatHistory is how long a worker's heartbeats must have come so that its deletion is wrong: one
 // whose links have just healed may have been asked a moment before.
-const surely = 5 * time.Second
+const minHeartbeatHistory = 5 * time.Second
 
-func (w *cluster) hear(name string) {
+func (w *cluster) recordHeartbeat(name string) {
 	h := w.lastHeartbeats[name]
 	if time.Since(h.last) > 3*reportEvery {
 		h.since = time.Now()
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -10,9 +10,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// report lets a worker report, and checks the rule that a task is on one
+// sendReport lets a worker sendReport, and checks the rule that a task is on one
 // machine at a time.
-func (w *cluster) report(k *testkit.Worker) {
+func (w *cluster) sendReport(k *testkit.Worker) {
 	w.mu.Lock()
 	if k.Hangs() {
 		w.mu.Unlock()
@@ -22,7 +22,7 @@
 	rep.Endpoint = k.Name
 	n := w.nodes[w.names[w.dispatcherOf[k]%len(w.names)]]
 	sent := time.Now()
-	next := !w.losslessReports && w.rnd.IntN(30) == 0 || n.down || !w.works(k.Name, n.name) // a lost report: the worker tries the next one
+	next := !w.losslessReports && w.rnd.IntN(30) == 0 || n.down || !w.linkWorks(k.Name, n.name) // a lost report: the worker tries the next one
 	w.mu.Unlock()
 	if next {
 		w.mu.Lock()
@@ -45,13 +45,13 @@
 	w.travel()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if status == http.StatusOK && w.works(n.name, k.Name) {
-		w.hear(k.Name) // one that nobody answers loses its tasks, and may go
+	if status == http.StatusOK && w.linkWorks(n.name, k.Name) {
+		w.recordHeartbeat(k.Name) // one that nobody answers loses its tasks, and may go
 	}
-	if w.copies = append(w.copies, rep); len(w.copies) > keptCopies {
-		w.copies = w.copies[keptCopies/2:]
+	if w.copies = append(w.copies, rep); len(w.copies) > maxReportCopies {
+		w.copies = w.copies[maxReportCopies/2:]
 	}
-	if !w.works(n.name, k.Name) {
+	if !w.linkWorks(n.name, k.Name) {
 		w.dispatcherOf[k]++
 		return
 	}
@@ -76,12 +76,12 @@
 	}
 }
 
-// keptCopies is how many reports may be delivered late: those of a minute or so.
-const keptCopies = 800
+// maxReportCopies is how many reports may be delivered late: those of a minute or so.
+const maxReportCopies = 800
 
-// deliverCopies delivers late copies of reports to a controller, in any order and
+// deliverLateReports delivers late copies of reports to a controller, in any order and
 // perhaps more than once.
-func (w *cluster) deliverCopies(to *node) {
+func (w *cluster) deliverLateReports(to *node) {
 	w.mu.Lock()
 	late := slices.Clone(w.copies)
 	w.rnd.Shuffle(len(late), func(i, j int) { late[i], late[j] = late[j], late[i] })
@@ -97,9 +97,9 @@
 	}
 }
 
-// publish hands the views of each controller to the leaders elsewhere, and
+// publishViews hands the views of each controller to the leaders elsewhere, and
 // lets the leaders settle unresponsive workers by attestation.
-func (w *cluster) publish() {
+func (w *cluster) publishViews() {
 	w.mu.Lock()
 	nodes := make([]*node, 0, len(w.names))
 	for _, name := range w.names {
@@ -128,7 +128,7 @@
 			if !w.unlisted {
 				n.onDuty("probe", func(ctx context.Context) { n.dispatcher.PollReports(ctx, unheard, 3*reportEvery) })
 			}
-			n.onDuty("leases", n.askExpiring)
+			n.onDuty("leases", n.pollExpiringLeases)
 		}
 	}
 	if len(nodes) < len(w.names) {
@@ -139,14 +139,14 @@
 	}
 }
 
-// reportAll lets every worker report.
-func (w *cluster) reportAll() {
+// sendReports lets every worker report.
+func (w *cluster) sendReports() {
 	for _, k := range w.workers {
 		if w.linksAreSlow() {
 			w.reportSlowly(k)
 			continue
 		}
-		w.report(k)
+		w.sendReport(k)
 		w.check()
 	}
 }
--- a/internal/testkit/returned_after_restart_test.go
+++ b/internal/testkit/returned_after_restart_test.go
@@ -17,7 +17,7 @@
 		away   time.Duration // until the last controller is back; 0: never
 		within time.Duration // of the start of the others
 	}{
-		{"one stays away", 0, testGrace + workerLease + slack},
+		{"one stays away", 0, dispatchGrace + workerLease + slack},
 		{"one is back after 5 s", 5 * time.Second, 5*time.Second + workerLease + slack},
 		{"all are back", time.Nanosecond, workerLease + slack},
 	} {
--- a/internal/testkit/slow_links_test.go
+++ b/internal/testkit/slow_links_test.go
@@ -34,7 +34,7 @@
 			onClusterWith(t, 4000+seed, limitedTeams, 3, 6, func(w *cluster) {
 				begun, killed := map[string]time.Time{}, 0
 				for _, k := range w.workers {
-					noteStarts(k, begun)
+					recordFirstStarts(k, begun)
 					k.Ended = func(task wire.Task, _ time.Duration) {
 						if task.Cause == "" {
 							killed++
@@ -71,8 +71,8 @@
 					w.live(1)
 					if second > 20 && second < 50 || second > 70 {
 						seconds++
-						used += w.usedShare()
-						if w.moreWorkThanRoom() {
+						used += w.cpuUtilization()
+						if w.isOverloaded() {
 							full++
 						}
 					}
@@ -89,9 +89,9 @@
 				if killed > mostKilled {
 					t.Errorf("%d tasks were killed by the ends of their workers' leases", killed)
 				}
-				w.mustKnow(slices.Collect(maps.Keys(at)))
+				w.checkJobsKnown(slices.Collect(maps.Keys(at)))
 				w.delayLinks(nil)
-				w.waits.insist()
+				w.waits.checkAlways()
 				all := slices.Collect(maps.Keys(at))
 				for i := 0; !w.ended(all...)(); i++ {
 					if i == 400 {
@@ -120,9 +120,9 @@
 	}
 }
 
-// mustKnow has users ask all controllers for the jobs, three times at most, while the rest
+// checkJobsKnown has users ask all controllers for the jobs, three times at most, while the rest
 // goes on.
-func (w *cluster) mustKnow(uids []string) {
+func (w *cluster) checkJobsKnown(uids []string) {
 	w.t.Helper()
 	var users sync.WaitGroup
 	var open, known atomic.Int64
@@ -149,8 +149,8 @@
 	}
 }
 
-// noteStarts notes when the first task of each job starts.
-func noteStarts(k *testkit.Worker, begun map[string]time.Time) {
+// recordFirstStarts notes when the first task of each job starts.
+func recordFirstStarts(k *testkit.Worker, begun map[string]time.Time) {
 	started := k.Started
 	k.Started = func(task string, attempt uint64) {
 		uid, _, _ := strings.Cut(task, "/")
@@ -161,27 +161,27 @@
 	}
 }
 
-// usedShare is the share of all workers' CPUs that tasks use now.
-func (w *cluster) usedShare() float64 {
+// cpuUtilization is the share of all workers' CPUs that tasks use now.
+func (w *cluster) cpuUtilization() float64 {
 	free := 0.0
-	all := w.standing().free
+	all := w.snapshot().free
 	for _, cpus := range all {
 		free += cpus
 	}
 	return 1 - free/(float64(w.size)*float64(len(all)))
 }
 
-// moreWorkThanRoom reports whether the tasks that wait, as far as their teams' limits let
+// isOverloaded reports whether the tasks that wait, as far as their teams' limits let
 // them start, take more CPUs than all workers have free.
-func (w *cluster) moreWorkThanRoom() bool {
-	s := w.standing()
+func (w *cluster) isOverloaded() bool {
+	s := w.snapshot()
 	free, wanted := 0.0, map[string]float64{}
 	for _, cpus := range s.free {
 		free += cpus
 	}
 	for _, job := range w.specs {
 		if s.waits(job) {
-			wanted[job.Team] += job.CPUs * float64(job.Tasks-s.on[job.UID]-s.done[job.UID])
+			wanted[job.Team] += job.CPUs * float64(job.Tasks-s.running[job.UID]-s.done[job.UID])
 		}
 	}
 	sum := 0.0
--- a/internal/testkit/stale_heartbeats_test.go
+++ b/internal/testkit/stale_heartbeats_test.go
@@ -14,9 +14,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// deliver brings reports to controllers, all within a moment and in this order. What is
+// deliverReports brings reports to controllers, all within a moment and in this order. What is
 // answered reaches nobody. It returns how many were taken for new, by any.
-func (w *cluster) deliver(reports []*wire.Report, to ...string) (taken int) {
+func (w *cluster) deliverReports(reports []*wire.Report, to ...string) (taken int) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	for _, name := range to {
@@ -42,9 +42,9 @@
 	return taken
 }
 
-// reportTo lets one worker report to a controller, and returns the report. The answer
+// sendReportTo lets one worker report to a controller, and returns the report. The answer
 // arrives.
-func (w *cluster) reportTo(k *testkit.Worker, name string) *wire.Report {
+func (w *cluster) sendReportTo(k *testkit.Worker, name string) *wire.Report {
 	w.mu.Lock()
 	rep := k.Report()
 	rep.Endpoint = k.Name
@@ -62,7 +62,7 @@
 // A report of a worker's session that is over is held back until the next leader has
 // read the records, and arrives there before anything newer. What it says of an attempt
 // must hold for ever: the attempt must not have been started anew in a later session.
-func TestDelayedHeartbeatOfEarlierSessionChangesNothing(t *testing.T) {
+func TestDelayedHeartbeatOfEarlierSessionIsIgnored(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		t.Run(fmt.Sprintf("attempt ended in it: %v", ended), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -83,14 +83,14 @@
 				k.Exit = func(string) int { return 3 }
 				w.startInTurn()
 				time.Sleep(2 * time.Second)
-				w.exchange()
+				w.exchangeReachability()
 				first := w.leader()
 				w.submit("j-80", 1)
 				// The task starts on the first worker, by the answer to a report; direct
 				// orders, whose answers would tell of it, don't arrive.
 				w.unheard(k, w.names...)
 				for range 10 {
-					w.reportTo(k, first)
+					w.sendReportTo(k, first)
 					if w.onMachines("j-80") == 1 {
 						break
 					}
@@ -111,7 +111,7 @@
 				time.Sleep(time.Until(renewed.Add(workerLease + 20*time.Millisecond)))
 				var copies []*wire.Report
 				for range 6 { // in the new session the task starts again
-					copies = append(copies, w.reportTo(k, first))
+					copies = append(copies, w.sendReportTo(k, first))
 					if w.onMachines("j-80") == 1 {
 						break
 					}
@@ -124,7 +124,7 @@
 				w.cutAll(k.Name, w.names...)
 				w.restart(first, 100*time.Millisecond)
 				time.Sleep(time.Second)
-				w.exchange()
+				w.exchangeReachability()
 				next := w.leader()
 				if next == "" {
 					t.Fatal("no new leader")
@@ -132,11 +132,11 @@
 				if took, _, _ := w.nodes[next].scheduler.FailoverProgress(); took == 0 {
 					t.Fatal("the new leader has not read the records")
 				}
-				if w.deliver(append([]*wire.Report{held}, copies...), w.names...) == 0 {
+				if w.deliverReports(append([]*wire.Report{held}, copies...), w.names...) == 0 {
 					t.Error("nobody took the report that was held back")
 				}
 				for range 6 {
-					w.reportTo(other, next)
+					w.sendReportTo(other, next)
 					w.check()
 					time.Sleep(300 * time.Millisecond)
 				}
@@ -146,15 +146,15 @@
 	}
 }
 
-// stage is how far a new leader has come.
-type stage struct {
+// failoverStage is how far a new leader has come.
+type failoverStage struct {
 	name    string
 	reached func(w *cluster, before map[string]jobstate.Stats) bool
 	reports func(k int) int // how often the k-th worker has reported to it by then
 }
 
-// next returns the controller that has read the records since, or nil.
-func (w *cluster) next(before map[string]jobstate.Stats) *node {
+// recoveredLeader returns the controller that has read the records since, or nil.
+func (w *cluster) recoveredLeader(before map[string]jobstate.Stats) *node {
 	for _, name := range w.names {
 		if n := w.nodes[name]; !n.down && len(n.member.LedShards()) > 0 && n.scheduler.Counters().Failovers > before[name].Failovers {
 			return n
@@ -163,15 +163,15 @@
 	return nil
 }
 
-// claimed reports whether any controller has claimed jobs.
-func (w *cluster) claimed() bool {
+// anyShardClaimed reports whether any controller has anyShardClaimed jobs.
+func (w *cluster) anyShardClaimed() bool {
 	return slices.ContainsFunc(w.names, func(name string) bool { return !w.nodes[name].down && len(w.nodes[name].member.ClaimedShards()) > 0 })
 }
 
-// unheardOf counts the workers on which the records had tasks, and those of them that the
+// unheardWorkers counts the workers on which the records had tasks, and those of them that the
 // new leader has not heard.
-func (w *cluster) unheardOf(before map[string]jobstate.Stats) (recorded, unheard int) {
-	n := w.next(before)
+func (w *cluster) unheardWorkers(before map[string]jobstate.Stats) (recorded, unheard int) {
+	n := w.recoveredLeader(before)
 	if n == nil {
 		return 0, 0
 	}
@@ -179,24 +179,24 @@
 	return recorded, unheard
 }
 
-// stages are those of a take-over.
-var stages = []stage{
-	{"before the claim", func(w *cluster, _ map[string]jobstate.Stats) bool { return !w.claimed() }, nil},
-	{"claimed, records not read", func(w *cluster, before map[string]jobstate.Stats) bool { return w.claimed() && w.next(before) == nil }, nil},
+// failoverStages are those of a take-over.
+var failoverStages = []failoverStage{
+	{"before the claim", func(w *cluster, _ map[string]jobstate.Stats) bool { return !w.anyShardClaimed() }, nil},
+	{"claimed, records not read", func(w *cluster, before map[string]jobstate.Stats) bool { return w.anyShardClaimed() && w.recoveredLeader(before) == nil }, nil},
 	{"read, nothing settled", func(w *cluster, before map[string]jobstate.Stats) bool {
-		recorded, unheard := w.unheardOf(before)
+		recorded, unheard := w.unheardWorkers(before)
 		return recorded > 0 && unheard == recorded
 	}, nil},
 	{"half settled", func(w *cluster, before map[string]jobstate.Stats) bool {
-		recorded, unheard := w.unheardOf(before)
+		recorded, unheard := w.unheardWorkers(before)
 		return unheard > 0 && unheard < recorded
 	}, func(k int) int { return 2 * (k % 2) }},
 	{"settled", func(w *cluster, before map[string]jobstate.Stats) bool {
-		recorded, unheard := w.unheardOf(before)
+		recorded, unheard := w.unheardWorkers(before)
 		return recorded > 0 && unheard == 0
 	}, func(int) int { return 2 }},
 	{"first grants made", func(w *cluster, before map[string]jobstate.Stats) bool {
-		n := w.next(before)
+		n := w.recoveredLeader(before)
 		return n != nil && n.scheduler.Counters().Granted > before[n.name].Granted
 	}, func(int) int { return 4 }},
 }
@@ -205,16 +205,16 @@
 // reach all controllers within a moment at each stage of a take-over, and once more a
 // lease later: none starts, ends, settles, renews or clears anything that is newer.
 func TestStaleHeartbeatsAtEachStageOfFailover(t *testing.T) {
-	for _, s := range stages {
+	for _, s := range failoverStages {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%s, %d", s.name, seed), func(t *testing.T) {
-				onCluster(t, 1200+seed, 3, 6, func(w *cluster) { playOldReports(t, w, &s) })
+				onCluster(t, 1200+seed, 3, 6, func(w *cluster) { playStaleReports(t, w, &s) })
 			})
 		}
 	}
 }
 
-func playOldReports(t *testing.T, w *cluster, s *stage) {
+func playStaleReports(t *testing.T, w *cluster, s *failoverStage) {
 	w.submit("j-80", 6)
 	w.submit("j-1", 400)
 	var held []*wire.Report // on their way until the next leader acts
@@ -270,22 +270,22 @@
 	wait := func(holds func() bool) bool {
 		for ; waited < 400 && !holds(); waited++ {
 			if waited%20 == 0 {
-				w.exchange()
+				w.exchangeReachability()
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		return holds()
 	}
 	if s.reports != nil {
-		if !wait(func() bool { return w.next(before) != nil }) {
+		if !wait(func() bool { return w.recoveredLeader(before) != nil }) {
 			t.Fatal("no take-over")
 		}
-		next := w.next(before).name
-		w.exchange() // all know the leader, and it may answer
+		next := w.recoveredLeader(before).name
+		w.exchangeReachability() // all know the leader, and it may answer
 		for round := range 4 {
 			for i, k := range w.workers {
 				if round < s.reports(i) {
-					w.reportTo(k, next)
+					w.sendReportTo(k, next)
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -295,7 +295,7 @@
 		t.Fatal("the stage was not reached")
 	}
 	sessions, tasks := 0, 0
-	newest := w.session(away)
+	newest := w.sessionOf(away)
 	for _, rep := range old {
 		if rep.Machine == away.Name && rep.Session < newest {
 			sessions++
@@ -305,7 +305,7 @@
 	if sessions == 0 || tasks == 0 || len(held) < 20 {
 		t.Errorf("%d reports of an earlier session with %d tasks, %d that never arrived", sessions, tasks, len(held))
 	}
-	w.deliver(old, w.names...)
+	w.deliverReports(old, w.names...)
 	w.mu.Lock()
 	w.storeLatency = nil
 	w.mu.Unlock()
@@ -319,9 +319,9 @@
 		w.cutAll(k.Name, w.names...)
 	}
 	w.live(11)
-	w.deliver(old, w.names...)
+	w.deliverReports(old, w.names...)
 	w.live(1)
-	w.deliver(old, w.names...)
+	w.deliverReports(old, w.names...)
 	for _, k := range silent {
 		w.healLinks(k.Name, w.names...)
 	}
--- a/internal/testkit/team_limits_check_test.go
+++ b/internal/testkit/team_limits_check_test.go
@@ -22,20 +22,20 @@
 	})
 }
 
-// standing is what the workers have and the users know at one moment.
-type standing struct {
+// snapshot is what the workers have and the users know at one moment.
+type snapshot struct {
 	use       teamUse
-	on        map[string]int              // tasks on workers, by job
+	running        map[string]int              // tasks on workers, by job
 	free      map[*testkit.Worker]float64 // CPUs of the workers that go on; none where an unknown job's task is on
 	done      map[string]int              // tasks that are done and cleared, by job
-	over      []string                    // keys of the jobs that ended
+	finalKeys      []string                    // keys of the jobs that ended
 	cancelled map[string]bool
 }
 
-func (w *cluster) standing() *standing {
-	s := &standing{
-		use: teamUse{}, on: map[string]int{}, free: map[*testkit.Worker]float64{}, done: map[string]int{},
-		over: w.store.Keys("final/"), cancelled: map[string]bool{},
+func (w *cluster) snapshot() *snapshot {
+	s := &snapshot{
+		use: teamUse{}, running: map[string]int{}, free: map[*testkit.Worker]float64{}, done: map[string]int{},
+		finalKeys: w.store.Keys("final/"), cancelled: map[string]bool{},
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,7 +43,7 @@
 		free := float64(w.size)
 		for _, task := range k.On() {
 			uid, _, _ := strings.Cut(task, "/")
-			s.on[uid]++
+			s.running[uid]++
 			if job := w.specs[uid]; job != nil {
 				s.use[job.Team] += job.CPUs
 				free -= job.CPUs
@@ -66,19 +66,19 @@
 }
 
 // waits reports whether a task of the job is neither on a worker nor done.
-func (s *standing) waits(job *wire.Job) bool {
-	return !s.cancelled[job.UID] && s.on[job.UID]+s.done[job.UID] < job.Tasks && !slices.Contains(s.over, "final/"+job.UID)
+func (s *snapshot) waits(job *wire.Job) bool {
+	return !s.cancelled[job.UID] && s.running[job.UID]+s.done[job.UID] < job.Tasks && !slices.Contains(s.finalKeys, "final/"+job.UID)
 }
 
 // underLimit reports whether the job's team may use one more task of it.
-func (s *standing) underLimit(teams []config.Team, job *wire.Job) bool {
+func (s *snapshot) underLimit(teams []config.Team, job *wire.Job) bool {
 	return s.use.allows(teams, job)
 }
 
-// heldByLimit reports whether a task of the team waits for nothing but its team's limit:
+// waitsOnlyForLimit reports whether a task of the team waits for nothing but its team's limit:
 // a worker that goes on has room for it.
-func (w *cluster) heldByLimit(team string) bool {
-	s := w.standing()
+func (w *cluster) waitsOnlyForLimit(team string) bool {
+	s := w.snapshot()
 	for _, job := range w.specs {
 		if job.Team != team || !s.waits(job) || s.underLimit(w.cfg.Params.Teams, job) {
 			continue
--- a/internal/testkit/team_limits_test.go
+++ b/internal/testkit/team_limits_test.go
@@ -20,9 +20,9 @@
 	*cluster
 }
 
-// teamsAtLimits plays on a new cluster whose limited teams stand at their limits with jobs
+// onTeamsAtLimits plays on a new cluster whose limited teams stand at their limits with jobs
 // j-80 to j-83 of long tasks, and have more work. Nothing is drawn but lost messages.
-func teamsAtLimits(t *testing.T, seed uint64, play func(c *teamCluster)) {
+func onTeamsAtLimits(t *testing.T, seed uint64, play func(c *teamCluster)) {
 	onClusterWith(t, seed, limitedTeams, 3, 8, func(w *cluster) {
 		w.job("j-80", "capped", "normal", 3, 1)
 		w.job("j-81", "capped", "low", 2, 2)
@@ -36,28 +36,28 @@
 		w.job("j-5", "t", "low", 20, 1)
 		w.live(6)
 		c := &teamCluster{w}
-		c.mustBeAtLimits()
+		c.checkAtLimits()
 		play(c)
 	})
 }
 
-func (c *teamCluster) mustBeAtLimits() {
+func (c *teamCluster) checkAtLimits() {
 	c.t.Helper()
 	for _, team := range []string{"capped", "assured"} {
-		if !c.heldByLimit(team) {
-			c.t.Errorf("no task of team %s waits for its limit alone; in use: %v", team, c.standing().use)
+		if !c.waitsOnlyForLimit(team) {
+			c.t.Errorf("no task of team %s waits for its limit alone; in use: %v", team, c.snapshot().use)
 		}
 	}
 }
 
-// finishes lives until all that was not cancelled has ended, or runs for long.
-func (c *teamCluster) finishes(short ...string) {
+// awaitCompletion lives until all that was not cancelled has ended, or runs for long.
+func (c *teamCluster) awaitCompletion(short ...string) {
 	c.t.Helper()
-	c.waits.insist()
+	c.waits.checkAlways()
 	c.live(30)
 	for i := 0; !c.ended(short...)(); i++ {
 		if i == 300 {
-			c.t.Fatalf("only %v ended; in use: %v", c.store.Keys("final/"), c.standing().use)
+			c.t.Fatalf("only %v ended; in use: %v", c.store.Keys("final/"), c.snapshot().use)
 		}
 		c.live(1)
 	}
@@ -87,9 +87,9 @@
 		for i, failover := range limitFailovers {
 			for when, name := range []string{"before it", "at once after it", "through the new leader"} {
 				t.Run(fmt.Sprintf("hang %v, %s, cancelled %s", hang, failover.name, name), func(t *testing.T) {
-					teamsAtLimits(t, uint64(2000+10*i+when), func(c *teamCluster) {
+					onTeamsAtLimits(t, uint64(2000+10*i+when), func(c *teamCluster) {
 						away, cut := c.failOverAtLimits(t, failover, hang, when)
-						c.returnAtLimits(t, away, cut, hang, when)
+						c.recoverAtLimits(t, away, cut, hang, when)
 					})
 				})
 			}
@@ -122,7 +122,7 @@
 	if when == 0 {
 		confirm(3)
 	}
-	c.mustBeAtLimits()
+	c.checkAtLimits()
 	failover.begin(c, first)
 	if when == 2 && !c.within(6, func() bool { return c.leader() != "" }) {
 		t.Fatal("nobody leads")
@@ -136,12 +136,12 @@
 	if n := c.onMachines("j-80") + c.onMachines("j-82"); n != 6 {
 		t.Fatalf("%d cancelled tasks are on machines that nobody reaches", n)
 	}
-	c.mustBeAtLimits()
+	c.checkAtLimits()
 	return away, cut
 }
 
-// returnAtLimits has the workers go on, some later than others, and all work end.
-func (c *teamCluster) returnAtLimits(t *testing.T, away, cut []*testkit.Worker, hang bool, when int) {
+// recoverAtLimits has the workers go on, some later than others, and all work end.
+func (c *teamCluster) recoverAtLimits(t *testing.T, away, cut []*testkit.Worker, hang bool, when int) {
 	t.Helper()
 	if hang {
 		c.resume(away...)
@@ -162,7 +162,7 @@
 		c.healLinks(k.Name, c.names...)
 	}
 	c.release()
-	c.finishes("j-1", "j-2", "j-3", "j-4", "j-5", "j-80", "j-82")
+	c.awaitCompletion("j-1", "j-2", "j-3", "j-4", "j-5", "j-80", "j-82")
 	for uid, n := range map[string]int{"j-81": 2, "j-83": 1} {
 		if !c.within(30, func() bool { return c.onMachines(uid) == n }) {
 			t.Errorf("%d of %d long tasks of %s are on", c.onMachines(uid), n, uid)
--- a/internal/testkit/transfer_lag_test.go
+++ b/internal/testkit/transfer_lag_test.go
@@ -11,7 +11,7 @@
 // Guards against shards that nobody leads after a transfer: the new leader's watch is behind.
 
 // A controller that shards are transferred to leads them soon, although its watch is behind.
-func TestTransferredShardsAreLedAlthoughWatchIsBehind(t *testing.T) {
+func TestTransferredShardsAreLedWhileWatchLags(t *testing.T) {
 	const behind = 10 * time.Second
 	for _, c := range []struct {
 		name        string
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -13,9 +13,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// askExpiring does what cmd/wallrack does several times a second for workers whose
+// pollExpiringLeases does what cmd/wallrack does several times a second for workers whose
 // reports are overdue.
-func (n *node) askExpiring(ctx context.Context) {
+func (n *node) pollExpiringLeases(ctx context.Context) {
 	const timesASecond = 4
 	for range timesASecond {
 		if ask := n.scheduler.HandleExpiringLeases(); len(ask) > 0 && n.MayAnswerWorkers() {
@@ -24,9 +24,9 @@
 	}
 }
 
-// unreported breaks the links from a worker to all controllers, not those back: direct
+// dropReports breaks the links from a worker to all controllers, not those back: direct
 // commands reach it, and nothing renews its lease.
-func (w *cluster) unreported(k *testkit.Worker) {
+func (w *cluster) dropReports(k *testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.names {
@@ -34,36 +34,36 @@
 	}
 }
 
-// workLedger follows what tasks run, save and lose, by what the workers do.
-type workLedger struct {
+// taskTracker follows what tasks run, save and lose, by what the workers do.
+type taskTracker struct {
 	total func(task string) time.Duration
 	saved map[string]time.Duration
 	done  map[string]time.Time
 
 	cut     map[string]time.Time     // workers, by when their reports began to be lost
-	left    map[string]time.Time     // tasks that ended there before they were done, by when
-	started map[string]bool          // tasks started there later than startsAfterCut
-	late    int                      // of them, those that the lease killed
+	interrupted    map[string]time.Time     // tasks that ended there before they were done, by when
+	lateStarts map[string]bool          // tasks started there later than startsAfterCut
+	lateKilled    int                      // of them, those that the lease killed
 	killed  map[string]int           // tasks killed by their lease, by job
 	stopped map[string]int           // tasks stopped on workers that are cut, by job
-	lostRun time.Duration            // run that was lost with killed tasks and with stopped ones that did not save
+	lostRunTime time.Duration            // run that was lost with killed tasks and with stopped ones that did not save
 	longest map[string]time.Duration // from the cut to a start elsewhere, at most, by job
-	read    int                      // tasks that were done on workers that are cut
+	doneWhileCut    int                      // tasks that were done on workers that are cut
 }
 
-// startsAfterCut is how long after a worker's reports began to be lost starts on it may
+// maxStartDelay is how long after a worker's reports began to be lost starts on it may
 // still be under way: what its leader needs to know it, and a report interval.
-const startsAfterCut = 5 * time.Second
+const maxStartDelay = 5 * time.Second
 
-// readBeforeExpiry is how long before the end of its lease a task must be done so that
+// readMargin is how long before the end of its lease a task must be done so that
 // its leader surely reads it; the cluster asks once a second.
-const readBeforeExpiry = 3 * time.Second
+const readMargin = 3 * time.Second
 
-// follow has a ledger follow all workers.
-func (w *cluster) follow(total, save func(task string) time.Duration) *workLedger {
-	l := &workLedger{
+// trackTasks has a ledger trackTasks all workers.
+func (w *cluster) trackTasks(total, save func(task string) time.Duration) *taskTracker {
+	l := &taskTracker{
 		total: total, saved: map[string]time.Duration{}, done: map[string]time.Time{}, cut: map[string]time.Time{},
-		left: map[string]time.Time{}, killed: map[string]int{}, stopped: map[string]int{}, started: map[string]bool{}, longest: map[string]time.Duration{},
+		interrupted: map[string]time.Time{}, killed: map[string]int{}, stopped: map[string]int{}, lateStarts: map[string]bool{}, longest: map[string]time.Duration{},
 	}
 	for _, k := range w.workers {
 		started := k.Started
@@ -71,76 +71,76 @@
 		k.Save = save
 		k.Started = func(task string, attempt uint64) {
 			started(task, attempt)
-			l.starts(w, k, task)
+			l.taskStarted(w, k, task)
 		}
-		k.Ended = func(t wire.Task, ran time.Duration) { l.ends(k, t, ran) }
+		k.Ended = func(t wire.Task, ran time.Duration) { l.taskEnded(k, t, ran) }
 	}
 	return l
 }
 
-func (l *workLedger) starts(w *cluster, k *testkit.Worker, task string) {
-	if at, cut := l.cut[k.Name]; cut && time.Since(at) > startsAfterCut {
-		l.started[task] = true
+func (l *taskTracker) taskStarted(w *cluster, k *testkit.Worker, task string) {
+	if at, cut := l.cut[k.Name]; cut && time.Since(at) > maxStartDelay {
+		l.lateStarts[task] = true
 	} else {
-		delete(l.started, task)
+		delete(l.lateStarts, task)
 	}
 	if at, ok := l.done[task]; ok {
 		w.fail("%s is started again on %s, %v after it was done", task, k.Name, time.Since(at))
 	}
-	if at, ok := l.left[task]; ok {
+	if at, ok := l.interrupted[task]; ok {
 		uid, _, _ := strings.Cut(task, "/")
 		l.longest[uid] = max(l.longest[uid], time.Since(at).Round(time.Millisecond))
-		delete(l.left, task)
+		delete(l.interrupted, task)
 	}
 }
 
-func (l *workLedger) ends(k *testkit.Worker, t wire.Task, ran time.Duration) {
+func (l *taskTracker) taskEnded(k *testkit.Worker, t wire.Task, ran time.Duration) {
 	uid, _, _ := strings.Cut(t.Task, "/")
 	at, cut := l.cut[k.Name]
 	switch {
 	case t.Cause == wire.CauseDone:
 		// Done too shortly before the lease ends, it may be lost with the lease.
-		if !cut || time.Since(at) < workerLease-readBeforeExpiry {
+		if !cut || time.Since(at) < workerLease-readMargin {
 			l.done[t.Task] = time.Now()
 			if cut {
-				l.read++
+				l.doneWhileCut++
 			}
 		}
 		return
 	case t.Saved:
 		l.saved[t.Task] += ran
 	default:
-		l.lostRun += ran
+		l.lostRunTime += ran
 	}
 	if t.Cause == "" {
 		l.killed[uid]++
-		if l.started[t.Task] {
-			l.late++
+		if l.lateStarts[t.Task] {
+			l.lateKilled++
 		}
 	} else if cut {
 		l.stopped[uid]++
 	}
 	if cut {
-		l.left[t.Task] = at
+		l.interrupted[t.Task] = at
 	}
 }
 
-// cutOff notes that reports of a worker are lost from now on.
-func (l *workLedger) cutOff(w *cluster, k *testkit.Worker) {
+// markCut notes that reports of a worker are lost from now on.
+func (l *taskTracker) markCut(w *cluster, k *testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l.cut[k.Name] = time.Now()
 }
 
-// healed notes that no reports are lost any more.
-func (l *workLedger) healed(w *cluster) {
+// markHealed notes that no reports are lost any more.
+func (l *taskTracker) markHealed(w *cluster) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	clear(l.cut)
 }
 
-// finishes heals all links, and has so many jobs end.
-func (w *cluster) finishes(jobs int) {
+// healAndAwaitJobs heals all links, and has so many jobs end.
+func (w *cluster) healAndAwaitJobs(jobs int) {
 	w.healed()
 	if !w.within(300, func() bool { return len(w.store.Keys("final/")) == jobs }) {
 		w.t.Errorf("of %d jobs only %v ended", jobs, w.store.Keys("final/"))
@@ -148,10 +148,10 @@
 	w.stopAll()
 }
 
-// byJobs lists the workers, those with tasks of most of some jobs on them first. Where they have
+// workersByJobs lists the workers, those with tasks of most of some jobs on them first. Where they have
 // tasks of as many jobs, those with the jobs come first that fewer workers before them have: the
 // first workers have tasks of all of the jobs among them, however the tasks are placed.
-func (w *cluster) byJobs(jobs ...string) (sorted []*testkit.Worker) {
+func (w *cluster) workersByJobs(jobs ...string) (sorted []*testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	on := map[*testkit.Worker][]string{}
@@ -186,15 +186,15 @@
 	return sorted
 }
 
-// session is a worker's session now.
-func (w *cluster) session(k *testkit.Worker) uint64 {
+// sessionOf is a worker's sessionOf now.
+func (w *cluster) sessionOf(k *testkit.Worker) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return k.Session()
 }
 
-// accept records a job as accepted.
-func (w *cluster) accept(job *wire.Job) {
+// recordAcceptedJob records a job as accepted.
+func (w *cluster) recordAcceptedJob(job *wire.Job) {
 	guards, ops := jobrecord.AcceptanceTxn(job, nil, jobrecord.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: w.store}).Txn(context.Background(), guards, ops...); err != nil {
 		w.t.Fatal(err)
@@ -227,7 +227,7 @@
 				w.bigger(3, 24)
 				w.size = 8 // so that there is room elsewhere
 				w.promptCommands, w.keepCuts, w.unlisted = true, true, !c.ends
-				l := w.follow(func(task string) time.Duration {
+				l := w.trackTasks(func(task string) time.Duration {
 					switch uid, _, _ := strings.Cut(task, "/"); uid {
 					case short:
 						return variedTime(task)
@@ -244,7 +244,7 @@
 				w.startInTurn()
 				time.Sleep(2 * time.Second)
 				submit := func(uid, priority string, tasks int, estimate, mark float64) {
-					w.accept(&wire.Job{
+					w.recordAcceptedJob(&wire.Job{
 						UID: uid, Class: uid, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks,
 						CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: estimate, Spot: true, CheckpointIntervalS: mark, CheckpointSaveS: mark / 30,
 					})
@@ -262,14 +262,14 @@
 				}
 				w.live(1)
 				sessions := map[string]uint64{}
-				cut := w.byJobs(savers, young)[:c.cut]
+				cut := w.workersByJobs(savers, young)[:c.cut]
 				for _, k := range cut {
-					w.unreported(k)
-					l.cutOff(w, k)
-					sessions[k.Name] = w.session(k)
+					w.dropReports(k)
+					l.markCut(w, k)
+					sessions[k.Name] = w.sessionOf(k)
 				}
 				if c.token {
-					session, term := w.session(cut[0]), w.nodes[w.leader()].member.FencingToken()
+					session, term := w.sessionOf(cut[0]), w.nodes[w.leader()].member.FencingToken()
 					w.mu.Lock()
 					cut[0].Orders(wire.Orders{Token: term + 1, Session: session})
 					w.mu.Unlock()
@@ -280,34 +280,34 @@
 				}
 				w.live(25)
 				for _, k := range cut {
-					if w.session(k) == sessions[k.Name] {
+					if w.sessionOf(k) == sessions[k.Name] {
 						t.Errorf("the lease of %s did not end", k.Name)
 					}
 				}
 				t.Logf("%s: killed %v, stopped %v, %d done there, %v of run lost, %d of %d late starts killed, %v until all ran elsewhere, %d still wait, %d returned",
-					c.name, l.killed, l.stopped, l.read, l.lostRun, l.late, len(l.started), l.longest, len(l.left), w.returnedMachines)
+					c.name, l.killed, l.stopped, l.doneWhileCut, l.lostRunTime, l.lateKilled, len(l.lateStarts), l.longest, len(l.interrupted), w.returnedMachines)
 				if c.ends {
 					// The next leader knows neither when the leases end nor how long tasks have run.
 					if l.stopped[old] > 0 || l.stopped[savers] == 0 {
 						t.Errorf("%d tasks that had run for long were stopped, %d that save", l.stopped[old], l.stopped[savers])
 					}
-					w.finishes(jobs)
+					w.healAndAwaitJobs(jobs)
 					return
 				}
 				if l.killed[savers] > 0 {
 					t.Errorf("%d tasks that can save were killed", l.killed[savers])
 				}
-				if l.late > 0 {
-					t.Errorf("%d starts were killed on machines whose leases were known not to be renewed", l.late)
+				if l.lateKilled > 0 {
+					t.Errorf("%d starts were killed on machines whose leases were known not to be renewed", l.lateKilled)
 				}
-				if c.full && len(l.started) == 0 {
+				if c.full && len(l.lateStarts) == 0 {
 					t.Error("no task that would be done in time was started")
 				}
 				if w.returnedMachines > 0 {
 					t.Errorf("%d machines that answer were returned", w.returnedMachines)
 				}
-				if len(l.stopped) == 0 || c.cut > 1 && (l.stopped[savers] == 0 || l.read == 0) {
-					t.Errorf("%v tasks were stopped, %d were done on machines that reach nobody", l.stopped, l.read)
+				if len(l.stopped) == 0 || c.cut > 1 && (l.stopped[savers] == 0 || l.doneWhileCut == 0) {
+					t.Errorf("%v tasks were stopped, %d were done on machines that reach nobody", l.stopped, l.doneWhileCut)
 				}
 				if c.cut > 1 && c.cut < len(w.workers)/2 && l.stopped[young] == 0 {
 					t.Error("no task was stopped early")
@@ -322,12 +322,12 @@
 							t.Errorf("%v until tasks of %s ran elsewhere", l.longest[uid], uid)
 						}
 					}
-					if len(l.left) > 0 {
-						t.Errorf("%d tasks still wait", len(l.left))
+					if len(l.interrupted) > 0 {
+						t.Errorf("%d tasks still wait", len(l.interrupted))
 					}
 				}
-				l.healed(w)
-				w.finishes(jobs)
+				l.markHealed(w)
+				w.healAndAwaitJobs(jobs)
 			})
 		})
 	}
--- a/internal/testkit/unresponsive_workers_test.go
+++ b/internal/testkit/unresponsive_workers_test.go
@@ -10,10 +10,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// settled starts a cluster with so many controllers, lets it run with a long job, and
+// settledCluster starts a cluster with so many controllers, lets it run with a long job, and
 // returns the leader's name and the others'. live lets seconds pass, with no faults
 // drawn and nothing healed.
-func settled(t *testing.T, seed uint64, controllers, workers int) (w *cluster, owner string, others []string, live func(seconds int)) {
+func settledCluster(t *testing.T, seed uint64, controllers, workers int) (w *cluster, owner string, others []string, live func(seconds int)) {
 	w = newCluster(t, seed)
 	w.bigger(controllers, workers)
 	w.startInTurn()
@@ -55,7 +55,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w, owner, _, live := settled(t, uint64(300+i), 3, 24)
+				w, owner, _, live := settledCluster(t, uint64(300+i), 3, 24)
 				by := w.names
 				if c.owner {
 					by = []string{owner}
@@ -97,12 +97,12 @@
 
 // A controller that loses the state service and the other controllers, and not its
 // workers, lets them go: for whatever time, as leader or not, and two at once.
-func TestIsolatedControllerReleasesItsWorkers(t *testing.T) {
+func TestWorkersLeaveIsolatedController(t *testing.T) {
 	for i, long := range []int{5, 12, 120} {
 		for _, who := range []string{"owner", "another", "both"} {
 			t.Run(fmt.Sprintf("%s for %d s", who, long), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w, owner, others, live := settled(t, uint64(400+i), 5, 24)
+					w, owner, others, live := settledCluster(t, uint64(400+i), 5, 24)
 					cut := map[string][]string{"owner": {owner}, "another": {others[0]}, "both": {owner, others[0]}}[who]
 					for _, n := range cut {
 						for _, x := range append([]string{stateService}, w.names...) {
@@ -149,7 +149,7 @@
 // told apart.
 func TestFailingJobsDoNotMarkWorkersFaulty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, owner, _, live := settled(t, 500, 3, 24)
+		w, owner, _, live := settledCluster(t, 500, 3, 24)
 		mended, sick, tried := false, w.workers[0].Name, 0
 		for _, k := range w.workers {
 			k.Exit = func(task string) int {
--- a/internal/testkit/wait_check_test.go
+++ b/internal/testkit/wait_check_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	waitAllowed = 90 * time.Second // for which a job may wait while a worker that fits has room
-	steadyAfter = 5 * time.Second  // from which on a worker counts as one with steady room
-	lookPause   = 5 * time.Second  // between looks for recurring room
+	maxWait = 90 * time.Second // for which a job may wait while a worker that fits has room
+	steadyCapacityAfter = 5 * time.Second  // from which on a worker counts as one with steady room
+	recurringCheckInterval   = 5 * time.Second  // between looks for recurring room
 )
 
 // waitCheck is the rule that no job waits for long while a worker that fits has room and
@@ -26,16 +26,16 @@
 // now and on another then, and recurring room, which is on one worker whenever it is
 // looked at with pauses, and may be taken in between.
 type waitCheck struct {
-	insisted bool
-	room     map[*testkit.Worker]map[float64]time.Time // since when so many CPUs are free
+	always bool
+	freeSince     map[*testkit.Worker]map[float64]time.Time // since when so many CPUs are free
 
-	steady  map[string]time.Time // by job: since when it could start beside steady room
-	starts  map[string]int       // by job, when last looked
+	steadySince  map[string]time.Time // by job: since when it could start beside steady room
+	lastStarts  map[string]int       // by job, when last looked
 	longest time.Duration        // beside steady room
 
 	recurring       map[string]*recurringWait // by job
-	recurringStarts map[string]int            // by job, when last looked with pauses
-	looked          time.Time                 // when that was
+	lastRecurringStarts map[string]int            // by job, when last looked with pauses
+	lastRecurringCheck          time.Time                 // when that was
 }
 
 // recurringWait is a job that could start at each look with pauses.
@@ -46,85 +46,85 @@
 
 func newWaitCheck() waitCheck {
 	return waitCheck{
-		room: map[*testkit.Worker]map[float64]time.Time{}, steady: map[string]time.Time{}, starts: map[string]int{},
-		recurring: map[string]*recurringWait{}, recurringStarts: map[string]int{},
+		freeSince: map[*testkit.Worker]map[float64]time.Time{}, steadySince: map[string]time.Time{}, lastStarts: map[string]int{},
+		recurring: map[string]*recurringWait{}, lastRecurringStarts: map[string]int{},
 	}
 }
 
-// insist has the waits judged from now on whatever the links, workers and the state
+// checkAlways has the waits judged from now on whatever the links, workers and the state
 // service do.
-func (c *waitCheck) insist() { c.insisted = true }
+func (c *waitCheck) checkAlways() { c.always = true }
 
 // checkWaits is to be called every second.
 func (w *cluster) checkWaits() {
-	if !w.judgesWaits() {
+	if !w.shouldCheckWaits() {
 		return
 	}
 	c, now := &w.waits, time.Now()
-	jobs := w.living()
-	s := w.standing()
+	jobs := w.liveJobs()
+	s := w.snapshot()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	use := w.useOf(jobs)
-	if c.insisted {
+	use := w.useByTeam(jobs)
+	if c.always {
 		for uid, job := range w.specs {
 			jobs[uid] = job
 		}
 	}
-	withPauses := now.Sub(c.looked) >= lookPause
+	withPauses := now.Sub(c.lastRecurringCheck) >= recurringCheckInterval
 	if withPauses {
-		c.looked = now
+		c.lastRecurringCheck = now
 	}
 	for uid, job := range jobs {
-		if job.Gang() || bound(job) {
+		if job.Gang() || hasZoneConstraint(job) {
 			continue
 		}
 		could := s.waits(job) && use.allows(w.cfg.Params.Teams, job)
-		waited := c.besideSteadyRoom(uid, could && c.hasSteadyRoom(s, job.CPUs, now), w.startsOf[uid], now)
+		waited := c.steadyCapacityWait(uid, could && c.hasSteadyCapacity(s, job.CPUs, now), w.startsOf[uid], now)
 		c.longest = max(c.longest, waited)
 		if withPauses {
-			waited = max(waited, c.besideRecurringRoom(uid, could, s.fitting(job.CPUs), w.startsOf[uid], now))
+			waited = max(waited, c.recurringCapacityWait(uid, could, s.workersWithFree(job.CPUs), w.startsOf[uid], now))
 		}
-		if waited > waitAllowed {
+		if waited > maxWait {
 			w.fail("%s waits for %v while a machine has room and team %s is under its limit", uid, waited, job.Team)
-			delete(c.steady, uid)
+			delete(c.steadySince, uid)
 			delete(c.recurring, uid)
 		}
 	}
 }
 
-// judgesWaits reports whether waits are judged now. A fault begins them anew.
-func (w *cluster) judgesWaits() bool {
+// shouldCheckWaits reports whether waits are judged now. A fault begins them anew.
+func (w *cluster) shouldCheckWaits() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := &w.waits
-	if c.insisted || w.calm() {
+	if c.always || w.faultFree() {
 		return true
 	}
-	clear(c.room)
-	clear(c.steady)
+	clear(c.freeSince)
+	clear(c.steadySince)
 	clear(c.recurring)
 	return false
 }
 
-// besideSteadyRoom is how long a job has waited that could start beside steady room now.
-func (c *waitCheck) besideSteadyRoom(uid string, could bool, starts int, now time.Time) time.Duration {
-	started := starts != c.starts[uid]
-	c.starts[uid] = starts
+// steadyCapacityWait is how long a job has waited that could start beside steady room now.
+func (c *waitCheck) steadyCapacityWait(uid string, could bool, starts int, now time.Time) time.Duration {
+	started := starts != c.lastStarts[uid]
+	c.lastStarts[uid] = starts
 	if !could || started {
-		delete(c.steady, uid)
+		delete(c.steadySince, uid)
 		return 0
 	}
-	if c.steady[uid].IsZero() {
-		c.steady[uid] = now
+	if c.steadySince[uid].IsZero() {
+		c.steadySince[uid] = now
 	}
-	return now.Sub(c.steady[uid])
+	return now.Sub(c.steadySince[uid])
 }
 
-// besideRecurringRoom is how long a job has waited that could start now where it fits.
-func (c *waitCheck) besideRecurringRoom(uid string, could bool, fitting []*testkit.Worker, starts int, now time.Time) time.Duration {
-	started := starts != c.recurringStarts[uid]
-	c.recurringStarts[uid] = starts
+// recurringCapacityWait is how long a job has waited that could start now where it fits.
+func (c *waitCheck) recurringCapacityWait(uid string, could bool, fitting []*testkit.Worker, starts int, now time.Time) time.Duration {
+	started := starts != c.lastRecurringStarts[uid]
+	c.lastRecurringStarts[uid] = starts
 	if !could {
 		delete(c.recurring, uid)
 		return 0
@@ -140,27 +140,27 @@
 	return now.Sub(wait.since)
 }
 
-// hasSteadyRoom reports whether a worker has had so many CPUs free for a while.
-func (c *waitCheck) hasSteadyRoom(s *standing, cpus float64, now time.Time) (has bool) {
+// hasSteadyCapacity reports whether a worker has had so many CPUs free for a while.
+func (c *waitCheck) hasSteadyCapacity(s *snapshot, cpus float64, now time.Time) (has bool) {
 	for k, free := range s.free {
-		if c.room[k] == nil {
-			c.room[k] = map[float64]time.Time{}
+		if c.freeSince[k] == nil {
+			c.freeSince[k] = map[float64]time.Time{}
 		}
-		since, known := c.room[k][cpus]
+		since, known := c.freeSince[k][cpus]
 		switch {
 		case free+cpuTolerance < cpus:
-			delete(c.room[k], cpus)
+			delete(c.freeSince[k], cpus)
 		case !known:
-			c.room[k][cpus] = now
+			c.freeSince[k][cpus] = now
 		default:
-			has = has || now.Sub(since) >= steadyAfter
+			has = has || now.Sub(since) >= steadyCapacityAfter
 		}
 	}
 	return has
 }
 
-// fitting lists the workers that have so many CPUs free now.
-func (s *standing) fitting(cpus float64) (ks []*testkit.Worker) {
+// workersWithFree lists the workers that have so many CPUs free now.
+func (s *snapshot) workersWithFree(cpus float64) (ks []*testkit.Worker) {
 	for k, free := range s.free {
 		if free+cpuTolerance >= cpus {
 			ks = append(ks, k)
@@ -169,9 +169,9 @@
 	return ks
 }
 
-// useOf sums what tasks of these jobs use. Those of cancelled jobs excuse no wait: they are
+// useByTeam sums what tasks of these jobs use. Those of cancelled jobs excuse no wait: they are
 // gone long before one is too long. The cluster is locked.
-func (w *cluster) useOf(jobs map[string]*wire.Job) teamUse {
+func (w *cluster) useByTeam(jobs map[string]*wire.Job) teamUse {
 	use := teamUse{}
 	for _, k := range w.workers {
 		for _, task := range k.On() {
@@ -184,9 +184,9 @@
 	return use
 }
 
-// living reads the jobs that live, but those with terms: they may have to wait. Jobs that
+// liveJobs reads the jobs that live, but those with terms: they may have to wait. Jobs that
 // the cluster did not know are known from then on.
-func (w *cluster) living() map[string]*wire.Job {
+func (w *cluster) liveJobs() map[string]*wire.Job {
 	items, _, err := (&testkit.View{Store: w.store}).List(context.Background(), "live/")
 	if err != nil {
 		w.fail("%v", err)
@@ -215,8 +215,8 @@
 	return jobs
 }
 
-// calm reports whether nothing is cut, down, slow or late. The cluster is locked.
-func (w *cluster) calm() bool {
+// faultFree reports whether nothing is cut, down, slow or late. The cluster is locked.
+func (w *cluster) faultFree() bool {
 	for link, off := range w.brokenLinks {
 		if off && link[0] != link[1] {
 			return false
@@ -234,8 +234,8 @@
 	return !store && w.holdsCommand == nil && w.transit == nil && w.messageDelay == nil
 }
 
-// bound reports whether a job may not use every worker that has room for it.
-func bound(job *wire.Job) bool { return job.Zone != nil || job.OneZone || job.Spread }
+// hasZoneConstraint reports whether a job may not use every worker that has room for it.
+func hasZoneConstraint(job *wire.Job) bool { return job.Zone != nil || job.OneZone || job.Spread }
 
 // The check of waits must see what it is for: a job that nobody places although there is
 // room, and neither one for which there is none, nor one whose team is at its limit, nor,
@@ -264,10 +264,10 @@
 				if c.trouble {
 					w.refuse("a")
 				}
-				w.waits.insisted = c.insist
+				w.waits.always = c.insist
 				noticed := 0
 				w.fail = func(string, ...any) { noticed++ }
-				w.accept(&wire.Job{UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: c.cpus, MemoryGB: 1, EstimateS: 4, Spot: true})
+				w.recordAcceptedJob(&wire.Job{UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: c.cpus, MemoryGB: 1, EstimateS: 4, Spot: true})
 				for range 60 { // no controller runs
 					time.Sleep(2 * time.Second)
 					w.checkWaits()
@@ -290,13 +290,13 @@
 		moving, taken := newWaitCheck(), newWaitCheck()
 		besideMoving, besideTaken, besideTakenSteady := time.Duration(0), time.Duration(0), time.Duration(0)
 		starts := 0
-		for at := time.Duration(0); at <= waitAllowed+2*lookPause; at += time.Second {
+		for at := time.Duration(0); at <= maxWait+2*recurringCheckInterval; at += time.Second {
 			now := begin.Add(at)
 			if starting && at%(40*time.Second) == 0 {
 				starts++
 			}
 			// When one worker loses its room, the other has had some for more than 5 s.
-			s := &standing{free: map[*testkit.Worker]float64{first: 0, second: 0}}
+			s := &snapshot{free: map[*testkit.Worker]float64{first: 0, second: 0}}
 			turn := int(at/time.Second) % 20
 			if turn < 16 {
 				s.free[first] = 1
@@ -304,22 +304,22 @@
 			if turn >= 9 || turn < 6 {
 				s.free[second] = 1
 			}
-			besideMoving = max(besideMoving, moving.besideSteadyRoom("j", moving.hasSteadyRoom(s, 1, now), starts, now))
+			besideMoving = max(besideMoving, moving.steadyCapacityWait("j", moving.hasSteadyCapacity(s, 1, now), starts, now))
 
-			look := at%lookPause == 0
-			s = &standing{free: map[*testkit.Worker]float64{first: 0}}
+			look := at%recurringCheckInterval == 0
+			s = &snapshot{free: map[*testkit.Worker]float64{first: 0}}
 			if look {
 				s.free[first] = 1
 			}
-			besideTakenSteady = max(besideTakenSteady, taken.besideSteadyRoom("j", taken.hasSteadyRoom(s, 1, now), starts, now))
+			besideTakenSteady = max(besideTakenSteady, taken.steadyCapacityWait("j", taken.hasSteadyCapacity(s, 1, now), starts, now))
 			if look {
-				besideTaken = max(besideTaken, taken.besideRecurringRoom("j", true, s.fitting(1), starts, now))
+				besideTaken = max(besideTaken, taken.recurringCapacityWait("j", true, s.workersWithFree(1), starts, now))
 			}
 		}
-		if noticed := besideMoving > waitAllowed; noticed == starting {
+		if noticed := besideMoving > maxWait; noticed == starting {
 			t.Errorf("starting %v: waited %v beside steady room", starting, besideMoving)
 		}
-		if noticed := besideTaken > waitAllowed; noticed == starting {
+		if noticed := besideTaken > maxWait; noticed == starting {
 			t.Errorf("starting %v: waited %v beside recurring room", starting, besideTaken)
 		}
 		if besideTakenSteady != 0 {
--- a/internal/testkit/worker_assignment_test.go
+++ b/internal/testkit/worker_assignment_test.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// roomForWorkers is how many workers a controller has connections for, of spreadWorkers.
+// connectionsPerController is how many workers a controller has connections for, of sharedWorkers.
 const (
-	roomForWorkers = 4
-	spreadWorkers  = 9
+	connectionsPerController = 4
+	sharedWorkers  = 9
 )
 
-// spread plays on a cluster of three controllers none of which has connections for all
+// onSharedWorkers plays on a cluster of three controllers none of which has connections for all
 // workers, so that they share them.
-func spread(t *testing.T, seed uint64, play func(w *cluster, owner, holder string)) {
-	onClusterWith(t, seed, limitedTeams, 3, spreadWorkers, func(w *cluster) {
-		w.connectionLimits = map[string]int{"a": roomForWorkers, "b": roomForWorkers, "c": roomForWorkers}
+func onSharedWorkers(t *testing.T, seed uint64, play func(w *cluster, owner, holder string)) {
+	onClusterWith(t, seed, limitedTeams, 3, sharedWorkers, func(w *cluster) {
+		w.connectionLimits = map[string]int{"a": connectionsPerController, "b": connectionsPerController, "c": connectionsPerController}
 		w.losslessReports = true // a worker that moved for a lost message stays away for up to 30 s
 		w.live(40)
 		w.losslessReports = false
 		owner := w.leader()
 		holder := w.others(owner)[0]
-		if held := w.held(); held[owner] == 0 || held[holder] == 0 {
+		if held := w.workerCounts(); held[owner] == 0 || held[holder] == 0 {
 			t.Fatalf("workers are not shared: %v, owner %s", held, owner)
 		}
 		play(w, owner, holder)
 	})
 }
 
-// holders names the controller that each worker reports to.
-func (w *cluster) holders() map[string]string {
+// dispatcherNames names the controller that each worker reports to.
+func (w *cluster) dispatcherNames() map[string]string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]string{}
@@ -41,10 +41,10 @@
 	return out
 }
 
-// held counts the workers that report to each controller.
-func (w *cluster) held() map[string]int {
+// workerCounts counts the workers that report to each controller.
+func (w *cluster) workerCounts() map[string]int {
 	out := map[string]int{}
-	for _, holder := range w.holders() {
+	for _, holder := range w.dispatcherNames() {
 		out[holder]++
 	}
 	return out
@@ -54,15 +54,15 @@
 // as it has, others hold the rest, each worker stays where it is, and no dispatcher raises its
 // term above another's again and again.
 func TestWorkersAreSharedByConnectionLimit(t *testing.T) {
-	spread(t, 1, func(w *cluster, owner, _ string) {
+	onSharedWorkers(t, 1, func(w *cluster, owner, _ string) {
 		w.losslessReports, w.reliableStore, w.promptCommands = true, true, true
 		w.job("j-9", "t", "normal", 30, 1)
 		w.live(40)
-		before, terms := w.holders(), map[string]uint64{}
+		before, terms := w.dispatcherNames(), map[string]uint64{}
 		for _, name := range w.names {
 			terms[name] = w.nodes[name].member.FencingToken()
-			if n := w.held()[name]; n > roomForWorkers+1 {
-				t.Errorf("%s holds %d workers and has room for %d", name, n, roomForWorkers)
+			if n := w.workerCounts()[name]; n > connectionsPerController+1 {
+				t.Errorf("%s holds %d workers and has room for %d", name, n, connectionsPerController)
 			}
 		}
 		w.job("j-10", "t", "normal", 30, 1)
@@ -70,7 +70,7 @@
 			t.Error("a job of short tasks does not end")
 		}
 		w.live(20)
-		if after := w.holders(); !maps.Equal(before, after) {
+		if after := w.dispatcherNames(); !maps.Equal(before, after) {
 			t.Errorf("workers moved: %v, then %v", before, after)
 		}
 		for _, name := range w.names {
@@ -79,33 +79,33 @@
 			}
 		}
 		w.connectionLimits = nil
-		if !w.within(80, func() bool { return w.held()[owner] == spreadWorkers }) {
-			t.Errorf("with room for all at %s: %v", owner, w.held())
+		if !w.within(80, func() bool { return w.workerCounts()[owner] == sharedWorkers }) {
+			t.Errorf("with room for all at %s: %v", owner, w.workerCounts())
 		}
 	})
 }
 
 // TestWorkersStayWithLeaderWhileConnectionsSuffice: where one controller has room for all, it holds all.
 func TestWorkersStayWithLeaderWhileConnectionsSuffice(t *testing.T) {
-	onClusterWith(t, 2, limitedTeams, 3, spreadWorkers, func(w *cluster) {
+	onClusterWith(t, 2, limitedTeams, 3, sharedWorkers, func(w *cluster) {
 		w.losslessReports = true
-		w.connectionLimits = map[string]int{"a": spreadWorkers, "b": spreadWorkers, "c": spreadWorkers}
+		w.connectionLimits = map[string]int{"a": sharedWorkers, "b": sharedWorkers, "c": sharedWorkers}
 		w.live(40)
-		if held := w.held(); held[w.leader()] != spreadWorkers {
+		if held := w.workerCounts(); held[w.leader()] != sharedWorkers {
 			t.Errorf("held: %v, owner %s", held, w.leader())
 		}
 		for _, name := range w.names {
-			if r := &w.nodes[name].reach; r.seats != nil || r.room != 0 {
-				t.Errorf("%s tells of seats %v, room %d", name, r.seats, r.room)
+			if r := &w.nodes[name].reach; r.assignments != nil || r.workerCapacity != 0 {
+				t.Errorf("%s tells of seats %v, room %d", name, r.assignments, r.workerCapacity)
 			}
 		}
 	})
 }
 
-// TestFaultsOfDispatcherThatIsNotLeader: a dispatcher that is not the leader dies, comes back at once, is cut
+// TestFaultsOfNonLeaderDispatcher: a dispatcher that is not the leader dies, comes back at once, is cut
 // from the leader with or without a way round, or its views stop: what runs is never started
 // twice, limits and cancels hold, and all jobs end.
-func TestFaultsOfDispatcherThatIsNotLeader(t *testing.T) {
+func TestFaultsOfNonLeaderDispatcher(t *testing.T) {
 	for name, trouble := range map[string]func(w *cluster, owner, holder string) (over func()){
 		"dies": func(w *cluster, _, holder string) func() {
 			w.crash(holder)
@@ -116,16 +116,16 @@
 			return func() {}
 		},
 		"is cut from the owner": func(w *cluster, owner, holder string) func() {
-			w.cutBetween(owner, holder, true)
-			return func() { w.cutBetween(owner, holder, false) }
+			w.setLinksBroken(owner, holder, true)
+			return func() { w.setLinksBroken(owner, holder, false) }
 		},
 		"is cut from both": func(w *cluster, _, holder string) func() {
 			for _, other := range w.others(holder) {
-				w.cutBetween(other, holder, true)
+				w.setLinksBroken(other, holder, true)
 			}
 			return func() {
 				for _, other := range w.others(holder) {
-					w.cutBetween(other, holder, false)
+					w.setLinksBroken(other, holder, false)
 				}
 			}
 		},
@@ -140,7 +140,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2) {
-				spread(t, 20+seed, func(w *cluster, owner, holder string) {
+				onSharedWorkers(t, 20+seed, func(w *cluster, owner, holder string) {
 					w.job("j-10", "t", "normal", 60, 1)
 					w.job("j-11", "capped", "normal", 30, 1)
 					w.job("j-12", "assured", "urgent", 20, 2)
@@ -169,8 +169,8 @@
 	}
 }
 
-// cutBetween breaks the links between two controllers, or mends them.
-func (w *cluster) cutBetween(a, b string, off bool) {
+// setLinksBroken breaks the links between two controllers, or mends them.
+func (w *cluster) setLinksBroken(a, b string, off bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.brokenLinks[[2]string{a, b}], w.brokenLinks[[2]string{b, a}] = off, off
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -13,21 +13,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// waitLimit is how long a job may wait, faults over, while a worker has room for it.
-const waitLimit = 90 * time.Second
+// maxZonedWait is how long a job may wait, faults over, while a worker has room for it.
+const maxZonedWait = 90 * time.Second
 
 // zonedJob is a job with a constraint on zones, and what is known of its tasks.
 type zonedJob struct {
 	wire.Job
 	done    map[string]bool
-	waiting time.Time // since when a task waits beside a worker with room for it; zero: none does
+	waitingSince time.Time // since when a task waits beside a worker with room for it; zero: none does
 }
 
 // zonedCluster checks each start against the constraints of its job.
 type zonedCluster struct {
 	*cluster
 	jobs   map[string]*zonedJob
-	starts map[string]int // checked, by zone
+	startsByZone map[string]int // checked, by zone
 }
 
 func (z *zonedCluster) submitZoned(job *wire.Job) {
@@ -42,8 +42,8 @@
 	z.mu.Unlock()
 }
 
-// zonesOf counts a job's tasks that are on, by zone, but for one task.
-func (z *zonedCluster) zonesOf(uid, except string) map[string]int {
+// runningByZone counts a job's tasks that are on, by zone, but for one task.
+func (z *zonedCluster) runningByZone(uid, except string) map[string]int {
 	zones := map[string]int{}
 	for _, k := range z.workers {
 		for _, task := range k.On() {
@@ -55,9 +55,9 @@
 	return zones
 }
 
-// misplaced says why a task of the job may not start in a zone now, or "".
-func (z *zonedCluster) misplaced(job *zonedJob, task, zone string) string {
-	on := z.zonesOf(job.UID, task)
+// constraintViolation says why a task of the job may not start in a zone now, or "".
+func (z *zonedCluster) constraintViolation(job *zonedJob, task, zone string) string {
+	on := z.runningByZone(job.UID, task)
 	switch {
 	case job.Zone != nil && *job.Zone != zone:
 		return "its job is bound to " + *job.Zone
@@ -69,42 +69,42 @@
 	return ""
 }
 
-// started checks a start; the cluster's lock is held.
-func (z *zonedCluster) started(k *testkit.Worker, task string, _ uint64) {
+// checkZonedStart checks a start; the cluster's lock is held.
+func (z *zonedCluster) checkZonedStart(k *testkit.Worker, task string, _ uint64) {
 	uid, _, _ := strings.Cut(task, "/")
 	job := z.jobs[uid]
 	if job == nil {
 		return
 	}
-	z.starts[k.Zone]++
-	job.waiting = time.Time{}
-	if why := z.misplaced(job, task, k.Zone); why != "" {
+	z.startsByZone[k.Zone]++
+	job.waitingSince = time.Time{}
+	if why := z.constraintViolation(job, task, k.Zone); why != "" {
 		z.fail("%s starts on %s in zone %s: %s", task, k.Name, k.Zone, why)
 	}
 }
 
-// lookWaiting looks for jobs that wait beside a worker with room, faults over.
-func (z *zonedCluster) lookWaiting() {
+// checkZonedWaits looks for jobs that wait beside a worker with room, faults over.
+func (z *zonedCluster) checkZonedWaits() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	for _, job := range z.jobs {
 		on := 0
-		for _, n := range z.zonesOf(job.UID, "") {
+		for _, n := range z.runningByZone(job.UID, "") {
 			on += n
 		}
 		room := ""
 		for _, k := range z.workers {
-			if len(k.On()) < int(z.size) && z.misplaced(job, "", k.Zone) == "" {
+			if len(k.On()) < int(z.size) && z.constraintViolation(job, "", k.Zone) == "" {
 				room = k.Name
 			}
 		}
 		switch {
 		case on+len(job.done) >= job.Tasks || room == "":
-			job.waiting = time.Time{}
-		case job.waiting.IsZero():
-			job.waiting = time.Now()
-		case time.Since(job.waiting) > waitLimit:
-			z.fail("%s waits for %v beside %s; %d of %d tasks are on, %d done", job.UID, time.Since(job.waiting), room, on, job.Tasks, len(job.done))
+			job.waitingSince = time.Time{}
+		case job.waitingSince.IsZero():
+			job.waitingSince = time.Now()
+		case time.Since(job.waitingSince) > maxZonedWait:
+			z.fail("%s waits for %v beside %s; %d of %d tasks are on, %d done", job.UID, time.Since(job.waitingSince), room, on, job.Tasks, len(job.done))
 		}
 	}
 }
@@ -119,7 +119,7 @@
 		play func(z *zonedCluster)
 	}{
 		{"machines of the zone are lost, one by one, and the leader ends", func(z *zonedCluster) {
-			lost := z.inZone("y")[:3]
+			lost := z.workersInZone("y")[:3]
 			for i, k := range lost {
 				z.cutAll(k.Name, z.names...)
 				if i == 1 {
@@ -132,17 +132,17 @@
 				z.fail("no machine was lost")
 			}
 		}},
-		{"the zone is cut off with another controller", func(z *zonedCluster) { z.cutZone(z.others(z.leader())[0]) }},
-		{"the zone is cut off with the leader", func(z *zonedCluster) { z.cutZone(z.leader()) }},
+		{"the zone is cut off with another controller", func(z *zonedCluster) { z.isolateZone(z.others(z.leader())[0]) }},
+		{"the zone is cut off with the leader", func(z *zonedCluster) { z.isolateZone(z.leader()) }},
 		{"the zone is cut off with a controller that the next leader never heard", func(z *zonedCluster) {
-			z.cutZoneUnheard(func(leader, other string) {
+			z.isolateZoneWithUnheardController(func(leader, other string) {
 				z.restart(other, 300*time.Millisecond)
 				z.live(4)
 				z.restart(leader, 300*time.Millisecond)
 			})
 		}},
 		{"the zone is cut off with a controller that no other has heard", func(z *zonedCluster) {
-			z.cutZoneUnheard(func(leader, other string) {
+			z.isolateZoneWithUnheardController(func(leader, other string) {
 				z.crash(leader)
 				z.restart(other, 300*time.Millisecond)
 				z.start(leader)
@@ -163,13 +163,13 @@
 	for _, trouble := range troubles {
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("%s, %d", trouble.name, seed), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playZones(t, 1300+seed, trouble.play) })
+				synctest.Test(t, func(t *testing.T) { playZoneFaults(t, 1300+seed, trouble.play) })
 			})
 		}
 	}
 }
 
-func (z *zonedCluster) inZone(zone string) (ks []*testkit.Worker) {
+func (z *zonedCluster) workersInZone(zone string) (ks []*testkit.Worker) {
 	for _, k := range z.workers {
 		if k.Zone == zone {
 			ks = append(ks, k)
@@ -178,40 +178,40 @@
 	return ks
 }
 
-// cutZone cuts zone y, with its workers and a controller, off from the rest and from the
+// isolateZone cuts zone y, with its workers and a controller, off from the rest and from the
 // state service for longer than the workers' leases could last.
-func (z *zonedCluster) cutZone(inside string) {
-	z.divide(inside)
-	before := z.starts["z"]
-	z.live(int((testGrace + 2*workerLease).Seconds()))
-	if z.starts["z"] == before {
+func (z *zonedCluster) isolateZone(inside string) {
+	z.partitionZone(inside)
+	before := z.startsByZone["z"]
+	z.live(int((dispatchGrace + 2*workerLease).Seconds()))
+	if z.startsByZone["z"] == before {
 		z.fail("nothing started in the other zone")
 	}
 	z.healed()
 }
 
-// cutZoneUnheard cuts zone y off with a controller that doesn't lead, and has the others end
+// isolateZoneWithUnheardController cuts zone y off with a controller that doesn't lead, and has the others end
 // while it is: whoever then leads has never heard that controller. None of the zone's
 // machines is deleted while that one may answer them.
-func (z *zonedCluster) cutZoneUnheard(end func(leader, other string)) {
+func (z *zonedCluster) isolateZoneWithUnheardController(end func(leader, other string)) {
 	leader := z.leader()
 	inside, other := z.others(leader)[0], z.others(leader)[1]
-	z.divide(inside)
+	z.partitionZone(inside)
 	cut, returned := time.Now(), z.returnedMachines
 	z.live(4)
 	end(leader, other)
-	for z.leader() == "" && time.Since(cut) < testGrace {
+	for z.leader() == "" && time.Since(cut) < dispatchGrace {
 		z.live(1)
 	}
 	took := time.Since(cut)
-	for time.Since(cut) < testGrace+workerLease-2*time.Second {
+	for time.Since(cut) < dispatchGrace+workerLease-2*time.Second {
 		z.live(1)
 	}
 	next := z.leader()
-	if next == "" || next == inside || took > testGrace-workerLease/2 {
+	if next == "" || next == inside || took > dispatchGrace-workerLease/2 {
 		z.fail("%q leads, after %v", next, took)
 	}
-	for _, p := range z.nodes[next].linksSeen().Peers {
+	for _, p := range z.nodes[next].reachabilityView().Peers {
 		if p.Name == inside && p.SinceHeard < time.Hour {
 			z.fail("%s has heard %s", next, inside)
 		}
@@ -223,8 +223,8 @@
 	z.healed()
 }
 
-// divide cuts zone y, with a controller, off from the rest and from the state service.
-func (z *zonedCluster) divide(inside string) {
+// partitionZone cuts zone y, with a controller, off from the rest and from the state service.
+func (z *zonedCluster) partitionZone(inside string) {
 	z.cutAll(inside, append(z.others(inside), stateService)...)
 	for _, k := range z.workers {
 		if k.Zone == "y" {
@@ -235,13 +235,13 @@
 	}
 }
 
-func playZones(t *testing.T, seed uint64, play func(z *zonedCluster)) {
+func playZoneFaults(t *testing.T, seed uint64, play func(z *zonedCluster)) {
 	w := newCluster(t, seed)
 	w.bigger(3, 12)
 	w.long()
 	w.keepCuts = true
-	z := &zonedCluster{cluster: w, jobs: map[string]*zonedJob{}, starts: map[string]int{}}
-	w.onStart = z.started
+	z := &zonedCluster{cluster: w, jobs: map[string]*zonedJob{}, startsByZone: map[string]int{}}
+	w.onStart = z.checkZonedStart
 	for i, k := range w.workers {
 		if i%2 == 1 {
 			k.Zone = "y"
@@ -266,22 +266,22 @@
 	z.submitZoned(&wire.Job{UID: "j-88", Tasks: 3, Zone: &y})
 	w.submit("j-1", 200)
 	w.live(8)
-	if z.starts["y"] == 0 || z.starts["z"] == 0 {
-		t.Errorf("starts before the trouble: %v", z.starts)
+	if z.startsByZone["y"] == 0 || z.startsByZone["z"] == 0 {
+		t.Errorf("starts before the trouble: %v", z.startsByZone)
 	}
 	play(z)
 	bounded := 300
 	done := w.ended("j-10", "j-11", "j-20", "j-21", "j-30", "j-31", "j-1")
 	for ; bounded > 0 && !done(); bounded-- {
 		w.live(1)
-		z.lookWaiting()
+		z.checkZonedWaits()
 	}
 	if !done() {
 		t.Errorf("of the jobs with short tasks only %v ended", w.store.Keys("final/"))
 	}
 	for range 20 {
 		w.live(1)
-		z.lookWaiting()
+		z.checkZonedWaits()
 	}
 	for uid, job := range z.jobs {
 		if strings.HasPrefix(uid, "j-8") && w.onMachines(uid) < job.Tasks {
