--- a/internal/testkit/quota_leases_test.go
+++ b/internal/testkit/quota_leases_test.go
@@ -12,8 +12,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// onQuotaLeaseCluster plays a test on a new cluster whose shards are spread over two of three
-// controllers, with limited teams whose jobs belong to all shards.
+// onQuotaLeaseCluster runs a test on a new cluster with limited teams. Its shards are led by two
+// of three controllers, and each team has jobs in all shards, so that team limits are leased.
 func onQuotaLeaseCluster(t *testing.T, seed uint64, play func(c *teamCluster)) {
 	playOn(t, seed, 3, 8, func(w *cluster) {
 		w.leaderCount = 2
@@ -21,7 +21,7 @@
 	}, func(w *cluster) { play(&teamCluster{w}) })
 }
 
-// shardLeaders names the controllers that own jobs.
+// shardLeaders returns the names of the running controllers that lead shards.
 func (w *cluster) shardLeaders() (names []string) {
 	for _, n := range w.names {
 		if x := w.nodes[n]; !x.down && len(x.member.LedShards()) > 0 {
@@ -31,23 +31,24 @@
 	return names
 }
 
-// awaitTwoLeaders waits until two controllers own jobs: the first one gives half of them up.
+// awaitTwoLeaders waits until two controllers lead shards and returns their names. The first
+// leader transfers half of its shards to the second one.
 func (c *teamCluster) awaitTwoLeaders() []string {
 	c.t.Helper()
 	if !c.within(30, func() bool { return len(c.shardLeaders()) == 2 }) {
-		c.t.Fatalf("owners %v, want two", c.shardLeaders())
+		c.t.Fatalf("leaders %v, want two", c.shardLeaders())
 	}
 	return c.shardLeaders()
 }
 
-// submitToLeader submits a job of a limited team to a shard of a leader, and returns its name: the
-// first free one from a number on.
-func (c *teamCluster) submitToLeader(at string, from int, team, priority string, tasks int, cpus float64) string {
+// submitToLeader submits a job of a limited team to a shard that the given leader leads, and
+// returns the job's UID: the first unused j-N, with N at least from, that maps to such a shard.
+func (c *teamCluster) submitToLeader(leader string, from int, team, priority string, tasks int, cpus float64) string {
 	c.t.Helper()
-	return c.submitToShards(c.nodes[at].member.LedShards(), from, team, priority, tasks, cpus)
+	return c.submitToShards(c.nodes[leader].member.LedShards(), from, team, priority, tasks, cpus)
 }
 
-// submitToShards is jobAt for any of some shards.
+// submitToShards is submitToLeader for any of the given shards.
 func (c *teamCluster) submitToShards(shards map[int]uint64, from int, team, priority string, tasks int, cpus float64) string {
 	c.t.Helper()
 	teams, op := c.cfg.Params.Teams, c.operator()
@@ -58,33 +59,33 @@
 		}
 		job := arrayJob(uid, tasks)
 		job.Team, job.Priority, job.CPUs = team, priority, cpus
-		if _, there := shards[quota.AssignShard(job, teams, op)]; there {
+		if _, ok := shards[quota.AssignShard(job, teams, op)]; ok {
 			c.submitJob(job, nil)
 			return uid
 		}
 	}
-	c.t.Fatalf("no job falls to the shards %v", shards)
+	c.t.Fatalf("no job UID maps to the shards %v", shards)
 	return ""
 }
 
-// onTwoBusyLeaders is a cluster with two leaders that both run tasks of both limited teams, and
-// have more: short tasks, and ones that run for long.
-func onTwoBusyLeaders(t *testing.T, seed uint64, play func(c *teamCluster, owners, jobs, long []string)) {
+// onTwoBusyLeaders runs a test on a cluster with two leaders. Each of them runs tasks of both
+// limited teams and has more queued: jobs of short tasks, and jobs whose tasks run for long.
+func onTwoBusyLeaders(t *testing.T, seed uint64, play func(c *teamCluster, leaders, jobs, longJobs []string)) {
 	onQuotaLeaseCluster(t, seed, func(c *teamCluster) {
-		owners := c.awaitTwoLeaders()
-		jobs, long := make([]string, 0, 4*len(owners)+1), make([]string, 0, 2*len(owners))
-		for _, o := range owners {
+		leaders := c.awaitTwoLeaders()
+		jobs, longJobs := make([]string, 0, 4*len(leaders)+1), make([]string, 0, 2*len(leaders))
+		for _, leader := range leaders {
 			for _, team := range []string{"capped", "assured"} {
-				long = append(long, c.submitToLeader(o, 80, team, "normal", 2, 1))
-				jobs = append(jobs, c.submitToLeader(o, 1000, team, "normal", 12, 1), c.submitToLeader(o, 1000, team, "urgent", 3, 2))
+				longJobs = append(longJobs, c.submitToLeader(leader, 80, team, "normal", 2, 1))
+				jobs = append(jobs, c.submitToLeader(leader, 1000, team, "normal", 12, 1), c.submitToLeader(leader, 1000, team, "urgent", 3, 2))
 			}
 		}
 		jobs = append(jobs, "j-1")
 		c.job("j-1", "t", "low", 20, 1)
-		if !c.within(60, func() bool { return c.allRunning(long) && c.hasStarted(jobs[0]) && c.hasStarted(jobs[3]) }) {
-			c.t.Fatalf("tasks of %v and %v and %v do not all run; in use: %v; records %v", long, jobs[0], jobs[3], c.snapshot().running, c.quotaLeaseRecords())
+		if !c.within(60, func() bool { return c.allRunning(longJobs) && c.hasStarted(jobs[0]) && c.hasStarted(jobs[3]) }) {
+			c.t.Fatalf("not all of %v, %v and %v have running tasks; running tasks by job: %v; quota lease records %v", longJobs, jobs[0], jobs[3], c.snapshot().running, c.quotaLeaseRecords())
 		}
-		play(c, owners, jobs, long)
+		play(c, leaders, jobs, longJobs)
 	})
 }
 
@@ -110,38 +111,39 @@
 	return out
 }
 
-// leasedCPUs is how many CPUs of a team's limit the shards of a leader have.
-func (c *teamCluster) leasedCPUs(at, team string) (cpus float64) {
+// leasedCPUs returns how many CPUs of a team's limit are leased to the shards of a leader.
+func (c *teamCluster) leasedCPUs(leader, team string) (cpus float64) {
 	c.t.Helper()
 	record, err := quotalease.Parse([]byte(c.store.Text(quotalease.Key(quotalease.RecordOf(team)))), c.operator().Shards)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	own := c.nodes[at].member.LedShards()
+	own := c.nodes[leader].member.LedShards()
 	for _, row := range record.Rows {
-		if _, mine := own[row.Shard]; mine {
+		if _, ok := own[row.Shard]; ok {
 			cpus += float64(row.Teams[team].Part[0]) / 1000
 		}
 	}
 	return cpus
 }
 
-// A limited team's work is at one leader, then at the other: each time the whole limit is
-// there within two seconds, and in use soon after. No message is lost.
+// A limited team has work at one leader only, then only at the other, and then at the first again.
+// Each time the whole limit is leased to that leader within 2 s and in use within 8 s more. No
+// message is lost.
 func TestQuotaLeasesFollowDemand(t *testing.T) {
 	onQuotaLeaseCluster(t, 5001, func(c *teamCluster) {
 		c.mu.Lock()
 		c.reliableStore, c.losslessReports, c.promptCommands = true, true, true
 		c.mu.Unlock()
-		owners := c.awaitTwoLeaders()
+		leaders := c.awaitTwoLeaders()
 		c.live(5)
-		for i, o := range []string{owners[0], owners[1], owners[0]} {
-			uid := c.submitToLeader(o, 1000, "capped", "normal", 16, 1)
-			if !c.within(2, func() bool { return c.leasedCPUs(o, "capped") == 8 }) {
-				c.t.Errorf("%d: %s has %v of 8 CPUs; records %v", i, o, c.leasedCPUs(o, "capped"), c.quotaLeaseRecords())
+		for i, leader := range []string{leaders[0], leaders[1], leaders[0]} {
+			uid := c.submitToLeader(leader, 1000, "capped", "normal", 16, 1)
+			if !c.within(2, func() bool { return c.leasedCPUs(leader, "capped") == 8 }) {
+				c.t.Errorf("%d: %s has a lease of %v of 8 CPUs; records %v", i, leader, c.leasedCPUs(leader, "capped"), c.quotaLeaseRecords())
 			}
 			if !c.within(8, func() bool { return c.snapshot().use["capped"] == 8 }) {
-				c.t.Errorf("%d: %s uses %v of 8 CPUs; records %v", i, o, c.snapshot().use["capped"], c.quotaLeaseRecords())
+				c.t.Errorf("%d: %s uses %v of 8 CPUs; records %v", i, leader, c.snapshot().use["capped"], c.quotaLeaseRecords())
 			}
 			if !c.within(120, c.ended(uid)) {
 				c.t.Fatalf("%s did not end", uid)
@@ -150,45 +152,45 @@
 	})
 }
 
-// Both leaders run tasks of limited teams when one of them ends, is back within a second,
-// hands its shards over, or is cut off from all or from the state service alone, or when
-// both end, and jobs are cancelled at the same time. No limit is exceeded, what was cancelled
-// is gone in time, the other work ends, and nothing waits beside room in the end.
+// Both leaders run tasks of limited teams when one of them crashes, restarts within a second,
+// transfers its shards, or is cut off from everything or from the state service alone, or when
+// both crash. Jobs may be cancelled at the same time. No limit is exceeded, cancelled tasks stop
+// in time, all other jobs end, and finally no task waits while a worker can run it.
 func TestTeamLimitsHoldWhenLeaderFails(t *testing.T) {
 	changes := []struct {
-		name string
-		make func(c *teamCluster, owner, other string)
+		name  string
+		apply func(c *teamCluster, leader, other string)
 	}{
-		{"it ends", func(c *teamCluster, owner, _ string) { c.crash(owner) }},
-		{"it is back within a second", func(c *teamCluster, owner, _ string) { c.restart(owner, 400*time.Millisecond) }},
-		{"it hands over", func(c *teamCluster, owner, other string) {
-			_ = c.nodes[owner].member.TransferShards(context.Background(), other) // what became of it is looked at
+		{"it crashes", func(c *teamCluster, leader, _ string) { c.crash(leader) }},
+		{"it restarts within a second", func(c *teamCluster, leader, _ string) { c.restart(leader, 400*time.Millisecond) }},
+		{"it transfers its shards", func(c *teamCluster, leader, other string) {
+			_ = c.nodes[leader].member.TransferShards(context.Background(), other) // the test checks the result
 		}},
-		{"it is cut off", func(c *teamCluster, owner, _ string) {
-			c.cutAll(owner, append(c.workerNames(), append(c.others(owner), stateService)...)...)
+		{"it is cut off", func(c *teamCluster, leader, _ string) {
+			c.cutAll(leader, append(c.workerNames(), append(c.others(leader), stateService)...)...)
 		}},
-		{"it loses the state service", func(c *teamCluster, owner, _ string) { c.cutAll(owner, stateService) }},
-		{"both end", func(c *teamCluster, owner, other string) { c.crash(owner); c.crash(other) }},
+		{"it loses the state service", func(c *teamCluster, leader, _ string) { c.cutAll(leader, stateService) }},
+		{"both crash", func(c *teamCluster, leader, other string) { c.crash(leader); c.crash(other) }},
 	}
 	for i, change := range changes {
 		for _, cancel := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, cancelled %v", change.name, cancel), func(t *testing.T) {
-				onTwoBusyLeaders(t, uint64(5100+i), func(c *teamCluster, owners, jobs, long []string) {
+				onTwoBusyLeaders(t, uint64(5100+i), func(c *teamCluster, leaders, jobs, longJobs []string) {
 					if cancel {
-						c.cancelAll(owners[0], long[:2], 1)
+						c.cancelAll(leaders[0], longJobs[:2], 1)
 					}
-					change.make(c, owners[0], owners[1])
+					change.apply(c, leaders[0], leaders[1])
 					if cancel {
-						c.cancelAll(owners[1], long[2:], 1)
+						c.cancelAll(leaders[1], longJobs[2:], 1)
 					}
 					c.live(25)
 					c.startAll()
 					c.healed()
 					c.live(10)
 					if !cancel {
-						c.cancelAll(c.shardLeaders()[0], long, 30)
+						c.cancelAll(c.shardLeaders()[0], longJobs, 30)
 					}
-					c.cancelAll(c.shardLeaders()[0], long, 30)
+					c.cancelAll(c.shardLeaders()[0], longJobs, 30)
 					c.awaitCompletion(jobs...)
 				})
 			})
@@ -196,19 +198,19 @@
 	}
 }
 
-// A leader's writes of the records are held up on their way, as of a process that stood
-// still: it loses its shards meanwhile, and they arrive when its successor leases limits already.
-// Whatever comes of them, no limit is exceeded, and the work ends.
+// A leader's writes of quota lease records are delayed, as by a paused process. The leader loses
+// its shards meanwhile, and the writes arrive when its successor already leases limits. Whether or
+// not the writes succeed, no limit is exceeded and all jobs end.
 func TestLateQuotaLeaseWritesAfterFailover(t *testing.T) {
 	for seed, by := range []time.Duration{3 * time.Second, 9 * time.Second, 20 * time.Second} {
 		t.Run(fmt.Sprint(by), func(t *testing.T) {
-			onTwoBusyLeaders(t, uint64(5300+seed), func(c *teamCluster, owners, jobs, long []string) {
-				held := 0
+			onTwoBusyLeaders(t, uint64(5300+seed), func(c *teamCluster, leaders, jobs, longJobs []string) {
+				delayed := 0
 				c.mu.Lock()
 				c.delay = func(n *node, t wire.Txn) (time.Duration, func(error)) {
 					for _, op := range t.Then {
-						if n.name == owners[0] && strings.HasPrefix(op.Put, quotalease.Prefix) {
-							held++
+						if n.name == leaders[0] && strings.HasPrefix(op.Put, quotalease.Prefix) {
+							delayed++
 							return by, func(error) {}
 						}
 					}
@@ -216,94 +218,95 @@
 				}
 				c.mu.Unlock()
 				c.live(6)
-				c.cutAll(owners[0], stateService)
-				c.cancelAll(owners[1], long, 10)
+				c.cutAll(leaders[0], stateService)
+				c.cancelAll(leaders[1], longJobs, 10)
 				c.live(15)
 				c.mu.Lock()
 				c.delay = nil
 				c.mu.Unlock()
 				c.healed()
-				if held == 0 {
-					c.t.Errorf("no write was held up")
+				if delayed == 0 {
+					c.t.Errorf("no write of a quota lease record was delayed")
 				}
-				c.cancelAll(c.shardLeaders()[0], long, 30)
+				c.cancelAll(c.shardLeaders()[0], longJobs, 30)
 				c.awaitCompletion(jobs...)
 			})
 		})
 	}
 }
 
-// restartWithLeaders stops all controllers until their leases have ended, and starts them with
-// another number of leaders.
-func (c *teamCluster) restartWithLeaders(spread int) {
+// restartWithLeaders stops all controllers until their leases have ended, and restarts them with
+// the given number of leaders.
+func (c *teamCluster) restartWithLeaders(leaderCount int) {
 	c.t.Helper()
 	c.stopAll()
-	time.Sleep(5500 * time.Millisecond) // workers' leases last longer: what runs goes on
-	c.leaderCount = spread
+	time.Sleep(5500 * time.Millisecond) // shorter than the workers' leases: running tasks continue
+	c.leaderCount = leaderCount
 	c.start(c.names[0])
 	time.Sleep(1500 * time.Millisecond)
 	c.startAll()
 	c.live(15)
-	if at := c.shardLeaders(); len(at) != spread {
-		c.t.Fatalf("owners %v, want %d", at, spread)
+	if leaders := c.shardLeaders(); len(leaders) != leaderCount {
+		c.t.Fatalf("leaders %v, want %d of them", leaders, leaderCount)
 	}
 }
 
-// A team's whole limit is in use in one shard, and leased to it, when one leader gets all shards by failover
-// alone; under it that work is cancelled, and all of the limit used in another shard, of
-// which no record of leased limits tells. With two leaders again, work for the first shard
-// must not start with the part that the record has.
+// A team uses its whole limit in one shard, and the limit is leased to that shard, when a restart
+// gives all shards to one leader. A single leader does not lease limits: it cancels that job and
+// runs another one that uses the whole limit in a second shard, without changing the quota lease
+// record. When two leaders lead again, no job of the first shard may start because of the outdated
+// record.
 func TestUnleasedUsageCountsWhenQuotaIsLeasedAgain(t *testing.T) {
 	onQuotaLeaseCluster(t, 5500, func(c *teamCluster) {
 		c.awaitTwoLeaders()
 		c.live(5)
-		alone := c.operator()
-		alone.Spread = 1
-		home := quota.AssignShard(&wire.Job{Team: "capped"}, limitedTeams, alone) // of all such jobs that one leader accepts
-		first := map[int]uint64{(home + 1) % alone.Shards: 1}
-		uses := func(uid string) func() bool { return func() bool { return c.onMachines(uid) == 8 } }
-		before := c.submitToShards(first, 80, "capped", "normal", 8, 1)
-		if !c.within(30, uses(before)) {
-			c.t.Fatalf("%s has %d tasks on", before, c.onMachines(before))
+		oneLeader := c.operator()
+		oneLeader.Spread = 1
+		defaultShard := quota.AssignShard(&wire.Job{Team: "capped"}, limitedTeams, oneLeader) // shard of all the team's jobs that a single leader accepts
+		firstShard := map[int]uint64{(defaultShard + 1) % oneLeader.Shards: 1}
+		usesLimit := func(uid string) func() bool { return func() bool { return c.onMachines(uid) == 8 } }
+		firstJob := c.submitToShards(firstShard, 80, "capped", "normal", 8, 1)
+		if !c.within(30, usesLimit(firstJob)) {
+			c.t.Fatalf("%s has %d of 8 tasks running", firstJob, c.onMachines(firstJob))
 		}
 		c.restartWithLeaders(1)
-		under := c.submitToShards(map[int]uint64{home: 1}, 80, "capped", "normal", 8, 1)
-		c.cancelAll(c.shardLeaders()[0], []string{before}, 10)
-		if !c.within(60, uses(under)) {
-			c.t.Fatalf("%s has %d tasks on", under, c.onMachines(under))
+		secondJob := c.submitToShards(map[int]uint64{defaultShard: 1}, 80, "capped", "normal", 8, 1)
+		c.cancelAll(c.shardLeaders()[0], []string{firstJob}, 10)
+		if !c.within(60, usesLimit(secondJob)) {
+			c.t.Fatalf("%s has %d of 8 tasks running", secondJob, c.onMachines(secondJob))
 		}
-		c.leaderCount = 2 // of who accepts the next job, already
-		after := c.submitToShards(first, 1000, "capped", "normal", 8, 1)
+		c.leaderCount = 2 // so that the next job is already mapped to a shard as with two leaders
+		thirdJob := c.submitToShards(firstShard, 1000, "capped", "normal", 8, 1)
 		c.restartWithLeaders(2)
 		c.live(30)
-		if n := c.onMachines(under); n == 0 {
-			c.t.Errorf("nothing of %s is on any more", under)
+		if n := c.onMachines(secondJob); n == 0 {
+			c.t.Errorf("%s has no running tasks any more", secondJob)
 		}
-		c.cancelAll(c.shardLeaders()[0], []string{under}, 10)
-		c.awaitCompletion(after)
+		c.cancelAll(c.shardLeaders()[0], []string{secondJob}, 10)
+		c.awaitCompletion(thirdJob)
 	})
 }
 
-// All controllers stop until their leases have ended, and start again with one leader, and
-// then with two, while tasks of limited teams run for long in all shards: what the one leader started is in no record of
-// leased limits, and counts all the same.
+// All controllers stop until their leases have ended, and restart alternately with one leader and
+// with two, while long tasks of limited teams run in all shards. Tasks that a single leader
+// started are not covered by any quota lease record, but must count towards their team's limit.
 func TestQuotaHoldsWhenLeaderCountChanges(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			onTwoBusyLeaders(t, 5400+seed, func(c *teamCluster, _, jobs, long []string) {
-				next := 81 // what runs for long
-				for _, spread := range []int{1, 2, 1, 2} {
-					c.restartWithLeaders(spread)
-					c.cancelAll(c.shardLeaders()[0], long[:2], 20)
+			onTwoBusyLeaders(t, 5400+seed, func(c *teamCluster, _, jobs, longJobs []string) {
+				next := 81 // first UID to try; jobs from j-80 on have long tasks
+				for _, leaderCount := range []int{1, 2, 1, 2} {
+					c.restartWithLeaders(leaderCount)
+					c.cancelAll(c.shardLeaders()[0], longJobs[:2], 20)
 					for _, team := range []string{"capped", "assured"} {
-						at := c.shardLeaders()
-						uid := c.submitToLeader(at[len(at)-1], next, team, "production", 2, 1)
-						long = append(long[1:], uid)
+						leaders := c.shardLeaders()
+						uid := c.submitToLeader(leaders[len(leaders)-1], next, team, "production", 2, 1)
+						longJobs = append(longJobs[1:], uid)
 					}
 					c.live(15)
 				}
 				for range 2 {
-					c.cancelAll(c.shardLeaders()[0], long, 30)
+					c.cancelAll(c.shardLeaders()[0], longJobs, 30)
 				}
 				for _, uid := range c.store.Keys("live/") {
 					if uid = strings.TrimPrefix(uid, "live/"); strings.HasPrefix(uid, "j-8") || strings.HasPrefix(uid, "j-9") {
@@ -316,8 +319,8 @@
 	}
 }
 
-// Under drawn faults, with lost, late and repeated writes, no limit that is leased is
-// exceeded, and all work ends.
+// Under randomly drawn faults, with lost, late and repeated writes, no leased limit is exceeded
+// and all jobs end.
 func TestQuotaLeasesUnderDrawnFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -329,14 +332,14 @@
 					c.job(uid, []string{"capped", "assured"}[i%2], []string{"normal", "urgent", "low"}[i%3], 4+i%5, float64(1+i%3))
 					jobs = append(jobs, uid)
 				}
-				calm := time.Now().Add(2 * time.Minute)
+				faultsEnd := time.Now().Add(2 * time.Minute)
 				for i := 0; !c.ended(jobs...)(); i++ {
 					if i == 900 {
 						c.t.Fatalf("only %v ended; records %v", c.store.Keys("final/"), c.quotaLeaseRecords())
 					}
 					c.sendReports()
-					c.step(calm)
-					if !time.Now().Before(calm) {
+					c.step(faultsEnd)
+					if !time.Now().Before(faultsEnd) {
 						c.startAll()
 					}
 				}
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -14,15 +14,15 @@
 	"github.com/wallrack/wallrack/internal/testkit"
 )
 
-// stateService names the state service in the matrix of links.
+// stateService is the state service's name in cluster.brokenLinks.
 const stateService = "state"
 
-// linkWorks reports whether the link from one party to another linkWorks: between
-// controllers, to the state service, and between workers and controllers.
+// linkWorks reports whether messages from one party reach another. Parties are controllers,
+// workers and the state service.
 func (w *cluster) linkWorks(from, to string) bool { return !w.brokenLinks[[2]string{from, to}] }
 
-// reachesStore reports whether a controller's requests reach the state service, straight
-// or by a peer that passes them on.
+// reachesStore reports whether a controller's requests reach the state service, directly or
+// through a peer that relays them.
 func (w *cluster) reachesStore(n *node) bool {
 	if w.linkWorks(n.name, stateService) {
 		return true
@@ -31,30 +31,30 @@
 	return storeRelay != "" && !w.nodes[storeRelay].down && w.linkWorks(n.name, storeRelay) && w.linkWorks(storeRelay, stateService)
 }
 
-// reachabilityState is a controller's view of the links, and what it does by it, as cmd/wallrack
-// does.
+// reachabilityState is a controller's view of which links work, with the components that act on
+// it as in cmd/wallrack.
 type reachabilityState struct {
-	node      *node
-	table     *reachability.Table
-	startedMs      int64
-	seq       uint64
-	storeRelay        string // who passes requests to the state service on
-	detectorMu sync.Mutex
-	detector   reachability.FailureDetector
-	transferMonitor     reachability.TransferMonitor
-	planner      reachability.AssignmentPlanner
-	assignments     []reachability.Assignment
-	workerCapacity      int
-	workerCount      int
-	lastAnnouncement time.Time
-	lastView      reachability.View // as of the last exchange
+	node             *node
+	table            *reachability.Table
+	startedMs        int64
+	seq              uint64
+	storeRelay       string // peer that relays requests to the state service; empty if none does
+	detectorMu       sync.Mutex
+	detector         reachability.FailureDetector
+	transferMonitor  reachability.TransferMonitor
+	planner          reachability.AssignmentPlanner
+	assignments      []reachability.Assignment
+	workerCapacity   int               // workers that this controller has connections for; 0 if not announced
+	workerCount      int               // workers that report here; 0 if not announced
+	lastAnnouncement time.Time         // when this controller last announced its links through the state service
+	lastView         reachability.View // as of the last exchange
 }
 
 const (
-	dispatchGrace = 27 * time.Second // for which a controller answers workers when it hears of nobody
+	dispatchGrace = 27 * time.Second // how long a controller that hears from no other controller still answers workers
 )
 
-// peers names the other controllers.
+// peers returns the names of the other controllers.
 func (r *reachabilityState) peers() (peers []string) {
 	for _, name := range r.node.cluster.names {
 		if name != r.node.name {
@@ -73,32 +73,32 @@
 
 func (r *reachabilityState) nextHop(to string) string { return r.lastView.NextHop(to) }
 
-func (r *reachabilityState) status(state bool) reachability.NodeStatus {
+func (r *reachabilityState) status(storeReachable bool) reachability.NodeStatus {
 	n, now := r.node, time.Now()
 	r.seq++
 	reports, machines := n.dispatcher.RecentHeartbeats()
-	row := reachability.NodeStatus{
-		Node: n.name, StartedMs: r.startedMs, Seq: r.seq, StoreReachable: state, LeaseHeld: n.member.LeaseRemaining() > 0, LeadsShards: len(n.member.LedShards()) > 0,
+	status := reachability.NodeStatus{
+		Node: n.name, StartedMs: r.startedMs, Seq: r.seq, StoreReachable: storeReachable, LeaseHeld: n.member.LeaseRemaining() > 0, LeadsShards: len(n.member.LedShards()) > 0,
 		Heartbeats: reports, ExpectedHeartbeats: float64(machines) / reportEvery.Seconds() * dispatch.HeartbeatWindow.Seconds(), UnreachedPeers: r.table.UnreachedPeers(now),
 	}
 	if o := n.member.ShardLeaders(); len(o) > 0 {
-		row.PreferredLeader = o[0]
+		status.PreferredLeader = o[0]
 	}
-	row.Assignments, row.WorkerCapacity, row.WorkerCount = r.assignments, r.workerCapacity, r.workerCount
-	if len(row.UnreachedPeers) > 0 || r.table.UnreachedByPeers(now) {
-		row.HeardWorkers = reachability.NewNameSet(n.dispatcher.WorkersHeardWithin(workerLease), 4096)
+	status.Assignments, status.WorkerCapacity, status.WorkerCount = r.assignments, r.workerCapacity, r.workerCount
+	if len(status.UnreachedPeers) > 0 || r.table.UnreachedByPeers(now) {
+		status.HeardWorkers = reachability.NewNameSet(n.dispatcher.WorkersHeardWithin(workerLease), 4096)
 	}
-	return row
+	return status
 }
 
 func (r *reachabilityState) handleAnnouncement(value json.RawMessage) {
-	var row reachability.NodeStatus
-	if json.Unmarshal(value, &row) == nil {
-		r.table.Update(row, reachability.ViaStore, 0, time.Now())
+	var status reachability.NodeStatus
+	if json.Unmarshal(value, &status) == nil {
+		r.table.Update(status, reachability.ViaStore, 0, time.Now())
 	}
 }
 
-// reachabilityView is the view of the links as of the last exchange.
+// reachabilityView returns this controller's view of the links as of the last exchange.
 func (n *node) reachabilityView() reachability.View {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -124,23 +124,23 @@
 	return v.Isolated()
 }
 
-// exchangeReachability has the controllers tell each other, as far as links work, and act by
-// what they then know.
+// exchangeReachability has the controllers exchange their status over the links that work, and
+// then act on their updated views: announce broken links, transfer shards, delete failed workers.
 func (w *cluster) exchangeReachability() {
 	now := time.Now()
-	var living []*node
+	var running []*node
 	for _, name := range w.names {
 		if n := w.nodes[name]; !n.down {
-			living = append(living, n)
+			running = append(running, n)
 		}
 	}
-	straight := map[*node]bool{}
+	storeReachable := map[*node]bool{}
 	w.mu.Lock()
-	for _, n := range living {
-		straight[n] = w.linkWorks(n.name, stateService)
+	for _, n := range running {
+		storeReachable[n] = w.linkWorks(n.name, stateService)
 	}
 	w.mu.Unlock()
-	for _, n := range living {
+	for _, n := range running {
 		for _, name := range w.names {
 			to := w.nodes[name]
 			if to == n {
@@ -151,31 +151,31 @@
 			w.mu.Unlock()
 			n.reach.table.RecordCall(name, ok, true)
 			if ok {
-				to.reach.table.Update(n.reach.status(straight[n]), reachability.Direct, 0, now)
+				to.reach.table.Update(n.reach.status(storeReachable[n]), reachability.Direct, 0, now)
 				to.reach.table.UpdateRelayed(n.reach.table.RelayFor(name, now), now)
-				n.reach.table.Update(to.reach.status(straight[to]), reachability.Direct, 0, now)
+				n.reach.table.Update(to.reach.status(storeReachable[to]), reachability.Direct, 0, now)
 				n.reach.table.UpdateRelayed(to.reach.table.RelayFor(n.name, now), now)
 				w.tellCancels(n, to)
 			}
 		}
 	}
-	w.watchCancels(context.Background(), living)
-	for _, n := range living {
+	w.watchCancels(context.Background(), running)
+	for _, n := range running {
 		r := &n.reach
-		v := r.table.View(r.status(straight[n]), now)
+		v := r.table.View(r.status(storeReachable[n]), now)
 		r.planAssignments(now, &v)
 		w.mu.Lock()
 		r.lastView, r.storeRelay = v, ""
-		if served := v.ServingPeers(); !straight[n] && len(served) > 0 {
+		if served := v.ServingPeers(); !storeReachable[n] && len(served) > 0 {
 			r.storeRelay = served[0]
 		}
 		w.mu.Unlock()
 		if v.Self.LeaseHeld && now.Sub(r.lastAnnouncement) >= reachability.AnnounceEvery && len(v.UnreachedPeers()) > 0 {
 			r.lastAnnouncement = now
-			_ = n.member.AnnounceLinks(context.Background(), v.Self) // a row that is lost is followed by the next
+			_ = n.member.AnnounceLinks(context.Background(), v.Self) // a lost announcement is followed by the next one
 		}
 		if to := r.transferMonitor.Check(now, &v, n.member.RecentTransfers(reachability.TransferWindow)); to != "" {
-			_ = n.member.TransferShards(context.Background(), to) // tried again if it fails
+			_ = n.member.TransferShards(context.Background(), to) // retried at a later exchange if it fails
 		}
 		if v.TakenForLeader() {
 			n.member.ReadShards(context.Background())
@@ -186,7 +186,8 @@
 	}
 }
 
-// planAssignments shares out the workers as cmd/wallrack does, by the room that the test sets.
+// planAssignments plans the assignment of workers to dispatchers as cmd/wallrack does, within the
+// connection limits that the test sets.
 func (r *reachabilityState) planAssignments(now time.Time, v *reachability.View) {
 	workerCapacity := r.node.cluster.connectionLimits[r.node.name]
 	workerCount := r.node.dispatcher.CountReporting(5 * reportEvery / 2)
@@ -198,8 +199,9 @@
 	v.Self.WorkerCapacity = r.workerCapacity
 }
 
-// deleteFailedWorkers returns the machines that a leader gives up. A machine whose worker a
-// controller heard a moment ago must not be among them.
+// deleteFailedWorkers probes the unresponsive workers of a leader, deletes those that its failure
+// detector takes for failed, returns their machines and starts a replacement for each. It fails
+// the test if a controller recently received heartbeats of such a worker.
 func (w *cluster) deleteFailedWorkers(n *node, v *reachability.View) {
 	r := &n.reach
 	known, silent := n.scheduler.UnresponsiveWorkers(r.detector.Threshold())
@@ -207,7 +209,7 @@
 	verdict := r.detector.Evaluate(time.Now(), v, reachability.ReceiveHealth{}, known, silent)
 	r.detectorMu.Unlock()
 	for name, m := range verdict.Probe {
-		n.onDuty("silence of "+name, func(ctx context.Context) {
+		n.onDuty("probe of "+name, func(ctx context.Context) {
 			heard := n.probeWorker(ctx, m)
 			if heard && m.OutboundLost {
 				n.scheduler.WorkerResponded(name)
@@ -225,15 +227,15 @@
 			for _, x := range w.names {
 				seen += fmt.Sprintf(" %s %v", x, w.nodes[x].dispatcher.SinceHeartbeat(name))
 			}
-			w.fail("%s gives %s back (%s), which was heard %v ago (by%s), asked now: %v; %+v", n.name, name, why, time.Since(h.last), seen, verdict.Probe[name], v)
+			w.fail("%s deletes %s (%s), whose last heartbeat was %v ago (age by controller:%s), probe: %v; view %+v", n.name, name, why, time.Since(h.last), seen, verdict.Probe[name], v)
 		}
 		delete(w.byName, name)
 		if i := slices.Index(w.workers, k); i >= 0 {
 			w.workers = slices.Delete(w.workers, i, i+1)
 		}
-		if k != nil { // else another leader deleted it, and it was replaced
+		if k != nil { // else another leader deleted and replaced it
 			w.returnedMachines++
-			k.Started, k.OnForget = nil, nil // what is still sent to it does nothing
+			k.Started, k.OnForget = nil, nil // messages still on their way to it have no effect
 			fresh := testkit.NewWorker(fmt.Sprintf("r-%d", w.returnedMachines), workerLease, k.Run)
 			fresh.Exit, fresh.Zone = k.Exit, k.Zone
 			w.join(fresh, w.returnedMachines)
@@ -248,11 +250,12 @@
 	}
 }
 
-// probeWorker asks a worker, and has all peers ask it, whether it probeWorker.
+// probeWorker polls a worker and asks all reachable peers whether they hear from it or can poll
+// it. It reports whether the worker responded or a peer hears it.
 func (n *node) probeWorker(ctx context.Context, m reachability.UnresponsiveWorker) bool {
 	w := n.cluster
 	heard := m.Endpoint != "" && n.dispatcher.PollWorker(ctx, m.Name, m.Endpoint)
-	for _, p := range w.names { // and its peers are asked whether they hear it
+	for _, p := range w.names {
 		w.mu.Lock()
 		to := w.nodes[p]
 		ok := to != n && w.reach(n, to)
@@ -262,11 +265,12 @@
 	return heard
 }
 
-// heartbeatTime is since when, without a longer gap, and when last a worker was heard.
+// heartbeatTime is when a worker's current series of heartbeats began, with no gap of more than
+// three report intervals, and when its last heartbeat arrived.
 type heartbeatTime struct{ since, last time.Time }
 
-// minHeartbeatHistory is how long a worker's heartbeats must have come so that its deletion is wrong: one
-// whose links have just healed may have been asked a moment before.
+// minHeartbeatHistory is how long a worker must have sent heartbeats for its deletion to be an
+// error: a worker whose links have just healed may still be deleted on an earlier probe.
 const minHeartbeatHistory = 5 * time.Second
 
 func (w *cluster) recordHeartbeat(name string) {
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// sendReport lets a worker sendReport, and checks the rule that a task is on one
-// machine at a time.
+// sendReport has a worker send a report to its dispatcher and handle the response. If the report
+// is lost or redirected, the worker uses another dispatcher for its next one.
 func (w *cluster) sendReport(k *testkit.Worker) {
 	w.mu.Lock()
 	if k.Hangs() {
@@ -22,16 +22,16 @@
 	rep.Endpoint = k.Name
 	n := w.nodes[w.names[w.dispatcherOf[k]%len(w.names)]]
 	sent := time.Now()
-	next := !w.losslessReports && w.rnd.IntN(30) == 0 || n.down || !w.linkWorks(k.Name, n.name) // a lost report: the worker tries the next one
+	lost := !w.losslessReports && w.rnd.IntN(30) == 0 || n.down || !w.linkWorks(k.Name, n.name)
 	w.mu.Unlock()
-	if next {
+	if lost {
 		w.mu.Lock()
 		w.dispatcherOf[k]++
 		w.mu.Unlock()
 		return
 	}
 	w.travel()
-	if n.ended() { // while the report was on its way
+	if n.ended() { // the controller crashed while the report was on its way
 		w.mu.Lock()
 		w.dispatcherOf[k]++
 		w.mu.Unlock()
@@ -46,7 +46,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if status == http.StatusOK && w.linkWorks(n.name, k.Name) {
-		w.recordHeartbeat(k.Name) // one that nobody answers loses its tasks, and may go
+		w.recordHeartbeat(k.Name) // a worker that receives no responses loses its lease and may be deleted
 	}
 	if w.copies = append(w.copies, rep); len(w.copies) > maxReportCopies {
 		w.copies = w.copies[maxReportCopies/2:]
@@ -56,7 +56,7 @@
 		return
 	}
 	if !w.losslessReports && w.rnd.IntN(30) == 0 {
-		return // the answer is lost
+		return // the response is lost
 	}
 	switch a := body.(type) {
 	case wire.ReportResponse:
@@ -76,11 +76,11 @@
 	}
 }
 
-// maxReportCopies is how many reports may be delivered late: those of a minute or so.
+// maxReportCopies limits the reports that are kept for late delivery, to those of about a minute.
 const maxReportCopies = 800
 
-// deliverLateReports delivers late copies of reports to a controller, in any order and
-// perhaps more than once.
+// deliverLateReports delivers copies of earlier reports to a controller in random order, possibly
+// more than once.
 func (w *cluster) deliverLateReports(to *node) {
 	w.mu.Lock()
 	late := slices.Clone(w.copies)
@@ -92,13 +92,14 @@
 	for _, rep := range late[:len(late)/2] {
 		again := *rep
 		again.Tasks = slices.Clone(rep.Tasks)
-		to.dispatcher.HandleReport(context.Background(), &again) // whatever is answered reaches nobody
+		to.dispatcher.HandleReport(context.Background(), &again) // the response is dropped
 		w.check()
 	}
 }
 
-// publishViews hands the views of each controller to the leaders elsewhere, and
-// lets the leaders settle unresponsive workers by attestation.
+// publishViews has each controller send its workers' views to the leaders among its peers. Leaders
+// then poll unheard workers and workers with expiring leases, and, if all controllers are running,
+// settle unresponsive workers by attestation.
 func (w *cluster) publishViews() {
 	w.mu.Lock()
 	nodes := make([]*node, 0, len(w.names))
@@ -139,7 +140,7 @@
 	}
 }
 
-// sendReports lets every worker report.
+// sendReports has every worker send a report.
 func (w *cluster) sendReports() {
 	for _, k := range w.workers {
 		if w.linksAreSlow() {
--- a/internal/testkit/returned_after_restart_test.go
+++ b/internal/testkit/returned_after_restart_test.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Guards against dead machines that stay rented after a restart of all controllers, one of which
-// stays away: it may answer them for its grace period, and their leases last for a lease more.
+// Guards against dead machines that stay rented after all controllers restart and one stays down.
+// The others must assume that it still answers the machines' workers during its grace period,
+// after which the workers' leases can last for one lease more.
 func TestDeadMachinesAreReturnedAfterRestartOfAllControllers(t *testing.T) {
 	const (
 		dead  = 3
-		slack = 15 * time.Second // the failover, the detector's timeout and a probe
+		slack = 15 * time.Second // for the failover, the failure detector's timeout and a probe
 	)
 	for i, c := range []struct {
 		name   string
-		away   time.Duration // until the last controller is back; 0: never
-		within time.Duration // of the start of the others
+		away   time.Duration // time until the last controller restarts; 0: never
+		within time.Duration // time after the others' restart until all dead machines must be returned
 	}{
-		{"one stays away", 0, dispatchGrace + workerLease + slack},
+		{"one stays down", 0, dispatchGrace + workerLease + slack},
 		{"one is back after 5 s", 5 * time.Second, 5*time.Second + workerLease + slack},
 		{"all are back", time.Nanosecond, workerLease + slack},
 	} {
@@ -43,9 +44,9 @@
 					}
 					w.live(1)
 				}
-				t.Logf("%d of %d returned after %v", w.returnedMachines, dead, time.Since(began))
+				t.Logf("%d of %d dead machines returned after %v", w.returnedMachines, dead, time.Since(began))
 				if w.returnedMachines != dead {
-					t.Errorf("%d of %d dead machines are returned %v after the restart", w.returnedMachines, dead, time.Since(began))
+					t.Errorf("only %d of %d dead machines were returned %v after the restart", w.returnedMachines, dead, time.Since(began))
 				}
 			})
 		})
--- a/internal/testkit/slow_links_test.go
+++ b/internal/testkit/slow_links_test.go
@@ -15,26 +15,25 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// There is more work than room, urgent and not, of teams with limits and without, while
-// every message to workers and peers takes up to a second and a half, and the leader
-// ends. Urgent jobs begin soon all the same, the workers are in use and keep their leases,
-// nobody forgets the other jobs, and when the links are quick again nothing waits beside
-// room.
+// The cluster has more work than capacity: urgent and other jobs, of teams with and without
+// limits. Every message to workers and peers takes up to 1.5 s, and the leader restarts. Urgent
+// jobs still start soon, the workers stay busy and keep their leases, and no job is forgotten.
+// Once the links are fast again, no task waits while a worker can run it.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	const (
-		overload    = 150              // seconds for which there is more work than room
-		standStill  = 5 * time.Second  // by which they may take longer, while the leader ends
-		urgentBegin = 20 * time.Second // within which an urgent job's first task starts
-		fullShare   = 0.9              // of the seconds in which there must be more work than room
-		usedShare   = 0.5              // of all CPUs, that tasks use on average
-		mostKilled  = 16               // tasks whose workers' leases end
+		overloadSeconds    = 150              // seconds during which there is more work than capacity
+		maxFailoverDelay   = 5 * time.Second  // allowed in addition to overloadSeconds, for the leader's restart
+		maxUrgentWait      = 20 * time.Second // until an urgent job's first task starts
+		minOverloadedShare = 0.9              // share of the seconds in which there must be more work than capacity
+		minCPUUtilization  = 0.5              // share of all CPUs that tasks use on average
+		maxKilled          = 16               // tasks that may be killed because their worker's lease ended
 	)
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			onClusterWith(t, 4000+seed, limitedTeams, 3, 6, func(w *cluster) {
-				begun, killed := map[string]time.Time{}, 0
+				firstStarts, killed := map[string]time.Time{}, 0
 				for _, k := range w.workers {
-					recordFirstStarts(k, begun)
+					recordFirstStarts(k, firstStarts)
 					k.Ended = func(task wire.Task, _ time.Duration) {
 						if task.Cause == "" {
 							killed++
@@ -42,17 +41,17 @@
 					}
 				}
 				w.delayLinks(func() time.Duration { return time.Duration(100+w.rnd.IntN(1400)) * time.Millisecond })
-				at := map[string]time.Time{}
+				submittedAt := map[string]time.Time{}
 				submit := func(uid, team, priority string, tasks int, cpus float64) {
 					w.job(uid, team, priority, tasks, cpus)
-					at[uid] = time.Now()
+					submittedAt[uid] = time.Now()
 				}
 				for i, team := range []string{"t", "t", "t", "capped", "assured"} {
 					submit(fmt.Sprintf("j-%d", 10+i), team, []string{"low", "normal"}[i%2], 60, 1)
 				}
-				full, seconds, used := 0, 0, 0.0
+				overloadedSeconds, seconds, used := 0, 0, 0.0
 				began := time.Now()
-				for second := range overload {
+				for second := range overloadSeconds {
 					if second%10 == 4 {
 						submit(fmt.Sprintf("j-u%d", second), []string{"t", "capped"}[second/10%2], "urgent", 3, 1)
 					}
@@ -61,7 +60,7 @@
 					}
 					if second == 50 {
 						if !w.within(10, func() bool { return w.leader() != "" }) {
-							t.Fatal("nobody owns the jobs")
+							t.Fatal("no controller leads the shards")
 						}
 						first := w.leader()
 						w.crash(first)
@@ -73,55 +72,55 @@
 						seconds++
 						used += w.cpuUtilization()
 						if w.isOverloaded() {
-							full++
+							overloadedSeconds++
 						}
 					}
 				}
-				if took := time.Since(began); took > overload*time.Second+standStill {
-					t.Errorf("%d seconds took %v: reports waited for what others were asked", overload, took)
+				if took := time.Since(began); took > overloadSeconds*time.Second+maxFailoverDelay {
+					t.Errorf("%d seconds of reports took %v: reports waited for other requests", overloadSeconds, took)
 				}
-				if float64(full) < fullShare*float64(seconds) {
-					t.Errorf("there was more work than room in %d of %d seconds only", full, seconds)
+				if float64(overloadedSeconds) < minOverloadedShare*float64(seconds) {
+					t.Errorf("there was more work than capacity in only %d of %d seconds", overloadedSeconds, seconds)
 				}
-				if used /= float64(seconds); used < usedShare {
-					t.Errorf("%.2f of all CPUs were in use beside more work than room", used)
+				if used /= float64(seconds); used < minCPUUtilization {
+					t.Errorf("only %.2f of all CPUs were in use although there was more work than capacity", used)
 				}
-				if killed > mostKilled {
-					t.Errorf("%d tasks were killed by the ends of their workers' leases", killed)
+				if killed > maxKilled {
+					t.Errorf("%d tasks were killed because their workers' leases ended", killed)
 				}
-				w.checkJobsKnown(slices.Collect(maps.Keys(at)))
+				w.checkJobsKnown(slices.Collect(maps.Keys(submittedAt)))
 				w.delayLinks(nil)
 				w.waits.checkAlways()
-				all := slices.Collect(maps.Keys(at))
+				all := slices.Collect(maps.Keys(submittedAt))
 				for i := 0; !w.ended(all...)(); i++ {
 					if i == 400 {
-						t.Fatalf("%d of %d jobs ended", len(w.store.Keys("final/")), len(all))
+						t.Fatalf("only %d of %d jobs ended", len(w.store.Keys("final/")), len(all))
 					}
 					w.live(1)
 				}
-				slowest, latest := time.Duration(0), time.Duration(0)
-				for uid, since := range at {
-					took := begun[uid].Sub(since)
-					latest = max(latest, took)
+				slowestUrgent, slowestStart := time.Duration(0), time.Duration(0)
+				for uid, since := range submittedAt {
+					took := firstStarts[uid].Sub(since)
+					slowestStart = max(slowestStart, took)
 					if strings.HasPrefix(uid, "j-u") {
-						slowest = max(slowest, took)
-						if took > urgentBegin {
-							t.Errorf("urgent %s began after %v", uid, took)
+						slowestUrgent = max(slowestUrgent, took)
+						if took > maxUrgentWait {
+							t.Errorf("urgent job %s started after %v", uid, took)
 						}
 					}
 				}
-				if latest > 4*time.Minute {
-					t.Errorf("a job began after %v", latest)
+				if slowestStart > 4*time.Minute {
+					t.Errorf("a job started only after %v", slowestStart)
 				}
-				t.Logf("full in %d of %d seconds, %.2f of the CPUs in use, %d tasks killed; urgent jobs began within %v, all within %v; longest wait beside room %v",
-					full, seconds, used, killed, slowest, latest, w.waits.longest)
+				t.Logf("overloaded in %d of %d seconds, %.2f of the CPUs in use, %d tasks killed; urgent jobs started within %v, all jobs within %v; longest wait despite free capacity %v",
+					overloadedSeconds, seconds, used, killed, slowestUrgent, slowestStart, w.waits.longest)
 			})
 		})
 	}
 }
 
-// checkJobsKnown has users ask all controllers for the jobs, three times at most, while the rest
-// goes on.
+// checkJobsKnown has users query every controller for each job, at most three times, while the
+// cluster continues to run, and fails unless every query is answered.
 func (w *cluster) checkJobsKnown(uids []string) {
 	w.t.Helper()
 	var users sync.WaitGroup
@@ -145,23 +144,23 @@
 	}
 	users.Wait()
 	if want := len(uids) * len(w.names); int(known.Load()) < want {
-		w.t.Errorf("%d of %d questions were answered", known.Load(), want)
+		w.t.Errorf("only %d of %d job queries were answered", known.Load(), want)
 	}
 }
 
-// recordFirstStarts notes when the first task of each job starts.
-func recordFirstStarts(k *testkit.Worker, begun map[string]time.Time) {
+// recordFirstStarts records in firstStarts, by job, when the job's first task starts on a worker.
+func recordFirstStarts(k *testkit.Worker, firstStarts map[string]time.Time) {
 	started := k.Started
 	k.Started = func(task string, attempt uint64) {
 		uid, _, _ := strings.Cut(task, "/")
-		if begun[uid].IsZero() {
-			begun[uid] = time.Now()
+		if firstStarts[uid].IsZero() {
+			firstStarts[uid] = time.Now()
 		}
 		started(task, attempt)
 	}
 }
 
-// cpuUtilization is the share of all workers' CPUs that tasks use now.
+// cpuUtilization returns the share of all workers' CPUs that running tasks use, from 0 to 1.
 func (w *cluster) cpuUtilization() float64 {
 	free := 0.0
 	all := w.snapshot().free
@@ -171,8 +170,8 @@
 	return 1 - free/(float64(w.size)*float64(len(all)))
 }
 
-// isOverloaded reports whether the tasks that wait, as far as their teams' limits let
-// them start, take more CPUs than all workers have free.
+// isOverloaded reports whether the waiting tasks that their teams' limits allow to start need more
+// CPUs than all workers have free.
 func (w *cluster) isOverloaded() bool {
 	s := w.snapshot()
 	free, wanted := 0.0, map[string]float64{}
@@ -186,11 +185,11 @@
 	}
 	sum := 0.0
 	for _, team := range w.cfg.Params.Teams {
-		may := wanted[team.Name]
+		allowed := wanted[team.Name]
 		if team.CPUsMax > 0 {
-			may = min(may, team.CPUsMax-s.use[team.Name])
+			allowed = min(allowed, team.CPUsMax-s.use[team.Name])
 		}
-		sum += may
+		sum += allowed
 	}
 	return sum > free
 }
--- a/internal/testkit/stage_after_failover_test.go
+++ b/internal/testkit/stage_after_failover_test.go
@@ -8,17 +8,17 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// stageAnswers are what users were told of one job, by all controllers.
+// stageAnswers collects all controllers' answers to users about one job.
 type stageAnswers struct {
 	*cluster
-	job     string
-	stages  map[string]int // answers, by stage
-	refused int            // answers of status 503
-	wronglyQueued   int            // answers "queued" for a job that has run for longer than its stage may lag
-	runningSince time.Time      // since when tasks of the job are on workers; zero: none is
+	job           string
+	stages        map[string]int // number of answers, by stage
+	refused       int            // answers with status 503
+	wronglyQueued int            // answers "queued" although the job has been running for longer than stageLag
+	runningSince  time.Time      // when tasks of the job began to run; zero if none runs
 }
 
-// queryAll polls the job at every controller, and repeats its submission there.
+// queryAll queries the job at every running controller, and repeats its submission there.
 func (s *stageAnswers) queryAll() {
 	switch on := s.onMachines(s.job) > 0; {
 	case !on:
@@ -35,7 +35,7 @@
 	}
 }
 
-// record notes an answer.
+// record counts one answer.
 func (s *stageAnswers) record(status int, state wire.JobState) {
 	if status == http.StatusServiceUnavailable {
 		s.refused++
@@ -50,7 +50,8 @@
 	}
 }
 
-// queryFor asks for so long, without heartbeats of the workers or with them.
+// queryFor queries all controllers every 100 ms for some seconds. If heartbeats is set, the
+// workers also send a heartbeat each second.
 func (s *stageAnswers) queryFor(seconds int, heartbeats bool) {
 	for range seconds {
 		if heartbeats {
@@ -64,25 +65,26 @@
 	}
 }
 
-// newStageAnswers begins to collect the answers about a job whose tasks, if they are on workers, have
-// been there for long.
+// newStageAnswers returns an empty collection of answers about a job. If its tasks are running,
+// they count as running for longer than stageLag already.
 func (w *cluster) newStageAnswers(job string) *stageAnswers {
 	return &stageAnswers{cluster: w, job: job, stages: map[string]int{}, runningSince: time.Now().Add(-stageLag)}
 }
 
-// transferWithLag has the leader transfer its shards to a controller whose watch is behind by so much.
-func (w *cluster) transferWithLag(to string, behind time.Duration) {
-	w.delayWatch(to, "", behind)
+// transferWithLag has the leader transfer its shards to a controller whose watch lags by the given
+// time.
+func (w *cluster) transferWithLag(to string, lag time.Duration) {
+	w.delayWatch(to, "", lag)
 	w.moveJobs(w.nodes[w.leader()])
 }
 
-// leaderChanges are the ways in which a job gets a leader that has no heartbeats yet.
+// leaderChanges lists events after which a job's leader has not received any heartbeats yet.
 var leaderChanges = []struct {
 	name   string
 	change func(w *cluster)
 }{
 	{"transfer", func(w *cluster) { w.transferWithLag(w.others(w.leader())[0], 0) }},
-	{"transfer to a leader whose watch is behind", func(w *cluster) { w.transferWithLag(w.others(w.leader())[0], 4*time.Second) }},
+	{"transfer to a leader whose watch lags", func(w *cluster) { w.transferWithLag(w.others(w.leader())[0], 4*time.Second) }},
 	{"crash", func(w *cluster) { w.crash(w.leader()) }},
 	{"restart of the leader", func(w *cluster) { w.restart(w.leader(), 100*time.Millisecond) }},
 	{"restart of all controllers", func(w *cluster) {
@@ -98,14 +100,15 @@
 	{"a controller joins", func(w *cluster) { w.restart(w.others(w.leader())[0], 100*time.Millisecond) }},
 }
 
-// Guards against a running job that is called queued while its new leader has no heartbeats.
+// Guards against controllers that report a running job as queued while its new leader has not
+// received heartbeats yet.
 func TestRunningJobIsNotReportedQueuedAfterLeaderChange(t *testing.T) {
 	for i, c := range leaderChanges {
 		t.Run(c.name, func(t *testing.T) {
 			onCluster(t, 4800+uint64(i), 3, 8, func(w *cluster) {
 				w.submit("j-80", 6)
 				if !w.within(20, func() bool { stage, _ := w.user(w.leader(), http.MethodGet, "j-80"); return stage == wire.StageRunning }) {
-					t.Fatal("the job does not run")
+					t.Fatal("the job did not start running within 20 s")
 				}
 				w.live(5)
 				c.change(w)
@@ -119,7 +122,7 @@
 				settled := w.newStageAnswers("j-80")
 				settled.queryFor(2, true)
 				if settled.refused > 0 {
-					t.Errorf("%d refusals 25 s after the change", settled.refused)
+					t.Errorf("%d answers with status 503 from 25 s after the leader change on", settled.refused)
 				}
 			})
 		})
@@ -129,26 +132,26 @@
 // maxLeaderlessTime bounds how long the shards of a crashed controller have no leader.
 const maxLeaderlessTime = 15 * time.Second
 
-// awaitNewLeader waits for a leader other than the one before.
+// awaitNewLeader waits until a controller other than the previous leader leads.
 func (w *cluster) awaitNewLeader(before string) {
 	for since := time.Now(); w.leader() == "" || w.leader() == before; time.Sleep(100 * time.Millisecond) {
 		if time.Since(since) > maxLeaderlessTime {
-			w.t.Fatal("nobody leads")
+			w.t.Fatal("no controller took over the shards")
 		}
 	}
 }
 
-// Guards against a queued job that nobody answers for after a change of the leader: a worker
-// that no controller hears may run it for a lease at most.
+// Guards against a queued job about which controllers cannot answer for too long after a leader
+// change: a worker that no controller hears may run the job only until its lease ends.
 func TestQueuedJobIsAnsweredWithinWorkerLeaseAfterLeaderChange(t *testing.T) {
 	for i, c := range []struct {
 		name   string
 		change func(w *cluster)
 		job    string
-		within time.Duration // of the new leader's claim
+		within time.Duration // time from the new leader's claim until it must answer
 	}{
-		{"transfer, accepted since", leaderChanges[0].change, "j-90", 2 * time.Second},
-		{"crash, accepted since", leaderChanges[2].change, "j-90", 2 * time.Second},
+		{"transfer, job accepted afterwards", leaderChanges[0].change, "j-90", 2 * time.Second},
+		{"crash, job accepted afterwards", leaderChanges[2].change, "j-90", 2 * time.Second},
 		{"transfer, its workers are cut off", leaderChanges[0].change, "j-80", workerLease + 2*time.Second},
 		{"crash, its workers are cut off", leaderChanges[2].change, "j-80", workerLease + 2*time.Second},
 	} {
@@ -167,7 +170,7 @@
 				asked := w.newStageAnswers(c.job)
 				asked.queryFor(2, false)
 				if asked.refused > 0 || asked.stages[wire.StageQueued] == 0 || len(asked.stages) != 1 {
-					t.Errorf("%v after the change: %v, %d refused", c.within, asked.stages, asked.refused)
+					t.Errorf("%v after the leader change: answers by stage %v, %d refused", c.within, asked.stages, asked.refused)
 				}
 			})
 		})
--- a/internal/testkit/stale_heartbeats_test.go
+++ b/internal/testkit/stale_heartbeats_test.go
@@ -14,9 +14,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// deliverReports brings reports to controllers, all within a moment and in this order. What is
-// answered reaches nobody. It returns how many were taken for new, by any.
-func (w *cluster) deliverReports(reports []*wire.Report, to ...string) (taken int) {
+// deliverReports delivers reports to several controllers at the same time, to each in the given
+// order, and drops the responses. It returns how many were accepted, summed over the controllers.
+func (w *cluster) deliverReports(reports []*wire.Report, to ...string) (accepted int) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	for _, name := range to {
@@ -31,7 +31,7 @@
 				status, _ := n.dispatcher.HandleReport(context.Background(), &again)
 				mu.Lock()
 				if status == 200 {
-					taken++
+					accepted++
 				}
 				mu.Unlock()
 			}
@@ -39,11 +39,11 @@
 	}
 	all.Wait()
 	w.check()
-	return taken
+	return accepted
 }
 
-// sendReportTo lets one worker report to a controller, and returns the report. The answer
-// arrives.
+// sendReportTo has a worker report to the given controller and handle the response. No message is
+// lost. It returns the report.
 func (w *cluster) sendReportTo(k *testkit.Worker, name string) *wire.Report {
 	w.mu.Lock()
 	rep := k.Report()
@@ -59,9 +59,9 @@
 	return rep
 }
 
-// A report of a worker's session that is over is held back until the next leader has
-// read the records, and arrives there before anything newer. What it says of an attempt
-// must hold for ever: the attempt must not have been started anew in a later session.
+// A report from a worker's earlier session is delayed until the next leader has read the records,
+// and arrives there before any newer report. The leader relies on the report's state of an
+// attempt, so that attempt must not have been started again in the worker's later session.
 func TestDelayedHeartbeatOfEarlierSessionIsIgnored(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		t.Run(fmt.Sprintf("attempt ended in it: %v", ended), func(t *testing.T) {
@@ -86,8 +86,8 @@
 				w.exchangeReachability()
 				first := w.leader()
 				w.submit("j-80", 1)
-				// The task starts on the first worker, by the answer to a report; direct
-				// orders, whose answers would tell of it, don't arrive.
+				// The task starts on the first worker through the response to a report. Direct
+				// commands are blocked, since their responses would report the start to the leader.
 				w.unheard(k, w.names...)
 				for range 10 {
 					w.sendReportTo(k, first)
@@ -102,11 +102,11 @@
 				renewed := time.Now()
 				time.Sleep(2 * time.Second)
 				w.mu.Lock()
-				held := k.Report() // on its way from now on
-				held.Endpoint = k.Name
+				delayed := k.Report() // delivered to the next leader
+				delayed.Endpoint = k.Name
 				w.mu.Unlock()
-				if len(held.Tasks) != 1 || (held.Tasks[0].State == wire.TaskExited) != ended {
-					t.Fatalf("the report that is held back lists %+v", held.Tasks)
+				if len(delayed.Tasks) != 1 || (delayed.Tasks[0].State == wire.TaskExited) != ended {
+					t.Fatalf("the delayed report lists tasks %+v", delayed.Tasks)
 				}
 				time.Sleep(time.Until(renewed.Add(workerLease + 20*time.Millisecond)))
 				var copies []*wire.Report
@@ -117,10 +117,10 @@
 					}
 					time.Sleep(300 * time.Millisecond)
 				}
-				if w.onMachines("j-80") != 1 || copies[0].Session != held.Session+1 {
-					t.Fatalf("%d tasks on, session %d after %d", w.onMachines("j-80"), copies[0].Session, held.Session)
+				if w.onMachines("j-80") != 1 || copies[0].Session != delayed.Session+1 {
+					t.Fatalf("%d tasks running, session %d after session %d", w.onMachines("j-80"), copies[0].Session, delayed.Session)
 				}
-				// From now on nothing newer comes from the worker, and it goes on.
+				// From now on no newer report of the worker arrives, while its task continues.
 				w.cutAll(k.Name, w.names...)
 				w.restart(first, 100*time.Millisecond)
 				time.Sleep(time.Second)
@@ -132,8 +132,8 @@
 				if took, _, _ := w.nodes[next].scheduler.FailoverProgress(); took == 0 {
 					t.Fatal("the new leader has not read the records")
 				}
-				if w.deliverReports(append([]*wire.Report{held}, copies...), w.names...) == 0 {
-					t.Error("nobody took the report that was held back")
+				if w.deliverReports(append([]*wire.Report{delayed}, copies...), w.names...) == 0 {
+					t.Error("no controller accepted the delayed report")
 				}
 				for range 6 {
 					w.sendReportTo(other, next)
@@ -146,14 +146,15 @@
 	}
 }
 
-// failoverStage is how far a new leader has come.
+// failoverStage is a stage of a failover to a new leader.
 type failoverStage struct {
 	name    string
 	reached func(w *cluster, before map[string]jobstate.Stats) bool
-	reports func(k int) int // how often the k-th worker has reported to it by then
+	reports func(k int) int // reports that the k-th worker has sent to the new leader by then; nil: no worker sent any
 }
 
-// recoveredLeader returns the controller that has read the records since, or nil.
+// recoveredLeader returns the leader that has completed a failover, and thus read the records,
+// since the given counters were taken. It returns nil if there is none yet.
 func (w *cluster) recoveredLeader(before map[string]jobstate.Stats) *node {
 	for _, name := range w.names {
 		if n := w.nodes[name]; !n.down && len(n.member.LedShards()) > 0 && n.scheduler.Counters().Failovers > before[name].Failovers {
@@ -163,13 +164,13 @@
 	return nil
 }
 
-// anyShardClaimed reports whether any controller has anyShardClaimed jobs.
+// anyShardClaimed reports whether any running controller has claimed shards.
 func (w *cluster) anyShardClaimed() bool {
 	return slices.ContainsFunc(w.names, func(name string) bool { return !w.nodes[name].down && len(w.nodes[name].member.ClaimedShards()) > 0 })
 }
 
-// unheardWorkers counts the workers on which the records had tasks, and those of them that the
-// new leader has not heard.
+// unheardWorkers returns how many workers had tasks according to the records, and from how many of
+// them the new leader has not received a report yet.
 func (w *cluster) unheardWorkers(before map[string]jobstate.Stats) (recorded, unheard int) {
 	n := w.recoveredLeader(before)
 	if n == nil {
@@ -179,10 +180,12 @@
 	return recorded, unheard
 }
 
-// failoverStages are those of a take-over.
+// failoverStages lists the stages of a failover in their order.
 var failoverStages = []failoverStage{
 	{"before the claim", func(w *cluster, _ map[string]jobstate.Stats) bool { return !w.anyShardClaimed() }, nil},
-	{"claimed, records not read", func(w *cluster, before map[string]jobstate.Stats) bool { return w.anyShardClaimed() && w.recoveredLeader(before) == nil }, nil},
+	{"claimed, records not read", func(w *cluster, before map[string]jobstate.Stats) bool {
+		return w.anyShardClaimed() && w.recoveredLeader(before) == nil
+	}, nil},
 	{"read, nothing settled", func(w *cluster, before map[string]jobstate.Stats) bool {
 		recorded, unheard := w.unheardWorkers(before)
 		return recorded > 0 && unheard == recorded
@@ -201,9 +204,9 @@
 	}, func(int) int { return 4 }},
 }
 
-// Reports of earlier leaders, sessions and attempts, among them some that never arrived,
-// reach all controllers within a moment at each stage of a take-over, and once more a
-// lease later: none starts, ends, settles, renews or clears anything that is newer.
+// Reports from the time of earlier leaders, sessions and attempts, some of them delivered for the
+// first time, reach all controllers at once at each stage of a failover, and again one worker
+// lease later. None of them may start, end, settle, renew or clear a newer attempt or session.
 func TestStaleHeartbeatsAtEachStageOfFailover(t *testing.T) {
 	for _, s := range failoverStages {
 		for seed := range uint64(3) {
@@ -217,32 +220,34 @@
 func playStaleReports(t *testing.T, w *cluster, s *failoverStage) {
 	w.submit("j-80", 6)
 	w.submit("j-1", 400)
-	var held []*wire.Report // on their way until the next leader acts
+	var undelivered []*wire.Report // delivered only during the failover
 	live := func(seconds int) {
 		for range seconds {
 			w.mu.Lock()
 			rep := w.workers[w.rnd.IntN(3)].Report()
 			rep.Endpoint = rep.Machine
-			held = append(held, rep)
+			undelivered = append(undelivered, rep)
 			w.mu.Unlock()
 			w.live(1)
 		}
 	}
 	live(8)
-	// An earlier session and attempts, and an earlier leader.
-	away := w.workers[0]
-	w.cutAll(away.Name, w.names...)
+	// Create reports of an earlier session, of earlier attempts and from the time of an earlier
+	// leader.
+	isolated := w.workers[0]
+	w.cutAll(isolated.Name, w.names...)
 	live(4)
 	w.restart(w.leader(), 200*time.Millisecond)
 	live(9)
-	w.healLinks(away.Name, w.names...)
+	w.healLinks(isolated.Name, w.names...)
 	live(6)
-	// The lost task waits for room among the short ones, which are of the same priority.
+	// The task that was lost with the isolated worker's lease waits for free capacity among the
+	// short tasks of the same priority.
 	if !w.within(40, func() bool { return w.onMachines("j-80") == 6 && w.leader() != "" }) {
-		t.Fatalf("%d of 6 long tasks run before the take-over", w.onMachines("j-80"))
+		t.Fatalf("only %d of 6 long tasks run before the failover", w.onMachines("j-80"))
 	}
 	w.mu.Lock()
-	old := append(slices.Clone(held), w.copies...)
+	old := append(slices.Clone(undelivered), w.copies...)
 	w.mu.Unlock()
 	slices.SortStableFunc(old, func(a, b *wire.Report) int { return int(a.Session) - int(b.Session) })
 	if w.draw(2) == 0 {
@@ -250,10 +255,10 @@
 		w.rnd.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
 		w.mu.Unlock()
 	}
-	again := 0 // starts of the long tasks, which have no reason to start again
+	restarts := 0 // starts of long tasks from now on: all of them are running already
 	w.onStart = func(_ *testkit.Worker, task string, _ uint64) {
 		if uid, _, _ := wire.ParseTask(task); uid == "j-80" {
-			again++
+			restarts++
 		}
 	}
 	before := map[string]jobstate.Stats{}
@@ -278,10 +283,10 @@
 	}
 	if s.reports != nil {
 		if !wait(func() bool { return w.recoveredLeader(before) != nil }) {
-			t.Fatal("no take-over")
+			t.Fatal("no failover took place")
 		}
 		next := w.recoveredLeader(before).name
-		w.exchangeReachability() // all know the leader, and it may answer
+		w.exchangeReachability() // all controllers know the leader, and it may answer workers
 		for round := range 4 {
 			for i, k := range w.workers {
 				if round < s.reports(i) {
@@ -292,28 +297,29 @@
 		}
 	}
 	if !wait(func() bool { return s.reached(w, before) }) {
-		t.Fatal("the stage was not reached")
+		t.Fatal("the failover did not reach the stage")
 	}
 	sessions, tasks := 0, 0
-	newest := w.sessionOf(away)
+	newest := w.sessionOf(isolated)
 	for _, rep := range old {
-		if rep.Machine == away.Name && rep.Session < newest {
+		if rep.Machine == isolated.Name && rep.Session < newest {
 			sessions++
 			tasks += len(rep.Tasks)
 		}
 	}
-	if sessions == 0 || tasks == 0 || len(held) < 20 {
-		t.Errorf("%d reports of an earlier session with %d tasks, %d that never arrived", sessions, tasks, len(held))
+	if sessions == 0 || tasks == 0 || len(undelivered) < 20 {
+		t.Errorf("too few stale reports: %d of an earlier session with %d tasks, %d undelivered", sessions, tasks, len(undelivered))
 	}
 	w.deliverReports(old, w.names...)
 	w.mu.Lock()
 	w.storeLatency = nil
 	w.mu.Unlock()
 	w.live(4)
-	if again > 0 {
-		t.Errorf("long tasks started %d times again", again)
+	if restarts > 0 {
+		t.Errorf("long tasks were started again %d times", restarts)
 	}
-	// A lease later, in growing order, when two workers have been unresponsive for as long.
+	// Deliver the reports again one worker lease later, when two workers have been unresponsive for
+	// that long.
 	silent := w.workers[4:6]
 	for _, k := range silent {
 		w.cutAll(k.Name, w.names...)
@@ -329,6 +335,6 @@
 		t.Error("the short job did not end")
 	}
 	if !w.within(60, func() bool { return w.onMachines("j-80") == 6 }) {
-		t.Errorf("%d of 6 long tasks are on", w.onMachines("j-80"))
+		t.Errorf("%d of 6 long tasks are running", w.onMachines("j-80"))
 	}
 }
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// outageCluster is a cluster in which long tasks of some jobs run, in the hands of the old
-// leader.
+// outageCluster is a cluster in which long tasks of the given jobs run, with the names of the
+// controller that leads before the faults and of the others.
 type outageCluster struct {
 	*cluster
 	leader string
@@ -19,15 +19,15 @@
 	jobs   []string
 }
 
-const outageSeconds = 70 // seconds, longer than a cancelled task may go on
+const outageSeconds = 70 // longer than the 40 s for which a cancelled task may continue
 
-// runningTasks counts the tasks of the jobs that are runningTasks workers.
-func (g *outageCluster) runningTasks() (n int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, k := range g.workers {
+// runningTasks returns the number of the jobs' tasks on workers.
+func (c *outageCluster) runningTasks() (n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, k := range c.workers {
 		for _, task := range k.On() {
-			if uid, _, _ := strings.Cut(task, "/"); slices.Contains(g.jobs, uid) {
+			if uid, _, _ := strings.Cut(task, "/"); slices.Contains(c.jobs, uid) {
 				n++
 			}
 		}
@@ -35,195 +35,195 @@
 	return n
 }
 
-// outageScenario is a course of cancels around an outage of the state service for all.
+// outageScenario is a sequence of cancels and faults that ends with an outage of the state service
+// for all controllers.
 type outageScenario struct {
 	name string
-	play func(g *outageCluster) // up to the end of the outage
-	// minCancels is how many cancels must have been confirmed, so that cancels and
-	// the outage coincided.
+	play func(c *outageCluster) // returns at the end of the outage
+	// minCancels is how many cancels must be confirmed for the scenario to test anything.
 	minCancels int
-	// mayLapse is whether a controller may have to stop answering workers for not
-	// knowing of all cancels; mayLoseLeases whether leases may end. They may where workers
-	// have seen a higher fencing token than anybody's who is left.
+	// mayLapse is whether controllers may stop answering workers because they may not know of all
+	// cancels. mayLoseLeases is whether workers' leases may end: they may if workers have seen a
+	// higher fencing token than those of all remaining controllers.
 	mayLapse, mayLoseLeases bool
 }
 
-// isolateLeader leaves the leader the workers alone, and neither state service nor peers:
-// a failover follows.
-func (g *outageCluster) isolateLeader() {
-	g.workersHear(g.leader)
-	g.refuse(g.leader)
-	g.cutAll(g.leader, g.others...)
-	g.live(8)
+// isolateLeader cuts the leader off from the state service and its peers, and all workers off from
+// the other controllers. A failover follows.
+func (c *outageCluster) isolateLeader() {
+	c.workersHear(c.leader)
+	c.refuse(c.leader)
+	c.cutAll(c.leader, c.others...)
+	c.live(8)
 }
 
 var outageScenarios = []outageScenario{
-	{"refused alone, then out for all", func(g *outageCluster) {
-		g.refuse(g.leader)
-		g.live(2)
-		g.cancelAll(g.others[0], g.jobs, 3)
-		g.refuse(g.names...)
-		g.live(outageSeconds)
+	{"the leader loses the state service, then all do", func(c *outageCluster) {
+		c.refuse(c.leader)
+		c.live(2)
+		c.cancelAll(c.others[0], c.jobs, 3)
+		c.refuse(c.names...)
+		c.live(outageSeconds)
 	}, 3, false, false},
-	{"cancelled before the refusal", func(g *outageCluster) {
-		g.cancelAll(g.others[0], g.jobs, 3)
-		g.refuse(g.leader)
-		g.live(1)
-		g.refuse(g.names...)
-		g.live(outageSeconds)
+	{"cancelled before the leader loses the state service", func(c *outageCluster) {
+		c.cancelAll(c.others[0], c.jobs, 3)
+		c.refuse(c.leader)
+		c.live(1)
+		c.refuse(c.names...)
+		c.live(outageSeconds)
 	}, 3, false, false},
-	{"a new leader confirms, the old one hears its peers again", func(g *outageCluster) {
-		g.isolateLeader()
-		g.cancelAll(g.others[0], g.jobs, 12)
-		g.refuse(g.names...)
-		g.healLinks(g.leader, g.others...)
-		g.live(outageSeconds)
+	{"a new leader confirms, the old one reaches its peers again", func(c *outageCluster) {
+		c.isolateLeader()
+		c.cancelAll(c.others[0], c.jobs, 12)
+		c.refuse(c.names...)
+		c.healLinks(c.leader, c.others...)
+		c.live(outageSeconds)
 	}, 3, false, true},
-	{"a new leader confirms, and never talks to the old one", func(g *outageCluster) {
-		g.isolateLeader()
-		g.cancelAll(g.others[0], g.jobs, 12)
-		g.refuse(g.names...)
-		g.live(outageSeconds)
+	{"a new leader confirms, and never reaches the old one", func(c *outageCluster) {
+		c.isolateLeader()
+		c.cancelAll(c.others[0], c.jobs, 12)
+		c.refuse(c.names...)
+		c.live(outageSeconds)
 	}, 3, true, true},
-	{"the confirmer ends at once, and stays away", func(g *outageCluster) {
-		g.isolateLeader()
-		for _, n := range g.others {
-			g.cancelAll(n, g.jobs[:1], 6)
+	{"the confirming controller crashes at once, and stays down", func(c *outageCluster) {
+		c.isolateLeader()
+		for _, n := range c.others {
+			c.cancelAll(n, c.jobs[:1], 6)
 		}
-		g.refuse(g.names...)
-		for _, n := range g.others {
-			g.crash(n)
+		c.refuse(c.names...)
+		for _, n := range c.others {
+			c.crash(n)
 		}
-		g.healLinks(g.leader, g.others...)
-		g.live(outageSeconds)
+		c.healLinks(c.leader, c.others...)
+		c.live(outageSeconds)
 	}, 1, true, true},
-	{"the confirmer is back within a second, and has forgotten", func(g *outageCluster) {
-		g.isolateLeader()
-		for _, n := range g.others {
-			g.cancelAll(n, g.jobs[:1], 6)
+	{"the confirming controller restarts within a second, without memory", func(c *outageCluster) {
+		c.isolateLeader()
+		for _, n := range c.others {
+			c.cancelAll(n, c.jobs[:1], 6)
 		}
-		g.refuse(g.names...)
-		for _, n := range g.others {
-			g.crash(n)
+		c.refuse(c.names...)
+		for _, n := range c.others {
+			c.crash(n)
 			time.Sleep(300 * time.Millisecond)
-			g.start(n)
+			c.start(n)
 		}
-		g.healLinks(g.leader, g.others...)
-		g.live(outageSeconds)
+		c.healLinks(c.leader, c.others...)
+		c.live(outageSeconds)
 	}, 1, true, true},
-	{"the old leader is back within a second, in the outage", func(g *outageCluster) {
-		g.refuse(g.leader)
-		g.live(2)
-		g.cancelAll(g.others[0], g.jobs, 3)
-		g.refuse(g.names...)
-		g.live(7)
-		g.crash(g.leader)
+	{"the old leader restarts within a second, in the outage", func(c *outageCluster) {
+		c.refuse(c.leader)
+		c.live(2)
+		c.cancelAll(c.others[0], c.jobs, 3)
+		c.refuse(c.names...)
+		c.live(7)
+		c.crash(c.leader)
 		time.Sleep(400 * time.Millisecond)
-		g.start(g.leader)
-		g.live(outageSeconds)
+		c.start(c.leader)
+		c.live(outageSeconds)
 	}, 3, false, true},
-	{"another is back within four seconds, in the outage", func(g *outageCluster) {
-		g.cancelAll(g.others[0], g.jobs, 3)
-		g.refuse(g.names...)
-		g.live(8)
-		g.crash(g.others[0])
-		g.live(4)
-		g.start(g.others[0])
-		g.live(outageSeconds)
+	{"another controller restarts after four seconds, in the outage", func(c *outageCluster) {
+		c.cancelAll(c.others[0], c.jobs, 3)
+		c.refuse(c.names...)
+		c.live(8)
+		c.crash(c.others[0])
+		c.live(4)
+		c.start(c.others[0])
+		c.live(outageSeconds)
 	}, 3, false, true},
-	{"machines hang and go on", func(g *outageCluster) {
-		for _, k := range g.workers[:6] {
-			g.cutAll(k.Name, g.names...)
+	{"workers lose their links for a while", func(c *outageCluster) {
+		for _, k := range c.workers[:6] {
+			c.cutAll(k.Name, c.names...)
 		}
-		g.refuse(g.leader)
-		g.live(2)
-		g.cancelAll(g.others[0], g.jobs, 3)
-		g.refuse(g.names...)
-		g.live(5)
-		for _, k := range g.workers[:6] {
-			g.healLinks(k.Name, g.names...)
+		c.refuse(c.leader)
+		c.live(2)
+		c.cancelAll(c.others[0], c.jobs, 3)
+		c.refuse(c.names...)
+		c.live(5)
+		for _, k := range c.workers[:6] {
+			c.healLinks(k.Name, c.names...)
 		}
-		g.live(outageSeconds)
+		c.live(outageSeconds)
 	}, 3, false, true},
-	{"one link of a pair is cut, a third talks to both", func(g *outageCluster) {
-		g.cancelAll(g.others[0], g.jobs[:1], 3)
-		g.refuse(g.names...)
-		g.cutAll(g.leader, g.others[0])
-		g.live(outageSeconds)
+	{"the link between two controllers is cut, a third reaches both", func(c *outageCluster) {
+		c.cancelAll(c.others[0], c.jobs[:1], 3)
+		c.refuse(c.names...)
+		c.cutAll(c.leader, c.others[0])
+		c.live(outageSeconds)
 	}, 1, false, false},
-	{"two in a row", func(g *outageCluster) {
+	{"two outages in a row", func(c *outageCluster) {
 		for i := range 2 {
-			g.refuse(g.leader)
-			g.live(2)
-			g.cancelAll(g.others[i%2], g.jobs[i:i+1], 15)
-			g.refuse(g.names...)
-			g.live(outageSeconds)
-			g.healed()
-			g.live(1)
+			c.refuse(c.leader)
+			c.live(2)
+			c.cancelAll(c.others[i%2], c.jobs[i:i+1], 15)
+			c.refuse(c.names...)
+			c.live(outageSeconds)
+			c.healed()
+			c.live(1)
 		}
 	}, 2, false, true},
-	{"out for all, and every controller but one ends", func(g *outageCluster) {
-		g.workersHear(g.leader)
-		g.cancelAll(g.others[0], g.jobs[:1], 3)
-		g.refuse(g.names...)
-		for _, n := range g.others {
-			g.crash(n)
+	{"outage for all, and all controllers but one crash", func(c *outageCluster) {
+		c.workersHear(c.leader)
+		c.cancelAll(c.others[0], c.jobs[:1], 3)
+		c.refuse(c.names...)
+		for _, n := range c.others {
+			c.crash(n)
 		}
-		g.live(outageSeconds)
+		c.live(outageSeconds)
 	}, 1, true, true},
 }
 
-// In TestCancelDuringStateStoreOutage the state service refuses
-// the leader alone, another controller confirms cancels, and then the state service is
-// out for all for longer than a cancelled task may go on, while workers go on
-// reporting to the old leader. The tasks must be gone in time all the same, and
-// nothing else that runs may be lost where all controllers talk to each other.
+// The leader alone loses the state service and another controller confirms cancels. Then the state
+// service fails for all controllers for longer than a cancelled task may continue, while workers
+// keep reporting to the old leader. The cancelled tasks must still stop in time, and no other
+// running task may be lost if all controllers reach each other.
 func TestCancelDuringStateStoreOutage(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		for i := range outageScenarios {
-			scene := &outageScenarios[i]
-			t.Run(fmt.Sprintf("%d: %s", controllers, scene.name), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playOutage(t, scene, uint64(700+i), controllers) })
+			scenario := &outageScenarios[i]
+			t.Run(fmt.Sprintf("%d: %s", controllers, scenario.name), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { playOutage(t, scenario, uint64(700+i), controllers) })
 			})
 		}
 	}
 }
 
-// newOutageCluster starts a cluster in which the long tasks run.
+// newOutageCluster starts a cluster and waits until its long tasks run.
 func newOutageCluster(t *testing.T, seed uint64, controllers int) *outageCluster {
 	t.Helper()
 	w, leader, others, _ := settledCluster(t, seed, controllers, 12)
-	g := &outageCluster{cluster: w, leader: leader, others: others, jobs: []string{"j-81", "j-82", "j-83"}}
+	c := &outageCluster{cluster: w, leader: leader, others: others, jobs: []string{"j-81", "j-82", "j-83"}}
 	w.long()
-	for _, uid := range g.jobs {
+	for _, uid := range c.jobs {
 		w.submit(uid, 4)
 	}
-	w.submit("j-90", 6) // goes on
-	// They wait for room among the tasks of a large job.
+	w.submit("j-90", 6) // never cancelled
+	// The tasks have to wait until tasks of a large job end.
 	w.live(30)
-	w.within(120, func() bool { return g.runningTasks() >= 10 })
-	if n := g.runningTasks(); n < 10 {
+	w.within(120, func() bool { return c.runningTasks() >= 10 })
+	if n := c.runningTasks(); n < 10 {
 		w.stopAll()
-		t.Fatalf("%d long tasks run before the trouble", n)
+		t.Fatalf("only %d long tasks run before the faults", n)
 	}
-	return g
+	return c
 }
 
-// playOutage plays a scene, and checks what was kept over it and what works afterwards.
+// playOutage plays a scenario, and checks which leases were kept during it and that cancels and
+// starts work afterwards.
 func playOutage(t *testing.T, s *outageScenario, seed uint64, controllers int) {
 	t.Helper()
-	g := newOutageCluster(t, seed, controllers)
-	w := g.cluster
+	c := newOutageCluster(t, seed, controllers)
+	w := c.cluster
 	sessions := w.sessions()
-	// A worker that a lost report sends to a controller with another token
-	// can't go back in an outage: not what is counted here.
+	// Where no lease may end, no report is lost: a worker that moves to a controller with a higher
+	// fencing token after a lost report cannot move back during an outage, and loses its lease.
 	w.losslessReports = !s.mayLoseLeases
-	s.play(g)
+	s.play(c)
 	w.mu.Lock()
-	heard := len(w.confirmedCancels)
+	confirmed := len(w.confirmedCancels)
 	w.mu.Unlock()
-	if heard < s.minCancels {
-		t.Errorf("%d cancels were confirmed: too few to test cancels during the outage", heard)
+	if confirmed < s.minCancels {
+		t.Errorf("only %d cancels were confirmed: too few to test cancels during the outage", confirmed)
 	}
 	sessions -= w.sessions()
 	if sessions != 0 && !s.mayLoseLeases || w.lapses > 0 && !s.mayLapse {
@@ -235,13 +235,13 @@
 	for _, n := range w.names {
 		for uid := range w.confirmedCancels {
 			if stage, ok := w.user(n, http.MethodGet, uid); !ok {
-				t.Errorf("20 s after the last trouble %s says nothing of %s (%s)", n, uid, stage)
+				t.Errorf("20 s after the last fault %s does not answer for job %s (%s)", n, uid, stage)
 			}
 		}
 	}
-	// Where all leases ended, tasks start and end in waves.
+	// 10 s, since tasks start and end in waves if all leases have ended at once.
 	if time.Since(w.lastStart()) > 10*time.Second {
-		t.Errorf("after the healing no start for %v", time.Since(w.lastStart()))
+		t.Errorf("after the links healed, no task started for %v", time.Since(w.lastStart()))
 	}
 	w.stopAll()
 }
--- a/internal/testkit/team_limits_check_test.go
+++ b/internal/testkit/team_limits_check_test.go
@@ -9,27 +9,27 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// cpuTolerance is how far sums of CPUs may be off by rounding.
+// cpuTolerance is the rounding error allowed in sums of CPUs.
 const cpuTolerance = 1e-6
 
-// teamUse is the CPUs that each team's tasks take on workers.
+// teamUse holds the CPUs that each team's tasks on workers use, by team.
 type teamUse map[string]float64
 
-// allows reports whether the job's team may use one more task of it.
+// allows reports whether the limit of the job's team admits one more task of the job.
 func (use teamUse) allows(teams []config.Team, job *wire.Job) bool {
 	return !slices.ContainsFunc(teams, func(t config.Team) bool {
 		return t.Name == job.Team && t.CPUsMax > 0 && use[t.Name]+job.CPUs > t.CPUsMax+cpuTolerance
 	})
 }
 
-// snapshot is what the workers have and the users know at one moment.
+// snapshot is the state of the workers, and the job states that users know, at one moment.
 type snapshot struct {
 	use       teamUse
-	running        map[string]int              // tasks on workers, by job
-	free      map[*testkit.Worker]float64 // CPUs of the workers that go on; none where an unknown job's task is on
+	running   map[string]int              // tasks on workers, by job
+	free      map[*testkit.Worker]float64 // free CPUs of the workers that do not hang; 0 if a worker has a task of an unknown job
 	done      map[string]int              // tasks that are done and cleared, by job
-	finalKeys      []string                    // keys of the jobs that ended
-	cancelled map[string]bool
+	finalKeys []string                    // record keys of the jobs that ended
+	cancelled map[string]bool             // jobs whose cancel was confirmed to the user
 }
 
 func (w *cluster) snapshot() *snapshot {
@@ -65,18 +65,19 @@
 	return s
 }
 
-// waits reports whether a task of the job is neither on a worker nor done.
+// waits reports whether the job has a waiting task: one that is neither on a worker nor done, of a
+// job that has neither ended nor been cancelled.
 func (s *snapshot) waits(job *wire.Job) bool {
 	return !s.cancelled[job.UID] && s.running[job.UID]+s.done[job.UID] < job.Tasks && !slices.Contains(s.finalKeys, "final/"+job.UID)
 }
 
-// underLimit reports whether the job's team may use one more task of it.
+// underLimit reports whether the limit of the job's team admits one more task of the job.
 func (s *snapshot) underLimit(teams []config.Team, job *wire.Job) bool {
 	return s.use.allows(teams, job)
 }
 
-// waitsOnlyForLimit reports whether a task of the team waits for nothing but its team's limit:
-// a worker that goes on has room for it.
+// waitsOnlyForLimit reports whether a task of the team waits only because of the team's limit: a
+// worker that does not hang has enough free CPUs for it.
 func (w *cluster) waitsOnlyForLimit(team string) bool {
 	s := w.snapshot()
 	for _, job := range w.specs {
--- a/internal/testkit/team_limits_test.go
+++ b/internal/testkit/team_limits_test.go
@@ -11,17 +11,18 @@
 	"github.com/wallrack/wallrack/internal/testkit"
 )
 
-// Two teams with limits, one of them with a guarantee; team "t" has neither. The workers
-// have room for much more than both may use.
+// limitedTeams are two teams with limits, one of them also with a guarantee, and team "t" with
+// neither. The workers have far more CPUs than both limits together.
 var limitedTeams = []config.Team{{Name: "t"}, {Name: "capped", CPUsMax: 8}, {Name: "assured", CPUs: 4, CPUsMax: 6}}
 
-// teamCluster is a cluster in which both limited teams are at their limits.
+// teamCluster is a cluster with the teams of limitedTeams.
 type teamCluster struct {
 	*cluster
 }
 
-// onTeamsAtLimits plays on a new cluster whose limited teams stand at their limits with jobs
-// j-80 to j-83 of long tasks, and have more work. Nothing is drawn but lost messages.
+// onTeamsAtLimits runs a test on a new cluster whose limited teams are at their limits with the
+// long tasks of jobs j-80 to j-83, and have more tasks queued. Lost messages are the only random
+// faults.
 func onTeamsAtLimits(t *testing.T, seed uint64, play func(c *teamCluster)) {
 	onClusterWith(t, seed, limitedTeams, 3, 8, func(w *cluster) {
 		w.job("j-80", "capped", "normal", 3, 1)
@@ -45,51 +46,52 @@
 	c.t.Helper()
 	for _, team := range []string{"capped", "assured"} {
 		if !c.waitsOnlyForLimit(team) {
-			c.t.Errorf("no task of team %s waits for its limit alone; in use: %v", team, c.snapshot().use)
+			c.t.Errorf("no task of team %s waits only for its team's limit; CPUs in use: %v", team, c.snapshot().use)
 		}
 	}
 }
 
-// awaitCompletion lives until all that was not cancelled has ended, or runs for long.
+// awaitCompletion runs the cluster until the given jobs of short tasks have ended. From now on no
+// task may wait for too long while a worker can run it, even during faults.
 func (c *teamCluster) awaitCompletion(short ...string) {
 	c.t.Helper()
 	c.waits.checkAlways()
 	c.live(30)
 	for i := 0; !c.ended(short...)(); i++ {
 		if i == 300 {
-			c.t.Fatalf("only %v ended; in use: %v", c.store.Keys("final/"), c.snapshot().use)
+			c.t.Fatalf("only %v ended; CPUs in use: %v", c.store.Keys("final/"), c.snapshot().use)
 		}
 		c.live(1)
 	}
 }
 
-// limitFailover is a way in which the leader changes.
+// limitFailover is an event that makes the leader change.
 type limitFailover struct {
 	name  string
 	begin func(c *teamCluster, first string)
 }
 
 var limitFailovers = []limitFailover{
-	{"the leader ends", func(c *teamCluster, first string) { c.crash(first) }},
-	{"it is back within a second", func(c *teamCluster, first string) { c.restart(first, 400*time.Millisecond) }},
-	{"it hands over", func(c *teamCluster, first string) {
-		_ = c.nodes[first].member.TransferShards(context.Background(), c.others(first)[0]) // what became of it is looked at
+	{"the leader crashes", func(c *teamCluster, first string) { c.crash(first) }},
+	{"it restarts within a second", func(c *teamCluster, first string) { c.restart(first, 400*time.Millisecond) }},
+	{"it transfers its shards", func(c *teamCluster, first string) {
+		_ = c.nodes[first].member.TransferShards(context.Background(), c.others(first)[0]) // the test checks the result
 	}},
 }
 
-// Both teams are at their limits when workers with their tasks are cut off or hang, the
-// leader changes, and jobs of theirs are cancelled: before the change, while nobody
-// leads, or through the new leader. What may still run counts from the new leader's first
-// grant on, what goes on after its worker hung counts and is gone in time, and in the
-// end nothing waits beside room.
+// Both teams are at their limits when workers with their tasks are cut off or hang, the leader
+// changes, and some of their jobs are cancelled: before the change, while no controller leads, or
+// through the new leader. From its first grant on, the new leader must count all tasks that may
+// still run towards the limits. Tasks that continue after a hang also count, and stop in time if
+// cancelled. Finally no task waits while a worker can run it.
 func TestTeamLimitHoldsOverFailover(t *testing.T) {
 	for _, hang := range []bool{false, true} {
 		for i, failover := range limitFailovers {
 			for when, name := range []string{"before it", "at once after it", "through the new leader"} {
 				t.Run(fmt.Sprintf("hang %v, %s, cancelled %s", hang, failover.name, name), func(t *testing.T) {
 					onTeamsAtLimits(t, uint64(2000+10*i+when), func(c *teamCluster) {
-						away, cut := c.failOverAtLimits(t, failover, hang, when)
-						c.recoverAtLimits(t, away, cut, hang, when)
+						unreachable, cut := c.failOverAtLimits(t, failover, hang, when)
+						c.recoverAtLimits(t, unreachable, cut, hang, when)
 					})
 				})
 			}
@@ -97,16 +99,17 @@
 	}
 }
 
-// failOverAtLimits has workers with tasks of both teams hang or cut off, jobs cancelled and the
-// leader changed. It returns those workers, and of them those that are cut off.
-func (c *teamCluster) failOverAtLimits(t *testing.T, failover limitFailover, hang bool, when int) (away, cut []*testkit.Worker) {
+// failOverAtLimits hangs or cuts off workers with tasks of both teams, cancels those tasks' jobs
+// and changes the leader. The cancels come before the change (when is 0), right after it (1), or
+// through the new leader (2). It returns all these workers, and those of them that are cut off.
+func (c *teamCluster) failOverAtLimits(t *testing.T, failover limitFailover, hang bool, when int) (unreachable, cut []*testkit.Worker) {
 	t.Helper()
 	jobs := []string{"j-80", "j-82"}
-	away = append(c.machinesOf("j-80"), c.machinesOf("j-82")...)
-	cut = away
+	unreachable = append(c.machinesOf("j-80"), c.machinesOf("j-82")...)
+	cut = unreachable
 	if hang {
-		c.hang(away...)
-		cut = away[:len(away)/2] // the others get what was sent when they go on
+		c.hang(unreachable...)
+		cut = unreachable[:len(unreachable)/2] // the others receive the messages sent meanwhile when they resume
 	}
 	for _, k := range cut {
 		c.cutAll(k.Name, c.names...)
@@ -116,7 +119,7 @@
 	at := c.others(first)[1]
 	confirm := func(seconds int) {
 		if n := c.cancelAll(at, jobs, seconds); n != len(jobs) {
-			t.Fatalf("%d of %d cancels are confirmed", n, len(jobs))
+			t.Fatalf("only %d of %d cancels were confirmed", n, len(jobs))
 		}
 	}
 	if when == 0 {
@@ -125,7 +128,7 @@
 	c.checkAtLimits()
 	failover.begin(c, first)
 	if when == 2 && !c.within(6, func() bool { return c.leader() != "" }) {
-		t.Fatal("nobody leads")
+		t.Fatal("no controller leads")
 	}
 	if when > 0 {
 		confirm(6)
@@ -134,19 +137,20 @@
 		t.Fatal("the leader did not change")
 	}
 	if n := c.onMachines("j-80") + c.onMachines("j-82"); n != 6 {
-		t.Fatalf("%d cancelled tasks are on machines that nobody reaches", n)
+		t.Fatalf("%d cancelled tasks are on unreachable workers, not 6", n)
 	}
 	c.checkAtLimits()
-	return away, cut
+	return unreachable, cut
 }
 
-// recoverAtLimits has the workers go on, some later than others, and all work end.
-func (c *teamCluster) recoverAtLimits(t *testing.T, away, cut []*testkit.Worker, hang bool, when int) {
+// recoverAtLimits resumes the workers and heals their links, some later than others, and waits
+// until all jobs of short tasks have ended.
+func (c *teamCluster) recoverAtLimits(t *testing.T, unreachable, cut []*testkit.Worker, hang bool, when int) {
 	t.Helper()
 	if hang {
-		c.resume(away...)
+		c.resume(unreachable...)
 		if n := c.onMachines("j-80") + c.onMachines("j-82"); n == 0 {
-			t.Fatal("no cancelled task went on after its machine hung")
+			t.Fatal("no cancelled task continued after its worker's hang")
 		}
 		c.live(1)
 	} else {
@@ -157,7 +161,7 @@
 	}
 	c.release()
 	c.startAll()
-	c.live(12) // the others' leases end
+	c.live(12) // the leases of workers that are still cut off end
 	for _, k := range cut {
 		c.healLinks(k.Name, c.names...)
 	}
@@ -165,8 +169,8 @@
 	c.awaitCompletion("j-1", "j-2", "j-3", "j-4", "j-5", "j-80", "j-82")
 	for uid, n := range map[string]int{"j-81": 2, "j-83": 1} {
 		if !c.within(30, func() bool { return c.onMachines(uid) == n }) {
-			t.Errorf("%d of %d long tasks of %s are on", c.onMachines(uid), n, uid)
+			t.Errorf("%d of %d long tasks of %s are running", c.onMachines(uid), n, uid)
 		}
 	}
-	t.Logf("longest wait beside room: %v", c.waits.longest)
+	t.Logf("longest wait despite free capacity: %v", c.waits.longest)
 }
--- a/internal/testkit/transfer_lag_test.go
+++ b/internal/testkit/transfer_lag_test.go
@@ -8,20 +8,19 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Guards against shards that nobody leads after a transfer: the new leader's watch is behind.
-
-// A controller that shards are transferred to leads them soon, although its watch is behind.
+// Guards against shards without a leader after a transfer to a controller whose watch lags: that
+// controller must lead the shards within seconds all the same.
 func TestTransferredShardsAreLedWhileWatchLags(t *testing.T) {
-	const behind = 10 * time.Second
+	const lag = 10 * time.Second
 	for _, c := range []struct {
 		name        string
-		answerLost  bool // of the transfer's transaction
-		within      int  // seconds until the shards are led
-		alsoOldLags bool // the watch of the old leader is behind too
+		answerLost  bool // the response to the transfer's transaction is lost
+		within      int  // seconds until the new leader must lead the shards
+		alsoOldLags bool // the old leader's watch lags too
 	}{
 		{name: "the transfer is answered", within: 2},
 		{name: "its answer is lost", answerLost: true, within: 4},
-		{name: "its answer is lost, and both watches are behind", answerLost: true, alsoOldLags: true, within: 4},
+		{name: "its answer is lost, and both watches lag", answerLost: true, alsoOldLags: true, within: 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			onCluster(t, 1700, 3, 8, func(w *cluster) {
@@ -33,7 +32,7 @@
 				w.mu.Lock()
 				w.behind = func(n *node, _ string) time.Duration {
 					if n.name == to || c.alsoOldLags && n == from {
-						return behind
+						return lag
 					}
 					return 0
 				}
@@ -55,11 +54,11 @@
 				wasLost := lost
 				w.mu.Unlock()
 				if wasLost != c.answerLost {
-					t.Errorf("the answer was lost: %v", wasLost)
+					t.Errorf("whether the response was lost: %v", wasLost)
 				}
 				w.live(15)
 				if at := w.leader(); at != to {
-					t.Errorf("in the end %q leads, not %s", at, to)
+					t.Errorf("15 s later %q leads, not %s", at, to)
 				}
 			})
 		})
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -13,19 +13,19 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// pollExpiringLeases does what cmd/wallrack does several times a second for workers whose
-// reports are overdue.
+// pollExpiringLeases stops tasks on workers whose leases are about to end and polls those workers,
+// as cmd/wallrack does several times a second.
 func (n *node) pollExpiringLeases(ctx context.Context) {
-	const timesASecond = 4
-	for range timesASecond {
-		if ask := n.scheduler.HandleExpiringLeases(); len(ask) > 0 && n.MayAnswerWorkers() {
-			n.dispatcher.ChaseCancelledTasks(ctx, ask)
+	const pollsPerSecond = 4
+	for range pollsPerSecond {
+		if endpoints := n.scheduler.HandleExpiringLeases(); len(endpoints) > 0 && n.MayAnswerWorkers() {
+			n.dispatcher.ChaseCancelledTasks(ctx, endpoints)
 		}
 	}
 }
 
-// dropReports breaks the links from a worker to all controllers, not those back: direct
-// commands reach it, and nothing renews its lease.
+// dropReports breaks the links from a worker to all controllers, but not those in the other
+// direction: direct commands reach the worker, but nothing renews its lease.
 func (w *cluster) dropReports(k *testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -34,166 +34,167 @@
 	}
 }
 
-// taskTracker follows what tasks run, save and lose, by what the workers do.
+// taskTracker records, from the workers' callbacks, how tasks run, save their state and are lost.
 type taskTracker struct {
-	total func(task string) time.Duration
-	saved map[string]time.Duration
-	done  map[string]time.Time
+	total func(task string) time.Duration // run time that a task needs
+	saved map[string]time.Duration        // run time saved, by task
+	done  map[string]time.Time            // when a task was done, by task
 
-	cut     map[string]time.Time     // workers, by when their reports began to be lost
-	interrupted    map[string]time.Time     // tasks that ended there before they were done, by when
-	lateStarts map[string]bool          // tasks started there later than startsAfterCut
-	lateKilled    int                      // of them, those that the lease killed
-	killed  map[string]int           // tasks killed by their lease, by job
-	stopped map[string]int           // tasks stopped on workers that are cut, by job
-	lostRunTime time.Duration            // run that was lost with killed tasks and with stopped ones that did not save
-	longest map[string]time.Duration // from the cut to a start elsewhere, at most, by job
-	doneWhileCut    int                      // tasks that were done on workers that are cut
+	cut          map[string]time.Time     // when a worker's reports began to be lost, by worker
+	interrupted  map[string]time.Time     // tasks that ended on a cut worker before they were done, with the time of that worker's cut
+	lateStarts   map[string]bool          // tasks started on a cut worker later than maxStartDelay
+	lateKilled   int                      // those of lateStarts that were killed when the lease ended
+	killed       map[string]int           // tasks killed when their worker's lease ended, by job
+	stopped      map[string]int           // tasks stopped on cut workers, by job
+	lostRunTime  time.Duration            // run time lost with tasks that were killed, or stopped without saving
+	longest      map[string]time.Duration // longest time from a cut until an interrupted task started again, by job
+	doneWhileCut int                      // tasks that were done on cut workers
 }
 
-// maxStartDelay is how long after a worker's reports began to be lost starts on it may
-// still be under way: what its leader needs to know it, and a report interval.
+// maxStartDelay is how long after a worker's reports began to be lost its leader may still start
+// tasks there: the time until the leader detects the loss, and a report interval.
 const maxStartDelay = 5 * time.Second
 
-// readMargin is how long before the end of its lease a task must be done so that
-// its leader surely reads it; the cluster asks once a second.
+// readMargin is how long before the end of its worker's lease a task must be done for its leader to
+// learn of it in any case: the cluster polls once a second.
 const readMargin = 3 * time.Second
 
-// trackTasks has a ledger trackTasks all workers.
+// trackTasks returns a tracker of the tasks of all workers. total is how long a task runs, save how
+// long it takes to save its state, or a negative time if it cannot.
 func (w *cluster) trackTasks(total, save func(task string) time.Duration) *taskTracker {
-	l := &taskTracker{
+	tracker := &taskTracker{
 		total: total, saved: map[string]time.Duration{}, done: map[string]time.Time{}, cut: map[string]time.Time{},
 		interrupted: map[string]time.Time{}, killed: map[string]int{}, stopped: map[string]int{}, lateStarts: map[string]bool{}, longest: map[string]time.Duration{},
 	}
 	for _, k := range w.workers {
 		started := k.Started
-		k.Run = func(task string) time.Duration { return max(0, total(task)-l.saved[task]) }
+		k.Run = func(task string) time.Duration { return max(0, total(task)-tracker.saved[task]) }
 		k.Save = save
 		k.Started = func(task string, attempt uint64) {
 			started(task, attempt)
-			l.taskStarted(w, k, task)
+			tracker.taskStarted(w, k, task)
 		}
-		k.Ended = func(t wire.Task, ran time.Duration) { l.taskEnded(k, t, ran) }
+		k.Ended = func(t wire.Task, ran time.Duration) { tracker.taskEnded(k, t, ran) }
 	}
-	return l
+	return tracker
 }
 
-func (l *taskTracker) taskStarted(w *cluster, k *testkit.Worker, task string) {
-	if at, cut := l.cut[k.Name]; cut && time.Since(at) > maxStartDelay {
-		l.lateStarts[task] = true
+func (tracker *taskTracker) taskStarted(w *cluster, k *testkit.Worker, task string) {
+	if at, cut := tracker.cut[k.Name]; cut && time.Since(at) > maxStartDelay {
+		tracker.lateStarts[task] = true
 	} else {
-		delete(l.lateStarts, task)
+		delete(tracker.lateStarts, task)
 	}
-	if at, ok := l.done[task]; ok {
+	if at, ok := tracker.done[task]; ok {
 		w.fail("%s is started again on %s, %v after it was done", task, k.Name, time.Since(at))
 	}
-	if at, ok := l.interrupted[task]; ok {
+	if at, ok := tracker.interrupted[task]; ok {
 		uid, _, _ := strings.Cut(task, "/")
-		l.longest[uid] = max(l.longest[uid], time.Since(at).Round(time.Millisecond))
-		delete(l.interrupted, task)
+		tracker.longest[uid] = max(tracker.longest[uid], time.Since(at).Round(time.Millisecond))
+		delete(tracker.interrupted, task)
 	}
 }
 
-func (l *taskTracker) taskEnded(k *testkit.Worker, t wire.Task, ran time.Duration) {
+func (tracker *taskTracker) taskEnded(k *testkit.Worker, t wire.Task, ran time.Duration) {
 	uid, _, _ := strings.Cut(t.Task, "/")
-	at, cut := l.cut[k.Name]
+	at, cut := tracker.cut[k.Name]
 	switch {
 	case t.Cause == wire.CauseDone:
-		// Done too shortly before the lease ends, it may be lost with the lease.
+		// The leader may not learn of a task that is done just before the lease ends.
 		if !cut || time.Since(at) < workerLease-readMargin {
-			l.done[t.Task] = time.Now()
+			tracker.done[t.Task] = time.Now()
 			if cut {
-				l.doneWhileCut++
+				tracker.doneWhileCut++
 			}
 		}
 		return
 	case t.Saved:
-		l.saved[t.Task] += ran
+		tracker.saved[t.Task] += ran
 	default:
-		l.lostRunTime += ran
+		tracker.lostRunTime += ran
 	}
 	if t.Cause == "" {
-		l.killed[uid]++
-		if l.lateStarts[t.Task] {
-			l.lateKilled++
+		tracker.killed[uid]++
+		if tracker.lateStarts[t.Task] {
+			tracker.lateKilled++
 		}
 	} else if cut {
-		l.stopped[uid]++
+		tracker.stopped[uid]++
 	}
 	if cut {
-		l.interrupted[t.Task] = at
+		tracker.interrupted[t.Task] = at
 	}
 }
 
-// markCut notes that reports of a worker are lost from now on.
-func (l *taskTracker) markCut(w *cluster, k *testkit.Worker) {
+// markCut records that a worker's reports are lost from now on.
+func (tracker *taskTracker) markCut(w *cluster, k *testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l.cut[k.Name] = time.Now()
+	tracker.cut[k.Name] = time.Now()
 }
 
-// markHealed notes that no reports are lost any more.
-func (l *taskTracker) markHealed(w *cluster) {
+// markHealed records that reports are no longer lost.
+func (tracker *taskTracker) markHealed(w *cluster) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	clear(l.cut)
+	clear(tracker.cut)
 }
 
-// healAndAwaitJobs heals all links, and has so many jobs end.
+// healAndAwaitJobs heals all links, and waits until the given number of jobs have ended.
 func (w *cluster) healAndAwaitJobs(jobs int) {
 	w.healed()
 	if !w.within(300, func() bool { return len(w.store.Keys("final/")) == jobs }) {
-		w.t.Errorf("of %d jobs only %v ended", jobs, w.store.Keys("final/"))
+		w.t.Errorf("not all %d jobs ended; ended: %v", jobs, w.store.Keys("final/"))
 	}
 	w.stopAll()
 }
 
-// workersByJobs lists the workers, those with tasks of most of some jobs on them first. Where they have
-// tasks of as many jobs, those with the jobs come first that fewer workers before them have: the
-// first workers have tasks of all of the jobs among them, however the tasks are placed.
+// workersByJobs returns the workers, sorted greedily: each next worker is the one that runs tasks of
+// the most of the given jobs, a job counting less the more workers before it run tasks of that job.
+// The first workers therefore run tasks of all the jobs between them, however tasks are placed.
 func (w *cluster) workersByJobs(jobs ...string) (sorted []*testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	on := map[*testkit.Worker][]string{}
+	jobsOn := map[*testkit.Worker][]string{}
 	for _, k := range w.workers {
 		tasks := k.On()
 		for _, uid := range jobs {
 			if slices.ContainsFunc(tasks, func(task string) bool { return strings.HasPrefix(task, uid) }) {
-				on[k] = append(on[k], uid)
+				jobsOn[k] = append(jobsOn[k], uid)
 			}
 		}
 	}
-	listed := map[string]int{} // workers with tasks of a job
-	worth := func(k *testkit.Worker) (sum float64) {
-		for _, uid := range on[k] {
-			sum += 1 / float64(1+listed[uid])
+	counted := map[string]int{} // workers already in sorted that run tasks of a job, by job
+	score := func(k *testkit.Worker) (sum float64) {
+		for _, uid := range jobsOn[k] {
+			sum += 1 / float64(1+counted[uid])
 		}
 		return sum
 	}
-	for left := slices.Clone(w.workers); len(left) > 0; {
+	for remaining := slices.Clone(w.workers); len(remaining) > 0; {
 		next := 0
-		for i, k := range left {
-			if worth(k) > worth(left[next]) {
+		for i, k := range remaining {
+			if score(k) > score(remaining[next]) {
 				next = i
 			}
 		}
-		for _, uid := range on[left[next]] {
-			listed[uid]++
+		for _, uid := range jobsOn[remaining[next]] {
+			counted[uid]++
 		}
-		sorted = append(sorted, left[next])
-		left = slices.Delete(left, next, next+1)
+		sorted = append(sorted, remaining[next])
+		remaining = slices.Delete(remaining, next, next+1)
 	}
 	return sorted
 }
 
-// sessionOf is a worker's sessionOf now.
+// sessionOf returns a worker's current session.
 func (w *cluster) sessionOf(k *testkit.Worker) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return k.Session()
 }
 
-// recordAcceptedJob records a job as accepted.
+// recordAcceptedJob writes the records of a job's acceptance into the store.
 func (w *cluster) recordAcceptedJob(job *wire.Job) {
 	guards, ops := jobrecord.AcceptanceTxn(job, nil, jobrecord.HashShard(job, nil, 4), time.Now().UnixMilli())
 	if _, err := (&testkit.View{Store: w.store}).Txn(context.Background(), guards, ops...); err != nil {
@@ -201,33 +202,36 @@
 	}
 }
 
-// Workers that reach no controller, while direct commands reach them, lose their leases.
-// Before that, what is done there is read, and not run again; what can save is stopped
-// and saves; what can't be done in time, and has not run for long, is begun elsewhere;
-// and nothing is started there that would not be done in time. None is deleted, since they answer.
+// Workers that reach no controller, but receive direct commands, lose their leases. Before that,
+// the leader learns of tasks that are done there and does not run them again, stops tasks that can
+// save their state, and starts tasks elsewhere that cannot finish in time and have not run for
+// long. It starts no task there that would not finish in time. No such worker is deleted, since it
+// responds to polls.
 func TestWorkersReachingNoController(t *testing.T) {
+	// Jobs whose tasks can save their state, cannot save and have run for long or not, are short, or
+	// run for 1 s only.
 	const savers, old, young, short, tiny = "j-save", "j-old", "j-young", "j-short", "j-tiny"
 	for i, c := range []struct {
-		name  string
-		cut   int
-		ends  bool // the leader ends meanwhile
-		full  bool // there is more work than room
-		token bool // it has seen a higher fencing token than the leader has
+		name           string
+		cut            int  // workers whose reports are lost
+		leaderRestarts bool // the leader restarts meanwhile
+		overloaded     bool // there is more work than capacity
+		higherToken    bool // the first cut worker has seen a higher fencing token than the leader's
 	}{
 		{name: "one", cut: 1},
-		{name: "one that has seen a higher token", cut: 1, token: true},
+		{name: "one that has seen a higher token", cut: 1, higherToken: true},
 		{name: "a quarter", cut: 6},
 		{name: "all", cut: 24},
-		{name: "a quarter, and the leader ends", cut: 6, ends: true},
-		{name: "a quarter, with more work than room", cut: 6, full: true},
+		{name: "a quarter, and the leader restarts", cut: 6, leaderRestarts: true},
+		{name: "a quarter, with more work than capacity", cut: 6, overloaded: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, uint64(700+i))
 				w.bigger(3, 24)
-				w.size = 8 // so that there is room elsewhere
-				w.promptCommands, w.keepCuts, w.unlisted = true, true, !c.ends
-				l := w.trackTasks(func(task string) time.Duration {
+				w.size = 8 // so that other workers have free CPUs
+				w.promptCommands, w.keepCuts, w.unlisted = true, true, !c.leaderRestarts
+				tracker := w.trackTasks(func(task string) time.Duration {
 					switch uid, _, _ := strings.Cut(task, "/"); uid {
 					case short:
 						return variedTime(task)
@@ -243,10 +247,10 @@
 				})
 				w.startInTurn()
 				time.Sleep(2 * time.Second)
-				submit := func(uid, priority string, tasks int, estimate, mark float64) {
+				submit := func(uid, priority string, tasks int, estimate, checkpointInterval float64) {
 					w.recordAcceptedJob(&wire.Job{
 						UID: uid, Class: uid, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: tasks,
-						CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: estimate, Spot: true, CheckpointIntervalS: mark, CheckpointSaveS: mark / 30,
+						CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: estimate, Spot: true, CheckpointIntervalS: checkpointInterval, CheckpointSaveS: checkpointInterval / 30,
 					})
 				}
 				submit(savers, "normal", 24, 40, 30)
@@ -256,7 +260,7 @@
 				w.live(8)
 				submit(young, "urgent", 24, 40, 0)
 				jobs := 4
-				if c.full {
+				if c.overloaded {
 					submit(tiny, "low", 6000, 1, 0)
 					jobs++
 				}
@@ -265,16 +269,16 @@
 				cut := w.workersByJobs(savers, young)[:c.cut]
 				for _, k := range cut {
 					w.dropReports(k)
-					l.markCut(w, k)
+					tracker.markCut(w, k)
 					sessions[k.Name] = w.sessionOf(k)
 				}
-				if c.token {
-					session, term := w.sessionOf(cut[0]), w.nodes[w.leader()].member.FencingToken()
+				if c.higherToken {
+					session, token := w.sessionOf(cut[0]), w.nodes[w.leader()].member.FencingToken()
 					w.mu.Lock()
-					cut[0].Orders(wire.Orders{Token: term + 1, Session: session})
+					cut[0].Orders(wire.Orders{Token: token + 1, Session: session})
 					w.mu.Unlock()
 				}
-				if c.ends {
+				if c.leaderRestarts {
 					w.live(1)
 					w.restart(w.leader(), 200*time.Millisecond)
 				}
@@ -284,49 +288,49 @@
 						t.Errorf("the lease of %s did not end", k.Name)
 					}
 				}
-				t.Logf("%s: killed %v, stopped %v, %d done there, %v of run lost, %d of %d late starts killed, %v until all ran elsewhere, %d still wait, %d returned",
-					c.name, l.killed, l.stopped, l.doneWhileCut, l.lostRunTime, l.lateKilled, len(l.lateStarts), l.longest, len(l.interrupted), w.returnedMachines)
-				if c.ends {
-					// The next leader knows neither when the leases end nor how long tasks have run.
-					if l.stopped[old] > 0 || l.stopped[savers] == 0 {
-						t.Errorf("%d tasks that had run for long were stopped, %d that save", l.stopped[old], l.stopped[savers])
+				t.Logf("%s: killed %v, stopped %v, %d done on cut workers, %v of run time lost, %d of %d late starts killed, longest time until restart %v, %d tasks still wait, %d machines returned",
+					c.name, tracker.killed, tracker.stopped, tracker.doneWhileCut, tracker.lostRunTime, tracker.lateKilled, len(tracker.lateStarts), tracker.longest, len(tracker.interrupted), w.returnedMachines)
+				if c.leaderRestarts {
+					// The next leader does not know when the leases end or how long tasks have run.
+					if tracker.stopped[old] > 0 || tracker.stopped[savers] == 0 {
+						t.Errorf("%d tasks that had run for long and cannot save were stopped, %d that can save", tracker.stopped[old], tracker.stopped[savers])
 					}
 					w.healAndAwaitJobs(jobs)
 					return
 				}
-				if l.killed[savers] > 0 {
-					t.Errorf("%d tasks that can save were killed", l.killed[savers])
+				if tracker.killed[savers] > 0 {
+					t.Errorf("%d tasks that can save were killed", tracker.killed[savers])
 				}
-				if l.lateKilled > 0 {
-					t.Errorf("%d starts were killed on machines whose leases were known not to be renewed", l.lateKilled)
+				if tracker.lateKilled > 0 {
+					t.Errorf("%d tasks were started on workers with leases about to end, and killed with the lease", tracker.lateKilled)
 				}
-				if c.full && len(l.lateStarts) == 0 {
-					t.Error("no task that would be done in time was started")
+				if c.overloaded && len(tracker.lateStarts) == 0 {
+					t.Error("no task was started that could finish before the lease ended")
 				}
 				if w.returnedMachines > 0 {
-					t.Errorf("%d machines that answer were returned", w.returnedMachines)
+					t.Errorf("%d machines of workers that respond were returned", w.returnedMachines)
 				}
-				if len(l.stopped) == 0 || c.cut > 1 && (l.stopped[savers] == 0 || l.doneWhileCut == 0) {
-					t.Errorf("%v tasks were stopped, %d were done on machines that reach nobody", l.stopped, l.doneWhileCut)
+				if len(tracker.stopped) == 0 || c.cut > 1 && (tracker.stopped[savers] == 0 || tracker.doneWhileCut == 0) {
+					t.Errorf("tasks stopped by job: %v; %d tasks done on workers that reach no controller", tracker.stopped, tracker.doneWhileCut)
 				}
-				if c.cut > 1 && c.cut < len(w.workers)/2 && l.stopped[young] == 0 {
+				if c.cut > 1 && c.cut < len(w.workers)/2 && tracker.stopped[young] == 0 {
 					t.Error("no task was stopped early")
 				}
 				if c.cut < len(w.workers)/2 {
-					if l.killed[young] > 0 {
-						t.Errorf("%d tasks that had run for less than the rest of the lease were left to be killed", l.killed[young])
+					if tracker.killed[young] > 0 {
+						t.Errorf("%d tasks that had run for less than the rest of the lease were killed with it instead of stopped", tracker.killed[young])
 					}
-					// Those that nothing saves wait for the end of the lease, and for a request after it.
+					// Tasks that cannot save run elsewhere only after the lease's end and a further report.
 					for uid, bound := range map[string]time.Duration{old: workerLease + 3*time.Second, savers: workerLease + time.Second, young: workerLease - 2*time.Second} {
-						if l.longest[uid] > bound && !c.full {
-							t.Errorf("%v until tasks of %s ran elsewhere", l.longest[uid], uid)
+						if tracker.longest[uid] > bound && !c.overloaded {
+							t.Errorf("%v until all interrupted tasks of %s ran again", tracker.longest[uid], uid)
 						}
 					}
-					if len(l.interrupted) > 0 {
-						t.Errorf("%d tasks still wait", len(l.interrupted))
+					if len(tracker.interrupted) > 0 {
+						t.Errorf("%d interrupted tasks still wait", len(tracker.interrupted))
 					}
 				}
-				l.markHealed(w)
+				tracker.markHealed(w)
 				w.healAndAwaitJobs(jobs)
 			})
 		})
--- a/internal/testkit/unresponsive_workers_test.go
+++ b/internal/testkit/unresponsive_workers_test.go
@@ -10,10 +10,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// settledCluster starts a cluster with so many controllers, lets it run with a long job, and
-// returns the leader's name and the others'. live lets seconds pass, with no faults
-// drawn and nothing healed.
-func settledCluster(t *testing.T, seed uint64, controllers, workers int) (w *cluster, owner string, others []string, live func(seconds int)) {
+// settledCluster starts a cluster and runs it with a large job for 25 s. It returns the cluster, the
+// names of the leader and of the other controllers, and the cluster's live method, which runs the
+// cluster for some seconds without random faults and without healing links.
+func settledCluster(t *testing.T, seed uint64, controllers, workers int) (w *cluster, leader string, others []string, live func(seconds int)) {
 	w = newCluster(t, seed)
 	w.bigger(controllers, workers)
 	w.startInTurn()
@@ -23,47 +23,47 @@
 	live(25)
 	for _, n := range w.names {
 		if len(w.nodes[n].member.LedShards()) > 0 {
-			owner = n
+			leader = n
 		} else {
 			others = append(others, n)
 		}
 	}
-	if owner == "" || time.Since(w.lastStart()) > 3*time.Second {
-		t.Fatalf("no start before the trouble; owner %q", owner)
+	if leader == "" || time.Since(w.lastStart()) > 3*time.Second {
+		t.Fatalf("no task started just before the fault; leader %q", leader)
 	}
-	return w, owner, others, live
+	return w, leader, others, live
 }
 
-// Workers whose reports arrive and which no answer and no command reaches must not
-// take one start after the other for nothing: by one worker, by a tenth, by all that
-// the leader reaches, by all. What runs goes on, those that nothing reaches are
-// returned in time, and no other.
+// Guards against a leader that keeps granting starts to workers that it cannot reach: their
+// reports arrive, but no response and no command reaches them. This holds for one worker, a tenth
+// of the workers, and all workers, whether only the leader's messages are lost or those of all
+// controllers. Running tasks continue, and only the machines of unreachable workers are returned.
 func TestWorkersUnresponsiveToCommands(t *testing.T) {
 	for i, c := range []struct {
-		name    string
-		deaf    int  // workers
-		owner   bool // by the leader alone
-		gap     time.Duration
-		wasted  int // starts granted and not run, at most
-		back    int // machines deleted, at most
-		atLeast int
+		name        string
+		unreachable int           // workers that receive no responses and no commands
+		leaderOnly  bool          // only the leader's messages are lost
+		maxGap      time.Duration // between two task starts in the cluster; 0: not checked
+		maxWasted   int           // starts that were granted but did not run
+		maxDeleted  int           // machines
+		minDeleted  int           // machines
 	}{
 		{"one", 1, false, 6 * time.Second, 60, 1, 1},
 		{"a tenth", 3, false, 6 * time.Second, 120, 3, 3},
-		{"all of the owner's", 24, true, 12 * time.Second, 300, 0, 0},
+		{"all of the leader's", 24, true, 12 * time.Second, 300, 0, 0},
 		{"all", 24, false, 0, 400, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w, owner, _, live := settledCluster(t, uint64(300+i), 3, 24)
+				w, leader, _, live := settledCluster(t, uint64(300+i), 3, 24)
 				by := w.names
-				if c.owner {
-					by = []string{owner}
+				if c.leaderOnly {
+					by = []string{leader}
 				}
-				for _, k := range w.workers[:c.deaf] {
+				for _, k := range w.workers[:c.unreachable] {
 					w.unheard(k, by...)
 				}
-				ran, before := w.starts, w.nodes[owner].scheduler.Counters().Granted
+				ran, before := w.starts, w.nodes[leader].scheduler.Counters().Granted
 				longest := time.Duration(0)
 				for range 60 {
 					live(1)
@@ -74,20 +74,20 @@
 					granted += n.scheduler.Counters().Granted
 				}
 				ran = w.starts - ran
-				t.Logf("%s: %v without a start, %d granted, %d ran, %d returned", c.name, longest, granted-before, ran, w.returnedMachines)
-				if c.gap > 0 && longest > c.gap {
-					t.Errorf("%v without a start", longest)
+				t.Logf("%s: longest time without a start %v, %d starts granted, %d ran, %d machines returned", c.name, longest, granted-before, ran, w.returnedMachines)
+				if c.maxGap > 0 && longest > c.maxGap {
+					t.Errorf("no task started for %v", longest)
 				}
-				if wasted := granted - before - ran; wasted > c.wasted {
-					t.Errorf("%d starts for nothing", wasted)
+				if wasted := granted - before - ran; wasted > c.maxWasted {
+					t.Errorf("%d granted starts did not run", wasted)
 				}
-				if w.returnedMachines > c.back || w.returnedMachines < c.atLeast {
+				if w.returnedMachines > c.maxDeleted || w.returnedMachines < c.minDeleted {
 					t.Errorf("%d machines returned", w.returnedMachines)
 				}
 				w.healed()
 				live(30)
 				if time.Since(w.lastStart()) > 3*time.Second {
-					t.Errorf("after the healing no start for %v", time.Since(w.lastStart()))
+					t.Errorf("after the links healed, no task started for %v", time.Since(w.lastStart()))
 				}
 				w.stopAll()
 			})
@@ -95,15 +95,16 @@
 	}
 }
 
-// A controller that loses the state service and the other controllers, and not its
-// workers, lets them go: for whatever time, as leader or not, and two at once.
+// Workers must move away from a controller that reaches neither the state service nor its peers,
+// since it cannot start tasks. This holds for short and long partitions, for the leader, for
+// another controller, and for both at once.
 func TestWorkersLeaveIsolatedController(t *testing.T) {
 	for i, long := range []int{5, 12, 120} {
-		for _, who := range []string{"owner", "another", "both"} {
+		for _, who := range []string{"leader", "another", "both"} {
 			t.Run(fmt.Sprintf("%s for %d s", who, long), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w, owner, others, live := settledCluster(t, uint64(400+i), 5, 24)
-					cut := map[string][]string{"owner": {owner}, "another": {others[0]}, "both": {owner, others[0]}}[who]
+					w, leader, others, live := settledCluster(t, uint64(400+i), 5, 24)
+					cut := map[string][]string{"leader": {leader}, "another": {others[0]}, "both": {leader, others[0]}}[who]
 					for _, n := range cut {
 						for _, x := range append([]string{stateService}, w.names...) {
 							if x != n {
@@ -116,25 +117,25 @@
 						live(1)
 						longest = max(longest, time.Since(w.lastStart()))
 					}
-					held := 0
+					remaining := 0
 					for _, k := range w.workers {
 						for _, n := range cut {
 							if w.nodes[n].dispatcher.UnansweredFor(k.Name) < 10*time.Second {
-								held++
+								remaining++
 							}
 						}
 					}
-					t.Logf("%v without a start, %d workers still there, %d returned", longest, held, w.returnedMachines)
+					t.Logf("longest time without a start %v, %d workers still at an isolated controller, %d machines returned", longest, remaining, w.returnedMachines)
 					if longest > 9*time.Second || w.returnedMachines > 0 {
-						t.Errorf("%v without a start, %d machines returned", longest, w.returnedMachines)
+						t.Errorf("no task started for %v, %d machines returned", longest, w.returnedMachines)
 					}
-					if long > 60 && held > 0 {
-						t.Errorf("%d workers are still held by who can start nothing", held)
+					if long > 60 && remaining > 0 {
+						t.Errorf("%d workers still report to an isolated controller", remaining)
 					}
 					w.healed()
 					live(20)
 					if time.Since(w.lastStart()) > 3*time.Second {
-						t.Errorf("after the healing no start for %v", time.Since(w.lastStart()))
+						t.Errorf("after the links healed, no task started for %v", time.Since(w.lastStart()))
 					}
 					w.stopAll()
 				})
@@ -143,21 +144,21 @@
 	}
 }
 
-// Jobs that were submitted with a mistake fail on every worker. They must not make
-// sound workers faulty, or take a start after the other; they stay known, and are
-// done in earnest once they can be. A worker that fails what runs elsewhere is still
-// told apart.
+// Jobs with an error in their specification fail on every worker. They must not cause working
+// workers to be marked faulty, and must not use up starts in endless retries. They stay known to
+// the cluster and complete once the error is fixed. A worker on which tasks of other jobs fail is
+// still marked faulty.
 func TestFailingJobsDoNotMarkWorkersFaulty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, owner, _, live := settledCluster(t, 500, 3, 24)
-		mended, sick, tried := false, w.workers[0].Name, 0
+		w, leader, _, live := settledCluster(t, 500, 3, 24)
+		fixed, faultyWorker, attempts := false, w.workers[0].Name, 0
 		for _, k := range w.workers {
 			k.Exit = func(task string) int {
 				bad := strings.HasPrefix(task, "j-bad")
 				if bad {
-					tried++
+					attempts++
 				}
-				if bad && !mended || k.Name == sick {
+				if bad && !fixed || k.Name == faultyWorker {
 					return 3
 				}
 				return 0
@@ -169,35 +170,35 @@
 		}
 		before := w.starts
 		live(90)
-		if good := w.starts - before - tried; good < 1000 {
-			t.Errorf("%d starts of the sound job in 90 s", good)
+		if good := w.starts - before - attempts; good < 1000 {
+			t.Errorf("only %d starts of the working jobs in 90 s", good)
 		}
-		t.Logf("%d tries", tried)
-		if tried > 110 {
-			t.Errorf("%d tries of faulty jobs", tried)
+		t.Logf("%d attempts of failing jobs", attempts)
+		if attempts > 110 {
+			t.Errorf("%d attempts of failing jobs", attempts)
 		}
-		_, loads := w.nodes[owner].scheduler.Demand(10)
+		_, loads := w.nodes[leader].scheduler.Demand(10)
 		found := false
 		for _, l := range loads {
-			if l.Faulty && l.Name != sick {
-				t.Errorf("%s is called faulty", l.Name)
+			if l.Faulty && l.Name != faultyWorker {
+				t.Errorf("%s is marked faulty", l.Name)
 			}
 			found = found || l.Faulty
 		}
 		if !found {
-			t.Error("the sick machine was not found out")
+			t.Error("the faulty worker was not marked faulty")
 		}
 		for i := range 4 {
-			if s, ok := w.poll(w.nodes[owner], fmt.Sprintf("j-bad%d", i)); !ok || s.Stage == wire.StageDone {
-				t.Errorf("a faulty job: %+v, %v", s, ok)
+			if s, ok := w.poll(w.nodes[leader], fmt.Sprintf("j-bad%d", i)); !ok || s.Stage == wire.StageDone {
+				t.Errorf("a failing job has state %+v, known: %v", s, ok)
 			}
 		}
-		mended = true
+		fixed = true
 		for end := time.Now().Add(5 * time.Minute); len(w.store.Keys("final/j-bad")) < 4 && time.Now().Before(end); {
 			live(1)
 		}
 		if n := len(w.store.Keys("final/j-bad")); n < 4 {
-			t.Errorf("%d of 4 mended jobs are done", n)
+			t.Errorf("%d of 4 fixed jobs are done", n)
 		}
 		w.stopAll()
 	})
--- a/internal/testkit/wait_check_test.go
+++ b/internal/testkit/wait_check_test.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	maxWait = 90 * time.Second // for which a job may wait while a worker that fits has room
-	steadyCapacityAfter = 5 * time.Second  // from which on a worker counts as one with steady room
-	recurringCheckInterval   = 5 * time.Second  // between looks for recurring room
+	maxWait                = 90 * time.Second // for which a job may wait while a worker has enough free CPUs for its task
+	steadyCapacityAfter    = 5 * time.Second  // time for which a worker's CPUs must be free to count as steady capacity
+	recurringCheckInterval = 5 * time.Second  // between checks for recurring capacity
 )
 
-// waitCheck is the rule that no job waits for long while a worker that fits has room and
-// its team is under its limit. It is judged while there is no fault, or, once a test
-// insists, always. Two kinds of room are judged: steady room, which may be on one worker
-// now and on another then, and recurring room, which is on one worker whenever it is
-// looked at with pauses, and may be taken in between.
+// waitCheck checks that no job waits for long while its team is under its limit and a worker has
+// enough free CPUs for its task. The check applies while there is no fault, or always if a test
+// asks for that. It covers two kinds of free capacity: steady capacity has been free on some
+// worker, not always the same one, for steadyCapacityAfter. Recurring capacity is free on the same
+// worker at every check, recurringCheckInterval apart, but may be in use in between.
 type waitCheck struct {
-	always bool
-	freeSince     map[*testkit.Worker]map[float64]time.Time // since when so many CPUs are free
+	always    bool
+	freeSince map[*testkit.Worker]map[float64]time.Time // when a number of CPUs became free, by worker and number
 
-	steadySince  map[string]time.Time // by job: since when it could start beside steady room
-	lastStarts  map[string]int       // by job, when last looked
-	longest time.Duration        // beside steady room
+	steadySince map[string]time.Time // when a job's wait despite steady capacity began, by job
+	lastStarts  map[string]int       // starts at the last check, by job
+	longest     time.Duration        // longest wait despite steady capacity
 
-	recurring       map[string]*recurringWait // by job
-	lastRecurringStarts map[string]int            // by job, when last looked with pauses
-	lastRecurringCheck          time.Time                 // when that was
+	recurring           map[string]*recurringWait // by job
+	lastRecurringStarts map[string]int            // starts at the last check for recurring capacity, by job
+	lastRecurringCheck  time.Time                 // time of the last check for recurring capacity
 }
 
-// recurringWait is a job that could start at each look with pauses.
+// recurringWait is the wait of a job that could have started at each check for recurring capacity.
 type recurringWait struct {
-	since    time.Time
-	machines []*testkit.Worker // that have had room at each look since then
+	since   time.Time
+	workers []*testkit.Worker // workers that had enough free CPUs at each check since then
 }
 
 func newWaitCheck() waitCheck {
@@ -51,11 +51,10 @@
 	}
 }
 
-// checkAlways has the waits judged from now on whatever the links, workers and the state
-// service do.
+// checkAlways has waits checked from now on even during faults.
 func (c *waitCheck) checkAlways() { c.always = true }
 
-// checkWaits is to be called every second.
+// checkWaits fails if a job has waited for longer than maxWait without reason. Call it every second.
 func (w *cluster) checkWaits() {
 	if !w.shouldCheckWaits() {
 		return
@@ -71,29 +70,30 @@
 			jobs[uid] = job
 		}
 	}
-	withPauses := now.Sub(c.lastRecurringCheck) >= recurringCheckInterval
-	if withPauses {
+	checkRecurring := now.Sub(c.lastRecurringCheck) >= recurringCheckInterval
+	if checkRecurring {
 		c.lastRecurringCheck = now
 	}
 	for uid, job := range jobs {
 		if job.Gang() || hasZoneConstraint(job) {
 			continue
 		}
-		could := s.waits(job) && use.allows(w.cfg.Params.Teams, job)
-		waited := c.steadyCapacityWait(uid, could && c.hasSteadyCapacity(s, job.CPUs, now), w.startsOf[uid], now)
+		startable := s.waits(job) && use.allows(w.cfg.Params.Teams, job)
+		waited := c.steadyCapacityWait(uid, startable && c.hasSteadyCapacity(s, job.CPUs, now), w.startsOf[uid], now)
 		c.longest = max(c.longest, waited)
-		if withPauses {
-			waited = max(waited, c.recurringCapacityWait(uid, could, s.workersWithFree(job.CPUs), w.startsOf[uid], now))
+		if checkRecurring {
+			waited = max(waited, c.recurringCapacityWait(uid, startable, s.workersWithFree(job.CPUs), w.startsOf[uid], now))
 		}
 		if waited > maxWait {
-			w.fail("%s waits for %v while a machine has room and team %s is under its limit", uid, waited, job.Team)
+			w.fail("%s has waited for %v although a worker has enough free CPUs and team %s is under its limit", uid, waited, job.Team)
 			delete(c.steadySince, uid)
 			delete(c.recurring, uid)
 		}
 	}
 }
 
-// shouldCheckWaits reports whether waits are judged now. A fault begins them anew.
+// shouldCheckWaits reports whether waits are checked now. During a fault it resets all waits, unless
+// they are always checked.
 func (w *cluster) shouldCheckWaits() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -107,11 +107,12 @@
 	return false
 }
 
-// steadyCapacityWait is how long a job has waited that could start beside steady room now.
-func (c *waitCheck) steadyCapacityWait(uid string, could bool, starts int, now time.Time) time.Duration {
+// steadyCapacityWait returns how long a job has waited although it could start on steady capacity.
+// startable is whether it can do so now. A start of one of its tasks resets the wait.
+func (c *waitCheck) steadyCapacityWait(uid string, startable bool, starts int, now time.Time) time.Duration {
 	started := starts != c.lastStarts[uid]
 	c.lastStarts[uid] = starts
-	if !could || started {
+	if !startable || started {
 		delete(c.steadySince, uid)
 		return 0
 	}
@@ -121,26 +122,28 @@
 	return now.Sub(c.steadySince[uid])
 }
 
-// recurringCapacityWait is how long a job has waited that could start now where it fits.
-func (c *waitCheck) recurringCapacityWait(uid string, could bool, fitting []*testkit.Worker, starts int, now time.Time) time.Duration {
+// recurringCapacityWait returns how long a job has waited although it could start on recurring
+// capacity. workers are those with enough free CPUs now, and startable is whether the job's state and
+// its team's limit admit a start. A start of one of its tasks resets the wait.
+func (c *waitCheck) recurringCapacityWait(uid string, startable bool, workers []*testkit.Worker, starts int, now time.Time) time.Duration {
 	started := starts != c.lastRecurringStarts[uid]
 	c.lastRecurringStarts[uid] = starts
-	if !could {
+	if !startable {
 		delete(c.recurring, uid)
 		return 0
 	}
 	wait := c.recurring[uid]
 	if wait != nil && !started {
-		wait.machines = slices.DeleteFunc(wait.machines, func(k *testkit.Worker) bool { return !slices.Contains(fitting, k) })
+		wait.workers = slices.DeleteFunc(wait.workers, func(k *testkit.Worker) bool { return !slices.Contains(workers, k) })
 	}
-	if wait == nil || started || len(wait.machines) == 0 {
-		wait = &recurringWait{now, fitting}
+	if wait == nil || started || len(wait.workers) == 0 {
+		wait = &recurringWait{now, workers}
 		c.recurring[uid] = wait
 	}
 	return now.Sub(wait.since)
 }
 
-// hasSteadyCapacity reports whether a worker has had so many CPUs free for a while.
+// hasSteadyCapacity reports whether a worker has had the given CPUs free for steadyCapacityAfter.
 func (c *waitCheck) hasSteadyCapacity(s *snapshot, cpus float64, now time.Time) (has bool) {
 	for k, free := range s.free {
 		if c.freeSince[k] == nil {
@@ -159,7 +162,7 @@
 	return has
 }
 
-// workersWithFree lists the workers that have so many CPUs free now.
+// workersWithFree returns the workers that have the given CPUs free now.
 func (s *snapshot) workersWithFree(cpus float64) (ks []*testkit.Worker) {
 	for k, free := range s.free {
 		if free+cpuTolerance >= cpus {
@@ -169,8 +172,8 @@
 	return ks
 }
 
-// useByTeam sums what tasks of these jobs use. Those of cancelled jobs excuse no wait: they are
-// gone long before one is too long. The cluster is locked.
+// useByTeam returns the CPUs that tasks of the given jobs use, by team. Tasks of cancelled jobs are
+// left out since they stop long before a wait becomes too long. The caller holds the cluster's lock.
 func (w *cluster) useByTeam(jobs map[string]*wire.Job) teamUse {
 	use := teamUse{}
 	for _, k := range w.workers {
@@ -184,8 +187,9 @@
 	return use
 }
 
-// liveJobs reads the jobs that live, but those with terms: they may have to wait. Jobs that
-// the cluster did not know are known from then on.
+// liveJobs reads the records of the jobs that have not ended, and adds them to the cluster's known
+// jobs. It returns those that are not cancelled and have no constraints, since constraints may make
+// a job wait.
 func (w *cluster) liveJobs() map[string]*wire.Job {
 	items, _, err := (&testkit.View{Store: w.store}).List(context.Background(), "live/")
 	if err != nil {
@@ -215,7 +219,8 @@
 	return jobs
 }
 
-// faultFree reports whether nothing is cut, down, slow or late. The cluster is locked.
+// faultFree reports whether no link is broken, no controller is down, no worker hangs, and no
+// message or store operation is delayed. The caller holds the cluster's lock.
 func (w *cluster) faultFree() bool {
 	for link, off := range w.brokenLinks {
 		if off && link[0] != link[1] {
@@ -234,68 +239,68 @@
 	return !store && w.holdsCommand == nil && w.transit == nil && w.messageDelay == nil
 }
 
-// hasZoneConstraint reports whether a job may not use every worker that has room for it.
+// hasZoneConstraint reports whether the job's zone constraint may exclude workers.
 func hasZoneConstraint(job *wire.Job) bool { return job.Zone != nil || job.OneZone || job.Spread }
 
-// The check of waits must see what it is for: a job that nobody places although there is
-// room, and neither one for which there is none, nor one whose team is at its limit, nor,
-// unless the test insists, one that waits beside a fault.
+// The wait check must detect a job that is not placed although a worker has enough free CPUs. It
+// must not fail for a job without free capacity, for one whose team is at its limit, or, unless
+// waits are always checked, during a fault.
 func TestWaitCheckFindsUnplacedJobs(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		cpus    float64
-		limit   float64
-		trouble bool
-		insist  bool
-		want    bool
+		name        string
+		cpus        float64 // of the job's task
+		limit       float64 // of the team in CPUs; 0: none
+		fault       bool
+		alwaysCheck bool // waits are checked during faults too
+		want        bool // the check fails
 	}{
-		{"room", 1, 0, false, false, true},
-		{"no room", 5, 0, false, false, false},
+		{"free capacity", 1, 0, false, false, true},
+		{"no free capacity", 5, 0, false, false, false},
 		{"at the limit", 1, 0.5, false, false, false},
-		{"trouble", 1, 0, true, false, false},
-		{"trouble, insisted", 1, 0, true, true, true},
-		{"no room, insisted", 5, 0, true, true, false},
-		{"at the limit, insisted", 1, 0.5, true, true, false},
+		{"fault", 1, 0, true, false, false},
+		{"fault, always checked", 1, 0, true, true, true},
+		{"no free capacity, always checked", 5, 0, true, true, false},
+		{"at the limit, always checked", 1, 0.5, true, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newCluster(t, 1)
 				w.cfg.Params.Teams[0].CPUsMax = c.limit
-				if c.trouble {
+				if c.fault {
 					w.refuse("a")
 				}
-				w.waits.always = c.insist
-				noticed := 0
-				w.fail = func(string, ...any) { noticed++ }
+				w.waits.always = c.alwaysCheck
+				failures := 0
+				w.fail = func(string, ...any) { failures++ }
 				w.recordAcceptedJob(&wire.Job{UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: c.cpus, MemoryGB: 1, EstimateS: 4, Spot: true})
 				for range 60 { // no controller runs
 					time.Sleep(2 * time.Second)
 					w.checkWaits()
 				}
-				if got := noticed > 0; got != c.want {
-					t.Errorf("noticed: %v", got)
+				if got := failures > 0; got != c.want {
+					t.Errorf("wait check failed: %v", got)
 				}
 			})
 		})
 	}
 }
 
-// Room that moves from one worker to another is steady room, and room that is there at
-// each look with pauses alone is recurring room: a job that waits beside either is noticed,
-// one whose tasks start is not.
-func TestWaitCheckFindsSteadyAndRecurringRoom(t *testing.T) {
+// Free capacity that moves from one worker to another is steady capacity, and capacity that is free
+// only at each of the checks, recurringCheckInterval apart, is recurring capacity. The wait check
+// detects a job that waits despite either, but not one whose tasks start.
+func TestWaitCheckFindsSteadyAndRecurringCapacity(t *testing.T) {
 	first, second := testkit.NewWorker("n-1", workerLease, taskTime), testkit.NewWorker("n-2", workerLease, taskTime)
 	begin := time.Now()
 	for _, starting := range []bool{false, true} {
-		moving, taken := newWaitCheck(), newWaitCheck()
-		besideMoving, besideTaken, besideTakenSteady := time.Duration(0), time.Duration(0), time.Duration(0)
+		moving, intermittent := newWaitCheck(), newWaitCheck()
+		movingWait, intermittentWait, intermittentSteadyWait := time.Duration(0), time.Duration(0), time.Duration(0)
 		starts := 0
 		for at := time.Duration(0); at <= maxWait+2*recurringCheckInterval; at += time.Second {
 			now := begin.Add(at)
 			if starting && at%(40*time.Second) == 0 {
 				starts++
 			}
-			// When one worker loses its room, the other has had some for more than 5 s.
+			// When one worker's free CPU is taken, the other's has been free for more than 5 s.
 			s := &snapshot{free: map[*testkit.Worker]float64{first: 0, second: 0}}
 			turn := int(at/time.Second) % 20
 			if turn < 16 {
@@ -304,26 +309,26 @@
 			if turn >= 9 || turn < 6 {
 				s.free[second] = 1
 			}
-			besideMoving = max(besideMoving, moving.steadyCapacityWait("j", moving.hasSteadyCapacity(s, 1, now), starts, now))
+			movingWait = max(movingWait, moving.steadyCapacityWait("j", moving.hasSteadyCapacity(s, 1, now), starts, now))
 
-			look := at%recurringCheckInterval == 0
+			checkRecurring := at%recurringCheckInterval == 0
 			s = &snapshot{free: map[*testkit.Worker]float64{first: 0}}
-			if look {
+			if checkRecurring {
 				s.free[first] = 1
 			}
-			besideTakenSteady = max(besideTakenSteady, taken.steadyCapacityWait("j", taken.hasSteadyCapacity(s, 1, now), starts, now))
-			if look {
-				besideTaken = max(besideTaken, taken.recurringCapacityWait("j", true, s.workersWithFree(1), starts, now))
+			intermittentSteadyWait = max(intermittentSteadyWait, intermittent.steadyCapacityWait("j", intermittent.hasSteadyCapacity(s, 1, now), starts, now))
+			if checkRecurring {
+				intermittentWait = max(intermittentWait, intermittent.recurringCapacityWait("j", true, s.workersWithFree(1), starts, now))
 			}
 		}
-		if noticed := besideMoving > maxWait; noticed == starting {
-			t.Errorf("starting %v: waited %v beside steady room", starting, besideMoving)
+		if detected := movingWait > maxWait; detected == starting {
+			t.Errorf("starting %v: waited %v despite steady capacity", starting, movingWait)
 		}
-		if noticed := besideTaken > maxWait; noticed == starting {
-			t.Errorf("starting %v: waited %v beside recurring room", starting, besideTaken)
+		if detected := intermittentWait > maxWait; detected == starting {
+			t.Errorf("starting %v: waited %v despite recurring capacity", starting, intermittentWait)
 		}
-		if besideTakenSteady != 0 {
-			t.Errorf("waited %v beside steady room that there was not", besideTakenSteady)
+		if intermittentSteadyWait != 0 {
+			t.Errorf("waited %v for steady capacity although there was none", intermittentSteadyWait)
 		}
 	}
 }
--- a/internal/testkit/worker_assignment_test.go
+++ b/internal/testkit/worker_assignment_test.go
@@ -7,30 +7,29 @@
 	"time"
 )
 
-// connectionsPerController is how many workers a controller has connections for, of sharedWorkers.
 const (
-	connectionsPerController = 4
-	sharedWorkers  = 9
+	connectionsPerController = 4 // workers that one controller can serve
+	sharedWorkers            = 9 // workers in the cluster
 )
 
-// onSharedWorkers plays on a cluster of three controllers none of which has connections for all
-// workers, so that they share them.
-func onSharedWorkers(t *testing.T, seed uint64, play func(w *cluster, owner, holder string)) {
+// onSharedWorkers runs a test on a cluster of three controllers, none of which has connections
+// for all workers, so that several dispatchers share them.
+func onSharedWorkers(t *testing.T, seed uint64, play func(w *cluster, leader, dispatcher string)) {
 	onClusterWith(t, seed, limitedTeams, 3, sharedWorkers, func(w *cluster) {
 		w.connectionLimits = map[string]int{"a": connectionsPerController, "b": connectionsPerController, "c": connectionsPerController}
-		w.losslessReports = true // a worker that moved for a lost message stays away for up to 30 s
+		w.losslessReports = true // a worker that moved after a lost message returns only after up to 30 s
 		w.live(40)
 		w.losslessReports = false
-		owner := w.leader()
-		holder := w.others(owner)[0]
-		if held := w.workerCounts(); held[owner] == 0 || held[holder] == 0 {
-			t.Fatalf("workers are not shared: %v, owner %s", held, owner)
+		leader := w.leader()
+		dispatcher := w.others(leader)[0]
+		if counts := w.workerCounts(); counts[leader] == 0 || counts[dispatcher] == 0 {
+			t.Fatalf("workers are not shared: %v, leader %s", counts, leader)
 		}
-		play(w, owner, holder)
+		play(w, leader, dispatcher)
 	})
 }
 
-// dispatcherNames names the controller that each worker reports to.
+// dispatcherNames returns, by worker, the name of the controller that it reports to.
 func (w *cluster) dispatcherNames() map[string]string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -41,20 +40,20 @@
 	return out
 }
 
-// workerCounts counts the workers that report to each controller.
+// workerCounts returns the number of workers that report to each controller.
 func (w *cluster) workerCounts() map[string]int {
 	out := map[string]int{}
-	for _, holder := range w.dispatcherNames() {
-		out[holder]++
+	for _, dispatcher := range w.dispatcherNames() {
+		out[dispatcher]++
 	}
 	return out
 }
 
-// TestWorkersAreSharedByConnectionLimit: a controller that has no connections for all workers keeps as many
-// as it has, others hold the rest, each worker stays where it is, and no dispatcher raises its
-// term above another's again and again.
+// A controller without connections for all workers serves as many as it has connections for, and
+// other controllers serve the rest. No worker moves, and no dispatcher acquires a new fencing
+// token: otherwise dispatchers could outbid each other's tokens without end.
 func TestWorkersAreSharedByConnectionLimit(t *testing.T) {
-	onSharedWorkers(t, 1, func(w *cluster, owner, _ string) {
+	onSharedWorkers(t, 1, func(w *cluster, leader, _ string) {
 		w.losslessReports, w.reliableStore, w.promptCommands = true, true, true
 		w.job("j-9", "t", "normal", 30, 1)
 		w.live(40)
@@ -62,75 +61,75 @@
 		for _, name := range w.names {
 			terms[name] = w.nodes[name].member.FencingToken()
 			if n := w.workerCounts()[name]; n > connectionsPerController+1 {
-				t.Errorf("%s holds %d workers and has room for %d", name, n, connectionsPerController)
+				t.Errorf("%s serves %d workers and has connections for %d", name, n, connectionsPerController)
 			}
 		}
 		w.job("j-10", "t", "normal", 30, 1)
 		if !w.within(60, w.ended("j-10")) {
-			t.Error("a job of short tasks does not end")
+			t.Error("a job of short tasks did not end within 60 s")
 		}
 		w.live(20)
 		if after := w.dispatcherNames(); !maps.Equal(before, after) {
-			t.Errorf("workers moved: %v, then %v", before, after)
+			t.Errorf("workers moved between controllers: before %v, after %v", before, after)
 		}
 		for _, name := range w.names {
 			if term := w.nodes[name].member.FencingToken(); term != terms[name] {
-				t.Errorf("%s raised its term from %d to %d", name, terms[name], term)
+				t.Errorf("the fencing token of %s rose from %d to %d", name, terms[name], term)
 			}
 		}
 		w.connectionLimits = nil
-		if !w.within(80, func() bool { return w.workerCounts()[owner] == sharedWorkers }) {
-			t.Errorf("with room for all at %s: %v", owner, w.workerCounts())
+		if !w.within(80, func() bool { return w.workerCounts()[leader] == sharedWorkers }) {
+			t.Errorf("%s has connections for all workers, but workers by controller are %v", leader, w.workerCounts())
 		}
 	})
 }
 
-// TestWorkersStayWithLeaderWhileConnectionsSuffice: where one controller has room for all, it holds all.
+// While the leader has connections for all workers, all of them report to it.
 func TestWorkersStayWithLeaderWhileConnectionsSuffice(t *testing.T) {
 	onClusterWith(t, 2, limitedTeams, 3, sharedWorkers, func(w *cluster) {
 		w.losslessReports = true
 		w.connectionLimits = map[string]int{"a": sharedWorkers, "b": sharedWorkers, "c": sharedWorkers}
 		w.live(40)
-		if held := w.workerCounts(); held[w.leader()] != sharedWorkers {
-			t.Errorf("held: %v, owner %s", held, w.leader())
+		if counts := w.workerCounts(); counts[w.leader()] != sharedWorkers {
+			t.Errorf("workers by controller: %v, leader %s", counts, w.leader())
 		}
 		for _, name := range w.names {
 			if r := &w.nodes[name].reach; r.assignments != nil || r.workerCapacity != 0 {
-				t.Errorf("%s tells of seats %v, room %d", name, r.assignments, r.workerCapacity)
+				t.Errorf("%s announces assignments %v and capacity %d", name, r.assignments, r.workerCapacity)
 			}
 		}
 	})
 }
 
-// TestFaultsOfNonLeaderDispatcher: a dispatcher that is not the leader dies, comes back at once, is cut
-// from the leader with or without a way round, or its views stop: what runs is never started
-// twice, limits and cancels hold, and all jobs end.
+// A dispatcher that is not the leader crashes, restarts, loses its link to the leader or to both
+// other controllers, or its views are lost. No running task is started twice, limits and cancels
+// are enforced, and all jobs end.
 func TestFaultsOfNonLeaderDispatcher(t *testing.T) {
-	for name, trouble := range map[string]func(w *cluster, owner, holder string) (over func()){
-		"dies": func(w *cluster, _, holder string) func() {
-			w.crash(holder)
-			return func() { w.start(holder) }
+	for name, fault := range map[string]func(w *cluster, leader, dispatcher string) (heal func()){
+		"dies": func(w *cluster, _, dispatcher string) func() {
+			w.crash(dispatcher)
+			return func() { w.start(dispatcher) }
 		},
-		"returns within a second": func(w *cluster, _, holder string) func() {
-			w.restart(holder, 300*time.Millisecond)
+		"returns within a second": func(w *cluster, _, dispatcher string) func() {
+			w.restart(dispatcher, 300*time.Millisecond)
 			return func() {}
 		},
-		"is cut from the owner": func(w *cluster, owner, holder string) func() {
-			w.setLinksBroken(owner, holder, true)
-			return func() { w.setLinksBroken(owner, holder, false) }
+		"is cut from the leader": func(w *cluster, leader, dispatcher string) func() {
+			w.setLinksBroken(leader, dispatcher, true)
+			return func() { w.setLinksBroken(leader, dispatcher, false) }
 		},
-		"is cut from both": func(w *cluster, _, holder string) func() {
-			for _, other := range w.others(holder) {
-				w.setLinksBroken(other, holder, true)
+		"is cut from both": func(w *cluster, _, dispatcher string) func() {
+			for _, other := range w.others(dispatcher) {
+				w.setLinksBroken(other, dispatcher, true)
 			}
 			return func() {
-				for _, other := range w.others(holder) {
-					w.setLinksBroken(other, holder, false)
+				for _, other := range w.others(dispatcher) {
+					w.setLinksBroken(other, dispatcher, false)
 				}
 			}
 		},
-		"its views stop": func(w *cluster, _, holder string) func() {
-			w.loseViews = func(from, to *node) bool { return from.name == holder || to.name == holder }
+		"its views stop": func(w *cluster, _, dispatcher string) func() {
+			w.loseViews = func(from, to *node) bool { return from.name == dispatcher || to.name == dispatcher }
 			return func() { w.loseViews = nil }
 		},
 		"half of its views are lost": func(w *cluster, _, _ string) func() {
@@ -140,28 +139,28 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2) {
-				onSharedWorkers(t, 20+seed, func(w *cluster, owner, holder string) {
+				onSharedWorkers(t, 20+seed, func(w *cluster, leader, dispatcher string) {
 					w.job("j-10", "t", "normal", 60, 1)
 					w.job("j-11", "capped", "normal", 30, 1)
 					w.job("j-12", "assured", "urgent", 20, 2)
-					w.job("j-80", "t", "low", 6, 1) // of long tasks
+					w.job("j-80", "t", "low", 6, 1) // its tasks run for long
 					w.live(4)
-					over := trouble(w, owner, holder)
+					heal := fault(w, leader, dispatcher)
 					w.live(2)
 					cancelled := w.within(30, func() bool {
-						_, heard := w.user(owner, http.MethodPost, "j-80")
+						_, heard := w.user(leader, http.MethodPost, "j-80")
 						return heard
 					})
 					w.live(14)
-					over()
+					heal()
 					if !cancelled {
-						t.Error("nobody confirms the cancel")
+						t.Error("the cancel was not confirmed within 30 s")
 					}
 					if !w.within(60, func() bool { return w.onMachines("j-80") == 0 }) {
-						t.Errorf("%d cancelled tasks go on", w.onMachines("j-80"))
+						t.Errorf("%d cancelled tasks are still running", w.onMachines("j-80"))
 					}
 					if !w.within(240, w.ended("j-10", "j-11", "j-12", "j-80")) {
-						t.Errorf("ended: %v", w.store.Keys("final/"))
+						t.Errorf("not all jobs ended; ended: %v", w.store.Keys("final/"))
 					}
 				})
 			}
@@ -169,9 +168,9 @@
 	}
 }
 
-// setLinksBroken breaks the links between two controllers, or mends them.
-func (w *cluster) setLinksBroken(a, b string, off bool) {
+// setLinksBroken breaks or heals both links between two controllers.
+func (w *cluster) setLinksBroken(a, b string, broken bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.brokenLinks[[2]string{a, b}], w.brokenLinks[[2]string{b, a}] = off, off
+	w.brokenLinks[[2]string{a, b}], w.brokenLinks[[2]string{b, a}] = broken, broken
 }
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -13,21 +13,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// maxZonedWait is how long a job may wait, faults over, while a worker has room for it.
+// maxZonedWait is how long a job may wait, once faults are over, while a worker can run its task.
 const maxZonedWait = 90 * time.Second
 
-// zonedJob is a job with a constraint on zones, and what is known of its tasks.
+// zonedJob is a job with a zone constraint and the progress of its tasks.
 type zonedJob struct {
 	wire.Job
-	done    map[string]bool
-	waitingSince time.Time // since when a task waits beside a worker with room for it; zero: none does
+	done         map[string]bool
+	waitingSince time.Time // start of the time in which a task waits although a worker can run it; zero if none does
 }
 
-// zonedCluster checks each start against the constraints of its job.
+// zonedCluster is a cluster that checks each task start against its job's zone constraint.
 type zonedCluster struct {
 	*cluster
-	jobs   map[string]*zonedJob
-	startsByZone map[string]int // checked, by zone
+	jobs         map[string]*zonedJob
+	startsByZone map[string]int // starts of tasks of zoned jobs, by zone
 }
 
 func (z *zonedCluster) submitZoned(job *wire.Job) {
@@ -42,7 +42,7 @@
 	z.mu.Unlock()
 }
 
-// runningByZone counts a job's tasks that are on, by zone, but for one task.
+// runningByZone returns the number of a job's tasks on workers in each zone, excluding one task.
 func (z *zonedCluster) runningByZone(uid, except string) map[string]int {
 	zones := map[string]int{}
 	for _, k := range z.workers {
@@ -55,7 +55,7 @@
 	return zones
 }
 
-// constraintViolation says why a task of the job may not start in a zone now, or "".
+// constraintViolation returns why a task of the job must not start in a zone now, or "" if it may.
 func (z *zonedCluster) constraintViolation(job *zonedJob, task, zone string) string {
 	on := z.runningByZone(job.UID, task)
 	switch {
@@ -69,7 +69,7 @@
 	return ""
 }
 
-// checkZonedStart checks a start; the cluster's lock is held.
+// checkZonedStart checks a task's start on a worker. The caller holds the cluster's lock.
 func (z *zonedCluster) checkZonedStart(k *testkit.Worker, task string, _ uint64) {
 	uid, _, _ := strings.Cut(task, "/")
 	job := z.jobs[uid]
@@ -83,42 +83,44 @@
 	}
 }
 
-// checkZonedWaits looks for jobs that wait beside a worker with room, faults over.
+// checkZonedWaits fails if a job has waited for too long although a worker can run its task. Call
+// it only when no fault is active.
 func (z *zonedCluster) checkZonedWaits() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	for _, job := range z.jobs {
-		on := 0
+		running := 0
 		for _, n := range z.runningByZone(job.UID, "") {
-			on += n
+			running += n
 		}
-		room := ""
+		workerWithRoom := ""
 		for _, k := range z.workers {
 			if len(k.On()) < int(z.size) && z.constraintViolation(job, "", k.Zone) == "" {
-				room = k.Name
+				workerWithRoom = k.Name
 			}
 		}
 		switch {
-		case on+len(job.done) >= job.Tasks || room == "":
+		case running+len(job.done) >= job.Tasks || workerWithRoom == "":
 			job.waitingSince = time.Time{}
 		case job.waitingSince.IsZero():
 			job.waitingSince = time.Now()
 		case time.Since(job.waitingSince) > maxZonedWait:
-			z.fail("%s waits for %v beside %s; %d of %d tasks are on, %d done", job.UID, time.Since(job.waitingSince), room, on, job.Tasks, len(job.done))
+			z.fail("%s has waited for %v although %s can run its task; %d of %d tasks are running, %d done", job.UID, time.Since(job.waitingSince), workerWithRoom, running, job.Tasks, len(job.done))
 		}
 	}
 }
 
-// Jobs bound to a zone, to any one zone, or spread over zones lose workers; a zone with
-// its workers and a controller is cut off for longer than a worker's lease; all controllers
-// are away for longer than that. No task starts where its job's other tasks, at that
-// moment, don't allow it, and afterwards all jobs end or run, none waiting beside room.
+// Runs jobs that are bound to one given zone, to any single zone, or spread over zones, while
+// workers are lost, a zone is partitioned with one controller for longer than a worker's lease, or
+// all controllers are down for longer than that. No task starts in a zone that its job's
+// constraint excludes at that moment. Afterwards all jobs run or end, and none waits while a
+// worker can run its tasks.
 func TestZoneConstraintsUnderFaults(t *testing.T) {
-	troubles := []struct {
+	faults := []struct {
 		name string
 		play func(z *zonedCluster)
 	}{
-		{"machines of the zone are lost, one by one, and the leader ends", func(z *zonedCluster) {
+		{"workers of the zone are lost, one by one, and the leader restarts", func(z *zonedCluster) {
 			lost := z.workersInZone("y")[:3]
 			for i, k := range lost {
 				z.cutAll(k.Name, z.names...)
@@ -129,7 +131,7 @@
 			}
 			z.live(10)
 			if z.returnedMachines == 0 {
-				z.fail("no machine was lost")
+				z.fail("no machine was returned")
 			}
 		}},
 		{"the zone is cut off with another controller", func(z *zonedCluster) { z.isolateZone(z.others(z.leader())[0]) }},
@@ -148,7 +150,7 @@
 				z.start(leader)
 			})
 		}},
-		{"all controllers are away", func(z *zonedCluster) {
+		{"all controllers are down", func(z *zonedCluster) {
 			z.stopAll()
 			sessions := z.sessions()
 			time.Sleep(workerLease + 3*time.Second)
@@ -156,14 +158,14 @@
 			z.startAll()
 			z.live(5)
 			if z.sessions() != sessions+len(z.workers) {
-				z.fail("not every lease ended")
+				z.fail("not every worker's lease ended")
 			}
 		}},
 	}
-	for _, trouble := range troubles {
+	for _, fault := range faults {
 		for seed := range uint64(2) {
-			t.Run(fmt.Sprintf("%s, %d", trouble.name, seed), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playZoneFaults(t, 1300+seed, trouble.play) })
+			t.Run(fmt.Sprintf("%s, %d", fault.name, seed), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { playZoneFaults(t, 1300+seed, fault.play) })
 			})
 		}
 	}
@@ -178,21 +180,22 @@
 	return ks
 }
 
-// isolateZone cuts zone y, with its workers and a controller, off from the rest and from the
-// state service for longer than the workers' leases could last.
+// isolateZone partitions zone y, with its workers and a controller, from the rest and from the
+// state service for longer than any worker's lease can last, then heals all links.
 func (z *zonedCluster) isolateZone(inside string) {
 	z.partitionZone(inside)
 	before := z.startsByZone["z"]
 	z.live(int((dispatchGrace + 2*workerLease).Seconds()))
 	if z.startsByZone["z"] == before {
-		z.fail("nothing started in the other zone")
+		z.fail("no task started in the other zone")
 	}
 	z.healed()
 }
 
-// isolateZoneWithUnheardController cuts zone y off with a controller that doesn't lead, and has the others end
-// while it is: whoever then leads has never heard that controller. None of the zone's
-// machines is deleted while that one may answer them.
+// isolateZoneWithUnheardController partitions zone y with a controller that does not lead, then
+// calls end to crash or restart the other controllers: the next leader has never heard from the
+// partitioned one. None of the zone's machines may be deleted while that controller may still
+// answer their heartbeats.
 func (z *zonedCluster) isolateZoneWithUnheardController(end func(leader, other string)) {
 	leader := z.leader()
 	inside, other := z.others(leader)[0], z.others(leader)[1]
@@ -209,21 +212,22 @@
 	}
 	next := z.leader()
 	if next == "" || next == inside || took > dispatchGrace-workerLease/2 {
-		z.fail("%q leads, after %v", next, took)
+		z.fail("%q leads %v after the partition began", next, took)
 	}
 	for _, p := range z.nodes[next].reachabilityView().Peers {
 		if p.Name == inside && p.SinceHeard < time.Hour {
-			z.fail("%s has heard %s", next, inside)
+			z.fail("%s has heard from %s", next, inside)
 		}
 	}
 	if z.returnedMachines > returned {
-		z.fail("%d machines of the zone are returned", z.returnedMachines-returned)
+		z.fail("%d machines of the zone were returned", z.returnedMachines-returned)
 	}
 	z.live(int(workerLease.Seconds()))
 	z.healed()
 }
 
-// partitionZone cuts zone y, with a controller, off from the rest and from the state service.
+// partitionZone cuts zone y, with its workers and a controller, off from the rest and from the
+// state service.
 func (z *zonedCluster) partitionZone(inside string) {
 	z.cutAll(inside, append(z.others(inside), stateService)...)
 	for _, k := range z.workers {
@@ -267,17 +271,17 @@
 	w.submit("j-1", 200)
 	w.live(8)
 	if z.startsByZone["y"] == 0 || z.startsByZone["z"] == 0 {
-		t.Errorf("starts before the trouble: %v", z.startsByZone)
+		t.Errorf("starts by zone before the fault: %v", z.startsByZone)
 	}
 	play(z)
-	bounded := 300
+	secondsLeft := 300
 	done := w.ended("j-10", "j-11", "j-20", "j-21", "j-30", "j-31", "j-1")
-	for ; bounded > 0 && !done(); bounded-- {
+	for ; secondsLeft > 0 && !done(); secondsLeft-- {
 		w.live(1)
 		z.checkZonedWaits()
 	}
 	if !done() {
-		t.Errorf("of the jobs with short tasks only %v ended", w.store.Keys("final/"))
+		t.Errorf("not all jobs with short tasks ended; ended: %v", w.store.Keys("final/"))
 	}
 	for range 20 {
 		w.live(1)
@@ -285,7 +289,7 @@
 	}
 	for uid, job := range z.jobs {
 		if strings.HasPrefix(uid, "j-8") && w.onMachines(uid) < job.Tasks {
-			t.Errorf("%d of %d long tasks of %s are on", w.onMachines(uid), job.Tasks, uid)
+			t.Errorf("%d of %d long tasks of %s are running", w.onMachines(uid), job.Tasks, uid)
 		}
 	}
 	w.stopAll()
