--- a/internal/testkit/autoscaled_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -134,7 +134,7 @@
 	}
 	c.mu.Unlock()
 	for _, k := range booted {
-		c.report(k)
+		c.sendReport(k)
 	}
 	c.checkInvariants()
 }
@@ -149,9 +149,9 @@
 			time.Sleep(reportEvery / 4)
 			c.syncWorkers()
 		}
-		c.reportAll()
-		c.exchange()
-		c.publish()
+		c.sendReports()
+		c.exchangeReachability()
+		c.publishViews()
 	}
 	return condition == nil || condition()
 }
--- a/internal/testkit/cancel_at_end_test.go
+++ b/internal/testkit/cancel_at_end_test.go
@@ -35,7 +35,7 @@
 // task has ended, but at most once every 500 ms.
 func (r *endRace) reportOnChange(k *testkit.Worker, stop <-chan struct{}) {
 	for {
-		r.report(k)
+		r.sendReport(k)
 		last := time.Now()
 		next := last.Add(reportEvery*3/4 + time.Duration(r.planIntN(int(reportEvery/2))))
 		for time.Now().Before(next) {
@@ -227,8 +227,8 @@
 	for range 26 * 4 {
 		time.Sleep(250 * time.Millisecond)
 		w.checkInvariants()
-		w.exchange()
-		w.publish()
+		w.exchangeReachability()
+		w.publishViews()
 	}
 	r.pending.Wait()
 	close(stop)
--- a/internal/testkit/cancel_transfer_test.go
+++ b/internal/testkit/cancel_transfer_test.go
@@ -282,7 +282,7 @@
 			if _, answered := h.userRequest(h.oldLeader, http.MethodPost, "j-82"); !answered { // frees CPUs for tasks of the other jobs
 				h.t.Error("the first cancel was not answered")
 			}
-			h.reportAll()
+			h.sendReports()
 			time.Sleep(500 * time.Millisecond)
 			h.beginTransfer(0)
 			h.breakLinks(h.oldLeader, append(h.workerNames(), h.newLeader, h.third, stateService)...)
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -83,7 +83,7 @@
 		if time.Now().After(end) {
 			t.Fatalf("only these jobs ended: %v", w.store.Keys("final/"))
 		}
-		w.exchange()
+		w.exchangeReachability()
 		mu.Lock()
 		rep := w.workers[0].Report()
 		rep.Endpoint = w.workers[0].Name
--- a/internal/testkit/cluster_users_test.go
+++ b/internal/testkit/cluster_users_test.go
@@ -26,7 +26,7 @@
 		}
 		return out
 	}
-	v := n.linksSeen()
+	v := n.reachabilityView()
 	for i := range v.Peers {
 		if p := &v.Peers[i]; p.IsFresh() && p.Status.LeaseHeld {
 			add(p.Status.PreferredLeader)
@@ -36,7 +36,7 @@
 }
 
 // ServingPeers returns the names of the controllers that reach the state service.
-func (n *node) ServingPeers() []string { v := n.linksSeen(); return v.StoreReachablePeers() }
+func (n *node) ServingPeers() []string { v := n.reachabilityView(); return v.StoreReachablePeers() }
 
 // Healthy reports whether this controller accepts users' requests.
 func (n *node) Healthy() bool { return true }
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -244,13 +244,13 @@
 					w.healLinks(k.Name, w.controllerNames...)
 					w.crash(first)
 					for _, n := range w.controllerNames {
-						w.deliverCopies(w.nodes[n])
+						w.deliverLateReports(w.nodes[n])
 					}
 					w.start(first)
 					for range 4 {
 						w.runFor(1)
 						for _, n := range w.controllerNames {
-							w.deliverCopies(w.nodes[n])
+							w.deliverLateReports(w.nodes[n])
 						}
 					}
 					w.runFor(4)
--- a/internal/testkit/drawn_faults_test.go
+++ b/internal/testkit/drawn_faults_test.go
@@ -57,7 +57,7 @@
 					if time.Now().After(deadline) {
 						t.Fatalf("only these jobs ended: %v", w.store.Keys("final/"))
 					}
-					w.reportAll()
+					w.sendReports()
 					w.step(calm)
 				}
 				view := &testkit.View{Store: w.store}
--- a/internal/testkit/drawn_team_limits_test.go
+++ b/internal/testkit/drawn_team_limits_test.go
@@ -122,7 +122,7 @@
 	if l == "" {
 		return
 	}
-	if len(d.cutSeconds)+len(d.hungSeconds) > 0 && (d.heldByLimit("capped") || d.heldByLimit("assured")) {
+	if len(d.cutSeconds)+len(d.hungSeconds) > 0 && (d.waitsOnlyForLimit("capped") || d.waitsOnlyForLimit("assured")) {
 		d.leaderChangesAtLimit++
 	}
 	switch d.planIntN(4) {
@@ -188,7 +188,7 @@
 	var totals drawnTeamFaults
 	for seed := range uint64(perRound * *rounds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			teamsAtLimits(t, 3000+seed, func(c *teamCluster) {
+			onTeamsAtLimits(t, 3000+seed, func(c *teamCluster) {
 				d := &drawnTeamFaults{teamCluster: c, cutSeconds: map[*testkit.Worker]int{}, hungSeconds: map[*testkit.Worker]int{}}
 				if seed%2 == 1 {
 					c.delayLinks(func() time.Duration { return time.Duration(50+c.messageRand.IntN(1100)) * time.Millisecond })
@@ -228,7 +228,7 @@
 						c.cancelJobs(n, []string{uid}, 20)
 					}
 				}
-				c.finishes(append(long, "j-1", "j-2", "j-3", "j-4", "j-5")...)
+				c.awaitCompletion(append(long, "j-1", "j-2", "j-3", "j-4", "j-5")...)
 				totals.leaderChangesAtLimit += min(d.leaderChangesAtLimit, 1)
 				totals.cancelsWhileUnreachable += min(d.cancelsWhileUnreachable, 1)
 				totals.cancelledTasksResumed += min(d.cancelledTasksResumed, 1)
--- a/internal/testkit/fault_kinds_test.go
+++ b/internal/testkit/fault_kinds_test.go
@@ -171,7 +171,7 @@
 	{"old heartbeats are delivered again", 5, 25, nil, func(m *faultRun, _ int) {
 		for _, n := range m.controllerNames {
 			if m.planIntN(3) == 0 {
-				m.deliverCopies(m.nodes[n])
+				m.deliverLateReports(m.nodes[n])
 				*m.effects++
 			}
 		}
@@ -286,7 +286,7 @@
 		}
 		m.lastCopiesLeader = l
 		for _, n := range m.controllerNames {
-			m.deliverCopies(m.nodes[n])
+			m.deliverLateReports(m.nodes[n])
 		}
 		*m.effects++
 	}, func(m *faultRun) { m.startStopped() }},
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -341,8 +341,8 @@
 		}
 	}
 	time.Sleep(11 * time.Minute)
-	s.exchange()
-	s.publish()
+	s.exchangeReachability()
+	s.publishViews()
 	for _, name := range s.controllerNames {
 		n := s.nodes[name]
 		_, queued, orders := n.dispatcher.Counts() // entries for workers that report elsewhere are kept for 10 minutes
--- a/internal/testkit/late_starts_test.go
+++ b/internal/testkit/late_starts_test.go
@@ -139,7 +139,7 @@
 			for range 3 {
 				time.Sleep(connectTime / 2)
 				w.cancelJobs(w.otherControllers(w.leader())[0], all, 1)
-				w.reportAll()
+				w.sendReports()
 			}
 			w.runFor(60)
 			outdated += w.outdatedCommands
--- a/internal/testkit/lease_over_failover_test.go
+++ b/internal/testkit/lease_over_failover_test.go
@@ -43,9 +43,9 @@
 }
 
 // run runs the case with one job whose tasks can save and one whose tasks can't, and returns the record of their tasks.
-func (c *leaderEndCase) run(t *testing.T, w *cluster) *workLedger {
+func (c *leaderEndCase) run(t *testing.T, w *cluster) *taskTracker {
 	const canSave, cannotSave = "j-save", "j-old"
-	ledger := w.follow(func(string) time.Duration { return time.Minute }, func(task string) time.Duration {
+	ledger := w.trackTasks(func(string) time.Duration { return time.Minute }, func(task string) time.Duration {
 		if strings.HasPrefix(task, canSave) {
 			return time.Second
 		}
@@ -54,31 +54,31 @@
 	w.startControllersOneByOne()
 	time.Sleep(2 * time.Second)
 	for uid, checkpointS := range map[string]float64{canSave: 30, cannotSave: 0} {
-		w.accept(&wire.Job{
+		w.recordAcceptedJob(&wire.Job{
 			UID: uid, Class: uid, Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 12, CPUs: 1, MemoryGB: 1,
 			Image: "i", ImageGB: 0.1, EstimateS: 60, Spot: true, CheckpointIntervalS: checkpointS, CheckpointSaveS: checkpointS / 30,
 		})
 		w.runFor(1)
 	}
 	w.runFor(15) // all tasks have run for longer than a lease
-	cut := w.byJobs(canSave, cannotSave)[0]
-	session := w.session(cut)
+	cut := w.workersByJobs(canSave, cannotSave)[0]
+	session := w.sessionOf(cut)
 	if c.responseLost {
 		w.breakLinksTo(cut, w.controllerNames...)
 		w.runFor(1)
 		w.healAllLinks()
 	}
-	w.unreported(cut)
-	ledger.cutOff(w, cut)
+	w.dropReports(cut)
+	ledger.markCut(w, cut)
 	w.runFor(c.leaderEndsAfterS)
 	w.restart(w.leader(), 200*time.Millisecond)
 	if c.lateCopies {
 		for _, name := range w.controllerNames {
-			w.deliverCopies(w.nodes[name])
+			w.deliverLateReports(w.nodes[name])
 		}
 	}
 	w.runFor(25)
-	if w.session(cut) == session {
+	if w.sessionOf(cut) == session {
 		t.Error("the lease did not expire")
 	}
 	return ledger
@@ -99,7 +99,7 @@
 					w.promptCommands, w.keepBrokenLinks, w.losslessReports = true, true, true
 					ledger := c.run(t, w)
 					t.Logf("killed %v, stopped %v, longest time until tasks ran elsewhere %v, %d still wait, %d machines deleted",
-						ledger.killed, ledger.stopped, ledger.longest, len(ledger.left), w.deletedMachines)
+						ledger.killed, ledger.stopped, ledger.longest, len(ledger.interrupted), w.deletedMachines)
 					if ledger.stopped["j-old"] > 0 {
 						t.Errorf("%d tasks that can't save were stopped, although they had run for long", ledger.stopped["j-old"])
 					}
@@ -111,11 +111,11 @@
 							t.Errorf("%v until tasks of %s ran elsewhere", longest, uid)
 						}
 					}
-					if len(ledger.left) > 0 {
-						t.Errorf("%d tasks still wait", len(ledger.left))
+					if len(ledger.interrupted) > 0 {
+						t.Errorf("%d tasks still wait", len(ledger.interrupted))
 					}
-					ledger.healed(w)
-					w.finishes(2)
+					ledger.markHealed(w)
+					w.healAndAwaitJobs(2)
 				})
 			})
 		}
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -85,7 +85,7 @@
 	}
 	w.reporting[k] = true
 	go func() {
-		w.report(k)
+		w.sendReport(k)
 		w.checkInvariants()
 		w.mu.Lock()
 		delete(w.reporting, k)
--- a/internal/testkit/lost_renewal_test.go
+++ b/internal/testkit/lost_renewal_test.go
@@ -18,7 +18,7 @@
 		w.resize(3, 8)
 		w.machineTypes = 8
 		w.promptCommands, w.keepBrokenLinks, w.skipInventoryPoll, w.losslessReports = true, true, true, true
-		ledger := w.follow(func(task string) time.Duration {
+		ledger := w.trackTasks(func(task string) time.Duration {
 			if task[:len(short)] == short {
 				return time.Second
 			}
@@ -26,38 +26,38 @@
 		}, func(string) time.Duration { return time.Second })
 		w.startControllersOneByOne()
 		time.Sleep(2 * time.Second)
-		w.accept(&wire.Job{
+		w.recordAcceptedJob(&wire.Job{
 			UID: canSave, Class: canSave, Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 16, CPUs: 1, MemoryGB: 1,
 			Image: "i", ImageGB: 0.1, EstimateS: 60, Spot: true, CheckpointIntervalS: 30, CheckpointSaveS: 1,
 		})
 		w.runFor(8)
-		w.accept(&wire.Job{
+		w.recordAcceptedJob(&wire.Job{
 			UID: short, Class: short, Team: "t", Kind: wire.KindArray, Priority: "low", Tasks: 4000, CPUs: 1, MemoryGB: 1,
 			Image: "i", ImageGB: 0.1, EstimateS: 1, Spot: true,
 		})
 		w.runFor(3)
-		cut := w.byJobs(canSave)[0]
-		session := w.session(cut)
-		w.unreported(cut)
-		ledger.cutOff(w, cut)
+		cut := w.workersByJobs(canSave)[0]
+		session := w.sessionOf(cut)
+		w.dropReports(cut)
+		ledger.markCut(w, cut)
 		w.runFor(len(w.controllerNames)) // it tries each controller once, without success, and then the leader again
 		w.healAllLinks()
 		w.breakLinksTo(cut, w.controllerNames...)
 		w.runFor(1) // the next report arrives, and its response is lost
 		w.healAllLinks()
-		w.unreported(cut)
+		w.dropReports(cut)
 		w.runFor(12)
-		if w.session(cut) == session {
+		if w.sessionOf(cut) == session {
 			t.Error("the lease did not end")
 		}
-		t.Logf("killed %v, stopped %v, %d of %d tasks that started late were killed", ledger.killed, ledger.stopped, ledger.late, len(ledger.started))
+		t.Logf("killed %v, stopped %v, %d of %d tasks that started late were killed", ledger.killed, ledger.stopped, ledger.lateKilled, len(ledger.lateStarts))
 		if ledger.killed[canSave] > 0 || ledger.stopped[canSave] == 0 {
 			t.Errorf("%d tasks that can save were killed, %d were stopped", ledger.killed[canSave], ledger.stopped[canSave])
 		}
-		if ledger.late > 0 {
-			t.Errorf("%d tasks were started after the leader knew that the lease was not renewed, and killed", ledger.late)
+		if ledger.lateKilled > 0 {
+			t.Errorf("%d tasks were started after the leader knew that the lease was not renewed, and killed", ledger.lateKilled)
 		}
-		ledger.healed(w)
-		w.finishes(2)
+		ledger.markHealed(w)
+		w.healAndAwaitJobs(2)
 	})
 }
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -13,7 +13,7 @@
 
 // ObserveWorker hands a view to the scheduler of this controller, as in cmd/wallrack.
 func (n *node) ObserveWorker(v dispatch.WorkerView) {
-	if seen := n.linksSeen(); v.Polled && seen.HasAssignments() {
+	if seen := n.reachabilityView(); v.Polled && seen.HasAssignments() {
 		v.Dispatcher = n.LeaderFor(v.Name)
 	}
 	n.scheduler.ObserveWorker(v)
@@ -80,7 +80,7 @@
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	worker := n.cluster.byName[endpoint]
-	if worker == nil || !n.cluster.works(n.name, endpoint) {
+	if worker == nil || !n.cluster.linkWorks(n.name, endpoint) {
 		if worker != nil && n.cluster.messageRand.IntN(2) == 0 {
 			n.cluster.holdCommands(n, worker, o, sent)
 		}
@@ -141,7 +141,7 @@
 		n.cluster.mu.Lock()
 		defer n.cluster.mu.Unlock()
 		worker := n.cluster.byName[endpoint]
-		if worker == nil || worker.IsHung() || !n.cluster.works(n.name, endpoint) {
+		if worker == nil || worker.IsHung() || !n.cluster.linkWorks(n.name, endpoint) {
 			return nil, errLinkDown
 		}
 		r := worker.Report()
--- a/internal/testkit/on_cluster_test.go
+++ b/internal/testkit/on_cluster_test.go
@@ -102,8 +102,8 @@
 func (w *cluster) step(calm time.Time) {
 	time.Sleep(reportEvery)
 	w.checkInvariants()
-	w.exchange()
-	w.publish()
+	w.exchangeReachability()
+	w.publishViews()
 	w.checkWaits()
 	if time.Now().Before(calm) {
 		if w.planIntN(4) == 0 {
@@ -119,7 +119,7 @@
 // runFor lets the given number of seconds pass without drawing faults.
 func (w *cluster) runFor(seconds int) {
 	for range seconds {
-		w.reportAll()
+		w.sendReports()
 		w.step(time.Time{}.Add(1))
 	}
 }
--- a/internal/testkit/partitions_test.go
+++ b/internal/testkit/partitions_test.go
@@ -109,7 +109,7 @@
 // runPartition breaks the links for a minute, and checks the limits and the recovery.
 func runPartition(t *testing.T, p *partition, seed uint64, controllers int) {
 	t.Helper()
-	w, leader, others, live := settled(t, seed, controllers, 24)
+	w, leader, others, live := settledCluster(t, seed, controllers, 24)
 	p.cut(w, leader, others)
 	cutAt := time.Now()
 	longest := time.Duration(0)
@@ -210,7 +210,7 @@
 				case 9:
 					w.breakLinksTo(k, name)
 				case 10: // late copies of reports arrive, at their receiver or another controller
-					w.deliverCopies(w.nodes[name])
+					w.deliverLateReports(w.nodes[name])
 				case 11: // the controller is cut off from all but the workers
 					for _, x := range append([]string{stateService}, w.controllerNames...) {
 						if x != name {
--- a/internal/testkit/reports_test.go
+++ b/internal/testkit/reports_test.go
@@ -10,9 +10,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// report lets a worker report, and checks the rule that a task is on one
-// machine at a time.
-func (w *cluster) report(k *testkit.Worker) {
+// sendReport has a worker send a report to its dispatcher and handle the response. If the report
+// is lost or redirected, the worker uses another dispatcher for its next one.
+func (w *cluster) sendReport(k *testkit.Worker) {
 	w.mu.Lock()
 	if k.IsHung() {
 		w.mu.Unlock()
@@ -22,16 +22,16 @@
 	rep.Endpoint = k.Name
 	n := w.nodes[w.controllerNames[w.dispatcherOf[k]%len(w.controllerNames)]]
 	sent := time.Now()
-	next := !w.losslessReports && w.messageRand.IntN(30) == 0 || n.down || !w.works(k.Name, n.name) // a lost report: the worker tries the next one
+	lost := !w.losslessReports && w.messageRand.IntN(30) == 0 || n.down || !w.linkWorks(k.Name, n.name)
 	w.mu.Unlock()
-	if next {
+	if lost {
 		w.mu.Lock()
 		w.dispatcherOf[k]++
 		w.mu.Unlock()
 		return
 	}
 	w.awaitTransit()
-	if n.isDown() { // while the report was on its way
+	if n.isDown() { // the controller crashed while the report was on its way
 		w.mu.Lock()
 		w.dispatcherOf[k]++
 		w.mu.Unlock()
@@ -45,18 +45,18 @@
 	w.awaitTransit()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if status == http.StatusOK && w.works(n.name, k.Name) {
-		w.hear(k.Name) // one that nobody answers loses its tasks, and may go
+	if status == http.StatusOK && w.linkWorks(n.name, k.Name) {
+		w.recordHeartbeat(k.Name) // a worker that receives no responses loses its lease and may be deleted
 	}
-	if w.reportCopies = append(w.reportCopies, rep); len(w.reportCopies) > keptCopies {
-		w.reportCopies = w.reportCopies[keptCopies/2:]
+	if w.reportCopies = append(w.reportCopies, rep); len(w.reportCopies) > maxReportCopies {
+		w.reportCopies = w.reportCopies[maxReportCopies/2:]
 	}
-	if !w.works(n.name, k.Name) {
+	if !w.linkWorks(n.name, k.Name) {
 		w.dispatcherOf[k]++
 		return
 	}
 	if !w.losslessReports && w.messageRand.IntN(30) == 0 {
-		return // the answer is lost
+		return // the response is lost
 	}
 	switch a := body.(type) {
 	case wire.ReportResponse:
@@ -76,12 +76,12 @@
 	}
 }
 
-// keptCopies is how many reports may be delivered late: those of a minute or so.
-const keptCopies = 800
+// maxReportCopies limits the reports that are kept for late delivery, to those of about a minute.
+const maxReportCopies = 800
 
-// deliverCopies delivers late copies of reports to a controller, in any order and
-// perhaps more than once.
-func (w *cluster) deliverCopies(to *node) {
+// deliverLateReports delivers copies of earlier reports to a controller in random order, possibly
+// more than once.
+func (w *cluster) deliverLateReports(to *node) {
 	w.mu.Lock()
 	late := slices.Clone(w.reportCopies)
 	w.messageRand.Shuffle(len(late), func(i, j int) { late[i], late[j] = late[j], late[i] })
@@ -92,14 +92,15 @@
 	for _, rep := range late[:len(late)/2] {
 		again := *rep
 		again.Tasks = slices.Clone(rep.Tasks)
-		to.dispatcher.HandleReport(context.Background(), &again) // whatever is answered reaches nobody
+		to.dispatcher.HandleReport(context.Background(), &again) // the response is dropped
 		w.checkInvariants()
 	}
 }
 
-// publish hands the views of each controller to the leaders elsewhere, and
-// lets the leaders settle unresponsive workers by attestation.
-func (w *cluster) publish() {
+// publishViews has each controller send its workers' views to the leaders among its peers. Leaders
+// then poll unheard workers and workers with expiring leases, and, if all controllers are running,
+// settle unresponsive workers by attestation.
+func (w *cluster) publishViews() {
 	w.mu.Lock()
 	nodes := make([]*node, 0, len(w.controllerNames))
 	for _, name := range w.controllerNames {
@@ -128,7 +129,7 @@
 			if !w.skipInventoryPoll {
 				n.runDuty("probe", func(ctx context.Context) { n.dispatcher.PollReports(ctx, unheard, 3*reportEvery) })
 			}
-			n.runDuty("leases", n.askExpiring)
+			n.runDuty("leases", n.pollExpiringLeases)
 		}
 	}
 	if len(nodes) < len(w.controllerNames) {
@@ -139,14 +140,14 @@
 	}
 }
 
-// reportAll lets every worker report.
-func (w *cluster) reportAll() {
+// sendReports has every worker send a report.
+func (w *cluster) sendReports() {
 	for _, k := range w.workers {
 		if w.linksAreSlow() {
 			w.reportOverSlowLink(k)
 			continue
 		}
-		w.report(k)
+		w.sendReport(k)
 		w.checkInvariants()
 	}
 }
--- a/internal/testkit/stale_heartbeats_test.go
+++ b/internal/testkit/stale_heartbeats_test.go
@@ -14,9 +14,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// deliver brings reports to controllers, all within a moment and in this order. What is
-// answered reaches nobody. It returns how many were taken for new, by any.
-func (w *cluster) deliver(reports []*wire.Report, to ...string) (taken int) {
+// deliverReports delivers reports to several controllers at the same time, to each in the given
+// order, and drops the responses. It returns how many were accepted, summed over the controllers.
+func (w *cluster) deliverReports(reports []*wire.Report, to ...string) (accepted int) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	for _, name := range to {
@@ -31,7 +31,7 @@
 				status, _ := n.dispatcher.HandleReport(context.Background(), &again)
 				mu.Lock()
 				if status == 200 {
-					taken++
+					accepted++
 				}
 				mu.Unlock()
 			}
@@ -39,12 +39,12 @@
 	}
 	all.Wait()
 	w.checkInvariants()
-	return taken
+	return accepted
 }
 
-// reportTo lets one worker report to a controller, and returns the report. The answer
-// arrives.
-func (w *cluster) reportTo(k *testkit.Worker, name string) *wire.Report {
+// sendReportTo has a worker report to the given controller and handle the response. No message is
+// lost. It returns the report.
+func (w *cluster) sendReportTo(k *testkit.Worker, name string) *wire.Report {
 	w.mu.Lock()
 	rep := k.Report()
 	rep.Endpoint = k.Name
@@ -59,10 +59,10 @@
 	return rep
 }
 
-// A report of a worker's session that is over is held back until the next leader has
-// read the records, and arrives there before anything newer. What it says of an attempt
-// must hold for ever: the attempt must not have been started anew in a later session.
-func TestDelayedHeartbeatOfEarlierSessionChangesNothing(t *testing.T) {
+// A report from a worker's earlier session is delayed until the next leader has read the records,
+// and arrives there before any newer report. The leader relies on the report's state of an
+// attempt, so that attempt must not have been started again in the worker's later session.
+func TestDelayedHeartbeatOfEarlierSessionIsIgnored(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		t.Run(fmt.Sprintf("attempt ended in it: %v", ended), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -83,14 +83,14 @@
 				k.ExitCode = func(string) int { return 3 }
 				w.startControllersOneByOne()
 				time.Sleep(2 * time.Second)
-				w.exchange()
+				w.exchangeReachability()
 				first := w.leader()
 				w.submit("j-80", 1)
-				// The task starts on the first worker, by the answer to a report; direct
-				// orders, whose answers would tell of it, don't arrive.
+				// The task starts on the first worker through the response to a report. Direct
+				// commands are blocked, since their responses would report the start to the leader.
 				w.breakLinksTo(k, w.controllerNames...)
 				for range 10 {
-					w.reportTo(k, first)
+					w.sendReportTo(k, first)
 					if w.unfinishedTasks("j-80") == 1 {
 						break
 					}
@@ -102,29 +102,29 @@
 				renewed := time.Now()
 				time.Sleep(2 * time.Second)
 				w.mu.Lock()
-				held := k.Report() // on its way from now on
-				held.Endpoint = k.Name
+				delayed := k.Report() // delivered to the next leader
+				delayed.Endpoint = k.Name
 				w.mu.Unlock()
-				if len(held.Tasks) != 1 || (held.Tasks[0].State == wire.TaskExited) != ended {
-					t.Fatalf("the report that is held back lists %+v", held.Tasks)
+				if len(delayed.Tasks) != 1 || (delayed.Tasks[0].State == wire.TaskExited) != ended {
+					t.Fatalf("the delayed report lists tasks %+v", delayed.Tasks)
 				}
 				time.Sleep(time.Until(renewed.Add(workerLease + 20*time.Millisecond)))
 				var copies []*wire.Report
 				for range 6 { // in the new session the task starts again
-					copies = append(copies, w.reportTo(k, first))
+					copies = append(copies, w.sendReportTo(k, first))
 					if w.unfinishedTasks("j-80") == 1 {
 						break
 					}
 					time.Sleep(300 * time.Millisecond)
 				}
-				if w.unfinishedTasks("j-80") != 1 || copies[0].Session != held.Session+1 {
-					t.Fatalf("%d tasks on, session %d after %d", w.unfinishedTasks("j-80"), copies[0].Session, held.Session)
+				if w.unfinishedTasks("j-80") != 1 || copies[0].Session != delayed.Session+1 {
+					t.Fatalf("%d tasks running, session %d after session %d", w.unfinishedTasks("j-80"), copies[0].Session, delayed.Session)
 				}
-				// From now on nothing newer comes from the worker, and it goes on.
+				// From now on no newer report of the worker arrives, while its task continues.
 				w.breakLinks(k.Name, w.controllerNames...)
 				w.restart(first, 100*time.Millisecond)
 				time.Sleep(time.Second)
-				w.exchange()
+				w.exchangeReachability()
 				next := w.leader()
 				if next == "" {
 					t.Fatal("no new leader")
@@ -132,11 +132,11 @@
 				if took, _, _ := w.nodes[next].scheduler.FailoverProgress(); took == 0 {
 					t.Fatal("the new leader has not read the records")
 				}
-				if w.deliver(append([]*wire.Report{held}, copies...), w.controllerNames...) == 0 {
-					t.Error("nobody took the report that was held back")
+				if w.deliverReports(append([]*wire.Report{delayed}, copies...), w.controllerNames...) == 0 {
+					t.Error("no controller accepted the delayed report")
 				}
 				for range 6 {
-					w.reportTo(other, next)
+					w.sendReportTo(other, next)
 					w.checkInvariants()
 					time.Sleep(300 * time.Millisecond)
 				}
@@ -146,15 +146,16 @@
 	}
 }
 
-// stage is how far a new leader has come.
-type stage struct {
+// failoverStage is a stage of a failover to a new leader.
+type failoverStage struct {
 	name    string
 	reached func(w *cluster, before map[string]jobstate.Stats) bool
-	reports func(k int) int // how often the k-th worker has reported to it by then
+	reports func(k int) int // reports that the k-th worker has sent to the new leader by then; nil: no worker sent any
 }
 
-// next returns the controller that has read the records since, or nil.
-func (w *cluster) next(before map[string]jobstate.Stats) *node {
+// recoveredLeader returns the leader that has completed a failover, and thus read the records,
+// since the given counters were taken. It returns nil if there is none yet.
+func (w *cluster) recoveredLeader(before map[string]jobstate.Stats) *node {
 	for _, name := range w.controllerNames {
 		if n := w.nodes[name]; !n.down && len(n.member.LedShards()) > 0 && n.scheduler.Counters().Failovers > before[name].Failovers {
 			return n
@@ -163,15 +164,15 @@
 	return nil
 }
 
-// claimed reports whether any controller has claimed jobs.
-func (w *cluster) claimed() bool {
+// anyShardClaimed reports whether any running controller has claimed shards.
+func (w *cluster) anyShardClaimed() bool {
 	return slices.ContainsFunc(w.controllerNames, func(name string) bool { return !w.nodes[name].down && len(w.nodes[name].member.ClaimedShards()) > 0 })
 }
 
-// unheardOf counts the workers on which the records had tasks, and those of them that the
-// new leader has not heard.
-func (w *cluster) unheardOf(before map[string]jobstate.Stats) (recorded, unheard int) {
-	n := w.next(before)
+// unheardWorkers returns how many workers had tasks according to the records, and from how many of
+// them the new leader has not received a report yet.
+func (w *cluster) unheardWorkers(before map[string]jobstate.Stats) (recorded, unheard int) {
+	n := w.recoveredLeader(before)
 	if n == nil {
 		return 0, 0
 	}
@@ -179,70 +180,74 @@
 	return recorded, unheard
 }
 
-// stages are those of a take-over.
-var stages = []stage{
-	{"before the claim", func(w *cluster, _ map[string]jobstate.Stats) bool { return !w.claimed() }, nil},
-	{"claimed, records not read", func(w *cluster, before map[string]jobstate.Stats) bool { return w.claimed() && w.next(before) == nil }, nil},
+// failoverStages lists the stages of a failover in their order.
+var failoverStages = []failoverStage{
+	{"before the claim", func(w *cluster, _ map[string]jobstate.Stats) bool { return !w.anyShardClaimed() }, nil},
+	{"claimed, records not read", func(w *cluster, before map[string]jobstate.Stats) bool {
+		return w.anyShardClaimed() && w.recoveredLeader(before) == nil
+	}, nil},
 	{"read, nothing settled", func(w *cluster, before map[string]jobstate.Stats) bool {
-		recorded, unheard := w.unheardOf(before)
+		recorded, unheard := w.unheardWorkers(before)
 		return recorded > 0 && unheard == recorded
 	}, nil},
 	{"half settled", func(w *cluster, before map[string]jobstate.Stats) bool {
-		recorded, unheard := w.unheardOf(before)
+		recorded, unheard := w.unheardWorkers(before)
 		return unheard > 0 && unheard < recorded
 	}, func(k int) int { return 2 * (k % 2) }},
 	{"settled", func(w *cluster, before map[string]jobstate.Stats) bool {
-		recorded, unheard := w.unheardOf(before)
+		recorded, unheard := w.unheardWorkers(before)
 		return recorded > 0 && unheard == 0
 	}, func(int) int { return 2 }},
 	{"first grants made", func(w *cluster, before map[string]jobstate.Stats) bool {
-		n := w.next(before)
+		n := w.recoveredLeader(before)
 		return n != nil && n.scheduler.Counters().Granted > before[n.name].Granted
 	}, func(int) int { return 4 }},
 }
 
-// Reports of earlier leaders, sessions and attempts, among them some that never arrived,
-// reach all controllers within a moment at each stage of a take-over, and once more a
-// lease later: none starts, ends, settles, renews or clears anything that is newer.
+// Reports from the time of earlier leaders, sessions and attempts, some of them delivered for the
+// first time, reach all controllers at once at each stage of a failover, and again one worker
+// lease later. None of them may start, end, settle, renew or clear a newer attempt or session.
 func TestStaleHeartbeatsAtEachStageOfFailover(t *testing.T) {
-	for _, s := range stages {
+	for _, s := range failoverStages {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%s, %d", s.name, seed), func(t *testing.T) {
-				runOnCluster(t, 1200+seed, 3, 6, func(w *cluster) { playOldReports(t, w, &s) })
+				runOnCluster(t, 1200+seed, 3, 6, func(w *cluster) { playStaleReports(t, w, &s) })
 			})
 		}
 	}
 }
 
-func playOldReports(t *testing.T, w *cluster, s *stage) {
+func playStaleReports(t *testing.T, w *cluster, s *failoverStage) {
 	w.submit("j-80", 6)
 	w.submit("j-1", 400)
-	var held []*wire.Report // on their way until the next leader acts
+	var undelivered []*wire.Report // delivered only during the failover
 	live := func(seconds int) {
 		for range seconds {
 			w.mu.Lock()
 			rep := w.workers[w.messageRand.IntN(3)].Report()
 			rep.Endpoint = rep.Machine
-			held = append(held, rep)
+			undelivered = append(undelivered, rep)
 			w.mu.Unlock()
 			w.runFor(1)
 		}
 	}
 	live(8)
-	// An earlier session and attempts, and an earlier leader.
-	away := w.workers[0]
-	w.breakLinks(away.Name, w.controllerNames...)
+	// Create reports of an earlier session, of earlier attempts and from the time of an earlier
+	// leader.
+	isolated := w.workers[0]
+	w.breakLinks(isolated.Name, w.controllerNames...)
 	live(4)
 	w.restart(w.leader(), 200*time.Millisecond)
 	live(9)
-	w.healLinks(away.Name, w.controllerNames...)
+	w.healLinks(isolated.Name, w.controllerNames...)
 	live(6)
-	// The lost task waits for room among the short ones, which are of the same priority.
+	// The task that was lost with the isolated worker's lease waits for free capacity among the
+	// short tasks of the same priority.
 	if !w.runUntil(40, func() bool { return w.unfinishedTasks("j-80") == 6 && w.leader() != "" }) {
-		t.Fatalf("%d of 6 long tasks run before the take-over", w.unfinishedTasks("j-80"))
+		t.Fatalf("only %d of 6 long tasks run before the failover", w.unfinishedTasks("j-80"))
 	}
 	w.mu.Lock()
-	old := append(slices.Clone(held), w.reportCopies...)
+	old := append(slices.Clone(undelivered), w.reportCopies...)
 	w.mu.Unlock()
 	slices.SortStableFunc(old, func(a, b *wire.Report) int { return int(a.Session) - int(b.Session) })
 	if w.planIntN(2) == 0 {
@@ -250,10 +255,10 @@
 		w.messageRand.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
 		w.mu.Unlock()
 	}
-	again := 0 // starts of the long tasks, which have no reason to start again
+	restarts := 0 // starts of long tasks from now on: all of them are running already
 	w.onStart = func(_ *testkit.Worker, task string, _ uint64) {
 		if uid, _, _ := wire.ParseTask(task); uid == "j-80" {
-			again++
+			restarts++
 		}
 	}
 	before := map[string]jobstate.Stats{}
@@ -270,58 +275,59 @@
 	wait := func(holds func() bool) bool {
 		for ; waited < 400 && !holds(); waited++ {
 			if waited%20 == 0 {
-				w.exchange()
+				w.exchangeReachability()
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		return holds()
 	}
 	if s.reports != nil {
-		if !wait(func() bool { return w.next(before) != nil }) {
-			t.Fatal("no take-over")
+		if !wait(func() bool { return w.recoveredLeader(before) != nil }) {
+			t.Fatal("no failover took place")
 		}
-		next := w.next(before).name
-		w.exchange() // all know the leader, and it may answer
+		next := w.recoveredLeader(before).name
+		w.exchangeReachability() // all controllers know the leader, and it may answer workers
 		for round := range 4 {
 			for i, k := range w.workers {
 				if round < s.reports(i) {
-					w.reportTo(k, next)
+					w.sendReportTo(k, next)
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
 	if !wait(func() bool { return s.reached(w, before) }) {
-		t.Fatal("the stage was not reached")
+		t.Fatal("the failover did not reach the stage")
 	}
 	sessions, tasks := 0, 0
-	newest := w.session(away)
+	newest := w.sessionOf(isolated)
 	for _, rep := range old {
-		if rep.Machine == away.Name && rep.Session < newest {
+		if rep.Machine == isolated.Name && rep.Session < newest {
 			sessions++
 			tasks += len(rep.Tasks)
 		}
 	}
-	if sessions == 0 || tasks == 0 || len(held) < 20 {
-		t.Errorf("%d reports of an earlier session with %d tasks, %d that never arrived", sessions, tasks, len(held))
+	if sessions == 0 || tasks == 0 || len(undelivered) < 20 {
+		t.Errorf("too few stale reports: %d of an earlier session with %d tasks, %d undelivered", sessions, tasks, len(undelivered))
 	}
-	w.deliver(old, w.controllerNames...)
+	w.deliverReports(old, w.controllerNames...)
 	w.mu.Lock()
 	w.storeLatency = nil
 	w.mu.Unlock()
 	w.runFor(4)
-	if again > 0 {
-		t.Errorf("long tasks started %d times again", again)
+	if restarts > 0 {
+		t.Errorf("long tasks were started again %d times", restarts)
 	}
-	// A lease later, in growing order, when two workers have been unresponsive for as long.
+	// Deliver the reports again one worker lease later, when two workers have been unresponsive for
+	// that long.
 	silent := w.workers[4:6]
 	for _, k := range silent {
 		w.breakLinks(k.Name, w.controllerNames...)
 	}
 	w.runFor(11)
-	w.deliver(old, w.controllerNames...)
+	w.deliverReports(old, w.controllerNames...)
 	w.runFor(1)
-	w.deliver(old, w.controllerNames...)
+	w.deliverReports(old, w.controllerNames...)
 	for _, k := range silent {
 		w.healLinks(k.Name, w.controllerNames...)
 	}
@@ -329,6 +335,6 @@
 		t.Error("the short job did not end")
 	}
 	if !w.runUntil(60, func() bool { return w.unfinishedTasks("j-80") == 6 }) {
-		t.Errorf("%d of 6 long tasks are on", w.unfinishedTasks("j-80"))
+		t.Errorf("%d of 6 long tasks are running", w.unfinishedTasks("j-80"))
 	}
 }
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// gap is a cluster in which long tasks of some jobs run, in the hands of the old
-// leader.
-type gap struct {
+// outageCluster is a cluster in which long tasks of the given jobs run, with the names of the
+// controller that leads before the faults and of the others.
+type outageCluster struct {
 	*cluster
 	leader string
 	others []string
 	jobs   []string
 }
 
-const outage = 70 // seconds, longer than a cancelled task may go on
+const outageSeconds = 70 // longer than the 40 s for which a cancelled task may continue
 
-// on counts the tasks of the jobs that are on workers.
-func (g *gap) on() (n int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, k := range g.workers {
+// runningTasks returns the number of the jobs' tasks on workers.
+func (c *outageCluster) runningTasks() (n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, k := range c.workers {
 		for _, task := range k.UnfinishedTasks() {
-			if uid, _, _ := strings.Cut(task, "/"); slices.Contains(g.jobs, uid) {
+			if uid, _, _ := strings.Cut(task, "/"); slices.Contains(c.jobs, uid) {
 				n++
 			}
 		}
@@ -35,198 +35,198 @@
 	return n
 }
 
-// outageScene is a course of cancels around an outage of the state service for all.
-type outageScene struct {
+// outageScenario is a sequence of cancels and faults that ends with an outage of the state service
+// for all controllers.
+type outageScenario struct {
 	name string
-	play func(g *gap) // up to the end of the outage
-	// least is how many cancels must have been confirmed, so that cancels and
-	// the outage coincided.
-	least int
-	// lapses is whether a controller may have to stop answering workers for not
-	// knowing of all cancels; ends whether leases may end. They may where workers
-	// have seen a higher fencing token than anybody's who is left.
-	lapses, ends bool
+	play func(c *outageCluster) // returns at the end of the outage
+	// minCancels is how many cancels must be confirmed for the scenario to test anything.
+	minCancels int
+	// mayLapse is whether controllers may stop answering workers because they may not know of all
+	// cancels. mayLoseLeases is whether workers' leases may end: they may if workers have seen a
+	// higher fencing token than those of all remaining controllers.
+	mayLapse, mayLoseLeases bool
 }
 
-// isolateLeader leaves the leader the workers alone, and neither state service nor peers:
-// a failover follows.
-func (g *gap) isolateLeader() {
-	g.connectWorkersOnlyTo(g.leader)
-	g.cutFromStateService(g.leader)
-	g.breakLinks(g.leader, g.others...)
-	g.runFor(8)
+// isolateLeader cuts the leader off from the state service and its peers, and all workers off from
+// the other controllers. A failover follows.
+func (c *outageCluster) isolateLeader() {
+	c.connectWorkersOnlyTo(c.leader)
+	c.cutFromStateService(c.leader)
+	c.breakLinks(c.leader, c.others...)
+	c.runFor(8)
 }
 
-var outageScenes = []outageScene{
-	{"refused alone, then out for all", func(g *gap) {
-		g.cutFromStateService(g.leader)
-		g.runFor(2)
-		g.cancelJobs(g.others[0], g.jobs, 3)
-		g.cutFromStateService(g.controllerNames...)
-		g.runFor(outage)
+var outageScenarios = []outageScenario{
+	{"the leader loses the state service, then all do", func(c *outageCluster) {
+		c.cutFromStateService(c.leader)
+		c.runFor(2)
+		c.cancelJobs(c.others[0], c.jobs, 3)
+		c.cutFromStateService(c.controllerNames...)
+		c.runFor(outageSeconds)
 	}, 3, false, false},
-	{"cancelled before the refusal", func(g *gap) {
-		g.cancelJobs(g.others[0], g.jobs, 3)
-		g.cutFromStateService(g.leader)
-		g.runFor(1)
-		g.cutFromStateService(g.controllerNames...)
-		g.runFor(outage)
+	{"cancelled before the leader loses the state service", func(c *outageCluster) {
+		c.cancelJobs(c.others[0], c.jobs, 3)
+		c.cutFromStateService(c.leader)
+		c.runFor(1)
+		c.cutFromStateService(c.controllerNames...)
+		c.runFor(outageSeconds)
 	}, 3, false, false},
-	{"a new leader confirms, the old one hears its peers again", func(g *gap) {
-		g.isolateLeader()
-		g.cancelJobs(g.others[0], g.jobs, 12)
-		g.cutFromStateService(g.controllerNames...)
-		g.healLinks(g.leader, g.others...)
-		g.runFor(outage)
+	{"a new leader confirms, the old one reaches its peers again", func(c *outageCluster) {
+		c.isolateLeader()
+		c.cancelJobs(c.others[0], c.jobs, 12)
+		c.cutFromStateService(c.controllerNames...)
+		c.healLinks(c.leader, c.others...)
+		c.runFor(outageSeconds)
 	}, 3, false, true},
-	{"a new leader confirms, and never talks to the old one", func(g *gap) {
-		g.isolateLeader()
-		g.cancelJobs(g.others[0], g.jobs, 12)
-		g.cutFromStateService(g.controllerNames...)
-		g.runFor(outage)
+	{"a new leader confirms, and never reaches the old one", func(c *outageCluster) {
+		c.isolateLeader()
+		c.cancelJobs(c.others[0], c.jobs, 12)
+		c.cutFromStateService(c.controllerNames...)
+		c.runFor(outageSeconds)
 	}, 3, true, true},
-	{"the confirmer ends at once, and stays away", func(g *gap) {
-		g.isolateLeader()
-		for _, n := range g.others {
-			g.cancelJobs(n, g.jobs[:1], 6)
+	{"the confirming controller crashes at once, and stays down", func(c *outageCluster) {
+		c.isolateLeader()
+		for _, n := range c.others {
+			c.cancelJobs(n, c.jobs[:1], 6)
 		}
-		g.cutFromStateService(g.controllerNames...)
-		for _, n := range g.others {
-			g.crash(n)
+		c.cutFromStateService(c.controllerNames...)
+		for _, n := range c.others {
+			c.crash(n)
 		}
-		g.healLinks(g.leader, g.others...)
-		g.runFor(outage)
+		c.healLinks(c.leader, c.others...)
+		c.runFor(outageSeconds)
 	}, 1, true, true},
-	{"the confirmer is back within a second, and has forgotten", func(g *gap) {
-		g.isolateLeader()
-		for _, n := range g.others {
-			g.cancelJobs(n, g.jobs[:1], 6)
+	{"the confirming controller restarts within a second, without memory", func(c *outageCluster) {
+		c.isolateLeader()
+		for _, n := range c.others {
+			c.cancelJobs(n, c.jobs[:1], 6)
 		}
-		g.cutFromStateService(g.controllerNames...)
-		for _, n := range g.others {
-			g.crash(n)
+		c.cutFromStateService(c.controllerNames...)
+		for _, n := range c.others {
+			c.crash(n)
 			time.Sleep(300 * time.Millisecond)
-			g.start(n)
+			c.start(n)
 		}
-		g.healLinks(g.leader, g.others...)
-		g.runFor(outage)
+		c.healLinks(c.leader, c.others...)
+		c.runFor(outageSeconds)
 	}, 1, true, true},
-	{"the old leader is back within a second, in the outage", func(g *gap) {
-		g.cutFromStateService(g.leader)
-		g.runFor(2)
-		g.cancelJobs(g.others[0], g.jobs, 3)
-		g.cutFromStateService(g.controllerNames...)
-		g.runFor(7)
-		g.crash(g.leader)
+	{"the old leader restarts within a second, in the outage", func(c *outageCluster) {
+		c.cutFromStateService(c.leader)
+		c.runFor(2)
+		c.cancelJobs(c.others[0], c.jobs, 3)
+		c.cutFromStateService(c.controllerNames...)
+		c.runFor(7)
+		c.crash(c.leader)
 		time.Sleep(400 * time.Millisecond)
-		g.start(g.leader)
-		g.runFor(outage)
+		c.start(c.leader)
+		c.runFor(outageSeconds)
 	}, 3, false, true},
-	{"another is back within four seconds, in the outage", func(g *gap) {
-		g.cancelJobs(g.others[0], g.jobs, 3)
-		g.cutFromStateService(g.controllerNames...)
-		g.runFor(8)
-		g.crash(g.others[0])
-		g.runFor(4)
-		g.start(g.others[0])
-		g.runFor(outage)
+	{"another controller restarts after four seconds, in the outage", func(c *outageCluster) {
+		c.cancelJobs(c.others[0], c.jobs, 3)
+		c.cutFromStateService(c.controllerNames...)
+		c.runFor(8)
+		c.crash(c.others[0])
+		c.runFor(4)
+		c.start(c.others[0])
+		c.runFor(outageSeconds)
 	}, 3, false, true},
-	{"machines hang and go on", func(g *gap) {
-		for _, k := range g.workers[:6] {
-			g.breakLinks(k.Name, g.controllerNames...)
+	{"workers lose their links for a while", func(c *outageCluster) {
+		for _, k := range c.workers[:6] {
+			c.breakLinks(k.Name, c.controllerNames...)
 		}
-		g.cutFromStateService(g.leader)
-		g.runFor(2)
-		g.cancelJobs(g.others[0], g.jobs, 3)
-		g.cutFromStateService(g.controllerNames...)
-		g.runFor(5)
-		for _, k := range g.workers[:6] {
-			g.healLinks(k.Name, g.controllerNames...)
+		c.cutFromStateService(c.leader)
+		c.runFor(2)
+		c.cancelJobs(c.others[0], c.jobs, 3)
+		c.cutFromStateService(c.controllerNames...)
+		c.runFor(5)
+		for _, k := range c.workers[:6] {
+			c.healLinks(k.Name, c.controllerNames...)
 		}
-		g.runFor(outage)
+		c.runFor(outageSeconds)
 	}, 3, false, true},
-	{"one link of a pair is cut, a third talks to both", func(g *gap) {
-		g.cancelJobs(g.others[0], g.jobs[:1], 3)
-		g.cutFromStateService(g.controllerNames...)
-		g.breakLinks(g.leader, g.others[0])
-		g.runFor(outage)
+	{"the link between two controllers is cut, a third reaches both", func(c *outageCluster) {
+		c.cancelJobs(c.others[0], c.jobs[:1], 3)
+		c.cutFromStateService(c.controllerNames...)
+		c.breakLinks(c.leader, c.others[0])
+		c.runFor(outageSeconds)
 	}, 1, false, false},
-	{"two in a row", func(g *gap) {
+	{"two outages in a row", func(c *outageCluster) {
 		for i := range 2 {
-			g.cutFromStateService(g.leader)
-			g.runFor(2)
-			g.cancelJobs(g.others[i%2], g.jobs[i:i+1], 15)
-			g.cutFromStateService(g.controllerNames...)
-			g.runFor(outage)
-			g.healAllLinks()
-			g.runFor(1)
+			c.cutFromStateService(c.leader)
+			c.runFor(2)
+			c.cancelJobs(c.others[i%2], c.jobs[i:i+1], 15)
+			c.cutFromStateService(c.controllerNames...)
+			c.runFor(outageSeconds)
+			c.healAllLinks()
+			c.runFor(1)
 		}
 	}, 2, false, true},
-	{"out for all, and every controller but one ends", func(g *gap) {
-		g.connectWorkersOnlyTo(g.leader)
-		g.cancelJobs(g.others[0], g.jobs[:1], 3)
-		g.cutFromStateService(g.controllerNames...)
-		for _, n := range g.others {
-			g.crash(n)
+	{"outage for all, and all controllers but one crash", func(c *outageCluster) {
+		c.connectWorkersOnlyTo(c.leader)
+		c.cancelJobs(c.others[0], c.jobs[:1], 3)
+		c.cutFromStateService(c.controllerNames...)
+		for _, n := range c.others {
+			c.crash(n)
 		}
-		g.runFor(outage)
+		c.runFor(outageSeconds)
 	}, 1, true, true},
 }
 
-// In TestCancelDuringStateStoreOutage the state service refuses
-// the leader alone, another controller confirms cancels, and then the state service is
-// out for all for longer than a cancelled task may go on, while workers go on
-// reporting to the old leader. The tasks must be gone in time all the same, and
-// nothing else that runs may be lost where all controllers talk to each other.
+// The leader alone loses the state service and another controller confirms cancels. Then the state
+// service fails for all controllers for longer than a cancelled task may continue, while workers
+// keep reporting to the old leader. The cancelled tasks must still stop in time, and no other
+// running task may be lost if all controllers reach each other.
 func TestCancelDuringStateStoreOutage(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
-		for i := range outageScenes {
-			scene := &outageScenes[i]
-			t.Run(fmt.Sprintf("%d: %s", controllers, scene.name), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playOutage(t, scene, uint64(700+i), controllers) })
+		for i := range outageScenarios {
+			scenario := &outageScenarios[i]
+			t.Run(fmt.Sprintf("%d: %s", controllers, scenario.name), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { playOutage(t, scenario, uint64(700+i), controllers) })
 			})
 		}
 	}
 }
 
-// newGap starts a cluster in which the long tasks run.
-func newGap(t *testing.T, seed uint64, controllers int) *gap {
+// newOutageCluster starts a cluster and waits until its long tasks run.
+func newOutageCluster(t *testing.T, seed uint64, controllers int) *outageCluster {
 	t.Helper()
-	w, leader, others, _ := settled(t, seed, controllers, 12)
-	g := &gap{cluster: w, leader: leader, others: others, jobs: []string{"j-81", "j-82", "j-83"}}
+	w, leader, others, _ := settledCluster(t, seed, controllers, 12)
+	c := &outageCluster{cluster: w, leader: leader, others: others, jobs: []string{"j-81", "j-82", "j-83"}}
 	w.setLongTasks()
-	for _, uid := range g.jobs {
+	for _, uid := range c.jobs {
 		w.submit(uid, 4)
 	}
-	w.submit("j-90", 6) // goes on
-	// They wait for room among the tasks of a large job.
+	w.submit("j-90", 6) // never cancelled
+	// The tasks have to wait until tasks of a large job end.
 	w.runFor(30)
-	w.runUntil(120, func() bool { return g.on() >= 10 })
-	if n := g.on(); n < 10 {
+	w.runUntil(120, func() bool { return c.runningTasks() >= 10 })
+	if n := c.runningTasks(); n < 10 {
 		w.stopAll()
-		t.Fatalf("%d long tasks run before the trouble", n)
+		t.Fatalf("only %d long tasks run before the faults", n)
 	}
-	return g
+	return c
 }
 
-// playOutage plays a scene, and checks what was kept over it and what works afterwards.
-func playOutage(t *testing.T, s *outageScene, seed uint64, controllers int) {
+// playOutage plays a scenario, and checks which leases were kept during it and that cancels and
+// starts work afterwards.
+func playOutage(t *testing.T, s *outageScenario, seed uint64, controllers int) {
 	t.Helper()
-	g := newGap(t, seed, controllers)
-	w := g.cluster
+	c := newOutageCluster(t, seed, controllers)
+	w := c.cluster
 	sessions := w.sessionSum()
-	// A worker that a lost report sends to a controller with another token
-	// can't go back in an outage: not what is counted here.
-	w.losslessReports = !s.ends
-	s.play(g)
+	// Where no lease may end, no report is lost: a worker that moves to a controller with a higher
+	// fencing token after a lost report cannot move back during an outage, and loses its lease.
+	w.losslessReports = !s.mayLoseLeases
+	s.play(c)
 	w.mu.Lock()
-	heard := len(w.confirmedCancels)
+	confirmed := len(w.confirmedCancels)
 	w.mu.Unlock()
-	if heard < s.least {
-		t.Errorf("%d cancels were confirmed: too few to test cancels during the outage", heard)
+	if confirmed < s.minCancels {
+		t.Errorf("only %d cancels were confirmed: too few to test cancels during the outage", confirmed)
 	}
 	sessions -= w.sessionSum()
-	if sessions != 0 && !s.ends || w.stoppedAnswering > 0 && !s.lapses {
+	if sessions != 0 && !s.mayLoseLeases || w.stoppedAnswering > 0 && !s.mayLapse {
 		t.Errorf("%d leases ended, controllers stopped answering %d times", -sessions, w.stoppedAnswering)
 	}
 	w.healAllLinks()
@@ -235,13 +235,13 @@
 	for _, n := range w.controllerNames {
 		for uid := range w.confirmedCancels {
 			if stage, ok := w.userRequest(n, http.MethodGet, uid); !ok {
-				t.Errorf("20 s after the last trouble %s says nothing of %s (%s)", n, uid, stage)
+				t.Errorf("20 s after the last fault %s does not answer for job %s (%s)", n, uid, stage)
 			}
 		}
 	}
-	// Where all leases ended, tasks start and end in waves.
+	// 10 s, since tasks start and end in waves if all leases have ended at once.
 	if time.Since(w.lastStartTime()) > 10*time.Second {
-		t.Errorf("after the healing no start for %v", time.Since(w.lastStartTime()))
+		t.Errorf("after the links healed, no task started for %v", time.Since(w.lastStartTime()))
 	}
 	w.stopAll()
 }
--- a/internal/testkit/team_limits_check_test.go
+++ b/internal/testkit/team_limits_check_test.go
@@ -9,33 +9,33 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// cpuTolerance is how far sums of CPUs may be off by rounding.
+// cpuTolerance is the rounding error allowed in sums of CPUs.
 const cpuTolerance = 1e-6
 
-// teamUse is the CPUs that each team's tasks take on workers.
+// teamUse holds the CPUs that each team's tasks on workers use, by team.
 type teamUse map[string]float64
 
-// allows reports whether the job's team may use one more task of it.
+// allows reports whether the limit of the job's team admits one more task of the job.
 func (use teamUse) allows(teams []config.Team, job *wire.Job) bool {
 	return !slices.ContainsFunc(teams, func(t config.Team) bool {
 		return t.Name == job.Team && t.CPUsMax > 0 && use[t.Name]+job.CPUs > t.CPUsMax+cpuTolerance
 	})
 }
 
-// standing is what the workers have and the users know at one moment.
-type standing struct {
+// snapshot is the state of the workers, and the job states that users know, at one moment.
+type snapshot struct {
 	use       teamUse
-	on        map[string]int              // tasks on workers, by job
-	free      map[*testkit.Worker]float64 // CPUs of the workers that go on; none where an unknown job's task is on
+	running   map[string]int              // tasks on workers, by job
+	free      map[*testkit.Worker]float64 // free CPUs of the workers that do not hang; 0 if a worker has a task of an unknown job
 	done      map[string]int              // tasks that are done and cleared, by job
-	over      []string                    // keys of the jobs that ended
-	cancelled map[string]bool
+	finalKeys []string                    // record keys of the jobs that ended
+	cancelled map[string]bool             // jobs whose cancel was confirmed to the user
 }
 
-func (w *cluster) standing() *standing {
-	s := &standing{
-		use: teamUse{}, on: map[string]int{}, free: map[*testkit.Worker]float64{}, done: map[string]int{},
-		over: w.store.Keys("final/"), cancelled: map[string]bool{},
+func (w *cluster) snapshot() *snapshot {
+	s := &snapshot{
+		use: teamUse{}, running: map[string]int{}, free: map[*testkit.Worker]float64{}, done: map[string]int{},
+		finalKeys: w.store.Keys("final/"), cancelled: map[string]bool{},
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,7 +43,7 @@
 		free := float64(w.machineTypes)
 		for _, task := range k.UnfinishedTasks() {
 			uid, _, _ := strings.Cut(task, "/")
-			s.on[uid]++
+			s.running[uid]++
 			if job := w.submittedJobs[uid]; job != nil {
 				s.use[job.Team] += job.CPUs
 				free -= job.CPUs
@@ -65,20 +65,21 @@
 	return s
 }
 
-// waits reports whether a task of the job is neither on a worker nor done.
-func (s *standing) waits(job *wire.Job) bool {
-	return !s.cancelled[job.UID] && s.on[job.UID]+s.done[job.UID] < job.Tasks && !slices.Contains(s.over, "final/"+job.UID)
+// waits reports whether the job has a waiting task: one that is neither on a worker nor done, of a
+// job that has neither ended nor been cancelled.
+func (s *snapshot) waits(job *wire.Job) bool {
+	return !s.cancelled[job.UID] && s.running[job.UID]+s.done[job.UID] < job.Tasks && !slices.Contains(s.finalKeys, "final/"+job.UID)
 }
 
-// underLimit reports whether the job's team may use one more task of it.
-func (s *standing) underLimit(teams []config.Team, job *wire.Job) bool {
+// underLimit reports whether the limit of the job's team admits one more task of the job.
+func (s *snapshot) underLimit(teams []config.Team, job *wire.Job) bool {
 	return s.use.allows(teams, job)
 }
 
-// heldByLimit reports whether a task of the team waits for nothing but its team's limit:
-// a worker that goes on has room for it.
-func (w *cluster) heldByLimit(team string) bool {
-	s := w.standing()
+// waitsOnlyForLimit reports whether a task of the team waits only because of the team's limit: a
+// worker that does not hang has enough free CPUs for it.
+func (w *cluster) waitsOnlyForLimit(team string) bool {
+	s := w.snapshot()
 	for _, job := range w.submittedJobs {
 		if job.Team != team || !s.waits(job) || s.underLimit(w.cfg.Params.Teams, job) {
 			continue
--- a/internal/testkit/zones_test.go
+++ b/internal/testkit/zones_test.go
@@ -13,21 +13,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// waitLimit is how long a job may wait, faults over, while a worker has room for it.
-const waitLimit = 90 * time.Second
+// maxZonedWait is how long a job may wait, once faults are over, while a worker can run its task.
+const maxZonedWait = 90 * time.Second
 
-// zonedJob is a job with a constraint on zones, and what is known of its tasks.
+// zonedJob is a job with a zone constraint and the progress of its tasks.
 type zonedJob struct {
 	wire.Job
-	done    map[string]bool
-	waiting time.Time // since when a task waits beside a worker with room for it; zero: none does
+	done         map[string]bool
+	waitingSince time.Time // start of the time in which a task waits although a worker can run it; zero if none does
 }
 
-// zonedCluster checks each start against the constraints of its job.
+// zonedCluster is a cluster that checks each task start against its job's zone constraint.
 type zonedCluster struct {
 	*cluster
-	jobs   map[string]*zonedJob
-	starts map[string]int // checked, by zone
+	jobs         map[string]*zonedJob
+	startsByZone map[string]int // starts of tasks of zoned jobs, by zone
 }
 
 func (z *zonedCluster) submitZoned(job *wire.Job) {
@@ -42,8 +42,8 @@
 	z.mu.Unlock()
 }
 
-// zonesOf counts a job's tasks that are on, by zone, but for one task.
-func (z *zonedCluster) zonesOf(uid, except string) map[string]int {
+// runningByZone returns the number of a job's tasks on workers in each zone, excluding one task.
+func (z *zonedCluster) runningByZone(uid, except string) map[string]int {
 	zones := map[string]int{}
 	for _, k := range z.workers {
 		for _, task := range k.UnfinishedTasks() {
@@ -55,9 +55,9 @@
 	return zones
 }
 
-// misplaced says why a task of the job may not start in a zone now, or "".
-func (z *zonedCluster) misplaced(job *zonedJob, task, zone string) string {
-	on := z.zonesOf(job.UID, task)
+// constraintViolation returns why a task of the job must not start in a zone now, or "" if it may.
+func (z *zonedCluster) constraintViolation(job *zonedJob, task, zone string) string {
+	on := z.runningByZone(job.UID, task)
 	switch {
 	case job.Zone != nil && *job.Zone != zone:
 		return "its job is bound to " + *job.Zone
@@ -69,57 +69,59 @@
 	return ""
 }
 
-// started checks a start; the cluster's lock is held.
-func (z *zonedCluster) started(k *testkit.Worker, task string, _ uint64) {
+// checkZonedStart checks a task's start on a worker. The caller holds the cluster's lock.
+func (z *zonedCluster) checkZonedStart(k *testkit.Worker, task string, _ uint64) {
 	uid, _, _ := strings.Cut(task, "/")
 	job := z.jobs[uid]
 	if job == nil {
 		return
 	}
-	z.starts[k.Zone]++
-	job.waiting = time.Time{}
-	if why := z.misplaced(job, task, k.Zone); why != "" {
+	z.startsByZone[k.Zone]++
+	job.waitingSince = time.Time{}
+	if why := z.constraintViolation(job, task, k.Zone); why != "" {
 		z.fail("%s starts on %s in zone %s: %s", task, k.Name, k.Zone, why)
 	}
 }
 
-// lookWaiting looks for jobs that wait beside a worker with room, faults over.
-func (z *zonedCluster) lookWaiting() {
+// checkZonedWaits fails if a job has waited for too long although a worker can run its task. Call
+// it only when no fault is active.
+func (z *zonedCluster) checkZonedWaits() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	for _, job := range z.jobs {
-		on := 0
-		for _, n := range z.zonesOf(job.UID, "") {
-			on += n
+		running := 0
+		for _, n := range z.runningByZone(job.UID, "") {
+			running += n
 		}
-		room := ""
+		workerWithRoom := ""
 		for _, k := range z.workers {
-			if len(k.UnfinishedTasks()) < int(z.machineTypes) && z.misplaced(job, "", k.Zone) == "" {
-				room = k.Name
+			if len(k.UnfinishedTasks()) < int(z.machineTypes) && z.constraintViolation(job, "", k.Zone) == "" {
+				workerWithRoom = k.Name
 			}
 		}
 		switch {
-		case on+len(job.done) >= job.Tasks || room == "":
-			job.waiting = time.Time{}
-		case job.waiting.IsZero():
-			job.waiting = time.Now()
-		case time.Since(job.waiting) > waitLimit:
-			z.fail("%s waits for %v beside %s; %d of %d tasks are on, %d done", job.UID, time.Since(job.waiting), room, on, job.Tasks, len(job.done))
+		case running+len(job.done) >= job.Tasks || workerWithRoom == "":
+			job.waitingSince = time.Time{}
+		case job.waitingSince.IsZero():
+			job.waitingSince = time.Now()
+		case time.Since(job.waitingSince) > maxZonedWait:
+			z.fail("%s has waited for %v although %s can run its task; %d of %d tasks are running, %d done", job.UID, time.Since(job.waitingSince), workerWithRoom, running, job.Tasks, len(job.done))
 		}
 	}
 }
 
-// Jobs bound to a zone, to any one zone, or spread over zones lose workers; a zone with
-// its workers and a controller is cut off for longer than a worker's lease; all controllers
-// are away for longer than that. No task starts where its job's other tasks, at that
-// moment, don't allow it, and afterwards all jobs end or run, none waiting beside room.
+// Runs jobs that are bound to one given zone, to any single zone, or spread over zones, while
+// workers are lost, a zone is partitioned with one controller for longer than a worker's lease, or
+// all controllers are down for longer than that. No task starts in a zone that its job's
+// constraint excludes at that moment. Afterwards all jobs run or end, and none waits while a
+// worker can run its tasks.
 func TestZoneConstraintsUnderFaults(t *testing.T) {
-	troubles := []struct {
+	faults := []struct {
 		name string
 		play func(z *zonedCluster)
 	}{
-		{"machines of the zone are lost, one by one, and the leader ends", func(z *zonedCluster) {
-			lost := z.inZone("y")[:3]
+		{"workers of the zone are lost, one by one, and the leader restarts", func(z *zonedCluster) {
+			lost := z.workersInZone("y")[:3]
 			for i, k := range lost {
 				z.breakLinks(k.Name, z.controllerNames...)
 				if i == 1 {
@@ -129,26 +131,26 @@
 			}
 			z.runFor(10)
 			if z.deletedMachines == 0 {
-				z.fail("no machine was lost")
+				z.fail("no machine was returned")
 			}
 		}},
-		{"the zone is cut off with another controller", func(z *zonedCluster) { z.cutZone(z.otherControllers(z.leader())[0]) }},
-		{"the zone is cut off with the leader", func(z *zonedCluster) { z.cutZone(z.leader()) }},
+		{"the zone is cut off with another controller", func(z *zonedCluster) { z.isolateZone(z.otherControllers(z.leader())[0]) }},
+		{"the zone is cut off with the leader", func(z *zonedCluster) { z.isolateZone(z.leader()) }},
 		{"the zone is cut off with a controller that the next leader never heard", func(z *zonedCluster) {
-			z.cutZoneUnheard(func(leader, other string) {
+			z.isolateZoneWithUnheardController(func(leader, other string) {
 				z.restart(other, 300*time.Millisecond)
 				z.runFor(4)
 				z.restart(leader, 300*time.Millisecond)
 			})
 		}},
 		{"the zone is cut off with a controller that no other has heard", func(z *zonedCluster) {
-			z.cutZoneUnheard(func(leader, other string) {
+			z.isolateZoneWithUnheardController(func(leader, other string) {
 				z.crash(leader)
 				z.restart(other, 300*time.Millisecond)
 				z.start(leader)
 			})
 		}},
-		{"all controllers are away", func(z *zonedCluster) {
+		{"all controllers are down", func(z *zonedCluster) {
 			z.stopAll()
 			sessions := z.sessionSum()
 			time.Sleep(workerLease + 3*time.Second)
@@ -156,20 +158,20 @@
 			z.startStopped()
 			z.runFor(5)
 			if z.sessionSum() != sessions+len(z.workers) {
-				z.fail("not every lease ended")
+				z.fail("not every worker's lease ended")
 			}
 		}},
 	}
-	for _, trouble := range troubles {
+	for _, fault := range faults {
 		for seed := range uint64(2) {
-			t.Run(fmt.Sprintf("%s, %d", trouble.name, seed), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playZones(t, 1300+seed, trouble.play) })
+			t.Run(fmt.Sprintf("%s, %d", fault.name, seed), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { playZoneFaults(t, 1300+seed, fault.play) })
 			})
 		}
 	}
 }
 
-func (z *zonedCluster) inZone(zone string) (ks []*testkit.Worker) {
+func (z *zonedCluster) workersInZone(zone string) (ks []*testkit.Worker) {
 	for _, k := range z.workers {
 		if k.Zone == zone {
 			ks = append(ks, k)
@@ -178,53 +180,55 @@
 	return ks
 }
 
-// cutZone cuts zone y, with its workers and a controller, off from the rest and from the
-// state service for longer than the workers' leases could last.
-func (z *zonedCluster) cutZone(inside string) {
-	z.divide(inside)
-	before := z.starts["z"]
-	z.runFor(int((testGrace + 2*workerLease).Seconds()))
-	if z.starts["z"] == before {
-		z.fail("nothing started in the other zone")
+// isolateZone partitions zone y, with its workers and a controller, from the rest and from the
+// state service for longer than any worker's lease can last, then heals all links.
+func (z *zonedCluster) isolateZone(inside string) {
+	z.partitionZone(inside)
+	before := z.startsByZone["z"]
+	z.runFor(int((dispatchGrace + 2*workerLease).Seconds()))
+	if z.startsByZone["z"] == before {
+		z.fail("no task started in the other zone")
 	}
 	z.healAllLinks()
 }
 
-// cutZoneUnheard cuts zone y off with a controller that doesn't lead, and has the others end
-// while it is: whoever then leads has never heard that controller. None of the zone's
-// machines is deleted while that one may answer them.
-func (z *zonedCluster) cutZoneUnheard(end func(leader, other string)) {
+// isolateZoneWithUnheardController partitions zone y with a controller that does not lead, then
+// calls end to crash or restart the other controllers: the next leader has never heard from the
+// partitioned one. None of the zone's machines may be deleted while that controller may still
+// answer their heartbeats.
+func (z *zonedCluster) isolateZoneWithUnheardController(end func(leader, other string)) {
 	leader := z.leader()
 	inside, other := z.otherControllers(leader)[0], z.otherControllers(leader)[1]
-	z.divide(inside)
+	z.partitionZone(inside)
 	cut, returned := time.Now(), z.deletedMachines
 	z.runFor(4)
 	end(leader, other)
-	for z.leader() == "" && time.Since(cut) < testGrace {
+	for z.leader() == "" && time.Since(cut) < dispatchGrace {
 		z.runFor(1)
 	}
 	took := time.Since(cut)
-	for time.Since(cut) < testGrace+workerLease-2*time.Second {
+	for time.Since(cut) < dispatchGrace+workerLease-2*time.Second {
 		z.runFor(1)
 	}
 	next := z.leader()
-	if next == "" || next == inside || took > testGrace-workerLease/2 {
-		z.fail("%q leads, after %v", next, took)
+	if next == "" || next == inside || took > dispatchGrace-workerLease/2 {
+		z.fail("%q leads %v after the partition began", next, took)
 	}
-	for _, p := range z.nodes[next].linksSeen().Peers {
+	for _, p := range z.nodes[next].reachabilityView().Peers {
 		if p.Name == inside && p.SinceHeard < time.Hour {
-			z.fail("%s has heard %s", next, inside)
+			z.fail("%s has heard from %s", next, inside)
 		}
 	}
 	if z.deletedMachines > returned {
-		z.fail("%d machines of the zone are returned", z.deletedMachines-returned)
+		z.fail("%d machines of the zone were returned", z.deletedMachines-returned)
 	}
 	z.runFor(int(workerLease.Seconds()))
 	z.healAllLinks()
 }
 
-// divide cuts zone y, with a controller, off from the rest and from the state service.
-func (z *zonedCluster) divide(inside string) {
+// partitionZone cuts zone y, with its workers and a controller, off from the rest and from the
+// state service.
+func (z *zonedCluster) partitionZone(inside string) {
 	z.breakLinks(inside, append(z.otherControllers(inside), stateService)...)
 	for _, k := range z.workers {
 		if k.Zone == "y" {
@@ -235,13 +239,13 @@
 	}
 }
 
-func playZones(t *testing.T, seed uint64, play func(z *zonedCluster)) {
+func playZoneFaults(t *testing.T, seed uint64, play func(z *zonedCluster)) {
 	w := newCluster(t, seed)
 	w.resize(3, 12)
 	w.setLongTasks()
 	w.keepBrokenLinks = true
-	z := &zonedCluster{cluster: w, jobs: map[string]*zonedJob{}, starts: map[string]int{}}
-	w.onStart = z.started
+	z := &zonedCluster{cluster: w, jobs: map[string]*zonedJob{}, startsByZone: map[string]int{}}
+	w.onStart = z.checkZonedStart
 	for i, k := range w.workers {
 		if i%2 == 1 {
 			k.Zone = "y"
@@ -266,26 +270,26 @@
 	z.submitZoned(&wire.Job{UID: "j-88", Tasks: 3, Zone: &y})
 	w.submit("j-1", 200)
 	w.runFor(8)
-	if z.starts["y"] == 0 || z.starts["z"] == 0 {
-		t.Errorf("starts before the trouble: %v", z.starts)
+	if z.startsByZone["y"] == 0 || z.startsByZone["z"] == 0 {
+		t.Errorf("starts by zone before the fault: %v", z.startsByZone)
 	}
 	play(z)
-	bounded := 300
+	secondsLeft := 300
 	done := w.jobsEnded("j-10", "j-11", "j-20", "j-21", "j-30", "j-31", "j-1")
-	for ; bounded > 0 && !done(); bounded-- {
+	for ; secondsLeft > 0 && !done(); secondsLeft-- {
 		w.runFor(1)
-		z.lookWaiting()
+		z.checkZonedWaits()
 	}
 	if !done() {
-		t.Errorf("of the jobs with short tasks only %v ended", w.store.Keys("final/"))
+		t.Errorf("not all jobs with short tasks ended; ended: %v", w.store.Keys("final/"))
 	}
 	for range 20 {
 		w.runFor(1)
-		z.lookWaiting()
+		z.checkZonedWaits()
 	}
 	for uid, job := range z.jobs {
 		if strings.HasPrefix(uid, "j-8") && w.unfinishedTasks(uid) < job.Tasks {
-			t.Errorf("%d of %d long tasks of %s are on", w.unfinishedTasks(uid), job.Tasks, uid)
+			t.Errorf("%d of %d long tasks of %s are running", w.unfinishedTasks(uid), job.Tasks, uid)
 		}
 	}
 	w.stopAll()
