--- a/cmd/wallctl/accounting_records.go
+++ b/cmd/wallctl/accounting_records.go
@@ -22,7 +22,7 @@
 		return nil, fmt.Errorf("more than %d days are asked for", maxDays)
 	}
 	for day := first; !day.After(last); day = day.Add(24 * time.Hour) {
-		if err := cl.Accounts(ctx, day, collector.Add); err != nil {
+		if err := cl.AccountingRows(ctx, day, collector.Add); err != nil {
 			return nil, fmt.Errorf("accounting of %s: %w", day.Format(time.DateOnly), err)
 		}
 	}
--- a/cmd/wallctl/job_commands.go
+++ b/cmd/wallctl/job_commands.go
@@ -17,7 +17,7 @@
 // resolveUID returns the uid of a job by its uid or its number.
 func resolveUID(ctx context.Context, cl *client.Client, name string) (uid string, err error) {
 	if number, parseErr := strconv.ParseUint(name, 10, 64); parseErr == nil {
-		found, err := cl.Find(ctx, number)
+		found, err := cl.JobByNumber(ctx, number)
 		return found.UID, err
 	}
 	return name, nil
@@ -75,7 +75,7 @@
 		if stderr {
 			path += "?stream=stderr"
 		}
-		out, err := cl.Raw(cmd.Context(), path)
+		out, err := cl.Get(cmd.Context(), path)
 		if err != nil {
 			return fmt.Errorf("logs of %s: %w", args[0], err)
 		}
--- a/cmd/wallctl/links.go
+++ b/cmd/wallctl/links.go
@@ -19,7 +19,7 @@
 		if err != nil {
 			return err
 		}
-		out, err := cl.Raw(cmd.Context(), "/ops/links")
+		out, err := cl.Get(cmd.Context(), "/ops/links")
 		if err != nil {
 			return err
 		}
--- a/cmd/wallctl/nodes.go
+++ b/cmd/wallctl/nodes.go
@@ -17,7 +17,7 @@
 
 // listWorkers returns the workers that a controller of the site knows.
 func listWorkers(ctx context.Context, cl *client.Client) (workers []wire.MachineInfo, err error) {
-	data, err := cl.Raw(ctx, workersPath)
+	data, err := cl.Get(ctx, workersPath)
 	if err != nil {
 		return nil, err
 	}
@@ -34,7 +34,7 @@
 			return err
 		}
 		if a.json {
-			out, err := cl.Raw(cmd.Context(), workersPath)
+			out, err := cl.Get(cmd.Context(), workersPath)
 			_, writeErr := cmd.OutOrStdout().Write(out)
 			return errors.Join(err, writeErr)
 		}
--- a/cmd/wallctl/ops_commands.go
+++ b/cmd/wallctl/ops_commands.go
@@ -13,7 +13,7 @@
 		if err != nil {
 			return err
 		}
-		out, err := cl.Raw(cmd.Context(), path)
+		out, err := cl.Get(cmd.Context(), path)
 		if err != nil {
 			return err
 		}
--- a/cmd/wallctl/rollout_commands.go
+++ b/cmd/wallctl/rollout_commands.go
@@ -76,7 +76,7 @@
 // printOrDecode gets a path of the operators' interface. With --json it prints the response as
 // it came, else it decodes it into value.
 func (a *app) printOrDecode(cmd *cobra.Command, cl *client.Client, path string, value any) (printed bool, err error) {
-	out, err := cl.Raw(cmd.Context(), path)
+	out, err := cl.Get(cmd.Context(), path)
 	if err != nil {
 		return false, err
 	}
@@ -133,7 +133,7 @@
 	fs.Float64Var(&spec.SoakS, "soak-s", 0, "least seconds that a step's replicas stay healthy (default 10)")
 	fs.Float64Var(&spec.PlaceS, "place-s", 0, "most seconds for a step's replicas to be healthy (default 120)")
 	fs.StringVar(&spec.OnFail, "on-fail", "", "rollback (default) or pause")
-	fs.BoolVar(&spec.Anytime, "anytime", false, "go on in slots too")
+	fs.BoolVar(&spec.IgnoreSlots, "anytime", false, "go on in slots too")
 	fs.StringVar(&spec.Template.Class, "class", "service", "class of a new service's jobs")
 	fs.StringVar(&spec.Template.Team, "team", "default", "team of a new service")
 	fs.StringVar(&spec.Template.Priority, "priority", "production", "priority of a new service")
@@ -204,8 +204,8 @@
 	for i := range runs {
 		run := &runs[i]
 		restoredIn := "-"
-		if run.Verdict != 0 {
-			restoredIn = (time.Duration(run.Ended-run.Verdict) * time.Millisecond).String()
+		if run.RollbackSince != 0 {
+			restoredIn = (time.Duration(run.Ended-run.RollbackSince) * time.Millisecond).String()
 		}
 		t.printf("%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", run.ID, run.From.Name, run.Spec.To.Name, run.Phase, time.UnixMilli(run.Begun).UTC().Format(time.RFC3339),
 			time.Duration(run.Ended-run.Begun)*time.Millisecond, restoredIn, run.Reason)
--- a/cmd/wallctl/rollout_watch.go
+++ b/cmd/wallctl/rollout_watch.go
@@ -24,7 +24,7 @@
 func watchRollout(ctx context.Context, cl *client.Client, service string, id int, w io.Writer) error {
 	view := newRolloutView(w)
 	for {
-		out, err := cl.Raw(ctx, rolloutPath+"/"+service)
+		out, err := cl.Get(ctx, rolloutPath+"/"+service)
 		if err != nil && !errors.Is(err, client.ErrUnknown) {
 			return err
 		}
--- a/cmd/wallctl/sacct.go
+++ b/cmd/wallctl/sacct.go
@@ -164,7 +164,7 @@
 func earliestStart(ctx context.Context, cl *client.Client, jobs []slurm.Target, now time.Time) (time.Time, error) {
 	earliest := now
 	for _, target := range jobs {
-		found, err := cl.Find(ctx, target.Number)
+		found, err := cl.JobByNumber(ctx, target.Number)
 		if errors.Is(err, client.ErrNotFound) {
 			continue // sacct prints nothing about jobs that don't exist
 		}
--- a/cmd/wallctl/scancel.go
+++ b/cmd/wallctl/scancel.go
@@ -140,7 +140,7 @@
 
 // cancelTarget cancels a job, or tasks of its array, by number.
 func cancelTarget(ctx context.Context, cl *client.Client, target slurm.Target) error {
-	found, err := cl.Find(ctx, target.Number)
+	found, err := cl.JobByNumber(ctx, target.Number)
 	switch {
 	case errors.Is(err, client.ErrNotFound):
 		return errInvalidJobID
--- a/cmd/wallctl/scontrol.go
+++ b/cmd/wallctl/scontrol.go
@@ -50,7 +50,7 @@
 		for _, name := range splitJobs(arg) {
 			uid, err := findJob(ctx, cl, name)
 			if err == nil {
-				err = cl.Order(ctx, uid, verb)
+				err = cl.ApplyVerb(ctx, uid, verb)
 			}
 			if err != nil {
 				return fmt.Errorf("%s: %w", name, err)
@@ -72,7 +72,7 @@
 	if !target.All {
 		return "", errors.New("single tasks of an array are not supported here by wallrack")
 	}
-	found, err := cl.Find(ctx, target.Number)
+	found, err := cl.JobByNumber(ctx, target.Number)
 	if errors.Is(err, client.ErrNotFound) {
 		return "", errInvalidJobID
 	}
--- a/cmd/wallctl/sinfo.go
+++ b/cmd/wallctl/sinfo.go
@@ -29,7 +29,7 @@
 	}
 	out := cmd.OutOrStdout()
 	if *printAsJSON {
-		data, err := cl.Raw(cmd.Context(), workersPath)
+		data, err := cl.Get(cmd.Context(), workersPath)
 		if err != nil {
 			return err
 		}
--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -113,11 +113,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if request.Constraints.Number, err = cl.Numbers(ctx, request.Job.Tasks); err != nil {
+	if request.Constraints.Number, err = cl.ReserveNumbers(ctx, request.Job.Tasks); err != nil {
 		return nil, fmt.Errorf("%s: %w", stepSubmit, err)
 	}
 	request.Job.UID, request.Spec.Slurm.Number = client.NewUID(), request.Constraints.Number
-	_, err = cl.SubmitWith(ctx, &request.Job, &request.Constraints, &request.Spec, options.TestOnly)
+	_, err = cl.SubmitWithConstraints(ctx, &request.Job, &request.Constraints, &request.Spec, options.TestOnly)
 	switch {
 	case errors.Is(err, client.ErrUnknown):
 		return nil, fmt.Errorf("%s: no answer came in time; job %d (%s) may have been accepted or may be yet: ask with \"wallctl status %s\" before you submit again: %w",
--- a/cmd/wallctl/srun.go
+++ b/cmd/wallctl/srun.go
@@ -105,7 +105,7 @@
 // printStream prints what one task wrote to one of its streams since the last call.
 func (s *stepOutput) printStream(ctx context.Context, task int, query string, to io.Writer) {
 	path := wire.TaskName(s.uid, task) + query
-	data, err := s.cl.Once(ctx, "/logs/"+path)
+	data, err := s.cl.GetOnce(ctx, "/logs/"+path)
 	if err != nil {
 		return // the task hasn't started, or the next call gets it
 	}
--- a/cmd/wallrack/local_test.go
+++ b/cmd/wallrack/local_test.go
@@ -92,7 +92,7 @@
 	if s, err := c.Wait(ctx, "j-hello"); err != nil || s.Stage != wire.StageDone || s.Done != 3 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	if out, err := c.Raw(ctx, "/logs/j-hello/2"); err != nil || string(out) != "hello 2\n" {
+	if out, err := c.Get(ctx, "/logs/j-hello/2"); err != nil || string(out) != "hello 2\n" {
 		t.Errorf("wrote %q, %v", out, err)
 	}
 	checkLocalRefusals(ctx, t, c)
@@ -170,7 +170,7 @@
 		t.Fatalf("%s: %s", r.Phase, r.Reason)
 	}
 	r := rollOutTips(ctx, t, c, tipsVersion("v2", "bad"))
-	if back := time.Duration(r.Ended-r.Verdict) * time.Millisecond; r.Phase != rollout.Restored || back > time.Minute || !strings.Contains(r.Reason, "unhealthy") {
+	if back := time.Duration(r.Ended-r.RollbackSince) * time.Millisecond; r.Phase != rollout.Restored || back > time.Minute || !strings.Contains(r.Reason, "unhealthy") {
 		t.Errorf("%s after %v: %s", r.Phase, back, r.Reason)
 	}
 }
@@ -194,7 +194,7 @@
 		t.Fatal(err)
 	}
 	for {
-		out, err := c.Raw(ctx, "/ops/rollouts/tips")
+		out, err := c.Get(ctx, "/ops/rollouts/tips")
 		var s rollout.Status
 		if err != nil || json.Unmarshal(out, &s) != nil {
 			t.Fatalf("%s, %v", out, err)
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -71,7 +71,7 @@
 // recorded line that begins with "sometimes" need not be.
 func seenShape(ctx context.Context, t *testing.T, c *client.Client, p recordedPath, wanted []string) (seen []string) {
 	for start := time.Now(); time.Since(start) < 20*time.Second; time.Sleep(100 * time.Millisecond) {
-		answer, err := c.Raw(ctx, p.path)
+		answer, err := c.Get(ctx, p.path)
 		if err != nil {
 			t.Fatalf("%s: %v", p.path, err)
 		}
@@ -124,7 +124,7 @@
 	}
 	for {
 		var s rollout.Status
-		out, err := c.Raw(ctx, "/ops/rollouts/tips")
+		out, err := c.Get(ctx, "/ops/rollouts/tips")
 		if err != nil || json.Unmarshal(out, &s) != nil {
 			t.Fatalf("%s, %v", out, err)
 		}
--- a/internal/client/accounting.go
+++ b/internal/client/accounting.go
@@ -11,10 +11,10 @@
 	"github.com/wallrack/wallrack/internal/jobquery"
 )
 
-// Accounts calls each for every accounting row of a UTC day, one row after the other, never
+// AccountingRows calls each for every accounting row of a UTC day, one row after the other, never
 // concurrently. Rows may be repeated. The next pages are requested while some
 // are unpacked, which takes all processors.
-func (c *Client) Accounts(ctx context.Context, day time.Time, each func(*accounting.Row)) error {
+func (c *Client) AccountingRows(ctx context.Context, day time.Time, each func(*accounting.Row)) error {
 	reader, err := accounting.NewReader()
 	if err != nil {
 		return err
@@ -24,11 +24,11 @@
 	fetched := make(chan []string, 1)
 	group.Go(func() error {
 		defer close(fetched)
-		return c.fetchAccounts(ctx, day, fetched)
+		return c.fetchAccountingPages(ctx, day, fetched)
 	})
 	group.Go(func() error {
 		for pages := range fetched {
-			if err := unpackAccounts(reader, pages, each); err != nil {
+			if err := unpackAccountingPages(reader, pages, each); err != nil {
 				return err
 			}
 		}
@@ -37,8 +37,8 @@
 	return group.Wait()
 }
 
-// fetchAccounts sends the packed pages of a day, as many at a time as one response has.
-func (c *Client) fetchAccounts(ctx context.Context, day time.Time, fetched chan<- []string) error {
+// fetchAccountingPages sends the packed pages of a day, as many at a time as one response has.
+func (c *Client) fetchAccountingPages(ctx context.Context, day time.Time, fetched chan<- []string) error {
 	path := "/accounting/" + accounting.Day(day)
 	for after := ""; ; {
 		var rows jobquery.Rows
@@ -57,8 +57,8 @@
 	}
 }
 
-// unpackAccounts unpacks pages concurrently and calls each for their rows in order.
-func unpackAccounts(reader *accounting.Reader, pages []string, each func(*accounting.Row)) error {
+// unpackAccountingPages unpacks pages concurrently and calls each for their rows in order.
+func unpackAccountingPages(reader *accounting.Reader, pages []string, each func(*accounting.Row)) error {
 	rows := make([][]accounting.Row, len(pages))
 	var unpack errgroup.Group
 	for i, page := range pages {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -40,7 +40,7 @@
 // ready for use. Its methods may be called concurrently.
 type Client struct {
 	Base  string        // http://HOST:PORT, without a slash at the end
-	Retry time.Duration // how long a request is repeated; 0: a minute
+	RetryTimeout time.Duration // how long a request is repeated; 0: a minute
 
 	httpClient http.Client
 }
@@ -55,7 +55,7 @@
 // until it is accepted or refused, or c.Retry is over. The error wraps ErrRefused,
 // ErrUnknown or taskspec.ErrDiffers (another description has this id).
 func (c *Client) Submit(ctx context.Context, job *wire.Job, description *taskspec.Spec) (*wire.JobState, error) {
-	if err := c.describe(ctx, job.UID, description); err != nil {
+	if err := c.uploadDescription(ctx, job.UID, description); err != nil {
 		return nil, err
 	}
 	return c.SubmitDescribed(ctx, job)
@@ -71,8 +71,8 @@
 	return c.jobRequest(ctx, http.MethodPost, "/api/jobs", body)
 }
 
-// describe uploads what a job's tasks run.
-func (c *Client) describe(ctx context.Context, uid string, description *taskspec.Spec) error {
+// uploadDescription uploads what a job's tasks run.
+func (c *Client) uploadDescription(ctx context.Context, uid string, description *taskspec.Spec) error {
 	upload := &taskspec.Client{Base: c.Base, HTTP: &c.httpClient}
 	err := c.retry(ctx, func(ctx context.Context) attempt {
 		err := upload.Put(ctx, uid, description)
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -89,7 +89,7 @@
 // A site that can't say in time means an unknown outcome, never "not found".
 func TestUnavailableSiteMeansUnknownNotNotFound(t *testing.T) {
 	c, _ := serve(t, status(http.StatusServiceUnavailable, `{"error":"can't tell now"}`))
-	c.Retry = 3 * time.Second
+	c.RetryTimeout = 3 * time.Second
 	if _, err := c.Status(t.Context(), "j-1"); !errors.Is(err, client.ErrUnknown) || errors.Is(err, client.ErrNotFound) {
 		t.Error(err)
 	}
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -20,7 +20,7 @@
 	pollTimeout    = 2 * time.Second // of a GET about a job, which is repeated soon anyway
 	minRetryPause  = time.Second
 	maxRetryPause  = 30 * time.Second // longest Retry-After that is followed
-	defaultRetry   = 60 * time.Second
+	defaultRetryTimeout   = 60 * time.Second
 	maxBodyBytes   = 64 << 20
 )
 
@@ -38,14 +38,14 @@
 	retryAfter time.Duration // of the header Retry-After; 0: none
 }
 
-// Raw gets a path of the operators' interface or a task's output, with the repeats and
+// Get gets a path of the operators' interface or a task's output, with the repeats and
 // errors of Send.
-func (c *Client) Raw(ctx context.Context, path string) ([]byte, error) {
+func (c *Client) Get(ctx context.Context, path string) ([]byte, error) {
 	return c.Send(ctx, http.MethodGet, path, nil)
 }
 
-// Once gets a path with a single request. The error wraps ErrUnknown, whatever the status.
-func (c *Client) Once(ctx context.Context, path string) ([]byte, error) {
+// GetOnce gets a path with a single request. The error wraps ErrUnknown, whatever the status.
+func (c *Client) GetOnce(ctx context.Context, path string) ([]byte, error) {
 	resp, err := c.do(ctx, http.MethodGet, path, nil, requestTimeout)
 	if err == nil && resp.status != http.StatusOK {
 		err = fmt.Errorf("%w: status %d", ErrUnknown, resp.status)
@@ -66,9 +66,9 @@
 			out = resp.body
 			return attempt{conclusive: true}
 		case resp.status == http.StatusNotFound:
-			return attempt{conclusive: true, err: fmt.Errorf("%w: %s", ErrNotFound, problem(resp.body))}
+			return attempt{conclusive: true, err: fmt.Errorf("%w: %s", ErrNotFound, errorReason(resp.body))}
 		case resp.status/100 == 4 && resp.status != http.StatusTooManyRequests:
-			return attempt{conclusive: true, err: fmt.Errorf("%w: %s", ErrRefused, problem(resp.body))}
+			return attempt{conclusive: true, err: fmt.Errorf("%w: %s", ErrRefused, errorReason(resp.body))}
 		}
 		return attempt{retryAfter: resp.retryAfter, err: fmt.Errorf("%w: status %d", ErrUnknown, resp.status)}
 	})
@@ -97,9 +97,9 @@
 		case http.StatusNotFound:
 			return attempt{conclusive: true, err: ErrNotFound}
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			return attempt{conclusive: true, err: fmt.Errorf("%w: %s", ErrRefused, problem(resp.body))}
+			return attempt{conclusive: true, err: fmt.Errorf("%w: %s", ErrRefused, errorReason(resp.body))}
 		}
-		return attempt{retryAfter: resp.retryAfter, err: fmt.Errorf("%w: status %d: %s", ErrUnknown, resp.status, problem(resp.body))}
+		return attempt{retryAfter: resp.retryAfter, err: fmt.Errorf("%w: status %d: %s", ErrUnknown, resp.status, errorReason(resp.body))}
 	})
 	return state, err
 }
@@ -136,9 +136,9 @@
 // retry calls request until it is conclusive or without error, for c.Retry in all. The
 // error is the last attempt's.
 func (c *Client) retry(ctx context.Context, request func(context.Context) attempt) error {
-	limit := c.Retry
+	limit := c.RetryTimeout
 	if limit == 0 {
-		limit = defaultRetry
+		limit = defaultRetryTimeout
 	}
 	end := time.Now().Add(limit)
 	for {
@@ -165,8 +165,8 @@
 	}
 }
 
-// problem is the reason that the body of an unsuccessful response states.
-func problem(body []byte) string {
+// errorReason is the reason that the body of an unsuccessful response states.
+func errorReason(body []byte) string {
 	var stated wire.Problem
 	if json.Unmarshal(body, &stated) == nil && stated.Error != "" {
 		return stated.Error
--- a/internal/client/slurm.go
+++ b/internal/client/slurm.go
@@ -19,7 +19,7 @@
 
 // getJSON gets a path with the repeats and errors of Send and decodes the response.
 func (c *Client) getJSON(ctx context.Context, path string, into any) error {
-	data, err := c.Raw(ctx, path)
+	data, err := c.Get(ctx, path)
 	if err != nil {
 		return err
 	}
@@ -40,9 +40,9 @@
 	return &site, err
 }
 
-// Numbers reserves count consecutive job numbers for a new job and returns the first. A
+// ReserveNumbers reserves count consecutive job numbers for a new job and returns the first. A
 // repeat reserves others; numbers that no job gets stay unused.
-func (c *Client) Numbers(ctx context.Context, count int) (uint64, error) {
+func (c *Client) ReserveNumbers(ctx context.Context, count int) (uint64, error) {
 	out, err := c.Send(ctx, http.MethodPost, "/slurm/numbers", []byte(`{"count":`+strconv.Itoa(count)+`}`))
 	if err != nil {
 		return 0, err
@@ -54,11 +54,11 @@
 	return reserved.First, nil
 }
 
-// SubmitWith submits a job with constraints, with the repeats and errors of Submit. With
+// SubmitWithConstraints submits a job with constraints, with the repeats and errors of Submit. With
 // dryRun the site only checks the job, and nothing is uploaded.
-func (c *Client) SubmitWith(ctx context.Context, job *wire.Job, constraints *jobspec.Constraints, description *taskspec.Spec, dryRun bool) (*wire.JobState, error) {
+func (c *Client) SubmitWithConstraints(ctx context.Context, job *wire.Job, constraints *jobspec.Constraints, description *taskspec.Spec, dryRun bool) (*wire.JobState, error) {
 	if !dryRun {
-		if err := c.describe(ctx, job.UID, description); err != nil {
+		if err := c.uploadDescription(ctx, job.UID, description); err != nil {
 			return nil, err
 		}
 	}
@@ -73,9 +73,9 @@
 	return c.jobRequest(ctx, http.MethodPost, "/slurm/jobs", body)
 }
 
-// Find returns the job that a number belongs to. It is never nil; with an error, which
+// JobByNumber returns the job that a number belongs to. It is never nil; with an error, which
 // wraps ErrNotFound if no job has the number, it is empty.
-func (c *Client) Find(ctx context.Context, number uint64) (*jobid.Job, error) {
+func (c *Client) JobByNumber(ctx context.Context, number uint64) (*jobid.Job, error) {
 	var found jobid.Job
 	return &found, c.getJSON(ctx, "/slurm/numbers/"+strconv.FormatUint(number, 10), &found)
 }
@@ -105,8 +105,8 @@
 	}
 }
 
-// Order applies a verb, "hold" or "release", to an active job, with the errors of Send.
-func (c *Client) Order(ctx context.Context, uid, verb string) error {
+// ApplyVerb applies a verb, "hold" or "release", to an active job, with the errors of Send.
+func (c *Client) ApplyVerb(ctx context.Context, uid, verb string) error {
 	_, err := c.Send(ctx, http.MethodPost, "/slurm/jobs/"+url.PathEscape(uid)+"/"+verb, nil)
 	return err
 }
--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -48,7 +48,7 @@
 		{methodSlurm, "Desk"},
 		{methodFacts, "Facts"},
 		{methodEarlier, "Earlier"},
-		{rolloutapi.Method, "Rollouts"},
+		{rolloutapi.MethodStatuses, "Rollouts"},
 	} {
 		if method.is != method.was {
 			t.Errorf("the method %q is called %q", method.was, method.is)
@@ -231,11 +231,11 @@
 			Spec: rollout.Spec{
 				Service: "front", To: version, Steps: []string{"1", "50%"},
 				Check: rollout.Check{HTTP: "/up", TCP: true, EveryS: 2.5, TimeoutS: 1.5, Healthy: 2, Unhealthy: 3, Tries: 4},
-				SoakS: 30.5, PlaceS: 120.5, OnFail: rollout.OnFailPause, Anytime: true, Template: fullJob(), Replicas: 7,
+				SoakS: 30.5, PlaceS: 120.5, OnFail: rollout.OnFailPause, IgnoreSlots: true, Template: fullJob(), Replicas: 7,
 			},
-			From: version, Targets: []int{1, 3}, Step: 1, Phase: rollout.Paused, Resume: rollout.Soaking, Reason: "by an operator", Outcome: rollout.Restored,
-			New: batches("j-000501"), Old: batches("j-000502"), Restore: batches("j-000503"), Drop: batches("j-000504"),
-			Lost: 1, Seq: 9, Since: 1700000000123, Verdict: 1700000001123, Begun: 1700000002123, Ended: 1700000003123,
+			From: version, Targets: []int{1, 3}, Step: 1, Phase: rollout.Paused, ResumePhase: rollout.Soaking, Reason: "by an operator", Outcome: rollout.Restored,
+			New: batches("j-000501"), Old: batches("j-000502"), Restore: batches("j-000503"), ToCancel: batches("j-000504"),
+			Losses: 1, Seq: 9, PhaseSince: 1700000000123, RollbackSince: 1700000001123, Begun: 1700000002123, Ended: 1700000003123,
 		},
 		Jobs: map[string]rollout.JobStatus{"j-000501": {Ended: true, Running: 3, Healthy: 2, Unhealthy: "j-000501/1", Hung: "j-000501/2"}},
 	}})
--- a/internal/rollout/health_checks.go
+++ b/internal/rollout/health_checks.go
@@ -10,7 +10,7 @@
 
 const (
 	maxProbes   = 32          // in flight, of all roll-outs together
-	forgetAfter = time.Minute // of a replica that is not listed any more
+	replicaRetention = time.Minute // of a replica that is not listed any more
 )
 
 // replicaHealth is what the last checks of a replica found. Its counts are in a row.
@@ -26,8 +26,8 @@
 	hung      bool
 }
 
-// add takes a check's result into account. One without a result changes nothing.
-func (r *replicaHealth) add(health Health, check Check) {
+// record takes a check's result into account. One without a result changes nothing.
+func (r *replicaHealth) record(health Health, check Check) {
 	switch health {
 	case Healthy:
 		r.passes, r.failures, r.timeouts = r.passes+1, 0, 0
@@ -49,8 +49,8 @@
 	}
 }
 
-// healthChecks probes the replicas that matter now, and keeps what that found.
-type healthChecks struct {
+// healthChecker probes the replicas that matter now, and keeps what that found.
+type healthChecker struct {
 	prober Prober
 	slots  chan struct{}
 	probes sync.WaitGroup
@@ -59,13 +59,13 @@
 	replicas map[string]*replicaHealth
 }
 
-func newHealthChecks(p Prober) *healthChecks {
-	return &healthChecks{prober: p, slots: make(chan struct{}, maxProbes), replicas: map[string]*replicaHealth{}}
+func newHealthChecker(p Prober) *healthChecker {
+	return &healthChecker{prober: p, slots: make(chan struct{}, maxProbes), replicas: map[string]*replicaHealth{}}
 }
 
 // observe starts the checks that are due, as far as there are slots, and returns what is known
 // of a job's replicas.
-func (c *healthChecks) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (seen JobStatus) {
+func (c *healthChecker) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (seen JobStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, replica := range replicas {
@@ -87,7 +87,7 @@
 	return seen
 }
 
-func (c *healthChecks) replicaLocked(replica Replica) *replicaHealth {
+func (c *healthChecker) replicaLocked(replica Replica) *replicaHealth {
 	key := replica.Task + " " + strconv.FormatUint(replica.Attempt, 10)
 	known := c.replicas[key]
 	if known == nil {
@@ -98,7 +98,7 @@
 }
 
 // probeLocked starts a check of a replica. Without a slot a later call does.
-func (c *healthChecks) probeLocked(ctx context.Context, now time.Time, replica Replica, known *replicaHealth, check Check) {
+func (c *healthChecker) probeLocked(ctx context.Context, now time.Time, replica Replica, known *replicaHealth, check Check) {
 	select {
 	case c.slots <- struct{}{}:
 	default:
@@ -111,17 +111,17 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		known.probing = false
-		known.add(health, check)
+		known.record(health, check)
 	})
 }
 
-// forget drops what is known of replicas that were not listed lately, and, unless prefix is
+// removeStale drops what is known of replicas that were not listed lately, and, unless prefix is
 // empty, of all whose task begins with it: a resumed roll-out checks them anew.
-func (c *healthChecks) forget(now time.Time, prefix string) {
+func (c *healthChecker) removeStale(now time.Time, prefix string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, known := range c.replicas {
-		if now.Sub(known.listed) > forgetAfter || prefix != "" && strings.HasPrefix(key, prefix) {
+		if now.Sub(known.listed) > replicaRetention || prefix != "" && strings.HasPrefix(key, prefix) {
 			delete(c.replicas, key)
 		}
 	}
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -27,9 +27,9 @@
 
 // Core is what roll-outs need of the scheduler.
 type Core interface {
-	// Lead returns the guard that holds while this controller drives roll-outs; false if
+	// LeaderGuard returns the guard that holds while this controller drives roll-outs; false if
 	// another one does.
-	Lead() (wire.Guard, bool)
+	LeaderGuard() (wire.Guard, bool)
 	// Submit records a job's acceptance under further conditions. A job that is
 	// known already is no error.
 	Submit(ctx context.Context, job *wire.Job, guards ...wire.Guard) error
@@ -41,8 +41,8 @@
 	Unfinished(class string) bool
 }
 
-// Descriptions keeps what jobs run.
-type Descriptions interface {
+// DescriptionStore keeps what jobs run.
+type DescriptionStore interface {
 	// Put stores a job's description. The same one again is no error.
 	Put(ctx context.Context, job string, d *taskspec.Spec) error
 }
@@ -53,8 +53,8 @@
 	settings     *Settings
 	store        Store
 	core         Core
-	descriptions Descriptions
-	checks       *healthChecks
+	descriptions DescriptionStore
+	checks       *healthChecker
 	maxRecord    int // bytes
 	log          *slog.Logger
 
@@ -65,8 +65,8 @@
 
 // NewManager returns a manager that knows no services until Run has read them. No record that
 // it writes is larger than so many bytes.
-func NewManager(s *Settings, store Store, core Core, d Descriptions, p Prober, most int, log *slog.Logger) *Manager {
-	return &Manager{settings: s, store: store, core: core, descriptions: d, checks: newHealthChecks(p), maxRecord: most, log: log, entries: map[string]*entry{}}
+func NewManager(s *Settings, store Store, core Core, d DescriptionStore, p Prober, maxRecordBytes int, log *slog.Logger) *Manager {
+	return &Manager{settings: s, store: store, core: core, descriptions: d, checks: newHealthChecker(p), maxRecord: maxRecordBytes, log: log, entries: map[string]*entry{}}
 }
 
 // Run follows the records, and drives the roll-outs while this controller leads. It returns the
@@ -74,14 +74,14 @@
 func (m *Manager) Run(ctx context.Context) error {
 	defer m.checks.probes.Wait()
 	var wg sync.WaitGroup
-	wg.Go(func() { m.store.Watch(ctx, prefix, watchHold, m.reset, m.change) })
+	wg.Go(func() { m.store.Watch(ctx, keyPrefix, watchHold, m.reset, m.applyEvents) })
 	defer wg.Wait()
 	return periodic.Run(ctx, tickInterval, func() { m.Tick(ctx) })
 }
 
 // Tick drives every roll-out once, if this controller leads.
 func (m *Manager) Tick(ctx context.Context) {
-	lead, ok := m.core.Lead()
+	lead, ok := m.core.LeaderGuard()
 	m.mu.Lock()
 	var names []string
 	for name, e := range m.entries {
@@ -94,13 +94,13 @@
 		return
 	}
 	now := time.Now()
-	m.checks.forget(now, "")
-	blocked := m.settings.Blocked(now, m.core.Unfinished)
+	m.checks.removeStale(now, "")
+	blocked := m.settings.BlockedReason(now, m.core.Unfinished)
 	slices.Sort(names)
 	tickCtx, cancel := context.WithTimeout(ctx, tickTimeout)
 	defer cancel()
 	for _, name := range names {
-		if err := m.drive(tickCtx, ctx, name, lead, blocked); err != nil {
+		if err := m.reconcile(tickCtx, ctx, name, lead, blocked); err != nil {
 			m.log.Info("roll-out step failed", "service", name, "err", err)
 		}
 	}
--- a/internal/rollout/manager_test.go
+++ b/internal/rollout/manager_test.go
@@ -17,28 +17,28 @@
 // the prior version is whole again within a minute.
 func TestUnhealthyVersionIsRolledBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := first(t, 8)
+		s := newSiteWithV1(t, 8)
 		s.setHealth(func(v string, replica int, since time.Duration) rollout.Health {
 			if v == "v2" && replica == 1 && since > 5*time.Second {
 				return rollout.Unhealthy
 			}
 			return rollout.Healthy
 		})
-		s.begin("v2", func(x *rollout.Spec) { x.Steps = []string{"1", "50%", "100%"} })
+		s.startRollout("v2", func(x *rollout.Spec) { x.Steps = []string{"1", "50%", "100%"} })
 		held := 0.0 // room for what was retired is kept until the roll-out is over
-		s.until("unhealthy", 5*time.Minute, func(r *rollout.Run) bool {
+		s.waitFor("unhealthy", 5*time.Minute, func(r *rollout.Run) bool {
 			held = max(held, s.managers["a"].ReservedCPUs())
 			return r.ID == 2 && r.Phase == rollout.RollingBack
 		})
-		if took := s.until("restored", time.Minute, final(2)); took > time.Minute {
+		if took := s.waitFor("restored", time.Minute, final(2)); took > time.Minute {
 			t.Errorf("restored after %v", took)
 		}
 		r := s.run()
-		if r.Phase != rollout.Restored || !strings.Contains(r.Reason, "/1") || s.most["v2"] == 8 {
-			t.Errorf("%s: %s; %d of the new version", r.Phase, r.Reason, s.most["v2"])
+		if r.Phase != rollout.Restored || !strings.Contains(r.Reason, "/1") || s.maxReplicas["v2"] == 8 {
+			t.Errorf("%s: %s; %d of the new version", r.Phase, r.Reason, s.maxReplicas["v2"])
 		}
-		if s.least < 8 {
-			t.Errorf("only %d healthy replicas of 8 on the way", s.least)
+		if s.minHealthy < 8 {
+			t.Errorf("only %d healthy replicas of 8 on the way", s.minHealthy)
 		}
 		if held < 1 || s.managers["a"].ReservedCPUs() != 0 {
 			t.Errorf("held %v CPUs, and %v in the end", held, s.managers["a"].ReservedCPUs())
@@ -55,7 +55,7 @@
 // when an operator says so. A version that flaps below the thresholds passes.
 func TestHangingCheckPausesAndFlappingVersionPasses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := first(t, 4)
+		s := newSiteWithV1(t, 4)
 		var hang atomic.Bool
 		hang.Store(true)
 		s.setHealth(func(v string, replica int, since time.Duration) rollout.Health {
@@ -67,17 +67,17 @@
 			}
 			return rollout.Healthy
 		})
-		s.begin("v2", nil)
-		s.until("paused", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.Paused })
+		s.startRollout("v2", nil)
+		s.waitFor("paused", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.Paused })
 		time.Sleep(10 * time.Minute)
-		if r := s.run(); r.Phase != rollout.Paused || !strings.Contains(r.Reason, "hangs") || !strings.Contains(r.Reason, "/0") || s.most["v2"] != 1 {
+		if r := s.run(); r.Phase != rollout.Paused || !strings.Contains(r.Reason, "hangs") || !strings.Contains(r.Reason, "/0") || s.maxReplicas["v2"] != 1 {
 			t.Errorf("%s: %s", r.Phase, r.Reason)
 		}
 		hang.Store(false)
-		if _, err := s.managers["a"].Order(context.Background(), "tips", rollout.VerbResume); err != nil {
+		if _, err := s.managers["a"].ApplyVerb(context.Background(), "tips", rollout.VerbResume); err != nil {
 			t.Fatal(err)
 		}
-		s.until("done", 10*time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.Done })
+		s.waitFor("done", 10*time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.Done })
 		s.close()
 	})
 }
@@ -86,59 +86,59 @@
 // holds; in a slot nothing starts.
 func TestStepsWaitForTheEndOfASlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := first(t, 4)
+		s := newSiteWithV1(t, 4)
 		s.settings.Classes = []string{slotClass}
 		s.setUnfinished(true)
-		s.begin("v2", nil)
-		s.until("waiting", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.WaitingSlot })
+		s.startRollout("v2", nil)
+		s.waitFor("waiting", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.WaitingSlot })
 		time.Sleep(5 * time.Minute)
-		if s.most["v2"] != 0 {
+		if s.maxReplicas["v2"] != 0 {
 			t.Error("began in a slot")
 		}
 		s.setUnfinished(false)
-		s.until("placing", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.Placing })
+		s.waitFor("placing", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.Placing })
 		s.setUnfinished(true)
-		s.until("waiting after its first step", 2*time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.WaitingSlot && r.Step == 1 })
+		s.waitFor("waiting after its first step", 2*time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.WaitingSlot && r.Step == 1 })
 		time.Sleep(5 * time.Minute)
-		if s.most["v2"] != 1 {
-			t.Errorf("%d replicas of the new version after a step of 1", s.most["v2"])
+		if s.maxReplicas["v2"] != 1 {
+			t.Errorf("%d replicas of the new version after a step of 1", s.maxReplicas["v2"])
 		}
 		s.setUnfinished(false)
-		s.until("done", 10*time.Minute, final(2))
+		s.waitFor("done", 10*time.Minute, final(2))
 		s.close()
 	})
 }
 
-// cause lets a fault happen, and what it needs to pass begin.
-func (s *site) cause(fault string) {
+// inject lets a fault happen, and what it needs to pass begin.
+func (s *site) inject(fault string) {
 	switch fault {
 	case "killed":
 		s.stop("a")
-		s.lead("b")
+		s.setLeader("b")
 		time.Sleep(4 * time.Second)
 		s.start("a")
 		time.Sleep(2 * time.Second)
-		s.lead("a")
+		s.setLeader("a")
 	case "deposed": // and does not know it for a while
 		s.mu.Lock()
 		leader, version := s.leader, s.version
 		s.mu.Unlock()
-		s.lead("b")
+		s.setLeader("b")
 		s.mu.Lock()
 		s.leader, s.version = leader, version
 		s.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		s.lead("b")
+		s.setLeader("b")
 		time.Sleep(time.Second)
-		s.lead("a")
+		s.setLeader("a")
 	case "state out":
 		s.mu.Lock()
-		s.outUntil = time.Now().Add(30 * time.Second)
+		s.unavailableUntil = time.Now().Add(30 * time.Second)
 		s.mu.Unlock()
 	case "machines lost":
 		s.mu.Lock()
 		for _, j := range s.jobs {
-			j.lost, j.back = 1, time.Now().Add(8*time.Second)
+			j.lost, j.lostUntil = 1, time.Now().Add(8*time.Second)
 		}
 		s.mu.Unlock()
 	}
@@ -152,7 +152,7 @@
 		if j.stopped {
 			continue
 		}
-		replicas += j.n
+		replicas += j.replicas
 		if unwanted(s.descs[uid]) {
 			left = append(left, uid+" of "+s.descs[uid])
 		}
@@ -174,22 +174,22 @@
 // rollOutWithFaults rolls a version out that turns unhealthy if it is bad, with a fault at
 // every transition.
 func rollOutWithFaults(t *testing.T, fault string, bad bool) {
-	s := first(t, 4)
+	s := newSiteWithV1(t, 4)
 	s.setHealth(func(v string, _ int, since time.Duration) rollout.Health {
 		if bad && v == "v2" && since > 20*time.Second {
 			return rollout.Unhealthy
 		}
 		return rollout.Healthy
 	})
-	s.begin("v2", func(x *rollout.Spec) { x.Steps = []string{"2", "100%"} })
+	s.startRollout("v2", func(x *rollout.Spec) { x.Steps = []string{"2", "100%"} })
 	faulted := map[string]bool{}
-	s.until(fmt.Sprintf("over (%s, bad %v)", fault, bad), 20*time.Minute, func(r *rollout.Run) bool {
+	s.waitFor(fmt.Sprintf("over (%s, bad %v)", fault, bad), 20*time.Minute, func(r *rollout.Run) bool {
 		at := fmt.Sprint(r.Step, r.Phase, len(r.New))
 		if faulted[at] || r.Phase.Final() {
 			return r.ID == 2 && r.Phase.Final()
 		}
 		faulted[at] = true
-		s.cause(fault)
+		s.inject(fault)
 		return false
 	})
 	want := rollout.Done
@@ -210,7 +210,7 @@
 // A roll-out that can't be is refused with the field's name, and nothing is changed.
 func TestInvalidStartIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := first(t, 4)
+		s := newSiteWithV1(t, 4)
 		before := len(s.store.Keys("rollout/"))
 		for want, change := range map[string]func(*rollout.Spec){
 			"service: other is unknown": func(x *rollout.Spec) { x.Service = "other" },
@@ -228,11 +228,11 @@
 		if after := len(s.store.Keys("rollout/")); after != before {
 			t.Errorf("%d records instead of %d", after, before)
 		}
-		s.begin("v2", nil)
+		s.startRollout("v2", nil)
 		if _, err := s.managers["b"].Start(t.Context(), spec()); !errors.Is(err, rollout.ErrInput) || !strings.Contains(err.Error(), "roll-out already") {
 			t.Errorf("a second one: %v", err)
 		}
-		s.until("done", 10*time.Minute, final(2))
+		s.waitFor("done", 10*time.Minute, final(2))
 		s.close()
 	})
 }
--- a/internal/rollout/operations.go
+++ b/internal/rollout/operations.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	maxOrderRetries = 5
-	minOrderBackoff = 50 * time.Millisecond
-	maxOrderBackoff = 500 * time.Millisecond
+	maxVerbRetries = 5
+	minVerbBackoff = 50 * time.Millisecond
+	maxVerbBackoff = 500 * time.Millisecond
 )
 
 // Start begins a roll-out, of a new service if it has replicas and a template. It fails with
 // ErrInput if the spec is wrong, with statestore.ErrUnavailable while the records are not
 // read, or as the state service does.
 func (m *Manager) Start(ctx context.Context, spec Spec) (*Run, error) {
-	spec.Fill()
+	spec.SetDefaults()
 	if err := spec.Validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInput, err)
 	}
@@ -110,21 +110,21 @@
 	return nil
 }
 
-// Order applies an operator's verb to a service's roll-out. It fails with ErrInput if that
+// ApplyVerb applies an operator's verb to a service's roll-out. It fails with ErrInput if that
 // can't be, or as the state service does.
-func (m *Manager) Order(ctx context.Context, service, verb string) (*Run, error) {
+func (m *Manager) ApplyVerb(ctx context.Context, service, verb string) (*Run, error) {
 	for attempt := 0; ; attempt++ {
-		run, err := m.order(ctx, service, verb)
+		run, err := m.applyVerb(ctx, service, verb)
 		var conflict *statestore.ConflictError
-		if !errors.As(err, &conflict) || attempt == maxOrderRetries {
+		if !errors.As(err, &conflict) || attempt == maxVerbRetries {
 			return run, err
 		}
 		// The leader went on meanwhile; its record comes with the watch.
-		statestore.Backoff(ctx, attempt, minOrderBackoff, maxOrderBackoff)
+		statestore.Backoff(ctx, attempt, minVerbBackoff, maxVerbBackoff)
 	}
 }
 
-func (m *Manager) order(ctx context.Context, name, verb string) (*Run, error) {
+func (m *Manager) applyVerb(ctx context.Context, name, verb string) (*Run, error) {
 	m.mu.Lock()
 	e := m.entries[name]
 	if e == nil || e.run == nil {
@@ -136,11 +136,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := Order(next.run, verb, time.Now()); err != nil {
+	if err := ApplyVerb(next.run, verb, time.Now()); err != nil {
 		return nil, err
 	}
 	if verb == VerbResume {
-		m.checks.forget(time.Now(), "j-svc-"+name+"-")
+		m.checks.removeStale(time.Now(), "j-svc-"+name+"-")
 	}
 	return next.run, m.write(ctx, name, &next)
 }
--- a/internal/rollout/recorded_settings_test.go
+++ b/internal/rollout/recorded_settings_test.go
@@ -19,17 +19,17 @@
 	if s.Descriptions != "http://127.0.0.1:7700" || len(s.Classes) != 2 || s.Classes[0] != "tip-split" || s.Classes[1] != "audit" || len(s.Slots) != 2 {
 		t.Fatalf("%+v", s)
 	}
-	if slot := s.Slots[0]; slot.Name != "nightly split" || slot.For != 90*time.Minute {
+	if slot := s.Slots[0]; slot.Name != "nightly split" || slot.Length != 90*time.Minute {
 		t.Errorf("%+v", slot)
 	}
 	at := time.Date(2026, 7, 10, 0, 30, 0, 0, time.UTC) // 01:30 in London
-	if until, on := s.Slots[0].In(at); !on || !until.Equal(at.Add(90*time.Minute)) {
+	if until, on := s.Slots[0].ActiveAt(at); !on || !until.Equal(at.Add(90*time.Minute)) {
 		t.Errorf("on %v until %v", on, until)
 	}
-	if why, want := s.Blocked(at, nil), `slot "nightly split" until 2026-07-10T02:00:00Z`; why != want {
+	if why, want := s.BlockedReason(at, nil), `slot "nightly split" until 2026-07-10T02:00:00Z`; why != want {
 		t.Errorf("%s, not %s", why, want)
 	}
-	why := s.Blocked(at.Add(12*time.Hour), func(class string) bool { return class == "audit" })
+	why := s.BlockedReason(at.Add(12*time.Hour), func(class string) bool { return class == "audit" })
 	if want := `a job of class "audit" is unfinished`; why != want {
 		t.Errorf("%s, not %s", why, want)
 	}
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -42,7 +42,7 @@
 	return Spec{
 		Service: "tips", To: fullVersion("v2"), Steps: []string{"1", "25%", "100%"},
 		Check: Check{HTTP: "/up", TCP: true, EveryS: 2, TimeoutS: 1.5, Healthy: 2, Unhealthy: 3, Tries: 4},
-		SoakS: 10, PlaceS: 120, OnFail: OnFailPause, Anytime: true, Template: fullTemplate(), Replicas: 8,
+		SoakS: 10, PlaceS: 120, OnFail: OnFailPause, IgnoreSlots: true, Template: fullTemplate(), Replicas: 8,
 	}
 }
 
@@ -56,11 +56,11 @@
 // fullRun returns a roll-out with every field set.
 func fullRun() Run {
 	return Run{
-		ID: 3, Spec: fullSpec(), From: fullVersion("v1"), Targets: []int{1, 2, 8}, Step: 1, Phase: RollingBack, Resume: Soaking,
+		ID: 3, Spec: fullSpec(), From: fullVersion("v1"), Targets: []int{1, 2, 8}, Step: 1, Phase: RollingBack, ResumePhase: Soaking,
 		Reason: "j-svc-tips-3-1/0 is <unhealthy> & é", Outcome: Restored,
 		New: batches("v2", "j-svc-tips-3-1", "j-svc-tips-3-2"), Old: batches("v1", "j-svc-tips-2-1"),
-		Restore: batches("v1", "j-svc-tips-3-4"), Drop: batches("v2", "j-svc-tips-3-3"),
-		Lost: 2, Seq: 4, Since: 1700000000123, Verdict: 1700000000456, Begun: 1700000000001, Ended: 1700000000789,
+		Restore: batches("v1", "j-svc-tips-3-4"), ToCancel: batches("v2", "j-svc-tips-3-3"),
+		Losses: 2, Seq: 4, PhaseSince: 1700000000123, RollbackSince: 1700000000456, Begun: 1700000000001, Ended: 1700000000789,
 	}
 }
 
@@ -104,8 +104,8 @@
 func TestRecordedKeys(t *testing.T) {
 	run := fullRun()
 	for got, want := range map[string]string{
-		prefix: "rollout/", serviceKey: "rollout/service/", runKey: "rollout/run/", pastKey: "rollout/past/",
-		run.batch(1, "v2").UID: "j-svc-tips-3-5",
+		keyPrefix: "rollout/", serviceKey: "rollout/service/", runKey: "rollout/run/", historyKey: "rollout/past/",
+		run.newBatch(1, "v2").UID: "j-svc-tips-3-5",
 	} {
 		if got != want {
 			t.Errorf("key %q, want %q", got, want)
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -12,10 +12,10 @@
 
 // Keys in the state service. Controllers of other versions share them.
 const (
-	prefix     = "rollout/"
-	serviceKey = prefix + "service/"
-	runKey     = prefix + "run/"
-	pastKey    = prefix + "past/"
+	keyPrefix     = "rollout/"
+	serviceKey = keyPrefix + "service/"
+	runKey     = keyPrefix + "run/"
+	historyKey    = keyPrefix + "past/"
 )
 
 // entry is a service and its last roll-out, as recorded, and what is known of the jobs. Its
@@ -59,8 +59,8 @@
 	m.synced = true
 }
 
-// change takes in changes of records.
-func (m *Manager) change(events []wire.Event) {
+// applyEvents takes in changes of records.
+func (m *Manager) applyEvents(events []wire.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, event := range events {
@@ -125,7 +125,7 @@
 		ops = append(ops, wire.Op{Put: serviceKey + name, Value: &next.service})
 	}
 	if next.run.Phase.Final() {
-		ops = append(ops, wire.Op{Put: fmt.Sprintf("%s%s/%06d", pastKey, name, next.run.ID), Value: next.run})
+		ops = append(ops, wire.Op{Put: fmt.Sprintf("%s%s/%06d", historyKey, name, next.run.ID), Value: next.run})
 	}
 	version, err := m.store.Txn(ctx, guards, ops...)
 	if err != nil {
--- a/internal/rollout/run.go
+++ b/internal/rollout/run.go
@@ -53,45 +53,45 @@
 	Targets []int   `json:"targets"` // new replicas after each step
 	Step    int     `json:"step"`    // index of the step in progress
 	Phase   Phase   `json:"phase"`
-	Resume  Phase   `json:"resume,omitempty"` // of a paused one
+	ResumePhase  Phase   `json:"resume,omitempty"` // of a paused one
 	Reason  string  `json:"why,omitempty"`
 	Outcome Phase   `json:"outcome,omitempty"` // that a roll-back ends in
 	New     []Batch `json:"new"`               // submitted, or to be
 	Old     []Batch `json:"old"`               // not retired
 	Restore []Batch `json:"restore,omitempty"` // old version, submitted again by a roll-back
-	Drop    []Batch `json:"drop,omitempty"`    // to be cancelled, perhaps again
-	Lost    int     `json:"lost,omitempty"`    // times that replicas were lost while soaking, in this step
+	ToCancel    []Batch `json:"drop,omitempty"`    // to be cancelled, perhaps again
+	Losses    int     `json:"lost,omitempty"`    // times that replicas were lost while soaking, in this step
 	Seq     int     `json:"seq"`               // numbers the jobs
-	Since   int64   `json:"since"`             // when the phase began; this and the next ones in ms of Unix time
-	Verdict int64   `json:"verdict,omitempty"` // when a roll-back was decided
+	PhaseSince   int64   `json:"since"`             // when the phase began; this and the next ones in ms of Unix time
+	RollbackSince int64   `json:"verdict,omitempty"` // when a roll-back was decided
 	Begun   int64   `json:"begun"`
 	Ended   int64   `json:"ended,omitempty"`
 }
 
-// total counts the replicas of batches.
-func total(batches []Batch) (n int) {
+// countReplicas counts the replicas of batches.
+func countReplicas(batches []Batch) (n int) {
 	for _, batch := range batches {
 		n += batch.Replicas
 	}
 	return n
 }
 
-// batch makes the next job of a roll-out. Its id is never used for another.
-func (r *Run) batch(replicas int, version string) Batch {
+// newBatch makes the next job of a roll-out. Its id is never used for another.
+func (r *Run) newBatch(replicas int, version string) Batch {
 	r.Seq++
 	return Batch{UID: fmt.Sprintf("j-svc-%s-%d-%d", r.Spec.Service, r.ID, r.Seq), Replicas: replicas, Version: version}
 }
 
-// enter begins a phase.
-func (r *Run) enter(p Phase, why string, now time.Time) {
-	r.Phase, r.Reason, r.Since = p, why, now.UnixMilli()
+// setPhase begins a phase.
+func (r *Run) setPhase(p Phase, why string, now time.Time) {
+	r.Phase, r.Reason, r.PhaseSince = p, why, now.UnixMilli()
 	if p.Final() {
-		r.Ended = r.Since
+		r.Ended = r.PhaseSince
 	}
 }
 
-// age is the time since the phase began.
-func (r *Run) age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(r.Since)) }
+// timeInPhase is the time since the phase began.
+func (r *Run) timeInPhase(now time.Time) time.Duration { return now.Sub(time.UnixMilli(r.PhaseSince)) }
 
 // clone returns a deep copy.
 func (r *Run) clone() (*Run, error) {
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -17,7 +17,7 @@
 type Slot struct {
 	Name  string
 	Start cron.Schedule // in the slot's zone
-	For   time.Duration
+	Length   time.Duration
 }
 
 // Settings are the operators' settings of roll-outs.
@@ -107,23 +107,23 @@
 	if second := start.Next(first); !second.IsZero() && second.Sub(first) <= length {
 		return nil, fmt.Errorf("calendar %q leaves no time between slots of %d minutes", spec, count)
 	}
-	return &Slot{Name: name, Start: start, For: length}, nil
+	return &Slot{Name: name, Start: start, Length: length}, nil
 }
 
-// In reports whether the slot is on, and until when.
-func (s *Slot) In(now time.Time) (until time.Time, on bool) {
-	start := s.Start.Next(now.Add(-s.For))
+// ActiveAt reports whether the slot is on, and until when.
+func (s *Slot) ActiveAt(now time.Time) (until time.Time, on bool) {
+	start := s.Start.Next(now.Add(-s.Length))
 	if start.IsZero() || start.After(now) {
 		return time.Time{}, false
 	}
-	return start.Add(s.For), true
+	return start.Add(s.Length), true
 }
 
-// Blocked returns why no step may begin now, or "". unfinished reports whether a job of a
+// BlockedReason returns why no step may begin now, or "". unfinished reports whether a job of a
 // class is unfinished.
-func (s *Settings) Blocked(now time.Time, unfinished func(class string) bool) string {
+func (s *Settings) BlockedReason(now time.Time, unfinished func(class string) bool) string {
 	for i := range s.Slots {
-		if until, on := s.Slots[i].In(now); on {
+		if until, on := s.Slots[i].ActiveAt(now); on {
 			return fmt.Sprintf("slot %q until %s", s.Slots[i].Name, until.UTC().Format(time.RFC3339))
 		}
 	}
--- a/internal/rollout/settings_test.go
+++ b/internal/rollout/settings_test.go
@@ -55,12 +55,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.Blocked(now, none) != ""; got != want {
+		if got := s.BlockedReason(now, none) != ""; got != want {
 			t.Errorf("%s: blocked %v", at, got)
 		}
 	}
 	noon := time.Date(2026, 1, 10, 12, 0, 0, 0, london)
-	if why := s.Blocked(noon, func(c string) bool { return c == "tip-split" }); !strings.Contains(why, "tip-split") {
+	if why := s.BlockedReason(noon, func(c string) bool { return c == "tip-split" }); !strings.Contains(why, "tip-split") {
 		t.Errorf("an unfinished job of the class: %q", why)
 	}
 }
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -20,44 +20,44 @@
 
 const shardKey = "c/shard/000"
 
-// core is a scheduler that runs whatever is accepted after some seconds.
-type core struct {
+// fakeCore is a scheduler that runs whatever is accepted after some seconds.
+type fakeCore struct {
 	t     testing.TB
 	store *testkit.Store
 
 	mu      sync.Mutex
 	leader  string
 	version uint64 // of the shard's key
-	jobs    map[string]*live
+	jobs    map[string]*liveJob
 	descs   map[string]string
 	health  func(version string, replica int, since time.Duration) rollout.Health
-	most    map[string]int // most live replicas of a version at once
-	least   int            // fewest healthy replicas since the first version was whole
-	whole   bool
-	want    int
+	maxReplicas    map[string]int // most live replicas of a version at once
+	minHealthy   int            // fewest healthy replicas since the first version was whole
+	firstVersionUp   bool
+	replicas    int
 	classes map[string]bool
 
-	outUntil time.Time // of the state service
+	unavailableUntil time.Time // of the state service
 }
 
-type live struct {
-	n       int
+type liveJob struct {
+	replicas       int
 	since   time.Time
 	stopped bool
 	lost    int // replicas lost with their machines until back
-	back    time.Time
+	lostUntil    time.Time
 }
 
-const startsAfter = 3 * time.Second
+const startDelay = 3 * time.Second
 
 // controllerView is the core as one controller's manager sees it.
 type controllerView struct {
-	*core
+	*fakeCore
 	name string
 	view *testkit.View
 }
 
-func (s controllerView) Lead() (wire.Guard, bool) {
+func (s controllerView) LeaderGuard() (wire.Guard, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return wire.Guard{Key: shardKey, Version: s.version}, s.leader == s.name
@@ -74,7 +74,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.jobs[job.UID] = &live{n: job.Tasks, since: time.Now()}
+	s.jobs[job.UID] = &liveJob{replicas: job.Tasks, since: time.Now()}
 	return nil
 }
 
@@ -90,15 +90,15 @@
 	return nil
 }
 
-func (c *core) Replicas(uid string) (out []rollout.Replica) {
+func (c *fakeCore) Replicas(uid string) (out []rollout.Replica) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[uid]
-	if j == nil || j.stopped || time.Since(j.since) < startsAfter {
+	if j == nil || j.stopped || time.Since(j.since) < startDelay {
 		return nil
 	}
-	n := j.n
-	if time.Now().Before(j.back) {
+	n := j.replicas
+	if time.Now().Before(j.lostUntil) {
 		n -= j.lost
 	}
 	for i := range n {
@@ -107,45 +107,45 @@
 	return out
 }
 
-func (c *core) Unfinished(class string) bool {
+func (c *fakeCore) Unfinished(class string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.classes[class]
 }
 
-// stateIsOut reports whether the managers can't reach the state service.
-func (c *core) stateIsOut() bool {
+// stateUnavailable reports whether the managers can't reach the state service.
+func (c *fakeCore) stateUnavailable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Before(c.outUntil)
+	return time.Now().Before(c.unavailableUntil)
 }
 
 // slotClass is the class whose unfinished jobs keep steps from beginning.
 const slotClass = "tip-split"
 
 // setUnfinished sets whether jobs of slotClass are unfinished from now on.
-func (c *core) setUnfinished(unfinished bool) {
+func (c *fakeCore) setUnfinished(unfinished bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.classes[slotClass] = unfinished
 }
 
 // setHealth sets the results of checks from now on.
-func (c *core) setHealth(health func(version string, replica int, since time.Duration) rollout.Health) {
+func (c *fakeCore) setHealth(health func(version string, replica int, since time.Duration) rollout.Health) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.health = health
 }
 
 // Put implements rollout.Descriptions.
-func (c *core) Put(_ context.Context, job string, d *taskspec.Spec) error {
+func (c *fakeCore) Put(_ context.Context, job string, d *taskspec.Spec) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.descs[job] = d.Argv[0]
 	return nil
 }
 
-func (c *core) healthOf(task string) rollout.Health {
+func (c *fakeCore) healthOf(task string) rollout.Health {
 	uid, n, _ := strings.Cut(task, "/")
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,11 +155,11 @@
 	}
 	replica := 0
 	_, _ = fmt.Sscan(n, &replica) // tasks are numbered
-	return c.health(c.descs[uid], replica, time.Since(j.since)-startsAfter)
+	return c.health(c.descs[uid], replica, time.Since(j.since)-startDelay)
 }
 
 // Probe implements rollout.Prober.
-func (c *core) Probe(ctx context.Context, r rollout.Replica, check rollout.Check) rollout.Health {
+func (c *fakeCore) Probe(ctx context.Context, r rollout.Replica, check rollout.Check) rollout.Health {
 	health := c.healthOf(r.Task)
 	if health == rollout.Hung {
 		select {
@@ -171,41 +171,41 @@
 	return health
 }
 
-// count records the fewest healthy and the most live replicas of a version.
-func (c *core) count() {
+// updateCounts records the fewest healthy and the most live replicas of a version.
+func (c *fakeCore) updateCounts() {
 	c.mu.Lock()
 	healthy, versions := 0, map[string]int{}
 	for uid, j := range c.jobs {
 		if j.stopped {
 			continue
 		}
-		versions[c.descs[uid]] += j.n
-		if time.Since(j.since) < startsAfter {
+		versions[c.descs[uid]] += j.replicas
+		if time.Since(j.since) < startDelay {
 			continue
 		}
-		for i := range j.n {
-			if c.health(c.descs[uid], i, time.Since(j.since)-startsAfter) == rollout.Healthy {
+		for i := range j.replicas {
+			if c.health(c.descs[uid], i, time.Since(j.since)-startDelay) == rollout.Healthy {
 				healthy++
 			}
 		}
 	}
 	defer c.mu.Unlock()
 	for v, n := range versions {
-		c.most[v] = max(c.most[v], n)
+		c.maxReplicas[v] = max(c.maxReplicas[v], n)
 	}
-	if healthy >= c.want {
-		c.whole = true
+	if healthy >= c.replicas {
+		c.firstVersionUp = true
 	}
-	if c.whole {
-		c.least = min(c.least, healthy)
+	if c.firstVersionUp {
+		c.minHealthy = min(c.minHealthy, healthy)
 	}
 }
 
-func healthyAlways(string, int, time.Duration) rollout.Health { return rollout.Healthy }
+func alwaysHealthy(string, int, time.Duration) rollout.Health { return rollout.Healthy }
 
 // site is managers a and b over one store.
 type site struct {
-	*core
+	*fakeCore
 	managers map[string]*rollout.Manager
 	stops    map[string]context.CancelFunc
 	dones    map[string]chan struct{}
@@ -214,14 +214,14 @@
 
 func newSite(t testing.TB, replicas int) *site {
 	store := testkit.NewStore()
-	c := &core{t: t, store: store, leader: "a", jobs: map[string]*live{}, descs: map[string]string{}, health: healthyAlways, most: map[string]int{}, least: replicas, want: replicas, classes: map[string]bool{}}
+	c := &fakeCore{t: t, store: store, leader: "a", jobs: map[string]*liveJob{}, descs: map[string]string{}, health: alwaysHealthy, maxReplicas: map[string]int{}, minHealthy: replicas, replicas: replicas, classes: map[string]bool{}}
 	v := &testkit.View{Store: store}
 	rev, err := v.Txn(context.Background(), nil, wire.Op{Put: shardKey, Value: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.version = rev
-	s := &site{core: c, managers: map[string]*rollout.Manager{}, stops: map[string]context.CancelFunc{}, dones: map[string]chan struct{}{}, settings: &rollout.Settings{Descriptions: "x"}}
+	s := &site{fakeCore: c, managers: map[string]*rollout.Manager{}, stops: map[string]context.CancelFunc{}, dones: map[string]chan struct{}{}, settings: &rollout.Settings{Descriptions: "x"}}
 	s.start("a")
 	s.start("b")
 	return s
@@ -229,8 +229,8 @@
 
 func (s *site) start(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	view := &testkit.View{Store: s.store, Down: s.stateIsOut}
-	m := rollout.NewManager(s.settings, view, controllerView{s.core, name, view}, s.core, s.core, 16<<10, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	view := &testkit.View{Store: s.store, Down: s.stateUnavailable}
+	m := rollout.NewManager(s.settings, view, controllerView{s.fakeCore, name, view}, s.fakeCore, s.fakeCore, 16<<10, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	done := make(chan struct{})
 	go func() { defer close(done); _ = m.Run(ctx) }()
 	s.managers[name], s.stops[name], s.dones[name] = m, cancel, done
@@ -241,8 +241,8 @@
 	<-s.dones[name]
 }
 
-// lead makes another controller the leader.
-func (s *site) lead(name string) {
+// setLeader makes another controller the leader.
+func (s *site) setLeader(name string) {
 	rev, err := (&testkit.View{Store: s.store}).Txn(context.Background(), nil, wire.Op{Put: shardKey, Value: 1})
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -267,9 +267,9 @@
 	return nil
 }
 
-// until waits, at most a while, for the roll-out to be so; it returns how long
+// waitFor waits, at most a while, for the roll-out to be so; it returns how long
 // that took.
-func (s *site) until(what string, most time.Duration, so func(*rollout.Run) bool) time.Duration {
+func (s *site) waitFor(what string, most time.Duration, so func(*rollout.Run) bool) time.Duration {
 	began := time.Now()
 	for {
 		r := s.run()
@@ -277,9 +277,9 @@
 			return time.Since(began)
 		}
 		if time.Since(began) > most {
-			s.t.Fatalf("not %s after %v: %s, step %d: %s; new %v, old %v, drop %v, restore %v", what, most, r.Phase, r.Step, r.Reason, r.New, r.Old, r.Drop, r.Restore)
+			s.t.Fatalf("not %s after %v: %s, step %d: %s; new %v, old %v, drop %v, restore %v", what, most, r.Phase, r.Step, r.Reason, r.New, r.Old, r.ToCancel, r.Restore)
 		}
-		s.count()
+		s.updateCounts()
 		time.Sleep(100 * time.Millisecond)
 	}
 }
@@ -288,7 +288,7 @@
 	return func(r *rollout.Run) bool { return r.ID == id && r.Phase.Final() }
 }
 
-func (s *site) begin(version string, change func(*rollout.Spec)) {
+func (s *site) startRollout(version string, change func(*rollout.Spec)) {
 	spec := spec()
 	spec.To = rollout.Version{Name: version, Desc: taskspec.Spec{Argv: []string{version}, CPUs: 1}}
 	if change != nil {
@@ -306,10 +306,10 @@
 	}
 }
 
-// first brings version v1 of a new service up.
-func first(t *testing.T, replicas int) *site {
+// newSiteWithV1 brings version v1 of a new service up.
+func newSiteWithV1(t *testing.T, replicas int) *site {
 	s := newSite(t, replicas)
-	s.begin("v1", func(x *rollout.Spec) { x.Replicas, x.Steps = replicas, []string{"1", "50%", "100%"} })
-	s.until("up", 5*time.Minute, final(1))
+	s.startRollout("v1", func(x *rollout.Spec) { x.Replicas, x.Steps = replicas, []string{"1", "50%", "100%"} })
+	s.waitFor("up", 5*time.Minute, final(1))
 	return s
 }
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -61,13 +61,13 @@
 	SoakS    float64  `json:"soakS"`  // for which a step's replicas must stay healthy
 	PlaceS   float64  `json:"placeS"` // in which a step's replicas must run and be healthy
 	OnFail   string   `json:"onFail"`
-	Anytime  bool     `json:"anytime,omitempty"` // steps begin in slots too
+	IgnoreSlots  bool     `json:"anytime,omitempty"` // steps begin in slots too
 	Template wire.Job `json:"template"`          // class, team, priority, resources; for a new service
 	Replicas int      `json:"replicas"`          // of a new service
 }
 
-// Fill sets the fields that are zero to their defaults.
-func (s *Spec) Fill() {
+// SetDefaults sets the fields that are zero to their defaults.
+func (s *Spec) SetDefaults() {
 	if len(s.Steps) == 0 {
 		s.Steps = []string{"1", "25%", "100%"}
 	}
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -26,14 +26,14 @@
 	Hung      string `json:"Hung"`      // a replica whose checks hang, or ""
 }
 
-// Seen is the observed state that a roll-out goes on by.
-type Seen struct {
+// Observation is the observed state that a roll-out goes on by.
+type Observation struct {
 	Jobs    map[string]JobStatus
-	Blocked string // why no step may begin now, or ""
+	BlockedReason string // why no step may begin now, or ""
 }
 
 // healthy counts the healthy replicas of batches.
-func (s *Seen) healthy(batches []Batch) (n int) {
+func (s *Observation) healthy(batches []Batch) (n int) {
 	for _, batch := range batches {
 		n += s.Jobs[batch.UID].Healthy
 	}
@@ -41,7 +41,7 @@
 }
 
 // running counts the running replicas of batches.
-func (s *Seen) running(batches []Batch) (n int) {
+func (s *Observation) running(batches []Batch) (n int) {
 	for _, batch := range batches {
 		n += s.Jobs[batch.UID].Running
 	}
@@ -49,7 +49,7 @@
 }
 
 // failures names the first unhealthy replica of batches, and the first whose checks hang.
-func (s *Seen) failures(batches []Batch) (unhealthy, hung string) {
+func (s *Observation) failures(batches []Batch) (unhealthy, hung string) {
 	for _, batch := range batches {
 		job := s.Jobs[batch.UID]
 		unhealthy, hung = cmp.Or(unhealthy, job.Unhealthy), cmp.Or(hung, job.Hung)
@@ -58,50 +58,50 @@
 }
 
 // ended reports whether the jobs of all batches are cancelled.
-func (s *Seen) ended(batches []Batch) bool {
+func (s *Observation) ended(batches []Batch) bool {
 	return !slices.ContainsFunc(batches, func(batch Batch) bool { return !s.Jobs[batch.UID].Ended })
 }
 
-// Wanted returns what a recorded roll-out needs done, repeated until it is observed: jobs that
+// RequiredActions returns what a recorded roll-out needs done, repeated until it is observed: jobs that
 // must be submitted, and jobs that must be cancelled.
-func Wanted(r *Run) (submit, drop []Batch) {
-	return append(append(submit, r.New...), r.Restore...), r.Drop
+func RequiredActions(r *Run) (submit, drop []Batch) {
+	return append(append(submit, r.New...), r.Restore...), r.ToCancel
 }
 
-// Next changes a service and its roll-out to the state that follows; false if nothing changes.
+// Advance changes a service and its roll-out to the state that follows; false if nothing changes.
 // What the new state wants is done only once it is written.
-func Next(service *Service, r *Run, seen *Seen, now time.Time) bool {
+func Advance(service *Service, r *Run, seen *Observation, now time.Time) bool {
 	switch r.Phase {
 	case Pending, WaitingSlot:
-		if seen.Blocked != "" && !r.Spec.Anytime {
-			if r.Phase == WaitingSlot && r.Reason == seen.Blocked {
+		if seen.BlockedReason != "" && !r.Spec.IgnoreSlots {
+			if r.Phase == WaitingSlot && r.Reason == seen.BlockedReason {
 				return false
 			}
-			r.enter(WaitingSlot, seen.Blocked, now)
+			r.setPhase(WaitingSlot, seen.BlockedReason, now)
 			return true
 		}
-		r.begin(now)
+		r.beginStep(now)
 	case Placing, Soaking, Retiring:
-		return r.step(service, seen, now)
+		return r.advanceStep(service, seen, now)
 	case RollingBack:
-		return r.continueRollback(service, seen, now)
+		return r.advanceRollback(service, seen, now)
 	default:
 		return false
 	}
 	return true
 }
 
-// begin starts a step: its replicas are to be submitted.
-func (r *Run) begin(now time.Time) {
-	if more := r.Targets[r.Step] - total(r.New); more > 0 {
-		r.New = append(r.New, r.batch(more, r.Spec.To.Name))
+// beginStep starts a step: its replicas are to be submitted.
+func (r *Run) beginStep(now time.Time) {
+	if more := r.Targets[r.Step] - countReplicas(r.New); more > 0 {
+		r.New = append(r.New, r.newBatch(more, r.Spec.To.Name))
 	}
-	r.Lost = 0
-	r.enter(Placing, "", now)
+	r.Losses = 0
+	r.setPhase(Placing, "", now)
 }
 
-// step goes on with a step whose replicas are placed, soak, or replace old ones.
-func (r *Run) step(service *Service, seen *Seen, now time.Time) bool {
+// advanceStep goes on with a advanceStep whose replicas are placed, soak, or replace old ones.
+func (r *Run) advanceStep(service *Service, seen *Observation, now time.Time) bool {
 	unhealthy, hung := seen.failures(r.New)
 	switch {
 	case unhealthy != "":
@@ -109,7 +109,7 @@
 		if r.Spec.OnFail == OnFailPause {
 			r.pause(why, now)
 		} else {
-			r.rollBack(Restored, why, now)
+			r.beginRollback(Restored, why, now)
 		}
 		return true
 	case hung != "":
@@ -118,24 +118,24 @@
 		r.pause("the health check hangs: "+hung, now)
 		return true
 	}
-	healthy, want := seen.healthy(r.New), total(r.New)
+	healthy, want := seen.healthy(r.New), countReplicas(r.New)
 	switch {
 	case r.Phase == Placing && healthy >= want:
-		r.enter(Soaking, "", now)
-	case r.Phase == Placing && r.age(now) > seconds(r.Spec.PlaceS):
+		r.setPhase(Soaking, "", now)
+	case r.Phase == Placing && r.timeInPhase(now) > seconds(r.Spec.PlaceS):
 		r.pause(fmt.Sprintf("%d of %d new replicas run and %d are healthy after %g s", seen.running(r.New), want, healthy, r.Spec.PlaceS), now)
 	case r.Phase == Soaking && healthy < want:
 		// Machines fail, which is no fault of the version; replicas that end again and
 		// again are.
-		if r.Lost++; r.Lost > maxLosses {
-			r.pause(fmt.Sprintf("replicas were lost %d times while soaking", r.Lost), now)
+		if r.Losses++; r.Losses > maxLosses {
+			r.pause(fmt.Sprintf("replicas were lost %d times while soaking", r.Losses), now)
 		} else {
-			r.enter(Placing, "replicas were lost while soaking", now)
+			r.setPhase(Placing, "replicas were lost while soaking", now)
 		}
-	case r.Phase == Soaking && r.age(now) >= seconds(r.Spec.SoakS):
+	case r.Phase == Soaking && r.timeInPhase(now) >= seconds(r.Spec.SoakS):
 		r.retire(service)
-		r.enter(Retiring, "", now)
-	case r.Phase == Retiring && seen.ended(r.Drop):
+		r.setPhase(Retiring, "", now)
+	case r.Phase == Retiring && seen.ended(r.ToCancel):
 		r.endStep(service, now)
 	default:
 		return false
@@ -145,27 +145,27 @@
 
 // endStep goes on to the next step, or to the end.
 func (r *Run) endStep(service *Service, now time.Time) {
-	r.Drop = nil
+	r.ToCancel = nil
 	if r.Step+1 < len(r.Targets) {
 		r.Step++
-		r.enter(WaitingSlot, "", now)
+		r.setPhase(WaitingSlot, "", now)
 		return
 	}
 	service.Version, service.Batches = r.Spec.To, r.New
 	r.Old, r.Outcome = nil, Done
-	r.enter(Done, "", now)
+	r.setPhase(Done, "", now)
 }
 
 // retire marks old jobs to be cancelled, as far as the service keeps its replicas without them.
 func (r *Run) retire(service *Service) {
-	spare := total(r.New) + total(r.Old) - service.Replicas
+	spare := countReplicas(r.New) + countReplicas(r.Old) - service.Replicas
 	old := slices.Clone(r.Old)
 	slices.SortStableFunc(old, func(a, b Batch) int { return a.Replicas - b.Replicas })
 	r.Old = nil
 	for _, batch := range old {
 		if batch.Replicas <= spare {
 			spare -= batch.Replicas
-			r.Drop = append(r.Drop, batch)
+			r.ToCancel = append(r.ToCancel, batch)
 		} else {
 			r.Old = append(r.Old, batch)
 		}
@@ -174,39 +174,39 @@
 
 // pause stops the roll-out until an operator resumes or aborts it.
 func (r *Run) pause(why string, now time.Time) {
-	r.Resume = r.Phase
-	r.enter(Paused, why, now)
+	r.ResumePhase = r.Phase
+	r.setPhase(Paused, why, now)
 }
 
-// rollBack has the old version restored, to end as outcome.
-func (r *Run) rollBack(outcome Phase, why string, now time.Time) {
-	r.Outcome, r.Verdict, r.Resume = outcome, now.UnixMilli(), ""
+// beginRollback has the old version restored, to end as outcome.
+func (r *Run) beginRollback(outcome Phase, why string, now time.Time) {
+	r.Outcome, r.RollbackSince, r.ResumePhase = outcome, now.UnixMilli(), ""
 	replicas := r.Targets[len(r.Targets)-1]
-	if missing := replicas - total(r.Old); missing > 0 && r.From.Name != "" { // a new service has nothing to restore
-		r.Restore = append(r.Restore, r.batch(missing, r.From.Name))
+	if missing := replicas - countReplicas(r.Old); missing > 0 && r.From.Name != "" { // a new service has nothing to restore
+		r.Restore = append(r.Restore, r.newBatch(missing, r.From.Name))
 	}
-	r.enter(RollingBack, why, now)
+	r.setPhase(RollingBack, why, now)
 }
 
-// continueRollback goes on with a roll-back: the new version's replicas are cancelled once the
+// advanceRollback goes on with a roll-back: the new version's replicas are cancelled once the
 // old one's are healthy, or sooner if these find no room beside them.
-func (r *Run) continueRollback(service *Service, seen *Seen, now time.Time) bool {
+func (r *Run) advanceRollback(service *Service, seen *Observation, now time.Time) bool {
 	kept := append(slices.Clone(r.Old), r.Restore...)
-	restored := seen.healthy(r.Restore) >= total(r.Restore)
+	restored := seen.healthy(r.Restore) >= countReplicas(r.Restore)
 	timeout := restoreTimeout
 	if r.Outcome == Aborted {
 		timeout = max(timeout, seconds(r.Spec.PlaceS)) // the new ones may be healthy
 	}
-	crowded := seen.running(r.Restore) < total(r.Restore) && r.age(now) > timeout
+	crowded := seen.running(r.Restore) < countReplicas(r.Restore) && r.timeInPhase(now) > timeout
 	switch {
 	case len(r.New) > 0 && (restored || crowded):
-		r.Drop = append(r.Drop, r.New...)
+		r.ToCancel = append(r.ToCancel, r.New...)
 		r.New = nil
 		return true
-	case len(r.New) == 0 && restored && seen.ended(r.Drop):
+	case len(r.New) == 0 && restored && seen.ended(r.ToCancel):
 		service.Version, service.Batches = r.From, kept
-		r.Drop = nil
-		r.enter(r.Outcome, r.Reason, now)
+		r.ToCancel = nil
+		r.setPhase(r.Outcome, r.Reason, now)
 		return true
 	}
 	return false
@@ -219,8 +219,8 @@
 	VerbAbort  = "abort"
 )
 
-// Order applies an operator's verb to a roll-out. Its errors are ErrInput.
-func Order(r *Run, verb string, now time.Time) error {
+// ApplyVerb applies an operator's verb to a roll-out. Its errors are ErrInput.
+func ApplyVerb(r *Run, verb string, now time.Time) error {
 	switch {
 	case r.Phase.Final():
 		return fmt.Errorf("%w: roll-out %d of %s is over: %s", ErrInput, r.ID, r.Spec.Service, r.Phase)
@@ -233,10 +233,10 @@
 	case verb == VerbResume && r.Phase != Paused:
 		return fmt.Errorf("%w: it is not paused but %s", ErrInput, r.Phase)
 	case verb == VerbResume:
-		r.enter(r.Resume, "", now)
-		r.Resume, r.Lost = "", 0
+		r.setPhase(r.ResumePhase, "", now)
+		r.ResumePhase, r.Losses = "", 0
 	case verb == VerbAbort:
-		r.rollBack(Aborted, "by an operator", now)
+		r.beginRollback(Aborted, "by an operator", now)
 	default:
 		return fmt.Errorf("%w: verb: %q is none of pause, resume, abort", ErrInput, verb)
 	}
@@ -256,6 +256,6 @@
 		return nil, fieldError("to.name", "%s runs %s already", service.Name, spec.To.Name)
 	}
 	r := &Run{ID: id, Spec: spec, From: service.Version, Targets: targets, Old: slices.Clone(service.Batches), Begun: now.UnixMilli()}
-	r.enter(Pending, "", now)
+	r.setPhase(Pending, "", now)
 	return r, nil
 }
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -14,7 +14,7 @@
 
 func spec() rollout.Spec {
 	s := rollout.Spec{Service: "tips", To: rollout.Version{Name: "v2", Desc: taskspec.Spec{Argv: []string{"x"}, CPUs: 1}}, Check: rollout.Check{HTTP: "/up"}}
-	s.Fill()
+	s.SetDefaults()
 	return s
 }
 
@@ -56,48 +56,48 @@
 	}
 }
 
-// world is a scheduler that runs the jobs, two leaders that drive the roll-out, of whom one may
+// model is a scheduler that runs the jobs, two leaders that drive the roll-out, of whom one may
 // have lost its lead without knowing it, and their delayed messages.
-type world struct {
+type model struct {
 	svc      rollout.Service
 	run      rollout.Run
 	version  int               // of the recorded state
 	jobs     map[string]int    // live replicas by job
-	of       map[string]string // version by job
+	versionOf       map[string]string // version by job
 	ended    map[string]bool
 	lost     map[string]int // replicas that were lost with their machines
 	bad      string         // the version that is unhealthy
 	hung     bool
 	blocked  bool
 	now      time.Time
-	late     []func() // delayed messages
+	delayedMessages     []func() // delayed messages
 	replicas int
 
-	leaders [2]reader
-	begun   map[int]int       // how often, by step
-	ever    map[string]string // the version that a job ran before
+	leaders [2]snapshot
+	beginCounts   map[int]int       // how often, by step
+	firstVersionOf    map[string]string // the version that a job ran before
 	final   rollout.Phase
 }
 
-// reader is the recorded state as a leader read it.
-type reader struct {
+// snapshot is the recorded state as a leader read it.
+type snapshot struct {
 	run rollout.Run
 	svc rollout.Service
-	at  int
+	version  int
 }
 
-// newWorld draws a service and plans its roll-out.
-func newWorld(t *rapid.T) *world {
+// newModel draws a service and plans its roll-out.
+func newModel(t *rapid.T) *model {
 	replicas := rapid.IntRange(1, 9).Draw(t, "replicas")
-	w := &world{
-		svc: *service(replicas), jobs: map[string]int{}, of: map[string]string{}, ended: map[string]bool{}, lost: map[string]int{},
-		now: time.Unix(1e9, 0), replicas: replicas, begun: map[int]int{}, ever: map[string]string{},
+	w := &model{
+		svc: *service(replicas), jobs: map[string]int{}, versionOf: map[string]string{}, ended: map[string]bool{}, lost: map[string]int{},
+		now: time.Unix(1e9, 0), replicas: replicas, beginCounts: map[int]int{}, firstVersionOf: map[string]string{},
 	}
 	for left, i := replicas, 0; left > 0; i++ {
 		n := rapid.IntRange(1, left).Draw(t, "batch")
 		uid := fmt.Sprintf("j-old-%d", i)
 		w.svc.Batches = append(w.svc.Batches, rollout.Batch{UID: uid, Replicas: n, Version: "v1"})
-		w.jobs[uid], w.of[uid] = n, "v1"
+		w.jobs[uid], w.versionOf[uid] = n, "v1"
 		left -= n
 	}
 	s := spec()
@@ -109,30 +109,30 @@
 		t.Fatal(err)
 	}
 	w.run = *r
-	w.leaders = [2]reader{w.read(), w.read()}
+	w.leaders = [2]snapshot{w.read(), w.read()}
 	return w
 }
 
 // read returns a copy of the recorded state.
-func (w *world) read() reader {
+func (w *model) read() snapshot {
 	c := w.run
-	for _, batches := range []*[]rollout.Batch{&c.New, &c.Old, &c.Drop, &c.Restore} {
+	for _, batches := range []*[]rollout.Batch{&c.New, &c.Old, &c.ToCancel, &c.Restore} {
 		*batches = append([]rollout.Batch(nil), *batches...)
 	}
-	return reader{c, w.svc, w.version}
+	return snapshot{c, w.svc, w.version}
 }
 
-func (w *world) seen() *rollout.Seen {
-	s := &rollout.Seen{Jobs: map[string]rollout.JobStatus{}}
+func (w *model) observe() *rollout.Observation {
+	s := &rollout.Observation{Jobs: map[string]rollout.JobStatus{}}
 	if w.blocked {
-		s.Blocked = "slot"
+		s.BlockedReason = "slot"
 	}
 	for uid, n := range w.jobs {
 		j := rollout.JobStatus{Running: n - w.lost[uid]}
 		switch {
-		case w.of[uid] == w.bad:
+		case w.versionOf[uid] == w.bad:
 			j.Unhealthy = uid
-		case w.of[uid] == "v2" && w.hung:
+		case w.versionOf[uid] == "v2" && w.hung:
 			j.Hung = uid
 		default:
 			j.Healthy = j.Running
@@ -145,21 +145,21 @@
 	return s
 }
 
-// act does what a recorded state wants; at is the version that was read. What delayed reports
+// execute does what a recorded state wants; at is the version that was read. What delayed reports
 // true for is done later.
-func (w *world) act(r *rollout.Run, at int, delayed func() bool) {
+func (w *model) execute(r *rollout.Run, at int, delayed func() bool) {
 	do := func(f func()) {
 		if delayed() {
-			w.late = append(w.late, f)
+			w.delayedMessages = append(w.delayedMessages, f)
 		} else {
 			f()
 		}
 	}
-	submit, drop := rollout.Wanted(r)
+	submit, drop := rollout.RequiredActions(r)
 	for _, b := range submit {
 		do(func() {
 			if w.version == at && w.jobs[b.UID] == 0 && !w.ended[b.UID] { // guarded by the state's version
-				w.jobs[b.UID], w.of[b.UID] = b.Replicas, b.Version
+				w.jobs[b.UID], w.versionOf[b.UID] = b.Replicas, b.Version
 			}
 		})
 	}
@@ -172,23 +172,23 @@
 }
 
 // check checks what holds at any time.
-func (w *world) check(t *rapid.T) {
+func (w *model) check(t *rapid.T) {
 	healthy, all := 0, 0
 	for uid, n := range w.jobs {
 		all += n
-		if w.of[uid] != w.bad {
+		if w.versionOf[uid] != w.bad {
 			healthy += n
 		}
-		if v, had := w.ever[uid]; had && v != w.of[uid] {
-			t.Fatalf("%s ran %s and %s", uid, v, w.of[uid])
+		if v, had := w.firstVersionOf[uid]; had && v != w.versionOf[uid] {
+			t.Fatalf("%s ran %s and %s", uid, v, w.versionOf[uid])
 		}
-		w.ever[uid] = w.of[uid]
+		w.firstVersionOf[uid] = w.versionOf[uid]
 	}
 	// A version that turns unhealthy when the old one has ended, and replicas that made way
 	// for a restore that finds no room, are what happens, not what was decided.
 	crowded := w.run.Phase == rollout.RollingBack && len(w.run.New) == 0
 	if w.bad == "" && !crowded && healthy < w.replicas {
-		t.Fatalf("%d of %d promised replicas in %s: jobs %v of %v", healthy, w.replicas, w.run.Phase, w.jobs, w.of)
+		t.Fatalf("%d of %d promised replicas in %s: jobs %v of %v", healthy, w.replicas, w.run.Phase, w.jobs, w.versionOf)
 	}
 	if all > 3*w.replicas {
 		t.Fatalf("%d replicas live of %d promised", all, w.replicas)
@@ -206,17 +206,17 @@
 
 // drive has a leader act on what it read, record what follows, and read again. If the state
 // was changed meanwhile its write fails.
-func (w *world) drive(t *rapid.T, leader int, delayed func() bool) {
+func (w *model) drive(t *rapid.T, leader int, delayed func() bool) {
 	o := w.leaders[leader]
-	w.act(&o.run, o.at, delayed)
+	w.execute(&o.run, o.version, delayed)
 	w.check(t)
 	next, svc := o.run, o.svc
 	was := next.Step
-	if rollout.Next(&svc, &next, w.seen(), w.now) && o.at == w.version {
+	if rollout.Advance(&svc, &next, w.observe(), w.now) && o.version == w.version {
 		w.version++
 		w.run, w.svc = next, svc
 		if next.Phase == rollout.Placing && was == next.Step && len(next.New) != len(o.run.New) {
-			if w.begun[next.Step]++; w.begun[next.Step] > 1 {
+			if w.beginCounts[next.Step]++; w.beginCounts[next.Step] > 1 {
 				t.Fatalf("step %d was begun twice", next.Step)
 			}
 		}
@@ -225,10 +225,10 @@
 	w.leaders[leader] = w.read()
 }
 
-// order records what an operator's verb does, if it is allowed.
-func (w *world) order(verb string) error {
+// applyVerb records what an operator's verb does, if it is allowed.
+func (w *model) applyVerb(verb string) error {
 	c := w.read()
-	err := rollout.Order(&c.run, verb, w.now)
+	err := rollout.ApplyVerb(&c.run, verb, w.now)
 	if err == nil {
 		w.version++
 		w.run = c.run
@@ -236,8 +236,8 @@
 	return err
 }
 
-// event lets one drawn event happen.
-func (w *world) event(t *rapid.T, delayed func() bool) {
+// randomEvent lets one drawn randomEvent happen.
+func (w *model) randomEvent(t *rapid.T, delayed func() bool) {
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0:
 		w.blocked = !w.blocked
@@ -248,13 +248,13 @@
 			w.bad = "v2"
 		}
 	case 3:
-		_ = w.order(rapid.SampledFrom([]string{rollout.VerbPause, rollout.VerbResume, rollout.VerbResume, rollout.VerbAbort}).Draw(t, "verb")) // it may be refused
+		_ = w.applyVerb(rapid.SampledFrom([]string{rollout.VerbPause, rollout.VerbResume, rollout.VerbResume, rollout.VerbAbort}).Draw(t, "verb")) // it may be refused
 	case 4: // delayed messages arrive
-		for _, f := range w.late {
+		for _, f := range w.delayedMessages {
 			f()
 			w.check(t)
 		}
-		w.late = nil
+		w.delayedMessages = nil
 	default:
 		w.drive(t, rapid.IntRange(0, 1).Draw(t, "leader"), delayed)
 	}
@@ -262,21 +262,21 @@
 }
 
 // finish lets nothing fail any more, and one leader drive the roll-out to its end.
-func (w *world) finish(t *rapid.T) {
+func (w *model) finish(t *rapid.T) {
 	w.blocked, w.hung = false, false
 	never := func() bool { return false }
 	for range 80 {
 		w.now = w.now.Add(20 * time.Second)
-		for _, f := range w.late {
+		for _, f := range w.delayedMessages {
 			f()
 		}
-		w.late = nil
+		w.delayedMessages = nil
 		if w.run.Phase == rollout.Paused {
 			verb := rollout.VerbResume
 			if w.bad == "v2" {
 				verb = rollout.VerbAbort
 			}
-			if err := w.order(verb); err != nil {
+			if err := w.applyVerb(verb); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -285,14 +285,14 @@
 }
 
 // checkEnd checks that the roll-out has ended, and that just what is recorded runs.
-func (w *world) checkEnd(t *rapid.T) {
+func (w *model) checkEnd(t *rapid.T) {
 	if !w.run.Phase.Final() {
 		t.Fatalf("ends in %s: %s", w.run.Phase, w.run.Reason)
 	}
 	all := 0
 	for _, b := range w.svc.Batches {
-		if w.jobs[b.UID] != b.Replicas || w.of[b.UID] != w.svc.Version.Name {
-			t.Fatalf("recorded %+v, runs %v of %v", b, w.jobs, w.of)
+		if w.jobs[b.UID] != b.Replicas || w.versionOf[b.UID] != w.svc.Version.Name {
+			t.Fatalf("recorded %+v, runs %v of %v", b, w.jobs, w.versionOf)
 		}
 		all += b.Replicas
 	}
@@ -309,11 +309,11 @@
 // a step is done once, and there is one outcome.
 func TestRollOutModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newModel(t)
 		delayed := func() bool { return rapid.IntRange(0, 3).Draw(t, "delayed") == 0 }
 		for range rapid.IntRange(1, 60).Draw(t, "turns") {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second)
-			w.event(t, delayed)
+			w.randomEvent(t, delayed)
 		}
 		w.finish(t)
 		w.checkEnd(t)
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -18,7 +18,7 @@
 	defer m.mu.Unlock()
 	for _, e := range m.entries {
 		if e.active() && e.run.From.Name != "" {
-			cpus += float64(max(0, e.service.Replicas-total(e.run.Old))) * e.run.From.Desc.CPUs
+			cpus += float64(max(0, e.service.Replicas-countReplicas(e.run.Old))) * e.run.From.Desc.CPUs
 		}
 	}
 	return cpus
@@ -49,7 +49,7 @@
 
 // History reads a service's ended roll-outs from the state service, oldest first.
 func (m *Manager) History(ctx context.Context, service string) ([]Run, error) {
-	items, _, err := m.store.List(ctx, pastKey+service+"/")
+	items, _, err := m.store.List(ctx, historyKey+service+"/")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -9,9 +9,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// drive does what the recorded state of one roll-out wants, observes, and records what
+// reconcile does what the recorded state of one roll-out wants, observes, and records what
 // follows. Checks go on for as long as checkCtx lasts, beyond ctx.
-func (m *Manager) drive(ctx, checkCtx context.Context, name string, lead wire.Guard, blocked string) error {
+func (m *Manager) reconcile(ctx, checkCtx context.Context, name string, lead wire.Guard, blocked string) error {
 	m.mu.Lock()
 	e := m.entries[name]
 	next, err := e.clone()
@@ -20,7 +20,7 @@
 		return err
 	}
 	run := next.run
-	submit, drop := Wanted(run)
+	submit, drop := RequiredActions(run)
 	for _, batch := range submit {
 		if err := m.submit(ctx, &next, batch, lead, wire.Guard{Key: runKey + name, Version: next.runVersion}); err != nil {
 			return err
@@ -32,9 +32,9 @@
 		}
 	}
 	now := time.Now()
-	seen := &Seen{Jobs: m.observe(checkCtx, now, e, run.Spec.Check, submit, drop), Blocked: blocked}
+	seen := &Observation{Jobs: m.observe(checkCtx, now, e, run.Spec.Check, submit, drop), BlockedReason: blocked}
 	was := run.Phase
-	if !Next(&next.service, run, seen, now) {
+	if !Advance(&next.service, run, seen, now) {
 		return nil
 	}
 	if err := m.write(ctx, name, &next, lead); err != nil {
@@ -61,7 +61,7 @@
 
 // submit uploads what a batch's job runs and submits the job, unless that is done.
 func (m *Manager) submit(ctx context.Context, e *entry, batch Batch, guards ...wire.Guard) error {
-	if m.done(e.submitted, batch) {
+	if m.isDone(e.submitted, batch) {
 		return nil
 	}
 	description := &e.run.Spec.To.Desc
@@ -75,7 +75,7 @@
 	if err := m.core.Submit(ctx, &job, guards...); err != nil {
 		return fmt.Errorf("submit %s: %w", batch.UID, err)
 	}
-	m.setDone(e.submitted, batch)
+	m.markDone(e.submitted, batch)
 	return nil
 }
 
@@ -89,23 +89,23 @@
 
 // cancel cancels a batch's job, unless that is done.
 func (m *Manager) cancel(ctx context.Context, e *entry, batch Batch) error {
-	if m.done(e.cancelled, batch) {
+	if m.isDone(e.cancelled, batch) {
 		return nil
 	}
 	if err := m.core.Cancel(ctx, batch.UID); err != nil {
 		return fmt.Errorf("cancel %s: %w", batch.UID, err)
 	}
-	m.setDone(e.cancelled, batch)
+	m.markDone(e.cancelled, batch)
 	return nil
 }
 
-func (m *Manager) done(uids map[string]bool, batch Batch) bool {
+func (m *Manager) isDone(uids map[string]bool, batch Batch) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return uids[batch.UID]
 }
 
-func (m *Manager) setDone(uids map[string]bool, batch Batch) {
+func (m *Manager) markDone(uids map[string]bool, batch Batch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	uids[batch.UID] = true
--- a/internal/rolloutapi/core.go
+++ b/internal/rolloutapi/core.go
@@ -22,7 +22,7 @@
 
 const (
 	firstShard  = 0   // its leader leads autoscaling, and the roll-outs
-	recordShare = 0.9 // of a value's limit in the state service, for the record of a roll-out
+	maxRecordFraction = 0.9 // of a value's limit in the state service, for the record of a roll-out
 )
 
 // Options are what roll-outs need of the rest of their process.
@@ -45,9 +45,9 @@
 	Options
 }
 
-// Lead returns the condition under which this controller drives roll-outs; false if another
+// LeaderGuard returns the condition under which this controller drives roll-outs; false if another
 // one does.
-func (c *core) Lead() (wire.Guard, bool) {
+func (c *core) LeaderGuard() (wire.Guard, bool) {
 	version, owns := c.Member.LeadsShard(firstShard)
 	return wire.Guard{Key: c.Member.ShardKey(firstShard), Version: version}, owns && c.Scheduler.LeadsAutoscaling()
 }
--- a/internal/rolloutapi/service.go
+++ b/internal/rolloutapi/service.go
@@ -23,12 +23,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Method is the mesh's method for the statuses. Controllers of other versions call it by this name.
-const Method = "Rollouts"
+// MethodStatuses is the mesh's method for the statuses. Controllers of other versions call it by this name.
+const MethodStatuses = "Rollouts"
 
 const (
 	requestTimeout = 4 * time.Second
-	maxBytes       = 48 << 10 // of a roll-out's description
+	maxSpecBytes       = 48 << 10 // of a roll-out's description
 )
 
 // Leaders knows which other controllers lead shards.
@@ -46,7 +46,7 @@
 
 // New returns the interface, with a manager of its own.
 func New(o Options) *Service {
-	maxRecord := int(o.Platform.Params.State.ValueKB * 1024 * recordShare)
+	maxRecord := int(o.Platform.Params.State.ValueKB * 1024 * maxRecordFraction)
 	manager := rollout.NewManager(o.Settings, o.Store, &core{o}, taskspec.NewClient(o.Settings.Descriptions), rollout.NewWorkerProber(), maxRecord, o.Log)
 	return &Service{manager: manager, scheduler: o.Scheduler, leaders: o.Leaders, mesh: o.Mesh}
 }
@@ -59,7 +59,7 @@
 
 // RegisterMethods adds what peers call. Call it before the mesh serves.
 func (s *Service) RegisterMethods(m *mesh.Mesh) {
-	mesh.Handle(m, Method, func(context.Context, *struct{}) (*[]rollout.Status, error) {
+	mesh.Handle(m, MethodStatuses, func(context.Context, *struct{}) (*[]rollout.Status, error) {
 		out := s.manager.Statuses()
 		return &out, nil
 	})
@@ -71,29 +71,29 @@
 	mux.HandleFunc("GET /ops/rollouts", s.list)
 	mux.HandleFunc("GET /ops/rollouts/{service}", s.show)
 	mux.HandleFunc("GET /ops/rollouts/{service}/history", s.history)
-	mux.HandleFunc("POST /ops/rollouts/{service}/{verb}", s.order)
+	mux.HandleFunc("POST /ops/rollouts/{service}/{verb}", s.applyVerb)
 }
 
 func (s *Service) start(w http.ResponseWriter, r *http.Request) {
 	var spec rollout.Spec
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSpecBytes))
 	if err == nil {
 		err = json.Unmarshal(data, &spec)
 	}
 	if err != nil {
-		write(w, nil, fmt.Errorf("%w: malformed: %w", rollout.ErrInput, err))
+		writeResult(w, nil, fmt.Errorf("%w: malformed: %w", rollout.ErrInput, err))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	run, err := s.manager.Start(ctx, spec)
-	write(w, run, err)
+	writeResult(w, run, err)
 }
 
 func (s *Service) list(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	write(w, s.statuses(ctx), nil)
+	writeResult(w, s.statuses(ctx), nil)
 }
 
 func (s *Service) show(w http.ResponseWriter, r *http.Request) {
@@ -101,25 +101,25 @@
 	defer cancel()
 	for _, status := range s.statuses(ctx) {
 		if status.Service.Name == r.PathValue("service") {
-			write(w, status, nil)
+			writeResult(w, status, nil)
 			return
 		}
 	}
-	write(w, nil, fmt.Errorf("%w: service: %s is unknown", rollout.ErrInput, r.PathValue("service")))
+	writeResult(w, nil, fmt.Errorf("%w: service: %s is unknown", rollout.ErrInput, r.PathValue("service")))
 }
 
 func (s *Service) history(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	past, err := s.manager.History(ctx, r.PathValue("service"))
-	write(w, past, err)
+	writeResult(w, past, err)
 }
 
-func (s *Service) order(w http.ResponseWriter, r *http.Request) {
+func (s *Service) applyVerb(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	run, err := s.manager.Order(ctx, r.PathValue("service"), r.PathValue("verb"))
-	write(w, run, err)
+	run, err := s.manager.ApplyVerb(ctx, r.PathValue("service"), r.PathValue("verb"))
+	writeResult(w, run, err)
 }
 
 // statuses returns the roll-outs as their leader sees them, which knows the replicas' health,
@@ -127,7 +127,7 @@
 func (s *Service) statuses(ctx context.Context) []rollout.Status {
 	if !s.scheduler.LeadsAutoscaling() {
 		for _, leader := range s.leaders.ShardLeaders() {
-			if reply, err := mesh.Call[struct{}, []rollout.Status](ctx, s.mesh, leader, Method, &struct{}{}); err == nil {
+			if reply, err := mesh.Call[struct{}, []rollout.Status](ctx, s.mesh, leader, MethodStatuses, &struct{}{}); err == nil {
 				return *reply
 			}
 		}
@@ -135,8 +135,8 @@
 	return s.manager.Statuses()
 }
 
-// write writes a result, or what its error means to operators.
-func write(w http.ResponseWriter, result any, err error) {
+// writeResult writes a result, or what its error means to operators.
+func writeResult(w http.ResponseWriter, result any, err error) {
 	status := http.StatusOK
 	var conflict *statestore.ConflictError
 	switch {
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -214,7 +214,7 @@
 			c := client.New(srv.URL)
 			for b.Loop() {
 				n := 0
-				if err := c.Accounts(b.Context(), day, func(*accounting.Row) { n++ }); err != nil || n != rows {
+				if err := c.AccountingRows(b.Context(), day, func(*accounting.Row) { n++ }); err != nil || n != rows {
 					b.Fatal(n, err)
 				}
 			}
