--- a/cmd/wallctl/accounting.go
+++ b/cmd/wallctl/accounting.go
@@ -26,10 +26,10 @@
 	if err != nil {
 		return nil, from, to, err
 	}
-	if from, to, err = period(p.start, p.end, time.Now()); err != nil {
+	if from, to, err = parsePeriod(p.start, p.end, time.Now()); err != nil {
 		return nil, from, to, err
 	}
-	recs, err = records(cmd.Context(), cl, from, to)
+	recs, err = readRecords(cmd.Context(), cl, from, to)
 	return recs, from, to, err
 }
 
--- a/cmd/wallctl/accounting_records.go
+++ b/cmd/wallctl/accounting_records.go
@@ -10,16 +10,16 @@
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
-// maxDays bounds how many days of accounting one command reads.
-const maxDays = 400
+// maxAccountingDays bounds how many days of accounting one command reads.
+const maxAccountingDays = 400
 
-// records reads the jobs that ended in a period, and the active ones.
-func records(ctx context.Context, cl *client.Client, from, to time.Time) ([]*slurm.Record, error) {
+// readRecords reads the jobs that ended in a period, and the active ones.
+func readRecords(ctx context.Context, cl *client.Client, from, to time.Time) ([]*slurm.Record, error) {
 	collector := slurm.NewCollector()
 	// Accounting is kept by the day of the end: what ended after the period may have run in it.
 	first, last := from.UTC().Truncate(24*time.Hour), time.Now().UTC()
-	if last.Sub(first) > maxDays*24*time.Hour {
-		return nil, fmt.Errorf("more than %d days are asked for", maxDays)
+	if last.Sub(first) > maxAccountingDays*24*time.Hour {
+		return nil, fmt.Errorf("more than %d days are asked for", maxAccountingDays)
 	}
 	for day := first; !day.After(last); day = day.Add(24 * time.Hour) {
 		if err := cl.AccountingRows(ctx, day, collector.Add); err != nil {
@@ -45,8 +45,8 @@
 	return selected, nil
 }
 
-// period reads the options --starttime and --endtime; without them it is from midnight to now.
-func period(start, end string, now time.Time) (from, to time.Time, err error) {
+// parsePeriod reads the options --starttime and --endtime; without them it is from midnight to now.
+func parsePeriod(start, end string, now time.Time) (from, to time.Time, err error) {
 	y, m, d := now.Date()
 	from, to = time.Date(y, m, d, 0, 0, 0, 0, now.Location()), now
 	if start != "" {
--- a/cmd/wallctl/local_site_test.go
+++ b/cmd/wallctl/local_site_test.go
@@ -21,8 +21,8 @@
 	"time"
 )
 
-// localSite builds wallrack and runs a whole site, for one test.
-func localSite(t *testing.T, machines int) (url string, pid int) {
+// startLocalSite builds wallrack and runs a whole site, for one test.
+func startLocalSite(t *testing.T, machines int) (url string, pid int) {
 	if testing.Short() {
 		t.Skip("runs real processes")
 	}
@@ -55,8 +55,8 @@
 	return ready, cmd.Process.Pid
 }
 
-// ctl runs a command of this program against a site.
-func ctl(t *testing.T, server string, args ...string) (out string, err error) {
+// runCommand runs a command of this program against a site.
+func runCommand(t *testing.T, server string, args ...string) (out string, err error) {
 	t.Helper()
 	var b bytes.Buffer
 	c := newRootCommand()
@@ -69,10 +69,10 @@
 	return b.String(), err
 }
 
-// must is ctl for a command that has to succeed.
-func must(t *testing.T, server string, args ...string) string {
+// mustRun is ctl for a command that has to succeed.
+func mustRun(t *testing.T, server string, args ...string) string {
 	t.Helper()
-	out, err := ctl(t, server, args...)
+	out, err := runCommand(t, server, args...)
 	if err != nil {
 		t.Fatalf("%v: %v\n%s", args, err, out)
 	}
@@ -80,11 +80,11 @@
 }
 
 // eventually waits until a condition holds, and fails the test with what it lacks after 30 s.
-func eventually(t *testing.T, lacks func() string, holds func() bool) {
+func eventually(t *testing.T, failure func() string, condition func() bool) {
 	t.Helper()
-	for i := 0; !holds(); i++ {
+	for i := 0; !condition(); i++ {
 		if i > 60 {
-			t.Fatal(lacks())
+			t.Fatal(failure())
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
@@ -95,8 +95,8 @@
 func submitPairs(t *testing.T, url string) (want []string) {
 	t.Helper()
 	for _, priority := range []string{"low", "normal", "urgent"} {
-		native := must(t, url, "submit", "--priority", priority, "--cpus", "2", "--memory-gb", "0.125", "--estimate-s", "60", "--", "sleep", "0.1")
-		number := must(t, url, "sbatch", "--parsable", "-q", priority, "-c", "2", "--mem", "128", "-t", "1", "--wrap", "sleep 0.1")
+		native := mustRun(t, url, "submit", "--priority", priority, "--cpus", "2", "--memory-gb", "0.125", "--estimate-s", "60", "--", "sleep", "0.1")
+		number := mustRun(t, url, "sbatch", "--parsable", "-q", priority, "-c", "2", "--mem", "128", "-t", "1", "--wrap", "sleep 0.1")
 		want = append([]string{native, number}, want...)
 	}
 	return want
@@ -122,38 +122,38 @@
 
 // Identical workloads from both clients on one worker start by priority and then by
 // submission, whichever client submitted them, and their accounting is the same line for line.
-func TestNativeAndSlurmJobsStartAndAccountAlike(t *testing.T) {
-	url, _ := localSite(t, 1)
+func TestNativeAndSlurmJobsStartInSameOrderWithEqualAccounting(t *testing.T) {
+	url, _ := startLocalSite(t, 1)
 	t.Chdir(t.TempDir())
 	// All the others wait until it is cancelled: on a busy computer submitting them took
 	// longer than a short job did, and the last to come, an urgent one, started last.
-	blocker := must(t, url, "submit", "--class", "adhoc", "--cpus", "2", "--estimate-s", "3", "--", "sleep", "300")
-	eventually(t, func() string { return "the first job does not run" }, func() bool { return strings.Contains(must(t, url, "status", blocker), "running") })
+	blocker := mustRun(t, url, "submit", "--class", "adhoc", "--cpus", "2", "--estimate-s", "3", "--", "sleep", "300")
+	eventually(t, func() string { return "the first job does not run" }, func() bool { return strings.Contains(mustRun(t, url, "status", blocker), "running") })
 	want := submitPairs(t, url)
-	eventually(t, func() string { return "not all wait:\n" + must(t, url, "squeue") }, func() bool {
-		return strings.Count(must(t, url, "squeue", "-h"), "\n") == len(want) // and the blocker
+	eventually(t, func() string { return "not all wait:\n" + mustRun(t, url, "squeue") }, func() bool {
+		return strings.Count(mustRun(t, url, "squeue", "-h"), "\n") == len(want) // and the blocker
 	})
-	must(t, url, "cancel", blocker)
-	eventually(t, func() string { return "the jobs are not over:\n" + must(t, url, "squeue") }, func() bool { return must(t, url, "squeue", "-h") == "" })
-	lines := strings.Split(must(t, url, "sacct", "-a", "-X", "-n", "-P", "-o", "Start,JobIDRaw,WallrackUID,Account,QOS,Partition,AllocCPUS,ReqMem,State,ExitCode,Elapsed,NodeList,Restarts"), "\n")
+	mustRun(t, url, "cancel", blocker)
+	eventually(t, func() string { return "the jobs are not over:\n" + mustRun(t, url, "squeue") }, func() bool { return mustRun(t, url, "squeue", "-h") == "" })
+	lines := strings.Split(mustRun(t, url, "sacct", "-a", "-X", "-n", "-P", "-o", "Start,JobIDRaw,WallrackUID,Account,QOS,Partition,AllocCPUS,ReqMem,State,ExitCode,Elapsed,NodeList,Restarts"), "\n")
 	if len(lines) != 7 {
 		t.Fatalf("%d lines:\n%s", len(lines), strings.Join(lines, "\n"))
 	}
 	// They run one at a time, so they end as they started. Starts can't be compared:
 	// of a task that starts and ends between two reports only the end is on record.
-	export := must(t, url, "accounting", "export", "--format", "csv")
+	export := mustRun(t, url, "accounting", "export", "--format", "csv")
 	ended := endTimes(t, export)
 	got := slices.Clone(want)
 	slices.SortFunc(got, func(a, b string) int { return ended[a] - ended[b] })
 	if !slices.Equal(got, want) {
 		t.Errorf("ended as %v, not %v\n%s", got, want, export)
 	}
-	checkAlike(t, lines)
-	checkCancelsAlike(t, url)
+	checkEqualAccounting(t, lines)
+	checkEquivalentCancels(t, url)
 }
 
-// checkAlike compares the accounting lines of the two clients' jobs at a priority.
-func checkAlike(t *testing.T, lines []string) {
+// checkEqualAccounting compares the accounting lines of the two clients' jobs at a priority.
+func checkEqualAccounting(t *testing.T, lines []string) {
 	t.Helper()
 	slices.Sort(lines)
 	byPriority := map[string][]string{}
@@ -168,19 +168,19 @@
 	}
 }
 
-// checkCancelsAlike cancels a job with both clients, which has the same single outcome.
-func checkCancelsAlike(t *testing.T, url string) {
+// checkEquivalentCancels cancels a job with both clients, which has the same single outcome.
+func checkEquivalentCancels(t *testing.T, url string) {
 	t.Helper()
-	number := must(t, url, "sbatch", "--parsable", "-H", "--wrap", "true")
+	number := mustRun(t, url, "sbatch", "--parsable", "-H", "--wrap", "true")
 	var uid []string
 	// The scheduler lists it once the controller that accepted it has notified it.
 	eventually(t, func() string { return "the held job is not listed" }, func() bool {
-		uid = regexp.MustCompile(`"wallrack_uid":"(j-[a-z0-9]+)"`).FindStringSubmatch(must(t, url, "squeue", "--json"))
+		uid = regexp.MustCompile(`"wallrack_uid":"(j-[a-z0-9]+)"`).FindStringSubmatch(mustRun(t, url, "squeue", "--json"))
 		return uid != nil
 	})
-	must(t, url, "cancel", uid[1])
-	must(t, url, "scancel", number)
-	if s := must(t, url, "status", number); !strings.Contains(s, "cancelled") || !strings.Contains(s, uid[1]) {
+	mustRun(t, url, "cancel", uid[1])
+	mustRun(t, url, "scancel", number)
+	if s := mustRun(t, url, "status", number); !strings.Contains(s, "cancelled") || !strings.Contains(s, uid[1]) {
 		t.Error(s)
 	}
 }
@@ -211,8 +211,8 @@
 	return srv.URL
 }
 
-// controllers returns the process ids of a site's controllers, which are its children.
-func controllers(t *testing.T, site int) (pids []int) {
+// controllerPIDs returns the process ids of a site's controllerPIDs, which are its children.
+func controllerPIDs(t *testing.T, site int) (pids []int) {
 	files, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
 		t.Fatal(err)
@@ -238,19 +238,19 @@
 // Responses are lost in the middle of every command, and a controller crashes besides:
 // each command goes on, and no job is there twice.
 func TestCommandsSurviveLostResponsesAndControllerCrash(t *testing.T) {
-	site, pid := localSite(t, 2)
+	site, pid := startLocalSite(t, 2)
 	t.Chdir(t.TempDir())
 	lossy := lossyProxy(t, site)
 	script := "#!/bin/sh\n#SBATCH -J once -a 0-2\necho ran >> $SLURM_SUBMIT_DIR/runs\nsleep 1\n[ $SLURM_ARRAY_TASK_ID = 2 ] && exit 4\nexit 0\n"
 	if err := os.WriteFile("job.sh", []byte(script), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	pids := controllers(t, pid)
+	pids := controllerPIDs(t, pid)
 	if len(pids) != 2 {
 		t.Fatalf("controllers: %v", pids)
 	}
 	time.AfterFunc(2500*time.Millisecond, func() { _ = syscall.Kill(pids[0], syscall.SIGKILL) })
-	out, err := ctl(t, lossy, "sbatch", "--wait", "job.sh")
+	out, err := runCommand(t, lossy, "sbatch", "--wait", "job.sh")
 	if err == nil || err.Error() != "exit code 4" || !strings.Contains(out, "Submitted batch job ") {
 		t.Fatalf("%v: %s", err, out)
 	}
@@ -258,16 +258,16 @@
 	if n := strings.Count(string(runs), "ran"); err != nil || n < 3 {
 		t.Errorf("%d runs, %v", n, err)
 	}
-	if out, err := ctl(t, lossy, "srun", "-Q", "sh", "-c", "echo once; exit 9"); err == nil || err.Error() != "exit code 9" || out != "once\n" {
+	if out, err := runCommand(t, lossy, "srun", "-Q", "sh", "-c", "echo once; exit 9"); err == nil || err.Error() != "exit code 9" || out != "once\n" {
 		t.Errorf("%v: %q", err, out)
 	}
-	number := must(t, lossy, "sbatch", "--parsable", "-a", "0-3", "-H", "--wrap", "true")
-	must(t, lossy, "scancel", number+"_2")
-	if out := must(t, lossy, "squeue", "-h", "-o", "%i"); out != fmt.Sprintf("%s_[0-1,3]", number) {
+	number := mustRun(t, lossy, "sbatch", "--parsable", "-a", "0-3", "-H", "--wrap", "true")
+	mustRun(t, lossy, "scancel", number+"_2")
+	if out := mustRun(t, lossy, "squeue", "-h", "-o", "%i"); out != fmt.Sprintf("%s_[0-1,3]", number) {
 		t.Errorf("after the cancel of one task: %s", out)
 	}
-	must(t, lossy, "scancel", number)
-	out = must(t, lossy, "sacct", "-a", "-n", "-X", "-P", "-o", "JobName,State,ExitCode")
+	mustRun(t, lossy, "scancel", number)
+	out = mustRun(t, lossy, "sacct", "-a", "-n", "-X", "-P", "-o", "JobName,State,ExitCode")
 	lines := strings.Split(out, "\n")
 	slices.Sort(lines)
 	want := []string{"once|COMPLETED|0:0", "once|COMPLETED|0:0", "once|FAILED|4:0", "sh|FAILED|9:0", "wrap|CANCELLED|0:0"}
--- a/cmd/wallctl/main_test.go
+++ b/cmd/wallctl/main_test.go
@@ -33,7 +33,7 @@
 }
 
 // Programs tell outcomes by exit codes, and wrong use by a message that names the flag.
-func TestExitCodesAndMessagesOfOutcomes(t *testing.T) {
+func TestExitCodesAndMessages(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(respondByPath))
 	defer srv.Close()
 	for _, c := range []struct {
--- a/cmd/wallctl/messages_test.go
+++ b/cmd/wallctl/messages_test.go
@@ -10,7 +10,7 @@
 )
 
 // Scripts that know Slurm compare these texts, capitals and full stops included.
-func TestMessagesAreThoseOfSlurm(t *testing.T) {
+func TestErrorMessagesMatchSlurm(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/slurm/site":
@@ -48,13 +48,13 @@
 		"scontrol show node n":              "scontrol: error: Node n not found",
 		"sacct -S 2026-12-02 -E 2026-12-01": "sacct: error: Start time is after end time",
 	} {
-		_, err := ctl(t, srv.URL, strings.Fields(args)...)
+		_, err := runCommand(t, srv.URL, strings.Fields(args)...)
 		var asSlurm *slurmError
 		if !errors.As(err, &asSlurm) || err.Error() != want {
 			t.Errorf("%s: %v, not %s", args, err, want)
 		}
 	}
-	out, err := ctl(t, srv.URL, "scancel", "7")
+	out, err := runCommand(t, srv.URL, "scancel", "7")
 	if want := "scancel: error: Kill job error on job id 7: Invalid job id specified\n"; err == nil || out != want {
 		t.Errorf("scancel: %v, printed %q, not %q", err, out, want)
 	}
--- a/cmd/wallctl/ops_commands.go
+++ b/cmd/wallctl/ops_commands.go
@@ -18,15 +18,15 @@
 			return err
 		}
 		if !a.json {
-			out = indented(out)
+			out = indentJSON(out)
 		}
 		_, err = cmd.OutOrStdout().Write(out)
 		return err
 	}}
 }
 
-// indented is a JSON text with an indent for each level, or a text that isn't JSON unchanged.
-func indented(text []byte) []byte {
+// indentJSON is a JSON text with an indent for each level, or a text that isn't JSON unchanged.
+func indentJSON(text []byte) []byte {
 	var value any
 	if json.Unmarshal(text, &value) != nil {
 		return text
--- a/cmd/wallctl/recorded_test.go
+++ b/cmd/wallctl/recorded_test.go
@@ -18,11 +18,11 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// asProgram makes this test binary the program itself.
-const asProgram = "TEST_AS_WALLCTL"
+// runAsProgramEnv makes this test binary the program itself.
+const runAsProgramEnv = "TEST_AS_WALLCTL"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 		os.Exit(0)
 	}
@@ -69,12 +69,12 @@
 	return srv.URL
 }
 
-// program runs wallctl as scripts do. If interrupt isn't nil it is interrupted once that
+// runProgram runs wallctl as scripts do. If interrupt isn't nil it is interrupted once that
 // returns.
-func program(t *testing.T, server string, interrupt func(), args ...string) string {
+func runProgram(t *testing.T, server string, interrupt func(), args ...string) string {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asProgram+"=1", "WALLRACK_SERVER="+server)
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "WALLRACK_SERVER="+server)
 	var stdout, stderr bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	if err := cmd.Start(); err != nil {
@@ -111,9 +111,9 @@
 		"stats", "--json stats", "alerts", "nodes", "--json nodes", "links", "--json links",
 		"rollout pause none", "rollout status", "rollout start", "scancel", "scancel 7", "scancel -Q 7", "squeue -j x", "srun", "scontrol show job 7", "sbatch missing.sh",
 	} {
-		text.WriteString(program(t, server, nil, strings.Fields(args)...))
+		text.WriteString(runProgram(t, server, nil, strings.Fields(args)...))
 	}
-	text.WriteString(program(t, "", nil, "status", "j-done"))
+	text.WriteString(runProgram(t, "", nil, "status", "j-done"))
 	recorded.Compare(t, "outcomes.txt", []byte(text.String()))
 }
 
@@ -131,10 +131,10 @@
 	var text strings.Builder
 	for _, args := range []string{"status j-done", "wait j-done", "stats"} {
 		// The response arrives, and the program pauses for a second before it repeats the request.
-		text.WriteString(program(t, srv.URL, func() { <-responded; time.Sleep(300 * time.Millisecond) }, strings.Fields(args)...))
+		text.WriteString(runProgram(t, srv.URL, func() { <-responded; time.Sleep(300 * time.Millisecond) }, strings.Fields(args)...))
 	}
 	// Requests go out each second: the interrupt comes in the pause between two.
-	text.WriteString(program(t, gone.URL, func() { time.Sleep(2500 * time.Millisecond) }, "status", "j-done"))
+	text.WriteString(runProgram(t, gone.URL, func() { time.Sleep(2500 * time.Millisecond) }, "status", "j-done"))
 	recorded.Compare(t, "without-answer.txt", []byte(text.String()))
 }
 
--- a/cmd/wallctl/rollout_commands.go
+++ b/cmd/wallctl/rollout_commands.go
@@ -39,13 +39,13 @@
 // rolloutVerb returns the command that applies a verb to a service's roll-out.
 func (a *app) rolloutVerb(verb, short string) *cobra.Command {
 	return &cobra.Command{Use: verb + " SERVICE", Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		return a.sendRollout(cmd, rolloutPath+"/"+args[0]+"/"+verb, nil, false)
+		return a.postRollout(cmd, rolloutPath+"/"+args[0]+"/"+verb, nil, false)
 	}}
 }
 
-// sendRollout posts a body to the roll-outs' interface and prints the roll-out of the
+// postRollout posts a body to the roll-outs' interface and prints the roll-out of the
 // response, or watches it until it ends.
-func (a *app) sendRollout(cmd *cobra.Command, path string, body any, watch bool) error {
+func (a *app) postRollout(cmd *cobra.Command, path string, body any, watch bool) error {
 	cl, err := a.client()
 	if err != nil {
 		return err
@@ -69,7 +69,7 @@
 		_, err := cmd.OutOrStdout().Write(out)
 		return err
 	}
-	_, err = fmt.Fprintln(cmd.OutOrStdout(), describeRun(&run))
+	_, err = fmt.Fprintln(cmd.OutOrStdout(), formatRun(&run))
 	return err
 }
 
@@ -90,8 +90,8 @@
 	return false, nil
 }
 
-// describeRun is a roll-out in a line.
-func describeRun(run *rollout.Run) string {
+// formatRun is a roll-out in a line.
+func formatRun(run *rollout.Run) string {
 	line := fmt.Sprintf("%s %d to %s: %s, step %d of %d", run.Spec.Service, run.ID, run.Spec.To.Name, run.Phase, run.Step+1, len(run.Targets))
 	if run.Reason != "" {
 		line += " (" + run.Reason + ")"
@@ -110,7 +110,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			spec.Service, spec.To.Desc.Argv = args[0], args[1:]
 			spec.To.Desc.CPUs, spec.To.Desc.MemoryGB = spec.Template.CPUs, spec.Template.MemoryGB
-			return a.sendRollout(cmd, rolloutPath, spec, watch)
+			return a.postRollout(cmd, rolloutPath, spec, watch)
 		},
 	}
 	fs := cmd.Flags()
@@ -177,7 +177,7 @@
 	for _, s := range services {
 		run := "-"
 		if s.Run != nil {
-			run = describeRun(s.Run)
+			run = formatRun(s.Run)
 		}
 		t.printf("%s\t%s\t%d\t%s\n", s.Service.Name, s.Service.Version.Name, s.Service.Replicas, run)
 	}
--- a/cmd/wallctl/rollout_watch.go
+++ b/cmd/wallctl/rollout_watch.go
@@ -32,7 +32,7 @@
 		if err == nil && json.Unmarshal(out, &status) == nil && status.Run != nil && status.Run.ID >= id {
 			view.show(&status)
 			if status.Run.Phase.Final() {
-				return view.end(status.Run)
+				return view.finish(status.Run)
 			}
 		}
 		select {
@@ -70,7 +70,7 @@
 	case v.terminal && !run.Phase.Final():
 		v.showBar(run, healthy)
 	case !v.terminal:
-		if line := fmt.Sprintf("%s, %d of %d healthy", describeRun(run), healthy, run.Targets[run.Step]); line != v.lastLine {
+		if line := fmt.Sprintf("%s, %d of %d healthy", formatRun(run), healthy, run.Targets[run.Step]); line != v.lastLine {
 			v.lastLine = line
 			v.println(line)
 		}
@@ -90,11 +90,11 @@
 	_ = v.bar.Set(healthy)
 }
 
-// end prints the end on a terminal and returns the outcome.
-func (v *rolloutView) end(run *rollout.Run) error {
+// finish prints the finish on a terminal and returns the outcome.
+func (v *rolloutView) finish(run *rollout.Run) error {
 	if v.terminal {
 		v.println()
-		v.println(describeRun(run))
+		v.println(formatRun(run))
 	}
 	if run.Phase != rollout.Done {
 		return fmt.Errorf("%w: %s", errNotRolledOut, run.Reason)
--- a/cmd/wallctl/sacct.go
+++ b/cmd/wallctl/sacct.go
@@ -48,8 +48,8 @@
 	return fs
 }
 
-// bars says where a parsable table has bars, in the form of slurm.AcctTable.
-func (s *sacctFlags) bars() string {
+// separators says where a parsable table has separators, in the form of slurm.AcctTable.
+func (s *sacctFlags) separators() string {
 	switch {
 	case s.parsable2:
 		return "P"
@@ -85,12 +85,12 @@
 		_, err := fmt.Fprintln(out, slurm.AcctFieldNames())
 		return err
 	}
-	layout, err := slurm.AcctTable(flags.format, flags.bars())
+	layout, err := slurm.AcctTable(flags.format, flags.separators())
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	from, to, err := period(flags.start, flags.end, now)
+	from, to, err := parsePeriod(flags.start, flags.end, now)
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 		}
 		filter.FromMs = 0
 	}
-	recs, err := records(cmd.Context(), cl, from, to)
+	recs, err := readRecords(cmd.Context(), cl, from, to)
 	if err != nil {
 		return err
 	}
--- a/cmd/wallctl/sbatch.go
+++ b/cmd/wallctl/sbatch.go
@@ -35,7 +35,7 @@
 		return nil
 	}
 	if _, err := cl.Wait(cmd.Context(), job.UID); err != nil {
-		return endNotSeen(request, err)
+		return waitError(request, err)
 	}
-	return exitAsJob(cmd.Context(), cl, request)
+	return jobExitError(cmd.Context(), cl, request)
 }
--- a/cmd/wallctl/scancel_test.go
+++ b/cmd/wallctl/scancel_test.go
@@ -16,7 +16,7 @@
 
 // A filter cancels a job as a whole if all its tasks match, else the tasks that do; if
 // the listing breaks off, nothing is cancelled.
-func TestFilteredCancelTakesMatchesOfCompleteListingOnly(t *testing.T) {
+func TestFilteredCancelRequiresCompleteListing(t *testing.T) {
 	job := func(uid string, number uint64, tasks int, waiting string, on ...jobquery.Placement) jobquery.Info {
 		return jobquery.Info{Job: wire.Job{UID: uid, Tasks: tasks}, Constraints: &jobspec.Constraints{Number: number}, Stage: wire.StageQueued, PendingTasks: waiting, Placements: on}
 	}
@@ -43,14 +43,14 @@
 		}
 	}))
 	defer srv.Close()
-	if out, err := ctl(t, srv.URL, "scancel", "-t", "PENDING"); err != nil || out != "" {
+	if out, err := runCommand(t, srv.URL, "scancel", "-t", "PENDING"); err != nil || out != "" {
 		t.Fatalf("%v, printed %q", err, out)
 	}
 	if want := []string{"/api/jobs/j-all/cancel", `/slurm/jobs/j-part/drop {"tasks":"1-2"}`, "/api/jobs/j-last/cancel"}; !slices.Equal(cancels, want) {
 		t.Errorf("cancels are %q, not %q", cancels, want)
 	}
 	listingFails, cancels = true, nil
-	if _, err := ctl(t, srv.URL, "scancel", "-t", "PENDING"); err == nil || !strings.Contains(err.Error(), "none was cancelled") || len(cancels) > 0 {
+	if _, err := runCommand(t, srv.URL, "scancel", "-t", "PENDING"); err == nil || !strings.Contains(err.Error(), "none was cancelled") || len(cancels) > 0 {
 		t.Errorf("a listing that breaks off: %v, cancels are %q", err, cancels)
 	}
 }
--- a/cmd/wallctl/scontrol.go
+++ b/cmd/wallctl/scontrol.go
@@ -18,16 +18,16 @@
 )
 
 func scontrol(cmd *cobra.Command, cl *client.Client, args []string) error {
-	verb, what := "", ""
+	verb, object := "", ""
 	if len(args) > 0 {
 		verb = args[0]
 	}
 	if len(args) > 1 {
-		what = args[1]
+		object = args[1]
 	}
 	switch verb {
 	case "show":
-		switch what {
+		switch object {
 		case "node", "nodes":
 			return showNodes(cmd, cl, args[2:])
 		case "job", "jobs":
@@ -35,7 +35,7 @@
 		}
 	case "hold", "release":
 		if len(args) > 1 {
-			return orderJobs(cmd.Context(), cl, verb, args[1:])
+			return holdOrReleaseJobs(cmd.Context(), cl, verb, args[1:])
 		}
 	case "-h", "--help", "help":
 		_, err := fmt.Fprintln(cmd.OutOrStdout(), "Usage: scontrol show job|node [NAME] | hold JOB... | release JOB...")
@@ -44,11 +44,11 @@
 	return fmt.Errorf("%s: not supported by wallrack; there are show job, show node, hold, release", strings.Join(args, " "))
 }
 
-// orderJobs holds or releases jobs, up to the first error.
-func orderJobs(ctx context.Context, cl *client.Client, verb string, args []string) error {
+// holdOrReleaseJobs holds or releases jobs, up to the first error.
+func holdOrReleaseJobs(ctx context.Context, cl *client.Client, verb string, args []string) error {
 	for _, arg := range args {
 		for _, name := range splitJobs(arg) {
-			uid, err := findJob(ctx, cl, name)
+			uid, err := resolveJob(ctx, cl, name)
 			if err == nil {
 				err = cl.ApplyVerb(ctx, uid, verb)
 			}
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// findJob returns the uid of a job by its number or uid. Single tasks of an array are refused.
-func findJob(ctx context.Context, cl *client.Client, name string) (uid string, err error) {
+// resolveJob returns the uid of a job by its number or uid. Single tasks of an array are refused.
+func resolveJob(ctx context.Context, cl *client.Client, name string) (uid string, err error) {
 	if wire.ValidJobID(name) {
 		return name, nil
 	}
@@ -95,7 +95,7 @@
 		})
 	}
 	for _, name := range names {
-		uid, err := findJob(ctx, cl, name)
+		uid, err := resolveJob(ctx, cl, name)
 		if err != nil {
 			return err
 		}
--- a/cmd/wallctl/slurm.go
+++ b/cmd/wallctl/slurm.go
@@ -29,12 +29,12 @@
 	}
 }
 
-// slurmRun runs a command of Slurm with the arguments after its name.
-type slurmRun func(cmd *cobra.Command, cl *client.Client, args []string) error
+// slurmCommandFunc runs a command of Slurm with the arguments after its name.
+type slurmCommandFunc func(cmd *cobra.Command, cl *client.Client, args []string) error
 
 // slurmCommand returns a command that parses its own options, as cobra's parser doesn't know
 // Slurm's forms. Its errors are exitError, or slurmError with Slurm's form of messages.
-func (a *app) slurmCommand(name, short string, run slurmRun) *cobra.Command {
+func (a *app) slurmCommand(name, short string, run slurmCommandFunc) *cobra.Command {
 	return &cobra.Command{Use: name, Short: short, DisableFlagParsing: true, RunE: func(cmd *cobra.Command, args []string) error {
 		cl, err := a.client()
 		if err == nil {
--- a/cmd/wallctl/slurm_errors.go
+++ b/cmd/wallctl/slurm_errors.go
@@ -22,8 +22,8 @@
 
 // What failed, as the start of a message in Slurm's words.
 const (
-	stepSubmit = "Batch job submission failed"
-	stepList   = "Unable to contact the site, or not to the end of the list"
+	submitFailed = "Batch job submission failed"
+	listFailed   = "Unable to contact the site, or not to the end of the list"
 )
 
 // Messages of Slurm that scripts compare.
--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -70,7 +70,7 @@
 // readScript reads a batch script, and its arguments, into work, and returns its options.
 func readScript(stdin io.Reader, args []string, work *slurm.Work, now time.Time) (slurm.Given, error) {
 	var err error
-	if work.Script, work.File, err = scriptText(stdin, args); err != nil {
+	if work.Script, work.File, err = readScriptText(stdin, args); err != nil {
 		return nil, err
 	}
 	if len(args) > 0 {
@@ -79,8 +79,8 @@
 	return slurm.FromScript(work.Script, now)
 }
 
-// scriptText reads the script that the first argument names, or standard input.
-func scriptText(stdin io.Reader, args []string) (text, name string, err error) {
+// readScriptText reads the script that the first argument names, or standard input.
+func readScriptText(stdin io.Reader, args []string) (text, name string, err error) {
 	in, name := stdin, "sbatch"
 	if len(args) > 0 {
 		f, err := os.Open(args[0])
@@ -114,28 +114,28 @@
 		return nil, err
 	}
 	if request.Constraints.Number, err = cl.ReserveNumbers(ctx, request.Job.Tasks); err != nil {
-		return nil, fmt.Errorf("%s: %w", stepSubmit, err)
+		return nil, fmt.Errorf("%s: %w", submitFailed, err)
 	}
 	request.Job.UID, request.Spec.Slurm.Number = client.NewUID(), request.Constraints.Number
 	_, err = cl.SubmitWithConstraints(ctx, &request.Job, &request.Constraints, &request.Spec, options.TestOnly)
 	switch {
 	case errors.Is(err, client.ErrUnknown):
 		return nil, fmt.Errorf("%s: no answer came in time; job %d (%s) may have been accepted or may be yet: ask with \"wallctl status %s\" before you submit again: %w",
-			stepSubmit, request.Constraints.Number, request.Job.UID, request.Job.UID, err)
+			submitFailed, request.Constraints.Number, request.Job.UID, request.Job.UID, err)
 	case err != nil:
-		return nil, fmt.Errorf("%s: %w", stepSubmit, err)
+		return nil, fmt.Errorf("%s: %w", submitFailed, err)
 	}
 	return request, nil
 }
 
-// endNotSeen is the error of a wait that failed.
-func endNotSeen(request *slurm.Request, err error) error {
+// waitError is the error of a wait that failed.
+func waitError(request *slurm.Request, err error) error {
 	return fmt.Errorf("job %d goes on, but its end was not seen: %w", request.Constraints.Number, err)
 }
 
-// exitAsJob returns nil if the job completed, else an exitError with the job's exit code, or
+// jobExitError returns nil if the job completed, else an exitError with the job's exit code, or
 // with 1 if it has none.
-func exitAsJob(ctx context.Context, cl *client.Client, request *slurm.Request) error {
+func jobExitError(ctx context.Context, cl *client.Client, request *slurm.Request) error {
 	info, err := cl.Info(ctx, request.Job.UID)
 	if err != nil {
 		return fmt.Errorf("job %d is over, but how is not known: %w", request.Constraints.Number, err)
--- a/cmd/wallctl/squeue.go
+++ b/cmd/wallctl/squeue.go
@@ -96,7 +96,7 @@
 		})
 	})
 	if err != nil {
-		return fmt.Errorf("%s: %w", stepList, err)
+		return fmt.Errorf("%s: %w", listFailed, err)
 	}
 	if flags.printAsJSON {
 		return writeListing(out, selected)
--- a/cmd/wallctl/srun.go
+++ b/cmd/wallctl/srun.go
@@ -38,19 +38,19 @@
 		cl: cl, uid: request.Job.UID, tasks: request.Job.Tasks, labelled: options.Label, toFile: options.Output != "",
 		stdout: cmd.OutOrStdout(), stderr: cmd.ErrOrStderr(), printed: map[string]int{},
 	}
-	err = waitPrinting(cmd.Context(), cl, request.Job.UID, output)
+	err = waitAndPrintOutput(cmd.Context(), cl, request.Job.UID, output)
 	if cmd.Context().Err() != nil {
 		return cancelStep(cl, request)
 	}
 	if err != nil {
-		return endNotSeen(request, err)
+		return waitError(request, err)
 	}
 	output.printNew(cmd.Context())
-	return exitAsJob(cmd.Context(), cl, request)
+	return jobExitError(cmd.Context(), cl, request)
 }
 
-// waitPrinting waits for the end of a step and prints its output meanwhile.
-func waitPrinting(ctx context.Context, cl *client.Client, uid string, output *stepOutput) error {
+// waitAndPrintOutput waits for the end of a step and prints its output meanwhile.
+func waitAndPrintOutput(ctx context.Context, cl *client.Client, uid string, output *stepOutput) error {
 	done := make(chan error, 1)
 	go func() {
 		_, err := cl.Wait(ctx, uid)
--- a/cmd/wallrack/local.go
+++ b/cmd/wallrack/local.go
@@ -22,7 +22,7 @@
 			if site.Log, err = logger(); err != nil {
 				return err
 			}
-			if site.Start, err = partsOf(site.Dir, inProcess); err != nil {
+			if site.Start, err = newPartStarter(site.Dir, inProcess); err != nil {
 				return err
 			}
 			return site.Run(cmd.Context(), func(url string) { printTo(cmd.OutOrStdout(), "ready %s\n", url) })
--- a/cmd/wallrack/local_test.go
+++ b/cmd/wallrack/local_test.go
@@ -17,11 +17,11 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// site runs a local site inside the test until stop is called.
-func site(t *testing.T, dir string) (c *client.Client, stop func()) {
+// startSite runs a local startSite inside the test until stop is called.
+func startSite(t *testing.T, dir string) (c *client.Client, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	out := &line{ready: make(chan string, 1)}
-	cmd := command()
+	out := &readyWriter{ready: make(chan string, 1)}
+	cmd := newRootCommand()
 	cmd.SetOut(out)
 	cmd.SetArgs([]string{"local", "--in-process", "--controllers", "2", "--machines", "2", "--dir", dir})
 	done := make(chan error, 1)
@@ -42,13 +42,13 @@
 	return nil, nil
 }
 
-// line collects what a site prints, and sends it once the line is whole.
-type line struct {
+// readyWriter collects what a site prints, and sends it once the readyWriter is whole.
+type readyWriter struct {
 	bytes.Buffer
 	ready chan string
 }
 
-func (l *line) Write(p []byte) (int, error) {
+func (l *readyWriter) Write(p []byte) (int, error) {
 	n, err := l.Buffer.Write(p)
 	if strings.HasSuffix(l.String(), "\n") {
 		l.ready <- l.String()
@@ -75,10 +75,10 @@
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	c, stop := site(t, dir)
+	c, stop := startSite(t, dir)
 	checkLocalJobs(ctx, t, c)
 	stop()
-	c, stop = site(t, dir)
+	c, stop = startSite(t, dir)
 	defer stop()
 	checkJobsAfterRestart(ctx, t, c)
 }
@@ -154,37 +154,37 @@
 
 // With real processes: a version that turns unhealthy halfway is halted and the prior one is
 // whole again within a minute, all replicas of it.
-func TestLocalRolloutRestoresAfterUnhealthyVersion(t *testing.T) {
+func TestLocalRolloutRestoresPriorVersion(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes")
 	}
 	t.Setenv("LOG_LEVEL", "error")
-	c, stop := site(t, t.TempDir())
+	c, stop := startSite(t, t.TempDir())
 	defer stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	first := tipsVersion("v1", "good")
+	first := tipsSpec("v1", "good")
 	first.Replicas, first.Steps = 2, []string{"100%"}
 	first.Template = wire.Job{Class: "service", Team: "default", Priority: "production", Image: "none"}
-	if r := rollOutTips(ctx, t, c, first); r.Phase != rollout.Done {
+	if r := rollOutAndWait(ctx, t, c, first); r.Phase != rollout.Done {
 		t.Fatalf("%s: %s", r.Phase, r.Reason)
 	}
-	r := rollOutTips(ctx, t, c, tipsVersion("v2", "bad"))
+	r := rollOutAndWait(ctx, t, c, tipsSpec("v2", "bad"))
 	if back := time.Duration(r.Ended-r.RollbackSince) * time.Millisecond; r.Phase != rollout.Restored || back > time.Minute || !strings.Contains(r.Reason, "unhealthy") {
 		t.Errorf("%s after %v: %s", r.Phase, back, r.Reason)
 	}
 }
 
-// tipsVersion is a roll-out of the service that TestMain is.
-func tipsVersion(version, mode string) rollout.Spec {
+// tipsSpec is a roll-out of the service that TestMain is.
+func tipsSpec(version, mode string) rollout.Spec {
 	return rollout.Spec{
 		Service: "tips", Steps: []string{"1", "100%"}, SoakS: 3, Check: rollout.Check{HTTP: "/up", EveryS: 0.3, TimeoutS: 1},
 		To: rollout.Version{Name: version, Desc: taskspec.Spec{Argv: []string{os.Args[0]}, Env: map[string]string{"TEST_SERVICE": mode}, CPUs: 1}},
 	}
 }
 
-// rollOutTips starts a roll-out and waits for its end.
-func rollOutTips(ctx context.Context, t *testing.T, c *client.Client, spec rollout.Spec) rollout.Run {
+// rollOutAndWait starts a roll-out and waits for its end.
+func rollOutAndWait(ctx context.Context, t *testing.T, c *client.Client, spec rollout.Spec) rollout.Run {
 	t.Helper()
 	body, err := json.Marshal(spec)
 	if err != nil {
--- a/cmd/wallrack/main.go
+++ b/cmd/wallrack/main.go
@@ -21,7 +21,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	err := command().ExecuteContext(ctx)
+	err := newRootCommand().ExecuteContext(ctx)
 	stop()
 	if err != nil {
 		printTo(os.Stderr, "wallrack: %v\n", err)
@@ -44,8 +44,8 @@
 	return 1
 }
 
-// command returns the program's command line.
-func command() *cobra.Command {
+// newRootCommand returns the program's newRootCommand line.
+func newRootCommand() *cobra.Command {
 	var files settingsFiles
 	root := &cobra.Command{
 		Use:           "wallrack --config FILE",
--- a/cmd/wallrack/parts.go
+++ b/cmd/wallrack/parts.go
@@ -16,9 +16,9 @@
 // stopTimeout is how long a child process may take to end before it is killed.
 const stopTimeout = 5 * time.Second
 
-// partsOf returns what starts the parts of a site: inside this process, or as child processes
+// newPartStarter returns what starts the parts of a site: inside this process, or as child processes
 // that log to files of their own in the directory's logs.
-func partsOf(dir string, inProcess bool) (local.StartPart, error) {
+func newPartStarter(dir string, inProcess bool) (local.StartPart, error) {
 	if inProcess {
 		return runInProcess, nil
 	}
@@ -26,18 +26,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("this program's file: %w", err)
 	}
-	return childProcesses(exe, filepath.Join(dir, "logs")), nil
+	return runAsChildProcess(exe, filepath.Join(dir, "logs")), nil
 }
 
 // runInProcess runs a part inside this process.
 func runInProcess(ctx context.Context, _ string, args []string) error {
-	c := command() //nolint:contextcheck // its functions get ctx by ExecuteContext
+	c := newRootCommand() //nolint:contextcheck // its functions get ctx by ExecuteContext
 	c.SetArgs(args)
 	return c.ExecuteContext(ctx)
 }
 
-// childProcesses runs parts as child processes.
-func childProcesses(exe, logs string) local.StartPart {
+// runAsChildProcess runs parts as child processes.
+func runAsChildProcess(exe, logs string) local.StartPart {
 	return func(ctx context.Context, name string, args []string) error {
 		if err := os.MkdirAll(logs, 0o755); err != nil {
 			return fmt.Errorf("logs: %w", err)
--- a/cmd/wallrack/recorded_commands_test.go
+++ b/cmd/wallrack/recorded_commands_test.go
@@ -19,6 +19,6 @@
 			walk(sub)
 		}
 	}
-	walk(command())
+	walk(newRootCommand())
 	recorded.Compare(t, "commands.txt", []byte(text.String()))
 }
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -27,34 +27,34 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-func compareAnswer[T any](t *testing.T, name string) {
+func compareResponse[T any](t *testing.T, name string) {
 	t.Helper()
 	recorded.CompareJSON[T](t, filepath.Join("answers", name), json.Marshal, func(data []byte, v any) error { return json.Unmarshal(data, v) })
 }
 
 // What operators are answered, with every field there.
 func TestRecordedAnswers(t *testing.T) {
-	compareAnswer[slo.Alert](t, "alert.json")
-	compareAnswer[reachability.OpsStatus](t, "links.json")
-	compareAnswer[[]wire.MachineInfo](t, "machines.json")
-	compareAnswer[jobstate.Stats](t, "counters.json")
-	compareAnswer[jobstate.Served](t, "served.json")
-	compareAnswer[usage.Reading](t, "usage.json")
-	compareAnswer[rollout.JobStatus](t, "rollout-job.json")
-	compareAnswer[wire.JobState](t, "job-state.json")
-	compareAnswer[wire.Problem](t, "problem.json")
+	compareResponse[slo.Alert](t, "alert.json")
+	compareResponse[reachability.OpsStatus](t, "links.json")
+	compareResponse[[]wire.MachineInfo](t, "machines.json")
+	compareResponse[jobstate.Stats](t, "counters.json")
+	compareResponse[jobstate.Served](t, "served.json")
+	compareResponse[usage.Reading](t, "usage.json")
+	compareResponse[rollout.JobStatus](t, "rollout-job.json")
+	compareResponse[wire.JobState](t, "job-state.json")
+	compareResponse[wire.Problem](t, "problem.json")
 }
 
 func TestRecordedRolloutAnswers(t *testing.T) {
-	compareAnswer[[]rollout.Status](t, "rollouts.json")
-	compareAnswer[[]rollout.Run](t, "rollout-history.json")
+	compareResponse[[]rollout.Status](t, "rollouts.json")
+	compareResponse[[]rollout.Run](t, "rollout-history.json")
 }
 
 // A path of the operators' interface and the form of its answers.
 type recordedPath struct {
-	sample string
-	path   string
-	free   []string // objects whose names are not of the form
+	sample          string
+	path            string
+	freeFormObjects []string // objects whose names are not of the form
 }
 
 var recordedPaths = []recordedPath{
@@ -67,15 +67,15 @@
 	{"rollout-history.txt", "/ops/rollouts/tips/history", []string{"[].spec.to.desc.env"}},
 }
 
-// seenShape gathers the lines of a path's answers until all recorded ones were seen. A
+// collectShape gathers the lines of a path's answers until all recorded ones were seen. A
 // recorded line that begins with "sometimes" need not be.
-func seenShape(ctx context.Context, t *testing.T, c *client.Client, p recordedPath, wanted []string) (seen []string) {
+func collectShape(ctx context.Context, t *testing.T, c *client.Client, p recordedPath, wanted []string) (seen []string) {
 	for start := time.Now(); time.Since(start) < 20*time.Second; time.Sleep(100 * time.Millisecond) {
 		answer, err := c.Get(ctx, p.path)
 		if err != nil {
 			t.Fatalf("%s: %v", p.path, err)
 		}
-		for line := range strings.Lines(string(recorded.Shape(t, answer, p.free...))) {
+		for line := range strings.Lines(string(recorded.Shape(t, answer, p.freeFormObjects...))) {
 			if line = strings.TrimSuffix(line, "\n"); !slices.Contains(seen, line) {
 				seen = append(seen, line)
 			}
@@ -87,28 +87,28 @@
 	return seen
 }
 
-const sometimes = "sometimes "
+const optionalPrefix = "sometimes "
 
-func optional(line string) bool { return strings.HasPrefix(line, sometimes) }
+func optional(line string) bool { return strings.HasPrefix(line, optionalPrefix) }
 
 func checkShape(ctx context.Context, t *testing.T, c *client.Client, p recordedPath) {
 	t.Helper()
 	wanted := strings.Split(strings.TrimSuffix(string(recorded.Read(t, filepath.Join("paths", p.sample))), "\n"), "\n")
-	seen := seenShape(ctx, t, c, p, wanted)
+	seen := collectShape(ctx, t, c, p, wanted)
 	for _, line := range wanted {
 		if !optional(line) && !slices.Contains(seen, line) {
 			t.Errorf("%s: %q is gone", p.path, line)
 		}
 	}
 	for _, line := range seen {
-		if !slices.Contains(wanted, line) && !slices.Contains(wanted, sometimes+line) {
+		if !slices.Contains(wanted, line) && !slices.Contains(wanted, optionalPrefix+line) {
 			t.Errorf("%s: %q is not recorded", p.path, line)
 		}
 	}
 }
 
-// rollOut has a service of one replica rolled out, and waits until it is.
-func rollOut(ctx context.Context, t *testing.T, c *client.Client) {
+// completeRollout has a service of one replica rolled out, and waits until it is.
+func completeRollout(ctx context.Context, t *testing.T, c *client.Client) {
 	t.Helper()
 	spec := rollout.Spec{
 		Service: "tips", Steps: []string{"100%"}, SoakS: 1, Replicas: 1, Check: rollout.Check{TCP: true, EveryS: 0.3, TimeoutS: 1},
@@ -166,8 +166,8 @@
 	return text.String()
 }
 
-// logTo has the site's log written to a file until the test ends.
-func logTo(t *testing.T, path string) {
+// redirectLog has the site's log written to a file until the test ends.
+func redirectLog(t *testing.T, path string) {
 	t.Helper()
 	f, err := os.Create(path)
 	if err != nil {
@@ -189,8 +189,8 @@
 func TestRecordedPaths(t *testing.T) {
 	dir := t.TempDir()
 	log := filepath.Join(dir, "log")
-	logTo(t, log)
-	c, stop := site(t, filepath.Join(dir, "site"))
+	redirectLog(t, log)
+	c, stop := startSite(t, filepath.Join(dir, "site"))
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	job := wire.Job{UID: "j-three", Class: "adhoc", Team: "default", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 0.1, Image: "none", EstimateS: 1}
@@ -200,7 +200,7 @@
 	if _, err := c.Wait(ctx, job.UID); err != nil {
 		t.Fatal(err)
 	}
-	rollOut(ctx, t, c)
+	completeRollout(ctx, t, c)
 	for _, p := range recordedPaths {
 		checkShape(ctx, t, c, p)
 	}
@@ -243,7 +243,7 @@
 		"scale", "scale --config ../../internal/scale/testdata/recorded/out-of-range.sexp", "local",
 	} {
 		fmt.Fprintf(&text, "$ wallrack %s\n", args)
-		cmd := command()
+		cmd := newRootCommand()
 		cmd.SetOut(&text)
 		cmd.SetErr(&text)
 		cmd.SetArgs(strings.Fields(args))
--- a/cmd/wallrack/scale.go
+++ b/cmd/wallrack/scale.go
@@ -66,7 +66,7 @@
 		}
 		defer func() { _ = os.RemoveAll(run.Dir) }() // what is left of it is the system's to clean
 	}
-	if run.Start, err = partsOf(run.Dir, flags.inProcess); err != nil {
+	if run.Start, err = newPartStarter(run.Dir, flags.inProcess); err != nil {
 		return err
 	}
 	result, err := run.Do(ctx)
--- a/cmd/wallrack/scale_test.go
+++ b/cmd/wallrack/scale_test.go
@@ -12,14 +12,14 @@
 	"github.com/wallrack/wallrack/internal/scale"
 )
 
-func playScale(t *testing.T, settings string) (dir string, out string, err error) {
+func runScaleCommand(t *testing.T, settings string) (dir string, out string, err error) {
 	dir = t.TempDir()
 	file := filepath.Join(dir, "scale.sexp")
 	if err := os.WriteFile(file, []byte(settings), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	var text bytes.Buffer
-	cmd := command()
+	cmd := newRootCommand()
 	cmd.SetOut(&text)
 	cmd.SetErr(&text)
 	cmd.SetArgs([]string{"scale", "--in-process", "--config", file, "--dir", filepath.Join(dir, "run"), "--out", dir})
@@ -28,7 +28,7 @@
 }
 
 func TestScaleWithBadSettingsStartsNothing(t *testing.T) {
-	dir, _, err := playScale(t, `(scale (workers -1))`)
+	dir, _, err := runScaleCommand(t, `(scale (workers -1))`)
 	if err == nil || exitCode(err) != 2 || !strings.Contains(err.Error(), "scale.sexp: workers: -1 is outside") {
 		t.Errorf("exit code %d: %v", exitCode(err), err)
 	}
@@ -44,7 +44,7 @@
 // and the files hold it.
 func TestScaleRunOfSmallSiteKeepsRules(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "error")
-	dir, out, err := playScale(t, `(scale (workers 20) (controllers 2) (zones 4) (regions 2) (rack-workers 2) (teams 4) (team-spare-cpus 12)
+	dir, out, err := runScaleCommand(t, `(scale (workers 20) (controllers 2) (zones 4) (regions 2) (rack-workers 2) (teams 4) (team-spare-cpus 12)
 		(running 24) (run-s 0.3) (fetch-s 0.05) (tasks-per-job 4) (boot-s 0.1) (report-s 0.2) (lease-s 0.8) (cancel-s 10) (cloud-rps 50) (cloud-lag-s 0.2) (cloud-latency-ms 10)
 		(state-rps 5000) (state-write-rps 5000) (steady-starts 10) (steady-s 0.5) (peak-starts 40) (peak-s 1) (urgent-starts 4) (failures-a-day 0) (restarts-a-day 6000)
 		(failures-s 0.5) (rack-cut-s 0) (zone-cut-s 0) (region-cut-s 1.2) (settle-s 0.2) (restart-every-s 0.3) (drain-s 20))`)
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -39,7 +39,7 @@
 // Client talks to one site. Base is required; the zero values of the other fields are
 // ready for use. Its methods may be called concurrently.
 type Client struct {
-	Base  string        // http://HOST:PORT, without a slash at the end
+	Base         string        // http://HOST:PORT, without a slash at the end
 	RetryTimeout time.Duration // how long a request is repeated; 0: a minute
 
 	httpClient http.Client
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	requestTimeout = 5 * time.Second
-	pollTimeout    = 2 * time.Second // of a GET about a job, which is repeated soon anyway
-	minRetryPause  = time.Second
-	maxRetryPause  = 30 * time.Second // longest Retry-After that is followed
-	defaultRetryTimeout   = 60 * time.Second
-	maxBodyBytes   = 64 << 20
+	requestTimeout      = 5 * time.Second
+	pollTimeout         = 2 * time.Second // of a GET about a job, which is repeated soon anyway
+	minRetryPause       = time.Second
+	maxRetryPause       = 30 * time.Second // longest Retry-After that is followed
+	defaultRetryTimeout = 60 * time.Second
+	maxBodyBytes        = 64 << 20
 )
 
 // attempt is the outcome of one request of a series of repeats.
--- a/internal/rollout/health_checks.go
+++ b/internal/rollout/health_checks.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxProbes   = 32          // in flight, of all roll-outs together
+	maxProbes        = 32          // in flight, of all roll-outs together
 	replicaRetention = time.Minute // of a replica that is not listed any more
 )
 
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -12,10 +12,10 @@
 
 // Keys in the state service. Controllers of other versions share them.
 const (
-	keyPrefix     = "rollout/"
+	keyPrefix  = "rollout/"
 	serviceKey = keyPrefix + "service/"
 	runKey     = keyPrefix + "run/"
-	historyKey    = keyPrefix + "past/"
+	historyKey = keyPrefix + "past/"
 )
 
 // entry is a service and its last roll-out, as recorded, and what is known of the jobs. Its
--- a/internal/rollout/run.go
+++ b/internal/rollout/run.go
@@ -47,25 +47,25 @@
 
 // Run is a roll-out as it is recorded.
 type Run struct {
-	ID      int     `json:"id"` // counts a service's roll-outs
-	Spec    Spec    `json:"spec"`
-	From    Version `json:"from"`
-	Targets []int   `json:"targets"` // new replicas after each step
-	Step    int     `json:"step"`    // index of the step in progress
-	Phase   Phase   `json:"phase"`
-	ResumePhase  Phase   `json:"resume,omitempty"` // of a paused one
-	Reason  string  `json:"why,omitempty"`
-	Outcome Phase   `json:"outcome,omitempty"` // that a roll-back ends in
-	New     []Batch `json:"new"`               // submitted, or to be
-	Old     []Batch `json:"old"`               // not retired
-	Restore []Batch `json:"restore,omitempty"` // old version, submitted again by a roll-back
-	ToCancel    []Batch `json:"drop,omitempty"`    // to be cancelled, perhaps again
-	Losses    int     `json:"lost,omitempty"`    // times that replicas were lost while soaking, in this step
-	Seq     int     `json:"seq"`               // numbers the jobs
-	PhaseSince   int64   `json:"since"`             // when the phase began; this and the next ones in ms of Unix time
+	ID            int     `json:"id"` // counts a service's roll-outs
+	Spec          Spec    `json:"spec"`
+	From          Version `json:"from"`
+	Targets       []int   `json:"targets"` // new replicas after each step
+	Step          int     `json:"step"`    // index of the step in progress
+	Phase         Phase   `json:"phase"`
+	ResumePhase   Phase   `json:"resume,omitempty"` // of a paused one
+	Reason        string  `json:"why,omitempty"`
+	Outcome       Phase   `json:"outcome,omitempty"` // that a roll-back ends in
+	New           []Batch `json:"new"`               // submitted, or to be
+	Old           []Batch `json:"old"`               // not retired
+	Restore       []Batch `json:"restore,omitempty"` // old version, submitted again by a roll-back
+	ToCancel      []Batch `json:"drop,omitempty"`    // to be cancelled, perhaps again
+	Losses        int     `json:"lost,omitempty"`    // times that replicas were lost while soaking, in this step
+	Seq           int     `json:"seq"`               // numbers the jobs
+	PhaseSince    int64   `json:"since"`             // when the phase began; this and the next ones in ms of Unix time
 	RollbackSince int64   `json:"verdict,omitempty"` // when a roll-back was decided
-	Begun   int64   `json:"begun"`
-	Ended   int64   `json:"ended,omitempty"`
+	Begun         int64   `json:"begun"`
+	Ended         int64   `json:"ended,omitempty"`
 }
 
 // countReplicas counts the replicas of batches.
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -15,9 +15,9 @@
 
 // Slot is a recurring time in which no step begins.
 type Slot struct {
-	Name  string
-	Start cron.Schedule // in the slot's zone
-	Length   time.Duration
+	Name   string
+	Start  cron.Schedule // in the slot's zone
+	Length time.Duration
 }
 
 // Settings are the operators' settings of roll-outs.
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -25,27 +25,27 @@
 	t     testing.TB
 	store *testkit.Store
 
-	mu      sync.Mutex
-	leader  string
-	version uint64 // of the shard's key
-	jobs    map[string]*liveJob
-	descs   map[string]string
-	health  func(version string, replica int, since time.Duration) rollout.Health
-	maxReplicas    map[string]int // most live replicas of a version at once
-	minHealthy   int            // fewest healthy replicas since the first version was whole
-	firstVersionUp   bool
-	replicas    int
-	classes map[string]bool
+	mu          sync.Mutex
+	leader      string
+	version     uint64 // of the shard's key
+	jobs        map[string]*liveJob
+	descs       map[string]string
+	health      func(version string, replica int, since time.Duration) rollout.Health
+	maxReplicas map[string]int // most live replicas of a version at once
+	minHealthy  int            // fewest healthy replicas since the first version was whole
+	v1Up        bool
+	wantHealthy int
+	classes     map[string]bool
 
 	unavailableUntil time.Time // of the state service
 }
 
 type liveJob struct {
-	replicas       int
-	since   time.Time
-	stopped bool
-	lost    int // replicas lost with their machines until back
-	lostUntil    time.Time
+	replicas  int
+	since     time.Time
+	stopped   bool
+	lost      int // replicas lost with their machines until back
+	lostUntil time.Time
 }
 
 const startDelay = 3 * time.Second
@@ -193,10 +193,10 @@
 	for v, n := range versions {
 		c.maxReplicas[v] = max(c.maxReplicas[v], n)
 	}
-	if healthy >= c.replicas {
-		c.firstVersionUp = true
+	if healthy >= c.wantHealthy {
+		c.v1Up = true
 	}
-	if c.firstVersionUp {
+	if c.v1Up {
 		c.minHealthy = min(c.minHealthy, healthy)
 	}
 }
@@ -214,7 +214,7 @@
 
 func newSite(t testing.TB, replicas int) *site {
 	store := testkit.NewStore()
-	c := &fakeCore{t: t, store: store, leader: "a", jobs: map[string]*liveJob{}, descs: map[string]string{}, health: alwaysHealthy, maxReplicas: map[string]int{}, minHealthy: replicas, replicas: replicas, classes: map[string]bool{}}
+	c := &fakeCore{t: t, store: store, leader: "a", jobs: map[string]*liveJob{}, descs: map[string]string{}, health: alwaysHealthy, maxReplicas: map[string]int{}, minHealthy: replicas, wantHealthy: replicas, classes: map[string]bool{}}
 	v := &testkit.View{Store: store}
 	rev, err := v.Txn(context.Background(), nil, wire.Op{Put: shardKey, Value: 1})
 	if err != nil {
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -54,16 +54,16 @@
 
 // Spec is what an operator requests of a roll-out.
 type Spec struct {
-	Service  string   `json:"service"`
-	To       Version  `json:"to"`
-	Steps    []string `json:"steps"` // replicas, or parts of them like 25%
-	Check    Check    `json:"check"`
-	SoakS    float64  `json:"soakS"`  // for which a step's replicas must stay healthy
-	PlaceS   float64  `json:"placeS"` // in which a step's replicas must run and be healthy
-	OnFail   string   `json:"onFail"`
-	IgnoreSlots  bool     `json:"anytime,omitempty"` // steps begin in slots too
-	Template wire.Job `json:"template"`          // class, team, priority, resources; for a new service
-	Replicas int      `json:"replicas"`          // of a new service
+	Service     string   `json:"service"`
+	To          Version  `json:"to"`
+	Steps       []string `json:"steps"` // replicas, or parts of them like 25%
+	Check       Check    `json:"check"`
+	SoakS       float64  `json:"soakS"`  // for which a step's replicas must stay healthy
+	PlaceS      float64  `json:"placeS"` // in which a step's replicas must run and be healthy
+	OnFail      string   `json:"onFail"`
+	IgnoreSlots bool     `json:"anytime,omitempty"` // steps begin in slots too
+	Template    wire.Job `json:"template"`          // class, team, priority, resources; for a new service
+	Replicas    int      `json:"replicas"`          // of a new service
 }
 
 // SetDefaults sets the fields that are zero to their defaults.
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -28,7 +28,7 @@
 
 // Observation is the observed state that a roll-out goes on by.
 type Observation struct {
-	Jobs    map[string]JobStatus
+	Jobs          map[string]JobStatus
 	BlockedReason string // why no step may begin now, or ""
 }
 
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -59,31 +59,31 @@
 // model is a scheduler that runs the jobs, two leaders that drive the roll-out, of whom one may
 // have lost its lead without knowing it, and their delayed messages.
 type model struct {
-	svc      rollout.Service
-	run      rollout.Run
-	version  int               // of the recorded state
-	jobs     map[string]int    // live replicas by job
+	svc             rollout.Service
+	run             rollout.Run
+	version         int               // of the recorded state
+	jobs            map[string]int    // live replicas by job
 	versionOf       map[string]string // version by job
-	ended    map[string]bool
-	lost     map[string]int // replicas that were lost with their machines
-	bad      string         // the version that is unhealthy
-	hung     bool
-	blocked  bool
-	now      time.Time
-	delayedMessages     []func() // delayed messages
-	replicas int
+	ended           map[string]bool
+	lost            map[string]int // replicas that were lost with their machines
+	bad             string         // the version that is unhealthy
+	hung            bool
+	blocked         bool
+	now             time.Time
+	delayedMessages []func() // delayed messages
+	replicas        int
 
-	leaders [2]snapshot
-	beginCounts   map[int]int       // how often, by step
-	firstVersionOf    map[string]string // the version that a job ran before
-	final   rollout.Phase
+	leaders        [2]snapshot
+	beginCounts    map[int]int       // how often, by step
+	firstVersionOf map[string]string // the version that a job ran before
+	final          rollout.Phase
 }
 
 // snapshot is the recorded state as a leader read it.
 type snapshot struct {
-	run rollout.Run
-	svc rollout.Service
-	version  int
+	run         rollout.Run
+	svc         rollout.Service
+	readVersion int
 }
 
 // newModel draws a service and plans its roll-out.
@@ -208,11 +208,11 @@
 // was changed meanwhile its write fails.
 func (w *model) drive(t *rapid.T, leader int, delayed func() bool) {
 	o := w.leaders[leader]
-	w.execute(&o.run, o.version, delayed)
+	w.execute(&o.run, o.readVersion, delayed)
 	w.check(t)
 	next, svc := o.run, o.svc
 	was := next.Step
-	if rollout.Advance(&svc, &next, w.observe(), w.now) && o.version == w.version {
+	if rollout.Advance(&svc, &next, w.observe(), w.now) && o.readVersion == w.version {
 		w.version++
 		w.run, w.svc = next, svc
 		if next.Phase == rollout.Placing && was == next.Step && len(next.New) != len(o.run.New) {
--- a/internal/rolloutapi/core.go
+++ b/internal/rolloutapi/core.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	firstShard  = 0   // its leader leads autoscaling, and the roll-outs
+	firstShard        = 0   // its leader leads autoscaling, and the roll-outs
 	maxRecordFraction = 0.9 // of a value's limit in the state service, for the record of a roll-out
 )
 
--- a/internal/rolloutapi/service.go
+++ b/internal/rolloutapi/service.go
@@ -28,7 +28,7 @@
 
 const (
 	requestTimeout = 4 * time.Second
-	maxSpecBytes       = 48 << 10 // of a roll-out's description
+	maxSpecBytes   = 48 << 10 // of a roll-out's description
 )
 
 // Leaders knows which other controllers lead shards.
