--- a/internal/client/accounting.go
+++ b/internal/client/accounting.go
@@ -11,9 +11,8 @@
 	"github.com/wallrack/wallrack/internal/jobquery"
 )
 
-// AccountingRows calls each for every accounting row of a UTC day, one row after the other, never
-// concurrently. Rows may be repeated. The next pages are requested while some
-// are unpacked, which takes all processors.
+// AccountingRows calls each for every accounting row of a UTC day, never concurrently. Rows may be
+// repeated. It requests the next pages while it unpacks the previous ones on all processors.
 func (c *Client) AccountingRows(ctx context.Context, day time.Time, each func(*accounting.Row)) error {
 	reader, err := accounting.NewReader()
 	if err != nil {
@@ -37,7 +36,7 @@
 	return group.Wait()
 }
 
-// fetchAccountingPages sends the packed pages of a day, as many at a time as one response has.
+// fetchAccountingPages sends the packed pages of a day to fetched, one response's pages at a time.
 func (c *Client) fetchAccountingPages(ctx context.Context, day time.Time, fetched chan<- []string) error {
 	path := "/accounting/" + accounting.Day(day)
 	for after := ""; ; {
@@ -57,7 +56,7 @@
 	}
 }
 
-// unpackAccountingPages unpacks pages concurrently and calls each for their rows in order.
+// unpackAccountingPages unpacks pages concurrently and then calls each for their rows in order.
 func unpackAccountingPages(reader *accounting.Reader, pages []string, each func(*accounting.Row)) error {
 	rows := make([][]accounting.Row, len(pages))
 	var unpack errgroup.Group
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
-// Package client is a user's side of the HTTP interface: it submits, polls and cancels jobs
-// and reads the listings of Slurm-style clients. A request whose outcome is unknown is
-// repeated with the same job id, so that a repeat makes no second job.
+// Package client is the client of the HTTP interface for users: it submits, polls and cancels jobs
+// and reads the listings for Slurm-style commands. A request whose outcome is unknown is
+// repeated with the same job id, so that a repeat does not create a second job.
 //
 // A Client keeps no state of jobs. It doesn't validate what it sends (the site does), and
 // it doesn't print.
@@ -32,15 +32,15 @@
 )
 
 const (
-	firstWaitPoll = 200 * time.Millisecond // short, so that the end of a short job is seen soon
+	firstWaitPoll = 200 * time.Millisecond // short, so that the end of a short job is noticed soon
 	maxWaitPoll   = 5 * time.Second
 )
 
-// Client talks to one site. Base is required; the zero values of the other fields are
+// Client sends requests to one site. Base is required; the zero values of the other fields are
 // ready for use. Its methods may be called concurrently.
 type Client struct {
 	Base         string        // http://HOST:PORT, without a slash at the end
-	RetryTimeout time.Duration // how long a request is repeated; 0: a minute
+	RetryTimeout time.Duration // how long a request is repeated; 0 means defaultRetryTimeout
 
 	httpClient http.Client
 }
@@ -51,9 +51,9 @@
 // NewUID returns a random job id, unique for all practical purposes.
 func NewUID() string { return "j-" + strings.ToLower(rand.Text()) }
 
-// Submit uploads the description and submits the job. Each is repeated with the same id
-// until it is accepted or refused, or c.Retry is over. The error wraps ErrRefused,
-// ErrUnknown or taskspec.ErrDiffers (another description has this id).
+// Submit uploads the description and submits the job. Both requests are repeated with the same id
+// until they are accepted or refused, or c.RetryTimeout is over. The error wraps ErrRefused,
+// ErrUnknown or taskspec.ErrDiffers (a different description was uploaded for this id).
 func (c *Client) Submit(ctx context.Context, job *wire.Job, description *taskspec.Spec) (*wire.JobState, error) {
 	if err := c.uploadDescription(ctx, job.UID, description); err != nil {
 		return nil, err
@@ -61,8 +61,8 @@
 	return c.SubmitDescribed(ctx, job)
 }
 
-// SubmitDescribed submits a job whose description was uploaded before, with the repeats
-// and errors of Submit.
+// SubmitDescribed submits a job whose description was uploaded before. It repeats the request and
+// returns errors as Submit does.
 func (c *Client) SubmitDescribed(ctx context.Context, job *wire.Job) (*wire.JobState, error) {
 	body, err := encodeSubmission(job)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return c.jobRequest(ctx, http.MethodPost, "/api/jobs", body)
 }
 
-// uploadDescription uploads what a job's tasks run.
+// uploadDescription uploads the description of a job.
 func (c *Client) uploadDescription(ctx context.Context, uid string, description *taskspec.Spec) error {
 	upload := &taskspec.Client{Base: c.Base, HTTP: &c.httpClient}
 	err := c.retry(ctx, func(ctx context.Context) attempt {
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// encodeSubmission encodes a job with every field that a submission must have, also those
-// that the encoding of a job omits when they are zero. The map keeps the keys sorted, which
-// is the recorded form of submissions.
+// encodeSubmission encodes a job with every field that a submission must have, including those
+// that the encoding of wire.Job omits when they are zero. The map sorts the keys, as the recorded
+// form of submissions requires.
 func encodeSubmission(job *wire.Job) ([]byte, error) {
 	data, err := json.Marshal(job)
 	if err != nil {
@@ -103,20 +103,20 @@
 	return body, nil
 }
 
-// Cancel cancels the job. The state's stage is not StageCancelled if the job was done before.
-// The error wraps ErrNotFound, ErrRefused or ErrUnknown.
+// Cancel cancels the job and returns its state. The stage is not StageCancelled if the job was done
+// before. The error wraps ErrNotFound, ErrRefused or ErrUnknown.
 func (c *Client) Cancel(ctx context.Context, uid string) (*wire.JobState, error) {
 	return c.jobRequest(ctx, http.MethodPost, "/api/jobs/"+uid+"/cancel", nil)
 }
 
-// Status returns the job's state. While the site doesn't know it the request is repeated,
-// until c.Retry is over. The error wraps ErrNotFound, ErrRefused or ErrUnknown.
+// Status returns the job's state. While the site can't determine the state the request is repeated,
+// until c.RetryTimeout is over. The error wraps ErrNotFound, ErrRefused or ErrUnknown.
 func (c *Client) Status(ctx context.Context, uid string) (*wire.JobState, error) {
 	return c.jobRequest(ctx, http.MethodGet, "/api/jobs/"+uid, nil)
 }
 
-// Wait polls until the job is done or cancelled and returns that state. Polls of unknown
-// outcome are repeated without limit; the error is ctx.Err() or wraps ErrNotFound or
+// Wait polls until the job is done or cancelled and returns its state. Polls with an unknown
+// outcome are repeated without limit. The error is ctx.Err() or wraps ErrNotFound or
 // ErrRefused.
 func (c *Client) Wait(ctx context.Context, uid string) (*wire.JobState, error) {
 	pause := firstWaitPoll
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// site responds with the given responses one after the other, the last one repeatedly.
+// site is a server that sends the given responses in order and then repeats the last one.
 type site struct {
 	mu        sync.Mutex
 	responses []func(http.ResponseWriter)
@@ -51,7 +51,7 @@
 	}
 }
 
-// lostResponse cuts the connection: the request may have been executed.
+// lostResponse closes the connection without a response.
 func lostResponse(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
 func serve(t *testing.T, responses ...func(http.ResponseWriter)) (*client.Client, *site) {
@@ -62,8 +62,8 @@
 	return client.New(srv.URL), s
 }
 
-// A submission without a response is repeated unchanged, and not before Retry-After is
-// over; a refused one is not repeated.
+// A submission without a response is repeated unchanged, and not before the time in Retry-After is
+// over. A refused submission is not repeated.
 func TestSubmitRepeatsUnchangedAfterLostResponse(t *testing.T) {
 	c, s := serve(t, lostResponse, status(http.StatusServiceUnavailable, ""), status(http.StatusOK, `{"uid":"j-1","stage":"queued"}`))
 	job := &wire.Job{UID: "j-1", Class: "a", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, Image: "none"}
@@ -78,7 +78,7 @@
 		t.Errorf("not a submission: %v", err)
 	}
 	if after := s.received[2].Sub(s.received[1]); after < 2*time.Second {
-		t.Errorf("repeated after %v, Retry-After was 2 s", after)
+		t.Errorf("repeated after %v; Retry-After is 2 s", after)
 	}
 	c, s = serve(t, status(http.StatusUnprocessableEntity, `{"error":"unknown team"}`))
 	if _, err := c.Submit(t.Context(), job, description); !errors.Is(err, client.ErrRefused) || !strings.Contains(err.Error(), "unknown team") || len(s.bodies) != 1 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// A site that can't say in time means an unknown outcome, never "not found".
+// A site that is unavailable until the retry timeout results in ErrUnknown, never in ErrNotFound.
 func TestUnavailableSiteMeansUnknownNotNotFound(t *testing.T) {
 	c, _ := serve(t, status(http.StatusServiceUnavailable, `{"error":"can't tell now"}`))
 	c.RetryTimeout = 3 * time.Second
--- a/internal/client/recorded_test.go
+++ b/internal/client/recorded_test.go
@@ -19,21 +19,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// requests records each request and responds with an object that suits all.
+// requests is a server that records each request and sends a response that is valid for all of them.
 type requests struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 func (r *requests) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	body, _ := io.ReadAll(req.Body) // what arrived is compared
+	body, _ := io.ReadAll(req.Body) // a partial body fails the comparison
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fmt.Fprintf(&r.text, "%s %s\n\t%s\n", req.Method, req.RequestURI, body)
-	_, _ = io.WriteString(w, `{"uid":"j-1","stage":"done","first":7}`) // a client that left sees nothing
+	_, _ = io.WriteString(w, `{"uid":"j-1","stage":"done","first":7}`) // an error means that the client disconnected
 }
 
-// The paths, queries and bodies of every request of a client.
+// The paths, queries and bodies of a client's requests must not change.
 func TestRecordedRequests(t *testing.T) {
 	r := &requests{}
 	srv := httptest.NewServer(r)
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -17,34 +17,35 @@
 
 const (
 	requestTimeout      = 5 * time.Second
-	pollTimeout         = 2 * time.Second // of a GET about a job, which is repeated soon anyway
+	pollTimeout         = 2 * time.Second // timeout of a GET for a job, which is repeated anyway
 	minRetryPause       = time.Second
-	maxRetryPause       = 30 * time.Second // longest Retry-After that is followed
+	maxRetryPause       = 30 * time.Second // upper limit for Retry-After
 	defaultRetryTimeout = 60 * time.Second
 	maxBodyBytes        = 64 << 20
 )
 
-// attempt is the outcome of one request of a series of repeats.
+// attempt is the outcome of one request in a series of retries.
 type attempt struct {
-	conclusive bool          // a repeat would bring nothing else
-	retryAfter time.Duration // least pause before the next request
+	conclusive bool          // a retry would have the same outcome
+	retryAfter time.Duration // minimum pause before the next request
 	err        error
 }
 
-// response is what a site responded to one request.
+// response is a site's response to one request.
 type response struct {
 	status     int
 	body       []byte
-	retryAfter time.Duration // of the header Retry-After; 0: none
+	retryAfter time.Duration // from the header Retry-After; 0 if absent
 }
 
-// Get gets a path of the operators' interface or a task's output, with the repeats and
-// errors of Send.
+// Get gets a path of the operators' interface or a task's output. It repeats the request and returns
+// errors as Send does.
 func (c *Client) Get(ctx context.Context, path string) ([]byte, error) {
 	return c.Send(ctx, http.MethodGet, path, nil)
 }
 
-// GetOnce gets a path with a single request. The error wraps ErrUnknown, whatever the status.
+// GetOnce gets a path with a single request. Any status other than 200 results in an error that
+// wraps ErrUnknown.
 func (c *Client) GetOnce(ctx context.Context, path string) ([]byte, error) {
 	resp, err := c.do(ctx, http.MethodGet, path, nil, requestTimeout)
 	if err == nil && resp.status != http.StatusOK {
@@ -53,8 +54,8 @@
 	return resp.body, err
 }
 
-// Send sends a request of the operators' interface and returns the body of the response. It
-// is repeated until the response is conclusive or c.Retry is over. The error wraps
+// Send sends a request to the operators' interface and returns the body of the response. The
+// request is repeated until the response is conclusive or c.RetryTimeout is over. The error wraps
 // ErrNotFound, ErrRefused or ErrUnknown.
 func (c *Client) Send(ctx context.Context, method, path string, data []byte) (out []byte, err error) {
 	err = c.retry(ctx, func(ctx context.Context) attempt {
@@ -75,7 +76,7 @@
 	return out, err
 }
 
-// jobRequest repeats a request about a job until the response is conclusive.
+// jobRequest sends a request about a job, and repeats it as Send does, and returns the job's state.
 func (c *Client) jobRequest(ctx context.Context, method, path string, body []byte) (state *wire.JobState, err error) {
 	timeout := requestTimeout
 	if method == http.MethodGet {
@@ -107,7 +108,7 @@
 // errMalformed is the error of a response that can't be decoded.
 var errMalformed = fmt.Errorf("%w: malformed answer", ErrUnknown)
 
-// do sends one request. On an error of the body's transfer the response still has retryAfter.
+// do sends one request. If reading the body fails, the returned response still contains retryAfter.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -120,7 +121,7 @@
 	if err != nil {
 		return response{}, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	defer func() { _ = received.Body.Close() }() // the body was read: nothing is lost
+	defer func() { _ = received.Body.Close() }() // the body was read, so an error of Close has no effect
 	var resp response
 	if seconds, err := strconv.Atoi(received.Header.Get("Retry-After")); err == nil {
 		resp.retryAfter = min(maxRetryPause, time.Duration(seconds)*time.Second)
@@ -133,8 +134,8 @@
 	return resp, nil
 }
 
-// retry calls request until it is conclusive or without error, for c.Retry in all. The
-// error is the last attempt's.
+// retry calls request until its outcome is conclusive or without error, or c.RetryTimeout is over. It
+// returns the error of the last attempt.
 func (c *Client) retry(ctx context.Context, request func(context.Context) attempt) error {
 	limit := c.RetryTimeout
 	if limit == 0 {
@@ -153,7 +154,7 @@
 	}
 }
 
-// sleep returns after the pause, or with ctx's error if that is done before.
+// sleep waits for the pause, or returns ctx's error if ctx ends earlier.
 func sleep(ctx context.Context, pause time.Duration) error {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -165,7 +166,8 @@
 	}
 }
 
-// errorReason is the reason that the body of an unsuccessful response states.
+// errorReason returns the reason in the body of an unsuccessful response: that of a wire.Problem, or
+// else the first 200 bytes.
 func errorReason(body []byte) string {
 	var stated wire.Problem
 	if json.Unmarshal(body, &stated) == nil && stated.Error != "" {
--- a/internal/client/slurm.go
+++ b/internal/client/slurm.go
@@ -17,7 +17,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// getJSON gets a path with the repeats and errors of Send and decodes the response.
+// getJSON gets a path as Get does and decodes the response.
 func (c *Client) getJSON(ctx context.Context, path string, into any) error {
 	data, err := c.Get(ctx, path)
 	if err != nil {
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// Site returns what Slurm-style clients need to know of the site. The error wraps
-// ErrRefused if the site doesn't serve them.
+// Site returns the site's settings for Slurm-style clients. The error wraps ErrRefused if the site
+// doesn't serve such clients.
 func (c *Client) Site(ctx context.Context) (*jobquery.Site, error) {
 	var site jobquery.Site
 	err := c.getJSON(ctx, "/slurm/site", &site)
@@ -41,7 +41,7 @@
 }
 
 // ReserveNumbers reserves count consecutive job numbers for a new job and returns the first. A
-// repeat reserves others; numbers that no job gets stay unused.
+// repeated request reserves other numbers; those of the earlier one stay unused.
 func (c *Client) ReserveNumbers(ctx context.Context, count int) (uint64, error) {
 	out, err := c.Send(ctx, http.MethodPost, "/slurm/numbers", []byte(`{"count":`+strconv.Itoa(count)+`}`))
 	if err != nil {
@@ -54,8 +54,8 @@
 	return reserved.First, nil
 }
 
-// SubmitWithConstraints submits a job with constraints, with the repeats and errors of Submit. With
-// dryRun the site only checks the job, and nothing is uploaded.
+// SubmitWithConstraints submits a job with constraints. It repeats the request and returns errors as
+// Submit does. With dryRun the site only validates the job, and nothing is uploaded.
 func (c *Client) SubmitWithConstraints(ctx context.Context, job *wire.Job, constraints *jobspec.Constraints, description *taskspec.Spec, dryRun bool) (*wire.JobState, error) {
 	if !dryRun {
 		if err := c.uploadDescription(ctx, job.UID, description); err != nil {
@@ -73,21 +73,21 @@
 	return c.jobRequest(ctx, http.MethodPost, "/slurm/jobs", body)
 }
 
-// JobByNumber returns the job that a number belongs to. It is never nil; with an error, which
-// wraps ErrNotFound if no job has the number, it is empty.
+// JobByNumber returns the job that has a number. The result is never nil. If no job has the number
+// the error wraps ErrNotFound and the result is empty.
 func (c *Client) JobByNumber(ctx context.Context, number uint64) (*jobid.Job, error) {
 	var found jobid.Job
 	return &found, c.getJSON(ctx, "/slurm/numbers/"+strconv.FormatUint(number, 10), &found)
 }
 
-// Info returns what is known of a job, active or ended. It is never nil.
+// Info returns the site's information about a job, active or ended. The result is never nil.
 func (c *Client) Info(ctx context.Context, uid string) (*jobquery.Info, error) {
 	var info jobquery.Info
 	return &info, c.getJSON(ctx, "/slurm/jobs/"+url.PathEscape(uid), &info)
 }
 
-// Jobs lists the active jobs and passes each page to each, whose error ends the listing. A
-// page that doesn't arrive is requested again, from whichever controller responds.
+// Jobs lists the active jobs and calls each for every page. An error of each ends the listing. A
+// request for a page is repeated as in Send, and any controller can respond to the repeat.
 func (c *Client) Jobs(ctx context.Context, each func(page *jobquery.Page) error) error {
 	var from jobquery.Cursor
 	for {
@@ -98,7 +98,7 @@
 		if err := each(&page); err != nil || page.Next == nil {
 			return err
 		}
-		if *page.Next == from { // else a site that repeats a page is listed without end
+		if *page.Next == from { // a site that repeats a page would be listed for ever
 			return fmt.Errorf("%w: the listing does not go on", ErrUnknown)
 		}
 		from = *page.Next
@@ -111,7 +111,7 @@
 	return err
 }
 
-// CancelTasks cancels some tasks of an active job, with the errors of Send.
+// CancelTasks cancels the given tasks of an active job, with the errors of Send.
 func (c *Client) CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error {
 	body, err := json.Marshal(map[string]string{"tasks": tasks.String()})
 	if err != nil {
--- a/internal/rollout/health_checks.go
+++ b/internal/rollout/health_checks.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	maxProbes        = 32          // in flight, of all roll-outs together
-	replicaRetention = time.Minute // of a replica that is not listed any more
+	maxProbes        = 32          // concurrent probes, of all roll-outs together
+	replicaRetention = time.Minute // how long the state of a replica is retained after its last listing
 )
 
-// replicaHealth is what the last checks of a replica found. Its counts are in a row.
+// replicaHealth is the health of a replica by its latest checks. passes, failures and timeouts count
+// consecutive results.
 type replicaHealth struct {
-	listed    time.Time // when the replica was last listed
-	probed    time.Time
+	listed    time.Time // time of the last listing that contained the replica
+	probed    time.Time // start of the last probe, zero if there was none
 	probing   bool
 	passes    int
 	failures  int
@@ -26,7 +27,7 @@
 	hung      bool
 }
 
-// record takes a check's result into account. One without a result changes nothing.
+// record counts the result of a check. Unknown is ignored.
 func (r *replicaHealth) record(health Health, check Check) {
 	switch health {
 	case Healthy:
@@ -49,7 +50,7 @@
 	}
 }
 
-// healthChecker probes the replicas that matter now, and keeps what that found.
+// healthChecker probes the replicas of active roll-outs and stores their health.
 type healthChecker struct {
 	prober Prober
 	slots  chan struct{}
@@ -63,8 +64,8 @@
 	return &healthChecker{prober: p, slots: make(chan struct{}, maxProbes), replicas: map[string]*replicaHealth{}}
 }
 
-// observe starts the checks that are due, as far as there are slots, and returns what is known
-// of a job's replicas.
+// observe starts the checks that are due, as far as maxProbes allows, and returns the known
+// health of a job's replicas.
 func (c *healthChecker) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (seen JobStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +98,8 @@
 	return known
 }
 
-// probeLocked starts a check of a replica. Without a slot a later call does.
+// probeLocked starts a check of a replica. If maxProbes checks are in flight it does nothing, and the
+// next call to observe tries again.
 func (c *healthChecker) probeLocked(ctx context.Context, now time.Time, replica Replica, known *replicaHealth, check Check) {
 	select {
 	case c.slots <- struct{}{}:
@@ -115,8 +117,9 @@
 	})
 }
 
-// removeStale drops what is known of replicas that were not listed lately, and, unless prefix is
-// empty, of all whose task begins with it: a resumed roll-out checks them anew.
+// removeStale removes the health of replicas that were not listed within replicaRetention and,
+// unless prefix is empty, of all replicas whose task name begins with prefix. A resumed roll-out
+// uses the latter to check its replicas from scratch.
 func (c *healthChecker) removeStale(now time.Time, prefix string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -14,26 +14,26 @@
 
 const (
 	tickInterval = time.Second
-	tickTimeout  = 4 * time.Second  // for all roll-outs' writes and submissions in a tick
-	watchHold    = 20 * time.Second // for which a watch waits for changes
+	tickTimeout  = 4 * time.Second  // limit for the writes and submissions of all roll-outs in one tick
+	watchHold    = 20 * time.Second // how long one watch request waits for changes
 )
 
-// Store is what roll-outs need of the state service.
+// Store is the part of the state service's client that roll-outs use.
 type Store interface {
 	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
 	Watch(ctx context.Context, prefix string, hold time.Duration, reset func([]wire.Item), change func([]wire.Event))
 }
 
-// Core is what roll-outs need of the scheduler.
+// Core is the part of the scheduler that roll-outs use.
 type Core interface {
-	// LeaderGuard returns the guard that holds while this controller drives roll-outs; false if
-	// another one does.
+	// LeaderGuard returns a guard that holds as long as this controller is the leader for
+	// roll-outs, or false if it is not the leader.
 	LeaderGuard() (wire.Guard, bool)
-	// Submit records a job's acceptance under further conditions. A job that is
-	// known already is no error.
+	// Submit records a job as accepted, in a transaction that also checks the guards. It
+	// succeeds without effect if the job exists already.
 	Submit(ctx context.Context, job *wire.Job, guards ...wire.Guard) error
-	// Cancel cancels a job. One that was never accepted is no error.
+	// Cancel cancels a job. It succeeds without effect if the job was never accepted.
 	Cancel(ctx context.Context, uid string) error
 	// Replicas returns the running replicas of a job.
 	Replicas(uid string) []Replica
@@ -41,14 +41,14 @@
 	Unfinished(class string) bool
 }
 
-// DescriptionStore keeps what jobs run.
+// DescriptionStore stores the descriptions of jobs: the programs that their tasks run.
 type DescriptionStore interface {
-	// Put stores a job's description. The same one again is no error.
+	// Put stores a job's description. Storing the same description again succeeds.
 	Put(ctx context.Context, job string, d *taskspec.Spec) error
 }
 
-// Manager keeps services, and drives their roll-outs while this controller leads. It is safe
-// for concurrent use.
+// Manager stores services and advances their roll-outs while this controller is the leader. It is
+// safe for concurrent use.
 type Manager struct {
 	settings     *Settings
 	store        Store
@@ -60,17 +60,17 @@
 
 	mu      sync.Mutex
 	entries map[string]*entry
-	synced  bool // the records are read
+	synced  bool // whether the records were read at least once
 }
 
-// NewManager returns a manager that knows no services until Run has read them. No record that
-// it writes is larger than so many bytes.
+// NewManager returns a manager that has no services until Run has read them. Start refuses a
+// roll-out whose record is larger than half of maxRecordBytes.
 func NewManager(s *Settings, store Store, core Core, d DescriptionStore, p Prober, maxRecordBytes int, log *slog.Logger) *Manager {
 	return &Manager{settings: s, store: store, core: core, descriptions: d, checks: newHealthChecker(p), maxRecord: maxRecordBytes, log: log, entries: map[string]*entry{}}
 }
 
-// Run follows the records, and drives the roll-outs while this controller leads. It returns the
-// context's error once the context has ended and so have the watch and the checks.
+// Run watches the records and advances the roll-outs while this controller is the leader. When the
+// context ends it waits for the watch and the checks to end and returns the context's error.
 func (m *Manager) Run(ctx context.Context) error {
 	defer m.checks.probes.Wait()
 	var wg sync.WaitGroup
@@ -79,7 +79,7 @@
 	return periodic.Run(ctx, tickInterval, func() { m.Tick(ctx) })
 }
 
-// Tick drives every roll-out once, if this controller leads.
+// Tick advances every active roll-out by at most one transition, if this controller is the leader.
 func (m *Manager) Tick(ctx context.Context) {
 	lead, ok := m.core.LeaderGuard()
 	m.mu.Lock()
--- a/internal/rollout/manager_test.go
+++ b/internal/rollout/manager_test.go
@@ -13,8 +13,8 @@
 	"github.com/wallrack/wallrack/internal/rollout"
 )
 
-// A version turns unhealthy halfway; it is halted and
-// the prior version is whole again within a minute.
+// A version that turns unhealthy halfway through its roll-out is rolled back, and all replicas of the
+// prior version are healthy again within a minute.
 func TestUnhealthyVersionIsRolledBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSiteWithV1(t, 8)
@@ -25,9 +25,9 @@
 			return rollout.Healthy
 		})
 		s.startRollout("v2", func(x *rollout.Spec) { x.Steps = []string{"1", "50%", "100%"} })
-		held := 0.0 // room for what was retired is kept until the roll-out is over
+		reserved := 0.0 // capacity of the retired replicas is reserved until the roll-out ends
 		s.waitFor("unhealthy", 5*time.Minute, func(r *rollout.Run) bool {
-			held = max(held, s.managers["a"].ReservedCPUs())
+			reserved = max(reserved, s.managers["a"].ReservedCPUs())
 			return r.ID == 2 && r.Phase == rollout.RollingBack
 		})
 		if took := s.waitFor("restored", time.Minute, final(2)); took > time.Minute {
@@ -38,10 +38,10 @@
 			t.Errorf("%s: %s; %d of the new version", r.Phase, r.Reason, s.maxReplicas["v2"])
 		}
 		if s.minHealthy < 8 {
-			t.Errorf("only %d healthy replicas of 8 on the way", s.minHealthy)
+			t.Errorf("only %d of 8 replicas were healthy during the roll-out", s.minHealthy)
 		}
-		if held < 1 || s.managers["a"].ReservedCPUs() != 0 {
-			t.Errorf("held %v CPUs, and %v in the end", held, s.managers["a"].ReservedCPUs())
+		if reserved < 1 || s.managers["a"].ReservedCPUs() != 0 {
+			t.Errorf("%v CPUs were reserved, and %v after the end", reserved, s.managers["a"].ReservedCPUs())
 		}
 		past, err := s.managers["a"].History(context.Background(), "tips")
 		if err != nil || len(past) != 2 || past[1].Phase != rollout.Restored {
@@ -51,8 +51,8 @@
 	})
 }
 
-// A check that hangs pauses the roll-out, names the replica, and holds; it goes on
-// when an operator says so. A version that flaps below the thresholds passes.
+// Checks that time out pause the roll-out, with the replica's name as the reason, until an operator
+// resumes it. A version whose health flaps below the thresholds is rolled out.
 func TestHangingCheckPausesAndFlappingVersionPasses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSiteWithV1(t, 4)
@@ -82,8 +82,8 @@
 	})
 }
 
-// A slot that begins in the middle of a step lets the step's soak end and then
-// holds; in a slot nothing starts.
+// No step begins in a slot. A step that is in progress when a slot begins is completed, and the next
+// one waits for the end of the slot.
 func TestStepsWaitForTheEndOfASlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSiteWithV1(t, 4)
@@ -109,7 +109,7 @@
 	})
 }
 
-// inject lets a fault happen, and what it needs to pass begin.
+// inject injects a fault, and undoes it or sets the time at which it ends.
 func (s *site) inject(fault string) {
 	switch fault {
 	case "killed":
@@ -119,7 +119,7 @@
 		s.start("a")
 		time.Sleep(2 * time.Second)
 		s.setLeader("a")
-	case "deposed": // and does not know it for a while
+	case "deposed": // a still regards itself as the leader for 3 s
 		s.mu.Lock()
 		leader, version := s.leader, s.version
 		s.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// running counts the live replicas, and names the jobs among them whose version is unwanted.
+// running returns the number of live replicas, and their jobs whose version is unwanted.
 func (s *site) running(unwanted func(version string) bool) (replicas int, left []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,9 +160,8 @@
 	return replicas, left
 }
 
-// The controller that drives a roll-out is killed, or the state service goes out
-// for half a minute, at every transition in turn; machines are lost while
-// soaking. Each time the roll-out ends as it would have, with one outcome.
+// At every transition of a roll-out the leader is killed or deposed, the state service is unavailable
+// for 30 s, or machines are lost. The roll-out ends in the same phase as without faults.
 func TestControllerLossOrStateOutageAtEveryTransition(t *testing.T) {
 	for _, bad := range []bool{false, true} {
 		for _, fault := range []string{"killed", "deposed", "state out", "machines lost"} {
@@ -171,7 +170,7 @@
 	}
 }
 
-// rollOutWithFaults rolls a version out that turns unhealthy if it is bad, with a fault at
+// rollOutWithFaults rolls out a version, which turns unhealthy if bad is set, and injects a fault at
 // every transition.
 func rollOutWithFaults(t *testing.T, fault string, bad bool) {
 	s := newSiteWithV1(t, 4)
@@ -199,7 +198,7 @@
 	r := s.run()
 	running, left := s.running(func(version string) bool { return (version == "v2") == bad })
 	if len(left) > 0 {
-		t.Errorf("%s, bad %v: %v are left", fault, bad, left)
+		t.Errorf("%s, bad %v: %v still run", fault, bad, left)
 	}
 	if r.Phase != want || running != 4 {
 		t.Errorf("%s, bad %v: %s (%s) with %d replicas", fault, bad, r.Phase, r.Reason, running)
@@ -207,7 +206,7 @@
 	s.close()
 }
 
-// A roll-out that can't be is refused with the field's name, and nothing is changed.
+// An invalid roll-out is refused with the name of the invalid field, and no record is written.
 func TestInvalidStartIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSiteWithV1(t, 4)
@@ -230,15 +229,15 @@
 		}
 		s.startRollout("v2", nil)
 		if _, err := s.managers["b"].Start(t.Context(), spec()); !errors.Is(err, rollout.ErrInput) || !strings.Contains(err.Error(), "roll-out already") {
-			t.Errorf("a second one: %v", err)
+			t.Errorf("a second roll-out of the service: %v", err)
 		}
 		s.waitFor("done", 10*time.Minute, final(2))
 		s.close()
 	})
 }
 
-// BenchmarkTick is a look at 50 roll-outs of 40 replicas each, the most there may
-// be, with nothing to be written.
+// BenchmarkTick measures a tick with the maximum of 50 roll-outs of 40 replicas each, none of which
+// changes its phase.
 func BenchmarkTick(b *testing.B) {
 	s := newSite(b, 1)
 	for i := range rollout.MaxRuns {
@@ -250,7 +249,7 @@
 			} else if n > 40 {
 				b.Fatal(err)
 			}
-			time.Sleep(50 * time.Millisecond) // it has not read the records yet
+			time.Sleep(50 * time.Millisecond) // the manager has not read the records yet
 		}
 	}
 	s.close()
--- a/internal/rollout/operations.go
+++ b/internal/rollout/operations.go
@@ -17,9 +17,9 @@
 	maxVerbBackoff = 500 * time.Millisecond
 )
 
-// Start begins a roll-out, of a new service if it has replicas and a template. It fails with
-// ErrInput if the spec is wrong, with statestore.ErrUnavailable while the records are not
-// read, or as the state service does.
+// Start records a new roll-out. If the service is unknown it is created, which needs replicas and a
+// template in the spec. Start fails with ErrInput if the spec is invalid, with
+// statestore.ErrUnavailable until the records were read, or with the state service's error.
 func (m *Manager) Start(ctx context.Context, spec Spec) (*Run, error) {
 	spec.SetDefaults()
 	if err := spec.Validate(); err != nil {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInput, err)
 	}
-	// Batches are added as it goes on: half is kept for them.
+	// The record grows by the batches of later steps: half of the size is reserved for them.
 	if data, err := json.Marshal(e.run); err != nil || len(data) > m.maxRecord/2 {
 		return nil, fmt.Errorf("%w: to.desc: too large to be recorded, over %d bytes with the version before", ErrInput, m.maxRecord/2)
 	}
@@ -63,13 +63,13 @@
 	return e.run, nil
 }
 
-// usage is what all services take of the limits.
+// usage is the total of all services, which is compared with the limits.
 type usage struct {
 	services, runs, replicas int
 }
 
-// snapshot returns a copy of a service's entry, empty if the service is unknown, and the usage
-// of the limits.
+// snapshot returns a copy of a service's entry, which is empty if the service is unknown, and the
+// usage of all services.
 func (m *Manager) snapshot(service string) (entry, usage, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// checkService checks that a spec leaves what a roll-out can't change of a service.
+// checkService checks that a spec does not change the number of replicas of an existing service.
 func checkService(spec *Spec, service *Service) error {
 	if spec.Replicas != 0 && spec.Replicas != service.Replicas {
 		return fmt.Errorf("%w: replicas: %s has %d, which a roll-out does not change", ErrInput, spec.Service, service.Replicas)
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// ApplyVerb applies an operator's verb to a service's roll-out. It fails with ErrInput if that
-// can't be, or as the state service does.
+// ApplyVerb applies an operator's verb to a service's roll-out and returns the new state. It fails
+// with ErrInput if the verb is not allowed in the present phase, or with the state service's error.
 func (m *Manager) ApplyVerb(ctx context.Context, service, verb string) (*Run, error) {
 	for attempt := 0; ; attempt++ {
 		run, err := m.applyVerb(ctx, service, verb)
@@ -119,7 +119,7 @@
 		if !errors.As(err, &conflict) || attempt == maxVerbRetries {
 			return run, err
 		}
-		// The leader went on meanwhile; its record comes with the watch.
+		// The leader wrote a newer record, which arrives by the watch.
 		statestore.Backoff(ctx, attempt, minVerbBackoff, maxVerbBackoff)
 	}
 }
--- a/internal/rollout/prober.go
+++ b/internal/rollout/prober.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	probeMargin    = 2 * time.Second // beyond the check's own timeout, for the worker to respond
+	probeMargin    = 2 * time.Second // added to the check's timeout, for the worker to respond
 	maxProbeBody   = 4096
 	probeKeepAlive = 30 * time.Second
 )
@@ -26,23 +26,24 @@
 	Healthy   Health = "healthy"
 	Unhealthy Health = "unhealthy"
 	Hung      Health = "hung" // the replica did not respond in time
-	Unknown   Health = ""     // the worker did not respond, which shows nothing of the replica
+	Unknown   Health = ""     // the worker did not respond, so the replica's health is unknown
 )
 
-// Replica is a running replica.
+// Replica identifies a running replica.
 type Replica struct {
 	Task     string
 	Attempt  uint64
-	Endpoint string // its worker's address
+	Endpoint string // HOST:PORT of its worker
 }
 
-// Prober has a worker check a replica. It is safe for concurrent use.
+// Prober checks the health of replicas through their workers. It is safe for concurrent use.
 type Prober interface {
-	// Probe returns soon after the check's timeout, or after the context's end.
+	// Probe returns the result of one check. It returns soon after the check's timeout or the end
+	// of the context.
 	Probe(ctx context.Context, r Replica, c Check) Health
 }
 
-// WorkerProber probes over HTTP.
+// WorkerProber requests checks from workers over HTTP.
 type WorkerProber struct{ client *http.Client }
 
 // NewWorkerProber returns a prober with few idle connections.
@@ -50,7 +51,7 @@
 	return &WorkerProber{&http.Client{Transport: &http.Transport{MaxIdleConns: maxProbes, MaxIdleConnsPerHost: 1, IdleConnTimeout: probeKeepAlive}}}
 }
 
-// Probe implements Prober. Without a response of the worker the result is Unknown.
+// Probe implements Prober. It returns Unknown if the worker does not respond correctly.
 func (p *WorkerProber) Probe(ctx context.Context, r Replica, c Check) Health {
 	ctx, cancel := context.WithTimeout(ctx, seconds(c.TimeoutS)+probeMargin)
 	defer cancel()
@@ -68,7 +69,7 @@
 	if err != nil {
 		return Unknown
 	}
-	defer func() { _ = resp.Body.Close() }() // the body is read, or the result unknown
+	defer func() { _ = resp.Body.Close() }() // an error of Close doesn't affect the result
 	var result struct {
 		Outcome Health `json:"outcome"`
 	}
--- a/internal/rollout/recorded_settings_test.go
+++ b/internal/rollout/recorded_settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// Every key of the settings is accepted and ends where it belongs; there is no default.
+// Every key of the settings is accepted and sets its field. No key has a default.
 func TestRecordedSettings(t *testing.T) {
 	s, err := rollout.LoadSettings("testdata/recorded/rollouts.sexp")
 	if err != nil {
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -68,8 +68,8 @@
 	return Service{Name: "tips", Replicas: 8, Template: fullTemplate(), Version: fullVersion("v1"), Batches: batches("v1", "j-svc-tips-2-1", "j-svc-tips-2-2")}
 }
 
-// Controllers of different versions share the records, and operators' tools read what is
-// sent, so their form must not change.
+// Controllers of different versions share the records, and operators' tools read the responses,
+// so the encoding of both must not change.
 func TestRecordedForms(t *testing.T) {
 	recorded.Check(t, "spec", fullSpec())
 	recorded.Check(t, "spec_least", Spec{})
@@ -85,7 +85,7 @@
 	recorded.Check(t, "status_least", Status{})
 }
 
-// Texts that are recorded or sent.
+// Constants that are stored in records or sent must not change.
 func TestRecordedTexts(t *testing.T) {
 	got := []any{
 		Pending, WaitingSlot, Placing, Soaking, Retiring, Paused, RollingBack, Done, Aborted, Restored,
@@ -113,8 +113,8 @@
 	}
 }
 
-// What a manager writes when a roll-out ends, as the state service has it, and that
-// another reads it.
+// The records that a manager writes when a roll-out ends must not change, and another manager
+// must be able to read them.
 func TestRecordedByManager(t *testing.T) {
 	store := testkit.NewStore()
 	manager := func() *Manager {
@@ -149,13 +149,13 @@
 	}
 }
 
-// recordedText returns a file of testdata/recorded without its line's end.
+// recordedText returns the contents of a file of testdata/recorded without the final newline.
 func recordedText(t *testing.T, file string) json.RawMessage {
 	t.Helper()
 	return json.RawMessage(strings.TrimSuffix(string(recorded.Read(t, file)), "\n"))
 }
 
-// The requests for checks, as a worker gets them, and its response.
+// The check requests that are sent to a worker, and the decoding of its response, must not change.
 func TestRecordedProbe(t *testing.T) {
 	var requests []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -18,12 +18,12 @@
 	historyKey = keyPrefix + "past/"
 )
 
-// entry is a service and its last roll-out, as recorded, and what is known of the jobs. Its
-// maps are replaced only before the entry is in use.
+// entry is a service and its latest roll-out, as recorded, and the known state of the jobs. Copies of
+// an entry share the maps submitted and cancelled, so these are replaced only before it is in use.
 type entry struct {
 	service        Service
-	serviceVersion uint64 // of its key; 0: not recorded
-	run            *Run   // never changed in place; nil: none
+	serviceVersion uint64 // version of the service's key; 0 if the service is not recorded
+	run            *Run   // never modified in place; nil if there is none
 	runVersion     uint64
 
 	submitted map[string]bool // jobs known to be accepted
@@ -31,10 +31,10 @@
 	jobs      map[string]JobStatus
 }
 
-// active reports whether a roll-out is under way.
+// active reports whether the latest roll-out has not ended.
 func (e *entry) active() bool { return e.run != nil && !e.run.Phase.Final() }
 
-// clone returns a copy, whose run may be changed, to be written.
+// clone returns a copy with a run that may be modified before it is written.
 func (e *entry) clone() (entry, error) {
 	next := *e
 	var err error
@@ -42,7 +42,7 @@
 	return next, err
 }
 
-// reset replaces all records by those that a watch begins with.
+// reset replaces all records by those that a watch starts with, and retains the state of jobs.
 func (m *Manager) reset(items []wire.Item) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -59,7 +59,7 @@
 	m.synced = true
 }
 
-// applyEvents takes in changes of records.
+// applyEvents applies changes from the watch.
 func (m *Manager) applyEvents(events []wire.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,7 +79,7 @@
 	return e
 }
 
-// applyLocked takes in a record if it is newer than what is known.
+// applyLocked stores a record if it is newer than the present one.
 func (m *Manager) applyLocked(key string, value json.RawMessage, version uint64) {
 	var err error
 	if name, ok := strings.CutPrefix(key, serviceKey); ok {
@@ -114,9 +114,9 @@
 	return nil
 }
 
-// write records a service's next roll-out, and the service if that is new or the roll-out has
-// ended, under the conditions that nobody else wrote them since the versions of next, and the
-// guards. An error has the state service's in its chain.
+// write records the roll-out of next, and also the service if that is new or the roll-out has ended.
+// The transaction fails if either record has changed since the versions in next, or if one of the
+// guards doesn't hold. Errors wrap the state service's error.
 func (m *Manager) write(ctx context.Context, name string, next *entry, guards ...wire.Guard) error {
 	guards = append(guards, wire.Guard{Key: runKey + name, Version: next.runVersion}, wire.Guard{Key: serviceKey + name, Version: next.serviceVersion})
 	ops := []wire.Op{{Put: runKey + name, Value: next.run}}
@@ -129,7 +129,7 @@
 	}
 	version, err := m.store.Txn(ctx, guards, ops...)
 	if err != nil {
-		return fmt.Errorf("record: %w", err) // if it was applied all the same, the watch brings it
+		return fmt.Errorf("record: %w", err) // if it was applied nevertheless, the watch delivers it
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/rollout/run.go
+++ b/internal/rollout/run.go
@@ -9,32 +9,32 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Batch is a job with replicas of one version of a service.
+// Batch is a job that runs replicas of one version of a service.
 type Batch struct {
 	UID      string `json:"uid"`
 	Replicas int    `json:"replicas"`
 	Version  string `json:"version"`
 }
 
-// Service is a service as it is recorded.
+// Service is the stored record of a service.
 type Service struct {
 	Name     string   `json:"name"`
 	Replicas int      `json:"replicas"`
 	Template wire.Job `json:"template"`
-	Version  Version  `json:"version"` // that runs, or is to be restored
+	Version  Version  `json:"version"` // version of the last completed roll-out, which a roll-back restores
 	Batches  []Batch  `json:"batches"`
 }
 
-// Phase is how far a roll-out is.
+// Phase is the state of a roll-out in its state machine.
 type Phase string
 
 // Phases. The last three are final.
 const (
 	Pending     Phase = "pending"
 	WaitingSlot Phase = "waiting-for-slot"
-	Placing     Phase = "placing"  // the step's new replicas start
-	Soaking     Phase = "soaking"  // they stay healthy for a while
-	Retiring    Phase = "retiring" // as many old ones are cancelled
+	Placing     Phase = "placing"  // the step's new replicas start and become healthy
+	Soaking     Phase = "soaking"  // the new replicas must stay healthy for Spec.SoakS
+	Retiring    Phase = "retiring" // old replicas that are no longer needed are cancelled
 	Paused      Phase = "paused"
 	RollingBack Phase = "rolling-back"
 	Done        Phase = "done"
@@ -42,33 +42,33 @@
 	Restored    Phase = "restored" // health failed, the old version restored
 )
 
-// Final reports whether nothing follows.
+// Final reports whether the roll-out has ended.
 func (p Phase) Final() bool { return p == Done || p == Aborted || p == Restored }
 
-// Run is a roll-out as it is recorded.
+// Run is the stored record of a roll-out.
 type Run struct {
-	ID            int     `json:"id"` // counts a service's roll-outs
+	ID            int     `json:"id"` // 1 for a service's first roll-out
 	Spec          Spec    `json:"spec"`
 	From          Version `json:"from"`
-	Targets       []int   `json:"targets"` // new replicas after each step
+	Targets       []int   `json:"targets"` // number of new replicas after each step
 	Step          int     `json:"step"`    // index of the step in progress
 	Phase         Phase   `json:"phase"`
-	ResumePhase   Phase   `json:"resume,omitempty"` // of a paused one
+	ResumePhase   Phase   `json:"resume,omitempty"` // phase in which a paused roll-out resumes
 	Reason        string  `json:"why,omitempty"`
-	Outcome       Phase   `json:"outcome,omitempty"` // that a roll-back ends in
-	New           []Batch `json:"new"`               // submitted, or to be
-	Old           []Batch `json:"old"`               // not retired
-	Restore       []Batch `json:"restore,omitempty"` // old version, submitted again by a roll-back
-	ToCancel      []Batch `json:"drop,omitempty"`    // to be cancelled, perhaps again
-	Losses        int     `json:"lost,omitempty"`    // times that replicas were lost while soaking, in this step
-	Seq           int     `json:"seq"`               // numbers the jobs
-	PhaseSince    int64   `json:"since"`             // when the phase began; this and the next ones in ms of Unix time
-	RollbackSince int64   `json:"verdict,omitempty"` // when a roll-back was decided
+	Outcome       Phase   `json:"outcome,omitempty"` // final phase; set when a roll-back begins
+	New           []Batch `json:"new"`               // batches of the new version, submitted or about to be
+	Old           []Batch `json:"old"`               // batches of the old version that are not retired
+	Restore       []Batch `json:"restore,omitempty"` // batches of the old version that a roll-back submits
+	ToCancel      []Batch `json:"drop,omitempty"`    // batches to cancel; cancelling again is harmless
+	Losses        int     `json:"lost,omitempty"`    // times that replicas were lost while soaking in this step
+	Seq           int     `json:"seq"`               // number of the latest job
+	PhaseSince    int64   `json:"since"`             // start of the phase; this and the following times are in Unix ms
+	RollbackSince int64   `json:"verdict,omitempty"` // start of the roll-back, 0 if there was none
 	Begun         int64   `json:"begun"`
 	Ended         int64   `json:"ended,omitempty"`
 }
 
-// countReplicas counts the replicas of batches.
+// countReplicas returns the total of the replicas of batches.
 func countReplicas(batches []Batch) (n int) {
 	for _, batch := range batches {
 		n += batch.Replicas
@@ -76,13 +76,13 @@
 	return n
 }
 
-// newBatch makes the next job of a roll-out. Its id is never used for another.
+// newBatch returns the next batch of a roll-out, with a job id that no other batch has.
 func (r *Run) newBatch(replicas int, version string) Batch {
 	r.Seq++
 	return Batch{UID: fmt.Sprintf("j-svc-%s-%d-%d", r.Spec.Service, r.ID, r.Seq), Replicas: replicas, Version: version}
 }
 
-// setPhase begins a phase.
+// setPhase changes the phase, with the reason for the change.
 func (r *Run) setPhase(p Phase, why string, now time.Time) {
 	r.Phase, r.Reason, r.PhaseSince = p, why, now.UnixMilli()
 	if p.Final() {
@@ -90,7 +90,7 @@
 	}
 }
 
-// timeInPhase is the time since the phase began.
+// timeInPhase returns the time since the phase began.
 func (r *Run) timeInPhase(now time.Time) time.Duration { return now.Sub(time.UnixMilli(r.PhaseSince)) }
 
 // clone returns a deep copy.
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"net/url"
 	"time"
-	_ "time/tzdata" // zones on machines that have none
+	_ "time/tzdata" // time zones for machines without a zone database
 
 	"github.com/robfig/cron/v3"
 	"olympos.io/encoding/edn"
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/config"
 )
 
-// Slot is a recurring time in which no step begins.
+// Slot is a recurring blackout window in which no step of a roll-out begins.
 type Slot struct {
 	Name   string
 	Start  cron.Schedule // in the slot's zone
@@ -24,23 +24,22 @@
 type Settings struct {
 	Descriptions string // base URL of the description service
 	Slots        []Slot
-	Classes      []string // of jobs: a slot lasts while one of them is unfinished
+	Classes      []string // classes of jobs; no step begins while a job of one of them is unfinished
 }
 
 const maxSlot = 7 * 24 * time.Hour
 
-// LoadSettings reads and checks a file of settings. Its errors name the file. Such a file is
+// LoadSettings reads and validates a settings file. Its errors name the file. An example:
 //
 //	(rollouts
 //	  (descriptions "http://127.0.0.1:7700")
-//	  (slot "nightly split" "30 1 * * *" "Europe/London" 90) ; cron, zone, minutes
+//	  (slot "nightly split" "30 1 * * *" "Europe/London" 90) ; schedule, zone, minutes
 //	  (slot-class "tip-split"))
 func LoadSettings(path string) (*Settings, error) {
 	return config.Load(path, ParseSettings)
 }
 
-// ParseSettings reads the text of the operators' settings. Its errors name the entry that is
-// wrong.
+// ParseSettings parses and validates the text of a settings file. Its errors name the invalid entry.
 func ParseSettings(data []byte) (*Settings, error) {
 	entries, err := config.Entries(data, "rollouts", "(key value ...)")
 	if err != nil {
@@ -52,10 +51,10 @@
 		if !ok || len(entry) == 0 {
 			return nil, fmt.Errorf("entry %d: expected (key value ...)", i+1)
 		}
-		key, _ := entry[0].(edn.Symbol) // another kind is an unknown key
+		key, _ := entry[0].(edn.Symbol) // any other type leaves an empty, thus unknown, key
 		texts := make([]string, len(entry))
 		for k, text := range entry[1:] {
-			texts[k+1], _ = text.(string) // checked where a text is needed
+			texts[k+1], _ = text.(string) // empty for other types, which the cases below refuse
 		}
 		switch {
 		case key == "descriptions" && len(entry) == 2:
@@ -84,7 +83,7 @@
 	return s, nil
 }
 
-// parseSlot reads a slot of so many minutes that begins by a cron spec in a zone.
+// parseSlot parses a slot: its start as a cron spec in a time zone, and its length in minutes.
 func parseSlot(name, spec, zone string, minutes any) (*Slot, error) {
 	count, ok := minutes.(int64)
 	length := time.Duration(count) * time.Minute
@@ -103,14 +102,14 @@
 	if first.IsZero() {
 		return nil, fmt.Errorf("calendar %q never comes", spec)
 	}
-	// A slot that ends where the next one begins would block for ever.
+	// Slots without a gap between them would block roll-outs for ever.
 	if second := start.Next(first); !second.IsZero() && second.Sub(first) <= length {
 		return nil, fmt.Errorf("calendar %q leaves no time between slots of %d minutes", spec, count)
 	}
 	return &Slot{Name: name, Start: start, Length: length}, nil
 }
 
-// ActiveAt reports whether the slot is on, and until when.
+// ActiveAt reports whether a time is within the slot, and when the slot ends.
 func (s *Slot) ActiveAt(now time.Time) (until time.Time, on bool) {
 	start := s.Start.Next(now.Add(-s.Length))
 	if start.IsZero() || start.After(now) {
@@ -119,8 +118,8 @@
 	return start.Add(s.Length), true
 }
 
-// BlockedReason returns why no step may begin now, or "". unfinished reports whether a job of a
-// class is unfinished.
+// BlockedReason returns the reason why no step may begin now, or "". The function unfinished
+// reports whether a job of a class is unfinished.
 func (s *Settings) BlockedReason(now time.Time, unfinished func(class string) bool) string {
 	for i := range s.Slots {
 		if until, on := s.Slots[i].ActiveAt(now); on {
--- a/internal/rollout/settings_test.go
+++ b/internal/rollout/settings_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// A slot follows its own zone's clock, on the days too on which that changes.
+// A slot follows the local time of its own zone, also on days of a change to or from summer time.
 func TestSlotsFollowTheirZone(t *testing.T) {
 	s, err := rollout.ParseSettings([]byte(`(rollouts (descriptions "http://x")
 		(slot "split" "30 1 * * *" "Europe/London" 90) ; to 03:00
@@ -45,10 +45,10 @@
 	for at, want := range map[string]bool{
 		"2026-01-10 01:29": false, "2026-01-10 01:30": true, "2026-01-10 02:59": true, "2026-01-10 03:00": false,
 		"2026-07-10 01:29": false, "2026-07-10 01:31": true, "2026-07-10 03:01": false,
-		// 01:30 does not exist on the day the clocks go forward; the day after it does.
+		// 01:30 does not exist on 29 March, when the clocks go forward, but it does on 30 March.
 		"2026-03-30 01:45": true,
-		// On the day they go back 01:30 comes twice, and the slot lasts from the first
-		// to 90 minutes after the second.
+		// On the day when the clocks go back 01:30 occurs twice: the slot lasts from the first
+		// occurrence to 90 minutes after the second.
 		"2026-10-25 00:59": false, "2026-10-25 02:30": true, "2026-10-25 03:01": false,
 	} {
 		now, err := time.ParseInLocation("2006-01-02 15:04", at, london)
@@ -61,6 +61,6 @@
 	}
 	noon := time.Date(2026, 1, 10, 12, 0, 0, 0, london)
 	if why := s.BlockedReason(noon, func(c string) bool { return c == "tip-split" }); !strings.Contains(why, "tip-split") {
-		t.Errorf("an unfinished job of the class: %q", why)
+		t.Errorf("reason %q does not name the class of the unfinished job", why)
 	}
 }
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -20,37 +20,37 @@
 
 const shardKey = "c/shard/000"
 
-// fakeCore is a scheduler that runs whatever is accepted after some seconds.
+// fakeCore is a scheduler whose accepted jobs run after startDelay.
 type fakeCore struct {
 	t     testing.TB
 	store *testkit.Store
 
 	mu          sync.Mutex
 	leader      string
-	version     uint64 // of the shard's key
+	version     uint64 // version of shardKey
 	jobs        map[string]*liveJob
 	descs       map[string]string
 	health      func(version string, replica int, since time.Duration) rollout.Health
-	maxReplicas map[string]int // most live replicas of a version at once
-	minHealthy  int            // fewest healthy replicas since the first version was whole
-	v1Up        bool
+	maxReplicas map[string]int // most concurrent live replicas, by version
+	minHealthy  int            // fewest healthy replicas since v1Up
+	v1Up        bool           // whether wantHealthy replicas were healthy once
 	wantHealthy int
 	classes     map[string]bool
 
-	unavailableUntil time.Time // of the state service
+	unavailableUntil time.Time // end of an outage of the state service
 }
 
 type liveJob struct {
 	replicas  int
 	since     time.Time
 	stopped   bool
-	lost      int // replicas lost with their machines until back
+	lost      int // replicas lost with their machines, until lostUntil
 	lostUntil time.Time
 }
 
 const startDelay = 3 * time.Second
 
-// controllerView is the core as one controller's manager sees it.
+// controllerView implements rollout.Core for one controller's manager.
 type controllerView struct {
 	*fakeCore
 	name string
@@ -113,14 +113,14 @@
 	return c.classes[class]
 }
 
-// stateUnavailable reports whether the managers can't reach the state service.
+// stateUnavailable reports whether an outage of the state service is in progress.
 func (c *fakeCore) stateUnavailable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Now().Before(c.unavailableUntil)
 }
 
-// slotClass is the class whose unfinished jobs keep steps from beginning.
+// slotClass is a class whose unfinished jobs prevent steps from beginning.
 const slotClass = "tip-split"
 
 // setUnfinished sets whether jobs of slotClass are unfinished from now on.
@@ -171,7 +171,7 @@
 	return health
 }
 
-// updateCounts records the fewest healthy and the most live replicas of a version.
+// updateCounts updates maxReplicas and minHealthy.
 func (c *fakeCore) updateCounts() {
 	c.mu.Lock()
 	healthy, versions := 0, map[string]int{}
@@ -203,7 +203,7 @@
 
 func alwaysHealthy(string, int, time.Duration) rollout.Health { return rollout.Healthy }
 
-// site is managers a and b over one store.
+// site runs the managers of two controllers, a and b, on one store. Controller a is the first leader.
 type site struct {
 	*fakeCore
 	managers map[string]*rollout.Manager
@@ -241,7 +241,7 @@
 	<-s.dones[name]
 }
 
-// setLeader makes another controller the leader.
+// setLeader makes a controller the leader.
 func (s *site) setLeader(name string) {
 	rev, err := (&testkit.View{Store: s.store}).Txn(context.Background(), nil, wire.Op{Put: shardKey, Value: 1})
 	s.mu.Lock()
@@ -257,7 +257,7 @@
 	s.stop("b")
 }
 
-// run is the roll-out as the manager sees it that does not drive it at first.
+// run returns the latest roll-out as known to manager b, which is not the leader at first.
 func (s *site) run() *rollout.Run {
 	for _, st := range s.managers["b"].Statuses() {
 		if st.Service.Name == "tips" {
@@ -267,8 +267,8 @@
 	return nil
 }
 
-// waitFor waits, at most a while, for the roll-out to be so; it returns how long
-// that took.
+// waitFor waits until the roll-out meets a condition, and returns the time that this took. It fails
+// the test after the time most.
 func (s *site) waitFor(what string, most time.Duration, so func(*rollout.Run) bool) time.Duration {
 	began := time.Now()
 	for {
@@ -306,7 +306,7 @@
 	}
 }
 
-// newSiteWithV1 brings version v1 of a new service up.
+// newSiteWithV1 returns a site on which version v1 of a new service is rolled out.
 func newSiteWithV1(t *testing.T, replicas int) *site {
 	s := newSite(t, replicas)
 	s.startRollout("v1", func(x *rollout.Spec) { x.Replicas, x.Steps = replicas, []string{"1", "50%", "100%"} })
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -3,10 +3,10 @@
 // run until they are cancelled; a step submits a job with replicas of the new
 // version, waits until they are healthy, and cancels jobs of the old one.
 //
-// Pure functions decide what follows from a state (Next, Order). The state is in the state
-// service; it is written before anything is done, and everything that is done can be
-// repeated, so another controller can go on at any time. The package places no replicas
-// itself and probes none: the scheduler and the workers do.
+// Pure functions compute the next state (Advance, ApplyVerb). The state is stored in the state
+// service before it is acted on, and all actions are idempotent, so another controller can
+// take over at any time. The package itself neither places nor probes replicas: the
+// scheduler and the workers do.
 package rollout
 
 import (
@@ -22,51 +22,51 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Limits of what one site keeps.
+// Limits of one site.
 const (
 	MaxServices = 200
-	MaxRuns     = 50   // roll-outs at once
-	MaxReplicas = 2000 // of all services together
+	MaxRuns     = 50   // concurrent roll-outs
+	MaxReplicas = 2000 // total of all services
 )
 
-// Version is what the replicas of a service run.
+// Version is a named version of a service, with the description of the tasks that run it.
 type Version struct {
 	Name string        `json:"name"`
 	Desc taskspec.Spec `json:"desc"`
 }
 
-// Check is how a worker checks the health of a replica.
+// Check configures the health checks of a replica.
 type Check struct {
-	HTTP      string  `json:"http,omitempty"` // path; 2xx is healthy
-	TCP       bool    `json:"tcp,omitempty"`  // a connection is healthy
+	HTTP      string  `json:"http,omitempty"` // path of an HTTP check; a status 2xx means healthy
+	TCP       bool    `json:"tcp,omitempty"`  // TCP check; an accepted connection means healthy
 	EveryS    float64 `json:"everyS"`
 	TimeoutS  float64 `json:"timeoutS"`
-	Healthy   int     `json:"healthy"`   // results in a row that make a replica healthy
-	Unhealthy int     `json:"unhealthy"` // and unhealthy
-	Tries     int     `json:"tries"`     // timeouts in a row after which it hangs
+	Healthy   int     `json:"healthy"`   // consecutive passes after which a replica is healthy
+	Unhealthy int     `json:"unhealthy"` // consecutive failures after which it is unhealthy
+	Tries     int     `json:"tries"`     // consecutive timeouts after which it is hung
 }
 
-// What a roll-out does when a replica is unhealthy.
+// Actions of a roll-out when a replica is unhealthy (Spec.OnFail).
 const (
 	OnFailRollback = "rollback"
 	OnFailPause    = "pause"
 )
 
-// Spec is what an operator requests of a roll-out.
+// Spec is an operator's request for a roll-out.
 type Spec struct {
 	Service     string   `json:"service"`
 	To          Version  `json:"to"`
-	Steps       []string `json:"steps"` // replicas, or parts of them like 25%
+	Steps       []string `json:"steps"` // new replicas after each step: a number, or a percentage like 25%
 	Check       Check    `json:"check"`
-	SoakS       float64  `json:"soakS"`  // for which a step's replicas must stay healthy
-	PlaceS      float64  `json:"placeS"` // in which a step's replicas must run and be healthy
+	SoakS       float64  `json:"soakS"`  // seconds that a step's replicas must stay healthy
+	PlaceS      float64  `json:"placeS"` // seconds within which a step's replicas must become healthy
 	OnFail      string   `json:"onFail"`
-	IgnoreSlots bool     `json:"anytime,omitempty"` // steps begin in slots too
-	Template    wire.Job `json:"template"`          // class, team, priority, resources; for a new service
-	Replicas    int      `json:"replicas"`          // of a new service
+	IgnoreSlots bool     `json:"anytime,omitempty"` // steps may begin in slots
+	Template    wire.Job `json:"template"`          // class, team, priority and resources of a new service
+	Replicas    int      `json:"replicas"`          // number of replicas of a new service
 }
 
-// SetDefaults sets the fields that are zero to their defaults.
+// SetDefaults sets fields that are zero to their defaults.
 func (s *Spec) SetDefaults() {
 	if len(s.Steps) == 0 {
 		s.Steps = []string{"1", "25%", "100%"}
@@ -85,15 +85,15 @@
 	*field = cmp.Or(*field, value)
 }
 
-// fieldError returns an error of a field with the reason.
+// fieldError returns an error that names the field and the reason.
 func fieldError(field, format string, args ...any) error {
 	return fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...))
 }
 
-// ErrInput means that a request is wrong; nothing was changed.
+// ErrInput means that a request is invalid and nothing was changed.
 var ErrInput = errors.New("bad input")
 
-// Validate returns what is wrong with a spec, beginning with the field, or nil.
+// Validate returns nil, or an error that begins with the name of the invalid field.
 func (s *Spec) Validate() error {
 	switch {
 	case !validName(s.Service):
@@ -149,9 +149,9 @@
 	return true
 }
 
-// Targets returns the numbers of new replicas that steps, of so many replicas in all, end with.
-// No step may be less than the one before it, and the last must be all; steps that are the
-// same, as of few replicas, are merged.
+// Targets returns the number of new replicas after each step, for a service with the given number of
+// replicas. No step may be smaller than the previous one, and the last one must be all replicas.
+// Steps with the same result, which percentages of few replicas can have, are merged.
 func Targets(steps []string, replicas int) ([]int, error) {
 	if len(steps) == 0 || len(steps) > 50 {
 		return nil, fieldError("steps", "1 to 50 are needed")
@@ -178,7 +178,7 @@
 	return targets, nil
 }
 
-// parseStep reads a number of replicas, or a part of them like 25%, rounded up.
+// parseStep parses a number of replicas, or a percentage of them like 25%, which is rounded up.
 func parseStep(field, step string, replicas int) (int, error) {
 	if part, ok := strings.CutSuffix(step, "%"); ok {
 		percent, err := strconv.ParseFloat(part, 64)
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// restoreTimeout is how long a roll-back waits for room beside the new version's
-	// replicas before it takes theirs.
+	// restoreTimeout is how long a roll-back waits for the old version's replicas to be placed
+	// beside the new version's before it cancels the latter to free their capacity.
 	restoreTimeout = 15 * time.Second
-	// maxLosses is how often a step's replicas may be lost while soaking.
+	// maxLosses is how often replicas of one step may be lost while soaking before the roll-out pauses.
 	maxLosses = 3
 )
 
 // JobStatus is the observed state of a batch's job.
 type JobStatus struct {
-	Ended     bool   `json:"Gone"` // it is cancelled, or was never accepted and never will be
+	Ended     bool   `json:"Gone"` // the job was cancelled; one that was never accepted can't be any more
 	Running   int    `json:"Running"`
 	Healthy   int    `json:"Healthy"`
-	Unhealthy string `json:"Unhealthy"` // a replica found unhealthy, or ""
-	Hung      string `json:"Hung"`      // a replica whose checks hang, or ""
+	Unhealthy string `json:"Unhealthy"` // task name of an unhealthy replica, or ""
+	Hung      string `json:"Hung"`      // task name of a replica whose checks time out, or ""
 }
 
-// Observation is the observed state that a roll-out goes on by.
+// Observation is the observed state from which Advance computes the next state.
 type Observation struct {
 	Jobs          map[string]JobStatus
-	BlockedReason string // why no step may begin now, or ""
+	BlockedReason string // reason why no step may begin now, or ""
 }
 
-// healthy counts the healthy replicas of batches.
+// healthy returns the number of healthy replicas of batches.
 func (s *Observation) healthy(batches []Batch) (n int) {
 	for _, batch := range batches {
 		n += s.Jobs[batch.UID].Healthy
@@ -40,7 +40,7 @@
 	return n
 }
 
-// running counts the running replicas of batches.
+// running returns the number of running replicas of batches.
 func (s *Observation) running(batches []Batch) (n int) {
 	for _, batch := range batches {
 		n += s.Jobs[batch.UID].Running
@@ -48,7 +48,7 @@
 	return n
 }
 
-// failures names the first unhealthy replica of batches, and the first whose checks hang.
+// failures returns the first unhealthy replica of batches and the first whose checks time out, or "".
 func (s *Observation) failures(batches []Batch) (unhealthy, hung string) {
 	for _, batch := range batches {
 		job := s.Jobs[batch.UID]
@@ -62,14 +62,14 @@
 	return !slices.ContainsFunc(batches, func(batch Batch) bool { return !s.Jobs[batch.UID].Ended })
 }
 
-// RequiredActions returns what a recorded roll-out needs done, repeated until it is observed: jobs that
-// must be submitted, and jobs that must be cancelled.
+// RequiredActions returns the jobs that must be submitted and those that must be cancelled for a
+// recorded roll-out. The actions are repeated until their effect is observed.
 func RequiredActions(r *Run) (submit, drop []Batch) {
 	return append(append(submit, r.New...), r.Restore...), r.ToCancel
 }
 
-// Advance changes a service and its roll-out to the state that follows; false if nothing changes.
-// What the new state wants is done only once it is written.
+// Advance changes a service and its roll-out to the next state; it returns false if nothing changes.
+// The actions that the new state requires must not start before that state is stored.
 func Advance(service *Service, r *Run, seen *Observation, now time.Time) bool {
 	switch r.Phase {
 	case Pending, WaitingSlot:
@@ -91,7 +91,7 @@
 	return true
 }
 
-// beginStep starts a step: its replicas are to be submitted.
+// beginStep starts a step by adding a batch with its new replicas.
 func (r *Run) beginStep(now time.Time) {
 	if more := r.Targets[r.Step] - countReplicas(r.New); more > 0 {
 		r.New = append(r.New, r.newBatch(more, r.Spec.To.Name))
@@ -113,8 +113,8 @@
 		}
 		return true
 	case hung != "":
-		// A check that hangs shows nothing of the replica: to go on could take the
-		// service down, to roll back could be for nothing.
+		// A check that times out does not show the replica's health: continuing could take the
+		// service down, and rolling back could be needless.
 		r.pause("the health check hangs: "+hung, now)
 		return true
 	}
@@ -125,8 +125,8 @@
 	case r.Phase == Placing && r.timeInPhase(now) > seconds(r.Spec.PlaceS):
 		r.pause(fmt.Sprintf("%d of %d new replicas run and %d are healthy after %g s", seen.running(r.New), want, healthy, r.Spec.PlaceS), now)
 	case r.Phase == Soaking && healthy < want:
-		// Machines fail, which is no fault of the version; replicas that end again and
-		// again are.
+		// A single loss is usually the failure of a machine, repeated losses are a fault of
+		// the version.
 		if r.Losses++; r.Losses > maxLosses {
 			r.pause(fmt.Sprintf("replicas were lost %d times while soaking", r.Losses), now)
 		} else {
@@ -143,7 +143,7 @@
 	return true
 }
 
-// endStep goes on to the next step, or to the end.
+// endStep moves to the next step, or ends the roll-out after the last one.
 func (r *Run) endStep(service *Service, now time.Time) {
 	r.ToCancel = nil
 	if r.Step+1 < len(r.Targets) {
@@ -156,7 +156,8 @@
 	r.setPhase(Done, "", now)
 }
 
-// retire marks old jobs to be cancelled, as far as the service keeps its replicas without them.
+// retire moves old batches to ToCancel, smallest first, as long as the remaining replicas suffice
+// for the service.
 func (r *Run) retire(service *Service) {
 	spare := countReplicas(r.New) + countReplicas(r.Old) - service.Replicas
 	old := slices.Clone(r.Old)
@@ -178,24 +179,24 @@
 	r.setPhase(Paused, why, now)
 }
 
-// beginRollback has the old version restored, to end as outcome.
+// beginRollback starts restoring the old version; the roll-out will end in the phase outcome.
 func (r *Run) beginRollback(outcome Phase, why string, now time.Time) {
 	r.Outcome, r.RollbackSince, r.ResumePhase = outcome, now.UnixMilli(), ""
 	replicas := r.Targets[len(r.Targets)-1]
-	if missing := replicas - countReplicas(r.Old); missing > 0 && r.From.Name != "" { // a new service has nothing to restore
+	if missing := replicas - countReplicas(r.Old); missing > 0 && r.From.Name != "" { // a new service has no old version
 		r.Restore = append(r.Restore, r.newBatch(missing, r.From.Name))
 	}
 	r.setPhase(RollingBack, why, now)
 }
 
-// advanceRollback goes on with a roll-back: the new version's replicas are cancelled once the
-// old one's are healthy, or sooner if these find no room beside them.
+// advanceRollback computes the next state of a roll-back. The new version's replicas are cancelled
+// once the old version's are healthy, or after a timeout if the latter lack capacity to run.
 func (r *Run) advanceRollback(service *Service, seen *Observation, now time.Time) bool {
 	kept := append(slices.Clone(r.Old), r.Restore...)
 	restored := seen.healthy(r.Restore) >= countReplicas(r.Restore)
 	timeout := restoreTimeout
 	if r.Outcome == Aborted {
-		timeout = max(timeout, seconds(r.Spec.PlaceS)) // the new ones may be healthy
+		timeout = max(timeout, seconds(r.Spec.PlaceS)) // the new replicas may be healthy, so wait longer
 	}
 	crowded := seen.running(r.Restore) < countReplicas(r.Restore) && r.timeInPhase(now) > timeout
 	switch {
@@ -212,14 +213,14 @@
 	return false
 }
 
-// Verbs of operators.
+// Verbs that operators can apply to a roll-out.
 const (
 	VerbPause  = "pause"
 	VerbResume = "resume"
 	VerbAbort  = "abort"
 )
 
-// ApplyVerb applies an operator's verb to a roll-out. Its errors are ErrInput.
+// ApplyVerb applies an operator's verb to a roll-out. Its errors wrap ErrInput.
 func ApplyVerb(r *Run, verb string, now time.Time) error {
 	switch {
 	case r.Phase.Final():
@@ -245,8 +246,8 @@
 
 var seconds = config.Seconds
 
-// Plan returns the roll-out of a spec for a service, pending. Its errors name the field of the
-// spec.
+// Plan returns a new roll-out of a service, in the phase Pending. Its errors name the invalid field
+// of the spec.
 func Plan(service *Service, spec Spec, id int, now time.Time) (*Run, error) {
 	targets, err := Targets(spec.Steps, service.Replicas)
 	if err != nil {
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -52,41 +52,41 @@
 	}
 	s.To.Name = "v1"
 	if _, err := rollout.Plan(service(4, 4), s, 1, time.Now()); err == nil || !strings.HasPrefix(err.Error(), "to.name") {
-		t.Errorf("the version that runs: %v", err)
+		t.Errorf("a roll-out to the present version: %v", err)
 	}
 }
 
-// model is a scheduler that runs the jobs, two leaders that drive the roll-out, of whom one may
-// have lost its lead without knowing it, and their delayed messages.
+// model simulates a scheduler that runs the jobs, two controllers that both regard themselves as the
+// leader and advance the roll-out, and their delayed messages.
 type model struct {
 	svc             rollout.Service
 	run             rollout.Run
-	version         int               // of the recorded state
+	version         int               // version of the recorded state
 	jobs            map[string]int    // live replicas by job
 	versionOf       map[string]string // version by job
 	ended           map[string]bool
-	lost            map[string]int // replicas that were lost with their machines
-	bad             string         // the version that is unhealthy
+	lost            map[string]int // replicas lost with their machines, by job
+	bad             string         // unhealthy version, or ""
 	hung            bool
 	blocked         bool
 	now             time.Time
-	delayedMessages []func() // delayed messages
+	delayedMessages []func() // actions that take effect later
 	replicas        int
 
 	leaders        [2]snapshot
-	beginCounts    map[int]int       // how often, by step
-	firstVersionOf map[string]string // the version that a job ran before
+	beginCounts    map[int]int       // how often each step was begun
+	firstVersionOf map[string]string // version by job, when the job was first checked
 	final          rollout.Phase
 }
 
-// snapshot is the recorded state as a leader read it.
+// snapshot is the recorded state that a leader read, with its version.
 type snapshot struct {
 	run         rollout.Run
 	svc         rollout.Service
 	readVersion int
 }
 
-// newModel draws a service and plans its roll-out.
+// newModel generates a service and plans a roll-out of it.
 func newModel(t *rapid.T) *model {
 	replicas := rapid.IntRange(1, 9).Draw(t, "replicas")
 	w := &model{
@@ -145,8 +145,8 @@
 	return s
 }
 
-// execute does what a recorded state wants; at is the version that was read. What delayed reports
-// true for is done later.
+// execute performs the actions that a recorded state requires; at is the version of that state. An
+// action for which delayed returns true is performed later.
 func (w *model) execute(r *rollout.Run, at int, delayed func() bool) {
 	do := func(f func()) {
 		if delayed() {
@@ -158,7 +158,7 @@
 	submit, drop := rollout.RequiredActions(r)
 	for _, b := range submit {
 		do(func() {
-			if w.version == at && w.jobs[b.UID] == 0 && !w.ended[b.UID] { // guarded by the state's version
+			if w.version == at && w.jobs[b.UID] == 0 && !w.ended[b.UID] { // the guard of the transaction
 				w.jobs[b.UID], w.versionOf[b.UID] = b.Replicas, b.Version
 			}
 		})
@@ -171,7 +171,7 @@
 	}
 }
 
-// check checks what holds at any time.
+// check checks the invariants that hold after every event.
 func (w *model) check(t *rapid.T) {
 	healthy, all := 0, 0
 	for uid, n := range w.jobs {
@@ -184,8 +184,9 @@
 		}
 		w.firstVersionOf[uid] = w.versionOf[uid]
 	}
-	// A version that turns unhealthy when the old one has ended, and replicas that made way
-	// for a restore that finds no room, are what happens, not what was decided.
+	// Too few replicas may be healthy, without a fault of the roll-out, if the new version turns
+	// unhealthy after the old one has ended, or if new replicas were cancelled because the
+	// restored ones lacked capacity.
 	crowded := w.run.Phase == rollout.RollingBack && len(w.run.New) == 0
 	if w.bad == "" && !crowded && healthy < w.replicas {
 		t.Fatalf("%d of %d promised replicas in %s: jobs %v of %v", healthy, w.replicas, w.run.Phase, w.jobs, w.versionOf)
@@ -204,8 +205,8 @@
 	}
 }
 
-// drive has a leader act on what it read, record what follows, and read again. If the state
-// was changed meanwhile its write fails.
+// drive has a leader act on the state that it read, record the next state, and read again. The
+// write fails if the recorded state changed meanwhile.
 func (w *model) drive(t *rapid.T, leader int, delayed func() bool) {
 	o := w.leaders[leader]
 	w.execute(&o.run, o.readVersion, delayed)
@@ -217,7 +218,7 @@
 		w.run, w.svc = next, svc
 		if next.Phase == rollout.Placing && was == next.Step && len(next.New) != len(o.run.New) {
 			if w.beginCounts[next.Step]++; w.beginCounts[next.Step] > 1 {
-				t.Fatalf("step %d was begun twice", next.Step)
+				t.Fatalf("step %d began twice", next.Step)
 			}
 		}
 	}
@@ -225,7 +226,7 @@
 	w.leaders[leader] = w.read()
 }
 
-// applyVerb records what an operator's verb does, if it is allowed.
+// applyVerb records the effect of an operator's verb, if the verb is allowed.
 func (w *model) applyVerb(verb string) error {
 	c := w.read()
 	err := rollout.ApplyVerb(&c.run, verb, w.now)
@@ -261,7 +262,8 @@
 	w.check(t)
 }
 
-// finish lets nothing fail any more, and one leader drive the roll-out to its end.
+// finish ends all faults but an unhealthy version, delivers the delayed messages, and has one leader
+// advance the roll-out to its end.
 func (w *model) finish(t *rapid.T) {
 	w.blocked, w.hung = false, false
 	never := func() bool { return false }
@@ -284,7 +286,7 @@
 	}
 }
 
-// checkEnd checks that the roll-out has ended, and that just what is recorded runs.
+// checkEnd checks that the roll-out has ended and that exactly the recorded jobs run.
 func (w *model) checkEnd(t *rapid.T) {
 	if !w.run.Phase.Final() {
 		t.Fatalf("ends in %s: %s", w.run.Phase, w.run.Reason)
@@ -304,9 +306,9 @@
 	}
 }
 
-// Crashes between a write and what follows it, delayed messages, two leaders at a time, health
-// in any order, slots and operators: the promised replicas stay healthy, the surge is bounded,
-// a step is done once, and there is one outcome.
+// Random sequences of crashes between a write and its actions, delayed messages, two concurrent
+// leaders, changes of health, slots and operators' verbs. The wanted replicas stay healthy, the surge
+// is bounded, each step begins once, and there is exactly one outcome.
 func TestRollOutModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newModel(t)
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -10,9 +10,9 @@
 	"github.com/goccy/go-json"
 )
 
-// ReservedCPUs is the capacity, in CPUs, that the old versions' replicas of unfinished roll-outs had
-// and have given up: it is reserved until the roll-out has ended, so that a roll-back finds
-// room at once.
+// ReservedCPUs returns the capacity, in CPUs, of the retired old replicas of unfinished roll-outs. It
+// is reserved until each roll-out has ended, so that a roll-back can place its replicas
+// immediately.
 func (m *Manager) ReservedCPUs() (cpus float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -24,14 +24,14 @@
 	return cpus
 }
 
-// Status is a service as operators see it.
+// Status is the state of a service that operators read.
 type Status struct {
 	Service Service              `json:"service"`
 	Run     *Run                 `json:"run,omitempty"`
-	Jobs    map[string]JobStatus `json:"jobs,omitempty"` // as the leader last observed them; else empty
+	Jobs    map[string]JobStatus `json:"jobs,omitempty"` // as last observed; empty on controllers that are not the leader
 }
 
-// Statuses returns the recorded services, sorted by name. Their runs must not be changed.
+// Statuses returns the recorded services, sorted by name. Callers must not modify their runs.
 func (m *Manager) Statuses() []Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,7 +47,7 @@
 	return out
 }
 
-// History reads a service's ended roll-outs from the state service, oldest first.
+// History reads the ended roll-outs of a service from the state service, oldest first.
 func (m *Manager) History(ctx context.Context, service string) ([]Run, error) {
 	items, _, err := m.store.List(ctx, historyKey+service+"/")
 	if err != nil {
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// reconcile does what the recorded state of one roll-out wants, observes, and records what
-// follows. Checks go on for as long as checkCtx lasts, beyond ctx.
+// reconcile performs the actions that the recorded state of one roll-out requires, observes its
+// jobs, and records the next state. Checks may outlast ctx; they end with checkCtx.
 func (m *Manager) reconcile(ctx, checkCtx context.Context, name string, lead wire.Guard, blocked string) error {
 	m.mu.Lock()
 	e := m.entries[name]
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// observe checks the replicas of submitted batches, and returns what is known of all jobs.
+// observe starts the due checks of the submitted batches and returns the known state of all jobs.
 func (m *Manager) observe(checkCtx context.Context, now time.Time, e *entry, check Check, submitted, dropped []Batch) map[string]JobStatus {
 	jobs := map[string]JobStatus{}
 	for _, batch := range submitted {
@@ -59,7 +59,8 @@
 	return jobs
 }
 
-// submit uploads what a batch's job runs and submits the job, unless that is done.
+// submit uploads the description of a batch's job and submits the job, unless it was submitted
+// before.
 func (m *Manager) submit(ctx context.Context, e *entry, batch Batch, guards ...wire.Guard) error {
 	if m.isDone(e.submitted, batch) {
 		return nil
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// job is a batch's job, which runs a description.
+// job returns the job of a batch that runs a description.
 func (s *Service) job(batch Batch, description *taskspec.Spec) wire.Job {
 	job := s.Template
 	job.UID, job.Kind, job.Tasks = batch.UID, wire.KindService, batch.Replicas
@@ -87,7 +88,7 @@
 	return job
 }
 
-// cancel cancels a batch's job, unless that is done.
+// cancel cancels a batch's job, unless it was cancelled before.
 func (m *Manager) cancel(ctx context.Context, e *entry, batch Batch) error {
 	if m.isDone(e.cancelled, batch) {
 		return nil
--- a/internal/rolloutapi/core.go
+++ b/internal/rolloutapi/core.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	firstShard        = 0   // its leader leads autoscaling, and the roll-outs
-	maxRecordFraction = 0.9 // of a value's limit in the state service, for the record of a roll-out
+	firstShard        = 0   // its leader runs the autoscaler and the roll-outs
+	maxRecordFraction = 0.9 // share of the state service's limit of a value that the record of a roll-out may have
 )
 
-// Options are what roll-outs need of the rest of their process.
+// Options are the dependencies of a Service. All fields but Numbers are required.
 type Options struct {
 	Settings   *rollout.Settings
 	Platform   *config.Platform
@@ -34,26 +34,26 @@
 	Member     *membership.Member
 	Scheduler  *scheduler.Scheduler
 	Dispatcher *dispatch.Dispatcher
-	Numbers    *jobid.Allocator // nil: jobs have none
+	Numbers    *jobid.Allocator // nil: jobs have no numbers
 	Leaders    Leaders
 	Mesh       *mesh.Mesh
 	Log        *slog.Logger
 }
 
-// core is the scheduler as roll-outs see it. It implements rollout.Core.
+// core implements rollout.Core with the scheduler.
 type core struct {
 	Options
 }
 
-// LeaderGuard returns the condition under which this controller drives roll-outs; false if another
-// one does.
+// LeaderGuard returns a guard that holds as long as this controller is the leader for roll-outs, or
+// false if it is not the leader.
 func (c *core) LeaderGuard() (wire.Guard, bool) {
 	version, owns := c.Member.LeadsShard(firstShard)
 	return wire.Guard{Key: c.Member.ShardKey(firstShard), Version: version}, owns && c.Scheduler.LeadsAutoscaling()
 }
 
-// Submit records a job's acceptance under further conditions. A job that is known already is
-// no error.
+// Submit records a job as accepted, in a transaction that also checks the guards. It succeeds
+// without effect if the job exists already.
 func (c *core) Submit(ctx context.Context, job *wire.Job, guards ...wire.Guard) error {
 	if _, err := scheduler.StoredState(ctx, c.Store, job.UID); err == nil {
 		return nil
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// Cancel cancels a job. One that was never accepted is no error.
+// Cancel cancels a job. It succeeds without effect if the job was never accepted.
 func (c *core) Cancel(ctx context.Context, uid string) error {
 	if _, err := c.Scheduler.Cancel(ctx, uid); !errors.Is(err, statestore.ErrNotFound) {
 		return err
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// Replicas returns the running replicas of a job whose endpoints are known.
+// Replicas returns the running replicas of a job, except those whose worker's endpoint is unknown.
 func (c *core) Replicas(uid string) []rollout.Replica {
 	var out []rollout.Replica
 	for _, task := range c.Scheduler.RunningTasks(uid) {
--- a/internal/rolloutapi/service.go
+++ b/internal/rolloutapi/service.go
@@ -1,7 +1,7 @@
-// Package rolloutapi is the operators' interface of roll-outs, and joins their manager (package
-// rollout) with the scheduler: it submits and cancels the jobs of which a roll-out consists, and
-// finds their replicas. It keeps no state of its own; the leader of autoscaling drives roll-outs,
-// and other controllers pass its statuses on.
+// Package rolloutapi serves the operators' HTTP interface of roll-outs and connects their manager
+// (package rollout) to the scheduler: it submits and cancels the jobs of roll-outs and finds their
+// replicas. It has no state of its own. The leader of autoscaling runs the roll-outs; other
+// controllers request statuses from it.
 package rolloutapi
 
 import (
@@ -23,20 +23,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// MethodStatuses is the mesh's method for the statuses. Controllers of other versions call it by this name.
+// MethodStatuses is the mesh method that returns the statuses. Controllers of other versions call it
+// by this name.
 const MethodStatuses = "Rollouts"
 
 const (
 	requestTimeout = 4 * time.Second
-	maxSpecBytes   = 48 << 10 // of a roll-out's description
+	maxSpecBytes   = 48 << 10 // limit of the body of a request to start a roll-out
 )
 
-// Leaders knows which other controllers lead shards.
+// Leaders returns the other controllers that lead shards.
 type Leaders interface {
 	ShardLeaders() []string
 }
 
-// Service is the operators' interface of roll-outs. It is safe for concurrent use.
+// Service serves the operators' interface of roll-outs. It is safe for concurrent use.
 type Service struct {
 	manager   *rollout.Manager
 	scheduler *scheduler.Scheduler
@@ -44,20 +45,20 @@
 	mesh      *mesh.Mesh
 }
 
-// New returns the interface, with a manager of its own.
+// New returns a service with a new manager.
 func New(o Options) *Service {
 	maxRecord := int(o.Platform.Params.State.ValueKB * 1024 * maxRecordFraction)
 	manager := rollout.NewManager(o.Settings, o.Store, &core{o}, taskspec.NewClient(o.Settings.Descriptions), rollout.NewWorkerProber(), maxRecord, o.Log)
 	return &Service{manager: manager, scheduler: o.Scheduler, leaders: o.Leaders, mesh: o.Mesh}
 }
 
-// Run drives the roll-outs whenever this controller leads them, until ctx ends.
+// Run advances the roll-outs whenever this controller is their leader, until ctx ends.
 func (s *Service) Run(ctx context.Context) error { return s.manager.Run(ctx) }
 
-// ReservedCPUs returns the CPUs to be kept for versions that may have to come back.
+// ReservedCPUs returns the capacity, in CPUs, that is reserved for roll-backs.
 func (s *Service) ReservedCPUs() float64 { return s.manager.ReservedCPUs() }
 
-// RegisterMethods adds what peers call. Call it before the mesh serves.
+// RegisterMethods registers the methods that peers call. It must be called before the mesh serves.
 func (s *Service) RegisterMethods(m *mesh.Mesh) {
 	mesh.Handle(m, MethodStatuses, func(context.Context, *struct{}) (*[]rollout.Status, error) {
 		out := s.manager.Statuses()
@@ -65,7 +66,7 @@
 	})
 }
 
-// Register adds the interface's paths.
+// Register registers the HTTP handlers.
 func (s *Service) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST /ops/rollouts", s.start)
 	mux.HandleFunc("GET /ops/rollouts", s.list)
@@ -122,8 +123,8 @@
 	writeResult(w, run, err)
 }
 
-// statuses returns the roll-outs as their leader sees them, which knows the replicas' health,
-// or else as they are known here.
+// statuses returns the leader's statuses, which include the replicas' health, or this controller's own
+// if no leader responds.
 func (s *Service) statuses(ctx context.Context) []rollout.Status {
 	if !s.scheduler.LeadsAutoscaling() {
 		for _, leader := range s.leaders.ShardLeaders() {
@@ -135,7 +136,7 @@
 	return s.manager.Statuses()
 }
 
-// writeResult writes a result, or what its error means to operators.
+// writeResult writes a result, or the status and problem that correspond to an error.
 func writeResult(w http.ResponseWriter, result any, err error) {
 	status := http.StatusOK
 	var conflict *statestore.ConflictError
