--- a/cmd/wallctl/accounting.go
+++ b/cmd/wallctl/accounting.go
@@ -12,7 +12,7 @@
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
-// periodFlags are the options of a command about a period.
+// periodFlags are the options of a command that reads a period of the accounting.
 type periodFlags struct{ start, end string }
 
 func (p *periodFlags) addTo(cmd *cobra.Command) {
@@ -20,7 +20,7 @@
 	cmd.Flags().StringVarP(&p.end, "endtime", "E", "", "to this time; else now")
 }
 
-// read reads the records of the period.
+// read reads the records of the period from the site.
 func (p *periodFlags) read(cmd *cobra.Command, a *app) (recs []*slurm.Record, from, to time.Time, err error) {
 	cl, err := a.client()
 	if err != nil {
--- a/cmd/wallctl/accounting_records.go
+++ b/cmd/wallctl/accounting_records.go
@@ -10,13 +10,14 @@
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
-// maxAccountingDays bounds how many days of accounting one command reads.
+// maxAccountingDays is the longest period, in days, that one command reads.
 const maxAccountingDays = 400
 
-// readRecords reads the jobs that ended in a period, and the active ones.
+// readRecords reads the jobs that were active in a period, including those that have not ended.
 func readRecords(ctx context.Context, cl *client.Client, from, to time.Time) ([]*slurm.Record, error) {
 	collector := slurm.NewCollector()
-	// Accounting is kept by the day of the end: what ended after the period may have run in it.
+	// Accounting is stored by the day of a job's end, so a job that ran in the period may be found
+	// under any later day.
 	first, last := from.UTC().Truncate(24*time.Hour), time.Now().UTC()
 	if last.Sub(first) > maxAccountingDays*24*time.Hour {
 		return nil, fmt.Errorf("more than %d days are asked for", maxAccountingDays)
@@ -45,7 +46,7 @@
 	return selected, nil
 }
 
-// parsePeriod reads the options --starttime and --endtime; without them it is from midnight to now.
+// parsePeriod parses the options --starttime and --endtime. The defaults are midnight and now.
 func parsePeriod(start, end string, now time.Time) (from, to time.Time, err error) {
 	y, m, d := now.Date()
 	from, to = time.Date(y, m, d, 0, 0, 0, 0, now.Location()), now
--- a/cmd/wallctl/job_commands.go
+++ b/cmd/wallctl/job_commands.go
@@ -11,10 +11,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// jobRequest is a request about one job, as methods of the client are.
+// jobRequest is a method of the client that sends a request about one job.
 type jobRequest func(cl *client.Client, ctx context.Context, uid string) (*wire.JobState, error)
 
-// resolveUID returns the uid of a job by its uid or its number.
+// resolveUID returns the uid of a job that is given by its uid or its number.
 func resolveUID(ctx context.Context, cl *client.Client, name string) (uid string, err error) {
 	if number, parseErr := strconv.ParseUint(name, 10, 64); parseErr == nil {
 		found, err := cl.JobByNumber(ctx, number)
@@ -31,7 +31,8 @@
 	}}
 }
 
-// requestState sends a request about the job of this name, and prints and returns its state.
+// requestState sends a request about the job with the given uid or number, and prints and returns
+// the job's state.
 func (a *app) requestState(cmd *cobra.Command, name string, request jobRequest) (*wire.JobState, error) {
 	cl, err := a.client()
 	if err != nil {
--- a/cmd/wallctl/links.go
+++ b/cmd/wallctl/links.go
@@ -11,8 +11,8 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// linksCommand returns the command that shows which controller reaches what, as the
-// controller that responds knows it.
+// linksCommand returns the command that shows which controllers reach each other, the state service
+// and the cloud, as known to the controller that responds.
 func (a *app) linksCommand() *cobra.Command {
 	return &cobra.Command{Use: "links", Short: "Show which controller reaches what", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		cl, err := a.client()
--- a/cmd/wallctl/local_site_test.go
+++ b/cmd/wallctl/local_site_test.go
@@ -21,7 +21,8 @@
 	"time"
 )
 
-// startLocalSite builds wallrack and runs a whole site, for one test.
+// startLocalSite builds wallrack and runs a site of two controllers until the end of the test. It
+// returns the site's URL and the process id of wallrack local.
 func startLocalSite(t *testing.T, machines int) (url string, pid int) {
 	if testing.Short() {
 		t.Skip("runs real processes")
@@ -41,7 +42,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = cmd.Process.Signal(syscall.SIGTERM) // gone already: the wait says why
+		_ = cmd.Process.Signal(syscall.SIGTERM) // if the process has ended already, Wait reports why
 		if err := cmd.Wait(); err != nil {
 			t.Error(err)
 		}
@@ -55,7 +56,7 @@
 	return ready, cmd.Process.Pid
 }
 
-// runCommand runs a command of this program against a site.
+// runCommand runs a wallctl command against a site and returns its output.
 func runCommand(t *testing.T, server string, args ...string) (out string, err error) {
 	t.Helper()
 	var b bytes.Buffer
@@ -69,7 +70,7 @@
 	return b.String(), err
 }
 
-// mustRun is ctl for a command that has to succeed.
+// mustRun is like runCommand, but fails the test if the command fails.
 func mustRun(t *testing.T, server string, args ...string) string {
 	t.Helper()
 	out, err := runCommand(t, server, args...)
@@ -79,7 +80,7 @@
 	return strings.TrimSpace(out)
 }
 
-// eventually waits until a condition holds, and fails the test with what it lacks after 30 s.
+// eventually waits until a condition holds. After 30 s it fails the test with the message from failure.
 func eventually(t *testing.T, failure func() string, condition func() bool) {
 	t.Helper()
 	for i := 0; !condition(); i++ {
@@ -90,8 +91,8 @@
 	}
 }
 
-// submitPairs submits the same short job with both clients at each priority, lowest first,
-// and returns the jobs' names in the order in which they should start.
+// submitPairs submits the same short job with the native and the Slurm command at each priority,
+// lowest first, and returns the jobs' names in the order in which they should start.
 func submitPairs(t *testing.T, url string) (want []string) {
 	t.Helper()
 	for _, priority := range []string{"low", "normal", "urgent"} {
@@ -102,7 +103,8 @@
 	return want
 }
 
-// endTimes reads the end of each attempt, in ms, by the uid and by the number of its job.
+// endTimes returns the end time of each attempt in an accounting export, in Unix ms, by the uid and
+// by the number of its job.
 func endTimes(t *testing.T, export string) map[string]int {
 	t.Helper()
 	ended := map[string]int{}
@@ -120,18 +122,18 @@
 	return ended
 }
 
-// Identical workloads from both clients on one worker start by priority and then by
-// submission, whichever client submitted them, and their accounting is the same line for line.
+// Identical jobs from native and Slurm commands start on one worker in the order of priority and then
+// of submission, and their accounting is equal.
 func TestNativeAndSlurmJobsStartInSameOrderWithEqualAccounting(t *testing.T) {
 	url, _ := startLocalSite(t, 1)
 	t.Chdir(t.TempDir())
-	// All the others wait until it is cancelled: on a busy computer submitting them took
-	// longer than a short job did, and the last to come, an urgent one, started last.
+	// The blocker occupies the worker until all other jobs are submitted. Otherwise the first jobs
+	// could run before the last one, which is urgent, is submitted.
 	blocker := mustRun(t, url, "submit", "--class", "adhoc", "--cpus", "2", "--estimate-s", "3", "--", "sleep", "300")
 	eventually(t, func() string { return "the first job does not run" }, func() bool { return strings.Contains(mustRun(t, url, "status", blocker), "running") })
 	want := submitPairs(t, url)
 	eventually(t, func() string { return "not all wait:\n" + mustRun(t, url, "squeue") }, func() bool {
-		return strings.Count(mustRun(t, url, "squeue", "-h"), "\n") == len(want) // and the blocker
+		return strings.Count(mustRun(t, url, "squeue", "-h"), "\n") == len(want) // a line for each waiting job and one for the blocker; the last newline is trimmed
 	})
 	mustRun(t, url, "cancel", blocker)
 	eventually(t, func() string { return "the jobs are not over:\n" + mustRun(t, url, "squeue") }, func() bool { return mustRun(t, url, "squeue", "-h") == "" })
@@ -139,8 +141,8 @@
 	if len(lines) != 7 {
 		t.Fatalf("%d lines:\n%s", len(lines), strings.Join(lines, "\n"))
 	}
-	// They run one at a time, so they end as they started. Starts can't be compared:
-	// of a task that starts and ends between two reports only the end is on record.
+	// The jobs run one at a time, so they end in the order of their starts. Start times can't be
+	// compared: of a task that starts and ends between two reports only the end is recorded.
 	export := mustRun(t, url, "accounting", "export", "--format", "csv")
 	ended := endTimes(t, export)
 	got := slices.Clone(want)
@@ -152,7 +154,7 @@
 	checkEquivalentCancels(t, url)
 }
 
-// checkEqualAccounting compares the accounting lines of the two clients' jobs at a priority.
+// checkEqualAccounting checks that the accounting of the two jobs at each priority is equal.
 func checkEqualAccounting(t *testing.T, lines []string) {
 	t.Helper()
 	slices.Sort(lines)
@@ -168,12 +170,12 @@
 	}
 }
 
-// checkEquivalentCancels cancels a job with both clients, which has the same single outcome.
+// checkEquivalentCancels checks that a job that is cancelled by both commands ends as cancelled once.
 func checkEquivalentCancels(t *testing.T, url string) {
 	t.Helper()
 	number := mustRun(t, url, "sbatch", "--parsable", "-H", "--wrap", "true")
 	var uid []string
-	// The scheduler lists it once the controller that accepted it has notified it.
+	// The listing contains the job once the controller that accepted it has notified the scheduler.
 	eventually(t, func() string { return "the held job is not listed" }, func() bool {
 		uid = regexp.MustCompile(`"wallrack_uid":"(j-[a-z0-9]+)"`).FindStringSubmatch(mustRun(t, url, "squeue", "--json"))
 		return uid != nil
@@ -185,8 +187,8 @@
 	}
 }
 
-// lossyProxy drops the response to every third request after it was executed, as a
-// controller does that crashes then.
+// lossyProxy returns the URL of a proxy that forwards every third request but drops the response, like a
+// controller that crashes after it executed a request.
 func lossyProxy(t *testing.T, site string) string {
 	to, err := url.Parse(site)
 	if err != nil {
@@ -211,7 +213,7 @@
 	return srv.URL
 }
 
-// controllerPIDs returns the process ids of a site's controllerPIDs, which are its children.
+// controllerPIDs returns the process ids of the controllers among the children of the process site.
 func controllerPIDs(t *testing.T, site int) (pids []int) {
 	files, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -235,8 +237,8 @@
 	return pids
 }
 
-// Responses are lost in the middle of every command, and a controller crashes besides:
-// each command goes on, and no job is there twice.
+// Commands succeed, and no job is created twice, although responses are lost during every command and
+// a controller crashes.
 func TestCommandsSurviveLostResponsesAndControllerCrash(t *testing.T) {
 	site, pid := startLocalSite(t, 2)
 	t.Chdir(t.TempDir())
--- a/cmd/wallctl/main.go
+++ b/cmd/wallctl/main.go
@@ -1,6 +1,6 @@
 // Command wallctl is the users' and operators' client of wallrack. Under the names of Slurm's
-// commands (sbatch, squeue ...) it reads and writes what those do. It keeps no state, and
-// decides nothing about jobs: it sends requests to a site and prints the responses.
+// commands (sbatch, squeue ...) it accepts their options and prints their formats. It has no state
+// and makes no decisions about jobs: it sends requests to a site and prints the responses.
 package main
 
 import (
@@ -32,7 +32,7 @@
 	exitCancelled = 5
 )
 
-// errCancelled is the outcome of a job that was cancelled.
+// errCancelled is the error of waiting for a job that was cancelled.
 var errCancelled = errors.New("the job was cancelled")
 
 func main() {
@@ -55,14 +55,14 @@
 	case errors.As(err, &exit):
 		return exit.code
 	case errors.As(err, &asSlurm):
-		_, _ = fmt.Fprintln(os.Stderr, err) // without standard error the exit code must do
+		_, _ = fmt.Fprintln(os.Stderr, err) // if printing fails the exit code still reports the error
 		return exitUsage
 	}
 	_, _ = fmt.Fprintln(os.Stderr, "wallctl:", err) // as above
 	return exitCode(err)
 }
 
-// exitCode is the exit code of an error of a command that is not Slurm's.
+// exitCode returns the exit code for an error of a command that is not one of Slurm's.
 func exitCode(err error) int {
 	switch {
 	case errors.Is(err, errCancelled), errors.Is(err, errNotRolledOut):
@@ -77,13 +77,13 @@
 	return exitUsage
 }
 
-// app holds the options of the root command, which all commands share.
+// app holds the options that all commands share.
 type app struct {
 	server string
 	json   bool
 }
 
-// client returns a client of the site that --server or WALLRACK_SERVER names.
+// client returns a client for the site in --server or WALLRACK_SERVER.
 func (a *app) client() (*client.Client, error) {
 	if a.server == "" {
 		a.server = os.Getenv("WALLRACK_SERVER")
@@ -110,7 +110,7 @@
 	root := &cobra.Command{Use: "wallctl", Short: "Users' and operators' client of wallrack", SilenceUsage: true, SilenceErrors: true}
 	root.PersistentFlags().StringVar(&a.server, "server", "", "the site, http://HOST:PORT (or WALLRACK_SERVER)")
 	root.PersistentFlags().BoolVar(&a.json, "json", false, "print JSON for programs")
-	root.TraverseChildren = true // else the Slurm commands, which parse their own options, would get the root's
+	root.TraverseChildren = true // otherwise the Slurm commands, which parse their own options, would receive those of the root
 	root.AddCommand(a.slurmCommands()...)
 	root.AddCommand(
 		a.accountingCommand(),
--- a/cmd/wallctl/main_test.go
+++ b/cmd/wallctl/main_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// respond writes a body; a client that left sees nothing.
+// respond writes a body. Errors are ignored: they mean that the client disconnected.
 func respond(w io.Writer, body string) { _, _ = io.WriteString(w, body) }
 
-// respondByPath responds as a site does to the commands of the test below.
+// respondByPath sends a site's responses to the requests of TestExitCodesAndMessages.
 func respondByPath(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case strings.HasPrefix(r.URL.Path, "/descriptions/"):
@@ -32,7 +32,7 @@
 	}
 }
 
-// Programs tell outcomes by exit codes, and wrong use by a message that names the flag.
+// Each outcome has its own exit code, and the error of a wrong use names the flag.
 func TestExitCodesAndMessages(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(respondByPath))
 	defer srv.Close()
@@ -71,6 +71,6 @@
 	cmd.SetArgs([]string{"nodes"})
 	t.Setenv("WALLRACK_SERVER", "somewhere")
 	if err := cmd.Execute(); err == nil || !strings.Contains(err.Error(), "WALLRACK_SERVER") {
-		t.Errorf("a server that is no URL: %v", err)
+		t.Errorf("a server that is not a URL: %v", err)
 	}
 }
--- a/cmd/wallctl/messages_test.go
+++ b/cmd/wallctl/messages_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Scripts that know Slurm compare these texts, capitals and full stops included.
+// Scripts that are written for Slurm match these messages, including capitals and full stops.
 func TestErrorMessagesMatchSlurm(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
--- a/cmd/wallctl/nodes.go
+++ b/cmd/wallctl/nodes.go
@@ -12,10 +12,10 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// workersPath is the operators' listing of the workers.
+// workersPath is the path of the listing of workers in the operators' interface.
 const workersPath = "/ops/machines"
 
-// listWorkers returns the workers that a controller of the site knows.
+// listWorkers returns the workers known to the controller that responds.
 func listWorkers(ctx context.Context, cl *client.Client) (workers []wire.MachineInfo, err error) {
 	data, err := cl.Get(ctx, workersPath)
 	if err != nil {
--- a/cmd/wallctl/ops_commands.go
+++ b/cmd/wallctl/ops_commands.go
@@ -5,8 +5,8 @@
 	"github.com/spf13/cobra"
 )
 
-// opsCommand returns a command that prints the response of a path of the operators'
-// interface: with --json as it came, else indented.
+// opsCommand returns a command that gets a path of the operators' interface and prints the response:
+// unchanged with --json, else indented.
 func (a *app) opsCommand(use, short, path string) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		cl, err := a.client()
@@ -25,7 +25,7 @@
 	}}
 }
 
-// indentJSON is a JSON text with an indent for each level, or a text that isn't JSON unchanged.
+// indentJSON returns a JSON text indented. A text that isn't JSON is returned unchanged.
 func indentJSON(text []byte) []byte {
 	var value any
 	if json.Unmarshal(text, &value) != nil {
--- a/cmd/wallctl/output.go
+++ b/cmd/wallctl/output.go
@@ -11,14 +11,14 @@
 	"github.com/spf13/cobra"
 )
 
-// table prints aligned columns, separated by tabs in its lines. It keeps the first error of
-// writing, which flush returns.
+// table prints aligned columns, which are separated by tabs in the text passed to printf. It stores
+// the first error of writing, which flush returns.
 type table struct {
 	columns *tabwriter.Writer
 	err     error
 }
 
-// newTable returns an empty table; flags are tabwriter's.
+// newTable returns an empty table; flags are those of tabwriter.NewWriter.
 func newTable(w io.Writer, flags uint) *table {
 	return &table{columns: tabwriter.NewWriter(w, 0, 0, 2, ' ', flags)}
 }
@@ -36,14 +36,14 @@
 	return t.columns.Flush()
 }
 
-// listing is the JSON form of a listing of a Slurm command. Its fields are in the order of
-// the recorded form.
+// listing is the JSON output of a Slurm command that lists jobs. The order of the fields is that of
+// the recorded output.
 type listing[T any] struct {
 	Errors []string `json:"errors"` // always empty: an error is printed instead of a listing
 	Jobs   []T      `json:"jobs"`
 }
 
-// writeListing prints jobs, none as an empty list.
+// writeListing prints jobs as JSON. It prints an empty list, not null, if there are none.
 func writeListing[T any](w io.Writer, jobs []T) error {
 	if jobs == nil {
 		jobs = []T{}
@@ -51,8 +51,8 @@
 	return json.NewEncoder(w).Encode(listing[T]{Errors: []string{}, Jobs: jobs})
 }
 
-// writeOutput calls write for standard output, or for a file that is written completely or
-// not at all.
+// writeOutput calls write with standard output, or with a temporary file that is renamed to file only
+// after it was written completely.
 func writeOutput(cmd *cobra.Command, file string, write func(io.Writer) error) error {
 	if file == "" {
 		return write(cmd.OutOrStdout())
@@ -61,7 +61,7 @@
 	if err != nil {
 		return fmt.Errorf("--output: %w", err)
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // after the rename there is nothing to remove
+	defer func() { _ = os.Remove(f.Name()) }() // fails after the rename, when there is nothing to remove
 	err = write(f)
 	if closeErr := f.Close(); err == nil {
 		err = closeErr
--- a/cmd/wallctl/recorded_commands_test.go
+++ b/cmd/wallctl/recorded_commands_test.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// The commands with their flags and defaults.
+// The commands with their flags, defaults and help texts must not change.
 func TestRecordedCommands(t *testing.T) {
 	var text strings.Builder
 	var walk func(c *cobra.Command)
--- a/cmd/wallctl/recorded_test.go
+++ b/cmd/wallctl/recorded_test.go
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-// recordedSite responds as a site does, for the commands below.
+// recordedSite starts a server with a site's responses to the commands of TestRecordedOutcomes.
 func recordedSite(t *testing.T) (url string) {
 	responses := map[string]struct {
 		status int
@@ -69,8 +69,8 @@
 	return srv.URL
 }
 
-// runProgram runs wallctl as scripts do. If interrupt isn't nil it is interrupted once that
-// returns.
+// runProgram runs wallctl as a child process and returns its exit code and output as text. If
+// interrupt isn't nil, the process gets SIGINT once interrupt returns.
 func runProgram(t *testing.T, server string, interrupt func(), args ...string) string {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], args...)
@@ -98,7 +98,7 @@
 	return text
 }
 
-// Exit codes and texts that scripts rely on.
+// Exit codes and output that scripts rely on must not change.
 func TestRecordedOutcomes(t *testing.T) {
 	server := recordedSite(t)
 	var text strings.Builder
@@ -117,7 +117,8 @@
 	recorded.Compare(t, "outcomes.txt", []byte(text.String()))
 }
 
-// Without a conclusive response the outcome is unknown: exit code 4, also after an interrupt.
+// Without a conclusive response the outcome is unknown, and the exit code is 4, also after an
+// interrupt.
 func TestRecordedOutcomeWithoutResponse(t *testing.T) {
 	responded := make(chan bool, 100)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -130,15 +131,15 @@
 	gone.Close()
 	var text strings.Builder
 	for _, args := range []string{"status j-done", "wait j-done", "stats"} {
-		// The response arrives, and the program pauses for a second before it repeats the request.
+		// The interrupt comes after the response, in the pause of 1 s before the next request.
 		text.WriteString(runProgram(t, srv.URL, func() { <-responded; time.Sleep(300 * time.Millisecond) }, strings.Fields(args)...))
 	}
-	// Requests go out each second: the interrupt comes in the pause between two.
+	// Requests are sent every second: the interrupt comes in a pause between two of them.
 	text.WriteString(runProgram(t, gone.URL, func() { time.Sleep(2500 * time.Millisecond) }, "status", "j-done"))
 	recorded.Compare(t, "without-answer.txt", []byte(text.String()))
 }
 
-// The exit code of each error, those of docs/local.md.
+// The exit codes of errors are those in docs/local.md.
 func TestRecordedExitCodes(t *testing.T) {
 	for err, want := range map[error]int{
 		errors.New("other"): 1, client.ErrRefused: 2, client.ErrNotFound: 3, client.ErrUnknown: 4, context.Canceled: 4, errCancelled: 5, errNotRolledOut: 5,
--- a/cmd/wallctl/rollout_commands.go
+++ b/cmd/wallctl/rollout_commands.go
@@ -17,7 +17,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// errNotRolledOut is the outcome of a roll-out that ended without the new version.
+// errNotRolledOut is the error of a watched roll-out that was aborted or rolled back.
 var errNotRolledOut = errors.New("the new version is not rolled out")
 
 // rolloutPath is the path of the roll-outs in the operators' interface.
@@ -43,8 +43,8 @@
 	}}
 }
 
-// postRollout posts a body to the roll-outs' interface and prints the roll-out of the
-// response, or watches it until it ends.
+// postRollout posts a body to the roll-outs' interface. It prints the roll-out in the response or,
+// with watch, its progress until it ends.
 func (a *app) postRollout(cmd *cobra.Command, path string, body any, watch bool) error {
 	cl, err := a.client()
 	if err != nil {
@@ -73,8 +73,8 @@
 	return err
 }
 
-// printOrDecode gets a path of the operators' interface. With --json it prints the response as
-// it came, else it decodes it into value.
+// printOrDecode gets a path of the operators' interface. With --json it prints the response
+// unchanged and returns true, else it decodes the response into value.
 func (a *app) printOrDecode(cmd *cobra.Command, cl *client.Client, path string, value any) (printed bool, err error) {
 	out, err := cl.Get(cmd.Context(), path)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return false, nil
 }
 
-// formatRun is a roll-out in a line.
+// formatRun returns a line that describes a roll-out.
 func formatRun(run *rollout.Run) string {
 	line := fmt.Sprintf("%s %d to %s: %s, step %d of %d", run.Spec.Service, run.ID, run.Spec.To.Name, run.Phase, run.Step+1, len(run.Targets))
 	if run.Reason != "" {
--- a/cmd/wallctl/rollout_watch.go
+++ b/cmd/wallctl/rollout_watch.go
@@ -18,9 +18,9 @@
 
 const rolloutPollInterval = time.Second
 
-// watchRollout prints a service's roll-out until it ends: a bar for each step on a terminal, a
-// line for each change elsewhere. Roll-outs before the one with this id are left out. It
-// returns nil if the new version is rolled out, else an error that wraps errNotRolledOut.
+// watchRollout prints the progress of a service's roll-out until it ends: on a terminal a bar for each
+// step, else a line for each change. Roll-outs with a lower id are ignored. It returns nil if
+// the new version is rolled out, else an error that wraps errNotRolledOut.
 func watchRollout(ctx context.Context, cl *client.Client, service string, id int, w io.Writer) error {
 	view := newRolloutView(w)
 	for {
@@ -43,14 +43,14 @@
 	}
 }
 
-// rolloutView prints the progress of a roll-out. Errors of printing are dropped: the
-// outcome, which is the exit code, must be awaited anyway.
+// rolloutView prints the progress of a roll-out. Errors of printing are ignored, because the command
+// must wait for the outcome anyway to set its exit code.
 type rolloutView struct {
 	w        io.Writer
 	terminal bool
-	bar      *progressbar.ProgressBar // of a step, on a terminal
-	step     int                      // of the bar; -1: none yet
-	lastLine string                   // elsewhere
+	bar      *progressbar.ProgressBar // bar of the present step; only on a terminal
+	step     int                      // step of the bar, -1 before the first
+	lastLine string                   // last printed line; only without a terminal
 }
 
 func newRolloutView(w io.Writer) *rolloutView {
@@ -60,7 +60,7 @@
 
 func (v *rolloutView) println(args ...any) { _, _ = fmt.Fprintln(v.w, args...) }
 
-// show prints what changed.
+// show prints the status if it has changed since the last call.
 func (v *rolloutView) show(status *rollout.Status) {
 	run, healthy := status.Run, 0
 	for _, batch := range run.New {
@@ -80,7 +80,7 @@
 func (v *rolloutView) showBar(run *rollout.Run, healthy int) {
 	if run.Step != v.step {
 		if v.bar != nil {
-			_ = v.bar.Finish() // only drawing can fail, here and below
+			_ = v.bar.Finish() // an error of drawing is ignored, here and below
 			v.println()
 		}
 		v.step = run.Step
@@ -90,7 +90,7 @@
 	_ = v.bar.Set(healthy)
 }
 
-// finish prints the finish on a terminal and returns the outcome.
+// finish prints the final state on a terminal. It returns an error unless the new version is rolled out.
 func (v *rolloutView) finish(run *rollout.Run) error {
 	if v.terminal {
 		v.println()
--- a/cmd/wallctl/sacct.go
+++ b/cmd/wallctl/sacct.go
@@ -24,7 +24,7 @@
 	withoutHeader, allUsers, listColumns, printAsJSON bool
 }
 
-// flagSet makes the options; the help lists them in this order.
+// flagSet returns the options of sacct. The help lists them in this order.
 func (s *sacctFlags) flagSet() *pflag.FlagSet {
 	fs := pflag.NewFlagSet("sacct", pflag.ContinueOnError)
 	fs.StringVarP(&s.start, "starttime", "S", "", "from this time; else from midnight")
@@ -48,7 +48,8 @@
 	return fs
 }
 
-// separators says where a parsable table has separators, in the form of slurm.AcctTable.
+// separators returns the argument of slurm.AcctTable for bars between columns ("P"), for bars also at
+// the end of each line ("p"), or for aligned columns ("").
 func (s *sacctFlags) separators() string {
 	switch {
 	case s.parsable2:
@@ -59,7 +60,7 @@
 	return ""
 }
 
-// filter returns the filter of the options but for the period.
+// filter returns the filter that the options describe, without the period.
 func (s *sacctFlags) filter() (f slurm.AcctFilter, err error) {
 	f = slurm.AcctFilter{Users: s.users, Accounts: s.accounts, Partitions: s.partitions, Names: s.names, QOS: s.qos}
 	if f.States, err = parseStates(s.states); err != nil {
@@ -116,7 +117,7 @@
 	return writeSacctTable(out, layout, !flags.withoutHeader, lines)
 }
 
-// sacctLines yields the lines of those records and steps that the filter selects.
+// sacctLines yields the lines of the records and steps that the filter selects.
 func sacctLines(recs []*slurm.Record, filter *slurm.AcctFilter, options slurm.AcctOptions) iter.Seq[*slurm.AcctRow] {
 	return func(yield func(*slurm.AcctRow) bool) {
 		for _, record := range recs {
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// writeSacctJSON prints lines as objects with all columns.
+// writeSacctJSON prints each line as a JSON object with all columns.
 func writeSacctJSON(w io.Writer, lines iter.Seq[*slurm.AcctRow]) error {
 	var jobs []map[string]string
 	for line := range lines {
@@ -160,13 +161,14 @@
 	return writeListing(w, jobs)
 }
 
-// earliestStart returns the time from which on the rows of jobs must be read.
+// earliestStart returns the earliest time at which one of the jobs started, or was accepted if it has
+// not ended. Accounting must be read from that time on.
 func earliestStart(ctx context.Context, cl *client.Client, jobs []slurm.Target, now time.Time) (time.Time, error) {
 	earliest := now
 	for _, target := range jobs {
 		found, err := cl.JobByNumber(ctx, target.Number)
 		if errors.Is(err, client.ErrNotFound) {
-			continue // sacct prints nothing about jobs that don't exist
+			continue // like Slurm's sacct, which ignores jobs that don't exist
 		}
 		if err != nil {
 			return now, err
--- a/cmd/wallctl/sbatch.go
+++ b/cmd/wallctl/sbatch.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	// Errors of printing are dropped here: after one, a script would submit the job again.
+	// Errors of printing are ignored: if they made the command fail, a script might submit the job again.
 	job, out := &request.Job, cmd.OutOrStdout()
 	switch {
 	case options.TestOnly:
--- a/cmd/wallctl/scancel.go
+++ b/cmd/wallctl/scancel.go
@@ -61,28 +61,28 @@
 	return c.exit
 }
 
-// canceller runs the cancels of one command and reports those that fail.
+// canceller sends the cancel requests of one command and reports those that fail.
 type canceller struct {
 	cl     *client.Client
 	stderr io.Writer
-	quiet  bool  // report only cancels of unknown outcome
-	exit   error // the command's exit code once a cancel failed, else nil
+	quiet  bool  // report only cancels with an unknown outcome
+	exit   error // an exitError once a cancel has failed, else nil
 }
 
-// report records the outcome of the cancel of a job or task.
+// report prints the error of a cancel of a job or task, if any, and sets the exit code.
 func (c *canceller) report(name string, err error) {
 	if err == nil {
 		return
 	}
 	c.exit = &exitError{1}
 	if !c.quiet || errors.Is(err, client.ErrUnknown) {
-		// Without standard error the exit code must do.
+		// If printing fails the exit code still reports the error.
 		_, _ = fmt.Fprintf(c.stderr, "scancel: error: Kill job error on job id %s: %v\n", name, err)
 	}
 }
 
-// cancelMatching cancels the jobs, or tasks of jobs, that the filter matches. They are looked
-// up before the first is cancelled: else the cancels change the listing while it is read.
+// cancelMatching cancels the jobs, or tasks of jobs, that the filter matches. It reads the complete
+// listing before the first cancel, because cancels would change the listing while it is read.
 func (c *canceller) cancelMatching(ctx context.Context, filter *slurm.Filter) error {
 	var found []jobMatch
 	err := c.cl.Jobs(ctx, func(page *jobquery.Page) error {
@@ -107,11 +107,11 @@
 	return nil
 }
 
-// jobMatch is what a filter matches of a job.
+// jobMatch contains the tasks of a job that a filter matches.
 type jobMatch struct {
 	info     *jobquery.Info
-	allTasks bool  // all tasks that are waiting or running
-	tasks    []int // the tasks that it matches
+	allTasks bool  // whether the filter matches all waiting and running tasks
+	tasks    []int // indices of the matching tasks
 }
 
 func matchJob(filter *slurm.Filter, info *jobquery.Info, nowMs int64) jobMatch {
@@ -126,7 +126,7 @@
 	return match
 }
 
-// cancelJob cancels a job; its errors have Slurm's messages where there is one.
+// cancelJob cancels a job. Its errors have Slurm's message if Slurm has one.
 func cancelJob(ctx context.Context, cl *client.Client, uid string) error {
 	state, err := cl.Cancel(ctx, uid)
 	switch {
@@ -138,7 +138,7 @@
 	return err
 }
 
-// cancelTarget cancels a job, or tasks of its array, by number.
+// cancelTarget cancels a job that is given by its number, or some tasks of a job array.
 func cancelTarget(ctx context.Context, cl *client.Client, target slurm.Target) error {
 	found, err := cl.JobByNumber(ctx, target.Number)
 	switch {
--- a/cmd/wallctl/scancel_test.go
+++ b/cmd/wallctl/scancel_test.go
@@ -14,8 +14,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// A filter cancels a job as a whole if all its tasks match, else the tasks that do; if
-// the listing breaks off, nothing is cancelled.
+// With a filter, scancel cancels a whole job if all its tasks match, else the matching tasks. If the
+// listing is incomplete, nothing is cancelled.
 func TestFilteredCancelRequiresCompleteListing(t *testing.T) {
 	job := func(uid string, number uint64, tasks int, waiting string, on ...jobquery.Placement) jobquery.Info {
 		return jobquery.Info{Job: wire.Job{UID: uid, Tasks: tasks}, Constraints: &jobspec.Constraints{Number: number}, Stage: wire.StageQueued, PendingTasks: waiting, Placements: on}
@@ -31,7 +31,7 @@
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Method == http.MethodPost:
-			body, _ := io.ReadAll(r.Body) // a part that is missing fails the comparison
+			body, _ := io.ReadAll(r.Body) // a partial body fails the comparison
 			cancels = append(cancels, strings.TrimSpace(r.URL.Path+" "+string(body)))
 			httpjson.Write(w, http.StatusOK, wire.JobState{Stage: wire.StageCancelled})
 		case r.URL.Query().Get("number") == "0":
@@ -51,6 +51,6 @@
 	}
 	listingFails, cancels = true, nil
 	if _, err := runCommand(t, srv.URL, "scancel", "-t", "PENDING"); err == nil || !strings.Contains(err.Error(), "none was cancelled") || len(cancels) > 0 {
-		t.Errorf("a listing that breaks off: %v, cancels are %q", err, cancels)
+		t.Errorf("an incomplete listing: %v, cancels are %q", err, cancels)
 	}
 }
--- a/cmd/wallctl/scontrol.go
+++ b/cmd/wallctl/scontrol.go
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// resolveJob returns the uid of a job by its number or uid. Single tasks of an array are refused.
+// resolveJob returns the uid of a job that is given by its number or uid. Single tasks of an array are
+// refused.
 func resolveJob(ctx context.Context, cl *client.Client, name string) (uid string, err error) {
 	if wire.ValidJobID(name) {
 		return name, nil
@@ -82,7 +83,7 @@
 	return found.UID, nil
 }
 
-// showJobs prints the jobs of these names, or all active ones.
+// showJobs prints the jobs with the given names, or all active jobs if there are none.
 func showJobs(ctx context.Context, out io.Writer, cl *client.Client, names []string) error {
 	if len(names) == 0 {
 		return cl.Jobs(ctx, func(page *jobquery.Page) error {
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// showNodes prints the workers of these names, or all.
+// showNodes prints the workers with the given names, or all workers if there are none.
 func showNodes(cmd *cobra.Command, cl *client.Client, names []string) error {
 	site, err := cl.Site(cmd.Context())
 	if err != nil {
@@ -121,7 +122,7 @@
 		return err
 	}
 	oneClass := *site
-	oneClass.Classes = []string{site.Class} // else each worker is listed once a class
+	oneClass.Classes = []string{site.Class} // otherwise each worker would be listed once for each class
 	shown := 0
 	for _, row := range slurm.Nodes(workers, &oneClass, true) {
 		if len(names) > 0 && !slices.Contains(names, row.Name) {
--- a/cmd/wallctl/slurm.go
+++ b/cmd/wallctl/slurm.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/client"
 )
 
-// slurmCommands are the names under which this program is a command of Slurm.
+// slurmCommands are the names under which this program acts as a Slurm command.
 var slurmCommands = []string{"sbatch", "srun", "squeue", "scancel", "sacct", "sinfo", "scontrol"}
 
 func (a *app) slurmCommands() []*cobra.Command {
@@ -29,11 +29,11 @@
 	}
 }
 
-// slurmCommandFunc runs a command of Slurm with the arguments after its name.
+// slurmCommandFunc implements a Slurm command; args are the arguments after its name.
 type slurmCommandFunc func(cmd *cobra.Command, cl *client.Client, args []string) error
 
-// slurmCommand returns a command that parses its own options, as cobra's parser doesn't know
-// Slurm's forms. Its errors are exitError, or slurmError with Slurm's form of messages.
+// slurmCommand returns a command that parses its own options, because cobra's parser doesn't support
+// Slurm's syntax. Its errors are an exitError, or a slurmError in Slurm's format.
 func (a *app) slurmCommand(name, short string, run slurmCommandFunc) *cobra.Command {
 	return &cobra.Command{Use: name, Short: short, DisableFlagParsing: true, RunE: func(cmd *cobra.Command, args []string) error {
 		cl, err := a.client()
@@ -51,8 +51,8 @@
 	}}
 }
 
-// installLinks makes links to this program and prints the new ones. It fails rather than
-// replace a file or a link to something else.
+// installLinks creates symbolic links to this program and prints the new ones. It fails if a file or
+// a link to another target exists under one of the names.
 func installLinks(cmd *cobra.Command, args []string) error {
 	exe, err := os.Executable()
 	if err != nil {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// userName is the name of the user who runs this program.
+// userName returns the name of the user who runs this program.
 func userName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
--- a/cmd/wallctl/slurm_errors.go
+++ b/cmd/wallctl/slurm_errors.go
@@ -6,12 +6,12 @@
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
-// exitError ends the program with a job's own exit code.
+// exitError ends the program with the given exit code and without a message.
 type exitError struct{ code int }
 
 func (e *exitError) Error() string { return "exit code " + strconv.Itoa(e.code) }
 
-// slurmError is an error as Slurm's commands print it. Their exit code is 1.
+// slurmError is an error in the format of Slurm's commands. The exit code is 1.
 type slurmError struct {
 	command string
 	err     error
@@ -20,13 +20,13 @@
 func (e *slurmError) Error() string { return e.command + ": error: " + e.err.Error() }
 func (e *slurmError) Unwrap() error { return e.err }
 
-// What failed, as the start of a message in Slurm's words.
+// Starts of error messages, in Slurm's words.
 const (
 	submitFailed = "Batch job submission failed"
 	listFailed   = "Unable to contact the site, or not to the end of the list"
 )
 
-// Messages of Slurm that scripts compare.
+// Error messages of Slurm that scripts match.
 var (
 	errAlreadyOver  error = &slurm.UsageError{Why: "Job/step already completing or completed"}
 	errInvalidJobID error = &slurm.UsageError{Why: "Invalid job id specified"}
--- a/cmd/wallctl/slurm_flags.go
+++ b/cmd/wallctl/slurm_flags.go
@@ -18,8 +18,8 @@
 	ownJobs                                         bool
 }
 
-// addFilterFlags adds them; the help lists them in this order. The option for states has
-// another name in each command.
+// addFilterFlags adds the options to fs. The help lists them in this order. The option for states has
+// a different name in each command.
 func addFilterFlags(fs *pflag.FlagSet, stateOption string) *filterFlags {
 	f := &filterFlags{}
 	fs.StringSliceVarP(&f.users, "user", "u", nil, "of these users")
@@ -32,7 +32,7 @@
 	return f
 }
 
-// filter returns the filter of the parsed options.
+// filter returns the filter that the parsed options describe.
 func (f *filterFlags) filter() (filter slurm.Filter, err error) {
 	filter = slurm.Filter{Users: f.users, Partitions: f.partitions, Accounts: f.accounts, Names: f.names, QOS: f.qos}
 	if f.ownJobs {
@@ -42,7 +42,7 @@
 	return filter, err
 }
 
-// parseFlags parses the options of a command that submits nothing. For --help it prints the
+// parseFlags parses the options of a command other than sbatch and srun. For --help it prints the
 // options and returns pflag.ErrHelp.
 func parseFlags(cmd *cobra.Command, fs *pflag.FlagSet, args []string) error {
 	fs.SetOutput(io.Discard)
@@ -57,7 +57,8 @@
 	return err
 }
 
-// parseStates returns the long names of states, given by short or long names; nil for all.
+// parseStates returns the long names of states that are given by short or long names. It returns nil
+// if one of them is "all".
 func parseStates(names []string) ([]string, error) {
 	var states []string
 	for _, name := range names {
@@ -73,7 +74,7 @@
 	return states, nil
 }
 
-// parseTargets parses each job of a list that splitJobs made.
+// parseTargets parses each element of a list from splitJobs.
 func parseTargets(jobs []string) ([]slurm.Target, error) {
 	var targets []slurm.Target
 	for _, job := range jobs {
--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -16,11 +16,11 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// maxScript is the size in bytes of the longest script that is accepted.
+// maxScript is the maximum size of a batch script, in bytes.
 const maxScript = 512 << 10
 
-// readSubmission reads a submission from the command line, the script and the environment.
-// For --help it prints the options and returns slurm.ErrHelp.
+// readSubmission reads the options and the program of a submission from the command line, the script
+// and the environment. For --help it prints the options and returns slurm.ErrHelp.
 func readSubmission(cmd *cobra.Command, name slurm.Command, args []string, now time.Time) (*slurm.Options, *slurm.Work, error) {
 	given, program, err := slurm.ParseArgs(name, args)
 	if errors.Is(err, slurm.ErrHelp) {
@@ -57,17 +57,18 @@
 	return options, work, err
 }
 
-// newWork returns what a submission has of the process that submits.
+// newWork returns the part of a submission that comes from this process: environment, user, working
+// directory and host.
 func newWork() (*slurm.Work, error) {
 	dir, err := os.Getwd()
 	if err != nil {
 		return nil, err
 	}
-	host, _ := os.Hostname() // only shown to the tasks; may be empty
+	host, _ := os.Hostname() // only passed to the tasks for information; may be empty
 	return &slurm.Work{Env: os.Environ(), User: userName(), Dir: dir, Host: host}, nil
 }
 
-// readScript reads a batch script, and its arguments, into work, and returns its options.
+// readScript reads a batch script and its arguments into work and returns the options in the script.
 func readScript(stdin io.Reader, args []string, work *slurm.Work, now time.Time) (slurm.Given, error) {
 	var err error
 	if work.Script, work.File, err = readScriptText(stdin, args); err != nil {
@@ -79,7 +80,8 @@
 	return slurm.FromScript(work.Script, now)
 }
 
-// readScriptText reads the script that the first argument names, or standard input.
+// readScriptText reads the script from the file in the first argument, or from standard input if
+// there are no arguments.
 func readScriptText(stdin io.Reader, args []string) (text, name string, err error) {
 	in, name := stdin, "sbatch"
 	if len(args) > 0 {
@@ -87,7 +89,7 @@
 		if err != nil {
 			return "", "", &slurm.UsageError{Why: "Unable to open file " + args[0]}
 		}
-		defer func() { _ = f.Close() }() // it was only read
+		defer func() { _ = f.Close() }() // an error of closing after reading has no effect
 		in, name = f, args[0]
 	}
 	data, err := io.ReadAll(io.LimitReader(in, maxScript+1))
@@ -102,8 +104,8 @@
 	return string(data), name, nil
 }
 
-// submitSlurm translates and submits a job, or checks it only (options.TestOnly). Its uid is
-// made once: repeats of the requests make no second job.
+// submitSlurm translates and submits a job, or only validates it (options.TestOnly). Repeated requests
+// contain the same uid, so they do not create a second job.
 func submitSlurm(ctx context.Context, cl *client.Client, name slurm.Command, options *slurm.Options, work *slurm.Work, now time.Time) (*slurm.Request, error) {
 	site, err := cl.Site(ctx)
 	if err != nil {
@@ -128,13 +130,13 @@
 	return request, nil
 }
 
-// waitError is the error of a wait that failed.
+// waitError returns the error of a wait that ended before the job.
 func waitError(request *slurm.Request, err error) error {
 	return fmt.Errorf("job %d goes on, but its end was not seen: %w", request.Constraints.Number, err)
 }
 
 // jobExitError returns nil if the job completed, else an exitError with the job's exit code, or
-// with 1 if it has none.
+// with 1 if the job has none.
 func jobExitError(ctx context.Context, cl *client.Client, request *slurm.Request) error {
 	info, err := cl.Info(ctx, request.Job.UID)
 	if err != nil {
--- a/cmd/wallctl/squeue.go
+++ b/cmd/wallctl/squeue.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
-// longQueueFormat is the layout of squeue -l.
+// longQueueFormat is the output format of squeue -l.
 const longQueueFormat = "%.18i %.9P %.8j %.8u %.8T %.10M %.9l %.6D %R"
 
 // squeueFlags are squeue's options.
@@ -24,7 +24,7 @@
 	longFormat, printAsJSON        bool
 }
 
-// newSqueueFlags makes the options; the help lists them in this order.
+// newSqueueFlags returns the options of squeue. The help lists them in this order.
 func newSqueueFlags() (*squeueFlags, *pflag.FlagSet) {
 	fs := pflag.NewFlagSet("squeue", pflag.ContinueOnError)
 	s := &squeueFlags{filterFlags: addFilterFlags(fs, "states")}
@@ -39,7 +39,7 @@
 	return s, fs
 }
 
-// filter returns the filter of the options.
+// filter returns the filter that the options describe.
 func (s *squeueFlags) filter() (slurm.Filter, error) {
 	f, err := s.filterFlags.filter()
 	if err != nil {
@@ -56,7 +56,7 @@
 	return f, nil
 }
 
-// layout returns the layout of the options.
+// layout returns the table layout that the options describe.
 func (s *squeueFlags) layout() (*slurm.Table[slurm.QueueRow], error) {
 	format := s.format
 	if s.longFormat && format == "" {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// selectRows calls each for the rows of a page that the filter selects, until an error.
+// selectRows calls each for the rows of a page that the filter selects. It stops at the first error.
 func selectRows(page *jobquery.Page, filter *slurm.Filter, eachTask bool, each func(*slurm.QueueRow) error) error {
 	for i := range page.Jobs {
 		rows := slurm.Queue(&page.Jobs[i], eachTask, page.NowMs, time.Local)
--- a/cmd/wallctl/srun.go
+++ b/cmd/wallctl/srun.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	if !options.Quiet {
-		// Only a note: the step runs whether it can be printed or not.
+		// An error of printing is ignored: the step runs regardless.
 		_, _ = fmt.Fprintf(cmd.ErrOrStderr(), "srun: job %d queued and waiting for resources\n", request.Constraints.Number)
 	}
 	output := &stepOutput{
@@ -49,7 +49,7 @@
 	return jobExitError(cmd.Context(), cl, request)
 }
 
-// waitAndPrintOutput waits for the end of a step and prints its output meanwhile.
+// waitAndPrintOutput waits for the end of a step and meanwhile prints its output.
 func waitAndPrintOutput(ctx context.Context, cl *client.Client, uid string, output *stepOutput) error {
 	done := make(chan error, 1)
 	go func() {
@@ -64,13 +64,13 @@
 			return err
 		case <-timer.C:
 			output.printNew(ctx)
-			timer.Reset(outputInterval) // after the requests, so that a slow site has a pause
+			timer.Reset(outputInterval) // reset after the requests, so that a slow site gets a pause between them
 		}
 	}
 }
 
-// cancelStep cancels a step after an interrupt: what was started for a terminal ends with it.
-// The command's context is done then, so the cancel has its own.
+// cancelStep cancels a step after an interrupt of this command. The command's context is done by then,
+// so the request has a context of its own.
 func cancelStep(cl *client.Client, request *slurm.Request) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
@@ -80,18 +80,18 @@
 	return fmt.Errorf("job %d was cancelled", request.Constraints.Number)
 }
 
-// stepOutput prints what a step's tasks write, as it arrives.
+// stepOutput prints the output of a step's tasks as it arrives.
 type stepOutput struct {
 	cl             *client.Client
 	uid            string
 	tasks          int
-	labelled       bool // the task's number precedes each line
-	toFile         bool // the tasks write to files: there is nothing to print
+	labelled       bool // prefix each line with the task's number
+	toFile         bool // the tasks write to files, so nothing is printed
 	stdout, stderr io.Writer
-	printed        map[string]int // bytes, by the path of a task's stream
+	printed        map[string]int // bytes printed so far, by the path of a task's stream
 }
 
-// printNew prints what all tasks wrote since the last call.
+// printNew prints the output of all tasks since the last call.
 func (s *stepOutput) printNew(ctx context.Context) {
 	if s.toFile {
 		return
@@ -102,12 +102,12 @@
 	}
 }
 
-// printStream prints what one task wrote to one of its streams since the last call.
+// printStream prints the output of one stream of a task since the last call.
 func (s *stepOutput) printStream(ctx context.Context, task int, query string, to io.Writer) {
 	path := wire.TaskName(s.uid, task) + query
 	data, err := s.cl.GetOnce(ctx, "/logs/"+path)
 	if err != nil {
-		return // the task hasn't started, or the next call gets it
+		return // the task hasn't started, or the next call reads the output
 	}
 	if len(data) < s.printed[path] {
 		s.printed[path] = 0 // another attempt started
@@ -118,6 +118,6 @@
 		if s.labelled {
 			line = strconv.Itoa(task) + ": " + line
 		}
-		_, _ = io.WriteString(to, line) // the step goes on, and its exit code matters, when nobody reads
+		_, _ = io.WriteString(to, line) // an error is ignored, because the exit code of the step is still needed
 	}
 }
--- a/cmd/wallctl/submit.go
+++ b/cmd/wallctl/submit.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// submission is what the options of submit describe.
+// submission is the job that the options of submit describe.
 type submission struct {
 	job         wire.Job
 	description taskspec.Spec
@@ -67,7 +67,7 @@
 	fs.StringVar(&s.scriptFile, "script", "", "a file whose text is handed to the program as its last argument's file")
 }
 
-// complete derives from the options what they don't set directly, and validates.
+// complete sets the fields that the options don't set directly, and validates the submission.
 func (s *submission) complete(program []string) error {
 	if s.job.UID == "" {
 		s.job.UID = client.NewUID()
--- a/cmd/wallrack/bound.go
+++ b/cmd/wallrack/bound.go
@@ -12,7 +12,7 @@
 	"github.com/wallrack/wallrack/internal/lowerbound"
 )
 
-// boundCommand compares a logged day with the best that could have been.
+// boundCommand returns the command that prints lower bounds of the cost and lateness of a logged day.
 func boundCommand() *cobra.Command {
 	var spotCPUs, onDemandPrice float64
 	c := &cobra.Command{
@@ -36,13 +36,13 @@
 	return c
 }
 
-// readEndedJobs reads the jobs that ended, of which there must be one, from a log.
+// readEndedJobs reads the ended jobs from a log. It fails if there are none.
 func readEndedJobs(path string) ([]lowerbound.Job, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // an error of closing after reading has no effect
 	jobs, err := lowerbound.Read(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
--- a/cmd/wallrack/local.go
+++ b/cmd/wallrack/local.go
@@ -6,7 +6,7 @@
 	"github.com/wallrack/wallrack/internal/local"
 )
 
-// localCommand runs a site on this machine.
+// localCommand returns the command that runs a whole site on this machine.
 func localCommand() *cobra.Command {
 	var site local.Site
 	var inProcess bool
--- a/cmd/wallrack/local_test.go
+++ b/cmd/wallrack/local_test.go
@@ -65,8 +65,8 @@
 	return err
 }
 
-// A site on one machine runs a job, shows what it wrote, refuses what can't run, cancels,
-// and knows all of it after a restart on the same directory.
+// A local site runs a job, returns its output, refuses a job that can't run and cancels a job. After
+// a restart on the same directory it still has the states of these jobs.
 func TestLocalSiteKeepsJobsAcrossRestart(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes")
@@ -83,7 +83,8 @@
 	checkJobsAfterRestart(ctx, t, c)
 }
 
-// checkLocalJobs leaves a job that is done, one that is cancelled and one that runs.
+// checkLocalJobs submits jobs, checks their outcomes, and leaves one job that is done, one that is
+// cancelled and one that runs.
 func checkLocalJobs(ctx context.Context, t *testing.T, c *client.Client) {
 	t.Helper()
 	if err := submitScript(ctx, c, adhocJob("j-hello", 3), `echo "hello $WALLRACK_TASK"`); err != nil {
@@ -102,7 +103,7 @@
 	if s, err := c.Cancel(ctx, "j-long"); err != nil || s.Stage != wire.StageCancelled {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if err := submitScript(ctx, c, adhocJob("j-over", 1), "sleep 300"); err != nil { // runs when the site ends
+	if err := submitScript(ctx, c, adhocJob("j-over", 1), "sleep 300"); err != nil { // still running when the site ends
 		t.Fatal(err)
 	}
 }
@@ -118,7 +119,7 @@
 		t.Errorf("a task that fits no machine: %v", err)
 	}
 	if _, err := c.Status(ctx, "j-nobody"); !errors.Is(err, client.ErrNotFound) {
-		t.Errorf("a job that nobody submitted: %v", err)
+		t.Errorf("a job that was never submitted: %v", err)
 	}
 }
 
@@ -137,8 +138,8 @@
 	}
 }
 
-// TestMain is also a service, for the roll-outs below: with TEST_SERVICE=bad it turns
-// unhealthy some time after its start.
+// TestMain also acts as the service in the tests of roll-outs: with TEST_SERVICE=bad the service turns
+// unhealthy 1.5 s after its start.
 func TestMain(m *testing.M) {
 	mode := os.Getenv("TEST_SERVICE")
 	if mode == "" {
@@ -152,8 +153,8 @@
 	}))
 }
 
-// With real processes: a version that turns unhealthy halfway is halted and the prior one is
-// whole again within a minute, all replicas of it.
+// With real processes, a version that turns unhealthy halfway through its roll-out is rolled back, and
+// all replicas of the prior version are healthy again within a minute.
 func TestLocalRolloutRestoresPriorVersion(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes")
@@ -175,7 +176,7 @@
 	}
 }
 
-// tipsSpec is a roll-out of the service that TestMain is.
+// tipsSpec returns the spec of a roll-out of the service in TestMain.
 func tipsSpec(version, mode string) rollout.Spec {
 	return rollout.Spec{
 		Service: "tips", Steps: []string{"1", "100%"}, SoakS: 3, Check: rollout.Check{HTTP: "/up", EveryS: 0.3, TimeoutS: 1},
--- a/cmd/wallrack/main.go
+++ b/cmd/wallrack/main.go
@@ -1,4 +1,4 @@
-// Command wallrack runs a cluster scheduler's controller, its workers, and sites for trials.
+// Command wallrack runs the controllers and workers of a cluster scheduler, and local sites for trials.
 package main
 
 import (
@@ -29,14 +29,13 @@
 	}
 }
 
-// settingsError means that a settings file can't be used and nothing was started.
+// settingsError means that a settings file is invalid and nothing was started.
 type settingsError struct{ err error }
 
 func (e settingsError) Error() string { return e.err.Error() }
 func (e settingsError) Unwrap() error { return e.err }
 
-// exitCode is 2 for settings that can't be used, where a command says so, and 1 for any other
-// failure.
+// exitCode returns 2 for a settingsError and 1 for any other error.
 func exitCode(err error) int {
 	if errors.As(err, new(settingsError)) {
 		return 2
@@ -89,7 +88,7 @@
 	}
 }
 
-// logger logs to standard error from the level that LOG_LEVEL names, info without it.
+// logger returns a logger to standard error. LOG_LEVEL sets its minimum level; the default is info.
 func logger() (*slog.Logger, error) {
 	var level slog.Level
 	if name := os.Getenv("LOG_LEVEL"); name != "" {
@@ -100,5 +99,5 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
-// printTo writes what a command has to say. The command's outcome is the same when nobody reads it.
+// printTo prints output of a command. Errors of printing are ignored: they don't change its outcome.
 func printTo(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
--- a/cmd/wallrack/parts.go
+++ b/cmd/wallrack/parts.go
@@ -13,11 +13,11 @@
 	"github.com/wallrack/wallrack/internal/subprocess"
 )
 
-// stopTimeout is how long a child process may take to end before it is killed.
+// stopTimeout is how long a child process may take to end after SIGTERM before it is killed.
 const stopTimeout = 5 * time.Second
 
-// newPartStarter returns what starts the parts of a site: inside this process, or as child processes
-// that log to files of their own in the directory's logs.
+// newPartStarter returns the function that starts the parts of a site: inside this process, or as
+// child processes that each log to a file in dir/logs.
 func newPartStarter(dir string, inProcess bool) (local.StartPart, error) {
 	if inProcess {
 		return runInProcess, nil
@@ -31,12 +31,12 @@
 
 // runInProcess runs a part inside this process.
 func runInProcess(ctx context.Context, _ string, args []string) error {
-	c := newRootCommand() //nolint:contextcheck // its functions get ctx by ExecuteContext
+	c := newRootCommand() //nolint:contextcheck // the command's functions get ctx from ExecuteContext
 	c.SetArgs(args)
 	return c.ExecuteContext(ctx)
 }
 
-// runAsChildProcess runs parts as child processes.
+// runAsChildProcess returns a function that runs a part as a child process and waits for its end.
 func runAsChildProcess(exe, logs string) local.StartPart {
 	return func(ctx context.Context, name string, args []string) error {
 		if err := os.MkdirAll(logs, 0o755); err != nil {
@@ -46,7 +46,7 @@
 		if err != nil {
 			return fmt.Errorf("logs: %w", err)
 		}
-		defer func() { _ = f.Close() }() // the child writes to it, by a descriptor of its own
+		defer func() { _ = f.Close() }() // the child process has a descriptor of its own
 		cmd := exec.Command(exe, args...)
 		cmd.Stdout, cmd.Stderr = f, f
 		if err := subprocess.Start(cmd); err != nil {
@@ -56,7 +56,8 @@
 	}
 }
 
-// waitOrStop waits for a child process, and ends it when ctx ends.
+// waitOrStop waits for a child process. When ctx ends it stops the process: by SIGTERM and, after
+// stopTimeout, by SIGKILL.
 func waitOrStop(ctx context.Context, cmd *exec.Cmd) error {
 	done := make(chan error, 1)
 	go func() { done <- cmd.Wait() }()
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -32,7 +32,7 @@
 	recorded.CompareJSON[T](t, filepath.Join("answers", name), json.Marshal, func(data []byte, v any) error { return json.Unmarshal(data, v) })
 }
 
-// What operators are answered, with every field there.
+// The responses to operators, with every field set, must not change.
 func TestRecordedAnswers(t *testing.T) {
 	compareResponse[slo.Alert](t, "alert.json")
 	compareResponse[reachability.OpsStatus](t, "links.json")
@@ -50,11 +50,11 @@
 	compareResponse[[]rollout.Run](t, "rollout-history.json")
 }
 
-// A path of the operators' interface and the form of its answers.
+// recordedPath is a path of the operators' interface with the recorded shape of its responses.
 type recordedPath struct {
 	sample          string
 	path            string
-	freeFormObjects []string // objects whose names are not of the form
+	freeFormObjects []string // objects whose names are data, thus not part of the shape
 }
 
 var recordedPaths = []recordedPath{
@@ -67,8 +67,8 @@
 	{"rollout-history.txt", "/ops/rollouts/tips/history", []string{"[].spec.to.desc.env"}},
 }
 
-// collectShape gathers the lines of a path's answers until all recorded ones were seen. A
-// recorded line that begins with "sometimes" need not be.
+// collectShape requests a path until its responses contained all recorded lines of the shape, for at most
+// 20 s, and returns all lines seen. Recorded lines that begin with "sometimes" are optional.
 func collectShape(ctx context.Context, t *testing.T, c *client.Client, p recordedPath, wanted []string) (seen []string) {
 	for start := time.Now(); time.Since(start) < 20*time.Second; time.Sleep(100 * time.Millisecond) {
 		answer, err := c.Get(ctx, p.path)
@@ -107,7 +107,7 @@
 	}
 }
 
-// completeRollout has a service of one replica rolled out, and waits until it is.
+// completeRollout rolls out a service with one replica and waits until the roll-out is done.
 func completeRollout(ctx context.Context, t *testing.T, c *client.Client) {
 	t.Helper()
 	spec := rollout.Spec{
@@ -135,8 +135,7 @@
 	}
 }
 
-// refusals records what is answered to requests that can't be done, and to paths that
-// are none.
+// refusals returns the responses to invalid requests and to unknown paths.
 func refusals(t *testing.T, base string) string {
 	t.Helper()
 	var text strings.Builder
@@ -166,7 +165,7 @@
 	return text.String()
 }
 
-// redirectLog has the site's log written to a file until the test ends.
+// redirectLog redirects the site's log to a file until the test ends.
 func redirectLog(t *testing.T, path string) {
 	t.Helper()
 	f, err := os.Create(path)
@@ -184,8 +183,8 @@
 	})
 }
 
-// A running site answers operators on the recorded paths, in the recorded forms, and
-// logs jobs so that wallrack bound reads them.
+// A running site responds on the recorded paths with the recorded shapes, and logs jobs in the form
+// that wallrack bound reads.
 func TestRecordedPaths(t *testing.T) {
 	dir := t.TempDir()
 	log := filepath.Join(dir, "log")
@@ -226,14 +225,14 @@
 	}
 }
 
-// What the commands that end at once print, and the exit codes of those that fail. The
-// log that bound reads was kept.
+// The output of commands that end immediately, and the exit codes of those that fail, must not change.
+// The command bound reads a recorded log.
 func TestRecordedOutcomes(t *testing.T) {
 	const (
 		log      = "../../internal/lowerbound/testdata/recorded/debug.log"
 		platform = "../../internal/config/testdata/recorded/"
 	)
-	t.Setenv("LOG_LEVEL", "loud") // the settings are looked at before
+	t.Setenv("LOG_LEVEL", "loud") // the settings are read before LOG_LEVEL
 	var text strings.Builder
 	for _, args := range []string{
 		"bound " + log + " --cheap-cpus 2 --dear 3", "bound " + log, "bound missing.log --cheap-cpus 2", "bound testdata/recorded/empty.log --cheap-cpus 2",
--- a/cmd/wallrack/scale.go
+++ b/cmd/wallrack/scale.go
@@ -23,7 +23,7 @@
 	inProcess      bool
 }
 
-// scaleCommand plays a site of a planned size.
+// scaleCommand returns the command that simulates a site of a planned size and measures it.
 func scaleCommand() *cobra.Command {
 	var flags scaleFlags
 	c := &cobra.Command{
@@ -49,8 +49,8 @@
 	return c
 }
 
-// runScale plays the site, and prints and writes what was measured, also of a run that failed
-// on its way.
+// runScale runs the simulation, then prints and writes the measurements, including those of a run that
+// failed before its end.
 func runScale(ctx context.Context, flags scaleFlags, out, progressOut io.Writer) error {
 	if flags.file == "" {
 		return settingsError{errors.New("--config: a settings file is needed")}
@@ -64,7 +64,7 @@
 		if run.Dir, err = os.MkdirTemp("", "wallrack-scale-"); err != nil {
 			return fmt.Errorf("--dir: %w", err)
 		}
-		defer func() { _ = os.RemoveAll(run.Dir) }() // what is left of it is the system's to clean
+		defer func() { _ = os.RemoveAll(run.Dir) }() // an error leaves files in the system's directory for temporary files, which is harmless
 	}
 	if run.Start, err = newPartStarter(run.Dir, flags.inProcess); err != nil {
 		return err
@@ -76,7 +76,7 @@
 	return errors.Join(err, writeResult(out, result, flags.out))
 }
 
-// writeResult prints the result and writes its files. A broken rule is an error.
+// writeResult prints the result and writes scale.json and scale.html. It fails if a rule was broken.
 func writeResult(w io.Writer, r *scale.Result, dir string) error {
 	if err := r.Print(w); err != nil {
 		return err
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// progress shows a bar of the running tasks on a terminal, and a line at each phase
-// elsewhere.
+// progress returns a function that shows the progress: on a terminal a bar of the running tasks, else
+// a line for each phase.
 func progress(w io.Writer, maxRunning int) func(phase string, running, starts int) {
 	f, isFile := w.(*os.File)
 	if !isFile || !term.IsTerminal(int(f.Fd())) {
@@ -120,6 +120,6 @@
 	bar := progressbar.NewOptions(max(1, maxRunning), progressbar.OptionSetWriter(w), progressbar.OptionSetWidth(30), progressbar.OptionShowCount())
 	return func(phase string, running, starts int) {
 		bar.Describe(fmt.Sprintf("%s, %d starts/s, tasks", phase, starts))
-		_ = bar.Set(min(running, max(1, maxRunning))) // only drawing can fail
+		_ = bar.Set(min(running, max(1, maxRunning))) // an error of drawing is ignored
 	}
 }
--- a/cmd/wallrack/scale_test.go
+++ b/cmd/wallrack/scale_test.go
@@ -33,15 +33,15 @@
 		t.Errorf("exit code %d: %v", exitCode(err), err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "run")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("something was started: %v", err)
+		t.Errorf("the directory of the run exists: %v", err)
 	}
 	if code := exitCode(errors.New("other")); code != 1 {
-		t.Errorf("exit code %d of another failure", code)
+		t.Errorf("exit code %d for an error other than of settings", code)
 	}
 }
 
-// A small site goes through all phases: everything asked is done, no rule is broken,
-// and the files hold it.
+// A small site runs all phases: all requested tasks are done, no rule is broken, and the results are
+// written to the files.
 func TestScaleRunOfSmallSiteKeepsRules(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "error")
 	dir, out, err := runScaleCommand(t, `(scale (workers 20) (controllers 2) (zones 4) (regions 2) (rack-workers 2) (teams 4) (team-spare-cpus 12)
--- a/cmd/wallrack/settings.go
+++ b/cmd/wallrack/settings.go
@@ -11,13 +11,13 @@
 	"github.com/wallrack/wallrack/internal/slurmapi"
 )
 
-// settingsFiles are the paths of a controller's settings. Without the operators' file its
-// defaults hold; without the last two, what they are for is off.
+// settingsFiles contains the paths of a controller's settings files. Without operator the defaults
+// apply; without rollouts or slurm the respective feature is disabled.
 type settingsFiles struct {
 	platform, operator, rollouts, slurm string
 }
 
-// load reads the settings that every controller has, and checks them against each other.
+// load reads the platform's and the operators' settings and checks that they are consistent.
 func (f *settingsFiles) load() (*config.Platform, *config.Operator, error) {
 	if f.platform == "" {
 		return nil, nil, errors.New("--config: a settings file is needed")
@@ -36,7 +36,7 @@
 	return platform, operator, nil
 }
 
-// options reads all settings and sets up the log.
+// options reads all settings and creates the logger.
 func (f *settingsFiles) options() (controller.Options, error) {
 	platform, operator, err := f.load()
 	if err != nil {
--- a/cmd/wallrack/worker.go
+++ b/cmd/wallrack/worker.go
@@ -28,7 +28,7 @@
 	maxLogKB        int
 }
 
-// check says what is wrong with the flags, or returns the controllers that they name.
+// check validates the flags and returns the controllers in them.
 func (s *workerSettings) check() ([]worker.Controller, error) {
 	for _, required := range []struct{ flag, value string }{
 		{"--name", s.id.Name}, {"--listen", s.listen}, {"--type", s.id.Type}, {"--zone", s.id.Zone}, {"--dir", s.dir}, {"--descriptions", s.descriptions},
@@ -57,7 +57,7 @@
 	return out, nil
 }
 
-// workerCommand runs a worker.
+// workerCommand returns the command that runs a worker.
 func workerCommand() *cobra.Command {
 	var s workerSettings
 	c := &cobra.Command{
@@ -90,7 +90,7 @@
 	return c
 }
 
-// runWorker runs a worker until ctx ends; all its tasks are gone then.
+// runWorker runs a worker until ctx ends. All its tasks have ended when it returns.
 func runWorker(ctx context.Context, s workerSettings, log *slog.Logger) error {
 	controllers, err := s.check()
 	if err != nil {
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -100,7 +100,7 @@
 	r.setPhase(Placing, "", now)
 }
 
-// advanceStep goes on with a advanceStep whose replicas are placed, soak, or replace old ones.
+// advanceStep computes the next state of a roll-out that is placing, soaking or retiring.
 func (r *Run) advanceStep(service *Service, seen *Observation, now time.Time) bool {
 	unhealthy, hung := seen.failures(r.New)
 	switch {
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -237,7 +237,7 @@
 	return err
 }
 
-// randomEvent lets one drawn randomEvent happen.
+// randomEvent generates one event and applies it.
 func (w *model) randomEvent(t *rapid.T, delayed func() bool) {
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0:
