--- a/cmd/wallctl/recorded_test.go
+++ b/cmd/wallctl/recorded_test.go
@@ -18,7 +18,7 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// runAsProgramEnv makes this test binary the program itself.
+// runAsProgramEnv is the environment variable that makes this test binary run as wallctl.
 const runAsProgramEnv = "TEST_AS_WALLCTL"
 
 func TestMain(m *testing.M) {
--- a/cmd/wallctl/rollout_commands.go
+++ b/cmd/wallctl/rollout_commands.go
@@ -129,7 +129,7 @@
 	fs.Float64Var(&spec.Check.TimeoutS, "timeout-s", 0, "seconds after which a check hangs (default 1)")
 	fs.IntVar(&spec.Check.Healthy, "healthy", 0, "checks in a row that make a replica healthy (default 2)")
 	fs.IntVar(&spec.Check.Unhealthy, "unhealthy", 0, "and unhealthy (default 3)")
-	fs.IntVar(&spec.Check.Tries, "tries", 0, "hung checks in a row that pause the roll-out (default 3)")
+	fs.IntVar(&spec.Check.TimeoutThreshold, "tries", 0, "hung checks in a row that pause the roll-out (default 3)")
 	fs.Float64Var(&spec.SoakS, "soak-s", 0, "least seconds that a step's replicas stay healthy (default 10)")
 	fs.Float64Var(&spec.PlaceS, "place-s", 0, "most seconds for a step's replicas to be healthy (default 120)")
 	fs.StringVar(&spec.OnFail, "on-fail", "", "rollback (default) or pause")
--- a/cmd/wallctl/scancel.go
+++ b/cmd/wallctl/scancel.go
@@ -53,20 +53,20 @@
 		if err := c.cancelMatching(ctx, &filter); err != nil {
 			return err
 		}
-		return c.exit
+		return c.exitErr
 	}
 	for i, target := range filter.Jobs {
 		c.report(numbers[i], cancelTarget(ctx, cl, target))
 	}
-	return c.exit
+	return c.exitErr
 }
 
 // canceller sends the cancel requests of one command and reports those that fail.
 type canceller struct {
-	cl     *client.Client
-	stderr io.Writer
-	quiet  bool  // report only cancels with an unknown outcome
-	exit   error // an exitError once a cancel has failed, else nil
+	cl      *client.Client
+	stderr  io.Writer
+	quiet   bool  // report only cancels with an unknown outcome
+	exitErr error // an exitError once a cancel has failed, else nil
 }
 
 // report prints the error of a cancel of a job or task, if any, and sets the exit code.
@@ -74,7 +74,7 @@
 	if err == nil {
 		return
 	}
-	c.exit = &exitError{1}
+	c.exitErr = &exitError{1}
 	if !c.quiet || errors.Is(err, client.ErrUnknown) {
 		// If printing fails the exit code still reports the error.
 		_, _ = fmt.Fprintf(c.stderr, "scancel: error: Kill job error on job id %s: %v\n", name, err)
--- a/cmd/wallrack/local_test.go
+++ b/cmd/wallrack/local_test.go
@@ -17,7 +17,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// startSite runs a local startSite inside the test until stop is called.
+// startSite runs a local site in this process until stop is called.
 func startSite(t *testing.T, dir string) (c *client.Client, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	out := &readyWriter{ready: make(chan string, 1)}
@@ -42,7 +42,7 @@
 	return nil, nil
 }
 
-// readyWriter collects what a site prints, and sends it once the readyWriter is whole.
+// readyWriter collects the output of a site and sends it to ready once the line is complete.
 type readyWriter struct {
 	bytes.Buffer
 	ready chan string
--- a/cmd/wallrack/main.go
+++ b/cmd/wallrack/main.go
@@ -43,7 +43,7 @@
 	return 1
 }
 
-// newRootCommand returns the program's newRootCommand line.
+// newRootCommand returns the root command with all subcommands.
 func newRootCommand() *cobra.Command {
 	var files settingsFiles
 	root := &cobra.Command{
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -52,7 +52,7 @@
 
 // recordedPath is a path of the operators' interface with the recorded shape of its responses.
 type recordedPath struct {
-	sample          string
+	file            string
 	path            string
 	freeFormObjects []string // objects whose names are data, thus not part of the shape
 }
@@ -93,7 +93,7 @@
 
 func checkShape(ctx context.Context, t *testing.T, c *client.Client, p recordedPath) {
 	t.Helper()
-	wanted := strings.Split(strings.TrimSuffix(string(recorded.Read(t, filepath.Join("paths", p.sample))), "\n"), "\n")
+	wanted := strings.Split(strings.TrimSuffix(string(recorded.Read(t, filepath.Join("paths", p.file))), "\n"), "\n")
 	seen := collectShape(ctx, t, c, p, wanted)
 	for _, line := range wanted {
 		if !optional(line) && !slices.Contains(seen, line) {
--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -230,14 +230,14 @@
 			ID: 2,
 			Spec: rollout.Spec{
 				Service: "front", To: version, Steps: []string{"1", "50%"},
-				Check: rollout.Check{HTTP: "/up", TCP: true, EveryS: 2.5, TimeoutS: 1.5, Healthy: 2, Unhealthy: 3, Tries: 4},
+				Check: rollout.Check{HTTP: "/up", TCP: true, EveryS: 2.5, TimeoutS: 1.5, Healthy: 2, Unhealthy: 3, TimeoutThreshold: 4},
 				SoakS: 30.5, PlaceS: 120.5, OnFail: rollout.OnFailPause, IgnoreSlots: true, Template: fullJob(), Replicas: 7,
 			},
 			From: version, Targets: []int{1, 3}, Step: 1, Phase: rollout.Paused, ResumePhase: rollout.Soaking, Reason: "by an operator", Outcome: rollout.Restored,
 			New: batches("j-000501"), Old: batches("j-000502"), Restore: batches("j-000503"), ToCancel: batches("j-000504"),
 			Losses: 1, Seq: 9, PhaseSince: 1700000000123, RollbackSince: 1700000001123, Begun: 1700000002123, Ended: 1700000003123,
 		},
-		Jobs: map[string]rollout.JobStatus{"j-000501": {Ended: true, Running: 3, Healthy: 2, Unhealthy: "j-000501/1", Hung: "j-000501/2"}},
+		Jobs: map[string]rollout.JobStatus{"j-000501": {Ended: true, Running: 3, Healthy: 2, UnhealthyTask: "j-000501/1", HungTask: "j-000501/2"}},
 	}})
 	recorded.Check(t, "rollouts_plain", []rollout.Status{{}})
 	recorded.Check(t, "rollouts_empty", []rollout.Status{})
--- a/internal/rollout/health_checks.go
+++ b/internal/rollout/health_checks.go
@@ -45,47 +45,47 @@
 	if r.failures >= check.Unhealthy {
 		r.healthy, r.unhealthy = false, true
 	}
-	if r.timeouts >= check.Tries {
+	if r.timeouts >= check.TimeoutThreshold {
 		r.healthy, r.hung = false, true
 	}
 }
 
 // healthChecker probes the replicas of active roll-outs and stores their health.
 type healthChecker struct {
-	prober Prober
-	slots  chan struct{}
-	probes sync.WaitGroup
+	prober   Prober
+	inFlight chan struct{}
+	probes   sync.WaitGroup
 
 	mu       sync.Mutex
 	replicas map[string]*replicaHealth
 }
 
 func newHealthChecker(p Prober) *healthChecker {
-	return &healthChecker{prober: p, slots: make(chan struct{}, maxProbes), replicas: map[string]*replicaHealth{}}
+	return &healthChecker{prober: p, inFlight: make(chan struct{}, maxProbes), replicas: map[string]*replicaHealth{}}
 }
 
 // observe starts the checks that are due, as far as maxProbes allows, and returns the known
 // health of a job's replicas.
-func (c *healthChecker) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (seen JobStatus) {
+func (c *healthChecker) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (status JobStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, replica := range replicas {
 		known := c.replicaLocked(replica)
 		known.listed = now
-		seen.Running++
+		status.Running++
 		switch {
-		case known.unhealthy && seen.Unhealthy == "":
-			seen.Unhealthy = replica.Task
-		case known.hung && seen.Hung == "":
-			seen.Hung = replica.Task
+		case known.unhealthy && status.UnhealthyTask == "":
+			status.UnhealthyTask = replica.Task
+		case known.hung && status.HungTask == "":
+			status.HungTask = replica.Task
 		case known.healthy:
-			seen.Healthy++
+			status.Healthy++
 		}
 		if !known.probing && now.Sub(known.probed) >= seconds(check.EveryS) {
 			c.probeLocked(ctx, now, replica, known, check)
 		}
 	}
-	return seen
+	return status
 }
 
 func (c *healthChecker) replicaLocked(replica Replica) *replicaHealth {
@@ -102,14 +102,14 @@
 // next call to observe tries again.
 func (c *healthChecker) probeLocked(ctx context.Context, now time.Time, replica Replica, known *replicaHealth, check Check) {
 	select {
-	case c.slots <- struct{}{}:
+	case c.inFlight <- struct{}{}:
 	default:
 		return
 	}
 	known.probing, known.probed = true, now
 	c.probes.Go(func() {
 		health := c.prober.Probe(ctx, replica, check)
-		<-c.slots
+		<-c.inFlight
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		known.probing = false
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -41,7 +41,7 @@
 func fullSpec() Spec {
 	return Spec{
 		Service: "tips", To: fullVersion("v2"), Steps: []string{"1", "25%", "100%"},
-		Check: Check{HTTP: "/up", TCP: true, EveryS: 2, TimeoutS: 1.5, Healthy: 2, Unhealthy: 3, Tries: 4},
+		Check: Check{HTTP: "/up", TCP: true, EveryS: 2, TimeoutS: 1.5, Healthy: 2, Unhealthy: 3, TimeoutThreshold: 4},
 		SoakS: 10, PlaceS: 120, OnFail: OnFailPause, IgnoreSlots: true, Template: fullTemplate(), Replicas: 8,
 	}
 }
@@ -79,7 +79,7 @@
 	recorded.Check(t, "service_least", Service{})
 	run := fullRun()
 	recorded.Check(t, "status", Status{Service: fullService(), Run: &run, Jobs: map[string]JobStatus{
-		"j-svc-tips-3-1": {Ended: true, Running: 3, Healthy: 2, Unhealthy: "j-svc-tips-3-1/0", Hung: "j-svc-tips-3-1/1"},
+		"j-svc-tips-3-1": {Ended: true, Running: 3, Healthy: 2, UnhealthyTask: "j-svc-tips-3-1/0", HungTask: "j-svc-tips-3-1/1"},
 		"j-svc-tips-3-2": {},
 	}})
 	recorded.Check(t, "status_least", Status{})
--- a/internal/rollout/run.go
+++ b/internal/rollout/run.go
@@ -83,8 +83,8 @@
 }
 
 // setPhase changes the phase, with the reason for the change.
-func (r *Run) setPhase(p Phase, why string, now time.Time) {
-	r.Phase, r.Reason, r.PhaseSince = p, why, now.UnixMilli()
+func (r *Run) setPhase(p Phase, reason string, now time.Time) {
+	r.Phase, r.Reason, r.PhaseSince = p, reason, now.UnixMilli()
 	if p.Final() {
 		r.Ended = r.PhaseSince
 	}
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -269,15 +269,15 @@
 
 // waitFor waits until the roll-out meets a condition, and returns the time that this took. It fails
 // the test after the time most.
-func (s *site) waitFor(what string, most time.Duration, so func(*rollout.Run) bool) time.Duration {
+func (s *site) waitFor(wantState string, timeout time.Duration, condition func(*rollout.Run) bool) time.Duration {
 	began := time.Now()
 	for {
 		r := s.run()
-		if r != nil && so(r) {
+		if r != nil && condition(r) {
 			return time.Since(began)
 		}
-		if time.Since(began) > most {
-			s.t.Fatalf("not %s after %v: %s, step %d: %s; new %v, old %v, drop %v, restore %v", what, most, r.Phase, r.Step, r.Reason, r.New, r.Old, r.ToCancel, r.Restore)
+		if time.Since(began) > timeout {
+			s.t.Fatalf("not %s after %v: %s, step %d: %s; new %v, old %v, drop %v, restore %v", wantState, timeout, r.Phase, r.Step, r.Reason, r.New, r.Old, r.ToCancel, r.Restore)
 		}
 		s.updateCounts()
 		time.Sleep(100 * time.Millisecond)
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -19,11 +19,11 @@
 
 // JobStatus is the observed state of a batch's job.
 type JobStatus struct {
-	Ended     bool   `json:"Gone"` // the job was cancelled; one that was never accepted can't be any more
-	Running   int    `json:"Running"`
-	Healthy   int    `json:"Healthy"`
-	Unhealthy string `json:"Unhealthy"` // task name of an unhealthy replica, or ""
-	Hung      string `json:"Hung"`      // task name of a replica whose checks time out, or ""
+	Ended         bool   `json:"Gone"` // the job was cancelled; one that was never accepted can't be any more
+	Running       int    `json:"Running"`
+	Healthy       int    `json:"Healthy"`
+	UnhealthyTask string `json:"Unhealthy"` // task name of an unhealthy replica, or ""
+	HungTask      string `json:"Hung"`      // task name of a replica whose checks time out, or ""
 }
 
 // Observation is the observed state from which Advance computes the next state.
@@ -52,7 +52,7 @@
 func (s *Observation) failures(batches []Batch) (unhealthy, hung string) {
 	for _, batch := range batches {
 		job := s.Jobs[batch.UID]
-		unhealthy, hung = cmp.Or(unhealthy, job.Unhealthy), cmp.Or(hung, job.Hung)
+		unhealthy, hung = cmp.Or(unhealthy, job.UnhealthyTask), cmp.Or(hung, job.HungTask)
 	}
 	return unhealthy, hung
 }
@@ -70,21 +70,21 @@
 
 // Advance changes a service and its roll-out to the next state; it returns false if nothing changes.
 // The actions that the new state requires must not start before that state is stored.
-func Advance(service *Service, r *Run, seen *Observation, now time.Time) bool {
+func Advance(service *Service, r *Run, observed *Observation, now time.Time) bool {
 	switch r.Phase {
 	case Pending, WaitingSlot:
-		if seen.BlockedReason != "" && !r.Spec.IgnoreSlots {
-			if r.Phase == WaitingSlot && r.Reason == seen.BlockedReason {
+		if observed.BlockedReason != "" && !r.Spec.IgnoreSlots {
+			if r.Phase == WaitingSlot && r.Reason == observed.BlockedReason {
 				return false
 			}
-			r.setPhase(WaitingSlot, seen.BlockedReason, now)
+			r.setPhase(WaitingSlot, observed.BlockedReason, now)
 			return true
 		}
 		r.beginStep(now)
 	case Placing, Soaking, Retiring:
-		return r.advanceStep(service, seen, now)
+		return r.advanceStep(service, observed, now)
 	case RollingBack:
-		return r.advanceRollback(service, seen, now)
+		return r.advanceRollback(service, observed, now)
 	default:
 		return false
 	}
@@ -101,15 +101,15 @@
 }
 
 // advanceStep computes the next state of a roll-out that is placing, soaking or retiring.
-func (r *Run) advanceStep(service *Service, seen *Observation, now time.Time) bool {
-	unhealthy, hung := seen.failures(r.New)
+func (r *Run) advanceStep(service *Service, observed *Observation, now time.Time) bool {
+	unhealthy, hung := observed.failures(r.New)
 	switch {
 	case unhealthy != "":
-		why := "unhealthy: " + unhealthy
+		reason := "unhealthy: " + unhealthy
 		if r.Spec.OnFail == OnFailPause {
-			r.pause(why, now)
+			r.pause(reason, now)
 		} else {
-			r.beginRollback(Restored, why, now)
+			r.beginRollback(Restored, reason, now)
 		}
 		return true
 	case hung != "":
@@ -118,12 +118,12 @@
 		r.pause("the health check hangs: "+hung, now)
 		return true
 	}
-	healthy, want := seen.healthy(r.New), countReplicas(r.New)
+	healthy, want := observed.healthy(r.New), countReplicas(r.New)
 	switch {
 	case r.Phase == Placing && healthy >= want:
 		r.setPhase(Soaking, "", now)
 	case r.Phase == Placing && r.timeInPhase(now) > seconds(r.Spec.PlaceS):
-		r.pause(fmt.Sprintf("%d of %d new replicas run and %d are healthy after %g s", seen.running(r.New), want, healthy, r.Spec.PlaceS), now)
+		r.pause(fmt.Sprintf("%d of %d new replicas run and %d are healthy after %g s", observed.running(r.New), want, healthy, r.Spec.PlaceS), now)
 	case r.Phase == Soaking && healthy < want:
 		// A single loss is usually the failure of a machine, repeated losses are a fault of
 		// the version.
@@ -135,7 +135,7 @@
 	case r.Phase == Soaking && r.timeInPhase(now) >= seconds(r.Spec.SoakS):
 		r.retire(service)
 		r.setPhase(Retiring, "", now)
-	case r.Phase == Retiring && seen.ended(r.ToCancel):
+	case r.Phase == Retiring && observed.ended(r.ToCancel):
 		r.endStep(service, now)
 	default:
 		return false
@@ -159,13 +159,13 @@
 // retire moves old batches to ToCancel, smallest first, as long as the remaining replicas suffice
 // for the service.
 func (r *Run) retire(service *Service) {
-	spare := countReplicas(r.New) + countReplicas(r.Old) - service.Replicas
+	surplus := countReplicas(r.New) + countReplicas(r.Old) - service.Replicas
 	old := slices.Clone(r.Old)
 	slices.SortStableFunc(old, func(a, b Batch) int { return a.Replicas - b.Replicas })
 	r.Old = nil
 	for _, batch := range old {
-		if batch.Replicas <= spare {
-			spare -= batch.Replicas
+		if batch.Replicas <= surplus {
+			surplus -= batch.Replicas
 			r.ToCancel = append(r.ToCancel, batch)
 		} else {
 			r.Old = append(r.Old, batch)
@@ -174,38 +174,38 @@
 }
 
 // pause stops the roll-out until an operator resumes or aborts it.
-func (r *Run) pause(why string, now time.Time) {
+func (r *Run) pause(reason string, now time.Time) {
 	r.ResumePhase = r.Phase
-	r.setPhase(Paused, why, now)
+	r.setPhase(Paused, reason, now)
 }
 
 // beginRollback starts restoring the old version; the roll-out will end in the phase outcome.
-func (r *Run) beginRollback(outcome Phase, why string, now time.Time) {
+func (r *Run) beginRollback(outcome Phase, reason string, now time.Time) {
 	r.Outcome, r.RollbackSince, r.ResumePhase = outcome, now.UnixMilli(), ""
 	replicas := r.Targets[len(r.Targets)-1]
 	if missing := replicas - countReplicas(r.Old); missing > 0 && r.From.Name != "" { // a new service has no old version
 		r.Restore = append(r.Restore, r.newBatch(missing, r.From.Name))
 	}
-	r.setPhase(RollingBack, why, now)
+	r.setPhase(RollingBack, reason, now)
 }
 
 // advanceRollback computes the next state of a roll-back. The new version's replicas are cancelled
 // once the old version's are healthy, or after a timeout if the latter lack capacity to run.
-func (r *Run) advanceRollback(service *Service, seen *Observation, now time.Time) bool {
-	kept := append(slices.Clone(r.Old), r.Restore...)
-	restored := seen.healthy(r.Restore) >= countReplicas(r.Restore)
+func (r *Run) advanceRollback(service *Service, observed *Observation, now time.Time) bool {
+	remaining := append(slices.Clone(r.Old), r.Restore...)
+	restored := observed.healthy(r.Restore) >= countReplicas(r.Restore)
 	timeout := restoreTimeout
 	if r.Outcome == Aborted {
 		timeout = max(timeout, seconds(r.Spec.PlaceS)) // the new replicas may be healthy, so wait longer
 	}
-	crowded := seen.running(r.Restore) < countReplicas(r.Restore) && r.timeInPhase(now) > timeout
+	lackCapacity := observed.running(r.Restore) < countReplicas(r.Restore) && r.timeInPhase(now) > timeout
 	switch {
-	case len(r.New) > 0 && (restored || crowded):
+	case len(r.New) > 0 && (restored || lackCapacity):
 		r.ToCancel = append(r.ToCancel, r.New...)
 		r.New = nil
 		return true
-	case len(r.New) == 0 && restored && seen.ended(r.ToCancel):
-		service.Version, service.Batches = r.From, kept
+	case len(r.New) == 0 && restored && observed.ended(r.ToCancel):
+		service.Version, service.Batches = r.From, remaining
 		r.ToCancel = nil
 		r.setPhase(r.Outcome, r.Reason, now)
 		return true
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -131,9 +131,9 @@
 		j := rollout.JobStatus{Running: n - w.lost[uid]}
 		switch {
 		case w.versionOf[uid] == w.bad:
-			j.Unhealthy = uid
+			j.UnhealthyTask = uid
 		case w.versionOf[uid] == "v2" && w.hung:
-			j.Hung = uid
+			j.HungTask = uid
 		default:
 			j.Healthy = j.Running
 		}
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -32,15 +32,15 @@
 		}
 	}
 	now := time.Now()
-	seen := &Observation{Jobs: m.observe(checkCtx, now, e, run.Spec.Check, submit, drop), BlockedReason: blocked}
-	was := run.Phase
-	if !Advance(&next.service, run, seen, now) {
+	observed := &Observation{Jobs: m.observe(checkCtx, now, e, run.Spec.Check, submit, drop), BlockedReason: blocked}
+	previousPhase := run.Phase
+	if !Advance(&next.service, run, observed, now) {
 		return nil
 	}
 	if err := m.write(ctx, name, &next, lead); err != nil {
 		return err
 	}
-	m.log.Info("roll-out", "service", name, "id", run.ID, "was", was, "phase", run.Phase, "step", run.Step+1, "of", len(run.Targets), "why", run.Reason)
+	m.log.Info("roll-out", "service", name, "id", run.ID, "was", previousPhase, "phase", run.Phase, "step", run.Step+1, "of", len(run.Targets), "why", run.Reason)
 	return nil
 }
 
