--- a/internal/controller/recorded_test.go
+++ b/internal/controller/recorded_test.go
@@ -230,7 +230,7 @@
 			ID: 2,
 			Spec: rollout.Spec{
 				Service: "front", To: version, Steps: []string{"1", "50%"},
-				Check: rollout.Check{HTTP: "/up", TCP: true, EveryS: 2.5, TimeoutS: 1.5, Healthy: 2, Unhealthy: 3, TimeoutThreshold: 4},
+				Check: rollout.Check{HTTP: "/up", TCP: true, EveryS: 2.5, TimeoutS: 1.5, HealthyThreshold: 2, UnhealthyThreshold: 3, TimeoutThreshold: 4},
 				SoakS: 30.5, PlaceS: 120.5, OnFail: rollout.OnFailPause, IgnoreSlots: true, Template: fullJob(), Replicas: 7,
 			},
 			From: version, Targets: []int{1, 3}, Step: 1, Phase: rollout.Paused, ResumePhase: rollout.Soaking, Reason: "by an operator", Outcome: rollout.Restored,
--- a/internal/rollout/health_checks.go
+++ b/internal/rollout/health_checks.go
@@ -39,10 +39,10 @@
 	default:
 		return
 	}
-	if r.passes >= check.Healthy {
+	if r.passes >= check.HealthyThreshold {
 		r.healthy, r.unhealthy, r.hung = true, false, false
 	}
-	if r.failures >= check.Unhealthy {
+	if r.failures >= check.UnhealthyThreshold {
 		r.healthy, r.unhealthy = false, true
 	}
 	if r.timeouts >= check.TimeoutThreshold {
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -41,7 +41,7 @@
 func fullSpec() Spec {
 	return Spec{
 		Service: "tips", To: fullVersion("v2"), Steps: []string{"1", "25%", "100%"},
-		Check: Check{HTTP: "/up", TCP: true, EveryS: 2, TimeoutS: 1.5, Healthy: 2, Unhealthy: 3, TimeoutThreshold: 4},
+		Check: Check{HTTP: "/up", TCP: true, EveryS: 2, TimeoutS: 1.5, HealthyThreshold: 2, UnhealthyThreshold: 3, TimeoutThreshold: 4},
 		SoakS: 10, PlaceS: 120, OnFail: OnFailPause, IgnoreSlots: true, Template: fullTemplate(), Replicas: 8,
 	}
 }
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -37,13 +37,13 @@
 
 // Check configures the health checks of a replica.
 type Check struct {
-	HTTP             string  `json:"http,omitempty"` // path of an HTTP check; a status 2xx means healthy
-	TCP              bool    `json:"tcp,omitempty"`  // TCP check; an accepted connection means healthy
-	EveryS           float64 `json:"everyS"`
-	TimeoutS         float64 `json:"timeoutS"`
-	Healthy          int     `json:"healthy"`   // consecutive passes after which a replica is healthy
-	Unhealthy        int     `json:"unhealthy"` // consecutive failures after which it is unhealthy
-	TimeoutThreshold int     `json:"tries"`     // consecutive timeouts after which it is hung
+	HTTP               string  `json:"http,omitempty"` // path of an HTTP check; a status 2xx means healthy
+	TCP                bool    `json:"tcp,omitempty"`  // TCP check; an accepted connection means healthy
+	EveryS             float64 `json:"everyS"`
+	TimeoutS           float64 `json:"timeoutS"`
+	HealthyThreshold   int     `json:"healthy"`   // consecutive passes after which a replica is healthy
+	UnhealthyThreshold int     `json:"unhealthy"` // consecutive failures after which it is unhealthy
+	TimeoutThreshold   int     `json:"tries"`     // consecutive timeouts after which it is hung
 }
 
 // Actions of a roll-out when a replica is unhealthy (Spec.OnFail).
@@ -73,8 +73,8 @@
 	}
 	setDefault(&s.Check.EveryS, 2)
 	setDefault(&s.Check.TimeoutS, 1)
-	setDefault(&s.Check.Healthy, 2)
-	setDefault(&s.Check.Unhealthy, 3)
+	setDefault(&s.Check.HealthyThreshold, 2)
+	setDefault(&s.Check.UnhealthyThreshold, 3)
 	setDefault(&s.Check.TimeoutThreshold, 3)
 	setDefault(&s.SoakS, 10)
 	setDefault(&s.PlaceS, 120)
@@ -119,8 +119,8 @@
 	}{
 		{"check.everyS", s.Check.EveryS, 0.2, 300},
 		{"check.timeoutS", s.Check.TimeoutS, 0.05, 30},
-		{"check.healthy", float64(s.Check.Healthy), 1, 100},
-		{"check.unhealthy", float64(s.Check.Unhealthy), 1, 100},
+		{"check.healthy", float64(s.Check.HealthyThreshold), 1, 100},
+		{"check.unhealthy", float64(s.Check.UnhealthyThreshold), 1, 100},
 		{"check.tries", float64(s.Check.TimeoutThreshold), 1, 100},
 		{"soakS", s.SoakS, 0, 86400},
 		{"placeS", s.PlaceS, 1, 86400},
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -34,7 +34,7 @@
 		"check:":        func(s *rollout.Spec) { s.Check.TCP = true },
 		"check.http":    func(s *rollout.Spec) { s.Check.HTTP = "http://elsewhere/" },
 		"check.everyS":  func(s *rollout.Spec) { s.Check.EveryS = -1 },
-		"check.healthy": func(s *rollout.Spec) { s.Check.Healthy = 1000 },
+		"check.healthy": func(s *rollout.Spec) { s.Check.HealthyThreshold = 1000 },
 		"steps":         func(s *rollout.Spec) { s.Steps = []string{"1", "50%"} },
 		"steps[1]":      func(s *rollout.Spec) { s.Steps = []string{"50%", "10%", "100%"} },
 		"steps[0]":      func(s *rollout.Spec) { s.Steps = []string{"some", "100%"} },
