--- a/cmd/wallctl/local_site_test.go
+++ b/cmd/wallctl/local_site_test.go
@@ -133,7 +133,7 @@
 	eventually(t, func() string { return "the first job does not run" }, func() bool { return strings.Contains(mustRun(t, url, "status", blocker), "running") })
 	want := submitPairs(t, url)
 	eventually(t, func() string { return "not all wait:\n" + mustRun(t, url, "squeue") }, func() bool {
-		return strings.Count(mustRun(t, url, "squeue", "-h"), "\n") == len(want) // a line for each waiting job and one for the blocker; the last newline is trimmed
+		return strings.Count(mustRun(t, url, "squeue", "-h"), "\n") == len(want) // a line per waiting job and the blocker's; the last newline is trimmed
 	})
 	mustRun(t, url, "cancel", blocker)
 	eventually(t, func() string { return "the jobs are not over:\n" + mustRun(t, url, "squeue") }, func() bool { return mustRun(t, url, "squeue", "-h") == "" })
@@ -170,7 +170,7 @@
 	}
 }
 
-// checkEquivalentCancels checks that a job that is cancelled by both commands ends as cancelled once.
+// checkEquivalentCancels checks that cancelling a job with both commands is the same as cancelling it once.
 func checkEquivalentCancels(t *testing.T, url string) {
 	t.Helper()
 	number := mustRun(t, url, "sbatch", "--parsable", "-H", "--wrap", "true")
@@ -187,8 +187,8 @@
 	}
 }
 
-// lossyProxy returns the URL of a proxy that forwards every third request but drops the response, like a
-// controller that crashes after it executed a request.
+// lossyProxy returns the URL of a proxy that drops every third response, like a controller that crashes
+// after it executed a request.
 func lossyProxy(t *testing.T, site string) string {
 	to, err := url.Parse(site)
 	if err != nil {
--- a/cmd/wallctl/sacct.go
+++ b/cmd/wallctl/sacct.go
@@ -161,8 +161,8 @@
 	return writeListing(w, jobs)
 }
 
-// earliestStart returns the earliest time at which one of the jobs started, or was accepted if it has
-// not ended. Accounting must be read from that time on.
+// earliestStart returns the earliest time from which accounting must be read for the jobs: the start of
+// an ended job, its end if it never started, or the acceptance of an active job.
 func earliestStart(ctx context.Context, cl *client.Client, jobs []slurm.Target, now time.Time) (time.Time, error) {
 	earliest := now
 	for _, target := range jobs {
--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -130,7 +130,7 @@
 	return request, nil
 }
 
-// waitError returns the error of a wait that ended before the job.
+// waitError returns the error for a wait that failed before the job ended.
 func waitError(request *slurm.Request, err error) error {
 	return fmt.Errorf("job %d goes on, but its end was not seen: %w", request.Constraints.Number, err)
 }
--- a/cmd/wallrack/main.go
+++ b/cmd/wallrack/main.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// settingsError means that a settings file is invalid and nothing was started.
+// settingsError means that a settings file is missing or invalid and nothing was started.
 type settingsError struct{ err error }
 
 func (e settingsError) Error() string { return e.err.Error() }
--- a/cmd/wallrack/scale.go
+++ b/cmd/wallrack/scale.go
@@ -64,7 +64,7 @@
 		if run.Dir, err = os.MkdirTemp("", "wallrack-scale-"); err != nil {
 			return fmt.Errorf("--dir: %w", err)
 		}
-		defer func() { _ = os.RemoveAll(run.Dir) }() // an error leaves files in the system's directory for temporary files, which is harmless
+		defer func() { _ = os.RemoveAll(run.Dir) }() // on an error temporary files remain
 	}
 	if run.Start, err = newPartStarter(run.Dir, flags.inProcess); err != nil {
 		return err
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -2,8 +2,8 @@
 // and reads the listings for Slurm-style commands. A request whose outcome is unknown is
 // repeated with the same job id, so that a repeat does not create a second job.
 //
-// A Client keeps no state of jobs. It doesn't validate what it sends (the site does), and
-// it doesn't print.
+// A Client has no state about jobs. It does not validate requests (the site does), and it does
+// not print.
 package client
 
 import (
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -137,7 +137,7 @@
 	c.health = health
 }
 
-// Put implements rollout.Descriptions.
+// Put implements rollout.DescriptionStore.
 func (c *fakeCore) Put(_ context.Context, job string, d *taskspec.Spec) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -268,7 +268,7 @@
 }
 
 // waitFor waits until the roll-out meets a condition, and returns the time that this took. It fails
-// the test after the time most.
+// the test after the timeout.
 func (s *site) waitFor(wantState string, timeout time.Duration, condition func(*rollout.Run) bool) time.Duration {
 	began := time.Now()
 	for {
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -1,7 +1,7 @@
-// Package rollout moves a service to a new version step by step, stops when health
-// checks fail, and restores the version before. A service is a set of jobs that
-// run until they are cancelled; a step submits a job with replicas of the new
-// version, waits until they are healthy, and cancels jobs of the old one.
+// Package rollout moves a service to a new version step by step. If health checks fail it stops
+// and restores the previous version. A service is a set of jobs that run until they are
+// cancelled; a step submits a job with replicas of the new version, waits until they are
+// healthy, and cancels jobs of the old version.
 //
 // Pure functions compute the next state (Advance, ApplyVerb). The state is stored in the state
 // service before it is acted on, and all actions are idempotent, so another controller can
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -19,7 +19,7 @@
 
 // JobStatus is the observed state of a batch's job.
 type JobStatus struct {
-	Ended         bool   `json:"Gone"` // the job was cancelled; one that was never accepted can't be any more
+	Ended         bool   `json:"Gone"` // true if the job was cancelled, or was not accepted and can't be accepted later
 	Running       int    `json:"Running"`
 	Healthy       int    `json:"Healthy"`
 	UnhealthyTask string `json:"Unhealthy"` // task name of an unhealthy replica, or ""
@@ -63,7 +63,7 @@
 }
 
 // RequiredActions returns the jobs that must be submitted and those that must be cancelled for a
-// recorded roll-out. The actions are repeated until their effect is observed.
+// recorded roll-out. The actions are idempotent and are repeated until they succeed.
 func RequiredActions(r *Run) (submit, drop []Batch) {
 	return append(append(submit, r.New...), r.Restore...), r.ToCancel
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -28,7 +28,7 @@
 type Status struct {
 	Service Service              `json:"service"`
 	Run     *Run                 `json:"run,omitempty"`
-	Jobs    map[string]JobStatus `json:"jobs,omitempty"` // as last observed; empty on controllers that are not the leader
+	Jobs    map[string]JobStatus `json:"jobs,omitempty"` // last observations of this controller as the leader; empty if there are none
 }
 
 // Statuses returns the recorded services, sorted by name. Callers must not modify their runs.
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -70,7 +70,7 @@
 		description = &e.run.From.Desc
 	}
 	if err := m.descriptions.Put(ctx, batch.UID, description); err != nil {
-		return fmt.Errorf("describe %s: %w", batch.UID, err)
+		return fmt.Errorf("upload description of %s: %w", batch.UID, err)
 	}
 	job := e.service.job(batch, description)
 	if err := m.core.Submit(ctx, &job, guards...); err != nil {
--- a/internal/rolloutapi/core.go
+++ b/internal/rolloutapi/core.go
@@ -22,10 +22,10 @@
 
 const (
 	firstShard        = 0   // its leader runs the autoscaler and the roll-outs
-	maxRecordFraction = 0.9 // share of the state service's limit of a value that the record of a roll-out may have
+	maxRecordFraction = 0.9 // maximum size of a roll-out's record, as a fraction of the state service's limit for values
 )
 
-// Options are the dependencies of a Service. All fields but Numbers are required.
+// Options are the dependencies of a Service.
 type Options struct {
 	Settings   *rollout.Settings
 	Platform   *config.Platform
