--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -81,7 +81,7 @@
 
 // Tick advances every active roll-out by at most one transition, if this controller is the leader.
 func (m *Manager) Tick(ctx context.Context) {
-	lead, ok := m.core.LeaderGuard()
+	leaderGuard, ok := m.core.LeaderGuard()
 	m.mu.Lock()
 	var names []string
 	for name, e := range m.entries {
@@ -95,12 +95,12 @@
 	}
 	now := time.Now()
 	m.checks.removeStale(now, "")
-	blocked := m.settings.BlockedReason(now, m.core.Unfinished)
+	blockedReason := m.settings.BlockedReason(now, m.core.Unfinished)
 	slices.Sort(names)
 	tickCtx, cancel := context.WithTimeout(ctx, tickTimeout)
 	defer cancel()
 	for _, name := range names {
-		if err := m.reconcile(tickCtx, ctx, name, lead, blocked); err != nil {
+		if err := m.reconcile(tickCtx, ctx, name, leaderGuard, blockedReason); err != nil {
 			m.log.Info("roll-out step failed", "service", name, "err", err)
 		}
 	}
--- a/internal/rollout/manager_test.go
+++ b/internal/rollout/manager_test.go
@@ -93,7 +93,7 @@
 		s.waitFor("waiting", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.WaitingSlot })
 		time.Sleep(5 * time.Minute)
 		if s.maxReplicas["v2"] != 0 {
-			t.Error("began in a slot")
+			t.Error("a step began in a slot")
 		}
 		s.setUnfinished(false)
 		s.waitFor("placing", time.Minute, func(r *rollout.Run) bool { return r.Phase == rollout.Placing })
@@ -145,7 +145,7 @@
 }
 
 // running returns the number of live replicas, and their jobs whose version is unwanted.
-func (s *site) running(unwanted func(version string) bool) (replicas int, left []string) {
+func (s *site) running(unwanted func(version string) bool) (replicas int, unwantedJobs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for uid, j := range s.jobs {
@@ -153,11 +153,11 @@
 			continue
 		}
 		replicas += j.replicas
-		if unwanted(s.descs[uid]) {
-			left = append(left, uid+" of "+s.descs[uid])
+		if unwanted(s.versionOf[uid]) {
+			unwantedJobs = append(unwantedJobs, uid+" of "+s.versionOf[uid])
 		}
 	}
-	return replicas, left
+	return replicas, unwantedJobs
 }
 
 // At every transition of a roll-out the leader is killed or deposed, the state service is unavailable
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -46,14 +46,14 @@
 func (m *Manager) reset(items []wire.Item) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	old := m.entries
+	oldEntries := m.entries
 	m.entries = map[string]*entry{}
 	for _, item := range items {
 		m.applyLocked(item.Key, item.Value, item.Version)
 	}
-	for name, before := range old {
+	for name, oldEntry := range oldEntries {
 		if e := m.entries[name]; e != nil {
-			e.cancelled, e.submitted, e.jobs = before.cancelled, before.submitted, before.jobs
+			e.cancelled, e.submitted, e.jobs = oldEntry.cancelled, oldEntry.submitted, oldEntry.jobs
 		}
 	}
 	m.synced = true
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -85,9 +85,9 @@
 
 // parseSlot parses a slot: its start as a cron spec in a time zone, and its length in minutes.
 func parseSlot(name, spec, zone string, minutes any) (*Slot, error) {
-	count, ok := minutes.(int64)
-	length := time.Duration(count) * time.Minute
-	if name == "" || !ok || count < 1 || length > maxSlot {
+	minuteCount, ok := minutes.(int64)
+	length := time.Duration(minuteCount) * time.Minute
+	if name == "" || !ok || minuteCount < 1 || length > maxSlot {
 		return nil, errors.New("a name, a calendar, a zone and 1 to 10080 minutes are needed")
 	}
 	location, err := time.LoadLocation(zone)
@@ -104,13 +104,13 @@
 	}
 	// Slots without a gap between them would block roll-outs for ever.
 	if second := start.Next(first); !second.IsZero() && second.Sub(first) <= length {
-		return nil, fmt.Errorf("calendar %q leaves no time between slots of %d minutes", spec, count)
+		return nil, fmt.Errorf("calendar %q leaves no time between slots of %d minutes", spec, minuteCount)
 	}
 	return &Slot{Name: name, Start: start, Length: length}, nil
 }
 
 // ActiveAt reports whether a time is within the slot, and when the slot ends.
-func (s *Slot) ActiveAt(now time.Time) (until time.Time, on bool) {
+func (s *Slot) ActiveAt(now time.Time) (until time.Time, active bool) {
 	start := s.Start.Next(now.Add(-s.Length))
 	if start.IsZero() || start.After(now) {
 		return time.Time{}, false
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -29,7 +29,7 @@
 	leader      string
 	version     uint64 // version of shardKey
 	jobs        map[string]*liveJob
-	descs       map[string]string
+	versionOf   map[string]string
 	health      func(version string, replica int, since time.Duration) rollout.Health
 	maxReplicas map[string]int // most concurrent live replicas, by version
 	minHealthy  int            // fewest healthy replicas since v1Up
@@ -141,7 +141,7 @@
 func (c *fakeCore) Put(_ context.Context, job string, d *taskspec.Spec) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.descs[job] = d.Argv[0]
+	c.versionOf[job] = d.Argv[0]
 	return nil
 }
 
@@ -155,7 +155,7 @@
 	}
 	replica := 0
 	_, _ = fmt.Sscan(n, &replica) // tasks are numbered
-	return c.health(c.descs[uid], replica, time.Since(j.since)-startDelay)
+	return c.health(c.versionOf[uid], replica, time.Since(j.since)-startDelay)
 }
 
 // Probe implements rollout.Prober.
@@ -179,12 +179,12 @@
 		if j.stopped {
 			continue
 		}
-		versions[c.descs[uid]] += j.replicas
+		versions[c.versionOf[uid]] += j.replicas
 		if time.Since(j.since) < startDelay {
 			continue
 		}
 		for i := range j.replicas {
-			if c.health(c.descs[uid], i, time.Since(j.since)-startDelay) == rollout.Healthy {
+			if c.health(c.versionOf[uid], i, time.Since(j.since)-startDelay) == rollout.Healthy {
 				healthy++
 			}
 		}
@@ -208,20 +208,20 @@
 	*fakeCore
 	managers map[string]*rollout.Manager
 	stops    map[string]context.CancelFunc
-	dones    map[string]chan struct{}
+	done     map[string]chan struct{}
 	settings *rollout.Settings
 }
 
 func newSite(t testing.TB, replicas int) *site {
 	store := testkit.NewStore()
-	c := &fakeCore{t: t, store: store, leader: "a", jobs: map[string]*liveJob{}, descs: map[string]string{}, health: alwaysHealthy, maxReplicas: map[string]int{}, minHealthy: replicas, wantHealthy: replicas, classes: map[string]bool{}}
+	c := &fakeCore{t: t, store: store, leader: "a", jobs: map[string]*liveJob{}, versionOf: map[string]string{}, health: alwaysHealthy, maxReplicas: map[string]int{}, minHealthy: replicas, wantHealthy: replicas, classes: map[string]bool{}}
 	v := &testkit.View{Store: store}
 	rev, err := v.Txn(context.Background(), nil, wire.Op{Put: shardKey, Value: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.version = rev
-	s := &site{fakeCore: c, managers: map[string]*rollout.Manager{}, stops: map[string]context.CancelFunc{}, dones: map[string]chan struct{}{}, settings: &rollout.Settings{Descriptions: "x"}}
+	s := &site{fakeCore: c, managers: map[string]*rollout.Manager{}, stops: map[string]context.CancelFunc{}, done: map[string]chan struct{}{}, settings: &rollout.Settings{Descriptions: "x"}}
 	s.start("a")
 	s.start("b")
 	return s
@@ -233,12 +233,12 @@
 	m := rollout.NewManager(s.settings, view, controllerView{s.fakeCore, name, view}, s.fakeCore, s.fakeCore, 16<<10, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	done := make(chan struct{})
 	go func() { defer close(done); _ = m.Run(ctx) }()
-	s.managers[name], s.stops[name], s.dones[name] = m, cancel, done
+	s.managers[name], s.stops[name], s.done[name] = m, cancel, done
 }
 
 func (s *site) stop(name string) {
 	s.stops[name]()
-	<-s.dones[name]
+	<-s.done[name]
 }
 
 // setLeader makes a controller the leader.
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -64,7 +64,7 @@
 
 // RequiredActions returns the jobs that must be submitted and those that must be cancelled for a
 // recorded roll-out. The actions are idempotent and are repeated until they succeed.
-func RequiredActions(r *Run) (submit, drop []Batch) {
+func RequiredActions(r *Run) (submit, toCancel []Batch) {
 	return append(append(submit, r.New...), r.Restore...), r.ToCancel
 }
 
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -59,19 +59,19 @@
 // model simulates a scheduler that runs the jobs, two controllers that both regard themselves as the
 // leader and advance the roll-out, and their delayed messages.
 type model struct {
-	svc             rollout.Service
-	run             rollout.Run
-	version         int               // version of the recorded state
-	jobs            map[string]int    // live replicas by job
-	versionOf       map[string]string // version by job
-	ended           map[string]bool
-	lost            map[string]int // replicas lost with their machines, by job
-	bad             string         // unhealthy version, or ""
-	hung            bool
-	blocked         bool
-	now             time.Time
-	delayedMessages []func() // actions that take effect later
-	replicas        int
+	svc              rollout.Service
+	run              rollout.Run
+	version          int               // version of the recorded state
+	jobs             map[string]int    // live replicas by job
+	versionOf        map[string]string // version by job
+	ended            map[string]bool
+	lost             map[string]int // replicas lost with their machines, by job
+	unhealthyVersion string         // "" if no version is unhealthy
+	hung             bool
+	blocked          bool
+	now              time.Time
+	delayedMessages  []func() // actions that take effect later
+	replicas         int
 
 	leaders        [2]snapshot
 	beginCounts    map[int]int       // how often each step was begun
@@ -130,7 +130,7 @@
 	for uid, n := range w.jobs {
 		j := rollout.JobStatus{Running: n - w.lost[uid]}
 		switch {
-		case w.versionOf[uid] == w.bad:
+		case w.versionOf[uid] == w.unhealthyVersion:
 			j.UnhealthyTask = uid
 		case w.versionOf[uid] == "v2" && w.hung:
 			j.HungTask = uid
@@ -145,9 +145,9 @@
 	return s
 }
 
-// execute performs the actions that a recorded state requires; at is the version of that state. An
-// action for which delayed returns true is performed later.
-func (w *model) execute(r *rollout.Run, at int, delayed func() bool) {
+// execute performs the actions that a recorded state, of version readVersion, requires. An action for
+// which delayed returns true is performed later.
+func (w *model) execute(r *rollout.Run, readVersion int, delayed func() bool) {
 	do := func(f func()) {
 		if delayed() {
 			w.delayedMessages = append(w.delayedMessages, f)
@@ -158,7 +158,7 @@
 	submit, drop := rollout.RequiredActions(r)
 	for _, b := range submit {
 		do(func() {
-			if w.version == at && w.jobs[b.UID] == 0 && !w.ended[b.UID] { // the guard of the transaction
+			if w.version == readVersion && w.jobs[b.UID] == 0 && !w.ended[b.UID] { // the guard of the transaction
 				w.jobs[b.UID], w.versionOf[b.UID] = b.Replicas, b.Version
 			}
 		})
@@ -173,14 +173,14 @@
 
 // check checks the invariants that hold after every event.
 func (w *model) check(t *rapid.T) {
-	healthy, all := 0, 0
+	healthy, live := 0, 0
 	for uid, n := range w.jobs {
-		all += n
-		if w.versionOf[uid] != w.bad {
+		live += n
+		if w.versionOf[uid] != w.unhealthyVersion {
 			healthy += n
 		}
 		if v, had := w.firstVersionOf[uid]; had && v != w.versionOf[uid] {
-			t.Fatalf("%s ran %s and %s", uid, v, w.versionOf[uid])
+			t.Fatalf("job %s ran versions %s and %s", uid, v, w.versionOf[uid])
 		}
 		w.firstVersionOf[uid] = w.versionOf[uid]
 	}
@@ -188,14 +188,14 @@
 	// unhealthy after the old one has ended, or if new replicas were cancelled because the
 	// restored ones lacked capacity.
 	crowded := w.run.Phase == rollout.RollingBack && len(w.run.New) == 0
-	if w.bad == "" && !crowded && healthy < w.replicas {
-		t.Fatalf("%d of %d promised replicas in %s: jobs %v of %v", healthy, w.replicas, w.run.Phase, w.jobs, w.versionOf)
+	if w.unhealthyVersion == "" && !crowded && healthy < w.replicas {
+		t.Fatalf("%d of %d wanted replicas are healthy in %s: jobs %v of versions %v", healthy, w.replicas, w.run.Phase, w.jobs, w.versionOf)
 	}
-	if all > 3*w.replicas {
-		t.Fatalf("%d replicas live of %d promised", all, w.replicas)
+	if live > 3*w.replicas {
+		t.Fatalf("%d replicas are live, but %d are wanted", live, w.replicas)
 	}
-	if !crowded && all < w.replicas {
-		t.Fatalf("%d replicas live of %d promised in %s", all, w.replicas, w.run.Phase)
+	if !crowded && live < w.replicas {
+		t.Fatalf("%d replicas are live, but %d are wanted, in %s", live, w.replicas, w.run.Phase)
 	}
 	if w.final != "" && w.run.Phase != w.final {
 		t.Fatalf("%s after %s", w.run.Phase, w.final)
@@ -212,11 +212,11 @@
 	w.execute(&o.run, o.readVersion, delayed)
 	w.check(t)
 	next, svc := o.run, o.svc
-	was := next.Step
+	previousStep := next.Step
 	if rollout.Advance(&svc, &next, w.observe(), w.now) && o.readVersion == w.version {
 		w.version++
 		w.run, w.svc = next, svc
-		if next.Phase == rollout.Placing && was == next.Step && len(next.New) != len(o.run.New) {
+		if next.Phase == rollout.Placing && previousStep == next.Step && len(next.New) != len(o.run.New) {
 			if w.beginCounts[next.Step]++; w.beginCounts[next.Step] > 1 {
 				t.Fatalf("step %d began twice", next.Step)
 			}
@@ -245,8 +245,8 @@
 	case 1:
 		w.hung = !w.hung
 	case 2:
-		if w.bad == "" && rapid.Bool().Draw(t, "goes bad") {
-			w.bad = "v2"
+		if w.unhealthyVersion == "" && rapid.Bool().Draw(t, "goes bad") {
+			w.unhealthyVersion = "v2"
 		}
 	case 3:
 		_ = w.applyVerb(rapid.SampledFrom([]string{rollout.VerbPause, rollout.VerbResume, rollout.VerbResume, rollout.VerbAbort}).Draw(t, "verb")) // it may be refused
@@ -275,7 +275,7 @@
 		w.delayedMessages = nil
 		if w.run.Phase == rollout.Paused {
 			verb := rollout.VerbResume
-			if w.bad == "v2" {
+			if w.unhealthyVersion == "v2" {
 				verb = rollout.VerbAbort
 			}
 			if err := w.applyVerb(verb); err != nil {
@@ -289,12 +289,12 @@
 // checkEnd checks that the roll-out has ended and that exactly the recorded jobs run.
 func (w *model) checkEnd(t *rapid.T) {
 	if !w.run.Phase.Final() {
-		t.Fatalf("ends in %s: %s", w.run.Phase, w.run.Reason)
+		t.Fatalf("the roll-out did not end; phase %s: %s", w.run.Phase, w.run.Reason)
 	}
 	all := 0
 	for _, b := range w.svc.Batches {
 		if w.jobs[b.UID] != b.Replicas || w.versionOf[b.UID] != w.svc.Version.Name {
-			t.Fatalf("recorded %+v, runs %v of %v", b, w.jobs, w.versionOf)
+			t.Fatalf("recorded batch %+v, running jobs %v of versions %v", b, w.jobs, w.versionOf)
 		}
 		all += b.Replicas
 	}
@@ -302,7 +302,7 @@
 		t.Fatalf("%d replicas recorded of %d, jobs %v", all, w.replicas, w.jobs)
 	}
 	if want := "v2"; w.run.Phase == rollout.Done && w.svc.Version.Name != want || w.run.Phase != rollout.Done && w.svc.Version.Name == want {
-		t.Fatalf("%s with %s", w.run.Phase, w.svc.Version.Name)
+		t.Fatalf("phase %s with version %s", w.run.Phase, w.svc.Version.Name)
 	}
 }
 
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -11,7 +11,7 @@
 
 // reconcile performs the actions that the recorded state of one roll-out requires, observes its
 // jobs, and records the next state. Checks may outlast ctx; they end with checkCtx.
-func (m *Manager) reconcile(ctx, checkCtx context.Context, name string, lead wire.Guard, blocked string) error {
+func (m *Manager) reconcile(ctx, checkCtx context.Context, name string, leaderGuard wire.Guard, blockedReason string) error {
 	m.mu.Lock()
 	e := m.entries[name]
 	next, err := e.clone()
@@ -20,24 +20,24 @@
 		return err
 	}
 	run := next.run
-	submit, drop := RequiredActions(run)
+	submit, toCancel := RequiredActions(run)
 	for _, batch := range submit {
-		if err := m.submit(ctx, &next, batch, lead, wire.Guard{Key: runKey + name, Version: next.runVersion}); err != nil {
+		if err := m.submit(ctx, &next, batch, leaderGuard, wire.Guard{Key: runKey + name, Version: next.runVersion}); err != nil {
 			return err
 		}
 	}
-	for _, batch := range drop {
+	for _, batch := range toCancel {
 		if err := m.cancel(ctx, &next, batch); err != nil {
 			return err
 		}
 	}
 	now := time.Now()
-	observed := &Observation{Jobs: m.observe(checkCtx, now, e, run.Spec.Check, submit, drop), BlockedReason: blocked}
+	observed := &Observation{Jobs: m.observe(checkCtx, now, e, run.Spec.Check, submit, toCancel), BlockedReason: blockedReason}
 	previousPhase := run.Phase
 	if !Advance(&next.service, run, observed, now) {
 		return nil
 	}
-	if err := m.write(ctx, name, &next, lead); err != nil {
+	if err := m.write(ctx, name, &next, leaderGuard); err != nil {
 		return err
 	}
 	m.log.Info("roll-out", "service", name, "id", run.ID, "was", previousPhase, "phase", run.Phase, "step", run.Step+1, "of", len(run.Targets), "why", run.Reason)
@@ -45,14 +45,14 @@
 }
 
 // observe starts the due checks of the submitted batches and returns the known state of all jobs.
-func (m *Manager) observe(checkCtx context.Context, now time.Time, e *entry, check Check, submitted, dropped []Batch) map[string]JobStatus {
+func (m *Manager) observe(checkCtx context.Context, now time.Time, e *entry, check Check, submitted, toCancel []Batch) map[string]JobStatus {
 	jobs := map[string]JobStatus{}
 	for _, batch := range submitted {
 		jobs[batch.UID] = m.checks.observe(checkCtx, now, m.core.Replicas(batch.UID), check)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, batch := range dropped {
+	for _, batch := range toCancel {
 		jobs[batch.UID] = JobStatus{Ended: e.cancelled[batch.UID]}
 	}
 	e.jobs = jobs
