--- a/cmd/wallctl/accounting.go
+++ b/cmd/wallctl/accounting.go
@@ -35,11 +35,11 @@
 
 func (a *app) accountingCommand() *cobra.Command {
 	root := &cobra.Command{Use: "accounting", Short: "Sums, exports and plots of what jobs took"}
-	root.AddCommand(a.accountingReport(), a.accountingExport(), a.accountingPlot())
+	root.AddCommand(a.accountingReportCommand(), a.accountingExportCommand(), a.accountingPlotCommand())
 	return root
 }
 
-func (a *app) accountingReport() *cobra.Command {
+func (a *app) accountingReportCommand() *cobra.Command {
 	var times periodFlags
 	var by, format string
 	cmd := &cobra.Command{Use: "report", Short: "Sums by account, class, user or day", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
@@ -74,7 +74,7 @@
 	return t.flush()
 }
 
-func (a *app) accountingExport() *cobra.Command {
+func (a *app) accountingExportCommand() *cobra.Command {
 	var times periodFlags
 	var format, file string
 	cmd := &cobra.Command{Use: "export", Short: "Write every job and attempt as CSV, JSON or Parquet", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
@@ -90,7 +90,7 @@
 	return cmd
 }
 
-func (a *app) accountingPlot() *cobra.Command {
+func (a *app) accountingPlotCommand() *cobra.Command {
 	var times periodFlags
 	var file string
 	cmd := &cobra.Command{Use: "plot", Short: "Write a page with plots of queue, running tasks and cost", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/wallctl/rollout_commands.go
+++ b/cmd/wallctl/rollout_commands.go
@@ -26,18 +26,18 @@
 func (a *app) rolloutCommand() *cobra.Command {
 	root := &cobra.Command{Use: "rollout", Short: "Move services to new versions, step by step"}
 	root.AddCommand(
-		a.rolloutStart(),
-		a.rolloutStatus(),
-		a.rolloutHistory(),
-		a.rolloutVerb(rollout.VerbPause, "Hold a roll-out where it is"),
-		a.rolloutVerb(rollout.VerbResume, "Go on with a paused roll-out"),
-		a.rolloutVerb(rollout.VerbAbort, "End a roll-out and restore the version before"),
+		a.rolloutStartCommand(),
+		a.rolloutStatusCommand(),
+		a.rolloutHistoryCommand(),
+		a.rolloutVerbCommand(rollout.VerbPause, "Hold a roll-out where it is"),
+		a.rolloutVerbCommand(rollout.VerbResume, "Go on with a paused roll-out"),
+		a.rolloutVerbCommand(rollout.VerbAbort, "End a roll-out and restore the version before"),
 	)
 	return root
 }
 
-// rolloutVerb returns the command that applies a verb to a service's roll-out.
-func (a *app) rolloutVerb(verb, short string) *cobra.Command {
+// rolloutVerbCommand returns the command that applies a verb to a service's roll-out.
+func (a *app) rolloutVerbCommand(verb, short string) *cobra.Command {
 	return &cobra.Command{Use: verb + " SERVICE", Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		return a.postRollout(cmd, rolloutPath+"/"+args[0]+"/"+verb, nil, false)
 	}}
@@ -99,7 +99,7 @@
 	return line
 }
 
-func (a *app) rolloutStart() *cobra.Command {
+func (a *app) rolloutStartCommand() *cobra.Command {
 	spec := rollout.Spec{Template: wire.Job{Kind: wire.KindService, Image: "none"}}
 	var watch bool
 	cmd := &cobra.Command{
@@ -141,7 +141,7 @@
 	fs.Float64Var(&spec.Template.MemoryGB, "memory-gb", 0.5, "memory of a replica, in GB")
 }
 
-func (a *app) rolloutStatus() *cobra.Command {
+func (a *app) rolloutStatusCommand() *cobra.Command {
 	var watch bool
 	cmd := &cobra.Command{Use: "status [SERVICE]", Short: "Show services and their roll-outs", Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		cl, err := a.client()
@@ -184,7 +184,7 @@
 	return t.flush()
 }
 
-func (a *app) rolloutHistory() *cobra.Command {
+func (a *app) rolloutHistoryCommand() *cobra.Command {
 	return &cobra.Command{Use: "history SERVICE", Short: "List a service's ended roll-outs", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		cl, err := a.client()
 		if err != nil {
--- a/cmd/wallctl/submit.go
+++ b/cmd/wallctl/submit.go
@@ -33,7 +33,7 @@
 			if err != nil {
 				return err
 			}
-			if err := s.complete(args); err != nil {
+			if err := s.setDerivedFields(args); err != nil {
 				return err
 			}
 			state, err := cl.Submit(cmd.Context(), &s.job, &s.description)
@@ -67,8 +67,8 @@
 	fs.StringVar(&s.scriptFile, "script", "", "a file whose text is handed to the program as its last argument's file")
 }
 
-// complete sets the fields that the options don't set directly, and validates the submission.
-func (s *submission) complete(program []string) error {
+// setDerivedFields sets the fields that the options don't set directly, and validates the submission.
+func (s *submission) setDerivedFields(program []string) error {
 	if s.job.UID == "" {
 		s.job.UID = client.NewUID()
 	}
--- a/cmd/wallrack/scale_test.go
+++ b/cmd/wallrack/scale_test.go
@@ -42,7 +42,7 @@
 
 // A small site runs all phases: all requested tasks are done, no rule is broken, and the results are
 // written to the files.
-func TestScaleRunOfSmallSiteKeepsRules(t *testing.T) {
+func TestScaleRunOfSmallSiteBreaksNoRule(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "error")
 	dir, out, err := runScaleCommand(t, `(scale (workers 20) (controllers 2) (zones 4) (regions 2) (rack-workers 2) (teams 4) (team-spare-cpus 12)
 		(running 24) (run-s 0.3) (fetch-s 0.05) (tasks-per-job 4) (boot-s 0.1) (report-s 0.2) (lease-s 0.8) (cancel-s 10) (cloud-rps 50) (cloud-lag-s 0.2) (cloud-latency-ms 10)
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -91,7 +91,7 @@
 		case http.StatusOK, http.StatusCreated:
 			var received wire.JobState
 			if err := json.Unmarshal(resp.body, &received); err != nil {
-				return attempt{retryAfter: resp.retryAfter, err: errMalformed}
+				return attempt{retryAfter: resp.retryAfter, err: errMalformedResponse}
 			}
 			state = &received
 			return attempt{conclusive: true}
@@ -105,8 +105,8 @@
 	return state, err
 }
 
-// errMalformed is the error of a response that can't be decoded.
-var errMalformed = fmt.Errorf("%w: malformed answer", ErrUnknown)
+// errMalformedResponse is the error of a response that can't be decoded.
+var errMalformedResponse = fmt.Errorf("%w: malformed answer", ErrUnknown)
 
 // do sends one request. If reading the body fails, the returned response still contains retryAfter.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (response, error) {
--- a/internal/client/slurm.go
+++ b/internal/client/slurm.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return errMalformed
+		return errMalformedResponse
 	}
 	return nil
 }
@@ -49,7 +49,7 @@
 	}
 	var reserved jobid.Job
 	if err := json.Unmarshal(out, &reserved); err != nil || reserved.First == 0 {
-		return 0, errMalformed
+		return 0, errMalformedResponse
 	}
 	return reserved.First, nil
 }
--- a/internal/rollout/manager_test.go
+++ b/internal/rollout/manager_test.go
@@ -30,7 +30,7 @@
 			reserved = max(reserved, s.managers["a"].ReservedCPUs())
 			return r.ID == 2 && r.Phase == rollout.RollingBack
 		})
-		if took := s.waitFor("restored", time.Minute, final(2)); took > time.Minute {
+		if took := s.waitFor("restored", time.Minute, hasEnded(2)); took > time.Minute {
 			t.Errorf("restored after %v", took)
 		}
 		r := s.run()
@@ -84,7 +84,7 @@
 
 // No step begins in a slot. A step that is in progress when a slot begins is completed, and the next
 // one waits for the end of the slot.
-func TestStepsWaitForTheEndOfASlot(t *testing.T) {
+func TestStepsWaitForEndOfSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSiteWithV1(t, 4)
 		s.settings.Classes = []string{slotClass}
@@ -104,7 +104,7 @@
 			t.Errorf("%d replicas of the new version after a step of 1", s.maxReplicas["v2"])
 		}
 		s.setUnfinished(false)
-		s.waitFor("done", 10*time.Minute, final(2))
+		s.waitFor("done", 10*time.Minute, hasEnded(2))
 		s.close()
 	})
 }
@@ -162,7 +162,7 @@
 
 // At every transition of a roll-out the leader is killed or deposed, the state service is unavailable
 // for 30 s, or machines are lost. The roll-out ends in the same phase as without faults.
-func TestControllerLossOrStateOutageAtEveryTransition(t *testing.T) {
+func TestFaultsAtEveryTransition(t *testing.T) {
 	for _, bad := range []bool{false, true} {
 		for _, fault := range []string{"killed", "deposed", "state out", "machines lost"} {
 			synctest.Test(t, func(t *testing.T) { rollOutWithFaults(t, fault, bad) })
@@ -218,7 +218,7 @@
 			"to.desc: too large":        func(x *rollout.Spec) { x.To.Desc.Script = strings.Repeat("x", 16<<10) },
 			"replicas: 3000":            func(x *rollout.Spec) { x.Service, x.Replicas = "other", 3000 },
 		} {
-			x := spec()
+			x := newSpec()
 			change(&x)
 			if _, err := s.managers["a"].Start(t.Context(), x); !errors.Is(err, rollout.ErrInput) || !strings.Contains(err.Error(), want) {
 				t.Errorf("%v instead of %q", err, want)
@@ -228,10 +228,10 @@
 			t.Errorf("%d records instead of %d", after, before)
 		}
 		s.startRollout("v2", nil)
-		if _, err := s.managers["b"].Start(t.Context(), spec()); !errors.Is(err, rollout.ErrInput) || !strings.Contains(err.Error(), "roll-out already") {
+		if _, err := s.managers["b"].Start(t.Context(), newSpec()); !errors.Is(err, rollout.ErrInput) || !strings.Contains(err.Error(), "roll-out already") {
 			t.Errorf("a second roll-out of the service: %v", err)
 		}
-		s.waitFor("done", 10*time.Minute, final(2))
+		s.waitFor("done", 10*time.Minute, hasEnded(2))
 		s.close()
 	})
 }
@@ -241,7 +241,7 @@
 func BenchmarkTick(b *testing.B) {
 	s := newSite(b, 1)
 	for i := range rollout.MaxRuns {
-		x := spec()
+		x := newSpec()
 		x.Service, x.Replicas, x.Steps, x.Check.EveryS = fmt.Sprintf("s-%d", i), rollout.MaxReplicas/rollout.MaxRuns, []string{"100%"}, 300
 		for n := 0; ; n++ {
 			if _, err := s.managers["a"].Start(b.Context(), x); err == nil {
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -70,7 +70,7 @@
 
 // Controllers of different versions share the records, and operators' tools read the responses,
 // so the encoding of both must not change.
-func TestRecordedForms(t *testing.T) {
+func TestRecordedEncodings(t *testing.T) {
 	recorded.Check(t, "spec", fullSpec())
 	recorded.Check(t, "spec_least", Spec{})
 	recorded.Check(t, "run", fullRun())
@@ -86,7 +86,7 @@
 }
 
 // Constants that are stored in records or sent must not change.
-func TestRecordedTexts(t *testing.T) {
+func TestRecordedConstants(t *testing.T) {
 	got := []any{
 		Pending, WaitingSlot, Placing, Soaking, Retiring, Paused, RollingBack, Done, Aborted, Restored,
 		Healthy, Unhealthy, Hung, Unknown, OnFailRollback, OnFailPause, VerbPause, VerbResume, VerbAbort,
@@ -115,7 +115,7 @@
 
 // The records that a manager writes when a roll-out ends must not change, and another manager
 // must be able to read them.
-func TestRecordedByManager(t *testing.T) {
+func TestRecordedManagerWrites(t *testing.T) {
 	store := testkit.NewStore()
 	manager := func() *Manager {
 		return NewManager(nil, &testkit.View{Store: store}, nil, nil, nil, 1<<20, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/rollout/settings_test.go
+++ b/internal/rollout/settings_test.go
@@ -30,7 +30,7 @@
 }
 
 // A slot follows the local time of its own zone, also on days of a change to or from summer time.
-func TestSlotsFollowTheirZone(t *testing.T) {
+func TestSlotsFollowLocalTimeOfTheirZone(t *testing.T) {
 	s, err := rollout.ParseSettings([]byte(`(rollouts (descriptions "http://x")
 		(slot "split" "30 1 * * *" "Europe/London" 90) ; to 03:00
 		(slot-class "tip-split"))`))
--- a/internal/rollout/site_test.go
+++ b/internal/rollout/site_test.go
@@ -284,12 +284,12 @@
 	}
 }
 
-func final(id int) func(*rollout.Run) bool {
+func hasEnded(id int) func(*rollout.Run) bool {
 	return func(r *rollout.Run) bool { return r.ID == id && r.Phase.Final() }
 }
 
 func (s *site) startRollout(version string, change func(*rollout.Spec)) {
-	spec := spec()
+	spec := newSpec()
 	spec.To = rollout.Version{Name: version, Desc: taskspec.Spec{Argv: []string{version}, CPUs: 1}}
 	if change != nil {
 		change(&spec)
@@ -310,6 +310,6 @@
 func newSiteWithV1(t *testing.T, replicas int) *site {
 	s := newSite(t, replicas)
 	s.startRollout("v1", func(x *rollout.Spec) { x.Replicas, x.Steps = replicas, []string{"1", "50%", "100%"} })
-	s.waitFor("up", 5*time.Minute, final(1))
+	s.waitFor("up", 5*time.Minute, hasEnded(1))
 	return s
 }
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -133,7 +133,7 @@
 			r.setPhase(Placing, "replicas were lost while soaking", now)
 		}
 	case r.Phase == Soaking && r.timeInPhase(now) >= seconds(r.Spec.SoakS):
-		r.retire(service)
+		r.retireBatches(service)
 		r.setPhase(Retiring, "", now)
 	case r.Phase == Retiring && observed.ended(r.ToCancel):
 		r.endStep(service, now)
@@ -156,9 +156,9 @@
 	r.setPhase(Done, "", now)
 }
 
-// retire moves old batches to ToCancel, smallest first, as long as the remaining replicas suffice
+// retireBatches moves old batches to ToCancel, smallest first, as long as the remaining replicas suffice
 // for the service.
-func (r *Run) retire(service *Service) {
+func (r *Run) retireBatches(service *Service) {
 	surplus := countReplicas(r.New) + countReplicas(r.Old) - service.Replicas
 	old := slices.Clone(r.Old)
 	slices.SortStableFunc(old, func(a, b Batch) int { return a.Replicas - b.Replicas })
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -12,13 +12,13 @@
 	"github.com/wallrack/wallrack/internal/taskspec"
 )
 
-func spec() rollout.Spec {
+func newSpec() rollout.Spec {
 	s := rollout.Spec{Service: "tips", To: rollout.Version{Name: "v2", Desc: taskspec.Spec{Argv: []string{"x"}, CPUs: 1}}, Check: rollout.Check{HTTP: "/up"}}
 	s.SetDefaults()
 	return s
 }
 
-func service(replicas int, batches ...int) *rollout.Service {
+func newService(replicas int, batches ...int) *rollout.Service {
 	s := &rollout.Service{Name: "tips", Replicas: replicas, Version: rollout.Version{Name: "v1"}}
 	for i, n := range batches {
 		s.Batches = append(s.Batches, rollout.Batch{UID: fmt.Sprintf("j-old-%d", i), Replicas: n, Version: "v1"})
@@ -40,18 +40,18 @@
 		"steps[0]":      func(s *rollout.Spec) { s.Steps = []string{"some", "100%"} },
 		"onFail":        func(s *rollout.Spec) { s.OnFail = "hope" },
 	} {
-		s := spec()
+		s := newSpec()
 		f(&s)
 		if err := s.Validate(); err == nil || !strings.HasPrefix(err.Error(), field) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
-	s := spec()
+	s := newSpec()
 	if err := s.Validate(); err != nil {
 		t.Error(err)
 	}
 	s.To.Name = "v1"
-	if _, err := rollout.Plan(service(4, 4), s, 1, time.Now()); err == nil || !strings.HasPrefix(err.Error(), "to.name") {
+	if _, err := rollout.Plan(newService(4, 4), s, 1, time.Now()); err == nil || !strings.HasPrefix(err.Error(), "to.name") {
 		t.Errorf("a roll-out to the present version: %v", err)
 	}
 }
@@ -90,7 +90,7 @@
 func newModel(t *rapid.T) *model {
 	replicas := rapid.IntRange(1, 9).Draw(t, "replicas")
 	w := &model{
-		svc: *service(replicas), jobs: map[string]int{}, versionOf: map[string]string{}, ended: map[string]bool{}, lost: map[string]int{},
+		svc: *newService(replicas), jobs: map[string]int{}, versionOf: map[string]string{}, ended: map[string]bool{}, lost: map[string]int{},
 		now: time.Unix(1e9, 0), replicas: replicas, beginCounts: map[int]int{}, firstVersionOf: map[string]string{},
 	}
 	for left, i := replicas, 0; left > 0; i++ {
@@ -100,7 +100,7 @@
 		w.jobs[uid], w.versionOf[uid] = n, "v1"
 		left -= n
 	}
-	s := spec()
+	s := newSpec()
 	if rapid.Bool().Draw(t, "pause on failure") {
 		s.OnFail = rollout.OnFailPause
 	}
@@ -171,8 +171,8 @@
 	}
 }
 
-// check checks the invariants that hold after every event.
-func (w *model) check(t *rapid.T) {
+// checkInvariants checks the invariants that hold after every event.
+func (w *model) checkInvariants(t *rapid.T) {
 	healthy, live := 0, 0
 	for uid, n := range w.jobs {
 		live += n
@@ -187,14 +187,14 @@
 	// Too few replicas may be healthy, without a fault of the roll-out, if the new version turns
 	// unhealthy after the old one has ended, or if new replicas were cancelled because the
 	// restored ones lacked capacity.
-	crowded := w.run.Phase == rollout.RollingBack && len(w.run.New) == 0
-	if w.unhealthyVersion == "" && !crowded && healthy < w.replicas {
+	newVersionCancelled := w.run.Phase == rollout.RollingBack && len(w.run.New) == 0
+	if w.unhealthyVersion == "" && !newVersionCancelled && healthy < w.replicas {
 		t.Fatalf("%d of %d wanted replicas are healthy in %s: jobs %v of versions %v", healthy, w.replicas, w.run.Phase, w.jobs, w.versionOf)
 	}
 	if live > 3*w.replicas {
 		t.Fatalf("%d replicas are live, but %d are wanted", live, w.replicas)
 	}
-	if !crowded && live < w.replicas {
+	if !newVersionCancelled && live < w.replicas {
 		t.Fatalf("%d replicas are live, but %d are wanted, in %s", live, w.replicas, w.run.Phase)
 	}
 	if w.final != "" && w.run.Phase != w.final {
@@ -210,7 +210,7 @@
 func (w *model) drive(t *rapid.T, leader int, delayed func() bool) {
 	o := w.leaders[leader]
 	w.execute(&o.run, o.readVersion, delayed)
-	w.check(t)
+	w.checkInvariants(t)
 	next, svc := o.run, o.svc
 	previousStep := next.Step
 	if rollout.Advance(&svc, &next, w.observe(), w.now) && o.readVersion == w.version {
@@ -222,7 +222,7 @@
 			}
 		}
 	}
-	w.check(t)
+	w.checkInvariants(t)
 	w.leaders[leader] = w.read()
 }
 
@@ -253,13 +253,13 @@
 	case 4: // delayed messages arrive
 		for _, f := range w.delayedMessages {
 			f()
-			w.check(t)
+			w.checkInvariants(t)
 		}
 		w.delayedMessages = nil
 	default:
 		w.drive(t, rapid.IntRange(0, 1).Draw(t, "leader"), delayed)
 	}
-	w.check(t)
+	w.checkInvariants(t)
 }
 
 // finish ends all faults but an unhealthy version, delivers the delayed messages, and has one leader
@@ -309,7 +309,7 @@
 // Random sequences of crashes between a write and its actions, delayed messages, two concurrent
 // leaders, changes of health, slots and operators' verbs. The wanted replicas stay healthy, the surge
 // is bounded, each step begins once, and there is exactly one outcome.
-func TestRollOutModel(t *testing.T) {
+func TestRolloutModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newModel(t)
 		delayed := func() bool { return rapid.IntRange(0, 3).Draw(t, "delayed") == 0 }
