--- a/internal/rollout/manager_test.go
+++ b/internal/rollout/manager_test.go
@@ -119,7 +119,7 @@
 		s.start("a")
 		time.Sleep(2 * time.Second)
 		s.setLeader("a")
-	case "deposed": // a still regards itself as the leader for 3 s
+	case "deposed": // controller a still regards itself as the leader for 3 s
 		s.mu.Lock()
 		leader, version := s.leader, s.version
 		s.mu.Unlock()
