--- a/cmd/wallctl/nodes.go
+++ b/cmd/wallctl/nodes.go
@@ -12,12 +12,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// workersPath is the operators' listing of the workers.
+// workersPath is the path of the listing of workers in the operators' interface.
 const workersPath = "/ops/machines"
 
-// listWorkers returns the workers that a controller of the site knows.
+// listWorkers returns the workers known to the controller that responds.
 func listWorkers(ctx context.Context, cl *client.Client) (workers []wire.MachineInfo, err error) {
-	data, err := cl.Raw(ctx, workersPath)
+	data, err := cl.Get(ctx, workersPath)
 	if err != nil {
 		return nil, err
 	}
@@ -34,7 +34,7 @@
 			return err
 		}
 		if a.json {
-			out, err := cl.Raw(cmd.Context(), workersPath)
+			out, err := cl.Get(cmd.Context(), workersPath)
 			_, writeErr := cmd.OutOrStdout().Write(out)
 			return errors.Join(err, writeErr)
 		}
--- a/cmd/wallctl/recorded_test.go
+++ b/cmd/wallctl/recorded_test.go
@@ -18,18 +18,18 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// asProgram makes this test binary the program itself.
-const asProgram = "TEST_AS_WALLCTL"
+// runAsProgramEnv is the environment variable that makes this test binary run as wallctl.
+const runAsProgramEnv = "TEST_AS_WALLCTL"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// recordedSite responds as a site does, for the commands below.
+// recordedSite starts a server with a site's responses to the commands of TestRecordedOutcomes.
 func recordedSite(t *testing.T) (url string) {
 	responses := map[string]struct {
 		status int
@@ -69,12 +69,12 @@
 	return srv.URL
 }
 
-// program runs wallctl as scripts do. If interrupt isn't nil it is interrupted once that
-// returns.
-func program(t *testing.T, server string, interrupt func(), args ...string) string {
+// runProgram runs wallctl as a child process and returns its exit code and output as text. If
+// interrupt isn't nil, the process gets SIGINT once interrupt returns.
+func runProgram(t *testing.T, server string, interrupt func(), args ...string) string {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asProgram+"=1", "WALLRACK_SERVER="+server)
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "WALLRACK_SERVER="+server)
 	var stdout, stderr bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	if err := cmd.Start(); err != nil {
@@ -98,7 +98,7 @@
 	return text
 }
 
-// Exit codes and texts that scripts rely on.
+// Exit codes and output that scripts rely on must not change.
 func TestRecordedOutcomes(t *testing.T) {
 	server := recordedSite(t)
 	var text strings.Builder
@@ -111,13 +111,14 @@
 		"stats", "--json stats", "alerts", "nodes", "--json nodes", "links", "--json links",
 		"rollout pause none", "rollout status", "rollout start", "scancel", "scancel 7", "scancel -Q 7", "squeue -j x", "srun", "scontrol show job 7", "sbatch missing.sh",
 	} {
-		text.WriteString(program(t, server, nil, strings.Fields(args)...))
+		text.WriteString(runProgram(t, server, nil, strings.Fields(args)...))
 	}
-	text.WriteString(program(t, "", nil, "status", "j-done"))
+	text.WriteString(runProgram(t, "", nil, "status", "j-done"))
 	recorded.Compare(t, "outcomes.txt", []byte(text.String()))
 }
 
-// Without a conclusive response the outcome is unknown: exit code 4, also after an interrupt.
+// Without a conclusive response the outcome is unknown, and the exit code is 4, also after an
+// interrupt.
 func TestRecordedOutcomeWithoutResponse(t *testing.T) {
 	responded := make(chan bool, 100)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -130,15 +131,15 @@
 	gone.Close()
 	var text strings.Builder
 	for _, args := range []string{"status j-done", "wait j-done", "stats"} {
-		// The response arrives, and the program pauses for a second before it repeats the request.
-		text.WriteString(program(t, srv.URL, func() { <-responded; time.Sleep(300 * time.Millisecond) }, strings.Fields(args)...))
+		// The interrupt comes after the response, in the pause of 1 s before the next request.
+		text.WriteString(runProgram(t, srv.URL, func() { <-responded; time.Sleep(300 * time.Millisecond) }, strings.Fields(args)...))
 	}
-	// Requests go out each second: the interrupt comes in the pause between two.
-	text.WriteString(program(t, gone.URL, func() { time.Sleep(2500 * time.Millisecond) }, "status", "j-done"))
+	// Requests are sent every second: the interrupt comes in a pause between two of them.
+	text.WriteString(runProgram(t, gone.URL, func() { time.Sleep(2500 * time.Millisecond) }, "status", "j-done"))
 	recorded.Compare(t, "without-answer.txt", []byte(text.String()))
 }
 
-// The exit code of each error, those of docs/local.md.
+// The exit codes of errors are those in docs/local.md.
 func TestRecordedExitCodes(t *testing.T) {
 	for err, want := range map[error]int{
 		errors.New("other"): 1, client.ErrRefused: 2, client.ErrNotFound: 3, client.ErrUnknown: 4, context.Canceled: 4, errCancelled: 5, errNotRolledOut: 5,
--- a/cmd/wallctl/rollout_commands.go
+++ b/cmd/wallctl/rollout_commands.go
@@ -17,7 +17,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// errNotRolledOut is the outcome of a roll-out that ended without the new version.
+// errNotRolledOut is the error of a watched roll-out that was aborted or rolled back.
 var errNotRolledOut = errors.New("the new version is not rolled out")
 
 // rolloutPath is the path of the roll-outs in the operators' interface.
@@ -26,26 +26,26 @@
 func (a *app) rolloutCommand() *cobra.Command {
 	root := &cobra.Command{Use: "rollout", Short: "Move services to new versions, step by step"}
 	root.AddCommand(
-		a.rolloutStart(),
-		a.rolloutStatus(),
-		a.rolloutHistory(),
-		a.rolloutVerb(rollout.VerbPause, "Hold a roll-out where it is"),
-		a.rolloutVerb(rollout.VerbResume, "Go on with a paused roll-out"),
-		a.rolloutVerb(rollout.VerbAbort, "End a roll-out and restore the version before"),
+		a.rolloutStartCommand(),
+		a.rolloutStatusCommand(),
+		a.rolloutHistoryCommand(),
+		a.rolloutVerbCommand(rollout.VerbPause, "Hold a roll-out where it is"),
+		a.rolloutVerbCommand(rollout.VerbResume, "Go on with a paused roll-out"),
+		a.rolloutVerbCommand(rollout.VerbAbort, "End a roll-out and restore the version before"),
 	)
 	return root
 }
 
-// rolloutVerb returns the command that applies a verb to a service's roll-out.
-func (a *app) rolloutVerb(verb, short string) *cobra.Command {
+// rolloutVerbCommand returns the command that applies a verb to a service's roll-out.
+func (a *app) rolloutVerbCommand(verb, short string) *cobra.Command {
 	return &cobra.Command{Use: verb + " SERVICE", Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		return a.sendRollout(cmd, rolloutPath+"/"+args[0]+"/"+verb, nil, false)
+		return a.postRollout(cmd, rolloutPath+"/"+args[0]+"/"+verb, nil, false)
 	}}
 }
 
-// sendRollout posts a body to the roll-outs' interface and prints the roll-out of the
-// response, or watches it until it ends.
-func (a *app) sendRollout(cmd *cobra.Command, path string, body any, watch bool) error {
+// postRollout posts a body to the roll-outs' interface. It prints the roll-out in the response or,
+// with watch, its progress until it ends.
+func (a *app) postRollout(cmd *cobra.Command, path string, body any, watch bool) error {
 	cl, err := a.client()
 	if err != nil {
 		return err
@@ -69,14 +69,14 @@
 		_, err := cmd.OutOrStdout().Write(out)
 		return err
 	}
-	_, err = fmt.Fprintln(cmd.OutOrStdout(), describeRun(&run))
+	_, err = fmt.Fprintln(cmd.OutOrStdout(), formatRun(&run))
 	return err
 }
 
-// printOrDecode gets a path of the operators' interface. With --json it prints the response as
-// it came, else it decodes it into value.
+// printOrDecode gets a path of the operators' interface. With --json it prints the response
+// unchanged and returns true, else it decodes the response into value.
 func (a *app) printOrDecode(cmd *cobra.Command, cl *client.Client, path string, value any) (printed bool, err error) {
-	out, err := cl.Raw(cmd.Context(), path)
+	out, err := cl.Get(cmd.Context(), path)
 	if err != nil {
 		return false, err
 	}
@@ -90,8 +90,8 @@
 	return false, nil
 }
 
-// describeRun is a roll-out in a line.
-func describeRun(run *rollout.Run) string {
+// formatRun returns a line that describes a roll-out.
+func formatRun(run *rollout.Run) string {
 	line := fmt.Sprintf("%s %d to %s: %s, step %d of %d", run.Spec.Service, run.ID, run.Spec.To.Name, run.Phase, run.Step+1, len(run.Targets))
 	if run.Reason != "" {
 		line += " (" + run.Reason + ")"
@@ -99,7 +99,7 @@
 	return line
 }
 
-func (a *app) rolloutStart() *cobra.Command {
+func (a *app) rolloutStartCommand() *cobra.Command {
 	spec := rollout.Spec{Template: wire.Job{Kind: wire.KindService, Image: "none"}}
 	var watch bool
 	cmd := &cobra.Command{
@@ -110,7 +110,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			spec.Service, spec.To.Desc.Argv = args[0], args[1:]
 			spec.To.Desc.CPUs, spec.To.Desc.MemoryGB = spec.Template.CPUs, spec.Template.MemoryGB
-			return a.sendRollout(cmd, rolloutPath, spec, watch)
+			return a.postRollout(cmd, rolloutPath, spec, watch)
 		},
 	}
 	fs := cmd.Flags()
@@ -127,13 +127,13 @@
 	fs.BoolVar(&spec.Check.TCP, "tcp", false, "a connection is healthy")
 	fs.Float64Var(&spec.Check.EveryS, "every-s", 0, "seconds between checks (default 2)")
 	fs.Float64Var(&spec.Check.TimeoutS, "timeout-s", 0, "seconds after which a check hangs (default 1)")
-	fs.IntVar(&spec.Check.Healthy, "healthy", 0, "checks in a row that make a replica healthy (default 2)")
-	fs.IntVar(&spec.Check.Unhealthy, "unhealthy", 0, "and unhealthy (default 3)")
-	fs.IntVar(&spec.Check.Tries, "tries", 0, "hung checks in a row that pause the roll-out (default 3)")
+	fs.IntVar(&spec.Check.HealthyThreshold, "healthy", 0, "checks in a row that make a replica healthy (default 2)")
+	fs.IntVar(&spec.Check.UnhealthyThreshold, "unhealthy", 0, "and unhealthy (default 3)")
+	fs.IntVar(&spec.Check.TimeoutThreshold, "tries", 0, "hung checks in a row that pause the roll-out (default 3)")
 	fs.Float64Var(&spec.SoakS, "soak-s", 0, "least seconds that a step's replicas stay healthy (default 10)")
 	fs.Float64Var(&spec.PlaceS, "place-s", 0, "most seconds for a step's replicas to be healthy (default 120)")
 	fs.StringVar(&spec.OnFail, "on-fail", "", "rollback (default) or pause")
-	fs.BoolVar(&spec.Anytime, "anytime", false, "go on in slots too")
+	fs.BoolVar(&spec.IgnoreSlots, "anytime", false, "go on in slots too")
 	fs.StringVar(&spec.Template.Class, "class", "service", "class of a new service's jobs")
 	fs.StringVar(&spec.Template.Team, "team", "default", "team of a new service")
 	fs.StringVar(&spec.Template.Priority, "priority", "production", "priority of a new service")
@@ -141,7 +141,7 @@
 	fs.Float64Var(&spec.Template.MemoryGB, "memory-gb", 0.5, "memory of a replica, in GB")
 }
 
-func (a *app) rolloutStatus() *cobra.Command {
+func (a *app) rolloutStatusCommand() *cobra.Command {
 	var watch bool
 	cmd := &cobra.Command{Use: "status [SERVICE]", Short: "Show services and their roll-outs", Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		cl, err := a.client()
@@ -177,14 +177,14 @@
 	for _, s := range services {
 		run := "-"
 		if s.Run != nil {
-			run = describeRun(s.Run)
+			run = formatRun(s.Run)
 		}
 		t.printf("%s\t%s\t%d\t%s\n", s.Service.Name, s.Service.Version.Name, s.Service.Replicas, run)
 	}
 	return t.flush()
 }
 
-func (a *app) rolloutHistory() *cobra.Command {
+func (a *app) rolloutHistoryCommand() *cobra.Command {
 	return &cobra.Command{Use: "history SERVICE", Short: "List a service's ended roll-outs", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		cl, err := a.client()
 		if err != nil {
@@ -204,8 +204,8 @@
 	for i := range runs {
 		run := &runs[i]
 		restoredIn := "-"
-		if run.Verdict != 0 {
-			restoredIn = (time.Duration(run.Ended-run.Verdict) * time.Millisecond).String()
+		if run.RollbackSince != 0 {
+			restoredIn = (time.Duration(run.Ended-run.RollbackSince) * time.Millisecond).String()
 		}
 		t.printf("%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", run.ID, run.From.Name, run.Spec.To.Name, run.Phase, time.UnixMilli(run.Begun).UTC().Format(time.RFC3339),
 			time.Duration(run.Ended-run.Begun)*time.Millisecond, restoredIn, run.Reason)
--- a/cmd/wallctl/sbatch.go
+++ b/cmd/wallctl/sbatch.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	// Errors of printing are dropped here: after one, a script would submit the job again.
+	// Errors of printing are ignored: if they made the command fail, a script might submit the job again.
 	job, out := &request.Job, cmd.OutOrStdout()
 	switch {
 	case options.TestOnly:
@@ -35,7 +35,7 @@
 		return nil
 	}
 	if _, err := cl.Wait(cmd.Context(), job.UID); err != nil {
-		return endNotSeen(request, err)
+		return waitError(request, err)
 	}
-	return exitAsJob(cmd.Context(), cl, request)
+	return jobExitError(cmd.Context(), cl, request)
 }
--- a/cmd/wallctl/scontrol.go
+++ b/cmd/wallctl/scontrol.go
@@ -18,16 +18,16 @@
 )
 
 func scontrol(cmd *cobra.Command, cl *client.Client, args []string) error {
-	verb, what := "", ""
+	verb, object := "", ""
 	if len(args) > 0 {
 		verb = args[0]
 	}
 	if len(args) > 1 {
-		what = args[1]
+		object = args[1]
 	}
 	switch verb {
 	case "show":
-		switch what {
+		switch object {
 		case "node", "nodes":
 			return showNodes(cmd, cl, args[2:])
 		case "job", "jobs":
@@ -35,7 +35,7 @@
 		}
 	case "hold", "release":
 		if len(args) > 1 {
-			return orderJobs(cmd.Context(), cl, verb, args[1:])
+			return holdOrReleaseJobs(cmd.Context(), cl, verb, args[1:])
 		}
 	case "-h", "--help", "help":
 		_, err := fmt.Fprintln(cmd.OutOrStdout(), "Usage: scontrol show job|node [NAME] | hold JOB... | release JOB...")
@@ -44,13 +44,13 @@
 	return fmt.Errorf("%s: not supported by wallrack; there are show job, show node, hold, release", strings.Join(args, " "))
 }
 
-// orderJobs holds or releases jobs, up to the first error.
-func orderJobs(ctx context.Context, cl *client.Client, verb string, args []string) error {
+// holdOrReleaseJobs holds or releases jobs, up to the first error.
+func holdOrReleaseJobs(ctx context.Context, cl *client.Client, verb string, args []string) error {
 	for _, arg := range args {
 		for _, name := range splitJobs(arg) {
-			uid, err := findJob(ctx, cl, name)
+			uid, err := resolveJob(ctx, cl, name)
 			if err == nil {
-				err = cl.Order(ctx, uid, verb)
+				err = cl.ApplyVerb(ctx, uid, verb)
 			}
 			if err != nil {
 				return fmt.Errorf("%s: %w", name, err)
@@ -60,8 +60,9 @@
 	return nil
 }
 
-// findJob returns the uid of a job by its number or uid. Single tasks of an array are refused.
-func findJob(ctx context.Context, cl *client.Client, name string) (uid string, err error) {
+// resolveJob returns the uid of a job that is given by its number or uid. Single tasks of an array are
+// refused.
+func resolveJob(ctx context.Context, cl *client.Client, name string) (uid string, err error) {
 	if wire.ValidJobID(name) {
 		return name, nil
 	}
@@ -72,7 +73,7 @@
 	if !target.All {
 		return "", errors.New("single tasks of an array are not supported here by wallrack")
 	}
-	found, err := cl.Find(ctx, target.Number)
+	found, err := cl.JobByNumber(ctx, target.Number)
 	if errors.Is(err, client.ErrNotFound) {
 		return "", errInvalidJobID
 	}
@@ -82,7 +83,7 @@
 	return found.UID, nil
 }
 
-// showJobs prints the jobs of these names, or all active ones.
+// showJobs prints the jobs with the given names, or all active jobs if there are none.
 func showJobs(ctx context.Context, out io.Writer, cl *client.Client, names []string) error {
 	if len(names) == 0 {
 		return cl.Jobs(ctx, func(page *jobquery.Page) error {
@@ -95,7 +96,7 @@
 		})
 	}
 	for _, name := range names {
-		uid, err := findJob(ctx, cl, name)
+		uid, err := resolveJob(ctx, cl, name)
 		if err != nil {
 			return err
 		}
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// showNodes prints the workers of these names, or all.
+// showNodes prints the workers with the given names, or all workers if there are none.
 func showNodes(cmd *cobra.Command, cl *client.Client, names []string) error {
 	site, err := cl.Site(cmd.Context())
 	if err != nil {
@@ -121,7 +122,7 @@
 		return err
 	}
 	oneClass := *site
-	oneClass.Classes = []string{site.Class} // else each worker is listed once a class
+	oneClass.Classes = []string{site.Class} // otherwise each worker would be listed once for each class
 	shown := 0
 	for _, row := range slurm.Nodes(workers, &oneClass, true) {
 		if len(names) > 0 && !slices.Contains(names, row.Name) {
--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -16,11 +16,11 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// maxScript is the size in bytes of the longest script that is accepted.
+// maxScript is the maximum size of a batch script, in bytes.
 const maxScript = 512 << 10
 
-// readSubmission reads a submission from the command line, the script and the environment.
-// For --help it prints the options and returns slurm.ErrHelp.
+// readSubmission reads the options and the program of a submission from the command line, the script
+// and the environment. For --help it prints the options and returns slurm.ErrHelp.
 func readSubmission(cmd *cobra.Command, name slurm.Command, args []string, now time.Time) (*slurm.Options, *slurm.Work, error) {
 	given, program, err := slurm.ParseArgs(name, args)
 	if errors.Is(err, slurm.ErrHelp) {
@@ -57,20 +57,21 @@
 	return options, work, err
 }
 
-// newWork returns what a submission has of the process that submits.
+// newWork returns the part of a submission that comes from this process: environment, user, working
+// directory and host.
 func newWork() (*slurm.Work, error) {
 	dir, err := os.Getwd()
 	if err != nil {
 		return nil, err
 	}
-	host, _ := os.Hostname() // only shown to the tasks; may be empty
+	host, _ := os.Hostname() // only passed to the tasks for information; may be empty
 	return &slurm.Work{Env: os.Environ(), User: userName(), Dir: dir, Host: host}, nil
 }
 
-// readScript reads a batch script, and its arguments, into work, and returns its options.
+// readScript reads a batch script and its arguments into work and returns the options in the script.
 func readScript(stdin io.Reader, args []string, work *slurm.Work, now time.Time) (slurm.Given, error) {
 	var err error
-	if work.Script, work.File, err = scriptText(stdin, args); err != nil {
+	if work.Script, work.File, err = readScriptText(stdin, args); err != nil {
 		return nil, err
 	}
 	if len(args) > 0 {
@@ -79,15 +80,16 @@
 	return slurm.FromScript(work.Script, now)
 }
 
-// scriptText reads the script that the first argument names, or standard input.
-func scriptText(stdin io.Reader, args []string) (text, name string, err error) {
+// readScriptText reads the script from the file in the first argument, or from standard input if
+// there are no arguments.
+func readScriptText(stdin io.Reader, args []string) (text, name string, err error) {
 	in, name := stdin, "sbatch"
 	if len(args) > 0 {
 		f, err := os.Open(args[0])
 		if err != nil {
 			return "", "", &slurm.UsageError{Why: "Unable to open file " + args[0]}
 		}
-		defer func() { _ = f.Close() }() // it was only read
+		defer func() { _ = f.Close() }() // an error of closing after reading has no effect
 		in, name = f, args[0]
 	}
 	data, err := io.ReadAll(io.LimitReader(in, maxScript+1))
@@ -102,8 +104,8 @@
 	return string(data), name, nil
 }
 
-// submitSlurm translates and submits a job, or checks it only (options.TestOnly). Its uid is
-// made once: repeats of the requests make no second job.
+// submitSlurm translates and submits a job, or only validates it (options.TestOnly). Repeated requests
+// contain the same uid, so they do not create a second job.
 func submitSlurm(ctx context.Context, cl *client.Client, name slurm.Command, options *slurm.Options, work *slurm.Work, now time.Time) (*slurm.Request, error) {
 	site, err := cl.Site(ctx)
 	if err != nil {
@@ -113,29 +115,29 @@
 	if err != nil {
 		return nil, err
 	}
-	if request.Constraints.Number, err = cl.Numbers(ctx, request.Job.Tasks); err != nil {
-		return nil, fmt.Errorf("%s: %w", stepSubmit, err)
+	if request.Constraints.Number, err = cl.ReserveNumbers(ctx, request.Job.Tasks); err != nil {
+		return nil, fmt.Errorf("%s: %w", submitFailed, err)
 	}
 	request.Job.UID, request.Spec.Slurm.Number = client.NewUID(), request.Constraints.Number
-	_, err = cl.SubmitWith(ctx, &request.Job, &request.Constraints, &request.Spec, options.TestOnly)
+	_, err = cl.SubmitWithConstraints(ctx, &request.Job, &request.Constraints, &request.Spec, options.TestOnly)
 	switch {
 	case errors.Is(err, client.ErrUnknown):
 		return nil, fmt.Errorf("%s: no answer came in time; job %d (%s) may have been accepted or may be yet: ask with \"wallctl status %s\" before you submit again: %w",
-			stepSubmit, request.Constraints.Number, request.Job.UID, request.Job.UID, err)
+			submitFailed, request.Constraints.Number, request.Job.UID, request.Job.UID, err)
 	case err != nil:
-		return nil, fmt.Errorf("%s: %w", stepSubmit, err)
+		return nil, fmt.Errorf("%s: %w", submitFailed, err)
 	}
 	return request, nil
 }
 
-// endNotSeen is the error of a wait that failed.
-func endNotSeen(request *slurm.Request, err error) error {
+// waitError returns the error for a wait that failed before the job ended.
+func waitError(request *slurm.Request, err error) error {
 	return fmt.Errorf("job %d goes on, but its end was not seen: %w", request.Constraints.Number, err)
 }
 
-// exitAsJob returns nil if the job completed, else an exitError with the job's exit code, or
-// with 1 if it has none.
-func exitAsJob(ctx context.Context, cl *client.Client, request *slurm.Request) error {
+// jobExitError returns nil if the job completed, else an exitError with the job's exit code, or
+// with 1 if the job has none.
+func jobExitError(ctx context.Context, cl *client.Client, request *slurm.Request) error {
 	info, err := cl.Info(ctx, request.Job.UID)
 	if err != nil {
 		return fmt.Errorf("job %d is over, but how is not known: %w", request.Constraints.Number, err)
--- a/cmd/wallrack/local.go
+++ b/cmd/wallrack/local.go
@@ -6,7 +6,7 @@
 	"github.com/wallrack/wallrack/internal/local"
 )
 
-// localCommand runs a site on this machine.
+// localCommand returns the command that runs a whole site on this machine.
 func localCommand() *cobra.Command {
 	var site local.Site
 	var inProcess bool
@@ -22,7 +22,7 @@
 			if site.Log, err = logger(); err != nil {
 				return err
 			}
-			if site.Start, err = partsOf(site.Dir, inProcess); err != nil {
+			if site.Start, err = newPartStarter(site.Dir, inProcess); err != nil {
 				return err
 			}
 			return site.Run(cmd.Context(), func(url string) { printTo(cmd.OutOrStdout(), "ready %s\n", url) })
--- a/cmd/wallrack/local_test.go
+++ b/cmd/wallrack/local_test.go
@@ -17,11 +17,11 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// site runs a local site inside the test until stop is called.
-func site(t *testing.T, dir string) (c *client.Client, stop func()) {
+// startSite runs a local site in this process until stop is called.
+func startSite(t *testing.T, dir string) (c *client.Client, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	out := &line{ready: make(chan string, 1)}
-	cmd := command()
+	out := &readyWriter{ready: make(chan string, 1)}
+	cmd := newRootCommand()
 	cmd.SetOut(out)
 	cmd.SetArgs([]string{"local", "--in-process", "--controllers", "2", "--machines", "2", "--dir", dir})
 	done := make(chan error, 1)
@@ -42,13 +42,13 @@
 	return nil, nil
 }
 
-// line collects what a site prints, and sends it once the line is whole.
-type line struct {
+// readyWriter collects the output of a site and sends it to ready once the line is complete.
+type readyWriter struct {
 	bytes.Buffer
 	ready chan string
 }
 
-func (l *line) Write(p []byte) (int, error) {
+func (l *readyWriter) Write(p []byte) (int, error) {
 	n, err := l.Buffer.Write(p)
 	if strings.HasSuffix(l.String(), "\n") {
 		l.ready <- l.String()
@@ -65,8 +65,8 @@
 	return err
 }
 
-// A site on one machine runs a job, shows what it wrote, refuses what can't run, cancels,
-// and knows all of it after a restart on the same directory.
+// A local site runs a job, returns its output, refuses a job that can't run and cancels a job. After
+// a restart on the same directory it still has the states of these jobs.
 func TestLocalSiteKeepsJobsAcrossRestart(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes")
@@ -75,15 +75,16 @@
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	c, stop := site(t, dir)
+	c, stop := startSite(t, dir)
 	checkLocalJobs(ctx, t, c)
 	stop()
-	c, stop = site(t, dir)
+	c, stop = startSite(t, dir)
 	defer stop()
 	checkJobsAfterRestart(ctx, t, c)
 }
 
-// checkLocalJobs leaves a job that is done, one that is cancelled and one that runs.
+// checkLocalJobs submits jobs, checks their outcomes, and leaves one job that is done, one that is
+// cancelled and one that runs.
 func checkLocalJobs(ctx context.Context, t *testing.T, c *client.Client) {
 	t.Helper()
 	if err := submitScript(ctx, c, adhocJob("j-hello", 3), `echo "hello $WALLRACK_TASK"`); err != nil {
@@ -92,7 +93,7 @@
 	if s, err := c.Wait(ctx, "j-hello"); err != nil || s.Stage != wire.StageDone || s.Done != 3 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	if out, err := c.Raw(ctx, "/logs/j-hello/2"); err != nil || string(out) != "hello 2\n" {
+	if out, err := c.Get(ctx, "/logs/j-hello/2"); err != nil || string(out) != "hello 2\n" {
 		t.Errorf("wrote %q, %v", out, err)
 	}
 	checkLocalRefusals(ctx, t, c)
@@ -102,7 +103,7 @@
 	if s, err := c.Cancel(ctx, "j-long"); err != nil || s.Stage != wire.StageCancelled {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if err := submitScript(ctx, c, adhocJob("j-over", 1), "sleep 300"); err != nil { // runs when the site ends
+	if err := submitScript(ctx, c, adhocJob("j-over", 1), "sleep 300"); err != nil { // still running when the site ends
 		t.Fatal(err)
 	}
 }
@@ -118,7 +119,7 @@
 		t.Errorf("a task that fits no machine: %v", err)
 	}
 	if _, err := c.Status(ctx, "j-nobody"); !errors.Is(err, client.ErrNotFound) {
-		t.Errorf("a job that nobody submitted: %v", err)
+		t.Errorf("a job that was never submitted: %v", err)
 	}
 }
 
@@ -137,8 +138,8 @@
 	}
 }
 
-// TestMain is also a service, for the roll-outs below: with TEST_SERVICE=bad it turns
-// unhealthy some time after its start.
+// TestMain also acts as the service in the tests of roll-outs: with TEST_SERVICE=bad the service turns
+// unhealthy 1.5 s after its start.
 func TestMain(m *testing.M) {
 	mode := os.Getenv("TEST_SERVICE")
 	if mode == "" {
@@ -152,39 +153,39 @@
 	}))
 }
 
-// With real processes: a version that turns unhealthy halfway is halted and the prior one is
-// whole again within a minute, all replicas of it.
-func TestLocalRolloutRestoresAfterUnhealthyVersion(t *testing.T) {
+// With real processes, a version that turns unhealthy halfway through its roll-out is rolled back, and
+// all replicas of the prior version are healthy again within a minute.
+func TestLocalRolloutRestoresPriorVersion(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes")
 	}
 	t.Setenv("LOG_LEVEL", "error")
-	c, stop := site(t, t.TempDir())
+	c, stop := startSite(t, t.TempDir())
 	defer stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	first := tipsVersion("v1", "good")
+	first := tipsSpec("v1", "good")
 	first.Replicas, first.Steps = 2, []string{"100%"}
 	first.Template = wire.Job{Class: "service", Team: "default", Priority: "production", Image: "none"}
-	if r := rollOutTips(ctx, t, c, first); r.Phase != rollout.Done {
+	if r := rollOutAndWait(ctx, t, c, first); r.Phase != rollout.Done {
 		t.Fatalf("%s: %s", r.Phase, r.Reason)
 	}
-	r := rollOutTips(ctx, t, c, tipsVersion("v2", "bad"))
-	if back := time.Duration(r.Ended-r.Verdict) * time.Millisecond; r.Phase != rollout.Restored || back > time.Minute || !strings.Contains(r.Reason, "unhealthy") {
+	r := rollOutAndWait(ctx, t, c, tipsSpec("v2", "bad"))
+	if back := time.Duration(r.Ended-r.RollbackSince) * time.Millisecond; r.Phase != rollout.Restored || back > time.Minute || !strings.Contains(r.Reason, "unhealthy") {
 		t.Errorf("%s after %v: %s", r.Phase, back, r.Reason)
 	}
 }
 
-// tipsVersion is a roll-out of the service that TestMain is.
-func tipsVersion(version, mode string) rollout.Spec {
+// tipsSpec returns the spec of a roll-out of the service in TestMain.
+func tipsSpec(version, mode string) rollout.Spec {
 	return rollout.Spec{
 		Service: "tips", Steps: []string{"1", "100%"}, SoakS: 3, Check: rollout.Check{HTTP: "/up", EveryS: 0.3, TimeoutS: 1},
 		To: rollout.Version{Name: version, Desc: taskspec.Spec{Argv: []string{os.Args[0]}, Env: map[string]string{"TEST_SERVICE": mode}, CPUs: 1}},
 	}
 }
 
-// rollOutTips starts a roll-out and waits for its end.
-func rollOutTips(ctx context.Context, t *testing.T, c *client.Client, spec rollout.Spec) rollout.Run {
+// rollOutAndWait starts a roll-out and waits for its end.
+func rollOutAndWait(ctx context.Context, t *testing.T, c *client.Client, spec rollout.Spec) rollout.Run {
 	t.Helper()
 	body, err := json.Marshal(spec)
 	if err != nil {
@@ -194,7 +195,7 @@
 		t.Fatal(err)
 	}
 	for {
-		out, err := c.Raw(ctx, "/ops/rollouts/tips")
+		out, err := c.Get(ctx, "/ops/rollouts/tips")
 		var s rollout.Status
 		if err != nil || json.Unmarshal(out, &s) != nil {
 			t.Fatalf("%s, %v", out, err)
--- a/internal/client/recorded_test.go
+++ b/internal/client/recorded_test.go
@@ -19,21 +19,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// requests records each request and responds with an object that suits all.
+// requests is a server that records each request and sends a response that is valid for all of them.
 type requests struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 func (r *requests) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	body, _ := io.ReadAll(req.Body) // what arrived is compared
+	body, _ := io.ReadAll(req.Body) // a partial body fails the comparison
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fmt.Fprintf(&r.text, "%s %s\n\t%s\n", req.Method, req.RequestURI, body)
-	_, _ = io.WriteString(w, `{"uid":"j-1","stage":"done","first":7}`) // a client that left sees nothing
+	_, _ = io.WriteString(w, `{"uid":"j-1","stage":"done","first":7}`) // an error means that the client disconnected
 }
 
-// The paths, queries and bodies of every request of a client.
+// The paths, queries and bodies of a client's requests must not change.
 func TestRecordedRequests(t *testing.T) {
 	r := &requests{}
 	srv := httptest.NewServer(r)
@@ -54,9 +54,9 @@
 	}
 	_, err := c.Submit(ctx, &job, &description)
 	check(err)
-	_, err = c.SubmitWith(ctx, &job, &constraints, &description, false)
+	_, err = c.SubmitWithConstraints(ctx, &job, &constraints, &description, false)
 	check(err)
-	_, err = c.SubmitWith(ctx, &job, &constraints, &description, true)
+	_, err = c.SubmitWithConstraints(ctx, &job, &constraints, &description, true)
 	check(err)
 	_, err = c.SubmitDescribed(ctx, &wire.Job{UID: "j-plain"})
 	check(err)
@@ -64,19 +64,19 @@
 	check(err)
 	_, err = c.Cancel(ctx, "j-1")
 	check(err)
-	_, err = c.Raw(ctx, "/ops/stats")
+	_, err = c.Get(ctx, "/ops/stats")
 	check(err)
 	_, err = c.Site(ctx)
 	check(err)
-	_, err = c.Numbers(ctx, 3)
+	_, err = c.ReserveNumbers(ctx, 3)
 	check(err)
-	_, err = c.Find(ctx, 7)
+	_, err = c.JobByNumber(ctx, 7)
 	check(err)
 	_, err = c.Info(ctx, "j-1")
 	check(err)
 	check(c.Jobs(ctx, func(*jobquery.Page) error { return nil }))
-	check(c.Order(ctx, "j-1", "hold"))
+	check(c.ApplyVerb(ctx, "j-1", "hold"))
 	check(c.CancelTasks(ctx, "j-1", jobspec.RangesOf([]int{0, 1, 4})))
-	check(c.Accounts(ctx, time.Date(2026, 7, 3, 12, 0, 0, 0, time.UTC), func(*accounting.Row) {}))
+	check(c.AccountingRows(ctx, time.Date(2026, 7, 3, 12, 0, 0, 0, time.UTC), func(*accounting.Row) {}))
 	recorded.Compare(t, "requests.txt", []byte(r.text.String()))
 }
--- a/internal/rollout/health_checks.go
+++ b/internal/rollout/health_checks.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	maxProbes   = 32          // in flight, of all roll-outs together
-	forgetAfter = time.Minute // of a replica that is not listed any more
+	maxProbes        = 32          // concurrent probes, of all roll-outs together
+	replicaRetention = time.Minute // how long the state of a replica is retained after its last listing
 )
 
-// replicaHealth is what the last checks of a replica found. Its counts are in a row.
+// replicaHealth is the health of a replica by its latest checks. passes, failures and timeouts count
+// consecutive results.
 type replicaHealth struct {
-	listed    time.Time // when the replica was last listed
-	probed    time.Time
+	listed    time.Time // time of the last listing that contained the replica
+	probed    time.Time // start of the last probe, zero if there was none
 	probing   bool
 	passes    int
 	failures  int
@@ -26,8 +27,8 @@
 	hung      bool
 }
 
-// add takes a check's result into account. One without a result changes nothing.
-func (r *replicaHealth) add(health Health, check Check) {
+// record counts the result of a check. Unknown is ignored.
+func (r *replicaHealth) record(health Health, check Check) {
 	switch health {
 	case Healthy:
 		r.passes, r.failures, r.timeouts = r.passes+1, 0, 0
@@ -38,56 +39,56 @@
 	default:
 		return
 	}
-	if r.passes >= check.Healthy {
+	if r.passes >= check.HealthyThreshold {
 		r.healthy, r.unhealthy, r.hung = true, false, false
 	}
-	if r.failures >= check.Unhealthy {
+	if r.failures >= check.UnhealthyThreshold {
 		r.healthy, r.unhealthy = false, true
 	}
-	if r.timeouts >= check.Tries {
+	if r.timeouts >= check.TimeoutThreshold {
 		r.healthy, r.hung = false, true
 	}
 }
 
-// healthChecks probes the replicas that matter now, and keeps what that found.
-type healthChecks struct {
-	prober Prober
-	slots  chan struct{}
-	probes sync.WaitGroup
+// healthChecker probes the replicas of active roll-outs and stores their health.
+type healthChecker struct {
+	prober   Prober
+	inFlight chan struct{}
+	probes   sync.WaitGroup
 
 	mu       sync.Mutex
 	replicas map[string]*replicaHealth
 }
 
-func newHealthChecks(p Prober) *healthChecks {
-	return &healthChecks{prober: p, slots: make(chan struct{}, maxProbes), replicas: map[string]*replicaHealth{}}
+func newHealthChecker(p Prober) *healthChecker {
+	return &healthChecker{prober: p, inFlight: make(chan struct{}, maxProbes), replicas: map[string]*replicaHealth{}}
 }
 
-// observe starts the checks that are due, as far as there are slots, and returns what is known
-// of a job's replicas.
-func (c *healthChecks) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (seen JobStatus) {
+// observe starts the checks that are due, as far as maxProbes allows, and returns the known
+// health of a job's replicas.
+func (c *healthChecker) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (status JobStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, replica := range replicas {
 		known := c.replicaLocked(replica)
 		known.listed = now
-		seen.Running++
+		status.Running++
 		switch {
-		case known.unhealthy && seen.Unhealthy == "":
-			seen.Unhealthy = replica.Task
-		case known.hung && seen.Hung == "":
-			seen.Hung = replica.Task
+		case known.unhealthy && status.UnhealthyTask == "":
+			status.UnhealthyTask = replica.Task
+		case known.hung && status.HungTask == "":
+			status.HungTask = replica.Task
 		case known.healthy:
-			seen.Healthy++
+			status.Healthy++
 		}
 		if !known.probing && now.Sub(known.probed) >= seconds(check.EveryS) {
 			c.probeLocked(ctx, now, replica, known, check)
 		}
 	}
-	return seen
+	return status
 }
 
-func (c *healthChecks) replicaLocked(replica Replica) *replicaHealth {
+func (c *healthChecker) replicaLocked(replica Replica) *replicaHealth {
 	key := replica.Task + " " + strconv.FormatUint(replica.Attempt, 10)
 	known := c.replicas[key]
 	if known == nil {
@@ -97,31 +98,33 @@
 	return known
 }
 
-// probeLocked starts a check of a replica. Without a slot a later call does.
-func (c *healthChecks) probeLocked(ctx context.Context, now time.Time, replica Replica, known *replicaHealth, check Check) {
+// probeLocked starts a check of a replica. If maxProbes checks are in flight it does nothing, and the
+// next call to observe tries again.
+func (c *healthChecker) probeLocked(ctx context.Context, now time.Time, replica Replica, known *replicaHealth, check Check) {
 	select {
-	case c.slots <- struct{}{}:
+	case c.inFlight <- struct{}{}:
 	default:
 		return
 	}
 	known.probing, known.probed = true, now
 	c.probes.Go(func() {
 		health := c.prober.Probe(ctx, replica, check)
-		<-c.slots
+		<-c.inFlight
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		known.probing = false
-		known.add(health, check)
+		known.record(health, check)
 	})
 }
 
-// forget drops what is known of replicas that were not listed lately, and, unless prefix is
-// empty, of all whose task begins with it: a resumed roll-out checks them anew.
-func (c *healthChecks) forget(now time.Time, prefix string) {
+// removeStale removes the health of replicas that were not listed within replicaRetention and,
+// unless prefix is empty, of all replicas whose task name begins with prefix. A resumed roll-out
+// uses the latter to check its replicas from scratch.
+func (c *healthChecker) removeStale(now time.Time, prefix string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, known := range c.replicas {
-		if now.Sub(known.listed) > forgetAfter || prefix != "" && strings.HasPrefix(key, prefix) {
+		if now.Sub(known.listed) > replicaRetention || prefix != "" && strings.HasPrefix(key, prefix) {
 			delete(c.replicas, key)
 		}
 	}
--- a/internal/rollout/recorded_test.go
+++ b/internal/rollout/recorded_test.go
@@ -41,8 +41,8 @@
 func fullSpec() Spec {
 	return Spec{
 		Service: "tips", To: fullVersion("v2"), Steps: []string{"1", "25%", "100%"},
-		Check: Check{HTTP: "/up", TCP: true, EveryS: 2, TimeoutS: 1.5, Healthy: 2, Unhealthy: 3, Tries: 4},
-		SoakS: 10, PlaceS: 120, OnFail: OnFailPause, Anytime: true, Template: fullTemplate(), Replicas: 8,
+		Check: Check{HTTP: "/up", TCP: true, EveryS: 2, TimeoutS: 1.5, HealthyThreshold: 2, UnhealthyThreshold: 3, TimeoutThreshold: 4},
+		SoakS: 10, PlaceS: 120, OnFail: OnFailPause, IgnoreSlots: true, Template: fullTemplate(), Replicas: 8,
 	}
 }
 
@@ -56,11 +56,11 @@
 // fullRun returns a roll-out with every field set.
 func fullRun() Run {
 	return Run{
-		ID: 3, Spec: fullSpec(), From: fullVersion("v1"), Targets: []int{1, 2, 8}, Step: 1, Phase: RollingBack, Resume: Soaking,
+		ID: 3, Spec: fullSpec(), From: fullVersion("v1"), Targets: []int{1, 2, 8}, Step: 1, Phase: RollingBack, ResumePhase: Soaking,
 		Reason: "j-svc-tips-3-1/0 is <unhealthy> & é", Outcome: Restored,
 		New: batches("v2", "j-svc-tips-3-1", "j-svc-tips-3-2"), Old: batches("v1", "j-svc-tips-2-1"),
-		Restore: batches("v1", "j-svc-tips-3-4"), Drop: batches("v2", "j-svc-tips-3-3"),
-		Lost: 2, Seq: 4, Since: 1700000000123, Verdict: 1700000000456, Begun: 1700000000001, Ended: 1700000000789,
+		Restore: batches("v1", "j-svc-tips-3-4"), ToCancel: batches("v2", "j-svc-tips-3-3"),
+		Losses: 2, Seq: 4, PhaseSince: 1700000000123, RollbackSince: 1700000000456, Begun: 1700000000001, Ended: 1700000000789,
 	}
 }
 
@@ -68,9 +68,9 @@
 	return Service{Name: "tips", Replicas: 8, Template: fullTemplate(), Version: fullVersion("v1"), Batches: batches("v1", "j-svc-tips-2-1", "j-svc-tips-2-2")}
 }
 
-// Controllers of different versions share the records, and operators' tools read what is
-// sent, so their form must not change.
-func TestRecordedForms(t *testing.T) {
+// Controllers of different versions share the records, and operators' tools read the responses,
+// so the encoding of both must not change.
+func TestRecordedEncodings(t *testing.T) {
 	recorded.Check(t, "spec", fullSpec())
 	recorded.Check(t, "spec_least", Spec{})
 	recorded.Check(t, "run", fullRun())
@@ -79,14 +79,14 @@
 	recorded.Check(t, "service_least", Service{})
 	run := fullRun()
 	recorded.Check(t, "status", Status{Service: fullService(), Run: &run, Jobs: map[string]JobStatus{
-		"j-svc-tips-3-1": {Ended: true, Running: 3, Healthy: 2, Unhealthy: "j-svc-tips-3-1/0", Hung: "j-svc-tips-3-1/1"},
+		"j-svc-tips-3-1": {Ended: true, Running: 3, Healthy: 2, UnhealthyTask: "j-svc-tips-3-1/0", HungTask: "j-svc-tips-3-1/1"},
 		"j-svc-tips-3-2": {},
 	}})
 	recorded.Check(t, "status_least", Status{})
 }
 
-// Texts that are recorded or sent.
-func TestRecordedTexts(t *testing.T) {
+// Constants that are stored in records or sent must not change.
+func TestRecordedConstants(t *testing.T) {
 	got := []any{
 		Pending, WaitingSlot, Placing, Soaking, Retiring, Paused, RollingBack, Done, Aborted, Restored,
 		Healthy, Unhealthy, Hung, Unknown, OnFailRollback, OnFailPause, VerbPause, VerbResume, VerbAbort,
@@ -104,8 +104,8 @@
 func TestRecordedKeys(t *testing.T) {
 	run := fullRun()
 	for got, want := range map[string]string{
-		prefix: "rollout/", serviceKey: "rollout/service/", runKey: "rollout/run/", pastKey: "rollout/past/",
-		run.batch(1, "v2").UID: "j-svc-tips-3-5",
+		keyPrefix: "rollout/", serviceKey: "rollout/service/", runKey: "rollout/run/", historyKey: "rollout/past/",
+		run.newBatch(1, "v2").UID: "j-svc-tips-3-5",
 	} {
 		if got != want {
 			t.Errorf("key %q, want %q", got, want)
@@ -113,9 +113,9 @@
 	}
 }
 
-// What a manager writes when a roll-out ends, as the state service has it, and that
-// another reads it.
-func TestRecordedByManager(t *testing.T) {
+// The records that a manager writes when a roll-out ends must not change, and another manager
+// must be able to read them.
+func TestRecordedManagerWrites(t *testing.T) {
 	store := testkit.NewStore()
 	manager := func() *Manager {
 		return NewManager(nil, &testkit.View{Store: store}, nil, nil, nil, 1<<20, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -149,13 +149,13 @@
 	}
 }
 
-// recordedText returns a file of testdata/recorded without its line's end.
+// recordedText returns the contents of a file of testdata/recorded without the final newline.
 func recordedText(t *testing.T, file string) json.RawMessage {
 	t.Helper()
 	return json.RawMessage(strings.TrimSuffix(string(recorded.Read(t, file)), "\n"))
 }
 
-// The requests for checks, as a worker gets them, and its response.
+// The check requests that are sent to a worker, and the decoding of its response, must not change.
 func TestRecordedProbe(t *testing.T) {
 	var requests []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"net/url"
 	"time"
-	_ "time/tzdata" // zones on machines that have none
+	_ "time/tzdata" // time zones for machines without a zone database
 
 	"github.com/robfig/cron/v3"
 	"olympos.io/encoding/edn"
@@ -13,34 +13,33 @@
 	"github.com/wallrack/wallrack/internal/config"
 )
 
-// Slot is a recurring time in which no step begins.
+// Slot is a recurring blackout window in which no step of a roll-out begins.
 type Slot struct {
-	Name  string
-	Start cron.Schedule // in the slot's zone
-	For   time.Duration
+	Name   string
+	Start  cron.Schedule // in the slot's zone
+	Length time.Duration
 }
 
 // Settings are the operators' settings of roll-outs.
 type Settings struct {
 	Descriptions string // base URL of the description service
 	Slots        []Slot
-	Classes      []string // of jobs: a slot lasts while one of them is unfinished
+	Classes      []string // classes of jobs; no step begins while a job of one of them is unfinished
 }
 
 const maxSlot = 7 * 24 * time.Hour
 
-// LoadSettings reads and checks a file of settings. Its errors name the file. Such a file is
+// LoadSettings reads and validates a settings file. Its errors name the file. An example:
 //
 //	(rollouts
 //	  (descriptions "http://127.0.0.1:7700")
-//	  (slot "nightly split" "30 1 * * *" "Europe/London" 90) ; cron, zone, minutes
+//	  (slot "nightly split" "30 1 * * *" "Europe/London" 90) ; schedule, zone, minutes
 //	  (slot-class "tip-split"))
 func LoadSettings(path string) (*Settings, error) {
 	return config.Load(path, ParseSettings)
 }
 
-// ParseSettings reads the text of the operators' settings. Its errors name the entry that is
-// wrong.
+// ParseSettings parses and validates the text of a settings file. Its errors name the invalid entry.
 func ParseSettings(data []byte) (*Settings, error) {
 	entries, err := config.Entries(data, "rollouts", "(key value ...)")
 	if err != nil {
@@ -52,10 +51,10 @@
 		if !ok || len(entry) == 0 {
 			return nil, fmt.Errorf("entry %d: expected (key value ...)", i+1)
 		}
-		key, _ := entry[0].(edn.Symbol) // another kind is an unknown key
+		key, _ := entry[0].(edn.Symbol) // any other type leaves an empty, thus unknown, key
 		texts := make([]string, len(entry))
 		for k, text := range entry[1:] {
-			texts[k+1], _ = text.(string) // checked where a text is needed
+			texts[k+1], _ = text.(string) // empty for other types, which the cases below refuse
 		}
 		switch {
 		case key == "descriptions" && len(entry) == 2:
@@ -84,11 +83,11 @@
 	return s, nil
 }
 
-// parseSlot reads a slot of so many minutes that begins by a cron spec in a zone.
+// parseSlot parses a slot: its start as a cron spec in a time zone, and its length in minutes.
 func parseSlot(name, spec, zone string, minutes any) (*Slot, error) {
-	count, ok := minutes.(int64)
-	length := time.Duration(count) * time.Minute
-	if name == "" || !ok || count < 1 || length > maxSlot {
+	minuteCount, ok := minutes.(int64)
+	length := time.Duration(minuteCount) * time.Minute
+	if name == "" || !ok || minuteCount < 1 || length > maxSlot {
 		return nil, errors.New("a name, a calendar, a zone and 1 to 10080 minutes are needed")
 	}
 	location, err := time.LoadLocation(zone)
@@ -103,27 +102,27 @@
 	if first.IsZero() {
 		return nil, fmt.Errorf("calendar %q never comes", spec)
 	}
-	// A slot that ends where the next one begins would block for ever.
+	// Slots without a gap between them would block roll-outs for ever.
 	if second := start.Next(first); !second.IsZero() && second.Sub(first) <= length {
-		return nil, fmt.Errorf("calendar %q leaves no time between slots of %d minutes", spec, count)
+		return nil, fmt.Errorf("calendar %q leaves no time between slots of %d minutes", spec, minuteCount)
 	}
-	return &Slot{Name: name, Start: start, For: length}, nil
+	return &Slot{Name: name, Start: start, Length: length}, nil
 }
 
-// In reports whether the slot is on, and until when.
-func (s *Slot) In(now time.Time) (until time.Time, on bool) {
-	start := s.Start.Next(now.Add(-s.For))
+// ActiveAt reports whether a time is within the slot, and when the slot ends.
+func (s *Slot) ActiveAt(now time.Time) (until time.Time, active bool) {
+	start := s.Start.Next(now.Add(-s.Length))
 	if start.IsZero() || start.After(now) {
 		return time.Time{}, false
 	}
-	return start.Add(s.For), true
+	return start.Add(s.Length), true
 }
 
-// Blocked returns why no step may begin now, or "". unfinished reports whether a job of a
-// class is unfinished.
-func (s *Settings) Blocked(now time.Time, unfinished func(class string) bool) string {
+// BlockedReason returns the reason why no step may begin now, or "". The function unfinished
+// reports whether a job of a class is unfinished.
+func (s *Settings) BlockedReason(now time.Time, unfinished func(class string) bool) string {
 	for i := range s.Slots {
-		if until, on := s.Slots[i].In(now); on {
+		if until, on := s.Slots[i].ActiveAt(now); on {
 			return fmt.Sprintf("slot %q until %s", s.Slots[i].Name, until.UTC().Format(time.RFC3339))
 		}
 	}
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -10,132 +10,132 @@
 )
 
 const (
-	// restoreTimeout is how long a roll-back waits for room beside the new version's
-	// replicas before it takes theirs.
+	// restoreTimeout is how long a roll-back waits for the old version's replicas to be placed
+	// beside the new version's before it cancels the latter to free their capacity.
 	restoreTimeout = 15 * time.Second
-	// maxLosses is how often a step's replicas may be lost while soaking.
+	// maxLosses is how often replicas of one step may be lost while soaking before the roll-out pauses.
 	maxLosses = 3
 )
 
 // JobStatus is the observed state of a batch's job.
 type JobStatus struct {
-	Ended     bool   `json:"Gone"` // it is cancelled, or was never accepted and never will be
-	Running   int    `json:"Running"`
-	Healthy   int    `json:"Healthy"`
-	Unhealthy string `json:"Unhealthy"` // a replica found unhealthy, or ""
-	Hung      string `json:"Hung"`      // a replica whose checks hang, or ""
+	Ended         bool   `json:"Gone"` // true if the job was cancelled, or was not accepted and can't be accepted later
+	Running       int    `json:"Running"`
+	Healthy       int    `json:"Healthy"`
+	UnhealthyTask string `json:"Unhealthy"` // task name of an unhealthy replica, or ""
+	HungTask      string `json:"Hung"`      // task name of a replica whose checks time out, or ""
 }
 
-// Seen is the observed state that a roll-out goes on by.
-type Seen struct {
-	Jobs    map[string]JobStatus
-	Blocked string // why no step may begin now, or ""
+// Observation is the observed state from which Advance computes the next state.
+type Observation struct {
+	Jobs          map[string]JobStatus
+	BlockedReason string // reason why no step may begin now, or ""
 }
 
-// healthy counts the healthy replicas of batches.
-func (s *Seen) healthy(batches []Batch) (n int) {
+// healthy returns the number of healthy replicas of batches.
+func (s *Observation) healthy(batches []Batch) (n int) {
 	for _, batch := range batches {
 		n += s.Jobs[batch.UID].Healthy
 	}
 	return n
 }
 
-// running counts the running replicas of batches.
-func (s *Seen) running(batches []Batch) (n int) {
+// running returns the number of running replicas of batches.
+func (s *Observation) running(batches []Batch) (n int) {
 	for _, batch := range batches {
 		n += s.Jobs[batch.UID].Running
 	}
 	return n
 }
 
-// failures names the first unhealthy replica of batches, and the first whose checks hang.
-func (s *Seen) failures(batches []Batch) (unhealthy, hung string) {
+// failures returns the first unhealthy replica of batches and the first whose checks time out, or "".
+func (s *Observation) failures(batches []Batch) (unhealthy, hung string) {
 	for _, batch := range batches {
 		job := s.Jobs[batch.UID]
-		unhealthy, hung = cmp.Or(unhealthy, job.Unhealthy), cmp.Or(hung, job.Hung)
+		unhealthy, hung = cmp.Or(unhealthy, job.UnhealthyTask), cmp.Or(hung, job.HungTask)
 	}
 	return unhealthy, hung
 }
 
 // ended reports whether the jobs of all batches are cancelled.
-func (s *Seen) ended(batches []Batch) bool {
+func (s *Observation) ended(batches []Batch) bool {
 	return !slices.ContainsFunc(batches, func(batch Batch) bool { return !s.Jobs[batch.UID].Ended })
 }
 
-// Wanted returns what a recorded roll-out needs done, repeated until it is observed: jobs that
-// must be submitted, and jobs that must be cancelled.
-func Wanted(r *Run) (submit, drop []Batch) {
-	return append(append(submit, r.New...), r.Restore...), r.Drop
+// RequiredActions returns the jobs that must be submitted and those that must be cancelled for a
+// recorded roll-out. The actions are idempotent and are repeated until they succeed.
+func RequiredActions(r *Run) (submit, toCancel []Batch) {
+	return append(append(submit, r.New...), r.Restore...), r.ToCancel
 }
 
-// Next changes a service and its roll-out to the state that follows; false if nothing changes.
-// What the new state wants is done only once it is written.
-func Next(service *Service, r *Run, seen *Seen, now time.Time) bool {
+// Advance changes a service and its roll-out to the next state; it returns false if nothing changes.
+// The actions that the new state requires must not start before that state is stored.
+func Advance(service *Service, r *Run, observed *Observation, now time.Time) bool {
 	switch r.Phase {
 	case Pending, WaitingSlot:
-		if seen.Blocked != "" && !r.Spec.Anytime {
-			if r.Phase == WaitingSlot && r.Reason == seen.Blocked {
+		if observed.BlockedReason != "" && !r.Spec.IgnoreSlots {
+			if r.Phase == WaitingSlot && r.Reason == observed.BlockedReason {
 				return false
 			}
-			r.enter(WaitingSlot, seen.Blocked, now)
+			r.setPhase(WaitingSlot, observed.BlockedReason, now)
 			return true
 		}
-		r.begin(now)
+		r.beginStep(now)
 	case Placing, Soaking, Retiring:
-		return r.step(service, seen, now)
+		return r.advanceStep(service, observed, now)
 	case RollingBack:
-		return r.continueRollback(service, seen, now)
+		return r.advanceRollback(service, observed, now)
 	default:
 		return false
 	}
 	return true
 }
 
-// begin starts a step: its replicas are to be submitted.
-func (r *Run) begin(now time.Time) {
-	if more := r.Targets[r.Step] - total(r.New); more > 0 {
-		r.New = append(r.New, r.batch(more, r.Spec.To.Name))
+// beginStep starts a step by adding a batch with its new replicas.
+func (r *Run) beginStep(now time.Time) {
+	if more := r.Targets[r.Step] - countReplicas(r.New); more > 0 {
+		r.New = append(r.New, r.newBatch(more, r.Spec.To.Name))
 	}
-	r.Lost = 0
-	r.enter(Placing, "", now)
+	r.Losses = 0
+	r.setPhase(Placing, "", now)
 }
 
-// step goes on with a step whose replicas are placed, soak, or replace old ones.
-func (r *Run) step(service *Service, seen *Seen, now time.Time) bool {
-	unhealthy, hung := seen.failures(r.New)
+// advanceStep computes the next state of a roll-out that is placing, soaking or retiring.
+func (r *Run) advanceStep(service *Service, observed *Observation, now time.Time) bool {
+	unhealthy, hung := observed.failures(r.New)
 	switch {
 	case unhealthy != "":
-		why := "unhealthy: " + unhealthy
+		reason := "unhealthy: " + unhealthy
 		if r.Spec.OnFail == OnFailPause {
-			r.pause(why, now)
+			r.pause(reason, now)
 		} else {
-			r.rollBack(Restored, why, now)
+			r.beginRollback(Restored, reason, now)
 		}
 		return true
 	case hung != "":
-		// A check that hangs shows nothing of the replica: to go on could take the
-		// service down, to roll back could be for nothing.
+		// A check that times out does not show the replica's health: continuing could take the
+		// service down, and rolling back could be needless.
 		r.pause("the health check hangs: "+hung, now)
 		return true
 	}
-	healthy, want := seen.healthy(r.New), total(r.New)
+	healthy, want := observed.healthy(r.New), countReplicas(r.New)
 	switch {
 	case r.Phase == Placing && healthy >= want:
-		r.enter(Soaking, "", now)
-	case r.Phase == Placing && r.age(now) > seconds(r.Spec.PlaceS):
-		r.pause(fmt.Sprintf("%d of %d new replicas run and %d are healthy after %g s", seen.running(r.New), want, healthy, r.Spec.PlaceS), now)
+		r.setPhase(Soaking, "", now)
+	case r.Phase == Placing && r.timeInPhase(now) > seconds(r.Spec.PlaceS):
+		r.pause(fmt.Sprintf("%d of %d new replicas run and %d are healthy after %g s", observed.running(r.New), want, healthy, r.Spec.PlaceS), now)
 	case r.Phase == Soaking && healthy < want:
-		// Machines fail, which is no fault of the version; replicas that end again and
-		// again are.
-		if r.Lost++; r.Lost > maxLosses {
-			r.pause(fmt.Sprintf("replicas were lost %d times while soaking", r.Lost), now)
+		// A single loss is usually the failure of a machine, repeated losses are a fault of
+		// the version.
+		if r.Losses++; r.Losses > maxLosses {
+			r.pause(fmt.Sprintf("replicas were lost %d times while soaking", r.Losses), now)
 		} else {
-			r.enter(Placing, "replicas were lost while soaking", now)
+			r.setPhase(Placing, "replicas were lost while soaking", now)
 		}
-	case r.Phase == Soaking && r.age(now) >= seconds(r.Spec.SoakS):
-		r.retire(service)
-		r.enter(Retiring, "", now)
-	case r.Phase == Retiring && seen.ended(r.Drop):
+	case r.Phase == Soaking && r.timeInPhase(now) >= seconds(r.Spec.SoakS):
+		r.retireBatches(service)
+		r.setPhase(Retiring, "", now)
+	case r.Phase == Retiring && observed.ended(r.ToCancel):
 		r.endStep(service, now)
 	default:
 		return false
@@ -143,29 +143,30 @@
 	return true
 }
 
-// endStep goes on to the next step, or to the end.
+// endStep moves to the next step, or ends the roll-out after the last one.
 func (r *Run) endStep(service *Service, now time.Time) {
-	r.Drop = nil
+	r.ToCancel = nil
 	if r.Step+1 < len(r.Targets) {
 		r.Step++
-		r.enter(WaitingSlot, "", now)
+		r.setPhase(WaitingSlot, "", now)
 		return
 	}
 	service.Version, service.Batches = r.Spec.To, r.New
 	r.Old, r.Outcome = nil, Done
-	r.enter(Done, "", now)
+	r.setPhase(Done, "", now)
 }
 
-// retire marks old jobs to be cancelled, as far as the service keeps its replicas without them.
-func (r *Run) retire(service *Service) {
-	spare := total(r.New) + total(r.Old) - service.Replicas
+// retireBatches moves old batches to ToCancel, smallest first, as long as the remaining replicas suffice
+// for the service.
+func (r *Run) retireBatches(service *Service) {
+	surplus := countReplicas(r.New) + countReplicas(r.Old) - service.Replicas
 	old := slices.Clone(r.Old)
 	slices.SortStableFunc(old, func(a, b Batch) int { return a.Replicas - b.Replicas })
 	r.Old = nil
 	for _, batch := range old {
-		if batch.Replicas <= spare {
-			spare -= batch.Replicas
-			r.Drop = append(r.Drop, batch)
+		if batch.Replicas <= surplus {
+			surplus -= batch.Replicas
+			r.ToCancel = append(r.ToCancel, batch)
 		} else {
 			r.Old = append(r.Old, batch)
 		}
@@ -173,54 +174,54 @@
 }
 
 // pause stops the roll-out until an operator resumes or aborts it.
-func (r *Run) pause(why string, now time.Time) {
-	r.Resume = r.Phase
-	r.enter(Paused, why, now)
+func (r *Run) pause(reason string, now time.Time) {
+	r.ResumePhase = r.Phase
+	r.setPhase(Paused, reason, now)
 }
 
-// rollBack has the old version restored, to end as outcome.
-func (r *Run) rollBack(outcome Phase, why string, now time.Time) {
-	r.Outcome, r.Verdict, r.Resume = outcome, now.UnixMilli(), ""
+// beginRollback starts restoring the old version; the roll-out will end in the phase outcome.
+func (r *Run) beginRollback(outcome Phase, reason string, now time.Time) {
+	r.Outcome, r.RollbackSince, r.ResumePhase = outcome, now.UnixMilli(), ""
 	replicas := r.Targets[len(r.Targets)-1]
-	if missing := replicas - total(r.Old); missing > 0 && r.From.Name != "" { // a new service has nothing to restore
-		r.Restore = append(r.Restore, r.batch(missing, r.From.Name))
+	if missing := replicas - countReplicas(r.Old); missing > 0 && r.From.Name != "" { // a new service has no old version
+		r.Restore = append(r.Restore, r.newBatch(missing, r.From.Name))
 	}
-	r.enter(RollingBack, why, now)
+	r.setPhase(RollingBack, reason, now)
 }
 
-// continueRollback goes on with a roll-back: the new version's replicas are cancelled once the
-// old one's are healthy, or sooner if these find no room beside them.
-func (r *Run) continueRollback(service *Service, seen *Seen, now time.Time) bool {
-	kept := append(slices.Clone(r.Old), r.Restore...)
-	restored := seen.healthy(r.Restore) >= total(r.Restore)
+// advanceRollback computes the next state of a roll-back. The new version's replicas are cancelled
+// once the old version's are healthy, or after a timeout if the latter lack capacity to run.
+func (r *Run) advanceRollback(service *Service, observed *Observation, now time.Time) bool {
+	remaining := append(slices.Clone(r.Old), r.Restore...)
+	restored := observed.healthy(r.Restore) >= countReplicas(r.Restore)
 	timeout := restoreTimeout
 	if r.Outcome == Aborted {
-		timeout = max(timeout, seconds(r.Spec.PlaceS)) // the new ones may be healthy
+		timeout = max(timeout, seconds(r.Spec.PlaceS)) // the new replicas may be healthy, so wait longer
 	}
-	crowded := seen.running(r.Restore) < total(r.Restore) && r.age(now) > timeout
+	lackCapacity := observed.running(r.Restore) < countReplicas(r.Restore) && r.timeInPhase(now) > timeout
 	switch {
-	case len(r.New) > 0 && (restored || crowded):
-		r.Drop = append(r.Drop, r.New...)
+	case len(r.New) > 0 && (restored || lackCapacity):
+		r.ToCancel = append(r.ToCancel, r.New...)
 		r.New = nil
 		return true
-	case len(r.New) == 0 && restored && seen.ended(r.Drop):
-		service.Version, service.Batches = r.From, kept
-		r.Drop = nil
-		r.enter(r.Outcome, r.Reason, now)
+	case len(r.New) == 0 && restored && observed.ended(r.ToCancel):
+		service.Version, service.Batches = r.From, remaining
+		r.ToCancel = nil
+		r.setPhase(r.Outcome, r.Reason, now)
 		return true
 	}
 	return false
 }
 
-// Verbs of operators.
+// Verbs that operators can apply to a roll-out.
 const (
 	VerbPause  = "pause"
 	VerbResume = "resume"
 	VerbAbort  = "abort"
 )
 
-// Order applies an operator's verb to a roll-out. Its errors are ErrInput.
-func Order(r *Run, verb string, now time.Time) error {
+// ApplyVerb applies an operator's verb to a roll-out. Its errors wrap ErrInput.
+func ApplyVerb(r *Run, verb string, now time.Time) error {
 	switch {
 	case r.Phase.Final():
 		return fmt.Errorf("%w: roll-out %d of %s is over: %s", ErrInput, r.ID, r.Spec.Service, r.Phase)
@@ -233,10 +234,10 @@
 	case verb == VerbResume && r.Phase != Paused:
 		return fmt.Errorf("%w: it is not paused but %s", ErrInput, r.Phase)
 	case verb == VerbResume:
-		r.enter(r.Resume, "", now)
-		r.Resume, r.Lost = "", 0
+		r.setPhase(r.ResumePhase, "", now)
+		r.ResumePhase, r.Losses = "", 0
 	case verb == VerbAbort:
-		r.rollBack(Aborted, "by an operator", now)
+		r.beginRollback(Aborted, "by an operator", now)
 	default:
 		return fmt.Errorf("%w: verb: %q is none of pause, resume, abort", ErrInput, verb)
 	}
@@ -245,8 +246,8 @@
 
 var seconds = config.Seconds
 
-// Plan returns the roll-out of a spec for a service, pending. Its errors name the field of the
-// spec.
+// Plan returns a new roll-out of a service, in the phase Pending. Its errors name the invalid field
+// of the spec.
 func Plan(service *Service, spec Spec, id int, now time.Time) (*Run, error) {
 	targets, err := Targets(spec.Steps, service.Replicas)
 	if err != nil {
@@ -256,6 +257,6 @@
 		return nil, fieldError("to.name", "%s runs %s already", service.Name, spec.To.Name)
 	}
 	r := &Run{ID: id, Spec: spec, From: service.Version, Targets: targets, Old: slices.Clone(service.Batches), Begun: now.UnixMilli()}
-	r.enter(Pending, "", now)
+	r.setPhase(Pending, "", now)
 	return r, nil
 }
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -9,9 +9,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// drive does what the recorded state of one roll-out wants, observes, and records what
-// follows. Checks go on for as long as checkCtx lasts, beyond ctx.
-func (m *Manager) drive(ctx, checkCtx context.Context, name string, lead wire.Guard, blocked string) error {
+// reconcile performs the actions that the recorded state of one roll-out requires, observes its
+// jobs, and records the next state. Checks may outlast ctx; they end with checkCtx.
+func (m *Manager) reconcile(ctx, checkCtx context.Context, name string, leaderGuard wire.Guard, blockedReason string) error {
 	m.mu.Lock()
 	e := m.entries[name]
 	next, err := e.clone()
@@ -20,48 +20,49 @@
 		return err
 	}
 	run := next.run
-	submit, drop := Wanted(run)
+	submit, toCancel := RequiredActions(run)
 	for _, batch := range submit {
-		if err := m.submit(ctx, &next, batch, lead, wire.Guard{Key: runKey + name, Version: next.runVersion}); err != nil {
+		if err := m.submit(ctx, &next, batch, leaderGuard, wire.Guard{Key: runKey + name, Version: next.runVersion}); err != nil {
 			return err
 		}
 	}
-	for _, batch := range drop {
+	for _, batch := range toCancel {
 		if err := m.cancel(ctx, &next, batch); err != nil {
 			return err
 		}
 	}
 	now := time.Now()
-	seen := &Seen{Jobs: m.observe(checkCtx, now, e, run.Spec.Check, submit, drop), Blocked: blocked}
-	was := run.Phase
-	if !Next(&next.service, run, seen, now) {
+	observed := &Observation{Jobs: m.observe(checkCtx, now, e, run.Spec.Check, submit, toCancel), BlockedReason: blockedReason}
+	previousPhase := run.Phase
+	if !Advance(&next.service, run, observed, now) {
 		return nil
 	}
-	if err := m.write(ctx, name, &next, lead); err != nil {
+	if err := m.write(ctx, name, &next, leaderGuard); err != nil {
 		return err
 	}
-	m.log.Info("roll-out", "service", name, "id", run.ID, "was", was, "phase", run.Phase, "step", run.Step+1, "of", len(run.Targets), "why", run.Reason)
+	m.log.Info("roll-out", "service", name, "id", run.ID, "was", previousPhase, "phase", run.Phase, "step", run.Step+1, "of", len(run.Targets), "why", run.Reason)
 	return nil
 }
 
-// observe checks the replicas of submitted batches, and returns what is known of all jobs.
-func (m *Manager) observe(checkCtx context.Context, now time.Time, e *entry, check Check, submitted, dropped []Batch) map[string]JobStatus {
+// observe starts the due checks of the submitted batches and returns the known state of all jobs.
+func (m *Manager) observe(checkCtx context.Context, now time.Time, e *entry, check Check, submitted, toCancel []Batch) map[string]JobStatus {
 	jobs := map[string]JobStatus{}
 	for _, batch := range submitted {
 		jobs[batch.UID] = m.checks.observe(checkCtx, now, m.core.Replicas(batch.UID), check)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, batch := range dropped {
+	for _, batch := range toCancel {
 		jobs[batch.UID] = JobStatus{Ended: e.cancelled[batch.UID]}
 	}
 	e.jobs = jobs
 	return jobs
 }
 
-// submit uploads what a batch's job runs and submits the job, unless that is done.
+// submit uploads the description of a batch's job and submits the job, unless it was submitted
+// before.
 func (m *Manager) submit(ctx context.Context, e *entry, batch Batch, guards ...wire.Guard) error {
-	if m.done(e.submitted, batch) {
+	if m.isDone(e.submitted, batch) {
 		return nil
 	}
 	description := &e.run.Spec.To.Desc
@@ -69,17 +70,17 @@
 		description = &e.run.From.Desc
 	}
 	if err := m.descriptions.Put(ctx, batch.UID, description); err != nil {
-		return fmt.Errorf("describe %s: %w", batch.UID, err)
+		return fmt.Errorf("upload description of %s: %w", batch.UID, err)
 	}
 	job := e.service.job(batch, description)
 	if err := m.core.Submit(ctx, &job, guards...); err != nil {
 		return fmt.Errorf("submit %s: %w", batch.UID, err)
 	}
-	m.setDone(e.submitted, batch)
+	m.markDone(e.submitted, batch)
 	return nil
 }
 
-// job is a batch's job, which runs a description.
+// job returns the job of a batch that runs a description.
 func (s *Service) job(batch Batch, description *taskspec.Spec) wire.Job {
 	job := s.Template
 	job.UID, job.Kind, job.Tasks = batch.UID, wire.KindService, batch.Replicas
@@ -87,25 +88,25 @@
 	return job
 }
 
-// cancel cancels a batch's job, unless that is done.
+// cancel cancels a batch's job, unless it was cancelled before.
 func (m *Manager) cancel(ctx context.Context, e *entry, batch Batch) error {
-	if m.done(e.cancelled, batch) {
+	if m.isDone(e.cancelled, batch) {
 		return nil
 	}
 	if err := m.core.Cancel(ctx, batch.UID); err != nil {
 		return fmt.Errorf("cancel %s: %w", batch.UID, err)
 	}
-	m.setDone(e.cancelled, batch)
+	m.markDone(e.cancelled, batch)
 	return nil
 }
 
-func (m *Manager) done(uids map[string]bool, batch Batch) bool {
+func (m *Manager) isDone(uids map[string]bool, batch Batch) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return uids[batch.UID]
 }
 
-func (m *Manager) setDone(uids map[string]bool, batch Batch) {
+func (m *Manager) markDone(uids map[string]bool, batch Batch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	uids[batch.UID] = true
--- a/internal/rolloutapi/service.go
+++ b/internal/rolloutapi/service.go
@@ -1,7 +1,7 @@
-// Package rolloutapi is the operators' interface of roll-outs, and joins their manager (package
-// rollout) with the scheduler: it submits and cancels the jobs of which a roll-out consists, and
-// finds their replicas. It keeps no state of its own; the leader of autoscaling drives roll-outs,
-// and other controllers pass its statuses on.
+// Package rolloutapi serves the operators' HTTP interface of roll-outs and connects their manager
+// (package rollout) to the scheduler: it submits and cancels the jobs of roll-outs and finds their
+// replicas. It has no state of its own. The leader of autoscaling runs the roll-outs; other
+// controllers request statuses from it.
 package rolloutapi
 
 import (
@@ -23,20 +23,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Method is the mesh's method for the statuses. Controllers of other versions call it by this name.
-const Method = "Rollouts"
+// MethodStatuses is the mesh method that returns the statuses. Controllers of other versions call it
+// by this name.
+const MethodStatuses = "Rollouts"
 
 const (
 	requestTimeout = 4 * time.Second
-	maxBytes       = 48 << 10 // of a roll-out's description
+	maxSpecBytes   = 48 << 10 // limit of the body of a request to start a roll-out
 )
 
-// Leaders knows which other controllers lead shards.
+// Leaders returns the other controllers that lead shards.
 type Leaders interface {
 	ShardLeaders() []string
 }
 
-// Service is the operators' interface of roll-outs. It is safe for concurrent use.
+// Service serves the operators' interface of roll-outs. It is safe for concurrent use.
 type Service struct {
 	manager   *rollout.Manager
 	scheduler *scheduler.Scheduler
@@ -44,56 +45,56 @@
 	mesh      *mesh.Mesh
 }
 
-// New returns the interface, with a manager of its own.
+// New returns a service with a new manager.
 func New(o Options) *Service {
-	maxRecord := int(o.Platform.Params.State.ValueKB * 1024 * recordShare)
+	maxRecord := int(o.Platform.Params.State.ValueKB * 1024 * maxRecordFraction)
 	manager := rollout.NewManager(o.Settings, o.Store, &core{o}, taskspec.NewClient(o.Settings.Descriptions), rollout.NewWorkerProber(), maxRecord, o.Log)
 	return &Service{manager: manager, scheduler: o.Scheduler, leaders: o.Leaders, mesh: o.Mesh}
 }
 
-// Run drives the roll-outs whenever this controller leads them, until ctx ends.
+// Run advances the roll-outs whenever this controller is their leader, until ctx ends.
 func (s *Service) Run(ctx context.Context) error { return s.manager.Run(ctx) }
 
-// ReservedCPUs returns the CPUs to be kept for versions that may have to come back.
+// ReservedCPUs returns the capacity, in CPUs, that is reserved for roll-backs.
 func (s *Service) ReservedCPUs() float64 { return s.manager.ReservedCPUs() }
 
-// RegisterMethods adds what peers call. Call it before the mesh serves.
+// RegisterMethods registers the methods that peers call. It must be called before the mesh serves.
 func (s *Service) RegisterMethods(m *mesh.Mesh) {
-	mesh.Handle(m, Method, func(context.Context, *struct{}) (*[]rollout.Status, error) {
+	mesh.Handle(m, MethodStatuses, func(context.Context, *struct{}) (*[]rollout.Status, error) {
 		out := s.manager.Statuses()
 		return &out, nil
 	})
 }
 
-// Register adds the interface's paths.
+// Register registers the HTTP handlers.
 func (s *Service) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST /ops/rollouts", s.start)
 	mux.HandleFunc("GET /ops/rollouts", s.list)
 	mux.HandleFunc("GET /ops/rollouts/{service}", s.show)
 	mux.HandleFunc("GET /ops/rollouts/{service}/history", s.history)
-	mux.HandleFunc("POST /ops/rollouts/{service}/{verb}", s.order)
+	mux.HandleFunc("POST /ops/rollouts/{service}/{verb}", s.applyVerb)
 }
 
 func (s *Service) start(w http.ResponseWriter, r *http.Request) {
 	var spec rollout.Spec
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSpecBytes))
 	if err == nil {
 		err = json.Unmarshal(data, &spec)
 	}
 	if err != nil {
-		write(w, nil, fmt.Errorf("%w: malformed: %w", rollout.ErrInput, err))
+		writeResult(w, nil, fmt.Errorf("%w: malformed: %w", rollout.ErrInput, err))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	run, err := s.manager.Start(ctx, spec)
-	write(w, run, err)
+	writeResult(w, run, err)
 }
 
 func (s *Service) list(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	write(w, s.statuses(ctx), nil)
+	writeResult(w, s.statuses(ctx), nil)
 }
 
 func (s *Service) show(w http.ResponseWriter, r *http.Request) {
@@ -101,33 +102,33 @@
 	defer cancel()
 	for _, status := range s.statuses(ctx) {
 		if status.Service.Name == r.PathValue("service") {
-			write(w, status, nil)
+			writeResult(w, status, nil)
 			return
 		}
 	}
-	write(w, nil, fmt.Errorf("%w: service: %s is unknown", rollout.ErrInput, r.PathValue("service")))
+	writeResult(w, nil, fmt.Errorf("%w: service: %s is unknown", rollout.ErrInput, r.PathValue("service")))
 }
 
 func (s *Service) history(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	past, err := s.manager.History(ctx, r.PathValue("service"))
-	write(w, past, err)
+	writeResult(w, past, err)
 }
 
-func (s *Service) order(w http.ResponseWriter, r *http.Request) {
+func (s *Service) applyVerb(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	run, err := s.manager.Order(ctx, r.PathValue("service"), r.PathValue("verb"))
-	write(w, run, err)
+	run, err := s.manager.ApplyVerb(ctx, r.PathValue("service"), r.PathValue("verb"))
+	writeResult(w, run, err)
 }
 
-// statuses returns the roll-outs as their leader sees them, which knows the replicas' health,
-// or else as they are known here.
+// statuses returns the leader's statuses, which include the replicas' health, or this controller's own
+// if no leader responds.
 func (s *Service) statuses(ctx context.Context) []rollout.Status {
 	if !s.scheduler.LeadsAutoscaling() {
 		for _, leader := range s.leaders.ShardLeaders() {
-			if reply, err := mesh.Call[struct{}, []rollout.Status](ctx, s.mesh, leader, Method, &struct{}{}); err == nil {
+			if reply, err := mesh.Call[struct{}, []rollout.Status](ctx, s.mesh, leader, MethodStatuses, &struct{}{}); err == nil {
 				return *reply
 			}
 		}
@@ -135,8 +136,8 @@
 	return s.manager.Statuses()
 }
 
-// write writes a result, or what its error means to operators.
-func write(w http.ResponseWriter, result any, err error) {
+// writeResult writes a result, or the status and problem that correspond to an error.
+func writeResult(w http.ResponseWriter, result any, err error) {
 	status := http.StatusOK
 	var conflict *statestore.ConflictError
 	switch {
