--- a/cmd/wallctl/accounting.go
+++ b/cmd/wallctl/accounting.go
@@ -47,7 +47,7 @@
 		if err != nil {
 			return err
 		}
-		sums, err := slurm.Sums(recs, by, time.Local)
+		sums, err := slurm.Summarize(recs, by, time.Local)
 		if err != nil {
 			return err
 		}
@@ -69,7 +69,7 @@
 	t := newTable(w, tabwriter.AlignRight)
 	t.printf("%s\tJOBS\tTASKS\tATTEMPTS\tCPU-H\tUSEFUL\tLOST\tGB-H\tWAIT-S\tCOST\t\n", strings.ToUpper(by))
 	for _, s := range sums {
-		t.printf("%s\t%d\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f\t%.4f\t\n", s.Key, s.Jobs, s.Tasks, s.Attempts, s.CPUHours, s.UsefulH, s.LostH, s.GBHours, s.WaitS, s.Cost)
+		t.printf("%s\t%d\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f\t%.4f\t\n", s.Key, s.Jobs, s.Tasks, s.Attempts, s.CPUHours, s.UsefulCPUHours, s.LostCPUHours, s.MemoryGBHours, s.TotalWaitS, s.Cost)
 	}
 	return t.flush()
 }
--- a/cmd/wallctl/accounting_records.go
+++ b/cmd/wallctl/accounting_records.go
@@ -38,7 +38,7 @@
 	filter := slurm.AcctFilter{FromMs: from.UnixMilli(), ToMs: to.UnixMilli()}
 	selected := all[:0]
 	for _, record := range all {
-		if filter.Has(record) {
+		if filter.Matches(record) {
 			selected = append(selected, record)
 		}
 	}
@@ -50,17 +50,17 @@
 	y, m, d := now.Date()
 	from, to = time.Date(y, m, d, 0, 0, 0, 0, now.Location()), now
 	if start != "" {
-		if from, err = slurm.ParsePast(start, now); err != nil {
+		if from, err = slurm.ParsePastTime(start, now); err != nil {
 			return from, to, fmt.Errorf("--starttime: %w", err)
 		}
 	}
 	if end != "" {
-		if to, err = slurm.ParsePast(end, now); err != nil {
+		if to, err = slurm.ParsePastTime(end, now); err != nil {
 			return from, to, fmt.Errorf("--endtime: %w", err)
 		}
 	}
 	if to.Before(from) {
-		return from, to, &slurm.UsageError{Why: "Start time is after end time"}
+		return from, to, &slurm.UsageError{Message: "Start time is after end time"}
 	}
 	return from, to, nil
 }
--- a/cmd/wallctl/sacct.go
+++ b/cmd/wallctl/sacct.go
@@ -120,11 +120,11 @@
 func sacctLines(recs []*slurm.Record, filter *slurm.AcctFilter, options slurm.AcctOptions) iter.Seq[*slurm.AcctRow] {
 	return func(yield func(*slurm.AcctRow) bool) {
 		for _, record := range recs {
-			if !filter.Has(record) {
+			if !filter.Matches(record) {
 				continue
 			}
-			for _, line := range slurm.Lines(record, options) {
-				if filter.HasLine(&line) && !yield(&line) {
+			for _, line := range slurm.AcctRows(record, options) {
+				if filter.MatchesRow(&line) && !yield(&line) {
 					return
 				}
 			}
@@ -161,7 +161,7 @@
 }
 
 // earliestStart returns the time from which on the rows of jobs must be read.
-func earliestStart(ctx context.Context, cl *client.Client, jobs []slurm.Target, now time.Time) (time.Time, error) {
+func earliestStart(ctx context.Context, cl *client.Client, jobs []slurm.JobSelector, now time.Time) (time.Time, error) {
 	earliest := now
 	for _, target := range jobs {
 		found, err := cl.Find(ctx, target.Number)
--- a/cmd/wallctl/scancel.go
+++ b/cmd/wallctl/scancel.go
@@ -42,7 +42,7 @@
 	}
 	filtered := len(filter.Users)+len(filter.States)+len(filter.Partitions)+len(filter.Accounts)+len(filter.Names)+len(filter.QOS) > 0
 	if !filtered && len(filter.Jobs)+len(uids) == 0 {
-		return &slurm.UsageError{Why: "No job identification provided"}
+		return &slurm.UsageError{Message: "No job identification provided"}
 	}
 	c := &canceller{cl: cl, stderr: cmd.ErrOrStderr(), quiet: *quiet}
 	ctx := cmd.Context()
@@ -83,7 +83,7 @@
 
 // cancelMatching cancels the jobs, or tasks of jobs, that the filter matches. They are looked
 // up before the first is cancelled: else the cancels change the listing while it is read.
-func (c *canceller) cancelMatching(ctx context.Context, filter *slurm.Filter) error {
+func (c *canceller) cancelMatching(ctx context.Context, filter *slurm.QueueFilter) error {
 	var found []jobMatch
 	err := c.cl.Jobs(ctx, func(page *jobquery.Page) error {
 		for i := range page.Jobs {
@@ -114,10 +114,10 @@
 	tasks    []int // the tasks that it matches
 }
 
-func matchJob(filter *slurm.Filter, info *jobquery.Info, nowMs int64) jobMatch {
+func matchJob(filter *slurm.QueueFilter, info *jobquery.Info, nowMs int64) jobMatch {
 	match := jobMatch{info: info, allTasks: true}
-	for _, row := range slurm.Queue(info, true, nowMs, time.Local) {
-		if filter.Has(&row) {
+	for _, row := range slurm.QueueRows(info, true, nowMs, time.Local) {
+		if filter.Matches(&row) {
 			match.tasks = append(match.tasks, int(row.RawID-info.Constraints.Number))
 		} else {
 			match.allTasks = false
@@ -139,7 +139,7 @@
 }
 
 // cancelTarget cancels a job, or tasks of its array, by number.
-func cancelTarget(ctx context.Context, cl *client.Client, target slurm.Target) error {
+func cancelTarget(ctx context.Context, cl *client.Client, target slurm.JobSelector) error {
 	found, err := cl.Find(ctx, target.Number)
 	switch {
 	case errors.Is(err, client.ErrNotFound):
@@ -159,7 +159,7 @@
 		if info.Constraints == nil {
 			return errAlreadyOver
 		}
-		if tasks, err = slurm.Tasks(target.Indices, info.Job.Tasks, info.Constraints.Array); err != nil {
+		if tasks, err = slurm.TasksByIndex(target.Indices, info.Job.Tasks, info.Constraints.Array); err != nil {
 			return errInvalidJobID
 		}
 	}
--- a/cmd/wallctl/scontrol.go
+++ b/cmd/wallctl/scontrol.go
@@ -65,7 +65,7 @@
 	if wire.ValidJobID(name) {
 		return name, nil
 	}
-	target, err := slurm.ParseTarget(name)
+	target, err := slurm.ParseJobSelector(name)
 	if err != nil {
 		return "", err
 	}
@@ -123,7 +123,7 @@
 	oneClass := *site
 	oneClass.Classes = []string{site.Class} // else each worker is listed once a class
 	shown := 0
-	for _, row := range slurm.Nodes(workers, &oneClass, true) {
+	for _, row := range slurm.NodeRows(workers, &oneClass, true) {
 		if len(names) > 0 && !slices.Contains(names, row.Name) {
 			continue
 		}
@@ -133,7 +133,7 @@
 		shown++
 	}
 	if shown == 0 && len(names) > 0 {
-		return &slurm.UsageError{Why: fmt.Sprintf("Node %s not found", strings.Join(names, ","))}
+		return &slurm.UsageError{Message: fmt.Sprintf("Node %s not found", strings.Join(names, ","))}
 	}
 	return nil
 }
--- a/cmd/wallctl/sinfo.go
+++ b/cmd/wallctl/sinfo.go
@@ -49,7 +49,7 @@
 			return err
 		}
 	}
-	for _, row := range slurm.Nodes(workers, site, *eachWorker) {
+	for _, row := range slurm.NodeRows(workers, site, *eachWorker) {
 		if len(*partitions) > 0 && !slices.Contains(*partitions, strings.TrimSuffix(row.Partition, "*")) {
 			continue
 		}
--- a/cmd/wallctl/slurm_errors.go
+++ b/cmd/wallctl/slurm_errors.go
@@ -28,6 +28,6 @@
 
 // Messages of Slurm that scripts compare.
 var (
-	errAlreadyOver  error = &slurm.UsageError{Why: "Job/step already completing or completed"}
-	errInvalidJobID error = &slurm.UsageError{Why: "Invalid job id specified"}
+	errAlreadyOver  error = &slurm.UsageError{Message: "Job/step already completing or completed"}
+	errInvalidJobID error = &slurm.UsageError{Message: "Invalid job id specified"}
 )
--- a/cmd/wallctl/slurm_flags.go
+++ b/cmd/wallctl/slurm_flags.go
@@ -33,8 +33,8 @@
 }
 
 // filter returns the filter of the parsed options.
-func (f *filterFlags) filter() (filter slurm.Filter, err error) {
-	filter = slurm.Filter{Users: f.users, Partitions: f.partitions, Accounts: f.accounts, Names: f.names, QOS: f.qos}
+func (f *filterFlags) filter() (filter slurm.QueueFilter, err error) {
+	filter = slurm.QueueFilter{Users: f.users, Partitions: f.partitions, Accounts: f.accounts, Names: f.names, QOS: f.qos}
 	if f.ownJobs {
 		filter.Users = []string{userName()}
 	}
@@ -66,7 +66,7 @@
 		}
 		state, known := slurm.StateName(name)
 		if !known {
-			return nil, &slurm.UsageError{Why: "Invalid state specified: " + name}
+			return nil, &slurm.UsageError{Message: "Invalid state specified: " + name}
 		}
 		states = append(states, state)
 	}
@@ -74,10 +74,10 @@
 }
 
 // parseTargets parses each job of a list that splitJobs made.
-func parseTargets(jobs []string) ([]slurm.Target, error) {
-	var targets []slurm.Target
+func parseTargets(jobs []string) ([]slurm.JobSelector, error) {
+	var targets []slurm.JobSelector
 	for _, job := range jobs {
-		target, err := slurm.ParseTarget(job)
+		target, err := slurm.ParseJobSelector(job)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -21,7 +21,7 @@
 
 // readSubmission reads a submission from the command line, the script and the environment.
 // For --help it prints the options and returns slurm.ErrHelp.
-func readSubmission(cmd *cobra.Command, name slurm.Command, args []string, now time.Time) (*slurm.Options, *slurm.Work, error) {
+func readSubmission(cmd *cobra.Command, name slurm.Command, args []string, now time.Time) (*slurm.Options, *slurm.Invocation, error) {
 	given, program, err := slurm.ParseArgs(name, args)
 	if errors.Is(err, slurm.ErrHelp) {
 		if _, err := fmt.Fprintf(cmd.OutOrStdout(), "Usage: %s [OPTIONS] [PROGRAM|SCRIPT [ARG...]]\n%s", name, slurm.Help(name)); err != nil {
@@ -35,42 +35,42 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	sources := []slurm.Given{slurm.FromEnv(name, os.LookupEnv), given}
+	sources := []slurm.OptionValues{slurm.FromEnv(name, os.LookupEnv), given}
 	switch {
 	case name == slurm.Srun:
 		if len(program) == 0 {
-			return nil, nil, &slurm.UsageError{Why: "No command given to execute."}
+			return nil, nil, &slurm.UsageError{Message: "No command given to execute."}
 		}
 		work.Argv = program
 	case given["wrap"] != "":
 		if len(program) > 0 {
-			return nil, nil, &slurm.UsageError{Why: "Script arguments not permitted with --wrap option"}
+			return nil, nil, &slurm.UsageError{Message: "Script arguments not permitted with --wrap option"}
 		}
 	default:
 		fromScript, err := readScript(cmd.InOrStdin(), program, work, now)
 		if err != nil {
 			return nil, nil, err
 		}
-		sources = append([]slurm.Given{fromScript}, sources...)
+		sources = append([]slurm.OptionValues{fromScript}, sources...)
 	}
-	options, err := slurm.Join(name, now, sources...)
+	options, err := slurm.MergeOptions(name, now, sources...)
 	return options, work, err
 }
 
 // newWork returns what a submission has of the process that submits.
-func newWork() (*slurm.Work, error) {
+func newWork() (*slurm.Invocation, error) {
 	dir, err := os.Getwd()
 	if err != nil {
 		return nil, err
 	}
 	host, _ := os.Hostname() // only shown to the tasks; may be empty
-	return &slurm.Work{Env: os.Environ(), User: userName(), Dir: dir, Host: host}, nil
+	return &slurm.Invocation{Env: os.Environ(), User: userName(), Dir: dir, Host: host}, nil
 }
 
 // readScript reads a batch script, and its arguments, into work, and returns its options.
-func readScript(stdin io.Reader, args []string, work *slurm.Work, now time.Time) (slurm.Given, error) {
+func readScript(stdin io.Reader, args []string, work *slurm.Invocation, now time.Time) (slurm.OptionValues, error) {
 	var err error
-	if work.Script, work.File, err = scriptText(stdin, args); err != nil {
+	if work.Script, work.ScriptName, err = scriptText(stdin, args); err != nil {
 		return nil, err
 	}
 	if len(args) > 0 {
@@ -85,7 +85,7 @@
 	if len(args) > 0 {
 		f, err := os.Open(args[0])
 		if err != nil {
-			return "", "", &slurm.UsageError{Why: "Unable to open file " + args[0]}
+			return "", "", &slurm.UsageError{Message: "Unable to open file " + args[0]}
 		}
 		defer func() { _ = f.Close() }() // it was only read
 		in, name = f, args[0]
@@ -95,16 +95,16 @@
 	case err != nil:
 		return "", "", err
 	case len(data) == 0:
-		return "", "", &slurm.UsageError{Why: "Batch script is empty!"}
+		return "", "", &slurm.UsageError{Message: "Batch script is empty!"}
 	case len(data) > maxScript:
-		return "", "", &slurm.UsageError{Why: fmt.Sprintf("Batch script is over %d bytes", maxScript)}
+		return "", "", &slurm.UsageError{Message: fmt.Sprintf("Batch script is over %d bytes", maxScript)}
 	}
 	return string(data), name, nil
 }
 
 // submitSlurm translates and submits a job, or checks it only (options.TestOnly). Its uid is
 // made once: repeats of the requests make no second job.
-func submitSlurm(ctx context.Context, cl *client.Client, name slurm.Command, options *slurm.Options, work *slurm.Work, now time.Time) (*slurm.Request, error) {
+func submitSlurm(ctx context.Context, cl *client.Client, name slurm.Command, options *slurm.Options, work *slurm.Invocation, now time.Time) (*slurm.Request, error) {
 	site, err := cl.Site(ctx)
 	if err != nil {
 		return nil, err
--- a/cmd/wallctl/squeue.go
+++ b/cmd/wallctl/squeue.go
@@ -40,7 +40,7 @@
 }
 
 // filter returns the filter of the options.
-func (s *squeueFlags) filter() (slurm.Filter, error) {
+func (s *squeueFlags) filter() (slurm.QueueFilter, error) {
 	f, err := s.filterFlags.filter()
 	if err != nil {
 		return f, err
@@ -105,11 +105,11 @@
 }
 
 // selectRows calls each for the rows of a page that the filter selects, until an error.
-func selectRows(page *jobquery.Page, filter *slurm.Filter, eachTask bool, each func(*slurm.QueueRow) error) error {
+func selectRows(page *jobquery.Page, filter *slurm.QueueFilter, eachTask bool, each func(*slurm.QueueRow) error) error {
 	for i := range page.Jobs {
-		rows := slurm.Queue(&page.Jobs[i], eachTask, page.NowMs, time.Local)
+		rows := slurm.QueueRows(&page.Jobs[i], eachTask, page.NowMs, time.Local)
 		for k := range rows {
-			if !filter.Has(&rows[k]) {
+			if !filter.Matches(&rows[k]) {
 				continue
 			}
 			if err := each(&rows[k]); err != nil {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -82,7 +82,7 @@
 		for from := (jobquery.Cursor{}); ; pages++ {
 			jobs, next := cluster.scheduler.ListJobs(from, 500)
 			for i := range jobs {
-				tasks += len(slurm.Queue(&jobs[i], true, 0, time.UTC))
+				tasks += len(slurm.QueueRows(&jobs[i], true, 0, time.UTC))
 			}
 			if next == nil {
 				break
--- a/internal/slurm/description.go
+++ b/internal/slurm/description.go
@@ -11,8 +11,8 @@
 	"github.com/wallrack/wallrack/internal/slurmtask"
 )
 
-// describe sets what the job's tasks run.
-func (r *Request) describe(cmd Command, o *Options, w *Work, site *jobquery.Site) {
+// setSpec sets what the job's tasks run.
+func (r *Request) setSpec(cmd Command, o *Options, w *Invocation, site *jobquery.Site) {
 	job, c, d := &r.Job, &r.Constraints, &r.Spec
 	d.CPUs, d.GPUs, d.MemoryGB = job.CPUs, job.GPUs, job.MemoryGB
 	d.Dir = w.Dir
@@ -23,7 +23,7 @@
 	}
 	d.Slurm = &slurmtask.Context{Tasks: job.Tasks, Array: c.Array, User: c.User, Output: o.Output, Error: o.Error, Step: cmd == Srun, Cluster: site.Cluster}
 	if cmd == Sbatch {
-		r.describeScript(o, w)
+		r.setScript(o, w)
 	} else {
 		d.Argv = w.Argv
 		if c.Name == "" && len(w.Argv) > 0 {
@@ -31,13 +31,13 @@
 		}
 	}
 	d.Slurm.Name = c.Name
-	d.Env = exported(o.Export, w.Env)
+	d.Env = exportedEnv(o.Export, w.Env)
 	r.addSlurmEnv(o, w)
 }
 
-// describeScript sets the batch script, the interpreter that its first line names, and the
+// setScript sets the batch script, the interpreter that its first line names, and the
 // defaults that depend on it: the job's name and the output file.
-func (r *Request) describeScript(o *Options, w *Work) {
+func (r *Request) setScript(o *Options, w *Invocation) {
 	c, d := &r.Constraints, &r.Spec
 	script := w.Script
 	if o.Wrap != "" {
@@ -52,7 +52,7 @@
 	}
 	d.Script, d.Args = script, w.Argv
 	if c.Name == "" {
-		c.Name = filepath.Base(w.File)
+		c.Name = filepath.Base(w.ScriptName)
 	}
 	if d.Slurm.Output == "" {
 		d.Slurm.Output = "slurm-%j.out"
@@ -64,7 +64,7 @@
 
 // addSlurmEnv adds the variables that are the same for all tasks of a job. The others are added
 // on the worker, by package slurmtask.
-func (r *Request) addSlurmEnv(o *Options, w *Work) {
+func (r *Request) addSlurmEnv(o *Options, w *Invocation) {
 	job, env := &r.Job, r.Spec.Env
 	maps.Copy(env, map[string]string{
 		"SLURM_SUBMIT_DIR": w.Dir, "SLURM_SUBMIT_HOST": w.Host, "SLURM_JOB_PARTITION": job.Class, "SLURM_JOB_ACCOUNT": job.Team, "SLURM_JOB_QOS": job.Priority,
@@ -83,9 +83,9 @@
 	}
 }
 
-// exported returns the user's variables that --export selects. Those of an enclosing job are
+// exportedEnv returns the user's variables that --export selects. Those of an enclosing job are
 // left out: its SLURM_* and SBATCH_* variables describe another job.
-func exported(export string, env []string) map[string]string {
+func exportedEnv(export string, env []string) map[string]string {
 	all := map[string]string{}
 	for _, setting := range env {
 		name, value, found := strings.Cut(setting, "=")
--- a/internal/slurm/node_selection.go
+++ b/internal/slurm/node_selection.go
@@ -18,32 +18,32 @@
 	for _, t := range site.Types {
 		all.types = append(all.types, t.Name)
 	}
-	wanted, err := classify("nodelist", o.NodeList, all)
+	wanted, err := splitTypesAndZones("nodelist", o.NodeList, all)
 	if err != nil {
 		return err
 	}
-	excluded, err := classify("exclude", o.Exclude, all)
+	excluded, err := splitTypesAndZones("exclude", o.Exclude, all)
 	if err != nil {
 		return err
 	}
-	job.Types = without(wanted.types, excluded.types, all.types)
+	job.Types = excludeNames(wanted.types, excluded.types, all.types)
 	if len(excluded.types) > 0 && len(job.Types) == 0 {
-		return &UsageError{Option: "exclude", Why: "leaves no machine type"}
+		return &UsageError{Option: "exclude", Message: "leaves no machine type"}
 	}
-	zones := without(wanted.zones, excluded.zones, all.zones)
+	zones := excludeNames(wanted.zones, excluded.zones, all.zones)
 	switch {
 	case len(zones) == 1:
 		job.Zone = &zones[0]
 	case len(zones) == 0 && len(excluded.zones) > 0:
-		return &UsageError{Option: "exclude", Why: "leaves no zone"}
+		return &UsageError{Option: "exclude", Message: "leaves no zone"}
 	case len(zones) > 1 && len(zones) < len(site.Zones):
-		return &UsageError{Option: "nodelist", Why: fmt.Sprintf("a job is bound to one zone or to none, not to %s", strings.Join(zones, ", "))}
+		return &UsageError{Option: "nodelist", Message: fmt.Sprintf("a job is bound to one zone or to none, not to %s", strings.Join(zones, ", "))}
 	}
 	return nil
 }
 
-// classify divides names into machine types and zones.
-func classify(option string, names []string, all nodeNames) (found nodeNames, err error) {
+// splitTypesAndZones divides names into machine types and zones.
+func splitTypesAndZones(option string, names []string, all nodeNames) (found nodeNames, err error) {
 	for _, name := range names {
 		switch {
 		case slices.Contains(all.types, name):
@@ -51,15 +51,15 @@
 		case slices.Contains(all.zones, name):
 			found.zones = append(found.zones, name)
 		default:
-			return found, &UsageError{Option: option, Why: fmt.Sprintf("%s is no machine type (%s) and no zone (%s)", name, strings.Join(all.types, ", "), strings.Join(all.zones, ", "))}
+			return found, &UsageError{Option: option, Message: fmt.Sprintf("%s is no machine type (%s) and no zone (%s)", name, strings.Join(all.types, ", "), strings.Join(all.zones, ", "))}
 		}
 	}
 	return found, nil
 }
 
-// without returns the wanted names, or all if none is wanted, but for the excluded ones. If
+// excludeNames returns the wanted names, or all if none is wanted, but for the excluded ones. If
 // none is excluded, wanted is returned as it is.
-func without(wanted, excluded, all []string) []string {
+func excludeNames(wanted, excluded, all []string) []string {
 	if len(excluded) == 0 {
 		return wanted
 	}
--- a/internal/slurm/option_values.go
+++ b/internal/slurm/option_values.go
@@ -10,42 +10,42 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// text sets a string that must not be empty.
-func text(at func(o *Options) *string) setter {
+// setText sets a string that must not be empty.
+func setText(dest func(o *Options) *string) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		if v == "" {
 			return errors.New("a value is needed")
 		}
-		*at(o) = v
+		*dest(o) = v
 		return nil
 	}
 }
 
-// flag sets an option without a value.
-func flag(at func(o *Options) *bool) setter {
+// setFlag sets an option without a value.
+func setFlag(dest func(o *Options) *bool) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		on, err := strconv.ParseBool(v)
-		*at(o) = on
+		*dest(o) = on
 		return err
 	}
 }
 
-// count sets a number from least to a million.
-func count(least int, at func(o *Options) *int) setter {
+// setCount sets a number from least to a million.
+func setCount(minimum int, dest func(o *Options) *int) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		n, err := strconv.Atoi(v)
-		if err != nil || n < least || n > 1_000_000 {
-			return fmt.Errorf("%.40q is not a number from %d", v, least)
+		if err != nil || n < minimum || n > 1_000_000 {
+			return fmt.Errorf("%.40q is not a number from %d", v, minimum)
 		}
-		*at(o) = n
+		*dest(o) = n
 		return nil
 	}
 }
 
-// memory sets an amount of memory in MB.
-func memory(at func(o *Options) *float64) setter {
+// setMemory sets an amount of setMemory in MB.
+func setMemory(dest func(o *Options) *float64) setter {
 	return func(o *Options, v string, _ time.Time) (err error) {
-		*at(o), err = ParseMemoryMB(v)
+		*dest(o), err = ParseMemoryMB(v)
 		return err
 	}
 }
@@ -70,12 +70,12 @@
 	return float64(n) * unit, nil
 }
 
-// maxLimitS is the longest time limit that a job may have.
-const maxLimitS = 366 * 24 * 3600
+// maxTimeLimitS is the longest time limit that a job may have.
+const maxTimeLimitS = 366 * 24 * 3600
 
-// ParseLimit parses a time limit in any of Slurm's forms and returns it in seconds; 0 is
+// ParseTimeLimit parses a time limit in any of Slurm's forms and returns it in seconds; 0 is
 // unlimited.
-func ParseLimit(v string) (float64, error) {
+func ParseTimeLimit(v string) (float64, error) {
 	invalid := fmt.Errorf("%.40q is not a time limit", v)
 	switch strings.ToUpper(v) {
 	case "INFINITE", "UNLIMITED", "-1":
@@ -109,7 +109,7 @@
 			sumS += float64(n) * units[i-1]
 		}
 	}
-	if sumS > maxLimitS {
+	if sumS > maxTimeLimitS {
 		return 0, errors.New("is over a year")
 	}
 	return sumS, nil
@@ -185,13 +185,13 @@
 	return err
 }
 
-// setYes sets yes or no.
-func setYes(at func(*Options) *bool) setter {
+// setYesNo sets yes or no.
+func setYesNo(dest func(*Options) *bool) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		if v != "yes" && v != "no" {
 			return errors.New("yes or no is needed")
 		}
-		*at(o) = v == "yes"
+		*dest(o) = v == "yes"
 		return nil
 	}
 }
@@ -217,7 +217,7 @@
 }
 
 // setList sets a list of machine types and zones. Slurm's host ranges are refused.
-func setList(at func(*Options) *[]string) setter {
+func setList(dest func(*Options) *[]string) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		list := strings.Split(v, ",")
 		for _, name := range list {
@@ -225,7 +225,7 @@
 				return fmt.Errorf("%.40q: names of machine types and zones are needed", v)
 			}
 		}
-		*at(o) = list
+		*dest(o) = list
 		return nil
 	}
 }
--- a/internal/slurm/options.go
+++ b/internal/slurm/options.go
@@ -55,47 +55,53 @@
 type optionKind int
 
 const (
-	valued   optionKind = iota // --name=VALUE
-	flagged                    // --name
-	optional                   // --name or --name=VALUE
+	requiredValue optionKind = iota // --name=VALUE
+	noValue                         // --name
+	optionalValue                   // --name or --name=VALUE
 )
 
 // optionTable has every supported option, in the order of the manual and of the help.
 var optionTable = []option{
-	{name: "account", short: "A", set: text(func(o *Options) *string { return &o.Account }), env: "ACCOUNT", help: "team whose guarantee and limit apply"},
+	{name: "account", short: "A", set: setText(func(o *Options) *string { return &o.Account }), env: "ACCOUNT", help: "team whose guarantee and limit apply"},
 	{name: "array", short: "a", only: Sbatch, set: setArray, env: "ARRAY_INX", help: "indices of an array's tasks, as 0-15:2,20%4"},
-	{name: "begin", set: func(o *Options, v string, now time.Time) (err error) { o.BeginMs, err = parseMs(v, now); return err }, help: "no start before this time"},
-	{name: "chdir", short: "D", set: text(func(o *Options) *string { return &o.Dir }), help: "working directory"},
+	{name: "begin", set: func(o *Options, v string, now time.Time) (err error) {
+		o.BeginMs, err = parseUnixMs(v, now)
+		return err
+	}, help: "no start before this time"},
+	{name: "chdir", short: "D", set: setText(func(o *Options) *string { return &o.Dir }), help: "working directory"},
 	{name: "constraint", short: "C", set: setConstraint, env: "CONSTRAINT", help: "spot: machines that the cloud may take back will do"},
-	{name: "cpus-per-task", short: "c", set: count(1, func(o *Options) *int { return &o.CPUs }), env: "CPUS_PER_TASK", help: "processors of a task"},
-	{name: "deadline", set: func(o *Options, v string, now time.Time) (err error) { o.DeadlineMs, err = parseMs(v, now); return err }, help: "cancelled if it is not over by this time"},
+	{name: "cpus-per-task", short: "c", set: setCount(1, func(o *Options) *int { return &o.CPUs }), env: "CPUS_PER_TASK", help: "processors of a task"},
+	{name: "deadline", set: func(o *Options, v string, now time.Time) (err error) {
+		o.DeadlineMs, err = parseUnixMs(v, now)
+		return err
+	}, help: "cancelled if it is not over by this time"},
 	{name: "dependency", short: "d", set: setDependency, env: "DEPENDENCY", help: "after, afterany, afterok, afternotok:JOB[:JOB], singleton"},
-	{name: "error", short: "e", set: text(func(o *Options) *string { return &o.Error }), env: "ERROR", help: "file for standard error, with %A %a %j %x"},
+	{name: "error", short: "e", set: setText(func(o *Options) *string { return &o.Error }), env: "ERROR", help: "file for standard error, with %A %a %j %x"},
 	{name: "exclude", short: "x", set: setList(func(o *Options) *[]string { return &o.Exclude }), help: "machine types and zones to keep from"},
 	{name: "export", set: setExport, env: "EXPORT", help: "ALL, NONE or a list of variables"},
 	{name: "gpus", short: "G", set: setGPUs(false), env: "GPUS", help: "GPUs of the job"},
 	{name: "gpus-per-task", set: setGPUs(true), env: "GPUS_PER_TASK", help: "GPUs of a task"},
 	{name: "gres", set: setGres, env: "GRES", help: "gpu:N"},
-	{name: "hold", short: "H", only: Sbatch, kind: flagged, set: flag(func(o *Options) *bool { return &o.Hold }), help: "wait until scontrol release"},
-	{name: "job-name", short: "J", set: text(func(o *Options) *string { return &o.Name }), env: "JOB_NAME", help: "name of the job"},
-	{name: "kill-on-invalid-dep", only: Sbatch, set: setYes(func(o *Options) *bool { return &o.KillInvalid }), env: "KILL_ON_INVALID_DEP", help: "yes: cancel a job whose dependency can never be met"},
-	{name: "label", short: "l", only: Srun, kind: flagged, set: flag(func(o *Options) *bool { return &o.Label }), help: "put the task's number before each line"},
-	{name: "mem", set: memory(func(o *Options) *float64 { return &o.MemoryMB }), env: "MEM_PER_NODE", help: "memory of the job on its machine, in MB or with K, M, G, T"},
-	{name: "mem-per-cpu", set: memory(func(o *Options) *float64 { return &o.MemoryPerCPUMB }), env: "MEM_PER_CPU", help: "memory for each processor"},
-	{name: "nice", kind: optional, set: setNice, help: "a lower priority"},
+	{name: "hold", short: "H", only: Sbatch, kind: noValue, set: setFlag(func(o *Options) *bool { return &o.Hold }), help: "wait until scontrol release"},
+	{name: "job-name", short: "J", set: setText(func(o *Options) *string { return &o.Name }), env: "JOB_NAME", help: "name of the job"},
+	{name: "kill-on-invalid-dep", only: Sbatch, set: setYesNo(func(o *Options) *bool { return &o.KillInvalid }), env: "KILL_ON_INVALID_DEP", help: "yes: cancel a job whose dependency can never be met"},
+	{name: "label", short: "l", only: Srun, kind: noValue, set: setFlag(func(o *Options) *bool { return &o.Label }), help: "put the task's number before each line"},
+	{name: "mem", set: setMemory(func(o *Options) *float64 { return &o.MemoryMB }), env: "MEM_PER_NODE", help: "memory of the job on its machine, in MB or with K, M, G, T"},
+	{name: "mem-per-cpu", set: setMemory(func(o *Options) *float64 { return &o.MemoryPerCPUMB }), env: "MEM_PER_CPU", help: "memory for each processor"},
+	{name: "nice", kind: optionalValue, set: setNice, help: "a lower priority"},
 	{name: "nodelist", short: "w", set: setList(func(o *Options) *[]string { return &o.NodeList }), help: "machine types and zones to use"},
 	{name: "nodes", short: "N", set: setNodes, help: "1"},
-	{name: "ntasks", short: "n", set: count(1, func(o *Options) *int { return &o.Tasks }), env: "NTASKS", help: "tasks of a step"},
-	{name: "output", short: "o", set: text(func(o *Options) *string { return &o.Output }), env: "OUTPUT", help: "file for standard output, with %A %a %j %x"},
-	{name: "parsable", only: Sbatch, kind: flagged, set: flag(func(o *Options) *bool { return &o.Parsable }), help: "print the number alone"},
-	{name: "partition", short: "p", set: text(func(o *Options) *string { return &o.Partition }), env: "PARTITION", help: "class of jobs whose aims apply"},
-	{name: "qos", short: "q", set: text(func(o *Options) *string { return &o.QOS }), env: "QOS", help: "production, urgent, normal or low"},
-	{name: "quiet", short: "Q", kind: flagged, set: flag(func(o *Options) *bool { return &o.Quiet }), help: "say nothing but errors"},
-	{name: "requeue", only: Sbatch, kind: flagged, set: func(*Options, string, time.Time) error { return nil }, env: "REQUEUE", help: "as it is anyway: lost tasks start again"},
-	{name: "test-only", kind: flagged, set: flag(func(o *Options) *bool { return &o.TestOnly }), help: "check, and submit nothing"},
-	{name: "time", short: "t", set: func(o *Options, v string, _ time.Time) (err error) { o.LimitS, err = ParseLimit(v); return err }, env: "TIMELIMIT", help: "time limit: minutes, M:S, H:M:S, D-H[:M[:S]]"},
-	{name: "wait", short: "W", only: Sbatch, kind: flagged, set: flag(func(o *Options) *bool { return &o.Wait }), env: "WAIT", help: "return when the job is over, with its exit code"},
-	{name: "wrap", only: Sbatch, set: text(func(o *Options) *string { return &o.Wrap }), help: "a command instead of a script"},
+	{name: "ntasks", short: "n", set: setCount(1, func(o *Options) *int { return &o.Tasks }), env: "NTASKS", help: "tasks of a step"},
+	{name: "output", short: "o", set: setText(func(o *Options) *string { return &o.Output }), env: "OUTPUT", help: "file for standard output, with %A %a %j %x"},
+	{name: "parsable", only: Sbatch, kind: noValue, set: setFlag(func(o *Options) *bool { return &o.Parsable }), help: "print the number alone"},
+	{name: "partition", short: "p", set: setText(func(o *Options) *string { return &o.Partition }), env: "PARTITION", help: "class of jobs whose aims apply"},
+	{name: "qos", short: "q", set: setText(func(o *Options) *string { return &o.QOS }), env: "QOS", help: "production, urgent, normal or low"},
+	{name: "quiet", short: "Q", kind: noValue, set: setFlag(func(o *Options) *bool { return &o.Quiet }), help: "say nothing but errors"},
+	{name: "requeue", only: Sbatch, kind: noValue, set: func(*Options, string, time.Time) error { return nil }, env: "REQUEUE", help: "as it is anyway: lost tasks start again"},
+	{name: "test-only", kind: noValue, set: setFlag(func(o *Options) *bool { return &o.TestOnly }), help: "check, and submit nothing"},
+	{name: "time", short: "t", set: func(o *Options, v string, _ time.Time) (err error) { o.LimitS, err = ParseTimeLimit(v); return err }, env: "TIMELIMIT", help: "time limit: minutes, M:S, H:M:S, D-H[:M[:S]]"},
+	{name: "wait", short: "W", only: Sbatch, kind: noValue, set: setFlag(func(o *Options) *bool { return &o.Wait }), env: "WAIT", help: "return when the job is over, with its exit code"},
+	{name: "wrap", only: Sbatch, set: setText(func(o *Options) *string { return &o.Wrap }), help: "a command instead of a script"},
 }
 
 // unsupportedOptions are Slurm's options without an equivalent in wallrack; they have an
--- a/internal/slurm/recorded_test.go
+++ b/internal/slurm/recorded_test.go
@@ -36,7 +36,7 @@
 		{Job: accounting.Row{Team: "tarts", Class: "nightly", User: "jo"}},
 	}
 	for _, by := range []string{"account", "class", "user", "day"} {
-		sums, err := slurm.Sums(records, by, time.UTC)
+		sums, err := slurm.Summarize(records, by, time.UTC)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,7 +46,7 @@
 		}
 		recorded.Compare(t, "sums-by-"+by+".json", append(data, '\n'))
 	}
-	_, err := slurm.Sums(records, "team", time.UTC)
+	_, err := slurm.Summarize(records, "team", time.UTC)
 	if want := `--by: "team": account, class, user or day is needed`; err == nil || err.Error() != want {
 		t.Errorf("%v, not %s", err, want)
 	}
@@ -74,12 +74,12 @@
 				t.Fatal(err)
 			}
 			text.WriteString(table.Header())
-			for _, row := range slurm.Queue(i, each, 1_260_000, time.UTC) {
+			for _, row := range slurm.QueueRows(i, each, 1_260_000, time.UTC) {
 				text.WriteString(table.Row(&row))
 			}
 		}
 	}
-	for _, row := range slurm.Queue(i, false, 1_260_000, time.UTC) {
+	for _, row := range slurm.QueueRows(i, false, 1_260_000, time.UTC) {
 		data, err := json.Marshal(row.JSON())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/slurm/sacct_filter.go
+++ b/internal/slurm/sacct_filter.go
@@ -11,27 +11,27 @@
 	FromMs, ToMs                             int64 // Unix time; ToMs 0: no end
 	Users, Accounts, Partitions, States, QOS []string
 	Names                                    []string
-	Jobs                                     []Target
+	Jobs                                     []JobSelector
 }
 
-// Has reports whether the filter selects a record, or lines of it by HasLine.
-func (f *AcctFilter) Has(r *Record) bool {
+// Matches reports whether the filter selects a record, or lines of it by HasLine.
+func (f *AcctFilter) Matches(r *Record) bool {
 	job := &r.Job
 	if f.ToMs > 0 && job.Submit > f.ToMs || job.End > 0 && job.End < f.FromMs {
 		return false
 	}
-	return in(f.Users, job.User) && in(f.Accounts, job.Team) && in(f.Partitions, job.Class) && in(f.QOS, job.Priority) && in(f.Names, dash(job.Name, job.Class)) &&
-		(len(f.Jobs) == 0 || slices.ContainsFunc(f.Jobs, func(t Target) bool {
+	return matchesList(f.Users, job.User) && matchesList(f.Accounts, job.Team) && matchesList(f.Partitions, job.Class) && matchesList(f.QOS, job.Priority) && matchesList(f.Names, orDefault(job.Name, job.Class)) &&
+		(len(f.Jobs) == 0 || slices.ContainsFunc(f.Jobs, func(t JobSelector) bool {
 			return t.Number >= job.Number && t.Number < job.Number+uint64(max(1, job.Tasks))
 		}))
 }
 
-// HasLine reports whether the filter selects a line of a record that it selects.
-func (f *AcctFilter) HasLine(r *AcctRow) bool {
-	if !in(f.States, r.State) {
+// MatchesRow reports whether the filter selects a line of a record that it selects.
+func (f *AcctFilter) MatchesRow(r *AcctRow) bool {
+	if !matchesList(f.States, r.State) {
 		return false
 	}
-	return len(f.Jobs) == 0 || slices.ContainsFunc(f.Jobs, func(t Target) bool {
+	return len(f.Jobs) == 0 || slices.ContainsFunc(f.Jobs, func(t JobSelector) bool {
 		id := strings.TrimSuffix(r.ID, ".batch")
 		if t.All {
 			return t.Number == r.Job.Number || strings.TrimSuffix(r.RawID, ".batch") == strconv.FormatUint(t.Number, 10)
--- a/internal/slurm/sacct_lines.go
+++ b/internal/slurm/sacct_lines.go
@@ -39,12 +39,12 @@
 	Zone            *time.Location
 }
 
-// Lines returns sacct's lines of a record: the allocation and the steps of each task that ran,
+// AcctRows returns sacct's lines of a record: the allocation and the steps of each task that ran,
 // then one line for the tasks that did not run.
-func Lines(r *Record, o AcctOptions) []AcctRow {
-	l := lineMaker{record: r, options: o, tasks: int(max(1, r.Job.Tasks))}
+func AcctRows(r *Record, o AcctOptions) []AcctRow {
+	l := acctRowBuilder{record: r, options: o, tasks: int(max(1, r.Job.Tasks))}
 	l.indices = indices(l.tasks, r.Job.Array)
-	l.base = AcctRow{Job: &r.Job, Name: dash(r.Job.Name, r.Job.Class), NowMs: o.NowMs, Zone: o.Zone, LimitS: r.LimitS}
+	l.base = AcctRow{Job: &r.Job, Name: orDefault(r.Job.Name, r.Job.Class), NowMs: o.NowMs, Zone: o.Zone, LimitS: r.LimitS}
 	var lines []AcctRow
 	ran := map[int]bool{}
 	for attempts := r.Attempts; len(attempts) > 0; {
@@ -52,7 +52,7 @@
 		for n < len(attempts) && attempts[n].Task == attempts[0].Task {
 			n++
 		}
-		allocation, steps := l.task(attempts[:n])
+		allocation, steps := l.taskRows(attempts[:n])
 		lines = append(lines, allocation)
 		if !o.AllocationsOnly {
 			lines = append(lines, steps...)
@@ -61,13 +61,13 @@
 		attempts = attempts[n:]
 	}
 	if len(ran) < l.tasks {
-		lines = append(lines, l.notRun(ran))
+		lines = append(lines, l.notRunRow(ran))
 	}
 	return lines
 }
 
-// lineMaker makes the lines of one record.
-type lineMaker struct {
+// acctRowBuilder makes the lines of one record.
+type acctRowBuilder struct {
 	record  *Record
 	options AcctOptions
 	tasks   int
@@ -75,10 +75,10 @@
 	base    AcctRow        // what all lines have in common
 }
 
-func (l *lineMaker) isArray() bool { return isArray(l.tasks, l.record.Job.Array) }
+func (l *acctRowBuilder) isArray() bool { return isArray(l.tasks, l.record.Job.Array) }
 
-// task makes the lines of a task's allocation and of its steps, which are its attempts.
-func (l *lineMaker) task(attempts []accounting.Row) (allocation AcctRow, steps []AcctRow) {
+// taskRows makes the lines of a taskRows's allocation and of its steps, which are its attempts.
+func (l *acctRowBuilder) taskRows(attempts []accounting.Row) (allocation AcctRow, steps []AcctRow) {
 	job, task := &l.record.Job, int(attempts[0].Task)
 	row := l.base
 	row.ID, row.RawID = strconv.FormatUint(job.Number, 10), strconv.FormatUint(job.Number+uint64(task), 10)
@@ -86,7 +86,7 @@
 		row.ID += "_" + strconv.Itoa(l.indices.At(task))
 	}
 	for i := range attempts {
-		step := l.step(&row, &attempts[i], i)
+		step := l.stepRow(&row, &attempts[i], i)
 		row.UsefulS, row.LostS, row.Cost = row.UsefulS+step.UsefulS, row.LostS+step.LostS, row.Cost+step.Cost
 		row.State, row.Exit, row.StartMs, row.EndMs = step.State, step.Exit, step.StartMs, step.EndMs
 		row.Machine, row.CPUs, row.Restarts = step.Machine, step.CPUs, step.Restarts
@@ -104,8 +104,8 @@
 	return row, steps
 }
 
-// step makes the line of one attempt of an allocation.
-func (l *lineMaker) step(allocation *AcctRow, attempt *accounting.Row, restarts int) AcctRow {
+// stepRow makes the line of one attempt of an allocation.
+func (l *acctRowBuilder) stepRow(allocation *AcctRow, attempt *accounting.Row, restarts int) AcctRow {
 	step := *allocation
 	step.UsefulS, step.LostS, step.Cost = 0, 0, 0
 	step.ID, step.RawID, step.Name = step.ID+".batch", step.RawID+".batch", "batch"
@@ -128,8 +128,8 @@
 	return step
 }
 
-// notRun makes the line of the tasks of which no attempt is known.
-func (l *lineMaker) notRun(ran map[int]bool) AcctRow {
+// notRunRow makes the line of the tasks of which no attempt is known.
+func (l *acctRowBuilder) notRunRow(ran map[int]bool) AcctRow {
 	job := &l.record.Job
 	row := l.base
 	row.ID, row.RawID = strconv.FormatUint(job.Number, 10), strconv.FormatUint(job.Number, 10)
--- a/internal/slurm/sacct_records.go
+++ b/internal/slurm/sacct_records.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if record == nil {
-		c.jobs[info.Job.UID] = &Record{Active: true, LimitS: info.Constraints.LimitS, Job: activeJob(info)}
+		c.jobs[info.Job.UID] = &Record{Active: true, LimitS: info.Constraints.LimitS, Job: activeJobRow(info)}
 	}
 	job := &info.Job
 	for _, placement := range info.Placements {
@@ -67,8 +67,8 @@
 	}
 }
 
-// activeJob is the row that an active job would have in accounting.
-func activeJob(info *jobquery.Info) accounting.Row {
+// activeJobRow is the row that an active job would have in accounting.
+func activeJobRow(info *jobquery.Info) accounting.Row {
 	job, c := &info.Job, info.Constraints
 	row := accounting.Row{
 		Kind: accounting.RowJob, UID: job.UID, Number: c.Number, State: statePending,
--- a/internal/slurm/sacct_sums.go
+++ b/internal/slurm/sacct_sums.go
@@ -9,24 +9,24 @@
 
 // Sum is what the jobs of a group took together. Its tags are the columns of exports.
 type Sum struct {
-	Key      string  `json:"key" parquet:"key"`
-	Jobs     int     `json:"jobs" parquet:"jobs"`
-	Tasks    int     `json:"tasks" parquet:"tasks"` // done
-	Attempts int     `json:"attempts" parquet:"attempts"`
-	CPUHours float64 `json:"cpu_hours" parquet:"cpu_hours"`
-	GBHours  float64 `json:"memory_gb_hours" parquet:"memory_gb_hours"`
-	UsefulH  float64 `json:"useful_cpu_hours" parquet:"useful_cpu_hours"`
-	LostH    float64 `json:"lost_cpu_hours" parquet:"lost_cpu_hours"`
-	Cost     float64 `json:"cost" parquet:"cost"`
-	WaitS    float64 `json:"wait_s" parquet:"wait_s"` // from eligible to start, of the jobs together
+	Key            string  `json:"key" parquet:"key"`
+	Jobs           int     `json:"jobs" parquet:"jobs"`
+	Tasks          int     `json:"tasks" parquet:"tasks"` // done
+	Attempts       int     `json:"attempts" parquet:"attempts"`
+	CPUHours       float64 `json:"cpu_hours" parquet:"cpu_hours"`
+	MemoryGBHours  float64 `json:"memory_gb_hours" parquet:"memory_gb_hours"`
+	UsefulCPUHours float64 `json:"useful_cpu_hours" parquet:"useful_cpu_hours"`
+	LostCPUHours   float64 `json:"lost_cpu_hours" parquet:"lost_cpu_hours"`
+	Cost           float64 `json:"cost" parquet:"cost"`
+	TotalWaitS     float64 `json:"wait_s" parquet:"wait_s"` // from eligible to start, of the jobs together
 }
 
-// groupings are the values of wallctl accounting report --by.
-func groupings(zone *time.Location) map[string]func(*Record) string {
+// groupKeys are the values of wallctl accounting report --by.
+func groupKeys(zone *time.Location) map[string]func(*Record) string {
 	return map[string]func(*Record) string{
 		"account": func(r *Record) string { return r.Job.Team },
 		"class":   func(r *Record) string { return r.Job.Class },
-		"user":    func(r *Record) string { return dash(r.Job.User, "-") },
+		"user":    func(r *Record) string { return orDefault(r.Job.User, "-") },
 		"day": func(r *Record) string {
 			if r.Job.End == 0 {
 				return "running"
@@ -36,12 +36,12 @@
 	}
 }
 
-// Sums returns the sums of records by account, class, user or day of their end in a zone, in
+// Summarize returns the sums of records by account, class, user or day of their end in a zone, in
 // order of these. The error is a *UsageError.
-func Sums(records []*Record, by string, zone *time.Location) ([]Sum, error) {
-	key := groupings(zone)[by]
+func Summarize(records []*Record, by string, zone *time.Location) ([]Sum, error) {
+	key := groupKeys(zone)[by]
 	if key == nil {
-		return nil, &UsageError{Option: "by", Why: fmt.Sprintf("%.40q: account, class, user or day is needed", by)}
+		return nil, &UsageError{Option: "by", Message: fmt.Sprintf("%.40q: account, class, user or day is needed", by)}
 	}
 	byKey := map[string]*Sum{}
 	for _, r := range records {
@@ -66,7 +66,7 @@
 	s.Jobs++
 	s.Tasks += int(r.Job.Done)
 	if r.Job.Eligible > 0 && r.Job.Start > r.Job.Eligible {
-		s.WaitS += float64(r.Job.Start-r.Job.Eligible) / 1000
+		s.TotalWaitS += float64(r.Job.Start-r.Job.Eligible) / 1000
 	}
 	for i := range r.Attempts {
 		attempt := &r.Attempts[i]
@@ -77,12 +77,12 @@
 		cpuHours := hours * float64(attempt.CPUs)
 		s.Attempts++
 		s.CPUHours += cpuHours
-		s.GBHours += hours * float64(attempt.MemoryGB)
+		s.MemoryGBHours += hours * float64(attempt.MemoryGB)
 		s.Cost += attempt.Cost()
 		if attempt.Useful {
-			s.UsefulH += cpuHours
+			s.UsefulCPUHours += cpuHours
 		} else {
-			s.LostH += cpuHours
+			s.LostCPUHours += cpuHours
 		}
 	}
 }
--- a/internal/slurm/sacct_table.go
+++ b/internal/slurm/sacct_table.go
@@ -25,25 +25,25 @@
 		return r.Job.User
 	}},
 	{0, "QOS", "QOS", 10, func(r *AcctRow) string { return r.Job.Priority }},
-	{0, "AllocCPUS", "AllocCPUS", 10, func(r *AcctRow) string { return amount(r.CPUs) }},
-	{0, "NCPUS", "NCPUS", 10, func(r *AcctRow) string { return amount(r.CPUs) }},
-	{0, "ReqCPUS", "ReqCPUS", 8, func(r *AcctRow) string { return amount(float64(r.Job.CPUs)) }},
-	{0, "ReqMem", "ReqMem", 10, func(r *AcctRow) string { return memoryText(float64(r.Job.MemoryGB)) }},
+	{0, "AllocCPUS", "AllocCPUS", 10, func(r *AcctRow) string { return formatNumber(r.CPUs) }},
+	{0, "NCPUS", "NCPUS", 10, func(r *AcctRow) string { return formatNumber(r.CPUs) }},
+	{0, "ReqCPUS", "ReqCPUS", 8, func(r *AcctRow) string { return formatNumber(float64(r.Job.CPUs)) }},
+	{0, "ReqMem", "ReqMem", 10, func(r *AcctRow) string { return formatMemory(float64(r.Job.MemoryGB)) }},
 	{0, "State", "State", 10, func(r *AcctRow) string { return r.State }},
-	{0, "ExitCode", "ExitCode", 8, func(r *AcctRow) string { return exitCode(r.Exit) }},
-	{0, "Submit", "Submit", 19, func(r *AcctRow) string { return stamp(r.Job.Submit, "Unknown", r.Zone) }},
-	{0, "Eligible", "Eligible", 19, func(r *AcctRow) string { return stamp(r.Job.Eligible, "Unknown", r.Zone) }},
-	{0, "Start", "Start", 19, func(r *AcctRow) string { return stamp(r.StartMs, "Unknown", r.Zone) }},
-	{0, "End", "End", 19, func(r *AcctRow) string { return stamp(r.EndMs, "Unknown", r.Zone) }},
-	{0, "Elapsed", "Elapsed", 10, func(r *AcctRow) string { return Clock(r.elapsedS(), false) }},
+	{0, "ExitCode", "ExitCode", 8, func(r *AcctRow) string { return formatExitCode(r.Exit) }},
+	{0, "Submit", "Submit", 19, func(r *AcctRow) string { return formatTime(r.Job.Submit, "Unknown", r.Zone) }},
+	{0, "Eligible", "Eligible", 19, func(r *AcctRow) string { return formatTime(r.Job.Eligible, "Unknown", r.Zone) }},
+	{0, "Start", "Start", 19, func(r *AcctRow) string { return formatTime(r.StartMs, "Unknown", r.Zone) }},
+	{0, "End", "End", 19, func(r *AcctRow) string { return formatTime(r.EndMs, "Unknown", r.Zone) }},
+	{0, "Elapsed", "Elapsed", 10, func(r *AcctRow) string { return FormatDuration(r.elapsedS(), false) }},
 	{0, "ElapsedRaw", "ElapsedRaw", 10, func(r *AcctRow) string { return strconv.Itoa(int(r.elapsedS())) }},
 	{0, "Timelimit", "Timelimit", 10, func(r *AcctRow) string {
 		if r.LimitS == 0 {
 			return "UNLIMITED"
 		}
-		return Clock(r.LimitS, false)
+		return FormatDuration(r.LimitS, false)
 	}},
-	{0, "CPUTime", "CPUTime", 10, func(r *AcctRow) string { return Clock(r.elapsedS()*r.CPUs, false) }},
+	{0, "CPUTime", "CPUTime", 10, func(r *AcctRow) string { return FormatDuration(r.elapsedS()*r.CPUs, false) }},
 	{0, "CPUTimeRAW", "CPUTimeRAW", 10, func(r *AcctRow) string { return strconv.Itoa(int(r.elapsedS() * r.CPUs)) }},
 	{0, "NNodes", "NNodes", 8, func(r *AcctRow) string {
 		if r.Machine == "" {
@@ -51,9 +51,9 @@
 		}
 		return "1"
 	}},
-	{0, "NodeList", "NodeList", 15, func(r *AcctRow) string { return dash(r.Machine, "None assigned") }},
+	{0, "NodeList", "NodeList", 15, func(r *AcctRow) string { return orDefault(r.Machine, "None assigned") }},
 	{0, "Restarts", "Restarts", 8, func(r *AcctRow) string { return strconv.Itoa(r.Restarts) }},
-	{0, "MemSeconds", "MemSeconds", 12, func(r *AcctRow) string { return amount(float64(int(r.elapsedS() * float64(r.Job.MemoryGB)))) }},
+	{0, "MemSeconds", "MemSeconds", 12, func(r *AcctRow) string { return formatNumber(float64(int(r.elapsedS() * float64(r.Job.MemoryGB)))) }},
 	{0, "UsefulSec", "UsefulSec", 10, func(r *AcctRow) string { return fmt.Sprintf("%.1f", r.UsefulS) }},
 	{0, "LostSec", "LostSec", 10, func(r *AcctRow) string { return fmt.Sprintf("%.1f", r.LostS) }},
 	{0, "Cost", "Cost", 10, func(r *AcctRow) string { return fmt.Sprintf("%.6f", r.Cost) }},
@@ -66,16 +66,16 @@
 // AcctTable returns sacct's layout of a format, "" for the default one. parsable is "", "P"
 // (bars between the columns) or "p" (and at the end). The error is a *UsageError.
 func AcctTable(format, parsable string) (*Table[AcctRow], error) {
-	t, err := parseNames("format", dash(format, acctFormat), "%", acctFields)
+	t, err := parseFieldList("format", orDefault(format, acctFormat), "%", acctFields)
 	if err != nil {
 		return nil, err
 	}
 	for i := range t.columns {
 		if t.columns[i].name == "JobID" && !strings.Contains(strings.ToLower(format), "jobid%") {
-			t.columns[i].right = false
+			t.columns[i].alignRight = false
 		}
 	}
-	t.bars, t.endBar, t.sacct = parsable != "", parsable == "p", true
+	t.delimited, t.trailingDelimiter, t.sacctStyle = parsable != "", parsable == "p", true
 	return t, nil
 }
 
@@ -85,7 +85,7 @@
 // Values returns the names and texts of all columns of a line.
 func (r *AcctRow) Values() (names, texts []string) {
 	for _, f := range acctFields {
-		names, texts = append(names, f.name), append(texts, f.of(r))
+		names, texts = append(names, f.name), append(texts, f.format(r))
 	}
 	return names, texts
 }
--- a/internal/slurm/scontrol.go
+++ b/internal/slurm/scontrol.go
@@ -15,14 +15,14 @@
 // its final state is.
 func ShowJob(info *jobquery.Info, zone *time.Location) string {
 	if info.Constraints == nil {
-		return showEnded(info, zone)
+		return showEndedJob(info, zone)
 	}
 	var b strings.Builder
 	printf := func(format string, args ...any) { fmt.Fprintf(&b, format, args...) }
 	job, c := &info.Job, info.Constraints
-	printf("JobId=%d JobName=%s WallrackUID=%s\n", c.Number, dash(c.Name, job.Class), job.UID)
-	printf("   UserId=%s Account=%s QOS=%s Priority=%d\n", dash(c.User, "-"), job.Team, job.Priority, job.Rank())
-	printf("   JobState=%s Reason=%s Dependency=%s\n", activeState(info), dash(info.Reason, jobspec.ReasonNone), dash(formatDependencies(c), "(null)"))
+	printf("JobId=%d JobName=%s WallrackUID=%s\n", c.Number, orDefault(c.Name, job.Class), job.UID)
+	printf("   UserId=%s Account=%s QOS=%s Priority=%d\n", orDefault(c.User, "-"), job.Team, job.Priority, job.Rank())
+	printf("   JobState=%s Reason=%s Dependency=%s\n", activeJobState(info), orDefault(info.Reason, jobspec.ReasonNone), orDefault(formatDependencies(c), "(null)"))
 	if isArray(job.Tasks, c.Array) {
 		array := indices(job.Tasks, c.Array).String()
 		if c.MaxConcurrent > 0 {
@@ -32,23 +32,23 @@
 	}
 	limit := "UNLIMITED"
 	if c.LimitS > 0 {
-		limit = Clock(c.LimitS, false)
+		limit = FormatDuration(c.LimitS, false)
 	}
-	printf("   TimeLimit=%s SubmitTime=%s EligibleTime=%s\n", limit, stamp(info.AcceptedMs, "Unknown", zone), stamp(info.EligibleMs, "Unknown", zone))
-	printf("   StartTime=%s Deadline=%s BeginTime=%s\n", stamp(info.StartMs, "Unknown", zone), stamp(c.DeadlineMs, "N/A", zone), stamp(c.BeginMs, "N/A", zone))
+	printf("   TimeLimit=%s SubmitTime=%s EligibleTime=%s\n", limit, formatTime(info.AcceptedMs, "Unknown", zone), formatTime(info.EligibleMs, "Unknown", zone))
+	printf("   StartTime=%s Deadline=%s BeginTime=%s\n", formatTime(info.StartMs, "Unknown", zone), formatTime(c.DeadlineMs, "N/A", zone), formatTime(c.BeginMs, "N/A", zone))
 	nodes := make([]string, 0, len(info.Placements))
 	for _, placement := range info.Placements {
 		nodes = append(nodes, placement.Worker)
 	}
-	printf("   Partition=%s NodeList=%s\n", job.Class, dash(strings.Join(nodes, ","), "(null)"))
-	printf("   NumTasks=%d CPUs/Task=%s Memory/Task=%s Gres/Task=%s\n", job.Tasks, amount(job.CPUs), memoryText(job.MemoryGB), gres(job.GPUs))
+	printf("   Partition=%s NodeList=%s\n", job.Class, orDefault(strings.Join(nodes, ","), "(null)"))
+	printf("   NumTasks=%d CPUs/Task=%s Memory/Task=%s Gres/Task=%s\n", job.Tasks, formatNumber(job.CPUs), formatMemory(job.MemoryGB), formatGRES(job.GPUs))
 	printf("   WaitingTasks=%d RunningTasks=%d DoneTasks=%d FailedTasks=%d\n", info.PendingCount, info.Running, info.Done, info.Failed)
-	printf("   Features=%s\n\n", dash(strings.Join(features(job), ","), "(null)"))
+	printf("   Features=%s\n\n", orDefault(strings.Join(features(job), ","), "(null)"))
 	return b.String()
 }
 
-// showEnded formats an ended job: its final state is kept for ever, all else is in accounting.
-func showEnded(info *jobquery.Info, zone *time.Location) string {
+// showEndedJob formats an ended job: its final state is kept for ever, all else is in accounting.
+func showEndedJob(info *jobquery.Info, zone *time.Location) string {
 	ending := info.Ending
 	if ending == nil {
 		ending = &jobspec.Ending{State: jobspec.Cancelled}
@@ -57,11 +57,11 @@
 		}
 	}
 	return fmt.Sprintf("JobId=%d WallrackUID=%s\n   JobState=%s Reason=None ExitCode=%s\n   StartTime=%s EndTime=%s\n   DoneTasks=%d FailedTasks=%d\n\n",
-		ending.Number, info.Job.UID, ending.State, exitCode(ending.Exit), stamp(ending.StartMs, "Unknown", zone), stamp(ending.EndMs, "Unknown", zone), info.Done, ending.Failed)
+		ending.Number, info.Job.UID, ending.State, formatExitCode(ending.Exit), formatTime(ending.StartMs, "Unknown", zone), formatTime(ending.EndMs, "Unknown", zone), info.Done, ending.Failed)
 }
 
-// activeState is the state of a job that is listed.
-func activeState(info *jobquery.Info) string {
+// activeJobState is the state of a job that is listed.
+func activeJobState(info *jobquery.Info) string {
 	switch {
 	case info.Stage == wire.StageCancelled:
 		return jobspec.Cancelled
@@ -86,5 +86,5 @@
 // ShowNode formats a worker as scontrol show node does.
 func ShowNode(r *NodeRow) string {
 	return fmt.Sprintf("NodeName=%s\n   CPUAlloc=%s CPUTot=%s RealMemory=%d Gres=gpu:%s\n   State=%s AvailableFeatures=%s,%s Tasks=%d LastBusyReport=%.0fs\n\n",
-		r.Name, amount(r.UsedCPUs), amount(r.CPUs), int(r.MemoryGB*1024), amount(r.GPUs), strings.ToUpper(r.state()), r.Type, r.Zone, r.Tasks, r.SinceHeartbeatS)
+		r.Name, formatNumber(r.UsedCPUs), formatNumber(r.CPUs), int(r.MemoryGB*1024), formatNumber(r.GPUs), strings.ToUpper(r.state()), r.Type, r.Zone, r.Tasks, r.SinceHeartbeatS)
 }
--- a/internal/slurm/script.go
+++ b/internal/slurm/script.go
@@ -11,25 +11,25 @@
 	"github.com/kballard/go-shellquote"
 )
 
-// optionLine is an #SBATCH line of a script.
-type optionLine struct {
-	n    int      // of the line, from 1
+// directive is an #SBATCH line of a script.
+type directive struct {
+	line int      // of the line, from 1
 	args []string // unquoted
 }
 
-// scriptLines returns the #SBATCH lines of a script: those before its first command. The error
+// parseDirectives returns the #SBATCH lines of a script: those before its first command. The error
 // is a *UsageError.
-func scriptLines(script string) ([]optionLine, error) {
+func parseDirectives(script string) ([]directive, error) {
 	if !strings.HasPrefix(script, "#!") {
-		return nil, &UsageError{Why: "This does not look like a batch script.  The first line must start with #! followed by the path to an interpreter."}
+		return nil, &UsageError{Message: "This does not look like a batch script.  The first line must start with #! followed by the path to an interpreter."}
 	}
 	if strings.Contains(script, "\r\n") {
-		return nil, &UsageError{Why: "Batch script contains DOS line breaks (\\r\\n) instead of expected UNIX line breaks (\\n)."}
+		return nil, &UsageError{Message: "Batch script contains DOS line breaks (\\r\\n) instead of expected UNIX line breaks (\\n)."}
 	}
 	if strings.ContainsRune(script, 0) {
-		return nil, &UsageError{Why: "The batch script holds a zero byte."}
+		return nil, &UsageError{Message: "The batch script holds a zero byte."}
 	}
-	var lines []optionLine
+	var lines []directive
 	scanner := bufio.NewScanner(strings.NewReader(script))
 	scanner.Buffer(nil, len(script)+1)
 	for n := 1; scanner.Scan(); n++ {
@@ -38,11 +38,11 @@
 		options, found := strings.CutPrefix(line, "#SBATCH")
 		switch {
 		case found && options != "" && (options[0] == ' ' || options[0] == '\t'):
-			args, err := shellquote.Split(beforeComment(options))
+			args, err := shellquote.Split(stripComment(options))
 			if err != nil {
-				return nil, &UsageError{Where: lineName(n), Why: err.Error()}
+				return nil, &UsageError{Location: lineLocation(n), Message: err.Error()}
 			}
-			lines = append(lines, optionLine{n, args})
+			lines = append(lines, directive{n, args})
 		case trimmed != "" && trimmed[0] != '#':
 			return lines, nil
 		}
@@ -50,11 +50,11 @@
 	return lines, nil
 }
 
-// lineName is the UsageError.Where of a line.
-func lineName(line int) string { return fmt.Sprintf("script line %d", line) }
+// lineLocation is the UsageError.Where of a line.
+func lineLocation(line int) string { return fmt.Sprintf("script line %d", line) }
 
-// beforeComment cuts a comment off, which starts with a # that begins a word outside quotes.
-func beforeComment(s string) string {
+// stripComment cuts a comment off, which starts with a # that begins a word outside quotes.
+func stripComment(s string) string {
 	quote := rune(0)
 	last := ' '
 	for i, c := range s {
@@ -75,26 +75,26 @@
 
 // FromScript returns the options of a script's #SBATCH lines. Each line is validated by itself,
 // so that the error, a *UsageError, names the line.
-func FromScript(script string, now time.Time) (Given, error) {
-	lines, err := scriptLines(script)
+func FromScript(script string, now time.Time) (OptionValues, error) {
+	lines, err := parseDirectives(script)
 	if err != nil {
 		return nil, err
 	}
-	given := Given{}
+	given := OptionValues{}
 	for _, l := range lines {
 		ofLine, arguments, err := ParseArgs(Sbatch, l.args)
 		if err == nil && len(arguments) > 0 {
-			err = &UsageError{Why: fmt.Sprintf("%.40q is not an option", arguments[0])}
+			err = &UsageError{Message: fmt.Sprintf("%.40q is not an option", arguments[0])}
 		}
 		if err == nil {
-			_, err = Join(Sbatch, now, ofLine)
+			_, err = MergeOptions(Sbatch, now, ofLine)
 		}
 		var usage *UsageError
 		if errors.As(err, &usage) {
-			return nil, &UsageError{Where: lineName(l.n), Option: usage.Option, Why: usage.Why}
+			return nil, &UsageError{Location: lineLocation(l.line), Option: usage.Option, Message: usage.Message}
 		}
 		if err != nil {
-			return nil, &UsageError{Where: lineName(l.n), Why: err.Error()}
+			return nil, &UsageError{Location: lineLocation(l.line), Message: err.Error()}
 		}
 		maps.Copy(given, ofLine)
 	}
--- a/internal/slurm/sinfo.go
+++ b/internal/slurm/sinfo.go
@@ -48,20 +48,20 @@
 	{'T', "StateLong", "STATE", 20, (*NodeRow).state},
 	{'N', "NodeList", "NODELIST", 20, func(r *NodeRow) string { return r.Names }},
 	{'n', "NodeHost", "HOSTNAMES", 20, func(r *NodeRow) string { return r.Names }},
-	{'c', "CPUs", "CPUS", 20, func(r *NodeRow) string { return amount(r.CPUs) }},
+	{'c', "CPUs", "CPUS", 20, func(r *NodeRow) string { return formatNumber(r.CPUs) }},
 	{'C', "CPUsState", "CPUS(A/I/O/T)", 20, func(r *NodeRow) string {
 		allocated, total := r.UsedCPUs, r.CPUs*float64(r.Count)
 		if r.state() == "down" {
-			return fmt.Sprintf("0/0/%s/%s", amount(total), amount(total))
+			return fmt.Sprintf("0/0/%s/%s", formatNumber(total), formatNumber(total))
 		}
-		return fmt.Sprintf("%s/%s/0/%s", amount(allocated), amount(max(0, total-allocated)), amount(total))
+		return fmt.Sprintf("%s/%s/0/%s", formatNumber(allocated), formatNumber(max(0, total-allocated)), formatNumber(total))
 	}},
 	{'m', "Memory", "MEMORY", 20, func(r *NodeRow) string { return strconv.Itoa(int(r.MemoryGB * 1024)) }},
 	{'G', "Gres", "GRES", 20, func(r *NodeRow) string {
 		if r.GPUs == 0 {
 			return "(null)"
 		}
-		return "gpu:" + amount(r.GPUs)
+		return "gpu:" + formatNumber(r.GPUs)
 	}},
 	{'f', "Features", "AVAIL_FEATURES", 20, func(r *NodeRow) string {
 		features := r.Type + "," + r.Zone
@@ -74,9 +74,9 @@
 	{'V', "Cluster", "CLUSTER", 20, func(r *NodeRow) string { return r.Cluster }},
 }
 
-// Nodes returns sinfo's lines, for each class of the site: with eachWorker (-N) one a worker,
+// NodeRows returns sinfo's lines, for each class of the site: with eachWorker (-N) one a worker,
 // else one for the workers of a machine type in a state.
-func Nodes(workers []wire.MachineInfo, site *jobquery.Site, eachWorker bool) []NodeRow {
+func NodeRows(workers []wire.MachineInfo, site *jobquery.Site, eachWorker bool) []NodeRow {
 	var rows []NodeRow
 	for _, class := range site.Classes {
 		partition := class
@@ -85,7 +85,7 @@
 		}
 		groups := map[string]int{} // index in rows by state and type
 		for _, worker := range workers {
-			row := nodeRow(worker, partition, site)
+			row := newNodeRow(worker, partition, site)
 			group := row.state() + " " + worker.Type
 			if at, found := groups[group]; found && !eachWorker {
 				first := &rows[at]
@@ -101,8 +101,8 @@
 	return rows
 }
 
-// nodeRow is the line of one worker.
-func nodeRow(worker wire.MachineInfo, partition string, site *jobquery.Site) NodeRow {
+// newNodeRow is the line of one worker.
+func newNodeRow(worker wire.MachineInfo, partition string, site *jobquery.Site) NodeRow {
 	row := NodeRow{MachineInfo: worker, Partition: partition, Cluster: site.Cluster, Count: 1, Names: worker.Name}
 	for i := range site.Types {
 		if t := &site.Types[i]; t.Name == worker.Type {
@@ -117,9 +117,9 @@
 func NodeTable(format string, eachWorker bool) (*Table[NodeRow], error) {
 	switch {
 	case format != "":
-		return parsePercent(format, nodeFields)
+		return parseFormat(format, nodeFields)
 	case eachWorker:
-		return parsePercent("%14N %.6D %.9P %6t", nodeFields)
+		return parseFormat("%14N %.6D %.9P %6t", nodeFields)
 	}
-	return parsePercent("%9P %.5a %.10l %.6D %.6t %N", nodeFields)
+	return parseFormat("%9P %.5a %.10l %.6D %.6t %N", nodeFields)
 }
--- a/internal/slurm/slurm_test.go
+++ b/internal/slurm/slurm_test.go
@@ -18,8 +18,8 @@
 )
 
 var (
-	now  = time.Date(2026, 12, 1, 15, 30, 0, 0, time.UTC)
-	here = &jobquery.Site{
+	now      = time.Date(2026, 12, 1, 15, 30, 0, 0, time.UTC)
+	testSite = &jobquery.Site{
 		Cluster: "c", Class: "adhoc", Team: "ops", Classes: []string{"adhoc", "quote"}, Teams: []string{"ops", "lab"}, Zones: []string{"a", "b", "c"},
 		Types: []wire.MachineType{{Name: "m8"}, {Name: "m64"}, {Name: "g8"}},
 	}
@@ -31,15 +31,15 @@
 		"5": 300, "5:30": 330, "1:05:30": 3930, "2-3": 2*86400 + 3*3600, "2-3:04": 2*86400 + 3*3600 + 240, "1-00:00:01": 86401,
 		"0": 0, "INFINITE": 0, "unlimited": 0, "": -1, "1:x": -1, "1:2:3:4": -1, "-5": -1, "1-2-3": -1, "1-": -1, "99999999": -1,
 	} {
-		got, err := slurm.ParseLimit(text)
+		got, err := slurm.ParseTimeLimit(text)
 		if want < 0 != (err != nil) || err == nil && got != want {
 			t.Errorf("%q: %v, %v", text, got, err)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		s := float64(rapid.IntRange(1, 300*86400).Draw(t, "seconds"))
-		if got, err := slurm.ParseLimit(slurm.Clock(s, false)); err != nil || got != s {
-			t.Fatalf("%v is written %s and read %v, %v", s, slurm.Clock(s, false), got, err)
+		if got, err := slurm.ParseTimeLimit(slurm.FormatDuration(s, false)); err != nil || got != s {
+			t.Fatalf("%v is written %s and read %v, %v", s, slurm.FormatDuration(s, false), got, err)
 		}
 	})
 }
@@ -73,7 +73,7 @@
 func TestLaterSourcesOverrideEarlierOnes(t *testing.T) {
 	script := "#!/bin/bash\n# a comment\n#SBATCH -J fromscript --time=10 # and why\n#SBATCH --mem=2G -p 'quote'\n#SBATCHED no\n\necho hello\n#SBATCH -J toolate\n"
 	lines, err := slurm.FromScript(script, now)
-	if err != nil || !reflect.DeepEqual(lines, slurm.Given{"job-name": "fromscript", "time": "10", "mem": "2G", "partition": "quote"}) {
+	if err != nil || !reflect.DeepEqual(lines, slurm.OptionValues{"job-name": "fromscript", "time": "10", "mem": "2G", "partition": "quote"}) {
 		t.Fatalf("%v, %v", lines, err)
 	}
 	env := slurm.FromEnv(slurm.Sbatch, func(k string) (string, bool) {
@@ -84,7 +84,7 @@
 	if err != nil || len(rest) != 3 {
 		t.Fatalf("%v, %v", rest, err)
 	}
-	o, err := slurm.Join(slurm.Sbatch, now, lines, env, args)
+	o, err := slurm.MergeOptions(slurm.Sbatch, now, lines, env, args)
 	if err != nil || o.LimitS != 1800 || o.Partition != "adhoc" || o.Name != "fromscript" || o.MemoryMB != 2048 || !o.Wait || o.Account != "" || o.MaxConcurrent != 2 {
 		t.Errorf("%+v, %v", o, err)
 	}
@@ -105,8 +105,8 @@
 	}
 }
 
-// translations has a check of the request for each command line, nil for one that is refused.
-var translations = map[string]func(r *slurm.Request) bool{
+// translationCases has a check of the request for each command line, nil for one that is refused.
+var translationCases = map[string]func(r *slurm.Request) bool{
 	"": func(r *slurm.Request) bool {
 		return r.Job.Tasks == 1 && r.Job.CPUs == 1 && r.Job.MemoryGB == 0.5 && r.Job.Priority == "normal" && r.Job.Class == "adhoc" && r.Job.Team == "ops" && r.Constraints.NoRetry && r.Constraints.Name == "job.sh"
 	},
@@ -136,24 +136,24 @@
 	"--deadline=now": nil, "--nice=-1": nil, "--gres=fpga:1": nil, "-C gpu": nil, "--array=0-200000": nil, "-d expand:3": nil, "-d after": nil, "-c 0": nil, "--kill-on-invalid-dep=maybe": nil,
 }
 
-// translate translates a command line of sbatch with a script.
-func translate(line string) (*slurm.Request, error) {
+// translateLine translates a command line of sbatch with a script.
+func translateLine(line string) (*slurm.Request, error) {
 	given, _, err := slurm.ParseArgs(slurm.Sbatch, strings.Fields(line))
 	if err != nil {
 		return nil, err
 	}
-	options, err := slurm.Join(slurm.Sbatch, now, given)
+	options, err := slurm.MergeOptions(slurm.Sbatch, now, given)
 	if err != nil {
 		return nil, err
 	}
-	work := &slurm.Work{Script: "#!/bin/sh -e\ntrue\n", File: "/x/job.sh", Env: []string{"HOME=/h", "SLURM_JOB_ID=9"}, Dir: "/d", User: "erin"}
-	return slurm.Translate(slurm.Sbatch, options, work, here, now)
+	work := &slurm.Invocation{Script: "#!/bin/sh -e\ntrue\n", ScriptName: "/x/job.sh", Env: []string{"HOME=/h", "SLURM_JOB_ID=9"}, Dir: "/d", User: "erin"}
+	return slurm.Translate(slurm.Sbatch, options, work, testSite, now)
 }
 
 // Options become the fields of a job that any site accepts, or are refused.
 func TestOptionsTranslateToValidJobs(t *testing.T) {
-	for line, want := range translations {
-		r, err := translate(line)
+	for line, want := range translationCases {
+		r, err := translateLine(line)
 		if want == nil {
 			if err == nil {
 				t.Errorf("%s: accepted as %+v", line, r.Job)
@@ -174,8 +174,8 @@
 	}
 }
 
-// jobs are an array of which some tasks run, and a waiting job.
-func jobs() []jobquery.Info {
+// exampleJobs are an array of which some tasks run, and a waiting job.
+func exampleJobs() []jobquery.Info {
 	ms := func(s int) int64 { return now.Add(time.Duration(s) * time.Second).UnixMilli() }
 	return []jobquery.Info{
 		{
@@ -236,8 +236,8 @@
 			t.Fatal(err)
 		}
 		got := "\n" + tb.Header()
-		for _, i := range jobs() {
-			rows := slurm.Queue(&i, c.eachTask, now.UnixMilli(), time.UTC)
+		for _, i := range exampleJobs() {
+			rows := slurm.QueueRows(&i, c.eachTask, now.UnixMilli(), time.UTC)
 			for k := range rows {
 				got += tb.Row(&rows[k])
 			}
@@ -254,17 +254,17 @@
 }
 
 // Ids name a job, a task of its array by index or number, or ranges of tasks.
-func TestJobIDsNameJobsTasksAndRanges(t *testing.T) {
-	is := jobs()
+func TestJobSelectorMatchesJobsTasksAndRanges(t *testing.T) {
+	is := exampleJobs()
 	for text, want := range map[string]int{"100": 6, "100_4": 1, "100_[2,4]": 2, "103": 1, "106": 1, "107": 0, "100_3": 0, "99": 0} {
-		target, err := slurm.ParseTarget(text)
+		target, err := slurm.ParseJobSelector(text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := 0
 		for i := range is {
-			for _, r := range slurm.Queue(&is[i], true, 0, time.UTC) {
-				if (&slurm.Filter{Jobs: []slurm.Target{target}}).Has(&r) {
+			for _, r := range slurm.QueueRows(&is[i], true, 0, time.UTC) {
+				if (&slurm.QueueFilter{Jobs: []slurm.JobSelector{target}}).Matches(&r) {
 					n++
 				}
 			}
@@ -273,13 +273,13 @@
 			t.Errorf("%s selects %d rows, not %d", text, n, want)
 		}
 	}
-	if odd, err := slurm.ParseTarget("100_[0-4]"); err != nil {
+	if odd, err := slurm.ParseJobSelector("100_[0-4]"); err != nil {
 		t.Error(err)
-	} else if _, err := slurm.Tasks(odd.Indices, 6, "0-10:2"); err == nil {
+	} else if _, err := slurm.TasksByIndex(odd.Indices, 6, "0-10:2"); err == nil {
 		t.Error("tasks that are not there are found")
 	}
 	for _, bad := range []string{"", "x", "0", "1_", "1_[2", "1_x", "-1"} {
-		if _, err := slurm.ParseTarget(bad); err == nil {
+		if _, err := slurm.ParseJobSelector(bad); err == nil {
 			t.Errorf("%q is a target", bad)
 		}
 	}
@@ -306,7 +306,7 @@
 		t.Fatal(err)
 	}
 	got := "\n"
-	for _, l := range slurm.Lines(recs[0], slurm.AcctOptions{Duplicates: true, NowMs: at(0), Zone: time.UTC}) {
+	for _, l := range slurm.AcctRows(recs[0], slurm.AcctOptions{Duplicates: true, NowMs: at(0), Zone: time.UTC}) {
 		got += tb.Row(&l)
 	}
 	if want := `
@@ -319,8 +319,8 @@
 `; got != want {
 		t.Errorf("%s", got)
 	}
-	sums, err := slurm.Sums(recs, "account", time.UTC)
-	if err != nil || len(sums) != 1 || fmt.Sprintf("%.4f %.4f %.4f", sums[0].CPUHours, sums[0].LostH, sums[0].Cost) != "0.0278 0.0222 0.0500" || sums[0].WaitS != 10 {
+	sums, err := slurm.Summarize(recs, "account", time.UTC)
+	if err != nil || len(sums) != 1 || fmt.Sprintf("%.4f %.4f %.4f", sums[0].CPUHours, sums[0].LostCPUHours, sums[0].Cost) != "0.0278 0.0222 0.0500" || sums[0].TotalWaitS != 10 {
 		t.Errorf("%+v, %v", sums, err)
 	}
 }
@@ -332,28 +332,28 @@
 	}
 	f.Fuzz(func(t *testing.T, s string) {
 		if g, err := slurm.FromScript(s, now); err == nil {
-			if _, err := slurm.Join(slurm.Sbatch, now, g); err != nil && !strings.Contains(err.Error(), "mutually exclusive") {
+			if _, err := slurm.MergeOptions(slurm.Sbatch, now, g); err != nil && !strings.Contains(err.Error(), "mutually exclusive") {
 				t.Errorf("each line is in order, but together: %v", err)
 			}
 		}
 		for _, cmd := range []slurm.Command{slurm.Sbatch, slurm.Srun} {
 			if g, _, err := slurm.ParseArgs(cmd, strings.Fields(s)); err == nil {
-				if o, err := slurm.Join(cmd, now, g); err == nil {
-					_, _ = slurm.Translate(cmd, o, &slurm.Work{Script: "#!/bin/sh\n", Argv: []string{"x"}}, here, now)
+				if o, err := slurm.MergeOptions(cmd, now, g); err == nil {
+					_, _ = slurm.Translate(cmd, o, &slurm.Invocation{Script: "#!/bin/sh\n", Argv: []string{"x"}}, testSite, now)
 				}
 			}
 		}
 		if tb, err := slurm.QueueTable(s, "", false); err == nil {
-			for _, i := range jobs() {
-				for _, r := range slurm.Queue(&i, true, now.UnixMilli(), time.UTC) {
+			for _, i := range exampleJobs() {
+				for _, r := range slurm.QueueRows(&i, true, now.UnixMilli(), time.UTC) {
 					tb.Row(&r)
 				}
 			}
 		}
 		_, _ = slurm.AcctTable(s, "")
-		_, _ = slurm.ParseTarget(s)
+		_, _ = slurm.ParseJobSelector(s)
 		_, _ = slurm.ParseTime(s, now)
 		_, _ = slurm.ParseMemoryMB(s)
-		_, _ = slurm.ParseLimit(s)
+		_, _ = slurm.ParseTimeLimit(s)
 	})
 }
--- a/internal/slurm/sources.go
+++ b/internal/slurm/sources.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/pflag"
 )
 
-// Given has the options of one source: values by the option's long name.
-type Given map[string]string
+// OptionValues has the options of one source: values by the option's long name.
+type OptionValues map[string]string
 
 // newFlagSet returns a command's options for the parser. Options after the first argument are
 // the program's, not the command's.
@@ -26,9 +26,9 @@
 		}
 		fs.StringP(o.name, o.short, "", o.help)
 		switch o.kind {
-		case flagged:
+		case noValue:
 			fs.Lookup(o.name).NoOptDefVal = "true"
-		case optional:
+		case optionalValue:
 			fs.Lookup(o.name).NoOptDefVal = "100" // as Slurm's nice
 		}
 	}
@@ -43,7 +43,7 @@
 
 // ParseArgs splits a command line into the options and the arguments that follow them. It
 // doesn't validate values. The error is a *UsageError or ErrHelp.
-func ParseArgs(cmd Command, args []string) (Given, []string, error) {
+func ParseArgs(cmd Command, args []string) (OptionValues, []string, error) {
 	fs := newFlagSet(cmd)
 	fs.SetOutput(io.Discard)
 	fs.Usage = func() {}
@@ -53,7 +53,7 @@
 		}
 		return nil, nil, flagError(err)
 	}
-	given := Given{}
+	given := OptionValues{}
 	fs.Visit(func(f *pflag.Flag) { given[f.Name] = f.Value.String() })
 	return given, fs.Args(), nil
 }
@@ -63,26 +63,26 @@
 func flagError(err error) error {
 	var unknown *pflag.NotExistError
 	if !errors.As(err, &unknown) {
-		return &UsageError{Why: err.Error()}
+		return &UsageError{Message: err.Error()}
 	}
 	name := unknown.GetSpecifiedName()
 	if slices.Contains(unsupportedOptions, name) {
-		return &UsageError{Option: name, Why: "is not supported by wallrack"}
+		return &UsageError{Option: name, Message: "is not supported by wallrack"}
 	}
 	if unknown.GetSpecifiedShortnames() != "" {
-		return &UsageError{Why: fmt.Sprintf("-%s: unknown or not supported by wallrack", name)}
+		return &UsageError{Message: fmt.Sprintf("-%s: unknown or not supported by wallrack", name)}
 	}
-	return &UsageError{Option: name, Why: "unrecognized option"}
+	return &UsageError{Option: name, Message: "unrecognized option"}
 }
 
 // FromEnv returns the options that environment variables set: SBATCH_* for sbatch, SLURM_* for
 // srun.
-func FromEnv(cmd Command, lookup func(string) (string, bool)) Given {
+func FromEnv(cmd Command, lookup func(string) (string, bool)) OptionValues {
 	prefix := "SBATCH_"
 	if cmd == Srun {
 		prefix = "SLURM_"
 	}
-	given := Given{}
+	given := OptionValues{}
 	for _, o := range optionTable {
 		if o.env == "" || o.only != "" && o.only != cmd {
 			continue
@@ -90,7 +90,7 @@
 		value, found := lookup(prefix + o.env)
 		switch {
 		case !found:
-		case o.kind == flagged:
+		case o.kind == noValue:
 			given[o.name] = "true" // in Slurm a variable that is set means yes, whatever its value
 		case value != "":
 			given[o.name] = value
@@ -99,11 +99,11 @@
 	return given
 }
 
-// Join joins sources, of which later ones override earlier ones, and validates every value
+// MergeOptions joins sources, of which later ones override earlier ones, and validates every value
 // against the others and now. The error is a *UsageError.
-func Join(_ Command, now time.Time, sources ...Given) (*Options, error) {
+func MergeOptions(_ Command, now time.Time, sources ...OptionValues) (*Options, error) {
 	o := &Options{Tasks: 1, CPUs: 1, Export: "ALL"}
-	all := Given{}
+	all := OptionValues{}
 	for _, source := range sources {
 		maps.Copy(all, source)
 	}
@@ -113,11 +113,11 @@
 			continue
 		}
 		if err := opt.set(o, value, now); err != nil {
-			return nil, &UsageError{Option: opt.name, Why: err.Error()}
+			return nil, &UsageError{Option: opt.name, Message: err.Error()}
 		}
 	}
 	if o.MemoryMB > 0 && o.MemoryPerCPUMB > 0 {
-		return nil, &UsageError{Option: "mem", Why: "is mutually exclusive with --mem-per-cpu"}
+		return nil, &UsageError{Option: "mem", Message: "is mutually exclusive with --mem-per-cpu"}
 	}
 	return o, nil
 }
--- a/internal/slurm/squeue_filter.go
+++ b/internal/slurm/squeue_filter.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// Target is what an id on a command line names: a job, or tasks of its array.
-type Target struct {
+// JobSelector is what an id on a command line names: a job, or tasks of its array.
+type JobSelector struct {
 	Number  uint64
 	Indices jobspec.Ranges // of the tasks, unless All
 	All     bool           // the whole job, or the task with this number
@@ -18,34 +18,34 @@
 
 // invalidID is the error of a malformed id.
 func invalidID(s string) error {
-	return &UsageError{Why: fmt.Sprintf("Invalid job id %.60s", s)}
+	return &UsageError{Message: fmt.Sprintf("Invalid job id %.60s", s)}
 }
 
-// ParseTarget parses an id like 123, 123_4 or 123_[0-3,7]. The error is a *UsageError.
-func ParseTarget(s string) (Target, error) {
+// ParseJobSelector parses an id like 123, 123_4 or 123_[0-3,7]. The error is a *UsageError.
+func ParseJobSelector(s string) (JobSelector, error) {
 	number, tasks, withTasks := strings.Cut(s, "_")
 	n, err := strconv.ParseUint(number, 10, 47)
 	if err != nil || n == 0 {
-		return Target{}, invalidID(s)
+		return JobSelector{}, invalidID(s)
 	}
 	if !withTasks {
-		return Target{Number: n, All: true}, nil
+		return JobSelector{Number: n, All: true}, nil
 	}
 	if inner, bracketed := strings.CutPrefix(tasks, "["); bracketed {
 		if tasks, bracketed = strings.CutSuffix(inner, "]"); !bracketed {
-			return Target{}, invalidID(s)
+			return JobSelector{}, invalidID(s)
 		}
 	}
 	indices, err := jobspec.ParseRanges(tasks)
 	if err != nil {
-		return Target{}, &UsageError{Why: fmt.Sprintf("Invalid job id %.60s: %v", s, err)}
+		return JobSelector{}, &UsageError{Message: fmt.Sprintf("Invalid job id %.60s: %v", s, err)}
 	}
-	return Target{Number: n, Indices: indices}, nil
+	return JobSelector{Number: n, Indices: indices}, nil
 }
 
-// Tasks returns the tasks with these indices of a job with so many tasks and this array, which
+// TasksByIndex returns the tasks with these indices of a job with so many tasks and this array, which
 // must have them all.
-func Tasks(wanted jobspec.Ranges, tasks int, array string) (jobspec.Ranges, error) {
+func TasksByIndex(wanted jobspec.Ranges, tasks int, array string) (jobspec.Ranges, error) {
 	all := indices(tasks, array)
 	var found []int
 	for index := range wanted.All() {
@@ -58,29 +58,29 @@
 	return jobspec.RangesOf(found), nil
 }
 
-// Filter selects rows of squeue and scancel. Empty lists select all.
-type Filter struct {
+// QueueFilter selects rows of squeue and scancel. Empty lists select all.
+type QueueFilter struct {
 	Users, States, Partitions, Accounts, Names, QOS []string
-	Jobs                                            []Target
+	Jobs                                            []JobSelector
 }
 
-// in reports whether an option's list selects s, as an empty one does.
-func in(list []string, s string) bool { return len(list) == 0 || slices.Contains(list, s) }
+// matchesList reports whether an option's list selects s, as an empty one does.
+func matchesList(list []string, s string) bool { return len(list) == 0 || slices.Contains(list, s) }
 
-// Has reports whether the filter selects a row.
-func (f *Filter) Has(r *QueueRow) bool {
-	if !in(f.Users, r.Constraints.User) || !in(f.States, r.State) || !in(f.Partitions, r.Job.Class) || !in(f.Accounts, r.Job.Team) ||
-		!in(f.Names, dash(r.Constraints.Name, r.Job.Class)) || !in(f.QOS, r.Job.Priority) {
+// Matches reports whether the filter selects a row.
+func (f *QueueFilter) Matches(r *QueueRow) bool {
+	if !matchesList(f.Users, r.Constraints.User) || !matchesList(f.States, r.State) || !matchesList(f.Partitions, r.Job.Class) || !matchesList(f.Accounts, r.Job.Team) ||
+		!matchesList(f.Names, orDefault(r.Constraints.Name, r.Job.Class)) || !matchesList(f.QOS, r.Job.Priority) {
 		return false
 	}
 	if len(f.Jobs) == 0 {
 		return true
 	}
-	return slices.ContainsFunc(f.Jobs, func(t Target) bool { return t.selects(r) })
+	return slices.ContainsFunc(f.Jobs, func(t JobSelector) bool { return t.matchesRow(r) })
 }
 
-// selects reports whether the target names a row or one of its tasks.
-func (t Target) selects(r *QueueRow) bool {
+// matchesRow reports whether the target names a row or one of its tasks.
+func (t JobSelector) matchesRow(r *QueueRow) bool {
 	last := r.Constraints.Number + uint64(max(1, r.Job.Tasks)) - 1
 	switch {
 	case t.Number < r.Constraints.Number || t.Number > last:
--- a/internal/slurm/squeue_rows.go
+++ b/internal/slurm/squeue_rows.go
@@ -39,16 +39,16 @@
 // QueueRow is a line of squeue: a job's waiting tasks together, or one task.
 type QueueRow struct {
 	*jobquery.Info
-	ID      string // as squeue prints it
-	RawID   uint64 // number of the task, or of the job if the row is of many
-	Index   string // of an array's tasks
-	State   string
-	Why     string // of a waiting row: why it waits
-	Machine string // name of the worker; "": none yet
-	StartMs int64
-	NowMs   int64
-	Zone    *time.Location
-	Tasks   int // in the row
+	ID            string // as squeue prints it
+	RawID         uint64 // number of the task, or of the job if the row is of many
+	Index         string // of an array's tasks
+	State         string
+	PendingReason string // of a waiting row: why it waits
+	Machine       string // name of the worker; "": none yet
+	StartMs       int64
+	NowMs         int64
+	Zone          *time.Location
+	Tasks         int // in the row
 }
 
 // isArray reports whether a job is listed as an array, as jobs of many tasks are.
@@ -69,11 +69,11 @@
 	return ranges
 }
 
-// Queue returns squeue's rows of a listed job. With eachTask each waiting task of an array has
+// QueueRows returns squeue's rows of a listed job. With eachTask each waiting task of an array has
 // a row of its own, else they have one together.
-func Queue(info *jobquery.Info, eachTask bool, nowMs int64, zone *time.Location) []QueueRow {
+func QueueRows(info *jobquery.Info, eachTask bool, nowMs int64, zone *time.Location) []QueueRow {
 	number := info.Constraints.Number
-	l := queueLister{
+	l := queueRowBuilder{
 		info: info, array: isArray(info.Job.Tasks, info.Constraints.Array), indices: indices(info.Job.Tasks, info.Constraints.Array),
 		base: QueueRow{Info: info, ID: strconv.FormatUint(number, 10), RawID: number, NowMs: nowMs, Zone: zone, Tasks: 1},
 	}
@@ -83,24 +83,24 @@
 		if err != nil {
 			return nil
 		}
-		rows = l.waiting(waiting, eachTask)
+		rows = l.pendingRows(waiting, eachTask)
 	}
 	for i := range info.Placements {
-		rows = append(rows, l.placed(&info.Placements[i]))
+		rows = append(rows, l.placedRow(&info.Placements[i]))
 	}
 	return rows
 }
 
-// queueLister makes the rows of one job.
-type queueLister struct {
+// queueRowBuilder makes the rows of one job.
+type queueRowBuilder struct {
 	info    *jobquery.Info
 	array   bool
 	indices jobspec.Ranges // of the tasks
 	base    QueueRow       // what all rows have in common
 }
 
-// task is the row of one task, without its state.
-func (l *queueLister) task(task int) QueueRow {
+// taskRow is the row of one taskRow, without its state.
+func (l *queueRowBuilder) taskRow(task int) QueueRow {
 	row := l.base
 	if l.array {
 		row.Index = strconv.Itoa(l.indices.At(task))
@@ -110,13 +110,13 @@
 	return row
 }
 
-// waiting makes the rows of the waiting tasks.
-func (l *queueLister) waiting(tasks jobspec.Ranges, eachTask bool) (rows []QueueRow) {
+// pendingRows makes the rows of the pendingRows tasks.
+func (l *queueRowBuilder) pendingRows(tasks jobspec.Ranges, eachTask bool) (rows []QueueRow) {
 	if l.array && !eachTask {
-		rows = append(rows, l.waitingTogether(tasks))
+		rows = append(rows, l.pendingArrayRow(tasks))
 	} else {
 		for task := range tasks.All() {
-			rows = append(rows, l.task(task))
+			rows = append(rows, l.taskRow(task))
 		}
 	}
 	state := statePending
@@ -124,13 +124,13 @@
 		state = stateCompleting
 	}
 	for i := range rows {
-		rows[i].State, rows[i].Why = state, l.info.Reason
+		rows[i].State, rows[i].PendingReason = state, l.info.Reason
 	}
 	return rows
 }
 
-// waitingTogether is the row of all waiting tasks of an array, without its state.
-func (l *queueLister) waitingTogether(tasks jobspec.Ranges) QueueRow {
+// pendingArrayRow is the row of all waiting tasks of an array, without its state.
+func (l *queueRowBuilder) pendingArrayRow(tasks jobspec.Ranges) QueueRow {
 	var waiting []int
 	for task := range tasks.All() {
 		waiting = append(waiting, l.indices.At(task))
@@ -144,9 +144,9 @@
 	return row
 }
 
-// placed is the row of a task that has a worker.
-func (l *queueLister) placed(placement *jobquery.Placement) QueueRow {
-	row := l.task(placement.Task)
+// placedRow is the row of a task that has a worker.
+func (l *queueRowBuilder) placedRow(placement *jobquery.Placement) QueueRow {
+	row := l.taskRow(placement.Task)
 	row.State, row.Machine, row.StartMs = stateRunning, placement.Worker, placement.StartMs
 	switch {
 	case placement.Halted || l.info.Stage == wire.StageCancelled:
@@ -157,28 +157,28 @@
 	return row
 }
 
-// usedS is the run time so far.
-func (r *QueueRow) usedS() float64 {
+// runTimeS is the run time so far.
+func (r *QueueRow) runTimeS() float64 {
 	if r.StartMs == 0 {
 		return 0
 	}
 	return float64(r.NowMs-r.StartMs) / 1000
 }
 
-// limit formats the time limit.
-func (r *QueueRow) limit() string {
+// formatTimeLimit formats the time formatTimeLimit.
+func (r *QueueRow) formatTimeLimit() string {
 	if r.Constraints.LimitS == 0 {
 		return "UNLIMITED"
 	}
-	return Clock(r.Constraints.LimitS, true)
+	return FormatDuration(r.Constraints.LimitS, true)
 }
 
-// left formats what is left of the time limit.
-func (r *QueueRow) left() string {
+// formatTimeLeft formats what is formatTimeLeft of the time limit.
+func (r *QueueRow) formatTimeLeft() string {
 	if r.Constraints.LimitS == 0 {
 		return "UNLIMITED"
 	}
-	return Clock(r.Constraints.LimitS-r.usedS(), true)
+	return FormatDuration(r.Constraints.LimitS-r.runTimeS(), true)
 }
 
 // expectedStartMs is when a row started, or when it may start; 0: not known.
@@ -197,10 +197,10 @@
 	return r.StartMs + int64(r.Constraints.LimitS*1000)
 }
 
-// reasonOrNode is the worker, or in parentheses why there is none.
-func (r *QueueRow) reasonOrNode() string {
+// nodeOrReason is the worker, or in parentheses why there is none.
+func (r *QueueRow) nodeOrReason() string {
 	if r.Machine != "" {
 		return r.Machine
 	}
-	return "(" + dash(r.Why, jobspec.ReasonNone) + ")"
+	return "(" + orDefault(r.PendingReason, jobspec.ReasonNone) + ")"
 }
--- a/internal/slurm/squeue_table.go
+++ b/internal/slurm/squeue_table.go
@@ -11,31 +11,31 @@
 	{'i', "JobArrayID", "JOBID", 20, func(r *QueueRow) string { return r.ID }},
 	{'A', "JobID", "JOBID", 20, func(r *QueueRow) string { return strconv.FormatUint(r.RawID, 10) }},
 	{'F', "ArrayJobID", "ARRAY_JOB_ID", 20, func(r *QueueRow) string { return strconv.FormatUint(r.Constraints.Number, 10) }},
-	{'K', "ArrayTaskID", "ARRAY_TASK_ID", 20, func(r *QueueRow) string { return dash(r.Index, "N/A") }},
+	{'K', "ArrayTaskID", "ARRAY_TASK_ID", 20, func(r *QueueRow) string { return orDefault(r.Index, "N/A") }},
 	{'P', "Partition", "PARTITION", 20, func(r *QueueRow) string { return r.Job.Class }},
-	{'j', "Name", "NAME", 20, func(r *QueueRow) string { return dash(r.Constraints.Name, r.Job.Class) }},
-	{'u', "UserName", "USER", 20, func(r *QueueRow) string { return dash(r.Constraints.User, "-") }},
+	{'j', "Name", "NAME", 20, func(r *QueueRow) string { return orDefault(r.Constraints.Name, r.Job.Class) }},
+	{'u', "UserName", "USER", 20, func(r *QueueRow) string { return orDefault(r.Constraints.User, "-") }},
 	{'T', "State", "STATE", 20, func(r *QueueRow) string { return r.State }},
 	{'t', "StateCompact", "ST", 20, func(r *QueueRow) string { return compactStates[r.State] }},
-	{'M', "TimeUsed", "TIME", 20, func(r *QueueRow) string { return Clock(r.usedS(), true) }},
-	{'l', "TimeLimit", "TIME_LIMIT", 20, (*QueueRow).limit},
-	{'L', "TimeLeft", "TIME_LEFT", 20, (*QueueRow).left},
+	{'M', "TimeUsed", "TIME", 20, func(r *QueueRow) string { return FormatDuration(r.runTimeS(), true) }},
+	{'l', "TimeLimit", "TIME_LIMIT", 20, (*QueueRow).formatTimeLimit},
+	{'L', "TimeLeft", "TIME_LEFT", 20, (*QueueRow).formatTimeLeft},
 	{'D', "NumNodes", "NODES", 20, func(*QueueRow) string { return "1" }},
-	{'C', "NumCPUs", "CPUS", 20, func(r *QueueRow) string { return amount(r.Job.CPUs) }},
-	{'m', "MinMemory", "MIN_MEMORY", 20, func(r *QueueRow) string { return memoryText(r.Job.MemoryGB) }},
-	{'b', "tres-per-job", "TRES_PER_JOB", 20, func(r *QueueRow) string { return gres(r.Job.GPUs) }},
+	{'C', "NumCPUs", "CPUS", 20, func(r *QueueRow) string { return formatNumber(r.Job.CPUs) }},
+	{'m', "MinMemory", "MIN_MEMORY", 20, func(r *QueueRow) string { return formatMemory(r.Job.MemoryGB) }},
+	{'b', "tres-per-job", "TRES_PER_JOB", 20, func(r *QueueRow) string { return formatGRES(r.Job.GPUs) }},
 	{'a', "Account", "ACCOUNT", 20, func(r *QueueRow) string { return r.Job.Team }},
 	{'q', "QOS", "QOS", 20, func(r *QueueRow) string { return r.Job.Priority }},
 	{'Q', "PriorityLong", "PRIORITY", 20, func(r *QueueRow) string { return strconv.Itoa(r.Job.Rank()) }},
-	{'R', "ReasonList", "NODELIST(REASON)", 20, (*QueueRow).reasonOrNode},
-	{'r', "Reason", "REASON", 20, func(r *QueueRow) string { return dash(r.Why, jobspec.ReasonNone) }},
+	{'R', "ReasonList", "NODELIST(REASON)", 20, (*QueueRow).nodeOrReason},
+	{'r', "Reason", "REASON", 20, func(r *QueueRow) string { return orDefault(r.PendingReason, jobspec.ReasonNone) }},
 	{'N', "NodeList", "NODELIST", 20, func(r *QueueRow) string { return r.Machine }},
-	{'B', "BatchHost", "EXEC_HOST", 20, func(r *QueueRow) string { return dash(r.Machine, "n/a") }},
-	{'S', "StartTime", "START_TIME", 20, func(r *QueueRow) string { return stamp(r.expectedStartMs(), "N/A", r.Zone) }},
-	{'e', "EndTime", "END_TIME", 20, func(r *QueueRow) string { return stamp(r.endMs(), "N/A", r.Zone) }},
-	{'V', "SubmitTime", "SUBMIT_TIME", 20, func(r *QueueRow) string { return stamp(r.AcceptedMs, "N/A", r.Zone) }},
-	{0, "EligibleTime", "ELIGIBLE_TIME", 20, func(r *QueueRow) string { return stamp(r.EligibleMs, "N/A", r.Zone) }},
-	{'E', "Dependency", "DEPENDENCY", 20, func(r *QueueRow) string { return dash(formatDependencies(r.Constraints), "(null)") }},
+	{'B', "BatchHost", "EXEC_HOST", 20, func(r *QueueRow) string { return orDefault(r.Machine, "n/a") }},
+	{'S', "StartTime", "START_TIME", 20, func(r *QueueRow) string { return formatTime(r.expectedStartMs(), "N/A", r.Zone) }},
+	{'e', "EndTime", "END_TIME", 20, func(r *QueueRow) string { return formatTime(r.endMs(), "N/A", r.Zone) }},
+	{'V', "SubmitTime", "SUBMIT_TIME", 20, func(r *QueueRow) string { return formatTime(r.AcceptedMs, "N/A", r.Zone) }},
+	{0, "EligibleTime", "ELIGIBLE_TIME", 20, func(r *QueueRow) string { return formatTime(r.EligibleMs, "N/A", r.Zone) }},
+	{'E', "Dependency", "DEPENDENCY", 20, func(r *QueueRow) string { return orDefault(formatDependencies(r.Constraints), "(null)") }},
 }
 
 // Layouts of squeue without a format.
@@ -49,13 +49,13 @@
 func QueueTable(format, names string, start bool) (*Table[QueueRow], error) {
 	switch {
 	case names != "":
-		return parseNames("Format", names, ":", queueFields)
+		return parseFieldList("Format", names, ":", queueFields)
 	case format != "":
-		return parsePercent(format, queueFields)
+		return parseFormat(format, queueFields)
 	case start:
-		return parsePercent(startFormat, queueFields)
+		return parseFormat(startFormat, queueFields)
 	}
-	return parsePercent(queueFormat, queueFields)
+	return parseFormat(queueFormat, queueFields)
 }
 
 // QueueFieldNames lists the columns of -O, separated by blanks.
@@ -64,25 +64,25 @@
 // QueueJSON is a row of squeue --json, with the names of Slurm's REST schema. Times are in
 // seconds of Unix time.
 type QueueJSON struct {
-	JobID       uint64   `json:"job_id"`
-	ArrayJobID  uint64   `json:"array_job_id"`
-	ArrayTask   string   `json:"array_task_string"`
-	Name        string   `json:"name"`
-	User        string   `json:"user_name"`
-	Account     string   `json:"account"`
-	Partition   string   `json:"partition"`
-	QOS         string   `json:"qos"`
-	State       []string `json:"job_state"`
-	Reason      string   `json:"state_reason"`
-	Nodes       string   `json:"nodes"`
-	CPUs        float64  `json:"cpus"`
-	MemoryMB    float64  `json:"memory_per_node"`
-	Dependency  string   `json:"dependency"`
-	SubmitTime  int64    `json:"submit_time"`
-	StartTime   int64    `json:"start_time"`
-	EligibleAt  int64    `json:"eligible_time"`
-	TimeLimitM  float64  `json:"time_limit"` // minutes; 0: unlimited
-	WallrackUID string   `json:"wallrack_uid"`
+	JobID            uint64   `json:"job_id"`
+	ArrayJobID       uint64   `json:"array_job_id"`
+	ArrayTask        string   `json:"array_task_string"`
+	Name             string   `json:"name"`
+	User             string   `json:"user_name"`
+	Account          string   `json:"account"`
+	Partition        string   `json:"partition"`
+	QOS              string   `json:"qos"`
+	State            []string `json:"job_state"`
+	Reason           string   `json:"state_reason"`
+	Nodes            string   `json:"nodes"`
+	CPUs             float64  `json:"cpus"`
+	MemoryMB         float64  `json:"memory_per_node"`
+	Dependency       string   `json:"dependency"`
+	SubmitTime       int64    `json:"submit_time"`
+	StartTime        int64    `json:"start_time"`
+	EligibleTime     int64    `json:"eligible_time"`
+	TimeLimitMinutes float64  `json:"time_limit"` // minutes; 0: unlimited
+	WallrackUID      string   `json:"wallrack_uid"`
 }
 
 // JSON returns the row of squeue --json.
@@ -90,9 +90,9 @@
 	job, c := &r.Job, r.Constraints
 	return QueueJSON{
 		JobID: r.RawID, ArrayJobID: c.Number, ArrayTask: r.Index, WallrackUID: job.UID,
-		Name: dash(c.Name, job.Class), User: c.User, Account: job.Team, Partition: job.Class, QOS: job.Priority,
-		State: []string{r.State}, Reason: dash(r.Why, jobspec.ReasonNone), Nodes: r.Machine, Dependency: formatDependencies(c),
-		CPUs: job.CPUs, MemoryMB: job.MemoryGB * 1024, TimeLimitM: c.LimitS / 60,
-		SubmitTime: r.AcceptedMs / 1000, StartTime: r.expectedStartMs() / 1000, EligibleAt: r.EligibleMs / 1000,
+		Name: orDefault(c.Name, job.Class), User: c.User, Account: job.Team, Partition: job.Class, QOS: job.Priority,
+		State: []string{r.State}, Reason: orDefault(r.PendingReason, jobspec.ReasonNone), Nodes: r.Machine, Dependency: formatDependencies(c),
+		CPUs: job.CPUs, MemoryMB: job.MemoryGB * 1024, TimeLimitMinutes: c.LimitS / 60,
+		SubmitTime: r.AcceptedMs / 1000, StartTime: r.expectedStartMs() / 1000, EligibleTime: r.EligibleMs / 1000,
 	}
 }
--- a/internal/slurm/text.go
+++ b/internal/slurm/text.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Clock formats a duration as Slurm does: [days-]hours:minutes:seconds, and for squeue (short)
+// FormatDuration formats a duration as Slurm does: [days-]hours:minutes:seconds, and for squeue (short)
 // without hours if there are none.
-func Clock(seconds float64, short bool) string {
+func FormatDuration(seconds float64, short bool) string {
 	n := int64(max(0, seconds))
 	d, h, m, s := n/86400, n/3600%24, n/60%60, n%60
 	switch {
@@ -23,16 +23,16 @@
 	return fmt.Sprintf("%02d:%02d:%02d", h, m, s)
 }
 
-// stamp formats a point of time, or returns none if there is none.
-func stamp(ms int64, none string, zone *time.Location) string {
+// formatTime formats a point of time, or returns none if there is none.
+func formatTime(ms int64, none string, zone *time.Location) string {
 	if ms <= 0 {
 		return none
 	}
 	return time.UnixMilli(ms).In(zone).Format("2006-01-02T15:04:05")
 }
 
-// memoryText formats an amount of memory as squeue does.
-func memoryText(gb float64) string {
+// formatMemory formats an amount of memory as squeue does.
+func formatMemory(gb float64) string {
 	mb := gb * 1024
 	if mb >= 1024 && mb == float64(int64(mb/1024))*1024 {
 		return strconv.FormatInt(int64(mb/1024), 10) + "G"
@@ -40,24 +40,24 @@
 	return strconv.FormatFloat(mb, 'f', -1, 64) + "M"
 }
 
-// amount formats a number without needless digits.
-func amount(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
+// formatNumber formats a number without needless digits.
+func formatNumber(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
 
-// dash returns a text, or what stands for an empty one.
-func dash(s, none string) string { return cmp.Or(s, none) }
+// orDefault returns a text, or what stands for an empty one.
+func orDefault(s, none string) string { return cmp.Or(s, none) }
 
-// exitCode formats an exit code and the signal that ended a task, as Slurm does.
-func exitCode(code int) string {
+// formatExitCode formats an exit code and the signal that ended a task, as Slurm does.
+func formatExitCode(code int) string {
 	if code > 128 {
 		return fmt.Sprintf("0:%d", code-128)
 	}
 	return fmt.Sprintf("%d:0", code)
 }
 
-// gres formats a number of GPUs as Slurm's generic resource.
-func gres(gpus float64) string {
+// formatGRES formats a number of GPUs as Slurm's generic resource.
+func formatGRES(gpus float64) string {
 	if gpus == 0 {
 		return "N/A"
 	}
-	return "gres/gpu:" + amount(gpus)
+	return "gres/gpu:" + formatNumber(gpus)
 }
--- a/internal/slurm/times.go
+++ b/internal/slurm/times.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// parseMs parses a point of time and returns it in ms of Unix time.
-func parseMs(v string, now time.Time) (int64, error) {
+// parseUnixMs parses a point of time and returns it in ms of Unix time.
+func parseUnixMs(v string, now time.Time) (int64, error) {
 	t, err := ParseTime(v, now)
 	return t.UnixMilli(), err
 }
@@ -31,8 +31,8 @@
 		}
 		return now.Add(d), nil
 	}
-	if t, valid := parseClock(low, now); valid {
-		return nextClock(t, now), nil
+	if t, valid := parseTimeOfDay(low, now); valid {
+		return nextOccurrence(t, now), nil
 	}
 	if t, valid := parseDate(low, now); valid {
 		return t, nil
@@ -70,12 +70,12 @@
 	return sign * time.Duration(n) * unit, err == nil && known
 }
 
-// clockNames are the hours that have a name.
-var clockNames = map[string]int{"noon": 12, "fika": 15, "teatime": 16}
+// namedHours are the hours that have a name.
+var namedHours = map[string]int{"noon": 12, "fika": 15, "teatime": 16}
 
-// parseClock parses a time of day and returns it on now's day.
-func parseClock(s string, now time.Time) (_ time.Time, valid bool) {
-	if hour, known := clockNames[s]; known {
+// parseTimeOfDay parses a time of day and returns it on now's day.
+func parseTimeOfDay(s string, now time.Time) (_ time.Time, valid bool) {
+	if hour, known := namedHours[s]; known {
 		return midnight(now).Add(time.Duration(hour) * time.Hour), true
 	}
 	y, m, d := now.Date()
@@ -106,9 +106,9 @@
 	return now, false
 }
 
-// ParsePast parses the start or end of a report's period as ParseTime does, but a time of day
+// ParsePastTime parses the start or end of a report's period as ParseTime does, but a time of day
 // means the last such.
-func ParsePast(v string, now time.Time) (time.Time, error) {
+func ParsePastTime(v string, now time.Time) (time.Time, error) {
 	t, err := ParseTime(v, now)
 	if err == nil && t.After(now) && !strings.ContainsAny(v, "-/") {
 		t = t.AddDate(0, 0, -1)
@@ -116,8 +116,8 @@
 	return t, err
 }
 
-// nextClock is a time of day on its day, or on the next if it is over.
-func nextClock(t, now time.Time) time.Time {
+// nextOccurrence is a time of day on its day, or on the next if it is over.
+func nextOccurrence(t, now time.Time) time.Time {
 	if t.Before(now) {
 		return t.AddDate(0, 0, 1)
 	}
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -20,15 +20,15 @@
 	Spec        taskspec.Spec
 }
 
-// Work is what a submission runs, and who submits it from where.
-type Work struct {
-	Script string   // of sbatch, its first line included
-	Argv   []string // srun: the program with its arguments; sbatch: arguments of the script
-	File   string   // the script's name, from which the job has its name
-	Env    []string // NAME=VALUE, of the user
-	Dir    string   // the user's working directory
-	User   string
-	Host   string // for the tasks' environment; may be ""
+// Invocation is what a submission runs, and who submits it from where.
+type Invocation struct {
+	Script     string   // of sbatch, its first line included
+	Argv       []string // srun: the program with its arguments; sbatch: arguments of the script
+	ScriptName string   // the script's name, from which the job has its name
+	Env        []string // NAME=VALUE, of the user
+	Dir        string   // the user's working directory
+	User       string
+	Host       string // for the tasks' environment; may be ""
 }
 
 // Defaults of jobs without a time limit or an amount of memory, the same as wallctl submit's.
@@ -39,53 +39,53 @@
 
 // Translate returns the job of a submission. Its uid and number are left to the caller. The
 // error is a *UsageError.
-func Translate(cmd Command, o *Options, w *Work, site *jobquery.Site, now time.Time) (*Request, error) {
+func Translate(cmd Command, o *Options, w *Invocation, site *jobquery.Site, now time.Time) (*Request, error) {
 	r := &Request{}
 	job := &r.Job
 	job.Kind, job.Image, job.Tasks, job.EstimateS, job.Spot = wire.KindArray, "none", 1, defaultEstimateS, o.Spot
 	if o.LimitS > 0 {
 		job.EstimateS = o.LimitS
 	}
-	if err := setOwnership(job, o, site); err != nil {
+	if err := setClassTeamPriority(job, o, site); err != nil {
 		return nil, err
 	}
 	if err := selectNodes(job, o, site); err != nil {
 		return nil, err
 	}
-	if err := r.setSize(cmd, o); err != nil {
+	if err := r.setResources(cmd, o); err != nil {
 		return nil, err
 	}
 	if err := r.setConstraints(o, w, now); err != nil {
 		return nil, err
 	}
-	r.describe(cmd, o, w, site)
+	r.setSpec(cmd, o, w, site)
 	if err := r.Spec.Check(); err != nil {
-		return nil, &UsageError{Why: err.Error()}
+		return nil, &UsageError{Message: err.Error()}
 	}
 	return r, nil
 }
 
-// setOwnership sets class, team and priority, which must exist at the site.
-func setOwnership(job *wire.Job, o *Options, site *jobquery.Site) (err error) {
+// setClassTeamPriority sets class, team and priority, which must exist at the site.
+func setClassTeamPriority(job *wire.Job, o *Options, site *jobquery.Site) (err error) {
 	job.Class, job.Team = cmp.Or(o.Partition, site.Class), cmp.Or(o.Account, site.Team)
 	if !slices.Contains(site.Classes, job.Class) {
-		return &UsageError{Option: "partition", Why: fmt.Sprintf("invalid partition specified: %s (there are %s)", job.Class, strings.Join(site.Classes, ", "))}
+		return &UsageError{Option: "partition", Message: fmt.Sprintf("invalid partition specified: %s (there are %s)", job.Class, strings.Join(site.Classes, ", "))}
 	}
 	if !slices.Contains(site.Teams, job.Team) {
-		return &UsageError{Option: "account", Why: fmt.Sprintf("Invalid account or account/partition combination specified: %s (there are %s)", job.Team, strings.Join(site.Teams, ", "))}
+		return &UsageError{Option: "account", Message: fmt.Sprintf("Invalid account or account/partition combination specified: %s (there are %s)", job.Team, strings.Join(site.Teams, ", "))}
 	}
 	job.Priority, err = priority(o)
 	return err
 }
 
 // setConstraints sets when the job may start and end.
-func (r *Request) setConstraints(o *Options, w *Work, now time.Time) (err error) {
+func (r *Request) setConstraints(o *Options, w *Invocation, now time.Time) (err error) {
 	c := &r.Constraints
 	c.Name, c.User, c.Held, c.BeginMs, c.LimitS, c.NoRetry = o.Name, w.User, o.Hold, o.BeginMs, o.LimitS, true
 	c.Array, c.MaxConcurrent, c.CancelIfUnsatisfiable = o.Array, o.MaxConcurrent, o.KillInvalid
 	if o.DeadlineMs > 0 {
 		if o.DeadlineMs <= max(now.UnixMilli(), o.BeginMs) {
-			return &UsageError{Option: "deadline", Why: "is over before the job could begin"}
+			return &UsageError{Option: "deadline", Message: "is over before the job could begin"}
 		}
 		c.DeadlineMs = o.DeadlineMs
 		dueS := float64(o.DeadlineMs-now.UnixMilli()) / 1000
@@ -93,7 +93,7 @@
 	}
 	if o.Dependency != "" {
 		if c.Dependencies, c.AnyDependency, err = parseDependency(o.Dependency); err != nil {
-			return &UsageError{Option: "dependency", Why: err.Error()}
+			return &UsageError{Option: "dependency", Message: err.Error()}
 		}
 	}
 	return nil
@@ -106,7 +106,7 @@
 	qos := cmp.Or(o.QOS, "normal")
 	at := slices.Index(order, qos)
 	if at < 0 {
-		return "", &UsageError{Option: "qos", Why: fmt.Sprintf("Invalid qos specification: %s (there are %s)", qos, strings.Join(order, ", "))}
+		return "", &UsageError{Option: "qos", Message: fmt.Sprintf("Invalid qos specification: %s (there are %s)", qos, strings.Join(order, ", "))}
 	}
 	if o.Nice > 0 {
 		at = max(0, at-1)
@@ -114,9 +114,9 @@
 	return order[at], nil
 }
 
-// setSize sets the number of tasks and what each takes. A batch script is one task with room
+// setResources sets the number of tasks and what each takes. A batch script is one task with room
 // for all of its steps; each task of a step is a task of the job.
-func (r *Request) setSize(cmd Command, o *Options) error {
+func (r *Request) setResources(cmd Command, o *Options) error {
 	job := &r.Job
 	steps, err := r.setTasks(cmd, o)
 	if err != nil {
@@ -134,7 +134,7 @@
 	case o.GPUsPerTask:
 		job.GPUs = float64(steps * o.GPUs)
 	case cmd == Srun && o.GPUs%o.Tasks != 0:
-		return &UsageError{Option: "gpus", Why: fmt.Sprintf("%d can't be shared evenly by %d tasks", o.GPUs, o.Tasks)}
+		return &UsageError{Option: "gpus", Message: fmt.Sprintf("%d can't be shared evenly by %d tasks", o.GPUs, o.Tasks)}
 	case cmd == Srun:
 		job.GPUs = float64(o.GPUs / o.Tasks)
 	default:
@@ -158,12 +158,12 @@
 		perTask = o.Tasks
 		indices, err := jobspec.ParseRanges(o.Array)
 		if err != nil {
-			return 0, &UsageError{Option: "array", Why: err.Error()}
+			return 0, &UsageError{Option: "array", Message: err.Error()}
 		}
 		job.Tasks = indices.Len()
 	}
 	if job.Tasks > wire.MaxTasks {
-		return 0, &UsageError{Option: option, Why: fmt.Sprintf("more than %d tasks", wire.MaxTasks)}
+		return 0, &UsageError{Option: option, Message: fmt.Sprintf("more than %d tasks", wire.MaxTasks)}
 	}
 	return perTask, nil
 }
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -36,12 +36,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := slurm.Join(slurm.Sbatch, time.Now(), given)
+	o, err := slurm.MergeOptions(slurm.Sbatch, time.Now(), given)
 	if err != nil {
 		t.Fatal(err)
 	}
 	site := &jobquery.Site{Classes: []string{"tips", "study"}, Teams: []string{"t", "lab"}}
-	r, err := slurm.Translate(slurm.Sbatch, o, &slurm.Work{Script: "#!/bin/sh\n", File: "s"}, site, time.Now())
+	r, err := slurm.Translate(slurm.Sbatch, o, &slurm.Invocation{Script: "#!/bin/sh\n", ScriptName: "s"}, site, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
