--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -93,7 +93,7 @@
 	if err := c.connect(); err != nil {
 		return nil, err
 	}
-	c.schedule(o.Slurm != nil && o.Slurm.Accounts)
+	c.schedule(o.Slurm != nil && o.Slurm.AccountingEnabled)
 	c.dispatch(ctx)
 	c.alerts = slo.New(c.cfg.Params.Objectives, c.scheduler, c.log)
 	lis, err := mesh.Listen(ctx, c.cfg.Listen)
--- a/internal/slurmapi/accounting.go
+++ b/internal/slurmapi/accounting.go
@@ -10,12 +10,12 @@
 	"github.com/wallrack/wallrack/internal/jobquery"
 )
 
-// accountingDay serves a part of a day's pages of accounting as they are stored: to unpack
+// serveAccountingDay serves a part of a day's pages of accounting as they are stored: to unpack
 // them is the client's work.
-func (s *Server) accountingDay(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveAccountingDay(w http.ResponseWriter, r *http.Request) {
 	prefix, err := accounting.DayPrefix(r.PathValue("day"))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, 0, err.Error())
+		writeProblem(w, http.StatusBadRequest, 0, err.Error())
 		return
 	}
 	after := r.URL.Query().Get("after")
@@ -41,5 +41,5 @@
 			out.Next = item.Key[len(prefix):]
 		}
 	}
-	writeLines(w, "pages", out.Pages, field{"next", out.Next})
+	writeJSONLines(w, "pages", out.Pages, jsonField{"next", out.Next})
 }
--- a/internal/slurmapi/failover_test.go
+++ b/internal/slurmapi/failover_test.go
@@ -20,21 +20,21 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// newLeader is a leader after a failover: it has one job, and knows what the fields say.
-type newLeader struct {
-	site
-	loaded, settled bool
+// recoveringLeader is a leader after a failover: it has one job, and knows what the fields say.
+type recoveringLeader struct {
+	fakeServices
+	shardsLoaded, runningTasksKnown bool
 }
 
-func (l *newLeader) ShardsLoaded() bool            { return l.loaded }
-func (l *newLeader) SurelyQueued(string, int) bool { return l.settled }
+func (l *recoveringLeader) ShardsLoaded() bool            { return l.shardsLoaded }
+func (l *recoveringLeader) SurelyQueued(string, int) bool { return l.runningTasksKnown }
 
-func (l *newLeader) LocalJobInfo(uid string) (jobquery.Info, bool) {
-	return jobquery.Info{Job: wire.Job{UID: uid}, Constraints: &jobspec.Constraints{Number: 4}, Stage: wire.StageQueued}, l.loaded
+func (l *recoveringLeader) LocalJobInfo(uid string) (jobquery.Info, bool) {
+	return jobquery.Info{Job: wire.Job{UID: uid}, Constraints: &jobspec.Constraints{Number: 4}, Stage: wire.StageQueued}, l.shardsLoaded
 }
 
 // Get has the job's living record, which was written a minute ago.
-func (l *newLeader) Get(_ context.Context, key string) (wire.Item, error) {
+func (l *recoveringLeader) Get(_ context.Context, key string) (wire.Item, error) {
 	if key != jobrecord.LivePrefix+"j-1" {
 		return wire.Item{}, statestore.ErrNotFound
 	}
@@ -44,21 +44,21 @@
 }
 
 // Guards against a listing without jobs, and a running job shown as pending, after a failover.
-func TestNewLeaderShowsNoJobBeforeItKnows(t *testing.T) {
+func TestNewLeaderRefusesQueriesUntilStateIsRecovered(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		loaded, settled bool
-		list, info      int // statuses
+		name                            string
+		shardsLoaded, runningTasksKnown bool
+		list, info                      int // HTTP status codes expected from /slurm/jobs and /slurm/jobs/j-1
 	}{
 		{"claimed, not loaded", false, false, http.StatusServiceUnavailable, http.StatusServiceUnavailable},
 		{"loaded, no heartbeats", true, false, http.StatusOK, http.StatusServiceUnavailable},
 		{"settled", true, true, http.StatusOK, http.StatusOK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := &newLeader{loaded: c.loaded, settled: c.settled}
-			l.owns = true
+			l := &recoveringLeader{shardsLoaded: c.shardsLoaded, runningTasksKnown: c.runningTasksKnown}
+			l.leads = true
 			h := http.NewServeMux()
-			slurmapi.New(&slurmapi.Settings{Cluster: "c", PerS: 1000}, &config.Platform{}, l, l, jobid.New(l), l, l, l, slog.New(slog.DiscardHandler)).Register(h)
+			slurmapi.New(&slurmapi.Settings{ClusterName: "c", ListingsPerS: 1000}, &config.Platform{}, l, l, jobid.New(l), l, l, l, slog.New(slog.DiscardHandler)).Register(h)
 			for path, want := range map[string]int{"/slurm/jobs": c.list, "/slurm/jobs/j-1": c.info} {
 				w := httptest.NewRecorder()
 				if h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil)); w.Code != want {
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -24,10 +24,10 @@
 // maxTasksBody bounds the body that names the tasks to cancel.
 const maxTasksBody = 16 << 10
 
-// list serves a part of the listing of all leaders' jobs, in the order of the jobs' numbers. It
+// serveList serves a part of the listing of all leaders' jobs, in the order of the jobs' numbers. It
 // is refused if one leader does not respond: a listing that lacks jobs looks as if they had
 // ended.
-func (s *Server) list(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveList(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	req := Request{Verb: verbList, From: parseCursor(r.URL.Query())}
@@ -36,26 +36,26 @@
 	if s.peers.Leads() {
 		part := s.Serve(ctx, req)
 		if part.Status == 0 {
-			refuse(w, http.StatusServiceUnavailable, 1, "the jobs are being loaded")
+			writeProblem(w, http.StatusServiceUnavailable, 1, "the jobs are being loaded")
 			return
 		}
-		addPart(&page, part)
+		mergeReply(&page, part)
 	} else if len(leaders) == 0 {
-		refuse(w, http.StatusServiceUnavailable, 1, "nobody owns the jobs now")
+		writeProblem(w, http.StatusServiceUnavailable, 1, "nobody owns the jobs now")
 		return
 	}
 	for _, peer := range leaders {
-		rep, ok := s.query(ctx, peer, req)
+		rep, ok := s.queryPeer(ctx, peer, req)
 		if !ok {
-			refuse(w, http.StatusServiceUnavailable, 1, "an owner of jobs does not answer")
+			writeProblem(w, http.StatusServiceUnavailable, 1, "an owner of jobs does not answer")
 			return
 		}
-		addPart(&page, rep)
+		mergeReply(&page, rep)
 	}
 	if len(leaders) > 0 {
-		orderParts(&page)
+		sortAndTruncate(&page)
 	}
-	writeLines(w, "jobs", page.Jobs, field{"next", page.Next}, field{"now", page.NowMs})
+	writeJSONLines(w, "jobs", page.Jobs, jsonField{"next", page.Next}, jsonField{"now", page.NowMs})
 }
 
 // parseCursor reads where a listing goes on: from the beginning where a value is no number.
@@ -67,17 +67,17 @@
 	return from
 }
 
-// addPart adds one leader's part to a page, which goes on where the first of the parts ends.
-func addPart(page *jobquery.Page, part Reply) {
+// mergeReply adds one leader's part to a page, which goes on where the first of the parts ends.
+func mergeReply(page *jobquery.Page, part Reply) {
 	page.Jobs = append(page.Jobs, part.Jobs...)
 	if part.Next != nil && (page.Next == nil || part.Next.Number < page.Next.Number) {
 		page.Next = part.Next
 	}
 }
 
-// orderParts sorts a page of several leaders' parts, and cuts it where it goes on: the jobs
+// sortAndTruncate sorts a page of several leaders' parts, and cuts it where it goes on: the jobs
 // beyond come again in the next.
-func orderParts(page *jobquery.Page) {
+func sortAndTruncate(page *jobquery.Page) {
 	slices.SortStableFunc(page.Jobs, func(a, b jobquery.Info) int {
 		return cmp.Compare(a.Constraints.Number, b.Constraints.Number)
 	})
@@ -90,25 +90,25 @@
 	})
 }
 
-// job serves a request about one job, by the controller that leads it. What is known of an
-// ended job is in the state service.
-func (s *Server) job(verb string) http.HandlerFunc {
+// jobHandler serves a request about one jobHandler, by the controller that leads it. What is known of an
+// ended jobHandler is in the state service.
+func (s *Server) jobHandler(verb string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		req := Request{Verb: verb, UID: r.PathValue("uid")}
 		if !wire.ValidJobID(req.UID) {
-			refuse(w, http.StatusNotFound, 0, "no such job")
+			writeProblem(w, http.StatusNotFound, 0, "no such job")
 			return
 		}
-		if verb == verbDrop {
+		if verb == verbCancelTasks {
 			var err error
 			if req.Tasks, err = readTasks(w, r); err != nil {
-				refuse(w, http.StatusBadRequest, 0, err.Error())
+				writeProblem(w, http.StatusBadRequest, 0, err.Error())
 				return
 			}
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
-		rep := s.serveByLeader(ctx, req)
+		rep := s.queryShardLeader(ctx, req)
 		if rep.Status == 0 && verb == verbInfo {
 			info, err := scheduler.StoredJobInfo(ctx, s.store, req.UID)
 			if err != nil {
@@ -116,7 +116,7 @@
 				return
 			}
 			if s.mayRun(&info) {
-				refuse(w, http.StatusServiceUnavailable, 1, "can't tell now")
+				writeProblem(w, http.StatusServiceUnavailable, 1, "can't tell now")
 				return
 			}
 			rep = Reply{Status: http.StatusOK, Jobs: []jobquery.Info{info}}
@@ -128,7 +128,7 @@
 // mayRun reports whether a job may run that the state service has as queued, like every living
 // job.
 func (s *Server) mayRun(stored *jobquery.Info) bool {
-	return s.knowledge != nil && stored.Stage == wire.StageQueued && !scheduler.JustAccepted(stored.AcceptedMs)
+	return s.failoverState != nil && stored.Stage == wire.StageQueued && !scheduler.JustAccepted(stored.AcceptedMs)
 }
 
 // readTasks reads which tasks of a job to cancel. Its errors are for the client.
@@ -146,24 +146,24 @@
 	return request.Tasks, nil
 }
 
-// serveByLeader has the peer serve a request that knows its outcome, or else serves it here.
-func (s *Server) serveByLeader(ctx context.Context, req Request) Reply {
+// queryShardLeader has the peer serve a request that knows its outcome, or else serves it here.
+func (s *Server) queryShardLeader(ctx context.Context, req Request) Reply {
 	for _, peer := range s.peers.ShardLeaders() {
-		if rep, ok := s.query(ctx, peer, req); ok {
-			return rep
+		if reply, ok := s.queryPeer(ctx, peer, req); ok {
+			return reply
 		}
 	}
 	return s.Serve(ctx, req)
 }
 
-func writeJobReply(w http.ResponseWriter, verb string, rep Reply) {
+func writeJobReply(w http.ResponseWriter, verb string, reply Reply) {
 	switch {
-	case rep.Status == 0:
-		refuse(w, http.StatusServiceUnavailable, 1, "can't tell now")
-	case rep.Status != http.StatusOK:
-		refuse(w, rep.Status, 1, rep.Reason)
-	case verb == verbInfo && len(rep.Jobs) == 1:
-		httpjson.Write(w, http.StatusOK, rep.Jobs[0])
+	case reply.Status == 0:
+		writeProblem(w, http.StatusServiceUnavailable, 1, "can't tell now")
+	case reply.Status != http.StatusOK:
+		writeProblem(w, reply.Status, 1, reply.Reason)
+	case verb == verbInfo && len(reply.Jobs) == 1:
+		httpjson.Write(w, http.StatusOK, reply.Jobs[0])
 	default:
 		httpjson.Write(w, http.StatusOK, struct{}{})
 	}
--- a/internal/slurmapi/numbers.go
+++ b/internal/slurmapi/numbers.go
@@ -13,14 +13,14 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// allocateNumbers serves consecutive numbers for the tasks of a job.
-func (s *Server) allocateNumbers(w http.ResponseWriter, r *http.Request) {
+// serveNumberAllocation serves consecutive numbers for the tasks of a job.
+func (s *Server) serveNumberAllocation(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Count int `json:"count"`
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<10))
 	if err != nil || json.Unmarshal(data, &request) != nil || request.Count < 1 || request.Count > wire.MaxTasks {
-		refuse(w, http.StatusBadRequest, 0, "count: 1 to 100000 is needed")
+		writeProblem(w, http.StatusBadRequest, 0, "count: 1 to 100000 is needed")
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
@@ -33,11 +33,11 @@
 	httpjson.Write(w, http.StatusOK, jobid.Job{First: first, Tasks: request.Count})
 }
 
-// findNumber serves the id of the job with a number.
-func (s *Server) findNumber(w http.ResponseWriter, r *http.Request) {
+// serveNumberLookup serves the id of the job with a number.
+func (s *Server) serveNumberLookup(w http.ResponseWriter, r *http.Request) {
 	number, err := strconv.ParseUint(r.PathValue("n"), 10, 64)
 	if err != nil {
-		refuse(w, http.StatusNotFound, 0, "no such job")
+		writeProblem(w, http.StatusNotFound, 0, "no such job")
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
--- a/internal/slurmapi/peer_requests.go
+++ b/internal/slurmapi/peer_requests.go
@@ -22,11 +22,11 @@
 
 // Verbs of a Request.
 const (
-	verbList    = "list"
-	verbInfo    = "info"
-	verbHold    = "hold"
-	verbRelease = "release"
-	verbDrop    = "drop" // cancels single tasks
+	verbList        = "list"
+	verbInfo        = "info"
+	verbHold        = "hold"
+	verbRelease     = "release"
+	verbCancelTasks = "drop" // cancels single tasks
 )
 
 // Reply is the response to a Request. Status 0 means that the outcome is unknown to the peer
@@ -38,8 +38,8 @@
 	Next   *jobquery.Cursor `json:"next,omitempty"`
 }
 
-// query has a peer serve a request; false if it fails or the outcome stays unknown.
-func (s *Server) query(ctx context.Context, peer string, req Request) (Reply, bool) {
+// queryPeer has a peer serve a request; false if it fails or the outcome stays unknown.
+func (s *Server) queryPeer(ctx context.Context, peer string, req Request) (Reply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	rep, err := s.peers.QueryLeader(ctx, peer, req)
@@ -55,20 +55,20 @@
 	var err error
 	switch req.Verb {
 	case verbList:
-		if s.knowledge != nil && !s.knowledge.ShardsLoaded() {
+		if s.failoverState != nil && !s.failoverState.ShardsLoaded() {
 			return Reply{}
 		}
-		jobs, next := s.jobs.ListJobs(req.From, maxListed)
+		jobs, next := s.jobs.ListJobs(req.From, maxListEntries)
 		return Reply{Status: http.StatusOK, Jobs: jobs, Next: next}
 	case verbInfo:
 		info, ok := s.jobs.LocalJobInfo(req.UID)
-		if !ok || info.Stage == wire.StageQueued && s.knowledge != nil && !s.knowledge.SurelyQueued(req.UID, 0) {
+		if !ok || info.Stage == wire.StageQueued && s.failoverState != nil && !s.failoverState.SurelyQueued(req.UID, 0) {
 			return Reply{}
 		}
 		return Reply{Status: http.StatusOK, Jobs: []jobquery.Info{info}}
 	case verbHold, verbRelease:
 		err = s.jobs.Hold(ctx, req.UID, req.Verb == verbHold)
-	case verbDrop:
+	case verbCancelTasks:
 		var tasks jobspec.Ranges
 		if tasks, err = jobspec.ParseRanges(req.Tasks); err == nil {
 			err = s.jobs.CancelTasks(ctx, req.UID, tasks)
--- a/internal/slurmapi/recorded_settings_test.go
+++ b/internal/slurmapi/recorded_settings_test.go
@@ -12,11 +12,11 @@
 // Every key of the settings is accepted, ends where it belongs and has its default.
 func TestRecordedSettings(t *testing.T) {
 	got, err := slurmapi.LoadSettings("testdata/recorded/slurm.sexp")
-	if want := (slurmapi.Settings{Cluster: "mill", Accounts: true, PerS: 2.5, Class: "quick", Team: "brew"}); err != nil || *got != want {
+	if want := (slurmapi.Settings{ClusterName: "mill", AccountingEnabled: true, ListingsPerS: 2.5, DefaultClass: "quick", DefaultTeam: "brew"}); err != nil || *got != want {
 		t.Errorf("%+v, %v, not %+v", got, err, want)
 	}
 	got, err = slurmapi.ParseSettings([]byte("(slurm)"))
-	if want := (slurmapi.Settings{Cluster: "wallrack", PerS: 5}); err != nil || *got != want {
+	if want := (slurmapi.Settings{ClusterName: "wallrack", ListingsPerS: 5}); err != nil || *got != want {
 		t.Errorf("defaults: %+v, %v, not %+v", got, err, want)
 	}
 }
--- a/internal/slurmapi/recorded_test.go
+++ b/internal/slurmapi/recorded_test.go
@@ -38,11 +38,11 @@
 
 // What controllers request of one another on behalf of Slurm-style clients.
 func TestRecordedRequestsAndReplies(t *testing.T) {
-	recorded.CheckFull(t, "request-full", Request{Verb: verbDrop, UID: "j-000412", From: jobquery.Cursor{Number: 4100, SkipPlacements: 5, Task: 9}, Tasks: "3,7-9"})
+	recorded.CheckFull(t, "request-full", Request{Verb: verbCancelTasks, UID: "j-000412", From: jobquery.Cursor{Number: 4100, SkipPlacements: 5, Task: 9}, Tasks: "3,7-9"})
 	recorded.Check(t, "request-none", Request{Verb: verbList})
 	recorded.CheckFull(t, "reply-full", Reply{Status: 200, Reason: "can't be done", Jobs: []jobquery.Info{fullInfo()}, Next: &jobquery.Cursor{Number: 4101, SkipPlacements: 5, Task: 9}})
 	recorded.Check(t, "reply-none", Reply{})
-	if got := []string{verbList, verbInfo, verbHold, verbRelease, verbDrop}; !slices.Equal(got, []string{"list", "info", "hold", "release", "drop"}) {
+	if got := []string{verbList, verbInfo, verbHold, verbRelease, verbCancelTasks}; !slices.Equal(got, []string{"list", "info", "hold", "release", "drop"}) {
 		t.Errorf("verbs %q", got)
 	}
 }
@@ -72,13 +72,13 @@
 }
 
 // A listing has a line for each of its jobs, however long the list.
-func TestListsHaveALineForEachItem(t *testing.T) {
+func TestListResponseHasOneLinePerItem(t *testing.T) {
 	for want, items := range map[string][]jobquery.Cursor{
 		"{\"jobs\":[\n],\"next\":null}\n": nil,
 		"{\"jobs\":[\n{\"number\":1},\n{\"number\":2,\"on\":3,\"task\":4}\n],\"next\":null}\n": {{Number: 1}, {Number: 2, SkipPlacements: 3, Task: 4}},
 	} {
 		w := httptest.NewRecorder()
-		writeLines(w, "jobs", items, field{"next", (*jobquery.Cursor)(nil)})
+		writeJSONLines(w, "jobs", items, jsonField{"next", (*jobquery.Cursor)(nil)})
 		if got := w.Body.String(); got != want {
 			t.Errorf("written as %q, want %q", got, want)
 		}
--- a/internal/slurmapi/response.go
+++ b/internal/slurmapi/response.go
@@ -13,8 +13,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// refuse answers with a problem; 503 and 429 with the time after which to retry.
-func refuse(w http.ResponseWriter, status, retryAfterS int, reason string) {
+// writeProblem answers with a problem; 503 and 429 with the time after which to retry.
+func writeProblem(w http.ResponseWriter, status, retryAfterS int, reason string) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, retryAfterS)))
 	}
@@ -25,24 +25,24 @@
 func (s *Server) writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, statestore.ErrNotFound):
-		refuse(w, http.StatusNotFound, 0, "no such job")
+		writeProblem(w, http.StatusNotFound, 0, "no such job")
 	case errors.Is(err, scheduler.ErrInvalidRequest):
-		refuse(w, http.StatusUnprocessableEntity, 0, err.Error())
+		writeProblem(w, http.StatusUnprocessableEntity, 0, err.Error())
 	default:
 		s.log.Debug("outcome unknown", "err", err)
-		refuse(w, http.StatusServiceUnavailable, 1, "can't tell now")
+		writeProblem(w, http.StatusServiceUnavailable, 1, "can't tell now")
 	}
 }
 
-// field is a field of a JSON object.
-type field struct {
+// jsonField is a jsonField of a JSON object.
+type jsonField struct {
 	name  string
 	value any
 }
 
-// writeLines answers with an object of a list, which has a line for each of its items, and
+// writeJSONLines answers with an object of a list, which has a line for each of its items, and
 // other fields: no line of a response may be over 64 KiB.
-func writeLines[T any](w http.ResponseWriter, list string, items []T, others ...field) {
+func writeJSONLines[T any](w http.ResponseWriter, list string, items []T, others ...jsonField) {
 	w.Header().Set("Content-Type", "application/json")
 	out := append([]byte(nil), `{"`+list+"\":["...)
 	for i := range items {
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -29,7 +29,7 @@
 const (
 	requestTimeout     = 3500 * time.Millisecond
 	peerTimeout        = time.Second
-	maxListed          = 500 // jobs and running tasks in a part of a listing
+	maxListEntries     = 500 // jobs and running tasks in a part of a listing
 	maxAccountingPages = 24  // in a response
 	maxInFlight        = 4   // listings and parts of accounting at once
 )
@@ -45,7 +45,7 @@
 type Jobs interface {
 	// ListJobs returns up to most jobs and running tasks, in the order of the jobs' numbers,
 	// and where the list goes on; nil: it ends.
-	ListJobs(from jobquery.Cursor, most int) ([]jobquery.Info, *jobquery.Cursor)
+	ListJobs(from jobquery.Cursor, limit int) ([]jobquery.Info, *jobquery.Cursor)
 	LocalJobInfo(uid string) (jobquery.Info, bool)
 	// Hold keeps a job's waiting tasks from starting, or lets them start.
 	Hold(ctx context.Context, uid string, held bool) error
@@ -53,9 +53,9 @@
 	CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error
 }
 
-// LeaderKnowledge may be implemented by Jobs: what a leader does not know yet after a failover.
+// FailoverState may be implemented by Jobs: what a leader does not know yet after a failover.
 // Without it everything counts as known.
-type LeaderKnowledge interface {
+type FailoverState interface {
 	submission.StageAuthority
 	// ShardsLoaded reports whether the jobs of all shards that this controller leads are in
 	// memory.
@@ -86,67 +86,67 @@
 
 // Server serves Slurm-style clients. It is safe for concurrent use.
 type Server struct {
-	settings  *Settings
-	cfg       *config.Platform
-	store     Store
-	jobs      Jobs
-	knowledge LeaderKnowledge // nil: everything is known
-	numbers   *jobid.Allocator
-	peers     Peers
-	submitter Submitter
-	catalog   Catalog
-	log       *slog.Logger
-	limiter   *rateLimiter
-	slots     chan struct{} // of requests that limiter admitted
+	settings      *Settings
+	cfg           *config.Platform
+	store         Store
+	jobs          Jobs
+	failoverState FailoverState // nil: everything is known
+	numbers       *jobid.Allocator
+	peers         Peers
+	submitter     Submitter
+	catalog       Catalog
+	log           *slog.Logger
+	limiter       *rateLimiter
+	requestSlots  chan struct{} // of requests that limiter admitted
 }
 
 // New returns a server; Register makes it reachable.
 func New(set *Settings, cfg *config.Platform, store Store, jobs Jobs, numbers *jobid.Allocator, peers Peers, in Submitter, catalog Catalog, log *slog.Logger) *Server {
-	knowledge, _ := jobs.(LeaderKnowledge)
+	failoverState, _ := jobs.(FailoverState)
 	return &Server{
-		settings: set, cfg: cfg, store: store, jobs: jobs, knowledge: knowledge, numbers: numbers, peers: peers, submitter: in, catalog: catalog, log: log,
-		limiter: newRateLimiter(set.PerS), slots: make(chan struct{}, maxInFlight),
+		settings: set, cfg: cfg, store: store, jobs: jobs, failoverState: failoverState, numbers: numbers, peers: peers, submitter: in, catalog: catalog, log: log,
+		limiter: newRateLimiter(set.ListingsPerS), requestSlots: make(chan struct{}, maxInFlight),
 	}
 }
 
 // Register adds the server's paths.
 func (s *Server) Register(mux *http.ServeMux) {
-	mux.HandleFunc("GET /slurm/site", s.site)
-	mux.HandleFunc("POST /slurm/numbers", s.allocateNumbers)
-	mux.HandleFunc("GET /slurm/numbers/{n}", s.findNumber)
-	mux.HandleFunc("POST /slurm/jobs", s.submit)
-	mux.HandleFunc("GET /slurm/jobs", s.limited(s.list))
-	mux.HandleFunc("GET /slurm/jobs/{uid}", s.job(verbInfo))
-	mux.HandleFunc("POST /slurm/jobs/{uid}/hold", s.job(verbHold))
-	mux.HandleFunc("POST /slurm/jobs/{uid}/release", s.job(verbRelease))
-	mux.HandleFunc("POST /slurm/jobs/{uid}/drop", s.job(verbDrop))
-	mux.HandleFunc("GET /accounting/{day}", s.limited(s.accountingDay))
+	mux.HandleFunc("GET /slurm/site", s.serveSite)
+	mux.HandleFunc("POST /slurm/numbers", s.serveNumberAllocation)
+	mux.HandleFunc("GET /slurm/numbers/{n}", s.serveNumberLookup)
+	mux.HandleFunc("POST /slurm/jobs", s.serveSubmission)
+	mux.HandleFunc("GET /slurm/jobs", s.rateLimited(s.serveList))
+	mux.HandleFunc("GET /slurm/jobs/{uid}", s.jobHandler(verbInfo))
+	mux.HandleFunc("POST /slurm/jobs/{uid}/hold", s.jobHandler(verbHold))
+	mux.HandleFunc("POST /slurm/jobs/{uid}/release", s.jobHandler(verbRelease))
+	mux.HandleFunc("POST /slurm/jobs/{uid}/drop", s.jobHandler(verbCancelTasks))
+	mux.HandleFunc("GET /accounting/{day}", s.rateLimited(s.serveAccountingDay))
 }
 
-// limited bounds how many costly requests are served a second and at once, so that
+// rateLimited bounds how many costly requests are served a second and at once, so that
 // they take no processor time from scheduling.
-func (s *Server) limited(serve http.HandlerFunc) http.HandlerFunc {
+func (s *Server) rateLimited(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if retryAfterS, ok := s.limiter.allow(time.Now()); !ok {
 			usage.Note(usage.RefusedRequests)
-			refuse(w, http.StatusTooManyRequests, retryAfterS, "too many listings; come back in the time given")
+			writeProblem(w, http.StatusTooManyRequests, retryAfterS, "too many listings; come back in the time given")
 			return
 		}
 		select {
-		case s.slots <- struct{}{}:
-			defer func() { <-s.slots }()
+		case s.requestSlots <- struct{}{}:
+			defer func() { <-s.requestSlots }()
 			serve(w, r)
 		default:
 			usage.Note(usage.RefusedRequests)
-			refuse(w, http.StatusTooManyRequests, 1, "too many listings at once")
+			writeProblem(w, http.StatusTooManyRequests, 1, "too many listings at once")
 		}
 	}
 }
 
-// site serves what clients need to know of the site, with defaults where the settings give
+// serveSite serves what clients need to know of the serveSite, with defaults where the settings give
 // none.
-func (s *Server) site(w http.ResponseWriter, _ *http.Request) {
-	site := jobquery.Site{Cluster: s.settings.Cluster, Accounts: s.settings.Accounts, Class: s.settings.Class, Team: s.settings.Team, Zones: s.cfg.Params.Zones, Types: s.catalog.All()}
+func (s *Server) serveSite(w http.ResponseWriter, _ *http.Request) {
+	site := jobquery.Site{Cluster: s.settings.ClusterName, Accounts: s.settings.AccountingEnabled, Class: s.settings.DefaultClass, Team: s.settings.DefaultTeam, Zones: s.cfg.Params.Zones, Types: s.catalog.All()}
 	for _, team := range s.cfg.Params.Teams {
 		site.Teams = append(site.Teams, team.Name)
 	}
@@ -167,12 +167,12 @@
 	httpjson.Write(w, http.StatusOK, site)
 }
 
-// submit serves a submission with constraints, or only checks it.
-func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
+// serveSubmission serves a submission with constraints, or only checks it.
+func (s *Server) serveSubmission(w http.ResponseWriter, r *http.Request) {
 	var parsed jobquery.Submission
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 	if err != nil || json.Unmarshal(data, &parsed) != nil || parsed.Constraints == nil {
-		refuse(w, http.StatusBadRequest, 0, "job and terms are needed, in no more than 64 KiB")
+		writeProblem(w, http.StatusBadRequest, 0, "job and terms are needed, in no more than 64 KiB")
 		return
 	}
 	verb := submission.VerbSubmit
@@ -184,8 +184,8 @@
 	case rep.Status/100 == 2:
 		httpjson.Write(w, rep.Status, rep.State)
 	case rep.Status == 0:
-		refuse(w, http.StatusServiceUnavailable, 1, "can't tell now")
+		writeProblem(w, http.StatusServiceUnavailable, 1, "can't tell now")
 	default:
-		refuse(w, rep.Status, 1, rep.Reason)
+		writeProblem(w, rep.Status, 1, rep.Reason)
 	}
 }
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -30,55 +30,55 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// site stands in for everything that a server uses.
-type site struct {
-	keys  []string // of accounting, in order
-	pages map[string]string
-	most  int // pages in one response of the store
-	jobs  []jobquery.Info
-	lists int
-	owns  bool
+// fakeServices stands in for everything that a server uses.
+type fakeServices struct {
+	keys         []string // of accounting, in order
+	pages        map[string]string
+	maxPageItems int // pages in one response of the store
+	jobs         []jobquery.Info
+	listCalls    int
+	leads        bool
 }
 
-func (s *site) Get(context.Context, string) (wire.Item, error) {
+func (s *fakeServices) Get(context.Context, string) (wire.Item, error) {
 	return wire.Item{}, statestore.ErrNotFound
 }
-func (s *site) Txn(context.Context, []wire.Guard, ...wire.Op) (uint64, error) { return 1, nil }
-func (s *site) Page(_ context.Context, prefix, after string, limit int) ([]wire.Item, bool, error) {
+func (s *fakeServices) Txn(context.Context, []wire.Guard, ...wire.Op) (uint64, error) { return 1, nil }
+func (s *fakeServices) Page(_ context.Context, prefix, after string, limit int) ([]wire.Item, bool, error) {
 	at := sort.SearchStrings(s.keys, max(after+"\x00", prefix))
 	var out []wire.Item
 	for ; at < len(s.keys) && len(out) < limit && strings.HasPrefix(s.keys[at], prefix); at++ {
 		data, _ := json.Marshal(s.pages[s.keys[at]])
 		out = append(out, wire.Item{Key: s.keys[at], Value: data})
 	}
-	s.most = max(s.most, len(out))
+	s.maxPageItems = max(s.maxPageItems, len(out))
 	return out, at < len(s.keys) && strings.HasPrefix(s.keys[at], prefix), nil
 }
 
-func (s *site) ListJobs(jobquery.Cursor, int) ([]jobquery.Info, *jobquery.Cursor) {
-	s.lists++
+func (s *fakeServices) ListJobs(jobquery.Cursor, int) ([]jobquery.Info, *jobquery.Cursor) {
+	s.listCalls++
 	return s.jobs, nil
 }
-func (s *site) LocalJobInfo(string) (jobquery.Info, bool) { return jobquery.Info{}, false }
-func (s *site) Hold(context.Context, string, bool) error  { return statestore.ErrUnknown }
-func (s *site) CancelTasks(context.Context, string, jobspec.Ranges) error {
+func (s *fakeServices) LocalJobInfo(string) (jobquery.Info, bool) { return jobquery.Info{}, false }
+func (s *fakeServices) Hold(context.Context, string, bool) error  { return statestore.ErrUnknown }
+func (s *fakeServices) CancelTasks(context.Context, string, jobspec.Ranges) error {
 	return scheduler.ErrInvalidRequest
 }
-func (s *site) Leads() bool             { return s.owns }
-func (s *site) ShardLeaders() []string  { return nil }
-func (s *site) All() []wire.MachineType { return nil }
-func (s *site) Submit(context.Context, submission.Request) submission.Reply {
+func (s *fakeServices) Leads() bool             { return s.leads }
+func (s *fakeServices) ShardLeaders() []string  { return nil }
+func (s *fakeServices) All() []wire.MachineType { return nil }
+func (s *fakeServices) Submit(context.Context, submission.Request) submission.Reply {
 	return submission.Reply{}
 }
 
-func (s *site) QueryLeader(context.Context, string, slurmapi.Request) (*slurmapi.Reply, error) {
+func (s *fakeServices) QueryLeader(context.Context, string, slurmapi.Request) (*slurmapi.Reply, error) {
 	return nil, errors.New("cut off")
 }
 
-func (s *site) handler(perS float64) http.Handler {
-	s.owns = true
+func (s *fakeServices) handler(perS float64) http.Handler {
+	s.leads = true
 	mux := http.NewServeMux()
-	set := &slurmapi.Settings{Cluster: "c", PerS: perS}
+	set := &slurmapi.Settings{ClusterName: "c", ListingsPerS: perS}
 	slurmapi.New(set, &config.Platform{}, s, s, jobid.New(s), s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil))).Register(mux)
 	return mux
 }
@@ -86,7 +86,7 @@
 // As many listings are served as the settings say; the others are to retry one after
 // another, not all at once.
 func TestListingsBeyondTheRateLimitRetryOneAfterAnother(t *testing.T) {
-	s := &site{}
+	s := &fakeServices{}
 	h := s.handler(5)
 	served, last, spread := 0, 0, map[int]int{}
 	for range 500 {
@@ -106,8 +106,8 @@
 			t.Fatalf("status %d", w.Code)
 		}
 	}
-	if served < 10 || served > 15 || s.lists != served || last != 30 {
-		t.Errorf("%d served with %d listings, the last retries in %d s", served, s.lists, last)
+	if served < 10 || served > 15 || s.listCalls != served || last != 30 {
+		t.Errorf("%d served with %d listings, the last retries in %d s", served, s.listCalls, last)
 	}
 	for retryS, n := range spread {
 		if retryS < 30 && n > 6 {
@@ -118,7 +118,7 @@
 
 // An unknown outcome is 503, a request that can't be carried out 422, an unknown job 404.
 func TestResponseStatuses(t *testing.T) {
-	s := &site{}
+	s := &fakeServices{}
 	h := s.handler(1000)
 	for _, c := range []struct {
 		method, path, body string
@@ -145,7 +145,7 @@
 			t.Errorf("%s %s %s: %d, not %d: %s", c.method, c.path, c.body, w.Code, c.status, w.Body)
 		}
 	}
-	s.owns = false
+	s.leads = false
 	w := httptest.NewRecorder()
 	if h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/slurm/jobs", nil)); w.Code != 503 {
 		t.Errorf("a listing while no controller leads jobs: %d", w.Code)
@@ -170,12 +170,12 @@
 	}
 }
 
-// fill writes so many rows of a day.
-func (s *site) fill(tb testing.TB, day time.Time, rows int) {
+// addAccountingPages writes so many rows of a day.
+func (s *fakeServices) addAccountingPages(tb testing.TB, day time.Time, rows int) {
 	if s.pages == nil {
 		s.pages = map[string]string{}
 	}
-	book := accounting.NewPageBuilder(uint64(len(s.keys)+1), 14<<10)
+	builder := accounting.NewPageBuilder(uint64(len(s.keys)+1), 14<<10)
 	var batch []accounting.Row
 	for i := range rows {
 		start := day.UnixMilli() + int64(i%86_000)*1000
@@ -186,7 +186,7 @@
 		if len(batch) < 60 && i < rows-1 {
 			continue
 		}
-		w, err := book.Add(batch, day)
+		w, err := builder.Add(batch, day)
 		if err != nil {
 			tb.Fatal(err)
 		}
@@ -194,7 +194,7 @@
 			s.keys = append(s.keys, w.Key)
 		}
 		s.pages[w.Key] = w.Value
-		book.Applied(w, uint64(i+1))
+		builder.Applied(w, uint64(i+1))
 		batch = batch[:0]
 	}
 	sort.Strings(s.keys)
@@ -204,10 +204,10 @@
 func BenchmarkDay(b *testing.B) {
 	for _, rows := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprint(rows), func(b *testing.B) {
-			s := &site{}
+			s := &fakeServices{}
 			day := time.Date(2026, 11, 1, 0, 0, 0, 0, time.UTC)
 			for d := range 1_000_000 / rows {
-				s.fill(b, day.AddDate(0, 0, d), rows)
+				s.addAccountingPages(b, day.AddDate(0, 0, d), rows)
 			}
 			srv := httptest.NewServer(s.handler(1000))
 			defer srv.Close()
@@ -218,14 +218,14 @@
 					b.Fatal(n, err)
 				}
 			}
-			b.ReportMetric(float64(s.most), "pages/answer")
+			b.ReportMetric(float64(s.maxPageItems), "pages/answer")
 		})
 	}
 }
 
 // Responses to clients in full: lists with their lines, numbers, refusals.
 func TestRecordedResponses(t *testing.T) {
-	s := &site{jobs: []jobquery.Info{{Job: wire.Job{UID: "j-1"}, Constraints: &jobspec.Constraints{Number: 4}, Stage: wire.StageQueued}}}
+	s := &fakeServices{jobs: []jobquery.Info{{Job: wire.Job{UID: "j-1"}, Constraints: &jobspec.Constraints{Number: 4}, Stage: wire.StageQueued}}}
 	s.keys, s.pages = []string{"acct/20261130/7-1"}, map[string]string{"acct/20261130/7-1": "1:AAAA"}
 	h := s.handler(1000)
 	const job = `{"job":{"uid":"j-1","docket":"","crew":"","sort":"","urgency":"","pieces":0,"cpus":0,"cards":0,"memoryGb":0,"kit":"","pullGb":0,"reckonS":0},` +
@@ -240,7 +240,7 @@
 	} {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
-		got := nowOf.ReplaceAllString(w.Body.String(), `"now":NOW`)
+		got := nowField.ReplaceAllString(w.Body.String(), `"now":NOW`)
 		got = strings.Replace(got, `"now":NOW,"next":null`, `"next":null,"now":NOW`, 1) // their order is free
 		if got != c.want {
 			t.Errorf("%s %s %s: %q, want %q", c.method, c.path, c.body, got, c.want)
@@ -248,4 +248,4 @@
 	}
 }
 
-var nowOf = regexp.MustCompile(`"now":[0-9]+`)
+var nowField = regexp.MustCompile(`"now":[0-9]+`)
--- a/internal/slurmapi/settings.go
+++ b/internal/slurmapi/settings.go
@@ -11,16 +11,16 @@
 
 // Settings are the operators' settings of Slurm-style clients and accounting.
 type Settings struct {
-	Cluster  string  // the name that clients show
-	Accounts bool    // rows of accounting are written
-	PerS     float64 // listings and pages a second that a controller answers
-	Class    string  // of jobs whose client names no partition
-	Team     string  // of jobs whose client names no account
+	ClusterName       string  // the name that clients show
+	AccountingEnabled bool    // rows of accounting are written
+	ListingsPerS      float64 // listings and pages a second that a controller answers
+	DefaultClass      string  // of jobs whose client names no partition
+	DefaultTeam       string  // of jobs whose client names no account
 }
 
 const (
-	minPerS = 0.1
-	maxPerS = 1000
+	minListingsPerS = 0.1
+	maxListingsPerS = 1000
 )
 
 // LoadSettings reads and checks a file of settings, all of them optional. Its errors name the
@@ -43,8 +43,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Settings{Cluster: "wallrack", PerS: 5}
-	texts := map[string]*string{"cluster": &s.Cluster, "partition": &s.Class, "account": &s.Team}
+	s := &Settings{ClusterName: "wallrack", ListingsPerS: 5}
+	texts := map[string]*string{"cluster": &s.ClusterName, "partition": &s.DefaultClass, "account": &s.DefaultTeam}
 	seen := map[string]bool{}
 	for i, entry := range entries {
 		pair, ok := entry.([]any)
@@ -68,9 +68,9 @@
 			if pair[1] != edn.Symbol("on") && pair[1] != edn.Symbol("off") {
 				return nil, errors.New("accounting: on or off is needed")
 			}
-			s.Accounts = pair[1] == edn.Symbol("on")
+			s.AccountingEnabled = pair[1] == edn.Symbol("on")
 		case key == "listings-per-s":
-			if s.PerS, err = config.Number(pair[1], minPerS, maxPerS); err != nil {
+			if s.ListingsPerS, err = config.Number(pair[1], minListingsPerS, maxListingsPerS); err != nil {
 				return nil, fmt.Errorf("%s: %w", key, err)
 			}
 		default:
