--- a/internal/slurmtask/files.go
+++ b/internal/slurmtask/files.go
@@ -9,15 +9,15 @@
 // Files returns the files of standard output and error, "" for none. Relative ones are in dir,
 // the task's working directory.
 func (t *Task) Files(dir string) (stdout, stderr string) {
-	stdout, stderr = t.file(t.Output, dir), t.file(t.Error, dir)
+	stdout, stderr = t.resolveFile(t.Output, dir), t.resolveFile(t.Error, dir)
 	if stderr == "" {
 		stderr = stdout
 	}
 	return stdout, stderr
 }
 
-// file is the file that a pattern names, "" for an empty pattern.
-func (t *Task) file(pattern, dir string) string {
+// resolveFile is the resolveFile that a pattern names, "" for an empty pattern.
+func (t *Task) resolveFile(pattern, dir string) string {
 	if pattern == "" {
 		return ""
 	}
@@ -51,8 +51,8 @@
 			name.WriteString(pattern[i:])
 			break
 		}
-		if value, known := t.value(pattern[letter]); known {
-			name.WriteString(padded(value, pattern[i+1:letter]))
+		if value, known := t.patternValue(pattern[letter]); known {
+			name.WriteString(zeroPad(value, pattern[i+1:letter]))
 		} else {
 			name.WriteString(pattern[i : letter+1])
 		}
@@ -61,8 +61,8 @@
 	return name.String()
 }
 
-// padded pads a value that starts with a digit with zeros to a width, given by its digits.
-func padded(value, width string) string {
+// zeroPad pads a value that starts with a digit with zeros to a width, given by its digits.
+func zeroPad(value, width string) string {
 	n, _ := strconv.Atoi(width) // no digits: 0; too many: the greatest int
 	missing := min(n, maxPadding) - len(value)
 	if missing <= 0 || value == "" || value[0] < '0' || value[0] > '9' {
@@ -71,29 +71,29 @@
 	return strings.Repeat("0", missing) + value
 }
 
-// noArrayIndex is what Slurm puts in place of %a if there is no array.
-const noArrayIndex = "4294967294"
+// absentIndexText is what Slurm puts in place of %a if there is no array.
+const absentIndexText = "4294967294"
 
-// value is what a letter after % stands for.
-func (t *Task) value(letter byte) (_ string, known bool) {
+// patternValue is what a letter after % stands for.
+func (t *Task) patternValue(letter byte) (_ string, known bool) {
 	switch letter {
 	case '%':
 		return "%", true
 	case 'A':
-		return decimal(t.Number), true
+		return formatUint(t.Number), true
 	case 'a':
-		if !t.ofArray() {
-			return noArrayIndex, true
+		if !t.inArray() {
+			return absentIndexText, true
 		}
-		return strconv.Itoa(t.index), true
+		return strconv.Itoa(t.arrayIndex), true
 	case 'j':
-		return decimal(t.number()), true
+		return formatUint(t.jobNumber()), true
 	case 'x':
 		return t.Name, true
 	case 'u':
 		return t.User, true
 	case 'N':
-		return t.worker, true
+		return t.workerName, true
 	case 'n': // of the node in the job, which has one
 		return "0", true
 	case 't':
--- a/internal/slurmtask/slurmtask.go
+++ b/internal/slurmtask/slurmtask.go
@@ -26,20 +26,20 @@
 // Task is one of a job's tasks on its worker.
 type Task struct {
 	*Context
-	n       int    // the task, from 0
-	attempt uint64 // from 1
-	worker  string // its name
-	indices jobspec.Ranges
-	index   int // in the array; noIndex without one
+	taskIndex  int    // the task, from 0
+	attempt    uint64 // from 1
+	workerName string // its name
+	indices    jobspec.Ranges
+	arrayIndex int // in the array; noIndex without one
 }
 
-// noIndex is the index of a task that is not of an array.
-const noIndex = -1
+// noArrayPosition is the index of a task that is not of an array.
+const noArrayPosition = -1
 
-// Of returns the task n of a job, from 0, in an attempt, from 1, on a worker. It fails if the
+// NewTask returns the task n of a job, from 0, in an attempt, from 1, on a worker. It fails if the
 // array is malformed or doesn't have the task.
-func (c *Context) Of(n int, attempt uint64, worker string) (*Task, error) {
-	t := &Task{Context: c, n: n, attempt: attempt, worker: worker, index: noIndex}
+func (c *Context) NewTask(taskIndex int, attempt uint64, workerName string) (*Task, error) {
+	t := &Task{Context: c, taskIndex: taskIndex, attempt: attempt, workerName: workerName, arrayIndex: noArrayPosition}
 	if c.Array == "" {
 		return t, nil
 	}
@@ -47,18 +47,18 @@
 	if t.indices, err = jobspec.ParseRanges(c.Array); err != nil {
 		return nil, fmt.Errorf("array: %w", err)
 	}
-	if t.index = t.indices.At(n); t.index < 0 {
-		return nil, fmt.Errorf("array: %s has no task %d", c.Array, n)
+	if t.arrayIndex = t.indices.At(taskIndex); t.arrayIndex < 0 {
+		return nil, fmt.Errorf("array: %s has no task %d", c.Array, taskIndex)
 	}
 	return t, nil
 }
 
-func (t *Task) ofArray() bool { return t.index != noIndex }
+func (t *Task) inArray() bool { return t.arrayIndex != noArrayPosition }
 
-// number is the job number that the task sees: its own in an array, else the job's.
-func (t *Task) number() uint64 {
-	if t.ofArray() {
-		return t.Number + uint64(t.n)
+// jobNumber is the job jobNumber that the task sees: its own in an array, else the job's.
+func (t *Task) jobNumber() uint64 {
+	if t.inArray() {
+		return t.Number + uint64(t.taskIndex)
 	}
 	return t.Number
 }
@@ -66,23 +66,23 @@
 // rank is the task's number among those of its step. A batch script is the only one.
 func (t *Task) rank() int {
 	if t.Step {
-		return t.n
+		return t.taskIndex
 	}
 	return 0
 }
 
 // Environ returns the variables that differ between tasks, as NAME=VALUE.
 func (t *Task) Environ() []string {
-	number := decimal(t.number())
+	number := formatUint(t.jobNumber())
 	env := []string{
 		"SLURM_JOB_ID=" + number,
 		"SLURM_JOBID=" + number,
 		"SLURM_JOB_NAME=" + t.Name,
 		"SLURM_JOB_USER=" + t.User,
 		"SLURM_CLUSTER_NAME=" + t.Cluster,
-		"SLURM_JOB_NODELIST=" + t.worker,
-		"SLURM_NODELIST=" + t.worker,
-		"SLURMD_NODENAME=" + t.worker,
+		"SLURM_JOB_NODELIST=" + t.workerName,
+		"SLURM_NODELIST=" + t.workerName,
+		"SLURMD_NODENAME=" + t.workerName,
 		"SLURM_JOB_NUM_NODES=1",
 		"SLURM_NNODES=1",
 		"SLURM_NODEID=0",
@@ -90,16 +90,16 @@
 		"SLURM_PROCID=" + strconv.Itoa(t.rank()),
 	}
 	if t.attempt > 1 {
-		env = append(env, "SLURM_RESTART_COUNT="+decimal(t.attempt-1))
+		env = append(env, "SLURM_RESTART_COUNT="+formatUint(t.attempt-1))
 	}
-	if !t.ofArray() {
+	if !t.inArray() {
 		return env
 	}
 	least, most := t.indices.Bounds()
 	return append(
 		env,
-		"SLURM_ARRAY_JOB_ID="+decimal(t.Number),
-		"SLURM_ARRAY_TASK_ID="+strconv.Itoa(t.index),
+		"SLURM_ARRAY_JOB_ID="+formatUint(t.Number),
+		"SLURM_ARRAY_TASK_ID="+strconv.Itoa(t.arrayIndex),
 		"SLURM_ARRAY_TASK_COUNT="+strconv.Itoa(t.Tasks),
 		"SLURM_ARRAY_TASK_MIN="+strconv.Itoa(least),
 		"SLURM_ARRAY_TASK_MAX="+strconv.Itoa(most),
@@ -107,4 +107,4 @@
 	)
 }
 
-func decimal(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
--- a/internal/slurmtask/slurmtask_test.go
+++ b/internal/slurmtask/slurmtask_test.go
@@ -10,7 +10,7 @@
 // The variables and files of a task of an array and of one of a step are those of sbatch's manual.
 func TestEnvironAndFilesOfArrayAndStepTasks(t *testing.T) {
 	c := &slurmtask.Context{Number: 40, Tasks: 3, Array: "2-6:2", Name: "tips", User: "erin", Output: "%x-%A_%03a.%j.out", Error: "/log/%N/%u.%%.err", Cluster: "c"}
-	task, err := c.Of(2, 2, "n-7")
+	task, err := c.NewTask(2, 2, "n-7")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,11 +26,11 @@
 	if out, errs := task.Files("/d"); out != "/d/tips-40_006.42.out" || errs != "/log/n-7/erin.%.err" {
 		t.Errorf("%s and %s", out, errs)
 	}
-	if _, err := c.Of(3, 1, "n-7"); err == nil {
+	if _, err := c.NewTask(3, 1, "n-7"); err == nil {
 		t.Error("the array has a fourth task")
 	}
 	step := &slurmtask.Context{Number: 50, Tasks: 2, Step: true, Output: `\%j`, Error: "%t.%s.%q"}
-	task, err = step.Of(1, 1, "n-7")
+	task, err = step.NewTask(1, 1, "n-7")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 func FuzzPattern(f *testing.F) {
 	f.Add("%A_%a.%9999999999j%")
 	f.Fuzz(func(t *testing.T, pattern string) {
-		task, err := (&slurmtask.Context{Number: 1, Tasks: 1, Output: pattern}).Of(0, 1, "n")
+		task, err := (&slurmtask.Context{Number: 1, Tasks: 1, Output: pattern}).NewTask(0, 1, "n")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/taskspec/spec.go
+++ b/internal/taskspec/spec.go
@@ -53,7 +53,7 @@
 		return errors.New("dir: must be an absolute path")
 	}
 	if s.Slurm != nil {
-		if _, err := s.Slurm.Of(0, 1, ""); err != nil {
+		if _, err := s.Slurm.NewTask(0, 1, ""); err != nil {
 			return fmt.Errorf("slurm: %w", err)
 		}
 	}
--- a/internal/worker/processes.go
+++ b/internal/worker/processes.go
@@ -97,7 +97,7 @@
 	cmd.Env = append(cmd.Env, marker) // after the job's own, so that none of those replaces it
 	var userFiles [2]string
 	if spec.Slurm != nil {
-		slurm, err := spec.Slurm.Of(number, attempt, p.WorkerName)
+		slurm, err := spec.Slurm.NewTask(number, attempt, p.WorkerName)
 		if err != nil {
 			return nil, err
 		}
