--- a/internal/accounting/export/export_test.go
+++ b/internal/accounting/export/export_test.go
@@ -37,7 +37,7 @@
 
 func TestCSVJSONAndParquetHoldTheSameRows(t *testing.T) {
 	want := export.Lines(records())
-	if len(want) != 3 || want[1].CPUSec != 7200 || want[1].GBSec != 14400 || want[1].Cost != 6 || want[1].Name != want[0].Name {
+	if len(want) != 3 || want[1].CPUSeconds != 7200 || want[1].MemoryGBSeconds != 14400 || want[1].Cost != 6 || want[1].Name != want[0].Name {
 		t.Fatalf("%+v", want)
 	}
 	var asJSON, asParquet, asCSV bytes.Buffer
--- a/internal/accounting/export/line.go
+++ b/internal/accounting/export/line.go
@@ -12,48 +12,48 @@
 // identifies the job. Times are in milliseconds since 1970, 0 if not known. The tags of a
 // field name the same column.
 type Line struct {
-	Kind     string  `json:"kind" parquet:"kind,dict"` // "job" or "attempt"
-	UID      string  `json:"uid" parquet:"uid"`
-	Number   uint64  `json:"number" parquet:"number"`
-	Task     int     `json:"task" parquet:"task"`
-	Attempt  uint64  `json:"attempt" parquet:"attempt"`
-	State    string  `json:"state" parquet:"state,dict"`
-	Exit     int     `json:"exit_code" parquet:"exit_code"`
-	Name     string  `json:"name" parquet:"name,dict"`
-	User     string  `json:"user" parquet:"user,dict"`
-	Account  string  `json:"account" parquet:"account,dict"`
-	Class    string  `json:"partition" parquet:"partition,dict"`
-	Priority string  `json:"qos" parquet:"qos,dict"`
-	Tasks    int     `json:"tasks" parquet:"tasks"`
-	Done     int     `json:"done" parquet:"done"`
-	Submit   int64   `json:"submit_ms" parquet:"submit_ms,timestamp"`
-	Eligible int64   `json:"eligible_ms" parquet:"eligible_ms,timestamp"`
-	Start    int64   `json:"start_ms" parquet:"start_ms,timestamp"`
-	End      int64   `json:"end_ms" parquet:"end_ms,timestamp"`
-	Machine  string  `json:"machine" parquet:"machine,dict"`
-	CPUs     float64 `json:"cpus" parquet:"cpus"`
-	GPUs     float64 `json:"gpus" parquet:"gpus"`
-	MemoryGB float64 `json:"memory_gb" parquet:"memory_gb"`
-	CPUSec   float64 `json:"cpu_seconds" parquet:"cpu_seconds"`             // of an attempt
-	GBSec    float64 `json:"memory_gb_seconds" parquet:"memory_gb_seconds"` // of an attempt
-	Useful   bool    `json:"useful" parquet:"useful"`                       // the attempt completed its task
-	Cost     float64 `json:"cost" parquet:"cost"`                           // of an attempt
+	Kind            string  `json:"kind" parquet:"kind,dict"` // "job" or "attempt"
+	UID             string  `json:"uid" parquet:"uid"`
+	Number          uint64  `json:"number" parquet:"number"`
+	Task            int     `json:"task" parquet:"task"`
+	Attempt         uint64  `json:"attempt" parquet:"attempt"`
+	State           string  `json:"state" parquet:"state,dict"`
+	Exit            int     `json:"exit_code" parquet:"exit_code"`
+	Name            string  `json:"name" parquet:"name,dict"`
+	User            string  `json:"user" parquet:"user,dict"`
+	Account         string  `json:"account" parquet:"account,dict"`
+	Class           string  `json:"partition" parquet:"partition,dict"`
+	Priority        string  `json:"qos" parquet:"qos,dict"`
+	Tasks           int     `json:"tasks" parquet:"tasks"`
+	Done            int     `json:"done" parquet:"done"`
+	Submit          int64   `json:"submit_ms" parquet:"submit_ms,timestamp"`
+	Eligible        int64   `json:"eligible_ms" parquet:"eligible_ms,timestamp"`
+	Start           int64   `json:"start_ms" parquet:"start_ms,timestamp"`
+	End             int64   `json:"end_ms" parquet:"end_ms,timestamp"`
+	Machine         string  `json:"machine" parquet:"machine,dict"`
+	CPUs            float64 `json:"cpus" parquet:"cpus"`
+	GPUs            float64 `json:"gpus" parquet:"gpus"`
+	MemoryGB        float64 `json:"memory_gb" parquet:"memory_gb"`
+	CPUSeconds      float64 `json:"cpu_seconds" parquet:"cpu_seconds"`             // of an attempt
+	MemoryGBSeconds float64 `json:"memory_gb_seconds" parquet:"memory_gb_seconds"` // of an attempt
+	Useful          bool    `json:"useful" parquet:"useful"`                       // the attempt completed its task
+	Cost            float64 `json:"cost" parquet:"cost"`                           // of an attempt
 }
 
 // Lines returns the lines of records: each job, then its attempts.
 func Lines(records []*slurm.Record) []Line {
 	var lines []Line
 	for _, record := range records {
-		lines = append(lines, lineOf(&record.Job, &record.Job))
+		lines = append(lines, newLine(&record.Job, &record.Job))
 		for i := range record.Attempts {
-			lines = append(lines, lineOf(&record.Job, &record.Attempts[i]))
+			lines = append(lines, newLine(&record.Job, &record.Attempts[i]))
 		}
 	}
 	return lines
 }
 
-// lineOf returns the line of a row, which is the job's own or that of one of its attempts.
-func lineOf(job, row *accounting.Row) Line {
+// newLine returns the line of a row, which is the job's own or that of one of its attempts.
+func newLine(job, row *accounting.Row) Line {
 	line := Line{
 		Kind: "job", UID: row.UID, Number: row.Number, Task: int(row.Task), Attempt: row.Attempt, State: row.State, Exit: int(row.Exit),
 		Name: job.Name, User: job.User, Account: job.Team, Class: job.Class, Priority: job.Priority,
@@ -63,7 +63,7 @@
 	}
 	if row.Kind == accounting.RowAttempt {
 		line.Kind, line.Useful, line.Cost = "attempt", row.Useful, row.Cost()
-		line.CPUSec, line.GBSec = row.Seconds()*line.CPUs, row.Seconds()*line.MemoryGB
+		line.CPUSeconds, line.MemoryGBSeconds = row.Seconds()*line.CPUs, row.Seconds()*line.MemoryGB
 	}
 	return line
 }
--- a/internal/accounting/export/recorded_test.go
+++ b/internal/accounting/export/recorded_test.go
@@ -15,7 +15,7 @@
 	return export.Line{
 		Kind: "attempt", UID: "j-000412", Number: 4100, Task: 3, Attempt: 2, State: "COMPLETED", Exit: 7, Name: "tips", User: "erin",
 		Account: "vision", Class: "train", Priority: "urgent", Tasks: 16, Done: 14, Submit: 1_796_000_000_000, Eligible: 1_796_000_000_500,
-		Start: 1_796_000_001_000, End: 1_796_000_002_000, Machine: "n-000001", CPUs: 2.5, GPUs: 1, MemoryGB: 4.25, CPUSec: 2500.5, GBSec: 4250.25,
+		Start: 1_796_000_001_000, End: 1_796_000_002_000, Machine: "n-000001", CPUs: 2.5, GPUs: 1, MemoryGB: 4.25, CPUSeconds: 2500.5, MemoryGBSeconds: 4250.25,
 		Useful: true, Cost: 0.37,
 	}
 }
--- a/internal/accounting/export/series.go
+++ b/internal/accounting/export/series.go
@@ -15,8 +15,8 @@
 	Cost    float64 // spent since the first point
 }
 
-// change is what differs from a time on.
-type change struct {
+// delta is what differs from a time on.
+type delta struct {
 	atMs      int64
 	waiting   int     // jobs
 	running   int     // tasks
@@ -27,7 +27,7 @@
 // What has no end yet lasts to the last one.
 func Series(records []*slurm.Record, from, to time.Time, points int) []Point {
 	fromMs, toMs := from.UnixMilli(), to.UnixMilli()
-	changes := changesOf(records, toMs)
+	changes := activityDeltas(records, toMs)
 	series := make([]Point, 0, points)
 	var now Point
 	costPerMs, costedMs, next := 0.0, fromMs, 0 // now.Cost is up to costedMs
@@ -49,30 +49,30 @@
 	return series
 }
 
-// changesOf returns the changes that records state, in the order of their times. What has no
+// activityDeltas returns the changes that records state, in the order of their times. What has no
 // end ends at endMs.
-func changesOf(records []*slurm.Record, endMs int64) []change {
-	var changes []change
-	add := func(fromMs, toMs int64, c change) {
+func activityDeltas(records []*slurm.Record, endMs int64) []delta {
+	var changes []delta
+	add := func(fromMs, toMs int64, c delta) {
 		c.atMs = fromMs
-		changes = append(changes, c, change{atMs: max(fromMs, toMs), waiting: -c.waiting, running: -c.running, costPerMs: -c.costPerMs})
+		changes = append(changes, c, delta{atMs: max(fromMs, toMs), waiting: -c.waiting, running: -c.running, costPerMs: -c.costPerMs})
 	}
 	for _, record := range records {
 		if job := &record.Job; job.Eligible > 0 {
-			add(job.Eligible, firstTime(job.Start, job.End, endMs), change{waiting: 1})
+			add(job.Eligible, firstKnown(job.Start, job.End, endMs), delta{waiting: 1})
 		}
 		for i := range record.Attempts {
 			if attempt := &record.Attempts[i]; attempt.Start != 0 {
-				add(attempt.Start, firstTime(attempt.End, endMs), change{running: 1, costPerMs: float64(attempt.Price) / 3600 / 1000})
+				add(attempt.Start, firstKnown(attempt.End, endMs), delta{running: 1, costPerMs: float64(attempt.Price) / 3600 / 1000})
 			}
 		}
 	}
-	slices.SortFunc(changes, func(a, b change) int { return int(a.atMs - b.atMs) })
+	slices.SortFunc(changes, func(a, b delta) int { return int(a.atMs - b.atMs) })
 	return changes
 }
 
-// firstTime returns the first time that is known, or 0.
-func firstTime(times ...int64) int64 {
+// firstKnown returns the first time that is known, or 0.
+func firstKnown(times ...int64) int64 {
 	for _, ms := range times {
 		if ms != 0 {
 			return ms
--- a/internal/accounting/page.go
+++ b/internal/accounting/page.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// format leads a page's text; readers reject any other.
-	format = "1:"
-	// maxRaw bounds the bytes that a page may unpack to: pages come from the network.
-	maxRaw      = 4 << 20
-	windowBytes = 64 << 10 // how far back the encoder looks for repetitions
+	// formatPrefix leads a page's text; readers reject any other.
+	formatPrefix = "1:"
+	// maxUnpackedBytes bounds the bytes that a page may unpack to: pages come from the network.
+	maxUnpackedBytes = 4 << 20
+	windowBytes      = 64 << 10 // how far back the encoder looks for repetitions
 )
 
 // KeyPrefix prefixes the keys of all pages in the state service.
@@ -40,8 +40,8 @@
 	return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(windowBytes), zstd.WithLowerEncoderMem(true))
 }
 
-// encode appends rows to a page's raw bytes.
-func encode(raw []byte, rows []Row) ([]byte, error) {
+// appendRows appends rows to a page's raw bytes.
+func appendRows(raw []byte, rows []Row) ([]byte, error) {
 	for i := range rows {
 		data, err := cbor.Marshal(rows[i])
 		if err != nil {
@@ -57,7 +57,7 @@
 
 // NewReader returns a reader, which must be closed.
 func NewReader() (*Reader, error) {
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxRaw))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxUnpackedBytes))
 	if err != nil {
 		return nil, fmt.Errorf("accounting: %w", err)
 	}
@@ -69,8 +69,8 @@
 
 // Unpack reads a page's text and calls each with its rows, in order; each may keep a row. After an
 // error each has got the rows before it.
-func (r *Reader) Unpack(text string, each func(*Row)) error {
-	encoded, ok := strings.CutPrefix(text, format)
+func (r *Reader) Unpack(text string, visit func(*Row)) error {
+	encoded, ok := strings.CutPrefix(text, formatPrefix)
 	if !ok {
 		return errors.New("accounting page: unknown format")
 	}
@@ -87,7 +87,7 @@
 		if raw, err = cbor.UnmarshalFirst(raw, &row); err != nil {
 			return fmt.Errorf("accounting page: %w", err)
 		}
-		each(&row)
+		visit(&row)
 	}
 	return nil
 }
--- a/internal/accounting/page_builder.go
+++ b/internal/accounting/page_builder.go
@@ -12,7 +12,7 @@
 const (
 	pageOverhead = 64  // bytes of a page beside its rows
 	rowOverhead  = 110 // most bytes of a row beside its texts
-	quotes       = 2   // bytes around a page's text in JSON
+	quoteBytes   = 2   // bytes around a page's text in JSON
 )
 
 // PageBuilder builds the pages of one writer: it adds rows to the last page until that is full, so
@@ -33,8 +33,8 @@
 	raw     []byte // rows before they are packed
 }
 
-// Write is a page to be written. Until its outcome is known, no other one may be made.
-type Write struct {
+// PageWrite is a page to be written. Until its outcome is known, no other one may be made.
+type PageWrite struct {
 	Key     string
 	Version uint64 // that the key must have; 0: it must not exist
 	Value   string
@@ -47,23 +47,23 @@
 	return &PageBuilder{id: id, maxBytes: maxBytes}
 }
 
-// Room returns how many bytes of rows, by Row.Bytes, one write surely takes, even if packing
+// Capacity returns how many bytes of rows, by Row.Bytes, one write surely takes, even if packing
 // saves nothing: base64 makes four bytes of three.
-func (b *PageBuilder) Room() int { return b.maxBytes/4*3 - pageOverhead }
+func (b *PageBuilder) Capacity() int { return b.maxBytes/4*3 - pageOverhead }
 
-// Bytes returns the most bytes that a row takes in a page.
-func (r *Row) Bytes() int {
+// MaxEncodedBytes returns the most bytes that a row takes in a page.
+func (r *Row) MaxEncodedBytes() int {
 	return rowOverhead + len(r.UID) + len(r.State) + len(r.Name) + len(r.User) + len(r.Team) + len(r.Class) + len(r.Priority) + len(r.Array) + len(r.Worker)
 }
 
 // Add returns the write that adds rows, which must not have more bytes together than Room. The
 // book stays as it is until Done: a write that was not applied is made anew by a further Add.
-func (b *PageBuilder) Add(rows []Row, now time.Time) (Write, error) {
+func (b *PageBuilder) Add(rows []Row, now time.Time) (PageWrite, error) {
 	day := Day(now)
 	if b.encoder == nil {
 		var err error
 		if b.encoder, err = newEncoder(); err != nil {
-			return Write{}, fmt.Errorf("accounting: %w", err)
+			return PageWrite{}, fmt.Errorf("accounting: %w", err)
 		}
 	}
 	next := b.page
@@ -71,22 +71,22 @@
 		next = page{day: day, number: b.page.number + 1}
 	}
 	for range 2 { // the last page, then a new one
-		raw, err := encode(slices.Clone(next.raw), rows)
+		raw, err := appendRows(slices.Clone(next.raw), rows)
 		if err != nil {
-			return Write{}, err
+			return PageWrite{}, err
 		}
-		if text := format + base64.StdEncoding.EncodeToString(b.encoder.EncodeAll(raw, nil)); len(text)+quotes <= b.maxBytes {
-			write := Write{Key: fmt.Sprintf("%s%s/%016x-%06d", KeyPrefix, day, b.id, next.number), Version: next.version, Value: text, next: next}
+		if text := formatPrefix + base64.StdEncoding.EncodeToString(b.encoder.EncodeAll(raw, nil)); len(text)+quoteBytes <= b.maxBytes {
+			write := PageWrite{Key: fmt.Sprintf("%s%s/%016x-%06d", KeyPrefix, day, b.id, next.number), Version: next.version, Value: text, next: next}
 			write.next.raw = raw
 			return write, nil
 		}
 		next = page{day: day, number: next.number + 1}
 	}
-	return Write{}, fmt.Errorf("%d accounting rows do not fit a page of %d bytes", len(rows), b.maxBytes)
+	return PageWrite{}, fmt.Errorf("%d accounting rows do not fit a page of %d bytes", len(rows), b.maxBytes)
 }
 
 // Applied notes that a write was applied, and the version that its key has since.
-func (b *PageBuilder) Applied(w Write, version uint64) {
+func (b *PageBuilder) Applied(w PageWrite, version uint64) {
 	b.page = w.next
 	b.page.version = version
 }
--- a/internal/accounting/pages_test.go
+++ b/internal/accounting/pages_test.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/accounting"
 )
 
-// rows returns rows of which each tenth is of a job, the others of attempts.
-func rows(n int, rnd *rand.Rand) []accounting.Row {
+// makeRows returns makeRows of which each tenth is of a job, the others of attempts.
+func makeRows(n int, rnd *rand.Rand) []accounting.Row {
 	out := make([]accounting.Row, n)
 	for i := range out {
 		start := int64(1_700_000_000_000 + i*37)
@@ -35,16 +35,16 @@
 // the pages by key, and the keys in the order of their first writes.
 func writePages(t *testing.T, rnd *rand.Rand, all []accounting.Row, maxBytes int) (pages map[string]string, keys []string) {
 	t.Helper()
-	book := accounting.NewPageBuilder(9, maxBytes)
+	builder := accounting.NewPageBuilder(9, maxBytes)
 	pages = map[string]string{}
 	now := time.Date(2026, 11, 30, 23, 59, 0, 0, time.UTC)
 	for from := 0; from < len(all); {
-		to, room := from, book.Room()
-		for to < len(all) && to < from+1+rnd.IntN(60) && room >= all[to].Bytes() {
-			room -= all[to].Bytes()
+		to, capacity := from, builder.Capacity()
+		for to < len(all) && to < from+1+rnd.IntN(60) && capacity >= all[to].MaxEncodedBytes() {
+			capacity -= all[to].MaxEncodedBytes()
 			to++
 		}
-		write, err := book.Add(all[from:to], now)
+		write, err := builder.Add(all[from:to], now)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,16 +61,16 @@
 			keys = append(keys, write.Key)
 		}
 		pages[write.Key] = write.Value
-		book.Applied(write, uint64(from+1))
+		builder.Applied(write, uint64(from+1))
 		from = to
 		now = now.Add(3 * time.Second)
 	}
 	return pages, keys
 }
 
-func TestRowsStandOnceAndInOrderDespiteFailedWrites(t *testing.T) {
+func TestRowsAreStoredOnceAndInOrderDespiteFailedWrites(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
-	all := rows(3000, rnd)
+	all := makeRows(3000, rnd)
 	pages, keys := writePages(t, rnd, all, 7<<10)
 	reader, err := accounting.NewReader()
 	if err != nil {
@@ -98,8 +98,8 @@
 
 // Pages come over the network: nothing in them may do harm.
 func FuzzUnpack(f *testing.F) {
-	book := accounting.NewPageBuilder(1, 7<<10)
-	write, err := book.Add(rows(30, rand.New(rand.NewPCG(1, 1))), time.Unix(0, 0))
+	builder := accounting.NewPageBuilder(1, 7<<10)
+	write, err := builder.Add(makeRows(30, rand.New(rand.NewPCG(1, 1))), time.Unix(0, 0))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -120,16 +120,16 @@
 
 // BenchmarkUnpack reads a million rows as a client does.
 func BenchmarkUnpack(b *testing.B) {
-	book := accounting.NewPageBuilder(1, 14<<10)
-	all := rows(1_000_000, rand.New(rand.NewPCG(1, 2)))
+	builder := accounting.NewPageBuilder(1, 14<<10)
+	all := makeRows(1_000_000, rand.New(rand.NewPCG(1, 2)))
 	pages := map[string]string{}
 	for from := 0; from < len(all); from += 60 {
-		write, err := book.Add(all[from:min(from+60, len(all))], time.Unix(0, 0))
+		write, err := builder.Add(all[from:min(from+60, len(all))], time.Unix(0, 0))
 		if err != nil {
 			b.Fatal(err)
 		}
 		pages[write.Key] = write.Value
-		book.Applied(write, uint64(from+1))
+		builder.Applied(write, uint64(from+1))
 	}
 	bytes := 0
 	for _, page := range pages {
--- a/internal/accounting/recorded_test.go
+++ b/internal/accounting/recorded_test.go
@@ -30,7 +30,7 @@
 // A row is an array without names: the order and the kinds of its fields are its form.
 func TestRecordedRows(t *testing.T) {
 	for name, row := range map[string]Row{"row-full": fullRow(), "row-none": {}} {
-		data, err := encode(nil, []Row{row})
+		data, err := appendRows(nil, []Row{row})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/accounting/row.go
+++ b/internal/accounting/row.go
@@ -64,9 +64,9 @@
 // Cost returns what an attempt's share of its machine cost.
 func (r *Row) Cost() float64 { return r.Seconds() / 3600 * float64(r.Price) }
 
-// Share returns the share of a machine that a task takes, from 0 to 1: that of the resource of
+// MachineShare returns the share of a machine that a task takes, from 0 to 1: that of the resource of
 // which it takes the largest one.
-func Share(task, machine matching.Resources) float64 {
+func MachineShare(task, machine matching.Resources) float64 {
 	share := 0.0
 	for _, amount := range [...]struct{ part, whole float64 }{
 		{task.CPUs, machine.CPUs}, {task.GPUs, machine.GPUs}, {task.MemoryGB, machine.MemoryGB},
--- a/internal/jobstate/accounting.go
+++ b/internal/jobstate/accounting.go
@@ -82,5 +82,5 @@
 		price = machine.SpotPrice
 	}
 	whole := matching.Resources{CPUs: machine.CPUs, GPUs: machine.GPUs, MemoryGB: machine.MemoryGB}
-	return price * accounting.Share(placement.Job.Resources, whole)
+	return price * accounting.MachineShare(placement.Job.Resources, whole)
 }
--- a/internal/shardlog/transaction.go
+++ b/internal/shardlog/transaction.go
@@ -16,7 +16,7 @@
 	endedJobs  []*jobstate.Job
 
 	book                *accounting.PageBuilder // of page
-	page                accounting.Write
+	page                accounting.PageWrite
 	rows                []accounting.Row  // on page
 	unloggedChanges     []jobstate.Change // of which only the rows are written
 	unattachedRowsTaken int               // rows taken from the front of state.LooseRows
--- a/internal/shardlog/transaction_builder.go
+++ b/internal/shardlog/transaction_builder.go
@@ -63,11 +63,11 @@
 func (b *transactionBuilder) startPage() {
 	unattached := b.writer.state.UnattachedRows
 	b.maxOps--
-	b.pageBytesLeft = b.writer.book.Room()
+	b.pageBytesLeft = b.writer.book.Capacity()
 	b.bytes += b.maxValueBytes
 	taken := 0
-	for taken < len(unattached) && b.pageBytesLeft >= unattached[taken].Bytes() {
-		b.pageBytesLeft -= unattached[taken].Bytes()
+	for taken < len(unattached) && b.pageBytesLeft >= unattached[taken].MaxEncodedBytes() {
+		b.pageBytesLeft -= unattached[taken].MaxEncodedBytes()
 		taken++
 	}
 	b.unattachedRowsTaken = taken
@@ -132,11 +132,11 @@
 	record := newRecordBuilder(shardLog.seq + 1)
 	taken := 0
 	for _, change := range queue {
-		if record.bytes >= b.maxValueBytes || change.Row != nil && b.pageBytesLeft < change.Row.Bytes() {
+		if record.bytes >= b.maxValueBytes || change.Row != nil && b.pageBytesLeft < change.Row.MaxEncodedBytes() {
 			break
 		}
 		if change.Row != nil {
-			b.pageBytesLeft -= change.Row.Bytes()
+			b.pageBytesLeft -= change.Row.MaxEncodedBytes()
 			b.rows = append(b.rows, *change.Row)
 			record.rowChanges = append(record.rowChanges, change)
 		}
@@ -208,7 +208,7 @@
 		var row accounting.Row
 		if b.writer.book != nil {
 			row = b.writer.state.JobRow(job)
-			if b.rowsLeft || b.pageBytesLeft < row.Bytes() {
+			if b.rowsLeft || b.pageBytesLeft < row.MaxEncodedBytes() {
 				b.more = true // its attempts' rows come first
 				continue
 			}
@@ -222,7 +222,7 @@
 		b.bytes += bytes
 		b.addEnd(job, changes)
 		if b.writer.book != nil {
-			b.pageBytesLeft -= row.Bytes()
+			b.pageBytesLeft -= row.MaxEncodedBytes()
 			b.rows = append(b.rows, row)
 		}
 	}
