--- a/internal/slurm/dependency.go
+++ b/internal/slurm/dependency.go
@@ -18,7 +18,8 @@
 	return nil
 }
 
-// parseDependency parses a dependency list. anyOne says that one satisfied dependency is enough.
+// parseDependency parses the value of --dependency. anyOne reports whether one satisfied
+// dependency is sufficient for the job to start.
 func parseDependency(v string) (deps []jobspec.Dependency, anyOne bool, err error) {
 	separator := ","
 	if strings.Contains(v, "?") {
@@ -40,7 +41,7 @@
 	return deps, anyOne, nil
 }
 
-// parseDependencyPart parses one KIND:JOB[:JOB...], or singleton.
+// parseDependencyPart parses one element of a dependency list: KIND:JOB[:JOB...] or singleton.
 func parseDependencyPart(part string) (deps []jobspec.Dependency, err error) {
 	if part == "singleton" {
 		return []jobspec.Dependency{{Kind: jobspec.Singleton}}, nil
@@ -63,7 +64,7 @@
 	return deps, nil
 }
 
-// parseDependencyJob parses JOB[+MINUTES].
+// parseDependencyJob parses a job number with an optional delay: JOB[+MINUTES].
 func parseDependencyJob(kind, id string) (jobspec.Dependency, error) {
 	number, delay, delayed := strings.Cut(id, "+")
 	if strings.Contains(number, "_") {
@@ -84,7 +85,7 @@
 	return dep, nil
 }
 
-// formatDependencies formats a job's dependencies as --dependency has them.
+// formatDependencies formats a job's dependencies in the syntax of --dependency.
 func formatDependencies(c *jobspec.Constraints) string {
 	parts := make([]string, 0, len(c.Dependencies))
 	for _, dep := range c.Dependencies {
--- a/internal/slurm/description.go
+++ b/internal/slurm/description.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/slurmtask"
 )
 
-// setSpec sets what the job's tasks run.
+// setSpec sets the task spec: the program, its environment, working directory and output files.
 func (r *Request) setSpec(cmd Command, o *Options, w *Invocation, site *jobquery.Site) {
 	job, c, d := &r.Job, &r.Constraints, &r.Spec
 	d.CPUs, d.GPUs, d.MemoryGB = job.CPUs, job.GPUs, job.MemoryGB
@@ -35,8 +35,8 @@
 	r.addSlurmEnv(o, w)
 }
 
-// setScript sets the batch script, the interpreter that its first line names, and the
-// defaults that depend on it: the job's name and the output file.
+// setScript sets the batch script, the interpreter named by its first line, and the defaults
+// that depend on the script: the job's name and the output file.
 func (r *Request) setScript(o *Options, w *Invocation) {
 	c, d := &r.Constraints, &r.Spec
 	script := w.Script
@@ -62,8 +62,8 @@
 	}
 }
 
-// addSlurmEnv adds the variables that are the same for all tasks of a job. The others are added
-// on the worker, by package slurmtask.
+// addSlurmEnv adds the environment variables that are the same for all tasks of a job. The
+// worker adds the task-specific variables, using package slurmtask.
 func (r *Request) addSlurmEnv(o *Options, w *Invocation) {
 	job, env := &r.Job, r.Spec.Env
 	maps.Copy(env, map[string]string{
@@ -83,8 +83,8 @@
 	}
 }
 
-// exportedEnv returns the user's variables that --export selects. Those of an enclosing job are
-// left out: its SLURM_* and SBATCH_* variables describe another job.
+// exportedEnv returns the user's environment variables selected by --export. It omits SLURM_*
+// and SBATCH_* variables: if the user submits from within a job, they describe that other job.
 func exportedEnv(export string, env []string) map[string]string {
 	all := map[string]string{}
 	for _, setting := range env {
--- a/internal/slurm/doc.go
+++ b/internal/slurm/doc.go
@@ -1,7 +1,7 @@
-// Package slurm implements the language of Slurm's commands: it parses options, scripts and
-// environment variables as the published manuals define them, translates them to jobs of
-// wallrack, and formats listings as Slurm does. What wallrack has no equivalent of is refused
-// with a UsageError that names the option.
+// Package slurm implements the command-line interface of Slurm's commands: it parses options,
+// scripts and environment variables as Slurm's manuals define them, translates them to wallrack
+// jobs, and formats listings as Slurm does. An option without an equivalent in wallrack is
+// rejected with a UsageError that names the option.
 //
-// The package is pure: it opens no file, sends no request and keeps no state.
+// The package opens no files, sends no requests and keeps no global state.
 package slurm
--- a/internal/slurm/node_selection.go
+++ b/internal/slurm/node_selection.go
@@ -9,10 +9,11 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// nodeNames are the machine types and zones of a list.
+// nodeNames holds the machine types and zones named in a list.
 type nodeNames struct{ types, zones []string }
 
-// selectNodes sets the machine types and the zone that --nodelist and --exclude leave.
+// selectNodes restricts the job to the machine types and the zone selected by --nodelist and not
+// excluded by --exclude.
 func selectNodes(job *wire.Job, o *Options, site *jobquery.Site) error {
 	all := nodeNames{zones: site.Zones}
 	for _, t := range site.Types {
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// splitTypesAndZones divides names into machine types and zones.
+// splitTypesAndZones divides names into machine types and zones. It fails if a name is neither.
 func splitTypesAndZones(option string, names []string, all nodeNames) (found nodeNames, err error) {
 	for _, name := range names {
 		switch {
@@ -57,8 +58,8 @@
 	return found, nil
 }
 
-// excludeNames returns the wanted names, or all if none is wanted, but for the excluded ones. If
-// none is excluded, wanted is returned as it is.
+// excludeNames returns the wanted names without the excluded ones; if wanted is nil, it starts
+// from all names. If no name is excluded, it returns wanted unchanged, even if nil.
 func excludeNames(wanted, excluded, all []string) []string {
 	if len(excluded) == 0 {
 		return wanted
--- a/internal/slurm/option_values.go
+++ b/internal/slurm/option_values.go
@@ -10,7 +10,7 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// setText sets a string that must not be empty.
+// setText returns a setter for a string option, which must not be empty.
 func setText(dest func(o *Options) *string) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		if v == "" {
@@ -21,7 +21,7 @@
 	}
 }
 
-// setFlag sets an option without a value.
+// setFlag returns a setter for a boolean option.
 func setFlag(dest func(o *Options) *bool) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		on, err := strconv.ParseBool(v)
@@ -30,7 +30,7 @@
 	}
 }
 
-// setCount sets a number from least to a million.
+// setCount returns a setter for an integer from minimum to 1,000,000.
 func setCount(minimum int, dest func(o *Options) *int) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		n, err := strconv.Atoi(v)
@@ -42,7 +42,7 @@
 	}
 }
 
-// setMemory sets an amount of setMemory in MB.
+// setMemory returns a setter for an amount of memory, which is stored in MB.
 func setMemory(dest func(o *Options) *float64) setter {
 	return func(o *Options, v string, _ time.Time) (err error) {
 		*dest(o), err = ParseMemoryMB(v)
@@ -51,7 +51,7 @@
 }
 
 // ParseMemoryMB parses an amount of memory, in megabytes or with the unit K, M, G or T, and
-// returns it in megabytes. Zero, which is all of a node in Slurm, is refused.
+// returns it in megabytes. Zero, with which Slurm requests all memory of a node, is rejected.
 func ParseMemoryMB(v string) (float64, error) {
 	units := map[byte]float64{'K': 1. / 1024, 'M': 1, 'G': 1024, 'T': 1024 * 1024}
 	number, unit := v, 1.0
@@ -70,11 +70,11 @@
 	return float64(n) * unit, nil
 }
 
-// maxTimeLimitS is the longest time limit that a job may have.
+// maxTimeLimitS is the longest time limit that a job may request, in seconds.
 const maxTimeLimitS = 366 * 24 * 3600
 
-// ParseTimeLimit parses a time limit in any of Slurm's forms and returns it in seconds; 0 is
-// unlimited.
+// ParseTimeLimit parses a time limit in any of Slurm's formats and returns it in seconds; 0
+// means unlimited.
 func ParseTimeLimit(v string) (float64, error) {
 	invalid := fmt.Errorf("%.40q is not a time limit", v)
 	switch strings.ToUpper(v) {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// parseGPUs parses [TYPE:]N; types of GPU are refused.
+// parseGPUs parses a number of GPUs in the form [TYPE:]N and rejects values with a type.
 func parseGPUs(v string) (int, error) {
 	if name, _, typed := strings.Cut(v, ":"); typed {
 		return 0, fmt.Errorf("type %.40q: types of GPU are not supported by wallrack; use --nodelist with a machine type", name)
@@ -159,7 +159,7 @@
 	return n, nil
 }
 
-// setGPUs sets the GPUs of a task or of the job.
+// setGPUs returns a setter for the number of GPUs, either per task or of the whole job.
 func setGPUs(perTask bool) setter {
 	return func(o *Options, v string, _ time.Time) (err error) {
 		o.GPUs, err = parseGPUs(v)
@@ -185,7 +185,7 @@
 	return err
 }
 
-// setYesNo sets yes or no.
+// setYesNo returns a setter for an option with the value yes or no.
 func setYesNo(dest func(*Options) *bool) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		if v != "yes" && v != "no" {
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// setNodes accepts one node only, the one that each task has anyway.
+// setNodes accepts only one node, because each wallrack task runs on exactly one machine.
 func setNodes(_ *Options, v string, _ time.Time) error {
 	if v != "1" && v != "1-1" {
 		return errors.New("a task is on one machine; for many, use --array or srun --ntasks")
@@ -216,7 +216,8 @@
 	return nil
 }
 
-// setList sets a list of machine types and zones. Slurm's host ranges are refused.
+// setList returns a setter for a list of machine types and zones. Slurm's host ranges, such as
+// node[1-4], are rejected.
 func setList(dest func(*Options) *[]string) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		list := strings.Split(v, ",")
--- a/internal/slurm/options.go
+++ b/internal/slurm/options.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Command is a command of Slurm that submits jobs.
+// Command is a Slurm command that submits jobs.
 type Command string
 
-// The commands that submit.
+// The supported submitting commands.
 const (
 	Sbatch Command = "sbatch"
 	Srun   Command = "srun"
 )
 
-// Options are the options of a submission, joined from all sources by Join.
+// Options are the validated options of a submission, merged from all sources by MergeOptions.
 type Options struct {
 	Account, Partition, QOS     string
 	Name, Output, Error, Dir    string
 	Array                       string
-	MaxConcurrent               int // array tasks that run at the same time; 0: all
-	Tasks                       int // of a step
-	CPUs                        int // of one task
-	GPUs                        int // of the job, or of a task, see GPUsPerTask
+	MaxConcurrent               int // maximum number of array tasks that run at the same time; 0: unlimited
+	Tasks                       int // tasks of a step (--ntasks)
+	CPUs                        int // per task
+	GPUs                        int // of the job; of each task if GPUsPerTask is set
 	GPUsPerTask                 bool
 	MemoryMB, MemoryPerCPUMB    float64
-	LimitS                      float64 // run time; 0: unlimited
-	BeginMs, DeadlineMs         int64   // Unix time; 0: none
+	LimitS                      float64 // maximum run time in seconds; 0: unlimited
+	BeginMs, DeadlineMs         int64   // Unix time in milliseconds; 0: none
 	Dependency                  string
 	KillInvalid                 bool     // cancel the job once its dependency can't be satisfied
-	NodeList, Exclude           []string // machine types and zones
+	NodeList, Exclude           []string // names of machine types and zones
 	Spot                        bool
 	Nice                        int
 	Hold, Parsable, Wait, Quiet bool
@@ -38,20 +38,21 @@
 	Export                      string
 }
 
-// option is an option of one or both commands.
+// option describes a supported option of one or both commands.
 type option struct {
 	name, short string
 	kind        optionKind
 	set         setter
-	only        Command // "": both have it
-	env         string  // suffix of SBATCH_ and SLURM_
+	only        Command // the only command that has the option; "": both
+	env         string  // name of the environment variable without its SBATCH_ or SLURM_ prefix; "": none
 	help        string
 }
 
-// setter validates a value and sets its field.
+// setter validates an option's value and sets the field of Options. Relative times are resolved
+// against now.
 type setter func(o *Options, value string, now time.Time) error
 
-// optionKind says whether an option has a value.
+// optionKind states whether an option takes a value.
 type optionKind int
 
 const (
@@ -60,7 +61,7 @@
 	optionalValue                   // --name or --name=VALUE
 )
 
-// optionTable has every supported option, in the order of the manual and of the help.
+// optionTable lists every supported option, in the order of Slurm's manual and of the help text.
 var optionTable = []option{
 	{name: "account", short: "A", set: setText(func(o *Options) *string { return &o.Account }), env: "ACCOUNT", help: "team whose guarantee and limit apply"},
 	{name: "array", short: "a", only: Sbatch, set: setArray, env: "ARRAY_INX", help: "indices of an array's tasks, as 0-15:2,20%4"},
@@ -104,8 +105,8 @@
 	{name: "wrap", only: Sbatch, set: setText(func(o *Options) *string { return &o.Wrap }), help: "a command instead of a script"},
 }
 
-// unsupportedOptions are Slurm's options without an equivalent in wallrack; they have an
-// error of their own, because options that are in neither list are unknown to Slurm too.
+// unsupportedOptions are the Slurm options without an equivalent in wallrack. Their error text
+// differs from that of options in neither list, which are unknown to Slurm too.
 var unsupportedOptions = strings.Fields(`acctg-freq batch bb bbf bell burst-buffer cluster-constraint clusters comment container container-id contiguous
 	core-spec cores-per-socket cpu-bind cpu-freq cpus-per-gpu delay-boot disable-stdout-job-summary distribution epilog exact exclusive export-file
 	extra-node-info get-user-env gid gpu-bind gpu-freq gpus-per-node gpus-per-socket gres-flags hint ignore-pbs immediate input interactive
--- a/internal/slurm/recorded_test.go
+++ b/internal/slurm/recorded_test.go
@@ -17,13 +17,13 @@
 
 func unmarshal(data []byte, value any) error { return json.Unmarshal(data, value) }
 
-// What squeue --json and wallctl accounting report --json print.
+// The JSON rows printed by squeue --json and wallctl accounting report --json.
 func TestRecordedJSON(t *testing.T) {
 	recorded.CompareJSON[slurm.QueueJSON](t, "queue.json", json.Marshal, unmarshal)
 	recorded.CompareJSON[slurm.Sum](t, "sum.json", json.Marshal, unmarshal)
 }
 
-// The groups of account sums, with what each adds up.
+// The totals of usage for each grouping of wallctl accounting report.
 func TestRecordedSums(t *testing.T) {
 	const hourMs = 3_600_000
 	records := []*slurm.Record{
@@ -52,8 +52,7 @@
 	}
 }
 
-// A row of squeue for each kind of task, in the usual layout, with all columns and as
-// JSON.
+// squeue's output for tasks in each state: in the default layout, with all columns, and as JSON.
 func TestRecordedQueue(t *testing.T) {
 	i := &jobquery.Info{
 		Job: wire.Job{UID: "j-1", Class: "quick", Team: "brew", Priority: "urgent", Tasks: 5, CPUs: 2, GPUs: 1, MemoryGB: 4},
--- a/internal/slurm/sacct_filter.go
+++ b/internal/slurm/sacct_filter.go
@@ -6,15 +6,17 @@
 	"strings"
 )
 
-// AcctFilter selects records of sacct: those that existed in a period. Empty lists select all.
+// AcctFilter selects the jobs that sacct lists: those that existed in a period and match all
+// lists. An empty list matches all jobs.
 type AcctFilter struct {
-	FromMs, ToMs                             int64 // Unix time; ToMs 0: no end
+	FromMs, ToMs                             int64 // period in Unix milliseconds; ToMs 0: unbounded
 	Users, Accounts, Partitions, States, QOS []string
 	Names                                    []string
 	Jobs                                     []JobSelector
 }
 
-// Matches reports whether the filter selects a record, or lines of it by HasLine.
+// Matches reports whether the filter selects a record. MatchesRow decides which of its rows are
+// listed.
 func (f *AcctFilter) Matches(r *Record) bool {
 	job := &r.Job
 	if f.ToMs > 0 && job.Submit > f.ToMs || job.End > 0 && job.End < f.FromMs {
@@ -26,7 +28,8 @@
 		}))
 }
 
-// MatchesRow reports whether the filter selects a line of a record that it selects.
+// MatchesRow reports whether the filter selects a row of a record for which Matches returned
+// true.
 func (f *AcctFilter) MatchesRow(r *AcctRow) bool {
 	if !matchesList(f.States, r.State) {
 		return false
--- a/internal/slurm/sacct_lines.go
+++ b/internal/slurm/sacct_lines.go
@@ -9,7 +9,8 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// AcctRow is a line of sacct: a job, a task of an array, or a step of one.
+// AcctRow is a line of sacct: a job, a task of an array, or a step, which is one attempt of a
+// task.
 type AcctRow struct {
 	Job      *accounting.Row
 	ID       string
@@ -17,30 +18,30 @@
 	Name     string
 	State    string
 	Exit     int
-	StartMs  int64 // Unix time; 0: not started
+	StartMs  int64 // Unix time in milliseconds; 0: not started
 	EndMs    int64 // 0: not ended
 	Machine  string
 	CPUs     float64 // allocated
-	Price    float64 // of its worker, an hour
-	UsefulS  float64 // run time whose result counts
-	LostS    float64 // run time of attempts that ended without a result
+	Price    float64 // per hour, of its share of the worker's machine
+	UsefulS  float64 // run time of attempts that completed their task or are still running
+	LostS    float64 // run time of attempts that ended without completing their task
 	Cost     float64
 	Restarts int
-	LimitS   float64 // 0: unlimited, or not known
+	LimitS   float64 // time limit in seconds; 0: unlimited or unknown
 	NowMs    int64
 	Zone     *time.Location
 }
 
-// AcctOptions say which lines of a record sacct prints.
+// AcctOptions specifies which rows of a record sacct prints.
 type AcctOptions struct {
 	AllocationsOnly bool // -X
-	Duplicates      bool // -D: every attempt instead of the last one
+	Duplicates      bool // -D: list every attempt instead of only the last one
 	NowMs           int64
 	Zone            *time.Location
 }
 
-// AcctRows returns sacct's lines of a record: the allocation and the steps of each task that ran,
-// then one line for the tasks that did not run.
+// AcctRows returns sacct's rows of a record: the allocation and the steps of each task that has
+// attempts, followed by one row for all tasks without attempts.
 func AcctRows(r *Record, o AcctOptions) []AcctRow {
 	l := acctRowBuilder{record: r, options: o, tasks: int(max(1, r.Job.Tasks))}
 	l.indices = indices(l.tasks, r.Job.Array)
@@ -66,18 +67,19 @@
 	return lines
 }
 
-// acctRowBuilder makes the lines of one record.
+// acctRowBuilder builds the rows of one record.
 type acctRowBuilder struct {
 	record  *Record
 	options AcctOptions
 	tasks   int
-	indices jobspec.Ranges // of the tasks
-	base    AcctRow        // what all lines have in common
+	indices jobspec.Ranges // array indices of the tasks
+	base    AcctRow        // fields that all rows share
 }
 
 func (l *acctRowBuilder) isArray() bool { return isArray(l.tasks, l.record.Job.Array) }
 
-// taskRows makes the lines of a taskRows's allocation and of its steps, which are its attempts.
+// taskRows returns the row of a task's allocation and the rows of its steps, which are the task's
+// attempts. The allocation has the sums of all attempts and the state of the last one.
 func (l *acctRowBuilder) taskRows(attempts []accounting.Row) (allocation AcctRow, steps []AcctRow) {
 	job, task := &l.record.Job, int(attempts[0].Task)
 	row := l.base
@@ -95,7 +97,7 @@
 		}
 	}
 	if row.State == jobspec.Preempted || row.State == jobspec.NodeFail {
-		// The task will run again, or ended with its job.
+		// The task is retried, or it ended because its job ended.
 		row.State, row.EndMs = job.State, job.End
 		if l.record.Active {
 			row.State = statePending
@@ -104,7 +106,7 @@
 	return row, steps
 }
 
-// stepRow makes the line of one attempt of an allocation.
+// stepRow returns the row of one attempt of an allocation.
 func (l *acctRowBuilder) stepRow(allocation *AcctRow, attempt *accounting.Row, restarts int) AcctRow {
 	step := *allocation
 	step.UsefulS, step.LostS, step.Cost = 0, 0, 0
@@ -128,7 +130,7 @@
 	return step
 }
 
-// notRunRow makes the line of the tasks of which no attempt is known.
+// notRunRow returns the row of the tasks without recorded attempts.
 func (l *acctRowBuilder) notRunRow(ran map[int]bool) AcctRow {
 	job := &l.record.Job
 	row := l.base
@@ -148,12 +150,12 @@
 	}
 	row.State, row.Exit, row.EndMs = job.State, int(job.Exit), job.End
 	if len(ran) == 0 {
-		row.StartMs = job.Start // else it is the start of tasks that ran
+		row.StartMs = job.Start // otherwise job.Start is the start of another task
 	}
 	return row
 }
 
-// elapsedS is the run time, so far if it goes on.
+// elapsedS returns the run time in seconds, up to now if the row has not ended.
 func (r *AcctRow) elapsedS() float64 {
 	if r.StartMs == 0 {
 		return 0
--- a/internal/slurm/sacct_records.go
+++ b/internal/slurm/sacct_records.go
@@ -9,22 +9,22 @@
 	"github.com/wallrack/wallrack/internal/jobquery"
 )
 
-// Record is a job of sacct with the attempts of its tasks.
+// Record is a job as sacct lists it, with the attempts of its tasks.
 type Record struct {
 	Job      accounting.Row
-	Active   bool             // not ended: the job has no end yet
-	LimitS   float64          // of an active job; 0: unlimited, or not known
-	Attempts []accounting.Row // in order of task and attempt
+	Active   bool             // the job has not ended
+	LimitS   float64          // time limit of an active job in seconds; 0: unlimited or unknown
+	Attempts []accounting.Row // ordered by task and attempt
 }
 
-// Collector joins accounting rows, which are in order of their ends and may be repeated, into
-// records. It is not safe for concurrent use.
+// Collector groups accounting rows into records. The rows may be added in any order and
+// repeatedly. It is not safe for concurrent use.
 type Collector struct {
 	jobs     map[string]*Record
 	attempts map[string]map[attemptKey]accounting.Row
 }
 
-// attemptKey identifies an attempt of a job.
+// attemptKey identifies an attempt within a job.
 type attemptKey struct {
 	task    uint32
 	attempt uint64
@@ -35,7 +35,7 @@
 	return &Collector{jobs: map[string]*Record{}, attempts: map[string]map[attemptKey]accounting.Row{}}
 }
 
-// Add adds a row. A repeated row replaces itself.
+// Add adds a row. It replaces an earlier row of the same job or attempt.
 func (c *Collector) Add(row *accounting.Row) {
 	if row.Kind == accounting.RowJob {
 		c.jobs[row.UID] = &Record{Job: *row}
@@ -49,7 +49,8 @@
 	attempts[attemptKey{row.Task, row.Attempt}] = *row
 }
 
-// AddActive adds a job of a listing, unless accounting has its end already.
+// AddActive adds an active job from a listing, and its running attempts. It does nothing if a
+// row of the ended job was added before.
 func (c *Collector) AddActive(info *jobquery.Info) {
 	record := c.jobs[info.Job.UID]
 	if record != nil && !record.Active {
@@ -67,7 +68,8 @@
 	}
 }
 
-// activeJobRow is the row that an active job would have in accounting.
+// activeJobRow returns an accounting row for an active job. Accounting itself has rows only of
+// ended jobs.
 func activeJobRow(info *jobquery.Info) accounting.Row {
 	job, c := &info.Job, info.Constraints
 	row := accounting.Row{
@@ -83,9 +85,9 @@
 	return row
 }
 
-// Records returns the records in order of their numbers, and must be called once. Attempts
-// without their job, which ended on a day that was not read or is listed by another controller,
-// are left out.
+// Records returns the records ordered by job number. It must be called only once. Attempts
+// whose job was not added are omitted: the job ended on a day that was not read, or another
+// controller lists it.
 func (c *Collector) Records() []*Record {
 	records := make([]*Record, 0, len(c.jobs))
 	for uid, record := range c.jobs {
--- a/internal/slurm/sacct_sums.go
+++ b/internal/slurm/sacct_sums.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// Sum is what the jobs of a group took together. Its tags are the columns of exports.
+// Sum is the total usage of a group of jobs. Its tags are the names of the columns in exports.
 type Sum struct {
 	Key            string  `json:"key" parquet:"key"`
 	Jobs           int     `json:"jobs" parquet:"jobs"`
-	Tasks          int     `json:"tasks" parquet:"tasks"` // done
+	Tasks          int     `json:"tasks" parquet:"tasks"` // completed tasks tasks
 	Attempts       int     `json:"attempts" parquet:"attempts"`
 	CPUHours       float64 `json:"cpu_hours" parquet:"cpu_hours"`
 	MemoryGBHours  float64 `json:"memory_gb_hours" parquet:"memory_gb_hours"`
 	UsefulCPUHours float64 `json:"useful_cpu_hours" parquet:"useful_cpu_hours"`
 	LostCPUHours   float64 `json:"lost_cpu_hours" parquet:"lost_cpu_hours"`
 	Cost           float64 `json:"cost" parquet:"cost"`
-	TotalWaitS     float64 `json:"wait_s" parquet:"wait_s"` // from eligible to start, of the jobs together
+	TotalWaitS     float64 `json:"wait_s" parquet:"wait_s"` // sum of the jobs' times from eligible to start, in seconds
 }
 
-// groupKeys are the values of wallctl accounting report --by.
+// groupKeys returns, for each value of wallctl accounting report --by, the function that returns
+// the group of a record.
 func groupKeys(zone *time.Location) map[string]func(*Record) string {
 	return map[string]func(*Record) string{
 		"account": func(r *Record) string { return r.Job.Team },
@@ -36,8 +37,8 @@
 	}
 }
 
-// Summarize returns the sums of records by account, class, user or day of their end in a zone, in
-// order of these. The error is a *UsageError.
+// Summarize returns the total usage by account, class, user or day, ordered by group. The day is
+// that of the job's end in the given zone. The error is a *UsageError.
 func Summarize(records []*Record, by string, zone *time.Location) ([]Sum, error) {
 	key := groupKeys(zone)[by]
 	if key == nil {
@@ -61,7 +62,7 @@
 	return sums, nil
 }
 
-// add adds a job with its attempts that ended.
+// add adds the usage of a job and of its ended attempts.
 func (s *Sum) add(r *Record) {
 	s.Jobs++
 	s.Tasks += int(r.Job.Done)
--- a/internal/slurm/sacct_table.go
+++ b/internal/slurm/sacct_table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// acctFields are sacct's columns.
+// acctFields defines sacct's columns.
 var acctFields = []field[AcctRow]{
 	{0, "JobID", "JobID", 12, func(r *AcctRow) string { return r.ID }},
 	{0, "JobIDRaw", "JobIDRaw", 12, func(r *AcctRow) string { return r.RawID }},
@@ -60,11 +60,11 @@
 	{0, "WallrackUID", "WallrackUID", 32, func(r *AcctRow) string { return r.Job.UID }},
 }
 
-// acctFormat is the layout of sacct without a format.
+// acctFormat is sacct's default format.
 const acctFormat = "JobID,JobName,Partition,Account,AllocCPUS,State,ExitCode"
 
-// AcctTable returns sacct's layout of a format, "" for the default one. parsable is "", "P"
-// (bars between the columns) or "p" (and at the end). The error is a *UsageError.
+// AcctTable returns sacct's layout for a format; "" selects the default. parsable is "" (padded
+// columns), "P" (cells separated by |) or "p" (| also at the end). The error is a *UsageError.
 func AcctTable(format, parsable string) (*Table[AcctRow], error) {
 	t, err := parseFieldList("format", orDefault(format, acctFormat), "%", acctFields)
 	if err != nil {
@@ -79,10 +79,10 @@
 	return t, nil
 }
 
-// AcctFieldNames lists the columns of -o, separated by blanks.
+// AcctFieldNames returns the column names that -o accepts, separated by blanks.
 func AcctFieldNames() string { return fieldNames(acctFields) }
 
-// Values returns the names and texts of all columns of a line.
+// Values returns the names and the texts of all columns of the row.
 func (r *AcctRow) Values() (names, texts []string) {
 	for _, f := range acctFields {
 		names, texts = append(names, f.name), append(texts, f.format(r))
--- a/internal/slurm/scontrol.go
+++ b/internal/slurm/scontrol.go
@@ -11,8 +11,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ShowJob formats a job as scontrol show job does, as far as it is known. Of an ended job only
-// its final state is.
+// ShowJob formats a job as scontrol show job does. For an ended job it prints only the final
+// state, because the other fields are not retained.
 func ShowJob(info *jobquery.Info, zone *time.Location) string {
 	if info.Constraints == nil {
 		return showEndedJob(info, zone)
@@ -47,7 +47,8 @@
 	return b.String()
 }
 
-// showEndedJob formats an ended job: its final state is kept for ever, all else is in accounting.
+// showEndedJob formats an ended job from its final state, which is retained indefinitely. All
+// other data about ended jobs is in accounting.
 func showEndedJob(info *jobquery.Info, zone *time.Location) string {
 	ending := info.Ending
 	if ending == nil {
@@ -60,7 +61,7 @@
 		ending.Number, info.Job.UID, ending.State, formatExitCode(ending.Exit), formatTime(ending.StartMs, "Unknown", zone), formatTime(ending.EndMs, "Unknown", zone), info.Done, ending.Failed)
 }
 
-// activeJobState is the state of a job that is listed.
+// activeJobState returns the state of a job that has not ended.
 func activeJobState(info *jobquery.Info) string {
 	switch {
 	case info.Stage == wire.StageCancelled:
@@ -71,7 +72,8 @@
 	return statePending
 }
 
-// features are the machine types, the zone and the kind of machines that a job may run on.
+// features returns the machine types and the zone to which a job is restricted, and "spot" if it
+// may run on spot machines.
 func features(job *wire.Job) []string {
 	list := slices.Clone(job.Types)
 	if job.Zone != nil {
--- a/internal/slurm/script.go
+++ b/internal/slurm/script.go
@@ -13,12 +13,12 @@
 
 // directive is an #SBATCH line of a script.
 type directive struct {
-	line int      // of the line, from 1
-	args []string // unquoted
+	line int      // line number, from 1
+	args []string // after shell unquoting
 }
 
-// parseDirectives returns the #SBATCH lines of a script: those before its first command. The error
-// is a *UsageError.
+// parseDirectives returns the #SBATCH lines before the first command of a script. The error is a
+// *UsageError.
 func parseDirectives(script string) ([]directive, error) {
 	if !strings.HasPrefix(script, "#!") {
 		return nil, &UsageError{Message: "This does not look like a batch script.  The first line must start with #! followed by the path to an interpreter."}
@@ -50,10 +50,10 @@
 	return lines, nil
 }
 
-// lineLocation is the UsageError.Where of a line.
+// lineLocation returns the UsageError.Location for a line of the script.
 func lineLocation(line int) string { return fmt.Sprintf("script line %d", line) }
 
-// stripComment cuts a comment off, which starts with a # that begins a word outside quotes.
+// stripComment removes a trailing comment, which starts at a # that begins a word outside quotes.
 func stripComment(s string) string {
 	quote := rune(0)
 	last := ' '
@@ -73,8 +73,8 @@
 	return s
 }
 
-// FromScript returns the options of a script's #SBATCH lines. Each line is validated by itself,
-// so that the error, a *UsageError, names the line.
+// FromScript returns the options set by a script's #SBATCH lines. It validates each line
+// separately, so that the error, a *UsageError, names the line.
 func FromScript(script string, now time.Time) (OptionValues, error) {
 	lines, err := parseDirectives(script)
 	if err != nil {
--- a/internal/slurm/sinfo.go
+++ b/internal/slurm/sinfo.go
@@ -8,21 +8,23 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// NodeRow is a line of sinfo: a worker, or the workers of a machine type in a state.
+// NodeRow is a line of sinfo: either one worker, or all workers with the same machine type and
+// state.
 type NodeRow struct {
 	wire.MachineInfo
 	Partition string
 	Cluster   string
 	MemoryGB  float64
 	GPUs      float64
-	Count     int    // of workers
-	Names     string // of them, separated by commas
+	Count     int    // number of workers
+	Names     string // names of the workers, separated by commas
 }
 
-// heartbeatTimeoutS is the age of the last heartbeat from which on sinfo calls a worker down.
+// heartbeatTimeoutS is the time in seconds since a worker's last heartbeat after which sinfo
+// reports the worker as down.
 const heartbeatTimeoutS = 10
 
-// state is the long name of the state.
+// state returns the long name of the worker's state.
 func (r *NodeRow) state() string {
 	switch {
 	case r.SinceHeartbeatS > heartbeatTimeoutS:
@@ -35,10 +37,10 @@
 	return "mixed"
 }
 
-// nodeStates has the short names of states by the long ones.
+// nodeStates maps the long names of states to the short ones.
 var nodeStates = map[string]string{"down": "down", "idle": "idle", "allocated": "alloc", "mixed": "mix"}
 
-// nodeFields are sinfo's columns.
+// nodeFields defines sinfo's columns.
 var nodeFields = []field[NodeRow]{
 	{'P', "Partition", "PARTITION", 20, func(r *NodeRow) string { return r.Partition }},
 	{'a', "Available", "AVAIL", 20, func(*NodeRow) string { return "up" }},
@@ -74,16 +76,16 @@
 	{'V', "Cluster", "CLUSTER", 20, func(r *NodeRow) string { return r.Cluster }},
 }
 
-// NodeRows returns sinfo's lines, for each class of the site: with eachWorker (-N) one a worker,
-// else one for the workers of a machine type in a state.
+// NodeRows returns sinfo's rows. For each class of the site, there is one row per worker if
+// eachWorker (-N) is set, otherwise one per combination of machine type and state.
 func NodeRows(workers []wire.MachineInfo, site *jobquery.Site, eachWorker bool) []NodeRow {
 	var rows []NodeRow
 	for _, class := range site.Classes {
 		partition := class
 		if class == site.Class && !eachWorker {
-			partition += "*" // the default one
+			partition += "*" // marks the default partition
 		}
-		groups := map[string]int{} // index in rows by state and type
+		groups := map[string]int{} // maps state and machine type to the index in rows
 		for _, worker := range workers {
 			row := newNodeRow(worker, partition, site)
 			group := row.state() + " " + worker.Type
@@ -101,7 +103,7 @@
 	return rows
 }
 
-// newNodeRow is the line of one worker.
+// newNodeRow returns the row of one worker.
 func newNodeRow(worker wire.MachineInfo, partition string, site *jobquery.Site) NodeRow {
 	row := NodeRow{MachineInfo: worker, Partition: partition, Cluster: site.Cluster, Count: 1, Names: worker.Name}
 	for i := range site.Types {
@@ -112,8 +114,8 @@
 	return row
 }
 
-// NodeTable returns sinfo's layout of -o, or the default one, which is another with -N. The
-// error is a *UsageError.
+// NodeTable returns sinfo's layout for a format (the value of -o). If it is empty, it returns the
+// default layout, or that of -N if eachWorker is set. The error is a *UsageError.
 func NodeTable(format string, eachWorker bool) (*Table[NodeRow], error) {
 	switch {
 	case format != "":
--- a/internal/slurm/slurm_test.go
+++ b/internal/slurm/slurm_test.go
@@ -25,7 +25,7 @@
 	}
 )
 
-// Every form of a time limit, and texts that are none.
+// Every format of a time limit is parsed, and malformed ones are rejected (want -1).
 func TestParseLimitAcceptsSlurmsFormsOnly(t *testing.T) {
 	for text, want := range map[string]float64{
 		"5": 300, "5:30": 330, "1:05:30": 3930, "2-3": 2*86400 + 3*3600, "2-3:04": 2*86400 + 3*3600 + 240, "1-00:00:01": 86401,
@@ -39,12 +39,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := float64(rapid.IntRange(1, 300*86400).Draw(t, "seconds"))
 		if got, err := slurm.ParseTimeLimit(slurm.FormatDuration(s, false)); err != nil || got != s {
-			t.Fatalf("%v is written %s and read %v, %v", s, slurm.FormatDuration(s, false), got, err)
+			t.Fatalf("%v s is formatted as %s and parsed as %v, %v", s, slurm.FormatDuration(s, false), got, err)
 		}
 	})
 }
 
-// Points of time, in the user's zone; a time of day that is over means tomorrow's.
+// Times are parsed in the user's time zone, and a time of day that has passed refers to tomorrow.
 func TestParseTimeInUsersZone(t *testing.T) {
 	for text, want := range map[string]string{
 		"16:00": "2026-12-01T16:00:00", "12:00": "2026-12-02T12:00:00", "midnight": "2026-12-02T00:00:00", "noon": "2026-12-02T12:00:00",
@@ -57,19 +57,19 @@
 			t.Errorf("%q: %v, %v", text, got, err)
 		}
 	}
-	// Clocks go forward at 1:00 on that day: half past one is not there.
+	// On that day clocks go forward from 1:00 to 2:00, so that 1:30 doesn't exist.
 	london, err := time.LoadLocation("Europe/London")
 	if err != nil {
-		t.Skip("no zones here")
+		t.Skip("no time zone database")
 	}
 	spring := time.Date(2027, 3, 28, 0, 30, 0, 0, london)
 	if got, err := slurm.ParseTime("now+1hour", spring); err != nil || got.Format("15:04") != "02:30" {
-		t.Errorf("an hour on: %v, %v", got, err)
+		t.Errorf("now+1hour across the start of summer time: %v, %v", got, err)
 	}
 }
 
-// The command line overrides the environment, which overrides the script; errors name the
-// script's line and the option.
+// The command line overrides the environment, which overrides the script. Errors in a script
+// name the line and the option.
 func TestLaterSourcesOverrideEarlierOnes(t *testing.T) {
 	script := "#!/bin/bash\n# a comment\n#SBATCH -J fromscript --time=10 # and why\n#SBATCH --mem=2G -p 'quote'\n#SBATCHED no\n\necho hello\n#SBATCH -J toolate\n"
 	lines, err := slurm.FromScript(script, now)
@@ -105,7 +105,8 @@
 	}
 }
 
-// translationCases has a check of the request for each command line, nil for one that is refused.
+// translationCases maps command lines to checks of the translated request; nil: the command line
+// is rejected.
 var translationCases = map[string]func(r *slurm.Request) bool{
 	"": func(r *slurm.Request) bool {
 		return r.Job.Tasks == 1 && r.Job.CPUs == 1 && r.Job.MemoryGB == 0.5 && r.Job.Priority == "normal" && r.Job.Class == "adhoc" && r.Job.Team == "ops" && r.Constraints.NoRetry && r.Constraints.Name == "job.sh"
@@ -136,7 +137,7 @@
 	"--deadline=now": nil, "--nice=-1": nil, "--gres=fpga:1": nil, "-C gpu": nil, "--array=0-200000": nil, "-d expand:3": nil, "-d after": nil, "-c 0": nil, "--kill-on-invalid-dep=maybe": nil,
 }
 
-// translateLine translates a command line of sbatch with a script.
+// translateLine parses the arguments of sbatch in line and translates them, with a script.
 func translateLine(line string) (*slurm.Request, error) {
 	given, _, err := slurm.ParseArgs(slurm.Sbatch, strings.Fields(line))
 	if err != nil {
@@ -150,7 +151,7 @@
 	return slurm.Translate(slurm.Sbatch, options, work, testSite, now)
 }
 
-// Options become the fields of a job that any site accepts, or are refused.
+// Options are either translated to a valid job or rejected.
 func TestOptionsTranslateToValidJobs(t *testing.T) {
 	for line, want := range translationCases {
 		r, err := translateLine(line)
@@ -166,7 +167,7 @@
 		}
 		r.Constraints.Number = 1
 		if err := r.Constraints.Validate(r.Job.Tasks, r.Job.Gang(), r.Job.Service(), now); err != nil {
-			t.Errorf("%s: constraints that no site accepts: %v", line, err)
+			t.Errorf("%s: invalid constraints: %v", line, err)
 		}
 		if r.Spec.Env["SLURM_JOB_ID"] != "" || strings.Join(r.Spec.Argv, " ") != "/bin/sh -e" {
 			t.Errorf("%s: %+v", line, r.Spec)
@@ -174,7 +175,7 @@
 	}
 }
 
-// exampleJobs are an array of which some tasks run, and a waiting job.
+// exampleJobs returns an array with running and pending tasks, and a pending job.
 func exampleJobs() []jobquery.Info {
 	ms := func(s int) int64 { return now.Add(time.Duration(s) * time.Second).UnixMilli() }
 	return []jobquery.Info{
@@ -189,7 +190,7 @@
 	}
 }
 
-// queueListings are listings of squeue, byte for byte.
+// queueListings are the exact outputs of squeue for exampleJobs.
 var queueListings = []struct {
 	format, names string
 	eachTask      bool
@@ -228,7 +229,7 @@
 `},
 }
 
-// Listings have the columns, widths and states of squeue; malformed layouts are refused.
+// Listings have squeue's columns, widths and states, and malformed formats are rejected.
 func TestQueueFormats(t *testing.T) {
 	for _, c := range queueListings {
 		tb, err := slurm.QueueTable(c.format, c.names, false)
@@ -248,12 +249,13 @@
 	}
 	for _, bad := range []string{"%", "%z", "%.9999i"} {
 		if _, err := slurm.QueueTable(bad, "", false); err == nil {
-			t.Errorf("%s is accepted", bad)
+			t.Errorf("malformed format %s is accepted", bad)
 		}
 	}
 }
 
-// Ids name a job, a task of its array by index or number, or ranges of tasks.
+// A job id selects a job, ranges of its tasks by array index, or a single task by array index or
+// by the task's own job number.
 func TestJobSelectorMatchesJobsTasksAndRanges(t *testing.T) {
 	is := exampleJobs()
 	for text, want := range map[string]int{"100": 6, "100_4": 1, "100_[2,4]": 2, "103": 1, "106": 1, "107": 0, "100_3": 0, "99": 0} {
@@ -276,17 +278,17 @@
 	if odd, err := slurm.ParseJobSelector("100_[0-4]"); err != nil {
 		t.Error(err)
 	} else if _, err := slurm.TasksByIndex(odd.Indices, 6, "0-10:2"); err == nil {
-		t.Error("tasks that are not there are found")
+		t.Error("indices that the array doesn't have are accepted")
 	}
 	for _, bad := range []string{"", "x", "0", "1_", "1_[2", "1_x", "-1"} {
 		if _, err := slurm.ParseJobSelector(bad); err == nil {
-			t.Errorf("%q is a target", bad)
+			t.Errorf("malformed job id %q is accepted", bad)
 		}
 	}
 }
 
-// Repeated rows and rows in any order make one record; a lost attempt costs, and its run time
-// counts as lost.
+// Rows that are repeated or unordered result in one record. A lost attempt adds to the cost, and
+// its run time counts as lost.
 func TestRepeatedRowsCountOnceAndLostAttemptsCost(t *testing.T) {
 	at := func(s int) int64 { return now.Add(time.Duration(s) * time.Second).UnixMilli() }
 	job := accounting.Row{Kind: accounting.RowJob, UID: "j-a", Number: 100, State: "FAILED", Exit: 7, Submit: at(-100), Eligible: at(-100), Name: "n", User: "erin", Team: "ops", Class: "quote", Priority: "low", Tasks: 3, Done: 1, End: at(0), CPUs: 2}
@@ -325,7 +327,7 @@
 	}
 }
 
-// No script, option or layout of an unknown user makes the parsers panic.
+// No script, option, format or job id makes the parsers panic.
 func FuzzInput(f *testing.F) {
 	for _, s := range []string{"#!/bin/sh\n#SBATCH -J a --array=0-3%2\n", "--time=1-2:3 -d afterok:1:2", "%.18i %j", "JobID%20,State", "123_[0-3,7]", "now+1hour", "1-2:3:4", "16G", "-w 'a b\" -n4"} {
 		f.Add(s)
@@ -333,7 +335,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		if g, err := slurm.FromScript(s, now); err == nil {
 			if _, err := slurm.MergeOptions(slurm.Sbatch, now, g); err != nil && !strings.Contains(err.Error(), "mutually exclusive") {
-				t.Errorf("each line is in order, but together: %v", err)
+				t.Errorf("each line is valid, but merging them fails: %v", err)
 			}
 		}
 		for _, cmd := range []slurm.Command{slurm.Sbatch, slurm.Srun} {
--- a/internal/slurm/sources.go
+++ b/internal/slurm/sources.go
@@ -11,11 +11,12 @@
 	"github.com/spf13/pflag"
 )
 
-// OptionValues has the options of one source: values by the option's long name.
+// OptionValues maps the long names of the options that one source sets to their unvalidated
+// values. Sources are the command line, the environment and the script.
 type OptionValues map[string]string
 
-// newFlagSet returns a command's options for the parser. Options after the first argument are
-// the program's, not the command's.
+// newFlagSet returns the parser for a command's options. Parsing stops at the first positional
+// argument, because the options after it belong to the submitted program.
 func newFlagSet(cmd Command) *pflag.FlagSet {
 	fs := pflag.NewFlagSet(string(cmd), pflag.ContinueOnError)
 	fs.SetInterspersed(false)
@@ -29,20 +30,20 @@
 		case noValue:
 			fs.Lookup(o.name).NoOptDefVal = "true"
 		case optionalValue:
-			fs.Lookup(o.name).NoOptDefVal = "100" // as Slurm's nice
+			fs.Lookup(o.name).NoOptDefVal = "100" // Slurm's default for --nice without a value
 		}
 	}
 	return fs
 }
 
-// Help returns the help text of a command's options.
+// Help returns the help text for a command's options.
 func Help(cmd Command) string { return newFlagSet(cmd).FlagUsages() }
 
-// ErrHelp is the error of ParseArgs for --help.
+// ErrHelp is returned by ParseArgs if the arguments contain --help.
 var ErrHelp = pflag.ErrHelp
 
-// ParseArgs splits a command line into the options and the arguments that follow them. It
-// doesn't validate values. The error is a *UsageError or ErrHelp.
+// ParseArgs splits a command line into its options and the positional arguments. It doesn't
+// validate the options' values. The error is a *UsageError or ErrHelp.
 func ParseArgs(cmd Command, args []string) (OptionValues, []string, error) {
 	fs := newFlagSet(cmd)
 	fs.SetOutput(io.Discard)
@@ -58,8 +59,8 @@
 	return given, fs.Args(), nil
 }
 
-// flagError is the UsageError of a parser's error: of an option that is not supported it says
-// whether Slurm has it.
+// flagError converts an error of the flag parser to a *UsageError. Its text distinguishes
+// options that Slurm has but wallrack doesn't support from unknown options.
 func flagError(err error) error {
 	var unknown *pflag.NotExistError
 	if !errors.As(err, &unknown) {
@@ -75,7 +76,7 @@
 	return &UsageError{Option: name, Message: "unrecognized option"}
 }
 
-// FromEnv returns the options that environment variables set: SBATCH_* for sbatch, SLURM_* for
+// FromEnv returns the options set by environment variables: SBATCH_* for sbatch, SLURM_* for
 // srun.
 func FromEnv(cmd Command, lookup func(string) (string, bool)) OptionValues {
 	prefix := "SBATCH_"
@@ -91,7 +92,7 @@
 		switch {
 		case !found:
 		case o.kind == noValue:
-			given[o.name] = "true" // in Slurm a variable that is set means yes, whatever its value
+			given[o.name] = "true" // as in Slurm, the variable's value is ignored
 		case value != "":
 			given[o.name] = value
 		}
@@ -99,8 +100,8 @@
 	return given
 }
 
-// MergeOptions joins sources, of which later ones override earlier ones, and validates every value
-// against the others and now. The error is a *UsageError.
+// MergeOptions merges the sources, in which later ones override earlier ones, and validates the
+// resulting values. Relative times are resolved against now. The error is a *UsageError.
 func MergeOptions(_ Command, now time.Time, sources ...OptionValues) (*Options, error) {
 	o := &Options{Tasks: 1, CPUs: 1, Export: "ALL"}
 	all := OptionValues{}
--- a/internal/slurm/squeue_filter.go
+++ b/internal/slurm/squeue_filter.go
@@ -9,19 +9,19 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// JobSelector is what an id on a command line names: a job, or tasks of its array.
+// JobSelector is a parsed job id from a command line. It selects a job or tasks of its array.
 type JobSelector struct {
 	Number  uint64
-	Indices jobspec.Ranges // of the tasks, unless All
-	All     bool           // the whole job, or the task with this number
+	Indices jobspec.Ranges // array indices of the selected tasks; unused if All is set
+	All     bool           // selects the whole job Number, or the one task that has this number
 }
 
-// invalidID is the error of a malformed id.
+// invalidID returns the error for a malformed job id.
 func invalidID(s string) error {
 	return &UsageError{Message: fmt.Sprintf("Invalid job id %.60s", s)}
 }
 
-// ParseJobSelector parses an id like 123, 123_4 or 123_[0-3,7]. The error is a *UsageError.
+// ParseJobSelector parses a job id such as 123, 123_4 or 123_[0-3,7]. The error is a *UsageError.
 func ParseJobSelector(s string) (JobSelector, error) {
 	number, tasks, withTasks := strings.Cut(s, "_")
 	n, err := strconv.ParseUint(number, 10, 47)
@@ -43,8 +43,9 @@
 	return JobSelector{Number: n, Indices: indices}, nil
 }
 
-// TasksByIndex returns the tasks with these indices of a job with so many tasks and this array, which
-// must have them all.
+// TasksByIndex translates array indices to the numbers of the job's tasks, from 0. The job has
+// the given number of tasks and the given --array value. It fails if an index is not in the
+// array.
 func TasksByIndex(wanted jobspec.Ranges, tasks int, array string) (jobspec.Ranges, error) {
 	all := indices(tasks, array)
 	var found []int
@@ -58,13 +59,14 @@
 	return jobspec.RangesOf(found), nil
 }
 
-// QueueFilter selects rows of squeue and scancel. Empty lists select all.
+// QueueFilter selects the rows that squeue lists and scancel cancels. An empty list matches all
+// rows.
 type QueueFilter struct {
 	Users, States, Partitions, Accounts, Names, QOS []string
 	Jobs                                            []JobSelector
 }
 
-// matchesList reports whether an option's list selects s, as an empty one does.
+// matchesList reports whether the list contains s or is empty.
 func matchesList(list []string, s string) bool { return len(list) == 0 || slices.Contains(list, s) }
 
 // Matches reports whether the filter selects a row.
@@ -79,7 +81,7 @@
 	return slices.ContainsFunc(f.Jobs, func(t JobSelector) bool { return t.matchesRow(r) })
 }
 
-// matchesRow reports whether the target names a row or one of its tasks.
+// matchesRow reports whether the selector selects the row or one of its tasks.
 func (t JobSelector) matchesRow(r *QueueRow) bool {
 	last := r.Constraints.Number + uint64(max(1, r.Job.Tasks)) - 1
 	switch {
--- a/internal/slurm/squeue_rows.go
+++ b/internal/slurm/squeue_rows.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Long names of states that only listings of active jobs have. Those of ended jobs are
-// constants of package jobspec.
+// Long names of the states of active jobs. The states of ended jobs are constants of package
+// jobspec.
 const (
 	statePending     = "PENDING"
 	stateRunning     = "RUNNING"
@@ -19,13 +19,14 @@
 	stateConfiguring = "CONFIGURING"
 )
 
-// compactStates has the short names of states by the long ones.
+// compactStates maps the long names of states to the short ones.
 var compactStates = map[string]string{
 	statePending: "PD", stateRunning: "R", stateCompleting: "CG", stateConfiguring: "CF", jobspec.Completed: "CD", jobspec.Cancelled: "CA",
 	jobspec.Failed: "F", jobspec.Timeout: "TO", jobspec.Deadline: "DL", jobspec.NodeFail: "NF", jobspec.Preempted: "PR",
 }
 
-// StateName returns the long name of a state by either of its names, in any case.
+// StateName returns the long name of a state, given its long or short name in upper or lower
+// case.
 func StateName(s string) (name string, known bool) {
 	upper := strings.ToUpper(s)
 	for long, short := range compactStates {
@@ -36,25 +37,27 @@
 	return "", false
 }
 
-// QueueRow is a line of squeue: a job's waiting tasks together, or one task.
+// QueueRow is a line of squeue: either one task, or all pending tasks of an array.
 type QueueRow struct {
 	*jobquery.Info
-	ID            string // as squeue prints it
-	RawID         uint64 // number of the task, or of the job if the row is of many
-	Index         string // of an array's tasks
+	ID            string // job id as squeue prints it
+	RawID         uint64 // job number of the task; that of the job if the row stands for several tasks
+	Index         string // array indices of the row's tasks; "": not an array
 	State         string
-	PendingReason string // of a waiting row: why it waits
-	Machine       string // name of the worker; "": none yet
+	PendingReason string // why a pending row has not started
+	Machine       string // name of the worker; "": the task is not placed
 	StartMs       int64
 	NowMs         int64
 	Zone          *time.Location
-	Tasks         int // in the row
+	Tasks         int // number of tasks that the row stands for
 }
 
-// isArray reports whether a job is listed as an array, as jobs of many tasks are.
+// isArray reports whether a job is listed as an array. Jobs of several tasks are, even if they
+// were submitted without --array.
 func isArray(tasks int, array string) bool { return tasks > 1 || array != "" }
 
-// indices returns the indices of a job's tasks. A native job of many tasks has them from 0.
+// indices returns the array indices of a job's tasks. A job of several tasks that was submitted
+// without --array has indices from 0.
 func indices(tasks int, array string) jobspec.Ranges {
 	if array == "" {
 		array = "0-" + strconv.Itoa(tasks-1)
@@ -64,13 +67,13 @@
 	}
 	ranges, err := jobspec.ParseRanges(array)
 	if err != nil {
-		return jobspec.Ranges{} // it was validated when the job was submitted
+		return jobspec.Ranges{} // not reached: the array was validated when the job was submitted
 	}
 	return ranges
 }
 
-// QueueRows returns squeue's rows of a listed job. With eachTask each waiting task of an array has
-// a row of its own, else they have one together.
+// QueueRows returns squeue's rows for a job. If eachTask is set, each pending task of an array has
+// its own row; otherwise one row stands for all pending tasks.
 func QueueRows(info *jobquery.Info, eachTask bool, nowMs int64, zone *time.Location) []QueueRow {
 	number := info.Constraints.Number
 	l := queueRowBuilder{
@@ -91,15 +94,15 @@
 	return rows
 }
 
-// queueRowBuilder makes the rows of one job.
+// queueRowBuilder builds the rows of one job.
 type queueRowBuilder struct {
 	info    *jobquery.Info
 	array   bool
-	indices jobspec.Ranges // of the tasks
-	base    QueueRow       // what all rows have in common
+	indices jobspec.Ranges // array indices of the tasks
+	base    QueueRow       // fields that all rows share
 }
 
-// taskRow is the row of one taskRow, without its state.
+// taskRow returns the row of one task without its state.
 func (l *queueRowBuilder) taskRow(task int) QueueRow {
 	row := l.base
 	if l.array {
@@ -110,7 +113,7 @@
 	return row
 }
 
-// pendingRows makes the rows of the pendingRows tasks.
+// pendingRows returns the rows of the pending tasks.
 func (l *queueRowBuilder) pendingRows(tasks jobspec.Ranges, eachTask bool) (rows []QueueRow) {
 	if l.array && !eachTask {
 		rows = append(rows, l.pendingArrayRow(tasks))
@@ -129,7 +132,8 @@
 	return rows
 }
 
-// pendingArrayRow is the row of all waiting tasks of an array, without its state.
+// pendingArrayRow returns the row that stands for all pending tasks of an array, without its
+// state.
 func (l *queueRowBuilder) pendingArrayRow(tasks jobspec.Ranges) QueueRow {
 	var waiting []int
 	for task := range tasks.All() {
@@ -144,7 +148,7 @@
 	return row
 }
 
-// placedRow is the row of a task that has a worker.
+// placedRow returns the row of a task that is placed on a worker.
 func (l *queueRowBuilder) placedRow(placement *jobquery.Placement) QueueRow {
 	row := l.taskRow(placement.Task)
 	row.State, row.Machine, row.StartMs = stateRunning, placement.Worker, placement.StartMs
@@ -157,7 +161,7 @@
 	return row
 }
 
-// runTimeS is the run time so far.
+// runTimeS returns the time since the task's start in seconds, 0 if it has not started.
 func (r *QueueRow) runTimeS() float64 {
 	if r.StartMs == 0 {
 		return 0
@@ -165,7 +169,7 @@
 	return float64(r.NowMs-r.StartMs) / 1000
 }
 
-// formatTimeLimit formats the time formatTimeLimit.
+// formatTimeLimit formats the job's time limit.
 func (r *QueueRow) formatTimeLimit() string {
 	if r.Constraints.LimitS == 0 {
 		return "UNLIMITED"
@@ -173,7 +177,7 @@
 	return FormatDuration(r.Constraints.LimitS, true)
 }
 
-// formatTimeLeft formats what is formatTimeLeft of the time limit.
+// formatTimeLeft formats the time until the time limit is reached.
 func (r *QueueRow) formatTimeLeft() string {
 	if r.Constraints.LimitS == 0 {
 		return "UNLIMITED"
@@ -181,7 +185,8 @@
 	return FormatDuration(r.Constraints.LimitS-r.runTimeS(), true)
 }
 
-// expectedStartMs is when a row started, or when it may start; 0: not known.
+// expectedStartMs returns the Unix time at which the row's task started or, while it is pending,
+// the time of --begin; 0 if neither is known.
 func (r *QueueRow) expectedStartMs() int64 {
 	if r.StartMs > 0 || r.State != statePending {
 		return r.StartMs
@@ -189,7 +194,8 @@
 	return r.Constraints.BeginMs
 }
 
-// endMs is when the time limit will be reached; 0: not known.
+// endMs returns the Unix time at which the time limit will be reached; 0 if the task has not
+// started or has no limit.
 func (r *QueueRow) endMs() int64 {
 	if r.StartMs == 0 || r.Constraints.LimitS == 0 {
 		return 0
@@ -197,7 +203,8 @@
 	return r.StartMs + int64(r.Constraints.LimitS*1000)
 }
 
-// nodeOrReason is the worker, or in parentheses why there is none.
+// nodeOrReason returns the name of the worker or, in parentheses, the reason why the task is
+// pending.
 func (r *QueueRow) nodeOrReason() string {
 	if r.Machine != "" {
 		return r.Machine
--- a/internal/slurm/squeue_table.go
+++ b/internal/slurm/squeue_table.go
@@ -6,7 +6,7 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// queueFields are squeue's columns.
+// queueFields defines squeue's columns.
 var queueFields = []field[QueueRow]{
 	{'i', "JobArrayID", "JOBID", 20, func(r *QueueRow) string { return r.ID }},
 	{'A', "JobID", "JOBID", 20, func(r *QueueRow) string { return strconv.FormatUint(r.RawID, 10) }},
@@ -38,14 +38,15 @@
 	{'E', "Dependency", "DEPENDENCY", 20, func(r *QueueRow) string { return orDefault(formatDependencies(r.Constraints), "(null)") }},
 }
 
-// Layouts of squeue without a format.
+// Default formats of squeue; startFormat is that of squeue --start.
 const (
 	queueFormat = "%.18i %.9P %.8j %.8u %.2t %.10M %.6D %R"
 	startFormat = "%.18i %.9P %.8j %.8u %.2t %.19S %.6D %R"
 )
 
-// QueueTable returns squeue's layout: that of -O (names), else of -o (format), else the default
-// one, which is another with --start. The error is a *UsageError.
+// QueueTable returns squeue's layout. names (the value of -O) takes precedence over format (that
+// of -o); if both are empty, it returns the default layout, or that of --start if start is set.
+// The error is a *UsageError.
 func QueueTable(format, names string, start bool) (*Table[QueueRow], error) {
 	switch {
 	case names != "":
@@ -58,11 +59,11 @@
 	return parseFormat(queueFormat, queueFields)
 }
 
-// QueueFieldNames lists the columns of -O, separated by blanks.
+// QueueFieldNames returns the column names that -O accepts, separated by blanks.
 func QueueFieldNames() string { return fieldNames(queueFields) }
 
-// QueueJSON is a row of squeue --json, with the names of Slurm's REST schema. Times are in
-// seconds of Unix time.
+// QueueJSON is a row of squeue --json, with the field names of Slurm's REST schema. Times are
+// Unix times in seconds.
 type QueueJSON struct {
 	JobID            uint64   `json:"job_id"`
 	ArrayJobID       uint64   `json:"array_job_id"`
@@ -85,7 +86,7 @@
 	WallrackUID      string   `json:"wallrack_uid"`
 }
 
-// JSON returns the row of squeue --json.
+// JSON returns the row as squeue --json prints it.
 func (r *QueueRow) JSON() QueueJSON {
 	job, c := &r.Job, r.Constraints
 	return QueueJSON{
--- a/internal/slurm/table.go
+++ b/internal/slurm/table.go
@@ -7,33 +7,33 @@
 	"strings"
 )
 
-// field is a column that a listing of rows R may have.
+// field defines a column that users may select for a listing with rows of type R.
 type field[R any] struct {
-	letter byte // in formats like %i; 0: none
+	letter byte // letter in formats such as %i; 0: the field has none
 	name   string
 	title  string
-	width  int // if the layout has none
+	width  int // default width in characters
 	format func(r *R) string
 }
 
-// column is a field in a layout.
+// column is a field with its place and width in a Table.
 type column[R any] struct {
 	field[R]
-	width      int // 0: that of its text
+	width      int // in characters; 0: cells are neither padded nor cut
 	alignRight bool
-	suffix     string // literal text that follows
+	suffix     string // literal text after the cell
 }
 
-// Table is a listing's layout.
+// Table is the layout of a listing with rows of type R.
 type Table[R any] struct {
-	prefix            string // literal text at the start of a line
+	prefix            string // literal text at the start of each line
 	columns           []column[R]
-	delimited         bool // sacct -P: bars between the columns
-	trailingDelimiter bool // sacct -p: and at the end
-	sacctStyle        bool // sacct's form: a line below the titles, + where text is cut, blanks at the end
+	delimited         bool // sacct -P: cells are unpadded and separated by |
+	trailingDelimiter bool // sacct -p: each line also ends with |
+	sacctStyle        bool // sacct's style: dashes below the header, + at the end of truncated cells, trailing blanks kept
 }
 
-// pad pads or cuts a text to a width in characters; 0 keeps it.
+// pad pads or truncates s to a width in characters. If width is 0, it returns s unchanged.
 func pad(s string, width int, right bool) string {
 	switch n := len([]rune(s)); {
 	case width <= 0 || n == width:
@@ -47,7 +47,7 @@
 	}
 }
 
-// line formats a line with a text for each column.
+// line formats one line. The function returns the text of each column's cell.
 func (t *Table[R]) line(text func(c *column[R]) string) string {
 	var b strings.Builder
 	b.WriteString(t.prefix)
@@ -62,7 +62,7 @@
 		}
 		cell := pad(text(c), c.width, c.alignRight)
 		if t.sacctStyle && c.width > 0 && len([]rune(text(c))) > c.width {
-			cell = string([]rune(cell)[:c.width-1]) + "+" // sacct marks a text that was cut
+			cell = string([]rune(cell)[:c.width-1]) + "+" // sacct marks truncated text
 		}
 		b.WriteString(cell)
 		b.WriteString(c.suffix)
@@ -76,7 +76,7 @@
 	return strings.TrimRight(b.String(), " ") + "\n"
 }
 
-// Header returns the lines of the titles.
+// Header returns the header: the columns' titles and, in sacct's padded style, a line of dashes.
 func (t *Table[R]) Header() string {
 	out := t.line(func(c *column[R]) string { return c.title })
 	if t.sacctStyle && !t.delimited {
@@ -85,12 +85,12 @@
 	return out
 }
 
-// Row returns the line of a row.
+// Row returns the formatted line of a row, with its line break.
 func (t *Table[R]) Row(r *R) string {
 	return t.line(func(c *column[R]) string { return c.format(r) })
 }
 
-// parseFormat parses a layout like "%.18i %9P", where a dot aligns to the right.
+// parseFormat parses a format string such as "%.18i %9P", in which a dot right-aligns the column.
 func parseFormat[R any](spec string, fields []field[R]) (*Table[R], error) {
 	t := &Table[R]{}
 	literal := &t.prefix
@@ -108,7 +108,7 @@
 		for i < len(spec) && spec[i] >= '0' && spec[i] <= '9' {
 			i++
 		}
-		c.width, _ = strconv.Atoi(spec[from:i]) // none: 0, that of its text
+		c.width, _ = strconv.Atoi(spec[from:i]) // without digits: 0, which means unpadded
 		if i == len(spec) {
 			return nil, &UsageError{Option: "format", Message: fmt.Sprintf("Invalid job format specification: %.60q", spec)}
 		}
@@ -123,8 +123,9 @@
 	return t, nil
 }
 
-// parseFieldList parses a layout like "jobid:8,name" (separator ":") or "JobID%20" (separator "%").
-// A minus before the width aligns to the left for sacct, a dot to the right for squeue.
+// parseFieldList parses a list of field names with optional widths, such as "jobid:8,name"
+// (separator ":", squeue) or "JobID%20" (separator "%", sacct). A minus before the width
+// left-aligns the column, a dot right-aligns it.
 func parseFieldList[R any](option, spec, separator string, fields []field[R]) (*Table[R], error) {
 	t := &Table[R]{}
 	for _, part := range strings.Split(spec, ",") {
@@ -155,7 +156,7 @@
 	return t, nil
 }
 
-// fieldNames lists the fields, for help.
+// fieldNames returns the names of the fields for help texts, separated by blanks.
 func fieldNames[R any](fields []field[R]) string {
 	names := make([]string, 0, len(fields))
 	for _, f := range fields {
--- a/internal/slurm/text.go
+++ b/internal/slurm/text.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// FormatDuration formats a duration as Slurm does: [days-]hours:minutes:seconds, and for squeue (short)
-// without hours if there are none.
+// FormatDuration formats a duration as Slurm does: [days-]hours:minutes:seconds. The short form,
+// which squeue uses, omits the hours if they are zero.
 func FormatDuration(seconds float64, short bool) string {
 	n := int64(max(0, seconds))
 	d, h, m, s := n/86400, n/3600%24, n/60%60, n%60
@@ -23,7 +23,8 @@
 	return fmt.Sprintf("%02d:%02d:%02d", h, m, s)
 }
 
-// formatTime formats a point of time, or returns none if there is none.
+// formatTime formats a Unix time in milliseconds in the given zone. It returns none if ms is not
+// positive.
 func formatTime(ms int64, none string, zone *time.Location) string {
 	if ms <= 0 {
 		return none
@@ -31,7 +32,8 @@
 	return time.UnixMilli(ms).In(zone).Format("2006-01-02T15:04:05")
 }
 
-// formatMemory formats an amount of memory as squeue does.
+// formatMemory formats an amount of memory as squeue does: in G if it is a whole number of
+// gigabytes, else in M.
 func formatMemory(gb float64) string {
 	mb := gb * 1024
 	if mb >= 1024 && mb == float64(int64(mb/1024))*1024 {
@@ -40,13 +42,14 @@
 	return strconv.FormatFloat(mb, 'f', -1, 64) + "M"
 }
 
-// formatNumber formats a number without needless digits.
+// formatNumber formats a number with as few digits as represent it exactly.
 func formatNumber(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
 
-// orDefault returns a text, or what stands for an empty one.
+// orDefault returns s, or none if s is empty.
 func orDefault(s, none string) string { return cmp.Or(s, none) }
 
-// formatExitCode formats an exit code and the signal that ended a task, as Slurm does.
+// formatExitCode formats an exit code as Slurm does: CODE:0, or 0:SIGNAL if a signal ended the
+// task, which codes above 128 denote.
 func formatExitCode(code int) string {
 	if code > 128 {
 		return fmt.Sprintf("0:%d", code-128)
@@ -54,7 +57,7 @@
 	return fmt.Sprintf("%d:0", code)
 }
 
-// formatGRES formats a number of GPUs as Slurm's generic resource.
+// formatGRES formats a number of GPUs as a Slurm generic resource.
 func formatGRES(gpus float64) string {
 	if gpus == 0 {
 		return "N/A"
--- a/internal/slurm/times.go
+++ b/internal/slurm/times.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// parseUnixMs parses a point of time and returns it in ms of Unix time.
+// parseUnixMs parses a time as ParseTime does and returns it in Unix milliseconds.
 func parseUnixMs(v string, now time.Time) (int64, error) {
 	t, err := ParseTime(v, now)
 	return t.UnixMilli(), err
 }
 
-// ParseTime parses a point of time in Slurm's forms, in now's zone. A time of day that is over
-// means tomorrow's. With an error it returns now.
+// ParseTime parses a date or time in any of Slurm's formats, in now's time zone. A time of day
+// that has passed today refers to tomorrow. If the error is not nil, the returned time is now.
 func ParseTime(v string, now time.Time) (time.Time, error) {
 	low := strings.ToLower(strings.TrimSpace(v))
 	invalid := fmt.Errorf("%.40q is not a time", v)
@@ -40,18 +40,19 @@
 	return now, invalid
 }
 
-// midnight is the start of now's day.
+// midnight returns the start of now's day.
 func midnight(now time.Time) time.Time {
 	y, m, d := now.Date()
 	return time.Date(y, m, d, 0, 0, 0, 0, now.Location())
 }
 
-// offsetUnits are the units of an offset, without the plural's s.
+// offsetUnits maps the units of an offset, in the singular, to durations.
 var offsetUnits = map[string]time.Duration{
 	"": time.Second, "second": time.Second, "minute": time.Minute, "hour": time.Hour, "day": 24 * time.Hour, "week": 7 * 24 * time.Hour,
 }
 
-// parseOffset parses what follows "now": nothing, or a sign, a number and a unit.
+// parseOffset parses the offset after "now": a sign, a number and an optional unit (default:
+// seconds). An empty offset is zero.
 func parseOffset(s string) (_ time.Duration, valid bool) {
 	if s == "" {
 		return 0, true
@@ -70,10 +71,10 @@
 	return sign * time.Duration(n) * unit, err == nil && known
 }
 
-// namedHours are the hours that have a name.
+// namedHours maps names for a time of day to the hour.
 var namedHours = map[string]int{"noon": 12, "fika": 15, "teatime": 16}
 
-// parseTimeOfDay parses a time of day and returns it on now's day.
+// parseTimeOfDay parses a time of day and returns that time on now's day.
 func parseTimeOfDay(s string, now time.Time) (_ time.Time, valid bool) {
 	if hour, known := namedHours[s]; known {
 		return midnight(now).Add(time.Duration(hour) * time.Hour), true
@@ -87,7 +88,8 @@
 	return now, false
 }
 
-// parseDate parses a date with or without a time of day; one without a year is the next such.
+// parseDate parses a date with or without a time of day. A date without a year refers to its next
+// occurrence, which may be today.
 func parseDate(s string, now time.Time) (_ time.Time, valid bool) {
 	for _, form := range []string{"2006-01-02t15:04:05", "2006-01-02t15:04", "2006-01-02", "01/02/06", "010206", "01/02/06-15:04", "01/02/06-15:04:05"} {
 		if t, err := time.ParseInLocation(form, s, now.Location()); err == nil {
@@ -106,8 +108,8 @@
 	return now, false
 }
 
-// ParsePastTime parses the start or end of a report's period as ParseTime does, but a time of day
-// means the last such.
+// ParsePastTime parses the start or end of a report's period. It accepts the same formats as
+// ParseTime, but a time of day refers to its last occurrence.
 func ParsePastTime(v string, now time.Time) (time.Time, error) {
 	t, err := ParseTime(v, now)
 	if err == nil && t.After(now) && !strings.ContainsAny(v, "-/") {
@@ -116,7 +118,7 @@
 	return t, err
 }
 
-// nextOccurrence is a time of day on its day, or on the next if it is over.
+// nextOccurrence returns t, or the same time of the next day if t is before now.
 func nextOccurrence(t, now time.Time) time.Time {
 	if t.Before(now) {
 		return t.AddDate(0, 0, 1)
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -13,32 +13,34 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Request is a submission as wallrack has it.
+// Request is a submission translated to wallrack's terms.
 type Request struct {
 	Job         wire.Job
 	Constraints jobspec.Constraints
 	Spec        taskspec.Spec
 }
 
-// Invocation is what a submission runs, and who submits it from where.
+// Invocation describes the program that a submission runs, and the user, host and working
+// directory from which it is submitted.
 type Invocation struct {
-	Script     string   // of sbatch, its first line included
-	Argv       []string // srun: the program with its arguments; sbatch: arguments of the script
-	ScriptName string   // the script's name, from which the job has its name
-	Env        []string // NAME=VALUE, of the user
+	Script     string   // sbatch: text of the script, including its #! line
+	Argv       []string // srun: the program and its arguments; sbatch: the script's arguments
+	ScriptName string   // file name of the script; its last element is the default job name
+	Env        []string // the user's environment variables, as NAME=VALUE
 	Dir        string   // the user's working directory
 	User       string
-	Host       string // for the tasks' environment; may be ""
+	Host       string // submitting host, for the tasks' environment; may be ""
 }
 
-// Defaults of jobs without a time limit or an amount of memory, the same as wallctl submit's.
+// Run time estimate of jobs without a time limit, and memory of jobs that request no amount.
+// They equal the defaults of wallctl submit.
 const (
 	defaultEstimateS = 30
 	defaultMemoryGB  = 0.5
 )
 
-// Translate returns the job of a submission. Its uid and number are left to the caller. The
-// error is a *UsageError.
+// Translate translates a submission to a wallrack job. The caller assigns the job's uid and
+// number. The error is a *UsageError.
 func Translate(cmd Command, o *Options, w *Invocation, site *jobquery.Site, now time.Time) (*Request, error) {
 	r := &Request{}
 	job := &r.Job
@@ -65,7 +67,8 @@
 	return r, nil
 }
 
-// setClassTeamPriority sets class, team and priority, which must exist at the site.
+// setClassTeamPriority sets the job's class, team and priority. It fails if the site doesn't have
+// the class or the team.
 func setClassTeamPriority(job *wire.Job, o *Options, site *jobquery.Site) (err error) {
 	job.Class, job.Team = cmp.Or(o.Partition, site.Class), cmp.Or(o.Account, site.Team)
 	if !slices.Contains(site.Classes, job.Class) {
@@ -78,7 +81,8 @@
 	return err
 }
 
-// setConstraints sets when the job may start and end.
+// setConstraints sets the job's name, user and array, and the conditions under which it may
+// start and has to end.
 func (r *Request) setConstraints(o *Options, w *Invocation, now time.Time) (err error) {
 	c := &r.Constraints
 	c.Name, c.User, c.Held, c.BeginMs, c.LimitS, c.NoRetry = o.Name, w.User, o.Hold, o.BeginMs, o.LimitS, true
@@ -99,8 +103,8 @@
 	return nil
 }
 
-// priority returns the priority of a quality of service, which is the same for everyone. A
-// positive nice value means the next lower priority.
+// priority returns the priority that --qos requests, "normal" by default. Every user may request
+// every priority. Any positive nice value selects the next lower priority.
 func priority(o *Options) (string, error) {
 	order := []string{"low", "normal", "urgent", "production"}
 	qos := cmp.Or(o.QOS, "normal")
@@ -114,8 +118,9 @@
 	return order[at], nil
 }
 
-// setResources sets the number of tasks and what each takes. A batch script is one task with room
-// for all of its steps; each task of a step is a task of the job.
+// setResources sets the number of the job's tasks and the resources of each. With sbatch, each
+// batch script is one wallrack task that has the resources of all --ntasks tasks; with srun,
+// each of the --ntasks tasks is a wallrack task.
 func (r *Request) setResources(cmd Command, o *Options) error {
 	job := &r.Job
 	steps, err := r.setTasks(cmd, o)
@@ -143,14 +148,15 @@
 	return nil
 }
 
-// setTasks sets the number of the job's tasks and returns how many of Slurm's each is.
+// setTasks sets the number of the job's tasks and returns the number of Slurm tasks that each of
+// them comprises.
 func (r *Request) setTasks(cmd Command, o *Options) (perTask int, err error) {
 	job, option := &r.Job, "array"
 	switch {
 	case cmd != Sbatch:
 		option, perTask = "ntasks", 1
 		if job.Tasks = o.Tasks; job.Tasks > 1 {
-			job.Kind = wire.KindGang // a step's tasks run together
+			job.Kind = wire.KindGang // the tasks of a step run at the same time
 		}
 	case o.Array == "":
 		perTask = o.Tasks
