--- a/internal/slurmapi/accounting.go
+++ b/internal/slurmapi/accounting.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/jobquery"
 )
 
-// serveAccountingDay serves a part of a day's pages of accounting as they are stored: to unpack
-// them is the client's work.
+// serveAccountingDay serves a batch of the accounting pages of one day in their stored form. The
+// client unpacks them, so that the controller spends no processor time on it.
 func (s *Server) serveAccountingDay(w http.ResponseWriter, r *http.Request) {
 	prefix, err := accounting.DayPrefix(r.PathValue("day"))
 	if err != nil {
--- a/internal/slurmapi/failover_test.go
+++ b/internal/slurmapi/failover_test.go
@@ -20,7 +20,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// recoveringLeader is a leader after a failover: it has one job, and knows what the fields say.
+// recoveringLeader is a leader after a failover that leads one job. Its fields state which part of
+// the job's state it has recovered.
 type recoveringLeader struct {
 	fakeServices
 	shardsLoaded, runningTasksKnown bool
@@ -33,7 +34,7 @@
 	return jobquery.Info{Job: wire.Job{UID: uid}, Constraints: &jobspec.Constraints{Number: 4}, Stage: wire.StageQueued}, l.shardsLoaded
 }
 
-// Get has the job's living record, which was written a minute ago.
+// Get returns the stored record of the job, which was accepted a minute ago.
 func (l *recoveringLeader) Get(_ context.Context, key string) (wire.Item, error) {
 	if key != jobrecord.LivePrefix+"j-1" {
 		return wire.Item{}, statestore.ErrNotFound
@@ -43,7 +44,9 @@
 	return wire.Item{Key: key, Value: value, Version: 1}, err
 }
 
-// Guards against a listing without jobs, and a running job shown as pending, after a failover.
+// After a failover, a leader that has not yet loaded its shards would serve a listing without
+// their jobs, and one without heartbeats would report running jobs as pending. Both must answer
+// 503 instead.
 func TestNewLeaderRefusesQueriesUntilStateIsRecovered(t *testing.T) {
 	for _, c := range []struct {
 		name                            string
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -21,12 +21,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// maxTasksBody bounds the body that names the tasks to cancel.
+// maxTasksBody limits the size in bytes of a request body that names the tasks to cancel.
 const maxTasksBody = 16 << 10
 
-// serveList serves a part of the listing of all leaders' jobs, in the order of the jobs' numbers. It
-// is refused if one leader does not respond: a listing that lacks jobs looks as if they had
-// ended.
+// serveList serves one page of the listing of all leaders' jobs, ordered by job number. It
+// answers 503 if one leader does not respond, because clients take jobs that are missing from a
+// listing for ended ones.
 func (s *Server) serveList(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
@@ -58,7 +58,8 @@
 	writeJSONLines(w, "jobs", page.Jobs, jsonField{"next", page.Next}, jsonField{"now", page.NowMs})
 }
 
-// parseCursor reads where a listing goes on: from the beginning where a value is no number.
+// parseCursor parses the position at which a listing continues. Missing or malformed values are
+// read as 0, which is the beginning.
 func parseCursor(query url.Values) (from jobquery.Cursor) {
 	from.Number, _ = strconv.ParseUint(query.Get("number"), 10, 64)
 	from.SkipPlacements, _ = strconv.Atoi(query.Get("on"))
@@ -67,7 +68,8 @@
 	return from
 }
 
-// mergeReply adds one leader's part to a page, which goes on where the first of the parts ends.
+// mergeReply appends one leader's jobs to a page. The page's continuation is the smallest of
+// those of the replies.
 func mergeReply(page *jobquery.Page, part Reply) {
 	page.Jobs = append(page.Jobs, part.Jobs...)
 	if part.Next != nil && (page.Next == nil || part.Next.Number < page.Next.Number) {
@@ -75,8 +77,8 @@
 	}
 }
 
-// sortAndTruncate sorts a page of several leaders' parts, and cuts it where it goes on: the jobs
-// beyond come again in the next.
+// sortAndTruncate sorts a page merged from several leaders' replies by job number, and removes the
+// jobs beyond its continuation, which the next page contains.
 func sortAndTruncate(page *jobquery.Page) {
 	slices.SortStableFunc(page.Jobs, func(a, b jobquery.Info) int {
 		return cmp.Compare(a.Constraints.Number, b.Constraints.Number)
@@ -90,8 +92,9 @@
 	})
 }
 
-// jobHandler serves a request about one jobHandler, by the controller that leads it. What is known of an
-// ended jobHandler is in the state service.
+// jobHandler returns the handler of requests about one job. The controller that leads the job
+// serves them. If none does, verbInfo reads the job from the state service, which also holds
+// the final states of ended jobs.
 func (s *Server) jobHandler(verb string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		req := Request{Verb: verb, UID: r.PathValue("uid")}
@@ -125,13 +128,14 @@
 	}
 }
 
-// mayRun reports whether a job may run that the state service has as queued, like every living
-// job.
+// mayRun reports whether a job read from the state service may be running. The state service
+// stores every active job as queued, so a queued job may be running unless it was accepted just
+// now.
 func (s *Server) mayRun(stored *jobquery.Info) bool {
 	return s.failoverState != nil && stored.Stage == wire.StageQueued && !scheduler.JustAccepted(stored.AcceptedMs)
 }
 
-// readTasks reads which tasks of a job to cancel. Its errors are for the client.
+// readTasks reads the tasks to cancel from a request body. The client receives its error texts.
 func readTasks(w http.ResponseWriter, r *http.Request) (string, error) {
 	var request struct {
 		Tasks string `json:"tasks"`
@@ -146,7 +150,8 @@
 	return request.Tasks, nil
 }
 
-// queryShardLeader has the peer serve a request that knows its outcome, or else serves it here.
+// queryShardLeader returns the reply of the first peer that knows the outcome of the request. If no
+// peer does, it serves the request locally.
 func (s *Server) queryShardLeader(ctx context.Context, req Request) Reply {
 	for _, peer := range s.peers.ShardLeaders() {
 		if reply, ok := s.queryPeer(ctx, peer, req); ok {
--- a/internal/slurmapi/numbers.go
+++ b/internal/slurmapi/numbers.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// serveNumberAllocation serves consecutive numbers for the tasks of a job.
+// serveNumberAllocation allocates consecutive job numbers for the tasks of a job.
 func (s *Server) serveNumberAllocation(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Count int `json:"count"`
@@ -33,7 +33,7 @@
 	httpjson.Write(w, http.StatusOK, jobid.Job{First: first, Tasks: request.Count})
 }
 
-// serveNumberLookup serves the id of the job with a number.
+// serveNumberLookup serves the uid of the job that has a number.
 func (s *Server) serveNumberLookup(w http.ResponseWriter, r *http.Request) {
 	number, err := strconv.ParseUint(r.PathValue("n"), 10, 64)
 	if err != nil {
--- a/internal/slurmapi/peer_requests.go
+++ b/internal/slurmapi/peer_requests.go
@@ -12,12 +12,12 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Request is what one controller has another serve that leads jobs.
+// Request is a request from one controller to another that leads shards.
 type Request struct {
-	Verb  string          `json:"verb"` // one of those below
+	Verb  string          `json:"verb"` // one of the verb constants below
 	UID   string          `json:"uid,omitempty"`
-	From  jobquery.Cursor `json:"from"`            // of a list
-	Tasks string          `json:"tasks,omitempty"` // of a drop, as jobspec.Ranges
+	From  jobquery.Cursor `json:"from"`            // position at which a list continues
+	Tasks string          `json:"tasks,omitempty"` // tasks to cancel, in the syntax of jobspec.Ranges
 }
 
 // Verbs of a Request.
@@ -26,11 +26,11 @@
 	verbInfo        = "info"
 	verbHold        = "hold"
 	verbRelease     = "release"
-	verbCancelTasks = "drop" // cancels single tasks
+	verbCancelTasks = "drop" // cancels some of the job's tasks
 )
 
-// Reply is the response to a Request. Status 0 means that the outcome is unknown to the peer
-// too.
+// Reply is the response to a Request. Status is an HTTP status code; 0 means that the peer doesn't
+// know the outcome either.
 type Reply struct {
 	Status int              `json:"status"`
 	Reason string           `json:"why,omitempty"`
@@ -38,7 +38,8 @@
 	Next   *jobquery.Cursor `json:"next,omitempty"`
 }
 
-// queryPeer has a peer serve a request; false if it fails or the outcome stays unknown.
+// queryPeer sends a request to a peer. It returns false if that fails or the peer doesn't know the
+// outcome.
 func (s *Server) queryPeer(ctx context.Context, peer string, req Request) (Reply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -50,7 +51,8 @@
 	return *rep, rep.Status != 0
 }
 
-// Serve serves a request with the jobs that this controller leads, without peers.
+// Serve serves a request from the jobs of the shards that this controller leads. It sends no
+// requests to peers.
 func (s *Server) Serve(ctx context.Context, req Request) Reply {
 	var err error
 	switch req.Verb {
--- a/internal/slurmapi/ratelimit.go
+++ b/internal/slurmapi/ratelimit.go
@@ -8,26 +8,27 @@
 	"golang.org/x/time/rate"
 )
 
-// rateLimiter admits so many requests a second. Each refused one is to retry a little later
-// than the one before, so that they don't all return at once. It is safe for concurrent use.
+// rateLimiter admits perS requests per second. The retry delays of rejected requests increase, so
+// that the clients don't all retry at the same time. It is safe for concurrent use.
 type rateLimiter struct {
 	mu             sync.Mutex
 	perS           float64
 	limit          *rate.Limiter
-	pendingRetries float64   // refused requests whose retry is still to come
-	updatedAt      time.Time // when waiting was
+	pendingRetries float64   // rejected requests whose retries are still due
+	updatedAt      time.Time // time of the last update of pendingRetries
 }
 
 const (
 	maxRetryAfter = 30 * time.Second
-	burstSeconds  = 2 // of the rate that may come at once
+	burstSeconds  = 2 // burst size, in seconds of the permitted rate
 )
 
 func newRateLimiter(perS float64) *rateLimiter {
 	return &rateLimiter{perS: perS, limit: rate.NewLimiter(rate.Limit(perS), int(max(1, math.Ceil(burstSeconds*perS))))}
 }
 
-// allow reports whether a request is admitted now, or in how many seconds to retry.
+// allow reports whether a request is admitted now and, if not, after how many seconds the client
+// should retry.
 func (l *rateLimiter) allow(now time.Time) (retryAfterS int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/slurmapi/recorded_settings_test.go
+++ b/internal/slurmapi/recorded_settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// Every key of the settings is accepted, ends where it belongs and has its default.
+// Every key of the settings file is accepted and sets its field, and absent keys have defaults.
 func TestRecordedSettings(t *testing.T) {
 	got, err := slurmapi.LoadSettings("testdata/recorded/slurm.sexp")
 	if want := (slurmapi.Settings{ClusterName: "mill", AccountingEnabled: true, ListingsPerS: 2.5, DefaultClass: "quick", DefaultTeam: "brew"}); err != nil || *got != want {
--- a/internal/slurmapi/recorded_test.go
+++ b/internal/slurmapi/recorded_test.go
@@ -36,7 +36,7 @@
 	return jobquery.Placement{Task: 3, Attempt: 2, Worker: "n-000001", StartMs: 1_796_000_001_000, Halted: true}
 }
 
-// What controllers request of one another on behalf of Slurm-style clients.
+// The encoding of requests and replies between controllers.
 func TestRecordedRequestsAndReplies(t *testing.T) {
 	recorded.CheckFull(t, "request-full", Request{Verb: verbCancelTasks, UID: "j-000412", From: jobquery.Cursor{Number: 4100, SkipPlacements: 5, Task: 9}, Tasks: "3,7-9"})
 	recorded.Check(t, "request-none", Request{Verb: verbList})
@@ -47,7 +47,7 @@
 	}
 }
 
-// What requests, replies and answers to clients carry.
+// The encoding of the types in requests, replies and responses to clients.
 func TestRecordedListings(t *testing.T) {
 	recorded.CheckFull(t, "info-full", fullInfo())
 	recorded.Check(t, "info-none", jobquery.Info{})
@@ -71,7 +71,7 @@
 	recorded.Check(t, "rows-none", jobquery.Rows{Pages: []string{}})
 }
 
-// A listing has a line for each of its jobs, however long the list.
+// A response with a list has one line per item, so that line lengths don't grow with the list.
 func TestListResponseHasOneLinePerItem(t *testing.T) {
 	for want, items := range map[string][]jobquery.Cursor{
 		"{\"jobs\":[\n],\"next\":null}\n": nil,
--- a/internal/slurmapi/response.go
+++ b/internal/slurmapi/response.go
@@ -13,7 +13,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// writeProblem answers with a problem; 503 and 429 with the time after which to retry.
+// writeProblem writes an error response. With 503 and 429 it sets Retry-After to retryAfterS, at
+// least 1.
 func writeProblem(w http.ResponseWriter, status, retryAfterS int, reason string) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, retryAfterS)))
@@ -21,7 +22,8 @@
 	httpjson.Write(w, status, wire.Problem{Error: reason})
 }
 
-// writeError answers with what an error means for the client.
+// writeError writes the response for an error: 404 if the job doesn't exist, 422 if the request is
+// invalid, otherwise 503, because the outcome is unknown.
 func (s *Server) writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, statestore.ErrNotFound):
@@ -34,14 +36,14 @@
 	}
 }
 
-// jsonField is a jsonField of a JSON object.
+// jsonField is a field of a JSON object.
 type jsonField struct {
 	name  string
 	value any
 }
 
-// writeJSONLines answers with an object of a list, which has a line for each of its items, and
-// other fields: no line of a response may be over 64 KiB.
+// writeJSONLines writes a JSON object with a list and other fields. Each item of the list is on its
+// own line, because no line of a response may exceed 64 KiB.
 func writeJSONLines[T any](w http.ResponseWriter, list string, items []T, others ...jsonField) {
 	w.Header().Set("Content-Type", "application/json")
 	out := append([]byte(nil), `{"`+list+"\":["...)
@@ -49,7 +51,7 @@
 		if i > 0 {
 			out = append(out, ',')
 		}
-		data, _ := json.Marshal(items[i]) // messages of this package can be encoded
+		data, _ := json.Marshal(items[i]) // encoding the item types of this package doesn't fail
 		out = append(append(out, '\n'), data...)
 	}
 	out = append(out, "\n]"...)
@@ -57,5 +59,5 @@
 		data, _ := json.Marshal(f.value)
 		out = append(append(out, `,"`+f.name+`":`...), data...)
 	}
-	_, _ = w.Write(append(out, "}\n"...)) // a client that left retries
+	_, _ = w.Write(append(out, "}\n"...)) // a client that disconnected retries
 }
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -1,9 +1,9 @@
-// Package slurmapi serves Slurm-style clients over HTTP: numbers, submissions with
-// constraints, listings, holds, cancels of single tasks, accounting.
+// Package slurmapi serves Slurm-style clients over HTTP: job numbers, submissions with
+// constraints, listings, holds, cancellation of single tasks, and accounting.
 //
-// A request about one job is served by the controller that leads it; a listing joins those of
-// all. Submissions go to the Submitter of all other jobs, so the same rules hold for them. The
-// package keeps no jobs: all state but that of the rate limit is its collaborators'.
+// The controller that leads a job serves the requests about it; a listing merges the jobs of all
+// leaders. Submissions use the same Submitter as jobs of other clients, so that the same rules
+// apply to them. Except for the rate limit, the package holds no state.
 package slurmapi
 
 import (
@@ -29,32 +29,34 @@
 const (
 	requestTimeout     = 3500 * time.Millisecond
 	peerTimeout        = time.Second
-	maxListEntries     = 500 // jobs and running tasks in a part of a listing
-	maxAccountingPages = 24  // in a response
-	maxInFlight        = 4   // listings and parts of accounting at once
+	maxListEntries     = 500 // jobs and running tasks per page of a listing
+	maxAccountingPages = 24  // per response
+	maxInFlight        = 4   // concurrent requests for listings and accounting
 )
 
-// Store is the part of the state service that a Server uses.
+// Store is the subset of the state service's operations that a Server uses.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, error)
 	Page(ctx context.Context, prefix, after string, limit int) ([]wire.Item, bool, error)
 }
 
-// Jobs is the scheduler in this process. It knows the jobs of the shards that this controller
+// Jobs is the scheduler in this process. It holds the jobs of the shards that this controller
 // leads.
 type Jobs interface {
-	// ListJobs returns up to most jobs and running tasks, in the order of the jobs' numbers,
-	// and where the list goes on; nil: it ends.
+	// ListJobs returns the jobs from a position on, ordered by job number, with at most limit jobs
+	// and running tasks in all. It also returns the position at which the list continues, nil at
+	// its end.
 	ListJobs(from jobquery.Cursor, limit int) ([]jobquery.Info, *jobquery.Cursor)
 	LocalJobInfo(uid string) (jobquery.Info, bool)
-	// Hold keeps a job's waiting tasks from starting, or lets them start.
+	// Hold prevents a job's pending tasks from starting if held is set, and otherwise releases
+	// them.
 	Hold(ctx context.Context, uid string, held bool) error
-	// CancelTasks cancels single tasks of a job.
+	// CancelTasks cancels the given tasks of a job.
 	CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error
 }
 
-// FailoverState may be implemented by Jobs: what a leader does not know yet after a failover.
-// Without it everything counts as known.
+// FailoverState reports which part of the jobs' state a leader has recovered after a failover. Jobs
+// may implement it; otherwise the state is assumed to be complete.
 type FailoverState interface {
 	submission.StageAuthority
 	// ShardsLoaded reports whether the jobs of all shards that this controller leads are in
@@ -62,23 +64,23 @@
 	ShardsLoaded() bool
 }
 
-// Peers are the other controllers.
+// Peers provides access to the other controllers.
 type Peers interface {
 	// Leads reports whether this controller leads shards.
 	Leads() bool
-	// ShardLeaders names the other controllers that lead shards.
+	// ShardLeaders returns the names of the other controllers that lead shards.
 	ShardLeaders() []string
-	// QueryLeader has a peer serve a request with the jobs that it leads.
+	// QueryLeader sends a request to a peer, which serves it from the jobs that it leads.
 	QueryLeader(ctx context.Context, peer string, r Request) (*Reply, error)
 }
 
 // Submitter accepts jobs.
 type Submitter interface {
-	// Submit serves a submission or its check, here or at a peer.
+	// Submit serves a submission, or only validates it, in this process or through a peer.
 	Submit(ctx context.Context, r submission.Request) submission.Reply
 }
 
-// Catalog knows the machine types.
+// Catalog lists the machine types.
 type Catalog interface {
 	// All returns every machine type, or none while they are unknown.
 	All() []wire.MachineType
@@ -90,17 +92,17 @@
 	cfg           *config.Platform
 	store         Store
 	jobs          Jobs
-	failoverState FailoverState // nil: everything is known
+	failoverState FailoverState // nil: the state is assumed to be complete
 	numbers       *jobid.Allocator
 	peers         Peers
 	submitter     Submitter
 	catalog       Catalog
 	log           *slog.Logger
 	limiter       *rateLimiter
-	requestSlots  chan struct{} // of requests that limiter admitted
+	requestSlots  chan struct{} // semaphore for concurrent requests that limiter admitted
 }
 
-// New returns a server; Register makes it reachable.
+// New returns a server. Register adds its handlers to a mux.
 func New(set *Settings, cfg *config.Platform, store Store, jobs Jobs, numbers *jobid.Allocator, peers Peers, in Submitter, catalog Catalog, log *slog.Logger) *Server {
 	failoverState, _ := jobs.(FailoverState)
 	return &Server{
@@ -109,7 +111,7 @@
 	}
 }
 
-// Register adds the server's paths.
+// Register registers the server's handlers with mux.
 func (s *Server) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /slurm/site", s.serveSite)
 	mux.HandleFunc("POST /slurm/numbers", s.serveNumberAllocation)
@@ -123,8 +125,8 @@
 	mux.HandleFunc("GET /accounting/{day}", s.rateLimited(s.serveAccountingDay))
 }
 
-// rateLimited bounds how many costly requests are served a second and at once, so that
-// they take no processor time from scheduling.
+// rateLimited limits the rate and the concurrency of expensive requests, so that they don't take
+// processor time from scheduling.
 func (s *Server) rateLimited(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if retryAfterS, ok := s.limiter.allow(time.Now()); !ok {
@@ -143,8 +145,8 @@
 	}
 }
 
-// serveSite serves what clients need to know of the serveSite, with defaults where the settings give
-// none.
+// serveSite serves the site's classes, teams, zones and machine types. If the settings name no
+// default class or team, the first one of the platform's settings is the default.
 func (s *Server) serveSite(w http.ResponseWriter, _ *http.Request) {
 	site := jobquery.Site{Cluster: s.settings.ClusterName, Accounts: s.settings.AccountingEnabled, Class: s.settings.DefaultClass, Team: s.settings.DefaultTeam, Zones: s.cfg.Params.Zones, Types: s.catalog.All()}
 	for _, team := range s.cfg.Params.Teams {
@@ -167,7 +169,7 @@
 	httpjson.Write(w, http.StatusOK, site)
 }
 
-// serveSubmission serves a submission with constraints, or only checks it.
+// serveSubmission serves a submission with constraints. A dry run is only validated.
 func (s *Server) serveSubmission(w http.ResponseWriter, r *http.Request) {
 	var parsed jobquery.Submission
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -30,11 +30,11 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// fakeServices stands in for everything that a server uses.
+// fakeServices implements all interfaces that a server uses.
 type fakeServices struct {
-	keys         []string // of accounting, in order
+	keys         []string // of the accounting pages, sorted
 	pages        map[string]string
-	maxPageItems int // pages in one response of the store
+	maxPageItems int // largest number of pages that one call of Page returned
 	jobs         []jobquery.Info
 	listCalls    int
 	leads        bool
@@ -43,7 +43,9 @@
 func (s *fakeServices) Get(context.Context, string) (wire.Item, error) {
 	return wire.Item{}, statestore.ErrNotFound
 }
+
 func (s *fakeServices) Txn(context.Context, []wire.Guard, ...wire.Op) (uint64, error) { return 1, nil }
+
 func (s *fakeServices) Page(_ context.Context, prefix, after string, limit int) ([]wire.Item, bool, error) {
 	at := sort.SearchStrings(s.keys, max(after+"\x00", prefix))
 	var out []wire.Item
@@ -83,8 +85,8 @@
 	return mux
 }
 
-// As many listings are served as the settings say; the others are to retry one after
-// another, not all at once.
+// Listings are served at the configured rate. The Retry-After times of the others are spread over
+// time, because simultaneous retries would exceed the rate again.
 func TestListingsBeyondTheRateLimitRetryOneAfterAnother(t *testing.T) {
 	s := &fakeServices{}
 	h := s.handler(5)
@@ -116,7 +118,7 @@
 	}
 }
 
-// An unknown outcome is 503, a request that can't be carried out 422, an unknown job 404.
+// The status is 503 for an unknown outcome, 422 for an invalid request and 404 for an unknown job.
 func TestResponseStatuses(t *testing.T) {
 	s := &fakeServices{}
 	h := s.handler(1000)
@@ -170,7 +172,7 @@
 	}
 }
 
-// addAccountingPages writes so many rows of a day.
+// addAccountingPages stores pages with the given number of rows for a day.
 func (s *fakeServices) addAccountingPages(tb testing.TB, day time.Time, rows int) {
 	if s.pages == nil {
 		s.pages = map[string]string{}
@@ -200,7 +202,7 @@
 	sort.Strings(s.keys)
 }
 
-// BenchmarkDay queries days of accounting over HTTP, of a million rows in all.
+// BenchmarkDay reads the accounting of one day over HTTP, from a store with a million rows.
 func BenchmarkDay(b *testing.B) {
 	for _, rows := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprint(rows), func(b *testing.B) {
@@ -223,7 +225,7 @@
 	}
 }
 
-// Responses to clients in full: lists with their lines, numbers, refusals.
+// The exact bodies of responses to clients.
 func TestRecordedResponses(t *testing.T) {
 	s := &fakeServices{jobs: []jobquery.Info{{Job: wire.Job{UID: "j-1"}, Constraints: &jobspec.Constraints{Number: 4}, Stage: wire.StageQueued}}}
 	s.keys, s.pages = []string{"acct/20261130/7-1"}, map[string]string{"acct/20261130/7-1": "1:AAAA"}
@@ -241,7 +243,7 @@
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
 		got := nowField.ReplaceAllString(w.Body.String(), `"now":NOW`)
-		got = strings.Replace(got, `"now":NOW,"next":null`, `"next":null,"now":NOW`, 1) // their order is free
+		got = strings.Replace(got, `"now":NOW,"next":null`, `"next":null,"now":NOW`, 1) // the fields may be in either order
 		if got != c.want {
 			t.Errorf("%s %s %s: %q, want %q", c.method, c.path, c.body, got, c.want)
 		}
--- a/internal/slurmapi/settings.go
+++ b/internal/slurmapi/settings.go
@@ -11,11 +11,11 @@
 
 // Settings are the operators' settings of Slurm-style clients and accounting.
 type Settings struct {
-	ClusterName       string  // the name that clients show
-	AccountingEnabled bool    // rows of accounting are written
-	ListingsPerS      float64 // listings and pages a second that a controller answers
-	DefaultClass      string  // of jobs whose client names no partition
-	DefaultTeam       string  // of jobs whose client names no account
+	ClusterName       string  // shown by clients
+	AccountingEnabled bool    // whether accounting rows are written
+	ListingsPerS      float64 // requests for listings and accounting per second that a controller admits
+	DefaultClass      string  // class of jobs submitted without a partition
+	DefaultTeam       string  // team of jobs submitted without an account
 }
 
 const (
@@ -23,8 +23,8 @@
 	maxListingsPerS = 1000
 )
 
-// LoadSettings reads and checks a file of settings, all of them optional. Its errors name the
-// file. A file with all of them is
+// LoadSettings reads and validates a settings file. Its errors name the file. Every key is
+// optional; a file with all keys is
 //
 //	(slurm
 //	  (cluster "wallrack")
@@ -36,8 +36,7 @@
 	return config.Load(path, ParseSettings)
 }
 
-// ParseSettings reads the text of the operators' settings. Its errors name the key that is
-// wrong.
+// ParseSettings parses and validates the text of a settings file. Its errors name the invalid key.
 func ParseSettings(data []byte) (*Settings, error) {
 	entries, err := config.Entries(data, "slurm", "(key value)")
 	if err != nil {
@@ -51,7 +50,7 @@
 		if !ok || len(pair) != 2 {
 			return nil, fmt.Errorf("entry %d: expected (key value)", i+1)
 		}
-		symbol, _ := pair[0].(edn.Symbol) // another kind is an unknown key
+		symbol, _ := pair[0].(edn.Symbol) // a value of another type results in an unknown key
 		key := string(symbol)
 		if seen[key] {
 			return nil, fmt.Errorf("%s: given twice", key)
