--- a/internal/slurmtask/files.go
+++ b/internal/slurmtask/files.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// Files returns the files of standard output and error, "" for none. Relative ones are in dir,
-// the task's working directory.
+// Files returns the paths of the files for standard output and standard error, "" for none.
+// Relative names are resolved against dir, the task's working directory. Without a pattern for
+// standard error, both are the same file.
 func (t *Task) Files(dir string) (stdout, stderr string) {
 	stdout, stderr = t.resolveFile(t.Output, dir), t.resolveFile(t.Error, dir)
 	if stderr == "" {
@@ -16,7 +17,7 @@
 	return stdout, stderr
 }
 
-// resolveFile is the resolveFile that a pattern names, "" for an empty pattern.
+// resolveFile expands a pattern and returns the path, "" for an empty pattern.
 func (t *Task) resolveFile(pattern, dir string) string {
 	if pattern == "" {
 		return ""
@@ -28,11 +29,13 @@
 	return filepath.Join(dir, name)
 }
 
-// maxPadding bounds the width of a number: else a pattern could make a name of any length.
+// maxPadding limits the width to which numbers are padded. Without it, a short pattern could
+// expand to a file name of any length.
 const maxPadding = 10
 
-// expand expands a file name pattern as sbatch's manual defines it: a number between the %
-// and the letter pads with zeros, and a backslash anywhere leaves the whole pattern as it is.
+// expand expands a file name pattern as defined in sbatch's manual. A number between the % and
+// the letter pads numeric values with zeros. If the pattern contains a backslash, nothing is
+// expanded and the backslashes are removed.
 func (t *Task) expand(pattern string) string {
 	if strings.Contains(pattern, `\`) {
 		return strings.ReplaceAll(pattern, `\`, "")
@@ -61,9 +64,9 @@
 	return name.String()
 }
 
-// zeroPad pads a value that starts with a digit with zeros to a width, given by its digits.
+// zeroPad pads a value that starts with a digit with zeros to a width given in decimal digits.
 func zeroPad(value, width string) string {
-	n, _ := strconv.Atoi(width) // no digits: 0; too many: the greatest int
+	n, _ := strconv.Atoi(width) // 0 without digits, the largest int on overflow
 	missing := min(n, maxPadding) - len(value)
 	if missing <= 0 || value == "" || value[0] < '0' || value[0] > '9' {
 		return value
@@ -71,10 +74,10 @@
 	return strings.Repeat("0", missing) + value
 }
 
-// absentIndexText is what Slurm puts in place of %a if there is no array.
+// absentIndexText is the text to which Slurm expands %a if the job is not an array.
 const absentIndexText = "4294967294"
 
-// patternValue is what a letter after % stands for.
+// patternValue returns the value of a letter after %.
 func (t *Task) patternValue(letter byte) (_ string, known bool) {
 	switch letter {
 	case '%':
@@ -94,7 +97,7 @@
 		return t.User, true
 	case 'N':
 		return t.workerName, true
-	case 'n': // of the node in the job, which has one
+	case 'n': // number of the node within the job, which has one node
 		return "0", true
 	case 't':
 		return strconv.Itoa(t.rank()), true
--- a/internal/slurmtask/recorded_test.go
+++ b/internal/slurmtask/recorded_test.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// The JSON form of the context, which is stored with descriptions.
+// The JSON form of the context, which is stored with the task spec.
 func TestRecordedContext(t *testing.T) {
 	recorded.CheckFull(t, "context-full", slurmtask.Context{
 		Number: 4100, Tasks: 16, Array: "0-30:2", Name: "tips", User: "erin",
--- a/internal/slurmtask/slurmtask.go
+++ b/internal/slurmtask/slurmtask.go
@@ -1,6 +1,5 @@
-// Package slurmtask derives what a task of a Slurm-style job finds on its worker: the SLURM_*
-// variables that differ between tasks, and the files of its output. It is pure: it keeps no
-// state, opens no file and starts nothing.
+// Package slurmtask computes the task-specific SLURM_* environment variables and the output file
+// names of a Slurm-style job's tasks. It opens no files, starts no processes and keeps no state.
 package slurmtask
 
 import (
@@ -10,34 +9,34 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// Context is the part of a job's description that is the same for all tasks of the job.
+// Context holds the Slurm-specific part of a task spec. It is the same for all tasks of a job.
 type Context struct {
-	Number  uint64 `json:"number"` // of the job; task n of an array has the number Number+n
+	Number  uint64 `json:"number"` // job number; task n of an array has the number Number+n
 	Tasks   int    `json:"tasks"`
-	Array   string `json:"array,omitempty"` // indices, as 0-15:2; "": not an array
+	Array   string `json:"array,omitempty"` // array indices, such as 0-15:2; "": not an array
 	Name    string `json:"name,omitempty"`
 	User    string `json:"user,omitempty"`
-	Output  string `json:"output,omitempty"` // pattern of the file; "": none
-	Error   string `json:"error,omitempty"`  // pattern; "": the same file as Output
-	Step    bool   `json:"step,omitempty"`   // tasks are those of one step, as srun's are
+	Output  string `json:"output,omitempty"` // file name pattern of standard output; "": none
+	Error   string `json:"error,omitempty"`  // file name pattern of standard error; "": the same file as Output
+	Step    bool   `json:"step,omitempty"`   // the tasks form one step, as those of srun do
 	Cluster string `json:"cluster,omitempty"`
 }
 
-// Task is one of a job's tasks on its worker.
+// Task is an attempt of one of a job's tasks on a worker.
 type Task struct {
 	*Context
-	taskIndex  int    // the task, from 0
-	attempt    uint64 // from 1
-	workerName string // its name
+	taskIndex  int    // index within the job, from 0
+	attempt    uint64 // number of the attempt, from 1
+	workerName string
 	indices    jobspec.Ranges
-	arrayIndex int // in the array; noIndex without one
+	arrayIndex int // index in the array; noArrayPosition if the job is not an array
 }
 
-// noArrayPosition is the index of a task that is not of an array.
+// noArrayPosition is the arrayIndex of a task whose job is not an array.
 const noArrayPosition = -1
 
-// NewTask returns the task n of a job, from 0, in an attempt, from 1, on a worker. It fails if the
-// array is malformed or doesn't have the task.
+// NewTask returns an attempt of a task on a worker. Task indices start at 0, attempts at 1. It
+// fails if the array is malformed or doesn't have the task.
 func (c *Context) NewTask(taskIndex int, attempt uint64, workerName string) (*Task, error) {
 	t := &Task{Context: c, taskIndex: taskIndex, attempt: attempt, workerName: workerName, arrayIndex: noArrayPosition}
 	if c.Array == "" {
@@ -55,7 +54,8 @@
 
 func (t *Task) inArray() bool { return t.arrayIndex != noArrayPosition }
 
-// jobNumber is the job jobNumber that the task sees: its own in an array, else the job's.
+// jobNumber returns the value of SLURM_JOB_ID: each task of an array has its own number, all other
+// tasks have that of the job.
 func (t *Task) jobNumber() uint64 {
 	if t.inArray() {
 		return t.Number + uint64(t.taskIndex)
@@ -63,7 +63,7 @@
 	return t.Number
 }
 
-// rank is the task's number among those of its step. A batch script is the only one.
+// rank returns the task's index within its step. A batch script is the only task of its step.
 func (t *Task) rank() int {
 	if t.Step {
 		return t.taskIndex
@@ -71,7 +71,7 @@
 	return 0
 }
 
-// Environ returns the variables that differ between tasks, as NAME=VALUE.
+// Environ returns the task-specific environment variables, as NAME=VALUE.
 func (t *Task) Environ() []string {
 	number := formatUint(t.jobNumber())
 	env := []string{
--- a/internal/slurmtask/slurmtask_test.go
+++ b/internal/slurmtask/slurmtask_test.go
@@ -7,7 +7,7 @@
 	"github.com/wallrack/wallrack/internal/slurmtask"
 )
 
-// The variables and files of a task of an array and of one of a step are those of sbatch's manual.
+// The variables and files of array tasks and step tasks are as defined in sbatch's manual.
 func TestEnvironAndFilesOfArrayAndStepTasks(t *testing.T) {
 	c := &slurmtask.Context{Number: 40, Tasks: 3, Array: "2-6:2", Name: "tips", User: "erin", Output: "%x-%A_%03a.%j.out", Error: "/log/%N/%u.%%.err", Cluster: "c"}
 	task, err := c.NewTask(2, 2, "n-7")
@@ -27,7 +27,7 @@
 		t.Errorf("%s and %s", out, errs)
 	}
 	if _, err := c.NewTask(3, 1, "n-7"); err == nil {
-		t.Error("the array has a fourth task")
+		t.Error("a fourth task of an array of three is accepted")
 	}
 	step := &slurmtask.Context{Number: 50, Tasks: 2, Step: true, Output: `\%j`, Error: "%t.%s.%q"}
 	task, err = step.NewTask(1, 1, "n-7")
@@ -42,7 +42,7 @@
 	}
 }
 
-// No pattern makes a file name of any length.
+// The length of an expanded file name is limited by that of its pattern.
 func FuzzPattern(f *testing.F) {
 	f.Add("%A_%a.%9999999999j%")
 	f.Fuzz(func(t *testing.T, pattern string) {
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 		if out, _ := task.Files("/d"); len(out) > 20*len(pattern)+20 {
-			t.Errorf("%q makes %d bytes", pattern, len(out))
+			t.Errorf("%q expands to %d bytes", pattern, len(out))
 		}
 	})
 }
