--- a/internal/accounting/export/export_test.go
+++ b/internal/accounting/export/export_test.go
@@ -18,11 +18,11 @@
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// at is a time, in milliseconds, so many seconds after noon.
+// at returns the Unix time in milliseconds s seconds after noon.
 func at(s int) int64 { return noon.Add(time.Duration(s) * time.Second).UnixMilli() }
 
-// records are a job that ran from the first minute to the 61st, and one that was cancelled
-// while it waited.
+// records returns a job that ran for an hour from 12:01, and a job that was cancelled while it
+// was pending.
 func records() []*slurm.Record {
 	collector := slurm.NewCollector()
 	for _, r := range []accounting.Row{
@@ -62,11 +62,11 @@
 		t.Errorf("csv: %q", rows)
 	}
 	if err := export.Write(&asCSV, "xls", want); err == nil {
-		t.Error("an unknown format is written")
+		t.Error("an unknown format is accepted")
 	}
 }
 
-// Points are half an hour apart.
+// The five points are half an hour apart.
 func TestSeriesCountsWaitingRunningAndCost(t *testing.T) {
 	points := export.Series(records(), noon, noon.Add(2*time.Hour), 5)
 	got := make([][2]int, len(points))
@@ -77,10 +77,10 @@
 		t.Errorf("%v, not %v", got, want)
 	}
 	if cost := points[1].Cost; cost < 2.89 || cost > 2.91 {
-		t.Errorf("after half an hour it cost %v", cost)
+		t.Errorf("cost of %v after half an hour", cost)
 	}
 	if cost := points[4].Cost; cost < 5.99 || cost > 6.01 {
-		t.Errorf("in all it cost %v", cost)
+		t.Errorf("total cost of %v", cost)
 	}
 	var page bytes.Buffer
 	if err := export.Plot(&page, "a day", records(), noon, noon.Add(time.Hour), time.UTC); err != nil {
--- a/internal/accounting/export/format.go
+++ b/internal/accounting/export/format.go
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// writeCSV takes the columns and their order from the Parquet schema, and the values from the
-// JSON form, so that all formats hold the same.
+// writeCSV takes the columns and their order from the Parquet schema and the values from the
+// JSON encoding, so that all formats contain the same data.
 func writeCSV[T any](w io.Writer, rows []T) error {
 	writer := csv.NewWriter(w)
 	columns := parquet.SchemaOf(new(T)).Columns()
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var values map[string]any // of any struct type
+	var values map[string]any // a map, because T may be any struct type
 	if err := json.Unmarshal(data, &values); err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 	return cells, nil
 }
 
-// formatNumber writes whole numbers without an exponent.
+// formatNumber formats a number; whole numbers have no exponent.
 func formatNumber(f float64) string {
 	if f == float64(int64(f)) {
 		return fmt.Sprintf("%d", int64(f))
--- a/internal/accounting/export/line.go
+++ b/internal/accounting/export/line.go
@@ -1,6 +1,5 @@
-// Package export writes accounting as CSV, JSON and Parquet for other programs, and as
-// an HTML page with plots for people. It takes the records that package slurm has joined, and
-// holds no state.
+// Package export writes accounting records as CSV, JSON and Parquet for other programs, and as an
+// HTML page with plots. The records come from package slurm. The package holds no state.
 package export
 
 import (
@@ -8,9 +7,9 @@
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
-// Line is an exported row: a job, or an attempt of one of its tasks, which repeats what
-// identifies the job. Times are in milliseconds since 1970, 0 if not known. The tags of a
-// field name the same column.
+// Line is an exported row: a job or an attempt of one of its tasks. The line of an attempt repeats
+// the name, user, account and other attributes of its job. Times are in milliseconds since 1970,
+// 0 if unknown. Both tags of a field must have the same column name.
 type Line struct {
 	Kind            string  `json:"kind" parquet:"kind,dict"` // "job" or "attempt"
 	UID             string  `json:"uid" parquet:"uid"`
--- a/internal/accounting/export/plot.go
+++ b/internal/accounting/export/plot.go
@@ -15,8 +15,8 @@
 // plotPoints is the number of points of a plot.
 const plotPoints = 480
 
-// Plot writes an HTML page with plots of the waiting jobs, the running tasks and the cost from
-// one time to another. The page loads its drawing library from the network.
+// Plot writes an HTML page with plots of the waiting jobs, the running tasks and the accumulated
+// cost between two times. The page loads its chart library from the network.
 func Plot(w io.Writer, title string, records []*slurm.Record, from, to time.Time, zone *time.Location) error {
 	points := Series(records, from, to, plotPoints)
 	times := make([]string, len(points))
--- a/internal/accounting/export/recorded_test.go
+++ b/internal/accounting/export/recorded_test.go
@@ -25,8 +25,8 @@
 	recorded.Check(t, "line-none", export.Line{})
 }
 
-// The same rows as CSV, byte for byte, and the names and kinds of the columns of Parquet,
-// whose schema is called after the Go type.
+// The exact CSV output, and the names and types of the Parquet columns. The schema has the name of
+// the Go type.
 func TestRecordedTables(t *testing.T) {
 	var table bytes.Buffer
 	if err := export.Write(&table, "csv", []export.Line{fullLine(), {}}); err != nil {
--- a/internal/accounting/export/series.go
+++ b/internal/accounting/export/series.go
@@ -7,15 +7,15 @@
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
-// Point is the state of work at a time.
+// Point holds the numbers of waiting jobs and running tasks and the accumulated cost at a time.
 type Point struct {
 	At      time.Time
-	Waiting int     // jobs that wait for resources only
+	Waiting int     // jobs that wait only for resources
 	Running int     // running tasks
 	Cost    float64 // spent since the first point
 }
 
-// delta is what differs from a time on.
+// delta is the change of these numbers at a time.
 type delta struct {
 	atMs      int64
 	waiting   int     // jobs
@@ -23,34 +23,34 @@
 	costPerMs float64 // of running tasks
 }
 
-// Series returns the state of work at so many times from one to another, at equal distances.
-// What has no end yet lasts to the last one.
+// Series returns the given number of points at equal intervals between two times. Jobs and attempts
+// that have not ended are assumed to last until the last point.
 func Series(records []*slurm.Record, from, to time.Time, points int) []Point {
 	fromMs, toMs := from.UnixMilli(), to.UnixMilli()
 	changes := activityDeltas(records, toMs)
 	series := make([]Point, 0, points)
 	var now Point
-	costPerMs, costedMs, next := 0.0, fromMs, 0 // now.Cost is up to costedMs
+	costPerMs, costUpToMs, next := 0.0, fromMs, 0 // now.Cost is up to costUpToMs
 	for n := range points {
 		atMs := fromMs + (toMs-fromMs)*int64(n)/int64(max(1, points-1))
 		for ; next < len(changes) && changes[next].atMs <= atMs; next++ {
 			c := changes[next]
-			if c.atMs > costedMs {
-				now.Cost += costPerMs * float64(c.atMs-costedMs)
-				costedMs = c.atMs
+			if c.atMs > costUpToMs {
+				now.Cost += costPerMs * float64(c.atMs-costUpToMs)
+				costUpToMs = c.atMs
 			}
 			now.Waiting, now.Running, costPerMs = now.Waiting+c.waiting, now.Running+c.running, costPerMs+c.costPerMs
 		}
-		now.Cost += costPerMs * float64(max(0, atMs-costedMs))
-		costedMs = max(costedMs, atMs)
+		now.Cost += costPerMs * float64(max(0, atMs-costUpToMs))
+		costUpToMs = max(costUpToMs, atMs)
 		now.At = time.UnixMilli(atMs)
 		series = append(series, now)
 	}
 	return series
 }
 
-// activityDeltas returns the changes that records state, in the order of their times. What has no
-// end ends at endMs.
+// activityDeltas returns the changes that result from the starts and ends in records, ordered by
+// time. Jobs and attempts that have not ended are assumed to end at endMs.
 func activityDeltas(records []*slurm.Record, endMs int64) []delta {
 	var changes []delta
 	add := func(fromMs, toMs int64, c delta) {
@@ -71,7 +71,7 @@
 	return changes
 }
 
-// firstKnown returns the first time that is known, or 0.
+// firstKnown returns the first non-zero time, or 0 if there is none.
 func firstKnown(times ...int64) int64 {
 	for _, ms := range times {
 		if ms != 0 {
--- a/internal/accounting/page.go
+++ b/internal/accounting/page.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// formatPrefix leads a page's text; readers reject any other.
+	// formatPrefix starts a page's text. Readers reject pages with any other prefix.
 	formatPrefix = "1:"
-	// maxUnpackedBytes bounds the bytes that a page may unpack to: pages come from the network.
+	// maxUnpackedBytes limits the unpacked size of a page. Pages come from the network, and a
+	// malicious one could unpack to any size otherwise.
 	maxUnpackedBytes = 4 << 20
-	windowBytes      = 64 << 10 // how far back the encoder looks for repetitions
+	windowBytes      = 64 << 10 // compression window of the encoder
 )
 
 // KeyPrefix prefixes the keys of all pages in the state service.
@@ -24,11 +25,11 @@
 
 const dayLayout = "20060102"
 
-// Day returns the part of a page's key that names a day, in UTC.
+// Day returns the UTC day of a time, as YYYYMMDD. It is part of the pages' keys.
 func Day(at time.Time) string { return at.UTC().Format(dayLayout) }
 
-// DayPrefix returns the prefix of the keys of a day's pages. The day comes from a user: it must
-// be as Day returns it.
+// DayPrefix returns the prefix of the keys of a day's pages. It fails if the day, which may be user
+// input, is not in the format that Day returns.
 func DayPrefix(day string) (string, error) {
 	if _, err := time.Parse(dayLayout, day); err != nil {
 		return "", fmt.Errorf("day: %.20q is not YYYYMMDD", day)
@@ -40,7 +41,7 @@
 	return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(windowBytes), zstd.WithLowerEncoderMem(true))
 }
 
-// appendRows appends rows to a page's raw bytes.
+// appendRows appends the encoded rows to a page's uncompressed bytes.
 func appendRows(raw []byte, rows []Row) ([]byte, error) {
 	for i := range rows {
 		data, err := cbor.Marshal(rows[i])
@@ -52,10 +53,10 @@
 	return raw, nil
 }
 
-// Reader reads pages. It is safe for concurrent use.
+// Reader unpacks pages. It is safe for concurrent use.
 type Reader struct{ decoder *zstd.Decoder }
 
-// NewReader returns a reader, which must be closed.
+// NewReader returns a reader. The caller must close it.
 func NewReader() (*Reader, error) {
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxUnpackedBytes))
 	if err != nil {
@@ -67,8 +68,8 @@
 // Close releases the reader's goroutines and memory. The reader must not be used after it.
 func (r *Reader) Close() { r.decoder.Close() }
 
-// Unpack reads a page's text and calls each with its rows, in order; each may keep a row. After an
-// error each has got the rows before it.
+// Unpack unpacks a page's text and calls visit with each row, in order. visit may retain the
+// row. Unpack stops at the first error; visit has then been called with the rows before it.
 func (r *Reader) Unpack(text string, visit func(*Row)) error {
 	encoded, ok := strings.CutPrefix(text, formatPrefix)
 	if !ok {
--- a/internal/accounting/page_builder.go
+++ b/internal/accounting/page_builder.go
@@ -10,54 +10,56 @@
 )
 
 const (
-	pageOverhead = 64  // bytes of a page beside its rows
-	rowOverhead  = 110 // most bytes of a row beside its texts
-	quoteBytes   = 2   // bytes around a page's text in JSON
+	pageOverhead = 64  // upper bound of a page's bytes besides its rows
+	rowOverhead  = 110 // upper bound of an encoded row's bytes besides its strings
+	quoteBytes   = 2   // bytes of the quotes around a page's text in JSON
 )
 
-// PageBuilder builds the pages of one writer: it adds rows to the last page until that is full, so
-// that rows share a key, and each write changes one key of the state service. It is not safe
-// for concurrent use.
+// PageBuilder builds the pages of one writer. It appends rows to the last page until the page is
+// full, so that many rows share a key and each write changes only one key of the state service.
+// It is not safe for concurrent use.
 type PageBuilder struct {
 	id       uint64
-	maxBytes int // of a page
+	maxBytes int // maximum size of a page, including its JSON quotes
 	page     page
-	encoder  *zstd.Encoder // made with the first page
+	encoder  *zstd.Encoder // created by the first Add
 }
 
-// page is a page as it was last written.
+// page is the last page in its last written state.
 type page struct {
 	day     string
 	number  int
-	version uint64 // of its key; 0: not written yet
-	raw     []byte // rows before they are packed
+	version uint64 // version of the page's key; 0: not written yet
+	raw     []byte // encoded rows before compression
 }
 
-// PageWrite is a page to be written. Until its outcome is known, no other one may be made.
+// PageWrite is a pending write of a page. The caller must know its outcome before the next call of
+// PageBuilder.Add.
 type PageWrite struct {
 	Key     string
-	Version uint64 // that the key must have; 0: it must not exist
+	Version uint64 // expected current version of the key; 0: the key must not exist
 	Value   string
 	next    page
 }
 
-// NewPageBuilder returns a builder of pages of at most so many bytes. The id must never be used
-// again: it is part of the pages' keys, which nobody else writes.
+// NewPageBuilder returns a builder of pages of at most maxBytes bytes. The id must be unique and
+// must never be reused: it is part of the pages' keys, which no other writer may write.
 func NewPageBuilder(id uint64, maxBytes int) *PageBuilder {
 	return &PageBuilder{id: id, maxBytes: maxBytes}
 }
 
-// Capacity returns how many bytes of rows, by Row.Bytes, one write surely takes, even if packing
-// saves nothing: base64 makes four bytes of three.
+// Capacity returns the maximum total of Row.MaxEncodedBytes for one call of Add. Rows within this
+// limit fit into a page even if compression saves nothing; base64 turns three bytes into four.
 func (b *PageBuilder) Capacity() int { return b.maxBytes/4*3 - pageOverhead }
 
-// MaxEncodedBytes returns the most bytes that a row takes in a page.
+// MaxEncodedBytes returns an upper bound of the row's size in a page before base64 encoding.
 func (r *Row) MaxEncodedBytes() int {
 	return rowOverhead + len(r.UID) + len(r.State) + len(r.Name) + len(r.User) + len(r.Team) + len(r.Class) + len(r.Priority) + len(r.Array) + len(r.Worker)
 }
 
-// Add returns the write that adds rows, which must not have more bytes together than Room. The
-// book stays as it is until Done: a write that was not applied is made anew by a further Add.
+// Add returns the write that adds rows, whose total of Row.MaxEncodedBytes must not exceed
+// Capacity. The builder's state doesn't change until Applied is called: if the write was not
+// applied, the caller calls Add again.
 func (b *PageBuilder) Add(rows []Row, now time.Time) (PageWrite, error) {
 	day := Day(now)
 	if b.encoder == nil {
@@ -70,7 +72,7 @@
 	if next.day != day {
 		next = page{day: day, number: b.page.number + 1}
 	}
-	for range 2 { // the last page, then a new one
+	for range 2 { // first try the last page, then a new one
 		raw, err := appendRows(slices.Clone(next.raw), rows)
 		if err != nil {
 			return PageWrite{}, err
@@ -85,7 +87,7 @@
 	return PageWrite{}, fmt.Errorf("%d accounting rows do not fit a page of %d bytes", len(rows), b.maxBytes)
 }
 
-// Applied notes that a write was applied, and the version that its key has since.
+// Applied records that a write was applied, and the version that its key has after the write.
 func (b *PageBuilder) Applied(w PageWrite, version uint64) {
 	b.page = w.next
 	b.page.version = version
--- a/internal/accounting/pages_test.go
+++ b/internal/accounting/pages_test.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/accounting"
 )
 
-// makeRows returns makeRows of which each tenth is of a job, the others of attempts.
+// makeRows returns n rows: every tenth one of a job, the others of attempts.
 func makeRows(n int, rnd *rand.Rand) []accounting.Row {
 	out := make([]accounting.Row, n)
 	for i := range out {
@@ -31,8 +31,9 @@
 	return out
 }
 
-// writePages writes all rows in batches, of which it loses each fifth, over midnight. It returns
-// the pages by key, and the keys in the order of their first writes.
+// writePages writes all rows in batches, starting before midnight and ending after it. A fifth of
+// the writes, chosen at random, fails and is repeated. It returns the pages by key, and the keys
+// in the order of their first writes.
 func writePages(t *testing.T, rnd *rand.Rand, all []accounting.Row, maxBytes int) (pages map[string]string, keys []string) {
 	t.Helper()
 	builder := accounting.NewPageBuilder(9, maxBytes)
@@ -52,7 +53,7 @@
 			t.Fatalf("a page of %d bytes", len(write.Value))
 		}
 		if rnd.IntN(5) == 0 {
-			continue // it was not applied, and is made again
+			continue // the write failed; the same rows are added again
 		}
 		if _, exists := pages[write.Key]; exists != (write.Version > 0) {
 			t.Fatalf("%s exists: %v, but it is written over version %d", write.Key, exists, write.Version)
@@ -96,7 +97,7 @@
 	t.Logf("%.1f bytes a row in %d pages", float64(bytes)/float64(n), len(keys))
 }
 
-// Pages come over the network: nothing in them may do harm.
+// Pages come from the network: malformed ones must neither crash the reader nor exhaust memory.
 func FuzzUnpack(f *testing.F) {
 	builder := accounting.NewPageBuilder(1, 7<<10)
 	write, err := builder.Add(makeRows(30, rand.New(rand.NewPCG(1, 1))), time.Unix(0, 0))
@@ -118,7 +119,7 @@
 	})
 }
 
-// BenchmarkUnpack reads a million rows as a client does.
+// BenchmarkUnpack unpacks pages with a million rows, as a client does.
 func BenchmarkUnpack(b *testing.B) {
 	builder := accounting.NewPageBuilder(1, 14<<10)
 	all := makeRows(1_000_000, rand.New(rand.NewPCG(1, 2)))
--- a/internal/accounting/recorded_test.go
+++ b/internal/accounting/recorded_test.go
@@ -22,12 +22,13 @@
 	}
 }
 
-// recordedRow is a row's CBOR, as a page has it before it is packed.
+// recordedRow is a row's CBOR encoding, in hexadecimal, before compression.
 type recordedRow struct {
 	CBOR string `json:"cbor"`
 }
 
-// A row is an array without names: the order and the kinds of its fields are its form.
+// A row is encoded as an array without names, so the order and types of its fields must not
+// change.
 func TestRecordedRows(t *testing.T) {
 	for name, row := range map[string]Row{"row-full": fullRow(), "row-none": {}} {
 		data, err := appendRows(nil, []Row{row})
@@ -46,15 +47,15 @@
 	}
 }
 
-// recordedPage is a page as the state service has it.
+// recordedPage is a page as stored in the state service.
 type recordedPage struct {
 	Key   string `json:"path"`
 	Value string `json:"data"`
 }
 
-// A page that was recorded is read, and its rows are written to the same key as the same
-// text. Another release of the packing library may pack them otherwise: the page is read
-// all the same then, and a new one is to be recorded beside it.
+// The recorded page can be unpacked, and its rows result in the same key and text. A new release
+// of the compression library may produce another text; the old page must still be readable then,
+// and a new one is recorded in addition.
 func TestRecordedPages(t *testing.T) {
 	rows := []Row{fullRow(), {}, {Kind: RowJob, UID: "j-2", State: "CANCELLED", Tasks: 1}}
 	write, err := NewPageBuilder(0xab7, 7<<10).Add(rows, time.Date(2026, 11, 30, 23, 59, 0, 0, time.UTC))
