--- a/internal/accounting/export/series.go
+++ b/internal/accounting/export/series.go
@@ -29,22 +29,22 @@
 	fromMs, toMs := from.UnixMilli(), to.UnixMilli()
 	changes := activityDeltas(records, toMs)
 	series := make([]Point, 0, points)
-	var now Point
-	costPerMs, costUpToMs, next := 0.0, fromMs, 0 // now.Cost is up to costUpToMs
+	var current Point
+	costPerMs, costUpToMs, nextDelta := 0.0, fromMs, 0 // current.Cost covers the time up to costUpToMs
 	for n := range points {
 		atMs := fromMs + (toMs-fromMs)*int64(n)/int64(max(1, points-1))
-		for ; next < len(changes) && changes[next].atMs <= atMs; next++ {
-			c := changes[next]
+		for ; nextDelta < len(changes) && changes[nextDelta].atMs <= atMs; nextDelta++ {
+			c := changes[nextDelta]
 			if c.atMs > costUpToMs {
-				now.Cost += costPerMs * float64(c.atMs-costUpToMs)
+				current.Cost += costPerMs * float64(c.atMs-costUpToMs)
 				costUpToMs = c.atMs
 			}
-			now.Waiting, now.Running, costPerMs = now.Waiting+c.waiting, now.Running+c.running, costPerMs+c.costPerMs
+			current.Waiting, current.Running, costPerMs = current.Waiting+c.waiting, current.Running+c.running, costPerMs+c.costPerMs
 		}
-		now.Cost += costPerMs * float64(max(0, atMs-costUpToMs))
+		current.Cost += costPerMs * float64(max(0, atMs-costUpToMs))
 		costUpToMs = max(costUpToMs, atMs)
-		now.At = time.UnixMilli(atMs)
-		series = append(series, now)
+		current.At = time.UnixMilli(atMs)
+		series = append(series, current)
 	}
 	return series
 }
--- a/internal/slurm/dependency.go
+++ b/internal/slurm/dependency.go
@@ -29,11 +29,11 @@
 		separator, anyOne = "?", true
 	}
 	for _, part := range strings.Split(v, separator) {
-		ofPart, err := parseDependencyPart(part)
+		partDeps, err := parseDependencyPart(part)
 		if err != nil {
 			return nil, false, err
 		}
-		deps = append(deps, ofPart...)
+		deps = append(deps, partDeps...)
 	}
 	if len(deps) > jobspec.MaxDependencies {
 		return nil, false, fmt.Errorf("more than %d dependencies", jobspec.MaxDependencies)
@@ -66,7 +66,7 @@
 
 // parseDependencyJob parses a job number with an optional delay: JOB[+MINUTES].
 func parseDependencyJob(kind, id string) (jobspec.Dependency, error) {
-	number, delay, delayed := strings.Cut(id, "+")
+	number, delay, hasDelay := strings.Cut(id, "+")
 	if strings.Contains(number, "_") {
 		return jobspec.Dependency{}, fmt.Errorf("%.40q: dependencies on single tasks of an array are not supported by wallrack", id)
 	}
@@ -75,7 +75,7 @@
 	if dep.Number, err = strconv.ParseUint(number, 10, 47); err != nil || dep.Number == 0 {
 		return jobspec.Dependency{}, fmt.Errorf("%.40q is not a job's number", id)
 	}
-	if delayed {
+	if hasDelay {
 		minutes, err := strconv.ParseUint(delay, 10, 24)
 		if err != nil || kind != jobspec.After {
 			return jobspec.Dependency{}, fmt.Errorf("%.40q: minutes go with after only", id)
--- a/internal/slurm/description.go
+++ b/internal/slurm/description.go
@@ -13,32 +13,32 @@
 
 // setSpec sets the task spec: the program, its environment, working directory and output files.
 func (r *Request) setSpec(cmd Command, o *Options, w *Invocation, site *jobquery.Site) {
-	job, c, d := &r.Job, &r.Constraints, &r.Spec
-	d.CPUs, d.GPUs, d.MemoryGB = job.CPUs, job.GPUs, job.MemoryGB
-	d.Dir = w.Dir
+	job, c, spec := &r.Job, &r.Constraints, &r.Spec
+	spec.CPUs, spec.GPUs, spec.MemoryGB = job.CPUs, job.GPUs, job.MemoryGB
+	spec.Dir = w.Dir
 	if o.Dir != "" {
-		if d.Dir = o.Dir; !filepath.IsAbs(d.Dir) {
-			d.Dir = filepath.Join(w.Dir, o.Dir)
+		if spec.Dir = o.Dir; !filepath.IsAbs(spec.Dir) {
+			spec.Dir = filepath.Join(w.Dir, o.Dir)
 		}
 	}
-	d.Slurm = &slurmtask.Context{Tasks: job.Tasks, Array: c.Array, User: c.User, Output: o.Output, Error: o.Error, Step: cmd == Srun, Cluster: site.Cluster}
+	spec.Slurm = &slurmtask.Context{Tasks: job.Tasks, Array: c.Array, User: c.User, Output: o.Output, Error: o.Error, Step: cmd == Srun, Cluster: site.Cluster}
 	if cmd == Sbatch {
 		r.setScript(o, w)
 	} else {
-		d.Argv = w.Argv
+		spec.Argv = w.Argv
 		if c.Name == "" && len(w.Argv) > 0 {
 			c.Name = filepath.Base(w.Argv[0])
 		}
 	}
-	d.Slurm.Name = c.Name
-	d.Env = exportedEnv(o.Export, w.Env)
+	spec.Slurm.Name = c.Name
+	spec.Env = exportedEnv(o.Export, w.Env)
 	r.addSlurmEnv(o, w)
 }
 
 // setScript sets the batch script, the interpreter named by its first line, and the defaults
 // that depend on the script: the job's name and the output file.
 func (r *Request) setScript(o *Options, w *Invocation) {
-	c, d := &r.Constraints, &r.Spec
+	c, spec := &r.Constraints, &r.Spec
 	script := w.Script
 	if o.Wrap != "" {
 		script = "#!/bin/sh\n# This script was created by sbatch --wrap.\n\n" + o.Wrap + "\n"
@@ -46,18 +46,18 @@
 	}
 	line, _, _ := strings.Cut(strings.TrimPrefix(script, "#!"), "\n")
 	interpreter, arg, _ := strings.Cut(strings.TrimSpace(line), " ")
-	d.Argv = []string{interpreter}
+	spec.Argv = []string{interpreter}
 	if arg = strings.TrimSpace(arg); arg != "" {
-		d.Argv = append(d.Argv, arg)
+		spec.Argv = append(spec.Argv, arg)
 	}
-	d.Script, d.Args = script, w.Argv
+	spec.Script, spec.Args = script, w.Argv
 	if c.Name == "" {
 		c.Name = filepath.Base(w.ScriptName)
 	}
-	if d.Slurm.Output == "" {
-		d.Slurm.Output = "slurm-%j.out"
+	if spec.Slurm.Output == "" {
+		spec.Slurm.Output = "slurm-%j.out"
 		if c.Array != "" {
-			d.Slurm.Output = "slurm-%A_%a.out"
+			spec.Slurm.Output = "slurm-%A_%a.out"
 		}
 	}
 }
--- a/internal/slurm/option_values.go
+++ b/internal/slurm/option_values.go
@@ -81,14 +81,14 @@
 	case "INFINITE", "UNLIMITED", "-1":
 		return 0, nil
 	}
-	days, clock, withDays := strings.Cut(v, "-")
-	if !withDays {
+	days, clock, hasDays := strings.Cut(v, "-")
+	if !hasDays {
 		days, clock = "0", v
 	}
 	units := []float64{60}
 	parts := strings.Split(clock, ":")
 	switch {
-	case withDays && len(parts) <= 3:
+	case hasDays && len(parts) <= 3:
 		units = []float64{3600, 60, 1}[:len(parts)]
 	case len(parts) == 2:
 		units = []float64{60, 1}
@@ -116,8 +116,8 @@
 }
 
 func setArray(o *Options, v string, _ time.Time) error {
-	indices, limit, limited := strings.Cut(v, "%")
-	if limited {
+	indices, limit, hasLimit := strings.Cut(v, "%")
+	if hasLimit {
 		n, err := strconv.Atoi(limit)
 		if err != nil || n < 1 {
 			return fmt.Errorf("%.40q is not a number of tasks at once", limit)
@@ -149,7 +149,7 @@
 
 // parseGPUs parses a number of GPUs in the form [TYPE:]N and rejects values with a type.
 func parseGPUs(v string) (int, error) {
-	if name, _, typed := strings.Cut(v, ":"); typed {
+	if name, _, hasType := strings.Cut(v, ":"); hasType {
 		return 0, fmt.Errorf("type %.40q: types of GPU are not supported by wallrack; use --nodelist with a machine type", name)
 	}
 	n, err := strconv.Atoi(v)
@@ -173,11 +173,11 @@
 		o.GPUs = 0
 		return nil
 	}
-	name, number, counted := strings.Cut(strings.TrimPrefix(v, "gres/"), ":")
+	name, number, hasNumber := strings.Cut(strings.TrimPrefix(v, "gres/"), ":")
 	if name != "gpu" {
 		return fmt.Errorf("%.40q: no generic resource but gpu is supported by wallrack", name)
 	}
-	if !counted {
+	if !hasNumber {
 		number = "1"
 	}
 	o.GPUs, err = parseGPUs(number)
--- a/internal/slurm/sacct_lines.go
+++ b/internal/slurm/sacct_lines.go
@@ -43,9 +43,9 @@
 // AcctRows returns sacct's rows of a record: the allocation and the steps of each task that has
 // attempts, followed by one row for all tasks without attempts.
 func AcctRows(r *Record, o AcctOptions) []AcctRow {
-	l := acctRowBuilder{record: r, options: o, tasks: int(max(1, r.Job.Tasks))}
-	l.indices = indices(l.tasks, r.Job.Array)
-	l.base = AcctRow{Job: &r.Job, Name: orDefault(r.Job.Name, r.Job.Class), NowMs: o.NowMs, Zone: o.Zone, LimitS: r.LimitS}
+	b := acctRowBuilder{record: r, options: o, tasks: int(max(1, r.Job.Tasks))}
+	b.indices = indices(b.tasks, r.Job.Array)
+	b.base = AcctRow{Job: &r.Job, Name: orDefault(r.Job.Name, r.Job.Class), NowMs: o.NowMs, Zone: o.Zone, LimitS: r.LimitS}
 	var lines []AcctRow
 	ran := map[int]bool{}
 	for attempts := r.Attempts; len(attempts) > 0; {
@@ -53,7 +53,7 @@
 		for n < len(attempts) && attempts[n].Task == attempts[0].Task {
 			n++
 		}
-		allocation, steps := l.taskRows(attempts[:n])
+		allocation, steps := b.taskRows(attempts[:n])
 		lines = append(lines, allocation)
 		if !o.AllocationsOnly {
 			lines = append(lines, steps...)
@@ -61,8 +61,8 @@
 		ran[int(attempts[0].Task)] = true
 		attempts = attempts[n:]
 	}
-	if len(ran) < l.tasks {
-		lines = append(lines, l.notRunRow(ran))
+	if len(ran) < b.tasks {
+		lines = append(lines, b.notRunRow(ran))
 	}
 	return lines
 }
@@ -76,30 +76,30 @@
 	base    AcctRow        // fields that all rows share
 }
 
-func (l *acctRowBuilder) isArray() bool { return isArray(l.tasks, l.record.Job.Array) }
+func (b *acctRowBuilder) isArray() bool { return isArray(b.tasks, b.record.Job.Array) }
 
 // taskRows returns the row of a task's allocation and the rows of its steps, which are the task's
 // attempts. The allocation has the sums of all attempts and the state of the last one.
-func (l *acctRowBuilder) taskRows(attempts []accounting.Row) (allocation AcctRow, steps []AcctRow) {
-	job, task := &l.record.Job, int(attempts[0].Task)
-	row := l.base
+func (b *acctRowBuilder) taskRows(attempts []accounting.Row) (allocation AcctRow, steps []AcctRow) {
+	job, task := &b.record.Job, int(attempts[0].Task)
+	row := b.base
 	row.ID, row.RawID = strconv.FormatUint(job.Number, 10), strconv.FormatUint(job.Number+uint64(task), 10)
-	if l.isArray() {
-		row.ID += "_" + strconv.Itoa(l.indices.At(task))
+	if b.isArray() {
+		row.ID += "_" + strconv.Itoa(b.indices.At(task))
 	}
 	for i := range attempts {
-		step := l.stepRow(&row, &attempts[i], i)
+		step := b.stepRow(&row, &attempts[i], i)
 		row.UsefulS, row.LostS, row.Cost = row.UsefulS+step.UsefulS, row.LostS+step.LostS, row.Cost+step.Cost
 		row.State, row.Exit, row.StartMs, row.EndMs = step.State, step.Exit, step.StartMs, step.EndMs
 		row.Machine, row.CPUs, row.Restarts = step.Machine, step.CPUs, step.Restarts
-		if i == len(attempts)-1 || l.options.Duplicates {
+		if i == len(attempts)-1 || b.options.Duplicates {
 			steps = append(steps, step)
 		}
 	}
 	if row.State == jobspec.Preempted || row.State == jobspec.NodeFail {
 		// The task is retried, or it ended because its job ended.
 		row.State, row.EndMs = job.State, job.End
-		if l.record.Active {
+		if b.record.Active {
 			row.State = statePending
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 // stepRow returns the row of one attempt of an allocation.
-func (l *acctRowBuilder) stepRow(allocation *AcctRow, attempt *accounting.Row, restarts int) AcctRow {
+func (b *acctRowBuilder) stepRow(allocation *AcctRow, attempt *accounting.Row, restarts int) AcctRow {
 	step := *allocation
 	step.UsefulS, step.LostS, step.Cost = 0, 0, 0
 	step.ID, step.RawID, step.Name = step.ID+".batch", step.RawID+".batch", "batch"
@@ -118,7 +118,7 @@
 	}
 	endMs := attempt.End
 	if endMs == 0 {
-		endMs = l.options.NowMs
+		endMs = b.options.NowMs
 	}
 	ranS := float64(endMs-attempt.Start) / 1000
 	step.Cost = ranS / 3600 * step.Price
@@ -131,20 +131,20 @@
 }
 
 // notRunRow returns the row of the tasks without recorded attempts.
-func (l *acctRowBuilder) notRunRow(ran map[int]bool) AcctRow {
-	job := &l.record.Job
-	row := l.base
+func (b *acctRowBuilder) notRunRow(ran map[int]bool) AcctRow {
+	job := &b.record.Job
+	row := b.base
 	row.ID, row.RawID = strconv.FormatUint(job.Number, 10), strconv.FormatUint(job.Number, 10)
-	if l.isArray() {
+	if b.isArray() {
 		var missing []int
-		for task := range l.tasks {
+		for task := range b.tasks {
 			if !ran[task] {
-				missing = append(missing, l.indices.At(task))
+				missing = append(missing, b.indices.At(task))
 			}
 		}
 		row.ID += "_[" + jobspec.RangesOf(missing).String() + "]"
 	}
-	if l.record.Active && len(ran) > 0 {
+	if b.record.Active && len(ran) > 0 {
 		row.State = statePending
 		return row
 	}
--- a/internal/slurm/sacct_sums.go
+++ b/internal/slurm/sacct_sums.go
@@ -11,7 +11,7 @@
 type Sum struct {
 	Key            string  `json:"key" parquet:"key"`
 	Jobs           int     `json:"jobs" parquet:"jobs"`
-	Tasks          int     `json:"tasks" parquet:"tasks"` // completed tasks tasks
+	Tasks          int     `json:"tasks" parquet:"tasks"` // completed tasks
 	Attempts       int     `json:"attempts" parquet:"attempts"`
 	CPUHours       float64 `json:"cpu_hours" parquet:"cpu_hours"`
 	MemoryGBHours  float64 `json:"memory_gb_hours" parquet:"memory_gb_hours"`
--- a/internal/slurm/script.go
+++ b/internal/slurm/script.go
@@ -82,12 +82,12 @@
 	}
 	given := OptionValues{}
 	for _, l := range lines {
-		ofLine, arguments, err := ParseArgs(Sbatch, l.args)
+		lineOptions, arguments, err := ParseArgs(Sbatch, l.args)
 		if err == nil && len(arguments) > 0 {
 			err = &UsageError{Message: fmt.Sprintf("%.40q is not an option", arguments[0])}
 		}
 		if err == nil {
-			_, err = MergeOptions(Sbatch, now, ofLine)
+			_, err = MergeOptions(Sbatch, now, lineOptions)
 		}
 		var usage *UsageError
 		if errors.As(err, &usage) {
@@ -96,7 +96,7 @@
 		if err != nil {
 			return nil, &UsageError{Location: lineLocation(l.line), Message: err.Error()}
 		}
-		maps.Copy(given, ofLine)
+		maps.Copy(given, lineOptions)
 	}
 	return given, nil
 }
--- a/internal/slurm/slurm_test.go
+++ b/internal/slurm/slurm_test.go
@@ -26,7 +26,7 @@
 )
 
 // Every format of a time limit is parsed, and malformed ones are rejected (want -1).
-func TestParseLimitAcceptsSlurmsFormsOnly(t *testing.T) {
+func TestParseTimeLimitAcceptsOnlySlurmFormats(t *testing.T) {
 	for text, want := range map[string]float64{
 		"5": 300, "5:30": 330, "1:05:30": 3930, "2-3": 2*86400 + 3*3600, "2-3:04": 2*86400 + 3*3600 + 240, "1-00:00:01": 86401,
 		"0": 0, "INFINITE": 0, "unlimited": 0, "": -1, "1:x": -1, "1:2:3:4": -1, "-5": -1, "1-2-3": -1, "1-": -1, "99999999": -1,
@@ -257,15 +257,15 @@
 // A job id selects a job, ranges of its tasks by array index, or a single task by array index or
 // by the task's own job number.
 func TestJobSelectorMatchesJobsTasksAndRanges(t *testing.T) {
-	is := exampleJobs()
+	infos := exampleJobs()
 	for text, want := range map[string]int{"100": 6, "100_4": 1, "100_[2,4]": 2, "103": 1, "106": 1, "107": 0, "100_3": 0, "99": 0} {
 		target, err := slurm.ParseJobSelector(text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := 0
-		for i := range is {
-			for _, r := range slurm.QueueRows(&is[i], true, 0, time.UTC) {
+		for i := range infos {
+			for _, r := range slurm.QueueRows(&infos[i], true, 0, time.UTC) {
 				if (&slurm.QueueFilter{Jobs: []slurm.JobSelector{target}}).Matches(&r) {
 					n++
 				}
@@ -299,16 +299,16 @@
 	for _, r := range []accounting.Row{lost, done, job, failed, done, job} {
 		c.Add(&r)
 	}
-	recs := c.Records()
-	if len(recs) != 1 || len(recs[0].Attempts) != 3 || recs[0].Job.Start != lost.Start {
-		t.Fatalf("%+v", recs)
+	records := c.Records()
+	if len(records) != 1 || len(records[0].Attempts) != 3 || records[0].Job.Start != lost.Start {
+		t.Fatalf("%+v", records)
 	}
 	tb, err := slurm.AcctTable("JobID,State,ExitCode,ElapsedRaw,UsefulSec,LostSec,Cost,Restarts", "P")
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := "\n"
-	for _, l := range slurm.AcctRows(recs[0], slurm.AcctOptions{Duplicates: true, NowMs: at(0), Zone: time.UTC}) {
+	for _, l := range slurm.AcctRows(records[0], slurm.AcctOptions{Duplicates: true, NowMs: at(0), Zone: time.UTC}) {
 		got += tb.Row(&l)
 	}
 	if want := `
@@ -321,7 +321,7 @@
 `; got != want {
 		t.Errorf("%s", got)
 	}
-	sums, err := slurm.Summarize(recs, "account", time.UTC)
+	sums, err := slurm.Summarize(records, "account", time.UTC)
 	if err != nil || len(sums) != 1 || fmt.Sprintf("%.4f %.4f %.4f", sums[0].CPUHours, sums[0].LostCPUHours, sums[0].Cost) != "0.0278 0.0222 0.0500" || sums[0].TotalWaitS != 10 {
 		t.Errorf("%+v, %v", sums, err)
 	}
--- a/internal/slurm/sources.go
+++ b/internal/slurm/sources.go
@@ -104,12 +104,12 @@
 // resulting values. Relative times are resolved against now. The error is a *UsageError.
 func MergeOptions(_ Command, now time.Time, sources ...OptionValues) (*Options, error) {
 	o := &Options{Tasks: 1, CPUs: 1, Export: "ALL"}
-	all := OptionValues{}
+	merged := OptionValues{}
 	for _, source := range sources {
-		maps.Copy(all, source)
+		maps.Copy(merged, source)
 	}
 	for _, opt := range optionTable {
-		value, found := all[opt.name]
+		value, found := merged[opt.name]
 		if !found {
 			continue
 		}
--- a/internal/slurm/squeue_filter.go
+++ b/internal/slurm/squeue_filter.go
@@ -23,12 +23,12 @@
 
 // ParseJobSelector parses a job id such as 123, 123_4 or 123_[0-3,7]. The error is a *UsageError.
 func ParseJobSelector(s string) (JobSelector, error) {
-	number, tasks, withTasks := strings.Cut(s, "_")
+	number, tasks, hasTasks := strings.Cut(s, "_")
 	n, err := strconv.ParseUint(number, 10, 47)
 	if err != nil || n == 0 {
 		return JobSelector{}, invalidID(s)
 	}
-	if !withTasks {
+	if !hasTasks {
 		return JobSelector{Number: n, All: true}, nil
 	}
 	if inner, bracketed := strings.CutPrefix(tasks, "["); bracketed {
@@ -47,10 +47,10 @@
 // the given number of tasks and the given --array value. It fails if an index is not in the
 // array.
 func TasksByIndex(wanted jobspec.Ranges, tasks int, array string) (jobspec.Ranges, error) {
-	all := indices(tasks, array)
+	arrayIndices := indices(tasks, array)
 	var found []int
 	for index := range wanted.All() {
-		task := all.Find(index)
+		task := arrayIndices.Find(index)
 		if task < 0 {
 			return jobspec.Ranges{}, fmt.Errorf("the array has no task %d", index)
 		}
--- a/internal/slurm/squeue_rows.go
+++ b/internal/slurm/squeue_rows.go
@@ -76,7 +76,7 @@
 // its own row; otherwise one row stands for all pending tasks.
 func QueueRows(info *jobquery.Info, eachTask bool, nowMs int64, zone *time.Location) []QueueRow {
 	number := info.Constraints.Number
-	l := queueRowBuilder{
+	b := queueRowBuilder{
 		info: info, array: isArray(info.Job.Tasks, info.Constraints.Array), indices: indices(info.Job.Tasks, info.Constraints.Array),
 		base: QueueRow{Info: info, ID: strconv.FormatUint(number, 10), RawID: number, NowMs: nowMs, Zone: zone, Tasks: 1},
 	}
@@ -86,10 +86,10 @@
 		if err != nil {
 			return nil
 		}
-		rows = l.pendingRows(waiting, eachTask)
+		rows = b.pendingRows(waiting, eachTask)
 	}
 	for i := range info.Placements {
-		rows = append(rows, l.placedRow(&info.Placements[i]))
+		rows = append(rows, b.placedRow(&info.Placements[i]))
 	}
 	return rows
 }
@@ -103,10 +103,10 @@
 }
 
 // taskRow returns the row of one task without its state.
-func (l *queueRowBuilder) taskRow(task int) QueueRow {
-	row := l.base
-	if l.array {
-		row.Index = strconv.Itoa(l.indices.At(task))
+func (b *queueRowBuilder) taskRow(task int) QueueRow {
+	row := b.base
+	if b.array {
+		row.Index = strconv.Itoa(b.indices.At(task))
 		row.ID += "_" + row.Index
 		row.RawID += uint64(task)
 	}
@@ -114,46 +114,46 @@
 }
 
 // pendingRows returns the rows of the pending tasks.
-func (l *queueRowBuilder) pendingRows(tasks jobspec.Ranges, eachTask bool) (rows []QueueRow) {
-	if l.array && !eachTask {
-		rows = append(rows, l.pendingArrayRow(tasks))
+func (b *queueRowBuilder) pendingRows(tasks jobspec.Ranges, eachTask bool) (rows []QueueRow) {
+	if b.array && !eachTask {
+		rows = append(rows, b.pendingArrayRow(tasks))
 	} else {
 		for task := range tasks.All() {
-			rows = append(rows, l.taskRow(task))
+			rows = append(rows, b.taskRow(task))
 		}
 	}
 	state := statePending
-	if l.info.Stage == wire.StageCancelled {
+	if b.info.Stage == wire.StageCancelled {
 		state = stateCompleting
 	}
 	for i := range rows {
-		rows[i].State, rows[i].PendingReason = state, l.info.Reason
+		rows[i].State, rows[i].PendingReason = state, b.info.Reason
 	}
 	return rows
 }
 
 // pendingArrayRow returns the row that stands for all pending tasks of an array, without its
 // state.
-func (l *queueRowBuilder) pendingArrayRow(tasks jobspec.Ranges) QueueRow {
+func (b *queueRowBuilder) pendingArrayRow(tasks jobspec.Ranges) QueueRow {
 	var waiting []int
 	for task := range tasks.All() {
-		waiting = append(waiting, l.indices.At(task))
+		waiting = append(waiting, b.indices.At(task))
 	}
-	row := l.base
+	row := b.base
 	row.Index, row.Tasks = jobspec.RangesOf(waiting).String(), len(waiting)
-	if most := l.info.Constraints.MaxConcurrent; most > 0 {
-		row.Index += "%" + strconv.Itoa(most)
+	if maxConcurrent := b.info.Constraints.MaxConcurrent; maxConcurrent > 0 {
+		row.Index += "%" + strconv.Itoa(maxConcurrent)
 	}
 	row.ID += "_[" + row.Index + "]"
 	return row
 }
 
 // placedRow returns the row of a task that is placed on a worker.
-func (l *queueRowBuilder) placedRow(placement *jobquery.Placement) QueueRow {
-	row := l.taskRow(placement.Task)
+func (b *queueRowBuilder) placedRow(placement *jobquery.Placement) QueueRow {
+	row := b.taskRow(placement.Task)
 	row.State, row.Machine, row.StartMs = stateRunning, placement.Worker, placement.StartMs
 	switch {
-	case placement.Halted || l.info.Stage == wire.StageCancelled:
+	case placement.Halted || b.info.Stage == wire.StageCancelled:
 		row.State = stateCompleting
 	case placement.StartMs == 0:
 		row.State = stateConfiguring
--- a/internal/slurm/table.go
+++ b/internal/slurm/table.go
@@ -48,7 +48,7 @@
 }
 
 // line formats one line. The function returns the text of each column's cell.
-func (t *Table[R]) line(text func(c *column[R]) string) string {
+func (t *Table[R]) line(cellText func(c *column[R]) string) string {
 	var b strings.Builder
 	b.WriteString(t.prefix)
 	for i := range t.columns {
@@ -57,11 +57,11 @@
 			if i > 0 {
 				b.WriteByte('|')
 			}
-			b.WriteString(text(c))
+			b.WriteString(cellText(c))
 			continue
 		}
-		cell := pad(text(c), c.width, c.alignRight)
-		if t.sacctStyle && c.width > 0 && len([]rune(text(c))) > c.width {
+		cell := pad(cellText(c), c.width, c.alignRight)
+		if t.sacctStyle && c.width > 0 && len([]rune(cellText(c))) > c.width {
 			cell = string([]rune(cell)[:c.width-1]) + "+" // sacct marks truncated text
 		}
 		b.WriteString(cell)
@@ -129,13 +129,13 @@
 func parseFieldList[R any](option, spec, separator string, fields []field[R]) (*Table[R], error) {
 	t := &Table[R]{}
 	for _, part := range strings.Split(spec, ",") {
-		name, width, sized := strings.Cut(strings.TrimSpace(part), separator)
+		name, width, hasWidth := strings.Cut(strings.TrimSpace(part), separator)
 		k := slices.IndexFunc(fields, func(f field[R]) bool { return strings.EqualFold(f.name, name) })
 		if k < 0 {
 			return nil, &UsageError{Option: option, Message: fmt.Sprintf("Invalid field requested: %.60q", name)}
 		}
 		c := column[R]{field: fields[k], width: fields[k].width, alignRight: separator == "%"}
-		if sized {
+		if hasWidth {
 			if digits, found := strings.CutPrefix(width, "."); found {
 				width, c.alignRight = digits, true
 			}
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -106,16 +106,16 @@
 // priority returns the priority that --qos requests, "normal" by default. Every user may request
 // every priority. Any positive nice value selects the next lower priority.
 func priority(o *Options) (string, error) {
-	order := []string{"low", "normal", "urgent", "production"}
+	ascending := []string{"low", "normal", "urgent", "production"}
 	qos := cmp.Or(o.QOS, "normal")
-	at := slices.Index(order, qos)
-	if at < 0 {
-		return "", &UsageError{Option: "qos", Message: fmt.Sprintf("Invalid qos specification: %s (there are %s)", qos, strings.Join(order, ", "))}
+	index := slices.Index(ascending, qos)
+	if index < 0 {
+		return "", &UsageError{Option: "qos", Message: fmt.Sprintf("Invalid qos specification: %s (there are %s)", qos, strings.Join(ascending, ", "))}
 	}
 	if o.Nice > 0 {
-		at = max(0, at-1)
+		index = max(0, index-1)
 	}
-	return order[at], nil
+	return ascending[index], nil
 }
 
 // setResources sets the number of the job's tasks and the resources of each. With sbatch, each
@@ -150,18 +150,18 @@
 
 // setTasks sets the number of the job's tasks and returns the number of Slurm tasks that each of
 // them comprises.
-func (r *Request) setTasks(cmd Command, o *Options) (perTask int, err error) {
+func (r *Request) setTasks(cmd Command, o *Options) (slurmTasksPerTask int, err error) {
 	job, option := &r.Job, "array"
 	switch {
 	case cmd != Sbatch:
-		option, perTask = "ntasks", 1
+		option, slurmTasksPerTask = "ntasks", 1
 		if job.Tasks = o.Tasks; job.Tasks > 1 {
 			job.Kind = wire.KindGang // the tasks of a step run at the same time
 		}
 	case o.Array == "":
-		perTask = o.Tasks
+		slurmTasksPerTask = o.Tasks
 	default:
-		perTask = o.Tasks
+		slurmTasksPerTask = o.Tasks
 		indices, err := jobspec.ParseRanges(o.Array)
 		if err != nil {
 			return 0, &UsageError{Option: "array", Message: err.Error()}
@@ -171,5 +171,5 @@
 	if job.Tasks > wire.MaxTasks {
 		return 0, &UsageError{Option: option, Message: fmt.Sprintf("more than %d tasks", wire.MaxTasks)}
 	}
-	return perTask, nil
+	return slurmTasksPerTask, nil
 }
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -34,23 +34,23 @@
 	page := jobquery.Page{Jobs: []jobquery.Info{}, NowMs: time.Now().UnixMilli()}
 	leaders := s.peers.ShardLeaders()
 	if s.peers.Leads() {
-		part := s.Serve(ctx, req)
-		if part.Status == 0 {
+		localReply := s.Serve(ctx, req)
+		if localReply.Status == 0 {
 			writeProblem(w, http.StatusServiceUnavailable, 1, "the jobs are being loaded")
 			return
 		}
-		mergeReply(&page, part)
+		mergeReply(&page, localReply)
 	} else if len(leaders) == 0 {
 		writeProblem(w, http.StatusServiceUnavailable, 1, "nobody owns the jobs now")
 		return
 	}
 	for _, peer := range leaders {
-		rep, ok := s.queryPeer(ctx, peer, req)
+		reply, ok := s.queryPeer(ctx, peer, req)
 		if !ok {
 			writeProblem(w, http.StatusServiceUnavailable, 1, "an owner of jobs does not answer")
 			return
 		}
-		mergeReply(&page, rep)
+		mergeReply(&page, reply)
 	}
 	if len(leaders) > 0 {
 		sortAndTruncate(&page)
@@ -70,10 +70,10 @@
 
 // mergeReply appends one leader's jobs to a page. The page's continuation is the smallest of
 // those of the replies.
-func mergeReply(page *jobquery.Page, part Reply) {
-	page.Jobs = append(page.Jobs, part.Jobs...)
-	if part.Next != nil && (page.Next == nil || part.Next.Number < page.Next.Number) {
-		page.Next = part.Next
+func mergeReply(page *jobquery.Page, reply Reply) {
+	page.Jobs = append(page.Jobs, reply.Jobs...)
+	if reply.Next != nil && (page.Next == nil || reply.Next.Number < page.Next.Number) {
+		page.Next = reply.Next
 	}
 }
 
@@ -111,8 +111,8 @@
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
-		rep := s.queryShardLeader(ctx, req)
-		if rep.Status == 0 && verb == verbInfo {
+		reply := s.queryShardLeader(ctx, req)
+		if reply.Status == 0 && verb == verbInfo {
 			info, err := scheduler.StoredJobInfo(ctx, s.store, req.UID)
 			if err != nil {
 				s.writeError(w, err)
@@ -122,9 +122,9 @@
 				writeProblem(w, http.StatusServiceUnavailable, 1, "can't tell now")
 				return
 			}
-			rep = Reply{Status: http.StatusOK, Jobs: []jobquery.Info{info}}
+			reply = Reply{Status: http.StatusOK, Jobs: []jobquery.Info{info}}
 		}
-		writeJobReply(w, verb, rep)
+		writeJobReply(w, verb, reply)
 	}
 }
 
@@ -137,17 +137,17 @@
 
 // readTasks reads the tasks to cancel from a request body. The client receives its error texts.
 func readTasks(w http.ResponseWriter, r *http.Request) (string, error) {
-	var request struct {
+	var body struct {
 		Tasks string `json:"tasks"`
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxTasksBody))
-	if err != nil || json.Unmarshal(data, &request) != nil {
+	if err != nil || json.Unmarshal(data, &body) != nil {
 		return "", errors.New("tasks: ranges of numbers are needed")
 	}
-	if _, err := jobspec.ParseRanges(request.Tasks); err != nil {
+	if _, err := jobspec.ParseRanges(body.Tasks); err != nil {
 		return "", fmt.Errorf("tasks: %w", err)
 	}
-	return request.Tasks, nil
+	return body.Tasks, nil
 }
 
 // queryShardLeader returns the reply of the first peer that knows the outcome of the request. If no
--- a/internal/slurmapi/peer_requests.go
+++ b/internal/slurmapi/peer_requests.go
@@ -43,12 +43,12 @@
 func (s *Server) queryPeer(ctx context.Context, peer string, req Request) (Reply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	rep, err := s.peers.QueryLeader(ctx, peer, req)
+	reply, err := s.peers.QueryLeader(ctx, peer, req)
 	if err != nil {
 		s.log.Debug("peer query failed", "peer", peer, "err", err)
 		return Reply{}, false
 	}
-	return *rep, rep.Status != 0
+	return *reply, reply.Status != 0
 }
 
 // Serve serves a request from the jobs of the shards that this controller leads. It sends no
--- a/internal/slurmapi/response.go
+++ b/internal/slurmapi/response.go
@@ -44,9 +44,9 @@
 
 // writeJSONLines writes a JSON object with a list and other fields. Each item of the list is on its
 // own line, because no line of a response may exceed 64 KiB.
-func writeJSONLines[T any](w http.ResponseWriter, list string, items []T, others ...jsonField) {
+func writeJSONLines[T any](w http.ResponseWriter, listName string, items []T, fields ...jsonField) {
 	w.Header().Set("Content-Type", "application/json")
-	out := append([]byte(nil), `{"`+list+"\":["...)
+	out := append([]byte(nil), `{"`+listName+"\":["...)
 	for i := range items {
 		if i > 0 {
 			out = append(out, ',')
@@ -55,7 +55,7 @@
 		out = append(append(out, '\n'), data...)
 	}
 	out = append(out, "\n]"...)
-	for _, f := range others {
+	for _, f := range fields {
 		data, _ := json.Marshal(f.value)
 		out = append(append(out, `,"`+f.name+`":`...), data...)
 	}
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -103,11 +103,11 @@
 }
 
 // New returns a server. Register adds its handlers to a mux.
-func New(set *Settings, cfg *config.Platform, store Store, jobs Jobs, numbers *jobid.Allocator, peers Peers, in Submitter, catalog Catalog, log *slog.Logger) *Server {
+func New(slurmSettings *Settings, cfg *config.Platform, store Store, jobs Jobs, numbers *jobid.Allocator, peers Peers, jobSubmitter Submitter, catalog Catalog, log *slog.Logger) *Server {
 	failoverState, _ := jobs.(FailoverState)
 	return &Server{
-		settings: set, cfg: cfg, store: store, jobs: jobs, failoverState: failoverState, numbers: numbers, peers: peers, submitter: in, catalog: catalog, log: log,
-		limiter: newRateLimiter(set.ListingsPerS), requestSlots: make(chan struct{}, maxInFlight),
+		settings: slurmSettings, cfg: cfg, store: store, jobs: jobs, failoverState: failoverState, numbers: numbers, peers: peers, submitter: jobSubmitter, catalog: catalog, log: log,
+		limiter: newRateLimiter(slurmSettings.ListingsPerS), requestSlots: make(chan struct{}, maxInFlight),
 	}
 }
 
@@ -181,13 +181,13 @@
 	if parsed.DryRun {
 		verb = submission.VerbCheck
 	}
-	rep := s.submitter.Submit(r.Context(), submission.Request{Verb: verb, Body: parsed.Job, Constraints: parsed.Constraints})
+	reply := s.submitter.Submit(r.Context(), submission.Request{Verb: verb, Body: parsed.Job, Constraints: parsed.Constraints})
 	switch {
-	case rep.Status/100 == 2:
-		httpjson.Write(w, rep.Status, rep.State)
-	case rep.Status == 0:
+	case reply.Status/100 == 2:
+		httpjson.Write(w, reply.Status, reply.State)
+	case reply.Status == 0:
 		writeProblem(w, http.StatusServiceUnavailable, 1, "can't tell now")
 	default:
-		writeProblem(w, rep.Status, 1, rep.Reason)
+		writeProblem(w, reply.Status, 1, reply.Reason)
 	}
 }
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -47,14 +47,14 @@
 func (s *fakeServices) Txn(context.Context, []wire.Guard, ...wire.Op) (uint64, error) { return 1, nil }
 
 func (s *fakeServices) Page(_ context.Context, prefix, after string, limit int) ([]wire.Item, bool, error) {
-	at := sort.SearchStrings(s.keys, max(after+"\x00", prefix))
+	next := sort.SearchStrings(s.keys, max(after+"\x00", prefix))
 	var out []wire.Item
-	for ; at < len(s.keys) && len(out) < limit && strings.HasPrefix(s.keys[at], prefix); at++ {
-		data, _ := json.Marshal(s.pages[s.keys[at]])
-		out = append(out, wire.Item{Key: s.keys[at], Value: data})
+	for ; next < len(s.keys) && len(out) < limit && strings.HasPrefix(s.keys[next], prefix); next++ {
+		data, _ := json.Marshal(s.pages[s.keys[next]])
+		out = append(out, wire.Item{Key: s.keys[next], Value: data})
 	}
 	s.maxPageItems = max(s.maxPageItems, len(out))
-	return out, at < len(s.keys) && strings.HasPrefix(s.keys[at], prefix), nil
+	return out, next < len(s.keys) && strings.HasPrefix(s.keys[next], prefix), nil
 }
 
 func (s *fakeServices) ListJobs(jobquery.Cursor, int) ([]jobquery.Info, *jobquery.Cursor) {
@@ -74,7 +74,7 @@
 }
 
 func (s *fakeServices) QueryLeader(context.Context, string, slurmapi.Request) (*slurmapi.Reply, error) {
-	return nil, errors.New("cut off")
+	return nil, errors.New("peer unreachable")
 }
 
 func (s *fakeServices) handler(perS float64) http.Handler {
@@ -89,11 +89,11 @@
 // time, because simultaneous retries would exceed the rate again.
 func TestListingsBeyondTheRateLimitRetryOneAfterAnother(t *testing.T) {
 	s := &fakeServices{}
-	h := s.handler(5)
-	served, last, spread := 0, 0, map[int]int{}
+	handler := s.handler(5)
+	served, last, countByDelay := 0, 0, map[int]int{}
 	for range 500 {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/slurm/jobs", nil))
+		handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/slurm/jobs", nil))
 		switch w.Code {
 		case http.StatusOK:
 			served++
@@ -103,7 +103,7 @@
 				t.Fatalf("retry in %d s after %d s: %v", retryS, last, err)
 			}
 			last = retryS
-			spread[retryS]++
+			countByDelay[retryS]++
 		default:
 			t.Fatalf("status %d", w.Code)
 		}
@@ -111,7 +111,7 @@
 	if served < 10 || served > 15 || s.listCalls != served || last != 30 {
 		t.Errorf("%d served with %d listings, the last retries in %d s", served, s.listCalls, last)
 	}
-	for retryS, n := range spread {
+	for retryS, n := range countByDelay {
 		if retryS < 30 && n > 6 {
 			t.Errorf("%d are to retry in %d s", n, retryS)
 		}
@@ -121,7 +121,7 @@
 // The status is 503 for an unknown outcome, 422 for an invalid request and 404 for an unknown job.
 func TestResponseStatuses(t *testing.T) {
 	s := &fakeServices{}
-	h := s.handler(1000)
+	handler := s.handler(1000)
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -142,14 +142,14 @@
 		{"GET", "/accounting/20261201", "", 200},
 	} {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+		handler.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
 		if w.Code != c.status || c.status == 503 && w.Header().Get("Retry-After") == "" {
 			t.Errorf("%s %s %s: %d, not %d: %s", c.method, c.path, c.body, w.Code, c.status, w.Body)
 		}
 	}
 	s.leads = false
 	w := httptest.NewRecorder()
-	if h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/slurm/jobs", nil)); w.Code != 503 {
+	if handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/slurm/jobs", nil)); w.Code != 503 {
 		t.Errorf("a listing while no controller leads jobs: %d", w.Code)
 	}
 }
@@ -229,7 +229,7 @@
 func TestRecordedResponses(t *testing.T) {
 	s := &fakeServices{jobs: []jobquery.Info{{Job: wire.Job{UID: "j-1"}, Constraints: &jobspec.Constraints{Number: 4}, Stage: wire.StageQueued}}}
 	s.keys, s.pages = []string{"acct/20261130/7-1"}, map[string]string{"acct/20261130/7-1": "1:AAAA"}
-	h := s.handler(1000)
+	handler := s.handler(1000)
 	const job = `{"job":{"uid":"j-1","docket":"","crew":"","sort":"","urgency":"","pieces":0,"cpus":0,"cards":0,"memoryGb":0,"kit":"","pullGb":0,"reckonS":0},` +
 		`"terms":{"n":4},"at":0,"stage":"queued","queued":0,"running":0,"done":0}`
 	for _, c := range []struct{ method, path, body, want string }{
@@ -241,7 +241,7 @@
 		{"GET", "/slurm/site", "", `{"cluster":"c","accounting":false,"partition":"","account":"","partitions":null,"accounts":null,"zones":null,"types":null}`},
 	} {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+		handler.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
 		got := nowField.ReplaceAllString(w.Body.String(), `"now":NOW`)
 		got = strings.Replace(got, `"now":NOW,"next":null`, `"next":null,"now":NOW`, 1) // the fields may be in either order
 		if got != c.want {
--- a/internal/slurmtask/files.go
+++ b/internal/slurmtask/files.go
@@ -22,11 +22,11 @@
 	if pattern == "" {
 		return ""
 	}
-	name := t.expand(pattern)
-	if filepath.IsAbs(name) {
-		return name
+	expanded := t.expand(pattern)
+	if filepath.IsAbs(expanded) {
+		return expanded
 	}
-	return filepath.Join(dir, name)
+	return filepath.Join(dir, expanded)
 }
 
 // maxPadding limits the width to which numbers are padded. Without it, a short pattern could
