--- a/cmd/wallctl/scontrol.go
+++ b/cmd/wallctl/scontrol.go
@@ -66,7 +66,7 @@
 	if wire.ValidJobID(name) {
 		return name, nil
 	}
-	target, err := slurm.ParseTarget(name)
+	target, err := slurm.ParseJobSelector(name)
 	if err != nil {
 		return "", err
 	}
@@ -124,7 +124,7 @@
 	oneClass := *site
 	oneClass.Classes = []string{site.Class} // otherwise each worker would be listed once for each class
 	shown := 0
-	for _, row := range slurm.Nodes(workers, &oneClass, true) {
+	for _, row := range slurm.NodeRows(workers, &oneClass, true) {
 		if len(names) > 0 && !slices.Contains(names, row.Name) {
 			continue
 		}
@@ -134,7 +134,7 @@
 		shown++
 	}
 	if shown == 0 && len(names) > 0 {
-		return &slurm.UsageError{Why: fmt.Sprintf("Node %s not found", strings.Join(names, ","))}
+		return &slurm.UsageError{Message: fmt.Sprintf("Node %s not found", strings.Join(names, ","))}
 	}
 	return nil
 }
--- a/internal/accounting/pages_test.go
+++ b/internal/accounting/pages_test.go
@@ -9,8 +9,8 @@
 	"github.com/wallrack/wallrack/internal/accounting"
 )
 
-// rows returns rows of which each tenth is of a job, the others of attempts.
-func rows(n int, rnd *rand.Rand) []accounting.Row {
+// makeRows returns n rows: every tenth one of a job, the others of attempts.
+func makeRows(n int, rnd *rand.Rand) []accounting.Row {
 	out := make([]accounting.Row, n)
 	for i := range out {
 		start := int64(1_700_000_000_000 + i*37)
@@ -31,20 +31,21 @@
 	return out
 }
 
-// writePages writes all rows in batches, of which it loses each fifth, over midnight. It returns
-// the pages by key, and the keys in the order of their first writes.
+// writePages writes all rows in batches, starting before midnight and ending after it. A fifth of
+// the writes, chosen at random, fails and is repeated. It returns the pages by key, and the keys
+// in the order of their first writes.
 func writePages(t *testing.T, rnd *rand.Rand, all []accounting.Row, maxBytes int) (pages map[string]string, keys []string) {
 	t.Helper()
-	book := accounting.NewPageBuilder(9, maxBytes)
+	builder := accounting.NewPageBuilder(9, maxBytes)
 	pages = map[string]string{}
 	now := time.Date(2026, 11, 30, 23, 59, 0, 0, time.UTC)
 	for from := 0; from < len(all); {
-		to, room := from, book.Room()
-		for to < len(all) && to < from+1+rnd.IntN(60) && room >= all[to].Bytes() {
-			room -= all[to].Bytes()
+		to, capacity := from, builder.Capacity()
+		for to < len(all) && to < from+1+rnd.IntN(60) && capacity >= all[to].MaxEncodedBytes() {
+			capacity -= all[to].MaxEncodedBytes()
 			to++
 		}
-		write, err := book.Add(all[from:to], now)
+		write, err := builder.Add(all[from:to], now)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,7 +53,7 @@
 			t.Fatalf("a page of %d bytes", len(write.Value))
 		}
 		if rnd.IntN(5) == 0 {
-			continue // it was not applied, and is made again
+			continue // the write failed; the same rows are added again
 		}
 		if _, exists := pages[write.Key]; exists != (write.Version > 0) {
 			t.Fatalf("%s exists: %v, but it is written over version %d", write.Key, exists, write.Version)
@@ -61,16 +62,16 @@
 			keys = append(keys, write.Key)
 		}
 		pages[write.Key] = write.Value
-		book.Applied(write, uint64(from+1))
+		builder.Applied(write, uint64(from+1))
 		from = to
 		now = now.Add(3 * time.Second)
 	}
 	return pages, keys
 }
 
-func TestRowsStandOnceAndInOrderDespiteFailedWrites(t *testing.T) {
+func TestRowsAreStoredOnceAndInOrderDespiteFailedWrites(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
-	all := rows(3000, rnd)
+	all := makeRows(3000, rnd)
 	pages, keys := writePages(t, rnd, all, 7<<10)
 	reader, err := accounting.NewReader()
 	if err != nil {
@@ -96,10 +97,10 @@
 	t.Logf("%.1f bytes a row in %d pages", float64(bytes)/float64(n), len(keys))
 }
 
-// Pages come over the network: nothing in them may do harm.
+// Pages come from the network: malformed ones must neither crash the reader nor exhaust memory.
 func FuzzUnpack(f *testing.F) {
-	book := accounting.NewPageBuilder(1, 7<<10)
-	write, err := book.Add(rows(30, rand.New(rand.NewPCG(1, 1))), time.Unix(0, 0))
+	builder := accounting.NewPageBuilder(1, 7<<10)
+	write, err := builder.Add(makeRows(30, rand.New(rand.NewPCG(1, 1))), time.Unix(0, 0))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -118,18 +119,18 @@
 	})
 }
 
-// BenchmarkUnpack reads a million rows as a client does.
+// BenchmarkUnpack unpacks pages with a million rows, as a client does.
 func BenchmarkUnpack(b *testing.B) {
-	book := accounting.NewPageBuilder(1, 14<<10)
-	all := rows(1_000_000, rand.New(rand.NewPCG(1, 2)))
+	builder := accounting.NewPageBuilder(1, 14<<10)
+	all := makeRows(1_000_000, rand.New(rand.NewPCG(1, 2)))
 	pages := map[string]string{}
 	for from := 0; from < len(all); from += 60 {
-		write, err := book.Add(all[from:min(from+60, len(all))], time.Unix(0, 0))
+		write, err := builder.Add(all[from:min(from+60, len(all))], time.Unix(0, 0))
 		if err != nil {
 			b.Fatal(err)
 		}
 		pages[write.Key] = write.Value
-		book.Applied(write, uint64(from+1))
+		builder.Applied(write, uint64(from+1))
 	}
 	bytes := 0
 	for _, page := range pages {
--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -94,7 +94,7 @@
 	if err := c.assembleClients(); err != nil {
 		return nil, err
 	}
-	c.assembleScheduler(o.Slurm != nil && o.Slurm.Accounts)
+	c.assembleScheduler(o.Slurm != nil && o.Slurm.AccountingEnabled)
 	c.assembleDispatcher(ctx)
 	c.alerts = slo.New(c.cfg.Params.Objectives, c.scheduler, c.log)
 	lis, err := mesh.Listen(ctx, c.cfg.Listen)
--- a/internal/shardlog/transaction.go
+++ b/internal/shardlog/transaction.go
@@ -16,7 +16,7 @@
 	endedJobs  []*jobstate.Job
 
 	pageBuilder         *accounting.PageBuilder // builder of page
-	page                accounting.Write
+	page                accounting.PageWrite
 	rows                []accounting.Row  // rows on page
 	unloggedChanges     []jobstate.Change // changes of which only the accounting rows are written
 	unattachedRowsTaken int               // number of rows taken from the front of state.UnattachedRows
--- a/internal/shardlog/transaction_builder.go
+++ b/internal/shardlog/transaction_builder.go
@@ -64,11 +64,11 @@
 func (b *transactionBuilder) reservePage() {
 	unattached := b.writer.state.StandaloneRows
 	b.maxOps--
-	b.pageBytesLeft = b.writer.pageBuilder.Room()
+	b.pageBytesLeft = b.writer.pageBuilder.Capacity()
 	b.bytes += b.maxValueBytes
 	taken := 0
-	for taken < len(unattached) && b.pageBytesLeft >= unattached[taken].Bytes() {
-		b.pageBytesLeft -= unattached[taken].Bytes()
+	for taken < len(unattached) && b.pageBytesLeft >= unattached[taken].MaxEncodedBytes() {
+		b.pageBytesLeft -= unattached[taken].MaxEncodedBytes()
 		taken++
 	}
 	b.unattachedRowsTaken = taken
@@ -134,11 +134,11 @@
 	record := newRecordBuilder(shardLog.seq + 1)
 	taken := 0
 	for _, change := range queue {
-		if record.bytes >= b.maxValueBytes || change.Row != nil && b.pageBytesLeft < change.Row.Bytes() {
+		if record.bytes >= b.maxValueBytes || change.Row != nil && b.pageBytesLeft < change.Row.MaxEncodedBytes() {
 			break
 		}
 		if change.Row != nil {
-			b.pageBytesLeft -= change.Row.Bytes()
+			b.pageBytesLeft -= change.Row.MaxEncodedBytes()
 			b.rows = append(b.rows, *change.Row)
 			record.rowChanges = append(record.rowChanges, change)
 		}
@@ -211,7 +211,7 @@
 		var row accounting.Row
 		if b.writer.pageBuilder != nil {
 			row = b.writer.state.JobRow(job)
-			if b.attemptRowsLeft || b.pageBytesLeft < row.Bytes() {
+			if b.attemptRowsLeft || b.pageBytesLeft < row.MaxEncodedBytes() {
 				b.hasMore = true // the rows of its attempts must be written first
 				continue
 			}
@@ -225,7 +225,7 @@
 		b.bytes += bytes
 		b.addEnd(job, changes)
 		if b.writer.pageBuilder != nil {
-			b.pageBytesLeft -= row.Bytes()
+			b.pageBytesLeft -= row.MaxEncodedBytes()
 			b.rows = append(b.rows, row)
 		}
 	}
--- a/internal/slurm/dependency.go
+++ b/internal/slurm/dependency.go
@@ -18,7 +18,8 @@
 	return nil
 }
 
-// parseDependency parses a dependency list. anyOne says that one satisfied dependency is enough.
+// parseDependency parses the value of --dependency. anyOne reports whether one satisfied
+// dependency is sufficient for the job to start.
 func parseDependency(v string) (deps []jobspec.Dependency, anyOne bool, err error) {
 	separator := ","
 	if strings.Contains(v, "?") {
@@ -28,11 +29,11 @@
 		separator, anyOne = "?", true
 	}
 	for _, part := range strings.Split(v, separator) {
-		ofPart, err := parseDependencyPart(part)
+		partDeps, err := parseDependencyPart(part)
 		if err != nil {
 			return nil, false, err
 		}
-		deps = append(deps, ofPart...)
+		deps = append(deps, partDeps...)
 	}
 	if len(deps) > jobspec.MaxDependencies {
 		return nil, false, fmt.Errorf("more than %d dependencies", jobspec.MaxDependencies)
@@ -40,7 +41,7 @@
 	return deps, anyOne, nil
 }
 
-// parseDependencyPart parses one KIND:JOB[:JOB...], or singleton.
+// parseDependencyPart parses one element of a dependency list: KIND:JOB[:JOB...] or singleton.
 func parseDependencyPart(part string) (deps []jobspec.Dependency, err error) {
 	if part == "singleton" {
 		return []jobspec.Dependency{{Kind: jobspec.Singleton}}, nil
@@ -63,9 +64,9 @@
 	return deps, nil
 }
 
-// parseDependencyJob parses JOB[+MINUTES].
+// parseDependencyJob parses a job number with an optional delay: JOB[+MINUTES].
 func parseDependencyJob(kind, id string) (jobspec.Dependency, error) {
-	number, delay, delayed := strings.Cut(id, "+")
+	number, delay, hasDelay := strings.Cut(id, "+")
 	if strings.Contains(number, "_") {
 		return jobspec.Dependency{}, fmt.Errorf("%.40q: dependencies on single tasks of an array are not supported by wallrack", id)
 	}
@@ -74,7 +75,7 @@
 	if dep.Number, err = strconv.ParseUint(number, 10, 47); err != nil || dep.Number == 0 {
 		return jobspec.Dependency{}, fmt.Errorf("%.40q is not a job's number", id)
 	}
-	if delayed {
+	if hasDelay {
 		minutes, err := strconv.ParseUint(delay, 10, 24)
 		if err != nil || kind != jobspec.After {
 			return jobspec.Dependency{}, fmt.Errorf("%.40q: minutes go with after only", id)
@@ -84,7 +85,7 @@
 	return dep, nil
 }
 
-// formatDependencies formats a job's dependencies as --dependency has them.
+// formatDependencies formats a job's dependencies in the syntax of --dependency.
 func formatDependencies(c *jobspec.Constraints) string {
 	parts := make([]string, 0, len(c.Dependencies))
 	for _, dep := range c.Dependencies {
--- a/internal/slurm/description.go
+++ b/internal/slurm/description.go
@@ -11,34 +11,34 @@
 	"github.com/wallrack/wallrack/internal/slurmtask"
 )
 
-// describe sets what the job's tasks run.
-func (r *Request) describe(cmd Command, o *Options, w *Work, site *jobquery.Site) {
-	job, c, d := &r.Job, &r.Constraints, &r.Spec
-	d.CPUs, d.GPUs, d.MemoryGB = job.CPUs, job.GPUs, job.MemoryGB
-	d.Dir = w.Dir
+// setSpec sets the task spec: the program, its environment, working directory and output files.
+func (r *Request) setSpec(cmd Command, o *Options, w *Invocation, site *jobquery.Site) {
+	job, c, spec := &r.Job, &r.Constraints, &r.Spec
+	spec.CPUs, spec.GPUs, spec.MemoryGB = job.CPUs, job.GPUs, job.MemoryGB
+	spec.Dir = w.Dir
 	if o.Dir != "" {
-		if d.Dir = o.Dir; !filepath.IsAbs(d.Dir) {
-			d.Dir = filepath.Join(w.Dir, o.Dir)
+		if spec.Dir = o.Dir; !filepath.IsAbs(spec.Dir) {
+			spec.Dir = filepath.Join(w.Dir, o.Dir)
 		}
 	}
-	d.Slurm = &slurmtask.Context{Tasks: job.Tasks, Array: c.Array, User: c.User, Output: o.Output, Error: o.Error, Step: cmd == Srun, Cluster: site.Cluster}
+	spec.Slurm = &slurmtask.Context{Tasks: job.Tasks, Array: c.Array, User: c.User, Output: o.Output, Error: o.Error, Step: cmd == Srun, Cluster: site.Cluster}
 	if cmd == Sbatch {
-		r.describeScript(o, w)
+		r.setScript(o, w)
 	} else {
-		d.Argv = w.Argv
+		spec.Argv = w.Argv
 		if c.Name == "" && len(w.Argv) > 0 {
 			c.Name = filepath.Base(w.Argv[0])
 		}
 	}
-	d.Slurm.Name = c.Name
-	d.Env = exported(o.Export, w.Env)
+	spec.Slurm.Name = c.Name
+	spec.Env = exportedEnv(o.Export, w.Env)
 	r.addSlurmEnv(o, w)
 }
 
-// describeScript sets the batch script, the interpreter that its first line names, and the
-// defaults that depend on it: the job's name and the output file.
-func (r *Request) describeScript(o *Options, w *Work) {
-	c, d := &r.Constraints, &r.Spec
+// setScript sets the batch script, the interpreter named by its first line, and the defaults
+// that depend on the script: the job's name and the output file.
+func (r *Request) setScript(o *Options, w *Invocation) {
+	c, spec := &r.Constraints, &r.Spec
 	script := w.Script
 	if o.Wrap != "" {
 		script = "#!/bin/sh\n# This script was created by sbatch --wrap.\n\n" + o.Wrap + "\n"
@@ -46,25 +46,25 @@
 	}
 	line, _, _ := strings.Cut(strings.TrimPrefix(script, "#!"), "\n")
 	interpreter, arg, _ := strings.Cut(strings.TrimSpace(line), " ")
-	d.Argv = []string{interpreter}
+	spec.Argv = []string{interpreter}
 	if arg = strings.TrimSpace(arg); arg != "" {
-		d.Argv = append(d.Argv, arg)
+		spec.Argv = append(spec.Argv, arg)
 	}
-	d.Script, d.Args = script, w.Argv
+	spec.Script, spec.Args = script, w.Argv
 	if c.Name == "" {
-		c.Name = filepath.Base(w.File)
+		c.Name = filepath.Base(w.ScriptName)
 	}
-	if d.Slurm.Output == "" {
-		d.Slurm.Output = "slurm-%j.out"
+	if spec.Slurm.Output == "" {
+		spec.Slurm.Output = "slurm-%j.out"
 		if c.Array != "" {
-			d.Slurm.Output = "slurm-%A_%a.out"
+			spec.Slurm.Output = "slurm-%A_%a.out"
 		}
 	}
 }
 
-// addSlurmEnv adds the variables that are the same for all tasks of a job. The others are added
-// on the worker, by package slurmtask.
-func (r *Request) addSlurmEnv(o *Options, w *Work) {
+// addSlurmEnv adds the environment variables that are the same for all tasks of a job. The
+// worker adds the task-specific variables, using package slurmtask.
+func (r *Request) addSlurmEnv(o *Options, w *Invocation) {
 	job, env := &r.Job, r.Spec.Env
 	maps.Copy(env, map[string]string{
 		"SLURM_SUBMIT_DIR": w.Dir, "SLURM_SUBMIT_HOST": w.Host, "SLURM_JOB_PARTITION": job.Class, "SLURM_JOB_ACCOUNT": job.Team, "SLURM_JOB_QOS": job.Priority,
@@ -83,9 +83,9 @@
 	}
 }
 
-// exported returns the user's variables that --export selects. Those of an enclosing job are
-// left out: its SLURM_* and SBATCH_* variables describe another job.
-func exported(export string, env []string) map[string]string {
+// exportedEnv returns the user's environment variables selected by --export. It omits SLURM_*
+// and SBATCH_* variables: if the user submits from within a job, they describe that other job.
+func exportedEnv(export string, env []string) map[string]string {
 	all := map[string]string{}
 	for _, setting := range env {
 		name, value, found := strings.Cut(setting, "=")
--- a/internal/slurm/option_values.go
+++ b/internal/slurm/option_values.go
@@ -10,48 +10,48 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// text sets a string that must not be empty.
-func text(at func(o *Options) *string) setter {
+// setText returns a setter for a string option, which must not be empty.
+func setText(dest func(o *Options) *string) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		if v == "" {
 			return errors.New("a value is needed")
 		}
-		*at(o) = v
+		*dest(o) = v
 		return nil
 	}
 }
 
-// flag sets an option without a value.
-func flag(at func(o *Options) *bool) setter {
+// setFlag returns a setter for a boolean option.
+func setFlag(dest func(o *Options) *bool) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		on, err := strconv.ParseBool(v)
-		*at(o) = on
+		*dest(o) = on
 		return err
 	}
 }
 
-// count sets a number from least to a million.
-func count(least int, at func(o *Options) *int) setter {
+// setCount returns a setter for an integer from minimum to 1,000,000.
+func setCount(minimum int, dest func(o *Options) *int) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		n, err := strconv.Atoi(v)
-		if err != nil || n < least || n > 1_000_000 {
-			return fmt.Errorf("%.40q is not a number from %d", v, least)
+		if err != nil || n < minimum || n > 1_000_000 {
+			return fmt.Errorf("%.40q is not a number from %d", v, minimum)
 		}
-		*at(o) = n
+		*dest(o) = n
 		return nil
 	}
 }
 
-// memory sets an amount of memory in MB.
-func memory(at func(o *Options) *float64) setter {
+// setMemory returns a setter for an amount of memory, which is stored in MB.
+func setMemory(dest func(o *Options) *float64) setter {
 	return func(o *Options, v string, _ time.Time) (err error) {
-		*at(o), err = ParseMemoryMB(v)
+		*dest(o), err = ParseMemoryMB(v)
 		return err
 	}
 }
 
 // ParseMemoryMB parses an amount of memory, in megabytes or with the unit K, M, G or T, and
-// returns it in megabytes. Zero, which is all of a node in Slurm, is refused.
+// returns it in megabytes. Zero, with which Slurm requests all memory of a node, is rejected.
 func ParseMemoryMB(v string) (float64, error) {
 	units := map[byte]float64{'K': 1. / 1024, 'M': 1, 'G': 1024, 'T': 1024 * 1024}
 	number, unit := v, 1.0
@@ -70,25 +70,25 @@
 	return float64(n) * unit, nil
 }
 
-// maxLimitS is the longest time limit that a job may have.
-const maxLimitS = 366 * 24 * 3600
+// maxTimeLimitS is the longest time limit that a job may request, in seconds.
+const maxTimeLimitS = 366 * 24 * 3600
 
-// ParseLimit parses a time limit in any of Slurm's forms and returns it in seconds; 0 is
-// unlimited.
-func ParseLimit(v string) (float64, error) {
+// ParseTimeLimit parses a time limit in any of Slurm's formats and returns it in seconds; 0
+// means unlimited.
+func ParseTimeLimit(v string) (float64, error) {
 	invalid := fmt.Errorf("%.40q is not a time limit", v)
 	switch strings.ToUpper(v) {
 	case "INFINITE", "UNLIMITED", "-1":
 		return 0, nil
 	}
-	days, clock, withDays := strings.Cut(v, "-")
-	if !withDays {
+	days, clock, hasDays := strings.Cut(v, "-")
+	if !hasDays {
 		days, clock = "0", v
 	}
 	units := []float64{60}
 	parts := strings.Split(clock, ":")
 	switch {
-	case withDays && len(parts) <= 3:
+	case hasDays && len(parts) <= 3:
 		units = []float64{3600, 60, 1}[:len(parts)]
 	case len(parts) == 2:
 		units = []float64{60, 1}
@@ -109,15 +109,15 @@
 			sumS += float64(n) * units[i-1]
 		}
 	}
-	if sumS > maxLimitS {
+	if sumS > maxTimeLimitS {
 		return 0, errors.New("is over a year")
 	}
 	return sumS, nil
 }
 
 func setArray(o *Options, v string, _ time.Time) error {
-	indices, limit, limited := strings.Cut(v, "%")
-	if limited {
+	indices, limit, hasLimit := strings.Cut(v, "%")
+	if hasLimit {
 		n, err := strconv.Atoi(limit)
 		if err != nil || n < 1 {
 			return fmt.Errorf("%.40q is not a number of tasks at once", limit)
@@ -147,9 +147,9 @@
 	return nil
 }
 
-// parseGPUs parses [TYPE:]N; types of GPU are refused.
+// parseGPUs parses a number of GPUs in the form [TYPE:]N and rejects values with a type.
 func parseGPUs(v string) (int, error) {
-	if name, _, typed := strings.Cut(v, ":"); typed {
+	if name, _, hasType := strings.Cut(v, ":"); hasType {
 		return 0, fmt.Errorf("type %.40q: types of GPU are not supported by wallrack; use --nodelist with a machine type", name)
 	}
 	n, err := strconv.Atoi(v)
@@ -159,7 +159,7 @@
 	return n, nil
 }
 
-// setGPUs sets the GPUs of a task or of the job.
+// setGPUs returns a setter for the number of GPUs, either per task or of the whole job.
 func setGPUs(perTask bool) setter {
 	return func(o *Options, v string, _ time.Time) (err error) {
 		o.GPUs, err = parseGPUs(v)
@@ -173,11 +173,11 @@
 		o.GPUs = 0
 		return nil
 	}
-	name, number, counted := strings.Cut(strings.TrimPrefix(v, "gres/"), ":")
+	name, number, hasNumber := strings.Cut(strings.TrimPrefix(v, "gres/"), ":")
 	if name != "gpu" {
 		return fmt.Errorf("%.40q: no generic resource but gpu is supported by wallrack", name)
 	}
-	if !counted {
+	if !hasNumber {
 		number = "1"
 	}
 	o.GPUs, err = parseGPUs(number)
@@ -185,13 +185,13 @@
 	return err
 }
 
-// setYes sets yes or no.
-func setYes(at func(*Options) *bool) setter {
+// setYesNo returns a setter for an option with the value yes or no.
+func setYesNo(dest func(*Options) *bool) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		if v != "yes" && v != "no" {
 			return errors.New("yes or no is needed")
 		}
-		*at(o) = v == "yes"
+		*dest(o) = v == "yes"
 		return nil
 	}
 }
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// setNodes accepts one node only, the one that each task has anyway.
+// setNodes accepts only one node, because each wallrack task runs on exactly one machine.
 func setNodes(_ *Options, v string, _ time.Time) error {
 	if v != "1" && v != "1-1" {
 		return errors.New("a task is on one machine; for many, use --array or srun --ntasks")
@@ -216,8 +216,9 @@
 	return nil
 }
 
-// setList sets a list of machine types and zones. Slurm's host ranges are refused.
-func setList(at func(*Options) *[]string) setter {
+// setList returns a setter for a list of machine types and zones. Slurm's host ranges, such as
+// node[1-4], are rejected.
+func setList(dest func(*Options) *[]string) setter {
 	return func(o *Options, v string, _ time.Time) error {
 		list := strings.Split(v, ",")
 		for _, name := range list {
@@ -225,7 +226,7 @@
 				return fmt.Errorf("%.40q: names of machine types and zones are needed", v)
 			}
 		}
-		*at(o) = list
+		*dest(o) = list
 		return nil
 	}
 }
--- a/internal/slurm/recorded_test.go
+++ b/internal/slurm/recorded_test.go
@@ -17,13 +17,13 @@
 
 func unmarshal(data []byte, value any) error { return json.Unmarshal(data, value) }
 
-// What squeue --json and wallctl accounting report --json print.
+// The JSON rows printed by squeue --json and wallctl accounting report --json.
 func TestRecordedJSON(t *testing.T) {
 	recorded.CompareJSON[slurm.QueueJSON](t, "queue.json", json.Marshal, unmarshal)
 	recorded.CompareJSON[slurm.Sum](t, "sum.json", json.Marshal, unmarshal)
 }
 
-// The groups of account sums, with what each adds up.
+// The totals of usage for each grouping of wallctl accounting report.
 func TestRecordedSums(t *testing.T) {
 	const hourMs = 3_600_000
 	records := []*slurm.Record{
@@ -36,7 +36,7 @@
 		{Job: accounting.Row{Team: "tarts", Class: "nightly", User: "jo"}},
 	}
 	for _, by := range []string{"account", "class", "user", "day"} {
-		sums, err := slurm.Sums(records, by, time.UTC)
+		sums, err := slurm.Summarize(records, by, time.UTC)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,14 +46,13 @@
 		}
 		recorded.Compare(t, "sums-by-"+by+".json", append(data, '\n'))
 	}
-	_, err := slurm.Sums(records, "team", time.UTC)
+	_, err := slurm.Summarize(records, "team", time.UTC)
 	if want := `--by: "team": account, class, user or day is needed`; err == nil || err.Error() != want {
 		t.Errorf("%v, not %s", err, want)
 	}
 }
 
-// A row of squeue for each kind of task, in the usual layout, with all columns and as
-// JSON.
+// squeue's output for tasks in each state: in the default layout, with all columns, and as JSON.
 func TestRecordedQueue(t *testing.T) {
 	i := &jobquery.Info{
 		Job: wire.Job{UID: "j-1", Class: "quick", Team: "brew", Priority: "urgent", Tasks: 5, CPUs: 2, GPUs: 1, MemoryGB: 4},
@@ -74,12 +73,12 @@
 				t.Fatal(err)
 			}
 			text.WriteString(table.Header())
-			for _, row := range slurm.Queue(i, each, 1_260_000, time.UTC) {
+			for _, row := range slurm.QueueRows(i, each, 1_260_000, time.UTC) {
 				text.WriteString(table.Row(&row))
 			}
 		}
 	}
-	for _, row := range slurm.Queue(i, false, 1_260_000, time.UTC) {
+	for _, row := range slurm.QueueRows(i, false, 1_260_000, time.UTC) {
 		data, err := json.Marshal(row.JSON())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/slurm/sacct_lines.go
+++ b/internal/slurm/sacct_lines.go
@@ -9,7 +9,8 @@
 	"github.com/wallrack/wallrack/internal/jobspec"
 )
 
-// AcctRow is a line of sacct: a job, a task of an array, or a step of one.
+// AcctRow is a line of sacct: a job, a task of an array, or a step, which is one attempt of a
+// task.
 type AcctRow struct {
 	Job      *accounting.Row
 	ID       string
@@ -17,34 +18,34 @@
 	Name     string
 	State    string
 	Exit     int
-	StartMs  int64 // Unix time; 0: not started
+	StartMs  int64 // Unix time in milliseconds; 0: not started
 	EndMs    int64 // 0: not ended
 	Machine  string
 	CPUs     float64 // allocated
-	Price    float64 // of its worker, an hour
-	UsefulS  float64 // run time whose result counts
-	LostS    float64 // run time of attempts that ended without a result
+	Price    float64 // per hour, of its share of the worker's machine
+	UsefulS  float64 // run time of attempts that completed their task or are still running
+	LostS    float64 // run time of attempts that ended without completing their task
 	Cost     float64
 	Restarts int
-	LimitS   float64 // 0: unlimited, or not known
+	LimitS   float64 // time limit in seconds; 0: unlimited or unknown
 	NowMs    int64
 	Zone     *time.Location
 }
 
-// AcctOptions say which lines of a record sacct prints.
+// AcctOptions specifies which rows of a record sacct prints.
 type AcctOptions struct {
 	AllocationsOnly bool // -X
-	Duplicates      bool // -D: every attempt instead of the last one
+	Duplicates      bool // -D: list every attempt instead of only the last one
 	NowMs           int64
 	Zone            *time.Location
 }
 
-// Lines returns sacct's lines of a record: the allocation and the steps of each task that ran,
-// then one line for the tasks that did not run.
-func Lines(r *Record, o AcctOptions) []AcctRow {
-	l := lineMaker{record: r, options: o, tasks: int(max(1, r.Job.Tasks))}
-	l.indices = indices(l.tasks, r.Job.Array)
-	l.base = AcctRow{Job: &r.Job, Name: dash(r.Job.Name, r.Job.Class), NowMs: o.NowMs, Zone: o.Zone, LimitS: r.LimitS}
+// AcctRows returns sacct's rows of a record: the allocation and the steps of each task that has
+// attempts, followed by one row for all tasks without attempts.
+func AcctRows(r *Record, o AcctOptions) []AcctRow {
+	b := acctRowBuilder{record: r, options: o, tasks: int(max(1, r.Job.Tasks))}
+	b.indices = indices(b.tasks, r.Job.Array)
+	b.base = AcctRow{Job: &r.Job, Name: orDefault(r.Job.Name, r.Job.Class), NowMs: o.NowMs, Zone: o.Zone, LimitS: r.LimitS}
 	var lines []AcctRow
 	ran := map[int]bool{}
 	for attempts := r.Attempts; len(attempts) > 0; {
@@ -52,7 +53,7 @@
 		for n < len(attempts) && attempts[n].Task == attempts[0].Task {
 			n++
 		}
-		allocation, steps := l.task(attempts[:n])
+		allocation, steps := b.taskRows(attempts[:n])
 		lines = append(lines, allocation)
 		if !o.AllocationsOnly {
 			lines = append(lines, steps...)
@@ -60,52 +61,53 @@
 		ran[int(attempts[0].Task)] = true
 		attempts = attempts[n:]
 	}
-	if len(ran) < l.tasks {
-		lines = append(lines, l.notRun(ran))
+	if len(ran) < b.tasks {
+		lines = append(lines, b.notRunRow(ran))
 	}
 	return lines
 }
 
-// lineMaker makes the lines of one record.
-type lineMaker struct {
+// acctRowBuilder builds the rows of one record.
+type acctRowBuilder struct {
 	record  *Record
 	options AcctOptions
 	tasks   int
-	indices jobspec.Ranges // of the tasks
-	base    AcctRow        // what all lines have in common
+	indices jobspec.Ranges // array indices of the tasks
+	base    AcctRow        // fields that all rows share
 }
 
-func (l *lineMaker) isArray() bool { return isArray(l.tasks, l.record.Job.Array) }
+func (b *acctRowBuilder) isArray() bool { return isArray(b.tasks, b.record.Job.Array) }
 
-// task makes the lines of a task's allocation and of its steps, which are its attempts.
-func (l *lineMaker) task(attempts []accounting.Row) (allocation AcctRow, steps []AcctRow) {
-	job, task := &l.record.Job, int(attempts[0].Task)
-	row := l.base
+// taskRows returns the row of a task's allocation and the rows of its steps, which are the task's
+// attempts. The allocation has the sums of all attempts and the state of the last one.
+func (b *acctRowBuilder) taskRows(attempts []accounting.Row) (allocation AcctRow, steps []AcctRow) {
+	job, task := &b.record.Job, int(attempts[0].Task)
+	row := b.base
 	row.ID, row.RawID = strconv.FormatUint(job.Number, 10), strconv.FormatUint(job.Number+uint64(task), 10)
-	if l.isArray() {
-		row.ID += "_" + strconv.Itoa(l.indices.At(task))
+	if b.isArray() {
+		row.ID += "_" + strconv.Itoa(b.indices.At(task))
 	}
 	for i := range attempts {
-		step := l.step(&row, &attempts[i], i)
+		step := b.stepRow(&row, &attempts[i], i)
 		row.UsefulS, row.LostS, row.Cost = row.UsefulS+step.UsefulS, row.LostS+step.LostS, row.Cost+step.Cost
 		row.State, row.Exit, row.StartMs, row.EndMs = step.State, step.Exit, step.StartMs, step.EndMs
 		row.Machine, row.CPUs, row.Restarts = step.Machine, step.CPUs, step.Restarts
-		if i == len(attempts)-1 || l.options.Duplicates {
+		if i == len(attempts)-1 || b.options.Duplicates {
 			steps = append(steps, step)
 		}
 	}
 	if row.State == jobspec.Preempted || row.State == jobspec.NodeFail {
-		// The task will run again, or ended with its job.
+		// The task is retried, or it ended because its job ended.
 		row.State, row.EndMs = job.State, job.End
-		if l.record.Active {
+		if b.record.Active {
 			row.State = statePending
 		}
 	}
 	return row, steps
 }
 
-// step makes the line of one attempt of an allocation.
-func (l *lineMaker) step(allocation *AcctRow, attempt *accounting.Row, restarts int) AcctRow {
+// stepRow returns the row of one attempt of an allocation.
+func (b *acctRowBuilder) stepRow(allocation *AcctRow, attempt *accounting.Row, restarts int) AcctRow {
 	step := *allocation
 	step.UsefulS, step.LostS, step.Cost = 0, 0, 0
 	step.ID, step.RawID, step.Name = step.ID+".batch", step.RawID+".batch", "batch"
@@ -116,7 +118,7 @@
 	}
 	endMs := attempt.End
 	if endMs == 0 {
-		endMs = l.options.NowMs
+		endMs = b.options.NowMs
 	}
 	ranS := float64(endMs-attempt.Start) / 1000
 	step.Cost = ranS / 3600 * step.Price
@@ -128,32 +130,32 @@
 	return step
 }
 
-// notRun makes the line of the tasks of which no attempt is known.
-func (l *lineMaker) notRun(ran map[int]bool) AcctRow {
-	job := &l.record.Job
-	row := l.base
+// notRunRow returns the row of the tasks without recorded attempts.
+func (b *acctRowBuilder) notRunRow(ran map[int]bool) AcctRow {
+	job := &b.record.Job
+	row := b.base
 	row.ID, row.RawID = strconv.FormatUint(job.Number, 10), strconv.FormatUint(job.Number, 10)
-	if l.isArray() {
+	if b.isArray() {
 		var missing []int
-		for task := range l.tasks {
+		for task := range b.tasks {
 			if !ran[task] {
-				missing = append(missing, l.indices.At(task))
+				missing = append(missing, b.indices.At(task))
 			}
 		}
 		row.ID += "_[" + jobspec.RangesOf(missing).String() + "]"
 	}
-	if l.record.Active && len(ran) > 0 {
+	if b.record.Active && len(ran) > 0 {
 		row.State = statePending
 		return row
 	}
 	row.State, row.Exit, row.EndMs = job.State, int(job.Exit), job.End
 	if len(ran) == 0 {
-		row.StartMs = job.Start // else it is the start of tasks that ran
+		row.StartMs = job.Start // otherwise job.Start is the start of another task
 	}
 	return row
 }
 
-// elapsedS is the run time, so far if it goes on.
+// elapsedS returns the run time in seconds, up to now if the row has not ended.
 func (r *AcctRow) elapsedS() float64 {
 	if r.StartMs == 0 {
 		return 0
--- a/internal/slurm/sinfo.go
+++ b/internal/slurm/sinfo.go
@@ -8,21 +8,23 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// NodeRow is a line of sinfo: a worker, or the workers of a machine type in a state.
+// NodeRow is a line of sinfo: either one worker, or all workers with the same machine type and
+// state.
 type NodeRow struct {
 	wire.MachineInfo
 	Partition string
 	Cluster   string
 	MemoryGB  float64
 	GPUs      float64
-	Count     int    // of workers
-	Names     string // of them, separated by commas
+	Count     int    // number of workers
+	Names     string // names of the workers, separated by commas
 }
 
-// heartbeatTimeoutS is the age of the last heartbeat from which on sinfo calls a worker down.
+// heartbeatTimeoutS is the time in seconds since a worker's last heartbeat after which sinfo
+// reports the worker as down.
 const heartbeatTimeoutS = 10
 
-// state is the long name of the state.
+// state returns the long name of the worker's state.
 func (r *NodeRow) state() string {
 	switch {
 	case r.SinceHeartbeatS > heartbeatTimeoutS:
@@ -35,10 +37,10 @@
 	return "mixed"
 }
 
-// nodeStates has the short names of states by the long ones.
+// nodeStates maps the long names of states to the short ones.
 var nodeStates = map[string]string{"down": "down", "idle": "idle", "allocated": "alloc", "mixed": "mix"}
 
-// nodeFields are sinfo's columns.
+// nodeFields defines sinfo's columns.
 var nodeFields = []field[NodeRow]{
 	{'P', "Partition", "PARTITION", 20, func(r *NodeRow) string { return r.Partition }},
 	{'a', "Available", "AVAIL", 20, func(*NodeRow) string { return "up" }},
@@ -48,20 +50,20 @@
 	{'T', "StateLong", "STATE", 20, (*NodeRow).state},
 	{'N', "NodeList", "NODELIST", 20, func(r *NodeRow) string { return r.Names }},
 	{'n', "NodeHost", "HOSTNAMES", 20, func(r *NodeRow) string { return r.Names }},
-	{'c', "CPUs", "CPUS", 20, func(r *NodeRow) string { return amount(r.CPUs) }},
+	{'c', "CPUs", "CPUS", 20, func(r *NodeRow) string { return formatNumber(r.CPUs) }},
 	{'C', "CPUsState", "CPUS(A/I/O/T)", 20, func(r *NodeRow) string {
 		allocated, total := r.UsedCPUs, r.CPUs*float64(r.Count)
 		if r.state() == "down" {
-			return fmt.Sprintf("0/0/%s/%s", amount(total), amount(total))
+			return fmt.Sprintf("0/0/%s/%s", formatNumber(total), formatNumber(total))
 		}
-		return fmt.Sprintf("%s/%s/0/%s", amount(allocated), amount(max(0, total-allocated)), amount(total))
+		return fmt.Sprintf("%s/%s/0/%s", formatNumber(allocated), formatNumber(max(0, total-allocated)), formatNumber(total))
 	}},
 	{'m', "Memory", "MEMORY", 20, func(r *NodeRow) string { return strconv.Itoa(int(r.MemoryGB * 1024)) }},
 	{'G', "Gres", "GRES", 20, func(r *NodeRow) string {
 		if r.GPUs == 0 {
 			return "(null)"
 		}
-		return "gpu:" + amount(r.GPUs)
+		return "gpu:" + formatNumber(r.GPUs)
 	}},
 	{'f', "Features", "AVAIL_FEATURES", 20, func(r *NodeRow) string {
 		features := r.Type + "," + r.Zone
@@ -74,18 +76,18 @@
 	{'V', "Cluster", "CLUSTER", 20, func(r *NodeRow) string { return r.Cluster }},
 }
 
-// Nodes returns sinfo's lines, for each class of the site: with eachWorker (-N) one a worker,
-// else one for the workers of a machine type in a state.
-func Nodes(workers []wire.MachineInfo, site *jobquery.Site, eachWorker bool) []NodeRow {
+// NodeRows returns sinfo's rows. For each class of the site, there is one row per worker if
+// eachWorker (-N) is set, otherwise one per combination of machine type and state.
+func NodeRows(workers []wire.MachineInfo, site *jobquery.Site, eachWorker bool) []NodeRow {
 	var rows []NodeRow
 	for _, class := range site.Classes {
 		partition := class
 		if class == site.Class && !eachWorker {
-			partition += "*" // the default one
+			partition += "*" // marks the default partition
 		}
-		groups := map[string]int{} // index in rows by state and type
+		groups := map[string]int{} // maps state and machine type to the index in rows
 		for _, worker := range workers {
-			row := nodeRow(worker, partition, site)
+			row := newNodeRow(worker, partition, site)
 			group := row.state() + " " + worker.Type
 			if at, found := groups[group]; found && !eachWorker {
 				first := &rows[at]
@@ -101,8 +103,8 @@
 	return rows
 }
 
-// nodeRow is the line of one worker.
-func nodeRow(worker wire.MachineInfo, partition string, site *jobquery.Site) NodeRow {
+// newNodeRow returns the row of one worker.
+func newNodeRow(worker wire.MachineInfo, partition string, site *jobquery.Site) NodeRow {
 	row := NodeRow{MachineInfo: worker, Partition: partition, Cluster: site.Cluster, Count: 1, Names: worker.Name}
 	for i := range site.Types {
 		if t := &site.Types[i]; t.Name == worker.Type {
@@ -112,14 +114,14 @@
 	return row
 }
 
-// NodeTable returns sinfo's layout of -o, or the default one, which is another with -N. The
-// error is a *UsageError.
+// NodeTable returns sinfo's layout for a format (the value of -o). If it is empty, it returns the
+// default layout, or that of -N if eachWorker is set. The error is a *UsageError.
 func NodeTable(format string, eachWorker bool) (*Table[NodeRow], error) {
 	switch {
 	case format != "":
-		return parsePercent(format, nodeFields)
+		return parseFormat(format, nodeFields)
 	case eachWorker:
-		return parsePercent("%14N %.6D %.9P %6t", nodeFields)
+		return parseFormat("%14N %.6D %.9P %6t", nodeFields)
 	}
-	return parsePercent("%9P %.5a %.10l %.6D %.6t %N", nodeFields)
+	return parseFormat("%9P %.5a %.10l %.6D %.6t %N", nodeFields)
 }
--- a/internal/slurm/sources.go
+++ b/internal/slurm/sources.go
@@ -11,11 +11,12 @@
 	"github.com/spf13/pflag"
 )
 
-// Given has the options of one source: values by the option's long name.
-type Given map[string]string
+// OptionValues maps the long names of the options that one source sets to their unvalidated
+// values. Sources are the command line, the environment and the script.
+type OptionValues map[string]string
 
-// newFlagSet returns a command's options for the parser. Options after the first argument are
-// the program's, not the command's.
+// newFlagSet returns the parser for a command's options. Parsing stops at the first positional
+// argument, because the options after it belong to the submitted program.
 func newFlagSet(cmd Command) *pflag.FlagSet {
 	fs := pflag.NewFlagSet(string(cmd), pflag.ContinueOnError)
 	fs.SetInterspersed(false)
@@ -26,24 +27,24 @@
 		}
 		fs.StringP(o.name, o.short, "", o.help)
 		switch o.kind {
-		case flagged:
+		case noValue:
 			fs.Lookup(o.name).NoOptDefVal = "true"
-		case optional:
-			fs.Lookup(o.name).NoOptDefVal = "100" // as Slurm's nice
+		case optionalValue:
+			fs.Lookup(o.name).NoOptDefVal = "100" // Slurm's default for --nice without a value
 		}
 	}
 	return fs
 }
 
-// Help returns the help text of a command's options.
+// Help returns the help text for a command's options.
 func Help(cmd Command) string { return newFlagSet(cmd).FlagUsages() }
 
-// ErrHelp is the error of ParseArgs for --help.
+// ErrHelp is returned by ParseArgs if the arguments contain --help.
 var ErrHelp = pflag.ErrHelp
 
-// ParseArgs splits a command line into the options and the arguments that follow them. It
-// doesn't validate values. The error is a *UsageError or ErrHelp.
-func ParseArgs(cmd Command, args []string) (Given, []string, error) {
+// ParseArgs splits a command line into its options and the positional arguments. It doesn't
+// validate the options' values. The error is a *UsageError or ErrHelp.
+func ParseArgs(cmd Command, args []string) (OptionValues, []string, error) {
 	fs := newFlagSet(cmd)
 	fs.SetOutput(io.Discard)
 	fs.Usage = func() {}
@@ -53,36 +54,36 @@
 		}
 		return nil, nil, flagError(err)
 	}
-	given := Given{}
+	given := OptionValues{}
 	fs.Visit(func(f *pflag.Flag) { given[f.Name] = f.Value.String() })
 	return given, fs.Args(), nil
 }
 
-// flagError is the UsageError of a parser's error: of an option that is not supported it says
-// whether Slurm has it.
+// flagError converts an error of the flag parser to a *UsageError. Its text distinguishes
+// options that Slurm has but wallrack doesn't support from unknown options.
 func flagError(err error) error {
 	var unknown *pflag.NotExistError
 	if !errors.As(err, &unknown) {
-		return &UsageError{Why: err.Error()}
+		return &UsageError{Message: err.Error()}
 	}
 	name := unknown.GetSpecifiedName()
 	if slices.Contains(unsupportedOptions, name) {
-		return &UsageError{Option: name, Why: "is not supported by wallrack"}
+		return &UsageError{Option: name, Message: "is not supported by wallrack"}
 	}
 	if unknown.GetSpecifiedShortnames() != "" {
-		return &UsageError{Why: fmt.Sprintf("-%s: unknown or not supported by wallrack", name)}
+		return &UsageError{Message: fmt.Sprintf("-%s: unknown or not supported by wallrack", name)}
 	}
-	return &UsageError{Option: name, Why: "unrecognized option"}
+	return &UsageError{Option: name, Message: "unrecognized option"}
 }
 
-// FromEnv returns the options that environment variables set: SBATCH_* for sbatch, SLURM_* for
+// FromEnv returns the options set by environment variables: SBATCH_* for sbatch, SLURM_* for
 // srun.
-func FromEnv(cmd Command, lookup func(string) (string, bool)) Given {
+func FromEnv(cmd Command, lookup func(string) (string, bool)) OptionValues {
 	prefix := "SBATCH_"
 	if cmd == Srun {
 		prefix = "SLURM_"
 	}
-	given := Given{}
+	given := OptionValues{}
 	for _, o := range optionTable {
 		if o.env == "" || o.only != "" && o.only != cmd {
 			continue
@@ -90,8 +91,8 @@
 		value, found := lookup(prefix + o.env)
 		switch {
 		case !found:
-		case o.kind == flagged:
-			given[o.name] = "true" // in Slurm a variable that is set means yes, whatever its value
+		case o.kind == noValue:
+			given[o.name] = "true" // as in Slurm, the variable's value is ignored
 		case value != "":
 			given[o.name] = value
 		}
@@ -99,25 +100,25 @@
 	return given
 }
 
-// Join joins sources, of which later ones override earlier ones, and validates every value
-// against the others and now. The error is a *UsageError.
-func Join(_ Command, now time.Time, sources ...Given) (*Options, error) {
+// MergeOptions merges the sources, in which later ones override earlier ones, and validates the
+// resulting values. Relative times are resolved against now. The error is a *UsageError.
+func MergeOptions(_ Command, now time.Time, sources ...OptionValues) (*Options, error) {
 	o := &Options{Tasks: 1, CPUs: 1, Export: "ALL"}
-	all := Given{}
+	merged := OptionValues{}
 	for _, source := range sources {
-		maps.Copy(all, source)
+		maps.Copy(merged, source)
 	}
 	for _, opt := range optionTable {
-		value, found := all[opt.name]
+		value, found := merged[opt.name]
 		if !found {
 			continue
 		}
 		if err := opt.set(o, value, now); err != nil {
-			return nil, &UsageError{Option: opt.name, Why: err.Error()}
+			return nil, &UsageError{Option: opt.name, Message: err.Error()}
 		}
 	}
 	if o.MemoryMB > 0 && o.MemoryPerCPUMB > 0 {
-		return nil, &UsageError{Option: "mem", Why: "is mutually exclusive with --mem-per-cpu"}
+		return nil, &UsageError{Option: "mem", Message: "is mutually exclusive with --mem-per-cpu"}
 	}
 	return o, nil
 }
--- a/internal/slurm/table.go
+++ b/internal/slurm/table.go
@@ -7,33 +7,33 @@
 	"strings"
 )
 
-// field is a column that a listing of rows R may have.
+// field defines a column that users may select for a listing with rows of type R.
 type field[R any] struct {
-	letter byte // in formats like %i; 0: none
+	letter byte // letter in formats such as %i; 0: the field has none
 	name   string
 	title  string
-	width  int // if the layout has none
-	of     func(r *R) string
+	width  int // default width in characters
+	format func(r *R) string
 }
 
-// column is a field in a layout.
+// column is a field with its place and width in a Table.
 type column[R any] struct {
 	field[R]
-	width int // 0: that of its text
-	right bool
-	after string // literal text that follows
+	width      int // in characters; 0: cells are neither padded nor cut
+	alignRight bool
+	suffix     string // literal text after the cell
 }
 
-// Table is a listing's layout.
+// Table is the layout of a listing with rows of type R.
 type Table[R any] struct {
-	before  string // literal text at the start of a line
-	columns []column[R]
-	bars    bool // sacct -P: bars between the columns
-	endBar  bool // sacct -p: and at the end
-	sacct   bool // sacct's form: a line below the titles, + where text is cut, blanks at the end
+	prefix            string // literal text at the start of each line
+	columns           []column[R]
+	delimited         bool // sacct -P: cells are unpadded and separated by |
+	trailingDelimiter bool // sacct -p: each line also ends with |
+	sacctStyle        bool // sacct's style: dashes below the header, + at the end of truncated cells, trailing blanks kept
 }
 
-// pad pads or cuts a text to a width in characters; 0 keeps it.
+// pad pads or truncates s to a width in characters. If width is 0, it returns s unchanged.
 func pad(s string, width int, right bool) string {
 	switch n := len([]rune(s)); {
 	case width <= 0 || n == width:
@@ -47,53 +47,53 @@
 	}
 }
 
-// line formats a line with a text for each column.
-func (t *Table[R]) line(text func(c *column[R]) string) string {
+// line formats one line. The function returns the text of each column's cell.
+func (t *Table[R]) line(cellText func(c *column[R]) string) string {
 	var b strings.Builder
-	b.WriteString(t.before)
+	b.WriteString(t.prefix)
 	for i := range t.columns {
 		c := &t.columns[i]
-		if t.bars {
+		if t.delimited {
 			if i > 0 {
 				b.WriteByte('|')
 			}
-			b.WriteString(text(c))
+			b.WriteString(cellText(c))
 			continue
 		}
-		cell := pad(text(c), c.width, c.right)
-		if t.sacct && c.width > 0 && len([]rune(text(c))) > c.width {
-			cell = string([]rune(cell)[:c.width-1]) + "+" // sacct marks a text that was cut
+		cell := pad(cellText(c), c.width, c.alignRight)
+		if t.sacctStyle && c.width > 0 && len([]rune(cellText(c))) > c.width {
+			cell = string([]rune(cell)[:c.width-1]) + "+" // sacct marks truncated text
 		}
 		b.WriteString(cell)
-		b.WriteString(c.after)
+		b.WriteString(c.suffix)
 	}
-	if t.endBar {
+	if t.trailingDelimiter {
 		b.WriteByte('|')
 	}
-	if t.sacct {
+	if t.sacctStyle {
 		return b.String() + "\n"
 	}
 	return strings.TrimRight(b.String(), " ") + "\n"
 }
 
-// Header returns the lines of the titles.
+// Header returns the header: the columns' titles and, in sacct's padded style, a line of dashes.
 func (t *Table[R]) Header() string {
 	out := t.line(func(c *column[R]) string { return c.title })
-	if t.sacct && !t.bars {
+	if t.sacctStyle && !t.delimited {
 		out += t.line(func(c *column[R]) string { return strings.Repeat("-", c.width) })
 	}
 	return out
 }
 
-// Row returns the line of a row.
+// Row returns the formatted line of a row, with its line break.
 func (t *Table[R]) Row(r *R) string {
-	return t.line(func(c *column[R]) string { return c.of(r) })
+	return t.line(func(c *column[R]) string { return c.format(r) })
 }
 
-// parsePercent parses a layout like "%.18i %9P", where a dot aligns to the right.
-func parsePercent[R any](spec string, fields []field[R]) (*Table[R], error) {
+// parseFormat parses a format string such as "%.18i %9P", in which a dot right-aligns the column.
+func parseFormat[R any](spec string, fields []field[R]) (*Table[R], error) {
 	t := &Table[R]{}
-	literal := &t.before
+	literal := &t.prefix
 	for i := 0; i < len(spec); i++ {
 		if spec[i] != '%' {
 			*literal += string(spec[i])
@@ -101,61 +101,62 @@
 		}
 		c := column[R]{}
 		if i++; i < len(spec) && spec[i] == '.' {
-			c.right = true
+			c.alignRight = true
 			i++
 		}
 		from := i
 		for i < len(spec) && spec[i] >= '0' && spec[i] <= '9' {
 			i++
 		}
-		c.width, _ = strconv.Atoi(spec[from:i]) // none: 0, that of its text
+		c.width, _ = strconv.Atoi(spec[from:i]) // without digits: 0, which means unpadded
 		if i == len(spec) {
-			return nil, &UsageError{Option: "format", Why: fmt.Sprintf("Invalid job format specification: %.60q", spec)}
+			return nil, &UsageError{Option: "format", Message: fmt.Sprintf("Invalid job format specification: %.60q", spec)}
 		}
 		k := slices.IndexFunc(fields, func(f field[R]) bool { return f.letter == spec[i] })
 		if k < 0 || c.width > 1000 {
-			return nil, &UsageError{Option: "format", Why: fmt.Sprintf("Invalid job format specification: %%%c is not supported by wallrack", spec[i])}
+			return nil, &UsageError{Option: "format", Message: fmt.Sprintf("Invalid job format specification: %%%c is not supported by wallrack", spec[i])}
 		}
 		c.field = fields[k]
 		t.columns = append(t.columns, c)
-		literal = &t.columns[len(t.columns)-1].after
+		literal = &t.columns[len(t.columns)-1].suffix
 	}
 	return t, nil
 }
 
-// parseNames parses a layout like "jobid:8,name" (separator ":") or "JobID%20" (separator "%").
-// A minus before the width aligns to the left for sacct, a dot to the right for squeue.
-func parseNames[R any](option, spec, separator string, fields []field[R]) (*Table[R], error) {
+// parseFieldList parses a list of field names with optional widths, such as "jobid:8,name"
+// (separator ":", squeue) or "JobID%20" (separator "%", sacct). A minus before the width
+// left-aligns the column, a dot right-aligns it.
+func parseFieldList[R any](option, spec, separator string, fields []field[R]) (*Table[R], error) {
 	t := &Table[R]{}
 	for _, part := range strings.Split(spec, ",") {
-		name, width, sized := strings.Cut(strings.TrimSpace(part), separator)
+		name, width, hasWidth := strings.Cut(strings.TrimSpace(part), separator)
 		k := slices.IndexFunc(fields, func(f field[R]) bool { return strings.EqualFold(f.name, name) })
 		if k < 0 {
-			return nil, &UsageError{Option: option, Why: fmt.Sprintf("Invalid field requested: %.60q", name)}
+			return nil, &UsageError{Option: option, Message: fmt.Sprintf("Invalid field requested: %.60q", name)}
 		}
-		c := column[R]{field: fields[k], width: fields[k].width, right: separator == "%"}
-		if sized {
+		c := column[R]{field: fields[k], width: fields[k].width, alignRight: separator == "%"}
+		if hasWidth {
 			if digits, found := strings.CutPrefix(width, "."); found {
-				width, c.right = digits, true
+				width, c.alignRight = digits, true
 			}
 			if digits, found := strings.CutPrefix(width, "-"); found {
-				width, c.right = digits, false
+				width, c.alignRight = digits, false
 			}
 			n, err := strconv.Atoi(width)
 			if err != nil || n < 1 || n > 1000 {
-				return nil, &UsageError{Option: option, Why: fmt.Sprintf("%.60q: not a width", part)}
+				return nil, &UsageError{Option: option, Message: fmt.Sprintf("%.60q: not a width", part)}
 			}
 			c.width = n
 		}
 		if separator == "%" {
-			c.after = " "
+			c.suffix = " "
 		}
 		t.columns = append(t.columns, c)
 	}
 	return t, nil
 }
 
-// fieldNames lists the fields, for help.
+// fieldNames returns the names of the fields for help texts, separated by blanks.
 func fieldNames[R any](fields []field[R]) string {
 	names := make([]string, 0, len(fields))
 	for _, f := range fields {
--- a/internal/slurmapi/peer_requests.go
+++ b/internal/slurmapi/peer_requests.go
@@ -12,25 +12,25 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Request is what one controller has another serve that leads jobs.
+// Request is a request from one controller to another that leads shards.
 type Request struct {
-	Verb  string          `json:"verb"` // one of those below
+	Verb  string          `json:"verb"` // one of the verb constants below
 	UID   string          `json:"uid,omitempty"`
-	From  jobquery.Cursor `json:"from"`            // of a list
-	Tasks string          `json:"tasks,omitempty"` // of a drop, as jobspec.Ranges
+	From  jobquery.Cursor `json:"from"`            // position at which a list continues
+	Tasks string          `json:"tasks,omitempty"` // tasks to cancel, in the syntax of jobspec.Ranges
 }
 
 // Verbs of a Request.
 const (
-	verbList    = "list"
-	verbInfo    = "info"
-	verbHold    = "hold"
-	verbRelease = "release"
-	verbDrop    = "drop" // cancels single tasks
+	verbList        = "list"
+	verbInfo        = "info"
+	verbHold        = "hold"
+	verbRelease     = "release"
+	verbCancelTasks = "drop" // cancels some of the job's tasks
 )
 
-// Reply is the response to a Request. Status 0 means that the outcome is unknown to the peer
-// too.
+// Reply is the response to a Request. Status is an HTTP status code; 0 means that the peer doesn't
+// know the outcome either.
 type Reply struct {
 	Status int              `json:"status"`
 	Reason string           `json:"why,omitempty"`
@@ -38,37 +38,39 @@
 	Next   *jobquery.Cursor `json:"next,omitempty"`
 }
 
-// query has a peer serve a request; false if it fails or the outcome stays unknown.
-func (s *Server) query(ctx context.Context, peer string, req Request) (Reply, bool) {
+// queryPeer sends a request to a peer. It returns false if that fails or the peer doesn't know the
+// outcome.
+func (s *Server) queryPeer(ctx context.Context, peer string, req Request) (Reply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	rep, err := s.peers.QueryLeader(ctx, peer, req)
+	reply, err := s.peers.QueryLeader(ctx, peer, req)
 	if err != nil {
 		s.log.Debug("peer query failed", "peer", peer, "err", err)
 		return Reply{}, false
 	}
-	return *rep, rep.Status != 0
+	return *reply, reply.Status != 0
 }
 
-// Serve serves a request with the jobs that this controller leads, without peers.
+// Serve serves a request from the jobs of the shards that this controller leads. It sends no
+// requests to peers.
 func (s *Server) Serve(ctx context.Context, req Request) Reply {
 	var err error
 	switch req.Verb {
 	case verbList:
-		if s.knowledge != nil && !s.knowledge.ShardsLoaded() {
+		if s.failoverState != nil && !s.failoverState.ShardsLoaded() {
 			return Reply{}
 		}
-		jobs, next := s.jobs.ListJobs(req.From, maxListed)
+		jobs, next := s.jobs.ListJobs(req.From, maxListEntries)
 		return Reply{Status: http.StatusOK, Jobs: jobs, Next: next}
 	case verbInfo:
 		info, ok := s.jobs.LocalJobInfo(req.UID)
-		if !ok || info.Stage == wire.StageQueued && s.knowledge != nil && !s.knowledge.SurelyQueued(req.UID, 0) {
+		if !ok || info.Stage == wire.StageQueued && s.failoverState != nil && !s.failoverState.SurelyQueued(req.UID, 0) {
 			return Reply{}
 		}
 		return Reply{Status: http.StatusOK, Jobs: []jobquery.Info{info}}
 	case verbHold, verbRelease:
 		err = s.jobs.Hold(ctx, req.UID, req.Verb == verbHold)
-	case verbDrop:
+	case verbCancelTasks:
 		var tasks jobspec.Ranges
 		if tasks, err = jobspec.ParseRanges(req.Tasks); err == nil {
 			err = s.jobs.CancelTasks(ctx, req.UID, tasks)
--- a/internal/slurmapi/response.go
+++ b/internal/slurmapi/response.go
@@ -13,49 +13,51 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// refuse answers with a problem; 503 and 429 with the time after which to retry.
-func refuse(w http.ResponseWriter, status, retryAfterS int, reason string) {
+// writeProblem writes an error response. With 503 and 429 it sets Retry-After to retryAfterS, at
+// least 1.
+func writeProblem(w http.ResponseWriter, status, retryAfterS int, reason string) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, retryAfterS)))
 	}
 	httpjson.Write(w, status, wire.Problem{Error: reason})
 }
 
-// writeError answers with what an error means for the client.
+// writeError writes the response for an error: 404 if the job doesn't exist, 422 if the request is
+// invalid, otherwise 503, because the outcome is unknown.
 func (s *Server) writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, statestore.ErrNotFound):
-		refuse(w, http.StatusNotFound, 0, "no such job")
+		writeProblem(w, http.StatusNotFound, 0, "no such job")
 	case errors.Is(err, scheduler.ErrInvalidRequest):
-		refuse(w, http.StatusUnprocessableEntity, 0, err.Error())
+		writeProblem(w, http.StatusUnprocessableEntity, 0, err.Error())
 	default:
 		s.log.Debug("outcome unknown", "err", err)
-		refuse(w, http.StatusServiceUnavailable, 1, "can't tell now")
+		writeProblem(w, http.StatusServiceUnavailable, 1, "can't tell now")
 	}
 }
 
-// field is a field of a JSON object.
-type field struct {
+// jsonField is a field of a JSON object.
+type jsonField struct {
 	name  string
 	value any
 }
 
-// writeLines answers with an object of a list, which has a line for each of its items, and
-// other fields: no line of a response may be over 64 KiB.
-func writeLines[T any](w http.ResponseWriter, list string, items []T, others ...field) {
+// writeJSONLines writes a JSON object with a list and other fields. Each item of the list is on its
+// own line, because no line of a response may exceed 64 KiB.
+func writeJSONLines[T any](w http.ResponseWriter, listName string, items []T, fields ...jsonField) {
 	w.Header().Set("Content-Type", "application/json")
-	out := append([]byte(nil), `{"`+list+"\":["...)
+	out := append([]byte(nil), `{"`+listName+"\":["...)
 	for i := range items {
 		if i > 0 {
 			out = append(out, ',')
 		}
-		data, _ := json.Marshal(items[i]) // messages of this package can be encoded
+		data, _ := json.Marshal(items[i]) // encoding the item types of this package doesn't fail
 		out = append(append(out, '\n'), data...)
 	}
 	out = append(out, "\n]"...)
-	for _, f := range others {
+	for _, f := range fields {
 		data, _ := json.Marshal(f.value)
 		out = append(append(out, `,"`+f.name+`":`...), data...)
 	}
-	_, _ = w.Write(append(out, "}\n"...)) // a client that left retries
+	_, _ = w.Write(append(out, "}\n"...)) // a client that disconnected retries
 }
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -1,9 +1,9 @@
-// Package slurmapi serves Slurm-style clients over HTTP: numbers, submissions with
-// constraints, listings, holds, cancels of single tasks, accounting.
+// Package slurmapi serves Slurm-style clients over HTTP: job numbers, submissions with
+// constraints, listings, holds, cancellation of single tasks, and accounting.
 //
-// A request about one job is served by the controller that leads it; a listing joins those of
-// all. Submissions go to the Submitter of all other jobs, so the same rules hold for them. The
-// package keeps no jobs: all state but that of the rate limit is its collaborators'.
+// The controller that leads a job serves the requests about it; a listing merges the jobs of all
+// leaders. Submissions use the same Submitter as jobs of other clients, so that the same rules
+// apply to them. Except for the rate limit, the package holds no state.
 package slurmapi
 
 import (
@@ -29,56 +29,58 @@
 const (
 	requestTimeout     = 3500 * time.Millisecond
 	peerTimeout        = time.Second
-	maxListed          = 500 // jobs and running tasks in a part of a listing
-	maxAccountingPages = 24  // in a response
-	maxInFlight        = 4   // listings and parts of accounting at once
+	maxListEntries     = 500 // jobs and running tasks per page of a listing
+	maxAccountingPages = 24  // per response
+	maxInFlight        = 4   // concurrent requests for listings and accounting
 )
 
-// Store is the part of the state service that a Server uses.
+// Store is the subset of the state service's operations that a Server uses.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, error)
 	Page(ctx context.Context, prefix, after string, limit int) ([]wire.Item, bool, error)
 }
 
-// Jobs is the scheduler in this process. It knows the jobs of the shards that this controller
+// Jobs is the scheduler in this process. It holds the jobs of the shards that this controller
 // leads.
 type Jobs interface {
-	// ListJobs returns up to most jobs and running tasks, in the order of the jobs' numbers,
-	// and where the list goes on; nil: it ends.
-	ListJobs(from jobquery.Cursor, most int) ([]jobquery.Info, *jobquery.Cursor)
+	// ListJobs returns the jobs from a position on, ordered by job number, with at most limit jobs
+	// and running tasks in all. It also returns the position at which the list continues, nil at
+	// its end.
+	ListJobs(from jobquery.Cursor, limit int) ([]jobquery.Info, *jobquery.Cursor)
 	LocalJobInfo(uid string) (jobquery.Info, bool)
-	// Hold keeps a job's waiting tasks from starting, or lets them start.
+	// Hold prevents a job's pending tasks from starting if held is set, and otherwise releases
+	// them.
 	Hold(ctx context.Context, uid string, held bool) error
-	// CancelTasks cancels single tasks of a job.
+	// CancelTasks cancels the given tasks of a job.
 	CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error
 }
 
-// LeaderKnowledge may be implemented by Jobs: what a leader does not know yet after a failover.
-// Without it everything counts as known.
-type LeaderKnowledge interface {
+// FailoverState reports which part of the jobs' state a leader has recovered after a failover. Jobs
+// may implement it; otherwise the state is assumed to be complete.
+type FailoverState interface {
 	submission.StageAuthority
 	// ShardsLoaded reports whether the jobs of all shards that this controller leads are in
 	// memory.
 	ShardsLoaded() bool
 }
 
-// Peers are the other controllers.
+// Peers provides access to the other controllers.
 type Peers interface {
 	// Leads reports whether this controller leads shards.
 	Leads() bool
-	// ShardLeaders names the other controllers that lead shards.
+	// ShardLeaders returns the names of the other controllers that lead shards.
 	ShardLeaders() []string
-	// QueryLeader has a peer serve a request with the jobs that it leads.
+	// QueryLeader sends a request to a peer, which serves it from the jobs that it leads.
 	QueryLeader(ctx context.Context, peer string, r Request) (*Reply, error)
 }
 
 // Submitter accepts jobs.
 type Submitter interface {
-	// Submit serves a submission or its check, here or at a peer.
+	// Submit serves a submission, or only validates it, in this process or through a peer.
 	Submit(ctx context.Context, r submission.Request) submission.Reply
 }
 
-// Catalog knows the machine types.
+// Catalog lists the machine types.
 type Catalog interface {
 	// All returns every machine type, or none while they are unknown.
 	All() []wire.MachineType
@@ -86,67 +88,67 @@
 
 // Server serves Slurm-style clients. It is safe for concurrent use.
 type Server struct {
-	settings  *Settings
-	cfg       *config.Platform
-	store     Store
-	jobs      Jobs
-	knowledge LeaderKnowledge // nil: everything is known
-	numbers   *jobid.Allocator
-	peers     Peers
-	submitter Submitter
-	catalog   Catalog
-	log       *slog.Logger
-	limiter   *rateLimiter
-	slots     chan struct{} // of requests that limiter admitted
+	settings      *Settings
+	cfg           *config.Platform
+	store         Store
+	jobs          Jobs
+	failoverState FailoverState // nil: the state is assumed to be complete
+	numbers       *jobid.Allocator
+	peers         Peers
+	submitter     Submitter
+	catalog       Catalog
+	log           *slog.Logger
+	limiter       *rateLimiter
+	requestSlots  chan struct{} // semaphore for concurrent requests that limiter admitted
 }
 
-// New returns a server; Register makes it reachable.
-func New(set *Settings, cfg *config.Platform, store Store, jobs Jobs, numbers *jobid.Allocator, peers Peers, in Submitter, catalog Catalog, log *slog.Logger) *Server {
-	knowledge, _ := jobs.(LeaderKnowledge)
+// New returns a server. Register adds its handlers to a mux.
+func New(slurmSettings *Settings, cfg *config.Platform, store Store, jobs Jobs, numbers *jobid.Allocator, peers Peers, jobSubmitter Submitter, catalog Catalog, log *slog.Logger) *Server {
+	failoverState, _ := jobs.(FailoverState)
 	return &Server{
-		settings: set, cfg: cfg, store: store, jobs: jobs, knowledge: knowledge, numbers: numbers, peers: peers, submitter: in, catalog: catalog, log: log,
-		limiter: newRateLimiter(set.PerS), slots: make(chan struct{}, maxInFlight),
+		settings: slurmSettings, cfg: cfg, store: store, jobs: jobs, failoverState: failoverState, numbers: numbers, peers: peers, submitter: jobSubmitter, catalog: catalog, log: log,
+		limiter: newRateLimiter(slurmSettings.ListingsPerS), requestSlots: make(chan struct{}, maxInFlight),
 	}
 }
 
-// Register adds the server's paths.
+// Register registers the server's handlers with mux.
 func (s *Server) Register(mux *http.ServeMux) {
-	mux.HandleFunc("GET /slurm/site", s.site)
-	mux.HandleFunc("POST /slurm/numbers", s.allocateNumbers)
-	mux.HandleFunc("GET /slurm/numbers/{n}", s.findNumber)
-	mux.HandleFunc("POST /slurm/jobs", s.submit)
-	mux.HandleFunc("GET /slurm/jobs", s.limited(s.list))
-	mux.HandleFunc("GET /slurm/jobs/{uid}", s.job(verbInfo))
-	mux.HandleFunc("POST /slurm/jobs/{uid}/hold", s.job(verbHold))
-	mux.HandleFunc("POST /slurm/jobs/{uid}/release", s.job(verbRelease))
-	mux.HandleFunc("POST /slurm/jobs/{uid}/drop", s.job(verbDrop))
-	mux.HandleFunc("GET /accounting/{day}", s.limited(s.accountingDay))
+	mux.HandleFunc("GET /slurm/site", s.serveSite)
+	mux.HandleFunc("POST /slurm/numbers", s.serveNumberAllocation)
+	mux.HandleFunc("GET /slurm/numbers/{n}", s.serveNumberLookup)
+	mux.HandleFunc("POST /slurm/jobs", s.serveSubmission)
+	mux.HandleFunc("GET /slurm/jobs", s.rateLimited(s.serveList))
+	mux.HandleFunc("GET /slurm/jobs/{uid}", s.jobHandler(verbInfo))
+	mux.HandleFunc("POST /slurm/jobs/{uid}/hold", s.jobHandler(verbHold))
+	mux.HandleFunc("POST /slurm/jobs/{uid}/release", s.jobHandler(verbRelease))
+	mux.HandleFunc("POST /slurm/jobs/{uid}/drop", s.jobHandler(verbCancelTasks))
+	mux.HandleFunc("GET /accounting/{day}", s.rateLimited(s.serveAccountingDay))
 }
 
-// limited bounds how many costly requests are served a second and at once, so that
-// they take no processor time from scheduling.
-func (s *Server) limited(serve http.HandlerFunc) http.HandlerFunc {
+// rateLimited limits the rate and the concurrency of expensive requests, so that they don't take
+// processor time from scheduling.
+func (s *Server) rateLimited(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if retryAfterS, ok := s.limiter.allow(time.Now()); !ok {
 			usage.Note(usage.RefusedRequests)
-			refuse(w, http.StatusTooManyRequests, retryAfterS, "too many listings; come back in the time given")
+			writeProblem(w, http.StatusTooManyRequests, retryAfterS, "too many listings; come back in the time given")
 			return
 		}
 		select {
-		case s.slots <- struct{}{}:
-			defer func() { <-s.slots }()
+		case s.requestSlots <- struct{}{}:
+			defer func() { <-s.requestSlots }()
 			serve(w, r)
 		default:
 			usage.Note(usage.RefusedRequests)
-			refuse(w, http.StatusTooManyRequests, 1, "too many listings at once")
+			writeProblem(w, http.StatusTooManyRequests, 1, "too many listings at once")
 		}
 	}
 }
 
-// site serves what clients need to know of the site, with defaults where the settings give
-// none.
-func (s *Server) site(w http.ResponseWriter, _ *http.Request) {
-	site := jobquery.Site{Cluster: s.settings.Cluster, Accounts: s.settings.Accounts, Class: s.settings.Class, Team: s.settings.Team, Zones: s.cfg.Params.Zones, Types: s.catalog.All()}
+// serveSite serves the site's classes, teams, zones and machine types. If the settings name no
+// default class or team, the first one of the platform's settings is the default.
+func (s *Server) serveSite(w http.ResponseWriter, _ *http.Request) {
+	site := jobquery.Site{Cluster: s.settings.ClusterName, Accounts: s.settings.AccountingEnabled, Class: s.settings.DefaultClass, Team: s.settings.DefaultTeam, Zones: s.cfg.Params.Zones, Types: s.catalog.All()}
 	for _, team := range s.cfg.Params.Teams {
 		site.Teams = append(site.Teams, team.Name)
 	}
@@ -167,25 +169,25 @@
 	httpjson.Write(w, http.StatusOK, site)
 }
 
-// submit serves a submission with constraints, or only checks it.
-func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
+// serveSubmission serves a submission with constraints. A dry run is only validated.
+func (s *Server) serveSubmission(w http.ResponseWriter, r *http.Request) {
 	var parsed jobquery.Submission
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 	if err != nil || json.Unmarshal(data, &parsed) != nil || parsed.Constraints == nil {
-		refuse(w, http.StatusBadRequest, 0, "job and terms are needed, in no more than 64 KiB")
+		writeProblem(w, http.StatusBadRequest, 0, "job and terms are needed, in no more than 64 KiB")
 		return
 	}
 	verb := submission.VerbSubmit
 	if parsed.DryRun {
 		verb = submission.VerbCheck
 	}
-	rep := s.submitter.Submit(r.Context(), submission.Request{Verb: verb, Body: parsed.Job, Constraints: parsed.Constraints})
+	reply := s.submitter.Submit(r.Context(), submission.Request{Verb: verb, Body: parsed.Job, Constraints: parsed.Constraints})
 	switch {
-	case rep.Status/100 == 2:
-		httpjson.Write(w, rep.Status, rep.State)
-	case rep.Status == 0:
-		refuse(w, http.StatusServiceUnavailable, 1, "can't tell now")
+	case reply.Status/100 == 2:
+		httpjson.Write(w, reply.Status, reply.State)
+	case reply.Status == 0:
+		writeProblem(w, http.StatusServiceUnavailable, 1, "can't tell now")
 	default:
-		refuse(w, rep.Status, 1, rep.Reason)
+		writeProblem(w, reply.Status, 1, reply.Reason)
 	}
 }
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -30,68 +30,70 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// site stands in for everything that a server uses.
-type site struct {
-	keys  []string // of accounting, in order
-	pages map[string]string
-	most  int // pages in one response of the store
-	jobs  []jobquery.Info
-	lists int
-	owns  bool
+// fakeServices implements all interfaces that a server uses.
+type fakeServices struct {
+	keys         []string // of the accounting pages, sorted
+	pages        map[string]string
+	maxPageItems int // largest number of pages that one call of Page returned
+	jobs         []jobquery.Info
+	listCalls    int
+	leads        bool
 }
 
-func (s *site) Get(context.Context, string) (wire.Item, error) {
+func (s *fakeServices) Get(context.Context, string) (wire.Item, error) {
 	return wire.Item{}, statestore.ErrNotFound
 }
-func (s *site) Txn(context.Context, []wire.Guard, ...wire.Op) (uint64, error) { return 1, nil }
-func (s *site) Page(_ context.Context, prefix, after string, limit int) ([]wire.Item, bool, error) {
-	at := sort.SearchStrings(s.keys, max(after+"\x00", prefix))
+
+func (s *fakeServices) Txn(context.Context, []wire.Guard, ...wire.Op) (uint64, error) { return 1, nil }
+
+func (s *fakeServices) Page(_ context.Context, prefix, after string, limit int) ([]wire.Item, bool, error) {
+	next := sort.SearchStrings(s.keys, max(after+"\x00", prefix))
 	var out []wire.Item
-	for ; at < len(s.keys) && len(out) < limit && strings.HasPrefix(s.keys[at], prefix); at++ {
-		data, _ := json.Marshal(s.pages[s.keys[at]])
-		out = append(out, wire.Item{Key: s.keys[at], Value: data})
+	for ; next < len(s.keys) && len(out) < limit && strings.HasPrefix(s.keys[next], prefix); next++ {
+		data, _ := json.Marshal(s.pages[s.keys[next]])
+		out = append(out, wire.Item{Key: s.keys[next], Value: data})
 	}
-	s.most = max(s.most, len(out))
-	return out, at < len(s.keys) && strings.HasPrefix(s.keys[at], prefix), nil
+	s.maxPageItems = max(s.maxPageItems, len(out))
+	return out, next < len(s.keys) && strings.HasPrefix(s.keys[next], prefix), nil
 }
 
-func (s *site) ListJobs(jobquery.Cursor, int) ([]jobquery.Info, *jobquery.Cursor) {
-	s.lists++
+func (s *fakeServices) ListJobs(jobquery.Cursor, int) ([]jobquery.Info, *jobquery.Cursor) {
+	s.listCalls++
 	return s.jobs, nil
 }
-func (s *site) LocalJobInfo(string) (jobquery.Info, bool) { return jobquery.Info{}, false }
-func (s *site) Hold(context.Context, string, bool) error  { return statestore.ErrUnknown }
-func (s *site) CancelTasks(context.Context, string, jobspec.Ranges) error {
+func (s *fakeServices) LocalJobInfo(string) (jobquery.Info, bool) { return jobquery.Info{}, false }
+func (s *fakeServices) Hold(context.Context, string, bool) error  { return statestore.ErrUnknown }
+func (s *fakeServices) CancelTasks(context.Context, string, jobspec.Ranges) error {
 	return scheduler.ErrInvalidRequest
 }
-func (s *site) Leads() bool             { return s.owns }
-func (s *site) ShardLeaders() []string  { return nil }
-func (s *site) All() []wire.MachineType { return nil }
-func (s *site) Submit(context.Context, submission.Request) submission.Reply {
+func (s *fakeServices) Leads() bool             { return s.leads }
+func (s *fakeServices) ShardLeaders() []string  { return nil }
+func (s *fakeServices) All() []wire.MachineType { return nil }
+func (s *fakeServices) Submit(context.Context, submission.Request) submission.Reply {
 	return submission.Reply{}
 }
 
-func (s *site) QueryLeader(context.Context, string, slurmapi.Request) (*slurmapi.Reply, error) {
-	return nil, errors.New("cut off")
+func (s *fakeServices) QueryLeader(context.Context, string, slurmapi.Request) (*slurmapi.Reply, error) {
+	return nil, errors.New("peer unreachable")
 }
 
-func (s *site) handler(perS float64) http.Handler {
-	s.owns = true
+func (s *fakeServices) handler(perS float64) http.Handler {
+	s.leads = true
 	mux := http.NewServeMux()
-	set := &slurmapi.Settings{Cluster: "c", PerS: perS}
+	set := &slurmapi.Settings{ClusterName: "c", ListingsPerS: perS}
 	slurmapi.New(set, &config.Platform{}, s, s, jobid.New(s), s, s, s, slog.New(slog.NewTextHandler(io.Discard, nil))).Register(mux)
 	return mux
 }
 
-// As many listings are served as the settings say; the others are to retry one after
-// another, not all at once.
+// Listings are served at the configured rate. The Retry-After times of the others are spread over
+// time, because simultaneous retries would exceed the rate again.
 func TestListingsBeyondTheRateLimitRetryOneAfterAnother(t *testing.T) {
-	s := &site{}
-	h := s.handler(5)
-	served, last, spread := 0, 0, map[int]int{}
+	s := &fakeServices{}
+	handler := s.handler(5)
+	served, last, countByDelay := 0, 0, map[int]int{}
 	for range 500 {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/slurm/jobs", nil))
+		handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/slurm/jobs", nil))
 		switch w.Code {
 		case http.StatusOK:
 			served++
@@ -101,25 +103,25 @@
 				t.Fatalf("retry in %d s after %d s: %v", retryS, last, err)
 			}
 			last = retryS
-			spread[retryS]++
+			countByDelay[retryS]++
 		default:
 			t.Fatalf("status %d", w.Code)
 		}
 	}
-	if served < 10 || served > 15 || s.lists != served || last != 30 {
-		t.Errorf("%d served with %d listings, the last retries in %d s", served, s.lists, last)
+	if served < 10 || served > 15 || s.listCalls != served || last != 30 {
+		t.Errorf("%d served with %d listings, the last retries in %d s", served, s.listCalls, last)
 	}
-	for retryS, n := range spread {
+	for retryS, n := range countByDelay {
 		if retryS < 30 && n > 6 {
 			t.Errorf("%d are to retry in %d s", n, retryS)
 		}
 	}
 }
 
-// An unknown outcome is 503, a request that can't be carried out 422, an unknown job 404.
+// The status is 503 for an unknown outcome, 422 for an invalid request and 404 for an unknown job.
 func TestResponseStatuses(t *testing.T) {
-	s := &site{}
-	h := s.handler(1000)
+	s := &fakeServices{}
+	handler := s.handler(1000)
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -140,14 +142,14 @@
 		{"GET", "/accounting/20261201", "", 200},
 	} {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+		handler.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
 		if w.Code != c.status || c.status == 503 && w.Header().Get("Retry-After") == "" {
 			t.Errorf("%s %s %s: %d, not %d: %s", c.method, c.path, c.body, w.Code, c.status, w.Body)
 		}
 	}
-	s.owns = false
+	s.leads = false
 	w := httptest.NewRecorder()
-	if h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/slurm/jobs", nil)); w.Code != 503 {
+	if handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/slurm/jobs", nil)); w.Code != 503 {
 		t.Errorf("a listing while no controller leads jobs: %d", w.Code)
 	}
 }
@@ -170,12 +172,12 @@
 	}
 }
 
-// fill writes so many rows of a day.
-func (s *site) fill(tb testing.TB, day time.Time, rows int) {
+// addAccountingPages stores pages with the given number of rows for a day.
+func (s *fakeServices) addAccountingPages(tb testing.TB, day time.Time, rows int) {
 	if s.pages == nil {
 		s.pages = map[string]string{}
 	}
-	book := accounting.NewPageBuilder(uint64(len(s.keys)+1), 14<<10)
+	builder := accounting.NewPageBuilder(uint64(len(s.keys)+1), 14<<10)
 	var batch []accounting.Row
 	for i := range rows {
 		start := day.UnixMilli() + int64(i%86_000)*1000
@@ -186,7 +188,7 @@
 		if len(batch) < 60 && i < rows-1 {
 			continue
 		}
-		w, err := book.Add(batch, day)
+		w, err := builder.Add(batch, day)
 		if err != nil {
 			tb.Fatal(err)
 		}
@@ -194,20 +196,20 @@
 			s.keys = append(s.keys, w.Key)
 		}
 		s.pages[w.Key] = w.Value
-		book.Applied(w, uint64(i+1))
+		builder.Applied(w, uint64(i+1))
 		batch = batch[:0]
 	}
 	sort.Strings(s.keys)
 }
 
-// BenchmarkDay queries days of accounting over HTTP, of a million rows in all.
+// BenchmarkDay reads the accounting of one day over HTTP, from a store with a million rows.
 func BenchmarkDay(b *testing.B) {
 	for _, rows := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprint(rows), func(b *testing.B) {
-			s := &site{}
+			s := &fakeServices{}
 			day := time.Date(2026, 11, 1, 0, 0, 0, 0, time.UTC)
 			for d := range 1_000_000 / rows {
-				s.fill(b, day.AddDate(0, 0, d), rows)
+				s.addAccountingPages(b, day.AddDate(0, 0, d), rows)
 			}
 			srv := httptest.NewServer(s.handler(1000))
 			defer srv.Close()
@@ -218,16 +220,16 @@
 					b.Fatal(n, err)
 				}
 			}
-			b.ReportMetric(float64(s.most), "pages/answer")
+			b.ReportMetric(float64(s.maxPageItems), "pages/answer")
 		})
 	}
 }
 
-// Responses to clients in full: lists with their lines, numbers, refusals.
+// The exact bodies of responses to clients.
 func TestRecordedResponses(t *testing.T) {
-	s := &site{jobs: []jobquery.Info{{Job: wire.Job{UID: "j-1"}, Constraints: &jobspec.Constraints{Number: 4}, Stage: wire.StageQueued}}}
+	s := &fakeServices{jobs: []jobquery.Info{{Job: wire.Job{UID: "j-1"}, Constraints: &jobspec.Constraints{Number: 4}, Stage: wire.StageQueued}}}
 	s.keys, s.pages = []string{"acct/20261130/7-1"}, map[string]string{"acct/20261130/7-1": "1:AAAA"}
-	h := s.handler(1000)
+	handler := s.handler(1000)
 	const job = `{"job":{"uid":"j-1","docket":"","crew":"","sort":"","urgency":"","pieces":0,"cpus":0,"cards":0,"memoryGb":0,"kit":"","pullGb":0,"reckonS":0},` +
 		`"terms":{"n":4},"at":0,"stage":"queued","queued":0,"running":0,"done":0}`
 	for _, c := range []struct{ method, path, body, want string }{
@@ -239,13 +241,13 @@
 		{"GET", "/slurm/site", "", `{"cluster":"c","accounting":false,"partition":"","account":"","partitions":null,"accounts":null,"zones":null,"types":null}`},
 	} {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
-		got := nowOf.ReplaceAllString(w.Body.String(), `"now":NOW`)
-		got = strings.Replace(got, `"now":NOW,"next":null`, `"next":null,"now":NOW`, 1) // their order is free
+		handler.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+		got := nowField.ReplaceAllString(w.Body.String(), `"now":NOW`)
+		got = strings.Replace(got, `"now":NOW,"next":null`, `"next":null,"now":NOW`, 1) // the fields may be in either order
 		if got != c.want {
 			t.Errorf("%s %s %s: %q, want %q", c.method, c.path, c.body, got, c.want)
 		}
 	}
 }
 
-var nowOf = regexp.MustCompile(`"now":[0-9]+`)
+var nowField = regexp.MustCompile(`"now":[0-9]+`)
--- a/internal/slurmapi/settings.go
+++ b/internal/slurmapi/settings.go
@@ -11,20 +11,20 @@
 
 // Settings are the operators' settings of Slurm-style clients and accounting.
 type Settings struct {
-	Cluster  string  // the name that clients show
-	Accounts bool    // rows of accounting are written
-	PerS     float64 // listings and pages a second that a controller answers
-	Class    string  // of jobs whose client names no partition
-	Team     string  // of jobs whose client names no account
+	ClusterName       string  // shown by clients
+	AccountingEnabled bool    // whether accounting rows are written
+	ListingsPerS      float64 // requests for listings and accounting per second that a controller admits
+	DefaultClass      string  // class of jobs submitted without a partition
+	DefaultTeam       string  // team of jobs submitted without an account
 }
 
 const (
-	minPerS = 0.1
-	maxPerS = 1000
+	minListingsPerS = 0.1
+	maxListingsPerS = 1000
 )
 
-// LoadSettings reads and checks a file of settings, all of them optional. Its errors name the
-// file. A file with all of them is
+// LoadSettings reads and validates a settings file. Its errors name the file. Every key is
+// optional; a file with all keys is
 //
 //	(slurm
 //	  (cluster "wallrack")
@@ -36,22 +36,21 @@
 	return config.Load(path, ParseSettings)
 }
 
-// ParseSettings reads the text of the operators' settings. Its errors name the key that is
-// wrong.
+// ParseSettings parses and validates the text of a settings file. Its errors name the invalid key.
 func ParseSettings(data []byte) (*Settings, error) {
 	entries, err := config.Entries(data, "slurm", "(key value)")
 	if err != nil {
 		return nil, err
 	}
-	s := &Settings{Cluster: "wallrack", PerS: 5}
-	texts := map[string]*string{"cluster": &s.Cluster, "partition": &s.Class, "account": &s.Team}
+	s := &Settings{ClusterName: "wallrack", ListingsPerS: 5}
+	texts := map[string]*string{"cluster": &s.ClusterName, "partition": &s.DefaultClass, "account": &s.DefaultTeam}
 	seen := map[string]bool{}
 	for i, entry := range entries {
 		pair, ok := entry.([]any)
 		if !ok || len(pair) != 2 {
 			return nil, fmt.Errorf("entry %d: expected (key value)", i+1)
 		}
-		symbol, _ := pair[0].(edn.Symbol) // another kind is an unknown key
+		symbol, _ := pair[0].(edn.Symbol) // a value of another type results in an unknown key
 		key := string(symbol)
 		if seen[key] {
 			return nil, fmt.Errorf("%s: given twice", key)
@@ -68,9 +67,9 @@
 			if pair[1] != edn.Symbol("on") && pair[1] != edn.Symbol("off") {
 				return nil, errors.New("accounting: on or off is needed")
 			}
-			s.Accounts = pair[1] == edn.Symbol("on")
+			s.AccountingEnabled = pair[1] == edn.Symbol("on")
 		case key == "listings-per-s":
-			if s.PerS, err = config.Number(pair[1], minPerS, maxPerS); err != nil {
+			if s.ListingsPerS, err = config.Number(pair[1], minListingsPerS, maxListingsPerS); err != nil {
 				return nil, fmt.Errorf("%s: %w", key, err)
 			}
 		default:
--- a/internal/worker/processes.go
+++ b/internal/worker/processes.go
@@ -97,7 +97,7 @@
 	cmd.Env = append(cmd.Env, dirEntry) // after the job's own variables, so that none of them overrides it
 	var userFiles [2]string
 	if spec.Slurm != nil {
-		slurm, err := spec.Slurm.Of(number, attempt, p.WorkerName)
+		slurm, err := spec.Slurm.NewTask(number, attempt, p.WorkerName)
 		if err != nil {
 			return nil, err
 		}
