--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -97,7 +97,7 @@
 	for range 3 * budget.RequestsAtOnce() {
 		worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusConflict) }))
 		defer worker.Close()
-		_, _, _ = commands.SendCommands(context.Background(), worker.Listener.Addr().String(), wire.Orders{Token: 1}, func() error { return nil }) // only the connection matters
+		_, _, _ = commands.SendCommands(context.Background(), worker.Listener.Addr().String(), wire.PushedCommands{Token: 1}, func() error { return nil }) // only the connection matters
 	}
 	if n := commands.Connections(); n != 3*budget.RequestsAtOnce() {
 		t.Fatalf("%d connections for commands before anybody came", n)
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -83,7 +83,7 @@
 // address of its own, which next picks; the workers' end is in it.
 func commandTime(tb testing.TB, workers int, next func() int) float64 {
 	sender, w := dispatch.NewHTTPCommandSender(largeSite(workers)), newCommandedWorkers(tb, workers)
-	commands := wire.Orders{Token: 7, Session: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000400/10", Attempt: 20}}}
+	commands := wire.PushedCommands{Token: 7, Session: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000400/10", Attempt: 20}}}
 	for worker := range workers {
 		w.command(tb, sender, worker) // first ones are always dialled
 	}
@@ -124,7 +124,7 @@
 		}
 		answered := make(chan net.Conn, 1)
 		go func() { answered <- answerOnce(tb, lis, response) }()
-		if _, _, err := sender.SendCommands(context.Background(), lis.Addr().String(), wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
+		if _, _, err := sender.SendCommands(context.Background(), lis.Addr().String(), wire.PushedCommands{Token: 7, Session: 1}, stillValid); err != nil {
 			tb.Fatal(err)
 		}
 		worker := <-answered
--- a/internal/dispatch/command_sender.go
+++ b/internal/dispatch/command_sender.go
@@ -29,7 +29,7 @@
 	// calls valid right before they leave, when the connection is there, and returns valid's
 	// error, if there is one, without sending. An error that is not ErrNotSent, and not of
 	// valid, leaves it unknown whether the commands were, or will be, executed.
-	SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error)
+	SendCommands(ctx context.Context, endpoint string, o wire.PushedCommands, valid func() error) (*wire.Report, bool, error)
 	// FetchReport polls a worker for its report.
 	FetchReport(ctx context.Context, endpoint string) (*wire.Report, error)
 }
@@ -102,7 +102,7 @@
 }
 
 // SendCommands implements CommandSender.
-func (s *HTTPCommandSender) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
+func (s *HTTPCommandSender) SendCommands(ctx context.Context, endpoint string, o wire.PushedCommands, valid func() error) (*wire.Report, bool, error) {
 	if err := takeSlot(ctx, s.slots); err != nil {
 		return nil, false, err
 	}
--- a/internal/dispatch/command_slots_test.go
+++ b/internal/dispatch/command_slots_test.go
@@ -44,7 +44,7 @@
 	within, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
 	for range 50 { // while ever more of the unresponsive ones are polled
-		if _, _, err := sender.SendCommands(within, workers.endpoints[0], wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
+		if _, _, err := sender.SendCommands(within, workers.endpoints[0], wire.PushedCommands{Token: 7, Session: 1}, stillValid); err != nil {
 			t.Fatalf("commands while %d unresponsive workers are polled: %v", unresponsive, err)
 		}
 	}
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -63,7 +63,7 @@
 
 func (w *commandedWorkers) command(tb testing.TB, sender *dispatch.HTTPCommandSender, worker int) {
 	tb.Helper()
-	if _, _, err := sender.SendCommands(context.Background(), w.endpoints[worker], wire.Orders{Token: 7, Session: 1}, stillValid); err != nil {
+	if _, _, err := sender.SendCommands(context.Background(), w.endpoints[worker], wire.PushedCommands{Token: 7, Session: 1}, stillValid); err != nil {
 		tb.Errorf("commands to worker %d: %v", worker, err)
 	}
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -23,8 +23,8 @@
 	tokenMu  sync.Mutex // the dispatcher raises the token in the background
 	token    uint64
 	raises   bool
-	respond  func(wire.Orders) (*wire.Report, bool, error)
-	sent     []wire.Orders
+	respond  func(wire.PushedCommands) (*wire.Report, bool, error)
+	sent     []wire.PushedCommands
 	views    []dispatch.WorkerView
 	isolated bool
 	barred   bool // may not answer workers
@@ -76,7 +76,7 @@
 }
 func (s *stub) MayAnswerWorkers() bool { return !s.barred }
 func (s *stub) Isolated() bool         { return s.isolated }
-func (s *stub) SendCommands(_ context.Context, _ string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
+func (s *stub) SendCommands(_ context.Context, _ string, o wire.PushedCommands, valid func() error) (*wire.Report, bool, error) {
 	if s.connect != nil {
 		s.connect()
 	}
@@ -107,7 +107,7 @@
 // waits for.
 func TestInstructionsAfterShutdownSendNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+		s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 		ctx, end := context.WithCancel(t.Context())
 		d := newDispatcher(ctx, s)
 		d.HandleReport(ctx, report(1, 5))
@@ -143,7 +143,7 @@
 // again beside its next attempt.
 func TestNoClearWhileCommandsHaveUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stub{token: 5, raises: true, respond: func(wire.Orders) (*wire.Report, bool, error) {
+		s := &stub{token: 5, raises: true, respond: func(wire.PushedCommands) (*wire.Report, bool, error) {
 			return nil, false, context.DeadlineExceeded
 		}}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -324,7 +324,7 @@
 // A clear in direct commands could arrive before a start in the response to a
 // heartbeat, which would then start the attempt again.
 func TestClearsOnlyInHeartbeatResponses(t *testing.T) {
-	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+	s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	d := newDispatcher(t.Context(), s)
 	exited := wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseNoRoom}
 	d.HandleReport(t.Context(), report(1, 5, exited))
@@ -356,7 +356,7 @@
 // Starts keep within the worker's size, and a start is repeated until the worker
 // reports it.
 func TestStartsOnlyWhatFits(t *testing.T) {
-	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+	s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	d := newDispatcher(t.Context(), s)
 	d.HandleReport(t.Context(), report(1, 5))
 	var entries []dispatch.QueueEntry
--- a/internal/dispatch/grants_test.go
+++ b/internal/dispatch/grants_test.go
@@ -18,7 +18,7 @@
 	for _, short := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			var batches []int
-			s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+			s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 			s.grantRemote = func(requests []dispatch.GrantRequest) []dispatch.GrantReply {
 				batches = append(batches, len(requests))
 				time.Sleep(roundTrip)
--- a/internal/dispatch/lost_start_test.go
+++ b/internal/dispatch/lost_start_test.go
@@ -10,7 +10,7 @@
 // Guards against a task whose start was lost looking as if it were about to run behind long tasks
 // that took its room: its leader found no worker better, and it stood still.
 func TestTaskWhoseStartWasLostWaitsBehindRunningTasks(t *testing.T) {
-	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+	s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	d := newDispatcher(t.Context(), s)
 	d.HandleReport(t.Context(), report(1, 5))
 	d.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1)}})
--- a/internal/dispatch/outdated_commands_test.go
+++ b/internal/dispatch/outdated_commands_test.go
@@ -68,7 +68,7 @@
 		var checks atomic.Int32
 		outcome := make(chan error, 1)
 		go func() {
-			_, _, err := sender.SendCommands(ctx, endpoint, wire.Orders{Token: 5, Session: 1}, func() error {
+			_, _, err := sender.SendCommands(ctx, endpoint, wire.PushedCommands{Token: 5, Session: 1}, func() error {
 				checks.Add(1)
 				if valid {
 					return nil
@@ -105,7 +105,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cancelled := cancelledJobs{}
-				s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+				s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 				waits := 0
 				s.connect = func() {
 					if waits++; waits == 1 {
@@ -135,7 +135,7 @@
 
 // A controller that may not answer workers any more sends no commands that waited.
 func TestNoCommandsAfterLosingTheRightToAnswer(t *testing.T) {
-	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+	s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	s.connect = func() { s.barred = true }
 	d := newDispatcher(t.Context(), s)
 	d.HandleReport(t.Context(), report(1, 5))
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -46,7 +46,7 @@
 	worker.pushInFlight, worker.pushPending = true, false
 	endpoint, session := worker.report.Endpoint, worker.report.Session
 	d.startLocked(func() {
-		d.push(name, endpoint, wire.Orders{Token: token, Session: session, Commands: commands})
+		d.push(name, endpoint, wire.PushedCommands{Token: token, Session: session, Commands: commands})
 	})
 }
 
@@ -56,7 +56,7 @@
 func (w *workerState) needsToken(token uint64) bool { return w.polled && w.report.Token < token }
 
 // push sends commands and handles the worker's response.
-func (d *Dispatcher) push(name, endpoint string, orders wire.Orders) {
+func (d *Dispatcher) push(name, endpoint string, orders wire.PushedCommands) {
 	ctx, cancel := context.WithTimeout(d.lifetime, pushTimeout)
 	rep, executed, err := d.sender.SendCommands(ctx, endpoint, orders, func() error { return d.checkCurrent(orders) })
 	cancel()
@@ -85,7 +85,7 @@
 
 // finishPush notes the outcome of a push. It returns false if the worker is not known any more,
 // and whether to push again.
-func (d *Dispatcher) finishPush(name string, orders *wire.Orders, executed bool, err error) (known, pushAgain bool) {
+func (d *Dispatcher) finishPush(name string, orders *wire.PushedCommands, executed bool, err error) (known, pushAgain bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	worker := d.workers[name]
@@ -116,7 +116,7 @@
 // checkCurrent returns errOutdated if direct commands must not leave any more. They may have
 // waited for their connection while a job was cancelled, the token was raised, or this controller
 // lost the right to answer workers: sent then, they would start a task after a confirmed cancel.
-func (d *Dispatcher) checkCurrent(orders wire.Orders) error {
+func (d *Dispatcher) checkCurrent(orders wire.PushedCommands) error {
 	if !d.routing.MayAnswerWorkers() || d.tokens.FencingToken() != orders.Token {
 		return errOutdated
 	}
--- a/internal/dispatch/reports.go
+++ b/internal/dispatch/reports.go
@@ -31,7 +31,7 @@
 	body := bodies.Get().(*bytes.Buffer)
 	defer bodies.Put(body)
 	body.Reset()
-	if _, err := body.ReadFrom(http.MaxBytesReader(w, r.Body, wire.MaxBody)); err != nil {
+	if _, err := body.ReadFrom(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes)); err != nil {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "body unreadable or too large"})
 		return
 	}
--- a/internal/dispatch/slow_responses_test.go
+++ b/internal/dispatch/slow_responses_test.go
@@ -51,7 +51,7 @@
 // the response of a worker that is polled is waited for.
 func TestGrantsAndPollsOverSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slowLinks{&stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return report(2, 5), true, nil }}, 2900 * time.Millisecond}
+		s := &slowLinks{&stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return report(2, 5), true, nil }}, 2900 * time.Millisecond}
 		ctx, cancel := context.WithCancel(context.Background())
 		d := dispatch.New(ctx, dispatch.Options{
 			Node: "a", WorkerLease: 10 * time.Second, Schedulers: s, Tokens: s, MachineTypes: s, Routing: s, Commands: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -87,7 +87,7 @@
 
 // order sends a direct order and returns the status, 0 for no response in time.
 func (s *site) order(client *http.Client, token, session uint64, uid string) int {
-	body, _ := json.Marshal(wire.Orders{Token: token, Session: session, Commands: []wire.Command{{Verb: wire.VerbStart, Task: uid + "/0", Attempt: 1}}})
+	body, _ := json.Marshal(wire.PushedCommands{Token: token, Session: session, Commands: []wire.Command{{Verb: wire.VerbStart, Task: uid + "/0", Attempt: 1}}})
 	resp, err := client.Post("http://"+s.endpoint+"/orders", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -170,7 +170,7 @@
 // submit serves a submission with constraints, or only checks it.
 func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
 	var parsed jobquery.Submission
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil || json.Unmarshal(data, &parsed) != nil || parsed.Constraints == nil {
 		refuse(w, http.StatusBadRequest, 0, "job and terms are needed, in no more than 64 KiB")
 		return
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -211,7 +211,7 @@
 }
 
 func (s *Service) submit(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
 		refuse(w, http.StatusBadRequest, "body unreadable or over 64 KiB")
 		return
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -88,7 +88,7 @@
 
 	accounts       bool                                 // whether accounting rows are written
 	onInstructions func(d dispatch.Instructions)        // sees the instructions to dispatchers before they are on their way; nil: nobody
-	onCommands     func(endpoint string, o wire.Orders) // sees a direct command before it is on its way; nil: nobody
+	onCommands     func(endpoint string, o wire.PushedCommands) // sees a direct command before it is on its way; nil: nobody
 
 	extraDuties func(n *node) []func(context.Context) error            // what else a controller runs; nil: nothing
 	leaderCount int                                                    // controllers that shards are spread over; 0: as the settings have it
--- a/internal/testkit/job_stream_test.go
+++ b/internal/testkit/job_stream_test.go
@@ -101,7 +101,7 @@
 			}
 		}
 	}
-	s.onCommands = func(_ string, o wire.Orders) {
+	s.onCommands = func(_ string, o wire.PushedCommands) {
 		for _, c := range o.Commands {
 			if job := s.jobOf(c.Task); job != nil && c.Verb == wire.VerbStart {
 				s.cancel(job, cancelLaunching) // confirmed before the command arrives
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -51,7 +51,7 @@
 
 // SendCommands sends a direct command; some arrive, but the answer is lost, and some
 // arrive minutes late.
-func (n *node) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
+func (n *node) SendCommands(ctx context.Context, endpoint string, o wire.PushedCommands, valid func() error) (*wire.Report, bool, error) {
 	if d := n.cluster.drawn(&n.cluster.connecting); d > 0 {
 		time.Sleep(d)
 	}
@@ -76,7 +76,7 @@
 	return a.report, a.executed, err
 }
 
-func (n *node) order(endpoint string, o wire.Orders, sent time.Time) (*wire.Report, bool, error) {
+func (n *node) order(endpoint string, o wire.PushedCommands, sent time.Time) (*wire.Report, bool, error) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	worker := n.cluster.byName[endpoint]
@@ -116,7 +116,7 @@
 }
 
 // holdBack keeps an order that is delivered when it may.
-func (w *cluster) holdBack(from *node, to *testkit.Worker, o wire.Orders, sent time.Time) {
+func (w *cluster) holdBack(from *node, to *testkit.Worker, o wire.PushedCommands, sent time.Time) {
 	w.late = append(w.late, func() { w.checks.sent(from, sent); to.Orders(o) })
 }
 
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -271,7 +271,7 @@
 				if c.token {
 					session, term := w.session(cut[0]), w.nodes[w.leader()].member.FencingToken()
 					w.mu.Lock()
-					cut[0].Orders(wire.Orders{Token: term + 1, Session: session})
+					cut[0].Orders(wire.PushedCommands{Token: term + 1, Session: session})
 					w.mu.Unlock()
 				}
 				if c.ends {
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -212,7 +212,7 @@
 
 // Orders takes a direct message, however late it comes, and reports whether it was
 // executed now. A worker that hangs takes it when it continues.
-func (w *Worker) Orders(o wire.Orders) bool {
+func (w *Worker) Orders(o wire.PushedCommands) bool {
 	if w.Hangs() {
 		w.hold(func() { w.Orders(o) })
 		return false
--- a/internal/wire/capacity_test.go
+++ b/internal/wire/capacity_test.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// bytesOf is a message's size as JSON.
-func bytesOf(tb testing.TB, message any) float64 {
+// jsonSize is a message's size as JSON.
+func jsonSize(tb testing.TB, message any) float64 {
 	data, err := json.Marshal(message)
 	if err != nil {
 		tb.Fatal(err)
@@ -27,14 +27,14 @@
 		for i := range tasks {
 			r.Tasks = append(r.Tasks, wire.Task{Task: taskName(i), Attempt: 20, State: wire.TaskRunning})
 		}
-		return bytesOf(tb, r)
+		return jsonSize(tb, r)
 	}},
 	{Name: "wire.answer", Sizes: []int{1, 2, 5, 10, 40}, Measure: func(tb testing.TB, commands int) float64 {
 		a := wire.ReportResponse{Token: 41}
 		for i := range commands {
 			a.Commands = append(a.Commands, wire.Command{Verb: wire.VerbStart, Task: taskName(i), Attempt: 20})
 		}
-		return bytesOf(tb, a)
+		return jsonSize(tb, a)
 	}},
 	{Name: "wire.machines", Sizes: []int{50, 100, 250, 500}, Measure: func(tb testing.TB, machines int) float64 {
 		list := wire.MachineList{More: true}
@@ -44,7 +44,7 @@
 				Type: "g8", Zone: "a", Spot: true, Stage: wire.MachineRunning, AgeS: 1061.5,
 			})
 		}
-		return bytesOf(tb, list)
+		return jsonSize(tb, list)
 	}},
 	{Name: "wire.readReport", Scatters: true, Sizes: []int{1, 5, 10, 40}, Measure: func(tb testing.TB, tasks int) float64 {
 		r := wire.Report{Machine: "n-000231", Endpoint: "e", Type: "g8", Zone: "a", Session: 1}
--- a/internal/wire/index.go
+++ b/internal/wire/index.go
@@ -2,18 +2,18 @@
 
 // Index maps names to dense indices, in order of first sight.
 type Index struct {
-	of map[string]int
+	indices map[string]int
 }
 
 // Of returns the index of a name.
 func (x *Index) Of(name string) int {
-	i, ok := x.of[name]
+	i, ok := x.indices[name]
 	if !ok {
-		if x.of == nil {
-			x.of = map[string]int{}
+		if x.indices == nil {
+			x.indices = map[string]int{}
 		}
-		i = len(x.of)
-		x.of[name] = i
+		i = len(x.indices)
+		x.indices[name] = i
 	}
 	return i
 }
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -10,8 +10,8 @@
 	"github.com/goccy/go-json"
 )
 
-// priorities maps the names to the ranks.
-var priorities = map[string]int{"low": 0, "normal": 1, "urgent": 2, "production": 3}
+// priorityRanks maps the names to the ranks.
+var priorityRanks = map[string]int{"low": 0, "normal": 1, "urgent": 2, "production": 3}
 
 // Job is a submission. It is stored as it is sent. Amounts are those of one task.
 type Job struct {
@@ -38,7 +38,7 @@
 }
 
 // Rank returns the job's priority; a larger rank is served first.
-func (j *Job) Rank() int { return priorities[j.Priority] }
+func (j *Job) Rank() int { return priorityRanks[j.Priority] }
 
 // Service reports whether the job's tasks run until it is cancelled.
 func (j *Job) Service() bool { return j.Kind == KindService }
@@ -46,20 +46,20 @@
 // Gang reports whether the job's tasks run together or not at all.
 func (j *Job) Gang() bool { return j.Kind == KindGang }
 
-// jobMessage is a submission's fields as they came; nil: missing, null or of a wrong type.
-type jobMessage struct {
+// decodedJob is a submission's fields as they came; nil: missing, null or of a wrong type.
+type decodedJob struct {
 	UID, Class, Team, Kind, Priority, Image, Zone               *string
 	Tasks                                                       *int
-	CPUs, GPUs, MemoryGB, ImageGB, Estimate, MarkS, SaveS, DueS *float64
+	CPUs, GPUs, MemoryGB, ImageGB, EstimateS, CheckpointIntervalS, CheckpointSaveS, DueS *float64
 	OneZone, Spread, Spot                                       *bool
 	Types                                                       *[]string
 }
 
-// read takes the fields of a JSON object by their exact names, and returns the first that
-// is of a wrong type. The others are read all the same: a repeated submission is answered
+// decode takes the fields of a JSON object by their exact names, and returns the first that
+// is of a wrong type. The others are decode all the same: a repeated submission is answered
 // by its id, whatever else its body holds. A library that reads the whole object at once
 // also takes "CPUS" for "cpus", so that a job that lacks the field would be accepted.
-func (m *jobMessage) read(given map[string]json.RawMessage) error {
+func (m *decodedJob) decode(given map[string]json.RawMessage) error {
 	var bad error
 	for _, field := range []struct {
 		name   string
@@ -81,9 +81,9 @@
 		{"together", &m.OneZone},
 		{"apart", &m.Spread},
 		{"loaners", &m.Spot},
-		{"reckonS", &m.Estimate},
-		{"markS", &m.MarkS},
-		{"stashS", &m.SaveS},
+		{"reckonS", &m.EstimateS},
+		{"markS", &m.CheckpointIntervalS},
+		{"stashS", &m.CheckpointSaveS},
 		{"dueS", &m.DueS},
 	} {
 		value, ok := given[field.name]
@@ -99,8 +99,8 @@
 
 const (
 	maxAmount = 1e9 // of resources and seconds, so that sums stay exact
-	maxName   = 120 // bytes of every name in a job, so that its record fits a value of the state service
-	maxTypes  = 16  // machine types that a job names
+	maxNameBytes   = 120 // bytes of every name in a job, so that its record fits a value of the state service
+	maxMachineTypes  = 16  // machine types that a job names
 )
 
 // ParseJob reads a submission. Its error is a short reason that begins with the field. The job
@@ -114,15 +114,15 @@
 	if err := json.Unmarshal(body, &given); err != nil {
 		return nil, fmt.Errorf("body is not a valid job: %w", err)
 	}
-	var m jobMessage
-	c := fieldCheck{err: m.read(given)}
+	var m decodedJob
+	c := fieldCheck{err: m.decode(given)}
 	job := &Job{
 		UID: c.name("uid", m.UID), Class: c.name("docket", m.Class), Team: c.name("crew", m.Team),
 		Kind: c.name("sort", m.Kind), Priority: c.name("urgency", m.Priority),
 		CPUs: c.positive("cpus", m.CPUs), GPUs: c.amount("cards", m.GPUs), MemoryGB: c.amount("memoryGb", m.MemoryGB),
 		Image: c.name("kit", m.Image), ImageGB: c.amount("pullGb", m.ImageGB),
 		OneZone: c.flag("together", m.OneZone), Spread: c.flag("apart", m.Spread), Spot: c.flag("loaners", m.Spot),
-		EstimateS: c.amount("reckonS", m.Estimate), CheckpointIntervalS: c.amount("markS", m.MarkS), CheckpointSaveS: c.amount("stashS", m.SaveS),
+		EstimateS: c.amount("reckonS", m.EstimateS), CheckpointIntervalS: c.amount("markS", m.CheckpointIntervalS), CheckpointSaveS: c.amount("stashS", m.CheckpointSaveS),
 		Zone: m.Zone, DueS: m.DueS,
 	}
 	if m.UID != nil && !ValidJobID(job.UID) {
@@ -131,7 +131,7 @@
 	if job.Kind != KindArray && job.Kind != KindService && job.Kind != KindGang {
 		c.fail("sort", "unknown")
 	}
-	if _, ok := priorities[job.Priority]; !ok {
+	if _, ok := priorityRanks[job.Priority]; !ok {
 		c.fail("urgency", "unknown")
 	}
 	job.Tasks = c.tasks(m.Tasks)
@@ -161,7 +161,7 @@
 		c.fail(field, "missing")
 		return ""
 	}
-	if *value == "" || len(*value) > maxName {
+	if *value == "" || len(*value) > maxNameBytes {
 		c.fail(field, "empty or too long")
 	}
 	return *value
@@ -206,7 +206,7 @@
 }
 
 func (c *fieldCheck) types(types []string) []string {
-	if len(types) == 0 || len(types) > maxTypes {
+	if len(types) == 0 || len(types) > maxMachineTypes {
 		c.fail("builds", "empty or too long")
 	}
 	for i := range types {
@@ -215,13 +215,13 @@
 	return types
 }
 
-// maxIDSuffix bounds a job id without its prefix.
-const maxIDSuffix = 40
+// maxIDSuffixBytes bounds a job id without its prefix.
+const maxIDSuffixBytes = 40
 
 // ValidJobID reports whether id has the form of a job id.
 func ValidJobID(id string) bool {
 	suffix, ok := strings.CutPrefix(id, "j-")
-	if !ok || suffix == "" || len(suffix) > maxIDSuffix {
+	if !ok || suffix == "" || len(suffix) > maxIDSuffixBytes {
 		return false
 	}
 	for _, c := range suffix {
--- a/internal/wire/recorded_test.go
+++ b/internal/wire/recorded_test.go
@@ -25,7 +25,7 @@
 }
 
 // Users' messages keep their form.
-func TestRecordedUsers(t *testing.T) {
+func TestRecordedUserMessages(t *testing.T) {
 	recorded.Check(t, "job_full", fullJob())
 	recorded.Check(t, "job_empty", wire.Job{})
 	recorded.Check(t, "job_state_full", wire.JobState{UID: "j-000400", Stage: wire.StageRunning, Done: 3, Running: 5})
@@ -45,7 +45,7 @@
 }
 
 // Workers' messages keep their form.
-func TestRecordedWorkers(t *testing.T) {
+func TestRecordedWorkerMessages(t *testing.T) {
 	notice, grace := 30.5, 12.5
 	report := wire.Report{
 		Machine: "n-000231", Endpoint: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 2, Seq: 1088, Token: 41,
@@ -64,9 +64,9 @@
 	recorded.Check(t, "command_empty", wire.Command{})
 	recorded.Check(t, "report_answer_full", wire.ReportResponse{Token: 41, Commands: commands})
 	recorded.Check(t, "report_answer_empty", wire.ReportResponse{Commands: []wire.Command{}})
-	orders := wire.Orders{Token: 41, Session: 2, Commands: commands}
+	orders := wire.PushedCommands{Token: 41, Session: 2, Commands: commands}
 	recorded.Check(t, "orders_full", orders)
-	recorded.Check(t, "orders_empty", wire.Orders{Commands: []wire.Command{}})
+	recorded.Check(t, "orders_empty", wire.PushedCommands{Commands: []wire.Command{}})
 	recorded.Check(t, "redirect_full", wire.Redirect{ReportTo: "c2"})
 	recorded.Check(t, "redirect_empty", wire.Redirect{})
 
@@ -75,13 +75,13 @@
 		t.Errorf("the recorded report reads as %+v, %v", r, err)
 	}
 	body = recorded.Read(t, "orders_full.json")
-	if o, err := wire.ParseOrders(body); err != nil || !reflect.DeepEqual(*o, orders) {
+	if o, err := wire.ParsePushedCommands(body); err != nil || !reflect.DeepEqual(*o, orders) {
 		t.Errorf("the recorded orders read as %+v, %v", o, err)
 	}
 }
 
 // The cloud's messages keep their form.
-func TestRecordedCloud(t *testing.T) {
+func TestRecordedCloudMessages(t *testing.T) {
 	machineType := wire.MachineType{Name: "g8", CPUs: 8, GPUs: 1, MemoryGB: 32.5, CacheGB: 100, FetchGBPerS: 0.25, Price: 1.5, SpotPrice: 0.45, BootS: 90, Zones: []string{"a", "b"}}
 	recorded.Check(t, "machine_types_full", wire.MachineTypes{Types: []wire.MachineType{machineType}})
 	recorded.Check(t, "machine_types_empty", wire.MachineTypes{})
@@ -99,7 +99,7 @@
 }
 
 // The state service's messages keep their form.
-func TestRecordedState(t *testing.T) {
+func TestRecordedStateMessages(t *testing.T) {
 	value, none := json.RawMessage(`{"stage":"done"}`), json.RawMessage("null")
 	item := wire.Item{Key: "/store/c/term", Value: value, Version: 12, Lease: 5}
 	recorded.Check(t, "item_full", item)
@@ -128,8 +128,8 @@
 }
 
 // The words that messages carry are part of their form.
-func TestRecordedWords(t *testing.T) {
-	for _, words := range []struct{ is, was string }{
+func TestRecordedConstants(t *testing.T) {
+	for _, constant := range []struct{ is, was string }{
 		{wire.KindArray, "sweep"},
 		{wire.KindService, "daemon"},
 		{wire.KindGang, "gang"},
@@ -155,8 +155,8 @@
 		{wire.MachineFailed, "failed"},
 		{wire.TaskName("j-000400", 7), "j-000400/7"},
 	} {
-		if words.is != words.was {
-			t.Errorf("%q is sent as %q", words.was, words.is)
+		if constant.is != constant.was {
+			t.Errorf("%q is sent as %q", constant.was, constant.is)
 		}
 	}
 	for rank, priority := range []string{"low", "normal", "urgent", "production"} {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -3,8 +3,8 @@
 // out. All messages are plain data; the package sends and stores nothing.
 package wire
 
-// MaxBody is the largest request body, in bytes, that any interface accepts.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the largest request body, in bytes, that any interface accepts.
+const MaxBodyBytes = 64 << 10
 
 // MaxTasks is the largest number of tasks a job may have.
 const MaxTasks = 100_000
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,20 +11,20 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-const good = `{"uid":"j-000412","docket":"train","crew":"vision","sort":"sweep","urgency":"urgent","pieces":16,
+const validJob = `{"uid":"j-000412","docket":"train","crew":"vision","sort":"sweep","urgency":"urgent","pieces":16,
  "cpus":8.0,"cards":1.0,"memoryGb":64.0,"kit":"img-07","pullGb":6.2,"builds":["g8"],"yard":null,
  "together":true,"apart":false,"loaners":true,"reckonS":240.0,"markS":30.0,"stashS":4.0,"dueS":900.0}`
 
-func fields(t interface{ Fatal(...any) }) map[string]any {
+func validJobFields(t interface{ Fatal(...any) }) map[string]any {
 	var m map[string]any
-	if err := json.Unmarshal([]byte(good), &m); err != nil {
+	if err := json.Unmarshal([]byte(validJob), &m); err != nil {
 		t.Fatal(err)
 	}
 	return m
 }
 
 func TestParseJobAcceptsExample(t *testing.T) {
-	job, err := wire.ParseJob([]byte(good))
+	job, err := wire.ParseJob([]byte(validJob))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 func TestParseJobRefusesBadFields(t *testing.T) {
 	nullable := map[string]bool{"builds": true, "yard": true, "dueS": true}
 	rapid.Check(t, func(t *rapid.T) {
-		m := fields(t)
+		m := validJobFields(t)
 		names := make([]string, 0, len(m))
 		for k := range m {
 			names = append(names, k)
@@ -83,8 +83,8 @@
 
 func TestParseJobRefusesMalformedBodies(t *testing.T) {
 	for _, body := range []string{
-		"", "null", "[]", `"x"`, "{", "{}", strings.Replace(good, "sweep", "sweeps", 1),
-		strings.Replace(good, `"urgent"`, `"high"`, 1), strings.Replace(good, "16", "100001", 1), strings.Replace(good, "j-000412", "k-1", 1),
+		"", "null", "[]", `"x"`, "{", "{}", strings.Replace(validJob, "sweep", "sweeps", 1),
+		strings.Replace(validJob, `"urgent"`, `"high"`, 1), strings.Replace(validJob, "16", "100001", 1), strings.Replace(validJob, "j-000412", "k-1", 1),
 	} {
 		if _, err := wire.ParseJob([]byte(body)); err == nil {
 			t.Errorf("accepted %.60q", body)
@@ -93,7 +93,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validJob))
 	f.Add([]byte(`{"bench":"n-1","endpoint":"1.2.3.4:5","build":"g8","yard":"a","stint":1,"pieces":[{"piece":"j-1/3","try":2,"stage":"running"}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if j, err := wire.ParseJob(body); err == nil && (!wire.ValidJobID(j.UID) || j.Tasks < 1 || j.CPUs <= 0) {
@@ -120,11 +120,11 @@
 	})
 }
 
-// TestReportsReadAsTheStandardLibraryReadsThem guards the choice of a faster
+// TestParseReportMatchesEncodingJSON guards the choice of a faster
 // JSON library: whatever happens to a report on its way, it is refused, or
 // read, as encoding/json would, and never ends the process.
-func TestReportsReadAsTheStandardLibraryReadsThem(t *testing.T) {
-	bits := []string{"{", "}", "[", "]", ",", ":", `"`, `\`, "null", "true", "1.5", "-1", "99999999999999999999999", "\x00", "\xff", `\ud800`, "bench", "pieces", "[[[[[[[["}
+func TestParseReportMatchesEncodingJSON(t *testing.T) {
+	insertions := []string{"{", "}", "[", "]", ",", ":", `"`, `\`, "null", "true", "1.5", "-1", "99999999999999999999999", "\x00", "\xff", `\ud800`, "bench", "pieces", "[[[[[[[["}
 	rapid.Check(t, func(t *rapid.T) {
 		r := wire.Report{Machine: "n-1", Endpoint: "e:1", Type: "m", Zone: "z", Session: 1, Seq: 2, Token: 3}
 		for i := range rapid.IntRange(0, 3).Draw(t, "tasks") {
@@ -137,7 +137,7 @@
 		for range rapid.IntRange(0, 3).Draw(t, "changes") {
 			at := rapid.IntRange(0, len(body)).Draw(t, "at")
 			end := min(len(body), at+rapid.IntRange(0, 6).Draw(t, "cut"))
-			body = append(append(append([]byte(nil), body[:at]...), rapid.SampledFrom(bits).Draw(t, "bit")...), body[end:]...)
+			body = append(append(append([]byte(nil), body[:at]...), rapid.SampledFrom(insertions).Draw(t, "bit")...), body[end:]...)
 		}
 		var want wire.Report
 		got, err := wire.ParseReport(body)
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -37,7 +37,7 @@
 	if err := json.Unmarshal(body, &report); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	if report.Machine == "" || len(report.Machine) > maxName || report.Endpoint == "" || report.Type == "" || report.Zone == "" || report.Session == 0 {
+	if report.Machine == "" || len(report.Machine) > maxNameBytes || report.Endpoint == "" || report.Type == "" || report.Zone == "" || report.Session == 0 {
 		return nil, errors.New("report: field missing or invalid")
 	}
 	for _, task := range report.Tasks {
@@ -62,28 +62,28 @@
 	Commands []Command `json:"orders"`
 }
 
-// Orders are commands pushed to a worker, outside of a response to a report. A worker
+// PushedCommands are commands pushed to a worker, outside of a response to a report. A worker
 // refuses those with a lower fencing token than it has seen, or for another session.
-type Orders struct {
+type PushedCommands struct {
 	Token    uint64    `json:"baton"`
 	Session  uint64    `json:"stint"`
 	Commands []Command `json:"orders"`
 }
 
-// ParseOrders reads pushed commands; token and session must be present.
-func ParseOrders(body []byte) (*Orders, error) {
-	var orders struct {
+// ParsePushedCommands reads pushed commands; token and session must be present.
+func ParsePushedCommands(body []byte) (*PushedCommands, error) {
+	var pushed struct {
 		Token    *uint64   `json:"baton"`
 		Session  *uint64   `json:"stint"`
 		Commands []Command `json:"orders"`
 	}
-	if err := json.Unmarshal(body, &orders); err != nil {
+	if err := json.Unmarshal(body, &pushed); err != nil {
 		return nil, fmt.Errorf("orders: %w", err)
 	}
-	if orders.Token == nil || orders.Session == nil {
+	if pushed.Token == nil || pushed.Session == nil {
 		return nil, errors.New("orders: baton or stint is missing")
 	}
-	return &Orders{Token: *orders.Token, Session: *orders.Session, Commands: orders.Commands}, nil
+	return &PushedCommands{Token: *pushed.Token, Session: *pushed.Session, Commands: pushed.Commands}, nil
 }
 
 // Redirect sends a worker to another controller.
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -199,12 +199,12 @@
 // serveOrders executes direct orders and responds with a report, of status 409 if they
 // were refused.
 func (a *Agent) serveOrders(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "body unreadable or over 64 KiB"})
 		return
 	}
-	orders, err := wire.ParseOrders(body)
+	orders, err := wire.ParsePushedCommands(body)
 	if err != nil {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: err.Error()})
 		return
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -135,7 +135,7 @@
 // is lower than the highest one seen, or the session does not match; nothing was executed
 // then. The lease is not renewed. Tasks that are started outlive ctx, of which only the
 // values are used.
-func (s *State) HandleOrders(ctx context.Context, orders wire.Orders) bool {
+func (s *State) HandleOrders(ctx context.Context, orders wire.PushedCommands) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked()
--- a/internal/worker/state_test.go
+++ b/internal/worker/state_test.go
@@ -126,7 +126,7 @@
 	case st.Kind == stepOutage:
 		l.site.down = !l.site.down
 	case st.Old: // a late direct order
-		orders := wire.Orders{Token: uint64(l.token + min(0, st.Token)), Session: report.Session, Commands: commands}
+		orders := wire.PushedCommands{Token: uint64(l.token + min(0, st.Token)), Session: report.Session, Commands: commands}
 		if l.state.HandleOrders(ctx, orders) && st.Token < 0 {
 			l.wrong = "an order with a lower token was executed"
 		}
@@ -201,7 +201,7 @@
 		s := &site{running: map[string]*fakeProcess{}}
 		state := newState(s)
 		order := func(verb string, attempt uint64) {
-			state.HandleOrders(t.Context(), wire.Orders{Token: 1, Session: 1, Commands: []wire.Command{{Verb: verb, Task: "j-1/0", Attempt: attempt}}})
+			state.HandleOrders(t.Context(), wire.PushedCommands{Token: 1, Session: 1, Commands: []wire.Command{{Verb: verb, Task: "j-1/0", Attempt: attempt}}})
 			synctest.Wait()
 		}
 		order(wire.VerbStart, 1)
