--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -131,7 +131,7 @@
 		a.reservedCPUs = func() float64 { return reserved }
 		dispatcher := &drainCounter{}
 		a.dispatcher = dispatcher
-		a.op.IdleS = 20
+		a.op.IdleTimeoutS = 20
 		var load planner.WorkerLoad
 		load.LastHeartbeat = now
 		for i := range 3 {
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -106,7 +106,7 @@
 	for _, inst := range idle {
 		t, _ := a.catalog.Type(inst.offer.Type)
 		// A cordoned worker gets no tasks: waiting would only cost.
-		if !inst.cordoned && now.Sub(inst.idleSince) < seconds(a.op.IdleS*lowestPrice/a.pricePerCPU(inst)) || now.Sub(inst.provisioned) < minUptimeS*time.Second {
+		if !inst.cordoned && now.Sub(inst.idleSince) < seconds(a.op.IdleTimeoutS*lowestPrice/a.pricePerCPU(inst)) || now.Sub(inst.provisioned) < minUptimeS*time.Second {
 			continue
 		}
 		if !inst.cordoned && (wanted[inst.offer.Spot] || a.needed(inst.offer, t, totalCPUs)) {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -32,27 +32,27 @@
 	return settings, nil
 }
 
-// Entries returns the entries of `(head entry ...)`, which is all that data may hold;
+// ParseEntries returns the entries of `(head entry ...)`, which is all that data may hold;
 // shape describes an entry in the error.
-func Entries(data []byte, head, shape string) ([]any, error) {
+func ParseEntries(data []byte, head, shape string) ([]any, error) {
 	decoder := edn.NewDecoder(bytes.NewReader(data))
-	var top, second any
-	if err := decoder.Decode(&top); err != nil {
+	var first, second any
+	if err := decoder.Decode(&first); err != nil {
 		return nil, fmt.Errorf("not an S-expression: %w", err)
 	}
 	if err := decoder.Decode(&second); !errors.Is(err, io.EOF) {
 		return nil, errors.New("more than one expression")
 	}
-	list, ok := top.([]any)
+	list, ok := first.([]any)
 	if !ok || len(list) == 0 || list[0] != edn.Symbol(head) {
 		return nil, fmt.Errorf("expected (%s %s ...)", head, shape)
 	}
 	return list[1:], nil
 }
 
-// Number returns the number of a setting, which is an error unless it is within least
+// NumberInRange returns the number of a setting, which is an error unless it is within least
 // and most, both included.
-func Number(value any, least, most float64) (float64, error) {
+func NumberInRange(value any, least, most float64) (float64, error) {
 	var number float64
 	switch v := value.(type) {
 	case int64:
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -16,20 +16,20 @@
 // values is here. C is the cost by which a placement is chosen.
 type Operator struct {
 	Shards              int     // shards that jobs hash to
-	Spread              int     // controllers that shards are spread over
+	SpreadControllers              int     // controllers that shards are spread over
 	LeaseS              float64 // TTL of a controller's lease in the state service
-	KFail               float64 // cost of losing a worker: K_fail of the paper
-	HorizonS            float64 // longest wait at which a match is dispatched
-	RandomS             float64 // size of the random term in C
-	PublishS            float64 // interval at which dispatchers publish to leaders elsewhere
-	WorkerShare         float64 // part of a controller's connections that workers may take before they are assigned to others too; 0: they never are
+	WorkerFailureCost               float64 // cost of losing a worker: K_fail of the paper
+	QueueHorizonS            float64 // longest wait at which a match is dispatched
+	RandomCostS             float64 // size of the random term in C
+	PublishIntervalS            float64 // interval at which dispatchers publish to leaders elsewhere
+	WorkerConnectionShare         float64 // part of a controller's connections that workers may take before they are assigned to others too; 0: they never are
 	ReplaceAfterS       float64 // excess wait from which on a queued task gets another placement
 	HeartbeatTimeoutS   float64 // heartbeat timeout from which on a machine is deleted
-	IdleS               float64 // idle time from which on a machine is deleted
+	IdleTimeoutS               float64 // idle time from which on a machine is deleted
 	HeadroomPct         float64 // capacity kept beyond the demand, in percent
-	PackS               float64 // seconds by which full workers are preferred to empty ones
+	PackingPreferenceS               float64 // seconds by which full workers are preferred to empty ones
 	OnDemandHeadroomPct float64 // the headroom where only on-demand machines could give it, in percent
-	LateStartS          float64 // seconds that missing an objective for a start counts in C
+	LateStartCostS          float64 // seconds that missing an objective for a start counts in C
 	SpotPreferenceShare float64 // share of C by which a machine at twice the spot price is less preferred
 }
 
@@ -37,24 +37,24 @@
 type setting struct {
 	min, max float64
 	set      func(*Operator, float64)
-	whole    bool // the value must be a whole number
+	integer    bool // the value must be a whole number
 }
 
 var settings = map[string]setting{
 	"shards":                {1, 256, func(o *Operator, v float64) { o.Shards = int(v) }, true},
-	"spread":                {1, 64, func(o *Operator, v float64) { o.Spread = int(v) }, true},
+	"spread":                {1, 64, func(o *Operator, v float64) { o.SpreadControllers = int(v) }, true},
 	"lease-s":               {2, 60, func(o *Operator, v float64) { o.LeaseS = v }, false},
-	"k-fail":                {1, 100, func(o *Operator, v float64) { o.KFail = v }, false},
-	"queue-horizon-s":       {0, 600, func(o *Operator, v float64) { o.HorizonS = v }, false},
-	"random-s":              {0, 60, func(o *Operator, v float64) { o.RandomS = v }, false},
-	"worker-share":          {0, 1, func(o *Operator, v float64) { o.WorkerShare = v }, false},
-	"publish-s":             {0.1, 60, func(o *Operator, v float64) { o.PublishS = v }, false},
+	"k-fail":                {1, 100, func(o *Operator, v float64) { o.WorkerFailureCost = v }, false},
+	"queue-horizon-s":       {0, 600, func(o *Operator, v float64) { o.QueueHorizonS = v }, false},
+	"random-s":              {0, 60, func(o *Operator, v float64) { o.RandomCostS = v }, false},
+	"worker-share":          {0, 1, func(o *Operator, v float64) { o.WorkerConnectionShare = v }, false},
+	"publish-s":             {0.1, 60, func(o *Operator, v float64) { o.PublishIntervalS = v }, false},
 	"replace-s":             {0.5, 600, func(o *Operator, v float64) { o.ReplaceAfterS = v }, false},
 	"silent-s":              {3, 600, func(o *Operator, v float64) { o.HeartbeatTimeoutS = v }, false},
-	"idle-s":                {1, 3600, func(o *Operator, v float64) { o.IdleS = v }, false},
-	"pack-s":                {0, 60, func(o *Operator, v float64) { o.PackS = v }, false},
+	"idle-s":                {1, 3600, func(o *Operator, v float64) { o.IdleTimeoutS = v }, false},
+	"pack-s":                {0, 60, func(o *Operator, v float64) { o.PackingPreferenceS = v }, false},
 	"dear-share":            {0, 10, func(o *Operator, v float64) { o.SpotPreferenceShare = v }, false},
-	"late-start-s":          {0, 3600, func(o *Operator, v float64) { o.LateStartS = v }, false},
+	"late-start-s":          {0, 3600, func(o *Operator, v float64) { o.LateStartCostS = v }, false},
 	"dear-headroom-percent": {0, 500, func(o *Operator, v float64) { o.OnDemandHeadroomPct = v }, false},
 	"headroom-percent":      {0, 500, func(o *Operator, v float64) { o.HeadroomPct = v }, false},
 }
@@ -76,13 +76,13 @@
 // unknown key, one given twice, and a value out of bounds are errors.
 func ParseOperator(data []byte, base *Operator) (*Operator, error) {
 	operator := *base
-	entries, err := Entries(data, "wallrack", "(key value)")
+	entries, err := ParseEntries(data, "wallrack", "(key value)")
 	if err != nil {
 		return nil, err
 	}
 	seen := map[string]bool{}
 	for i, entry := range entries {
-		key, value, err := keyAndValue(entry)
+		key, value, err := parseKeyValue(entry)
 		if err != nil {
 			return nil, fmt.Errorf("entry %d: %w", i+1, err)
 		}
@@ -98,13 +98,13 @@
 			return nil, fmt.Errorf("%s: %w", key, err)
 		}
 	}
-	if operator.Spread > operator.Shards {
-		return nil, fmt.Errorf("spread: %d controllers can't share %d shards", operator.Spread, operator.Shards)
+	if operator.SpreadControllers > operator.Shards {
+		return nil, fmt.Errorf("spread: %d controllers can't share %d shards", operator.SpreadControllers, operator.Shards)
 	}
 	return &operator, nil
 }
 
-func keyAndValue(entry any) (key string, value any, err error) {
+func parseKeyValue(entry any) (key string, value any, err error) {
 	pair, ok := entry.([]any)
 	if !ok || len(pair) != 2 {
 		return "", nil, errors.New("expected (key value)")
@@ -118,11 +118,11 @@
 
 // apply sets the field to a value, if it is within the bounds.
 func (s *setting) apply(operator *Operator, value any) error {
-	number, err := Number(value, s.min, s.max)
+	number, err := NumberInRange(value, s.min, s.max)
 	if err != nil {
 		return err
 	}
-	if s.whole && number != math.Trunc(number) {
+	if s.integer && number != math.Trunc(number) {
 		return fmt.Errorf("%v is not a whole number", number)
 	}
 	s.set(operator, number)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -74,12 +74,12 @@
 	CancelS float64 `toml:"cancel_s"`
 }
 
-// leaseDrift is by how much longer than lease_s a lease may last by another machine's clock: four
+// maxLeaseStretch is by how much longer than lease_s a lease may last by another machine's clock: four
 // times what two steady clocks may differ by.
-const leaseDrift = 1.002
+const maxLeaseStretch = 1.002
 
-// LongestLeaseS is for how many seconds of this machine's clock a worker's lease lasts at most.
-func (w *Workers) LongestLeaseS() float64 { return w.LeaseS * leaseDrift }
+// MaxLeaseS is for how many seconds of this machine's clock a worker's lease lasts at most.
+func (w *Workers) MaxLeaseS() float64 { return w.LeaseS * maxLeaseStretch }
 
 // State are the limits of the state service: requests and writes a second, the size of a
 // value, and operations in a transaction.
@@ -119,7 +119,7 @@
 		return nil, err
 	}
 	for _, check := range []func() error{
-		p.checkNodes, p.checkAddresses, p.Params.checkPositive, p.Params.Limits.check, p.Params.State.check, p.Params.checkTeams,
+		p.checkNodes, p.checkAddresses, p.Params.checkRequired, p.Params.Limits.check, p.Params.State.check, p.Params.checkTeams,
 	} {
 		if err := check(); err != nil {
 			return nil, err
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// checkPositive returns an error for figures that must be given.
-func (p *Params) checkPositive() error {
+// checkRequired returns an error for figures that must be given.
+func (p *Params) checkRequired() error {
 	for _, figure := range []struct {
 		key   string
 		value float64
@@ -227,15 +227,15 @@
 }
 
 // checkAmounts returns an error for amounts that contradict each other; key is the team's.
-func (t *Team) checkAmounts(key string) error {
+func (t *Team) checkAmounts(teamKey string) error {
 	if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
-		return fmt.Errorf("%s: negative amount", key)
+		return fmt.Errorf("%s: negative amount", teamKey)
 	}
 	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax {
-		return fmt.Errorf("%s.cpus: the guarantee of %v is above the limit of %v", key, t.CPUs, t.CPUsMax)
+		return fmt.Errorf("%s.cpus: the guarantee of %v is above the limit of %v", teamKey, t.CPUs, t.CPUsMax)
 	}
 	if t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-		return fmt.Errorf("%s.gpus: the guarantee of %v is above the limit of %v", key, t.GPUs, t.GPUsMax)
+		return fmt.Errorf("%s.gpus: the guarantee of %v is above the limit of %v", teamKey, t.GPUs, t.GPUsMax)
 	}
 	return nil
 }
--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -15,14 +15,14 @@
 // operatorFields returns which field each key of the operators' settings sets.
 func operatorFields(o *Operator) map[string]any {
 	return map[string]any{
-		"shards": &o.Shards, "spread": &o.Spread, "lease-s": &o.LeaseS, "k-fail": &o.KFail,
-		"queue-horizon-s": &o.HorizonS, "random-s": &o.RandomS, "worker-share": &o.WorkerShare, "publish-s": &o.PublishS,
-		"replace-s": &o.ReplaceAfterS, "silent-s": &o.HeartbeatTimeoutS, "idle-s": &o.IdleS, "pack-s": &o.PackS,
-		"dear-share": &o.SpotPreferenceShare, "late-start-s": &o.LateStartS, "headroom-percent": &o.HeadroomPct, "dear-headroom-percent": &o.OnDemandHeadroomPct,
+		"shards": &o.Shards, "spread": &o.SpreadControllers, "lease-s": &o.LeaseS, "k-fail": &o.WorkerFailureCost,
+		"queue-horizon-s": &o.QueueHorizonS, "random-s": &o.RandomCostS, "worker-share": &o.WorkerConnectionShare, "publish-s": &o.PublishIntervalS,
+		"replace-s": &o.ReplaceAfterS, "silent-s": &o.HeartbeatTimeoutS, "idle-s": &o.IdleTimeoutS, "pack-s": &o.PackingPreferenceS,
+		"dear-share": &o.SpotPreferenceShare, "late-start-s": &o.LateStartCostS, "headroom-percent": &o.HeadroomPct, "dear-headroom-percent": &o.OnDemandHeadroomPct,
 	}
 }
 
-func valueOf(field any) string { return fmt.Sprint(reflect.ValueOf(field).Elem()) }
+func fieldValue(field any) string { return fmt.Sprint(reflect.ValueOf(field).Elem()) }
 
 // Each key is accepted within its recorded bounds and sets its own field, and has the
 // recorded default.
@@ -43,16 +43,16 @@
 	for _, key := range keys {
 		s := settings[key]
 		kind := "number"
-		if s.whole {
+		if s.integer {
 			kind = "whole"
 		}
-		fmt.Fprintf(&text, "%s %s %s from %v to %v\n", key, kind, valueOf(operatorFields(defaults)[key]), s.min, s.max)
+		fmt.Fprintf(&text, "%s %s %s from %v to %v\n", key, kind, fieldValue(operatorFields(defaults)[key]), s.min, s.max)
 		for _, bound := range []float64{s.min, s.max} {
-			base := Operator{Shards: 256, Spread: 1}
+			base := Operator{Shards: 256, SpreadControllers: 1}
 			got, err := ParseOperator(fmt.Appendf(nil, "(wallrack (%s %v))", key, bound), &base)
 			if err != nil {
 				t.Errorf("%s at %v: %v", key, bound, err)
-			} else if value := valueOf(operatorFields(got)[key]); value != fmt.Sprint(bound) {
+			} else if value := fieldValue(operatorFields(got)[key]); value != fmt.Sprint(bound) {
 				t.Errorf("%s at %v: its field is %s", key, bound, value)
 			}
 		}
@@ -62,7 +62,7 @@
 
 // The built-in file names every key, in the recorded order, with the recorded default.
 func TestRecordedOperatorDefaults(t *testing.T) {
-	entries, err := Entries(defaultOperator, "wallrack", "(key value)")
+	entries, err := ParseEntries(defaultOperator, "wallrack", "(key value)")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 		"", "(wallrack", "(other)", "(wallrack (k-fail))", `(wallrack ("k-fail" 2))`, "(wallrack (k-fails 2))", "(wallrack (k-fail 0.5))",
 		"(wallrack (shards 2.5))", `(wallrack (k-fail "2"))`, "(wallrack (k-fail 2) (k-fail 2))", "(wallrack) (wallrack)", "(wallrack (shards 2) (spread 3))",
 	} {
-		_, err := ParseOperator([]byte(settings), &Operator{Shards: 1, Spread: 1})
+		_, err := ParseOperator([]byte(settings), &Operator{Shards: 1, SpreadControllers: 1})
 		note(settings, err)
 	}
 	platform := string(recorded.Read(t, "platform.toml"))
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -44,7 +44,7 @@
 `
 
 // Valid settings are read, and the error of invalid ones names the key.
-func TestInvalidPlatformSettingsNameTheirKey(t *testing.T) {
+func TestPlatformErrorsNameTheKey(t *testing.T) {
 	parsed, err := config.ParsePlatform([]byte(platform))
 	if err != nil || parsed.Node != "n-0" || parsed.Params.State.TxnOps != 48 || len(parsed.Peers) != 1 {
 		t.Fatalf("%+v, %v", parsed, err)
@@ -66,7 +66,7 @@
 }
 
 // Of 410 teams one has another's name, or a guarantee above its limit: the error names it.
-func TestContradictoryTeamsAreRefused(t *testing.T) {
+func TestInvalidTeamsAreRejected(t *testing.T) {
 	teams := func(change func(i int) string) []byte {
 		var b strings.Builder
 		b.WriteString(platform)
@@ -109,7 +109,7 @@
 			t.Fatal(err)
 		}
 		want := *base
-		want.KFail = float64(value)
+		want.WorkerFailureCost = float64(value)
 		if *op != want {
 			t.Fatalf("got %+v, want %+v", *op, want)
 		}
@@ -117,7 +117,7 @@
 }
 
 // The error of invalid settings names the key or entry and the reason.
-func TestInvalidOperatorSettingsAreRefused(t *testing.T) {
+func TestInvalidOperatorSettingsAreRejected(t *testing.T) {
 	for text, part := range map[string]string{
 		"":                                 "S-expression",
 		"(wallrack":                        "S-expression",
@@ -141,8 +141,8 @@
 func FuzzOperator(f *testing.F) {
 	f.Add([]byte("(wallrack (k-fail 4) ; c\n (shards 3))"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		op, err := config.ParseOperator(data, &config.Operator{KFail: 4})
-		if err == nil && (op.KFail < 1 || op.KFail > 100) {
+		op, err := config.ParseOperator(data, &config.Operator{WorkerFailureCost: 4})
+		if err == nil && (op.WorkerFailureCost < 1 || op.WorkerFailureCost > 100) {
 			t.Errorf("accepted %+v", op)
 		}
 	})
--- a/internal/controller/lease_attestation.go
+++ b/internal/controller/lease_attestation.go
@@ -59,7 +59,7 @@
 
 // round notifies the scheduler of unresponsive workers whose leases expired for certain.
 func (a *leaseAttestor) round(ctx context.Context) {
-	leaseS := a.cfg.Params.Workers.LongestLeaseS() + 0.5
+	leaseS := a.cfg.Params.Workers.MaxLeaseS() + 0.5
 	q := &attestationQuery{}
 	_, unresponsive := a.scheduler.UnresponsiveWorkers(config.Seconds(leaseS))
 	for i := range unresponsive {
--- a/internal/controller/link_monitor.go
+++ b/internal/controller/link_monitor.go
@@ -140,7 +140,7 @@
 	workers := l.dispatcher.CountReporting(config.Seconds(missedReports * reportS))
 	capacity := 0 // without a limit, or a share, all fit
 	if most < math.MaxInt32 {
-		capacity = int(l.operator.WorkerShare * float64(most))
+		capacity = int(l.operator.WorkerConnectionShare * float64(most))
 	}
 	next := peerlinks.WorkerAssignments{Plan: l.assignments.Plan(now, view, workers, capacity, config.Seconds(reportS))}
 	if view.SharesWorkers() {
--- a/internal/controller/worker_routing.go
+++ b/internal/controller/worker_routing.go
@@ -29,7 +29,7 @@
 // controller may respond to workers: a worker's lease counts from the send of the report that
 // was responded to last, and what it runs may have been cancelled just after that time.
 func responseGrace(w config.Workers) time.Duration {
-	return config.Seconds(max(2, w.CancelS-w.LongestLeaseS()-cancelSlackS))
+	return config.Seconds(max(2, w.CancelS-w.MaxLeaseS()-cancelSlackS))
 }
 
 // LeaderFor names the controller that a worker should report to, "" for none.
--- a/internal/jobstate/unconfirmed.go
+++ b/internal/jobstate/unconfirmed.go
@@ -21,7 +21,7 @@
 // this leader has not seen: no heartbeat of its worker was compared with it since the
 // failover, and the worker's lease may hold still.
 func (s *State) MayRunUnseen(job *Job, now time.Time) bool {
-	lease := config.Seconds(s.Platform.Params.Workers.LongestLeaseS())
+	lease := config.Seconds(s.Platform.Params.Workers.MaxLeaseS())
 	if !now.Before(s.LoadedAt.Add(lease)) {
 		return false // all placements of predecessors were known by then
 	}
--- a/internal/planner/batch.go
+++ b/internal/planner/batch.go
@@ -47,7 +47,7 @@
 			}
 			from := len(arena)
 			for _, candidate := range ofJob {
-				candidate.Cost += rand.Float64() * p.state.Operator.RandomS // each task draws its own
+				candidate.Cost += rand.Float64() * p.state.Operator.RandomCostS // each task draws its own
 				arena = append(arena, candidate)
 			}
 			candidates = append(candidates, arena[from:len(arena):len(arena)])
@@ -61,7 +61,7 @@
 // appendCandidates appends the workers where a task of the job starts within the horizon.
 func (p *Planner) appendCandidates(to []matching.Candidate, job *jobstate.Job, open []*jobstate.Worker) []matching.Candidate {
 	for _, worker := range p.candidates(job, p.workersWithRoom(job, open)) {
-		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.HorizonS {
+		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.QueueHorizonS {
 			to = append(to, matching.Candidate{Worker: worker.Index, WaitS: e.waitS, Cost: e.cost})
 		}
 	}
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -64,7 +64,7 @@
 // hasRoom reports whether a task of the job fits on the worker at some time within the
 // horizon, for however short.
 func (p *Planner) hasRoom(job *jobstate.Job, worker *jobstate.Worker) bool {
-	horizonS := p.state.Operator.HorizonS + p.state.Now.Sub(worker.ViewAt).Seconds()
+	horizonS := p.state.Operator.QueueHorizonS + p.state.Now.Sub(worker.ViewAt).Seconds()
 	for _, row := range worker.Matrix {
 		if row.WaitS > horizonS {
 			return false
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -15,7 +15,7 @@
 	if overdueS := ageS - 1.5*p.state.Platform.Params.Workers.ReportS; overdueS > 0 {
 		size = size.Scale(1 + min(0.5, 0.05*overdueS))
 	}
-	return max(0, worker.Matrix.WaitWithin(size, runS, p.state.Operator.HorizonS+ageS)-ageS)
+	return max(0, worker.Matrix.WaitWithin(size, runS, p.state.Operator.QueueHorizonS+ageS)-ageS)
 }
 
 // estimate is what a task is expected to meet on a worker.
@@ -51,12 +51,12 @@
 	if math.IsInf(waitS, 1) {
 		return estimate{}, false
 	}
-	cost := matching.Cost(fetchS, waitS, runS, p.state.SuccessRate(worker), p.state.Operator.KFail)
+	cost := matching.Cost(fetchS, waitS, runS, p.state.SuccessRate(worker), p.state.Operator.WorkerFailureCost)
 	if !hasRoomNow(job, worker) {
 		cost += matching.WaitErrorS
 	}
 	if p.startsLate(job, waitS+fetchS) {
-		cost += p.state.Operator.LateStartS
+		cost += p.state.Operator.LateStartCostS
 	}
 	return estimate{waitS, cost + p.packing(job, worker, cost), fetchS}, true
 }
@@ -85,5 +85,5 @@
 	if !worker.View.Spot && machine.SpotPrice > 0 {
 		surcharge = max(0, machine.Price/machine.SpotPrice-1)
 	}
-	return p.state.Operator.PackS*freeShare*(1+surcharge) + p.state.Operator.SpotPreferenceShare*cost*surcharge
+	return p.state.Operator.PackingPreferenceS*freeShare*(1+surcharge) + p.state.Operator.SpotPreferenceShare*cost*surcharge
 }
--- a/internal/planner/gang.go
+++ b/internal/planner/gang.go
@@ -97,7 +97,7 @@
 		if zone != "" && z != zone || job.Spec.Spread && inZone[z]+1 > maxTasksInZone(job) || job.Spec.OneZone && !p.zoneFits(job, worker) {
 			continue
 		}
-		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.HorizonS && e.cost < bestEstimate.cost {
+		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.QueueHorizonS && e.cost < bestEstimate.cost {
 			best, bestEstimate = worker, e
 		}
 	}
--- a/internal/planner/rebalance.go
+++ b/internal/planner/rebalance.go
@@ -50,7 +50,7 @@
 			if budget--; budget < 0 {
 				return
 			}
-			if !p.placeAgain(r, placements, task) && task.leastWaitS > p.state.Operator.HorizonS+p.state.Operator.ReplaceAfterS {
+			if !p.placeAgain(r, placements, task) && task.leastWaitS > p.state.Operator.QueueHorizonS+p.state.Operator.ReplaceAfterS {
 				p.withdrawAll(placements)
 			}
 		}
@@ -140,7 +140,7 @@
 			task.slowest = placement
 		}
 		worker := placement.Worker
-		cost := matching.Cost(p.state.FetchTime(job, worker), waitS, job.RunEstimate(), p.state.SuccessRate(worker), p.state.Operator.KFail)
+		cost := matching.Cost(p.state.FetchTime(job, worker), waitS, job.RunEstimate(), p.state.SuccessRate(worker), p.state.Operator.WorkerFailureCost)
 		task.cost, task.leastWaitS = min(task.cost, cost), min(task.leastWaitS, waitS)
 	}
 	return task
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -42,7 +42,7 @@
 // ParseSettings reads the text of the operators' settings. Its errors name the entry that is
 // wrong.
 func ParseSettings(data []byte) (*Settings, error) {
-	entries, err := config.Entries(data, "rollouts", "(key value ...)")
+	entries, err := config.ParseEntries(data, "rollouts", "(key value ...)")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -133,7 +133,7 @@
 // ParseSettings reads the text of the settings, and checks that they can be played. Errors
 // begin with the key.
 func ParseSettings(data []byte) (*Settings, error) {
-	entries, err := config.Entries(data, "scale", "(key value ...)")
+	entries, err := config.ParseEntries(data, "scale", "(key value ...)")
 	if err != nil {
 		return nil, err
 	}
@@ -175,7 +175,7 @@
 
 // take sets the figure to a value of the settings.
 func (f figure) take(value any) error {
-	v, err := config.Number(value, f.min, f.max)
+	v, err := config.NumberInRange(value, f.min, f.max)
 	if _, whole := f.to.(*int); err == nil && whole && v != math.Trunc(v) {
 		err = fmt.Errorf("%v is not a whole number", v)
 	}
@@ -207,10 +207,10 @@
 		return fmt.Errorf("%.40q: a name of 1 to %d bytes is needed", team.Name, maxTeamName)
 	}
 	var err error
-	if team.Guarantee, err = config.Number(guarantee, 0, maxTeamCPUs); err != nil {
+	if team.Guarantee, err = config.NumberInRange(guarantee, 0, maxTeamCPUs); err != nil {
 		return fmt.Errorf("%q: guarantee: %w", team.Name, err)
 	}
-	if team.Limit, err = config.Number(limit, 0, maxTeamCPUs); err != nil {
+	if team.Limit, err = config.NumberInRange(limit, 0, maxTeamCPUs); err != nil {
 		return fmt.Errorf("%q: limit: %w", team.Name, err)
 	}
 	s.Teams = append(s.Teams, team)
--- a/internal/slurmapi/settings.go
+++ b/internal/slurmapi/settings.go
@@ -39,7 +39,7 @@
 // ParseSettings reads the text of the operators' settings. Its errors name the key that is
 // wrong.
 func ParseSettings(data []byte) (*Settings, error) {
-	entries, err := config.Entries(data, "slurm", "(key value)")
+	entries, err := config.ParseEntries(data, "slurm", "(key value)")
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 			}
 			s.Accounts = pair[1] == edn.Symbol("on")
 		case key == "listings-per-s":
-			if s.PerS, err = config.Number(pair[1], minPerS, maxPerS); err != nil {
+			if s.PerS, err = config.NumberInRange(pair[1], minPerS, maxPerS); err != nil {
 				return nil, fmt.Errorf("%s: %w", key, err)
 			}
 		default:
