--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -252,7 +252,7 @@
 
 // step plans once and starts what the plan asks for.
 func (a *Autoscaler) step(ctx context.Context, wg *sync.WaitGroup) {
-	defer usage.Count(usage.Autoscaling, time.Now())
+	defer usage.AddTime(usage.Autoscaling, time.Now())
 	demand, loads := a.scheduler.Demand(a.shortestBootS())
 	unwanted := a.scheduler.FailedWorkers()
 	now := time.Now()
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -75,7 +75,7 @@
 		if l.limit.admit() {
 			return &countedConn{Conn: conn, limit: l.limit}, nil
 		}
-		usage.Note(usage.RefusedConnections)
+		usage.CountEvent(usage.RefusedConnections)
 		_ = conn.SetWriteDeadline(time.Now().Add(refusalTimeout))
 		_, _ = conn.Write([]byte(refusal)) // who does not get it tries again all the same
 		_ = conn.Close()
--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -195,7 +195,7 @@
 
 // receiveHealth says how well this process receives just now.
 func (c *controller) receiveHealth() reachability.ReceiveHealth {
-	return reachability.ReceiveHealth{RefusedConnections: usage.Noted(usage.RefusedConnections), TimerDelay: c.meter.TimerDelay()}
+	return reachability.ReceiveHealth{RefusedConnections: usage.EventCount(usage.RefusedConnections), TimerDelay: c.meter.TimerDelay()}
 }
 
 func (c *controller) exchangeCancellations() {
--- a/internal/controller/view_publisher.go
+++ b/internal/controller/view_publisher.go
@@ -51,10 +51,10 @@
 
 func (p *viewPublisher) register(m *mesh.Mesh) {
 	mesh.Handle(m, methodViews, func(_ context.Context, msg *viewsync.Message) (*viewsync.Reply, error) {
-		defer usage.Count(usage.Peers, time.Now())
+		defer usage.AddTime(usage.PeerViews, time.Now())
 		reply, err := p.receiver.Take(msg)
 		if errors.Is(err, viewsync.ErrMalformed) {
-			usage.Note(usage.MalformedViews)
+			usage.CountEvent(usage.MalformedViews)
 			p.log.Info("worker views refused", "peer", msg.Dispatcher, "err", err)
 		}
 		return &reply, nil
@@ -112,7 +112,7 @@
 			return
 		}
 		more = p.publisher.HandleReply(p.nowMs(), leader, *reply)
-		usage.Count(usage.Peers, sent)
+		usage.AddTime(usage.PeerViews, sent)
 	}
 }
 
--- a/internal/dispatch/instructions.go
+++ b/internal/dispatch/instructions.go
@@ -10,7 +10,7 @@
 // dispatcher surely never launched. Those for workers that are not known here are ignored: the
 // leader repeats them. The commands that follow are pushed at once, except clears.
 func (d *Dispatcher) ApplyInstructions(instructions Instructions) Unlaunched {
-	defer usage.Count(usage.Instructions, time.Now())
+	defer usage.AddTime(usage.Instructions, time.Now())
 	out := Unlaunched{Token: d.tokens.FencingToken()}
 	touched := map[string]bool{} // workers with something new to command
 	d.mu.Lock()
--- a/internal/dispatch/reports.go
+++ b/internal/dispatch/reports.go
@@ -27,7 +27,7 @@
 
 // ServeReport answers a worker's heartbeat over HTTP.
 func (d *Dispatcher) ServeReport(w http.ResponseWriter, r *http.Request) {
-	defer usage.Count(usage.Reports, time.Now())
+	defer usage.AddTime(usage.Reports, time.Now())
 	body := bodies.Get().(*bytes.Buffer)
 	defer bodies.Put(body)
 	body.Reset()
@@ -37,7 +37,7 @@
 	}
 	rep, err := wire.ParseReport(body.Bytes())
 	if err != nil {
-		usage.Note(usage.MalformedReports)
+		usage.CountEvent(usage.MalformedReports)
 		d.log.Info("malformed report", "err", err)
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "malformed report"})
 		return
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -42,7 +42,7 @@
 		start := time.Now()
 		lastReconcile = s.pass(lastReconcile)
 		took := time.Since(start)
-		usage.Count(usage.Passes, start)
+		usage.AddTime(usage.SchedulingPasses, start)
 		// The pause keeps passes to a small part of the processor, however long they take.
 		select {
 		case <-ctx.Done():
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -49,7 +49,7 @@
 			s.takeEncoded(item.Key, item.Value, item.Version)
 		}
 	}, func(events []wire.Event) {
-		defer usage.Count(usage.Watches, time.Now())
+		defer usage.AddTime(usage.WatchEvents, time.Now())
 		s.state.Mu.Lock()
 		defer s.state.Mu.Unlock()
 		for _, event := range events {
--- a/internal/shardlog/outcome.go
+++ b/internal/shardlog/outcome.go
@@ -22,9 +22,9 @@
 	w.state.UnattachedRows = w.state.UnattachedRows[min(txn.unattachedRowsTaken, len(w.state.UnattachedRows)):]
 	if txn.page.Key != "" {
 		txn.book.Applied(txn.page, revision)
-		usage.Add(usage.AccountRows, len(txn.rows))
-		usage.Add(usage.AccountWrites, 1)
-		usage.Add(usage.AccountBytes, len(txn.page.Value))
+		usage.CountEvents(usage.AccountingRows, len(txn.rows))
+		usage.CountEvents(usage.AccountingWrites, 1)
+		usage.CountEvents(usage.AccountingBytes, len(txn.page.Value))
 	}
 	for _, save := range txn.chunkSaves {
 		save.chunk.Version, save.chunk.SavedSeq = revision, max(save.chunk.SavedSeq, save.seq)
--- a/internal/shardlog/write.go
+++ b/internal/shardlog/write.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return true, fmt.Errorf("write shard logs: %w", err)
 	}
-	defer usage.Count(usage.Records, time.Now())
+	defer usage.AddTime(usage.Commits, time.Now())
 	w.state.Mu.Lock()
 	defer w.state.Mu.Unlock()
 	w.commit(txn, revision)
@@ -84,6 +84,6 @@
 			return nil, more, err
 		}
 	}
-	usage.Count(usage.Records, start)
+	usage.AddTime(usage.Commits, start)
 	return w.pending, more, nil
 }
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -128,7 +128,7 @@
 func (s *Server) limited(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if retryAfterS, ok := s.limiter.allow(time.Now()); !ok {
-			usage.Note(usage.RefusedRequests)
+			usage.CountEvent(usage.RefusedRequests)
 			refuse(w, http.StatusTooManyRequests, retryAfterS, "too many listings; come back in the time given")
 			return
 		}
@@ -137,7 +137,7 @@
 			defer func() { <-s.slots }()
 			serve(w, r)
 		default:
-			usage.Note(usage.RefusedRequests)
+			usage.CountEvent(usage.RefusedRequests)
 			refuse(w, http.StatusTooManyRequests, 1, "too many listings at once")
 		}
 	}
--- a/internal/submission/accept.go
+++ b/internal/submission/accept.go
@@ -34,7 +34,7 @@
 		if rep := s.stored(ctx, job.UID); rep.succeeded() {
 			return rep
 		}
-		usage.Note(usage.RefusedJobs)
+		usage.CountEvent(usage.RefusedJobs)
 		return Reply{Status: http.StatusServiceUnavailable, Reason: "too much work at once"}
 	}
 	return s.record(ctx, job, constraints)
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -160,10 +160,10 @@
 		select {
 		case slots <- struct{}{}:
 			defer func() { <-slots }()
-			defer usage.Count(usage.Users, time.Now())
+			defer usage.AddTime(usage.UserRequests, time.Now())
 			serve(w, r)
 		default:
-			usage.Note(usage.RefusedRequests)
+			usage.CountEvent(usage.RefusedRequests)
 			refuse(w, http.StatusServiceUnavailable, "too many requests at once")
 		}
 	}
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	probeEvery = time.Second // how often the lateness of timers is looked at
-	logEvery   = 10 * time.Second
+	probeInterval = time.Second // how often the lateness of timers is looked at
+	logInterval   = 10 * time.Second
 )
 
 const bytesPerMB = 1 << 20
@@ -25,69 +25,69 @@
 // Duty is a part of the service whose time is counted.
 type Duty int
 
-// The duties. What they do not cover is mostly HTTP, the collector and the scheduler of
+// The numDuties. What they do not cover is mostly HTTP, the collector and the scheduler of
 // goroutines.
 const (
 	Reports      Duty = iota // a worker's report, from its body to the response's
-	Passes                   // scheduling passes and sweeps
-	Records                  // building and committing a leader's transactions
-	Watches                  // changes seen in the state service
+	SchedulingPasses                   // scheduling passes and sweeps
+	Commits                  // building and committing a leader's transactions
+	WatchEvents                  // changes seen in the state service
 	Instructions             // a scheduler's instructions at the dispatcher
 	Autoscaling              // demand and plan of the autoscaler
-	Users                    // users' requests served here, waiting included
-	Peers                    // views from and to other controllers
-	duties
+	UserRequests                    // users' requests served here, waiting included
+	PeerViews                    // views from and to other controllers
+	numDuties
 )
 
-var names = [duties]string{"reports", "passes", "records", "watches", "directions", "fleet", "users", "peers"}
+var dutyNames = [numDuties]string{"reports", "passes", "records", "watches", "directions", "fleet", "users", "peers"}
 
 // Event is something that happened, or was refused, which operators may want to know the number
 // of.
 type Event int
 
-// The events.
+// The numEvents.
 const (
 	MalformedReports   Event = iota // reports that could not be read
 	RefusedConnections              // beyond the sockets to spare
 	RefusedRequests                 // users' requests beyond those worked on at once
 	RefusedJobs                     // submissions for want of memory
 	MalformedViews                  // messages of peers about workers that could not be applied
-	AccountRows                     // rows of accounting written
-	AccountWrites                   // of its pages, and
-	AccountBytes                    // as many bytes
-	events
+	AccountingRows                     // rows of accounting written
+	AccountingWrites                   // of its pages, and
+	AccountingBytes                    // as many bytes
+	numEvents
 )
 
-var eventNames = [events]string{"malformed_reports", "refused_connections", "refused_requests", "refused_jobs", "malformed_views", "account_rows", "account_writes", "account_bytes"}
+var eventNames = [numEvents]string{"malformed_reports", "refused_connections", "refused_requests", "refused_jobs", "malformed_views", "account_rows", "account_writes", "account_bytes"}
 
-var noted [events]atomic.Int64
+var eventCounters [numEvents]atomic.Int64
 
-// Note counts an event. It is safe for concurrent use, as are Add and Count.
-func Note(e Event) { Add(e, 1) }
+// CountEvent counts an event. It is safe for concurrent use, as are Add and Count.
+func CountEvent(e Event) { CountEvents(e, 1) }
 
-// Add counts an event n times.
-func Add(e Event, n int) { noted[e].Add(int64(n)) }
+// CountEvents counts an event n times.
+func CountEvents(e Event, n int) { eventCounters[e].Add(int64(n)) }
 
-// Noted returns how many of an event there were since the process started.
-func Noted(e Event) int64 { return noted[e].Load() }
+// EventCount returns how many of an event there were since the process started.
+func EventCount(e Event) int64 { return eventCounters[e].Load() }
 
-type counter struct {
-	n    atomic.Int64
-	took atomic.Int64
+type dutyCounter struct {
+	calls    atomic.Int64
+	totalNs atomic.Int64
 }
 
-var counters [duties]counter
+var dutyCounters [numDuties]dutyCounter
 
-// Count adds the time since start to a duty. Sections may wait for a lock, and on a busy
+// AddTime adds the time since start to a duty. Sections may wait for a lock, and on a busy
 // processor for their turn: the sums are upper bounds.
-func Count(d Duty, start time.Time) {
-	counters[d].n.Add(1)
-	counters[d].took.Add(int64(time.Since(start)))
+func AddTime(d Duty, start time.Time) {
+	dutyCounters[d].calls.Add(1)
+	dutyCounters[d].totalNs.Add(int64(time.Since(start)))
 }
 
-// Share is what a duty took since the process started: how often it was done, and for how long
+// DutyTotal is what a duty took since the process started: how often it was done, and for how long
 // together.
-type Share struct {
+type DutyTotal struct {
 	Count   int64   `json:"count"`
 	Seconds float64 `json:"seconds"`
 }
@@ -105,7 +105,7 @@
 	LateMsP99   int64            `json:"late_ms_p99"` // of timers, since the last log line
 	LateMsMax   int64            `json:"late_ms_max"`
 	Queues      map[string]int   `json:"queues"` // depths and open connections
-	Duties      map[string]Share `json:"duties"`
+	Duties      map[string]DutyTotal `json:"duties"`
 	Events      map[string]int64 `json:"events"`
 }
 
@@ -117,10 +117,10 @@
 	collections
 	collectorCPU
 	goroutines
-	samples
+	numSamples
 )
 
-var sampleNames = [samples]string{
+var sampleNames = [numSamples]string{
 	"/memory/classes/heap/objects:bytes", "/memory/classes/total:bytes", "/memory/classes/heap/released:bytes",
 	"/gc/cycles/total:gc-cycles", "/cpu/classes/gc/total:cpu-seconds", "/sched/goroutines:goroutines",
 }
@@ -130,24 +130,24 @@
 	started  time.Time
 	queues   func() map[string]int
 	log      *slog.Logger
-	limit    int64 // bytes
+	memoryLimit    int64 // bytes
 	pressure atomic.Bool
-	delay    atomic.Int64 // ns by which the last timer fired late
+	lastDelay    atomic.Int64 // ns by which the last timer fired late
 
 	mu      sync.Mutex
-	samples [samples]metrics.Sample
-	held    [2]metrics.Sample       // what the runtime holds, and has given back
-	delays  *hdrhistogram.Histogram // ms, since the last log line
+	samples [numSamples]metrics.Sample
+	memorySamples    [2]metrics.Sample       // what the runtime holds, and has given back
+	timerDelays  *hdrhistogram.Histogram // ms, since the last log line
 }
 
 // New returns a meter. The process is short of memory while it holds more than limit bytes;
 // queues returns the depths to be shown, by name.
 func New(limit int64, queues func() map[string]int, log *slog.Logger) *Meter {
-	m := &Meter{started: time.Now(), limit: limit, queues: queues, log: log, delays: hdrhistogram.New(1, 60_000, 2)}
+	m := &Meter{started: time.Now(), memoryLimit: limit, queues: queues, log: log, timerDelays: hdrhistogram.New(1, 60_000, 2)}
 	for i, name := range sampleNames {
 		m.samples[i].Name = name
 	}
-	m.held[0].Name, m.held[1].Name = sampleNames[memoryTotal], sampleNames[memoryReleased]
+	m.memorySamples[0].Name, m.memorySamples[1].Name = sampleNames[memoryTotal], sampleNames[memoryReleased]
 	return m
 }
 
@@ -156,7 +156,7 @@
 func (m *Meter) MemoryPressure() bool { return m.pressure.Load() }
 
 // TimerDelay returns by how much a timer fired late within the last second or so.
-func (m *Meter) TimerDelay() time.Duration { return time.Duration(m.delay.Load()) }
+func (m *Meter) TimerDelay() time.Duration { return time.Duration(m.lastDelay.Load()) }
 
 // Read takes a reading.
 func (m *Meter) Read() Reading {
@@ -169,18 +169,18 @@
 		HeapMB:    float64(s[heapObjects].Value.Uint64()) / bytesPerMB,
 		RuntimeMB: float64(s[memoryTotal].Value.Uint64()-s[memoryReleased].Value.Uint64()) / bytesPerMB, Collections: s[collections].Value.Uint64(),
 		CollectorS: s[collectorCPU].Value.Float64(), Goroutines: s[goroutines].Value.Uint64(),
-		LateMsP99: m.delays.ValueAtQuantile(99), LateMsMax: m.delays.Max(), Queues: m.queues(), Duties: map[string]Share{}, Events: map[string]int64{},
+		LateMsP99: m.timerDelays.ValueAtQuantile(99), LateMsMax: m.timerDelays.Max(), Queues: m.queues(), Duties: map[string]DutyTotal{}, Events: map[string]int64{},
 	}
 	var ru syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &ru) == nil {
 		r.CPUSeconds = time.Duration(ru.Utime.Nano() + ru.Stime.Nano()).Seconds()
 		r.PeakMB = float64(ru.Maxrss) / 1024
 	}
-	for d := range counters {
-		r.Duties[names[d]] = Share{counters[d].n.Load(), time.Duration(counters[d].took.Load()).Seconds()}
+	for d := range dutyCounters {
+		r.Duties[dutyNames[d]] = DutyTotal{dutyCounters[d].calls.Load(), time.Duration(dutyCounters[d].totalNs.Load()).Seconds()}
 	}
-	for e := range noted {
-		r.Events[eventNames[e]] = noted[e].Load()
+	for e := range eventCounters {
+		r.Events[eventNames[e]] = eventCounters[e].Load()
 	}
 	return r
 }
@@ -188,9 +188,9 @@
 // Run watches how late timers fire and how much memory is held, and logs a line now and then,
 // until ctx ends.
 func (m *Meter) Run(ctx context.Context) error {
-	tick := time.NewTimer(probeEvery)
+	tick := time.NewTimer(probeInterval)
 	defer tick.Stop()
-	due := time.Now().Add(probeEvery)
+	due := time.Now().Add(probeInterval)
 	logged := time.Now()
 	var last Reading
 	for {
@@ -201,15 +201,15 @@
 		}
 		now := time.Now()
 		m.probe(now.Sub(due))
-		if took := now.Sub(logged); took >= logEvery {
+		if elapsed := now.Sub(logged); elapsed >= logInterval {
 			logged = now
 			r := m.Read()
-			m.logReading(r, last, took)
+			m.logReading(r, last, elapsed)
 			last = r
-			m.resetDelays()
+			m.resetTimerDelays()
 		}
-		due = time.Now().Add(probeEvery)
-		tick.Reset(probeEvery)
+		due = time.Now().Add(probeInterval)
+		tick.Reset(probeInterval)
 	}
 }
 
@@ -217,28 +217,28 @@
 func (m *Meter) probe(delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	metrics.Read(m.held[:])
-	m.pressure.Store(int64(m.held[0].Value.Uint64()-m.held[1].Value.Uint64()) > m.limit)
-	m.delay.Store(int64(delay))
-	_ = m.delays.RecordValue(max(0, delay.Milliseconds())) // later than a minute it is not counted
+	metrics.Read(m.memorySamples[:])
+	m.pressure.Store(int64(m.memorySamples[0].Value.Uint64()-m.memorySamples[1].Value.Uint64()) > m.memoryLimit)
+	m.lastDelay.Store(int64(delay))
+	_ = m.timerDelays.RecordValue(max(0, delay.Milliseconds())) // later than a minute it is not counted
 }
 
-func (m *Meter) resetDelays() {
+func (m *Meter) resetTimerDelays() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.delays.Reset()
+	m.timerDelays.Reset()
 }
 
 // logReading logs a reading, with what was used since the last one.
-func (m *Meter) logReading(r, last Reading, took time.Duration) {
+func (m *Meter) logReading(r, last Reading, elapsed time.Duration) {
 	var parts []any
-	for _, name := range names {
+	for _, name := range dutyNames {
 		d, old := r.Duties[name], last.Duties[name]
 		if d.Count > old.Count {
 			parts = append(parts, slog.Group(name, "n", d.Count-old.Count, "ms", int((d.Seconds-old.Seconds)*1000)))
 		}
 	}
-	m.log.Info("usage", "cpu_percent", 100*(r.CPUSeconds-last.CPUSeconds)/took.Seconds(), "heap_mb", int(r.HeapMB), "runtime_mb", int(r.RuntimeMB),
+	m.log.Info("usage", "cpu_percent", 100*(r.CPUSeconds-last.CPUSeconds)/elapsed.Seconds(), "heap_mb", int(r.HeapMB), "runtime_mb", int(r.RuntimeMB),
 		"peak_mb", int(r.PeakMB), "collections", r.Collections-last.Collections, "collector_ms", int(1000*(r.CollectorS-last.CollectorS)),
 		"goroutines", r.Goroutines, "late_ms_p99", r.LateMsP99, "late_ms_max", r.LateMsMax, "queues", r.Queues, "events", r.Events, slog.Group("duties", parts...))
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -26,8 +26,8 @@
 		go func() { defer close(ended); _ = m.Run(ctx) }()
 		start := time.Now()
 		time.Sleep(2 * time.Second)
-		usage.Count(usage.Reports, start)
-		usage.Note(usage.MalformedReports)
+		usage.AddTime(usage.Reports, start)
+		usage.CountEvent(usage.MalformedReports)
 		if !m.MemoryPressure() {
 			t.Error("a process of more than a byte is not short of memory")
 		}
