--- a/internal/cancellation/capacity_test.go
+++ b/internal/cancellation/capacity_test.go
@@ -35,7 +35,7 @@
 	}},
 	{Name: "cancellation.heap", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 4000, Measure: func(tb testing.TB, cancels int) float64 {
 		// How a map splits its groups depends on the seed of its hashes.
-		return capacity.Median(func() float64 { return capacity.Heap(func() any { return confirmed(tb, cancels) }) })
+		return capacity.Median(func() float64 { return capacity.HeapBytes(func() any { return confirmed(tb, cancels) }) })
 	}},
 }
 
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -10,17 +10,17 @@
 
 func TestFit(t *testing.T) {
 	straight := Fit([]int{1, 2, 4, 8}, []float64{13, 16, 22, 34})
-	if straight.Fixed != 10 || straight.Slope != 3 || straight.Error != 0 || straight.Bend != 1 {
+	if straight.Fixed != 10 || straight.Slope != 3 || straight.Error != 0 || straight.SlopeRatio != 1 {
 		t.Errorf("10 + 3n: %+v", straight)
 	}
-	if square := Fit([]int{1, 2, 4, 8}, []float64{1, 4, 16, 64}); square.Error < 0.05 || math.Abs(square.Bend-4) > 1e-9 {
+	if square := Fit([]int{1, 2, 4, 8}, []float64{1, 4, 16, 64}); square.Error < 0.05 || math.Abs(square.SlopeRatio-4) > 1e-9 {
 		t.Errorf("n²: %+v", square)
 	}
 }
 
 const header = "| slope | of | sizes | fixed | slope | error | kind |\n|---|---|---|---|---|---|---|\n"
 
-func TestPageRows(t *testing.T) {
+func TestParsePage(t *testing.T) {
 	rows, err := ParsePage(header + "| `a.x` | bytes, a task | 1 to 8 | 1,024 | 2.5 | 0 % | exact |\n| `a.y` | ns | 1 to 8 | 0 | -1 | 3 % | scatters |\n")
 	if err != nil || len(rows) != 2 || rows["a.x"] != (Row{"a.x", 1024, 2.5, true}) || rows["a.y"] != (Row{"a.y", 0, -1, false}) {
 		t.Errorf("%+v, %v", rows, err)
@@ -36,7 +36,7 @@
 }
 
 // What grows by more than a tenth fails, and so does a page that says too much.
-func TestCompare(t *testing.T) {
+func TestCheckLine(t *testing.T) {
 	row := Row{"a.x", 100, 10, true}
 	for _, c := range []struct {
 		fixed, slope, slack float64
@@ -53,31 +53,31 @@
 		{116, 10, 15, true},
 		{100, 11.1, 15, true},
 	} {
-		if err := compare(row, Line{Fixed: c.fixed, Slope: c.slope}, c.slack); (err != nil) != c.fails {
+		if err := checkLine(row, Line{Fixed: c.fixed, Slope: c.slope}, c.slack); (err != nil) != c.fails {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
 }
 
-func TestPageAndSeriesNameTheSame(t *testing.T) {
+func TestPageAndSeriesNamesMatch(t *testing.T) {
 	rows := map[string]Row{"a.x": {Name: "a.x", Exact: true}, "b.x": {Name: "b.x", Exact: true}}
 	for _, c := range []struct {
 		series []Series
 		fails  bool
 	}{
 		{[]Series{{Name: "a.x"}}, false},
-		{[]Series{{Name: "a.x", Scatters: true}}, true},
+		{[]Series{{Name: "a.x", Noisy: true}}, true},
 		{[]Series{{Name: "a.x"}, {Name: "a.y"}}, true},
 		{[]Series{{Name: "a.z"}}, true},
 	} {
-		if err := sameNames(rows, c.series); (err != nil) != c.fails {
+		if err := checkNames(rows, c.series); (err != nil) != c.fails {
 			t.Errorf("%+v: %v", c.series, err)
 		}
 	}
 	delete(rows, "a.x")
 	rows["a.y"] = Row{Name: "a.y", Exact: true}
 	rows["a.x"] = Row{Name: "a.x", Exact: true}
-	if sameNames(rows, []Series{{Name: "a.x"}}) == nil {
+	if checkNames(rows, []Series{{Name: "a.x"}}) == nil {
 		t.Error("a row that nothing measures passes")
 	}
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -15,9 +15,9 @@
 	// Error is the largest distance of a measurement from the line, as a share of the
 	// largest measurement.
 	Error float64
-	// Bend is the slope between the last two measurements over that between the first
+	// SlopeRatio is the slope between the last two measurements over that between the first
 	// two: 1 for a straight line, more if it grows faster than the number.
-	Bend float64
+	SlopeRatio float64
 }
 
 // Fit returns the line through values measured at sizes by least squares.
@@ -34,22 +34,22 @@
 		xy += dx * (values[i] - meanY)
 		xx += dx * dx
 	}
-	line := Line{Slope: xy / xx, Bend: 1}
+	line := Line{Slope: xy / xx, SlopeRatio: 1}
 	line.Fixed = meanY - line.Slope*meanX
-	var farthest, largest float64
+	var maxDistance, maxValue float64
 	for i, size := range sizes {
-		farthest = max(farthest, math.Abs(values[i]-line.Fixed-line.Slope*float64(size)))
-		largest = max(largest, math.Abs(values[i]))
+		maxDistance = max(maxDistance, math.Abs(values[i]-line.Fixed-line.Slope*float64(size)))
+		maxValue = max(maxValue, math.Abs(values[i]))
 	}
-	if largest > 0 {
-		line.Error = farthest / largest
+	if maxValue > 0 {
+		line.Error = maxDistance / maxValue
 	}
 	last := len(sizes) - 1
-	rise := func(from, to int) float64 {
+	slopeBetween := func(from, to int) float64 {
 		return (values[to] - values[from]) / float64(sizes[to]-sizes[from])
 	}
-	if first := rise(0, 1); first != 0 {
-		line.Bend = rise(last-1, last) / first
+	if first := slopeBetween(0, 1); first != 0 {
+		line.SlopeRatio = slopeBetween(last-1, last) / first
 	}
 	return line
 }
@@ -62,7 +62,7 @@
 
 // Median is the middle one of some measurements of a value that varies a little.
 func Median(measure func() float64) float64 {
-	values := make([]float64, rounds)
+	values := make([]float64, measureRounds)
 	for i := range values {
 		values[i] = measure()
 	}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Page is where the slopes stand, below the repository's root.
-const Page = "docs/CAPACITY.md"
+// PagePath is where the slopes stand, below the repository's root.
+const PagePath = "docs/CAPACITY.md"
 
 // Row is a row of the page's table of slopes.
 type Row struct {
@@ -19,9 +19,9 @@
 	Exact bool // the same at every run, so that a test may hold it
 }
 
-// The table's columns: name, unit and number, sizes, fixed part, slope, fit error, kind.
+// The table's numColumns: name, unit and number, sizes, fixed part, slope, fit error, kind.
 const (
-	columns     = 7
+	numColumns     = 7
 	fixedColumn = 3
 	slopeColumn = 4
 	kindColumn  = 6
@@ -34,7 +34,7 @@
 	for number, line := range strings.Split(text, "\n") {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|")
 		name := strings.TrimSpace(cells[0])
-		if !strings.HasPrefix(line, "|") || len(cells) != columns || !strings.HasPrefix(name, "`") {
+		if !strings.HasPrefix(line, "|") || len(cells) != numColumns || !strings.HasPrefix(name, "`") {
 			continue
 		}
 		fail := func(format string, args ...any) error {
@@ -42,10 +42,10 @@
 		}
 		row := Row{Name: strings.Trim(name, "`")}
 		var err error
-		if row.Fixed, err = figure(cells[fixedColumn]); err != nil {
+		if row.Fixed, err = parseNumber(cells[fixedColumn]); err != nil {
 			return nil, fail("fixed part: %v", err)
 		}
-		if row.Slope, err = figure(cells[slopeColumn]); err != nil {
+		if row.Slope, err = parseNumber(cells[slopeColumn]); err != nil {
 			return nil, fail("slope: %v", err)
 		}
 		switch kind := strings.TrimSpace(cells[kindColumn]); kind {
@@ -63,8 +63,8 @@
 	return rows, nil
 }
 
-// figure reads a number that may have commas between thousands.
-func figure(cell string) (float64, error) {
+// parseNumber reads a number that may have commas between thousands.
+func parseNumber(cell string) (float64, error) {
 	return strconv.ParseFloat(strings.ReplaceAll(strings.TrimSpace(cell), ",", ""), 64)
 }
 
@@ -84,13 +84,13 @@
 		}
 		dir = parent
 	}
-	text, err := os.ReadFile(filepath.Join(dir, Page))
+	text, err := os.ReadFile(filepath.Join(dir, PagePath))
 	if err != nil {
 		return nil, err
 	}
 	rows, err := ParsePage(string(text))
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", Page, err)
+		return nil, fmt.Errorf("%s: %w", PagePath, err)
 	}
 	return rows, nil
 }
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -13,24 +13,24 @@
 // tolerance is the share by which an exact figure may differ from the page's.
 const tolerance = 0.1
 
-// rounding is a difference by which a figure that is 0 may seem to differ.
-const rounding = 1e-9
+// zeroTolerance is a difference by which a figure that is 0 may seem to differ.
+const zeroTolerance = 1e-9
 
 // Series is something measured at several sizes.
 type Series struct {
 	Name  string // as in the page; its part before the first dot is the package
 	Sizes []int  // at least four
-	// Scatters is for processor time, and for memory that the runtime rounds: printed,
+	// Noisy is for processor time, and for memory that the runtime rounds: printed,
 	// not held by a test.
-	Scatters bool
+	Noisy bool
 	// FixedSlack is the difference of the fixed part that is never a fault: the fit takes
 	// small fixed parts from values that are far larger. Up to 2 % of those; 0: none.
 	FixedSlack float64
 	Measure    func(tb testing.TB, size int) float64
 }
 
-// Line measures the series at its sizes and fits a line.
-func (s *Series) Line(tb testing.TB) Line {
+// FitLine measures the series at its sizes and fits a line.
+func (s *Series) FitLine(tb testing.TB) Line {
 	if len(s.Sizes) < 4 {
 		tb.Fatalf("%s: %d sizes, four at least", s.Name, len(s.Sizes))
 	}
@@ -50,13 +50,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := sameNames(rows, series); err != nil {
+	if err := checkNames(rows, series); err != nil {
 		t.Error(err)
 	}
 	for _, s := range series {
-		if row, ok := rows[s.Name]; ok && !s.Scatters {
+		if row, ok := rows[s.Name]; ok && !s.Noisy {
 			t.Run(s.Name, func(t *testing.T) {
-				if err := compare(row, s.Line(t), s.FixedSlack); err != nil {
+				if err := checkLine(row, s.FitLine(t), s.FixedSlack); err != nil {
 					t.Error(err)
 				}
 			})
@@ -64,36 +64,36 @@
 	}
 }
 
-// sameNames reports a series that the page lacks, a row that nothing measures, and one of
+// checkNames reports a series that the page lacks, a row that nothing measures, and one of
 // another kind.
-func sameNames(rows map[string]Row, series []Series) error {
+func checkNames(rows map[string]Row, series []Series) error {
 	measured := map[string]bool{}
 	for _, s := range series {
 		measured[s.Name] = true
-		if row, ok := rows[s.Name]; !ok || row.Exact == s.Scatters {
-			return fmt.Errorf("%s: not in %s, or of another kind there", s.Name, Page)
+		if row, ok := rows[s.Name]; !ok || row.Exact == s.Noisy {
+			return fmt.Errorf("%s: not in %s, or of another kind there", s.Name, PagePath)
 		}
 	}
 	for name := range rows {
 		if part, _, _ := strings.Cut(name, "."); strings.HasPrefix(series[0].Name, part+".") && !measured[name] {
-			return fmt.Errorf("%s: in %s, and measured by no test", name, Page)
+			return fmt.Errorf("%s: in %s, and measured by no test", name, PagePath)
 		}
 	}
 	return nil
 }
 
-// compare holds a measured line to the page's.
-func compare(row Row, line Line, fixedSlack float64) error {
+// checkLine holds a measured line to the page's.
+func checkLine(row Row, line Line, fixedSlack float64) error {
 	for _, part := range []struct {
 		name                  string
 		page, measured, slack float64
-	}{{"slope", row.Slope, line.Slope, rounding}, {"fixed part", row.Fixed, line.Fixed, max(fixedSlack, rounding)}} {
+	}{{"slope", row.Slope, line.Slope, zeroTolerance}, {"fixed part", row.Fixed, line.Fixed, max(fixedSlack, zeroTolerance)}} {
 		allowed := max(tolerance*math.Abs(part.page), part.slack)
 		switch difference := part.measured - part.page; {
 		case difference > allowed:
-			return fmt.Errorf("%s %.4g, %.4g by %s: grown by more than a tenth", part.name, part.measured, part.page, Page)
+			return fmt.Errorf("%s %.4g, %.4g by %s: grown by more than a tenth", part.name, part.measured, part.page, PagePath)
 		case difference < -allowed:
-			return fmt.Errorf("%s %.4g, %.4g by %s: correct the page", part.name, part.measured, part.page, Page)
+			return fmt.Errorf("%s %.4g, %.4g by %s: correct the page", part.name, part.measured, part.page, PagePath)
 		}
 	}
 	return nil
@@ -106,20 +106,20 @@
 		var line *Line
 		b.Run(s.Name, func(b *testing.B) {
 			if line == nil {
-				fitted := s.Line(b)
+				fitted := s.FitLine(b)
 				line = &fitted
 			}
 			b.ReportMetric(0, "ns/op")
 			b.ReportMetric(line.Fixed, "fixed")
 			b.ReportMetric(line.Slope, "slope")
 			b.ReportMetric(100*line.Error, "error-%")
-			b.ReportMetric(line.Bend, "bend")
+			b.ReportMetric(line.SlopeRatio, "bend")
 		})
 	}
 }
 
-// Heap returns the bytes of live heap that what create returns takes.
-func Heap(create func() any) float64 {
+// HeapBytes returns the bytes of live heap that what create returns takes.
+func HeapBytes(create func() any) float64 {
 	before := liveHeap()
 	created := create()
 	after := liveHeap()
@@ -136,8 +136,8 @@
 }
 
 const (
-	rounds    = 7
-	roundTime = 30 * time.Millisecond
+	measureRounds    = 7
+	minRoundTime = 30 * time.Millisecond
 )
 
 // ProcessorTime returns the processor time of one call in ns, user and system, the
@@ -146,17 +146,17 @@
 func ProcessorTime(tb testing.TB, call func()) float64 {
 	call()
 	return Median(func() float64 {
-		calls, start, used := 0, time.Now(), Used(tb)
-		for time.Since(start) < roundTime || calls == 0 {
+		calls, start, used := 0, time.Now(), UsedProcessorTime(tb)
+		for time.Since(start) < minRoundTime || calls == 0 {
 			call()
 			calls++
 		}
-		return float64(Used(tb)-used) / float64(calls)
+		return float64(UsedProcessorTime(tb)-used) / float64(calls)
 	})
 }
 
-// Used is the processor time of this process, user and system.
-func Used(tb testing.TB) time.Duration {
+// UsedProcessorTime is the processor time of this process, user and system.
+func UsedProcessorTime(tb testing.TB) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		tb.Fatal(err)
@@ -164,13 +164,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// ProcessorTimeOf is ProcessorTime of a call that has to be prepared anew each time.
-func ProcessorTimeOf(tb testing.TB, prepare func() func()) float64 {
+// ProcessorTimeAfterSetup is ProcessorTime of a call that has to be prepared anew each time.
+func ProcessorTimeAfterSetup(tb testing.TB, setup func() func()) float64 {
 	return Median(func() float64 {
-		call := prepare()
+		call := setup()
 		runtime.GC() // the preparation's garbage is not the call's
-		used := Used(tb)
+		used := UsedProcessorTime(tb)
 		call()
-		return float64(Used(tb) - used)
+		return float64(UsedProcessorTime(tb) - used)
 	})
 }
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -159,10 +159,10 @@
 
 var capacitySeries = []capacity.Series{
 	{Name: "dispatch.heap", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 10_000, Measure: func(tb testing.TB, workers int) float64 {
-		return capacity.Heap(func() any { return newReportingWorkers(tb, workers, tasksEach).dispatcher })
+		return capacity.HeapBytes(func() any { return newReportingWorkers(tb, workers, tasksEach).dispatcher })
 	}},
 	{Name: "dispatch.heapOfTask", Sizes: []int{2, 4, 8, 16}, FixedSlack: 100, Measure: func(tb testing.TB, tasks int) float64 {
-		return capacity.Heap(func() any { return newReportingWorkers(tb, 500, tasks).dispatcher }) / 500
+		return capacity.HeapBytes(func() any { return newReportingWorkers(tb, 500, tasks).dispatcher }) / 500
 	}},
 	{Name: "dispatch.views", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
 		return publishedBytes(tb, newReportingWorkers(tb, workers, tasksEach))
@@ -174,14 +174,14 @@
 		w := newReportingWorkers(tb, 1, tasks)
 		return testing.AllocsPerRun(200, func() { w.report(tb, 0) })
 	}},
-	{Name: "dispatch.report", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "dispatch.report", Noisy: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
 		w, i := newReportingWorkers(tb, workers, tasksEach), 0
 		return capacity.ProcessorTime(tb, func() { w.report(tb, i%workers); i++ })
 	}},
-	{Name: "dispatch.order", Scatters: true, Sizes: []int{50, 100, 200, 400, 800}, Measure: commandsInTurn},
-	{Name: "dispatch.orderBeyond", Scatters: true, Sizes: []int{1000, 1200, 1400, 1600}, Measure: commandsAtRandom},
-	{Name: "dispatch.keptConnections", Scatters: true, Sizes: []int{200, 400, 600, 900}, Measure: keptConnections},
-	{Name: "dispatch.makeViews", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "dispatch.order", Noisy: true, Sizes: []int{50, 100, 200, 400, 800}, Measure: commandsInTurn},
+	{Name: "dispatch.orderBeyond", Noisy: true, Sizes: []int{1000, 1200, 1400, 1600}, Measure: commandsAtRandom},
+	{Name: "dispatch.keptConnections", Noisy: true, Sizes: []int{200, 400, 600, 900}, Measure: keptConnections},
+	{Name: "dispatch.makeViews", Noisy: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
 		w := newReportingWorkers(tb, workers, tasksEach)
 		return capacity.ProcessorTime(tb, func() { publishedBytes(tb, w) })
 	}},
--- a/internal/membership/capacity_test.go
+++ b/internal/membership/capacity_test.go
@@ -91,10 +91,10 @@
 	{Name: "membership.writes", Sizes: []int{1, 3, 6, 12}, FixedSlack: 1, Measure: func(_ testing.TB, controllers int) float64 {
 		return minute(controllers, func(_, later cost) float64 { return later.writes })
 	}},
-	{Name: "membership.writesOfStarting", Sizes: []int{1, 3, 6, 12}, Scatters: true, Measure: func(_ testing.TB, controllers int) float64 {
+	{Name: "membership.writesOfStarting", Sizes: []int{1, 3, 6, 12}, Noisy: true, Measure: func(_ testing.TB, controllers int) float64 {
 		return minute(controllers, func(first, _ cost) float64 { return first.writes })
 	}},
-	{Name: "membership.eventsOfStarting", Sizes: []int{1, 3, 6, 12}, Scatters: true, Measure: func(_ testing.TB, controllers int) float64 {
+	{Name: "membership.eventsOfStarting", Sizes: []int{1, 3, 6, 12}, Noisy: true, Measure: func(_ testing.TB, controllers int) float64 {
 		return minute(controllers, func(first, _ cost) float64 { return first.events })
 	}},
 }
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -177,7 +177,7 @@
 // heapOfPlacements returns the bytes that the placements of so many waiting tasks take.
 func heapOfPlacements(tb testing.TB, tasks int) float64 {
 	cluster := newIdleCluster(tb, tasks)
-	return capacity.Heap(func() any {
+	return capacity.HeapBytes(func() any {
 		cluster.placeAll(tb, tasks/20, tasks)
 		if err := cluster.scheduler.WriteAll(context.Background()); err != nil {
 			tb.Fatal(err)
@@ -189,16 +189,16 @@
 // capacitySeries are the series of docs/CAPACITY.md that this package measures.
 var capacitySeries = []capacity.Series{
 	{Name: "scheduler.heapOfMachines", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 20_000, Measure: func(tb testing.TB, workers int) float64 {
-		return capacity.Heap(func() any { return newCluster(tb, workers, 0).scheduler })
+		return capacity.HeapBytes(func() any { return newCluster(tb, workers, 0).scheduler })
 	}},
 	{Name: "scheduler.heapOfJobs", Sizes: []int{200, 400, 800, 1600}, FixedSlack: 20_000, Measure: func(tb testing.TB, jobs int) float64 {
-		return capacity.Heap(func() any { return newCluster(tb, 0, jobs).scheduler })
+		return capacity.HeapBytes(func() any { return newCluster(tb, 0, jobs).scheduler })
 	}},
 	{Name: "scheduler.heapOfPlaces", Sizes: []int{800, 1600, 3200, 6400}, FixedSlack: 86_000, Measure: func(tb testing.TB, tasks int) float64 {
 		return capacity.Median(func() float64 { return heapOfPlacements(tb, tasks) }) // candidates are drawn at random
 	}},
 	{Name: "scheduler.heapOfTeams", Sizes: []int{50, 100, 200, 400}, FixedSlack: 10_000, Measure: func(tb testing.TB, teams int) float64 {
-		return capacity.Heap(func() any { return newSchedulerOfTeams(tb, teams) })
+		return capacity.HeapBytes(func() any { return newSchedulerOfTeams(tb, teams) })
 	}},
 	{Name: "scheduler.requestsOfStarts", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 1, Measure: func(tb testing.TB, tasks int) float64 {
 		requests, _, _ := writesOfPlacements(tb, tasks)
@@ -226,7 +226,7 @@
 		cluster := newFailoverCluster(tb, jobs)
 		return testing.AllocsPerRun(1, func() { cluster.failOver(tb) })
 	}},
-	{Name: "scheduler.report", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "scheduler.report", Noisy: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
 		cluster, i := newCluster(tb, workers, someJobs), 0
 		cluster.scheduler.Pass()
 		return capacity.ProcessorTime(tb, func() {
@@ -236,16 +236,16 @@
 			i++
 		})
 	}},
-	{Name: "scheduler.passOfMachines", Scatters: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "scheduler.passOfMachines", Noisy: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
 		cluster := newCluster(tb, workers, someJobs)
 		return capacity.ProcessorTime(tb, cluster.scheduler.Pass)
 	}},
-	{Name: "scheduler.passOfJobs", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: func(tb testing.TB, jobs int) float64 {
+	{Name: "scheduler.passOfJobs", Noisy: true, Sizes: []int{100, 200, 400, 800}, Measure: func(tb testing.TB, jobs int) float64 {
 		cluster := newCluster(tb, someWorkers, jobs)
 		return capacity.ProcessorTime(tb, cluster.scheduler.Pass)
 	}},
-	{Name: "scheduler.placeTasks", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, tasks int) float64 {
-		return capacity.ProcessorTimeOf(tb, func() func() {
+	{Name: "scheduler.placeTasks", Noisy: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, tasks int) float64 {
+		return capacity.ProcessorTimeAfterSetup(tb, func() func() {
 			cluster := newIdleCluster(tb, tasks)
 			return func() {
 				cluster.placeAll(tb, tasks/20, tasks)
@@ -255,12 +255,12 @@
 			}
 		})
 	}},
-	{Name: "scheduler.demand", Scatters: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "scheduler.demand", Noisy: true, Sizes: []int{650, 1300, 2600, 5200}, Measure: func(tb testing.TB, workers int) float64 {
 		cluster := newCluster(tb, workers, someJobs)
 		cluster.scheduler.Pass()
 		return capacity.ProcessorTime(tb, func() { cluster.scheduler.Demand(20) })
 	}},
-	{Name: "scheduler.takeover", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: func(tb testing.TB, jobs int) float64 {
+	{Name: "scheduler.takeover", Noisy: true, Sizes: []int{100, 200, 400, 800}, Measure: func(tb testing.TB, jobs int) float64 {
 		cluster := newFailoverCluster(tb, jobs)
 		return capacity.ProcessorTime(tb, func() { cluster.failOver(tb) })
 	}},
--- a/internal/statestore/capacity_test.go
+++ b/internal/statestore/capacity_test.go
@@ -89,7 +89,7 @@
 	}},
 	{Name: "statestore.requestsOfWatch", Sizes: []int{5, 10, 20, 40}, Measure: followed},
 	{Name: "statestore.requestsOfPacedWatch", Sizes: []int{10, 25, 50, 100}, Measure: followedPaced},
-	{Name: "statestore.changes", Scatters: true, Sizes: []int{1, 4, 12, 48}, Measure: func(tb testing.TB, changes int) float64 {
+	{Name: "statestore.changes", Noisy: true, Sizes: []int{1, 4, 12, 48}, Measure: func(tb testing.TB, changes int) float64 {
 		_, time := transaction(tb, changes, func(call func()) float64 { return capacity.ProcessorTime(tb, call) })
 		return time
 	}},
--- a/internal/submission/capacity_test.go
+++ b/internal/submission/capacity_test.go
@@ -85,11 +85,11 @@
 		submit(tb, mux, 1)
 		return testing.AllocsPerRun(100, func() { submit(tb, mux, 1) })
 	}},
-	{Name: "submission.submission", Scatters: true, Sizes: []int{50, 100, 200, 400}, Measure: func(tb testing.TB, teams int) float64 {
+	{Name: "submission.submission", Noisy: true, Sizes: []int{50, 100, 200, 400}, Measure: func(tb testing.TB, teams int) float64 {
 		mux, number := listener(tb, teams), 0
 		return capacity.ProcessorTime(tb, func() { number++; submit(tb, mux, number) })
 	}},
-	{Name: "submission.connections", Scatters: true, Sizes: []int{100, 200, 400, 800}, Measure: connectionMemory},
+	{Name: "submission.connections", Noisy: true, Sizes: []int{100, 200, 400, 800}, Measure: connectionMemory},
 }
 
 func TestCapacity(t *testing.T)      { capacity.Check(t, capacitySeries...) }
--- a/internal/testkit/capacity_test.go
+++ b/internal/testkit/capacity_test.go
@@ -18,12 +18,12 @@
 	spend := func(jobs int) (used time.Duration, reports, starts float64) {
 		l := newLoad(tb, machines, 10, jobs)
 		defer l.end()
-		before, began, usedBefore := l.node.scheduler.Counters().Granted, time.Now(), capacity.Used(tb)
+		before, began, usedBefore := l.node.scheduler.Counters().Granted, time.Now(), capacity.UsedProcessorTime(tb)
 		i := 0
 		for ; time.Since(began) < loadFor; i++ {
 			l.report(tb, i)
 		}
-		return capacity.Used(tb) - usedBefore, float64(i), float64(l.node.scheduler.Counters().Granted - before)
+		return capacity.UsedProcessorTime(tb) - usedBefore, float64(i), float64(l.node.scheduler.Counters().Granted - before)
 	}
 	used, reports, _ := spend(0)
 	ofReport = float64(used) / reports
@@ -33,11 +33,11 @@
 }
 
 var capacitySeries = []capacity.Series{
-	{Name: "testkit.idleReport", Scatters: true, Sizes: []int{325, 650, 1300, 2600}, Measure: func(tb testing.TB, machines int) float64 {
+	{Name: "testkit.idleReport", Noisy: true, Sizes: []int{325, 650, 1300, 2600}, Measure: func(tb testing.TB, machines int) float64 {
 		report, _ := loaded(tb, machines)
 		return report
 	}},
-	{Name: "testkit.start", Scatters: true, Sizes: []int{325, 650, 1300, 2600}, Measure: func(tb testing.TB, machines int) float64 {
+	{Name: "testkit.start", Noisy: true, Sizes: []int{325, 650, 1300, 2600}, Measure: func(tb testing.TB, machines int) float64 {
 		_, start := loaded(tb, machines)
 		return start
 	}},
--- a/internal/wire/capacity_test.go
+++ b/internal/wire/capacity_test.go
@@ -46,7 +46,7 @@
 		}
 		return jsonSize(tb, list)
 	}},
-	{Name: "wire.readReport", Scatters: true, Sizes: []int{1, 5, 10, 40}, Measure: func(tb testing.TB, tasks int) float64 {
+	{Name: "wire.readReport", Noisy: true, Sizes: []int{1, 5, 10, 40}, Measure: func(tb testing.TB, tasks int) float64 {
 		r := wire.Report{Machine: "n-000231", Endpoint: "e", Type: "g8", Zone: "a", Session: 1}
 		for i := range tasks {
 			r.Tasks = append(r.Tasks, wire.Task{Task: taskName(i), Attempt: 20, State: wire.TaskRunning})
