--- a/internal/controller/scheduler_gateway.go
+++ b/internal/controller/scheduler_gateway.go
@@ -47,7 +47,7 @@
 func (g *schedulerGateway) GrantLocal(request dispatch.GrantRequest) dispatch.GrantReply {
 	reply := g.scheduler.GrantLocal(request)
 	if reply.OK {
-		g.times.Mark(failovertiming.Granted)
+		g.times.Mark(failovertiming.FirstGrant)
 		g.starts.granted()
 	}
 	return reply
@@ -100,9 +100,9 @@
 		o.times.Reset()
 		return
 	}
-	o.times.Mark(failovertiming.Joined)
+	o.times.Mark(failovertiming.LeaseAcquired)
 	if len(o.member.LedShards()) > 0 {
-		o.times.Mark(failovertiming.Claimed)
+		o.times.Mark(failovertiming.ShardClaimed)
 		return
 	}
 	o.starts.leadsNothing()
--- a/internal/failovertiming/failovertiming.go
+++ b/internal/failovertiming/failovertiming.go
@@ -18,27 +18,27 @@
 // Phases, in the order in which they usually come.
 const (
 	Up             Phase = iota // responds to /up with 200
-	Joined                      // holds its lease
-	Claimed                     // leads a shard
-	Read                        // has read the shard's jobs
+	LeaseAcquired                      // holds its lease
+	ShardClaimed                     // leads a shard
+	JobsRead                        // has read the shard's jobs
 	FirstHeartbeat              // responded to a worker's heartbeat with 200
-	Granted                     // the first start was granted
-	Half                        // half of the recorded workers sent a heartbeat
-	Most                        // 95 of 100 did
-	All                         // all did
-	phases
+	FirstGrant                     // the first start was granted
+	HalfOfWorkers                        // half of the recorded workers sent a heartbeat
+	MostWorkers                        // 95 of 100 did
+	AllWorkers                         // all did
+	numPhases
 )
 
-var names = [phases]string{"up", "joined", "claimed", "read", "first_heard", "granted", "half_heard", "most_heard", "all_heard"}
+var phaseNames = [numPhases]string{"up", "joined", "claimed", "read", "first_heard", "granted", "half_heard", "most_heard", "all_heard"}
 
 // String returns the name used in logs and statistics.
-func (p Phase) String() string { return names[p] }
+func (p Phase) String() string { return phaseNames[p] }
 
 const (
-	lookEvery        = 100 * time.Millisecond // while a recovery is timed
-	startWindow      = 20 * time.Second       // a failover so soon after the start is timed from the start
-	halfUnresponsive = 0.5                    // share of the recorded workers without a heartbeat, at most, for Half
-	mostUnresponsive = 0.05                   // for Most
+	pollInterval        = 100 * time.Millisecond // while a recovery is timed
+	startupWindow      = 20 * time.Second       // a failover so soon after the start is timed from the start
+	halfMaxUnresponsive = 0.5                    // share of the recorded workers without a heartbeat, at most, for Half
+	mostMaxUnresponsive = 0.05                   // for Most
 )
 
 // FailoverState is what is known of a failover.
@@ -51,24 +51,24 @@
 // Timeline times the recovery in progress and keeps the last one. It is safe for concurrent use.
 type Timeline struct {
 	state FailoverState
-	limit time.Duration
+	maxDuration time.Duration
 	log   *slog.Logger
-	wake  chan struct{} // a recovery began
+	recoveryBegan  chan struct{} // a recovery began
 
 	mu       sync.Mutex
-	started  time.Time // the process
-	began    time.Time // the last recovery
-	running  bool
-	at       [phases]time.Duration // since began; 0: not yet
-	timed    int                   // failovers that have been timed
-	recorded int                   // workers that tasks were recorded on
+	startedAt  time.Time // the process
+	beganAt    time.Time // the last recovery
+	inProgress  bool
+	reachedAfter       [numPhases]time.Duration // since began; 0: not yet
+	timedFailovers    int                   // failovers that have been timed
+	recordedWorkers int                   // workers that tasks were recorded on
 }
 
 // New returns a timeline of the process that starts now. A recovery that is not complete after
 // limit ends as it is: failed workers send no heartbeat.
 func New(state FailoverState, limit time.Duration, log *slog.Logger) *Timeline {
 	now := time.Now()
-	return &Timeline{state: state, limit: limit, log: log, wake: make(chan struct{}, 1), started: now, began: now, running: true}
+	return &Timeline{state: state, maxDuration: limit, log: log, recoveryBegan: make(chan struct{}, 1), startedAt: now, beganAt: now, inProgress: true}
 }
 
 // Restart times the process's start from now on: before, it waited for its predecessor. It must
@@ -77,7 +77,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	t.started, t.began = now, now
+	t.startedAt, t.beganAt = now, now
 }
 
 // Mark notes that a phase is reached. The first one counts. Marking costs a lock while a
@@ -86,10 +86,10 @@
 func (t *Timeline) Mark(p Phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if p == Claimed && !t.running {
-		t.began, t.running, t.at = time.Now(), true, [phases]time.Duration{}
+	if p == ShardClaimed && !t.inProgress {
+		t.beganAt, t.inProgress, t.reachedAfter = time.Now(), true, [numPhases]time.Duration{}
 		select {
-		case t.wake <- struct{}{}:
+		case t.recoveryBegan <- struct{}{}:
 		default:
 		}
 	}
@@ -97,8 +97,8 @@
 }
 
 func (t *Timeline) markLocked(p Phase) {
-	if t.running && t.at[p] == 0 {
-		t.at[p] = max(1, time.Since(t.began))
+	if t.inProgress && t.reachedAfter[p] == 0 {
+		t.reachedAfter[p] = max(1, time.Since(t.beganAt))
 	}
 }
 
@@ -106,8 +106,8 @@
 func (t *Timeline) Reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.running && t.at[Claimed] != 0 {
-		t.running = false
+	if t.inProgress && t.reachedAfter[ShardClaimed] != 0 {
+		t.inProgress = false
 	}
 }
 
@@ -116,10 +116,10 @@
 func (t *Timeline) Last() map[string]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := map[string]float64{"machines": float64(t.recorded)}
-	for p, d := range t.at {
+	out := map[string]float64{"machines": float64(t.recordedWorkers)}
+	for p, d := range t.reachedAfter {
 		if d > 0 {
-			out[names[p]] = d.Seconds()
+			out[phaseNames[p]] = d.Seconds()
 		}
 	}
 	return out
@@ -128,7 +128,7 @@
 // Run watches recoveries and logs each when it is over, until ctx ends. While none is timed, no
 // timer runs.
 func (t *Timeline) Run(ctx context.Context) error {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -136,55 +136,55 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if t.look() {
+		if t.poll() {
 			continue
 		}
 		tick.Stop()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.wake:
+		case <-t.recoveryBegan:
 		}
-		tick.Reset(lookEvery)
+		tick.Reset(pollInterval)
 	}
 }
 
-// look reads the failover's progress; false when there is nothing to time.
-func (t *Timeline) look() bool {
+// poll reads the failover's progress; false when there is nothing to time.
+func (t *Timeline) poll() bool {
 	failovers, recorded, unresponsive := t.state.FailoverProgress()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.running {
+	if !t.inProgress {
 		return false
 	}
 	t.markProgressLocked(failovers, recorded, unresponsive)
-	switch age := time.Since(t.began); {
-	case t.at[All] != 0 && (t.at[Granted] != 0 || age > startWindow):
-	case t.at[Claimed] == 0 && time.Since(t.started) > startWindow:
-		t.running = false // nothing came here
+	switch age := time.Since(t.beganAt); {
+	case t.reachedAfter[AllWorkers] != 0 && (t.reachedAfter[FirstGrant] != 0 || age > startupWindow):
+	case t.reachedAfter[ShardClaimed] == 0 && time.Since(t.startedAt) > startupWindow:
+		t.inProgress = false // nothing came here
 		return false
-	case age > t.limit:
+	case age > t.maxDuration:
 	default:
 		return true
 	}
-	t.running, t.timed = false, failovers
+	t.inProgress, t.timedFailovers = false, failovers
 	t.logLocked(unresponsive)
-	t.recorded = 0
+	t.recordedWorkers = 0
 	return false
 }
 
 func (t *Timeline) markProgressLocked(failovers, recorded, unresponsive int) {
-	if failovers > t.timed {
-		t.markLocked(Read)
+	if failovers > t.timedFailovers {
+		t.markLocked(JobsRead)
 	}
-	if t.at[Read] == 0 {
+	if t.reachedAfter[JobsRead] == 0 {
 		return
 	}
-	t.recorded = max(t.recorded, recorded)
+	t.recordedWorkers = max(t.recordedWorkers, recorded)
 	for _, reached := range []struct {
 		phase        Phase
 		unresponsive float64
-	}{{Half, halfUnresponsive}, {Most, mostUnresponsive}, {All, 0}} {
+	}{{HalfOfWorkers, halfMaxUnresponsive}, {MostWorkers, mostMaxUnresponsive}, {AllWorkers, 0}} {
 		if float64(unresponsive) <= reached.unresponsive*float64(recorded) {
 			t.markLocked(reached.phase)
 		}
@@ -192,11 +192,11 @@
 }
 
 func (t *Timeline) logLocked(unresponsive int) {
-	attrs := make([]any, 0, 2*phases+4)
-	for p, d := range t.at {
+	attrs := make([]any, 0, 2*numPhases+4)
+	for p, d := range t.reachedAfter {
 		if d > 0 {
-			attrs = append(attrs, names[p]+"_s", d.Seconds())
+			attrs = append(attrs, phaseNames[p]+"_s", d.Seconds())
 		}
 	}
-	t.log.Info("recovered", append(attrs, "machines", t.recorded, "silent", unresponsive)...)
+	t.log.Info("recovered", append(attrs, "machines", t.recordedWorkers, "silent", unresponsive)...)
 }
--- a/internal/failovertiming/failovertiming_test.go
+++ b/internal/failovertiming/failovertiming_test.go
@@ -13,13 +13,13 @@
 	"github.com/wallrack/wallrack/internal/failovertiming"
 )
 
-// progress is a scheduler's counts, which the timeline reads while the test changes them.
-type progress struct {
+// fakeFailoverState is a scheduler's counts, which the timeline reads while the test changes them.
+type fakeFailoverState struct {
 	mu                                sync.Mutex
 	failovers, recorded, unresponsive int
 }
 
-func (p *progress) FailoverProgress() (failovers, recorded, unresponsive int) {
+func (p *fakeFailoverState) FailoverProgress() (failovers, recorded, unresponsive int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failovers, p.recorded, p.unresponsive
@@ -30,7 +30,7 @@
 func TestRecoveriesTimedFromStartAndFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		p := &progress{recorded: 100, unresponsive: 100}
+		p := &fakeFailoverState{recorded: 100, unresponsive: 100}
 		timeline := failovertiming.New(p, 44*time.Second, slog.New(slog.NewTextHandler(&out, nil)))
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -42,21 +42,21 @@
 			defer p.mu.Unlock()
 			f()
 		}
-		step(time.Second, func() { timeline.Mark(failovertiming.Joined); timeline.Mark(failovertiming.Up) })
-		step(time.Second, func() { timeline.Mark(failovertiming.Claimed) })
+		step(time.Second, func() { timeline.Mark(failovertiming.LeaseAcquired); timeline.Mark(failovertiming.Up) })
+		step(time.Second, func() { timeline.Mark(failovertiming.ShardClaimed) })
 		step(time.Second, func() { p.failovers = 1 })
 		step(time.Second, func() {
 			timeline.Mark(failovertiming.FirstHeartbeat)
 			timeline.Mark(failovertiming.FirstHeartbeat)
 			p.unresponsive = 40
 		})
-		step(time.Second, func() { timeline.Mark(failovertiming.Granted); p.unresponsive = 4 })
+		step(time.Second, func() { timeline.Mark(failovertiming.FirstGrant); p.unresponsive = 4 })
 		step(time.Second, func() { p.unresponsive = 0 })
 		step(time.Second, func() {})
 		last := timeline.Last()
 		for phase, want := range map[failovertiming.Phase]float64{
-			failovertiming.Up: 1, failovertiming.Claimed: 2, failovertiming.Read: 3, failovertiming.FirstHeartbeat: 4, failovertiming.Half: 4,
-			failovertiming.Granted: 5, failovertiming.Most: 5, failovertiming.All: 6,
+			failovertiming.Up: 1, failovertiming.ShardClaimed: 2, failovertiming.JobsRead: 3, failovertiming.FirstHeartbeat: 4, failovertiming.HalfOfWorkers: 4,
+			failovertiming.FirstGrant: 5, failovertiming.MostWorkers: 5, failovertiming.AllWorkers: 6,
 		} {
 			if got := last[phase.String()]; got < want || got > want+0.2 {
 				t.Errorf("%s after %.2f s, not %.0f", phase, got, want)
@@ -65,9 +65,9 @@
 		if n := strings.Count(out.String(), "msg=recovered"); n != 1 {
 			t.Errorf("%d lines: %s", n, out.String())
 		}
-		step(time.Hour, func() { p.failovers, p.unresponsive = 2, 100; timeline.Mark(failovertiming.Claimed) })
+		step(time.Hour, func() { p.failovers, p.unresponsive = 2, 100; timeline.Mark(failovertiming.ShardClaimed) })
 		step(time.Second, func() { timeline.Reset() })
-		step(time.Minute, func() { p.unresponsive = 100; timeline.Mark(failovertiming.Claimed) })
+		step(time.Minute, func() { p.unresponsive = 100; timeline.Mark(failovertiming.ShardClaimed) })
 		step(time.Minute, func() {})
 		if n := strings.Count(out.String(), "msg=recovered"); n != 2 {
 			t.Errorf("%d lines after a loss and one that never ends: %s", n, out.String())
@@ -81,9 +81,9 @@
 }
 
 // What a process waits for its predecessor before it listens is no part of its recovery.
-func TestWaitForPredecessorIsNotTimed(t *testing.T) {
+func TestRestartExcludesWaitForPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		timeline := failovertiming.New(&progress{}, 44*time.Second, slog.New(slog.DiscardHandler))
+		timeline := failovertiming.New(&fakeFailoverState{}, 44*time.Second, slog.New(slog.DiscardHandler))
 		time.Sleep(10 * time.Second)
 		timeline.Restart()
 		time.Sleep(time.Second)
--- a/internal/failovertiming/recorded_test.go
+++ b/internal/failovertiming/recorded_test.go
@@ -13,8 +13,8 @@
 func TestRecordedPhases(t *testing.T) {
 	var text strings.Builder
 	for _, phase := range []failovertiming.Phase{
-		failovertiming.Up, failovertiming.Joined, failovertiming.Claimed, failovertiming.Read, failovertiming.FirstHeartbeat, failovertiming.Granted,
-		failovertiming.Half, failovertiming.Most, failovertiming.All,
+		failovertiming.Up, failovertiming.LeaseAcquired, failovertiming.ShardClaimed, failovertiming.JobsRead, failovertiming.FirstHeartbeat, failovertiming.FirstGrant,
+		failovertiming.HalfOfWorkers, failovertiming.MostWorkers, failovertiming.AllWorkers,
 	} {
 		fmt.Fprintln(&text, phase)
 	}
