--- a/cmd/wallrack/bound.go
+++ b/cmd/wallrack/bound.go
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	defer func() { _ = f.Close() }() // it was only read
-	jobs, err := lowerbound.Read(f)
+	jobs, err := lowerbound.ReadJobs(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -54,8 +54,8 @@
 }
 
 func printBound(w io.Writer, jobs []lowerbound.Job, r lowerbound.Result) {
-	printTo(w, "jobs %d, work %.0f CPU-seconds, busiest %.0f CPUs\n", r.Jobs, r.Work, r.BusiestCPUs)
-	printTo(w, "beyond cheap capacity in time: %.1f %% of the work; price at best %.2f\n", 100*r.OnDemandWork/r.Work, r.Price)
+	printTo(w, "jobs %d, work %.0f CPU-seconds, busiest %.0f CPUs\n", r.Jobs, r.TotalWork, r.PeakCPUs)
+	printTo(w, "beyond cheap capacity in time: %.1f %% of the work; price at best %.2f\n", 100*r.OnDemandWork/r.TotalWork, r.RelativeCost)
 	var classes []string
 	for _, job := range jobs {
 		if !slices.Contains(classes, job.Class) {
@@ -64,6 +64,6 @@
 	}
 	slices.Sort(classes)
 	for _, class := range classes {
-		printTo(w, "%s: late %.3f, on cheap capacity alone at best %.3f\n", class, r.Late[class], r.LateOnSpot[class])
+		printTo(w, "%s: late %.3f, on cheap capacity alone at best %.3f\n", class, r.LateAsRun[class], r.LateOnSpot[class])
 	}
 }
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -220,8 +220,8 @@
 			t.Error(err)
 		}
 	}()
-	jobs, err := lowerbound.Read(f)
-	if err != nil || len(jobs) != 1 || jobs[0].Class != "adhoc" || jobs[0].Tasks != 3 || jobs[0].CPUs != 1 || jobs[0].Arrived < 1e9 || jobs[0].Took <= 0 || jobs[0].Run <= 0 {
+	jobs, err := lowerbound.ReadJobs(f)
+	if err != nil || len(jobs) != 1 || jobs[0].Class != "adhoc" || jobs[0].Tasks != 3 || jobs[0].CPUsPerTask != 1 || jobs[0].ArrivedS < 1e9 || jobs[0].ElapsedS <= 0 || jobs[0].MeanTaskS <= 0 {
 		t.Errorf("%+v, %v", jobs, err)
 	}
 }
--- a/internal/lowerbound/lowerbound.go
+++ b/internal/lowerbound/lowerbound.go
@@ -14,12 +14,12 @@
 // and on-demand capacity.
 type Result struct {
 	Jobs         int
-	Work         float64            // CPU-seconds
+	TotalWork         float64            // CPU-seconds
 	OnDemandWork float64            // of it, what spot capacity can't do in time, whatever the order
-	Price        float64            // cost at best, relative to that of all the work on spot capacity
-	Late         map[string]float64 // share of a class's jobs beyond their limit, as it was
+	RelativeCost        float64            // cost at best, relative to that of all the work on spot capacity
+	LateAsRun         map[string]float64 // share of a class's jobs beyond their limit, as it was
 	LateOnSpot   map[string]float64 // the same on spot capacity alone, earliest limit first
-	BusiestCPUs  float64            // most CPUs at once, if every job had run as it came
+	PeakCPUs  float64            // most CPUs at once, if every job had run as it came
 }
 
 // Compute packs jobs, which are in the order of their arrival, onto spotCPUs, in steps of a
@@ -27,24 +27,24 @@
 // by its limit is bought on demand, at onDemandPrice times the spot price. Jobs without a
 // limit take what is left.
 func Compute(jobs []Job, spotCPUs, onDemandPrice float64) Result {
-	result := Result{Jobs: len(jobs), Late: map[string]float64{}, LateOnSpot: map[string]float64{}}
-	jobsOf := map[string]float64{}
+	result := Result{Jobs: len(jobs), LateAsRun: map[string]float64{}, LateOnSpot: map[string]float64{}}
+	jobCounts := map[string]float64{}
 	for i := range jobs {
 		job := &jobs[i]
-		jobsOf[job.Class]++
-		result.Work += job.Work()
-		if job.Limit > 0 && job.Took > job.Limit {
-			result.Late[job.Class]++
+		jobCounts[job.Class]++
+		result.TotalWork += job.CPUSeconds()
+		if job.LimitS > 0 && job.ElapsedS > job.LimitS {
+			result.LateAsRun[job.Class]++
 		}
 	}
 	result.pack(jobs, spotCPUs)
-	for _, late := range []map[string]float64{result.Late, result.LateOnSpot} {
+	for _, late := range []map[string]float64{result.LateAsRun, result.LateOnSpot} {
 		for class := range late {
-			late[class] /= jobsOf[class]
+			late[class] /= jobCounts[class]
 		}
 	}
-	if result.Work > 0 {
-		result.Price = 1 + (onDemandPrice-1)*result.OnDemandWork/result.Work
+	if result.TotalWork > 0 {
+		result.RelativeCost = 1 + (onDemandPrice-1)*result.OnDemandWork/result.TotalWork
 	}
 	return result
 }
@@ -52,15 +52,15 @@
 // pack adds up what spotCPUs can't do in time, the late jobs by class, and the most CPUs at
 // once.
 func (result *Result) pack(jobs []Job, spotCPUs float64) {
-	waiting := &byLimit{}
+	waiting := &deadlineHeap{}
 	next := 0
-	startS, endS := period(jobs)
+	startS, endS := logPeriod(jobs)
 	for nowS := startS; next < len(jobs) || waiting.Len() > 0; nowS++ {
-		for next < len(jobs) && jobs[next].Arrived < nowS+1 {
-			heap.Push(waiting, &remainder{&jobs[next], jobs[next].Work()})
+		for next < len(jobs) && jobs[next].ArrivedS < nowS+1 {
+			heap.Push(waiting, &remainingJob{&jobs[next], jobs[next].CPUSeconds()})
 			next++
 		}
-		result.BusiestCPUs = max(result.BusiestCPUs, waiting.usableCPUs())
+		result.PeakCPUs = max(result.PeakCPUs, waiting.usableCPUs())
 		result.runSecond(waiting, nowS, spotCPUs)
 		if spotCPUs <= 0 && nowS > endS {
 			return // nothing but jobs without a limit is left, and nothing to run them on
@@ -68,23 +68,23 @@
 	}
 }
 
-// period is from the first job's arrival to the last end.
-func period(jobs []Job) (startS, endS float64) {
+// logPeriod is from the first job's arrival to the last end.
+func logPeriod(jobs []Job) (startS, endS float64) {
 	for i := range jobs {
 		if i == 0 {
-			startS = jobs[i].Arrived
+			startS = jobs[i].ArrivedS
 		}
-		endS = max(endS, jobs[i].Arrived+jobs[i].Took)
+		endS = max(endS, jobs[i].ArrivedS+jobs[i].ElapsedS)
 	}
 	return startS, endS
 }
 
 // runSecond runs waiting work for a second, and buys what is beyond its limit on demand.
-func (result *Result) runSecond(waiting *byLimit, nowS, spotCPUs float64) {
+func (result *Result) runSecond(waiting *deadlineHeap, nowS, spotCPUs float64) {
 	for free := spotCPUs; waiting.Len() > 0; {
-		first := waiting.parts[0]
-		if first.job.Limit > 0 && first.job.Arrived+first.job.Limit <= nowS {
-			result.OnDemandWork += first.work
+		first := waiting.remaining[0]
+		if first.job.LimitS > 0 && first.job.ArrivedS+first.job.LimitS <= nowS {
+			result.OnDemandWork += first.cpuSeconds
 			result.LateOnSpot[first.job.Class]++
 			heap.Pop(waiting)
 			continue
@@ -92,55 +92,55 @@
 		if free <= 0 {
 			return
 		}
-		done := min(free, first.work)
+		done := min(free, first.cpuSeconds)
 		free -= done
-		if first.work -= done; first.work <= 0 {
+		if first.cpuSeconds -= done; first.cpuSeconds <= 0 {
 			heap.Pop(waiting)
 		}
 	}
 }
 
-// remainder is a job with the work, in CPU-seconds, that is left of it.
-type remainder struct {
+// remainingJob is a job with the work, in CPU-seconds, that is left of it.
+type remainingJob struct {
 	job  *Job
-	work float64
+	cpuSeconds float64
 }
 
-// byLimit is a heap of jobs, the earliest limit on top.
-type byLimit struct{ parts []*remainder }
+// deadlineHeap is a heap of jobs, the earliest limit on top.
+type deadlineHeap struct{ remaining []*remainingJob }
 
 // usableCPUs is how many CPUs the jobs can use at once.
-func (h *byLimit) usableCPUs() float64 {
+func (h *deadlineHeap) usableCPUs() float64 {
 	cpus := 0.0
-	for _, part := range h.parts {
-		cpus += min(part.work, float64(part.job.Tasks)*part.job.CPUs)
+	for _, part := range h.remaining {
+		cpus += min(part.cpuSeconds, float64(part.job.Tasks)*part.job.CPUsPerTask)
 	}
 	return cpus
 }
 
-// limitS is when the i-th job should end; a job without a limit comes last.
-func (h *byLimit) limitS(i int) float64 {
-	if job := h.parts[i].job; job.Limit > 0 {
-		return job.Arrived + job.Limit
+// deadlineS is when the i-th job should end; a job without a limit comes last.
+func (h *deadlineHeap) deadlineS(i int) float64 {
+	if job := h.remaining[i].job; job.LimitS > 0 {
+		return job.ArrivedS + job.LimitS
 	}
 	return math.Inf(1)
 }
 
 // Len is how many there are.
-func (h *byLimit) Len() int { return len(h.parts) }
+func (h *deadlineHeap) Len() int { return len(h.remaining) }
 
 // Less puts the earlier limit first.
-func (h *byLimit) Less(a, b int) bool { return h.limitS(a) < h.limitS(b) }
+func (h *deadlineHeap) Less(a, b int) bool { return h.deadlineS(a) < h.deadlineS(b) }
 
 // Swap swaps two.
-func (h *byLimit) Swap(a, b int) { h.parts[a], h.parts[b] = h.parts[b], h.parts[a] }
+func (h *deadlineHeap) Swap(a, b int) { h.remaining[a], h.remaining[b] = h.remaining[b], h.remaining[a] }
 
 // Push appends a *remainder.
-func (h *byLimit) Push(x any) { h.parts = append(h.parts, x.(*remainder)) }
+func (h *deadlineHeap) Push(x any) { h.remaining = append(h.remaining, x.(*remainingJob)) }
 
 // Pop removes the last one.
-func (h *byLimit) Pop() any {
-	last := h.parts[len(h.parts)-1]
-	h.parts = h.parts[:len(h.parts)-1]
+func (h *deadlineHeap) Pop() any {
+	last := h.remaining[len(h.remaining)-1]
+	h.remaining = h.remaining[:len(h.remaining)-1]
 	return last
 }
