--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -14,8 +14,8 @@
 	"github.com/wallrack/wallrack/internal/usage"
 )
 
-// refusal is the response to a connection that finds no socket left.
-const refusal = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 2\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+// refusalResponse is the response to a connection that finds no socket left.
+const refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 2\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // refusalTimeout is enough for a fresh connection, which takes so little at once.
 const refusalTimeout = 20 * time.Millisecond
@@ -24,16 +24,16 @@
 type Limit struct {
 	open     atomic.Int64
 	max      int
-	admitted func() // called after each connection within the limit
+	onAdmit func() // called after each connection within the limit
 }
 
 // New shares maxSockets, 0 if there is no limit, of a process with so many peers: idle
 // connections of the returned sender are closed when the accepted ones need their sockets.
 func New(maxSockets, peers int) (*Limit, *dispatch.HTTPCommandSender) {
 	l := &Limit{}
-	budget := sockets.Budget{Limit: maxSockets, Peers: peers, Accepted: l.Open}
+	budget := sockets.Budget{MaxSockets: maxSockets, Peers: peers, Accepted: l.Open}
 	commands := dispatch.NewHTTPCommandSender(budget)
-	l.max, l.admitted = budget.MaxAccepted(), commands.Trim
+	l.max, l.onAdmit = budget.MaxAccepted(), commands.Trim
 	return l, commands
 }
 
@@ -49,7 +49,7 @@
 		l.open.Add(-1)
 		return false
 	}
-	l.admitted()
+	l.onAdmit()
 	return true
 }
 
@@ -77,7 +77,7 @@
 		}
 		usage.CountEvent(usage.RefusedConnections)
 		_ = conn.SetWriteDeadline(time.Now().Add(refusalTimeout))
-		_, _ = conn.Write([]byte(refusal)) // who does not get it tries again all the same
+		_, _ = conn.Write([]byte(refusalResponse)) // who does not get it tries again all the same
 		_ = conn.Close()
 	}
 }
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -17,18 +17,18 @@
 
 // Users, or connections that never send anything, must not take the sockets that the lease's
 // renewal needs: those beyond the limit are refused at once, with a time to come back.
-func TestListenerRefusesConnectionsBeyondLimit(t *testing.T) {
+func TestListenerRejectsConnectionsBeyondLimit(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	limit := &Limit{max: 2, admitted: func() {}}
+	limit := &Limit{max: 2, onAdmit: func() {}}
 	limited := NewListener(lis, limit)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })}
 	done := make(chan error, 1)
 	go func() { done <- srv.Serve(limited) }()
 	defer func() {
-		closeNow(t, srv)
+		closeOrFail(t, srv)
 		if err := <-done; !errors.Is(err, http.ErrServerClosed) {
 			t.Error(err)
 		}
@@ -82,24 +82,24 @@
 
 // Idle connections for commands must never cost a user or worker a connection: all that the
 // limit allows are admitted, and the process keeps within its limit meanwhile.
-func TestCommandConnectionsGiveWayToAccepted(t *testing.T) {
+func TestIdleCommandConnectionsAreClosedForAccepted(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeNow(t, lis)
+	defer closeOrFail(t, lis)
 	const maxSockets, peers = 200, 2
 	limit, commands := New(maxSockets, peers)
 	limited := NewListener(lis, limit)
-	budget := sockets.Budget{Limit: maxSockets, Peers: peers, Accepted: limit.Open}
-	own := budget.Limit - budget.MaxAccepted() - budget.RequestsAtOnce()
+	budget := sockets.Budget{MaxSockets: maxSockets, Peers: peers, Accepted: limit.Open}
+	own := budget.MaxSockets - budget.MaxAccepted() - budget.MaxConcurrentRequests()
 
-	for range 3 * budget.RequestsAtOnce() {
+	for range 3 * budget.MaxConcurrentRequests() {
 		worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusConflict) }))
 		defer worker.Close()
 		_, _, _ = commands.SendCommands(context.Background(), worker.Listener.Addr().String(), wire.PushedCommands{Token: 1}, func() error { return nil }) // only the connection matters
 	}
-	if n := commands.Connections(); n != 3*budget.RequestsAtOnce() {
+	if n := commands.Connections(); n != 3*budget.MaxConcurrentRequests() {
 		t.Fatalf("%d connections for commands before anybody came", n)
 	}
 	for user := range budget.MaxAccepted() {
@@ -107,25 +107,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer closeNow(t, c)
+		defer closeOrFail(t, c)
 		admitted, err := limited.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer closeNow(t, admitted)
+		defer closeOrFail(t, admitted)
 		if limit.Open() != user+1 {
 			t.Fatalf("user %d was not admitted", user)
 		}
-		if total := limit.Open() + commands.Connections() + own; total > budget.Limit {
-			t.Fatalf("%d sockets of %d with %d users", total, budget.Limit, limit.Open())
+		if total := limit.Open() + commands.Connections() + own; total > budget.MaxSockets {
+			t.Fatalf("%d sockets of %d with %d users", total, budget.MaxSockets, limit.Open())
 		}
 	}
-	if n := commands.Connections(); n != budget.RequestsAtOnce() {
-		t.Errorf("%d connections left for %d commands at once", n, budget.RequestsAtOnce())
+	if n := commands.Connections(); n != budget.MaxConcurrentRequests() {
+		t.Errorf("%d connections left for %d commands at once", n, budget.MaxConcurrentRequests())
 	}
 }
 
-func closeNow(t *testing.T, c io.Closer) {
+func closeOrFail(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
 		t.Error(err)
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -76,7 +76,7 @@
 // largeSite is the sockets of a controller of today's larger fleet as one of six, with so
 // many workers that report there.
 func largeSite(workers int) sockets.Budget {
-	return sockets.Budget{Limit: 2157, Peers: 5, Accepted: func() int { return workers }}
+	return sockets.Budget{MaxSockets: 2157, Peers: 5, Accepted: func() int { return workers }}
 }
 
 // commandTime is the processor time of direct commands to one of so many workers, each with an
--- a/internal/dispatch/command_sender.go
+++ b/internal/dispatch/command_sender.go
@@ -52,7 +52,7 @@
 
 // NewHTTPCommandSender returns a sender that keeps within the process's sockets.
 func NewHTTPCommandSender(budget sockets.Budget) *HTTPCommandSender {
-	slots := budget.RequestsAtOnce()
+	slots := budget.MaxConcurrentRequests()
 	return &HTTPCommandSender{
 		connections: newConnectionPool(budget.WorkerConnections),
 		slots:       make(chan struct{}, slots),
--- a/internal/dispatch/command_slots_test.go
+++ b/internal/dispatch/command_slots_test.go
@@ -25,12 +25,12 @@
 // Commands to responsive workers don't wait for polls of unresponsive ones, however many those
 // are.
 func TestCommandsDuringPollsOfUnresponsiveWorkers(t *testing.T) {
-	budget := sockets.Budget{Limit: 200, Accepted: func() int { return 0 }}
+	budget := sockets.Budget{MaxSockets: 200, Accepted: func() int { return 0 }}
 	sender := dispatch.NewHTTPCommandSender(budget)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	done := make(chan struct{})
-	unresponsive := 4 * budget.RequestsAtOnce()
+	unresponsive := 4 * budget.MaxConcurrentRequests()
 	for range unresponsive {
 		endpoint := newUnresponsiveWorker(t)
 		go func() {
@@ -38,7 +38,7 @@
 			done <- struct{}{}
 		}()
 	}
-	eventually(t, "unresponsive workers are polled", func() bool { return sender.Connections() >= budget.RequestsAtOnce()/2 })
+	eventually(t, "unresponsive workers are polled", func() bool { return sender.Connections() >= budget.MaxConcurrentRequests()/2 })
 
 	workers := newCommandedWorkers(t, 1)
 	within, stop := context.WithTimeout(t.Context(), 5*time.Second)
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -53,7 +53,7 @@
 	closing := p.removeStale(time.Now())
 	c := p.byEndpoint[endpoint]
 	if c == nil {
-		if len(p.byEndpoint) >= p.limits().Open {
+		if len(p.byEndpoint) >= p.limits().SoftLimit {
 			closing = p.removeOldest(closing)
 		}
 		c = p.open(endpoint)
@@ -92,7 +92,7 @@
 func (p *connectionPool) trim() {
 	p.mu.Lock()
 	var closing []*connection
-	for keep := p.limits().Keep; len(p.byEndpoint) > keep && p.idle.Len() > 0; {
+	for keep := p.limits().HardLimit; len(p.byEndpoint) > keep && p.idle.Len() > 0; {
 		closing = p.removeOldest(closing)
 	}
 	p.mu.Unlock()
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -101,7 +101,7 @@
 func TestConnectionsKeptWithinFreeSockets(t *testing.T) {
 	const workers = 40 // four times the messages at once
 	var accepted atomic.Int64
-	budget := sockets.Budget{Limit: 200, Accepted: func() int { return int(accepted.Load()) }}
+	budget := sockets.Budget{MaxSockets: 200, Accepted: func() int { return int(accepted.Load()) }}
 	sender, w := dispatch.NewHTTPCommandSender(budget), newCommandedWorkers(t, workers)
 	w.commandAll(t, sender)
 	w.commandAll(t, sender)
@@ -109,7 +109,7 @@
 		t.Errorf("%d connections opened and %d kept for two messages to each of %d workers", sum, sender.Connections(), workers)
 	}
 
-	for budget.WorkerConnections().Keep != workers-10 {
+	for budget.WorkerConnections().HardLimit != workers-10 {
 		accepted.Add(1)
 	}
 	sender.Trim()
@@ -124,7 +124,7 @@
 		t.Errorf("not the 10 longest idle ones were closed: opened anew %v", each)
 	}
 
-	half := int64(budget.Limit) / 32 // of the reserve
+	half := int64(budget.MaxSockets) / 32 // of the reserve
 	accepted.Add(-half)
 	w.commandAll(t, sender)
 	full := sender.Connections()
@@ -143,7 +143,7 @@
 // would be unknown, and only a newer fencing token ends that.
 func TestConnectionKeptDuringCommands(t *testing.T) {
 	var accepted atomic.Int64
-	budget := sockets.Budget{Limit: 96, Accepted: func() int { return int(accepted.Load()) }}
+	budget := sockets.Budget{MaxSockets: 96, Accepted: func() int { return int(accepted.Load()) }}
 	sender, w := dispatch.NewHTTPCommandSender(budget), newCommandedWorkers(t, 20)
 	w.command(t, sender, 0) // its connection was idle before
 	w.held.Store(true)
@@ -156,8 +156,8 @@
 	}
 	accepted.Store(int64(budget.MaxAccepted()))
 	sender.Trim()
-	if n := sender.Connections(); n != budget.RequestsAtOnce() {
-		t.Errorf("%d connections with no socket to spare, %d orders at once", n, budget.RequestsAtOnce())
+	if n := sender.Connections(); n != budget.MaxConcurrentRequests() {
+		t.Errorf("%d connections with no socket to spare, %d orders at once", n, budget.MaxConcurrentRequests())
 	}
 	close(w.release)
 	<-done
@@ -165,5 +165,5 @@
 	if n := w.dialled[0].Load(); n != 1 {
 		t.Errorf("%d connections for orders to a worker whose connection was in use", n)
 	}
-	eventually(t, "no others are open", func() bool { return w.open.Load() == int64(budget.RequestsAtOnce()) })
+	eventually(t, "no others are open", func() bool { return w.open.Load() == int64(budget.MaxConcurrentRequests()) })
 }
--- a/internal/dispatch/outdated_commands_test.go
+++ b/internal/dispatch/outdated_commands_test.go
@@ -56,7 +56,7 @@
 func TestCommandsCheckedOnceConnected(t *testing.T) {
 	for _, valid := range []bool{true, false} {
 		b := newBusyWorker(t)
-		sender, endpoint := dispatch.NewHTTPCommandSender(sockets.Budget{Limit: 100, Accepted: func() int { return 0 }}), b.Listener.Addr().String()
+		sender, endpoint := dispatch.NewHTTPCommandSender(sockets.Budget{MaxSockets: 100, Accepted: func() int { return 0 }}), b.Listener.Addr().String()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		shown := make(chan error, 1)
 		go func() {
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -9,7 +9,7 @@
 // Run calls do after each interval until ctx ends, and returns ctx's error. The first call
 // comes after one interval. A call that takes longer than the interval delays the next one;
 // calls that were missed meanwhile are left out.
-func Run(ctx context.Context, interval time.Duration, do func()) error {
+func Run(ctx context.Context, interval time.Duration, call func()) error {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
@@ -17,7 +17,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-			do()
+			call()
 		}
 	}
 }
--- a/internal/periodic/periodic_test.go
+++ b/internal/periodic/periodic_test.go
@@ -13,7 +13,7 @@
 
 // A duty runs once an interval from the first interval on; what is missed while it takes
 // longer is left out; and nothing runs after the end of its context.
-func TestRunCallsOnceAnInterval(t *testing.T) {
+func TestRunSkipsMissedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		began := time.Now()
--- a/internal/sockets/budget_test.go
+++ b/internal/sockets/budget_test.go
@@ -14,26 +14,26 @@
 	rapid.Check(t, func(t *rapid.T) {
 		accepted := 0
 		b := sockets.Budget{
-			Limit: rapid.IntRange(96, 10_000).Draw(t, "limit"), Peers: rapid.IntRange(0, 11).Draw(t, "peers"),
+			MaxSockets: rapid.IntRange(96, 10_000).Draw(t, "limit"), Peers: rapid.IntRange(0, 11).Draw(t, "peers"),
 			Accepted: func() int { return accepted },
 		}
 		most := b.MaxAccepted()
 		accepted = rapid.IntRange(0, most).Draw(t, "accepted")
 		before := b.WorkerConnections()
-		own := b.Limit - most - b.RequestsAtOnce()
+		own := b.MaxSockets - most - b.MaxConcurrentRequests()
 		if own < 40+2*b.Peers {
 			t.Errorf("%d sockets are left for state service, cloud and peers", own)
 		}
-		if total := accepted + before.Keep + own; total > b.Limit {
-			t.Errorf("%d accepted and %d for commands: %d of %d sockets", accepted, before.Keep, total, b.Limit)
+		if total := accepted + before.HardLimit + own; total > b.MaxSockets {
+			t.Errorf("%d accepted and %d for commands: %d of %d sockets", accepted, before.HardLimit, total, b.MaxSockets)
 		}
-		if before.Open < b.RequestsAtOnce() || before.Keep < before.Open {
-			t.Errorf("%+v with %d messages at once", before, b.RequestsAtOnce())
+		if before.SoftLimit < b.MaxConcurrentRequests() || before.HardLimit < before.SoftLimit {
+			t.Errorf("%+v with %d messages at once", before, b.MaxConcurrentRequests())
 		}
 		// Users that come and go, up to half of the reserve, close nothing.
-		accepted = min(most, accepted+b.Limit/32)
-		if after := b.WorkerConnections(); after.Keep < before.Open {
-			t.Errorf("%+v, and %+v with %d more accepted", before, after, b.Limit/32)
+		accepted = min(most, accepted+b.MaxSockets/32)
+		if after := b.WorkerConnections(); after.HardLimit < before.SoftLimit {
+			t.Errorf("%+v, and %+v with %d more accepted", before, after, b.MaxSockets/32)
 		}
 	})
 }
