--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -21,7 +21,7 @@
 
 // The table's numColumns: name, unit and number, sizes, fixed part, slope, fit error, kind.
 const (
-	numColumns     = 7
+	numColumns  = 7
 	fixedColumn = 3
 	slopeColumn = 4
 	kindColumn  = 6
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -29,8 +29,8 @@
 	Measure    func(tb testing.TB, size int) float64
 }
 
-// FitLine measures the series at its sizes and fits a line.
-func (s *Series) FitLine(tb testing.TB) Line {
+// Line measures the series at its sizes and fits a line.
+func (s *Series) Line(tb testing.TB) Line {
 	if len(s.Sizes) < 4 {
 		tb.Fatalf("%s: %d sizes, four at least", s.Name, len(s.Sizes))
 	}
@@ -56,7 +56,7 @@
 	for _, s := range series {
 		if row, ok := rows[s.Name]; ok && !s.Noisy {
 			t.Run(s.Name, func(t *testing.T) {
-				if err := checkLine(row, s.FitLine(t), s.FixedSlack); err != nil {
+				if err := checkLine(row, s.Line(t), s.FixedSlack); err != nil {
 					t.Error(err)
 				}
 			})
@@ -106,7 +106,7 @@
 		var line *Line
 		b.Run(s.Name, func(b *testing.B) {
 			if line == nil {
-				fitted := s.FitLine(b)
+				fitted := s.Line(b)
 				line = &fitted
 			}
 			b.ReportMetric(0, "ns/op")
@@ -136,8 +136,8 @@
 }
 
 const (
-	measureRounds    = 7
-	minRoundTime = 30 * time.Millisecond
+	measureRounds = 7
+	minRoundTime  = 30 * time.Millisecond
 )
 
 // ProcessorTime returns the processor time of one call in ns, user and system, the
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -15,29 +15,29 @@
 // Operator holds the operators' own settings; every one of the design's open
 // values is here. C is the cost by which a placement is chosen.
 type Operator struct {
-	Shards              int     // shards that jobs hash to
-	SpreadControllers              int     // controllers that shards are spread over
-	LeaseS              float64 // TTL of a controller's lease in the state service
-	WorkerFailureCost               float64 // cost of losing a worker: K_fail of the paper
-	QueueHorizonS            float64 // longest wait at which a match is dispatched
-	RandomCostS             float64 // size of the random term in C
-	PublishIntervalS            float64 // interval at which dispatchers publish to leaders elsewhere
-	WorkerConnectionShare         float64 // part of a controller's connections that workers may take before they are assigned to others too; 0: they never are
-	ReplaceAfterS       float64 // excess wait from which on a queued task gets another placement
-	HeartbeatTimeoutS   float64 // heartbeat timeout from which on a machine is deleted
-	IdleTimeoutS               float64 // idle time from which on a machine is deleted
-	HeadroomPct         float64 // capacity kept beyond the demand, in percent
-	PackingPreferenceS               float64 // seconds by which full workers are preferred to empty ones
-	OnDemandHeadroomPct float64 // the headroom where only on-demand machines could give it, in percent
-	LateStartCostS          float64 // seconds that missing an objective for a start counts in C
-	SpotPreferenceShare float64 // share of C by which a machine at twice the spot price is less preferred
+	Shards                int     // shards that jobs hash to
+	SpreadControllers     int     // controllers that shards are spread over
+	LeaseS                float64 // TTL of a controller's lease in the state service
+	WorkerFailureCost     float64 // cost of losing a worker: K_fail of the paper
+	QueueHorizonS         float64 // longest wait at which a match is dispatched
+	RandomCostS           float64 // size of the random term in C
+	PublishIntervalS      float64 // interval at which dispatchers publish to leaders elsewhere
+	WorkerConnectionShare float64 // part of a controller's connections that workers may take before they are assigned to others too; 0: they never are
+	ReplaceAfterS         float64 // excess wait from which on a queued task gets another placement
+	HeartbeatTimeoutS     float64 // heartbeat timeout from which on a machine is deleted
+	IdleTimeoutS          float64 // idle time from which on a machine is deleted
+	HeadroomPct           float64 // capacity kept beyond the demand, in percent
+	PackingPreferenceS    float64 // seconds by which full workers are preferred to empty ones
+	OnDemandHeadroomPct   float64 // the headroom where only on-demand machines could give it, in percent
+	LateStartCostS        float64 // seconds that missing an objective for a start counts in C
+	SpotPreferenceShare   float64 // share of C by which a machine at twice the spot price is less preferred
 }
 
 // setting is a key's bounds, both included, and the field it sets.
 type setting struct {
 	min, max float64
 	set      func(*Operator, float64)
-	integer    bool // the value must be a whole number
+	integer  bool // the value must be a whole number
 }
 
 var settings = map[string]setting{
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -22,8 +22,8 @@
 
 // Limit counts the accepted connections. It is safe for concurrent use.
 type Limit struct {
-	open     atomic.Int64
-	max      int
+	open    atomic.Int64
+	max     int
 	onAdmit func() // called after each connection within the limit
 }
 
--- a/internal/failovertiming/failovertiming.go
+++ b/internal/failovertiming/failovertiming.go
@@ -18,14 +18,14 @@
 // Phases, in the order in which they usually come.
 const (
 	Up             Phase = iota // responds to /up with 200
-	LeaseAcquired                      // holds its lease
-	ShardClaimed                     // leads a shard
-	JobsRead                        // has read the shard's jobs
+	LeaseAcquired               // holds its lease
+	ShardClaimed                // leads a shard
+	JobsRead                    // has read the shard's jobs
 	FirstHeartbeat              // responded to a worker's heartbeat with 200
-	FirstGrant                     // the first start was granted
-	HalfOfWorkers                        // half of the recorded workers sent a heartbeat
-	MostWorkers                        // 95 of 100 did
-	AllWorkers                         // all did
+	FirstGrant                  // the first start was granted
+	HalfOfWorkers               // half of the recorded workers sent a heartbeat
+	MostWorkers                 // 95 of 100 did
+	AllWorkers                  // all did
 	numPhases
 )
 
@@ -36,7 +36,7 @@
 
 const (
 	pollInterval        = 100 * time.Millisecond // while a recovery is timed
-	startupWindow      = 20 * time.Second       // a failover so soon after the start is timed from the start
+	startupWindow       = 20 * time.Second       // a failover so soon after the start is timed from the start
 	halfMaxUnresponsive = 0.5                    // share of the recorded workers without a heartbeat, at most, for Half
 	mostMaxUnresponsive = 0.05                   // for Most
 )
@@ -50,25 +50,25 @@
 
 // Timeline times the recovery in progress and keeps the last one. It is safe for concurrent use.
 type Timeline struct {
-	state FailoverState
-	maxDuration time.Duration
-	log   *slog.Logger
-	recoveryBegan  chan struct{} // a recovery began
-
-	mu       sync.Mutex
-	startedAt  time.Time // the process
-	beganAt    time.Time // the last recovery
-	inProgress  bool
-	reachedAfter       [numPhases]time.Duration // since began; 0: not yet
-	timedFailovers    int                   // failovers that have been timed
-	recordedWorkers int                   // workers that tasks were recorded on
+	state         FailoverState
+	maxDuration   time.Duration
+	log           *slog.Logger
+	recoveryBegan chan struct{} // a recovery began
+
+	mu              sync.Mutex
+	startedAt       time.Time // the process
+	beganAt         time.Time // the last recovery
+	inProgress      bool
+	reachedAfter    [numPhases]time.Duration // since began; 0: not yet
+	timedFailovers  int                      // failovers that have been timed
+	recordedWorkers int                      // workers that tasks were recorded on
 }
 
 // New returns a timeline of the process that starts now. A recovery that is not complete after
 // limit ends as it is: failed workers send no heartbeat.
-func New(state FailoverState, limit time.Duration, log *slog.Logger) *Timeline {
+func New(state FailoverState, maxDuration time.Duration, log *slog.Logger) *Timeline {
 	now := time.Now()
-	return &Timeline{state: state, maxDuration: limit, log: log, recoveryBegan: make(chan struct{}, 1), startedAt: now, beganAt: now, inProgress: true}
+	return &Timeline{state: state, maxDuration: maxDuration, log: log, recoveryBegan: make(chan struct{}, 1), startedAt: now, beganAt: now, inProgress: true}
 }
 
 // Restart times the process's start from now on: before, it waited for its predecessor. It must
--- a/internal/lowerbound/log.go
+++ b/internal/lowerbound/log.go
@@ -11,13 +11,13 @@
 
 // Job is a job that ended. Times are seconds.
 type Job struct {
-	Class   string
-	ArrivedS float64 // since any fixed time
+	Class       string
+	ArrivedS    float64 // since any fixed time
 	ElapsedS    float64 // from its acceptance to its end
-	MeanTaskS     float64 // of a task, on average
-	LimitS   float64 // after its arrival, by which it should have ended; 0: none
-	CPUsPerTask    float64 // of a task
-	Tasks   int
+	MeanTaskS   float64 // of a task, on average
+	LimitS      float64 // after its arrival, by which it should have ended; 0: none
+	CPUsPerTask float64 // of a task
+	Tasks       int
 }
 
 // CPUSeconds is what the job needs, in CPU-seconds.
@@ -44,7 +44,7 @@
 
 var (
 	endedLinePattern = regexp.MustCompile(`msg="` + messageEnded + `"`)
-	keyValuePattern     = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
+	keyValuePattern  = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
 )
 
 // ReadJobs returns the jobs that were done, by their arrival, of a log written with
@@ -92,8 +92,8 @@
 	tasks := 0.0
 	var invalid error
 	for _, number := range [...]struct {
-		key string
-		target  *float64
+		key    string
+		target *float64
 	}{
 		{keyArrived, &job.ArrivedS},
 		{keyTook, &job.ElapsedS},
--- a/internal/lowerbound/lowerbound.go
+++ b/internal/lowerbound/lowerbound.go
@@ -14,12 +14,12 @@
 // and on-demand capacity.
 type Result struct {
 	Jobs         int
-	TotalWork         float64            // CPU-seconds
+	TotalWork    float64            // CPU-seconds
 	OnDemandWork float64            // of it, what spot capacity can't do in time, whatever the order
-	RelativeCost        float64            // cost at best, relative to that of all the work on spot capacity
-	LateAsRun         map[string]float64 // share of a class's jobs beyond their limit, as it was
+	RelativeCost float64            // cost at best, relative to that of all the work on spot capacity
+	LateAsRun    map[string]float64 // share of a class's jobs beyond their limit, as it was
 	LateOnSpot   map[string]float64 // the same on spot capacity alone, earliest limit first
-	PeakCPUs  float64            // most CPUs at once, if every job had run as it came
+	PeakCPUs     float64            // most CPUs at once, if every job had run as it came
 }
 
 // Compute packs jobs, which are in the order of their arrival, onto spotCPUs, in steps of a
@@ -102,7 +102,7 @@
 
 // remainingJob is a job with the work, in CPU-seconds, that is left of it.
 type remainingJob struct {
-	job  *Job
+	job        *Job
 	cpuSeconds float64
 }
 
@@ -133,7 +133,9 @@
 func (h *deadlineHeap) Less(a, b int) bool { return h.deadlineS(a) < h.deadlineS(b) }
 
 // Swap swaps two.
-func (h *deadlineHeap) Swap(a, b int) { h.remaining[a], h.remaining[b] = h.remaining[b], h.remaining[a] }
+func (h *deadlineHeap) Swap(a, b int) {
+	h.remaining[a], h.remaining[b] = h.remaining[b], h.remaining[a]
+}
 
 // Push appends a *remainder.
 func (h *deadlineHeap) Push(x any) { h.remaining = append(h.remaining, x.(*remainingJob)) }
--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -6,19 +6,19 @@
 import "math"
 
 const (
-	baseSockets    = 40 // to the state service and the cloud, listeners, files
-	socketsPerPeer = 2  // one to the peer and one from it
-	minConcurrentRequests    = 8  // messages of direct commands that may be under way however few sockets there are
-	requestDivisor   = 20 // one socket in so many is always left to direct commands
-	maxConnectionDivisor = 2  // and one in so many at most: a worker that is sent commands has a connection of its own
-	reserveDivisor   = 16 // one in so many is kept free for users and workers that are about to connect
+	baseSockets           = 40 // to the state service and the cloud, listeners, files
+	socketsPerPeer        = 2  // one to the peer and one from it
+	minConcurrentRequests = 8  // messages of direct commands that may be under way however few sockets there are
+	requestDivisor        = 20 // one socket in so many is always left to direct commands
+	maxConnectionDivisor  = 2  // and one in so many at most: a worker that is sent commands has a connection of its own
+	reserveDivisor        = 16 // one in so many is kept free for users and workers that are about to connect
 )
 
 // Budget is the sockets of a process. It is safe for concurrent use if Accepted is.
 type Budget struct {
-	MaxSockets    int        // of the whole process; 0 if there is none
-	Peers    int        // other controllers
-	Accepted func() int // connections from users and workers that are open now
+	MaxSockets int        // of the whole process; 0 if there is none
+	Peers      int        // other controllers
+	Accepted   func() int // connections from users and workers that are open now
 }
 
 // ConnectionLimits bounds the connections to workers, used and idle ones together. Between the
@@ -31,7 +31,9 @@
 
 // MaxConcurrentRequests is how many requests to workers may be under way: so many sockets are left to them
 // whatever else is open.
-func (b Budget) MaxConcurrentRequests() int { return max(minConcurrentRequests, b.MaxSockets/requestDivisor) }
+func (b Budget) MaxConcurrentRequests() int {
+	return max(minConcurrentRequests, b.MaxSockets/requestDivisor)
+}
 
 // ownSockets is how many sockets this process keeps for its ownSockets connections, direct commands aside.
 // Without them it could not even keep its lease.
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -86,8 +86,8 @@
 	doneJobs         map[string]bool      // jobs whose user heard that they are done
 	confirmedCancels map[string]time.Time // jobs, by when their user first heard that they are cancelled
 
-	accounts       bool                                 // whether accounting rows are written
-	onInstructions func(d dispatch.Instructions)        // sees the instructions to dispatchers before they are on their way; nil: nobody
+	accounts       bool                                         // whether accounting rows are written
+	onInstructions func(d dispatch.Instructions)                // sees the instructions to dispatchers before they are on their way; nil: nobody
 	onCommands     func(endpoint string, o wire.PushedCommands) // sees a direct command before it is on its way; nil: nobody
 
 	extraDuties func(n *node) []func(context.Context) error            // what else a controller runs; nil: nothing
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -28,13 +28,13 @@
 // The numDuties. What they do not cover is mostly HTTP, the collector and the scheduler of
 // goroutines.
 const (
-	Reports      Duty = iota // a worker's report, from its body to the response's
-	SchedulingPasses                   // scheduling passes and sweeps
-	Commits                  // building and committing a leader's transactions
+	Reports          Duty = iota // a worker's report, from its body to the response's
+	SchedulingPasses             // scheduling passes and sweeps
+	Commits                      // building and committing a leader's transactions
 	WatchEvents                  // changes seen in the state service
-	Instructions             // a scheduler's instructions at the dispatcher
-	Autoscaling              // demand and plan of the autoscaler
-	UserRequests                    // users' requests served here, waiting included
+	Instructions                 // a scheduler's instructions at the dispatcher
+	Autoscaling                  // demand and plan of the autoscaler
+	UserRequests                 // users' requests served here, waiting included
 	PeerViews                    // views from and to other controllers
 	numDuties
 )
@@ -52,9 +52,9 @@
 	RefusedRequests                 // users' requests beyond those worked on at once
 	RefusedJobs                     // submissions for want of memory
 	MalformedViews                  // messages of peers about workers that could not be applied
-	AccountingRows                     // rows of accounting written
-	AccountingWrites                   // of its pages, and
-	AccountingBytes                    // as many bytes
+	AccountingRows                  // rows of accounting written
+	AccountingWrites                // of its pages, and
+	AccountingBytes                 // as many bytes
 	numEvents
 )
 
@@ -72,7 +72,7 @@
 func EventCount(e Event) int64 { return eventCounters[e].Load() }
 
 type dutyCounter struct {
-	calls    atomic.Int64
+	calls   atomic.Int64
 	totalNs atomic.Int64
 }
 
@@ -94,19 +94,19 @@
 
 // Reading is what the process uses. Unless said otherwise it counts from the meter's start.
 type Reading struct {
-	CPUSeconds  float64          `json:"cpu_s"` // of the process
-	UptimeS     float64          `json:"uptime_s"`
-	HeapMB      float64          `json:"heap_mb"`
-	RuntimeMB   float64          `json:"runtime_mb"` // all that the runtime holds
-	PeakMB      float64          `json:"peak_resident_mb"`
-	Collections uint64           `json:"collections"`
-	CollectorS  float64          `json:"collector_s"` // as of the last collection
-	Goroutines  uint64           `json:"goroutines"`
-	LateMsP99   int64            `json:"late_ms_p99"` // of timers, since the last log line
-	LateMsMax   int64            `json:"late_ms_max"`
-	Queues      map[string]int   `json:"queues"` // depths and open connections
+	CPUSeconds  float64              `json:"cpu_s"` // of the process
+	UptimeS     float64              `json:"uptime_s"`
+	HeapMB      float64              `json:"heap_mb"`
+	RuntimeMB   float64              `json:"runtime_mb"` // all that the runtime holds
+	PeakMB      float64              `json:"peak_resident_mb"`
+	Collections uint64               `json:"collections"`
+	CollectorS  float64              `json:"collector_s"` // as of the last collection
+	Goroutines  uint64               `json:"goroutines"`
+	LateMsP99   int64                `json:"late_ms_p99"` // of timers, since the last log line
+	LateMsMax   int64                `json:"late_ms_max"`
+	Queues      map[string]int       `json:"queues"` // depths and open connections
 	Duties      map[string]DutyTotal `json:"duties"`
-	Events      map[string]int64 `json:"events"`
+	Events      map[string]int64     `json:"events"`
 }
 
 // Samples of the runtime.
@@ -127,23 +127,23 @@
 
 // Meter takes readings. It is safe for concurrent use.
 type Meter struct {
-	started  time.Time
-	queues   func() map[string]int
-	log      *slog.Logger
-	memoryLimit    int64 // bytes
-	pressure atomic.Bool
-	lastDelay    atomic.Int64 // ns by which the last timer fired late
-
-	mu      sync.Mutex
-	samples [numSamples]metrics.Sample
-	memorySamples    [2]metrics.Sample       // what the runtime holds, and has given back
-	timerDelays  *hdrhistogram.Histogram // ms, since the last log line
+	started     time.Time
+	queues      func() map[string]int
+	log         *slog.Logger
+	memoryLimit int64 // bytes
+	pressure    atomic.Bool
+	lastDelay   atomic.Int64 // ns by which the last timer fired late
+
+	mu            sync.Mutex
+	samples       [numSamples]metrics.Sample
+	memorySamples [2]metrics.Sample       // what the runtime holds, and has given back
+	timerDelays   *hdrhistogram.Histogram // ms, since the last log line
 }
 
 // New returns a meter. The process is short of memory while it holds more than limit bytes;
 // queues returns the depths to be shown, by name.
-func New(limit int64, queues func() map[string]int, log *slog.Logger) *Meter {
-	m := &Meter{started: time.Now(), memoryLimit: limit, queues: queues, log: log, timerDelays: hdrhistogram.New(1, 60_000, 2)}
+func New(memoryLimit int64, queues func() map[string]int, log *slog.Logger) *Meter {
+	m := &Meter{started: time.Now(), memoryLimit: memoryLimit, queues: queues, log: log, timerDelays: hdrhistogram.New(1, 60_000, 2)}
 	for i, name := range sampleNames {
 		m.samples[i].Name = name
 	}
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -48,11 +48,11 @@
 
 // decodedJob is a submission's fields as they came; nil: missing, null or of a wrong type.
 type decodedJob struct {
-	UID, Class, Team, Kind, Priority, Image, Zone               *string
-	Tasks                                                       *int
-	CPUs, GPUs, MemoryGB, ImageGB, EstimateS, CheckpointIntervalS, CheckpointSaveS, DueS *float64
-	OneZone, Spread, Spot                                       *bool
-	Types                                                       *[]string
+	UID, Class, Team, Kind, Priority, Image, Zone                                     *string
+	Tasks                                                                             *int
+	CPUs, GPUs, MemoryGB, ImageGB, Estimate, CheckpointInterval, CheckpointSave, DueS *float64
+	OneZone, Spread, Spot                                                             *bool
+	Types                                                                             *[]string
 }
 
 // decode takes the fields of a JSON object by their exact names, and returns the first that
@@ -81,9 +81,9 @@
 		{"together", &m.OneZone},
 		{"apart", &m.Spread},
 		{"loaners", &m.Spot},
-		{"reckonS", &m.EstimateS},
-		{"markS", &m.CheckpointIntervalS},
-		{"stashS", &m.CheckpointSaveS},
+		{"reckonS", &m.Estimate},
+		{"markS", &m.CheckpointInterval},
+		{"stashS", &m.CheckpointSave},
 		{"dueS", &m.DueS},
 	} {
 		value, ok := given[field.name]
@@ -98,9 +98,9 @@
 }
 
 const (
-	maxAmount = 1e9 // of resources and seconds, so that sums stay exact
-	maxNameBytes   = 120 // bytes of every name in a job, so that its record fits a value of the state service
-	maxMachineTypes  = 16  // machine types that a job names
+	maxAmount       = 1e9 // of resources and seconds, so that sums stay exact
+	maxNameBytes    = 120 // bytes of every name in a job, so that its record fits a value of the state service
+	maxMachineTypes = 16  // machine types that a job names
 )
 
 // ParseJob reads a submission. Its error is a short reason that begins with the field. The job
@@ -122,7 +122,7 @@
 		CPUs: c.positive("cpus", m.CPUs), GPUs: c.amount("cards", m.GPUs), MemoryGB: c.amount("memoryGb", m.MemoryGB),
 		Image: c.name("kit", m.Image), ImageGB: c.amount("pullGb", m.ImageGB),
 		OneZone: c.flag("together", m.OneZone), Spread: c.flag("apart", m.Spread), Spot: c.flag("loaners", m.Spot),
-		EstimateS: c.amount("reckonS", m.EstimateS), CheckpointIntervalS: c.amount("markS", m.CheckpointIntervalS), CheckpointSaveS: c.amount("stashS", m.CheckpointSaveS),
+		EstimateS: c.amount("reckonS", m.Estimate), CheckpointIntervalS: c.amount("markS", m.CheckpointInterval), CheckpointSaveS: c.amount("stashS", m.CheckpointSave),
 		Zone: m.Zone, DueS: m.DueS,
 	}
 	if m.UID != nil && !ValidJobID(job.UID) {
