--- a/internal/wire/capacity_test.go
+++ b/internal/wire/capacity_test.go
@@ -10,7 +10,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// jsonSize is a message's size as JSON.
+// jsonSize returns the size of the message in bytes when encoded as JSON.
 func jsonSize(tb testing.TB, message any) float64 {
 	data, err := json.Marshal(message)
 	if err != nil {
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,6 +1,6 @@
 package wire
 
-// MachineType is a row of the cloud's price list.
+// MachineType is an entry of the cloud's price list.
 type MachineType struct {
 	Name        string   `json:"sku"`
 	CPUs        float64  `json:"cpus"`
@@ -8,9 +8,9 @@
 	MemoryGB    float64  `json:"memoryGb"`
 	CacheGB     float64  `json:"cacheGb"`
 	FetchGBPerS float64  `json:"fetchGbPerS"`
-	Price       float64  `json:"price"` // of an on-demand machine
+	Price       float64  `json:"price"` // price of an on-demand machine
 	SpotPrice   float64  `json:"marketPrice"`
-	BootS       float64  `json:"readyS"` // from the request until it is up
+	BootS       float64  `json:"readyS"` // seconds from the request until the machine is running
 	Zones       []string `json:"yards"`
 }
 
@@ -19,21 +19,22 @@
 	Types []MachineType `json:"builds"`
 }
 
-// ProvisionRequest provisions machines. The cloud answers a repeat under the same name alike.
+// ProvisionRequest provisions machines. It is idempotent: the cloud returns the same response to a
+// repeated request with the same name.
 type ProvisionRequest struct {
-	Name   string `json:"hire"` // unique
+	Name   string `json:"hire"` // unique name of the request
 	Type   string `json:"build"`
 	Zone   string `json:"yard"`
 	Spot   bool   `json:"loaners"`
-	Number int    `json:"number"` // at most; the response may have fewer
+	Number int    `json:"number"` // number of machines requested; fewer may be provisioned
 }
 
-// MachineNames is the response to a HireRequest, and the request to delete machines.
+// MachineNames is the response to a ProvisionRequest, and the request to delete machines.
 type MachineNames struct {
 	Machines []string `json:"benches"`
 }
 
-// ListedMachine is a row of the cloud's machine list.
+// ListedMachine is an entry of the cloud's machine list.
 type ListedMachine struct {
 	Name     string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
--- a/internal/wire/index.go
+++ b/internal/wire/index.go
@@ -1,11 +1,11 @@
 package wire
 
-// Index maps names to dense indices, in order of first sight.
+// Index assigns consecutive indices from 0 to names, in the order in which they are first looked up.
 type Index struct {
 	indices map[string]int
 }
 
-// Of returns the index of a name.
+// Of returns the index of a name, and assigns the next one if the name is new.
 func (x *Index) Of(name string) int {
 	i, ok := x.indices[name]
 	if !ok {
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -10,10 +10,10 @@
 	"github.com/goccy/go-json"
 )
 
-// priorityRanks maps the names to the ranks.
+// priorityRanks maps priority names to ranks.
 var priorityRanks = map[string]int{"low": 0, "normal": 1, "urgent": 2, "production": 3}
 
-// Job is a submission. It is stored as it is sent. Amounts are those of one task.
+// Job is a submission, stored in the form in which it was sent. CPUs, GPUs and MemoryGB are per task.
 type Job struct {
 	UID                 string   `json:"uid"`
 	Class               string   `json:"docket"`
@@ -29,24 +29,24 @@
 	Types               []string `json:"builds,omitempty"`   // nil: any machine type
 	Zone                *string  `json:"yard,omitempty"`     // nil: any zone
 	OneZone             bool     `json:"together,omitempty"` // all tasks in the same zone
-	Spread              bool     `json:"apart,omitempty"`    // at most half of the tasks, rounded up, in one zone
+	Spread              bool     `json:"apart,omitempty"`    // place at most half of the tasks, rounded up, in one zone
 	Spot                bool     `json:"loaners,omitempty"`  // spot machines are allowed
-	EstimateS           float64  `json:"reckonS"`            // run time, in seconds
-	CheckpointIntervalS float64  `json:"markS,omitempty"`    // between checkpoints; 0: none
-	CheckpointSaveS     float64  `json:"stashS,omitempty"`   // to save a checkpoint when it is stopped
-	DueS                *float64 `json:"dueS,omitempty"`     // deadline, after the submission
+	EstimateS           float64  `json:"reckonS"`            // estimated run time of a task, in seconds
+	CheckpointIntervalS float64  `json:"markS,omitempty"`    // seconds between checkpoints; 0: no checkpoints
+	CheckpointSaveS     float64  `json:"stashS,omitempty"`   // seconds needed to save a checkpoint when a task is stopped
+	DueS                *float64 `json:"dueS,omitempty"`     // deadline in seconds after the submission; nil: none
 }
 
-// Rank returns the job's priority; a larger rank is served first.
+// Rank returns the job's priority as a number; jobs with a higher rank are scheduled first.
 func (j *Job) Rank() int { return priorityRanks[j.Priority] }
 
 // Service reports whether the job's tasks run until it is cancelled.
 func (j *Job) Service() bool { return j.Kind == KindService }
 
-// Gang reports whether the job's tasks run together or not at all.
+// Gang reports whether the job's tasks must all run at the same time.
 func (j *Job) Gang() bool { return j.Kind == KindGang }
 
-// decodedJob is a submission's fields as they came; nil: missing, null or of a wrong type.
+// decodedJob holds the fields of a submission before validation; nil: missing, null or of a wrong type.
 type decodedJob struct {
 	UID, Class, Team, Kind, Priority, Image, Zone                                     *string
 	Tasks                                                                             *int
@@ -55,10 +55,10 @@
 	Types                                                                             *[]string
 }
 
-// decode takes the fields of a JSON object by their exact names, and returns the first that
-// is of a wrong type. The others are decode all the same: a repeated submission is answered
-// by its id, whatever else its body holds. A library that reads the whole object at once
-// also takes "CPUS" for "cpus", so that a job that lacks the field would be accepted.
+// decode reads the fields of a JSON object and returns an error for the first field of a wrong
+// type. It decodes the remaining fields regardless, because a repeated submission is answered by
+// its id, whatever else its body contains. Field names must match exactly: JSON libraries that
+// decode into a struct ignore case, so "CPUS" would be accepted for a missing "cpus".
 func (m *decodedJob) decode(given map[string]json.RawMessage) error {
 	var bad error
 	for _, field := range []struct {
@@ -98,13 +98,14 @@
 }
 
 const (
-	maxAmount       = 1e9 // of resources and seconds, so that sums stay exact
-	maxNameBytes    = 120 // bytes of every name in a job, so that its record fits a value of the state service
-	maxMachineTypes = 16  // machine types that a job names
+	maxAmount       = 1e9 // upper bound for resources and seconds, so that sums stay exact
+	maxNameBytes    = 120 // bytes; limits every name in a job so that its record fits into a value of the state service
+	maxMachineTypes = 16  // machine types that a job may list
 )
 
-// ParseJob reads a submission. Its error is a short reason that begins with the field. The job
-// comes with the error wherever the body is an object: its id may be known.
+// ParseJob parses and validates a submission. The error starts with the name of the invalid field.
+// If the body is a JSON object, the job is returned along with the error, because the caller may
+// know its id from an earlier submission.
 func ParseJob(body []byte) (*Job, error) {
 	trimmed := strings.TrimLeft(string(body), " \t\r\n")
 	if !strings.HasPrefix(trimmed, "{") {
@@ -147,7 +148,7 @@
 	return job, c.err
 }
 
-// fieldCheck checks the fields of a submission, and keeps what is wrong with the first.
+// fieldCheck validates the fields of a submission and holds the first error.
 type fieldCheck struct{ err error }
 
 func (c *fieldCheck) fail(field, reason string) {
@@ -215,10 +216,10 @@
 	return types
 }
 
-// maxIDSuffixBytes bounds a job id without its prefix.
+// maxIDSuffixBytes limits the length of a job id without its prefix, in bytes.
 const maxIDSuffixBytes = 40
 
-// ValidJobID reports whether id has the form of a job id.
+// ValidJobID reports whether id has the form of a job id: "j-" and letters, digits, '-' or '_'.
 func ValidJobID(id string) bool {
 	suffix, ok := strings.CutPrefix(id, "j-")
 	if !ok || suffix == "" || len(suffix) > maxIDSuffixBytes {
@@ -234,10 +235,10 @@
 	return true
 }
 
-// TaskName is the name of task n of a job.
+// TaskName returns the name of task n of a job.
 func TaskName(job string, n int) string { return job + "/" + strconv.Itoa(n) }
 
-// ParseTask splits a task's name into the job's id and the task's number.
+// ParseTask splits a task's name into the job's id and the task's number, and validates both.
 func ParseTask(name string) (job string, n int, err error) {
 	job, number, ok := strings.Cut(name, "/")
 	n, err = strconv.Atoi(number)
--- a/internal/wire/recorded_test.go
+++ b/internal/wire/recorded_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Users' messages keep their form.
+// The encoding of users' messages does not change.
 func TestRecordedUserMessages(t *testing.T) {
 	recorded.Check(t, "job_full", fullJob())
 	recorded.Check(t, "job_empty", wire.Job{})
@@ -36,15 +36,15 @@
 	recorded.Check(t, "problem_empty", wire.Problem{})
 }
 
-// A submission is read field by field, not as a whole: each field keeps its name there too.
+// ParseJob lists the field names a second time, apart from the struct tags: they must be the same.
 func TestRecordedSubmission(t *testing.T) {
 	body := recorded.Read(t, "job_full.json")
 	if job, err := wire.ParseJob(body); err != nil || !reflect.DeepEqual(*job, fullJob()) {
-		t.Errorf("the recorded submission reads as %+v, %v", job, err)
+		t.Errorf("the recorded submission was parsed as %+v, %v", job, err)
 	}
 }
 
-// Workers' messages keep their form.
+// The encoding of workers' messages does not change.
 func TestRecordedWorkerMessages(t *testing.T) {
 	notice, grace := 30.5, 12.5
 	report := wire.Report{
@@ -72,15 +72,15 @@
 
 	body := recorded.Read(t, "report_full.json")
 	if r, err := wire.ParseReport(body); err != nil || !reflect.DeepEqual(*r, report) {
-		t.Errorf("the recorded report reads as %+v, %v", r, err)
+		t.Errorf("the recorded report was parsed as %+v, %v", r, err)
 	}
 	body = recorded.Read(t, "orders_full.json")
 	if o, err := wire.ParsePushedCommands(body); err != nil || !reflect.DeepEqual(*o, orders) {
-		t.Errorf("the recorded orders read as %+v, %v", o, err)
+		t.Errorf("the recorded pushed commands were parsed as %+v, %v", o, err)
 	}
 }
 
-// The cloud's messages keep their form.
+// The encoding of the cloud's messages does not change.
 func TestRecordedCloudMessages(t *testing.T) {
 	machineType := wire.MachineType{Name: "g8", CPUs: 8, GPUs: 1, MemoryGB: 32.5, CacheGB: 100, FetchGBPerS: 0.25, Price: 1.5, SpotPrice: 0.45, BootS: 90, Zones: []string{"a", "b"}}
 	recorded.Check(t, "machine_types_full", wire.MachineTypes{Types: []wire.MachineType{machineType}})
@@ -98,7 +98,7 @@
 	recorded.Check(t, "machine_list_empty", wire.MachineList{})
 }
 
-// The state service's messages keep their form.
+// The encoding of the state service's messages does not change.
 func TestRecordedStateMessages(t *testing.T) {
 	value, none := json.RawMessage(`{"stage":"done"}`), json.RawMessage("null")
 	item := wire.Item{Key: "/store/c/term", Value: value, Version: 12, Lease: 5}
@@ -127,7 +127,7 @@
 	recorded.Check(t, "events_empty", wire.Events{})
 }
 
-// The words that messages carry are part of their form.
+// The values of enumerations in messages, task names and priority ranks do not change.
 func TestRecordedConstants(t *testing.T) {
 	for _, constant := range []struct{ is, was string }{
 		{wire.KindArray, "sweep"},
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -2,7 +2,7 @@
 
 import "github.com/goccy/go-json"
 
-// Item is a key of the state service.
+// Item is a key-value pair of the state service.
 type Item struct {
 	Key     string          `json:"path"`
 	Value   json.RawMessage `json:"data"`
@@ -10,20 +10,20 @@
 	Lease   uint64          `json:"permit"`
 }
 
-// Items is a page of keys.
+// Items is a page of key-value pairs.
 type Items struct {
 	Items    []Item `json:"rows"`
 	More     bool   `json:"truncated"`
 	Revision uint64 `json:"ledger"`
 }
 
-// Guard is a condition of a transaction: the key has this version; 0: it is absent.
+// Guard is a condition of a transaction: the key has this version, or is absent if the version is 0.
 type Guard struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"stamp"`
 }
 
-// Op is a change of a transaction: it writes the key Put, or deletes the key Delete.
+// Op is an operation of a transaction: it writes the key Put or deletes the key Delete.
 type Op struct {
 	Put    string `json:"set,omitempty"`
 	Value  any    `json:"data,omitempty"`
@@ -31,7 +31,7 @@
 	Delete string `json:"drop,omitempty"`
 }
 
-// Txn is a transaction: all of Then if all of If holds, else nothing.
+// Txn is a transaction: if all guards in If hold, all operations in Then are applied, otherwise none.
 type Txn struct {
 	If   []Guard `json:"guards"`
 	Then []Op    `json:"apply"`
@@ -40,7 +40,7 @@
 // TxnResponse is the response to a transaction.
 type TxnResponse struct {
 	Revision uint64   `json:"ledger"`
-	Failed   []string `json:"failed"` // keys of the guards that do not hold
+	Failed   []string `json:"failed"` // keys of the guards that did not hold
 }
 
 // LeaseRequest requests a lease.
@@ -53,7 +53,7 @@
 	Lease uint64 `json:"permit"`
 }
 
-// Event is a change seen by a watch: of the key Put, or the removal of the key Delete.
+// Event is a change reported by a watch: the key Put was written, or the key Delete was deleted.
 type Event struct {
 	Put     string          `json:"set"`
 	Delete  string          `json:"drop"`
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -1,6 +1,6 @@
 package wire
 
-// JobState is the response to users about a job.
+// JobState is the response to a user's request for a job's state. Done and Running count tasks.
 type JobState struct {
 	UID     string `json:"uid"`
 	Stage   string `json:"stage"`
@@ -8,7 +8,7 @@
 	Running int    `json:"running"`
 }
 
-// MachineInfo is a worker as operators see it.
+// MachineInfo describes a worker to operators.
 type MachineInfo struct {
 	Name            string  `json:"name"`
 	Type            string  `json:"type"`
@@ -16,11 +16,11 @@
 	Spot            bool    `json:"spot"`
 	CPUs            float64 `json:"cpus"`
 	UsedCPUs        float64 `json:"usedCpus"`
-	Tasks           int     `json:"tasks"`  // that run or may run there
-	SinceHeartbeatS float64 `json:"heardS"` // since its last report
+	Tasks           int     `json:"tasks"`  // tasks that run, or may run, on the worker
+	SinceHeartbeatS float64 `json:"heardS"` // seconds since the last heartbeat
 }
 
-// Problem is the body of a refusal.
+// Problem is the body of an error response.
 type Problem struct {
 	Error string `json:"error"`
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,23 +1,23 @@
-// Package wire holds the site's JSON messages: those of users, workers, the cloud and the state
-// service. It is the only place where the names that the site uses on the wire are spelled
-// out. All messages are plain data; the package sends and stores nothing.
+// Package wire defines the JSON messages exchanged with users, workers, the cloud and the state
+// service. The names used on the wire differ from those used in the program, and appear in this
+// package only. The package does no I/O.
 package wire
 
-// MaxBodyBytes is the largest request body, in bytes, that any interface accepts.
+// MaxBodyBytes is the size of the largest request body that any interface accepts.
 const MaxBodyBytes = 64 << 10
 
 // MaxTasks is the largest number of tasks a job may have.
 const MaxTasks = 100_000
 
-// Kinds of job. The tasks of an array run independently, those of a service until the job is
-// cancelled.
+// Kinds of jobs. The tasks of an array run independently. The tasks of a service run until the job
+// is cancelled.
 const (
 	KindArray   = "sweep"
 	KindService = "daemon"
-	KindGang    = "gang" // every task runs at the same time, or none
+	KindGang    = "gang" // all tasks run at the same time, or none does
 )
 
-// Job stages as users see them.
+// Job stages reported to users.
 const (
 	StageQueued    = "queued"
 	StageRunning   = "running"
@@ -25,7 +25,7 @@
 	StageCancelled = "cancelled"
 )
 
-// Task states and exit causes as workers report them.
+// Task states and exit causes reported by workers.
 const (
 	TaskFetching = "fetching"
 	TaskRunning  = "running"
@@ -40,7 +40,7 @@
 	CauseUnknown = "no_such"
 )
 
-// Command verbs.
+// Verbs of commands to workers.
 const (
 	VerbStart  = "launch"
 	VerbStop   = "halt"
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -29,12 +29,12 @@
 		t.Fatal(err)
 	}
 	if job.UID != "j-000412" || job.Tasks != 16 || job.Rank() != 2 || job.Zone != nil || *job.DueS != 900 || !job.OneZone {
-		t.Errorf("read %+v", job)
+		t.Errorf("parsed as %+v", job)
 	}
 }
 
-// Any one field that is missing or of a wrong kind is refused, unless it may
-// be null; what is accepted survives being stored.
+// A job with one missing or invalid field is rejected, unless the field is optional. An accepted
+// job can be stored as JSON and read back.
 func TestParseJobRefusesBadFields(t *testing.T) {
 	nullable := map[string]bool{"builds": true, "yard": true, "dueS": true}
 	rapid.Check(t, func(t *rapid.T) {
@@ -76,7 +76,7 @@
 		}
 		var back wire.Job
 		if err := json.Unmarshal(stored, &back); err != nil || back.UID != j.UID || back.Tasks != j.Tasks {
-			t.Fatalf("%+v became %+v: %v", j, back, err)
+			t.Fatalf("%+v was read back as %+v: %v", j, back, err)
 		}
 	})
 }
@@ -115,14 +115,14 @@
 		n := rapid.IntRange(0, wire.MaxTasks-1).Draw(t, "n")
 		gotJob, gotN, err := wire.ParseTask(wire.TaskName(job, n))
 		if err != nil || gotJob != job || gotN != n {
-			t.Fatalf("%s/%d became %s/%d: %v", job, n, gotJob, gotN, err)
+			t.Fatalf("%s/%d was parsed as %s/%d: %v", job, n, gotJob, gotN, err)
 		}
 	})
 }
 
-// TestParseReportMatchesEncodingJSON guards the choice of a faster
-// JSON library: whatever happens to a report on its way, it is refused, or
-// read, as encoding/json would, and never ends the process.
+// TestParseReportMatchesEncodingJSON checks the JSON library against encoding/json with corrupted
+// reports: ParseReport must not panic, must reject what encoding/json rejects, and must decode the
+// same values from reports that it accepts.
 func TestParseReportMatchesEncodingJSON(t *testing.T) {
 	insertions := []string{"{", "}", "[", "]", ",", ":", `"`, `\`, "null", "true", "1.5", "-1", "99999999999999999999999", "\x00", "\xff", `\ud800`, "bench", "pieces", "[[[[[[[["}
 	rapid.Check(t, func(t *rapid.T) {
@@ -148,7 +148,7 @@
 			return
 		}
 		if err == nil && !reflect.DeepEqual(*got, want) {
-			t.Fatalf("%q read as %+v, not %+v", body, *got, want)
+			t.Fatalf("%q was parsed as %+v, want %+v", body, *got, want)
 		}
 	})
 }
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -7,31 +7,31 @@
 	"github.com/goccy/go-json"
 )
 
-// Task is a task in a worker's report.
+// Task is the state of one attempt of a task in a worker's report.
 type Task struct {
 	Task    string `json:"piece"`
 	Attempt uint64 `json:"try"`
 	State   string `json:"stage"`
 	Cause   string `json:"cause,omitempty"`
 	Saved   bool   `json:"stored,omitempty"`
-	Exit    *int   `json:"exitCode,omitempty"` // of a process that ended by itself; beyond the site's protocol
+	Exit    *int   `json:"exitCode,omitempty"` // exit code of a process that ended by itself; an extension of the protocol
 }
 
-// Report is a worker's heartbeat: all its tasks.
+// Report is a worker's heartbeat. It lists all tasks of the worker.
 type Report struct {
 	Machine  string   `json:"bench"`
 	Endpoint string   `json:"endpoint"`
 	Type     string   `json:"build"`
 	Zone     string   `json:"yard"`
 	Spot     bool     `json:"loaners"`
-	Session  uint64   `json:"stint"`    // of the worker process
-	Seq      uint64   `json:"tally"`    // of the report in its session
-	Token    uint64   `json:"baton"`    // the highest fencing token that the worker has seen
-	NoticeS  *float64 `json:"warningS"` // until the machine is taken; nil: no notice
+	Session  uint64   `json:"stint"`    // session of the worker process
+	Seq      uint64   `json:"tally"`    // sequence number of the report within its session
+	Token    uint64   `json:"baton"`    // highest fencing token that the worker has received
+	NoticeS  *float64 `json:"warningS"` // seconds until the cloud preempts the machine; nil: no preemption notice
 	Tasks    []Task   `json:"pieces"`
 }
 
-// ParseReport reads a worker's report, and checks that it names the worker and valid tasks.
+// ParseReport parses a worker's report and checks its required fields and the names of its tasks.
 func ParseReport(body []byte) (*Report, error) {
 	var report Report
 	if err := json.Unmarshal(body, &report); err != nil {
@@ -48,7 +48,7 @@
 	return &report, nil
 }
 
-// Command instructs a worker about one attempt of a task.
+// Command is a command to a worker for one attempt of a task.
 type Command struct {
 	Verb    string   `json:"verb"`
 	Task    string   `json:"piece"`
@@ -62,15 +62,16 @@
 	Commands []Command `json:"orders"`
 }
 
-// PushedCommands are commands pushed to a worker, outside of a response to a report. A worker
-// refuses those with a lower fencing token than it has seen, or for another session.
+// PushedCommands are commands sent to a worker in a request of their own, not in the response to a
+// report. A worker rejects them if their fencing token is lower than the highest it has received,
+// or if they are for another session.
 type PushedCommands struct {
 	Token    uint64    `json:"baton"`
 	Session  uint64    `json:"stint"`
 	Commands []Command `json:"orders"`
 }
 
-// ParsePushedCommands reads pushed commands; token and session must be present.
+// ParsePushedCommands parses pushed commands. The token and the session are required.
 func ParsePushedCommands(body []byte) (*PushedCommands, error) {
 	var pushed struct {
 		Token    *uint64   `json:"baton"`
@@ -86,7 +87,8 @@
 	return &PushedCommands{Token: *pushed.Token, Session: *pushed.Session, Commands: pushed.Commands}, nil
 }
 
-// Redirect sends a worker to another controller.
+// Redirect tells a worker which controller to report to. If ReportTo is empty,
+// the worker chooses.
 type Redirect struct {
 	ReportTo string `json:"foreman,omitempty"`
 }
