--- a/internal/usage/recorded_test.go
+++ b/internal/usage/recorded_test.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/usage"
 )
 
-// The keys that operators read, the names of duties and events included.
+// The keys of a reading, and the names of duties and events, which operators' tools read, do not change.
 func TestRecordedReading(t *testing.T) {
 	m := usage.New(1, func() map[string]int { return map[string]int{"jobs": 3} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	data, err := json.Marshal(m.Read())
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,6 +1,7 @@
-// Package usage measures what this process takes of its machine, by duty, and how far it falls
-// behind: for operators, in the log and at /ops/stats. Duties and events are counted for the
-// whole process; a Meter reads them with what the runtime and the system say. It limits nothing.
+// Package usage measures the resource usage of this process, the time spent on each duty, and how
+// late timers fire. Operators see the figures in the log and at /ops/stats. Duties and events are
+// counted in process-wide variables; a Meter reads them together with figures from the Go runtime
+// and the operating system. The package enforces no limits.
 package usage
 
 import (
@@ -16,45 +17,44 @@
 )
 
 const (
-	probeInterval = time.Second // how often the lateness of timers is looked at
+	probeInterval = time.Second // interval at which timer delay and memory are measured
 	logInterval   = 10 * time.Second
 )
 
 const bytesPerMB = 1 << 20
 
-// Duty is a part of the service whose time is counted.
+// Duty is a part of the service for which the time spent is counted.
 type Duty int
 
-// The numDuties. What they do not cover is mostly HTTP, the collector and the scheduler of
-// goroutines.
+// The duties. The remaining processor time is mostly HTTP, the garbage collector and the goroutine
+// scheduler.
 const (
-	Reports          Duty = iota // a worker's report, from its body to the response's
-	SchedulingPasses             // scheduling passes and sweeps
+	Reports          Duty = iota // handling a worker's report, from reading the body to writing the response
+	SchedulingPasses             // scheduling passes and periodic sweeps
 	Commits                      // building and committing a leader's transactions
-	WatchEvents                  // changes seen in the state service
-	Instructions                 // a scheduler's instructions at the dispatcher
-	Autoscaling                  // demand and plan of the autoscaler
-	UserRequests                 // users' requests served here, waiting included
-	PeerViews                    // views from and to other controllers
+	WatchEvents                  // handling changes reported by the state service's watches
+	Instructions                 // handling a scheduler's instructions in the dispatcher
+	Autoscaling                  // computing the autoscaler's demand and plan
+	UserRequests                 // users' requests served by this controller, including time spent waiting
+	PeerViews                    // sending views to other controllers and receiving theirs
 	numDuties
 )
 
 var dutyNames = [numDuties]string{"reports", "passes", "records", "watches", "directions", "fleet", "users", "peers"}
 
-// Event is something that happened, or was refused, which operators may want to know the number
-// of.
+// Event is a kind of event that is counted for operators.
 type Event int
 
-// The numEvents.
+// The events.
 const (
-	MalformedReports   Event = iota // reports that could not be read
-	RefusedConnections              // beyond the sockets to spare
-	RefusedRequests                 // users' requests beyond those worked on at once
-	RefusedJobs                     // submissions for want of memory
-	MalformedViews                  // messages of peers about workers that could not be applied
-	AccountingRows                  // rows of accounting written
-	AccountingWrites                // of its pages, and
-	AccountingBytes                 // as many bytes
+	MalformedReports   Event = iota // reports that could not be parsed
+	RefusedConnections              // connections closed at once because no socket was free for them
+	RefusedRequests                 // users' requests beyond the concurrency limit
+	RefusedJobs                     // submissions rejected for lack of memory
+	MalformedViews                  // views from peers that could not be applied
+	AccountingRows                  // accounting rows written
+	AccountingWrites                // writes of accounting pages
+	AccountingBytes                 // bytes in those writes
 	numEvents
 )
 
@@ -62,13 +62,13 @@
 
 var eventCounters [numEvents]atomic.Int64
 
-// CountEvent counts an event. It is safe for concurrent use, as are Add and Count.
+// CountEvent counts an event once. CountEvent, CountEvents and AddTime are safe for concurrent use.
 func CountEvent(e Event) { CountEvents(e, 1) }
 
 // CountEvents counts an event n times.
 func CountEvents(e Event, n int) { eventCounters[e].Add(int64(n)) }
 
-// EventCount returns how many of an event there were since the process started.
+// EventCount returns how often an event was counted since the process started.
 func EventCount(e Event) int64 { return eventCounters[e].Load() }
 
 type dutyCounter struct {
@@ -78,38 +78,39 @@
 
 var dutyCounters [numDuties]dutyCounter
 
-// AddTime adds the time since start to a duty. Sections may wait for a lock, and on a busy
-// processor for their turn: the sums are upper bounds.
+// AddTime adds the time since start to a duty. The elapsed time includes waiting for locks and for
+// a free processor, so the sums are upper bounds of the processor time.
 func AddTime(d Duty, start time.Time) {
 	dutyCounters[d].calls.Add(1)
 	dutyCounters[d].totalNs.Add(int64(time.Since(start)))
 }
 
-// DutyTotal is what a duty took since the process started: how often it was done, and for how long
-// together.
+// DutyTotal is the number of times that a duty was performed since the process started, and their
+// total time.
 type DutyTotal struct {
 	Count   int64   `json:"count"`
 	Seconds float64 `json:"seconds"`
 }
 
-// Reading is what the process uses. Unless said otherwise it counts from the meter's start.
+// Reading is a reading of the process's resource usage. Counters start with the process, uptime with
+// the meter.
 type Reading struct {
-	CPUSeconds  float64              `json:"cpu_s"` // of the process
+	CPUSeconds  float64              `json:"cpu_s"` // user and system time of the process
 	UptimeS     float64              `json:"uptime_s"`
 	HeapMB      float64              `json:"heap_mb"`
-	RuntimeMB   float64              `json:"runtime_mb"` // all that the runtime holds
+	RuntimeMB   float64              `json:"runtime_mb"` // memory held by the Go runtime
 	PeakMB      float64              `json:"peak_resident_mb"`
 	Collections uint64               `json:"collections"`
-	CollectorS  float64              `json:"collector_s"` // as of the last collection
+	CollectorS  float64              `json:"collector_s"` // processor time of the garbage collector, as of the last collection
 	Goroutines  uint64               `json:"goroutines"`
-	LateMsP99   int64                `json:"late_ms_p99"` // of timers, since the last log line
+	LateMsP99   int64                `json:"late_ms_p99"` // delay of timers since the last log line, 99th percentile
 	LateMsMax   int64                `json:"late_ms_max"`
-	Queues      map[string]int       `json:"queues"` // depths and open connections
+	Queues      map[string]int       `json:"queues"` // queue depths and numbers of open connections
 	Duties      map[string]DutyTotal `json:"duties"`
 	Events      map[string]int64     `json:"events"`
 }
 
-// Samples of the runtime.
+// Indices of the runtime metrics in a reading.
 const (
 	heapObjects = iota
 	memoryTotal
@@ -132,16 +133,16 @@
 	log         *slog.Logger
 	memoryLimit int64 // bytes
 	pressure    atomic.Bool
-	lastDelay   atomic.Int64 // ns by which the last timer fired late
+	lastDelay   atomic.Int64 // ns by which the last probe timer fired late
 
 	mu            sync.Mutex
 	samples       [numSamples]metrics.Sample
-	memorySamples [2]metrics.Sample       // what the runtime holds, and has given back
+	memorySamples [2]metrics.Sample       // total memory of the runtime, and memory returned to the system
 	timerDelays   *hdrhistogram.Histogram // ms, since the last log line
 }
 
-// New returns a meter. The process is short of memory while it holds more than limit bytes;
-// queues returns the depths to be shown, by name.
+// New returns a meter. The process is under memory pressure while the runtime holds more than
+// memoryLimit bytes. queues returns queue depths by name, for readings.
 func New(memoryLimit int64, queues func() map[string]int, log *slog.Logger) *Meter {
 	m := &Meter{started: time.Now(), memoryLimit: memoryLimit, queues: queues, log: log, timerDelays: hdrhistogram.New(1, 60_000, 2)}
 	for i, name := range sampleNames {
@@ -151,14 +152,14 @@
 	return m
 }
 
-// MemoryPressure reports whether this process holds so much memory that it must not take on more work,
-// as of the last second.
+// MemoryPressure reports whether this process held too much memory, at the last probe, to accept more
+// work. Probes take place once per second.
 func (m *Meter) MemoryPressure() bool { return m.pressure.Load() }
 
-// TimerDelay returns by how much a timer fired late within the last second or so.
+// TimerDelay returns how late the last probe timer fired.
 func (m *Meter) TimerDelay() time.Duration { return time.Duration(m.lastDelay.Load()) }
 
-// Read takes a reading.
+// Read returns a new reading.
 func (m *Meter) Read() Reading {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -185,8 +186,8 @@
 	return r
 }
 
-// Run watches how late timers fire and how much memory is held, and logs a line now and then,
-// until ctx ends.
+// Run measures timer delay and memory once per second and logs a reading every 10 s, until ctx
+// ends.
 func (m *Meter) Run(ctx context.Context) error {
 	tick := time.NewTimer(probeInterval)
 	defer tick.Stop()
@@ -213,14 +214,14 @@
 	}
 }
 
-// probe notes by how much a timer fired late, and whether too much memory is held.
+// probe records the delay of the probe timer, and whether the process is under memory pressure.
 func (m *Meter) probe(delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	metrics.Read(m.memorySamples[:])
 	m.pressure.Store(int64(m.memorySamples[0].Value.Uint64()-m.memorySamples[1].Value.Uint64()) > m.memoryLimit)
 	m.lastDelay.Store(int64(delay))
-	_ = m.timerDelays.RecordValue(max(0, delay.Milliseconds())) // later than a minute it is not counted
+	_ = m.timerDelays.RecordValue(max(0, delay.Milliseconds())) // delays above the histogram's limit of one minute are not recorded
 }
 
 func (m *Meter) resetTimerDelays() {
@@ -229,7 +230,7 @@
 	m.timerDelays.Reset()
 }
 
-// logReading logs a reading, with what was used since the last one.
+// logReading logs a reading. CPU, garbage collection and duties are differences from the last reading.
 func (m *Meter) logReading(r, last Reading, elapsed time.Duration) {
 	var parts []any
 	for _, name := range dutyNames {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -12,14 +12,14 @@
 	"github.com/wallrack/wallrack/internal/usage"
 )
 
-// The log line shows what was done since the last one, and memory beyond the limit is noticed
-// within a second or two.
+// The log line contains the duties performed since the last one, and memory use beyond the limit is
+// reported within two seconds.
 func TestUsageLoggedAndMemoryPressureNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		m := usage.New(1, func() map[string]int { return map[string]int{"jobs": 3} }, slog.New(slog.NewTextHandler(&out, nil)))
 		if m.MemoryPressure() {
-			t.Error("short of memory before anything was read")
+			t.Error("memory pressure before the first probe")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
@@ -29,7 +29,7 @@
 		usage.AddTime(usage.Reports, start)
 		usage.CountEvent(usage.MalformedReports)
 		if !m.MemoryPressure() {
-			t.Error("a process of more than a byte is not short of memory")
+			t.Error("no memory pressure with a limit of one byte")
 		}
 		r := m.Read()
 		if r.Duties["reports"].Count < 1 || r.Duties["reports"].Seconds < 2 || r.Events["malformed_reports"] < 1 || r.HeapMB <= 0 || r.Queues["jobs"] != 3 {
