--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// What grows by more than a tenth fails, and so does a page that says too much.
+// A slope or fixed part more than a tenth above or below the page's figure fails.
 func TestCheckLine(t *testing.T) {
 	row := Row{"a.x", 100, 10, true}
 	for _, c := range []struct {
@@ -78,11 +78,11 @@
 	rows["a.y"] = Row{Name: "a.y", Exact: true}
 	rows["a.x"] = Row{Name: "a.x", Exact: true}
 	if checkNames(rows, []Series{{Name: "a.x"}}) == nil {
-		t.Error("a row that nothing measures passes")
+		t.Error("a row without a series passes")
 	}
 }
 
-// Each row's package has a test that measures it.
+// Each row is measured by a test of its package.
 func TestEachRowIsMeasured(t *testing.T) {
 	rows, err := ReadPage()
 	if err != nil || len(rows) == 0 {
@@ -92,7 +92,7 @@
 		part, _, _ := strings.Cut(name, ".")
 		text, err := os.ReadFile(filepath.Join("..", part, "capacity_test.go"))
 		if err != nil || !strings.Contains(string(text), `"`+name+`"`) {
-			t.Errorf("%s is measured nowhere: %v", name, err)
+			t.Errorf("%s is measured by no test: %v", name, err)
 		}
 	}
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -1,7 +1,7 @@
-// Package capacity holds docs/CAPACITY.md to what is measured. Each package's tests
-// measure how something (bytes, allocations, writes) grows with a number (machines,
-// jobs, tasks): a Series. Its fixed part and slope stand in the page's table of slopes;
-// Check compares exact ones with the page, Bench prints all.
+// Package capacity checks the figures in docs/CAPACITY.md against measurements. Tests of other
+// packages define Series, which measure how a quantity (bytes, allocations, writes) grows with a
+// number (machines, jobs, tasks). The page's table of slopes lists the fixed part and the slope of
+// each series. Check compares the exact series with the page; Bench prints all series.
 package capacity
 
 import (
@@ -12,15 +12,15 @@
 // Line is a straight line fitted to measurements: fixed part + slope × number.
 type Line struct {
 	Fixed, Slope float64
-	// Error is the largest distance of a measurement from the line, as a share of the
+	// Error is the largest distance of a measurement from the line, divided by the
 	// largest measurement.
 	Error float64
-	// SlopeRatio is the slope between the last two measurements over that between the first
-	// two: 1 for a straight line, more if it grows faster than the number.
+	// SlopeRatio is the slope between the last two measurements divided by the slope between
+	// the first two: 1 for linear growth, more for faster growth.
 	SlopeRatio float64
 }
 
-// Fit returns the line through values measured at sizes by least squares.
+// Fit fits a line to the values measured at sizes, by least squares.
 func Fit(sizes []int, values []float64) Line {
 	n := float64(len(sizes))
 	var meanX, meanY float64
@@ -54,13 +54,13 @@
 	return line
 }
 
-// median returns the middle one of an odd number of values.
+// median returns the median of an odd number of values.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
 
-// Median is the middle one of some measurements of a value that varies a little.
+// Median calls measure several times and returns the median.
 func Median(measure func() float64) float64 {
 	values := make([]float64, measureRounds)
 	for i := range values {
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// PagePath is where the slopes stand, below the repository's root.
+// PagePath is the path of the page with the table of slopes, relative to the repository's root.
 const PagePath = "docs/CAPACITY.md"
 
 // Row is a row of the page's table of slopes.
@@ -16,10 +16,10 @@
 	Name  string
 	Fixed float64
 	Slope float64
-	Exact bool // the same at every run, so that a test may hold it
+	Exact bool // the same in every run, so that a test can compare it
 }
 
-// The table's numColumns: name, unit and number, sizes, fixed part, slope, fit error, kind.
+// The table's columns are: name, unit and number, sizes, fixed part, slope, fit error, kind.
 const (
 	numColumns  = 7
 	fixedColumn = 3
@@ -27,8 +27,8 @@
 	kindColumn  = 6
 )
 
-// ParsePage reads the rows whose first cell is a series' name between backquotes, such as
-// `wire.report`.
+// ParsePage returns the rows of the table of slopes by name. These are the rows whose first cell is
+// a series' name between backquotes, such as `wire.report`.
 func ParsePage(text string) (map[string]Row, error) {
 	rows := map[string]Row{}
 	for number, line := range strings.Split(text, "\n") {
@@ -53,22 +53,22 @@
 			row.Exact = true
 		case "scatters":
 		default:
-			return nil, fail("neither exact nor scatters: %q", kind)
+			return nil, fail("kind is neither exact nor scatters: %q", kind)
 		}
 		if _, twice := rows[row.Name]; twice {
-			return nil, fail("twice")
+			return nil, fail("duplicate row")
 		}
 		rows[row.Name] = row
 	}
 	return rows, nil
 }
 
-// parseNumber reads a number that may have commas between thousands.
+// parseNumber parses a number that may have commas between thousands.
 func parseNumber(cell string) (float64, error) {
 	return strconv.ParseFloat(strings.ReplaceAll(strings.TrimSpace(cell), ",", ""), 64)
 }
 
-// ReadPage reads the page of the repository that the working directory is in.
+// ReadPage reads and parses the page in the repository that contains the working directory.
 func ReadPage() (map[string]Row, error) {
 	dir, err := os.Getwd()
 	if err != nil {
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// tolerance is the share by which an exact figure may differ from the page's.
+// tolerance is the relative difference from the page's figure that is allowed for an exact figure.
 const tolerance = 0.1
 
-// zeroTolerance is a difference by which a figure that is 0 may seem to differ.
+// zeroTolerance is the absolute difference that is allowed for rounding if the page's figure is 0.
 const zeroTolerance = 1e-9
 
-// Series is something measured at several sizes.
+// Series is a quantity measured at several sizes.
 type Series struct {
-	Name  string // as in the page; its part before the first dot is the package
+	Name  string // name on the page; the part before the first dot is the package
 	Sizes []int  // at least four
-	// Noisy is for processor time, and for memory that the runtime rounds: printed,
-	// not held by a test.
+	// Noisy marks processor time, and memory sizes that the runtime rounds: they are printed
+	// but not compared with the page.
 	Noisy bool
-	// FixedSlack is the difference of the fixed part that is never a fault: the fit takes
-	// small fixed parts from values that are far larger. Up to 2 % of those; 0: none.
+	// FixedSlack is the absolute difference allowed for the fixed part, at most 2 % of the
+	// measured values. It is needed if the fixed part is small compared with these values,
+	// because the fit is then inaccurate.
 	FixedSlack float64
 	Measure    func(tb testing.TB, size int) float64
 }
@@ -32,19 +33,18 @@
 // Line measures the series at its sizes and fits a line.
 func (s *Series) Line(tb testing.TB) Line {
 	if len(s.Sizes) < 4 {
-		tb.Fatalf("%s: %d sizes, four at least", s.Name, len(s.Sizes))
+		tb.Fatalf("%s: %d sizes, want at least four", s.Name, len(s.Sizes))
 	}
 	values := make([]float64, len(s.Sizes))
 	for i, size := range s.Sizes {
 		values[i] = s.Measure(tb, size)
 	}
-	tb.Logf("at %d: %.5g", s.Sizes, values)
+	tb.Logf("sizes %d: %.5g", s.Sizes, values)
 	return Fit(s.Sizes, values)
 }
 
-// Check measures the exact series and fails if a slope or fixed part is more than a tenth
-// over the page's figure, or so far below it that the page misleads, or if the page has
-// other rows for the package than its tests measure.
+// Check measures the exact series and fails if a slope or fixed part is more than a tenth above or
+// below the page's figure. It also fails if the page's rows for the package differ from series.
 func Check(t *testing.T, series ...Series) {
 	rows, err := ReadPage()
 	if err != nil {
@@ -64,25 +64,25 @@
 	}
 }
 
-// checkNames reports a series that the page lacks, a row that nothing measures, and one of
-// another kind.
+// checkNames returns an error for a series without a row on the page, a row without a series, and a
+// row whose kind differs from that of its series.
 func checkNames(rows map[string]Row, series []Series) error {
 	measured := map[string]bool{}
 	for _, s := range series {
 		measured[s.Name] = true
 		if row, ok := rows[s.Name]; !ok || row.Exact == s.Noisy {
-			return fmt.Errorf("%s: not in %s, or of another kind there", s.Name, PagePath)
+			return fmt.Errorf("%s: missing in %s or listed there with another kind", s.Name, PagePath)
 		}
 	}
 	for name := range rows {
 		if part, _, _ := strings.Cut(name, "."); strings.HasPrefix(series[0].Name, part+".") && !measured[name] {
-			return fmt.Errorf("%s: in %s, and measured by no test", name, PagePath)
+			return fmt.Errorf("%s: listed in %s but measured by no test", name, PagePath)
 		}
 	}
 	return nil
 }
 
-// checkLine holds a measured line to the page's.
+// checkLine compares a measured line with the page's row.
 func checkLine(row Row, line Line, fixedSlack float64) error {
 	for _, part := range []struct {
 		name                  string
@@ -91,16 +91,16 @@
 		allowed := max(tolerance*math.Abs(part.page), part.slack)
 		switch difference := part.measured - part.page; {
 		case difference > allowed:
-			return fmt.Errorf("%s %.4g, %.4g by %s: grown by more than a tenth", part.name, part.measured, part.page, PagePath)
+			return fmt.Errorf("%s is %.4g, but %.4g in %s: more than a tenth above", part.name, part.measured, part.page, PagePath)
 		case difference < -allowed:
-			return fmt.Errorf("%s %.4g, %.4g by %s: correct the page", part.name, part.measured, part.page, PagePath)
+			return fmt.Errorf("%s is %.4g, but %.4g in %s: more than a tenth below, update the page", part.name, part.measured, part.page, PagePath)
 		}
 	}
 	return nil
 }
 
-// Bench prints the lines of all series as benchmark metrics. Each is measured once,
-// whatever the benchmark's time is.
+// Bench reports the lines of all series as benchmark metrics. Each series is measured once,
+// regardless of -benchtime.
 func Bench(b *testing.B, series ...Series) {
 	for _, s := range series {
 		var line *Line
@@ -118,7 +118,7 @@
 	}
 }
 
-// HeapBytes returns the bytes of live heap that what create returns takes.
+// HeapBytes returns the live heap size of the value that create returns, in bytes.
 func HeapBytes(create func() any) float64 {
 	before := liveHeap()
 	created := create()
@@ -129,7 +129,7 @@
 
 func liveHeap() uint64 {
 	runtime.GC()
-	runtime.GC() // the first one's finalizers and pools are gone after the second
+	runtime.GC() // the second collection frees objects with finalizers and the contents of pools
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
@@ -140,9 +140,9 @@
 	minRoundTime  = 30 * time.Millisecond
 )
 
-// ProcessorTime returns the processor time of one call in ns, user and system, the
-// collector's share included: the median of some rounds, so that what else the machine
-// does matters little.
+// ProcessorTime returns the processor time of one call in ns: user and system time, including
+// garbage collection. It is the median of several rounds, which reduces the effect of other
+// processes on the machine.
 func ProcessorTime(tb testing.TB, call func()) float64 {
 	call()
 	return Median(func() float64 {
@@ -155,7 +155,7 @@
 	})
 }
 
-// UsedProcessorTime is the processor time of this process, user and system.
+// UsedProcessorTime returns the user and system time of this process.
 func UsedProcessorTime(tb testing.TB) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -164,11 +164,12 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// ProcessorTimeAfterSetup is ProcessorTime of a call that has to be prepared anew each time.
+// ProcessorTimeAfterSetup is like ProcessorTime for a call that needs a new setup each time. The
+// time of the setup is not counted.
 func ProcessorTimeAfterSetup(tb testing.TB, setup func() func()) float64 {
 	return Median(func() float64 {
 		call := setup()
-		runtime.GC() // the preparation's garbage is not the call's
+		runtime.GC() // so that the call is not charged for the setup's garbage
 		used := UsedProcessorTime(tb)
 		call()
 		return float64(UsedProcessorTime(tb) - used)
