--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -1,8 +1,8 @@
-// Package config reads the settings of a controller: the platform's (TOML) and the
-// operators' own (S-expressions, over built-in ones).
+// Package config reads the settings of a controller: those of the platform (TOML) and those of
+// the operators (S-expressions, which override built-in defaults).
 //
-// An error names the file, the key and the reason. Settings are read once and checked
-// whole; the package does not watch files, and knows no defaults of the platform's.
+// Errors name the file, the key and the reason. Settings are read and validated once: the package
+// does not watch files for changes. The platform's settings have no defaults.
 package config
 
 import (
@@ -16,14 +16,14 @@
 	"olympos.io/encoding/edn"
 )
 
-// Seconds converts a figure of the settings.
+// Seconds converts a number of seconds from the settings to a time.Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads a file of settings with parse; errors start with the file's name.
+// Load reads a settings file and parses it with parse. Errors start with the file's path.
 func Load[T any](path string, parse func(data []byte) (*T, error)) (*T, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, errors.Unwrap(err)) // without the path once more
+		return nil, fmt.Errorf("%s: %w", path, errors.Unwrap(err)) // the wrapped error does not repeat the path
 	}
 	settings, err := parse(data)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return settings, nil
 }
 
-// ParseEntries returns the entries of `(head entry ...)`, which is all that data may hold;
-// shape describes an entry in the error.
+// ParseEntries returns the entries of `(head entry ...)`. It is an error if data contains any other
+// expression; shape describes an entry in the error message.
 func ParseEntries(data []byte, head, shape string) ([]any, error) {
 	decoder := edn.NewDecoder(bytes.NewReader(data))
 	var first, second any
@@ -50,8 +50,8 @@
 	return list[1:], nil
 }
 
-// NumberInRange returns the number of a setting, which is an error unless it is within least
-// and most, both included.
+// NumberInRange converts the value of a setting to a number. It returns an error if the value is
+// not a number or not between least and most, inclusive.
 func NumberInRange(value any, least, most float64) (float64, error) {
 	var number float64
 	switch v := value.(type) {
@@ -62,7 +62,7 @@
 	default:
 		return 0, errors.New("not a number")
 	}
-	if !(number >= least && number <= most) { // NaN is outside too
+	if !(number >= least && number <= most) { // negated, so that NaN is rejected as well
 		return 0, fmt.Errorf("%v is outside %v to %v", number, least, most)
 	}
 	return number, nil
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -12,28 +12,28 @@
 //go:embed operator.sexp
 var defaultOperator []byte
 
-// Operator holds the operators' own settings; every one of the design's open
-// values is here. C is the cost by which a placement is chosen.
+// Operator holds the operators' settings, which are the tunable parameters of the scheduler. C is
+// the placement cost: the scheduler prefers the worker with the lowest C.
 type Operator struct {
-	Shards                int     // shards that jobs hash to
-	SpreadControllers     int     // controllers that shards are spread over
+	Shards                int     // number of shards; a job's shard is derived from a hash
+	ShardControllers      int     // number of controllers over which the shards are distributed
 	LeaseS                float64 // TTL of a controller's lease in the state service
-	WorkerFailureCost     float64 // cost of losing a worker: K_fail of the paper
-	QueueHorizonS         float64 // longest wait at which a match is dispatched
-	RandomCostS           float64 // size of the random term in C
-	PublishIntervalS      float64 // interval at which dispatchers publish to leaders elsewhere
-	WorkerConnectionShare float64 // part of a controller's connections that workers may take before they are assigned to others too; 0: they never are
-	ReplaceAfterS         float64 // excess wait from which on a queued task gets another placement
-	HeartbeatTimeoutS     float64 // heartbeat timeout from which on a machine is deleted
-	IdleTimeoutS          float64 // idle time from which on a machine is deleted
-	HeadroomPct           float64 // capacity kept beyond the demand, in percent
-	PackingPreferenceS    float64 // seconds by which full workers are preferred to empty ones
-	OnDemandHeadroomPct   float64 // the headroom where only on-demand machines could give it, in percent
-	LateStartCostS        float64 // seconds that missing an objective for a start counts in C
-	SpotPreferenceShare   float64 // share of C by which a machine at twice the spot price is less preferred
+	WorkerFailureCost     float64 // weight of a worker failure in C: K_fail of the paper
+	QueueHorizonS         float64 // longest expected queue wait on a worker for which a task is placed there
+	RandomCostS           float64 // upper bound of the random term in C
+	PublishIntervalS      float64 // interval at which dispatchers send views to leaders on other controllers
+	WorkerConnectionShare float64 // share of a controller's connections above which workers are also assigned to other controllers; 0: never
+	ReplaceAfterS         float64 // wait beyond the expected one after which a queued task is placed on another worker
+	HeartbeatTimeoutS     float64 // time without a heartbeat after which a machine is deleted
+	IdleTimeoutS          float64 // idle time after which a machine is deleted
+	HeadroomPct           float64 // spare capacity to provision above the demand, in percent
+	PackingPreferenceS    float64 // C of an empty worker over that of a full one
+	OnDemandHeadroomPct   float64 // the same if only on-demand machines can provide it, in percent
+	LateStartCostS        float64 // amount added to C if a task would miss its start objective
+	SpotPreferenceShare   float64 // share of C added for a machine at twice the spot price
 }
 
-// setting is a key's bounds, both included, and the field it sets.
+// setting describes a key: the bounds of its value, inclusive, and the field that it sets.
 type setting struct {
 	min, max float64
 	set      func(*Operator, float64)
@@ -42,7 +42,7 @@
 
 var settings = map[string]setting{
 	"shards":                {1, 256, func(o *Operator, v float64) { o.Shards = int(v) }, true},
-	"spread":                {1, 64, func(o *Operator, v float64) { o.SpreadControllers = int(v) }, true},
+	"spread":                {1, 64, func(o *Operator, v float64) { o.ShardControllers = int(v) }, true},
 	"lease-s":               {2, 60, func(o *Operator, v float64) { o.LeaseS = v }, false},
 	"k-fail":                {1, 100, func(o *Operator, v float64) { o.WorkerFailureCost = v }, false},
 	"queue-horizon-s":       {0, 600, func(o *Operator, v float64) { o.QueueHorizonS = v }, false},
@@ -59,8 +59,8 @@
 	"headroom-percent":      {0, 500, func(o *Operator, v float64) { o.HeadroomPct = v }, false},
 }
 
-// LoadOperator reads the operators' settings over the built-in ones; an empty
-// path means the built-in ones alone.
+// LoadOperator returns the built-in settings, overridden by those in the file at path. If path is
+// empty, it returns the built-in settings.
 func LoadOperator(path string) (*Operator, error) {
 	operator, err := ParseOperator(defaultOperator, &Operator{})
 	if err != nil {
@@ -72,8 +72,8 @@
 	return Load(path, func(data []byte) (*Operator, error) { return ParseOperator(data, operator) })
 }
 
-// ParseOperator reads `(wallrack (key value) ...)` over base, which stays as it is. An
-// unknown key, one given twice, and a value out of bounds are errors.
+// ParseOperator returns a copy of base with the settings in `(wallrack (key value) ...)` applied.
+// Unknown keys, duplicate keys and values out of bounds are errors.
 func ParseOperator(data []byte, base *Operator) (*Operator, error) {
 	operator := *base
 	entries, err := ParseEntries(data, "wallrack", "(key value)")
@@ -98,8 +98,8 @@
 			return nil, fmt.Errorf("%s: %w", key, err)
 		}
 	}
-	if operator.SpreadControllers > operator.Shards {
-		return nil, fmt.Errorf("spread: %d controllers can't share %d shards", operator.SpreadControllers, operator.Shards)
+	if operator.ShardControllers > operator.Shards {
+		return nil, fmt.Errorf("spread: %d controllers can't share %d shards", operator.ShardControllers, operator.Shards)
 	}
 	return &operator, nil
 }
@@ -116,7 +116,7 @@
 	return string(symbol), pair[1], nil
 }
 
-// apply sets the field to a value, if it is within the bounds.
+// apply validates the value and sets the field.
 func (s *setting) apply(operator *Operator, value any) error {
 	number, err := NumberInRange(value, s.min, s.max)
 	if err != nil {
--- a/internal/config/operator.sexp
+++ b/internal/config/operator.sexp
@@ -1,19 +1,19 @@
-; The built-in operators' settings. A file given with --operator may repeat
-; any of them with another value.
+; The defaults of the operators' settings. A file given with --operator may
+; override any of them.
 (wallrack
-  (shards 1)              ; shards that jobs hash to; at least spread
-  (spread 1)              ; controllers that shards are spread over
+  (shards 1)              ; number of shards, at least the value of spread
+  (spread 1)              ; number of controllers over which the shards are distributed
   (lease-s 5)             ; TTL of a controller's lease, s
-  (k-fail 4)              ; cost of losing a worker, the paper's K_fail
-  (queue-horizon-s 1)     ; longest wait at which a match is dispatched
-  (random-s 0.2)          ; size of the random term in C
-  (worker-share 0)        ; part of the connections that workers may take before they are assigned to other controllers too; 0: never
-  (publish-s 0.5)         ; interval at which dispatchers publish to leaders elsewhere
-  (replace-s 4)           ; excess wait from which on a queued task gets another placement
-  (silent-s 14)           ; heartbeat timeout from which on a machine is deleted
-  (idle-s 20)             ; idle time from which on a machine is deleted
-  (pack-s 1)              ; seconds by which full workers are preferred to empty ones
-  (dear-share 0.15)       ; share of C by which a machine at twice the spot price is less preferred
-  (late-start-s 30)       ; seconds that missing an objective for a start counts in C
-  (headroom-percent 15)   ; capacity kept beyond the demand
-  (dear-headroom-percent 3)) ; the same where only on-demand machines could give it
+  (k-fail 4)              ; weight of a worker failure in the placement cost C, the paper's K_fail
+  (queue-horizon-s 1)     ; longest expected queue wait on a worker for which a task is placed there, s
+  (random-s 0.2)          ; upper bound of the random term in C, s
+  (worker-share 0)        ; share of a controller's connections above which workers are also assigned to other controllers; 0: never
+  (publish-s 0.5)         ; interval at which dispatchers send views to leaders on other controllers, s
+  (replace-s 4)           ; wait beyond the expected one after which a queued task is placed on another worker, s
+  (silent-s 14)           ; time without a heartbeat after which a machine is deleted, s
+  (idle-s 20)             ; idle time after which a machine is deleted, s
+  (pack-s 1)              ; C of an empty worker over that of a full one, s
+  (dear-share 0.15)       ; share of C added for a machine at twice the spot price
+  (late-start-s 30)       ; amount added to C if a task would miss its start objective, s
+  (headroom-percent 15)   ; spare capacity to provision above the demand, %
+  (dear-headroom-percent 3)) ; the same if only on-demand machines can provide it, %
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -8,12 +8,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// minTxnOps is how many operations a transaction has to take.
+// minTxnOps is the smallest transaction limit with which the controller can run, in operations.
 const minTxnOps = 4
 
-// Platform is the settings that the platform provides.
+// Platform holds the settings provided by the platform.
 type Platform struct {
-	Node      string    `toml:"node_name"` // this controller's name
+	Node      string    `toml:"node_name"` // name of this controller
 	Zone      string    `toml:"domain"`
 	Listen    string    `toml:"serve_on"`  // address for users and workers, IP and port
 	Mesh      string    `toml:"mesh_addr"` // address for peers, IP and port
@@ -22,20 +22,20 @@
 	Params    Params    `toml:"params"`
 }
 
-// Peer is another controller.
+// Peer is another controller of the cluster.
 type Peer struct {
 	Node string `toml:"node_name"`
 	Zone string `toml:"domain"`
 	Addr string `toml:"address"`
 }
 
-// Endpoints are the addresses of the region's services, IP and port.
+// Endpoints are the addresses of the region's services, as IP and port.
 type Endpoints struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
-// Params are the platform's figures.
+// Params are the zones, teams, objectives, intervals and limits of the platform.
 type Params struct {
 	Zones      []string    `toml:"zones"`
 	Teams      []Team      `toml:"teams"`
@@ -46,8 +46,8 @@
 	Limits     Limits      `toml:"limits"`
 }
 
-// Team is a team's guarantee (CPUs, GPUs) and limit (CPUsMax, GPUsMax); a limit of 0
-// is none.
+// Team holds the guarantee (CPUs, GPUs) and the limit (CPUsMax, GPUsMax) of a team. A limit of 0
+// means no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -56,33 +56,33 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service level objective for a class of jobs. What its fields mean
-// depends on the kind.
+// Objective is a service level objective for a class of jobs. The meaning of its fields depends
+// on Kind.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
 	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"` // of the class's jobs, 0 to 1
+	Share   float64 `toml:"share"` // share of the class's jobs that must meet the objective, 0 to 1
 	Times   float64 `toml:"times"`
 }
 
-// Workers are the intervals of the workers' protocol: of heartbeats, the lease that
-// each extends, and the limit for cancels to take effect.
+// Workers are the times of the workers' protocol in seconds: the heartbeat interval, the duration
+// of a worker's lease, which each heartbeat renews, and the time within which a cancel must take effect.
 type Workers struct {
 	ReportS float64 `toml:"report_s"`
 	LeaseS  float64 `toml:"lease_s"`
 	CancelS float64 `toml:"cancel_s"`
 }
 
-// maxLeaseStretch is by how much longer than lease_s a lease may last by another machine's clock: four
-// times what two steady clocks may differ by.
+// maxLeaseStretch is the factor by which a lease may last longer than lease_s on another machine's
+// clock. It allows for four times the largest difference in rate between two steady clocks.
 const maxLeaseStretch = 1.002
 
-// MaxLeaseS is for how many seconds of this machine's clock a worker's lease lasts at most.
+// MaxLeaseS returns the longest time that a worker's lease may last, in seconds of this machine's clock.
 func (w *Workers) MaxLeaseS() float64 { return w.LeaseS * maxLeaseStretch }
 
-// State are the limits of the state service: requests and writes a second, the size of a
-// value, and operations in a transaction.
+// State holds the limits of the state service: requests and writes per second, the size of a
+// value, and the number of operations in a transaction.
 type State struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -90,24 +90,24 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Cloud are the limits of the cloud: requests a second, and how late its list may be.
+// Cloud holds the limits of the cloud: requests per second, and the maximum age of its machine list.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits bound this process; 0: none is given. CPU is in cores.
+// Limits are the resource limits of this process; 0: no limit. CPU is in cores.
 type Limits struct {
 	CPU     float64 `toml:"cpu"`
 	RAMMB   float64 `toml:"ram_mb"`
 	Sockets int     `toml:"sockets"`
 }
 
-// LoadPlatform reads and checks the platform's file; unknown fields are ignored.
+// LoadPlatform reads and validates the platform's settings file. Unknown fields are ignored.
 func LoadPlatform(path string) (*Platform, error) { return Load(path, ParsePlatform) }
 
-// ParsePlatform reads and checks the platform's settings; unknown fields are ignored. The
-// error is of the first setting that is wrong.
+// ParsePlatform parses and validates the platform's settings. Unknown fields are ignored. The
+// error describes the first invalid setting.
 func ParsePlatform(data []byte) (*Platform, error) {
 	var p Platform
 	if err := toml.Unmarshal(data, &p); err != nil {
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// checkRequired returns an error for figures that must be given.
+// checkRequired returns an error if a required setting is missing or not positive.
 func (p *Params) checkRequired() error {
 	for _, figure := range []struct {
 		key   string
@@ -177,15 +177,15 @@
 		{"cloud.rps", p.Cloud.RPS},
 		{"limits.ram_mb", p.Limits.RAMMB},
 	} {
-		if !(figure.value > 0) { // NaN is not
+		if !(figure.value > 0) { // negated, so that NaN is rejected
 			return fmt.Errorf("params.%s: must be above 0", figure.key)
 		}
 	}
 	return nil
 }
 
-// check returns an error for limits that no controller can run in: they are named now,
-// not found when it ends by them. One that is not given is none.
+// check returns an error for limits that are too small for a controller to run. Otherwise the
+// controller would fail later, when it exceeds them. A limit that is not set is not checked.
 func (l *Limits) check() error {
 	for _, limit := range []struct {
 		key          string
@@ -226,7 +226,8 @@
 	return nil
 }
 
-// checkAmounts returns an error for amounts that contradict each other; key is the team's.
+// checkAmounts returns an error for negative amounts and for guarantees above the limit; teamKey is
+// the key of the team in the error.
 func (t *Team) checkAmounts(teamKey string) error {
 	if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
 		return fmt.Errorf("%s: negative amount", teamKey)
--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -12,10 +12,10 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// operatorFields returns which field each key of the operators' settings sets.
+// operatorFields returns a pointer to the field that each key of the operators' settings sets.
 func operatorFields(o *Operator) map[string]any {
 	return map[string]any{
-		"shards": &o.Shards, "spread": &o.SpreadControllers, "lease-s": &o.LeaseS, "k-fail": &o.WorkerFailureCost,
+		"shards": &o.Shards, "spread": &o.ShardControllers, "lease-s": &o.LeaseS, "k-fail": &o.WorkerFailureCost,
 		"queue-horizon-s": &o.QueueHorizonS, "random-s": &o.RandomCostS, "worker-share": &o.WorkerConnectionShare, "publish-s": &o.PublishIntervalS,
 		"replace-s": &o.ReplaceAfterS, "silent-s": &o.HeartbeatTimeoutS, "idle-s": &o.IdleTimeoutS, "pack-s": &o.PackingPreferenceS,
 		"dear-share": &o.SpotPreferenceShare, "late-start-s": &o.LateStartCostS, "headroom-percent": &o.HeadroomPct, "dear-headroom-percent": &o.OnDemandHeadroomPct,
@@ -24,8 +24,8 @@
 
 func fieldValue(field any) string { return fmt.Sprint(reflect.ValueOf(field).Elem()) }
 
-// Each key is accepted within its recorded bounds and sets its own field, and has the
-// recorded default.
+// Each key accepts values within its recorded bounds, sets its own field, and has the recorded
+// default.
 func TestRecordedOperatorKeys(t *testing.T) {
 	defaults, err := LoadOperator("")
 	if err != nil {
@@ -48,19 +48,19 @@
 		}
 		fmt.Fprintf(&text, "%s %s %s from %v to %v\n", key, kind, fieldValue(operatorFields(defaults)[key]), s.min, s.max)
 		for _, bound := range []float64{s.min, s.max} {
-			base := Operator{Shards: 256, SpreadControllers: 1}
+			base := Operator{Shards: 256, ShardControllers: 1}
 			got, err := ParseOperator(fmt.Appendf(nil, "(wallrack (%s %v))", key, bound), &base)
 			if err != nil {
 				t.Errorf("%s at %v: %v", key, bound, err)
 			} else if value := fieldValue(operatorFields(got)[key]); value != fmt.Sprint(bound) {
-				t.Errorf("%s at %v: its field is %s", key, bound, value)
+				t.Errorf("%s at %v: its field is set to %s", key, bound, value)
 			}
 		}
 	}
 	recorded.Compare(t, "operator-keys.txt", []byte(text.String()))
 }
 
-// The built-in file names every key, in the recorded order, with the recorded default.
+// The built-in file contains every key, in the recorded order, with the recorded default.
 func TestRecordedOperatorDefaults(t *testing.T) {
 	entries, err := ParseEntries(defaultOperator, "wallrack", "(key value)")
 	if err != nil {
@@ -74,12 +74,12 @@
 	recorded.Compare(t, "operator-defaults.txt", []byte(text.String()))
 }
 
-// Errors name the file, the key and the reason.
+// The texts of errors, which name the file, the key and the reason, do not change.
 func TestRecordedErrors(t *testing.T) {
 	var text strings.Builder
 	note := func(name string, err error) {
-		// Of a value of another type the decoder's text names a field of the program,
-		// which is not of the form: the text before it is.
+		// For a value of a wrong type the decoder's message ends with the name of a Go field,
+		// which may change. Only the text before it is recorded.
 		reason, _, _ := strings.Cut(fmt.Sprint(err), " struct field ")
 		fmt.Fprintf(&text, "%s\n\t%s\n", name, reason)
 	}
@@ -87,7 +87,7 @@
 		"", "(wallrack", "(other)", "(wallrack (k-fail))", `(wallrack ("k-fail" 2))`, "(wallrack (k-fails 2))", "(wallrack (k-fail 0.5))",
 		"(wallrack (shards 2.5))", `(wallrack (k-fail "2"))`, "(wallrack (k-fail 2) (k-fail 2))", "(wallrack) (wallrack)", "(wallrack (shards 2) (spread 3))",
 	} {
-		_, err := ParseOperator([]byte(settings), &Operator{Shards: 1, SpreadControllers: 1})
+		_, err := ParseOperator([]byte(settings), &Operator{Shards: 1, ShardControllers: 1})
 		note(settings, err)
 	}
 	platform := string(recorded.Read(t, "platform.toml"))
@@ -120,7 +120,7 @@
 		{"report_s = 2.5", `report_s = "soon"`},
 	} {
 		if strings.Count(platform, change.old) != 1 {
-			t.Fatalf("%q is not once in the sample", change.old)
+			t.Fatalf("%q does not occur exactly once in the sample", change.old)
 		}
 		_, err := ParsePlatform([]byte(strings.Replace(platform, change.old, change.new, 1)))
 		note(change.old+" -> "+change.new, err)
@@ -136,7 +136,7 @@
 	recorded.Compare(t, "errors.txt", []byte(text.String()))
 }
 
-// Every field of the platform's file ends where it belongs; unknown ones are ignored.
+// Every field of the platform's file is decoded into its struct field; unknown fields are ignored.
 func TestRecordedPlatform(t *testing.T) {
 	got, err := LoadPlatform("testdata/recorded/platform.toml")
 	if err != nil {
--- a/internal/config/seed_test.go
+++ b/internal/config/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// The generated inputs are the same at every run.
+// A fixed seed makes the generated inputs the same in every run.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -43,7 +43,7 @@
 sockets = 2500
 `
 
-// Valid settings are read, and the error of invalid ones names the key.
+// Valid settings are accepted, and the error for an invalid setting names its key.
 func TestPlatformErrorsNameTheKey(t *testing.T) {
 	parsed, err := config.ParsePlatform([]byte(platform))
 	if err != nil || parsed.Node != "n-0" || parsed.Params.State.TxnOps != 48 || len(parsed.Peers) != 1 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Of 410 teams one has another's name, or a guarantee above its limit: the error names it.
+// If one of 410 teams has a duplicate name or a guarantee above its limit, the error names that team.
 func TestInvalidTeamsAreRejected(t *testing.T) {
 	teams := func(change func(i int) string) []byte {
 		var b strings.Builder
@@ -81,7 +81,7 @@
 		{"name = \"team-7\"", `params.teams[409].name: "team-7" is the name of params.teams[7] already`},
 		{"name = \"x\"\ncpus = 5.0\ncpus_max = 4.5", "params.teams[409].cpus: the guarantee of 5 is above the limit of 4.5"},
 		{"name = \"x\"\ngpus = 2.0\ngpus_max = 1.0", "params.teams[409].gpus: the guarantee of 2 is above the limit of 1"},
-		{"name = \"x\"\ncpus = 5.0", ""}, // a limit of 0 is none
+		{"name = \"x\"\ncpus = 5.0", ""}, // a limit of 0 means no limit
 	} {
 		_, err := config.ParsePlatform(teams(func(i int) string {
 			if i == 409 {
@@ -95,7 +95,7 @@
 	}
 }
 
-// A file with one key changes that setting alone.
+// A file with one key changes only that setting.
 func TestOperatorOverridesOneKey(t *testing.T) {
 	base, err := config.LoadOperator("")
 	if err != nil {
@@ -116,7 +116,7 @@
 	})
 }
 
-// The error of invalid settings names the key or entry and the reason.
+// The error for an invalid setting names its key or entry and the reason.
 func TestInvalidOperatorSettingsAreRejected(t *testing.T) {
 	for text, part := range map[string]string{
 		"":                                 "S-expression",
@@ -137,7 +137,7 @@
 	}
 }
 
-// Whatever the text, accepted settings are within their bounds.
+// Accepted settings are within their bounds, whatever the input.
 func FuzzOperator(f *testing.F) {
 	f.Add([]byte("(wallrack (k-fail 4) ; c\n (shards 3))"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -136,7 +136,7 @@
 	}
 	limits := c.cfg.Params.State
 	c.store = statestore.New(c.cfg.Endpoints.State, limits.RPS, limits.WriteRPS, limits.TxnOps)
-	c.member = membership.New(statestore.UrgentClient{Client: c.store}, c.cfg.Node, config.Seconds(c.operator.LeaseS), c.operator.Shards, c.operator.SpreadControllers, c.log)
+	c.member = membership.New(statestore.UrgentClient{Client: c.store}, c.cfg.Node, config.Seconds(c.operator.LeaseS), c.operator.Shards, c.operator.ShardControllers, c.log)
 	c.cloud = autoscaler.NewCloud(c.cfg.Endpoints.Cloud, c.cfg.Params.Cloud.RPS)
 	c.catalog = autoscaler.NewCatalog(c.cloud, c.store, c.log)
 	c.links = peerlinks.New(peerlinks.Options{Node: c.cfg.Node, Peers: c.nodes, Mesh: c.mesh, Store: c.store, Member: c.member, Cloud: c.cloud})
--- a/internal/quota/manager_test.go
+++ b/internal/quota/manager_test.go
@@ -46,7 +46,7 @@
 func newManager(spread int, store jobrecord.Store) (*jobstate.State, *quota.Manager) {
 	platform := &config.Platform{Params: config.Params{Teams: []config.Team{{Name: "capped", CPUsMax: 8}, {Name: "free"}}}}
 	log := slog.New(slog.DiscardHandler)
-	state := jobstate.New(platform, &config.Operator{Shards: 1, SpreadControllers: spread}, leader{}, nil, log)
+	state := jobstate.New(platform, &config.Operator{Shards: 1, ShardControllers: spread}, leader{}, nil, log)
 	state.Loaded[0] = 1
 	manager := quota.New(state, store, log)
 	manager.OwnershipChanged()
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -12,7 +12,7 @@
 
 // LeasesQuota reports whether limits are leased to several leaders: then a team's jobs need not
 // belong to one shard.
-func LeasesQuota(op *config.Operator) bool { return op.SpreadControllers > 1 }
+func LeasesQuota(op *config.Operator) bool { return op.ShardControllers > 1 }
 
 // AssignShard returns the shard that a new job belongs to: jobs of a team stay together unless
 // the team's limit is leased. The job's record keeps the shard, so that jobs that were accepted
--- a/internal/reconcile/grant_test.go
+++ b/internal/reconcile/grant_test.go
@@ -48,7 +48,7 @@
 	platform := &config.Platform{Params: config.Params{Teams: []config.Team{{Name: "t", CPUsMax: 4}}, Workers: config.Workers{ReportS: 8, LeaseS: 44}}}
 	g := &grantCase{member: &leader{lease: time.Minute, shard: 7}}
 	log := slog.New(slog.DiscardHandler)
-	g.state = jobstate.New(platform, &config.Operator{Shards: 1, SpreadControllers: 1}, g.member, noTypes{}, log)
+	g.state = jobstate.New(platform, &config.Operator{Shards: 1, ShardControllers: 1}, g.member, noTypes{}, log)
 	g.state.Loaded[0] = 7
 	g.reconciler = reconcile.New(g.state, log)
 	spec := &wire.Job{UID: "j-1", Class: "c", Team: "t", Kind: wire.KindArray, Tasks: 2, CPUs: 2, EstimateS: 5}
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -19,7 +19,7 @@
 		spread  int
 		spreads []string
 	}{{1, []string{"free"}}, {2, []string{"free", "capped", "gpus"}}} {
-		operator := &config.Operator{Shards: 8, SpreadControllers: c.spread}
+		operator := &config.Operator{Shards: 8, ShardControllers: c.spread}
 		for _, team := range teams {
 			shards := map[int]bool{}
 			for i := range 200 {
@@ -52,7 +52,7 @@
 		shards, spread int
 		want           string
 	}{{6, 6, ""}, {64, 6, "params.teams: parts of"}, {64, 1, ""}} {
-		err := quota.CheckQuotaRecords(platform, &config.Operator{Shards: c.shards, SpreadControllers: c.spread})
+		err := quota.CheckQuotaRecords(platform, &config.Operator{Shards: c.shards, ShardControllers: c.spread})
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%d shards, spread %d: %v, want %q", c.shards, c.spread, err, c.want)
 		}
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -174,7 +174,7 @@
 	w.watched(n)
 	op := w.operator()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	n.member = membership.New(n.view, name, config.Seconds(op.LeaseS), op.Shards, op.SpreadControllers, log)
+	n.member = membership.New(n.view, name, config.Seconds(op.LeaseS), op.Shards, op.ShardControllers, log)
 	cfg := *w.cfg
 	cfg.Node = name
 	n.cancellations = cancellation.New(cancellation.Options{
@@ -222,7 +222,7 @@
 	}
 	op.Shards = 4
 	if w.leaderCount > 0 {
-		op.SpreadControllers = w.leaderCount
+		op.ShardControllers = w.leaderCount
 	}
 	return op
 }
--- a/internal/testkit/quota_leases_test.go
+++ b/internal/testkit/quota_leases_test.go
@@ -258,7 +258,7 @@
 		c.twoOwners()
 		c.live(5)
 		alone := c.operator()
-		alone.SpreadControllers = 1
+		alone.ShardControllers = 1
 		home := quota.AssignShard(&wire.Job{Team: "capped"}, limitedTeams, alone) // of all such jobs that one leader accepts
 		first := map[int]uint64{(home + 1) % alone.Shards: 1}
 		uses := func(uid string) func() bool { return func() bool { return c.onMachines(uid) == 8 } }
