--- a/internal/failovertiming/failovertiming.go
+++ b/internal/failovertiming/failovertiming.go
@@ -1,8 +1,8 @@
-// Package failovertiming times what follows a start or a failover: the seconds until this
-// controller is up, holds its lease, leads shards, has read their jobs, gets heartbeats, grants a
-// start, and has heartbeats of every worker that tasks may be on. Operators read off it what a
-// restart costs and which phase is the longest. It keeps the last recovery alone, and decides
-// nothing.
+// Package failovertiming measures the recovery of this controller after its start or a failover:
+// the time until the controller is up, holds its lease, leads shards, has read their jobs, receives
+// heartbeats, grants a start, and has received heartbeats from all workers that may run tasks.
+// Operators use the times to find out how long a restart takes and which phase is the longest. Only
+// the last recovery is stored, and no decision of the controller depends on it.
 package failovertiming
 
 import (
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// Phase is a step of a recovery.
+// Phase is a point in a recovery that is reached once.
 type Phase int
 
-// Phases, in the order in which they usually come.
+// Phases, in the order in which they are usually reached.
 const (
-	Up             Phase = iota // responds to /up with 200
-	LeaseAcquired               // holds its lease
-	ShardClaimed                // leads a shard
-	JobsRead                    // has read the shard's jobs
-	FirstHeartbeat              // responded to a worker's heartbeat with 200
-	FirstGrant                  // the first start was granted
-	HalfOfWorkers               // half of the recorded workers sent a heartbeat
-	MostWorkers                 // 95 of 100 did
-	AllWorkers                  // all did
+	Up             Phase = iota // first response to /up with status 200
+	LeaseAcquired               // the controller holds its lease
+	ShardClaimed                // the controller leads a shard
+	JobsRead                    // the shard's jobs have been read
+	FirstHeartbeat              // first response to a worker's heartbeat with status 200
+	FirstGrant                  // first start granted
+	HalfOfWorkers               // half of the recorded workers have sent a heartbeat
+	MostWorkers                 // 95 % of them have
+	AllWorkers                  // all of them have
 	numPhases
 )
 
@@ -35,44 +35,45 @@
 func (p Phase) String() string { return phaseNames[p] }
 
 const (
-	pollInterval        = 100 * time.Millisecond // while a recovery is timed
-	startupWindow       = 20 * time.Second       // a failover so soon after the start is timed from the start
-	halfMaxUnresponsive = 0.5                    // share of the recorded workers without a heartbeat, at most, for Half
-	mostMaxUnresponsive = 0.05                   // for Most
+	pollInterval        = 100 * time.Millisecond // interval at which progress is read during a recovery
+	startupWindow       = 20 * time.Second       // a failover within this time after the start is timed from the start
+	halfMaxUnresponsive = 0.5                    // largest share of recorded workers without a heartbeat for HalfOfWorkers
+	mostMaxUnresponsive = 0.05                   // the same for MostWorkers
 )
 
-// FailoverState is what is known of a failover.
+// FailoverState provides the progress of failovers.
 type FailoverState interface {
-	// FailoverProgress returns the failovers so far, the workers on which the last one found
-	// tasks recorded, and how many of those sent no heartbeat since.
+	// FailoverProgress returns the number of failovers so far, the number of workers to which
+	// recorded tasks were assigned at the last one, and how many of these workers have sent no
+	// heartbeat since.
 	FailoverProgress() (failovers, recorded, unresponsive int)
 }
 
-// Timeline times the recovery in progress and keeps the last one. It is safe for concurrent use.
+// Timeline measures the recovery in progress and stores the last one. It is safe for concurrent use.
 type Timeline struct {
 	state         FailoverState
 	maxDuration   time.Duration
 	log           *slog.Logger
-	recoveryBegan chan struct{} // a recovery began
+	recoveryBegan chan struct{} // signals Run that a recovery has begun
 
 	mu              sync.Mutex
-	startedAt       time.Time // the process
-	beganAt         time.Time // the last recovery
+	startedAt       time.Time // start of the process
+	beganAt         time.Time // beginning of the last recovery
 	inProgress      bool
-	reachedAfter    [numPhases]time.Duration // since began; 0: not yet
-	timedFailovers  int                      // failovers that have been timed
-	recordedWorkers int                      // workers that tasks were recorded on
+	reachedAfter    [numPhases]time.Duration // time from beganAt to the phase; 0: not reached
+	timedFailovers  int                      // number of failovers measured so far
+	recordedWorkers int                      // number of workers with recorded tasks
 }
 
-// New returns a timeline of the process that starts now. A recovery that is not complete after
-// limit ends as it is: failed workers send no heartbeat.
+// New returns a timeline of a process that starts now. A recovery that is not complete after
+// maxDuration ends and is logged incomplete, because failed workers never send a heartbeat.
 func New(state FailoverState, maxDuration time.Duration, log *slog.Logger) *Timeline {
 	now := time.Now()
 	return &Timeline{state: state, maxDuration: maxDuration, log: log, recoveryBegan: make(chan struct{}, 1), startedAt: now, beganAt: now, inProgress: true}
 }
 
-// Restart times the process's start from now on: before, it waited for its predecessor. It must
-// be called before Run and the first Mark.
+// Restart moves the start of the process to now, so that time spent waiting for the previous process
+// to end is not measured. It must be called before Run and the first Mark.
 func (t *Timeline) Restart() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,9 +81,10 @@
 	t.startedAt, t.beganAt = now, now
 }
 
-// Mark notes that a phase is reached. The first one counts. Marking costs a lock while a
-// recovery is timed, and little more than nothing else. Claimed begins another recovery if none
-// is timed: shards of another controller come here.
+// Mark records that a phase has been reached; repeated calls for a phase have no effect. If no
+// recovery is in progress, ShardClaimed begins one, since shards are moving here from another
+// controller, and other phases are ignored. Mark only takes a lock and is cheap enough for every
+// request.
 func (t *Timeline) Mark(p Phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,7 +104,8 @@
 	}
 }
 
-// Reset ends the recovery unlogged if this controller had claimed shards: it leads none any more.
+// Reset ends the recovery without logging it if this controller had claimed a shard. It is called
+// when the controller no longer leads any shard.
 func (t *Timeline) Reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,8 +114,8 @@
 	}
 }
 
-// Last returns the seconds from its beginning to each phase of the last recovery, by the phase's
-// name, and under "machines" how many workers tasks were recorded on.
+// Last returns, for each phase reached in the last recovery, the seconds from the beginning of the
+// recovery, by the phase's name. The key "machines" holds the number of workers with recorded tasks.
 func (t *Timeline) Last() map[string]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,8 +128,8 @@
 	return out
 }
 
-// Run watches recoveries and logs each when it is over, until ctx ends. While none is timed, no
-// timer runs.
+// Run polls the progress of recoveries and logs each when it ends, until ctx ends. No timer runs
+// between recoveries.
 func (t *Timeline) Run(ctx context.Context) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -149,7 +152,8 @@
 	}
 }
 
-// poll reads the failover's progress; false when there is nothing to time.
+// poll updates the recovery from the failover's progress. It returns false if no recovery is in
+// progress any more.
 func (t *Timeline) poll() bool {
 	failovers, recorded, unresponsive := t.state.FailoverProgress()
 	t.mu.Lock()
@@ -161,7 +165,7 @@
 	switch age := time.Since(t.beganAt); {
 	case t.reachedAfter[AllWorkers] != 0 && (t.reachedAfter[FirstGrant] != 0 || age > startupWindow):
 	case t.reachedAfter[ShardClaimed] == 0 && time.Since(t.startedAt) > startupWindow:
-		t.inProgress = false // nothing came here
+		t.inProgress = false // started without claiming a shard
 		return false
 	case age > t.maxDuration:
 	default:
--- a/internal/failovertiming/failovertiming_test.go
+++ b/internal/failovertiming/failovertiming_test.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/failovertiming"
 )
 
-// fakeFailoverState is a scheduler's counts, which the timeline reads while the test changes them.
+// fakeFailoverState holds counts that the timeline reads concurrently while the test changes them.
 type fakeFailoverState struct {
 	mu                                sync.Mutex
 	failovers, recorded, unresponsive int
@@ -25,8 +25,8 @@
 	return p.failovers, p.recorded, p.unresponsive
 }
 
-// A recovery is timed from the start, ends with the first heartbeat of the last worker, and a
-// later failover is timed anew; in between no timer runs.
+// The first recovery is timed from the start of the process and ends with the first heartbeat of the
+// last worker. A later failover is timed from its own beginning. No timer runs in between.
 func TestRecoveriesTimedFromStartAndFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -59,7 +59,7 @@
 			failovertiming.FirstGrant: 5, failovertiming.MostWorkers: 5, failovertiming.AllWorkers: 6,
 		} {
 			if got := last[phase.String()]; got < want || got > want+0.2 {
-				t.Errorf("%s after %.2f s, not %.0f", phase, got, want)
+				t.Errorf("%s after %.2f s, want %.0f", phase, got, want)
 			}
 		}
 		if n := strings.Count(out.String(), "msg=recovered"); n != 1 {
@@ -70,17 +70,18 @@
 		step(time.Minute, func() { p.unresponsive = 100; timeline.Mark(failovertiming.ShardClaimed) })
 		step(time.Minute, func() {})
 		if n := strings.Count(out.String(), "msg=recovered"); n != 2 {
-			t.Errorf("%d lines after a loss and one that never ends: %s", n, out.String())
+			t.Errorf("%d lines after a reset recovery and one without heartbeats: %s", n, out.String())
 		}
 		if last = timeline.Last(); last["claimed"] > 0.1 || last["all_heard"] != 0 {
-			t.Errorf("the later one: %v", last)
+			t.Errorf("second recovery: %v", last)
 		}
 		cancel()
 		<-done
 	})
 }
 
-// What a process waits for its predecessor before it listens is no part of its recovery.
+// The time that a process waits for its predecessor to end, before it listens, is not part of its
+// recovery.
 func TestRestartExcludesWaitForPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timeline := failovertiming.New(&fakeFailoverState{}, 44*time.Second, slog.New(slog.DiscardHandler))
@@ -89,7 +90,7 @@
 		time.Sleep(time.Second)
 		timeline.Mark(failovertiming.Up)
 		if up := timeline.Last()[failovertiming.Up.String()]; up < 1 || up > 1.2 {
-			t.Errorf("up after %.2f s, not 1", up)
+			t.Errorf("up after %.2f s, want 1", up)
 		}
 	})
 }
--- a/internal/failovertiming/recorded_test.go
+++ b/internal/failovertiming/recorded_test.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// The names of the phases in logs and statistics.
+// The names of the phases in logs and statistics do not change.
 func TestRecordedPhases(t *testing.T) {
 	var text strings.Builder
 	for _, phase := range []failovertiming.Phase{
