--- a/internal/lowerbound/log.go
+++ b/internal/lowerbound/log.go
@@ -9,22 +9,22 @@
 	"strconv"
 )
 
-// Job is a job that ended. Times are seconds.
+// Job is a job that ended. Times are in seconds.
 type Job struct {
 	Class       string
-	ArrivedS    float64 // since any fixed time
-	ElapsedS    float64 // from its acceptance to its end
-	MeanTaskS   float64 // of a task, on average
-	LimitS      float64 // after its arrival, by which it should have ended; 0: none
-	CPUsPerTask float64 // of a task
+	ArrivedS    float64 // arrival, since an arbitrary fixed time
+	ElapsedS    float64 // from the job's acceptance to its end
+	MeanTaskS   float64 // average run time of a task
+	LimitS      float64 // time from arrival within which the job should end; 0: no limit
+	CPUsPerTask float64
 	Tasks       int
 }
 
-// CPUSeconds is what the job needs, in CPU-seconds.
+// CPUSeconds returns the CPU-seconds that all tasks of the job need together.
 func (job *Job) CPUSeconds() float64 { return float64(job.Tasks) * job.CPUsPerTask * job.MeanTaskS }
 
-// The message and the keys of the debug line that the leader of a job logs when it ends.
-// Logs are kept for long: if the line changes, lines of this form are to be read still.
+// Message and keys of the debug line that the leader of a job logs when the job ends. Logs are
+// archived: if the line changes, lines in this format must remain readable.
 const (
 	messageEnded = "job ended"
 	keyJob       = "job"
@@ -47,9 +47,9 @@
 	keyValuePattern  = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
 )
 
-// ReadJobs returns the jobs that were done, by their arrival, of a log written with
-// LOG_LEVEL=debug. A job that two leaders logged counts once. The error of a line that can't
-// be read names its number, and wraps a *strconv.NumError.
+// ReadJobs returns the completed jobs from a log written with LOG_LEVEL=debug, in order of arrival.
+// Cancelled jobs are skipped, and a job logged by two leaders is returned once. The error for an
+// invalid line contains the line's number and wraps a *strconv.NumError.
 func ReadJobs(r io.Reader) ([]Job, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -77,7 +77,7 @@
 	return jobs, nil
 }
 
-// parseFields returns the values of a log line by key, quoted ones with their quotes.
+// parseFields returns the values of a log line by key. Quoted values retain their quotes.
 func parseFields(line string) map[string]string {
 	values := map[string]string{}
 	for _, match := range keyValuePattern.FindAllStringSubmatch(line, -1) {
@@ -86,7 +86,7 @@
 	return values
 }
 
-// parseJob reads the fields of a line.
+// parseJob converts the fields of a log line to a Job.
 func parseJob(values map[string]string) (Job, error) {
 	job := Job{Class: values[keyClass]}
 	tasks := 0.0
@@ -104,7 +104,7 @@
 	} {
 		value, err := strconv.ParseFloat(values[number.key], 64)
 		if err != nil {
-			invalid = fmt.Errorf("%s: %w", number.key, err) // the last one is reported
+			invalid = fmt.Errorf("%s: %w", number.key, err) // if several are invalid, the last one is returned
 		}
 		*number.target = value
 	}
--- a/internal/lowerbound/lowerbound.go
+++ b/internal/lowerbound/lowerbound.go
@@ -1,8 +1,8 @@
-// Package lowerbound computes what a logged day would have cost at least, and how many jobs
-// would have been late at least. From the lines that controllers logged of every job that
-// ended it packs the same work with perfect knowledge onto spot capacity first, divisible at
-// will. No scheduler does better, since tasks are whole, workers take time to boot and
-// arrivals are not known beforehand. The package reads logs and computes; it keeps no state.
+// Package lowerbound computes lower bounds for the cost of a logged day and for the number of late
+// jobs. It reads the lines that controllers log for every ended job, and assigns the same work to
+// spot capacity first, with perfect knowledge and work that can be divided arbitrarily. No scheduler
+// can do better, because tasks are indivisible, workers take time to boot and arrivals are not known
+// in advance.
 package lowerbound
 
 import (
@@ -10,22 +10,22 @@
 	"math"
 )
 
-// Result is what was, and what could have been. Where it says cheap and dear, these are spot
-// and on-demand capacity.
+// Result holds the logged figures of a day and their lower bounds. The command that prints it calls
+// spot capacity cheap and on-demand capacity dear.
 type Result struct {
 	Jobs         int
-	TotalWork    float64            // CPU-seconds
-	OnDemandWork float64            // of it, what spot capacity can't do in time, whatever the order
-	RelativeCost float64            // cost at best, relative to that of all the work on spot capacity
-	LateAsRun    map[string]float64 // share of a class's jobs beyond their limit, as it was
-	LateOnSpot   map[string]float64 // the same on spot capacity alone, earliest limit first
-	PeakCPUs     float64            // most CPUs at once, if every job had run as it came
+	TotalWork    float64            // CPU-seconds of all jobs
+	OnDemandWork float64            // CPU-seconds of it that spot capacity can't finish in time in any order
+	RelativeCost float64            // lowest possible cost, divided by the cost of all work on spot capacity
+	LateAsRun    map[string]float64 // logged share of late jobs, by class
+	LateOnSpot   map[string]float64 // the same on spot capacity alone, earliest deadline first
+	PeakCPUs     float64            // largest number of CPUs that the unfinished jobs can use at once
 }
 
-// Compute packs jobs, which are in the order of their arrival, onto spotCPUs, in steps of a
-// second, earliest limit first. That order lets the most work end in time. What is not done
-// by its limit is bought on demand, at onDemandPrice times the spot price. Jobs without a
-// limit take what is left.
+// Compute assigns the work of jobs, which must be in order of arrival, to spotCPUs in steps of one
+// second, earliest deadline first. This order maximizes the work that finishes in time. Work not done
+// by its deadline runs on demand, at onDemandPrice times the spot price. Jobs without a limit use the
+// remaining spot capacity.
 func Compute(jobs []Job, spotCPUs, onDemandPrice float64) Result {
 	result := Result{Jobs: len(jobs), LateAsRun: map[string]float64{}, LateOnSpot: map[string]float64{}}
 	jobCounts := map[string]float64{}
@@ -49,8 +49,8 @@
 	return result
 }
 
-// pack adds up what spotCPUs can't do in time, the late jobs by class, and the most CPUs at
-// once.
+// pack simulates the day second by second. It computes OnDemandWork, the counts of late jobs in
+// LateOnSpot, and PeakCPUs.
 func (result *Result) pack(jobs []Job, spotCPUs float64) {
 	waiting := &deadlineHeap{}
 	next := 0
@@ -63,12 +63,12 @@
 		result.PeakCPUs = max(result.PeakCPUs, waiting.usableCPUs())
 		result.runSecond(waiting, nowS, spotCPUs)
 		if spotCPUs <= 0 && nowS > endS {
-			return // nothing but jobs without a limit is left, and nothing to run them on
+			return // only jobs without a limit are left, and they can never run
 		}
 	}
 }
 
-// logPeriod is from the first job's arrival to the last end.
+// logPeriod returns the arrival of the first job and the latest end of a job.
 func logPeriod(jobs []Job) (startS, endS float64) {
 	for i := range jobs {
 		if i == 0 {
@@ -79,7 +79,8 @@
 	return startS, endS
 }
 
-// runSecond runs waiting work for a second, and buys what is beyond its limit on demand.
+// runSecond runs waiting work on spot capacity for one second. Jobs past their deadline are removed,
+// and their remaining work is added to OnDemandWork.
 func (result *Result) runSecond(waiting *deadlineHeap, nowS, spotCPUs float64) {
 	for free := spotCPUs; waiting.Len() > 0; {
 		first := waiting.remaining[0]
@@ -100,16 +101,16 @@
 	}
 }
 
-// remainingJob is a job with the work, in CPU-seconds, that is left of it.
+// remainingJob is an unfinished job with its remaining work in CPU-seconds.
 type remainingJob struct {
 	job        *Job
 	cpuSeconds float64
 }
 
-// deadlineHeap is a heap of jobs, the earliest limit on top.
+// deadlineHeap is a heap of unfinished jobs, with the earliest deadline on top.
 type deadlineHeap struct{ remaining []*remainingJob }
 
-// usableCPUs is how many CPUs the jobs can use at once.
+// usableCPUs returns how many CPUs the jobs in the heap can use at once.
 func (h *deadlineHeap) usableCPUs() float64 {
 	cpus := 0.0
 	for _, part := range h.remaining {
@@ -118,7 +119,7 @@
 	return cpus
 }
 
-// deadlineS is when the i-th job should end; a job without a limit comes last.
+// deadlineS returns the deadline of the i-th job; a job without a limit sorts last.
 func (h *deadlineHeap) deadlineS(i int) float64 {
 	if job := h.remaining[i].job; job.LimitS > 0 {
 		return job.ArrivedS + job.LimitS
@@ -126,13 +127,13 @@
 	return math.Inf(1)
 }
 
-// Len is how many there are.
+// Len implements heap.Interface.
 func (h *deadlineHeap) Len() int { return len(h.remaining) }
 
-// Less puts the earlier limit first.
+// Less implements heap.Interface; the earlier deadline comes first.
 func (h *deadlineHeap) Less(a, b int) bool { return h.deadlineS(a) < h.deadlineS(b) }
 
-// Swap swaps two.
+// Swap implements heap.Interface.
 func (h *deadlineHeap) Swap(a, b int) {
 	h.remaining[a], h.remaining[b] = h.remaining[b], h.remaining[a]
 }
@@ -140,7 +141,7 @@
 // Push appends a *remainder.
 func (h *deadlineHeap) Push(x any) { h.remaining = append(h.remaining, x.(*remainingJob)) }
 
-// Pop removes the last one.
+// Pop implements heap.Interface: it removes the last element and returns it.
 func (h *deadlineHeap) Pop() any {
 	last := h.remaining[len(h.remaining)-1]
 	h.remaining = h.remaining[:len(h.remaining)-1]
--- a/internal/lowerbound/lowerbound_test.go
+++ b/internal/lowerbound/lowerbound_test.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/lowerbound"
 )
 
-// A log with a job that two leaders logged and a cancelled one gives the least work that
-// spot capacity can't do in time; a malformed line is refused by its number.
+// The bound is computed from a log that also contains a duplicate line, logged by a second leader,
+// and a cancelled job. The error for a malformed line contains its number.
 func TestBoundFromLog(t *testing.T) {
 	const log = `   12.5 racker-1 time=x level=INFO msg=started
 time=x level=DEBUG msg="job ended" job=j-1 class=study stage=done arrived_s=0.5 took_s=30 run_s=10 limit_s=20 tasks=10 cpus=1
@@ -21,8 +21,9 @@
 	if err != nil || len(jobs) != 2 {
 		t.Fatalf("%d jobs, %v", len(jobs), err)
 	}
-	// 200 CPU-seconds on 8 CPUs: of the quote's 100 only 80 are done by its limit, and
-	// the study's 100 then have 10.5 s left, which is 80 in whole seconds.
+	// 200 CPU-seconds on 8 CPUs: the quote's deadline is after 10 s, so only 80 of its 100
+	// CPU-seconds finish in time. The study's 100 then have 10.5 s, of which 10 whole seconds,
+	// or 80 CPU-seconds, are usable.
 	r := lowerbound.Compute(jobs, 8, 5)
 	if r.TotalWork != 200 || r.OnDemandWork < 20 || r.OnDemandWork > 40 || math.Abs(r.RelativeCost-(1+4*r.OnDemandWork/200)) > 1e-9 {
 		t.Errorf("%+v", r)
@@ -31,9 +32,9 @@
 		t.Errorf("late %v, on spot capacity alone %v", r.LateAsRun, r.LateOnSpot)
 	}
 	if r := lowerbound.Compute(jobs, 100, 5); r.OnDemandWork != 0 || r.RelativeCost != 1 {
-		t.Errorf("with room for all: %+v", r)
+		t.Errorf("with capacity for all jobs: %+v", r)
 	}
 	if _, err := lowerbound.ReadJobs(strings.NewReader(`msg="job ended" job=j-1 stage=done tasks=x`)); err == nil || !strings.Contains(err.Error(), "line 1") {
-		t.Errorf("a malformed line gave %v", err)
+		t.Errorf("error for a malformed line: %v", err)
 	}
 }
--- a/internal/lowerbound/recorded_test.go
+++ b/internal/lowerbound/recorded_test.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// A log of a local site, with limits put in, a class of two words, and one line logged by a
-// second leader too: such logs are kept, and are to give what they gave.
+// An archived log must produce the same result in later versions. The log is from a local cluster,
+// edited to contain limits, a class name of two words, and one line logged by a second leader.
 func TestRecordedLog(t *testing.T) {
 	jobs, err := lowerbound.ReadJobs(bytes.NewReader(recorded.Read(t, "debug.log")))
 	if err != nil {
