--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic runs long-lived duties at an interval.
+// Package periodic calls functions at a fixed interval.
 package periodic
 
 import (
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Run calls do after each interval until ctx ends, and returns ctx's error. The first call
-// comes after one interval. A call that takes longer than the interval delays the next one;
-// calls that were missed meanwhile are left out.
+// Run calls call at each interval until ctx ends, and returns ctx's error. The first call is made
+// after one interval. If a call takes longer than the interval, the next one is delayed, and the
+// ticks missed in the meantime are skipped.
 func Run(ctx context.Context, interval time.Duration, call func()) error {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/internal/periodic/periodic_test.go
+++ b/internal/periodic/periodic_test.go
@@ -11,8 +11,8 @@
 	"github.com/wallrack/wallrack/internal/periodic"
 )
 
-// A duty runs once an interval from the first interval on; what is missed while it takes
-// longer is left out; and nothing runs after the end of its context.
+// The function is called once per interval, ticks missed during a long call are skipped, and no call
+// is made after the context ends.
 func TestRunSkipsMissedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -28,11 +28,11 @@
 			}
 		})
 		if !errors.Is(err, context.Canceled) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("returned %v", err)
 		}
 		want := []time.Duration{time.Second, 2 * time.Second, 5500 * time.Millisecond, 6 * time.Second, 7 * time.Second}
 		if !slices.Equal(calls, want) {
-			t.Errorf("called at %v, not %v", calls, want)
+			t.Errorf("called at %v, want %v", calls, want)
 		}
 	})
 }
