--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -1,46 +1,46 @@
-// Package sockets divides the sockets that a process may use between the connections
-// that it accepts, those on which it sends direct commands to workers, and the rest. It only
-// computes the bounds: it opens and closes nothing, and has no state.
+// Package sockets divides the sockets that a process may use between accepted connections,
+// connections for sending commands to workers, and the process's other connections. It only
+// computes the limits and does not open or close connections.
 package sockets
 
 import "math"
 
 const (
-	baseSockets           = 40 // to the state service and the cloud, listeners, files
-	socketsPerPeer        = 2  // one to the peer and one from it
-	minConcurrentRequests = 8  // messages of direct commands that may be under way however few sockets there are
-	requestDivisor        = 20 // one socket in so many is always left to direct commands
-	maxConnectionDivisor  = 2  // and one in so many at most: a worker that is sent commands has a connection of its own
-	reserveDivisor        = 16 // one in so many is kept free for users and workers that are about to connect
+	baseSockets           = 40 // connections to the state service and the cloud, listeners and files
+	socketsPerPeer        = 2  // one connection to each peer and one from it
+	minConcurrentRequests = 8  // concurrent requests with commands that are always possible, even with few sockets
+	requestDivisor        = 20 // 1/20 of the sockets is reserved for requests with commands
+	maxConnectionDivisor  = 2  // at most 1/2 of the sockets is used for them; each worker needs a connection of its own
+	reserveDivisor        = 16 // 1/16 of the sockets is left free for new connections from users and workers
 )
 
-// Budget is the sockets of a process. It is safe for concurrent use if Accepted is.
+// Budget computes the socket limits of a process. It is safe for concurrent use if Accepted is.
 type Budget struct {
-	MaxSockets int        // of the whole process; 0 if there is none
-	Peers      int        // other controllers
-	Accepted   func() int // connections from users and workers that are open now
+	MaxSockets int        // limit of the whole process; 0: no limit
+	Peers      int        // number of other controllers
+	Accepted   func() int // returns the number of open connections from users and workers
 }
 
-// ConnectionLimits bounds the connections to workers, used and idle ones together. Between the
-// two bounds nothing is closed for others: connections from users that come and go must
-// not have idle ones closed and dialled again each time.
+// ConnectionLimits limits the number of connections to workers, in use and idle ones together. If the
+// two limits were equal, each short-lived user connection could cause an idle connection to be
+// closed and dialled again.
 type ConnectionLimits struct {
-	SoftLimit int // from so many on, a new connection takes the place of an idle one
-	HardLimit int // idle connections beyond so many are closed at once
+	SoftLimit int // at or above this number, an idle connection is closed for each new one
+	HardLimit int // idle connections above this number are closed at once
 }
 
-// MaxConcurrentRequests is how many requests to workers may be under way: so many sockets are left to them
-// whatever else is open.
+// MaxConcurrentRequests returns how many requests to workers may be in progress at the same time.
+// This number of sockets is reserved for them.
 func (b Budget) MaxConcurrentRequests() int {
 	return max(minConcurrentRequests, b.MaxSockets/requestDivisor)
 }
 
-// ownSockets is how many sockets this process keeps for its ownSockets connections, direct commands aside.
-// Without them it could not even keep its lease.
+// ownSockets returns the number of sockets reserved for the process's connections to the state
+// service, the cloud and its peers. Without this reserve the process could fail to renew its lease.
 func (b Budget) ownSockets() int { return baseSockets + socketsPerPeer*b.Peers }
 
-// MaxAccepted is how many connections from users and workers may be open. Idle connections
-// to workers don't lower it: they are closed when it needs their sockets.
+// MaxAccepted returns how many connections from users and workers may be open. Idle connections to
+// workers do not reduce this number: they are closed when their sockets are needed.
 func (b Budget) MaxAccepted() int {
 	if b.MaxSockets == 0 {
 		return math.MaxInt
@@ -48,7 +48,7 @@
 	return b.MaxSockets - b.ownSockets() - b.MaxConcurrentRequests()
 }
 
-// WorkerConnections returns how many connections to workers may be open now.
+// WorkerConnections returns the current limits for connections to workers.
 func (b Budget) WorkerConnections() ConnectionLimits {
 	least := b.MaxConcurrentRequests()
 	if b.MaxSockets == 0 {
--- a/internal/sockets/budget_test.go
+++ b/internal/sockets/budget_test.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/sockets"
 )
 
-// Whatever is open, the connections that are accepted, those for commands and the process's
-// own stay within the limit, and commands that are under way always have a socket.
+// Accepted connections, connections for commands and the process's own connections together stay
+// within the limit, and requests with commands always have their reserved sockets.
 func TestBudgetStaysWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		accepted := 0
@@ -22,18 +22,18 @@
 		before := b.WorkerConnections()
 		own := b.MaxSockets - most - b.MaxConcurrentRequests()
 		if own < 40+2*b.Peers {
-			t.Errorf("%d sockets are left for state service, cloud and peers", own)
+			t.Errorf("only %d sockets are reserved for the state service, the cloud and peers", own)
 		}
 		if total := accepted + before.HardLimit + own; total > b.MaxSockets {
 			t.Errorf("%d accepted and %d for commands: %d of %d sockets", accepted, before.HardLimit, total, b.MaxSockets)
 		}
 		if before.SoftLimit < b.MaxConcurrentRequests() || before.HardLimit < before.SoftLimit {
-			t.Errorf("%+v with %d messages at once", before, b.MaxConcurrentRequests())
+			t.Errorf("%+v with %d concurrent requests", before, b.MaxConcurrentRequests())
 		}
-		// Users that come and go, up to half of the reserve, close nothing.
+		// User connections that open and close, up to half of the reserve, close no connection to a worker.
 		accepted = min(most, accepted+b.MaxSockets/32)
 		if after := b.WorkerConnections(); after.HardLimit < before.SoftLimit {
-			t.Errorf("%+v, and %+v with %d more accepted", before, after, b.MaxSockets/32)
+			t.Errorf("limits %+v, and %+v with %d more accepted connections", before, after, b.MaxSockets/32)
 		}
 	})
 }
