--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,6 +1,6 @@
-// Package connlimit shares a process's sockets between the connections that it accepts and those
-// on which it sends commands to workers. Accepted connections beyond their part are refused at
-// once, with an HTTP response, so that the process never runs out of sockets and can keep its lease.
+// Package connlimit limits the connections that a process accepts, so that sockets remain for
+// sending commands to workers and for renewing the process's lease. Connections beyond the limit
+// are answered at once with HTTP status 503 and closed.
 package connlimit
 
 import (
@@ -14,21 +14,23 @@
 	"github.com/wallrack/wallrack/internal/usage"
 )
 
-// refusalResponse is the response to a connection that finds no socket left.
+// refusalResponse is sent on connections beyond the limit.
 const refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 2\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// refusalTimeout is enough for a fresh connection, which takes so little at once.
+// refusalTimeout limits the write of refusalResponse. It can be short, since the response fits into
+// the empty send buffer of a new connection.
 const refusalTimeout = 20 * time.Millisecond
 
-// Limit counts the accepted connections. It is safe for concurrent use.
+// Limit counts the open accepted connections. It is safe for concurrent use.
 type Limit struct {
 	open    atomic.Int64
 	max     int
-	onAdmit func() // called after each connection within the limit
+	onAdmit func() // called after a connection has been counted
 }
 
-// New shares maxSockets, 0 if there is no limit, of a process with so many peers: idle
-// connections of the returned sender are closed when the accepted ones need their sockets.
+// New returns a limit for accepted connections, and a sender of commands, which share maxSockets (0:
+// no limit) in a process with the given number of peers. Idle connections of the sender are closed
+// when accepted connections need their sockets.
 func New(maxSockets, peers int) (*Limit, *dispatch.HTTPCommandSender) {
 	l := &Limit{}
 	budget := sockets.Budget{MaxSockets: maxSockets, Peers: peers, Accepted: l.Open}
@@ -37,13 +39,13 @@
 	return l, commands
 }
 
-// Open is how many connections are open.
+// Open returns the number of open accepted connections.
 func (l *Limit) Open() int { return int(l.open.Load()) }
 
-// Max is how many connections may be open; math.MaxInt without a limit.
+// Max returns how many accepted connections may be open: math.MaxInt if there is no limit.
 func (l *Limit) Max() int { return l.max }
 
-// admit counts a connection as open; false if there are as many as may be.
+// admit counts a new connection as open. It returns false if the limit is reached.
 func (l *Limit) admit() bool {
 	if l.open.Add(1) > int64(l.max) {
 		l.open.Add(-1)
@@ -53,19 +55,19 @@
 	return true
 }
 
-// Listener responds to connections beyond a limit at once instead of letting the
-// process run out of sockets.
+// Listener is a net.Listener that answers connections beyond a limit with refusalResponse and closes
+// them.
 type Listener struct {
 	net.Listener
 	limit *Limit
 }
 
-// NewListener limits the connections that a listener accepts.
+// NewListener returns a Listener that applies limit to the connections accepted by lis.
 func NewListener(lis net.Listener, limit *Limit) *Listener {
 	return &Listener{Listener: lis, limit: limit}
 }
 
-// Accept returns the next connection within the limit.
+// Accept returns the next connection within the limit, and refuses connections beyond it.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -77,12 +79,12 @@
 		}
 		usage.CountEvent(usage.RefusedConnections)
 		_ = conn.SetWriteDeadline(time.Now().Add(refusalTimeout))
-		_, _ = conn.Write([]byte(refusalResponse)) // who does not get it tries again all the same
+		_, _ = conn.Write([]byte(refusalResponse)) // clients that don't receive the response retry anyway
 		_ = conn.Close()
 	}
 }
 
-// countedConn counts as open until it is closed.
+// countedConn is an accepted connection that counts as open until it is closed.
 type countedConn struct {
 	net.Conn
 	limit *Limit
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -15,8 +15,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Users, or connections that never send anything, must not take the sockets that the lease's
-// renewal needs: those beyond the limit are refused at once, with a time to come back.
+// Connections beyond the limit are refused at once with a Retry-After header, even if the open ones
+// are idle. Otherwise clients could use up the sockets needed to renew the lease.
 func TestListenerRejectsConnectionsBeyondLimit(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,8 +33,8 @@
 			t.Error(err)
 		}
 	}()
-	// One that is refused says nothing first: the answer comes at once, and a client of
-	// net/http that sees it before it has sent its request calls it an error, by chance.
+	// A refused connection sends no request: the server responds at once, and an http.Client
+	// that receives the response before it has sent its request returns an error.
 	request := func(text string) int {
 		conn, err := net.Dial("tcp", lis.Addr().String())
 		if err != nil {
@@ -51,14 +51,14 @@
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") == "" {
-			t.Error("refused without saying when to come back")
+			t.Error("refused without a Retry-After header")
 		}
 		return resp.StatusCode
 	}
 	wait := func(open int) {
 		for start := time.Now(); limit.Open() != open; time.Sleep(time.Millisecond) {
 			if time.Since(start) > 5*time.Second {
-				t.Fatalf("%d connections open, not %d", limit.Open(), open)
+				t.Fatalf("%d connections open, want %d", limit.Open(), open)
 			}
 		}
 	}
@@ -70,18 +70,18 @@
 	}
 	wait(2)
 	if got := request(""); got != http.StatusServiceUnavailable {
-		t.Errorf("status %d with all connections taken", got)
+		t.Errorf("status %d at the limit", got)
 	}
 	_ = idle[0].Close()
 	wait(1)
 	if got := request("GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"); got != http.StatusOK {
-		t.Errorf("status %d after one left", got)
+		t.Errorf("status %d after one connection was closed", got)
 	}
 	_ = idle[1].Close()
 }
 
-// Idle connections for commands must never cost a user or worker a connection: all that the
-// limit allows are admitted, and the process keeps within its limit meanwhile.
+// All connections from users and workers that the limit allows are accepted, even if there are idle
+// connections for commands: these are closed, so that the process stays within its socket limit.
 func TestIdleCommandConnectionsAreClosedForAccepted(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -97,10 +97,10 @@
 	for range 3 * budget.MaxConcurrentRequests() {
 		worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusConflict) }))
 		defer worker.Close()
-		_, _, _ = commands.SendCommands(context.Background(), worker.Listener.Addr().String(), wire.PushedCommands{Token: 1}, func() error { return nil }) // only the connection matters
+		_, _, _ = commands.SendCommands(context.Background(), worker.Listener.Addr().String(), wire.PushedCommands{Token: 1}, func() error { return nil }) // only the connection matters, not the result
 	}
 	if n := commands.Connections(); n != 3*budget.MaxConcurrentRequests() {
-		t.Fatalf("%d connections for commands before anybody came", n)
+		t.Fatalf("%d connections for commands before the first accepted connection", n)
 	}
 	for user := range budget.MaxAccepted() {
 		c, err := net.Dial("tcp", lis.Addr().String())
@@ -114,14 +114,14 @@
 		}
 		defer closeOrFail(t, admitted)
 		if limit.Open() != user+1 {
-			t.Fatalf("user %d was not admitted", user)
+			t.Fatalf("connection %d was not accepted", user)
 		}
 		if total := limit.Open() + commands.Connections() + own; total > budget.MaxSockets {
-			t.Fatalf("%d sockets of %d with %d users", total, budget.MaxSockets, limit.Open())
+			t.Fatalf("%d sockets of %d in use with %d accepted connections", total, budget.MaxSockets, limit.Open())
 		}
 	}
 	if n := commands.Connections(); n != budget.MaxConcurrentRequests() {
-		t.Errorf("%d connections left for %d commands at once", n, budget.MaxConcurrentRequests())
+		t.Errorf("%d connections for commands left, want %d", n, budget.MaxConcurrentRequests())
 	}
 }
 
