--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -7,8 +7,8 @@
 	"github.com/goccy/go-json"
 )
 
-// Write sends a response with a status and a body in JSON; one that can't be encoded is
-// status 500 with an empty body.
+// Write sends a response with the given status and the JSON encoding of body. If body can't be
+// encoded, it sends status 500 with an empty body.
 func Write(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -16,5 +16,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(data) // who did not get it asks again
+	_, _ = w.Write(data) // clients that don't receive the response retry
 }
