--- a/deploy/rollouts.sexp
+++ b/deploy/rollouts.sexp
@@ -1,8 +1,8 @@
-; Settings of roll-outs, an example: wallrack --config FILE --rollouts deploy/rollouts.sexp
+; Example settings for rollouts: wallrack --config FILE --rollouts deploy/rollouts.sexp
 (rollouts
-  ; where what services run is uploaded, and workers fetch it
+  ; server from which workers fetch the uploaded descriptions of services
   (descriptions "http://127.0.0.1:7700")
-  ; no step begins in a slot: name, calendar, zone, minutes
+  ; slot during which no rollout step begins: name, schedule (cron), time zone, minutes
   (slot "nightly split" "30 1 * * *" "Europe/London" 90)
-  ; nor while a job of the class is unfinished
+  ; no step begins while a job of this class is unfinished
   (slot-class "tip-split"))
--- a/deploy/scale-small.sexp
+++ b/deploy/scale-small.sexp
@@ -1,4 +1,4 @@
-; A quick try of wallrack scale: 100 workers, about half a minute.
+; A small load test with wallrack scale: 100 workers, about half a minute.
 (scale
   (workers 100) (controllers 3) (zones 10) (regions 5) (rack-workers 4)
   (teams 16) (team-spare-cpus 30)
--- a/deploy/slurm.sexp
+++ b/deploy/slurm.sexp
@@ -1,5 +1,5 @@
-; Settings of Slurm-style clients and accounting: wallrack --config FILE --slurm deploy/slurm.sexp
+; Settings of the Slurm-compatible clients and of accounting: wallrack --config FILE --slurm deploy/slurm.sexp
 (slurm
-  (cluster "wallrack")    ; the name that clients show
-  (accounting on)         ; a row of every job and attempt, see docs/slurm.md
-  (listings-per-s 5))     ; squeue and sacct that a controller answers in a second
+  (cluster "wallrack")    ; cluster name shown by clients
+  (accounting on)         ; write a row for every job and attempt, see docs/slurm.md
+  (listings-per-s 5))     ; squeue and sacct requests that a controller answers per second
