--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -37,7 +37,7 @@
 func TestPlanOfLargestJobIsBounded(t *testing.T) {
 	a := testAutoscaler()
 	start := time.Now()
-	wants, _ := a.plan(time.Now(), demand(wire.MaxTasks, true, 20))
+	wants, _ := a.plan(time.Now(), demand(wire.MaxTasksPerJob, true, 20))
 	for o, n := range wants {
 		if n > maxProvision*a.maxInFlight() {
 			t.Errorf("%d of %+v", n, o)
--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -103,7 +103,7 @@
 	}
 	c.listener = connlimit.NewListener(lis, c.connections)
 	c.meter = usage.New(int64(c.cfg.Params.Limits.RAMMB*pressureShare*bytesPerMB), c.queues, c.log)
-	c.times.Restart()
+	c.times.ResetStart()
 	c.exchangeCancellations()
 	c.watchLinks()
 	c.watchWorkers()
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -40,7 +40,7 @@
 func (c *controller) serveStats(w http.ResponseWriter, _ *http.Request) {
 	stats := c.alerts.Stats()
 	stats["counters"], stats["usage"] = c.scheduler.Counters(), c.meter.Read()
-	stats["recovery"], stats["served"] = c.times.Last(), c.scheduler.Served()
+	stats["recovery"], stats["served"] = c.times.LastRecovery(), c.scheduler.Served()
 	httpjson.Write(w, http.StatusOK, stats)
 }
 
--- a/internal/dispatch/command_sender.go
+++ b/internal/dispatch/command_sender.go
@@ -54,7 +54,7 @@
 func NewHTTPCommandSender(budget sockets.Budget) *HTTPCommandSender {
 	slots := budget.MaxConcurrentRequests()
 	return &HTTPCommandSender{
-		connections: newConnectionPool(budget.WorkerConnections),
+		connections: newConnectionPool(budget.WorkerConnectionLimits),
 		slots:       make(chan struct{}, slots),
 		pollSlots:   make(chan struct{}, slots/pollShare),
 	}
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -109,7 +109,7 @@
 		t.Errorf("%d connections opened and %d kept for two messages to each of %d workers", sum, sender.Connections(), workers)
 	}
 
-	for budget.WorkerConnections().HardLimit != workers-10 {
+	for budget.WorkerConnectionLimits().HardLimit != workers-10 {
 		accepted.Add(1)
 	}
 	sender.Trim()
--- a/internal/failovertiming/failovertiming.go
+++ b/internal/failovertiming/failovertiming.go
@@ -72,9 +72,9 @@
 	return &Timeline{state: state, maxDuration: maxDuration, log: log, recoveryBegan: make(chan struct{}, 1), startedAt: now, beganAt: now, inProgress: true}
 }
 
-// Restart moves the start of the process to now, so that time spent waiting for the previous process
+// ResetStart moves the start of the process to now, so that time spent waiting for the previous process
 // to end is not measured. It must be called before Run and the first Mark.
-func (t *Timeline) Restart() {
+func (t *Timeline) ResetStart() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -114,9 +114,9 @@
 	}
 }
 
-// Last returns, for each phase reached in the last recovery, the seconds from the beginning of the
-// recovery, by the phase's name. The key "machines" holds the number of workers with recorded tasks.
-func (t *Timeline) Last() map[string]float64 {
+// LastRecovery returns the seconds from the beginning of the last recovery to each phase reached, by
+// the phase's name. The key "machines" holds the number of workers with recorded tasks.
+func (t *Timeline) LastRecovery() map[string]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]float64{"machines": float64(t.recordedWorkers)}
--- a/internal/failovertiming/failovertiming_test.go
+++ b/internal/failovertiming/failovertiming_test.go
@@ -53,7 +53,7 @@
 		step(time.Second, func() { timeline.Mark(failovertiming.FirstGrant); p.unresponsive = 4 })
 		step(time.Second, func() { p.unresponsive = 0 })
 		step(time.Second, func() {})
-		last := timeline.Last()
+		last := timeline.LastRecovery()
 		for phase, want := range map[failovertiming.Phase]float64{
 			failovertiming.Up: 1, failovertiming.ShardClaimed: 2, failovertiming.JobsRead: 3, failovertiming.FirstHeartbeat: 4, failovertiming.HalfOfWorkers: 4,
 			failovertiming.FirstGrant: 5, failovertiming.MostWorkers: 5, failovertiming.AllWorkers: 6,
@@ -72,7 +72,7 @@
 		if n := strings.Count(out.String(), "msg=recovered"); n != 2 {
 			t.Errorf("%d lines after a reset recovery and one without heartbeats: %s", n, out.String())
 		}
-		if last = timeline.Last(); last["claimed"] > 0.1 || last["all_heard"] != 0 {
+		if last = timeline.LastRecovery(); last["claimed"] > 0.1 || last["all_heard"] != 0 {
 			t.Errorf("second recovery: %v", last)
 		}
 		cancel()
@@ -86,10 +86,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		timeline := failovertiming.New(&fakeFailoverState{}, 44*time.Second, slog.New(slog.DiscardHandler))
 		time.Sleep(10 * time.Second)
-		timeline.Restart()
+		timeline.ResetStart()
 		time.Sleep(time.Second)
 		timeline.Mark(failovertiming.Up)
-		if up := timeline.Last()[failovertiming.Up.String()]; up < 1 || up > 1.2 {
+		if up := timeline.LastRecovery()[failovertiming.Up.String()]; up < 1 || up > 1.2 {
 			t.Errorf("up after %.2f s, want 1", up)
 		}
 	})
--- a/internal/lowerbound/lowerbound.go
+++ b/internal/lowerbound/lowerbound.go
@@ -37,7 +37,7 @@
 			result.LateAsRun[job.Class]++
 		}
 	}
-	result.pack(jobs, spotCPUs)
+	result.simulate(jobs, spotCPUs)
 	for _, late := range []map[string]float64{result.LateAsRun, result.LateOnSpot} {
 		for class := range late {
 			late[class] /= jobCounts[class]
@@ -49,9 +49,9 @@
 	return result
 }
 
-// pack simulates the day second by second. It computes OnDemandWork, the counts of late jobs in
+// simulate simulates the day second by second. It computes OnDemandWork, the counts of late jobs in
 // LateOnSpot, and PeakCPUs.
-func (result *Result) pack(jobs []Job, spotCPUs float64) {
+func (result *Result) simulate(jobs []Job, spotCPUs float64) {
 	waiting := &deadlineHeap{}
 	next := 0
 	startS, endS := logPeriod(jobs)
--- a/internal/scheduler/large_array_test.go
+++ b/internal/scheduler/large_array_test.go
@@ -23,14 +23,14 @@
 	for i := range jobs {
 		cluster.scheduler.JobAccepted(&wire.Job{
 			UID: fmt.Sprintf("j-%d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: "low",
-			Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1, EstimateS: 30, Spot: true,
+			Tasks: wire.MaxTasksPerJob, CPUs: 1, MemoryGB: 1, EstimateS: 30, Spot: true,
 		}, nil, 0, 0, uint64(i+1))
 	}
 	cluster.scheduler.Pass()
 	if each := (heap() - before) / jobs; each > 2<<20 {
-		t.Errorf("%d KB for a job of %d tasks", each>>10, wire.MaxTasks)
+		t.Errorf("%d KB for a job of %d tasks", each>>10, wire.MaxTasksPerJob)
 	}
-	if got := cluster.scheduler.QueueDepths()["pending"]; got < jobs*wire.MaxTasks-1000 {
+	if got := cluster.scheduler.QueueDepths()["pending"]; got < jobs*wire.MaxTasksPerJob-1000 {
 		t.Errorf("%d pending", got)
 	}
 }
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -87,7 +87,7 @@
 		snapshot.Placements = placements[min(skip, len(placements)):]
 		if left := maxRows - rows - 1; len(snapshot.Placements) > left {
 			snapshot.Placements = snapshot.Placements[:left]
-			next = &jobquery.Cursor{Number: number, SkipPlacements: skip + left, Task: wire.MaxTasks}
+			next = &jobquery.Cursor{Number: number, SkipPlacements: skip + left, Task: wire.MaxTasksPerJob}
 		}
 		rows += 1 + len(snapshot.Placements)
 		snapshots = append(snapshots, snapshot)
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -162,8 +162,8 @@
 		}
 		job.Tasks = indices.Len()
 	}
-	if job.Tasks > wire.MaxTasks {
-		return 0, &UsageError{Option: option, Why: fmt.Sprintf("more than %d tasks", wire.MaxTasks)}
+	if job.Tasks > wire.MaxTasksPerJob {
+		return 0, &UsageError{Option: option, Why: fmt.Sprintf("more than %d tasks", wire.MaxTasksPerJob)}
 	}
 	return perTask, nil
 }
--- a/internal/slurmapi/numbers.go
+++ b/internal/slurmapi/numbers.go
@@ -19,7 +19,7 @@
 		Count int `json:"count"`
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<10))
-	if err != nil || json.Unmarshal(data, &request) != nil || request.Count < 1 || request.Count > wire.MaxTasks {
+	if err != nil || json.Unmarshal(data, &request) != nil || request.Count < 1 || request.Count > wire.MaxTasksPerJob {
 		refuse(w, http.StatusBadRequest, 0, "count: 1 to 100000 is needed")
 		return
 	}
--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -48,8 +48,8 @@
 	return b.MaxSockets - b.ownSockets() - b.MaxConcurrentRequests()
 }
 
-// WorkerConnections returns the current limits for connections to workers.
-func (b Budget) WorkerConnections() ConnectionLimits {
+// WorkerConnectionLimits returns the current limits for connections to workers.
+func (b Budget) WorkerConnectionLimits() ConnectionLimits {
 	least := b.MaxConcurrentRequests()
 	if b.MaxSockets == 0 {
 		return ConnectionLimits{SoftLimit: least, HardLimit: least}
--- a/internal/sockets/budget_test.go
+++ b/internal/sockets/budget_test.go
@@ -19,7 +19,7 @@
 		}
 		most := b.MaxAccepted()
 		accepted = rapid.IntRange(0, most).Draw(t, "accepted")
-		before := b.WorkerConnections()
+		before := b.WorkerConnectionLimits()
 		own := b.MaxSockets - most - b.MaxConcurrentRequests()
 		if own < 40+2*b.Peers {
 			t.Errorf("only %d sockets are reserved for the state service, the cloud and peers", own)
@@ -32,7 +32,7 @@
 		}
 		// User connections that open and close, up to half of the reserve, close no connection to a worker.
 		accepted = min(most, accepted+b.MaxSockets/32)
-		if after := b.WorkerConnections(); after.HardLimit < before.SoftLimit {
+		if after := b.WorkerConnectionLimits(); after.HardLimit < before.SoftLimit {
 			t.Errorf("limits %+v, and %+v with %d more accepted connections", before, after, b.MaxSockets/32)
 		}
 	})
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -128,7 +128,7 @@
 
 // Meter takes readings. It is safe for concurrent use.
 type Meter struct {
-	started     time.Time
+	startedAt   time.Time
 	queues      func() map[string]int
 	log         *slog.Logger
 	memoryLimit int64 // bytes
@@ -144,7 +144,7 @@
 // New returns a meter. The process is under memory pressure while the runtime holds more than
 // memoryLimit bytes. queues returns queue depths by name, for readings.
 func New(memoryLimit int64, queues func() map[string]int, log *slog.Logger) *Meter {
-	m := &Meter{started: time.Now(), memoryLimit: memoryLimit, queues: queues, log: log, timerDelays: hdrhistogram.New(1, 60_000, 2)}
+	m := &Meter{startedAt: time.Now(), memoryLimit: memoryLimit, queues: queues, log: log, timerDelays: hdrhistogram.New(1, 60_000, 2)}
 	for i, name := range sampleNames {
 		m.samples[i].Name = name
 	}
@@ -166,7 +166,7 @@
 	metrics.Read(m.samples[:])
 	s := &m.samples
 	r := Reading{
-		UptimeS:   time.Since(m.started).Seconds(),
+		UptimeS:   time.Since(m.startedAt).Seconds(),
 		HeapMB:    float64(s[heapObjects].Value.Uint64()) / bytesPerMB,
 		RuntimeMB: float64(s[memoryTotal].Value.Uint64()-s[memoryReleased].Value.Uint64()) / bytesPerMB, Collections: s[collections].Value.Uint64(),
 		CollectorS: s[collectorCPU].Value.Float64(), Goroutines: s[goroutines].Value.Uint64(),
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -200,7 +200,7 @@
 		c.fail("pieces", "missing")
 		return 0
 	}
-	if *value < 1 || *value > MaxTasks {
+	if *value < 1 || *value > MaxTasksPerJob {
 		c.fail("pieces", "out of range")
 	}
 	return *value
@@ -242,7 +242,7 @@
 func ParseTask(name string) (job string, n int, err error) {
 	job, number, ok := strings.Cut(name, "/")
 	n, err = strconv.Atoi(number)
-	if !ok || err != nil || n < 0 || n >= MaxTasks || !ValidJobID(job) {
+	if !ok || err != nil || n < 0 || n >= MaxTasksPerJob || !ValidJobID(job) {
 		return "", 0, fmt.Errorf("not a task name: %.60q", name)
 	}
 	return job, n, nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -6,8 +6,8 @@
 // MaxBodyBytes is the size of the largest request body that any interface accepts.
 const MaxBodyBytes = 64 << 10
 
-// MaxTasks is the largest number of tasks a job may have.
-const MaxTasks = 100_000
+// MaxTasksPerJob is the largest number of tasks a job may have.
+const MaxTasksPerJob = 100_000
 
 // Kinds of jobs. The tasks of an array run independently. The tasks of a service run until the job
 // is cancelled.
@@ -27,24 +27,24 @@
 
 // Task states and exit causes reported by workers.
 const (
-	TaskFetching = "fetching"
+	TaskFetching = "fetching" // preparing to run: fetching its image or description
 	TaskRunning  = "running"
-	TaskSaving   = "saving"
+	TaskSaving   = "saving" // saving a checkpoint before it exits
 	TaskExited   = "exited"
 
 	CauseDone    = "done"
-	CauseStopped = "halted"
+	CauseStopped = "halted" // stopped by a command
 	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "in_use"
-	CauseUnknown = "no_such"
+	CauseNoRoom  = "no_room" // the worker lacks free resources for it
+	CauseBusy    = "in_use"  // another attempt of the task is on the worker
+	CauseUnknown = "no_such" // invalid task name, or no description found
 )
 
 // Verbs of commands to workers.
 const (
 	VerbStart  = "launch"
 	VerbStop   = "halt"
-	VerbForget = "clear"
+	VerbForget = "clear" // remove an exited attempt from the reports
 )
 
 // Machine stages in the cloud's list.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -112,7 +112,7 @@
 func TestTaskNameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := rapid.StringMatching(`j-[a-z0-9]{1,12}`).Draw(t, "job")
-		n := rapid.IntRange(0, wire.MaxTasks-1).Draw(t, "n")
+		n := rapid.IntRange(0, wire.MaxTasksPerJob-1).Draw(t, "n")
 		gotJob, gotN, err := wire.ParseTask(wire.TaskName(job, n))
 		if err != nil || gotJob != job || gotN != n {
 			t.Fatalf("%s/%d was parsed as %s/%d: %v", job, n, gotJob, gotN, err)
