--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,18 +19,18 @@
 	ShardControllers      int     // number of controllers over which the shards are distributed
 	LeaseS                float64 // TTL of a controller's lease in the state service
 	WorkerFailureCost     float64 // weight of a worker failure in C: K_fail of the paper
-	QueueHorizonS         float64 // longest expected queue wait on a worker for which a task is placed there
+	QueueHorizonS         float64 // a task is placed on a worker only if its expected wait there is at most this
 	RandomCostS           float64 // upper bound of the random term in C
 	PublishIntervalS      float64 // interval at which dispatchers send views to leaders on other controllers
 	WorkerConnectionShare float64 // share of a controller's connections above which workers are also assigned to other controllers; 0: never
-	ReplaceAfterS         float64 // wait beyond the expected one after which a queued task is placed on another worker
+	ReplaceAfterS         float64 // wait beyond the expected one after which a queued task is also placed on another worker
 	HeartbeatTimeoutS     float64 // time without a heartbeat after which a machine is deleted
 	IdleTimeoutS          float64 // idle time after which a machine is deleted
 	HeadroomPct           float64 // spare capacity to provision above the demand, in percent
-	PackingPreferenceS    float64 // C of an empty worker over that of a full one
-	OnDemandHeadroomPct   float64 // the same if only on-demand machines can provide it, in percent
+	PackingPreferenceS    float64 // amount added to C for an empty worker, and in proportion for a partly empty one
+	OnDemandHeadroomPct   float64 // HeadroomPct for capacity that only on-demand machines can provide
 	LateStartCostS        float64 // amount added to C if a task would miss its start objective
-	SpotPreferenceShare   float64 // share of C added for a machine at twice the spot price
+	SpotPreferenceShare   float64 // share of C added for a machine at twice the spot price, and in proportion for other prices
 }
 
 // setting describes a key: the bounds of its value, inclusive, and the field that it sets.
--- a/internal/lowerbound/lowerbound_test.go
+++ b/internal/lowerbound/lowerbound_test.go
@@ -21,9 +21,9 @@
 	if err != nil || len(jobs) != 2 {
 		t.Fatalf("%d jobs, %v", len(jobs), err)
 	}
-	// 200 CPU-seconds on 8 CPUs: the quote's deadline is after 10 s, so only 80 of its 100
-	// CPU-seconds finish in time. The study's 100 then have 10.5 s, of which 10 whole seconds,
-	// or 80 CPU-seconds, are usable.
+	// 200 CPU-seconds on 8 CPUs: the quote job has a deadline at 10 s, so only 80 of its 100
+	// CPU-seconds finish in time. After that the study job has 10.5 s until its deadline, so
+	// 80 of its 100 CPU-seconds finish in the 10 whole seconds.
 	r := lowerbound.Compute(jobs, 8, 5)
 	if r.TotalWork != 200 || r.OnDemandWork < 20 || r.OnDemandWork > 40 || math.Abs(r.RelativeCost-(1+4*r.OnDemandWork/200)) > 1e-9 {
 		t.Errorf("%+v", r)
