--- a/internal/failovertiming/failovertiming_test.go
+++ b/internal/failovertiming/failovertiming_test.go
@@ -82,7 +82,7 @@
 
 // The time that a process waits for its predecessor to end, before it listens, is not part of its
 // recovery.
-func TestRestartExcludesWaitForPredecessor(t *testing.T) {
+func TestResetStartExcludesWaitForPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timeline := failovertiming.New(&fakeFailoverState{}, 44*time.Second, slog.New(slog.DiscardHandler))
 		time.Sleep(10 * time.Second)
--- a/internal/lowerbound/lowerbound.go
+++ b/internal/lowerbound/lowerbound.go
@@ -138,7 +138,7 @@
 	h.remaining[a], h.remaining[b] = h.remaining[b], h.remaining[a]
 }
 
-// Push appends a *remainder.
+// Push implements heap.Interface: it appends x, a *remainingJob.
 func (h *deadlineHeap) Push(x any) { h.remaining = append(h.remaining, x.(*remainingJob)) }
 
 // Pop implements heap.Interface: it removes the last element and returns it.
