--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -37,7 +37,7 @@
 func TestPlanOfLargestJobIsBounded(t *testing.T) {
 	a := testAutoscaler()
 	start := time.Now()
-	wanted, _ := a.plan(time.Now(), demand(wire.MaxTasks, true, 20))
+	wanted, _ := a.plan(time.Now(), demand(wire.MaxTasksPerJob, true, 20))
 	for o, n := range wanted {
 		if n > maxProvision*a.maxInFlight() {
 			t.Errorf("plan wants %d machines of %+v", n, o)
@@ -130,7 +130,7 @@
 		a.reservedCPUs = func() float64 { return reserved }
 		dispatcher := &fakeDispatcher{}
 		a.dispatcher = dispatcher
-		a.op.IdleS = 20
+		a.op.IdleTimeoutS = 20
 		var load planner.WorkerLoad
 		load.LastHeartbeat = now
 		for i := range 3 {
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -108,7 +108,7 @@
 	for _, inst := range idle {
 		t, _ := a.catalog.Type(inst.offer.Type)
 		// A cordoned worker gets no tasks, so it is drained as soon as it is idle.
-		if !inst.cordoned && now.Sub(inst.idleSince) < seconds(a.op.IdleS*lowestPrice/a.pricePerCPU(inst)) || now.Sub(inst.provisionedAt) < minUptimeS*time.Second {
+		if !inst.cordoned && now.Sub(inst.idleSince) < seconds(a.op.IdleTimeoutS*lowestPrice/a.pricePerCPU(inst)) || now.Sub(inst.provisionedAt) < minUptimeS*time.Second {
 			continue
 		}
 		if !inst.cordoned && (wantedKinds[inst.offer.Spot] || a.needed(inst.offer, t, totalCPUs)) {
--- a/internal/cancellation/capacity_test.go
+++ b/internal/cancellation/capacity_test.go
@@ -35,7 +35,7 @@
 	}},
 	{Name: "cancellation.heap", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 4000, Measure: func(tb testing.TB, cancels int) float64 {
 		// The division of a map into groups depends on the random seed of its hash function.
-		return capacity.Median(func() float64 { return capacity.Heap(func() any { return newRegistryWithCancels(tb, cancels) }) })
+		return capacity.Median(func() float64 { return capacity.HeapBytes(func() any { return newRegistryWithCancels(tb, cancels) }) })
 	}},
 }
 
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -1,7 +1,7 @@
-// Package capacity holds docs/CAPACITY.md to what is measured. Each package's tests
-// measure how something (bytes, allocations, writes) grows with a number (machines,
-// jobs, tasks): a Series. Its fixed part and slope stand in the page's table of slopes;
-// Check compares exact ones with the page, Bench prints all.
+// Package capacity checks the figures in docs/CAPACITY.md against measurements. Tests of other
+// packages define Series, which measure how a quantity (bytes, allocations, writes) grows with a
+// number (machines, jobs, tasks). The page's table of slopes lists the fixed part and the slope of
+// each series. Check compares the exact series with the page; Bench prints all series.
 package capacity
 
 import (
@@ -12,15 +12,15 @@
 // Line is a straight line fitted to measurements: fixed part + slope × number.
 type Line struct {
 	Fixed, Slope float64
-	// Error is the largest distance of a measurement from the line, as a share of the
+	// Error is the largest distance of a measurement from the line, divided by the
 	// largest measurement.
 	Error float64
-	// Bend is the slope between the last two measurements over that between the first
-	// two: 1 for a straight line, more if it grows faster than the number.
-	Bend float64
+	// SlopeRatio is the slope between the last two measurements divided by the slope between
+	// the first two: 1 for linear growth, more for faster growth.
+	SlopeRatio float64
 }
 
-// Fit returns the line through values measured at sizes by least squares.
+// Fit fits a line to the values measured at sizes, by least squares.
 func Fit(sizes []int, values []float64) Line {
 	n := float64(len(sizes))
 	var meanX, meanY float64
@@ -34,35 +34,35 @@
 		xy += dx * (values[i] - meanY)
 		xx += dx * dx
 	}
-	line := Line{Slope: xy / xx, Bend: 1}
+	line := Line{Slope: xy / xx, SlopeRatio: 1}
 	line.Fixed = meanY - line.Slope*meanX
-	var farthest, largest float64
+	var maxDistance, maxValue float64
 	for i, size := range sizes {
-		farthest = max(farthest, math.Abs(values[i]-line.Fixed-line.Slope*float64(size)))
-		largest = max(largest, math.Abs(values[i]))
+		maxDistance = max(maxDistance, math.Abs(values[i]-line.Fixed-line.Slope*float64(size)))
+		maxValue = max(maxValue, math.Abs(values[i]))
 	}
-	if largest > 0 {
-		line.Error = farthest / largest
+	if maxValue > 0 {
+		line.Error = maxDistance / maxValue
 	}
 	last := len(sizes) - 1
-	rise := func(from, to int) float64 {
+	slopeBetween := func(from, to int) float64 {
 		return (values[to] - values[from]) / float64(sizes[to]-sizes[from])
 	}
-	if first := rise(0, 1); first != 0 {
-		line.Bend = rise(last-1, last) / first
+	if first := slopeBetween(0, 1); first != 0 {
+		line.SlopeRatio = slopeBetween(last-1, last) / first
 	}
 	return line
 }
 
-// median returns the middle one of an odd number of values.
+// median returns the median of an odd number of values.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
 
-// Median is the middle one of some measurements of a value that varies a little.
+// Median calls measure several times and returns the median.
 func Median(measure func() float64) float64 {
-	values := make([]float64, rounds)
+	values := make([]float64, measureRounds)
 	for i := range values {
 		values[i] = measure()
 	}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -8,33 +8,33 @@
 	"strings"
 )
 
-// Page is where the slopes stand, below the repository's root.
-const Page = "docs/CAPACITY.md"
+// PagePath is the path of the page with the table of slopes, relative to the repository's root.
+const PagePath = "docs/CAPACITY.md"
 
 // Row is a row of the page's table of slopes.
 type Row struct {
 	Name  string
 	Fixed float64
 	Slope float64
-	Exact bool // the same at every run, so that a test may hold it
+	Exact bool // the same in every run, so that a test can compare it
 }
 
-// The table's columns: name, unit and number, sizes, fixed part, slope, fit error, kind.
+// The table's columns are: name, unit and number, sizes, fixed part, slope, fit error, kind.
 const (
-	columns     = 7
+	numColumns  = 7
 	fixedColumn = 3
 	slopeColumn = 4
 	kindColumn  = 6
 )
 
-// ParsePage reads the rows whose first cell is a series' name between backquotes, such as
-// `wire.report`.
+// ParsePage returns the rows of the table of slopes by name. These are the rows whose first cell is
+// a series' name between backquotes, such as `wire.report`.
 func ParsePage(text string) (map[string]Row, error) {
 	rows := map[string]Row{}
 	for number, line := range strings.Split(text, "\n") {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|")
 		name := strings.TrimSpace(cells[0])
-		if !strings.HasPrefix(line, "|") || len(cells) != columns || !strings.HasPrefix(name, "`") {
+		if !strings.HasPrefix(line, "|") || len(cells) != numColumns || !strings.HasPrefix(name, "`") {
 			continue
 		}
 		fail := func(format string, args ...any) error {
@@ -42,10 +42,10 @@
 		}
 		row := Row{Name: strings.Trim(name, "`")}
 		var err error
-		if row.Fixed, err = figure(cells[fixedColumn]); err != nil {
+		if row.Fixed, err = parseNumber(cells[fixedColumn]); err != nil {
 			return nil, fail("fixed part: %v", err)
 		}
-		if row.Slope, err = figure(cells[slopeColumn]); err != nil {
+		if row.Slope, err = parseNumber(cells[slopeColumn]); err != nil {
 			return nil, fail("slope: %v", err)
 		}
 		switch kind := strings.TrimSpace(cells[kindColumn]); kind {
@@ -53,22 +53,22 @@
 			row.Exact = true
 		case "scatters":
 		default:
-			return nil, fail("neither exact nor scatters: %q", kind)
+			return nil, fail("kind is neither exact nor scatters: %q", kind)
 		}
 		if _, twice := rows[row.Name]; twice {
-			return nil, fail("twice")
+			return nil, fail("duplicate row")
 		}
 		rows[row.Name] = row
 	}
 	return rows, nil
 }
 
-// figure reads a number that may have commas between thousands.
-func figure(cell string) (float64, error) {
+// parseNumber parses a number that may have commas between thousands.
+func parseNumber(cell string) (float64, error) {
 	return strconv.ParseFloat(strings.ReplaceAll(strings.TrimSpace(cell), ",", ""), 64)
 }
 
-// ReadPage reads the page of the repository that the working directory is in.
+// ReadPage reads and parses the page in the repository that contains the working directory.
 func ReadPage() (map[string]Row, error) {
 	dir, err := os.Getwd()
 	if err != nil {
@@ -84,13 +84,13 @@
 		}
 		dir = parent
 	}
-	text, err := os.ReadFile(filepath.Join(dir, Page))
+	text, err := os.ReadFile(filepath.Join(dir, PagePath))
 	if err != nil {
 		return nil, err
 	}
 	rows, err := ParsePage(string(text))
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", Page, err)
+		return nil, fmt.Errorf("%s: %w", PagePath, err)
 	}
 	return rows, nil
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -12,55 +12,55 @@
 //go:embed operator.sexp
 var defaultOperator []byte
 
-// Operator holds the operators' own settings; every one of the design's open
-// values is here. C is the cost by which a placement is chosen.
+// Operator holds the operators' settings, which are the tunable parameters of the scheduler. C is
+// the placement cost: the scheduler prefers the worker with the lowest C.
 type Operator struct {
-	Shards              int     // shards that jobs hash to
-	Spread              int     // controllers that shards are spread over
-	LeaseS              float64 // TTL of a controller's lease in the state service
-	KFail               float64 // cost of losing a worker: K_fail of the paper
-	HorizonS            float64 // longest wait at which a match is dispatched
-	RandomS             float64 // size of the random term in C
-	PublishS            float64 // interval at which dispatchers publish to leaders elsewhere
-	WorkerShare         float64 // part of a controller's connections that workers may take before they are assigned to others too; 0: they never are
-	ReplaceAfterS       float64 // excess wait from which on a queued task gets another placement
-	HeartbeatTimeoutS   float64 // heartbeat timeout from which on a machine is deleted
-	IdleS               float64 // idle time from which on a machine is deleted
-	HeadroomPct         float64 // capacity kept beyond the demand, in percent
-	PackS               float64 // seconds by which full workers are preferred to empty ones
-	OnDemandHeadroomPct float64 // the headroom where only on-demand machines could give it, in percent
-	LateStartS          float64 // seconds that missing an objective for a start counts in C
-	SpotPreferenceShare float64 // share of C by which a machine at twice the spot price is less preferred
+	Shards                int     // number of shards; a job's shard is derived from a hash
+	ShardControllers      int     // number of controllers over which the shards are distributed
+	LeaseS                float64 // TTL of a controller's lease in the state service
+	WorkerFailureCost     float64 // weight of a worker failure in C: K_fail of the paper
+	QueueHorizonS         float64 // a task is placed on a worker only if its expected wait there is at most this
+	RandomCostS           float64 // upper bound of the random term in C
+	PublishIntervalS      float64 // interval at which dispatchers send views to leaders on other controllers
+	WorkerConnectionShare float64 // share of a controller's connections above which workers are also assigned to other controllers; 0: never
+	ReplaceAfterS         float64 // wait beyond the expected one after which a queued task is also placed on another worker
+	HeartbeatTimeoutS     float64 // time without a heartbeat after which a machine is deleted
+	IdleTimeoutS          float64 // idle time after which a machine is deleted
+	HeadroomPct           float64 // spare capacity to provision above the demand, in percent
+	PackingPreferenceS    float64 // amount added to C for an empty worker, and in proportion for a partly empty one
+	OnDemandHeadroomPct   float64 // HeadroomPct for capacity that only on-demand machines can provide
+	LateStartCostS        float64 // amount added to C if a task would miss its start objective
+	SpotPreferenceShare   float64 // share of C added for a machine at twice the spot price, and in proportion for other prices
 }
 
-// setting is a key's bounds, both included, and the field it sets.
+// setting describes a key: the bounds of its value, inclusive, and the field that it sets.
 type setting struct {
 	min, max float64
 	set      func(*Operator, float64)
-	whole    bool // the value must be a whole number
+	integer  bool // the value must be a whole number
 }
 
 var settings = map[string]setting{
 	"shards":                {1, 256, func(o *Operator, v float64) { o.Shards = int(v) }, true},
-	"spread":                {1, 64, func(o *Operator, v float64) { o.Spread = int(v) }, true},
+	"spread":                {1, 64, func(o *Operator, v float64) { o.ShardControllers = int(v) }, true},
 	"lease-s":               {2, 60, func(o *Operator, v float64) { o.LeaseS = v }, false},
-	"k-fail":                {1, 100, func(o *Operator, v float64) { o.KFail = v }, false},
-	"queue-horizon-s":       {0, 600, func(o *Operator, v float64) { o.HorizonS = v }, false},
-	"random-s":              {0, 60, func(o *Operator, v float64) { o.RandomS = v }, false},
-	"worker-share":          {0, 1, func(o *Operator, v float64) { o.WorkerShare = v }, false},
-	"publish-s":             {0.1, 60, func(o *Operator, v float64) { o.PublishS = v }, false},
+	"k-fail":                {1, 100, func(o *Operator, v float64) { o.WorkerFailureCost = v }, false},
+	"queue-horizon-s":       {0, 600, func(o *Operator, v float64) { o.QueueHorizonS = v }, false},
+	"random-s":              {0, 60, func(o *Operator, v float64) { o.RandomCostS = v }, false},
+	"worker-share":          {0, 1, func(o *Operator, v float64) { o.WorkerConnectionShare = v }, false},
+	"publish-s":             {0.1, 60, func(o *Operator, v float64) { o.PublishIntervalS = v }, false},
 	"replace-s":             {0.5, 600, func(o *Operator, v float64) { o.ReplaceAfterS = v }, false},
 	"silent-s":              {3, 600, func(o *Operator, v float64) { o.HeartbeatTimeoutS = v }, false},
-	"idle-s":                {1, 3600, func(o *Operator, v float64) { o.IdleS = v }, false},
-	"pack-s":                {0, 60, func(o *Operator, v float64) { o.PackS = v }, false},
+	"idle-s":                {1, 3600, func(o *Operator, v float64) { o.IdleTimeoutS = v }, false},
+	"pack-s":                {0, 60, func(o *Operator, v float64) { o.PackingPreferenceS = v }, false},
 	"dear-share":            {0, 10, func(o *Operator, v float64) { o.SpotPreferenceShare = v }, false},
-	"late-start-s":          {0, 3600, func(o *Operator, v float64) { o.LateStartS = v }, false},
+	"late-start-s":          {0, 3600, func(o *Operator, v float64) { o.LateStartCostS = v }, false},
 	"dear-headroom-percent": {0, 500, func(o *Operator, v float64) { o.OnDemandHeadroomPct = v }, false},
 	"headroom-percent":      {0, 500, func(o *Operator, v float64) { o.HeadroomPct = v }, false},
 }
 
-// LoadOperator reads the operators' settings over the built-in ones; an empty
-// path means the built-in ones alone.
+// LoadOperator returns the built-in settings, overridden by those in the file at path. If path is
+// empty, it returns the built-in settings.
 func LoadOperator(path string) (*Operator, error) {
 	operator, err := ParseOperator(defaultOperator, &Operator{})
 	if err != nil {
@@ -72,17 +72,17 @@
 	return Load(path, func(data []byte) (*Operator, error) { return ParseOperator(data, operator) })
 }
 
-// ParseOperator reads `(wallrack (key value) ...)` over base, which stays as it is. An
-// unknown key, one given twice, and a value out of bounds are errors.
+// ParseOperator returns a copy of base with the settings in `(wallrack (key value) ...)` applied.
+// Unknown keys, duplicate keys and values out of bounds are errors.
 func ParseOperator(data []byte, base *Operator) (*Operator, error) {
 	operator := *base
-	entries, err := Entries(data, "wallrack", "(key value)")
+	entries, err := ParseEntries(data, "wallrack", "(key value)")
 	if err != nil {
 		return nil, err
 	}
 	seen := map[string]bool{}
 	for i, entry := range entries {
-		key, value, err := keyAndValue(entry)
+		key, value, err := parseKeyValue(entry)
 		if err != nil {
 			return nil, fmt.Errorf("entry %d: %w", i+1, err)
 		}
@@ -98,13 +98,13 @@
 			return nil, fmt.Errorf("%s: %w", key, err)
 		}
 	}
-	if operator.Spread > operator.Shards {
-		return nil, fmt.Errorf("spread: %d controllers can't share %d shards", operator.Spread, operator.Shards)
+	if operator.ShardControllers > operator.Shards {
+		return nil, fmt.Errorf("spread: %d controllers can't share %d shards", operator.ShardControllers, operator.Shards)
 	}
 	return &operator, nil
 }
 
-func keyAndValue(entry any) (key string, value any, err error) {
+func parseKeyValue(entry any) (key string, value any, err error) {
 	pair, ok := entry.([]any)
 	if !ok || len(pair) != 2 {
 		return "", nil, errors.New("expected (key value)")
@@ -116,13 +116,13 @@
 	return string(symbol), pair[1], nil
 }
 
-// apply sets the field to a value, if it is within the bounds.
+// apply validates the value and sets the field.
 func (s *setting) apply(operator *Operator, value any) error {
-	number, err := Number(value, s.min, s.max)
+	number, err := NumberInRange(value, s.min, s.max)
 	if err != nil {
 		return err
 	}
-	if s.whole && number != math.Trunc(number) {
+	if s.integer && number != math.Trunc(number) {
 		return fmt.Errorf("%v is not a whole number", number)
 	}
 	s.set(operator, number)
--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -104,7 +104,7 @@
 	}
 	c.listener = connlimit.NewListener(lis, c.connections)
 	c.meter = usage.New(int64(c.cfg.Params.Limits.RAMMB*memoryPressureShare*bytesPerMB), c.queueDepths, c.log)
-	c.timeline.Restart()
+	c.timeline.ResetStart()
 	c.assembleCancellationExchange()
 	c.assembleLinkMonitor()
 	c.assembleWorkerMonitors()
@@ -137,7 +137,7 @@
 	}
 	limits := c.cfg.Params.State
 	c.store = statestore.New(c.cfg.Endpoints.State, limits.RPS, limits.WriteRPS, limits.TxnOps)
-	c.member = membership.New(statestore.UrgentClient{Client: c.store}, c.cfg.Node, config.Seconds(c.operator.LeaseS), c.operator.Shards, c.operator.Spread, c.log)
+	c.member = membership.New(statestore.UrgentClient{Client: c.store}, c.cfg.Node, config.Seconds(c.operator.LeaseS), c.operator.Shards, c.operator.ShardControllers, c.log)
 	c.cloud = autoscaler.NewCloud(c.cfg.Endpoints.Cloud, c.cfg.Params.Cloud.RPS)
 	c.catalog = autoscaler.NewCatalog(c.cloud, c.store, c.log)
 	c.links = peerlinks.New(peerlinks.Options{Node: c.cfg.Node, Peers: c.nodes, Mesh: c.mesh, Store: c.store, Member: c.member, Cloud: c.cloud})
@@ -198,7 +198,7 @@
 
 // receiveHealth returns how well this process can receive messages at present.
 func (c *controller) receiveHealth() reachability.ReceiveHealth {
-	return reachability.ReceiveHealth{RefusedConnections: usage.Noted(usage.RefusedConnections), TimerDelay: c.meter.TimerDelay()}
+	return reachability.ReceiveHealth{RefusedConnections: usage.EventCount(usage.RefusedConnections), TimerDelay: c.meter.TimerDelay()}
 }
 
 func (c *controller) assembleCancellationExchange() {
@@ -237,7 +237,7 @@
 
 func (c *controller) assembleViewPublisher() {
 	c.viewPublisher = viewPublisher{
-		cfg: c.cfg, interval: config.Seconds(c.operator.PublishS), scheduler: c.scheduler, dispatcher: c.dispatcher, leaders: &c.links.Leaders, peers: &c.links.Caller, table: c.links.Table,
+		cfg: c.cfg, interval: config.Seconds(c.operator.PublishIntervalS), scheduler: c.scheduler, dispatcher: c.dispatcher, leaders: &c.links.Leaders, peers: &c.links.Caller, table: c.links.Table,
 		publisher: viewsync.NewPublisher(c.cfg.Node, c.dispatcher), receiver: viewsync.NewReceiver(c.scheduler, c.nodes), log: c.log,
 	}
 	c.register(&c.viewPublisher)
--- a/internal/controller/lease_attestation.go
+++ b/internal/controller/lease_attestation.go
@@ -60,7 +60,7 @@
 // attestUnresponsive notifies the scheduler of the unresponsive workers whose leases have
 // expired according to all controllers.
 func (a *leaseAttestor) attestUnresponsive(ctx context.Context) {
-	leaseS := a.cfg.Params.Workers.LongestLeaseS() + 0.5
+	leaseS := a.cfg.Params.Workers.MaxLeaseS() + 0.5
 	q := &attestationQuery{}
 	_, unresponsive := a.scheduler.UnresponsiveWorkers(config.Seconds(leaseS))
 	for i := range unresponsive {
--- a/internal/controller/scheduler_gateway.go
+++ b/internal/controller/scheduler_gateway.go
@@ -47,7 +47,7 @@
 func (g *schedulerGateway) GrantLocal(request dispatch.GrantRequest) dispatch.GrantReply {
 	reply := g.scheduler.GrantLocal(request)
 	if reply.OK {
-		g.timeline.Mark(failovertiming.Granted)
+		g.timeline.Mark(failovertiming.FirstGrant)
 		g.startLog.startGranted()
 	}
 	return reply
@@ -100,9 +100,9 @@
 		r.timeline.Reset()
 		return
 	}
-	r.timeline.Mark(failovertiming.Joined)
+	r.timeline.Mark(failovertiming.LeaseAcquired)
 	if len(r.member.LedShards()) > 0 {
-		r.timeline.Mark(failovertiming.Claimed)
+		r.timeline.Mark(failovertiming.ShardClaimed)
 		return
 	}
 	r.startLog.leadershipEnded()
--- a/internal/controller/worker_routing.go
+++ b/internal/controller/worker_routing.go
@@ -29,7 +29,7 @@
 // it knows all cancels: a worker's lease counts from the time at which it sent the last report
 // that got a response, and its tasks may have been cancelled just after the known time.
 func responseGrace(w config.Workers) time.Duration {
-	return config.Seconds(max(2, w.CancelS-w.LongestLeaseS()-cancelMarginS))
+	return config.Seconds(max(2, w.CancelS-w.MaxLeaseS()-cancelMarginS))
 }
 
 // LeaderFor returns the name of the controller that a worker should report to, "" if there is none.
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -76,14 +76,14 @@
 // largeFleetBudget returns the socket budget of one of six controllers of a large fleet, with the
 // given number of workers that report to it.
 func largeFleetBudget(workers int) sockets.Budget {
-	return sockets.Budget{Limit: 2157, Peers: 5, Accepted: func() int { return workers }}
+	return sockets.Budget{MaxSockets: 2157, Peers: 5, Accepted: func() int { return workers }}
 }
 
 // commandCPUTime measures the processor time of sending commands to one of many workers, chosen by
 // next, each with its own address. It includes the workers' servers.
 func commandCPUTime(tb testing.TB, workers int, next func() int) float64 {
 	sender, w := dispatch.NewHTTPCommandSender(largeFleetBudget(workers)), newFakeWorkers(tb, workers)
-	commands := wire.Orders{Token: 7, Session: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000400/10", Attempt: 20}}}
+	commands := wire.PushedCommands{Token: 7, Session: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000400/10", Attempt: 20}}}
 	for worker := range workers {
 		w.command(tb, sender, worker) // the first commands to a worker always dial
 	}
@@ -124,7 +124,7 @@
 		}
 		answered := make(chan net.Conn, 1)
 		go func() { answered <- answerOnce(tb, lis, response) }()
-		if _, _, err := sender.SendCommands(context.Background(), lis.Addr().String(), wire.Orders{Token: 7, Session: 1}, alwaysValid); err != nil {
+		if _, _, err := sender.SendCommands(context.Background(), lis.Addr().String(), wire.PushedCommands{Token: 7, Session: 1}, alwaysValid); err != nil {
 			tb.Fatal(err)
 		}
 		worker := <-answered
@@ -159,10 +159,10 @@
 
 var capacitySeries = []capacity.Series{
 	{Name: "dispatch.heap", Sizes: []int{400, 800, 1600, 3200}, FixedSlack: 10_000, Measure: func(tb testing.TB, workers int) float64 {
-		return capacity.Heap(func() any { return newReportingWorkers(tb, workers, tasksPerWorker).dispatcher })
+		return capacity.HeapBytes(func() any { return newReportingWorkers(tb, workers, tasksPerWorker).dispatcher })
 	}},
 	{Name: "dispatch.heapOfTask", Sizes: []int{2, 4, 8, 16}, FixedSlack: 100, Measure: func(tb testing.TB, tasks int) float64 {
-		return capacity.Heap(func() any { return newReportingWorkers(tb, 500, tasks).dispatcher }) / 500
+		return capacity.HeapBytes(func() any { return newReportingWorkers(tb, 500, tasks).dispatcher }) / 500
 	}},
 	{Name: "dispatch.views", Sizes: []int{100, 400, 800, 1600}, FixedSlack: 500, Measure: func(tb testing.TB, workers int) float64 {
 		return publishedBytes(tb, newReportingWorkers(tb, workers, tasksPerWorker))
@@ -174,14 +174,14 @@
 		w := newReportingWorkers(tb, 1, tasks)
 		return testing.AllocsPerRun(200, func() { w.report(tb, 0) })
 	}},
-	{Name: "dispatch.report", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "dispatch.report", Noisy: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
 		w, i := newReportingWorkers(tb, workers, tasksPerWorker), 0
 		return capacity.ProcessorTime(tb, func() { w.report(tb, i%workers); i++ })
 	}},
-	{Name: "dispatch.order", Scatters: true, Sizes: []int{50, 100, 200, 400, 800}, Measure: commandsRoundRobin},
-	{Name: "dispatch.orderBeyond", Scatters: true, Sizes: []int{1000, 1200, 1400, 1600}, Measure: commandsRandomOrder},
-	{Name: "dispatch.keptConnections", Scatters: true, Sizes: []int{200, 400, 600, 900}, Measure: idleConnectionBytes},
-	{Name: "dispatch.makeViews", Scatters: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
+	{Name: "dispatch.order", Noisy: true, Sizes: []int{50, 100, 200, 400, 800}, Measure: commandsRoundRobin},
+	{Name: "dispatch.orderBeyond", Noisy: true, Sizes: []int{1000, 1200, 1400, 1600}, Measure: commandsRandomOrder},
+	{Name: "dispatch.keptConnections", Noisy: true, Sizes: []int{200, 400, 600, 900}, Measure: idleConnectionBytes},
+	{Name: "dispatch.makeViews", Noisy: true, Sizes: []int{400, 800, 1600, 3200}, Measure: func(tb testing.TB, workers int) float64 {
 		w := newReportingWorkers(tb, workers, tasksPerWorker)
 		return capacity.ProcessorTime(tb, func() { publishedBytes(tb, w) })
 	}},
--- a/internal/dispatch/command_sender.go
+++ b/internal/dispatch/command_sender.go
@@ -29,7 +29,7 @@
 	// calls valid once the connection is established, right before sending, and if valid fails,
 	// returns its error without sending. After any other error except ErrNotSent it is unknown
 	// whether the commands were executed or still will be.
-	SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error)
+	SendCommands(ctx context.Context, endpoint string, o wire.PushedCommands, valid func() error) (*wire.Report, bool, error)
 	// FetchReport polls a worker for its report.
 	FetchReport(ctx context.Context, endpoint string) (*wire.Report, error)
 }
@@ -51,9 +51,9 @@
 
 // NewHTTPCommandSender returns a sender that stays within the process's socket budget.
 func NewHTTPCommandSender(budget sockets.Budget) *HTTPCommandSender {
-	slots := budget.RequestsAtOnce()
+	slots := budget.MaxConcurrentRequests()
 	return &HTTPCommandSender{
-		connections: newConnectionPool(budget.WorkerConnections),
+		connections: newConnectionPool(budget.WorkerConnectionLimits),
 		slots:       make(chan struct{}, slots),
 		pollSlots:   make(chan struct{}, slots/pollSlotDivisor),
 	}
@@ -101,7 +101,7 @@
 }
 
 // SendCommands implements CommandSender.
-func (s *HTTPCommandSender) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
+func (s *HTTPCommandSender) SendCommands(ctx context.Context, endpoint string, o wire.PushedCommands, valid func() error) (*wire.Report, bool, error) {
 	if err := acquireSlot(ctx, s.slots); err != nil {
 		return nil, false, err
 	}
--- a/internal/dispatch/command_slots_test.go
+++ b/internal/dispatch/command_slots_test.go
@@ -26,12 +26,12 @@
 // Commands to responsive workers don't wait for polls of unresponsive ones, no matter how many of
 // those there are.
 func TestCommandsDuringPollsOfUnresponsiveWorkers(t *testing.T) {
-	budget := sockets.Budget{Limit: 200, Accepted: func() int { return 0 }}
+	budget := sockets.Budget{MaxSockets: 200, Accepted: func() int { return 0 }}
 	sender := dispatch.NewHTTPCommandSender(budget)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	done := make(chan struct{})
-	unresponsive := 4 * budget.RequestsAtOnce()
+	unresponsive := 4 * budget.MaxConcurrentRequests()
 	for range unresponsive {
 		endpoint := newUnresponsiveWorker(t)
 		go func() {
@@ -39,13 +39,13 @@
 			done <- struct{}{}
 		}()
 	}
-	eventually(t, "unresponsive workers are polled", func() bool { return sender.Connections() >= budget.RequestsAtOnce()/2 })
+	eventually(t, "unresponsive workers are polled", func() bool { return sender.Connections() >= budget.MaxConcurrentRequests()/2 })
 
 	workers := newFakeWorkers(t, 1)
 	within, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
 	for range 50 { // while polls of further unresponsive workers start
-		if _, _, err := sender.SendCommands(within, workers.endpoints[0], wire.Orders{Token: 7, Session: 1}, alwaysValid); err != nil {
+		if _, _, err := sender.SendCommands(within, workers.endpoints[0], wire.PushedCommands{Token: 7, Session: 1}, alwaysValid); err != nil {
 			t.Fatalf("commands while %d unresponsive workers are polled: %v", unresponsive, err)
 		}
 	}
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -63,7 +63,7 @@
 
 func (w *fakeWorkers) command(tb testing.TB, sender *dispatch.HTTPCommandSender, worker int) {
 	tb.Helper()
-	if _, _, err := sender.SendCommands(context.Background(), w.endpoints[worker], wire.Orders{Token: 7, Session: 1}, alwaysValid); err != nil {
+	if _, _, err := sender.SendCommands(context.Background(), w.endpoints[worker], wire.PushedCommands{Token: 7, Session: 1}, alwaysValid); err != nil {
 		tb.Errorf("commands to worker %d: %v", worker, err)
 	}
 }
@@ -100,7 +100,7 @@
 func TestConnectionsKeptWithinFreeSockets(t *testing.T) {
 	const workers = 40 // four times the number of concurrent requests
 	var accepted atomic.Int64
-	budget := sockets.Budget{Limit: 200, Accepted: func() int { return int(accepted.Load()) }}
+	budget := sockets.Budget{MaxSockets: 200, Accepted: func() int { return int(accepted.Load()) }}
 	sender, w := dispatch.NewHTTPCommandSender(budget), newFakeWorkers(t, workers)
 	w.commandAll(t, sender)
 	w.commandAll(t, sender)
@@ -108,7 +108,7 @@
 		t.Errorf("%d connections opened and %d kept for two requests to each of %d workers", sum, sender.Connections(), workers)
 	}
 
-	for budget.WorkerConnections().Keep != workers-10 {
+	for budget.WorkerConnectionLimits().HardLimit != workers-10 {
 		accepted.Add(1)
 	}
 	sender.Trim()
@@ -123,7 +123,7 @@
 		t.Errorf("the closed connections are not the 10 longest idle ones: reopened by worker: %v", each)
 	}
 
-	half := int64(budget.Limit) / 32 // half of the reserve that the budget holds back
+	half := int64(budget.MaxSockets) / 32 // half of the reserve that the budget holds back
 	accepted.Add(-half)
 	w.commandAll(t, sender)
 	full := sender.Connections()
@@ -142,7 +142,7 @@
 // commands' outcome would be unknown until a newer fencing token invalidates them.
 func TestConnectionKeptDuringCommands(t *testing.T) {
 	var accepted atomic.Int64
-	budget := sockets.Budget{Limit: 96, Accepted: func() int { return int(accepted.Load()) }}
+	budget := sockets.Budget{MaxSockets: 96, Accepted: func() int { return int(accepted.Load()) }}
 	sender, w := dispatch.NewHTTPCommandSender(budget), newFakeWorkers(t, 20)
 	w.command(t, sender, 0) // so that the connection is an idle one that is reused
 	w.blockFirst.Store(true)
@@ -155,8 +155,8 @@
 	}
 	accepted.Store(int64(budget.MaxAccepted()))
 	sender.Trim()
-	if n := sender.Connections(); n != budget.RequestsAtOnce() {
-		t.Errorf("%d connections with no socket to spare, limit of concurrent requests: %d", n, budget.RequestsAtOnce())
+	if n := sender.Connections(); n != budget.MaxConcurrentRequests() {
+		t.Errorf("%d connections with no socket to spare, limit of concurrent requests: %d", n, budget.MaxConcurrentRequests())
 	}
 	close(w.release)
 	<-done
@@ -164,5 +164,5 @@
 	if n := w.dialled[0].Load(); n != 1 {
 		t.Errorf("%d connections opened to a worker whose connection was in use", n)
 	}
-	eventually(t, "no others are open", func() bool { return w.open.Load() == int64(budget.RequestsAtOnce()) })
+	eventually(t, "no others are open", func() bool { return w.open.Load() == int64(budget.MaxConcurrentRequests()) })
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -23,8 +23,8 @@
 	tokenMu            sync.Mutex // the dispatcher raises the token on another goroutine
 	token              uint64
 	canRaiseToken      bool
-	respond            func(wire.Orders) (*wire.Report, bool, error)
-	sent               []wire.Orders
+	respond            func(wire.PushedCommands) (*wire.Report, bool, error)
+	sent               []wire.PushedCommands
 	views              []dispatch.WorkerView
 	isolated           bool
 	answeringForbidden bool // MayAnswerWorkers returns false
@@ -76,7 +76,7 @@
 }
 func (s *stub) MayAnswerWorkers() bool { return !s.answeringForbidden }
 func (s *stub) Isolated() bool         { return s.isolated }
-func (s *stub) SendCommands(_ context.Context, _ string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
+func (s *stub) SendCommands(_ context.Context, _ string, o wire.PushedCommands, valid func() error) (*wire.Report, bool, error) {
 	if s.beforeSend != nil {
 		s.beforeSend()
 	}
@@ -106,7 +106,7 @@
 // Instructions that arrive during shutdown cause no push: no Wait would wait for it.
 func TestInstructionsAfterShutdownSendNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+		s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 		ctx, end := context.WithCancel(t.Context())
 		d := newDispatcher(ctx, s)
 		d.HandleReport(ctx, report(1, 5))
@@ -142,7 +142,7 @@
 // concurrently with its next attempt.
 func TestNoClearWhileCommandsHaveUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stub{token: 5, canRaiseToken: true, respond: func(wire.Orders) (*wire.Report, bool, error) {
+		s := &stub{token: 5, canRaiseToken: true, respond: func(wire.PushedCommands) (*wire.Report, bool, error) {
 			return nil, false, context.DeadlineExceeded
 		}}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -323,7 +323,7 @@
 // A pushed forget command could overtake a start command in the response to a heartbeat, which
 // would then run the attempt again.
 func TestClearsOnlyInHeartbeatResponses(t *testing.T) {
-	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+	s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	d := newDispatcher(t.Context(), s)
 	exited := wire.Task{Task: "j-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseNoRoom}
 	d.HandleReport(t.Context(), report(1, 5, exited))
@@ -355,7 +355,7 @@
 // Started tasks fit the worker's capacity, and a start command is repeated until the worker
 // reports the task.
 func TestStartsFitFreeCapacity(t *testing.T) {
-	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+	s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	d := newDispatcher(t.Context(), s)
 	d.HandleReport(t.Context(), report(1, 5))
 	var entries []dispatch.QueueEntry
--- a/internal/dispatch/instructions.go
+++ b/internal/dispatch/instructions.go
@@ -11,7 +11,7 @@
 // ignored; the leader repeats them. The resulting commands are pushed at once, except forget
 // commands.
 func (d *Dispatcher) ApplyInstructions(instructions Instructions) Unlaunched {
-	defer usage.Count(usage.Instructions, time.Now())
+	defer usage.AddTime(usage.Instructions, time.Now())
 	out := Unlaunched{Token: d.tokens.FencingToken()}
 	updated := map[string]bool{} // workers with new commands to be pushed
 	d.mu.Lock()
--- a/internal/dispatch/lost_start_test.go
+++ b/internal/dispatch/lost_start_test.go
@@ -11,7 +11,7 @@
 // If it still counted as starting, its expected wait would be about 0, and its leader would find
 // no better worker for it.
 func TestLostStartQueuesBehindRunningTasks(t *testing.T) {
-	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+	s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	d := newDispatcher(t.Context(), s)
 	d.HandleReport(t.Context(), report(1, 5))
 	d.ApplyInstructions(dispatch.Instructions{From: "a", Assign: []dispatch.QueueEntry{entry(1)}})
--- a/internal/dispatch/outdated_commands_test.go
+++ b/internal/dispatch/outdated_commands_test.go
@@ -56,7 +56,7 @@
 func TestCommandsCheckedOnceConnected(t *testing.T) {
 	for _, valid := range []bool{true, false} {
 		b := newBusyWorker(t)
-		sender, endpoint := dispatch.NewHTTPCommandSender(sockets.Budget{Limit: 100, Accepted: func() int { return 0 }}), b.Listener.Addr().String()
+		sender, endpoint := dispatch.NewHTTPCommandSender(sockets.Budget{MaxSockets: 100, Accepted: func() int { return 0 }}), b.Listener.Addr().String()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		polled := make(chan error, 1)
 		go func() {
@@ -68,7 +68,7 @@
 		var checks atomic.Int32
 		outcome := make(chan error, 1)
 		go func() {
-			_, _, err := sender.SendCommands(ctx, endpoint, wire.Orders{Token: 5, Session: 1}, func() error {
+			_, _, err := sender.SendCommands(ctx, endpoint, wire.PushedCommands{Token: 5, Session: 1}, func() error {
 				checks.Add(1)
 				if valid {
 					return nil
@@ -105,7 +105,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cancelled := cancelledJobs{}
-				s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+				s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 				waits := 0
 				s.beforeSend = func() {
 					if waits++; waits == 1 {
@@ -136,7 +136,7 @@
 // Commands that waited for their connection are not sent by a controller that may no longer answer
 // workers.
 func TestNoCommandsOnceAnsweringIsForbidden(t *testing.T) {
-	s := &stub{token: 5, respond: func(wire.Orders) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
+	s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
 	s.beforeSend = func() { s.answeringForbidden = true }
 	d := newDispatcher(t.Context(), s)
 	d.HandleReport(t.Context(), report(1, 5))
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -47,7 +47,7 @@
 	worker.pushInFlight, worker.pushPending = true, false
 	endpoint, session := worker.report.Endpoint, worker.report.Session
 	d.startGoroutineLocked(func() {
-		d.push(name, endpoint, wire.Orders{Token: token, Session: session, Commands: commands})
+		d.push(name, endpoint, wire.PushedCommands{Token: token, Session: session, Commands: commands})
 	})
 }
 
@@ -57,7 +57,7 @@
 func (w *workerState) needsToken(token uint64) bool { return w.polled && w.report.Token < token }
 
 // push sends commands and processes the worker's response.
-func (d *Dispatcher) push(name, endpoint string, orders wire.Orders) {
+func (d *Dispatcher) push(name, endpoint string, orders wire.PushedCommands) {
 	ctx, cancel := context.WithTimeout(d.lifetime, pushTimeout)
 	rep, executed, err := d.sender.SendCommands(ctx, endpoint, orders, func() error { return d.checkCurrent(orders) })
 	cancel()
@@ -86,7 +86,7 @@
 
 // finishPush records the result of a push. It returns whether the worker is still known, and
 // whether to push again.
-func (d *Dispatcher) finishPush(name string, orders *wire.Orders, executed bool, err error) (known, pushAgain bool) {
+func (d *Dispatcher) finishPush(name string, orders *wire.PushedCommands, executed bool, err error) (known, pushAgain bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	worker := d.workers[name]
@@ -117,7 +117,7 @@
 // checkCurrent returns errOutdated if a push must no longer be sent. While it waited for its
 // connection, a job may have been cancelled, the token raised, or this controller lost the right
 // to answer workers: sent then, it could start a task after its cancel was confirmed.
-func (d *Dispatcher) checkCurrent(orders wire.Orders) error {
+func (d *Dispatcher) checkCurrent(orders wire.PushedCommands) error {
 	if !d.routing.MayAnswerWorkers() || d.tokens.FencingToken() != orders.Token {
 		return errOutdated
 	}
--- a/internal/dispatch/reports.go
+++ b/internal/dispatch/reports.go
@@ -27,17 +27,17 @@
 
 // ServeReport answers a worker's heartbeat over HTTP.
 func (d *Dispatcher) ServeReport(w http.ResponseWriter, r *http.Request) {
-	defer usage.Count(usage.Reports, time.Now())
+	defer usage.AddTime(usage.Reports, time.Now())
 	body := bodyBuffers.Get().(*bytes.Buffer)
 	defer bodyBuffers.Put(body)
 	body.Reset()
-	if _, err := body.ReadFrom(http.MaxBytesReader(w, r.Body, wire.MaxBody)); err != nil {
+	if _, err := body.ReadFrom(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes)); err != nil {
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "body unreadable or too large"})
 		return
 	}
 	rep, err := wire.ParseReport(body.Bytes())
 	if err != nil {
-		usage.Note(usage.MalformedReports)
+		usage.CountEvent(usage.MalformedReports)
 		d.log.Info("malformed report", "err", err)
 		httpjson.Write(w, http.StatusBadRequest, wire.Problem{Error: "malformed report"})
 		return
--- a/internal/failovertiming/failovertiming.go
+++ b/internal/failovertiming/failovertiming.go
@@ -1,8 +1,8 @@
-// Package failovertiming times what follows a start or a failover: the seconds until this
-// controller is up, holds its lease, leads shards, has read their jobs, gets heartbeats, grants a
-// start, and has heartbeats of every worker that tasks may be on. Operators read off it what a
-// restart costs and which phase is the longest. It keeps the last recovery alone, and decides
-// nothing.
+// Package failovertiming measures the recovery of this controller after its start or a failover:
+// the time until the controller is up, holds its lease, leads shards, has read their jobs, receives
+// heartbeats, grants a start, and has received heartbeats from all workers that may run tasks.
+// Operators use the times to find out how long a restart takes and which phase is the longest. Only
+// the last recovery is stored, and no decision of the controller depends on it.
 package failovertiming
 
 import (
@@ -12,84 +12,86 @@
 	"time"
 )
 
-// Phase is a step of a recovery.
+// Phase is a point in a recovery that is reached once.
 type Phase int
 
-// Phases, in the order in which they usually come.
+// Phases, in the order in which they are usually reached.
 const (
-	Up             Phase = iota // responds to /up with 200
-	Joined                      // holds its lease
-	Claimed                     // leads a shard
-	Read                        // has read the shard's jobs
-	FirstHeartbeat              // responded to a worker's heartbeat with 200
-	Granted                     // the first start was granted
-	Half                        // half of the recorded workers sent a heartbeat
-	Most                        // 95 of 100 did
-	All                         // all did
-	phases
+	Up             Phase = iota // first response to /up with status 200
+	LeaseAcquired               // the controller holds its lease
+	ShardClaimed                // the controller leads a shard
+	JobsRead                    // the shard's jobs have been read
+	FirstHeartbeat              // first response to a worker's heartbeat with status 200
+	FirstGrant                  // first start granted
+	HalfOfWorkers               // half of the recorded workers have sent a heartbeat
+	MostWorkers                 // 95 % of them have
+	AllWorkers                  // all of them have
+	numPhases
 )
 
-var names = [phases]string{"up", "joined", "claimed", "read", "first_heard", "granted", "half_heard", "most_heard", "all_heard"}
+var phaseNames = [numPhases]string{"up", "joined", "claimed", "read", "first_heard", "granted", "half_heard", "most_heard", "all_heard"}
 
 // String returns the name used in logs and statistics.
-func (p Phase) String() string { return names[p] }
+func (p Phase) String() string { return phaseNames[p] }
 
 const (
-	lookEvery        = 100 * time.Millisecond // while a recovery is timed
-	startWindow      = 20 * time.Second       // a failover so soon after the start is timed from the start
-	halfUnresponsive = 0.5                    // share of the recorded workers without a heartbeat, at most, for Half
-	mostUnresponsive = 0.05                   // for Most
+	pollInterval        = 100 * time.Millisecond // interval at which progress is read during a recovery
+	startupWindow       = 20 * time.Second       // a failover within this time after the start is timed from the start
+	halfMaxUnresponsive = 0.5                    // largest share of recorded workers without a heartbeat for HalfOfWorkers
+	mostMaxUnresponsive = 0.05                   // the same for MostWorkers
 )
 
-// FailoverState is what is known of a failover.
+// FailoverState provides the progress of failovers.
 type FailoverState interface {
-	// FailoverProgress returns the failovers so far, the workers on which the last one found
-	// tasks recorded, and how many of those sent no heartbeat since.
+	// FailoverProgress returns the number of failovers so far, the number of workers to which
+	// recorded tasks were assigned at the last one, and how many of these workers have sent no
+	// heartbeat since.
 	FailoverProgress() (failovers, recorded, unresponsive int)
 }
 
-// Timeline times the recovery in progress and keeps the last one. It is safe for concurrent use.
+// Timeline measures the recovery in progress and stores the last one. It is safe for concurrent use.
 type Timeline struct {
-	state FailoverState
-	limit time.Duration
-	log   *slog.Logger
-	wake  chan struct{} // a recovery began
-
-	mu       sync.Mutex
-	started  time.Time // the process
-	began    time.Time // the last recovery
-	running  bool
-	at       [phases]time.Duration // since began; 0: not yet
-	timed    int                   // failovers that have been timed
-	recorded int                   // workers that tasks were recorded on
+	state         FailoverState
+	maxDuration   time.Duration
+	log           *slog.Logger
+	recoveryBegan chan struct{} // signals Run that a recovery has begun
+
+	mu              sync.Mutex
+	startedAt       time.Time // start of the process
+	beganAt         time.Time // beginning of the last recovery
+	inProgress      bool
+	reachedAfter    [numPhases]time.Duration // time from beganAt to the phase; 0: not reached
+	timedFailovers  int                      // number of failovers measured so far
+	recordedWorkers int                      // number of workers with recorded tasks
 }
 
-// New returns a timeline of the process that starts now. A recovery that is not complete after
-// limit ends as it is: failed workers send no heartbeat.
-func New(state FailoverState, limit time.Duration, log *slog.Logger) *Timeline {
+// New returns a timeline of a process that starts now. A recovery that is not complete after
+// maxDuration ends and is logged incomplete, because failed workers never send a heartbeat.
+func New(state FailoverState, maxDuration time.Duration, log *slog.Logger) *Timeline {
 	now := time.Now()
-	return &Timeline{state: state, limit: limit, log: log, wake: make(chan struct{}, 1), started: now, began: now, running: true}
+	return &Timeline{state: state, maxDuration: maxDuration, log: log, recoveryBegan: make(chan struct{}, 1), startedAt: now, beganAt: now, inProgress: true}
 }
 
-// Restart times the process's start from now on: before, it waited for its predecessor. It must
-// be called before Run and the first Mark.
-func (t *Timeline) Restart() {
+// ResetStart moves the start of the process to now, so that time spent waiting for the previous process
+// to end is not measured. It must be called before Run and the first Mark.
+func (t *Timeline) ResetStart() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	t.started, t.began = now, now
+	t.startedAt, t.beganAt = now, now
 }
 
-// Mark notes that a phase is reached. The first one counts. Marking costs a lock while a
-// recovery is timed, and little more than nothing else. Claimed begins another recovery if none
-// is timed: shards of another controller come here.
+// Mark records that a phase has been reached; repeated calls for a phase have no effect. If no
+// recovery is in progress, ShardClaimed begins one, since shards are moving here from another
+// controller, and other phases are ignored. Mark only takes a lock and is cheap enough for every
+// request.
 func (t *Timeline) Mark(p Phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if p == Claimed && !t.running {
-		t.began, t.running, t.at = time.Now(), true, [phases]time.Duration{}
+	if p == ShardClaimed && !t.inProgress {
+		t.beganAt, t.inProgress, t.reachedAfter = time.Now(), true, [numPhases]time.Duration{}
 		select {
-		case t.wake <- struct{}{}:
+		case t.recoveryBegan <- struct{}{}:
 		default:
 		}
 	}
@@ -97,38 +99,39 @@
 }
 
 func (t *Timeline) markLocked(p Phase) {
-	if t.running && t.at[p] == 0 {
-		t.at[p] = max(1, time.Since(t.began))
+	if t.inProgress && t.reachedAfter[p] == 0 {
+		t.reachedAfter[p] = max(1, time.Since(t.beganAt))
 	}
 }
 
-// Reset ends the recovery unlogged if this controller had claimed shards: it leads none any more.
+// Reset ends the recovery without logging it if this controller had claimed a shard. It is called
+// when the controller no longer leads any shard.
 func (t *Timeline) Reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.running && t.at[Claimed] != 0 {
-		t.running = false
+	if t.inProgress && t.reachedAfter[ShardClaimed] != 0 {
+		t.inProgress = false
 	}
 }
 
-// Last returns the seconds from its beginning to each phase of the last recovery, by the phase's
-// name, and under "machines" how many workers tasks were recorded on.
-func (t *Timeline) Last() map[string]float64 {
+// LastRecovery returns the seconds from the beginning of the last recovery to each phase reached, by
+// the phase's name. The key "machines" holds the number of workers with recorded tasks.
+func (t *Timeline) LastRecovery() map[string]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := map[string]float64{"machines": float64(t.recorded)}
-	for p, d := range t.at {
+	out := map[string]float64{"machines": float64(t.recordedWorkers)}
+	for p, d := range t.reachedAfter {
 		if d > 0 {
-			out[names[p]] = d.Seconds()
+			out[phaseNames[p]] = d.Seconds()
 		}
 	}
 	return out
 }
 
-// Run watches recoveries and logs each when it is over, until ctx ends. While none is timed, no
-// timer runs.
+// Run polls the progress of recoveries and logs each when it ends, until ctx ends. No timer runs
+// between recoveries.
 func (t *Timeline) Run(ctx context.Context) error {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -136,55 +139,56 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if t.look() {
+		if t.poll() {
 			continue
 		}
 		tick.Stop()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.wake:
+		case <-t.recoveryBegan:
 		}
-		tick.Reset(lookEvery)
+		tick.Reset(pollInterval)
 	}
 }
 
-// look reads the failover's progress; false when there is nothing to time.
-func (t *Timeline) look() bool {
+// poll updates the recovery from the failover's progress. It returns false if no recovery is in
+// progress any more.
+func (t *Timeline) poll() bool {
 	failovers, recorded, unresponsive := t.state.FailoverProgress()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.running {
+	if !t.inProgress {
 		return false
 	}
 	t.markProgressLocked(failovers, recorded, unresponsive)
-	switch age := time.Since(t.began); {
-	case t.at[All] != 0 && (t.at[Granted] != 0 || age > startWindow):
-	case t.at[Claimed] == 0 && time.Since(t.started) > startWindow:
-		t.running = false // nothing came here
+	switch age := time.Since(t.beganAt); {
+	case t.reachedAfter[AllWorkers] != 0 && (t.reachedAfter[FirstGrant] != 0 || age > startupWindow):
+	case t.reachedAfter[ShardClaimed] == 0 && time.Since(t.startedAt) > startupWindow:
+		t.inProgress = false // started without claiming a shard
 		return false
-	case age > t.limit:
+	case age > t.maxDuration:
 	default:
 		return true
 	}
-	t.running, t.timed = false, failovers
+	t.inProgress, t.timedFailovers = false, failovers
 	t.logLocked(unresponsive)
-	t.recorded = 0
+	t.recordedWorkers = 0
 	return false
 }
 
 func (t *Timeline) markProgressLocked(failovers, recorded, unresponsive int) {
-	if failovers > t.timed {
-		t.markLocked(Read)
+	if failovers > t.timedFailovers {
+		t.markLocked(JobsRead)
 	}
-	if t.at[Read] == 0 {
+	if t.reachedAfter[JobsRead] == 0 {
 		return
 	}
-	t.recorded = max(t.recorded, recorded)
+	t.recordedWorkers = max(t.recordedWorkers, recorded)
 	for _, reached := range []struct {
 		phase        Phase
 		unresponsive float64
-	}{{Half, halfUnresponsive}, {Most, mostUnresponsive}, {All, 0}} {
+	}{{HalfOfWorkers, halfMaxUnresponsive}, {MostWorkers, mostMaxUnresponsive}, {AllWorkers, 0}} {
 		if float64(unresponsive) <= reached.unresponsive*float64(recorded) {
 			t.markLocked(reached.phase)
 		}
@@ -192,11 +196,11 @@
 }
 
 func (t *Timeline) logLocked(unresponsive int) {
-	attrs := make([]any, 0, 2*phases+4)
-	for p, d := range t.at {
+	attrs := make([]any, 0, 2*numPhases+4)
+	for p, d := range t.reachedAfter {
 		if d > 0 {
-			attrs = append(attrs, names[p]+"_s", d.Seconds())
+			attrs = append(attrs, phaseNames[p]+"_s", d.Seconds())
 		}
 	}
-	t.log.Info("recovered", append(attrs, "machines", t.recorded, "silent", unresponsive)...)
+	t.log.Info("recovered", append(attrs, "machines", t.recordedWorkers, "silent", unresponsive)...)
 }
--- a/internal/failovertiming/recorded_test.go
+++ b/internal/failovertiming/recorded_test.go
@@ -9,12 +9,12 @@
 	"github.com/wallrack/wallrack/internal/testkit/recorded"
 )
 
-// The names of the phases in logs and statistics.
+// The names of the phases in logs and statistics do not change.
 func TestRecordedPhases(t *testing.T) {
 	var text strings.Builder
 	for _, phase := range []failovertiming.Phase{
-		failovertiming.Up, failovertiming.Joined, failovertiming.Claimed, failovertiming.Read, failovertiming.FirstHeartbeat, failovertiming.Granted,
-		failovertiming.Half, failovertiming.Most, failovertiming.All,
+		failovertiming.Up, failovertiming.LeaseAcquired, failovertiming.ShardClaimed, failovertiming.JobsRead, failovertiming.FirstHeartbeat, failovertiming.FirstGrant,
+		failovertiming.HalfOfWorkers, failovertiming.MostWorkers, failovertiming.AllWorkers,
 	} {
 		fmt.Fprintln(&text, phase)
 	}
--- a/internal/jobstate/unconfirmed.go
+++ b/internal/jobstate/unconfirmed.go
@@ -22,7 +22,7 @@
 // without this leader having observed it: no heartbeat of its worker has been compared with the
 // placement since the failover, and the worker's lease may not have expired yet.
 func (s *State) MayRunUnseen(job *Job, now time.Time) bool {
-	lease := config.Seconds(s.Platform.Params.Workers.LongestLeaseS())
+	lease := config.Seconds(s.Platform.Params.Workers.MaxLeaseS())
 	if !now.Before(s.LoadedAt.Add(lease)) {
 		return false // every lease from before the failover has expired
 	}
--- a/internal/planner/batch.go
+++ b/internal/planner/batch.go
@@ -47,7 +47,7 @@
 			}
 			from := len(arena)
 			for _, candidate := range jobCandidates {
-				candidate.Cost += rand.Float64() * p.state.Operator.RandomS // drawn separately for each task
+				candidate.Cost += rand.Float64() * p.state.Operator.RandomCostS // drawn separately for each task
 				arena = append(arena, candidate)
 			}
 			candidates = append(candidates, arena[from:len(arena):len(arena)])
@@ -61,7 +61,7 @@
 // appendCandidates appends the workers on which a task of the job starts within the horizon.
 func (p *Planner) appendCandidates(to []matching.Candidate, job *jobstate.Job, schedulable []*jobstate.Worker) []matching.Candidate {
 	for _, worker := range p.candidates(job, p.workersWithRoom(job, schedulable)) {
-		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.HorizonS {
+		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.QueueHorizonS {
 			to = append(to, matching.Candidate{Worker: worker.Index, WaitS: e.waitS, Cost: e.cost})
 		}
 	}
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -64,7 +64,7 @@
 // hasRoomWithinHorizon reports whether a task of the job fits on the worker at any time within
 // the horizon, for however short a time.
 func (p *Planner) hasRoomWithinHorizon(job *jobstate.Job, worker *jobstate.Worker) bool {
-	horizonS := p.state.Operator.HorizonS + p.state.Now.Sub(worker.ViewAt).Seconds()
+	horizonS := p.state.Operator.QueueHorizonS + p.state.Now.Sub(worker.ViewAt).Seconds()
 	for _, row := range worker.Matrix {
 		if row.WaitS > horizonS {
 			return false
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -15,7 +15,7 @@
 	if overdueS := ageS - 1.5*p.state.Platform.Params.Workers.ReportS; overdueS > 0 {
 		size = size.Scale(1 + min(0.5, 0.05*overdueS))
 	}
-	return max(0, worker.Matrix.WaitWithin(size, runS, p.state.Operator.HorizonS+ageS)-ageS)
+	return max(0, worker.Matrix.WaitWithin(size, runS, p.state.Operator.QueueHorizonS+ageS)-ageS)
 }
 
 // estimate is the expected delays and cost of a task on a worker.
@@ -52,12 +52,12 @@
 	if math.IsInf(waitS, 1) {
 		return estimate{}, false
 	}
-	cost := matching.Cost(fetchS, waitS, runS, p.state.SuccessRate(worker), p.state.Operator.KFail)
+	cost := matching.Cost(fetchS, waitS, runS, p.state.SuccessRate(worker), p.state.Operator.WorkerFailureCost)
 	if !hasRoomNow(job, worker) {
 		cost += matching.WaitUnderestimateS
 	}
 	if p.missesStartObjective(job, waitS+fetchS) {
-		cost += p.state.Operator.LateStartS
+		cost += p.state.Operator.LateStartCostS
 	}
 	return estimate{waitS, cost + p.packingCost(job, worker, cost), fetchS}, true
 }
@@ -87,5 +87,5 @@
 	if !worker.View.Spot && machine.SpotPrice > 0 {
 		surcharge = max(0, machine.Price/machine.SpotPrice-1)
 	}
-	return p.state.Operator.PackS*freeShare*(1+surcharge) + p.state.Operator.SpotPreferenceShare*cost*surcharge
+	return p.state.Operator.PackingPreferenceS*freeShare*(1+surcharge) + p.state.Operator.SpotPreferenceShare*cost*surcharge
 }
--- a/internal/planner/gang.go
+++ b/internal/planner/gang.go
@@ -98,7 +98,7 @@
 		if zone != "" && workerZone != zone || job.Spec.Spread && inZone[workerZone]+1 > maxTasksInZone(job) || job.Spec.OneZone && !p.placementFitsZone(job, worker) {
 			continue
 		}
-		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.HorizonS && e.cost < bestEstimate.cost {
+		if e, ok := p.estimate(job, worker); ok && e.waitS <= p.state.Operator.QueueHorizonS && e.cost < bestEstimate.cost {
 			best, bestEstimate = worker, e
 		}
 	}
--- a/internal/planner/rebalance.go
+++ b/internal/planner/rebalance.go
@@ -50,7 +50,7 @@
 			if budget--; budget < 0 {
 				return
 			}
-			if !p.placeDuplicate(r, placements, task) && task.minWaitS > p.state.Operator.HorizonS+p.state.Operator.ReplaceAfterS {
+			if !p.placeDuplicate(r, placements, task) && task.minWaitS > p.state.Operator.QueueHorizonS+p.state.Operator.ReplaceAfterS {
 				p.withdrawAll(placements)
 			}
 		}
@@ -142,7 +142,7 @@
 			task.slowest = placement
 		}
 		worker := placement.Worker
-		cost := matching.Cost(p.state.FetchTime(job, worker), waitS, job.RunEstimate(), p.state.SuccessRate(worker), p.state.Operator.KFail)
+		cost := matching.Cost(p.state.FetchTime(job, worker), waitS, job.RunEstimate(), p.state.SuccessRate(worker), p.state.Operator.WorkerFailureCost)
 		task.cost, task.minWaitS = min(task.cost, cost), min(task.minWaitS, waitS)
 	}
 	return task
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -12,7 +12,7 @@
 
 // LeasesQuota reports whether limits are leased to several leaders: a team's jobs then need
 // not belong to one shard.
-func LeasesQuota(op *config.Operator) bool { return op.Spread > 1 }
+func LeasesQuota(op *config.Operator) bool { return op.ShardControllers > 1 }
 
 // AssignShard returns the shard that a new job belongs to: jobs of a team are in one shard
 // unless the team's limit is leased. The job's record contains the shard, so that jobs that
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -41,7 +41,7 @@
 
 // ParseSettings parses and validates the text of a settings file. Its errors name the invalid entry.
 func ParseSettings(data []byte) (*Settings, error) {
-	entries, err := config.Entries(data, "rollouts", "(key value ...)")
+	entries, err := config.ParseEntries(data, "rollouts", "(key value ...)")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -88,7 +88,7 @@
 // sendOrder sends a direct order and returns the response's status, or 0 if no response arrives
 // in time.
 func (s *testSite) sendOrder(client *http.Client, token, session uint64, uid string) int {
-	body, _ := json.Marshal(wire.Orders{Token: token, Session: session, Commands: []wire.Command{{Verb: wire.VerbStart, Task: uid + "/0", Attempt: 1}}})
+	body, _ := json.Marshal(wire.PushedCommands{Token: token, Session: session, Commands: []wire.Command{{Verb: wire.VerbStart, Task: uid + "/0", Attempt: 1}}})
 	resp, err := client.Post("http://"+s.endpoint+"/orders", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -134,7 +134,7 @@
 // ParseSettings parses the text of a settings file and validates the settings. Errors begin with
 // the key.
 func ParseSettings(data []byte) (*Settings, error) {
-	entries, err := config.Entries(data, "scale", "(key value ...)")
+	entries, err := config.ParseEntries(data, "scale", "(key value ...)")
 	if err != nil {
 		return nil, err
 	}
@@ -176,7 +176,7 @@
 
 // setFrom validates a value from the settings file and stores it.
 func (f numericSetting) setFrom(value any) error {
-	v, err := config.Number(value, f.min, f.max)
+	v, err := config.NumberInRange(value, f.min, f.max)
 	if _, whole := f.dest.(*int); err == nil && whole && v != math.Trunc(v) {
 		err = fmt.Errorf("%v is not a whole number", v)
 	}
@@ -208,10 +208,10 @@
 		return fmt.Errorf("%.40q: a name of 1 to %d bytes is needed", team.Name, maxTeamName)
 	}
 	var err error
-	if team.Guarantee, err = config.Number(guarantee, 0, maxTeamCPUs); err != nil {
+	if team.Guarantee, err = config.NumberInRange(guarantee, 0, maxTeamCPUs); err != nil {
 		return fmt.Errorf("%q: guarantee: %w", team.Name, err)
 	}
-	if team.Limit, err = config.Number(limit, 0, maxTeamCPUs); err != nil {
+	if team.Limit, err = config.NumberInRange(limit, 0, maxTeamCPUs); err != nil {
 		return fmt.Errorf("%q: limit: %w", team.Name, err)
 	}
 	s.Teams = append(s.Teams, team)
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -42,7 +42,7 @@
 		start := time.Now()
 		lastReconcile = s.pass(lastReconcile)
 		took := time.Since(start)
-		usage.Count(usage.Passes, start)
+		usage.AddTime(usage.SchedulingPasses, start)
 		// The pause limits passes to a small share of CPU time, however long they take.
 		select {
 		case <-ctx.Done():
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -168,8 +168,8 @@
 		}
 		job.Tasks = indices.Len()
 	}
-	if job.Tasks > wire.MaxTasks {
-		return 0, &UsageError{Option: option, Message: fmt.Sprintf("more than %d tasks", wire.MaxTasks)}
+	if job.Tasks > wire.MaxTasksPerJob {
+		return 0, &UsageError{Option: option, Message: fmt.Sprintf("more than %d tasks", wire.MaxTasksPerJob)}
 	}
 	return slurmTasksPerTask, nil
 }
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -130,7 +130,7 @@
 func (s *Server) rateLimited(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if retryAfterS, ok := s.limiter.allow(time.Now()); !ok {
-			usage.Note(usage.RefusedRequests)
+			usage.CountEvent(usage.RefusedRequests)
 			writeProblem(w, http.StatusTooManyRequests, retryAfterS, "too many listings; come back in the time given")
 			return
 		}
@@ -139,7 +139,7 @@
 			defer func() { <-s.requestSlots }()
 			serve(w, r)
 		default:
-			usage.Note(usage.RefusedRequests)
+			usage.CountEvent(usage.RefusedRequests)
 			writeProblem(w, http.StatusTooManyRequests, 1, "too many listings at once")
 		}
 	}
@@ -172,7 +172,7 @@
 // serveSubmission serves a submission with constraints. A dry run is only validated.
 func (s *Server) serveSubmission(w http.ResponseWriter, r *http.Request) {
 	var parsed jobquery.Submission
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil || json.Unmarshal(data, &parsed) != nil || parsed.Constraints == nil {
 		writeProblem(w, http.StatusBadRequest, 0, "job and terms are needed, in no more than 64 KiB")
 		return
--- a/internal/slurmapi/settings.go
+++ b/internal/slurmapi/settings.go
@@ -38,7 +38,7 @@
 
 // ParseSettings parses and validates the text of a settings file. Its errors name the invalid key.
 func ParseSettings(data []byte) (*Settings, error) {
-	entries, err := config.Entries(data, "slurm", "(key value)")
+	entries, err := config.ParseEntries(data, "slurm", "(key value)")
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 			}
 			s.AccountingEnabled = pair[1] == edn.Symbol("on")
 		case key == "listings-per-s":
-			if s.ListingsPerS, err = config.Number(pair[1], minListingsPerS, maxListingsPerS); err != nil {
+			if s.ListingsPerS, err = config.NumberInRange(pair[1], minListingsPerS, maxListingsPerS); err != nil {
 				return nil, fmt.Errorf("%s: %w", key, err)
 			}
 		default:
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -160,10 +160,10 @@
 		select {
 		case slots <- struct{}{}:
 			defer func() { <-slots }()
-			defer usage.Count(usage.Users, time.Now())
+			defer usage.AddTime(usage.UserRequests, time.Now())
 			serve(w, r)
 		default:
-			usage.Note(usage.RefusedRequests)
+			usage.CountEvent(usage.RefusedRequests)
 			refuse(w, http.StatusServiceUnavailable, "too many requests at once")
 		}
 	}
@@ -211,7 +211,7 @@
 }
 
 func (s *Service) submit(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
 		refuse(w, http.StatusBadRequest, "body unreadable or over 64 KiB")
 		return
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -86,9 +86,9 @@
 	doneJobs         map[string]bool      // jobs whose user was told that they are done
 	confirmedCancels map[string]time.Time // by job: when its user was first told that it is cancelled
 
-	accountingEnabled bool                                 // whether accounting rows are written
-	onInstructions    func(d dispatch.Instructions)        // called with instructions to dispatchers before they are sent; may be nil
-	onCommands        func(endpoint string, o wire.Orders) // called with a direct command before it is sent; may be nil
+	accountingEnabled bool                                         // whether accounting rows are written
+	onInstructions    func(d dispatch.Instructions)                // called with instructions to dispatchers before they are sent; may be nil
+	onCommands        func(endpoint string, o wire.PushedCommands) // called with a direct command before it is sent; may be nil
 
 	extraLoops       func(n *node) []func(context.Context) error            // additional loops of a controller; may be nil
 	leaderCount      int                                                    // number of controllers that lead shards; 0: the default setting
@@ -174,7 +174,7 @@
 	w.connectStoreFaults(n)
 	op := w.operatorSettings()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	n.member = membership.New(n.view, name, config.Seconds(op.LeaseS), op.Shards, op.Spread, log)
+	n.member = membership.New(n.view, name, config.Seconds(op.LeaseS), op.Shards, op.ShardControllers, log)
 	cfg := *w.cfg
 	cfg.Node = name
 	n.cancellations = cancellation.New(cancellation.Options{
@@ -222,7 +222,7 @@
 	}
 	op.Shards = 4
 	if w.leaderCount > 0 {
-		op.Spread = w.leaderCount
+		op.ShardControllers = w.leaderCount
 	}
 	return op
 }
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -51,7 +51,7 @@
 
 // SendCommands sends a direct message to a worker. Some messages arrive but their response is lost, and
 // some arrive minutes late.
-func (n *node) SendCommands(ctx context.Context, endpoint string, o wire.Orders, valid func() error) (*wire.Report, bool, error) {
+func (n *node) SendCommands(ctx context.Context, endpoint string, o wire.PushedCommands, valid func() error) (*wire.Report, bool, error) {
 	if d := n.cluster.drawDelay(&n.cluster.connectDelay); d > 0 {
 		time.Sleep(d)
 	}
@@ -76,7 +76,7 @@
 	return a.report, a.executed, err
 }
 
-func (n *node) deliverCommands(endpoint string, o wire.Orders, sent time.Time) (*wire.Report, bool, error) {
+func (n *node) deliverCommands(endpoint string, o wire.PushedCommands, sent time.Time) (*wire.Report, bool, error) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	worker := n.cluster.byName[endpoint]
@@ -116,7 +116,7 @@
 }
 
 // holdCommands keeps a direct message until deliverHeldCommands is called.
-func (w *cluster) holdCommands(from *node, to *testkit.Worker, o wire.Orders, sent time.Time) {
+func (w *cluster) holdCommands(from *node, to *testkit.Worker, o wire.PushedCommands, sent time.Time) {
 	w.heldCommands = append(w.heldCommands, func() { w.checks.setSender(from, sent); to.HandleCommands(o) })
 }
 
--- a/internal/testkit/quota_leases_test.go
+++ b/internal/testkit/quota_leases_test.go
@@ -261,7 +261,7 @@
 		c.awaitTwoLeaders()
 		c.runFor(5)
 		oneLeader := c.operatorSettings()
-		oneLeader.Spread = 1
+		oneLeader.ShardControllers = 1
 		defaultShard := quota.AssignShard(&wire.Job{Team: "capped"}, limitedTeams, oneLeader) // shard of all the team's jobs that a single leader accepts
 		firstShard := map[int]uint64{(defaultShard + 1) % oneLeader.Shards: 1}
 		usesLimit := func(uid string) func() bool { return func() bool { return c.unfinishedTasks(uid) == 8 } }
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -275,7 +275,7 @@
 				if c.higherToken {
 					session, token := w.sessionOf(cut[0]), w.nodes[w.leader()].member.FencingToken()
 					w.mu.Lock()
-					cut[0].HandleCommands(wire.Orders{Token: token + 1, Session: session})
+					cut[0].HandleCommands(wire.PushedCommands{Token: token + 1, Session: session})
 					w.mu.Unlock()
 				}
 				if c.leaderRestarts {
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -212,7 +212,7 @@
 
 // HandleCommands handles a direct message, however late it arrives, and reports whether its commands
 // were executed now. A hung worker handles the message when it resumes.
-func (w *Worker) HandleCommands(o wire.Orders) bool {
+func (w *Worker) HandleCommands(o wire.PushedCommands) bool {
 	if w.IsHung() {
 		w.holdUntilResume(func() { w.HandleCommands(o) })
 		return false
--- a/internal/worker/state.go
+++ b/internal/worker/state.go
@@ -133,7 +133,7 @@
 // HandleOrders executes commands that were sent directly. If the fencing token is lower than the
 // highest one seen, or the session does not match, it executes nothing and returns false. It does
 // not renew the lease. Tasks continue after ctx has ended; only its values are used.
-func (s *State) HandleOrders(ctx context.Context, orders wire.Orders) bool {
+func (s *State) HandleOrders(ctx context.Context, orders wire.PushedCommands) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked()
--- a/internal/worker/state_test.go
+++ b/internal/worker/state_test.go
@@ -127,7 +127,7 @@
 	case st.Kind == stepOutage:
 		m.backend.unavailable = !m.backend.unavailable
 	case st.Direct: // a late direct order
-		orders := wire.Orders{Token: uint64(m.token + min(0, st.Token)), Session: report.Session, Commands: commands}
+		orders := wire.PushedCommands{Token: uint64(m.token + min(0, st.Token)), Session: report.Session, Commands: commands}
 		if m.state.HandleOrders(ctx, orders) && st.Token < 0 {
 			m.violation = "an order with a lower token was accepted"
 		}
@@ -203,7 +203,7 @@
 		s := &fakeBackend{running: map[string]*fakeProcess{}}
 		state := newState(s)
 		order := func(verb string, attempt uint64) {
-			state.HandleOrders(t.Context(), wire.Orders{Token: 1, Session: 1, Commands: []wire.Command{{Verb: verb, Task: "j-1/0", Attempt: attempt}}})
+			state.HandleOrders(t.Context(), wire.PushedCommands{Token: 1, Session: 1, Commands: []wire.Command{{Verb: verb, Task: "j-1/0", Attempt: attempt}}})
 			synctest.Wait()
 		}
 		order(wire.VerbStart, 1)
