--- a/internal/admission/tiers.go
+++ b/internal/admission/tiers.go
@@ -106,8 +106,9 @@
 	return candidates, late
 }
 
-// dropLargest drops candidates that are not accepted, in the order in which the candidates are
-// due and largest work first, until all others are done in time.
+// dropLargest adds up the work of the candidates in the order in which they are due. Whenever a
+// candidate would be late, it drops those with the most work so far, except accepted ones, until
+// the rest is done in time.
 func dropLargest(candidates []*candidate, rate, offsetS float64) {
 	var droppable workHeap
 	used := 0.0
--- a/internal/jobrecord/task_records.go
+++ b/internal/jobrecord/task_records.go
@@ -64,8 +64,8 @@
 }
 
 // QuotaMark describes how the writer of a log record uses quota leases. Without it, a later
-// leader could not tell that recorded quota leases do not cover tasks that a leader without
-// quota leases started after them.
+// leader could not tell that the recorded quota leases do not cover the tasks that a leader
+// without quota leases started later.
 type QuotaMark struct {
 	LeasesQuota bool `json:"l,omitempty"` // the writer starts tasks only within leased limits
 	// UnleasedVersion is the version of the latest log record whose writer did not lease
@@ -75,8 +75,8 @@
 }
 
 // ParseLog decodes a log record. It does not check task numbers, because the record does not
-// contain the number of tasks of a job. On an error it returns the part that could be decoded:
-// its Seq remains valid.
+// contain the number of tasks of a job. On an error it also returns the part that could be
+// decoded; its Seq is valid if it was decoded, else 0.
 func ParseLog(data json.RawMessage) (LogRecord, error) {
 	var record LogRecord
 	if err := json.Unmarshal(data, &record); err != nil {
--- a/internal/jobstate/chunk.go
+++ b/internal/jobstate/chunk.go
@@ -12,7 +12,7 @@
 	Number      int
 	Version     uint64 // version of the chunk's own record; 0 if there is none
 	SavedSeq    uint64 // sequence number of the last log record that the chunk's own record includes
-	DoneBits    []byte // a bit for each task that is over
+	DoneBits    []byte // one bit for each task; set if the task is over
 	NextAttempt uint64 // lowest attempt number that was never used
 	Placements  []*Placement
 	Job         *Job
--- a/internal/jobstate/completion.go
+++ b/internal/jobstate/completion.go
@@ -63,7 +63,7 @@
 }
 
 // FinishJob sets the final stage of a job that has no work left, for the writer to record. It
-// has no effect on other jobs.
+// does nothing if the job has work left or its final stage is already set.
 func (s *State) FinishJob(job *Job) {
 	placed := len(job.Placements) > 0 // halted tasks may still be running
 	switch {
--- a/internal/jobstate/instructions.go
+++ b/internal/jobstate/instructions.go
@@ -58,8 +58,9 @@
 	}
 }
 
-// WithdrawPlacement ends a placement that was never granted, so that no task can have been
-// started for it, and removes it from the queue of the dispatcher to which it was sent.
+// WithdrawPlacement ends a placement for which no task can be on its worker, because it was never
+// granted or was granted in an earlier session of the worker. It also removes the placement from
+// the queue of the dispatcher to which it was sent.
 func (s *State) WithdrawPlacement(placement *Placement) {
 	if placement.SentTo != "" {
 		s.sendHalt(placement.SentTo, dispatch.Halt{TaskRef: placement.Ref})
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -36,7 +36,7 @@
 	ObservedStarts int                  // number of times that a placement was first seen to run
 	StartedAt      time.Time            // when the first task (for a gang: the last) was seen to run; zero if none was
 	Zones          map[string]int       // number of placements whose task may be running, by zone
-	Unzoned        int                  // number of such placements in workers whose zone is unknown
+	Unzoned        int                  // number of such placements on workers whose zone is unknown
 	RunTimes       Average              // run times of its tasks, in seconds
 
 	Errors     int               // number of attempts that ended with an error or for an unknown cause
@@ -82,7 +82,8 @@
 }
 
 // ActiveTasks returns the number of tasks, other than except, with a placement that has not
-// exited and, with grantedOnly, was granted. No task has the number -1.
+// exited. If grantedOnly is true, the placement must also have been granted. An except of -1
+// excludes no task.
 func (j *Job) ActiveTasks(grantedOnly bool, except int) int {
 	n := 0
 	for task, placements := range j.Placements {
--- a/internal/jobstate/served.go
+++ b/internal/jobstate/served.go
@@ -7,8 +7,8 @@
 	firstStartPriorityAge = startDeadline / 2 // age from which a job's first task is placed before all other work
 )
 
-// JobCounts counts the jobs of a class, of the largest jobs of a class, or of a team that are
-// live on this leader or ended under it. Cancelled jobs are not counted.
+// JobCounts are numbers of jobs of a class, of the largest jobs of a class, or of a team. They
+// cover the jobs that are live on this leader or ended under it, except cancelled ones.
 type JobCounts struct {
 	Offered int `json:"offered"`       // all counted jobs
 	Started int `json:"begun"`         // jobs whose first task, or all of whose tasks for a gang, started within startDeadline
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -36,14 +36,14 @@
 // AmountOf returns resources as an amount of quota, rounded up.
 func AmountOf(r matching.Resources) quotalease.Amount { return quotalease.AmountOf(r.CPUs, r.GPUs) }
 
-// Allows reports whether the tasks of a shard may use that much. The team's limit must be
-// leased.
+// Allows reports whether the tasks of a shard may use these resources in total. The team's limit
+// must be leased.
 func (t *Team) Allows(shard int, use matching.Resources) bool {
 	return t.ExceededLimit(shard, use) == ""
 }
 
 // ExceededLimit returns the reason, as in package jobspec, why the tasks of a shard may not use
-// that much, or "" if they may. The team's limit must be leased.
+// these resources in total, or "" if they may. The team's limit must be leased.
 func (t *Team) ExceededLimit(shard int, use matching.Resources) string {
 	amount, ceiling := AmountOf(use), t.Leased.Borrower.Ceiling(shard, t.Leased.Team)
 	for kind, limit := range LimitOf(t.Team) {
--- a/internal/jobstate/unconfirmed.go
+++ b/internal/jobstate/unconfirmed.go
@@ -10,8 +10,8 @@
 const stageLag = 3 * time.Second
 
 // MarkCompared records that a heartbeat which arrived at that time was compared with the
-// placement. A heartbeat older than stageLag before the placement proves nothing: it may have
-// been sent before the task started.
+// placement. A heartbeat that arrived stageLag or more before the placement was created is
+// ignored, because it may have been sent before the task started.
 func (p *Placement) MarkCompared(at time.Time) {
 	if at.After(p.CreatedAt.Add(-stageLag)) {
 		p.Compared = true
--- a/internal/jobstate/worker.go
+++ b/internal/jobstate/worker.go
@@ -108,8 +108,8 @@
 
 // RecordRenewal records that a controller responded to a heartbeat of the worker in the given
 // session. Only the next heartbeat shows whether the response arrived: a worker that received it
-// returns to the same controller, and one that did not tries another. The lease of a new session
-// started after the previous heartbeat.
+// returns to the same controller, and one that did not tries another. If the session is new,
+// its lease started after the previous response, which therefore counts as having arrived.
 func (w *Worker) RecordRenewal(at time.Time, session uint64, controller string) {
 	confirmed := w.RenewedAt
 	if session == w.RenewedSession && controller != w.RenewedBy {
--- a/internal/matching/estimate.go
+++ b/internal/matching/estimate.go
@@ -19,9 +19,9 @@
 }
 
 // ShouldReplace reports whether a queued task is to be placed again, by the paper's three
-// conditions: its total wait will exceed the planned one, its expected wait exceeds its stage's
-// average, or the time that it has waited exceeds that average, each by more than marginS. All
-// arguments are in seconds.
+// conditions: the total wait elapsedS+expectedS exceeds plannedS, the remaining wait expectedS
+// exceeds averageS (the average wait in the task's stage), or the past wait elapsedS exceeds
+// averageS, each by more than marginS. All arguments are in seconds.
 func ShouldReplace(plannedS, elapsedS, expectedS, averageS, marginS float64) bool {
 	return elapsedS+expectedS > plannedS+marginS || expectedS > averageS+marginS || elapsedS > averageS+marginS
 }
--- a/internal/matching/match_test.go
+++ b/internal/matching/match_test.go
@@ -9,7 +9,7 @@
 )
 
 // As many tasks are matched as possible, no worker gets two tasks, and no task would be cheaper
-// on a worker that is left without one; every pair is checked.
+// on a worker without a task; every pair of task and worker is checked.
 func TestMatchIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks, workers := rapid.IntRange(1, 5).Draw(t, "tasks"), rapid.IntRange(1, 5).Draw(t, "workers")
--- a/internal/matching/matrix.go
+++ b/internal/matching/matrix.go
@@ -12,8 +12,8 @@
 	RemainingS float64 // time for which it will hold them, in seconds
 }
 
-// WaitRow is a row of a wait-time matrix: the resources that are free after WaitS seconds, until
-// those of the next row.
+// WaitRow is a row of a wait-time matrix: the resources that are free from WaitS seconds on, until
+// the WaitS of the next row.
 type WaitRow struct {
 	WaitS float64   `json:"w"`
 	Free  Resources `json:"f"`
@@ -86,7 +86,7 @@
 func (m WaitMatrix) CountFitting(size Resources, waitS, runS float64, limit int) int {
 	for i := range m {
 		switch {
-		case i+1 < len(m) && m[i+1].WaitS <= waitS: // over by then
+		case i+1 < len(m) && m[i+1].WaitS <= waitS: // the row ends before the tasks start
 		case m[i].WaitS >= waitS+runS:
 			return limit
 		default:
--- a/internal/planner/batch.go
+++ b/internal/planner/batch.go
@@ -93,7 +93,8 @@
 func maxTasksInZone(job *jobstate.Job) int { return (job.Spec.Tasks + 1) / 2 }
 
 // fitsLimitWithQueued reports whether the job's team stays within its limit with n more tasks of
-// the job, including queued placements: tasks that cannot be granted yet would block the queues.
+// the job. Queued placements count as use: otherwise tasks that cannot be granted yet would block
+// the queues.
 func (p *Planner) fitsLimitWithQueued(job *jobstate.Job, n int) bool {
 	team := job.Team
 	if team.CPUsMax <= 0 && team.GPUsMax <= 0 {
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxExhaustiveSearch = 64                      // with at most this many workers with room, all of them are candidates
+	maxExhaustiveSearch = 64                      // if at most this many workers have room, all of them are candidates
 	maxSampledWorkers   = 512                     // maximum number of workers examined per job beyond those that cache its image
-	sameZoneCandidates  = maxExhaustiveSearch / 2 // maximum number of sampled candidates in the zones of those that cache the image
+	sameZoneCandidates  = maxExhaustiveSearch / 2 // maximum number of sampled candidates in the zones of workers that cache the image
 	idleCandidates      = 2                       // maximum number of other sampled candidates, with room now
 )
 
--- a/internal/planner/cordoned.go
+++ b/internal/planner/cordoned.go
@@ -10,13 +10,14 @@
 const (
 	// cordonedQueueWait is how long a placement on a cordoned worker may wait for its grant.
 	cordonedQueueWait = 3 * time.Second
-	// minOccupiedS is the minimum time in seconds for which a cordoned worker must stay occupied
-	// to be given short tasks in the meantime.
+	// minOccupiedS is the minimum remaining time in seconds for which a cordoned worker must stay
+	// occupied so that further short tasks may be placed on it.
 	minOccupiedS = 15
 )
 
 // staysOccupied reports whether tasks that Evict does not stop will occupy a cordoned worker for
-// at least minOccupiedS, a time that is paid for in any case. It sets the worker's OccupiedS.
+// at least minOccupiedS. The machine is paid for until those tasks end, so further short tasks
+// may use it. It sets the worker's OccupiedS.
 func (p *Planner) staysOccupied(worker *jobstate.Worker) bool {
 	worker.OccupiedS = 0
 	for placement := range worker.Placements {
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -64,7 +64,7 @@
 
 // hasRoomNow reports whether, by the worker's last view, a task of the job fits without waiting
 // for another task to end. An old view does not show whether a task that should have ended since
-// then has done so.
+// then has ended.
 func hasRoomNow(job *jobstate.Job, worker *jobstate.Worker) bool {
 	return job.Resources.Fits(worker.Matrix[0].Free)
 }
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -18,7 +18,7 @@
 	Count     int                `json:"Count"` // number of tasks
 	RunS      float64            `json:"Run"`   // expected run time of a task in seconds, on average
 	Rank      int                `json:"Rank"`
-	SlackS    float64            `json:"Slack"` // seconds that a task may still wait and meet an objective that a new worker can help to meet
+	SlackS    float64            `json:"Slack"` // seconds that a task may still wait without missing an objective, see Planner.slack
 }
 
 // WorkerLoad is a worker as the autoscaler sees it.
--- a/internal/planner/evict.go
+++ b/internal/planner/evict.go
@@ -14,11 +14,11 @@
 	maxEvictionLoss = 0.35 // maximum share of a task's run that its eviction may waste
 )
 
-// Evict stops the longest-running tasks on cordoned workers where that wastes much less than the
-// machine would cost until they end: otherwise a few small tasks would occupy a large machine
-// for minutes. There must be room for them on other workers. It also withdraws placements that
-// have waited for a grant on a cordoned worker for more than cordonedQueueWait. The caller holds
-// the state's Mu.
+// Evict stops the tasks with the longest remaining time on a cordoned worker if the work wasted
+// costs much less than the machine would until these tasks end, and if other workers have room
+// for them. Otherwise a few small tasks would occupy a large machine for minutes. Evict also
+// withdraws placements that have waited for a grant on a cordoned worker for more than
+// cordonedQueueWait. The caller holds the state's Mu.
 func (p *Planner) Evict() {
 	cordoned, freeCPUs := p.cordonedWorkers()
 	if len(cordoned) == 0 {
@@ -125,7 +125,7 @@
 	return candidates[:evictionCount(candidates, machine, freeCPUs)]
 }
 
-// evictionCount returns how many of the first candidates to stop for the highest gain.
+// evictionCount returns how many candidates, counted from the first, to stop for the highest gain.
 func evictionCount(candidates []evictionCandidate, machine *wire.MachineType, freeCPUs float64) int {
 	count, bestGain := 0, 0.0
 	wasted, allResume := 0.0, true
--- a/internal/planner/order.go
+++ b/internal/planner/order.go
@@ -6,7 +6,7 @@
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// limitTolerance is the rounding error by which use may exceed a team's limit.
+// limitTolerance is the rounding error by which use may exceed a team's limit or guarantee.
 const limitTolerance = 1e-6
 
 // SortJobs sorts jobs into the order in which they are placed: first those that need their first
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,9 +1,9 @@
 // Package planner decides on which workers the tasks of live jobs are placed. A scheduling pass
 // (Pass) matches waiting tasks to workers by the lowest estimated completion time within their
-// teams' limits, and makes room for urgent ones by preemption. Rebalance places queued tasks
-// again that wait too long, Evict empties workers that are to be scaled in, Triage determines
-// under overload which jobs can still meet their deadlines, and Demand describes the load to the
-// autoscaler.
+// teams' limits, and makes room for urgent ones by preemption. Rebalance finds other workers
+// for queued tasks that wait too long, Evict empties workers that are to be scaled in, Triage
+// determines under overload which jobs can still meet their deadlines, and Demand describes the
+// load to the autoscaler.
 //
 // A Planner only changes jobstate.State: it does no input or output, grants no starts and sends
 // nothing. The instructions for dispatchers are collected in the state. Callers of Pass,
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -99,8 +99,8 @@
 	return picked, starts
 }
 
-// startableTasks returns how many placeable tasks of the job fit into free together; the caller
-// knows that at least n do.
+// startableTasks returns how many placeable tasks of the job fit into free together. At least n
+// tasks must fit.
 func (p *Planner) startableTasks(job *jobstate.Job, free matching.Resources, n int) int {
 	for n < p.state.PlaceableTasks(job) && job.Resources.Scale(float64(n+1)).Fits(free) {
 		n++
--- a/internal/planner/rebalance.go
+++ b/internal/planner/rebalance.go
@@ -24,11 +24,12 @@
 }
 
 // Rebalance examines tasks that are queued and not granted yet. It withdraws placements on
-// workers where the task may not start, and places tasks that wait much longer than planned on a
-// second worker if that is now cheaper; if both placements of a task wait too long, the slower
-// one is replaced. A task without a better worker becomes pending again and keeps its place in
-// the scheduling order: otherwise later tasks take all the room before the next run, and the
-// task waits for minutes. The caller holds the state's Mu.
+// workers where the task can no longer be expected to start, and places tasks that wait much
+// longer than planned on a second worker if that is now cheaper; if both placements of a task
+// wait too long, the slower one is replaced. A task without a better worker whose waits all
+// exceed the horizon plus ReplaceAfterS becomes pending again and keeps its place in the
+// scheduling order: otherwise later tasks take all the room before the next run, and the task
+// waits for minutes. The caller holds the state's Mu.
 func (p *Planner) Rebalance() {
 	p.state.Now = time.Now()
 	r := &rebalanceState{schedulable: p.schedulableWorkers()}
@@ -92,8 +93,8 @@
 	return 0
 }
 
-// withdrawUnstartable withdraws those of a task's placements that are queued on workers where
-// the task may not start, and reports whether there were any.
+// withdrawUnstartable withdraws a task's queued placements that can no longer be expected to
+// start, see unstartable. It reports whether there were any.
 func (p *Planner) withdrawUnstartable(r *rebalanceState, placements []*jobstate.Placement) bool {
 	r.unstartable = r.unstartable[:0]
 	for _, placement := range placements {
@@ -157,8 +158,8 @@
 
 // placeDuplicate places a queued task on a further worker if that costs at least a second less
 // than its cheapest placement, and reports whether there is such a worker. If the task already
-// has maxPlacements, the slowest is withdrawn: otherwise a task that waits on two workers behind
-// long-running tasks stays there while other workers are idle.
+// has maxPlacements, its slowest placement is withdrawn: otherwise a task that waits on two
+// workers behind long-running tasks stays there while other workers are idle.
 func (p *Planner) placeDuplicate(r *rebalanceState, placements []*jobstate.Placement, task *overdueTask) bool {
 	slowest := task.slowest
 	job := slowest.Job
--- a/internal/planner/triage.go
+++ b/internal/planner/triage.go
@@ -14,7 +14,7 @@
 	triageInterval   = time.Second
 	arrivalWindowS   = 40.0 // time constant in seconds for averaging the arrival of work
 	overloadStart    = 1.5  // triage of a priority starts if its work takes longer than this multiple of the mean first deadline
-	overloadEnd      = 0.75 // and ends if it takes less than this multiple
+	overloadEnd      = 0.75 // triage of the priority ends if its work takes less than this multiple
 	minCapacityShare = 0.1  // minimum share of the capacity assumed for a priority, whatever work of higher priority arrives
 	usableShare      = 0.75 // share of the capacity that tasks can use; the rest is lost to gaps, fetches and starts
 )
@@ -107,7 +107,7 @@
 }
 
 // triageRank sets the tiers of the jobs of a priority if the priority is overloaded, and adds
-// their work to that of the priorities above the next one.
+// their work to the work in t that precedes lower priorities.
 func (p *Planner) triageRank(t *triage, rank int, jobs []*jobstate.Job) {
 	workS := 0.0
 	remaining := make([]admission.Job, 0, len(jobs))
--- a/internal/planner/urgency.go
+++ b/internal/planner/urgency.go
@@ -9,11 +9,12 @@
 const (
 	lateSlackS       = 20               // slack assumed for jobs that can meet no objective or deadline any more, so that they still make progress
 	urgentSlackS     = 15               // slack below which an objective or deadline is about to be missed
-	minMissedUrgentS = 3 * urgentSlackS // minimum age in seconds up to which a missed start objective keeps a job urgent
+	minMissedUrgentS = 3 * urgentSlackS // a missed start objective keeps a job urgent up to this age in seconds or twice the objective
 )
 
-// slack returns how many seconds the job's tasks may still wait and meet the next start
-// objective or deadline that a worker which is ready in bootS seconds can help to meet.
+// slack returns how many seconds the job's tasks may still wait without missing the next start
+// objective or deadline, ignoring those with a slack below bootS: a worker that is ready in bootS
+// seconds cannot help to meet them. It returns lateSlackS if no other is left.
 func (p *Planner) slack(job *jobstate.Job, bootS float64) float64 {
 	ageS := p.state.Now.Sub(job.AcceptedAt).Seconds()
 	runS := jobstate.RunTimeMargin*job.RunEstimate() + jobstate.RestartOverheadS
@@ -30,7 +31,7 @@
 	return nextS
 }
 
-// earlierSlack returns slackS if it is below nextS and not below bootS, else nextS.
+// earlierSlack returns slackS if bootS <= slackS < nextS, else nextS.
 func earlierSlack(nextS, slackS, bootS float64) float64 {
 	if slackS >= bootS && slackS < nextS {
 		return slackS
@@ -53,7 +54,7 @@
 // mustStartSoon reports whether the job's tasks justify preemption: little time is left for the
 // next start objective or deadline, or a start objective was missed recently. A distant deadline
 // does not justify it: free room goes to the higher priority anyway, and the work of a stopped
-// task is paid for twice. A short start objective is missed quickly, and the start of its tasks
+// task is paid for twice. A short start objective is missed quickly, and a start soon after that
 // still matters.
 func (p *Planner) mustStartSoon(job *jobstate.Job) bool {
 	if p.slack(job, 0) < urgentSlackS {
--- a/internal/reconcile/grant.go
+++ b/internal/reconcile/grant.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// grantLeaseMargin is the minimum remaining time of the leader's own lease for it to grant a
-// start.
+// grantLeaseMargin is the minimum remaining time of the leader's own lease: with less, the leader
+// grants no start.
 const grantLeaseMargin = 200 * time.Millisecond
 
 // GrantLocal decides whether a task may start now. No dispatcher sends a start command without
@@ -98,9 +98,9 @@
 	return placement, false
 }
 
-// grantedInEarlierSession reports whether the placement was granted for an earlier session of
-// its worker than that of the request. The worker has lost everything granted in that session,
-// and may have run it: see checkGranted.
+// grantedInEarlierSession reports whether the placement was granted for a session of its worker
+// before the session of the request. The task may have run in that earlier session, and was lost
+// when the session ended: see checkGranted.
 func grantedInEarlierSession(placement *jobstate.Placement, session uint64) bool {
 	neverReported := placement.State == jobstate.PlacementRecorded || placement.State == jobstate.PlacementGranted
 	return !placement.Exited && placement.Session > 0 && session > placement.Session && neverReported
--- a/internal/reconcile/lease_expiry.go
+++ b/internal/reconcile/lease_expiry.go
@@ -19,13 +19,13 @@
 const (
 	haltDeliveryS      = 3.0         // maximum seconds from the decision to stop a task until the command reaches its worker
 	lateFactor         = 1.5         // a task is certain not to finish in time if its remaining run exceeds the rest of the lease by this factor
-	settleDelay        = time.Second // time after the end of a lease at which its worker is polled for the effects
+	settleDelay        = time.Second // time after the end of a lease at which its worker is polled, to observe which tasks were lost
 	haltingPollS       = 1           // seconds between polls of a worker while one of its tasks is being stopped
 	maxUnansweredPolls = 2           // consecutive polls without a response after which a worker is not polled again
 	minPollsPerRound   = 6           // minimum number of workers that may be polled in one round
-	pollDivisor        = 16          // or one in this many of the overdue workers, if that is more
+	pollDivisor        = 16          // one in this many overdue workers may be polled in one round, if that is more than minPollsPerRound
 	minLeaseLeftS      = 0.1         // minimum rest assumed for a lease that is not certain to have expired
-	maxOverdueShare    = 0.5         // share of overdue workers above which the fault is probably not theirs, and other workers have no room
+	maxOverdueShare    = 0.5         // maximum share of overdue workers: above it, the fault is probably not theirs, and the others lack room
 )
 
 // expiringTask is a task on a worker whose lease is not being renewed. Times are in seconds.
@@ -37,10 +37,10 @@
 }
 
 // stopBeforeExpiry decides whether to stop a task now, leftS seconds before its worker kills it.
-// A task that can save its state runs on as long as there is time to save. A task that cannot,
-// and that is certain not to finish in time, loses its run and the rest of the lease if the
-// lease expires: it is stopped while it has run for less than the rest of the lease. The loss is
-// then at most twice the minimum, whether or not the worker's heartbeats resume. A task that may
+// A task that can save its state runs on as long as there is time to save. If a task
+// that cannot save and is certain not to finish in time runs on until the lease expires, its run
+// and the rest of the lease are wasted: it is stopped while it has run for less than the rest of
+// the lease. The loss is then at most twice the minimum, whether or not the heartbeats resume. A task that may
 // finish in time runs on, because no other task can use its worker.
 func stopBeforeExpiry(task expiringTask, leftS float64) bool {
 	switch {
--- a/internal/reconcile/lease_expiry_test.go
+++ b/internal/reconcile/lease_expiry_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Each session of a worker has its own lease, and a task that starts in the rest of it must
-// finish before it expires.
+// Each session of a worker has its own lease. While that lease is not being renewed, only tasks
+// that finish before it expires may start.
 func TestTaskStartsOnlyIfItFitsRestOfUnrenewedLease(t *testing.T) {
 	r := &Reconciler{state: &jobstate.State{Platform: &config.Platform{Params: config.Params{Workers: config.Workers{ReportS: 8, LeaseS: 44}}}}}
 	ago := func(s float64) time.Time { return time.Now().Add(-config.Seconds(s)) }
--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -84,7 +84,7 @@
 	worker.View, worker.ViewAt, worker.Matrix = *view, now, view.Matrix
 	recordHeartbeat(worker, now)
 	if r.state.Membership.LeaseRemaining() <= 0 {
-		// Another leader may have taken over, whose tasks would be unknown to this one. If not,
+		// Another leader may have taken over and started tasks that this one does not know. If not,
 		// the next heartbeat is reconciled instead.
 		return
 	}
@@ -116,8 +116,8 @@
 
 // leaseExpiredUnreported reports whether the response to a poll proves to a new leader, which
 // does not know the worker's lease, that the lease expired while no heartbeat arrived: the
-// worker is in a new session, or the tasks are gone that a predecessor had placed on it. Tasks
-// given to such a worker are lost again.
+// worker is in a new session, or the tasks that a predecessor had placed on it are gone. Further
+// tasks placed on such a worker would be lost, too.
 func (r *Reconciler) leaseExpiredUnreported(worker *jobstate.Worker, view *dispatch.WorkerView) bool {
 	if !worker.LeaseUnknown() {
 		return false
@@ -129,8 +129,8 @@
 	return recorded && view.Session > 1 && len(view.Tasks) == 0
 }
 
-// setZone sets the worker's zone and moves the use of its placements, counted under an unknown
-// zone so far, to it.
+// setZone sets the worker's zone. The use of its placements, so far counted under an unknown
+// zone, is counted in that zone afterwards.
 func (r *Reconciler) setZone(worker *jobstate.Worker, zone string) {
 	for placement := range worker.Placements {
 		r.state.CountUse(placement, -1)
@@ -142,8 +142,8 @@
 }
 
 // recordHeartbeat records when the heartbeat in the worker's view arrived, and when the cloud
-// reclaims the machine. It subtracts the age of the heartbeat: otherwise tasks are placed on
-// workers that were deleted long ago.
+// reclaims the machine. It subtracts the age of the heartbeat from now: otherwise tasks are
+// placed on workers that were deleted long ago.
 func recordHeartbeat(worker *jobstate.Worker, now time.Time) {
 	view := &worker.View
 	worker.LastHeartbeat = now.Add(-config.Seconds(view.AgeS))
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -7,9 +7,10 @@
 // not list it, the deletion of the worker, or the attested expiry of its lease. A missing
 // heartbeat proves nothing.
 //
-// The only state of the package itself serves to detect late views. It does no input or output:
-// messages and records are queued in the state and signalled. It does not choose workers for
-// tasks (package planner) or decide which unresponsive workers to delete (package reachability).
+// The package itself holds only deferred views and what it needs to detect late views. It does
+// no input or output: messages and records are queued in the state and signalled. It does not
+// choose workers for tasks (package planner) or decide which unresponsive workers to delete
+// (package reachability).
 package reconcile
 
 import (
--- a/internal/reconcile/responsive.go
+++ b/internal/reconcile/responsive.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// unansweredCommandSince returns when the first command was sent that the worker's heartbeat
-// should reflect and does not, of those sent before the given time; zero if there is none.
+// unansweredCommandSince returns the time of the earliest command, among those sent before the
+// given time, whose effect the worker's heartbeat should show but does not; zero if there is none.
 func (r *Reconciler) unansweredCommandSince(worker *jobstate.Worker, before time.Time) (since time.Time) {
 	for placement := range worker.Placements {
 		if placement.SeenInView == r.viewCount {
@@ -118,8 +118,8 @@
 	worker.UnresponsiveSince, worker.UnresponsiveHeartbeats = time.Time{}, 0
 }
 
-// responseTimeout returns the time after which a worker's heartbeat reflects a command sent to
-// it.
+// responseTimeout returns how long after a command was sent to a worker a heartbeat of the worker
+// must show the effect.
 func (r *Reconciler) responseTimeout() time.Duration {
 	return config.Seconds(2 + 1.5*r.state.Platform.Params.Workers.ReportS)
 }
--- a/internal/reconcile/task_reported.go
+++ b/internal/reconcile/task_reported.go
@@ -16,9 +16,9 @@
 	minRatio       = 0.25
 	maxRatio       = 4
 
-	// workerDecay and spotDecay are the factors by which the counts of recently completed and
-	// lost tasks are multiplied at each new one: those of a worker, and those of all spot
-	// workers.
+	// workerDecay is the factor by which a worker's counts of recently completed and lost tasks
+	// are multiplied at each new one; spotDecay is the same for the counts of all spot workers
+	// together.
 	workerDecay = 0.98
 	spotDecay   = 0.995
 
@@ -69,9 +69,9 @@
 	if placement.State != jobstate.PlacementReported {
 		r.recordReported(worker, placement, view)
 	} else if placement.SentTo != worker.View.Dispatcher || view.ResourcesUnknown && time.Since(placement.SentAt) > assignRetryInterval {
-		// The assignment may have arrived when the dispatcher had an older heartbeat, which did
-		// not list the task. The dispatcher would then consider the worker full as long as the
-		// task runs, and tasks queued there would never start.
+		// The dispatcher's latest heartbeat may not have listed the task when the assignment
+		// arrived. The dispatcher would then consider the worker full as long as the task runs,
+		// and tasks queued there would never start.
 		r.state.AssignPlacement(placement, true)
 	}
 	placement.Session = max(placement.Session, worker.View.Session)
@@ -135,9 +135,9 @@
 func (r *Reconciler) endUnknownTask(worker *jobstate.Worker, ref dispatch.TaskRef, view *dispatch.TaskView) {
 	instructions := r.state.InstructionsFor(worker.View.Dispatcher)
 	if view.State == wire.TaskExited {
-		// The placement is gone, and with it the tokens of its start commands. The clear repeats
-		// one whose message may have been lost; its token covers every start command that may
-		// still be delayed, so that none takes effect after it.
+		// The placement is gone, so the tokens of its start commands are unknown. An earlier clear
+		// may have been lost. The token of this one is at least as high as that of every start
+		// command that may still be delayed, so that none takes effect after the clear.
 		instructions.Clear = append(instructions.Clear, dispatch.Clear{TaskRef: ref, Token: max(worker.MaxToken, r.state.PredecessorToken)})
 	} else {
 		instructions.Halt = append(instructions.Halt, dispatch.Halt{TaskRef: ref})
--- a/internal/reconcile/task_unreported.go
+++ b/internal/reconcile/task_unreported.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// grantTimeout is the time for which a granted start may be neither reported nor proven
-	// absent from its worker before the fencing token is raised to find out.
+	// grantTimeout is the time after a grant at which the fencing token is raised to settle the
+	// placement, if its task is neither reported by the worker nor proven absent from it.
 	grantTimeout = 10 * time.Second
 	// haltRetryInterval is the time after which the halt of a task that its worker does not
 	// report is sent again.
@@ -33,8 +33,8 @@
 	return worker.View.Token > placement.MaxToken || placement.State != jobstate.PlacementUnconfirmed && worker.View.Session > placement.Session
 }
 
-// observeMissing handles a placement that the worker's heartbeat does not list and that the
-// dispatcher's queue does not list or cannot settle.
+// observeMissing handles a placement that the worker's heartbeat does not list and for which
+// settledByHeartbeat is true.
 func (r *Reconciler) observeMissing(worker *jobstate.Worker, placement *jobstate.Placement) {
 	switch {
 	case placement.Exited: // ends when its completion is recorded
@@ -75,8 +75,8 @@
 // which the dispatcher still has queued. If the task is proven absent, the grant is revoked, so
 // that the task can be placed elsewhere like any other queued task. If that stays uncertain for
 // grantTimeout, a newer token is requested to settle it: the start command may be lost, and
-// another dispatcher's task may have taken the room. Otherwise such placements wait indefinitely
-// behind long-running tasks while other workers are idle.
+// another dispatcher's task may have taken the room. Without this check such placements would
+// wait indefinitely behind long-running tasks while other workers are idle.
 //
 // A placement granted in an earlier session of the worker is withdrawn, because an attempt is
 // started in only one session: it may have run, and ended, in a session of which no heartbeat
@@ -97,8 +97,9 @@
 	}
 }
 
-// checkQueued removes an entry without a placement in the state from the dispatcher's queue: it
-// would never be granted, but would still reserve its room.
+// checkQueued removes an entry from the dispatcher's queue if the state has no placement for it,
+// unless another leader may have the job: the entry would never be granted, but would still
+// reserve resources.
 func (r *Reconciler) checkQueued(worker *jobstate.Worker, ref dispatch.TaskRef) {
 	for placement := range worker.Placements {
 		if placement.Attempt == ref.Attempt && placement.Ref == ref {
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -13,8 +13,8 @@
 // be stopped.
 const deletionReason = "a cancelled task can't be stopped"
 
-// UnresponsiveWorkers returns the number of workers, and those that have sent no heartbeat, or
-// on which commands have had no effect, for at least atLeast.
+// UnresponsiveWorkers returns the number of known workers, and the workers that have sent no
+// heartbeat, or on which commands have had no effect, for at least atLeast.
 func (r *Reconciler) UnresponsiveWorkers(atLeast time.Duration) (known int, unresponsive []reachability.UnresponsiveWorker) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -89,9 +89,9 @@
 	return reasons
 }
 
-// UnstoppedWorkers returns the addresses, by name, of the workers on which cancelled tasks may
-// still be running that were first halted more than after ago, as far as this controller knows:
-// its lease may have expired.
+// UnstoppedWorkers returns the addresses, by name, of the workers on which a cancelled task may
+// still be running although its first halt was sent more than after ago. The result may be out of
+// date, because this controller's lease is not checked.
 func (r *Reconciler) UnstoppedWorkers(after time.Duration) map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -104,8 +104,8 @@
 	return endpoints
 }
 
-// workersWithUnstopped returns the workers, possibly repeated, on which cancelled tasks may
-// still be running that were first halted more than after ago.
+// workersWithUnstopped returns the workers, possibly repeated, on which a cancelled task may
+// still be running although its first halt was sent more than after ago.
 func (r *Reconciler) workersWithUnstopped(after time.Duration) (workers []*jobstate.Worker) {
 	now := time.Now()
 	for _, job := range r.state.JobOrder {
--- a/internal/reconcile/unresponsive_test.go
+++ b/internal/reconcile/unresponsive_test.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// If commands reach no worker at all, the first unresponsive worker must not be deleted because
-// other workers responded to earlier commands.
+// If commands reach no worker at all, responses of other workers to earlier commands must not
+// cause the deletion of the first unresponsive worker.
 func TestResponsesToEarlierCommandsProveNothing(t *testing.T) {
 	now := time.Now()
 	ago := func(s float64) time.Time { return now.Add(-config.Seconds(s)) }
--- a/internal/scheduler/api.go
+++ b/internal/scheduler/api.go
@@ -52,8 +52,8 @@
 func (s *Scheduler) StuckWorkers() map[string]string { return s.reconciler.StuckWorkers() }
 
 // UnstoppedWorkers returns the addresses, by worker name, of the workers on which a cancelled
-// task may still be running that was first sent a halt longer than after ago. This controller's
-// lease need not hold.
+// task may still be running although its first halt was sent more than after ago. The result may
+// be out of date, because this controller's lease is not checked.
 func (s *Scheduler) UnstoppedWorkers(after time.Duration) map[string]string {
 	return s.reconciler.UnstoppedWorkers(after)
 }
@@ -65,9 +65,8 @@
 	return s.reconciler.HandleExpiringLeases()
 }
 
-// Demand returns the work for which there is no worker yet, most urgent first, and how long
-// each worker is expected to be in use. bootS is the time in seconds that a new machine takes
-// to start.
+// Demand returns the work that waits for workers, in scheduling order, and the load of each
+// worker. bootS is the time in seconds until a new worker is ready.
 func (s *Scheduler) Demand(bootS float64) ([]planner.Demand, []planner.WorkerLoad) {
 	return s.planner.Demand(bootS)
 }
--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -17,8 +17,8 @@
 
 // Cancel records that a job is cancelled and returns the job's resulting state: its final state
 // if it has already ended. Only the leader of the job's shard may cancel, or any controller
-// while the shard has no leader: otherwise a leader that answers from memory would report the
-// job as running after its user was told that it is cancelled.
+// while the shard has no leader: if another controller did, the leader, which answers from
+// memory, would report the job as running after its user was told that it is cancelled.
 //
 // The error wraps statestore.ErrNotFound if the job was never accepted. After any other error
 // the cancel may have been applied.
--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -11,8 +11,8 @@
 )
 
 // A cancel whose response was lost may have been applied, and other controllers may have
-// reported the job as cancelled. The leader, whose watch returns the job's acceptance only
-// afterwards, must not report the job as queued.
+// reported the job as cancelled. If the leader's watch returns the job's acceptance only after
+// that, the leader must not report the job as queued.
 func TestLostCancelResponseBeforeWatchLeavesJobStateUnknown(t *testing.T) {
 	leader, store := newScriptedScheduler(t)
 	if err := leader.Load(t.Context()); err != nil {
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -15,7 +15,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// Sizes of the clusters in those series that vary another parameter.
+// Cluster sizes for the series that do not vary the cluster size.
 const (
 	fixedWorkers = 400
 	fixedJobs    = 100
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -159,7 +159,7 @@
 }
 
 // addPlacements adds the placements by which a task may be running, and reports whether the
-// task is still waiting: none of its placements may be running or has exited.
+// task is still waiting, that is whether it has no such placement and none that has exited.
 func (s *jobSnapshot) addPlacements(task int, placements []*jobstate.Placement) (waits bool) {
 	waits = true
 	for _, placement := range placements {
--- a/internal/scheduler/priority_test.go
+++ b/internal/scheduler/priority_test.go
@@ -61,7 +61,7 @@
 
 // Jobs that can't meet their deadline are placed after jobs of the same priority that can, and
 // never before work of higher priority. If under overload the jobs of one priority were placed
-// in the order of their deadlines, nearly all would be slightly late (a share of 0.14 in time).
+// in the order of their deadlines, nearly all would be slightly late (a share of 0.14 on time).
 func TestJobsThatCanMeetTheirDeadlineArePlacedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 10, 0) // 160 CPUs, free resources for one task on each worker
--- a/internal/scheduler/recorded_test.go
+++ b/internal/scheduler/recorded_test.go
@@ -102,7 +102,7 @@
 
 func (l fixedLister) List(context.Context, string) ([]wire.Item, uint64, error) { return l, 0, nil }
 
-// Cancelled jobs are found among recorded jobs without decoding all of these in full.
+// Cancelled jobs are found among recorded jobs without decoding every job in full.
 func TestRecordedCancelsAreFound(t *testing.T) {
 	names := []string{"live-full", "live-none"}
 	items := make(fixedLister, 0, len(names))
--- a/internal/scheduler/update.go
+++ b/internal/scheduler/update.go
@@ -41,9 +41,8 @@
 	})
 }
 
-// addCancelledTasks returns the tasks that the job's record has as cancelled, and those of the
-// given tasks that aren't known to have ended. It returns an error for a task that the job does
-// not have.
+// addCancelledTasks returns the tasks that the job's record lists as cancelled, and those of the
+// given tasks that aren't known to have ended. It returns an error if the job has no such task.
 func (s *Scheduler) addCancelledTasks(record *jobrecord.LiveRecord, tasks jobspec.Ranges) (cancelled []int, err error) {
 	if record.Constraints.CancelledTasks != "" {
 		recorded, err := jobspec.ParseRanges(record.Constraints.CancelledTasks)
--- a/internal/scheduler/wait_estimate_test.go
+++ b/internal/scheduler/wait_estimate_test.go
@@ -10,14 +10,14 @@
 // Tasks of a worker that reaches no controller must run elsewhere at once. If a short estimated
 // wait (0 to 1 s) costs less than the second (pack-s) by which full workers are preferred, the
 // tasks are queued on full workers although others are idle. The estimate assumes that running
-// tasks end on time, and the report that it is made from may be up to two seconds old, or lost:
-// when those tasks run on, the wait takes 4 to 6 s, until it counts as longer than planned.
+// tasks end on time, and the heartbeat that it is based on may be up to two seconds old, or lost.
+// If those tasks run on, the task waits 4 to 6 s until its wait counts as longer than planned.
 // TestWorkersReachingNoController then fails with "until tasks ran elsewhere"; its traces show
-// waits of 0.0 s, 0.4 s and 1.0 s for full workers (8 of 8 CPUs in use, one with a report 2.02
-// s old) next to workers without a CPU in use.
+// waits of 0.0 s, 0.4 s and 1.0 s for full workers (8 of 8 CPUs in use, one with a heartbeat
+// 2.02 s old) next to workers without a CPU in use.
 
 // A task is placed where it can start now instead of behind a task that may exceed its
-// estimate, however old the report is from which the wait was estimated.
+// estimate, however old the heartbeat is from which the wait was estimated.
 func TestTaskIsPlacedOnIdleWorkerNotBehindRunningTask(t *testing.T) {
 	const full, endsSoon, idle = 0, 1, 2 // indices of workers; the last two have the same price
 	for _, c := range []struct{ remainingS, ageS float64 }{{0.4, 0}, {1, 0}, {1.4, 1}, {2, 1}, {2, 2.1}, {3, 2.1}} {
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -21,7 +21,7 @@
 // lost: a leader applies them after its own writes, and other controllers get them from their
 // peers.
 const (
-	watchBurst   = 4 // responses after a period without changes that are followed by no pause
+	watchBurst   = 4 // number of responses without a pause between them after a period without changes
 	watchTimeout = 20 * time.Second
 	// leaderWatchInterval is short because a job that another controller accepted starts only
 	// once its leader's watch has returned it.
--- a/internal/shardlog/log.go
+++ b/internal/shardlog/log.go
@@ -15,7 +15,7 @@
 	number            int // in the key
 	version           uint64
 	seq               uint64
-	chunks            map[*jobstate.Chunk]struct{} // named by the record, and not yet covered by a later record
+	chunks            map[*jobstate.Chunk]struct{} // named by the record, and not yet covered by a chunk record
 	predecessorRecord jobrecord.LogRecord          // as written by a predecessor, until its chunks are resolved
 }
 
--- a/internal/shardlog/outcome.go
+++ b/internal/shardlog/outcome.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// undo queues the changes of a transaction that was definitely not applied for writing again.
+// undo handles a transaction that was definitely not applied: it queues the changes again.
 // Changes of a log that was lost in the meantime are dropped, even if this controller leads the
 // shard again: the replay has already determined the outcome of their placements, and their
 // accounting rows would be counted twice.
--- a/internal/shardlog/replay.go
+++ b/internal/shardlog/replay.go
@@ -125,7 +125,8 @@
 	}
 }
 
-// resolveChunks looks up the chunks of live jobs that a predecessor's record names.
+// resolveChunks adds to the slot the chunks of live jobs that its predecessor's record names, and
+// discards that record.
 func (w *Writer) resolveChunks(slot *logSlot) {
 	for i := range slot.predecessorRecord.Jobs {
 		entry := &slot.predecessorRecord.Jobs[i]
--- a/internal/shardlog/transaction.go
+++ b/internal/shardlog/transaction.go
@@ -19,7 +19,7 @@
 	page                accounting.PageWrite
 	rows                []accounting.Row  // rows on page
 	unloggedChanges     []jobstate.Change // changes of which only the accounting rows are written
-	unattachedRowsTaken int               // number of rows taken from the front of state.UnattachedRows
+	unattachedRowsTaken int               // number of rows taken from the front of state.StandaloneRows
 	chunkDeletionsTaken int               // number of keys taken from the front of Writer.chunkDeletions
 }
 
--- a/internal/shardlog/transaction_builder.go
+++ b/internal/shardlog/transaction_builder.go
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// saveOldestChunks saves chunks that still need the shard's oldest log record, as many as fit
-// into the transaction.
+// saveOldestChunks adds chunk records for the chunks that still need the shard's oldest log
+// record, as many as fit into the transaction.
 func (b *transactionBuilder) saveOldestChunks(shardLog *Log) error {
 	for chunk := range shardLog.slots[0].chunks {
 		if chunk.Job.EndStage != "" {
--- a/internal/shardlog/writer.go
+++ b/internal/shardlog/writer.go
@@ -5,8 +5,7 @@
 // The Writer builds transactions from the unwritten changes in the state, one at a time. Each
 // transaction is guarded by the shard's key and by the versions of the keys that it changes,
 // and its outcome is applied to the state. After a failover the Writer replays the records of
-// the predecessor. It does not decide which tasks are placed or started, and it does not list
-// the records that it replays.
+// the predecessor, which its caller lists. It does not decide which tasks are placed or started.
 package shardlog
 
 import (
