--- a/internal/cancellation/confirm.go
+++ b/internal/cancellation/confirm.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// After a message saying that this controller confirms no cancels, it confirms none for
-// resumeConfirmTimeout, unless all peers have received a later message saying that it does again.
-// The time is longer than a usual restart of a process.
+// resumeConfirmTimeout is the time after this controller's last message saying that it confirms no
+// cancels, after which it may confirm them again even if not all peers have received a later message
+// saying so. It is longer than a usual restart of a process.
 const resumeConfirmTimeout = 10 * time.Second
 
 // ErrCannotConfirm means that a cancel can't be confirmed at present, since peers that might not
@@ -41,17 +41,18 @@
 // mayConfirmLocked reports whether cancels may be confirmed. A controller without a valid lease
 // confirms none, and its messages say so: if its process then ends, the peers know that they have
 // received all cancels that it confirmed. After such a message it confirms none until all peers
-// have received a later message saying that it does again, or for resumeConfirmTimeout.
+// have received a later message saying that it confirms cancels again, or resumeConfirmTimeout has
+// passed.
 func (r *Registry) mayConfirmLocked(now time.Time) bool {
 	if r.leaseRemaining() <= 0 {
 		r.mayConfirm, r.resumeStamp = false, 0
 		return false
 	}
 	if r.mayConfirm || len(r.peers) == 0 {
-		return true // no peers were told that nothing is confirmed, and none can miss a cancel
+		return true // no peer assumes that this controller confirms no cancels
 	}
 	if r.resumeStamp == 0 {
-		return false // no message has announced it yet
+		return false // no message has said yet that cancels are confirmed again
 	}
 	received := true
 	for _, p := range r.peers {
--- a/internal/cancellation/known.go
+++ b/internal/cancellation/known.go
@@ -7,24 +7,25 @@
 	// clockDriftMargin is four times the relative rate by which two monotonic clocks may differ.
 	clockDriftMargin = 0.002
 	noConfirmSlack   = 100 * time.Millisecond // subtracted from the time for which a peer confirms no cancels
-	stampLead        = time.Millisecond       // more than stamps can run ahead of the clock, since each is at least 1 µs above the last
+	stampLead        = time.Millisecond       // upper bound of how far stamps run ahead of the clock: each is at least 1 µs above the last
 )
 
-// peer is the knowledge of another controller from its messages.
+// peer is what this controller knows about another controller from the other's messages.
 type peer struct {
 	incarnation         uint64
-	pastIncarnations    []uint64  // their messages are late and ignored
+	pastIncarnations    []uint64  // earlier ones of its process, whose late messages are ignored
 	newestStamp         int64     // highest stamp of its messages
 	updatesReceived     uint64    // number of its last update that was received here
-	updatesAcknowledged uint64    // number of this controller's last update that it received
-	echoedStamp         int64     // stamp of this controller's newest message that it echoed
-	knownUntil          time.Time // all cancels that it confirmed before are known here
-	noConfirmUntil      time.Time // it confirms no cancels before, unless a message revokes this
-	pastCovered         bool      // all cancels that its earlier incarnations confirmed are known here
+	updatesAcknowledged uint64    // number of this controller's last update that the peer acknowledged
+	echoedStamp         int64     // stamp of this controller's newest message that the peer echoed
+	knownUntil          time.Time // all cancels that the peer confirmed before this time are known here
+	noConfirmUntil      time.Time // the peer confirms no cancels before this time, unless a message revokes this
+	pastCovered         bool      // all cancels that the peer's earlier incarnations confirmed are known here
 	needsReadAfter      time.Time // a read of the state service sent after this time sets pastCovered
 }
 
-// coveredUntil returns the time before which the peer confirmed no cancels that are unknown here.
+// coveredUntil returns the time up to which all cancels that the peer confirms are known here: up
+// to knownUntil they were received, and up to noConfirmUntil there are no further ones.
 func (p *peer) coveredUntil() time.Time {
 	if p.noConfirmUntil.After(p.knownUntil) {
 		return p.noConfirmUntil
--- a/internal/cancellation/message.go
+++ b/internal/cancellation/message.go
@@ -100,7 +100,7 @@
 // handleLocked updates the knowledge of the sender from a valid message.
 func (r *Registry) handleLocked(p *peer, m *Message, now time.Time) {
 	if slices.Contains(p.pastIncarnations, m.Incarnation) || m.Incarnation == p.incarnation && m.Stamp <= p.newestStamp {
-		return // late: no longer true of its sender
+		return // a late message, which no longer describes its sender
 	}
 	if m.Incarnation != p.incarnation {
 		p.beginIncarnation(m, r.storeReadSent, now)
--- a/internal/cancellation/registry.go
+++ b/internal/cancellation/registry.go
@@ -37,9 +37,9 @@
 
 // Registry holds a controller's knowledge of cancels. It is safe for concurrent use.
 type Registry struct {
-	leaseRemaining func() time.Duration // remaining time of this controller's lease, at least
-	retention      time.Duration        // for which a cancelled job is kept
-	minRetention   time.Duration        // the same while there are more than MaxJobs
+	leaseRemaining func() time.Duration // lower bound of the remaining time of this controller's lease
+	retention      time.Duration        // how long a cancelled job is kept
+	minRetention   time.Duration        // how long it is kept while there are more than MaxJobs
 	incarnation    uint64               // of this process, not 0
 	startedAt      time.Time
 
@@ -56,7 +56,7 @@
 	storeReadSent  time.Time            // when the latest read of the state service was sent
 	mayConfirm     bool                 // cancels may be confirmed, see mayConfirmLocked
 	suspendedAt    time.Time            // when a message last said that this controller confirms no cancels
-	resumeStamp    int64                // stamp of the first message since then that says it does again; 0: none
+	resumeStamp    int64                // stamp of the first later message saying that it confirms cancels again; 0: none
 	lastStamp      int64                // stamp of the last message
 }
 
@@ -64,7 +64,7 @@
 type Options struct {
 	Peers          []string
 	Limit          time.Duration        // how long a cancelled task may run on
-	LeaseRemaining func() time.Duration // remaining time of this controller's lease, at least
+	LeaseRemaining func() time.Duration // lower bound of the remaining time of this controller's lease
 
 	// OnCancelled is called without a lock held with jobs that were not known to be cancelled. May
 	// be nil.
@@ -73,7 +73,7 @@
 	OnUpdates func()
 }
 
-// New returns a registry without any knowledge. KnownUntil returns the zero time until the first
+// New returns a registry that knows of no cancelled jobs. KnownUntil returns the zero time until the first
 // RecordStoreRead.
 func New(o Options) *Registry {
 	now := time.Now()
@@ -132,8 +132,8 @@
 	}
 }
 
-// trimLocked drops jobs whose tasks have certainly ended. While there are more than MaxJobs, jobs
-// are dropped earlier, but not before their tasks must have ended.
+// trimLocked drops jobs that are older than retention. While there are more than MaxJobs, it drops
+// those older than minRetention. In both cases the jobs' tasks have certainly ended by then.
 func (r *Registry) trimLocked(now time.Time) {
 	for r.expired(r.order, now) {
 		delete(r.jobs, r.order[0].uid)
--- a/internal/dispatch/command_sender.go
+++ b/internal/dispatch/command_sender.go
@@ -27,8 +27,8 @@
 type CommandSender interface {
 	// SendCommands returns the worker's report and whether the worker executed the commands. It
 	// calls valid once the connection is established, right before sending, and if valid fails,
-	// returns its error without sending. After any other error except ErrNotSent it is unknown
-	// whether the commands were executed or still will be.
+	// returns its error without sending. After any error other than valid's and ErrNotSent, it is
+	// unknown whether the commands were executed or still will be.
 	SendCommands(ctx context.Context, endpoint string, o wire.PushedCommands, valid func() error) (*wire.Report, bool, error)
 	// FetchReport polls a worker for its report.
 	FetchReport(ctx context.Context, endpoint string) (*wire.Report, error)
@@ -42,7 +42,7 @@
 	pollSlots   chan struct{} // limits how many of the slots polls may use
 }
 
-// pollSlotDivisor limits polls to one in so many slots. Polled workers are often unresponsive and
+// pollSlotDivisor is the ratio of all slots to those that polls may use. Polled workers are often unresponsive and
 // hold their slot until the timeout. If they held all slots, commands to responsive workers would
 // wait, be left with little time for a response, and end with an unknown outcome.
 const pollSlotDivisor = 2
--- a/internal/dispatch/dependencies.go
+++ b/internal/dispatch/dependencies.go
@@ -12,7 +12,7 @@
 	// held.
 	ObserveWorker(WorkerView)
 	// GrantLocal requests a grant from the scheduler in this process. The Dispatcher's lock is held,
-	// so that it must not call the Dispatcher.
+	// so GrantLocal must not call the Dispatcher.
 	GrantLocal(GrantRequest) GrantReply
 	// GrantRemote requests grants from a leader on another controller. The replies are in the order
 	// of the requests.
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	workerRetention   = 10 * time.Minute // a worker without a report or redirect for so long is removed
+	workerRetention   = 10 * time.Minute // a worker that has neither reported nor been redirected for this time is removed
 	maxDeletedWorkers = 4096             // deleted workers whose late reports are still recognised
 	maxWorkers        = 20_000
 )
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -103,7 +103,7 @@
 	})
 }
 
-// Instructions that arrive during shutdown cause no push: no Wait would wait for it.
+// Instructions that arrive during shutdown cause no push: Wait would not wait for it.
 func TestInstructionsAfterShutdownSendNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stub{token: 5, respond: func(wire.PushedCommands) (*wire.Report, bool, error) { return nil, false, dispatch.ErrNotSent }}
@@ -264,7 +264,7 @@
 			views, seen, unanswered := len(s.views), d.SinceWorkerHeartbeat("n-1"), d.UnansweredFor("n-1")
 			for i, seq := range copies {
 				if i > 0 && seq > copies[i-1] && wait > 9*time.Second {
-					break // sequence numbers that increase again count as a worker epoch reset
+					break // sequence numbers that increase again count as reset ones and are accepted
 				}
 				status, _ := d.HandleReport(t.Context(), report(seq, 5))
 				if status == http.StatusOK {
@@ -374,7 +374,7 @@
 }
 
 // Workers that were only polled don't count as expected to report. Otherwise a new leader that has
-// polled all workers misses their heartbeats, takes its inbound links for lost and transfers its
+// polled all workers misses their heartbeats, regards its inbound links as lost and transfers its
 // shards.
 func TestPolledWorkersAreNotExpectedToReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -37,9 +37,9 @@
 func (d *Dispatcher) currentSecond() int64 { return 1 + int64(time.Since(d.started)/time.Second) }
 
 // acceptHeartbeat records a heartbeat. It returns false for a duplicate or late copy, which may
-// arrive more than a lease after the original. A worker has one heartbeat in flight at a time, so
-// that one which is not newer than the newest says nothing of the worker's present state: it must
-// not count as a sign of life, renew the lease or be acted on. A worker whose sequence numbers
+// arrive more than a lease after the original. A worker has one heartbeat in flight at a time, so a
+// heartbeat that is not newer than the newest one does not describe the worker's present state: it
+// must not count as a sign of life, renew the lease or be acted on. A worker whose sequence numbers
 // were reset is recognised by two conditions: no newer heartbeat has arrived for a lease, and the
 // rejected ones increase among themselves.
 func (d *Dispatcher) acceptHeartbeat(rep *wire.Report) bool {
@@ -68,7 +68,7 @@
 // RecentHeartbeats returns the number of heartbeats received in the last HeartbeatWindow, answered
 // or not, and the number of workers whose heartbeats were answered here in the last minute.
 // Workers that were only polled don't count: otherwise a new leader that has polled all workers
-// expects heartbeats from them and takes its inbound links for lost.
+// would expect heartbeats from them and regard its inbound links as lost.
 func (d *Dispatcher) RecentHeartbeats() (reports, workers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/polls.go
+++ b/internal/dispatch/polls.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	pollTimeout = 1500 * time.Millisecond // when many workers are polled
+	pollTimeout = 1500 * time.Millisecond // of each poll when many workers are polled
 	// livenessPollTimeout applies when a poll decides whether a worker is responsive. It is longer
 	// so that a worker behind a slow link is not deleted as unresponsive.
 	livenessPollTimeout = 3500 * time.Millisecond
@@ -101,7 +101,7 @@
 }
 
 // PollWorker polls a worker and reports whether it responded. The result decides whether the
-// worker counts as responsive, so that it waits longer than PollReports.
+// worker counts as responsive, so PollWorker waits longer than PollReports.
 func (d *Dispatcher) PollWorker(ctx context.Context, name, endpoint string) bool {
 	return d.poll(ctx, name, endpoint, livenessPollTimeout)
 }
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -14,7 +14,7 @@
 )
 
 // PushCommands sends the worker's commands directly instead of waiting for its next heartbeat. At
-// most one push to a worker is in flight; another request meanwhile is carried out after it. It
+// most one push to a worker is in flight; one that is requested meanwhile follows it. PushCommands
 // returns at once.
 func (d *Dispatcher) PushCommands(name string) {
 	if !d.routing.MayAnswerWorkers() {
@@ -52,7 +52,7 @@
 }
 
 // needsToken reports whether a push without commands must show the worker the fencing token. A
-// worker that only answers polls gets no heartbeat responses, which carry it otherwise. Until its
+// worker that only answers polls gets no heartbeat responses, which would carry the token. Until its
 // report shows the leader's token, tasks placed on it by a previous leader can't be reconciled.
 func (w *workerState) needsToken(token uint64) bool { return w.polled && w.report.Token < token }
 
--- a/internal/dispatch/worker_state.go
+++ b/internal/dispatch/worker_state.go
@@ -43,14 +43,14 @@
 	halts        map[TaskRef]float64 // tasks to stop, with their grace periods in s
 	clears       map[TaskRef]bool    // exited tasks that the worker may forget
 	draining     bool
-	pushInFlight bool // a push has been sent and not returned
-	pushPending  bool // another push is due when it returns
+	pushInFlight bool // a push was sent, and its result is not known yet
+	pushPending  bool // another push follows after the one in flight
 	// unknownOutcome is the highest token of pushed commands that may still arrive, 0 if there are
 	// none.
 	unknownOutcome uint64
 
-	noRedirectUntil         time.Time // the worker is not redirected before
-	redirectedAt            time.Time // time of the last redirect; zero if the worker returned from it
+	noRedirectUntil         time.Time // the worker is not redirected before this time
+	redirectedAt            time.Time // time of the last redirect; zero after the worker has returned from it
 	redirectedWhileIsolated bool      // the last redirect was made because this controller was isolated
 
 	newestHeartbeat   reportVersion // answered or not
@@ -110,8 +110,8 @@
 }
 
 // reconcile removes what the newest report shows to be completed: queued tasks that are now
-// reported, halts and clears that took effect, and commands that are fenced off by the worker's
-// newer token.
+// reported, halts and clears that took effect, and commands that the worker's newer token
+// invalidates.
 func (w *workerState) reconcile() {
 	kept := w.queue[:0]
 	for _, queued := range w.queue {
--- a/internal/membership/capacity_test.go
+++ b/internal/membership/capacity_test.go
@@ -55,7 +55,7 @@
 // stateServiceLoad is the load in one minute.
 type stateServiceLoad struct{ requests, writes, events float64 }
 
-// measureMinutes returns the load that so many controllers put on the state service in their
+// measureMinutes returns the load that a number of controllers put on the state service in their
 // first minute, in which they start one a second, and in the minute after it.
 func measureMinutes(controllers int) (first, later stateServiceLoad) {
 	var requests, writes, events atomic.Int64
--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// claimStagger is the delay before this controller claims a freed shard, for each other
-	// controller that is preferred: those that joined after it, and one whose registration was
-	// just deleted, since it may be restarting. In a rolling restart the jobs then move to a
-	// controller that has been restarted already, and stay there. The delay is longer than the
-	// requests for joining take.
+	// claimStagger is multiplied by the number of controllers preferred to this one: the product is how
+	// long this controller waits before it claims a freed shard. Preferred are those that joined
+	// after it, and one whose registration was just deleted, since it may be restarting. So in a
+	// rolling restart the jobs move to a controller that has been restarted already, and stay
+	// there. It is longer than the requests for joining take.
 	claimStagger = 250 * time.Millisecond
 	// restartGracePeriod is how long after its registration was deleted a controller is
 	// expected to return.
@@ -136,8 +136,8 @@
 }
 
 // releaseExcess releases shards if this controller has led more than its share for longer than
-// the lease's TTL. since is the time at which this was first seen, zero if it is not the case;
-// the updated time is returned.
+// the lease's TTL. since is the time at which it was first seen to lead more, or zero; the updated
+// time is returned.
 func (m *Member) releaseExcess(ctx context.Context, since time.Time) time.Time {
 	m.mu.Lock()
 	excess := len(m.claimed) > m.shareLocked()
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -85,7 +85,7 @@
 		return 0, err
 	}
 	defer m.unlockToken()
-	last := m.FencingToken() // of this process's last incarnation; a reserved token may exceed the counter's next
+	last := m.FencingToken() // of this process's last incarnation; if it was reserved, it may exceed the counter's next token
 	next := func(counter tokenRecord) tokenRecord { return counter.withTokenAbove(last) }
 	return m.raiseToken(ctx, next, func(token uint64) wire.Txn {
 		record.Token = token
@@ -103,9 +103,9 @@
 	m.claimed, m.pending = map[int]uint64{}, map[int]uint64{}
 	for shard, leader := range m.leaders {
 		if leader.Lease == record.Lease {
-			// Transferred by a peer that saw the new lease before this controller received its
-			// response. The watch reported the shard before the lease was known as this
-			// controller's; without this, nobody would serve the shard.
+			// A peer saw the new lease and transferred the shard before this controller received
+			// the response to its own request. The watch reported the shard before the lease was
+			// known as this controller's; without this claim, nobody would serve the shard.
 			m.claimed[shard] = m.newestVersions[shard]
 		}
 	}
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -10,7 +10,7 @@
 
 const (
 	clockDriftRate      = 0.002                 // four times the largest relative drift between two monotonic clocks
-	timerLatency        = 60 * time.Millisecond // by which timers may fire late
+	timerLatency        = 60 * time.Millisecond // how late timers may fire
 	renewalsPerTTL      = 5
 	retriesPerTTL       = 20 // after the state service refused a renewal
 	watchHold           = 20 * time.Second
--- a/internal/membership/lost_responses_test.go
+++ b/internal/membership/lost_responses_test.go
@@ -17,7 +17,7 @@
 
 // A release is applied and its response lost; another controller reads the released shards and
 // claims them. Then a transfer of the remaining shards gets no response and is applied late.
-// The outcome of one transaction must not be taken for the other's: every shard has a leader
+// The outcome of one transaction must not count as the other's: every shard has a leader
 // again.
 func TestReleaseAndTransferWithUnknownOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/membership/reserved_token.go
+++ b/internal/membership/reserved_token.go
@@ -134,7 +134,7 @@
 // ReservedTokenAbove makes the lowest reserved token that is larger than above this
 // controller's fencing token, and returns it; 0 if there is none. A current token that is
 // large enough is returned unchanged. It is for responses to workers when RaiseTokenAbove
-// fails. While the lease holds no reserved token is used: one used after a single lost
+// fails. While the lease holds, no reserved token is used: one used after a single lost
 // response would overtake all that others reserved.
 func (m *Member) ReservedTokenAbove(above uint64) uint64 {
 	m.mu.Lock()
--- a/internal/membership/reserved_token_test.go
+++ b/internal/membership/reserved_token_test.go
@@ -141,9 +141,9 @@
 	}
 }
 
-// In an outage any controller succeeds a leader, ends, and any other succeeds it in turn: both
-// have reserved tokens above those of their predecessors. Once they have reserved them, no
-// more tokens are drawn.
+// In an outage any controller can succeed the leader and, when that controller ends, any other can
+// succeed it: both hold reserved tokens above those of their predecessors. Once all controllers
+// have reserved their tokens, no more are drawn.
 func TestTwoFailoversInStateStoreOutage(t *testing.T) {
 	const controllers = 4
 	for leader := range controllers {
--- a/internal/membership/token.go
+++ b/internal/membership/token.go
@@ -106,7 +106,7 @@
 		}
 		var conflict *statestore.ConflictError
 		conflicted := errors.As(err, &conflict) && conflict.Has(tokenKey)
-		// After an outcomeUnknown outcome the token may be drawn, now or later: the counter is read
+		// After an unknown outcome the token may have been drawn, or may be later: the counter is read
 		// again and the next token drawn. A failover that gave up here would start over.
 		outcomeUnknown := errors.Is(err, statestore.ErrUnknown) && ctx.Err() == nil
 		if !conflicted && !outcomeUnknown {
--- a/internal/membership/transfer.go
+++ b/internal/membership/transfer.go
@@ -152,9 +152,9 @@
 	}
 	for shard, version := range shards {
 		if conflict != nil && !conflict.Has(shardKey(shard)) {
-			// Given up by another transaction, whose outcome is still unknown. If it were dropped
-			// from pending with the others, it could remain this controller's, and nobody would
-			// serve it.
+			// Given up by another transaction, whose outcome is still unknown. If the shard
+			// were dropped from pending with the others, its record could still name this
+			// controller, and nobody would serve it.
 			continue
 		}
 		delete(m.pending, shard)
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -95,8 +95,8 @@
 // applyShardLocked applies a shard's record as of a version.
 func (m *Member) applyShardLocked(shard int, leader shardRecord, version uint64) {
 	if version < m.newestVersions[shard] {
-		// Out of date: a leader whose watch lags would take the update of its own claim, after
-		// it has transferred the shard, for a new claim of its own.
+		// Out of date: after a leader has transferred the shard, its lagging watch may report its
+		// earlier claim, which it would take for a new one.
 		return
 	}
 	if replaced, ok := m.pending[shard]; ok {
@@ -108,8 +108,8 @@
 	m.newestVersions[shard] = version
 	m.leaders[shard] = leader
 	if m.lease != 0 && leader.Lease == m.lease {
-		// A claim whose response was lost: without this, the shard's leader would not know that
-		// it leads it.
+		// A claim whose response was lost: without this, the controller would not know that it
+		// leads the shard.
 		m.claimed[shard] = max(m.claimed[shard], version)
 		return
 	}
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -117,7 +117,7 @@
 	return jobrecord.QuotaMark{LeasesQuota: true}
 }
 
-// NoteRecord takes the quota mark of a log record of an earlier leader, of any shard. A record
+// NoteRecord evaluates the quota mark of a log record of an earlier leader, of any shard. A record
 // without a readable mark was written by a leader that does not lease limits. The caller holds
 // the state's Mu.
 func (m *Manager) NoteRecord(item wire.Item) {
@@ -131,7 +131,7 @@
 	m.unleasedVersion = max(m.unleasedVersion, mark.UnleasedVersion)
 }
 
-// Run borrows and returns parts until ctx ends, and returns when its last request has ended.
+// Run borrows parts and gives parts back until ctx ends. It returns when its last request has ended.
 func (m *Manager) Run(ctx context.Context) {
 	if !m.enabled {
 		return
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// LeasesQuota reports whether limits are leased to several leaders: a team's jobs then need
-// not belong to one shard.
+// LeasesQuota reports whether limits are leased to several leaders. If so, a team's jobs may
+// belong to different shards.
 func LeasesQuota(op *config.Operator) bool { return op.ShardControllers > 1 }
 
 // AssignShard returns the shard that a new job belongs to: jobs of a team are in one shard
@@ -30,8 +30,8 @@
 	return jobrecord.HashShard(job, teams, op.Shards)
 }
 
-// CheckQuotaRecords returns an error that begins with the key of the settings if the quota
-// records may not hold all parts.
+// CheckQuotaRecords returns an error if the quota records may be too small for all parts. The
+// error's text begins with the key of the setting.
 func CheckQuotaRecords(cfg *config.Platform, op *config.Operator) error {
 	if !LeasesQuota(op) {
 		return nil
--- a/internal/quotalease/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -59,8 +59,8 @@
 	ceilings map[shardTeam]Amount        // see Ceiling
 }
 
-// New returns the borrower of a record that holds the parts of teams with these limits for so
-// many shards.
+// New returns the borrower of a record that holds the parts of teams with these limits. shards is
+// the number of shards.
 func New(limits map[string]Amount, shards int) *Borrower {
 	return &Borrower{
 		limits: limits, teams: sortedKeys(limits), shards: shards, led: map[int]uint64{},
@@ -126,7 +126,7 @@
 // NeedsReread reports whether the record has to be read before it is written again.
 func (b *Borrower) NeedsReread() bool { return b.rereadNeeded }
 
-// Applied records that a write was applied, and gave the record that version.
+// Applied records that a write was applied; version is the version of the record that it wrote.
 func (b *Borrower) Applied(write Write, version uint64) {
 	if b.pending == nil || b.pending.Guard != write.Guard {
 		return // the outcome is known from a later observation
@@ -150,7 +150,7 @@
 func (b *Borrower) Ceiling(shard int, team string) Amount { return b.ceilings[shardTeam{shard, team}] }
 
 // GuaranteeShare returns the share of a team's guarantee that a shard gets, from 0 to 1: its
-// part's share of all that is leased of the team's limit, in the kind where that is largest.
+// part divided by the sum of the team's parts, in the kind for which that ratio is largest.
 func (b *Borrower) GuaranteeShare(shard int, team string) float64 {
 	part, sum, share := b.record.part(shard, team), b.record.leased(team), 0.0
 	for kind := range kinds {
--- a/internal/quotalease/idle_state.go
+++ b/internal/quotalease/idle_state.go
@@ -11,11 +11,11 @@
 	use, part         Amount
 	since, checkedAt  time.Time     // start of this use and part; time of the last update
 	grownAt           time.Time     // when the part last grew
-	accumulatingSince time.Time     // start of the time in which the part has been too small for any task; zero: it is not
+	accumulatingSince time.Time     // since when the part has been too small for any task; zero if it is large enough
 	unusedFor         time.Duration // time with room for one more task, since the last start
 }
 
-// stalled reports whether no task has started for long although there was room for one.
+// stalled reports whether there was room for one more task for stallTimeout, but none started.
 func (i idleState) stalled() bool { return i.unusedFor >= stallTimeout }
 
 // settled reports whether the part has not grown recently: after it grows, its leader needs
@@ -43,7 +43,7 @@
 	case need.Unit.Fits(part):
 		i.accumulatingSince = time.Time{}
 	case i.accumulatingSince.IsZero() && !part.IsZero():
-		i.accumulatingSince = p.now // unchanged while amounts are added and taken
+		i.accumulatingSince = p.now // not set again when amounts are added or taken later
 	}
 	i.use, i.part, i.checkedAt = need.Use, part, p.now
 	p.b.idle[key] = i
--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -188,8 +188,8 @@
 }
 
 // assignShard makes a controller the leader of a shard. The controller counts all tasks that
-// may run there, and with all also those that ended, as their ends need not have been
-// recorded.
+// may run there and, if all is true, also those that ended, since their ends need not have
+// been recorded.
 func (w *model) assignShard(c *controller, shard int, all bool) {
 	w.freeShard(shard)
 	w.revision++
@@ -299,8 +299,8 @@
 	c.borrower.Observe(p.record, p.version, p.revision)
 }
 
-// maxUse returns what a shard's tasks use of a team's limit, or would use if the leader at
-// once started all that it may.
+// maxUse returns the amount of a team's limit that a shard's tasks would use if the shard's
+// leader now started all tasks that it may.
 func (w *model) maxUse(shard int, team string) quotalease.Amount {
 	runs := w.inUseOf(shard, team)
 	c := w.leaderOf[shard]
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -11,12 +11,12 @@
 	// though no other shard wants it. With a shorter time, each pause between two tasks would
 	// cost two writes.
 	excessReturnDelay = 2 * time.Second
-	// wantChangeDivisor: a want is written again if it has changed by more than
-	// 1/wantChangeDivisor.
+	// wantChangeDivisor limits writes: a want that is already recorded is written again only if it
+	// has changed by more than 1/wantChangeDivisor of the recorded amount.
 	wantChangeDivisor = 4
 )
 
-// unneededSince is the amount of a part that has not been needed at any time since then.
+// unneededSince is the amount of a part that has not been needed at any time since a given time.
 type unneededSince struct {
 	minimum Amount
 	since   time.Time
@@ -136,14 +136,15 @@
 	}
 }
 
-// reduce gives up at most over of what is not in use, while more is leased than the limit.
+// reduce gives up the unused rest of a row's part, but no more than over. That is the amount by
+// which the sum of the team's parts exceeds the limit.
 func (p *teamPlan) reduce(row *Row, need Need, over Amount) {
 	entry := row.Teams[p.team]
 	entry.Part = entry.Part.Sub(entry.Part.Sub(need.Use).Min(over))
 	p.setEntry(row, entry)
 }
 
-// borrow adds to a row's part what is needed and not leased to any shard.
+// borrow adds the missing amount to a row's part, as far as it is not leased to any shard.
 func (p *teamPlan) borrow(row *Row, need Need) {
 	entry := row.Teams[p.team]
 	unleased := p.limit.Sub(p.record.leased(p.team))
--- a/internal/quotalease/reallocate.go
+++ b/internal/quotalease/reallocate.go
@@ -18,8 +18,8 @@
 	turnDuration = 2 * time.Second
 )
 
-// reallocate gives what is not needed here to the shards that want more, at once. The shard
-// whose turn it is also gets some of what is needed here.
+// reallocate moves the part of a row that its shard does not need to shards that want more, at
+// once. The shard whose turn it is also gets some of what this shard needs.
 func (p *teamPlan) reallocate(row *Row, need Need) {
 	for _, other := range p.rowsWantingMore(row.Shard) {
 		from, to := row.Teams[p.team], other.Teams[p.team]
@@ -35,11 +35,12 @@
 	owed := amountOwed(from, to)
 	free := owed.Min(from.Part.Sub(need.Use))
 	if free != owed && to.Unit.Fits(to.Part) {
-		free = Amount{} // the receiver has enough for one task, so that less than a whole task more is of no use
+		free = Amount{} // the receiver has enough for one task; an addition too small for another one is of no use
 	}
 	p.moveAmount(row, other, free)
-	// No new task here uses the rest, so that it becomes free. This ends with the turn:
-	// otherwise it would stay unused, with tasks waiting here, as long as no running task ends.
+	// The rest of the amount owed is withheld from new tasks here, so that it becomes free. This
+	// ends with the turn: otherwise the amount would stay unused, although tasks wait here, as
+	// long as no running task ends.
 	p.b.withheld[p.key(row)] = owed.Sub(free)
 }
 
@@ -114,10 +115,10 @@
 	return rows
 }
 
-// amountOwed returns the amount that a shard with the entry from, which needs all it has, is
-// to give to the shard whose turn it is, which has the entry to: what the receiver needs to
-// start one more task, if its part then does not exceed the giver's, and otherwise what it
-// lacks to start its first.
+// amountOwed returns the amount that a shard that needs all of its part, with the entry from, is
+// to give to the shard whose turn it is, with the entry to. It is the amount for one more task of
+// the receiver if the receiver's part then does not exceed the giver's, and otherwise the amount
+// that the receiver lacks to start its first task.
 func amountOwed(from, to Entry) Amount {
 	unmet := to.Want.Sub(to.Part)
 	unit, lacks := to.Unit.Min(unmet), to.Unit.Sub(to.Part)
--- a/internal/quotalease/record.go
+++ b/internal/quotalease/record.go
@@ -13,8 +13,8 @@
 // Prefix is the prefix of the records' keys in the state service.
 const Prefix = "lent/"
 
-// RecordCount is the number of records that the teams are divided among. It never changes: the
-// limit of a team whose record moved would be leased twice.
+// RecordCount is the number of records that the teams are divided among. It must not
+// change: the limit of a team that moved to another record would be leased twice.
 const RecordCount = 16
 
 // RecordOf returns the number of the record that holds a team's parts.
@@ -66,7 +66,7 @@
 func (e *Entry) UnmarshalJSON(data []byte) error {
 	var numbers []int64
 	if err := json.Unmarshal(data, &numbers); err != nil {
-		return err // the caller says what it was reading
+		return err // the caller adds what was being decoded
 	}
 	if len(numbers) > numbersPerEntry {
 		return fmt.Errorf("an entry of %d numbers", len(numbers))
@@ -83,7 +83,7 @@
 // maxNumber is the largest number in an entry, so that sums of them can't overflow.
 const maxNumber = 1 << 50
 
-// Parse parses a record for so many shards. It refuses unknown shards, rows that are out of
+// Parse parses a record, where shards is the number of shards. It refuses unknown shards, rows that are out of
 // order or have no leader's version, and amounts out of bounds. Teams are checked by the
 // Borrower, which knows the settings.
 func Parse(data []byte, shards int) (Record, error) {
--- a/internal/quotalease/recorded_test.go
+++ b/internal/quotalease/recorded_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// The limit of a team whose record moved would be leased twice.
+// A team's record never changes: the limit of a team that moved to another one would be leased
+// twice.
 func TestRecordedKeys(t *testing.T) {
 	if quotalease.Prefix != "lent/" || quotalease.Key(0) != "lent/00" || quotalease.Key(15) != "lent/15" || quotalease.RecordCount != 16 {
 		t.Errorf("prefix %q, keys %q to %q, %d records", quotalease.Prefix, quotalease.Key(0), quotalease.Key(15), quotalease.RecordCount)
--- a/internal/reachability/assignments.go
+++ b/internal/reachability/assignments.go
@@ -37,12 +37,12 @@
 // not safe for concurrent use.
 type AssignmentPlanner struct {
 	assignments      []Assignment
-	underloadedSince time.Time // since when all workers have fit here; zero: they don't
+	underloadedSince time.Time // since when this controller has had capacity for all workers; zero: it has not
 	plannedAt        time.Time // time when assignments last changed
 	betterSince      time.Time // since when a different plan has been better; zero: none is
 }
 
-// Plan returns the assignments, nil while one controller has capacity for all workers. count is
+// Plan returns the assignments, or nil while one controller has capacity for all workers. count is
 // the number of workers that report to this controller, capacity the number that may, and interval
 // the pause between a worker's heartbeats.
 func (p *AssignmentPlanner) Plan(now time.Time, v *View, count, capacity int, interval time.Duration) []Assignment {
@@ -192,8 +192,8 @@
 		_, _ = hash.Write([]byte(assignment.Node)) // hashes return no errors
 		_, _ = hash.Write([]byte{0})
 		_, _ = hash.Write([]byte(worker))
-		// The controller is the minimum of exponentially distributed values whose rates are the
-		// shares.
+		// Each controller gets an exponentially distributed value, with its share as the rate. The
+		// controller with the lowest value is chosen.
 		if at := -math.Log(hashToUniform(hash.Sum64())) / assignment.Share; at < earliest {
 			node, earliest = assignment.Node, at
 		}
--- a/internal/reachability/capacity_test.go
+++ b/internal/reachability/capacity_test.go
@@ -10,7 +10,8 @@
 	"github.com/wallrack/wallrack/internal/reachability"
 )
 
-// newStatus returns the status of a controller that receives heartbeats from so many workers.
+// newStatus returns the status of a controller that receives heartbeats from a number of workers,
+// given by heard.
 func newStatus(heard int, unreached ...string) reachability.NodeStatus {
 	status := reachability.NodeStatus{
 		Node: "racker-1", StartedMs: 1_764_652_567_000, Seq: 100_000, StoreReachable: true, LeaseHeld: true, LeadsShards: true, PreferredLeader: "racker-1", CloudReachable: true,
--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -8,16 +8,16 @@
 
 const (
 	// minWorkersForShares is the least number of workers at which the share of unresponsive ones is
-	// significant. As many may fail within failureWindow in any case.
+	// significant. This number may fail within failureWindow even if it exceeds maxFailureShare.
 	minWorkersForShares = 8
 	failureWindow       = time.Minute
 	maxFailureShare     = 0.4 // of the known workers may fail within failureWindow
 
-	probeThresholdShare    = 0.6             // of Timeout: a worker that is unresponsive for so long is probed
+	probeThresholdShare    = 0.6             // of Timeout: a worker is probed once it has been unresponsive for this share
 	probeInterval          = 2 * time.Second // between the end of a probe of a worker and the next one
 	maxProbesPerEvaluation = 200             // started by one call of Evaluate
 
-	degradedDuration      = 10 * time.Second       // for which a refused connection or a late timer counts as poor reception
+	degradedDuration      = 10 * time.Second       // how long reception counts as poor after a refused connection or a late timer
 	degradedTimeoutFactor = 2                      // of the timeout while this process receives poorly
 	maxTimerDelay         = 500 * time.Millisecond // above which a timer counts as late
 	idleTimeoutFactor     = 2.5                    // of the timeout for a worker without tasks
@@ -26,7 +26,7 @@
 // ReceiveHealth describes how well this process can receive heartbeats at present.
 type ReceiveHealth struct {
 	RefusedConnections int64         // connections refused for lack of sockets since the process started
-	TimerDelay         time.Duration // by which timers recently fired late
+	TimerDelay         time.Duration // how late timers have recently fired
 }
 
 // UnresponsiveWorker is a worker whose last heartbeat is at least FailureDetector.Threshold old.
@@ -56,7 +56,7 @@
 	Timeout           time.Duration // heartbeat timeout of a worker with tasks
 	Lease             time.Duration // of a worker
 	HeartbeatInterval time.Duration // between a worker's heartbeats
-	IsolationGrace    time.Duration // for which a controller that is cut off from all others still answers workers
+	IsolationGrace    time.Duration // how long a controller that is cut off from all others still answers workers
 
 	probes          map[string]probe     // of the workers that are unresponsive now
 	failedAt        map[string]time.Time // time of failure, for workers that failed within failureWindow
@@ -275,8 +275,8 @@
 		peer := &v.Peers[i]
 		switch {
 		case peer.reachesMutually(v):
-		// The peer has sent no status since this controller started, and the worker was heard without
-		// it.
+		// The peer has sent no status since this controller started, but the worker was heard here, so
+		// they were not lost together.
 		case !peer.Known && !worker.NotHeardSinceFailover:
 		// The peer would have reported the worker by itself or when queried.
 		case peer.IsFresh():
@@ -286,7 +286,7 @@
 		case peer.Age < d.IsolationGrace+d.Lease && d.lostTogether(worker, peer.Age):
 			// The peer and the worker may be cut off together, in which case the peer still answers the
 			// worker for this time. For a worker without a heartbeat since the failover, only a lower
-			// bound of the time is known.
+			// bound of the time since its last heartbeat is known.
 			return "lost together with " + peer.Name
 		}
 	}
@@ -295,7 +295,7 @@
 
 // lostTogether reports whether a worker was last heard at about the time of a peer's last status,
 // which is statusAge old. For a worker not heard since this leader's failover, the time of the
-// last heartbeat is unknown. Judged by the time since the failover alone, the workers of a zone
+// last heartbeat is unknown. If only the time since the failover counted, the workers of a zone
 // that was cut off together with a controller long before would be deleted, although the previous
 // leader had kept them.
 func (d *FailureDetector) lostTogether(worker *UnresponsiveWorker, statusAge time.Duration) bool {
--- a/internal/reachability/node_status.go
+++ b/internal/reachability/node_status.go
@@ -12,13 +12,13 @@
 	// MinAnnounceInterval is the least time between two statuses that a controller writes to the
 	// state service.
 	MinAnnounceInterval = 2 * time.Second
-	// announceSecondsPerNode is the least interval in seconds for each controller of the cluster,
-	// since every status is read by all of them.
+	// announceSecondsPerNode, multiplied by the number of controllers, is the least interval in
+	// seconds between two statuses of a controller, since every status is read by all of them.
 	announceSecondsPerNode = 0.4
 )
 
 // AnnounceInterval returns the time between the statuses that a controller writes to the state
-// service, in a cluster of so many controllers.
+// service, given the number of controllers in the cluster.
 func AnnounceInterval(controllers int) time.Duration {
 	return max(MinAnnounceInterval, time.Duration(float64(controllers)*announceSecondsPerNode*float64(time.Second)))
 }
@@ -72,7 +72,7 @@
 	minHeartbeatGap     = 750 * time.Millisecond // least time without a heartbeat before workers are probed
 )
 
-// ShouldProbe reports whether a controller that expects so many heartbeats per second, and
+// ShouldProbe reports whether a controller that expects perSecond heartbeats per second, and
 // received its last one sinceLast ago, should check whether it still reaches the workers.
 func ShouldProbe(perSecond float64, sinceLast time.Duration) bool {
 	return sinceLast >= minHeartbeatGap && perSecond*sinceLast.Seconds() >= minMissedHeartbeats
--- a/internal/reachability/routing.go
+++ b/internal/reachability/routing.go
@@ -17,7 +17,7 @@
 // Leader returns the controller to which workers should report: the one that leads most shards, so
 // that grants need no round trip, unless it is known to receive no heartbeats. It is returned even
 // if its status is known only from the state service: a worker gains nothing from reporting to
-// this controller when the leader can't reach it.
+// a controller that the leader can't reach.
 func (v *View) Leader() string {
 	leader := v.Self.PreferredLeader
 	if !v.Self.LeaseHeld {
@@ -36,7 +36,7 @@
 	return v.Self.Node
 }
 
-// SeenAsLeaderByPeer reports whether a peer takes this controller for the leader although this one
+// SeenAsLeaderByPeer reports whether a peer regards this controller as the leader although this one
 // leads no shards as far as it knows: shards were transferred to it, and its watch of the state
 // service lags behind.
 func (v *View) SeenAsLeaderByPeer() bool {
--- a/internal/reachability/table_test.go
+++ b/internal/reachability/table_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// A controller restarts while another one is cut off or stopped. A third controller relays when it
-// last heard that one, and the restarted controller uses this to judge unresponsive workers.
-// Without the third controller it must assume that the other was cut off when it started itself.
+// A controller restarts while another one is cut off or stopped. A third controller reports when it
+// last heard the lost one, and the restarted controller uses this to judge unresponsive workers.
+// Without that report, it must assume that the lost one was cut off at the time of the restart.
 // Outdated statuses are relayed only shortly after the start.
 func TestRestartedControllerLearnsOfLostPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/reachability/transfer_monitor.go
+++ b/internal/reachability/transfer_monitor.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	minCandidateHeartbeatShare = 0.1              // of the leader's expected heartbeats, which a peer must receive to take over the shards
+	minCandidateHeartbeatShare = 0.1              // least share of the leader's expected heartbeats that its successor must receive
 	candidateHeartbeatFactor   = 3                // how many times the leader's heartbeats a peer must receive
 	reachedProbeSuccess        = 0.75             // least share of responses to probes with which the workers count as reached
 	lostProbeSuccess           = 0.25             // greatest share with which they count as not reached
 	baseTransferDelay          = 15 * time.Second // TransferDelay without earlier transfers; each one doubles it
 	maxDelayDoublings          = 4                // of baseTransferDelay
 
-	heartbeatConfirmTime = time.Second            // for which checks by heartbeats must give the same result
-	probeConfirmTime     = 200 * time.Millisecond // for which checks by probes must give the same result
+	heartbeatConfirmTime = time.Second            // how long checks by heartbeats must have the same result
+	probeConfirmTime     = 200 * time.Millisecond // how long checks by probes must have the same result
 )
 
 // TransferWindow is the period over which transfers are counted; see TransferDelay.
@@ -65,8 +65,8 @@
 func (v *View) transferCandidate() (name string, confirmTime time.Duration) {
 	confirmTime = heartbeatConfirmTime
 	mostHeartbeats := max(candidateHeartbeatFactor*v.Self.Heartbeats, int(minCandidateHeartbeatShare*v.Self.ExpectedHeartbeats))
-	// Workers take seconds to look for another controller, so that the peers' probes show earlier
-	// than their heartbeats that they reach the workers.
+	// Workers take seconds to look for another controller. So the peers' probes show sooner than the
+	// heartbeats that they receive whether they reach the workers.
 	outboundLost := v.Self.Probed && v.Self.ProbeSuccess <= lostProbeSuccess
 	bestProbes := 0.0
 	for i := range v.Peers {
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -22,7 +22,7 @@
 	minRateFraction         = 0.05                   // fraction of its full rate below which no class is cut
 	rateCutInterval         = 250 * time.Millisecond // between two cuts
 	recoveryPerSecond       = 0.1                    // fraction of the full rate regained in a second without a refusal
-	lookupRecoveryPerSecond = 0.05                   // the same for lookups: each time they exceed the limit, a submission may be refused
+	lookupRecoveryPerSecond = 0.05                   // the same, for lookups: whenever they exceed the limit, submissions may be refused
 )
 
 // requestClass is a part of the budget whose rate is cut separately. Classes are cut in this
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// waitWrites waits until the budget allows so many changes, as wait does.
+// waitWrites is wait for the given number of changes.
 func (b *budget) waitWrites(ctx context.Context, priority PriorityClass, changes int) error {
 	changes = min(max(1, changes), b.writes.Burst())
 	if priority == Urgent {
@@ -129,7 +129,8 @@
 	b.applyFractionsLocked()
 }
 
-// recoverRate raises rates that were cut, those of the class that is cut last first.
+// recoverRate raises rates that were cut. Classes recover in the reverse of the order in which they
+// are cut.
 func (b *budget) recoverRate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/statestore/capacity_test.go
+++ b/internal/statestore/capacity_test.go
@@ -18,7 +18,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// measureTransaction measures a transaction of so many changes of 200 bytes each: the size of
+// measureTransaction measures a transaction of a number of changes of 200 bytes each: the size of
 // its request and response in bytes, and the processor time of both ends.
 func measureTransaction(tb testing.TB, changes int, measure func(call func()) float64) (bytes, time float64) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -43,7 +43,8 @@
 	return bytes, time
 }
 
-// watchRequests counts the requests of a watch that receives so many changes one by one.
+// watchRequests counts the requests of a watch that receives the given number of changes one
+// by one.
 func watchRequests(_ testing.TB, changes int) float64 {
 	var opened atomic.Int64
 	ctx, cancel := context.WithCancel(context.Background())
@@ -70,8 +71,8 @@
 // pacedDuration is the simulated time for which a paced watch is measured.
 const pacedDuration = 10 * time.Second
 
-// pacedWatchRequests counts the requests of a paced watch while so many changes are made per
-// second.
+// pacedWatchRequests counts the requests of a paced watch while the given number of changes is made
+// per second.
 func pacedWatchRequests(_ testing.TB, changes int) (requests float64) {
 	gap := time.Second / time.Duration(changes)
 	gaps := slices.Repeat([]time.Duration{gap}, int(pacedDuration/gap))
--- a/internal/statestore/pacing.go
+++ b/internal/statestore/pacing.go
@@ -11,18 +11,19 @@
 // single change costs a request of every controller that watches. Changes made during a pause
 // are in one response.
 type Pacing struct {
-	// Burst is the number of responses that, after a time without any, are followed by no
-	// pause.
+	// Burst is the number of responses without a pause after them that a watch may receive
+	// after a time without responses.
 	Burst int
-	// Pause returns the time in which one more response without a pause is earned, which is
-	// also the longest pause. It is called for each response.
+	// Pause returns the time between responses once Burst is used up, and thereby the longest
+	// pause. After that time without a response, one more is allowed without a pause. It is
+	// called for each response.
 	Pause func() time.Duration
 }
 
 type pacingKey struct{}
 
-// WithPacing limits the rate of the watches that are started with ctx. Others send their next
-// request at once.
+// WithPacing limits the rate of the watches that are started with ctx. Other watches send
+// their next request at once.
 func WithPacing(ctx context.Context, pacing Pacing) context.Context {
 	return context.WithValue(ctx, pacingKey{}, pacing)
 }
--- a/internal/statestore/read.go
+++ b/internal/statestore/read.go
@@ -85,8 +85,8 @@
 }
 
 // checkPage returns an error if a response does not match a request for the keys with a prefix
-// after a key. A page of another request, or one that omits keys, would be taken for all that
-// is stored: a new leader would lose jobs.
+// after a key. A page of another request, or one that omits keys, would be regarded as all
+// that is stored: a new leader would lose jobs.
 func checkPage(page *wire.Items, prefix, after string) error {
 	for _, item := range page.Items {
 		if !strings.HasPrefix(item.Key, prefix) || item.Key <= after || item.Version == 0 {
--- a/internal/statestore/relay_test.go
+++ b/internal/statestore/relay_test.go
@@ -110,7 +110,7 @@
 }
 
 // A controller that loses only its link to the state service keeps its lease: otherwise no
-// task starts for five seconds. With a peer that relays no renewal fails, however the link
+// task starts for five seconds. With a peer that relays, no renewal fails, however the link
 // fails, and when the link works again, requests are sent directly.
 func TestRenewalsGoByPeerWhileLinkIsLost(t *testing.T) {
 	for fault := requestLost; fault < faults; fault++ {
--- a/internal/statestore/response_test.go
+++ b/internal/statestore/response_test.go
@@ -27,8 +27,8 @@
 }
 
 // Responses that are truncated, repeated, or belong to another request are errors, and nothing
-// is concluded from them. Otherwise an empty page would be taken for an empty store, a
-// conflict of another transaction for this one's, and a response without a revision for an
+// is concluded from them. Otherwise an empty page would mean an empty store, a conflict
+// of another transaction would count as this one's, and a response without a revision as an
 // applied write.
 func TestResponseOfAnotherRequestIsAnError(t *testing.T) {
 	get := func(c *Client) error { _, err := c.Get(t.Context(), "a/b"); return err }
--- a/internal/viewsync/capacity_test.go
+++ b/internal/viewsync/capacity_test.go
@@ -25,8 +25,8 @@
 func (w workerViews) WorkerViews() []dispatch.WorkerView            { return w }
 func (workerViews) ChangedViews() ([]dispatch.WorkerView, []string) { return nil, nil }
 
-// workersAt returns views of so many workers whose reports are of the given time. On each of them,
-// the first started tasks have just been replaced by new ones.
+// workersAt returns views of a number of workers whose reports are of the given time. On each of
+// them, a number of tasks, given by started, have just been replaced by new ones.
 func workersAt(workers int, atMs int64, started int) (views workerViews) {
 	elapsedS := float64(atMs) / msPerSecond
 	for i := range workers {
@@ -51,8 +51,8 @@
 }
 
 // sentBytes returns the size of the messages that send workers' views to a leader: first all
-// views, and then the changes after the workers have reported again, with so many tasks of each
-// worker started in between.
+// views, and then the changes after the workers have reported again, with a number of tasks of
+// each worker, given by started, replaced in between.
 func sentBytes(tb testing.TB, workers, started int) (whole, change float64) {
 	e, d := NewEncoder("a"), NewDecoder()
 	first := workersAt(workers, 0, 0)
--- a/internal/viewsync/change.go
+++ b/internal/viewsync/change.go
@@ -33,8 +33,8 @@
 	Attempt uint64 `json:"a"`
 }
 
-// Change is the difference between two views of one worker. Omitted fields are unchanged, apart
-// from times, which both ends advance.
+// Change is the difference between two views of one worker. Omitted fields are unchanged,
+// except that both ends advance ages and waits by the time that has passed.
 type Change struct {
 	Name         string               `json:"n"`
 	LagMs        int64                `json:"b,omitempty"` // age of the view when its frame was made
@@ -68,8 +68,8 @@
 	return samePointee(c.NoticeS, o.NoticeS) && c.Draining == o.Draining && c.Polled == o.Polled
 }
 
-// diff returns the change from old, nil for a worker that is not known yet, to now. Both are
-// rounded.
+// diff returns the change from old to now, both rounded. old is nil for a worker that is not known
+// yet.
 func diff(old *state, now state) Change {
 	was := state{atMs: now.atMs}
 	if old != nil {
--- a/internal/viewsync/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -28,8 +28,8 @@
 	lastAckMs int64             // time of the leader's last acknowledgement
 }
 
-// NewEncoder returns the dispatcher's end of a new stream; which stream the leader knows is not
-// known yet.
+// NewEncoder returns the dispatcher's end of a new stream. The leader's first reply states which
+// stream the new one replaces.
 func NewEncoder(dispatcher string) *Encoder {
 	e := &Encoder{dispatcher: dispatcher}
 	e.restart(0)
@@ -64,7 +64,7 @@
 	m := &Message{Dispatcher: e.dispatcher, Stream: e.stream, Replaces: e.replaces, NowMs: nowMs}
 	switch {
 	case e.unacked != nil:
-		// Repeated unchanged, since it may have been applied.
+		// The frame is repeated unchanged, since the leader may have applied it.
 	case !e.started && e.replaces == 0 && !source.HasWorkers():
 		return nil // a dispatcher without workers has nothing to send
 	case !e.started && e.replaces == 0:
@@ -127,7 +127,7 @@
 		return r.Stream != 0
 	case r.Refused:
 		e.restart(r.Stream)
-		return false // not at once: it may be refused again
+		return false // the next message waits, since it may be refused again
 	case e.unacked != nil && r.Seq >= e.unacked.Seq:
 		e.unacked, e.lastAckMs = nil, nowMs
 		return e.hasChanges()
--- a/internal/viewsync/messages.go
+++ b/internal/viewsync/messages.go
@@ -11,8 +11,8 @@
 	Removed []string `json:"g,omitempty"` // workers that the dispatcher no longer knows
 }
 
-// Message is sent by a dispatcher to a leader. Without a frame it is a heartbeat: the views up to
-// Seq still hold, of so many workers.
+// Message is sent by a dispatcher to a leader. Without a frame it is a heartbeat: the views as of
+// frame Seq are still current, and there are as many as Workers.
 type Message struct {
 	Dispatcher string `json:"h"` // controller that sends the message
 	Stream     uint64 `json:"s"`
--- a/internal/viewsync/model_test.go
+++ b/internal/viewsync/model_test.go
@@ -15,8 +15,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// version is the dispatcher's knowledge of a worker from a time on. The view's token is the number
-// of the version.
+// version is the state of a worker as the dispatcher knows it from atMs on. The view's token is the
+// number of the version.
 type version struct {
 	known bool
 	atMs  int64
--- a/internal/viewsync/view_state.go
+++ b/internal/viewsync/view_state.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// stateAgeToleranceS is the difference in seconds up to which the age of a task's state is not
-	// sent anew.
+	// stateAgeToleranceS is the deviation in seconds from the expected value up to which the age of
+	// a task's state is not sent again.
 	stateAgeToleranceS = 0.05
 	// waitToleranceS is the same for the waits of a matrix.
 	waitToleranceS = 0.1
