--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -28,12 +28,12 @@
 	planInterval        = time.Second
 	leaderCheckInterval = planInterval / 4
 	logInterval         = 10 * time.Second
-	cordonDelay         = 20 * time.Second // after a new leader begins, before it cordons workers
-	forgetAfter         = 30 * time.Second // after its last listing a machine without heartbeats is forgotten: the cloud took it
+	cordonDelay         = 20 * time.Second // time that a new leader waits before it cordons workers
+	forgetAfter         = 30 * time.Second // a machine without heartbeats is forgotten if it has not been listed for this time: it is gone
 	refusalBackoff      = 12 * time.Second // before a refused offer is requested again, if machines of it were lost or deleted since
 	longRefusalBackoff  = 40 * time.Second // the same, if none were
 	usedSmoothing       = 0.1              // weight of the newest sample in the average of CPUs in use
-	scaleInRequestGap   = 2                // minimum time between scale-ins, in the time that the rate limit allots to one request
+	scaleInRequestGap   = 2                // minimum time between scale-ins, in intervals between requests at the rate limit
 )
 
 // Scheduler is the part of the job scheduler that the autoscaler uses. Ready and WorkerDeleted
@@ -128,12 +128,12 @@
 
 	mu                 sync.Mutex
 	instances          map[string]*instance
-	provisions         map[string]*provision         // without an outcome, by name
+	provisions         map[string]*provision         // whose outcome is unknown, by name
 	answeredProvisions map[string]*answeredProvision // whose records are still to be updated or deleted, by name
 	recordingAnswers   bool                          // a transaction for answeredProvisions is in flight
 	lastSeq            int                           // number in the name of the last provision
 	refusals           map[offer]refusal
-	deleting           map[string]time.Time // machines being deleted (zero time), or deleted and possibly listed until the time
+	deleting           map[string]time.Time // being deleted (zero time), or deleted: time until which lists may contain them
 
 	usedCPUs       float64   // running average of CPUs in use
 	arrivalCPUs    float64   // running average of CPUs that newly accepted work occupies
--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -44,7 +44,7 @@
 	return max(a.usedCPUs, a.arrivalCPUs) * (1 + a.op.HeadroomPct/100)
 }
 
-// onDemandTargetCPUs returns the capacity to provide before on-demand machines are cordoned or
+// onDemandTargetCPUs returns the capacity that must remain when on-demand machines are cordoned or
 // drained: running work with headroom. Arriving work is left out, as it can wait for a machine.
 func (a *Autoscaler) onDemandTargetCPUs() float64 {
 	return a.usedCPUs * (1 + a.op.OnDemandHeadroomPct/100)
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// Lists use one in listRateDivisor of the requests that the rate limit allows: the interval
-	// in seconds is listRateDivisor, times the pages of a list, over the requests per second.
+	// Lists use 1/listRateDivisor of the requests that the rate limit allows: the interval in
+	// seconds is listRateDivisor × pages of a list / requests per second.
 	listRateDivisor          = 5
 	minListIntervalS         = 3
 	pollAfterReportIntervals = 1.5 // report intervals without a heartbeat after which a listed worker is polled
 	// listRequestMargin is added to the maximum lag of a list, for the duration of the request.
 	listRequestMargin = 5 * time.Second
-	// A machine's first heartbeat must arrive within bootFactor times its type's boot time,
-	// and bootMarginS more.
+	// A machine's first heartbeat must arrive within bootFactor times its type's boot time
+	// plus bootMarginS.
 	bootFactor  = 3
 	bootMarginS = 25
 )
@@ -28,8 +28,8 @@
 	return seconds(max(minListIntervalS, listRateDivisor*float64(max(1, a.listPages))/a.cfg.Params.Cloud.RPS))
 }
 
-// refresh reads the cloud's list, which lags and may show an earlier state than the list before
-// it, deletes failed machines and polls workers without heartbeats.
+// refresh reads the cloud's list, deletes failed machines and polls workers without heartbeats. The
+// list lags, and may show an earlier state than the previous list.
 func (a *Autoscaler) refresh(ctx context.Context) { a.refreshAt(ctx, time.Now()) }
 
 func (a *Autoscaler) refreshAt(ctx context.Context, requested time.Time) {
@@ -76,14 +76,14 @@
 // maxListLag returns the maximum lag of a list, which is twice the usual one.
 func (a *Autoscaler) maxListLag() time.Duration { return seconds(2 * a.cfg.Params.Cloud.ListLagS) }
 
-// maxListAge returns how much older than the request for it the state in a list may be.
+// maxListAge returns the maximum time by which the state in a list precedes the request for the list.
 func (a *Autoscaler) maxListAge() time.Duration { return a.maxListLag() + listRequestMargin }
 
 // vanished reports whether a machine that existed at a time is missing from a list that shows a
-// later time. For all that controllers know, such a machine may be unresponsive for another
-// reason, such as an outage that hit it together with a controller; its tasks would then wait for
-// its lease to expire. Deleting the machine makes certain that they have ended. Called with mu
-// held.
+// later time. Controllers can't tell such a machine from one that is unresponsive for another
+// reason, such as an outage that also hit a controller, and would wait for its lease to expire
+// before they restart its tasks. Deleting the machine makes certain that its tasks have ended.
+// Called with mu held.
 func (a *Autoscaler) vanished(name string, existed time.Time) bool {
 	if a.isDeleting(name) || a.newestListAt.Sub(existed) <= a.maxListAge() {
 		return false
@@ -92,8 +92,8 @@
 	return inst == nil || inst.listedAt.Before(a.newestListAt) && a.newestListAt.Sub(inst.discoveredAt) > a.maxListAge()
 }
 
-// collectUnwanted forgets machines that the cloud took, and adds machines to unwanted that never
-// came up, are faulty, or are idle and drained. Called with mu held.
+// collectUnwanted forgets machines that the cloud no longer lists, and adds to unwanted the machines
+// that never came up, are faulty, or are idle and drained. Called with mu held.
 func (a *Autoscaler) collectUnwanted(now time.Time, unwanted map[string]string) {
 	for name, inst := range a.instances {
 		if a.isDeleting(name) {
--- a/internal/autoscaler/machine_list_test.go
+++ b/internal/autoscaler/machine_list_test.go
@@ -36,7 +36,7 @@
 }
 
 // A machine counts as vanished only after it is deleted, whatever the age of each list and of
-// the machine's last heartbeat, and at the latest by a list that shows the present.
+// the machine's last heartbeat. A later list without lag always shows that it vanished.
 func TestMachineVanishesOnlyOnceDeleted(t *testing.T) {
 	const lag, step = 6 * time.Second, time.Second
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -72,14 +72,14 @@
 	return best, bestType, !math.IsInf(lowest, 1)
 }
 
-// exhausted reports whether the plan wants as many machines of an offer as the provisions in
-// flight may request at most.
+// exhausted reports whether the plan wants as many machines of an offer as can be requested at the
+// same time: maxProvision in each of the maxInFlight provisions.
 func (sim *simulation) exhausted(o offer) bool {
 	return sim.wanted[o] >= maxProvision*sim.autoscaler.maxInFlight()
 }
 
-// costPerTask rates an offer for n tasks of a demand. wanted is the number of machines of the
-// offer that the plan wants already.
+// costPerTask returns the weighted hourly price of an offer per task, for n tasks of a demand.
+// wanted is the number of machines of the offer that the plan wants already.
 func costPerTask(d *planner.Demand, n int, o offer, t wire.MachineType, wanted int) float64 {
 	capacity := tasksPerMachine(d.Resources, ResourcesOf(t))
 	// The unused part of a machine counts half: it is idle now, but may serve later work.
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -223,7 +223,7 @@
 
 // bootRemainingS returns the expected remaining boot time, in seconds, of a machine that has
 // booted for elapsedS. A machine that exceeds the usual boot time may take several times as long
-// or never come up, so it is expected to take as long again: work that can't wait gets another.
+// or never come up, so elapsedS is returned: for work that can't wait, another one is provisioned.
 func bootRemainingS(bootS, elapsedS float64) float64 {
 	if elapsedS > maxBootFactor*bootS {
 		return elapsedS
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -153,8 +153,8 @@
 }
 
 // Planning many small tasks one by one occupies a small controller's processor for seconds, in
-// which nothing is started (incident d184 of kitaboard-ops). The batched plan must leave as
-// many tasks as the plan of one task after the other.
+// which nothing is started (incident d184 of kitaboard-ops). The batched plan must leave the
+// same number of tasks unplaced as a plan that places one task after the other.
 func TestPlanOfManySmallTasksIsFastAndExact(t *testing.T) {
 	a := testAutoscaler()
 	now := time.Now()
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -13,18 +13,18 @@
 // errNotLeading means that another controller may lead the autoscaler by now.
 var errNotLeading = errors.New("no longer leads the autoscaler")
 
-// provisionExpires is how long after it was planned a provision may first be requested from the
+// provisionExpires is the maximum time from the planning of a provision to its first request to the
 // cloud. A record may be written minutes late without its writer learning of it, and a later leader
-// can't tell whether the cloud received the request; by then the work that it was for is mostly
-// done. Machines that were provisioned anyway appear in the cloud's list. The duration covers a
-// failover after the leader's lease expires.
+// can't tell whether the cloud received the request; by then most of the work that needed the
+// machines is done. Machines that were provisioned anyway appear in the cloud's list. The duration
+// covers a failover after the leader's lease expires.
 const provisionExpires = 30 * time.Second
 
 // repeatDelay is the pause before a provision without an answer may be repeated.
 const repeatDelay = time.Second
 
-// provision is a request for machines whose outcome is unknown. All fields except sending are
-// accessed only by the goroutine of scaleOut that sending was set for.
+// provision is a request for machines whose outcome is unknown. While sending is set, only the
+// goroutine of scaleOut that handles the provision writes the other fields.
 type provision struct {
 	req           wire.ProvisionRequest
 	plannedAt     time.Time
@@ -34,7 +34,8 @@
 	requested     bool // the cloud may have received the request
 }
 
-// expired reports whether a provision must not be requested any more, unless it was before.
+// expired reports whether a provision is too old for its first request to the cloud. Requests that
+// were sent before may still be repeated.
 func expired(planned, now time.Time) bool { return now.Sub(planned) > provisionExpires }
 
 // maxInFlight returns how many provisions may be without an outcome. More would only queue for
@@ -53,7 +54,7 @@
 	return p
 }
 
-// readiness is what is to be done with a provision.
+// readiness is the result of prepare: how to proceed with a provision.
 type readiness int
 
 const (
@@ -165,9 +166,9 @@
 	a.dropRecordLocked(p.req.Name)
 }
 
-// mayScaleOut reports whether a new leader knows enough machines to scale out: the first list
-// that it requested contains the machines of provisions whose records are deleted. Called with
-// mu held.
+// mayScaleOut reports whether a new leader may scale out: it has received the first list that it
+// requested, which contains the machines of provisions whose records are deleted, or has waited
+// firstListTimeout for it. Called with mu held.
 func (a *Autoscaler) mayScaleOut(now time.Time) bool {
 	return a.newestListAt.After(a.leadingSince) || now.Sub(a.leadingSince) > firstListTimeout
 }
--- a/internal/autoscaler/provision_record.go
+++ b/internal/autoscaler/provision_record.go
@@ -51,7 +51,7 @@
 
 // loadRecords reads the records of provisions: those without a recorded answer are to be
 // repeated under their names, and the machines of the answered ones are added to the instances.
-// It returns the names of those that are too old for either, whose records are to be deleted.
+// It returns the names of the provisions that are too old for either; their records are to be deleted.
 func (a *Autoscaler) loadRecords(ctx context.Context) (old []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -131,7 +131,7 @@
 	}
 }
 
-// dropRecordLocked schedules the deletion of the record of a provision that yields no machines.
+// dropRecordLocked schedules the deletion of the record of a provision that needs no further handling.
 // Called with mu held.
 func (a *Autoscaler) dropRecordLocked(name string) {
 	a.answeredProvisions[name] = &answeredProvision{recorded: true}
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -16,9 +16,9 @@
 const minUptimeS = minBillingS - 5
 
 // cordon cordons on-demand workers, those with the smallest share of CPUs in use first, while the
-// capacity exceeds what running work and headroom need. It returns all cordoned workers. Without
-// it, tasks that could run elsewhere would prevent on-demand workers from becoming idle. Called
-// with mu held.
+// capacity exceeds what running and pending work, the headroom and the reserve need. It returns all
+// cordoned workers. Without cordoning, tasks that could run elsewhere would prevent on-demand workers
+// from becoming idle. Called with mu held.
 func (a *Autoscaler) cordon(now time.Time, demand []planner.Demand) map[string]bool {
 	if now.Sub(a.leadingSince) < cordonDelay {
 		return nil // the loads are not known completely yet
@@ -121,9 +121,9 @@
 	}
 }
 
-// needed reports whether the capacity would fall too far below its target without a machine. It
-// retains the number of machines closest to the target, so that the last machines are drained
-// too when no more work arrives.
+// needed reports whether the capacity without a machine would be below its target by more than half
+// the machine. The number of machines closest to the target is thus retained, and the last machines
+// are drained too when no more work arrives.
 func (a *Autoscaler) needed(o offer, t wire.MachineType, totalCPUs float64) bool {
 	target := a.targetCPUs()
 	if o.onDemand(t) {
@@ -133,8 +133,8 @@
 	return totalCPUs-t.CPUs < target-t.CPUs/2
 }
 
-// idleWorkers updates since when each worker is idle. It returns the idle workers, and the CPUs
-// of all workers.
+// idleWorkers updates the time since which each worker is idle. It returns the idle workers, and
+// the CPUs of all workers.
 func (a *Autoscaler) idleWorkers(now time.Time) (idle []*instance, totalCPUs float64) {
 	for name, inst := range a.instances {
 		if inst.load == nil || a.isDeleting(name) || a.unresponsive(inst, now) {
--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -87,8 +87,8 @@
 }
 
 // assemble creates the components and connects them to each other; it starts none of them. ctx
-// is the context of the process. assemble opens the address for users and workers, and waits
-// until a predecessor has closed it.
+// is the context of the process. assemble waits until a predecessor has closed the address for
+// users and workers, and opens it.
 func assemble(ctx context.Context, o Options) (*controller, error) {
 	c := &controller{cfg: o.Platform, operator: o.Operator, log: o.Log, lifetime: lifetime{ctx}}
 	if err := c.assembleClients(); err != nil {
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -17,8 +17,8 @@
 const (
 	exchangeInterval     = 500 * time.Millisecond
 	exchangeTimeout      = time.Second
-	stalePeerAfter       = 2500 * time.Millisecond // maximum delay of a peer's message when it arrives with pings
-	stopRetryAfter       = 3 * time.Second         // time that dispatchers have to stop a task of a cancelled job
+	stalePeerAfter       = 2500 * time.Millisecond // age from which a peer's cancellation updates are stale; pings deliver them sooner
+	stopRetryAfter       = 3 * time.Second         // time that a dispatcher has to stop a cancelled task before it is halted here
 	stopRetryInterval    = 2 * time.Second
 	malformedLogInterval = time.Minute // between log lines about malformed messages
 )
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -31,7 +31,7 @@
 	memoryTargetShare = 0.7
 
 	// memoryPressureShare is the part of the memory limit above which no new jobs are accepted:
-	// the garbage collector could not stay within memoryTargetShare.
+	// the garbage collector has then failed to stay below memoryTargetShare.
 	memoryPressureShare = 0.85
 
 	// gcPercent saves processor time, which is scarce, at the cost of memory, of which there is
@@ -50,8 +50,8 @@
 }
 
 // Run runs a controller until ctx ends, and then returns nil; otherwise it returns the wrapped
-// error of the component that failed first. It sets limits of the whole process, which has a
-// share of one core and the memory limit of the settings.
+// error of the component that failed first. It limits the Go runtime of the whole process to
+// one processor and to memoryTargetShare of the memory limit in the settings.
 func Run(ctx context.Context, o Options) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
--- a/internal/controller/expiring_leases.go
+++ b/internal/controller/expiring_leases.go
@@ -12,8 +12,8 @@
 // expiringLeasesInterval is the time between checks for workers whose reports are overdue.
 const expiringLeasesInterval = 250 * time.Millisecond
 
-// expiringLeases polls workers whose leases are not being renewed for their reports: requests
-// may reach a worker although its own reach no controller. It also sends the commands that
+// expiringLeases requests reports from workers whose leases are about to expire: a worker may
+// receive requests although its own reports reach no controller. It also sends the commands that
 // still take effect before the leases end. At most one round of requests is in flight.
 type expiringLeases struct {
 	scheduler  *scheduler.Scheduler
--- a/internal/controller/link_monitor.go
+++ b/internal/controller/link_monitor.go
@@ -19,15 +19,15 @@
 const (
 	linkCheckInterval      = 250 * time.Millisecond
 	heartbeatCountInterval = time.Second // between counts of heartbeats and connections
-	readShardsInterval     = time.Second // between reads of the shards' leaders, while peers take this controller for the leader
+	readShardsInterval     = time.Second // between reads of the shards' leaders, while a peer sees this controller as the leader
 	announceTimeout        = time.Second
-	workerNamesShare       = 0.5 // share of the state service's limit of a value's size that the names of workers may use
+	workerNamesShare       = 0.5 // share of the maximum size of a value in the state service that the names of workers may use
 	missedReportIntervals  = 2.5 // report intervals without a report after which a worker no longer counts as reporting here
 )
 
 // linkMonitor measures this controller's links to the workers, announces its status via the
-// state service to peers that the mesh does not reach, and transfers its shards to a controller
-// that receives the workers' heartbeats when this one no longer does.
+// state service to peers that the mesh does not reach, and transfers its shards to a peer when
+// the peer receives the workers' heartbeats and this controller does not.
 type linkMonitor struct {
 	cfg         *config.Platform
 	operator    *config.Operator
@@ -75,8 +75,8 @@
 	l.readShards(ctx, now, view)
 }
 
-// readShards reads the shards' leaders if peers take this controller for the leader and it does
-// not know that it is.
+// readShards reads the shards' leaders if a peer sees this controller as the leader, but this
+// controller does not know that it leads.
 func (l *linkMonitor) readShards(ctx context.Context, now time.Time, view *reachability.View) {
 	if !view.SeenAsLeaderByPeer() || now.Sub(l.shardsReadAt) < readShardsInterval {
 		return
--- a/internal/controller/prober.go
+++ b/internal/controller/prober.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// updateSuspicion updates whether this leader suspects that it has lost the workers, as none
-// reports any more. If the suspicion is new, it probes some workers and returns true: the
-// caller is to ping the peers, so that they probe them too. timerDelay is the current delay of
+// updateSuspicion updates whether this leader suspects that it has lost its connections to the
+// workers, since none reports any more. If the suspicion is new, it probes some workers and returns
+// true: the caller must then ping the peers, so that they probe the same workers. timerDelay is the current delay of
 // timers in this process.
 func (p *prober) updateSuspicion(timerDelay time.Duration) bool {
 	expected, before := p.status.Suspicion()
--- a/internal/controller/scheduler_gateway.go
+++ b/internal/controller/scheduler_gateway.go
@@ -36,8 +36,8 @@
 func (g *schedulerGateway) ObserveWorker(view dispatch.WorkerView) {
 	g.timeline.Mark(failovertiming.FirstHeartbeat)
 	if view.Polled && g.router.assigned.Load() {
-		// The dispatcher that the worker reports to is to command it: two dispatchers that take
-		// turns would each have to raise their fencing token above the other's.
+		// Only the dispatcher that the worker reports to may command it: two dispatchers that
+		// take turns would each have to raise their fencing token above the other's.
 		view.Dispatcher = g.router.LeaderFor(view.Name)
 	}
 	g.scheduler.ObserveWorker(view)
--- a/internal/controller/view_publisher.go
+++ b/internal/controller/view_publisher.go
@@ -123,7 +123,7 @@
 }
 
 // pollRemoteWorkers polls the reports of workers that a predecessor named when it transferred
-// its shards. Without it the new leader waits for seconds: workers that no longer reach the
+// its shards. Without these polls the new leader waits for seconds: workers that no longer reach the
 // predecessor need that long to detect it, and the cloud's list lags.
 func (p *viewPublisher) pollRemoteWorkers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pollRemoteTimeout)
--- a/internal/controller/worker_routing.go
+++ b/internal/controller/worker_routing.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/peerlinks"
 )
 
-// cancelMarginS is the time in seconds between the last response of an isolated controller to a
-// worker and the time by which a cancelled task must have ended.
+// cancelMarginS is the time in seconds between the expiry of a worker's lease, after the last
+// response of an isolated controller, and the time by which a cancelled task must have ended.
 const cancelMarginS = 3.0
 
 // workerRouter determines which controller a worker reports to, and whether this controller may
@@ -25,9 +25,9 @@
 	assigned atomic.Bool // workers are assigned to several controllers
 }
 
-// responseGrace returns how long a controller may respond to workers after the time up to which
-// it knows all cancels: a worker's lease counts from the time at which it sent the last report
-// that got a response, and its tasks may have been cancelled just after the known time.
+// responseGrace returns for how long after the last time at which it knew all cancels a controller
+// may respond to workers. A task may be cancelled just after that time, and then runs until its
+// worker's lease expires, which counts from the sending of the last report that got a response.
 func responseGrace(w config.Workers) time.Duration {
 	return config.Seconds(max(2, w.CancelS-w.MaxLeaseS()-cancelMarginS))
 }
@@ -35,8 +35,9 @@
 // LeaderFor returns the name of the controller that a worker should report to, "" if there is none.
 func (r *workerRouter) LeaderFor(worker string) string { return r.links.Now().LeaderFor(worker) }
 
-// MayAnswerWorkers reports whether this controller may respond to workers: it knows of all
-// cancels that any controller confirmed more than the grace period ago.
+// MayAnswerWorkers reports whether this controller may respond to workers: it has a
+// fencing token, and knows of all cancels that any controller confirmed more than the grace
+// period ago.
 func (r *workerRouter) MayAnswerWorkers() bool {
 	return r.member.FencingToken() != 0 && time.Since(r.cancellations.KnownUntil()) < r.grace
 }
--- a/internal/failovertiming/failovertiming.go
+++ b/internal/failovertiming/failovertiming.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// Reset ends the recovery without logging it if this controller had claimed a shard. It is called
-// when the controller no longer leads any shard.
+// Reset discards the recovery in progress if a shard was claimed in it. It is called when the
+// controller no longer leads any shard.
 func (t *Timeline) Reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/jobquery/messages.go
+++ b/internal/jobquery/messages.go
@@ -27,7 +27,7 @@
 	AcceptedMs   int64                `json:"at"`
 	Stage        string               `json:"stage"`              // as in wire.JobState
 	Reason       string               `json:"reason,omitempty"`   // why its pending tasks wait, see package jobspec
-	EligibleMs   int64                `json:"eligible,omitempty"` // since when it waits only for resources; 0 if it does not yet
+	EligibleMs   int64                `json:"eligible,omitempty"` // start of the wait for resources only; 0 if it has not begun
 	StartMs      int64                `json:"start,omitempty"`    // start of its first task
 	PendingTasks string               `json:"waiting,omitempty"`  // pending tasks, as jobspec.Ranges
 	PendingCount int                  `json:"queued"`             // number of pending tasks
--- a/internal/local/load_balancer.go
+++ b/internal/local/load_balancer.go
@@ -35,8 +35,8 @@
 	healthy []bool // by controller index
 }
 
-// NewLoadBalancer returns a load balancer for the controllers that serves the task output below
-// dir. Until RunProbes runs, all controllers count as unhealthy.
+// NewLoadBalancer returns a load balancer for the controllers. It also serves the output of tasks,
+// which is stored below dir. Until RunProbes runs, all controllers count as unhealthy.
 func NewLoadBalancer(controllers []Controller, dir string) *LoadBalancer {
 	lb := &LoadBalancer{
 		mux: http.NewServeMux(), dir: dir, controllers: controllers,
@@ -138,8 +138,8 @@
 	return false
 }
 
-// acceptsJobs reports whether a controller would accept a valid job. It rejects probeJob
-// permanently (status 422) if so, and otherwise temporarily.
+// acceptsJobs reports whether a controller would accept a valid job. Such a controller rejects
+// probeJob permanently (status 422); any other rejects it temporarily.
 func (lb *LoadBalancer) acceptsJobs(c Controller) bool {
 	resp, err := lb.client.Post("http://"+c.Addr+"/api/jobs", "application/json", strings.NewReader(probeJob))
 	if err != nil {
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// noScaleIn keeps the controllers from deleting machines, so that the site keeps its size.
+// noScaleIn prevents the controllers from deleting machines, so that the size of the site is constant.
 const noScaleIn = "(wallrack (idle-s 3600) (headroom-percent 500) (dear-headroom-percent 500))"
 
 // LoadSettings reads a file of the form `(scale (key number) ... (team "name" guarantee limit)
@@ -247,8 +247,8 @@
 	return err
 }
 
-// tightTeamInterval is the interval at which generated teams have only a sixth of the usual spare
-// CPUs, so that they are at their limit when one of their jobs arrives.
+// tightTeamInterval: one in tightTeamInterval generated teams has only a sixth of the usual spare
+// CPUs, so that it is at its limit when one of its jobs arrives.
 const tightTeamInterval = 10
 
 // generateTeams adds the generated teams.
@@ -271,7 +271,7 @@
 // minus the short tasks that run at the steady rate.
 func (s *Settings) serviceTasks() int { return max(0, s.Running-int(s.SteadyStarts*s.RunS)) }
 
-// replicas returns the number of service tasks of team i, if there are that many teams.
+// replicas returns team i's number of service tasks, which are divided equally among the teams.
 func (s *Settings) replicas(i, teams int) int {
 	n := s.serviceTasks() / teams
 	if i < s.serviceTasks()%teams {
--- a/internal/scale/tracker.go
+++ b/internal/scale/tracker.go
@@ -73,7 +73,7 @@
 	recoveries    []*recovery // in the order of their first event
 	ranTwice      int
 	starts        int // in all phases
-	prematureEnds int // jobs reported as done with uncompleted tasks, or as cancelled
+	prematureEnds int // jobs reported as cancelled, or as done although tasks are uncompleted
 	unknown       int // accepted jobs for which a later request returned status 404
 }
 
--- a/internal/slo/monitor.go
+++ b/internal/slo/monitor.go
@@ -95,8 +95,8 @@
 	m.clearAlerts(now, stillMissed)
 }
 
-// raiseAlerts raises an alert for each objective that the job misses unless it is open already,
-// and adds all missed objectives to stillMissed.
+// raiseAlerts raises an alert for each missed objective of a job, unless one is open already, and
+// adds all missed objectives to stillMissed.
 func (m *Monitor) raiseAlerts(job *scheduler.JobStatus, now time.Time, stillMissed map[alertKey]bool) {
 	for i := range m.objectives {
 		objective := &m.objectives[i]
@@ -114,7 +114,7 @@
 	}
 }
 
-// recordLateness records the lateness of jobs that ended since the last check past their deadlines.
+// recordLateness records the lateness of jobs that ended past their deadlines since the last check.
 func (m *Monitor) recordLateness(living map[string]scheduler.JobStatus) {
 	for uid, job := range m.lastStatuses {
 		if _, ok := living[uid]; ok || job.DueS == nil || job.Cancelled {
--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -10,7 +10,7 @@
 	socketsPerPeer        = 2  // one connection to each peer and one from it
 	minConcurrentRequests = 8  // concurrent requests with commands that are always possible, even with few sockets
 	requestDivisor        = 20 // 1/20 of the sockets is reserved for requests with commands
-	maxConnectionDivisor  = 2  // at most 1/2 of the sockets is used for them; each worker needs a connection of its own
+	maxConnectionDivisor  = 2  // at most 1/2 of the sockets is used for connections to workers; each worker needs its own
 	reserveDivisor        = 16 // 1/16 of the sockets is left free for new connections from users and workers
 )
 
--- a/internal/submission/accept.go
+++ b/internal/submission/accept.go
@@ -20,7 +20,7 @@
 )
 
 // accept records a submission. If the id is known, it returns the job's state, whatever the body
-// contains: a user that repeats a submission must not read that it was never accepted.
+// contains: a user that repeats an accepted submission must not get a rejection.
 func (s *Service) accept(ctx context.Context, body []byte, requested *jobspec.Constraints) Reply {
 	job, constraints, rejected := s.validate(ctx, body, requested)
 	if rejected != nil {
@@ -30,7 +30,7 @@
 		return rep
 	}
 	if s.memoryPressure != nil && s.memoryPressure() {
-		// Without this the process runs out of memory, and all shards that it leads stop.
+		// Refuse new jobs: if the process ran out of memory, all shards that it leads would stop.
 		if rep := s.storedReply(ctx, job.UID); rep.succeeded() {
 			return rep
 		}
@@ -70,14 +70,14 @@
 			if constraints != nil && len(conflict.Keys) == 1 && conflict.Keys[0] == guards[2].Key {
 				return Reply{Status: http.StatusUnprocessableEntity, Reason: "number: belongs to another job"}
 			}
-			// The job was known, or an earlier attempt wrote it and its response was lost.
+			// The job was recorded before, or an earlier attempt recorded it and its response was lost.
 			return s.storedReply(ctx, job.UID)
 		case !errors.Is(err, statestore.ErrUnknown) || ctx.Err() != nil || attempt == maxRecordAttempts:
 			s.log.Debug("submission not recorded", "job", job.UID, "err", err)
 			return unknownOutcome(err)
 		}
-		// Usually the write was applied and only its response was lost. Another attempt
-		// would show that too, but its response may be lost as well.
+		// Usually the write was applied and only its response was lost. A read
+		// shows this even if the responses to all writes are lost.
 		if rep := s.storedReply(ctx, job.UID); rep.succeeded() {
 			return rep
 		}
--- a/internal/submission/messages.go
+++ b/internal/submission/messages.go
@@ -30,8 +30,7 @@
 	VerbBatchPoll = "known" // reads the states of UIDs from the memory of the controller that leads the jobs
 )
 
-// Reply is the response to a Request. Status 0 means that the peer does not know the outcome
-// either.
+// Reply is the response to a Request. Status 0 means that the outcome is unknown.
 type Reply struct {
 	Status int           `json:"status"` // HTTP status code
 	State  wire.JobState `json:"state"`
@@ -41,11 +40,11 @@
 	StageKnown bool `json:"settled,omitempty"` // the stage is certain; the state service alone records every living job as queued
 
 	States       []wire.JobState `json:"states,omitempty"`    // of batched polls, in their order; those of unknown jobs have no UID
-	StageUnknown []string        `json:"unsettled,omitempty"` // of batched polls: living jobs of which the leader does not know yet whether they run
+	StageUnknown []string        `json:"unsettled,omitempty"` // of batched polls: living jobs whose leader does not know if a task runs
 }
 
 // retriableAtPeer reports whether the outcome is unknown but a peer may know it. If the state
-// service is busy, it is so for all controllers.
+// service is busy, it is busy for all controllers.
 func (r *Reply) retriableAtPeer() bool { return r.Status == 0 && !r.Busy }
 
 // succeeded reports whether the reply contains a state.
--- a/internal/submission/refined_submission_test.go
+++ b/internal/submission/refined_submission_test.go
@@ -13,8 +13,8 @@
 // The tests guard against a running job that is reported as queued to a user who repeats its
 // submission.
 
-// leaderBesideRelay is the leader b beside a controller c, which reaches the state service and
-// returns stored states.
+// leaderBesideRelay stands for two peers: the leader b, and a controller c that reaches the state
+// service and returns stored states.
 type leaderBesideRelay struct {
 	*leaderWithPendingCancel
 	relayed int // submissions that c served
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -196,9 +196,9 @@
 	}
 }
 
-// requireConfirmedCancel replaces a reply that a job is cancelled unless the cancel is effective at all
-// controllers. Otherwise a user could read, by a poll or a repeated submission, that a job is
-// cancelled, and a task of it could still start.
+// requireConfirmedCancel returns rep, or a reply with status 503 if rep reports the job as cancelled
+// and the cancel is not effective at all controllers. Otherwise a poll or a repeated submission could
+// report a job as cancelled while a task of it can still start.
 func (s *Service) requireConfirmedCancel(rep Reply) Reply {
 	if s.cancellations == nil || !rep.succeeded() || rep.State.Stage != wire.StageCancelled {
 		return rep
--- a/internal/submission/stage.go
+++ b/internal/submission/stage.go
@@ -36,7 +36,8 @@
 	return Reply{Status: http.StatusOK, State: state, StageKnown: true}
 }
 
-// stageUnknownReply returns the reply for a living job of which no leader knows yet whether it runs.
+// stageUnknownReply returns the reply, with status 503, for a living job if no leader knows yet
+// whether a task of it runs.
 func (s *Service) stageUnknownReply(uid string) Reply {
 	s.stageUnknownLog.record(s.log, uid)
 	return Reply{Status: http.StatusServiceUnavailable, Reason: "can't tell now"}
@@ -62,9 +63,9 @@
 	return r.Status == http.StatusOK && r.State.Stage == wire.StageQueued && !r.StageKnown
 }
 
-// refineByLeader replaces a reply that needs the leader by the reply of the job's leader.
-// Without it a running job would be reported as queued in the second after a transfer of shards,
-// during a pending cancel, or to a user that repeats a submission.
+// refineByLeader returns the reply of the job's leader if rep needs it, otherwise rep. Without
+// this query a running job would be reported as queued in the second after a transfer of
+// shards, during a pending cancel, or to a user that repeats a submission.
 func (s *Service) refineByLeader(ctx context.Context, rep Reply) Reply {
 	if !rep.needsLeader() {
 		return rep
@@ -77,7 +78,7 @@
 		if ok && refined.Status == http.StatusOK {
 			return refined
 		}
-		// The job was alive a moment ago, so it had not ended when the late state arrived.
+		// rep shows that the job has not ended, so a recent late state is still valid.
 		if state, ok := s.batcher(leader).lateState(uid); ok {
 			return s.leaderReply(state)
 		}
--- a/internal/submission/validate.go
+++ b/internal/submission/validate.go
@@ -86,8 +86,8 @@
 }
 
 // resolveConstraints validates a submission's constraints and sets the ids of the jobs that it
-// depends on. If jobs have numbers, a job without constraints gets a number; otherwise the
-// result is nil.
+// depends on. For a job without constraints it returns constraints with a newly allocated number,
+// or nil if jobs have no numbers.
 func (s *Service) resolveConstraints(ctx context.Context, job *wire.Job, requested *jobspec.Constraints) (*jobspec.Constraints, *rejection) {
 	switch {
 	case s.numbers == nil && requested == nil:
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -92,8 +92,8 @@
 	Seconds float64 `json:"seconds"`
 }
 
-// Reading is a reading of the process's resource usage. Counters start with the process, uptime with
-// the meter.
+// Reading is a reading of the process's resource usage. Counters count from the start of the
+// process, uptime from the creation of the meter.
 type Reading struct {
 	CPUSeconds  float64              `json:"cpu_s"` // user and system time of the process
 	UptimeS     float64              `json:"uptime_s"`
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -20,7 +20,7 @@
 
 const (
 	reportTimeout      = 4 * time.Second        // of one report
-	retryDelay         = time.Second            // before a report is sent to the next controller
+	retryDelay         = time.Second            // after a failed report, before the next controller is tried
 	minReportInterval  = 500 * time.Millisecond // of reports sent because the state changed
 	leaseCheckInterval = 100 * time.Millisecond
 	maxResponseBytes   = 4 << 20 // bytes
--- a/internal/worker/orphans.go
+++ b/internal/worker/orphans.go
@@ -150,8 +150,8 @@
 	if err != nil {
 		return processStatus{}, fmt.Errorf("%s: process group: %w", directory, err)
 	}
-	// During exec the kernel sets the end of the environment to its start before it copies the
-	// entries, and sets the code's start only after that.
+	// During exec the kernel sets the end of the environment to its start, then copies the
+	// entries, and last sets the code's start, which is 0 before.
 	execDone := fields[codeStartField] != "0"
 	start, end := fields[environmentStartField], fields[environmentEndField]
 	return processStatus{
--- a/internal/worker/output.go
+++ b/internal/worker/output.go
@@ -102,6 +102,6 @@
 	if b.dropped > 0 {
 		_, _ = fmt.Fprintf(b.f, "\n[%d bytes more were dropped]\n", b.dropped) // a full disk does not end the task
 	}
-	_ = b.f.Close() // as above
+	_ = b.f.Close() // a full disk does not end the task
 	b.remaining = 0
 }
--- a/internal/worker/recorded_test.go
+++ b/internal/worker/recorded_test.go
@@ -38,7 +38,7 @@
 func TestRecordedRequests(t *testing.T) {
 	state := recordedState()
 	defer state.Close()
-	state.Report() // takes sequence number 1, as in report_idle.json
+	state.Report() // uses sequence number 1, as in report_idle.json
 	handler := (&worker.Agent{State: state, Log: discardLogger}).Handler()
 	for _, c := range []struct {
 		method, path, body string
