--- a/cmd/wallctl/main.go
+++ b/cmd/wallctl/main.go
@@ -58,7 +58,7 @@
 		_, _ = fmt.Fprintln(os.Stderr, err) // if printing fails the exit code still reports the error
 		return exitUsage
 	}
-	_, _ = fmt.Fprintln(os.Stderr, "wallctl:", err) // as above
+	_, _ = fmt.Fprintln(os.Stderr, "wallctl:", err) // if printing fails the exit code still reports the error
 	return exitCode(err)
 }
 
--- a/cmd/wallctl/main_test.go
+++ b/cmd/wallctl/main_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Each outcome has its own exit code, and the error of a wrong use names the flag.
+// Each outcome has its own exit code, and the error for an invalid command line names the flag.
 func TestExitCodesAndMessages(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(respondByPath))
 	defer srv.Close()
--- a/cmd/wallctl/sacct.go
+++ b/cmd/wallctl/sacct.go
@@ -48,8 +48,8 @@
 	return fs
 }
 
-// separators returns the argument of slurm.AcctTable for bars between columns ("P"), for bars also at
-// the end of each line ("p"), or for aligned columns ("").
+// separators returns the argument parsable of slurm.AcctTable: "P" for bars between columns, "p" for
+// bars also at the end of each line, "" for aligned columns.
 func (s *sacctFlags) separators() string {
 	switch {
 	case s.parsable2:
--- a/cmd/wallctl/srun.go
+++ b/cmd/wallctl/srun.go
@@ -64,7 +64,7 @@
 			return err
 		case <-timer.C:
 			output.printNew(ctx)
-			timer.Reset(outputInterval) // reset after the requests, so that a slow site gets a pause between them
+			timer.Reset(outputInterval) // reset after the requests, so that there is a pause between them even if the site is slow
 		}
 	}
 }
--- a/cmd/wallrack/local_test.go
+++ b/cmd/wallrack/local_test.go
@@ -42,7 +42,7 @@
 	return nil, nil
 }
 
-// readyWriter collects the output of a site and sends it to ready once the line is complete.
+// readyWriter collects the output of a site. After a write that completes a line, it sends all output so far to ready.
 type readyWriter struct {
 	bytes.Buffer
 	ready chan string
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -53,7 +53,7 @@
 
 // Submit uploads the description and submits the job. Both requests are repeated with the same id
 // until they are accepted or refused, or c.RetryTimeout is over. The error wraps ErrRefused,
-// ErrUnknown or taskspec.ErrDiffers (a different description was uploaded for this id).
+// ErrUnknown or taskspec.ErrConflict (a different description was uploaded for this id).
 func (c *Client) Submit(ctx context.Context, job *wire.Job, description *taskspec.Spec) (*wire.JobState, error) {
 	if err := c.uploadDescription(ctx, job.UID, description); err != nil {
 		return nil, err
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -76,7 +76,7 @@
 	return out, err
 }
 
-// jobRequest sends a request about a job, and repeats it as Send does, and returns the job's state.
+// jobRequest sends a request about a job, repeated as in Send, and returns the job's state.
 func (c *Client) jobRequest(ctx context.Context, method, path string, body []byte) (state *wire.JobState, err error) {
 	timeout := requestTimeout
 	if method == http.MethodGet {
--- a/internal/rollout/health_checks.go
+++ b/internal/rollout/health_checks.go
@@ -119,7 +119,7 @@
 
 // removeStale removes the health of replicas that were not listed within replicaRetention and,
 // unless prefix is empty, of all replicas whose task name begins with prefix. A resumed roll-out
-// uses the latter to check its replicas from scratch.
+// sets prefix so that its replicas are checked from scratch.
 func (c *healthChecker) removeStale(now time.Time, prefix string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rollout/manager_test.go
+++ b/internal/rollout/manager_test.go
@@ -62,7 +62,7 @@
 			switch {
 			case v == "v2" && replica == 0 && hang.Load():
 				return rollout.Hung
-			case v == "v2" && int(since.Seconds())%8 < 4: // two checks of four
+			case v == "v2" && int(since.Seconds())%8 < 4: // two of every four checks
 				return rollout.Unhealthy
 			}
 			return rollout.Healthy
@@ -144,7 +144,7 @@
 	}
 }
 
-// running returns the number of live replicas, and their jobs whose version is unwanted.
+// running returns the number of live replicas, and the jobs of live replicas whose version is unwanted.
 func (s *site) running(unwanted func(version string) bool) (replicas int, unwantedJobs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -19,7 +19,8 @@
 )
 
 // entry is a service and its latest roll-out, as recorded, and the known state of the jobs. Copies of
-// an entry share the maps submitted and cancelled, so these are replaced only before it is in use.
+// an entry share the maps submitted and cancelled, so these are replaced only in a new entry, before
+// it is copied.
 type entry struct {
 	service        Service
 	serviceVersion uint64 // version of the service's key; 0 if the service is not recorded
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -11,7 +11,7 @@
 
 const (
 	// restoreTimeout is how long a roll-back waits for the old version's replicas to be placed
-	// beside the new version's before it cancels the latter to free their capacity.
+	// beside the new ones before it cancels the new ones to free their capacity.
 	restoreTimeout = 15 * time.Second
 	// maxLosses is how often replicas of one step may be lost while soaking before the roll-out pauses.
 	maxLosses = 3
@@ -190,7 +190,7 @@
 }
 
 // advanceRollback computes the next state of a roll-back. The new version's replicas are cancelled
-// once the old version's are healthy, or after a timeout if the latter lack capacity to run.
+// once the old version's are healthy, or after a timeout if the old ones lack capacity to run.
 func (r *Run) advanceRollback(service *Service, observed *Observation, now time.Time) bool {
 	remaining := append(slices.Clone(r.Old), r.Restore...)
 	restored := observed.healthy(r.Restore) >= countReplicas(r.Restore)
--- a/internal/slurm/squeue_rows.go
+++ b/internal/slurm/squeue_rows.go
@@ -52,8 +52,8 @@
 	Tasks         int // number of tasks that the row stands for
 }
 
-// isArray reports whether a job is listed as an array. Jobs of several tasks are, even if they
-// were submitted without --array.
+// isArray reports whether a job is listed as an array. This includes every job of several tasks,
+// even if it was submitted without --array.
 func isArray(tasks int, array string) bool { return tasks > 1 || array != "" }
 
 // indices returns the array indices of a job's tasks. A job of several tasks that was submitted
--- a/internal/slurm/table.go
+++ b/internal/slurm/table.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// line formats one line. The function returns the text of each column's cell.
+// line formats one line. cellText returns the text of a column's cell.
 func (t *Table[R]) line(cellText func(c *column[R]) string) string {
 	var b strings.Builder
 	b.WriteString(t.prefix)
--- a/internal/slurm/text.go
+++ b/internal/slurm/text.go
@@ -48,8 +48,8 @@
 // orDefault returns s, or none if s is empty.
 func orDefault(s, none string) string { return cmp.Or(s, none) }
 
-// formatExitCode formats an exit code as Slurm does: CODE:0, or 0:SIGNAL if a signal ended the
-// task, which codes above 128 denote.
+// formatExitCode formats an exit code as Slurm does: CODE:0, or 0:SIGNAL for a code above 128,
+// which means that a signal ended the task.
 func formatExitCode(code int) string {
 	if code > 128 {
 		return fmt.Sprintf("0:%d", code-128)
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -25,8 +25,8 @@
 const maxTasksBody = 16 << 10
 
 // serveList serves one page of the listing of all leaders' jobs, ordered by job number. It
-// answers 503 if one leader does not respond, because clients take jobs that are missing from a
-// listing for ended ones.
+// answers 503 if one leader does not respond, because clients regard a job that is missing from a
+// listing as ended.
 func (s *Server) serveList(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
--- a/internal/slurmapi/peer_requests.go
+++ b/internal/slurmapi/peer_requests.go
@@ -29,8 +29,8 @@
 	verbCancelTasks = "drop" // cancels some of the job's tasks
 )
 
-// Reply is the response to a Request. Status is an HTTP status code; 0 means that the peer doesn't
-// know the outcome either.
+// Reply is the response to a Request. Status is an HTTP status code; 0 means that the peer, like
+// the sender, doesn't know the outcome.
 type Reply struct {
 	Status int              `json:"status"`
 	Reason string           `json:"why,omitempty"`
--- a/internal/slurmapi/server_test.go
+++ b/internal/slurmapi/server_test.go
@@ -85,8 +85,8 @@
 	return mux
 }
 
-// Listings are served at the configured rate. The Retry-After times of the others are spread over
-// time, because simultaneous retries would exceed the rate again.
+// Listings are served at the configured rate. The Retry-After times of rejected requests are spread
+// over time, because simultaneous retries would exceed the rate again.
 func TestListingsBeyondTheRateLimitRetryOneAfterAnother(t *testing.T) {
 	s := &fakeServices{}
 	handler := s.handler(5)
--- a/internal/testkit/answer_history_test.go
+++ b/internal/testkit/answer_history_test.go
@@ -23,9 +23,9 @@
 	body            []byte
 }
 
-// jobHistory is what the responses so far have told users about a job, and when its tasks ran.
+// jobHistory contains what responses so far have told users about a job, and the times at which its tasks ran.
 type jobHistory struct {
-	accepted, done, cancelled time.Time // when a response first said so; zero if none has
+	accepted, done, cancelled time.Time // time of the first response that said so; zero if none did
 	cancelSent                bool
 	allTasksEnded             time.Time // when its last task ended by itself; zero before that
 	attempts                  []taskRun
@@ -46,7 +46,7 @@
 	maxLagAfterReport = maxStageLag - reportEvery
 )
 
-// responseChecker checks that the responses of all controllers are consistent in order: each response
+// responseChecker checks that no response of any controller contradicts earlier ones: each response
 // must agree with those that users had received before its request was sent. It parses the responses
 // itself and shares no code with the controllers.
 type responseChecker struct {
--- a/internal/testkit/autoscaled_cluster_test.go
+++ b/internal/testkit/autoscaled_cluster_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// autoscalerLeader is the scheduler as the autoscaler uses it. No machine of these tests fails.
+// autoscalerLeader is the scheduler as the autoscaler uses it. It never reports failed machines.
 type autoscalerLeader struct {
 	c *cloudCluster
 	*scheduler.Scheduler
--- a/internal/testkit/cancel_test.go
+++ b/internal/testkit/cancel_test.go
@@ -42,8 +42,8 @@
 	})
 }
 
-// The state service refuses the write of a cancel, and later every request: the job keeps running,
-// and its user, whose cancel was not confirmed, is told so by every controller.
+// The state service refuses the write of a cancel, and later every request. The cancel must not be
+// confirmed, the job must keep running, and every controller must report it as running.
 func TestCancelRefusedByStateStoreLeavesJobRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 2)
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -19,7 +19,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// nativeSubmission and slurmSubmission make the same submission as either client sends it.
+// nativeSubmission and slurmSubmission return the same job as the native and the Slurm client submit it.
 func nativeSubmission(t *testing.T, class, team, priority string, tasks int) (*wire.Job, *jobspec.Constraints) {
 	body := fmt.Sprintf(`{"uid":"j-x","docket":%q,"crew":%q,"sort":"sweep","urgency":%q,"pieces":%d,"cpus":2,"cards":0,"memoryGb":1,"kit":"none","pullGb":0,
 		"together":false,"apart":false,"loaners":true,"reckonS":60,"markS":0,"stashS":0}`, class, team, priority, tasks)
--- a/internal/testkit/cluster_cancels_test.go
+++ b/internal/testkit/cluster_cancels_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// maintainCancels does the cancellation work of cmd/wallrack that is not part of its pings: it
+// maintainCancels does the cancellation work of package controller that is not part of its pings: it
 // exchanges cancels with peers not heard from lately, reads the recorded cancels if needed, and stops
 // cancelled tasks that still run.
 func (w *cluster) maintainCancels(ctx context.Context, living []*node) {
--- a/internal/testkit/cluster_faults_test.go
+++ b/internal/testkit/cluster_faults_test.go
@@ -169,7 +169,7 @@
 		}
 	case 1:
 		w.mu.Lock()
-		off := !w.brokenLinks[[2]string{name, name}] // the unused link to itself stores whether it is cut off
+		off := !w.brokenLinks[[2]string{name, name}] // whether the controller is cut off is stored as its otherwise unused link to itself
 		w.brokenLinks[[2]string{name, name}] = off
 		for _, other := range w.controllerNames {
 			w.brokenLinks[[2]string{name, other}], w.brokenLinks[[2]string{other, name}] = off, off
--- a/internal/testkit/cluster_test.go
+++ b/internal/testkit/cluster_test.go
@@ -129,7 +129,7 @@
 	submission         *submission.Service
 	mux                *http.ServeMux  // serves the HTTP API
 	ctx                context.Context // cancelled when the controller is stopped
-	backgroundRunning  map[string]bool // background operations in progress, by name; see onDuty
+	backgroundRunning  map[string]bool // background operations in progress, by name; see runDuty
 	backgroundGroup    sync.WaitGroup  // waits for the operations in backgroundRunning
 
 	started   time.Time
--- a/internal/testkit/cluster_users_test.go
+++ b/internal/testkit/cluster_users_test.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ShardLeaders returns the names of the other controllers that lead shards, as in cmd/wallrack.
+// ShardLeaders returns the names of the other controllers that lead shards, as in package controller.
 func (n *node) ShardLeaders() (out []string) {
 	add := func(name string) {
 		if name != "" && name != n.name && !slices.Contains(out, name) {
--- a/internal/testkit/combined_faults_test.go
+++ b/internal/testkit/combined_faults_test.go
@@ -144,8 +144,8 @@
 
 // The state service responds slowly, loses responses, and applies some transactions 2 to 12 s late,
 // after newer ones. Meanwhile users submit, cancel and poll at all controllers, which crash and
-// restart. No user is told an older state than before, every job ends, and late transactions
-// have no effect on either.
+// restart. Although transactions are applied late, no user is told an older state than before,
+// and every job ends.
 func TestSlowStateStoreAndLateTransactions(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/testkit/concurrent_polls_test.go
+++ b/internal/testkit/concurrent_polls_test.go
@@ -90,8 +90,8 @@
 	return submissionBodyWith(job, map[string]any{"pieces": tasks})
 }
 
-// send sends a request to a controller, waits for as long as request and response travel,
-// and has the response checked. It returns the stage, or "" if no response with a stage arrived.
+// send sends a request to a controller, waits for the transit times of request and response,
+// and checks the response. It returns the stage, or "" if no response with a stage arrived.
 func (u *pollingUsers) send(kind, name, job string, tasks int) (stage string) {
 	method, path, body := http.MethodGet, "/api/jobs/"+job, ""
 	switch kind {
--- a/internal/testkit/drawn_team_limits_test.go
+++ b/internal/testkit/drawn_team_limits_test.go
@@ -238,7 +238,7 @@
 	}
 	t.Logf("of %d cases: the leader changed at a limit with unreachable workers in %d, a cancel of their tasks was confirmed in %d, "+
 		"cancelled tasks still ran after a hang in %d, commands arrived late in %d", perRound**rounds, totals.leaderChangesAtLimit, totals.cancelsWhileUnreachable, totals.cancelledTasksResumed, totals.lateCommands)
-	const maxCasesPerEvent = 8 // each event must occur in at least one of this many cases
+	const maxCasesPerEvent = 8 // each event must occur in at least one out of this many cases, on average
 	for _, n := range []int{totals.leaderChangesAtLimit, totals.cancelsWhileUnreachable, totals.cancelledTasksResumed, totals.lateCommands} {
 		if n*maxCasesPerEvent < perRound**rounds {
 			t.Errorf("these faults coincided too rarely, see the counts above")
--- a/internal/testkit/fault_pairs_test.go
+++ b/internal/testkit/fault_pairs_test.go
@@ -81,8 +81,8 @@
 	})
 }
 
-// check fails if a kind of fault had an effect in less than three quarters of its runs: its tests
-// would prove nothing.
+// check fails if a kind of fault had an effect in less than three quarters of its runs, because runs
+// without an effect do not test that fault.
 func (e *effectCounter) check(t *testing.T) {
 	for k, played := range e.played {
 		if e.effective[k] < played*3/4 {
--- a/internal/testkit/late_starts_test.go
+++ b/internal/testkit/late_starts_test.go
@@ -47,9 +47,9 @@
 }
 
 // checkStartAfterCancel counts a start after the job's cancel was confirmed. It fails the test if the sender
-// knew of the cancel when it sent the command. Starts by commands in flight can't be avoided: a controller learns of a
-// cancel after the time of a message between controllers, or, if it is cut off, does not learn of it for as long as it
-// may answer workers. The caller holds the cluster's lock.
+// knew of the cancel when it sent the command. Starts by commands in flight can't be avoided: the cancel reaches another
+// controller only after the transit time of a message between controllers. A controller that is cut off may not learn
+// of the cancel at all during the time for which it may still answer workers. The caller holds the cluster's lock.
 func (w *cluster) checkStartAfterCancel(task string) {
 	uid, _, _ := strings.Cut(task, "/")
 	if _, cancelled := w.confirmedCancels[uid]; !cancelled {
@@ -113,9 +113,9 @@
 	}
 }
 
-// Commands wait for their connections while users cancel the jobs whose tasks they start. Once its
-// sender knows of the cancel, no such command is sent: none was in flight, and no task starts later
-// than a message between controllers takes.
+// Commands wait for their connections while users cancel the jobs whose tasks they start. A waiting
+// command is not in flight yet, so a sender that has learned of the cancel must not send it. Tasks may
+// start after a confirmed cancel only for the transit time of a message between controllers.
 func TestCommandsWaitingForConnectionsStartNothingAfterCancel(t *testing.T) {
 	const connectTime, jobs = time.Second, 3
 	outdated := 0
--- a/internal/testkit/late_writes_test.go
+++ b/internal/testkit/late_writes_test.go
@@ -109,7 +109,7 @@
 				t.Errorf("the cancel returned stage %s, %v", stage, ok)
 			}
 		}
-		if !w.runUntil(200, w.jobsEnded("j-1", "j-2", "j-3")) { // otherwise their records share its transaction
+		if !w.runUntil(200, w.jobsEnded("j-1", "j-2", "j-3")) { // otherwise one transaction could write their records and j-7's
 			t.Error("the other jobs did not end")
 		}
 		l.arm("", 1)
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -14,7 +14,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// failoverCost is the effect of one change of the leader, or of another period, on tasks, workers and the store.
+// failoverCost holds the effects on tasks, workers and the store during one change of the leader or another period.
 type failoverCost struct {
 	kind            string
 	longestGap      time.Duration // the longest time without a task start
@@ -99,7 +99,7 @@
 	return cost
 }
 
-// The leader changes ten times in two minutes. In turns, the crashed leader stays down for 6 s, so that its
+// The leader changes ten times in two minutes. Alternately, the crashed leader stays down for 6 s, so that its
 // lease must expire, or restarts at once and ends its old lease itself. Each change must stay within the
 // same limits, no worker's lease may expire, and no long task may be restarted.
 func TestTenFailoversInTwoMinutes(t *testing.T) {
@@ -157,7 +157,8 @@
 	return highest
 }
 
-// workersWithHigherToken counts the workers that have seen a higher fencing token than those of all controllers except one.
+// workersWithHigherToken counts the workers that have seen a fencing token higher than the tokens of all controllers,
+// not counting the token of the excepted controller.
 func (c *failoverCluster) workersWithHigherToken(except string) (count int) {
 	highest := c.highestToken(except)
 	c.mu.Lock() // controllers send commands to the workers meanwhile
@@ -231,12 +232,12 @@
 	crashesWithoutExpiry int
 }
 
-// Controllers crash ten times in one outage of the state service, and each restarts within seconds. Before, a
-// cancel was confirmed, in two scenarios while the machines that run the job can't be reached; during the
-// outage, users request another cancel. No task may run twice, or longer than CancelS after its cancel. No machine
-// may be deleted, and no lease may expire as long as a controller is left that started before the outage and
-// knows of all cancels. Later crashes must cost no more, and seconds after the outage the cluster must work
-// as before.
+// Controllers crash ten times in one outage of the state service, and each restarts within seconds. Before the
+// outage a cancel is confirmed; in two scenarios the machines that run its job can't be reached until the first
+// crash. During the outage, users request another cancel. No task may run twice, or longer than CancelS after its
+// cancel. No machine may be deleted, and no lease may expire as long as a controller is left that started before
+// the outage and knows of all cancels. Each later crash may make at most two leases per worker expire. Seconds
+// after the outage the cluster must work as before.
 func TestTenCrashesInOneStateStoreOutage(t *testing.T) {
 	const crashes, interval = 10, 12 // interval in seconds
 	same := func(_ *failoverCluster, last string) string { return last }
--- a/internal/testkit/lease_over_failover_test.go
+++ b/internal/testkit/lease_over_failover_test.go
@@ -30,7 +30,7 @@
 		stopBefore    = 4 * time.Second // before the lease expires: the time of the save and of a command
 		checkInterval = time.Second     // between the leader's checks for overdue reports
 	)
-	lastResponse := time.Second // before the cut, at most
+	lastResponse := time.Second // at most this long before the cut
 	if c.responseLost {
 		lastResponse += time.Second
 	}
--- a/internal/testkit/links_test.go
+++ b/internal/testkit/links_test.go
@@ -12,7 +12,7 @@
 	"github.com/wallrack/wallrack/internal/viewsync"
 )
 
-// peer returns another controller, or errCut if no message reaches it now.
+// peer returns another controller, or errLinkDown if no message reaches it now.
 func (n *node) peer(name string) (*node, error) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -110,7 +110,7 @@
 }
 
 // runDuty calls do, which waits for responses of workers or peers. While links are slow it calls do in a
-// goroutine of its own, at most one at a time for each duty, as cmd/wallrack's loops do, and a crash of the
+// goroutine of its own, at most one at a time for each duty, as the loops of package controller do, and a crash of the
 // controller waits for it. Otherwise the whole simulation waits for the responses: no worker reports meanwhile,
 // and all leases expire without a fault.
 func (n *node) runDuty(duty string, do func(ctx context.Context)) {
@@ -137,7 +137,7 @@
 const publishTimeout = 4 * time.Second
 
 // publishTo sends a peer the changes of the workers that report to this controller, one message at a time, as
-// cmd/wallrack does.
+// package controller does.
 func (n *node) publishTo(to *node) {
 	if !n.publishTurns.TryAcquire(to.name) {
 		return
@@ -188,7 +188,7 @@
 const minUnanswered = workerLease + 500*time.Millisecond
 
 // attestUnresponsiveWorkers asks all peers in turn for the time since their last response to each unresponsive
-// worker, as cmd/wallrack does. If no controller responded for minUnanswered, it tells the scheduler that
+// worker, as package controller does. If no controller responded for minUnanswered, it tells the scheduler that
 // the worker's lease has expired.
 func (n *node) attestUnresponsiveWorkers(ctx context.Context) {
 	w := n.cluster
--- a/internal/testkit/lost_answer_cases_test.go
+++ b/internal/testkit/lost_answer_cases_test.go
@@ -52,7 +52,7 @@
 		}
 		l.arm(at, 1)
 		if stage, ok := w.userRequest(at, http.MethodPost, "j-80"); ok && stage != wire.StageCancelled {
-			t.Errorf("the cancel returned stage %s", stage) // a peer answers, or nobody
+			t.Errorf("the cancel returned stage %s", stage) // either a peer answers or no controller does
 		}
 		started := w.startCount
 		w.runFor(1)
@@ -92,7 +92,7 @@
 		w.userRequest(at.name, http.MethodPost, "j-8t")
 	}},
 	{name: "end", prefix: "final/j-7", noAccounting: true, run: func(t *testing.T, w *cluster, l *responseLoss) {
-		if !w.runUntil(200, w.jobsEnded("j-1", "j-2", "j-3")) { // otherwise their records share its transaction
+		if !w.runUntil(200, w.jobsEnded("j-1", "j-2", "j-3")) { // otherwise one transaction could write their records and j-7's
 			t.Error("the other jobs did not end")
 		}
 		at := w.leader()
--- a/internal/testkit/lost_answer_order_test.go
+++ b/internal/testkit/lost_answer_order_test.go
@@ -10,7 +10,7 @@
 // case requires that another controller reads the written key before the writer knows of the write. The
 // store applies the write and wakes the watches before it reports the loss to the test, so other
 // controllers may read the key in between. If these reads were ignored, such a case would fail at random:
-// with 50 yields between the write and the report, it failed in 10 of 10 runs.
+// with 50 yields between the write and the report, it fails in 10 of 10 runs.
 func TestReadsBeforeLossIsRecordedCount(t *testing.T) {
 	w := newCluster(t, 1)
 	writer, other := &node{name: "a"}, &node{name: "b"}
--- a/internal/testkit/lost_answers_test.go
+++ b/internal/testkit/lost_answers_test.go
@@ -220,7 +220,7 @@
 	_, _ = w.nodes[w.otherControllers(writer.name)[0]].view.Get(context.Background(), key) // only the read itself matters
 }
 
-// keyVersion is the keyVersion of a key in the store.
+// keyVersion returns the version of a key in the store.
 func (w *cluster) keyVersion(key string) uint64 {
 	it, err := (&testkit.View{Store: w.store}).Get(context.Background(), key)
 	if err != nil {
--- a/internal/testkit/messages_test.go
+++ b/internal/testkit/messages_test.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ObserveWorker hands a view to the scheduler of this controller, as in cmd/wallrack.
+// ObserveWorker hands a view to the scheduler of this controller, as in package controller.
 func (n *node) ObserveWorker(v dispatch.WorkerView) {
 	if seen := n.reachabilityView(); v.Polled && seen.HasAssignments() {
 		v.Dispatcher = n.LeaderFor(v.Name)
@@ -150,7 +150,7 @@
 	})
 }
 
-// JobFacts reads from the store how a job that the leader does not hold ended.
+// JobFacts reads from the store the outcome of a job that the leader does not have in memory.
 func (n *node) JobFacts(ctx context.Context, uid string) (jobspec.JobFacts, error) {
 	return scheduler.ReadStoredFacts(ctx, n.view, uid)
 }
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -32,7 +32,7 @@
 }
 
 // reachabilityState is a controller's view of which links work, with the components that act on
-// it as in cmd/wallrack.
+// it, as in package controller.
 type reachabilityState struct {
 	node             *node
 	table            *reachability.Table
@@ -186,7 +186,7 @@
 	}
 }
 
-// planAssignments plans the assignment of workers to dispatchers as cmd/wallrack does, within the
+// planAssignments plans the assignment of workers to dispatchers as package controller does, within the
 // connection limits that the test sets.
 func (r *reachabilityState) planAssignments(now time.Time, v *reachability.View) {
 	workerCapacity := r.node.cluster.connectionLimits[r.node.name]
@@ -270,7 +270,7 @@
 type heartbeatTime struct{ since, last time.Time }
 
 // minHeartbeatHistory is how long a worker must have sent heartbeats for its deletion to be an
-// error: a worker whose links have just healed may still be deleted on an earlier probe.
+// error: a worker whose links have just healed may still be deleted because of an earlier probe.
 const minHeartbeatHistory = 5 * time.Second
 
 func (w *cluster) recordHeartbeat(name string) {
--- a/internal/testkit/recorded/recorded.go
+++ b/internal/testkit/recorded/recorded.go
@@ -1,5 +1,5 @@
-// Package recorded helps tests to keep the format of data that users, operators and other versions
-// read: it compares data byte for byte with the samples in testdata/recorded.
+// Package recorded lets tests check that the format of data that users, operators and other versions
+// read does not change: it compares data byte for byte with the samples in testdata/recorded.
 package recorded
 
 import (
--- a/internal/testkit/returned_after_restart_test.go
+++ b/internal/testkit/returned_after_restart_test.go
@@ -7,7 +7,7 @@
 
 // Guards against dead machines that stay rented after all controllers restart and one stays down.
 // The others must assume that it still answers the machines' workers during its grace period,
-// after which the workers' leases can last for one lease more.
+// after which the workers' leases can last for one more lease duration.
 func TestDeadMachinesAreReturnedAfterRestartOfAllControllers(t *testing.T) {
 	const (
 		dead  = 3
--- a/internal/testkit/slow_links_test.go
+++ b/internal/testkit/slow_links_test.go
@@ -17,7 +17,7 @@
 
 // The cluster has more work than capacity: urgent and other jobs, of teams with and without
 // limits. Every message to workers and peers takes up to 1.5 s, and the leader restarts. Urgent
-// jobs still start soon, the workers stay busy and keep their leases, and no job is forgotten.
+// jobs still start soon, the workers stay busy and keep their leases, and controllers know every job.
 // Once the links are fast again, no task waits while a worker can run it.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	const (
--- a/internal/testkit/stage_after_failover_test.go
+++ b/internal/testkit/stage_after_failover_test.go
@@ -144,8 +144,9 @@
 	}
 }
 
-// Guards against a queued job about which controllers cannot answer for too long after a leader
-// change: a worker that no controller hears may run the job only until its lease ends.
+// Guards against controllers that answer 503 about a queued job for too long after a leader change.
+// A worker that no controller hears may run the job only until the worker's lease ends; from then
+// on controllers must answer.
 func TestQueuedJobIsAnsweredWithinWorkerLeaseAfterLeaderChange(t *testing.T) {
 	for i, c := range []struct {
 		name   string
--- a/internal/testkit/stale_heartbeats_test.go
+++ b/internal/testkit/stale_heartbeats_test.go
@@ -60,8 +60,8 @@
 }
 
 // A report from a worker's earlier session is delayed until the next leader has read the records,
-// and arrives there before any newer report. The leader relies on the report's state of an
-// attempt, so that attempt must not have been started again in the worker's later session.
+// and arrives there before any newer report. The leader relies on the state of an attempt in the
+// report, so that attempt must not have been started again in the worker's later session.
 func TestDelayedHeartbeatOfEarlierSessionIsIgnored(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		t.Run(fmt.Sprintf("attempt ended in it: %v", ended), func(t *testing.T) {
--- a/internal/testkit/state_outage_test.go
+++ b/internal/testkit/state_outage_test.go
@@ -42,9 +42,9 @@
 	play func(c *outageCluster) // returns at the end of the outage
 	// minCancels is how many cancels must be confirmed for the scenario to test anything.
 	minCancels int
-	// mayLapse is whether controllers may stop answering workers because they may not know of all
-	// cancels. mayLoseLeases is whether workers' leases may end: they may if workers have seen a
-	// higher fencing token than those of all remaining controllers.
+	// mayLapse states whether controllers may stop answering workers because they may not know of all
+	// cancels. mayLoseLeases states whether workers' leases may end, which happens if workers have
+	// seen a higher fencing token than those of all remaining controllers.
 	mayLapse, mayLoseLeases bool
 }
 
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -14,7 +14,7 @@
 )
 
 // pollExpiringLeases stops tasks on workers whose leases are about to end and polls those workers,
-// as cmd/wallrack does several times a second.
+// as package controller does several times a second.
 func (n *node) pollExpiringLeases(ctx context.Context) {
 	const pollsPerSecond = 4
 	for range pollsPerSecond {
@@ -149,9 +149,10 @@
 	w.stopAll()
 }
 
-// workersByJobs returns the workers, sorted greedily: each next worker is the one that runs tasks of
-// the most of the given jobs, a job counting less the more workers before it run tasks of that job.
-// The first workers therefore run tasks of all the jobs between them, however tasks are placed.
+// workersByJobs returns the workers in a greedy order: each next worker is the one with the highest
+// score. For each of the given jobs whose tasks the worker runs, its score includes 1/(n+1), where n
+// is the number of workers before it that run tasks of the same job. The first workers together
+// therefore run tasks of all the jobs, however tasks are placed.
 func (w *cluster) workersByJobs(jobs ...string) (sorted []*testkit.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -208,8 +209,8 @@
 // long. It starts no task there that would not finish in time. No such worker is deleted, since it
 // responds to polls.
 func TestWorkersReachingNoController(t *testing.T) {
-	// Jobs whose tasks can save their state, cannot save and have run for long or not, are short, or
-	// run for 1 s only.
+	// Jobs whose tasks can save their state (savers), cannot save and have run for long (old) or not
+	// (young), are short (short), or run for 1 s only (tiny).
 	const savers, old, young, short, tiny = "j-save", "j-old", "j-young", "j-short", "j-tiny"
 	for i, c := range []struct {
 		name           string
--- a/internal/testkit/unresponsive_workers_test.go
+++ b/internal/testkit/unresponsive_workers_test.go
@@ -11,8 +11,8 @@
 )
 
 // settledCluster starts a cluster and runs it with a large job for 25 s. It returns the cluster, the
-// names of the leader and of the other controllers, and the cluster's live method, which runs the
-// cluster for some seconds without random faults and without healing links.
+// names of the leader and of the other controllers, and the function live, which runs the cluster
+// for some seconds without random faults and without healing links.
 func settledCluster(t *testing.T, seed uint64, controllers, workers int) (w *cluster, leader string, others []string, live func(seconds int)) {
 	w = newCluster(t, seed)
 	w.resize(controllers, workers)
--- a/internal/testkit/view.go
+++ b/internal/testkit/view.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// awaitTransit waits for TransitDelay, even if the caller gives up before; it returns false then.
+// awaitTransit always waits for the whole TransitDelay. It returns false if the caller has given up by then.
 func (v *View) awaitTransit(ctx context.Context) bool {
 	if v.TransitDelay == nil {
 		return true
--- a/internal/testkit/wait_check_test.go
+++ b/internal/testkit/wait_check_test.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	maxWait                = 90 * time.Second // for which a job may wait while a worker has enough free CPUs for its task
+	maxWait                = 90 * time.Second // how long a job may wait while a worker has enough free CPUs for its task
 	steadyCapacityAfter    = 5 * time.Second  // time for which a worker's CPUs must be free to count as steady capacity
-	recurringCheckInterval = 5 * time.Second  // between checks for recurring capacity
+	recurringCheckInterval = 5 * time.Second  // time between checks for recurring capacity
 )
 
 // waitCheck checks that no job waits for long while its team is under its limit and a worker has
 // enough free CPUs for its task. The check applies while there is no fault, or always if a test
-// asks for that. It covers two kinds of free capacity: steady capacity has been free on some
-// worker, not always the same one, for steadyCapacityAfter. Recurring capacity is free on the same
-// worker at every check, recurringCheckInterval apart, but may be in use in between.
+// asks for that. It covers two kinds of free capacity. Capacity is steady if at each check some
+// worker, not always the same one, has had it free for steadyCapacityAfter. Capacity is recurring if
+// the same worker has it free at every check, recurringCheckInterval apart; it may be in use in between.
 type waitCheck struct {
 	always    bool
 	freeSince map[*testkit.Worker]map[float64]time.Time // when a number of CPUs became free, by worker and number
@@ -51,10 +51,10 @@
 	}
 }
 
-// checkAlways has waits checked from now on even during faults.
+// checkAlways makes checkWaits check waits during faults too, from now on.
 func (c *waitCheck) checkAlways() { c.always = true }
 
-// checkWaits fails if a job has waited for longer than maxWait without reason. Call it every second.
+// checkWaits fails if a job has waited for longer than maxWait although it could start. Call it every second.
 func (w *cluster) checkWaits() {
 	if !w.shouldCheckWaits() {
 		return
@@ -108,7 +108,7 @@
 }
 
 // steadyCapacityWait returns how long a job has waited although it could start on steady capacity.
-// startable is whether it can do so now. A start of one of its tasks resets the wait.
+// startable states whether it can start now. A start of one of its tasks resets the wait.
 func (c *waitCheck) steadyCapacityWait(uid string, startable bool, starts int, now time.Time) time.Duration {
 	started := starts != c.lastStarts[uid]
 	c.lastStarts[uid] = starts
@@ -123,7 +123,7 @@
 }
 
 // recurringCapacityWait returns how long a job has waited although it could start on recurring
-// capacity. workers are those with enough free CPUs now, and startable is whether the job's state and
+// capacity. workers are those with enough free CPUs now; startable states whether the job's state and
 // its team's limit admit a start. A start of one of its tasks resets the wait.
 func (c *waitCheck) recurringCapacityWait(uid string, startable bool, workers []*testkit.Worker, starts int, now time.Time) time.Duration {
 	started := starts != c.lastRecurringStarts[uid]
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -14,7 +14,7 @@
 	RunTime  func(task string) time.Duration // run time of a task
 	OnStart  func(task string, attempt uint64)
 	ExitCode func(task string) int                // exit code of a task that ends by itself; nil: 0
-	OnForget func(task string, attempt uint64)    // called when a task that was done is forgotten
+	OnForget func(task string, attempt uint64)    // called when the worker forgets a task that was done
 	WrapHeld func(deliver func()) func()          // wraps the delivery of a message that arrived during a hang; may be nil
 	SaveTime func(task string) time.Duration      // time that a task needs to save its state when it is stopped; nil or negative: it cannot
 	OnEnd    func(t wire.Task, ran time.Duration) // called when a task ends; its cause is empty if it was killed because the lease expired
@@ -91,7 +91,7 @@
 // IsHung reports whether the worker hangs.
 func (w *Worker) IsHung() bool { return !w.hungAt.IsZero() }
 
-// holdUntilResume keeps a message that arrived during a hang.
+// holdUntilResume stores a message that arrived during a hang, which Resume delivers.
 func (w *Worker) holdUntilResume(deliver func()) {
 	if w.WrapHeld != nil {
 		deliver = w.WrapHeld(deliver)
--- a/internal/testkit/worker_assignment_test.go
+++ b/internal/testkit/worker_assignment_test.go
@@ -51,7 +51,7 @@
 
 // A controller without connections for all workers serves as many as it has connections for, and
 // other controllers serve the rest. No worker moves, and no dispatcher acquires a new fencing
-// token: otherwise dispatchers could outbid each other's tokens without end.
+// token: otherwise dispatchers could acquire ever higher tokens in turn without end.
 func TestWorkersAreSharedByConnectionLimit(t *testing.T) {
 	onSharedWorkers(t, 1, func(w *cluster, leader, _ string) {
 		w.losslessReports, w.reliableStore, w.promptCommands = true, true, true
