--- a/internal/cancellation/message.go
+++ b/internal/cancellation/message.go
@@ -108,7 +108,7 @@
 	p.newestStamp = m.Stamp
 	if m.MayConfirm {
 		// The message revokes an earlier announcement that no cancels are confirmed. The sender
-		// confirms none until this message is echoed, so that now is early enough.
+		// confirms none until this message is echoed, so noConfirmUntil need not be reset earlier.
 		p.noConfirmUntil = time.Time{}
 	}
 	if m.EchoIncarnation != r.incarnation || m.Echo > r.lastStamp || m.Ack > r.droppedUpdates+uint64(len(r.updates)) {
--- a/internal/dispatch/command_sender.go
+++ b/internal/dispatch/command_sender.go
@@ -124,7 +124,7 @@
 		defer func() { _ = resp.Body.Close() }() // closing a body that was only read can't lose data
 	}
 	if refused := body.err(); refused != nil {
-		return nil, false, refused // whatever the worker answered to a request without a body
+		return nil, false, refused // regardless of the worker's response to a request without a body
 	}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -36,9 +36,10 @@
 }
 
 // appendForgets adds commands to forget exited tasks. Once a worker has forgotten a task, a late
-// copy of its start command would run it again. So no direct command may be in flight or have an
-// unknown outcome. Forget commands are sent only in responses to heartbeats, late copies of which
-// the worker drops: a direct one could overtake a start command in such a response.
+// copy of its start command would run it again. So appendForgets adds none while a direct command
+// is in flight or has an unknown outcome. Forget commands are sent only in responses to heartbeats:
+// a direct one could overtake a start command in such a response. The worker drops late copies of
+// these responses.
 func (w *workerState) appendForgets(commands []wire.Command) []wire.Command {
 	if w.unknownOutcome != 0 || w.pushInFlight {
 		return commands
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -64,7 +64,7 @@
 	}
 	c.users++
 	p.mu.Unlock()
-	closeAll(closing) // before the caller dials, which may need their sockets
+	closeAll(closing) // before the caller dials: the new connection may need their sockets
 	return c
 }
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -101,7 +101,7 @@
 }
 
 // startGoroutineLocked starts a goroutine that Wait waits for, unless the dispatcher has stopped:
-// a peer's message may arrive during shutdown, and Wait could miss a goroutine started by then.
+// a peer's message may arrive during shutdown, and Wait could miss a goroutine started that late.
 func (d *Dispatcher) startGoroutineLocked(run func()) {
 	if !d.stopped {
 		d.goroutines.Go(run)
--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -41,7 +41,7 @@
 // heartbeat that is not newer than the newest one does not describe the worker's present state: it
 // must not count as a sign of life, renew the lease or be acted on. A worker whose sequence numbers
 // were reset is recognised by two conditions: no newer heartbeat has arrived for a lease, and the
-// rejected ones increase among themselves.
+// sequence numbers of the rejected ones increase.
 func (d *Dispatcher) acceptHeartbeat(rep *wire.Report) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -14,8 +14,8 @@
 )
 
 // PushCommands sends the worker's commands directly instead of waiting for its next heartbeat. At
-// most one push to a worker is in flight; one that is requested meanwhile follows it. PushCommands
-// returns at once.
+// most one push to a worker is in flight; if another is requested meanwhile, it is sent afterwards.
+// PushCommands returns at once.
 func (d *Dispatcher) PushCommands(name string) {
 	if !d.routing.MayAnswerWorkers() {
 		return
@@ -116,7 +116,7 @@
 
 // checkCurrent returns errOutdated if a push must no longer be sent. While it waited for its
 // connection, a job may have been cancelled, the token raised, or this controller lost the right
-// to answer workers: sent then, it could start a task after its cancel was confirmed.
+// to answer workers: if sent then, it could start a task after its cancel was confirmed.
 func (d *Dispatcher) checkCurrent(orders wire.PushedCommands) error {
 	if !d.routing.MayAnswerWorkers() || d.tokens.FencingToken() != orders.Token {
 		return errOutdated
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -11,7 +11,7 @@
 const (
 	unknownRemainingS  = 3   // assumed remaining time of a task whose queue entry has not arrived from its leader
 	minRemainingFetchS = 0.5 // least remaining time assumed for an image fetch, also when it takes longer than expected
-	neverFitsWaitS     = 1e6 // wait published for a task that its worker is too small for
+	neverFitsWaitS     = 1e6 // wait published for a task that exceeds its worker's capacity
 )
 
 // capacityOf returns the worker's total resources, or false if its machine type is unknown.
--- a/internal/dispatch/worker_state.go
+++ b/internal/dispatch/worker_state.go
@@ -92,7 +92,7 @@
 		old.NoticeS == nil && rep.NoticeS == nil && old.Zone == rep.Zone && old.Type == rep.Type && old.Spot == rep.Spot
 }
 
-// setTasks replaces the reported tasks. A task whose state is the same keeps its since time.
+// setTasks replaces the reported tasks. The since time of a task whose state is unchanged is retained.
 func (w *workerState) setTasks(rep *wire.Report, now time.Time) {
 	tasks := make(map[TaskRef]*reportedTask, len(rep.Tasks))
 	for _, reported := range rep.Tasks {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -7,8 +7,8 @@
 // peer on request, and watches the records of all controllers. It also draws fencing tokens
 // from the common counter, and reserves some for outages of the state service.
 //
-// It does not read or write jobs: code that does makes each write conditional on the version
-// of the shard's key.
+// It does not read or write jobs. Code that writes jobs makes each write conditional on the
+// version of the shard's key.
 package membership
 
 import (
--- a/internal/membership/reserved_token.go
+++ b/internal/membership/reserved_token.go
@@ -31,8 +31,8 @@
 	return r.HighestUnreserved
 }
 
-// withTokenAbove returns the counter after a token larger than above is drawn, below the
-// reserved ones if possible.
+// withTokenAbove returns the counter after the draw of a token that is larger than above and, if
+// possible, lower than the reserved ones.
 func (r tokenRecord) withTokenAbove(above uint64) tokenRecord {
 	if next := max(r.HighestUnreserved, above) + 1; next < r.LowestReserved {
 		r.HighestUnreserved = next
@@ -41,8 +41,8 @@
 	return r.withHighestToken(above)
 }
 
-// withHighestToken returns the counter after a token larger than all drawn before, and than
-// above, is drawn. The tokens reserved so far are overtaken.
+// withHighestToken returns the counter after the draw of a token that is larger than above and
+// than all drawn before. It overtakes the tokens reserved so far.
 func (r tokenRecord) withHighestToken(above uint64) tokenRecord {
 	return tokenRecord{Highest: max(r.Highest, above) + 1}
 }
--- a/internal/membership/token.go
+++ b/internal/membership/token.go
@@ -106,8 +106,8 @@
 		}
 		var conflict *statestore.ConflictError
 		conflicted := errors.As(err, &conflict) && conflict.Has(tokenKey)
-		// After an unknown outcome the token may have been drawn, or may be later: the counter is read
-		// again and the next token drawn. A failover that gave up here would start over.
+		// After an unknown outcome the token may have been drawn or may still be drawn: the counter is
+		// read again and the next token drawn. A failover that gave up here would start over.
 		outcomeUnknown := errors.Is(err, statestore.ErrUnknown) && ctx.Err() == nil
 		if !conflicted && !outcomeUnknown {
 			return counter, fmt.Errorf("raise fencing token: %w", err)
--- a/internal/membership/transfer_test.go
+++ b/internal/membership/transfer_test.go
@@ -50,9 +50,9 @@
 }
 
 // A peer sees a joining controller's key before the joiner receives its own response, and may
-// transfer the shards to it then. The watch reports to the joiner shards under a lease that it
-// does not know as its own yet. It must lead them nevertheless: otherwise all others regard it
-// as the leader, and nobody serves the jobs.
+// transfer the shards to it then. The joiner's watch then reports shards under a lease that the
+// joiner does not yet know to be its own. It must lead them nevertheless: otherwise all others
+// regard it as the leader, and nobody serves the jobs.
 func TestTransferToJoiningController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := testkit.NewStore()
@@ -238,7 +238,7 @@
 	c.checkLeadersFor(time.Duration(step.WaitMs) * time.Millisecond)
 }
 
-// No two controllers lead a shard at a time, whatever transfers, crashes, partitions, lost
+// No two controllers lead a shard at the same time, whatever transfers, crashes, partitions, lost
 // responses and delays occur; and in the end every shard is led.
 func TestTransferKeepsOneLeaderPerShard(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/quotalease/borrower_test.go
+++ b/internal/quotalease/borrower_test.go
@@ -38,8 +38,8 @@
 	t.Logf("%d tasks started, %d parts grew to their limit, %d pairs alternated", started, grown, alternated)
 }
 
-// A record with a row of a later leader, and with a team that the settings don't have: neither
-// lets this leader use anything, both are counted, and the unknown team's part is left
+// A record contains a row of a later leader, and a team that the settings don't have. Neither
+// allows this leader to use anything, both are counted, and the unknown team's part is left
 // unchanged.
 func TestUnknownLeadersAndTeamsAreRefusedAndCounted(t *testing.T) {
 	data := `{"rows":[{"shard":0,"term":9,"teams":{"a":[8000],"gone":[3000]}},{"shard":1,"term":2},{"shard":2,"term":2}]}`
--- a/internal/quotalease/idle_state.go
+++ b/internal/quotalease/idle_state.go
@@ -9,7 +9,7 @@
 // idleState records for how long a shard's use of its part has been unchanged.
 type idleState struct {
 	use, part         Amount
-	since, checkedAt  time.Time     // start of this use and part; time of the last update
+	since, checkedAt  time.Time     // since when the part has been partly used without change; time of the last update
 	grownAt           time.Time     // when the part last grew
 	accumulatingSince time.Time     // since when the part has been too small for any task; zero if it is large enough
 	unusedFor         time.Duration // time with room for one more task, since the last start
--- a/internal/quotalease/liveness_test.go
+++ b/internal/quotalease/liveness_test.go
@@ -58,8 +58,8 @@
 	w.t.Fatalf("only shards %v of %d and %d started, tasks of %v and %v; record %+v", begun, first, second, waits[first].size, waits[second].size, w.latest().record)
 }
 
-// checkLimitFills checks that two shards that start as many tasks as they may, which don't
-// end, fill the limit: in the end it has no room for another task.
+// checkLimitFills checks that two shards fill the limit if they start as many tasks as they may
+// and none of these ends: finally the limit has no room for another task.
 func (w *model) checkLimitFills(team string, first, second int) {
 	for _, t := range w.tasks {
 		t.ended = true
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -74,7 +74,7 @@
 	return changed
 }
 
-// leaseCurrentUse gives a new row parts that cover what its shard's tasks already use.
+// leaseCurrentUse adds to a new row parts that cover what its shard's tasks already use.
 func (b *Borrower) leaseCurrentUse(row *Row, needs Needs) {
 	for _, team := range b.teams {
 		row.setEntry(team, Entry{Part: needs(row.Shard, team).Use.countedBy(b.limits[team])})
@@ -136,8 +136,8 @@
 	}
 }
 
-// reduce gives up the unused rest of a row's part, but no more than over. That is the amount by
-// which the sum of the team's parts exceeds the limit.
+// reduce gives up the unused rest of a row's part, but at most over, the amount by which the sum
+// of the team's parts exceeds the limit.
 func (p *teamPlan) reduce(row *Row, need Need, over Amount) {
 	entry := row.Teams[p.team]
 	entry.Part = entry.Part.Sub(entry.Part.Sub(need.Use).Min(over))
--- a/internal/quotalease/reallocate.go
+++ b/internal/quotalease/reallocate.go
@@ -115,8 +115,8 @@
 	return rows
 }
 
-// amountOwed returns the amount that a shard that needs all of its part, with the entry from, is
-// to give to the shard whose turn it is, with the entry to. It is the amount for one more task of
+// amountOwed returns the amount that the shard of the entry from, which needs all of its part,
+// must give to the shard of the entry to, whose turn it is. It is the amount for one more task of
 // the receiver if the receiver's part then does not exceed the giver's, and otherwise the amount
 // that the receiver lacks to start its first task.
 func amountOwed(from, to Entry) Amount {
--- a/internal/reachability/assignments_test.go
+++ b/internal/reachability/assignments_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// All controllers send a worker to the same assigned controller, except to one that can't be
+// All controllers send a worker to the same assigned controller, unless that one can't be
 // reached. A controller that does not know the plan keeps the workers that report to it.
 func TestLeaderForAssignedWorker(t *testing.T) {
 	plan := []Assignment{{"a", 10}, {"b", 10}, {"c", 10}}
--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -8,7 +8,7 @@
 
 const (
 	// minWorkersForShares is the least number of workers at which the share of unresponsive ones is
-	// significant. This number may fail within failureWindow even if it exceeds maxFailureShare.
+	// significant. This many may fail within failureWindow even if they exceed maxFailureShare.
 	minWorkersForShares = 8
 	failureWindow       = time.Minute
 	maxFailureShare     = 0.4 // of the known workers may fail within failureWindow
@@ -269,7 +269,7 @@
 // being able to tell this controller, or "".
 func (d *FailureDetector) mayBeHeardByPeer(v *View, worker *UnresponsiveWorker) string {
 	if worker.OutboundLost {
-		return "" // heartbeats alone don't count, and all peers were queried
+		return "" // heartbeats are no reason to keep this worker, and all peers were queried
 	}
 	for i := range v.Peers {
 		peer := &v.Peers[i]
--- a/internal/reachability/failure_detector_test.go
+++ b/internal/reachability/failure_detector_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// Without these rules, a leader that receives no heartbeats deletes 1,300 working machines within
+// Without the rules tested here, a leader that receives no heartbeats deletes 1,300 working machines within
 // a minute, and one whose sockets are exhausted deletes 1,000 every 50 s. Late heartbeats are
 // weighed against this controller's reception, the heartbeats that peers receive, and the number
 // of failures that an accident can cause.
--- a/internal/reachability/link_failures_test.go
+++ b/internal/reachability/link_failures_test.go
@@ -183,7 +183,7 @@
 }
 
 // checkTransfer checks that the leader transfers its shards if and only if it receives no
-// heartbeats and knows of a controller that does and reaches the state service.
+// heartbeats and knows of a controller that receives them and reaches the state service.
 func (w *linkState) checkTransfer(failed *failures, v *reachability.View) {
 	var monitor reachability.TransferMonitor
 	monitor.Check(noon, &reachability.View{Self: reachability.NodeStatus{LeadsShards: true}}, 0)
--- a/internal/reachability/node_status.go
+++ b/internal/reachability/node_status.go
@@ -37,7 +37,7 @@
 	Heartbeats         int          `json:"reports"`            // heartbeats received in the counting window, answered or not
 	ExpectedHeartbeats float64      `json:"expected,omitempty"` // heartbeats that its workers should have sent in that window
 	UnreachedPeers     []string     `json:"lacks,omitempty"`    // see Table.UnreachedPeers
-	ProbeSample        []string     `json:"sample,omitempty"`   // addresses of workers that it may not reach any more; peers that receive them probe them too
+	ProbeSample        []string     `json:"sample,omitempty"`   // addresses of workers that it may no longer reach, for peers to probe too
 	Probed             bool         `json:"tried,omitempty"`    // it recently probed such a sample
 	ProbeSuccess       float64      `json:"reaches,omitempty"`  // share of the probed workers that responded, 0 to 1
 	Assignments        []Assignment `json:"seats,omitempty"`    // distribution of the workers while it has no capacity for all; see AssignmentPlanner
--- a/internal/reachability/transfer_monitor.go
+++ b/internal/reachability/transfer_monitor.go
@@ -4,7 +4,7 @@
 
 const (
 	minCandidateHeartbeatShare = 0.1              // least share of the leader's expected heartbeats that its successor must receive
-	candidateHeartbeatFactor   = 3                // how many times the leader's heartbeats a peer must receive
+	candidateHeartbeatFactor   = 3                // a peer must receive more than this multiple of the leader's heartbeats
 	reachedProbeSuccess        = 0.75             // least share of responses to probes with which the workers count as reached
 	lostProbeSuccess           = 0.25             // greatest share with which they count as not reached
 	baseTransferDelay          = 15 * time.Second // TransferDelay without earlier transfers; each one doubles it
@@ -65,8 +65,8 @@
 func (v *View) transferCandidate() (name string, confirmTime time.Duration) {
 	confirmTime = heartbeatConfirmTime
 	mostHeartbeats := max(candidateHeartbeatFactor*v.Self.Heartbeats, int(minCandidateHeartbeatShare*v.Self.ExpectedHeartbeats))
-	// Workers take seconds to look for another controller. So the peers' probes show sooner than the
-	// heartbeats that they receive whether they reach the workers.
+	// Workers take seconds to look for another controller. So whether a peer reaches the workers is
+	// shown sooner by its probes than by the heartbeats that it receives.
 	outboundLost := v.Self.Probed && v.Self.ProbeSuccess <= lostProbeSuccess
 	bestProbes := 0.0
 	for i := range v.Peers {
--- a/internal/reachability/view.go
+++ b/internal/reachability/view.go
@@ -1,6 +1,6 @@
 // Package reachability maintains a controller's view of the links between the nodes: which
-// controller reaches the state service, the workers, the cloud and which peers, and from where and
-// when each of these facts is known.
+// controller reaches the state service, the workers, the cloud and which peers, and the path and
+// age of each status on which this view is based.
 //
 // A Table holds the newest status of every peer. Pure functions of a View and small state machines
 // decide to which controller workers report (routing.go, assignments.go), when shards are
--- a/internal/scale/tracker.go
+++ b/internal/scale/tracker.go
@@ -45,7 +45,7 @@
 	startedAt, endedAt     time.Time
 	starts                 int                     // of tasks, including repeated starts
 	stopped                int                     // attempts that ended without completing their task
-	urgent, urgentLate     int                     // urgent jobs submitted; urgent jobs started too late or never
+	urgent, urgentLate     int                     // numbers of urgent jobs: submitted; started too late or never
 	urgentWait, acceptWait *hdrhistogram.Histogram // ms until an urgent job was started; ms until any job was accepted
 	lastStart              time.Time
 	longestGap             time.Duration // longest time without a start
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -14,7 +14,7 @@
 	// ErrBusy is an ErrUnavailable because the budget is used up, here or at the service: more
 	// requests would only make it worse.
 	ErrBusy = fmt.Errorf("%w: too many requests", ErrUnavailable)
-	// ErrUnknown means that the request may have been executed, or may be later.
+	// ErrUnknown means that the request may have been executed or may still be executed.
 	ErrUnknown = errors.New("no answer from the state service")
 	// ErrNoLease means that a write was to be attached to a lease that has ended. Its text is
 	// the state service's.
--- a/internal/statestore/lost_response_test.go
+++ b/internal/statestore/lost_response_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// Responses of a slow service are waited for after a few timeouts, and then at least every
-// other time.
+// After a few timeouts the client waits long enough for the responses of a slow service, at least
+// every other time.
 func TestSlowResponsesAreWaitedFor(t *testing.T) {
 	t.Parallel()
 	const slow = time.Second
--- a/internal/statestore/priority.go
+++ b/internal/statestore/priority.go
@@ -18,8 +18,8 @@
 	// Urgent requests never wait: leases, fencing tokens, leaders of shards, and failovers.
 	Urgent
 	// Lookup is for reads on behalf of a user whose job's leader can't be queried. They are
-	// limited first: without a leader every poll of every user causes one, and their number
-	// would keep every controller from joining.
+	// limited first: without a leader every poll of every user causes one, and without a limit
+	// they would use up the service's budget, so that no controller could join.
 	Lookup
 )
 
--- a/internal/statestore/relay.go
+++ b/internal/statestore/relay.go
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	if len(body) > maxRelayedResponse {
-		// Only the size of a watch's response is unbounded: the watch lists the keys again.
+		// Only a watch's response can be this large: on this status the watch lists the keys again.
 		return &RelayedResponse{Status: http.StatusGone}, nil
 	}
 	return &RelayedResponse{Status: status, Body: body}, nil
--- a/internal/statestore/relay_test.go
+++ b/internal/statestore/relay_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Whatever fails when, a transaction is sent a second time only if the first was certainly not
-// executed, and the outcome reported to its caller is correct.
+// Whichever links fail at whatever time, a transaction is sent a second time only if the first was
+// certainly not executed, and the outcome reported to its caller is correct.
 func TestTransactionIsExecutedAtMostOnceUnderLinkFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type step struct{ Mine, Theirs, Gone, Wait int }
--- a/internal/statestore/response_timeout_test.go
+++ b/internal/statestore/response_timeout_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Responses of a slow service are waited for after a few timeouts, and always from then on
+// After a few timeouts the timeout is long enough for the responses of a slow service. It stays so
 // until the service is fast again.
 func TestSlowServiceIsWaitedFor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/statestore/route.go
+++ b/internal/statestore/route.go
@@ -83,9 +83,9 @@
 	request.cancel()
 }
 
-// relayUsable reports whether there is a peer that can relay, and whose relayed requests were
-// not refused recently: in an outage the peers are refused too, and must not get additional
-// load.
+// relayUsable reports whether there is a peer that can relay and the service has not refused a
+// relayed request recently: in an outage it refuses the peers' requests too, and must not get
+// additional load.
 func (r *route) relayUsable() bool {
 	if r.relay == nil || !r.relay.Ready() {
 		return false
--- a/internal/statestore/txn.go
+++ b/internal/statestore/txn.go
@@ -12,8 +12,8 @@
 )
 
 // Txn applies all ops if every guard holds, and returns the revision. If a guard fails, the
-// error is a *ConflictError. After ErrUnknown the ops may have been applied, or may be later;
-// after any other error they were not. The response times out according to the times of recent
+// error is a *ConflictError. After ErrUnknown the ops may have been applied or may still be
+// applied; after any other error they were not. The response times out according to the times of recent
 // responses, even if ctx lasts longer.
 func (c *Client) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
 	if err := c.budget.wait(ctx, priorityOf(ctx)); err != nil {
--- a/internal/statestore/txn_test.go
+++ b/internal/statestore/txn_test.go
@@ -13,7 +13,7 @@
 )
 
 // The error of a transaction decides whether it may be repeated: a refused one was certainly
-// not applied, one without a response may still be.
+// not applied, one without a response may still be applied.
 func TestTxnErrorsTellRefusedFromUnknown(t *testing.T) {
 	status, body, dropConnection := 0, "", false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/testkit/deposed_leader_test.go
+++ b/internal/testkit/deposed_leader_test.go
@@ -11,7 +11,7 @@
 // A leader that has just lost the state service and its peers receives reports that the last tasks of
 // some jobs ended, and can't write the log records. Its successor, which receives reports of other workers,
 // writes its own records under the same log keys. When the former leader reaches the state service again, it
-// must not take these records for its own: otherwise it reports the jobs as done, and the workers discard
+// must not mistake these records for its own: otherwise it reports the jobs as done, and the workers discard
 // results that the successor never received.
 func TestDeposedLeaderDoesNotAdoptSuccessorsLogRecord(t *testing.T) {
 	unrecorded := 0
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -157,8 +157,8 @@
 	return highest
 }
 
-// workersWithHigherToken counts the workers that have seen a fencing token higher than the tokens of all controllers,
-// not counting the token of the excepted controller.
+// workersWithHigherToken counts the workers that have seen a fencing token higher than the tokens of all controllers
+// but the excepted one.
 func (c *failoverCluster) workersWithHigherToken(except string) (count int) {
 	highest := c.highestToken(except)
 	c.mu.Lock() // controllers send commands to the workers meanwhile
--- a/internal/testkit/lease_over_failover_test.go
+++ b/internal/testkit/lease_over_failover_test.go
@@ -23,7 +23,7 @@
 const maxFailoverS = 4
 
 // stopDueAtLeaderEnd reports whether the leader crashes in the second in which it must stop the tasks
-// that can save. Then it may crash before it sends the command, and the rest of the lease is too short for the
+// that can save their state. Then it may crash before it sends the command, and the rest of the lease is too short for the
 // successor to detect that the worker's report is overdue.
 func (c *leaderEndCase) stopDueAtLeaderEnd() bool {
 	const (
--- a/internal/testkit/lost_renewal_test.go
+++ b/internal/testkit/lost_renewal_test.go
@@ -8,8 +8,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// The last response before a worker's reports stop is lost. Tasks that can save are still stopped early enough
-// to save, and no task is started that the end of the lease kills. Otherwise the leader counts the lease from a
+// The last response before a worker's reports stop is lost. Tasks that can save their state are still stopped early
+// enough to save it, and no task is started that would be killed when the lease ends. Otherwise the leader counts the lease from a
 // response that the worker never received.
 func TestTasksAreSavedAfterLostResponse(t *testing.T) {
 	const canSave, short = "j-save", "j-tiny"
--- a/internal/testkit/reach_test.go
+++ b/internal/testkit/reach_test.go
@@ -200,7 +200,7 @@
 }
 
 // deleteFailedWorkers probes the unresponsive workers of a leader, deletes those that its failure
-// detector takes for failed, returns their machines and starts a replacement for each. It fails
+// detector reports as failed, with their machines, and starts a replacement for each. It fails
 // the test if a controller recently received heartbeats of such a worker.
 func (w *cluster) deleteFailedWorkers(n *node, v *reachability.View) {
 	r := &n.reach
--- a/internal/testkit/transfer_lag_test.go
+++ b/internal/testkit/transfer_lag_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against shards without a leader after a transfer to a controller whose watch lags: that
-// controller must lead the shards within seconds all the same.
+// controller must lead the shards within seconds nevertheless.
 func TestTransferredShardsAreLedWhileWatchLags(t *testing.T) {
 	const lag = 10 * time.Second
 	for _, c := range []struct {
--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -19,8 +19,8 @@
 }
 
 // NewDecoder returns an empty replica. It claims to know a stream with a random identifier, so
-// that only a dispatcher that has received the identifier can begin a stream: a message that was
-// sent to a predecessor can't.
+// that only a dispatcher that has received the identifier can begin a stream. A late message that
+// was meant for a predecessor of this leader can't.
 func NewDecoder() *Decoder {
 	return &Decoder{stream: newStream(), states: map[string]*state{}}
 }
--- a/internal/viewsync/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -68,8 +68,8 @@
 	case !e.started && e.replaces == 0 && !source.HasWorkers():
 		return nil // a dispatcher without workers has nothing to send
 	case !e.started && e.replaces == 0:
-		// Ask which stream the leader knows: it states it in reply to a heartbeat of an
-		// unknown stream.
+		// Ask which stream the leader knows: the leader states this in its reply to a heartbeat
+		// of a stream that it does not know.
 		return m
 	case !e.started:
 		e.started = true
--- a/internal/viewsync/view_state.go
+++ b/internal/viewsync/view_state.go
@@ -56,7 +56,7 @@
 		v.Matrix[i] = matching.WaitRow{WaitS: rounded(v.Matrix[i].WaitS), Free: roundedResources(v.Matrix[i].Free)}
 	}
 	if !sortedByWait(v.Matrix) {
-		v.Matrix = nil // the leader would refuse the whole frame because of it
+		v.Matrix = nil // a leader refuses a whole frame if one of its matrices is not sorted
 	}
 	return v
 }
