--- a/cmd/wallctl/accounting_records.go
+++ b/cmd/wallctl/accounting_records.go
@@ -10,7 +10,7 @@
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
-// maxAccountingDays is the longest period, in days, that one command reads.
+// maxAccountingDays limits how long before now a period may start, in days.
 const maxAccountingDays = 400
 
 // readRecords reads the jobs that were active in a period, including those that have not ended.
@@ -46,7 +46,8 @@
 	return selected, nil
 }
 
-// parsePeriod parses the options --starttime and --endtime. The defaults are midnight and now.
+// parsePeriod parses the options --starttime and --endtime. The default start is the last midnight,
+// the default end is now. It fails if the end is before the start.
 func parsePeriod(start, end string, now time.Time) (from, to time.Time, err error) {
 	y, m, d := now.Date()
 	from, to = time.Date(y, m, d, 0, 0, 0, 0, now.Location()), now
--- a/cmd/wallctl/job_commands.go
+++ b/cmd/wallctl/job_commands.go
@@ -14,7 +14,7 @@
 // jobRequest is a method of the client that sends a request about one job.
 type jobRequest func(cl *client.Client, ctx context.Context, uid string) (*wire.JobState, error)
 
-// resolveUID returns the uid of a job that is given by its uid or its number.
+// resolveUID returns the uid of a job that is given by its uid or its number. It doesn't check a uid.
 func resolveUID(ctx context.Context, cl *client.Client, name string) (uid string, err error) {
 	if number, parseErr := strconv.ParseUint(name, 10, 64); parseErr == nil {
 		found, err := cl.JobByNumber(ctx, number)
--- a/cmd/wallctl/local_site_test.go
+++ b/cmd/wallctl/local_site_test.go
@@ -133,7 +133,7 @@
 	eventually(t, func() string { return "the first job does not run" }, func() bool { return strings.Contains(mustRun(t, url, "status", blocker), "running") })
 	want := submitPairs(t, url)
 	eventually(t, func() string { return "not all wait:\n" + mustRun(t, url, "squeue") }, func() bool {
-		return strings.Count(mustRun(t, url, "squeue", "-h"), "\n") == len(want) // a line per waiting job and the blocker's; the last newline is trimmed
+		return strings.Count(mustRun(t, url, "squeue", "-h"), "\n") == len(want) // one line per job and blocker; last newline trimmed
 	})
 	mustRun(t, url, "cancel", blocker)
 	eventually(t, func() string { return "the jobs are not over:\n" + mustRun(t, url, "squeue") }, func() bool { return mustRun(t, url, "squeue", "-h") == "" })
@@ -142,7 +142,7 @@
 		t.Fatalf("%d lines:\n%s", len(lines), strings.Join(lines, "\n"))
 	}
 	// The jobs run one at a time, so they end in the order of their starts. Start times can't be
-	// compared: of a task that starts and ends between two reports only the end is recorded.
+	// compared: if a task starts and ends between two reports, only its end is recorded.
 	export := mustRun(t, url, "accounting", "export", "--format", "csv")
 	ended := endTimes(t, export)
 	got := slices.Clone(want)
--- a/cmd/wallctl/main.go
+++ b/cmd/wallctl/main.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// reportError prints an error to standard error and returns the exit code.
+// reportError prints an error, unless it is an exitError, to standard error. It returns the exit code.
 func reportError(err error) int {
 	var exit *exitError
 	var asSlurm *slurmError
@@ -83,7 +83,8 @@
 	json   bool
 }
 
-// client returns a client for the site in --server or WALLRACK_SERVER.
+// client returns a client for the site in --server or, without this option, in WALLRACK_SERVER. It
+// fails if the address doesn't start with http://.
 func (a *app) client() (*client.Client, error) {
 	if a.server == "" {
 		a.server = os.Getenv("WALLRACK_SERVER")
--- a/cmd/wallctl/output.go
+++ b/cmd/wallctl/output.go
@@ -51,8 +51,8 @@
 	return json.NewEncoder(w).Encode(listing[T]{Errors: []string{}, Jobs: jobs})
 }
 
-// writeOutput calls write with standard output, or with a temporary file that is renamed to file only
-// after it was written completely.
+// writeOutput calls write with standard output if file is "". Otherwise it calls write with a
+// temporary file in the same directory, which it renames to file after a complete write.
 func writeOutput(cmd *cobra.Command, file string, write func(io.Writer) error) error {
 	if file == "" {
 		return write(cmd.OutOrStdout())
--- a/cmd/wallctl/rollout_commands.go
+++ b/cmd/wallctl/rollout_commands.go
@@ -43,8 +43,8 @@
 	}}
 }
 
-// postRollout posts a body to the roll-outs' interface. It prints the roll-out in the response or,
-// with watch, its progress until it ends.
+// postRollout posts a body, encoded as JSON, to the roll-outs' interface and prints the roll-out in
+// the response. If watch is set, it prints the roll-out's progress until the roll-out ends instead.
 func (a *app) postRollout(cmd *cobra.Command, path string, body any, watch bool) error {
 	cl, err := a.client()
 	if err != nil {
@@ -74,7 +74,7 @@
 }
 
 // printOrDecode gets a path of the operators' interface. With --json it prints the response
-// unchanged and returns true, else it decodes the response into value.
+// unchanged and returns true. Otherwise it decodes the response into value and returns false.
 func (a *app) printOrDecode(cmd *cobra.Command, cl *client.Client, path string, value any) (printed bool, err error) {
 	out, err := cl.Get(cmd.Context(), path)
 	if err != nil {
--- a/cmd/wallctl/rollout_watch.go
+++ b/cmd/wallctl/rollout_watch.go
@@ -20,7 +20,8 @@
 
 // watchRollout prints the progress of a service's roll-out until it ends: on a terminal a bar for each
 // step, else a line for each change. Roll-outs with a lower id are ignored. It returns nil if
-// the new version is rolled out, else an error that wraps errNotRolledOut.
+// the new version is rolled out, and an error that wraps errNotRolledOut if the roll-out ended
+// otherwise. It also fails if ctx ends or the site refuses the request.
 func watchRollout(ctx context.Context, cl *client.Client, service string, id int, w io.Writer) error {
 	view := newRolloutView(w)
 	for {
@@ -48,9 +49,9 @@
 type rolloutView struct {
 	w        io.Writer
 	terminal bool
-	bar      *progressbar.ProgressBar // bar of the present step; only on a terminal
+	bar      *progressbar.ProgressBar // bar of the present step; nil without a terminal or before the first step
 	step     int                      // step of the bar, -1 before the first
-	lastLine string                   // last printed line; only without a terminal
+	lastLine string                   // last printed line; unused on a terminal
 }
 
 func newRolloutView(w io.Writer) *rolloutView {
@@ -60,7 +61,7 @@
 
 func (v *rolloutView) println(args ...any) { _, _ = fmt.Fprintln(v.w, args...) }
 
-// show prints the status if it has changed since the last call.
+// show redraws the bar on a terminal. Otherwise it prints a line if it differs from the last one.
 func (v *rolloutView) show(status *rollout.Status) {
 	run, healthy := status.Run, 0
 	for _, batch := range run.New {
@@ -90,7 +91,8 @@
 	_ = v.bar.Set(healthy)
 }
 
-// finish prints the final state on a terminal. It returns an error unless the new version is rolled out.
+// finish prints the final state on a terminal. It returns nil if the new version is rolled out, else an
+// error that wraps errNotRolledOut.
 func (v *rolloutView) finish(run *rollout.Run) error {
 	if v.terminal {
 		v.println()
--- a/cmd/wallctl/sacct.go
+++ b/cmd/wallctl/sacct.go
@@ -24,7 +24,7 @@
 	withoutHeader, allUsers, listColumns, printAsJSON bool
 }
 
-// flagSet returns the options of sacct. The help lists them in this order.
+// flagSet returns the options of sacct. The help lists them in the order in which they are defined.
 func (s *sacctFlags) flagSet() *pflag.FlagSet {
 	fs := pflag.NewFlagSet("sacct", pflag.ContinueOnError)
 	fs.StringVarP(&s.start, "starttime", "S", "", "from this time; else from midnight")
@@ -48,8 +48,8 @@
 	return fs
 }
 
-// separators returns the argument parsable of slurm.AcctTable: "P" for bars between columns, "p" for
-// bars also at the end of each line, "" for aligned columns.
+// separators returns the value of slurm.AcctTable's parameter parsable: "P" for bars between columns,
+// "p" for bars also at the end of each line, "" for aligned columns.
 func (s *sacctFlags) separators() string {
 	switch {
 	case s.parsable2:
@@ -60,7 +60,8 @@
 	return ""
 }
 
-// filter returns the filter that the options describe, without the period.
+// filter returns the filter that the options describe, without the period. Unless users, accounts,
+// jobs or all users are selected, it selects the jobs of the present user.
 func (s *sacctFlags) filter() (f slurm.AcctFilter, err error) {
 	f = slurm.AcctFilter{Users: s.users, Accounts: s.accounts, Partitions: s.partitions, Names: s.names, QOS: s.qos}
 	if f.States, err = parseStates(s.states); err != nil {
@@ -117,7 +118,7 @@
 	return writeSacctTable(out, layout, !flags.withoutHeader, lines)
 }
 
-// sacctLines yields the lines of the records and steps that the filter selects.
+// sacctLines yields the rows that the filter selects, of the records that it selects.
 func sacctLines(recs []*slurm.Record, filter *slurm.AcctFilter, options slurm.AcctOptions) iter.Seq[*slurm.AcctRow] {
 	return func(yield func(*slurm.AcctRow) bool) {
 		for _, record := range recs {
@@ -162,7 +163,8 @@
 }
 
 // earliestStart returns the earliest time from which accounting must be read for the jobs: the start of
-// an ended job, its end if it never started, or the acceptance of an active job.
+// an ended job, its end if it never started, or the acceptance of an active job. Jobs that don't
+// exist are ignored. The result is never after now.
 func earliestStart(ctx context.Context, cl *client.Client, jobs []slurm.JobSelector, now time.Time) (time.Time, error) {
 	earliest := now
 	for _, target := range jobs {
--- a/cmd/wallctl/scancel.go
+++ b/cmd/wallctl/scancel.go
@@ -69,7 +69,8 @@
 	exitErr error // an exitError once a cancel has failed, else nil
 }
 
-// report prints the error of a cancel of a job or task, if any, and sets the exit code.
+// report prints the error of a cancel request and sets the exit code. It does nothing if err is nil.
+// If c.quiet is set, it prints only errors that mean an unknown outcome.
 func (c *canceller) report(name string, err error) {
 	if err == nil {
 		return
@@ -82,7 +83,8 @@
 }
 
 // cancelMatching cancels the jobs, or tasks of jobs, that the filter matches. It reads the complete
-// listing before the first cancel, because cancels would change the listing while it is read.
+// listing before the first cancel, because cancels would change the listing while it is read. It
+// fails, and cancels nothing, if the listing can't be read completely.
 func (c *canceller) cancelMatching(ctx context.Context, filter *slurm.QueueFilter) error {
 	var found []jobMatch
 	err := c.cl.Jobs(ctx, func(page *jobquery.Page) error {
@@ -126,7 +128,7 @@
 	return match
 }
 
-// cancelJob cancels a job. Its errors have Slurm's message if Slurm has one.
+// cancelJob cancels a job. It returns errInvalidJobID if there is no such job, errAlreadyOver if it ended.
 func cancelJob(ctx context.Context, cl *client.Client, uid string) error {
 	state, err := cl.Cancel(ctx, uid)
 	switch {
@@ -138,7 +140,8 @@
 	return err
 }
 
-// cancelTarget cancels a job that is given by its number, or some tasks of a job array.
+// cancelTarget cancels a job given by its number, or tasks of an array given by their array indices
+// or by a task's own job number. Its errors include those of cancelJob.
 func cancelTarget(ctx context.Context, cl *client.Client, target slurm.JobSelector) error {
 	found, err := cl.JobByNumber(ctx, target.Number)
 	switch {
--- a/cmd/wallctl/sinfo.go
+++ b/cmd/wallctl/sinfo.go
@@ -14,7 +14,7 @@
 )
 
 func sinfo(cmd *cobra.Command, cl *client.Client, args []string) error {
-	fs := pflag.NewFlagSet("sinfo", pflag.ContinueOnError) // the help lists the options in this order
+	fs := pflag.NewFlagSet("sinfo", pflag.ContinueOnError) // the help lists the options in their order here
 	eachWorker := fs.BoolP("Node", "N", false, "a line for each machine")
 	withoutHeader := fs.BoolP("noheader", "h", false, "no titles")
 	format := fs.StringP("format", "o", "", "layout, as %N %T")
--- a/cmd/wallctl/slurm.go
+++ b/cmd/wallctl/slurm.go
@@ -33,7 +33,7 @@
 type slurmCommandFunc func(cmd *cobra.Command, cl *client.Client, args []string) error
 
 // slurmCommand returns a command that parses its own options, because cobra's parser doesn't support
-// Slurm's syntax. Its errors are an exitError, or a slurmError in Slurm's format.
+// Slurm's syntax. Its errors are an exitError, or a slurmError in Slurm's format. --help is no error.
 func (a *app) slurmCommand(name, short string, run slurmCommandFunc) *cobra.Command {
 	return &cobra.Command{Use: name, Short: short, DisableFlagParsing: true, RunE: func(cmd *cobra.Command, args []string) error {
 		cl, err := a.client()
--- a/cmd/wallctl/slurm_flags.go
+++ b/cmd/wallctl/slurm_flags.go
@@ -18,8 +18,8 @@
 	ownJobs                                         bool
 }
 
-// addFilterFlags adds the options to fs. The help lists them in this order. The option for states has
-// a different name in each command.
+// addFilterFlags adds the options to fs. The help lists them in the order in which they are defined.
+// stateOption is the name of the option for states, which differs between the commands.
 func addFilterFlags(fs *pflag.FlagSet, stateOption string) *filterFlags {
 	f := &filterFlags{}
 	fs.StringSliceVarP(&f.users, "user", "u", nil, "of these users")
--- a/cmd/wallctl/slurm_submit.go
+++ b/cmd/wallctl/slurm_submit.go
@@ -20,7 +20,8 @@
 const maxScript = 512 << 10
 
 // readSubmission reads the options and the program of a submission from the command line, the script
-// and the environment. For --help it prints the options and returns slurm.ErrHelp.
+// and the environment. Options of the command line override those of the environment, which override
+// those of the script. For --help it prints the options and returns slurm.ErrHelp.
 func readSubmission(cmd *cobra.Command, name slurm.Command, args []string, now time.Time) (*slurm.Options, *slurm.Invocation, error) {
 	given, program, err := slurm.ParseArgs(name, args)
 	if errors.Is(err, slurm.ErrHelp) {
@@ -81,7 +82,7 @@
 }
 
 // readScriptText reads the script from the file in the first argument, or from standard input if
-// there are no arguments.
+// there are no arguments. It fails if the script is empty or larger than maxScript.
 func readScriptText(stdin io.Reader, args []string) (text, name string, err error) {
 	in, name := stdin, "sbatch"
 	if len(args) > 0 {
@@ -104,8 +105,8 @@
 	return string(data), name, nil
 }
 
-// submitSlurm translates and submits a job, or only validates it (options.TestOnly). Repeated requests
-// contain the same uid, so they do not create a second job.
+// submitSlurm translates and submits a job. If options.TestOnly is set, the site only validates it.
+// Repeated requests contain the same uid, so they do not create a second job.
 func submitSlurm(ctx context.Context, cl *client.Client, name slurm.Command, options *slurm.Options, work *slurm.Invocation, now time.Time) (*slurm.Request, error) {
 	site, err := cl.Site(ctx)
 	if err != nil {
--- a/cmd/wallctl/squeue.go
+++ b/cmd/wallctl/squeue.go
@@ -24,7 +24,7 @@
 	longFormat, printAsJSON        bool
 }
 
-// newSqueueFlags returns the options of squeue. The help lists them in this order.
+// newSqueueFlags returns the options of squeue. The help lists them in the order in which they are defined.
 func newSqueueFlags() (*squeueFlags, *pflag.FlagSet) {
 	fs := pflag.NewFlagSet("squeue", pflag.ContinueOnError)
 	s := &squeueFlags{filterFlags: addFilterFlags(fs, "states")}
@@ -39,7 +39,7 @@
 	return s, fs
 }
 
-// filter returns the filter that the options describe.
+// filter returns the filter that the options describe. With --start, it selects pending rows by default.
 func (s *squeueFlags) filter() (slurm.QueueFilter, error) {
 	f, err := s.filterFlags.filter()
 	if err != nil {
--- a/cmd/wallctl/srun.go
+++ b/cmd/wallctl/srun.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// cancelStep cancels a step after an interrupt of this command. The command's context is done by then,
-// so the request has a context of its own.
+// cancelStep cancels a step after an interrupt of this command. It always returns an error, which says
+// whether the step was cancelled. The command's context has ended, so the request has its own context.
 func cancelStep(cl *client.Client, request *slurm.Request) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
@@ -102,12 +102,13 @@
 	}
 }
 
-// printStream prints the output of one stream of a task since the last call.
+// printStream prints the output of one stream of a task since the last call. query selects the
+// stream; "" is standard output. If the output can't be read, it prints nothing.
 func (s *stepOutput) printStream(ctx context.Context, task int, query string, to io.Writer) {
 	path := wire.TaskName(s.uid, task) + query
 	data, err := s.cl.GetOnce(ctx, "/logs/"+path)
 	if err != nil {
-		return // the task hasn't started, or the next call reads the output
+		return // the task hasn't started, or the request failed; the next call reads the output
 	}
 	if len(data) < s.printed[path] {
 		s.printed[path] = 0 // another attempt started
--- a/cmd/wallrack/bound.go
+++ b/cmd/wallrack/bound.go
@@ -12,7 +12,8 @@
 	"github.com/wallrack/wallrack/internal/lowerbound"
 )
 
-// boundCommand returns the command that prints lower bounds of the cost and lateness of a logged day.
+// boundCommand returns the command that reads the log of a day and prints the lowest cost and lateness that
+// its jobs could have had.
 func boundCommand() *cobra.Command {
 	var spotCPUs, onDemandPrice float64
 	c := &cobra.Command{
--- a/cmd/wallrack/parts.go
+++ b/cmd/wallrack/parts.go
@@ -16,8 +16,8 @@
 // stopTimeout is how long a child process may take to end after SIGTERM before it is killed.
 const stopTimeout = 5 * time.Second
 
-// newPartStarter returns the function that starts the parts of a site: inside this process, or as
-// child processes that each log to a file in dir/logs.
+// newPartStarter returns the function that runs a part of a site, such as a controller or a worker:
+// inside this process, or as a child process that logs to a file in dir/logs.
 func newPartStarter(dir string, inProcess bool) (local.StartFunc, error) {
 	if inProcess {
 		return runInProcess, nil
@@ -29,14 +29,16 @@
 	return runAsChildProcess(exe, filepath.Join(dir, "logs")), nil
 }
 
-// runInProcess runs a part inside this process.
+// runInProcess runs a part of the site inside this process until it ends. args are its command line.
 func runInProcess(ctx context.Context, _ string, args []string) error {
 	c := newRootCommand() //nolint:contextcheck // the command's functions get ctx from ExecuteContext
 	c.SetArgs(args)
 	return c.ExecuteContext(ctx)
 }
 
-// runAsChildProcess returns a function that runs a part as a child process and waits for its end.
+// runAsChildProcess returns a function that runs a part of the site, such as a controller or a worker,
+// as a child process that logs to a file in logs. The function waits until the process exits. When
+// ctx ends, the function stops the process as waitOrStop does.
 func runAsChildProcess(exe, logs string) local.StartFunc {
 	return func(ctx context.Context, name string, args []string) error {
 		if err := os.MkdirAll(logs, 0o755); err != nil {
--- a/cmd/wallrack/recorded_ops_test.go
+++ b/cmd/wallrack/recorded_ops_test.go
@@ -54,7 +54,7 @@
 type recordedPath struct {
 	file            string
 	path            string
-	freeFormObjects []string // objects whose names are data, thus not part of the shape
+	freeFormObjects []string // objects whose field names are data and not part of the shape
 }
 
 var recordedPaths = []recordedPath{
--- a/cmd/wallrack/scale.go
+++ b/cmd/wallrack/scale.go
@@ -49,8 +49,8 @@
 	return c
 }
 
-// runScale runs the simulation, then prints and writes the measurements, including those of a run that
-// failed before its end.
+// runScale runs the simulation, then prints the measurements and writes them to files. It does so too if
+// the run failed before its end but has measurements. A settingsError means that nothing was started.
 func runScale(ctx context.Context, flags scaleFlags, out, progressOut io.Writer) error {
 	if flags.file == "" {
 		return settingsError{errors.New("--config: a settings file is needed")}
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// progress returns a function that shows the progress: on a terminal a bar of the running tasks, else
-// a line for each phase.
+// progress returns a function that shows the progress of a run. On a terminal it shows a bar of the
+// running tasks, out of maxRunning. Otherwise it prints a line for each phase.
 func progress(w io.Writer, maxRunning int) func(phase string, running, starts int) {
 	f, isFile := w.(*os.File)
 	if !isFile || !term.IsTerminal(int(f.Fd())) {
--- a/cmd/wallrack/settings.go
+++ b/cmd/wallrack/settings.go
@@ -17,7 +17,7 @@
 	platform, operator, rollouts, slurm string
 }
 
-// load reads the platform's and the operators' settings and checks that they are consistent.
+// load reads the platform's and the operators' settings. It fails if they are not consistent.
 func (f *settingsFiles) load() (*config.Platform, *config.Operator, error) {
 	if f.platform == "" {
 		return nil, nil, errors.New("--config: a settings file is needed")
--- a/cmd/wallrack/worker.go
+++ b/cmd/wallrack/worker.go
@@ -90,7 +90,8 @@
 	return c
 }
 
-// runWorker runs a worker until ctx ends. All its tasks have ended when it returns.
+// runWorker runs a worker until ctx ends, and then returns nil, or until the worker fails. All its tasks
+// have ended when it returns.
 func runWorker(ctx context.Context, s workerSettings, log *slog.Logger) error {
 	controllers, err := s.check()
 	if err != nil {
--- a/internal/accounting/export/format.go
+++ b/internal/accounting/export/format.go
@@ -9,8 +9,8 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Write writes rows in a format: "csv", "json" or "parquet"; any other is an error. T is a
-// struct whose fields have the same names in their json and parquet tags.
+// Write writes rows in a format: "csv", "json" or "parquet". Any other format is an error. T must be
+// a struct, and the json and parquet tags of each of its fields must have the same name.
 func Write[T any](w io.Writer, format string, rows []T) error {
 	switch format {
 	case "json":
--- a/internal/accounting/export/line.go
+++ b/internal/accounting/export/line.go
@@ -51,7 +51,7 @@
 	return lines
 }
 
-// newLine returns the line of a row, which is the job's own or that of one of its attempts.
+// newLine returns the line of a row. row is either the job's own or that of one of its attempts.
 func newLine(job, row *accounting.Row) Line {
 	line := Line{
 		Kind: "job", UID: row.UID, Number: row.Number, Task: int(row.Task), Attempt: row.Attempt, State: row.State, Exit: int(row.Exit),
--- a/internal/accounting/export/plot.go
+++ b/internal/accounting/export/plot.go
@@ -12,7 +12,7 @@
 	"github.com/wallrack/wallrack/internal/slurm"
 )
 
-// plotPoints is the number of points of a plot.
+// plotPoints is the number of points of each curve.
 const plotPoints = 480
 
 // Plot writes an HTML page with plots of the waiting jobs, the running tasks and the accumulated
--- a/internal/accounting/export/series.go
+++ b/internal/accounting/export/series.go
@@ -15,7 +15,7 @@
 	Cost    float64 // spent since the first point
 }
 
-// delta is the change of these numbers at a time.
+// delta is the change of the numbers of a Point at a time.
 type delta struct {
 	atMs      int64
 	waiting   int     // jobs
@@ -23,8 +23,8 @@
 	costPerMs float64 // of running tasks
 }
 
-// Series returns the given number of points at equal intervals between two times. Jobs and attempts
-// that have not ended are assumed to last until the last point.
+// Series returns the given number of points at equal intervals; the first is at from, the last at
+// to. Jobs and attempts that have not ended are assumed to last until the last point.
 func Series(records []*slurm.Record, from, to time.Time, points int) []Point {
 	fromMs, toMs := from.UnixMilli(), to.UnixMilli()
 	changes := activityDeltas(records, toMs)
--- a/internal/accounting/page.go
+++ b/internal/accounting/page.go
@@ -14,8 +14,8 @@
 const (
 	// formatPrefix starts a page's text. Readers reject pages with any other prefix.
 	formatPrefix = "1:"
-	// maxUnpackedBytes limits the unpacked size of a page. Pages come from the network, and a
-	// malicious one could unpack to any size otherwise.
+	// maxUnpackedBytes limits the unpacked size of a page. Pages come from the network:
+	// without a limit, a malicious one could unpack to any size.
 	maxUnpackedBytes = 4 << 20
 	windowBytes      = 64 << 10 // compression window of the encoder
 )
--- a/internal/accounting/page_builder.go
+++ b/internal/accounting/page_builder.go
@@ -16,8 +16,8 @@
 )
 
 // PageBuilder builds the pages of one writer. It appends rows to the last page until the page is
-// full, so that many rows share a key and each write changes only one key of the state service.
-// It is not safe for concurrent use.
+// full or the UTC day ends, so that many rows share a key. Each write changes only one key of the
+// state service. It is not safe for concurrent use.
 type PageBuilder struct {
 	id       uint64
 	maxBytes int // maximum size of a page, including its JSON quotes
@@ -25,7 +25,7 @@
 	encoder  *zstd.Encoder // created by the first Add
 }
 
-// page is the last page in its last written state.
+// page is the state of the last page after its last applied write.
 type page struct {
 	day     string
 	number  int
@@ -33,8 +33,8 @@
 	raw     []byte // encoded rows before compression
 }
 
-// PageWrite is a pending write of a page. The caller must know its outcome before the next call of
-// PageBuilder.Add.
+// PageWrite is a pending write of a page. The caller must find out whether it was applied before the
+// next call of PageBuilder.Add.
 type PageWrite struct {
 	Key     string
 	Version uint64 // expected current version of the key; 0: the key must not exist
@@ -49,7 +49,7 @@
 }
 
 // Capacity returns the maximum total of Row.MaxEncodedBytes for one call of Add. Rows within this
-// limit fit into a page even if compression saves nothing; base64 turns three bytes into four.
+// limit fit into a page even if compression saves nothing. base64 encodes three bytes as four.
 func (b *PageBuilder) Capacity() int { return b.maxBytes/4*3 - pageOverhead }
 
 // MaxEncodedBytes returns an upper bound of the row's size in a page before base64 encoding.
@@ -58,7 +58,7 @@
 }
 
 // Add returns the write that adds rows, whose total of Row.MaxEncodedBytes must not exceed
-// Capacity. The builder's state doesn't change until Applied is called: if the write was not
+// Capacity. The builder's state doesn't change until Applied is called. If the write was not
 // applied, the caller calls Add again.
 func (b *PageBuilder) Add(rows []Row, now time.Time) (PageWrite, error) {
 	day := Day(now)
--- a/internal/accounting/recorded_test.go
+++ b/internal/accounting/recorded_test.go
@@ -53,9 +53,9 @@
 	Value string `json:"data"`
 }
 
-// The recorded page can be unpacked, and its rows result in the same key and text. A new release
-// of the compression library may produce another text; the old page must still be readable then,
-// and a new one is recorded in addition.
+// The recorded page can be unpacked, and its rows result in the same key and text. If a new release
+// of the compression library produces another text, the new page is recorded in addition. The old
+// page must still be readable.
 func TestRecordedPages(t *testing.T) {
 	rows := []Row{fullRow(), {}, {Kind: RowJob, UID: "j-2", State: "CANCELLED", Tasks: 1}}
 	write, err := NewPageBuilder(0xab7, 7<<10).Add(rows, time.Date(2026, 11, 30, 23, 59, 0, 0, time.UTC))
--- a/internal/accounting/row.go
+++ b/internal/accounting/row.go
@@ -46,7 +46,7 @@
 
 	// Set for attempts only.
 	Useful bool    // whether the attempt completed its task
-	Price  float32 // per hour, of its share of the machine
+	Price  float32 // price per hour of the share of the machine that the attempt occupies
 }
 
 // Kinds of row.
--- a/internal/slurm/dependency.go
+++ b/internal/slurm/dependency.go
@@ -64,7 +64,8 @@
 	return deps, nil
 }
 
-// parseDependencyJob parses a job number with an optional delay: JOB[+MINUTES].
+// parseDependencyJob parses a job number with an optional delay: JOB[+MINUTES]. A delay is an
+// error unless kind is jobspec.After.
 func parseDependencyJob(kind, id string) (jobspec.Dependency, error) {
 	number, delay, hasDelay := strings.Cut(id, "+")
 	if strings.Contains(number, "_") {
--- a/internal/slurm/description.go
+++ b/internal/slurm/description.go
@@ -83,8 +83,9 @@
 	}
 }
 
-// exportedEnv returns the user's environment variables selected by --export. It omits SLURM_*
-// and SBATCH_* variables: if the user submits from within a job, they describe that other job.
+// exportedEnv returns the variables that --export selects from the user's environment or sets as
+// NAME=VALUE. It omits SLURM_* and SBATCH_* variables of the environment: if the user submits
+// from within a job, they describe that other job.
 func exportedEnv(export string, env []string) map[string]string {
 	all := map[string]string{}
 	for _, setting := range env {
--- a/internal/slurm/node_selection.go
+++ b/internal/slurm/node_selection.go
@@ -13,7 +13,8 @@
 type nodeNames struct{ types, zones []string }
 
 // selectNodes restricts the job to the machine types and the zone selected by --nodelist and not
-// excluded by --exclude.
+// excluded by --exclude. It fails if a name is unknown, if nothing remains, or if several but not
+// all zones remain.
 func selectNodes(job *wire.Job, o *Options, site *jobquery.Site) error {
 	all := nodeNames{zones: site.Zones}
 	for _, t := range site.Types {
--- a/internal/slurm/option_values.go
+++ b/internal/slurm/option_values.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// setMemory returns a setter for an amount of memory, which is stored in MB.
+// setMemory returns a setter for an amount of memory. It parses the value with ParseMemoryMB.
 func setMemory(dest func(o *Options) *float64) setter {
 	return func(o *Options, v string, _ time.Time) (err error) {
 		*dest(o), err = ParseMemoryMB(v)
@@ -50,8 +50,8 @@
 	}
 }
 
-// ParseMemoryMB parses an amount of memory, in megabytes or with the unit K, M, G or T, and
-// returns it in megabytes. Zero, with which Slurm requests all memory of a node, is rejected.
+// ParseMemoryMB parses an amount of memory and returns it in megabytes. The unit may be K, M, G or
+// T, and is M by default. Zero, with which Slurm requests all memory of a node, is an error.
 func ParseMemoryMB(v string) (float64, error) {
 	units := map[byte]float64{'K': 1. / 1024, 'M': 1, 'G': 1024, 'T': 1024 * 1024}
 	number, unit := v, 1.0
@@ -74,7 +74,7 @@
 const maxTimeLimitS = 366 * 24 * 3600
 
 // ParseTimeLimit parses a time limit in any of Slurm's formats and returns it in seconds; 0
-// means unlimited.
+// means unlimited. A limit above maxTimeLimitS is an error.
 func ParseTimeLimit(v string) (float64, error) {
 	invalid := fmt.Errorf("%.40q is not a time limit", v)
 	switch strings.ToUpper(v) {
--- a/internal/slurm/options.go
+++ b/internal/slurm/options.go
@@ -28,7 +28,7 @@
 	LimitS                      float64 // maximum run time in seconds; 0: unlimited
 	BeginMs, DeadlineMs         int64   // Unix time in milliseconds; 0: none
 	Dependency                  string
-	KillInvalid                 bool     // cancel the job once its dependency can't be satisfied
+	KillInvalid                 bool     // cancel the job once its dependency can never be satisfied
 	NodeList, Exclude           []string // names of machine types and zones
 	Spot                        bool
 	Nice                        int
@@ -105,8 +105,8 @@
 	{name: "wrap", only: Sbatch, set: setText(func(o *Options) *string { return &o.Wrap }), help: "a command instead of a script"},
 }
 
-// unsupportedOptions are the Slurm options without an equivalent in wallrack. Their error text
-// differs from that of options in neither list, which are unknown to Slurm too.
+// unsupportedOptions are the Slurm options without an equivalent in wallrack. An option that is
+// neither here nor in optionTable is unknown to Slurm too and has a different error text.
 var unsupportedOptions = strings.Fields(`acctg-freq batch bb bbf bell burst-buffer cluster-constraint clusters comment container container-id contiguous
 	core-spec cores-per-socket cpu-bind cpu-freq cpus-per-gpu delay-boot disable-stdout-job-summary distribution epilog exact exclusive export-file
 	extra-node-info get-user-env gid gpu-bind gpu-freq gpus-per-node gpus-per-socket gres-flags hint ignore-pbs immediate input interactive
--- a/internal/slurm/sacct_filter.go
+++ b/internal/slurm/sacct_filter.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// AcctFilter selects the jobs that sacct lists: those that existed in a period and match all
-// lists. An empty list matches all jobs.
+// AcctFilter selects the jobs that sacct lists. A job must match every list, and its time from
+// submission to end must overlap the period. An empty list matches all jobs.
 type AcctFilter struct {
 	FromMs, ToMs                             int64 // period in Unix milliseconds; ToMs 0: unbounded
 	Users, Accounts, Partitions, States, QOS []string
@@ -15,8 +15,8 @@
 	Jobs                                     []JobSelector
 }
 
-// Matches reports whether the filter selects a record. MatchesRow decides which of its rows are
-// listed.
+// Matches reports whether a record matches the period and all lists except States. MatchesRow
+// decides which of the record's rows are listed.
 func (f *AcctFilter) Matches(r *Record) bool {
 	job := &r.Job
 	if f.ToMs > 0 && job.Submit > f.ToMs || job.End > 0 && job.End < f.FromMs {
@@ -28,8 +28,8 @@
 		}))
 }
 
-// MatchesRow reports whether the filter selects a row of a record for which Matches returned
-// true.
+// MatchesRow reports whether a row matches the lists States and Jobs. Matches must have returned
+// true for its record.
 func (f *AcctFilter) MatchesRow(r *AcctRow) bool {
 	if !matchesList(f.States, r.State) {
 		return false
--- a/internal/slurm/sacct_lines.go
+++ b/internal/slurm/sacct_lines.go
@@ -22,7 +22,7 @@
 	EndMs    int64 // 0: not ended
 	Machine  string
 	CPUs     float64 // allocated
-	Price    float64 // per hour, of its share of the worker's machine
+	Price    float64 // price per hour of the share of the machine that the attempt occupies
 	UsefulS  float64 // run time of attempts that completed their task or are still running
 	LostS    float64 // run time of attempts that ended without completing their task
 	Cost     float64
@@ -41,7 +41,8 @@
 }
 
 // AcctRows returns sacct's rows of a record: the allocation and the steps of each task that has
-// attempts, followed by one row for all tasks without attempts.
+// attempts, followed by one row for all tasks without attempts, if any. The options determine
+// which steps are included.
 func AcctRows(r *Record, o AcctOptions) []AcctRow {
 	b := acctRowBuilder{record: r, options: o, tasks: int(max(1, r.Job.Tasks))}
 	b.indices = indices(b.tasks, r.Job.Array)
@@ -79,7 +80,8 @@
 func (b *acctRowBuilder) isArray() bool { return isArray(b.tasks, b.record.Job.Array) }
 
 // taskRows returns the row of a task's allocation and the rows of its steps, which are the task's
-// attempts. The allocation has the sums of all attempts and the state of the last one.
+// attempts. The allocation contains the sums of all attempts and the state of the last one. If the
+// last attempt was preempted or lost, the state is PENDING for an active job, else the job's state.
 func (b *acctRowBuilder) taskRows(attempts []accounting.Row) (allocation AcctRow, steps []AcctRow) {
 	job, task := &b.record.Job, int(attempts[0].Task)
 	row := b.base
@@ -106,7 +108,8 @@
 	return row, steps
 }
 
-// stepRow returns the row of one attempt of an allocation.
+// stepRow returns the row of one attempt of an allocation. restarts is the number of earlier
+// attempts. An attempt that has not ended counts as useful up to now.
 func (b *acctRowBuilder) stepRow(allocation *AcctRow, attempt *accounting.Row, restarts int) AcctRow {
 	step := *allocation
 	step.UsefulS, step.LostS, step.Cost = 0, 0, 0
@@ -130,7 +133,8 @@
 	return step
 }
 
-// notRunRow returns the row of the tasks without recorded attempts.
+// notRunRow returns the row of the tasks without recorded attempts. ran contains the tasks that
+// have attempts.
 func (b *acctRowBuilder) notRunRow(ran map[int]bool) AcctRow {
 	job := &b.record.Job
 	row := b.base
--- a/internal/slurm/sacct_records.go
+++ b/internal/slurm/sacct_records.go
@@ -85,9 +85,9 @@
 	return row
 }
 
-// Records returns the records ordered by job number. It must be called only once. Attempts
-// whose job was not added are omitted: the job ended on a day that was not read, or another
-// controller lists it.
+// Records returns the records ordered by job number. It must be called only once. It moves a job's
+// start to that of its earliest attempt. Attempts whose job was not added are omitted: the job
+// ended on a day that was not read, or another controller lists it.
 func (c *Collector) Records() []*Record {
 	records := make([]*Record, 0, len(c.jobs))
 	for uid, record := range c.jobs {
--- a/internal/slurm/sacct_sums.go
+++ b/internal/slurm/sacct_sums.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Sum is the total usage of a group of jobs. Its tags are the names of the columns in exports.
+// Sum is the total usage of a group of jobs. The tags of its fields are the column names in exports.
 type Sum struct {
 	Key            string  `json:"key" parquet:"key"`
 	Jobs           int     `json:"jobs" parquet:"jobs"`
@@ -21,8 +21,8 @@
 	TotalWaitS     float64 `json:"wait_s" parquet:"wait_s"` // sum of the jobs' times from eligible to start, in seconds
 }
 
-// groupKeys returns, for each value of wallctl accounting report --by, the function that returns
-// the group of a record.
+// groupKeys returns the functions that determine the group of a record. The map's keys are the values
+// of wallctl accounting report --by.
 func groupKeys(zone *time.Location) map[string]func(*Record) string {
 	return map[string]func(*Record) string{
 		"account": func(r *Record) string { return r.Job.Team },
--- a/internal/slurm/scontrol.go
+++ b/internal/slurm/scontrol.go
@@ -11,8 +11,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// ShowJob formats a job as scontrol show job does. For an ended job it prints only the final
-// state, because the other fields are not retained.
+// ShowJob formats a job as scontrol show job does. For an ended job the text contains only the
+// final state, because the other fields are not retained.
 func ShowJob(info *jobquery.Info, zone *time.Location) string {
 	if info.Constraints == nil {
 		return showEndedJob(info, zone)
@@ -47,8 +47,8 @@
 	return b.String()
 }
 
-// showEndedJob formats an ended job from its final state, which is retained indefinitely. All
-// other data about ended jobs is in accounting.
+// showEndedJob formats an ended job from its final state, which is retained indefinitely. Without
+// info.Ending it derives the state from the stage. All other data about ended jobs is in accounting.
 func showEndedJob(info *jobquery.Info, zone *time.Location) string {
 	ending := info.Ending
 	if ending == nil {
--- a/internal/slurm/script.go
+++ b/internal/slurm/script.go
@@ -17,8 +17,9 @@
 	args []string // after shell unquoting
 }
 
-// parseDirectives returns the #SBATCH lines before the first command of a script. The error is a
-// *UsageError.
+// parseDirectives returns the #SBATCH lines before the first command of a script. It fails
+// with a *UsageError if the script doesn't start with #!, if it contains DOS line breaks or a zero
+// byte, or if the quotes of an #SBATCH line are malformed.
 func parseDirectives(script string) ([]directive, error) {
 	if !strings.HasPrefix(script, "#!") {
 		return nil, &UsageError{Message: "This does not look like a batch script.  The first line must start with #! followed by the path to an interpreter."}
@@ -74,7 +75,7 @@
 }
 
 // FromScript returns the options set by a script's #SBATCH lines. It validates each line
-// separately, so that the error, a *UsageError, names the line.
+// separately, so that an error about a line names it. The error is a *UsageError.
 func FromScript(script string, now time.Time) (OptionValues, error) {
 	lines, err := parseDirectives(script)
 	if err != nil {
--- a/internal/slurm/sinfo.go
+++ b/internal/slurm/sinfo.go
@@ -9,7 +9,8 @@
 )
 
 // NodeRow is a line of sinfo: either one worker, or all workers with the same machine type and
-// state.
+// state. For several workers, UsedCPUs is their sum; all other fields of MachineInfo are those of
+// the first worker.
 type NodeRow struct {
 	wire.MachineInfo
 	Partition string
@@ -114,8 +115,8 @@
 	return row
 }
 
-// NodeTable returns sinfo's layout for a format (the value of -o). If it is empty, it returns the
-// default layout, or that of -N if eachWorker is set. The error is a *UsageError.
+// NodeTable returns sinfo's layout for a format (the value of -o). If the format is empty, NodeTable
+// returns the default layout, or the layout of -N if eachWorker is set. The error is a *UsageError.
 func NodeTable(format string, eachWorker bool) (*Table[NodeRow], error) {
 	switch {
 	case format != "":
--- a/internal/slurm/sources.go
+++ b/internal/slurm/sources.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/pflag"
 )
 
-// OptionValues maps the long names of the options that one source sets to their unvalidated
-// values. Sources are the command line, the environment and the script.
+// OptionValues contains the options that one source sets. The keys are long option names, the values
+// are not validated. Sources are the command line, the environment and the script.
 type OptionValues map[string]string
 
 // newFlagSet returns the parser for a command's options. Parsing stops at the first positional
@@ -39,7 +39,7 @@
 // Help returns the help text for a command's options.
 func Help(cmd Command) string { return newFlagSet(cmd).FlagUsages() }
 
-// ErrHelp is returned by ParseArgs if the arguments contain --help.
+// ErrHelp is returned by ParseArgs if the arguments contain --help or -h.
 var ErrHelp = pflag.ErrHelp
 
 // ParseArgs splits a command line into its options and the positional arguments. It doesn't
@@ -77,7 +77,7 @@
 }
 
 // FromEnv returns the options set by environment variables: SBATCH_* for sbatch, SLURM_* for
-// srun.
+// srun. An empty variable is ignored, unless its option takes no value.
 func FromEnv(cmd Command, lookup func(string) (string, bool)) OptionValues {
 	prefix := "SBATCH_"
 	if cmd == Srun {
@@ -101,7 +101,8 @@
 }
 
 // MergeOptions merges the sources, in which later ones override earlier ones, and validates the
-// resulting values. Relative times are resolved against now. The error is a *UsageError.
+// resulting values. Relative times are resolved against now. By default a job has one task with
+// one CPU, and exports all variables. The error is a *UsageError.
 func MergeOptions(_ Command, now time.Time, sources ...OptionValues) (*Options, error) {
 	o := &Options{Tasks: 1, CPUs: 1, Export: "ALL"}
 	merged := OptionValues{}
--- a/internal/slurm/squeue_filter.go
+++ b/internal/slurm/squeue_filter.go
@@ -13,7 +13,7 @@
 type JobSelector struct {
 	Number  uint64
 	Indices jobspec.Ranges // array indices of the selected tasks; unused if All is set
-	All     bool           // selects the whole job Number, or the one task that has this number
+	All     bool           // selects the job whose number is Number, or the one array task with that job number
 }
 
 // invalidID returns the error for a malformed job id.
@@ -43,9 +43,8 @@
 	return JobSelector{Number: n, Indices: indices}, nil
 }
 
-// TasksByIndex translates array indices to the numbers of the job's tasks, from 0. The job has
-// the given number of tasks and the given --array value. It fails if an index is not in the
-// array.
+// TasksByIndex translates array indices to task indices, which start at 0. The job has the given
+// number of tasks and the given --array value. It fails if an index is not in the array.
 func TasksByIndex(wanted jobspec.Ranges, tasks int, array string) (jobspec.Ranges, error) {
 	arrayIndices := indices(tasks, array)
 	var found []int
@@ -59,8 +58,8 @@
 	return jobspec.RangesOf(found), nil
 }
 
-// QueueFilter selects the rows that squeue lists and scancel cancels. An empty list matches all
-// rows.
+// QueueFilter selects the rows that squeue lists, and those whose tasks scancel cancels. An empty
+// list matches all rows.
 type QueueFilter struct {
 	Users, States, Partitions, Accounts, Names, QOS []string
 	Jobs                                            []JobSelector
@@ -81,7 +80,8 @@
 	return slices.ContainsFunc(f.Jobs, func(t JobSelector) bool { return t.matchesRow(r) })
 }
 
-// matchesRow reports whether the selector selects the row or one of its tasks.
+// matchesRow reports whether the selector selects the row's task. A row that stands for several
+// tasks matches if the selector is for any task of the same job, even one that is not in the row.
 func (t JobSelector) matchesRow(r *QueueRow) bool {
 	last := r.Constraints.Number + uint64(max(1, r.Job.Tasks)) - 1
 	switch {
--- a/internal/slurm/squeue_rows.go
+++ b/internal/slurm/squeue_rows.go
@@ -41,7 +41,7 @@
 type QueueRow struct {
 	*jobquery.Info
 	ID            string // job id as squeue prints it
-	RawID         uint64 // job number of the task; that of the job if the row stands for several tasks
+	RawID         uint64 // job number of the task; the job's number if the row stands for several tasks or the job is no array
 	Index         string // array indices of the row's tasks; "": not an array
 	State         string
 	PendingReason string // why a pending row has not started
@@ -72,8 +72,9 @@
 	return ranges
 }
 
-// QueueRows returns squeue's rows for a job. If eachTask is set, each pending task of an array has
-// its own row; otherwise one row stands for all pending tasks.
+// QueueRows returns squeue's rows for a job: first the pending tasks, then one row per placed task.
+// If eachTask is set, each pending task of an array has its own row; otherwise one row stands for
+// all of them. It returns nil if info.PendingTasks is malformed.
 func QueueRows(info *jobquery.Info, eachTask bool, nowMs int64, zone *time.Location) []QueueRow {
 	number := info.Constraints.Number
 	b := queueRowBuilder{
@@ -185,8 +186,8 @@
 	return FormatDuration(r.Constraints.LimitS-r.runTimeS(), true)
 }
 
-// expectedStartMs returns the Unix time at which the row's task started or, while it is pending,
-// the time of --begin; 0 if neither is known.
+// expectedStartMs returns the Unix time in milliseconds at which the row's task started or, while
+// it is pending, the time of --begin. It returns 0 if that time is unknown.
 func (r *QueueRow) expectedStartMs() int64 {
 	if r.StartMs > 0 || r.State != statePending {
 		return r.StartMs
@@ -194,8 +195,8 @@
 	return r.Constraints.BeginMs
 }
 
-// endMs returns the Unix time at which the time limit will be reached; 0 if the task has not
-// started or has no limit.
+// endMs returns the Unix time in milliseconds at which the time limit will be reached; 0 if the
+// task has not started or has no limit.
 func (r *QueueRow) endMs() int64 {
 	if r.StartMs == 0 || r.Constraints.LimitS == 0 {
 		return 0
--- a/internal/slurm/squeue_table.go
+++ b/internal/slurm/squeue_table.go
@@ -38,15 +38,15 @@
 	{'E', "Dependency", "DEPENDENCY", 20, func(r *QueueRow) string { return orDefault(formatDependencies(r.Constraints), "(null)") }},
 }
 
-// Default formats of squeue; startFormat is that of squeue --start.
+// Default formats of squeue: queueFormat without --start, startFormat with it.
 const (
 	queueFormat = "%.18i %.9P %.8j %.8u %.2t %.10M %.6D %R"
 	startFormat = "%.18i %.9P %.8j %.8u %.2t %.19S %.6D %R"
 )
 
-// QueueTable returns squeue's layout. names (the value of -O) takes precedence over format (that
-// of -o); if both are empty, it returns the default layout, or that of --start if start is set.
-// The error is a *UsageError.
+// QueueTable returns squeue's layout. format is the value of -o, names that of -O, which takes
+// precedence. If both are empty, QueueTable returns the default layout, or the layout of --start if
+// start is set. The error is a *UsageError.
 func QueueTable(format, names string, start bool) (*Table[QueueRow], error) {
 	switch {
 	case names != "":
--- a/internal/slurm/table.go
+++ b/internal/slurm/table.go
@@ -90,7 +90,8 @@
 	return t.line(func(c *column[R]) string { return c.format(r) })
 }
 
-// parseFormat parses a format string such as "%.18i %9P", in which a dot right-aligns the column.
+// parseFormat parses a format string such as "%.18i %9P". A column consists of %, an optional dot,
+// which right-aligns it, an optional width and the letter of a field. The error is a *UsageError.
 func parseFormat[R any](spec string, fields []field[R]) (*Table[R], error) {
 	t := &Table[R]{}
 	literal := &t.prefix
--- a/internal/slurm/text.go
+++ b/internal/slurm/text.go
@@ -23,8 +23,8 @@
 	return fmt.Sprintf("%02d:%02d:%02d", h, m, s)
 }
 
-// formatTime formats a Unix time in milliseconds in the given zone. It returns none if ms is not
-// positive.
+// formatTime formats a Unix time in milliseconds in the given zone. If ms is not positive, it
+// returns the text passed as none.
 func formatTime(ms int64, none string, zone *time.Location) string {
 	if ms <= 0 {
 		return none
@@ -32,8 +32,8 @@
 	return time.UnixMilli(ms).In(zone).Format("2006-01-02T15:04:05")
 }
 
-// formatMemory formats an amount of memory as squeue does: in G if it is a whole number of
-// gigabytes, else in M.
+// formatMemory formats an amount of memory, given in GB, as squeue does: with the unit G if it is a
+// whole number of gigabytes, else with M.
 func formatMemory(gb float64) string {
 	mb := gb * 1024
 	if mb >= 1024 && mb == float64(int64(mb/1024))*1024 {
@@ -45,7 +45,7 @@
 // formatNumber formats a number with as few digits as represent it exactly.
 func formatNumber(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
 
-// orDefault returns s, or none if s is empty.
+// orDefault returns s if it is not empty, otherwise the text passed as none.
 func orDefault(s, none string) string { return cmp.Or(s, none) }
 
 // formatExitCode formats an exit code as Slurm does: CODE:0, or 0:SIGNAL for a code above 128,
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%d:0", code)
 }
 
-// formatGRES formats a number of GPUs as a Slurm generic resource.
+// formatGRES formats a number of GPUs as a Slurm generic resource, or N/A if it is 0.
 func formatGRES(gpus float64) string {
 	if gpus == 0 {
 		return "N/A"
--- a/internal/slurm/times.go
+++ b/internal/slurm/times.go
@@ -14,7 +14,8 @@
 }
 
 // ParseTime parses a date or time in any of Slurm's formats, in now's time zone. A time of day
-// that has passed today refers to tomorrow. If the error is not nil, the returned time is now.
+// that has passed today refers to tomorrow, and "today" means now. If the error is not nil, the
+// returned time is now.
 func ParseTime(v string, now time.Time) (time.Time, error) {
 	low := strings.ToLower(strings.TrimSpace(v))
 	invalid := fmt.Errorf("%.40q is not a time", v)
@@ -109,7 +110,8 @@
 }
 
 // ParsePastTime parses the start or end of a report's period. It accepts the same formats as
-// ParseTime, but a time of day refers to its last occurrence.
+// ParseTime. A result after now is moved back by one day if v contains neither "-" nor "/", so that
+// a time of day refers to its last occurrence.
 func ParsePastTime(v string, now time.Time) (time.Time, error) {
 	t, err := ParseTime(v, now)
 	if err == nil && t.After(now) && !strings.ContainsAny(v, "-/") {
--- a/internal/slurm/translate.go
+++ b/internal/slurm/translate.go
@@ -68,7 +68,7 @@
 }
 
 // setClassTeamPriority sets the job's class, team and priority. It fails if the site doesn't have
-// the class or the team.
+// the class or the team, or if the value of --qos is not a priority.
 func setClassTeamPriority(job *wire.Job, o *Options, site *jobquery.Site) (err error) {
 	job.Class, job.Team = cmp.Or(o.Partition, site.Class), cmp.Or(o.Account, site.Team)
 	if !slices.Contains(site.Classes, job.Class) {
@@ -82,7 +82,8 @@
 }
 
 // setConstraints sets the job's name, user and array, and the conditions under which it may
-// start and has to end.
+// start and has to end. It fails if the dependency is malformed, or if the deadline is not after
+// both now and the time of --begin.
 func (r *Request) setConstraints(o *Options, w *Invocation, now time.Time) (err error) {
 	c := &r.Constraints
 	c.Name, c.User, c.Held, c.BeginMs, c.LimitS, c.NoRetry = o.Name, w.User, o.Hold, o.BeginMs, o.LimitS, true
@@ -119,8 +120,9 @@
 }
 
 // setResources sets the number of the job's tasks and the resources of each. With sbatch, each
-// batch script is one wallrack task that has the resources of all --ntasks tasks; with srun,
-// each of the --ntasks tasks is a wallrack task.
+// batch script is one wallrack task with the resources of all --ntasks tasks. With srun, each of
+// the --ntasks tasks is a wallrack task. It fails if srun's GPUs can't be divided evenly
+// among the tasks, or if there are more than wire.MaxTasksPerJob tasks.
 func (r *Request) setResources(cmd Command, o *Options) error {
 	job := &r.Job
 	steps, err := r.setTasks(cmd, o)
@@ -148,8 +150,8 @@
 	return nil
 }
 
-// setTasks sets the number of the job's tasks and returns the number of Slurm tasks that each of
-// them comprises.
+// setTasks sets the number of the job's tasks and returns how many Slurm tasks run in each of them.
+// It makes an srun job of several tasks a gang.
 func (r *Request) setTasks(cmd Command, o *Options) (slurmTasksPerTask int, err error) {
 	job, option := &r.Job, "array"
 	switch {
--- a/internal/slurmapi/accounting.go
+++ b/internal/slurmapi/accounting.go
@@ -11,7 +11,8 @@
 )
 
 // serveAccountingDay serves a batch of the accounting pages of one day in their stored form. The
-// client unpacks them, so that the controller spends no processor time on it.
+// client unpacks them, so that the controller spends no processor time on it. A page that can't be
+// decoded is logged and omitted.
 func (s *Server) serveAccountingDay(w http.ResponseWriter, r *http.Request) {
 	prefix, err := accounting.DayPrefix(r.PathValue("day"))
 	if err != nil {
--- a/internal/slurmapi/failover_test.go
+++ b/internal/slurmapi/failover_test.go
@@ -20,8 +20,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// recoveringLeader is a leader after a failover that leads one job. Its fields state which part of
-// the job's state it has recovered.
+// recoveringLeader is a controller that leads one job after a failover. Its fields state which part
+// of the job's state it has recovered.
 type recoveringLeader struct {
 	fakeServices
 	shardsLoaded, runningTasksKnown bool
@@ -45,8 +45,8 @@
 }
 
 // After a failover, a leader that has not yet loaded its shards would serve a listing without
-// their jobs, and one without heartbeats would report running jobs as pending. Both must answer
-// 503 instead.
+// their jobs. A leader that has received no heartbeats would report a running job as pending. They
+// must answer 503 to these requests instead.
 func TestNewLeaderRefusesQueriesUntilStateIsRecovered(t *testing.T) {
 	for _, c := range []struct {
 		name                            string
--- a/internal/slurmapi/jobs.go
+++ b/internal/slurmapi/jobs.go
@@ -25,8 +25,8 @@
 const maxTasksBody = 16 << 10
 
 // serveList serves one page of the listing of all leaders' jobs, ordered by job number. It
-// answers 503 if one leader does not respond, because clients regard a job that is missing from a
-// listing as ended.
+// answers 503 if there is no leader, if one does not respond or if one is still loading its jobs,
+// because clients regard a job that is missing from a listing as ended.
 func (s *Server) serveList(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
@@ -58,8 +58,8 @@
 	writeJSONLines(w, "jobs", page.Jobs, jsonField{"next", page.Next}, jsonField{"now", page.NowMs})
 }
 
-// parseCursor parses the position at which a listing continues. Missing or malformed values are
-// read as 0, which is the beginning.
+// parseCursor parses the position at which a listing continues. Missing, malformed and
+// negative values are read as 0, which is the beginning.
 func parseCursor(query url.Values) (from jobquery.Cursor) {
 	from.Number, _ = strconv.ParseUint(query.Get("number"), 10, 64)
 	from.SkipPlacements, _ = strconv.Atoi(query.Get("on"))
@@ -68,8 +68,8 @@
 	return from
 }
 
-// mergeReply appends one leader's jobs to a page. The page's continuation is the smallest of
-// those of the replies.
+// mergeReply appends one leader's jobs to a page. page.Next becomes the position with the smallest
+// job number among the replies' positions.
 func mergeReply(page *jobquery.Page, reply Reply) {
 	page.Jobs = append(page.Jobs, reply.Jobs...)
 	if reply.Next != nil && (page.Next == nil || reply.Next.Number < page.Next.Number) {
@@ -77,8 +77,9 @@
 	}
 }
 
-// sortAndTruncate sorts a page merged from several leaders' replies by job number, and removes the
-// jobs beyond its continuation, which the next page contains.
+// sortAndTruncate sorts a page merged from several leaders' replies by job number. It removes the
+// jobs from page.Next on, which the next page contains. If page.Next is a position within a job,
+// that job stays.
 func sortAndTruncate(page *jobquery.Page) {
 	slices.SortStableFunc(page.Jobs, func(a, b jobquery.Info) int {
 		return cmp.Compare(a.Constraints.Number, b.Constraints.Number)
@@ -94,7 +95,7 @@
 
 // jobHandler returns the handler of requests about one job. The controller that leads the job
 // serves them. If none does, verbInfo reads the job from the state service, which also holds
-// the final states of ended jobs.
+// the final states of ended jobs. The answer is 503 if the outcome or the job's state is unknown.
 func (s *Server) jobHandler(verb string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		req := Request{Verb: verb, UID: r.PathValue("uid")}
@@ -130,12 +131,12 @@
 
 // mayRun reports whether a job read from the state service may be running. The state service
 // stores every active job as queued, so a queued job may be running unless it was accepted just
-// now.
+// now. Without a FailoverState it returns false.
 func (s *Server) mayRun(stored *jobquery.Info) bool {
 	return s.failoverState != nil && stored.Stage == wire.StageQueued && !scheduler.JustAccepted(stored.AcceptedMs)
 }
 
-// readTasks reads the tasks to cancel from a request body. The client receives its error texts.
+// readTasks reads the tasks to cancel from a request body. The texts of its errors are sent to clients.
 func readTasks(w http.ResponseWriter, r *http.Request) (string, error) {
 	var body struct {
 		Tasks string `json:"tasks"`
--- a/internal/slurmapi/numbers.go
+++ b/internal/slurmapi/numbers.go
@@ -13,7 +13,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// serveNumberAllocation allocates consecutive job numbers for the tasks of a job.
+// serveNumberAllocation allocates consecutive job numbers, one for each task of a job.
 func (s *Server) serveNumberAllocation(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Count int `json:"count"`
@@ -33,7 +33,8 @@
 	httpjson.Write(w, http.StatusOK, jobid.Job{First: first, Tasks: request.Count})
 }
 
-// serveNumberLookup serves the uid of the job that has a number.
+// serveNumberLookup serves the uid, the first number and the task count of the job to which a number
+// belongs.
 func (s *Server) serveNumberLookup(w http.ResponseWriter, r *http.Request) {
 	number, err := strconv.ParseUint(r.PathValue("n"), 10, 64)
 	if err != nil {
--- a/internal/slurmapi/peer_requests.go
+++ b/internal/slurmapi/peer_requests.go
@@ -29,8 +29,8 @@
 	verbCancelTasks = "drop" // cancels some of the job's tasks
 )
 
-// Reply is the response to a Request. Status is an HTTP status code; 0 means that the peer, like
-// the sender, doesn't know the outcome.
+// Reply is the response to a Request. Status is an HTTP status code; 0 means that the peer
+// doesn't know the outcome.
 type Reply struct {
 	Status int              `json:"status"`
 	Reason string           `json:"why,omitempty"`
@@ -52,7 +52,8 @@
 }
 
 // Serve serves a request from the jobs of the shards that this controller leads. It sends no
-// requests to peers.
+// requests to peers. Reply.Status is 0 if this controller doesn't know the outcome, for example
+// because it hasn't loaded its shards yet.
 func (s *Server) Serve(ctx context.Context, req Request) Reply {
 	var err error
 	switch req.Verb {
--- a/internal/slurmapi/ratelimit.go
+++ b/internal/slurmapi/ratelimit.go
@@ -8,13 +8,14 @@
 	"golang.org/x/time/rate"
 )
 
-// rateLimiter admits perS requests per second. The retry delays of rejected requests increase, so
-// that the clients don't all retry at the same time. It is safe for concurrent use.
+// rateLimiter admits perS requests per second, and bursts of as many as burstSeconds permit. The
+// retry delay grows with the number of rejected requests that have not been retried yet, so that the
+// clients don't all retry at the same time. It is safe for concurrent use.
 type rateLimiter struct {
 	mu             sync.Mutex
 	perS           float64
 	limit          *rate.Limiter
-	pendingRetries float64   // rejected requests whose retries are still due
+	pendingRetries float64   // estimated number of rejected requests that have not been retried yet
 	updatedAt      time.Time // time of the last update of pendingRetries
 }
 
@@ -28,7 +29,7 @@
 }
 
 // allow reports whether a request is admitted now and, if not, after how many seconds the client
-// should retry.
+// should retry: at least 1 s, at most maxRetryAfter.
 func (l *rateLimiter) allow(now time.Time) (retryAfterS int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/slurmapi/response.go
+++ b/internal/slurmapi/response.go
@@ -13,8 +13,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// writeProblem writes an error response. With 503 and 429 it sets Retry-After to retryAfterS, at
-// least 1.
+// writeProblem writes an error response. With status 503 or 429 it sets Retry-After to retryAfterS,
+// but at least 1 s. It ignores retryAfterS with any other status.
 func writeProblem(w http.ResponseWriter, status, retryAfterS int, reason string) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, retryAfterS)))
@@ -23,7 +23,7 @@
 }
 
 // writeError writes the response for an error: 404 if the job doesn't exist, 422 if the request is
-// invalid, otherwise 503, because the outcome is unknown.
+// invalid. After any other error the outcome is unknown, and the status is 503.
 func (s *Server) writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, statestore.ErrNotFound):
--- a/internal/slurmapi/server.go
+++ b/internal/slurmapi/server.go
@@ -1,9 +1,9 @@
 // Package slurmapi serves Slurm-style clients over HTTP: job numbers, submissions with
 // constraints, listings, holds, cancellation of single tasks, and accounting.
 //
-// The controller that leads a job serves the requests about it; a listing merges the jobs of all
+// The controller that leads a job serves the requests about it. A listing merges the jobs of all
 // leaders. Submissions use the same Submitter as jobs of other clients, so that the same rules
-// apply to them. Except for the rate limit, the package holds no state.
+// apply to them. The package holds no state besides that of the rate limit.
 package slurmapi
 
 import (
@@ -43,9 +43,9 @@
 // Jobs is the scheduler in this process. It holds the jobs of the shards that this controller
 // leads.
 type Jobs interface {
-	// ListJobs returns the jobs from a position on, ordered by job number, with at most limit jobs
-	// and running tasks in all. It also returns the position at which the list continues, nil at
-	// its end.
+	// ListJobs returns the jobs from a position on, ordered by job number. The number
+	// of jobs plus that of their running tasks is at most limit. It also returns the position at
+	// which the list continues, nil at its end.
 	ListJobs(from jobquery.Cursor, limit int) ([]jobquery.Info, *jobquery.Cursor)
 	LocalJobInfo(uid string) (jobquery.Info, bool)
 	// Hold prevents a job's pending tasks from starting if held is set, and otherwise releases
@@ -55,8 +55,8 @@
 	CancelTasks(ctx context.Context, uid string, tasks jobspec.Ranges) error
 }
 
-// FailoverState reports which part of the jobs' state a leader has recovered after a failover. Jobs
-// may implement it; otherwise the state is assumed to be complete.
+// FailoverState reports which part of the jobs' state a leader has recovered after a failover. An
+// implementation of Jobs may implement it too. If it doesn't, its state is assumed to be complete.
 type FailoverState interface {
 	submission.StageAuthority
 	// ShardsLoaded reports whether the jobs of all shards that this controller leads are in
@@ -126,7 +126,7 @@
 }
 
 // rateLimited limits the rate and the concurrency of expensive requests, so that they don't take
-// processor time from scheduling.
+// processor time from scheduling. Requests beyond a limit are answered with 429.
 func (s *Server) rateLimited(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if retryAfterS, ok := s.limiter.allow(time.Now()); !ok {
--- a/internal/slurmtask/files.go
+++ b/internal/slurmtask/files.go
@@ -7,8 +7,8 @@
 )
 
 // Files returns the paths of the files for standard output and standard error, "" for none.
-// Relative names are resolved against dir, the task's working directory. Without a pattern for
-// standard error, both are the same file.
+// Relative names are resolved against dir, the task's working directory. If t.Error is "", both
+// streams go to the same file.
 func (t *Task) Files(dir string) (stdout, stderr string) {
 	stdout, stderr = t.resolveFile(t.Output, dir), t.resolveFile(t.Error, dir)
 	if stderr == "" {
@@ -64,7 +64,8 @@
 	return name.String()
 }
 
-// zeroPad pads a value that starts with a digit with zeros to a width given in decimal digits.
+// zeroPad left-pads a number with zeros to a width, which is a decimal text and limited to
+// maxPadding. A value that doesn't start with a digit is returned unchanged.
 func zeroPad(value, width string) string {
 	n, _ := strconv.Atoi(width) // 0 without digits, the largest int on overflow
 	missing := min(n, maxPadding) - len(value)
@@ -77,7 +78,7 @@
 // absentIndexText is the text to which Slurm expands %a if the job is not an array.
 const absentIndexText = "4294967294"
 
-// patternValue returns the value of a letter after %.
+// patternValue returns the text that replaces % and a letter. known is false for an unknown letter.
 func (t *Task) patternValue(letter byte) (_ string, known bool) {
 	switch letter {
 	case '%':
--- a/internal/slurmtask/slurmtask.go
+++ b/internal/slurmtask/slurmtask.go
@@ -11,7 +11,7 @@
 
 // Context holds the Slurm-specific part of a task spec. It is the same for all tasks of a job.
 type Context struct {
-	Number  uint64 `json:"number"` // job number; task n of an array has the number Number+n
+	Number  uint64 `json:"number"` // job number; an array task has the job number Number+i, i being its task index (not array index)
 	Tasks   int    `json:"tasks"`
 	Array   string `json:"array,omitempty"` // array indices, such as 0-15:2; "": not an array
 	Name    string `json:"name,omitempty"`
@@ -32,7 +32,7 @@
 	arrayIndex int // index in the array; noArrayPosition if the job is not an array
 }
 
-// noArrayPosition is the arrayIndex of a task whose job is not an array.
+// noArrayPosition is the value of Task.arrayIndex if the job is not an array.
 const noArrayPosition = -1
 
 // NewTask returns an attempt of a task on a worker. Task indices start at 0, attempts at 1. It
@@ -54,8 +54,8 @@
 
 func (t *Task) inArray() bool { return t.arrayIndex != noArrayPosition }
 
-// jobNumber returns the value of SLURM_JOB_ID: each task of an array has its own number, all other
-// tasks have that of the job.
+// jobNumber returns the value of SLURM_JOB_ID: a task of an array has its own job
+// number. All other tasks have the number of their job.
 func (t *Task) jobNumber() uint64 {
 	if t.inArray() {
 		return t.Number + uint64(t.taskIndex)
--- a/internal/slurmtask/slurmtask_test.go
+++ b/internal/slurmtask/slurmtask_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// The length of an expanded file name is limited by that of its pattern.
+// A short pattern doesn't expand to a long file name: the pattern's length limits the name's length.
 func FuzzPattern(f *testing.F) {
 	f.Add("%A_%a.%9999999999j%")
 	f.Fuzz(func(t *testing.T, pattern string) {
