--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -15,8 +15,9 @@
 	// Error is the largest distance of a measurement from the line, divided by the
 	// largest measurement.
 	Error float64
-	// SlopeRatio is the slope between the last two measurements divided by the slope between
-	// the first two: 1 for linear growth, more for faster growth.
+	// SlopeRatio is the slope between the last two measurements divided by the slope between the
+	// first two: 1 for linear growth or if the slope between the first two is 0, more for faster
+	// growth.
 	SlopeRatio float64
 }
 
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -27,8 +27,8 @@
 	kindColumn  = 6
 )
 
-// ParsePage returns the rows of the table of slopes by name. These are the rows whose first cell is
-// a series' name between backquotes, such as `wire.report`.
+// ParsePage returns the rows of the table of slopes by name. These are the rows with numColumns
+// cells, the first of which is a series' name between backquotes, such as `wire.report`.
 func ParsePage(text string) (map[string]Row, error) {
 	rows := map[string]Row{}
 	for number, line := range strings.Split(text, "\n") {
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -43,8 +43,9 @@
 	return Fit(s.Sizes, values)
 }
 
-// Check measures the exact series and fails if a slope or fixed part is more than a tenth above or
-// below the page's figure. It also fails if the page's rows for the package differ from series.
+// Check measures the exact series and fails if a slope or fixed part differs from the page's figure
+// by more than a tenth; for a fixed part, a difference up to FixedSlack is also allowed. It fails
+// as well if the page's rows for the package don't have the names and kinds of series.
 func Check(t *testing.T, series ...Series) {
 	rows, err := ReadPage()
 	if err != nil {
@@ -164,8 +165,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// ProcessorTimeAfterSetup is like ProcessorTime for a call that needs a new setup each time. The
-// time of the setup is not counted.
+// ProcessorTimeAfterSetup returns the processor time, in ns, of the call that setup returns,
+// without that of setup. It is the median of several rounds, each with a new setup and one call.
 func ProcessorTimeAfterSetup(tb testing.TB, setup func() func()) float64 {
 	return Median(func() float64 {
 		call := setup()
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -24,7 +24,7 @@
 var (
 	// ErrNotFound means that the job was never accepted, or that the path doesn't exist.
 	ErrNotFound = errors.New("no such job")
-	// ErrRefused means that the request will never be accepted as it is.
+	// ErrRefused means that the request will not be accepted unless it is changed.
 	ErrRefused = errors.New("refused")
 	// ErrUnknown means that no conclusive response came in time: the request may have been
 	// executed, or may still be. Repeating it with the same id is safe.
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// encodeSubmission encodes a job with every field that a submission must have, including those
-// that the encoding of wire.Job omits when they are zero. The map sorts the keys, as the recorded
-// form of submissions requires.
+// encodeSubmission encodes a job with every field that a submission must have, including those that
+// the encoding of wire.Job omits when they are zero. It encodes a map, which sorts the keys, as the
+// recorded form of submissions requires.
 func encodeSubmission(job *wire.Job) ([]byte, error) {
 	data, err := json.Marshal(job)
 	if err != nil {
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -134,8 +134,8 @@
 	return resp, nil
 }
 
-// retry calls request until its outcome is conclusive or without error, or c.RetryTimeout is over. It
-// returns the error of the last attempt.
+// retry calls request until the outcome is conclusive, the error is nil, c.RetryTimeout is over, or
+// ctx ends. It returns the error of the last attempt.
 func (c *Client) retry(ctx context.Context, request func(context.Context) attempt) error {
 	limit := c.RetryTimeout
 	if limit == 0 {
--- a/internal/client/slurm.go
+++ b/internal/client/slurm.go
@@ -86,8 +86,9 @@
 	return &info, c.getJSON(ctx, "/slurm/jobs/"+url.PathEscape(uid), &info)
 }
 
-// Jobs lists the active jobs and calls each for every page. An error of each ends the listing. A
-// request for a page is repeated as in Send, and any controller can respond to the repeat.
+// Jobs lists the active jobs and calls each for every page. If each returns an error, Jobs stops
+// and returns it. A request for a page is repeated as in Send, and any controller can respond to
+// the repeat.
 func (c *Client) Jobs(ctx context.Context, each func(page *jobquery.Page) error) error {
 	var from jobquery.Cursor
 	for {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -23,14 +23,14 @@
 	RandomCostS           float64 // upper bound of the random term in C
 	PublishIntervalS      float64 // interval at which dispatchers send views to leaders on other controllers
 	WorkerConnectionShare float64 // share of a controller's connections above which workers are also assigned to other controllers; 0: never
-	ReplaceAfterS         float64 // wait beyond the expected one after which a queued task is also placed on another worker
+	ReplaceAfterS         float64 // wait beyond the expected wait, after which a queued task is also placed on another worker
 	HeartbeatTimeoutS     float64 // time without a heartbeat after which a machine is deleted
 	IdleTimeoutS          float64 // idle time after which a machine is deleted
 	HeadroomPct           float64 // spare capacity to provision above the demand, in percent
-	PackingPreferenceS    float64 // amount added to C for an empty worker, and in proportion for a partly empty one
+	PackingPreferenceS    float64 // amount added to C for an empty worker; a proportional amount is added for a partly empty one
 	OnDemandHeadroomPct   float64 // HeadroomPct for capacity that only on-demand machines can provide
 	LateStartCostS        float64 // amount added to C if a task would miss its start objective
-	SpotPreferenceShare   float64 // share of C added for a machine at twice the spot price, and in proportion for other prices
+	SpotPreferenceShare   float64 // share of C added for a machine at twice the spot price; a proportional share is added for other prices
 }
 
 // setting describes a key: the bounds of its value, inclusive, and the field that it sets.
@@ -73,7 +73,7 @@
 }
 
 // ParseOperator returns a copy of base with the settings in `(wallrack (key value) ...)` applied.
-// Unknown keys, duplicate keys and values out of bounds are errors.
+// Unknown keys, duplicate keys, invalid values, and more shard controllers than shards are errors.
 func ParseOperator(data []byte, base *Operator) (*Operator, error) {
 	operator := *base
 	entries, err := ParseEntries(data, "wallrack", "(key value)")
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -28,9 +28,10 @@
 	onAdmit func() // called after a connection has been counted
 }
 
-// New returns a limit for accepted connections, and a sender of commands, which share maxSockets (0:
-// no limit) in a process with the given number of peers. Idle connections of the sender are closed
-// when accepted connections need their sockets.
+// New returns a limit for accepted connections, and a sender of commands to workers. Both share the
+// process's maxSockets sockets (0: no limit), some of which are reserved for connections to peers
+// and services. Idle connections of the sender are closed when accepted connections need their
+// sockets.
 func New(maxSockets, peers int) (*Limit, *dispatch.HTTPCommandSender) {
 	l := &Limit{}
 	budget := sockets.Budget{MaxSockets: maxSockets, Peers: peers, Accepted: l.Open}
@@ -45,7 +46,8 @@
 // Max returns how many accepted connections may be open: math.MaxInt if there is no limit.
 func (l *Limit) Max() int { return l.max }
 
-// admit counts a new connection as open. It returns false if the limit is reached.
+// admit counts a new connection as open. If the limit is reached, it returns false and does not
+// count the connection.
 func (l *Limit) admit() bool {
 	if l.open.Add(1) > int64(l.max) {
 		l.open.Add(-1)
--- a/internal/failovertiming/failovertiming.go
+++ b/internal/failovertiming/failovertiming.go
@@ -66,7 +66,7 @@
 }
 
 // New returns a timeline of a process that starts now. A recovery that is not complete after
-// maxDuration ends and is logged incomplete, because failed workers never send a heartbeat.
+// maxDuration is ended and logged as it is, because failed workers never send a heartbeat.
 func New(state FailoverState, maxDuration time.Duration, log *slog.Logger) *Timeline {
 	now := time.Now()
 	return &Timeline{state: state, maxDuration: maxDuration, log: log, recoveryBegan: make(chan struct{}, 1), startedAt: now, beganAt: now, inProgress: true}
@@ -114,8 +114,9 @@
 	}
 }
 
-// LastRecovery returns the seconds from the beginning of the last recovery to each phase reached, by
-// the phase's name. The key "machines" holds the number of workers with recorded tasks.
+// LastRecovery returns the seconds from the beginning of the last recovery to each phase reached,
+// by the phase's name. During a recovery, the key "machines" holds the number of workers with
+// recorded tasks; it is 0 afterwards.
 func (t *Timeline) LastRecovery() map[string]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,8 +129,8 @@
 	return out
 }
 
-// Run polls the progress of recoveries and logs each when it ends, until ctx ends. No timer runs
-// between recoveries.
+// Run polls the progress of recoveries until ctx ends, and logs each recovery that completes or
+// exceeds maxDuration. No timer runs between recoveries.
 func (t *Timeline) Run(ctx context.Context) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -152,8 +153,10 @@
 	}
 }
 
-// poll updates the recovery from the failover's progress. It returns false if no recovery is in
-// progress any more.
+// poll updates the recovery from the failover's progress, and returns whether it is still in
+// progress. A recovery is complete when all workers have sent a heartbeat and, in addition, a start
+// was granted or startupWindow has passed since the recovery began. If no shard is claimed within
+// startupWindow of the process's start, the recovery ends without a log line.
 func (t *Timeline) poll() bool {
 	failovers, recorded, unresponsive := t.state.FailoverProgress()
 	t.mu.Lock()
--- a/internal/jobid/jobid.go
+++ b/internal/jobid/jobid.go
@@ -48,7 +48,7 @@
 	mu           sync.Mutex // held during requests: a concurrent one would only conflict with the first
 	next         uint64     // first unallocated number of the reserved block; 0 if no block is reserved
 	end          uint64     // first number after the reserved block
-	allocatedEnd uint64     // all numbers below are known to be allocated
+	allocatedEnd uint64     // all numbers below this one are known to be allocated
 }
 
 // New returns an allocator that has reserved no block yet.
@@ -159,14 +159,14 @@
 }
 
 // Key returns the key that maps a job's numbers to the job. It must be written in the transaction
-// that records the job's acceptance, guarded to not exist yet.
+// that records the job's acceptance, with a guard that it does not exist yet.
 func Key(first uint64, tasks int) string { return keyOfLast(first + numberCount(tasks) - 1) }
 
 // keyOfLast returns the key of the job whose last number is n.
 func keyOfLast(n uint64) string { return fmt.Sprintf("%s%014d", jobPrefix, n) }
 
 // Find returns the job that a number belongs to, or statestore.ErrNotFound. The first key at or
-// after the number belongs to the job with the next higher last number.
+// after the number's own key belongs to the job with the lowest last number that is at least n.
 func (a *Allocator) Find(ctx context.Context, n uint64) (Job, error) {
 	if n == 0 || n >= numberLimit {
 		return Job{}, statestore.ErrNotFound
--- a/internal/jobid/jobid_test.go
+++ b/internal/jobid/jobid_test.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// checkFound fails unless all numbers of the jobs, and no other allocated numbers, find them.
+// checkFound fails the test unless Find returns each job for all its numbers, and ErrNotFound for
+// the other allocated numbers.
 func checkFound(t *testing.T, allocator *jobid.Allocator, jobs []jobid.Job, allocated map[uint64]bool) {
 	t.Helper()
 	used := map[uint64]bool{}
--- a/internal/jobid/recorded_test.go
+++ b/internal/jobid/recorded_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// The records that an allocator writes to the state service and finds there.
+// The records that an allocator writes to the state service, and those it reads there, must not
+// change.
 func TestRecordedByAllocator(t *testing.T) {
 	store := testkit.NewStore()
 	view := &testkit.View{Store: store}
--- a/internal/local/load_balancer.go
+++ b/internal/local/load_balancer.go
@@ -63,7 +63,8 @@
 	return healthy
 }
 
-// proxyRequest forwards a request to the next healthy controller.
+// proxyRequest forwards a request to the next healthy controller. If there is none, or forwarding
+// fails, it responds with status 503.
 func (lb *LoadBalancer) proxyRequest(w http.ResponseWriter, r *http.Request) {
 	healthy := lb.healthyControllers()
 	if len(healthy) == 0 {
@@ -149,7 +150,8 @@
 	return resp.StatusCode == http.StatusUnprocessableEntity
 }
 
-// serveLogs serves the output of a task's last attempt, whichever worker ran it.
+// serveLogs serves the standard output of a task, or its standard error if the parameter stream
+// names it. If several attempts ran, on any workers, it serves the file that was written last.
 func (lb *LoadBalancer) serveLogs(w http.ResponseWriter, r *http.Request) {
 	task := r.PathValue("job") + "/" + r.PathValue("n")
 	if _, _, err := wire.ParseTask(task); err != nil {
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -82,8 +82,9 @@
 	return nil
 }
 
-// Run runs the site until ctx ends. It then stops all processes and services and returns nil.
-// ready is called once, with the URL for users, when jobs will be accepted.
+// Run runs the site until ctx ends. It then stops all processes and services and returns nil. It
+// returns an error if the configuration is invalid or a service can't start or fails. ready is
+// called once, with the URL for users, when jobs will be accepted.
 func (s *Site) Run(ctx context.Context, ready func(url string)) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -128,8 +129,8 @@
 	return db, nil
 }
 
-// cleanUpMachines kills orphaned processes of an earlier run, and removes the directories of the
-// oldest machines.
+// cleanUpMachines kills orphaned processes of an earlier run, and removes the directories of all
+// but the newest maxMachineDirs machines.
 func (s *Site) cleanUpMachines() error {
 	dirs, err := filepath.Glob(filepath.Join(s.Dir, "machines", "*"))
 	if err != nil {
--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -9,7 +9,7 @@
 	"github.com/wallrack/wallrack/internal/rollout"
 )
 
-// Parameters of a local site. S stands for seconds.
+// Parameters of a local site. The suffix S stands for seconds.
 const (
 	reportS  = 1.0
 	leaseS   = 10.0
--- a/internal/lowerbound/lowerbound.go
+++ b/internal/lowerbound/lowerbound.go
@@ -1,8 +1,8 @@
 // Package lowerbound computes lower bounds for the cost of a logged day and for the number of late
 // jobs. It reads the lines that controllers log for every ended job, and assigns the same work to
-// spot capacity first, with perfect knowledge and work that can be divided arbitrarily. No scheduler
-// can do better, because tasks are indivisible, workers take time to boot and arrivals are not known
-// in advance.
+// spot capacity first. It assumes that all jobs are known in advance and that work can be divided
+// arbitrarily. No scheduler can do better, because tasks are indivisible, workers take time to boot
+// and arrivals are not known in advance.
 package lowerbound
 
 import (
@@ -15,7 +15,7 @@
 type Result struct {
 	Jobs         int
 	TotalWork    float64            // CPU-seconds of all jobs
-	OnDemandWork float64            // CPU-seconds of it that spot capacity can't finish in time in any order
+	OnDemandWork float64            // CPU-seconds of TotalWork that spot capacity can't finish in time in any order
 	RelativeCost float64            // lowest possible cost, divided by the cost of all work on spot capacity
 	LateAsRun    map[string]float64 // logged share of late jobs, by class
 	LateOnSpot   map[string]float64 // the same on spot capacity alone, earliest deadline first
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -7,8 +7,8 @@
 )
 
 // Run calls call at each interval until ctx ends, and returns ctx's error. The first call is made
-// after one interval. If a call takes longer than the interval, the next one is delayed, and the
-// ticks missed in the meantime are skipped.
+// after one interval. If a call takes longer than the interval, the next call follows immediately,
+// and any further calls missed in the meantime are skipped.
 func Run(ctx context.Context, interval time.Duration, call func()) error {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/internal/rollout/health_checks.go
+++ b/internal/rollout/health_checks.go
@@ -27,7 +27,8 @@
 	hung      bool
 }
 
-// record counts the result of a check. Unknown is ignored.
+// record counts the result of a check and updates the replica's health if a threshold is reached.
+// It ignores Unknown.
 func (r *replicaHealth) record(health Health, check Check) {
 	switch health {
 	case Healthy:
@@ -64,8 +65,8 @@
 	return &healthChecker{prober: p, inFlight: make(chan struct{}, maxProbes), replicas: map[string]*replicaHealth{}}
 }
 
-// observe starts the checks that are due, as far as maxProbes allows, and returns the known
-// health of a job's replicas.
+// observe starts the checks that are due, unless maxProbes checks are in flight. It returns the
+// health of a job's replicas by the checks completed so far.
 func (c *healthChecker) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (status JobStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -79,7 +79,8 @@
 	return periodic.Run(ctx, tickInterval, func() { m.Tick(ctx) })
 }
 
-// Tick advances every active roll-out by at most one transition, if this controller is the leader.
+// Tick advances every active roll-out by at most one transition, if this controller is the leader
+// and has read the records. It logs errors.
 func (m *Manager) Tick(ctx context.Context) {
 	leaderGuard, ok := m.core.LeaderGuard()
 	m.mu.Lock()
--- a/internal/rollout/operations.go
+++ b/internal/rollout/operations.go
@@ -18,8 +18,9 @@
 )
 
 // Start records a new roll-out. If the service is unknown it is created, which needs replicas and a
-// template in the spec. Start fails with ErrInput if the spec is invalid, with
-// statestore.ErrUnavailable until the records were read, or with the state service's error.
+// template in the spec. Start fails with ErrInput if the spec is invalid, the service has an active
+// roll-out, a limit is exceeded or the record would be too large. It fails with
+// statestore.ErrUnavailable until the records have been read, or with the state service's error.
 func (m *Manager) Start(ctx context.Context, spec Spec) (*Run, error) {
 	spec.SetDefaults()
 	if err := spec.Validate(); err != nil {
@@ -63,7 +64,8 @@
 	return e.run, nil
 }
 
-// usage is the total of all services, which is compared with the limits.
+// usage holds the numbers of services, of active roll-outs and of all services' replicas, which are
+// compared with the limits.
 type usage struct {
 	services, runs, replicas int
 }
@@ -111,7 +113,8 @@
 }
 
 // ApplyVerb applies an operator's verb to a service's roll-out and returns the new state. It fails
-// with ErrInput if the verb is not allowed in the present phase, or with the state service's error.
+// with ErrInput if the service has no roll-out or the verb is unknown or not allowed in the present
+// phase, or with the state service's error. It retries up to maxVerbRetries times after a conflict.
 func (m *Manager) ApplyVerb(ctx context.Context, service, verb string) (*Run, error) {
 	for attempt := 0; ; attempt++ {
 		run, err := m.applyVerb(ctx, service, verb)
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -18,9 +18,9 @@
 	historyKey = keyPrefix + "past/"
 )
 
-// entry is a service and its latest roll-out, as recorded, and the known state of the jobs. Copies of
-// an entry share the maps submitted and cancelled, so these are replaced only in a new entry, before
-// it is copied.
+// entry is a service and its latest roll-out, as recorded, and the known state of the jobs. Copies
+// of an entry share the maps submitted and cancelled. Only reset replaces these maps, in new
+// entries that have not been copied yet.
 type entry struct {
 	service        Service
 	serviceVersion uint64 // version of the service's key; 0 if the service is not recorded
@@ -43,7 +43,8 @@
 	return next, err
 }
 
-// reset replaces all records by those that a watch starts with, and retains the state of jobs.
+// reset replaces all records by items, which are the records at the start of a watch. It retains
+// the known state of the jobs of each service that is still recorded.
 func (m *Manager) reset(items []wire.Item) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -60,7 +61,7 @@
 	m.synced = true
 }
 
-// applyEvents applies changes from the watch.
+// applyEvents applies the writes that the watch reports and ignores deletions.
 func (m *Manager) applyEvents(events []wire.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +81,8 @@
 	return e
 }
 
-// applyLocked stores a record if it is newer than the present one.
+// applyLocked stores a record if it is newer than the present one. An unreadable record is logged
+// and ignored.
 func (m *Manager) applyLocked(key string, value json.RawMessage, version uint64) {
 	var err error
 	if name, ok := strings.CutPrefix(key, serviceKey); ok {
@@ -115,9 +117,10 @@
 	return nil
 }
 
-// write records the roll-out of next, and also the service if that is new or the roll-out has ended.
-// The transaction fails if either record has changed since the versions in next, or if one of the
-// guards doesn't hold. Errors wrap the state service's error.
+// write records the roll-out of next. It also records the service if the service is new or the
+// roll-out has ended, and adds an ended roll-out to the history. The transaction fails if either
+// record has changed since the versions in next, or if one of the guards doesn't hold. Errors wrap
+// the state service's error.
 func (m *Manager) write(ctx context.Context, name string, next *entry, guards ...wire.Guard) error {
 	guards = append(guards, wire.Guard{Key: runKey + name, Version: next.runVersion}, wire.Guard{Key: serviceKey + name, Version: next.serviceVersion})
 	ops := []wire.Op{{Put: runKey + name, Value: next.run}}
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -13,7 +13,8 @@
 	"github.com/wallrack/wallrack/internal/config"
 )
 
-// Slot is a recurring blackout window in which no step of a roll-out begins.
+// Slot is a recurring blackout window. No step of a roll-out begins in it, unless Spec.IgnoreSlots
+// is set.
 type Slot struct {
 	Name   string
 	Start  cron.Schedule // in the slot's zone
@@ -109,7 +110,8 @@
 	return &Slot{Name: name, Start: start, Length: length}, nil
 }
 
-// ActiveAt reports whether a time is within the slot, and when the slot ends.
+// ActiveAt reports whether now is within an occurrence of the slot and, if so, when this occurrence
+// ends.
 func (s *Slot) ActiveAt(now time.Time) (until time.Time, active bool) {
 	start := s.Start.Next(now.Add(-s.Length))
 	if start.IsZero() || start.After(now) {
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -1,7 +1,8 @@
-// Package rollout moves a service to a new version step by step. If health checks fail it stops
-// and restores the previous version. A service is a set of jobs that run until they are
-// cancelled; a step submits a job with replicas of the new version, waits until they are
-// healthy, and cancels jobs of the old version.
+// Package rollout moves a service to a new version step by step. If a replica of the new version is
+// unhealthy, it restores the previous version or pauses, as Spec.OnFail says. It pauses if a health
+// check times out or a step takes too long. A service is a set of jobs that run until they are
+// cancelled; a step submits a job with replicas of the new version, waits until they are healthy,
+// and cancels jobs of the old version.
 //
 // Pure functions compute the next state (Advance, ApplyVerb). The state is stored in the state
 // service before it is acted on, and all actions are idempotent, so another controller can
@@ -61,7 +62,7 @@
 	SoakS       float64  `json:"soakS"`  // seconds that a step's replicas must stay healthy
 	PlaceS      float64  `json:"placeS"` // seconds within which a step's replicas must become healthy
 	OnFail      string   `json:"onFail"`
-	IgnoreSlots bool     `json:"anytime,omitempty"` // steps may begin in slots
+	IgnoreSlots bool     `json:"anytime,omitempty"` // steps may begin in slots and while a job of Settings.Classes is unfinished
 	Template    wire.Job `json:"template"`          // class, team, priority and resources of a new service
 	Replicas    int      `json:"replicas"`          // number of replicas of a new service
 }
@@ -149,9 +150,10 @@
 	return true
 }
 
-// Targets returns the number of new replicas after each step, for a service with the given number of
-// replicas. No step may be smaller than the previous one, and the last one must be all replicas.
-// Steps with the same result, which percentages of few replicas can have, are merged.
+// Targets returns the number of new replicas after each step, for a service with the given number
+// of replicas. No step may be smaller than the previous one, and the last one must be all replicas.
+// Successive steps with the same number of replicas, such as small percentages of few replicas, are
+// merged.
 func Targets(steps []string, replicas int) ([]int, error) {
 	if len(steps) == 0 || len(steps) > 50 {
 		return nil, fieldError("steps", "1 to 50 are needed")
@@ -178,7 +180,8 @@
 	return targets, nil
 }
 
-// parseStep parses a number of replicas, or a percentage of them like 25%, which is rounded up.
+// parseStep returns the number of replicas of a step. A percentage like 25% is rounded up, and a
+// number above replicas is reduced to replicas.
 func parseStep(field, step string, replicas int) (int, error) {
 	if part, ok := strings.CutSuffix(step, "%"); ok {
 		percent, err := strconv.ParseFloat(part, 64)
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -11,7 +11,8 @@
 
 const (
 	// restoreTimeout is how long a roll-back waits for the old version's replicas to be placed
-	// beside the new ones before it cancels the new ones to free their capacity.
+	// beside the new ones before it cancels the new ones to free their capacity. If an operator
+	// aborted the roll-out, it waits for Spec.PlaceS if that is longer.
 	restoreTimeout = 15 * time.Second
 	// maxLosses is how often replicas of one step may be lost while soaking before the roll-out pauses.
 	maxLosses = 3
@@ -57,7 +58,7 @@
 	return unhealthy, hung
 }
 
-// ended reports whether the jobs of all batches are cancelled.
+// ended reports whether the jobs of all batches have ended.
 func (s *Observation) ended(batches []Batch) bool {
 	return !slices.ContainsFunc(batches, func(batch Batch) bool { return !s.Jobs[batch.UID].Ended })
 }
@@ -190,7 +191,8 @@
 }
 
 // advanceRollback computes the next state of a roll-back. The new version's replicas are cancelled
-// once the old version's are healthy, or after a timeout if the old ones lack capacity to run.
+// once the old version's are healthy, or after a timeout if not all of the old ones run. The
+// roll-back ends when the old version's replicas are healthy and the cancelled jobs have ended.
 func (r *Run) advanceRollback(service *Service, observed *Observation, now time.Time) bool {
 	remaining := append(slices.Clone(r.Old), r.Restore...)
 	restored := observed.healthy(r.Restore) >= countReplicas(r.Restore)
--- a/internal/rollout/state_machine_test.go
+++ b/internal/rollout/state_machine_test.go
@@ -306,9 +306,10 @@
 	}
 }
 
-// Random sequences of crashes between a write and its actions, delayed messages, two concurrent
-// leaders, changes of health, slots and operators' verbs. The wanted replicas stay healthy, the surge
-// is bounded, each step begins once, and there is exactly one outcome.
+// The test generates random sequences of crashes between a write and its actions, delayed messages,
+// two concurrent leaders, changes of health, slots and operators' verbs. In each, the wanted
+// replicas stay healthy, the surge is bounded, each step begins once, and there is exactly one
+// outcome.
 func TestRolloutModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newModel(t)
--- a/internal/rolloutapi/service.go
+++ b/internal/rolloutapi/service.go
@@ -123,8 +123,9 @@
 	writeResult(w, run, err)
 }
 
-// statuses returns the leader's statuses, which include the replicas' health, or this controller's own
-// if no leader responds.
+// statuses returns this controller's statuses if it leads autoscaling or no other shard leader
+// responds. Otherwise it returns those of the first shard leader that responds. Only the leader of
+// autoscaling knows the replicas' health.
 func (s *Service) statuses(ctx context.Context) []rollout.Status {
 	if !s.scheduler.LeadsAutoscaling() {
 		for _, leader := range s.leaders.ShardLeaders() {
--- a/internal/slo/monitor.go
+++ b/internal/slo/monitor.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// recordLateness records the lateness of jobs that ended past their deadlines since the last check.
+// recordLateness records the lateness of jobs that ended past their deadlines since the last check,
+// except cancelled jobs.
 func (m *Monitor) recordLateness(living map[string]scheduler.JobStatus) {
 	for uid, job := range m.lastStatuses {
 		if _, ok := living[uid]; ok || job.DueS == nil || job.Cancelled {
--- a/internal/slo/objective.go
+++ b/internal/slo/objective.go
@@ -14,7 +14,7 @@
 	kindDeadline = "deadline" // all tasks are done within a multiple of the job's own deadline
 )
 
-// isMissed reports whether a living job misses an objective now.
+// isMissed reports whether a living job misses an objective now. A cancelled job misses none.
 func isMissed(objective *config.Objective, job *scheduler.JobStatus) bool {
 	if job.Cancelled || objective.Class != job.Class {
 		return false
--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -30,7 +30,7 @@
 }
 
 // MaxConcurrentRequests returns how many requests to workers may be in progress at the same time.
-// This number of sockets is reserved for them.
+// This number of sockets is reserved for them. It is minConcurrentRequests if MaxSockets is 0.
 func (b Budget) MaxConcurrentRequests() int {
 	return max(minConcurrentRequests, b.MaxSockets/requestDivisor)
 }
@@ -39,8 +39,9 @@
 // service, the cloud and its peers. Without this reserve the process could fail to renew its lease.
 func (b Budget) ownSockets() int { return baseSockets + socketsPerPeer*b.Peers }
 
-// MaxAccepted returns how many connections from users and workers may be open. Idle connections to
-// workers do not reduce this number: they are closed when their sockets are needed.
+// MaxAccepted returns how many connections from users and workers may be open, or math.MaxInt if
+// MaxSockets is 0. Idle connections to workers do not reduce this number: they are closed when
+// their sockets are needed.
 func (b Budget) MaxAccepted() int {
 	if b.MaxSockets == 0 {
 		return math.MaxInt
@@ -48,7 +49,9 @@
 	return b.MaxSockets - b.ownSockets() - b.MaxConcurrentRequests()
 }
 
-// WorkerConnectionLimits returns the current limits for connections to workers.
+// WorkerConnectionLimits returns the current limits for connections to workers. If MaxSockets is 0,
+// both limits are MaxConcurrentRequests. Otherwise they decrease as more accepted connections are
+// open, but not below MaxConcurrentRequests.
 func (b Budget) WorkerConnectionLimits() ConnectionLimits {
 	least := b.MaxConcurrentRequests()
 	if b.MaxSockets == 0 {
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -131,9 +131,10 @@
 	}
 }
 
-// Provision provisions at most the requested number of machines and returns their names; they
-// boot afterwards. It fails if no machine can be provisioned, and for all spot requests. A
-// repeated request name returns the names of the first request.
+// Provision provisions at most the requested number of machines and returns the machines' names;
+// they boot afterwards. It fails if the request is invalid or can't be recorded, if no machine can
+// be provisioned, and for all spot requests. If a request with the same name has succeeded before,
+// it returns the names of that request's machines and provisions none.
 func (c *Cloud) Provision(req *wire.ProvisionRequest) ([]string, error) {
 	machineType, ok := c.findMachineType(req)
 	if !ok || req.Name == "" || len(req.Name) > maxRequestName || req.Number < 1 || req.Number > maxProvision {
@@ -213,7 +214,9 @@
 	})
 }
 
-// boot launches a machine after its type's boot time.
+// boot launches a machine after its type's boot time, unless the machine has been deleted. The
+// machine is then listed as running, or as failed if the launch failed. A machine deleted during
+// its launch is terminated.
 func (c *Cloud) boot(m wire.ListedMachine, machineType wire.MachineType) {
 	time.Sleep(time.Duration(machineType.BootS * float64(time.Second)))
 	c.mu.Lock()
--- a/internal/standin/cloud_test.go
+++ b/internal/standin/cloud_test.go
@@ -16,7 +16,7 @@
 }
 func (noopLauncher) End(string) {}
 
-// Neither a zone nor the whole cloud is given more machines than its limit.
+// The number of machines in a zone, and in the whole cloud, stays within its limit.
 func TestCloudLimitsMachinesPerZone(t *testing.T) {
 	cloud, err := standin.OpenCloud(nil, []wire.MachineType{{Name: "m", Zones: []string{"a", "b"}}}, 7, noopLauncher{})
 	if err != nil {
--- a/internal/standin/metered.go
+++ b/internal/standin/metered.go
@@ -13,8 +13,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// RateLimits limits the rate of requests of all clients of a service together. Bursts of up to
-// one second's worth are accepted, as in the protocol. A nil *RateLimits imposes no limit.
+// RateLimits limits the rate of requests of all clients of a service together. Bursts of as many
+// requests as are allowed in one second are accepted, as in the protocol. A nil *RateLimits imposes
+// no limit.
 type RateLimits struct{ requests, writes *rate.Limiter }
 
 // NewRateLimits returns limits of rps requests per second, and of writeRPS puts and deletes per
@@ -60,8 +61,9 @@
 	})
 }
 
-// allowWrites reports whether the rate limits allow a transaction's puts and deletes. It counts
-// them even if the transaction's conditions then fail.
+// allowWrites reports whether the rate limits allow a transaction's puts and deletes. Without
+// Metered they are always allowed. If they are allowed, it counts them, even if the transaction's
+// conditions then fail. Otherwise it counts a refused request.
 func allowWrites(ctx context.Context, ops int) bool {
 	m, ok := ctx.Value(meterKey{}).(*meter)
 	if !ok {
--- a/internal/standin/records.go
+++ b/internal/standin/records.go
@@ -28,7 +28,8 @@
 	nextMachineKey = []byte("next-machine")
 )
 
-// update commits a change of the database. If db is nil, it does nothing.
+// update runs change in a transaction of db and commits the transaction. If db is nil, it does
+// nothing.
 func update(db *bbolt.DB, change func(*bbolt.Tx) error) error {
 	if db == nil {
 		return nil
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -56,9 +56,9 @@
 }
 
 // OpenState loads the records in db. Every lease starts again with its full TTL, as after an
-// outage. If db is nil, the records are kept in memory only. A transaction may have maxTxnOps
-// changes and four times as many conditions; a value may have valueKB KiB. The caller closes db
-// after the last request has ended and ExpireLeases has returned.
+// outage. If db is nil, the records are kept in memory only. A transaction may have at most
+// maxTxnOps changes and four times as many conditions. A value may have at most valueKB KiB. The
+// caller closes db after the last request has ended and ExpireLeases has returned.
 func OpenState(db *bbolt.DB, maxTxnOps int, valueKB float64) (*State, error) {
 	s := &State{
 		db: db, maxOps: maxTxnOps, maxValueBytes: int(valueKB * 1024),
--- a/internal/standin/state_http.go
+++ b/internal/standin/state_http.go
@@ -19,7 +19,7 @@
 	maxListBytes  = 512 << 10 // per listing
 	itemOverheadB = 64        // estimate of an item's size in a listing without its key and value
 	maxKeyBytes   = 200
-	maxWatchWait  = time.Minute // of a watch without changes
+	maxWatchWait  = time.Minute // how long a watch request may wait for changes
 
 	minTTLMs = 100
 	maxTTLMs = 600_000
@@ -65,8 +65,8 @@
 	httpjson.Write(w, http.StatusOK, list)
 }
 
-// listLocked lists the items with a prefix and with keys greater than after, up to limit items
-// and maxListBytes.
+// listLocked lists the items with a prefix and with keys greater than after: at most limit items
+// and maxListBytes, but always the first item.
 func (s *State) listLocked(prefix, after string, limit int) wire.Items {
 	list := wire.Items{Items: []wire.Item{}, Revision: s.revision}
 	size := 0
@@ -206,8 +206,9 @@
 	httpjson.Write(w, http.StatusNotFound, wire.Problem{Error: "no such lease"})
 }
 
-// serveWatch responds with the changes after a revision, or with no changes when the requested
-// wait has passed.
+// serveWatch responds with the changes of keys with a prefix after a revision, or with no changes
+// when the requested wait has passed. If some of the changes are no longer retained, it responds
+// with status 410.
 func (s *State) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	prefix := query.Get("starts")
--- a/internal/standin/state_test.go
+++ b/internal/standin/state_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// must fails the test if err is not nil.
+// must fails the test if err is not nil, and returns n otherwise.
 func must(t *testing.T, n uint64, err error) uint64 {
 	t.Helper()
 	if err != nil {
--- a/internal/taskspec/client.go
+++ b/internal/taskspec/client.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Get fetches a job's description, or fails with ErrNotFound.
+// Get fetches a job's description. It fails with ErrNotFound if none is stored.
 func (c *Client) Get(ctx context.Context, job string) (*Spec, error) {
 	status, body, err := c.do(ctx, http.MethodGet, job, nil)
 	switch {
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -23,7 +23,7 @@
 
 const bytesPerMB = 1 << 20
 
-// Duty is a part of the service for which the time spent is counted.
+// Duty is a kind of work of this process for which the time spent is counted.
 type Duty int
 
 // The duties. The remaining processor time is mostly HTTP, the garbage collector and the goroutine
@@ -85,8 +85,8 @@
 	dutyCounters[d].totalNs.Add(int64(time.Since(start)))
 }
 
-// DutyTotal is the number of times that a duty was performed since the process started, and their
-// total time.
+// DutyTotal is the number of times that a duty was performed since the process started, and the
+// total time spent on it.
 type DutyTotal struct {
 	Count   int64   `json:"count"`
 	Seconds float64 `json:"seconds"`
@@ -152,8 +152,8 @@
 	return m
 }
 
-// MemoryPressure reports whether this process held too much memory, at the last probe, to accept more
-// work. Probes take place once per second.
+// MemoryPressure reports whether the Go runtime held more memory than the limit at the last probe.
+// The process should then accept no more work. Probes take place once per second.
 func (m *Meter) MemoryPressure() bool { return m.pressure.Load() }
 
 // TimerDelay returns how late the last probe timer fired.
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -19,8 +19,8 @@
 	Types []MachineType `json:"builds"`
 }
 
-// ProvisionRequest provisions machines. It is idempotent: the cloud returns the same response to a
-// repeated request with the same name.
+// ProvisionRequest provisions machines. It is idempotent: if a request with the same Name has
+// succeeded before, the cloud returns the names of that request's machines and provisions none.
 type ProvisionRequest struct {
 	Name   string `json:"hire"` // unique name of the request
 	Type   string `json:"build"`
--- a/internal/wire/index.go
+++ b/internal/wire/index.go
@@ -5,7 +5,7 @@
 	indices map[string]int
 }
 
-// Of returns the index of a name, and assigns the next one if the name is new.
+// Of returns the index of a name. A new name is assigned the next unused index.
 func (x *Index) Of(name string) int {
 	i, ok := x.indices[name]
 	if !ok {
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -56,8 +56,8 @@
 }
 
 // decode reads the fields of a JSON object and returns an error for the first field of a wrong
-// type. It decodes the remaining fields regardless, because a repeated submission is answered by
-// its id, whatever else its body contains. Field names must match exactly: JSON libraries that
+// type. It decodes the remaining fields regardless, because a repeated submission is recognized by
+// its id even if other fields are invalid. Field names must match exactly: JSON libraries that
 // decode into a struct ignore case, so "CPUS" would be accepted for a missing "cpus".
 func (m *decodedJob) decode(given map[string]json.RawMessage) error {
 	var bad error
@@ -99,13 +99,13 @@
 
 const (
 	maxAmount       = 1e9 // upper bound for resources and seconds, so that sums stay exact
-	maxNameBytes    = 120 // bytes; limits every name in a job so that its record fits into a value of the state service
+	maxNameBytes    = 120 // limit for every name in a job, so that the job's record fits into a value of the state service
 	maxMachineTypes = 16  // machine types that a job may list
 )
 
-// ParseJob parses and validates a submission. The error starts with the name of the invalid field.
-// If the body is a JSON object, the job is returned along with the error, because the caller may
-// know its id from an earlier submission.
+// ParseJob parses and validates a submission. If the body is not a JSON object, it returns a nil
+// job. If a field is invalid, the error starts with the field's name, and the job is returned as
+// well, because the caller may know its id from an earlier submission.
 func ParseJob(body []byte) (*Job, error) {
 	trimmed := strings.TrimLeft(string(body), " \t\r\n")
 	if !strings.HasPrefix(trimmed, "{") {
@@ -219,7 +219,8 @@
 // maxIDSuffixBytes limits the length of a job id without its prefix, in bytes.
 const maxIDSuffixBytes = 40
 
-// ValidJobID reports whether id has the form of a job id: "j-" and letters, digits, '-' or '_'.
+// ValidJobID reports whether id has the form of a job id: "j-", followed by 1 to maxIDSuffixBytes
+// ASCII letters, digits, '-' or '_'.
 func ValidJobID(id string) bool {
 	suffix, ok := strings.CutPrefix(id, "j-")
 	if !ok || suffix == "" || len(suffix) > maxIDSuffixBytes {
--- a/internal/wire/recorded_test.go
+++ b/internal/wire/recorded_test.go
@@ -36,7 +36,8 @@
 	recorded.Check(t, "problem_empty", wire.Problem{})
 }
 
-// ParseJob lists the field names a second time, apart from the struct tags: they must be the same.
+// ParseJob has its own list of the field names, in addition to the struct tags. Both must contain
+// the same names.
 func TestRecordedSubmission(t *testing.T) {
 	body := recorded.Read(t, "job_full.json")
 	if job, err := wire.ParseJob(body); err != nil || !reflect.DeepEqual(*job, fullJob()) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -35,7 +35,7 @@
 	CauseDone    = "done"
 	CauseStopped = "halted" // stopped by a command
 	CauseError   = "error"
-	CauseNoRoom  = "no_room" // the worker lacks free resources for it
+	CauseNoRoom  = "no_room" // the worker lacks free resources for the task
 	CauseBusy    = "in_use"  // another attempt of the task is on the worker
 	CauseUnknown = "no_such" // invalid task name, or no description found
 )
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -62,7 +62,7 @@
 	Commands []Command `json:"orders"`
 }
 
-// PushedCommands are commands sent to a worker in a request of their own, not in the response to a
+// PushedCommands are commands sent to a worker in a separate request instead of the response to a
 // report. A worker rejects them if their fencing token is lower than the highest it has received,
 // or if they are for another session.
 type PushedCommands struct {
@@ -87,8 +87,8 @@
 	return &PushedCommands{Token: *pushed.Token, Session: *pushed.Session, Commands: pushed.Commands}, nil
 }
 
-// Redirect tells a worker which controller to report to. If ReportTo is empty,
-// the worker chooses.
+// Redirect tells a worker which controller to report to. If ReportTo is empty, the worker chooses
+// one.
 type Redirect struct {
 	ReportTo string `json:"foreman,omitempty"`
 }
