--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -61,7 +61,7 @@
 	return sorted[len(sorted)/2]
 }
 
-// Median calls measure several times and returns the median.
+// Median calls measure measureRounds times and returns the median of the results.
 func Median(measure func() float64) float64 {
 	values := make([]float64, measureRounds)
 	for i := range values {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -103,8 +103,8 @@
 	return body, nil
 }
 
-// Cancel cancels the job and returns its state. The stage is not StageCancelled if the job was done
-// before. The error wraps ErrNotFound, ErrRefused or ErrUnknown.
+// Cancel cancels the job and returns its state. If the job was done before, the stage is StageDone.
+// The error wraps ErrNotFound, ErrRefused or ErrUnknown.
 func (c *Client) Cancel(ctx context.Context, uid string) (*wire.JobState, error) {
 	return c.jobRequest(ctx, http.MethodPost, "/api/jobs/"+uid+"/cancel", nil)
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -62,8 +62,8 @@
 	return client.New(srv.URL), s
 }
 
-// A submission without a response is repeated unchanged, and not before the time in Retry-After is
-// over. A refused submission is not repeated.
+// A submission without a response is repeated unchanged. After a response with Retry-After, the
+// client waits for that time. A refused submission is not repeated.
 func TestSubmitRepeatsUnchangedAfterLostResponse(t *testing.T) {
 	c, s := serve(t, lostResponse, status(http.StatusServiceUnavailable, ""), status(http.StatusOK, `{"uid":"j-1","stage":"queued"}`))
 	job := &wire.Job{UID: "j-1", Class: "a", Team: "t", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, Image: "none"}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -96,7 +96,8 @@
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits are the resource limits of this process; 0: no limit. CPU is in cores.
+// Limits are the resource limits of this process. CPU is in cores. For CPU and Sockets, 0 means no
+// limit; RAMMB is required.
 type Limits struct {
 	CPU     float64 `toml:"cpu"`
 	RAMMB   float64 `toml:"ram_mb"`
@@ -185,7 +186,7 @@
 }
 
 // check returns an error for limits that are too small for a controller to run. Otherwise the
-// controller would fail later, when it exceeds them. A limit that is not set is not checked.
+// controller would fail later, when it exceeds them. A limit of 0 is not checked.
 func (l *Limits) check() error {
 	for _, limit := range []struct {
 		key          string
--- a/internal/failovertiming/failovertiming.go
+++ b/internal/failovertiming/failovertiming.go
@@ -23,8 +23,8 @@
 	JobsRead                    // the shard's jobs have been read
 	FirstHeartbeat              // first response to a worker's heartbeat with status 200
 	FirstGrant                  // first start granted
-	HalfOfWorkers               // half of the recorded workers have sent a heartbeat
-	MostWorkers                 // 95 % of them have
+	HalfOfWorkers               // at least half of the recorded workers have sent a heartbeat
+	MostWorkers                 // at least 95 % of them have
 	AllWorkers                  // all of them have
 	numPhases
 )
--- a/internal/jobid/jobid.go
+++ b/internal/jobid/jobid.go
@@ -1,9 +1,9 @@
 // Package jobid allocates the numbers by which Slurm's users name jobs, and finds jobs by number.
 //
-// Controllers reserve blocks of numbers from one counter in the state service, so that no number
-// is allocated twice; numbers that a controller reserved and did not use stay unused. Task k of a
-// job with number n has the number n+k. Each job has one key in the state service, which contains
-// its last number; a range read finds the key by any of the job's numbers.
+// Controllers reserve blocks of numbers from one counter in the state service, so that no number is
+// allocated twice. Numbers that a controller reserved and did not use stay unused. Task k of a job
+// with number n has the number n+k. Each job has one key in the state service, which contains its
+// last number; a range read finds the key by any of the job's numbers.
 //
 // The package does not write these keys. A job's key is written in the transaction that records
 // the job's acceptance, so that the key exists exactly if the job does.
@@ -25,7 +25,7 @@
 	counterKey         = "numbers"
 	jobPrefix          = "number/" // prefix of a job's last number, see Find
 	blockSize          = 10_000    // numbers reserved at a time; a few job arrays would exhaust a smaller block
-	maxReserveAttempts = 4         // to advance the counter
+	maxReserveAttempts = 4         // maximum number of attempts to advance the counter
 	numberLimit        = 1e14      // numbers from here on have more digits than keys do, and are never allocated
 )
 
@@ -45,7 +45,7 @@
 type Allocator struct {
 	store Store
 
-	mu           sync.Mutex // held during requests: a concurrent one would only conflict with the first
+	mu           sync.Mutex // held during requests to the state service, because concurrent ones would only conflict
 	next         uint64     // first unallocated number of the reserved block; 0 if no block is reserved
 	end          uint64     // first number after the reserved block
 	allocatedEnd uint64     // all numbers below this one are known to be allocated
@@ -80,8 +80,9 @@
 	return first, nil
 }
 
-// Next allocates count consecutive numbers, at least one, from the counter with a write for each
-// call: numbers increase in the order of the calls across all controllers. Errors are as for Take.
+// Next allocates count consecutive numbers, at least one, and returns the first. Each call advances
+// the counter in the state service, so numbers increase in the order of the calls across all
+// controllers. Errors are as for Take.
 func (a *Allocator) Next(ctx context.Context, count int) (uint64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/local/load_balancer.go
+++ b/internal/local/load_balancer.go
@@ -29,7 +29,7 @@
 	dir          string
 	controllers  []Controller
 	client       *http.Client
-	requestCount atomic.Uint64 // for choosing controllers in turn
+	requestCount atomic.Uint64 // used to choose the healthy controllers in turn
 
 	mu      sync.Mutex
 	healthy []bool // by controller index
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -55,7 +55,7 @@
 	Machines    int       // maximum number of machines at a time
 	CPUs        float64   // per machine
 	MemoryGB    float64   // per machine
-	SlotsFile   string    // file with the slots of rollouts, entries only; may be empty
+	SlotsFile   string    // file with the slot entries of the roll-out settings, without the enclosing list; empty: none
 	Start       StartFunc // runs "wallrack ARGS"
 	Log         *slog.Logger
 }
--- a/internal/rollout/health_checks.go
+++ b/internal/rollout/health_checks.go
@@ -13,8 +13,8 @@
 	replicaRetention = time.Minute // how long the state of a replica is retained after its last listing
 )
 
-// replicaHealth is the health of a replica by its latest checks. passes, failures and timeouts count
-// consecutive results.
+// replicaHealth is the health of a replica according to its latest checks. passes, failures and
+// timeouts count consecutive results.
 type replicaHealth struct {
 	listed    time.Time // time of the last listing that contained the replica
 	probed    time.Time // start of the last probe, zero if there was none
@@ -66,7 +66,7 @@
 }
 
 // observe starts the checks that are due, unless maxProbes checks are in flight. It returns the
-// health of a job's replicas by the checks completed so far.
+// health of a job's replicas according to the checks completed so far.
 func (c *healthChecker) observe(ctx context.Context, now time.Time, replicas []Replica, check Check) (status JobStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -60,7 +60,7 @@
 
 	mu      sync.Mutex
 	entries map[string]*entry
-	synced  bool // whether the records were read at least once
+	synced  bool // whether the records have been read at least once
 }
 
 // NewManager returns a manager that has no services until Run has read them. Start refuses a
--- a/internal/rollout/run.go
+++ b/internal/rollout/run.go
@@ -56,11 +56,11 @@
 	ResumePhase   Phase   `json:"resume,omitempty"` // phase in which a paused roll-out resumes
 	Reason        string  `json:"why,omitempty"`
 	Outcome       Phase   `json:"outcome,omitempty"` // final phase; set when a roll-back begins
-	New           []Batch `json:"new"`               // batches of the new version, submitted or about to be
+	New           []Batch `json:"new"`               // batches of the new version, already submitted or to be submitted
 	Old           []Batch `json:"old"`               // batches of the old version that are not retired
 	Restore       []Batch `json:"restore,omitempty"` // batches of the old version that a roll-back submits
 	ToCancel      []Batch `json:"drop,omitempty"`    // batches to cancel; cancelling again is harmless
-	Losses        int     `json:"lost,omitempty"`    // times that replicas were lost while soaking in this step
+	Losses        int     `json:"lost,omitempty"`    // how often replicas were lost while this step was soaking
 	Seq           int     `json:"seq"`               // number of the latest job
 	PhaseSince    int64   `json:"since"`             // start of the phase; this and the following times are in Unix ms
 	RollbackSince int64   `json:"verdict,omitempty"` // start of the roll-back, 0 if there was none
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -52,10 +52,10 @@
 		if !ok || len(entry) == 0 {
 			return nil, fmt.Errorf("entry %d: expected (key value ...)", i+1)
 		}
-		key, _ := entry[0].(edn.Symbol) // any other type leaves an empty, thus unknown, key
+		key, _ := entry[0].(edn.Symbol) // a value of another type results in an empty key, which is rejected below as unknown
 		texts := make([]string, len(entry))
 		for k, text := range entry[1:] {
-			texts[k+1], _ = text.(string) // empty for other types, which the cases below refuse
+			texts[k+1], _ = text.(string) // empty for a value of another type; the cases below reject empty texts
 		}
 		switch {
 		case key == "descriptions" && len(entry) == 2:
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -49,7 +49,8 @@
 	return n
 }
 
-// failures returns the first unhealthy replica of batches and the first whose checks time out, or "".
+// failures returns the task names of the first unhealthy replica of batches and of the first whose
+// checks time out. A name is "" if there is no such replica.
 func (s *Observation) failures(batches []Batch) (unhealthy, hung string) {
 	for _, batch := range batches {
 		job := s.Jobs[batch.UID]
@@ -157,8 +158,8 @@
 	r.setPhase(Done, "", now)
 }
 
-// retireBatches moves old batches to ToCancel, smallest first, as long as the remaining replicas suffice
-// for the service.
+// retireBatches moves old batches to ToCancel, smallest first, as long as at least service.Replicas
+// new and old replicas remain.
 func (r *Run) retireBatches(service *Service) {
 	surplus := countReplicas(r.New) + countReplicas(r.Old) - service.Replicas
 	old := slices.Clone(r.Old)
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -59,8 +59,8 @@
 	return jobs
 }
 
-// submit uploads the description of a batch's job and submits the job, unless it was submitted
-// before.
+// submit uploads the description of a batch's job and submits the job, unless the job is known to
+// be submitted.
 func (m *Manager) submit(ctx context.Context, e *entry, batch Batch, guards ...wire.Guard) error {
 	if m.isDone(e.submitted, batch) {
 		return nil
@@ -88,7 +88,7 @@
 	return job
 }
 
-// cancel cancels a batch's job, unless it was cancelled before.
+// cancel cancels a batch's job, unless the job is known to be cancelled.
 func (m *Manager) cancel(ctx context.Context, e *entry, batch Batch) error {
 	if m.isDone(e.cancelled, batch) {
 		return nil
--- a/internal/slo/monitor.go
+++ b/internal/slo/monitor.go
@@ -127,7 +127,8 @@
 	}
 }
 
-// clearAlerts clears the open alerts whose objectives are no longer missed.
+// clearAlerts clears the open alerts that are not in stillMissed, including those of jobs that have
+// ended.
 func (m *Monitor) clearAlerts(now time.Time, stillMissed map[alertKey]bool) {
 	for key, alert := range m.open {
 		if stillMissed[key] {
@@ -177,8 +178,8 @@
 }
 
 // Stats returns quantiles, in milliseconds, since this process began, for the operators'
-// statistics: "wait_ms" from jobs' submissions to the starts of their last tasks, and "late_ms"
-// from deadlines to ends past them. The caller owns the map.
+// statistics. "wait_ms" is the time from a job's submission to the start of its last task.
+// "late_ms" is the time by which jobs ended past their deadlines. The caller owns the map.
 func (m *Monitor) Stats() map[string]any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -24,7 +24,7 @@
 )
 
 // Launcher starts and terminates machines. Its methods may be called concurrently, and are called
-// without locks held.
+// while the caller holds no locks.
 type Launcher interface {
 	// Launch starts a machine's worker and returns its address.
 	Launch(m wire.ListedMachine, t wire.MachineType) (endpoint string, err error)
--- a/internal/standin/metered.go
+++ b/internal/standin/metered.go
@@ -24,8 +24,8 @@
 	return &RateLimits{rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), rate.NewLimiter(rate.Limit(writeRPS), max(1, int(writeRPS)))}
 }
 
-// RequestCounts counts the requests of one client of a service. Writes counts the puts and
-// deletes of transactions within the rate limits; Refused counts the requests above them.
+// RequestCounts counts the requests of one client of a service. Writes counts the puts and deletes
+// of transactions within the rate limits. Refused counts the requests above the limits.
 type RequestCounts struct {
 	Reads, Watches, Writes, Transactions, Refused atomic.Int64
 }
--- a/internal/standin/records.go
+++ b/internal/standin/records.go
@@ -64,8 +64,8 @@
 
 func formatNumber(n uint64) []byte { return strconv.AppendUint(nil, n, 10) }
 
-// parseLimit parses a listing's limit. It returns maximum if the limit is missing, malformed or
-// above maximum.
+// parseLimit parses a listing's limit. It returns maximum if the limit is missing, malformed, below
+// 1 or above maximum.
 func parseLimit(text string, maximum int) int {
 	limit, err := strconv.Atoi(text)
 	if err != nil || limit < 1 || limit > maximum {
--- a/internal/taskspec/client.go
+++ b/internal/taskspec/client.go
@@ -82,7 +82,8 @@
 	return resp.StatusCode, data, nil
 }
 
-// errorMessage returns the error message of a response.
+// errorMessage returns the error message of a response, or the first 200 bytes of the body if it
+// has none.
 func errorMessage(body []byte) string {
 	var problem wire.Problem
 	if json.Unmarshal(body, &problem) == nil && problem.Error != "" {
--- a/internal/taskspec/server.go
+++ b/internal/taskspec/server.go
@@ -30,7 +30,7 @@
 }
 
 // servePut stores an uploaded description. It is decoded and encoded again, so that descriptions
-// that differ only in white space are equal.
+// that differ only in white space or the order of fields are equal.
 func servePut(store Store, w http.ResponseWriter, r *http.Request) {
 	job := r.PathValue("job")
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBytes))
--- a/internal/taskspec/spec.go
+++ b/internal/taskspec/spec.go
@@ -1,8 +1,8 @@
-// Package taskspec defines task descriptions, which say what the tasks of a job run, with the
-// service that stores them and its client: users upload a job's description, and workers fetch
-// it. A stored description never changes, so that all tasks of a job and all their attempts run
-// the same program. The descriptions are stored by an implementation of Store, which is not part
-// of the package.
+// Package taskspec defines task descriptions, which say what the tasks of a job run. It also
+// contains the HTTP service for descriptions and its client: users upload a job's description, and
+// workers fetch it. A stored description never changes, so that all tasks of a job and all their
+// attempts run the same program. The descriptions are stored by an implementation of Store, which
+// is not part of the package.
 package taskspec
 
 import (
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -141,8 +141,8 @@
 	timerDelays   *hdrhistogram.Histogram // ms, since the last log line
 }
 
-// New returns a meter. The process is under memory pressure while the runtime holds more than
-// memoryLimit bytes. queues returns queue depths by name, for readings.
+// New returns a meter. The process is under memory pressure if the runtime held more than
+// memoryLimit bytes at the last probe. queues returns queue depths by name, for readings.
 func New(memoryLimit int64, queues func() map[string]int, log *slog.Logger) *Meter {
 	m := &Meter{startedAt: time.Now(), memoryLimit: memoryLimit, queues: queues, log: log, timerDelays: hdrhistogram.New(1, 60_000, 2)}
 	for i, name := range sampleNames {
