--- a/internal/failovertiming/failovertiming.go
+++ b/internal/failovertiming/failovertiming.go
@@ -58,7 +58,7 @@
 
 	mu              sync.Mutex
 	startedAt       time.Time // start of the process
-	beganAt         time.Time // beginning of the last recovery
+	beganAt         time.Time // beginning of the recovery in progress or, if there is none, of the last one
 	inProgress      bool
 	reachedAfter    [numPhases]time.Duration // time from beganAt to the phase; 0: not reached
 	timedFailovers  int                      // number of failovers measured so far
--- a/internal/jobid/jobid.go
+++ b/internal/jobid/jobid.go
@@ -33,9 +33,9 @@
 type Store interface {
 	// Get reads a key. The error is statestore.ErrNotFound if it does not exist.
 	Get(ctx context.Context, key string) (wire.Item, error)
-	// Txn applies ops if all guards hold, and returns the version of the written keys. Otherwise
-	// the error is a *statestore.ConflictError, or statestore.ErrUnknown if the ops may have been
-	// applied.
+	// Txn applies ops if all guards hold, and returns the version of the written keys. If a guard
+	// does not hold, the error is a *statestore.ConflictError. If it is unknown whether the ops
+	// were applied, the error is statestore.ErrUnknown.
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
 	// Page returns up to limit keys with the prefix that follow after, in order.
 	Page(ctx context.Context, prefix, after string, limit int) (items []wire.Item, more bool, err error)
@@ -166,8 +166,9 @@
 // keyOfLast returns the key of the job whose last number is n.
 func keyOfLast(n uint64) string { return fmt.Sprintf("%s%014d", jobPrefix, n) }
 
-// Find returns the job that a number belongs to, or statestore.ErrNotFound. The first key at or
-// after the number's own key belongs to the job with the lowest last number that is at least n.
+// Find returns the job that number n belongs to. The error is statestore.ErrNotFound if there is no
+// such job, or wraps that of the state service. A job's key contains its last number, so Find reads
+// the first key whose number is at least n.
 func (a *Allocator) Find(ctx context.Context, n uint64) (Job, error) {
 	if n == 0 || n >= numberLimit {
 		return Job{}, statestore.ErrNotFound
--- a/internal/rollout/manager_test.go
+++ b/internal/rollout/manager_test.go
@@ -25,7 +25,7 @@
 			return rollout.Healthy
 		})
 		s.startRollout("v2", func(x *rollout.Spec) { x.Steps = []string{"1", "50%", "100%"} })
-		reserved := 0.0 // capacity of the retired replicas is reserved until the roll-out ends
+		reserved := 0.0 // largest reserved capacity seen until the roll-back; the capacity must be released when the roll-out ends
 		s.waitFor("unhealthy", 5*time.Minute, func(r *rollout.Run) bool {
 			reserved = max(reserved, s.managers["a"].ReservedCPUs())
 			return r.ID == 2 && r.Phase == rollout.RollingBack
