--- a/internal/jobid/jobid.go
+++ b/internal/jobid/jobid.go
@@ -1,9 +1,9 @@
 // Package jobid allocates the numbers by which Slurm's users name jobs, and finds jobs by number.
 //
-// Controllers reserve blocks of numbers from one counter in the state service, so that no number
-// is allocated twice; numbers that a controller reserved and did not use stay unused. Task k of a
-// job with number n has the number n+k. Each job has one key in the state service, which contains
-// its last number; a range read finds the key by any of the job's numbers.
+// Controllers reserve blocks of numbers from one counter in the state service, so that no number is
+// allocated twice. Numbers that a controller reserved and did not use stay unused. Task k of a job
+// with number n has the number n+k. Each job has one key in the state service, which contains its
+// last number; a range read finds the key by any of the job's numbers.
 //
 // The package does not write these keys. A job's key is written in the transaction that records
 // the job's acceptance, so that the key exists exactly if the job does.
@@ -25,7 +25,7 @@
 	counterKey         = "numbers"
 	jobPrefix          = "number/" // prefix of a job's last number, see Find
 	blockSize          = 10_000    // numbers reserved at a time; a few job arrays would exhaust a smaller block
-	maxReserveAttempts = 4         // to advance the counter
+	maxReserveAttempts = 4         // maximum number of attempts to advance the counter
 	numberLimit        = 1e14      // numbers from here on have more digits than keys do, and are never allocated
 )
 
@@ -33,9 +33,9 @@
 type Store interface {
 	// Get reads a key. The error is statestore.ErrNotFound if it does not exist.
 	Get(ctx context.Context, key string) (wire.Item, error)
-	// Txn applies ops if all guards hold, and returns the version of the written keys. Otherwise
-	// the error is a *statestore.ConflictError, or statestore.ErrUnknown if the ops may have been
-	// applied.
+	// Txn applies ops if all guards hold, and returns the version of the written keys. If a guard
+	// does not hold, the error is a *statestore.ConflictError. If it is unknown whether the ops
+	// were applied, the error is statestore.ErrUnknown.
 	Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error)
 	// Page returns up to limit keys with the prefix that follow after, in order.
 	Page(ctx context.Context, prefix, after string, limit int) (items []wire.Item, more bool, err error)
@@ -45,10 +45,10 @@
 type Allocator struct {
 	store Store
 
-	mu           sync.Mutex // held during requests: a concurrent one would only conflict with the first
+	mu           sync.Mutex // held during requests to the state service, because concurrent ones would only conflict
 	next         uint64     // first unallocated number of the reserved block; 0 if no block is reserved
 	end          uint64     // first number after the reserved block
-	allocatedEnd uint64     // all numbers below are known to be allocated
+	allocatedEnd uint64     // all numbers below this one are known to be allocated
 }
 
 // New returns an allocator that has reserved no block yet.
@@ -80,8 +80,9 @@
 	return first, nil
 }
 
-// Next allocates count consecutive numbers, at least one, from the counter with a write for each
-// call: numbers increase in the order of the calls across all controllers. Errors are as for Take.
+// Next allocates count consecutive numbers, at least one, and returns the first. Each call advances
+// the counter in the state service, so numbers increase in the order of the calls across all
+// controllers. Errors are as for Take.
 func (a *Allocator) Next(ctx context.Context, count int) (uint64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -159,14 +160,15 @@
 }
 
 // Key returns the key that maps a job's numbers to the job. It must be written in the transaction
-// that records the job's acceptance, guarded to not exist yet.
+// that records the job's acceptance, with a guard that it does not exist yet.
 func Key(first uint64, tasks int) string { return keyOfLast(first + numberCount(tasks) - 1) }
 
 // keyOfLast returns the key of the job whose last number is n.
 func keyOfLast(n uint64) string { return fmt.Sprintf("%s%014d", jobPrefix, n) }
 
-// Find returns the job that a number belongs to, or statestore.ErrNotFound. The first key at or
-// after the number belongs to the job with the next higher last number.
+// Find returns the job that number n belongs to. The error is statestore.ErrNotFound if there is no
+// such job, or wraps that of the state service. A job's key contains its last number, so Find reads
+// the first key whose number is at least n.
 func (a *Allocator) Find(ctx context.Context, n uint64) (Job, error) {
 	if n == 0 || n >= numberLimit {
 		return Job{}, statestore.ErrNotFound
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -13,7 +13,8 @@
 	"github.com/wallrack/wallrack/internal/config"
 )
 
-// Slot is a recurring blackout window in which no step of a roll-out begins.
+// Slot is a recurring blackout window. No step of a roll-out begins in it, unless Spec.IgnoreSlots
+// is set.
 type Slot struct {
 	Name   string
 	Start  cron.Schedule // in the slot's zone
@@ -51,10 +52,10 @@
 		if !ok || len(entry) == 0 {
 			return nil, fmt.Errorf("entry %d: expected (key value ...)", i+1)
 		}
-		key, _ := entry[0].(edn.Symbol) // any other type leaves an empty, thus unknown, key
+		key, _ := entry[0].(edn.Symbol) // a value of another type results in an empty key, which is rejected below as unknown
 		texts := make([]string, len(entry))
 		for k, text := range entry[1:] {
-			texts[k+1], _ = text.(string) // empty for other types, which the cases below refuse
+			texts[k+1], _ = text.(string) // empty for a value of another type; the cases below reject empty texts
 		}
 		switch {
 		case key == "descriptions" && len(entry) == 2:
@@ -109,7 +110,8 @@
 	return &Slot{Name: name, Start: start, Length: length}, nil
 }
 
-// ActiveAt reports whether a time is within the slot, and when the slot ends.
+// ActiveAt reports whether now is within an occurrence of the slot and, if so, when this occurrence
+// ends.
 func (s *Slot) ActiveAt(now time.Time) (until time.Time, active bool) {
 	start := s.Start.Next(now.Add(-s.Length))
 	if start.IsZero() || start.After(now) {
--- a/internal/standin/records.go
+++ b/internal/standin/records.go
@@ -28,7 +28,8 @@
 	nextMachineKey = []byte("next-machine")
 )
 
-// update commits a change of the database. If db is nil, it does nothing.
+// update runs change in a transaction of db and commits the transaction. If db is nil, it does
+// nothing.
 func update(db *bbolt.DB, change func(*bbolt.Tx) error) error {
 	if db == nil {
 		return nil
@@ -63,8 +64,8 @@
 
 func formatNumber(n uint64) []byte { return strconv.AppendUint(nil, n, 10) }
 
-// parseLimit parses a listing's limit. It returns maximum if the limit is missing, malformed or
-// above maximum.
+// parseLimit parses a listing's limit. It returns maximum if the limit is missing, malformed, below
+// 1 or above maximum.
 func parseLimit(text string, maximum int) int {
 	limit, err := strconv.Atoi(text)
 	if err != nil || limit < 1 || limit > maximum {
--- a/internal/taskspec/client.go
+++ b/internal/taskspec/client.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Get fetches a job's description, or fails with ErrNotFound.
+// Get fetches a job's description. It fails with ErrNotFound if none is stored.
 func (c *Client) Get(ctx context.Context, job string) (*Spec, error) {
 	status, body, err := c.do(ctx, http.MethodGet, job, nil)
 	switch {
@@ -82,7 +82,8 @@
 	return resp.StatusCode, data, nil
 }
 
-// errorMessage returns the error message of a response.
+// errorMessage returns the error message of a response, or the first 200 bytes of the body if it
+// has none.
 func errorMessage(body []byte) string {
 	var problem wire.Problem
 	if json.Unmarshal(body, &problem) == nil && problem.Error != "" {
