--- a/internal/batching/sender.go
+++ b/internal/batching/sender.go
@@ -1,7 +1,8 @@
 // Package batching collects items that are to be sent to a peer: those that arrive while a
-// round trip to the peer is in progress are sent together with the next one. An item waits for
-// at most one round trip, and only for a limited time if that is slow. The package keeps items
-// in memory and neither repeats nor bounds them: Send has to handle failures.
+// round trip to the peer is in progress are sent together with the next one. Unless too many
+// arrive, an item waits for at most one round trip, or for overlapDelay if that is shorter.
+// The package keeps items in memory and neither repeats nor bounds them: Send has to handle
+// failures.
 package batching
 
 import (
--- a/internal/cancellation/confirm.go
+++ b/internal/cancellation/confirm.go
@@ -10,8 +10,8 @@
 // saying so. It is longer than a usual restart of a process.
 const resumeConfirmTimeout = 10 * time.Second
 
-// ErrCannotConfirm means that a cancel can't be confirmed at present, since peers that might not
-// receive it were told that this controller confirms none.
+// ErrCannotConfirm means that a cancel can't be confirmed at present: this controller has no valid
+// lease, peers may still assume that it confirms none, or it has too many updates for them.
 var ErrCannotConfirm = errors.New("no cancel can be confirmed here now")
 
 // Confirm is to be called before a user is told that a job is cancelled, for the user's request
--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -123,9 +123,9 @@
 	return time.Since(d.started) - time.Duration(d.lastHeartbeat.Load())
 }
 
-// SinceWorkerHeartbeat returns the time since the worker's last heartbeat here, answered or not: a
-// redirected worker is alive even if it can't reach the other controller. If there was none, the
-// result exceeds a lease.
+// SinceWorkerHeartbeat returns the time since the worker's last heartbeat here, or a time longer
+// than a lease if there was none. Heartbeats that were not answered count too: a redirected worker
+// is alive even if it can't reach the other controller.
 func (d *Dispatcher) SinceWorkerHeartbeat(name string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/polls.go
+++ b/internal/dispatch/polls.go
@@ -106,7 +106,8 @@
 	return d.poll(ctx, name, endpoint, livenessPollTimeout)
 }
 
-// poll polls a worker, stores its report and returns whether it responded.
+// poll polls a worker and returns whether it responded. It stores the report if that is newer than
+// the stored one.
 func (d *Dispatcher) poll(ctx context.Context, name, endpoint string, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	rep, err := d.sender.FetchReport(ctx, endpoint)
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -15,7 +15,9 @@
 
 // PushCommands sends the worker's commands directly instead of waiting for its next heartbeat. At
 // most one push to a worker is in flight; if another is requested meanwhile, it is sent afterwards.
-// PushCommands returns at once.
+// Nothing is sent if this controller may not answer workers, or if the worker has not reported
+// within a lease. If the worker has seen a higher token, the token is raised instead. PushCommands
+// returns at once.
 func (d *Dispatcher) PushCommands(name string) {
 	if !d.routing.MayAnswerWorkers() {
 		return
--- a/internal/dispatch/reports.go
+++ b/internal/dispatch/reports.go
@@ -47,8 +47,9 @@
 }
 
 // HandleReport processes a worker's heartbeat and returns the HTTP status and body of the
-// response: 200 with commands, 421 with the controller to report to, or 503 for a heartbeat that
-// is not newer than the newest known report.
+// response. The status is 200 with commands; 421 with the controller to report to, or with none if
+// the worker should choose or no sufficient fencing token can be obtained; or 503 for a heartbeat
+// that is out of date or whose report is not stored.
 func (d *Dispatcher) HandleReport(ctx context.Context, rep *wire.Report) (int, any) {
 	if !d.acceptHeartbeat(rep) {
 		return http.StatusServiceUnavailable, wire.Problem{Error: "late report"}
@@ -118,7 +119,8 @@
 	return true
 }
 
-// responseToken returns a token that is not lower than the worker's, or 0 if none can be obtained.
+// responseToken returns a fencing token that is not lower than the worker's, or 0 if none can be
+// obtained.
 // With a lower token in the response, the worker would continue to report here while its lease
 // expires.
 func (d *Dispatcher) responseToken(ctx context.Context, rep *wire.Report) uint64 {
@@ -153,8 +155,9 @@
 	return true
 }
 
-// storeReport stores a report and returns the worker's view, or false if a newer report is stored
-// already. renewsLease is true for a heartbeat that will be answered.
+// storeReport stores a report and returns the worker's view. It returns false if the report is not
+// newer than the stored one, or its worker was deleted or can't be added. renewsLease is true for a
+// heartbeat that will be answered.
 func (d *Dispatcher) storeReport(rep *wire.Report, renewsLease bool) (WorkerView, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// claimStagger is multiplied by the number of controllers preferred to this one: the product is how
-	// long this controller waits before it claims a freed shard. Preferred are those that joined
-	// after it, and one whose registration was just deleted, since it may be restarting. So in a
+	// claimStagger is how long this controller waits, for each controller preferred to it, before it
+	// claims a freed shard. It prefers the stable controllers that joined after it, and one whose
+	// registration was just deleted, since it may be restarting. So in a
 	// rolling restart the jobs move to a controller that has been restarted already, and stay
 	// there. It is longer than the requests for joining take.
 	claimStagger = 250 * time.Millisecond
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -51,7 +51,7 @@
 	wake   chan struct{} // makes runIncarnation check the shards again
 
 	tokenLock      chan struct{} // holds a value while the fencing token is being changed: one change at a time
-	raiseRefusedAt time.Time     // time of the last change that the state service refused; guarded by tokenLock
+	raiseRefusedAt time.Time     // when RaiseTokenAbove last failed with statestore.ErrUnavailable; guarded by tokenLock
 
 	mu                   sync.Mutex
 	lease                uint64    // 0: none
--- a/internal/membership/reserved_token.go
+++ b/internal/membership/reserved_token.go
@@ -69,8 +69,8 @@
 
 // reserveToken draws a fencing token ahead of time, unless this controller holds a reserved
 // one that is higher than every token known to be in use. In an outage of the state service no
-// token can be drawn: if a dispatcher then ends whose token its workers have seen, no other
-// controller could respond to them, and their leases would end. The token comes from the
+// token can be drawn. If a dispatcher then ended whose workers have seen its token, no other
+// controller could respond to these workers, and their leases would end. The token comes from the
 // common counter, so that no other controller uses it, and is lower than any that a leader
 // draws later in its failover.
 //
--- a/internal/membership/shards.go
+++ b/internal/membership/shards.go
@@ -68,7 +68,7 @@
 }
 
 // ReadShards reads the leaders of all shards from the state service, for use when the watch
-// may lag: a controller to which shards are transferred would otherwise lead them seconds
+// may lag. Without it, a controller to which shards are transferred would lead them seconds
 // later than it could. Deletions of keys are left to the watch.
 func (m *Member) ReadShards(ctx context.Context) {
 	shards := make([]int, m.shards)
--- a/internal/membership/token.go
+++ b/internal/membership/token.go
@@ -12,8 +12,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// raiseInterval is the time from a refused change of the fencing token to the next attempt. In
-// an outage every heartbeat with a higher token causes an attempt: hundreds a second if a
+// raiseInterval is the time from an attempt to raise the fencing token that failed with
+// statestore.ErrUnavailable to the next attempt. Without it, in
+// an outage, every heartbeat with a higher token would cause an attempt: hundreds a second if a
 // leader has ended.
 const raiseInterval = 250 * time.Millisecond
 
@@ -28,9 +29,11 @@
 	return m.token
 }
 
-// RaiseTokenAbove makes the fencing token larger than above, and returns it. A token is used
-// only if this incarnation's transaction is certain to have been applied. Shortly after a
-// refused change the error is statestore.ErrUnavailable, without a request.
+// RaiseTokenAbove returns a fencing token of this controller that is larger than the parameter
+// above. It draws a new one only if the present one is too small. A drawn token is used only if
+// the transaction by which this process drew it is known to have been applied. For
+// raiseInterval after an attempt has failed with statestore.ErrUnavailable, it returns that
+// error without a request.
 func (m *Member) RaiseTokenAbove(ctx context.Context, above uint64) (uint64, error) {
 	if err := m.lockToken(ctx); err != nil {
 		return 0, err
--- a/internal/membership/transfer.go
+++ b/internal/membership/transfer.go
@@ -41,8 +41,8 @@
 // attaches their keys to its lease: no lease has to expire first, and no shard has two
 // leaders. As soon as it is called, this controller leads no shards. After an error the shards
 // are reclaimed by writing their keys again, so that a late copy of the transaction fails its
-// conditions. If the other controller is not known, or this one leads nothing or its lease may
-// have ended, it returns an error and changes nothing.
+// conditions. It returns an error and changes nothing if the other controller is not known or is
+// this one, if this one leads nothing, or if its lease may have ended.
 func (m *Member) TransferShards(ctx context.Context, to string) error {
 	started, err := m.startTransfer(to)
 	if err != nil {
@@ -101,7 +101,8 @@
 	}
 }
 
-// reclaim reclaims shards that were given up by a transaction of unknown outcome.
+// reclaim writes this controller as the leader of the shards that it gave up by a transaction of
+// unknown outcome. If the transaction was applied, the write fails and the shards are read.
 func (m *Member) reclaim(ctx context.Context) {
 	shards, self := m.reclaimable()
 	if len(shards) == 0 {
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -131,7 +131,7 @@
 	m.unleasedVersion = max(m.unleasedVersion, mark.UnleasedVersion)
 }
 
-// Run borrows parts and gives parts back until ctx ends. It returns when its last request has ended.
+// Run borrows and returns parts until ctx ends. It returns when its last request has ended.
 func (m *Manager) Run(ctx context.Context) {
 	if !m.enabled {
 		return
--- a/internal/quota/needs.go
+++ b/internal/quota/needs.go
@@ -13,7 +13,9 @@
 	team  string
 }
 
-// currentNeeds returns the needs of this leader's shards for the limits that are leased.
+// currentNeeds returns, for each shard led here and each team whose limit is leased in parts,
+// what the shard's tasks use and what they would use if all that can start now did. Shards that
+// use nothing and want nothing are omitted.
 func (m *Manager) currentNeeds(now time.Time) map[shardTeam]quotalease.Need {
 	m.state.Now = now
 	needs := map[shardTeam]quotalease.Need{}
--- a/internal/quotalease/idle_state.go
+++ b/internal/quotalease/idle_state.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// stallTimeout is how long a part must have had room for one more task, without a task being
-// started, before all beyond that task counts as not needed.
+// stallTimeout is how long a part must have been large enough for one more task, without a task
+// being started, before what exceeds that task counts as not needed.
 const stallTimeout = 4 * time.Second
 
-// idleState records for how long a shard's use of its part has been unchanged.
+// idleState records for how long a shard has left its part, or a share of it, unused.
 type idleState struct {
 	use, part         Amount
-	since, checkedAt  time.Time     // since when the part has been partly used without change; time of the last update
+	since, checkedAt  time.Time     // since when the use is unchanged and below part and demand, without growth of the part; last update
 	grownAt           time.Time     // when the part last grew
 	accumulatingSince time.Time     // since when the part has been too small for any task; zero if it is large enough
 	unusedFor         time.Duration // time with room for one more task, since the last start
@@ -22,8 +22,9 @@
 // time to use it.
 func (i idleState) settled(now time.Time) bool { return now.Sub(i.grownAt) >= settleTime }
 
-// updateIdleState records for how long a part has been partly unused. For a shard that starts
-// nothing, because no worker has room for its tasks, it lowers the demand.
+// updateIdleState updates the idle state of a row's part and returns need. If the shard is
+// stalled, because no worker has resources free for its tasks, the returned demand is at most
+// the use and one more task.
 func (p *teamPlan) updateIdleState(row *Row, need Need) Need {
 	key, part := p.key(row), row.Teams[p.team].Part
 	i, seen := p.b.idle[key]
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -25,7 +25,7 @@
 func sortedKeys(m map[string]Amount) []string { return slices.Sorted(maps.Keys(m)) }
 
 // Plan returns the next write, if there is anything to write. While the outcome of a write is
-// unknown, it returns that write again.
+// unknown, it returns that write again. While NeedsReread is true, it returns none.
 func (b *Borrower) Plan(now time.Time, needs Needs) (Write, bool) {
 	if b.rereadNeeded {
 		return Write{}, false
@@ -118,8 +118,8 @@
 // key identifies the team's part for a row's shard.
 func (p *teamPlan) key(row *Row) shardTeam { return shardTeam{row.Shard, p.team} }
 
-// need returns a shard's need in the kinds that are limited, with the demand and unit capped
-// by the limit.
+// need returns a shard's need in the kinds that are limited. Demand and unit are at most the
+// limit, but the demand is at least the use.
 func (p *teamPlan) need(shard int) Need {
 	need := p.needs(shard, p.team)
 	need.Use = need.Use.countedBy(p.limit)
@@ -136,7 +136,7 @@
 	}
 }
 
-// reduce gives up the unused rest of a row's part, but at most over, the amount by which the sum
+// reduce returns the unused remainder of a row's part, but at most over, the amount by which the sum
 // of the team's parts exceeds the limit.
 func (p *teamPlan) reduce(row *Row, need Need, over Amount) {
 	entry := row.Teams[p.team]
@@ -152,7 +152,8 @@
 	p.setEntry(row, entry)
 }
 
-// returnExcess returns the amount that was not needed for excessReturnDelay.
+// returnExcess returns the amount of a row's part that was not needed at any time in the last
+// excessReturnDelay.
 func (p *teamPlan) returnExcess(row *Row, need Need) {
 	key := p.key(row)
 	entry := row.Teams[p.team]
@@ -172,7 +173,8 @@
 	}
 }
 
-// recordWant records the amount that a shard could use if it is more than its part.
+// recordWant records a shard's demand as what it wants, if the demand exceeds its part. A want
+// that is already recorded is replaced only if the demand or the unit differs much.
 func (p *teamPlan) recordWant(row *Row, need Need) {
 	entry, unit := row.Teams[p.team], need.Unit
 	if p.b.idle[p.key(row)].stalled() {
--- a/internal/quotalease/reallocate.go
+++ b/internal/quotalease/reallocate.go
@@ -3,14 +3,13 @@
 import "time"
 
 const (
-	// settleTime is how long a shard's use must have been unchanged before the rest of its
-	// part, too small for one more task, is given away, and how long a part that has grown is
-	// left to its shard.
+	// settleTime is how long a shard's use must have been unchanged before an unused remainder
+	// of its part is moved to another shard. A part that has grown is left to its shard for the
+	// same time.
 	settleTime = time.Second
-	// accumulationPeriod is how long a part that is too small for any task is kept
-	// nevertheless, since other shards give up amounts in pieces. It is kept in the first of
-	// every accumulationCycle such periods, and given to the shard whose turn it is in the
-	// others.
+	// accumulationPeriod is how long a part that is too small for any task stays with its shard,
+	// since other shards move amounts to it in pieces. It stays in the first of every
+	// accumulationCycle such periods. In the others it is moved to the shard whose turn it is.
 	accumulationPeriod = 5 * time.Second
 	accumulationCycle  = 4
 	// turnDuration is how long one of the shards that want more is served first. With shorter
@@ -44,10 +43,10 @@
 	p.b.withheld[p.key(row)] = owed.Sub(free)
 }
 
-// reallocateRemainder gives the unused rest of a part to the shard whose turn it is, if the
-// rest is too small for one more task, or no task starts with it. Otherwise two shards could
-// each hold half of what a task needs, and the team would stay below its limit while tasks
-// wait.
+// reallocateRemainder moves the unused remainder of a shard's part to the shard whose turn it
+// is. It does so, after a delay, if the remainder is too small for one more task, or if it is
+// large enough but the shard starts no tasks. Without this, two shards could each hold half of
+// what a task needs, and the team would stay below its limit while tasks wait.
 func (p *teamPlan) reallocateRemainder(row *Row, need Need) {
 	remainder := row.Teams[p.team].Part.Sub(need.Use)
 	idle := p.b.idle[p.key(row)]
@@ -71,8 +70,8 @@
 	}
 }
 
-// rowInTurn returns the row whose turn it is, or nil if that row does not want more. Rows that
-// have all they want get turns too, in which they keep it. Every second turn is for rows that
+// rowInTurn returns the row whose turn it is, or nil if that row does not want more. Rows whose
+// parts cover what they want get turns too; nothing is moved in them. Every second turn is for rows that
 // can't start even one task, if there are any. All leaders choose the same row, as far as
 // their clocks agree.
 func (p *teamPlan) rowInTurn() *Row {
--- a/internal/reachability/assignments.go
+++ b/internal/reachability/assignments.go
@@ -37,12 +37,13 @@
 // not safe for concurrent use.
 type AssignmentPlanner struct {
 	assignments      []Assignment
-	underloadedSince time.Time // since when this controller has had capacity for all workers; zero: it has not
+	underloadedSince time.Time // since when all workers have been fewer than underloadedShare of the capacity; zero: they are not
 	plannedAt        time.Time // time when assignments last changed
 	betterSince      time.Time // since when a different plan has been better; zero: none is
 }
 
-// Plan returns the assignments, or nil while one controller has capacity for all workers. count is
+// Plan returns the assignments. It returns nil while this controller has capacity for all workers,
+// and on a controller that does not take itself for the leader or has no capacity. count is
 // the number of workers that report to this controller, capacity the number that may, and interval
 // the pause between a worker's heartbeats.
 func (p *AssignmentPlanner) Plan(now time.Time, v *View, count, capacity int, interval time.Duration) []Assignment {
@@ -88,7 +89,8 @@
 	return all, shared
 }
 
-// underloaded reports whether all workers have fit here for underloadedDuration.
+// underloaded reports whether all workers have been fewer than underloadedShare of the capacity for
+// underloadedDuration.
 func (p *AssignmentPlanner) underloaded(now time.Time, all, capacity int) bool {
 	switch {
 	case float64(all) >= underloadedShare*float64(capacity):
--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -48,7 +48,7 @@
 }
 
 // FailureDetector decides which unresponsive workers have failed. Deleting a working worker loses
-// all its tasks, so that missing heartbeats are weighed against this controller's ability to
+// all its tasks, so missing heartbeats are weighed against this controller's ability to
 // receive, the heartbeats that peers receive, a direct probe, and an upper bound of the failure
 // rate that accidents cause. It only decides: the caller probes and deletes. It is not safe for
 // concurrent use.
@@ -161,7 +161,8 @@
 	verdict      Verdict
 }
 
-// assessAll assesses this controller's reception and sets the timeout, by all workers together.
+// assessAll assesses this controller's reception and sets the timeout and the number of
+// workers that may still fail, from the state of all workers together.
 func (e *evaluation) assessAll(known int, unresponsive []UnresponsiveWorker) {
 	responsive, late, longUnheard := known-len(unresponsive), 0, 0
 	for i := range unresponsive {
@@ -269,7 +270,7 @@
 // being able to tell this controller, or "".
 func (d *FailureDetector) mayBeHeardByPeer(v *View, worker *UnresponsiveWorker) string {
 	if worker.OutboundLost {
-		return "" // heartbeats are no reason to keep this worker, and all peers were queried
+		return "" // heartbeats are no reason to keep this worker: they arrive here too
 	}
 	for i := range v.Peers {
 		peer := &v.Peers[i]
--- a/internal/reachability/routing.go
+++ b/internal/reachability/routing.go
@@ -15,9 +15,9 @@
 }
 
 // Leader returns the controller to which workers should report: the one that leads most shards, so
-// that grants need no round trip, unless it is known to receive no heartbeats. It is returned even
-// if its status is known only from the state service: a worker gains nothing from reporting to
-// a controller that the leader can't reach.
+// that grants need no round trip. It returns this controller if that one's status is not fresh or
+// says that it receives almost no heartbeats. A status that is known only from the state service
+// suffices: a worker gains nothing from reporting to a controller that the leader can't reach.
 func (v *View) Leader() string {
 	leader := v.Self.PreferredLeader
 	if !v.Self.LeaseHeld {
@@ -49,7 +49,7 @@
 }
 
 // Isolated reports whether this controller leads no shards and knows of no controller that could
-// start tasks: it reaches neither a peer nor the state service. If it continued to answer workers,
+// start tasks: it has peers, but reaches neither any of them nor the state service. If it continued to answer workers,
 // they would receive no tasks, and the leader would learn of the tasks that they run only later.
 func (v *View) Isolated() bool {
 	if v.Self.LeadsShards || v.Self.StoreReachable {
@@ -74,8 +74,8 @@
 	return out
 }
 
-// Healthy reports whether this controller should serve clients. It returns false only if this
-// controller lost the state service and a peer did not.
+// Healthy reports whether this controller should serve clients: it reaches the state service, or
+// no peer with a fresh status does.
 func (v *View) Healthy() bool {
 	if v.Self.StoreReachable {
 		return true
@@ -88,8 +88,8 @@
 	return true
 }
 
-// NextHop returns the controller to which a message for a peer is to be sent: the peer itself, or
-// if it is not reached, a third controller that reaches it. A message is relayed at most once.
+// NextHop returns the controller to which a message for a peer is to be sent: a third controller if
+// only that one reaches the peer, and otherwise the peer itself. A message is relayed at most once.
 func (v *View) NextHop(to string) string {
 	peer := v.peer(to)
 	if peer == nil || peer.OutboundReachable {
--- a/internal/reachability/table.go
+++ b/internal/reachability/table.go
@@ -99,8 +99,8 @@
 	return v
 }
 
-// ReachedWithin reports whether a peer was heard directly within the given time and the last call
-// to it succeeded.
+// ReachedWithin reports whether a peer was heard directly within the given time and no call to it
+// has failed since the last one that succeeded.
 func (t *Table) ReachedWithin(peer string, within time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/reachability/transfer_monitor.go
+++ b/internal/reachability/transfer_monitor.go
@@ -24,8 +24,8 @@
 	return baseTransferDelay << min(transfers, maxDelayDoublings)
 }
 
-// TransferMonitor detects that a leader no longer receives its workers' heartbeats while a peer
-// does. The zero value is ready for use. It is not safe for concurrent use.
+// TransferMonitor detects, by received heartbeats or by probes, that a leader has lost its links
+// to the workers while a peer still has them. The zero value is ready for use. It is not safe for concurrent use.
 type TransferMonitor struct {
 	leadingSince time.Time // zero if this controller leads no shards
 	lostSince    time.Time // since when checks have found that a peer should lead the shards
@@ -65,8 +65,8 @@
 func (v *View) transferCandidate() (name string, confirmTime time.Duration) {
 	confirmTime = heartbeatConfirmTime
 	mostHeartbeats := max(candidateHeartbeatFactor*v.Self.Heartbeats, int(minCandidateHeartbeatShare*v.Self.ExpectedHeartbeats))
-	// Workers take seconds to look for another controller. So whether a peer reaches the workers is
-	// shown sooner by its probes than by the heartbeats that it receives.
+	// Workers take seconds to switch to another controller, so a peer's heartbeat count shows late
+	// whether the peer reaches the workers. Its probes show it sooner.
 	outboundLost := v.Self.Probed && v.Self.ProbeSuccess <= lostProbeSuccess
 	bestProbes := 0.0
 	for i := range v.Peers {
--- a/internal/reachability/view.go
+++ b/internal/reachability/view.go
@@ -36,7 +36,8 @@
 	OutboundReachable bool          // calls to it succeed, as far as is known
 }
 
-// DirectlyReached reports whether the peer exchanges messages with this controller directly.
+// DirectlyReached reports whether the peer's status is known and a message arrived from it directly
+// within PeerTimeout.
 func (p *Peer) DirectlyReached() bool { return p.Known && p.SinceHeard < PeerTimeout }
 
 // IsFresh reports whether the peer's status is recent enough for decisions.
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -110,8 +110,8 @@
 	return request.Writes <= 0 || b.waitWrites(ctx, request.Priority, request.Writes) == nil
 }
 
-// cutRate cuts the rate of the first class that is not at its minimum, after the service has
-// refused a request over its limits.
+// cutRate cuts the rate of the first class that is not at its minimum, at most once per
+// rateCutInterval. It is called after the service has refused a request over its limits.
 func (b *budget) cutRate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/statestore/lost_response_test.go
+++ b/internal/statestore/lost_response_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// After a few timeouts the client waits long enough for the responses of a slow service, at least
-// every other time.
+// If the service is slow, a few requests time out at first. The client then waits long enough for
+// the responses: at least two of five requests succeed.
 func TestSlowResponsesAreWaitedFor(t *testing.T) {
 	t.Parallel()
 	const slow = time.Second
--- a/internal/statestore/relay.go
+++ b/internal/statestore/relay.go
@@ -115,8 +115,8 @@
 	return c.sendViaPeer(ctx, r)
 }
 
-// roundTripWithStallDetector sends one request directly, and detects whether the link is lost
-// meanwhile. Watches are excluded, since they may get no response for long on a working link.
+// roundTripWithStallDetector sends one request directly. If the link is lost meanwhile, it switches
+// to a peer. Watches are excluded, since they may get no response for long on a working link.
 func (c *Client) roundTripWithStallDetector(ctx context.Context, r RelayedRequest) (int, []byte, error) {
 	if c.route.relay != nil && !strings.HasPrefix(r.Path, "/follow") {
 		stall := c.startStallDetector()
@@ -125,8 +125,8 @@
 	return c.roundTrip(ctx, r)
 }
 
-// retryViaPeer sends a request through a peer after it was refused directly: it was certainly
-// not executed, and perhaps only this controller is refused.
+// retryViaPeer sends a request through a peer, if one can relay, after the service refused it
+// directly: it was certainly not executed, and perhaps only this controller is refused.
 func (c *Client) retryViaPeer(ctx context.Context, r RelayedRequest, status int, data []byte) (int, []byte, error) {
 	if !c.route.relayUsable() {
 		return status, data, nil
--- a/internal/statestore/response_timeout_test.go
+++ b/internal/statestore/response_timeout_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// After a few timeouts the timeout is long enough for the responses of a slow service. It stays so
-// until the service is fast again.
+// If the service is slow, a few requests time out at first. The timeout is then long enough for
+// its responses, and becomes short again once the service is fast.
 func TestSlowServiceIsWaitedFor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var timeout responseTimeout
--- a/internal/statestore/route.go
+++ b/internal/statestore/route.go
@@ -95,7 +95,8 @@
 	return time.Since(r.relayRefusedAt) >= probeInterval
 }
 
-// switchToRelay sends requests through a peer from now on, and reports whether there is one.
+// switchToRelay sends requests through a peer from now on and aborts the direct ones. It returns
+// false and changes nothing if relayUsable is false.
 func (r *route) switchToRelay(reason string) bool {
 	if !r.relayUsable() {
 		return false
--- a/internal/statestore/txn.go
+++ b/internal/statestore/txn.go
@@ -60,7 +60,8 @@
 	return &ConflictError{Keys: keys}
 }
 
-// recordResponse records the time that a transaction's response took, or that none arrived.
+// recordResponse records the time that a transaction's response took, or a lost response if err is
+// ErrUnknown.
 func (c *Client) recordResponse(err error, took time.Duration) {
 	if errors.Is(err, ErrUnknown) {
 		c.timeout.recordMiss()
--- a/internal/viewsync/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxFrameViews bounds the number of workers in a frame, and thereby its size.
+	// maxFrameViews bounds the number of changed workers in a frame.
 	maxFrameViews = 500
 	// heartbeatMs is the time without an acknowledgement after which the leader is sent a heartbeat.
 	heartbeatMs = 1000
@@ -23,7 +23,7 @@
 
 	sent      map[string]*state // states as of the last frame
 	pending   map[string]state  // states that changed since then
-	removed   map[string]bool   // workers that were sent and removed since then
+	removed   map[string]bool   // workers in sent that the dispatcher has removed since the last frame
 	unacked   *Frame            // the last frame, until it is acknowledged
 	lastAckMs int64             // time of the leader's last acknowledgement
 }
@@ -42,7 +42,7 @@
 }
 
 // Update records changed views as of now and the names of workers that the dispatcher no longer
-// knows.
+// knows. It does nothing before the first frame, which contains all views.
 func (e *Encoder) Update(nowMs int64, changed []dispatch.WorkerView, removed []string) {
 	if !e.started {
 		return // the first frame will contain all views
@@ -89,7 +89,7 @@
 
 func (e *Encoder) hasChanges() bool { return len(e.pending)+len(e.removed) > 0 }
 
-// makeFrame makes a frame of at most maxFrameViews pending changes.
+// makeFrame makes a frame of at most maxFrameViews pending changes, and of all removals.
 func (e *Encoder) makeFrame(nowMs int64) {
 	e.seq++
 	frame := &Frame{Seq: e.seq, AtMs: nowMs, Initial: e.seq == 1}
--- a/internal/viewsync/publisher.go
+++ b/internal/viewsync/publisher.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// Next returns the message to be sent to a leader now, or nil. Until the reply is passed to
-// HandleReply, the message is repeated.
+// Next returns the message to be sent to a leader now, or nil. It returns the same frame until
+// HandleReply is called with a reply that acknowledges it or requires a new stream.
 func (p *Publisher) Next(nowMs int64, leader string) *Message {
 	p.mu.Lock()
 	defer p.mu.Unlock()
