--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -23,8 +23,8 @@
 	c.count[i]++
 }
 
-// countBefore returns the number of heartbeats in the whole seconds of HeartbeatWindow before the
-// given second.
+// countBefore returns the number of heartbeats in the period of length HeartbeatWindow that ends at
+// the start of the given second.
 func (c *heartbeatCounter) countBefore(second int64) (sum int) {
 	for i, counted := range c.second {
 		if counted < second && counted >= second-int64(HeartbeatWindow/time.Second) {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// In an outage of the state service every worker that has seen a higher token causes a change
-// of the token with each of its heartbeats. Only few of these changes may reach the state
+// In an outage of the state service every worker that has seen a higher token causes an attempt
+// to raise the token with each of its heartbeats. Only few of these attempts may reach the state
 // service, but the first one after the outage must.
 func TestRefusedRaiseIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -144,7 +144,8 @@
 	p.setEntry(row, entry)
 }
 
-// borrow adds the missing amount to a row's part, as far as it is not leased to any shard.
+// borrow adds to a row's part the amount by which the demand exceeds it, but at most the amount of
+// the limit that is not leased to any shard.
 func (p *teamPlan) borrow(row *Row, need Need) {
 	entry := row.Teams[p.team]
 	unleased := p.limit.Sub(p.record.leased(p.team))
--- a/internal/quotalease/record.go
+++ b/internal/quotalease/record.go
@@ -83,8 +83,8 @@
 // maxNumber is the largest number in an entry, so that sums of them can't overflow.
 const maxNumber = 1 << 50
 
-// Parse parses a record, where shards is the number of shards. It refuses unknown shards, rows that are out of
-// order or have no leader's version, and amounts out of bounds. Teams are checked by the
+// Parse parses a record, where shards is the number of shards. It refuses unknown shards, rows that
+// are out of order or lack a leader's version, and amounts out of bounds. Teams are checked by the
 // Borrower, which knows the settings.
 func Parse(data []byte, shards int) (Record, error) {
 	var r Record
--- a/internal/reachability/transfer_monitor.go
+++ b/internal/reachability/transfer_monitor.go
@@ -25,7 +25,8 @@
 }
 
 // TransferMonitor detects, by received heartbeats or by probes, that a leader has lost its links
-// to the workers while a peer still has them. The zero value is ready for use. It is not safe for concurrent use.
+// to the workers while a peer still has them. The zero value is ready for use. It is not safe for
+// concurrent use.
 type TransferMonitor struct {
 	leadingSince time.Time // zero if this controller leads no shards
 	lostSince    time.Time // since when checks have found that a peer should lead the shards
--- a/internal/statestore/response_timeout.go
+++ b/internal/statestore/response_timeout.go
@@ -10,7 +10,7 @@
 	// response counts as lost. It is longer than stallTimeout, so that a lost link is detected
 	// first.
 	minResponseTimeout = 750 * time.Millisecond
-	// maxResponseTimeout is the longest such time, however slow the service is.
+	// maxResponseTimeout is the longest timeout of a response, however slow the service is.
 	maxResponseTimeout = 8 * minResponseTimeout
 	// slowFactor is the ratio of the timeout to the slowest recent response.
 	slowFactor = 2
--- a/internal/viewsync/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// Next returns the message to be sent now, or nil.
+// Next returns the message to be sent now: the unacknowledged frame, a new frame if there are
+// changes, or a heartbeat if one is due. If nothing is to be sent, it returns nil.
 func (e *Encoder) Next(nowMs int64, source Source) *Message {
 	m := &Message{Dispatcher: e.dispatcher, Stream: e.stream, Replaces: e.replaces, NowMs: nowMs}
 	switch {
@@ -68,8 +69,8 @@
 	case !e.started && e.replaces == 0 && !source.HasWorkers():
 		return nil // a dispatcher without workers has nothing to send
 	case !e.started && e.replaces == 0:
-		// Ask which stream the leader knows: the leader states this in its reply to a heartbeat
-		// of a stream that it does not know.
+		// Ask which stream the leader knows: it replies to a heartbeat of an unknown stream with the
+		// identifier of the stream that it knows.
 		return m
 	case !e.started:
 		e.started = true
