--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -29,7 +29,9 @@
 	TimerDelay         time.Duration // how late timers have recently fired
 }
 
-// UnresponsiveWorker is a worker whose last heartbeat is at least FailureDetector.Threshold old.
+// UnresponsiveWorker is a worker that has sent no heartbeat, or on which commands have had no effect,
+// for at least FailureDetector.Threshold. If OutboundLost is set, UnheardFor is the longer of the
+// two times.
 type UnresponsiveWorker struct {
 	Name                  string
 	Endpoint              string        // "" if unknown; then only peers can tell whether they receive its heartbeats
@@ -89,7 +91,7 @@
 }
 
 // Evaluate decides which workers have failed. known is the number of workers that the leader
-// knows, and unresponsive are those among them without a heartbeat for Threshold. A worker fails
+// knows, and unresponsive are those among them that match UnresponsiveWorker. A worker fails
 // only if a probe started by an earlier call failed; see evaluation.reasonToKeep for the other
 // conditions.
 func (d *FailureDetector) Evaluate(now time.Time, v *View, health ReceiveHealth, known int, unresponsive []UnresponsiveWorker) Verdict {
@@ -270,7 +272,7 @@
 // being able to tell this controller, or "".
 func (d *FailureDetector) mayBeHeardByPeer(v *View, worker *UnresponsiveWorker) string {
 	if worker.OutboundLost {
-		return "" // heartbeats are no reason to keep this worker: they arrive here too
+		return "" // commands have no effect on this worker, so a peer's receiving its heartbeats is no reason to keep it
 	}
 	for i := range v.Peers {
 		peer := &v.Peers[i]
