--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -153,8 +153,8 @@
 	return since
 }
 
-// release releases the shards beyond this controller's share. If the outcome is unknown they
-// are reclaimed, as after a transfer: otherwise they might have no leader.
+// release releases the shards beyond this controller's share. After an error they are
+// reclaimed, as after a transfer: otherwise they might have no leader.
 func (m *Member) release(ctx context.Context) {
 	released, txn, lease := m.startRelease()
 	m.notifyChange()
--- a/internal/quotalease/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -146,7 +146,8 @@
 
 // Ceiling returns the amount of a team's limit that a shard's tasks may use in total,
 // including one that is about to start. It is zero until this leader has written the shard's
-// row: the row that it knows may be older than its predecessor's last write.
+// row: the row that it knows may be older than its predecessor's last write. It is also zero
+// while a shard has no row or the sum of the team's parts exceeds the limit.
 func (b *Borrower) Ceiling(shard int, team string) Amount { return b.ceilings[shardTeam{shard, team}] }
 
 // GuaranteeShare returns the share of a team's guarantee that a shard gets, from 0 to 1: its
--- a/internal/reachability/table.go
+++ b/internal/reachability/table.go
@@ -157,9 +157,10 @@
 // age tells whether those controllers may still answer workers.
 const newIncarnationWindow = 10 * time.Second
 
-// RelayFor returns the statuses to be relayed to a peer: those that arrived here directly and that
-// the peer does not receive itself, according to it or to their author. It returns none while all
-// controllers exchange their statuses directly. A status is relayed only once.
+// RelayFor returns the statuses to be relayed to a peer: recent ones that arrived here directly and
+// that the peer does not receive itself, according to it or to their author. Outdated ones are
+// included only during newIncarnationWindow. It returns none while all controllers exchange their
+// statuses directly. A status is relayed only once.
 func (t *Table) RelayFor(to string, now time.Time) []RelayedStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -28,8 +28,8 @@
 // Reply returns up to which frame of which stream this leader knows the views.
 func (d *Decoder) Reply() Reply { return Reply{Stream: d.stream, Seq: d.seq} }
 
-// Apply applies a message and returns the views that changed, as of now. A malformed message has
-// no effect and returns ErrMalformed.
+// Apply applies a message and returns the views that changed, as of now. Duplicates and messages of
+// other streams have no effect. A malformed message has no effect and returns ErrMalformed.
 func (d *Decoder) Apply(m *Message) ([]dispatch.WorkerView, Reply, error) {
 	if m.Frame == nil {
 		return nil, d.heartbeat(m), nil
@@ -115,7 +115,8 @@
 	return view
 }
 
-// heartbeat checks that both ends have the same views.
+// heartbeat checks that both ends have the same views. If they differ, the reply requests a new
+// stream.
 func (d *Decoder) heartbeat(m *Message) Reply {
 	if m.Stream != d.stream || m.Seq < d.seq { // from another incarnation, or a duplicate
 		return d.Reply()
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// waitForNextReport waits before the next report. If wait is 0, it waits for the usual interval,
-// or until ReportSoon is called.
+// waitForNextReport waits before the next report. If wait is 0, it waits for the usual interval.
+// ReportSoon then shortens the wait, but not below minReportInterval since sent.
 func (a *Agent) waitForNextReport(ctx context.Context, sent time.Time, wait time.Duration) {
 	var wake <-chan struct{} // nil after a failed or redirected report: changes must not shorten the wait
 	if wait == 0 {
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -53,7 +53,8 @@
 	a.terminate(grace)
 }
 
-// launchLocked executes a start command for a new attempt.
+// launchLocked executes a start command for a new attempt. The attempt exits at once if the task's
+// name is invalid or another attempt of the task has not exited.
 func (s *State) launchLocked(ctx context.Context, key attemptKey) {
 	job, _, err := wire.ParseTask(key.task)
 	a := &attempt{Task: wire.Task{Task: key.task, Attempt: key.attempt, State: wire.TaskFetching}}
@@ -79,8 +80,8 @@
 	})
 }
 
-// fetchSpec fetches a task description. It tries up to fetchTries times if the service does not
-// respond.
+// fetchSpec fetches a task description. It tries up to fetchTries times, except after
+// taskspec.ErrNotFound.
 func (s *State) fetchSpec(ctx context.Context, job string) (*taskspec.Spec, error) {
 	for try := 1; ; try++ {
 		spec, err := s.descriptions.Get(ctx, job)
@@ -97,7 +98,7 @@
 
 // finishLaunch starts the attempt's process. It marks the attempt as exited if the description
 // could not be fetched, the task has completed already, the worker lacks the resources or the
-// start fails.
+// start fails. It starts nothing if the attempt was stopped or its session has ended.
 func (s *State) finishLaunch(key attemptKey, a *attempt, session uint64, spec *taskspec.Spec, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
