--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// acquire returns the worker's connection, which the caller must release. The first request dials
-// it.
+// acquire returns the worker's connection, which the caller must release. The connection is opened
+// by its first request.
 func (p *connectionPool) acquire(endpoint string) *connection {
 	p.mu.Lock()
 	closing := p.removeIdleExpired(time.Now())
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -80,8 +80,8 @@
 	reservationsInFlight sync.WaitGroup
 }
 
-// New returns a member that has not joined yet. ttl is the lease's, shards the number of
-// shards, and spread the number of controllers that the shards are spread over.
+// New returns a member that has not joined yet. ttl is the time to live of its
+// lease, shards the number of shards, and spread the number of controllers that the shards are spread over.
 func New(store Store, name string, ttl time.Duration, shards, spread int, log *slog.Logger) *Member {
 	return &Member{
 		store: store, name: name, ttl: ttl, shards: shards, spread: spread, log: log,
--- a/internal/membership/transfer.go
+++ b/internal/membership/transfer.go
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// startTransfer stops leading all shards, and marks them as pending.
+// startTransfer stops leading all shards, and marks them as pending. It returns an error in the
+// cases in which TransferShards changes nothing.
 func (m *Member) startTransfer(to string) (*transfer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// applyShardLocked applies a shard's record as of a version.
+// applyShardLocked applies a shard's record as of a version. It ignores records that are out of
+// date.
 func (m *Member) applyShardLocked(shard int, leader shardRecord, version uint64) {
 	if version < m.newestVersions[shard] {
 		// Out of date: after a leader has transferred the shard, its lagging watch may report its
