--- a/internal/reachability/assignments.go
+++ b/internal/reachability/assignments.go
@@ -15,9 +15,9 @@
 	// must stay for underloadedDuration before the leader takes all of them back.
 	underloadedShare    = 0.9
 	underloadedDuration = 30 * time.Second
-	// planChangeShare is a share of the leader's capacity. A plan is replaced by one with the same
-	// controllers only if their shares differ by more than that in total: each change moves some
-	// workers.
+	// planChangeShare is a share of the leader's capacity. Unless the leader is above its capacity,
+	// a plan is replaced by one with the same controllers only if their shares differ by more than
+	// that in total: each change moves some workers.
 	planChangeShare = 0.05
 	// A worker that moves is counted at both controllers for a while, so that plans are made from
 	// imprecise counts. planChangeIntervals is the number of heartbeat intervals for which a
