--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -23,8 +23,8 @@
 	c.count[i]++
 }
 
-// countBefore returns the number of heartbeats in the whole seconds of HeartbeatWindow before the
-// given second.
+// countBefore returns the number of heartbeats in the period of length HeartbeatWindow that ends at
+// the start of the given second.
 func (c *heartbeatCounter) countBefore(second int64) (sum int) {
 	for i, counted := range c.second {
 		if counted < second && counted >= second-int64(HeartbeatWindow/time.Second) {
@@ -123,9 +123,9 @@
 	return time.Since(d.started) - time.Duration(d.lastHeartbeat.Load())
 }
 
-// SinceWorkerHeartbeat returns the time since the worker's last heartbeat here, answered or not: a
-// redirected worker is alive even if it can't reach the other controller. If there was none, the
-// result exceeds a lease.
+// SinceWorkerHeartbeat returns the time since the worker's last heartbeat here, or a time longer
+// than a lease if there was none. Heartbeats that were not answered count too: a redirected worker
+// is alive even if it can't reach the other controller.
 func (d *Dispatcher) SinceWorkerHeartbeat(name string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// claimStagger is multiplied by the number of controllers preferred to this one: the product is how
-	// long this controller waits before it claims a freed shard. Preferred are those that joined
-	// after it, and one whose registration was just deleted, since it may be restarting. So in a
+	// claimStagger is how long this controller waits, for each controller preferred to it, before it
+	// claims a freed shard. It prefers the stable controllers that joined after it, and one whose
+	// registration was just deleted, since it may be restarting. So in a
 	// rolling restart the jobs move to a controller that has been restarted already, and stay
 	// there. It is longer than the requests for joining take.
 	claimStagger = 250 * time.Millisecond
@@ -153,8 +153,8 @@
 	return since
 }
 
-// release releases the shards beyond this controller's share. If the outcome is unknown they
-// are reclaimed, as after a transfer: otherwise they might have no leader.
+// release releases the shards beyond this controller's share. After an error they are
+// reclaimed, as after a transfer: otherwise they might have no leader.
 func (m *Member) release(ctx context.Context) {
 	released, txn, lease := m.startRelease()
 	m.notifyChange()
--- a/internal/reachability/assignments.go
+++ b/internal/reachability/assignments.go
@@ -15,8 +15,9 @@
 	// must stay for underloadedDuration before the leader takes all of them back.
 	underloadedShare    = 0.9
 	underloadedDuration = 30 * time.Second
-	// planChangeShare is the share of the leader's capacity by which the planned shares must change
-	// in total before the plan changes: each change moves some workers.
+	// planChangeShare is a share of the leader's capacity. Unless the leader is above its capacity,
+	// a plan is replaced by one with the same controllers only if their shares differ by more than
+	// that in total: each change moves some workers.
 	planChangeShare = 0.05
 	// A worker that moves is counted at both controllers for a while, so that plans are made from
 	// imprecise counts. planChangeIntervals is the number of heartbeat intervals for which a
@@ -37,12 +38,13 @@
 // not safe for concurrent use.
 type AssignmentPlanner struct {
 	assignments      []Assignment
-	underloadedSince time.Time // since when this controller has had capacity for all workers; zero: it has not
+	underloadedSince time.Time // since when all workers have been fewer than underloadedShare of the capacity; zero: they are not
 	plannedAt        time.Time // time when assignments last changed
 	betterSince      time.Time // since when a different plan has been better; zero: none is
 }
 
-// Plan returns the assignments, or nil while one controller has capacity for all workers. count is
+// Plan returns the assignments. It returns nil while this controller has capacity for all workers,
+// and on a controller that does not take itself for the leader or has no capacity. count is
 // the number of workers that report to this controller, capacity the number that may, and interval
 // the pause between a worker's heartbeats.
 func (p *AssignmentPlanner) Plan(now time.Time, v *View, count, capacity int, interval time.Duration) []Assignment {
@@ -88,7 +90,8 @@
 	return all, shared
 }
 
-// underloaded reports whether all workers have fit here for underloadedDuration.
+// underloaded reports whether all workers have been fewer than underloadedShare of the capacity for
+// underloadedDuration.
 func (p *AssignmentPlanner) underloaded(now time.Time, all, capacity int) bool {
 	switch {
 	case float64(all) >= underloadedShare*float64(capacity):
--- a/internal/reachability/table.go
+++ b/internal/reachability/table.go
@@ -99,8 +99,8 @@
 	return v
 }
 
-// ReachedWithin reports whether a peer was heard directly within the given time and the last call
-// to it succeeded.
+// ReachedWithin reports whether a peer was heard directly within the given time and no call to it
+// has failed since the last one that succeeded.
 func (t *Table) ReachedWithin(peer string, within time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,9 +157,10 @@
 // age tells whether those controllers may still answer workers.
 const newIncarnationWindow = 10 * time.Second
 
-// RelayFor returns the statuses to be relayed to a peer: those that arrived here directly and that
-// the peer does not receive itself, according to it or to their author. It returns none while all
-// controllers exchange their statuses directly. A status is relayed only once.
+// RelayFor returns the statuses to be relayed to a peer: recent ones that arrived here directly and
+// that the peer does not receive itself, according to it or to their author. Outdated ones are
+// included only during newIncarnationWindow. It returns none while all controllers exchange their
+// statuses directly. A status is relayed only once.
 func (t *Table) RelayFor(to string, now time.Time) []RelayedStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
