--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -29,11 +29,11 @@
 	leaderCheckInterval = planInterval / 4
 	logInterval         = 10 * time.Second
 	cordonDelay         = 20 * time.Second // time that a new leader waits before it cordons workers
-	forgetAfter         = 30 * time.Second // a machine without heartbeats is forgotten if it has not been listed for this time: it is gone
-	refusalBackoff      = 12 * time.Second // before a refused offer is requested again, if machines of it were lost or deleted since
-	longRefusalBackoff  = 40 * time.Second // the same, if none were
+	forgetAfter         = 30 * time.Second // time without a listing after which a machine without heartbeats is forgotten, because it is gone
+	refusalBackoff      = 12 * time.Second // time until a refused offer is requested again if machines of it were lost or deleted since
+	longRefusalBackoff  = 40 * time.Second // time until a refused offer is requested again otherwise
 	usedSmoothing       = 0.1              // weight of the newest sample in the average of CPUs in use
-	scaleInRequestGap   = 2                // minimum time between scale-ins, in intervals between requests at the rate limit
+	scaleInRequestGap   = 2                // minimum time between scale-ins, in multiples of the request interval at the rate limit
 )
 
 // Scheduler is the part of the job scheduler that the autoscaler uses. Ready and WorkerDeleted
@@ -133,7 +133,7 @@
 	recordingAnswers   bool                          // a transaction for answeredProvisions is in flight
 	lastSeq            int                           // number in the name of the last provision
 	refusals           map[offer]refusal
-	deleting           map[string]time.Time // being deleted (zero time), or deleted: time until which lists may contain them
+	deleting           map[string]time.Time // zero while the machine is being deleted, then the time until which lists may contain it
 
 	usedCPUs       float64   // running average of CPUs in use
 	arrivalCPUs    float64   // running average of CPUs that newly accepted work occupies
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -79,11 +79,11 @@
 // maxListAge returns the maximum time by which the state in a list precedes the request for the list.
 func (a *Autoscaler) maxListAge() time.Duration { return a.maxListLag() + listRequestMargin }
 
-// vanished reports whether a machine that existed at a time is missing from a list that shows a
-// later time. Controllers can't tell such a machine from one that is unresponsive for another
-// reason, such as an outage that also hit a controller, and would wait for its lease to expire
-// before they restart its tasks. Deleting the machine makes certain that its tasks have ended.
-// Called with mu held.
+// vanished reports whether a machine that existed at the given time is missing from the newest
+// list, and that list is certain to show a later state. Controllers can't tell such a machine from
+// one that is unresponsive for another reason, such as an outage that also hit a controller, and
+// would wait for its lease to expire before they restart its tasks. Deleting the machine makes
+// certain that its tasks have ended. Called with mu held.
 func (a *Autoscaler) vanished(name string, existed time.Time) bool {
 	if a.isDeleting(name) || a.newestListAt.Sub(existed) <= a.maxListAge() {
 		return false
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -15,9 +15,10 @@
 
 // provisionExpires is the maximum time from the planning of a provision to its first request to the
 // cloud. A record may be written minutes late without its writer learning of it, and a later leader
-// can't tell whether the cloud received the request; by then most of the work that needed the
-// machines is done. Machines that were provisioned anyway appear in the cloud's list. The duration
-// covers a failover after the leader's lease expires.
+// that reads the record can't tell whether the cloud received the request. It does not send such an
+// old request, because most of the work that needed the machines is done by then. If the cloud did
+// receive it, the machines appear in the cloud's list. The duration covers a failover after the
+// leader's lease expires.
 const provisionExpires = 30 * time.Second
 
 // repeatDelay is the pause before a provision without an answer may be repeated.
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// needed reports whether the capacity without a machine would be below its target by more than half
-// the machine. The number of machines closest to the target is thus retained, and the last machines
-// are drained too when no more work arrives.
+// needed reports whether, without a machine, the capacity would be below its target by more than half
+// that machine. The capacity thus stays as close to the target as whole machines allow, and when no
+// more work arrives, even the last machines are drained.
 func (a *Autoscaler) needed(o offer, t wire.MachineType, totalCPUs float64) bool {
 	target := a.targetCPUs()
 	if o.onDemand(t) {
--- a/internal/controller/view_publisher.go
+++ b/internal/controller/view_publisher.go
@@ -18,8 +18,8 @@
 )
 
 // Bounds of the timeout of a message with worker views. A leader's timeout is twice the duration
-// of its last message: a message that times out may have been applied and is sent again unchanged,
-// so that over a slow link none would be acknowledged within a fixed timeout.
+// of its last message. With a fixed timeout, no message would be acknowledged over a slow link: one
+// that times out may have been applied, and is sent again unchanged.
 const (
 	minPublishTimeout = time.Second
 	maxPublishTimeout = 4 * time.Second
--- a/internal/controller/worker_routing.go
+++ b/internal/controller/worker_routing.go
@@ -10,8 +10,8 @@
 	"github.com/wallrack/wallrack/internal/peerlinks"
 )
 
-// cancelMarginS is the time in seconds between the expiry of a worker's lease, after the last
-// response of an isolated controller, and the time by which a cancelled task must have ended.
+// cancelMarginS is the margin in seconds between the expiry of a lease that an isolated controller
+// was the last to renew and the time by which a cancelled task must have ended.
 const cancelMarginS = 3.0
 
 // workerRouter determines which controller a worker reports to, and whether this controller may
@@ -25,8 +25,8 @@
 	assigned atomic.Bool // workers are assigned to several controllers
 }
 
-// responseGrace returns for how long after the last time at which it knew all cancels a controller
-// may respond to workers. A task may be cancelled just after that time, and then runs until its
+// responseGrace returns how long a controller may still respond to workers after the last time at
+// which it knew all cancels. A task may be cancelled just after that time, and then runs until its
 // worker's lease expires, which counts from the sending of the last report that got a response.
 func responseGrace(w config.Workers) time.Duration {
 	return config.Seconds(max(2, w.CancelS-w.MaxLeaseS()-cancelMarginS))
--- a/internal/jobrecord/keys.go
+++ b/internal/jobrecord/keys.go
@@ -17,7 +17,7 @@
 // LogKey returns the key of a slot in the log of a shard.
 func LogKey(shard, slot int) string { return fmt.Sprintf("%s%03d/%05d", LogPrefix, shard, slot) }
 
-// ParseLogKey is the inverse of LogKey. Its error names a key that is not a log key.
+// ParseLogKey is the inverse of LogKey. It returns an error that contains the key if it is not a log key.
 func ParseLogKey(key string) (shard, slot int, err error) {
 	if _, err := fmt.Sscanf(strings.TrimPrefix(key, LogPrefix), "%d/%d", &shard, &slot); err != nil || slot < 0 {
 		return 0, 0, fmt.Errorf("not a log key: %.60q", key)
--- a/internal/jobrecord/task_records.go
+++ b/internal/jobrecord/task_records.go
@@ -63,9 +63,9 @@
 	Failed     []uint64 `json:"f,omitempty"` // failures, encoded
 }
 
-// QuotaMark describes how the writer of a log record uses quota leases. Without it, a later
-// leader could not tell that the recorded quota leases do not cover the tasks that a leader
-// without quota leases started later.
+// QuotaMark describes how the writer of a log record uses quota leases. Without it, a new leader
+// could not tell that a predecessor without quota leases has started tasks which the quota leases
+// recorded before do not cover.
 type QuotaMark struct {
 	LeasesQuota bool `json:"l,omitempty"` // the writer starts tasks only within leased limits
 	// UnleasedVersion is the version of the latest log record whose writer did not lease
--- a/internal/jobstate/accounting.go
+++ b/internal/jobstate/accounting.go
@@ -10,7 +10,7 @@
 )
 
 // JobRow returns the accounting row of a job that has ended. For a job with constraints, the
-// first call also fixes the end time that later rows and records repeat.
+// first call also sets the end time, which is the same in all later rows and records.
 func (s *State) JobRow(job *Job) accounting.Row {
 	spec := job.Spec
 	row := accounting.Row{
--- a/internal/jobstate/outcome.go
+++ b/internal/jobstate/outcome.go
@@ -96,7 +96,7 @@
 }
 
 // EndStateOf returns how a job with constraints ended; nil for a job without constraints. The
-// first call fixes the end time.
+// first call sets the end time; later calls do not change it.
 func (s *State) EndStateOf(job *Job) *jobspec.Ending {
 	constraints := job.Constraints
 	if constraints == nil {
--- a/internal/jobstate/reserve.go
+++ b/internal/jobstate/reserve.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// reflectedInMatrix reports whether the placement needs no reservation in the worker's matrix,
-// given that the view may be lag old on arrival: the dispatcher knew the placement, or it uses
-// no resources.
+// reflectedInMatrix reports whether the placement needs no reservation in the worker's matrix:
+// the dispatcher knew the placement when it published the matrix, or the placement uses no
+// resources. The view may have been lag old when it arrived.
 func (p *Placement) reflectedInMatrix(lag time.Duration) bool {
 	switch {
 	case p.Exited:
--- a/internal/jobstate/state.go
+++ b/internal/jobstate/state.go
@@ -62,8 +62,8 @@
 
 	AdmittedWork float64                  // CPU-seconds accepted since this process started
 	Arriving     map[string]*ArrivingWork // by class
-	SpotDone     float64                  // tasks done on spot workers, decayed on each one
-	SpotLost     float64                  // tasks lost on spot workers, decayed on each one
+	SpotDone     float64                  // recent tasks done on spot workers, older ones with lower weight
+	SpotLost     float64                  // recent tasks lost on spot workers, older ones with lower weight
 	Stats        Stats
 	EndedTally   Tally // counts of jobs that ended under this leader
 
--- a/internal/jobstate/worker.go
+++ b/internal/jobstate/worker.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	faultyErrors = 4 // errors since the last completed task for a worker to be faulty, ...
-	faultyJobs   = 2 // ... from at least this many jobs
+	faultyErrors = 4 // minimum number of errors since the last completed task for a worker to be faulty
+	faultyJobs   = 2 // minimum number of jobs from which these errors come
 	// shortTaskShare is the share of the remaining occupied time of a cordoned worker that a
 	// further task may take, including the image fetch.
 	shortTaskShare = 0.8
@@ -55,8 +55,8 @@
 	// are not evicted, as of the current pass.
 	OccupiedS float64
 
-	RecentDone float64        // tasks done on the worker, decayed on each one
-	RecentLost float64        // tasks lost on the worker, decayed on each one
+	RecentDone float64        // recent tasks done on the worker, older ones with lower weight
+	RecentLost float64        // recent tasks lost on the worker, older ones with lower weight
 	Failures   map[string]int // errors since a task was last done on the worker, by job
 
 	// UnresponsiveSince is the time since which commands have had no effect on the worker,
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -23,8 +23,8 @@
 }
 
 // preempt makes room for urgent jobs that are about to miss a start objective or a deadline, by
-// stopping tasks of lower priority that lose little work and have time left. One pass examines a
-// part of the workers; the next pass continues from there.
+// stopping tasks of lower priority that have enough slack to run again and of whose work little is
+// wasted. One pass examines a part of the workers; the next pass continues from there.
 func (p *Planner) preempt(waiting []*jobstate.Job, schedulable []*jobstate.Worker) {
 	var urgent []*jobstate.Job
 	for _, job := range waiting {
@@ -99,8 +99,8 @@
 	return picked, starts
 }
 
-// startableTasks returns how many placeable tasks of the job fit into free together. At least n
-// tasks must fit.
+// startableTasks returns how many placeable tasks of the job fit into free together, given that at
+// least n of them do.
 func (p *Planner) startableTasks(job *jobstate.Job, free matching.Resources, n int) int {
 	for n < p.state.PlaceableTasks(job) && job.Resources.Scale(float64(n+1)).Fits(free) {
 		n++
--- a/internal/planner/rebalance.go
+++ b/internal/planner/rebalance.go
@@ -26,8 +26,8 @@
 // Rebalance examines tasks that are queued and not granted yet. It withdraws placements on
 // workers where the task can no longer be expected to start, and places tasks that wait much
 // longer than planned on a second worker if that is now cheaper; if both placements of a task
-// wait too long, the slower one is replaced. A task without a better worker whose waits all
-// exceed the horizon plus ReplaceAfterS becomes pending again and keeps its place in the
+// wait too long, the slower one is replaced. If no worker is better and all waits of a task exceed
+// the horizon plus ReplaceAfterS, the task becomes pending again and keeps its place in the
 // scheduling order: otherwise later tasks take all the room before the next run, and the task
 // waits for minutes. The caller holds the state's Mu.
 func (p *Planner) Rebalance() {
--- a/internal/planner/reserve.go
+++ b/internal/planner/reserve.go
@@ -45,7 +45,7 @@
 }
 
 // releaseReservedRoom undoes reserveRoom: it resets the workers' matrices to the published ones,
-// less the placements that they do not include yet.
+// less the resources of placements that the published ones do not include yet.
 func (p *Planner) releaseReservedRoom(schedulable []*jobstate.Worker) {
 	for _, worker := range schedulable {
 		if worker.RoomReserved {
--- a/internal/planner/triage.go
+++ b/internal/planner/triage.go
@@ -21,8 +21,8 @@
 
 // Triage determines, at most once per triageInterval, which jobs can still meet their deadlines,
 // and sets their tiers: see package admission. The capacity of the workers is assigned to
-// priorities in descending order; a lower priority gets what the current and the arriving work
-// of higher priorities leaves. The caller holds the state's Mu.
+// priorities in descending order; a lower priority gets the rest that neither the current nor the
+// arriving work of higher priorities uses. The caller holds the state's Mu.
 func (p *Planner) Triage() {
 	now := time.Now()
 	elapsedS := now.Sub(p.triagedAt).Seconds()
@@ -106,8 +106,8 @@
 	return byRank, ranks
 }
 
-// triageRank sets the tiers of the jobs of a priority if the priority is overloaded, and adds
-// their work to the work in t that precedes lower priorities.
+// triageRank sets the tiers of the jobs of a priority if the priority is overloaded. For the lower
+// priorities, it adds to t the work of these jobs and the share that arriving work uses.
 func (p *Planner) triageRank(t *triage, rank int, jobs []*jobstate.Job) {
 	workS := 0.0
 	remaining := make([]admission.Job, 0, len(jobs))
--- a/internal/planner/urgency.go
+++ b/internal/planner/urgency.go
@@ -9,12 +9,12 @@
 const (
 	lateSlackS       = 20               // slack assumed for jobs that can meet no objective or deadline any more, so that they still make progress
 	urgentSlackS     = 15               // slack below which an objective or deadline is about to be missed
-	minMissedUrgentS = 3 * urgentSlackS // a missed start objective keeps a job urgent up to this age in seconds or twice the objective
+	minMissedUrgentS = 3 * urgentSlackS // a job is urgent after a missed start objective up to this age or, if higher, twice the objective
 )
 
 // slack returns how many seconds the job's tasks may still wait without missing the next start
 // objective or deadline, ignoring those with a slack below bootS: a worker that is ready in bootS
-// seconds cannot help to meet them. It returns lateSlackS if no other is left.
+// seconds cannot help to meet them. It returns lateSlackS if none remains.
 func (p *Planner) slack(job *jobstate.Job, bootS float64) float64 {
 	ageS := p.state.Now.Sub(job.AcceptedAt).Seconds()
 	runS := jobstate.RunTimeMargin*job.RunEstimate() + jobstate.RestartOverheadS
--- a/internal/reconcile/grant_test.go
+++ b/internal/reconcile/grant_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// A grant counts once however often it is repeated, widens the range of tokens, and withdraws
-// the task's other placements.
+// A grant counts once however often it is repeated, extends the placement's range of fencing
+// tokens, and withdraws the task's other placements.
 func TestGrantIsCountedOnceAndWithdrawsOtherPlacements(t *testing.T) {
 	g := newGrantCase()
 	g.place("x", 2)
--- a/internal/reconcile/lease_expiry.go
+++ b/internal/reconcile/lease_expiry.go
@@ -12,7 +12,7 @@
 // In heartbeat intervals; jobstate.OverdueSlack is added to the first two.
 const (
 	pollAfterHeartbeats  = 1.25 // time without contact after which a worker is polled
-	haltAfterHeartbeats  = 2    // time without contact after which its tasks may be stopped; pollAfterHeartbeats if its lease is unknown
+	haltAfterHeartbeats  = 2    // time without contact after which tasks may be stopped; pollAfterHeartbeats if the lease is unknown
 	sameRenewalTolerance = 0.25 // maximum difference between two times of the same renewal
 )
 
@@ -25,7 +25,7 @@
 	minPollsPerRound   = 6           // minimum number of workers that may be polled in one round
 	pollDivisor        = 16          // one in this many overdue workers may be polled in one round, if that is more than minPollsPerRound
 	minLeaseLeftS      = 0.1         // minimum rest assumed for a lease that is not certain to have expired
-	maxOverdueShare    = 0.5         // maximum share of overdue workers: above it, the fault is probably not theirs, and the others lack room
+	maxOverdueShare    = 0.5         // maximum share of overdue workers: above it, they are probably not at fault, and the rest lack room
 )
 
 // expiringTask is a task on a worker whose lease is not being renewed. Times are in seconds.
@@ -37,11 +37,11 @@
 }
 
 // stopBeforeExpiry decides whether to stop a task now, leftS seconds before its worker kills it.
-// A task that can save its state runs on as long as there is time to save. If a task
-// that cannot save and is certain not to finish in time runs on until the lease expires, its run
-// and the rest of the lease are wasted: it is stopped while it has run for less than the rest of
-// the lease. The loss is then at most twice the minimum, whether or not the heartbeats resume. A task that may
-// finish in time runs on, because no other task can use its worker.
+// A task that can save its state runs on as long as there is time to save. If a task that
+// cannot save and is certain not to finish in time runs on until the lease expires, its run and the
+// rest of the lease are wasted. Such a task is stopped if it has run for less than the rest of the
+// lease: the loss is then at most twice the minimum, whether or not the heartbeats resume. A task
+// that may finish in time runs on, because no other task can use its worker.
 func stopBeforeExpiry(task expiringTask, leftS float64) bool {
 	switch {
 	case leftS <= 0 || task.stopUndoesStart:
--- a/internal/reconcile/task_unreported.go
+++ b/internal/reconcile/task_unreported.go
@@ -79,9 +79,9 @@
 // wait indefinitely behind long-running tasks while other workers are idle.
 //
 // A placement granted in an earlier session of the worker is withdrawn, because an attempt is
-// started in only one session: it may have run, and ended, in a session of which no heartbeat
-// arrived. A late heartbeat of that session, possibly received by the next leader, would be
-// mistaken for the result of the attempt in the following session.
+// started in only one session. It may have run, and ended, in the earlier session without a
+// heartbeat of that session having arrived. If it were started again, a late heartbeat of that
+// session, possibly received by the next leader, would be mistaken for the result of the new start.
 func (r *Reconciler) checkGranted(worker *jobstate.Worker, placement *jobstate.Placement, now time.Time) {
 	switch {
 	case worker.View.Session > placement.Session:
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -36,7 +36,7 @@
 	return len(r.state.Workers), unresponsive
 }
 
-// commandReachability describes which workers commands reach.
+// commandReachability summarizes which workers are reached by commands.
 type commandReachability struct {
 	unresponsive int         // number of unresponsive workers
 	respondedAt  []time.Time // RespondedAt of the responsive workers that responded lately, ascending
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -74,9 +74,9 @@
 	}
 	// A write of the job's end may have been applied although its response was lost: another
 	// controller may already have reported the end to the user, so only the state service can
-	// tell. Before that write is sent, every controller reports the job as live. If ends that
-	// are only queued for writing counted as well, a burst of very short jobs would send
-	// hundreds of queries to the state service.
+	// tell. Before that write is sent, every controller reports the job as live. An end that is
+	// only queued for writing therefore does not count: otherwise a burst of very short jobs
+	// would cause hundreds of queries to the state service.
 	if job.EndWriteSent || job.PendingCancels.Any() {
 		return false
 	}
--- a/internal/scheduler/update.go
+++ b/internal/scheduler/update.go
@@ -12,7 +12,7 @@
 // ErrInvalidRequest is returned for requests that can't be carried out as specified.
 var ErrInvalidRequest = errors.New("can't be done")
 
-// Hold holds the tasks of a job that have not started, or releases them if held is false. It
+// Hold holds those tasks of a job that have not started, or releases them if held is false. It
 // returns the same errors as CancelTasks.
 func (s *Scheduler) Hold(ctx context.Context, uid string, held bool) error {
 	return s.updateLiveRecord(ctx, uid, func(record *jobrecord.LiveRecord) (changed bool, err error) {
@@ -102,8 +102,8 @@
 	}
 }
 
-// applyUpdate applies a live record that was just written to the state, if the job is in the
-// state.
+// applyUpdate updates a job in the state from its live record, which was just written. It does
+// nothing if the state does not contain the job.
 func (s *Scheduler) applyUpdate(record *jobrecord.LiveRecord, version uint64) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
--- a/internal/scheduler/wait_estimate_test.go
+++ b/internal/scheduler/wait_estimate_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Tasks of a worker that reaches no controller must run elsewhere at once. If a short estimated
-// wait (0 to 1 s) costs less than the second (pack-s) by which full workers are preferred, the
+// Tasks of a worker that reaches no controller must run elsewhere at once. Full workers are
+// preferred by one second of cost (pack-s). If a short estimated wait (0 to 1 s) costs less, the
 // tasks are queued on full workers although others are idle. The estimate assumes that running
 // tasks end on time, and the heartbeat that it is based on may be up to two seconds old, or lost.
 // If those tasks run on, the task waits 4 to 6 s until its wait counts as longer than planned.
--- a/internal/shardlog/end_job.go
+++ b/internal/shardlog/end_job.go
@@ -13,7 +13,7 @@
 // that queries for them need no read.
 const maxCachedFinalRecords = 20_000
 
-// removeEndedJob removes a job whose end is recorded from the state, and instructs the
+// removeEndedJob removes from the state a job whose end is recorded, and instructs the
 // dispatchers to clear or halt its remaining tasks on workers.
 func (w *Writer) removeEndedJob(job *jobstate.Job) {
 	w.reportEnd(job)
--- a/internal/shardlog/outcome.go
+++ b/internal/shardlog/outcome.go
@@ -15,7 +15,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// commit applies a transaction that was written at a revision to the state.
+// commit applies to the state a transaction that was written at the given revision.
 func (w *Writer) commit(txn *transaction, revision uint64) {
 	w.pending = nil
 	w.chunkDeletions = w.chunkDeletions[txn.chunkDeletionsTaken:]
--- a/internal/shardlog/replay.go
+++ b/internal/shardlog/replay.go
@@ -19,8 +19,8 @@
 
 // ReadLogs builds the logs of the shards from the log records in items, and returns the
 // records' entries by job, oldest first. It passes the quota mark of every log record, of
-// whatever shard, to the quota manager. An unreadable record is logged; its slot is kept with
-// the sequence number, as far as it could be read.
+// whatever shard, to the quota manager. An unreadable record is logged; its slot is
+// retained, with the sequence number if that could be read.
 func (w *Writer) ReadLogs(items []wire.Item, shards []int) (map[int]*Log, map[string][]LogEntry) {
 	logs := map[int]*Log{}
 	for _, shard := range shards {
@@ -125,8 +125,8 @@
 	}
 }
 
-// resolveChunks adds to the slot the chunks of live jobs that its predecessor's record names, and
-// discards that record.
+// resolveChunks adds to the slot the chunks of live jobs that are named by its predecessorRecord,
+// and discards that record.
 func (w *Writer) resolveChunks(slot *logSlot) {
 	for i := range slot.predecessorRecord.Jobs {
 		entry := &slot.predecessorRecord.Jobs[i]
--- a/internal/shardlog/transaction_builder.go
+++ b/internal/shardlog/transaction_builder.go
@@ -16,7 +16,7 @@
 	maxTxnBytes       = 56 << 10 // less than the state service's size limit of a transaction
 	maxEndBytes       = 200      // upper bound for a job's end, without its accounting row and the keys that it changes
 	maxEndChangeBytes = 80       // upper bound for each key that a job's end changes
-	minEndChanges     = 2        // the live record is deleted and the final record written
+	minEndChanges     = 2        // keys that every job's end changes: the live record is deleted and the final record written
 )
 
 // transactionBuilder collects unwritten changes into one transaction.
--- a/internal/submission/batched_polls.go
+++ b/internal/submission/batched_polls.go
@@ -15,8 +15,8 @@
 	maxBatchesInFlight = 2   // per peer, if it responds within slowBatchAfter
 	maxBatchSize       = 200 // polls in a batch
 
-	// Over a slow link another batch is sent slowBatchAfter the last one, while fewer than
-	// maxSlowBatchesInFlight are in flight.
+	// Over a slow link, another batch is sent when slowBatchAfter has passed since the last one, as
+	// long as fewer than maxSlowBatchesInFlight are in flight.
 	slowBatchAfter         = 250 * time.Millisecond
 	maxSlowBatchesInFlight = 16
 	batchTimeout           = 4 * time.Second
--- a/internal/submission/messages.go
+++ b/internal/submission/messages.go
@@ -37,10 +37,10 @@
 	Reason string        `json:"reason,omitempty"` // of a rejection, for the user
 	Busy   bool          `json:"busy,omitempty"`   // the outcome is unknown because the state service's rate limit is exhausted
 
-	StageKnown bool `json:"settled,omitempty"` // the stage is certain; the state service alone records every living job as queued
+	StageKnown bool `json:"settled,omitempty"` // the stage is certain; the state service alone records every live job as queued
 
 	States       []wire.JobState `json:"states,omitempty"`    // of batched polls, in their order; those of unknown jobs have no UID
-	StageUnknown []string        `json:"unsettled,omitempty"` // of batched polls: living jobs whose leader does not know if a task runs
+	StageUnknown []string        `json:"unsettled,omitempty"` // of batched polls: live jobs whose leader does not know if a task runs
 }
 
 // retriableAtPeer reports whether the outcome is unknown but a peer may know it. If the state
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -31,7 +31,7 @@
 	writeTimeout = 3500 * time.Millisecond // of submissions and cancels; users wait 5 s
 	pollTimeout  = 1500 * time.Millisecond // users wait 2 s
 	peerTimeout  = 700 * time.Millisecond
-	busyRetryS   = 2   // lower bound of Retry-After while the state service is busy; the upper one is nearly twice that
+	busyRetryS   = 2   // minimum Retry-After in seconds while the state service is busy; the maximum is nearly twice as long
 	maxInFlight  = 128 // submissions in flight, and as many polls and cancels together; more are refused
 )
 
@@ -54,11 +54,11 @@
 	Cancel(ctx context.Context, uid string) (wire.JobState, error)
 }
 
-// StageAuthority may be implemented by Jobs. The state service records every living job as
+// StageAuthority may be implemented by Jobs. The state service records every live job as
 // queued, running or not. With a StageAuthority, "queued" is reported only by a leader that is
 // certain of it, and the response is 503 otherwise; without one, the stored stage is reported.
 type StageAuthority interface {
-	// SurelyQueued reports whether this controller leads the shard of a living job and knows
+	// SurelyQueued reports whether this controller leads the shard of a live job and knows
 	// that no task of the job runs.
 	SurelyQueued(uid string, shard int) bool
 }
@@ -109,7 +109,7 @@
 	op              *config.Operator
 	store           Store
 	jobs            Jobs
-	stages          StageAuthority // nil if the stored stage of a living job is reported
+	stages          StageAuthority // nil if the stored stage of a live job is reported
 	catalog         Catalog
 	peers           Peers
 	log             *slog.Logger
--- a/internal/submission/stage.go
+++ b/internal/submission/stage.go
@@ -11,7 +11,7 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// stageUnknown is the stage of a living job whose leader does not know yet whether a task runs.
+// stageUnknown is the stage of a live job whose leader does not know yet whether a task runs.
 // It is never reported to users.
 const stageUnknown = "unsettled"
 
@@ -36,7 +36,7 @@
 	return Reply{Status: http.StatusOK, State: state, StageKnown: true}
 }
 
-// stageUnknownReply returns the reply, with status 503, for a living job if no leader knows yet
+// stageUnknownReply returns the reply, with status 503, for a live job if no leader knows yet
 // whether a task of it runs.
 func (s *Service) stageUnknownReply(uid string) Reply {
 	s.stageUnknownLog.record(s.log, uid)
@@ -58,7 +58,7 @@
 }
 
 // needsLeader reports whether a reply says "queued" from the state service alone, which records
-// every living job as queued. A new job (201) is certainly queued.
+// every live job as queued. A new job (201) is certainly queued.
 func (r *Reply) needsLeader() bool {
 	return r.Status == http.StatusOK && r.State.Stage == wire.StageQueued && !r.StageKnown
 }
