--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -83,8 +83,9 @@
 	}
 }
 
-// Run reads the types, first from the state service, and refreshes prices at the controller
-// that leads autoscaling. It returns the context's error once the context has ended.
+// Run loads the machine types from the state service, or from the cloud if none are stored. While
+// leads returns true, it reads them from the cloud again every refreshInterval, since prices change.
+// It stores the types that it reads from the cloud. It runs until ctx ends and returns its error.
 func (c *Catalog) Run(ctx context.Context, leads func() bool) error {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		known := len(c.All()) > 0
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// needed reports whether, without a machine, the capacity would be below its target by more than half
-// that machine. The capacity thus stays as close to the target as whole machines allow, and when no
-// more work arrives, even the last machines are drained.
+// needed reports whether draining a machine would leave the capacity more than half that machine
+// below the target. The target is thus rounded to the nearest number of machines. With a target of 0
+// even the last machine is drained.
 func (a *Autoscaler) needed(o offer, t wire.MachineType, totalCPUs float64) bool {
 	target := a.targetCPUs()
 	if o.onDemand(t) {
--- a/internal/controller/user_peers.go
+++ b/internal/controller/user_peers.go
@@ -22,7 +22,8 @@
 // ServingPeers returns the names of the other controllers that reach the state service.
 func (u *userPeers) ServingPeers() []string { return u.links.Now().StoreReachablePeers() }
 
-// Healthy returns false only if this controller can't serve users and a peer can.
+// Healthy reports whether users' requests should be sent to this controller. It is false before the
+// controller has a fencing token, and while it can't reach the state service but a peer can.
 func (u *userPeers) Healthy() bool {
 	healthy := u.member.FencingToken() != 0 && u.links.Now().Healthy()
 	if healthy {
--- a/internal/controller/worker_routing.go
+++ b/internal/controller/worker_routing.go
@@ -10,8 +10,9 @@
 	"github.com/wallrack/wallrack/internal/peerlinks"
 )
 
-// cancelMarginS is the margin in seconds between the expiry of a lease that an isolated controller
-// was the last to renew and the time by which a cancelled task must have ended.
+// cancelMarginS is a reserve in seconds within the time in which a cancelled task must end
+// (CancelS): after an isolated controller has stopped responding and its workers' leases have
+// expired, this much time is left, unless responseGrace returns its minimum.
 const cancelMarginS = 3.0
 
 // workerRouter determines which controller a worker reports to, and whether this controller may
@@ -26,7 +27,7 @@
 }
 
 // responseGrace returns how long a controller may still respond to workers after the last time at
-// which it knew all cancels. A task may be cancelled just after that time, and then runs until its
+// which it knew all cancels, at least 2 s. A task may be cancelled just after that time, and then runs until its
 // worker's lease expires, which counts from the sending of the last report that got a response.
 func responseGrace(w config.Workers) time.Duration {
 	return config.Seconds(max(2, w.CancelS-w.MaxLeaseS()-cancelMarginS))
--- a/internal/jobrecord/keys.go
+++ b/internal/jobrecord/keys.go
@@ -17,7 +17,9 @@
 // LogKey returns the key of a slot in the log of a shard.
 func LogKey(shard, slot int) string { return fmt.Sprintf("%s%03d/%05d", LogPrefix, shard, slot) }
 
-// ParseLogKey is the inverse of LogKey. It returns an error that contains the key if it is not a log key.
+// ParseLogKey returns the shard and the slot of a key that LogKey returned. It also accepts a key
+// without LogPrefix, a negative shard, unpadded numbers, and text after the slot. For other keys and for a negative
+// slot it returns an error that contains the start of the key.
 func ParseLogKey(key string) (shard, slot int, err error) {
 	if _, err := fmt.Sscanf(strings.TrimPrefix(key, LogPrefix), "%d/%d", &shard, &slot); err != nil || slot < 0 {
 		return 0, 0, fmt.Errorf("not a log key: %.60q", key)
--- a/internal/jobstate/lease.go
+++ b/internal/jobstate/lease.go
@@ -21,9 +21,9 @@
 	renewalOverdueIntervals = 1.5
 )
 
-// HeartbeatOverdue reports whether, at the worker's last heartbeat, the previous contact was
-// older than the given number of heartbeat intervals, as happens with workers that only respond
-// to polls. It does not compare with the current time, because a leader that was paused would
+// HeartbeatOverdue reports whether the time between the worker's last contact (see LastContact) and
+// its last heartbeat exceeds the given number of heartbeat intervals plus OverdueSlack. This happens
+// with workers that only respond to polls. It does not compare with the current time, because a leader that was paused would
 // find every worker overdue.
 func (s *State) HeartbeatOverdue(worker *Worker, intervals float64) bool {
 	return worker.LastHeartbeat.Sub(worker.LastContact()) > config.Seconds(intervals*s.Platform.Params.Workers.ReportS)+OverdueSlack
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -35,17 +35,18 @@
 	image int
 }
 
-// resetCaches clears the caches of the previous pass, whose workers may have no room left.
+// resetCaches clears the lists of workers that the previous pass cached: their free resources may
+// have changed.
 func (p *Planner) resetCaches() {
 	clear(p.roomCache)
 	clear(p.imageCache)
 }
 
-// workersWithRoom returns the workers on which a task of the job may run and fits within the
-// horizon, as of the first call in this pass for a job with the same requirements. Room only
-// shrinks within a pass, and estimate rejects workers that have run out of it. Jobs with equal
-// requirements share a list, so that the cost of a pass grows with the number of workers with
-// room and not with workers times jobs.
+// workersWithRoom returns the workers that may run a task of the job, have enough of their lease
+// left, and have the resources free for it at some time within QueueHorizonS. The list is made
+// once per pass for all jobs with the same requirements, so that not every job examines every
+// worker. Resources only become scarcer within a pass, and estimate rejects workers that no longer
+// have enough.
 func (p *Planner) workersWithRoom(job *jobstate.Job, schedulable []*jobstate.Worker) []*jobstate.Worker {
 	key := job.Requirements()
 	if known, ok := p.roomCache[key]; ok {
@@ -61,8 +62,8 @@
 	return withRoom
 }
 
-// hasRoomWithinHorizon reports whether a task of the job fits on the worker at any time within
-// the horizon, for however short a time.
+// hasRoomWithinHorizon reports whether the worker has the resources for a task of the job free at
+// some time within QueueHorizonS of now, for however short a time.
 func (p *Planner) hasRoomWithinHorizon(job *jobstate.Job, worker *jobstate.Worker) bool {
 	horizonS := p.state.Operator.QueueHorizonS + p.state.Now.Sub(worker.ViewAt).Seconds()
 	for _, row := range worker.Matrix {
--- a/internal/reconcile/grant.go
+++ b/internal/reconcile/grant.go
@@ -106,7 +106,8 @@
 	return !placement.Exited && placement.Session > 0 && session > placement.Session && neverReported
 }
 
-// mayStart reports whether the placement may be granted, zone and quota aside.
+// mayStart reports whether the placement may be granted. The limits of its zone and its team are not
+// checked here, but by grantStart.
 func (r *Reconciler) mayStart(placement *jobstate.Placement) bool {
 	job, worker := placement.Job, placement.Worker
 	switch {
--- a/internal/reconcile/lease_expiry.go
+++ b/internal/reconcile/lease_expiry.go
@@ -54,8 +54,8 @@
 }
 
 // HandleExpiringLeases stops tasks on workers whose leases are about to expire without renewal,
-// and returns the addresses, by name, of the workers to be polled now. It is to be called
-// several times a second.
+// and returns the addresses, by name, of the workers to be polled now. It does nothing
+// if this leader's own lease has expired. It is to be called several times a second.
 func (r *Reconciler) HandleExpiringLeases() map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -80,7 +80,8 @@
 }
 
 // pollTargets returns the addresses of the overdue workers to be polled now, and marks them as
-// polled. Workers are polled in the order of their last heartbeat or poll, so that none waits
+// polled. The number of addresses is limited to minPollsPerRound or, if that is more, to the number
+// of overdue workers divided by pollDivisor. Workers are polled in the order of their last heartbeat or poll, so that none waits
 // indefinitely behind others.
 func (r *Reconciler) pollTargets(overdue []*jobstate.Worker, now time.Time) map[string]string {
 	slices.SortFunc(overdue, func(a, b *jobstate.Worker) int { return lastHeartbeatOrPoll(a).Compare(lastHeartbeatOrPoll(b)) })
@@ -115,7 +116,8 @@
 
 // pollDue reports whether a worker with an overdue heartbeat is to be polled for it: at the
 // interval of pollIntervalS, and additionally shortly before and after both the earliest and the
-// latest end of its lease, to observe the tasks that are done and those that are lost.
+// latest end of its lease, to observe the tasks that are done and those that are lost. It is false
+// once UnansweredPolls has reached maxUnansweredPolls, until the next heartbeat.
 func (r *Reconciler) pollDue(worker *jobstate.Worker, now time.Time) bool {
 	if worker.PolledAt.After(worker.LastHeartbeat) && worker.UnansweredPolls >= maxUnansweredPolls {
 		return false
@@ -147,8 +149,8 @@
 }
 
 // stopExpiringTasks stops the tasks selected by stopBeforeExpiry on a worker whose lease is
-// about to expire. Tasks that cannot save their state are stopped only if few workers are
-// overdue.
+// about to expire. Tasks of services are not stopped. Tasks that cannot save their state are
+// stopped only if few workers are overdue, they belong to no gang, and their run time is known.
 func (r *Reconciler) stopExpiringTasks(worker *jobstate.Worker, now time.Time, fewOverdue bool) {
 	stopped := 0
 	for placement := range worker.Placements {
--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -8,8 +8,9 @@
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// ObserveWorker applies a dispatcher's view of a worker to the state. A view that repeats the
-// last heartbeat does not wait for the state's Mu: it is applied later.
+// ObserveWorker applies a dispatcher's view of a worker to the state. If the view
+// repeats the last heartbeat and the state's Mu is held, ObserveWorker does not wait: the view is
+// applied later, by ObserveDeferred.
 func (r *Reconciler) ObserveWorker(view dispatch.WorkerView) {
 	if view.Unchanged {
 		if !r.state.Mu.TryLock() {
--- a/internal/scheduler/instructions.go
+++ b/internal/scheduler/instructions.go
@@ -13,7 +13,8 @@
 const instructionsTimeout = 2 * time.Second
 
 // sendInstructions sends the instructions in the state's outbox to the dispatchers until ctx
-// ends. Instructions for a peer's dispatcher are sent in batches.
+// ends. Instructions for a peer's dispatcher are sent in batches. Those for a worker that no
+// dispatcher has reported yet are dropped.
 func (s *Scheduler) sendInstructions(ctx context.Context) {
 	peers := batching.Sender[*dispatch.Instructions]{Send: func(dispatcher string, batch []*dispatch.Instructions) {
 		s.sendTo(ctx, dispatcher, mergeInstructions(batch))
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -13,8 +13,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// LocalState returns the state of a live or ended job from memory. It reports false unless that
-// state is known to be current, which only the leader of the job's shard can know.
+// LocalState returns the state of a live or ended job from memory, and true if that state is known
+// to be current. Of a live job, only the leader of its shard can know this.
 func (s *Scheduler) LocalState(uid string) (wire.JobState, bool) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -91,8 +91,8 @@
 }
 
 // justAcceptedPeriod is the time after its acceptance for which a job may be reported as queued
-// without confirmation by its leader. It is shorter than the delay with which users may learn
-// of a job's stage.
+// without confirmation by its leader. It is shorter than the time by which a stage reported
+// to a user may be out of date.
 const justAcceptedPeriod = 2 * time.Second
 
 // JustAccepted reports whether a job was accepted so recently that it may be reported as queued
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -17,9 +17,9 @@
 
 // Each job's live record changes at least twice, and each controller watches all live records:
 // without a rate limit, requests to the state service grow with the product of jobs and
-// controllers. Cancels don't wait for this watch, unless the response to the write of one was
-// lost: a leader applies them after its own writes, and other controllers get them from their
-// peers.
+// controllers. Cancels don't wait for this watch: a leader applies those that it wrote itself, and
+// other controllers get them from their peers. Only a cancel whose write got no response is
+// learned from the watch.
 const (
 	watchBurst   = 4 // number of responses without a pause between them after a period without changes
 	watchTimeout = 20 * time.Second
--- a/internal/submission/messages.go
+++ b/internal/submission/messages.go
@@ -10,7 +10,7 @@
 
 // Request is a user's request that one controller passes to another.
 type Request struct {
-	Verb string `json:"verb"` // submit, poll or cancel
+	Verb string `json:"verb"` // one of the Verb constants
 	UID  string `json:"uid"`
 	Body []byte `json:"body,omitempty"`
 
--- a/internal/testkit/client_fairness_test.go
+++ b/internal/testkit/client_fairness_test.go
@@ -107,7 +107,7 @@
 		began, took := r.Start, r.End-r.Start
 		r.Submit, r.Eligible, r.Start, r.End = 0, 0, 0, 0
 		if r.Kind == accounting.RowJob {
-			took = 0 // the row's end is the time at which the end was recorded
+			took = 0 // a job row's End is when the end of the job was recorded, not when its last task ended, so the duration varies
 		}
 		data, err := json.Marshal(r)
 		if err != nil {
