--- a/internal/jobstate/accounting.go
+++ b/internal/jobstate/accounting.go
@@ -10,7 +10,8 @@
 )
 
 // JobRow returns the accounting row of a job that has ended. For a job with constraints, the
-// first call also sets the end time, which is the same in all later rows and records.
+// first call also sets the end time, which is the same in all later rows and records. For any other
+// job, the end time is that of the call.
 func (s *State) JobRow(job *Job) accounting.Row {
 	spec := job.Spec
 	row := accounting.Row{
--- a/internal/jobstate/cancel.go
+++ b/internal/jobstate/cancel.go
@@ -8,7 +8,8 @@
 )
 
 // CancelTasks marks the tasks that their user cancelled individually as over, and stops them.
-// The outcome of tasks that are already over does not change.
+// The outcome of tasks that are already over does not change. If the job is not in s.Jobs yet, the
+// tasks are only marked.
 func (s *State) CancelTasks(job *Job) {
 	cancelled := s.markCancelledTasks(job)
 	if cancelled == nil || s.Jobs[job.Spec.UID] != job {
@@ -31,7 +32,8 @@
 }
 
 // markCancelledTasks records the outcome of the individually cancelled tasks that are not over
-// yet, and returns them; nil if no task was cancelled individually.
+// yet, and returns them. It returns nil if no task was cancelled individually or their list is
+// unreadable.
 func (s *State) markCancelledTasks(job *Job) map[int]bool {
 	if job.Constraints == nil || job.Constraints.CancelledTasks == "" {
 		return nil
--- a/internal/jobstate/completion.go
+++ b/internal/jobstate/completion.go
@@ -62,8 +62,9 @@
 	s.FinishJob(job)
 }
 
-// FinishJob sets the final stage of a job that has no work left, for the writer to record. It
-// does nothing if the job has work left or its final stage is already set.
+// FinishJob sets the final stage of a job that has ended, for the writer to record: done once all
+// its tasks are completed, otherwise cancelled once it has no placement and is cancelled or all its
+// tasks are over. It does nothing if the stage is already set or neither holds.
 func (s *State) FinishJob(job *Job) {
 	placed := len(job.Placements) > 0 // halted tasks may still be running
 	switch {
--- a/internal/jobstate/image.go
+++ b/internal/jobstate/image.go
@@ -23,8 +23,9 @@
 	return job.Spec.ImageGB
 }
 
-// CacheImage records that a worker has cached a job's image, and removes the least recently used
-// images for which the worker's cache has no room.
+// CacheImage records that a worker has cached a job's image. If the image is new, it then removes
+// the least recently used images until the rest fit into the machine type's CacheGB and are fewer
+// than maxImages. One image always remains, and all do if the machine type is unknown.
 func (s *State) CacheImage(job *Job, worker *Worker) {
 	image := s.Images.Of(job.Spec.Image)
 	if cached := worker.Images[image]; cached != nil {
--- a/internal/jobstate/lease.go
+++ b/internal/jobstate/lease.go
@@ -55,7 +55,8 @@
 
 // FitsLease reports whether a task of the job that starts on the worker now would complete, and
 // be observed to complete, before the worker's lease expires. It is true if the lease is being
-// renewed.
+// renewed, and false if the lease has expired unreported. If the lease is not being renewed, it is
+// false for services and gangs, and if the time of expiry is unknown.
 func (s *State) FitsLease(job *Job, worker *Worker) bool {
 	if worker.LeaseExpiredUnreported {
 		return false
--- a/internal/jobstate/record_update.go
+++ b/internal/jobstate/record_update.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// updateConstraints replaces a job's constraints with those of a newer record. If the job is now
-// held, its ungranted placements are withdrawn.
+// updateConstraints replaces a job's constraints with those of a newer record, and stops the tasks
+// that these cancel individually. If the job is now held, its ungranted placements are withdrawn.
 func (s *State) updateConstraints(job *Job, record *jobrecord.LiveRecord) {
 	if record.Constraints == nil || job.Constraints == nil {
 		return
--- a/internal/jobstate/served.go
+++ b/internal/jobstate/served.go
@@ -43,7 +43,8 @@
 // classes and teams.
 const maxTallied = 1000
 
-// Record adds a job to the counts of its class and its team. deadlineS is its first deadline in
+// Record adds a job to the counts of its class and its team and, if it is one of the class's largest,
+// to those of "largest". deadlineS is its first deadline in
 // seconds from acceptance; 0 if it has none. New names beyond maxTallied entries are not
 // counted.
 func (t Tally) Record(job *Job, ended bool, now time.Time, deadlineS float64) {
--- a/internal/jobstate/unconfirmed.go
+++ b/internal/jobstate/unconfirmed.go
@@ -20,7 +20,7 @@
 
 // MayRunUnseen reports whether a task of the job that a predecessor started may be running
 // without this leader having observed it: no heartbeat of its worker has been compared with the
-// placement since the failover, and the worker's lease may not have expired yet.
+// placement since the failover, and the worker's lease may still be valid.
 func (s *State) MayRunUnseen(job *Job, now time.Time) bool {
 	lease := config.Seconds(s.Platform.Params.Workers.MaxLeaseS())
 	if !now.Before(s.LoadedAt.Add(lease)) {
--- a/internal/planner/batch.go
+++ b/internal/planner/batch.go
@@ -11,7 +11,8 @@
 const matchRounds = 4
 
 // placeBatch matches up to limit tasks of the jobs, except gangs, to workers on which they start
-// within the horizon, and places them in ascending order of wait. It returns the number of tasks
+// within QueueHorizonS, and places them in ascending order of wait. It skips tasks that would exceed
+// their team's limit or break their job's zone rules. It returns the number of tasks
 // placed for each job.
 func (p *Planner) placeBatch(jobs []*jobstate.Job, schedulable []*jobstate.Worker, limit int) map[*jobstate.Job]int {
 	candidates, jobOf := p.batchCandidates(jobs, schedulable, limit)
--- a/internal/planner/candidates.go
+++ b/internal/planner/candidates.go
@@ -77,8 +77,8 @@
 	return false
 }
 
-// workersWithImage returns the workers with room for the job that cache its image, as of the
-// first call in this pass for a job with the same requirements and image.
+// workersWithImage returns those of workersWithRoom's workers that cache the job's image. The list
+// is made once per pass for all jobs with the same requirements and image.
 func (p *Planner) workersWithImage(job *jobstate.Job, image int, withRoom []*jobstate.Worker) []*jobstate.Worker {
 	key := imageRequirements{job.Requirements(), image}
 	caching, known := p.imageCache[key]
@@ -94,9 +94,10 @@
 	return caching
 }
 
-// candidates selects the workers to estimate from those with room for a job. Above
-// maxExhaustiveSearch workers, it selects workers that cache the image and then, among up to
-// maxSampledWorkers workers from a random start, some in the same zones and some with room now.
+// candidates selects the workers to estimate from those that workersWithRoom returned for a job. Up
+// to maxExhaustiveSearch workers are all selected. From more, it selects workers that cache the image.
+// Then it examines up to maxSampledWorkers workers from a random start, and selects some in the
+// zones of the former and some on which a task of the job fits now.
 func (p *Planner) candidates(job *jobstate.Job, withRoom []*jobstate.Worker) []*jobstate.Worker {
 	if len(withRoom) <= maxExhaustiveSearch {
 		return withRoom
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -31,8 +31,9 @@
 	return p.state.AllowedOn(job, worker) && p.state.FitsZone(job, worker) && p.state.FitsTeamLimit(job) && p.state.FitsLease(job, worker)
 }
 
-// estimate estimates a task of the job on the worker; ok is false if the task may not be placed
-// there or never fits. It deletes the job's AvoidUntil entry for the worker once that time has
+// estimate estimates a task of the job on the worker. ok is false if the task may not be placed
+// there, if the job avoids the worker until a later time, if the task never fits, or if it would
+// outlast the tasks that keep a cordoned worker occupied. It deletes the job's AvoidUntil entry for the worker once that time has
 // passed.
 func (p *Planner) estimate(job *jobstate.Job, worker *jobstate.Worker) (e estimate, ok bool) {
 	if !p.eligible(job, worker) {
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -47,7 +47,8 @@
 	return p.groupDemand(waiting, tasks, bootS), p.workerLoads()
 }
 
-// jobsWithDemand returns the jobs with waiting tasks, and the number of waiting tasks of each.
+// jobsWithDemand returns the jobs with waiting tasks, and the number of waiting tasks of each: the
+// eligible pending tasks, and the tasks without a placement that may run or has exited.
 func (p *Planner) jobsWithDemand() (waiting []*jobstate.Job, tasks map[*jobstate.Job]int) {
 	tasks = map[*jobstate.Job]int{}
 	for _, job := range p.state.JobOrder {
--- a/internal/planner/evict.go
+++ b/internal/planner/evict.go
@@ -14,9 +14,9 @@
 	maxEvictionLoss = 0.35 // maximum share of a task's run that its eviction may waste
 )
 
-// Evict stops the tasks with the longest remaining time on a cordoned worker if the work wasted
-// costs much less than the machine would until these tasks end, and if other workers have room
-// for them. Otherwise a few small tasks would occupy a large machine for minutes. Evict also
+// Evict stops the tasks with the longest remaining time on a cordoned worker if the wasted work
+// costs much less than keeping the machine until these tasks end, and if other workers have enough
+// free CPUs for them. Otherwise a few small tasks would occupy a large machine for minutes. Evict also
 // withdraws placements that have waited for a grant on a cordoned worker for more than
 // cordonedQueueWait. The caller holds the state's Mu.
 func (p *Planner) Evict() {
@@ -46,7 +46,7 @@
 }
 
 // cordonedWorkers returns the cordoned workers, and the free CPUs of the workers that are not
-// cordoned, draining or about to be reclaimed.
+// cordoned, draining or about to be reclaimed. It omits workers without a wait matrix.
 func (p *Planner) cordonedWorkers() (cordoned []*jobstate.Worker, freeCPUs float64) {
 	for _, worker := range p.state.WorkersByIndex {
 		switch {
@@ -125,7 +125,10 @@
 	return candidates[:evictionCount(candidates, machine, freeCPUs)]
 }
 
-// evictionCount returns how many candidates, counted from the first, to stop for the highest gain.
+// evictionCount returns how many candidates, counted from the first, to stop for the highest gain: the
+// price of the machine time saved, less minEvictionGain times the price of the work wasted. It
+// returns 0 if no number has a gain. It counts only candidates before the first that is not
+// evictable or does not fit into freeCPUs with those before it.
 func evictionCount(candidates []evictionCandidate, machine *wire.MachineType, freeCPUs float64) int {
 	count, bestGain := 0, 0.0
 	wasted, allResume := 0.0, true
--- a/internal/planner/gang.go
+++ b/internal/planner/gang.go
@@ -8,7 +8,8 @@
 )
 
 // placeGang places all pending tasks of a gang, or none: a part of the gang would only occupy
-// its workers until the last task starts.
+// its workers until the last task starts. It places none while the previous attempt has placements,
+// if there are more than maxPlacementsPerPass tasks, or if they would exceed the team's limit.
 func (p *Planner) placeGang(job *jobstate.Job, schedulable []*jobstate.Worker) {
 	n := len(job.Pending)
 	if len(job.Placements) > 0 {
@@ -87,8 +88,9 @@
 	return members
 }
 
-// bestGangWorker returns the worker with the lowest cost for one more task of a gang, within the
-// horizon and in the given zone unless it is ""; nil if there is none. inZone is the number of
+// bestGangWorker returns the worker with the lowest cost for one more task of a gang, among
+// those in the given zone, or in any if it is "", that can start it within QueueHorizonS; nil if
+// there is none. inZone is the number of
 // the gang's tasks by zone.
 func (p *Planner) bestGangWorker(job *jobstate.Job, schedulable []*jobstate.Worker, zone string, inZone map[string]int) (*jobstate.Worker, estimate) {
 	var best *jobstate.Worker
--- a/internal/planner/pass.go
+++ b/internal/planner/pass.go
@@ -16,8 +16,8 @@
 )
 
 // Pass runs one scheduling pass: it matches waiting tasks in batches, in the order of SortJobs,
-// until no further task starts within the horizon or the budget of placements is spent, and then
-// preempts for urgent jobs that still wait. If the budget is spent, it signals PlanSignal for
+// until no further task starts within QueueHorizonS or maxPlacementsPerPass tasks, not counting gangs, are placed, and then
+// preempts for urgent jobs that still wait. If that limit stopped it, it signals PlanSignal for
 // another pass. It does nothing if less than a second of the lease remains or no shard is
 // loaded. The caller holds the state's Mu.
 func (p *Planner) Pass() {
@@ -57,8 +57,9 @@
 	return waiting
 }
 
-// placeNextBatch places tasks of the first jobs in waiting. If jobs of lower priority come next,
-// it reserves room for the jobs of the batch that still wait. It returns the jobs that remain
+// placeNextBatch places tasks of the first jobs in waiting. If the next jobs have a lower priority,
+// it reserves resources for the jobs of the batch that still wait. A batch of first starts reserves
+// them whatever the next jobs' priority, but only for the jobs that still need a first start. It returns the jobs that remain
 // for the next batch, reusing the array of waiting, and the number of tasks placed, except those
 // of gangs.
 func (p *Planner) placeNextBatch(waiting []*jobstate.Job, schedulable []*jobstate.Worker, budget int) (remaining []*jobstate.Job, placed int) {
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -24,7 +24,8 @@
 
 // preempt makes room for urgent jobs that are about to miss a start objective or a deadline, by
 // stopping tasks of lower priority that have enough slack to run again and of whose work little is
-// wasted. One pass examines a part of the workers; the next pass continues from there.
+// wasted. It makes no room for gangs. One pass examines at most maxPreemptionWorkers workers; the next
+// pass continues from there.
 func (p *Planner) preempt(waiting []*jobstate.Job, schedulable []*jobstate.Worker) {
 	var urgent []*jobstate.Job
 	for _, job := range waiting {
@@ -109,7 +110,7 @@
 }
 
 // preemptionCandidates returns the tasks on a worker that may be stopped for a job, in ascending
-// order of loss.
+// order of loss. It omits tasks without checkpoints that should end within nearlyDoneS.
 func (p *Planner) preemptionCandidates(job *jobstate.Job, worker *jobstate.Worker) []preemptionCandidate {
 	var candidates []preemptionCandidate
 	for placement := range worker.Placements {
--- a/internal/planner/reserve.go
+++ b/internal/planner/reserve.go
@@ -11,8 +11,9 @@
 	reservationWindowS = 45 // room is reserved only if it becomes free within this many seconds
 )
 
-// reserveRoom reserves, for this pass, the earliest room that fits the jobs' waiting tasks:
-// otherwise small tasks of lower priority fill every gap before it grows large enough.
+// reserveRoom reserves for this pass, for up to maxReservedTasks waiting tasks of the jobs, the
+// resources that earliestRoom finds. Otherwise small tasks of lower priority fill every gap before it
+// grows large enough.
 func (p *Planner) reserveRoom(jobs []*jobstate.Job, schedulable []*jobstate.Worker) {
 	budget := maxReservedTasks
 	for _, job := range jobs {
--- a/internal/planner/triage.go
+++ b/internal/planner/triage.go
@@ -21,8 +21,8 @@
 
 // Triage determines, at most once per triageInterval, which jobs can still meet their deadlines,
 // and sets their tiers: see package admission. The capacity of the workers is assigned to
-// priorities in descending order; a lower priority gets the rest that neither the current nor the
-// arriving work of higher priorities uses. The caller holds the state's Mu.
+// priorities in descending order; a lower priority is assigned what neither the current nor the
+// arriving work of higher priorities uses. Without capacity, the tiers stay as they are. The caller holds the state's Mu.
 func (p *Planner) Triage() {
 	now := time.Now()
 	elapsedS := now.Sub(p.triagedAt).Seconds()
@@ -145,8 +145,8 @@
 	return sumS / float64(max(1, n))
 }
 
-// remainingWork returns the remaining work and deadlines of a job. Its work is in seconds of the
-// whole capacity.
+// remainingWork returns the remaining work and deadlines of a job. The work is the time in
+// seconds for which it would occupy the whole capacity.
 func (p *Planner) remainingWork(job *jobstate.Job, t *triage) admission.Job {
 	capacity := t.capacity
 	share := job.Resources.CPUs / capacity.CPUs
--- a/internal/scheduler/listing.go
+++ b/internal/scheduler/listing.go
@@ -180,7 +180,8 @@
 	return waits
 }
 
-// waitReason returns why a job's waiting tasks wait, as one of Slurm's reason names.
+// waitReason returns why a job's waiting tasks wait, as one of Slurm's reason names. first is the job
+// that nextWaitingJob returns.
 func (s *Scheduler) waitReason(job, first *jobstate.Job) string {
 	if reason := s.state.WaitReason(job, time.Now()); reason != "" {
 		return reason
--- a/internal/scheduler/pending_cancels.go
+++ b/internal/scheduler/pending_cancels.go
@@ -52,7 +52,7 @@
 }
 
 // rewriteRecord writes a job's live record again, unless the job is cancelled, and applies the
-// record to the state.
+// record to the state. It does nothing if this controller does not lead the job's shard.
 func (s *Scheduler) rewriteRecord(ctx context.Context, uid string) error {
 	record, version, err := jobrecord.ReadLive(ctx, s.store, uid)
 	if err != nil {
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// pass runs one scheduling pass, and reconciles all workers if that is due. It returns the time
-// of the last reconciliation.
+// pass applies the deferred views and runs one scheduling pass. If more than reconcileInterval has
+// passed since lastReconcile, it also calls Rebalance and Evict, unless the lease has expired, and
+// RepeatUnconfirmed. It returns the time at which it last did so.
 func (s *Scheduler) pass(lastReconcile time.Time) time.Time {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -78,8 +78,10 @@
 	version uint64
 }
 
-// applyRecord applies a live record of the given version to the state. Older and repeated
-// records have no effect.
+// applyRecord applies a live record of the given version to the state if this controller has loaded
+// its shard. Older and repeated records, and those of ended jobs, have no effect. A cancel is
+// recorded whatever the shard. While shards are being loaded, the records of other shards are kept
+// and applied after the load.
 func (s *Scheduler) applyRecord(record *jobrecord.LiveRecord, version uint64) {
 	uid := record.Job.UID
 	if record.Cancelled && s.state.Cancellations != nil {
