--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -26,7 +26,7 @@
 	l.UsedByShard[shard] = l.UsedByShard[shard].Add(resources, sign)
 }
 
-// HasLeasableLimit reports whether the team's limit is leased in parts. A team that has only a
+// HasLeasableLimit reports whether the team has a limit that leaders can lease parts of. A team that has only a
 // guarantee has no limit to lease.
 func HasLeasableLimit(t config.Team) bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
 
--- a/internal/reconcile/lease_expiry.go
+++ b/internal/reconcile/lease_expiry.go
@@ -24,8 +24,8 @@
 	maxUnansweredPolls = 2           // consecutive polls without a response after which a worker is not polled again
 	minPollsPerRound   = 6           // minimum number of workers that may be polled in one round
 	pollDivisor        = 16          // one in this many overdue workers may be polled in one round, if that is more than minPollsPerRound
-	minLeaseLeftS      = 0.1         // minimum rest assumed for a lease that is not certain to have expired
-	maxOverdueShare    = 0.5         // maximum share of overdue workers: above it, they are probably not at fault, and the rest lack room
+	minLeaseLeftS      = 0.1         // minimum remaining time in seconds assumed for a lease that may not have expired
+	maxOverdueShare    = 0.5         // maximum share of overdue workers: above it, probably none is at fault, and the others lack resources
 )
 
 // expiringTask is a task on a worker whose lease is not being renewed. Times are in seconds.
@@ -106,8 +106,8 @@
 	return jobstate.Later(worker.LastHeartbeat, worker.PolledAt)
 }
 
-// leaseExpiring reports whether a worker's heartbeat is overdue and its lease has not been
-// expired for long.
+// leaseExpiring reports whether a worker's heartbeat is overdue, and the latest end of its lease is in
+// the future or was less than one heartbeat interval plus settleDelay ago.
 func (r *Reconciler) leaseExpiring(worker *jobstate.Worker, now time.Time) bool {
 	intervalS := r.state.Platform.Params.Workers.ReportS
 	overdue := now.Sub(worker.LastContact()) > config.Seconds(pollAfterHeartbeats*intervalS)+jobstate.OverdueSlack
--- a/internal/scheduler/constraints.go
+++ b/internal/scheduler/constraints.go
@@ -48,8 +48,8 @@
 
 // evaluateConstraints evaluates the constraints of all jobs by what this leader knows. It
 // returns the dependencies for which other leaders must be queried, and the jobs to cancel,
-// each with the reason. At most maxRemoteQueries jobs are queried for per call, and each job at most
-// once per remoteQueryInterval.
+// each with the reason. It returns dependencies of at most maxRemoteQueries jobs per call, and
+// those of the same job at most once per remoteQueryInterval.
 func (s *Scheduler) evaluateConstraints(now time.Time) (queries []dependencyQuery, cancels map[string]string) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -165,8 +165,8 @@
 	return running
 }
 
-// HasUnfinishedJobs reports whether this leader has a live job of the class that is not
-// cancelled.
+// HasUnfinishedJobs reports whether any job of the class, on this leader, is neither cancelled nor
+// at its end.
 func (s *Scheduler) HasUnfinishedJobs(class string) bool {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
