--- a/internal/controller/worker_routing.go
+++ b/internal/controller/worker_routing.go
@@ -10,8 +10,9 @@
 	"github.com/wallrack/wallrack/internal/peerlinks"
 )
 
-// cancelMarginS is the time in seconds between the expiry of a worker's lease, after the last
-// response of an isolated controller, and the time by which a cancelled task must have ended.
+// cancelMarginS is a reserve in seconds within the time in which a cancelled task must end
+// (CancelS): after an isolated controller has stopped responding and its workers' leases have
+// expired, this much time is left, unless responseGrace returns its minimum.
 const cancelMarginS = 3.0
 
 // workerRouter determines which controller a worker reports to, and whether this controller may
@@ -25,8 +26,8 @@
 	assigned atomic.Bool // workers are assigned to several controllers
 }
 
-// responseGrace returns for how long after the last time at which it knew all cancels a controller
-// may respond to workers. A task may be cancelled just after that time, and then runs until its
+// responseGrace returns how long a controller may still respond to workers after the last time at
+// which it knew all cancels, at least 2 s. A task may be cancelled just after that time, and then runs until its
 // worker's lease expires, which counts from the sending of the last report that got a response.
 func responseGrace(w config.Workers) time.Duration {
 	return config.Seconds(max(2, w.CancelS-w.MaxLeaseS()-cancelMarginS))
--- a/internal/jobstate/lease.go
+++ b/internal/jobstate/lease.go
@@ -21,9 +21,9 @@
 	renewalOverdueIntervals = 1.5
 )
 
-// HeartbeatOverdue reports whether, at the worker's last heartbeat, the previous contact was
-// older than the given number of heartbeat intervals, as happens with workers that only respond
-// to polls. It does not compare with the current time, because a leader that was paused would
+// HeartbeatOverdue reports whether the time between the worker's last contact (see LastContact) and
+// its last heartbeat exceeds the given number of heartbeat intervals plus OverdueSlack. This happens
+// with workers that only respond to polls. It does not compare with the current time, because a leader that was paused would
 // find every worker overdue.
 func (s *State) HeartbeatOverdue(worker *Worker, intervals float64) bool {
 	return worker.LastHeartbeat.Sub(worker.LastContact()) > config.Seconds(intervals*s.Platform.Params.Workers.ReportS)+OverdueSlack
@@ -55,7 +55,8 @@
 
 // FitsLease reports whether a task of the job that starts on the worker now would complete, and
 // be observed to complete, before the worker's lease expires. It is true if the lease is being
-// renewed.
+// renewed, and false if the lease has expired unreported. If the lease is not being renewed, it is
+// false for services and gangs, and if the time of expiry is unknown.
 func (s *State) FitsLease(job *Job, worker *Worker) bool {
 	if worker.LeaseExpiredUnreported {
 		return false
--- a/internal/reconcile/lease_expiry.go
+++ b/internal/reconcile/lease_expiry.go
@@ -12,7 +12,7 @@
 // In heartbeat intervals; jobstate.OverdueSlack is added to the first two.
 const (
 	pollAfterHeartbeats  = 1.25 // time without contact after which a worker is polled
-	haltAfterHeartbeats  = 2    // time without contact after which its tasks may be stopped; pollAfterHeartbeats if its lease is unknown
+	haltAfterHeartbeats  = 2    // time without contact after which tasks may be stopped; pollAfterHeartbeats if the lease is unknown
 	sameRenewalTolerance = 0.25 // maximum difference between two times of the same renewal
 )
 
@@ -24,8 +24,8 @@
 	maxUnansweredPolls = 2           // consecutive polls without a response after which a worker is not polled again
 	minPollsPerRound   = 6           // minimum number of workers that may be polled in one round
 	pollDivisor        = 16          // one in this many overdue workers may be polled in one round, if that is more than minPollsPerRound
-	minLeaseLeftS      = 0.1         // minimum rest assumed for a lease that is not certain to have expired
-	maxOverdueShare    = 0.5         // maximum share of overdue workers: above it, the fault is probably not theirs, and the others lack room
+	minLeaseLeftS      = 0.1         // minimum remaining time in seconds assumed for a lease that may not have expired
+	maxOverdueShare    = 0.5         // maximum share of overdue workers: above it, probably none is at fault, and the others lack resources
 )
 
 // expiringTask is a task on a worker whose lease is not being renewed. Times are in seconds.
@@ -37,11 +37,11 @@
 }
 
 // stopBeforeExpiry decides whether to stop a task now, leftS seconds before its worker kills it.
-// A task that can save its state runs on as long as there is time to save. If a task
-// that cannot save and is certain not to finish in time runs on until the lease expires, its run
-// and the rest of the lease are wasted: it is stopped while it has run for less than the rest of
-// the lease. The loss is then at most twice the minimum, whether or not the heartbeats resume. A task that may
-// finish in time runs on, because no other task can use its worker.
+// A task that can save its state runs on as long as there is time to save. If a task that
+// cannot save and is certain not to finish in time runs on until the lease expires, its run and the
+// rest of the lease are wasted. Such a task is stopped if it has run for less than the rest of the
+// lease: the loss is then at most twice the minimum, whether or not the heartbeats resume. A task
+// that may finish in time runs on, because no other task can use its worker.
 func stopBeforeExpiry(task expiringTask, leftS float64) bool {
 	switch {
 	case leftS <= 0 || task.stopUndoesStart:
@@ -54,8 +54,8 @@
 }
 
 // HandleExpiringLeases stops tasks on workers whose leases are about to expire without renewal,
-// and returns the addresses, by name, of the workers to be polled now. It is to be called
-// several times a second.
+// and returns the addresses, by name, of the workers to be polled now. It does nothing
+// if this leader's own lease has expired. It is to be called several times a second.
 func (r *Reconciler) HandleExpiringLeases() map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -80,7 +80,8 @@
 }
 
 // pollTargets returns the addresses of the overdue workers to be polled now, and marks them as
-// polled. Workers are polled in the order of their last heartbeat or poll, so that none waits
+// polled. The number of addresses is limited to minPollsPerRound or, if that is more, to the number
+// of overdue workers divided by pollDivisor. Workers are polled in the order of their last heartbeat or poll, so that none waits
 // indefinitely behind others.
 func (r *Reconciler) pollTargets(overdue []*jobstate.Worker, now time.Time) map[string]string {
 	slices.SortFunc(overdue, func(a, b *jobstate.Worker) int { return lastHeartbeatOrPoll(a).Compare(lastHeartbeatOrPoll(b)) })
@@ -105,8 +106,8 @@
 	return jobstate.Later(worker.LastHeartbeat, worker.PolledAt)
 }
 
-// leaseExpiring reports whether a worker's heartbeat is overdue and its lease has not been
-// expired for long.
+// leaseExpiring reports whether a worker's heartbeat is overdue, and the latest end of its lease is in
+// the future or was less than one heartbeat interval plus settleDelay ago.
 func (r *Reconciler) leaseExpiring(worker *jobstate.Worker, now time.Time) bool {
 	intervalS := r.state.Platform.Params.Workers.ReportS
 	overdue := now.Sub(worker.LastContact()) > config.Seconds(pollAfterHeartbeats*intervalS)+jobstate.OverdueSlack
@@ -115,7 +116,8 @@
 
 // pollDue reports whether a worker with an overdue heartbeat is to be polled for it: at the
 // interval of pollIntervalS, and additionally shortly before and after both the earliest and the
-// latest end of its lease, to observe the tasks that are done and those that are lost.
+// latest end of its lease, to observe the tasks that are done and those that are lost. It is false
+// once UnansweredPolls has reached maxUnansweredPolls, until the next heartbeat.
 func (r *Reconciler) pollDue(worker *jobstate.Worker, now time.Time) bool {
 	if worker.PolledAt.After(worker.LastHeartbeat) && worker.UnansweredPolls >= maxUnansweredPolls {
 		return false
@@ -147,8 +149,8 @@
 }
 
 // stopExpiringTasks stops the tasks selected by stopBeforeExpiry on a worker whose lease is
-// about to expire. Tasks that cannot save their state are stopped only if few workers are
-// overdue.
+// about to expire. Tasks of services are not stopped. Tasks that cannot save their state are
+// stopped only if few workers are overdue, they belong to no gang, and their run time is known.
 func (r *Reconciler) stopExpiringTasks(worker *jobstate.Worker, now time.Time, fewOverdue bool) {
 	stopped := 0
 	for placement := range worker.Placements {
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -13,8 +13,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// LocalState returns the state of a live or ended job from memory. It reports false unless that
-// state is known to be current, which only the leader of the job's shard can know.
+// LocalState returns the state of a live or ended job from memory, and true if that state is known
+// to be current. Of a live job, only the leader of its shard can know this.
 func (s *Scheduler) LocalState(uid string) (wire.JobState, bool) {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
@@ -74,9 +74,9 @@
 	}
 	// A write of the job's end may have been applied although its response was lost: another
 	// controller may already have reported the end to the user, so only the state service can
-	// tell. Before that write is sent, every controller reports the job as live. If ends that
-	// are only queued for writing counted as well, a burst of very short jobs would send
-	// hundreds of queries to the state service.
+	// tell. Before that write is sent, every controller reports the job as live. An end that is
+	// only queued for writing therefore does not count: otherwise a burst of very short jobs
+	// would cause hundreds of queries to the state service.
 	if job.EndWriteSent || job.PendingCancels.Any() {
 		return false
 	}
@@ -91,8 +91,8 @@
 }
 
 // justAcceptedPeriod is the time after its acceptance for which a job may be reported as queued
-// without confirmation by its leader. It is shorter than the delay with which users may learn
-// of a job's stage.
+// without confirmation by its leader. It is shorter than the time by which a stage reported
+// to a user may be out of date.
 const justAcceptedPeriod = 2 * time.Second
 
 // JustAccepted reports whether a job was accepted so recently that it may be reported as queued
@@ -165,8 +165,8 @@
 	return running
 }
 
-// HasUnfinishedJobs reports whether this leader has a live job of the class that is not
-// cancelled.
+// HasUnfinishedJobs reports whether any job of the class, on this leader, is neither cancelled nor
+// at its end.
 func (s *Scheduler) HasUnfinishedJobs(class string) bool {
 	s.state.Mu.Lock()
 	defer s.state.Mu.Unlock()
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -17,9 +17,9 @@
 
 // Each job's live record changes at least twice, and each controller watches all live records:
 // without a rate limit, requests to the state service grow with the product of jobs and
-// controllers. Cancels don't wait for this watch, unless the response to the write of one was
-// lost: a leader applies them after its own writes, and other controllers get them from their
-// peers.
+// controllers. Cancels don't wait for this watch: a leader applies those that it wrote itself, and
+// other controllers get them from their peers. Only a cancel whose write got no response is
+// learned from the watch.
 const (
 	watchBurst   = 4 // number of responses without a pause between them after a period without changes
 	watchTimeout = 20 * time.Second
@@ -78,8 +78,10 @@
 	version uint64
 }
 
-// applyRecord applies a live record of the given version to the state. Older and repeated
-// records have no effect.
+// applyRecord applies a live record of the given version to the state if this controller has loaded
+// its shard. Older and repeated records, and those of ended jobs, have no effect. A cancel is
+// recorded whatever the shard. While shards are being loaded, the records of other shards are kept
+// and applied after the load.
 func (s *Scheduler) applyRecord(record *jobrecord.LiveRecord, version uint64) {
 	uid := record.Job.UID
 	if record.Cancelled && s.state.Cancellations != nil {
