--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -158,7 +158,8 @@
 	}
 }
 
-// round starts the reads and writes that are due, as far as the write limit allows.
+// round starts the reads and writes that are due, as far as the write limit allows. It starts none
+// if this controller leads no shard or its lease has expired.
 func (m *Manager) round(ctx context.Context) {
 	m.state.Mu.Lock()
 	defer m.state.Mu.Unlock()
--- a/internal/quota/needs.go
+++ b/internal/quota/needs.go
@@ -14,8 +14,8 @@
 }
 
 // currentNeeds returns, for each shard led here and each team whose limit is leased in parts,
-// what the shard's tasks use and what they would use if all that can start now did. Shards that
-// use nothing and want nothing are omitted.
+// the amount that the shard's tasks use, and the amount that they would use if all tasks that can
+// start now were started. Shards that use nothing and have no such tasks are omitted.
 func (m *Manager) currentNeeds(now time.Time) map[shardTeam]quotalease.Need {
 	m.state.Now = now
 	needs := map[shardTeam]quotalease.Need{}
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// parseRecord parses a record; one that can't be parsed is counted and logged. Version 0 means
-// that there is none.
+// parseRecord parses a record. If it can't be parsed, that is counted and logged, and parseRecord
+// returns false. Version 0 means that there is no record; an empty one is returned then.
 func (m *Manager) parseRecord(item wire.Item) (quotalease.Record, bool) {
 	if item.Version == 0 {
 		return quotalease.Record{}, true
--- a/internal/quotalease/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -53,9 +53,9 @@
 	pending          *Write // was sent, and its outcome is unknown
 	rereadNeeded     bool   // record may be older than a write of this leader
 
-	withheld map[shardTeam]Amount        // amounts of led shards' parts that are promised to other shards, and not used for new tasks
+	withheld map[shardTeam]Amount        // amounts of led shards' parts that new tasks must not use, because other shards are to get them
 	unneeded map[shardTeam]unneededSince // amounts of led shards' parts that are not needed
-	idle     map[shardTeam]idleState     // use of led shards' parts, if it is less than the part although there is work
+	idle     map[shardTeam]idleState     // for how long led shards have left their parts unused
 	ceilings map[shardTeam]Amount        // see Ceiling
 }
 
@@ -126,7 +126,8 @@
 // NeedsReread reports whether the record has to be read before it is written again.
 func (b *Borrower) NeedsReread() bool { return b.rereadNeeded }
 
-// Applied records that a write was applied; version is the version of the record that it wrote.
+// Applied records that a write was applied. version is the version of the record that it wrote.
+// The call is ignored if the write is no longer pending.
 func (b *Borrower) Applied(write Write, version uint64) {
 	if b.pending == nil || b.pending.Guard != write.Guard {
 		return // the outcome is known from a later observation
@@ -151,7 +152,8 @@
 func (b *Borrower) Ceiling(shard int, team string) Amount { return b.ceilings[shardTeam{shard, team}] }
 
 // GuaranteeShare returns the share of a team's guarantee that a shard gets, from 0 to 1: its
-// part divided by the sum of the team's parts, in the kind for which that ratio is largest.
+// part divided by the sum of the team's parts, in the kind for which that ratio is largest. It
+// is 0 if no part of the team's limit is leased.
 func (b *Borrower) GuaranteeShare(shard int, team string) float64 {
 	part, sum, share := b.record.part(shard, team), b.record.leased(team), 0.0
 	for kind := range kinds {
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -174,8 +174,9 @@
 	}
 }
 
-// recordWant records a shard's demand as what it wants, if the demand exceeds its part. A want
-// that is already recorded is replaced only if the demand or the unit differs much.
+// recordWant records a shard's demand as what it wants, if the demand exceeds its part. An unmet
+// want that is already recorded is replaced only if the demand or the unit differs much from it.
+// If the part covers the demand, an unmet want is removed.
 func (p *teamPlan) recordWant(row *Row, need Need) {
 	entry, unit := row.Teams[p.team], need.Unit
 	if p.b.idle[p.key(row)].stalled() {
--- a/internal/quotalease/reallocate.go
+++ b/internal/quotalease/reallocate.go
@@ -17,8 +17,9 @@
 	turnDuration = 2 * time.Second
 )
 
-// reallocate moves the part of a row that its shard does not need to shards that want more, at
-// once. The shard whose turn it is also gets some of what this shard needs.
+// reallocate moves the amount of a row's part that exceeds the shard's demand to shards that
+// want more, without delay. The shard whose turn it is also gets at most the amount owed to it
+// (amountOwed), from what the tasks of this shard do not use, unless the part has just grown.
 func (p *teamPlan) reallocate(row *Row, need Need) {
 	for _, other := range p.rowsWantingMore(row.Shard) {
 		from, to := row.Teams[p.team], other.Teams[p.team]
