--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -15,16 +15,17 @@
 	// claims a freed shard. It prefers the stable controllers that joined after it, and one whose
 	// registration was just deleted, since it may be restarting. So in a
 	// rolling restart the jobs move to a controller that has been restarted already, and stay
-	// there. It is longer than the requests for joining take.
+	// there. claimStagger is longer than the requests for joining take.
 	claimStagger = 250 * time.Millisecond
 	// restartGracePeriod is how long after its registration was deleted a controller is
 	// expected to return.
 	restartGracePeriod = time.Second
 )
 
-// claim claims free shards, up to this controller's share, in one transaction: of two
-// controllers that race, one gets them all. It returns the time until the next shard that is
-// left to others for now may be claimed; 0 if there is none.
+// claim claims free shards, up to this controller's share, in one transaction: if two
+// controllers claim the same shards at once, one gets all of them and the other none. It returns
+// the time until this controller may claim the next free shard that it leaves to others for now;
+// 0 if there is no such shard.
 func (m *Member) claim(ctx context.Context) (wait time.Duration) {
 	m.mu.Lock()
 	free, wait := m.claimableLocked()
@@ -73,8 +74,8 @@
 	return shardRecord{Node: m.name, Token: m.token, Lease: m.lease}
 }
 
-// claimableLocked returns the shards to claim now, and the time until the next one that is
-// left to others may be claimed; 0 if there is none.
+// claimableLocked returns the shards to claim now, and the time that claim returns. It returns
+// none and 0 before the first listing, and when the lease has at most minRemainingToClaim left.
 func (m *Member) claimableLocked() (free []int, wait time.Duration) {
 	if !m.listed || m.leaseRemainingLocked() <= minRemainingToClaim {
 		return nil, 0
@@ -99,9 +100,9 @@
 }
 
 // claimDelayLocked returns how long this controller leaves a freed shard to others:
-// claimStagger for each stable controller that joined after it and for one that may be
-// restarting, and restartGracePeriod more if this controller is unstable and a stable one is
-// registered.
+// claimStagger for each stable controller that joined after it, one claimStagger more if any
+// stable controller may be restarting, and restartGracePeriod more if this controller is unstable
+// and another, stable one is registered.
 func (m *Member) claimDelayLocked() time.Duration {
 	preferred := 0
 	wait := time.Duration(0)
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -63,8 +63,9 @@
 	return predecessor, nil
 }
 
-// countShortIncarnations returns the number of consecutive short incarnations before record's,
-// and remembers the lease of this attempt to join.
+// countShortIncarnations returns the number of consecutive short incarnations before the one that
+// record registers; 0 if the previous one was not short. It also stores the lease of this attempt
+// to join.
 func (m *Member) countShortIncarnations(predecessor, record *nodeRecord) int {
 	m.mu.Lock()
 	ownAttempt := predecessor.Lease != 0 && predecessor.Lease == m.lastAttemptLease
@@ -79,7 +80,8 @@
 	return 0
 }
 
-// register draws a fencing token and writes the registration in one transaction.
+// register draws a fencing token and writes the registration in one transaction. It returns an
+// error if this controller's name is still registered.
 func (m *Member) register(ctx context.Context, record nodeRecord) (token uint64, err error) {
 	if err := m.lockToken(ctx); err != nil {
 		return 0, err
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -116,7 +116,8 @@
 	return m.store.RenewLease(ctx, lease)
 }
 
-// recordRenewal records a successful renewal that was sent at the given time.
+// recordRenewal records a successful renewal that was sent at the given time, and reserves a
+// fencing token if that is due. It reports a change if the lease was not certain to hold before.
 func (m *Member) recordRenewal(ctx context.Context, sent time.Time) {
 	m.mu.Lock()
 	before := m.leaseRemainingLocked()
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -24,8 +24,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// txnTimeout bounds the transactions on shards. If the outcome is unknown by then, it is
-// settled by writing the keys again.
+// txnTimeout bounds the transactions on shards. An outcome that is unknown by then is settled
+// by reading the keys after a claim, and by writing them again after a release or a transfer.
 const txnTimeout = 2 * time.Second
 
 // Store is the part of the state service's client that membership uses. Its errors are those
@@ -92,9 +92,9 @@
 	}
 }
 
-// OnLeadershipChange registers a callback for changes in this controller's knowledge of
-// shards, controllers and its lease. It is called without locks held. Call OnLeadershipChange
-// before Run.
+// OnLeadershipChange registers a callback that is called, without locks held, after this
+// controller's knowledge of shards, controllers or its lease may have changed. Call
+// OnLeadershipChange before Run.
 func (m *Member) OnLeadershipChange(f func()) {
 	m.leadershipCallbacks = append(m.leadershipCallbacks, f)
 }
--- a/internal/membership/reserved_token.go
+++ b/internal/membership/reserved_token.go
@@ -18,7 +18,7 @@
 // unreserved ones, so that they stay the highest until a failover.
 type tokenRecord struct {
 	Highest             uint64 `json:"n"`               // highest token drawn by any controller, reserved or not
-	HighestUnreserved   uint64 `json:"low,omitempty"`   // 0: none is reserved
+	HighestUnreserved   uint64 `json:"low,omitempty"`   // highest token drawn below the reserved ones; 0: none is reserved
 	LowestReserved      uint64 `json:"floor,omitempty"` // 0: none is reserved
 	HighestFirstReserve uint64 `json:"first,omitempty"` // highest token reserved by a controller that had no other reserved one
 }
@@ -31,8 +31,8 @@
 	return r.HighestUnreserved
 }
 
-// withTokenAbove returns the counter after the draw of a token that is larger than above and, if
-// possible, lower than the reserved ones.
+// withTokenAbove returns the counter after the draw of a token that is larger than the parameter
+// above and, if possible, lower than the reserved ones.
 func (r tokenRecord) withTokenAbove(above uint64) tokenRecord {
 	if next := max(r.HighestUnreserved, above) + 1; next < r.LowestReserved {
 		r.HighestUnreserved = next
@@ -41,8 +41,8 @@
 	return r.withHighestToken(above)
 }
 
-// withHighestToken returns the counter after the draw of a token that is larger than above and
-// than all drawn before. It overtakes the tokens reserved so far.
+// withHighestToken returns the counter after the draw of a token that is larger than the parameter
+// above and than all tokens drawn before, including the reserved ones.
 func (r tokenRecord) withHighestToken(above uint64) tokenRecord {
 	return tokenRecord{Highest: max(r.Highest, above) + 1}
 }
@@ -74,9 +74,9 @@
 // common counter, so that no other controller uses it, and is lower than any that a leader
 // draws later in its failover.
 //
-// A second one is drawn when another controller's first one is above all reserved here. If
-// that controller used its token in an outage and ended in turn, nobody could respond to its
-// workers otherwise. So two consecutive failovers are covered, whichever controllers they
+// A second token is reserved when another controller's first reserved token is higher than all
+// reserved here. Otherwise, if that controller used its token in an outage and then ended, no
+// controller could respond to its workers. So two consecutive failovers are covered, whichever controllers they
 // involve.
 func (m *Member) reserveToken(ctx context.Context) {
 	next, lease := m.nextReservation()
@@ -131,11 +131,11 @@
 	m.reservedTokens = append(m.reservedTokens, token)
 }
 
-// ReservedTokenAbove makes the lowest reserved token that is larger than above this
-// controller's fencing token, and returns it; 0 if there is none. A current token that is
-// large enough is returned unchanged. It is for responses to workers when RaiseTokenAbove
-// fails. While the lease holds, no reserved token is used: one used after a single lost
-// response would overtake all that others reserved.
+// ReservedTokenAbove takes the lowest reserved token that is larger than the parameter above as
+// this controller's fencing token, and returns it; 0 if there is none. If the current token is
+// large enough, it is returned instead. Call ReservedTokenAbove for responses to workers when
+// RaiseTokenAbove fails. While the lease holds, no reserved token is used and 0 is returned: a
+// token used after a single lost response would overtake all that others reserved.
 func (m *Member) ReservedTokenAbove(above uint64) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/membership/shards.go
+++ b/internal/membership/shards.go
@@ -69,7 +69,7 @@
 
 // ReadShards reads the leaders of all shards from the state service, for use when the watch
 // may lag. Without it, a controller to which shards are transferred would lead them seconds
-// later than it could. Deletions of keys are left to the watch.
+// later than it could. A shard whose key was deleted or can't be read is left as it is known.
 func (m *Member) ReadShards(ctx context.Context) {
 	shards := make([]int, m.shards)
 	for shard := range shards {
--- a/internal/membership/token.go
+++ b/internal/membership/token.go
@@ -88,9 +88,10 @@
 	return m.token, nil
 }
 
-// updateCounter applies next to the counter of fencing tokens. The same transaction has the
-// conditions and operations that extra returns for the highest token then in use; extra may be
-// nil.
+// updateCounter applies next to the counter of fencing tokens and returns the result. The
+// transaction also contains the conditions and operations that extra returns for the highest token
+// then in use; extra may be nil. After a concurrent change of the counter or an unknown outcome
+// it reads the counter and tries again.
 func (m *Member) updateCounter(ctx context.Context, next counterUpdate, extra func(token uint64) wire.Txn) (tokenRecord, error) {
 	for attempt := 0; ; attempt++ {
 		counter, version, err := m.readCounter(ctx)
--- a/internal/membership/transfer.go
+++ b/internal/membership/transfer.go
@@ -39,9 +39,9 @@
 
 // TransferShards moves all shards led here to another controller, in one transaction that
 // attaches their keys to its lease: no lease has to expire first, and no shard has two
-// leaders. As soon as it is called, this controller leads no shards. After an error the shards
-// are reclaimed by writing their keys again, so that a late copy of the transaction fails its
-// conditions. It returns an error and changes nothing if the other controller is not known or is
+// leaders. This controller stops leading the shards before it sends the transaction. After an
+// error the shards are reclaimed by writing their keys again, so that a late copy of the
+// transaction fails its conditions. TransferShards returns an error and changes nothing if the other controller is not known or is
 // this one, if this one leads nothing, or if its lease may have ended.
 func (m *Member) TransferShards(ctx context.Context, to string) error {
 	started, err := m.startTransfer(to)
@@ -84,8 +84,9 @@
 	return started, nil
 }
 
-// endTransfer records the outcome of a transfer: applied as of a revision, or, with an error,
-// pending until reclaim settles it.
+// endTransfer records the outcome of a transfer. Without an error it was applied as of the
+// revision. After an error the shards stay pending until reclaim settles the outcome. Nothing is
+// recorded if the lease has changed since the transfer started.
 func (m *Member) endTransfer(ended *transfer, revision uint64, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -143,9 +144,10 @@
 	return shards, m.selfLocked()
 }
 
-// applyReclaimOutcome records the outcome of a reclaim: applied as of a revision, or, with a
-// conflict, that the shards in conflict were given up for good. It reports whether any shard
-// is still pending.
+// applyReclaimOutcome records the outcome of a reclaim. Without a conflict it was applied as of
+// the revision. With one, the shards in conflict were given up for good, and the others stay
+// pending. Nothing is recorded if the lease has changed since. It reports whether any shard is still
+// pending.
 func (m *Member) applyReclaimOutcome(shards map[int]uint64, self shardRecord, revision uint64, conflict *statestore.ConflictError) (remaining bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -9,7 +9,8 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// applyListing replaces the known records by a listing of all records.
+// applyListing replaces the known records by a listing of all records. The known record of a
+// shard stays if the listed one is older, and this controller's claims stay.
 func (m *Member) applyListing(items []wire.Item) {
 	m.mu.Lock()
 	known := m.leaders
