--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -19,7 +19,7 @@
 	// use.
 	lookupShare = 0.2
 
-	minRateFraction         = 0.05                   // fraction of its full rate below which no class is cut
+	minRateFraction         = 0.05                   // no class is cut below this fraction of its full rate
 	rateCutInterval         = 250 * time.Millisecond // between two cuts
 	recoveryPerSecond       = 0.1                    // fraction of the full rate regained in a second without a refusal
 	lookupRecoveryPerSecond = 0.05                   // the same, for lookups: whenever they exceed the limit, submissions may be refused
@@ -70,8 +70,8 @@
 	}
 }
 
-// wait waits until the budget allows a request; an urgent one is only counted. If ctx ends
-// first, it returns ErrBusy.
+// wait waits until the budget allows a request. An urgent request is counted but does not wait.
+// If ctx ends first, or its deadline is too early, wait returns ErrBusy.
 func (b *budget) wait(ctx context.Context, priority PriorityClass) error {
 	b.recoverRate()
 	if priority == Urgent {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// waitWrites is wait for the given number of changes.
+// waitWrites waits until the budget allows the given number of writes, as wait does for a request.
 func (b *budget) waitWrites(ctx context.Context, priority PriorityClass, changes int) error {
 	changes = min(max(1, changes), b.writes.Burst())
 	if priority == Urgent {
@@ -129,8 +129,8 @@
 	b.applyFractionsLocked()
 }
 
-// recoverRate raises rates that were cut. Classes recover in the reverse of the order in which they
-// are cut.
+// recoverRate raises the rate of one class that was cut, unless a cut or an increase was too
+// recent. Classes recover in the reverse of the order in which they are cut.
 func (b *budget) recoverRate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// SinceLastSuccess returns the time since the service last executed a request that was sent to
-// it directly; an hour if it never did.
+// SinceLastSuccess returns the time since the service last responded, other than by a refusal,
+// to a request that was sent to it directly; an hour if it never did.
 func (c *Client) SinceLastSuccess() time.Duration {
 	at := c.lastSuccess.Load()
 	if at == 0 {
--- a/internal/statestore/pacing.go
+++ b/internal/statestore/pacing.go
@@ -14,9 +14,9 @@
 	// Burst is the number of responses without a pause after them that a watch may receive
 	// after a time without responses.
 	Burst int
-	// Pause returns the time between responses once Burst is used up, and thereby the longest
-	// pause. After that time without a response, one more is allowed without a pause. It is
-	// called for each response.
+	// Pause returns the time between responses once Burst is used up. No pause is longer. Each
+	// such time without a response allows one more response without a pause, up to Burst. Pause
+	// is called for each response.
 	Pause func() time.Duration
 }
 
--- a/internal/statestore/response_timeout.go
+++ b/internal/statestore/response_timeout.go
@@ -18,7 +18,7 @@
 	// timeout.
 	toleratedMisses = 1
 	// slowestDecay sets how fast the slowest recent response is forgotten: each faster one
-	// lowers it by one part in slowestDecay.
+	// lowers the recorded time by 1/slowestDecay of it, at most to its own time.
 	slowestDecay = 8
 )
 
--- a/internal/statestore/route.go
+++ b/internal/statestore/route.go
@@ -18,8 +18,8 @@
 	// probeInterval is the time between probes of a lost link.
 	probeInterval = time.Second
 	// minProbes is the number of consecutive probes that must succeed before a lost link is
-	// used again. Each loss within flapWindow of the last change doubles it, up to maxProbes,
-	// so that a flapping link stays unused for longer.
+	// used again. Each loss within flapWindow of the last change of route doubles that number, up
+	// to maxProbes, so that a flapping link stays unused for longer.
 	minProbes  = 2
 	maxProbes  = 32
 	flapWindow = time.Minute
@@ -118,7 +118,7 @@
 	return true
 }
 
-// switchToDirect sends requests directly again.
+// switchToDirect sends requests directly from now on.
 func (r *route) switchToDirect(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,8 +158,8 @@
 	return err == nil && status < http.StatusInternalServerError && status != http.StatusTooManyRequests
 }
 
-// stallDetector detects that neither its request nor any other one gets a response: the direct
-// link is lost then. Stop it when the request ends.
+// stallDetector switches to a peer when neither its request nor any other one has got a response
+// for stallTimeout, if a peer can relay. Stop it when the request ends.
 type stallDetector struct {
 	client *Client
 	sent   time.Time
--- a/internal/statestore/txn.go
+++ b/internal/statestore/txn.go
@@ -13,8 +13,8 @@
 
 // Txn applies all ops if every guard holds, and returns the revision. If a guard fails, the
 // error is a *ConflictError. After ErrUnknown the ops may have been applied or may still be
-// applied; after any other error they were not. The response times out according to the times of recent
-// responses, even if ctx lasts longer.
+// applied; after any other error they were not. The response counts as lost after a time
+// that follows the times of recent responses, even if ctx lasts longer.
 func (c *Client) Txn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
 	if err := c.budget.wait(ctx, priorityOf(ctx)); err != nil {
 		return 0, err
@@ -70,7 +70,8 @@
 	c.timeout.recordResponse(took)
 }
 
-// BulkTxn is Txn for writes that must not delay others.
+// BulkTxn is Txn for writes that must not delay others. It first waits for the bulk part of the
+// budget, and returns ErrUnavailable if ctx ends before that allows the writes.
 func (c *Client) BulkTxn(ctx context.Context, guards []wire.Guard, ops ...wire.Op) (uint64, error) {
 	if err := c.budget.bulk.WaitN(ctx, max(1, len(ops))); err != nil {
 		return 0, ErrUnavailable // ctx ends before the limiter allows the writes
--- a/internal/statestore/watch.go
+++ b/internal/statestore/watch.go
@@ -22,7 +22,7 @@
 )
 
 // Follow returns the changes under the prefix after a revision. If there are none, the service
-// waits for one for as long as hold. ErrCompacted means that the service no longer has all of
+// waits at most hold for one. ErrCompacted means that the service no longer has all of
 // them.
 func (c *Client) Follow(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.Events, error) {
 	var response wire.Events
@@ -56,8 +56,8 @@
 	return response, nil
 }
 
-// Backoff sleeps for the n-th step of an exponential delay with jitter, or until ctx ends. The
-// delay doubles from first to at most longest, before jitter.
+// Backoff sleeps for the n-th step of an exponential delay, or until ctx ends. The delay doubles
+// from first to at most longest; the sleep is a random 0.5 to 1.5 times the delay.
 func Backoff(ctx context.Context, n int, first, longest time.Duration) {
 	delay := min(longest, first<<min(n, 10))
 	timer := time.NewTimer(delay/2 + rand.N(delay))
