--- a/internal/membership/transfer.go
+++ b/internal/membership/transfer.go
@@ -123,7 +123,7 @@
 		m.notifyChange()
 		return
 	}
-	// The watch reports the present leaders too, but may lag: until then this controller would
+	// The watch reports the present leaders too, but may lag: until it does, this controller would
 	// regard itself as the leader, and tell all others so.
 	m.readShards(ctx, slices.Collect(maps.Keys(shards)))
 	if remaining {
--- a/internal/quotalease/borrower.go
+++ b/internal/quotalease/borrower.go
@@ -39,7 +39,7 @@
 
 // Borrower tracks one record for one leader.
 type Borrower struct {
-	UnknownEntries int // rows of later leaders of the led shards, and entries of unknown teams, that were ignored
+	UnknownEntries int // number of rows written by later leaders of led shards, and of entries of unknown teams; both are ignored
 
 	limits map[string]Amount
 	teams  []string // names in limits, sorted
@@ -114,7 +114,8 @@
 	b.updateCeilings()
 }
 
-// Reread updates the borrower with the record that was read because of NeedsReread.
+// Reread updates the borrower with the record that was read because of NeedsReread. Unless a
+// later observation has settled the rejected write, it is then given up.
 func (b *Borrower) Reread(record Record, version, revision uint64) {
 	b.Observe(record, version, revision)
 	if b.rereadNeeded {
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -52,9 +52,8 @@
 }
 
 // adopt writes the versions of this leader's shards into their rows. A shard without a row
-// gets one that covers all that its tasks may use, which no row has counted so far. Rows that
-// were written before a leader that does not lease limits started tasks are removed: they do
-// not cover those tasks.
+// gets one whose parts cover the present use of its tasks. Rows that were written before a leader
+// that does not lease limits started tasks are removed first: they do not cover those tasks.
 func (b *Borrower) adopt(record *Record, needs Needs) (changed bool) {
 	before := len(record.Rows)
 	record.Rows = slices.DeleteFunc(record.Rows, func(row Row) bool { return row.LeaderVersion < b.unleasedVersion })
@@ -92,8 +91,8 @@
 	changed bool
 }
 
-// run changes the entries of the led shards, one after the other, and reports whether any
-// changed.
+// run changes the team's entries of the led shards, one after the other, and reports whether any
+// entry changed. It skips shards whose row a later leader has written.
 func (p *teamPlan) run() bool {
 	for _, shard := range slices.Sorted(maps.Keys(p.b.led)) {
 		row := p.record.row(shard)
