--- a/internal/membership/token.go
+++ b/internal/membership/token.go
@@ -30,9 +30,10 @@
 }
 
 // RaiseTokenAbove returns a fencing token of this controller that is larger than the parameter
-// above. It draws a new one only if the present one is too small. If the outcome of a
-// transaction that draws a token is unknown, another token is drawn. For raiseInterval after an attempt has failed with statestore.ErrUnavailable, it returns that
-// error without a request.
+// above. It draws a new one only if the present one is too small. A drawn token is used only if
+// this process knows that the transaction that drew it was applied; after an unknown outcome
+// another token is drawn. For raiseInterval after an attempt has failed with
+// statestore.ErrUnavailable, it returns that error without a request.
 func (m *Member) RaiseTokenAbove(ctx context.Context, above uint64) (uint64, error) {
 	if err := m.lockToken(ctx); err != nil {
 		return 0, err
