--- a/internal/membership/token.go
+++ b/internal/membership/token.go
@@ -31,9 +31,9 @@
 
 // RaiseTokenAbove returns a fencing token of this controller that is larger than the parameter
 // above. It draws a new one only if the present one is too small. A drawn token is used only if
-// the transaction by which this process drew it is known to have been applied. For
-// raiseInterval after an attempt has failed with statestore.ErrUnavailable, it returns that
-// error without a request.
+// this process knows that the transaction that drew it was applied; after an unknown outcome
+// another token is drawn. For raiseInterval after an attempt has failed with
+// statestore.ErrUnavailable, it returns that error without a request.
 func (m *Member) RaiseTokenAbove(ctx context.Context, above uint64) (uint64, error) {
 	if err := m.lockToken(ctx); err != nil {
 		return 0, err
@@ -88,9 +88,10 @@
 	return m.token, nil
 }
 
-// updateCounter applies next to the counter of fencing tokens. The same transaction has the
-// conditions and operations that extra returns for the highest token then in use; extra may be
-// nil.
+// updateCounter applies next to the counter of fencing tokens and returns the result. The
+// transaction also contains the conditions and operations that extra returns for the highest token
+// then in use; extra may be nil. After a concurrent change of the counter or an unknown outcome
+// it reads the counter and tries again.
 func (m *Member) updateCounter(ctx context.Context, next counterUpdate, extra func(token uint64) wire.Txn) (tokenRecord, error) {
 	for attempt := 0; ; attempt++ {
 		counter, version, err := m.readCounter(ctx)
