--- a/internal/dispatch/command_sender.go
+++ b/internal/dispatch/command_sender.go
@@ -177,7 +177,7 @@
 	return b.checkErr
 }
 
-// err returns why the body was not sent, or nil if it was sent or never read.
+// err returns the error of the validation, or nil if it succeeded or has not run.
 func (b *checkedBody) err() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -90,8 +90,8 @@
 	return d
 }
 
-// Wait waits for the goroutines that the dispatcher started. After the dispatcher's context has
-// ended, no new ones start.
+// Wait waits for the goroutines that the dispatcher started. If the dispatcher's context
+// has ended before the call, no new ones start.
 func (d *Dispatcher) Wait() {
 	d.mu.Lock()
 	d.stopped = d.lifetime.Err() != nil
--- a/internal/dispatch/polls.go
+++ b/internal/dispatch/polls.go
@@ -42,7 +42,7 @@
 }
 
 // ProbeEndpoints polls workers and returns the share of them, 0 to 1, that responded within the
-// given time. Their reports are not stored.
+// given time, or 0 if endpoints is empty. Their reports are not stored.
 func (d *Dispatcher) ProbeEndpoints(ctx context.Context, endpoints []string, within time.Duration) float64 {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -75,8 +75,8 @@
 	_ = polls.Wait() // the functions return no errors
 }
 
-// needsPoll reports whether the last report of a worker is at least minReportAge old and a new one
-// would be stored.
+// needsPoll reports whether a worker is to be polled: its machine was not deleted, its last report
+// is at least minReportAge old or missing, and fewer than maxWorkers workers are known.
 func (d *Dispatcher) needsPoll(name string, minReportAge time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/reports.go
+++ b/internal/dispatch/reports.go
@@ -94,8 +94,8 @@
 
 // shouldRedirect records the heartbeat of a worker that should report to another controller: to
 // the leader or, if isolated is true, to any controller because this one is isolated. It returns
-// false for a worker that returned soon after a redirect, since it could not reach the other
-// controller. A return from one kind of redirect says nothing about the other kind.
+// false if the worker returned within redirectReturnWindow of a redirect, and then for
+// redirectPause: the worker could not reach the other controller. A return from one kind of redirect says nothing about the other kind.
 func (d *Dispatcher) shouldRedirect(rep *wire.Report, isolated bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
