--- a/internal/peerlinks/caller.go
+++ b/internal/peerlinks/caller.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// RecordResult records the outcome of a call to a peer; Call does so itself. A late reply counts
+// RecordResult records the outcome of a call to a peer; Call does so for direct calls. A late reply counts
 // against the link only for pings, which take the peer no time to answer.
 func (c *Caller) RecordResult(peer string, err error, ping bool) {
 	refused, late := mesh.ClassifyError(err)
--- a/internal/peerlinks/leaders.go
+++ b/internal/peerlinks/leaders.go
@@ -29,7 +29,8 @@
 	return l.member.LeaseRemaining() > 0 && len(l.member.LedShards()) > 0
 }
 
-// ShardLeaders returns the names of the other controllers that lead shards.
+// ShardLeaders returns the names of the other controllers that lead shards. While this controller
+// does not hold its lease, these are the preferred leaders of the peers that hold theirs.
 func (l *Leaders) ShardLeaders() []string {
 	var out []string
 	add := func(name string) {
--- a/internal/peerlinks/peerlinks.go
+++ b/internal/peerlinks/peerlinks.go
@@ -33,8 +33,8 @@
 	Leaders Leaders
 }
 
-// New returns the links of a controller whose process starts now and that has no statuses of its
-// peers yet.
+// New returns the links of a controller, without statuses of its peers. The status of the
+// controller names the time of this call as the start of its process.
 func New(o Options) *Links {
 	l := &Links{Table: reachability.NewTable(o.Node, o.Peers)}
 	l.Status = Status{node: o.Node, store: o.Store, member: o.Member, cloud: o.Cloud, table: l.Table, startedMs: time.Now().UnixMilli()}
--- a/internal/peerlinks/status.go
+++ b/internal/peerlinks/status.go
@@ -123,8 +123,9 @@
 	s.probe.at, s.probe.success, s.probe.urgent = time.Now(), success, true
 }
 
-// AnnouncementDue reports whether the status should be announced: pause after the last announcement
-// or, if an urgent one was requested, urgentAnnounceInterval after it. It then clears that request.
+// AnnouncementDue reports whether the status should be announced: once pause has passed since the
+// last announcement or, if an urgent one was requested, once urgentAnnounceInterval has passed. In
+// the latter case it clears the request.
 func (s *Status) AnnouncementDue(now, last time.Time, pause time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
