--- a/internal/cancellation/message.go
+++ b/internal/cancellation/message.go
@@ -28,7 +28,8 @@
 	More            bool     `json:"more,omitempty"`  // further updates did not fit
 }
 
-// MessageFor returns the message to be sent to a peer now.
+// MessageFor returns the message to be sent to a peer now. If this controller does not hold its
+// lease, the message says that it confirms no cancels.
 func (r *Registry) MessageFor(to string) Message {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,7 +65,8 @@
 }
 
 // HandleMessage processes a peer's message. A message from an unconfigured controller or with
-// invalid values returns an error and has no effect.
+// invalid values returns an error and has no effect. Of a late message, only the cancelled jobs are
+// recorded.
 func (r *Registry) HandleMessage(from string, m *Message) error {
 	if err := m.validate(); err != nil {
 		return fmt.Errorf("cancellation message from %.40q: %w", from, err)
--- a/internal/cancellation/registry.go
+++ b/internal/cancellation/registry.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// trimLocked drops jobs that are older than retention. While there are more than MaxJobs, it drops
+// trimLocked drops jobs and updates that are older than retention. While there are more than MaxJobs, it drops
 // those older than minRetention. In both cases the jobs' tasks have certainly ended by then.
 func (r *Registry) trimLocked(now time.Time) {
 	for r.expired(r.order, now) {
