--- a/internal/reachability/routing.go
+++ b/internal/reachability/routing.go
@@ -15,8 +15,8 @@
 }
 
 // Leader returns the controller to which workers should report: the one that leads most shards, so
-// that grants need no round trip. It returns this controller if that one's status is not fresh or
-// says that it receives almost no heartbeats. A status that is known only from the state service
+// that grants need no round trip. It returns this controller if no such leader is known, or if
+// the leader's status is not fresh or says that its inbound links are lost (see InboundLost). A status that is known only from the state service
 // suffices: a worker gains nothing from reporting to a controller that the leader can't reach.
 func (v *View) Leader() string {
 	leader := v.Self.PreferredLeader
@@ -36,8 +36,8 @@
 	return v.Self.Node
 }
 
-// SeenAsLeaderByPeer reports whether a peer regards this controller as the leader although this one
-// leads no shards as far as it knows: shards were transferred to it, and its watch of the state
+// SeenAsLeaderByPeer reports whether a peer regards this controller as the leader although this one,
+// which holds its lease, leads no shards as far as it knows: shards were transferred to it, and its watch of the state
 // service lags behind.
 func (v *View) SeenAsLeaderByPeer() bool {
 	if v.Self.LeadsShards || !v.Self.LeaseHeld {
@@ -49,8 +49,9 @@
 }
 
 // Isolated reports whether this controller leads no shards and knows of no controller that could
-// start tasks: it has peers, but reaches neither any of them nor the state service. If it continued to answer workers,
-// they would receive no tasks, and the leader would learn of the tasks that they run only later.
+// start tasks: it has peers, reaches none of them directly, and does not reach the state service.
+// If it continued to answer workers, they would receive no tasks, and the leader would learn of
+// the tasks that they run only later.
 func (v *View) Isolated() bool {
 	if v.Self.LeadsShards || v.Self.StoreReachable {
 		return false
@@ -88,8 +89,9 @@
 	return true
 }
 
-// NextHop returns the controller to which a message for a peer is to be sent: a third controller if
-// only that one reaches the peer, and otherwise the peer itself. A message is relayed at most once.
+// NextHop returns the controller to which a message for a peer is to be sent. This is a third
+// controller if this one can't call the peer and the third one reaches it, and otherwise the peer
+// itself. A message is relayed at most once.
 func (v *View) NextHop(to string) string {
 	peer := v.peer(to)
 	if peer == nil || peer.OutboundReachable {
--- a/internal/reachability/transfer_monitor.go
+++ b/internal/reachability/transfer_monitor.go
@@ -33,8 +33,9 @@
 }
 
 // Check is to be called at least once a second, with the number of recorded transfers within
-// TransferWindow. It returns the peer that should lead the shards, or "". A single check is not
-// sufficient, since a process that was paused receives nothing for a moment either.
+// TransferWindow. It returns the peer that should lead the shards, or "" if there is none, if
+// this controller leads no shards, or if it has led them for less than TransferDelay. Several
+// checks must find a peer before it is returned, since a process that was paused receives nothing for a moment either.
 func (m *TransferMonitor) Check(now time.Time, v *View, transfers int) string {
 	if !v.Self.LeadsShards {
 		m.leadingSince, m.lostSince = time.Time{}, time.Time{}
