--- a/internal/viewsync/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -22,7 +22,7 @@
 	started    bool   // the first frame was made
 
 	sent      map[string]*state // states as of the last frame
-	pending   map[string]state  // states that changed since then
+	pending   map[string]state  // changed states that are in no frame yet
 	removed   map[string]bool   // workers in sent that the dispatcher has removed since the last frame
 	unacked   *Frame            // the last frame, until it is acknowledged
 	lastAckMs int64             // time of the leader's last acknowledgement
--- a/internal/viewsync/publisher.go
+++ b/internal/viewsync/publisher.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// Next returns the message to be sent to a leader now, or nil. It returns the same frame until
+// Next returns the message to be sent to a leader now, or nil if nothing is to be sent
+// or there is no stream to that leader. It returns the same frame until
 // HandleReply is called with a reply that acknowledges it or requires a new stream.
 func (p *Publisher) Next(nowMs int64, leader string) *Message {
 	p.mu.Lock()
