--- a/internal/dispatch/cancelled_tasks.go
+++ b/internal/dispatch/cancelled_tasks.go
@@ -35,8 +35,9 @@
 	return found
 }
 
-// HaltCancelledTasks halts the tasks of cancelled jobs on all workers that report here, without
-// waiting for their heartbeats. It is to be called when further jobs were cancelled.
+// HaltCancelledTasks halts the tasks of cancelled jobs on all known workers. Workers whose
+// heartbeats were answered here within a lease are sent the commands at once. It is to be called
+// when further jobs were cancelled.
 func (d *Dispatcher) HaltCancelledTasks() {
 	var push []string
 	d.mu.Lock()
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -12,7 +12,8 @@
 const maxCommands = 200 // keeps each message well below 64 KiB
 
 // commandsLocked collects at most maxCommands commands for a worker: tasks to stop, to forget and
-// to start. inResponse is true if they are sent in the response to a heartbeat.
+// to start. inResponse is true if they are sent in the response to a heartbeat; only then may there
+// be tasks to forget.
 func (d *Dispatcher) commandsLocked(name string, token uint64, inResponse bool) []wire.Command {
 	worker := d.workers[name]
 	commands := []wire.Command{} // encoded as an empty list, not as null
@@ -52,8 +53,9 @@
 	return commands
 }
 
-// appendStartsLocked adds start commands for the queued tasks that fit, are granted and have not
-// been reported. It requests missing grants and removes the tasks that their leader drops.
+// appendStartsLocked adds start commands for the queued tasks that fit and are granted. It
+// requests missing grants and removes the tasks that their leader drops. It does nothing while the
+// worker is draining or its capacity is unknown.
 func (d *Dispatcher) appendStartsLocked(commands []wire.Command, worker *workerState, token uint64) []wire.Command {
 	total, known := d.capacityOf(worker)
 	if !known || worker.draining || len(worker.queue) == 0 {
@@ -89,8 +91,9 @@
 	commands   []wire.Command
 }
 
-// process handles the next task of the queue. It returns false if the task is to be removed from
-// it.
+// process adds a start command for the next task of the queue if the task fits and is granted, and
+// requests a missing grant. It returns false if the leader dropped the task: the caller then
+// removes it from the queue.
 func (p *startPass) process(queued *queuedTask) bool {
 	if p.dispatcher.cancelled(queued.Task) {
 		// Not started even if granted; its leader removes it from the queue. If a start command was
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -47,7 +47,8 @@
 }
 
 // acquire returns the worker's connection, which the caller must release. The connection is opened
-// by its first request.
+// by its first request. If there are SoftLimit connections or more, the longest idle one is closed
+// for a new one.
 func (p *connectionPool) acquire(endpoint string) *connection {
 	p.mu.Lock()
 	closing := p.removeIdleExpired(time.Now())
@@ -88,7 +89,8 @@
 	}
 }
 
-// trim closes the longest idle connections until the number of connections is within the limit.
+// trim closes the longest idle connections until the number of connections is within HardLimit or
+// all remaining ones are in use.
 func (p *connectionPool) trim() {
 	p.mu.Lock()
 	var closing []*connection
--- a/internal/dispatch/worker_state.go
+++ b/internal/dispatch/worker_state.go
@@ -71,7 +71,7 @@
 	return v.session > than.session || v.session == than.session && v.seq > than.seq
 }
 
-// idle reports whether no task is queued or running.
+// idle reports whether no task is queued and all reported tasks have exited.
 func (w *workerState) idle() bool {
 	if len(w.queue) > 0 {
 		return false
@@ -84,7 +84,8 @@
 	return true
 }
 
-// unchanged reports whether a heartbeat reports nothing new.
+// unchanged reports whether a heartbeat reports the same as the stored report. It returns false
+// while tasks are queued or either report announces the end of the machine.
 func (w *workerState) unchanged(rep *wire.Report, sameTasks bool) bool {
 	old := &w.report
 	return sameTasks && len(w.queue) == 0 &&
