--- a/internal/cancellation/confirm.go
+++ b/internal/cancellation/confirm.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// resumeConfirmTimeout is the time after this controller's last message saying that it confirms no
-// cancels, after which it may confirm them again even if not all peers have received a later message
-// saying so. It is longer than a usual restart of a process.
+// resumeConfirmTimeout is counted from this controller's last message saying that it confirms no
+// cancels. After this time it may confirm cancels again even if not all peers have received the
+// later message that announces this. It is longer than a usual restart of a process.
 const resumeConfirmTimeout = 10 * time.Second
 
 // ErrCannotConfirm means that a cancel can't be confirmed at present: this controller has no valid
--- a/internal/cancellation/known.go
+++ b/internal/cancellation/known.go
@@ -34,8 +34,8 @@
 }
 
 // beginIncarnation processes the first message of a new incarnation. Cancels that the previous
-// incarnation confirmed after its last message are known only if it had announced that it confirms
-// none, or from a read of the state service sent after the start of the new incarnation.
+// incarnation confirmed after its last message may be unknown, unless it had announced that it
+// confirms none, or a read of the state service was sent after the new incarnation started.
 func (p *peer) beginIncarnation(m *Message, storeReadSent, now time.Time) {
 	latestStart := now.Add(stampLead - time.Duration(float64(m.Stamp)*(1-clockDriftMargin))*time.Microsecond)
 	p.pastCovered = p.pastCovered && p.coveredUntil().After(now) || storeReadSent.After(latestStart)
@@ -72,7 +72,7 @@
 
 func (r *Registry) knownUntilLocked() time.Time {
 	if r.storeReadSent.IsZero() {
-		return time.Time{} // cancels that peers confirmed before this start may be unknown
+		return time.Time{} // cancels that peers confirmed before this process started may be unknown
 	}
 	earliest := time.Now()
 	for _, p := range r.peers {
