--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -83,7 +83,8 @@
 }
 
 // RecordProbe records the result of probing a worker of Verdict.Probe: whether it responded to
-// this controller or to a peer, or a peer received its heartbeat.
+// this controller or to a peer, or a peer received its heartbeat. The result is ignored if the
+// worker is no longer unresponsive.
 func (d *FailureDetector) RecordProbe(name string, responded bool, now time.Time) {
 	if outcome, ok := d.probes[name]; ok {
 		d.probes[name] = probe{startedAt: outcome.startedAt, finishedAt: now, failed: !responded}
@@ -91,7 +92,7 @@
 }
 
 // Evaluate decides which workers have failed. known is the number of workers that the leader
-// knows, and unresponsive are those among them that match UnresponsiveWorker. A worker fails
+// knows, and unresponsive are those among them that have been so for at least Threshold. A worker fails
 // only if a probe started by an earlier call failed; see evaluation.reasonToKeep for the other
 // conditions.
 func (d *FailureDetector) Evaluate(now time.Time, v *View, health ReceiveHealth, known int, unresponsive []UnresponsiveWorker) Verdict {
@@ -297,10 +298,10 @@
 }
 
 // lostTogether reports whether a worker was last heard at about the time of a peer's last status,
-// which is statusAge old. For a worker not heard since this leader's failover, the time of the
-// last heartbeat is unknown. If only the time since the failover counted, the workers of a zone
-// that was cut off together with a controller long before would be deleted, although the previous
-// leader had kept them.
+// which is statusAge old. A worker not heard since this leader's failover was last heard at
+// an unknown time before it, so any failover later than about the peer's last status suffices.
+// Otherwise the workers of a zone that was cut off together with a controller long before the
+// failover would be deleted, although the previous leader had kept them.
 func (d *FailureDetector) lostTogether(worker *UnresponsiveWorker, statusAge time.Duration) bool {
 	tolerance := 2*d.HeartbeatInterval + PeerTimeout
 	if worker.NotHeardSinceFailover {
