--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -25,11 +25,12 @@
 	return &Decoder{stream: newStream(), states: map[string]*state{}}
 }
 
-// Reply returns up to which frame of which stream this leader knows the views.
+// Reply returns the stream that this leader knows and the number of the last frame that it applied.
 func (d *Decoder) Reply() Reply { return Reply{Stream: d.stream, Seq: d.seq} }
 
-// Apply applies a message and returns the views that changed, as of now. Duplicates and messages of
-// other streams have no effect. A malformed message has no effect and returns ErrMalformed.
+// Apply applies a message and returns the views that changed, as of now. Duplicates have no
+// effect, nor have messages of other streams, except the first frame of a stream that replaces the
+// known one. A malformed message has no effect and returns ErrMalformed.
 func (d *Decoder) Apply(m *Message) ([]dispatch.WorkerView, Reply, error) {
 	if m.Frame == nil {
 		return nil, d.heartbeat(m), nil
