--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -16,7 +16,7 @@
 // PushCommands sends the worker's commands directly instead of waiting for its next heartbeat. At
 // most one push to a worker is in flight; if another is requested meanwhile, it is sent afterwards.
 // Nothing is sent if this controller may not answer workers, or if the worker has not reported
-// within a lease. If the worker has seen a higher token, the token is raised instead. PushCommands
+// within a lease, or if there are no commands and the worker needs no token. If the worker has seen a higher token, the token is raised instead. PushCommands
 // returns at once.
 func (d *Dispatcher) PushCommands(name string) {
 	if !d.routing.MayAnswerWorkers() {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// raiseTokenLocked raises the fencing token above the given one in the background, one raise at a
-// time.
+// raiseTokenLocked raises the fencing token above the given one in the background. It does nothing
+// if the token is already higher or another raise is running.
 func (d *Dispatcher) raiseTokenLocked(above uint64) {
 	if d.raisingToken || d.tokens.FencingToken() > above {
 		return
--- a/internal/dispatch/worker_state.go
+++ b/internal/dispatch/worker_state.go
@@ -84,8 +84,8 @@
 	return true
 }
 
-// unchanged reports whether a heartbeat reports the same as the stored report. It returns false
-// while tasks are queued or either report announces the end of the machine.
+// unchanged reports whether a heartbeat differs from the stored report only in its sequence number.
+// It returns false while tasks are queued or if either report has a preemption notice.
 func (w *workerState) unchanged(rep *wire.Report, sameTasks bool) bool {
 	old := &w.report
 	return sameTasks && len(w.queue) == 0 &&
