--- a/internal/peerlinks/status.go
+++ b/internal/peerlinks/status.go
@@ -101,7 +101,7 @@
 }
 
 // SetProbeSample sets the endpoints that peers should probe too. urgent requests an announcement
-// without waiting for the next regular one.
+// without waiting for the next regular one; false withdraws an earlier request.
 func (s *Status) SetProbeSample(sample []string, urgent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
