--- a/internal/reachability/assignments.go
+++ b/internal/reachability/assignments.go
@@ -43,8 +43,9 @@
 	betterSince      time.Time // since when a different plan has been better; zero: none is
 }
 
-// Plan returns the assignments. It returns nil while this controller has capacity for all workers,
-// and on a controller that does not take itself for the leader or has no capacity. count is
+// Plan returns the assignments. It returns nil until this controller lacks capacity, and again
+// once all workers have been fewer than underloadedShare of the capacity for underloadedDuration.
+// On a controller that does not take itself for the leader or has no capacity, it returns nil. count is
 // the number of workers that report to this controller, capacity the number that may, and interval
 // the pause between a worker's heartbeats.
 func (p *AssignmentPlanner) Plan(now time.Time, v *View, count, capacity int, interval time.Duration) []Assignment {
@@ -104,8 +105,8 @@
 	return false
 }
 
-// planAssignments assigns the workers beyond this controller's capacity to peers, in proportion to
-// their capacities.
+// planAssignments assigns the workers beyond leaderFillShare of this controller's capacity to peers,
+// in proportion to their capacities and not beyond these.
 func planAssignments(v *View, all, capacity int) []Assignment {
 	own := leaderFillShare * float64(capacity)
 	out := []Assignment{{v.Self.Node, own}}
@@ -128,7 +129,7 @@
 }
 
 // assignable reports whether workers may be assigned to a peer: it exchanges messages with this
-// controller, receives heartbeats and has connections left.
+// controller, holds its lease, receives heartbeats and has connections for workers.
 func (p *Peer) assignable() bool {
 	return p.DirectlyReached() && p.OutboundReachable && p.Status.LeaseHeld && !p.receivesNoHeartbeats() && p.Status.WorkerCapacity > 0
 }
@@ -163,7 +164,7 @@
 }
 
 // LeaderFor returns the controller to which a worker should report: the one that the leader's plan
-// assigns it to, if that one is known to receive heartbeats, or else the result of Leader.
+// assigns it to, if that is this one or is known to receive heartbeats, or else the result of Leader.
 func (v *View) LeaderFor(worker string) string {
 	leader := v.Leader()
 	plan := v.Self.Assignments
@@ -184,7 +185,7 @@
 }
 
 // assignedNode chooses a worker's controller by rendezvous hashing weighted by the shares: when a
-// share changes, only as many workers move as it changes by.
+// share changes, only about as many workers move as it changes by. It returns "" if no share is positive.
 func assignedNode(worker string, plan []Assignment) (node string) {
 	earliest := math.Inf(1)
 	for _, assignment := range plan {
--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -298,9 +298,9 @@
 }
 
 // lostTogether reports whether a worker was last heard at about the time of a peer's last status,
-// which is statusAge old. A worker not heard since this leader's failover was last heard at
-// an unknown time before it, so any failover later than about the peer's last status suffices.
-// Otherwise the workers of a zone that was cut off together with a controller long before the
+// which is statusAge old. For a worker not heard since this leader's failover, the last
+// heartbeat is older than UnheardFor by an unknown time. So lostTogether also returns true if
+// UnheardFor is shorter than statusAge. Otherwise the workers of a zone that was cut off together with a controller long before the
 // failover would be deleted, although the previous leader had kept them.
 func (d *FailureDetector) lostTogether(worker *UnresponsiveWorker, statusAge time.Duration) bool {
 	tolerance := 2*d.HeartbeatInterval + PeerTimeout
--- a/internal/reachability/table.go
+++ b/internal/reachability/table.go
@@ -36,8 +36,9 @@
 	return t
 }
 
-// Update stores a status of the given age unless a newer one is known. Statuses of this controller
-// and of unconfigured ones are dropped. A direct status also shows that its controller is heard
+// Update stores a status of the given age unless a newer one is known. If the same one is
+// known by a less direct path, only the path changes. Statuses of this controller and of those that
+// are not configured are dropped. A direct status also shows that its controller is heard
 // now.
 func (t *Table) Update(status NodeStatus, path Path, age time.Duration, now time.Time) {
 	t.mu.Lock()
@@ -181,7 +182,7 @@
 	return out
 }
 
-// UpdateRelayed stores statuses that a peer relayed.
+// UpdateRelayed stores statuses that a peer relayed, each as Update does.
 func (t *Table) UpdateRelayed(statuses []RelayedStatus, now time.Time) {
 	for _, relayed := range statuses {
 		t.Update(relayed.Status, ViaPeer, time.Duration(relayed.AgeS*float64(time.Second)), now)
