--- a/internal/viewsync/change.go
+++ b/internal/viewsync/change.go
@@ -124,7 +124,7 @@
 }
 
 // apply returns the state of a worker after the change. old is nil if the worker is not known yet,
-// and is not modified.
+// and is not modified. atMs is the time of the frame. The error is ErrMalformed, wrapped.
 func (c *Change) apply(old *state, atMs int64) (state, error) {
 	atMs -= c.LagMs
 	if c.Replace {
--- a/internal/viewsync/messages.go
+++ b/internal/viewsync/messages.go
@@ -12,7 +12,8 @@
 }
 
 // Message is sent by a dispatcher to a leader. Without a frame it is a heartbeat: the views as of
-// frame Seq are still current, and there are as many as Workers.
+// frame Seq are still current, and their number is Workers. A heartbeat with Seq 0 asks which stream
+// the leader knows.
 type Message struct {
 	Dispatcher string `json:"h"` // controller that sends the message
 	Stream     uint64 `json:"s"`
@@ -24,7 +25,7 @@
 	Frame      *Frame `json:"f,omitempty"`
 }
 
-// Reply states up to which frame of which stream the leader knows the views.
+// Reply states which stream the leader knows, and the number of the last frame that it applied.
 type Reply struct {
 	Stream  uint64 `json:"s"`
 	Seq     uint64 `json:"q"`
