--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -65,7 +65,7 @@
 	return true
 }
 
-// RecentHeartbeats returns the number of heartbeats received in the last HeartbeatWindow, answered
+// RecentHeartbeats returns the number of heartbeats accepted in the last HeartbeatWindow, answered
 // or not, and the number of workers whose heartbeats were answered here in the last minute.
 // Workers that were only polled don't count: otherwise a new leader that has polled all workers
 // would expect heartbeats from them and regard its inbound links as lost.
@@ -117,7 +117,7 @@
 	return out
 }
 
-// SinceAnyHeartbeat returns the time since the last heartbeat of any worker, answered or not, or
+// SinceAnyHeartbeat returns the time since the last accepted heartbeat of any worker, answered or not, or
 // since the start of this process if there was none.
 func (d *Dispatcher) SinceAnyHeartbeat() time.Duration {
 	return time.Since(d.started) - time.Duration(d.lastHeartbeat.Load())
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -16,8 +16,8 @@
 // PushCommands sends the worker's commands directly instead of waiting for its next heartbeat. At
 // most one push to a worker is in flight; if another is requested meanwhile, it is sent afterwards.
 // Nothing is sent if this controller may not answer workers, or if the worker has not reported
-// within a lease, or if there are no commands and the worker needs no token. If the worker has seen a higher token, the token is raised instead. PushCommands
-// returns at once.
+// within a lease, or if there are no commands and the worker needs no token. If the worker has seen
+// a higher token, the token is raised instead. PushCommands returns at once.
 func (d *Dispatcher) PushCommands(name string) {
 	if !d.routing.MayAnswerWorkers() {
 		return
@@ -116,9 +116,10 @@
 	return true, pushAgain
 }
 
-// checkCurrent returns errOutdated if a push must no longer be sent. While it waited for its
-// connection, a job may have been cancelled, the token raised, or this controller lost the right
-// to answer workers: if sent then, it could start a task after its cancel was confirmed.
+// checkCurrent returns errOutdated if a push must no longer be sent. While the push waited for its
+// connection, a job may have been cancelled, the token may have been raised, or this controller may
+// have lost the right to answer workers. If sent then, the push could start a task after the task's
+// cancel was confirmed.
 func (d *Dispatcher) checkCurrent(orders wire.PushedCommands) error {
 	if !d.routing.MayAnswerWorkers() || d.tokens.FencingToken() != orders.Token {
 		return errOutdated
