--- a/internal/reachability/node_status.go
+++ b/internal/reachability/node_status.go
@@ -38,7 +38,7 @@
 	ExpectedHeartbeats float64      `json:"expected,omitempty"` // heartbeats that its workers should have sent in that window
 	UnreachedPeers     []string     `json:"lacks,omitempty"`    // see Table.UnreachedPeers
 	ProbeSample        []string     `json:"sample,omitempty"`   // addresses of workers that it may no longer reach, for peers to probe too
-	Probed             bool         `json:"tried,omitempty"`    // it recently probed such a sample
+	Probed             bool         `json:"tried,omitempty"`    // it recently probed workers that it may no longer reach
 	ProbeSuccess       float64      `json:"reaches,omitempty"`  // share of the probed workers that responded, 0 to 1
 	Assignments        []Assignment `json:"seats,omitempty"`    // distribution of the workers while it has no capacity for all; see AssignmentPlanner
 	WorkerCapacity     int          `json:"room,omitempty"`     // workers that it has connections for; set only while some controller has Assignments
--- a/internal/reachability/routing.go
+++ b/internal/reachability/routing.go
@@ -17,7 +17,8 @@
 // Leader returns the controller to which workers should report: the one that leads most shards, so
 // that grants need no round trip. It returns this controller if no such leader is known, or if
 // the leader's status is not fresh or says that its inbound links are lost (see InboundLost). A
-// status that is known only from the state service suffices: a worker gains nothing from reporting to a controller that the leader can't reach.
+// status that is known only from the state service suffices: a worker gains nothing from reporting
+// to a controller that the leader can't reach.
 func (v *View) Leader() string {
 	leader := v.Self.PreferredLeader
 	if !v.Self.LeaseHeld {
