--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -99,8 +99,8 @@
 	return states, nil
 }
 
-// viewAt returns the view with the ages as of a later time. The matrix is not changed, since
-// leaders account for a view's age themselves.
+// viewAt returns the view with the ages as of a later time. The waits of the matrix are
+// not reduced, since leaders account for a view's age themselves.
 func (s *state) viewAt(nowMs int64) dispatch.WorkerView {
 	view := s.view
 	view.Matrix = slices.Clone(view.Matrix) // leaders subtract resources from it
