--- a/internal/viewsync/decoder.go
+++ b/internal/viewsync/decoder.go
@@ -25,11 +25,12 @@
 	return &Decoder{stream: newStream(), states: map[string]*state{}}
 }
 
-// Reply returns up to which frame of which stream this leader knows the views.
+// Reply returns the stream that this leader knows and the number of the last frame that it applied.
 func (d *Decoder) Reply() Reply { return Reply{Stream: d.stream, Seq: d.seq} }
 
-// Apply applies a message and returns the views that changed, as of now. Duplicates and messages of
-// other streams have no effect. A malformed message has no effect and returns ErrMalformed.
+// Apply applies a message and returns the views that changed, as of now. Duplicates have no
+// effect, nor have messages of other streams, except the first frame of a stream that replaces the
+// known one. A malformed message has no effect and returns ErrMalformed.
 func (d *Decoder) Apply(m *Message) ([]dispatch.WorkerView, Reply, error) {
 	if m.Frame == nil {
 		return nil, d.heartbeat(m), nil
@@ -98,8 +99,8 @@
 	return states, nil
 }
 
-// viewAt returns the view with the ages as of a later time. The matrix is not changed, since
-// leaders account for a view's age themselves.
+// viewAt returns the view with the ages as of a later time. The waits of the matrix are
+// not reduced, since leaders account for a view's age themselves.
 func (s *state) viewAt(nowMs int64) dispatch.WorkerView {
 	view := s.view
 	view.Matrix = slices.Clone(view.Matrix) // leaders subtract resources from it
