--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -78,7 +78,8 @@
 
 var dutyCounters [numDuties]dutyCounter
 
-// AddTime adds the time since start to a duty. The elapsed time includes waiting for locks and for
+// AddTime counts one call of a duty and adds the time since start to the duty's total. The elapsed
+// time includes waiting for locks and for
 // a free processor, so the sums are upper bounds of the processor time.
 func AddTime(d Duty, start time.Time) {
 	dutyCounters[d].calls.Add(1)
@@ -230,7 +231,8 @@
 	m.timerDelays.Reset()
 }
 
-// logReading logs a reading. CPU, garbage collection and duties are differences from the last reading.
+// logReading logs a reading. CPU time, garbage collection and duties are logged as differences from
+// the last reading; events are logged as totals.
 func (m *Meter) logReading(r, last Reading, elapsed time.Duration) {
 	var parts []any
 	for _, name := range dutyNames {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -36,7 +36,7 @@
 	CauseStopped = "halted" // stopped by a command
 	CauseError   = "error"
 	CauseNoRoom  = "no_room" // the worker lacks free resources for the task
-	CauseBusy    = "in_use"  // another attempt of the task is on the worker
+	CauseBusy    = "in_use"  // another attempt of the task has not exited on the worker
 	CauseUnknown = "no_such" // invalid task name, or no description found
 )
 
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -21,7 +21,7 @@
 const (
 	reportTimeout      = 4 * time.Second        // of one report
 	retryDelay         = time.Second            // after a failed report, before the next controller is tried
-	minReportInterval  = 500 * time.Millisecond // of reports sent because the state changed
+	minReportInterval  = 500 * time.Millisecond // between a report and an early report that follows it
 	leaseCheckInterval = 100 * time.Millisecond
 	maxResponseBytes   = 4 << 20 // bytes
 )
@@ -29,8 +29,8 @@
 // Controller is a controller that a worker may report to.
 type Controller struct{ Name, Addr string }
 
-// Agent reports a worker's state to one of the controllers, and serves direct orders. The fields
-// must not change after the first call.
+// Agent reports a worker's state to one of the controllers, and serves direct orders. The exported
+// fields must not change after the first method call.
 type Agent struct {
 	State          *State
 	Processes      *Processes // nil: tasks get no ports and can't be checked
@@ -84,8 +84,9 @@
 	}
 }
 
-// waitForNextReport waits before the next report. If wait is 0, it waits for the usual interval.
-// ReportSoon then shortens the wait, but not below minReportInterval since sent.
+// waitForNextReport waits for the given time, or until ctx ends. If wait is 0, it waits for about
+// ReportInterval; only in this case, ReportSoon shortens the wait, but the next report is sent no
+// earlier than minReportInterval after the time sent.
 func (a *Agent) waitForNextReport(ctx context.Context, sent time.Time, wait time.Duration) {
 	var wake <-chan struct{} // nil after a failed or redirected report: changes must not shorten the wait
 	if wait == 0 {
@@ -145,7 +146,8 @@
 	return other, retryDelay
 }
 
-// postReport sends a report and returns the response.
+// postReport sends a report and returns the status and the body of the response. The body is cut
+// off after maxResponseBytes.
 func postReport(ctx context.Context, client *http.Client, url string, body []byte) (status int, data []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -163,9 +165,9 @@
 	return resp.StatusCode, data, err
 }
 
-// handleResponse applies the response to a report. After a higher fencing token it triggers an
-// early report, so that the controller learns that the token is in effect, but at most twice per
-// lease.
+// handleResponse applies the response to a report. If the response carries a higher fencing token,
+// it triggers an early report, which tells the controller that the token is in effect. Early
+// reports for this reason are more than half a lease apart.
 func (a *Agent) handleResponse(ctx context.Context, sent time.Time, session uint64, response wire.ReportResponse) {
 	_, newToken := a.State.HandleResponse(ctx, sent, session, response)
 	if newToken && time.Since(a.lastTokenChange) > a.State.id.Lease/2 {
@@ -174,7 +176,8 @@
 	}
 }
 
-// redirectTarget returns the controller that a redirect names, unless it is the current one.
+// redirectTarget returns the index of the controller that a redirect names. ok is false if the body
+// is malformed, or if it names no controller, an unknown one or the current one.
 func (a *Agent) redirectTarget(data []byte, current int) (next int, ok bool) {
 	var redirect wire.Redirect
 	if json.Unmarshal(data, &redirect) != nil {
@@ -197,8 +200,8 @@
 	return mux
 }
 
-// serveOrders executes direct orders and responds with a report. The status is 409 if the orders
-// were refused.
+// serveOrders executes direct orders and responds with a report. The status is 409 if State refused
+// the orders. A malformed or oversized body is answered with status 400 and no report.
 func (a *Agent) serveOrders(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
--- a/internal/worker/check.go
+++ b/internal/worker/check.go
@@ -23,8 +23,9 @@
 
 const maxCheckTimeout = 30 * time.Second
 
-// check checks a task's port: without a path, that it accepts connections; with a path, that it
-// responds with a status from 200 to 299.
+// check checks a task's port and returns one of the outcomes above. If path is empty, the port must
+// accept a connection; otherwise a GET request for the path must return a status from 200 to 299.
+// The timeout is limited to maxCheckTimeout.
 func check(ctx context.Context, port int, path string, timeout time.Duration) string {
 	ctx, cancel := context.WithTimeout(ctx, min(timeout, maxCheckTimeout))
 	defer cancel()
@@ -68,8 +69,9 @@
 	Outcome string `json:"outcome"`
 }
 
-// serveCheck checks a task that runs on this worker: GET /check/JOB/N/ATTEMPT with http=PATH or
-// tcp=1, and timeoutMs.
+// serveCheck checks a task that runs on this worker: GET /check/JOB/N/ATTEMPT with the query
+// parameters timeoutMs and either http=PATH or tcp=1. The status is 400 if a parameter is missing or
+// invalid, and 404 if the attempt does not run here.
 func (a *Agent) serveCheck(w http.ResponseWriter, r *http.Request) {
 	attempt, err := strconv.ParseUint(r.PathValue("attempt"), 10, 64)
 	query := r.URL.Query()
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// stop executes a stop command. graceS is the grace period of the process in seconds; nil: none.
+// stop executes a stop command. An attempt whose description is still being fetched exits at once.
+// graceS is the grace period of a running process in seconds; nil: none.
 func (a *attempt) stop(graceS *float64) {
 	if a.State == wire.TaskFetching {
 		a.terminate(0)
@@ -54,7 +55,8 @@
 }
 
 // launchLocked executes a start command for a new attempt. The attempt exits at once if the task's
-// name is invalid or another attempt of the task has not exited.
+// name is invalid or another attempt of the task has not exited. If neither is the case, a goroutine
+// fetches the task's description and then starts the process.
 func (s *State) launchLocked(ctx context.Context, key attemptKey) {
 	job, _, err := wire.ParseTask(key.task)
 	a := &attempt{Task: wire.Task{Task: key.task, Attempt: key.attempt, State: wire.TaskFetching}}
--- a/internal/worker/processes.go
+++ b/internal/worker/processes.go
@@ -181,8 +181,8 @@
 	return exitCode(err)
 }
 
-// exitCode returns the exit code by the shells' convention: 128 plus the signal's number for a
-// process killed by a signal.
+// exitCode converts the error of cmd.Wait to an exit code. As in shells, the code of a process killed
+// by a signal is 128 plus the signal's number. An error that holds no exit status is converted to 1.
 func exitCode(err error) int {
 	var exitErr *exec.ExitError
 	switch {
@@ -233,7 +233,8 @@
 	return 0
 }
 
-// Close kills all tasks and waits until they have exited. No task can start afterwards.
+// Close kills all tasks and waits until they have exited. No task can start afterwards. Later calls
+// return immediately.
 func (p *Processes) Close() {
 	p.mu.Lock()
 	if p.closed {
