--- a/internal/rollout/operations.go
+++ b/internal/rollout/operations.go
@@ -17,8 +17,8 @@
 	maxVerbBackoff = 500 * time.Millisecond
 )
 
-// Start records a new roll-out. If the service is unknown it is created, which needs replicas and a
-// template in the spec. Start fails with ErrInput if the spec is invalid, the service has an active
+// Start records a new roll-out. If the service is unknown, it is created from the spec's number of
+// replicas and template. Start fails with ErrInput if the spec is invalid, the service has an active
 // roll-out, a limit is exceeded or the record would be too large. It fails with
 // statestore.ErrUnavailable until the records have been read, or with the state service's error.
 func (m *Manager) Start(ctx context.Context, spec Spec) (*Run, error) {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInput, err)
 	}
-	// The record grows by the batches of later steps: half of the size is reserved for them.
+	// Later steps add batches to the record: half of the maximum size is reserved for them.
 	if data, err := json.Marshal(e.run); err != nil || len(data) > m.maxRecord/2 {
 		return nil, fmt.Errorf("%w: to.desc: too large to be recorded, over %d bytes with the version before", ErrInput, m.maxRecord/2)
 	}
@@ -64,8 +64,8 @@
 	return e.run, nil
 }
 
-// usage holds the numbers of services, of active roll-outs and of all services' replicas, which are
-// compared with the limits.
+// usage holds the numbers of services and of active roll-outs, and the total number of replicas of
+// all services. They are compared with MaxServices, MaxRuns and MaxReplicas.
 type usage struct {
 	services, runs, replicas int
 }
@@ -91,7 +91,8 @@
 	return entry{}, u, nil
 }
 
-// checkNewService checks that a new service fits the limits.
+// checkNewService checks that a new service has replicas and does not exceed MaxServices or
+// MaxReplicas.
 func checkNewService(spec *Spec, u usage) error {
 	switch {
 	case spec.Replicas == 0:
--- a/internal/rollout/prober.go
+++ b/internal/rollout/prober.go
@@ -51,7 +51,8 @@
 	return &WorkerProber{&http.Client{Transport: &http.Transport{MaxIdleConns: maxProbes, MaxIdleConnsPerHost: 1, IdleConnTimeout: probeKeepAlive}}}
 }
 
-// Probe implements Prober. It returns Unknown if the worker does not respond correctly.
+// Probe implements Prober. It returns Unknown if the worker does not respond in time, or responds
+// with a status other than 200 or with malformed JSON.
 func (p *WorkerProber) Probe(ctx context.Context, r Replica, c Check) Health {
 	ctx, cancel := context.WithTimeout(ctx, seconds(c.TimeoutS)+probeMargin)
 	defer cancel()
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -19,8 +19,8 @@
 )
 
 // entry is a service and its latest roll-out, as recorded, and the known state of the jobs. Copies
-// of an entry share the maps submitted and cancelled. Only reset replaces these maps, in new
-// entries that have not been copied yet.
+// of an entry share the maps submitted and cancelled. Only reset replaces these maps; it does so in
+// new entries, of which no copy exists yet.
 type entry struct {
 	service        Service
 	serviceVersion uint64 // version of the service's key; 0 if the service is not recorded
@@ -81,8 +81,8 @@
 	return e
 }
 
-// applyLocked stores a record if it is newer than the present one. An unreadable record is logged
-// and ignored.
+// applyLocked stores the record of a service or of a roll-out if it is newer than the present one. It
+// ignores other keys. It logs an unreadable record and ignores it.
 func (m *Manager) applyLocked(key string, value json.RawMessage, version uint64) {
 	var err error
 	if name, ok := strings.CutPrefix(key, serviceKey); ok {
@@ -133,7 +133,7 @@
 	}
 	version, err := m.store.Txn(ctx, guards, ops...)
 	if err != nil {
-		return fmt.Errorf("record: %w", err) // if it was applied nevertheless, the watch delivers it
+		return fmt.Errorf("record: %w", err) // if the transaction was applied nevertheless, the watch delivers the new records
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -63,11 +63,11 @@
 	PlaceS      float64  `json:"placeS"` // seconds within which a step's replicas must become healthy
 	OnFail      string   `json:"onFail"`
 	IgnoreSlots bool     `json:"anytime,omitempty"` // steps may begin in slots and while a job of Settings.Classes is unfinished
-	Template    wire.Job `json:"template"`          // class, team, priority and resources of a new service
+	Template    wire.Job `json:"template"`          // job of a new service; id, kind, number of tasks and resources are ignored
 	Replicas    int      `json:"replicas"`          // number of replicas of a new service
 }
 
-// SetDefaults sets fields that are zero to their defaults.
+// SetDefaults sets fields that are zero to their defaults, if they have one.
 func (s *Spec) SetDefaults() {
 	if len(s.Steps) == 0 {
 		s.Steps = []string{"1", "25%", "100%"}
--- a/internal/rollout/state_machine.go
+++ b/internal/rollout/state_machine.go
@@ -12,7 +12,7 @@
 const (
 	// restoreTimeout is how long a roll-back waits for the old version's replicas to be placed
 	// beside the new ones before it cancels the new ones to free their capacity. If an operator
-	// aborted the roll-out, it waits for Spec.PlaceS if that is longer.
+	// aborted the roll-out and Spec.PlaceS is longer, the roll-back waits for Spec.PlaceS.
 	restoreTimeout = 15 * time.Second
 	// maxLosses is how often replicas of one step may be lost while soaking before the roll-out pauses.
 	maxLosses = 3
@@ -102,7 +102,8 @@
 	r.setPhase(Placing, "", now)
 }
 
-// advanceStep computes the next state of a roll-out that is placing, soaking or retiring.
+// advanceStep changes a roll-out that is placing, soaking or retiring to its next state. It returns
+// false if nothing changes.
 func (r *Run) advanceStep(service *Service, observed *Observation, now time.Time) bool {
 	unhealthy, hung := observed.failures(r.New)
 	switch {
@@ -145,7 +146,8 @@
 	return true
 }
 
-// endStep moves to the next step, or ends the roll-out after the last one.
+// endStep moves to the next step. After the last step it ends the roll-out and stores the new version
+// and its batches in the service.
 func (r *Run) endStep(service *Service, now time.Time) {
 	r.ToCancel = nil
 	if r.Step+1 < len(r.Targets) {
@@ -191,9 +193,10 @@
 	r.setPhase(RollingBack, reason, now)
 }
 
-// advanceRollback computes the next state of a roll-back. The new version's replicas are cancelled
-// once the old version's are healthy, or after a timeout if not all of the old ones run. The
-// roll-back ends when the old version's replicas are healthy and the cancelled jobs have ended.
+// advanceRollback changes a roll-back to its next state and returns false if nothing changes. The new
+// version's replicas are cancelled once the restored replicas of the old version are healthy, or
+// after a timeout if some of them do not run. The roll-back ends when the restored replicas are
+// healthy and the cancelled jobs have ended.
 func (r *Run) advanceRollback(service *Service, observed *Observation, now time.Time) bool {
 	remaining := append(slices.Clone(r.Old), r.Restore...)
 	restored := observed.healthy(r.Restore) >= countReplicas(r.Restore)
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -10,9 +10,9 @@
 	"github.com/goccy/go-json"
 )
 
-// ReservedCPUs returns the capacity, in CPUs, of the retired old replicas of unfinished roll-outs. It
-// is reserved until each roll-out has ended, so that a roll-back can place its replicas
-// immediately.
+// ReservedCPUs returns the number of CPUs that the old replicas retired by unfinished roll-outs used.
+// These CPUs remain reserved until the roll-out has ended, so that a roll-back can place its
+// replicas immediately.
 func (m *Manager) ReservedCPUs() (cpus float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -9,8 +9,9 @@
 	"github.com/wallrack/wallrack/internal/wire"
 )
 
-// reconcile performs the actions that the recorded state of one roll-out requires, observes its
-// jobs, and records the next state. Checks may outlast ctx; they end with checkCtx.
+// reconcile submits and cancels the jobs that the recorded state of one roll-out requires and observes
+// its jobs. If the state then changes, reconcile records the next state. Health checks may continue
+// after ctx has ended, but not after checkCtx has ended.
 func (m *Manager) reconcile(ctx, checkCtx context.Context, name string, leaderGuard wire.Guard, blockedReason string) error {
 	m.mu.Lock()
 	e := m.entries[name]
@@ -44,7 +45,8 @@
 	return nil
 }
 
-// observe starts the due checks of the submitted batches and returns the known state of all jobs.
+// observe starts the due checks of the submitted batches. It returns the known state of the submitted
+// and of the cancelled batches, by job id, and stores it in e.
 func (m *Manager) observe(checkCtx context.Context, now time.Time, e *entry, check Check, submitted, toCancel []Batch) map[string]JobStatus {
 	jobs := map[string]JobStatus{}
 	for _, batch := range submitted {
@@ -80,7 +82,8 @@
 	return nil
 }
 
-// job returns the job of a batch that runs a description.
+// job returns the job of a batch: the service's template with the batch's id and number of replicas
+// and the description's resources.
 func (s *Service) job(batch Batch, description *taskspec.Spec) wire.Job {
 	job := s.Template
 	job.UID, job.Kind, job.Tasks = batch.UID, wire.KindService, batch.Replicas
