--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -72,7 +72,7 @@
 	return c, nil
 }
 
-// load loads the records of an earlier run.
+// load loads the records of an earlier run and marks its machines as failed.
 func (c *Cloud) load(tx *bbolt.Tx) error {
 	if err := createBuckets(tx, provisionsBucket, machinesBucket, metaBucket); err != nil {
 		return err
@@ -131,9 +131,9 @@
 	}
 }
 
-// Provision provisions at most the requested number of machines and returns the machines' names;
-// they boot afterwards. It fails if the request is invalid or can't be recorded, if no machine can
-// be provisioned, and for all spot requests. If a request with the same name has succeeded before,
+// Provision provisions at most the requested number of machines and returns the machines' names.
+// The machines boot afterwards. It fails if the request is invalid or can't be recorded, if the
+// machine limits are reached, and for new spot requests. If a request with the same name has succeeded before,
 // it returns the names of that request's machines and provisions none.
 func (c *Cloud) Provision(req *wire.ProvisionRequest) ([]string, error) {
 	machineType, ok := c.findMachineType(req)
@@ -180,7 +180,8 @@
 	return wire.MachineType{}, false
 }
 
-// remainingLocked returns how many more machines a zone can have. The result may be negative.
+// remainingLocked returns how many more machines a zone can have. Failed machines do not count. The
+// result may be negative.
 func (c *Cloud) remainingLocked(zone string) int {
 	total, inZone := 0, 0
 	for _, m := range c.machines {
@@ -267,8 +268,8 @@
 	httpjson.Write(w, http.StatusOK, struct{}{})
 }
 
-// deleteMachines terminates machines, waits until none of them runs, and deletes their records.
-// Machines that are not listed are ignored.
+// deleteMachines removes machines from the listing, terminates them, waits until none of them runs,
+// and deletes their records. Names that are not listed are ignored.
 func (c *Cloud) deleteMachines(names []string) error {
 	c.mu.Lock()
 	var listed []string
--- a/internal/standin/metered.go
+++ b/internal/standin/metered.go
@@ -24,8 +24,9 @@
 	return &RateLimits{rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), rate.NewLimiter(rate.Limit(writeRPS), max(1, int(writeRPS)))}
 }
 
-// RequestCounts counts the requests of one client of a service. Writes counts the puts and deletes
-// of transactions within the rate limits. Refused counts the requests above the limits.
+// RequestCounts counts the requests of one client of a service. Transactions counts the transactions
+// within the rate limits, and Writes their puts and deletes. Refused counts the requests above the
+// limits.
 type RequestCounts struct {
 	Reads, Watches, Writes, Transactions, Refused atomic.Int64
 }
@@ -61,9 +62,9 @@
 	})
 }
 
-// allowWrites reports whether the rate limits allow a transaction's puts and deletes. Without
-// Metered they are always allowed. If they are allowed, it counts them, even if the transaction's
-// conditions then fail. Otherwise it counts a refused request.
+// allowWrites reports whether the rate limits allow a transaction with ops puts and deletes. Without
+// Metered every transaction is allowed, and nothing is counted. An allowed transaction is counted
+// even if its conditions fail later. One that is not allowed is counted as a refused request.
 func allowWrites(ctx context.Context, ops int) bool {
 	m, ok := ctx.Value(meterKey{}).(*meter)
 	if !ok {
--- a/internal/standin/records.go
+++ b/internal/standin/records.go
@@ -74,7 +74,7 @@
 	return limit
 }
 
-// decodeBody decodes a request's JSON body. If the body is malformed, it responds with status 400
+// decodeBody decodes a request's JSON body. If the body is malformed or too large, it responds with status 400
 // and returns false.
 func decodeBody(w http.ResponseWriter, r *http.Request, dest any) bool {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -3,8 +3,8 @@
 // descriptions. A whole site can thus run on one machine.
 //
 // The records are stored in one database on disk, or only in memory. With a database, a change is
-// durable before it is confirmed. The package has no access control and no replication, and starts
-// no workers itself: a Launcher starts them.
+// durable before it is confirmed. The package has no access control and no replication. It starts no
+// workers itself: a Launcher starts them.
 package standin
 
 import (
--- a/internal/standin/state_http.go
+++ b/internal/standin/state_http.go
@@ -65,8 +65,8 @@
 	httpjson.Write(w, http.StatusOK, list)
 }
 
-// listLocked lists the items with a prefix and with keys greater than after: at most limit items
-// and maxListBytes, but always the first item.
+// listLocked lists the items whose keys begin with prefix and are greater than the key after. It
+// lists at most limit items and about maxListBytes, but always the first item.
 func (s *State) listLocked(prefix, after string, limit int) wire.Items {
 	list := wire.Items{Items: []wire.Item{}, Revision: s.revision}
 	size := 0
@@ -92,7 +92,8 @@
 	return list
 }
 
-// checkTxn returns the first error in a transaction, or nil.
+// checkTxn returns an error if a transaction has too many conditions or changes, an invalid key or a
+// value that is too large.
 func (s *State) checkTxn(txn *wire.Txn) error {
 	if len(txn.Then) > s.maxOps || len(txn.If) > 4*s.maxOps {
 		return errors.New("too many conditions or changes")
@@ -206,9 +207,9 @@
 	httpjson.Write(w, http.StatusNotFound, wire.Problem{Error: "no such lease"})
 }
 
-// serveWatch responds with the changes of keys with a prefix after a revision, or with no changes
-// when the requested wait has passed. If some of the changes are no longer retained, it responds
-// with status 410.
+// serveWatch responds with the changes that were made to keys with a prefix after a revision. If
+// there are none, it waits for the requested time, at most maxWatchWait, and then responds with no
+// changes. If changes after the revision are no longer retained, it responds with status 410.
 func (s *State) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	prefix := query.Get("starts")
