--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -35,7 +35,8 @@
 	h.state.Close()
 }
 
-// holdRequests returns a handler that delays requests until the link is connected.
+// holdRequests returns a handler that delays requests until the link is connected. After the machine
+// was deleted, requests have no effect.
 func (h *hollowWorker) holdRequests(agent http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-h.link.connected()
@@ -57,7 +58,8 @@
 	cachedImages map[string]bool // by image name
 }
 
-// Get implements worker.Descriptions. It takes as long as fetching the job's image.
+// Get implements worker.Descriptions. If the job's image is not cached, Get takes fetchTime and then
+// caches the image.
 func (r *runner) Get(ctx context.Context, uid string) (*taskspec.Spec, error) {
 	job := r.track.job(uid)
 	if job == nil {
@@ -90,7 +92,8 @@
 // killedExitCode is the exit code of a task killed by SIGKILL.
 const killedExitCode = 137
 
-// Start implements worker.Runner.
+// Start implements worker.Runner. A task that completed in an earlier attempt exits at once with
+// code 0.
 func (r *runner) Start(task string, _ uint64, _ *taskspec.Spec, exited func(code int)) (worker.Process, error) {
 	runTime, completed := r.track.taskStarted(task, r.name)
 	p := &process{finish: func(completed bool) {
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// link is the network link of a worker. While it is cut, messages are held, and incoming messages
+// link is the network link of a worker. While it is cut, reports and incoming requests are held; they
 // are delivered when it is connected again. The zero value is connected.
 type link struct {
 	mu  sync.Mutex
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -40,7 +40,8 @@
 	maxConnections, failedReadings int // open inbound connections; usage readings that failed
 }
 
-// add adds a reading and returns the CPU used since the previous one, as a share of one core.
+// add adds a reading and returns the CPU used since the previous one, as a share of one core. For the
+// first reading it returns 0.
 func (u *usageTotals) add(reading usage.Reading, now time.Time) (share float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -60,7 +61,8 @@
 	return share
 }
 
-// collectSamples records a sample every second until ctx ends.
+// collectSamples records a sample every second until ctx ends. Every fifth sample includes the CPU
+// usage of the controllers, which is read once more at the end.
 func (r *Run) collectSamples(ctx context.Context) {
 	start, client := time.Now(), &http.Client{Timeout: usageTimeout}
 	startsBefore := 0
@@ -81,7 +83,7 @@
 }
 
 // readUsage reads the usage of all controllers and returns the CPU used by each, as a share of
-// one core.
+// one core. The share is 0 for a controller whose usage can't be read.
 func (r *Run) readUsage(client *http.Client) []float64 {
 	shares := make([]float64, len(r.controllers))
 	var readings sync.WaitGroup
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -83,7 +83,8 @@
 	Left      int `json:"uncompleted_at_the_end"` // lost, or not completed before the end of the run
 }
 
-// TeamResult holds a team's CPUs and the number of its job array tasks.
+// TeamResult holds a team's guarantee, limit and highest usage in CPUs, the number of its task starts
+// above the limit, and how many of its job array tasks were accepted and completed.
 type TeamResult struct {
 	Name      string  `json:"name"`
 	Guarantee float64 `json:"guarantee"`
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -163,7 +163,8 @@
 	return ctx.Err()
 }
 
-// awaitFilled waits until a share of at least minFilledShare of the service tasks runs.
+// awaitFilled waits until a share of at least minFilledShare of the service tasks runs. It fails if
+// this takes longer than Settings.FillWithinS.
 func (r *Run) awaitFilled(ctx context.Context) error {
 	deadline := time.Now().Add(seconds(r.Settings.FillWithinS))
 	for {
@@ -195,7 +196,8 @@
 	events.Wait()
 }
 
-// beginPhase begins a phase. requested is the requested rate of task starts per second.
+// beginPhase ends the current phase and begins another. requested is the requested rate of task
+// starts per second.
 func (r *Run) beginPhase(name string, requested float64) {
 	ended := r.track.beginPhase(name, requested)
 	r.phases = append(r.phases, ended)
@@ -206,7 +208,8 @@
 	ended.writes, r.writesBefore = writes-r.writesBefore, writes
 }
 
-// drain waits until all tasks of job arrays are completed. No new jobs are submitted.
+// drain waits until all tasks of job arrays are completed, but at most Settings.DrainS. No new jobs
+// are submitted.
 func (r *Run) drain(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -134,8 +134,9 @@
 	return params
 }
 
-// provisionWorkers provisions workers until every zone is full, at the start and to replace
-// deleted workers. It returns the number of new workers.
+// provisionWorkers provisions workers until every zone is full, and returns the number of new
+// workers. It is called at the start of the run and to replace workers that were deleted or
+// have failed.
 func (r *Run) provisionWorkers() int {
 	total := 0
 	for _, zone := range r.zones {
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -200,7 +200,7 @@
 	maxTeamCPUs = 1e6
 )
 
-// addTeam adds a team named in the settings.
+// addTeam adds a team named in the settings. It fails if a value or the team is invalid.
 func (s *Settings) addTeam(name, guarantee, limit any) error {
 	team := Team{}
 	team.Name, _ = name.(string) // empty, and thus invalid, if it is not a string
@@ -251,7 +251,8 @@
 // CPUs, so that it is at its limit when one of its jobs arrives.
 const tightTeamInterval = 10
 
-// generateTeams adds the generated teams.
+// generateTeams adds the generated teams. The guarantee of each is the CPUs of its service tasks. Its
+// limit is higher by the spare CPUs, which are at least those of one task.
 func (s *Settings) generateTeams() error {
 	named := len(s.Teams)
 	for i := range s.teamCount {
--- a/internal/scale/tracker.go
+++ b/internal/scale/tracker.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// taskStarted records that a worker starts a task. It returns the duration of the task. completed
-// is true if the task has completed already.
+// taskStarted records that a worker starts a task and returns the duration of the task. If the task
+// has completed already or is unknown, it records nothing and completed is true.
 func (t *tracker) taskStarted(task, worker string) (runTime time.Duration, completed bool) {
 	uid, number, err := wire.ParseTask(task)
 	t.mu.Lock()
@@ -221,8 +221,8 @@
 	return r
 }
 
-// markReachable ends the recovery of the tasks that still run on the given workers, because these
-// can be reached again.
+// markReachable ends the recovery of the lost tasks that still run on the given workers. It is called
+// when these workers can be reached again.
 func (t *tracker) markReachable(workers map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -276,7 +276,8 @@
 	return len(t.workerOf), unfinished
 }
 
-// recordResponse records the response to a user's submission or poll.
+// recordResponse records the response to a user's submission or poll. The first response to a job
+// marks the job as accepted.
 func (t *tracker) recordResponse(job *job, stage string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -292,8 +293,8 @@
 	}
 }
 
-// recordRejection records that a job was refused, that it is unknown although it was accepted, or
-// that its submission got no response.
+// recordRejection records why polling a job ended early. An accepted job counts as unknown. A job that
+// was not accepted counts as unanswered if its submission got no response, and otherwise as refused.
 func (t *tracker) recordRejection(job *job, unanswered bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -86,8 +86,8 @@
 }
 
 // submitAtRate submits jobs with a total of startsPerS tasks per second for the given duration.
-// The wait of a job counts from its scheduled time. Otherwise the wait of a job that is submitted
-// late, because the earlier ones delayed the sender, would be measured too short.
+// The wait of a job counts from its scheduled time, not from its submission. Earlier jobs may delay
+// the submission, and this delay is part of the wait.
 func (u *users) submitAtRate(ctx context.Context, startsPerS float64, duration time.Duration) {
 	s := u.settings
 	arraysPerS := (startsPerS - s.UrgentStarts) / float64(s.TasksPerJob)
