--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -1,6 +1,6 @@
-// Package scale runs a site of a planned size on one machine and measures it. Real controllers
-// run against local services, with hollow workers, which follow the protocol but run only timers,
-// and with users that submit jobs at a constant rate. Machine failures, network partitions and
+// Package scale runs a site of a planned size on one machine and measures it. Real controllers run
+// against local services. Hollow workers follow the protocol, but their tasks are only timers. Users
+// submit jobs at a rate that is constant within each phase. Machine failures, network partitions and
 // controller restarts are injected.
 //
 // Controllers are child processes started by the caller; everything else runs in this process.
--- a/internal/worker/processes.go
+++ b/internal/worker/processes.go
@@ -140,9 +140,10 @@
 	return cmd, nil
 }
 
-// startProcess starts a task's first process and writes its pid file, by which a later worker
-// finds orphaned processes. The pid file is created empty before the process starts, because the
-// worker may be killed at any time. watch runs in a goroutine that Close waits for.
+// startProcess starts a task's first process and writes its pid file, by which a later worker finds
+// orphaned processes. The file is created empty before the process starts, so that it exists even if
+// the worker is killed before it has written the pid. watch runs in a goroutine that Close waits for.
+// startProcess fails once Close has been called.
 func (p *Processes) startProcess(cmd *exec.Cmd, proc *process, watch func()) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
