--- a/internal/worker/processes.go
+++ b/internal/worker/processes.go
@@ -140,9 +140,10 @@
 	return cmd, nil
 }
 
-// startProcess starts a task's first process and writes its pid file, by which a later worker
-// finds orphaned processes. The pid file is created empty before the process starts, because the
-// worker may be killed at any time. watch runs in a goroutine that Close waits for.
+// startProcess starts a task's first process and writes its pid file, by which a later worker finds
+// orphaned processes. The file is created empty before the process starts, so that it exists even if
+// the worker is killed before it has written the pid. watch runs in a goroutine that Close waits for.
+// startProcess fails once Close has been called.
 func (p *Processes) startProcess(cmd *exec.Cmd, proc *process, watch func()) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,8 +182,8 @@
 	return exitCode(err)
 }
 
-// exitCode returns the exit code by the shells' convention: 128 plus the signal's number for a
-// process killed by a signal.
+// exitCode converts the error of cmd.Wait to an exit code. As in shells, the code of a process killed
+// by a signal is 128 plus the signal's number. An error that holds no exit status is converted to 1.
 func exitCode(err error) int {
 	var exitErr *exec.ExitError
 	switch {
@@ -233,7 +234,8 @@
 	return 0
 }
 
-// Close kills all tasks and waits until they have exited. No task can start afterwards.
+// Close kills all tasks and waits until they have exited. No task can start afterwards. Later calls
+// return immediately.
 func (p *Processes) Close() {
 	p.mu.Lock()
 	if p.closed {
