--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -44,13 +44,15 @@
 	// Demand returns the pending work and the load of each worker. bootS is the boot time in
 	// seconds of the machine type that boots fastest.
 	Demand(bootS float64) ([]planner.Demand, []planner.WorkerLoad)
-	// AdmittedWork returns the sum of all work accepted so far, in CPU-seconds.
+	// AdmittedWork returns the sum of the work that all leaders have accepted, in CPU-seconds; see
+	// planner.Planner.AdmittedWork for the jobs that are left out.
 	AdmittedWork() float64
 	// FailedWorkers returns the lost machines to be deleted, with the reasons.
 	FailedWorkers() map[string]string
 	// WorkerDeleted notifies the scheduler that a machine was deleted, so that its tasks have ended.
 	WorkerDeleted(name string)
-	// SetCordoned replaces the set of workers that accept no new tasks.
+	// SetCordoned replaces the set of cordoned workers, by name. A cordoned worker gets only tasks
+	// that are expected to end well before tasks that already run on it.
 	SetCordoned(names map[string]bool)
 }
 
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -67,12 +67,13 @@
 	cordoned   []*simulatedMachine
 	offers     []offer
 	wanted     map[offer]int
-	order      []offer // keys of wanted, most needed first
+	order      []offer // keys of wanted, in the order in which they were added
 }
 
-// plan simulates the pending work on the existing machines. It returns the machines to provision
-// for work that would wait longer than a new machine takes to boot, and their offers, most needed
-// first. It uncordons workers that the work needs. Called with mu held.
+// plan simulates the pending work on the existing machines. It returns how many machines of each
+// offer to provision, and the offers in the order in which they were added: first for tasks that
+// would wait too long on existing machines (see planDemand), then for headroom (addHeadroom). It
+// uncordons workers that the work needs. Called with mu held.
 func (a *Autoscaler) plan(now time.Time, demand []planner.Demand) (wanted map[offer]int, order []offer) {
 	sim := a.simulate(now)
 	bootS := a.shortestBootS()
--- a/internal/controller/user_peers.go
+++ b/internal/controller/user_peers.go
@@ -23,7 +23,7 @@
 func (u *userPeers) ServingPeers() []string { return u.links.Now().StoreReachablePeers() }
 
 // Healthy reports whether users' requests should be sent to this controller. It is false before the
-// controller has a fencing token, and while it can't reach the state service but a peer can.
+// controller has a fencing token, and while it can't reach the state service but a peer with a fresh status can.
 func (u *userPeers) Healthy() bool {
 	healthy := u.member.FencingToken() != 0 && u.links.Now().Healthy()
 	if healthy {
--- a/internal/jobspec/constraints.go
+++ b/internal/jobspec/constraints.go
@@ -65,11 +65,12 @@
 	Dependencies          []Dependency `json:"after,omitempty"`   // dependencies on other jobs
 	CancelIfUnsatisfiable bool         `json:"never,omitempty"`   // the job is cancelled once its dependencies are unsatisfiable
 	CancelledTasks        string       `json:"dropped,omitempty"` // tasks that were cancelled individually, in the syntax of Ranges
-	CancelReason          string       `json:"why,omitempty"`     // state in which the job ended, if its own constraints cancelled it
+	CancelReason          string       `json:"why,omitempty"`     // end state, such as Deadline, if its constraints cancelled the job
 }
 
 // Validate checks the constraints of a submitted job with the given number of tasks. Errors are
-// shown to users and start with the JSON name of the invalid field.
+// shown to users. They start with the JSON names of the fields concerned, separated by commas, but
+// Number is called "number".
 func (c *Constraints) Validate(tasks int, gang, service bool, now time.Time) error {
 	switch {
 	case c.Number == 0:
--- a/internal/jobstate/state.go
+++ b/internal/jobstate/state.go
@@ -60,7 +60,7 @@
 	StandaloneRows   []accounting.Row                  // rows of attempts whose end needs no log record
 	Outbox           map[string]*dispatch.Instructions // instructions to be sent, by dispatcher
 
-	AdmittedWork float64                  // CPU-seconds accepted since this process started
+	AdmittedWork float64                  // CPU-seconds accepted since this process started, see Planner.AdmittedWork
 	Arriving     map[string]*ArrivingWork // by class
 	SpotDone     float64                  // recent tasks done on spot workers, older ones with lower weight
 	SpotLost     float64                  // recent tasks lost on spot workers, older ones with lower weight
--- a/internal/matching/matrix.go
+++ b/internal/matching/matrix.go
@@ -108,8 +108,8 @@
 	return free
 }
 
-// Reserve returns the matrix with a task's resources taken from waitS on for runS. It does not
-// modify m.
+// Reserve returns a copy of m in which size is subtracted from the free resources between waitS and
+// waitS+runS. It does not modify m.
 func (m WaitMatrix) Reserve(size Resources, waitS, runS float64) WaitMatrix {
 	endS := waitS + runS
 	out := make(WaitMatrix, 0, len(m)+2)
--- a/internal/membership/transfer.go
+++ b/internal/membership/transfer.go
@@ -165,7 +165,8 @@
 		if conflict == nil {
 			m.applyShardLocked(shard, self, revision) // ignored if the watch has reported a newer leader meanwhile
 		}
-		// Records that the watch still reports from before this are out of date.
+		// The watch may still report records from before the reclaim or, after a conflict, up to the
+		// version that was given up: they are out of date.
 		m.newestVersions[shard] = max(m.newestVersions[shard], revision, version+1)
 	}
 	return len(m.pending) > 0
--- a/internal/planner/autoscaling.go
+++ b/internal/planner/autoscaling.go
@@ -1,15 +1,17 @@
 package planner
 
-// AdmittedWork returns the work accepted since this process started, in CPU-seconds. It locks
-// the state's Mu.
+// AdmittedWork returns the expected work of the jobs that this leader has accepted since its
+// process started, in CPU-seconds. Services, and jobs that their constraints kept waiting when
+// they were accepted, are left out. It locks the state's Mu.
 func (p *Planner) AdmittedWork() float64 {
 	p.state.Mu.Lock()
 	defer p.state.Mu.Unlock()
 	return p.state.AdmittedWork
 }
 
-// SetCordoned cordons exactly the named workers and uncordons all others. A cordoned worker
-// takes no new work, so that it becomes idle and can be scaled in. It locks the state's Mu.
+// SetCordoned cordons the named workers and uncordons all others. So that a cordoned worker soon
+// becomes idle and can be scaled in, it gets only tasks that are expected to end well before tasks
+// that already run on it (see staysOccupied and Worker.EndsWhileOccupied). It locks the state's Mu.
 func (p *Planner) SetCordoned(names map[string]bool) {
 	p.state.Mu.Lock()
 	defer p.state.Mu.Unlock()
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -24,7 +24,7 @@
 type Planner struct {
 	state *jobstate.State
 
-	lastPreemptIndex int          // index of the last worker examined for preemption
+	lastPreemptIndex int          // counter of workers examined for preemption; modulo len(schedulable), the index of the last one
 	triagedAt        time.Time    // time of the last run of Triage
 	overloaded       map[int]bool // priorities that Triage found to be overloaded
 
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -131,7 +131,8 @@
 	m.unleasedVersion = max(m.unleasedVersion, mark.UnleasedVersion)
 }
 
-// Run borrows and returns parts until ctx ends. It returns when its last request has ended.
+// Run borrows parts of the leased limits and gives them back until ctx ends, then waits for its
+// requests. If limits are not leased, it returns at once.
 func (m *Manager) Run(ctx context.Context) {
 	if !m.enabled {
 		return
--- a/internal/quotalease/reallocate.go
+++ b/internal/quotalease/reallocate.go
@@ -12,8 +12,10 @@
 	// accumulationCycle such periods. In the others it is moved to the shard whose turn it is.
 	accumulationPeriod = 5 * time.Second
 	accumulationCycle  = 4
-	// turnDuration is how long one of the shards that want more is served first. With shorter
-	// turns, leaders whose clocks differ by a second would serve different shards.
+	// turnDuration is how long a shard keeps its turn (rowInTurn) while any shard is starving, that
+	// is, wants more and lacks the amount for one task. Otherwise a turn lasts twice as long. The shard in turn also gets amounts that
+	// other shards owe it or leave unused. With shorter turns, leaders whose clocks differ by a
+	// second would usually choose different shards.
 	turnDuration = 2 * time.Second
 )
 
--- a/internal/reachability/failure_detector.go
+++ b/internal/reachability/failure_detector.go
@@ -62,9 +62,9 @@
 
 	probes          map[string]probe     // of the workers that are unresponsive now
 	failedAt        map[string]time.Time // time of failure, for workers that failed within failureWindow
-	refused         int64                // ReceiveHealth.RefusedConnections at the last call
+	refused         int64                // ReceiveHealth.RefusedConnections at the last call of Evaluate
 	degradedUntil   time.Time            // until when this process counts as receiving poorly
-	mutuallyReached map[string]bool      // result of Peer.reachesMutually at the last call, by peer
+	mutuallyReached map[string]bool      // result of Peer.reachesMutually at the last call of Evaluate, by peer
 	peerJoinedAt    time.Time            // when a peer last became mutually reachable
 }
 
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -3,9 +3,11 @@
 // responsive, and which tasks to stop because their worker's lease is about to expire. It also
 // makes the final decision whether a task may start (Reconciler.GrantLocal).
 //
-// A placement ends only by proof that its task is not on the worker: a newer heartbeat that does
-// not list it, the deletion of the worker, or the attested expiry of its lease. A missing
-// heartbeat proves nothing.
+// A granted placement whose task has not exited ends only by proof that the task is not on the
+// worker: a newer heartbeat that does not list it, a later session of the worker, the deletion of
+// the worker, the attested expiry of its lease, or the dispatcher's statement that it sent no start
+// command. A missing heartbeat proves nothing. Once the task has exited, the placement ends when
+// the completion is recorded. Placements that were never granted are withdrawn without proof.
 //
 // The package itself holds only deferred views and what it needs to detect late views. It does
 // no input or output: messages and records are queued in the state and signalled. It does not
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -77,8 +77,9 @@
 	return endpoints
 }
 
-// StuckWorkers returns the workers with a cancelled task that could not be stopped in time, by
-// name, and the reason to delete them: deleting the worker ends the task.
+// StuckWorkers returns the workers on which a task of a cancelled job may still be running although
+// its first halt was sent more than a third of Workers.CancelS ago, as a map from the worker's name
+// to the reason for deleting it. Deleting the worker ends the task.
 func (r *Reconciler) StuckWorkers() map[string]string {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
--- a/internal/reconcile/worker_lost.go
+++ b/internal/reconcile/worker_lost.go
@@ -6,8 +6,8 @@
 	"github.com/wallrack/wallrack/internal/jobstate"
 )
 
-// WorkerDeleted ends every placement on a worker that the cloud has deleted, and forgets the
-// worker. Its name is never used again; late views of it are ignored.
+// WorkerDeleted ends the placements on a worker that the cloud has deleted, except those of exited
+// tasks, and forgets the worker. Its name is never used again; late views of it are ignored.
 func (r *Reconciler) WorkerDeleted(name string) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -21,10 +21,10 @@
 	r.forgetWorker(worker)
 }
 
-// LeaseAttestedExpired ends the placements created on a worker until requestedAt. All
-// controllers have attested, in response to requests sent at that time, that none has responded
-// to the worker for a full lease, so that the worker has killed every task. It does nothing if a
-// view of the worker has arrived since.
+// LeaseAttestedExpired ends the placements created on a worker until requestedAt, except those of
+// exited tasks. All controllers have attested, in response to requests sent at that time, that
+// none has responded to the worker for a full lease, so that the worker has killed every task. It
+// does nothing if a view of the worker arrived at requestedAt or later.
 func (r *Reconciler) LeaseAttestedExpired(name string, requestedAt time.Time) {
 	r.state.Mu.Lock()
 	defer r.state.Mu.Unlock()
@@ -34,6 +34,7 @@
 }
 
 // endLostPlacements ends the placements on a lost worker that were created until the given time.
+// Those of exited tasks remain until their completion is recorded.
 func (r *Reconciler) endLostPlacements(worker *jobstate.Worker, until time.Time) {
 	for placement := range worker.Placements {
 		if placement.CreatedAt.After(until) {
--- a/internal/scheduler/api.go
+++ b/internal/scheduler/api.go
@@ -27,12 +27,14 @@
 // WorkerResponded records that a worker responded to a request of any controller.
 func (s *Scheduler) WorkerResponded(name string) { s.reconciler.WorkerResponded(name) }
 
-// WorkerDeleted ends every placement on a worker that the cloud has deleted.
+// WorkerDeleted ends the placements on a worker that the cloud has deleted, except those of
+// exited tasks, and forgets the worker.
 func (s *Scheduler) WorkerDeleted(name string) { s.reconciler.WorkerDeleted(name) }
 
-// LeaseAttestedExpired ends the placements made before placedBefore on a worker whose lease has
-// expired: all controllers attest that they have not renewed it for a full lease, so the worker
-// has killed its tasks. It has no effect if a view of the worker has arrived since.
+// LeaseAttestedExpired ends the placements created on a worker until placedBefore, except those of
+// exited tasks. All controllers have attested, to requests sent at placedBefore, that they have not
+// responded to the worker for the duration of a lease, so it has killed its tasks. The call has no
+// effect if a view of the worker arrived at placedBefore or later.
 func (s *Scheduler) LeaseAttestedExpired(name string, placedBefore time.Time) {
 	s.reconciler.LeaseAttestedExpired(name, placedBefore)
 }
@@ -47,8 +49,9 @@
 // received by another controller.
 func (s *Scheduler) RemoteWorkers() map[string]string { return s.reconciler.RemoteWorkers() }
 
-// StuckWorkers returns the workers with a cancelled task that can't be stopped in time, as a
-// map from the worker's name to the reason for deleting the worker.
+// StuckWorkers returns the workers on which a task of a cancelled job may still be running although
+// its first halt was sent more than a third of Workers.CancelS ago, as a map from the worker's name
+// to the reason for deleting it.
 func (s *Scheduler) StuckWorkers() map[string]string { return s.reconciler.StuckWorkers() }
 
 // UnstoppedWorkers returns the addresses, by worker name, of the workers on which a cancelled
@@ -71,11 +74,13 @@
 	return s.planner.Demand(bootS)
 }
 
-// AdmittedWork returns the work accepted since this process started, in CPU-seconds.
+// AdmittedWork returns the expected work of the jobs that this leader has accepted since its
+// process started, in CPU-seconds. Services, and jobs that their constraints kept waiting when
+// they were accepted, are left out.
 func (s *Scheduler) AdmittedWork() float64 { return s.planner.AdmittedWork() }
 
 // SetCordoned replaces the set of cordoned workers, by name. A cordoned worker gets only tasks
-// that are expected to end before the worker would be empty without them.
+// that are expected to end well before tasks that already run on it.
 func (s *Scheduler) SetCordoned(names map[string]bool) { s.planner.SetCordoned(names) }
 
 // LeadsAutoscaling reports whether this controller leads the first shard, whose leader runs the
--- a/internal/slurmapi/recorded_test.go
+++ b/internal/slurmapi/recorded_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// The encoding of the types in requests, replies and responses to clients.
+// The types contained in messages between controllers, and in clients' requests and responses, keep
+// their recorded encoding.
 func TestRecordedListings(t *testing.T) {
 	recorded.CheckFull(t, "info-full", fullInfo())
 	recorded.Check(t, "info-none", jobquery.Info{})
--- a/internal/testkit/leader_changes_test.go
+++ b/internal/testkit/leader_changes_test.go
@@ -104,8 +104,8 @@
 // same limits, no worker's lease may expire, and no long task may be restarted.
 func TestTenFailoversInTwoMinutes(t *testing.T) {
 	const (
-		expiryGap  = 10 * time.Second // the leader's lease, the claim, reading the records, and the next reports
-		restartGap = 5 * time.Second  // less than a lease
+		expiryGap  = 10 * time.Second // the old leader's lease of 5 s, the claim, reading the records, and the next reports
+		restartGap = 5 * time.Second  // the restarted controller ends its old lease itself: its expiry is not awaited
 	)
 	for seed := range uint64(2) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/testkit/unrenewed_lease_test.go
+++ b/internal/testkit/unrenewed_lease_test.go
@@ -165,7 +165,7 @@
 			}
 		}
 	}
-	counted := map[string]int{} // workers already in sorted that run tasks of a job, by job
+	counted := map[string]int{} // by job: number of workers already appended to sorted that run its tasks
 	score := func(k *testkit.Worker) (sum float64) {
 		for _, uid := range jobsOn[k] {
 			sum += 1 / float64(1+counted[uid])
--- a/internal/viewsync/encoder.go
+++ b/internal/viewsync/encoder.go
@@ -42,10 +42,10 @@
 }
 
 // Update records changed views as of now and the names of workers that the dispatcher no longer
-// knows. It does nothing before the first frame, which contains all views.
+// knows. It does nothing before the first frame, for which Next takes all views from its source.
 func (e *Encoder) Update(nowMs int64, changed []dispatch.WorkerView, removed []string) {
 	if !e.started {
-		return // the first frame will contain all views
+		return // Next will take all views from its source
 	}
 	for _, view := range changed {
 		e.pending[view.Name] = state{nowMs, roundedView(view)}
@@ -59,8 +59,10 @@
 	}
 }
 
-// Next returns the message to be sent now: the unacknowledged frame, a new frame if there are
-// changes, or a heartbeat if one is due. If nothing is to be sent, it returns nil.
+// Next returns the message to be sent now: the unacknowledged frame, if there is one. A new stream
+// starts with a query for the stream that the leader knows, followed by the first frame, made from
+// all views of the source. After that, Next returns a frame if there are changes, or a heartbeat if
+// one is due. If nothing is to be sent, it returns nil.
 func (e *Encoder) Next(nowMs int64, source Source) *Message {
 	m := &Message{Dispatcher: e.dispatcher, Stream: e.stream, Replaces: e.replaces, NowMs: nowMs}
 	switch {
--- a/internal/viewsync/model_test.go
+++ b/internal/viewsync/model_test.go
@@ -225,7 +225,9 @@
 // syncUntilIdle delivers all messages until nothing is left to be sent.
 func (w *model) syncUntilIdle() {
 	w.messages, w.replies = nil, nil
-	w.nowMs += heartbeatMs // a leader that has just restarted is noticed only by a heartbeat
+	// A heartbeat is due: without changes, only the leader's reply to one tells the dispatcher that
+	// the leader has restarted.
+	w.nowMs += heartbeatMs
 	for range 20 {
 		w.send()
 		if len(w.messages) == 0 {
