--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -54,7 +54,7 @@
 	least := slices.MinFunc(r.Teams, func(a, b TeamResult) int { return a.Completed*max(1, b.Requested) - b.Completed*max(1, a.Requested) })
 	fmt.Fprintf(text, "\narrays' tasks: %d of %d completed, %d left\tteam served least: %s, %d of %d\n", r.Tasks.Completed, r.Tasks.Asked, r.Tasks.Left, least.Name, least.Completed, least.Requested)
 	fmt.Fprintf(text, "hollow workers, services and users together: %.0f s of processor, %.0f MB\n", r.Host.CPUSeconds, r.Host.MemoryMB)
-	fmt.Fprintf(text, "rules: ran twice %d, starts above a limit %d, called over too early %d, accepted jobs unknown %d\n", r.Rules.RanTwice, r.Rules.OverLimit, r.Rules.PrematureEnds, r.Rules.Unknown)
+	fmt.Fprintf(text, "rules: ran twice %d, starts above a limit %d, called over too early %d, accepted jobs unknown %d\n", r.Rules.RanTwice, r.Rules.OverLimit, r.Rules.NotDone, r.Rules.Unknown)
 }
 
 // plotSeries holds the series of a chart by name.
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -67,10 +67,10 @@
 
 // Rules counts violations of the rules that must always hold.
 type Rules struct {
-	RanTwice      int `json:"ran_twice"`
-	OverLimit     int `json:"starts_above_a_limit"`
-	PrematureEnds int `json:"called_over_too_early"`
-	Unknown       int `json:"accepted_jobs_unknown"`
+	RanTwice  int `json:"ran_twice"`
+	OverLimit int `json:"starts_above_a_limit"`
+	NotDone   int `json:"called_over_too_early"` // wallrack scale prints the fields under their Go names
+	Unknown   int `json:"accepted_jobs_unknown"`
 }
 
 // Broken reports whether there was any violation.
@@ -135,7 +135,7 @@
 	for _, e := range t.recoveries {
 		out.Recoveries = append(out.Recoveries, e.result())
 	}
-	out.Rules = Rules{RanTwice: t.ranTwice, PrematureEnds: t.prematureEnds, Unknown: t.unknown}
+	out.Rules = Rules{RanTwice: t.ranTwice, NotDone: t.prematureEnds, Unknown: t.unknown}
 	for _, team := range s.Teams {
 		state := t.teams[team.Name]
 		out.Teams = append(out.Teams, TeamResult{
